--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -17,7 +17,7 @@
 
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/feed"
-	"rowanlink/serving/mesh"
+	"rowanlink/serving/member"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/spread"
@@ -28,7 +28,7 @@
 const seedIP = "127.0.0.2"
 
 // startSeed starts a member of the mesh that holds a record and an endpoint.
-func startSeed(t *testing.T, agentSettings *settings.Process) *mesh.Mesh {
+func startSeed(t *testing.T, agentSettings *settings.Process) *member.Mesh {
 	process := *agentSettings
 	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
 	listener, err := net.Listen("tcp", process.InnerAddress())
@@ -37,7 +37,7 @@
 	serve(listener, &http.Server{Handler: mux})
 	client := rpc.NewClient()
 	log := zerolog.Nop()
-	seed, err := mesh.Start(t.Context(), mesh.Options{Settings: &process, Client: client, Mux: mux, Log: &log,
+	seed, err := member.Start(t.Context(), member.Options{Settings: &process, Client: client, Mux: mux, Log: &log,
 		Self: state.Member{Name: "seed", Role: state.RoleCore, Zone: "z", Region: "r",
 			Address: process.InnerAddress(), State: state.MemberReady}})
 	require.NoError(t, err)
@@ -50,7 +50,7 @@
 }
 
 // put has the seed spread a value.
-func put(t *testing.T, seed *mesh.Mesh, table spread.Table, key string, version uint64, value any) {
+func put(t *testing.T, seed *member.Mesh, table spread.Table, key string, version uint64, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	seed.Put(spread.Entry{Table: table, Key: key, Version: spread.NewVersion(version, 0), Value: encoded})
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -14,7 +14,7 @@
 	"rowanlink/serving/feed"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/loads"
-	"rowanlink/serving/mesh"
+	"rowanlink/serving/member"
 	"rowanlink/serving/program"
 	"rowanlink/serving/register"
 	"rowanlink/serving/result"
@@ -58,7 +58,7 @@
 	defer serve(listeners.inner, &http.Server{Handler: inner, IdleTimeout: innerIdle}).Close()
 	client := rpc.NewClient()
 	defer client.Close()
-	joined, err := mesh.Start(life, mesh.Options{Settings: options.Settings, Self: self(options.Settings),
+	joined, err := member.Start(life, member.Options{Settings: options.Settings, Self: self(options.Settings),
 		Client: client, Mux: inner, Log: options.Log})
 	if err != nil {
 		return err
--- a/serving/core/keeper.go
+++ b/serving/core/keeper.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
-	"rowanlink/serving/mesh"
+	"rowanlink/serving/member"
 	"rowanlink/serving/register"
 	"rowanlink/serving/state"
 )
@@ -24,7 +24,7 @@
 
 // keeper repairs the replica set while it holds that duty, and finishes changes that others have left half-way.
 type keeper struct {
-	mesh     *mesh.Mesh
+	mesh     *member.Mesh
 	node     *register.Node
 	log      *zerolog.Logger
 	finisher finisher
--- a/serving/core/report.go
+++ b/serving/core/report.go
@@ -3,13 +3,13 @@
 import (
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/inspect"
-	"rowanlink/serving/mesh"
+	"rowanlink/serving/member"
 	"rowanlink/serving/register"
 )
 
 // reporter answers operators who look into the process.
 type reporter struct {
-	mesh      *mesh.Mesh
+	mesh      *member.Mesh
 	node      *register.Node
 	endpoints *endpoints.Owner
 }
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/endpoints/exchange"
 	"rowanlink/serving/event"
 	"rowanlink/serving/inspect"
-	"rowanlink/serving/mesh"
+	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
 	"rowanlink/serving/program"
 	"rowanlink/serving/register"
@@ -67,7 +67,7 @@
 	defer serve(innerListener, &http.Server{Handler: inner, ReadHeaderTimeout: headWait, IdleTimeout: innerIdle}).Close()
 	client := rpc.NewClient()
 	defer client.Close()
-	joined, err := mesh.Start(life, mesh.Options{Settings: process, Self: self(process), Client: client, Mux: inner,
+	joined, err := member.Start(life, member.Options{Settings: process, Self: self(process), Client: client, Mux: inner,
 		Log: options.Log})
 	if err != nil {
 		_ = controlListener.Close()
@@ -103,7 +103,7 @@
 }
 
 // startRegister joins the register to the mesh: what is committed here is spread, what others tell is learned.
-func startRegister(ctx context.Context, options Options, joined *mesh.Mesh, storage register.Storage, client *rpc.Client,
+func startRegister(ctx context.Context, options Options, joined *member.Mesh, storage register.Storage, client *rpc.Client,
 	inner *http.ServeMux) (*register.Node, error) {
 	records := &records{mesh: joined, log: options.Log}
 	node, err := register.Start(ctx, register.NodeOptions{Settings: options.Settings, Storage: storage, Client: client,
@@ -128,7 +128,7 @@
 }
 
 // controlHandler answers operators and endpoints.
-func controlHandler(options Options, joined *mesh.Mesh, node *register.Node, table *exchange.Exchange,
+func controlHandler(options Options, joined *member.Mesh, node *register.Node, table *exchange.Exchange,
 	touch *contact.Contact) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
@@ -137,7 +137,7 @@
 }
 
 // end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
-func end(joined *mesh.Mesh, node *register.Node, control *http.Server) {
+func end(joined *member.Mesh, node *register.Node, control *http.Server) {
 	joined.SetState(state.MemberLeaving)
 	handedOver := make(chan struct{})
 	go func() {
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -13,7 +13,7 @@
 
 	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/mesh"
+	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
 	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
@@ -21,7 +21,7 @@
 
 // The real parts fit the interfaces.
 var (
-	_ Mesh               = (*mesh.Mesh)(nil)
+	_ Mesh               = (*member.Mesh)(nil)
 	_ operator.Spread    = (*Exchange)(nil)
 	_ operator.Endpoints = (*endpoints.Owner)(nil)
 )
--- a/serving/mesh/messages.go
+++ b/serving/member/messages.go
@@ -1,6 +1,6 @@
-// Package mesh runs the spread of updates, the membership and the singleton duties of one process: it makes the
+// Package member runs the spread of updates, the membership and the singleton duties of one process: it makes the
 // calls that their engines ask for, answers those of other members and keeps the timer.
-package mesh
+package member
 
 import (
 	"rowanlink/serving/membership"
--- a/serving/mesh/replicate_test.go
+++ b/serving/member/replicate_test.go
@@ -1,4 +1,4 @@
-package mesh
+package member
 
 import (
 	"context"
--- a/serving/operator/core_test.go
+++ b/serving/operator/core_test.go
@@ -18,7 +18,7 @@
 
 	"rowanlink/serving/contact"
 	"rowanlink/serving/endpoints/exchange"
-	"rowanlink/serving/mesh"
+	memberpkg "rowanlink/serving/member"
 	"rowanlink/serving/operator"
 	"rowanlink/serving/register"
 	"rowanlink/serving/rpc"
@@ -96,7 +96,7 @@
 	inner.Start()
 	self := state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
 		Address: process.InnerAddress(), Control: process.IP + ":1", State: state.MemberReady}
-	joined, err := mesh.Start(ctx, mesh.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
+	joined, err := memberpkg.Start(ctx, memberpkg.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
 	require.NoError(t, err)
 	node, err := register.Start(ctx, register.NodeOptions{Settings: process, Storage: &memoryStorage{}, Client: client,
 		Mux: mux, Log: &log, Committed: func(state.Record) {}, Members: func() []register.Machine { return nil }})
