--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -11,9 +11,9 @@
 	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/feed"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/settings"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -40,7 +40,7 @@
 	Claims() []duty.Claim
 	SetState(state.MemberState)
 	SetFront(string)
-	Subscribe(table spread.Table, take func(spread.Entry))
+	Subscribe(table gossip.Table, take func(gossip.Entry))
 	Leave(context.Context) error
 }
 
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/feed"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/inspect"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := stand(8 * time.Second)
 		defer s.board.Stop()
-		s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 2})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
 		first := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
 		require.NoError(t, first.err)
 		assert.Equal(t, uint64(2), first.response.Record.Revision)
@@ -31,9 +31,9 @@
 		assert.Equal(t, []state.MemberState{state.MemberReady}, s.mesh.announced())
 		assert.Equal(t, "10.0.0.1:80", s.mesh.Self().Front)
 		for sequence := range uint64(3) {
-			s.mesh.deliver(t, spread.TableEndpoints, endpoint("e", sequence+1))
+			s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", sequence+1))
 		}
-		s.mesh.deliver(t, spread.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
+		s.mesh.deliver(t, gossip.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
 		got := <-second
 		require.NoError(t, got.err)
 		assert.Equal(t, coalesce, got.after, "news is gathered for a moment")
@@ -51,10 +51,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := stand(8 * time.Second)
 		defer s.board.Stop()
-		s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 5})
-		s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 4})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4})
 		for table := range s.mesh.subscribers {
-			s.mesh.subscribers[table](spread.Entry{Table: table, Key: "k", Value: []byte{0xff}})
+			s.mesh.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: []byte{0xff}})
 		}
 		got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
@@ -68,7 +68,7 @@
 		s := stand(8 * time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		go s.run(ctx)
-		s.mesh.deliver(t, spread.TableEndpoints, endpoint("e", 1))
+		s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", 1))
 		got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
 		assert.Equal(t, firstAnswerWait+coalesce, got.after)
@@ -88,7 +88,7 @@
 		defer stop()
 		go s.run(ctx)
 		connection, cut := context.WithCancel(t.Context())
-		s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 1})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
 		first := <-s.poll(connection, waiting(feed.Cursor{}, state.MemberReady))
 		open := s.poll(connection, waiting(first.response.Cursor, state.MemberReady))
 		time.Sleep(4 * time.Second)
@@ -160,7 +160,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := stand(8 * time.Second)
 		defer s.board.Stop()
-		s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 1})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
 		first := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
 		connection, cut := context.WithCancel(t.Context())
 		ended := s.poll(connection, waiting(first.response.Cursor, state.MemberLeaving))
@@ -190,9 +190,9 @@
 	s := stand(time.Second)
 	defer s.board.Stop()
 	s.mesh.meet(proxyIn("n2", 1, state.MemberReady))
-	s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
+	s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}, {Zone: "n2"}}})
-	s.mesh.deliver(t, spread.TableEndpoints, endpoint("e", 1))
+	s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", 1))
 	report := s.report(inspect.Request{WithTables: true})
 	assert.Equal(t, uint64(4), report.Revision)
 	assert.Equal(t, uint64(9), report.Version)
--- a/serving/agent/confirm_test.go
+++ b/serving/agent/confirm_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/feed"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/register"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -72,12 +72,12 @@
 				s := unconfirmed()
 				defer s.board.Stop()
 				go s.agent.confirm(t.Context(), test.voters.ask)
-				s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
 				poll := s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 6, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Replicas: votersAt(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 7, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Replicas: votersAt(1, "a", "b", "c")})
 				got := <-poll
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(7), got.response.Record.Revision)
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := unconfirmed()
 		defer s.board.Stop()
-		s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
 		go s.agent.confirm(t.Context(), fakeVoters{"a": granted(5), "c": granted(5)}.ask)
 		got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
@@ -123,7 +123,7 @@
 					voters["a"] = granted(9)
 				}
 				go s.agent.confirm(t.Context(), voters.ask)
-				s.mesh.deliver(t, spread.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
 				got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -17,10 +17,10 @@
 
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/feed"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/member"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -50,10 +50,10 @@
 }
 
 // put has the seed spread a value.
-func put(t *testing.T, seed *member.Mesh, table spread.Table, key string, version uint64, value any) {
+func put(t *testing.T, seed *member.Mesh, table gossip.Table, key string, version uint64, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
-	seed.Put(spread.Entry{Table: table, Key: key, Version: spread.NewVersion(version, 0), Value: encoded})
+	seed.Put(gossip.Entry{Table: table, Key: key, Version: gossip.NewVersion(version, 0), Value: encoded})
 }
 
 // life is one life of an agent's process.
@@ -94,9 +94,9 @@
 	fmt.Fprintf(file, "seed_nodes=%s\n", process.Seeds[0])
 	require.NoError(t, file.Close())
 
-	put(t, seed, spread.TableRecord, spread.RecordKey, 5, state.Record{Revision: 5})
+	put(t, seed, gossip.TableRecord, gossip.RecordKey, 5, state.Record{Revision: 5})
 	major, _ := endpoints.Version(endpoint("e", 1))
-	put(t, seed, spread.TableEndpoints, "e", major, endpoint("e", 1))
+	put(t, seed, gossip.TableEndpoints, "e", major, endpoint("e", 1))
 	client := rpc.NewClient()
 	defer client.Close()
 	proxy := nothingKnown()
@@ -107,8 +107,8 @@
 	first.terminate()
 	require.NoError(t, <-first.ended)
 
-	put(t, seed, spread.TableRecord, spread.RecordKey, 6, state.Record{Revision: 6})
-	put(t, seed, spread.TableEndpoints, "e", 2, endpoint("e", 2))
+	put(t, seed, gossip.TableRecord, gossip.RecordKey, 6, state.Record{Revision: 6})
+	put(t, seed, gossip.TableEndpoints, "e", 2, endpoint("e", 2))
 	second := startLife(t, process, path)
 	learn(t, client, process.FeedAddress(), proxy, func() bool {
 		assert.GreaterOrEqual(t, proxy.revision, uint64(5))
--- a/serving/agent/standing_test.go
+++ b/serving/agent/standing_test.go
@@ -14,8 +14,8 @@
 	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/feed"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/settings"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -25,14 +25,14 @@
 	self        state.Member
 	others      []state.Member
 	proxies     feed.Proxies
-	subscribers map[spread.Table]func(spread.Entry)
+	subscribers map[gossip.Table]func(gossip.Entry)
 	states      []state.MemberState // that the agent announced, in order
 	left        bool
 	leaveError  error
 }
 
 func newFakeMesh() *fakeMesh {
-	return &fakeMesh{self: proxyIn("n1", 1, state.MemberStarting), subscribers: map[spread.Table]func(spread.Entry){}}
+	return &fakeMesh{self: proxyIn("n1", 1, state.MemberStarting), subscribers: map[gossip.Table]func(gossip.Entry){}}
 }
 
 func (f *fakeMesh) Self() state.Member {
@@ -75,7 +75,7 @@
 	return slices.Clone(f.states)
 }
 
-func (f *fakeMesh) Subscribe(table spread.Table, take func(spread.Entry)) {
+func (f *fakeMesh) Subscribe(table gossip.Table, take func(gossip.Entry)) {
 	f.subscribers[table] = take
 }
 
@@ -91,10 +91,10 @@
 }
 
 // deliver hands an entry to the agent as the mesh does.
-func (f *fakeMesh) deliver(t *testing.T, table spread.Table, value any) {
+func (f *fakeMesh) deliver(t *testing.T, table gossip.Table, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
-	f.subscribers[table](spread.Entry{Table: table, Key: "k", Value: encoded})
+	f.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: encoded})
 }
 
 // standing is an agent on a fake mesh, with the server that its proxy polls.
--- a/serving/core/records.go
+++ b/serving/core/records.go
@@ -5,15 +5,15 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/event"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/register"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
 // recordMesh is what the spread of records needs of the mesh.
 type recordMesh interface {
-	Put(entry spread.Entry)
-	Subscribe(table spread.Table, call func(spread.Entry))
+	Put(entry gossip.Entry)
+	Subscribe(table gossip.Table, call func(gossip.Entry))
 }
 
 // records passes committed records between the register and the mesh.
@@ -29,13 +29,13 @@
 		event.RecordUnreadable.Log(r.log).Err(err).Send()
 		return
 	}
-	r.mesh.Put(spread.Entry{Table: spread.TableRecord, Key: spread.RecordKey,
-		Version: spread.NewVersion(record.Revision, 0), Value: value})
+	r.mesh.Put(gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
+		Version: gossip.NewVersion(record.Revision, 0), Value: value})
 }
 
 // subscribe has the node learn what other members tell.
 func (r *records) subscribe(node *register.Node) {
-	r.mesh.Subscribe(spread.TableRecord, func(entry spread.Entry) {
+	r.mesh.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
 		var record state.Record
 		if err := cbor.Unmarshal(entry.Value, &record); err != nil {
 			event.RecordUnreadable.Log(r.log).Err(err).Send()
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -12,7 +12,7 @@
 	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/event"
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/state"
 )
 
@@ -24,9 +24,9 @@
 
 // Mesh is what is needed of the members' mesh; mesh.Mesh is one.
 type Mesh interface {
-	Put(entry spread.Entry)
-	PutReplicated(ctx context.Context, entry spread.Entry, addresses []string, copies int) error
-	Subscribe(table spread.Table, call func(spread.Entry))
+	Put(entry gossip.Entry)
+	PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error
+	Subscribe(table gossip.Table, call func(gossip.Entry))
 	Members() []state.Member // those that are live
 	Self() state.Member
 	Holder(name string, scope duty.Scope) duty.Holding
@@ -54,7 +54,7 @@
 	table := endpoints.Options{Self: mesh.Self().Name, BeatInterval: options.BeatInterval,
 		Judges: judgesBy(mesh, options.InTouch)}
 	x := &Exchange{mesh: mesh, table: endpoints.Start(table, time.Now), log: options.Log}
-	mesh.Subscribe(spread.TableEndpoints, x.take)
+	mesh.Subscribe(gossip.TableEndpoints, x.take)
 	go x.run(ctx)
 	return x
 }
@@ -89,7 +89,7 @@
 }
 
 // take merges an entry that the mesh has taken in.
-func (x *Exchange) take(entry spread.Entry) {
+func (x *Exchange) take(entry gossip.Entry) {
 	endpoint, err := endpoints.Decode(entry.Value)
 	if err != nil {
 		event.EndpointUnreadable.Log(x.log).Str("endpoint", entry.Key).Err(err).Send()
@@ -118,13 +118,13 @@
 	return x.mesh.PutReplicated(ctx, entry, addresses, copies)
 }
 
-func entryOf(endpoint state.Endpoint) (spread.Entry, error) {
+func entryOf(endpoint state.Endpoint) (gossip.Entry, error) {
 	value, err := endpoints.Encode(endpoint)
 	if err != nil {
-		return spread.Entry{}, err
+		return gossip.Entry{}, err
 	}
 	major, minor := endpoints.Version(endpoint)
-	return spread.Entry{Table: spread.TableEndpoints, Key: endpoint.ID, Version: spread.NewVersion(major, minor),
+	return gossip.Entry{Table: gossip.TableEndpoints, Key: endpoint.ID, Version: gossip.NewVersion(major, minor),
 		Value: value}, nil
 }
 
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -31,32 +31,32 @@
 	cutOff     bool
 	live       []state.Member
 	mine       bool
-	subscriber func(spread.Entry)
+	subscriber func(gossip.Entry)
 
 	mutex sync.Mutex
-	put   []spread.Entry
+	put   []gossip.Entry
 }
 
 // told returns what was put.
-func (f *fakeMesh) told() []spread.Entry {
+func (f *fakeMesh) told() []gossip.Entry {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.put
 }
 
-func (f *fakeMesh) Put(entry spread.Entry) {
+func (f *fakeMesh) Put(entry gossip.Entry) {
 	f.mutex.Lock()
 	f.put = append(f.put, entry)
 	f.mutex.Unlock()
 	f.subscriber(entry)
 }
 
-func (f *fakeMesh) PutReplicated(_ context.Context, entry spread.Entry, _ []string, _ int) error {
+func (f *fakeMesh) PutReplicated(_ context.Context, entry gossip.Entry, _ []string, _ int) error {
 	f.Put(entry)
 	return nil
 }
 
-func (f *fakeMesh) Subscribe(_ spread.Table, call func(spread.Entry)) { f.subscriber = call }
+func (f *fakeMesh) Subscribe(_ gossip.Table, call func(gossip.Entry)) { f.subscriber = call }
 
 func (f *fakeMesh) Members() []state.Member { return f.live }
 
@@ -80,7 +80,7 @@
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		require.Len(t, f.told(), 2)
-		assert.Equal(t, spread.NewVersion(3, 1), f.told()[1].Version)
+		assert.Equal(t, gossip.NewVersion(3, 1), f.told()[1].Version)
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		require.Len(t, f.told(), 3)
@@ -111,7 +111,7 @@
 				entry, err := entryOf(state.Endpoint{ID: "e", Service: "s", Receiver: "core-2", Sequence: 4})
 				require.NoError(t, err)
 				f.subscriber(entry)
-				f.subscriber(spread.Entry{Key: "f", Value: []byte{0xff}})
+				f.subscriber(gossip.Entry{Key: "f", Value: []byte{0xff}})
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
 				assert.Len(t, f.told(), point.told)
--- a/serving/spread/bench_test.go
+++ b/serving/gossip/bench_test.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"fmt"
--- a/serving/spread/entry.go
+++ b/serving/gossip/entry.go
@@ -1,7 +1,7 @@
-// Package spread passes updates between the members of the system by gossip. A fresh update goes at once to a few
+// Package gossip passes updates between the members of the system by gossip. A fresh update goes at once to a few
 // members, and what was lost on the way is found by comparing digests. The package does no input or output: time
 // is passed in, and messages come out as values that the caller sends.
-package spread
+package gossip
 
 import (
 	"encoding/binary"
--- a/serving/loads/poller.go
+++ b/serving/loads/poller.go
@@ -11,7 +11,7 @@
 
 	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/state"
 )
 
@@ -31,7 +31,7 @@
 // Mesh is what a poller needs of the mesh.
 type Mesh interface {
 	Holder(name string, scope duty.Scope) duty.Holding
-	Put(spread.Entry)
+	Put(gossip.Entry)
 }
 
 // Options of a poller.
@@ -135,6 +135,6 @@
 	if err != nil {
 		return
 	}
-	p.options.Mesh.Put(spread.Entry{Table: spread.TableLoads, Key: load.EndpointID,
-		Version: spread.NewVersion(epoch, load.Measurement), Value: value})
+	p.options.Mesh.Put(gossip.Entry{Table: gossip.TableLoads, Key: load.EndpointID,
+		Version: gossip.NewVersion(epoch, load.Measurement), Value: value})
 }
--- a/serving/loads/poller_test.go
+++ b/serving/loads/poller_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/duty"
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/state"
 )
 
@@ -21,7 +21,7 @@
 	holding duty.Holding
 	asked   string
 	scope   duty.Scope
-	spread  []spread.Entry
+	spread  []gossip.Entry
 }
 
 func (f *fakeMesh) Holder(name string, scope duty.Scope) duty.Holding {
@@ -29,7 +29,7 @@
 	return f.holding
 }
 
-func (f *fakeMesh) Put(entry spread.Entry) { f.spread = append(f.spread, entry) }
+func (f *fakeMesh) Put(entry gossip.Entry) { f.spread = append(f.spread, entry) }
 
 const someReport = `{"stage":"both","queued":1,"in_flight":12,"cache_used":41000,"cache_total":90000,"new":[]}`
 
@@ -62,7 +62,7 @@
 	assert.Equal(t, duty.Scope{Role: state.RoleAgent, Zone: "n1"}, mesh.scope)
 	require.Len(t, mesh.spread, 1)
 	entry := mesh.spread[0]
-	assert.Equal(t, spread.NewVersion(7, 1), entry.Version)
+	assert.Equal(t, gossip.NewVersion(7, 1), entry.Version)
 	var load state.Load
 	require.NoError(t, cbor.Unmarshal(entry.Value, &load))
 	assert.Equal(t, state.Load{EndpointID: endpoint.ID, Queued: 1, Running: 12, CacheUsed: 41000, CacheTotal: 90000,
--- a/serving/member/answers.go
+++ b/serving/member/answers.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 )
 
 // heartbeat answers a member that the own process may be watcher of.
@@ -26,7 +26,7 @@
 // hear takes in a sign of life. A member that was forgotten is told to speak with a higher sequence.
 func (n *node) hear(beat membership.Heartbeat) membership.Heard {
 	heard := n.members.Hear(n.current, beat)
-	expired, ok := n.engine.ExpiredVersion(spread.TableMembers, beat.Name)
+	expired, ok := n.engine.ExpiredVersion(gossip.TableMembers, beat.Name)
 	if heard.Unknown && ok && expired.Major == beat.Incarnation && expired.Minor >= beat.Sequence {
 		return membership.Heard{Above: max(expired.Minor, 1)}
 	}
@@ -34,7 +34,7 @@
 }
 
 // receive takes in a message.
-func (n *node) receive(now time.Time, message spread.Message) (response pushResponse) {
+func (n *node) receive(now time.Time, message gossip.Message) (response pushResponse) {
 	n.step(now, func() {
 		n.contacted(message.From)
 		n.engine.Receive(now, message)
@@ -57,7 +57,7 @@
 func (n *node) transfer(now time.Time, request *transferRequest) (response transferResponse) {
 	n.heard(now, request.Heard)
 	n.step(now, func() {
-		n.engine.Receive(now, spread.Message{From: request.From, Entries: request.Entries})
+		n.engine.Receive(now, gossip.Message{From: request.From, Entries: request.Entries})
 		n.expire(request.Expired)
 		response.Entries = n.engine.Collect(request.Wanted)
 		response.Expired = n.engine.Expired(request.Entries)
@@ -66,7 +66,7 @@
 }
 
 // heard takes in the answer to a sign of life. It returns an entry of the own member that the other lacks.
-func (n *node) heard(now time.Time, heard membership.Heard) (own *spread.Entry) {
+func (n *node) heard(now time.Time, heard membership.Heard) (own *gossip.Entry) {
 	n.step(now, func() {
 		if heard.Above > 0 {
 			if _, refuted := n.members.Refute(now, heard.Above); refuted {
@@ -85,14 +85,14 @@
 }
 
 // beatAnswered takes in a watcher's answer.
-func (n *node) beatAnswered(now time.Time, from string, response *heartbeatResponse) (own *spread.Entry) {
+func (n *node) beatAnswered(now time.Time, from string, response *heartbeatResponse) (own *gossip.Entry) {
 	n.step(now, func() { n.contacted(from) })
 	n.engine.NoteDifference(now, from, response.Differs)
 	return n.heard(now, response.Heard)
 }
 
 // beatFailed tells that a heartbeat has had no answer.
-func (n *node) beatFailed(now time.Time, to spread.Peer) {
+func (n *node) beatFailed(now time.Time, to gossip.Peer) {
 	n.engine.Unresponsive(now, to.Name)
 	if to.Region != n.members.Self().Region {
 		n.schedule.remoteAgain = true
@@ -117,19 +117,19 @@
 // transferred takes in the answer to the second call of a repair.
 func (n *node) transferred(now time.Time, from string, response *transferResponse) {
 	n.step(now, func() {
-		n.engine.Receive(now, spread.Message{From: from, Entries: response.Entries})
+		n.engine.Receive(now, gossip.Message{From: from, Entries: response.Entries})
 		n.expire(response.Expired)
 	})
 }
 
 // expire forgets what another member has forgotten already: what is gone here too, only for less long, such as after
 // a start in the meantime. Otherwise the two would find a difference at each heartbeat until it expires here.
-func (n *node) expire(headings []spread.Heading) {
+func (n *node) expire(headings []gossip.Heading) {
 	for _, heading := range headings {
 		switch {
-		case heading.Table == spread.TableMembers && n.members.ForgetGone(heading.Key):
+		case heading.Table == gossip.TableMembers && n.members.ForgetGone(heading.Key):
 			n.forgetMember(heading.Key)
-		case heading.Table == spread.TableSuspicions:
+		case heading.Table == gossip.TableSuspicions:
 			n.expireSuspicion(heading)
 		default:
 			n.engine.Expire(n.current, heading)
@@ -138,7 +138,7 @@
 }
 
 // expireSuspicion forgets a suspicion that others dropped with its member or its watcher.
-func (n *node) expireSuspicion(heading spread.Heading) {
+func (n *node) expireSuspicion(heading gossip.Heading) {
 	entry, ok := n.engine.Get(heading.Table, heading.Key)
 	if !ok || heading.Version.Less(entry.Version) {
 		return
--- a/serving/member/bench_test.go
+++ b/serving/member/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 )
 
 // BenchmarkQuietSecond plays a quiet second of a large system and reports what one member sends in it.
@@ -13,8 +13,8 @@
 	const members, endpoints = 410, 600
 	s := started(b, 1, members, threeZones)
 	for i := range endpoints {
-		s.nodes[i%members].node.put(s.now, spread.Entry{Table: spread.TableEndpoints,
-			Key: fmt.Sprintf("endpoint-%d", i), Version: spread.NewVersion(1, 0), Value: make([]byte, 200)})
+		s.nodes[i%members].node.put(s.now, gossip.Entry{Table: gossip.TableEndpoints,
+			Key: fmt.Sprintf("endpoint-%d", i), Version: gossip.NewVersion(1, 0), Value: make([]byte, 200)})
 	}
 	s.run(10 * time.Second)
 	s.countBytes, s.bytes, s.remoteBytes, s.calls = true, 0, 0, 0
@@ -37,8 +37,8 @@
 	seconds := 0
 	for b.Loop() {
 		for i := range updates {
-			s.nodes[i%3].node.put(s.now, spread.Entry{Table: spread.TableEndpoints,
-				Key: fmt.Sprintf("endpoint-%d", i), Version: spread.NewVersion(uint64(seconds+1), 0),
+			s.nodes[i%3].node.put(s.now, gossip.Entry{Table: gossip.TableEndpoints,
+				Key: fmt.Sprintf("endpoint-%d", i), Version: gossip.NewVersion(uint64(seconds+1), 0),
 				Value: make([]byte, 200)})
 			s.run(time.Second / updates)
 		}
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/rpc"
-	"rowanlink/serving/spread"
 )
 
 // Bounds of the calls to other members.
@@ -88,11 +88,11 @@
 		}
 		return
 	}
-	own := ask(c.mesh, func(now time.Time, n *node) *spread.Entry {
+	own := ask(c.mesh, func(now time.Time, n *node) *gossip.Entry {
 		return n.beatAnswered(now, beat.to.Name, response)
 	})
 	if own != nil {
-		message := spread.Message{From: c.mesh.options.Self.Name, Entries: []spread.Entry{*own}}
+		message := gossip.Message{From: c.mesh.options.Self.Name, Entries: []gossip.Entry{*own}}
 		_, _ = call(c, callTimeout, pushMethod, beat.to.Address, &message) // the next heartbeat tries again
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 // sendPush sends a message and then those entries that the receiver wants of the ones offered.
-func (c *caller) sendPush(envelope spread.Envelope) {
+func (c *caller) sendPush(envelope gossip.Envelope) {
 	retry := func() { c.mesh.do(func(now time.Time, n *node) { n.engine.Retry(now, envelope) }) }
 	late := time.AfterFunc(lateAfter, retry)
 	response, err := call(c, timeoutFor(envelope.Message.Entries), pushMethod, envelope.To.Address, &envelope.Message)
@@ -125,15 +125,15 @@
 }
 
 // sendWanted sends the entries that a receiver wants.
-func (c *caller) sendWanted(envelope spread.Envelope, wanted []spread.Heading) error {
-	message := spread.Message{From: envelope.Message.From, Relay: envelope.Message.Relay}
-	message.Entries = ask(c.mesh, func(_ time.Time, n *node) []spread.Entry { return n.engine.Collect(wanted) })
+func (c *caller) sendWanted(envelope gossip.Envelope, wanted []gossip.Heading) error {
+	message := gossip.Message{From: envelope.Message.From, Relay: envelope.Message.Relay}
+	message.Entries = ask(c.mesh, func(_ time.Time, n *node) []gossip.Entry { return n.engine.Collect(wanted) })
 	_, err := call(c, timeoutFor(message.Entries), pushMethod, envelope.To.Address, &message)
 	return err
 }
 
 // timeoutFor gives more time to a call that carries much.
-func timeoutFor(entries []spread.Entry) time.Duration {
+func timeoutFor(entries []gossip.Entry) time.Duration {
 	bytes := 0
 	for _, entry := range entries {
 		bytes += len(entry.Value)
--- a/serving/member/codec.go
+++ b/serving/member/codec.go
@@ -5,38 +5,38 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"rowanlink/serving/duty"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
 // memberEntry is a member's word on itself as it is spread.
-func memberEntry(member state.Member) (spread.Entry, error) {
-	version := spread.NewVersion(member.Incarnation, member.Sequence)
-	return encode(spread.TableMembers, member.Name, version, member)
+func memberEntry(member state.Member) (gossip.Entry, error) {
+	version := gossip.NewVersion(member.Incarnation, member.Sequence)
+	return encode(gossip.TableMembers, member.Name, version, member)
 }
 
 // suspicionEntry is a watcher's word as it is spread.
-func suspicionEntry(word membership.Suspicion) (spread.Entry, error) {
-	version := spread.NewVersion(word.WatcherIncarnation, word.Count)
-	return encode(spread.TableSuspicions, word.Key(), version, word)
+func suspicionEntry(word membership.Suspicion) (gossip.Entry, error) {
+	version := gossip.NewVersion(word.WatcherIncarnation, word.Count)
+	return encode(gossip.TableSuspicions, word.Key(), version, word)
 }
 
 // claimEntry is the word of a duty's holder as it is spread.
-func claimEntry(claim duty.Claim) (spread.Entry, error) {
-	return encode(spread.TableDuties, claim.Duty, spread.NewVersion(claim.Epoch, 0), claim)
+func claimEntry(claim duty.Claim) (gossip.Entry, error) {
+	return encode(gossip.TableDuties, claim.Duty, gossip.NewVersion(claim.Epoch, 0), claim)
 }
 
-func encode(table spread.Table, key string, version spread.Version, value any) (spread.Entry, error) {
+func encode(table gossip.Table, key string, version gossip.Version, value any) (gossip.Entry, error) {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		return spread.Entry{}, errors.Wrapf(err, "encode entry %q", key)
+		return gossip.Entry{}, errors.Wrapf(err, "encode entry %q", key)
 	}
-	return spread.Entry{Table: table, Key: key, Version: version, Value: data}, nil
+	return gossip.Entry{Table: table, Key: key, Version: version, Value: data}, nil
 }
 
 // decode reads the value of an entry.
-func decode[Value any](entry spread.Entry) (value Value, err error) {
+func decode[Value any](entry gossip.Entry) (value Value, err error) {
 	err = cbor.Unmarshal(entry.Value, &value)
 	return value, errors.Wrapf(err, "decode entry %q", entry.Key)
 }
@@ -47,15 +47,15 @@
 }
 
 // isTombstone tells whether an entry says that its key is gone.
-func isTombstone(entry spread.Entry) bool {
+func isTombstone(entry gossip.Entry) bool {
 	switch entry.Table {
-	case spread.TableMembers:
+	case gossip.TableMembers:
 		member, err := decode[state.Member](entry)
 		return err == nil && member.State == state.MemberLeft
-	case spread.TableEndpoints:
+	case gossip.TableEndpoints:
 		endpoint, err := decode[endpointEnd](entry)
 		return err == nil && endpoint.State == state.Gone
-	case spread.TableSuspicions:
+	case gossip.TableSuspicions:
 		word, err := decode[membership.Suspicion](entry)
 		return err == nil && word.Withdrawn
 	default:
--- a/serving/member/delivery.go
+++ b/serving/member/delivery.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 )
 
 // delivery calls subscribers one at a time outside of the node's goroutine, so that they may use the mesh.
@@ -16,14 +16,14 @@
 
 // notice is one call of one subscriber.
 type notice struct {
-	call  func(spread.Entry)
-	entry spread.Entry
+	call  func(gossip.Entry)
+	entry gossip.Entry
 }
 
 func newDelivery() *delivery { return &delivery{wake: make(chan struct{}, 1)} }
 
 // add queues a call.
-func (d *delivery) add(call func(spread.Entry), entry spread.Entry) {
+func (d *delivery) add(call func(gossip.Entry), entry gossip.Entry) {
 	d.mutex.Lock()
 	d.waiting = append(d.waiting, notice{call: call, entry: entry})
 	d.mutex.Unlock()
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/duty"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -34,7 +34,7 @@
 			if err != nil {
 				panic(err)
 			}
-			n.engine.Receive(fuzzStart, spread.Message{From: "b", Entries: []spread.Entry{entry}})
+			n.engine.Receive(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
 		}
 	})
 	return n
@@ -70,13 +70,13 @@
 	assert.Equal(t, "z1", self.Zone)
 	_, known := n.members.Member("self")
 	assert.True(t, known)
-	other := spread.New(spread.Options{Name: "x", Zone: "z1", Region: "r", Tombstone: isTombstone,
+	other := gossip.New(gossip.Options{Name: "x", Zone: "z1", Region: "r", Tombstone: isTombstone,
 		Random: rand.New(rand.NewPCG(2, 2))})
-	var all []spread.Entry
-	for table := spread.TableRecord; table.Valid(); table++ {
-		n.engine.All(table, func(entry spread.Entry) bool { all = append(all, entry); return true })
+	var all []gossip.Entry
+	for table := gossip.TableRecord; table.Valid(); table++ {
+		n.engine.All(table, func(entry gossip.Entry) bool { all = append(all, entry); return true })
 	}
-	other.Receive(fuzzStart, spread.Message{From: "self", Entries: all})
+	other.Receive(fuzzStart, gossip.Message{From: "self", Entries: all})
 	assert.Empty(t, other.Difference(n.engine.Summary()))
 	for step := range 5 {
 		now := fuzzStart.Add(time.Duration(step) * time.Second)
@@ -97,13 +97,13 @@
 	beat := membership.Heartbeat{Name: "b", Incarnation: 5, Sequence: 2}
 	heading := entry.Heading()
 	for _, message := range []any{
-		heartbeatRequest{Beat: beat, Summary: spread.Summary{1, 2, 3, 4, 5}},
-		spread.Message{From: "b", Entries: []spread.Entry{entry}, Offers: []spread.Heading{heading}, Relay: []string{"z9"}},
-		compareRequest{Beat: beat, Digest: []spread.TableDigest{{Table: spread.TableMembers, Sums: make([]uint32, spread.BucketCount)}}},
-		transferRequest{From: "b", Entries: []spread.Entry{entry}, Wanted: []spread.Heading{heading}, Heard: membership.Heard{Above: 9}},
-		heartbeatResponse{Heard: membership.Heard{Unknown: true}, Differs: []spread.Table{0, 2, 200}},
-		compareResponse{Listings: []spread.BucketListing{{Table: 2, Bucket: -1, Headings: []spread.Heading{heading}}}},
-		pushResponse{Wanted: []spread.Heading{{Table: 99, Key: "x"}}},
+		heartbeatRequest{Beat: beat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
+		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Heading{heading}, Relay: []string{"z9"}},
+		compareRequest{Beat: beat, Digest: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
+		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Wanted: []gossip.Heading{heading}, Heard: membership.Heard{Above: 9}},
+		heartbeatResponse{Heard: membership.Heard{Unknown: true}, Differs: []gossip.Table{0, 2, 200}},
+		compareResponse{Listings: []gossip.BucketListing{{Table: 2, Bucket: -1, Headings: []gossip.Heading{heading}}}},
+		pushResponse{Wanted: []gossip.Heading{{Table: 99, Key: "x"}}},
 	} {
 		data, err := cbor.Marshal(message)
 		require.NoError(f, err)
@@ -112,7 +112,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		n := fuzzNode()
 		take(t, data, func(m *heartbeatRequest) { n.heartbeat(fuzzStart, m) })
-		take(t, data, func(m *spread.Message) { n.receive(fuzzStart, *m) })
+		take(t, data, func(m *gossip.Message) { n.receive(fuzzStart, *m) })
 		take(t, data, func(m *compareRequest) { n.compare(fuzzStart, m) })
 		take(t, data, func(m *transferRequest) { n.transfer(fuzzStart, m) })
 		take(t, data, func(m *heartbeatResponse) { n.beatAnswered(fuzzStart, "b", m) })
@@ -133,15 +133,15 @@
 	require.NoError(f, err)
 	claim, err := claimEntry(duty.Claim{Duty: "repair", Holder: "nobody", Epoch: 1 << 40})
 	require.NoError(f, err)
-	for _, entry := range []spread.Entry{member, self, word, claim} {
+	for _, entry := range []gossip.Entry{member, self, word, claim} {
 		f.Add(uint8(entry.Table), entry.Key, entry.Version.Major, entry.Version.Minor, entry.Value)
 	}
-	f.Add(uint8(spread.TableEndpoints), "e", uint64(1), uint64(8), []byte{0xa1, 7, 2})
+	f.Add(uint8(gossip.TableEndpoints), "e", uint64(1), uint64(8), []byte{0xa1, 7, 2})
 	f.Fuzz(func(t *testing.T, table uint8, key string, major, minor uint64, value []byte) {
 		n := fuzzNode()
-		entry := spread.Entry{Table: spread.Table(table), Key: key, Version: spread.NewVersion(major, minor), Value: value}
-		n.receive(fuzzStart, spread.Message{From: "b", Entries: []spread.Entry{entry}})
-		got, known := n.engine.Get(spread.TableMembers, "self")
+		entry := gossip.Entry{Table: gossip.Table(table), Key: key, Version: gossip.NewVersion(major, minor), Value: value}
+		n.receive(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
+		got, known := n.engine.Get(gossip.TableMembers, "self")
 		require.True(t, known)
 		stable(t, &got)
 		checkNode(t, n)
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/result"
-	"rowanlink/serving/spread"
 )
 
 // serve registers the calls of other members.
@@ -15,7 +15,7 @@
 	heartbeatMethod.Serve(mux, func(_ context.Context, request *heartbeatRequest) (*heartbeatResponse, error) {
 		return answer(m, func(now time.Time, n *node) heartbeatResponse { return n.heartbeat(now, request) })
 	})
-	pushMethod.Serve(mux, func(_ context.Context, message *spread.Message) (*pushResponse, error) {
+	pushMethod.Serve(mux, func(_ context.Context, message *gossip.Message) (*pushResponse, error) {
 		return answer(m, func(now time.Time, n *node) pushResponse { return n.receive(now, *message) })
 	})
 	compareMethod.Serve(mux, func(_ context.Context, request *compareRequest) (*compareResponse, error) {
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -6,8 +6,8 @@
 
 	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
-	"rowanlink/serving/spread"
 )
 
 // loop asks the node what is due whenever its timer or a poke says so.
@@ -37,9 +37,9 @@
 }
 
 // all returns the entries of a table.
-func (n *node) all(table spread.Table) []spread.Entry {
-	entries := make([]spread.Entry, 0, n.engine.Len(table))
-	n.engine.All(table, func(entry spread.Entry) bool {
+func (n *node) all(table gossip.Table) []gossip.Entry {
+	entries := make([]gossip.Entry, 0, n.engine.Len(table))
+	n.engine.All(table, func(entry gossip.Entry) bool {
 		entries = append(entries, entry)
 		return true
 	})
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -12,10 +12,10 @@
 	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/feed"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -117,12 +117,12 @@
 }
 
 // Put takes in an entry and spreads it. It returns at once.
-func (m *Mesh) Put(entry spread.Entry) {
+func (m *Mesh) Put(entry gossip.Entry) {
 	m.do(func(now time.Time, n *node) { n.put(now, entry) })
 }
 
 // Get returns the newest entry of a key.
-func (m *Mesh) Get(table spread.Table, key string) (entry spread.Entry, found bool) {
+func (m *Mesh) Get(table gossip.Table, key string) (entry gossip.Entry, found bool) {
 	owner.Ask(m.owner, func(n *node) bool {
 		entry, found = n.engine.Get(table, key)
 		return true
@@ -131,18 +131,18 @@
 }
 
 // All returns the entries of a table, in no order.
-func (m *Mesh) All(table spread.Table) []spread.Entry {
-	return ask(m, func(_ time.Time, n *node) []spread.Entry { return n.all(table) })
+func (m *Mesh) All(table gossip.Table) []gossip.Entry {
+	return ask(m, func(_ time.Time, n *node) []gossip.Entry { return n.all(table) })
 }
 
 // Subscribe has the function called for every entry of the table: first for those known now, then for each that is
 // taken in, in this order. Calls come one at a time from a goroutine of the mesh and may use the mesh.
-func (m *Mesh) Subscribe(table spread.Table, call func(spread.Entry)) {
+func (m *Mesh) Subscribe(table gossip.Table, call func(gossip.Entry)) {
 	m.do(func(_ time.Time, n *node) {
 		for _, entry := range n.all(table) {
 			m.delivery.add(call, entry)
 		}
-		n.engine.Subscribe(table, func(entry spread.Entry) { m.delivery.add(call, entry) })
+		n.engine.Subscribe(table, func(entry gossip.Entry) { m.delivery.add(call, entry) })
 	})
 }
 
@@ -218,9 +218,9 @@
 
 // Leave tells the others that the own member ends by plan. It returns when some have acknowledged or ctx ends.
 func (m *Mesh) Leave(ctx context.Context) error {
-	left := ask(m, func(now time.Time, n *node) spread.Entry {
+	left := ask(m, func(now time.Time, n *node) gossip.Entry {
 		n.updateSelf(now, func(member *state.Member) { member.State = state.MemberLeft })
-		entry, _ := n.engine.Get(spread.TableMembers, n.members.Self().Name)
+		entry, _ := n.engine.Get(gossip.TableMembers, n.members.Self().Name)
 		return entry
 	})
 	others := len(m.Members())
--- a/serving/member/mesh_test.go
+++ b/serving/member/mesh_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/duty"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -74,10 +74,10 @@
 }
 
 // waitFor waits until the members' table of a mesh fulfils a condition. It looks at each change.
-func waitFor(t *testing.T, m *Mesh, table spread.Table, condition func() bool) {
+func waitFor(t *testing.T, m *Mesh, table gossip.Table, condition func() bool) {
 	t.Helper()
 	changed := make(chan struct{}, 1)
-	m.Subscribe(table, func(spread.Entry) {
+	m.Subscribe(table, func(gossip.Entry) {
 		select {
 		case changed <- struct{}{}:
 		default:
@@ -104,26 +104,26 @@
 		all = append(all, startProcess(t, port, i, role))
 	}
 	for _, process := range all {
-		waitFor(t, process.mesh, spread.TableMembers, func() bool { return len(process.mesh.Members()) == 5 })
+		waitFor(t, process.mesh, gossip.TableMembers, func() bool { return len(process.mesh.Members()) == 5 })
 		assert.Equal(t, 3, process.mesh.Proxies().Live)
 		assert.Equal(t, 3, process.mesh.Proxies().Most)
 	}
 
-	entry := spread.Entry{Table: spread.TableRecord, Key: spread.RecordKey, Version: spread.NewVersion(3, 0),
+	entry := gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey, Version: gossip.NewVersion(3, 0),
 		Value: make([]byte, 100_000)}
 	all[0].mesh.Put(entry)
 	for _, process := range all {
-		waitFor(t, process.mesh, spread.TableRecord, func() bool {
-			got, ok := process.mesh.Get(spread.TableRecord, spread.RecordKey)
+		waitFor(t, process.mesh, gossip.TableRecord, func() bool {
+			got, ok := process.mesh.Get(gossip.TableRecord, gossip.RecordKey)
 			return ok && got.Version == entry.Version
 		})
 	}
 
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	entry = spread.Entry{Table: spread.TableEndpoints, Key: "e", Version: spread.NewVersion(1, 0), Value: []byte{1}}
+	entry = gossip.Entry{Table: gossip.TableEndpoints, Key: "e", Version: gossip.NewVersion(1, 0), Value: []byte{1}}
 	require.NoError(t, all[0].mesh.PutReplicated(ctx, entry, nil, 2))
-	got, ok := all[4].mesh.Get(spread.TableEndpoints, "e")
+	got, ok := all[4].mesh.Get(gossip.TableEndpoints, "e")
 	assert.True(t, ok, "a core member was asked first")
 	assert.Equal(t, entry.Value, got.Value)
 	err := all[0].mesh.PutReplicated(ctx, entry, nil, 9)
@@ -138,5 +138,5 @@
 	assert.NotEmpty(t, holding.Name)
 
 	require.NoError(t, all[0].mesh.Leave(ctx))
-	waitFor(t, all[4].mesh, spread.TableMembers, func() bool { return len(all[4].mesh.Members()) == 4 })
+	waitFor(t, all[4].mesh, gossip.TableMembers, func() bool { return len(all[4].mesh.Members()) == 4 })
 }
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -3,15 +3,15 @@
 package member
 
 import (
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
 	"rowanlink/serving/rpc"
-	"rowanlink/serving/spread"
 )
 
 // The calls between members.
 var (
 	heartbeatMethod = rpc.Method[heartbeatRequest, heartbeatResponse]{Procedure: "/rowanlink.mesh.v1/Heartbeat"}
-	pushMethod      = rpc.Method[spread.Message, pushResponse]{Procedure: "/rowanlink.mesh.v1/Push"}
+	pushMethod      = rpc.Method[gossip.Message, pushResponse]{Procedure: "/rowanlink.mesh.v1/Push"}
 	compareMethod   = rpc.Method[compareRequest, compareResponse]{Procedure: "/rowanlink.mesh.v1/Compare"}
 	transferMethod  = rpc.Method[transferRequest, transferResponse]{Procedure: "/rowanlink.mesh.v1/Transfer"}
 )
@@ -19,44 +19,44 @@
 // heartbeatRequest tells a watcher that the sender lives, and sums up what it knows.
 type heartbeatRequest struct {
 	Beat    membership.Heartbeat `cbor:"1,keyasint"`
-	Summary spread.Summary       `cbor:"2,keyasint"`
+	Summary gossip.Summary       `cbor:"2,keyasint"`
 }
 
 type heartbeatResponse struct {
 	Heard   membership.Heard `cbor:"1,keyasint"`
-	Differs []spread.Table   `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
+	Differs []gossip.Table   `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
 }
 
 // pushResponse acknowledges a message: the receiver has its entries now, or newer ones.
 type pushResponse struct {
-	Wanted []spread.Heading `cbor:"1,keyasint,omitempty"` // of the entries offered
+	Wanted []gossip.Heading `cbor:"1,keyasint,omitempty"` // of the entries offered
 }
 
 // compareRequest begins a repair.
 type compareRequest struct {
 	Beat   membership.Heartbeat `cbor:"1,keyasint"`
-	Digest []spread.TableDigest `cbor:"2,keyasint"`
+	Digest []gossip.TableDigest `cbor:"2,keyasint"`
 }
 
 // compareResponse lists what the receiver has in the buckets that differ.
 type compareResponse struct {
 	Heard    membership.Heard       `cbor:"1,keyasint"`
-	Listings []spread.BucketListing `cbor:"2,keyasint,omitempty"`
+	Listings []gossip.BucketListing `cbor:"2,keyasint,omitempty"`
 }
 
 // transferRequest ends a repair: entries that the receiver lacks, and names of those that the sender wants.
 type transferRequest struct {
 	From    string           `cbor:"1,keyasint"`
-	Entries []spread.Entry   `cbor:"2,keyasint,omitempty"`
-	Wanted  []spread.Heading `cbor:"3,keyasint,omitempty"`
+	Entries []gossip.Entry   `cbor:"2,keyasint,omitempty"`
+	Wanted  []gossip.Heading `cbor:"3,keyasint,omitempty"`
 	// Heard tells the receiver, which has just answered, if the sender took it for dead.
 	Heard membership.Heard `cbor:"4,keyasint"`
 	// Expired names what has expired at the sender, but not at the receiver.
-	Expired []spread.Heading `cbor:"5,keyasint,omitempty"`
+	Expired []gossip.Heading `cbor:"5,keyasint,omitempty"`
 }
 
 // transferResponse carries what was wanted, and names what has expired at the receiver, but not at the sender.
 type transferResponse struct {
-	Entries []spread.Entry   `cbor:"1,keyasint,omitempty"`
-	Expired []spread.Heading `cbor:"2,keyasint,omitempty"`
+	Entries []gossip.Entry   `cbor:"1,keyasint,omitempty"`
+	Expired []gossip.Heading `cbor:"2,keyasint,omitempty"`
 }
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -8,14 +8,14 @@
 
 	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
 // node is all that one member knows and decides, without input or output. It belongs to one goroutine.
 type node struct {
-	engine   *spread.Engine
+	engine   *gossip.Engine
 	members  *membership.Table
 	duties   *duty.Table
 	seeds    seedPlan
@@ -63,7 +63,7 @@
 		log:        options.log,
 		current:    now,
 		peersStale: true,
-		engine: spread.New(spread.Options{
+		engine: gossip.New(gossip.Options{
 			Name:      options.self.Name,
 			Zone:      options.self.Zone,
 			Region:    options.self.Region,
@@ -73,9 +73,9 @@
 	}
 	n.schedule = schedule{beat: now, probe: now.Add(probeInterval), report: now}
 	n.members.OnChange(n.memberChanged)
-	n.engine.Subscribe(spread.TableMembers, func(entry spread.Entry) { n.mergeMember(entry) })
-	n.engine.Subscribe(spread.TableSuspicions, func(entry spread.Entry) { n.mergeSuspicion(entry) })
-	n.engine.Subscribe(spread.TableDuties, n.mergeClaim)
+	n.engine.Subscribe(gossip.TableMembers, func(entry gossip.Entry) { n.mergeMember(entry) })
+	n.engine.Subscribe(gossip.TableSuspicions, func(entry gossip.Entry) { n.mergeSuspicion(entry) })
+	n.engine.Subscribe(gossip.TableDuties, n.mergeClaim)
 	n.step(now, func() { n.publishSelf(now) })
 	return n
 }
@@ -128,7 +128,7 @@
 }
 
 // peers returns the live members but the own.
-func (n *node) peers() (peers []spread.Peer) {
+func (n *node) peers() (peers []gossip.Peer) {
 	for _, member := range n.members.Live() {
 		if member.Name != n.members.Self().Name {
 			peers = append(peers, peerOf(member))
@@ -137,12 +137,12 @@
 	return peers
 }
 
-func peerOf(member state.Member) spread.Peer {
-	return spread.Peer{Name: member.Name, Address: member.Address, Zone: member.Zone, Region: member.Region}
+func peerOf(member state.Member) gossip.Peer {
+	return gossip.Peer{Name: member.Name, Address: member.Address, Zone: member.Zone, Region: member.Region}
 }
 
 // put takes in an entry of the own process.
-func (n *node) put(now time.Time, entry spread.Entry) (taken bool) {
+func (n *node) put(now time.Time, entry gossip.Entry) (taken bool) {
 	n.step(now, func() { taken = n.engine.Put(now, entry) })
 	return taken
 }
@@ -176,7 +176,7 @@
 }
 
 // mergeMember takes in a member's entry.
-func (n *node) mergeMember(entry spread.Entry) {
+func (n *node) mergeMember(entry gossip.Entry) {
 	member, err := decode[state.Member](entry)
 	if err != nil || member.Name != entry.Key {
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
@@ -193,7 +193,7 @@
 }
 
 // mergeSuspicion takes in a watcher's entry.
-func (n *node) mergeSuspicion(entry spread.Entry) {
+func (n *node) mergeSuspicion(entry gossip.Entry) {
 	word, err := decode[membership.Suspicion](entry)
 	if err != nil {
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
@@ -207,7 +207,7 @@
 }
 
 // mergeClaim takes in the word of a duty's holder.
-func (n *node) mergeClaim(entry spread.Entry) {
+func (n *node) mergeClaim(entry gossip.Entry) {
 	claim, err := decode[duty.Claim](entry)
 	if err != nil {
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -153,7 +153,7 @@
 func TestLongCutComesBack(t *testing.T) {
 	s := started(t, 3, 10, threeZones)
 	s.blocked = func(from, to *simNode) bool { return from.member.Region != to.member.Region }
-	s.run(membership.ForgetSpan + spread.TombstoneSpan + 10*time.Second)
+	s.run(membership.ForgetSpan + gossip.TombstoneSpan + 10*time.Second)
 	_, known := s.inZone("a")[0].node.members.Member(s.inZone("c")[0].member.Name)
 	assert.False(t, known, "a member that is long down is forgotten")
 	s.blocked = func(_, _ *simNode) bool { return false }
@@ -286,7 +286,7 @@
 	left.node.updateSelf(s.now, func(member *state.Member) { member.State = state.MemberLeft })
 	s.run(time.Second)
 	s.kill(left)
-	s.run(spread.TombstoneSpan - 10*time.Second)
+	s.run(gossip.TombstoneSpan - 10*time.Second)
 	s.start(late)
 	s.run(13 * time.Second)
 	for _, n := range s.runningNodes() {
--- a/serving/member/replicate.go
+++ b/serving/member/replicate.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/result"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -18,8 +18,8 @@
 // any are given, have acknowledged that they have it; core members are asked first. It fails with result.TooFewMembers where not so many are live, and with
 // result.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
 // any case.
-func (m *Mesh) PutReplicated(ctx context.Context, entry spread.Entry, addresses []string, copies int) error {
-	targets := ask(m, func(now time.Time, n *node) []spread.Peer {
+func (m *Mesh) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
+	targets := ask(m, func(now time.Time, n *node) []gossip.Peer {
 		n.put(now, entry)
 		return n.replicaTargets(addresses)
 	})
@@ -37,7 +37,7 @@
 
 // replicaTargets returns the other live members, of those at the addresses where any are given: core members before
 // others, those of the own region first.
-func (n *node) replicaTargets(addresses []string) []spread.Peer {
+func (n *node) replicaTargets(addresses []string) []gossip.Peer {
 	self := n.members.Self()
 	live := slices.Clone(n.members.Live())
 	n.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
@@ -52,7 +52,7 @@
 		return value
 	}
 	slices.SortStableFunc(live, func(a, b state.Member) int { return cmp.Compare(rank(a), rank(b)) })
-	var avoided, targets []spread.Peer
+	var avoided, targets []gossip.Peer
 	for _, member := range live {
 		switch peer := peerOf(member); {
 		case member.Name == self.Name, len(addresses) > 0 && !slices.Contains(addresses, member.Address):
@@ -68,8 +68,8 @@
 // replication is one entry on its way to a number of members.
 type replication struct {
 	mesh    *Mesh
-	entry   spread.Entry
-	targets []spread.Peer // not asked yet
+	entry   gossip.Entry
+	targets []gossip.Peer // not asked yet
 	answers chan error
 	waiting int
 }
@@ -83,7 +83,7 @@
 	r.targets = r.targets[1:]
 	r.waiting++
 	go func() {
-		message := spread.Message{From: r.mesh.options.Self.Name, Entries: []spread.Entry{r.entry}}
+		message := gossip.Message{From: r.mesh.options.Self.Name, Entries: []gossip.Entry{r.entry}}
 		bounded, cancel := context.WithTimeout(ctx, timeoutFor(message.Entries))
 		defer cancel()
 		_, err := pushMethod.Call(bounded, r.mesh.options.Client, target.Address, &message)
--- a/serving/member/replicate_test.go
+++ b/serving/member/replicate_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -60,7 +60,7 @@
 // servePushes answers pushes.
 func servePushes(kind fault) http.Handler {
 	mux := http.NewServeMux()
-	pushMethod.Serve(mux, func(ctx context.Context, _ *spread.Message) (*pushResponse, error) {
+	pushMethod.Serve(mux, func(ctx context.Context, _ *gossip.Message) (*pushResponse, error) {
 		switch kind {
 		case fails:
 			return nil, errors.New("fault")
@@ -74,7 +74,7 @@
 	return mux
 }
 
-var replicated = spread.Entry{Table: spread.TableEndpoints, Key: "e", Version: spread.NewVersion(1, 0)}
+var replicated = gossip.Entry{Table: gossip.TableEndpoints, Key: "e", Version: gossip.NewVersion(1, 0)}
 
 // TestReplicationGetsRoundEachFault puts each fault at each of four members in turn, and at two at a time.
 func TestReplicationGetsRoundEachFault(t *testing.T) {
@@ -100,7 +100,7 @@
 	defer cancel()
 	assert.True(t, result.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 2)))
 	assert.True(t, result.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 4)))
-	_, found := fakes.mesh.Get(spread.TableEndpoints, "e")
+	_, found := fakes.mesh.Get(gossip.TableEndpoints, "e")
 	assert.True(t, found, "it is spread all the same")
 }
 
@@ -140,7 +140,7 @@
 	fakes.mesh.Close()
 	fakes.mesh.Put(replicated)
 	assert.Empty(t, fakes.mesh.Members())
-	_, found := fakes.mesh.Get(spread.TableEndpoints, "e")
+	_, found := fakes.mesh.Get(gossip.TableEndpoints, "e")
 	assert.False(t, found)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 )
 
 // delayBetween is the time that one way takes.
@@ -89,7 +89,7 @@
 	return n.heartbeat(now, &request)
 }
 
-func servePush(n *node, now time.Time, message spread.Message) pushResponse {
+func servePush(n *node, now time.Time, message gossip.Message) pushResponse {
 	return n.receive(now, message)
 }
 
@@ -107,14 +107,14 @@
 		if own == nil {
 			return
 		}
-		message := spread.Message{From: n.member.Name, Entries: []spread.Entry{*own}}
+		message := gossip.Message{From: n.member.Name, Entries: []gossip.Entry{*own}}
 		simCall(s, n, beat.to.Address, callTimeout, message, servePush, func(pushResponse) {}, func() {})
 	}
 	failed := func() { n.node.beatFailed(s.now, beat.to) }
 	simCall(s, n, beat.to.Address, callTimeout, beat.request, serveHeartbeat, answered, failed)
 }
 
-func (s *simulation) push(n *simNode, envelope spread.Envelope) {
+func (s *simulation) push(n *simNode, envelope gossip.Envelope) {
 	retried, done := false, false
 	retry := func() {
 		if !retried && !done {
@@ -137,7 +137,7 @@
 			succeeded(response)
 			return
 		}
-		message := spread.Message{From: n.member.Name, Relay: envelope.Message.Relay}
+		message := gossip.Message{From: n.member.Name, Relay: envelope.Message.Relay}
 		message.Entries = n.node.engine.Collect(response.Wanted)
 		simCall(s, n, envelope.To.Address, callTimeout, message, servePush, succeeded, failed)
 	}
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -144,7 +144,7 @@
 	}
 	random := rand.New(rand.NewPCG(s.random.Uint64(), 2))
 	n.node = newNode(s.now, nodeOptions{self: self, seeds: seeds, random: random, log: &s.log})
-	n.node.engine.Subscribe(spread.TableRecord, func(entry spread.Entry) {
+	n.node.engine.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
 		require.Greater(s.t, entry.Version.Major, n.newest, "the record went back")
 		n.newest = entry.Version.Major
 	})
@@ -209,8 +209,8 @@
 
 // put has a node take in a record.
 func (s *simulation) put(n *simNode, revision uint64, size int) {
-	n.node.put(s.now, spread.Entry{Table: spread.TableRecord, Key: spread.RecordKey,
-		Version: spread.NewVersion(revision, 0), Value: make([]byte, size)})
+	n.node.put(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
+		Version: gossip.NewVersion(revision, 0), Value: make([]byte, size)})
 }
 
 // running returns the machines whose processes run.
--- a/serving/member/size_bench_test.go
+++ b/serving/member/size_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"rowanlink/serving/spread"
+	"rowanlink/serving/gossip"
 )
 
 // BenchmarkBySize plays quiet seconds, and seconds with one change of a record of 8 KB, in systems of several sizes.
@@ -28,8 +28,8 @@
 	for b.Loop() {
 		seconds++
 		if record > 0 {
-			s.nodes[0].node.put(s.now, spread.Entry{Table: spread.TableRecord, Key: spread.RecordKey,
-				Version: spread.NewVersion(uint64(seconds), 0), Value: make([]byte, record)})
+			s.nodes[0].node.put(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
+				Version: gossip.NewVersion(uint64(seconds), 0), Value: make([]byte, record)})
 		}
 		s.run(time.Second)
 	}
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"rowanlink/serving/event"
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
-	"rowanlink/serving/spread"
 	"rowanlink/serving/state"
 )
 
@@ -19,13 +19,13 @@
 
 // beatCall is a heartbeat that is to be sent.
 type beatCall struct {
-	to      spread.Peer
+	to      gossip.Peer
 	request heartbeatRequest
 }
 
 // repairCall is a comparison of digests that is to be made.
 type repairCall struct {
-	to      spread.Peer // of a seed only the address is known
+	to      gossip.Peer // of a seed only the address is known
 	request compareRequest
 	seed    bool
 }
@@ -34,7 +34,7 @@
 type actions struct {
 	beats   []beatCall
 	repairs []repairCall
-	pushes  []spread.Envelope
+	pushes  []gossip.Envelope
 	next    time.Time // when the node is to be asked again
 }
 
@@ -112,7 +112,7 @@
 }
 
 // compareRequest asks for a comparison of some tables, or of all where none is named.
-func (n *node) compareRequest(tables []spread.Table) compareRequest {
+func (n *node) compareRequest(tables []gossip.Table) compareRequest {
 	return compareRequest{Beat: n.ownBeat(), Digest: n.engine.Digest(tables)}
 }
 
@@ -165,17 +165,17 @@
 	if address == "" {
 		return
 	}
-	call := repairCall{to: spread.Peer{Address: address}, request: n.compareRequest(nil), seed: true}
+	call := repairCall{to: gossip.Peer{Address: address}, request: n.compareRequest(nil), seed: true}
 	todo.repairs = append(todo.repairs, call)
 }
 
 // forgetMember drops all entries of a member that went long ago.
 func (n *node) forgetMember(name string) {
-	n.engine.Forget(n.current, spread.TableMembers, name)
+	n.engine.Forget(n.current, gossip.TableMembers, name)
 	for _, word := range n.members.Suspicions() {
 		if word.Member == name || word.Watcher == name {
 			n.members.ForgetSuspicion(word)
-			n.engine.Forget(n.current, spread.TableSuspicions, word.Key())
+			n.engine.Forget(n.current, gossip.TableSuspicions, word.Key())
 		}
 	}
 }
