--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -8,12 +8,12 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/settings"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -37,7 +37,7 @@
 	Members() []state.Member // those known to run
 	DownMembers() []state.Member
 	Proxies() feed.Proxies
-	Claims() []duty.Claim
+	Claims() []singleton.Claim
 	SetState(state.MemberState)
 	SetFront(string)
 	Subscribe(table gossip.Table, take func(gossip.Entry))
--- a/serving/agent/standing_test.go
+++ b/serving/agent/standing_test.go
@@ -11,11 +11,11 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/settings"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -48,7 +48,7 @@
 }
 
 func (f *fakeMesh) DownMembers() []state.Member { return nil }
-func (f *fakeMesh) Claims() []duty.Claim        { return nil }
+func (f *fakeMesh) Claims() []singleton.Claim   { return nil }
 
 func (f *fakeMesh) Proxies() feed.Proxies {
 	f.mutex.Lock()
--- a/serving/core/keeper.go
+++ b/serving/core/keeper.go
@@ -6,10 +6,10 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/member"
 	"rowanlink/serving/register"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -75,7 +75,7 @@
 }
 
 func (k *keeper) repair(ctx context.Context) {
-	if !k.mesh.Holder(repairDuty, duty.Scope{Role: state.RoleCore}).Mine {
+	if !k.mesh.Holder(repairDuty, singleton.Scope{Role: state.RoleCore}).Mine {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, repairTimeout)
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -9,10 +9,10 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -29,7 +29,7 @@
 	Subscribe(table gossip.Table, call func(gossip.Entry))
 	Members() []state.Member // those that are live
 	Self() state.Member
-	Holder(name string, scope duty.Scope) duty.Holding
+	Holder(name string, scope singleton.Scope) singleton.Holding
 }
 
 // Exchange is a table of endpoints and its link to the mesh. It is safe for use by several goroutines.
@@ -138,6 +138,6 @@
 			return true
 		}
 		live := slices.ContainsFunc(mesh.Members(), func(member state.Member) bool { return member.Name == receiver })
-		return !live && inTouch() && mesh.Holder(JudgeDuty, duty.Scope{Role: state.RoleCore}).Mine
+		return !live && inTouch() && mesh.Holder(JudgeDuty, singleton.Scope{Role: state.RoleCore}).Mine
 	}
 }
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -62,7 +62,9 @@
 
 func (f *fakeMesh) Self() state.Member { return state.Member{Name: "core-1"} }
 
-func (f *fakeMesh) Holder(string, duty.Scope) duty.Holding { return duty.Holding{Mine: f.mine} }
+func (f *fakeMesh) Holder(string, singleton.Scope) singleton.Holding {
+	return singleton.Holding{Mine: f.mine}
+}
 
 func start(t *testing.T, f *fakeMesh) *Exchange {
 	log := zerolog.Nop()
--- a/serving/inspect/inspect.go
+++ b/serving/inspect/inspect.go
@@ -6,8 +6,8 @@
 	"context"
 	"net/http"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/rpc"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -22,15 +22,15 @@
 
 // Report is what a process knows.
 type Report struct {
-	Self      state.Member     `cbor:"1,keyasint"`
-	Revision  uint64           `cbor:"2,keyasint"` // of the newest record; 0: none known
-	Version   uint64           `cbor:"3,keyasint"` // of its configuration
-	Digest    state.Digest     `cbor:"4,keyasint"`
-	Evacuated []string         `cbor:"5,keyasint,omitempty"` // zones
-	Replicas  state.ReplicaSet `cbor:"6,keyasint"`
-	Members   []Member         `cbor:"7,keyasint,omitempty"`
-	Endpoints []state.Endpoint `cbor:"8,keyasint,omitempty"`
-	Duties    []duty.Claim     `cbor:"9,keyasint,omitempty"`
+	Self      state.Member      `cbor:"1,keyasint"`
+	Revision  uint64            `cbor:"2,keyasint"` // of the newest record; 0: none known
+	Version   uint64            `cbor:"3,keyasint"` // of its configuration
+	Digest    state.Digest      `cbor:"4,keyasint"`
+	Evacuated []string          `cbor:"5,keyasint,omitempty"` // zones
+	Replicas  state.ReplicaSet  `cbor:"6,keyasint"`
+	Members   []Member          `cbor:"7,keyasint,omitempty"`
+	Endpoints []state.Endpoint  `cbor:"8,keyasint,omitempty"`
+	Duties    []singleton.Claim `cbor:"9,keyasint,omitempty"`
 	// Learner tells that the process keeps the committed record, has caught up and may be given a vote.
 	Learner bool `cbor:"10,keyasint,omitempty"`
 }
--- a/serving/loads/poller.go
+++ b/serving/loads/poller.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -30,7 +30,7 @@
 
 // Mesh is what a poller needs of the mesh.
 type Mesh interface {
-	Holder(name string, scope duty.Scope) duty.Holding
+	Holder(name string, scope singleton.Scope) singleton.Holding
 	Put(gossip.Entry)
 }
 
@@ -74,7 +74,7 @@
 
 // round reads once if the duty is this member's.
 func (p *Poller) round(ctx context.Context) {
-	scope := duty.Scope{Role: state.RoleAgent, Zone: p.options.Zone}
+	scope := singleton.Scope{Role: state.RoleAgent, Zone: p.options.Zone}
 	holding := p.options.Mesh.Holder(dutyPrefix+p.options.Zone, scope)
 	if holding.Mine != p.mine {
 		p.mine = holding.Mine
--- a/serving/loads/poller_test.go
+++ b/serving/loads/poller_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/gossip"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
 // fakeMesh gives the duty as the test says and notes what is spread.
 type fakeMesh struct {
-	holding duty.Holding
+	holding singleton.Holding
 	asked   string
-	scope   duty.Scope
+	scope   singleton.Scope
 	spread  []gossip.Entry
 }
 
-func (f *fakeMesh) Holder(name string, scope duty.Scope) duty.Holding {
+func (f *fakeMesh) Holder(name string, scope singleton.Scope) singleton.Holding {
 	f.asked, f.scope = name, scope
 	return f.holding
 }
@@ -55,11 +55,11 @@
 }
 
 func TestHolderSpreadsLoads(t *testing.T) {
-	mesh := &fakeMesh{holding: duty.Holding{Name: "a", Epoch: 7, Mine: true}}
+	mesh := &fakeMesh{holding: singleton.Holding{Name: "a", Epoch: 7, Mine: true}}
 	endpoint := answering(t, reporting)
 	poller(mesh, endpoint).round(t.Context())
 	assert.Equal(t, "loads/n1", mesh.asked)
-	assert.Equal(t, duty.Scope{Role: state.RoleAgent, Zone: "n1"}, mesh.scope)
+	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, mesh.scope)
 	require.Len(t, mesh.spread, 1)
 	entry := mesh.spread[0]
 	assert.Equal(t, gossip.NewVersion(7, 1), entry.Version)
@@ -71,7 +71,7 @@
 
 func TestOthersAskNobody(t *testing.T) {
 	calls := 0
-	mesh := &fakeMesh{holding: duty.Holding{Name: "b", Epoch: 7}}
+	mesh := &fakeMesh{holding: singleton.Holding{Name: "b", Epoch: 7}}
 	endpoint := answering(t, func(http.ResponseWriter, *http.Request) { calls++ })
 	poller(mesh, endpoint).round(t.Context())
 	assert.Zero(t, calls)
@@ -95,7 +95,7 @@
 		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, reportMost+1)) },
 	}
 	for name, fault := range faults {
-		mesh := &fakeMesh{holding: duty.Holding{Epoch: 7, Mine: true}}
+		mesh := &fakeMesh{holding: singleton.Holding{Epoch: 7, Mine: true}}
 		good := answering(t, reporting)
 		poller(mesh, answering(t, fault), good).round(t.Context())
 		require.Len(t, mesh.spread, 1, name)
--- a/serving/member/codec.go
+++ b/serving/member/codec.go
@@ -4,9 +4,9 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -23,7 +23,7 @@
 }
 
 // claimEntry is the word of a duty's holder as it is spread.
-func claimEntry(claim duty.Claim) (gossip.Entry, error) {
+func claimEntry(claim singleton.Claim) (gossip.Entry, error) {
 	return encode(gossip.TableDuties, claim.Duty, gossip.NewVersion(claim.Epoch, 0), claim)
 }
 
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -87,7 +87,7 @@
 		}
 		_, _ = n.engine.Repair(now)
 	}
-	n.holder(fuzzStart, "repair", duty.Scope{Role: state.RoleCore})
+	n.holder(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
 }
 
 // FuzzMessages: whatever a member sends, the node answers and works on.
@@ -131,7 +131,7 @@
 	require.NoError(f, err)
 	word, err := suspicionEntry(membership.Suspicion{Member: "c", Watcher: "self", Count: 3})
 	require.NoError(f, err)
-	claim, err := claimEntry(duty.Claim{Duty: "repair", Holder: "nobody", Epoch: 1 << 40})
+	claim, err := claimEntry(singleton.Claim{Duty: "repair", Holder: "nobody", Epoch: 1 << 40})
 	require.NoError(f, err)
 	for _, entry := range []gossip.Entry{member, self, word, claim} {
 		f.Add(uint8(entry.Table), entry.Key, entry.Version.Major, entry.Version.Minor, entry.Value)
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
+	"rowanlink/serving/singleton"
 )
 
 // loop asks the node what is due whenever its timer or a poke says so.
@@ -47,9 +47,9 @@
 }
 
 // holder looks up a duty and spreads the own claim where one is made.
-func (n *node) holder(now time.Time, name string, scope duty.Scope) (holding duty.Holding) {
+func (n *node) holder(now time.Time, name string, scope singleton.Scope) (holding singleton.Holding) {
 	n.step(now, func() {
-		var claim *duty.Claim
+		var claim *singleton.Claim
 		holding, claim = n.duties.Holder(now, name, scope, n.members.Live())
 		if claim == nil {
 			return
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -9,13 +9,13 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -204,13 +204,13 @@
 
 // Holder returns who holds a duty among the live members of a scope. The own process takes the duty if it is its
 // turn: call this before each run of the duty, and do it only while Holding.Mine.
-func (m *Mesh) Holder(name string, scope duty.Scope) duty.Holding {
-	return ask(m, func(now time.Time, n *node) duty.Holding { return n.holder(now, name, scope) })
+func (m *Mesh) Holder(name string, scope singleton.Scope) singleton.Holding {
+	return ask(m, func(now time.Time, n *node) singleton.Holding { return n.holder(now, name, scope) })
 }
 
 // Claims returns the newest claim of every duty.
-func (m *Mesh) Claims() []duty.Claim {
-	return ask(m, func(_ time.Time, n *node) []duty.Claim { return n.duties.Claims() })
+func (m *Mesh) Claims() []singleton.Claim {
+	return ask(m, func(_ time.Time, n *node) []singleton.Claim { return n.duties.Claims() })
 }
 
 // leaveCopies is how many members are told directly that the own one leaves.
--- a/serving/member/mesh_test.go
+++ b/serving/member/mesh_test.go
@@ -13,11 +13,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -129,9 +129,9 @@
 	err := all[0].mesh.PutReplicated(ctx, entry, nil, 9)
 	assert.True(t, result.TooFewMembers.Is(err))
 
-	holding := duty.Holding{}
+	holding := singleton.Holding{}
 	for _, process := range all {
-		if found := process.mesh.Holder("repair", duty.Scope{Role: state.RoleCore}); found.Mine {
+		if found := process.mesh.Holder("repair", singleton.Scope{Role: state.RoleCore}); found.Mine {
 			holding = found
 		}
 	}
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -6,10 +6,10 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/duty"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/membership"
+	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
@@ -17,7 +17,7 @@
 type node struct {
 	engine   *gossip.Engine
 	members  *membership.Table
-	duties   *duty.Table
+	duties   *singleton.Table
 	seeds    seedPlan
 	random   *rand.Rand
 	log      *zerolog.Logger
@@ -57,7 +57,7 @@
 func newNode(now time.Time, options nodeOptions) *node {
 	n := &node{
 		members:    membership.New(now, membership.Options{Self: options.self}),
-		duties:     duty.New(options.self.Name),
+		duties:     singleton.New(options.self.Name),
 		seeds:      newSeedPlan(now, options.self.Address, options.seeds),
 		random:     options.random,
 		log:        options.log,
@@ -208,7 +208,7 @@
 
 // mergeClaim takes in the word of a duty's holder.
 func (n *node) mergeClaim(entry gossip.Entry) {
-	claim, err := decode[duty.Claim](entry)
+	claim, err := decode[singleton.Claim](entry)
 	if err != nil {
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
--- a/serving/duty/duty.go
+++ b/serving/singleton/duty.go
@@ -1,8 +1,8 @@
-// Package duty finds which member does a job that only one may do at a time. The first live member in an order
+// Package singleton finds which member does a job that only one may do at a time. The first live member in an order
 // that all agree on holds the duty, under an epoch that grows with each change of the holder. Two members may
 // think for a moment that a duty is theirs; those who take their orders refuse epochs below the highest they know.
 // The package does no input or output: time is passed in.
-package duty
+package singleton
 
 import (
 	"time"
--- a/serving/duty/explore_test.go
+++ b/serving/singleton/explore_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"fmt"
