--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -12,13 +12,13 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/contact"
 	"rowanlink/serving/endpoints/exchange"
 	"rowanlink/serving/event"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
 	"rowanlink/serving/program"
+	"rowanlink/serving/quorum"
 	"rowanlink/serving/register"
 	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer node.Close()
-	touch := &contact.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
+	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
 	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
 		InTouch: touch.InTouch, Log: options.Log})
 	table.Serve(inner)
@@ -129,7 +129,7 @@
 
 // controlHandler answers operators and endpoints.
 func controlHandler(options Options, joined *member.Mesh, node *register.Node, table *exchange.Exchange,
-	touch *contact.Contact) http.Handler {
+	touch *quorum.Contact) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
 	return operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: table.Table(), Spread: table, Contact: touch,
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoints.go
@@ -7,9 +7,9 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/contact"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/event"
+	"rowanlink/serving/quorum"
 	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
@@ -18,7 +18,7 @@
 type EndpointsResource struct {
 	endpoints Endpoints
 	spread    Spread
-	contact   *contact.Contact
+	contact   *quorum.Contact
 	forward   func(id, zone string) string
 	log       *zerolog.Logger
 }
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/contact"
 	"rowanlink/serving/endpoints"
+	"rowanlink/serving/quorum"
 	"rowanlink/serving/state"
 )
 
@@ -125,7 +125,7 @@
 	t.Cleanup(f.table.Stop)
 	log := zerolog.Nop()
 	f.handler = New(Options{Register: f.register, Endpoints: f.table, Spread: f.spread,
-		Contact: &contact.Contact{Voters: f.voters, Self: "core-1", Live: f.spread.live},
+		Contact: &quorum.Contact{Voters: f.voters, Self: "core-1", Live: f.spread.live},
 		Regions: map[string]string{"z1": "r1"}, Forward: func(_, zone string) string { return zone + ":1" }, Log: &log})
 	return f
 }
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -10,8 +10,8 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/contact"
 	"rowanlink/serving/endpoints"
+	"rowanlink/serving/quorum"
 	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
@@ -65,7 +65,7 @@
 	Register  Register
 	Endpoints Endpoints
 	Spread    Spread
-	Contact   *contact.Contact
+	Contact   *quorum.Contact
 	Regions   map[string]string // region by zone: the zones that may be evacuated
 	// Forward names the control address where the endpoint's next heartbeats are to go, empty for none; see Forwarder.
 	Forward func(id, zone string) string
--- a/serving/contact/contact.go
+++ b/serving/quorum/contact.go
@@ -1,6 +1,6 @@
-// Package contact tells whether a process is in touch with a majority of the register's voters, by what the failure
+// Package quorum tells whether a process is in touch with a majority of the register's voters, by what the failure
 // detector says: a hint that costs no call. What must hold for certain asks the voters themselves.
-package contact
+package quorum
 
 import "rowanlink/serving/state"
 
--- a/serving/contact/contact_test.go
+++ b/serving/quorum/contact_test.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"testing"
