--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -9,12 +9,12 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/event"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 const (
@@ -36,7 +36,7 @@
 	Self() state.Member
 	Members() []state.Member // those known to run
 	DownMembers() []state.Member
-	Proxies() feed.Proxies
+	Proxies() subscription.Proxies
 	Claims() []singleton.Claim
 	SetState(state.MemberState)
 	SetFront(string)
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 func TestPollIsHeldUntilThereIsNews(t *testing.T) {
@@ -21,7 +21,7 @@
 		s := stand(8 * time.Second)
 		defer s.board.Stop()
 		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
-		first := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
+		first := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, first.err)
 		assert.Equal(t, uint64(2), first.response.Record.Revision)
 		assert.Zero(t, first.after)
@@ -56,7 +56,7 @@
 		for table := range s.mesh.subscribers {
 			s.mesh.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: []byte{0xff}})
 		}
-		got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
+		got := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
 		assert.Equal(t, uint64(5), got.response.Record.Revision)
 		assert.Empty(t, got.response.Endpoints)
@@ -69,7 +69,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go s.run(ctx)
 		s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", 1))
-		got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
+		got := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
 		assert.Equal(t, firstAnswerWait+coalesce, got.after)
 		assert.Len(t, got.response.Endpoints, 1)
@@ -89,7 +89,7 @@
 		go s.run(ctx)
 		connection, cut := context.WithCancel(t.Context())
 		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
-		first := <-s.poll(connection, waiting(feed.Cursor{}, state.MemberReady))
+		first := <-s.poll(connection, waiting(subscription.Cursor{}, state.MemberReady))
 		open := s.poll(connection, waiting(first.response.Cursor, state.MemberReady))
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, []state.MemberState{state.MemberReady}, s.mesh.announced(), "an open poll is enough")
@@ -147,7 +147,7 @@
 
 // keepPolling polls as a proxy does until its connection is cut.
 func (s *standing) keepPolling(connection context.Context) {
-	var cursor feed.Cursor
+	var cursor subscription.Cursor
 	for connection.Err() == nil {
 		got := <-s.poll(connection, waiting(cursor, state.MemberReady))
 		if got.err == nil {
@@ -161,7 +161,7 @@
 		s := stand(8 * time.Second)
 		defer s.board.Stop()
 		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
-		first := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
+		first := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberReady))
 		connection, cut := context.WithCancel(t.Context())
 		ended := s.poll(connection, waiting(first.response.Cursor, state.MemberLeaving))
 		synctest.Wait()
@@ -182,7 +182,7 @@
 func TestPollEndsWithTheAgent(t *testing.T) {
 	s := stand(time.Second)
 	s.board.Stop()
-	_, err := s.server.watch(t.Context(), waiting(feed.Cursor{}, state.MemberReady))
+	_, err := s.server.watch(t.Context(), waiting(subscription.Cursor{}, state.MemberReady))
 	assert.ErrorContains(t, err, "R0800")
 }
 
--- a/serving/agent/board.go
+++ b/serving/agent/board.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 const (
@@ -48,7 +48,7 @@
 }
 
 // tick does what the passing of time asks for: it takes in the counts of proxies and wakes polls that were held back.
-func (b *board) tick(now time.Time, proxies feed.Proxies, synced bool) {
+func (b *board) tick(now time.Time, proxies subscription.Proxies, synced bool) {
 	b.news.takeProxies(proxies)
 	b.news.sweep(now)
 	if synced {
--- a/serving/agent/confirm_test.go
+++ b/serving/agent/confirm_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/register"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // errCut is what a call to a voter that can't be reached comes to.
@@ -73,7 +73,7 @@
 				defer s.board.Stop()
 				go s.agent.confirm(t.Context(), test.voters.ask)
 				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
-				poll := s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
+				poll := s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
 				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Replicas: votersAt(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
@@ -99,7 +99,7 @@
 		defer s.board.Stop()
 		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
 		go s.agent.confirm(t.Context(), fakeVoters{"a": granted(5), "c": granted(5)}.ask)
-		got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
+		got := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
 		assert.Less(t, got.after, 20*time.Millisecond)
 	})
@@ -124,7 +124,7 @@
 				}
 				go s.agent.confirm(t.Context(), voters.ask)
 				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
-				got := <-s.poll(t.Context(), waiting(feed.Cursor{}, state.MemberStarting))
+				got := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
 				assert.InDelta(t, confirmWait.Seconds(), got.after.Seconds(), tickInterval.Seconds())
--- a/serving/agent/feedserver.go
+++ b/serving/agent/feedserver.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"rowanlink/internal/pause"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/result"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 const (
@@ -30,13 +30,13 @@
 
 // found is the result of a look at the board.
 type found struct {
-	response *feed.Response
+	response *subscription.Response
 	changed  <-chan struct{}
 	more     bool // the response is news
 }
 
 // watch implements feed.Watch.
-func (s *feedServer) watch(ctx context.Context, request *feed.Request) (*feed.Response, error) {
+func (s *feedServer) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
 	s.board.Tell(func(b *board) { b.presence.pollOpened(s.now(), request) })
 	s.announce()
 	s.observed(request.Observations)
@@ -48,7 +48,7 @@
 }
 
 // answer waits for news.
-func (s *feedServer) answer(ctx context.Context, request *feed.Request) (*feed.Response, error) {
+func (s *feedServer) answer(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
 	wait := min(time.Duration(request.WaitMillis)*time.Millisecond, waitMost)
 	over := time.NewTimer(wait)
 	defer over.Stop()
@@ -72,7 +72,7 @@
 }
 
 // look returns news since the cursor, or what to wait for.
-func (s *feedServer) look(since feed.Cursor) (found, bool) {
+func (s *feedServer) look(since subscription.Cursor) (found, bool) {
 	return owner.Ask(s.board, func(b *board) found {
 		if b.holdsBack(s.now()) {
 			return found{changed: b.news.changed}
@@ -83,8 +83,8 @@
 }
 
 // last answers a poll whose wait is over.
-func (s *feedServer) last(since feed.Cursor) (*feed.Response, error) {
-	seen, ok := owner.Ask(s.board, func(b *board) *feed.Response {
+func (s *feedServer) last(since subscription.Cursor) (*subscription.Response, error) {
+	seen, ok := owner.Ask(s.board, func(b *board) *subscription.Response {
 		if response, more := b.news.since(s.now(), since); more && !b.holdsBack(s.now()) {
 			return response
 		}
--- a/serving/agent/news.go
+++ b/serving/agent/news.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // marksKept is the number of answers that a proxy may take up. One would do but for answers lost on the way.
@@ -28,7 +28,7 @@
 	endpoints uint64 // position in the table of endpoints
 	revision  uint64
 	loads     uint64
-	proxies   feed.Proxies
+	proxies   subscription.Proxies
 	partial   bool // the whole state was owed, but the agent didn't know yet that it has it
 }
 
@@ -38,7 +38,7 @@
 	endpoints endpointTable
 	record    *state.Record
 	loads     loadTable
-	proxies   feed.Proxies
+	proxies   subscription.Proxies
 	synced    bool // a member that was there before has handed over what it knows
 	position  uint64
 	marks     [marksKept]mark
@@ -84,7 +84,7 @@
 }
 
 // takeProxies takes the counts of proxies.
-func (n *news) takeProxies(proxies feed.Proxies) {
+func (n *news) takeProxies(proxies subscription.Proxies) {
 	if n.proxies != proxies {
 		n.proxies = proxies
 		n.notify()
@@ -100,7 +100,7 @@
 }
 
 // since returns what a proxy at the cursor doesn't know, or false where there is nothing.
-func (n *news) since(now time.Time, cursor feed.Cursor) (*feed.Response, bool) {
+func (n *news) since(now time.Time, cursor subscription.Cursor) (*subscription.Response, bool) {
 	known, found := n.find(cursor)
 	if !found || known.partial && n.synced {
 		return n.everything(now), true
@@ -109,7 +109,7 @@
 	if whole && known.endpoints != 0 { // the table was empty at position 0: all of it is new
 		return n.everything(now), true
 	}
-	response := &feed.Response{Endpoints: changed, Forgotten: forgotten, Proxies: n.proxies}
+	response := &subscription.Response{Endpoints: changed, Forgotten: forgotten, Proxies: n.proxies}
 	response.Loads = n.loads.since(known.loads)
 	if n.revision() > known.revision {
 		response.Record = n.record
@@ -125,17 +125,17 @@
 
 // everything returns the whole state. A proxy forgets what isn't in a complete answer: an agent that has just begun
 // and may not have met a member that knows more leaves it what it has.
-func (n *news) everything(now time.Time) *feed.Response {
+func (n *news) everything(now time.Time) *subscription.Response {
 	endpoints, _, position, _ := n.endpoints.Changes(now, 0)
 	next := mark{endpoints: position, revision: n.revision(), loads: n.loads.position, proxies: n.proxies,
 		partial: !n.synced}
-	return &feed.Response{Cursor: n.remember(next), Complete: n.synced, Record: n.record, Endpoints: endpoints,
+	return &subscription.Response{Cursor: n.remember(next), Complete: n.synced, Record: n.record, Endpoints: endpoints,
 		Loads: n.loads.since(0), Proxies: n.proxies}
 }
 
 // nothing answers a poll whose wait is over.
-func (n *news) nothing(cursor feed.Cursor) *feed.Response {
-	return &feed.Response{Cursor: cursor, Proxies: n.proxies}
+func (n *news) nothing(cursor subscription.Cursor) *subscription.Response {
+	return &subscription.Response{Cursor: cursor, Proxies: n.proxies}
 }
 
 func (n *news) revision() uint64 {
@@ -146,15 +146,15 @@
 }
 
 // remember keeps what a proxy knows once it has the answer that is being made.
-func (n *news) remember(next mark) feed.Cursor {
+func (n *news) remember(next mark) subscription.Cursor {
 	n.position++
 	next.position = n.position
 	n.marks[n.position%marksKept] = next
-	return feed.Cursor{Life: n.life, Position: n.position}
+	return subscription.Cursor{Life: n.life, Position: n.position}
 }
 
 // find returns what a proxy at a cursor knows. The zero cursor knows nothing.
-func (n *news) find(cursor feed.Cursor) (mark, bool) {
+func (n *news) find(cursor subscription.Cursor) (mark, bool) {
 	kept := n.marks[cursor.Position%marksKept]
 	return kept, cursor.Life == n.life && cursor.Position != 0 && kept.position == cursor.Position
 }
--- a/serving/agent/news_test.go
+++ b/serving/agent/news_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 func someNews(life uint64) *news {
@@ -23,7 +23,7 @@
 
 // knowledge is what a proxy makes of the answers.
 type knowledge struct {
-	cursor    feed.Cursor
+	cursor    subscription.Cursor
 	revision  uint64
 	endpoints map[string]uint64 // sequence by ID
 	loads     map[string]state.Load
@@ -33,7 +33,7 @@
 	return &knowledge{endpoints: map[string]uint64{}, loads: map[string]state.Load{}}
 }
 
-func (k *knowledge) take(response *feed.Response) {
+func (k *knowledge) take(response *subscription.Response) {
 	if response.Complete {
 		*k = *nothingKnown()
 	}
@@ -65,10 +65,10 @@
 	n.takeRecord(&state.Record{Revision: 3})
 	n.takeEndpoint(at(0), endpoint("e", 1))
 	n.takeLoad(state.Load{EndpointID: "e", Queued: 2})
-	n.takeProxies(feed.Proxies{Live: 4})
+	n.takeProxies(subscription.Proxies{Live: 4})
 	second, more := n.since(at(0), proxy.cursor)
 	require.True(t, more)
-	assert.Equal(t, feed.Proxies{Live: 4}, second.Proxies)
+	assert.Equal(t, subscription.Proxies{Live: 4}, second.Proxies)
 	proxy.take(second)
 	assert.Equal(t, uint64(3), proxy.revision)
 	assert.Equal(t, map[string]uint64{"e": 1}, proxy.endpoints)
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/endpoints/exchange"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // TestObservationsGoToWhoJudges: to the receiver of the endpoint's heartbeats or, without it, to all cores.
@@ -58,7 +58,7 @@
 		s := stand(time.Second)
 		defer s.board.Stop()
 		ctx, cancel := context.WithCancel(t.Context())
-		request := waiting(feed.Cursor{}, state.MemberReady)
+		request := waiting(subscription.Cursor{}, state.MemberReady)
 		request.Observations = []state.Observation{{EndpointID: "e", Failures: 1}}
 		ended := s.poll(ctx, request)
 		synctest.Wait()
--- a/serving/agent/presence.go
+++ b/serving/agent/presence.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // silenceLimit is how long a proxy may go without a poll before the agent takes it for gone. Between two polls a
@@ -22,7 +22,7 @@
 }
 
 // pollOpened notes the begin of a poll.
-func (p *presence) pollOpened(now time.Time, request *feed.Request) {
+func (p *presence) pollOpened(now time.Time, request *subscription.Request) {
 	if request.Incarnation != p.incarnation {
 		p.incarnation = request.Incarnation
 		p.open = 0
--- a/serving/agent/presence_test.go
+++ b/serving/agent/presence_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // at is a time of the steady clock, so long after the test's beginning.
@@ -15,8 +15,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func poll(incarnation uint64, told state.MemberState) *feed.Request {
-	return &feed.Request{Incarnation: incarnation, State: told, Front: "10.0.0.1:80"}
+func poll(incarnation uint64, told state.MemberState) *subscription.Request {
+	return &subscription.Request{Incarnation: incarnation, State: told, Front: "10.0.0.1:80"}
 }
 
 func TestProxyIsWhatItSaysWhileItPolls(t *testing.T) {
@@ -46,7 +46,7 @@
 func TestFrontStaysWhereAPollLacksIt(t *testing.T) {
 	var p presence
 	p.pollOpened(at(0), poll(1, state.MemberReady))
-	p.pollOpened(at(0), &feed.Request{Incarnation: 1})
+	p.pollOpened(at(0), &subscription.Request{Incarnation: 1})
 	assert.Equal(t, "10.0.0.1:80", p.front)
 }
 
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -16,12 +16,12 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/member"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // seedIP is the address of the member through which the agent joins. All of 127/8 is this machine.
@@ -72,10 +72,10 @@
 
 // learn polls as a proxy does until what it knows is as wanted.
 func learn(t *testing.T, client *rpc.Client, address string, proxy *knowledge, wanted func() bool) {
-	request := &feed.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 1000}
+	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 1000}
 	require.Eventually(t, func() bool {
 		request.Since = proxy.cursor
-		response, err := feed.Watch.Call(t.Context(), client, address, request)
+		response, err := subscription.Watch.Call(t.Context(), client, address, request)
 		if err == nil {
 			proxy.take(response)
 		}
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -11,7 +11,6 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/loads"
 	"rowanlink/serving/member"
@@ -21,6 +20,7 @@
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 const (
@@ -143,6 +143,6 @@
 func (a *agent) feedHandler(observed func([]state.Observation)) http.Handler {
 	mux := http.NewServeMux()
 	server := &feedServer{board: a.board, now: time.Now, announce: a.announce, observed: observed}
-	feed.Watch.Serve(mux, server.watch)
+	subscription.Watch.Serve(mux, server.watch)
 	return mux
 }
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // freePorts finds two ports in a row, and one more, that nobody listens on.
@@ -65,11 +65,11 @@
 
 	client := rpc.NewClient()
 	defer client.Close()
-	request := &feed.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 5000}
-	var response *feed.Response
+	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 5000}
+	var response *subscription.Response
 	require.Eventually(t, func() (up bool) {
 		var err error
-		response, err = feed.Watch.Call(ctx, client, process.FeedAddress(), request)
+		response, err = subscription.Watch.Call(ctx, client, process.FeedAddress(), request)
 		return err == nil
 	}, 10*time.Second, 10*time.Millisecond)
 	assert.Nil(t, response.Record)
--- a/serving/agent/standing_test.go
+++ b/serving/agent/standing_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // fakeMesh is a mesh whose members the test sets. It notes what the agent says of itself.
@@ -24,7 +24,7 @@
 	mutex       sync.Mutex
 	self        state.Member
 	others      []state.Member
-	proxies     feed.Proxies
+	proxies     subscription.Proxies
 	subscribers map[gossip.Table]func(gossip.Entry)
 	states      []state.MemberState // that the agent announced, in order
 	left        bool
@@ -50,7 +50,7 @@
 func (f *fakeMesh) DownMembers() []state.Member { return nil }
 func (f *fakeMesh) Claims() []singleton.Claim   { return nil }
 
-func (f *fakeMesh) Proxies() feed.Proxies {
+func (f *fakeMesh) Proxies() subscription.Proxies {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.proxies
@@ -120,13 +120,13 @@
 
 // polled is the end of a poll.
 type polled struct {
-	response *feed.Response
+	response *subscription.Response
 	err      error
 	after    time.Duration
 }
 
 // poll begins a poll whose end comes through the channel.
-func (s *standing) poll(ctx context.Context, request *feed.Request) <-chan polled {
+func (s *standing) poll(ctx context.Context, request *subscription.Request) <-chan polled {
 	ended := make(chan polled, 1)
 	begun := time.Now()
 	go func() {
@@ -136,6 +136,6 @@
 	return ended
 }
 
-func waiting(since feed.Cursor, told state.MemberState) *feed.Request {
-	return &feed.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: told, Front: "10.0.0.1:80"}
+func waiting(since subscription.Cursor, told state.MemberState) *subscription.Request {
+	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: told, Front: "10.0.0.1:80"}
 }
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -10,13 +10,13 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/event"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/owner"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // proxyWindow is how long a proxy that is gone still counts among those that may run.
@@ -192,9 +192,9 @@
 }
 
 // Proxies counts the proxies of the whole system.
-func (m *Mesh) Proxies() feed.Proxies {
-	return ask(m, func(now time.Time, n *node) feed.Proxies {
-		return feed.Proxies{
+func (m *Mesh) Proxies() subscription.Proxies {
+	return ask(m, func(now time.Time, n *node) subscription.Proxies {
+		return subscription.Proxies{
 			Live:   n.members.Count(state.RoleAgent, ""),
 			Most:   n.members.MostLive(now, state.RoleAgent, proxyWindow),
 			Region: n.members.Count(state.RoleAgent, n.members.Self().Region),
--- a/serving/placement/cold.go
+++ b/serving/placement/cold.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"rowanlink/serving/feed"
+	"rowanlink/serving/subscription"
 )
 
 // Cold endpoints bear few requests a second, counted over all proxies. Each proxy keeps to a share that can't add up
@@ -126,7 +126,7 @@
 }
 
 // countProxies keeps the most proxies that were ever told of.
-func (p *Placer) countProxies(told feed.Proxies) {
+func (p *Placer) countProxies(told subscription.Proxies) {
 	p.proxies = max(p.proxies, told.Most, told.Live)
 	p.near = max(told.Region, 1)
 }
--- a/serving/placement/cold_test.go
+++ b/serving/placement/cold_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/serving/attempt"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // coldBound is what the test document allows a cold endpoint in any second: 8.5 * 1.5 + 5.
@@ -39,7 +39,7 @@
 func TestAllProxiesTogetherKeepAColdEndpointsBound(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(r, "proxies")
-		told := feed.Proxies{Live: count, Most: max(count-rapid.IntRange(0, uncounted).Draw(r, "unknown"), 1), Region: count}
+		told := subscription.Proxies{Live: count, Most: max(count-rapid.IntRange(0, uncounted).Draw(r, "unknown"), 1), Region: count}
 		table := testDocument(t)
 		now := begin
 		start := func(index int) *Placer {
--- a/serving/placement/helpers_test.go
+++ b/serving/placement/helpers_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // The deployment of the tests: two zones in region east, one in region west.
@@ -69,7 +69,7 @@
 	w := &world{now: begin.Add(10 * time.Second), Placer: New(Options{Name: "proxy-" + zone, Zone: zone,
 		Region: regions[zone], Regions: regions, Bounds: bounds, Seed: 7, Started: begin})}
 	w.view = View{Routing: testDocument(t), Endpoints: endpoints, Record: &state.Record{Revision: 1},
-		Proxies: feed.Proxies{Live: 3, Most: 3, Region: 2}}
+		Proxies: subscription.Proxies{Live: 3, Most: 3, Region: 2}}
 	w.tell()
 	return w
 }
--- a/serving/placement/placement.go
+++ b/serving/placement/placement.go
@@ -17,10 +17,10 @@
 import (
 	"time"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // Options are what a placer knows from its process's settings.
@@ -40,7 +40,7 @@
 	Endpoints []state.Endpoint
 	Loads     []state.Load
 	Record    *state.Record
-	Proxies   feed.Proxies
+	Proxies   subscription.Proxies
 }
 
 // Part is a part of a prompt. Equal IDs after equal parts stand for equal tokens.
--- a/serving/placement/simulate_test.go
+++ b/serving/placement/simulate_test.go
@@ -8,9 +8,9 @@
 
 	"rowanlink/internal/due"
 	"rowanlink/internal/mwc"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // simulation plays proxies against endpoints that read prompts one after the other, on a clock of its own.
@@ -94,7 +94,7 @@
 		for index := range proxies[zone] {
 			p := New(Options{Name: fmt.Sprint(zone, index), Zone: zone, Region: regions[zone], Regions: regions, Bounds: bounds,
 				Seed: seed + uint64(len(s.proxies)), Started: begin})
-			s.view = View{Routing: table, Endpoints: endpoints, Proxies: feed.Proxies{Live: total, Most: total, Region: total / 2}}
+			s.view = View{Routing: table, Endpoints: endpoints, Proxies: subscription.Proxies{Live: total, Most: total, Region: total / 2}}
 			p.Update(begin, s.view)
 			s.proxies = append(s.proxies, p)
 			s.zones[zone] = append(s.zones[zone], p)
--- a/serving/proxy/knowledge.go
+++ b/serving/proxy/knowledge.go
@@ -5,10 +5,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/placement"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 // knowledge is what a proxy has been told of the system. It does no I/O.
@@ -16,14 +16,14 @@
 	record    *state.Record
 	table     *routing.Table // of the newest configuration that could be read; nil: none yet
 	endpoints map[string]state.Endpoint
-	proxies   feed.Proxies
-	cursor    feed.Cursor
+	proxies   subscription.Proxies
+	cursor    subscription.Cursor
 }
 
 func newKnowledge() *knowledge { return &knowledge{endpoints: map[string]state.Endpoint{}} }
 
 // take applies an answer of the agent. The error tells that its configuration can't be read; all else is applied.
-func (k *knowledge) take(response *feed.Response) error {
+func (k *knowledge) take(response *subscription.Response) error {
 	if response.Complete {
 		clear(k.endpoints)
 	}
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -14,7 +14,6 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/event"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/front"
 	"rowanlink/serving/placement"
 	"rowanlink/serving/program"
@@ -23,6 +22,7 @@
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 	"rowanlink/serving/upstream"
 )
 
@@ -147,7 +147,7 @@
 }
 
 // take applies an answer of the agent. It returns the cursor for the next poll and what to tell of this process.
-func (p *proxy) take(response *feed.Response) (feed.Cursor, state.MemberState) {
+func (p *proxy) take(response *subscription.Response) (subscription.Cursor, state.MemberState) {
 	before := p.known.table
 	if err := p.known.take(response); err != nil {
 		event.ConfigurationUnusable.Log(p.log).Err(err).Send()
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/feed"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 const document = `{"edition":3,"routings":[{"name":"fetch","station":"shop.example","lane_prefix":"/fetch/",
@@ -43,43 +43,43 @@
 	k := newKnowledge()
 	one := state.Endpoint{ID: "i-1", Service: "plain"}
 	two := state.Endpoint{ID: "i-2", Service: "plain", State: state.Closing}
-	require.NoError(t, k.take(&feed.Response{Endpoints: []state.Endpoint{two}, Complete: true}))
+	require.NoError(t, k.take(&subscription.Response{Endpoints: []state.Endpoint{two}, Complete: true}))
 	assert.False(t, k.enough())
-	require.NoError(t, k.take(&feed.Response{Record: &state.Record{Revision: 1}}))
+	require.NoError(t, k.take(&subscription.Response{Record: &state.Record{Revision: 1}}))
 	assert.Nil(t, k.table, "the record holds no configuration yet")
-	require.NoError(t, k.take(&feed.Response{Record: record(t, 5, 3)}))
+	require.NoError(t, k.take(&subscription.Response{Record: record(t, 5, 3)}))
 	assert.False(t, k.enough(), "no endpoint takes requests")
-	require.NoError(t, k.take(&feed.Response{Endpoints: []state.Endpoint{one}}))
+	require.NoError(t, k.take(&subscription.Response{Endpoints: []state.Endpoint{one}}))
 	assert.True(t, k.enough())
 	assert.Len(t, k.endpoints, 2)
 
 	table := k.table
-	require.NoError(t, k.take(&feed.Response{Record: record(t, 4, 2)}))
+	require.NoError(t, k.take(&subscription.Response{Record: record(t, 4, 2)}))
 	assert.Same(t, table, k.table, "nothing goes back")
 	assert.EqualValues(t, 5, k.record.Revision)
 	evacuated := record(t, 6, 3)
 	evacuated.Evacuations = []state.Evacuation{{Zone: "z", Active: true}}
-	require.NoError(t, k.take(&feed.Response{Record: evacuated}))
+	require.NoError(t, k.take(&subscription.Response{Record: evacuated}))
 	assert.Same(t, table, k.table, "the same configuration is not read again")
 	assert.True(t, k.view(nil).Record.Evacuated("z"))
 
 	unreadable := &state.Record{Revision: 7, Configuration: configuration(t, 4, "{")}
-	assert.Error(t, k.take(&feed.Response{Record: unreadable, Forgotten: []string{"i-1"}}))
+	assert.Error(t, k.take(&subscription.Response{Record: unreadable, Forgotten: []string{"i-1"}}))
 	assert.Same(t, table, k.table)
 	assert.NotContains(t, k.endpoints, "i-1", "the rest of the answer counts")
-	require.NoError(t, k.take(&feed.Response{Record: record(t, 8, 5)}))
+	require.NoError(t, k.take(&subscription.Response{Record: record(t, 8, 5)}))
 	assert.EqualValues(t, 5, k.table.Version)
-	require.NoError(t, k.take(&feed.Response{Complete: true, Endpoints: []state.Endpoint{one}}))
+	require.NoError(t, k.take(&subscription.Response{Complete: true, Endpoints: []state.Endpoint{one}}))
 	assert.Len(t, k.endpoints, 1)
 }
 
 // fakeAgent answers polls from a queue and notes what the proxy says of itself.
 type fakeAgent struct {
-	news     chan *feed.Response
-	requests chan feed.Request
+	news     chan *subscription.Response
+	requests chan subscription.Request
 }
 
-func (a *fakeAgent) watch(ctx context.Context, request *feed.Request) (*feed.Response, error) {
+func (a *fakeAgent) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
 	a.requests <- *request
 	select {
 	case response := <-a.news:
@@ -114,9 +114,9 @@
 
 // startAgent listens where the proxy asks its agent.
 func startAgent(t *testing.T, address string) *fakeAgent {
-	a := &fakeAgent{news: make(chan *feed.Response), requests: make(chan feed.Request, 100)}
+	a := &fakeAgent{news: make(chan *subscription.Response), requests: make(chan subscription.Request, 100)}
 	mux := http.NewServeMux()
-	feed.Watch.Serve(mux, a.watch)
+	subscription.Watch.Serve(mux, a.watch)
 	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	server := &http.Server{Handler: mux}
@@ -152,15 +152,15 @@
 	assert.NotZero(t, first.Incarnation)
 	assert.Equal(t, 503, fetch(t, process.Bind.Front, "/fetch/x").status)
 	assert.Equal(t, 503, fetch(t, process.Bind.Ready, "/readiness").status)
-	agent.news <- &feed.Response{
-		Cursor: feed.Cursor{Life: 7, Position: 1}, Complete: true, Record: record(t, 1, 3),
+	agent.news <- &subscription.Response{
+		Cursor: subscription.Cursor{Life: 7, Position: 1}, Complete: true, Record: record(t, 1, 3),
 		Endpoints: []state.Endpoint{{ID: "i-1", Service: "plain", Zone: "z", Slots: 6, Sequence: 1,
 			Address: endpoint.Listener.Addr().String()}},
-		Proxies: feed.Proxies{Live: 1, Most: 1, Region: 1},
+		Proxies: subscription.Proxies{Live: 1, Most: 1, Region: 1},
 	}
 	second := <-agent.requests
 	assert.Equal(t, state.MemberReady, second.State)
-	assert.Equal(t, feed.Cursor{Life: 7, Position: 1}, second.Since)
+	assert.Equal(t, subscription.Cursor{Life: 7, Position: 1}, second.Since)
 	assert.Equal(t, first.Incarnation, second.Incarnation)
 	assert.Equal(t, 200, fetch(t, process.Bind.Ready, "/readiness").status)
 	got := fetch(t, process.Bind.Front, "/fetch/x")
@@ -196,10 +196,10 @@
 func TestAgentThatGoes(t *testing.T) {
 	address := local(freePort(t))
 	log := zerolog.Nop()
-	taken := make(chan *feed.Response, 10)
+	taken := make(chan *subscription.Response, 10)
 	w := &watcher{
 		client: rpc.NewClient(), address: address, front: "f", log: &log,
-		take: func(r *feed.Response) (feed.Cursor, state.MemberState) {
+		take: func(r *subscription.Response) (subscription.Cursor, state.MemberState) {
 			taken <- r
 			return r.Cursor, state.MemberReady
 		},
@@ -221,14 +221,14 @@
 	}()
 	first := <-agent.requests
 	assert.Equal(t, observed, first.Observations)
-	agent.news <- &feed.Response{Cursor: feed.Cursor{Life: 1, Position: 2}}
+	agent.news <- &subscription.Response{Cursor: subscription.Cursor{Life: 1, Position: 2}}
 	<-taken
 	next := <-agent.requests
 	assert.Empty(t, next.Observations)
 	assert.Equal(t, state.MemberReady, next.State)
 	w.leave()
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State)
-	agent.news <- &feed.Response{}
+	agent.news <- &subscription.Response{}
 	<-taken
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "it never goes back")
 	stop()
--- a/serving/proxy/watcher.go
+++ b/serving/proxy/watcher.go
@@ -10,9 +10,9 @@
 
 	"rowanlink/internal/pause"
 	"rowanlink/serving/event"
-	"rowanlink/serving/feed"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
 )
 
 const (
@@ -39,11 +39,11 @@
 	address string
 	front   string
 	log     *zerolog.Logger
-	take    func(*feed.Response) (feed.Cursor, state.MemberState)
+	take    func(*subscription.Response) (subscription.Cursor, state.MemberState)
 	observe func() []state.Observation
 
 	incarnation uint64
-	cursor      feed.Cursor
+	cursor      subscription.Cursor
 	pending     []state.Observation // not yet told
 	lost        bool
 
@@ -83,15 +83,15 @@
 }
 
 // poll asks the agent once.
-func (w *watcher) poll(ctx context.Context) (response *feed.Response, interrupted bool, err error) {
+func (w *watcher) poll(ctx context.Context) (response *subscription.Response, interrupted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollLimit(pollWait))
 	defer cancel()
 	w.gather()
-	request := feed.Request{
+	request := subscription.Request{
 		Since: w.cursor, WaitMillis: pollWait.Milliseconds(), Incarnation: w.incarnation,
 		State: w.begin(cancel), Observations: w.pending, Front: w.front,
 	}
-	response, err = feed.Watch.Call(ctx, w.client, w.address, &request)
+	response, err = subscription.Watch.Call(ctx, w.client, w.address, &request)
 	interrupted = w.end()
 	if err == nil || interrupted { // the agent takes a request in before it waits
 		w.pending = nil
--- a/serving/feed/feed.go
+++ b/serving/subscription/feed.go
@@ -1,6 +1,6 @@
-// Package feed holds what an agent tells the proxy on its machine and what the proxy says of itself, in one
+// Package subscription holds what an agent tells the proxy on its machine and what the proxy says of itself, in one
 // call that waits at the agent until something has changed.
-package feed
+package subscription
 
 import (
 	"rowanlink/serving/rpc"
