--- a/serving/owner/owner.go
+++ b/serving/actor/owner.go
@@ -1,5 +1,5 @@
-// Package owner gives a table one goroutine that alone touches it and works through a queue of commands.
-package owner
+// Package actor gives a table one goroutine that alone touches it and works through a queue of commands.
+package actor
 
 import "sync"
 
--- a/serving/owner/owner_test.go
+++ b/serving/actor/owner_test.go
@@ -1,4 +1,4 @@
-package owner
+package actor
 
 import (
 	"sync"
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
@@ -49,7 +49,7 @@
 	settings *settings.Process
 	log      *zerolog.Logger
 	mesh     memberMesh
-	board    *owner.Owner[board]
+	board    *actor.Owner[board]
 	started  time.Time
 
 	announcing sync.Mutex
@@ -66,7 +66,7 @@
 	now := time.Now()
 	life := rand.Uint64() | 1 // never zero
 	a := &agent{settings: process, log: log, mesh: mesh, started: now}
-	a.board = owner.Start(&board{news: newNews(life, table), started: now})
+	a.board = actor.Start(&board{news: newNews(life, table), started: now})
 	a.subscribe()
 	return a
 }
@@ -94,7 +94,7 @@
 // tick does what the passing of time asks for and tells whether the agent may end.
 func (a *agent) tick() (ended bool) {
 	proxies, synced := a.mesh.Proxies(), a.synced()
-	ended, _ = owner.Ask(a.board, func(b *board) bool {
+	ended, _ = actor.Ask(a.board, func(b *board) bool {
 		if synced && !b.news.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
@@ -109,7 +109,7 @@
 func (a *agent) announce() {
 	a.announcing.Lock()
 	defer a.announcing.Unlock()
-	now, ok := owner.Ask(a.board, func(b *board) said {
+	now, ok := actor.Ask(a.board, func(b *board) said {
 		return said{state: b.proxyState(time.Now()), front: b.presence.front}
 	})
 	if !ok || now == a.said {
--- a/serving/agent/confirm.go
+++ b/serving/agent/confirm.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"rowanlink/internal/pause"
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/register"
 	"rowanlink/serving/state"
 )
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithDeadline(ctx, a.started.Add(confirmWait))
 	defer cancel()
 	for ; ctx.Err() == nil; pause.For(ctx, confirmPause) {
-		voters, known := owner.Ask(a.board, func(b *board) state.ReplicaSet {
+		voters, known := actor.Ask(a.board, func(b *board) state.ReplicaSet {
 			if b.news.record == nil {
 				return state.ReplicaSet{}
 			}
--- a/serving/agent/feedserver.go
+++ b/serving/agent/feedserver.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"rowanlink/internal/pause"
-	"rowanlink/serving/owner"
+	"rowanlink/serving/actor"
 	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 	"rowanlink/serving/subscription"
@@ -20,7 +20,7 @@
 
 // feedServer answers the proxy's polls.
 type feedServer struct {
-	board *owner.Owner[board]
+	board *actor.Owner[board]
 	now   func() time.Time
 	// announce tells the mesh what has become of the proxy's state.
 	announce func()
@@ -73,7 +73,7 @@
 
 // look returns news since the cursor, or what to wait for.
 func (s *feedServer) look(since subscription.Cursor) (found, bool) {
-	return owner.Ask(s.board, func(b *board) found {
+	return actor.Ask(s.board, func(b *board) found {
 		if b.holdsBack(s.now()) {
 			return found{changed: b.news.changed}
 		}
@@ -84,7 +84,7 @@
 
 // last answers a poll whose wait is over.
 func (s *feedServer) last(since subscription.Cursor) (*subscription.Response, error) {
-	seen, ok := owner.Ask(s.board, func(b *board) *subscription.Response {
+	seen, ok := actor.Ask(s.board, func(b *board) *subscription.Response {
 		if response, more := b.news.since(s.now(), since); more && !b.holdsBack(s.now()) {
 			return response
 		}
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/inspect"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/state"
 )
 
 // endpoints returns all endpoints that are known.
 func (a *agent) endpoints() []state.Endpoint {
-	all, _ := owner.Ask(a.board, func(b *board) []state.Endpoint {
+	all, _ := actor.Ask(a.board, func(b *board) []state.Endpoint {
 		list, _, _, _ := b.news.endpoints.Changes(time.Now(), 0)
 		return list
 	})
@@ -27,7 +27,7 @@
 // report answers operators.
 func (a *agent) report(request inspect.Request) inspect.Report {
 	report := inspect.Report{Self: a.mesh.Self()}
-	seen, _ := owner.Ask(a.board, func(b *board) (seen known) {
+	seen, _ := actor.Ask(a.board, func(b *board) (seen known) {
 		seen.record = b.news.record
 		if request.WithTables {
 			seen.endpoints, _, _, _ = b.news.endpoints.Changes(time.Now(), 0)
--- a/serving/endpoints/owner.go
+++ b/serving/endpoints/owner.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
-	"rowanlink/serving/owner"
+	"rowanlink/serving/actor"
 	"rowanlink/serving/state"
 )
 
 // Owner runs a table in a goroutine of its own and gives it the time. It is safe for use by several goroutines.
 // After Stop all calls return zero values and false.
 type Owner struct {
-	table *owner.Owner[Table]
+	table *actor.Owner[Table]
 	clock func() time.Time
 }
 
 // Start makes a table and its owner. The clock is time.Now outside tests.
 func Start(options Options, clock func() time.Time) *Owner {
-	return &Owner{table: owner.Start(NewTable(options)), clock: clock}
+	return &Owner{table: actor.Start(NewTable(options)), clock: clock}
 }
 
 // Stop ends the goroutine.
@@ -30,7 +30,7 @@
 
 // Beat is Table.Beat.
 func (o *Owner) Beat(id string, beat Beat) (state.Endpoint, Change, bool) {
-	result, ok := owner.Ask(o.table, func(t *Table) called {
+	result, ok := actor.Ask(o.table, func(t *Table) called {
 		endpoint, change := t.Beat(o.clock(), id, beat)
 		return called{endpoint, change}
 	})
@@ -39,7 +39,7 @@
 
 // SignOff is Table.SignOff.
 func (o *Owner) SignOff(id string) (state.Endpoint, Change, bool) {
-	result, ok := owner.Ask(o.table, func(t *Table) called {
+	result, ok := actor.Ask(o.table, func(t *Table) called {
 		endpoint, change := t.SignOff(o.clock(), id)
 		return called{endpoint, change}
 	})
@@ -54,7 +54,7 @@
 
 // Observe is Table.Observe.
 func (o *Owner) Observe(observer string, told state.Observation) (state.Endpoint, bool, bool) {
-	result, ok := owner.Ask(o.table, func(t *Table) marked {
+	result, ok := actor.Ask(o.table, func(t *Table) marked {
 		endpoint, news := t.Observe(o.clock(), observer, told)
 		return marked{endpoint: endpoint, marked: news}
 	})
@@ -75,19 +75,19 @@
 
 // Restore is Table.Restore.
 func (o *Owner) Restore(kept state.Endpoint) bool {
-	taken, _ := owner.Ask(o.table, func(t *Table) bool { return t.Restore(o.clock(), kept) })
+	taken, _ := actor.Ask(o.table, func(t *Table) bool { return t.Restore(o.clock(), kept) })
 	return taken
 }
 
 // Sweep is Table.Sweep.
 func (o *Owner) Sweep() []state.Endpoint {
-	list, _ := owner.Ask(o.table, func(t *Table) []state.Endpoint { return t.Sweep(o.clock()) })
+	list, _ := actor.Ask(o.table, func(t *Table) []state.Endpoint { return t.Sweep(o.clock()) })
 	return list
 }
 
 // Live is Table.Live.
 func (o *Owner) Live() []state.Endpoint {
-	list, _ := owner.Ask(o.table, func(t *Table) []state.Endpoint { return t.Live(o.clock()) })
+	list, _ := actor.Ask(o.table, func(t *Table) []state.Endpoint { return t.Live(o.clock()) })
 	return list
 }
 
@@ -101,7 +101,7 @@
 
 // Changes is Table.Changes.
 func (o *Owner) Changes(since uint64) (Delta, bool) {
-	return owner.Ask(o.table, func(t *Table) (delta Delta) {
+	return actor.Ask(o.table, func(t *Table) (delta Delta) {
 		delta.Changed, delta.Forgotten, delta.Position, delta.Complete = t.Changes(o.clock(), since)
 		return delta
 	})
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/singleton"
 )
 
@@ -22,7 +22,7 @@
 		case <-timer.C:
 		case <-m.poke:
 		}
-		todo, ok := owner.Ask(m.owner, func(n *node) actions {
+		todo, ok := actor.Ask(m.owner, func(n *node) actions {
 			now := time.Now()
 			todo := n.tick(now)
 			n.wakeAt = todo.next
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/singleton"
@@ -34,7 +34,7 @@
 // Mesh is one process's part in the mesh. Its methods may be called from several goroutines.
 type Mesh struct {
 	options  Options
-	owner    *owner.Owner[node]
+	owner    *actor.Owner[node]
 	calls    *caller
 	delivery *delivery
 	poke     chan struct{} // something is due earlier than the timer says
@@ -60,7 +60,7 @@
 	self.Incarnation = uint64(time.Now().UnixNano())
 	random := rand.New(rand.NewPCG(self.Incarnation, rand.Uint64()))
 	node := newNode(time.Now(), nodeOptions{self: self, seeds: seeds, random: random, log: options.Log})
-	m.owner = owner.Start(node)
+	m.owner = actor.Start(node)
 	m.serve(options.Mux)
 	go m.delivery.run(running)
 	go m.loop(running)
@@ -97,7 +97,7 @@
 
 // ask runs a command on the node and returns its result; the zero value after Close.
 func ask[Result any](m *Mesh, command func(now time.Time, n *node) Result) Result {
-	result, _ := owner.Ask(m.owner, func(n *node) Result {
+	result, _ := actor.Ask(m.owner, func(n *node) Result {
 		result := command(time.Now(), n)
 		m.wakeFor(n)
 		return result
@@ -123,7 +123,7 @@
 
 // Get returns the newest entry of a key.
 func (m *Mesh) Get(table gossip.Table, key string) (entry gossip.Entry, found bool) {
-	owner.Ask(m.owner, func(n *node) bool {
+	actor.Ask(m.owner, func(n *node) bool {
 		entry, found = n.engine.Get(table, key)
 		return true
 	})
--- a/serving/register/acceptor.go
+++ b/serving/register/acceptor.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/state"
 )
 
@@ -25,7 +25,7 @@
 // Acceptor is a replica: it votes on proposals and saves each vote before giving it. Requests that change its state
 // go one after the other through the disk; what it has saved is read without waiting for the disk.
 type Acceptor struct {
-	disk    *owner.Owner[acceptorDisk]
+	disk    *actor.Owner[acceptorDisk]
 	saved   atomic.Pointer[AcceptorState] // what is certainly on disk; nil before Install
 	waiting atomic.Int32
 }
@@ -39,7 +39,7 @@
 
 // NewAcceptor makes an acceptor that votes nothing before Install.
 func NewAcceptor(storage Storage, log *zerolog.Logger) *Acceptor {
-	return &Acceptor{disk: owner.Start(&acceptorDisk{storage: storage, log: log})}
+	return &Acceptor{disk: actor.Start(&acceptorDisk{storage: storage, log: log})}
 }
 
 // Install gives the acceptor its state: as loaded, or a fresh one, which is saved first. It also replaces the state
--- a/serving/register/change.go
+++ b/serving/register/change.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/serving/owner"
+	"rowanlink/serving/actor"
 	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
@@ -134,7 +134,7 @@
 
 // nextBallot returns what is known and a ballot above all that is known; false where no replicas are known.
 func (p *Proposer) nextBallot() (known knowledge, ballot Ballot, ok bool) {
-	known, ok = owner.Ask(p.knowledge, func(k *knowledge) knowledge {
+	known, ok = actor.Ask(p.knowledge, func(k *knowledge) knowledge {
 		ballot = k.nextBallot(p.id)
 		return *k
 	})
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/datadriven"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/owner"
+	"rowanlink/serving/actor"
 	"rowanlink/serving/state"
 )
 
@@ -126,7 +126,7 @@
 	defer p.close()
 	p.knowledge.Tell(func(k *knowledge) { *k = *s.proposers[id] })
 	defer func() {
-		known, _ := owner.Ask(p.knowledge, func(k *knowledge) knowledge { return *k })
+		known, _ := actor.Ask(p.knowledge, func(k *knowledge) knowledge { return *k })
 		s.proposers[id] = &known
 	}()
 	if data.Cmd == "read" {
--- a/serving/store/endpoints.go
+++ b/serving/store/endpoints.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/state"
 )
 
@@ -40,7 +40,7 @@
 
 // Endpoints keeps a copy of the table of endpoints. What it holds may be out of date by whatever came after the last
 // save, and nothing may rest on it but a quicker start. It is safe for use by several goroutines.
-type Endpoints struct{ file *owner.Owner[endpointFile] }
+type Endpoints struct{ file *actor.Owner[endpointFile] }
 
 // endpointFile is what only the goroutine that owns the file touches.
 type endpointFile struct {
@@ -52,7 +52,7 @@
 
 // OpenEndpoints makes a store in a folder. The disk is first touched by Load or Save.
 func OpenEndpoints(folder string, log *zerolog.Logger) *Endpoints {
-	return &Endpoints{file: owner.Start(&endpointFile{folder: folder, log: log})}
+	return &Endpoints{file: actor.Start(&endpointFile{folder: folder, log: log})}
 }
 
 // Close closes the file. It doesn't wait for the disk.
@@ -71,7 +71,7 @@
 		endpoints []state.Endpoint
 		err       error
 	}
-	result, ok := owner.Ask(e.file, func(f *endpointFile) (l loaded) {
+	result, ok := actor.Ask(e.file, func(f *endpointFile) (l loaded) {
 		l.endpoints, l.err = f.load()
 		return l
 	})
@@ -84,7 +84,7 @@
 // Save returns once the changes would survive a loss of power. After an error what is saved is unknown: the next
 // changes have to be complete.
 func (e *Endpoints) Save(changes EndpointChanges) error {
-	err, ok := owner.Ask(e.file, func(f *endpointFile) error { return f.save(changes) })
+	err, ok := actor.Ask(e.file, func(f *endpointFile) error { return f.save(changes) })
 	if !ok {
 		return errStopped
 	}
--- a/serving/store/store.go
+++ b/serving/store/store.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/actor"
 	"rowanlink/serving/event"
-	"rowanlink/serving/owner"
 	"rowanlink/serving/register"
 )
 
@@ -28,7 +28,7 @@
 
 // Store keeps the state of a replica. It implements register.Storage and is safe for use by several goroutines.
 type Store struct {
-	files *owner.Owner[files]
+	files *actor.Owner[files]
 }
 
 // files is what only the goroutine that owns the disk touches.
@@ -42,7 +42,7 @@
 // Open makes a store in a folder. The disk is first touched by Load or Save, so that a disk in trouble doesn't hold
 // up the process's start.
 func Open(folder string, log *zerolog.Logger) *Store {
-	return &Store{files: owner.Start(&files{folder: folder, log: log})}
+	return &Store{files: actor.Start(&files{folder: folder, log: log})}
 }
 
 // Close closes the file. It doesn't wait for the disk.
@@ -62,7 +62,7 @@
 		found bool
 		err   error
 	}
-	result, ok := owner.Ask(s.files, func(f *files) loaded {
+	result, ok := actor.Ask(s.files, func(f *files) loaded {
 		state, found, err := f.load()
 		return loaded{state, found, err}
 	})
@@ -74,7 +74,7 @@
 
 // Save returns once the state would survive a loss of power. After an error it may or may not be saved.
 func (s *Store) Save(next register.AcceptorState) error {
-	err, ok := owner.Ask(s.files, func(f *files) error { return f.save(&next) })
+	err, ok := actor.Ask(s.files, func(f *files) error { return f.save(&next) })
 	if !ok {
 		return errStopped
 	}
