--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -12,7 +12,7 @@
 
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/inspect"
-	"rowanlink/serving/loads"
+	"rowanlink/serving/loadreport"
 	"rowanlink/serving/member"
 	"rowanlink/serving/program"
 	"rowanlink/serving/register"
@@ -77,7 +77,7 @@
 			MaxHeaderBytes: lookupHead}).Close()
 	}
 	if options.PollLoads {
-		go loads.New(loads.Options{Zone: options.Settings.Zone, Mesh: joined, Endpoints: a.endpoints,
+		go loadreport.New(loadreport.Options{Zone: options.Settings.Zone, Mesh: joined, Endpoints: a.endpoints,
 			Log: options.Log}).Run(ctx) // whoever ends leaves the duty to others at once
 	}
 	go settings.Watch(life, options.SettingsPath, settings.WatchInterval, func(process *settings.Process) {
--- a/serving/loads/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -1,4 +1,4 @@
-package loads
+package loadreport
 
 import (
 	"net/http"
--- a/serving/loads/report.go
+++ b/serving/loadreport/report.go
@@ -1,6 +1,6 @@
-// Package loads asks the language-model endpoints of a zone for their reports on themselves and spreads what they
+// Package loadreport asks the language-model endpoints of a zone for their reports on themselves and spreads what they
 // say. One member of each zone does it, as a singleton duty.
-package loads
+package loadreport
 
 import (
 	"context"
