--- a/serving/front/fuzz_test.go
+++ b/serving/httpserver/fuzz_test.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"bufio"
--- a/serving/front/server.go
+++ b/serving/httpserver/server.go
@@ -1,7 +1,7 @@
-// Package front is the client side of a proxy: it takes requests, has each served by an endpoint, and passes the
+// Package httpserver is the client side of a proxy: it takes requests, has each served by an endpoint, and passes the
 // answer on. It stands between placement, which says where a request goes, the endpoint side, which sends it, and the
 // retry policy, which says whether it goes again.
-package front
+package httpserver
 
 import (
 	"bytes"
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/event"
-	"rowanlink/serving/front"
+	"rowanlink/serving/httpserver"
 	"rowanlink/serving/placement"
 	"rowanlink/serving/program"
 	"rowanlink/serving/retry"
@@ -46,7 +46,7 @@
 	placer   *placement.Placer
 	retry    *retry.Policy
 	pool     *upstream.Pool
-	server   *front.Server
+	server   *httpserver.Server
 	watcher  *watcher
 
 	known   *knowledge // belongs to the watcher's goroutine
@@ -130,7 +130,7 @@
 	if err != nil {
 		return errors.Wrap(err, "listen to clients")
 	}
-	options := front.Options{
+	options := httpserver.Options{
 		Clients: clients, Table: p.table.Load, Ready: p.enough.Load, ConnectionShare: p.connectionShare,
 		Placer: p.placer, Retry: p.retry, Pool: p.pool, Log: p.log,
 		MostConnections: fileShare(p.settings, clientShare),
@@ -142,7 +142,7 @@
 			return errors.Wrap(err, "listen to readiness checks")
 		}
 	}
-	p.server = front.New(options)
+	p.server = httpserver.New(options)
 	return nil
 }
 
