--- a/cmd/rowan-agent/main.go
+++ b/cmd/rowan-agent/main.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/agent"
-	"rowanlink/serving/program"
+	processpkg "rowanlink/serving/process"
 	"rowanlink/serving/settings"
 )
 
@@ -19,10 +19,10 @@
 }
 
 func main() {
-	program.Main("rowan-agent", "Keep a proxy in touch with the serving system.", run, kong.Embed(&further))
+	processpkg.Main("rowan-agent", "Keep a proxy in touch with the serving system.", run, kong.Embed(&further))
 }
 
-func run(ctx context.Context, flags program.Flags, process *settings.Process, log *zerolog.Logger) error {
+func run(ctx context.Context, flags processpkg.Flags, process *settings.Process, log *zerolog.Logger) error {
 	return agent.Run(ctx, agent.Options{Settings: process, SettingsPath: flags.Settings, Log: log,
 		PollLoads: further.PollLoads})
 }
--- a/cmd/rowan-core/main.go
+++ b/cmd/rowan-core/main.go
@@ -7,14 +7,14 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/core"
-	"rowanlink/serving/program"
+	processpkg "rowanlink/serving/process"
 	"rowanlink/serving/settings"
 )
 
 func main() {
-	program.Main("rowan-core", "Hold a replica of the record and serve operators and endpoints.", run)
+	processpkg.Main("rowan-core", "Hold a replica of the record and serve operators and endpoints.", run)
 }
 
-func run(ctx context.Context, flags program.Flags, process *settings.Process, log *zerolog.Logger) error {
+func run(ctx context.Context, flags processpkg.Flags, process *settings.Process, log *zerolog.Logger) error {
 	return core.Run(ctx, core.Options{Settings: process, SettingsPath: flags.Settings, Log: log})
 }
--- a/cmd/rowan-proxy/main.go
+++ b/cmd/rowan-proxy/main.go
@@ -6,15 +6,15 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/serving/program"
+	processpkg "rowanlink/serving/process"
 	"rowanlink/serving/proxy"
 	"rowanlink/serving/settings"
 )
 
 func main() {
-	program.Main("rowan-proxy", "Carry clients' requests to the endpoints that serve them.", run)
+	processpkg.Main("rowan-proxy", "Carry clients' requests to the endpoints that serve them.", run)
 }
 
-func run(ctx context.Context, flags program.Flags, process *settings.Process, log *zerolog.Logger) error {
+func run(ctx context.Context, flags processpkg.Flags, process *settings.Process, log *zerolog.Logger) error {
 	return proxy.Run(ctx, process, flags.Settings, log)
 }
--- a/cmd/rowanctl/main.go
+++ b/cmd/rowanctl/main.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 
 	"rowanlink/serving/operator/client"
-	"rowanlink/serving/program"
+	"rowanlink/serving/process"
 )
 
 // grammar is the command line.
@@ -58,7 +58,7 @@
 func main() {
 	var line grammar
 	parsed := kong.Parse(&line, kong.Name("rowanctl"), kong.Description(description),
-		kong.Vars{"version": program.Version()}, kong.ShortUsageOnError(),
+		kong.Vars{"version": process.Version()}, kong.ShortUsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, NoExpandSubcommands: false}))
 	if err := run(&line, parsed); err != nil {
 		fmt.Fprintf(os.Stderr, "rowanctl: %v\n", err)
--- a/cmd/rowanstand/main.go
+++ b/cmd/rowanstand/main.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	"rowanlink/serving/operator/client"
-	"rowanlink/serving/program"
+	"rowanlink/serving/process"
 	"rowanlink/standin/endpoint"
 )
 
@@ -38,7 +38,7 @@
 func main() {
 	var line grammar
 	parsed := kong.Parse(&line, kong.Name("rowanstand"), kong.Description("Play the endpoints of a serving system."),
-		kong.Vars{"version": program.Version()}, kong.ShortUsageOnError())
+		kong.Vars{"version": process.Version()}, kong.ShortUsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	parsed.FatalIfErrorf(run(ctx, &line))
--- a/cmd/rowantrial/main.go
+++ b/cmd/rowantrial/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"rowanlink/serving/program"
+	"rowanlink/serving/process"
 )
 
 func main() {
@@ -19,7 +19,7 @@
 	parsed := kong.Parse(&line, kong.Name("rowantrial"), kong.UsageOnError(),
 		kong.Description("Compare variants of the serving system by pairs on the same days and seeds. Each VARIANT is "+
 			"NAME=REVISION or NAME=REVISION+PATCHFILE; REVISION may be WORKTREE. All are compared with the first one."),
-		kong.Vars{"version": program.Version()}, kong.BindTo(os.Stdout, (*io.Writer)(nil)))
+		kong.Vars{"version": process.Version()}, kong.BindTo(os.Stdout, (*io.Writer)(nil)))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	parsed.BindTo(ctx, (*context.Context)(nil))
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -14,7 +14,7 @@
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/loadreport"
 	"rowanlink/serving/member"
-	"rowanlink/serving/program"
+	processpkg "rowanlink/serving/process"
 	"rowanlink/serving/register"
 	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
@@ -114,7 +114,7 @@
 		if each.address == "" {
 			continue
 		}
-		if *each.into, err = program.Listen(ctx, each.address); err != nil {
+		if *each.into, err = processpkg.Listen(ctx, each.address); err != nil {
 			all.close()
 			return all, result.AgentAddressInUse.With("%s: %v", each.address, err)
 		}
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -17,7 +17,7 @@
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
-	"rowanlink/serving/program"
+	"rowanlink/serving/process"
 	"rowanlink/serving/quorum"
 	"rowanlink/serving/register"
 	"rowanlink/serving/result"
@@ -162,7 +162,7 @@
 }
 
 func listen(ctx context.Context, address string) (net.Listener, error) {
-	listener, err := program.Listen(ctx, address)
+	listener, err := process.Listen(ctx, address)
 	if err != nil {
 		return nil, result.CoreAddressInUse.With("%s: %v", address, err)
 	}
--- a/serving/program/memory_test.go
+++ b/serving/process/memory_test.go
@@ -1,4 +1,4 @@
-package program
+package process
 
 import (
 	"runtime/debug"
--- a/serving/program/program.go
+++ b/serving/process/program.go
@@ -1,6 +1,6 @@
-// Package program holds what the system's long-running programs have in common: their flags, log and limits, how
+// Package process holds what the system's long-running programs have in common: their flags, log and limits, how
 // they listen, and how they are told to end.
-package program
+package process
 
 import (
 	"context"
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/event"
 	"rowanlink/serving/httpserver"
 	"rowanlink/serving/placement"
-	"rowanlink/serving/program"
+	"rowanlink/serving/process"
 	"rowanlink/serving/retry"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/rpc"
@@ -126,7 +126,7 @@
 
 // listen opens the addresses for clients and for the platform.
 func (p *proxy) listen(ctx context.Context) error {
-	clients, err := program.Listen(ctx, p.settings.Bind.Front)
+	clients, err := process.Listen(ctx, p.settings.Bind.Front)
 	if err != nil {
 		return errors.Wrap(err, "listen to clients")
 	}
@@ -137,7 +137,7 @@
 		BodyMemory:      int64(bodyShare * float64(p.settings.Limits.MemoryMB) * megabyte),
 	}
 	if p.settings.Bind.Ready != "" {
-		options.Checks, err = program.Listen(ctx, p.settings.Bind.Ready)
+		options.Checks, err = process.Listen(ctx, p.settings.Bind.Ready)
 		if err != nil {
 			return errors.Wrap(err, "listen to readiness checks")
 		}
