--- a/cmd/rowanctl/config.go
+++ b/cmd/rowanctl/config.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/operator/client"
-	"rowanlink/serving/result"
 	"rowanlink/serving/routing"
 )
 
@@ -100,10 +100,10 @@
 		return err
 	}
 	if before.Version != c.Base {
-		return result.VersionConflict.With("version %d is current, not %d", before.Version, c.Base)
+		return errcode.VersionConflict.With("version %d is current, not %d", before.Version, c.Base)
 	}
 	if amendment.Version <= before.Version {
-		return result.VersionNotAbove.With("%d is not above %d", amendment.Version, before.Version)
+		return errcode.VersionNotAbove.With("%d is not above %d", amendment.Version, before.Version)
 	}
 	if _, err := routing.Parse(amendment.Apply(document)); err != nil {
 		return err
--- a/cmd/rowanctl/config_test.go
+++ b/cmd/rowanctl/config_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/operator"
-	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
 
@@ -123,7 +123,7 @@
 }
 
 func TestClearRefusalEndsAtOnce(t *testing.T) {
-	register := &fakeRegister{fails: &result.Error{Kind: result.Kind{Code: 999, Status: 412, Message: "other base"}}}
+	register := &fakeRegister{fails: &errcode.Error{Kind: errcode.Kind{Code: 999, Status: 412, Message: "other base"}}}
 	calls := 0
 	other := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls++ }))
 	s, _ := at(t, core(t, register), other)
--- a/internal/catalogue/lists.go
+++ b/internal/catalogue/lists.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strconv"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
-	"rowanlink/serving/result"
 	"rowanlink/serving/settings"
 )
 
@@ -62,7 +62,7 @@
 		columns: []string{"Code", "HTTP status", "Message", "What to do"},
 		byHand:  true,
 	}
-	for _, kind := range sorted(result.All()) {
+	for _, kind := range sorted(errcode.All()) {
 		code := fmt.Sprintf("R%04d", kind.Code)
 		l.rows = append(l.rows, []string{code, strconv.Itoa(kind.Status), kind.Message})
 	}
--- a/serving/agent/feedserver.go
+++ b/serving/agent/feedserver.go
@@ -6,7 +6,7 @@
 
 	"rowanlink/internal/pause"
 	"rowanlink/serving/actor"
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 	"rowanlink/serving/subscription"
 )
@@ -56,7 +56,7 @@
 		seen, ok := s.look(request.Since)
 		switch {
 		case !ok:
-			return nil, result.AgentEnding.With("")
+			return nil, errcode.AgentEnding.With("")
 		case seen.more:
 			return seen.response, nil
 		}
@@ -91,7 +91,7 @@
 		return b.news.nothing(since)
 	})
 	if !ok {
-		return nil, result.AgentEnding.With("")
+		return nil, errcode.AgentEnding.With("")
 	}
 	return seen, nil
 }
--- a/serving/agent/lookup.go
+++ b/serving/agent/lookup.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -30,10 +30,10 @@
 func (h *lookupHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path != lookupPath:
-		refuse(w, result.DirectoryNotFound)
+		refuse(w, errcode.DirectoryNotFound)
 	case r.Method != http.MethodGet:
 		w.Header().Set("Allow", http.MethodGet)
-		refuse(w, result.DirectoryWrongVerb)
+		refuse(w, errcode.DirectoryWrongVerb)
 	default:
 		h.lookup(w, r)
 	}
@@ -41,7 +41,7 @@
 
 func (h *lookupHandler) lookup(w http.ResponseWriter, r *http.Request) {
 	if !h.settled() {
-		refuse(w, result.DirectoryEmpty)
+		refuse(w, errcode.DirectoryEmpty)
 		return
 	}
 	query := r.URL.Query()
@@ -51,7 +51,7 @@
 	addresses := choose(live, client, h.random)
 	h.mutex.Unlock()
 	if len(addresses) == 0 {
-		refuse(w, result.DirectoryEmpty)
+		refuse(w, errcode.DirectoryEmpty)
 		return
 	}
 	keep := ttl
@@ -61,7 +61,7 @@
 	answer(w, http.StatusOK, lookupAnswer{Addresses: addresses, TTLSeconds: keep.Seconds()})
 }
 
-func refuse(w http.ResponseWriter, kind result.Kind) {
+func refuse(w http.ResponseWriter, kind errcode.Kind) {
 	answer(w, kind.Status, lookupError{Error: kind.Message, Code: uint16(kind.Code)})
 }
 
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -11,12 +11,12 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/loadreport"
 	"rowanlink/serving/member"
 	processpkg "rowanlink/serving/process"
 	"rowanlink/serving/register"
-	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
@@ -116,7 +116,7 @@
 		}
 		if *each.into, err = processpkg.Listen(ctx, each.address); err != nil {
 			all.close()
-			return all, result.AgentAddressInUse.With("%s: %v", each.address, err)
+			return all, errcode.AgentAddressInUse.With("%s: %v", each.address, err)
 		}
 	}
 	return all, nil
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/inspect"
-	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
@@ -99,5 +99,5 @@
 	cancel() // no time for the process before this one to go
 	log := zerolog.Nop()
 	err = Run(hurried, Options{Settings: process, SettingsPath: path, Log: &log})
-	assert.True(t, result.AgentAddressInUse.Is(err))
+	assert.True(t, errcode.AgentAddressInUse.Is(err))
 }
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -13,6 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints/exchange"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
 	"rowanlink/serving/inspect"
 	"rowanlink/serving/member"
@@ -20,7 +21,6 @@
 	"rowanlink/serving/process"
 	"rowanlink/serving/quorum"
 	"rowanlink/serving/register"
-	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
@@ -164,7 +164,7 @@
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := process.Listen(ctx, address)
 	if err != nil {
-		return nil, result.CoreAddressInUse.With("%s: %v", address, err)
+		return nil, errcode.CoreAddressInUse.With("%s: %v", address, err)
 	}
 	return listener, nil
 }
--- a/serving/result/register.go
+++ b/serving/errcode/register.go
@@ -1,4 +1,4 @@
-package result
+package errcode
 
 import "net/http"
 
--- a/serving/result/result.go
+++ b/serving/errcode/result.go
@@ -1,7 +1,7 @@
-// Package result numbers the errors that the system's programs give to callers. docs/result-codes.md lists every
+// Package errcode numbers the errors that the system's programs give to callers. docs/result-codes.md lists every
 // number with its meaning and what to do; a test holds the two together. Each part of the system has a block of
 // a hundred numbers in a file of its own.
-package result
+package errcode
 
 import (
 	"fmt"
--- a/serving/httpserver/ending.go
+++ b/serving/httpserver/ending.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"rowanlink/serving/attempt"
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // refusedComeBackShare of the route's target is about what a client is told to wait whose request was refused: long
@@ -19,12 +19,12 @@
 		f.fail()
 		return
 	}
-	f.refuse(result.NotRun, 0)
+	f.refuse(errcode.NotRun, 0)
 }
 
 // refuse promises that nothing has run and tells the client when to come back. Where something may have run, the
 // request has failed instead.
-func (f *flow) refuse(kind result.Kind, wanted time.Duration) {
+func (f *flow) refuse(kind errcode.Kind, wanted time.Duration) {
 	if f.mayHaveRun || f.stream.begun {
 		f.fail()
 		return
@@ -41,7 +41,7 @@
 		f.fail()
 		return
 	}
-	answerOwn(f.writer, result.NotRunInTime, 0)
+	answerOwn(f.writer, errcode.NotRunInTime, 0)
 }
 
 // fail answers a request that may have run: by the endpoint's own error where there is one.
@@ -52,9 +52,9 @@
 	case f.held != nil:
 		f.held.write(f.writer)
 	case f.last == attempt.TimedOut || !time.Now().Before(f.end):
-		answerOwn(f.writer, result.DeadlinePassed, 0)
+		answerOwn(f.writer, errcode.DeadlinePassed, 0)
 	default:
-		answerOwn(f.writer, result.EndpointBroke, 0)
+		answerOwn(f.writer, errcode.EndpointBroke, 0)
 	}
 }
 
--- a/serving/httpserver/flow.go
+++ b/serving/httpserver/flow.go
@@ -9,8 +9,8 @@
 
 	"rowanlink/internal/pause"
 	"rowanlink/serving/attempt"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/placement"
-	"rowanlink/serving/result"
 	"rowanlink/serving/retry"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/upstream"
@@ -110,7 +110,7 @@
 				f.abort()
 			}
 		default:
-			f.refuse(result.NoCapacity, verdict.Delay)
+			f.refuse(errcode.NoCapacity, verdict.Delay)
 			return placement.Choice{}, false
 		}
 	}
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/routing"
 )
 
@@ -27,16 +27,16 @@
 	w = &headWriter{ResponseWriter: w, server: s}
 	table := s.options.Table()
 	if table == nil {
-		s.turnAway(w, r, arrived, result.NoConfiguration, unknownComeBack)
+		s.turnAway(w, r, arrived, errcode.NoConfiguration, unknownComeBack)
 		return
 	}
 	if s.refusing.Load() {
-		s.turnAway(w, r, arrived, result.Ending, endingComeBack)
+		s.turnAway(w, r, arrived, errcode.Ending, endingComeBack)
 		return
 	}
 	route, found := table.Match(r.Host, pathOf(target(r)))
 	if !found {
-		s.turnAway(w, r, arrived, result.NoRoute, 0)
+		s.turnAway(w, r, arrived, errcode.NoRoute, 0)
 		return
 	}
 	read := request{http: r, table: table, route: route, arrivedAt: arrived,
@@ -75,7 +75,7 @@
 func (s *Server) read(to *request, limits routing.Limits) error {
 	r := to.http
 	if limits.HeaderBytes > 0 && headSize(r) > limits.HeaderBytes {
-		return result.HeadTooLarge.With("over %d bytes", limits.HeaderBytes)
+		return errcode.HeadTooLarge.With("over %d bytes", limits.HeaderBytes)
 	}
 	client := connectionOf(r.Context())
 	if client != nil {
@@ -108,7 +108,7 @@
 	if errors.Is(err, errClientGone) {
 		panic(http.ErrAbortHandler)
 	}
-	kind := result.Of(err).Kind
+	kind := errcode.Of(err).Kind
 	w.Header().Set("Connection", "close")
 	retryAfter := time.Duration(0)
 	if kind.Status == http.StatusServiceUnavailable {
@@ -118,7 +118,7 @@
 }
 
 // turnAway answers a request that is not even tried. Its body is read all the same, so that the answer arrives.
-func (s *Server) turnAway(w http.ResponseWriter, r *http.Request, arrived time.Time, kind result.Kind,
+func (s *Server) turnAway(w http.ResponseWriter, r *http.Request, arrived time.Time, kind errcode.Kind,
 	wanted time.Duration) {
 	end := deadline(arrived, r.Header, defaultHold)
 	if client := connectionOf(r.Context()); client != nil {
--- a/serving/httpserver/plain.go
+++ b/serving/httpserver/plain.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 
 	"rowanlink/serving/attempt"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/placement"
-	"rowanlink/serving/result"
 	"rowanlink/serving/upstream"
 )
 
@@ -28,7 +28,7 @@
 // write passes the answer on, unless its status would promise that a request has not run which may have.
 func (r *reply) write(w http.ResponseWriter) {
 	if upstream.Promise(r.status) {
-		answerOwn(w, result.EndpointBroke, 0)
+		answerOwn(w, errcode.EndpointBroke, 0)
 		return
 	}
 	copyHead(w.Header(), r.header)
--- a/serving/httpserver/refuse.go
+++ b/serving/httpserver/refuse.go
@@ -6,17 +6,17 @@
 	"strconv"
 	"time"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // ownAnswer is the body of an answer that no endpoint gave.
 type ownAnswer struct {
-	Error string      `json:"error"`
-	Code  result.Code `json:"code"`
+	Error string       `json:"error"`
+	Code  errcode.Code `json:"code"`
 }
 
 // answerOwn answers a request by a numbered error. A retryAfter above zero tells the client when to come back.
-func answerOwn(w http.ResponseWriter, kind result.Kind, retryAfter time.Duration) {
+func answerOwn(w http.ResponseWriter, kind errcode.Kind, retryAfter time.Duration) {
 	body, err := json.Marshal(ownAnswer{Error: kind.Message, Code: kind.Code})
 	if err != nil { // neither a string nor a number fails
 		body = nil
--- a/serving/httpserver/request.go
+++ b/serving/httpserver/request.go
@@ -11,8 +11,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/placement"
-	"rowanlink/serving/result"
 	"rowanlink/serving/routing"
 )
 
@@ -93,10 +93,10 @@
 		limit = defaultBody
 	}
 	if r.ContentLength > int64(limit) {
-		return nil, result.BodyTooLarge.With("%d bytes", r.ContentLength)
+		return nil, errcode.BodyTooLarge.With("%d bytes", r.ContentLength)
 	}
 	if !memory.take(r.ContentLength) {
-		return nil, result.BodiesTooMany.With("%d bytes", r.ContentLength)
+		return nil, errcode.BodiesTooMany.With("%d bytes", r.ContentLength)
 	}
 	if r.ContentLength > 0 && r.ContentLength <= smallBody {
 		body = make([]byte, r.ContentLength)
@@ -112,11 +112,11 @@
 	}
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, result.BodyLate.With("%v", err)
+		return nil, errcode.BodyLate.With("%v", err)
 	case err != nil:
 		return nil, errors.CombineErrors(errClientGone, err)
 	case len(body) > limit:
-		return nil, result.BodyTooLarge.With("over %d bytes", limit)
+		return nil, errcode.BodyTooLarge.With("over %d bytes", limit)
 	}
 	return body, nil
 }
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"rowanlink/serving/actor"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/result"
 )
 
 // serve registers the calls of other members.
@@ -34,7 +34,7 @@
 		return response
 	})
 	if !ok {
-		return nil, result.MeshClosed.With("%s", m.options.Self.Name)
+		return nil, errcode.MeshClosed.With("%s", m.options.Self.Name)
 	}
 	return &response, nil
 }
--- a/serving/member/mesh_test.go
+++ b/serving/member/mesh_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/singleton"
@@ -127,7 +127,7 @@
 	assert.True(t, ok, "a core member was asked first")
 	assert.Equal(t, entry.Value, got.Value)
 	err := all[0].mesh.PutReplicated(ctx, entry, nil, 9)
-	assert.True(t, result.TooFewMembers.Is(err))
+	assert.True(t, errcode.TooFewMembers.Is(err))
 
 	holding := singleton.Holding{}
 	for _, process := range all {
--- a/serving/member/replicate.go
+++ b/serving/member/replicate.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
 
@@ -24,7 +24,7 @@
 		return n.replicaTargets(addresses)
 	})
 	if len(targets) < copies {
-		return result.TooFewMembers.With("%d of %d", len(targets), copies)
+		return errcode.TooFewMembers.With("%d of %d", len(targets), copies)
 	}
 	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -109,12 +109,12 @@
 				continue
 			}
 			if !r.askNext(ctx) && r.waiting == 0 {
-				return result.NotAcknowledged.With("%d of %d", acknowledged, copies)
+				return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
 			}
 		case <-hedge.C:
 			r.askNext(ctx)
 		case <-ctx.Done():
-			return result.NotAcknowledged.With("%d of %d", acknowledged, copies)
+			return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
 		}
 	}
 	return nil
--- a/serving/member/replicate_test.go
+++ b/serving/member/replicate_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/result"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
@@ -98,8 +98,8 @@
 	fakes := newFakeMembers(t, acknowledges, fails, fails)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	assert.True(t, result.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 2)))
-	assert.True(t, result.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 4)))
+	assert.True(t, errcode.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 2)))
+	assert.True(t, errcode.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 4)))
 	_, found := fakes.mesh.Get(gossip.TableEndpoints, "e")
 	assert.True(t, found, "it is spread all the same")
 }
@@ -123,16 +123,16 @@
 	require.NoError(t, fakes.mesh.PutReplicated(ctx, replicated, others, 2))
 	for _, address := range others {
 		only := []string{address}
-		assert.True(t, result.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, only, 2)))
+		assert.True(t, errcode.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, only, 2)))
 	}
-	assert.True(t, result.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, []string{"elsewhere:1"}, 1)))
+	assert.True(t, errcode.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, []string{"elsewhere:1"}, 1)))
 }
 
 func TestReplicationEndsWithItsContext(t *testing.T) {
 	fakes := newFakeMembers(t, hangs, hangs)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.True(t, result.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 1)))
+	assert.True(t, errcode.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 1)))
 }
 
 func TestNothingHangsAfterClose(t *testing.T) {
--- a/serving/operator/answer.go
+++ b/serving/operator/answer.go
@@ -9,13 +9,13 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // failure is the body of an answer that is no success.
 type failure struct {
-	Error string      `json:"error"`
-	Code  result.Code `json:"code"`
+	Error string       `json:"error"`
+	Code  errcode.Code `json:"code"`
 }
 
 // empty is the body of a success that has nothing to say.
@@ -23,7 +23,7 @@
 
 // writeError answers with the status of the error's numbered kind.
 func writeError(w http.ResponseWriter, err error) {
-	numbered := result.Of(err)
+	numbered := errcode.Of(err)
 	body, failed := json.Marshal(failure{Error: numbered.Error(), Code: numbered.Kind.Code})
 	if failed != nil {
 		body = empty
@@ -41,7 +41,7 @@
 // readBody reads a body of limit bytes at most. Errors are result.OrderTooLarge and result.OrderIncomplete.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
-		return nil, result.OrderTooLarge.With("%d bytes, %d may come", r.ContentLength, limit)
+		return nil, errcode.OrderTooLarge.With("%d bytes, %d may come", r.ContentLength, limit)
 	}
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
@@ -53,16 +53,16 @@
 	case err == nil:
 		return body.Bytes(), nil
 	case errors.As(err, &tooLarge):
-		return nil, result.OrderTooLarge.With("more than %d bytes", limit)
+		return nil, errcode.OrderTooLarge.With("more than %d bytes", limit)
 	default:
-		return nil, result.OrderIncomplete.With("%v", err)
+		return nil, errcode.OrderIncomplete.With("%v", err)
 	}
 }
 
 // orderError keeps an error by which the committed record refuses an order, and makes all others the given kind: the
 // caller asks again.
-func orderError(err error, otherwise result.Kind) error {
-	switch numbered := result.Of(err); numbered.Kind.Status {
+func orderError(err error, otherwise errcode.Kind) error {
+	switch numbered := errcode.Of(err); numbered.Kind.Status {
 	case http.StatusBadRequest, http.StatusPreconditionFailed:
 		return numbered
 	default:
--- a/serving/operator/clearance.go
+++ b/serving/operator/clearance.go
@@ -6,8 +6,8 @@
 
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
-	"rowanlink/serving/result"
 )
 
 // ClearanceResource holds the evacuations of zones.
@@ -28,14 +28,14 @@
 func (c *ClearanceResource) set(w http.ResponseWriter, r *http.Request, active bool) {
 	zone := r.PathValue("zone")
 	if _, known := c.regions[zone]; !known {
-		writeError(w, result.ZoneUnknown.With("%q", zone))
+		writeError(w, errcode.ZoneUnknown.With("%q", zone))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), orderLimit)
 	defer cancel()
 	if err := c.register.SetEvacuation(ctx, zone, active); err != nil {
 		event.OrderWithoutAnswer.Log(c.log).Str("zone", zone).Bool("active", active).Err(err).Send()
-		writeError(w, result.OrderUnclear.With("%v", err))
+		writeError(w, errcode.OrderUnclear.With("%v", err))
 		return
 	}
 	event.EvacuationAcknowledged.Log(c.log).Str("zone", zone).Bool("active", active).Send()
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoints.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
 	"rowanlink/serving/quorum"
-	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
 
@@ -44,7 +44,7 @@
 	}
 	endpoint, change, ok := e.endpoints.Beat(r.PathValue("id"), beat)
 	if !ok {
-		writeError(w, result.MemberStopping.With(""))
+		writeError(w, errcode.MemberStopping.With(""))
 		return
 	}
 	e.logBeat(endpoint, change)
@@ -60,7 +60,7 @@
 func (e *EndpointsResource) SignOff(w http.ResponseWriter, r *http.Request) {
 	endpoint, change, ok := e.endpoints.SignOff(r.PathValue("id"))
 	if !ok {
-		writeError(w, result.MemberStopping.With(""))
+		writeError(w, errcode.MemberStopping.With(""))
 		return
 	}
 	if change.Spread {
@@ -82,7 +82,7 @@
 			e.spread.Put(endpoint)
 		}
 		if !e.contact.InTouch() {
-			return result.NotReplicated.With("endpoint %s: too few voters are live", endpoint.ID)
+			return errcode.NotReplicated.With("endpoint %s: too few voters are live", endpoint.ID)
 		}
 		return nil
 	}
@@ -91,13 +91,13 @@
 	}
 	others, copies, known := e.contact.Others()
 	if !known {
-		return result.NotReplicated.With("endpoint %s: the voters aren't known yet", endpoint.ID)
+		return errcode.NotReplicated.With("endpoint %s: the voters aren't known yet", endpoint.ID)
 	}
 	limited, cancel := context.WithTimeout(ctx, replicationLimit)
 	defer cancel()
 	if err := e.spread.PutReplicated(limited, endpoint, others, copies); err != nil {
 		event.EndpointNotReplicated.Log(e.log).Str("endpoint", endpoint.ID).Err(err).Send()
-		return result.NotReplicated.With("endpoint %s: %v", endpoint.ID, err)
+		return errcode.NotReplicated.With("endpoint %s: %v", endpoint.ID, err)
 	}
 	e.endpoints.Copied(endpoint)
 	return nil
--- a/serving/operator/fuzz_test.go
+++ b/serving/operator/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // heartbeatDocument is a heartbeat as an endpoint writes it.
@@ -40,7 +40,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		beat, err := readHeartbeat(body)
 		if err != nil {
-			assert.True(t, result.HeartbeatUnreadable.Is(err), "%v", err)
+			assert.True(t, errcode.HeartbeatUnreadable.Is(err), "%v", err)
 			return
 		}
 		assert.NotEmpty(t, beat.Service)
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/schema"
 	"rowanlink/serving/state"
 )
@@ -59,7 +59,7 @@
 func readHeartbeat(body []byte) (endpoints.Beat, error) {
 	var beat endpoints.Beat
 	if err := heartbeatSettings.Parse(body, &beat); err != nil {
-		return beat, result.HeartbeatUnreadable.With("%s", result.Of(err).Detail)
+		return beat, errcode.HeartbeatUnreadable.With("%s", errcode.Of(err).Detail)
 	}
 	return beat, nil
 }
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/quorum"
-	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
 
@@ -87,7 +87,7 @@
 	mux.HandleFunc("POST /Endpoints.Beat/{id}", calls.Beat)
 	mux.HandleFunc("POST /Endpoints.SignOff/{id}", calls.SignOff)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		writeError(w, result.ResourceUnknown.With("%s %s", r.Method, r.URL.Path))
+		writeError(w, errcode.ResourceUnknown.With("%s %s", r.Method, r.URL.Path))
 	})
 	return mux
 }
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -57,15 +57,15 @@
 	tests := []struct {
 		name, body, header string
 		status             int
-		code               result.Code
+		code               errcode.Code
 	}{
-		{"no base", validDocument, "X-Other: 1", 400, result.BaseUnreadable.Code},
-		{"base is no number", validDocument, "X-Based-On: new", 400, result.BaseUnreadable.Code},
-		{"negative base", validDocument, "X-Based-On: -1", 400, result.BaseUnreadable.Code},
-		{"cut short", validDocument[:20], basedOnZero, 400, result.DocumentUnreadable.Code},
-		{"empty", "", basedOnZero, 400, result.DocumentUnreadable.Code},
-		{"wrong type", `{"edition":7,"routings":3}`, basedOnZero, 400, result.FieldInvalid.Code},
-		{"too large", strings.Repeat(" ", documentMost+1), basedOnZero, 413, result.OrderTooLarge.Code},
+		{"no base", validDocument, "X-Other: 1", 400, errcode.BaseUnreadable.Code},
+		{"base is no number", validDocument, "X-Based-On: new", 400, errcode.BaseUnreadable.Code},
+		{"negative base", validDocument, "X-Based-On: -1", 400, errcode.BaseUnreadable.Code},
+		{"cut short", validDocument[:20], basedOnZero, 400, errcode.DocumentUnreadable.Code},
+		{"empty", "", basedOnZero, 400, errcode.DocumentUnreadable.Code},
+		{"wrong type", `{"edition":7,"routings":3}`, basedOnZero, 400, errcode.FieldInvalid.Code},
+		{"too large", strings.Repeat(" ", documentMost+1), basedOnZero, 413, errcode.OrderTooLarge.Code},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 
 // TestReplaceAnswersWhatTheRegisterSays: only the committed record may refuse an order.
 func TestReplaceAnswersWhatTheRegisterSays(t *testing.T) {
-	refusal := func(status int) error { return result.Kind{Code: 9999, Status: status}.With("") }
+	refusal := func(status int) error { return errcode.Kind{Code: 9999, Status: status}.With("") }
 	for _, test := range []struct {
 		err    error
 		status int
@@ -151,7 +151,7 @@
 		assert.Equal(t, []state.Evacuation{{Zone: "z1", Active: order.active}}, f.register.record.Evacuations)
 	}
 	assert.Equal(t, 404, f.call("POST", "/Clearance.Begin/z9", "").Code)
-	f.register.failAt = map[int]error{5: errNoMajority, 6: result.Kind{Code: 9999, Status: 400}.With("")}
+	f.register.failAt = map[int]error{5: errNoMajority, 6: errcode.Kind{Code: 9999, Status: 400}.With("")}
 	assert.Equal(t, 503, f.call("POST", "/Clearance.Begin/z1", "").Code)
 	assert.Equal(t, 503, f.call("POST", "/Clearance.Begin/z1", "").Code, "a proper order never gets a 4xx")
 }
--- a/serving/operator/settings.go
+++ b/serving/operator/settings.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
-	"rowanlink/serving/result"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
 )
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), orderLimit)
 	defer cancel()
 	if err := change(ctx); err != nil {
-		s.answerFailure(w, orderError(err, result.OrderUnclear), version)
+		s.answerFailure(w, orderError(err, errcode.OrderUnclear), version)
 		return
 	}
 	event.ConfigurationAcknowledged.Log(s.log).Uint64("version", version).Send()
@@ -70,7 +70,7 @@
 
 func (s *SettingsResource) answerFailure(w http.ResponseWriter, err error, version uint64) {
 	kind := event.ConfigurationRefused
-	if result.OrderUnclear.Is(err) {
+	if errcode.OrderUnclear.Is(err) {
 		kind = event.OrderWithoutAnswer
 	}
 	kind.Log(s.log).Uint64("version", version).Err(err).Send()
@@ -105,7 +105,7 @@
 func readBasedOn(text string) (uint64, error) {
 	version, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(text), `"`), 10, 64)
 	if err != nil {
-		return 0, result.BaseUnreadable.With("%s: %q", basedOnHeader, text)
+		return 0, errcode.BaseUnreadable.With("%s: %q", basedOnHeader, text)
 	}
 	return version, nil
 }
@@ -124,7 +124,7 @@
 	defer cancel()
 	record, err := s.register.Read(ctx)
 	if err != nil {
-		writeError(w, result.NoQuorum.With("%v", err))
+		writeError(w, errcode.NoQuorum.With("%v", err))
 		return
 	}
 	document, err := openConfiguration(record.Configuration)
--- a/serving/register/change.go
+++ b/serving/register/change.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"rowanlink/serving/actor"
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -46,7 +46,7 @@
 		return verdict{}
 	}
 	if c.begun && newest.Record.Revision >= c.revision+rememberedChanges {
-		return verdict{refusal: result.RegisterUnclear.With("too many changes since the first try")}
+		return verdict{refusal: errcode.RegisterUnclear.With("too many changes since the first try")}
 	}
 	record, err := c.update(newest.Record)
 	switch {
@@ -70,12 +70,12 @@
 // abandoned is the error of a change whose context ended.
 func (c *change) abandoned(last error) error {
 	if c.begun {
-		return result.RegisterUnclear.With("%v", last)
+		return errcode.RegisterUnclear.With("%v", last)
 	}
-	if result.RegisterNotReady.Is(last) {
+	if errcode.RegisterNotReady.Is(last) {
 		return last
 	}
-	return result.RegisterUnavailable.With("%v", last)
+	return errcode.RegisterUnavailable.With("%v", last)
 }
 
 // try runs both rounds once.
--- a/serving/register/history_test.go
+++ b/serving/register/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -170,9 +170,9 @@
 		h.mutex.Lock()
 		h.accepted = append(h.accepted, sent)
 		h.mutex.Unlock()
-	case result.RegisterUnclear.Is(err):
+	case errcode.RegisterUnclear.Is(err):
 		h.note(client, in, output{unclear: true}, call)
-	case result.VersionConflict.Is(err) || result.VersionNotAbove.Is(err):
+	case errcode.VersionConflict.Is(err) || errcode.VersionNotAbove.Is(err):
 		h.note(client, in, output{}, call)
 		h.mutex.Lock()
 		h.refused = append(h.refused, sent)
@@ -245,7 +245,7 @@
 	defer s.history.mutex.Unlock()
 	if err == nil {
 		s.history.zones[zone] = active
-	} else if result.RegisterUnclear.Is(err) {
+	} else if errcode.RegisterUnclear.Is(err) {
 		delete(s.history.zones, zone)
 	}
 	return err
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -126,9 +126,9 @@
 	inSimulation(t, 3, func(t *testing.T, s *simulation) {
 		s.isolate(s.machines[0], true)
 		err := s.replace(s.machines[0], 1, 0, 3)
-		assert.True(t, result.RegisterUnavailable.Is(err), "%v", err)
+		assert.True(t, errcode.RegisterUnavailable.Is(err), "%v", err)
 		_, err = s.read(s.machines[0], 1)
-		assert.True(t, result.RegisterUnavailable.Is(err), "%v", err)
+		assert.True(t, errcode.RegisterUnavailable.Is(err), "%v", err)
 		s.heal()
 	})
 }
@@ -155,7 +155,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, err := node.Change(ctx, SetEvacuation("z", true))
-		assert.True(t, result.RegisterUnavailable.Is(err), "%v", err)
+		assert.True(t, errcode.RegisterUnavailable.Is(err), "%v", err)
 		time.Sleep(time.Second)
 		record, err := node.Read(t.Context())
 		require.NoError(t, err)
@@ -178,9 +178,9 @@
 			require.NoError(t, failed)
 			assert.False(t, record.Evacuated("z"), "given up after %d ms", point)
 			switch {
-			case result.RegisterUnavailable.Is(err):
+			case errcode.RegisterUnavailable.Is(err):
 				unavailable++
-			case result.RegisterUnclear.Is(err):
+			case errcode.RegisterUnclear.Is(err):
 				unclear++
 			}
 		})
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -7,7 +7,7 @@
 
 	"rowanlink/internal/pause"
 	"rowanlink/serving/actor"
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -55,7 +55,7 @@
 	case p.turn <- struct{}{}:
 		defer func() { <-p.turn }()
 	case <-ctx.Done():
-		return state.Record{}, result.RegisterUnavailable.With("earlier changes took too long")
+		return state.Record{}, errcode.RegisterUnavailable.With("earlier changes took too long")
 	}
 	change := p.newChange(update)
 	record, err := p.carryOut(ctx, change)
@@ -153,4 +153,4 @@
 	return wait
 }
 
-func errNotReady() error { return result.RegisterNotReady.With("") }
+func errNotReady() error { return errcode.RegisterNotReady.With("") }
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"rowanlink/internal/pause"
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -29,10 +29,10 @@
 			return p.Change(ctx, unchanged)
 		}
 	}
-	if result.RegisterNotReady.Is(last) {
+	if errcode.RegisterNotReady.Is(last) {
 		return state.Record{}, last
 	}
-	return state.Record{}, result.RegisterUnavailable.With("%v", last)
+	return state.Record{}, errcode.RegisterUnavailable.With("%v", last)
 }
 
 // query asks the replicas what they have accepted until a majority has answered, and a little longer where that
--- a/serving/register/takepart.go
+++ b/serving/register/takepart.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 
 	"rowanlink/internal/pause"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
-	"rowanlink/serving/result"
 	"rowanlink/serving/state"
 )
 
@@ -150,7 +150,7 @@
 		return err
 	}
 	if len(n.Replicas().Replicas) == 0 {
-		return result.RegisterNotReady.With("no other process knows the replicas")
+		return errcode.RegisterNotReady.With("no other process knows the replicas")
 	}
 	own, err := n.ownReplica()
 	if err != nil {
--- a/serving/register/updates.go
+++ b/serving/register/updates.go
@@ -5,7 +5,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
 
@@ -64,11 +64,11 @@
 	case record.WasAccepted(order.Version, order.Digest):
 		return ErrNoChange
 	case basedOn != current && order.Version <= record.ForgottenVersion:
-		return result.RegisterUnclear.With("version %d may have been in force long ago", order.Version)
+		return errcode.RegisterUnclear.With("version %d may have been in force long ago", order.Version)
 	case basedOn != current:
-		return result.VersionConflict.With("version %d is current, not %d", current, basedOn)
+		return errcode.VersionConflict.With("version %d is current, not %d", current, basedOn)
 	case order.Version <= current:
-		return result.VersionNotAbove.With("%d is not above %d", order.Version, current)
+		return errcode.VersionNotAbove.With("%d is not above %d", order.Version, current)
 	}
 	return nil
 }
--- a/serving/register/updates_test.go
+++ b/serving/register/updates_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
 )
@@ -33,10 +33,10 @@
 	}{
 		{"the current one again", 3, configuration(7, "b"), isNoChange},
 		{"an earlier one again", 0, configuration(3, "a"), isNoChange},
-		{"another document under the current number", 3, configuration(7, "c"), result.VersionConflict.Is},
-		{"on an older version", 3, configuration(9, "c"), result.VersionConflict.Is},
-		{"on a version to come", 8, configuration(9, "c"), result.VersionConflict.Is},
-		{"a number that is not above", 7, configuration(7, "c"), result.VersionNotAbove.Is},
+		{"another document under the current number", 3, configuration(7, "c"), errcode.VersionConflict.Is},
+		{"on an older version", 3, configuration(9, "c"), errcode.VersionConflict.Is},
+		{"on a version to come", 8, configuration(9, "c"), errcode.VersionConflict.Is},
+		{"a number that is not above", 7, configuration(7, "c"), errcode.VersionNotAbove.Is},
 	} {
 		_, err := ReplaceConfiguration(tried.basedOn, tried.sent)(second)
 		assert.True(t, tried.expected(err), "%s: %v", tried.name, err)
@@ -70,9 +70,9 @@
 	}{
 		{"again at once", amended, 3, order, isNoChange},
 		{"again after another change", third, 3, order, isNoChange},
-		{"another amendment on the same base", amended, 3, other, result.VersionConflict.Is},
-		{"on a version to come", amended, 7, other, result.VersionConflict.Is},
-		{"a number that is not above", amended, 5, other, result.VersionNotAbove.Is},
+		{"another amendment on the same base", amended, 3, other, errcode.VersionConflict.Is},
+		{"on a version to come", amended, 7, other, errcode.VersionConflict.Is},
+		{"a number that is not above", amended, 5, other, errcode.VersionNotAbove.Is},
 	} {
 		_, err := AmendConfiguration(tried.basedOn, tried.order, amend)(tried.record)
 		assert.True(t, tried.expected(err), "%s: %v", tried.name, err)
@@ -82,8 +82,8 @@
 	_, err = ReplaceConfiguration(3, configuration(5, "a, amended"))(amended)
 	assert.Equal(t, ErrNoChange, err, "a replacement by what is in force")
 	_, err = AmendConfiguration(9, other, amend)(third)
-	assert.True(t, result.VersionNotAbove.Is(err), "%v", err)
-	refusal := result.ServiceUnknown.With("x")
+	assert.True(t, errcode.VersionNotAbove.Is(err), "%v", err)
+	refusal := errcode.ServiceUnknown.With("x")
 	_, err = AmendConfiguration(9, state.Accepted{Version: 10}, func(state.Configuration) (state.Configuration, error) {
 		return state.Configuration{}, refusal
 	})(third)
@@ -118,17 +118,17 @@
 	for version := range uint64(state.HistoryLimit + 20) {
 		_, err := ReplaceConfiguration(version, configuration(version+1, fmt.Sprint(version)))(record)
 		if version+1 <= 20 {
-			assert.True(t, result.RegisterUnclear.Is(err), "version %d: %v", version+1, err)
+			assert.True(t, errcode.RegisterUnclear.Is(err), "version %d: %v", version+1, err)
 		} else {
 			assert.Equal(t, ErrNoChange, err, "version %d", version+1)
 		}
 	}
 	_, err := AmendConfiguration(19, state.Accepted{Version: 20}, nil)(record)
-	assert.True(t, result.RegisterUnclear.Is(err), "%v", err)
+	assert.True(t, errcode.RegisterUnclear.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(20, configuration(21, "another document"))(record)
-	assert.True(t, result.VersionConflict.Is(err), "%v", err)
+	assert.True(t, errcode.VersionConflict.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(state.HistoryLimit+20, configuration(7, "on the newest"))(record)
-	assert.True(t, result.VersionNotAbove.Is(err), "%v", err)
+	assert.True(t, errcode.VersionNotAbove.Is(err), "%v", err)
 }
 
 func TestSetEvacuation(t *testing.T) {
--- a/serving/routing/amend.go
+++ b/serving/routing/amend.go
@@ -10,7 +10,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 	"rowanlink/serving/schema"
 )
 
@@ -74,7 +74,7 @@
 		return nil
 	}
 	if !lists.IsObject() {
-		return result.FieldInvalid.With("%s must be an object of lists", field)
+		return errcode.FieldInvalid.With("%s must be an object of lists", field)
 	}
 	lists.ForEach(func(key, items gjson.Result) bool {
 		failed = a.eachOfList(field+"."+key.Str, key.Str, items, take)
@@ -86,13 +86,13 @@
 func (a *Amendment) eachOfList(place, name string, items gjson.Result,
 	take func(list *listAmendment, place string, item gjson.Result) error) (failed error) {
 	if !slices.Contains(amendableLists, name) {
-		return result.AmendedListUnknown.With("%s", place)
+		return errcode.AmendedListUnknown.With("%s", place)
 	}
 	if items.Type == gjson.Null {
 		return nil
 	}
 	if !items.IsArray() {
-		return result.FieldInvalid.With("%s must be a list", place)
+		return errcode.FieldInvalid.With("%s must be a list", place)
 	}
 	list := a.lists[name]
 	if list == nil {
@@ -110,10 +110,10 @@
 func (l *listAmendment) addItem(place string, item gjson.Result) error {
 	name := nameOf(item)
 	if name == "" {
-		return result.AmendedItemUnnamed.With("%s", place)
+		return errcode.AmendedItemUnnamed.With("%s", place)
 	}
 	if _, twice := l.items[name]; twice {
-		return result.AmendedNameTwice.With("%s: %q", place, name)
+		return errcode.AmendedNameTwice.With("%s: %q", place, name)
 	}
 	l.names = append(l.names, name)
 	l.items[name] = item.Raw
@@ -123,10 +123,10 @@
 // addRemoval takes in a name that is to be removed.
 func (l *listAmendment) addRemoval(place string, name gjson.Result) error {
 	if name.Type != gjson.String || name.Str == "" {
-		return result.AmendedItemUnnamed.With("%s", place)
+		return errcode.AmendedItemUnnamed.With("%s", place)
 	}
 	if _, kept := l.items[name.Str]; kept || l.remove[name.Str] {
-		return result.AmendedNameTwice.With("%s: %q", place, name.Str)
+		return errcode.AmendedNameTwice.With("%s: %q", place, name.Str)
 	}
 	l.remove[name.Str] = true
 	return nil
--- a/serving/routing/parse.go
+++ b/serving/routing/parse.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // fractionScale turns weights with fractions into whole ones.
@@ -53,7 +53,7 @@
 	for index := range t.services {
 		service := &t.services[index]
 		if t.byName[service.Name] != nil {
-			return result.ServiceTwice.With("carrier %q", service.Name)
+			return errcode.ServiceTwice.With("carrier %q", service.Name)
 		}
 		t.byName[service.Name] = service
 	}
@@ -66,7 +66,7 @@
 	if route.service != "" || len(route.split) == 0 {
 		service := t.byName[route.service]
 		if service == nil {
-			return result.ServiceUnknown.With("routing %q: carrier %q", route.Name, route.service)
+			return errcode.ServiceUnknown.With("routing %q: carrier %q", route.Name, route.service)
 		}
 		route.Services = []Share{{Service: service.Name, Weight: 1}}
 	}
@@ -82,14 +82,14 @@
 	for _, share := range route.split {
 		service := t.byName[share.service]
 		if service == nil {
-			return result.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, share.service)
+			return errcode.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, share.service)
 		}
 		if weight := int(math.Round(min(share.weight, weightMost) * scale)); weight > 0 {
 			route.Services = append(route.Services, Share{Service: service.Name, Weight: weight})
 		}
 	}
 	if len(route.Services) == 0 {
-		return result.RouteWeightless.With("routing %q: split", route.Name)
+		return errcode.RouteWeightless.With("routing %q: split", route.Name)
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 		}
 		route.Host = known.host
 		if other := known.add(route); other != nil {
-			return result.RouteTwice.With("routings %q and %q: station %q, lane_prefix %q", other.Name, route.Name,
+			return errcode.RouteTwice.With("routings %q and %q: station %q, lane_prefix %q", other.Name, route.Name,
 				route.Host, route.Prefix)
 		}
 	}
--- a/serving/schema/schema.go
+++ b/serving/schema/schema.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // settingsMost is the most settings that a table may have.
@@ -41,14 +41,14 @@
 // result.FieldInvalid.
 func (t Table[Into]) Parse(document []byte, into *Into) error {
 	if tooDeep(document) || !gjson.ValidBytes(document) {
-		return result.DocumentUnreadable.With("it is cut short, has bytes after its end or is no JSON")
+		return errcode.DocumentUnreadable.With("it is cut short, has bytes after its end or is no JSON")
 	}
 	value := gjson.ParseBytes(document)
 	if !value.IsObject() {
-		return result.DocumentUnreadable.With("it is no object")
+		return errcode.DocumentUnreadable.With("it is no object")
 	}
 	if err := t.read(value, into); err != nil {
-		return result.FieldInvalid.With("%s", err.Error())
+		return errcode.FieldInvalid.With("%s", err.Error())
 	}
 	return nil
 }
--- a/serving/settings/fuzz_test.go
+++ b/serving/settings/fuzz_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // FuzzSettings: a file is refused with a numbered error, or what is read of it is within its bounds and the same at
@@ -19,7 +19,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		read, err := Parse(content)
 		if err != nil {
-			assert.True(t, result.SettingsInvalid.Is(err) || result.SettingsUnreadable.Is(err), "%v", err)
+			assert.True(t, errcode.SettingsInvalid.Is(err) || errcode.SettingsUnreadable.Is(err), "%v", err)
 			return
 		}
 		again, err := Parse(content)
--- a/serving/settings/load.go
+++ b/serving/settings/load.go
@@ -7,7 +7,7 @@
 
 	"github.com/magiconair/properties"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // EnvironmentVariable holds the path of the settings file.
@@ -17,7 +17,7 @@
 func FromEnvironment() (*Process, error) {
 	path := os.Getenv(EnvironmentVariable)
 	if path == "" {
-		return nil, result.SettingsUnreadable.With("%s is not set", EnvironmentVariable)
+		return nil, errcode.SettingsUnreadable.With("%s is not set", EnvironmentVariable)
 	}
 	return Load(path)
 }
@@ -27,7 +27,7 @@
 func Load(path string) (*Process, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, result.SettingsUnreadable.With("%v", err)
+		return nil, errcode.SettingsUnreadable.With("%v", err)
 	}
 	return Parse(content)
 }
@@ -37,7 +37,7 @@
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadBytes(content)
 	if err != nil {
-		return nil, result.SettingsUnreadable.With("%v", err)
+		return nil, errcode.SettingsUnreadable.With("%v", err)
 	}
 	process := &Process{Regions: map[string]string{}}
 	var faults []string
@@ -45,7 +45,7 @@
 		faults = append(faults, setting.apply(process, file)...)
 	}
 	if len(faults) > 0 {
-		return nil, result.SettingsInvalid.With("%s", strings.Join(faults, "; "))
+		return nil, errcode.SettingsInvalid.With("%s", strings.Join(faults, "; "))
 	}
 	if _, named := process.Regions[process.Zone]; !named {
 		process.Regions[process.Zone] = process.Region
--- a/serving/settings/load_test.go
+++ b/serving/settings/load_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/serving/result"
+	"rowanlink/serving/errcode"
 )
 
 // TestParse prints what a file comes to, or everything that is wrong with it.
@@ -30,7 +30,7 @@
 func TestLoadNamesTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "absent.conf")
 	_, err := Load(path)
-	assert.True(t, result.SettingsUnreadable.Is(err))
+	assert.True(t, errcode.SettingsUnreadable.Is(err))
 	assert.ErrorContains(t, err, path)
 
 	t.Setenv(EnvironmentVariable, "")
@@ -78,7 +78,7 @@
 		}
 		process, err := Parse([]byte(content))
 		if err != nil {
-			assert.True(t, result.SettingsInvalid.Is(err) || result.SettingsUnreadable.Is(err))
+			assert.True(t, errcode.SettingsInvalid.Is(err) || errcode.SettingsUnreadable.Is(err))
 			return
 		}
 		assert.GreaterOrEqual(t, process.LastPort, process.FirstPort+1)
