--- a/cmd/rowanctl/inspect.go
+++ b/cmd/rowanctl/inspect.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/rpc"
 )
 
@@ -19,7 +19,7 @@
 )
 
 // report asks the member addresses in turn until one answers.
-func (s *session) report(request inspect.Request) (*inspect.Report, error) {
+func (s *session) report(request introspect.Request) (*introspect.Report, error) {
 	if len(s.where.inner) == 0 {
 		return nil, errNoInner
 	}
@@ -36,22 +36,22 @@
 	return nil, last
 }
 
-func ask(ctx context.Context, client *rpc.Client, address string, request inspect.Request) (*inspect.Report, error) {
+func ask(ctx context.Context, client *rpc.Client, address string, request introspect.Request) (*introspect.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	return inspect.Ask(ctx, client, address, request)
+	return introspect.Ask(ctx, client, address, request)
 }
 
 // memberReport is what one member says of itself, or why it couldn't be asked.
 type memberReport struct {
-	member inspect.Member
-	report *inspect.Report
+	member introspect.Member
+	report *introspect.Report
 	err    error
 }
 
 // reports asks all members that the first one knows.
 func (s *session) reports() ([]memberReport, error) {
-	first, err := s.report(inspect.Request{WithTables: true})
+	first, err := s.report(introspect.Request{WithTables: true})
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 		places <- struct{}{}
 		all.Go(func() {
 			defer func() { <-places }()
-			report, err := ask(s.ctx, client, member.Member.Address, inspect.Request{})
+			report, err := ask(s.ctx, client, member.Member.Address, introspect.Request{})
 			reports[i] = memberReport{member: member, report: report, err: err}
 		})
 	}
--- a/cmd/rowanctl/names.go
+++ b/cmd/rowanctl/names.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/state"
 )
 
@@ -27,7 +27,7 @@
 )
 
 // stateOf names the state of a member.
-func stateOf(known inspect.Member) string {
+func stateOf(known introspect.Member) string {
 	if known.Down {
 		return downState
 	}
--- a/cmd/rowanctl/replicas.go
+++ b/cmd/rowanctl/replicas.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/state"
 )
 
@@ -28,7 +28,7 @@
 
 // Run implements the command.
 func (c *replicasCommand) Run(s *session) error {
-	report, err := s.report(inspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{WithTables: true})
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 }
 
 // partOf names what a member does in the register; empty for one that has no replica, and while no voters are known.
-func partOf(report *inspect.Report, member state.Member) string {
+func partOf(report *introspect.Report, member state.Member) string {
 	if member.Role != state.RoleCore || len(report.Replicas.Replicas) == 0 {
 		return ""
 	}
@@ -68,11 +68,11 @@
 }
 
 // memberAt finds the member that takes calls at an address.
-func memberAt(report *inspect.Report, address string) (inspect.Member, bool) {
+func memberAt(report *introspect.Report, address string) (introspect.Member, bool) {
 	for _, known := range report.Members {
 		if known.Member.Address == address {
 			return known, true
 		}
 	}
-	return inspect.Member{}, false
+	return introspect.Member{}, false
 }
--- a/cmd/rowanctl/tables.go
+++ b/cmd/rowanctl/tables.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 )
 
 // unknown stands in a column that can't be filled.
@@ -28,7 +28,7 @@
 
 // Run implements the command.
 func (c *membersCommand) Run(s *session) error {
-	report, err := s.report(inspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{WithTables: true})
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 
 // Run implements the command.
 func (c *endpointsCommand) Run(s *session) error {
-	report, err := s.report(inspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{WithTables: true})
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 
 // Run implements the command.
 func (c *dutiesCommand) Run(s *session) error {
-	report, err := s.report(inspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{WithTables: true})
 	if err != nil {
 		return err
 	}
--- a/cmd/rowanctl/tables_test.go
+++ b/cmd/rowanctl/tables_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/singleton"
 	"rowanlink/serving/state"
 )
 
 // someReport is what the member at an address reports.
-func someReport(address string) inspect.Report {
-	report := inspect.Report{Self: state.Member{Name: "a", Address: address}}
+func someReport(address string) introspect.Report {
+	report := introspect.Report{Self: state.Member{Name: "a", Address: address}}
 	report.TakeRecord(&state.Record{Revision: 5, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}},
 		Replicas: state.ReplicaSet{Epoch: 4, Replicas: []state.Replica{{ID: "r1", Address: "127.0.0.1:1"},
@@ -39,7 +39,7 @@
 func member(t *testing.T) (*session, func() string) {
 	mux := http.NewServeMux()
 	address := serve(t, mux)
-	inspect.Serve(mux, func(request inspect.Request) inspect.Report { return someReport(address) })
+	introspect.Serve(mux, func(request introspect.Request) introspect.Report { return someReport(address) })
 	s, out := at(t)
 	s.where.inner = []string{"127.0.0.1:1", address}
 	return s, out.String
--- a/proof/system/cluster_test.go
+++ b/proof/system/cluster_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/child"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/operator/client"
 	"rowanlink/serving/rpc"
 	"rowanlink/standin/endpoint"
@@ -209,10 +209,10 @@
 }
 
 // report asks a core or an agent what it knows; false: it doesn't answer.
-func (c *cluster) report(n *node) (*inspect.Report, bool) {
+func (c *cluster) report(n *node) (*introspect.Report, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	report, err := inspect.Ask(ctx, c.rpc, n.at(portInner), inspect.Request{WithTables: true})
+	report, err := introspect.Ask(ctx, c.rpc, n.at(portInner), introspect.Request{WithTables: true})
 	return report, err == nil
 }
 
--- a/proof/system/losses_test.go
+++ b/proof/system/losses_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/state"
 )
 
@@ -120,7 +120,7 @@
 // knows tells whether a member knows another as live.
 func (c *cluster) knows(asked, other *node) bool {
 	report, answered := c.report(asked)
-	return answered && slices.ContainsFunc(report.Members, func(m inspect.Member) bool {
+	return answered && slices.ContainsFunc(report.Members, func(m introspect.Member) bool {
 		return m.Member.Name == other.name && !m.Down
 	})
 }
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/state"
 	"rowanlink/serving/subscription"
 )
@@ -193,11 +193,11 @@
 	s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}, {Zone: "n2"}}})
 	s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", 1))
-	report := s.report(inspect.Request{WithTables: true})
+	report := s.report(introspect.Request{WithTables: true})
 	assert.Equal(t, uint64(4), report.Revision)
 	assert.Equal(t, uint64(9), report.Version)
 	assert.Equal(t, []string{"n1"}, report.Evacuated)
 	assert.Len(t, report.Members, 2)
 	assert.Len(t, report.Endpoints, 1)
-	assert.Empty(t, s.report(inspect.Request{}).Endpoints)
+	assert.Empty(t, s.report(introspect.Request{}).Endpoints)
 }
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -5,7 +5,7 @@
 
 	"rowanlink/serving/actor"
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/state"
 )
 
@@ -25,8 +25,8 @@
 }
 
 // report answers operators.
-func (a *agent) report(request inspect.Request) inspect.Report {
-	report := inspect.Report{Self: a.mesh.Self()}
+func (a *agent) report(request introspect.Request) introspect.Report {
+	report := introspect.Report{Self: a.mesh.Self()}
 	seen, _ := actor.Ask(a.board, func(b *board) (seen known) {
 		seen.record = b.news.record
 		if request.WithTables {
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -12,7 +12,7 @@
 
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/errcode"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/loadreport"
 	"rowanlink/serving/member"
 	processpkg "rowanlink/serving/process"
@@ -67,7 +67,7 @@
 		BeatInterval: options.Settings.BeatInterval})
 	a := newAgent(options.Settings, options.Log, joined, table)
 	go a.confirm(life, register.AskOver(client))
-	inspect.Serve(inner, a.report)
+	introspect.Serve(inner, a.report)
 	passing := &observations{observer: options.Settings.NodeName, client: client, members: joined.Members,
 		receiver: a.receivers, calls: make(chan struct{}, observeCalls)}
 	observed := func(seen []state.Observation) { passing.pass(life, seen) }
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/errcode"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
@@ -81,7 +81,7 @@
 	require.NoError(t, json.NewDecoder(answer.Body).Decode(&found))
 	assert.Equal(t, []string{"127.0.0.1:80"}, found.Addresses)
 
-	report, err := inspect.Ask(ctx, client, process.InnerAddress(), inspect.Request{WithTables: true})
+	report, err := introspect.Ask(ctx, client, process.InnerAddress(), introspect.Request{WithTables: true})
 	require.NoError(t, err)
 	assert.Equal(t, "a", report.Self.Name)
 	assert.Equal(t, state.MemberReady, report.Self.State)
--- a/serving/core/report.go
+++ b/serving/core/report.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/member"
 	"rowanlink/serving/register"
 )
@@ -14,8 +14,8 @@
 	endpoints *endpoints.Owner
 }
 
-func (r *reporter) report(request inspect.Request) inspect.Report {
-	report := inspect.Report{Self: r.mesh.Self(), Learner: r.node.IsLearner()}
+func (r *reporter) report(request introspect.Request) introspect.Report {
+	report := introspect.Report{Self: r.mesh.Self(), Learner: r.node.IsLearner()}
 	if record, known := r.node.Latest(); known {
 		report.TakeRecord(&record)
 	}
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -15,7 +15,7 @@
 	"rowanlink/serving/endpoints/exchange"
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
-	"rowanlink/serving/inspect"
+	"rowanlink/serving/introspect"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
 	"rowanlink/serving/process"
@@ -88,7 +88,7 @@
 	kept := store.OpenEndpoints(process.StoreDir, options.Log)
 	defer kept.Close()
 	go keepEndpoints(life, options, node, table, kept)
-	inspect.Serve(inner, (&reporter{mesh: joined, node: node, endpoints: table.Table()}).report)
+	introspect.Serve(inner, (&reporter{mesh: joined, node: node, endpoints: table.Table()}).report)
 
 	control := serve(controlListener, operator.NewServer(controlHandler(options, joined, node, table, touch)))
 	defer control.Close()
--- a/serving/inspect/inspect.go
+++ b/serving/introspect/inspect.go
@@ -1,6 +1,6 @@
-// Package inspect lets operators look into a running agent or core: what it knows of members, endpoints, the record
+// Package introspect lets operators look into a running agent or core: what it knows of members, endpoints, the record
 // and singleton duties. It changes nothing.
-package inspect
+package introspect
 
 import (
 	"context"
