--- a/node/keeper/hear.go
+++ b/cluster/raftnode/hear.go
@@ -1,4 +1,4 @@
-package keeper
+package raftnode
 
 import (
 	"errors"
--- a/node/keeper/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper holds a copy of the fleet's log and state, and answers for both: what is proposed, what goes
+// Package raftnode holds a copy of the fleet's log and state, and answers for both: what is proposed, what goes
 // on, what is new.
-package keeper
+package raftnode
 
 import (
 	"cmp"
--- a/node/member/fleet_test.go
+++ b/node/member/fleet_test.go
@@ -13,11 +13,11 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/raftnode"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/keeper"
 	"rowanlink/node/member"
 	"rowanlink/node/talk"
 	"rowanlink/standin/port"
@@ -54,7 +54,7 @@
 }
 
 type running struct {
-	*keeper.Keeper
+	*raftnode.Keeper
 	book   *lease.Book
 	server *talk.Server
 	talk   *talk.Talk
@@ -128,10 +128,10 @@
 	f.up[m] = r
 }
 
-func (f *fleetOf) open(m fleet.MemberID, r *running) (*keeper.Keeper, error) {
+func (f *fleetOf) open(m fleet.MemberID, r *running) (*raftnode.Keeper, error) {
 	log, err := net.Listen("tcp", f.logs[m])
 	require.NoError(f.t, err)
-	return keeper.Open(keeper.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.term,
+	return raftnode.Open(raftnode.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.term,
 		Logs: f.seen(m, f.logs), Talk: r.talk, Clock: clock, Book: r.book, State: state.New(r.book, nil)},
 		counted{log, &f.moved})
 }
--- a/node/member/member.go
+++ b/node/member/member.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"rowanlink/cluster/raftnode"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/operator"
@@ -23,7 +24,6 @@
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
-	"rowanlink/node/keeper"
 	"rowanlink/node/site"
 	"rowanlink/node/talk"
 )
@@ -48,7 +48,7 @@
 	on      net.Listener
 	server  *talk.Server
 	talk    *talk.Talk
-	keeper  *keeper.Keeper // nil where it keeps no log
+	keeper  *raftnode.Keeper // nil where it keeps no log
 	session *Session
 	homes   *homes
 	owing   *owing
@@ -148,7 +148,7 @@
 		return err
 	}
 	book := lease.NewBook()
-	m.keeper, err = keeper.Open(keeper.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
+	m.keeper, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
 		Term: m.file.Term, Logs: logs(m.file), Talk: m.talk, Clock: m.clock, Book: book,
 		State: state.New(book, map[byte]fleet.Part{fleet.RangesPart: ranges.New(book),
 			fleet.PlanPart: &plan.Progress{}})}, on)
