--- a/cluster/raftnode/found.go
+++ b/cluster/raftnode/found.go
@@ -8,9 +8,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fasthttp"
 
+	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
-	"rowanlink/node/talk"
 )
 
 // tend compares, again and again, who the keepers are with who they should be: the log is begun once, by the
@@ -73,10 +73,10 @@
 		if m == k.self {
 			continue
 		}
-		var who talk.Who
-		_, raw, err := k.talk.Say(m, talk.WhoPath, talk.Encode(k.whoAmI()), span(pace.Answer(k.term)))
+		var who transportpkg.Who
+		_, raw, err := k.talk.Say(m, transportpkg.WhoPath, transportpkg.Encode(k.whoAmI()), span(pace.Answer(k.term)))
 		switch {
-		case err != nil || talk.Decode(raw, &who) != nil || memberOf(raft.ServerID(who.Server)) != m:
+		case err != nil || transportpkg.Decode(raw, &who) != nil || memberOf(raft.ServerID(who.Server)) != m:
 			servers = nil
 		case !who.Empty:
 			begun = true
@@ -107,23 +107,23 @@
 	return k.raft.LastIndex() == 0 && len(k.raft.GetConfiguration().Configuration().Servers) == 0
 }
 
-func (k *Keeper) whoAmI() talk.Who {
+func (k *Keeper) whoAmI() transportpkg.Who {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return talk.Who{Server: string(k.folder.id), Empty: k.empty(), Keepers: k.keepers}
+	return transportpkg.Who{Server: string(k.folder.id), Empty: k.empty(), Keepers: k.keepers}
 }
 
-func (k *Keeper) who(ctx *fasthttp.RequestCtx) { ctx.SetBody(talk.Encode(k.whoAmI())) }
+func (k *Keeper) who(ctx *fasthttp.RequestCtx) { ctx.SetBody(transportpkg.Encode(k.whoAmI())) }
 
 // askIn asks each of the keepers until the leader hears it.
 func (k *Keeper) askIn() {
 	k.mu.Lock()
 	keepers := k.keepers
 	k.mu.Unlock()
-	ask := talk.Encode(talk.Join{Member: k.self, Server: string(k.folder.id), Applied: k.raft.AppliedIndex()})
+	ask := transportpkg.Encode(transportpkg.Join{Member: k.self, Server: string(k.folder.id), Applied: k.raft.AppliedIndex()})
 	for _, m := range keepers {
 		if m != k.self {
-			status, _, err := k.talk.Say(m, talk.JoinPath, ask, span(pace.Answer(k.term)))
+			status, _, err := k.talk.Say(m, transportpkg.JoinPath, ask, span(pace.Answer(k.term)))
 			if err == nil && status == fasthttp.StatusOK {
 				return
 			}
@@ -132,7 +132,7 @@
 }
 
 func (k *Keeper) join(ctx *fasthttp.RequestCtx) {
-	var j talk.Join
+	var j transportpkg.Join
 	if !read(ctx, &j) {
 		return
 	}
@@ -154,7 +154,7 @@
 func (k *Keeper) reconcile(servers []raft.Server) {
 	k.mu.Lock()
 	keepers, joins := k.keepers, k.joins
-	k.joins = map[fleet.MemberID]talk.Join{}
+	k.joins = map[fleet.MemberID]transportpkg.Join{}
 	led := k.reign != 0
 	k.mu.Unlock()
 	if !led {
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -7,29 +7,29 @@
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fasthttp"
 
+	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // Handle has what members ask of a keeper answered by this one. Statuses: 200 with an answer or a refusal,
 // 421 where another leads, 503 where it was not done and may be asked again, 504 where that is not known.
-func (k *Keeper) Handle(on *talk.Server) {
-	on.Handle(talk.SessionPath, k.session)
-	on.Handle(talk.ProposePath, k.propose)
-	on.Handle(talk.StatePath, k.states)
-	on.Handle(talk.WhoPath, k.who)
-	on.Handle(talk.JoinPath, k.join)
+func (k *Keeper) Handle(on *transportpkg.Server) {
+	on.Handle(transportpkg.SessionPath, k.session)
+	on.Handle(transportpkg.ProposePath, k.propose)
+	on.Handle(transportpkg.StatePath, k.states)
+	on.Handle(transportpkg.WhoPath, k.who)
+	on.Handle(transportpkg.JoinPath, k.join)
 }
 
 const mostEntry = 4 << 20 // bytes of one entry of the log
 
 // read decodes a message, else answers that it can't be.
 func read(ctx *fasthttp.RequestCtx, v any) bool {
-	err := talk.Decode(ctx.Request.Body(), v)
+	err := transportpkg.Decode(ctx.Request.Body(), v)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 	}
@@ -43,12 +43,12 @@
 		who = "" // not yet: its sessions have no terms
 	}
 	ctx.SetStatusCode(fasthttp.StatusMisdirectedRequest)
-	ctx.SetBody(talk.Encode(talk.Elsewhere{Leads: who}))
+	ctx.SetBody(transportpkg.Encode(transportpkg.Elsewhere{Leads: who}))
 }
 
 func (k *Keeper) session(ctx *fasthttp.RequestCtx) {
 	came := k.clock() + 1 // what was sent in this microsecond was sent before
-	var ask talk.SessionAsk
+	var ask transportpkg.SessionAsk
 	if !read(ctx, &ask) {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // renew has the session go on, if a majority still follows at or after the moment when the ask came.
-func (k *Keeper) renew(ctx *fasthttp.RequestCtx, by talk.SessionAsk, came gateway.Micros) {
+func (k *Keeper) renew(ctx *fasthttp.RequestCtx, by transportpkg.SessionAsk, came gateway.Micros) {
 	s, verdicts := by.Session, make(chan said, 1)
 	select {
 	case k.asks <- ask{s, by.Tally, came, verdicts}:
@@ -72,9 +72,9 @@
 	case v := <-verdicts:
 		switch v.verdict {
 		case goesOn:
-			ctx.SetBody(talk.Encode(talk.SessionAnswer{Session: s, Term: k.term, Holds: v.holds}))
+			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term, Holds: v.holds}))
 		case ended:
-			ctx.SetBody(talk.Encode(talk.SessionAnswer{Session: s, Term: k.term,
+			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term,
 				Refusal: state.Code(fleet.ErrUnknown)}))
 		default:
 			k.elsewhere(ctx)
@@ -84,12 +84,12 @@
 	}
 }
 
-func (k *Keeper) open(ctx *fasthttp.RequestCtx, ask talk.SessionAsk) {
+func (k *Keeper) open(ctx *fasthttp.RequestCtx, ask transportpkg.SessionAsk) {
 	did, _, ok := k.enter(ctx, lease.Open(ask.Member, ask.Incarnation))
 	if !ok {
 		return
 	}
-	answer := talk.SessionAnswer{Term: k.term, Refusal: state.Code(did.err)}
+	answer := transportpkg.SessionAnswer{Term: k.term, Refusal: state.Code(did.err)}
 	if did.err == nil {
 		if !did.lives { // it is being ended: the next one asked for is another
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -98,7 +98,7 @@
 		opened, err := lease.ReadAnswer(did.answer)
 		answer.Session, answer.Refusal = opened.Session, state.Code(err)
 	}
-	ctx.SetBody(talk.Encode(answer))
+	ctx.SetBody(transportpkg.Encode(answer))
 }
 
 func (k *Keeper) propose(ctx *fasthttp.RequestCtx) {
@@ -111,11 +111,11 @@
 		return
 	}
 	if answer, sure := k.taken(c); sure {
-		ctx.SetBody(talk.Encode(talk.Proposed{Answer: answer}))
+		ctx.SetBody(transportpkg.Encode(transportpkg.Proposed{Answer: answer}))
 		return
 	}
 	if did, index, ok := k.enter(ctx, c); ok {
-		ctx.SetBody(talk.Encode(talk.Proposed{Answer: did.answer, Refusal: state.Code(did.err), Index: index}))
+		ctx.SetBody(transportpkg.Encode(transportpkg.Proposed{Answer: did.answer, Refusal: state.Code(did.err), Index: index}))
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // states answers with the parts that are newer, and waits a while if none is.
 func (k *Keeper) states(ctx *fasthttp.RequestCtx) {
-	var ask talk.StateAsk
+	var ask transportpkg.StateAsk
 	if !read(ctx, &ask) {
 		return
 	}
@@ -170,7 +170,7 @@
 			}
 		}
 		k.States.Add(int64(len(answer.Parts)))
-		ctx.SetBody(talk.Encode(answer))
+		ctx.SetBody(transportpkg.Encode(answer))
 		return
 	}
 }
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -17,12 +17,12 @@
 
 	"github.com/hashicorp/raft"
 
+	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // Place is what a keeper is told at its start. Each address is as this member reaches the other.
@@ -32,7 +32,7 @@
 	Folder string // LB_STATE: what it keeps is under fleet/
 	Term   gateway.Micros
 	Logs   map[fleet.MemberID]string // of all keepers, itself among them
-	Talk   *talk.Talk
+	Talk   *transportpkg.Talk
 	Clock  func() gateway.Micros // never runs back
 	Book   *lease.Book
 	State  *state.Machine // over the book
@@ -44,7 +44,7 @@
 	self     fleet.MemberID
 	term     gateway.Micros
 	clock    func() gateway.Micros
-	talk     *talk.Talk
+	talk     *transportpkg.Talk
 	folder   *folder
 	wire     *wire
 	heard    *heard
@@ -65,7 +65,7 @@
 	news    chan struct{} // closed when a part is newer
 	waiters int
 	keepers []fleet.MemberID // by the operator file, sorted
-	joins   map[fleet.MemberID]talk.Join
+	joins   map[fleet.MemberID]transportpkg.Join
 	parts   map[byte]*state.Past
 }
 
@@ -75,7 +75,7 @@
 	k = &Keeper{self: p.Self, term: p.Term, clock: p.Clock, talk: p.Talk, book: p.Book, state: p.State,
 		terms: lease.NewTerms(p.Term), lead: make(chan bool, 16), asks: make(chan ask, 64),
 		outdated: make(chan struct{}),
-		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[fleet.MemberID]talk.Join{},
+		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[fleet.MemberID]transportpkg.Join{},
 		parts: map[byte]*state.Past{}}
 	goes, logger := pace.OfLog(p.Term), newLogs(span(p.Term))
 	if k.folder, err = openFolder(filepath.Join(p.Folder, "fleet"), p.Self, logger); err != nil {
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -13,11 +13,11 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
+	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	book := lease.NewBook()
-	return Place{Fleet: "f", Self: "m1", Folder: folder, Term: term, Talk: talk.New("m1", nil), Clock: clock,
+	return Place{Fleet: "f", Self: "m1", Folder: folder, Term: term, Talk: transportpkg.New("m1", nil), Clock: clock,
 		Logs: map[fleet.MemberID]string{"m1": on.Addr().String()}, Book: book, State: state.New(book, nil)}, on
 }
 
@@ -79,7 +79,7 @@
 	k := starts(t, folder)
 	k.does(t, entry(lease.Open("a", 7)))
 	newer := entry(lease.Open("b", 8))
-	newer.Extensions = talk.Encode(about{Format: entryFormat + 1})
+	newer.Extensions = transportpkg.Encode(about{Format: entryFormat + 1})
 	require.ErrorIs(t, k.does(t, newer).err, errNewer)
 	require.ErrorIs(t, k.does(t, entry(lease.Open("c", 9))).err, errNewer)
 	require.Error(t, k.raft.Snapshot().Error())
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -7,10 +7,10 @@
 
 	"github.com/hashicorp/raft"
 
+	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
-	"rowanlink/node/talk"
 )
 
 // entryFormat rises when an older program could no longer apply an entry of the log.
@@ -39,7 +39,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var a about
-	if err := talk.Decode(l.Extensions, &a); err != nil || a.Format > entryFormat {
+	if err := transportpkg.Decode(l.Extensions, &a); err != nil || a.Format > entryFormat {
 		k.broken(l.Index, a.Format)
 	}
 	if k.halted != nil {
@@ -74,7 +74,7 @@
 
 func (k *Keeper) before(command []byte) (b before) {
 	var c fleet.Command
-	if talk.Decode(command, &c) != nil || c.Part != fleet.LeasePart || talk.Decode(c.Body, &b.Order) != nil {
+	if transportpkg.Decode(command, &c) != nil || c.Part != fleet.LeasePart || transportpkg.Decode(c.Body, &b.Order) != nil {
 		return before{}
 	}
 	b.member, b.epochs = k.book.MemberOf(b.Session), map[fleet.Task]fleet.Epoch{}
@@ -164,5 +164,5 @@
 
 // entry is a command as it goes into the log.
 func entry(c fleet.Command) raft.Log {
-	return raft.Log{Data: state.Encode(c), Extensions: talk.Encode(about{entryFormat})}
+	return raft.Log{Data: state.Encode(c), Extensions: transportpkg.Encode(about{entryFormat})}
 }
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -4,15 +4,15 @@
 	"maps"
 	"slices"
 
+	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
-	"rowanlink/node/talk"
 )
 
 // newer reads, in one moment, the parts that are newer than what a member has and which of the tasks that it
 // wants are free; where there is nothing to say, news tells when to look again.
-func (k *Keeper) newer(ask talk.StateAsk) (answer talk.StateAnswer, news <-chan struct{}, err error) {
+func (k *Keeper) newer(ask transportpkg.StateAsk) (answer transportpkg.StateAnswer, news <-chan struct{}, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	answer.Index = k.raft.AppliedIndex()
@@ -29,14 +29,14 @@
 		if past.Newest() != version {
 			raw, err := k.state.Part(part)
 			if err != nil {
-				return talk.StateAnswer{}, nil, err
+				return transportpkg.StateAnswer{}, nil, err
 			}
 			past.Add(version, raw)
 		}
 		if version == ask.Versions[part] {
 			continue
 		}
-		p := talk.PartState{Part: part, Version: version}
+		p := transportpkg.PartState{Part: part, Version: version}
 		if ask.Changes {
 			p.Since, p.Snapshot = past.Since(ask.Versions[part])
 		} else {
@@ -59,7 +59,7 @@
 // one for each time that somebody asks. A yes is never given so.
 func (k *Keeper) taken(c fleet.Command) (answer []byte, sure bool) {
 	var o lease.Order
-	if c.Part != fleet.LeasePart || c.By != "" || talk.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
+	if c.Part != fleet.LeasePart || c.By != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
 		return nil, false
 	}
 	k.mu.Lock()
@@ -74,5 +74,5 @@
 		}
 		no.Granted = append(no.Granted, lease.Granted{Task: t})
 	}
-	return talk.Encode(no), len(o.Tasks) > 0
+	return transportpkg.Encode(no), len(o.Tasks) > 0
 }
--- a/node/talk/form.go
+++ b/cluster/transport/form.go
@@ -1,6 +1,6 @@
-// Package talk is what members of a fleet say to each other: whole messages over HTTP, told apart by whether
+// Package transport is what members of a fleet say to each other: whole messages over HTTP, told apart by whether
 // one that had no answer may have arrived.
-package talk
+package transport
 
 import (
 	"errors"
--- a/node/talk/server.go
+++ b/cluster/transport/server.go
@@ -1,4 +1,4 @@
-package talk
+package transport
 
 import (
 	"context"
--- a/fleet/ranges/world_test.go
+++ b/fleet/ranges/world_test.go
@@ -77,7 +77,7 @@
 )
 
 // message is on its way. A try arrives once at the most, as it does by TCP where nobody repeats it
-// (node/talk). Another try doubles it, and is lost, late or doubled as any other message.
+// (cluster/transport). Another try doubles it, and is lost, late or doubled as any other message.
 type message struct {
 	again                 bool // another try
 	kind, of              kind // answer: of what
--- a/node/member/chart.go
+++ b/node/member/chart.go
@@ -5,11 +5,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // Chart asks a keeper for the map of ranges and the running plan; without an address there are none.
@@ -17,13 +17,13 @@
 	if says == "" {
 		return nil, nil, nil
 	}
-	t := talk.New("", map[fleet.MemberID]string{"it": says})
+	t := transport.New("", map[fleet.MemberID]string{"it": says})
 	defer t.Close()
-	status, raw, err := t.Say("it", talk.StatePath, talk.Encode(talk.StateAsk{
+	status, raw, err := t.Say("it", transport.StatePath, transport.Encode(transport.StateAsk{
 		Versions: map[byte]uint64{fleet.RangesPart: 0, fleet.PlanPart: 0}}), span(10*gateway.Second))
-	var answer talk.StateAnswer
+	var answer transport.StateAnswer
 	if err == nil && status == fasthttp.StatusOK {
-		err = talk.Decode(raw, &answer)
+		err = transport.Decode(raw, &answer)
 	}
 	m, p, told := ranges.New(nil), &plan.Progress{}, false
 	for _, part := range answer.Parts {
--- a/node/member/doubts.go
+++ b/node/member/doubts.go
@@ -5,12 +5,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/talk"
 )
 
 // doubt is one webhook that another member may have, as it stands when that is asked.
@@ -37,10 +37,10 @@
 		return
 	}
 	replies := make([]ranges.Reply, len(asks))
-	status, raw, err := f.talk.Say(at, settlePath, talk.Encode(asks), exchange.Span(f.homes.term/4))
+	status, raw, err := f.talk.Say(at, settlePath, transport.Encode(asks), exchange.Span(f.homes.term/4))
 	var said []ranges.Reply
 	if err == nil && status == fasthttp.StatusOK {
-		err = talk.Decode(raw, &said)
+		err = transport.Decode(raw, &said)
 	}
 	if len(said) == len(asks) {
 		replies = said
--- a/node/member/fleet_test.go
+++ b/node/member/fleet_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster/raftnode"
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/node/member"
-	"rowanlink/node/talk"
 	"rowanlink/standin/port"
 )
 
@@ -56,8 +56,8 @@
 type running struct {
 	*raftnode.Keeper
 	book   *lease.Book
-	server *talk.Server
-	talk   *talk.Talk
+	server *transport.Server
+	talk   *transport.Talk
 }
 
 func keepers(t testing.TB, n int, term gateway.Micros) *fleetOf { return begin(t, n, term, false) }
@@ -119,7 +119,7 @@
 func (f *fleetOf) start(m fleet.MemberID) {
 	says, err := net.Listen("tcp", f.says[m])
 	require.NoError(f.t, err)
-	r := &running{server: talk.Hears(1000, time.Second), talk: talk.New(m, f.seen(m, f.says)),
+	r := &running{server: transport.Hears(1000, time.Second), talk: transport.New(m, f.seen(m, f.says)),
 		book: lease.NewBook()}
 	r.Keeper, err = f.open(m, r)
 	require.NoError(f.t, err)
@@ -168,7 +168,7 @@
 }
 
 func (f *fleetOf) keepers(by fleet.MemberID) *member.Keepers {
-	t := talk.New(by, f.seen(by, f.says))
+	t := transport.New(by, f.seen(by, f.says))
 	f.t.Cleanup(t.Close)
 	return member.NewKeepers(t, f.names, rand.Float64)
 }
--- a/node/member/follow.go
+++ b/node/member/follow.go
@@ -7,10 +7,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/state"
-	"rowanlink/node/talk"
 )
 
 // followed is a part of the state that is kept up with.
@@ -46,11 +46,11 @@
 			}
 		}
 		at = s.Keepers.another(at, failures > 0)
-		status, raw, err := s.Keepers.talk.Say(at, talk.StatePath, talk.Encode(ask),
+		status, raw, err := s.Keepers.talk.Say(at, transport.StatePath, transport.Encode(ask),
 			span(pace.LongPoll(s.Term)+pace.Answer(s.Term)))
-		var answer talk.StateAnswer
+		var answer transport.StateAnswer
 		if err == nil && status == fasthttp.StatusOK {
-			err = talk.Decode(raw, &answer)
+			err = transport.Decode(raw, &answer)
 		}
 		if err != nil || status != fasthttp.StatusOK {
 			failures++
@@ -67,7 +67,7 @@
 	}
 }
 
-func (s *Session) unknown() (ask talk.StateAsk) {
+func (s *Session) unknown() (ask transport.StateAsk) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ask.Versions, ask.Wants, ask.Changes = map[byte]uint64{}, s.wishes.Waits(), true
@@ -77,7 +77,7 @@
 	return ask
 }
 
-func (s *Session) news(answer talk.StateAnswer) {
+func (s *Session) news(answer transport.StateAnswer) {
 	s.freed(answer.Free)
 	for _, p := range answer.Parts {
 		s.newer(p)
@@ -85,7 +85,7 @@
 }
 
 // newer takes a part as a keeper told it. A change that does not fit has the whole asked for.
-func (s *Session) newer(p talk.PartState) {
+func (s *Session) newer(p transport.PartState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.follows[p.Part]
--- a/node/member/forward.go
+++ b/node/member/forward.go
@@ -9,11 +9,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
-	"rowanlink/node/talk"
 )
 
 // A forward takes at most this part of a client's patience, each hop: the rest is for keeping it here.
@@ -23,7 +23,7 @@
 type forwarding struct {
 	homes *homes
 	x     *exchange.Exchange
-	talk  *talk.Talk
+	talk  *transport.Talk
 	names *names
 	side  *owing
 
@@ -96,7 +96,7 @@
 			h = hs[0]
 		}
 		switch {
-		case errors.Is(err, talk.ErrNotSent):
+		case errors.Is(err, transport.ErrNotSent):
 			return 0, 0, stays
 		case err != nil || h.Reply == ranges.Silent || h.Reply == ranges.Forgot:
 			if !f.doubt(w, hand, ranges.Offer{To: v.To, Life: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
@@ -126,24 +126,24 @@
 	uint64, error) {
 	for ; ; again = false {
 		s.Life = f.life(to)
-		status, raw, err := f.talk.Say(to, path, talk.Encode(s), exchange.Span(within))
+		status, raw, err := f.talk.Say(to, path, transport.Encode(s), exchange.Span(within))
 		var hs heards
 		if err == nil && status == fasthttp.StatusOK {
-			err = talk.Decode(raw, &hs)
+			err = transport.Decode(raw, &hs)
 		}
 		switch {
 		case err != nil:
 			return nil, s.Life, err
 		case status != fasthttp.StatusOK:
-			return nil, s.Life, fmt.Errorf("%w: status %d", talk.ErrUnsure, status)
+			return nil, s.Life, fmt.Errorf("%w: status %d", transport.ErrUnsure, status)
 		case hs.Life != s.Life:
 			f.lived(to, hs.Life)
 			if again {
 				continue
 			}
-			return nil, s.Life, fmt.Errorf("%w: its folder is new", talk.ErrNotSent)
+			return nil, s.Life, fmt.Errorf("%w: its folder is new", transport.ErrNotSent)
 		case len(hs.All) != len(s.All):
-			return nil, s.Life, fmt.Errorf("%w: %d answers", talk.ErrUnsure, len(hs.All))
+			return nil, s.Life, fmt.Errorf("%w: %d answers", transport.ErrUnsure, len(hs.All))
 		}
 		return hs.All, s.Life, nil
 	}
--- a/node/member/gap_test.go
+++ b/node/member/gap_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/node/talk"
 )
 
 // gaps are what a holder measured between the last look at its clock and the return of the last byte's write.
@@ -38,7 +38,7 @@
 	}
 	stop, err := time.ParseDuration(os.Getenv(gapStop))
 	require.NoError(t, err)
-	_, s := script(t, func(_ int, real talk.Proposed) (int, []byte) { return 200, talk.Encode(real) })
+	_, s := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
 	s.Want("home/1")
 	holds(t, s, "home/1")
 	c, err := net.Dial("tcp", to)
--- a/node/member/harm.go
+++ b/node/member/harm.go
@@ -6,13 +6,13 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/talk"
 )
 
 // harmPath is where a conductor asks for the harm that its moves did.
@@ -140,11 +140,11 @@
 // Hear answers a conductor.
 func (h *harm) Hear(ctx *fasthttp.RequestCtx) {
 	var a harmAsk
-	if err := talk.Decode(ctx.Request.Body(), &a); err != nil {
+	if err := transport.Decode(ctx.Request.Body(), &a); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	ctx.SetBody(talk.Encode(h.tell(a)))
+	ctx.SetBody(transport.Encode(h.tell(a)))
 }
 
 func (h *harm) took(number uint64, from fleet.MemberID, r plan.Report) {
--- a/node/member/harm_test.go
+++ b/node/member/harm_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/talk"
 )
 
 // Each end counts once and as what it was, a rejection where its client heard of it: guards against harm that
@@ -62,7 +62,7 @@
 func FuzzHear(f *testing.F) {
 	even, err := ranges.Even(2, []ranges.Weight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
-	f.Add(talk.Encode(harmAsk{1, []plan.Watch{{Move: 5, Range: 1, From: 0, To: ^fleet.KeyHash(0)}}}))
+	f.Add(transport.Encode(harmAsk{1, []plan.Watch{{Move: 5, Range: 1, From: 0, To: ^fleet.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		h := &harm{self: "a", homes: &homes{}, tally: plan.NewTally(1, gateway.Second, 0),
 			now: func() gateway.Micros { return 0 }}
@@ -73,7 +73,7 @@
 		h.Hear(&ctx)
 		var r plan.Report
 		if ctx.Response.StatusCode() == fasthttp.StatusOK {
-			assert.NoError(t, talk.Decode(ctx.Response.Body(), &r))
+			assert.NoError(t, transport.Decode(ctx.Response.Body(), &r))
 			var g plan.Gathered
 			g.Take(1, "a", r)
 			assert.LessOrEqual(t, len(g.Harm(1).Spots), 64)
--- a/node/member/hear.go
+++ b/node/member/hear.go
@@ -5,11 +5,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
-	"rowanlink/node/talk"
 )
 
 // Hear takes a webhook that its entry sent here, or says where it goes.
@@ -50,16 +50,16 @@
 func (f *forwarding) hear(ctx *fasthttp.RequestCtx, admit func(sent, ranges.Carried) (ranges.Admission,
 	ranges.Verdict)) {
 	var s sent
-	if err := talk.Decode(ctx.Request.Body(), &s); err != nil {
+	if err := transport.Decode(ctx.Request.Body(), &s); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	said := heards{Life: f.names.Life}
 	if s.Life != said.Life { // guards against a yes for what went down with the folder that it was sent to
-		ctx.SetBody(talk.Encode(said))
+		ctx.SetBody(transport.Encode(said))
 		return
 	}
-	lag := f.lag(talk.From(ctx), s.At)
+	lag := f.lag(transport.From(ctx), s.At)
 	f.side.taught(s.Learned, lag)
 	for i, c := range s.All {
 		s.All[i] = c.Shifted(lag)
@@ -69,7 +69,7 @@
 	t := taking{forwarding: f, s: s, said: make([]heard, len(s.All))}
 	t.take(admit)
 	said.All = t.said
-	ctx.SetBody(talk.Encode(said))
+	ctx.SetBody(transport.Encode(said))
 }
 
 // lag is by how much this member's clock shows more than another's.
@@ -85,7 +85,7 @@
 // HearSettle answers a member in doubt. A no is kept: what is still on its way comes in vain.
 func (f *forwarding) HearSettle(ctx *fasthttp.RequestCtx) {
 	var all []asked
-	if err := talk.Decode(ctx.Request.Body(), &all); err != nil {
+	if err := transport.Decode(ctx.Request.Body(), &all); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
@@ -109,6 +109,6 @@
 		ctx.Error("names not written", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	slog.Debug("asked who has webhooks", "by", talk.From(ctx), "webhooks", len(all))
-	ctx.SetBody(talk.Encode(replies))
+	slog.Debug("asked who has webhooks", "by", transport.From(ctx), "webhooks", len(all))
+	ctx.SetBody(transport.Encode(replies))
 }
--- a/node/member/homes.go
+++ b/node/member/homes.go
@@ -7,11 +7,11 @@
 	"sync"
 	"sync/atomic"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // homes keeps a member's homes as the map names them: it asks for their tasks, says by which grant it serves,
@@ -211,7 +211,7 @@
 
 // unreached is whether no leader answered.
 func unreached(err error) bool {
-	return errors.Is(err, talk.ErrNotSent) || errors.Is(err, talk.ErrUnsure)
+	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrUnsure)
 }
 
 // Propose has a command put in the log.
--- a/node/member/keepers.go
+++ b/node/member/keepers.go
@@ -9,14 +9,14 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/state"
-	"rowanlink/node/talk"
 )
 
 // Keepers finds the one that leads.
 type Keepers struct {
-	talk   *talk.Talk
+	talk   *transport.Talk
 	chance func() float64 // a draw from [0, 1)
 
 	mu     sync.Mutex
@@ -26,7 +26,7 @@
 }
 
 // NewKeepers knows the keepers' names; chance is called by one caller at a time.
-func NewKeepers(t *talk.Talk, all []fleet.MemberID, chance func() float64) *Keepers {
+func NewKeepers(t *transport.Talk, all []fleet.MemberID, chance func() float64) *Keepers {
 	return &Keepers{talk: t, chance: chance, all: slices.Clone(all)}
 }
 
@@ -56,9 +56,9 @@
 			status, answer, err := k.talk.Say(to, path, body, time.Until(until))
 			next := fleet.MemberID("")
 			switch {
-			case errors.Is(err, talk.ErrUnsure), err == nil && status == fasthttp.StatusGatewayTimeout:
+			case errors.Is(err, transport.ErrUnsure), err == nil && status == fasthttp.StatusGatewayTimeout:
 				k.silence(to)
-				return nil, fmt.Errorf("%w: keeper %s: status %d: %w", talk.ErrUnsure, to, status,
+				return nil, fmt.Errorf("%w: keeper %s: status %d: %w", transport.ErrUnsure, to, status,
 					cmpErr(err))
 			case err != nil:
 				why = err
@@ -66,8 +66,8 @@
 				k.leads(to)
 				return answer, nil
 			case status == fasthttp.StatusMisdirectedRequest:
-				var other talk.Elsewhere
-				if talk.Decode(answer, &other) == nil && other.Leads != to {
+				var other transport.Elsewhere
+				if transport.Decode(answer, &other) == nil && other.Leads != to {
 					next = other.Leads
 				}
 			default:
@@ -77,7 +77,7 @@
 		}
 	}
 	k.leads("")
-	return nil, fmt.Errorf("%w: %w", talk.ErrNotSent, why)
+	return nil, fmt.Errorf("%w: %w", transport.ErrNotSent, why)
 }
 
 func cmpErr(err error) error {
@@ -134,13 +134,13 @@
 // Propose has a command put in the log and answers what its part said, with the entry's index, or which
 // refusal; errors as Ask's besides.
 func (k *Keepers) Propose(c fleet.Command, within time.Duration) (answer []byte, index uint64, err error) {
-	raw, err := k.Ask(talk.ProposePath, talk.Encode(c), within)
+	raw, err := k.Ask(transport.ProposePath, transport.Encode(c), within)
 	if err != nil {
 		return nil, 0, err
 	}
-	var p talk.Proposed
-	if err := talk.Decode(raw, &p); err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", talk.ErrUnsure, err)
+	var p transport.Proposed
+	if err := transport.Decode(raw, &p); err != nil {
+		return nil, 0, fmt.Errorf("%w: %w", transport.ErrUnsure, err)
 	}
 	return p.Answer, p.Index, state.Refusal(p.Refusal)
 }
--- a/node/member/looks_test.go
+++ b/node/member/looks_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/node/member"
-	"rowanlink/node/talk"
 )
 
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
 // none.
 func TestALookEndsItsProposalsAtTheFirstThatNoLeaderAnswers(t *testing.T) {
-	keeper, a := script(t, func(_ int, real talk.Proposed) (int, []byte) {
-		return fasthttp.StatusOK, talk.Encode(real)
+	keeper, a := script(t, func(_ int, real transport.Proposed) (int, []byte) {
+		return fasthttp.StatusOK, transport.Encode(real)
 	})
 	chart := ranges.New(nil)
 	var err error
--- a/node/member/measure.go
+++ b/node/member/measure.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
-	"rowanlink/node/talk"
 )
 
 const (
@@ -53,7 +53,7 @@
 }
 
 func (m *Member) ask(a harmAsk) {
-	body := talk.Encode(a)
+	body := transport.Encode(a)
 	var all sync.WaitGroup
 	turns := make(chan struct{}, harmAtOnce)
 	for id := range m.says() {
@@ -67,7 +67,7 @@
 			status, raw, err := m.talk.Say(id, harmPath, body, span(m.file.Term)/harmAsksBy)
 			var r plan.Report
 			if err == nil && status == fasthttp.StatusOK {
-				err = talk.Decode(raw, &r)
+				err = transport.Decode(raw, &r)
 			}
 			if err != nil || status != fasthttp.StatusOK {
 				slog.Debug("harm not told", "member", id, "status", status, "why", err)
--- a/node/member/member.go
+++ b/node/member/member.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"rowanlink/cluster/raftnode"
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/operator"
@@ -25,7 +26,6 @@
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
 	"rowanlink/node/site"
-	"rowanlink/node/talk"
 )
 
 const (
@@ -46,8 +46,8 @@
 	facts   atomic.Pointer[gateway.Facts] // by the settings read last
 	clock   func() gateway.Micros
 	on      net.Listener
-	server  *talk.Server
-	talk    *talk.Talk
+	server  *transport.Server
+	talk    *transport.Talk
 	keeper  *raftnode.Keeper // nil where it keeps no log
 	session *Session
 	homes   *homes
@@ -109,7 +109,7 @@
 		return err
 	}
 	m.wish = wish{text: m.text, groups: m.file.Groups()}
-	m.talk, m.server = talk.New(m.self, says(m.file)), talk.Hears(Hearers(len(m.file.Members)), wholeIn)
+	m.talk, m.server = transport.New(m.self, says(m.file)), transport.Hears(Hearers(len(m.file.Members)), wholeIn)
 	if own.Log != "" {
 		if err := m.keep(own); err != nil {
 			return err
--- a/node/member/names.go
+++ b/node/member/names.go
@@ -11,11 +11,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
-	"rowanlink/node/talk"
 )
 
 // names is what a member knows of webhooks by their names, kept in a journal of its own: what is told to
@@ -55,7 +55,7 @@
 	latest := map[ranges.Name]ranges.Record{}
 	for _, e := range kept.Entries() {
 		var r ranges.Record
-		if err := talk.Decode(e.Taken, &r); err != nil {
+		if err := transport.Decode(e.Taken, &r); err != nil {
 			return nil, fmt.Errorf("names of webhooks: record %d: %w", e.ID, err)
 		}
 		if was, twice := n.at[r.Name]; twice { // the process ended between the new one and the end of the old
@@ -143,7 +143,7 @@
 			continue
 		}
 		n.last++
-		if err = n.kept.Accept(n.last, talk.Encode(r)); err != nil {
+		if err = n.kept.Accept(n.last, transport.Encode(r)); err != nil {
 			break
 		}
 		fresh[w.name] = n.last
--- a/node/member/offers.go
+++ b/node/member/offers.go
@@ -4,12 +4,12 @@
 	"errors"
 	"log/slog"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/talk"
 )
 
 // handOn offers what is owed to its home, or to the target of its move, and has it parked in doubt until
@@ -25,7 +25,7 @@
 	if hs == nil {
 		hs = make([]heard, len(all))
 	}
-	if errors.Is(err, talk.ErrNotSent) {
+	if errors.Is(err, transport.ErrNotSent) {
 		for i := range hs {
 			hs[i].Reply = ranges.Refuses // by nobody: this try went nowhere
 		}
--- a/node/member/script_test.go
+++ b/node/member/script_test.go
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/ranges"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/node/member"
-	"rowanlink/node/talk"
 )
 
 // scripted is one keeper whose answers go astray as a test says.
@@ -26,34 +26,34 @@
 	term   gateway.Micros
 	book   *lease.Book
 	index  uint64
-	parts  []talk.PartState                               // to asks for the plan's, one by one
-	asked  []uint64                                       // the version, each time
-	grants int                                            // asked for so far
-	charts int                                            // commands to the map so far: none is taken
-	answer func(no int, real talk.Proposed) (int, []byte) // to an ask for a grant
+	parts  []transport.PartState                               // to asks for the plan's, one by one
+	asked  []uint64                                            // the version, each time
+	grants int                                                 // asked for so far
+	charts int                                                 // commands to the map so far: none is taken
+	answer func(no int, real transport.Proposed) (int, []byte) // to an ask for a grant
 }
 
-func script(t *testing.T, answer func(no int, real talk.Proposed) (int, []byte)) (*scripted,
+func script(t *testing.T, answer func(no int, real transport.Proposed) (int, []byte)) (*scripted,
 	*member.Session) {
 	s, all := scriptOf(t, 1, term, answer)
 	return s, all[0]
 }
 
 func scriptOf(t *testing.T, members int, term gateway.Micros,
-	answer func(no int, real talk.Proposed) (int, []byte)) (*scripted, []*member.Session) {
+	answer func(no int, real transport.Proposed) (int, []byte)) (*scripted, []*member.Session) {
 	s := &scripted{book: lease.NewBook(), term: term, answer: answer}
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := talk.Hears(member.Hearers(members), time.Second)
-	server.Handle(talk.SessionPath, s.session)
-	server.Handle(talk.ProposePath, s.propose)
-	server.Handle(talk.StatePath, s.states)
+	server := transport.Hears(member.Hearers(members), time.Second)
+	server.Handle(transport.SessionPath, s.session)
+	server.Handle(transport.ProposePath, s.propose)
+	server.Handle(transport.StatePath, s.states)
 	go server.Serve(on)
 	t.Cleanup(func() { server.Close(time.Second) })
 	var all []*member.Session
 	for i := range members {
 		id := fleet.MemberID(fmt.Sprint("a", i))
-		say := talk.New(id, map[fleet.MemberID]string{"m1": on.Addr().String()})
+		say := transport.New(id, map[fleet.MemberID]string{"m1": on.Addr().String()})
 		a := member.NewSession(member.Life{Self: id, Incarnation: 1, Term: term, Apart: 0.05, Clock: clock,
 			Keepers: member.NewKeepers(say, []fleet.MemberID{"m1"}, rand.Float64)})
 		t.Cleanup(func() { a.Close(); say.Close() })
@@ -62,25 +62,25 @@
 	return s, all
 }
 
-func (s *scripted) apply(c fleet.Command) talk.Proposed {
+func (s *scripted) apply(c fleet.Command) transport.Proposed {
 	s.index++
 	raw, err := s.book.Apply(s.index, c.Body)
-	return talk.Proposed{Answer: raw, Refusal: state.Code(err), Index: s.index}
+	return transport.Proposed{Answer: raw, Refusal: state.Code(err), Index: s.index}
 }
 
 func (s *scripted) session(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ask talk.SessionAsk
-	talk.Decode(ctx.Request.Body(), &ask)
-	answer := talk.SessionAnswer{Session: ask.Session, Term: s.term}
+	var ask transport.SessionAsk
+	transport.Decode(ctx.Request.Body(), &ask)
+	answer := transport.SessionAnswer{Session: ask.Session, Term: s.term}
 	if ask.Session == 0 {
 		opened, _ := lease.ReadAnswer(s.apply(lease.Open(ask.Member, ask.Incarnation)).Answer)
 		answer.Session = opened.Session
 	} else if s.book.Tally(ask.Session) != ask.Tally {
 		answer.Holds = s.book.HeldBy(ask.Session)
 	}
-	ctx.SetBody(talk.Encode(answer))
+	ctx.SetBody(transport.Encode(answer))
 }
 
 func (s *scripted) propose(ctx *fasthttp.RequestCtx) {
@@ -88,15 +88,15 @@
 	defer s.mu.Unlock()
 	var c fleet.Command
 	var o lease.Order
-	talk.Decode(ctx.Request.Body(), &c)
+	transport.Decode(ctx.Request.Body(), &c)
 	if c.Part == fleet.RangesPart {
 		s.charts++
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	talk.Decode(c.Body, &o)
+	transport.Decode(c.Body, &o)
 	real := s.apply(c)
-	status, body := fasthttp.StatusOK, talk.Encode(real)
+	status, body := fasthttp.StatusOK, transport.Encode(real)
 	if o.Kind == lease.GrantKind {
 		s.grants++
 		status, body = s.answer(s.grants, real)
@@ -115,12 +115,12 @@
 // The grant's answer is lost, and the next one is of a leader that was stopped and still has an older book.
 // Guards against a task that is the member's own by the log and that it never takes.
 func TestATaskIsTakenThoughItsGrantWasLostAndAnOlderBookSaysNo(t *testing.T) {
-	_, a := script(t, func(no int, real talk.Proposed) (int, []byte) {
+	_, a := script(t, func(no int, real transport.Proposed) (int, []byte) {
 		if no == 1 {
 			return fasthttp.StatusGatewayTimeout, nil
 		}
 		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
-		return fasthttp.StatusOK, talk.Encode(talk.Proposed{Answer: talk.Encode(older)})
+		return fasthttp.StatusOK, transport.Encode(transport.Proposed{Answer: transport.Encode(older)})
 	})
 	a.Want("home/1")
 	holds(t, a, "home/1")
@@ -130,7 +130,7 @@
 // wanted no more.
 func TestATaskGivenUpWhileItsGrantIsUnsureComesFree(t *testing.T) {
 	asked := make(chan struct{}, 1000)
-	keeper, a := script(t, func(int, talk.Proposed) (int, []byte) {
+	keeper, a := script(t, func(int, transport.Proposed) (int, []byte) {
 		asked <- struct{}{}
 		return fasthttp.StatusGatewayTimeout, nil
 	})
@@ -141,9 +141,9 @@
 }
 
 func (s *scripted) states(ctx *fasthttp.RequestCtx) {
-	var ask talk.StateAsk
-	var answer talk.StateAnswer
-	talk.Decode(ctx.Request.Body(), &ask)
+	var ask transport.StateAsk
+	var answer transport.StateAnswer
+	transport.Decode(ctx.Request.Body(), &ask)
 	s.mu.Lock()
 	if n := len(s.asked); n < len(s.parts) {
 		answer.Parts, s.asked = s.parts[n:n+1], append(s.asked, ask.Versions[fleet.PlanPart])
@@ -152,7 +152,7 @@
 	if len(answer.Parts) == 0 {
 		time.Sleep(time.Duration(s.term/3) * time.Microsecond)
 	}
-	ctx.SetBody(talk.Encode(answer))
+	ctx.SetBody(transport.Encode(answer))
 }
 
 // Guards against keepers that refuse a large fleet's connections: then sessions end, one by one.
@@ -172,10 +172,10 @@
 // Guards against a state put together from a change that was made of another one, or damaged on its way.
 func TestAChangeThatDoesNotFitHasTheWholeAskedFor(t *testing.T) {
 	keeper, a := script(t, nil)
-	part := func(version, since uint64, snapshot string) talk.PartState {
-		return talk.PartState{Part: fleet.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
+	part := func(version, since uint64, snapshot string) transport.PartState {
+		return transport.PartState{Part: fleet.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
 	}
-	keeper.parts = []talk.PartState{part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"),
+	keeper.parts = []transport.PartState{part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"),
 		part(3, 0, "three"), part(7, 0, "seven")}
 	news := make(chan string, 9)
 	a.Follow(fleet.PlanPart, func(_ uint64, s []byte) { news <- string(s) })
@@ -189,7 +189,7 @@
 // A member that had been home got the task by a wish of before, while it was let go for another. Guards
 // against a range without a home for good: whoever is neither home nor target has nothing to wait for.
 func TestAHomeTakenByAFormerWishIsLetGoWhileItsMovePasses(t *testing.T) {
-	_, a := script(t, func(_ int, real talk.Proposed) (int, []byte) { return 200, talk.Encode(real) })
+	_, a := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
 	a.Want(fleet.HomeOf(1))
 	holds(t, a, fleet.HomeOf(1))
 	chart := ranges.New(nil)
--- a/node/member/session.go
+++ b/node/member/session.go
@@ -5,12 +5,12 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // Life is what a member's session is told at its start.
@@ -179,11 +179,11 @@
 	if session == 0 {
 		within = pace.Opening(s.Term)
 	}
-	raw, err := s.Keepers.Ask(talk.SessionPath, talk.Encode(talk.SessionAsk{Member: s.Self, Session: session,
+	raw, err := s.Keepers.Ask(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
 		Incarnation: s.Incarnation, Tally: tally}), span(within))
-	var answer talk.SessionAnswer
+	var answer transport.SessionAnswer
 	if err == nil {
-		err = talk.Decode(raw, &answer)
+		err = transport.Decode(raw, &answer)
 	}
 	if err == nil && answer.Refusal != 0 {
 		err = state.Refusal(answer.Refusal)
--- a/node/member/session_test.go
+++ b/node/member/session_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/node/member"
-	"rowanlink/node/talk"
 )
 
 func TestATaskIsOneMembersUntilItLetsItGo(t *testing.T) {
@@ -53,13 +53,13 @@
 func TestALeaderCutOffRenewsNothing(t *testing.T) {
 	f := keepers(t, 3, term)
 	leader := f.leader()
-	say := talk.New("a", f.says)
+	say := transport.New("a", f.says)
 	defer say.Close()
-	renew := func(session fleet.SessionID) (status int, answer talk.SessionAnswer) {
-		ask := talk.SessionAsk{Member: "a", Session: session, Incarnation: 77}
-		status, raw, err := say.Say(leader, talk.SessionPath, talk.Encode(ask), longer)
+	renew := func(session fleet.SessionID) (status int, answer transport.SessionAnswer) {
+		ask := transport.SessionAsk{Member: "a", Session: session, Incarnation: 77}
+		status, raw, err := say.Say(leader, transport.SessionPath, transport.Encode(ask), longer)
 		require.NoError(t, err)
-		talk.Decode(raw, &answer)
+		transport.Decode(raw, &answer)
 		return status, answer
 	}
 	_, opened := renew(0)
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // The paths that are heard on.
@@ -89,4 +89,4 @@
 	Say(to fleet.MemberID, path string, body []byte, within time.Duration) (int, []byte, error)
 }
 
-var _ Said = (*talk.Talk)(nil)
+var _ Said = (*transport.Talk)(nil)
--- a/node/relay/send.go
+++ b/node/relay/send.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet/streams"
-	"rowanlink/node/talk"
 )
 
 // Run sends until Close.
@@ -63,7 +63,7 @@
 		t.with(t.s.Cut)
 		return t.pace.Poll
 	}
-	return t.says(FramePath, talk.Encode(f), func(a streams.Answer) {
+	return t.says(FramePath, transport.Encode(f), func(a streams.Answer) {
 		if a.Run == f.Run && a.Upto < f.Seq { // behind a gap
 			t.s.Cut()
 		}
@@ -109,7 +109,7 @@
 	t.mu.Lock()
 	ask := t.s.Opening()
 	t.mu.Unlock()
-	return t.says(OpenPath, talk.Encode(Opening{Ask: ask, At: t.now()}), func(streams.Answer) {})
+	return t.says(OpenPath, transport.Encode(Opening{Ask: ask, At: t.now()}), func(streams.Answer) {})
 }
 
 func (t *Stream) says(path string, body []byte, then func(streams.Answer)) time.Duration {
@@ -122,7 +122,7 @@
 			t.lose()
 		}
 		return t.pace.Poll
-	case code != fasthttp.StatusOK || talk.Decode(raw, &a) != nil:
+	case code != fasthttp.StatusOK || transport.Decode(raw, &a) != nil:
 		slog.Warn("stream: to be opened anew", "relay", t.relay, "status", code)
 		t.lose()
 		return 0
@@ -154,10 +154,10 @@
 	t.mu.Lock()
 	ask := t.s.Opening()
 	t.mu.Unlock()
-	raw := talk.Encode(Opening{Ask: ask, Learned: t.books.Learned(), At: t.now()})
+	raw := transport.Encode(Opening{Ask: ask, Learned: t.books.Learned(), At: t.now()})
 	code, raw, err := t.said.Say(t.relay, OpenPath, raw, t.pace.Within)
 	var a streams.Answer
-	if err != nil || code != fasthttp.StatusOK && code != statusFenced || talk.Decode(raw, &a) != nil {
+	if err != nil || code != fasthttp.StatusOK && code != statusFenced || transport.Decode(raw, &a) != nil {
 		if time.Since(t.heard) > t.pace.Gone {
 			t.lose()
 		}
--- a/node/relay/shelf.go
+++ b/node/relay/shelf.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // mostEnds are told at once.
@@ -59,7 +59,7 @@
 }
 
 // Hear has its messages heard; before the server serves only.
-func (r *Relay) Hear(s *talk.Server) {
+func (r *Relay) Hear(s *transport.Server) {
 	s.Handle(OpenPath, r.Open)
 	s.Handle(FramePath, r.Frame)
 }
@@ -73,7 +73,7 @@
 // Open and Frame hear a sender.
 func (r *Relay) Open(ctx *fasthttp.RequestCtx) {
 	var ask Opening
-	if err := talk.Decode(ctx.PostBody(), &ask); err != nil {
+	if err := transport.Decode(ctx.PostBody(), &ask); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
@@ -94,7 +94,7 @@
 
 func (r *Relay) Frame(ctx *fasthttp.RequestCtx) {
 	var f streams.Frame
-	if err := talk.Decode(ctx.PostBody(), &f); err != nil {
+	if err := transport.Decode(ctx.PostBody(), &f); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
@@ -138,7 +138,7 @@
 	a := r.r.Answer(r.shelf.Room(), r.now())
 	a.Held = held
 	ctx.SetStatusCode(status(err))
-	ctx.SetBody(talk.Encode(a))
+	ctx.SetBody(transport.Encode(a))
 }
 
 // End takes a delivery's end, which the journal has already.
@@ -211,9 +211,9 @@
 		of = append(of, e.Delivery.To)
 	}
 	ends.Learned = r.shelf.Learned(of)
-	code, raw, err := r.said.Say(owner, AnswersPath, talk.Encode(ends), r.pace.Within)
+	code, raw, err := r.said.Say(owner, AnswersPath, transport.Encode(ends), r.pace.Within)
 	var known []streams.Delivery
-	if err != nil || code != fasthttp.StatusOK || talk.Decode(raw, &known) != nil || len(known) == 0 {
+	if err != nil || code != fasthttp.StatusOK || transport.Decode(raw, &known) != nil || len(known) == 0 {
 		slog.Debug("relay: ends not heard", "owner", owner, "count", len(ends.Ends), "status", code, "err", err)
 		return true, false
 	}
--- a/node/relay/site_test.go
+++ b/node/relay/site_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 const term = 300_000 // microseconds: all else follows from it
@@ -25,7 +25,7 @@
 
 // faults loses messages and answers, and says some twice.
 type faults struct {
-	*talk.Talk
+	*transport.Talk
 	mu  sync.Mutex
 	r   *rand.Rand
 	cut bool
@@ -42,14 +42,14 @@
 	}
 	f.mu.Unlock()
 	if cut || what == 0 {
-		return 0, nil, talk.ErrUnsure
+		return 0, nil, transport.ErrUnsure
 	}
 	if what == 1 {
 		f.Talk.Say(to, path, body, in)
 	}
 	code, raw, err := f.Talk.Say(to, path, body, in)
 	if what == 2 {
-		return 0, nil, talk.ErrUnsure
+		return 0, nil, transport.ErrUnsure
 	}
 	return code, raw, err
 }
@@ -80,7 +80,7 @@
 	ran    map[streams.Delivery]int
 	beside int
 	taught atomic.Int64
-	server *talk.Server
+	server *transport.Server
 	addr   string
 }
 
@@ -211,7 +211,7 @@
 	}
 	s.relay = NewRelay(streams.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, PaceOf(term), clock)
 	s.mu.Unlock()
-	s.server = talk.Hears(50, time.Second)
+	s.server = transport.Hears(50, time.Second)
 	s.relay.Hear(s.server)
 	on, err := net.Listen("tcp", s.addr)
 	require.NoError(s.t, err)
@@ -223,13 +223,13 @@
 	s := &site{t: t, held: map[streams.Delivery]bool{}, open: map[streams.Delivery]streams.Standing{},
 		once: once, ends: map[streams.Delivery]int{}, ran: map[streams.Delivery]int{}, mark: streams.Mark{Life: 9},
 		slow: map[gateway.DestinationID]bool{}, addr: "127.0.0.1:0"}
-	owner := talk.Hears(50, time.Second)
+	owner := transport.Hears(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s.back = &faults{Talk: talk.New("r", map[fleet.MemberID]string{"m": on.Addr().String()}),
+	s.back = &faults{Talk: transport.New("r", map[fleet.MemberID]string{"m": on.Addr().String()}),
 		r: rand.New(rand.NewPCG(1, 2)), one: 1 << 20}
 	s.start()
-	s.toward = &faults{Talk: talk.New("m", map[fleet.MemberID]string{"r": s.addr}),
+	s.toward = &faults{Talk: transport.New("m", map[fleet.MemberID]string{"r": s.addr}),
 		r: rand.New(rand.NewPCG(3, 4)), one: 1 << 20}
 	s.stream = NewStream("r", streams.NewSender(1, 0.05), book{s}, s.toward, PaceOf(term), clock,
 		func() bool { return true })
--- a/node/relay/stream.go
+++ b/node/relay/stream.go
@@ -7,10 +7,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // Books is an owner's journal and its module. It is called with the stream held: it must not call back, nor
@@ -106,7 +106,7 @@
 // Answers hears what the relay tells this owner.
 func (t *Stream) Answers(ctx *fasthttp.RequestCtx) {
 	var ends Ends
-	if err := talk.Decode(ctx.PostBody(), &ends); err != nil {
+	if err := transport.Decode(ctx.PostBody(), &ends); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
@@ -121,7 +121,7 @@
 		}
 		t.s.Answered(ends.Answer, t.now())
 	})
-	ctx.SetBody(talk.Encode(heard))
+	ctx.SetBody(transport.Encode(heard))
 }
 
 // Close ends it; what is out stays so.
--- a/node/site/bench_far_test.go
+++ b/node/site/bench_far_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/relay"
-	"rowanlink/node/talk"
 )
 
 // other has the test's program be the far side of a benchmark: destinations, and relays whose subscribers
@@ -102,11 +102,11 @@
 	go server.Serve(dest)
 	addrs := []string{dest.Addr().String()}
 	for n := range benchSites {
-		said := talk.New(fleet.MemberID(fmt.Sprint("r", n)), map[fleet.MemberID]string{"m": os.Getenv(other)})
+		said := transport.New(fleet.MemberID(fmt.Sprint("r", n)), map[fleet.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
 		shelf.relay = relay.NewRelay(streams.NewReceiver(streams.Mark{Life: 9}, nil, nil), shelf, from{said, c},
 			relay.PaceOf(3*gateway.Second), exchange.Now)
-		on, s := listen(c), talk.Hears(8, 5*time.Second)
+		on, s := listen(c), transport.Hears(8, 5*time.Second)
 		s.Handle(relay.OpenPath, shelf.relay.Open)
 		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.relay.Frame(ctx) })
 		go s.Serve(on)
@@ -118,7 +118,7 @@
 
 // from counts what the relays say.
 type from struct {
-	*talk.Talk
+	*transport.Talk
 	c *counts
 }
 
--- a/node/site/bench_test.go
+++ b/node/site/bench_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/control"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
@@ -23,7 +24,6 @@
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
-	"rowanlink/node/talk"
 )
 
 const benchSites, benchEach = 40, 250
@@ -84,14 +84,14 @@
 	evt := gateway.EventType{Target: 5 * gateway.Second, TTL: 600 * gateway.Second}
 	d := decider.New(x, life, kept, gateway.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
 		ConnectTimeout: gateway.Second, EventTypes: []gateway.EventType{evt}, Kinds: []gateway.Kind{{Batch: 1}}})
-	said := talk.New("m", says)
+	said := transport.New("m", says)
 	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
 		Event:  func(gateway.EventTypeID) gateway.EventType { return evt },
 		Serves: func(gateway.DestinationID) bool { return true }, Home: func(fleet.SiteID) bool { return true },
 		Alone: func(fleet.SiteID) bool { return false }, Buffer: func() int { return 2 * len(all) }}, f)
 	sites.Begin()
 	d.Join(open{sites})
-	server := talk.Hears(256, 5*time.Second)
+	server := transport.Hears(256, 5*time.Second)
 	sites.Hear(server)
 	go server.Serve(hear)
 	calls := endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 400)
--- a/node/site/desk.go
+++ b/node/site/desk.go
@@ -8,13 +8,13 @@
 	"log/slog"
 	"sync"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/relay"
-	"rowanlink/node/talk"
 )
 
 // roomPart is the share of a dispatcher's buffer that its relay may fill: the rest is for clients' own.
@@ -77,7 +77,7 @@
 	last, all := map[streams.Delivery]*record{}, []streams.Delivery{}
 	for _, e := range kept.Entries() {
 		var r record
-		if err := talk.Decode(e.Taken, &r); err != nil {
+		if err := transport.Decode(e.Taken, &r); err != nil {
 			return nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
 		}
 		k.last = max(k.last, e.ID)
@@ -149,7 +149,7 @@
 	began := k.last
 	for _, r := range all {
 		k.last++
-		if err = k.kept.Accept(k.last, talk.Encode(r)); err != nil {
+		if err = k.kept.Accept(k.last, transport.Encode(r)); err != nil {
 			break
 		}
 	}
--- a/node/site/desk_test.go
+++ b/node/site/desk_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/control"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
@@ -18,7 +19,6 @@
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/node/relay"
-	"rowanlink/node/talk"
 )
 
 // bed is a relay's member without the other members. Its destination has no endpoint, so that nothing
@@ -41,7 +41,7 @@
 		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
-		talk.New("r", map[fleet.MemberID]string{}), relay.PaceOf(gateway.Second))
+		transport.New("r", map[fleet.MemberID]string{}), relay.PaceOf(gateway.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
 }
@@ -60,7 +60,7 @@
 	var all []streams.End
 	for _, e := range b.desk.kept.Entries() {
 		var r record
-		if talk.Decode(e.Taken, &r) == nil && r.End != nil {
+		if transport.Decode(e.Taken, &r) == nil && r.End != nil {
 			all = append(all, *r.End)
 		}
 	}
--- a/node/site/marks.go
+++ b/node/site/marks.go
@@ -5,12 +5,12 @@
 	"os"
 	"sync"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
-	"rowanlink/node/talk"
 )
 
 // mark says of one delivery that it may be at a relay. It is kept from before its first byte leaves until
@@ -44,7 +44,7 @@
 	m := &marks{kept: kept, of: map[exchange.RequestID]mark{}, at: map[exchange.RequestID]gateway.WebhookID{}}
 	for _, e := range kept.Entries() {
 		var one mark
-		if err := talk.Decode(e.Taken, &one); err != nil {
+		if err := transport.Decode(e.Taken, &one); err != nil {
 			return nil, fmt.Errorf("what was sent to relays: record %d: %w", e.ID, err)
 		}
 		if was, known := m.at[one.ID]; known { // its successor was written, and it was not ended yet
@@ -69,7 +69,7 @@
 	began, err := m.last, error(nil)
 	for _, one := range all {
 		m.last++
-		if err = m.kept.Accept(m.last, talk.Encode(one)); err != nil {
+		if err = m.kept.Accept(m.last, transport.Encode(one)); err != nil {
 			break
 		}
 	}
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -12,13 +12,13 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
 	"rowanlink/node/relay"
-	"rowanlink/node/talk"
 )
 
 // marksMB of the disk are for what is noted of deliveries on their way.
@@ -81,7 +81,7 @@
 }
 
 // Hear has messages heard; before the server serves only.
-func (s *Sites) Hear(server *talk.Server) {
+func (s *Sites) Hear(server *transport.Server) {
 	heard := func(by func(*relay.Relay, *fasthttp.RequestCtx)) func(*fasthttp.RequestCtx) {
 		return func(ctx *fasthttp.RequestCtx) {
 			if k := s.desk.Load(); k != nil {
@@ -101,7 +101,7 @@
 func (s *Sites) answers(ctx *fasthttp.RequestCtx) {
 	l := &lane{of: s}
 	for _, one := range s.plan.Load().lanes {
-		if one.site.Relay == talk.From(ctx) {
+		if one.site.Relay == transport.From(ctx) {
 			l = one
 			if stream := l.stream.Load(); stream != nil {
 				stream.Answers(ctx)
@@ -110,11 +110,11 @@
 		}
 	}
 	var ends relay.Ends
-	if err := talk.Decode(ctx.PostBody(), &ends); err != nil {
+	if err := transport.Decode(ctx.PostBody(), &ends); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	ctx.SetBody(talk.Encode(l.Ended(ends.Ends)))
+	ctx.SetBody(transport.Encode(l.Ended(ends.Ends)))
 }
 
 // Begin joins the exchange; before clients are let in.
--- a/proof/harness/map.go
+++ b/proof/harness/map.go
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 )
 
 // Map is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
@@ -21,13 +21,13 @@
 			says[fleet.MemberID(m.Name)] = m.says.Addr
 		}
 	}
-	asks := talk.New("proof", says)
+	asks := transport.New("proof", says)
 	defer asks.Close()
 	for keeper := range says {
-		status, raw, err := asks.Say(keeper, talk.StatePath,
-			talk.Encode(talk.StateAsk{Versions: map[byte]uint64{fleet.RangesPart: 0}}), 2*time.Second)
-		var answer talk.StateAnswer
-		if err != nil || status != 200 || talk.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
+		status, raw, err := asks.Say(keeper, transport.StatePath,
+			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{fleet.RangesPart: 0}}), 2*time.Second)
+		var answer transport.StateAnswer
+		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
 			continue
 		}
 		chart := ranges.New(nil)
--- a/proof/harness/past.go
+++ b/proof/harness/past.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
-	"rowanlink/node/talk"
 	"rowanlink/proof/child"
 	"rowanlink/standin/guard"
 )
@@ -44,7 +44,7 @@
 
 // follow is one reader for each life of a keeper: another life may know less.
 func (v *Views) follow(ctx context.Context, m *Member) {
-	asks := talk.New("proof", map[fleet.MemberID]string{"it": m.says.Addr})
+	asks := transport.New("proof", map[fleet.MemberID]string{"it": m.says.Addr})
 	defer asks.Close()
 	var life *child.Process
 	var reader int
@@ -58,11 +58,11 @@
 			v.mu.Unlock()
 			clear(saw)
 		}
-		status, raw, err := asks.Say("it", talk.StatePath,
-			talk.Encode(talk.StateAsk{Versions: map[byte]uint64{fleet.RangesPart: version}}), v.f.shape.Term)
+		status, raw, err := asks.Say("it", transport.StatePath,
+			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{fleet.RangesPart: version}}), v.f.shape.Term)
 		got := gateway.Micros(time.Now().UnixMicro())
-		var answer talk.StateAnswer
-		if err != nil || status != 200 || talk.Decode(raw, &answer) != nil || v.f.life(m) != life {
+		var answer transport.StateAnswer
+		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
