--- a/node/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"rowanlink/cluster/member"
 	"rowanlink/fleet"
 	"rowanlink/gateway"
-	"rowanlink/node/member"
 )
 
 // counted is a listener whose bytes are counted, in and out.
--- a/node/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/member"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/member"
 	"rowanlink/standin/port"
 )
 
--- a/node/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/member"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
-	"rowanlink/node/member"
 )
 
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
--- a/node/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/member"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
 	"rowanlink/fleet/ranges"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
-	"rowanlink/node/member"
 )
 
 // scripted is one keeper whose answers go astray as a test says.
--- a/cmd/rowanfleet/main.go
+++ b/cmd/rowanfleet/main.go
@@ -7,11 +7,11 @@
 
 	"github.com/spf13/cobra"
 
+	"rowanlink/cluster/member"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
 	"rowanlink/node/dispatcher"
-	"rowanlink/node/member"
 )
 
 func main() {
--- a/fleet/lease/hall_test.go
+++ b/fleet/lease/hall_test.go
@@ -36,7 +36,7 @@
 	lags gateway.Micros // until then it takes no entries
 }
 
-// guest is one member, as node/member goes about it.
+// guest is one member, as cluster/member goes about it.
 type guest struct {
 	*hall
 	id       fleet.MemberID
--- a/fleet/ranges/member_test.go
+++ b/fleet/ranges/member_test.go
@@ -7,7 +7,7 @@
 	"rowanlink/gateway"
 )
 
-// What a member does, as node/member has to: each webhook under a lock of its own, one durable write at a
+// What a member does, as cluster/member has to: each webhook under a lock of its own, one durable write at a
 // time.
 
 func (w *world) send(m message) {
