--- a/node/site/bench_far_test.go
+++ b/node/site/bench_far_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
-	"rowanlink/node/relay"
 )
 
 // other has the test's program be the far side of a benchmark: destinations, and relays whose subscribers
--- a/node/site/books.go
+++ b/node/site/books.go
@@ -4,11 +4,11 @@
 	"errors"
 	"log/slog"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/relay"
 )
 
 var errMoved = errors.New("some of it is no longer here to be sent")
--- a/node/site/desk.go
+++ b/node/site/desk.go
@@ -8,13 +8,13 @@
 	"log/slog"
 	"sync"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
-	"rowanlink/node/relay"
 )
 
 // roomPart is the share of a dispatcher's buffer that its relay may fill: the rest is for clients' own.
--- a/node/site/desk_test.go
+++ b/node/site/desk_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
 	"rowanlink/control"
 	"rowanlink/fleet"
@@ -18,7 +19,6 @@
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
-	"rowanlink/node/relay"
 )
 
 // bed is a relay's member without the other members. Its destination has no endpoint, so that nothing
--- a/node/site/feed.go
+++ b/node/site/feed.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/relay"
 )
 
 // owed lists what is parked here by site, in the order taken: all sites in one turn, since each turn looks at
--- a/node/site/lane.go
+++ b/node/site/lane.go
@@ -8,13 +8,13 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/relay"
 )
 
 // lane is a site as one member sees it that may be its sender.
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -12,13 +12,13 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
-	"rowanlink/node/relay"
 )
 
 // marksMB of the disk are for what is noted of deliveries on their way.
