--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"rowanlink/cluster/raftnode"
+	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/lease"
@@ -25,7 +26,6 @@
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
-	"rowanlink/node/site"
 )
 
 const (
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -3,10 +3,10 @@
 import (
 	"github.com/tidwall/gjson"
 
+	"rowanlink/cluster/site"
 	"rowanlink/fleet"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
-	"rowanlink/node/site"
 )
 
 // joins makes what joins this member's dispatcher to site streams.
