--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -7,8 +7,8 @@
 	"reflect"
 	"slices"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -13,11 +13,11 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/standin/port"
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -14,11 +14,11 @@
 	"sync/atomic"
 	"time"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/plan"
 	"rowanlink/fleet/ranges"
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/ranges"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 )
 
 func TestATaskIsOneMembersUntilItLetsItGo(t *testing.T) {
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -7,9 +7,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
--- a/cluster/raftnode/heard.go
+++ b/cluster/raftnode/heard.go
@@ -5,7 +5,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"rowanlink/fleet/lease"
+	"rowanlink/cluster/lease"
 	"rowanlink/gateway"
 )
 
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -13,9 +13,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -7,9 +7,9 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 )
 
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -4,9 +4,9 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/state"
 )
 
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -7,8 +7,8 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -1,8 +1,8 @@
 package transport
 
 import (
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/gateway"
 )
 
--- a/emulator/homes.go
+++ b/emulator/homes.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"math/rand/v2"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
--- a/emulator/member.go
+++ b/emulator/member.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
--- a/emulator/session.go
+++ b/emulator/session.go
@@ -1,8 +1,8 @@
 package emulator
 
 import (
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 	"rowanlink/fleet/ranges"
 )
 
--- a/fleet/state/machine.go
+++ b/fleet/state/machine.go
@@ -9,8 +9,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 )
 
 // Machine is all that is replicated.
--- a/fleet/state/machine_test.go
+++ b/fleet/state/machine_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 )
 
 // notes is a part that keeps the last thing it was told.
--- a/fleet/state/restore.go
+++ b/fleet/state/restore.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster/lease"
 	"rowanlink/fleet"
-	"rowanlink/fleet/lease"
 )
 
 // Restore puts a snapshot in the machine's place; parts that it lacks are as they were at first. One of
