--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -8,9 +8,9 @@
 	"slices"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -20,7 +20,7 @@
 type conductor struct {
 	homes    *homes
 	harm     *harm
-	vacancy  *ranges.Vacancies
+	vacancy  *shardmap.Vacancies
 	book     *lease.Book
 	progress *plan.Progress
 	epoch    fleet.Epoch // since when it conducts
@@ -34,7 +34,7 @@
 // by the same file, too, but only by one read after it was stopped, by whoever conducts.
 type wish struct {
 	text    []byte
-	groups  []ranges.Group // its sites' subscribers
+	groups  []shardmap.Group // its sites' subscribers
 	fresh   bool
 	resumes uint64
 }
@@ -48,7 +48,7 @@
 }
 
 // conduct does what is due; it tells whether the wish has come into the log.
-func (c *conductor) conduct(w wish, members []ranges.Able, parts int, now gateway.Micros) (adopted bool) {
+func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now gateway.Micros) (adopted bool) {
 	epoch, held := c.homes.session.Holds(fleet.Conducts)
 	chart := c.homes.Map()
 	c.alone = false
@@ -61,9 +61,9 @@
 		c.epoch, c.restedAt = epoch, now
 		slog.Info("conducts", "epoch", epoch)
 	}
-	by := ranges.Conductor(epoch)
+	by := shardmap.Conductor(epoch)
 	if chart == nil || len(chart.Ranges) == 0 {
-		var weights []ranges.Weight
+		var weights []shardmap.Weight
 		for _, m := range members {
 			weights = append(weights, m.Weight)
 		}
@@ -78,7 +78,7 @@
 		c.say("homes given anew", by.Lost(takes), "ranges", len(takes))
 		return false // the next map tells
 	}
-	if (w.fresh || len(chart.Groups) == 0) && !ranges.SameGroups(w.groups, chart.Groups) {
+	if (w.fresh || len(chart.Groups) == 0) && !shardmap.SameGroups(w.groups, chart.Groups) {
 		c.say("destinations placed", by.Place(w.groups), "sites", len(w.groups))
 		return false // what a plan makes of destinations is by where they stand
 	}
@@ -92,14 +92,14 @@
 }
 
 // over is whether a stray's grant is held no more.
-func (c *conductor) over(s ranges.Stray) bool {
+func (c *conductor) over(s shardmap.Stray) bool {
 	_, _, epoch, held := c.book.Holder(fleet.HomeOf(s.Under.Range))
 	return !held || epoch != s.Under.Epoch
 }
 
 // staying are those whom the running plan does not want to leave; all, where no other is alive. Guards
 // against a lost home's range given to a member that leaves, behind steps that are through.
-func (c *conductor) staying(members []ranges.Able, alive map[fleet.MemberID]bool) (stay []ranges.Able) {
+func (c *conductor) staying(members []shardmap.Able, alive map[fleet.MemberID]bool) (stay []shardmap.Able) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return members
 	}
@@ -121,7 +121,7 @@
 }
 
 // stepOn takes moves on to the step at which the target and the source do the rest.
-func (c *conductor) stepOn(by ranges.Conductor, chart *ranges.Map, now gateway.Micros) {
+func (c *conductor) stepOn(by shardmap.Conductor, chart *shardmap.Map, now gateway.Micros) {
 	under := 0
 	for _, r := range chart.Ranges {
 		if !r.Move.Open() {
@@ -129,10 +129,10 @@
 		}
 		under++
 		switch r.Move.Step {
-		case ranges.Planned:
-			c.say("move warms", by.Step(r.Move.ID, ranges.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
-		case ranges.Warming:
-			c.say("move passes", by.Step(r.Move.ID, ranges.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.Planned:
+			c.say("move warms", by.Step(r.Move.ID, shardmap.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.Warming:
+			c.say("move passes", by.Step(r.Move.ID, shardmap.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 		}
 	}
 	if under < c.under {
@@ -142,7 +142,7 @@
 }
 
 // adopt brings what the operator wishes into the log, where it is another plan than the one that runs.
-func (c *conductor) adopt(w wish, chart *ranges.Map) bool {
+func (c *conductor) adopt(w wish, chart *shardmap.Map) bool {
 	number := uint64(0)
 	if c.progress != nil {
 		number = c.progress.Number
@@ -163,12 +163,12 @@
 	return c.make(wished, w.text, number, chart)
 }
 
-func (c *conductor) make(f *plan.File, text []byte, number uint64, chart *ranges.Map) bool {
+func (c *conductor) make(f *plan.File, text []byte, number uint64, chart *shardmap.Map) bool {
 	p, err := plan.Make(f, chart, nil)
 	var moving *plan.Moving
 	if errors.As(err, &moving) { // the file is taken up once that has ended
-		if moving.Move.Step < ranges.Switched {
-			c.say("move goes back", ranges.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
+		if moving.Move.Step < shardmap.Switched {
+			c.say("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
 		}
 		return false
 	}
@@ -180,7 +180,7 @@
 }
 
 // follow does what the running plan asks for now.
-func (c *conductor) follow(by ranges.Conductor, chart *ranges.Map, alive map[fleet.MemberID]bool,
+func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[fleet.MemberID]bool,
 	now gateway.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
--- a/cluster/member/counts.go
+++ b/cluster/member/counts.go
@@ -3,19 +3,19 @@
 import (
 	"slices"
 
-	"rowanlink/fleet/ranges"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
 
 // in is whether a webhook's destination lies in a range.
-func (o *owing) in(r ranges.Range) func(*exchange.Webhook) bool {
+func (o *owing) in(r shardmap.Range) func(*exchange.Webhook) bool {
 	chart := o.forwarding.homes.Map()
 	return func(w *exchange.Webhook) bool { return chart.Holds(r, w.Destination) }
 }
 
 // Out counts calls out of a range.
-func (o *owing) Out(r ranges.Range) int {
+func (o *owing) Out(r shardmap.Range) int {
 	chart := o.forwarding.homes.Map()
 	_, out := o.decider.Owes(func(w *exchange.Webhook) bool { return chart.Counts(r, w.Destination) })
 	return out
@@ -28,18 +28,18 @@
 }
 
 // Owes counts what of a range is here and has not gone over, as far as is known.
-func (o *owing) Owes(r ranges.Range) int {
+func (o *owing) Owes(r shardmap.Range) int {
 	all, _ := o.decider.Owes(o.in(r))
 	return len(all)
 }
 
 // Told is whether a move's target knows what was learned here. Guards a told wait, an outage and a cold
 // start: they go over before the right to call does.
-func (o *owing) Told(r ranges.Range) bool {
+func (o *owing) Told(r shardmap.Range) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.told[r.Move.ID]
 }
 
 // Undecided counts what may have gone over by a move and has no answer.
-func (o *owing) Undecided(move ranges.MoveID) int { return o.forwarding.names.By(move) }
+func (o *owing) Undecided(move shardmap.MoveID) int { return o.forwarding.names.By(move) }
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -5,9 +5,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -16,9 +16,9 @@
 // doubt is one webhook that another member may have, as it stands when that is asked.
 type doubt struct {
 	decider.Owed
-	name ranges.Name
-	hand ranges.Hand
-	out  ranges.Offer
+	name shardmap.Name
+	hand shardmap.Hand
+	out  shardmap.Offer
 }
 
 // settle asks a member that may have webhooks, of which it is not the home any more, or not in that life.
@@ -36,9 +36,9 @@
 	if len(asks) == 0 {
 		return
 	}
-	replies := make([]ranges.Reply, len(asks))
+	replies := make([]shardmap.Reply, len(asks))
 	status, raw, err := f.talk.Say(at, settlePath, transport.Encode(asks), exchange.Span(f.homes.term/4))
-	var said []ranges.Reply
+	var said []shardmap.Reply
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &said)
 	}
@@ -53,26 +53,26 @@
 }
 
 // settled does what a reply says, or what holds where there is none.
-func (o *owing) settled(d doubt, r ranges.Reply) {
+func (o *owing) settled(d doubt, r shardmap.Reply) {
 	names, now := o.forwarding.names, exchange.Now()
 	what := d.out.Settle(r, o.gone(d), o.events(d.Event), d.MayRun, d.TTL, now)
-	is := func(k *ranges.Known) bool { // nothing else was heard meanwhile
+	is := func(k *shardmap.Known) bool { // nothing else was heard meanwhile
 		_, hand, out := k.Out(d.name)
 		return out && hand == d.hand
 	}
 	still := false
 	switch what {
-	case ranges.Wait:
+	case shardmap.Wait:
 		return
-	case ranges.Drop:
-		names.Note(func(k *ranges.Known) {
-			if still = k.Heard(d.name, d.hand, ranges.Has) == ranges.Drop; still { // its end first
+	case shardmap.Drop:
+		names.Note(func(k *shardmap.Known) {
+			if still = k.Heard(d.name, d.hand, shardmap.Has) == shardmap.Drop; still { // its end first
 				o.decider.Passed([]gateway.WebhookID{d.ID})
 			}
 		})
-	case ranges.Own:
-		err := names.Change([]ranges.Name{d.name}, func(k *ranges.Known) {
-			still = k.Heard(d.name, d.hand, ranges.Never) == ranges.Own
+	case shardmap.Own:
+		err := names.Change([]shardmap.Name{d.name}, func(k *shardmap.Known) {
+			still = k.Heard(d.name, d.hand, shardmap.Never) == shardmap.Own
 		})
 		if still = still && err == nil; still {
 			o.decider.Settled([]exchange.RequestID{d.RequestID})
@@ -82,19 +82,19 @@
 		if !o.decider.Returned(ran) { // first, so that a restart finds it
 			return
 		}
-		err := names.Change([]ranges.Name{d.name}, func(k *ranges.Known) {
+		err := names.Change([]shardmap.Name{d.name}, func(k *shardmap.Known) {
 			if still = is(k); still {
 				k.Forked(d.name)
 			}
 		})
-		if still = still && err == nil; still && what == ranges.Anew {
+		if still = still && err == nil; still && what == shardmap.Anew {
 			o.decider.Settled([]exchange.RequestID{d.RequestID})
 		} else if still {
 			o.decider.GiveUp(d.ID)
 		}
 	}
 	if still {
-		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != ranges.Drop, "at", d.out.To, "said", r)
+		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != shardmap.Drop, "at", d.out.To, "said", r)
 		o.looks()
 	}
 }
--- a/cluster/member/export_test.go
+++ b/cluster/member/export_test.go
@@ -1,22 +1,22 @@
 package member
 
 import (
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
 // idle is a side with nothing of any range.
 type idle struct{}
 
-func (idle) Out(ranges.Range) int              { return 0 }
+func (idle) Out(shardmap.Range) int            { return 0 }
 func (idle) OutOf([]gateway.DestinationID) int { return 0 }
-func (idle) Owes(ranges.Range) int             { return 0 }
-func (idle) Told(ranges.Range) bool            { return true }
-func (idle) Undecided(ranges.MoveID) int       { return 0 }
+func (idle) Owes(shardmap.Range) int           { return 0 }
+func (idle) Told(shardmap.Range) bool          { return true }
+func (idle) Undecided(shardmap.MoveID) int     { return 0 }
 
 // Looks is a member's look at its homes by a map, without anything out or owed.
-func Looks(self fleet.MemberID, s *Session, chart *ranges.Map) func() {
+func Looks(self fleet.MemberID, s *Session, chart *shardmap.Map) func() {
 	h := &homes{self: self, term: s.Term, now: s.Clock, session: s, side: idle{}, changed: func() {}}
 	h.chart.Store(chart)
 	return h.Look
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -30,7 +30,7 @@
 	apart float64
 
 	mu     sync.Mutex
-	clocks map[fleet.MemberID]*ranges.Clock
+	clocks map[fleet.MemberID]*shardmap.Clock
 	lives  map[fleet.MemberID]uint64 // of their folders, as told last
 }
 
@@ -55,13 +55,13 @@
 			return what, retryIn
 		}
 		how := later
-		if v.Do == ranges.Forward {
+		if v.Do == shardmap.Forward {
 			what, retryIn, how = f.goes(w, v)
 		}
 		switch {
 		case how == answered:
 			return what, retryIn
-		case how == stays, v.Do == ranges.Forward && !f.side.ordered(w):
+		case how == stays, v.Do == shardmap.Forward && !f.side.ordered(w):
 			return here()
 		case exchange.Now() > until: // rejected, and told when the switch should be through
 			return exchange.Rejected, exchange.AnswerWithin
@@ -72,12 +72,12 @@
 
 // keeps takes on here what belongs here, or what has to wait here for an earlier one of its key, unless the
 // range is shut: guards against what comes after the last count before a switch.
-func (f *forwarding) keeps(w *exchange.Webhook, here taker) (v ranges.Verdict, what exchange.Answer,
+func (f *forwarding) keeps(w *exchange.Webhook, here taker) (v shardmap.Verdict, what exchange.Answer,
 	retryIn gateway.Micros, kept bool) {
 	f.homes.door.RLock()
 	defer f.homes.door.RUnlock()
 	v = f.homes.Verdict(w.Destination)
-	if f.homes.isShut(v) || v.Do == ranges.Forward && !f.side.decider.Follows(w) {
+	if f.homes.isShut(v) || v.Do == shardmap.Forward && !f.side.decider.Follows(w) {
 		return v, 0, 0, false
 	}
 	what, retryIn = here()
@@ -85,12 +85,12 @@
 }
 
 // goes offers a client's webhook to its home.
-func (f *forwarding) goes(w *exchange.Webhook, v ranges.Verdict) (exchange.Answer, gateway.Micros, went) {
+func (f *forwarding) goes(w *exchange.Webhook, v shardmap.Verdict) (exchange.Answer, gateway.Micros, went) {
 	hand := f.names.Next(nameOf(w.RequestID))
 	for hops := 0; ; hops++ {
 		at := exchange.Now()
 		hs, life, err := f.say(v.To, webhookPath, sent{Version: v.Version, At: at,
-			All: []ranges.Carried{carried(w, hand, 0, gateway.Never, 0)}}, exchange.AnswerWithin/hopPart, true)
+			All: []shardmap.Carried{carried(w, hand, 0, gateway.Never, 0)}}, exchange.AnswerWithin/hopPart, true)
 		h := heard{}
 		if err == nil {
 			h = hs[0]
@@ -98,24 +98,24 @@
 		switch {
 		case errors.Is(err, transport.ErrNotSent):
 			return 0, 0, stays
-		case err != nil || h.Reply == ranges.Silent || h.Reply == ranges.Forgot:
-			if !f.doubt(w, hand, ranges.Offer{To: v.To, Life: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
+		case err != nil || h.Reply == shardmap.Silent || h.Reply == shardmap.Forgot:
+			if !f.doubt(w, hand, shardmap.Offer{To: v.To, Life: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
 				return exchange.Taken, 0, answered
 			}
 			return 0, 0, stays
 		case h.Doubled:
 			return exchange.Doubled, 0, answered
-		case h.Reply == ranges.Has:
+		case h.Reply == shardmap.Has:
 			f.homes.session.Forwarded.Add(1)
 			return exchange.Taken, 0, answered
-		case h.Reply == ranges.Refuses && h.Refused == 0:
+		case h.Reply == shardmap.Refuses && h.Refused == 0:
 			return exchange.Rejected, h.RetryIn, answered
-		case h.Reply == ranges.Never: // its time is up: here it ends
+		case h.Reply == shardmap.Never: // its time is up: here it ends
 			return 0, 0, stays
-		case !ranges.Again(v, h.Told, h.Refused, hops):
+		case !shardmap.Again(v, h.Told, h.Refused, hops):
 			return 0, 0, later
 		}
-		h.Told.Do = ranges.Forward
+		h.Told.Do = shardmap.Forward
 		v = h.Told
 	}
 }
@@ -164,11 +164,11 @@
 // doubt has a webhook kept here that its home may have: nobody here calls before that is settled, after a
 // restart either. Where that can't be written, the restart finds that it may have run. false: it has come
 // back here by now, and is held.
-func (f *forwarding) doubt(w *exchange.Webhook, hand ranges.Hand, o ranges.Offer) (kept bool) {
+func (f *forwarding) doubt(w *exchange.Webhook, hand shardmap.Hand, o shardmap.Offer) (kept bool) {
 	slog.Warn("webhook in doubt: its home gave no answer", "webhook", w.RequestID, "home", o.To)
 	f.homes.session.Doubts.Add(1)
 	name := nameOf(w.RequestID)
-	err := f.names.Change([]ranges.Name{name}, func(k *ranges.Known) { kept = k.Sent(name, hand, w.TTL, o) })
+	err := f.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { kept = k.Sent(name, hand, w.TTL, o) })
 	if w.InDoubt, w.Keep = true, true; err != nil {
 		w.Past, kept = &exchange.Past{Attempts: 1, MayRun: o.SentAt}, true
 	}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -6,10 +6,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -90,15 +90,15 @@
 
 // sick asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
-func (h *harm) sick(of []ranges.Range) plan.Sickness {
-	in := func(r ranges.Range, d gateway.DestinationID) bool {
+func (h *harm) sick(of []shardmap.Range) plan.Sickness {
+	in := func(r shardmap.Range, d gateway.DestinationID) bool {
 		return r.Home == h.self && h.homes.Map().Holds(r, d)
 	}
 	found := make(chan []gateway.Learned, 1)
-	if slices.ContainsFunc(of, func(r ranges.Range) bool { return r.Home == h.self }) {
+	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
 		go func() {
 			all, _ := h.d.Learned(func(d gateway.DestinationID) bool {
-				return slices.ContainsFunc(of, func(r ranges.Range) bool { return in(r, d) })
+				return slices.ContainsFunc(of, func(r shardmap.Range) bool { return in(r, d) })
 			})
 			found <- all
 		}()
@@ -110,7 +110,7 @@
 	case all = <-found:
 	case <-h.over: // no turn comes any more
 	}
-	return func(r ranges.Range) (sick []gateway.DestinationID) {
+	return func(r shardmap.Range) (sick []gateway.DestinationID) {
 		for _, l := range all {
 			if l.Sick && in(r, l.Destination) {
 				sick = append(sick, l.Destination)
@@ -125,7 +125,7 @@
 	if chart == nil {
 		return plan.Report{}
 	}
-	var of []ranges.Range
+	var of []shardmap.Range
 	for _, w := range a.Of {
 		if r, ok := chart.Get(w.Range); ok {
 			of = append(of, r)
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/plan"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -18,10 +18,10 @@
 // Each end counts once and as what it was, a rejection where its client heard of it: guards against harm that
 // is done and not seen, and against a plan stopped for what a home and an entry both count.
 func TestEachEndCountsOnceAsWhatItWas(t *testing.T) {
-	even, err := ranges.Even(1, []ranges.Weight{{Member: "b", Weight: 1}})
+	even, err := shardmap.Even(1, []shardmap.Weight{{Member: "b", Weight: 1}})
 	assert.NoError(t, err)
-	even[0].Move = ranges.Move{ID: 5, From: "b", To: "c", Step: ranges.Planned}
-	chart := &ranges.Map{Ranges: even}
+	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.Planned}
+	chart := &shardmap.Map{Ranges: even}
 	h := &harm{self: "a", homes: &homes{}, tally: plan.NewTally(1, gateway.Second, 0),
 		now: func() gateway.Micros { return 0 }}
 	h.homes.chart.Store(chart)
@@ -60,13 +60,13 @@
 
 // Whatever a message says, it is refused or answered: guards against a member ended by what another sends.
 func FuzzHear(f *testing.F) {
-	even, err := ranges.Even(2, []ranges.Weight{{Member: "b", Weight: 1}})
+	even, err := shardmap.Even(2, []shardmap.Weight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
 	f.Add(transport.Encode(harmAsk{1, []plan.Watch{{Move: 5, Range: 1, From: 0, To: ^fleet.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		h := &harm{self: "a", homes: &homes{}, tally: plan.NewTally(1, gateway.Second, 0),
 			now: func() gateway.Micros { return 0 }}
-		h.homes.chart.Store(&ranges.Map{Ranges: even})
+		h.homes.chart.Store(&shardmap.Map{Ranges: even})
 		h.count(7, plan.Ends{Ended: 1})
 		var ctx fasthttp.RequestCtx
 		ctx.Request.SetBody(body)
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -5,41 +5,41 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
 
 // Hear takes a webhook that its entry sent here, or says where it goes.
 func (f *forwarding) Hear(ctx *fasthttp.RequestCtx) {
-	f.hear(ctx, func(s sent, c ranges.Carried) (admission ranges.Admission, v ranges.Verdict) {
+	f.hear(ctx, func(s sent, c shardmap.Carried) (admission shardmap.Admission, v shardmap.Verdict) {
 		if chart := f.homes.Map(); chart != nil {
 			return f.admit(chart, s, c)
 		}
-		return ranges.Behind, v
+		return shardmap.Behind, v
 	})
 }
 
 // admit guards against a webhook taken on by a move's source that has let go, or is about to, which the next
 // one of its key, sent to the target, overtakes: its sender keeps it.
-func (f *forwarding) admit(chart *ranges.Map, s sent, c ranges.Carried) (ranges.Admission, ranges.Verdict) {
+func (f *forwarding) admit(chart *shardmap.Map, s sent, c shardmap.Carried) (shardmap.Admission, shardmap.Verdict) {
 	admission, v := chart.AdmitOf(f.homes.tenant(), c.Dest, s.Version)
 	_, held := f.homes.session.Holds(fleet.HomeOf(v.Range))
-	if admission == ranges.Take && v.Passes.Open() && (!held || f.homes.isShut(v)) {
-		admission = ranges.Behind
+	if admission == shardmap.Take && v.Passes.Open() && (!held || f.homes.isShut(v)) {
+		admission = shardmap.Behind
 	}
 	return admission, v
 }
 
 // HearOwed takes what another member owes and hands on: by a move, or since the home is here.
 func (f *forwarding) HearOwed(ctx *fasthttp.RequestCtx) {
-	f.hear(ctx, func(s sent, c ranges.Carried) (admission ranges.Admission, v ranges.Verdict) {
+	f.hear(ctx, func(s sent, c shardmap.Carried) (admission shardmap.Admission, v shardmap.Verdict) {
 		chart := f.homes.Map()
 		switch {
 		case chart == nil:
-			return ranges.Behind, v
+			return shardmap.Behind, v
 		case s.Move == 0:
 			return f.admit(chart, s, c)
 		}
@@ -47,8 +47,8 @@
 	})
 }
 
-func (f *forwarding) hear(ctx *fasthttp.RequestCtx, admit func(sent, ranges.Carried) (ranges.Admission,
-	ranges.Verdict)) {
+func (f *forwarding) hear(ctx *fasthttp.RequestCtx, admit func(sent, shardmap.Carried) (shardmap.Admission,
+	shardmap.Verdict)) {
 	var s sent
 	if err := transport.Decode(ctx.Request.Body(), &s); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -77,7 +77,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.clocks[from] == nil {
-		f.clocks[from] = &ranges.Clock{}
+		f.clocks[from] = &shardmap.Clock{}
 	}
 	return f.clocks[from].Heard(sentAt, exchange.Now(), f.apart)
 }
@@ -89,18 +89,18 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	replies, names, now := make([]ranges.Reply, len(all)), make([]ranges.Name, len(all)), exchange.Now()
+	replies, names, now := make([]shardmap.Reply, len(all)), make([]shardmap.Name, len(all)), exchange.Now()
 	for i, a := range all {
 		switch names[i] = a.Name; {
 		case a.Life == 0: // sent before any life was known: no folder takes that
-			replies[i] = ranges.Never
+			replies[i] = shardmap.Never
 		case a.Life != f.names.Life:
-			replies[i] = ranges.Forgot
+			replies[i] = shardmap.Forgot
 		}
 	}
-	err := f.names.Change(names, func(k *ranges.Known) {
+	err := f.names.Change(names, func(k *shardmap.Known) {
 		for i, a := range all {
-			if replies[i] == ranges.Silent {
+			if replies[i] == shardmap.Silent {
 				replies[i], _ = k.Asked(a.Name, a.Hand, now+a.Left)
 			}
 		}
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -7,10 +7,10 @@
 	"sync"
 	"sync/atomic"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -26,26 +26,26 @@
 	shuts   sync.Map     // fleet.RangeID to shutting, of a move that is about to switch
 	over    atomic.Int64 // since when there is no session; gateway.Never while there is
 
-	chart atomic.Pointer[ranges.Map]
+	chart atomic.Pointer[shardmap.Map]
 	mu    sync.Mutex   // one look at a time
 	door  sync.RWMutex // open from a webhook's admission until it is in; shut is set while it is closed
 }
 
 // side is the member's dispatcher as far as its homes go.
 type side interface {
-	Out(ranges.Range) int // calls out of a range
+	Out(shardmap.Range) int // calls out of a range
 	OutOf([]gateway.DestinationID) int
-	Owes(ranges.Range) int       // webhooks of it that have not gone over
-	Told(ranges.Range) bool      // its move's target knows what was learned
-	Undecided(ranges.MoveID) int // webhooks that a move's other side may have
+	Owes(shardmap.Range) int       // webhooks of it that have not gone over
+	Told(shardmap.Range) bool      // its move's target knows what was learned
+	Undecided(shardmap.MoveID) int // webhooks that a move's other side may have
 }
 
 // Map is the newest map that this member has.
-func (h *homes) Map() *ranges.Map { return h.chart.Load() }
+func (h *homes) Map() *shardmap.Map { return h.chart.Load() }
 
 // Charted takes a newer map.
 func (h *homes) Charted(snapshot []byte) {
-	next := ranges.New(nil)
+	next := shardmap.New(nil)
 	if err := next.Restore(snapshot); err != nil {
 		slog.Error("map of ranges not read, the old one stays", "why", err)
 		return
@@ -58,25 +58,25 @@
 }
 
 // tenant is this member as far as its right to call goes.
-func (h *homes) tenant() ranges.Tenant {
-	return ranges.Tenant{Member: h.self, Epoch: h.session.Holds,
-		Alone: ranges.Deserted(gateway.Micros(h.over.Load()), h.now(), h.term)}
+func (h *homes) tenant() shardmap.Tenant {
+	return shardmap.Tenant{Member: h.self, Epoch: h.session.Holds,
+		Alone: shardmap.Deserted(gateway.Micros(h.over.Load()), h.now(), h.term)}
 }
 
 // Verdict is what this member does with webhooks of a destination, now.
-func (h *homes) Verdict(d gateway.DestinationID) ranges.Verdict {
+func (h *homes) Verdict(d gateway.DestinationID) shardmap.Verdict {
 	chart := h.chart.Load()
 	if chart == nil {
-		return ranges.Verdict{Do: ranges.Keep}
+		return shardmap.Verdict{Do: shardmap.Keep}
 	}
 	return chart.VerdictOf(h.tenant(), d)
 }
 
 // VerdictAt is the same for whatever stands at a place among the ranges.
-func (h *homes) VerdictAt(key fleet.KeyHash) ranges.Verdict {
+func (h *homes) VerdictAt(key fleet.KeyHash) shardmap.Verdict {
 	chart := h.chart.Load()
 	if chart == nil {
-		return ranges.Verdict{Do: ranges.Keep}
+		return shardmap.Verdict{Do: shardmap.Keep}
 	}
 	return chart.MayServe(h.tenant(), key)
 }
@@ -91,7 +91,7 @@
 	if chart == nil {
 		return
 	}
-	say := func(what string, r ranges.Range, c fleet.Command) { reached = reached && h.say(what, r, c) }
+	say := func(what string, r shardmap.Range, c fleet.Command) { reached = reached && h.say(what, r, c) }
 	for _, r := range chart.Ranges {
 		task := fleet.HomeOf(r.ID)
 		epoch, held := h.session.Holds(task)
@@ -102,38 +102,38 @@
 			h.session.Want(task)
 		case !held:
 			h.session.Unwant(task)
-		case held && r.Home == h.self && epoch > r.Epoch && r.Move.Step != ranges.Passing:
-			say("home taken", r, ranges.Home(r.ID, h.self, epoch, chart.Version))
-		case held && r.Move.Step == ranges.Passing && r.Move.To == h.self:
-			say("home switched", r, ranges.Switch(r.Move.ID, r.ID, h.self, epoch))
+		case held && r.Home == h.self && epoch > r.Epoch && r.Move.Step != shardmap.Passing:
+			say("home taken", r, shardmap.Home(r.ID, h.self, epoch, chart.Version))
+		case held && r.Move.Step == shardmap.Passing && r.Move.To == h.self:
+			say("home switched", r, shardmap.Switch(r.Move.ID, r.ID, h.self, epoch))
 		}
-		if r.Move.Step == ranges.Switched && h.clears(r.Move) && h.side.Undecided(r.Move.ID) == 0 {
-			say("move cleared", r, ranges.Clear(r.Move.ID, h.self))
+		if r.Move.Step == shardmap.Switched && h.clears(r.Move) && h.side.Undecided(r.Move.ID) == 0 {
+			say("move cleared", r, shardmap.Clear(r.Move.ID, h.self))
 		}
 	}
 	for u, of := range chart.StrayedFrom(h.tenant()) {
 		if h.side.OutOf(of) == 0 {
-			say("destinations let go", ranges.Range{ID: u.Range}, ranges.Seen(u.Range, u.Epoch, chart.Version))
+			say("destinations let go", shardmap.Range{ID: u.Range}, shardmap.Seen(u.Range, u.Epoch, chart.Version))
 		}
 	}
 	h.reopen(chart)
 	for _, v := range chart.Left {
 		if h.clears(v) && h.side.Undecided(v.ID) == 0 {
-			say("move cleared", ranges.Range{Move: v}, ranges.Clear(v.ID, h.self))
+			say("move cleared", shardmap.Range{Move: v}, shardmap.Clear(v.ID, h.self))
 		}
 	}
 }
 
 // letGo gives up a home that goes elsewhere as soon as it may. What came before the range was shut is counted
 // at the next look.
-func (h *homes) letGo(r ranges.Range, task fleet.Task, epoch fleet.Epoch) {
+func (h *homes) letGo(r shardmap.Range, task fleet.Task, epoch fleet.Epoch) {
 	out, owed := h.side.Out(r), h.side.Owes(r)
 	if h.side.Told(r) && r.Shuts(h.self, out, owed, mostAtOnce) && h.shut(r) {
 		return
 	}
 	s, shut := h.shuts.Load(r.ID)
 	shut = shut && s.(shutting).move == r.Move.ID
-	passes := r.Move.Step == ranges.Passing && r.Home == h.self
+	passes := r.Move.Step == shardmap.Passing && r.Home == h.self
 	if r.LetsGo(h.self, out, owed) && (shut || !passes) {
 		h.session.Release(task)
 		slog.Info("home let go", "range", r.ID, "epoch", epoch)
@@ -142,7 +142,7 @@
 
 // shut has nothing more taken on for a range whose move is about to switch, and tells whether that is new.
 // Guards order by key: what came after the last count would go over behind what the target takes by then.
-func (h *homes) shut(r ranges.Range) (fresh bool) {
+func (h *homes) shut(r shardmap.Range) (fresh bool) {
 	was, known := h.shuts.Load(r.ID)
 	if known && was.(shutting).move == r.Move.ID {
 		return false
@@ -155,14 +155,14 @@
 }
 
 // isShut is whether a webhook by this verdict has to wait for the switch.
-func (h *homes) isShut(v ranges.Verdict) bool {
+func (h *homes) isShut(v shardmap.Verdict) bool {
 	s, known := h.shuts.Load(v.Range)
-	return known && v.Do == ranges.Hold && v.Passes.Open() && s.(shutting).move == v.Passes.ID
+	return known && v.Do == shardmap.Hold && v.Passes.Open() && s.(shutting).move == v.Passes.ID
 }
 
 // shutting is since when a range is shut, for which move.
 type shutting struct {
-	move  ranges.MoveID
+	move  shardmap.MoveID
 	since gateway.Micros
 }
 
@@ -171,12 +171,12 @@
 const shutPart = 4
 
 // reopen forgets ranges whose move has switched or gone back, or goes over too slowly.
-func (h *homes) reopen(chart *ranges.Map) {
+func (h *homes) reopen(chart *shardmap.Map) {
 	h.shuts.Range(func(id, is any) bool {
 		r, ok := chart.Get(id.(fleet.RangeID))
 		s := is.(shutting)
 		_, held := h.session.Holds(fleet.HomeOf(r.ID))
-		if !ok || r.Move.ID != s.move || r.Move.Step != ranges.Passing || r.Home != h.self ||
+		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.Passing || r.Home != h.self ||
 			held && h.now()-s.since > h.term/shutPart {
 			h.shuts.Delete(id)
 		}
@@ -185,18 +185,18 @@
 }
 
 // leaves is whether a range that is held here may be on its way elsewhere: only then its calls are counted.
-func (h *homes) leaves(r ranges.Range) bool {
-	return !r.Wants(h.self) || r.Move.Step == ranges.Passing && r.Home == h.self
+func (h *homes) leaves(r shardmap.Range) bool {
+	return !r.Wants(h.self) || r.Move.Step == shardmap.Passing && r.Home == h.self
 }
 
 // clears is whether this member has yet to say that it has no copies left of a switched move.
-func (h *homes) clears(v ranges.Move) bool {
+func (h *homes) clears(v shardmap.Move) bool {
 	return v.From == h.self && !v.FromClear || v.To == h.self && !v.ToClear
 }
 
 // say proposes what one range needs, and tells whether a leader answered. A refusal means that the map went
 // on: the next one tells what holds.
-func (h *homes) say(what string, r ranges.Range, c fleet.Command) (reached bool) {
+func (h *homes) say(what string, r shardmap.Range, c fleet.Command) (reached bool) {
 	if _, err := h.Propose(c); err != nil {
 		level := slog.LevelWarn
 		if errors.Is(err, fleet.ErrStale) || errors.Is(err, fleet.ErrHeld) {
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -7,9 +7,9 @@
 	"github.com/valyala/fasthttp"
 
 	"rowanlink/cluster/member"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
@@ -18,9 +18,9 @@
 	keeper, a := script(t, func(_ int, real transport.Proposed) (int, []byte) {
 		return fasthttp.StatusOK, transport.Encode(real)
 	})
-	chart := ranges.New(nil)
+	chart := shardmap.New(nil)
 	var err error
-	chart.Ranges, err = ranges.Even(4, []ranges.Weight{{Member: "a0", Weight: 1}})
+	chart.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
 		a.Want(fleet.HomeOf(r.ID))
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -16,12 +16,12 @@
 
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/raftnode"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/plan"
-	"rowanlink/fleet/ranges"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
@@ -121,9 +121,9 @@
 		return fmt.Errorf("names of webhooks: %w", err)
 	}
 	f := &forwarding{homes: m.homes, x: d.Exchange, talk: m.talk, names: m.names, apart: m.file.Apart,
-		clocks: map[fleet.MemberID]*ranges.Clock{}, lives: map[fleet.MemberID]uint64{}}
-	m.owing = &owing{forwarding: f, decider: d.Decider, adopted: map[exchange.RequestID]ranges.MoveID{},
-		told: map[ranges.MoveID]bool{}, busy: map[fleet.MemberID]bool{}, events: m.event,
+		clocks: map[fleet.MemberID]*shardmap.Clock{}, lives: map[fleet.MemberID]uint64{}}
+	m.owing = &owing{forwarding: f, decider: d.Decider, adopted: map[exchange.RequestID]shardmap.MoveID{},
+		told: map[shardmap.MoveID]bool{}, busy: map[fleet.MemberID]bool{}, events: m.event,
 		looks: func() { nudge(m.pokeOwed) }}
 	f.side, m.homes.side = m.owing, m.owing
 	m.harm = &harm{self: m.self, homes: m.homes, d: d.Decider, now: m.clock, over: m.ended,
@@ -150,7 +150,7 @@
 	book := lease.NewBook()
 	m.keeper, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
 		Term: m.file.Term, Logs: logs(m.file), Talk: m.talk, Clock: m.clock, Book: book,
-		State: state.New(book, map[byte]fleet.Part{fleet.RangesPart: ranges.New(book),
+		State: state.New(book, map[byte]fleet.Part{fleet.RangesPart: shardmap.New(book),
 			fleet.PlanPart: &plan.Progress{}})}, on)
 	if err != nil {
 		return err
@@ -176,12 +176,12 @@
 
 // named opens the names of webhooks, beside what the journal still owes.
 func (m *Member) named() (err error) {
-	held := map[ranges.Name]bool{}
+	held := map[shardmap.Name]bool{}
 	for _, id := range m.d.Decider.Earlier() {
 		held[nameOf(id)] = true
 	}
 	m.names, err = openNames(filepath.Join(m.d.State, "fleet", "names"), namesMB, expireBy*m.file.Term,
-		func(n ranges.Name) bool { return held[n] })
+		func(n shardmap.Name) bool { return held[n] })
 	return err
 }
 
@@ -202,7 +202,7 @@
 		slog.Error("what goes to relays not read", "why", err)
 		os.Exit(1)
 	}
-	m.conductor = &conductor{homes: m.homes, harm: m.harm, vacancy: ranges.NewVacancies(m.file.Term)}
+	m.conductor = &conductor{homes: m.homes, harm: m.harm, vacancy: shardmap.NewVacancies(m.file.Term)}
 	go m.server.Serve(m.on)
 	m.session.Follow(fleet.RangesPart, func(_ uint64, s []byte) { m.homes.Charted(s) })
 	if m.keeper != nil {
--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
@@ -24,21 +24,21 @@
 	Life uint64 // of the folder: one that was lost begins anew
 
 	mu    sync.Mutex
-	known *ranges.Known
+	known *shardmap.Known
 	kept  *journal.Journal
-	at    map[ranges.Name]gateway.WebhookID // the record of each
+	at    map[shardmap.Name]gateway.WebhookID // the record of each
 	last  gateway.WebhookID
 	slack gateway.Micros
 	swept gateway.Micros
 }
 
 // nameOf is a webhook's over the whole fleet: a request id is never used twice.
-func nameOf(id exchange.RequestID) ranges.Name {
-	return ranges.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
+func nameOf(id exchange.RequestID) shardmap.Name {
+	return shardmap.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
 }
 
 // openNames reads the records of an earlier life from a folder; held tells what that life still owes.
-func openNames(dir string, diskMB float64, slack gateway.Micros, held func(ranges.Name) bool) (*names,
+func openNames(dir string, diskMB float64, slack gateway.Micros, held func(shardmap.Name) bool) (*names,
 	error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,10 +51,10 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &names{Life: life, kept: kept, at: map[ranges.Name]gateway.WebhookID{}, slack: slack}
-	latest := map[ranges.Name]ranges.Record{}
+	n := &names{Life: life, kept: kept, at: map[shardmap.Name]gateway.WebhookID{}, slack: slack}
+	latest := map[shardmap.Name]shardmap.Record{}
 	for _, e := range kept.Entries() {
-		var r ranges.Record
+		var r shardmap.Record
 		if err := transport.Decode(e.Taken, &r); err != nil {
 			return nil, fmt.Errorf("names of webhooks: record %d: %w", e.ID, err)
 		}
@@ -63,11 +63,11 @@
 		}
 		latest[r.Name], n.last, n.at[r.Name] = r, max(n.last, e.ID), e.ID
 	}
-	all, was := make([]ranges.Record, 0, len(latest)), make([]past, 0, len(latest))
+	all, was := make([]shardmap.Record, 0, len(latest)), make([]past, 0, len(latest))
 	for name, r := range latest {
 		all, was = append(all, r), append(was, past{name, r, true})
 	}
-	n.known = ranges.NewKnown(all, held)
+	n.known = shardmap.NewKnown(all, held)
 	return n, n.write(was) // guards against a next life that reads the same otherwise
 }
 
@@ -91,19 +91,19 @@
 
 // past is a record as it was, to be put back.
 type past struct {
-	name   ranges.Name
-	record ranges.Record
+	name   shardmap.Name
+	record shardmap.Record
 	known  bool
 }
 
-func (n *names) past(name ranges.Name) past {
+func (n *names) past(name shardmap.Name) past {
 	r, known := n.known.Record(name)
 	return past{name, r, known}
 }
 
 // Change does something with records of names, and has written what changed before it returns; what can't be
 // written is as before.
-func (n *names) Change(of []ranges.Name, do func(*ranges.Known)) error {
+func (n *names) Change(of []shardmap.Name, do func(*shardmap.Known)) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.expire()
@@ -123,7 +123,7 @@
 }
 
 // Note does something with records that needs not be written: a restart finds the same by asking again.
-func (n *names) Note(do func(*ranges.Known)) {
+func (n *names) Note(do func(*shardmap.Known)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(n.known)
@@ -131,8 +131,8 @@
 
 // write keeps the records that are not as they were; the caller holds the lock.
 func (n *names) write(was []past) (err error) {
-	fresh := map[ranges.Name]gateway.WebhookID{}
-	var gone []ranges.Name
+	fresh := map[shardmap.Name]gateway.WebhookID{}
+	var gone []shardmap.Name
 	for _, w := range was {
 		r, known := n.known.Record(w.name)
 		switch {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (n *names) drop(name ranges.Name) {
+func (n *names) drop(name shardmap.Name) {
 	if id, ok := n.at[name]; ok {
 		n.kept.End(id, nil)
 		delete(n.at, name)
@@ -183,14 +183,14 @@
 }
 
 // Out is to whom a webhook is on its way.
-func (n *names) Out(name ranges.Name) (ranges.Offer, ranges.Hand, bool) {
+func (n *names) Out(name shardmap.Name) (shardmap.Offer, shardmap.Hand, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.known.Out(name)
 }
 
 // Comes is whether a webhook is being taken on.
-func (n *names) Comes(name ranges.Name) bool {
+func (n *names) Comes(name shardmap.Name) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r, _ := n.known.Record(name)
@@ -198,14 +198,14 @@
 }
 
 // Next is the hand by which a webhook is offered next.
-func (n *names) Next(name ranges.Name) ranges.Hand {
+func (n *names) Next(name shardmap.Name) shardmap.Hand {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.known.Next(name)
 }
 
 // By counts what is on its way by a move.
-func (n *names) By(move ranges.MoveID) int {
+func (n *names) By(move shardmap.MoveID) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.known.By(move)
--- a/cluster/member/names_test.go
+++ b/cluster/member/names_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet/ranges"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
 
 // life is one of a folder's: names as a process finds them that still holds some webhooks.
 func life(t *testing.T, dir string, diskMB float64, held ...exchange.RequestID) *names {
-	n, err := openNames(dir, diskMB, gateway.Second, func(name ranges.Name) bool {
+	n, err := openNames(dir, diskMB, gateway.Second, func(name shardmap.Name) bool {
 		for _, id := range held {
 			if nameOf(id) == name {
 				return true
@@ -26,9 +26,9 @@
 	return n
 }
 
-func (n *names) does(t *testing.T, id exchange.RequestID, do func(*ranges.Known, ranges.Name)) {
+func (n *names) does(t *testing.T, id exchange.RequestID, do func(*shardmap.Known, shardmap.Name)) {
 	name := nameOf(id)
-	require.NoError(t, n.Change([]ranges.Name{name}, func(k *ranges.Known) { do(k, name) }))
+	require.NoError(t, n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { do(k, name) }))
 }
 
 // Guards against a webhook called by two: that it may be with another member outlasts the process, unless it
@@ -37,18 +37,18 @@
 	dir, ttl := t.TempDir(), exchange.Now()+90*gateway.Second
 	n := life(t, dir, 1)
 	for _, id := range []exchange.RequestID{"held", "ended"} {
-		n.does(t, id, func(k *ranges.Known, name ranges.Name) {
-			k.Offers(name, ttl, ranges.Offer{To: "b", Life: 3})
+		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
+			k.Offers(name, ttl, shardmap.Offer{To: "b", Life: 3})
 		})
 	}
-	n.does(t, "asked", func(k *ranges.Known, name ranges.Name) { k.Asked(name, 4, ttl) })
+	n.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) { k.Asked(name, 4, ttl) })
 	next := life(t, dir, 1, "held")
 	assert.Equal(t, n.Life, next.Life)
 	assert.True(t, next.Doubts("held"))
 	assert.False(t, next.Doubts("ended"))
-	next.does(t, "asked", func(k *ranges.Known, name ranges.Name) {
+	next.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) {
 		reply, _ := k.Offered(name, 4, ttl, exchange.Now(), true)
-		assert.Equal(t, ranges.Never, reply, "a no is bound to last")
+		assert.Equal(t, shardmap.Never, reply, "a no is bound to last")
 	})
 	assert.NotEqual(t, n.Life, life(t, t.TempDir(), 1).Life, "a folder that was lost is another life's")
 }
@@ -59,16 +59,16 @@
 	dir, ttl := t.TempDir(), exchange.Now()+90*gateway.Second
 	n := life(t, dir, 1)
 	for _, id := range []exchange.RequestID{"in", "lost"} {
-		n.does(t, id, func(k *ranges.Known, name ranges.Name) {
+		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
 			_, what := k.Offered(name, 1, ttl, exchange.Now(), true)
-			require.Equal(t, ranges.Takes, what)
+			require.Equal(t, shardmap.Takes, what)
 		})
 		assert.True(t, n.Comes(nameOf(id)))
 	}
 	for range 2 { // the life after the next finds the same
 		n = life(t, dir, 1, "in")
-		for id, want := range map[exchange.RequestID]ranges.Reply{"in": ranges.Has, "lost": ranges.Never} {
-			n.does(t, id, func(k *ranges.Known, name ranges.Name) {
+		for id, want := range map[exchange.RequestID]shardmap.Reply{"in": shardmap.Has, "lost": shardmap.Never} {
+			n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
 				reply, _ := k.Asked(name, 1, ttl)
 				assert.Equal(t, want, reply, id)
 			})
@@ -82,7 +82,7 @@
 	var err error
 	for id := range 1000 {
 		name := nameOf(exchange.RequestID(rune('a' + id)))
-		err = n.Change([]ranges.Name{name}, func(k *ranges.Known) { k.Offered(name, 1, ttl, exchange.Now(), true) })
+		err = n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Offered(name, 1, ttl, exchange.Now(), true) })
 		if err != nil {
 			assert.False(t, n.Comes(name))
 			break
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -4,9 +4,9 @@
 	"errors"
 	"log/slog"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -14,7 +14,7 @@
 
 // handOn offers what is owed to its home, or to the target of its move, and has it parked in doubt until
 // there is an answer. What has none is offered again: there it is known by its name.
-func (o *owing) handOn(chart *ranges.Map, to fleet.MemberID, move ranges.MoveID, all []decider.Owed) {
+func (o *owing) handOn(chart *shardmap.Map, to fleet.MemberID, move shardmap.MoveID, all []decider.Owed) {
 	f := o.forwarding
 	s := sent{Version: chart.Version, At: exchange.Now(), Move: move}
 	all = o.offered(chart, to, move, all, &s)
@@ -27,12 +27,12 @@
 	}
 	if errors.Is(err, transport.ErrNotSent) {
 		for i := range hs {
-			hs[i].Reply = ranges.Refuses // by nobody: this try went nowhere
+			hs[i].Reply = shardmap.Refuses // by nobody: this try went nowhere
 		}
 	}
 	n := 0
 	for _, h := range hs {
-		if h.Reply == ranges.Has {
+		if h.Reply == shardmap.Has {
 			n++
 		}
 	}
@@ -50,17 +50,17 @@
 
 // offered writes to whom webhooks are on their way, before they are. It keeps those that are still parked
 // here.
-func (o *owing) offered(chart *ranges.Map, to fleet.MemberID, move ranges.MoveID, all []decider.Owed,
+func (o *owing) offered(chart *shardmap.Map, to fleet.MemberID, move shardmap.MoveID, all []decider.Owed,
 	s *sent) (still []decider.Owed) {
 	f := o.forwarding
-	ids, names := make([]gateway.WebhookID, len(all)), make([]ranges.Name, len(all))
+	ids, names := make([]gateway.WebhookID, len(all)), make([]shardmap.Name, len(all))
 	for i, w := range all {
 		ids[i], names[i] = w.ID, nameOf(w.RequestID)
 	}
 	marked := o.decider.Doubt(ids)
 	life := f.life(to)
 	var anew, settled []exchange.RequestID
-	err := f.names.Change(names, func(k *ranges.Known) {
+	err := f.names.Change(names, func(k *shardmap.Known) {
 		for i, w := range all {
 			r, ok := chart.Of(chart.Key(w.Destination))
 			fresh, parked := marked[w.ID]
@@ -76,7 +76,7 @@
 			case !out:
 				anew = append(anew, w.RequestID)
 			}
-			hand, ok := k.Offers(names[i], w.TTL, ranges.Offer{To: to, Life: life, Move: move, Range: r.ID,
+			hand, ok := k.Offers(names[i], w.TTL, shardmap.Offer{To: to, Life: life, Move: move, Range: r.ID,
 				Epoch: r.Epoch, SentAt: s.At})
 			if ok {
 				still = append(still, w)
@@ -93,11 +93,11 @@
 
 // heard does what the answers to offers say.
 func (o *owing) heard(s sent, all []decider.Owed, hs []heard) {
-	var own []ranges.Name
+	var own []shardmap.Name
 	var ours []exchange.RequestID
 	var drop []gateway.WebhookID
 	for i, w := range all {
-		if hs[i].Reply != ranges.Has {
+		if hs[i].Reply != shardmap.Has {
 			own = append(own, s.All[i].Name)
 			continue
 		}
@@ -109,9 +109,9 @@
 	if len(own) == 0 {
 		return
 	}
-	err := o.forwarding.names.Change(own, func(k *ranges.Known) {
+	err := o.forwarding.names.Change(own, func(k *shardmap.Known) {
 		for i, w := range all {
-			if hs[i].Reply != ranges.Has && k.Heard(s.All[i].Name, s.All[i].Hand, hs[i].Reply) == ranges.Own {
+			if hs[i].Reply != shardmap.Has && k.Heard(s.All[i].Name, s.All[i].Hand, hs[i].Reply) == shardmap.Own {
 				ours = append(ours, w.RequestID)
 			}
 		}
@@ -120,8 +120,8 @@
 		o.decider.Settled(ours)
 	}
 	for i, w := range all {
-		if out, hand, is := o.forwarding.names.Out(s.All[i].Name); is && hs[i].Reply == ranges.Forgot {
-			o.settled(doubt{w, s.All[i].Name, hand, out}, ranges.Forgot)
+		if out, hand, is := o.forwarding.names.Out(s.All[i].Name); is && hs[i].Reply == shardmap.Forgot {
+			o.settled(doubt{w, s.All[i].Name, hand, out}, shardmap.Forgot)
 		}
 	}
 }
@@ -129,10 +129,10 @@
 // drops ends what another member has. Guards against one that has come back meanwhile, and against one taken
 // on anew before it has ended here: both wait for the names.
 func (o *owing) drops(s sent, all []decider.Owed, hs []heard) {
-	o.forwarding.names.Note(func(k *ranges.Known) {
+	o.forwarding.names.Note(func(k *shardmap.Known) {
 		var ids []gateway.WebhookID
 		for i, w := range all {
-			if hs[i].Reply == ranges.Has && k.Heard(s.All[i].Name, s.All[i].Hand, ranges.Has) == ranges.Drop {
+			if hs[i].Reply == shardmap.Has && k.Heard(s.All[i].Name, s.All[i].Hand, shardmap.Has) == shardmap.Drop {
 				ids = append(ids, w.ID)
 			}
 		}
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -21,13 +21,13 @@
 	looks      func() // has Look called soon; does not wait
 
 	mu      sync.Mutex
-	adopted map[exchange.RequestID]ranges.MoveID // came here by a move that has not ended
-	told    map[ranges.MoveID]bool               // its target knows what was learned here
-	busy    map[fleet.MemberID]bool              // is being told
+	adopted map[exchange.RequestID]shardmap.MoveID // came here by a move that has not ended
+	told    map[shardmap.MoveID]bool               // its target knows what was learned here
+	busy    map[fleet.MemberID]bool                // is being told
 }
 
 // adopts notes by which move a webhook came here; 0: by none, or it did not.
-func (o *owing) adopts(id exchange.RequestID, move ranges.MoveID) {
+func (o *owing) adopts(id exchange.RequestID, move shardmap.MoveID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if move == 0 {
@@ -41,12 +41,12 @@
 
 // errand is what one member is to be told: offers by their moves, in the order taken, and doubts to settle.
 type errand struct {
-	moves  []ranges.MoveID
-	offers map[ranges.MoveID][]decider.Owed
+	moves  []shardmap.MoveID
+	offers map[shardmap.MoveID][]decider.Owed
 	asks   []decider.Owed
 }
 
-func (e *errand) offer(w decider.Owed, move ranges.MoveID) {
+func (e *errand) offer(w decider.Owed, move shardmap.MoveID) {
 	if e.offers[move] == nil {
 		e.moves = append(e.moves, move)
 	}
@@ -98,7 +98,7 @@
 
 // sorts is who is to be told what. Behind one that is in doubt, or is waited for, nothing of its key is
 // handed on.
-func (o *owing) sorts(chart *ranges.Map, all []decider.Owed) map[fleet.MemberID]*errand {
+func (o *owing) sorts(chart *shardmap.Map, all []decider.Owed) map[fleet.MemberID]*errand {
 	type turn struct {
 		dest gateway.DestinationID
 		key  gateway.Key
@@ -106,7 +106,7 @@
 	errands, waits := map[fleet.MemberID]*errand{}, map[turn]bool{}
 	errandTo := func(to fleet.MemberID) *errand {
 		if errands[to] == nil {
-			errands[to] = &errand{offers: map[ranges.MoveID][]decider.Owed{}}
+			errands[to] = &errand{offers: map[shardmap.MoveID][]decider.Owed{}}
 		}
 		return errands[to]
 	}
@@ -140,34 +140,34 @@
 // came.
 func (o *owing) came(w decider.Owed) {
 	if name := nameOf(w.RequestID); o.forwarding.names.Comes(name) {
-		if o.forwarding.names.Change([]ranges.Name{name}, func(k *ranges.Known) { k.Came(name) }) == nil {
+		if o.forwarding.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
 			o.decider.Settled([]exchange.RequestID{w.RequestID})
 		}
 	}
 }
 
 // goes is where a webhook belongs, and by which move it goes there; false: it stays here for now.
-func (o *owing) goes(chart *ranges.Map, w decider.Owed) (fleet.MemberID, ranges.MoveID, bool) {
+func (o *owing) goes(chart *shardmap.Map, w decider.Owed) (fleet.MemberID, shardmap.MoveID, bool) {
 	o.mu.Lock()
 	_, adopted := o.adopted[w.RequestID]
 	o.mu.Unlock()
 	v := chart.VerdictOf(o.forwarding.homes.tenant(), w.Destination)
 	switch {
 	case adopted:
-	case v.Do == ranges.Forward:
+	case v.Do == shardmap.Forward:
 		return v.To, 0, true
-	case v.Do == ranges.Hold && v.Passes.Open() && v.Passes.From == o.forwarding.homes.self:
+	case v.Do == shardmap.Hold && v.Passes.Open() && v.Passes.From == o.forwarding.homes.self:
 		return v.Passes.To, v.Passes.ID, true
 	}
 	return "", 0, false
 }
 
 // over forgets by which moves webhooks came here, once those are decided.
-func (o *owing) over(chart *ranges.Map) {
+func (o *owing) over(chart *shardmap.Map) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, move := range o.adopted {
-		if chart.Owns(move) != ranges.Undecided {
+		if chart.Owns(move) != shardmap.Undecided {
 			delete(o.adopted, id)
 		}
 	}
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/plan"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -59,9 +59,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var able []ranges.Able
+	var able []shardmap.Able
 	for _, w := range m.file.Members {
-		able = append(able, ranges.Able{Weight: ranges.Weight{Member: w.ID, Weight: w.Weight}, Room: w.Room})
+		able = append(able, shardmap.Able{Weight: shardmap.Weight{Member: w.ID, Weight: w.Weight}, Room: w.Room})
 	}
 	if m.conductor.conduct(m.wish, able, m.file.Ranges, m.clock()) {
 		m.wish.fresh = false
--- a/cluster/member/said.go
+++ b/cluster/member/said.go
@@ -1,8 +1,8 @@
 package member
 
 import (
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -16,11 +16,11 @@
 
 // sent is webhooks on their way to their home.
 type sent struct {
-	Version fleet.Version    `cbor:"1,keyasint"`           // of the map that they were sent by
-	At      gateway.Micros   `cbor:"2,keyasint"`           // by their sender's clock, as the times within
-	Move    ranges.MoveID    `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
-	All     []ranges.Carried `cbor:"4,keyasint"`           // in the order taken
-	Life    uint64           `cbor:"6,keyasint"`           // of the folder that they are sent to
+	Version fleet.Version      `cbor:"1,keyasint"`           // of the map that they were sent by
+	At      gateway.Micros     `cbor:"2,keyasint"`           // by their sender's clock, as the times within
+	Move    shardmap.MoveID    `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
+	All     []shardmap.Carried `cbor:"4,keyasint"`           // in the order taken
+	Life    uint64             `cbor:"6,keyasint"`           // of the folder that they are sent to
 
 	Learned []gateway.Learned `cbor:"5,keyasint,omitempty"` // of the move's destinations, once none is called
 }
@@ -34,31 +34,31 @@
 
 // heard is what came of one.
 type heard struct {
-	Reply   ranges.Reply     `cbor:"1,keyasint,omitempty"` // Has: it is the other's now
-	Refused ranges.Admission `cbor:"2,keyasint,omitempty"`
-	Told    ranges.Verdict   `cbor:"3,keyasint,omitempty"`
-	RetryIn gateway.Micros   `cbor:"4,keyasint,omitempty"` // rejected, with the time told
-	Doubled bool             `cbor:"5,keyasint,omitempty"` // its request id is held there
+	Reply   shardmap.Reply     `cbor:"1,keyasint,omitempty"` // Has: it is the other's now
+	Refused shardmap.Admission `cbor:"2,keyasint,omitempty"`
+	Told    shardmap.Verdict   `cbor:"3,keyasint,omitempty"`
+	RetryIn gateway.Micros     `cbor:"4,keyasint,omitempty"` // rejected, with the time told
+	Doubled bool               `cbor:"5,keyasint,omitempty"` // its request id is held there
 }
 
 // asked is whether a webhook was ever taken by a hand, as that folder's life knows.
 type asked struct {
-	Name ranges.Name    `cbor:"1,keyasint"`
-	Hand ranges.Hand    `cbor:"2,keyasint"`
+	Name shardmap.Name  `cbor:"1,keyasint"`
+	Hand shardmap.Hand  `cbor:"2,keyasint"`
 	Left gateway.Micros `cbor:"3,keyasint"`
 	Life uint64         `cbor:"4,keyasint"`
 }
 
 // carried is a webhook as it goes over.
-func carried(w *exchange.Webhook, hand ranges.Hand, attempts int, mayRun gateway.Micros,
-	zone gateway.ZoneID) ranges.Carried {
-	return ranges.Carried{Name: nameOf(w.RequestID), Hand: hand, Event: w.Event, Tenant: w.Tenant, Key: w.Key,
+func carried(w *exchange.Webhook, hand shardmap.Hand, attempts int, mayRun gateway.Micros,
+	zone gateway.ZoneID) shardmap.Carried {
+	return shardmap.Carried{Name: nameOf(w.RequestID), Hand: hand, Event: w.Event, Tenant: w.Tenant, Key: w.Key,
 		Dest: w.Destination, TTL: w.TTL, Attempts: attempts, MayRun: mayRun, Zone: zone,
 		Taken: uint64(w.ID), Whole: w.Bytes()}
 }
 
 // webhook is the same at the other end, its times by the clock here.
-func webhook(c ranges.Carried) (*exchange.Webhook, error) {
+func webhook(c shardmap.Carried) (*exchange.Webhook, error) {
 	w, err := exchange.FromBytes(0, c.Whole)
 	if err != nil {
 		return nil, err
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
@@ -192,9 +192,9 @@
 	_, a := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
 	a.Want(fleet.HomeOf(1))
 	holds(t, a, fleet.HomeOf(1))
-	chart := ranges.New(nil)
-	chart.Ranges = []ranges.Range{{ID: 1, To: ^fleet.KeyHash(0), Home: "m2", Epoch: 1, Standing: ranges.Seated,
-		Move: ranges.Move{ID: 7, From: "m2", To: "m3", Step: ranges.Passing}}}
+	chart := shardmap.New(nil)
+	chart.Ranges = []shardmap.Range{{ID: 1, To: ^fleet.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
+		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.Passing}}}
 	look := member.Looks("a0", a, chart)
 	require.Eventually(t, func() bool {
 		look()
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -1,7 +1,7 @@
 package member
 
 import (
-	"rowanlink/fleet/ranges"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -18,8 +18,8 @@
 	own  []exchange.RequestID // may be called from here on
 }
 
-func (t *taking) take(admit func(sent, ranges.Carried) (ranges.Admission, ranges.Verdict)) {
-	names, webhooks := make([]ranges.Name, len(t.s.All)), make([]*exchange.Webhook, len(t.s.All))
+func (t *taking) take(admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
+	names, webhooks := make([]shardmap.Name, len(t.s.All)), make([]*exchange.Webhook, len(t.s.All))
 	t.was, t.back = make([]past, len(t.s.All)), map[exchange.RequestID]*exchange.Past{}
 	for i, c := range t.s.All {
 		names[i] = c.Name
@@ -27,7 +27,7 @@
 			webhooks[i] = w
 		}
 	}
-	err := t.names.Change(names, func(k *ranges.Known) {
+	err := t.names.Change(names, func(k *shardmap.Known) {
 		now := exchange.Now()
 		if !t.returns(k, webhooks) {
 			return
@@ -40,7 +40,7 @@
 		clear(t.said)
 		for n, i := range t.of {
 			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: ranges.Refuses, RetryIn: exchange.AnswerWithin}
+			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: exchange.AnswerWithin}
 		}
 		return
 	}
@@ -50,7 +50,7 @@
 
 // returns has what comes back written with what it brings along, before the record says that it is here;
 // names are locked.
-func (t *taking) returns(k *ranges.Known, webhooks []*exchange.Webhook) (written bool) {
+func (t *taking) returns(k *shardmap.Known, webhooks []*exchange.Webhook) (written bool) {
 	for i, c := range t.s.All {
 		if w := webhooks[i]; w != nil && k.Returns(c.Name, c.Hand) && w.Past != nil {
 			t.back[w.RequestID] = w.Past
@@ -60,19 +60,19 @@
 }
 
 // offered decides one; names are locked.
-func (t *taking) offered(k *ranges.Known, i int, c ranges.Carried, w *exchange.Webhook, now gateway.Micros,
-	admit func(sent, ranges.Carried) (ranges.Admission, ranges.Verdict)) {
+func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *exchange.Webhook, now gateway.Micros,
+	admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
 	admission, told := admit(t.s, c)
 	t.was[i] = t.names.past(c.Name)
-	reply, what := k.Offered(c.Name, c.Hand, c.TTL, now, admission == ranges.Take && w != nil)
-	if t.said[i].Reply = reply; reply == ranges.Refuses && admission != ranges.Take {
+	reply, what := k.Offered(c.Name, c.Hand, c.TTL, now, admission == shardmap.Take && w != nil)
+	if t.said[i].Reply = reply; reply == shardmap.Refuses && admission != shardmap.Take {
 		t.said[i].Refused, t.said[i].Told = admission, told
 	}
 	switch what {
-	case ranges.Takes:
+	case shardmap.Takes:
 		w.InDoubt = true // until its record says that it came
 		t.ins, t.of = append(t.ins, w), append(t.of, i)
-	case ranges.Back:
+	case shardmap.Back:
 		t.own = append(t.own, w.RequestID)
 	default:
 		return
@@ -92,20 +92,20 @@
 			t.said[i].Doubled = true
 		default:
 			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: ranges.Refuses, RetryIn: retryIn}
+			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: retryIn}
 		}
 	})
 }
 
 // settle notes what has come, before it may be called and before that is said.
-func (t *taking) settle(names []ranges.Name) {
-	var after []ranges.Name
+func (t *taking) settle(names []shardmap.Name) {
+	var after []shardmap.Name
 	for _, i := range t.of {
 		after = append(after, names[i])
 	}
-	note := func(k *ranges.Known) {
+	note := func(k *shardmap.Known) {
 		for _, i := range t.of {
-			if w := t.was[i]; t.said[i].Reply == ranges.Refuses {
+			if w := t.was[i]; t.said[i].Reply == shardmap.Refuses {
 				k.Undo(w.name, w.record, w.known)
 			} else {
 				k.Came(w.name)
@@ -116,7 +116,7 @@
 		clear(t.said)
 	} else {
 		for n, i := range t.of {
-			if t.said[i].Reply == ranges.Has {
+			if t.said[i].Reply == shardmap.Has {
 				t.own = append(t.own, t.ins[n].RequestID)
 			}
 		}
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -3,18 +3,18 @@
 import (
 	"log/slog"
 
-	"rowanlink/fleet/ranges"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
 
 // teach tells the target of each move what was learned here, once no call of the range is out any more.
-func (o *owing) teach(chart *ranges.Map) {
+func (o *owing) teach(chart *shardmap.Map) {
 	f := o.forwarding
-	passing := map[ranges.MoveID]bool{}
+	passing := map[shardmap.MoveID]bool{}
 	for _, r := range chart.Ranges {
 		v := r.Move
-		if v.Step != ranges.Passing || v.From != f.homes.self {
+		if v.Step != shardmap.Passing || v.From != f.homes.self {
 			continue
 		}
 		o.mu.Lock()
--- a/fleet/ranges/commands.go
+++ b/cluster/shardmap/commands.go
@@ -1,4 +1,4 @@
-package ranges
+package shardmap
 
 import (
 	"github.com/fxamacker/cbor/v2"
--- a/fleet/ranges/walks_test.go
+++ b/cluster/shardmap/walks_test.go
@@ -1,4 +1,4 @@
-package ranges
+package shardmap
 
 import (
 	"math/rand/v2"
--- a/fleet/ranges/world_test.go
+++ b/cluster/shardmap/world_test.go
@@ -1,4 +1,4 @@
-package ranges
+package shardmap
 
 import (
 	"cmp"
--- a/cmd/rowanfleet/main.go
+++ b/cmd/rowanfleet/main.go
@@ -8,9 +8,9 @@
 	"github.com/spf13/cobra"
 
 	"rowanlink/cluster/member"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet/operator"
 	"rowanlink/fleet/plan"
-	"rowanlink/fleet/ranges"
 	"rowanlink/node/dispatcher"
 )
 
@@ -44,7 +44,7 @@
 				return err
 			}
 			if chart == nil {
-				chart = &ranges.Map{Groups: f.Groups()}
+				chart = &shardmap.Map{Groups: f.Groups()}
 			}
 			plan.ShowRunning(runs, os.Stdout)
 			return plan.Show(text, args[0], chart, nil, os.Stdout)
--- a/emulator/export_test.go
+++ b/emulator/export_test.go
@@ -1,23 +1,23 @@
 package emulator
 
 import (
-	"rowanlink/fleet/ranges"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/gateway"
 )
 
 // Spoilt are faults in what dispatchers make of leases and map, by name.
 var Spoilt = map[string]func(*Model){
 	"a home has an even part only": func(m *Model) {
-		m.homes.deeds.part = func(v ranges.Verdict, n int) float64 { return v.Part(n) / float64(n) }
+		m.homes.deeds.part = func(v shardmap.Verdict, n int) float64 { return v.Part(n) / float64(n) }
 	},
 	"forwarders call too": func(m *Model) {
-		m.homes.deeds.calls = func(v ranges.Verdict) bool { return v.Calls(false) || v.Do == ranges.Forward }
+		m.homes.deeds.calls = func(v shardmap.Verdict) bool { return v.Calls(false) || v.Do == shardmap.Forward }
 	},
 	"a hop costs nothing": func(m *Model) {
 		m.homes.deeds.way = func(gateway.Micros) gateway.Micros { return 0 }
 	},
 	"a lost home stays home": func(m *Model) {
-		m.homes.deeds.takes = func([]ranges.Takeover) []ranges.Takeover { return nil }
+		m.homes.deeds.takes = func([]shardmap.Takeover) []shardmap.Takeover { return nil }
 	},
 	"told before it is in the journal": func(m *Model) { m.homes.deeds.early = true },
 	"a silent home is taken for one that never had it": func(m *Model) {
--- a/emulator/homes.go
+++ b/emulator/homes.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -26,13 +26,13 @@
 
 	book      *lease.Book
 	terms     *lease.Terms
-	chart     *ranges.Map
-	vacancies *ranges.Vacancies
+	chart     *shardmap.Map
+	vacancies *shardmap.Vacancies
 	index     uint64
-	members   []ranges.Able
+	members   []shardmap.Able
 	numbers   map[fleet.MemberID]int32
 
-	charts []*ranges.Map // as published; never changed
+	charts []*shardmap.Map // as published; never changed
 	asks   []ask
 	offers []offer
 	hands  uint32
@@ -42,10 +42,10 @@
 
 // deeds are what dispatchers make of leases and map. Tests spoil them one by one.
 type deeds struct {
-	part    func(ranges.Verdict, int) float64
-	calls   func(ranges.Verdict) bool
+	part    func(shardmap.Verdict, int) float64
+	calls   func(shardmap.Verdict) bool
 	way     func(gateway.Micros) gateway.Micros
-	takes   func([]ranges.Takeover) []ranges.Takeover
+	takes   func([]shardmap.Takeover) []shardmap.Takeover
 	settles func(h *held, e *EventType, ended bool, now gateway.Micros) bool
 	early   bool // a webhook is said to be taken before it is in the journal
 }
@@ -53,18 +53,18 @@
 func newHomes(m *Model) *homes {
 	p := &m.plan.Homes
 	h := &homes{m: m, chance: stream(m.plan.Seed, 5), book: lease.NewBook(), terms: lease.NewTerms(p.Term.us()),
-		vacancies: ranges.NewVacancies(p.Term.us()), numbers: map[fleet.MemberID]int32{}}
+		vacancies: shardmap.NewVacancies(p.Term.us()), numbers: map[fleet.MemberID]int32{}}
 	h.deeds = deeds{
-		part:    ranges.Verdict.Part,
-		calls:   func(v ranges.Verdict) bool { return v.Calls(false) },
+		part:    shardmap.Verdict.Part,
+		calls:   func(v shardmap.Verdict) bool { return v.Calls(false) },
 		way:     func(w gateway.Micros) gateway.Micros { return gateway.Micros(float64(w) * p.Hop) },
-		takes:   func(t []ranges.Takeover) []ranges.Takeover { return t },
+		takes:   func(t []shardmap.Takeover) []shardmap.Takeover { return t },
 		settles: mayGoOn,
 	}
-	h.chart = ranges.New(h.book)
+	h.chart = shardmap.New(h.book)
 	for i := range m.plan.Dispatchers.Count {
 		name := fleet.MemberID(fmt.Sprintf("d%d", i))
-		h.members = append(h.members, ranges.Able{Weight: ranges.Weight{Member: name, Weight: 1}})
+		h.members = append(h.members, shardmap.Able{Weight: shardmap.Weight{Member: name, Weight: 1}})
 		h.numbers[name] = int32(i)
 	}
 	for i := range m.dests {
@@ -101,11 +101,11 @@
 func (h *homes) settled() {
 	reign, _ := h.lease(lease.Began())
 	h.terms.Lead(h.m.now, reign.Reign, nil)
-	var weights []ranges.Weight
+	var weights []shardmap.Weight
 	for _, m := range h.members {
 		weights = append(weights, m.Weight)
 	}
-	h.propose(ranges.Conductor(1).First(h.m.plan.Homes.Ranges*len(h.members), weights))
+	h.propose(shardmap.Conductor(1).First(h.m.plan.Homes.Ranges*len(h.members), weights))
 	h.publish()
 	h.setup = true
 	for i := range h.m.dispatchers {
@@ -126,7 +126,7 @@
 // publish tells each dispatcher of the map as it is now.
 func (h *homes) publish() {
 	snapshot, err := h.chart.Snapshot()
-	next := ranges.New(nil)
+	next := shardmap.New(nil)
 	if err == nil {
 		err = next.Restore(snapshot)
 	}
@@ -163,7 +163,7 @@
 		alive[h.book.MemberOf(s)] = true
 	}
 	takes := h.deeds.takes(h.vacancies.Takes(h.chart, h.book, alive, h.members, now))
-	if len(takes) > 0 && h.propose(ranges.Conductor(1).Lost(takes)) != nil {
+	if len(takes) > 0 && h.propose(shardmap.Conductor(1).Lost(takes)) != nil {
 		h.publish()
 	}
 	h.m.after(h.m.plan.Homes.Term.us()/looks, event{kind: evKeep})
@@ -178,7 +178,7 @@
 	case evOfferOver:
 		h.over(e.a)
 	case evQuestion:
-		h.question(e.a, ranges.Reply(e.b))
+		h.question(e.a, shardmap.Reply(e.b))
 	case evAsk:
 		h.asked(e.a, e.b == 1)
 	case evKeep:
--- a/emulator/member.go
+++ b/emulator/member.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -15,7 +15,7 @@
 	name    fleet.MemberID
 	tenure  *lease.Tenure
 	life    lease.Incarnation
-	chart   *ranges.Map // nil: not heard of yet
+	chart   *shardmap.Map // nil: not heard of yet
 	over    gateway.Micros
 	parts   []float64 // of each destination's rate, as the module was told
 	parked  map[gateway.WebhookID]*held
@@ -26,12 +26,12 @@
 	looks   bool
 	renewAt gateway.Micros
 
-	mine []ranges.Range // of the map of version read
+	mine []shardmap.Range // of the map of version read
 	read fleet.Version
 }
 
 // chartIs takes a newer map; false: it was an older one.
-func (b *fellow) chartIs(c *ranges.Map) bool {
+func (b *fellow) chartIs(c *shardmap.Map) bool {
 	if b.chart != nil && b.chart.Version >= c.Version {
 		return false
 	}
@@ -63,16 +63,16 @@
 	d.setParts()
 }
 
-func (d *dispatcher) tenant() ranges.Tenant {
+func (d *dispatcher) tenant() shardmap.Tenant {
 	b, now := d.member, d.m.now
-	return ranges.Tenant{Member: b.name, Alone: ranges.Deserted(b.over, now, d.m.plan.Homes.Term.us()),
+	return shardmap.Tenant{Member: b.name, Alone: shardmap.Deserted(b.over, now, d.m.plan.Homes.Term.us()),
 		Epoch: func(t fleet.Task) (fleet.Epoch, bool) { return b.tenure.Epoch(t, now) }}
 }
 
 // verdict is what this dispatcher does with webhooks of a destination, now.
-func (d *dispatcher) verdict(dest gateway.DestinationID) ranges.Verdict {
+func (d *dispatcher) verdict(dest gateway.DestinationID) shardmap.Verdict {
 	if d.member.chart == nil {
-		return ranges.Verdict{Do: ranges.Keep}
+		return shardmap.Verdict{Do: shardmap.Keep}
 	}
 	return d.member.chart.MayServe(d.tenant(), d.m.homes.keys[dest])
 }
--- a/emulator/sender.go
+++ b/emulator/sender.go
@@ -1,8 +1,8 @@
 package emulator
 
 import (
+	"rowanlink/cluster/shardmap"
 	"rowanlink/emulator/seen"
-	"rowanlink/fleet/ranges"
 )
 
 // told is an answer at the sender.
@@ -19,14 +19,14 @@
 	o.over = true
 	delete(d.member.out, n)
 	switch {
-	case o.reply == ranges.Has && o.fresh:
+	case o.reply == shardmap.Has && o.fresh:
 		h.m.Bus.Emit(h.m.about(seen.Passed, d, o.h, seen.Event{Other: o.to}))
 	case !o.fresh && (!o.h.offered || o.h.offer != n): // settled by another message
-	case o.reply == ranges.Has:
+	case o.reply == shardmap.Has:
 		h.drop(d, o.h, o.to)
-	case ranges.Again(o.by, o.told, o.refused, o.hops) && o.told.To != d.member.name:
+	case shardmap.Again(o.by, o.told, o.refused, o.hops) && o.told.To != d.member.name:
 		next := o.told
-		next.Do = ranges.Forward
+		next.Do = shardmap.Forward
 		h.send(d, o.h, next, o.hops+1, o.fresh)
 	case !o.fresh:
 		o.h.offered = false
--- a/emulator/session.go
+++ b/emulator/session.go
@@ -2,8 +2,8 @@
 
 import (
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // ask is a message to the keeper and its answer.
@@ -13,7 +13,7 @@
 	asked   lease.Ask
 	session fleet.SessionID // 0: to be opened
 	tasks   []fleet.Task
-	seats   []ranges.Range // of which it says that it is home
+	seats   []shardmap.Range // of which it says that it is home
 	epochs  []fleet.Epoch
 
 	refused bool
@@ -43,7 +43,7 @@
 }
 
 // homes are the ranges that the map names a member home of.
-func (b *fellow) homes() (mine []ranges.Range) {
+func (b *fellow) homes() (mine []shardmap.Range) {
 	if b.chart == nil {
 		return nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // hears has a dispatcher take a newer map, and act on it.
-func (h *homes) hears(d *dispatcher, c *ranges.Map) {
+func (h *homes) hears(d *dispatcher, c *shardmap.Map) {
 	if !d.member.chartIs(c) {
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 	changed := false
 	for i, r := range a.seats {
-		changed = h.propose(ranges.Home(r.ID, name, a.epochs[i], h.chart.Version)) != nil || changed
+		changed = h.propose(shardmap.Home(r.ID, name, a.epochs[i], h.chart.Version)) != nil || changed
 	}
 	if changed && !h.setup {
 		h.publish()
--- a/fleet/operator/sites.go
+++ b/fleet/operator/sites.go
@@ -6,8 +6,8 @@
 
 	"github.com/hashicorp/hcl/v2"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -74,12 +74,12 @@
 }
 
 // Groups are where the sites' subscribers stand among the ranges.
-func (f *File) Groups() (all []ranges.Group) {
+func (f *File) Groups() (all []shardmap.Group) {
 	for _, s := range f.Sites {
 		if len(s.Subscribers) > 0 {
-			all = append(all, ranges.Group{At: fleet.SiteHash(s.ID), Of: s.Subscribers})
+			all = append(all, shardmap.Group{At: fleet.SiteHash(s.ID), Of: s.Subscribers})
 		}
 	}
-	slices.SortFunc(all, func(a, b ranges.Group) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(all, func(a, b shardmap.Group) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
--- a/fleet/plan/asked.go
+++ b/fleet/plan/asked.go
@@ -6,8 +6,8 @@
 	"math/bits"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -21,7 +21,7 @@
 // task is a file brought together with a map: members and ranges by index.
 type task struct {
 	file    *File
-	ranges  []ranges.Range
+	ranges  []shardmap.Range
 	told    []uint64 // keys of each range; its part of the hashes where none are told
 	keys    []int64  // the same, as moves are weighed
 	asked   []asked
@@ -38,7 +38,7 @@
 	key     func(gateway.DestinationID) fleet.KeyHash
 }
 
-func newTask(f *File, m *ranges.Map, keys func(fleet.RangeID) uint64) *task {
+func newTask(f *File, m *shardmap.Map, keys func(fleet.RangeID) uint64) *task {
 	t := &task{file: f, ranges: m.Ranges, key: m.Key, members: f.Members, at: map[fleet.MemberID]int{},
 		rangeAt: map[fleet.RangeID]int{}, asked: make([]asked, len(m.Ranges))}
 	for i, v := range f.Members {
@@ -50,7 +50,7 @@
 		t.rangeAt[r.ID] = i
 		t.home = append(t.home, t.index(r.Home))
 		t.towards = append(t.towards, -1)
-		if r.Move.Open() && r.Move.Step < ranges.Switched {
+		if r.Move.Open() && r.Move.Step < shardmap.Switched {
 			t.towards[i] = t.index(r.Move.To)
 		}
 	}
@@ -141,7 +141,7 @@
 }
 
 func (t *task) holds(key fleet.KeyHash) int {
-	i, _ := slices.BinarySearchFunc(t.ranges, key, func(r ranges.Range,
+	i, _ := slices.BinarySearchFunc(t.ranges, key, func(r shardmap.Range,
 		k fleet.KeyHash) int {
 		return cmp.Compare(r.To, k)
 	})
--- a/fleet/plan/harm.go
+++ b/fleet/plan/harm.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -46,7 +46,7 @@
 // guards against harm forgotten because the one that saw it was killed.
 type Gathered struct {
 	number uint64
-	spots  map[teller]map[ranges.MoveID]Spot
+	spots  map[teller]map[shardmap.MoveID]Spot
 }
 
 type teller struct {
@@ -57,11 +57,11 @@
 // Take takes a member's report for the plan of a number; another plan's begins anew.
 func (g *Gathered) Take(number uint64, from fleet.MemberID, r Report) {
 	if g.number != number || g.spots == nil {
-		g.number, g.spots = number, map[teller]map[ranges.MoveID]Spot{}
+		g.number, g.spots = number, map[teller]map[shardmap.MoveID]Spot{}
 	}
 	at := teller{from, r.Life}
 	if g.spots[at] == nil {
-		g.spots[at] = map[ranges.MoveID]Spot{}
+		g.spots[at] = map[shardmap.MoveID]Spot{}
 	}
 	for _, s := range r.Spots {
 		g.spots[at][s.Move] = s
@@ -73,7 +73,7 @@
 	if g.number != number {
 		return h
 	}
-	moves, were := map[ranges.MoveID]Spot{}, map[gateway.DestinationID]bool{}
+	moves, were := map[shardmap.MoveID]Spot{}, map[gateway.DestinationID]bool{}
 	for _, told := range g.spots {
 		for id, s := range told {
 			sum := moves[id]
--- a/fleet/plan/next.go
+++ b/fleet/plan/next.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -36,7 +36,7 @@
 	Step     int // from 0 on; -1: no step's
 	Range    fleet.RangeID
 	From, To fleet.MemberID
-	Move     ranges.MoveID
+	Move     shardmap.MoveID
 	Stand    Stand
 	Why      string
 	At       fleet.KeyHash // SplitOff
@@ -62,11 +62,11 @@
 	file   *File
 	seen   Seen
 	stands []Stand // as they are by the map, noted or not
-	ranges map[fleet.RangeID]*ranges.Range
+	ranges map[fleet.RangeID]*shardmap.Range
 	whole  map[fleet.RangeID]bool // those that count in a member's room
-	left   map[ranges.MoveID]bool
-	wanted map[ranges.MoveID]bool // by a step
-	backs  map[ranges.MoveID]bool // told already
+	left   map[shardmap.MoveID]bool
+	wanted map[shardmap.MoveID]bool // by a step
+	backs  map[shardmap.MoveID]bool // told already
 	out    Turnout
 
 	members map[fleet.MemberID]*Member
@@ -78,13 +78,13 @@
 // Next tells what has to be done now by the log, the map of ranges and what the conductor sees. f is the
 // running plan's file, as Progress.File reads it. It keeps nothing: whoever conducts next goes on from the
 // same.
-func (p *Progress) Next(f *File, m *ranges.Map, s Seen) Turnout {
+func (p *Progress) Next(f *File, m *shardmap.Map, s Seen) Turnout {
 	if p.Number == 0 {
 		return Turnout{Finished: true}
 	}
 	l := &look{Progress: p, file: f, seen: s, stands: append([]Stand(nil), p.Stands...),
-		ranges: map[fleet.RangeID]*ranges.Range{}, left: map[ranges.MoveID]bool{}, wanted: map[ranges.MoveID]bool{},
-		backs: map[ranges.MoveID]bool{}, members: map[fleet.MemberID]*Member{}}
+		ranges: map[fleet.RangeID]*shardmap.Range{}, left: map[shardmap.MoveID]bool{}, wanted: map[shardmap.MoveID]bool{},
+		backs: map[shardmap.MoveID]bool{}, members: map[fleet.MemberID]*Member{}}
 	for i := range f.Members {
 		l.members[f.Members[i].ID] = &f.Members[i]
 	}
@@ -119,7 +119,7 @@
 
 func (l *look) add(a Action) { l.out.Actions = append(l.out.Actions, a) }
 
-func (l *look) note(k int, stand Stand, move ranges.MoveID) {
+func (l *look) note(k int, stand Stand, move shardmap.MoveID) {
 	l.stands[k] = stand
 	if l.Stands[k] != stand {
 		s := l.Steps[k]
@@ -152,13 +152,13 @@
 	if l.stands[k] == Begun {
 		open := r.Move.Open() && r.Move.ID == s.Move
 		switch {
-		case open && s.Way == Back && r.Move.Step == ranges.Switched:
+		case open && s.Way == Back && r.Move.Step == shardmap.Switched:
 			return elsewhere + " already"
 		case open:
 			l.wanted[s.Move] = true
 			if s.Way == Back {
 				l.back(k, r, "the plan wants it elsewhere")
-			} else if l.gone(s.To) && r.Move.Step < ranges.Switched {
+			} else if l.gone(s.To) && r.Move.Step < shardmap.Switched {
 				l.back(k, r, fmt.Sprintf("%q is not heard", s.To))
 			}
 		case s.Way == Back && r.Home == s.From, s.Way != Back && r.Home == s.To:
@@ -189,7 +189,7 @@
 
 func (l *look) gone(m fleet.MemberID) bool { return l.seen.Gone != nil && l.seen.Gone(m) }
 
-func (l *look) back(k int, r *ranges.Range, why string) {
+func (l *look) back(k int, r *shardmap.Range, why string) {
 	if l.backs[r.Move.ID] {
 		return
 	}
@@ -198,18 +198,18 @@
 }
 
 // unwanted sends back what a plan before this one began and this one doesn't know.
-func (l *look) unwanted(m *ranges.Map) {
+func (l *look) unwanted(m *shardmap.Map) {
 	for i := range m.Ranges {
-		if r := &m.Ranges[i]; r.Move.Open() && r.Move.Step < ranges.Switched && !l.wanted[r.Move.ID] {
+		if r := &m.Ranges[i]; r.Move.Open() && r.Move.Step < shardmap.Switched && !l.wanted[r.Move.ID] {
 			l.back(-1, r, "no step of the plan wants it")
 		}
 	}
 }
 
 // backAll sends back all that has not switched.
-func (l *look) backAll(m *ranges.Map, why string) {
+func (l *look) backAll(m *shardmap.Map, why string) {
 	for i := range m.Ranges {
-		if r := &m.Ranges[i]; r.Move.Open() && r.Move.Step < ranges.Switched && l.wanted[r.Move.ID] {
+		if r := &m.Ranges[i]; r.Move.Open() && r.Move.Step < shardmap.Switched && l.wanted[r.Move.ID] {
 			l.back(-1, r, why)
 		}
 	}
@@ -220,7 +220,7 @@
 	}
 }
 
-func (l *look) finished(m *ranges.Map) bool {
+func (l *look) finished(m *shardmap.Map) bool {
 	for i := range m.Ranges {
 		if m.Ranges[i].Move.Open() {
 			return false
--- a/fleet/plan/pieces.go
+++ b/fleet/plan/pieces.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -15,7 +15,7 @@
 // where that goes unless a rule is about them.
 
 // heads is, by range, the one that it is a piece of; itself where it is none.
-func heads(all []ranges.Range) []int {
+func heads(all []shardmap.Range) []int {
 	head := make([]int, len(all))
 	for i := range all {
 		if head[i] = i; i > 0 && all[i].Piece {
@@ -26,7 +26,7 @@
 }
 
 // oneHash is whether a range is one hash.
-func oneHash(r ranges.Range) bool { return r.From == r.To }
+func oneHash(r shardmap.Range) bool { return r.From == r.To }
 
 // Cut is a split that a plan needs: what lies from At on becomes range New.
 type Cut struct {
@@ -37,7 +37,7 @@
 // Moving is why no plan can be made yet: a range that has to be split is on its way.
 type Moving struct {
 	Range fleet.RangeID
-	Move  ranges.Move
+	Move  shardmap.Move
 }
 
 func (m *Moving) Error() string {
@@ -46,7 +46,7 @@
 
 // named lists the hashes of destinations under pin, apart and alone, each once. What is kept in a zone goes
 // there with its range.
-func (f *File) named(m *ranges.Map) (all []fleet.KeyHash) {
+func (f *File) named(m *shardmap.Map) (all []fleet.KeyHash) {
 	for _, r := range f.Rules {
 		if r.Kind != Keep {
 			for _, d := range r.Of.Destinations {
@@ -60,7 +60,7 @@
 
 // cuts are the splits that a file needs of a map, in the order in which they are made, and the map after
 // them.
-func (f *File) cuts(m *ranges.Map) (all []Cut, after *ranges.Map, err error) {
+func (f *File) cuts(m *shardmap.Map) (all []Cut, after *shardmap.Map, err error) {
 	in := map[fleet.RangeID][]fleet.KeyHash{}
 	for _, h := range f.named(m) {
 		if r, ok := m.Of(h); ok {
@@ -70,7 +70,7 @@
 	whole := *m
 	whole.Ranges, after = nil, &whole
 	for _, r := range m.Ranges {
-		parts := []ranges.Range{r}
+		parts := []shardmap.Range{r}
 		for _, h := range slices.Backward(in[r.ID]) { // the lowest part keeps its id and its grant
 			for _, at := range []fleet.KeyHash{h + 1, h} {
 				low := &parts[0]
@@ -81,7 +81,7 @@
 					return nil, nil, &Moving{r.ID, r.Move}
 				}
 				all = append(all, Cut{r.ID, after.NextID, at})
-				upper := ranges.Range{ID: after.NextID, From: at, To: low.To, Home: r.Home, Epoch: r.Epoch,
+				upper := shardmap.Range{ID: after.NextID, From: at, To: low.To, Home: r.Home, Epoch: r.Epoch,
 					Standing: r.Standing, Piece: true}
 				low.To, after.NextID = at-1, after.NextID+1
 				parts = slices.Insert(parts, 1, upper)
@@ -97,7 +97,7 @@
 }
 
 // shared tells the keys of ranges after cuts: each part has as many of what its range had as it is wide.
-func shared(keys func(fleet.RangeID) uint64, before, after *ranges.Map,
+func shared(keys func(fleet.RangeID) uint64, before, after *shardmap.Map,
 	cuts []Cut) func(fleet.RangeID) uint64 {
 	if keys == nil || len(cuts) == 0 {
 		return keys
--- a/fleet/plan/pieces_test.go
+++ b/fleet/plan/pieces_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -109,7 +109,7 @@
 			homes = append(homes, f.Members[home[len(home)-1]].ID)
 		}
 		w := newWorld(t, homes...)
-		before := ranges.Map{Ranges: slices.Clone(w.m.Ranges)}
+		before := shardmap.Map{Ranges: slices.Clone(w.m.Ranges)}
 		keys := map[fleet.RangeID]uint64{}
 		for i := range n {
 			keys[fleet.RangeID(i+1)] = 1000 * uint64(rapid.IntRange(1, 5).Draw(t, "keys"))
@@ -213,8 +213,8 @@
 
 // partsOf is the members' parts of n ranges: what rules name is no range of theirs.
 func partsOf(f *File, n int) []span {
-	even, _ := ranges.Even(n, []ranges.Weight{{Member: f.Members[0].ID, Weight: 1}})
-	t := newTask(f, &ranges.Map{Ranges: even}, nil)
+	even, _ := shardmap.Even(n, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
+	t := newTask(f, &shardmap.Map{Ranges: even}, nil)
 	for m, v := range f.Members {
 		t.alone[m] = f.about(Alone, v.ID)
 	}
--- a/fleet/plan/plan.go
+++ b/fleet/plan/plan.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // Way is what a step does.
@@ -22,17 +22,17 @@
 
 // Step is one move. It may start once each step of Needs is through, and each step that has a rule of After.
 type Step struct {
-	Range fleet.RangeID  `cbor:"1,keyasint"`
-	From  fleet.MemberID `cbor:"2,keyasint"`
-	To    fleet.MemberID `cbor:"3,keyasint"`
-	Way   Way            `cbor:"4,keyasint"`
-	Move  ranges.MoveID  `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
-	Needs []Need         `cbor:"6,keyasint,omitempty"`
-	Rules []int          `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
-	After []int          `cbor:"8,keyasint,omitempty"`
-	Keys  uint64         `cbor:"9,keyasint"`
-	At    fleet.KeyHash  `cbor:"10,keyasint,omitempty"`
-	Other fleet.RangeID  `cbor:"11,keyasint,omitempty"`
+	Range fleet.RangeID   `cbor:"1,keyasint"`
+	From  fleet.MemberID  `cbor:"2,keyasint"`
+	To    fleet.MemberID  `cbor:"3,keyasint"`
+	Way   Way             `cbor:"4,keyasint"`
+	Move  shardmap.MoveID `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
+	Needs []Need          `cbor:"6,keyasint,omitempty"`
+	Rules []int           `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
+	After []int           `cbor:"8,keyasint,omitempty"`
+	Keys  uint64          `cbor:"9,keyasint"`
+	At    fleet.KeyHash   `cbor:"10,keyasint,omitempty"`
+	Other fleet.RangeID   `cbor:"11,keyasint,omitempty"`
 }
 
 // Need is an earlier step that has to be through, and why.
@@ -68,7 +68,7 @@
 // moves. The first two are proven to be least, unless ranges are held apart by zone or by several rules at
 // once and the search for those ends early. Stop-overs come on top: one for each ring of full members, of few
 // keys.
-func Make(f *File, m *ranges.Map, keys func(fleet.RangeID) uint64) (*Plan, error) {
+func Make(f *File, m *shardmap.Map, keys func(fleet.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
 		return nil, fmt.Errorf("%s:1: there is no map of ranges yet", f.Name)
 	}
@@ -118,7 +118,7 @@
 type move struct {
 	of, from, to int
 	way          Way
-	id           ranges.MoveID
+	id           shardmap.MoveID
 	rules        []int
 	forced       bool // a rule wants it; others only balance
 }
@@ -139,7 +139,7 @@
 
 const unbounded = 1 << 30
 
-func (t *task) order(m *ranges.Map, to []int) *order {
+func (t *task) order(m *shardmap.Map, to []int) *order {
 	o := &order{task: t, to: to}
 	index := map[fleet.MemberID]int{}
 	beside := map[fleet.MemberID]int{} // of pieces, which take no room
@@ -167,7 +167,7 @@
 		if o.free[home]--; r.Move.Open() {
 			o.underWay(i, r.Move, at(r.Move.From, of), at(r.Move.To, of))
 		}
-		if goal != r.Home && !(r.Move.Open() && r.Move.Step < ranges.Switched && goal == r.Move.To) {
+		if goal != r.Home && !(r.Move.Open() && r.Move.Step < shardmap.Switched && goal == r.Move.To) {
 			o.moves = append(o.moves, move{of: i, from: home, to: at(goal, of), way: Go, rules: t.by(i, real),
 				forced: t.forced(i, real)})
 		}
@@ -191,9 +191,9 @@
 }
 
 // underWay takes note of a move that has begun. One that can go back does so unless it goes where it should.
-func (o *order) underWay(i int, v ranges.Move, from, to int) {
+func (o *order) underWay(i int, v shardmap.Move, from, to int) {
 	way, rules := Kept, o.by(i, o.member(v.From))
-	if v.Step < ranges.Switched {
+	if v.Step < shardmap.Switched {
 		if o.members[o.to[i]].ID != v.To {
 			way, rules = Back, nil
 		} else {
--- a/fleet/plan/progress.go
+++ b/fleet/plan/progress.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // The same bytes for the same thing on each keeper, and nothing that one program reads otherwise than
@@ -50,13 +50,13 @@
 )
 
 type command struct {
-	Op     op            `cbor:"1,keyasint"`
-	Number uint64        `cbor:"2,keyasint"`
-	Plan   *Progress     `cbor:"3,keyasint,omitempty"`
-	Step   int           `cbor:"4,keyasint,omitempty"`
-	Stand  Stand         `cbor:"5,keyasint,omitempty"`
-	Move   ranges.MoveID `cbor:"6,keyasint,omitempty"`
-	Why    string        `cbor:"7,keyasint,omitempty"`
+	Op     op              `cbor:"1,keyasint"`
+	Number uint64          `cbor:"2,keyasint"`
+	Plan   *Progress       `cbor:"3,keyasint,omitempty"`
+	Step   int             `cbor:"4,keyasint,omitempty"`
+	Stand  Stand           `cbor:"5,keyasint,omitempty"`
+	Move   shardmap.MoveID `cbor:"6,keyasint,omitempty"`
+	Why    string          `cbor:"7,keyasint,omitempty"`
 }
 
 // Conductor writes the commands on the plan under its epoch of task fleet.Conducts.
@@ -78,7 +78,7 @@
 }
 
 // Note says how far a step has come, as Next asks for it.
-func (e Conductor) Note(number uint64, step int, stand Stand, move ranges.MoveID) fleet.Command {
+func (e Conductor) Note(number uint64, step int, stand Stand, move shardmap.MoveID) fleet.Command {
 	return e.of(command{Op: opNote, Number: number, Step: step, Stand: stand, Move: move})
 }
 
--- a/fleet/plan/read_test.go
+++ b/fleet/plan/read_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // Each file is bad in one way, and the error says in which line, what it may be, and with which line it is at
@@ -106,10 +106,10 @@
 	}
 }
 
-func sixteen(t testing.TB, f *File) *ranges.Map {
-	even, err := ranges.Even(16, []ranges.Weight{{Member: f.Members[0].ID, Weight: 1}})
+func sixteen(t testing.TB, f *File) *shardmap.Map {
+	even, err := shardmap.Even(16, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
 	require.NoError(t, err)
-	return &ranges.Map{Version: 1, Ranges: even}
+	return &shardmap.Map{Version: 1, Ranges: even}
 }
 
 // The order can be at odds with room too, and full members with one another.
--- a/fleet/plan/reload_test.go
+++ b/fleet/plan/reload_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // At any moment another file may take the place of the running one, and conductors come and go. What has
@@ -39,7 +39,7 @@
 		if w.adopt(p.text()+bounds) != nil {
 			return
 		}
-		backs := map[ranges.MoveID]bool{}
+		backs := map[shardmap.MoveID]bool{}
 		for _, a := range w.next().Actions {
 			if a.Do == GoBack {
 				backs[a.Move] = true
@@ -47,7 +47,7 @@
 		}
 		for _, r := range before {
 			to := fleet.MemberID(fmt.Sprint("m", p.to[int(r.ID)-1]))
-			assert.Equal(t, r.Move.Step < ranges.Switched && to != r.Move.To, backs[r.Move.ID],
+			assert.Equal(t, r.Move.Step < shardmap.Switched && to != r.Move.To, backs[r.Move.ID],
 				"range %d at step %d to %s, now to %s", r.ID, r.Move.Step, r.Move.To, to)
 		}
 		w.settle(t)
@@ -81,13 +81,13 @@
 	w := newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"pin \"p\" {\n "+of(0, 2)+"\n to = \"b\"\n}\npin \"q\" {\n "+of(1,
 		2)+"\n to = \"a\"\n}\n"))
-	w.must(ranges.Conductor(1).Plan(2, "a", "b"))
+	w.must(shardmap.Conductor(1).Plan(2, "a", "b"))
 	out := w.next()
 	require.Equal(t, GoBack, out.Actions[0].Do)
 	for range 3 {
 		w.goOn(w.open()[0])
 	}
-	require.Equal(t, ranges.Switched, w.open()[0].Move.Step)
+	require.Equal(t, shardmap.Switched, w.open()[0].Move.Step)
 	for _, a := range w.next().Actions {
 		assert.NotEqual(t, GoBack, a.Do, "it has switched")
 	}
@@ -106,7 +106,7 @@
 				continue
 			}
 			under[id] = true
-			w.must(ranges.Conductor(1).Plan(id, "a", "b"))
+			w.must(shardmap.Conductor(1).Plan(id, "a", "b"))
 		}
 		require.NoError(t, w.adopt(text))
 		kept := 0
--- a/fleet/plan/reshape.go
+++ b/fleet/plan/reshape.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"rowanlink/fleet/ranges"
+	"rowanlink/cluster/shardmap"
 )
 
 // reshape brings a split or a merge and the map together. A text says why the steps can't go on.
@@ -42,7 +42,7 @@
 		l.out.Waits = append(l.out.Waits, Wait{k, fmt.Sprintf("step %d goes first", l.first(s)+1)})
 		return
 	}
-	for _, r := range []*ranges.Range{l.ranges[s.Range], l.ranges[s.Other]} {
+	for _, r := range []*shardmap.Range{l.ranges[s.Range], l.ranges[s.Other]} {
 		if r != nil && !r.Settled() {
 			l.out.Waits = append(l.out.Waits, Wait{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Home,
 				r.ID)})
--- a/fleet/plan/shapes_test.go
+++ b/fleet/plan/shapes_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // The splits and merges are printed with what waits for them.
@@ -40,7 +40,7 @@
 // A range that moves can't be split: the conductor learns which, to end that first.
 func TestARangeThatMovesIsNotSplit(t *testing.T) {
 	w := newWorld(t, "a", "a", "b", "b")
-	w.must(ranges.Conductor(1).Plan(1, "a", "b"))
+	w.must(shardmap.Conductor(1).Plan(1, "a", "b"))
 	f, err := Read([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
 	_, err = Make(f, w.m, nil)
--- a/fleet/plan/show.go
+++ b/fleet/plan/show.go
@@ -6,15 +6,15 @@
 	"io"
 	"text/tabwriter"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 const usualRanges = 64 // of a first map, where the file doesn't say
 
 // Show prints what the file makes of a map: the steps, why each waits at first, the keys moved beside the
 // least. Without a map it takes the first one that the file's members get. keys is as Make has it.
-func Show(text []byte, name string, m *ranges.Map, keys func(fleet.RangeID) uint64, out io.Writer) error {
+func Show(text []byte, name string, m *shardmap.Map, keys func(fleet.RangeID) uint64, out io.Writer) error {
 	f, err := Read(text, name)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // members prints how many ranges each has and shall have.
-func members(f *File, m *ranges.Map, p *Plan, out io.Writer) error {
+func members(f *File, m *shardmap.Map, p *Plan, out io.Writer) error {
 	has := map[fleet.MemberID]int{}
 	for i, head := range heads(m.Ranges) {
 		if head == i { // the others are pieces
@@ -116,20 +116,20 @@
 	return table.Flush()
 }
 
-func first(f *File) (*ranges.Map, error) {
+func first(f *File) (*shardmap.Map, error) {
 	n := f.Ranges
 	if n == 0 {
 		n = usualRanges
 	}
-	var weights []ranges.Weight
+	var weights []shardmap.Weight
 	for _, v := range f.Members {
-		weights = append(weights, ranges.Weight{Member: v.ID, Weight: v.Weight})
+		weights = append(weights, shardmap.Weight{Member: v.ID, Weight: v.Weight})
 	}
-	even, err := ranges.Even(n, weights)
+	even, err := shardmap.Even(n, weights)
 	for i := range even {
-		even[i].Standing = ranges.Seated
+		even[i].Standing = shardmap.Seated
 	}
-	return &ranges.Map{Ranges: even, NextID: fleet.RangeID(len(even) + 1)}, err
+	return &shardmap.Map{Ranges: even, NextID: fleet.RangeID(len(even) + 1)}, err
 }
 
 // ShowRunning prints how far the running plan is, and why it was stopped, if it was.
--- a/fleet/plan/start.go
+++ b/fleet/plan/start.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // busy is what is under way, as bounds count it.
@@ -54,7 +54,7 @@
 // starts begins each step that may begin, in their order. Which place a step takes is fixed, so one that may
 // begin takes nothing that an earlier one counts on; only bounds on all moves are kept free for the earlier
 // one.
-func (l *look) starts(m *ranges.Map) {
+func (l *look) starts(m *shardmap.Map) {
 	l.busy = busy{member: map[fleet.MemberID]int{}, zone: map[string]int{}}
 	l.used, l.undone = map[fleet.MemberID]int{}, make([]int, len(l.file.Rules))
 	for i := range m.Ranges {
--- a/fleet/plan/tally.go
+++ b/fleet/plan/tally.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -16,7 +16,7 @@
 	every   gateway.Micros // what is usual reaches back once to twice so far
 	turnsAt gateway.Micros
 	dests   map[gateway.DestinationID]*count
-	moves   map[ranges.MoveID]*watched
+	moves   map[shardmap.MoveID]*watched
 	placed  bool // some destinations stood together, now or before
 }
 
@@ -38,15 +38,15 @@
 
 // Watch is a move whose harm is asked for: of its range, from when it began.
 type Watch struct {
-	Move  ranges.MoveID `cbor:"1,keyasint"`
-	Range fleet.RangeID `cbor:"2,keyasint"`
-	From  fleet.KeyHash `cbor:"3,keyasint"`
-	To    fleet.KeyHash `cbor:"4,keyasint"`
+	Move  shardmap.MoveID `cbor:"1,keyasint"`
+	Range fleet.RangeID   `cbor:"2,keyasint"`
+	From  fleet.KeyHash   `cbor:"3,keyasint"`
+	To    fleet.KeyHash   `cbor:"4,keyasint"`
 }
 
 // Spot is what one member saw in the range of a move, since it began and before.
 type Spot struct {
-	Move  ranges.MoveID           `cbor:"1,keyasint"`
+	Move  shardmap.MoveID         `cbor:"1,keyasint"`
 	Range fleet.RangeID           `cbor:"2,keyasint"`
 	Now   Ends                    `cbor:"3,keyasint"`
 	Usual Ends                    `cbor:"4,keyasint"`
@@ -67,7 +67,7 @@
 // NewTally is one that has counted nothing; life is drawn at each start of the process.
 func NewTally(life uint64, term, now gateway.Micros) *Tally {
 	return &Tally{life: life, every: usualTerms * term, turnsAt: now + usualTerms*term,
-		dests: map[gateway.DestinationID]*count{}, moves: map[ranges.MoveID]*watched{}}
+		dests: map[gateway.DestinationID]*count{}, moves: map[shardmap.MoveID]*watched{}}
 }
 
 // Ended counts ends of a destination's webhooks.
@@ -81,10 +81,10 @@
 }
 
 // Sickness tells which destinations of a range this member, its home, holds to be sick now.
-type Sickness func(r ranges.Range) []gateway.DestinationID
+type Sickness func(r shardmap.Range) []gateway.DestinationID
 
 // Unseen are the ranges of moves that Look has yet to take note of.
-func (t *Tally) Unseen(m *ranges.Map) (all []ranges.Range) {
+func (t *Tally) Unseen(m *shardmap.Map) (all []shardmap.Range) {
 	for _, r := range m.Ranges {
 		if r.Move.Open() && t.moves[r.Move.ID] == nil {
 			all = append(all, r)
@@ -94,7 +94,7 @@
 }
 
 // Look takes note of moves that have begun and forgets those that are over and asked for by nobody.
-func (t *Tally) Look(m *ranges.Map, sick Sickness, now gateway.Micros) {
+func (t *Tally) Look(m *shardmap.Map, sick Sickness, now gateway.Micros) {
 	if now >= t.turnsAt {
 		t.turnsAt = now + t.every
 		for _, c := range t.dests {
@@ -111,10 +111,10 @@
 			t.watch(Watch{r.Move.ID, r.ID, r.From, r.To}, r, sick, now)
 		}
 	}
-	maps.DeleteFunc(t.moves, func(_ ranges.MoveID, w *watched) bool { return now-w.seenAt > t.every })
+	maps.DeleteFunc(t.moves, func(_ shardmap.MoveID, w *watched) bool { return now-w.seenAt > t.every })
 }
 
-func (t *Tally) watch(what Watch, r ranges.Range, sick Sickness, now gateway.Micros) *watched {
+func (t *Tally) watch(what Watch, r shardmap.Range, sick Sickness, now gateway.Micros) *watched {
 	w := t.moves[what.Move]
 	if w == nil {
 		w = &watched{Watch: what}
@@ -131,7 +131,7 @@
 }
 
 // begin counts from now on.
-func (t *Tally) begin(w *watched, r ranges.Range, sick Sickness) {
+func (t *Tally) begin(w *watched, r shardmap.Range, sick Sickness) {
 	w.base, w.sick = map[gateway.DestinationID]Ends{}, sick(r)
 	for d, c := range t.dests {
 		if w.has(c) {
@@ -144,7 +144,7 @@
 
 // Tell answers a conductor whose plan has a number. Another plan's count begins anew, as what an earlier one
 // did is not its harm; what was usual before the move stays so.
-func (t *Tally) Tell(number uint64, of []Watch, m *ranges.Map, sick Sickness, now gateway.Micros) Report {
+func (t *Tally) Tell(number uint64, of []Watch, m *shardmap.Map, sick Sickness, now gateway.Micros) Report {
 	out := Report{Life: t.life}
 	for _, what := range of[:min(len(of), mostWatched)] { // whatever a message says
 		r, _ := m.Get(what.Range)
@@ -172,7 +172,7 @@
 // Watches are the moves whose harm counts for the running plan: those that it has begun, also when they are
 // through, as what a move does shows after it. None once it is stopped or through, or where its file stops
 // for nothing: then nobody is asked.
-func (p *Progress) Watches(f *File, m *ranges.Map) (all []Watch) {
+func (p *Progress) Watches(f *File, m *shardmap.Map) (all []Watch) {
 	open := false
 	for k, s := range p.Steps {
 		if open = open || p.Stands[k] != Through; s.Move == 0 || s.Way == Back || p.Stands[k] == Waits {
--- a/fleet/plan/tally_test.go
+++ b/fleet/plan/tally_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
@@ -15,7 +15,7 @@
 
 // moving is a world whose ranges all begin to move by a plan that stops for harm, and where destination 7
 // lies.
-func moving(t *testing.T) (w *world, at fleet.RangeID, move ranges.MoveID) {
+func moving(t *testing.T) (w *world, at fleet.RangeID, move shardmap.MoveID) {
 	w = newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"leave \"a\" {}\nbounds { moves_at_once = 2 }\nstop_when {\n late = 0.1\n"+
 		" sick = true\n}\n"))
@@ -25,8 +25,8 @@
 	return w, r.ID, r.Move.ID
 }
 
-func well(ranges.Range) []gateway.DestinationID { return nil }
-func ill(r ranges.Range) []gateway.DestinationID {
+func well(shardmap.Range) []gateway.DestinationID { return nil }
+func ill(r shardmap.Range) []gateway.DestinationID {
 	if k := fleet.Hash(7); r.From <= k && k <= r.To {
 		return []gateway.DestinationID{7}
 	}
@@ -125,7 +125,7 @@
 func TestWhatIsUsualIsOfLately(t *testing.T) {
 	w, _, move := moving(t)
 	y := NewTally(1, second, 0)
-	empty := ranges.New(nil)
+	empty := shardmap.New(nil)
 	y.Ended(7, Ends{Ended: 1000})
 	for n := 1; n < 4; n++ {
 		y.Look(empty, well, gateway.Micros(n)*usualTerms*second)
--- a/fleet/plan/world_test.go
+++ b/fleet/plan/world_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // tester is testing.T or rapid.T.
@@ -22,7 +22,7 @@
 type world struct {
 	t     tester
 	file  *File
-	m     *ranges.Map
+	m     *shardmap.Map
 	p     *Progress
 	index uint64
 	held  map[fleet.Task]held
@@ -46,13 +46,13 @@
 func newWorld(t tester, homes ...fleet.MemberID) *world {
 	w := &world{t: t, p: &Progress{}, held: map[fleet.Task]held{}, gone: map[fleet.MemberID]bool{},
 		first: map[fleet.KeyHash]bool{}}
-	w.m = ranges.New(w)
-	even, err := ranges.Even(len(homes), []ranges.Weight{{Member: "x", Weight: 1}})
+	w.m = shardmap.New(w)
+	even, err := shardmap.Even(len(homes), []shardmap.Weight{{Member: "x", Weight: 1}})
 	require.NoError(t, err)
 	for i := range even {
 		r := &even[i]
 		w.first[r.From] = true
-		r.Home, r.Epoch, r.Standing = homes[i], 1, ranges.Seated
+		r.Home, r.Epoch, r.Standing = homes[i], 1, shardmap.Seated
 		w.held[fleet.HomeOf(r.ID)] = held{homes[i], 1}
 	}
 	w.m.Ranges, w.m.NextID, w.m.Version = even, fleet.RangeID(len(homes)+1), 1
@@ -118,20 +118,20 @@
 	for _, a := range out.Actions {
 		switch a.Do {
 		case Start:
-			var id ranges.MoveID
-			require.NoError(w.t, cbor.Unmarshal(w.must(ranges.Conductor(1).Plan(a.Range, a.From, a.To)), &id))
+			var id shardmap.MoveID
+			require.NoError(w.t, cbor.Unmarshal(w.must(shardmap.Conductor(1).Plan(a.Range, a.From, a.To)), &id))
 			w.began = append(w.began, a.Step)
 		case GoBack:
-			w.must(ranges.Conductor(1).Back(a.Move))
+			w.must(shardmap.Conductor(1).Back(a.Move))
 		case TakeOn:
 			w.must(Conductor(1).Note(w.p.Number, a.Step, a.Stand, a.Move))
 		case GiveUp:
 			w.must(Conductor(1).Stop(w.p.Number, a.Why))
 		case SplitOff:
-			w.must(ranges.Conductor(1).Split(a.Range, a.At))
+			w.must(shardmap.Conductor(1).Split(a.Range, a.At))
 			w.seat()
 		case MergeIn:
-			w.must(ranges.Conductor(1).Merge(a.Range, a.Other))
+			w.must(shardmap.Conductor(1).Merge(a.Range, a.Other))
 		case Replan:
 			require.NoError(w.t, w.adopt(string(w.p.Text)))
 		}
@@ -142,15 +142,15 @@
 // seat has the homes of what was split off take it, and let go of what was merged.
 func (w *world) seat() {
 	for _, r := range w.m.Ranges {
-		if task := fleet.HomeOf(r.ID); r.Standing == ranges.Named {
+		if task := fleet.HomeOf(r.ID); r.Standing == shardmap.Named {
 			w.held[task] = held{r.Home, 1}
-			w.must(ranges.Home(r.ID, r.Home, 1, w.m.Version))
+			w.must(shardmap.Home(r.ID, r.Home, 1, w.m.Version))
 		}
 	}
 }
 
 // open is the moves that are open.
-func (w *world) open() (all []ranges.Range) {
+func (w *world) open() (all []shardmap.Range) {
 	for _, r := range w.m.Ranges {
 		if r.Move.Open() {
 			all = append(all, r)
@@ -160,19 +160,19 @@
 }
 
 // goOn takes a move one step further.
-func (w *world) goOn(r ranges.Range) {
+func (w *world) goOn(r shardmap.Range) {
 	w.t.Helper()
 	v, task := r.Move, fleet.HomeOf(r.ID)
 	switch {
-	case v.Step < ranges.Passing:
-		w.must(ranges.Conductor(1).Step(v.ID, v.Step+1))
-	case v.Step == ranges.Passing:
+	case v.Step < shardmap.Passing:
+		w.must(shardmap.Conductor(1).Step(v.ID, v.Step+1))
+	case v.Step == shardmap.Passing:
 		w.held[task] = held{v.To, w.held[task].epoch + 1}
-		w.must(ranges.Switch(v.ID, r.ID, v.To, w.held[task].epoch))
+		w.must(shardmap.Switch(v.ID, r.ID, v.To, w.held[task].epoch))
 	case !v.ToClear:
-		w.must(ranges.Clear(v.ID, v.To))
+		w.must(shardmap.Clear(v.ID, v.To))
 	default:
-		w.must(ranges.Clear(v.ID, v.From))
+		w.must(shardmap.Clear(v.ID, v.From))
 	}
 }
 
--- a/fleet/state/past_test.go
+++ b/fleet/state/past_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 )
 
 // Whoever has any snapshot of before has the newest by what it is told, and by a change of another one never.
@@ -62,19 +62,19 @@
 
 // BenchmarkChange is one step of one move among 4,096 ranges: bytes to each member beside the whole.
 func BenchmarkChange(b *testing.B) {
-	m := ranges.New(nil)
-	all := []ranges.Weight{}
+	m := shardmap.New(nil)
+	all := []shardmap.Weight{}
 	for i := range 300 {
-		all = append(all, ranges.Weight{Member: fleet.MemberID(fmt.Sprint("m", i)), Weight: 1})
+		all = append(all, shardmap.Weight{Member: fleet.MemberID(fmt.Sprint("m", i)), Weight: 1})
 	}
-	m.Ranges, _ = ranges.Even(4096, all)
+	m.Ranges, _ = shardmap.Even(4096, all)
 	for i := range m.Ranges {
-		m.Ranges[i].Epoch, m.Ranges[i].Standing = 1000, ranges.Seated
+		m.Ranges[i].Epoch, m.Ranges[i].Standing = 1000, shardmap.Seated
 	}
 	m.Version = 70_000
 	before, _ := m.Snapshot()
 	m.Version++
-	m.Ranges[1234].Move = ranges.Move{ID: 70_001, From: m.Ranges[1234].Home, To: "m17", Step: ranges.Planned}
+	m.Ranges[1234].Move = shardmap.Move{ID: 70_001, From: m.Ranges[1234].Home, To: "m17", Step: shardmap.Planned}
 	after, _ := m.Snapshot()
 	var c []byte
 	b.Run("made", func(b *testing.B) {
--- a/proof/harness/map.go
+++ b/proof/harness/map.go
@@ -6,14 +6,14 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 )
 
 // Map is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
-func (f *Fleet) Map() (newest *ranges.Map) {
+func (f *Fleet) Map() (newest *shardmap.Map) {
 	f.t.Helper()
 	says := map[fleet.MemberID]string{}
 	for _, m := range f.Keepers() {
@@ -30,7 +30,7 @@
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
 			continue
 		}
-		chart := ranges.New(nil)
+		chart := shardmap.New(nil)
 		require.NoError(f.t, chart.Restore(answer.Parts[0].Snapshot))
 		if newest == nil || chart.Version > newest.Version {
 			newest = chart
@@ -42,7 +42,7 @@
 // Home is who is home of a destination and serves, or nil.
 func (f *Fleet) Home(dest gateway.DestinationID) *Member {
 	if chart := f.Map(); chart != nil {
-		if r, ok := chart.Of(chart.Key(dest)); ok && r.Standing == ranges.Seated {
+		if r, ok := chart.Of(chart.Key(dest)); ok && r.Standing == shardmap.Seated {
 			return f.Member(string(r.Home))
 		}
 	}
@@ -68,9 +68,9 @@
 	if chart == nil || len(chart.Ranges) == 0 || settled && len(chart.Left) > 0 {
 		return false
 	}
-	return !slices.ContainsFunc(chart.Ranges, func(r ranges.Range) bool {
+	return !slices.ContainsFunc(chart.Ranges, func(r shardmap.Range) bool {
 		home := f.Member(string(r.Home))
-		return r.Standing != ranges.Seated || settled && r.Move.Open() || !home.Running() || slices.Contains(but,
+		return r.Standing != shardmap.Seated || settled && r.Move.Open() || !home.Running() || slices.Contains(but,
 			home)
 	})
 }
--- a/proof/harness/past.go
+++ b/proof/harness/past.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/ranges"
 	"rowanlink/gateway"
 	"rowanlink/proof/child"
 	"rowanlink/standin/guard"
@@ -68,12 +68,12 @@
 		}
 		for _, part := range answer.Parts {
 			version = part.Version
-			chart := ranges.New(nil)
+			chart := shardmap.New(nil)
 			if chart.Restore(part.Snapshot) != nil {
 				continue
 			}
 			for _, r := range chart.Ranges {
-				if r.Standing != ranges.Seated || saw[r.ID] == r.Epoch {
+				if r.Standing != shardmap.Seated || saw[r.ID] == r.Epoch {
 					continue
 				}
 				saw[r.ID] = r.Epoch
