--- a/cluster/member/chart.go
+++ b/cluster/member/chart.go
@@ -5,15 +5,15 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/plan"
 	"rowanlink/gateway"
 )
 
 // Chart asks a keeper for the map of ranges and the running plan; without an address there are none.
-func Chart(says string) (*shardmap.Map, *plan.Progress, error) {
+func Chart(says string) (*shardmap.Map, *rebalance.Progress, error) {
 	if says == "" {
 		return nil, nil, nil
 	}
@@ -25,7 +25,7 @@
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
 	}
-	m, p, told := shardmap.New(nil), &plan.Progress{}, false
+	m, p, told := shardmap.New(nil), &rebalance.Progress{}, false
 	for _, part := range answer.Parts {
 		switch {
 		case err != nil:
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -8,9 +8,9 @@
 	"slices"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/plan"
 	"rowanlink/gateway"
 )
 
@@ -22,7 +22,7 @@
 	harm     *harm
 	vacancy  *shardmap.Vacancies
 	book     *lease.Book
-	progress *plan.Progress
+	progress *rebalance.Progress
 	epoch    fleet.Epoch // since when it conducts
 	under    int         // moves under way when last looked
 	alone    bool        // no leader answered in this look: nothing more is proposed until the next one
@@ -109,7 +109,7 @@
 	}
 	some := false
 	for _, m := range members {
-		leaves := func(r plan.Rule) bool { return r.Kind == plan.Leave && r.Member == m.Member }
+		leaves := func(r rebalance.Rule) bool { return r.Kind == rebalance.Leave && r.Member == m.Member }
 		if !slices.ContainsFunc(f.Rules, leaves) {
 			stay, some = append(stay, m), some || alive[m.Member]
 		}
@@ -150,22 +150,22 @@
 	if number != 0 && !w.fresh {
 		return false
 	}
-	wished, err := plan.Read(w.text, "plan")
+	wished, err := rebalance.Read(w.text, "plan")
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
 	if number != 0 && (c.stopped() == 0 || c.stopped() != w.resumes) {
-		if runs, err := plan.Read(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
+		if runs, err := rebalance.Read(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
 			return true
 		}
 	}
 	return c.make(wished, w.text, number, chart)
 }
 
-func (c *conductor) make(f *plan.File, text []byte, number uint64, chart *shardmap.Map) bool {
-	p, err := plan.Make(f, chart, nil)
-	var moving *plan.Moving
+func (c *conductor) make(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
+	p, err := rebalance.Make(f, chart, nil)
+	var moving *rebalance.Moving
 	if errors.As(err, &moving) { // the file is taken up once that has ended
 		if moving.Move.Step < shardmap.Switched {
 			c.say("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
@@ -176,7 +176,7 @@
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
-	return c.say("plan taken up", plan.Conductor(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
+	return c.say("plan taken up", rebalance.Conductor(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
 }
 
 // follow does what the running plan asks for now.
@@ -190,24 +190,24 @@
 		slog.Error("running plan not read", "why", err)
 		return
 	}
-	out := c.progress.Next(f, chart, plan.Seen{Gone: func(m fleet.MemberID) bool { return !alive[m] },
+	out := c.progress.Next(f, chart, rebalance.Seen{Gone: func(m fleet.MemberID) bool { return !alive[m] },
 		Rested: now - c.restedAt, Harm: c.harm.Of(c.progress.Number)})
-	says := plan.Conductor(c.epoch)
+	says := rebalance.Conductor(c.epoch)
 	for _, a := range out.Actions {
 		switch a.Do {
-		case plan.Start:
+		case rebalance.Start:
 			c.say("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
-		case plan.GoBack:
+		case rebalance.GoBack:
 			c.say("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Why)
-		case plan.TakeOn:
+		case rebalance.TakeOn:
 			c.say("plan's step", says.Note(c.progress.Number, a.Step, a.Stand, a.Move), "step", a.Step)
-		case plan.GiveUp:
+		case rebalance.GiveUp:
 			c.say("plan stopped", says.Stop(c.progress.Number, a.Why), "why", a.Why)
-		case plan.SplitOff:
+		case rebalance.SplitOff:
 			c.say("range split", by.Split(a.Range, a.At), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.At)))
-		case plan.MergeIn:
+		case rebalance.MergeIn:
 			c.say("ranges merged", by.Merge(a.Range, a.Other), "range", a.Range, "other", a.Other)
-		case plan.Replan:
+		case rebalance.Replan:
 			slog.Info("plan made anew", "why", a.Why)
 			c.make(f, slices.Clone(c.progress.Text), c.progress.Number, chart)
 		}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -6,10 +6,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/plan"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -19,8 +19,8 @@
 const harmPath = "/fleet/harm"
 
 type harmAsk struct {
-	Number uint64       `cbor:"1,keyasint"` // of the plan
-	Of     []plan.Watch `cbor:"2,keyasint"`
+	Number uint64            `cbor:"1,keyasint"` // of the plan
+	Of     []rebalance.Watch `cbor:"2,keyasint"`
 }
 
 // harm counts how webhooks end here, answers conductors, and, where this member conducts, asks the others.
@@ -32,15 +32,15 @@
 	over  <-chan struct{}
 
 	mu       sync.Mutex
-	tally    *plan.Tally
-	gathered plan.Gathered
+	tally    *rebalance.Tally
+	gathered rebalance.Gathered
 }
 
 // Ended counts an end, as the decider tells it.
 func (g gate) Ended(w *exchange.Webhook, how decider.End) { g.m.harm.ended(w, how) }
 
 func (h *harm) ended(w *exchange.Webhook, how decider.End) {
-	e := plan.Ends{Ended: 1}
+	e := rebalance.Ends{Ended: 1}
 	switch how {
 	case decider.Late:
 		e.Late = 1
@@ -52,7 +52,7 @@
 	h.count(w.Destination, e)
 }
 
-func (h *harm) count(d gateway.DestinationID, e plan.Ends) {
+func (h *harm) count(d gateway.DestinationID, e rebalance.Ends) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tally.Ended(d, e)
@@ -64,7 +64,7 @@
 	return func(w *exchange.Webhook, here taker) (exchange.Answer, gateway.Micros) {
 		what, retryIn := away(w, here)
 		if what == exchange.Rejected {
-			h.count(w.Destination, plan.Ends{Ended: 1, Rejected: 1})
+			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
 		}
 		return what, retryIn
 	}
@@ -90,7 +90,7 @@
 
 // sick asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
-func (h *harm) sick(of []shardmap.Range) plan.Sickness {
+func (h *harm) sick(of []shardmap.Range) rebalance.Sickness {
 	in := func(r shardmap.Range, d gateway.DestinationID) bool {
 		return r.Home == h.self && h.homes.Map().Holds(r, d)
 	}
@@ -120,10 +120,10 @@
 	}
 }
 
-func (h *harm) tell(a harmAsk) plan.Report {
+func (h *harm) tell(a harmAsk) rebalance.Report {
 	chart := h.homes.Map()
 	if chart == nil {
-		return plan.Report{}
+		return rebalance.Report{}
 	}
 	var of []shardmap.Range
 	for _, w := range a.Of {
@@ -147,14 +147,14 @@
 	ctx.SetBody(transport.Encode(h.tell(a)))
 }
 
-func (h *harm) took(number uint64, from fleet.MemberID, r plan.Report) {
+func (h *harm) took(number uint64, from fleet.MemberID, r rebalance.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.gathered.Take(number, from, r)
 }
 
 // Of is the harm that was told of the plan of a number.
-func (h *harm) Of(number uint64) plan.Harm {
+func (h *harm) Of(number uint64) rebalance.Harm {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gathered.Harm(number)
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/plan"
 )
 
 const (
@@ -36,7 +36,7 @@
 	}
 }
 
-func (m *Member) watches() (number uint64, of []plan.Watch) {
+func (m *Member) watches() (number uint64, of []rebalance.Watch) {
 	chart := m.homes.Map()
 	if _, held := m.session.Holds(fleet.Conducts); !held || chart == nil {
 		return 0, nil
@@ -65,7 +65,7 @@
 		all.Go(func() {
 			defer func() { <-turns }()
 			status, raw, err := m.talk.Say(id, harmPath, body, span(m.file.Term)/harmAsksBy)
-			var r plan.Report
+			var r rebalance.Report
 			if err == nil && status == fasthttp.StatusOK {
 				err = transport.Decode(raw, &r)
 			}
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -16,12 +16,12 @@
 
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/raftnode"
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
-	"rowanlink/fleet/plan"
 	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
@@ -55,7 +55,7 @@
 	names   *names
 	harm    *harm
 	// The running plan as the log has it; nil where no log is kept.
-	progress atomic.Pointer[plan.Progress]
+	progress atomic.Pointer[rebalance.Progress]
 	sites    *site.Sites
 	many     atomic.Int64 // members by the file, for the decider's goroutine
 
@@ -85,7 +85,7 @@
 	if f, err = operator.Read(text, m.path); err != nil {
 		return nil, f, err
 	}
-	if _, err = plan.Read(text, m.path); err != nil {
+	if _, err = rebalance.Read(text, m.path); err != nil {
 		return nil, f, err
 	}
 	if _, ok := f.Member(m.self); !ok {
@@ -127,7 +127,7 @@
 		looks: func() { nudge(m.pokeOwed) }}
 	f.side, m.homes.side = m.owing, m.owing
 	m.harm = &harm{self: m.self, homes: m.homes, d: d.Decider, now: m.clock, over: m.ended,
-		tally: plan.NewTally(drawn(), m.file.Term, m.clock())}
+		tally: rebalance.NewTally(drawn(), m.file.Term, m.clock())}
 	d.Exchange.Away, d.Exchange.More = m.harm.entry(f.Away), m.Print
 	m.many.Store(int64(len(m.file.Members)))
 	m.sites = m.joins()
@@ -151,7 +151,7 @@
 	m.keeper, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
 		Term: m.file.Term, Logs: logs(m.file), Talk: m.talk, Clock: m.clock, Book: book,
 		State: state.New(book, map[byte]fleet.Part{fleet.RangesPart: shardmap.New(book),
-			fleet.PlanPart: &plan.Progress{}})}, on)
+			fleet.PlanPart: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
 	}
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
-	"rowanlink/fleet/plan"
 	"rowanlink/gateway"
 )
 
@@ -41,7 +41,7 @@
 }
 
 func (m *Member) planned(_ uint64, snapshot []byte) {
-	p := &plan.Progress{}
+	p := &rebalance.Progress{}
 	if err := p.Restore(snapshot); err != nil {
 		slog.Error("plan's progress not read", "why", err)
 		return
--- a/cluster/member/wish_test.go
+++ b/cluster/member/wish_test.go
@@ -5,14 +5,14 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/fleet/plan"
+	"rowanlink/cluster/rebalance"
 )
 
 // Guards against a plan that harm stopped and that starts again by itself, once another keeper conducts that
 // was told of the same file before.
 func TestAStoppedPlanIsResumedOnlyByAFileReadSince(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
-	c := &conductor{progress: &plan.Progress{Number: 3, Name: "plan", Text: text, Stopped: "late"}}
+	c := &conductor{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, Stopped: "late"}}
 	assert.Equal(t, uint64(3), c.stopped())
 	assert.NotPanics(t, func() {
 		assert.True(t, c.adopt(wish{text: text, fresh: true}, nil))
--- a/fleet/plan/steps.go
+++ b/cluster/rebalance/steps.go
@@ -1,4 +1,4 @@
-package plan
+package rebalance
 
 import (
 	"cmp"
--- a/cmd/rowanfleet/main.go
+++ b/cmd/rowanfleet/main.go
@@ -8,9 +8,9 @@
 	"github.com/spf13/cobra"
 
 	"rowanlink/cluster/member"
+	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet/operator"
-	"rowanlink/fleet/plan"
 	"rowanlink/node/dispatcher"
 )
 
@@ -46,8 +46,8 @@
 			if chart == nil {
 				chart = &shardmap.Map{Groups: f.Groups()}
 			}
-			plan.ShowRunning(runs, os.Stdout)
-			return plan.Show(text, args[0], chart, nil, os.Stdout)
+			rebalance.ShowRunning(runs, os.Stdout)
+			return rebalance.Show(text, args[0], chart, nil, os.Stdout)
 		},
 	}
 	show.Flags().StringVar(&from, "from", "", "a keeper's address says, host:port")
--- a/fleet/operator/operator.go
+++ b/fleet/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator reads the operator file's members, terms, sites and lists. It reads bytes, not files, and
-// leaves the plan's blocks to fleet/plan.
+// leaves the plan's blocks to cluster/rebalance.
 package operator
 
 import (
