--- a/cluster/member/settings_test.go
+++ b/cluster/member/settings_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/fleet/streams"
+	"rowanlink/cluster/stream"
 	"rowanlink/gateway"
 )
 
@@ -13,12 +13,12 @@
 func TestWhatIsLostWithARelayGoesByTheSettingsReadLast(t *testing.T) {
 	m := New("")
 	m.facts.Store(&gateway.Facts{EventTypes: []gateway.EventType{{Repeat: gateway.Idempotent}}})
-	lost := func() streams.Course {
-		return streams.Rule(&streams.Item{MayRun: gateway.Never}, 1, m.event(0), true, 9, 2)
+	lost := func() stream.Course {
+		return stream.Rule(&stream.Item{MayRun: gateway.Never}, 1, m.event(0), true, 9, 2)
 	}
-	assert.Equal(t, streams.Goes, lost())
+	assert.Equal(t, stream.Goes, lost())
 	m.Renew(gateway.Facts{EventTypes: []gateway.EventType{{Repeat: gateway.AtMostOnce}}})
-	assert.Equal(t, streams.Ends, lost())
+	assert.Equal(t, stream.Ends, lost())
 	m.Renew(gateway.Facts{})
-	assert.Equal(t, streams.Ends, lost(), "its event type has gone")
+	assert.Equal(t, stream.Ends, lost(), "its event type has gone")
 }
--- a/cluster/relay/relay.go
+++ b/cluster/relay/relay.go
@@ -1,4 +1,4 @@
-// Package relay has a site's sender and its relay speak: it says and hears what fleet/streams decides.
+// Package relay has a site's sender and its relay speak: it says and hears what cluster/stream decides.
 // What a dispatcher keeps and calls is behind Books and Shelf.
 package relay
 
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 )
 
@@ -31,15 +31,15 @@
 // Ends is what a relay tells an owner; the answer is which of them the owner's journal has. Learned is of
 // their destinations, times by the relay's clock.
 type Ends struct {
-	Answer  streams.Answer    `cbor:"1,keyasint"`
-	Ends    []streams.End     `cbor:"2,keyasint"`
+	Answer  stream.Answer     `cbor:"1,keyasint"`
+	Ends    []stream.End      `cbor:"2,keyasint"`
 	Learned []gateway.Learned `cbor:"3,keyasint,omitempty"`
 }
 
 // Opening is what a sender asks first, with what it learned of the site's destinations while it called
 // for them itself, times by its clock.
 type Opening struct {
-	streams.Ask
+	stream.Ask
 	Learned []gateway.Learned `cbor:"8,keyasint,omitempty"`
 	At      gateway.Micros    `cbor:"9,keyasint"`
 }
@@ -76,9 +76,9 @@
 		return fasthttp.StatusOK
 	case errors.Is(err, fleet.ErrFenced):
 		return statusFenced
-	case errors.Is(err, streams.ErrUnopened):
+	case errors.Is(err, stream.ErrUnopened):
 		return statusUnopened
-	case errors.Is(err, streams.ErrForm):
+	case errors.Is(err, stream.ErrForm):
 		return fasthttp.StatusBadRequest
 	}
 	return statusUnkept
--- a/cluster/relay/relay_test.go
+++ b/cluster/relay/relay_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet/streams"
+	"rowanlink/cluster/stream"
 	"rowanlink/gateway"
 )
 
 func (s *site) add(id uint64, to ...gateway.DestinationID) {
-	i := streams.Item{Name: streams.Name{Owner: "m", Life: 1, ID: id}, Request: "a", Many: true, TTL: 1 << 60,
+	i := stream.Item{Name: stream.Name{Owner: "m", Life: 1, ID: id}, Request: "a", Many: true, TTL: 1 << 60,
 		MayRun: gateway.Never, Body: []byte("b"), To: to}
 	s.mu.Lock()
 	for _, d := range to {
-		s.open[streams.Delivery{Name: i.Name, To: d}] = streams.AtRelay
+		s.open[stream.Delivery{Name: i.Name, To: d}] = stream.AtRelay
 	}
 	s.mu.Unlock()
 	s.stream.Add(i, 10_000)
--- a/cluster/relay/send.go
+++ b/cluster/relay/send.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet/streams"
 )
 
 // Run sends until Close.
@@ -63,7 +63,7 @@
 		t.with(t.s.Cut)
 		return t.pace.Poll
 	}
-	return t.says(FramePath, transport.Encode(f), func(a streams.Answer) {
+	return t.says(FramePath, transport.Encode(f), func(a stream.Answer) {
 		if a.Run == f.Run && a.Upto < f.Seq { // behind a gap
 			t.s.Cut()
 		}
@@ -72,7 +72,7 @@
 
 // notes has a frame noted before it is sent first. Guards against one that goes again after some of it has
 // ended, which can't be noted any more and need not.
-func (t *Stream) notes(f streams.Frame) error {
+func (t *Stream) notes(f stream.Frame) error {
 	if f.Run == t.notedIn && f.Seq <= t.noted {
 		return nil
 	}
@@ -109,12 +109,12 @@
 	t.mu.Lock()
 	ask := t.s.Opening()
 	t.mu.Unlock()
-	return t.says(OpenPath, transport.Encode(Opening{Ask: ask, At: t.now()}), func(streams.Answer) {})
+	return t.says(OpenPath, transport.Encode(Opening{Ask: ask, At: t.now()}), func(stream.Answer) {})
 }
 
-func (t *Stream) says(path string, body []byte, then func(streams.Answer)) time.Duration {
+func (t *Stream) says(path string, body []byte, then func(stream.Answer)) time.Duration {
 	code, raw, err := t.said.Say(t.relay, path, body, t.pace.Within)
-	var a streams.Answer
+	var a stream.Answer
 	switch {
 	case err != nil || code == statusUnkept:
 		t.with(t.s.Cut)
@@ -156,7 +156,7 @@
 	t.mu.Unlock()
 	raw := transport.Encode(Opening{Ask: ask, Learned: t.books.Learned(), At: t.now()})
 	code, raw, err := t.said.Say(t.relay, OpenPath, raw, t.pace.Within)
-	var a streams.Answer
+	var a stream.Answer
 	if err != nil || code != fasthttp.StatusOK && code != statusFenced || transport.Decode(raw, &a) != nil {
 		if time.Since(t.heard) > t.pace.Gone {
 			t.lose()
--- a/cluster/relay/shelf.go
+++ b/cluster/relay/shelf.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 )
 
@@ -21,9 +21,9 @@
 type Shelf interface {
 	// Keep writes the mark and what is fresh in one write, then the module may call for it. An error: nothing
 	// of it is kept. It is called with the relay held: it must not wait for one who calls End.
-	Keep(m streams.Mark, fresh []streams.Item) error
-	Room() int               // deliveries that may be held at once
-	Told([]streams.Delivery) // their owners have their ends
+	Keep(m stream.Mark, fresh []stream.Item) error
+	Room() int              // deliveries that may be held at once
+	Told([]stream.Delivery) // their owners have their ends
 	// Learned is what is known of destinations, Taught takes over what their owner knows, by this clock.
 	// Both are called with nothing held.
 	Learned(of []gateway.DestinationID) []gateway.Learned
@@ -38,7 +38,7 @@
 	now   func() gateway.Micros
 
 	mu     sync.Mutex
-	r      *streams.Receiver
+	r      *stream.Receiver
 	tells  map[fleet.MemberID]chan struct{} // bells of those who are owed ends
 	ended  chan struct{}
 	before sync.WaitGroup
@@ -47,7 +47,7 @@
 }
 
 // NewRelay goes on by what its journal knows.
-func NewRelay(r *streams.Receiver, shelf Shelf, said Said, p Pace, now func() gateway.Micros) *Relay {
+func NewRelay(r *stream.Receiver, shelf Shelf, said Said, p Pace, now func() gateway.Micros) *Relay {
 	relay := &Relay{shelf: shelf, said: said, pace: p, now: now, r: r, tells: map[fleet.MemberID]chan struct{}{},
 		ended: make(chan struct{})}
 	relay.mu.Lock()
@@ -93,7 +93,7 @@
 }
 
 func (r *Relay) Frame(ctx *fasthttp.RequestCtx) {
-	var f streams.Frame
+	var f stream.Frame
 	if err := transport.Decode(ctx.PostBody(), &f); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
@@ -125,7 +125,7 @@
 }
 
 // keep guards against an answer for what a full disk did not take.
-func (r *Relay) keep(fresh []streams.Item) error {
+func (r *Relay) keep(fresh []stream.Item) error {
 	err := r.shelf.Keep(r.r.Mark(), fresh)
 	if err != nil {
 		r.r.Undo()
@@ -134,7 +134,7 @@
 	return err
 }
 
-func (r *Relay) answer(ctx *fasthttp.RequestCtx, held []streams.Delivery, err error) {
+func (r *Relay) answer(ctx *fasthttp.RequestCtx, held []stream.Delivery, err error) {
 	a := r.r.Answer(r.shelf.Room(), r.now())
 	a.Held = held
 	ctx.SetStatusCode(status(err))
@@ -142,7 +142,7 @@
 }
 
 // End takes a delivery's end, which the journal has already.
-func (r *Relay) End(e streams.End) {
+func (r *Relay) End(e stream.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.r.Ended(e)
@@ -212,7 +212,7 @@
 	}
 	ends.Learned = r.shelf.Learned(of)
 	code, raw, err := r.said.Say(owner, AnswersPath, transport.Encode(ends), r.pace.Within)
-	var known []streams.Delivery
+	var known []stream.Delivery
 	if err != nil || code != fasthttp.StatusOK || transport.Decode(raw, &known) != nil || len(known) == 0 {
 		slog.Debug("relay: ends not heard", "owner", owner, "count", len(ends.Ends), "status", code, "err", err)
 		return true, false
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 )
 
@@ -68,16 +68,16 @@
 	stream *Stream
 	relay  *Relay
 	mu     sync.Mutex
-	mark   streams.Mark
-	held   map[streams.Delivery]bool
-	owed   []streams.End
+	mark   stream.Mark
+	held   map[stream.Delivery]bool
+	owed   []stream.End
 	full   bool
 	slow   map[gateway.DestinationID]bool // its deliveries don't end
 
-	open   map[streams.Delivery]streams.Standing // the owner's
-	once   bool                                  // all are at-most-once
-	ends   map[streams.Delivery]int
-	ran    map[streams.Delivery]int
+	open   map[stream.Delivery]stream.Standing // the owner's
+	once   bool                                // all are at-most-once
+	ends   map[stream.Delivery]int
+	ran    map[stream.Delivery]int
 	beside int
 	taught atomic.Int64
 	server *transport.Server
@@ -88,11 +88,11 @@
 type book struct{ *site }
 type shelf struct{ *site }
 
-func (b book) Sending([]streams.Item, uint64, gateway.Micros) error { return nil }
-func (b book) Unsent([]streams.Delivery)                            {}
-func (b book) Late([]streams.Delivery)                              {}
+func (b book) Sending([]stream.Item, uint64, gateway.Micros) error { return nil }
+func (b book) Unsent([]stream.Delivery)                            {}
+func (b book) Late([]stream.Delivery)                              {}
 
-func (b book) Beside(never []streams.Delivery) {
+func (b book) Beside(never []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, d := range never {
@@ -103,17 +103,17 @@
 	}
 }
 
-func (b book) Unsure(of []streams.Sent, lost bool) (forget []streams.Delivery) {
+func (b book) Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i, t := streams.Item{MayRun: gateway.Never}, gateway.EventType{}
+	i, t := stream.Item{MayRun: gateway.Never}, gateway.EventType{}
 	if b.once {
 		t.Repeat = gateway.AtMostOnce
 	}
 	for _, u := range of {
-		if c := streams.Rule(&i, u.At, t, lost, 1<<60, clock()); c != streams.Waits {
+		if c := stream.Rule(&i, u.At, t, lost, 1<<60, clock()); c != stream.Waits {
 			forget = append(forget, u.Delivery)
-			if c == streams.Goes {
+			if c == stream.Goes {
 				b.ran[u.Delivery]++
 			}
 			b.ends[u.Delivery]++
@@ -123,11 +123,11 @@
 	return forget
 }
 
-func (b book) Ended(ends []streams.End) (heard []streams.Delivery) {
+func (b book) Ended(ends []stream.End) (heard []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
-		if streams.Hear(e, b.open[e.Delivery], false) != streams.Known {
+		if stream.Hear(e, b.open[e.Delivery], false) != stream.Known {
 			b.ends[e.Delivery]++
 			delete(b.open, e.Delivery)
 		}
@@ -146,14 +146,14 @@
 
 func (s shelf) Room() int { return 64 }
 
-func (s shelf) Told(heard []streams.Delivery) {
+func (s shelf) Told(heard []stream.Delivery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := map[streams.Delivery]bool{}
+	gone := map[stream.Delivery]bool{}
 	for _, d := range heard {
 		gone[d] = true
 	}
-	var left []streams.End
+	var left []stream.End
 	for _, e := range s.owed {
 		if !gone[e.Delivery] {
 			left = append(left, e)
@@ -162,7 +162,7 @@
 	s.owed = left
 }
 
-func (s shelf) Keep(m streams.Mark, fresh []streams.Item) error {
+func (s shelf) Keep(m stream.Mark, fresh []stream.Item) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -171,7 +171,7 @@
 	s.mark = m
 	for _, i := range fresh {
 		for _, to := range i.To {
-			s.held[streams.Delivery{Name: i.Name, To: to}] = true
+			s.held[stream.Delivery{Name: i.Name, To: to}] = true
 		}
 	}
 	return nil
@@ -186,11 +186,11 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 		s.mu.Lock()
-		var ends []streams.End
+		var ends []stream.End
 		for d := range s.held {
 			if !s.slow[d.To] {
 				s.ran[d]++
-				ends = append(ends, streams.End{Delivery: d, How: streams.Delivered, Attempts: 1, MayRun: true})
+				ends = append(ends, stream.End{Delivery: d, How: stream.Delivered, Attempts: 1, MayRun: true})
 				delete(s.held, d)
 			}
 		}
@@ -205,11 +205,11 @@
 
 func (s *site) start() {
 	s.mu.Lock()
-	var held []streams.Delivery
+	var held []stream.Delivery
 	for d := range s.held {
 		held = append(held, d)
 	}
-	s.relay = NewRelay(streams.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, PaceOf(term), clock)
+	s.relay = NewRelay(stream.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, PaceOf(term), clock)
 	s.mu.Unlock()
 	s.server = transport.Hears(50, time.Second)
 	s.relay.Hear(s.server)
@@ -220,8 +220,8 @@
 }
 
 func begin(t *testing.T, once bool) *site {
-	s := &site{t: t, held: map[streams.Delivery]bool{}, open: map[streams.Delivery]streams.Standing{},
-		once: once, ends: map[streams.Delivery]int{}, ran: map[streams.Delivery]int{}, mark: streams.Mark{Life: 9},
+	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Standing{},
+		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Mark{Life: 9},
 		slow: map[gateway.DestinationID]bool{}, addr: "127.0.0.1:0"}
 	owner := transport.Hears(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
@@ -231,7 +231,7 @@
 	s.start()
 	s.toward = &faults{Talk: transport.New("m", map[fleet.MemberID]string{"r": s.addr}),
 		r: rand.New(rand.NewPCG(3, 4)), one: 1 << 20}
-	s.stream = NewStream("r", streams.NewSender(1, 0.05), book{s}, s.toward, PaceOf(term), clock,
+	s.stream = NewStream("r", stream.NewSender(1, 0.05), book{s}, s.toward, PaceOf(term), clock,
 		func() bool { return true })
 	owner.Handle(AnswersPath, s.stream.Answers)
 	go owner.Serve(on)
--- a/cluster/relay/stream.go
+++ b/cluster/relay/stream.go
@@ -7,9 +7,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 )
 
@@ -18,19 +18,19 @@
 type Books interface {
 	// Sending notes deliveries before their first byte leaves for that life of the relay's folder; an error:
 	// they are not noted, and nothing is sent.
-	Sending(f []streams.Item, life uint64, at gateway.Micros) error
-	Unsent([]streams.Delivery)       // they were never taken and never will be: they wait once more
-	Beside(never []streams.Delivery) // this dispatcher's module has them from now on
+	Sending(f []stream.Item, life uint64, at gateway.Micros) error
+	Unsent([]stream.Delivery)       // they were never taken and never will be: they wait once more
+	Beside(never []stream.Delivery) // this dispatcher's module has them from now on
 	// Unsure settles by streams.Rule what may be at the relay, lost: by streams.Courses. It tells which the
 	// sender is to forget: what has ended, and what goes by itself and is not ordered.
-	Unsure(of []streams.Sent, lost bool) (forget []streams.Delivery)
+	Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery)
 	// Ended writes ends by streams.Hear and tells which it has from now on, those known before too.
-	Ended([]streams.End) (heard []streams.Delivery)
+	Ended([]stream.End) (heard []stream.Delivery)
 	// Learned is what this dispatcher knows of the site's destinations; it is called with nothing held, as is
 	// Taught, which takes over what the relay knows, by this clock.
 	Learned() []gateway.Learned
 	Taught([]gateway.Learned)
-	Late([]streams.Delivery) // rejected: their time is over, and they never ran
+	Late([]stream.Delivery) // rejected: their time is over, and they never ran
 }
 
 // Stream is a site's, at its sender.
@@ -45,34 +45,34 @@
 	fenced atomic.Bool // the relay has seen a later epoch, though the task is held
 
 	mu    sync.Mutex
-	s     *streams.Sender
+	s     *stream.Sender
 	bell  chan struct{}
 	ended chan struct{}
 	done  chan struct{}
 
 	// Of the goroutine that sends.
 	open    bool
-	heard   time.Time   // when the relay last answered
-	looked  time.Time   // for what is past its time
-	asked   time.Time   // by one that does not hold the task
-	notedIn streams.Run // the books have all frames of this run up to noted
-	noted   streams.Seq
+	heard   time.Time  // when the relay last answered
+	looked  time.Time  // for what is past its time
+	asked   time.Time  // by one that does not hold the task
+	notedIn stream.Run // the books have all frames of this run up to noted
+	noted   stream.Seq
 }
 
 // NewStream sends to a relay what s has, from Run on. holds is asked before each message.
-func NewStream(relay fleet.MemberID, s *streams.Sender, books Books, said Said, p Pace,
+func NewStream(relay fleet.MemberID, s *stream.Sender, books Books, said Said, p Pace,
 	now func() gateway.Micros, holds func() bool) *Stream {
 	return &Stream{relay: relay, books: books, said: said, pace: p, now: now, holds: holds, s: s,
 		bell: make(chan struct{}, 1), ended: make(chan struct{}), done: make(chan struct{})}
 }
 
 // Add takes an item that the journal has.
-func (t *Stream) Add(i streams.Item, target gateway.Micros) {
+func (t *Stream) Add(i stream.Item, target gateway.Micros) {
 	t.with(func() { t.s.Add(i, target, t.now()) })
 }
 
 // Over tells that a delivery that goes beside the stream has ended.
-func (t *Stream) Over(d streams.Delivery) { t.with(func() { t.s.Ended(d) }) }
+func (t *Stream) Over(d stream.Delivery) { t.with(func() { t.s.Ended(d) }) }
 
 // Leaves and Joins: by the operator file.
 func (t *Stream) Leaves(to gateway.DestinationID) { t.with(func() { t.s.Leaves(to) }) }
@@ -113,7 +113,7 @@
 	if len(ends.Learned) > 0 {
 		t.books.Taught(Shifted(ends.Learned, t.now()-ends.Answer.At))
 	}
-	var heard []streams.Delivery
+	var heard []stream.Delivery
 	t.with(func() {
 		heard = t.books.Ended(ends.Ends)
 		for _, d := range heard {
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -13,9 +13,9 @@
 	"github.com/valyala/fasthttp"
 
 	"rowanlink/cluster/relay"
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -65,18 +65,18 @@
 // atOnce is a relay's shelf whose deliveries end when they come.
 type atOnce struct{ relay *relay.Relay }
 
-func (a *atOnce) Keep(_ streams.Mark, fresh []streams.Item) error {
+func (a *atOnce) Keep(_ stream.Mark, fresh []stream.Item) error {
 	go func() {
 		for _, i := range fresh {
 			for _, to := range i.To {
-				a.relay.End(streams.End{Delivery: streams.Delivery{Name: i.Name, To: to}, How: streams.Delivered})
+				a.relay.End(stream.End{Delivery: stream.Delivery{Name: i.Name, To: to}, How: stream.Delivered})
 			}
 		}
 	}()
 	return nil
 }
-func (a *atOnce) Room() int               { return 2 * benchEach }
-func (a *atOnce) Told([]streams.Delivery) {}
+func (a *atOnce) Room() int              { return 2 * benchEach }
+func (a *atOnce) Told([]stream.Delivery) {}
 
 func (a *atOnce) Learned([]gateway.DestinationID) []gateway.Learned { return nil }
 func (a *atOnce) Taught([]gateway.Learned)                          {}
@@ -104,7 +104,7 @@
 	for n := range benchSites {
 		said := transport.New(fleet.MemberID(fmt.Sprint("r", n)), map[fleet.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
-		shelf.relay = relay.NewRelay(streams.NewReceiver(streams.Mark{Life: 9}, nil, nil), shelf, from{said, c},
+		shelf.relay = relay.NewRelay(stream.NewReceiver(stream.Mark{Life: 9}, nil, nil), shelf, from{said, c},
 			relay.PaceOf(3*gateway.Second), exchange.Now)
 		on, s := listen(c), transport.Hears(8, 5*time.Second)
 		s.Handle(relay.OpenPath, shelf.relay.Open)
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -5,7 +5,7 @@
 	"log/slog"
 
 	"rowanlink/cluster/relay"
-	"rowanlink/fleet/streams"
+	"rowanlink/cluster/stream"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -17,7 +17,7 @@
 
 // Sending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
 // made anew without it.
-func (l *lane) Sending(items []streams.Item, life uint64, at gateway.Micros) error {
+func (l *lane) Sending(items []stream.Item, life uint64, at gateway.Micros) error {
 	given := map[exchange.RequestID]int{}
 	var all, before []mark
 	var fresh []exchange.RequestID
@@ -52,7 +52,7 @@
 }
 
 // Unsent: they wait here again.
-func (l *lane) Unsent(again []streams.Delivery) {
+func (l *lane) Unsent(again []stream.Delivery) {
 	if len(again) > 0 {
 		l.frees(again, true)
 		l.of.Unsent.Add(int64(len(again)))
@@ -60,7 +60,7 @@
 }
 
 // frees takes deliveries back. never: the relay never had them.
-func (l *lane) frees(all []streams.Delivery, never bool) {
+func (l *lane) frees(all []stream.Delivery, never bool) {
 	back := map[exchange.RequestID]decider.Back{}
 	for _, d := range all {
 		if g := l.get(d); g != nil {
@@ -74,13 +74,13 @@
 	}
 }
 
-func (l *lane) get(d streams.Delivery) *given {
+func (l *lane) get(d stream.Delivery) *given {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.known[d]
 }
 
-func (l *lane) forget(all []streams.Delivery) {
+func (l *lane) forget(all []stream.Delivery) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, d := range all {
@@ -92,7 +92,7 @@
 }
 
 // Beside: they are parked here, and called for as soon as the site's subscribers are.
-func (l *lane) Beside(never []streams.Delivery) {
+func (l *lane) Beside(never []stream.Delivery) {
 	l.forget(never)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,38 +101,38 @@
 }
 
 // Late: the decider ends them itself.
-func (l *lane) Late(late []streams.Delivery) { l.forget(late) }
+func (l *lane) Late(late []stream.Delivery) { l.forget(late) }
 
 // Unsure settles what may be at a relay that is gone.
-func (l *lane) Unsure(of []streams.Sent, lost bool) (forget []streams.Delivery) {
-	rule := func(s streams.Sent) streams.Course {
+func (l *lane) Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery) {
+	rule := func(s stream.Sent) stream.Course {
 		g := l.get(s.Delivery)
 		if g == nil {
-			return streams.Ends
+			return stream.Ends
 		}
-		return streams.Rule(g.item, s.At, l.of.event(g.item.Event), lost, g.item.TTL, exchange.Now())
+		return stream.Rule(g.item, s.At, l.of.event(g.item.Event), lost, g.item.TTL, exchange.Now())
 	}
-	courses := make([]streams.Course, len(of))
+	courses := make([]stream.Course, len(of))
 	if lost {
-		courses = streams.Courses(of, rule)
+		courses = stream.Courses(of, rule)
 		l.anew.Store(l.anew.Load() || len(of) > 0) // guards order by key: all that waits is queued anew
 	} else {
 		for i, s := range of {
 			courses[i] = rule(s)
 			// Guards against a call here beside the relay's own, which may just have begun: it has a while.
-			if courses[i] == streams.Goes && exchange.Now() < s.At+gateway.Micros(l.of.pace.Gone.Microseconds()) {
-				courses[i] = streams.Waits
+			if courses[i] == stream.Goes && exchange.Now() < s.At+gateway.Micros(l.of.pace.Gone.Microseconds()) {
+				courses[i] = stream.Waits
 			}
 		}
 	}
-	var goes []streams.Delivery
+	var goes []stream.Delivery
 	var ends []exchange.End
 	for i, s := range of {
 		switch g := l.get(s.Delivery); {
-		case courses[i] == streams.Waits:
+		case courses[i] == stream.Waits:
 			continue
 		case g == nil:
-		case courses[i] == streams.Goes:
+		case courses[i] == stream.Goes:
 			goes = append(goes, s.Delivery)
 		default:
 			ends = append(ends, exchange.End{RequestID: g.id, How: exchange.EndDeadLettered, MayRun: true})
@@ -173,8 +173,8 @@
 
 // Ended takes the relay's word. One that the stream does not know of may be of an earlier life of this
 // process.
-func (l *lane) Ended(ends []streams.End) (heard []streams.Delivery) {
-	var byName map[streams.Delivery]exchange.RequestID
+func (l *lane) Ended(ends []stream.End) (heard []stream.Delivery) {
+	var byName map[stream.Delivery]exchange.RequestID
 	var all []exchange.End
 	for _, e := range ends {
 		heard = append(heard, e.Delivery)
@@ -207,17 +207,17 @@
 }
 
 // names finds deliveries among all that is held here.
-func (l *lane) names(ends []streams.End) map[streams.Delivery]exchange.RequestID {
-	want := map[streams.Delivery]bool{}
+func (l *lane) names(ends []stream.End) map[stream.Delivery]exchange.RequestID {
+	want := map[stream.Delivery]bool{}
 	for _, e := range ends {
 		want[e.Delivery] = true
 	}
-	all := map[streams.Delivery]exchange.RequestID{}
+	all := map[stream.Delivery]exchange.RequestID{}
 	for _, id := range l.of.decider.Held() {
 		of, _, _ := id.Subscriber()
 		name := l.nameOf(string(of))
 		for d := range want {
-			i := streams.Item{Request: string(of), Many: id != of}
+			i := stream.Item{Request: string(of), Many: id != of}
 			if d.Name == name && exchange.RequestID(i.RequestOf(d.To)) == id {
 				all[d] = id
 			}
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -9,8 +9,8 @@
 	"sync"
 
 	"rowanlink/cluster/relay"
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -24,14 +24,14 @@
 // that brought it until its owner has heard its end, so around all that the decider's own journal has of
 // it: what is here and not there has yet to be handed in.
 type record struct {
-	Mark     *streams.Mark      `cbor:"1,keyasint,omitempty"`
-	Delivery streams.Delivery   `cbor:"2,keyasint"`
+	Mark     *stream.Mark       `cbor:"1,keyasint,omitempty"`
+	Delivery stream.Delivery    `cbor:"2,keyasint"`
 	Request  exchange.RequestID `cbor:"3,keyasint,omitempty"`
 	Whole    []byte             `cbor:"4,keyasint,omitempty"` // as exchange.Webhook.Bytes
 	Attempts int                `cbor:"5,keyasint,omitempty"`
 	MayRun   gateway.Micros     `cbor:"6,keyasint,omitempty"`
 	Zone     gateway.ZoneID     `cbor:"7,keyasint,omitempty"`
-	End      *streams.End       `cbor:"8,keyasint,omitempty"`
+	End      *stream.End        `cbor:"8,keyasint,omitempty"`
 }
 
 // desk is a relay's journal and its dispatcher: it hands in what came and writes down how it ended.
@@ -43,7 +43,7 @@
 	kept   *journal.Journal
 	last   gateway.WebhookID
 	marked gateway.WebhookID // the mark's record
-	of     map[streams.Delivery]gateway.WebhookID
+	of     map[stream.Delivery]gateway.WebhookID
 	ids    map[exchange.RequestID]*record // of those that have no end yet
 	tos    map[gateway.DestinationID]int  // how many of them, by destination
 	fresh  []*record                      // to be handed in
@@ -70,11 +70,11 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &desk{dispatcher: of, kept: kept, of: map[streams.Delivery]gateway.WebhookID{},
+	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]gateway.WebhookID{},
 		ids: map[exchange.RequestID]*record{}, tos: map[gateway.DestinationID]int{},
 		bell: make(chan struct{}, 1), ended: make(chan struct{})}
-	var m streams.Mark
-	last, all := map[streams.Delivery]*record{}, []streams.Delivery{}
+	var m stream.Mark
+	last, all := map[stream.Delivery]*record{}, []stream.Delivery{}
 	for _, e := range kept.Entries() {
 		var r record
 		if err := transport.Decode(e.Taken, &r); err != nil {
@@ -95,8 +95,8 @@
 			kept.End(was, nil)
 		}
 	}
-	var held []streams.Delivery
-	var owed []streams.End
+	var held []stream.Delivery
+	var owed []stream.End
 	var ids []exchange.RequestID
 	for _, d := range all {
 		r := last[d]
@@ -117,7 +117,7 @@
 		}
 		k.marked = k.last
 	}
-	k.relay = relay.NewRelay(streams.NewReceiver(m, held, owed), k, said, p, exchange.Now)
+	k.relay = relay.NewRelay(stream.NewReceiver(m, held, owed), k, said, p, exchange.Now)
 	ended, there := of.decider.Relays(ids, k.ends)
 	for id, e := range ended {
 		k.ends(id, e)
@@ -165,7 +165,7 @@
 }
 
 // Keep writes what a frame brought, with the mark.
-func (k *desk) Keep(m streams.Mark, fresh []streams.Item) error {
+func (k *desk) Keep(m stream.Mark, fresh []stream.Item) error {
 	if len(fresh) > 0 && !k.takes() { // told to end: the sender keeps it
 		return errLeaves
 	}
@@ -174,7 +174,7 @@
 		for _, to := range i.To {
 			w := exchange.Webhook{RequestID: exchange.RequestID(i.RequestOf(to)), Token: exchange.Token(i.Token),
 				Event: i.Event, Tenant: i.Tenant, Key: i.Key, Destination: to, TTL: i.TTL, Body: i.Body}
-			all = append(all, &record{Delivery: streams.Delivery{Name: i.Name, To: to}, Request: w.RequestID,
+			all = append(all, &record{Delivery: stream.Delivery{Name: i.Name, To: to}, Request: w.RequestID,
 				Whole: w.Bytes(), Attempts: i.Attempts, MayRun: i.MayRun, Zone: i.Zone})
 		}
 	}
@@ -207,7 +207,7 @@
 func (k *desk) Room() int { return k.room() }
 
 // Told forgets ends that their owners have. One that is kept all the same would be told again.
-func (k *desk) Told(heard []streams.Delivery) {
+func (k *desk) Told(heard []stream.Delivery) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, d := range heard {
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster/relay"
+	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/control"
 	"rowanlink/fleet"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -54,10 +54,10 @@
 	b.kept.Close()
 }
 
-func (b *bed) owed() []streams.End {
+func (b *bed) owed() []stream.End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var all []streams.End
+	var all []stream.End
 	for _, e := range b.desk.kept.Entries() {
 		var r record
 		if transport.Decode(e.Taken, &r) == nil && r.End != nil {
@@ -67,9 +67,9 @@
 	return all
 }
 
-func brought(ttl gateway.Micros) (streams.Mark, []streams.Item) {
-	return streams.Mark{Life: 3, Run: streams.Run{Epoch: 1, No: 1}, Upto: 1, Taken: 2}, []streams.Item{{
-		Name: streams.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: gateway.Never,
+func brought(ttl gateway.Micros) (stream.Mark, []stream.Item) {
+	return stream.Mark{Life: 3, Run: stream.Run{Epoch: 1, No: 1}, Upto: 1, Taken: 2}, []stream.Item{{
+		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: gateway.Never,
 		TTL: exchange.Now() + ttl, Body: []byte("b"), To: []gateway.DestinationID{4, 5}}}
 }
 
@@ -81,7 +81,7 @@
 	require.NoError(t, b.Keep(brought(ttl)))
 	require.Eventually(t, func() bool { return len(b.owed()) == 2 }, 10*time.Second, time.Millisecond)
 	for _, e := range b.owed() {
-		assert.Equal(t, streams.Rejected, e.How, "it never ran, and its time is over")
+		assert.Equal(t, stream.Rejected, e.How, "it never ran, and its time is over")
 	}
 	b.stop()
 	b = relayIn(t, dir, ttl)
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/cluster/relay"
-	"rowanlink/fleet/streams"
+	"rowanlink/cluster/stream"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -41,9 +41,9 @@
 }
 
 // item is a webhook as it goes over.
-func (l *lane) item(w decider.Owed) *streams.Item {
+func (l *lane) item(w decider.Owed) *stream.Item {
 	of, _, many := w.RequestID.Subscriber()
-	i := &streams.Item{Name: l.nameOf(string(of)), Request: string(of), Many: many, Event: w.Event,
+	i := &stream.Item{Name: l.nameOf(string(of)), Request: string(of), Many: many, Event: w.Event,
 		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, MayRun: w.MayRun,
 		Zone: w.Zone, Body: w.Body, To: []gateway.DestinationID{w.Destination}}
 	t := l.of.event(w.Event)
@@ -56,7 +56,7 @@
 	return i
 }
 
-func (l *lane) adds(i *streams.Item, w decider.Owed) {
+func (l *lane) adds(i *stream.Item, w decider.Owed) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.delivery(w.RequestID, w.Destination)
@@ -84,14 +84,14 @@
 		key gateway.Key
 	}
 	type alike struct {
-		name     streams.Name
+		name     stream.Name
 		ttl      gateway.Micros
 		attempts int
 		mayRun   gateway.Micros
 		zone     gateway.ZoneID
 	}
-	stays, with := map[turn]bool{}, map[alike]*streams.Item{}
-	var items []*streams.Item
+	stays, with := map[turn]bool{}, map[alike]*stream.Item{}
+	var items []*stream.Item
 	for _, w := range all {
 		_, sent := l.of.marks.get(w.RequestID)
 		i := l.item(w)
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"rowanlink/fleet/streams"
+	"rowanlink/cluster/stream"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -84,8 +84,8 @@
 	k.mu.Lock()
 	for _, e := range all {
 		if r := k.ids[e.RequestID]; r != nil {
-			records = append(records, &record{Delivery: r.Delivery, End: &streams.End{Delivery: r.Delivery,
-				How: streams.How(e.How), RetryIn: e.RetryIn, Attempts: e.Attempts, MayRun: e.MayRun}})
+			records = append(records, &record{Delivery: r.Delivery, End: &stream.End{Delivery: r.Delivery,
+				How: stream.How(e.How), RetryIn: e.RetryIn, Attempts: e.Attempts, MayRun: e.MayRun}})
 		}
 		if e.id != 0 {
 			heard = append(heard, e.id)
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"rowanlink/cluster/relay"
+	streampkg "rowanlink/cluster/stream"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -33,16 +33,16 @@
 	anew   atomic.Bool // the stream is to be made anew from what the journals say
 
 	mu    sync.Mutex
-	known map[streams.Delivery]*given // in the stream: queued, or sent and not ended
-	ids   map[exchange.RequestID]streams.Delivery
+	known map[streampkg.Delivery]*given // in the stream: queued, or sent and not ended
+	ids   map[exchange.RequestID]streampkg.Delivery
 	over  map[exchange.RequestID]bool // ended since what is owed was last listed
-	aside []streams.Delivery          // to be said to the stream: they go beside it
+	aside []streampkg.Delivery        // to be said to the stream: they go beside it
 }
 
 // given is a delivery as the stream has it.
 type given struct {
 	id   exchange.RequestID
-	item *streams.Item
+	item *streampkg.Item
 }
 
 func newLane(of *Sites, s operator.Site) *lane {
@@ -50,14 +50,14 @@
 }
 
 // nameOf is a webhook's or an announcement's name over the whole fleet: no request id is used twice.
-func (l *lane) nameOf(request string) streams.Name {
-	return streams.Name{Owner: l.of.self, Life: xxhash.Sum64String(request),
+func (l *lane) nameOf(request string) streampkg.Name {
+	return streampkg.Name{Owner: l.of.self, Life: xxhash.Sum64String(request),
 		ID: xxhash.Sum64String("name " + request)}
 }
 
-func (l *lane) delivery(id exchange.RequestID, to gateway.DestinationID) streams.Delivery {
+func (l *lane) delivery(id exchange.RequestID, to gateway.DestinationID) streampkg.Delivery {
 	of, _, _ := id.Subscriber()
-	return streams.Delivery{Name: l.nameOf(string(of)), To: to}
+	return streampkg.Delivery{Name: l.nameOf(string(of)), To: to}
 }
 
 // look does what the grants, the map and the journals ask for now.
@@ -125,7 +125,7 @@
 }
 
 // leavers takes what the stream is to forget: it goes beside it.
-func (l *lane) leavers() []streams.Delivery {
+func (l *lane) leavers() []streampkg.Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := l.aside
@@ -145,10 +145,10 @@
 	l.end()
 	l.anew.Store(false)
 	l.epoch = epoch
-	s := streams.NewSender(epoch, l.of.apart)
+	s := streampkg.NewSender(epoch, l.of.apart)
 	s.From(uint64(exchange.Now()))
 	l.mu.Lock()
-	l.known, l.ids = map[streams.Delivery]*given{}, map[exchange.RequestID]streams.Delivery{}
+	l.known, l.ids = map[streampkg.Delivery]*given{}, map[exchange.RequestID]streampkg.Delivery{}
 	l.aside = nil
 	l.mu.Unlock()
 	of := map[exchange.RequestID]mark{}
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/stream"
 	"rowanlink/control"
 	"rowanlink/fleet/operator"
-	"rowanlink/fleet/streams"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -41,15 +41,15 @@
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, operator.Site{ID: "harbor", Relay: "r"})
-	item := func(id string) streams.Item { return streams.Item{Request: id, To: []gateway.DestinationID{7}} }
+	item := func(id string) stream.Item { return stream.Item{Request: id, To: []gateway.DestinationID{7}} }
 	for _, id := range []exchange.RequestID{"a", "b"} {
 		now := exchange.Now()
 		what, _ := x.HandInHere(&exchange.Webhook{RequestID: id, Destination: 7, TTL: now + 9*gateway.Second,
 			CameAt: now})
 		require.Equal(t, exchange.Taken, what)
 	}
-	require.NoError(t, l.Sending([]streams.Item{item("a")}, 1, 100))
-	require.ErrorIs(t, l.Sending([]streams.Item{item("a"), item("b")}, 2, 200), errMoved)
+	require.NoError(t, l.Sending([]stream.Item{item("a")}, 1, 100))
+	require.ErrorIs(t, l.Sending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
 	m, marked := marks.get("a")
 	assert.True(t, marked)
 	assert.Equal(t, gateway.Micros(100), m.At)
--- a/fleet/streams/anew.go
+++ b/cluster/stream/anew.go
@@ -1,4 +1,4 @@
-package streams
+package stream
 
 // From has the sender's first run in its epoch be this one: for a sender that is made anew in an epoch in
 // which another one has sent, such as one of a process before. No must be above all of those, and at least 1.
--- a/fleet/streams/form_test.go
+++ b/cluster/stream/form_test.go
@@ -1,4 +1,4 @@
-package streams
+package stream
 
 import (
 	"testing"
--- a/fleet/streams/streams.go
+++ b/cluster/stream/streams.go
@@ -1,10 +1,10 @@
-// Package streams decides how a site's sender and its relay speak: what is packed together, in which order
+// Package stream decides how a site's sender and its relay speak: what is packed together, in which order
 // and how much of it is out, what is said again after a cut, and who is owed which end. No I/O, no clock, no
 // chance.
 //
 // Whoever calls a Sender asks for Free after each Add, Ended, Gone, Leaves and Opened, and for Next when Due
 // says so. What Next brings is noted in the journal before its first byte leaves.
-package streams
+package stream
 
 import (
 	"errors"
