--- a/fleet/state/machine.go
+++ b/cluster/fsm/machine.go
@@ -1,6 +1,6 @@
-// Package state is the replicated state machine over the fleet's parts: it checks who orders, passes commands
+// Package fsm is the replicated state machine over the fleet's parts: it checks who orders, passes commands
 // to the part they are for and joins the parts' snapshots. The keeper locks it.
-package state
+package fsm
 
 import (
 	"fmt"
--- a/fleet/state/restore.go
+++ b/cluster/fsm/restore.go
@@ -1,4 +1,4 @@
-package state
+package fsm
 
 import (
 	"errors"
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/standin/port"
 )
@@ -132,7 +132,7 @@
 	log, err := net.Listen("tcp", f.logs[m])
 	require.NoError(f.t, err)
 	return raftnode.Open(raftnode.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.term,
-		Logs: f.seen(m, f.logs), Talk: r.talk, Clock: clock, Book: r.book, State: state.New(r.book, nil)},
+		Logs: f.seen(m, f.logs), Talk: r.talk, Clock: clock, Book: r.book, State: fsm.New(r.book, nil)},
 		counted{log, &f.moved})
 }
 
--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -7,10 +7,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
-	"rowanlink/fleet/state"
 )
 
 // followed is a part of the state that is kept up with.
@@ -95,7 +95,7 @@
 	raw := p.Snapshot
 	if p.Since != 0 {
 		var err error
-		if raw, err = state.Changed(f.raw, raw); err != nil {
+		if raw, err = fsm.Changed(f.raw, raw); err != nil {
 			slog.Warn("change of the state does not fit, the whole is asked for", "part", p.Part, "why", err)
 			f.version = 0
 			return
--- a/cluster/member/keepers.go
+++ b/cluster/member/keepers.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/state"
 )
 
 // Keepers finds the one that leads.
@@ -142,5 +142,5 @@
 	if err := transport.Decode(raw, &p); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", transport.ErrUnsure, err)
 	}
-	return p.Answer, p.Index, state.Refusal(p.Refusal)
+	return p.Answer, p.Index, fsm.Refusal(p.Refusal)
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/rebalance"
@@ -22,7 +23,6 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/operator"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
@@ -150,7 +150,7 @@
 	book := lease.NewBook()
 	m.keeper, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
 		Term: m.file.Term, Logs: logs(m.file), Talk: m.talk, Clock: m.clock, Book: book,
-		State: state.New(book, map[byte]fleet.Part{fleet.RangesPart: shardmap.New(book),
+		State: fsm.New(book, map[byte]fleet.Part{fleet.RangesPart: shardmap.New(book),
 			fleet.PlanPart: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
 
@@ -65,7 +65,7 @@
 func (s *scripted) apply(c fleet.Command) transport.Proposed {
 	s.index++
 	raw, err := s.book.Apply(s.index, c.Body)
-	return transport.Proposed{Answer: raw, Refusal: state.Code(err), Index: s.index}
+	return transport.Proposed{Answer: raw, Refusal: fsm.Code(err), Index: s.index}
 }
 
 func (s *scripted) session(ctx *fasthttp.RequestCtx) {
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -5,11 +5,11 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
 
@@ -186,7 +186,7 @@
 		err = transport.Decode(raw, &answer)
 	}
 	if err == nil && answer.Refusal != 0 {
-		err = state.Refusal(answer.Refusal)
+		err = fsm.Refusal(answer.Refusal)
 		s.refused(session)
 	}
 	if err == nil && answer.Term < s.Term { // guards against acting for longer than the keepers wait
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -7,11 +7,11 @@
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
 
@@ -75,7 +75,7 @@
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term, Holds: v.holds}))
 		case ended:
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term,
-				Refusal: state.Code(fleet.ErrUnknown)}))
+				Refusal: fsm.Code(fleet.ErrUnknown)}))
 		default:
 			k.elsewhere(ctx)
 		}
@@ -89,14 +89,14 @@
 	if !ok {
 		return
 	}
-	answer := transportpkg.SessionAnswer{Term: k.term, Refusal: state.Code(did.err)}
+	answer := transportpkg.SessionAnswer{Term: k.term, Refusal: fsm.Code(did.err)}
 	if did.err == nil {
 		if !did.lives { // it is being ended: the next one asked for is another
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
 		opened, err := lease.ReadAnswer(did.answer)
-		answer.Session, answer.Refusal = opened.Session, state.Code(err)
+		answer.Session, answer.Refusal = opened.Session, fsm.Code(err)
 	}
 	ctx.SetBody(transportpkg.Encode(answer))
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	if did, index, ok := k.enter(ctx, c); ok {
-		ctx.SetBody(transportpkg.Encode(transportpkg.Proposed{Answer: did.answer, Refusal: state.Code(did.err), Index: index}))
+		ctx.SetBody(transportpkg.Encode(transportpkg.Proposed{Answer: did.answer, Refusal: fsm.Code(did.err), Index: index}))
 	}
 }
 
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -17,11 +17,11 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
 	"rowanlink/fleet/pace"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
 
@@ -35,7 +35,7 @@
 	Talk   *transportpkg.Talk
 	Clock  func() gateway.Micros // never runs back
 	Book   *lease.Book
-	State  *state.Machine // over the book
+	State  *fsm.Machine // over the book
 }
 
 // Keeper is one copy of the log.
@@ -57,7 +57,7 @@
 
 	mu      sync.Mutex
 	book    *lease.Book
-	state   *state.Machine
+	state   *fsm.Machine
 	terms   *lease.Terms
 	reign   uint64 // the raft term that it leads in, its sessions' terms begun; 0: it does not lead
 	halted  error
@@ -66,7 +66,7 @@
 	waiters int
 	keepers []fleet.MemberID // by the operator file, sorted
 	joins   map[fleet.MemberID]transportpkg.Join
-	parts   map[byte]*state.Past
+	parts   map[byte]*fsm.Past
 }
 
 // Open starts a keeper that hears the other logs on a listener, which it closes in the end. An error is one
@@ -76,7 +76,7 @@
 		terms: lease.NewTerms(p.Term), lead: make(chan bool, 16), asks: make(chan ask, 64),
 		outdated: make(chan struct{}),
 		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[fleet.MemberID]transportpkg.Join{},
-		parts: map[byte]*state.Past{}}
+		parts: map[byte]*fsm.Past{}}
 	goes, logger := pace.OfLog(p.Term), newLogs(span(p.Term))
 	if k.folder, err = openFolder(filepath.Join(p.Folder, "fleet"), p.Self, logger); err != nil {
 		on.Close()
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/state"
 	"rowanlink/gateway"
 )
 
@@ -37,7 +37,7 @@
 	require.NoError(t, err)
 	book := lease.NewBook()
 	return Place{Fleet: "f", Self: "m1", Folder: folder, Term: term, Talk: transportpkg.New("m1", nil), Clock: clock,
-		Logs: map[fleet.MemberID]string{"m1": on.Addr().String()}, Book: book, State: state.New(book, nil)}, on
+		Logs: map[fleet.MemberID]string{"m1": on.Addr().String()}, Book: book, State: fsm.New(book, nil)}, on
 }
 
 func starts(t *testing.T, folder string) *Keeper {
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -7,10 +7,10 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/state"
 )
 
 // entryFormat rises when an older program could no longer apply an entry of the log.
@@ -164,5 +164,5 @@
 
 // entry is a command as it goes into the log.
 func entry(c fleet.Command) raft.Log {
-	return raft.Log{Data: state.Encode(c), Extensions: transportpkg.Encode(about{entryFormat})}
+	return raft.Log{Data: fsm.Encode(c), Extensions: transportpkg.Encode(about{entryFormat})}
 }
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -4,10 +4,10 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/state"
 )
 
 // newer reads, in one moment, the parts that are newer than what a member has and which of the tasks that it
@@ -19,7 +19,7 @@
 	for _, part := range slices.Sorted(maps.Keys(ask.Versions)) {
 		version, past := k.state.Version(part), k.parts[part]
 		if past == nil {
-			past = &state.Past{}
+			past = &fsm.Past{}
 			k.parts[part] = past
 		}
 		// What is the newest now is remembered, too: guards against a whole for all when it changes next.
