--- a/fleet/operator/operator.go
+++ b/cluster/config/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator file's members, terms, sites and lists. It reads bytes, not files, and
+// Package config reads the operator file's members, terms, sites and lists. It reads bytes, not files, and
 // leaves the plan's blocks to cluster/rebalance.
-package operator
+package config
 
 import (
 	"fmt"
--- a/fleet/operator/operator_test.go
+++ b/cluster/config/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"fmt"
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/raftnode"
@@ -22,7 +23,6 @@
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
@@ -41,7 +41,7 @@
 	path    string
 	self    fleet.MemberID
 	text    []byte
-	file    operator.File
+	file    config.File
 	d       *dispatcher.Dispatcher
 	facts   atomic.Pointer[gateway.Facts] // by the settings read last
 	clock   func() gateway.Micros
@@ -75,14 +75,14 @@
 }
 
 // read reads the operator file and checks that this member stands in it and that its plan can be read.
-func (m *Member) read() (text []byte, f operator.File, err error) {
+func (m *Member) read() (text []byte, f config.File, err error) {
 	if m.path == "" {
 		return nil, f, fmt.Errorf("ROWAN_FLEET names no operator file")
 	}
 	if text, err = os.ReadFile(m.path); err != nil {
 		return nil, f, fmt.Errorf("operator file: %w", err)
 	}
-	if f, err = operator.Read(text, m.path); err != nil {
+	if f, err = config.Read(text, m.path); err != nil {
 		return nil, f, err
 	}
 	if _, err = rebalance.Read(text, m.path); err != nil {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (m *Member) keep(own operator.Member) error {
+func (m *Member) keep(own config.Member) error {
 	on, err := net.Listen("tcp", own.Log)
 	if err != nil {
 		return err
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -4,11 +4,11 @@
 	"log/slog"
 	"time"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 )
 
@@ -92,7 +92,7 @@
 	m.nudge()
 }
 
-func (m *Member) renewed(f operator.File) {
+func (m *Member) renewed(f config.File) {
 	m.talk.Renew(says(f))
 	m.session.Keepers.Renew(keepers(f))
 	if m.keeper != nil {
--- a/cluster/member/told.go
+++ b/cluster/member/told.go
@@ -6,13 +6,13 @@
 	"strconv"
 	"time"
 
+	"rowanlink/cluster/config"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 )
 
 // says and logs are where the others hear, as this member reaches them.
-func says(f operator.File) map[fleet.MemberID]string {
+func says(f config.File) map[fleet.MemberID]string {
 	all := map[fleet.MemberID]string{}
 	for _, m := range f.Members {
 		all[m.ID] = m.Says
@@ -20,7 +20,7 @@
 	return all
 }
 
-func logs(f operator.File) map[fleet.MemberID]string {
+func logs(f config.File) map[fleet.MemberID]string {
 	all := map[fleet.MemberID]string{}
 	for _, m := range f.Members {
 		if m.Log != "" {
@@ -30,7 +30,7 @@
 	return all
 }
 
-func keepers(f operator.File) (all []fleet.MemberID) {
+func keepers(f config.File) (all []fleet.MemberID) {
 	for _, m := range f.Members {
 		if m.Log != "" {
 			all = append(all, m.ID)
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
 	"rowanlink/control"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -64,10 +64,10 @@
 	n, err := out.Read(line)
 	require.NoError(b, err)
 	addrs := strings.Fields(string(line[:n]))
-	f := operator.File{Term: 3 * gateway.Second, Apart: 0.05}
+	f := config.File{Term: 3 * gateway.Second, Apart: 0.05}
 	says, all := map[fleet.MemberID]string{}, []gateway.DestinationID{}
 	for s := range benchSites {
-		site := operator.Site{ID: fleet.SiteID(fmt.Sprint(s)), Relay: fleet.MemberID(fmt.Sprint("r", s))}
+		site := config.Site{ID: fleet.SiteID(fmt.Sprint(s)), Relay: fleet.MemberID(fmt.Sprint("r", s))}
 		for n := range benchEach {
 			site.Subscribers = append(site.Subscribers, gateway.DestinationID(s*benchEach+n+1))
 		}
@@ -76,7 +76,7 @@
 			f.Sites = append(f.Sites, site)
 		}
 	}
-	f.Lists = []operator.List{{ID: "all", Subscribers: all}}
+	f.Lists = []config.List{{ID: "all", Subscribers: all}}
 	kept, err := journal.Open(b.TempDir(), 200)
 	require.NoError(b, err)
 	x, life := exchange.New(), &lifecycle.Life{}
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -8,10 +8,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	streampkg "rowanlink/cluster/stream"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -20,7 +20,7 @@
 // lane is a site as one member sees it that may be its sender.
 type lane struct {
 	of     *Sites
-	site   operator.Site
+	site   config.Site
 	task   fleet.Task
 	direct atomic.Bool // its subscribers may be called from here
 
@@ -45,7 +45,7 @@
 	item *streampkg.Item
 }
 
-func newLane(of *Sites, s operator.Site) *lane {
+func newLane(of *Sites, s config.Site) *lane {
 	return &lane{of: of, site: s, task: fleet.SenderOf(s.ID)}
 }
 
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
 	"rowanlink/control"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -40,7 +40,7 @@
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
-	l := newLane(&Sites{marks: marks, decider: d}, operator.Site{ID: "harbor", Relay: "r"})
+	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
 	item := func(id string) stream.Item { return stream.Item{Request: id, To: []gateway.DestinationID{7}} }
 	for _, id := range []exchange.RequestID{"a", "b"} {
 		now := exchange.Now()
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -5,9 +5,9 @@
 	"os"
 	"sync"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
@@ -25,7 +25,7 @@
 	Ran   bool               `cbor:"6,keyasint"` // it may have run before, here or at another owner
 }
 
-func (m mark) by(s operator.Site) bool { return m.Site == s.ID && m.Relay == s.Relay }
+func (m mark) by(s config.Site) bool { return m.Site == s.ID && m.Relay == s.Relay }
 
 type marks struct {
 	mu   sync.Mutex
@@ -113,7 +113,7 @@
 }
 
 // all lists what was sent to a site's relay.
-func (m *marks) all(s operator.Site) (all []mark) {
+func (m *marks) all(s config.Site) (all []mark) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, one := range m.of {
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -12,10 +12,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/operator"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -73,7 +73,7 @@
 }
 
 // New makes them by the operator file; nothing runs yet.
-func New(p Part, f operator.File) *Sites {
+func New(p Part, f config.File) *Sites {
 	s := &Sites{self: p.Self, p: p, pace: relay.PaceOf(f.Term), apart: f.Apart, decider: p.Decider, said: p.Said,
 		event: p.Event, serves: p.Serves, home: p.Home, alone: p.Alone, ended: make(chan struct{})}
 	s.plan.Store(s.ways(f, nil))
@@ -162,7 +162,7 @@
 }
 
 // Renew goes on by another operator file.
-func (s *Sites) Renew(f operator.File) {
+func (s *Sites) Renew(f config.File) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.plan.Load()
--- a/cluster/site/ways.go
+++ b/cluster/site/ways.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync/atomic"
 
-	"rowanlink/fleet/operator"
+	"rowanlink/cluster/config"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -20,7 +20,7 @@
 }
 
 // ways reads the file; what stays of a site goes on.
-func (s *Sites) ways(f operator.File, was *ways) *ways {
+func (s *Sites) ways(f config.File, was *ways) *ways {
 	now := &ways{of: map[gateway.DestinationID]*lane{}, lists: map[string][]gateway.DestinationID{},
 		relays: map[gateway.DestinationID]bool{}}
 	for _, site := range f.Sites {
--- a/cmd/rowanfleet/main.go
+++ b/cmd/rowanfleet/main.go
@@ -7,10 +7,10 @@
 
 	"github.com/spf13/cobra"
 
+	"rowanlink/cluster/config"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet/operator"
 	"rowanlink/node/dispatcher"
 )
 
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			f, err := operator.Read(text, args[0])
+			f, err := config.Read(text, args[0])
 			if err != nil {
 				return err
 			}
