--- a/cluster/lease/guest_test.go
+++ b/cluster/lease/guest_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster/timing"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
 func (g *guest) begin(wants []fleet.Task) {
 	g.life++
 	g.tenure, g.proposes, g.polls, g.stopped = NewTenure(hallTerm, 0), 0, 0, 0
-	again := pace.Reask(hallTerm)
+	again := timing.Reask(hallTerm)
 	if g.spoilt.neverAgain {
 		again = gateway.Second << 40
 	}
@@ -48,11 +48,11 @@
 		g.renew(g.life, g.tenure.Asked(g.now), g.tenure.Session(), g.tenure.Tally())
 	}
 	if p := g.wishes.Next(g.now); p.Any() && g.now >= g.proposes {
-		g.proposes = g.now + pace.Opening(hallTerm)
+		g.proposes = g.now + timing.Opening(hallTerm)
 		g.propose(g.life, p, g.proposes)
 	}
 	if tasks := g.wishes.Waits(); len(tasks) > 0 && g.now >= g.polls && !g.deaf {
-		g.polls = g.now + pace.LongPoll(hallTerm) + pace.Answer(hallTerm)
+		g.polls = g.now + timing.LongPoll(hallTerm) + timing.Answer(hallTerm)
 		g.poll(g.life, tasks, g.polls)
 	}
 }
--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -8,9 +8,9 @@
 	"github.com/valyala/fasthttp"
 
 	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 )
 
 // followed is a part of the state that is kept up with.
@@ -47,7 +47,7 @@
 		}
 		at = s.Keepers.another(at, failures > 0)
 		status, raw, err := s.Keepers.talk.Say(at, transport.StatePath, transport.Encode(ask),
-			span(pace.LongPoll(s.Term)+pace.Answer(s.Term)))
+			span(timing.LongPoll(s.Term)+timing.Answer(s.Term)))
 		var answer transport.StateAnswer
 		if err == nil && status == fasthttp.StatusOK {
 			err = transport.Decode(raw, &answer)
@@ -55,7 +55,7 @@
 		if err != nil || status != fasthttp.StatusOK {
 			failures++
 			slog.Debug("state not answered", "keeper", at, "status", status, "why", err)
-			if !s.pause(pace.Again(s.Term, failures, s.Keepers.draw())) {
+			if !s.pause(timing.Again(s.Term, failures, s.Keepers.draw())) {
 				return
 			}
 			continue
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 
 	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
@@ -216,7 +216,7 @@
 
 // Propose has a command put in the log.
 func (h *homes) Propose(c fleet.Command) (answer []byte, err error) {
-	answer, _, err = h.session.Keepers.Propose(c, span(pace.Opening(h.term)))
+	answer, _, err = h.session.Keepers.Propose(c, span(timing.Opening(h.term)))
 	return answer, err
 }
 
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -7,9 +7,9 @@
 
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
@@ -48,7 +48,7 @@
 // NewSession begins to ask for a session at once.
 func NewSession(l Life) *Session {
 	tenure := lease.NewTenure(l.Term, l.Apart)
-	s := &Session{Life: l, tenure: tenure, wishes: lease.NewWishes(tenure, pace.Reask(l.Term)),
+	s := &Session{Life: l, tenure: tenure, wishes: lease.NewWishes(tenure, timing.Reask(l.Term)),
 		has: map[fleet.Task]fleet.Epoch{}, follows: map[byte]*followed{}, poke: make(chan struct{}, 1),
 		look: make(chan struct{}, 1), toTell: make(chan struct{}, 1), toHand: make(chan struct{}, 1),
 		ended: make(chan struct{})}
@@ -163,7 +163,7 @@
 				continue
 			}
 			failures++
-			wait = pace.Again(s.Term, failures, s.Keepers.draw())
+			wait = timing.Again(s.Term, failures, s.Keepers.draw())
 		} else {
 			s.mu.Unlock()
 		}
@@ -175,9 +175,9 @@
 
 // ask asks the leading keeper once, and tells whether it answered.
 func (s *Session) ask(a lease.Ask, session fleet.SessionID, tally lease.Tally) bool {
-	within := pace.Answer(s.Term)
+	within := timing.Answer(s.Term)
 	if session == 0 {
-		within = pace.Opening(s.Term)
+		within = timing.Opening(s.Term)
 	}
 	raw, err := s.Keepers.Ask(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
 		Incarnation: s.Incarnation, Tally: tally}), span(within))
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
@@ -20,7 +20,7 @@
 		case next.Let != "":
 			err = s.release(next)
 		case next.Any() && s.afresh():
-			if !s.pause(pace.Spread(s.Term, s.Keepers.draw())) {
+			if !s.pause(timing.Spread(s.Term, s.Keepers.draw())) {
 				return
 			}
 			continue
@@ -36,7 +36,7 @@
 		if failures++; err == nil {
 			failures = 0
 		} else {
-			wait = pace.Again(s.Term, failures, s.Keepers.draw())
+			wait = timing.Again(s.Term, failures, s.Keepers.draw())
 		}
 		if !s.pause(wait) {
 			return
@@ -72,7 +72,7 @@
 }
 
 func (s *Session) release(p lease.Proposal) error {
-	_, _, err := s.Keepers.Propose(p.Command(), span(pace.Opening(s.Term)))
+	_, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Released(p, err) {
@@ -84,7 +84,7 @@
 // grant asks for tasks. What another holds is asked for again once a keeper tells that it is free, or after a
 // while.
 func (s *Session) grant(p lease.Proposal) error {
-	raw, _, err := s.Keepers.Propose(p.Command(), span(pace.Opening(s.Term)))
+	raw, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
 	if errors.Is(err, fleet.ErrUnknown) {
 		s.refused(p.Session)
 	}
@@ -136,7 +136,7 @@
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
-		s.Keepers.Propose(lease.End(session), span(pace.Answer(s.Term)))
+		s.Keepers.Propose(lease.End(session), span(timing.Answer(s.Term)))
 	}
 	s.done.Wait()
 	s.handing.Lock()
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -9,9 +9,9 @@
 
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
@@ -126,7 +126,7 @@
 		return applied{}, 0, false
 	}
 	k.Proposed.Add(1)
-	f := k.raft.ApplyLog(entry(c), span(pace.Proposing(k.term)))
+	f := k.raft.ApplyLog(entry(c), span(timing.Proposing(k.term)))
 	switch err := f.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader):
@@ -153,7 +153,7 @@
 	if !read(ctx, &ask) {
 		return
 	}
-	late := time.NewTimer(span(pace.LongPoll(k.term)))
+	late := time.NewTimer(span(timing.LongPoll(k.term)))
 	defer late.Stop()
 	for {
 		answer, news, err := k.newer(ask)
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -19,9 +19,9 @@
 
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
@@ -77,7 +77,7 @@
 		outdated: make(chan struct{}),
 		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[fleet.MemberID]transportpkg.Join{},
 		parts: map[byte]*fsm.Past{}}
-	goes, logger := pace.OfLog(p.Term), newLogs(span(p.Term))
+	goes, logger := timing.OfLog(p.Term), newLogs(span(p.Term))
 	if k.folder, err = openFolder(filepath.Join(p.Folder, "fleet"), p.Self, logger); err != nil {
 		on.Close()
 		return nil, fmt.Errorf("keeper %s: %w", p.Self, err)
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/raft"
 
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
 	"rowanlink/fleet"
-	"rowanlink/fleet/pace"
 	"rowanlink/gateway"
 )
 
@@ -178,7 +178,7 @@
 func (k *Keeper) end(over []lease.Over) {
 	var all []raft.ApplyFuture
 	for _, o := range over {
-		all = append(all, k.raft.ApplyLog(entry(lease.Expire(o)), span(pace.Answer(k.term))))
+		all = append(all, k.raft.ApplyLog(entry(lease.Expire(o)), span(timing.Answer(k.term))))
 	}
 	for _, f := range all {
 		if f.Error() == nil && errors.Is(f.Response().(applied).err, fleet.ErrStale) {
@@ -200,7 +200,7 @@
 		}
 		return now
 	}
-	if now-since > pace.Missing(k.term) && k.missing.Swap(1) == 0 {
+	if now-since > timing.Missing(k.term) && k.missing.Swap(1) == 0 {
 		k.Counters.NoMajority.Add(1)
 		slog.Warn("no majority: nothing is granted until a majority of the keepers hear each other",
 			"member", k.self)
@@ -212,7 +212,7 @@
 func (k *Keeper) untilDue() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait := pace.Tending(k.term)
+	wait := timing.Tending(k.term)
 	if at, any := k.terms.Next(); any && k.reign != 0 {
 		wait = min(wait, max(at-k.clock(), 0))
 	}
--- a/fleet/pace/pace.go
+++ b/cluster/timing/pace.go
@@ -1,5 +1,5 @@
-// Package pace derives from the term how fast keepers and members go: ratios, in one place.
-package pace
+// Package timing derives from the term how fast keepers and members go: ratios, in one place.
+package timing
 
 import "rowanlink/gateway"
 
