--- a/cluster/config/operator.go
+++ b/cluster/config/operator.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -44,7 +44,7 @@
 // copy of the log. Room is ranges at the most, 0: no bound. Relay: it serves a site and takes no clients'
 // part.
 type Member struct {
-	ID     fleet.MemberID
+	ID     cluster.MemberID
 	Says   string
 	Log    string
 	Zone   string
@@ -54,14 +54,14 @@
 
 // Site is where subscribers stand behind one relay.
 type Site struct {
-	ID          fleet.SiteID
-	Relay       fleet.MemberID
+	ID          cluster.SiteID
+	Relay       cluster.MemberID
 	Subscribers []gateway.DestinationID
 }
 
 // List names the subscribers that an announcement goes to.
 type List struct {
-	ID          fleet.ListID
+	ID          cluster.ListID
 	Subscribers []gateway.DestinationID
 }
 
@@ -208,7 +208,7 @@
 		if m.Log != "" {
 			keepers++
 		}
-		f.Members = append(f.Members, Member{fleet.MemberID(m.ID), m.Says, m.Log, m.Zone, weight, m.Room})
+		f.Members = append(f.Members, Member{cluster.MemberID(m.ID), m.Says, m.Log, m.Zone, weight, m.Room})
 	}
 	if keepers != 1 && keepers != 3 && keepers != 5 {
 		return at(r.Fleet[0].At, "%d members have an address log: three or five keep the log (one: to try it)",
@@ -218,7 +218,7 @@
 }
 
 // Member finds one by its name.
-func (f *File) Member(id fleet.MemberID) (Member, bool) {
+func (f *File) Member(id cluster.MemberID) (Member, bool) {
 	i := slices.IndexFunc(f.Members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
 		return Member{}, false
--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -6,8 +6,8 @@
 
 	"github.com/hashicorp/hcl/v2"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -18,7 +18,7 @@
 			return at(s.At, "site %q: a name of its own is needed (see line %d)", s.ID, was.Start.Line)
 		}
 		named[s.ID] = s.At
-		if _, ok := f.Member(fleet.MemberID(s.Relay)); !ok {
+		if _, ok := f.Member(cluster.MemberID(s.Relay)); !ok {
 			return at(s.At, "site %q: no member is called %q", s.ID, s.Relay)
 		}
 		if was, ok := serves[s.Relay]; ok {
@@ -34,7 +34,7 @@
 			}
 			of[d] = s.At
 		}
-		f.Sites = append(f.Sites, Site{fleet.SiteID(s.ID), fleet.MemberID(s.Relay), to})
+		f.Sites = append(f.Sites, Site{cluster.SiteID(s.ID), cluster.MemberID(s.Relay), to})
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 		if len(l.Subscribers) == 0 {
 			return at(l.At, "list %q has no subscriber", l.ID)
 		}
-		f.Lists = append(f.Lists, List{fleet.ListID(l.ID), subscribers(l.Subscribers)})
+		f.Lists = append(f.Lists, List{cluster.ListID(l.ID), subscribers(l.Subscribers)})
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 func (f *File) Groups() (all []shardmap.Group) {
 	for _, s := range f.Sites {
 		if len(s.Subscribers) > 0 {
-			all = append(all, shardmap.Group{At: fleet.SiteHash(s.ID), Of: s.Subscribers})
+			all = append(all, shardmap.Group{At: cluster.SiteHash(s.ID), Of: s.Subscribers})
 		}
 	}
 	slices.SortFunc(all, func(a, b shardmap.Group) int { return cmp.Compare(a.At, b.At) })
--- a/fleet/fleet.go
+++ b/cluster/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet holds what the parts of a fleet that acts as one share: its ids, tasks and the form in
+// Package cluster holds what the parts of a fleet that acts as one share: its ids, tasks and the form in
 // which a command stands in the log. What decides is in the packages below it; none of them does I/O or has
 // a clock.
-package fleet
+package cluster
 
 import (
 	"encoding/binary"
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -9,14 +9,14 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
-	"rowanlink/fleet"
 )
 
 // Machine is all that is replicated.
 type Machine struct {
 	book     *lease.Book
-	parts    map[byte]fleet.Part
+	parts    map[byte]cluster.Part
 	versions map[byte]uint64
 	fresh    map[byte][]byte // each part as it was at first: for a snapshot that lacks it
 }
@@ -35,12 +35,12 @@
 )
 
 // New joins the book with the other parts, by their letters; fleet.LeasePart is the book's.
-func New(book *lease.Book, others map[byte]fleet.Part) *Machine {
+func New(book *lease.Book, others map[byte]cluster.Part) *Machine {
 	parts := maps.Clone(others)
 	if parts == nil {
-		parts = map[byte]fleet.Part{}
+		parts = map[byte]cluster.Part{}
 	}
-	parts[fleet.LeasePart] = book
+	parts[cluster.LeasePart] = book
 	m := &Machine{book, parts, map[byte]uint64{}, map[byte][]byte{}}
 	for letter, p := range parts {
 		m.fresh[letter], _ = p.Snapshot() // one that can't be is refused by the part in Restore
@@ -49,7 +49,7 @@
 }
 
 // Encode is a command as it stands in the log.
-func Encode(c fleet.Command) []byte {
+func Encode(c cluster.Command) []byte {
 	b, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // no field of a command can fail
@@ -60,7 +60,7 @@
 // Apply does the log's entry: fleet.ErrFenced where By is not held by that epoch, ErrUnreadable where it
 // can't be decoded or is for no part, else what the part says. With an error nothing was changed.
 func (m *Machine) Apply(index uint64, raw []byte) ([]byte, error) {
-	var c fleet.Command
+	var c cluster.Command
 	if err := decoding.Unmarshal(raw, &c); err != nil {
 		return nil, fmt.Errorf("log's entry %d: %w: %w", index, ErrUnreadable, err)
 	}
@@ -69,7 +69,7 @@
 		return nil, fmt.Errorf("log's entry %d is for part %q, not known: %w", index, c.Part, ErrUnreadable)
 	}
 	if c.By == "" && c.Epoch != 0 || c.By != "" && !m.book.Holds(c.By, c.Epoch) {
-		return nil, fleet.ErrFenced
+		return nil, cluster.ErrFenced
 	}
 	answer, err := part.Apply(index, c.Body)
 	if err == nil {
--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
-	"rowanlink/fleet"
 )
 
 // notes is a part that keeps the last thing it was told.
@@ -17,7 +17,7 @@
 
 func (n *notes) Apply(_ uint64, body []byte) ([]byte, error) {
 	if string(body) == "stale" {
-		return nil, fmt.Errorf("step 3: %w", fleet.ErrStale)
+		return nil, fmt.Errorf("step 3: %w", cluster.ErrStale)
 	}
 	n.last = body
 	return append([]byte("took "), body...), nil
@@ -33,54 +33,54 @@
 	return nil
 }
 
-const notesPart = fleet.PlanPart
+const notesPart = cluster.PlanPart
 
 func machine() (*Machine, *notes) {
 	n := &notes{}
-	return New(lease.NewBook(), map[byte]fleet.Part{notesPart: n}), n
+	return New(lease.NewBook(), map[byte]cluster.Part{notesPart: n}), n
 }
 
 // held is a machine in which session 1 has the task that the conductor acts by.
-func held(t *testing.T) (*Machine, *notes, fleet.Epoch) {
+func held(t *testing.T) (*Machine, *notes, cluster.Epoch) {
 	m, n := machine()
 	_, err := m.Apply(1, Encode(lease.Open("m1", 1)))
 	require.NoError(t, err)
-	_, err = m.Apply(2, Encode(lease.Grant(1, fleet.Conducts)))
+	_, err = m.Apply(2, Encode(lease.Grant(1, cluster.Conducts)))
 	require.NoError(t, err)
 	return m, n, 2
 }
 
 func TestFormerHolderChangesNothing(t *testing.T) {
 	m, n, epoch := held(t)
-	by := func(e fleet.Epoch, body string) []byte {
-		return Encode(fleet.Command{Part: notesPart, By: fleet.Conducts, Epoch: e, Body: []byte(body)})
+	by := func(e cluster.Epoch, body string) []byte {
+		return Encode(cluster.Command{Part: notesPart, By: cluster.Conducts, Epoch: e, Body: []byte(body)})
 	}
 	raw, err := m.Apply(3, by(epoch, "a"))
 	require.NoError(t, err)
 	assert.Equal(t, "took a", string(raw))
 	_, err = m.Apply(4, Encode(lease.End(1)))
 	require.NoError(t, err)
-	for _, e := range []fleet.Epoch{0, epoch, epoch + 1} {
+	for _, e := range []cluster.Epoch{0, epoch, epoch + 1} {
 		_, err = m.Apply(5, by(e, "b"))
-		assert.ErrorIs(t, err, fleet.ErrFenced)
+		assert.ErrorIs(t, err, cluster.ErrFenced)
 	}
-	_, err = m.Apply(6, Encode(fleet.Command{Part: notesPart, Epoch: epoch, Body: []byte("c")}))
-	assert.ErrorIs(t, err, fleet.ErrFenced, "an epoch of no task")
+	_, err = m.Apply(6, Encode(cluster.Command{Part: notesPart, Epoch: epoch, Body: []byte("c")}))
+	assert.ErrorIs(t, err, cluster.ErrFenced, "an epoch of no task")
 	assert.Equal(t, "a", string(n.last))
 }
 
 func TestVersionIsOfTheLastEntryThatWasTaken(t *testing.T) {
 	m, _, _ := held(t)
-	assert.Equal(t, []uint64{2, 0}, []uint64{m.Version(fleet.LeasePart), m.Version(notesPart)})
-	for i, raw := range [][]byte{{0xff}, nil, Encode(fleet.Command{Part: '?'}),
-		Encode(fleet.Command{Part: notesPart, Body: []byte("stale")})} {
+	assert.Equal(t, []uint64{2, 0}, []uint64{m.Version(cluster.LeasePart), m.Version(notesPart)})
+	for i, raw := range [][]byte{{0xff}, nil, Encode(cluster.Command{Part: '?'}),
+		Encode(cluster.Command{Part: notesPart, Body: []byte("stale")})} {
 		_, err := m.Apply(uint64(3+i), raw)
 		assert.Error(t, err)
 	}
 	assert.Zero(t, m.Version(notesPart))
-	_, err := m.Apply(9, Encode(fleet.Command{Part: notesPart, Body: []byte("a")}))
+	_, err := m.Apply(9, Encode(cluster.Command{Part: notesPart, Body: []byte("a")}))
 	require.NoError(t, err)
-	assert.Equal(t, []uint64{2, 9}, []uint64{m.Version(fleet.LeasePart), m.Version(notesPart)})
+	assert.Equal(t, []uint64{2, 9}, []uint64{m.Version(cluster.LeasePart), m.Version(notesPart)})
 }
 
 func TestRestoredMachineGoesOn(t *testing.T) {
@@ -91,10 +91,10 @@
 	other, kept := machine()
 	require.NoError(t, other.Restore(whole))
 	assert.Equal(t, "a", string(kept.last))
-	assert.Equal(t, uint64(2), other.Version(fleet.LeasePart))
-	_, err = other.Apply(3, Encode(fleet.Command{Part: notesPart, By: fleet.Conducts, Epoch: epoch}))
+	assert.Equal(t, uint64(2), other.Version(cluster.LeasePart))
+	_, err = other.Apply(3, Encode(cluster.Command{Part: notesPart, By: cluster.Conducts, Epoch: epoch}))
 	assert.NoError(t, err)
-	again, err := other.Part(fleet.LeasePart)
+	again, err := other.Part(cluster.LeasePart)
 	require.NoError(t, err)
 	assert.NoError(t, lease.NewBook().Restore(again))
 	_, err = other.Part('?')
@@ -109,9 +109,9 @@
 	require.NoError(t, err)
 	require.NoError(t, m.Restore(before))
 	assert.Empty(t, n.last)
-	assert.Zero(t, m.Version(fleet.LeasePart))
-	_, err = m.Apply(3, Encode(lease.Grant(1, fleet.Conducts)))
-	assert.ErrorIs(t, err, fleet.ErrUnknown)
+	assert.Zero(t, m.Version(cluster.LeasePart))
+	_, err = m.Apply(3, Encode(lease.Grant(1, cluster.Conducts)))
+	assert.ErrorIs(t, err, cluster.ErrUnknown)
 }
 
 func TestSnapshotThatCantBeTakenLeavesTheMachine(t *testing.T) {
@@ -148,8 +148,8 @@
 
 func FuzzApply(f *testing.F) {
 	f.Add(Encode(lease.Open("m2", 1)))
-	f.Add(Encode(lease.Release(1, fleet.Conducts, 2)))
-	f.Add(Encode(fleet.Command{Part: notesPart, By: fleet.Conducts, Epoch: 2, Body: []byte("a")}))
+	f.Add(Encode(lease.Release(1, cluster.Conducts, 2)))
+	f.Add(Encode(cluster.Command{Part: notesPart, By: cluster.Conducts, Epoch: 2, Body: []byte("a")}))
 	f.Add([]byte{0xa1, 0x01, 0x18})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, _, _ := held(t)
--- a/cluster/fsm/past_test.go
+++ b/cluster/fsm/past_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // Whoever has any snapshot of before has the newest by what it is told, and by a change of another one never.
@@ -65,7 +65,7 @@
 	m := shardmap.New(nil)
 	all := []shardmap.Weight{}
 	for i := range 300 {
-		all = append(all, shardmap.Weight{Member: fleet.MemberID(fmt.Sprint("m", i)), Weight: 1})
+		all = append(all, shardmap.Weight{Member: cluster.MemberID(fmt.Sprint("m", i)), Weight: 1})
 	}
 	m.Ranges, _ = shardmap.Even(4096, all)
 	for i := range m.Ranges {
--- a/cluster/fsm/restore.go
+++ b/cluster/fsm/restore.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
-	"rowanlink/fleet"
 )
 
 // Restore puts a snapshot in the machine's place; parts that it lacks are as they were at first. One of
@@ -58,7 +58,7 @@
 var ErrUnreadable = lease.ErrUnreadable
 
 // refusals by code, from 1 on; a code never gets another meaning.
-var refusals = []error{fleet.ErrFenced, fleet.ErrUnknown, fleet.ErrHeld, fleet.ErrStale, ErrUnreadable}
+var refusals = []error{cluster.ErrFenced, cluster.ErrUnknown, cluster.ErrHeld, cluster.ErrStale, ErrUnreadable}
 
 const unreadable = 5
 
--- a/cluster/lease/arrivals_test.go
+++ b/cluster/lease/arrivals_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -33,7 +33,7 @@
 		if m.proc < 0 {
 			return
 		}
-		if errors.Is(err, fleet.ErrUnknown) {
+		if errors.Is(err, cluster.ErrUnknown) {
 			w.send(message{kind: no, proc: m.proc, session: m.session})
 		} else if a.Granted[0].Err() == nil {
 			w.send(message{kind: granted, proc: m.proc, session: a.Session, epoch: a.Granted[0].Epoch})
@@ -56,7 +56,7 @@
 	}
 }
 
-func (w *world) apply(c fleet.Command) (a Answer, err error) {
+func (w *world) apply(c cluster.Command) (a Answer, err error) {
 	w.index++
 	before := w.book.Epoch(worldTask)
 	raw, err := w.ownBook().Apply(w.index, c.Body)
@@ -131,8 +131,8 @@
 	w.send(m)
 }
 
-func (w *world) end(c fleet.Command, s fleet.SessionID) {
-	if _, err := w.apply(c); !errors.Is(err, fleet.ErrStale) {
+func (w *world) end(c cluster.Command, s cluster.SessionID) {
+	if _, err := w.apply(c); !errors.Is(err, cluster.ErrStale) {
 		w.ownKeeper(w.leader).terms.Ended(s)
 		if w.wrong.noWholeTerm {
 			w.ownKeeper(1 - w.leader).terms.Ended(s)
--- a/cluster/lease/assent.go
+++ b/cluster/lease/assent.go
@@ -1,7 +1,7 @@
 package lease
 
 import (
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -12,19 +12,19 @@
 type Assent struct {
 	needed int // of the others: with itself a majority
 	term   uint64
-	sent   map[fleet.MemberID]gateway.Micros
+	sent   map[cluster.MemberID]gateway.Micros
 }
 
 // NewAssent is for so many keepers, itself among them.
 func NewAssent(keepers int) *Assent {
-	return &Assent{needed: keepers / 2, sent: map[fleet.MemberID]gateway.Micros{}}
+	return &Assent{needed: keepers / 2, sent: map[cluster.MemberID]gateway.Micros{}}
 }
 
 // Heard notes that a keeper answered what was sent to it at a time read before, and that both were of this
 // raft term. What is heard about an earlier term than before counts no more.
-func (a *Assent) Heard(raftTerm uint64, from fleet.MemberID, sent gateway.Micros) {
+func (a *Assent) Heard(raftTerm uint64, from cluster.MemberID, sent gateway.Micros) {
 	if raftTerm > a.term {
-		a.term, a.sent = raftTerm, map[fleet.MemberID]gateway.Micros{}
+		a.term, a.sent = raftTerm, map[cluster.MemberID]gateway.Micros{}
 	}
 	if last, ok := a.sent[from]; raftTerm == a.term && (!ok || sent > last) {
 		a.sent[from] = sent
--- a/cluster/lease/book.go
+++ b/cluster/lease/book.go
@@ -8,7 +8,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // Book is the replicated part: sessions, what hangs on them, and the last epoch of each task. It knows no
@@ -17,30 +17,30 @@
 type Book struct {
 	last     uint64 // the highest id or epoch given out: the next is above it
 	reign    Reign
-	sessions map[fleet.SessionID]*session
-	opened   map[opener]fleet.SessionID // sessions that have not ended
-	tasks    map[fleet.Task]grant
+	sessions map[cluster.SessionID]*session
+	opened   map[opener]cluster.SessionID // sessions that have not ended
+	tasks    map[cluster.Task]grant
 }
 
 type opener struct {
-	member      fleet.MemberID
+	member      cluster.MemberID
 	incarnation Incarnation
 }
 
 type session struct {
 	opener
-	tasks map[fleet.Task]struct{}
+	tasks map[cluster.Task]struct{}
 }
 
 type grant struct {
-	session fleet.SessionID // 0: free
-	epoch   fleet.Epoch     // the last, also while it is free
+	session cluster.SessionID // 0: free
+	epoch   cluster.Epoch     // the last, also while it is free
 }
 
 // NewBook has no sessions.
 func NewBook() *Book {
-	return &Book{sessions: map[fleet.SessionID]*session{}, opened: map[opener]fleet.SessionID{},
-		tasks: map[fleet.Task]grant{}}
+	return &Book{sessions: map[cluster.SessionID]*session{}, opened: map[opener]cluster.SessionID{},
+		tasks: map[cluster.Task]grant{}}
 }
 
 // Apply does one order. Refusals: ErrUnreadable; fleet.ErrUnknown where the session has ended or never was;
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if o.Session != 0 && b.sessions[o.Session] == nil {
-		return nil, fleet.ErrUnknown
+		return nil, cluster.ErrUnknown
 	}
 	answer := Answer{Session: o.Session}
 	switch o.Kind {
@@ -63,7 +63,7 @@
 		answer.Reign = b.reign
 	case ExpireKind:
 		if o.Reign != b.reign {
-			return nil, fleet.ErrStale
+			return nil, cluster.ErrStale
 		}
 		b.end(o.Session)
 	case EndKind:
@@ -72,7 +72,7 @@
 		answer.Granted = b.grant(index, o.Session, o.Tasks)
 	case ReleaseKind:
 		if b.tasks[o.Tasks[0]] != (grant{o.Session, o.Epoch}) {
-			return nil, fleet.ErrFenced
+			return nil, cluster.ErrFenced
 		}
 		b.free(o.Tasks[0])
 		delete(b.sessions[o.Session].tasks, o.Tasks[0])
@@ -82,16 +82,16 @@
 
 // open leaves sessions of the member's earlier lives to end by their terms: the old process may be stopped,
 // or another that runs from a copied folder, and still believe what it was told.
-func (b *Book) open(index uint64, who opener) fleet.SessionID {
+func (b *Book) open(index uint64, who opener) cluster.SessionID {
 	if s := b.opened[who]; s != 0 {
 		return s
 	}
-	s := fleet.SessionID(b.next(index))
-	b.opened[who], b.sessions[s] = s, &session{who, map[fleet.Task]struct{}{}}
+	s := cluster.SessionID(b.next(index))
+	b.opened[who], b.sessions[s] = s, &session{who, map[cluster.Task]struct{}{}}
 	return s
 }
 
-func (b *Book) end(s fleet.SessionID) {
+func (b *Book) end(s cluster.SessionID) {
 	for t := range b.sessions[s].tasks {
 		b.free(t)
 	}
@@ -99,15 +99,15 @@
 	delete(b.sessions, s)
 }
 
-func (b *Book) free(t fleet.Task) { b.tasks[t] = grant{epoch: b.tasks[t].epoch} }
+func (b *Book) free(t cluster.Task) { b.tasks[t] = grant{epoch: b.tasks[t].epoch} }
 
-func (b *Book) grant(index uint64, s fleet.SessionID, tasks []fleet.Task) (answers []Granted) {
-	var epoch fleet.Epoch
+func (b *Book) grant(index uint64, s cluster.SessionID, tasks []cluster.Task) (answers []Granted) {
+	var epoch cluster.Epoch
 	for _, t := range tasks {
 		g := b.tasks[t]
 		if g.session == 0 {
 			if epoch == 0 {
-				epoch = fleet.Epoch(b.next(index))
+				epoch = cluster.Epoch(b.next(index))
 			}
 			g = grant{s, epoch}
 			b.tasks[t], b.sessions[s].tasks[t] = g, struct{}{}
@@ -126,7 +126,7 @@
 }
 
 // Holder tells who holds a task and by which epoch; false while it is free.
-func (b *Book) Holder(t fleet.Task) (fleet.SessionID, fleet.MemberID, fleet.Epoch, bool) {
+func (b *Book) Holder(t cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	g := b.tasks[t]
 	if g.session == 0 {
 		return 0, "", 0, false
@@ -135,22 +135,22 @@
 }
 
 // Holds is whether the task's last grant was this one and still stands.
-func (b *Book) Holds(t fleet.Task, e fleet.Epoch) bool {
+func (b *Book) Holds(t cluster.Task, e cluster.Epoch) bool {
 	g := b.tasks[t]
 	return g.session != 0 && g.epoch == e
 }
 
 // Epoch is the task's last granted one, also while the task is free; 0: never granted.
-func (b *Book) Epoch(t fleet.Task) fleet.Epoch { return b.tasks[t].epoch }
+func (b *Book) Epoch(t cluster.Task) cluster.Epoch { return b.tasks[t].epoch }
 
 // Sessions are those that have not ended, oldest first.
-func (b *Book) Sessions() []fleet.SessionID { return slices.Sorted(maps.Keys(b.sessions)) }
+func (b *Book) Sessions() []cluster.SessionID { return slices.Sorted(maps.Keys(b.sessions)) }
 
 // Reign is the last that began.
 func (b *Book) Reign() Reign { return b.reign }
 
 // MemberOf is whose session it is; "": ended, or never was.
-func (b *Book) MemberOf(s fleet.SessionID) fleet.MemberID {
+func (b *Book) MemberOf(s cluster.SessionID) cluster.MemberID {
 	if s := b.sessions[s]; s != nil {
 		return s.member
 	}
@@ -158,7 +158,7 @@
 }
 
 // TasksOf is what a session holds, sorted; nothing where it has ended.
-func (b *Book) TasksOf(s fleet.SessionID) []fleet.Task {
+func (b *Book) TasksOf(s cluster.SessionID) []cluster.Task {
 	if s := b.sessions[s]; s != nil {
 		return slices.Sorted(maps.Keys(s.tasks))
 	}
@@ -166,7 +166,7 @@
 }
 
 // HeldBy is what a session holds, sorted.
-func (b *Book) HeldBy(s fleet.SessionID) (all []Granted) {
+func (b *Book) HeldBy(s cluster.SessionID) (all []Granted) {
 	for _, t := range b.TasksOf(s) {
 		all = append(all, Granted{t, b.tasks[t].epoch})
 	}
@@ -174,7 +174,7 @@
 }
 
 // Tally is one number for all that a session holds, for comparison with Tenure.Tally.
-func (b *Book) Tally(s fleet.SessionID) (sum Tally) {
+func (b *Book) Tally(s cluster.SessionID) (sum Tally) {
 	if s := b.sessions[s]; s != nil {
 		for t := range s.tasks {
 			sum += tallyOf(t, b.tasks[t].epoch)
--- a/cluster/lease/book_test.go
+++ b/cluster/lease/book_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // orders draws commands that are mostly about what there is.
-func orders(t *rapid.T, b *Book) fleet.Command {
+func orders(t *rapid.T, b *Book) cluster.Command {
 	session := rapid.SampledFrom(append(b.Sessions(), 7777)).Draw(t, "session")
-	task := rapid.SampledFrom([]fleet.Task{"conduct", "home/1", "home/2", "site/depot"})
+	task := rapid.SampledFrom([]cluster.Task{"conduct", "home/1", "home/2", "site/depot"})
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
 	case 0, 1:
-		return Open(rapid.SampledFrom([]fleet.MemberID{"m1", "m2"}).Draw(t, "member"),
+		return Open(rapid.SampledFrom([]cluster.MemberID{"m1", "m2"}).Draw(t, "member"),
 			Incarnation(rapid.IntRange(0, 1).Draw(t, "life")))
 	case 2:
 		return End(session)
@@ -36,7 +36,7 @@
 // at any point goes on exactly as the one it was taken from.
 func TestBookThroughAnyOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, twin, highest, index := NewBook(), NewBook(), map[fleet.Task]fleet.Epoch{}, uint64(0)
+		b, twin, highest, index := NewBook(), NewBook(), map[cluster.Task]cluster.Epoch{}, uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "orders") {
 			index += rapid.Uint64Range(1, 3).Draw(t, "index")
 			before, err := b.Snapshot()
@@ -59,7 +59,7 @@
 	})
 }
 
-func checkAnswer(t *rapid.T, b *Book, raw []byte, highest map[fleet.Task]fleet.Epoch) {
+func checkAnswer(t *rapid.T, b *Book, raw []byte, highest map[cluster.Task]cluster.Epoch) {
 	a, err := ReadAnswer(raw)
 	require.NoError(t, err)
 	for _, g := range a.Granted {
@@ -76,7 +76,7 @@
 }
 
 func checkBook(t *rapid.T, b *Book) {
-	held := map[fleet.Task]fleet.SessionID{}
+	held := map[cluster.Task]cluster.SessionID{}
 	for _, s := range b.Sessions() {
 		assert.NotEmpty(t, b.MemberOf(s))
 		for _, task := range b.TasksOf(s) {
@@ -93,7 +93,7 @@
 	}
 }
 
-func do(t *testing.T, b *Book, index uint64, c fleet.Command) Answer {
+func do(t *testing.T, b *Book, index uint64, c cluster.Command) Answer {
 	raw, err := b.Apply(index, c.Body)
 	require.NoError(t, err)
 	a, err := ReadAnswer(raw)
@@ -108,8 +108,8 @@
 	assert.Equal(t, first, do(t, b, 2, Open("m1", 1)).Session, "an open that was sent twice")
 	do(t, b, 3, Grant(first, "conduct"))
 	second := do(t, b, 4, Open("m1", 2)).Session
-	assert.Equal(t, []fleet.SessionID{first, second}, b.Sessions())
-	assert.ErrorIs(t, do(t, b, 5, Grant(second, "conduct")).Granted[0].Err(), fleet.ErrHeld)
+	assert.Equal(t, []cluster.SessionID{first, second}, b.Sessions())
+	assert.ErrorIs(t, do(t, b, 5, Grant(second, "conduct")).Granted[0].Err(), cluster.ErrHeld)
 	do(t, b, 6, End(first))
 	assert.Equal(t, []Granted{{"conduct", 7}}, do(t, b, 7, Grant(second, "conduct")).Granted)
 }
@@ -131,10 +131,10 @@
 	s := do(t, b, 2, Open("m1", 1)).Session
 	now := do(t, b, 3, Began()).Reign
 	_, err := b.Apply(4, Expire(Over{s, earlier}).Body)
-	assert.ErrorIs(t, err, fleet.ErrStale)
+	assert.ErrorIs(t, err, cluster.ErrStale)
 	do(t, b, 5, Expire(Over{s, now}))
 	_, err = b.Apply(6, Expire(Over{s, now}).Body)
-	assert.ErrorIs(t, err, fleet.ErrUnknown)
+	assert.ErrorIs(t, err, cluster.ErrUnknown)
 }
 
 func TestReleaseByAnEarlierEpochIsRefused(t *testing.T) {
@@ -145,8 +145,8 @@
 	assert.Equal(t, e, b.Epoch("conduct"))
 	do(t, b, 4, Grant(s, "conduct"))
 	_, err := b.Apply(5, Release(s, "conduct", e).Body) // doubled on its way
-	assert.ErrorIs(t, err, fleet.ErrFenced)
-	assert.Equal(t, []fleet.Task{"conduct"}, b.TasksOf(s))
+	assert.ErrorIs(t, err, cluster.ErrFenced)
+	assert.Equal(t, []cluster.Task{"conduct"}, b.TasksOf(s))
 }
 
 func TestSnapshotThatContradictsItselfLeavesTheBook(t *testing.T) {
@@ -172,7 +172,7 @@
 }
 
 func FuzzApply(f *testing.F) {
-	for _, c := range []fleet.Command{Open("m1", 1), End(2), Grant(2, "conduct", "home/1"),
+	for _, c := range []cluster.Command{Open("m1", 1), End(2), Grant(2, "conduct", "home/1"),
 		Release(2, "conduct", 3), Began(), Expire(Over{2, 1})} {
 		f.Add(c.Body)
 	}
--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -3,28 +3,30 @@
 import (
 	"fmt"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // Fence is kept by whoever is acted on: the highest epoch seen of each task.
-type Fence struct{ seen map[fleet.Task]fleet.Epoch }
+type Fence struct {
+	seen map[cluster.Task]cluster.Epoch
+}
 
 type fenceImage struct {
-	Format int                        `cbor:"1,keyasint"`
-	Seen   map[fleet.Task]fleet.Epoch `cbor:"2,keyasint"`
+	Format int                            `cbor:"1,keyasint"`
+	Seen   map[cluster.Task]cluster.Epoch `cbor:"2,keyasint"`
 }
 
 const fenceFormat = 1
 
 // NewFence has seen nothing: only for a folder that never had one.
-func NewFence() *Fence { return &Fence{map[fleet.Task]fleet.Epoch{}} }
+func NewFence() *Fence { return &Fence{map[cluster.Task]cluster.Epoch{}} }
 
 // Admit lets a deed in whose epoch is the highest seen or above it, else fleet.ErrFenced. Where risen is true
 // the caller must keep Bytes, synced to disk, before it acts: a deed done by an epoch that a restart forgets
 // would let a former holder in after it.
-func (f *Fence) Admit(t fleet.Task, e fleet.Epoch) (risen bool, err error) {
+func (f *Fence) Admit(t cluster.Task, e cluster.Epoch) (risen bool, err error) {
 	if e == 0 || e < f.seen[t] {
-		return false, fleet.ErrFenced
+		return false, cluster.ErrFenced
 	}
 	risen = e > f.seen[t]
 	f.seen[t] = e
--- a/cluster/lease/guest_test.go
+++ b/cluster/lease/guest_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/timing"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
-func (g *guest) begin(wants []fleet.Task) {
+func (g *guest) begin(wants []cluster.Task) {
 	g.life++
 	g.tenure, g.proposes, g.polls, g.stopped = NewTenure(hallTerm, 0), 0, 0, 0
 	again := timing.Reask(hallTerm)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (g *guest) renew(life Incarnation, ask Ask, s fleet.SessionID, tally Tally) {
+func (g *guest) renew(life Incarnation, ask Ask, s cluster.SessionID, tally Tally) {
 	k := g.asked()
 	g.send(func() {
 		switch {
@@ -79,7 +79,7 @@
 	})
 }
 
-func (g *guest) answered(ask Ask, s fleet.SessionID) {
+func (g *guest) answered(ask Ask, s cluster.SessionID) {
 	if before := g.tenure.Session(); g.tenure.Answered(ask, s) && before != s {
 		g.wishes.Anew()
 	}
@@ -131,11 +131,11 @@
 	return no
 }
 
-func (g *guest) poll(life Incarnation, tasks []fleet.Task, until gateway.Micros) {
+func (g *guest) poll(life Incarnation, tasks []cluster.Task, until gateway.Micros) {
 	k := g.asks % len(g.desks)
 	var look func()
 	look = func() {
-		book, free := g.caught(k), []fleet.Task(nil)
+		book, free := g.caught(k), []cluster.Task(nil)
 		for _, t := range tasks {
 			if _, _, _, held := book.Holder(t); !held {
 				free = append(free, t)
--- a/cluster/lease/hall_test.go
+++ b/cluster/lease/hall_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 	"rowanlink/internal/due"
 )
@@ -39,7 +39,7 @@
 // guest is one member, as cluster/member goes about it.
 type guest struct {
 	*hall
-	id       fleet.MemberID
+	id       cluster.MemberID
 	life     Incarnation
 	tenure   *Tenure
 	wishes   *Wishes
@@ -55,7 +55,7 @@
 	beat     = hallTerm / 40
 )
 
-var hallTasks = []fleet.Task{"conduct", "home/1", "home/2"}
+var hallTasks = []cluster.Task{"conduct", "home/1", "home/2"}
 
 func newHall(seed uint64, s spoilt) *hall {
 	h := &hall{rng: rand.New(rand.NewPCG(seed, 35)), faulty: true, spoilt: s, terms: NewTerms(hallTerm)}
@@ -64,7 +64,7 @@
 	}
 	h.elect()
 	for i := range 3 {
-		g := &guest{hall: h, id: fleet.MemberID(fmt.Sprint("m", i)), deaf: s.neverAgain && i == 0}
+		g := &guest{hall: h, id: cluster.MemberID(fmt.Sprint("m", i)), deaf: s.neverAgain && i == 0}
 		g.begin(nil)
 		h.members = append(h.members, g)
 		h.at(0, g.beat)
@@ -113,7 +113,7 @@
 	}
 }
 
-func (h *hall) holders(t fleet.Task) (all []*guest) {
+func (h *hall) holders(t cluster.Task) (all []*guest) {
 	for _, g := range h.members {
 		if _, held := g.tenure.Epoch(t, h.now); held {
 			all = append(all, g)
@@ -123,7 +123,7 @@
 }
 
 // apply commits an order, by the keeper that leads.
-func (h *hall) apply(c fleet.Command) (a Answer, err error) {
+func (h *hall) apply(c cluster.Command) (a Answer, err error) {
 	h.entries = append(h.entries, c.Body)
 	raw, err := h.caught(h.lead).Apply(uint64(len(h.entries)), c.Body)
 	if h.desks[h.lead].at++; err == nil {
--- a/cluster/lease/moves_test.go
+++ b/cluster/lease/moves_test.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // move is one thing that may happen next: i is whose, or which message's.
@@ -203,7 +203,7 @@
 	}
 }
 
-func (w *world) acted(e fleet.Epoch) {
+func (w *world) acted(e cluster.Epoch) {
 	f, err := LoadFence(w.fence.Bytes())
 	if err != nil {
 		panic(err)
--- a/cluster/lease/order.go
+++ b/cluster/lease/order.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // Incarnation tells one life of a member from the next. Each process draws its own at its start and keeps it
@@ -15,13 +15,13 @@
 
 // Order is what the lease part is told by an entry of the log.
 type Order struct {
-	Kind        Kind            `cbor:"1,keyasint"`
-	Member      fleet.MemberID  `cbor:"2,keyasint,omitempty"`
-	Incarnation Incarnation     `cbor:"3,keyasint,omitempty"`
-	Session     fleet.SessionID `cbor:"4,keyasint,omitempty"`
-	Tasks       []fleet.Task    `cbor:"5,keyasint,omitempty"`
-	Epoch       fleet.Epoch     `cbor:"6,keyasint,omitempty"`
-	Reign       Reign           `cbor:"7,keyasint,omitempty"`
+	Kind        Kind              `cbor:"1,keyasint"`
+	Member      cluster.MemberID  `cbor:"2,keyasint,omitempty"`
+	Incarnation Incarnation       `cbor:"3,keyasint,omitempty"`
+	Session     cluster.SessionID `cbor:"4,keyasint,omitempty"`
+	Tasks       []cluster.Task    `cbor:"5,keyasint,omitempty"`
+	Epoch       cluster.Epoch     `cbor:"6,keyasint,omitempty"`
+	Reign       Reign             `cbor:"7,keyasint,omitempty"`
 }
 
 // Reign is one keeper's time of leading, the log's index of the entry by which it began; 0: none yet.
@@ -29,7 +29,7 @@
 
 // Over is a session whose term ran out, and in whose reign that was found.
 type Over struct {
-	Session fleet.SessionID
+	Session cluster.SessionID
 	Reign   Reign
 }
 
@@ -47,23 +47,23 @@
 
 // Granted is the answer for one task: with epoch 0 another session holds it.
 type Granted struct {
-	Task  fleet.Task  `cbor:"1,keyasint"`
-	Epoch fleet.Epoch `cbor:"2,keyasint,omitempty"`
+	Task  cluster.Task  `cbor:"1,keyasint"`
+	Epoch cluster.Epoch `cbor:"2,keyasint,omitempty"`
 }
 
 // Err is fleet.ErrHeld where another session holds the task.
 func (g Granted) Err() error {
 	if g.Epoch == 0 {
-		return fleet.ErrHeld
+		return cluster.ErrHeld
 	}
 	return nil
 }
 
 // Answer is what goes to whoever proposed an order.
 type Answer struct {
-	Session fleet.SessionID `cbor:"1,keyasint"` // the one the order was about
-	Granted []Granted       `cbor:"2,keyasint,omitempty"`
-	Reign   Reign           `cbor:"3,keyasint,omitempty"` // of Began
+	Session cluster.SessionID `cbor:"1,keyasint"` // the one the order was about
+	Granted []Granted         `cbor:"2,keyasint,omitempty"`
+	Reign   Reign             `cbor:"3,keyasint,omitempty"` // of Began
 }
 
 // ErrUnreadable is an order, answer or snapshot that can't be understood; nothing was changed.
@@ -88,37 +88,37 @@
 
 // Open asks for a session of this life of a member; asked again, it answers the same one until that has
 // ended.
-func Open(m fleet.MemberID, i Incarnation) fleet.Command {
+func Open(m cluster.MemberID, i Incarnation) cluster.Command {
 	return command(Order{Kind: OpenKind, Member: m, Incarnation: i})
 }
 
 // End frees all that a session holds. The member itself asks for it, after Tenure.End.
-func End(s fleet.SessionID) fleet.Command {
+func End(s cluster.SessionID) cluster.Command {
 	return command(Order{Kind: EndKind, Session: s})
 }
 
 // Grant asks for tasks, at most 4096 at a time; what the session holds already is answered with its epoch.
-func Grant(s fleet.SessionID, tasks ...fleet.Task) fleet.Command {
+func Grant(s cluster.SessionID, tasks ...cluster.Task) cluster.Command {
 	return command(Order{Kind: GrantKind, Session: s, Tasks: tasks})
 }
 
 // Release frees one task. The holder stops acting before it asks: Tenure.Let.
-func Release(s fleet.SessionID, t fleet.Task, e fleet.Epoch) fleet.Command {
-	return command(Order{Kind: ReleaseKind, Session: s, Tasks: []fleet.Task{t}, Epoch: e})
+func Release(s cluster.SessionID, t cluster.Task, e cluster.Epoch) cluster.Command {
+	return command(Order{Kind: ReleaseKind, Session: s, Tasks: []cluster.Task{t}, Epoch: e})
 }
 
 // Began is what a keeper proposes in each raft term in which it leads, before it leads by Terms: its answer
 // has the reign. Being applied it is the barrier too.
-func Began() fleet.Command { return command(Order{Kind: ReignKind}) }
+func Began() cluster.Command { return command(Order{Kind: ReignKind}) }
 
 // Expire ends a session that Terms.Due named. It is refused with fleet.ErrStale where another reign has begun
 // since: that one gives the session a whole term again, whatever was found before.
-func Expire(o Over) fleet.Command {
+func Expire(o Over) cluster.Command {
 	return command(Order{Kind: ExpireKind, Session: o.Session, Reign: o.Reign})
 }
 
-func command(o Order) fleet.Command {
-	return fleet.Command{Part: fleet.LeasePart, Body: encode(o)}
+func command(o Order) cluster.Command {
+	return cluster.Command{Part: cluster.LeasePart, Body: encode(o)}
 }
 
 // encode is for what always can be: an error would be one of this package's types.
--- a/cluster/lease/snapshot.go
+++ b/cluster/lease/snapshot.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // bookFormat rises when an older program could no longer read a snapshot.
@@ -20,15 +20,15 @@
 }
 
 type sessionImage struct {
-	Session     fleet.SessionID `cbor:"1,keyasint"`
-	Member      fleet.MemberID  `cbor:"2,keyasint"`
-	Incarnation Incarnation     `cbor:"3,keyasint"`
+	Session     cluster.SessionID `cbor:"1,keyasint"`
+	Member      cluster.MemberID  `cbor:"2,keyasint"`
+	Incarnation Incarnation       `cbor:"3,keyasint"`
 }
 
 type taskImage struct {
-	Task    fleet.Task      `cbor:"1,keyasint"`
-	Epoch   fleet.Epoch     `cbor:"2,keyasint"`
-	Session fleet.SessionID `cbor:"3,keyasint,omitempty"`
+	Task    cluster.Task      `cbor:"1,keyasint"`
+	Epoch   cluster.Epoch     `cbor:"2,keyasint"`
+	Session cluster.SessionID `cbor:"3,keyasint,omitempty"`
 }
 
 // Snapshot is the whole book, the same bytes on each keeper.
@@ -66,7 +66,7 @@
 			n.sessions[s.Session] != nil || n.opened[who] != 0 {
 			return fmt.Errorf("snapshot of leases: session %d of %q: %w", s.Session, s.Member, ErrUnreadable)
 		}
-		n.opened[who], n.sessions[s.Session] = s.Session, &session{who, map[fleet.Task]struct{}{}}
+		n.opened[who], n.sessions[s.Session] = s.Session, &session{who, map[cluster.Task]struct{}{}}
 	}
 	for _, t := range image.Tasks {
 		held, twice := n.sessions[t.Session], n.tasks[t.Task].epoch != 0
--- a/cluster/lease/tenure.go
+++ b/cluster/lease/tenure.go
@@ -5,7 +5,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -14,16 +14,16 @@
 // Epoch before an act and again before the act's last byte.
 type Tenure struct {
 	use     gateway.Micros // of a term, by this clock, even if it is slow and the keeper's fast
-	session fleet.SessionID
+	session cluster.SessionID
 	until   gateway.Micros
-	high    fleet.SessionID // the highest ever answered
-	gone    fleet.SessionID // sessions up to this one were ended by the member: none is heeded again
-	asks    uint64          // made so far
-	void    uint64          // asks up to this one were made before a refusal: their answers count no more
+	high    cluster.SessionID // the highest ever answered
+	gone    cluster.SessionID // sessions up to this one were ended by the member: none is heeded again
+	asks    uint64            // made so far
+	void    uint64            // asks up to this one were made before a refusal: their answers count no more
 	asked   gateway.Micros
 	waiting bool // the last ask has no answer yet
-	epochs  map[fleet.Task]fleet.Epoch
-	let     map[fleet.Task]fleet.Epoch // given up by the member: an answer that comes late gives none back
+	epochs  map[cluster.Task]cluster.Epoch
+	let     map[cluster.Task]cluster.Epoch // given up by the member: an answer that comes late gives none back
 }
 
 // Ask is one ask for a session to be opened or to go on: its answer counts from when it was made.
@@ -50,13 +50,13 @@
 
 // Answered is a keeper's yes to an ask: this session was opened or goes on. Answers may come late, doubled or
 // out of order; none gives more than a term from its own ask. False: it was not heeded.
-func (t *Tenure) Answered(a Ask, s fleet.SessionID) bool {
+func (t *Tenure) Answered(a Ask, s cluster.SessionID) bool {
 	if a.no <= t.void || s < t.high || s <= t.gone {
 		return false
 	}
 	if s > t.high { // the one before has ended, or this one would not have been opened
 		t.high, t.until = s, 0
-		t.epochs, t.let = map[fleet.Task]fleet.Epoch{}, map[fleet.Task]fleet.Epoch{}
+		t.epochs, t.let = map[cluster.Task]cluster.Epoch{}, map[cluster.Task]cluster.Epoch{}
 	}
 	t.session, t.until = s, max(t.until, a.at+t.use)
 	if a.no == t.asks {
@@ -67,7 +67,7 @@
 
 // Refused is a keeper's no for a session, also to a grant: it has ended or is being ended. All is given up at
 // once, and only an ask made from now on gives a session. A no about an earlier session changes nothing.
-func (t *Tenure) Refused(s fleet.SessionID) {
+func (t *Tenure) Refused(s cluster.SessionID) {
 	if s == t.session {
 		t.session, t.until, t.void = 0, 0, t.asks
 		clear(t.epochs)
@@ -76,7 +76,7 @@
 
 // End gives everything up, before the member asks for this session to be ended. A process that goes on draws
 // another incarnation for its next open: were it given the same session again, the end could come after that.
-func (t *Tenure) End() fleet.SessionID {
+func (t *Tenure) End() cluster.SessionID {
 	s := t.session
 	t.gone = max(t.gone, s)
 	t.Refused(s)
@@ -84,7 +84,7 @@
 }
 
 // Session is the one that was last answered, still held or not; 0: none, ask for one to be opened.
-func (t *Tenure) Session() fleet.SessionID { return t.session }
+func (t *Tenure) Session() cluster.SessionID { return t.session }
 
 // Holds is whether the session surely stands: no keeper has let it end, whatever the clocks do within apart.
 func (t *Tenure) Holds(now gateway.Micros) bool { return t.session != 0 && now < t.until }
@@ -108,7 +108,7 @@
 // Took notes a grant as the answer to this session's ask has it. False: another holds the task, or the answer
 // is an old one, for an earlier session or of a grant that was given up since; where that one is answered
 // again and again its release was lost: ask for it anew. Epoch says when to act on it.
-func (t *Tenure) Took(s fleet.SessionID, g Granted) bool {
+func (t *Tenure) Took(s cluster.SessionID, g Granted) bool {
 	if s == 0 || s != t.session || g.Epoch < max(t.let[g.Task]+1, t.epochs[g.Task]) {
 		return false
 	}
@@ -117,7 +117,7 @@
 }
 
 // Let gives one task up, before its release is asked for with the epoch told here.
-func (t *Tenure) Let(task fleet.Task) (fleet.Epoch, bool) {
+func (t *Tenure) Let(task cluster.Task) (cluster.Epoch, bool) {
 	e, ok := t.epochs[task]
 	if ok {
 		delete(t.epochs, task)
@@ -127,7 +127,7 @@
 }
 
 // Epoch is by which epoch the task may be acted on at this moment; false: not at all.
-func (t *Tenure) Epoch(task fleet.Task, now gateway.Micros) (fleet.Epoch, bool) {
+func (t *Tenure) Epoch(task cluster.Task, now gateway.Micros) (cluster.Epoch, bool) {
 	e, ok := t.epochs[task]
 	return e, ok && t.Holds(now)
 }
@@ -143,6 +143,6 @@
 // Tally stands for a set of grants: two that differ have the same one by mere chance only.
 type Tally uint64
 
-func tallyOf(t fleet.Task, e fleet.Epoch) Tally {
+func tallyOf(t cluster.Task, e cluster.Epoch) Tally {
 	return Tally(xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, uint64(e)), t...)))
 }
--- a/cluster/lease/tenure_test.go
+++ b/cluster/lease/tenure_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
-const conduct = fleet.Conducts
+const conduct = cluster.Conducts
 
 // begun holds session 2 and, by epoch 3, one task, from an ask at 0.
 func begun(t *testing.T) (*Tenure, Ask) {
@@ -68,7 +68,7 @@
 // The end may come after an open that was answered with the same session.
 func TestSessionThatTheMemberEndedIsNotHeededAgain(t *testing.T) {
 	tenure, _ := begun(t)
-	assert.Equal(t, fleet.SessionID(2), tenure.End())
+	assert.Equal(t, cluster.SessionID(2), tenure.End())
 	assert.False(t, tenure.Answered(tenure.Asked(1), 2))
 	assert.True(t, tenure.Answered(tenure.Asked(2), 9))
 	assert.False(t, acts(tenure, 3), "another session holds nothing yet")
@@ -84,7 +84,7 @@
 	assert.False(t, tenure.Answered(tenure.Asked(2), 2), "late, for the one before")
 	assert.False(t, tenure.Took(2, Granted{conduct, 12}), "granted to the one before after this one was opened")
 	tenure.Refused(2)
-	assert.Equal(t, fleet.SessionID(9), tenure.Session())
+	assert.Equal(t, cluster.SessionID(9), tenure.Session())
 	assert.False(t, tenure.Took(9, Granted{Task: conduct}), "held by another")
 	assert.True(t, tenure.Took(9, Granted{conduct, 13}))
 }
@@ -109,16 +109,16 @@
 	fence, err = LoadFence(fence.Bytes())
 	require.NoError(t, err)
 	_, err = fence.Admit(conduct, 6)
-	assert.ErrorIs(t, err, fleet.ErrFenced)
+	assert.ErrorIs(t, err, cluster.ErrFenced)
 	risen, err = fence.Admit(conduct, 7)
 	assert.NoError(t, err)
 	assert.False(t, risen)
 	_, err = fence.Admit("other", 6)
 	assert.NoError(t, err)
 	_, err = fence.Admit("third", 0)
-	assert.ErrorIs(t, err, fleet.ErrFenced)
+	assert.ErrorIs(t, err, cluster.ErrFenced)
 	for _, bad := range [][]byte{nil, {0xa0}, encode(fenceImage{fenceFormat + 1, nil}),
-		encode(fenceImage{fenceFormat, map[fleet.Task]fleet.Epoch{"": 1}})} {
+		encode(fenceImage{fenceFormat, map[cluster.Task]cluster.Epoch{"": 1}})} {
 		_, err = LoadFence(bad)
 		assert.ErrorIs(t, err, ErrUnreadable)
 	}
--- a/cluster/lease/terms.go
+++ b/cluster/lease/terms.go
@@ -1,7 +1,7 @@
 package lease
 
 import (
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 	"rowanlink/internal/due"
 )
@@ -18,8 +18,8 @@
 type Terms struct {
 	term  gateway.Micros
 	reign Reign
-	runs  map[fleet.SessionID]run
-	order due.Times[fleet.SessionID] // each session once, at or before the time that counts
+	runs  map[cluster.SessionID]run
+	order due.Times[cluster.SessionID] // each session once, at or before the time that counts
 }
 
 type run struct {
@@ -31,9 +31,9 @@
 func NewTerms(term gateway.Micros) *Terms { return &Terms{term: term} }
 
 // Lead begins anew with the sessions of the book: each has a whole term from now, whoever renewed it last.
-func (t *Terms) Lead(now gateway.Micros, reign Reign, sessions []fleet.SessionID) {
+func (t *Terms) Lead(now gateway.Micros, reign Reign, sessions []cluster.SessionID) {
 	t.Follow()
-	t.reign, t.runs = reign, map[fleet.SessionID]run{}
+	t.reign, t.runs = reign, map[cluster.SessionID]run{}
 	for _, s := range sessions {
 		t.begin(s, now)
 	}
@@ -43,16 +43,16 @@
 func (t *Terms) Leads() bool { return t.runs != nil }
 
 // Follow forgets all: a keeper that leads no more renews nothing and ends nothing.
-func (t *Terms) Follow() { t.runs, t.order = nil, due.Times[fleet.SessionID]{} }
+func (t *Terms) Follow() { t.runs, t.order = nil, due.Times[cluster.SessionID]{} }
 
-func (t *Terms) begin(s fleet.SessionID, now gateway.Micros) {
+func (t *Terms) begin(s cluster.SessionID, now gateway.Micros) {
 	t.runs[s] = run{until: now + t.term}
 	t.order.Add(int64(now+t.term), s)
 }
 
 // Opened is told of each open that was applied. Asked again for a session that goes on, it renews it; false
 // where it is being ended: the member is to ask again until it is given another.
-func (t *Terms) Opened(s fleet.SessionID, now gateway.Micros) bool {
+func (t *Terms) Opened(s cluster.SessionID, now gateway.Micros) bool {
 	if _, ok := t.runs[s]; ok || t.runs == nil {
 		return t.Renewed(s, now)
 	}
@@ -62,7 +62,7 @@
 
 // Renewed gives a session a whole term from now; false where it has ended or was named by Due.
 // Late but before Due it counts: a keeper that was stopped itself need not end what nobody else has ended.
-func (t *Terms) Renewed(s fleet.SessionID, now gateway.Micros) bool {
+func (t *Terms) Renewed(s cluster.SessionID, now gateway.Micros) bool {
 	r, ok := t.runs[s]
 	if !ok || r.ending {
 		return false
@@ -92,7 +92,7 @@
 }
 
 // Ended is told of each end that was applied.
-func (t *Terms) Ended(s fleet.SessionID) { delete(t.runs, s) }
+func (t *Terms) Ended(s cluster.SessionID) { delete(t.runs, s) }
 
 // Next is when Due is to be asked next: never after the earliest end, but perhaps before; false: no session.
 func (t *Terms) Next() (gateway.Micros, bool) {
--- a/cluster/lease/times_test.go
+++ b/cluster/lease/times_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -19,11 +19,11 @@
 func TestTermsAgainstAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms, until, now := NewTerms(term), times{}, gateway.Micros(0)
-		ending := map[fleet.SessionID]bool{}
+		ending := map[cluster.SessionID]bool{}
 		terms.Lead(now, 1, nil)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += gateway.Micros(rapid.IntRange(0, int(term)/2).Draw(t, "wait"))
-			s := fleet.SessionID(rapid.IntRange(1, 4).Draw(t, "session"))
+			s := cluster.SessionID(rapid.IntRange(1, 4).Draw(t, "session"))
 			_, known := until[s]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
@@ -60,10 +60,10 @@
 	})
 }
 
-type times map[fleet.SessionID]gateway.Micros
+type times map[cluster.SessionID]gateway.Micros
 
-func checkDue(t *rapid.T, over []Over, until times, ending map[fleet.SessionID]bool, now gateway.Micros) {
-	named := map[fleet.SessionID]bool{}
+func checkDue(t *rapid.T, over []Over, until times, ending map[cluster.SessionID]bool, now gateway.Micros) {
+	named := map[cluster.SessionID]bool{}
 	for _, o := range over {
 		assert.False(t, named[o.Session])
 		named[o.Session] = true
@@ -80,7 +80,7 @@
 	terms := NewTerms(term)
 	assert.False(t, terms.Leads())
 	assert.False(t, terms.Opened(1, 0))
-	terms.Lead(0, 5, []fleet.SessionID{1})
+	terms.Lead(0, 5, []cluster.SessionID{1})
 	assert.True(t, terms.Renewed(1, 1))
 	assert.Empty(t, terms.Due(term), "a whole term from the renewal")
 	terms.Follow()
--- a/cluster/lease/wishes.go
+++ b/cluster/lease/wishes.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -15,8 +15,8 @@
 type Wishes struct {
 	tenure  *Tenure
 	again   gateway.Micros
-	wants   map[fleet.Task]wish
-	letting map[fleet.Task]letGo // given up, and the keepers don't know yet
+	wants   map[cluster.Task]wish
+	letting map[cluster.Task]letGo // given up, and the keepers don't know yet
 }
 
 // wish is one task that is wanted.
@@ -27,23 +27,23 @@
 
 // letGo is a grant given up that the keepers may not know of yet.
 type letGo struct {
-	session fleet.SessionID
-	epoch   fleet.Epoch
+	session cluster.SessionID
+	epoch   cluster.Epoch
 }
 
 // Proposal is what the keepers are to be told next: a release where Let is named, else an ask for Wanted.
 type Proposal struct {
-	Session fleet.SessionID
-	Let     fleet.Task
-	Epoch   fleet.Epoch
-	Wanted  []fleet.Task
+	Session cluster.SessionID
+	Let     cluster.Task
+	Epoch   cluster.Epoch
+	Wanted  []cluster.Task
 }
 
 // Any is whether there is something to tell.
 func (p Proposal) Any() bool { return p.Let != "" || len(p.Wanted) > 0 }
 
 // Command is the proposal as it goes into the log.
-func (p Proposal) Command() fleet.Command {
+func (p Proposal) Command() cluster.Command {
 	if p.Let != "" {
 		return Release(p.Session, p.Let, p.Epoch)
 	}
@@ -53,11 +53,11 @@
 // NewWishes wants nothing. What another holds is asked for again after the span `again`, in microseconds of
 // the member's clock, even if no keeper ever told that it is free.
 func NewWishes(t *Tenure, again gateway.Micros) *Wishes {
-	return &Wishes{tenure: t, again: again, wants: map[fleet.Task]wish{}, letting: map[fleet.Task]letGo{}}
+	return &Wishes{tenure: t, again: again, wants: map[cluster.Task]wish{}, letting: map[cluster.Task]letGo{}}
 }
 
 // Want has a task asked for until it is released; false: it is already.
-func (w *Wishes) Want(t fleet.Task) bool {
+func (w *Wishes) Want(t cluster.Task) bool {
 	_, already := w.wants[t]
 	if !already {
 		w.wants[t] = wish{}
@@ -66,7 +66,7 @@
 }
 
 // Release gives a task up at once. A grant of it that is not known here yet is given back by Granted or Has.
-func (w *Wishes) Release(t fleet.Task) {
+func (w *Wishes) Release(t cluster.Task) {
 	delete(w.wants, t)
 	if e, held := w.tenure.Let(t); held {
 		w.letting[t] = letGo{w.tenure.Session(), e}
@@ -75,14 +75,14 @@
 
 // Unwant drops a wish that has no grant. One that has is left for Release, also while its session is over by
 // the clock: it may stand again, and calls by it may be out.
-func (w *Wishes) Unwant(t fleet.Task) {
+func (w *Wishes) Unwant(t cluster.Task) {
 	if _, granted := w.tenure.epochs[t]; !granted {
 		delete(w.wants, t)
 	}
 }
 
 // Wanted are the tasks wanted, sorted.
-func (w *Wishes) Wanted() []fleet.Task { return slices.Sorted(maps.Keys(w.wants)) }
+func (w *Wishes) Wanted() []cluster.Task { return slices.Sorted(maps.Keys(w.wants)) }
 
 // Anew has all that is wanted asked for: for a session that begins.
 func (w *Wishes) Anew() {
@@ -121,7 +121,7 @@
 }
 
 // Granted takes the answer to an ask for tasks. It tells whether some are held by others: Waits has them.
-func (w *Wishes) Granted(s fleet.SessionID, granted []Granted, now gateway.Micros) (waits bool) {
+func (w *Wishes) Granted(s cluster.SessionID, granted []Granted, now gateway.Micros) (waits bool) {
 	for _, g := range granted {
 		if g.Err() == nil {
 			w.has(s, g)
@@ -139,7 +139,7 @@
 // Has takes what a session holds by the log, as a keeper has it. Guards against a grant whose answer was lost
 // and of which an older book said that another has it, and against one that came into the log late, after the
 // task was given up: nobody would hold it, and nobody else be given it.
-func (w *Wishes) Has(s fleet.SessionID, all []Granted) {
+func (w *Wishes) Has(s cluster.SessionID, all []Granted) {
 	for _, g := range all {
 		if g.Err() == nil {
 			w.has(s, g)
@@ -148,7 +148,7 @@
 }
 
 // has takes one grant, or gives it back: where it is not wanted, and where its release was lost.
-func (w *Wishes) has(s fleet.SessionID, g Granted) {
+func (w *Wishes) has(s cluster.SessionID, g Granted) {
 	if s != w.tenure.Session() || g.Epoch < max(w.tenure.epochs[g.Task], w.tenure.let[g.Task]) {
 		return // of an earlier session, or of a grant that is over: guards against one that comes late
 	}
@@ -162,7 +162,7 @@
 
 // Released takes what became of a release; false: it has to be told again.
 func (w *Wishes) Released(p Proposal, err error) bool {
-	if err != nil && !errors.Is(err, fleet.ErrFenced) && !errors.Is(err, fleet.ErrUnknown) {
+	if err != nil && !errors.Is(err, cluster.ErrFenced) && !errors.Is(err, cluster.ErrUnknown) {
 		return false
 	}
 	// Done, or an earlier try was, or the session is over and all of it free.
@@ -173,7 +173,7 @@
 }
 
 // Waits is what others held when last asked, sorted.
-func (w *Wishes) Waits() (all []fleet.Task) {
+func (w *Wishes) Waits() (all []cluster.Task) {
 	for _, t := range w.Wanted() {
 		if w.wants[t].elsewhere {
 			all = append(all, t)
@@ -183,7 +183,7 @@
 }
 
 // Free is a keeper's word that tasks are free; it tells whether one of them is to be asked for now.
-func (w *Wishes) Free(tasks []fleet.Task) (some bool) {
+func (w *Wishes) Free(tasks []cluster.Task) (some bool) {
 	for _, t := range tasks {
 		if w.wants[t].elsewhere {
 			w.wants[t], some = wish{}, true
--- a/cluster/lease/wishes_test.go
+++ b/cluster/lease/wishes_test.go
@@ -5,12 +5,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
 // held is wishes over a session that has a task by an epoch.
-func held(s fleet.SessionID, task fleet.Task, e fleet.Epoch) (*Tenure, *Wishes) {
+func held(s cluster.SessionID, task cluster.Task, e cluster.Epoch) (*Tenure, *Wishes) {
 	t := NewTenure(hallTerm, 0)
 	w := NewWishes(t, hallTerm)
 	t.Answered(t.Asked(0), s)
@@ -36,7 +36,7 @@
 	tenure.Answered(tenure.Asked(1), 20)
 	wishes.Anew()
 	wishes.Granted(5, []Granted{{Task: "home/1"}, {Task: "home/2"}}, 2)
-	require.Equal(t, Proposal{Session: 20, Wanted: []fleet.Task{"home/1", "home/2"}}, wishes.Next(2))
+	require.Equal(t, Proposal{Session: 20, Wanted: []cluster.Task{"home/1", "home/2"}}, wishes.Next(2))
 }
 
 // Guards against asking all the time for what another has, and against never asking again.
@@ -44,14 +44,14 @@
 	_, wishes := held(5, "home/1", 9)
 	wishes.Want("home/2")
 	require.True(t, wishes.Granted(5, []Granted{{Task: "home/2"}}, 10))
-	require.Equal(t, []fleet.Task{"home/2"}, wishes.Waits())
+	require.Equal(t, []cluster.Task{"home/2"}, wishes.Waits())
 	at, some := wishes.AgainAt()
 	require.True(t, some)
 	require.Equal(t, gateway.Micros(10+hallTerm), at)
 	require.False(t, wishes.Next(20).Any())
-	require.False(t, wishes.Free([]fleet.Task{"home/1", "home/3"}))
-	require.True(t, wishes.Free([]fleet.Task{"home/2"}))
-	require.Equal(t, []fleet.Task{"home/2"}, wishes.Next(20).Wanted)
+	require.False(t, wishes.Free([]cluster.Task{"home/1", "home/3"}))
+	require.True(t, wishes.Free([]cluster.Task{"home/2"}))
+	require.Equal(t, []cluster.Task{"home/2"}, wishes.Next(20).Wanted)
 }
 
 // Guards against a home given up unheard, with calls out, by a member that only was late to renew.
@@ -60,7 +60,7 @@
 	wishes.Want("home/2")
 	wishes.Unwant("home/1")
 	wishes.Unwant("home/2")
-	require.Equal(t, []fleet.Task{"home/1"}, wishes.Wanted())
+	require.Equal(t, []cluster.Task{"home/1"}, wishes.Wanted())
 	require.False(t, tenure.Holds(2*hallTerm))
 	tenure.Answered(tenure.Asked(2*hallTerm), 5)
 	_, ok := tenure.Epoch("home/1", 2*hallTerm)
--- a/cluster/lease/world_test.go
+++ b/cluster/lease/world_test.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 	"rowanlink/internal/due"
 )
@@ -14,11 +14,11 @@
 // Everything that decides is the real object. True time goes in steps; clocks are fast or slow. Whoever does
 // nothing for a while was stopped, and goes on as if nothing had been: only time has to happen in this world.
 const (
-	stepSlow, stepFast gateway.Micros = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
-	worldApart                        = 0.25
-	worldTerm          gateway.Micros = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
-	worldTask          fleet.Task     = "task"
-	third              fleet.MemberID = "the third keeper"
+	stepSlow, stepFast gateway.Micros   = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
+	worldApart                          = 0.25
+	worldTerm          gateway.Micros   = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
+	worldTask          cluster.Task     = "task"
+	third              cluster.MemberID = "the third keeper"
 )
 
 // wrong is how a world is spoilt, to see that the search notices.
@@ -63,8 +63,8 @@
 	proc, keeper int
 	ask          Ask
 	life         Incarnation
-	session      fleet.SessionID
-	epoch        fleet.Epoch
+	session      cluster.SessionID
+	epoch        cluster.Epoch
 	reign        Reign
 	term         uint64
 	at           gateway.Micros // of the keeper's clock
@@ -98,8 +98,8 @@
 	proc   [2]process
 	net    []message
 	fence  *Fence
-	kept   []byte      // of the fence, on disk
-	done   fleet.Epoch // the highest epoch ever admitted
+	kept   []byte        // of the fence, on disk
+	done   cluster.Epoch // the highest epoch ever admitted
 	broken string
 }
 
@@ -141,7 +141,7 @@
 func (w *world) ownBook() *Book {
 	if b := w.book; !w.owned {
 		n := *b
-		n.opened, n.tasks, n.sessions = maps.Clone(b.opened), maps.Clone(b.tasks), map[fleet.SessionID]*session{}
+		n.opened, n.tasks, n.sessions = maps.Clone(b.opened), maps.Clone(b.tasks), map[cluster.SessionID]*session{}
 		for id, s := range b.sessions {
 			n.sessions[id] = &session{s.opener, maps.Clone(s.tasks)}
 		}
@@ -154,7 +154,7 @@
 func (w *world) ownKeeper(i int) *keeper {
 	k := &w.keeper[i]
 	if t := k.terms; !k.owned {
-		k.terms = &Terms{t.term, t.reign, maps.Clone(t.runs), due.Times[fleet.SessionID]{}}
+		k.terms = &Terms{t.term, t.reign, maps.Clone(t.runs), due.Times[cluster.SessionID]{}}
 		for _, s := range sorted(t.runs) {
 			k.terms.order.Add(int64(t.runs[s].until), s)
 		}
@@ -174,7 +174,7 @@
 	return p.tenure
 }
 
-func sorted(runs map[fleet.SessionID]run) (all []fleet.SessionID) {
+func sorted(runs map[cluster.SessionID]run) (all []cluster.SessionID) {
 	for s := range runs {
 		all = append(all, s)
 	}
--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/member"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -66,13 +66,13 @@
 	f.leader()
 	var all []*member.Session
 	for i := range members {
-		task := fleet.HomeOf(fleet.RangeID(i))
-		s := f.member(fleet.MemberID(fmt.Sprint("d", i)), task)
-		s.Follow(fleet.LeasePart, func(uint64, []byte) {})
+		task := cluster.HomeOf(cluster.RangeID(i))
+		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
+		s.Follow(cluster.LeasePart, func(uint64, []byte) {})
 		all = append(all, s)
 	}
 	for i, s := range all {
-		holds(b, s, fleet.HomeOf(fleet.RangeID(i)))
+		holds(b, s, cluster.HomeOf(cluster.RangeID(i)))
 	}
 	time.Sleep(3 * time.Second)
 	k := f.up[f.leader()]
--- a/cluster/member/chart.go
+++ b/cluster/member/chart.go
@@ -5,10 +5,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -17,10 +17,10 @@
 	if says == "" {
 		return nil, nil, nil
 	}
-	t := transport.New("", map[fleet.MemberID]string{"it": says})
+	t := transport.New("", map[cluster.MemberID]string{"it": says})
 	defer t.Close()
 	status, raw, err := t.Say("it", transport.StatePath, transport.Encode(transport.StateAsk{
-		Versions: map[byte]uint64{fleet.RangesPart: 0, fleet.PlanPart: 0}}), span(10*gateway.Second))
+		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), span(10*gateway.Second))
 	var answer transport.StateAnswer
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
@@ -29,9 +29,9 @@
 	for _, part := range answer.Parts {
 		switch {
 		case err != nil:
-		case part.Part == fleet.RangesPart:
+		case part.Part == cluster.RangesPart:
 			err, told = m.Restore(part.Snapshot), true
-		case part.Part == fleet.PlanPart:
+		case part.Part == cluster.PlanPart:
 			err = p.Restore(part.Snapshot)
 		}
 	}
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -7,10 +7,10 @@
 	"reflect"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -23,9 +23,9 @@
 	vacancy  *shardmap.Vacancies
 	book     *lease.Book
 	progress *rebalance.Progress
-	epoch    fleet.Epoch // since when it conducts
-	under    int         // moves under way when last looked
-	alone    bool        // no leader answered in this look: nothing more is proposed until the next one
+	epoch    cluster.Epoch // since when it conducts
+	under    int           // moves under way when last looked
+	alone    bool          // no leader answered in this look: nothing more is proposed until the next one
 	restedAt gateway.Micros
 }
 
@@ -49,7 +49,7 @@
 
 // conduct does what is due; it tells whether the wish has come into the log.
 func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now gateway.Micros) (adopted bool) {
-	epoch, held := c.homes.session.Holds(fleet.Conducts)
+	epoch, held := c.homes.session.Holds(cluster.Conducts)
 	chart := c.homes.Map()
 	c.alone = false
 	if !held || c.book == nil {
@@ -70,7 +70,7 @@
 		c.say("first map", by.First(parts, weights))
 		return false
 	}
-	alive := map[fleet.MemberID]bool{}
+	alive := map[cluster.MemberID]bool{}
 	for _, s := range c.book.Sessions() {
 		alive[c.book.MemberOf(s)] = true
 	}
@@ -93,13 +93,13 @@
 
 // over is whether a stray's grant is held no more.
 func (c *conductor) over(s shardmap.Stray) bool {
-	_, _, epoch, held := c.book.Holder(fleet.HomeOf(s.Under.Range))
+	_, _, epoch, held := c.book.Holder(cluster.HomeOf(s.Under.Range))
 	return !held || epoch != s.Under.Epoch
 }
 
 // staying are those whom the running plan does not want to leave; all, where no other is alive. Guards
 // against a lost home's range given to a member that leaves, behind steps that are through.
-func (c *conductor) staying(members []shardmap.Able, alive map[fleet.MemberID]bool) (stay []shardmap.Able) {
+func (c *conductor) staying(members []shardmap.Able, alive map[cluster.MemberID]bool) (stay []shardmap.Able) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return members
 	}
@@ -180,7 +180,7 @@
 }
 
 // follow does what the running plan asks for now.
-func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[fleet.MemberID]bool,
+func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
 	now gateway.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
@@ -190,7 +190,7 @@
 		slog.Error("running plan not read", "why", err)
 		return
 	}
-	out := c.progress.Next(f, chart, rebalance.Seen{Gone: func(m fleet.MemberID) bool { return !alive[m] },
+	out := c.progress.Next(f, chart, rebalance.Seen{Gone: func(m cluster.MemberID) bool { return !alive[m] },
 		Rested: now - c.restedAt, Harm: c.harm.Of(c.progress.Number)})
 	says := rebalance.Conductor(c.epoch)
 	for _, a := range out.Actions {
@@ -215,13 +215,13 @@
 }
 
 // say proposes; a refusal means that the log went on, and the next look is by what it holds then.
-func (c *conductor) say(what string, command fleet.Command, more ...any) bool {
+func (c *conductor) say(what string, command cluster.Command, more ...any) bool {
 	if c.alone {
 		return false
 	}
 	if _, err := c.homes.Propose(command); err != nil {
 		c.alone = unreached(err)
-		if !errors.Is(err, fleet.ErrStale) && !errors.Is(err, fleet.ErrUnknown) {
+		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
 			slog.Warn(what+" not said", "why", err)
 		}
 		return false
--- a/cluster/member/deeds.go
+++ b/cluster/member/deeds.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -26,17 +26,17 @@
 		if name == "" {
 			continue
 		}
-		s.Want(fleet.Task(name))
-		s.done.Go(func() { s.deeds(guard, fleet.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
+		s.Want(cluster.Task(name))
+		s.done.Go(func() { s.deeds(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
 	}
 }
 
 // A deed lasts up to a tenth of a term, and the pause between two is as long.
 const deedsEach = 10
 
-func (s *Session) deeds(guard string, t fleet.Task, fenced bool) {
+func (s *Session) deeds(guard string, t cluster.Task, fenced bool) {
 	for s.pause(s.drawn()) {
-		s.Guarded(t, func(e fleet.Epoch, still func() bool) {
+		s.Guarded(t, func(e cluster.Epoch, still func() bool) {
 			with := url.Values{"task": {string(t)}, "epoch": {strconv.FormatUint(uint64(e), 10)},
 				"member": {string(s.Self)}}
 			if fenced {
--- a/cluster/member/deeds_test.go
+++ b/cluster/member/deeds_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // Deeds go on from one holder to the next: none is told of after its holder's term.
@@ -48,6 +48,6 @@
 	defer mu.Unlock()
 	first := slices.IndexFunc(by, func(s string) bool { return strings.HasSuffix(s, " b") })
 	require.False(t, slices.ContainsFunc(by[first:], func(s string) bool { return strings.HasSuffix(s, " a") }))
-	_, held := b.Holds(fleet.Task("job/1"))
+	_, held := b.Holds(cluster.Task("job/1"))
 	require.True(t, held)
 }
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -5,9 +5,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -22,7 +22,7 @@
 }
 
 // settle asks a member that may have webhooks, of which it is not the home any more, or not in that life.
-func (o *owing) settle(at fleet.MemberID, all []decider.Owed) {
+func (o *owing) settle(at cluster.MemberID, all []decider.Owed) {
 	f, now := o.forwarding, exchange.Now()
 	var doubts []doubt
 	var asks []asked
--- a/cluster/member/export_test.go
+++ b/cluster/member/export_test.go
@@ -1,8 +1,8 @@
 package member
 
 import (
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -16,7 +16,7 @@
 func (idle) Undecided(shardmap.MoveID) int     { return 0 }
 
 // Looks is a member's look at its homes by a map, without anything out or owed.
-func Looks(self fleet.MemberID, s *Session, chart *shardmap.Map) func() {
+func Looks(self cluster.MemberID, s *Session, chart *shardmap.Map) func() {
 	h := &homes{self: self, term: s.Term, now: s.Clock, session: s, side: idle{}, changed: func() {}}
 	h.chart.Store(chart)
 	return h.Look
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/standin/port"
 )
@@ -43,11 +43,11 @@
 type fleetOf struct {
 	t          testing.TB
 	term       gateway.Micros
-	names      []fleet.MemberID
-	says, logs map[fleet.MemberID]string
-	folders    map[fleet.MemberID]string
-	links      map[[2]fleet.MemberID][]*link
-	up         map[fleet.MemberID]*running
+	names      []cluster.MemberID
+	says, logs map[cluster.MemberID]string
+	folders    map[cluster.MemberID]string
+	links      map[[2]cluster.MemberID][]*link
+	up         map[cluster.MemberID]*running
 	lives      lease.Incarnation
 	moved      atomic.Int64 // bytes that keepers heard and said, both kinds
 	plain      bool         // without links
@@ -63,12 +63,12 @@
 func keepers(t testing.TB, n int, term gateway.Micros) *fleetOf { return begin(t, n, term, false) }
 
 func begin(t testing.TB, n int, term gateway.Micros, plain bool) *fleetOf {
-	f := &fleetOf{t: t, term: term, plain: plain, says: map[fleet.MemberID]string{},
-		logs: map[fleet.MemberID]string{}, folders: map[fleet.MemberID]string{},
-		links: map[[2]fleet.MemberID][]*link{},
-		up:    map[fleet.MemberID]*running{}}
+	f := &fleetOf{t: t, term: term, plain: plain, says: map[cluster.MemberID]string{},
+		logs: map[cluster.MemberID]string{}, folders: map[cluster.MemberID]string{},
+		links: map[[2]cluster.MemberID][]*link{},
+		up:    map[cluster.MemberID]*running{}}
 	for i := range n {
-		f.place(fleet.MemberID(fmt.Sprintf("m%d", i+1)))
+		f.place(cluster.MemberID(fmt.Sprintf("m%d", i+1)))
 	}
 	for _, m := range f.names {
 		f.start(m)
@@ -82,9 +82,9 @@
 }
 
 // place gives a keeper its addresses and its folder.
-func (f *fleetOf) place(m fleet.MemberID) {
+func (f *fleetOf) place(m cluster.MemberID) {
 	f.names = append(f.names, m)
-	for _, to := range []map[fleet.MemberID]string{f.says, f.logs} {
+	for _, to := range []map[cluster.MemberID]string{f.says, f.logs} {
 		kept, err := port.Keep()
 		require.NoError(f.t, err)
 		f.t.Cleanup(func() { kept.Close() })
@@ -94,29 +94,29 @@
 }
 
 // seen is the table of addresses as somebody has it.
-func (f *fleetOf) seen(by fleet.MemberID, real map[fleet.MemberID]string) map[fleet.MemberID]string {
+func (f *fleetOf) seen(by cluster.MemberID, real map[cluster.MemberID]string) map[cluster.MemberID]string {
 	if f.plain {
 		return real
 	}
-	table := map[fleet.MemberID]string{}
+	table := map[cluster.MemberID]string{}
 	for m, addr := range real {
 		l := newLink(f.t, addr)
-		f.links[[2]fleet.MemberID{by, m}] = append(f.links[[2]fleet.MemberID{by, m}], l)
+		f.links[[2]cluster.MemberID{by, m}] = append(f.links[[2]cluster.MemberID{by, m}], l)
 		table[m] = l.on.Addr().String()
 	}
 	return table
 }
 
 // cut cuts one off from some others, or joins it to them again.
-func (f *fleetOf) cut(one fleet.MemberID, cut bool, others ...fleet.MemberID) {
+func (f *fleetOf) cut(one cluster.MemberID, cut bool, others ...cluster.MemberID) {
 	for _, m := range others {
-		for _, l := range append(f.links[[2]fleet.MemberID{one, m}], f.links[[2]fleet.MemberID{m, one}]...) {
+		for _, l := range append(f.links[[2]cluster.MemberID{one, m}], f.links[[2]cluster.MemberID{m, one}]...) {
 			l.set(cut)
 		}
 	}
 }
 
-func (f *fleetOf) start(m fleet.MemberID) {
+func (f *fleetOf) start(m cluster.MemberID) {
 	says, err := net.Listen("tcp", f.says[m])
 	require.NoError(f.t, err)
 	r := &running{server: transport.Hears(1000, time.Second), talk: transport.New(m, f.seen(m, f.says)),
@@ -128,7 +128,7 @@
 	f.up[m] = r
 }
 
-func (f *fleetOf) open(m fleet.MemberID, r *running) (*raftnode.Keeper, error) {
+func (f *fleetOf) open(m cluster.MemberID, r *running) (*raftnode.Keeper, error) {
 	log, err := net.Listen("tcp", f.logs[m])
 	require.NoError(f.t, err)
 	return raftnode.Open(raftnode.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.term,
@@ -136,7 +136,7 @@
 		counted{log, &f.moved})
 }
 
-func (f *fleetOf) stop(m fleet.MemberID) {
+func (f *fleetOf) stop(m cluster.MemberID) {
 	r := f.up[m]
 	delete(f.up, m)
 	r.Close()
@@ -145,7 +145,7 @@
 }
 
 // leader waits for one, other than those named.
-func (f *fleetOf) leader(but ...fleet.MemberID) (who fleet.MemberID) {
+func (f *fleetOf) leader(but ...cluster.MemberID) (who cluster.MemberID) {
 	require.Eventually(f.t, func() bool {
 		for m, r := range f.up {
 			if _, self := r.Leads(); self && !contains(but, m) {
@@ -158,7 +158,7 @@
 	return who
 }
 
-func contains(all []fleet.MemberID, m fleet.MemberID) bool {
+func contains(all []cluster.MemberID, m cluster.MemberID) bool {
 	for _, other := range all {
 		if other == m {
 			return true
@@ -167,13 +167,13 @@
 	return false
 }
 
-func (f *fleetOf) keepers(by fleet.MemberID) *member.Keepers {
+func (f *fleetOf) keepers(by cluster.MemberID) *member.Keepers {
 	t := transport.New(by, f.seen(by, f.says))
 	f.t.Cleanup(t.Close)
 	return member.NewKeepers(t, f.names, rand.Float64)
 }
 
-func (f *fleetOf) member(name fleet.MemberID, wants ...fleet.Task) *member.Session {
+func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Task) *member.Session {
 	f.lives++
 	s := member.NewSession(member.Life{Self: name, Incarnation: f.lives, Term: f.term,
 		Apart: 0.05, Clock: clock, Keepers: f.keepers(name)})
@@ -184,7 +184,7 @@
 	return s
 }
 
-func holds(t testing.TB, s *member.Session, task fleet.Task) (e fleet.Epoch) {
+func holds(t testing.TB, s *member.Session, task cluster.Task) (e cluster.Epoch) {
 	require.Eventually(t, func() (held bool) {
 		e, held = s.Holds(task)
 		return held
@@ -193,10 +193,10 @@
 }
 
 // watched looks all the time who holds a task: never two at once, never an epoch that goes back.
-func watched(t testing.TB, task fleet.Task, all ...*member.Session) {
+func watched(t testing.TB, task cluster.Task, all ...*member.Session) {
 	end, over := make(chan struct{}), make(chan string, 1)
 	go func() {
-		var last fleet.Epoch
+		var last cluster.Epoch
 		for {
 			select {
 			case <-end:
--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -7,10 +7,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // followed is a part of the state that is kept up with.
@@ -34,7 +34,7 @@
 // follow asks any keeper for what is newer, another one each time that brought nothing: guards against one
 // that is cut off from the others and never has anything new.
 func (s *Session) follow() {
-	at, failures := fleet.MemberID(""), 0
+	at, failures := cluster.MemberID(""), 0
 	for !s.closed() {
 		ask := s.unknown()
 		if len(ask.Versions)+len(ask.Wants) == 0 {
@@ -139,7 +139,7 @@
 }
 
 // another is a keeper other than the one asked last, where that one is no longer to be asked.
-func (k *Keepers) another(last fleet.MemberID, failed bool) fleet.MemberID {
+func (k *Keepers) another(last cluster.MemberID, failed bool) cluster.MemberID {
 	if last != "" && !failed {
 		return last
 	}
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -30,8 +30,8 @@
 	apart float64
 
 	mu     sync.Mutex
-	clocks map[fleet.MemberID]*shardmap.Clock
-	lives  map[fleet.MemberID]uint64 // of their folders, as told last
+	clocks map[cluster.MemberID]*shardmap.Clock
+	lives  map[cluster.MemberID]uint64 // of their folders, as told last
 }
 
 // taker takes a webhook on in this process.
@@ -122,7 +122,7 @@
 
 // say sends webhooks to a member's folder, of the life that was told last, and reads one answer for each.
 // Where that folder is new, nothing was taken: again sends them to that. Errors as talk.Say's.
-func (f *forwarding) say(to fleet.MemberID, path string, s sent, within gateway.Micros, again bool) ([]heard,
+func (f *forwarding) say(to cluster.MemberID, path string, s sent, within gateway.Micros, again bool) ([]heard,
 	uint64, error) {
 	for ; ; again = false {
 		s.Life = f.life(to)
@@ -149,13 +149,13 @@
 	}
 }
 
-func (f *forwarding) life(of fleet.MemberID) uint64 {
+func (f *forwarding) life(of cluster.MemberID) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lives[of]
 }
 
-func (f *forwarding) lived(of fleet.MemberID, life uint64) {
+func (f *forwarding) lived(of cluster.MemberID, life uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lives[of] = life
--- a/cluster/member/gap_test.go
+++ b/cluster/member/gap_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // gaps are what a holder measured between the last look at its clock and the return of the last byte's write.
@@ -58,7 +58,7 @@
 		default:
 		}
 		from := time.Now()
-		s.Guarded("home/1", func(_ fleet.Epoch, still func() bool) {
+		s.Guarded("home/1", func(_ cluster.Epoch, still func() bool) {
 			if _, err := c.Write(said[:len(said)-1]); err != nil || !still() {
 				return
 			}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -6,10 +6,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -25,7 +25,7 @@
 
 // harm counts how webhooks end here, answers conductors, and, where this member conducts, asks the others.
 type harm struct {
-	self  fleet.MemberID
+	self  cluster.MemberID
 	homes *homes
 	d     *decider.Decider
 	now   func() gateway.Micros
@@ -147,7 +147,7 @@
 	ctx.SetBody(transport.Encode(h.tell(a)))
 }
 
-func (h *harm) took(number uint64, from fleet.MemberID, r rebalance.Report) {
+func (h *harm) took(number uint64, from cluster.MemberID, r rebalance.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.gathered.Take(number, from, r)
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -54,7 +54,7 @@
 		assert.Equal(t, want, what)
 		assert.Equal(t, wait, in)
 	}
-	r := h.tell(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^fleet.KeyHash(0)}}})
+	r := h.tell(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
 	assert.Equal(t, rebalance.Ends{Ended: 9, Rejected: 3, DeadLettered: 3, Late: 2}, r.Spots[0].Now)
 }
 
@@ -62,7 +62,7 @@
 func FuzzHear(f *testing.F) {
 	even, err := shardmap.Even(2, []shardmap.Weight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
-	f.Add(transport.Encode(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^fleet.KeyHash(0)}}}))
+	f.Add(transport.Encode(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, gateway.Second, 0),
 			now: func() gateway.Micros { return 0 }}
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -5,9 +5,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -26,7 +26,7 @@
 // one of its key, sent to the target, overtakes: its sender keeps it.
 func (f *forwarding) admit(chart *shardmap.Map, s sent, c shardmap.Carried) (shardmap.Admission, shardmap.Verdict) {
 	admission, v := chart.AdmitOf(f.homes.tenant(), c.Dest, s.Version)
-	_, held := f.homes.session.Holds(fleet.HomeOf(v.Range))
+	_, held := f.homes.session.Holds(cluster.HomeOf(v.Range))
 	if admission == shardmap.Take && v.Passes.Open() && (!held || f.homes.isShut(v)) {
 		admission = shardmap.Behind
 	}
@@ -73,7 +73,7 @@
 }
 
 // lag is by how much this member's clock shows more than another's.
-func (f *forwarding) lag(from fleet.MemberID, sentAt gateway.Micros) gateway.Micros {
+func (f *forwarding) lag(from cluster.MemberID, sentAt gateway.Micros) gateway.Micros {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.clocks[from] == nil {
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -7,17 +7,17 @@
 	"sync"
 	"sync/atomic"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // homes keeps a member's homes as the map names them: it asks for their tasks, says by which grant it serves,
 // and lets go of those that go elsewhere.
 type homes struct {
-	self    fleet.MemberID
+	self    cluster.MemberID
 	term    gateway.Micros
 	now     func() gateway.Micros
 	session *Session
@@ -73,7 +73,7 @@
 }
 
 // VerdictAt is the same for whatever stands at a place among the ranges.
-func (h *homes) VerdictAt(key fleet.KeyHash) shardmap.Verdict {
+func (h *homes) VerdictAt(key cluster.KeyHash) shardmap.Verdict {
 	chart := h.chart.Load()
 	if chart == nil {
 		return shardmap.Verdict{Do: shardmap.Keep}
@@ -91,9 +91,9 @@
 	if chart == nil {
 		return
 	}
-	say := func(what string, r shardmap.Range, c fleet.Command) { reached = reached && h.say(what, r, c) }
+	say := func(what string, r shardmap.Range, c cluster.Command) { reached = reached && h.say(what, r, c) }
 	for _, r := range chart.Ranges {
-		task := fleet.HomeOf(r.ID)
+		task := cluster.HomeOf(r.ID)
 		epoch, held := h.session.Holds(task)
 		switch {
 		case held && h.leaves(r):
@@ -126,7 +126,7 @@
 
 // letGo gives up a home that goes elsewhere as soon as it may. What came before the range was shut is counted
 // at the next look.
-func (h *homes) letGo(r shardmap.Range, task fleet.Task, epoch fleet.Epoch) {
+func (h *homes) letGo(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
 	out, owed := h.side.Out(r), h.side.Owes(r)
 	if h.side.Told(r) && r.Shuts(h.self, out, owed, mostAtOnce) && h.shut(r) {
 		return
@@ -173,9 +173,9 @@
 // reopen forgets ranges whose move has switched or gone back, or goes over too slowly.
 func (h *homes) reopen(chart *shardmap.Map) {
 	h.shuts.Range(func(id, is any) bool {
-		r, ok := chart.Get(id.(fleet.RangeID))
+		r, ok := chart.Get(id.(cluster.RangeID))
 		s := is.(shutting)
-		_, held := h.session.Holds(fleet.HomeOf(r.ID))
+		_, held := h.session.Holds(cluster.HomeOf(r.ID))
 		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.Passing || r.Home != h.self ||
 			held && h.now()-s.since > h.term/shutPart {
 			h.shuts.Delete(id)
@@ -196,10 +196,10 @@
 
 // say proposes what one range needs, and tells whether a leader answered. A refusal means that the map went
 // on: the next one tells what holds.
-func (h *homes) say(what string, r shardmap.Range, c fleet.Command) (reached bool) {
+func (h *homes) say(what string, r shardmap.Range, c cluster.Command) (reached bool) {
 	if _, err := h.Propose(c); err != nil {
 		level := slog.LevelWarn
-		if errors.Is(err, fleet.ErrStale) || errors.Is(err, fleet.ErrHeld) {
+		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrHeld) {
 			level = slog.LevelDebug
 		}
 		slog.Log(context.Background(), level, what+" not said", "range", r.ID, "why", err)
@@ -215,7 +215,7 @@
 }
 
 // Propose has a command put in the log.
-func (h *homes) Propose(c fleet.Command) (answer []byte, err error) {
+func (h *homes) Propose(c cluster.Command) (answer []byte, err error) {
 	answer, _, err = h.session.Keepers.Propose(c, span(timing.Opening(h.term)))
 	return answer, err
 }
--- a/cluster/member/keepers.go
+++ b/cluster/member/keepers.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // Keepers finds the one that leads.
@@ -20,18 +20,18 @@
 	chance func() float64 // a draw from [0, 1)
 
 	mu     sync.Mutex
-	all    []fleet.MemberID
-	leader fleet.MemberID // by the last answer; "": not known
-	silent fleet.MemberID // it did not answer the last time: asked last
+	all    []cluster.MemberID
+	leader cluster.MemberID // by the last answer; "": not known
+	silent cluster.MemberID // it did not answer the last time: asked last
 }
 
 // NewKeepers knows the keepers' names; chance is called by one caller at a time.
-func NewKeepers(t *transport.Talk, all []fleet.MemberID, chance func() float64) *Keepers {
+func NewKeepers(t *transport.Talk, all []cluster.MemberID, chance func() float64) *Keepers {
 	return &Keepers{talk: t, chance: chance, all: slices.Clone(all)}
 }
 
 // Renew takes other names.
-func (k *Keepers) Renew(all []fleet.MemberID) {
+func (k *Keepers) Renew(all []cluster.MemberID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.all, k.leader = slices.Clone(all), ""
@@ -54,7 +54,7 @@
 	for _, to := range k.order() {
 		for hops := 0; to != "" && hops < 2; hops++ {
 			status, answer, err := k.talk.Say(to, path, body, time.Until(until))
-			next := fleet.MemberID("")
+			next := cluster.MemberID("")
 			switch {
 			case errors.Is(err, transport.ErrUnsure), err == nil && status == fasthttp.StatusGatewayTimeout:
 				k.silence(to)
@@ -88,15 +88,15 @@
 }
 
 // order is in which they are asked: the one that led, then the others.
-func (k *Keepers) order() []fleet.MemberID {
+func (k *Keepers) order() []cluster.MemberID {
 	all := k.spread()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	slices.SortStableFunc(all, func(a, b fleet.MemberID) int { return k.rank(a) - k.rank(b) })
+	slices.SortStableFunc(all, func(a, b cluster.MemberID) int { return k.rank(a) - k.rank(b) })
 	return all
 }
 
-func (k *Keepers) rank(m fleet.MemberID) int {
+func (k *Keepers) rank(m cluster.MemberID) int {
 	switch m {
 	case k.leader:
 		return 0
@@ -106,14 +106,14 @@
 	return 1
 }
 
-func (k *Keepers) silence(m fleet.MemberID) {
+func (k *Keepers) silence(m cluster.MemberID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leader, k.silent = "", m
 }
 
 // spread is all of them, from a drawn one on.
-func (k *Keepers) spread() (all []fleet.MemberID) {
+func (k *Keepers) spread() (all []cluster.MemberID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	first := int(k.chance() * float64(len(k.all)))
@@ -123,7 +123,7 @@
 	return all
 }
 
-func (k *Keepers) leads(m fleet.MemberID) {
+func (k *Keepers) leads(m cluster.MemberID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.leader = m; m == k.silent {
@@ -133,7 +133,7 @@
 
 // Propose has a command put in the log and answers what its part said, with the entry's index, or which
 // refusal; errors as Ask's besides.
-func (k *Keepers) Propose(c fleet.Command, within time.Duration) (answer []byte, index uint64, err error) {
+func (k *Keepers) Propose(c cluster.Command, within time.Duration) (answer []byte, index uint64, err error) {
 	raw, err := k.Ask(transport.ProposePath, transport.Encode(c), within)
 	if err != nil {
 		return nil, 0, err
--- a/cluster/member/keepers_test.go
+++ b/cluster/member/keepers_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // A keeper that lost its folder comes in as another server; what was granted stands, and the lost one's vote
@@ -60,7 +60,7 @@
 	for _, cut := range []bool{true, false} {
 		f.cut("m3", cut, f.names...)
 		time.Sleep(2 * time.Second)
-		for _, m := range []fleet.MemberID{"m1", "m3"} {
+		for _, m := range []cluster.MemberID{"m1", "m3"} {
 			_, self := f.up[m].Leads()
 			require.False(t, self)
 		}
@@ -77,7 +77,7 @@
 	epoch := holds(t, a, "home/1")
 	f.place("m4")
 	gone := f.leader()
-	f.names = slices.DeleteFunc(f.names, func(m fleet.MemberID) bool { return m == gone })
+	f.names = slices.DeleteFunc(f.names, func(m cluster.MemberID) bool { return m == gone })
 	delete(f.logs, gone)
 	f.start("m4")
 	for m, r := range f.up {
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
@@ -23,8 +23,8 @@
 	chart.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
-		a.Want(fleet.HomeOf(r.ID))
-		holds(t, a, fleet.HomeOf(r.ID))
+		a.Want(cluster.HomeOf(r.ID))
+		holds(t, a, cluster.HomeOf(r.ID))
 	}
 	last := &chart.Ranges[3]
 	last.Home = "m2"
@@ -32,6 +32,6 @@
 	keeper.mu.Lock()
 	require.Equal(t, 1, keeper.charts)
 	keeper.mu.Unlock()
-	_, held := a.Holds(fleet.HomeOf(last.ID))
+	_, held := a.Holds(cluster.HomeOf(last.ID))
 	require.False(t, held)
 }
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 func (m *Member) watches() (number uint64, of []rebalance.Watch) {
 	chart := m.homes.Map()
-	if _, held := m.session.Holds(fleet.Conducts); !held || chart == nil {
+	if _, held := m.session.Holds(cluster.Conducts); !held || chart == nil {
 		return 0, nil
 	}
 	p := m.progress.Load()
@@ -80,7 +80,7 @@
 	m.nudge()
 }
 
-func (m *Member) says() map[fleet.MemberID]string {
+func (m *Member) says() map[cluster.MemberID]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return says(m.file)
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
@@ -22,7 +23,6 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
@@ -39,7 +39,7 @@
 // Member is one, beside its dispatcher.
 type Member struct {
 	path    string
-	self    fleet.MemberID
+	self    cluster.MemberID
 	text    []byte
 	file    config.File
 	d       *dispatcher.Dispatcher
@@ -97,7 +97,7 @@
 // Begin reads the file, opens the log where it is kept here, and joins the decider; nothing runs yet.
 func (m *Member) Begin(d *dispatcher.Dispatcher) (err error) {
 	m.facts.Store(&d.Facts)
-	m.d, m.self = d, fleet.MemberID(d.Told.Get("name").String())
+	m.d, m.self = d, cluster.MemberID(d.Told.Get("name").String())
 	if m.text, m.file, err = m.read(); err != nil {
 		return err
 	}
@@ -121,9 +121,9 @@
 		return fmt.Errorf("names of webhooks: %w", err)
 	}
 	f := &forwarding{homes: m.homes, x: d.Exchange, talk: m.talk, names: m.names, apart: m.file.Apart,
-		clocks: map[fleet.MemberID]*shardmap.Clock{}, lives: map[fleet.MemberID]uint64{}}
+		clocks: map[cluster.MemberID]*shardmap.Clock{}, lives: map[cluster.MemberID]uint64{}}
 	m.owing = &owing{forwarding: f, decider: d.Decider, adopted: map[exchange.RequestID]shardmap.MoveID{},
-		told: map[shardmap.MoveID]bool{}, busy: map[fleet.MemberID]bool{}, events: m.event,
+		told: map[shardmap.MoveID]bool{}, busy: map[cluster.MemberID]bool{}, events: m.event,
 		looks: func() { nudge(m.pokeOwed) }}
 	f.side, m.homes.side = m.owing, m.owing
 	m.harm = &harm{self: m.self, homes: m.homes, d: d.Decider, now: m.clock, over: m.ended,
@@ -150,8 +150,8 @@
 	book := lease.NewBook()
 	m.keeper, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
 		Term: m.file.Term, Logs: logs(m.file), Talk: m.talk, Clock: m.clock, Book: book,
-		State: fsm.New(book, map[byte]fleet.Part{fleet.RangesPart: shardmap.New(book),
-			fleet.PlanPart: &rebalance.Progress{}})}, on)
+		State: fsm.New(book, map[byte]cluster.Part{cluster.RangesPart: shardmap.New(book),
+			cluster.PlanPart: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
 	}
@@ -196,7 +196,7 @@
 	m.session = NewSession(Life{Self: m.self, Incarnation: lease.Incarnation(drawn()),
 		Term: m.file.Term, Apart: m.file.Apart, Clock: m.clock,
 		Keepers: NewKeepers(m.talk, keepers(m.file), rand.Float64),
-		Told:    func(fleet.Task, fleet.Epoch) { m.nudge() }})
+		Told:    func(cluster.Task, cluster.Epoch) { m.nudge() }})
 	m.homes.session = m.session
 	if err := m.sites.Serve(m.session); err != nil { // guards against a second effect, as above
 		slog.Error("what goes to relays not read", "why", err)
@@ -204,11 +204,11 @@
 	}
 	m.conductor = &conductor{homes: m.homes, harm: m.harm, vacancy: shardmap.NewVacancies(m.file.Term)}
 	go m.server.Serve(m.on)
-	m.session.Follow(fleet.RangesPart, func(_ uint64, s []byte) { m.homes.Charted(s) })
+	m.session.Follow(cluster.RangesPart, func(_ uint64, s []byte) { m.homes.Charted(s) })
 	if m.keeper != nil {
-		m.session.Want(fleet.Conducts)
-		m.session.Follow(fleet.LeasePart, m.booked)
-		m.session.Follow(fleet.PlanPart, m.planned)
+		m.session.Want(cluster.Conducts)
+		m.session.Follow(cluster.LeasePart, m.booked)
+		m.session.Follow(cluster.PlanPart, m.planned)
 	}
 	m.done.Add(2)
 	go m.measure()
--- a/cluster/member/merged.go
+++ b/cluster/member/merged.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // merged gives up the tasks of ranges that are no range of their own any more: guards against a grant by
@@ -22,7 +22,7 @@
 }
 
 // homesBut lists the homes' tasks that are wanted here and that a map doesn't have.
-func (s *Session) homesBut(chart *shardmap.Map) (all []fleet.Task) {
+func (s *Session) homesBut(chart *shardmap.Map) (all []cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, task := range s.wishes.Wanted() {
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -4,9 +4,9 @@
 	"errors"
 	"log/slog"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -14,7 +14,7 @@
 
 // handOn offers what is owed to its home, or to the target of its move, and has it parked in doubt until
 // there is an answer. What has none is offered again: there it is known by its name.
-func (o *owing) handOn(chart *shardmap.Map, to fleet.MemberID, move shardmap.MoveID, all []decider.Owed) {
+func (o *owing) handOn(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []decider.Owed) {
 	f := o.forwarding
 	s := sent{Version: chart.Version, At: exchange.Now(), Move: move}
 	all = o.offered(chart, to, move, all, &s)
@@ -50,7 +50,7 @@
 
 // offered writes to whom webhooks are on their way, before they are. It keeps those that are still parked
 // here.
-func (o *owing) offered(chart *shardmap.Map, to fleet.MemberID, move shardmap.MoveID, all []decider.Owed,
+func (o *owing) offered(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []decider.Owed,
 	s *sent) (still []decider.Owed) {
 	f := o.forwarding
 	ids, names := make([]gateway.WebhookID, len(all)), make([]shardmap.Name, len(all))
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	adopted map[exchange.RequestID]shardmap.MoveID // came here by a move that has not ended
 	told    map[shardmap.MoveID]bool               // its target knows what was learned here
-	busy    map[fleet.MemberID]bool                // is being told
+	busy    map[cluster.MemberID]bool              // is being told
 }
 
 // adopts notes by which move a webhook came here; 0: by none, or it did not.
@@ -64,7 +64,7 @@
 	}
 	all, _ := o.decider.Owes(func(*exchange.Webhook) bool { return true })
 	o.over(chart)
-	errands := map[fleet.MemberID]*errand{}
+	errands := map[cluster.MemberID]*errand{}
 	for to, e := range o.sorts(chart, all) {
 		if o.starts(to) {
 			errands[to] = e
@@ -82,7 +82,7 @@
 	o.teach(chart)
 }
 
-func (o *owing) starts(to fleet.MemberID) bool {
+func (o *owing) starts(to cluster.MemberID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	was := o.busy[to]
@@ -90,7 +90,7 @@
 	return !was
 }
 
-func (o *owing) ends(to fleet.MemberID) {
+func (o *owing) ends(to cluster.MemberID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.busy, to)
@@ -98,13 +98,13 @@
 
 // sorts is who is to be told what. Behind one that is in doubt, or is waited for, nothing of its key is
 // handed on.
-func (o *owing) sorts(chart *shardmap.Map, all []decider.Owed) map[fleet.MemberID]*errand {
+func (o *owing) sorts(chart *shardmap.Map, all []decider.Owed) map[cluster.MemberID]*errand {
 	type turn struct {
 		dest gateway.DestinationID
 		key  gateway.Key
 	}
-	errands, waits := map[fleet.MemberID]*errand{}, map[turn]bool{}
-	errandTo := func(to fleet.MemberID) *errand {
+	errands, waits := map[cluster.MemberID]*errand{}, map[turn]bool{}
+	errandTo := func(to cluster.MemberID) *errand {
 		if errands[to] == nil {
 			errands[to] = &errand{offers: map[shardmap.MoveID][]decider.Owed{}}
 		}
@@ -147,7 +147,7 @@
 }
 
 // goes is where a webhook belongs, and by which move it goes there; false: it stays here for now.
-func (o *owing) goes(chart *shardmap.Map, w decider.Owed) (fleet.MemberID, shardmap.MoveID, bool) {
+func (o *owing) goes(chart *shardmap.Map, w decider.Owed) (cluster.MemberID, shardmap.MoveID, bool) {
 	o.mu.Lock()
 	_, adopted := o.adopted[w.RequestID]
 	o.mu.Unlock()
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -4,11 +4,11 @@
 	"log/slog"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -105,15 +105,15 @@
 func (m *Member) Leave() {
 	turns := m.file.Leaving
 	for i := range turns {
-		m.session.Want(fleet.LeaveTurn(i))
+		m.session.Want(cluster.LeaveTurn(i))
 	}
 	until := time.Now().Add(leaveBy * span(m.file.Term))
 	for time.Now().Before(until) {
 		for i := range turns {
-			if e, held := m.session.Holds(fleet.LeaveTurn(i)); held {
+			if e, held := m.session.Holds(cluster.LeaveTurn(i)); held {
 				for j := range turns {
 					if j != i {
-						m.session.Release(fleet.LeaveTurn(j))
+						m.session.Release(cluster.LeaveTurn(j))
 					}
 				}
 				slog.Info("leaves in turn", "turn", i, "epoch", e)
--- a/cluster/member/said.go
+++ b/cluster/member/said.go
@@ -1,8 +1,8 @@
 package member
 
 import (
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -16,7 +16,7 @@
 
 // sent is webhooks on their way to their home.
 type sent struct {
-	Version fleet.Version      `cbor:"1,keyasint"`           // of the map that they were sent by
+	Version cluster.Version    `cbor:"1,keyasint"`           // of the map that they were sent by
 	At      gateway.Micros     `cbor:"2,keyasint"`           // by their sender's clock, as the times within
 	Move    shardmap.MoveID    `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
 	All     []shardmap.Carried `cbor:"4,keyasint"`           // in the order taken
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -52,17 +52,17 @@
 	t.Cleanup(func() { server.Close(time.Second) })
 	var all []*member.Session
 	for i := range members {
-		id := fleet.MemberID(fmt.Sprint("a", i))
-		say := transport.New(id, map[fleet.MemberID]string{"m1": on.Addr().String()})
+		id := cluster.MemberID(fmt.Sprint("a", i))
+		say := transport.New(id, map[cluster.MemberID]string{"m1": on.Addr().String()})
 		a := member.NewSession(member.Life{Self: id, Incarnation: 1, Term: term, Apart: 0.05, Clock: clock,
-			Keepers: member.NewKeepers(say, []fleet.MemberID{"m1"}, rand.Float64)})
+			Keepers: member.NewKeepers(say, []cluster.MemberID{"m1"}, rand.Float64)})
 		t.Cleanup(func() { a.Close(); say.Close() })
 		all = append(all, a)
 	}
 	return s, all
 }
 
-func (s *scripted) apply(c fleet.Command) transport.Proposed {
+func (s *scripted) apply(c cluster.Command) transport.Proposed {
 	s.index++
 	raw, err := s.book.Apply(s.index, c.Body)
 	return transport.Proposed{Answer: raw, Refusal: fsm.Code(err), Index: s.index}
@@ -86,10 +86,10 @@
 func (s *scripted) propose(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var c fleet.Command
+	var c cluster.Command
 	var o lease.Order
 	transport.Decode(ctx.Request.Body(), &c)
-	if c.Part == fleet.RangesPart {
+	if c.Part == cluster.RangesPart {
 		s.charts++
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
@@ -105,7 +105,7 @@
 	ctx.SetBody(body)
 }
 
-func (s *scripted) free(task fleet.Task) bool {
+func (s *scripted) free(task cluster.Task) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _, _, held := s.book.Holder(task)
@@ -146,7 +146,7 @@
 	transport.Decode(ctx.Request.Body(), &ask)
 	s.mu.Lock()
 	if n := len(s.asked); n < len(s.parts) {
-		answer.Parts, s.asked = s.parts[n:n+1], append(s.asked, ask.Versions[fleet.PlanPart])
+		answer.Parts, s.asked = s.parts[n:n+1], append(s.asked, ask.Versions[cluster.PlanPart])
 	}
 	s.mu.Unlock()
 	if len(answer.Parts) == 0 {
@@ -160,7 +160,7 @@
 	t.Parallel()
 	_, all := scriptOf(t, 300, 10*gateway.Second, nil)
 	for _, s := range all {
-		s.Follow(fleet.PlanPart, func(uint64, []byte) {})
+		s.Follow(cluster.PlanPart, func(uint64, []byte) {})
 	}
 	time.Sleep(11 * time.Second) // each renews
 	for _, s := range all {
@@ -173,12 +173,12 @@
 func TestAChangeThatDoesNotFitHasTheWholeAskedFor(t *testing.T) {
 	keeper, a := script(t, nil)
 	part := func(version, since uint64, snapshot string) transport.PartState {
-		return transport.PartState{Part: fleet.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
+		return transport.PartState{Part: cluster.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
 	}
 	keeper.parts = []transport.PartState{part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"),
 		part(3, 0, "three"), part(7, 0, "seven")}
 	news := make(chan string, 9)
-	a.Follow(fleet.PlanPart, func(_ uint64, s []byte) { news <- string(s) })
+	a.Follow(cluster.PlanPart, func(_ uint64, s []byte) { news <- string(s) })
 	require.Equal(t, "five", <-news)
 	require.Equal(t, "seven", <-news)
 	keeper.mu.Lock()
@@ -190,15 +190,15 @@
 // against a range without a home for good: whoever is neither home nor target has nothing to wait for.
 func TestAHomeTakenByAFormerWishIsLetGoWhileItsMovePasses(t *testing.T) {
 	_, a := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
-	a.Want(fleet.HomeOf(1))
-	holds(t, a, fleet.HomeOf(1))
+	a.Want(cluster.HomeOf(1))
+	holds(t, a, cluster.HomeOf(1))
 	chart := shardmap.New(nil)
-	chart.Ranges = []shardmap.Range{{ID: 1, To: ^fleet.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
+	chart.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
 		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.Passing}}}
 	look := member.Looks("a0", a, chart)
 	require.Eventually(t, func() bool {
 		look()
-		_, held := a.Holds(fleet.HomeOf(1))
+		_, held := a.Holds(cluster.HomeOf(1))
 		return !held
 	}, longer/10, time.Millisecond)
 }
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -5,23 +5,23 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // Life is what a member's session is told at its start.
 type Life struct {
-	Self        fleet.MemberID
+	Self        cluster.MemberID
 	Incarnation lease.Incarnation // drawn at each start of the process
 	Term        gateway.Micros
 	Apart       float64               // lease.NewTenure's
 	Clock       func() gateway.Micros // never runs back
 	Keepers     *Keepers
-	Told        func(fleet.Task, fleet.Epoch) // of each task that it has from now on; with epoch 0, no more
+	Told        func(cluster.Task, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
 }
 
 // Session keeps a member's session up and what hangs on it.
@@ -32,7 +32,7 @@
 	mu      sync.Mutex
 	tenure  *lease.Tenure
 	wishes  *lease.Wishes
-	has     map[fleet.Task]fleet.Epoch // as Told last
+	has     map[cluster.Task]cluster.Epoch // as Told last
 	follows map[byte]*followed
 
 	fresh bool // a task became free: all who wait for it are told in one moment
@@ -49,7 +49,7 @@
 func NewSession(l Life) *Session {
 	tenure := lease.NewTenure(l.Term, l.Apart)
 	s := &Session{Life: l, tenure: tenure, wishes: lease.NewWishes(tenure, timing.Reask(l.Term)),
-		has: map[fleet.Task]fleet.Epoch{}, follows: map[byte]*followed{}, poke: make(chan struct{}, 1),
+		has: map[cluster.Task]cluster.Epoch{}, follows: map[byte]*followed{}, poke: make(chan struct{}, 1),
 		look: make(chan struct{}, 1), toTell: make(chan struct{}, 1), toHand: make(chan struct{}, 1),
 		ended: make(chan struct{})}
 	s.done.Go(s.telling)
@@ -92,7 +92,7 @@
 }
 
 // Want has a task asked for until it is released.
-func (s *Session) Want(t fleet.Task) {
+func (s *Session) Want(t cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Want(t) {
@@ -102,14 +102,14 @@
 }
 
 // Unwant drops a wish of before, where nothing was granted by it; cheap, since it is called time and again.
-func (s *Session) Unwant(t fleet.Task) {
+func (s *Session) Unwant(t cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wishes.Unwant(t)
 }
 
 // Release gives a task up at once, and tells the keepers.
-func (s *Session) Release(t fleet.Task) {
+func (s *Session) Release(t cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wishes.Release(t)
@@ -118,7 +118,7 @@
 }
 
 // Holds looks at the clock: by which epoch the task may be acted on now.
-func (s *Session) Holds(t fleet.Task) (fleet.Epoch, bool) {
+func (s *Session) Holds(t cluster.Task) (cluster.Epoch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tenure.Epoch(t, s.Clock())
@@ -126,7 +126,7 @@
 
 // Guarded does a deed if the task is held. The deed calls still right before its last byte goes out, and
 // leaves it if that says no: between the two lies what can't be fenced at a partner.
-func (s *Session) Guarded(t fleet.Task, deed func(e fleet.Epoch, still func() bool)) bool {
+func (s *Session) Guarded(t cluster.Task, deed func(e cluster.Epoch, still func() bool)) bool {
 	e, held := s.Holds(t)
 	if held {
 		deed(e, func() bool {
@@ -174,7 +174,7 @@
 }
 
 // ask asks the leading keeper once, and tells whether it answered.
-func (s *Session) ask(a lease.Ask, session fleet.SessionID, tally lease.Tally) bool {
+func (s *Session) ask(a lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
 	within := timing.Answer(s.Term)
 	if session == 0 {
 		within = timing.Opening(s.Term)
@@ -217,7 +217,7 @@
 }
 
 // refused is a keeper's no to a session: all is given up.
-func (s *Session) refused(session fleet.SessionID) {
+func (s *Session) refused(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tenure.Refused(session)
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 func TestATaskIsOneMembersUntilItLetsItGo(t *testing.T) {
@@ -55,7 +55,7 @@
 	leader := f.leader()
 	say := transport.New("a", f.says)
 	defer say.Close()
-	renew := func(session fleet.SessionID) (status int, answer transport.SessionAnswer) {
+	renew := func(session cluster.SessionID) (status int, answer transport.SessionAnswer) {
 		ask := transport.SessionAsk{Member: "a", Session: session, Incarnation: 77}
 		status, raw, err := say.Say(leader, transport.SessionPath, transport.Encode(ask), longer)
 		require.NoError(t, err)
@@ -151,14 +151,14 @@
 	a := f.member("a")
 	var seen atomic.Pointer[lease.Book]
 	var versions []uint64
-	a.Follow(fleet.LeasePart, func(version uint64, snapshot []byte) {
+	a.Follow(cluster.LeasePart, func(version uint64, snapshot []byte) {
 		versions = append(versions, version)
 		book := lease.NewBook()
 		if book.Restore(snapshot) == nil {
 			seen.Store(book)
 		}
 	})
-	knows := func(by *member.Session, task fleet.Task) {
+	knows := func(by *member.Session, task cluster.Task) {
 		epoch := holds(t, by, task)
 		require.Eventually(t, func() bool {
 			book := seen.Load()
@@ -169,14 +169,14 @@
 	knows(b, "home/1")
 	for i, m := range f.names { // one that is cut off has nothing new
 		f.cut(m, true, f.names...)
-		task := fleet.HomeOf(fleet.RangeID(10 + i))
+		task := cluster.HomeOf(cluster.RangeID(10 + i))
 		b.Want(task)
 		knows(b, task)
 		f.cut(m, false, f.names...)
 	}
-	many := make([]fleet.Task, 0, 200)
+	many := make([]cluster.Task, 0, 200)
 	for i := range cap(many) {
-		many = append(many, fleet.HomeOf(fleet.RangeID(100+i)))
+		many = append(many, cluster.HomeOf(cluster.RangeID(100+i)))
 		b.Want(many[i])
 	}
 	for i, task := range append(many, "home/13", "home/14") { // guards against the whole at each step
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -3,9 +3,9 @@
 import (
 	"github.com/tidwall/gjson"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -22,13 +22,13 @@
 func (m *Member) serves(d gateway.DestinationID) bool { return m.homes.Verdict(d).Do == shardmap.Serve }
 
 // homeOf is whether it is home of where a site's subscribers stand.
-func (m *Member) homeOf(s fleet.SiteID) bool {
-	return m.homes.VerdictAt(fleet.SiteHash(s)).Do == shardmap.Serve
+func (m *Member) homeOf(s cluster.SiteID) bool {
+	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Serve
 }
 
 // alone is whether nobody may be home there, as no keeper is reached.
-func (m *Member) alone(s fleet.SiteID) bool {
-	return m.homes.VerdictAt(fleet.SiteHash(s)).Do == shardmap.Alone
+func (m *Member) alone(s cluster.SiteID) bool {
+	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Alone
 }
 
 // leastDiskMB is what the dispatcher's own journal has where nothing is told.
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -4,9 +4,9 @@
 	"errors"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -85,7 +85,7 @@
 // while.
 func (s *Session) grant(p lease.Proposal) error {
 	raw, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
-	if errors.Is(err, fleet.ErrUnknown) {
+	if errors.Is(err, cluster.ErrUnknown) {
 		s.refused(p.Session)
 	}
 	if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // freed is a keeper's word that tasks are free.
-func (s *Session) freed(tasks []fleet.Task) {
+func (s *Session) freed(tasks []cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Free(tasks) {
--- a/cluster/member/tell.go
+++ b/cluster/member/tell.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // tell compares what is held now with what was told last; the caller holds the lock.
@@ -31,7 +31,7 @@
 }
 
 // told has Told called by a loop of its own: it may ask the session back.
-func (s *Session) told(t fleet.Task, e fleet.Epoch) {
+func (s *Session) told(t cluster.Task, e cluster.Epoch) {
 	if s.Told != nil {
 		s.tells = append(s.tells, func() { s.Told(t, e) })
 		nudge(s.toTell)
--- a/cluster/member/told.go
+++ b/cluster/member/told.go
@@ -6,22 +6,22 @@
 	"strconv"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // says and logs are where the others hear, as this member reaches them.
-func says(f config.File) map[fleet.MemberID]string {
-	all := map[fleet.MemberID]string{}
+func says(f config.File) map[cluster.MemberID]string {
+	all := map[cluster.MemberID]string{}
 	for _, m := range f.Members {
 		all[m.ID] = m.Says
 	}
 	return all
 }
 
-func logs(f config.File) map[fleet.MemberID]string {
-	all := map[fleet.MemberID]string{}
+func logs(f config.File) map[cluster.MemberID]string {
+	all := map[cluster.MemberID]string{}
 	for _, m := range f.Members {
 		if m.Log != "" {
 			all[m.ID] = m.Log
@@ -30,7 +30,7 @@
 	return all
 }
 
-func keepers(f config.File) (all []fleet.MemberID) {
+func keepers(f config.File) (all []cluster.MemberID) {
 	for _, m := range f.Members {
 		if m.Log != "" {
 			all = append(all, m.ID)
--- a/cluster/raftnode/folder.go
+++ b/cluster/raftnode/folder.go
@@ -15,7 +15,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // folder is what a keeper has on disk. It is named at random when it is made: a keeper that lost its folder
@@ -34,7 +34,7 @@
 	logIsInUseBy = time.Second // waited for a process that ends and still has the log
 )
 
-func openFolder(path string, member fleet.MemberID, logger hclog.Logger) (*folder, error) {
+func openFolder(path string, member cluster.MemberID, logger hclog.Logger) (*folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
--- a/cluster/raftnode/found.go
+++ b/cluster/raftnode/found.go
@@ -8,9 +8,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // tend compares, again and again, who the keepers are with who they should be: the log is begun once, by the
@@ -154,7 +154,7 @@
 func (k *Keeper) reconcile(servers []raft.Server) {
 	k.mu.Lock()
 	keepers, joins := k.keepers, k.joins
-	k.joins = map[fleet.MemberID]transportpkg.Join{}
+	k.joins = map[cluster.MemberID]transportpkg.Join{}
 	led := k.reign != 0
 	k.mu.Unlock()
 	if !led {
@@ -210,8 +210,8 @@
 }
 
 // Servers are the keepers of the log as it has them now, and which of them vote.
-func (k *Keeper) Servers() map[fleet.MemberID]bool {
-	all := map[fleet.MemberID]bool{}
+func (k *Keeper) Servers() map[cluster.MemberID]bool {
+	all := map[cluster.MemberID]bool{}
 	for _, s := range k.raft.GetConfiguration().Configuration().Servers {
 		all[memberOf(s.ID)] = s.Suffrage == raft.Voter
 	}
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -7,11 +7,11 @@
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -75,7 +75,7 @@
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term, Holds: v.holds}))
 		case ended:
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term,
-				Refusal: fsm.Code(fleet.ErrUnknown)}))
+				Refusal: fsm.Code(cluster.ErrUnknown)}))
 		default:
 			k.elsewhere(ctx)
 		}
@@ -102,7 +102,7 @@
 }
 
 func (k *Keeper) propose(ctx *fasthttp.RequestCtx) {
-	var c fleet.Command
+	var c cluster.Command
 	if !read(ctx, &c) {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // enter puts a command into the log and waits until it is applied; else it answers why not.
-func (k *Keeper) enter(ctx *fasthttp.RequestCtx, c fleet.Command) (did applied, index uint64, ok bool) {
+func (k *Keeper) enter(ctx *fasthttp.RequestCtx, c cluster.Command) (did applied, index uint64, ok bool) {
 	if _, self := k.Leads(); !self {
 		k.elsewhere(ctx)
 		return applied{}, 0, false
--- a/cluster/raftnode/heard_test.go
+++ b/cluster/raftnode/heard_test.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // Guards against two keepers that take other entries for the same ones: a call of life goes the way of all
 // calls, and none commits what it does not vouch for.
 func TestCallsGoOneWayAndCommitWhatTheyVouchFor(t *testing.T) {
 	caller, called := transport(t, "a/1"), transport(t, "b/1")
-	caller.wire.renew(map[fleet.MemberID]string{"b": called.wire.on.Addr().String()})
+	caller.wire.renew(map[cluster.MemberID]string{"b": called.wire.on.Addr().String()})
 	beside := make(chan raft.RPC, 1)
 	called.SetHeartbeatHandler(func(rpc raft.RPC) { beside <- rpc })
 	commits := make(chan uint64, 1)
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -17,21 +17,21 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // Place is what a keeper is told at its start. Each address is as this member reaches the other.
 type Place struct {
 	Fleet  string
-	Self   fleet.MemberID
-	Folder string // LB_STATE: what it keeps is under fleet/
+	Self   cluster.MemberID
+	Folder string // LB_STATE: what it keeps is under cluster/
 	Term   gateway.Micros
-	Logs   map[fleet.MemberID]string // of all keepers, itself among them
+	Logs   map[cluster.MemberID]string // of all keepers, itself among them
 	Talk   *transportpkg.Talk
 	Clock  func() gateway.Micros // never runs back
 	Book   *lease.Book
@@ -41,7 +41,7 @@
 // Keeper is one copy of the log.
 type Keeper struct {
 	Counters
-	self     fleet.MemberID
+	self     cluster.MemberID
 	term     gateway.Micros
 	clock    func() gateway.Micros
 	talk     *transportpkg.Talk
@@ -64,8 +64,8 @@
 	refused error         // a snapshot that could not be read
 	news    chan struct{} // closed when a part is newer
 	waiters int
-	keepers []fleet.MemberID // by the operator file, sorted
-	joins   map[fleet.MemberID]transportpkg.Join
+	keepers []cluster.MemberID // by the operator file, sorted
+	joins   map[cluster.MemberID]transportpkg.Join
 	parts   map[byte]*fsm.Past
 }
 
@@ -75,7 +75,7 @@
 	k = &Keeper{self: p.Self, term: p.Term, clock: p.Clock, talk: p.Talk, book: p.Book, state: p.State,
 		terms: lease.NewTerms(p.Term), lead: make(chan bool, 16), asks: make(chan ask, 64),
 		outdated: make(chan struct{}),
-		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[fleet.MemberID]transportpkg.Join{},
+		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[cluster.MemberID]transportpkg.Join{},
 		parts: map[byte]*fsm.Past{}}
 	goes, logger := timing.OfLog(p.Term), newLogs(span(p.Term))
 	if k.folder, err = openFolder(filepath.Join(p.Folder, "fleet"), p.Self, logger); err != nil {
@@ -113,12 +113,12 @@
 func span(t gateway.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // Renew takes another table of keepers' logs.
-func (k *Keeper) Renew(logs map[fleet.MemberID]string) {
+func (k *Keeper) Renew(logs map[cluster.MemberID]string) {
 	k.setKeepers(logs)
 	k.heard.CloseStreams() // what is connected now may be at an address that was another's
 }
 
-func (k *Keeper) setKeepers(logs map[fleet.MemberID]string) {
+func (k *Keeper) setKeepers(logs map[cluster.MemberID]string) {
 	k.wire.renew(maps.Clone(logs))
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -153,7 +153,7 @@
 }
 
 // Leads tells who leads, as far as is known, and whether it is this keeper, able to answer.
-func (k *Keeper) Leads() (who fleet.MemberID, self bool) {
+func (k *Keeper) Leads() (who cluster.MemberID, self bool) {
 	k.mu.Lock()
 	self = k.reign != 0
 	k.mu.Unlock()
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -37,7 +37,7 @@
 	require.NoError(t, err)
 	book := lease.NewBook()
 	return Place{Fleet: "f", Self: "m1", Folder: folder, Term: term, Talk: transportpkg.New("m1", nil), Clock: clock,
-		Logs: map[fleet.MemberID]string{"m1": on.Addr().String()}, Book: book, State: fsm.New(book, nil)}, on
+		Logs: map[cluster.MemberID]string{"m1": on.Addr().String()}, Book: book, State: fsm.New(book, nil)}, on
 }
 
 func starts(t *testing.T, folder string) *Keeper {
@@ -62,7 +62,7 @@
 	began, err := lease.ReadAnswer(k.does(t, entry(lease.Began())).answer) // another's, as far as it knows
 	require.NoError(t, err)
 	over := lease.Over{Session: opened.Session, Reign: began.Reign - 1}
-	require.ErrorIs(t, k.does(t, entry(lease.Expire(over))).err, fleet.ErrStale)
+	require.ErrorIs(t, k.does(t, entry(lease.Expire(over))).err, cluster.ErrStale)
 	require.Eventually(t, func() bool { return k.Ended.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
@@ -156,7 +156,7 @@
 		}
 	}()
 	from := newWire(&net.TCPListener{}, "f", "m2/x", time.Second)
-	from.renew(map[fleet.MemberID]string{"m1": on.Addr().String()})
+	from.renew(map[cluster.MemberID]string{"m1": on.Addr().String()})
 	for _, to := range []raft.ServerAddress{"m1/old", "m1/new"} {
 		c, err := from.Dial(to, time.Second)
 		require.NoError(t, err)
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -7,10 +7,10 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // entryFormat rises when an older program could no longer apply an entry of the log.
@@ -67,17 +67,17 @@
 // before is an order to the book, and how what it is about stood before it.
 type before struct {
 	lease.Order
-	member fleet.MemberID
-	tasks  []fleet.Task
-	epochs map[fleet.Task]fleet.Epoch
+	member cluster.MemberID
+	tasks  []cluster.Task
+	epochs map[cluster.Task]cluster.Epoch
 }
 
 func (k *Keeper) before(command []byte) (b before) {
-	var c fleet.Command
-	if transportpkg.Decode(command, &c) != nil || c.Part != fleet.LeasePart || transportpkg.Decode(c.Body, &b.Order) != nil {
+	var c cluster.Command
+	if transportpkg.Decode(command, &c) != nil || c.Part != cluster.LeasePart || transportpkg.Decode(c.Body, &b.Order) != nil {
 		return before{}
 	}
-	b.member, b.epochs = k.book.MemberOf(b.Session), map[fleet.Task]fleet.Epoch{}
+	b.member, b.epochs = k.book.MemberOf(b.Session), map[cluster.Task]cluster.Epoch{}
 	switch b.Kind {
 	case lease.EndKind, lease.ExpireKind:
 		b.tasks = k.book.TasksOf(b.Session)
@@ -163,6 +163,6 @@
 var _ raft.FSM = machine{}
 
 // entry is a command as it goes into the log.
-func entry(c fleet.Command) raft.Log {
+func entry(c cluster.Command) raft.Log {
 	return raft.Log{Data: fsm.Encode(c), Extensions: transportpkg.Encode(about{entryFormat})}
 }
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -4,10 +4,10 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/fleet"
 )
 
 // newer reads, in one moment, the parts that are newer than what a member has and which of the tasks that it
@@ -57,9 +57,9 @@
 
 // taken answers an ask for tasks that others hold, all of them, without an entry in the log: guards against
 // one for each time that somebody asks. A yes is never given so.
-func (k *Keeper) taken(c fleet.Command) (answer []byte, sure bool) {
+func (k *Keeper) taken(c cluster.Command) (answer []byte, sure bool) {
 	var o lease.Order
-	if c.Part != fleet.LeasePart || c.By != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
+	if c.Part != cluster.LeasePart || c.By != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
 		return nil, false
 	}
 	k.mu.Lock()
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -7,15 +7,15 @@
 
 	"github.com/hashicorp/raft"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // ask is one renewal that waits until a majority is known to have followed at or after it came.
 type ask struct {
-	session fleet.SessionID
+	session cluster.SessionID
 	tally   lease.Tally // of the grants that the member knows of
 	came    gateway.Micros
 	answer  chan<- said
@@ -181,7 +181,7 @@
 		all = append(all, k.raft.ApplyLog(entry(lease.Expire(o)), span(timing.Answer(k.term))))
 	}
 	for _, f := range all {
-		if f.Error() == nil && errors.Is(f.Response().(applied).err, fleet.ErrStale) {
+		if f.Error() == nil && errors.Is(f.Response().(applied).err, cluster.ErrStale) {
 			select {
 			case k.outdated <- struct{}{}:
 			case <-k.ended:
--- a/cluster/raftnode/wire.go
+++ b/cluster/raftnode/wire.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // wire is how keepers reach each other's logs. A server's id is its member's name and its folder's: it stands
@@ -30,7 +30,7 @@
 	end    sync.Once
 
 	mu    sync.Mutex
-	addrs map[fleet.MemberID]string
+	addrs map[cluster.MemberID]string
 	wrong map[string]bool // said in the log already
 }
 
@@ -47,12 +47,12 @@
 }
 
 // memberOf is whose folder a server id is.
-func memberOf(id raft.ServerID) fleet.MemberID {
+func memberOf(id raft.ServerID) cluster.MemberID {
 	s := string(id)
-	return fleet.MemberID(s[:max(strings.LastIndexByte(s, '/'), 0)])
+	return cluster.MemberID(s[:max(strings.LastIndexByte(s, '/'), 0)])
 }
 
-func (w *wire) renew(addrs map[fleet.MemberID]string) {
+func (w *wire) renew(addrs map[cluster.MemberID]string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addrs = addrs
--- a/cluster/rebalance/asked.go
+++ b/cluster/rebalance/asked.go
@@ -6,8 +6,8 @@
 	"math/bits"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -33,14 +33,14 @@
 	alone   []*Rule
 	head    []int  // by range: the one that it is a piece of
 	follows []bool // a piece that goes where its head goes
-	at      map[fleet.MemberID]int
-	rangeAt map[fleet.RangeID]int
-	key     func(gateway.DestinationID) fleet.KeyHash
+	at      map[cluster.MemberID]int
+	rangeAt map[cluster.RangeID]int
+	key     func(gateway.DestinationID) cluster.KeyHash
 }
 
-func newTask(f *File, m *shardmap.Map, keys func(fleet.RangeID) uint64) *task {
-	t := &task{file: f, ranges: m.Ranges, key: m.Key, members: f.Members, at: map[fleet.MemberID]int{},
-		rangeAt: map[fleet.RangeID]int{}, asked: make([]asked, len(m.Ranges))}
+func newTask(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) *task {
+	t := &task{file: f, ranges: m.Ranges, key: m.Key, members: f.Members, at: map[cluster.MemberID]int{},
+		rangeAt: map[cluster.RangeID]int{}, asked: make([]asked, len(m.Ranges))}
 	for i, v := range f.Members {
 		t.at[v.ID] = i
 		t.stays = append(t.stays, f.leaves(v.ID) == nil)
@@ -59,7 +59,7 @@
 	return t
 }
 
-func (t *task) index(id fleet.MemberID) int {
+func (t *task) index(id cluster.MemberID) int {
 	if i, ok := t.at[id]; ok {
 		return i
 	}
@@ -68,7 +68,7 @@
 
 // weigh takes the keys of each range as told, or else its part of the hashes. Guards against prices that
 // overflow: one is the sum of all keys at the most, times costPart, times the ranges twice.
-func (t *task) weigh(keys func(fleet.RangeID) uint64) {
+func (t *task) weigh(keys func(cluster.RangeID) uint64) {
 	sum := 60 - bits.Len(costPart) - 2*bits.Len(uint(len(t.ranges)))
 	most := uint64(0)
 	for _, r := range t.ranges {
@@ -140,9 +140,9 @@
 	return slices.Compact(found), nil
 }
 
-func (t *task) holds(key fleet.KeyHash) int {
+func (t *task) holds(key cluster.KeyHash) int {
 	i, _ := slices.BinarySearchFunc(t.ranges, key, func(r shardmap.Range,
-		k fleet.KeyHash) int {
+		k cluster.KeyHash) int {
 		return cmp.Compare(r.To, k)
 	})
 	return i
--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // large is a fleet as a plan meets it: members of unlike weight, some leave, some are new, some ranges are
 // pinned.
-func large(b *testing.B, n, members int, room, turns bool) (*File, *shardmap.Map, func(fleet.RangeID) uint64) {
+func large(b *testing.B, n, members int, room, turns bool) (*File, *shardmap.Map, func(cluster.RangeID) uint64) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	var text strings.Builder
 	var weights []shardmap.Weight
@@ -26,14 +26,14 @@
 		}
 		text.WriteString("}\n")
 		if m >= members/10 {
-			weights = append(weights, shardmap.Weight{Member: fleet.MemberID(fmt.Sprint("m", m)), Weight: 1})
+			weights = append(weights, shardmap.Weight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
 		}
 	}
 	for m := range members / 20 {
 		fmt.Fprintf(&text, "leave \"m%d\" {}\n", members-1-m)
 	}
 	for d := range 40 {
-		if fleet.Hash(gateway.DestinationID(d*7+1)) < 1<<60 {
+		if cluster.Hash(gateway.DestinationID(d*7+1)) < 1<<60 {
 			continue // would be pinned out of the zone that it is kept to
 		}
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  destinations = [%d]\n  to = \"m%d\"\n}\n", d, d*7+1, d)
@@ -52,7 +52,7 @@
 	for i := range keys {
 		keys[i] = uint64(50 + chance.ExpFloat64()*100)
 	}
-	return f, m, func(id fleet.RangeID) uint64 { return keys[id] }
+	return f, m, func(id cluster.RangeID) uint64 { return keys[id] }
 }
 
 func BenchmarkMake(b *testing.B) {
@@ -80,7 +80,7 @@
 	var weights []shardmap.Weight
 	for m := range members {
 		fmt.Fprintf(&text, "member \"m%d\" { room = %d }\n", m, n/members)
-		weights = append(weights, shardmap.Weight{Member: fleet.MemberID(fmt.Sprint("m", m)), Weight: 1})
+		weights = append(weights, shardmap.Weight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
 	}
 	text.WriteString("member \"spare\" {\n  room = 1\n  weight = 0\n}\n")
 	m := &shardmap.Map{Version: 1}
--- a/cluster/rebalance/choose_test.go
+++ b/cluster/rebalance/choose_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // wishes is a small fleet with rules of each kind.
@@ -112,15 +112,15 @@
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 			return
 		}
-		var homes []fleet.MemberID
+		var homes []cluster.MemberID
 		for range n {
-			homes = append(homes, fleet.MemberID(fmt.Sprint("m", rapid.IntRange(0, members-1).Draw(t, "home"))))
+			homes = append(homes, cluster.MemberID(fmt.Sprint("m", rapid.IntRange(0, members-1).Draw(t, "home"))))
 		}
-		w, keys := newWorld(t, homes...), map[fleet.RangeID]uint64{}
+		w, keys := newWorld(t, homes...), map[cluster.RangeID]uint64{}
 		for i := range n {
-			keys[fleet.RangeID(i+1)] = uint64(rapid.IntRange(0, 5).Draw(t, "keys"))
+			keys[cluster.RangeID(i+1)] = uint64(rapid.IntRange(0, 5).Draw(t, "keys"))
 		}
-		told := func(id fleet.RangeID) uint64 { return keys[id] }
+		told := func(id cluster.RangeID) uint64 { return keys[id] }
 		plain := newTask(f, w.m, told)
 		work := newTask(f, w.m, told)
 		err = work.resolve()
@@ -139,7 +139,7 @@
 		cost := func(to []int) (sum uint64) {
 			for i, m := range to {
 				if m != plain.home[i] {
-					sum += keys[fleet.RangeID(i+1)]
+					sum += keys[cluster.RangeID(i+1)]
 				}
 			}
 			return sum
@@ -211,5 +211,5 @@
 	require.NoError(t, err)
 	p, err := Make(f, newWorld(t, "a", "b", "c", "a", "b", "c", "a", "a").m, nil)
 	require.NoError(t, err)
-	assert.Equal(t, map[fleet.MemberID]int{"a": 3, "b": 3, "c": 1, "d": 1}, p.Ends)
+	assert.Equal(t, map[cluster.MemberID]int{"a": 3, "b": 3, "c": 1, "d": 1}, p.Ends)
 }
--- a/cluster/rebalance/file.go
+++ b/cluster/rebalance/file.go
@@ -4,7 +4,7 @@
 package rebalance
 
 import (
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -21,7 +21,7 @@
 
 // Member is one process: Weight is its part of the ranges, Room how many it has at the most (0: no bound).
 type Member struct {
-	ID     fleet.MemberID
+	ID     cluster.MemberID
 	Zone   string
 	Weight float64
 	Room   int
@@ -47,7 +47,7 @@
 	Name   string
 	Line   int
 	Of     Keys
-	Member fleet.MemberID
+	Member cluster.MemberID
 	Zone   string
 	ByZone bool // Apart
 }
@@ -56,7 +56,7 @@
 type Keys struct {
 	Destinations []gateway.DestinationID
 	Span         bool
-	From, To     fleet.KeyHash // both belong to it
+	From, To     cluster.KeyHash // both belong to it
 }
 
 // Turn says that what moves by rule First is through before anything moves by rule Then. Both are indexes.
@@ -83,7 +83,7 @@
 	Line                         int
 }
 
-func (f *File) member(id fleet.MemberID) *Member {
+func (f *File) member(id cluster.MemberID) *Member {
 	for i := range f.Members {
 		if f.Members[i].ID == id {
 			return &f.Members[i]
@@ -93,9 +93,9 @@
 }
 
 // leaves finds the rule by which a member leaves.
-func (f *File) leaves(id fleet.MemberID) *Rule { return f.about(Leave, id) }
+func (f *File) leaves(id cluster.MemberID) *Rule { return f.about(Leave, id) }
 
-func (f *File) about(kind Kind, id fleet.MemberID) *Rule {
+func (f *File) about(kind Kind, id cluster.MemberID) *Rule {
 	for i := range f.Rules {
 		if r := &f.Rules[i]; r.Kind == kind && r.Member == id {
 			return r
--- a/cluster/rebalance/harm.go
+++ b/cluster/rebalance/harm.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -39,7 +39,7 @@
 // Sick is a destination that is, and the range that it lies in.
 type Sick struct {
 	Dest  gateway.DestinationID
-	Range fleet.RangeID
+	Range cluster.RangeID
 }
 
 // Gathered is what members told of one plan. What was told last by a member stays when it tells nothing more:
@@ -50,12 +50,12 @@
 }
 
 type teller struct {
-	member fleet.MemberID
+	member cluster.MemberID
 	life   uint64
 }
 
 // Take takes a member's report for the plan of a number; another plan's begins anew.
-func (g *Gathered) Take(number uint64, from fleet.MemberID, r Report) {
+func (g *Gathered) Take(number uint64, from cluster.MemberID, r Report) {
 	if g.number != number || g.spots == nil {
 		g.number, g.spots = number, map[teller]map[shardmap.MoveID]Spot{}
 	}
--- a/cluster/rebalance/next.go
+++ b/cluster/rebalance/next.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // Seen is what a conductor knows beside the log.
 type Seen struct {
-	Gone   func(fleet.MemberID) bool   // it has no session; nil: none is gone
-	Value  func(fleet.RangeID) float64 // value of what is delivered in a range, as bounds count it; nil: 0
+	Gone   func(cluster.MemberID) bool   // it has no session; nil: none is gone
+	Value  func(cluster.RangeID) float64 // value of what is delivered in a range, as bounds count it; nil: 0
 	Harm   Harm
 	Rested gateway.Micros // since a move ended; a conductor that has just begun counts from then
 }
@@ -34,13 +34,13 @@
 type Action struct {
 	Do       Do
 	Step     int // from 0 on; -1: no step's
-	Range    fleet.RangeID
-	From, To fleet.MemberID
+	Range    cluster.RangeID
+	From, To cluster.MemberID
 	Move     shardmap.MoveID
 	Stand    Stand
 	Why      string
-	At       fleet.KeyHash // SplitOff
-	Other    fleet.RangeID // MergeIn
+	At       cluster.KeyHash // SplitOff
+	Other    cluster.RangeID // MergeIn
 }
 
 // Wait says why a step has not begun.
@@ -62,16 +62,16 @@
 	file   *File
 	seen   Seen
 	stands []Stand // as they are by the map, noted or not
-	ranges map[fleet.RangeID]*shardmap.Range
-	whole  map[fleet.RangeID]bool // those that count in a member's room
+	ranges map[cluster.RangeID]*shardmap.Range
+	whole  map[cluster.RangeID]bool // those that count in a member's room
 	left   map[shardmap.MoveID]bool
 	wanted map[shardmap.MoveID]bool // by a step
 	backs  map[shardmap.MoveID]bool // told already
 	out    Turnout
 
-	members map[fleet.MemberID]*Member
-	used    map[fleet.MemberID]int // places
-	undone  []int                  // steps by rule
+	members map[cluster.MemberID]*Member
+	used    map[cluster.MemberID]int // places
+	undone  []int                    // steps by rule
 	busy    busy
 }
 
@@ -83,12 +83,12 @@
 		return Turnout{Finished: true}
 	}
 	l := &look{Progress: p, file: f, seen: s, stands: append([]Stand(nil), p.Stands...),
-		ranges: map[fleet.RangeID]*shardmap.Range{}, left: map[shardmap.MoveID]bool{}, wanted: map[shardmap.MoveID]bool{},
-		backs: map[shardmap.MoveID]bool{}, members: map[fleet.MemberID]*Member{}}
+		ranges: map[cluster.RangeID]*shardmap.Range{}, left: map[shardmap.MoveID]bool{}, wanted: map[shardmap.MoveID]bool{},
+		backs: map[shardmap.MoveID]bool{}, members: map[cluster.MemberID]*Member{}}
 	for i := range f.Members {
 		l.members[f.Members[i].ID] = &f.Members[i]
 	}
-	l.whole = map[fleet.RangeID]bool{}
+	l.whole = map[cluster.RangeID]bool{}
 	for i, head := range heads(m.Ranges) {
 		l.ranges[m.Ranges[i].ID], l.whole[m.Ranges[i].ID] = &m.Ranges[i], head == i
 	}
@@ -187,7 +187,7 @@
 	return ""
 }
 
-func (l *look) gone(m fleet.MemberID) bool { return l.seen.Gone != nil && l.seen.Gone(m) }
+func (l *look) gone(m cluster.MemberID) bool { return l.seen.Gone != nil && l.seen.Gone(m) }
 
 func (l *look) back(k int, r *shardmap.Range, why string) {
 	if l.backs[r.Move.ID] {
--- a/cluster/rebalance/next_test.go
+++ b/cluster/rebalance/next_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -19,10 +19,10 @@
 	text := two + "pin \"all\" {\n hashes = [\"0\", \"0xffffffffffffffff\"]\n to = \"b\"\n}\n" +
 		"bounds {\n moves_at_once = 9\n value_under_way = 10\n}\n"
 	w := newWorld(t, "a", "a", "a", "a", "a")
-	worth := map[fleet.RangeID]float64{1: 11, 2: 6, 3: 5, 4: 1, 5: 1}
-	w.value = func(id fleet.RangeID) float64 { return worth[id] }
+	worth := map[cluster.RangeID]float64{1: 11, 2: 6, 3: 5, 4: 1, 5: 1}
+	w.value = func(id cluster.RangeID) float64 { return worth[id] }
 	require.NoError(t, w.adopt(text))
-	starts := func() (all []fleet.RangeID) {
+	starts := func() (all []cluster.RangeID) {
 		for _, a := range w.next().Actions {
 			if a.Do == Start {
 				all = append(all, a.Range)
@@ -30,15 +30,15 @@
 		}
 		return all
 	}
-	assert.Equal(t, []fleet.RangeID{2}, starts())
+	assert.Equal(t, []cluster.RangeID{2}, starts())
 	for _, wait := range w.next().Waits {
 		assert.Contains(t, wait.Why, "value_under_way is 10 (line 7)")
 	}
 	w.act()
 	worth[2] = 3
-	assert.Equal(t, []fleet.RangeID{3, 4, 5}, starts())
+	assert.Equal(t, []cluster.RangeID{3, 4, 5}, starts())
 	worth[1] = 7
-	assert.Equal(t, []fleet.RangeID{1}, starts())
+	assert.Equal(t, []cluster.RangeID{1}, starts())
 }
 
 func TestAPauseFollowsAMove(t *testing.T) {
@@ -116,7 +116,7 @@
 	w := newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"member \"c\" {}\npin \"p\" {\n "+of(0,
 		2)+"\n to = \"b\"\n}\nleave \"a\" {}\n"))
-	delete(w.held, fleet.HomeOf(1))
+	delete(w.held, cluster.HomeOf(1))
 	w.must(shardmap.Conductor(1).Lost([]shardmap.Takeover{{Range: 1, Lost: "a", To: "c"}}))
 	out := w.next()
 	require.Len(t, out.Actions, 1)
@@ -135,21 +135,21 @@
 	p, err := Make(w.file, w.m, nil)
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
-		cmd  fleet.Command
+		cmd  cluster.Command
 		want error
 	}{
-		"a plan beside it":    {Conductor(1).Adopt(0, "f.hcl", []byte(text), p), fleet.ErrStale},
-		"another plan's step": {Conductor(1).Note(2, 0, Begun, 5), fleet.ErrStale},
-		"no such step":        {Conductor(1).Note(1, 1, Begun, 5), fleet.ErrUnknown},
-		"another plan's end":  {Conductor(1).Stop(2, "x"), fleet.ErrStale},
-		"back to the start":   {Conductor(1).Note(1, 0, Waits, 5), fleet.ErrStale},
+		"a plan beside it":    {Conductor(1).Adopt(0, "f.hcl", []byte(text), p), cluster.ErrStale},
+		"another plan's step": {Conductor(1).Note(2, 0, Begun, 5), cluster.ErrStale},
+		"no such step":        {Conductor(1).Note(1, 1, Begun, 5), cluster.ErrUnknown},
+		"another plan's end":  {Conductor(1).Stop(2, "x"), cluster.ErrStale},
+		"back to the start":   {Conductor(1).Note(1, 0, Waits, 5), cluster.ErrStale},
 	} {
 		_, err := w.propose(c.cmd)
 		assert.ErrorIs(t, err, c.want, name)
 	}
 	w.must(Conductor(1).Note(1, 0, Through, 5))
 	_, err = w.propose(Conductor(1).Note(1, 0, Begun, 5))
-	assert.ErrorIs(t, err, fleet.ErrStale, "it is through")
+	assert.ErrorIs(t, err, cluster.ErrStale, "it is through")
 }
 
 // A range under two rules of which one goes first moves with the first.
@@ -159,6 +159,6 @@
 		"before \"p\" { after = [\"a\"] }\nbounds { moves_at_once = 2 }\n"))
 	out := w.next()
 	require.Len(t, out.Actions, 1)
-	assert.Equal(t, fleet.RangeID(1), out.Actions[0].Range)
+	assert.Equal(t, cluster.RangeID(1), out.Actions[0].Range)
 	assert.Equal(t, []Wait{{1, `pin "p" (line 3) goes first and has 1 moves left`}}, out.Waits)
 }
--- a/cluster/rebalance/order_test.go
+++ b/cluster/rebalance/order_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // puzzle is a small fleet where each range is pinned, so that only the order is open.
@@ -73,9 +73,9 @@
 	return s.String()
 }
 
-func (p puzzle) homes() (all []fleet.MemberID) {
+func (p puzzle) homes() (all []cluster.MemberID) {
 	for _, m := range p.from {
-		all = append(all, fleet.MemberID(fmt.Sprint("m", m)))
+		all = append(all, cluster.MemberID(fmt.Sprint("m", m)))
 	}
 	return all
 }
@@ -171,7 +171,7 @@
 	require.NoError(t, w.adopt(p.text()+bounds))
 	w.settle(t)
 	for i, to := range p.to {
-		require.Equal(t, fleet.MemberID(fmt.Sprint("m", to)), w.home(i))
+		require.Equal(t, cluster.MemberID(fmt.Sprint("m", to)), w.home(i))
 	}
 	require.True(t, w.next().Finished)
 	require.Equal(t, uint64(1), w.p.Number, "it was planned anew on the way")
--- a/cluster/rebalance/pieces.go
+++ b/cluster/rebalance/pieces.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -30,13 +30,13 @@
 
 // Cut is a split that a plan needs: what lies from At on becomes range New.
 type Cut struct {
-	Range, New fleet.RangeID
-	At         fleet.KeyHash
+	Range, New cluster.RangeID
+	At         cluster.KeyHash
 }
 
 // Moving is why no plan can be made yet: a range that has to be split is on its way.
 type Moving struct {
-	Range fleet.RangeID
+	Range cluster.RangeID
 	Move  shardmap.Move
 }
 
@@ -46,7 +46,7 @@
 
 // named lists the hashes of destinations under pin, apart and alone, each once. What is kept in a zone goes
 // there with its range.
-func (f *File) named(m *shardmap.Map) (all []fleet.KeyHash) {
+func (f *File) named(m *shardmap.Map) (all []cluster.KeyHash) {
 	for _, r := range f.Rules {
 		if r.Kind != Keep {
 			for _, d := range r.Of.Destinations {
@@ -61,7 +61,7 @@
 // cuts are the splits that a file needs of a map, in the order in which they are made, and the map after
 // them.
 func (f *File) cuts(m *shardmap.Map) (all []Cut, after *shardmap.Map, err error) {
-	in := map[fleet.RangeID][]fleet.KeyHash{}
+	in := map[cluster.RangeID][]cluster.KeyHash{}
 	for _, h := range f.named(m) {
 		if r, ok := m.Of(h); ok {
 			in[r.ID] = append(in[r.ID], h)
@@ -72,7 +72,7 @@
 	for _, r := range m.Ranges {
 		parts := []shardmap.Range{r}
 		for _, h := range slices.Backward(in[r.ID]) { // the lowest part keeps its id and its grant
-			for _, at := range []fleet.KeyHash{h + 1, h} {
+			for _, at := range []cluster.KeyHash{h + 1, h} {
 				low := &parts[0]
 				if at <= low.From || at > low.To {
 					continue // it lies at an end, or is a range of its own
@@ -97,15 +97,15 @@
 }
 
 // shared tells the keys of ranges after cuts: each part has as many of what its range had as it is wide.
-func shared(keys func(fleet.RangeID) uint64, before, after *shardmap.Map,
-	cuts []Cut) func(fleet.RangeID) uint64 {
+func shared(keys func(cluster.RangeID) uint64, before, after *shardmap.Map,
+	cuts []Cut) func(cluster.RangeID) uint64 {
 	if keys == nil || len(cuts) == 0 {
 		return keys
 	}
-	parts := map[fleet.RangeID]uint64{}
+	parts := map[cluster.RangeID]uint64{}
 	for _, c := range cuts {
 		whole, _ := before.Get(c.Range)
-		for _, id := range []fleet.RangeID{c.Range, c.New} {
+		for _, id := range []cluster.RangeID{c.Range, c.New} {
 			r, _ := after.Get(id)
 			width := float64(r.To-r.From) + 1
 			parts[id] = uint64(float64(keys(c.Range)) * (width / (float64(whole.To-whole.From) + 1)))
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	return func(id fleet.RangeID) uint64 {
+	return func(id cluster.RangeID) uint64 {
 		if n, ok := parts[id]; ok {
 			return n
 		}
@@ -152,7 +152,7 @@
 // that nothing holds apart any more.
 func (t *task) reshaped(steps []Step, cuts []Cut, to []int) []Step {
 	var out []Step
-	last := map[fleet.RangeID]int{} // by range: the last step that is about it
+	last := map[cluster.RangeID]int{} // by range: the last step that is about it
 	for k, c := range cuts {
 		s := Step{Range: c.Range, Way: Split, At: c.At, Other: c.New}
 		if r, ok := t.rangeAt[c.Range]; ok {
@@ -188,7 +188,7 @@
 		}
 		a, b := t.ranges[run], t.ranges[i]
 		s := Step{Range: a.ID, From: t.members[to[i]].ID, To: t.members[to[i]].ID, Way: Join, Other: b.ID}
-		for _, id := range []fleet.RangeID{a.ID, b.ID} {
+		for _, id := range []cluster.RangeID{a.ID, b.ID} {
 			if k, ok := last[id]; ok {
 				s.Needs = append(s.Needs, Need{k, Shape})
 			}
--- a/cluster/rebalance/pieces_test.go
+++ b/cluster/rebalance/pieces_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -102,7 +102,7 @@
 		if err != nil {
 			return
 		}
-		var homes []fleet.MemberID
+		var homes []cluster.MemberID
 		var home []int
 		for range n {
 			home = append(home, rapid.IntRange(0, members-1).Draw(t, "home"))
@@ -110,11 +110,11 @@
 		}
 		w := newWorld(t, homes...)
 		before := shardmap.Map{Ranges: slices.Clone(w.m.Ranges)}
-		keys := map[fleet.RangeID]uint64{}
+		keys := map[cluster.RangeID]uint64{}
 		for i := range n {
-			keys[fleet.RangeID(i+1)] = 1000 * uint64(rapid.IntRange(1, 5).Draw(t, "keys"))
+			keys[cluster.RangeID(i+1)] = 1000 * uint64(rapid.IntRange(1, 5).Draw(t, "keys"))
 		}
-		told := func(id fleet.RangeID) uint64 { return keys[id] }
+		told := func(id cluster.RangeID) uint64 { return keys[id] }
 		p, err := Make(f, w.m, told)
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
@@ -127,7 +127,7 @@
 		}
 		var all []gateway.DestinationID
 		for _, d := range dests {
-			if r, _ := before.Of(fleet.Hash(d)); named[d] {
+			if r, _ := before.Of(cluster.Hash(d)); named[d] {
 				all, in[d] = append(all, d), int(r.ID)-1
 			}
 		}
@@ -178,7 +178,7 @@
 			}
 		}
 		for _, d := range all {
-			r, _ := w.m.Of(fleet.Hash(d))
+			r, _ := w.m.Of(cluster.Hash(d))
 			require.True(t, oneHash(r))
 			of[d] = w.file.index(r.Home)
 		}
@@ -202,7 +202,7 @@
 	})
 }
 
-func (f *File) index(id fleet.MemberID) int {
+func (f *File) index(id cluster.MemberID) int {
 	for m := range f.Members {
 		if f.Members[m].ID == id {
 			return m
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // Way is what a step does.
@@ -22,17 +22,17 @@
 
 // Step is one move. It may start once each step of Needs is through, and each step that has a rule of After.
 type Step struct {
-	Range fleet.RangeID   `cbor:"1,keyasint"`
-	From  fleet.MemberID  `cbor:"2,keyasint"`
-	To    fleet.MemberID  `cbor:"3,keyasint"`
-	Way   Way             `cbor:"4,keyasint"`
-	Move  shardmap.MoveID `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
-	Needs []Need          `cbor:"6,keyasint,omitempty"`
-	Rules []int           `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
-	After []int           `cbor:"8,keyasint,omitempty"`
-	Keys  uint64          `cbor:"9,keyasint"`
-	At    fleet.KeyHash   `cbor:"10,keyasint,omitempty"`
-	Other fleet.RangeID   `cbor:"11,keyasint,omitempty"`
+	Range cluster.RangeID  `cbor:"1,keyasint"`
+	From  cluster.MemberID `cbor:"2,keyasint"`
+	To    cluster.MemberID `cbor:"3,keyasint"`
+	Way   Way              `cbor:"4,keyasint"`
+	Move  shardmap.MoveID  `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
+	Needs []Need           `cbor:"6,keyasint,omitempty"`
+	Rules []int            `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
+	After []int            `cbor:"8,keyasint,omitempty"`
+	Keys  uint64           `cbor:"9,keyasint"`
+	At    cluster.KeyHash  `cbor:"10,keyasint,omitempty"`
+	Other cluster.RangeID  `cbor:"11,keyasint,omitempty"`
 }
 
 // Need is an earlier step that has to be through, and why.
@@ -51,13 +51,13 @@
 
 // Plan is the steps from one map to what the file states. Each needs earlier ones only.
 type Plan struct {
-	Version fleet.Version
+	Version cluster.Version
 	Steps   []Step
 	Keys    uint64 // in all ranges; where nothing was told, parts of the hashes
 	Moved   uint64 // keys moved, twice for a range that makes a stop-over
 	Least   uint64 // keys that have to move at the least, if each member shall be as near to its part
 	Proven  bool   // Least is that, not only what rules send away from where it is
-	Ends    map[fleet.MemberID]int
+	Ends    map[cluster.MemberID]int
 }
 
 // Make finds where each range shall be and orders the moves there. keys tells how many a range has; nil:
@@ -68,7 +68,7 @@
 // moves. The first two are proven to be least, unless ranges are held apart by zone or by several rules at
 // once and the search for those ends early. Stop-overs come on top: one for each ring of full members, of few
 // keys.
-func Make(f *File, m *shardmap.Map, keys func(fleet.RangeID) uint64) (*Plan, error) {
+func Make(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
 		return nil, fmt.Errorf("%s:1: there is no map of ranges yet", f.Name)
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Version: m.Version, Proven: proven, Ends: map[fleet.MemberID]int{}}
+	p := &Plan{Version: m.Version, Proven: proven, Ends: map[cluster.MemberID]int{}}
 	for i, to := range c.to {
 		p.Keys += t.told[i]
 		if t.whole(i) {
@@ -126,8 +126,8 @@
 // order is the search for an order: what has to be through first, the moves to order, and places.
 type order struct {
 	*task
-	names  []fleet.MemberID // of members, those too that the file doesn't have
-	head   []move           // under way: they end by themselves
+	names  []cluster.MemberID // of members, those too that the file doesn't have
+	head   []move             // under way: they end by themselves
 	moves  []move
 	free   []int // places at each member once the head is through; below 0: it has more than its room
 	start  []int // the same before the head is through
@@ -141,9 +141,9 @@
 
 func (t *task) order(m *shardmap.Map, to []int) *order {
 	o := &order{task: t, to: to}
-	index := map[fleet.MemberID]int{}
-	beside := map[fleet.MemberID]int{} // of pieces, which take no room
-	at := func(id fleet.MemberID, of map[fleet.MemberID]int) int {
+	index := map[cluster.MemberID]int{}
+	beside := map[cluster.MemberID]int{} // of pieces, which take no room
+	at := func(id cluster.MemberID, of map[cluster.MemberID]int) int {
 		k, known := of[id]
 		if !known {
 			k = len(o.names)
@@ -183,7 +183,7 @@
 }
 
 // member is its index, or one that no member of the file has.
-func (o *order) member(id fleet.MemberID) int {
+func (o *order) member(id cluster.MemberID) int {
 	if k, ok := o.at[id]; ok {
 		return k
 	}
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // The same bytes for the same thing on each keeper, and nothing that one program reads otherwise than
@@ -32,13 +32,13 @@
 // Progress is what the log keeps of the running plan, so that another conductor goes on. It implements
 // fleet.Part. A later plan takes its place: its steps are made from the map, so that what has switched stays.
 type Progress struct {
-	Number  uint64        `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
-	Name    string        `cbor:"2,keyasint"` // of the file, as errors call it
-	Text    []byte        `cbor:"3,keyasint"` // the file
-	Version fleet.Version `cbor:"4,keyasint"` // of the map that the steps start from
-	Steps   []Step        `cbor:"5,keyasint"`
-	Stands  []Stand       `cbor:"6,keyasint"`
-	Stopped string        `cbor:"7,keyasint"` // why it was stopped; nothing starts any more
+	Number  uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
+	Name    string          `cbor:"2,keyasint"` // of the file, as errors call it
+	Text    []byte          `cbor:"3,keyasint"` // the file
+	Version cluster.Version `cbor:"4,keyasint"` // of the map that the steps start from
+	Steps   []Step          `cbor:"5,keyasint"`
+	Stands  []Stand         `cbor:"6,keyasint"`
+	Stopped string          `cbor:"7,keyasint"` // why it was stopped; nothing starts any more
 }
 
 type op uint8
@@ -60,30 +60,30 @@
 }
 
 // Conductor writes the commands on the plan under its epoch of task fleet.Conducts.
-type Conductor fleet.Epoch
+type Conductor cluster.Epoch
 
-func (e Conductor) of(c command) fleet.Command {
+func (e Conductor) of(c command) cluster.Command {
 	body, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // nothing in it can fail
 	}
-	return fleet.Command{Part: fleet.PlanPart, By: fleet.Conducts, Epoch: fleet.Epoch(e), Body: body}
+	return cluster.Command{Part: cluster.PlanPart, By: cluster.Conducts, Epoch: cluster.Epoch(e), Body: body}
 }
 
 // Adopt makes a plan the running one. was is the number of the plan that the conductor knows of: where
 // another came meanwhile, the log refuses with fleet.ErrStale.
-func (e Conductor) Adopt(was uint64, name string, text []byte, p *Plan) fleet.Command {
+func (e Conductor) Adopt(was uint64, name string, text []byte, p *Plan) cluster.Command {
 	next := &Progress{Number: was + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
 	return e.of(command{Op: opAdopt, Number: was + 1, Plan: next})
 }
 
 // Note says how far a step has come, as Next asks for it.
-func (e Conductor) Note(number uint64, step int, stand Stand, move shardmap.MoveID) fleet.Command {
+func (e Conductor) Note(number uint64, step int, stand Stand, move shardmap.MoveID) cluster.Command {
 	return e.of(command{Op: opNote, Number: number, Step: step, Stand: stand, Move: move})
 }
 
 // Stop ends a plan: what is before its switch goes back, nothing starts. Only a later plan goes on.
-func (e Conductor) Stop(number uint64, why string) fleet.Command {
+func (e Conductor) Stop(number uint64, why string) cluster.Command {
 	return e.of(command{Op: opStop, Number: number, Why: why})
 }
 
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case c.Number != p.Number || p.Number == 0:
-		return nil, fleet.ErrStale
+		return nil, cluster.ErrStale
 	case c.Op == opStop:
 		if p.Stopped == "" {
 			p.Stopped = cmp.Or(c.Why, "stopped")
@@ -109,11 +109,11 @@
 	case c.Op != opNote:
 		return nil, fmt.Errorf("plan: no command has the number %d", c.Op)
 	case c.Step < 0 || c.Step >= len(p.Steps):
-		return nil, fleet.ErrUnknown
+		return nil, cluster.ErrUnknown
 	}
 	was := p.Stands[c.Step]
 	if c.Stand > Returned || c.Stand == Waits || was == Through || was == c.Stand {
-		return nil, fleet.ErrStale
+		return nil, cluster.ErrStale
 	}
 	if p.Stands[c.Step] = c.Stand; c.Stand == Begun {
 		p.Steps[c.Step].Move = c.Move
@@ -126,7 +126,7 @@
 		return fmt.Errorf("plan: none is given")
 	}
 	if c.Number != p.Number+1 {
-		return fleet.ErrStale
+		return cluster.ErrStale
 	}
 	next := *c.Plan
 	next.Number, next.Stopped = c.Number, ""
--- a/cluster/rebalance/read_test.go
+++ b/cluster/rebalance/read_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // Each file is bad in one way, and the error says in which line, what it may be, and with which line it is at
@@ -144,7 +144,7 @@
 	free := "member \"c\" { zone = \"y\" }\n"
 	for _, c := range []struct {
 		name, rules string
-		over        fleet.RangeID // 0: refused
+		over        cluster.RangeID // 0: refused
 	}{
 		{"none", free, 2},
 		{"in the zone", free + "keep \"k\" {\n " + of(1, 3) + "\n zone = \"x\"\n}\n", 1},
@@ -158,7 +158,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f, err := Read([]byte(swap+c.rules+pins), "f.hcl")
 			require.NoError(t, err)
-			p, err := Make(f, newWorld(t, "a", "b", "c").m, func(id fleet.RangeID) uint64 { return uint64(10 - id) })
+			p, err := Make(f, newWorld(t, "a", "b", "c").m, func(id cluster.RangeID) uint64 { return uint64(10 - id) })
 			if c.over == 0 {
 				assert.ErrorContains(t, err, "are full and shall change")
 				return
--- a/cluster/rebalance/reload_test.go
+++ b/cluster/rebalance/reload_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // At any moment another file may take the place of the running one, and conductors come and go. What has
@@ -46,13 +46,13 @@
 			}
 		}
 		for _, r := range before {
-			to := fleet.MemberID(fmt.Sprint("m", p.to[int(r.ID)-1]))
+			to := cluster.MemberID(fmt.Sprint("m", p.to[int(r.ID)-1]))
 			assert.Equal(t, r.Move.Step < shardmap.Switched && to != r.Move.To, backs[r.Move.ID],
 				"range %d at step %d to %s, now to %s", r.ID, r.Move.Step, r.Move.To, to)
 		}
 		w.settle(t)
 		for i, to := range p.to {
-			require.Equal(t, fleet.MemberID(fmt.Sprint("m", to)), w.home(i))
+			require.Equal(t, cluster.MemberID(fmt.Sprint("m", to)), w.home(i))
 		}
 	})
 }
@@ -61,9 +61,9 @@
 func TestAPlanThatIsThroughHasNothingLeft(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 4).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "ranges")
-		var homes []fleet.MemberID
+		var homes []cluster.MemberID
 		for range n {
-			homes = append(homes, fleet.MemberID(fmt.Sprint("m", rapid.IntRange(0, members-1).Draw(t, "home"))))
+			homes = append(homes, cluster.MemberID(fmt.Sprint("m", rapid.IntRange(0, members-1).Draw(t, "home"))))
 		}
 		w, text := newWorld(t, homes...), wishes(t, members, n)
 		if w.adopt(text) != nil {
@@ -99,9 +99,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w, text := newWorld(t, "a", "a", "a", "a", "a", "a"), "member \"a\" {}\nmember \"b\" {}\n"
 		w.file, _ = Read([]byte(text), "f.hcl")
-		under := map[fleet.RangeID]bool{}
+		under := map[cluster.RangeID]bool{}
 		for range rapid.IntRange(1, 3).Draw(t, "under way") {
-			id := fleet.RangeID(rapid.IntRange(1, 6).Draw(t, "range"))
+			id := cluster.RangeID(rapid.IntRange(1, 6).Draw(t, "range"))
 			if under[id] {
 				continue
 			}
--- a/cluster/rebalance/rules.go
+++ b/cluster/rebalance/rules.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -21,7 +21,7 @@
 		if m.Weight != nil {
 			weight = *m.Weight
 		}
-		switch was := f.member(fleet.MemberID(m.Name)); {
+		switch was := f.member(cluster.MemberID(m.Name)); {
 		case m.Name == "":
 			return f.at(line, `member ""; it needs a name`)
 		case was != nil:
@@ -33,7 +33,7 @@
 		case len(f.Members) == mostMembers:
 			return f.at(line, "more than %d members", mostMembers)
 		}
-		f.Members = append(f.Members, Member{fleet.MemberID(m.Name), m.Zone, weight, m.Room, line})
+		f.Members = append(f.Members, Member{cluster.MemberID(m.Name), m.Zone, weight, m.Room, line})
 	}
 	if len(f.Members) == 0 {
 		return f.at(1, "no member; a plan needs one or more")
@@ -43,7 +43,7 @@
 
 func (f *File) rules(w *written) error {
 	for _, b := range w.Leave {
-		r := Rule{Kind: Leave, Name: b.Name, Line: b.At.Start.Line, Member: fleet.MemberID(b.Name)}
+		r := Rule{Kind: Leave, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.Name)}
 		f.Rules = append(f.Rules, r)
 	}
 	add := func(r Rule, destinations []uint32, hashes []string) error {
@@ -63,7 +63,7 @@
 		return nil
 	}
 	for _, b := range w.Pin {
-		r := Rule{Kind: Pin, Name: b.Name, Line: b.At.Start.Line, Member: fleet.MemberID(b.To)}
+		r := Rule{Kind: Pin, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.To)}
 		if err := add(r, b.Destinations, b.Hashes); err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, b := range w.Alone {
-		r := Rule{Kind: Alone, Name: b.Name, Line: b.At.Start.Line, Member: fleet.MemberID(b.Name)}
+		r := Rule{Kind: Alone, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.Name)}
 		if err := add(r, b.Destinations, b.Hashes); err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 			"hashes of %s %q are %q; they may be [FIRST, LAST], as in [\"0x0\", \"0x7fffffffffffffff\"]",
 			r.Kind, r.Name, hashes)
 	}
-	r.Of.Span, r.Of.From, r.Of.To = true, fleet.KeyHash(ends[0]), fleet.KeyHash(ends[1])
+	r.Of.Span, r.Of.From, r.Of.To = true, cluster.KeyHash(ends[0]), cluster.KeyHash(ends[1])
 	return nil
 }
 
--- a/cluster/rebalance/shapes_test.go
+++ b/cluster/rebalance/shapes_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // The splits and merges are printed with what waits for them.
@@ -46,14 +46,14 @@
 	_, err = Make(f, w.m, nil)
 	var moving *Moving
 	require.ErrorAs(t, err, &moving)
-	assert.Equal(t, fleet.RangeID(1), moving.Range)
+	assert.Equal(t, cluster.RangeID(1), moving.Range)
 }
 
 // What follows a range's beginning is weighed with it: the beginning by itself looks cheap.
 func TestPiecesAreWeighedWithTheirRange(t *testing.T) {
 	f, err := Read([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
-	p, err := Make(f, newWorld(t, "a", "a").m, func(id fleet.RangeID) uint64 { return 2000 - 500*uint64(id) })
+	p, err := Make(f, newWorld(t, "a", "a").m, func(id cluster.RangeID) uint64 { return 2000 - 500*uint64(id) })
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1000), p.Moved)
 }
--- a/cluster/rebalance/show.go
+++ b/cluster/rebalance/show.go
@@ -6,15 +6,15 @@
 	"io"
 	"text/tabwriter"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 const usualRanges = 64 // of a first map, where the file doesn't say
 
 // Show prints what the file makes of a map: the steps, why each waits at first, the keys moved beside the
 // least. Without a map it takes the first one that the file's members get. keys is as Make has it.
-func Show(text []byte, name string, m *shardmap.Map, keys func(fleet.RangeID) uint64, out io.Writer) error {
+func Show(text []byte, name string, m *shardmap.Map, keys func(cluster.RangeID) uint64, out io.Writer) error {
 	f, err := Read(text, name)
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return members(f, m, p, out)
 }
 
-func rangeName(id fleet.RangeID) string {
+func rangeName(id cluster.RangeID) string {
 	if id == 0 {
 		return "-"
 	}
@@ -98,7 +98,7 @@
 
 // members prints how many ranges each has and shall have.
 func members(f *File, m *shardmap.Map, p *Plan, out io.Writer) error {
-	has := map[fleet.MemberID]int{}
+	has := map[cluster.MemberID]int{}
 	for i, head := range heads(m.Ranges) {
 		if head == i { // the others are pieces
 			has[m.Ranges[i].Home]++
@@ -129,7 +129,7 @@
 	for i := range even {
 		even[i].Standing = shardmap.Seated
 	}
-	return &shardmap.Map{Ranges: even, NextID: fleet.RangeID(len(even) + 1)}, err
+	return &shardmap.Map{Ranges: even, NextID: cluster.RangeID(len(even) + 1)}, err
 }
 
 // ShowRunning prints how far the running plan is, and why it was stopped, if it was.
--- a/cluster/rebalance/show_test.go
+++ b/cluster/rebalance/show_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // The steps are shown with what each waits for, and the keys beside the least possible.
@@ -16,7 +16,7 @@
 	text := "member \"a\" { room = 1 }\nmember \"b\" { room = 1 }\nmember \"c\" { weight = 0 }\n" +
 		"pin \"p\" {\n " + of(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + of(1, 2) + "\n to = \"a\"\n}\n"
 	var out strings.Builder
-	keys := func(id fleet.RangeID) uint64 { return uint64(10 * id) }
+	keys := func(id cluster.RangeID) uint64 { return uint64(10 * id) }
 	require.NoError(t, Show([]byte(text), "f.hcl", newWorld(t, "a", "b").m, keys, &out))
 	for _, line := range []string{
 		"1     1      a     c   10    starts at once; a stop-over",
--- a/cluster/rebalance/start.go
+++ b/cluster/rebalance/start.go
@@ -4,21 +4,21 @@
 	"fmt"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // busy is what is under way, as bounds count it.
 type busy struct {
 	moves  int
-	member map[fleet.MemberID]int
+	member map[cluster.MemberID]int
 	zone   map[string]int
 	value  float64
 }
 
 // zones is the zones that a move has a side in.
-func (l *look) zones(from, to fleet.MemberID) (all []string) {
-	for _, id := range [...]fleet.MemberID{from, to} {
+func (l *look) zones(from, to cluster.MemberID) (all []string) {
+	for _, id := range [...]cluster.MemberID{from, to} {
 		if m := l.members[id]; m != nil && !slices.Contains(all, m.Zone) {
 			all = append(all, m.Zone)
 		}
@@ -26,7 +26,7 @@
 	return all
 }
 
-func (l *look) value(id fleet.RangeID) float64 {
+func (l *look) value(id cluster.RangeID) float64 {
 	if l.seen.Value == nil {
 		return 0
 	}
@@ -34,14 +34,14 @@
 }
 
 // takes counts a place at a member, for a range that takes one.
-func (l *look) takes(id fleet.RangeID, m fleet.MemberID) {
+func (l *look) takes(id cluster.RangeID, m cluster.MemberID) {
 	if l.whole[id] {
 		l.used[m]++
 	}
 }
 
 // begin counts a move as under way, and its place at the target as taken.
-func (l *look) begin(id fleet.RangeID, from, to fleet.MemberID) {
+func (l *look) begin(id cluster.RangeID, from, to cluster.MemberID) {
 	l.busy.moves++
 	l.busy.member[from]++
 	l.busy.member[to]++
@@ -55,8 +55,8 @@
 // begin takes nothing that an earlier one counts on; only bounds on all moves are kept free for the earlier
 // one.
 func (l *look) starts(m *shardmap.Map) {
-	l.busy = busy{member: map[fleet.MemberID]int{}, zone: map[string]int{}}
-	l.used, l.undone = map[fleet.MemberID]int{}, make([]int, len(l.file.Rules))
+	l.busy = busy{member: map[cluster.MemberID]int{}, zone: map[string]int{}}
+	l.used, l.undone = map[cluster.MemberID]int{}, make([]int, len(l.file.Rules))
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
 		l.takes(r.ID, r.Home)
@@ -151,7 +151,7 @@
 // bound says which bound on a member or a zone a step would pass.
 func (l *look) bound(s Step) string {
 	b := l.file.Bounds
-	for _, id := range [...]fleet.MemberID{s.From, s.To} {
+	for _, id := range [...]cluster.MemberID{s.From, s.To} {
 		if b.PerMember > 0 && l.busy.member[id] >= b.PerMember {
 			return fmt.Sprintf("%s has %d moves, per_member is %d (line %d)", id, l.busy.member[id], b.PerMember,
 				b.Line)
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -22,7 +22,7 @@
 
 // count is of one destination since the start, now and when what is usual began to count anew.
 type count struct {
-	hash          fleet.KeyHash
+	hash          cluster.KeyHash
 	all, mid, old Ends
 }
 
@@ -39,15 +39,15 @@
 // Watch is a move whose harm is asked for: of its range, from when it began.
 type Watch struct {
 	Move  shardmap.MoveID `cbor:"1,keyasint"`
-	Range fleet.RangeID   `cbor:"2,keyasint"`
-	From  fleet.KeyHash   `cbor:"3,keyasint"`
-	To    fleet.KeyHash   `cbor:"4,keyasint"`
+	Range cluster.RangeID `cbor:"2,keyasint"`
+	From  cluster.KeyHash `cbor:"3,keyasint"`
+	To    cluster.KeyHash `cbor:"4,keyasint"`
 }
 
 // Spot is what one member saw in the range of a move, since it began and before.
 type Spot struct {
 	Move  shardmap.MoveID         `cbor:"1,keyasint"`
-	Range fleet.RangeID           `cbor:"2,keyasint"`
+	Range cluster.RangeID         `cbor:"2,keyasint"`
 	Now   Ends                    `cbor:"3,keyasint"`
 	Usual Ends                    `cbor:"4,keyasint"`
 	Sick  []gateway.DestinationID `cbor:"5,keyasint,omitempty"`
@@ -74,7 +74,7 @@
 func (t *Tally) Ended(d gateway.DestinationID, e Ends) {
 	c := t.dests[d]
 	if c == nil {
-		c = &count{hash: fleet.Hash(d)}
+		c = &count{hash: cluster.Hash(d)}
 		t.dests[d] = c
 	}
 	c.all = c.all.plus(e)
--- a/cluster/rebalance/tally_test.go
+++ b/cluster/rebalance/tally_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -15,19 +15,19 @@
 
 // moving is a world whose ranges all begin to move by a plan that stops for harm, and where destination 7
 // lies.
-func moving(t *testing.T) (w *world, at fleet.RangeID, move shardmap.MoveID) {
+func moving(t *testing.T) (w *world, at cluster.RangeID, move shardmap.MoveID) {
 	w = newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"leave \"a\" {}\nbounds { moves_at_once = 2 }\nstop_when {\n late = 0.1\n"+
 		" sick = true\n}\n"))
 	for w.act() > 0 {
 	}
-	r, _ := w.m.Of(fleet.Hash(7))
+	r, _ := w.m.Of(cluster.Hash(7))
 	return w, r.ID, r.Move.ID
 }
 
 func well(shardmap.Range) []gateway.DestinationID { return nil }
 func ill(r shardmap.Range) []gateway.DestinationID {
-	if k := fleet.Hash(7); r.From <= k && k <= r.To {
+	if k := cluster.Hash(7); r.From <= k && k <= r.To {
 		return []gateway.DestinationID{7}
 	}
 	return nil
@@ -52,7 +52,7 @@
 		g.Take(1, "b", target.Tell(1, of, w.m, well, 2*second))
 	}
 	var another Gathered // of a conductor that has just begun
-	for id, y := range map[fleet.MemberID]*Tally{"a": source, "b": target} {
+	for id, y := range map[cluster.MemberID]*Tally{"a": source, "b": target} {
 		another.Take(1, id, y.Tell(1, of, w.m, well, 2*second))
 	}
 	h := g.Harm(1)
--- a/cluster/rebalance/world_test.go
+++ b/cluster/rebalance/world_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // tester is testing.T or rapid.T.
@@ -25,27 +25,27 @@
 	m     *shardmap.Map
 	p     *Progress
 	index uint64
-	held  map[fleet.Task]held
-	value func(fleet.RangeID) float64
-	gone  map[fleet.MemberID]bool
-	first map[fleet.KeyHash]bool // where ranges began before any was split
-	began []int                  // steps in the order in which they began
+	held  map[cluster.Task]held
+	value func(cluster.RangeID) float64
+	gone  map[cluster.MemberID]bool
+	first map[cluster.KeyHash]bool // where ranges began before any was split
+	began []int                    // steps in the order in which they began
 }
 
 type held struct {
-	member fleet.MemberID
-	epoch  fleet.Epoch
+	member cluster.MemberID
+	epoch  cluster.Epoch
 }
 
-func (w *world) Holder(task fleet.Task) (fleet.SessionID, fleet.MemberID, fleet.Epoch, bool) {
+func (w *world) Holder(task cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	h, ok := w.held[task]
 	return 1, h.member, h.epoch, ok
 }
 
 // newWorld has one even range for each home, all seated.
-func newWorld(t tester, homes ...fleet.MemberID) *world {
-	w := &world{t: t, p: &Progress{}, held: map[fleet.Task]held{}, gone: map[fleet.MemberID]bool{},
-		first: map[fleet.KeyHash]bool{}}
+func newWorld(t tester, homes ...cluster.MemberID) *world {
+	w := &world{t: t, p: &Progress{}, held: map[cluster.Task]held{}, gone: map[cluster.MemberID]bool{},
+		first: map[cluster.KeyHash]bool{}}
 	w.m = shardmap.New(w)
 	even, err := shardmap.Even(len(homes), []shardmap.Weight{{Member: "x", Weight: 1}})
 	require.NoError(t, err)
@@ -53,9 +53,9 @@
 		r := &even[i]
 		w.first[r.From] = true
 		r.Home, r.Epoch, r.Standing = homes[i], 1, shardmap.Seated
-		w.held[fleet.HomeOf(r.ID)] = held{homes[i], 1}
+		w.held[cluster.HomeOf(r.ID)] = held{homes[i], 1}
 	}
-	w.m.Ranges, w.m.NextID, w.m.Version = even, fleet.RangeID(len(homes)+1), 1
+	w.m.Ranges, w.m.NextID, w.m.Version = even, cluster.RangeID(len(homes)+1), 1
 	w.index = 1
 	return w
 }
@@ -66,9 +66,9 @@
 	return fmt.Sprintf("hashes = [\"%d\", \"%d\"]", each*uint64(i)+each/4, each*uint64(i)+each/2)
 }
 
-func (w *world) propose(c fleet.Command) ([]byte, error) {
+func (w *world) propose(c cluster.Command) ([]byte, error) {
 	w.index++
-	if c.Part == fleet.PlanPart {
+	if c.Part == cluster.PlanPart {
 		answer, err := w.p.Apply(w.index, c.Body)
 		w.elsewhere()
 		return answer, err
@@ -76,7 +76,7 @@
 	return w.m.Apply(w.index, c.Body)
 }
 
-func (w *world) must(c fleet.Command) []byte {
+func (w *world) must(c cluster.Command) []byte {
 	w.t.Helper()
 	answer, err := w.propose(c)
 	require.NoError(w.t, err)
@@ -107,7 +107,7 @@
 
 func (w *world) next() Turnout {
 	seen := Seen{Rested: w.file.Bounds.Pause, Value: w.value,
-		Gone: func(m fleet.MemberID) bool { return w.gone[m] }}
+		Gone: func(m cluster.MemberID) bool { return w.gone[m] }}
 	return w.p.Next(w.file, w.m, seen)
 }
 
@@ -142,7 +142,7 @@
 // seat has the homes of what was split off take it, and let go of what was merged.
 func (w *world) seat() {
 	for _, r := range w.m.Ranges {
-		if task := fleet.HomeOf(r.ID); r.Standing == shardmap.Named {
+		if task := cluster.HomeOf(r.ID); r.Standing == shardmap.Named {
 			w.held[task] = held{r.Home, 1}
 			w.must(shardmap.Home(r.ID, r.Home, 1, w.m.Version))
 		}
@@ -162,7 +162,7 @@
 // goOn takes a move one step further.
 func (w *world) goOn(r shardmap.Range) {
 	w.t.Helper()
-	v, task := r.Move, fleet.HomeOf(r.ID)
+	v, task := r.Move, cluster.HomeOf(r.ID)
 	switch {
 	case v.Step < shardmap.Passing:
 		w.must(shardmap.Conductor(1).Step(v.ID, v.Step+1))
@@ -179,7 +179,7 @@
 // inBounds is what has to hold at each moment.
 func (w *world) inBounds() {
 	w.t.Helper()
-	has, moves, zones, value := map[fleet.MemberID]int{}, map[fleet.MemberID]int{}, map[string]int{}, 0.0
+	has, moves, zones, value := map[cluster.MemberID]int{}, map[cluster.MemberID]int{}, map[string]int{}, 0.0
 	b := w.file.Bounds
 	for _, r := range w.m.Ranges {
 		counts := 0
@@ -237,6 +237,6 @@
 	require.Fail(w.t, "it doesn't end")
 }
 
-func (w *world) home(i int) fleet.MemberID { return w.m.Ranges[i].Home }
+func (w *world) home(i int) cluster.MemberID { return w.m.Ranges[i].Home }
 
 var _ tester = (*testing.T)(nil)
--- a/cluster/relay/relay.go
+++ b/cluster/relay/relay.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -74,7 +74,7 @@
 	switch {
 	case err == nil:
 		return fasthttp.StatusOK
-	case errors.Is(err, fleet.ErrFenced):
+	case errors.Is(err, cluster.ErrFenced):
 		return statusFenced
 	case errors.Is(err, stream.ErrUnopened):
 		return statusUnopened
@@ -86,7 +86,7 @@
 
 // Said is how this package says things; *talk.Talk does.
 type Said interface {
-	Say(to fleet.MemberID, path string, body []byte, within time.Duration) (int, []byte, error)
+	Say(to cluster.MemberID, path string, body []byte, within time.Duration) (int, []byte, error)
 }
 
 var _ Said = (*transport.Talk)(nil)
--- a/cluster/relay/shelf.go
+++ b/cluster/relay/shelf.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -39,7 +39,7 @@
 
 	mu     sync.Mutex
 	r      *stream.Receiver
-	tells  map[fleet.MemberID]chan struct{} // bells of those who are owed ends
+	tells  map[cluster.MemberID]chan struct{} // bells of those who are owed ends
 	ended  chan struct{}
 	before sync.WaitGroup
 	framed atomic.Bool  // the sender has sent in this run: it hears the answers
@@ -48,7 +48,7 @@
 
 // NewRelay goes on by what its journal knows.
 func NewRelay(r *stream.Receiver, shelf Shelf, said Said, p Pace, now func() gateway.Micros) *Relay {
-	relay := &Relay{shelf: shelf, said: said, pace: p, now: now, r: r, tells: map[fleet.MemberID]chan struct{}{},
+	relay := &Relay{shelf: shelf, said: said, pace: p, now: now, r: r, tells: map[cluster.MemberID]chan struct{}{},
 		ended: make(chan struct{})}
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
@@ -150,7 +150,7 @@
 }
 
 // ring has an owner told, by a goroutine of its own: one that can't be reached holds no other.
-func (r *Relay) ring(owner fleet.MemberID) {
+func (r *Relay) ring(owner cluster.MemberID) {
 	bell := r.tells[owner]
 	if bell == nil {
 		bell = make(chan struct{}, 1)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (r *Relay) tell(owner fleet.MemberID, bell chan struct{}) {
+func (r *Relay) tell(owner cluster.MemberID, bell chan struct{}) {
 	defer r.before.Done()
 	for {
 		select {
@@ -198,7 +198,7 @@
 }
 
 // once tells what is owed, and whether there may be more and it was heard.
-func (r *Relay) once(owner fleet.MemberID) (more, heard bool) {
+func (r *Relay) once(owner cluster.MemberID) (more, heard bool) {
 	r.mu.Lock()
 	ends := Ends{Ends: r.r.Owed(owner, mostEnds)}
 	ends.Answer = r.r.Answer(r.shelf.Room(), r.now())
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -33,7 +33,7 @@
 	few int // frames that are lost next
 }
 
-func (f *faults) Say(to fleet.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
+func (f *faults) Say(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
 	f.mu.Lock()
 	what, cut := f.r.IntN(3*f.one), f.cut
 	if path == FramePath && f.few > 0 {
@@ -226,10 +226,10 @@
 	owner := transport.Hears(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s.back = &faults{Talk: transport.New("r", map[fleet.MemberID]string{"m": on.Addr().String()}),
+	s.back = &faults{Talk: transport.New("r", map[cluster.MemberID]string{"m": on.Addr().String()}),
 		r: rand.New(rand.NewPCG(1, 2)), one: 1 << 20}
 	s.start()
-	s.toward = &faults{Talk: transport.New("m", map[fleet.MemberID]string{"r": s.addr}),
+	s.toward = &faults{Talk: transport.New("m", map[cluster.MemberID]string{"r": s.addr}),
 		r: rand.New(rand.NewPCG(3, 4)), one: 1 << 20}
 	s.stream = NewStream("r", stream.NewSender(1, 0.05), book{s}, s.toward, PaceOf(term), clock,
 		func() bool { return true })
--- a/cluster/relay/stream.go
+++ b/cluster/relay/stream.go
@@ -7,9 +7,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -35,7 +35,7 @@
 
 // Stream is a site's, at its sender.
 type Stream struct {
-	relay fleet.MemberID
+	relay cluster.MemberID
 	books Books
 	said  Said
 	pace  Pace
@@ -60,7 +60,7 @@
 }
 
 // NewStream sends to a relay what s has, from Run on. holds is asked before each message.
-func NewStream(relay fleet.MemberID, s *stream.Sender, books Books, said Said, p Pace,
+func NewStream(relay cluster.MemberID, s *stream.Sender, books Books, said Said, p Pace,
 	now func() gateway.Micros, holds func() bool) *Stream {
 	return &Stream{relay: relay, books: books, said: said, pace: p, now: now, holds: holds, s: s,
 		bell: make(chan struct{}, 1), ended: make(chan struct{}), done: make(chan struct{})}
--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // Apply takes a command of the log. What is refused changed nothing: with fleet.ErrUnknown where there is no
@@ -16,15 +16,15 @@
 	if err := decoding.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("ranges: %w", err)
 	}
-	answer, err := m.apply(fleet.Version(index), c)
+	answer, err := m.apply(cluster.Version(index), c)
 	if err != nil {
 		return nil, err
 	}
-	m.Version = fleet.Version(index)
+	m.Version = cluster.Version(index)
 	return encoding.Marshal(answer)
 }
 
-func (m *Map) apply(now fleet.Version, c command) (any, error) {
+func (m *Map) apply(now cluster.Version, c command) (any, error) {
 	switch c.Op {
 	case opFirst:
 		return nil, m.first(c)
@@ -43,7 +43,7 @@
 	case opSplit, opMerge, opPlan, opHome:
 		i := m.at(c.Range)
 		if i < 0 {
-			return nil, fleet.ErrUnknown
+			return nil, cluster.ErrUnknown
 		}
 		switch c.Op {
 		case opSplit:
@@ -58,16 +58,16 @@
 		v := m.move(c.Move)
 		switch {
 		case v == nil:
-			return nil, fleet.ErrUnknown
+			return nil, cluster.ErrUnknown
 		case v.Step == Switched:
-			return nil, fleet.ErrStale
+			return nil, cluster.ErrStale
 		case c.Op == opBack:
 			*v = Move{}
 			return nil, nil
 		case c.Op == opSwitch:
 			return nil, m.toTarget(c)
 		case c.Step != v.Step+1 || c.Step > Passing:
-			return nil, fleet.ErrStale
+			return nil, cluster.ErrStale
 		}
 		v.Step = c.Step
 		return nil, nil
@@ -80,13 +80,13 @@
 
 func (m *Map) first(c command) error {
 	if len(m.Ranges) > 0 {
-		return fleet.ErrStale
+		return cluster.ErrStale
 	}
 	ranges, err := Even(c.N, c.Members)
 	if err != nil {
 		return err
 	}
-	m.Ranges, m.NextID = ranges, fleet.RangeID(len(ranges)+1)
+	m.Ranges, m.NextID = ranges, cluster.RangeID(len(ranges)+1)
 	return nil
 }
 
@@ -109,24 +109,24 @@
 			k++
 			upTo += members[k].Weight
 		}
-		all[i] = Range{ID: fleet.RangeID(i + 1), Home: members[k].Member}
-		if all[i].To = fleet.KeyHash(each*uint64(i+1) + uint64(i)); i > 0 {
+		all[i] = Range{ID: cluster.RangeID(i + 1), Home: members[k].Member}
+		if all[i].To = cluster.KeyHash(each*uint64(i+1) + uint64(i)); i > 0 {
 			all[i].From = all[i-1].To + 1
 		}
 	}
-	all[n-1].To = ^fleet.KeyHash(0)
+	all[n-1].To = ^cluster.KeyHash(0)
 	return all, nil
 }
 
 // split leaves the lower part its home's grant. The upper part's own is yet to be granted; until its home has
 // asked for it, it may still serve there by an older map.
-func (m *Map) split(now fleet.Version, i int, at fleet.KeyHash) (fleet.RangeID, error) {
+func (m *Map) split(now cluster.Version, i int, at cluster.KeyHash) (cluster.RangeID, error) {
 	r := m.Ranges[i]
 	if !r.Settled() || len(m.Ranges) >= mostRanges {
-		return 0, fleet.ErrStale
+		return 0, cluster.ErrStale
 	}
 	if at <= r.From || at > r.To {
-		return 0, fleet.ErrUnknown
+		return 0, cluster.ErrUnknown
 	}
 	upper := Range{ID: m.NextID, From: at, To: r.To, Home: r.Home, Piece: true,
 		Also: append(slices.Clone(r.Also), Under{r.ID, r.Epoch, now})}
@@ -136,14 +136,14 @@
 	return upper.ID, nil
 }
 
-func (m *Map) merge(now fleet.Version, i int, other fleet.RangeID) error {
+func (m *Map) merge(now cluster.Version, i int, other cluster.RangeID) error {
 	k := m.at(other)
 	if k < 0 {
-		return fleet.ErrUnknown
+		return cluster.ErrUnknown
 	}
 	a, b := &m.Ranges[i], m.Ranges[k]
 	if i-k != 1 && k-i != 1 || a.Home != b.Home || !a.Settled() || !b.Settled() {
-		return fleet.ErrStale
+		return cluster.ErrStale
 	}
 	if b.From < a.From {
 		a.Piece = b.Piece
--- a/cluster/shardmap/around_test.go
+++ b/cluster/shardmap/around_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -209,7 +209,7 @@
 }
 
 // offers sends a webhook to another member; a client's that only comes in has no record yet.
-func (w *world) offers(i, n int8, id MoveID, to fleet.MemberID) {
+func (w *world) offers(i, n int8, id MoveID, to cluster.MemberID) {
 	p, chart := &w.at[i], w.seen(i)
 	m := message{kind: offer, from: i, to: member(to), w: n, ran: -1, move: uint8(id), ver: uint8(chart.Version),
 		epoch: uint8(chart.Ranges[0].Epoch), sent: w.now, life: w.at[member(to)].life}
@@ -229,7 +229,7 @@
 	p.mem[n].in(n, func(k *Known, name Name) {
 		next := k.Next(name)
 		m.hand, ok = k.Offers(name, ttl, Offer{To: to, Life: uint64(m.life), Move: id, Range: 1,
-			Epoch: fleet.Epoch(m.epoch), SentAt: gateway.Micros(w.now)})
+			Epoch: cluster.Epoch(m.epoch), SentAt: gateway.Micros(w.now)})
 		if w.wrong.handStays && !again && next > 1 {
 			m.hand = next - 1
 			k.names[name].Hand = m.hand
--- a/cluster/shardmap/carried.go
+++ b/cluster/shardmap/carried.go
@@ -4,15 +4,15 @@
 	"cmp"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
 // Name is a webhook's over the whole fleet, from the member that took it from its client to its end.
 type Name struct {
-	Origin fleet.MemberID `cbor:"1,keyasint"`
-	Life   uint64         `cbor:"2,keyasint"` // of the origin's folder: ids begin anew with it
-	ID     uint64         `cbor:"3,keyasint"` // never used twice in that life
+	Origin cluster.MemberID `cbor:"1,keyasint"`
+	Life   uint64           `cbor:"2,keyasint"` // of the origin's folder: ids begin anew with it
+	ID     uint64           `cbor:"3,keyasint"` // never used twice in that life
 }
 
 // Carried is a webhook with what the next owner must know of its past. Times are of its sender's clock, until
--- a/cluster/shardmap/deed.go
+++ b/cluster/shardmap/deed.go
@@ -1,7 +1,7 @@
 package shardmap
 
 import (
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -19,30 +19,30 @@
 // Verdict says what to do, by which version of the map, and with whom.
 type Verdict struct {
 	Do      Deed
-	Range   fleet.RangeID
-	Epoch   fleet.Epoch // by which the home serves; Serve: the one to check before each call
-	Version fleet.Version
-	To      fleet.MemberID // Forward: the home
-	Passes  Move           // Hold: the move by which what is owed goes over
+	Range   cluster.RangeID
+	Epoch   cluster.Epoch // by which the home serves; Serve: the one to check before each call
+	Version cluster.Version
+	To      cluster.MemberID // Forward: the home
+	Passes  Move             // Hold: the move by which what is owed goes over
 }
 
 // Tenant is a member as far as its right to call goes.
 type Tenant struct {
-	Member fleet.MemberID
-	Epoch  func(fleet.Task) (fleet.Epoch, bool) // by which it holds a task now, by its own clock
-	Alone  bool                                 // see Deserted
+	Member cluster.MemberID
+	Epoch  func(cluster.Task) (cluster.Epoch, bool) // by which it holds a task now, by its own clock
+	Alone  bool                                     // see Deserted
 }
 
 // MayServe is what a member does with webhooks of a key hash, now. A call needs Serve (or Alone) when it is
 // begun and again before its last byte. It is Serve only where the map names the member by the very grant
 // that it holds: a map from before a move does not name the grants given after it, so that no old map lets
 // two call.
-func (m *Map) MayServe(who Tenant, key fleet.KeyHash) Verdict {
+func (m *Map) MayServe(who Tenant, key cluster.KeyHash) Verdict {
 	r, ok := m.Of(key)
 	v := Verdict{Range: r.ID, Epoch: r.Epoch, Version: m.Version, To: r.Home}
-	epoch, held := fleet.Epoch(0), false
+	epoch, held := cluster.Epoch(0), false
 	if ok && r.Home == who.Member {
-		epoch, held = who.Epoch(fleet.HomeOf(r.ID))
+		epoch, held = who.Epoch(cluster.HomeOf(r.ID))
 	}
 	switch {
 	case held && r.Standing == Seated && epoch == r.Epoch && r.Move.Step != Passing:
@@ -63,7 +63,7 @@
 
 // Wants is whether a member asks for a range's task: as its home that holds it not, or as the target of a
 // move whose source is about to let it go. It asks for no other: that would only keep the home from its seat.
-func (r Range) Wants(member fleet.MemberID) bool {
+func (r Range) Wants(member cluster.MemberID) bool {
 	if r.Move.Step == Passing {
 		return r.Move.To == member
 	}
@@ -72,7 +72,7 @@
 
 // LetsGo is whether a member that holds a range's task gives it up: where it doesn't want it, and as the
 // source of a move once none of its calls of the range is out and what it owed has gone over.
-func (r Range) LetsGo(member fleet.MemberID, callsOut, owed int) bool {
+func (r Range) LetsGo(member cluster.MemberID, callsOut, owed int) bool {
 	if r.Move.Step == Passing && r.Home == member {
 		return callsOut == 0 && owed == 0
 	}
@@ -82,7 +82,7 @@
 // Shuts is whether the source of a move takes nothing more on for its range: no call of it is out, and what
 // it owes goes over in one message. Guards against a move that never ends, since under load something always
 // comes; what is shut waits for a message and the switch.
-func (r Range) Shuts(member fleet.MemberID, callsOut, owed, atOnce int) bool {
+func (r Range) Shuts(member cluster.MemberID, callsOut, owed, atOnce int) bool {
 	return r.Move.Step == Passing && r.Home == member && callsOut == 0 && owed <= atOnce
 }
 
@@ -117,7 +117,7 @@
 )
 
 // Admit is what a member says to what was forwarded by a version of the map. The verdict tells Newer's home.
-func (m *Map) Admit(who Tenant, key fleet.KeyHash, by fleet.Version) (Admission, Verdict) {
+func (m *Map) Admit(who Tenant, key cluster.KeyHash, by cluster.Version) (Admission, Verdict) {
 	v := m.MayServe(who, key)
 	r, ok := m.Of(key)
 	switch {
--- a/cluster/shardmap/homes_test.go
+++ b/cluster/shardmap/homes_test.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -168,7 +168,7 @@
 
 func (w *world) tenant(i int8) Tenant {
 	p := &w.at[i]
-	holds := func(fleet.Task) (fleet.Epoch, bool) { return fleet.Epoch(p.epoch), p.epoch != 0 }
+	holds := func(cluster.Task) (cluster.Epoch, bool) { return cluster.Epoch(p.epoch), p.epoch != 0 }
 	return Tenant{who[i], holds, p.alone}
 }
 
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -36,10 +36,10 @@
 
 // Move is a range's way to another home.
 type Move struct {
-	ID   MoveID         `cbor:"1,keyasint"`
-	From fleet.MemberID `cbor:"2,keyasint"`
-	To   fleet.MemberID `cbor:"3,keyasint"`
-	Step Step           `cbor:"4,keyasint"`
+	ID   MoveID           `cbor:"1,keyasint"`
+	From cluster.MemberID `cbor:"2,keyasint"`
+	To   cluster.MemberID `cbor:"3,keyasint"`
+	Step Step             `cbor:"4,keyasint"`
 	// Switched: who has cleared its copies away.
 	FromClear bool `cbor:"5,keyasint,omitempty"`
 	ToClear   bool `cbor:"6,keyasint,omitempty"`
@@ -50,23 +50,23 @@
 
 // Range is a part of the key hashes. From and To both belong to it.
 type Range struct {
-	ID       fleet.RangeID  `cbor:"1,keyasint"`
-	From     fleet.KeyHash  `cbor:"2,keyasint"`
-	To       fleet.KeyHash  `cbor:"3,keyasint"`
-	Home     fleet.MemberID `cbor:"4,keyasint"`
-	Epoch    fleet.Epoch    `cbor:"5,keyasint"` // of task fleet.HomeOf(ID), by which Home serves; 0: never yet
-	Standing Standing       `cbor:"6,keyasint"`
-	Move     Move           `cbor:"7,keyasint"`
-	Also     []Under        `cbor:"8,keyasint,omitempty"`
-	Piece    bool           `cbor:"9,keyasint,omitempty"` // split off what lies below it
+	ID       cluster.RangeID  `cbor:"1,keyasint"`
+	From     cluster.KeyHash  `cbor:"2,keyasint"`
+	To       cluster.KeyHash  `cbor:"3,keyasint"`
+	Home     cluster.MemberID `cbor:"4,keyasint"`
+	Epoch    cluster.Epoch    `cbor:"5,keyasint"` // of task fleet.HomeOf(ID), by which Home serves; 0: never yet
+	Standing Standing         `cbor:"6,keyasint"`
+	Move     Move             `cbor:"7,keyasint"`
+	Also     []Under          `cbor:"8,keyasint,omitempty"`
+	Piece    bool             `cbor:"9,keyasint,omitempty"` // split off what lies below it
 }
 
 // Under is a grant of another range's home by which a home with a map from before Since may serve a part of
 // this one: what was split off and not taken up yet, what was merged in.
 type Under struct {
-	Range fleet.RangeID `cbor:"1,keyasint"`
-	Epoch fleet.Epoch   `cbor:"2,keyasint"`
-	Since fleet.Version `cbor:"3,keyasint"`
+	Range cluster.RangeID `cbor:"1,keyasint"`
+	Epoch cluster.Epoch   `cbor:"2,keyasint"`
+	Since cluster.Version `cbor:"3,keyasint"`
 }
 
 // Settled tells whether a range has a home that serves and nothing is under way.
@@ -74,15 +74,15 @@
 
 // Map says which member is home of which range. Its ranges lie in order and cover each key hash once.
 type Map struct {
-	Version fleet.Version `cbor:"1,keyasint"` // the log's index of the last command that changed it; 0: none yet
-	Ranges  []Range       `cbor:"2,keyasint"`
-	Left    []Move        `cbor:"3,keyasint,omitempty"` // switched moves of ranges that went on without waiting
-	NextID  fleet.RangeID `cbor:"4,keyasint"`           // all below were used
-	Groups  []Group       `cbor:"5,keyasint,omitempty"` // by place
-	Strays  []Stray       `cbor:"6,keyasint,omitempty"` // sorted
+	Version cluster.Version `cbor:"1,keyasint"` // the log's index of the last command that changed it; 0: none yet
+	Ranges  []Range         `cbor:"2,keyasint"`
+	Left    []Move          `cbor:"3,keyasint,omitempty"` // switched moves of ranges that went on without waiting
+	NextID  cluster.RangeID `cbor:"4,keyasint"`           // all below were used
+	Groups  []Group         `cbor:"5,keyasint,omitempty"` // by place
+	Strays  []Stray         `cbor:"6,keyasint,omitempty"` // sorted
 
 	holders Holders
-	placed  map[gateway.DestinationID]fleet.KeyHash // of the groups
+	placed  map[gateway.DestinationID]cluster.KeyHash // of the groups
 }
 
 // New is an empty map, as a keeper has it: the holders are of the same log. Members need none.
@@ -91,12 +91,12 @@
 // Holders tells who holds a task by the log. A grant that is not held any more has ended at its holder too,
 // by the holder's own clock: the leases see to that before they end it in the log.
 type Holders interface {
-	Holder(task fleet.Task) (session fleet.SessionID, member fleet.MemberID, epoch fleet.Epoch, held bool)
+	Holder(task cluster.Task) (session cluster.SessionID, member cluster.MemberID, epoch cluster.Epoch, held bool)
 }
 
 // Of is the range that a key hash lies in. There is none before the first map.
-func (m *Map) Of(key fleet.KeyHash) (Range, bool) {
-	ends := func(r Range, k fleet.KeyHash) int { return cmp.Compare(r.To, k) }
+func (m *Map) Of(key cluster.KeyHash) (Range, bool) {
+	ends := func(r Range, k cluster.KeyHash) int { return cmp.Compare(r.To, k) }
 	i, _ := slices.BinarySearchFunc(m.Ranges, key, ends)
 	if i == len(m.Ranges) {
 		return Range{}, false
@@ -105,14 +105,14 @@
 }
 
 // Get finds a range by its id.
-func (m *Map) Get(id fleet.RangeID) (Range, bool) {
+func (m *Map) Get(id cluster.RangeID) (Range, bool) {
 	if i := m.at(id); i >= 0 {
 		return m.Ranges[i], true
 	}
 	return Range{}, false
 }
 
-func (m *Map) at(id fleet.RangeID) int {
+func (m *Map) at(id cluster.RangeID) int {
 	return slices.IndexFunc(m.Ranges, func(r Range) bool { return r.ID == id })
 }
 
@@ -159,10 +159,10 @@
 
 // sound tells what is wrong with a map.
 func (m *Map) sound() error {
-	next, ids := fleet.KeyHash(0), map[fleet.RangeID]bool{}
+	next, ids := cluster.KeyHash(0), map[cluster.RangeID]bool{}
 	for i, r := range m.Ranges {
 		last := i == len(m.Ranges)-1
-		if r.From != next || r.To < r.From || last != (r.To == ^fleet.KeyHash(0)) {
+		if r.From != next || r.To < r.From || last != (r.To == ^cluster.KeyHash(0)) {
 			return fmt.Errorf("ranges: range %d leaves a gap or lies over another", r.ID)
 		}
 		if ids[r.ID] || r.ID >= m.NextID || r.Home == "" || r.Move.Step > Switched || r.Standing > Seated {
