--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -20,7 +20,7 @@
 		n, members, total := rapid.IntRange(1, 300).Draw(t, "n"), []Weight{}, 0.0
 		for i, w := range rapid.SliceOfN(rapid.Float64Range(0, 10), 1, 6).Draw(t, "weights") {
 			w = math.Round(w)
-			members, total = append(members, Weight{fleet.MemberID(rune('a' + i)), w}), total+w
+			members, total = append(members, Weight{cluster.MemberID(rune('a' + i)), w}), total+w
 		}
 		all, err := Even(n, members)
 		if total == 0 {
@@ -28,9 +28,9 @@
 			return
 		}
 		require.NoError(t, err)
-		m := Map{Ranges: all, NextID: fleet.RangeID(n + 1)}
+		m := Map{Ranges: all, NextID: cluster.RangeID(n + 1)}
 		require.NoError(t, m.sound())
-		has, changes := map[fleet.MemberID]int{}, 0
+		has, changes := map[cluster.MemberID]int{}, 0
 		for i, r := range all {
 			has[r.Home]++
 			assert.InDelta(t, float64(all[0].To-all[0].From), float64(r.To-r.From), float64(n)*2+1e6)
@@ -47,17 +47,17 @@
 
 // leases grants any task to one member at a time.
 type leases struct {
-	held map[fleet.Task]fleet.MemberID
-	last map[fleet.Task]fleet.Epoch
+	held map[cluster.Task]cluster.MemberID
+	last map[cluster.Task]cluster.Epoch
 }
 
-func (l leases) Holder(t fleet.Task) (fleet.SessionID, fleet.MemberID, fleet.Epoch, bool) {
+func (l leases) Holder(t cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	who, held := l.held[t]
 	return 1, who, l.last[t], held
 }
 
-func (l leases) tenant(who fleet.MemberID) Tenant {
-	return Tenant{Member: who, Epoch: func(t fleet.Task) (fleet.Epoch, bool) {
+func (l leases) tenant(who cluster.MemberID) Tenant {
+	return Tenant{Member: who, Epoch: func(t cluster.Task) (cluster.Epoch, bool) {
 		return l.last[t], l.held[t] == who
 	}}
 }
@@ -71,9 +71,9 @@
 }
 
 // drawn is a command by chance that has some hope in the state of a range.
-func drawn(chance *rand.Rand, m *Map, l leases, r Range, seen *Map) (c fleet.Command, home bool) {
-	task, conduct := fleet.HomeOf(r.ID), Conductor(1)
-	member := fleet.MemberID(rune('a' + chance.IntN(3)))
+func drawn(chance *rand.Rand, m *Map, l leases, r Range, seen *Map) (c cluster.Command, home bool) {
+	task, conduct := cluster.HomeOf(r.ID), Conductor(1)
+	member := cluster.MemberID(rune('a' + chance.IntN(3)))
 	if n := chance.IntN(12); n == 0 {
 		of := []gateway.DestinationID{1, 2, 3}[chance.IntN(3):]
 		return conduct.Place([]Group{{r.From + (r.To-r.From)/3, of}}), false
@@ -105,7 +105,7 @@
 	case r.Move.Step == Passing:
 		return conduct.Back(r.Move.ID), false
 	case r.Move.Step == Switched:
-		return Clear(r.Move.ID, []fleet.MemberID{r.Move.From, r.Move.To}[n%2]), false
+		return Clear(r.Move.ID, []cluster.MemberID{r.Move.From, r.Move.To}[n%2]), false
 	case n < 8 && len(m.Ranges) < 4:
 		return conduct.Split(r.ID, r.From+(r.To-r.From)/2+1), false
 	case n < 9:
@@ -119,19 +119,19 @@
 // Commands by chance, on a log by whose leases only one holds a task. Each member serves by any map as new as
 // the one it said Home by. Then of no key two members serve, whatever is split, merged, moved and lost.
 func TestNoTwoServeAKeyByWhateverMaps(t *testing.T) {
-	chance, who := rand.New(rand.NewPCG(35, 3)), []fleet.MemberID{"a", "b", "c"}
+	chance, who := rand.New(rand.NewPCG(35, 3)), []cluster.MemberID{"a", "b", "c"}
 	served, done := 0, map[string]int{}
 	for range 1500 {
-		l := leases{map[fleet.Task]fleet.MemberID{}, map[fleet.Task]fleet.Epoch{}}
+		l := leases{map[cluster.Task]cluster.MemberID{}, map[cluster.Task]cluster.Epoch{}}
 		m := New(l)
 		_, err := m.Apply(1, Conductor(1).First(1, []Weight{{"a", 1}}).Body)
 		require.NoError(t, err)
-		old, least := []*Map{version(t, m)}, map[fleet.MemberID]fleet.Version{}
+		old, least := []*Map{version(t, m)}, map[cluster.MemberID]cluster.Version{}
 		for range 70 {
 			r, seen := m.Ranges[chance.IntN(len(m.Ranges))], old[max(0, len(old)-1-chance.IntN(6))]
 			c, home := drawn(chance, m, l, r, seen)
-			holder, held := l.held[fleet.HomeOf(r.ID)]
-			if c.By == fleet.HomeOf(r.ID) && !held {
+			holder, held := l.held[cluster.HomeOf(r.ID)]
+			if c.By == cluster.HomeOf(r.ID) && !held {
 				continue // fleet.ErrFenced
 			}
 			if c.Body != nil && !(home && seen.Version < least[holder]) {
@@ -145,7 +145,7 @@
 				}
 			}
 			for _, r := range m.Ranges {
-				serves := map[fleet.MemberID]bool{}
+				serves := map[cluster.MemberID]bool{}
 				for _, by := range old {
 					for _, w := range who {
 						if by.Version >= least[w] && by.MayServe(l.tenant(w), r.From).Do == Serve {
@@ -158,7 +158,7 @@
 				done[fmt.Sprint("step ", r.Move.Step)]++
 			}
 			for d := range gateway.DestinationID(3) {
-				serves := map[fleet.MemberID]bool{}
+				serves := map[cluster.MemberID]bool{}
 				for _, by := range old {
 					for _, w := range who {
 						if by.Version >= least[w] && by.VerdictOf(l.tenant(w), d+1).Do == Serve {
@@ -177,22 +177,22 @@
 
 func TestAPartThatIsSplitOffAndMergedIsAsBefore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		home := fleet.HomeOf(1)
-		l := leases{map[fleet.Task]fleet.MemberID{home: "a"}, map[fleet.Task]fleet.Epoch{home: 1}}
+		home := cluster.HomeOf(1)
+		l := leases{map[cluster.Task]cluster.MemberID{home: "a"}, map[cluster.Task]cluster.Epoch{home: 1}}
 		m := New(l)
-		at := fleet.KeyHash(rapid.Uint64Min(1).Draw(t, "at"))
-		apply := func(index uint64, c fleet.Command) {
+		at := cluster.KeyHash(rapid.Uint64Min(1).Draw(t, "at"))
+		apply := func(index uint64, c cluster.Command) {
 			_, err := m.Apply(index, c.Body)
 			require.NoError(t, err)
 		}
 		apply(1, Conductor(1).First(1, []Weight{{"a", 1}}))
 		apply(2, Home(1, "a", 1, 1))
 		apply(3, Conductor(1).Split(1, at))
-		key := fleet.KeyHash(rapid.Uint64().Draw(t, "key"))
+		key := cluster.KeyHash(rapid.Uint64().Draw(t, "key"))
 		r, ok := m.Of(key)
 		require.True(t, ok)
 		assert.Equal(t, key >= at, r.ID == 2)
-		l.held[fleet.HomeOf(2)], l.last[fleet.HomeOf(2)] = "a", 1
+		l.held[cluster.HomeOf(2)], l.last[cluster.HomeOf(2)] = "a", 1
 		apply(4, Home(2, "a", 1, 3))
 		apply(5, Conductor(1).Merge(1, 2))
 		require.Len(t, m.Ranges, 1)
@@ -201,7 +201,7 @@
 }
 
 func TestAMapWhoseMovesDoNotStandAsTheyCanIsRefused(t *testing.T) {
-	sound := Map{Version: 9, NextID: 2, Ranges: []Range{{ID: 1, To: ^fleet.KeyHash(0), Home: "a"}}}
+	sound := Map{Version: 9, NextID: 2, Ranges: []Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "a"}}}
 	for name, spoil := range map[string]func(m *Map){
 		"left and not switched": func(m *Map) { m.Left = []Move{{ID: 4, From: "a", To: "b", Step: Passing}} },
 		"one id twice": func(m *Map) {
--- a/cluster/shardmap/member_test.go
+++ b/cluster/shardmap/member_test.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -110,7 +110,7 @@
 	if m.move != 0 {
 		admits = w.seen(m.to).Passes(MoveID(m.move), who[m.to]) == Take
 	} else {
-		a, _ := w.seen(m.to).Admit(w.tenant(m.to), 0, fleet.Version(m.ver))
+		a, _ := w.seen(m.to).Admit(w.tenant(m.to), 0, cluster.Version(m.ver))
 		admits = a == Take
 	}
 	var taking Taking
@@ -192,7 +192,7 @@
 	if p.entered[n] {
 		kept := false
 		p.mem[n].in(n, func(k *Known, name Name) {
-			kept = k.Sent(name, m.hand, ttl, Offer{who[m.to], uint64(m.life), 0, 1, fleet.Epoch(m.epoch),
+			kept = k.Sent(name, m.hand, ttl, Offer{who[m.to], uint64(m.life), 0, 1, cluster.Epoch(m.epoch),
 				gateway.Micros(m.sent), true})
 		})
 		p.entered[n], p.out = false, message{ran: -1}
--- a/cluster/shardmap/owner.go
+++ b/cluster/shardmap/owner.go
@@ -1,6 +1,6 @@
 package shardmap
 
-import "rowanlink/fleet"
+import "rowanlink/cluster"
 
 // Owner is whose home a range is as far as a move goes.
 type Owner uint8
@@ -16,7 +16,7 @@
 func (m *Map) Owns(id MoveID) Owner {
 	v, open := m.Open(id)
 	switch {
-	case m.Version < fleet.Version(id) || open && v.Step < Switched:
+	case m.Version < cluster.Version(id) || open && v.Step < Switched:
 		return Undecided
 	case open:
 		return Target
@@ -26,10 +26,10 @@
 
 // Passes is what a target says to what is sent to it by a move: Take, or Behind where it knows nothing of the
 // move yet; Newer: the move went back or was cleared, and nothing of it is taken any more.
-func (m *Map) Passes(id MoveID, target fleet.MemberID) Admission {
+func (m *Map) Passes(id MoveID, target cluster.MemberID) Admission {
 	v, open := m.Open(id)
 	switch {
-	case m.Version < fleet.Version(id) || open && v.Step < Passing:
+	case m.Version < cluster.Version(id) || open && v.Step < Passing:
 		return Behind
 	case open && v.To == target:
 		return Take
--- a/cluster/shardmap/places.go
+++ b/cluster/shardmap/places.go
@@ -4,14 +4,14 @@
 	"cmp"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
 // Group is of destinations that stand at one place among the ranges, whatever their own numbers say, so that
 // one member is home of them all.
 type Group struct {
-	At fleet.KeyHash           `cbor:"1,keyasint"`
+	At cluster.KeyHash         `cbor:"1,keyasint"`
 	Of []gateway.DestinationID `cbor:"2,keyasint"` // sorted
 }
 
@@ -31,8 +31,8 @@
 const mostPlaced = 1 << 17
 
 // index is where destinations stand that are in a group.
-func index(groups []Group) map[gateway.DestinationID]fleet.KeyHash {
-	at := map[gateway.DestinationID]fleet.KeyHash{}
+func index(groups []Group) map[gateway.DestinationID]cluster.KeyHash {
+	at := map[gateway.DestinationID]cluster.KeyHash{}
 	for _, g := range groups {
 		for _, d := range g.Of {
 			at[d] = g.At
@@ -51,11 +51,11 @@
 }
 
 // Key is where a destination stands among the ranges.
-func (m *Map) Key(d gateway.DestinationID) fleet.KeyHash {
+func (m *Map) Key(d gateway.DestinationID) cluster.KeyHash {
 	if at, is := m.placed[d]; is {
 		return at
 	}
-	return fleet.Hash(d)
+	return cluster.Hash(d)
 }
 
 // Holds is whether a destination stands in a range of this map.
@@ -66,17 +66,17 @@
 
 // place has other destinations stand together. Guards against two that serve one of those that move: whoever
 // holds the grant by which it was served is to say first that it goes by this map.
-func (m *Map) place(now fleet.Version, groups []Group) error {
+func (m *Map) place(now cluster.Version, groups []Group) error {
 	if !apart(groups) {
-		return fleet.ErrUnknown
+		return cluster.ErrUnknown
 	}
 	if SameGroups(groups, m.Groups) {
-		return fleet.ErrStale
+		return cluster.ErrStale
 	}
 	was := *m
 	m.Place(groups)
 	m.Strays = slices.Clone(m.Strays)
-	for _, of := range []map[gateway.DestinationID]fleet.KeyHash{was.placed, m.placed} {
+	for _, of := range []map[gateway.DestinationID]cluster.KeyHash{was.placed, m.placed} {
 		for d := range of {
 			from, known := was.Of(was.Key(d))
 			if to, _ := m.Of(m.Key(d)); !known || to.ID == from.ID {
@@ -108,7 +108,7 @@
 func (m *Map) settle(over func(Stray) bool) error {
 	left := slices.DeleteFunc(slices.Clone(m.Strays), over)
 	if len(left) == len(m.Strays) {
-		return fleet.ErrStale
+		return cluster.ErrStale
 	}
 	m.Strays = left
 	return nil
@@ -137,7 +137,7 @@
 
 // Own is whether it is by a member's own grant that a destination may be served elsewhere.
 func (s Stray) Own(who Tenant) bool {
-	epoch, held := who.Epoch(fleet.HomeOf(s.Under.Range))
+	epoch, held := who.Epoch(cluster.HomeOf(s.Under.Range))
 	return held && epoch == s.Under.Epoch
 }
 
@@ -164,7 +164,7 @@
 }
 
 // AdmitOf is what a member says to a webhook of a destination, forwarded by a version of the map.
-func (m *Map) AdmitOf(who Tenant, d gateway.DestinationID, by fleet.Version) (Admission, Verdict) {
+func (m *Map) AdmitOf(who Tenant, d gateway.DestinationID, by cluster.Version) (Admission, Verdict) {
 	admission, v := m.Admit(who, m.Key(d), by)
 	if admission == Take {
 		v = m.VerdictOf(who, d)
@@ -173,15 +173,15 @@
 }
 
 // Place has groups of destinations stand together, and all others by their own numbers.
-func (e Conductor) Place(groups []Group) fleet.Command {
+func (e Conductor) Place(groups []Group) cluster.Command {
 	return e.of(command{Op: opPlace, Groups: groups})
 }
 
 // Sweep forgets strays whose grant is over, where their holder did not live to say so.
-func (e Conductor) Sweep() fleet.Command { return e.of(command{Op: opSweep}) }
+func (e Conductor) Sweep() cluster.Command { return e.of(command{Op: opSweep}) }
 
 // Seen says that a home goes by a map as new as this one, and that no call is out of what strayed from it
 // until then.
-func Seen(id fleet.RangeID, epoch fleet.Epoch, seen fleet.Version) fleet.Command {
-	return command{Op: opSeen, Range: id, Epoch: epoch, Seen: seen}.by(fleet.HomeOf(id), epoch)
+func Seen(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
+	return command{Op: opSeen, Range: id, Epoch: epoch, Seen: seen}.by(cluster.HomeOf(id), epoch)
 }
--- a/cluster/shardmap/record.go
+++ b/cluster/shardmap/record.go
@@ -1,7 +1,7 @@
 package shardmap
 
 import (
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -18,13 +18,13 @@
 
 // Offer is a webhook on its way to another member that may have it by now.
 type Offer struct {
-	To     fleet.MemberID `cbor:"1,keyasint,omitempty"`
-	Life   uint64         `cbor:"2,keyasint,omitempty"` // of that member's folder
-	Move   MoveID         `cbor:"3,keyasint,omitempty"` // by which it goes over; 0: that member is its home
-	Range  fleet.RangeID  `cbor:"4,keyasint,omitempty"`
-	Epoch  fleet.Epoch    `cbor:"5,keyasint,omitempty"` // by which the range was homed then
-	SentAt gateway.Micros `cbor:"6,keyasint,omitempty"` // just before
-	Unsure bool           `cbor:"7,keyasint,omitempty"` // a try had no answer, or this process did not see it
+	To     cluster.MemberID `cbor:"1,keyasint,omitempty"`
+	Life   uint64           `cbor:"2,keyasint,omitempty"` // of that member's folder
+	Move   MoveID           `cbor:"3,keyasint,omitempty"` // by which it goes over; 0: that member is its home
+	Range  cluster.RangeID  `cbor:"4,keyasint,omitempty"`
+	Epoch  cluster.Epoch    `cbor:"5,keyasint,omitempty"` // by which the range was homed then
+	SentAt gateway.Micros   `cbor:"6,keyasint,omitempty"` // just before
+	Unsure bool             `cbor:"7,keyasint,omitempty"` // a try had no answer, or this process did not see it
 }
 
 // doubted tells that it is held in doubt: its hand was spent by an offer from here. Guards against two that
--- a/cluster/shardmap/search_test.go
+++ b/cluster/shardmap/search_test.go
@@ -11,11 +11,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
-func fleetEpoch(e uint8) fleet.Epoch { return fleet.Epoch(e) }
+func fleetEpoch(e uint8) cluster.Epoch { return cluster.Epoch(e) }
 
 // deeper is by how many moves more than in CI: ROWAN_SEARCH_DEEPER=2 takes minutes.
 var deeper, _ = strconv.Atoi(os.Getenv("ROWAN_SEARCH_DEEPER"))
--- a/cluster/shardmap/vacancies.go
+++ b/cluster/shardmap/vacancies.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -19,12 +19,12 @@
 // Vacancies is what the conductor sees of ranges whose home holds their task no more.
 type Vacancies struct {
 	term  gateway.Micros
-	since map[fleet.RangeID]gateway.Micros
+	since map[cluster.RangeID]gateway.Micros
 }
 
 // NewVacancies sees none yet; term is that of a session.
 func NewVacancies(term gateway.Micros) *Vacancies {
-	return &Vacancies{term: term, since: map[fleet.RangeID]gateway.Micros{}}
+	return &Vacancies{term: term, since: map[cluster.RangeID]gateway.Micros{}}
 }
 
 // Forget is for one that conducts no more.
@@ -32,9 +32,9 @@
 
 // Takes are the ranges to be given to other members now: those whose home has no session. One that served has
 // had its whole term; one that is only named is waited for. They go to those with the least for their weight.
-func (v *Vacancies) Takes(m *Map, by Holders, alive map[fleet.MemberID]bool, members []Able,
+func (v *Vacancies) Takes(m *Map, by Holders, alive map[cluster.MemberID]bool, members []Able,
 	now gateway.Micros) (takes []Takeover) {
-	has := map[fleet.MemberID]int{}
+	has := map[cluster.MemberID]int{}
 	for _, r := range m.Ranges {
 		if !r.Piece { // a piece takes no room
 			has[r.Home]++
@@ -45,7 +45,7 @@
 		if !r.Piece {
 			head = Takeover{}
 		}
-		if _, _, _, held := by.Holder(fleet.HomeOf(r.ID)); held || alive[r.Home] {
+		if _, _, _, held := by.Holder(cluster.HomeOf(r.ID)); held || alive[r.Home] {
 			delete(v.since, r.ID)
 			continue
 		}
@@ -74,8 +74,8 @@
 
 // lightest is the live member that one range more makes the least heavy for its weight and that has room. A
 // piece needs none.
-func lightest(members []Able, alive map[fleet.MemberID]bool, has map[fleet.MemberID]int,
-	piece bool) (fleet.MemberID, bool) {
+func lightest(members []Able, alive map[cluster.MemberID]bool, has map[cluster.MemberID]int,
+	piece bool) (cluster.MemberID, bool) {
 	able := slices.DeleteFunc(slices.Clone(members), func(w Able) bool {
 		return !alive[w.Member] || !(w.Weight.Weight > 0) || !piece && w.Room > 0 && has[w.Member] >= w.Room
 	})
--- a/cluster/shardmap/vacancies_test.go
+++ b/cluster/shardmap/vacancies_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
 func TestHomesAreLostOnlyToLiveMembersWithRoom(t *testing.T) {
 	const term = gateway.Micros(1000)
 	rapid.Check(t, func(t *rapid.T) {
-		n, members, alive := rapid.IntRange(1, 12).Draw(t, "ranges"), []Able{}, map[fleet.MemberID]bool{}
+		n, members, alive := rapid.IntRange(1, 12).Draw(t, "ranges"), []Able{}, map[cluster.MemberID]bool{}
 		roomy := false
-		for _, m := range []fleet.MemberID{"a", "b", "c", "d"} {
+		for _, m := range []cluster.MemberID{"a", "b", "c", "d"} {
 			alive[m] = rapid.Bool().Draw(t, "alive")
 			members = append(members, Able{Weight{m, float64(rapid.IntRange(0, 3).Draw(t, "weight"))},
 				rapid.IntRange(0, 6).Draw(t, "room")})
@@ -25,28 +25,28 @@
 		}
 		all, err := Even(n, []Weight{{"a", 1}, {"b", 1}})
 		require.NoError(t, err)
-		l, m := leases{map[fleet.Task]fleet.MemberID{}, nil}, &Map{Ranges: all}
-		has := map[fleet.MemberID]int{}
+		l, m := leases{map[cluster.Task]cluster.MemberID{}, nil}, &Map{Ranges: all}
+		has := map[cluster.MemberID]int{}
 		for i := range all {
 			if has[all[i].Home]++; rapid.Bool().Draw(t, "held") {
-				l.held[fleet.HomeOf(all[i].ID)] = all[i].Home
+				l.held[cluster.HomeOf(all[i].ID)] = all[i].Home
 			}
 			all[i].Standing = Standing(rapid.IntRange(0, 1).Draw(t, "standing"))
 		}
-		v, first := NewVacancies(term), map[fleet.RangeID]bool{}
+		v, first := NewVacancies(term), map[cluster.RangeID]bool{}
 		for _, take := range v.Takes(m, l, alive, members, 1) {
 			r, _ := m.Get(take.Range)
 			require.Equal(t, Seated, r.Standing, "one that never served is waited for")
 			first[r.ID] = true
 		}
 		for _, r := range all {
-			if _, held := l.held[fleet.HomeOf(r.ID)]; !held && !alive[r.Home] && r.Standing == Seated && roomy {
+			if _, held := l.held[cluster.HomeOf(r.ID)]; !held && !alive[r.Home] && r.Standing == Seated && roomy {
 				require.True(t, first[r.ID], "one that served had its whole term")
 			}
 		}
-		taken := map[fleet.RangeID]bool{}
+		taken := map[cluster.RangeID]bool{}
 		for _, take := range v.Takes(m, l, alive, members, 1+startsBy*term) {
-			_, held := l.held[fleet.HomeOf(take.Range)]
+			_, held := l.held[cluster.HomeOf(take.Range)]
 			require.False(t, held || alive[take.Lost] || taken[take.Range])
 			require.True(t, alive[take.To])
 			taken[take.Range] = true
@@ -72,7 +72,7 @@
 
 type nobody struct{}
 
-func (nobody) Holder(fleet.Task) (fleet.SessionID, fleet.MemberID, fleet.Epoch, bool) {
+func (nobody) Holder(cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	return 0, "", 0, false
 }
 
@@ -85,10 +85,10 @@
 		{ID: 3, From: 11, To: 19, Home: "a", Standing: Seated, Piece: true},
 		{ID: 4, From: 20, To: 29, Home: "b", Standing: Seated},
 		{ID: 5, From: 30, To: 30, Home: "b", Standing: Seated, Piece: true},
-		{ID: 6, From: 31, To: ^fleet.KeyHash(0), Home: "b", Standing: Seated, Piece: true},
+		{ID: 6, From: 31, To: ^cluster.KeyHash(0), Home: "b", Standing: Seated, Piece: true},
 	}}
 	members := []Able{{Weight{"a", 1}, 2}, {Weight{"b", 1}, 2}, {Weight{"c", 0.1}, 1}}
-	alive := map[fleet.MemberID]bool{"b": true, "c": true}
+	alive := map[cluster.MemberID]bool{"b": true, "c": true}
 	assert.Equal(t, []Takeover{{1, "a", "b"}, {2, "a", "b"}, {3, "a", "b"}},
 		NewVacancies(1).Takes(m, nobody{}, alive, members, 5))
 }
--- a/cluster/shardmap/verdicts_test.go
+++ b/cluster/shardmap/verdicts_test.go
@@ -6,18 +6,18 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
 // moving is a map whose only range is on its way from a to b; its move has the id 3.
 func moving(step Step) *Map {
-	home, m := fleet.MemberID("a"), New(nil)
+	home, m := cluster.MemberID("a"), New(nil)
 	if step == Switched {
 		home = "b"
 	}
 	m.Version = 9
-	m.Ranges = []Range{{ID: 1, To: ^fleet.KeyHash(0), Home: home, Epoch: 4, Standing: Seated,
+	m.Ranges = []Range{{ID: 1, To: ^cluster.KeyHash(0), Home: home, Epoch: 4, Standing: Seated,
 		Move: Move{ID: 3, From: "a", To: "b", Step: step}}}
 	return m
 }
@@ -55,8 +55,8 @@
 }
 
 func TestAMemberServesByItsGrantAloneAndTellsWhatElseItDoes(t *testing.T) {
-	tenant := func(who fleet.MemberID, epoch fleet.Epoch, alone bool) Tenant {
-		return Tenant{who, func(fleet.Task) (fleet.Epoch, bool) { return epoch, epoch > 0 }, alone}
+	tenant := func(who cluster.MemberID, epoch cluster.Epoch, alone bool) Tenant {
+		return Tenant{who, func(cluster.Task) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
 	}
 	for name, s := range map[string]struct {
 		step Step
@@ -87,10 +87,10 @@
 }
 
 func TestAWebhookIsSentOnOnceAndByANewerMapOnly(t *testing.T) {
-	m, who := moving(Switched), Tenant{"a", func(fleet.Task) (fleet.Epoch, bool) { return 0, false }, false}
+	m, who := moving(Switched), Tenant{"a", func(cluster.Task) (cluster.Epoch, bool) { return 0, false }, false}
 	refusal, told := m.Admit(who, 7, 5)
 	require.Equal(t, Newer, refusal)
-	assert.Equal(t, fleet.MemberID("b"), told.To)
+	assert.Equal(t, cluster.MemberID("b"), told.To)
 	sent := Verdict{Version: 5, To: "a"}
 	assert.True(t, Again(sent, told, refusal, 0))
 	assert.False(t, Again(sent, told, refusal, Hops), "no further")
--- a/cluster/shardmap/world_test.go
+++ b/cluster/shardmap/world_test.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -17,9 +17,9 @@
 	window, ttl gateway.Micros = 1, 2 // a token's, and the webhook's: time goes 0, 1, 2
 )
 
-var who = [mostMembers]fleet.MemberID{"a", "b", "c"}
+var who = [mostMembers]cluster.MemberID{"a", "b", "c"}
 
-func member(id fleet.MemberID) int8 { return int8(slices.Index(who[:], id)) }
+func member(id cluster.MemberID) int8 { return int8(slices.Index(who[:], id)) }
 
 func named(webhook int8) Name { return Name{Origin: who[0], Life: 1, ID: uint64(webhook) + 1} }
 
@@ -42,7 +42,7 @@
 func (e entry) record(n Name) Record {
 	r := Record{Name: n, Hand: e.hand, Not: e.not, Here: e.here, Comes: e.comes, TTL: ttl}
 	if e.to > 0 {
-		r.Out = Offer{who[e.to-1], uint64(e.life), MoveID(e.move), 1, fleet.Epoch(e.epoch),
+		r.Out = Offer{who[e.to-1], uint64(e.life), MoveID(e.move), 1, cluster.Epoch(e.epoch),
 			gateway.Micros(e.sent), e.unsure}
 	}
 	return r
@@ -169,11 +169,11 @@
 }
 
 // Holder is the lease as the log has it, for the one task.
-func (w *world) Holder(fleet.Task) (fleet.SessionID, fleet.MemberID, fleet.Epoch, bool) {
+func (w *world) Holder(cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	if !w.held {
 		return 0, "", 0, false
 	}
-	return 1, who[w.holder], fleet.Epoch(w.epoch), true
+	return 1, who[w.holder], cluster.Epoch(w.epoch), true
 }
 
 // charts are all maps that the worlds of one search have had, by their bytes.
@@ -210,7 +210,7 @@
 		left:  left,
 		wrong: spoilt, held: true, epoch: 1}
 	m := New(w)
-	for i, c := range []fleet.Command{Conductor(1).First(1, []Weight{{who[0], 1}}), Home(1, who[0], 1, 1)} {
+	for i, c := range []cluster.Command{Conductor(1).First(1, []Weight{{who[0], 1}}), Home(1, who[0], 1, 1)} {
 		if _, err := m.Apply(uint64(i+1), c.Body); err != nil {
 			panic(err)
 		}
@@ -229,8 +229,8 @@
 }
 
 // propose gives the log a command.
-func (w *world) propose(c fleet.Command) bool {
-	if c.By == fleet.HomeOf(1) && (!w.held || c.Epoch != fleet.Epoch(w.epoch)) {
+func (w *world) propose(c cluster.Command) bool {
+	if c.By == cluster.HomeOf(1) && (!w.held || c.Epoch != cluster.Epoch(w.epoch)) {
 		return false // fleet.ErrFenced
 	}
 	m := *w.maps.all[w.chart]
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -12,10 +12,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 )
@@ -102,7 +102,7 @@
 	go server.Serve(dest)
 	addrs := []string{dest.Addr().String()}
 	for n := range benchSites {
-		said := transport.New(fleet.MemberID(fmt.Sprint("r", n)), map[fleet.MemberID]string{"m": os.Getenv(other)})
+		said := transport.New(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
 		shelf.relay = relay.NewRelay(stream.NewReceiver(stream.Mark{Life: 9}, nil, nil), shelf, from{said, c},
 			relay.PaceOf(3*gateway.Second), exchange.Now)
@@ -122,7 +122,7 @@
 	c *counts
 }
 
-func (f from) Say(to fleet.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
+func (f from) Say(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
 	code, raw, err := f.Talk.Say(to, path, body, in)
 	f.c.calls.Add(1)
 	f.c.bytes.Add(int64(len(body) + len(raw)))
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
 	"rowanlink/control"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -30,9 +30,9 @@
 
 type holder struct{}
 
-func (holder) Want(fleet.Task)                      {}
-func (holder) Release(fleet.Task)                   {}
-func (holder) Holds(fleet.Task) (fleet.Epoch, bool) { return 1, true }
+func (holder) Want(cluster.Task)                        {}
+func (holder) Release(cluster.Task)                     {}
+func (holder) Holds(cluster.Task) (cluster.Epoch, bool) { return 1, true }
 
 type open struct{ s *Sites }
 
@@ -65,9 +65,9 @@
 	require.NoError(b, err)
 	addrs := strings.Fields(string(line[:n]))
 	f := config.File{Term: 3 * gateway.Second, Apart: 0.05}
-	says, all := map[fleet.MemberID]string{}, []gateway.DestinationID{}
+	says, all := map[cluster.MemberID]string{}, []gateway.DestinationID{}
 	for s := range benchSites {
-		site := config.Site{ID: fleet.SiteID(fmt.Sprint(s)), Relay: fleet.MemberID(fmt.Sprint("r", s))}
+		site := config.Site{ID: cluster.SiteID(fmt.Sprint(s)), Relay: cluster.MemberID(fmt.Sprint("r", s))}
 		for n := range benchEach {
 			site.Subscribers = append(site.Subscribers, gateway.DestinationID(s*benchEach+n+1))
 		}
@@ -87,8 +87,8 @@
 	said := transport.New("m", says)
 	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
 		Event:  func(gateway.EventTypeID) gateway.EventType { return evt },
-		Serves: func(gateway.DestinationID) bool { return true }, Home: func(fleet.SiteID) bool { return true },
-		Alone: func(fleet.SiteID) bool { return false }, Buffer: func() int { return 2 * len(all) }}, f)
+		Serves: func(gateway.DestinationID) bool { return true }, Home: func(cluster.SiteID) bool { return true },
+		Alone: func(cluster.SiteID) bool { return false }, Buffer: func() int { return 2 * len(all) }}, f)
 	sites.Begin()
 	d.Join(open{sites})
 	server := transport.Hears(256, 5*time.Second)
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/control"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -41,7 +41,7 @@
 		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
-		transport.New("r", map[fleet.MemberID]string{}), relay.PaceOf(gateway.Second))
+		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(gateway.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
 }
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -8,10 +8,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	streampkg "rowanlink/cluster/stream"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -21,14 +21,14 @@
 type lane struct {
 	of     *Sites
 	site   config.Site
-	task   fleet.Task
+	task   cluster.Task
 	direct atomic.Bool // its subscribers may be called from here
 
 	// The file names it no more, or with another relay: what was sent ends by the word of the one that has it.
 	closing atomic.Bool
 
 	// Of the goroutine that looks, but for stream.
-	epoch  fleet.Epoch
+	epoch  cluster.Epoch
 	stream atomic.Pointer[relay.Stream]
 	anew   atomic.Bool // the stream is to be made anew from what the journals say
 
@@ -46,7 +46,7 @@
 }
 
 func newLane(of *Sites, s config.Site) *lane {
-	return &lane{of: of, site: s, task: fleet.SenderOf(s.ID)}
+	return &lane{of: of, site: s, task: cluster.SenderOf(s.ID)}
 }
 
 // nameOf is a webhook's or an announcement's name over the whole fleet: no request id is used twice.
@@ -96,7 +96,7 @@
 }
 
 // holds asks for the sender's task, or gives it up, by whether this member is home of the site.
-func (l *lane) holds() (epoch fleet.Epoch, held bool) {
+func (l *lane) holds() (epoch cluster.Epoch, held bool) {
 	if l.closing.Load() { // another lane may have the task
 		return 0, false
 	}
@@ -141,7 +141,7 @@
 }
 
 // begin makes the stream by what the journals say: what was sent is asked about first.
-func (l *lane) begin(epoch fleet.Epoch, sent []mark, all []decider.Owed) {
+func (l *lane) begin(epoch cluster.Epoch, sent []mark, all []decider.Owed) {
 	l.end()
 	l.anew.Store(false)
 	l.epoch = epoch
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -5,9 +5,9 @@
 	"os"
 	"sync"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
@@ -16,12 +16,12 @@
 // mark says of one delivery that it may be at a relay. It is kept from before its first byte leaves until
 // its end is known, in a journal beside that of webhooks.
 type mark struct {
-	Site  fleet.SiteID       `cbor:"1,keyasint"`
+	Site  cluster.SiteID     `cbor:"1,keyasint"`
 	ID    exchange.RequestID `cbor:"2,keyasint"`
 	Life  uint64             `cbor:"3,keyasint"` // of the relay's folder
 	At    gateway.Micros     `cbor:"4,keyasint"` // when it was sent first
-	Epoch fleet.Epoch        `cbor:"5,keyasint"` // by which it was
-	Relay fleet.MemberID     `cbor:"7,keyasint"`
+	Epoch cluster.Epoch      `cbor:"5,keyasint"` // by which it was
+	Relay cluster.MemberID   `cbor:"7,keyasint"`
 	Ran   bool               `cbor:"6,keyasint"` // it may have run before, here or at another owner
 }
 
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -12,10 +12,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
@@ -26,14 +26,14 @@
 
 // Session is what a member holds.
 type Session interface {
-	Want(fleet.Task)
-	Release(fleet.Task)
-	Holds(fleet.Task) (fleet.Epoch, bool)
+	Want(cluster.Task)
+	Release(cluster.Task)
+	Holds(cluster.Task) (cluster.Epoch, bool)
 }
 
 // Part is what a Sites is made of.
 type Part struct {
-	Self     fleet.MemberID
+	Self     cluster.MemberID
 	State    string  // the folder that outlasts the process
 	DiskMB   float64 // for a relay's own journal
 	Exchange *exchange.Exchange
@@ -43,8 +43,8 @@
 	Nudge    func()      // something is to be handed on; does not wait
 	Event    func(gateway.EventTypeID) gateway.EventType
 	Serves   func(gateway.DestinationID) bool // this member, and no other, is home of a destination
-	Home     func(fleet.SiteID) bool          // this member is home of where a site's subscribers stand
-	Alone    func(fleet.SiteID) bool          // nobody may be: whoever holds a webhook calls
+	Home     func(cluster.SiteID) bool        // this member is home of where a site's subscribers stand
+	Alone    func(cluster.SiteID) bool        // nobody may be: whoever holds a webhook calls
 	Buffer   func() int                       // webhooks held at once
 }
 
@@ -52,7 +52,7 @@
 type Sites struct {
 	Sent, Unsent, Beside, Unsure, Ends, Announcements atomic.Int64 // deliveries, but for the last
 
-	self    fleet.MemberID
+	self    cluster.MemberID
 	p       Part
 	pace    relay.Pace
 	apart   float64
@@ -61,8 +61,8 @@
 	session Session
 	event   func(gateway.EventTypeID) gateway.EventType
 	serves  func(gateway.DestinationID) bool
-	home    func(fleet.SiteID) bool
-	alone   func(fleet.SiteID) bool
+	home    func(cluster.SiteID) bool
+	alone   func(cluster.SiteID) bool
 	marks   *marks
 	desk    atomic.Pointer[desk]
 	plan    atomic.Pointer[ways]
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -41,7 +41,7 @@
 type world struct {
 	*rapid.T
 	now   gateway.Micros
-	epoch fleet.Epoch
+	epoch cluster.Epoch
 	s     *Sender
 	open  map[Delivery]*owned
 	ends  map[Delivery]How
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -80,7 +80,7 @@
 		}
 	}
 	if a.Run.before(r.mark.Run) {
-		return held, fleet.ErrFenced
+		return held, cluster.ErrFenced
 	}
 	was, limit := r.mark, r.limit
 	r.undo = func() { r.mark, r.limit = was, limit }
@@ -96,7 +96,7 @@
 	r.undo = nil
 	switch {
 	case f.Run.before(r.mark.Run):
-		return nil, fleet.ErrFenced
+		return nil, cluster.ErrFenced
 	case f.Run != r.mark.Run || f.Run.Epoch == 0 || f.Life != r.mark.Life:
 		return nil, ErrUnopened
 	}
@@ -158,7 +158,7 @@
 }
 
 // Owed lists up to most ends that an owner has not heard, first ended first.
-func (r *Receiver) Owed(owner fleet.MemberID, most int) (ends []End) {
+func (r *Receiver) Owed(owner cluster.MemberID, most int) (ends []End) {
 	for _, d := range r.owed {
 		if e := r.of[d]; e != nil && d.Name.Owner == owner && len(ends) < most {
 			ends = append(ends, *e)
@@ -168,8 +168,8 @@
 }
 
 // Owners are those that are owed ends.
-func (r *Receiver) Owners() []fleet.MemberID {
-	owners := map[fleet.MemberID]bool{}
+func (r *Receiver) Owners() []cluster.MemberID {
+	owners := map[cluster.MemberID]bool{}
 	for _, d := range r.owed {
 		owners[d.Name.Owner] = true
 	}
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -1,7 +1,7 @@
 package stream
 
 import (
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -90,7 +90,7 @@
 }
 
 // NewSender begins with the epoch of the grant. apart: two clocks differ in rate by so much at the most.
-func NewSender(epoch fleet.Epoch, apart float64) *Sender {
+func NewSender(epoch cluster.Epoch, apart float64) *Sender {
 	return &Sender{run: Run{Epoch: epoch, No: 1}, lines: map[gateway.DestinationID]*line{}, dueAt: gateway.Never,
 		out: map[Delivery]*sent{}, keys: map[keyed]*ways{}, apart: apart, seen: gateway.Never}
 }
--- a/cluster/stream/stories_test.go
+++ b/cluster/stream/stories_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -22,7 +22,7 @@
 }
 
 // opened is a sender and a relay that know each other.
-func opened(t *testing.T, epoch fleet.Epoch, buffer int) (*Sender, *Receiver) {
+func opened(t *testing.T, epoch cluster.Epoch, buffer int) (*Sender, *Receiver) {
 	s, r := NewSender(epoch, 0), NewReceiver(Mark{Life: 9}, nil, nil)
 	open(t, s, r, buffer)
 	return s, r
@@ -104,10 +104,10 @@
 	open(t, NewSender(2, 0), r, 100)
 	r = NewReceiver(r.Mark(), nil, nil)
 	_, err := r.Take(late)
-	assert.ErrorIs(t, err, fleet.ErrFenced)
+	assert.ErrorIs(t, err, cluster.ErrFenced)
 	old.Gone()
 	held, err := r.Open(old.Opening())
-	assert.ErrorIs(t, err, fleet.ErrFenced)
+	assert.ErrorIs(t, err, cluster.ErrFenced)
 	assert.Empty(t, held)
 	again, _ := old.Opened(old.Opening(), r.Answer(100, 0), true, 0)
 	assert.Equal(t, []Delivery{to(1, 3)}, again)
--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -10,7 +10,7 @@
 	"errors"
 	"strconv"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/gateway"
 )
 
@@ -22,10 +22,10 @@
 
 // Name is a webhook's or an announcement's over the whole fleet, from its owner's journal to its end.
 type Name struct {
-	_     struct{}       `cbor:",toarray"`
-	Owner fleet.MemberID // hears how it ended
-	Life  uint64         // of the owner's folder: numbers begin anew with it
-	ID    uint64         // never used twice in that life
+	_     struct{}         `cbor:",toarray"`
+	Owner cluster.MemberID // hears how it ended
+	Life  uint64           // of the owner's folder: numbers begin anew with it
+	ID    uint64           // never used twice in that life
 }
 
 // Delivery is what ends by itself: one name for one subscriber.
@@ -72,7 +72,7 @@
 // a frame of the one before that is late on its way is then refused, so that "never taken" stays true.
 type Run struct {
 	_     struct{} `cbor:",toarray"`
-	Epoch fleet.Epoch
+	Epoch cluster.Epoch
 	No    uint64 // from 1 on in each epoch
 }
 
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -1,8 +1,8 @@
 package transport
 
 import (
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -18,8 +18,8 @@
 // SessionAsk asks for a session to go on; with session 0, for one to be opened. Tally is of the grants that
 // the member knows of.
 type SessionAsk struct {
-	Member      fleet.MemberID    `cbor:"1,keyasint"`
-	Session     fleet.SessionID   `cbor:"2,keyasint,omitempty"`
+	Member      cluster.MemberID  `cbor:"1,keyasint"`
+	Session     cluster.SessionID `cbor:"2,keyasint,omitempty"`
 	Incarnation lease.Incarnation `cbor:"3,keyasint,omitempty"`
 	Tally       lease.Tally       `cbor:"4,keyasint,omitempty"`
 }
@@ -27,10 +27,10 @@
 // SessionAnswer is a keeper's yes, or which refusal (state.Code). Term is the one that the keeper counts.
 // Holds is all that the session holds by the log, where its tally is another than the member's.
 type SessionAnswer struct {
-	Session fleet.SessionID `cbor:"1,keyasint,omitempty"`
-	Term    gateway.Micros  `cbor:"2,keyasint"`
-	Refusal uint16          `cbor:"3,keyasint,omitempty"`
-	Holds   []lease.Granted `cbor:"4,keyasint,omitempty"`
+	Session cluster.SessionID `cbor:"1,keyasint,omitempty"`
+	Term    gateway.Micros    `cbor:"2,keyasint"`
+	Refusal uint16            `cbor:"3,keyasint,omitempty"`
+	Holds   []lease.Granted   `cbor:"4,keyasint,omitempty"`
 }
 
 // Proposed is what became of a fleet.Command: the part's answer, or which refusal (state.Code).
@@ -44,15 +44,15 @@
 // Changes is whether a part may come as what changed since that version.
 type StateAsk struct {
 	Versions map[byte]uint64 `cbor:"1,keyasint,omitempty"`
-	Wants    []fleet.Task    `cbor:"2,keyasint,omitempty"`
+	Wants    []cluster.Task  `cbor:"2,keyasint,omitempty"`
 	Changes  bool            `cbor:"3,keyasint,omitempty"`
 }
 
 // StateAnswer holds those that are; Index is how far the log's entries were applied where it was read.
 type StateAnswer struct {
-	Index uint64       `cbor:"1,keyasint"`
-	Parts []PartState  `cbor:"2,keyasint,omitempty"`
-	Free  []fleet.Task `cbor:"3,keyasint,omitempty"`
+	Index uint64         `cbor:"1,keyasint"`
+	Parts []PartState    `cbor:"2,keyasint,omitempty"`
+	Free  []cluster.Task `cbor:"3,keyasint,omitempty"`
 }
 
 // PartState is one part as it was at a version: whole, or by state.Changed from what it was at Since.
@@ -65,20 +65,20 @@
 
 // Elsewhere goes with status 421: who leads, as far as is known.
 type Elsewhere struct {
-	Leads fleet.MemberID `cbor:"1,keyasint,omitempty"`
+	Leads cluster.MemberID `cbor:"1,keyasint,omitempty"`
 }
 
 // Who is what a keeper says of itself: the name of its folder, whether the folder holds nothing yet, and who
 // the keepers are by its file.
 type Who struct {
-	Server  string           `cbor:"1,keyasint"`
-	Empty   bool             `cbor:"2,keyasint,omitempty"`
-	Keepers []fleet.MemberID `cbor:"3,keyasint"`
+	Server  string             `cbor:"1,keyasint"`
+	Empty   bool               `cbor:"2,keyasint,omitempty"`
+	Keepers []cluster.MemberID `cbor:"3,keyasint"`
 }
 
 // Join asks the leader to take a keeper's folder into its midst; Applied is how far it has come.
 type Join struct {
-	Member  fleet.MemberID `cbor:"1,keyasint"`
-	Server  string         `cbor:"2,keyasint"`
-	Applied uint64         `cbor:"3,keyasint,omitempty"`
+	Member  cluster.MemberID `cbor:"1,keyasint"`
+	Server  string           `cbor:"2,keyasint"`
+	Applied uint64           `cbor:"3,keyasint,omitempty"`
 }
--- a/cluster/transport/server.go
+++ b/cluster/transport/server.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 const saidBy = "Said-By"
@@ -46,8 +46,8 @@
 }
 
 // From is who said a message, by its own word.
-func From(ctx *fasthttp.RequestCtx) fleet.MemberID {
-	return fleet.MemberID(ctx.Request.Header.Peek(saidBy))
+func From(ctx *fasthttp.RequestCtx) cluster.MemberID {
+	return cluster.MemberID(ctx.Request.Header.Peek(saidBy))
 }
 
 func (s *Server) hear(ctx *fasthttp.RequestCtx) {
--- a/cluster/transport/talk.go
+++ b/cluster/transport/talk.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/internal/socket"
 )
 
@@ -26,10 +26,10 @@
 
 // Talk says messages to other members, each once: nothing is said again by itself.
 type Talk struct {
-	self fleet.MemberID
+	self cluster.MemberID
 
 	mu     sync.Mutex
-	places map[fleet.MemberID]*place
+	places map[cluster.MemberID]*place
 }
 
 // place is one member's address and the connections to it.
@@ -39,14 +39,14 @@
 }
 
 // New makes a Talk by the addresses as this member reaches the others.
-func New(self fleet.MemberID, addrs map[fleet.MemberID]string) *Talk {
-	t := &Talk{self: self, places: map[fleet.MemberID]*place{}}
+func New(self cluster.MemberID, addrs map[cluster.MemberID]string) *Talk {
+	t := &Talk{self: self, places: map[cluster.MemberID]*place{}}
 	t.Renew(addrs)
 	return t
 }
 
 // Renew takes other addresses. Messages out to an address that is gone still have their answers.
-func (t *Talk) Renew(addrs map[fleet.MemberID]string) {
+func (t *Talk) Renew(addrs map[cluster.MemberID]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, p := range t.places {
@@ -85,7 +85,7 @@
 
 // Say brings a message to a member and returns its answer. Errors are ErrNotSent or ErrUnsure, wrapped.
 // Guards against a wait that never ends: within must be positive.
-func (t *Talk) Say(to fleet.MemberID, path string, body []byte, within time.Duration) (status int,
+func (t *Talk) Say(to cluster.MemberID, path string, body []byte, within time.Duration) (status int,
 	answer []byte, err error) {
 	t.mu.Lock()
 	p := t.places[to]
--- a/cluster/transport/talk_test.go
+++ b/cluster/transport/talk_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 )
 
 // hears starts a server with one path and tells where.
@@ -28,7 +28,7 @@
 }
 
 func talks(t *testing.T, addr string) *Talk {
-	talk := New("a", map[fleet.MemberID]string{"b": addr})
+	talk := New("a", map[cluster.MemberID]string{"b": addr})
 	t.Cleanup(talk.Close)
 	return talk
 }
@@ -140,15 +140,15 @@
 	talk := talks(t, one)
 	_, answer, _ := talk.Say("b", "/x", nil, time.Second)
 	require.Equal(t, "one", string(answer))
-	talk.Renew(map[fleet.MemberID]string{"b": two})
+	talk.Renew(map[cluster.MemberID]string{"b": two})
 	_, answer, _ = talk.Say("b", "/x", nil, time.Second)
 	require.Equal(t, "two", string(answer))
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(fleet.Command{Part: 'L', By: "t", Epoch: 3, Body: []byte("x")}))
+	f.Add(Encode(cluster.Command{Part: 'L', By: "t", Epoch: 3, Body: []byte("x")}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var c, again fleet.Command
+		var c, again cluster.Command
 		if Decode(raw, &c) == nil {
 			require.NoError(t, Decode(Encode(c), &again))
 			require.Equal(t, c.Epoch, again.Epoch)
--- a/emulator/forward.go
+++ b/emulator/forward.go
@@ -1,9 +1,9 @@
 package emulator
 
 import (
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/emulator/seen"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -135,8 +135,8 @@
 	d.put(news{kind: newsGate})
 }
 
-func (b *fellow) admits(who shardmap.Tenant, key fleet.KeyHash,
-	by fleet.Version) (shardmap.Admission, shardmap.Verdict) {
+func (b *fellow) admits(who shardmap.Tenant, key cluster.KeyHash,
+	by cluster.Version) (shardmap.Admission, shardmap.Verdict) {
 	if b.chart == nil {
 		return shardmap.Behind, shardmap.Verdict{}
 	}
--- a/emulator/homes.go
+++ b/emulator/homes.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"math/rand/v2"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
@@ -22,7 +22,7 @@
 	m      *Model
 	deeds  deeds
 	chance *rand.Rand // of ways and losses between dispatchers
-	keys   []fleet.KeyHash
+	keys   []cluster.KeyHash
 
 	book      *lease.Book
 	terms     *lease.Terms
@@ -30,7 +30,7 @@
 	vacancies *shardmap.Vacancies
 	index     uint64
 	members   []shardmap.Able
-	numbers   map[fleet.MemberID]int32
+	numbers   map[cluster.MemberID]int32
 
 	charts []*shardmap.Map // as published; never changed
 	asks   []ask
@@ -53,7 +53,7 @@
 func newHomes(m *Model) *homes {
 	p := &m.plan.Homes
 	h := &homes{m: m, chance: stream(m.plan.Seed, 5), book: lease.NewBook(), terms: lease.NewTerms(p.Term.us()),
-		vacancies: shardmap.NewVacancies(p.Term.us()), numbers: map[fleet.MemberID]int32{}}
+		vacancies: shardmap.NewVacancies(p.Term.us()), numbers: map[cluster.MemberID]int32{}}
 	h.deeds = deeds{
 		part:    shardmap.Verdict.Part,
 		calls:   func(v shardmap.Verdict) bool { return v.Calls(false) },
@@ -63,20 +63,20 @@
 	}
 	h.chart = shardmap.New(h.book)
 	for i := range m.plan.Dispatchers.Count {
-		name := fleet.MemberID(fmt.Sprintf("d%d", i))
+		name := cluster.MemberID(fmt.Sprintf("d%d", i))
 		h.members = append(h.members, shardmap.Able{Weight: shardmap.Weight{Member: name, Weight: 1}})
 		h.numbers[name] = int32(i)
 	}
 	for i := range m.dests {
-		h.keys = append(h.keys, fleet.Hash(gateway.DestinationID(i)))
+		h.keys = append(h.keys, cluster.Hash(gateway.DestinationID(i)))
 	}
 	return h
 }
 
 // propose has the log take a command; what comes of it is nil where it was refused.
-func (h *homes) propose(c fleet.Command) []byte {
-	part := fleet.Part(h.book)
-	if c.Part == fleet.RangesPart {
+func (h *homes) propose(c cluster.Command) []byte {
+	part := cluster.Part(h.book)
+	if c.Part == cluster.RangesPart {
 		part = h.chart
 	}
 	h.index++
@@ -88,7 +88,7 @@
 }
 
 // lease proposes one of the book's commands; false: it was refused.
-func (h *homes) lease(c fleet.Command) (lease.Answer, bool) {
+func (h *homes) lease(c cluster.Command) (lease.Answer, bool) {
 	raw := h.propose(c)
 	if raw == nil {
 		return lease.Answer{}, false
@@ -158,7 +158,7 @@
 			h.terms.Ended(o.Session)
 		}
 	}
-	alive := map[fleet.MemberID]bool{}
+	alive := map[cluster.MemberID]bool{}
 	for _, s := range h.book.Sessions() {
 		alive[h.book.MemberOf(s)] = true
 	}
--- a/emulator/member.go
+++ b/emulator/member.go
@@ -4,15 +4,15 @@
 	"maps"
 	"slices"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // fellow is a dispatcher's part in a fleet with homes.
 type fellow struct {
-	name    fleet.MemberID
+	name    cluster.MemberID
 	tenure  *lease.Tenure
 	life    lease.Incarnation
 	chart   *shardmap.Map // nil: not heard of yet
@@ -27,7 +27,7 @@
 	renewAt gateway.Micros
 
 	mine []shardmap.Range // of the map of version read
-	read fleet.Version
+	read cluster.Version
 }
 
 // chartIs takes a newer map; false: it was an older one.
@@ -66,7 +66,7 @@
 func (d *dispatcher) tenant() shardmap.Tenant {
 	b, now := d.member, d.m.now
 	return shardmap.Tenant{Member: b.name, Alone: shardmap.Deserted(b.over, now, d.m.plan.Homes.Term.us()),
-		Epoch: func(t fleet.Task) (fleet.Epoch, bool) { return b.tenure.Epoch(t, now) }}
+		Epoch: func(t cluster.Task) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
 }
 
 // verdict is what this dispatcher does with webhooks of a destination, now.
--- a/emulator/session.go
+++ b/emulator/session.go
@@ -1,9 +1,9 @@
 package emulator
 
 import (
+	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/fleet"
 )
 
 // ask is a message to the keeper and its answer.
@@ -11,10 +11,10 @@
 	from    int32
 	life    lease.Incarnation
 	asked   lease.Ask
-	session fleet.SessionID // 0: to be opened
-	tasks   []fleet.Task
+	session cluster.SessionID // 0: to be opened
+	tasks   []cluster.Task
 	seats   []shardmap.Range // of which it says that it is home
-	epochs  []fleet.Epoch
+	epochs  []cluster.Epoch
 
 	refused bool
 	granted []lease.Granted
@@ -32,9 +32,9 @@
 	b, now := d.member, h.m.now
 	a := ask{from: d.number, life: b.life, session: b.tenure.Session()}
 	for _, r := range b.homes() {
-		switch epoch, held := b.tenure.Epoch(fleet.HomeOf(r.ID), now); {
+		switch epoch, held := b.tenure.Epoch(cluster.HomeOf(r.ID), now); {
 		case !held:
-			a.tasks = append(a.tasks, fleet.HomeOf(r.ID))
+			a.tasks = append(a.tasks, cluster.HomeOf(r.ID))
 		case epoch > r.Epoch:
 			a.seats, a.epochs = append(a.seats, r), append(a.epochs, epoch)
 		}
--- a/proof/harness/map.go
+++ b/proof/harness/map.go
@@ -6,26 +6,26 @@
 
 	"github.com/stretchr/testify/require"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 )
 
 // Map is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
 func (f *Fleet) Map() (newest *shardmap.Map) {
 	f.t.Helper()
-	says := map[fleet.MemberID]string{}
+	says := map[cluster.MemberID]string{}
 	for _, m := range f.Keepers() {
 		if m.Running() && !m.stopped {
-			says[fleet.MemberID(m.Name)] = m.says.Addr
+			says[cluster.MemberID(m.Name)] = m.says.Addr
 		}
 	}
 	asks := transport.New("proof", says)
 	defer asks.Close()
 	for keeper := range says {
 		status, raw, err := asks.Say(keeper, transport.StatePath,
-			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{fleet.RangesPart: 0}}), 2*time.Second)
+			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: 0}}), 2*time.Second)
 		var answer transport.StateAnswer
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
 			continue
--- a/proof/harness/past.go
+++ b/proof/harness/past.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
+	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/fleet"
 	"rowanlink/gateway"
 	"rowanlink/proof/child"
 	"rowanlink/standin/guard"
@@ -29,13 +29,13 @@
 	all     sync.WaitGroup
 	mu      sync.Mutex
 	readers int
-	seen    map[fleet.Task][]guard.Past
+	seen    map[cluster.Task][]guard.Past
 }
 
 // Watch begins to follow the keepers.
 func (f *Fleet) Watch() *Views {
 	ctx, end := context.WithCancel(context.Background())
-	v := &Views{f: f, end: end, seen: map[fleet.Task][]guard.Past{}}
+	v := &Views{f: f, end: end, seen: map[cluster.Task][]guard.Past{}}
 	for _, m := range f.Keepers() {
 		v.all.Go(func() { v.follow(ctx, m) })
 	}
@@ -44,12 +44,12 @@
 
 // follow is one reader for each life of a keeper: another life may know less.
 func (v *Views) follow(ctx context.Context, m *Member) {
-	asks := transport.New("proof", map[fleet.MemberID]string{"it": m.says.Addr})
+	asks := transport.New("proof", map[cluster.MemberID]string{"it": m.says.Addr})
 	defer asks.Close()
 	var life *child.Process
 	var reader int
 	var version uint64
-	saw := map[fleet.RangeID]fleet.Epoch{}
+	saw := map[cluster.RangeID]cluster.Epoch{}
 	for ctx.Err() == nil {
 		if now := v.f.life(m); now != life {
 			v.mu.Lock()
@@ -59,7 +59,7 @@
 			clear(saw)
 		}
 		status, raw, err := asks.Say("it", transport.StatePath,
-			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{fleet.RangesPart: version}}), v.f.shape.Term)
+			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: version}}), v.f.shape.Term)
 		got := gateway.Micros(time.Now().UnixMicro())
 		var answer transport.StateAnswer
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
@@ -78,7 +78,7 @@
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
-				v.seen[fleet.HomeOf(r.ID)] = append(v.seen[fleet.HomeOf(r.ID)], guard.Past{What: guard.Seen,
+				v.seen[cluster.HomeOf(r.ID)] = append(v.seen[cluster.HomeOf(r.ID)], guard.Past{What: guard.Seen,
 					Member: string(r.Home), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
@@ -93,10 +93,10 @@
 }
 
 // Past ends following and returns what befell each task, from all logs and all that was seen.
-func (v *Views) Past() map[fleet.Task][]guard.Past {
+func (v *Views) Past() map[cluster.Task][]guard.Past {
 	v.end()
 	v.all.Wait()
-	all := map[fleet.Task][]guard.Past{}
+	all := map[cluster.Task][]guard.Past{}
 	for _, m := range v.f.Members {
 		lived(m.Name, m.Log.All(0, ""), all)
 	}
@@ -168,17 +168,17 @@
 
 // lived adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []child.Line, all map[fleet.Task][]guard.Past) {
+func lived(name string, lines []child.Line, all map[cluster.Task][]guard.Past) {
 	type grant struct {
 		epoch uint64
 		at    gateway.Micros
 		ended bool
 	}
-	has, over, lives := map[fleet.Task]*grant{}, map[fleet.Task]gateway.Micros{}, 0
-	add := func(task fleet.Task, what guard.What, epoch uint64, from, until gateway.Micros) {
+	has, over, lives := map[cluster.Task]*grant{}, map[cluster.Task]gateway.Micros{}, 0
+	add := func(task cluster.Task, what guard.What, epoch uint64, from, until gateway.Micros) {
 		all[task] = append(all[task], guard.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
 	}
-	end := func(task fleet.Task, until gateway.Micros) {
+	end := func(task cluster.Task, until gateway.Micros) {
 		if g := has[task]; g != nil && !g.ended {
 			g.ended, over[task] = true, g.at
 			add(task, guard.Ended, g.epoch, g.at, until)
@@ -201,7 +201,7 @@
 		}
 		if may := unsure.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
-			if task := fleet.HomeOf(fleet.RangeID(id)); has[task] != nil {
+			if task := cluster.HomeOf(cluster.RangeID(id)); has[task] != nil {
 				add(task, guard.Seated, has[task].epoch, has[task].at, gateway.Never)
 			}
 		}
@@ -216,16 +216,16 @@
 		at := gateway.Micros(when.UnixMicro())
 		switch said[2] {
 		case "task held":
-			task := fleet.Task(ofTask.FindStringSubmatch(line.Text)[1])
+			task := cluster.Task(ofTask.FindStringSubmatch(line.Text)[1])
 			epoch, _ := strconv.ParseUint(ofEpoch.FindStringSubmatch(line.Text)[1], 10, 64)
 			end(task, at)
 			has[task] = &grant{epoch: epoch, at: at}
 			add(task, guard.Granted, epoch, over[task], at)
 		case "task over":
-			end(fleet.Task(ofTask.FindStringSubmatch(line.Text)[1]), at)
+			end(cluster.Task(ofTask.FindStringSubmatch(line.Text)[1]), at)
 		default:
 			id, _ := strconv.ParseUint(ofRange.FindStringSubmatch(line.Text)[1], 10, 32)
-			task := fleet.HomeOf(fleet.RangeID(id))
+			task := cluster.HomeOf(cluster.RangeID(id))
 			if g := has[task]; g != nil {
 				add(task, guard.Seated, g.epoch, g.at, at)
 			}
--- a/proof/history_test.go
+++ b/proof/history_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/fleet"
+	"rowanlink/cluster"
 	"rowanlink/proof/harness"
 	"rowanlink/standin/guard"
 )
@@ -66,7 +66,7 @@
 }
 
 // lastGrant is that of a home that was granted by more than one epoch, and the rest of its past.
-func lastGrant(t *testing.T, all map[fleet.Task][]guard.Past) (last guard.Past, others []guard.Past) {
+func lastGrant(t *testing.T, all map[cluster.Task][]guard.Past) (last guard.Past, others []guard.Past) {
 	for task, past := range all {
 		slices.SortStableFunc(past, func(a, b guard.Past) int {
 			return cmp.Or(cmp.Compare(a.What, b.What), cmp.Compare(b.Epoch, a.Epoch))
