--- a/asking/asking.go
+++ b/asking/asking.go
@@ -9,9 +9,9 @@
 import (
 	"cmp"
 
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/internal/mwc"
+	"rowanlink/webhook/policy"
 )
 
 // Parts of the period of a watch's lines. What a watch missed counts as told three periods after it fell
@@ -127,7 +127,7 @@
 
 // wait is the schedule's i-th wait with an m in periods.
 func (a *Asking) wait(m float64, i int) gateway.Micros {
-	s := control.Wait(m/unitBy, i, a.chance.Float()).Seconds()
+	s := policy.Wait(m/unitBy, i, a.chance.Float()).Seconds()
 	return gateway.Micros(s * unitBy * float64(a.period))
 }
 
--- a/benchwire/benchwire_test.go
+++ b/benchwire/benchwire_test.go
@@ -9,16 +9,16 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/internal/facts"
+	"rowanlink/webhook/policy"
 )
 
 const settings = "classes.count=1\nclasses.0.aim=2000000000\nclasses.0.deadline=9000000000\n" +
 	"classes.0.repeat=pure\nclasses.0.worth=1\nkinds=a\nfamilyInfo.slots=4\nlimits.openCap=9\n" +
 	"limits.maxAttempts=3\nfleetSize=1\nperiod=5000000\nunknown.key=x,y\n"
 
-func start(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) }
+func start(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) }
 
 // le puts values of the wire's types one behind the other.
 func le(values ...any) []byte {
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -16,7 +16,6 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -24,6 +23,7 @@
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook/policy"
 )
 
 const benchSites, benchEach = 40, 250
@@ -96,7 +96,7 @@
 	go server.Serve(hear)
 	calls := endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 400)
 	d.Begin(calls, notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
+		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
 	go d.Run()
 	require.NoError(b, sites.Serve(holder{}))
 	var list []gateway.Entry
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -11,7 +11,6 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -19,6 +18,7 @@
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook/policy"
 )
 
 // bed is a relay's member without the other members. Its destination has no endpoint, so that nothing
@@ -38,7 +38,7 @@
 		EventTypes: []gateway.EventType{{Target: ttl / 9, TTL: ttl, Repeat: gateway.AtMostOnce}}})
 	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
+		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
 		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(gateway.Second))
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,7 +8,6 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
@@ -16,6 +15,7 @@
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook/policy"
 )
 
 // shut is a member that may call for nothing: all is parked.
@@ -35,7 +35,7 @@
 	d.Join(shut{})
 	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
+		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
 	marks, err := openMarks(t.TempDir(), 1)
--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -6,16 +6,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/control"
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
 	"rowanlink/emulator/seen"
 	"rowanlink/gateway"
+	"rowanlink/webhook/policy"
 )
 
 const sec = emulator.Span(gateway.Second)
 
-func module(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) }
+func module(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) }
 
 // plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
 // sort.
@@ -123,7 +123,7 @@
 		}
 		m := &mutant{host: host{Host: h}}
 		with(m)
-		m.Module = control.New(f, &m.host)
+		m.Module = policy.New(f, &m.host)
 		return m
 	}
 }
--- a/emulator/observers_test.go
+++ b/emulator/observers_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/control"
 	"rowanlink/emulator"
 	"rowanlink/gateway"
 	"rowanlink/lab/baseline"
+	"rowanlink/webhook/policy"
 )
 
 func TestEachRulesObserverCatchesAModuleThatBreaksIt(t *testing.T) {
@@ -106,6 +106,6 @@
 
 func isModule(start emulator.Starter) bool {
 	f := gateway.Facts{EventTypes: []gateway.EventType{{TTL: 1, Target: 1}}}
-	_, ok := start(f, idle{}).(*control.Control)
+	_, ok := start(f, idle{}).(*policy.Control)
 	return ok
 }
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/control"
 	"rowanlink/gateway"
+	"rowanlink/webhook/policy"
 )
 
 func TestAFileBrokenInAnyWayIsToldWithItsPlace(t *testing.T) {
@@ -160,7 +160,7 @@
 }
 
 func TestHuntFindsAPlantedFaultAndShrinksIt(t *testing.T) {
-	start := func(f gateway.Facts, h gateway.Host) gateway.Module { return deaf{control.New(f, h)} }
+	start := func(f gateway.Facts, h gateway.Host) gateway.Module { return deaf{policy.New(f, h)} }
 	base := parsed(t, small(`length = "8s"`, `length = "20s"`))
 	h := &Hunt{Start: start, Runs: 60, Seed: 2, Step: func() {}}
 	f := h.Find(base)
--- a/lab/run.go
+++ b/lab/run.go
@@ -12,12 +12,12 @@
 	"strings"
 	"time"
 
-	"rowanlink/control"
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
 	"rowanlink/emulator/seen"
 	"rowanlink/gateway"
 	"rowanlink/lab/baseline"
+	"rowanlink/webhook/policy"
 )
 
 // Module is the name of the decision module among policies.
@@ -25,7 +25,7 @@
 
 // policies are what a scenario can be played with. All but the module are for comparison only.
 var policies = map[string]emulator.Starter{
-	Module: func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) },
+	Module: func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) },
 	"once": func(f gateway.Facts, h gateway.Host) gateway.Module { return baseline.New(f, h, 1, baseline.None) },
 	"eager": func(f gateway.Facts, h gateway.Host) gateway.Module {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
--- a/node/decider/decider_test.go
+++ b/node/decider/decider_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook/policy"
 )
 
 func TestWhatTheDiskRefusesIsRejectedAndNotSent(t *testing.T) {
@@ -26,7 +26,7 @@
 		EventTypes: []gateway.EventType{{Target: gateway.Second, TTL: 9 * gateway.Second}}})
 	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
+		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
 	d.Listed([]gateway.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	hand := func(id exchange.RequestID) exchange.Answer {
--- a/node/decider/fleet_test.go
+++ b/node/decider/fleet_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook/policy"
 )
 
 // elsewhere is a fleet of which this dispatcher may call nobody, until it is home.
@@ -44,7 +44,7 @@
 	d.Join(all)
 	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return control.New(f, h) })
+		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
 	d.Listed([]gateway.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	return &side{d, kept, all}
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -16,7 +16,6 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/asking"
-	"rowanlink/control"
 	"rowanlink/gateway"
 	"rowanlink/internal/facts"
 	"rowanlink/node/clients"
@@ -27,6 +26,7 @@
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/node/registry"
+	"rowanlink/webhook/policy"
 )
 
 // Parts of the limits: of the memory, for the heap and for one list as it comes; of the descriptors, for
@@ -114,7 +114,7 @@
 		slog.Warn("no known list", "why", err)
 	}
 	d.Begin(calls, finals, func(f gateway.Facts, h gateway.Host) gateway.Module {
-		held.Module = control.New(f, h)
+		held.Module = policy.New(f, h)
 		return held
 	})
 	life.Enter(lifecycle.Serving)
--- a/control/control.go
+++ b/webhook/policy/control.go
@@ -1,4 +1,4 @@
-// Package control is the decision module: every decision, table and tuned value of rowanlink is in its files,
+// Package policy is the decision module: every decision, table and tuned value of rowanlink is in its files,
 // named under policy in deploy/balancer.toml; state.go has the records kept.
 //
 // Callers make one instance a dispatcher with New and call it turn by turn through gateway.Module: the
@@ -8,7 +8,7 @@
 // A webhook passes a chain of stages - order, schedule, slots, endpoint, send - each of which passes it on
 // or holds it until a later turn. An outcome runs back through them from the last. Whatever holds a webhook,
 // its due time ends it. docs/design.md tells what is the design's, what is an exception, and when it acts.
-package control
+package policy
 
 import (
 	"cmp"
--- a/control/expiry.go
+++ b/webhook/policy/expiry.go
@@ -1,4 +1,4 @@
-package control
+package policy
 
 import (
 	"slices"
