--- a/asking/hold_test.go
+++ b/asking/hold_test.go
@@ -5,16 +5,16 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 type turns struct {
-	gateway.Module
+	webhook.Module
 	taken, over int
 }
 
-func (m *turns) Take(gateway.WebhookID, gateway.EventTypeID, gateway.TenantID, gateway.Key, gateway.Micros,
-	gateway.DestinationID) {
+func (m *turns) Take(webhook.WebhookID, webhook.EventTypeID, webhook.TenantID, webhook.Key, webhook.Micros,
+	webhook.DestinationID) {
 	m.taken++
 }
 func (m *turns) TurnOver() { m.over++ }
--- a/benchwire/host.go
+++ b/benchwire/host.go
@@ -3,12 +3,12 @@
 import (
 	"encoding/binary"
 
-	"rowanlink/gateway"
+	webhookpkg "rowanlink/webhook"
 )
 
-func micros(ns uint64) gateway.Micros { return gateway.Micros(ns / 1000) }
+func micros(ns uint64) webhookpkg.Micros { return webhookpkg.Micros(ns / 1000) }
 
-func ns(t gateway.Micros) uint64 { return uint64(max(t, 0)) * 1000 }
+func ns(t webhookpkg.Micros) uint64 { return uint64(max(t, 0)) * 1000 }
 
 // act writes an action's header and instance; size is that of the fields after these.
 func (in *instance) act(code byte, size int) {
@@ -29,39 +29,39 @@
 }
 
 // Now is the batch's clock.
-func (in *instance) Now() gateway.Micros { return micros(in.s.clock) }
+func (in *instance) Now() webhookpkg.Micros { return micros(in.s.clock) }
 
-func (in *instance) Attempt(id gateway.WebhookID, ep gateway.EndpointID, patience, _ gateway.Micros) {
+func (in *instance) Attempt(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, patience, _ webhookpkg.Micros) {
 	in.act(actAttempt, 16)
 	in.u32(uint32(id))
 	in.u32(uint32(ep))
 	in.u64(ns(patience))
 }
 
-func (in *instance) Cancel(id gateway.WebhookID, attempt int) {
+func (in *instance) Cancel(id webhookpkg.WebhookID, attempt int) {
 	in.act(actRevoke, 5)
 	in.u32(uint32(id))
 	in.acts = append(in.acts, byte(attempt))
 }
 
-func (in *instance) Reject(id gateway.WebhookID, advised gateway.Micros) {
+func (in *instance) Reject(id webhookpkg.WebhookID, advised webhookpkg.Micros) {
 	in.act(actBounce, 12)
 	in.u32(uint32(id))
 	in.u64(ns(advised))
 }
 
-func (in *instance) DeadLetter(id gateway.WebhookID) {
+func (in *instance) DeadLetter(id webhookpkg.WebhookID) {
 	in.act(actSurrender, 4)
 	in.u32(uint32(id))
 }
 
-func (in *instance) Wake(after gateway.Micros, timer gateway.TimerID) {
+func (in *instance) Wake(after webhookpkg.Micros, timer webhookpkg.TimerID) {
 	in.act(actTimer, 12)
 	in.u64(ns(after))
 	in.u32(uint32(timer))
 }
 
-func (in *instance) CloseIdle(ep gateway.EndpointID) {
+func (in *instance) CloseIdle(ep webhookpkg.EndpointID) {
 	in.act(actClose, 4)
 	in.u32(uint32(ep))
 }
--- a/cluster/lease/hall_test.go
+++ b/cluster/lease/hall_test.go
@@ -5,22 +5,22 @@
 	"math/rand/v2"
 
 	"rowanlink/cluster"
-	"rowanlink/gateway"
 	"rowanlink/internal/due"
+	"rowanlink/webhook"
 )
 
 // hall is members and keepers that talk by messages: while it is faulty they are lost, doubled and late,
 // members stop, start anew and wish for something else, and the lead changes. It is played by a seed.
 type hall struct {
 	rng     *rand.Rand
-	now     gateway.Micros
+	now     webhook.Micros
 	queue   due.Times[func()]
 	faulty  bool
 	spoilt  spoilt
 	entries [][]byte
 	desks   [3]*desk
 	lead    int
-	idle    gateway.Micros // until then nobody leads
+	idle    webhook.Micros // until then nobody leads
 	terms   *Terms
 	members []*guest
 	broken  string
@@ -33,7 +33,7 @@
 type desk struct {
 	book *Book
 	at   int
-	lags gateway.Micros // until then it takes no entries
+	lags webhook.Micros // until then it takes no entries
 }
 
 // guest is one member, as cluster/member goes about it.
@@ -43,15 +43,15 @@
 	life     Incarnation
 	tenure   *Tenure
 	wishes   *Wishes
-	stopped  gateway.Micros
+	stopped  webhook.Micros
 	deaf     bool // no keeper's word of free tasks reaches it
-	proposes gateway.Micros
-	polls    gateway.Micros
+	proposes webhook.Micros
+	polls    webhook.Micros
 	asks     int // keeper
 }
 
 const (
-	hallTerm = 3 * gateway.Second
+	hallTerm = 3 * webhook.Second
 	beat     = hallTerm / 40
 )
 
@@ -73,10 +73,10 @@
 	return h
 }
 
-func (h *hall) at(wait gateway.Micros, f func()) { h.queue.Add(int64(h.now+wait), f) }
+func (h *hall) at(wait webhook.Micros, f func()) { h.queue.Add(int64(h.now+wait), f) }
 
-func (h *hall) upTo(most gateway.Micros) gateway.Micros {
-	return 1 + gateway.Micros(h.rng.Int64N(int64(most)))
+func (h *hall) upTo(most webhook.Micros) webhook.Micros {
+	return 1 + webhook.Micros(h.rng.Int64N(int64(most)))
 }
 
 // send has a message arrive, or not, or late, or twice.
@@ -96,14 +96,14 @@
 }
 
 // run plays until a moment, and looks at each step that no two hold one task.
-func (h *hall) run(until gateway.Micros) {
+func (h *hall) run(until webhook.Micros) {
 	for h.broken == "" {
 		at, _ := h.queue.Next()
-		if gateway.Micros(at) >= until {
+		if webhook.Micros(at) >= until {
 			return
 		}
 		f, _ := h.queue.Take(at)
-		h.now = gateway.Micros(at)
+		h.now = webhook.Micros(at)
 		f()
 		for _, t := range hallTasks {
 			if all := h.holders(t); len(all) > 1 {
--- a/cluster/lease/world_test.go
+++ b/cluster/lease/world_test.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/gateway"
 	"rowanlink/internal/due"
+	"rowanlink/webhook"
 )
 
 // The world that the search explores: two members, each with further lives; two keepers of three that lead in
@@ -14,9 +14,9 @@
 // Everything that decides is the real object. True time goes in steps; clocks are fast or slow. Whoever does
 // nothing for a while was stopped, and goes on as if nothing had been: only time has to happen in this world.
 const (
-	stepSlow, stepFast gateway.Micros   = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
+	stepSlow, stepFast webhook.Micros   = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
 	worldApart                          = 0.25
-	worldTerm          gateway.Micros   = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
+	worldTerm          webhook.Micros   = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
 	worldTask          cluster.Task     = "task"
 	third              cluster.MemberID = "the third keeper"
 )
@@ -67,11 +67,11 @@
 	epoch        cluster.Epoch
 	reign        Reign
 	term         uint64
-	at           gateway.Micros // of the keeper's clock
+	at           webhook.Micros // of the keeper's clock
 }
 
 type keeper struct {
-	step     gateway.Micros
+	step     webhook.Micros
 	believes bool // that it leads
 	terms    *Terms
 	assent   *Assent
@@ -79,7 +79,7 @@
 }
 
 type process struct {
-	step   gateway.Micros
+	step   webhook.Micros
 	life   Incarnation
 	tenure *Tenure
 	owned  bool
@@ -88,7 +88,7 @@
 type world struct {
 	wrong  wrong
 	left   may
-	now    gateway.Micros // true steps
+	now    webhook.Micros // true steps
 	index  uint64
 	term   uint64 // raft's
 	leader int
@@ -103,7 +103,7 @@
 	broken string
 }
 
-func newWorld(w wrong, left may, keepers, members [2]gateway.Micros) *world {
+func newWorld(w wrong, left may, keepers, members [2]webhook.Micros) *world {
 	n := &world{wrong: w, left: left, book: NewBook(), owned: true, fence: NewFence()}
 	n.kept = n.fence.Bytes()
 	for i := range n.keeper {
@@ -124,8 +124,8 @@
 	return NewTenure(worldTerm, worldApart)
 }
 
-func (w *world) keeperClock(k int) gateway.Micros { return w.now * w.keeper[k].step }
-func (w *world) clock(p int) gateway.Micros       { return w.now * w.proc[p].step }
+func (w *world) keeperClock(k int) webhook.Micros { return w.now * w.keeper[k].step }
+func (w *world) clock(p int) webhook.Micros       { return w.now * w.proc[p].step }
 
 // clone shares what was not changed; whoever changes something takes it by ownBook, own or ownKeeper.
 func (w *world) clone() *world {
--- a/cluster/member/counts.go
+++ b/cluster/member/counts.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"rowanlink/cluster/shardmap"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // in is whether a webhook's destination lies in a range.
@@ -22,7 +22,7 @@
 }
 
 // OutOf counts calls out of destinations.
-func (o *owing) OutOf(of []gateway.DestinationID) int {
+func (o *owing) OutOf(of []webhookpkg.DestinationID) int {
 	_, out := o.decider.Owes(func(w *exchange.Webhook) bool { return slices.Contains(of, w.Destination) })
 	return out
 }
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -8,9 +8,9 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // doubt is one webhook that another member may have, as it stands when that is asked.
@@ -67,7 +67,7 @@
 	case shardmap.Drop:
 		names.Note(func(k *shardmap.Known) {
 			if still = k.Heard(d.name, d.hand, shardmap.Has) == shardmap.Drop; still { // its end first
-				o.decider.Passed([]gateway.WebhookID{d.ID})
+				o.decider.Passed([]webhookpkg.WebhookID{d.ID})
 			}
 		})
 	case shardmap.Own:
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -12,8 +12,8 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // A forward takes at most this part of a client's patience, each hop: the rest is for keeping it here.
@@ -35,7 +35,7 @@
 }
 
 // taker takes a webhook on in this process.
-type taker = func() (exchange.Answer, gateway.Micros)
+type taker = func() (exchange.Answer, webhookpkg.Micros)
 
 // went is how far a client's webhook came on its way to its home.
 type went uint8
@@ -48,7 +48,7 @@
 
 // Away takes a client's webhook to its home and answers as that does. What can't be taken there is kept here,
 // parked until its home can be reached: it is owned by whoever's journal says so, and by nobody twice.
-func (f *forwarding) Away(w *exchange.Webhook, here taker) (exchange.Answer, gateway.Micros) {
+func (f *forwarding) Away(w *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros) {
 	for until := exchange.Now() + exchange.AnswerWithin - exchange.AnswerWithin/hopPart; ; {
 		v, what, retryIn, kept := f.keeps(w, here)
 		if kept {
@@ -73,7 +73,7 @@
 // keeps takes on here what belongs here, or what has to wait here for an earlier one of its key, unless the
 // range is shut: guards against what comes after the last count before a switch.
 func (f *forwarding) keeps(w *exchange.Webhook, here taker) (v shardmap.Verdict, what exchange.Answer,
-	retryIn gateway.Micros, kept bool) {
+	retryIn webhookpkg.Micros, kept bool) {
 	f.homes.door.RLock()
 	defer f.homes.door.RUnlock()
 	v = f.homes.Verdict(w.Destination)
@@ -85,12 +85,12 @@
 }
 
 // goes offers a client's webhook to its home.
-func (f *forwarding) goes(w *exchange.Webhook, v shardmap.Verdict) (exchange.Answer, gateway.Micros, went) {
+func (f *forwarding) goes(w *exchange.Webhook, v shardmap.Verdict) (exchange.Answer, webhookpkg.Micros, went) {
 	hand := f.names.Next(nameOf(w.RequestID))
 	for hops := 0; ; hops++ {
 		at := exchange.Now()
 		hs, life, err := f.say(v.To, webhookPath, sent{Version: v.Version, At: at,
-			All: []shardmap.Carried{carried(w, hand, 0, gateway.Never, 0)}}, exchange.AnswerWithin/hopPart, true)
+			All: []shardmap.Carried{carried(w, hand, 0, webhookpkg.Never, 0)}}, exchange.AnswerWithin/hopPart, true)
 		h := heard{}
 		if err == nil {
 			h = hs[0]
@@ -122,7 +122,7 @@
 
 // say sends webhooks to a member's folder, of the life that was told last, and reads one answer for each.
 // Where that folder is new, nothing was taken: again sends them to that. Errors as talk.Say's.
-func (f *forwarding) say(to cluster.MemberID, path string, s sent, within gateway.Micros, again bool) ([]heard,
+func (f *forwarding) say(to cluster.MemberID, path string, s sent, within webhookpkg.Micros, again bool) ([]heard,
 	uint64, error) {
 	for ; ; again = false {
 		s.Life = f.life(to)
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -1,20 +1,20 @@
 package member
 
 import (
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // gate is what the decider asks.
 type gate struct{ m *Member }
 
-func (g gate) Calls(dest gateway.DestinationID, ordered bool) bool {
+func (g gate) Calls(dest webhookpkg.DestinationID, ordered bool) bool {
 	may, asRelay := g.m.sites.Calls(dest)
 	return may && (asRelay || g.m.homes.Verdict(dest).Calls(ordered))
 }
 
-func (g gate) Part(dest gateway.DestinationID) float64 {
+func (g gate) Part(dest webhookpkg.DestinationID) float64 {
 	return g.m.sites.Part(dest, g.m.homes.Verdict(dest).Part(int(g.m.many.Load())))
 }
 
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -10,9 +10,9 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // harmPath is where a conductor asks for the harm that its moves did.
@@ -28,7 +28,7 @@
 	self  cluster.MemberID
 	homes *homes
 	d     *decider.Decider
-	now   func() gateway.Micros
+	now   func() webhookpkg.Micros
 	over  <-chan struct{}
 
 	mu       sync.Mutex
@@ -52,7 +52,7 @@
 	h.count(w.Destination, e)
 }
 
-func (h *harm) count(d gateway.DestinationID, e rebalance.Ends) {
+func (h *harm) count(d webhookpkg.DestinationID, e rebalance.Ends) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tally.Ended(d, e)
@@ -61,7 +61,7 @@
 // entry counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
 // that it counts once.
 func (h *harm) entry(away away) away {
-	return func(w *exchange.Webhook, here taker) (exchange.Answer, gateway.Micros) {
+	return func(w *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros) {
 		what, retryIn := away(w, here)
 		if what == exchange.Rejected {
 			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
@@ -71,7 +71,7 @@
 }
 
 // away is what an exchange has for a client's webhook.
-type away = func(w *exchange.Webhook, here taker) (exchange.Answer, gateway.Micros)
+type away = func(w *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros)
 
 // Look takes note of moves that have begun.
 func (h *harm) Look() {
@@ -91,13 +91,13 @@
 // sick asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
 func (h *harm) sick(of []shardmap.Range) rebalance.Sickness {
-	in := func(r shardmap.Range, d gateway.DestinationID) bool {
+	in := func(r shardmap.Range, d webhookpkg.DestinationID) bool {
 		return r.Home == h.self && h.homes.Map().Holds(r, d)
 	}
-	found := make(chan []gateway.Learned, 1)
+	found := make(chan []webhookpkg.Learned, 1)
 	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
 		go func() {
-			all, _ := h.d.Learned(func(d gateway.DestinationID) bool {
+			all, _ := h.d.Learned(func(d webhookpkg.DestinationID) bool {
 				return slices.ContainsFunc(of, func(r shardmap.Range) bool { return in(r, d) })
 			})
 			found <- all
@@ -105,12 +105,12 @@
 	} else {
 		found <- nil
 	}
-	var all []gateway.Learned
+	var all []webhookpkg.Learned
 	select {
 	case all = <-found:
 	case <-h.over: // no turn comes any more
 	}
-	return func(r shardmap.Range) (sick []gateway.DestinationID) {
+	return func(r shardmap.Range) (sick []webhookpkg.DestinationID) {
 		for _, l := range all {
 			if l.Sick && in(r, l.Destination) {
 				sick = append(sick, l.Destination)
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -10,9 +10,9 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Each end counts once and as what it was, a rejection where its client heard of it: guards against harm that
@@ -22,8 +22,8 @@
 	assert.NoError(t, err)
 	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.Planned}
 	chart := &shardmap.Map{Ranges: even}
-	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, gateway.Second, 0),
-		now: func() gateway.Micros { return 0 }}
+	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, webhookpkg.Second, 0),
+		now: func() webhookpkg.Micros { return 0 }}
 	h.homes.chart.Store(chart)
 	h.Look()
 	w := &exchange.Webhook{Destination: 7}
@@ -32,7 +32,7 @@
 		h.ended(w, how)
 	}
 	to := func(what exchange.Answer, done bool) away {
-		return func(_ *exchange.Webhook, here taker) (exchange.Answer, gateway.Micros) {
+		return func(_ *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros) {
 			if done {
 				return what, 3
 			}
@@ -45,9 +45,9 @@
 	}{{exchange.Rejected, exchange.Taken, true}, {exchange.Taken, exchange.Rejected, false},
 		{exchange.Taken, exchange.Rejected, true}, {exchange.Rejected, exchange.Taken, false},
 		{exchange.Doubled, exchange.Rejected, true}} {
-		here := func() (exchange.Answer, gateway.Micros) { return c.here, 4 }
+		here := func() (exchange.Answer, webhookpkg.Micros) { return c.here, 4 }
 		what, in := h.entry(to(c.away, c.done))(w, here)
-		want, wait := c.away, gateway.Micros(3)
+		want, wait := c.away, webhookpkg.Micros(3)
 		if !c.done {
 			want, wait = c.here, 4
 		}
@@ -64,8 +64,8 @@
 	assert.NoError(f, err)
 	f.Add(transport.Encode(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, gateway.Second, 0),
-			now: func() gateway.Micros { return 0 }}
+		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, webhookpkg.Second, 0),
+			now: func() webhookpkg.Micros { return 0 }}
 		h.homes.chart.Store(&shardmap.Map{Ranges: even})
 		h.count(7, rebalance.Ends{Ended: 1})
 		var ctx fasthttp.RequestCtx
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -8,8 +8,8 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Hear takes a webhook that its entry sent here, or says where it goes.
@@ -73,7 +73,7 @@
 }
 
 // lag is by how much this member's clock shows more than another's.
-func (f *forwarding) lag(from cluster.MemberID, sentAt gateway.Micros) gateway.Micros {
+func (f *forwarding) lag(from cluster.MemberID, sentAt webhookpkg.Micros) webhookpkg.Micros {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.clocks[from] == nil {
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -23,9 +23,9 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 const (
@@ -43,8 +43,8 @@
 	text    []byte
 	file    config.File
 	d       *dispatcher.Dispatcher
-	facts   atomic.Pointer[gateway.Facts] // by the settings read last
-	clock   func() gateway.Micros
+	facts   atomic.Pointer[webhookpkg.Facts] // by the settings read last
+	clock   func() webhookpkg.Micros
 	on      net.Listener
 	server  *transport.Server
 	talk    *transport.Talk
@@ -134,7 +134,7 @@
 	m.sites.Begin()
 	m.sites.Hear(m.server)
 	d.Decider.Join(gate{m})
-	d.Calls.May = func(dest gateway.DestinationID) bool { return gate{m}.Calls(dest, false) }
+	d.Calls.May = func(dest webhookpkg.DestinationID) bool { return gate{m}.Calls(dest, false) }
 	m.server.Handle(webhookPath, f.Hear)
 	m.server.Handle(owedPath, f.HearOwed)
 	m.server.Handle(settlePath, f.HearSettle)
@@ -167,11 +167,11 @@
 }
 
 // event is what the settings say of an event type by now.
-func (m *Member) event(t gateway.EventTypeID) gateway.EventType {
+func (m *Member) event(t webhookpkg.EventTypeID) webhookpkg.EventType {
 	if all := m.facts.Load().EventTypes; int(t) < len(all) {
 		return all[t]
 	}
-	return gateway.EventType{Repeat: gateway.AtMostOnce}
+	return webhookpkg.EventType{Repeat: webhookpkg.AtMostOnce}
 }
 
 // named opens the names of webhooks, beside what the journal still owes.
--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
+	webhookpkg "rowanlink/webhook"
 )
 
 // names is what a member knows of webhooks by their names, kept in a journal of its own: what is told to
@@ -26,10 +26,10 @@
 	mu    sync.Mutex
 	known *shardmap.Known
 	kept  *journal.Journal
-	at    map[shardmap.Name]gateway.WebhookID // the record of each
-	last  gateway.WebhookID
-	slack gateway.Micros
-	swept gateway.Micros
+	at    map[shardmap.Name]webhookpkg.WebhookID // the record of each
+	last  webhookpkg.WebhookID
+	slack webhookpkg.Micros
+	swept webhookpkg.Micros
 }
 
 // nameOf is a webhook's over the whole fleet: a request id is never used twice.
@@ -38,7 +38,7 @@
 }
 
 // openNames reads the records of an earlier life from a folder; held tells what that life still owes.
-func openNames(dir string, diskMB float64, slack gateway.Micros, held func(shardmap.Name) bool) (*names,
+func openNames(dir string, diskMB float64, slack webhookpkg.Micros, held func(shardmap.Name) bool) (*names,
 	error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &names{Life: life, kept: kept, at: map[shardmap.Name]gateway.WebhookID{}, slack: slack}
+	n := &names{Life: life, kept: kept, at: map[shardmap.Name]webhookpkg.WebhookID{}, slack: slack}
 	latest := map[shardmap.Name]shardmap.Record{}
 	for _, e := range kept.Entries() {
 		var r shardmap.Record
@@ -131,7 +131,7 @@
 
 // write keeps the records that are not as they were; the caller holds the lock.
 func (n *names) write(was []past) (err error) {
-	fresh := map[shardmap.Name]gateway.WebhookID{}
+	fresh := map[shardmap.Name]webhookpkg.WebhookID{}
 	var gone []shardmap.Name
 	for _, w := range was {
 		r, known := n.known.Record(w.name)
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -7,9 +7,9 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // handOn offers what is owed to its home, or to the target of its move, and has it parked in doubt until
@@ -53,7 +53,7 @@
 func (o *owing) offered(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []decider.Owed,
 	s *sent) (still []decider.Owed) {
 	f := o.forwarding
-	ids, names := make([]gateway.WebhookID, len(all)), make([]shardmap.Name, len(all))
+	ids, names := make([]webhookpkg.WebhookID, len(all)), make([]shardmap.Name, len(all))
 	for i, w := range all {
 		ids[i], names[i] = w.ID, nameOf(w.RequestID)
 	}
@@ -95,7 +95,7 @@
 func (o *owing) heard(s sent, all []decider.Owed, hs []heard) {
 	var own []shardmap.Name
 	var ours []exchange.RequestID
-	var drop []gateway.WebhookID
+	var drop []webhookpkg.WebhookID
 	for i, w := range all {
 		if hs[i].Reply != shardmap.Has {
 			own = append(own, s.All[i].Name)
@@ -130,7 +130,7 @@
 // on anew before it has ended here: both wait for the names.
 func (o *owing) drops(s sent, all []decider.Owed, hs []heard) {
 	o.forwarding.names.Note(func(k *shardmap.Known) {
-		var ids []gateway.WebhookID
+		var ids []webhookpkg.WebhookID
 		for i, w := range all {
 			if hs[i].Reply == shardmap.Has && k.Heard(s.All[i].Name, s.All[i].Hand, shardmap.Has) == shardmap.Drop {
 				ids = append(ids, w.ID)
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -5,9 +5,9 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // mostAtOnce bounds what goes over in one message.
@@ -17,7 +17,7 @@
 type owing struct {
 	forwarding *forwarding
 	decider    *decider.Decider
-	events     func(gateway.EventTypeID) gateway.EventType
+	events     func(webhookpkg.EventTypeID) webhookpkg.EventType
 	looks      func() // has Look called soon; does not wait
 
 	mu      sync.Mutex
@@ -100,8 +100,8 @@
 // handed on.
 func (o *owing) sorts(chart *shardmap.Map, all []decider.Owed) map[cluster.MemberID]*errand {
 	type turn struct {
-		dest gateway.DestinationID
-		key  gateway.Key
+		dest webhookpkg.DestinationID
+		key  webhookpkg.Key
 	}
 	errands, waits := map[cluster.MemberID]*errand{}, map[turn]bool{}
 	errandTo := func(to cluster.MemberID) *errand {
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -6,7 +6,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
-	"rowanlink/gateway"
+	webhookpkg "rowanlink/webhook"
 )
 
 // joins makes what joins this member's dispatcher to site streams.
@@ -19,7 +19,9 @@
 }
 
 // serves is whether this member is home of a destination, by the grant that it holds.
-func (m *Member) serves(d gateway.DestinationID) bool { return m.homes.Verdict(d).Do == shardmap.Serve }
+func (m *Member) serves(d webhookpkg.DestinationID) bool {
+	return m.homes.Verdict(d).Do == shardmap.Serve
+}
 
 // homeOf is whether it is home of where a site's subscribers stand.
 func (m *Member) homeOf(s cluster.SiteID) bool {
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -2,8 +2,8 @@
 
 import (
 	"rowanlink/cluster/shardmap"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // taking is webhooks of one message, taken on in their order, each once, whatever is said twice.
@@ -60,7 +60,7 @@
 }
 
 // offered decides one; names are locked.
-func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *exchange.Webhook, now gateway.Micros,
+func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *exchange.Webhook, now webhookpkg.Micros,
 	admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
 	admission, told := admit(t.s, c)
 	t.was[i] = t.names.past(c.Name)
@@ -82,7 +82,7 @@
 
 // handIn has what is new taken on; what is refused is as if it had not been offered.
 func (t *taking) handIn() {
-	t.x.HandInAll(t.ins, func(n int, what exchange.Answer, retryIn gateway.Micros) {
+	t.x.HandInAll(t.ins, func(n int, what exchange.Answer, retryIn webhookpkg.Micros) {
 		i := t.of[n]
 		switch what {
 		case exchange.Taken:
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -4,8 +4,8 @@
 	"log/slog"
 
 	"rowanlink/cluster/shardmap"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // teach tells the target of each move what was learned here, once no call of the range is out any more.
@@ -24,7 +24,7 @@
 		if told {
 			continue
 		}
-		all, idle := o.decider.Learned(func(d gateway.DestinationID) bool {
+		all, idle := o.decider.Learned(func(d webhookpkg.DestinationID) bool {
 			return chart.Holds(r, d)
 		})
 		if !idle {
@@ -51,10 +51,10 @@
 }
 
 // taught takes over what another member learned; lag is by how much this clock shows more.
-func (o *owing) taught(all []gateway.Learned, lag gateway.Micros) {
+func (o *owing) taught(all []webhookpkg.Learned, lag webhookpkg.Micros) {
 	for i := range all {
 		l := &all[i]
-		for _, at := range []*gateway.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
+		for _, at := range []*webhookpkg.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
 			if *at > 0 {
 				*at += lag
 			}
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -14,14 +14,14 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 const term = 300_000 // microseconds: all else follows from it
 
 var began = time.Now()
 
-func clock() gateway.Micros { return gateway.Micros(time.Since(began).Microseconds()) }
+func clock() webhook.Micros { return webhook.Micros(time.Since(began).Microseconds()) }
 
 // faults loses messages and answers, and says some twice.
 type faults struct {
@@ -72,7 +72,7 @@
 	held   map[stream.Delivery]bool
 	owed   []stream.End
 	full   bool
-	slow   map[gateway.DestinationID]bool // its deliveries don't end
+	slow   map[webhook.DestinationID]bool // its deliveries don't end
 
 	open   map[stream.Delivery]stream.Standing // the owner's
 	once   bool                                // all are at-most-once
@@ -88,7 +88,7 @@
 type book struct{ *site }
 type shelf struct{ *site }
 
-func (b book) Sending([]stream.Item, uint64, gateway.Micros) error { return nil }
+func (b book) Sending([]stream.Item, uint64, webhook.Micros) error { return nil }
 func (b book) Unsent([]stream.Delivery)                            {}
 func (b book) Late([]stream.Delivery)                              {}
 
@@ -106,9 +106,9 @@
 func (b book) Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i, t := stream.Item{MayRun: gateway.Never}, gateway.EventType{}
+	i, t := stream.Item{MayRun: webhook.Never}, webhook.EventType{}
 	if b.once {
-		t.Repeat = gateway.AtMostOnce
+		t.Repeat = webhook.AtMostOnce
 	}
 	for _, u := range of {
 		if c := stream.Rule(&i, u.At, t, lost, 1<<60, clock()); c != stream.Waits {
@@ -136,13 +136,13 @@
 	return heard
 }
 
-func (b book) Learned() []gateway.Learned {
-	return []gateway.Learned{{Destination: 1, WaitUntil: clock()}}
+func (b book) Learned() []webhook.Learned {
+	return []webhook.Learned{{Destination: 1, WaitUntil: clock()}}
 }
-func (b book) Taught([]gateway.Learned) {}
+func (b book) Taught([]webhook.Learned) {}
 
-func (s shelf) Learned([]gateway.DestinationID) []gateway.Learned { return nil }
-func (s shelf) Taught(all []gateway.Learned)                      { s.taught.Add(int64(len(all))) }
+func (s shelf) Learned([]webhook.DestinationID) []webhook.Learned { return nil }
+func (s shelf) Taught(all []webhook.Learned)                      { s.taught.Add(int64(len(all))) }
 
 func (s shelf) Room() int { return 64 }
 
@@ -222,7 +222,7 @@
 func begin(t *testing.T, once bool) *site {
 	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Standing{},
 		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Mark{Life: 9},
-		slow: map[gateway.DestinationID]bool{}, addr: "127.0.0.1:0"}
+		slow: map[webhook.DestinationID]bool{}, addr: "127.0.0.1:0"}
 	owner := transport.Hears(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/cluster/shardmap/walks_test.go
+++ b/cluster/shardmap/walks_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // Beyond the reach of the search: long walks with every fault, chosen by chance, each calmed at its end.
 func TestEachWebhookHasOneOwnerOnLongWalks(t *testing.T) {
-	repeats := []gateway.Repeat{gateway.AtMostOnce, gateway.Tokened, gateway.Idempotent}
+	repeats := []webhook.Repeat{webhook.AtMostOnce, webhook.Tokened, webhook.Idempotent}
 	chance, steps, passed, forked := rand.New(rand.NewPCG(35, 2)), 0, 0, 0
 	for n := range 6000 * (1 + 20*deeper) {
 		left := may{crashes: 3, folders: int8(n / 3 % 2), doubles: 4, fulls: 2, moves: 3, backs: 2,
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -6,9 +6,9 @@
 
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 var errMoved = errors.New("some of it is no longer here to be sent")
@@ -17,7 +17,7 @@
 
 // Sending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
 // made anew without it.
-func (l *lane) Sending(items []stream.Item, life uint64, at gateway.Micros) error {
+func (l *lane) Sending(items []stream.Item, life uint64, at webhook.Micros) error {
 	given := map[exchange.RequestID]int{}
 	var all, before []mark
 	var fresh []exchange.RequestID
@@ -31,7 +31,7 @@
 				fresh = append(fresh, id)
 			}
 			all = append(all, mark{Site: l.site.ID, Relay: l.site.Relay, ID: id, Life: life, At: at, Epoch: l.epoch,
-				Ran: i.MayRun != gateway.Never})
+				Ran: i.MayRun != webhook.Never})
 		}
 	}
 	if err := l.of.marks.put(all); err != nil { // first: a mark too many is settled by the relay's word
@@ -120,7 +120,7 @@
 		for i, s := range of {
 			courses[i] = rule(s)
 			// Guards against a call here beside the relay's own, which may just have begun: it has a while.
-			if courses[i] == stream.Goes && exchange.Now() < s.At+gateway.Micros(l.of.pace.Gone.Microseconds()) {
+			if courses[i] == stream.Goes && exchange.Now() < s.At+webhook.Micros(l.of.pace.Gone.Microseconds()) {
 				courses[i] = stream.Waits
 			}
 		}
@@ -228,16 +228,16 @@
 
 // Learned is what this dispatcher learned of the site's subscribers as it called for them itself: a wait
 // that it was told holds at the relay, too.
-func (l *lane) Learned() []gateway.Learned {
+func (l *lane) Learned() []webhook.Learned {
 	if !l.direct.Load() {
 		return nil
 	}
-	all, _ := l.of.decider.Learned(func(d gateway.DestinationID) bool { return l.of.lane(d) == l })
+	all, _ := l.of.decider.Learned(func(d webhook.DestinationID) bool { return l.of.lane(d) == l })
 	return all
 }
 
 // Taught is for the time when the relay is gone.
-func (l *lane) Taught(all []gateway.Learned) {
+func (l *lane) Taught(all []webhook.Learned) {
 	if !l.direct.Load() { // else what is known here is newer
 		l.of.decider.Teach(all)
 	}
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -11,10 +11,10 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
+	"rowanlink/webhook"
 )
 
 // roomPart is the share of a dispatcher's buffer that its relay may fill: the rest is for clients' own.
@@ -29,8 +29,8 @@
 	Request  exchange.RequestID `cbor:"3,keyasint,omitempty"`
 	Whole    []byte             `cbor:"4,keyasint,omitempty"` // as exchange.Webhook.Bytes
 	Attempts int                `cbor:"5,keyasint,omitempty"`
-	MayRun   gateway.Micros     `cbor:"6,keyasint,omitempty"`
-	Zone     gateway.ZoneID     `cbor:"7,keyasint,omitempty"`
+	MayRun   webhook.Micros     `cbor:"6,keyasint,omitempty"`
+	Zone     webhook.ZoneID     `cbor:"7,keyasint,omitempty"`
 	End      *stream.End        `cbor:"8,keyasint,omitempty"`
 }
 
@@ -41,11 +41,11 @@
 
 	mu     sync.Mutex
 	kept   *journal.Journal
-	last   gateway.WebhookID
-	marked gateway.WebhookID // the mark's record
-	of     map[stream.Delivery]gateway.WebhookID
+	last   webhook.WebhookID
+	marked webhook.WebhookID // the mark's record
+	of     map[stream.Delivery]webhook.WebhookID
 	ids    map[exchange.RequestID]*record // of those that have no end yet
-	tos    map[gateway.DestinationID]int  // how many of them, by destination
+	tos    map[webhook.DestinationID]int  // how many of them, by destination
 	fresh  []*record                      // to be handed in
 	over   []over
 	bell   chan struct{}
@@ -70,8 +70,8 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]gateway.WebhookID{},
-		ids: map[exchange.RequestID]*record{}, tos: map[gateway.DestinationID]int{},
+	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]webhook.WebhookID{},
+		ids: map[exchange.RequestID]*record{}, tos: map[webhook.DestinationID]int{},
 		bell: make(chan struct{}, 1), ended: make(chan struct{})}
 	var m stream.Mark
 	last, all := map[stream.Delivery]*record{}, []stream.Delivery{}
@@ -187,7 +187,7 @@
 	k.kept.End(k.marked, nil)
 	k.marked = began + 1
 	for n, r := range all[1:] {
-		k.of[r.Delivery] = began + 2 + gateway.WebhookID(n)
+		k.of[r.Delivery] = began + 2 + webhook.WebhookID(n)
 		k.ids[r.Request] = r
 		k.tos[r.Delivery.To]++
 		k.fresh = append(k.fresh, r)
@@ -197,7 +197,7 @@
 }
 
 // holds tells whether something for a destination has no end yet.
-func (k *desk) holds(d gateway.DestinationID) bool {
+func (k *desk) holds(d webhook.DestinationID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.tos[d] > 0
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -11,13 +11,13 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
@@ -29,19 +29,19 @@
 	life *lifecycle.Life
 }
 
-func relayIn(t *testing.T, dir string, ttl gateway.Micros) *bed {
+func relayIn(t *testing.T, dir string, ttl webhook.Micros) *bed {
 	kept, err := journal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := exchange.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := decider.New(x, life, kept, gateway.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []gateway.EventType{{Target: ttl / 9, TTL: ttl, Repeat: gateway.AtMostOnce}}})
-	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
+	d := decider.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
+		EventTypes: []webhook.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhook.AtMostOnce}}})
+	d.Begin(endpoints.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
+		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
-		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(gateway.Second))
+		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(webhook.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
 }
@@ -67,16 +67,16 @@
 	return all
 }
 
-func brought(ttl gateway.Micros) (stream.Mark, []stream.Item) {
+func brought(ttl webhook.Micros) (stream.Mark, []stream.Item) {
 	return stream.Mark{Life: 3, Run: stream.Run{Epoch: 1, No: 1}, Upto: 1, Taken: 2}, []stream.Item{{
-		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: gateway.Never,
-		TTL: exchange.Now() + ttl, Body: []byte("b"), To: []gateway.DestinationID{4, 5}}}
+		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: webhook.Never,
+		TTL: exchange.Now() + ttl, Body: []byte("b"), To: []webhook.DestinationID{4, 5}}}
 }
 
 // Guards against a second effect: a record whose end is written outlasts that write, as it is taken out
 // with the next one only.
 func TestAnEndWrittenJustBeforeAKillIsNotHandedInAgain(t *testing.T) {
-	dir, ttl := t.TempDir(), gateway.Second/4
+	dir, ttl := t.TempDir(), webhook.Second/4
 	b := relayIn(t, dir, ttl)
 	require.NoError(t, b.Keep(brought(ttl)))
 	require.Eventually(t, func() bool { return len(b.owed()) == 2 }, 10*time.Second, time.Millisecond)
@@ -91,7 +91,7 @@
 }
 
 func TestWhatAFrameBroughtOutlastsTheProcessWhetherItWasHandedInOrNot(t *testing.T) {
-	dir, ttl := t.TempDir(), 90*gateway.Second
+	dir, ttl := t.TempDir(), 90*webhook.Second
 	b := relayIn(t, dir, ttl)
 	close(b.desk.ended) // nothing is handed in any more
 	time.Sleep(20 * time.Millisecond)
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -5,9 +5,9 @@
 
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // owed lists what is parked here by site, in the order taken: all sites in one turn, since each turn looks at
@@ -45,12 +45,12 @@
 	of, _, many := w.RequestID.Subscriber()
 	i := &stream.Item{Name: l.nameOf(string(of)), Request: string(of), Many: many, Event: w.Event,
 		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, MayRun: w.MayRun,
-		Zone: w.Zone, Body: w.Body, To: []gateway.DestinationID{w.Destination}}
+		Zone: w.Zone, Body: w.Body, To: []webhook.DestinationID{w.Destination}}
 	t := l.of.event(w.Event)
 	if t.Ordered {
 		i.Key = w.Key
 	}
-	if t.Repeat == gateway.Tokened {
+	if t.Repeat == webhook.Tokened {
 		i.Window = t.TokenWindow
 	}
 	return i
@@ -80,15 +80,15 @@
 // feed hands the stream what is owed and not in it yet: subscribers of one announcement together.
 func (l *lane) feed(s *relay.Stream, all []decider.Owed) {
 	type turn struct {
-		to  gateway.DestinationID
-		key gateway.Key
+		to  webhook.DestinationID
+		key webhook.Key
 	}
 	type alike struct {
 		name     stream.Name
-		ttl      gateway.Micros
+		ttl      webhook.Micros
 		attempts int
-		mayRun   gateway.Micros
-		zone     gateway.ZoneID
+		mayRun   webhook.Micros
+		zone     webhook.ZoneID
 	}
 	stays, with := map[turn]bool{}, map[alike]*stream.Item{}
 	var items []*stream.Item
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -12,9 +12,9 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	streampkg "rowanlink/cluster/stream"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // lane is a site as one member sees it that may be its sender.
@@ -55,7 +55,7 @@
 		ID: xxhash.Sum64String("name " + request)}
 }
 
-func (l *lane) delivery(id exchange.RequestID, to gateway.DestinationID) streampkg.Delivery {
+func (l *lane) delivery(id exchange.RequestID, to webhook.DestinationID) streampkg.Delivery {
 	of, _, _ := id.Subscriber()
 	return streampkg.Delivery{Name: l.nameOf(string(of)), To: to}
 }
@@ -155,7 +155,7 @@
 	for _, m := range sent {
 		of[m.ID] = m
 	}
-	n, left := 0, map[gateway.DestinationID]bool{}
+	n, left := 0, map[webhook.DestinationID]bool{}
 	for _, w := range all {
 		m, was := of[w.RequestID]
 		if !was || !w.InDoubt {
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,20 +8,20 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
 // shut is a member that may call for nothing: all is parked.
 type shut struct{ open }
 
-func (shut) Calls(gateway.DestinationID, bool) bool { return false }
+func (shut) Calls(webhook.DestinationID, bool) bool { return false }
 
 // Guards against a webhook that may be at its relay and that nobody asks for any more: it goes out once more
 // in a frame that is not sent, as the frame has what has gone already.
@@ -30,21 +30,21 @@
 	require.NoError(t, err)
 	x, life := exchange.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := decider.New(x, life, kept, gateway.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []gateway.EventType{{Target: gateway.Second, TTL: 9 * gateway.Second}}})
+	d := decider.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
+		EventTypes: []webhook.EventType{{Target: webhook.Second, TTL: 9 * webhook.Second}}})
 	d.Join(shut{})
-	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
+	d.Begin(endpoints.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
+		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
-	item := func(id string) stream.Item { return stream.Item{Request: id, To: []gateway.DestinationID{7}} }
+	item := func(id string) stream.Item { return stream.Item{Request: id, To: []webhook.DestinationID{7}} }
 	for _, id := range []exchange.RequestID{"a", "b"} {
 		now := exchange.Now()
-		what, _ := x.HandInHere(&exchange.Webhook{RequestID: id, Destination: 7, TTL: now + 9*gateway.Second,
+		what, _ := x.HandInHere(&exchange.Webhook{RequestID: id, Destination: 7, TTL: now + 9*webhook.Second,
 			CameAt: now})
 		require.Equal(t, exchange.Taken, what)
 	}
@@ -52,7 +52,7 @@
 	require.ErrorIs(t, l.Sending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
 	m, marked := marks.get("a")
 	assert.True(t, marked)
-	assert.Equal(t, gateway.Micros(100), m.At)
+	assert.Equal(t, webhook.Micros(100), m.At)
 	_, marked = marks.get("b")
 	assert.False(t, marked)
 }
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -8,9 +8,9 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
+	"rowanlink/webhook"
 )
 
 // mark says of one delivery that it may be at a relay. It is kept from before its first byte leaves until
@@ -19,7 +19,7 @@
 	Site  cluster.SiteID     `cbor:"1,keyasint"`
 	ID    exchange.RequestID `cbor:"2,keyasint"`
 	Life  uint64             `cbor:"3,keyasint"` // of the relay's folder
-	At    gateway.Micros     `cbor:"4,keyasint"` // when it was sent first
+	At    webhook.Micros     `cbor:"4,keyasint"` // when it was sent first
 	Epoch cluster.Epoch      `cbor:"5,keyasint"` // by which it was
 	Relay cluster.MemberID   `cbor:"7,keyasint"`
 	Ran   bool               `cbor:"6,keyasint"` // it may have run before, here or at another owner
@@ -31,8 +31,8 @@
 	mu   sync.Mutex
 	kept *journal.Journal
 	of   map[exchange.RequestID]mark
-	at   map[exchange.RequestID]gateway.WebhookID // the record of each
-	last gateway.WebhookID
+	at   map[exchange.RequestID]webhook.WebhookID // the record of each
+	last webhook.WebhookID
 }
 
 // openMarks reads what an earlier life noted.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &marks{kept: kept, of: map[exchange.RequestID]mark{}, at: map[exchange.RequestID]gateway.WebhookID{}}
+	m := &marks{kept: kept, of: map[exchange.RequestID]mark{}, at: map[exchange.RequestID]webhook.WebhookID{}}
 	for _, e := range kept.Entries() {
 		var one mark
 		if err := transport.Decode(e.Taken, &one); err != nil {
@@ -86,7 +86,7 @@
 		if was, known := m.at[one.ID]; known {
 			m.kept.End(was, nil)
 		}
-		m.of[one.ID], m.at[one.ID] = one, began+1+gateway.WebhookID(i)
+		m.of[one.ID], m.at[one.ID] = one, began+1+webhook.WebhookID(i)
 	}
 	return nil
 }
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -16,9 +16,9 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
-	"rowanlink/gateway"
 	"rowanlink/node/decider"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // marksMB of the disk are for what is noted of deliveries on their way.
@@ -41,8 +41,8 @@
 	Said     relay.Said
 	Takes    func() bool // webhooks, from whomever
 	Nudge    func()      // something is to be handed on; does not wait
-	Event    func(gateway.EventTypeID) gateway.EventType
-	Serves   func(gateway.DestinationID) bool // this member, and no other, is home of a destination
+	Event    func(webhook.EventTypeID) webhook.EventType
+	Serves   func(webhook.DestinationID) bool // this member, and no other, is home of a destination
 	Home     func(cluster.SiteID) bool        // this member is home of where a site's subscribers stand
 	Alone    func(cluster.SiteID) bool        // nobody may be: whoever holds a webhook calls
 	Buffer   func() int                       // webhooks held at once
@@ -59,14 +59,14 @@
 	decider *decider.Decider
 	said    relay.Said
 	session Session
-	event   func(gateway.EventTypeID) gateway.EventType
-	serves  func(gateway.DestinationID) bool
+	event   func(webhook.EventTypeID) webhook.EventType
+	serves  func(webhook.DestinationID) bool
 	home    func(cluster.SiteID) bool
 	alone   func(cluster.SiteID) bool
 	marks   *marks
 	desk    atomic.Pointer[desk]
 	plan    atomic.Pointer[ways]
-	next    func(*exchange.Webhook, func() (exchange.Answer, gateway.Micros)) (exchange.Answer, gateway.Micros)
+	next    func(*exchange.Webhook, func() (exchange.Answer, webhook.Micros)) (exchange.Answer, webhook.Micros)
 
 	mu    sync.Mutex // one renewal at a time
 	ended chan struct{}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (s *Sites) lane(d gateway.DestinationID) *lane { return s.plan.Load().of[d] }
+func (s *Sites) lane(d webhook.DestinationID) *lane { return s.plan.Load().of[d] }
 
 // End leaves all as it is on disk.
 func (s *Sites) End() {
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -7,27 +7,27 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // The world of the model: one owner, who is the sender too, a relay, links that lose, double and delay, and
 // what either has on disk. What is unsure comes out of it by chance; what must hold is checked at every step.
 const (
 	room   = 6
-	skew   = 7 * gateway.Second // by so much the relay's clock shows more
-	ttl    = 40 * gateway.Second
-	window = 15 * gateway.Second
+	skew   = 7 * webhook.Second // by so much the relay's clock shows more
+	ttl    = 40 * webhook.Second
+	window = 15 * webhook.Second
 )
 
-var types = []gateway.EventType{{TTL: ttl}, {TTL: ttl, Repeat: gateway.Tokened, TokenWindow: window},
-	{TTL: ttl, Repeat: gateway.AtMostOnce}}
+var types = []webhook.EventType{{TTL: ttl}, {TTL: ttl, Repeat: webhook.Tokened, TokenWindow: window},
+	{TTL: ttl, Repeat: webhook.AtMostOnce}}
 
 // owned is a delivery in its owner's journal.
 type owned struct {
 	Item
 	no     int    // as taken on
 	life   uint64 // of the relay's folder that it was sent to; 0: never
-	sentAt gateway.Micros
+	sentAt webhook.Micros
 	beside bool
 	late   bool // dead-lettered here, after it may have run at the relay
 }
@@ -40,7 +40,7 @@
 
 type world struct {
 	*rapid.T
-	now   gateway.Micros
+	now   webhook.Micros
 	epoch cluster.Epoch
 	s     *Sender
 	open  map[Delivery]*owned
@@ -56,31 +56,31 @@
 
 	up, down []func()
 
-	ran   map[Delivery][]gateway.Micros
+	ran   map[Delivery][]webhook.Micros
 	trace map[keyed][]int // what ran, by order taken
 }
 
 func (o *owned) is() Delivery   { return Delivery{Name: o.Name, To: o.To[0]} }
 func (h *atRelay) is() Delivery { return Delivery{Name: h.Name, To: h.To[0]} }
 
-func single(i Item, to gateway.DestinationID) Item {
-	i.To = []gateway.DestinationID{to}
+func single(i Item, to webhook.DestinationID) Item {
+	i.To = []webhook.DestinationID{to}
 	return i
 }
 
 func (w *world) add() {
 	id := uint64(len(w.all))
 	kind := rapid.IntRange(0, 2).Draw(w.T, "type")
-	i := Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Event: gateway.EventTypeID(kind), TTL: w.now + ttl,
-		Key: gateway.Key(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: gateway.Never, Body: []byte("b"),
+	i := Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Event: webhook.EventTypeID(kind), TTL: w.now + ttl,
+		Key: webhook.Key(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: webhook.Never, Body: []byte("b"),
 		Many: true, Window: types[kind].TokenWindow}
-	i.To = [][]gateway.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
+	i.To = [][]webhook.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
 	for _, to := range i.To {
 		o := &owned{Item: single(i, to), no: len(w.all)}
 		w.open[o.is()] = o
 		w.all = append(w.all, o)
 	}
-	w.s.Add(i, gateway.Second, w.now)
+	w.s.Add(i, webhook.Second, w.now)
 	w.free()
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-func (o *owned) Repeats() bool { return types[o.Event].Repeat == gateway.AtMostOnce }
+func (o *owned) Repeats() bool { return types[o.Event].Repeat == webhook.AtMostOnce }
 
 func (w *world) end(d Delivery, how How) {
 	if was, over := w.ends[d]; over {
@@ -182,7 +182,7 @@
 	w.mark = w.r.Mark()
 	for _, i := range fresh {
 		for _, to := range i.To {
-			w.held = append(w.held, &atRelay{single(i, to), i.MayRun != gateway.Never})
+			w.held = append(w.held, &atRelay{single(i, to), i.MayRun != webhook.Never})
 		}
 	}
 	if len(w.held) > room {
--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"rowanlink/cluster"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // What a frame or an opening is refused with, beside fleet.ErrFenced. Nothing of it was taken.
@@ -32,7 +32,7 @@
 type Delivery struct {
 	_    struct{} `cbor:",toarray"`
 	Name Name
-	To   gateway.DestinationID
+	To   webhook.DestinationID
 }
 
 // Item is a webhook or an announcement for subscribers of one site. Its times are of the sender's clock, at
@@ -41,27 +41,27 @@
 	Name     Name
 	Request  string // id that the client gave
 	Many     bool   // an announcement
-	Event    gateway.EventTypeID
-	Tenant   gateway.TenantID
+	Event    webhook.EventTypeID
+	Tenant   webhook.TenantID
 	Token    string
-	Key      gateway.Key // 0 but of ordered event types
-	TTL      gateway.Micros
+	Key      webhook.Key // 0 but of ordered event types
+	TTL      webhook.Micros
 	Attempts int
-	MayRun   gateway.Micros // first attempt that may have run, or gateway.Never
-	Zone     gateway.ZoneID // of that attempt's endpoint
+	MayRun   webhook.Micros // first attempt that may have run, or gateway.Never
+	Zone     webhook.ZoneID // of that attempt's endpoint
 	Body     []byte
-	To       []gateway.DestinationID
+	To       []webhook.DestinationID
 
 	// Tokened: how long a token is remembered, else 0. The relay may call for so long after it was sent and no
 	// longer: whatever its owner then sends by itself comes within that time too.
-	Window gateway.Micros
+	Window webhook.Micros
 }
 
 // OfSubscriber stands between an announcement's request id and a subscriber's number.
 const OfSubscriber = ".dest="
 
 // RequestOf is the request id of the delivery to one subscriber.
-func (i *Item) RequestOf(to gateway.DestinationID) string {
+func (i *Item) RequestOf(to webhook.DestinationID) string {
 	if !i.Many {
 		return i.Request
 	}
@@ -85,7 +85,7 @@
 type Frame struct {
 	Run    Run            `cbor:"1,keyasint"`
 	Seq    Seq            `cbor:"2,keyasint"`
-	Lag    gateway.Micros `cbor:"3,keyasint"` // see Sender.lag: all that differs when it goes again
+	Lag    webhook.Micros `cbor:"3,keyasint"` // see Sender.lag: all that differs when it goes again
 	Bodies [][]byte       `cbor:"4,keyasint"`
 	Lists  [][]byte       `cbor:"5,keyasint"` // see packList
 	Items  []Packed       `cbor:"6,keyasint"` // in the order in which they are to be taken
@@ -98,14 +98,14 @@
 	Name     Name
 	Request  string
 	Many     bool
-	Event    gateway.EventTypeID
-	Tenant   gateway.TenantID
+	Event    webhook.EventTypeID
+	Tenant   webhook.TenantID
 	Token    string
-	Key      gateway.Key
-	TTL      gateway.Micros
+	Key      webhook.Key
+	TTL      webhook.Micros
 	Attempts int
-	MayRun   gateway.Micros
-	Zone     gateway.ZoneID
+	MayRun   webhook.Micros
+	Zone     webhook.ZoneID
 	Body     int // index in Bodies
 	List     int // index in Lists
 }
@@ -124,7 +124,7 @@
 	Limit uint64         `cbor:"4,keyasint"` // deliveries that the run may carry in all: only rises
 	Each  int            `cbor:"5,keyasint"` // of one subscriber, sent and not ended
 	Held  []Delivery     `cbor:"6,keyasint"` // of those asked: held, or ended and not yet heard by the owner
-	At    gateway.Micros `cbor:"7,keyasint"` // the relay's clock
+	At    webhook.Micros `cbor:"7,keyasint"` // the relay's clock
 }
 
 // How a delivery ended.
@@ -141,7 +141,7 @@
 	_        struct{} `cbor:",toarray"`
 	Delivery Delivery
 	How      How
-	RetryIn  gateway.Micros // rejected: come again after it; 0: nothing is said
+	RetryIn  webhook.Micros // rejected: come again after it; 0: nothing is said
 	Attempts int
 	MayRun   bool
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -6,12 +6,12 @@
 	"os"
 
 	"rowanlink/benchwire"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
 func main() {
-	start := func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) }
+	start := func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) }
 	if err := benchwire.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
--- a/emulator/build.go
+++ b/emulator/build.go
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // change is one line of news for the list.
 type change struct {
-	at    gateway.Micros
-	entry gateway.Entry
+	at    webhook.Micros
+	entry webhook.Entry
 }
 
 // build draws the destinations from the scenario's own stream: the same for every module.
@@ -50,24 +50,24 @@
 		d.route = int32(len(m.routes))
 		for range routes {
 			each := perS / float64(routes)
-			m.routes = append(m.routes, route{dest: gateway.DestinationID(i), kind: d.kind, perS: each,
+			m.routes = append(m.routes, route{dest: webhook.DestinationID(i), kind: d.kind, perS: each,
 				stated: each * wrong, backAt: never, tokens: 1})
 		}
 		for e := range n {
-			zone := gateway.ZoneID((i + e) % len(s.Net.Zones))
-			atOnce := math.Ceil(d.kind.Spare * perS / float64(n) * gateway.Micros(d.kind.Answer).Seconds())
-			depth := math.Ceil(gateway.Micros(d.kind.Queue).Seconds() * perS / float64(n))
+			zone := webhook.ZoneID((i + e) % len(s.Net.Zones))
+			atOnce := math.Ceil(d.kind.Spare * perS / float64(n) * webhook.Micros(d.kind.Answer).Seconds())
+			depth := math.Ceil(webhook.Micros(d.kind.Queue).Seconds() * perS / float64(n))
 			m.servers = append(m.servers, server{zone: zone, atOnce: int(atOnce), depth: int(depth)})
-			m.addEndpoint(gateway.DestinationID(i), d.route+int32(e%routes), zone, int32(len(m.servers)-1))
+			m.addEndpoint(webhook.DestinationID(i), d.route+int32(e%routes), zone, int32(len(m.servers)-1))
 		}
 	}
-	m.base = make([]gateway.Entry, len(m.endpoints))
+	m.base = make([]webhook.Entry, len(m.endpoints))
 	for i := range m.endpoints {
-		m.base[i] = m.entry(int32(i), gateway.Listed)
+		m.base[i] = m.entry(int32(i), webhook.Listed)
 	}
 }
 
-func (m *Model) addEndpoint(dest gateway.DestinationID, r int32, zone gateway.ZoneID, server int32) int32 {
+func (m *Model) addEndpoint(dest webhook.DestinationID, r int32, zone webhook.ZoneID, server int32) int32 {
 	n := int32(len(m.endpoints))
 	m.endpoints = append(m.endpoints, endpoint{dest: dest, route: r, zone: zone, server: server})
 	m.dests[dest].endpoints = append(m.dests[dest].endpoints, n)
@@ -76,14 +76,14 @@
 }
 
 // idOf and indexOf go between an endpoint's place and its id, of which 0 is none.
-func idOf(endpoint int32) gateway.EndpointID   { return gateway.EndpointID(endpoint + 1) }
-func indexOf(id gateway.EndpointID) (at int32) { return int32(id) - 1 }
+func idOf(endpoint int32) webhook.EndpointID   { return webhook.EndpointID(endpoint + 1) }
+func indexOf(id webhook.EndpointID) (at int32) { return int32(id) - 1 }
 
 // entry is what the list says of an endpoint.
-func (m *Model) entry(i int32, standing gateway.Standing) gateway.Entry {
+func (m *Model) entry(i int32, standing webhook.Standing) webhook.Entry {
 	e := &m.endpoints[i]
 	d := &m.dests[e.dest]
-	l := gateway.Entry{Endpoint: idOf(i), Destination: e.dest, Kind: d.kindID, Zone: e.zone, Standing: standing}
+	l := webhook.Entry{Endpoint: idOf(i), Destination: e.dest, Kind: d.kindID, Zone: e.zone, Standing: standing}
 	if m.plan.Dispatchers.RatesStated {
 		l.Rate = m.routes[e.route].stated
 	}
@@ -91,7 +91,7 @@
 }
 
 // list notes a change of the list; each dispatcher hears of it after its own delay.
-func (m *Model) list(i int32, standing gateway.Standing) {
+func (m *Model) list(i int32, standing webhook.Standing) {
 	m.changes = append(m.changes, change{m.now, m.entry(i, standing)})
 	for n := range m.dispatchers {
 		d := &m.dispatchers[n]
@@ -101,7 +101,7 @@
 }
 
 // drawDestination follows the skew, or a hot destination's share where there is one.
-func (m *Model) drawDestination(chance *rand.Rand) gateway.DestinationID {
+func (m *Model) drawDestination(chance *rand.Rand) webhook.DestinationID {
 	for _, h := range m.hot {
 		if chance.Float64() < h.share {
 			return h.to[chance.IntN(len(h.to))]
@@ -109,5 +109,5 @@
 	}
 	x := chance.Float64() * m.weights[len(m.weights)-1]
 	at, _ := slices.BinarySearchFunc(m.weights, x, func(w, x float64) int { return cmp.Compare(w, x) })
-	return gateway.DestinationID(min(at, len(m.weights)-1))
+	return webhook.DestinationID(min(at, len(m.weights)-1))
 }
--- a/emulator/complete.go
+++ b/emulator/complete.go
@@ -1,6 +1,6 @@
 package emulator
 
-import "rowanlink/gateway"
+import "rowanlink/webhook"
 
 // Complete fills in what was left out.
 func (s *Scenario) Complete() {
@@ -86,25 +86,25 @@
 }
 
 // Facts is what dispatcher number i is told at its start.
-func (s *Scenario) Facts(i int, seed uint64) gateway.Facts {
+func (s *Scenario) Facts(i int, seed uint64) webhook.Facts {
 	d, r := &s.Dispatchers, &s.Rules
-	f := gateway.Facts{Seed: seed, Fleet: d.Count, Zone: gateway.ZoneID(i % len(s.Net.Zones)), OverShare: 0.1,
+	f := webhook.Facts{Seed: seed, Fleet: d.Count, Zone: webhook.ZoneID(i % len(s.Net.Zones)), OverShare: 0.1,
 		Slots: d.Slots, Buffer: d.Buffer, MaxAttempts: d.Attempts, MayCancel: d.Cancel, MaxAdvice: d.MaxAdvice.us(),
 		RatesStated: d.RatesStated, ConnectTimeout: d.ConnectTimeout.us(), Tick: d.Tick.us(),
 		TurnGap: r.TurnGap.us(), StartCapacity: r.StartCapacity, WarmAfter: r.WarmAfter.us(),
 		FallMultiple: r.FallMultiple, TipAfter: r.TipAfter.us()}
 	for _, e := range s.Events {
-		repeat := map[string]gateway.Repeat{"idempotent": gateway.Idempotent, "tokened": gateway.Tokened,
-			"at-most-once": gateway.AtMostOnce}[e.Repeat]
+		repeat := map[string]webhook.Repeat{"idempotent": webhook.Idempotent, "tokened": webhook.Tokened,
+			"at-most-once": webhook.AtMostOnce}[e.Repeat]
 		f.EventTypes = append(
 			f.EventTypes,
-			gateway.EventType{Target: e.Target.us(), TTL: e.TTL.us(), Value: e.Value,
+			webhook.EventType{Target: e.Target.us(), TTL: e.TTL.us(), Value: e.Value,
 				LateValue: e.LateValue, Repeat: repeat, TokenWindow: e.Window.us(), TokenByZone: e.ByZone,
 				Ordered: e.Ordered},
 		)
 	}
 	for _, k := range s.Kinds {
-		f.Kinds = append(f.Kinds, gateway.Kind{Batch: k.Batch, Apart: k.Apart})
+		f.Kinds = append(f.Kinds, webhook.Kind{Batch: k.Batch, Apart: k.Apart})
 		f.CapsTold = f.CapsTold || k.PlacesTold
 	}
 	for _, t := range s.Tenants {
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -8,15 +8,15 @@
 
 	"rowanlink/emulator"
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
 	"rowanlink/lab/baseline"
+	"rowanlink/webhook"
 )
 
 // idle is a host on which nothing happens.
-type idle struct{ gateway.Host }
+type idle struct{ webhook.Host }
 
-func (idle) Now() gateway.Micros                  { return 0 }
-func (idle) Wake(gateway.Micros, gateway.TimerID) {}
+func (idle) Now() webhook.Micros                  { return 0 }
+func (idle) Wake(webhook.Micros, webhook.TimerID) {}
 
 func TestTroublesOverlapAndEndInAnyOrder(t *testing.T) {
 	s := plain(
@@ -26,12 +26,12 @@
 		emulator.Trouble{Kind: "hang", At: 6 * sec, For: 20 * sec, Destinations: []int{1}})
 	w, events, _ := play(t, s, module, seen.OutageStart, seen.OutageOver)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
-	got := map[gateway.DestinationID][]gateway.Micros{}
+	got := map[webhook.DestinationID][]webhook.Micros{}
 	for _, e := range events {
-		got[e.Destination] = append(got[e.Destination], e.At/gateway.Second)
+		got[e.Destination] = append(got[e.Destination], e.At/webhook.Second)
 	}
-	assert.Equal(t, []gateway.Micros{5, 11}, got[0], "slow is no outage")
-	assert.Equal(t, []gateway.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
+	assert.Equal(t, []webhook.Micros{5, 11}, got[0], "slow is no outage")
+	assert.Equal(t, []webhook.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
 }
 
 func TestKilledInTheVeryTurnThatTakesAWebhookOn(t *testing.T) {
@@ -41,8 +41,8 @@
 		w, events, sum := play(t, s, module, seen.Taken, seen.Killed, seen.Resumed, seen.Ended, seen.Sent)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		assert.Zero(t, sum.Unended)
-		killed := gateway.Never
-		taken, resumed, died := map[gateway.WebhookID]bool{}, 0, 0
+		killed := webhook.Never
+		taken, resumed, died := map[webhook.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
 			case e.What == seen.Killed:
@@ -77,7 +77,7 @@
 	w, events, _ := play(t, s, module, seen.Taken, seen.Killed, seen.Heard, seen.Ended, seen.Sent)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	dead := false
-	out, again, died := map[seen.Origin]gateway.EventTypeID{}, map[seen.Origin]bool{}, map[seen.Origin]bool{}
+	out, again, died := map[seen.Origin]webhook.EventTypeID{}, map[seen.Origin]bool{}, map[seen.Origin]bool{}
 	for _, e := range events {
 		switch {
 		case e.What == seen.Killed:
@@ -107,7 +107,7 @@
 func TestAReturningDestinationThatIsPushedFalls(t *testing.T) {
 	s := plain(emulator.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 1})
 	s.Clients.Rate, s.Dispatchers.Slots, s.Events = 400, 400, s.Events[:1]
-	hammer := func(f gateway.Facts, h gateway.Host) gateway.Module {
+	hammer := func(f webhook.Facts, h webhook.Host) webhook.Module {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
 	_, events, sum := play(t, s, hammer, seen.Fell, seen.Reached)
@@ -135,11 +135,11 @@
 		w, events, _ := play(t, s, module, seen.Sent, seen.Told)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		last := events[len(events)-1]
-		before, after := map[gateway.EndpointID]bool{}, map[gateway.EndpointID]bool{}
+		before, after := map[webhook.EndpointID]bool{}, map[webhook.EndpointID]bool{}
 		for _, e := range events {
-			if e.What == seen.Sent && e.Destination == 0 && e.At < gateway.Micros(5*sec) {
+			if e.What == seen.Sent && e.Destination == 0 && e.At < webhook.Micros(5*sec) {
 				before[e.Endpoint] = true
-			} else if e.What == seen.Sent && e.Destination == 0 && e.At > last.At-gateway.Micros(5*sec) {
+			} else if e.What == seen.Sent && e.Destination == 0 && e.At > last.At-webhook.Micros(5*sec) {
 				after[e.Endpoint] = true
 			}
 		}
@@ -157,7 +157,7 @@
 	_, events, _ := play(t, s, module, seen.Heard)
 	failed := 0
 	for _, e := range events {
-		if e.Outcome == gateway.ConnectFailed {
+		if e.Outcome == webhook.ConnectFailed {
 			failed++
 		}
 	}
--- a/emulator/ends.go
+++ b/emulator/ends.go
@@ -2,11 +2,11 @@
 
 import (
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // end closes a webhook's stay here; its client may come again after a rejection.
-func (m *Model) end(d *dispatcher, h *held, how seen.End, advised gateway.Micros) {
+func (m *Model) end(d *dispatcher, h *held, how seen.End, advised webhook.Micros) {
 	h.ended = true
 	d.open--
 	if d.member != nil {
--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -9,13 +9,13 @@
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
-const sec = emulator.Span(gateway.Second)
+const sec = emulator.Span(webhook.Second)
 
-func module(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) }
+func module(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) }
 
 // plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
 // sort.
@@ -57,8 +57,8 @@
 	observe.Summary) {
 	require.NoError(t, s.Check())
 	m := emulator.New(s, start)
-	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: gateway.Micros(s.Rules.DrainGrace),
-		AnswerGrace: 3*gateway.Micros(s.Dispatchers.Tick) + gateway.Second/20}
+	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: webhook.Micros(s.Rules.DrainGrace),
+		AnswerGrace: 3*webhook.Micros(s.Dispatchers.Tick) + webhook.Second/20}
 	w, r, l := observe.NewWatch(terms), observe.NewRecorder(terms), &log{wants: what}
 	w.Join(&m.Bus)
 	m.Bus.Join(r, l)
@@ -68,26 +68,26 @@
 
 // mutant is the module with its ears or hands tampered with.
 type mutant struct {
-	gateway.Module
+	webhook.Module
 	host
-	take      func(key gateway.Key) gateway.Key
-	outcome   func(what gateway.Outcome, wait gateway.Micros) (gateway.Outcome, gateway.Micros)
-	endpoints func(list []gateway.Entry) []gateway.Entry
+	take      func(key webhook.Key) webhook.Key
+	outcome   func(what webhook.Outcome, wait webhook.Micros) (webhook.Outcome, webhook.Micros)
+	endpoints func(list []webhook.Entry) []webhook.Entry
 }
 
 type host struct {
-	gateway.Host
+	webhook.Host
 	mute bool
 }
 
-func (h *host) DeadLetter(id gateway.WebhookID) {
+func (h *host) DeadLetter(id webhook.WebhookID) {
 	if !h.mute {
 		h.Host.DeadLetter(id)
 	}
 }
 
-func (m *mutant) Take(id gateway.WebhookID, evt gateway.EventTypeID, tenant gateway.TenantID, key gateway.Key,
-	ttl gateway.Micros, dest gateway.DestinationID) {
+func (m *mutant) Take(id webhook.WebhookID, evt webhook.EventTypeID, tenant webhook.TenantID, key webhook.Key,
+	ttl webhook.Micros, dest webhook.DestinationID) {
 	if m.take != nil {
 		key = m.take(key)
 	}
@@ -95,12 +95,12 @@
 }
 
 func (m *mutant) Outcome(
-	id gateway.WebhookID,
-	ep gateway.EndpointID,
-	what gateway.Outcome,
-	took gateway.Micros,
+	id webhook.WebhookID,
+	ep webhook.EndpointID,
+	what webhook.Outcome,
+	took webhook.Micros,
 	ended bool,
-	wait gateway.Micros,
+	wait webhook.Micros,
 ) {
 	if m.outcome != nil {
 		what, wait = m.outcome(what, wait)
@@ -108,7 +108,7 @@
 	m.Module.Outcome(id, ep, what, took, ended, wait)
 }
 
-func (m *mutant) Endpoints(list []gateway.Entry, whole bool) {
+func (m *mutant) Endpoints(list []webhook.Entry, whole bool) {
 	if m.endpoints != nil {
 		list = m.endpoints(list)
 	}
@@ -116,8 +116,8 @@
 }
 
 // tampered starts mutants.
-func tampered(facts func(*gateway.Facts), with func(*mutant)) emulator.Starter {
-	return func(f gateway.Facts, h gateway.Host) gateway.Module {
+func tampered(facts func(*webhook.Facts), with func(*mutant)) emulator.Starter {
+	return func(f webhook.Facts, h webhook.Host) webhook.Module {
 		if facts != nil {
 			facts(&f)
 		}
--- a/emulator/lists.go
+++ b/emulator/lists.go
@@ -4,20 +4,20 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // news is what waits for the next turn.
 type news struct {
 	kind    uint8
-	id      gateway.WebhookID
-	ep      gateway.EndpointID
-	what    gateway.Outcome
+	id      webhook.WebhookID
+	ep      webhook.EndpointID
+	what    webhook.Outcome
 	attempt int
-	took    gateway.Micros
-	wait    gateway.Micros
-	timer   gateway.TimerID
-	list    []gateway.Entry
+	took    webhook.Micros
+	wait    webhook.Micros
+	timer   webhook.TimerID
+	list    []webhook.Entry
 	whole   bool
 	offer   int32 // by which a webhook was sent here, or none
 }
@@ -35,7 +35,7 @@
 func (d *dispatcher) listed(n news) {
 	if d.m.Bus.Listened(seen.Told) {
 		for _, e := range n.list {
-			if e.Standing != gateway.Listed || !n.whole {
+			if e.Standing != webhook.Listed || !n.whole {
 				d.m.Bus.Emit(seen.Event{At: d.m.now, What: seen.Told, Dispatcher: d.number, Endpoint: e.Endpoint,
 					Destination: e.Destination, Standing: e.Standing})
 			}
--- a/emulator/observe/claims.go
+++ b/emulator/observe/claims.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 const (
@@ -29,7 +29,7 @@
 }
 
 type pause struct {
-	at  gateway.Micros
+	at  webhook.Micros
 	try int
 	on  *health
 	row int // failures in a row there when it began
@@ -38,7 +38,7 @@
 // health is a route as a dispatcher's outcomes show it.
 type health struct {
 	row         int
-	okAt, illAt gateway.Micros
+	okAt, illAt webhook.Micros
 }
 
 func newPauses(t Terms) pauses {
@@ -47,27 +47,27 @@
 
 var pausesWant = []seen.What{seen.Heard, seen.Sent, seen.Ended}
 
-func (p *pauses) see(e *seen.Event) (try int, long gateway.Micros, ok bool) {
+func (p *pauses) see(e *seen.Event) (try int, long webhook.Micros, ok bool) {
 	k := stayOf(e)
 	switch e.What {
 	case seen.Heard:
 		h := p.of[toRouteOf(e)]
 		if h == nil {
-			h = &health{okAt: gateway.Never, illAt: gateway.Never}
+			h = &health{okAt: webhook.Never, illAt: webhook.Never}
 			p.of[toRouteOf(e)] = h
 		}
 		switch {
-		case e.Outcome == gateway.Delivered:
+		case e.Outcome == webhook.Delivered:
 			h.row, h.okAt = 0, e.At
 			return
-		case e.Outcome == gateway.NotSent:
+		case e.Outcome == webhook.NotSent:
 			return
 		}
 		if h.row++; h.row >= sickFrom || e.Wait > 0 {
 			h.illAt = e.At
 		}
-		ill := h.illAt != gateway.Never && e.At-h.illAt < 2*p.t.WarmAfter
-		if !ill && h.okAt != gateway.Never && e.At-h.okAt < p.t.TipAfter {
+		ill := h.illAt != webhook.Never && e.At-h.illAt < 2*p.t.WarmAfter
+		if !ill && h.okAt != webhook.Never && e.At-h.okAt < p.t.TipAfter {
 			p.heard[k] = pause{e.At, e.Attempt, h, h.row}
 		}
 	case seen.Sent:
@@ -184,9 +184,9 @@
 		}
 	case seen.Heard:
 		switch e.Outcome {
-		case gateway.Delivered:
+		case webhook.Delivered:
 			delete(o.fails, k)
-		case gateway.NotSent:
+		case webhook.NotSent:
 		default:
 			o.fails[k]++
 		}
--- a/emulator/observe/order.go
+++ b/emulator/observe/order.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // order: webhooks of ordered event types that share a key go one at a time, in the order taken, with a rest
@@ -18,16 +18,16 @@
 
 type line struct {
 	d   int32
-	key gateway.Key
+	key webhook.Key
 }
 
 type queue struct {
 	in     []*ordered
-	restTo gateway.Micros
+	restTo webhook.Micros
 }
 
 type ordered struct {
-	id          gateway.WebhookID
+	id          webhook.WebhookID
 	out, over   bool
 	sentAlready bool
 }
@@ -56,7 +56,7 @@
 	at := line{e.Dispatcher, e.Key}
 	q := o.lines[at]
 	if q == nil {
-		q = &queue{restTo: gateway.Never}
+		q = &queue{restTo: webhook.Never}
 		o.lines[at] = q
 	}
 	w := o.of[stayOf(e)]
@@ -90,4 +90,4 @@
 	}
 }
 
-func (o *order) close(gateway.Micros) {}
+func (o *order) close(webhook.Micros) {}
--- a/emulator/observers_test.go
+++ b/emulator/observers_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/emulator"
-	"rowanlink/gateway"
 	"rowanlink/lab/baseline"
+	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
@@ -24,9 +24,9 @@
 		"lost":  {busy, tampered(nil, func(m *mutant) { m.mute = true })},
 		"twice": {busy, tampered(nil, func(m *mutant) { m.outcome = neverRan })},
 		"drain": {replace, tampered(nil, func(m *mutant) { m.endpoints = allListed })},
-		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(gateway.Key) gateway.Key { return 0 } })},
+		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(webhook.Key) webhook.Key { return 0 } })},
 		"wait":  {full, tampered(nil, func(m *mutant) { m.outcome = noWait })},
-		"failback": {hang, func(f gateway.Facts, h gateway.Host) gateway.Module {
+		"failback": {hang, func(f webhook.Facts, h webhook.Host) webhook.Module {
 			return baseline.New(f, h, f.MaxAttempts, baseline.None)
 		}},
 	} {
@@ -53,18 +53,18 @@
 	}
 }
 
-func neverRan(what gateway.Outcome, wait gateway.Micros) (gateway.Outcome, gateway.Micros) {
-	if what == gateway.TimedOut {
-		what = gateway.ConnectFailed
+func neverRan(what webhook.Outcome, wait webhook.Micros) (webhook.Outcome, webhook.Micros) {
+	if what == webhook.TimedOut {
+		what = webhook.ConnectFailed
 	}
 	return what, wait
 }
 
-func noWait(what gateway.Outcome, _ gateway.Micros) (gateway.Outcome, gateway.Micros) { return what, 0 }
+func noWait(what webhook.Outcome, _ webhook.Micros) (webhook.Outcome, webhook.Micros) { return what, 0 }
 
-func allListed(list []gateway.Entry) (all []gateway.Entry) {
+func allListed(list []webhook.Entry) (all []webhook.Entry) {
 	for _, e := range list {
-		e.Standing = gateway.Listed
+		e.Standing = webhook.Listed
 		all = append(all, e)
 	}
 	return all
@@ -88,7 +88,7 @@
 			s := plain(c.troubles...)
 			s.Events = s.Events[:1]
 			s.Kinds[0].Headroom = 8
-			without := func(f gateway.Facts, h gateway.Host) gateway.Module {
+			without := func(f webhook.Facts, h webhook.Host) webhook.Module {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
 			for _, start := range []emulator.Starter{without, module} {
@@ -105,7 +105,7 @@
 }
 
 func isModule(start emulator.Starter) bool {
-	f := gateway.Facts{EventTypes: []gateway.EventType{{TTL: 1, Target: 1}}}
+	f := webhook.Facts{EventTypes: []webhook.EventType{{TTL: 1, Target: 1}}}
 	_, ok := start(f, idle{}).(*policy.Control)
 	return ok
 }
--- a/emulator/seen/seen.go
+++ b/emulator/seen/seen.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // What happened.
@@ -75,25 +75,25 @@
 
 // Event is one thing that happened. Fields that say nothing of it are zero.
 type Event struct {
-	At          gateway.Micros
+	At          webhook.Micros
 	What        What
 	Dispatcher  int32
 	Other       int32 // Passed: who has it
-	Webhook     gateway.WebhookID
+	Webhook     webhook.WebhookID
 	Origin      Origin
-	Type        gateway.EventTypeID
-	Destination gateway.DestinationID
-	Endpoint    gateway.EndpointID
+	Type        webhook.EventTypeID
+	Destination webhook.DestinationID
+	Endpoint    webhook.EndpointID
 	Route       Route
-	Zone        gateway.ZoneID
-	Key         gateway.Key
-	TTL         gateway.Micros // the last moment at which it may be delivered
+	Zone        webhook.ZoneID
+	Key         webhook.Key
+	TTL         webhook.Micros // the last moment at which it may be delivered
 	Attempt     int
-	Outcome     gateway.Outcome
+	Outcome     webhook.Outcome
 	End         End
-	Standing    gateway.Standing
-	Wait        gateway.Micros
-	Span        gateway.Micros
+	Standing    webhook.Standing
+	Wait        webhook.Micros
+	Span        webhook.Micros
 	Weight      float64
 }
 
--- a/emulator/trouble.go
+++ b/emulator/trouble.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // trouble begins a trouble or ends it. What holds at an endpoint is counted by sort, so that troubles overlap
@@ -49,7 +49,7 @@
 	case "hot":
 		m.hot = slices.DeleteFunc(m.hot, func(h hot) bool { return h.trouble == n })
 		if begins {
-			var to []gateway.DestinationID
+			var to []webhook.DestinationID
 			for _, e := range m.struck(t) {
 				to = append(to, m.endpoints[e].dest)
 			}
@@ -160,11 +160,11 @@
 		return
 	}
 	old.drains = true
-	m.list(e, gateway.Draining)
+	m.list(e, webhook.Draining)
 	if t.Address == "new" {
 		m.servers = append(m.servers, server{zone: old.zone, atOnce: m.servers[old.server].atOnce,
 			depth: m.servers[old.server].depth})
-		m.list(m.addEndpoint(old.dest, old.route, old.zone, int32(len(m.servers)-1)), gateway.Listed)
+		m.list(m.addEndpoint(old.dest, old.route, old.zone, int32(len(m.servers)-1)), webhook.Listed)
 	}
 	m.after(t.Drain.us(), event{kind: evGone, a: e, b: trouble})
 }
@@ -173,11 +173,11 @@
 func (m *Model) leave(e, trouble int32) {
 	t, old := &m.plan.Troubles[trouble], &m.endpoints[e]
 	old.gone = true
-	m.list(e, gateway.Gone)
+	m.list(e, webhook.Gone)
 	m.strike(e, func(s *server) { s.down++ })
 	if t.Address == "same" {
 		next := m.addEndpoint(old.dest, old.route, old.zone, old.server)
-		m.list(next, gateway.Listed)
+		m.list(next, webhook.Listed)
 		m.strike(next, func(s *server) { s.down-- })
 	}
 }
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -8,76 +8,76 @@
 	"math/rand/v2"
 	"slices"
 
-	"rowanlink/gateway"
 	"rowanlink/internal/due"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Policy sends each webhook as soon as a slot is free, in the order taken, to the endpoints in turn.
 type Policy struct {
-	f      gateway.Facts
-	host   gateway.Host
+	f      webhookpkg.Facts
+	host   webhookpkg.Host
 	tries  int
 	waits  Waits
 	chance *rand.Rand
 
-	held  map[gateway.WebhookID]*webhook
+	held  map[webhookpkg.WebhookID]*webhook
 	queue []*webhook
 	dues  due.Times[*webhook]
-	armed gateway.Micros
-	dests map[gateway.DestinationID]*destination
-	eps   map[gateway.EndpointID]*endpoint
-	lines map[gateway.Key]*line
+	armed webhookpkg.Micros
+	dests map[webhookpkg.DestinationID]*destination
+	eps   map[webhookpkg.EndpointID]*endpoint
+	lines map[webhookpkg.Key]*line
 	out   int
 }
 
 type destination struct {
 	endpoints []*endpoint
 	next      int
-	wait      gateway.Micros
+	wait      webhookpkg.Micros
 }
 
 type endpoint struct {
-	id     gateway.EndpointID
-	zone   gateway.ZoneID
+	id     webhookpkg.EndpointID
+	zone   webhookpkg.ZoneID
 	listed bool
 	dest   *destination
 }
 
 type webhook struct {
-	id       gateway.WebhookID
-	evt      gateway.EventType
-	key      gateway.Key
-	ttl      gateway.Micros
+	id       webhookpkg.WebhookID
+	evt      webhookpkg.EventType
+	key      webhookpkg.Key
+	ttl      webhookpkg.Micros
 	dest     *destination
 	attempts int
-	mayRun   gateway.Micros
-	zone     gateway.ZoneID
-	readyAt  gateway.Micros
-	sentAt   gateway.Micros
+	mayRun   webhookpkg.Micros
+	zone     webhookpkg.ZoneID
+	readyAt  webhookpkg.Micros
+	sentAt   webhookpkg.Micros
 	out      bool
 }
 
 type line struct {
 	in   []*webhook
-	rest gateway.Micros
+	rest webhookpkg.Micros
 }
 
 // New makes a policy of so many tries for each webhook, as far as the facts allow them.
-func New(f gateway.Facts, host gateway.Host, tries int, waits Waits) *Policy {
+func New(f webhookpkg.Facts, host webhookpkg.Host, tries int, waits Waits) *Policy {
 	return &Policy{f: f, host: host, tries: min(tries, f.MaxAttempts), waits: waits,
-		chance: rand.New(rand.NewPCG(f.Seed, 0)), held: map[gateway.WebhookID]*webhook{}, armed: math.MaxInt64,
-		dests: map[gateway.DestinationID]*destination{}, eps: map[gateway.EndpointID]*endpoint{},
-		lines: map[gateway.Key]*line{}}
+		chance: rand.New(rand.NewPCG(f.Seed, 0)), held: map[webhookpkg.WebhookID]*webhook{}, armed: math.MaxInt64,
+		dests: map[webhookpkg.DestinationID]*destination{}, eps: map[webhookpkg.EndpointID]*endpoint{},
+		lines: map[webhookpkg.Key]*line{}}
 }
 
-func (p *Policy) destination(id gateway.DestinationID) *destination {
+func (p *Policy) destination(id webhookpkg.DestinationID) *destination {
 	if p.dests[id] == nil {
 		p.dests[id] = &destination{}
 	}
 	return p.dests[id]
 }
 
-func (p *Policy) Endpoints(list []gateway.Entry, _ bool) {
+func (p *Policy) Endpoints(list []webhookpkg.Entry, _ bool) {
 	for _, l := range list {
 		e := p.eps[l.Endpoint]
 		if e == nil {
@@ -85,20 +85,20 @@
 			p.eps[l.Endpoint] = e
 			e.dest.endpoints = append(e.dest.endpoints, e)
 		}
-		if e.listed = l.Standing == gateway.Listed; !e.listed {
+		if e.listed = l.Standing == webhookpkg.Listed; !e.listed {
 			e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 			delete(p.eps, l.Endpoint)
 		}
 	}
 }
 
-func (p *Policy) Take(id gateway.WebhookID, evt gateway.EventTypeID, tenant gateway.TenantID,
-	key gateway.Key, ttl gateway.Micros, dest gateway.DestinationID) {
-	p.Resume(id, evt, tenant, key, ttl, dest, 0, gateway.Never, 0)
+func (p *Policy) Take(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, tenant webhookpkg.TenantID,
+	key webhookpkg.Key, ttl webhookpkg.Micros, dest webhookpkg.DestinationID) {
+	p.Resume(id, evt, tenant, key, ttl, dest, 0, webhookpkg.Never, 0)
 }
 
-func (p *Policy) Resume(id gateway.WebhookID, evt gateway.EventTypeID, _ gateway.TenantID, key gateway.Key,
-	ttl gateway.Micros, dest gateway.DestinationID, attempts int, mayRun gateway.Micros, zone gateway.ZoneID) {
+func (p *Policy) Resume(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, _ webhookpkg.TenantID, key webhookpkg.Key,
+	ttl webhookpkg.Micros, dest webhookpkg.DestinationID, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
 	w := &webhook{id: id, evt: p.f.EventTypes[min(int(evt), len(p.f.EventTypes)-1)], key: key, ttl: ttl,
 		dest: p.destination(dest), attempts: attempts, mayRun: mayRun, zone: zone}
 	if !w.evt.Ordered {
@@ -110,7 +110,7 @@
 			p.lines[w.key] = &line{}
 		}
 		l := p.lines[w.key]
-		if l.in = append(l.in, w); mayRun != gateway.Never {
+		if l.in = append(l.in, w); mayRun != webhookpkg.Never {
 			l.rest = p.host.Now() + p.f.TurnGap
 			p.dues.Add(int64(l.rest), nil)
 		}
@@ -123,8 +123,8 @@
 	p.queue = append(p.queue, w)
 }
 
-func (p *Policy) Outcome(id gateway.WebhookID, ep gateway.EndpointID, what gateway.Outcome,
-	_ gateway.Micros, ended bool, wait gateway.Micros) {
+func (p *Policy) Outcome(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
+	_ webhookpkg.Micros, ended bool, wait webhookpkg.Micros) {
 	w := p.held[id]
 	if w == nil || !w.out {
 		return
@@ -135,7 +135,7 @@
 		w.dest.wait = max(w.dest.wait, p.host.Now()+wait)
 		p.dues.Add(int64(w.dest.wait), nil)
 	}
-	if !what.NeverRan() && w.mayRun == gateway.Never {
+	if !what.NeverRan() && w.mayRun == webhookpkg.Never {
 		w.mayRun = w.sentAt
 	}
 	if l := p.lines[w.key]; w.key != 0 && what.MayStillRun() {
@@ -150,14 +150,14 @@
 }
 
 // Renew is not heeded: no baseline outlives its facts.
-func (p *Policy) Renew(gateway.Facts) {}
+func (p *Policy) Renew(webhookpkg.Facts) {}
 
 // Reported is not heeded.
-func (p *Policy) Reported(gateway.EndpointID, float64, float64) {}
+func (p *Policy) Reported(webhookpkg.EndpointID, float64, float64) {}
 
 func (p *Policy) again(w *webhook) {
 	w.readyAt = p.host.Now() + p.waits(max(w.attempts-1, 0), p.chance)
-	if w.attempts >= p.tries || w.evt.Repeat == gateway.AtMostOnce && w.mayRun != gateway.Never ||
+	if w.attempts >= p.tries || w.evt.Repeat == webhookpkg.AtMostOnce && w.mayRun != webhookpkg.Never ||
 		w.readyAt >= p.last(w) {
 		p.end(w)
 		return
@@ -168,16 +168,16 @@
 }
 
 // last is the last moment for an attempt.
-func (p *Policy) last(w *webhook) gateway.Micros {
+func (p *Policy) last(w *webhook) webhookpkg.Micros {
 	last := w.ttl - 2*p.f.Tick
-	if w.evt.Repeat == gateway.Tokened && w.mayRun != gateway.Never {
+	if w.evt.Repeat == webhookpkg.Tokened && w.mayRun != webhookpkg.Never {
 		last = min(last, w.mayRun+w.evt.TokenWindow-2*p.f.Tick)
 	}
 	return last
 }
 
 func (p *Policy) end(w *webhook) {
-	if w.mayRun != gateway.Never {
+	if w.mayRun != webhookpkg.Never {
 		p.host.DeadLetter(w.id)
 	} else {
 		p.host.Reject(w.id, min(max(w.dest.wait-p.host.Now(), 0), p.f.MaxAdvice))
@@ -192,13 +192,13 @@
 	}
 }
 
-func (p *Policy) Withdrawn(id gateway.WebhookID) {
+func (p *Policy) Withdrawn(id webhookpkg.WebhookID) {
 	if w := p.held[id]; w != nil && !w.out {
 		p.forget(w)
 	}
 }
 
-func (p *Policy) Wake(gateway.TimerID) { p.armed = math.MaxInt64 }
+func (p *Policy) Wake(webhookpkg.TimerID) { p.armed = math.MaxInt64 }
 
 func (p *Policy) TurnOver() {
 	now := p.host.Now()
@@ -210,13 +210,13 @@
 	p.queue = slices.DeleteFunc(p.queue, func(w *webhook) bool {
 		return p.held[w.id] != w || w.out || p.send(w, now)
 	})
-	if at, ok := p.dues.Next(); ok && gateway.Micros(at) < p.armed {
-		p.armed = gateway.Micros(at)
+	if at, ok := p.dues.Next(); ok && webhookpkg.Micros(at) < p.armed {
+		p.armed = webhookpkg.Micros(at)
 		p.host.Wake(max(p.armed-now, 1), 0)
 	}
 }
 
-func (p *Policy) send(w *webhook, now gateway.Micros) bool {
+func (p *Policy) send(w *webhook, now webhookpkg.Micros) bool {
 	if p.out >= p.f.Slots || now < max(w.readyAt, w.dest.wait) || len(w.dest.endpoints) == 0 {
 		return false
 	}
@@ -226,11 +226,11 @@
 	n := len(w.dest.endpoints)
 	for i := range n {
 		e := w.dest.endpoints[(w.dest.next+i)%n]
-		if w.evt.TokenByZone && w.evt.Repeat == gateway.Tokened && w.mayRun != gateway.Never && e.zone != w.zone {
+		if w.evt.TokenByZone && w.evt.Repeat == webhookpkg.Tokened && w.mayRun != webhookpkg.Never && e.zone != w.zone {
 			continue
 		}
 		w.dest.next = (w.dest.next + i + 1) % n
-		if w.out, w.sentAt, w.attempts = true, now, w.attempts+1; w.mayRun == gateway.Never {
+		if w.out, w.sentAt, w.attempts = true, now, w.attempts+1; w.mayRun == webhookpkg.Never {
 			w.zone = e.zone
 		}
 		p.out++
--- a/node/clients/clients.go
+++ b/node/clients/clients.go
@@ -13,11 +13,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/gateway"
 	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
 	"rowanlink/node/exchange"
 	"rowanlink/node/lifecycle"
+	"rowanlink/webhook"
 )
 
 // The protocol's sizes, and how long a client may be silent: it waits for its answer so long itself, and an
@@ -42,16 +42,16 @@
 // terms are what webhooks are read by.
 type terms struct {
 	facts.Names
-	types []gateway.EventType
+	types []webhook.EventType
 }
 
 // Renew has webhooks that come from now on read by other settings.
-func (s *Clients) Renew(f gateway.Facts, names facts.Names) {
+func (s *Clients) Renew(f webhook.Facts, names facts.Names) {
 	s.terms.Store(&terms{names, f.EventTypes})
 }
 
 // New makes a server that holds at most mostOpen connections, mostIdle of them idle.
-func New(x *exchange.Exchange, life *lifecycle.Life, f gateway.Facts, names facts.Names,
+func New(x *exchange.Exchange, life *lifecycle.Life, f webhook.Facts, names facts.Names,
 	mostOpen, mostIdle int) *Clients {
 	s := &Clients{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
 	s.Renew(f, names)
--- a/node/clients/clients_test.go
+++ b/node/clients/clients_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/gateway"
 	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
 	"rowanlink/node/exchange"
 	"rowanlink/node/lifecycle"
+	"rowanlink/webhook"
 )
 
 // Guards against a request that has come and is lost because others need its connection's place.
@@ -62,7 +62,7 @@
 	life, x := &lifecycle.Life{}, exchange.New()
 	life.Enter(lifecycle.Ended)
 	x.Name(3)
-	s := New(x, life, gateway.Facts{EventTypes: []gateway.EventType{{TTL: 9 * gateway.Second}}},
+	s := New(x, life, webhook.Facts{EventTypes: []webhook.EventType{{TTL: 9 * webhook.Second}}},
 		facts.Names{EventTypes: []string{"status"}}, 2, 1)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/node/clients/door.go
+++ b/node/clients/door.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"rowanlink/gateway"
 	"rowanlink/internal/socket"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // door lets connections in, so many at once at most. When all places are taken, a guest that has nothing to
@@ -22,7 +22,7 @@
 	mu    sync.Mutex
 	freed *sync.Cond
 	in    int
-	left  gateway.Micros // when a guest was last closed
+	left  webhook.Micros // when a guest was last closed
 	mute  list.List      // guests whose first or begun request has not come as a whole, longest in wait first
 	idle  [3]list.List   // those that were answered, by how many webhooks they have handed in, longest ago first
 }
@@ -32,7 +32,7 @@
 type guest struct {
 	*net.TCPConn
 	door  *door
-	since gateway.Micros
+	since webhook.Micros
 	at    *list.List // mute or idle; nil while the webhook that it handed in is decided on
 	place *list.Element
 	gone  bool
--- a/node/clients/webhook.go
+++ b/node/clients/webhook.go
@@ -10,8 +10,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // webhook takes the few fields out that are decided on; body, id and token stay as they came.
@@ -37,15 +37,15 @@
 	if class == "" || evt < 0 || evt >= math.MaxUint8 {
 		return nil, "Request-Class names no event type"
 	}
-	if token != "" && !plain(token) || token == "" && by.types[evt].Repeat == gateway.Tokened {
+	if token != "" && !plain(token) || token == "" && by.types[evt].Repeat == webhook.Tokened {
 		return nil, "Idempotency-Key is missing or not plain text"
 	}
 	ms, err := strconv.ParseInt(string(h.Peek("Request-Timeout-Ms")), 10, 32)
-	ttl, longest := gateway.Micros(ms)*1000, by.types[evt].TTL
+	ttl, longest := webhook.Micros(ms)*1000, by.types[evt].TTL
 	if err != nil || ms <= 0 || ttl > 2*longest {
 		return nil, "Request-Timeout-Ms is no usable number of milliseconds"
 	}
-	list, dest, ok := "", gateway.DestinationID(0), false
+	list, dest, ok := "", webhook.DestinationID(0), false
 	if dest, ok = destination(string(h.Peek("X-Route-To"))); !ok {
 		list, ok = s.x.ListIn(string(h.Peek("X-Route-To")))
 	}
@@ -54,15 +54,15 @@
 	}
 	w = &exchange.Webhook{RequestID: exchange.RequestID(id), Token: exchange.Token(token),
 		Body: bytes.Clone(ctx.PostBody()), Destination: dest,
-		Event: gateway.EventTypeID(evt), Tenant: math.MaxUint32, TTL: now + min(ttl, longest), CameAt: now}
+		Event: webhook.EventTypeID(evt), Tenant: math.MaxUint32, TTL: now + min(ttl, longest), CameAt: now}
 	w.List = list
 	if i := slices.Index(by.Tenants, string(h.Peek("Tenant"))); i >= 0 {
-		w.Tenant = gateway.TenantID(i)
+		w.Tenant = webhook.TenantID(i)
 	}
 	if key := h.Peek("Affinity-Key"); len(key) > 0 {
 		sum := fnv.New64a()
 		sum.Write(key)
-		w.Key = gateway.Key(max(sum.Sum64(), 1))
+		w.Key = webhook.Key(max(sum.Sum64(), 1))
 	}
 	return w, ""
 }
@@ -85,11 +85,11 @@
 }
 
 // destination reads `dest=7` among whatever else is said of the route.
-func destination(text string) (gateway.DestinationID, bool) {
+func destination(text string) (webhook.DestinationID, bool) {
 	for _, part := range strings.FieldsFunc(text, func(r rune) bool { return strings.ContainsRune(";,& ", r) }) {
 		if number, ok := strings.CutPrefix(part, "dest="); ok {
 			n, err := strconv.ParseUint(number, 10, 32)
-			return gateway.DestinationID(n), err == nil
+			return webhook.DestinationID(n), err == nil
 		}
 	}
 	return 0, false
--- a/node/decider/announced.go
+++ b/node/decider/announced.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // inTurn has something done in the next turn and waits for it.
@@ -55,17 +55,17 @@
 		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
 	}
 	for _, w := range all {
-		d.begins(w, 0, gateway.Never, 0)
+		d.begins(w, 0, webhookpkg.Never, 0)
 	}
 	return exchange.Taken
 }
 
 // Relays has somebody told of the ends of webhooks of an earlier life, in place of the platform. It tells
 // what those have ended with by now, and of the others which are held.
-func (d *Decider) Relays(ids []exchange.RequestID, ends func(gateway.WebhookID,
-	exchange.End)) (over map[gateway.WebhookID]exchange.End, held map[exchange.RequestID]bool) {
+func (d *Decider) Relays(ids []exchange.RequestID, ends func(webhookpkg.WebhookID,
+	exchange.End)) (over map[webhookpkg.WebhookID]exchange.End, held map[exchange.RequestID]bool) {
 	want := setOf(ids)
-	over, held = map[gateway.WebhookID]exchange.End{}, map[exchange.RequestID]bool{}
+	over, held = map[webhookpkg.WebhookID]exchange.End{}, map[exchange.RequestID]bool{}
 	d.inTurn(func() {
 		for id, w := range byID(d, want) {
 			w.Ends, held[id] = ends, true
--- a/node/decider/announced_test.go
+++ b/node/decider/announced_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // whole does something that waits for turns while turns go on.
@@ -27,15 +27,15 @@
 
 // announcement is one for so many subscribers.
 func announcement(n int) (all []*exchange.Webhook) {
-	for to := range gateway.DestinationID(n) {
+	for to := range webhookpkg.DestinationID(n) {
 		all = append(all, &exchange.Webhook{RequestID: exchange.ForSubscriber("a", to), Destination: to,
-			Body: make([]byte, 1000), TTL: exchange.Now() + 9*gateway.Second, CameAt: exchange.Now()})
+			Body: make([]byte, 1000), TTL: exchange.Now() + 9*webhookpkg.Second, CameAt: exchange.Now()})
 	}
 	return all
 }
 
 func TestAnAnnouncementIsTakenOnAsAWholeOrNotAtAll(t *testing.T) {
-	s := stands(t, t.TempDir(), gateway.Second)
+	s := stands(t, t.TempDir(), webhookpkg.Second)
 	var what exchange.Answer
 	s.whole(func() { what = s.Announce(announcement(10)) })
 	assert.Equal(t, exchange.Rejected, what, "ten where nine are held")
@@ -49,9 +49,9 @@
 
 func TestWhatIsGivenAwayIsCalledByNobodyHereUntilItIsBack(t *testing.T) {
 	dir := t.TempDir()
-	s := stands(t, dir, 9*gateway.Second)
+	s := stands(t, dir, 9*webhookpkg.Second)
 	require.Equal(t, exchange.Taken, s.hand(exchange.Webhook{RequestID: "w", Destination: 3,
-		TTL: exchange.Now() + 9*gateway.Second, CameAt: exchange.Now()}))
+		TTL: exchange.Now() + 9*webhookpkg.Second, CameAt: exchange.Now()}))
 	ok := false
 	s.whole(func() { ok = s.Sends(map[exchange.RequestID]int{"w": 1}, 7) })
 	assert.False(t, ok, "it was called for here meanwhile, as far as the one who sends knows")
@@ -65,7 +65,7 @@
 		t.Run("comes back", func(t *testing.T) { comesBack(t, never) })
 	}
 
-	s = stands(t, dir, 9*gateway.Second)
+	s = stands(t, dir, 9*webhookpkg.Second)
 	s.whole(func() { s.GivenAway([]exchange.RequestID{"w"}) })
 	s.all.home = true
 	s.whole(s.Decider.regateNow)
@@ -73,11 +73,11 @@
 	s.whole(func() { ok = s.Over([]exchange.End{{RequestID: "w", How: exchange.EndDelivered}}) })
 	assert.True(t, ok)
 	assert.Empty(t, s.owes())
-	assert.Empty(t, stands(t, dir, 9*gateway.Second).owes())
+	assert.Empty(t, stands(t, dir, 9*webhookpkg.Second).owes())
 }
 
 func TestNoticesOfAnAnnouncementNameTheSubscriber(t *testing.T) {
-	s := stands(t, t.TempDir(), gateway.Second)
+	s := stands(t, t.TempDir(), webhookpkg.Second)
 	w := announcement(8)[7]
 	assert.Equal(t, `{"message":"a","dest":7,"outcome":"given_up"}`,
 		string(s.named(w, []byte(`{"message":"a.dest=7","outcome":"given_up"}`))))
@@ -96,8 +96,8 @@
 
 // comesBack guards against a second effect: what may have run elsewhere may run once only, and is over here.
 func comesBack(t *testing.T, never bool) {
-	s := stands(t, t.TempDir(), 9*gateway.Second)
-	require.Equal(t, exchange.Taken, s.hand(webhook("w", 9*gateway.Second)))
+	s := stands(t, t.TempDir(), 9*webhookpkg.Second)
+	require.Equal(t, exchange.Taken, s.hand(webhook("w", 9*webhookpkg.Second)))
 	s.whole(func() { s.Sends(map[exchange.RequestID]int{"w": 0}, exchange.Now()) })
 	s.whole(func() { s.Frees(map[exchange.RequestID]Back{"w": {Never: never}}) })
 	s.all.home = true
@@ -106,10 +106,10 @@
 }
 
 func TestWhatIsGivenAwayHasAWhileForItsEndToBeHeard(t *testing.T) {
-	s := stands(t, t.TempDir(), gateway.Second/5)
-	require.Equal(t, exchange.Taken, s.hand(webhook("w", gateway.Second/5)))
+	s := stands(t, t.TempDir(), webhookpkg.Second/5)
+	require.Equal(t, exchange.Taken, s.hand(webhook("w", webhookpkg.Second/5)))
 	s.whole(func() { s.Sends(map[exchange.RequestID]int{"w": 0}, exchange.Now()) })
-	for until := exchange.Now() + gateway.Second/4; exchange.Now() < until; {
+	for until := exchange.Now() + webhookpkg.Second/4; exchange.Now() < until; {
 		s.turn()
 	}
 	require.Len(t, s.owes(), 1, "its time is over, and whoever has it may have delivered it just before")
@@ -117,7 +117,7 @@
 	assert.Zero(t, s.x.GivenUp.Load())
 	assert.Empty(t, s.owes())
 
-	require.Equal(t, exchange.Taken, s.hand(webhook("v", gateway.Second/5)))
+	require.Equal(t, exchange.Taken, s.hand(webhook("v", webhookpkg.Second/5)))
 	s.whole(func() { s.Sends(map[exchange.RequestID]int{"v": 0}, exchange.Now()) })
 	over := func() bool { s.turn(); return s.x.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
--- a/node/decider/custody.go
+++ b/node/decider/custody.go
@@ -1,9 +1,9 @@
 package decider
 
 import (
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Earlier lists the request ids of what an earlier life still owes; before Begin only.
@@ -31,8 +31,8 @@
 
 // Doubt marks what is still parked here, before it is offered to another member, and lists that: from then on
 // nobody here calls for it before that is settled. true: it was in no doubt before. It waits for the turn.
-func (d *Decider) Doubt(ids []gateway.WebhookID) map[gateway.WebhookID]bool {
-	fresh, done := map[gateway.WebhookID]bool{}, make(chan struct{})
+func (d *Decider) Doubt(ids []webhookpkg.WebhookID) map[webhookpkg.WebhookID]bool {
+	fresh, done := map[webhookpkg.WebhookID]bool{}, make(chan struct{})
 	d.x.Tell(func() {
 		defer close(done)
 		for _, id := range ids {
@@ -47,7 +47,7 @@
 
 // Passed ends webhooks that another member has in its journal, and waits until that is written: nothing is
 // owed for them here any more.
-func (d *Decider) Passed(ids []gateway.WebhookID) {
+func (d *Decider) Passed(ids []webhookpkg.WebhookID) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		for _, id := range ids {
@@ -79,7 +79,7 @@
 }
 
 // GiveUp ends what is in doubt and will not be settled: it may have run.
-func (d *Decider) GiveUp(id gateway.WebhookID) {
+func (d *Decider) GiveUp(id webhookpkg.WebhookID) {
 	d.x.Tell(func() {
 		if w := d.parked[id]; w != nil && w.InDoubt {
 			d.unpark(id)
@@ -98,7 +98,7 @@
 			id := d.ids[of]
 			if e := d.journal.Entry(id); e != nil && d.parked[id] != nil {
 				ran, zone := p.MayRun, p.Zone
-				if ran == gateway.Never || e.MayRun != gateway.Never && e.MayRun < ran {
+				if ran == webhookpkg.Never || e.MayRun != webhookpkg.Never && e.MayRun < ran {
 					ran, zone = e.MayRun, e.Zone
 				}
 				d.journal.Past(id, max(p.Attempts, e.Attempts), ran, zone)
@@ -114,8 +114,8 @@
 }
 
 // past journals what a webhook brings along from another member, beside what was taken.
-func past(j *journal.Journal, w *exchange.Webhook) (attempts int, mayRun gateway.Micros,
-	zone gateway.ZoneID) {
+func past(j *journal.Journal, w *exchange.Webhook) (attempts int, mayRun webhookpkg.Micros,
+	zone webhookpkg.ZoneID) {
 	if p := w.Past; p != nil {
 		j.Past(w.ID, p.Attempts, p.MayRun, p.Zone)
 	}
--- a/node/decider/decider.go
+++ b/node/decider/decider.go
@@ -5,13 +5,13 @@
 import (
 	"log/slog"
 
-	"rowanlink/gateway"
 	"rowanlink/internal/due"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	webhookpkg "rowanlink/webhook"
 )
 
 // sweepTicks is how many ticks lie between two looks at idle connections.
@@ -24,49 +24,49 @@
 	journal *journal.Journal
 	calls   *endpoints.Endpoints
 	finals  *notices.Notices
-	facts   gateway.Facts
+	facts   webhookpkg.Facts
 	types   []string // the names of event types
-	module  gateway.Module
+	module  webhookpkg.Module
 
-	now    gateway.Micros
-	turned gateway.Micros // when the last turn was
-	nextID gateway.WebhookID
-	held   map[gateway.WebhookID]*exchange.Webhook
-	ids    map[exchange.RequestID]gateway.WebhookID // of those held
+	now    webhookpkg.Micros
+	turned webhookpkg.Micros // when the last turn was
+	nextID webhookpkg.WebhookID
+	held   map[webhookpkg.WebhookID]*exchange.Webhook
+	ids    map[exchange.RequestID]webhookpkg.WebhookID // of those held
 	dues   due.Times[func()]
 	stages []func(*exchange.Webhook) bool
-	out    map[gateway.WebhookID]bool // in a call
-	over   chan struct{}              // closed after the last turn
+	out    map[webhookpkg.WebhookID]bool // in a call
+	over   chan struct{}                 // closed after the last turn
 
 	// Where a fleet acts as one; else nil.
 	fleet  Fleet
-	parked map[gateway.WebhookID]*exchange.Webhook
-	turns  map[turnOf][]gateway.WebhookID       // what of each key is parked, in the order taken
-	listed map[gateway.EndpointID]gateway.Entry // as discovery has it
-	rated  map[gateway.EndpointID]float64       // as the module was told
-	told   map[exchange.RequestID]ended         // of an earlier life, for others than the platform
+	parked map[webhookpkg.WebhookID]*exchange.Webhook
+	turns  map[turnOf][]webhookpkg.WebhookID          // what of each key is parked, in the order taken
+	listed map[webhookpkg.EndpointID]webhookpkg.Entry // as discovery has it
+	rated  map[webhookpkg.EndpointID]float64          // as the module was told
+	told   map[exchange.RequestID]ended               // of an earlier life, for others than the platform
 
 	// Of this turn.
-	fresh    map[gateway.WebhookID]*exchange.Webhook // not answered yet
-	order    []gateway.WebhookID
+	fresh    map[webhookpkg.WebhookID]*exchange.Webhook // not answered yet
+	order    []webhookpkg.WebhookID
 	attempts []attempt
 	ends     []func()
-	cancels  []gateway.WebhookID
-	hangUps  []gateway.EndpointID
+	cancels  []webhookpkg.WebhookID
+	hangUps  []webhookpkg.EndpointID
 	lost     bool // nothing of it could be written
 }
 
 type attempt struct {
-	ep gateway.EndpointID
+	ep webhookpkg.EndpointID
 	endpoints.Try
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *exchange.Exchange, life *lifecycle.Life, j *journal.Journal, f gateway.Facts) *Decider {
+func New(x *exchange.Exchange, life *lifecycle.Life, j *journal.Journal, f webhookpkg.Facts) *Decider {
 	f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
 	d := &Decider{x: x, life: life, journal: j, facts: f, now: exchange.Now(), nextID: 1,
-		held: map[gateway.WebhookID]*exchange.Webhook{}, ids: map[exchange.RequestID]gateway.WebhookID{},
-		fresh: map[gateway.WebhookID]*exchange.Webhook{}, out: map[gateway.WebhookID]bool{},
+		held: map[webhookpkg.WebhookID]*exchange.Webhook{}, ids: map[exchange.RequestID]webhookpkg.WebhookID{},
+		fresh: map[webhookpkg.WebhookID]*exchange.Webhook{}, out: map[webhookpkg.WebhookID]bool{},
 		over: make(chan struct{})}
 	d.stages = []func(*exchange.Webhook) bool{d.inTime, d.room, d.once, d.take}
 	return d
@@ -74,7 +74,7 @@
 
 // Begin starts the module and hands it the webhooks of an earlier life.
 func (d *Decider) Begin(calls *endpoints.Endpoints, finals *notices.Notices,
-	start func(gateway.Facts, gateway.Host) gateway.Module) {
+	start func(webhookpkg.Facts, webhookpkg.Host) webhookpkg.Module) {
 	d.calls, d.finals = calls, finals
 	d.module = start(d.facts, d)
 	d.sweep()
@@ -98,7 +98,7 @@
 		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
 		w.InDoubt = d.fleet != nil && d.fleet.Doubts(w.RequestID)
 		d.x.Resumed.Add(1)
-		w.Step("resumed", 0, gateway.Micros(e.Attempts))
+		w.Step("resumed", 0, webhookpkg.Micros(e.Attempts))
 		d.x.Tell(func() { d.begins(w, e.Attempts, e.MayRun, e.Zone) })
 	}
 }
@@ -111,7 +111,7 @@
 }
 
 // Renew has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
-func (d *Decider) Renew(f gateway.Facts, types []string, idleLimit gateway.Micros) {
+func (d *Decider) Renew(f webhookpkg.Facts, types []string, idleLimit webhookpkg.Micros) {
 	d.x.Tell(func() {
 		f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
 		d.facts = f
@@ -122,15 +122,15 @@
 }
 
 // Listed takes a list; addrs are its entries' addresses.
-func (d *Decider) Listed(entries []gateway.Entry, addrs []string, whole bool) {
+func (d *Decider) Listed(entries []webhookpkg.Entry, addrs []string, whole bool) {
 	d.x.Lists.Add(1)
 	for _, l := range entries {
 		d.x.Name(l.Destination)
 	}
 	d.x.Tell(func() {
-		named := map[gateway.EndpointID]bool{}
+		named := map[webhookpkg.EndpointID]bool{}
 		for i, l := range entries {
-			kind := gateway.Kind{}
+			kind := webhookpkg.Kind{}
 			if int(l.Kind) < len(d.facts.Kinds) {
 				kind = d.facts.Kinds[l.Kind]
 			}
@@ -145,16 +145,16 @@
 }
 
 // Came takes what came of a webhook's part in a call, from the call's own goroutine.
-func (d *Decider) Came(w *exchange.Webhook, ep gateway.EndpointID, what gateway.Outcome, took gateway.Micros,
-	over bool, wait gateway.Micros) {
+func (d *Decider) Came(w *exchange.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome, took webhookpkg.Micros,
+	over bool, wait webhookpkg.Micros) {
 	d.x.Tell(func() { d.Outcome(w, ep, what, took, over, wait) })
 }
 
 // Outcome notes it and hands it to the module.
-func (d *Decider) Outcome(w *exchange.Webhook, ep gateway.EndpointID, what gateway.Outcome,
-	took gateway.Micros, over bool, wait gateway.Micros) {
+func (d *Decider) Outcome(w *exchange.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
+	took webhookpkg.Micros, over bool, wait webhookpkg.Micros) {
 	delete(d.out, w.ID)
-	ended := what == gateway.Delivered || over
+	ended := what == webhookpkg.Delivered || over
 	if ended {
 		d.witness(w, d.delivered(w, over))
 		if !d.relayed(w, exchange.EndDelivered, 0) {
@@ -175,7 +175,7 @@
 }
 
 // Heard takes which notices were heard.
-func (d *Decider) Heard(ids []gateway.WebhookID) {
+func (d *Decider) Heard(ids []webhookpkg.WebhookID) {
 	d.x.Tell(func() {
 		for _, id := range ids {
 			d.journal.Told(id)
--- a/node/decider/decider_test.go
+++ b/node/decider/decider_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/gateway"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
+	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
@@ -22,18 +22,18 @@
 	require.NoError(t, err)
 	x, life := exchange.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := New(x, life, kept, gateway.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
-		EventTypes: []gateway.EventType{{Target: gateway.Second, TTL: 9 * gateway.Second}}})
-	d.Begin(endpoints.New(&x.Counters, d.Came, gateway.Second, gateway.Second, 4),
+	d := New(x, life, kept, webhookpkg.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
+		EventTypes: []webhookpkg.EventType{{Target: webhookpkg.Second, TTL: 9 * webhookpkg.Second}}})
+	d.Begin(endpoints.New(&x.Counters, d.Came, webhookpkg.Second, webhookpkg.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f gateway.Facts, h gateway.Host) gateway.Module { return policy.New(f, h) })
-	d.Listed([]gateway.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
+		func(f webhookpkg.Facts, h webhookpkg.Host) webhookpkg.Module { return policy.New(f, h) })
+	d.Listed([]webhookpkg.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	hand := func(id exchange.RequestID) exchange.Answer {
 		said := make(chan exchange.Answer, 1)
 		go func() {
 			now := exchange.Now()
-			w := exchange.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*gateway.Second}
+			w := exchange.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*webhookpkg.Second}
 			what, _ := x.HandIn(&w)
 			said <- what
 		}()
@@ -52,5 +52,5 @@
 	next, err := journal.Open(dir, 1)
 	require.NoError(t, err)
 	require.Len(t, next.Entries(), 1)
-	assert.Equal(t, gateway.WebhookID(2), next.Entries()[0].ID)
+	assert.Equal(t, webhookpkg.WebhookID(2), next.Entries()[0].ID)
 }
--- a/node/decider/given.go
+++ b/node/decider/given.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // byID lists what is held of those named.
@@ -21,7 +21,7 @@
 // Sends gives webhooks that are parked here away: until Frees or Over nobody here calls for them, and from
 // at on each may have run. Each comes with the attempts that it is given away with. False: nothing was done,
 // as one is parked here no more, was called for here meanwhile, or it can't be written.
-func (d *Decider) Sends(all map[exchange.RequestID]int, at gateway.Micros) (ok bool) {
+func (d *Decider) Sends(all map[exchange.RequestID]int, at webhookpkg.Micros) (ok bool) {
 	d.inTurn(func() {
 		of := byID(d, all)
 		if len(of) < len(all) {
@@ -33,7 +33,7 @@
 			if e == nil || d.parked[w.ID] == nil || w.InDoubt || e.Attempts != all[id] {
 				return
 			}
-			ran[id] = e.MayRun != gateway.Never
+			ran[id] = e.MayRun != webhookpkg.Never
 		}
 		for id, w := range of {
 			w.InDoubt, w.Given = true, true
@@ -65,13 +65,13 @@
 func (d *Decider) free(w *exchange.Webhook, b Back) {
 	w.InDoubt, w.Given = false, false
 	e := d.journal.Entry(w.ID)
-	if e == nil || !b.Never || e.MayRun == gateway.Never {
+	if e == nil || !b.Never || e.MayRun == webhookpkg.Never {
 		return
 	}
 	if b.Ran {
 		d.journal.Past(w.ID, e.Attempts-1, e.MayRun, e.Zone)
 	} else {
-		d.journal.Past(w.ID, e.Attempts-1, gateway.Never, 0)
+		d.journal.Past(w.ID, e.Attempts-1, webhookpkg.Never, 0)
 	}
 }
 
@@ -130,7 +130,7 @@
 				d.module.Withdrawn(w.ID)
 			}
 			d.unpark(w.ID)
-			w.Step("over_elsewhere", 0, gateway.Micros(e.How))
+			w.Step("over_elsewhere", 0, webhookpkg.Micros(e.How))
 			switch e.How {
 			case exchange.EndDelivered:
 				d.journal.End(w.ID, nil)
--- a/node/decider/host.go
+++ b/node/decider/host.go
@@ -3,16 +3,16 @@
 import (
 	"log/slog"
 
-	"rowanlink/gateway"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/notices"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Now is the time of the turn.
-func (d *Decider) Now() gateway.Micros { return d.now }
+func (d *Decider) Now() webhookpkg.Micros { return d.now }
 
-func (d *Decider) Attempt(id gateway.WebhookID, ep gateway.EndpointID, patience, latest gateway.Micros) {
+func (d *Decider) Attempt(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, patience, latest webhookpkg.Micros) {
 	if w := d.held[id]; w != nil {
 		w.Step("attempt", ep, patience)
 		d.out[id] = true
@@ -20,10 +20,10 @@
 	}
 }
 
-func (d *Decider) Cancel(id gateway.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
+func (d *Decider) Cancel(id webhookpkg.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
 
 // Reject hands a webhook back: by the answer where its client still waits for one, else by notice.
-func (d *Decider) Reject(id gateway.WebhookID, advised gateway.Micros) {
+func (d *Decider) Reject(id webhookpkg.WebhookID, advised webhookpkg.Micros) {
 	w := d.held[id]
 	if w == nil {
 		return
@@ -44,7 +44,7 @@
 	d.owe(w, notices.HandedBack(w.RequestID, advised))
 }
 
-func (d *Decider) DeadLetter(id gateway.WebhookID) {
+func (d *Decider) DeadLetter(id webhookpkg.WebhookID) {
 	if w := d.held[id]; w != nil && !d.relayed(w, exchange.EndDeadLettered, 0) {
 		d.x.GivenUp.Add(1)
 		d.witness(w, DeadLettered)
@@ -60,10 +60,10 @@
 	d.ends = append(d.ends, func() { d.finals.Owe(w.ID, notice) })
 }
 
-func (d *Decider) Wake(in gateway.Micros, timer gateway.TimerID) {
+func (d *Decider) Wake(in webhookpkg.Micros, timer webhookpkg.TimerID) {
 	d.dues.Add(int64(d.now+in), func() { d.module.Wake(timer) })
 }
 
-func (d *Decider) CloseIdle(ep gateway.EndpointID) { d.hangUps = append(d.hangUps, ep) }
+func (d *Decider) CloseIdle(ep webhookpkg.EndpointID) { d.hangUps = append(d.hangUps, ep) }
 
 func (d *Decider) Log(text string) { slog.Info("module", "says", text) }
--- a/node/decider/relayed.go
+++ b/node/decider/relayed.go
@@ -4,25 +4,25 @@
 	"bytes"
 	"strconv"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
+	webhookpkg "rowanlink/webhook"
 )
 
 // ended is what the journal of an earlier life says of a webhook whose end another member is owed.
 type ended struct {
-	id gateway.WebhookID
+	id webhookpkg.WebhookID
 	exchange.End
 }
 
 // relayed ends a webhook of which others than the platform are told, and whether it is one.
-func (d *Decider) relayed(w *exchange.Webhook, how exchange.How, retryIn gateway.Micros) bool {
+func (d *Decider) relayed(w *exchange.Webhook, how exchange.How, retryIn webhookpkg.Micros) bool {
 	if w.Ends == nil || d.held[w.ID] != w {
 		return false
 	}
 	end := exchange.End{RequestID: w.RequestID, How: how, RetryIn: retryIn}
 	if e := d.journal.Entry(w.ID); e != nil {
-		end.Attempts, end.MayRun = e.Attempts, e.MayRun != gateway.Never
+		end.Attempts, end.MayRun = e.Attempts, e.MayRun != webhookpkg.Never
 	}
 	d.journal.End(w.ID, end.Bytes())
 	d.drop(w)
--- a/node/decider/turn.go
+++ b/node/decider/turn.go
@@ -5,19 +5,19 @@
 	"slices"
 	"time"
 
-	"rowanlink/gateway"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
 	"rowanlink/node/lifecycle"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
 func (d *Decider) Run() {
 	timer := time.NewTimer(0)
 	for d.life.Phase() < lifecycle.Ended {
-		next := d.turned + gateway.Second
+		next := d.turned + webhookpkg.Second
 		if at, ok := d.dues.Next(); ok {
-			next = min(next, gateway.Micros(at))
+			next = min(next, webhookpkg.Micros(at))
 		}
 		timer.Reset(exchange.Span(max(next-exchange.Now(), 0)))
 		select {
@@ -124,7 +124,7 @@
 		if d.mayCall(a.Webhook) {
 			return false
 		}
-		d.Outcome(a.Webhook, a.ep, gateway.NotSent, 0, false, 0) // the grant is over since the turn began
+		d.Outcome(a.Webhook, a.ep, webhookpkg.NotSent, 0, false, 0) // the grant is over since the turn began
 		return true
 	})
 	for _, a := range d.attempts {
@@ -170,15 +170,15 @@
 		}
 	}
 	for _, a := range d.attempts {
-		d.Outcome(a.Webhook, a.ep, gateway.NotSent, 0, false, 0)
+		d.Outcome(a.Webhook, a.ep, webhookpkg.NotSent, 0, false, 0)
 	}
 	d.attempts = d.attempts[:0]
 }
 
 // send makes the calls of this turn, those to one endpoint together, in the order decided.
 func (d *Decider) send() {
-	var eps []gateway.EndpointID
-	tries := map[gateway.EndpointID][]endpoints.Try{}
+	var eps []webhookpkg.EndpointID
+	tries := map[webhookpkg.EndpointID][]endpoints.Try{}
 	for _, a := range d.attempts {
 		if tries[a.ep] == nil {
 			eps = append(eps, a.ep)
--- a/node/decider/types.go
+++ b/node/decider/types.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	webhookpkg "rowanlink/webhook"
 )
 
 // unnamed is an event type that no settings name: what is of it is not repeated.
@@ -31,18 +31,18 @@
 
 // resume hands a webhook to the module. Guards against a second effect: one that was taken on without a token
 // is not repeated by settings that ask for one, since nobody would know the repeat.
-func (d *Decider) resume(w *exchange.Webhook, attempts int, mayRun gateway.Micros, zone gateway.ZoneID) {
+func (d *Decider) resume(w *exchange.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
 	all := d.facts.EventTypes
-	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Repeat == gateway.Tokened {
+	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Repeat == webhookpkg.Tokened {
 		w.Event = unnamed
 	}
 	d.module.Resume(w.ID, w.Event, w.Tenant, w.Key, w.TTL, w.Destination, attempts, mayRun, zone)
 }
 
 // place is where an event type of an earlier life stands by now.
-func (d *Decider) place(name string) gateway.EventTypeID {
+func (d *Decider) place(name string) webhookpkg.EventTypeID {
 	if at := slices.Index(d.types, name); at >= 0 {
-		return gateway.EventTypeID(at)
+		return webhookpkg.EventTypeID(at)
 	}
 	return unnamed
 }
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -16,7 +16,6 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/asking"
-	"rowanlink/gateway"
 	"rowanlink/internal/facts"
 	"rowanlink/node/clients"
 	"rowanlink/node/decider"
@@ -26,6 +25,7 @@
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/node/registry"
+	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
 )
 
@@ -44,7 +44,7 @@
 type Dispatcher struct {
 	Told     gjson.Result // the configuration
 	State    string       // the folder that outlasts the process
-	Facts    gateway.Facts
+	Facts    webhook.Facts
 	Names    facts.Names
 	Life     *lifecycle.Life
 	Exchange *exchange.Exchange
@@ -58,7 +58,7 @@
 type Beside interface {
 	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
 	Serve()                  // all runs, but clients are not let in yet
-	Renew(gateway.Facts)
+	Renew(webhook.Facts)
 	Leave() // told to end: before the dispatcher leaves; may take as long as it needs a turn to leave
 	End()   // nothing runs any more
 	Print(io.Writer)
@@ -108,12 +108,12 @@
 	finals := notices.New(told.Get("discovery").String(), &x.Counters, d.Heard)
 	held := &asking.Hold{}
 	list := registry.New(told.Get("discovery").String(), t.names,
-		asking.New(t.facts.Seed, gateway.Micros(registry.LinePeriod.Microseconds())), int(listPart*memory),
+		asking.New(t.facts.Seed, webhook.Micros(registry.LinePeriod.Microseconds())), int(listPart*memory),
 		t.keepNames(), d.Listed, func() { x.ListsBroken.Add(1) }, func() { x.Tell(held.Open) })
 	if err := list.Take(told.Get("known")); err != nil {
 		slog.Warn("no known list", "why", err)
 	}
-	d.Begin(calls, finals, func(f gateway.Facts, h gateway.Host) gateway.Module {
+	d.Begin(calls, finals, func(f webhook.Facts, h webhook.Host) webhook.Module {
 		held.Module = policy.New(f, h)
 		return held
 	})
--- a/node/endpoints/call.go
+++ b/node/endpoints/call.go
@@ -8,25 +8,25 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // call is one call out.
 type call struct {
 	ep       *endpoint
 	webhooks []*exchange.Webhook
-	patience gateway.Micros
-	latest   gateway.Micros // it does not begin after that
+	patience webhook.Micros
+	latest   webhook.Micros // it does not begin after that
 	link     *link
 	called   bool // called off
 }
 
 // fate is what came of a call as a whole.
 type fate struct {
-	what gateway.Outcome
+	what webhook.Outcome
 	over bool
-	wait gateway.Micros
+	wait webhook.Micros
 	each map[exchange.RequestID]share // by id, where the webhooks of a bundle fared differently
 	keep bool                         // the connection may be used again
 
@@ -36,7 +36,7 @@
 }
 
 // run makes one call from connect to answer.
-func (s *Endpoints) run(k *call, at gateway.Micros) {
+func (s *Endpoints) run(k *call, at webhook.Micros) {
 	f, l := s.connectAndCall(k, at)
 	if l != nil && f.keep {
 		s.keep(k.ep, l)
@@ -52,8 +52,8 @@
 		delete(s.out, w.ID)
 	}
 	k.ep.out--
-	if k.called && f.what != gateway.Delivered && f.what != gateway.ConnectFailed {
-		f.what = gateway.Cancelled
+	if k.called && f.what != webhook.Delivered && f.what != webhook.ConnectFailed {
+		f.what = webhook.Cancelled
 	}
 	s.mu.Unlock()
 	took := exchange.Now() - at
@@ -71,23 +71,23 @@
 // connectAndCall calls on an idle link, or else on a new one. A link that says or ends something before the
 // last byte of the call is written is no longer of use, and the call has not been made: another link is
 // taken.
-func (s *Endpoints) connectAndCall(k *call, at gateway.Micros) (fate, *link) {
+func (s *Endpoints) connectAndCall(k *call, at webhook.Micros) (fate, *link) {
 	for {
 		l, room := s.take(k.ep)
 		if !room {
-			return fate{what: gateway.NotSent}, nil
+			return fate{what: webhook.NotSent}, nil
 		}
 		used := l != nil
 		if !used {
 			var err error
 			s.counts.Connections.Add(1)
 			now := exchange.Now()
-			within := max(min(gateway.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
+			within := max(min(webhook.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
 			if l, err = dial(k.ep.addr, exchange.Span(within)); err != nil {
 				s.mu.Lock()
 				s.open--
 				s.mu.Unlock()
-				return fate{what: gateway.ConnectFailed}, nil
+				return fate{what: webhook.ConnectFailed}, nil
 			}
 		}
 		// Guards the rules on drains, waits and effects: what was told while this call connected, and the time for
@@ -99,10 +99,10 @@
 		called := k.called
 		s.mu.Unlock()
 		if late || !s.may(k) {
-			return fate{what: gateway.NotSent, keep: true}, l
+			return fate{what: webhook.NotSent, keep: true}, l
 		}
 		if called {
-			return fate{what: gateway.ConnectFailed}, l
+			return fate{what: webhook.ConnectFailed}, l
 		}
 		left := k.patience - (exchange.Now() - at) // connecting took its part
 		until := time.Now().Add(exchange.Span(left))
@@ -113,13 +113,13 @@
 			}
 			f := s.answer(l, k, until)
 			if f.tooMany && !used {
-				f.what = gateway.Crowded
+				f.what = webhook.Crowded
 			}
 			return f, l
 		case !s.may(k): // the grant ended between first and last byte: it never ran
-			return fate{what: gateway.NotSent}, l
+			return fate{what: webhook.NotSent}, l
 		case !used || !time.Now().Before(until):
-			return fate{what: gateway.ConnectFailed}, l
+			return fate{what: webhook.ConnectFailed}, l
 		}
 		s.mu.Lock()
 		k.link = nil
@@ -129,7 +129,7 @@
 }
 
 // request is a call as it goes out.
-func request(k *call, left gateway.Micros) []byte {
+func request(k *call, left webhook.Micros) []byte {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	fill(req, k, left)
@@ -140,7 +140,7 @@
 	return out.Bytes()
 }
 
-func fill(req *fasthttp.Request, k *call, left gateway.Micros) {
+func fill(req *fasthttp.Request, k *call, left webhook.Micros) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetHost(k.ep.addr)
 	req.Header.SetUserAgent("rowanlink")
--- a/node/endpoints/connections_test.go
+++ b/node/endpoints/connections_test.go
@@ -9,33 +9,33 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // Guards against everyone who ever was piling up, and against a webhook sent to one that is forgotten.
 func TestGoneEndpointIsForgottenOnceNothingIsOut(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK")))
-	send(gateway.Second)
+	send(webhook.Second)
 	<-ends
-	s.Place(gateway.Entry{Endpoint: 1, Destination: 3, Standing: gateway.Gone}, "", gateway.Kind{})
+	s.Place(webhook.Entry{Endpoint: 1, Destination: 3, Standing: webhook.Gone}, "", webhook.Kind{})
 	assert.Zero(t, s.open, "its idle links are closed at once")
 	s.Sweep()
 	assert.Empty(t, s.all)
-	send(gateway.Second)
-	assert.Equal(t, gateway.NotSent, (<-ends).what)
+	send(webhook.Second)
+	assert.Equal(t, webhook.NotSent, (<-ends).what)
 }
 
 // Guards against a connection too many that is taken for the destination's limit: window and pace would fall.
 func TestConnectionTurnedAwayIsToldFromADestinationsLimit(t *testing.T) {
 	shut := "503 Shut\r\nConnection: close"
-	for text, want := range map[string]end{shut: {gateway.Crowded, false, 0},
-		shut + "\r\nRetry-After: 1":          {gateway.Full, false, gateway.Second},
-		shut + "\r\nX-Egress-Full: 1":        {gateway.NotSent, false, 0},
-		"429 Slow\r\nConnection: close":      {gateway.Full, false, 0},
-		"503 Shut\r\nConnection: keep-alive": {gateway.Full, false, 0}} {
+	for text, want := range map[string]end{shut: {webhook.Crowded, false, 0},
+		shut + "\r\nRetry-After: 1":          {webhook.Full, false, webhook.Second},
+		shut + "\r\nX-Egress-Full: 1":        {webhook.NotSent, false, 0},
+		"429 Slow\r\nConnection: close":      {webhook.Full, false, 0},
+		"503 Shut\r\nConnection: keep-alive": {webhook.Full, false, 0}} {
 		_, send, ends := at(script(t, answer(text)))
-		send(gateway.Second)
+		send(webhook.Second)
 		assert.Equal(t, want, <-ends, text)
 	}
 	later := func(c net.Conn, in *bufio.Reader) {
@@ -45,22 +45,22 @@
 		}
 	}
 	_, send, ends := at(script(t, later))
-	send(gateway.Second)
+	send(webhook.Second)
 	<-ends
-	send(gateway.Second)
-	assert.Equal(t, gateway.Full, (<-ends).what, "a connection that served is not one too many")
+	send(webhook.Second)
+	assert.Equal(t, webhook.Full, (<-ends).what, "a connection that served is not one too many")
 }
 
 func TestWhatEndsBeforeTheLastByteNeverRan(t *testing.T) {
 	_, send, ends := at("127.0.0.1:1") // nobody listens
-	send(gateway.Second)
-	assert.Equal(t, gateway.ConnectFailed, (<-ends).what)
+	send(webhook.Second)
+	assert.Equal(t, webhook.ConnectFailed, (<-ends).what)
 	_, send, ends = at(script(t, breaks))
-	send(gateway.Second)
-	assert.Equal(t, gateway.Reset, (<-ends).what)
+	send(webhook.Second)
+	assert.Equal(t, webhook.Reset, (<-ends).what)
 	_, send, ends = at(script(t, silent))
-	send(gateway.Second / 20)
-	assert.Equal(t, gateway.TimedOut, (<-ends).what)
+	send(webhook.Second / 20)
+	assert.Equal(t, webhook.TimedOut, (<-ends).what)
 }
 
 func TestConnectionThatEndedWhileIdleIsNotWrittenTo(t *testing.T) {
@@ -72,8 +72,8 @@
 	}
 	s, send, ends := at(script(t, once, answer("200 OK")))
 	for range 2 {
-		send(gateway.Second)
-		assert.Equal(t, gateway.Delivered, (<-ends).what)
+		send(webhook.Second)
+		assert.Equal(t, webhook.Delivered, (<-ends).what)
 		time.Sleep(60 * time.Millisecond)
 	}
 	assert.EqualValues(t, 2, s.counts.Connections.Load())
@@ -82,18 +82,18 @@
 func TestIdleConnectionsAreUsedAgainThenClosedInTime(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK"), answer("200 OK")))
 	for range 3 {
-		send(gateway.Second)
+		send(webhook.Second)
 		<-ends
 	}
 	time.Sleep(200 * time.Millisecond) // past the deadline of the last answer's rest
-	send(gateway.Second)
+	send(webhook.Second)
 	<-ends
 	assert.EqualValues(t, 1, s.counts.Connections.Load())
 	time.Sleep(850 * time.Millisecond) // the other side would close after 1 s
 	s.Sweep()
 	assert.Zero(t, s.open)
-	send(gateway.Second)
-	assert.Equal(t, gateway.Delivered, (<-ends).what)
+	send(webhook.Second)
+	assert.Equal(t, webhook.Delivered, (<-ends).what)
 	time.Sleep(5 * time.Millisecond)
 	s.CloseIdle(1)
 	assert.Zero(t, s.open)
@@ -101,14 +101,14 @@
 
 func TestWaitOrDrainToldWhileConnectingHoldsTheFirstByte(t *testing.T) {
 	s, send, ends := at(script(t, answer("429 Slow\r\nRetry-After: 0.3"), answer("200 OK"), answer("200 OK")))
-	send(gateway.Second)
-	assert.Equal(t, gateway.Full, (<-ends).what)
-	send(gateway.Second)
-	assert.Equal(t, gateway.NotSent, (<-ends).what, "told to wait")
+	send(webhook.Second)
+	assert.Equal(t, webhook.Full, (<-ends).what)
+	send(webhook.Second)
+	assert.Equal(t, webhook.NotSent, (<-ends).what, "told to wait")
 	time.Sleep(300 * time.Millisecond)
-	s.Place(gateway.Entry{Endpoint: 1, Destination: 3, Standing: gateway.Draining}, "", gateway.Kind{})
-	send(gateway.Second)
-	assert.Equal(t, gateway.NotSent, (<-ends).what, "draining")
+	s.Place(webhook.Entry{Endpoint: 1, Destination: 3, Standing: webhook.Draining}, "", webhook.Kind{})
+	send(webhook.Second)
+	assert.Equal(t, webhook.NotSent, (<-ends).what, "draining")
 }
 
 // Guards against a second effect: a tokened webhook whose connection comes up when its token is forgotten.
@@ -124,35 +124,35 @@
 		}
 	}
 	s, send, ends := at(script(t, counted, counted))
-	late := func() gateway.Outcome {
-		s.Send(1, []Try{{&exchange.Webhook{ID: 7, RequestID: "b"}, gateway.Second, exchange.Now() - 1}})
+	late := func() webhook.Outcome {
+		s.Send(1, []Try{{&exchange.Webhook{ID: 7, RequestID: "b"}, webhook.Second, exchange.Now() - 1}})
 		return (<-ends).what
 	}
 	assert.True(t, late().NeverRan(), "on a new connection")
-	send(gateway.Second)
-	assert.Equal(t, gateway.Delivered, (<-ends).what)
-	assert.Equal(t, gateway.NotSent, late(), "on one that is idle")
-	send(gateway.Second)
+	send(webhook.Second)
+	assert.Equal(t, webhook.Delivered, (<-ends).what)
+	assert.Equal(t, webhook.NotSent, late(), "on one that is idle")
+	send(webhook.Second)
 	<-ends
 	assert.Len(t, calls, 2)
 }
 
 func TestEndpointThatMovedIsCalledAtItsNewAddress(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK")))
-	send(gateway.Second)
-	assert.Equal(t, gateway.Delivered, (<-ends).what)
-	s.Place(gateway.Entry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), gateway.Kind{Batch: 1})
-	send(gateway.Second)
-	assert.Equal(t, gateway.Full, (<-ends).what)
+	send(webhook.Second)
+	assert.Equal(t, webhook.Delivered, (<-ends).what)
+	s.Place(webhook.Entry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), webhook.Kind{Batch: 1})
+	send(webhook.Second)
+	assert.Equal(t, webhook.Full, (<-ends).what)
 }
 
 func TestCancelEndsTheConnection(t *testing.T) {
 	ended := make(chan bool, 1)
 	s, send, ends := at(script(t, func(c net.Conn, in *bufio.Reader) { silent(c, in); ended <- true }))
-	send(gateway.Second)
+	send(webhook.Second)
 	time.Sleep(50 * time.Millisecond)
 	s.Cancel(1)
-	assert.Equal(t, gateway.Cancelled, (<-ends).what)
+	assert.Equal(t, webhook.Cancelled, (<-ends).what)
 	assert.True(t, <-ended)
 	assert.Zero(t, s.Out())
 }
--- a/node/endpoints/endpoints.go
+++ b/node/endpoints/endpoints.go
@@ -8,13 +8,13 @@
 	"sync"
 	"sync/atomic"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // Came is told what came of a webhook's part in a call; over: nothing more is owed.
-type Came func(w *exchange.Webhook, ep gateway.EndpointID, what gateway.Outcome, took gateway.Micros,
-	over bool, wait gateway.Micros)
+type Came func(w *exchange.Webhook, ep webhook.EndpointID, what webhook.Outcome, took webhook.Micros,
+	over bool, wait webhook.Micros)
 
 // Endpoints holds the connections and the calls out.
 type Endpoints struct {
@@ -26,32 +26,32 @@
 	mostOpen       int
 
 	mu    sync.Mutex
-	all   map[gateway.EndpointID]*endpoint
-	waits map[route]gateway.Micros // told waits, for calls that still connect when they are told
-	out   map[gateway.WebhookID]*call
+	all   map[webhook.EndpointID]*endpoint
+	waits map[route]webhook.Micros // told waits, for calls that still connect when they are told
+	out   map[webhook.WebhookID]*call
 	open  int // links
 	ended bool
 
 	// May, where a fleet acts as one and else nil, tells whether a destination may be called from here now. Set
 	// before the first call; it is asked right before a call's first and last byte and must not wait.
-	May func(gateway.DestinationID) bool
+	May func(webhook.DestinationID) bool
 }
 
 func (s *Endpoints) may(k *call) bool { return s.May == nil || s.May(k.ep.route.dest) }
 
 // route is what a told wait binds: a destination, or one endpoint where its kind's endpoints are apart.
 type route struct {
-	dest  gateway.DestinationID
-	apart gateway.EndpointID
+	dest  webhook.DestinationID
+	apart webhook.EndpointID
 	alone bool
 }
 
 type endpoint struct {
-	id     gateway.EndpointID
+	id     webhook.EndpointID
 	addr   string
 	route  route
-	zone   gateway.ZoneID
-	kind   gateway.KindID
+	zone   webhook.ZoneID
+	kind   webhook.KindID
 	bundle int // webhooks in one call at most
 	listed bool
 	gone   bool
@@ -61,23 +61,23 @@
 
 // New makes a pool of at most mostOpen connections. Those idle are closed well inside the time after which
 // the other side does so: a call that crosses its close would end as a reset.
-func New(counts *exchange.Counters, came Came, connectTimeout, idleLimit gateway.Micros,
+func New(counts *exchange.Counters, came Came, connectTimeout, idleLimit webhook.Micros,
 	mostOpen int) *Endpoints {
 	s := &Endpoints{counts: counts, came: came, mostOpen: max(mostOpen, 1),
-		all: map[gateway.EndpointID]*endpoint{}, waits: map[route]gateway.Micros{},
-		out: map[gateway.WebhookID]*call{}}
+		all: map[webhook.EndpointID]*endpoint{}, waits: map[route]webhook.Micros{},
+		out: map[webhook.WebhookID]*call{}}
 	s.Renew(connectTimeout, idleLimit, nil)
 	return s
 }
 
 // Renew takes the settings that calls from now on are made by; those out end under the old ones.
-func (s *Endpoints) Renew(connectTimeout, idleLimit gateway.Micros, kinds []gateway.Kind) {
+func (s *Endpoints) Renew(connectTimeout, idleLimit webhook.Micros, kinds []webhook.Kind) {
 	if connectTimeout <= 0 { // none is stated: patience alone ends a connect
 		connectTimeout = math.MaxInt64
 	}
 	rest := idleLimit / 16
 	if rest <= 0 { // no limit is stated
-		rest = gateway.Second / 4
+		rest = webhook.Second / 4
 	}
 	s.connectTimeout.Store(int64(connectTimeout))
 	s.idleFor.Store(int64(idleLimit * 4 / 5))
@@ -92,7 +92,7 @@
 }
 
 // Place notes what the list says of an endpoint.
-func (s *Endpoints) Place(l gateway.Entry, addr string, of gateway.Kind) {
+func (s *Endpoints) Place(l webhook.Entry, addr string, of webhook.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[l.Endpoint]
@@ -104,17 +104,17 @@
 		s.all[l.Endpoint] = e
 	}
 	e.zone = l.Zone
-	if e.gone = l.Standing == gateway.Gone; e.gone {
+	if e.gone = l.Standing == webhook.Gone; e.gone {
 		s.closeIdle(e)
 	}
-	if e.listed = l.Standing == gateway.Listed; addr != "" && addr != e.addr {
+	if e.listed = l.Standing == webhook.Listed; addr != "" && addr != e.addr {
 		s.closeIdle(e) // they lead elsewhere
 		e.addr = addr
 	}
 }
 
 // Drop notes that a whole list came without these.
-func (s *Endpoints) Drop(but map[gateway.EndpointID]bool) {
+func (s *Endpoints) Drop(but map[webhook.EndpointID]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.all {
@@ -126,7 +126,7 @@
 }
 
 // Zone tells where an endpoint is.
-func (s *Endpoints) Zone(id gateway.EndpointID) (zone gateway.ZoneID) {
+func (s *Endpoints) Zone(id webhook.EndpointID) (zone webhook.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.all[id]; e != nil {
@@ -138,17 +138,17 @@
 // Try is one webhook's part in a call: how long its answer is waited for, and the latest that it may begin.
 type Try struct {
 	Webhook          *exchange.Webhook
-	Patience, Latest gateway.Micros
+	Patience, Latest webhook.Micros
 }
 
 // Send makes the calls for webhooks that one turn sends to one endpoint: as few as its bundles allow.
-func (s *Endpoints) Send(id gateway.EndpointID, tries []Try) {
+func (s *Endpoints) Send(id webhook.EndpointID, tries []Try) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[id]
 	if e == nil { // gone and forgotten: guards against a webhook that waits for an outcome for ever
 		for _, t := range tries {
-			s.came(t.Webhook, id, gateway.NotSent, 0, false, 0)
+			s.came(t.Webhook, id, webhook.NotSent, 0, false, 0)
 		}
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // Cancel calls off the call that a webhook is in.
-func (s *Endpoints) Cancel(id gateway.WebhookID) {
+func (s *Endpoints) Cancel(id webhook.WebhookID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if k := s.out[id]; k != nil {
--- a/node/endpoints/helpers_test.go
+++ b/node/endpoints/helpers_test.go
@@ -9,27 +9,27 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 // end is what came of one webhook.
 type end struct {
-	what gateway.Outcome
+	what webhook.Outcome
 	over bool
-	wait gateway.Micros
+	wait webhook.Micros
 }
 
 // at starts a pool with endpoint 1 at an address, and calls it once with each webhook that is sent on.
-func at(addr string) (s *Endpoints, send func(patience gateway.Micros), ends chan end) {
+func at(addr string) (s *Endpoints, send func(patience webhook.Micros), ends chan end) {
 	ends = make(chan end, 9)
-	s = New(&exchange.Counters{}, func(_ *exchange.Webhook, _ gateway.EndpointID, what gateway.Outcome,
-		_ gateway.Micros, over bool, wait gateway.Micros) {
+	s = New(&exchange.Counters{}, func(_ *exchange.Webhook, _ webhook.EndpointID, what webhook.Outcome,
+		_ webhook.Micros, over bool, wait webhook.Micros) {
 		ends <- end{what, over, wait}
-	}, gateway.Second/5, gateway.Second, 4)
-	s.Place(gateway.Entry{Endpoint: 1, Destination: 3}, addr, gateway.Kind{Batch: 1})
-	id := gateway.WebhookID(0)
-	return s, func(patience gateway.Micros) {
+	}, webhook.Second/5, webhook.Second, 4)
+	s.Place(webhook.Entry{Endpoint: 1, Destination: 3}, addr, webhook.Kind{Batch: 1})
+	id := webhook.WebhookID(0)
+	return s, func(patience webhook.Micros) {
 		id++
 		s.Send(1, []Try{{&exchange.Webhook{ID: id, RequestID: "a"}, patience, exchange.Now() + patience}})
 	}, ends
--- a/node/journal/entry.go
+++ b/node/journal/entry.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"hash/crc32"
 
-	"rowanlink/gateway"
+	"rowanlink/webhook"
 )
 
 // Kinds of record.
@@ -26,12 +26,12 @@
 
 // Entry is what the journal knows of one webhook.
 type Entry struct {
-	ID       gateway.WebhookID
+	ID       webhook.WebhookID
 	Taken    []byte // as handed to Accept
 	Event    string // the name of its event type, where it was told
 	Attempts int
-	MayRun   gateway.Micros // first attempt that may have run, or Never
-	Zone     gateway.ZoneID // of that attempt's endpoint
+	MayRun   webhook.Micros // first attempt that may have run, or Never
+	Zone     webhook.ZoneID // of that attempt's endpoint
 	Ended    bool
 	Notice   []byte // owed since it ended
 
@@ -46,16 +46,16 @@
 	return size
 }
 
-func (e *Entry) call(at gateway.Micros, zone gateway.ZoneID) {
+func (e *Entry) call(at webhook.Micros, zone webhook.ZoneID) {
 	e.Attempts++
-	if e.firstOut = e.MayRun == gateway.Never; e.firstOut {
+	if e.firstOut = e.MayRun == webhook.Never; e.firstOut {
 		e.MayRun, e.Zone = at, zone
 	}
 }
 
 func (e *Entry) neverRan() {
 	if e.firstOut {
-		e.MayRun, e.firstOut = gateway.Never, false
+		e.MayRun, e.firstOut = webhook.Never, false
 	}
 }
 
@@ -78,7 +78,7 @@
 	return to
 }
 
-func record(to []byte, kind byte, id gateway.WebhookID, rest []byte) []byte {
+func record(to []byte, kind byte, id webhook.WebhookID, rest []byte) []byte {
 	start := len(to)
 	to = binary.LittleEndian.AppendUint32(to, uint32(recordHead-8+len(rest)))
 	to = append(to, 0, 0, 0, 0, kind)
--- a/node/notices/notices.go
+++ b/node/notices/notices.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/gateway"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook"
 )
 
 const (
@@ -22,17 +22,17 @@
 // Notices holds what is not yet heard.
 type Notices struct {
 	counts *exchange.Counters
-	heard  func([]gateway.WebhookID)
+	heard  func([]webhook.WebhookID)
 	mu     sync.Mutex
 	client *fasthttp.HostClient
-	ids    []gateway.WebhookID
+	ids    []webhook.WebhookID
 	lines  [][]byte
 	most   int // in the next call
 	bell   chan struct{}
 }
 
 // New makes the sender; heard is told which notices were answered.
-func New(addr string, counts *exchange.Counters, heard func([]gateway.WebhookID)) *Notices {
+func New(addr string, counts *exchange.Counters, heard func([]webhook.WebhookID)) *Notices {
 	return &Notices{counts: counts, heard: heard, most: mostOnce, bell: make(chan struct{}, 1),
 		client: client(addr)}
 }
@@ -56,7 +56,7 @@
 }
 
 // HandedBack is the notice of a rejected webhook, with the time after which to come again, if any.
-func HandedBack(requestID exchange.RequestID, retryIn gateway.Micros) []byte {
+func HandedBack(requestID exchange.RequestID, retryIn webhook.Micros) []byte {
 	line := `{"message":` + strconv.Quote(string(requestID)) + `,"outcome":"handed_back"`
 	if retryIn > 0 {
 		line += `,"retry_in_ms":` + strconv.FormatInt(int64((retryIn+999)/1000), 10)
@@ -65,7 +65,7 @@
 }
 
 // Owe puts a notice in.
-func (n *Notices) Owe(id gateway.WebhookID, line []byte) {
+func (n *Notices) Owe(id webhook.WebhookID, line []byte) {
 	n.mu.Lock()
 	n.ids, n.lines = append(n.ids, id), append(n.lines, line)
 	n.mu.Unlock()
--- a/node/registry/registry_test.go
+++ b/node/registry/registry_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/asking"
-	"rowanlink/gateway"
 	"rowanlink/internal/facts"
+	"rowanlink/webhook"
 )
 
 // discovery is a stand-in: its n-th ask, from 1 on, is answered as the story says; it keeps what was asked.
@@ -70,10 +70,10 @@
 }
 
 // follow starts one whose lists are pushed.
-func follow(addr string, period gateway.Micros) *follower {
+func follow(addr string, period webhook.Micros) *follower {
 	f := &follower{}
-	f.Registry = New(addr, facts.Names{Pushed: true}, asking.New(1, period), 1000, gateway.Second,
-		func(entries []gateway.Entry, _ []string, _ bool) {
+	f.Registry = New(addr, facts.Names{Pushed: true}, asking.New(1, period), 1000, webhook.Second,
+		func(entries []webhook.Entry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.lists = append(f.lists, int(entries[0].Rate))
@@ -112,12 +112,12 @@
 
 func (c *counted) Next(asking.End, bool) asking.Ask {
 	c.waits.Add(1)
-	return asking.Ask{After: 1000, Connect: gateway.Second, Answer: gateway.Second, Silence: gateway.Second}
+	return asking.Ask{After: 1000, Connect: webhook.Second, Answer: webhook.Second, Silence: webhook.Second}
 }
 
 // Without a decision before each, also the first one, a fleet that starts or is moved asks in one moment.
 func TestBeforeEachAskItIsDecidedWhen(t *testing.T) {
-	waits := &counted{Asking: asking.New(1, gateway.Second)}
+	waits := &counted{Asking: asking.New(1, webhook.Second)}
 	var asks, hasty atomic.Int64
 	d := discover(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		if asks.Add(1) > waits.waits.Load() {
@@ -125,8 +125,8 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	r := New("127.0.0.1:1", facts.Names{}, waits, 1000, gateway.Second,
-		func([]gateway.Entry, []string, bool) {}, func() {}, func() {})
+	r := New("127.0.0.1:1", facts.Names{}, waits, 1000, webhook.Second,
+		func([]webhook.Entry, []string, bool) {}, func() {}, func() {})
 	r.Move(d.addr)
 	go r.Follow()
 	require.Eventually(t, func() bool { return asks.Load() >= 5 }, 10*time.Second, time.Millisecond)
--- a/standin/guard/guard.go
+++ b/standin/guard/guard.go
@@ -26,8 +26,8 @@
 	"sync"
 	"time"
 
-	"rowanlink/gateway"
 	"rowanlink/standin/port"
+	"rowanlink/webhook"
 )
 
 // Event is what was told once. Times are in Unix microseconds, from before it was looked at to after.
@@ -36,8 +36,8 @@
 	Task    string
 	Epoch   uint64
 	Member  string
-	Call    gateway.Micros
-	Return  gateway.Micros
+	Call    webhook.Micros
+	Return  webhook.Micros
 	Refused bool
 }
 
@@ -135,7 +135,7 @@
 	rw.WriteHeader(map[bool]int{false: http.StatusNoContent, true: http.StatusConflict}[e.Refused])
 }
 
-func now() gateway.Micros { return gateway.Micros(time.Now().UnixMicro()) }
+func now() webhook.Micros { return webhook.Micros(time.Now().UnixMicro()) }
 
 // Stop ends it as a kill would: what it holds in memory is gone.
 func (g *Guard) Stop() error {
--- a/standin/ledger/judge.go
+++ b/standin/ledger/judge.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"rowanlink/gateway"
+	webhookpkg "rowanlink/webhook"
 )
 
 // Rule is one of those that are judged by.
@@ -25,9 +25,9 @@
 // Breach is one case of a broken rule.
 type Breach struct {
 	Rule   Rule
-	At     gateway.Micros
+	At     webhookpkg.Micros
 	ID     string
-	Dest   gateway.DestinationID
+	Dest   webhookpkg.DestinationID
 	Member string
 	Why    string
 }
@@ -38,11 +38,11 @@
 }
 
 // Judge returns what broke a rule up to a time, in the order of time.
-func (l *Ledger) Judge(at gateway.Micros) []Breach {
+func (l *Ledger) Judge(at webhookpkg.Micros) []Breach {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := slices.Clone(l.odd)
-	for _, rule := range []func(gateway.Micros) []Breach{l.lost, l.effects, l.overlaps, l.orders, l.waits,
+	for _, rule := range []func(webhookpkg.Micros) []Breach{l.lost, l.effects, l.overlaps, l.orders, l.waits,
 		l.drained,
 		l.pushed} {
 		all = append(all, rule(at)...)
@@ -61,7 +61,7 @@
 
 type at struct {
 	id   string
-	dest gateway.DestinationID
+	dest webhookpkg.DestinationID
 }
 
 // ends are the deliveries, by webhook and destination.
@@ -76,7 +76,7 @@
 }
 
 // missing are the destinations at which the webhook has no end yet.
-func (w *webhook) missing(ends map[at]bool) (left []gateway.DestinationID) {
+func (w *webhook) missing(ends map[at]bool) (left []webhookpkg.DestinationID) {
 	for _, d := range w.Dests {
 		told := slices.ContainsFunc(w.notices, func(n notice) bool { return n.all || n.dest == d })
 		if !told && !ends[at{w.ID, d}] {
@@ -86,7 +86,7 @@
 	return left
 }
 
-func (l *Ledger) lost(now gateway.Micros) (all []Breach) {
+func (l *Ledger) lost(now webhookpkg.Micros) (all []Breach) {
 	ends := l.ends()
 	for _, w := range l.order {
 		if !w.taken() || l.forgiven[w.ID] {
@@ -103,7 +103,7 @@
 }
 
 // due is when a webhook's end is overdue. Each member that was down meanwhile may be the one that has it.
-func (l *Ledger) due(w *webhook) (by gateway.Micros, known bool) {
+func (l *Ledger) due(w *webhook) (by webhookpkg.Micros, known bool) {
 	by = w.At + w.TTL + l.Terms.Slack
 	for again := true; again; {
 		again = false
@@ -112,7 +112,7 @@
 				if s.from < w.At || s.from > by {
 					continue
 				}
-				if s.until == gateway.Never {
+				if s.until == webhookpkg.Never {
 					return 0, false
 				}
 				if later := s.until + l.Terms.Slack; later > by {
@@ -125,9 +125,9 @@
 }
 
 // effects: those of one webhook count together with those of the ones that it was handed in again after.
-func (l *Ledger) effects(gateway.Micros) (all []Breach) {
+func (l *Ledger) effects(webhookpkg.Micros) (all []Breach) {
 	type run struct {
-		at gateway.Micros
+		at webhookpkg.Micros
 		id string
 		c  *Call
 	}
@@ -148,7 +148,7 @@
 			continue
 		}
 		t := l.Terms.Types[w.Type]
-		if t.Repeat == gateway.Idempotent {
+		if t.Repeat == webhookpkg.Idempotent {
 			continue
 		}
 		breach := func(why string) {
@@ -168,7 +168,7 @@
 		switch {
 		case !before:
 			first[k] = r
-		case t.Repeat == gateway.AtMostOnce:
+		case t.Repeat == webhookpkg.AtMostOnce:
 			breach(fmt.Sprintf("at-most-once, took effect %.3f s before by %s", (r.at - was.at).Seconds(),
 				was.c.Member))
 		case r.at > was.at+t.TokenWindow:
@@ -192,10 +192,10 @@
 }
 
 // LongestGap is the longest time between two deliveries at a destination that follow each other.
-func (l *Ledger) LongestGap(dest gateway.DestinationID) (longest gateway.Micros) {
+func (l *Ledger) LongestGap(dest webhookpkg.DestinationID) (longest webhookpkg.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var ends []gateway.Micros
+	var ends []webhookpkg.Micros
 	for _, c := range l.calls {
 		if c.Dest == dest && len(c.delivered) > 0 {
 			ends = append(ends, c.over)
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -14,16 +14,16 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/gateway"
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/webhook"
 )
 
 func begin(t *testing.T) *platform.Platform {
-	p, err := platform.New(ledger.Terms{Types: map[string]gateway.EventType{
-		"status": {TTL: 9 * gateway.Second},
-		"paid":   {TTL: 9 * gateway.Second, Repeat: gateway.Tokened, TokenWindow: 8 * gateway.Second},
-	}, DrainGrace: gateway.Second, ToldWithin: 6 * gateway.Second}, 3)
+	p, err := platform.New(ledger.Terms{Types: map[string]webhook.EventType{
+		"status": {TTL: 9 * webhook.Second},
+		"paid":   {TTL: 9 * webhook.Second, Repeat: webhook.Tokened, TokenWindow: 8 * webhook.Second},
+	}, DrainGrace: webhook.Second, ToldWithin: 6 * webhook.Second}, 3)
 	require.NoError(t, err)
 	t.Cleanup(func() { p.Close() })
 	return p
@@ -165,7 +165,7 @@
 func TestNoticesEndWebhooksAndOddOnesAreNotRead(t *testing.T) {
 	p := begin(t)
 	member(t, p, 202)
-	p.Lists["l"] = []gateway.DestinationID{3, 4}
+	p.Lists["l"] = []webhook.DestinationID{3, 4}
 	seat, err := p.Seat("m1")
 	require.NoError(t, err)
 	a, _ := p.HandIn("m1", platform.Webhook{Type: "status", List: "l"})
