--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -15,7 +15,6 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/asking"
 	"rowanlink/internal/facts"
 	"rowanlink/node/clients"
 	"rowanlink/node/decider"
@@ -27,6 +26,7 @@
 	"rowanlink/node/registry"
 	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
+	"rowanlink/webhook/refresh"
 )
 
 // Parts of the limits: of the memory, for the heap and for one list as it comes; of the descriptors, for
@@ -106,9 +106,9 @@
 		}
 	}
 	finals := notices.New(told.Get("discovery").String(), &x.Counters, d.Heard)
-	held := &asking.Hold{}
+	held := &refresh.Hold{}
 	list := registry.New(told.Get("discovery").String(), t.names,
-		asking.New(t.facts.Seed, webhook.Micros(registry.LinePeriod.Microseconds())), int(listPart*memory),
+		refresh.New(t.facts.Seed, webhook.Micros(registry.LinePeriod.Microseconds())), int(listPart*memory),
 		t.keepNames(), d.Listed, func() { x.ListsBroken.Add(1) }, func() { x.Tell(held.Open) })
 	if err := list.Take(told.Get("known")); err != nil {
 		slog.Warn("no known list", "why", err)
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -12,10 +12,10 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/asking"
 	"rowanlink/internal/facts"
 	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/refresh"
 )
 
 // LinePeriod is the protocol's: an empty line comes so often as long as nothing changes.
@@ -27,7 +27,7 @@
 // Asks decides when each ask begins and what it may take, is told of each sign of life of a watch, and says
 // for how long the first one is waited for, in µs.
 type Asks interface {
-	Next(why asking.End, pushed bool) asking.Ask
+	Next(why refresh.End, pushed bool) refresh.Ask
 	Heard()
 	Hold(pushed bool) webhook.Micros
 }
--- a/node/registry/registry_test.go
+++ b/node/registry/registry_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/asking"
 	"rowanlink/internal/facts"
 	"rowanlink/webhook"
+	"rowanlink/webhook/refresh"
 )
 
 // discovery is a stand-in: its n-th ask, from 1 on, is answered as the story says; it keeps what was asked.
@@ -72,7 +72,7 @@
 // follow starts one whose lists are pushed.
 func follow(addr string, period webhook.Micros) *follower {
 	f := &follower{}
-	f.Registry = New(addr, facts.Names{Pushed: true}, asking.New(1, period), 1000, webhook.Second,
+	f.Registry = New(addr, facts.Names{Pushed: true}, refresh.New(1, period), 1000, webhook.Second,
 		func(entries []webhook.Entry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -107,17 +107,17 @@
 // counted waits next to nothing and counts what it was asked.
 type counted struct {
 	waits atomic.Int64
-	*asking.Asking
+	*refresh.Asking
 }
 
-func (c *counted) Next(asking.End, bool) asking.Ask {
+func (c *counted) Next(refresh.End, bool) refresh.Ask {
 	c.waits.Add(1)
-	return asking.Ask{After: 1000, Connect: webhook.Second, Answer: webhook.Second, Silence: webhook.Second}
+	return refresh.Ask{After: 1000, Connect: webhook.Second, Answer: webhook.Second, Silence: webhook.Second}
 }
 
 // Without a decision before each, also the first one, a fleet that starts or is moved asks in one moment.
 func TestBeforeEachAskItIsDecidedWhen(t *testing.T) {
-	waits := &counted{Asking: asking.New(1, webhook.Second)}
+	waits := &counted{Asking: refresh.New(1, webhook.Second)}
 	var asks, hasty atomic.Int64
 	d := discover(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		if asks.Add(1) > waits.waits.Load() {
--- a/node/registry/watch.go
+++ b/node/registry/watch.go
@@ -16,8 +16,8 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/asking"
 	"rowanlink/node/exchange"
+	"rowanlink/webhook/refresh"
 )
 
 // Follow watches until the process ends. A watch lasts until its connection ends, it says nothing for longer
@@ -25,13 +25,13 @@
 func (r *Registry) Follow() {
 	names, _ := r.by()
 	time.AfterFunc(exchange.Span(r.asks.Hold(names.Pushed)), r.begun)
-	for why := asking.Started; ; {
+	for why := refresh.Started; ; {
 		addr, moved := r.place()
 		names, _ := r.by()
 		ask := r.asks.Next(why, names.Pushed)
 		select {
 		case <-moved: // it was the old address that failed
-			why = asking.Moved
+			why = refresh.Moved
 			continue
 		case <-time.After(exchange.Span(ask.After)):
 		}
@@ -55,20 +55,20 @@
 var errBroken = errors.New("list not read")
 
 // ended tells for what reason a watch is over.
-func ended(ctx context.Context, err error) asking.End {
+func ended(ctx context.Context, err error) refresh.End {
 	var limited interface{ Timeout() bool }
 	switch {
 	case ctx.Err() != nil:
-		return asking.Moved
+		return refresh.Moved
 	case errors.As(err, &limited) && limited.Timeout():
-		return asking.Silent
+		return refresh.Silent
 	case errors.Is(err, errBroken):
-		return asking.Broken
+		return refresh.Broken
 	}
-	return asking.Ended
+	return refresh.Ended
 }
 
-func (r *Registry) watch(ctx context.Context, addr string, ask asking.Ask) error {
+func (r *Registry) watch(ctx context.Context, addr string, ask refresh.Ask) error {
 	until := time.Now().Add(exchange.Span(ask.Answer))
 	c, err := (&net.Dialer{Timeout: exchange.Span(ask.Connect)}).DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/asking/asking.go
+++ b/webhook/refresh/asking.go
@@ -1,10 +1,10 @@
-// Package asking decides when a dispatcher asks discovery for its list, how long an ask or a watch may say
+// Package refresh decides when a dispatcher asks discovery for its list, how long an ask or a watch may say
 // nothing, and how long a new process keeps its calls back for its first list. It does no I/O, has no clock.
 //
 // One dispatcher that asks four times a second is harmless. Where discovery serves fewer than all of a fleet
 // ask for, those asks are what keeps it from serving any: a refused ask costs it, too. An agent on the
 // dispatcher's own machine, to which lists are pushed, serves one alone, and what it has counts as told.
-package asking
+package refresh
 
 import (
 	"cmp"
--- a/asking/asking_test.go
+++ b/webhook/refresh/asking_test.go
@@ -1,4 +1,4 @@
-package asking
+package refresh
 
 import (
 	"testing"
