--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -23,9 +23,9 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/dispatcher"
 	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher"
 )
 
 const (
--- a/cmd/rowanfleet/main.go
+++ b/cmd/rowanfleet/main.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/dispatcher"
+	"rowanlink/webhook/dispatcher"
 )
 
 func main() {
--- a/cmd/rowanlink/main.go
+++ b/cmd/rowanlink/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"rowanlink/node/dispatcher"
+	"rowanlink/webhook/dispatcher"
 )
 
 func main() {
