--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -16,7 +16,6 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/internal/facts"
-	"rowanlink/node/clients"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/exchange"
@@ -25,6 +24,7 @@
 	"rowanlink/node/notices"
 	"rowanlink/node/registry"
 	"rowanlink/webhook"
+	serverpkg "rowanlink/webhook/dispatcher/server"
 	"rowanlink/webhook/policy"
 	"rowanlink/webhook/refresh"
 )
@@ -50,7 +50,7 @@
 	Exchange *exchange.Exchange
 	Decider  *decider.Decider
 	Calls    *endpoints.Endpoints
-	Clients  *clients.Clients
+	Clients  *serverpkg.Clients
 }
 
 // Beside is what a fleet adds to a dispatcher in the same process. It is called in this order, Renew any
@@ -99,7 +99,7 @@
 	d := decider.New(x, life, kept, t.facts)
 	d.Types(t.names.EventTypes)
 	calls := endpoints.New(&x.Counters, d.Came, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
-	server := clients.New(x, life, t.facts, t.names, int(clientPart*sockets), int(idlePart*sockets))
+	server := serverpkg.New(x, life, t.facts, t.names, int(clientPart*sockets), int(idlePart*sockets))
 	if beside != nil {
 		if err := beside.Begin(&Dispatcher{told, state, t.facts, t.names, life, x, d, calls, server}); err != nil {
 			return err
--- a/node/clients/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -1,5 +1,5 @@
-// Package clients takes webhooks in from those who hand them in.
-package clients
+// Package server takes webhooks in from those who hand them in.
+package server
 
 import (
 	"context"
--- a/node/clients/door.go
+++ b/webhook/dispatcher/server/door.go
@@ -1,4 +1,4 @@
-package clients
+package server
 
 import (
 	"container/list"
