--- a/cluster/member/counts.go
+++ b/cluster/member/counts.go
@@ -4,26 +4,26 @@
 	"slices"
 
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // in is whether a webhook's destination lies in a range.
-func (o *owing) in(r shardmap.Range) func(*exchange.Webhook) bool {
+func (o *owing) in(r shardmap.Range) func(*inflight.Webhook) bool {
 	chart := o.forwarding.homes.Map()
-	return func(w *exchange.Webhook) bool { return chart.Holds(r, w.Destination) }
+	return func(w *inflight.Webhook) bool { return chart.Holds(r, w.Destination) }
 }
 
 // Out counts calls out of a range.
 func (o *owing) Out(r shardmap.Range) int {
 	chart := o.forwarding.homes.Map()
-	_, out := o.decider.Owes(func(w *exchange.Webhook) bool { return chart.Counts(r, w.Destination) })
+	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return chart.Counts(r, w.Destination) })
 	return out
 }
 
 // OutOf counts calls out of destinations.
 func (o *owing) OutOf(of []webhookpkg.DestinationID) int {
-	_, out := o.decider.Owes(func(w *exchange.Webhook) bool { return slices.Contains(of, w.Destination) })
+	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return slices.Contains(of, w.Destination) })
 	return out
 }
 
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -9,8 +9,8 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // doubt is one webhook that another member may have, as it stands when that is asked.
@@ -23,7 +23,7 @@
 
 // settle asks a member that may have webhooks, of which it is not the home any more, or not in that life.
 func (o *owing) settle(at cluster.MemberID, all []decider.Owed) {
-	f, now := o.forwarding, exchange.Now()
+	f, now := o.forwarding, inflight.Now()
 	var doubts []doubt
 	var asks []asked
 	for _, w := range all {
@@ -37,7 +37,7 @@
 		return
 	}
 	replies := make([]shardmap.Reply, len(asks))
-	status, raw, err := f.talk.Say(at, settlePath, transport.Encode(asks), exchange.Span(f.homes.term/4))
+	status, raw, err := f.talk.Say(at, settlePath, transport.Encode(asks), inflight.Span(f.homes.term/4))
 	var said []shardmap.Reply
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &said)
@@ -54,7 +54,7 @@
 
 // settled does what a reply says, or what holds where there is none.
 func (o *owing) settled(d doubt, r shardmap.Reply) {
-	names, now := o.forwarding.names, exchange.Now()
+	names, now := o.forwarding.names, inflight.Now()
 	what := d.out.Settle(r, o.gone(d), o.events(d.Event), d.MayRun, d.TTL, now)
 	is := func(k *shardmap.Known) bool { // nothing else was heard meanwhile
 		_, hand, out := k.Out(d.name)
@@ -75,10 +75,10 @@
 			still = k.Heard(d.name, d.hand, shardmap.Never) == shardmap.Own
 		})
 		if still = still && err == nil; still {
-			o.decider.Settled([]exchange.RequestID{d.RequestID})
+			o.decider.Settled([]inflight.RequestID{d.RequestID})
 		}
 	default:
-		ran := map[exchange.RequestID]*exchange.Past{d.RequestID: {Attempts: d.Attempts + 1, MayRun: d.out.SentAt}}
+		ran := map[inflight.RequestID]*inflight.Past{d.RequestID: {Attempts: d.Attempts + 1, MayRun: d.out.SentAt}}
 		if !o.decider.Returned(ran) { // first, so that a restart finds it
 			return
 		}
@@ -88,7 +88,7 @@
 			}
 		})
 		if still = still && err == nil; still && what == shardmap.Anew {
-			o.decider.Settled([]exchange.RequestID{d.RequestID})
+			o.decider.Settled([]inflight.RequestID{d.RequestID})
 		} else if still {
 			o.decider.GiveUp(d.ID)
 		}
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -12,8 +12,8 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // A forward takes at most this part of a client's patience, each hop: the rest is for keeping it here.
@@ -22,7 +22,7 @@
 // forwarding sends webhooks to their homes and takes those that are sent here.
 type forwarding struct {
 	homes *homes
-	x     *exchange.Exchange
+	x     *inflight.Exchange
 	talk  *transport.Talk
 	names *names
 	side  *owing
@@ -35,7 +35,7 @@
 }
 
 // taker takes a webhook on in this process.
-type taker = func() (exchange.Answer, webhookpkg.Micros)
+type taker = func() (inflight.Answer, webhookpkg.Micros)
 
 // went is how far a client's webhook came on its way to its home.
 type went uint8
@@ -48,8 +48,8 @@
 
 // Away takes a client's webhook to its home and answers as that does. What can't be taken there is kept here,
 // parked until its home can be reached: it is owned by whoever's journal says so, and by nobody twice.
-func (f *forwarding) Away(w *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros) {
-	for until := exchange.Now() + exchange.AnswerWithin - exchange.AnswerWithin/hopPart; ; {
+func (f *forwarding) Away(w *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros) {
+	for until := inflight.Now() + inflight.AnswerWithin - inflight.AnswerWithin/hopPart; ; {
 		v, what, retryIn, kept := f.keeps(w, here)
 		if kept {
 			return what, retryIn
@@ -63,16 +63,16 @@
 			return what, retryIn
 		case how == stays, v.Do == shardmap.Forward && !f.side.ordered(w):
 			return here()
-		case exchange.Now() > until: // rejected, and told when the switch should be through
-			return exchange.Rejected, exchange.AnswerWithin
+		case inflight.Now() > until: // rejected, and told when the switch should be through
+			return inflight.Rejected, inflight.AnswerWithin
 		}
-		time.Sleep(exchange.Span(exchange.AnswerWithin / hopPart / hopPart / hopPart))
+		time.Sleep(inflight.Span(inflight.AnswerWithin / hopPart / hopPart / hopPart))
 	}
 }
 
 // keeps takes on here what belongs here, or what has to wait here for an earlier one of its key, unless the
 // range is shut: guards against what comes after the last count before a switch.
-func (f *forwarding) keeps(w *exchange.Webhook, here taker) (v shardmap.Verdict, what exchange.Answer,
+func (f *forwarding) keeps(w *inflight.Webhook, here taker) (v shardmap.Verdict, what inflight.Answer,
 	retryIn webhookpkg.Micros, kept bool) {
 	f.homes.door.RLock()
 	defer f.homes.door.RUnlock()
@@ -85,12 +85,12 @@
 }
 
 // goes offers a client's webhook to its home.
-func (f *forwarding) goes(w *exchange.Webhook, v shardmap.Verdict) (exchange.Answer, webhookpkg.Micros, went) {
+func (f *forwarding) goes(w *inflight.Webhook, v shardmap.Verdict) (inflight.Answer, webhookpkg.Micros, went) {
 	hand := f.names.Next(nameOf(w.RequestID))
 	for hops := 0; ; hops++ {
-		at := exchange.Now()
+		at := inflight.Now()
 		hs, life, err := f.say(v.To, webhookPath, sent{Version: v.Version, At: at,
-			All: []shardmap.Carried{carried(w, hand, 0, webhookpkg.Never, 0)}}, exchange.AnswerWithin/hopPart, true)
+			All: []shardmap.Carried{carried(w, hand, 0, webhookpkg.Never, 0)}}, inflight.AnswerWithin/hopPart, true)
 		h := heard{}
 		if err == nil {
 			h = hs[0]
@@ -100,16 +100,16 @@
 			return 0, 0, stays
 		case err != nil || h.Reply == shardmap.Silent || h.Reply == shardmap.Forgot:
 			if !f.doubt(w, hand, shardmap.Offer{To: v.To, Life: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
-				return exchange.Taken, 0, answered
+				return inflight.Taken, 0, answered
 			}
 			return 0, 0, stays
 		case h.Doubled:
-			return exchange.Doubled, 0, answered
+			return inflight.Doubled, 0, answered
 		case h.Reply == shardmap.Has:
 			f.homes.session.Forwarded.Add(1)
-			return exchange.Taken, 0, answered
+			return inflight.Taken, 0, answered
 		case h.Reply == shardmap.Refuses && h.Refused == 0:
-			return exchange.Rejected, h.RetryIn, answered
+			return inflight.Rejected, h.RetryIn, answered
 		case h.Reply == shardmap.Never: // its time is up: here it ends
 			return 0, 0, stays
 		case !shardmap.Again(v, h.Told, h.Refused, hops):
@@ -126,7 +126,7 @@
 	uint64, error) {
 	for ; ; again = false {
 		s.Life = f.life(to)
-		status, raw, err := f.talk.Say(to, path, transport.Encode(s), exchange.Span(within))
+		status, raw, err := f.talk.Say(to, path, transport.Encode(s), inflight.Span(within))
 		var hs heards
 		if err == nil && status == fasthttp.StatusOK {
 			err = transport.Decode(raw, &hs)
@@ -164,13 +164,13 @@
 // doubt has a webhook kept here that its home may have: nobody here calls before that is settled, after a
 // restart either. Where that can't be written, the restart finds that it may have run. false: it has come
 // back here by now, and is held.
-func (f *forwarding) doubt(w *exchange.Webhook, hand shardmap.Hand, o shardmap.Offer) (kept bool) {
+func (f *forwarding) doubt(w *inflight.Webhook, hand shardmap.Hand, o shardmap.Offer) (kept bool) {
 	slog.Warn("webhook in doubt: its home gave no answer", "webhook", w.RequestID, "home", o.To)
 	f.homes.session.Doubts.Add(1)
 	name := nameOf(w.RequestID)
 	err := f.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { kept = k.Sent(name, hand, w.TTL, o) })
 	if w.InDoubt, w.Keep = true, true; err != nil {
-		w.Past, kept = &exchange.Past{Attempts: 1, MayRun: o.SentAt}, true
+		w.Past, kept = &inflight.Past{Attempts: 1, MayRun: o.SentAt}, true
 	}
 	return kept
 }
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -2,8 +2,8 @@
 
 import (
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // gate is what the decider asks.
@@ -18,6 +18,6 @@
 	return g.m.sites.Part(dest, g.m.homes.Verdict(dest).Part(int(g.m.many.Load())))
 }
 
-func (g gate) Doubts(of exchange.RequestID) bool { return g.m.names.Doubts(of) }
+func (g gate) Doubts(of inflight.RequestID) bool { return g.m.names.Doubts(of) }
 
 var _ decider.Fleet = gate{}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -11,8 +11,8 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // harmPath is where a conductor asks for the harm that its moves did.
@@ -37,9 +37,9 @@
 }
 
 // Ended counts an end, as the decider tells it.
-func (g gate) Ended(w *exchange.Webhook, how decider.End) { g.m.harm.ended(w, how) }
+func (g gate) Ended(w *inflight.Webhook, how decider.End) { g.m.harm.ended(w, how) }
 
-func (h *harm) ended(w *exchange.Webhook, how decider.End) {
+func (h *harm) ended(w *inflight.Webhook, how decider.End) {
 	e := rebalance.Ends{Ended: 1}
 	switch how {
 	case decider.Late:
@@ -61,9 +61,9 @@
 // entry counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
 // that it counts once.
 func (h *harm) entry(away away) away {
-	return func(w *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros) {
+	return func(w *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros) {
 		what, retryIn := away(w, here)
-		if what == exchange.Rejected {
+		if what == inflight.Rejected {
 			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
 		}
 		return what, retryIn
@@ -71,7 +71,7 @@
 }
 
 // away is what an exchange has for a client's webhook.
-type away = func(w *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros)
+type away = func(w *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros)
 
 // Look takes note of moves that have begun.
 func (h *harm) Look() {
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -11,8 +11,8 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Each end counts once and as what it was, a rejection where its client heard of it: guards against harm that
@@ -26,13 +26,13 @@
 		now: func() webhookpkg.Micros { return 0 }}
 	h.homes.chart.Store(chart)
 	h.Look()
-	w := &exchange.Webhook{Destination: 7}
+	w := &inflight.Webhook{Destination: 7}
 	for _, how := range []decider.End{decider.InTime, decider.Late, decider.Late, decider.HandedBack,
 		decider.DeadLettered, decider.DeadLettered, decider.DeadLettered} {
 		h.ended(w, how)
 	}
-	to := func(what exchange.Answer, done bool) away {
-		return func(_ *exchange.Webhook, here taker) (exchange.Answer, webhookpkg.Micros) {
+	to := func(what inflight.Answer, done bool) away {
+		return func(_ *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros) {
 			if done {
 				return what, 3
 			}
@@ -40,12 +40,12 @@
 		}
 	}
 	for _, c := range []struct {
-		away, here exchange.Answer
+		away, here inflight.Answer
 		done       bool
-	}{{exchange.Rejected, exchange.Taken, true}, {exchange.Taken, exchange.Rejected, false},
-		{exchange.Taken, exchange.Rejected, true}, {exchange.Rejected, exchange.Taken, false},
-		{exchange.Doubled, exchange.Rejected, true}} {
-		here := func() (exchange.Answer, webhookpkg.Micros) { return c.here, 4 }
+	}{{inflight.Rejected, inflight.Taken, true}, {inflight.Taken, inflight.Rejected, false},
+		{inflight.Taken, inflight.Rejected, true}, {inflight.Rejected, inflight.Taken, false},
+		{inflight.Doubled, inflight.Rejected, true}} {
+		here := func() (inflight.Answer, webhookpkg.Micros) { return c.here, 4 }
 		what, in := h.entry(to(c.away, c.done))(w, here)
 		want, wait := c.away, webhookpkg.Micros(3)
 		if !c.done {
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -8,8 +8,8 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Hear takes a webhook that its entry sent here, or says where it goes.
@@ -79,7 +79,7 @@
 	if f.clocks[from] == nil {
 		f.clocks[from] = &shardmap.Clock{}
 	}
-	return f.clocks[from].Heard(sentAt, exchange.Now(), f.apart)
+	return f.clocks[from].Heard(sentAt, inflight.Now(), f.apart)
 }
 
 // HearSettle answers a member in doubt. A no is kept: what is still on its way comes in vain.
@@ -89,7 +89,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	replies, names, now := make([]shardmap.Reply, len(all)), make([]shardmap.Name, len(all)), exchange.Now()
+	replies, names, now := make([]shardmap.Reply, len(all)), make([]shardmap.Name, len(all)), inflight.Now()
 	for i, a := range all {
 		switch names[i] = a.Name; {
 		case a.Life == 0: // sent before any life was known: no folder takes that
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -23,9 +23,9 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const (
@@ -122,7 +122,7 @@
 	}
 	f := &forwarding{homes: m.homes, x: d.Exchange, talk: m.talk, names: m.names, apart: m.file.Apart,
 		clocks: map[cluster.MemberID]*shardmap.Clock{}, lives: map[cluster.MemberID]uint64{}}
-	m.owing = &owing{forwarding: f, decider: d.Decider, adopted: map[exchange.RequestID]shardmap.MoveID{},
+	m.owing = &owing{forwarding: f, decider: d.Decider, adopted: map[inflight.RequestID]shardmap.MoveID{},
 		told: map[shardmap.MoveID]bool{}, busy: map[cluster.MemberID]bool{}, events: m.event,
 		looks: func() { nudge(m.pokeOwed) }}
 	f.side, m.homes.side = m.owing, m.owing
--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // names is what a member knows of webhooks by their names, kept in a journal of its own: what is told to
@@ -33,7 +33,7 @@
 }
 
 // nameOf is a webhook's over the whole fleet: a request id is never used twice.
-func nameOf(id exchange.RequestID) shardmap.Name {
+func nameOf(id inflight.RequestID) shardmap.Name {
 	return shardmap.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
 }
 
@@ -177,7 +177,7 @@
 }
 
 // Doubts is whether another member may have a webhook that is held here.
-func (n *names) Doubts(of exchange.RequestID) bool {
+func (n *names) Doubts(of inflight.RequestID) bool {
 	_, _, out := n.Out(nameOf(of))
 	return out
 }
@@ -213,7 +213,7 @@
 
 // expire forgets what can't be asked for any more; the caller holds the lock.
 func (n *names) expire() {
-	now := exchange.Now()
+	now := inflight.Now()
 	if now-n.swept < n.slack {
 		return
 	}
--- a/cluster/member/names_test.go
+++ b/cluster/member/names_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // life is one of a folder's: names as a process finds them that still holds some webhooks.
-func life(t *testing.T, dir string, diskMB float64, held ...exchange.RequestID) *names {
+func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *names {
 	n, err := openNames(dir, diskMB, webhookpkg.Second, func(name shardmap.Name) bool {
 		for _, id := range held {
 			if nameOf(id) == name {
@@ -26,7 +26,7 @@
 	return n
 }
 
-func (n *names) does(t *testing.T, id exchange.RequestID, do func(*shardmap.Known, shardmap.Name)) {
+func (n *names) does(t *testing.T, id inflight.RequestID, do func(*shardmap.Known, shardmap.Name)) {
 	name := nameOf(id)
 	require.NoError(t, n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { do(k, name) }))
 }
@@ -34,9 +34,9 @@
 // Guards against a webhook called by two: that it may be with another member outlasts the process, unless it
 // has ended here meanwhile; and so does what was answered of it.
 func TestWhatIsKnownOfNamesOutlastsTheProcess(t *testing.T) {
-	dir, ttl := t.TempDir(), exchange.Now()+90*webhookpkg.Second
+	dir, ttl := t.TempDir(), inflight.Now()+90*webhookpkg.Second
 	n := life(t, dir, 1)
-	for _, id := range []exchange.RequestID{"held", "ended"} {
+	for _, id := range []inflight.RequestID{"held", "ended"} {
 		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
 			k.Offers(name, ttl, shardmap.Offer{To: "b", Life: 3})
 		})
@@ -47,7 +47,7 @@
 	assert.True(t, next.Doubts("held"))
 	assert.False(t, next.Doubts("ended"))
 	next.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) {
-		reply, _ := k.Offered(name, 4, ttl, exchange.Now(), true)
+		reply, _ := k.Offered(name, 4, ttl, inflight.Now(), true)
 		assert.Equal(t, shardmap.Never, reply, "a no is bound to last")
 	})
 	assert.NotEqual(t, n.Life, life(t, t.TempDir(), 1).Life, "a folder that was lost is another life's")
@@ -56,18 +56,18 @@
 // Guards against a webhook that its sender waits for in vain, and against one told to be here that is not:
 // the process ended between its record and its journal, before or after the webhook was in it.
 func TestAProcessThatEndsWhileItTakesOn(t *testing.T) {
-	dir, ttl := t.TempDir(), exchange.Now()+90*webhookpkg.Second
+	dir, ttl := t.TempDir(), inflight.Now()+90*webhookpkg.Second
 	n := life(t, dir, 1)
-	for _, id := range []exchange.RequestID{"in", "lost"} {
+	for _, id := range []inflight.RequestID{"in", "lost"} {
 		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
-			_, what := k.Offered(name, 1, ttl, exchange.Now(), true)
+			_, what := k.Offered(name, 1, ttl, inflight.Now(), true)
 			require.Equal(t, shardmap.Takes, what)
 		})
 		assert.True(t, n.Comes(nameOf(id)))
 	}
 	for range 2 { // the life after the next finds the same
 		n = life(t, dir, 1, "in")
-		for id, want := range map[exchange.RequestID]shardmap.Reply{"in": shardmap.Has, "lost": shardmap.Never} {
+		for id, want := range map[inflight.RequestID]shardmap.Reply{"in": shardmap.Has, "lost": shardmap.Never} {
 			n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
 				reply, _ := k.Asked(name, 1, ttl)
 				assert.Equal(t, want, reply, id)
@@ -78,11 +78,11 @@
 
 // Guards against an answer that no record stands for: what can't be written did not happen.
 func TestWhatCanNotBeWrittenIsAsBefore(t *testing.T) {
-	n, ttl := life(t, t.TempDir(), 0.01), exchange.Now()+90*webhookpkg.Second
+	n, ttl := life(t, t.TempDir(), 0.01), inflight.Now()+90*webhookpkg.Second
 	var err error
 	for id := range 1000 {
-		name := nameOf(exchange.RequestID(rune('a' + id)))
-		err = n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Offered(name, 1, ttl, exchange.Now(), true) })
+		name := nameOf(inflight.RequestID(rune('a' + id)))
+		err = n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Offered(name, 1, ttl, inflight.Now(), true) })
 		if err != nil {
 			assert.False(t, n.Comes(name))
 			break
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -8,15 +8,15 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // handOn offers what is owed to its home, or to the target of its move, and has it parked in doubt until
 // there is an answer. What has none is offered again: there it is known by its name.
 func (o *owing) handOn(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []decider.Owed) {
 	f := o.forwarding
-	s := sent{Version: chart.Version, At: exchange.Now(), Move: move}
+	s := sent{Version: chart.Version, At: inflight.Now(), Move: move}
 	all = o.offered(chart, to, move, all, &s)
 	if len(all) == 0 {
 		return
@@ -59,7 +59,7 @@
 	}
 	marked := o.decider.Doubt(ids)
 	life := f.life(to)
-	var anew, settled []exchange.RequestID
+	var anew, settled []inflight.RequestID
 	err := f.names.Change(names, func(k *shardmap.Known) {
 		for i, w := range all {
 			r, ok := chart.Of(chart.Key(w.Destination))
@@ -94,7 +94,7 @@
 // heard does what the answers to offers say.
 func (o *owing) heard(s sent, all []decider.Owed, hs []heard) {
 	var own []shardmap.Name
-	var ours []exchange.RequestID
+	var ours []inflight.RequestID
 	var drop []webhookpkg.WebhookID
 	for i, w := range all {
 		if hs[i].Reply != shardmap.Has {
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -6,8 +6,8 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // mostAtOnce bounds what goes over in one message.
@@ -21,13 +21,13 @@
 	looks      func() // has Look called soon; does not wait
 
 	mu      sync.Mutex
-	adopted map[exchange.RequestID]shardmap.MoveID // came here by a move that has not ended
+	adopted map[inflight.RequestID]shardmap.MoveID // came here by a move that has not ended
 	told    map[shardmap.MoveID]bool               // its target knows what was learned here
 	busy    map[cluster.MemberID]bool              // is being told
 }
 
 // adopts notes by which move a webhook came here; 0: by none, or it did not.
-func (o *owing) adopts(id exchange.RequestID, move shardmap.MoveID) {
+func (o *owing) adopts(id inflight.RequestID, move shardmap.MoveID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if move == 0 {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (o *owing) ordered(w *exchange.Webhook) bool { return w.Key != 0 && o.events(w.Event).Ordered }
+func (o *owing) ordered(w *inflight.Webhook) bool { return w.Key != 0 && o.events(w.Event).Ordered }
 
 // errand is what one member is to be told: offers by their moves, in the order taken, and doubts to settle.
 type errand struct {
@@ -62,7 +62,7 @@
 	if chart == nil {
 		return
 	}
-	all, _ := o.decider.Owes(func(*exchange.Webhook) bool { return true })
+	all, _ := o.decider.Owes(func(*inflight.Webhook) bool { return true })
 	o.over(chart)
 	errands := map[cluster.MemberID]*errand{}
 	for to, e := range o.sorts(chart, all) {
@@ -141,7 +141,7 @@
 func (o *owing) came(w decider.Owed) {
 	if name := nameOf(w.RequestID); o.forwarding.names.Comes(name) {
 		if o.forwarding.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
-			o.decider.Settled([]exchange.RequestID{w.RequestID})
+			o.decider.Settled([]inflight.RequestID{w.RequestID})
 		}
 	}
 }
--- a/cluster/member/said.go
+++ b/cluster/member/said.go
@@ -3,8 +3,8 @@
 import (
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // The paths on which members hear each other.
@@ -50,7 +50,7 @@
 }
 
 // carried is a webhook as it goes over.
-func carried(w *exchange.Webhook, hand shardmap.Hand, attempts int, mayRun webhookpkg.Micros,
+func carried(w *inflight.Webhook, hand shardmap.Hand, attempts int, mayRun webhookpkg.Micros,
 	zone webhookpkg.ZoneID) shardmap.Carried {
 	return shardmap.Carried{Name: nameOf(w.RequestID), Hand: hand, Event: w.Event, Tenant: w.Tenant, Key: w.Key,
 		Dest: w.Destination, TTL: w.TTL, Attempts: attempts, MayRun: mayRun, Zone: zone,
@@ -58,14 +58,14 @@
 }
 
 // webhook is the same at the other end, its times by the clock here.
-func webhook(c shardmap.Carried) (*exchange.Webhook, error) {
-	w, err := exchange.FromBytes(0, c.Whole)
+func webhook(c shardmap.Carried) (*inflight.Webhook, error) {
+	w, err := inflight.FromBytes(0, c.Whole)
 	if err != nil {
 		return nil, err
 	}
-	w.CameAt, w.TTL = exchange.Now(), c.TTL
+	w.CameAt, w.TTL = inflight.Now(), c.TTL
 	if c.Attempts > 0 || c.MayRun != webhookpkg.Never {
-		w.Past = &exchange.Past{Attempts: c.Attempts, MayRun: c.MayRun, Zone: c.Zone}
+		w.Past = &inflight.Past{Attempts: c.Attempts, MayRun: c.MayRun, Zone: c.Zone}
 	}
 	return w, nil
 }
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -2,8 +2,8 @@
 
 import (
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // taking is webhooks of one message, taken on in their order, each once, whatever is said twice.
@@ -12,15 +12,15 @@
 	s    sent
 	said []heard
 	was  []past // records before, where this message takes them on; by place in the message
-	ins  []*exchange.Webhook
+	ins  []*inflight.Webhook
 	of   []int // their places in the message
-	back map[exchange.RequestID]*exchange.Past
-	own  []exchange.RequestID // may be called from here on
+	back map[inflight.RequestID]*inflight.Past
+	own  []inflight.RequestID // may be called from here on
 }
 
 func (t *taking) take(admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
-	names, webhooks := make([]shardmap.Name, len(t.s.All)), make([]*exchange.Webhook, len(t.s.All))
-	t.was, t.back = make([]past, len(t.s.All)), map[exchange.RequestID]*exchange.Past{}
+	names, webhooks := make([]shardmap.Name, len(t.s.All)), make([]*inflight.Webhook, len(t.s.All))
+	t.was, t.back = make([]past, len(t.s.All)), map[inflight.RequestID]*inflight.Past{}
 	for i, c := range t.s.All {
 		names[i] = c.Name
 		if w, err := webhook(c); err == nil && t.x.Named(c.Dest) {
@@ -28,7 +28,7 @@
 		}
 	}
 	err := t.names.Change(names, func(k *shardmap.Known) {
-		now := exchange.Now()
+		now := inflight.Now()
 		if !t.returns(k, webhooks) {
 			return
 		}
@@ -40,7 +40,7 @@
 		clear(t.said)
 		for n, i := range t.of {
 			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: exchange.AnswerWithin}
+			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: inflight.AnswerWithin}
 		}
 		return
 	}
@@ -50,7 +50,7 @@
 
 // returns has what comes back written with what it brings along, before the record says that it is here;
 // names are locked.
-func (t *taking) returns(k *shardmap.Known, webhooks []*exchange.Webhook) (written bool) {
+func (t *taking) returns(k *shardmap.Known, webhooks []*inflight.Webhook) (written bool) {
 	for i, c := range t.s.All {
 		if w := webhooks[i]; w != nil && k.Returns(c.Name, c.Hand) && w.Past != nil {
 			t.back[w.RequestID] = w.Past
@@ -60,7 +60,7 @@
 }
 
 // offered decides one; names are locked.
-func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *exchange.Webhook, now webhookpkg.Micros,
+func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now webhookpkg.Micros,
 	admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
 	admission, told := admit(t.s, c)
 	t.was[i] = t.names.past(c.Name)
@@ -82,13 +82,13 @@
 
 // handIn has what is new taken on; what is refused is as if it had not been offered.
 func (t *taking) handIn() {
-	t.x.HandInAll(t.ins, func(n int, what exchange.Answer, retryIn webhookpkg.Micros) {
+	t.x.HandInAll(t.ins, func(n int, what inflight.Answer, retryIn webhookpkg.Micros) {
 		i := t.of[n]
 		switch what {
-		case exchange.Taken:
+		case inflight.Taken:
 			t.homes.session.TakenOver.Add(1)
 			t.x.Accepted.Add(1)
-		case exchange.Doubled: // it came here by another way, and is this member's already
+		case inflight.Doubled: // it came here by another way, and is this member's already
 			t.said[i].Doubled = true
 		default:
 			t.side.adopts(t.ins[n].RequestID, 0)
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -4,8 +4,8 @@
 	"log/slog"
 
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // teach tells the target of each move what was learned here, once no call of the range is out any more.
@@ -30,7 +30,7 @@
 		if !idle {
 			continue
 		}
-		s := sent{Version: chart.Version, At: exchange.Now(), Move: v.ID, Learned: all}
+		s := sent{Version: chart.Version, At: inflight.Now(), Move: v.ID, Learned: all}
 		if _, _, err := f.say(v.To, owedPath, s, f.homes.term/2, true); err != nil {
 			slog.Debug("learned not handed on", "to", v.To, "why", err)
 			continue
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -16,8 +16,8 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // other has the test's program be the far side of a benchmark: destinations, and relays whose subscribers
@@ -105,7 +105,7 @@
 		said := transport.New(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
 		shelf.relay = relay.NewRelay(stream.NewReceiver(stream.Mark{Life: 9}, nil, nil), shelf, from{said, c},
-			relay.PaceOf(3*webhook.Second), exchange.Now)
+			relay.PaceOf(3*webhook.Second), inflight.Now)
 		on, s := listen(c), transport.Hears(8, 5*time.Second)
 		s.Handle(relay.OpenPath, shelf.relay.Open)
 		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.relay.Frame(ctx) })
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -18,11 +18,11 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
 
@@ -37,7 +37,7 @@
 type open struct{ s *Sites }
 
 func (o open) Calls(d webhook.DestinationID, _ bool) bool { may, _ := o.s.Calls(d); return may }
-func (open) Doubts(exchange.RequestID) bool               { return false }
+func (open) Doubts(inflight.RequestID) bool               { return false }
 func (o open) Part(webhook.DestinationID) float64         { return 1 }
 
 // BenchmarkAnnouncement is one for 10,000 subscribers at 40 sites, at the member that owns them all: from
@@ -79,7 +79,7 @@
 	f.Lists = []config.List{{ID: "all", Subscribers: all}}
 	kept, err := journal.Open(b.TempDir(), 200)
 	require.NoError(b, err)
-	x, life := exchange.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
 	evt := webhook.EventType{Target: 5 * webhook.Second, TTL: 600 * webhook.Second}
 	d := decider.New(x, life, kept, webhook.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
@@ -112,11 +112,11 @@
 	was, n := cpu(), 0
 	for b.Loop() {
 		n++
-		w := &exchange.Webhook{RequestID: exchange.RequestID(fmt.Sprint("a", n)), Body: body(),
-			TTL: exchange.Now() + evt.TTL, CameAt: exchange.Now()}
+		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: body(),
+			TTL: inflight.Now() + evt.TTL, CameAt: inflight.Now()}
 		w.List = "all"
 		what, _ := sites.away(w, nil)
-		require.Equal(b, exchange.Taken, what)
+		require.Equal(b, inflight.Taken, what)
 		for !d.Empty() {
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -7,8 +7,8 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 var errMoved = errors.New("some of it is no longer here to be sent")
@@ -18,12 +18,12 @@
 // Sending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
 // made anew without it.
 func (l *lane) Sending(items []stream.Item, life uint64, at webhook.Micros) error {
-	given := map[exchange.RequestID]int{}
+	given := map[inflight.RequestID]int{}
 	var all, before []mark
-	var fresh []exchange.RequestID
+	var fresh []inflight.RequestID
 	for _, i := range items {
 		for _, to := range i.To {
-			id := exchange.RequestID(i.RequestOf(to))
+			id := inflight.RequestID(i.RequestOf(to))
 			given[id] = i.Attempts
 			if m, sent := l.of.marks.get(id); sent {
 				before = append(before, m)
@@ -61,7 +61,7 @@
 
 // frees takes deliveries back. never: the relay never had them.
 func (l *lane) frees(all []stream.Delivery, never bool) {
-	back := map[exchange.RequestID]decider.Back{}
+	back := map[inflight.RequestID]decider.Back{}
 	for _, d := range all {
 		if g := l.get(d); g != nil {
 			m, _ := l.of.marks.get(g.id)
@@ -110,7 +110,7 @@
 		if g == nil {
 			return stream.Ends
 		}
-		return stream.Rule(g.item, s.At, l.of.event(g.item.Event), lost, g.item.TTL, exchange.Now())
+		return stream.Rule(g.item, s.At, l.of.event(g.item.Event), lost, g.item.TTL, inflight.Now())
 	}
 	courses := make([]stream.Course, len(of))
 	if lost {
@@ -120,13 +120,13 @@
 		for i, s := range of {
 			courses[i] = rule(s)
 			// Guards against a call here beside the relay's own, which may just have begun: it has a while.
-			if courses[i] == stream.Goes && exchange.Now() < s.At+webhook.Micros(l.of.pace.Gone.Microseconds()) {
+			if courses[i] == stream.Goes && inflight.Now() < s.At+webhook.Micros(l.of.pace.Gone.Microseconds()) {
 				courses[i] = stream.Waits
 			}
 		}
 	}
 	var goes []stream.Delivery
-	var ends []exchange.End
+	var ends []inflight.End
 	for i, s := range of {
 		switch g := l.get(s.Delivery); {
 		case courses[i] == stream.Waits:
@@ -135,7 +135,7 @@
 		case courses[i] == stream.Goes:
 			goes = append(goes, s.Delivery)
 		default:
-			ends = append(ends, exchange.End{RequestID: g.id, How: exchange.EndDeadLettered, MayRun: true})
+			ends = append(ends, inflight.End{RequestID: g.id, How: inflight.EndDeadLettered, MayRun: true})
 		}
 		forget = append(forget, s.Delivery)
 	}
@@ -155,7 +155,7 @@
 }
 
 // ends guards against one put into the stream again by a list from before it ended.
-func (l *lane) ends(all []exchange.End) {
+func (l *lane) ends(all []inflight.End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range all {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (l *lane) drop(ends []exchange.End) {
+func (l *lane) drop(ends []inflight.End) {
 	for _, e := range ends {
 		l.of.marks.drop(e.RequestID)
 	}
@@ -174,11 +174,11 @@
 // Ended takes the relay's word. One that the stream does not know of may be of an earlier life of this
 // process.
 func (l *lane) Ended(ends []stream.End) (heard []stream.Delivery) {
-	var byName map[stream.Delivery]exchange.RequestID
-	var all []exchange.End
+	var byName map[stream.Delivery]inflight.RequestID
+	var all []inflight.End
 	for _, e := range ends {
 		heard = append(heard, e.Delivery)
-		var id exchange.RequestID
+		var id inflight.RequestID
 		if g := l.get(e.Delivery); g != nil {
 			id = g.id
 		} else {
@@ -190,9 +190,9 @@
 		if id == "" {
 			continue // it has ended
 		}
-		end := exchange.End{RequestID: id, How: exchange.How(e.How), RetryIn: e.RetryIn}
-		if m, sent := l.of.marks.get(id); sent && m.Ran && end.How == exchange.EndRejected {
-			end.How = exchange.EndDeadLettered // it never ran there, but may have run before
+		end := inflight.End{RequestID: id, How: inflight.How(e.How), RetryIn: e.RetryIn}
+		if m, sent := l.of.marks.get(id); sent && m.Ran && end.How == inflight.EndRejected {
+			end.How = inflight.EndDeadLettered // it never ran there, but may have run before
 		}
 		all = append(all, end)
 	}
@@ -207,18 +207,18 @@
 }
 
 // names finds deliveries among all that is held here.
-func (l *lane) names(ends []stream.End) map[stream.Delivery]exchange.RequestID {
+func (l *lane) names(ends []stream.End) map[stream.Delivery]inflight.RequestID {
 	want := map[stream.Delivery]bool{}
 	for _, e := range ends {
 		want[e.Delivery] = true
 	}
-	all := map[stream.Delivery]exchange.RequestID{}
+	all := map[stream.Delivery]inflight.RequestID{}
 	for _, id := range l.of.decider.Held() {
 		of, _, _ := id.Subscriber()
 		name := l.nameOf(string(of))
 		for d := range want {
 			i := stream.Item{Request: string(of), Many: id != of}
-			if d.Name == name && exchange.RequestID(i.RequestOf(d.To)) == id {
+			if d.Name == name && inflight.RequestID(i.RequestOf(d.To)) == id {
 				all[d] = id
 			}
 		}
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -12,9 +12,9 @@
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // roomPart is the share of a dispatcher's buffer that its relay may fill: the rest is for clients' own.
@@ -26,7 +26,7 @@
 type record struct {
 	Mark     *stream.Mark       `cbor:"1,keyasint,omitempty"`
 	Delivery stream.Delivery    `cbor:"2,keyasint"`
-	Request  exchange.RequestID `cbor:"3,keyasint,omitempty"`
+	Request  inflight.RequestID `cbor:"3,keyasint,omitempty"`
 	Whole    []byte             `cbor:"4,keyasint,omitempty"` // as exchange.Webhook.Bytes
 	Attempts int                `cbor:"5,keyasint,omitempty"`
 	MayRun   webhook.Micros     `cbor:"6,keyasint,omitempty"`
@@ -44,7 +44,7 @@
 	last   webhook.WebhookID
 	marked webhook.WebhookID // the mark's record
 	of     map[stream.Delivery]webhook.WebhookID
-	ids    map[exchange.RequestID]*record // of those that have no end yet
+	ids    map[inflight.RequestID]*record // of those that have no end yet
 	tos    map[webhook.DestinationID]int  // how many of them, by destination
 	fresh  []*record                      // to be handed in
 	over   []over
@@ -55,7 +55,7 @@
 // dispatcher is the relay's own.
 type dispatcher struct {
 	decider *decider.Decider
-	x       *exchange.Exchange
+	x       *inflight.Exchange
 	room    func() int  // deliveries that may be held at once
 	takes   func() bool // this member takes webhooks on
 }
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]webhook.WebhookID{},
-		ids: map[exchange.RequestID]*record{}, tos: map[webhook.DestinationID]int{},
+		ids: map[inflight.RequestID]*record{}, tos: map[webhook.DestinationID]int{},
 		bell: make(chan struct{}, 1), ended: make(chan struct{})}
 	var m stream.Mark
 	last, all := map[stream.Delivery]*record{}, []stream.Delivery{}
@@ -97,7 +97,7 @@
 	}
 	var held []stream.Delivery
 	var owed []stream.End
-	var ids []exchange.RequestID
+	var ids []inflight.RequestID
 	for _, d := range all {
 		r := last[d]
 		if r.End != nil {
@@ -117,7 +117,7 @@
 		}
 		k.marked = k.last
 	}
-	k.relay = relay.NewRelay(stream.NewReceiver(m, held, owed), k, said, p, exchange.Now)
+	k.relay = relay.NewRelay(stream.NewReceiver(m, held, owed), k, said, p, inflight.Now)
 	ended, there := of.decider.Relays(ids, k.ends)
 	for id, e := range ended {
 		k.ends(id, e)
@@ -172,7 +172,7 @@
 	all := []*record{{Mark: &m}}
 	for _, i := range fresh {
 		for _, to := range i.To {
-			w := exchange.Webhook{RequestID: exchange.RequestID(i.RequestOf(to)), Token: exchange.Token(i.Token),
+			w := inflight.Webhook{RequestID: inflight.RequestID(i.RequestOf(to)), Token: inflight.Token(i.Token),
 				Event: i.Event, Tenant: i.Tenant, Key: i.Key, Destination: to, TTL: i.TTL, Body: i.Body}
 			all = append(all, &record{Delivery: stream.Delivery{Name: i.Name, To: to}, Request: w.RequestID,
 				Whole: w.Bytes(), Attempts: i.Attempts, MayRun: i.MayRun, Zone: i.Zone})
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -13,11 +13,11 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
 
@@ -32,7 +32,7 @@
 func relayIn(t *testing.T, dir string, ttl webhook.Micros) *bed {
 	kept, err := journal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := exchange.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
 	d := decider.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
 		EventTypes: []webhook.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhook.AtMostOnce}}})
@@ -70,7 +70,7 @@
 func brought(ttl webhook.Micros) (stream.Mark, []stream.Item) {
 	return stream.Mark{Life: 3, Run: stream.Run{Epoch: 1, No: 1}, Upto: 1, Taken: 2}, []stream.Item{{
 		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: webhook.Never,
-		TTL: exchange.Now() + ttl, Body: []byte("b"), To: []webhook.DestinationID{4, 5}}}
+		TTL: inflight.Now() + ttl, Body: []byte("b"), To: []webhook.DestinationID{4, 5}}}
 }
 
 // Guards against a second effect: a record whose end is written outlasts that write, as it is taken out
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -6,8 +6,8 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // owed lists what is parked here by site, in the order taken: all sites in one turn, since each turn looks at
@@ -16,7 +16,7 @@
 	for _, l := range of.lanes {
 		l.lists()
 	}
-	all, _ := s.decider.Owes(func(w *exchange.Webhook) bool {
+	all, _ := s.decider.Owes(func(w *inflight.Webhook) bool {
 		l := s.laneOf(w, of)
 		return l != nil && l.site.Relay != s.self
 	})
@@ -31,7 +31,7 @@
 
 // laneOf is the site that a webhook is given to, or was: one that has moved to another since ends by the
 // word of the relay that may have it.
-func (s *Sites) laneOf(w *exchange.Webhook, of *ways) *lane {
+func (s *Sites) laneOf(w *inflight.Webhook, of *ways) *lane {
 	if m, sent := s.marks.get(w.RequestID); sent {
 		if i := slices.IndexFunc(of.lanes, func(l *lane) bool { return m.by(l.site) }); i >= 0 {
 			return of.lanes[i]
@@ -64,7 +64,7 @@
 }
 
 // has is whether the stream has it, or it has ended since it was listed as owed.
-func (l *lane) has(id exchange.RequestID) bool {
+func (l *lane) has(id inflight.RequestID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, is := l.ids[id]
@@ -74,7 +74,7 @@
 func (l *lane) lists() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = map[exchange.RequestID]bool{}
+	l.over = map[inflight.RequestID]bool{}
 }
 
 // feed hands the stream what is owed and not in it yet: subscribers of one announcement together.
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -6,18 +6,18 @@
 	"time"
 
 	"rowanlink/cluster/stream"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // over is an end as the decider told it.
 type over struct {
 	id webhook.WebhookID // in the decider's journal; 0: it was never there
-	exchange.End
+	inflight.End
 }
 
 // ends is called in the decider's turn, once its journal has the end.
-func (k *desk) ends(id webhook.WebhookID, e exchange.End) {
+func (k *desk) ends(id webhook.WebhookID, e inflight.End) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.over = append(k.over, over{id, e})
@@ -26,7 +26,7 @@
 
 // run hands in and tells ends until close.
 func (k *desk) run() {
-	again := time.NewTicker(exchange.Span(exchange.AnswerWithin / 4)) // what could not be written or handed in
+	again := time.NewTicker(inflight.Span(inflight.AnswerWithin / 4)) // what could not be written or handed in
 	defer again.Stop()
 	for {
 		select {
@@ -46,27 +46,27 @@
 
 // handsIn gives to the decider what came.
 func (k *desk) handsIn(all []*record) {
-	var ws []*exchange.Webhook
+	var ws []*inflight.Webhook
 	var of []*record
 	for _, r := range all {
-		w, err := exchange.FromBytes(0, r.Whole)
+		w, err := inflight.FromBytes(0, r.Whole)
 		if err != nil {
 			slog.Error("relay: webhook not read", "webhook", r.Request, "why", err)
-			k.ends(0, exchange.End{RequestID: r.Request, How: exchange.EndRejected})
+			k.ends(0, inflight.End{RequestID: r.Request, How: inflight.EndRejected})
 			continue
 		}
-		w.CameAt, w.Ends = exchange.Now(), k.ends
+		w.CameAt, w.Ends = inflight.Now(), k.ends
 		if r.Attempts > 0 || r.MayRun != webhook.Never {
-			w.Past = &exchange.Past{Attempts: r.Attempts, MayRun: r.MayRun, Zone: r.Zone}
+			w.Past = &inflight.Past{Attempts: r.Attempts, MayRun: r.MayRun, Zone: r.Zone}
 		}
 		ws, of = append(ws, w), append(of, r)
 	}
-	k.x.HandInAll(ws, func(i int, what exchange.Answer, retryIn webhook.Micros) {
+	k.x.HandInAll(ws, func(i int, what inflight.Answer, retryIn webhook.Micros) {
 		switch {
-		case what == exchange.Rejected && !k.takes(): // told to end: it is handed in by the next life
-		case what == exchange.Rejected:
-			k.ends(0, exchange.End{RequestID: of[i].Request, How: exchange.EndRejected, RetryIn: retryIn})
-		case what == exchange.Doubled: // this member has it by another way, which is settled first
+		case what == inflight.Rejected && !k.takes(): // told to end: it is handed in by the next life
+		case what == inflight.Rejected:
+			k.ends(0, inflight.End{RequestID: of[i].Request, How: inflight.EndRejected, RetryIn: retryIn})
+		case what == inflight.Doubled: // this member has it by another way, which is settled first
 			k.mu.Lock()
 			k.fresh = append(k.fresh, of[i])
 			k.mu.Unlock()
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -13,8 +13,8 @@
 	"rowanlink/cluster/relay"
 	streampkg "rowanlink/cluster/stream"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // lane is a site as one member sees it that may be its sender.
@@ -34,14 +34,14 @@
 
 	mu    sync.Mutex
 	known map[streampkg.Delivery]*given // in the stream: queued, or sent and not ended
-	ids   map[exchange.RequestID]streampkg.Delivery
-	over  map[exchange.RequestID]bool // ended since what is owed was last listed
+	ids   map[inflight.RequestID]streampkg.Delivery
+	over  map[inflight.RequestID]bool // ended since what is owed was last listed
 	aside []streampkg.Delivery        // to be said to the stream: they go beside it
 }
 
 // given is a delivery as the stream has it.
 type given struct {
-	id   exchange.RequestID
+	id   inflight.RequestID
 	item *streampkg.Item
 }
 
@@ -55,7 +55,7 @@
 		ID: xxhash.Sum64String("name " + request)}
 }
 
-func (l *lane) delivery(id exchange.RequestID, to webhook.DestinationID) streampkg.Delivery {
+func (l *lane) delivery(id inflight.RequestID, to webhook.DestinationID) streampkg.Delivery {
 	of, _, _ := id.Subscriber()
 	return streampkg.Delivery{Name: l.nameOf(string(of)), To: to}
 }
@@ -146,12 +146,12 @@
 	l.anew.Store(false)
 	l.epoch = epoch
 	s := streampkg.NewSender(epoch, l.of.apart)
-	s.From(uint64(exchange.Now()))
+	s.From(uint64(inflight.Now()))
 	l.mu.Lock()
-	l.known, l.ids = map[streampkg.Delivery]*given{}, map[exchange.RequestID]streampkg.Delivery{}
+	l.known, l.ids = map[streampkg.Delivery]*given{}, map[inflight.RequestID]streampkg.Delivery{}
 	l.aside = nil
 	l.mu.Unlock()
-	of := map[exchange.RequestID]mark{}
+	of := map[inflight.RequestID]mark{}
 	for _, m := range sent {
 		of[m.ID] = m
 	}
@@ -177,7 +177,7 @@
 		}
 	}
 	slog.Info("site's stream begins", "site", l.site.ID, "relay", l.site.Relay, "epoch", epoch, "sent", n)
-	stream := relay.NewStream(l.site.Relay, s, l, l.of.said, l.of.pace, exchange.Now, func() bool {
+	stream := relay.NewStream(l.site.Relay, s, l, l.of.said, l.of.pace, inflight.Now, func() bool {
 		now, held := l.of.session.Holds(l.task)
 		return held && now == epoch && !l.closing.Load() && l.of.home(l.site.ID)
 	})
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -10,11 +10,11 @@
 	"rowanlink/cluster/stream"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
 
@@ -28,7 +28,7 @@
 func TestWhatWasSentStaysMarkedThoughAFrameWithItIsNotSent(t *testing.T) {
 	kept, err := journal.Open(t.TempDir(), 1)
 	require.NoError(t, err)
-	x, life := exchange.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
 	d := decider.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
 		EventTypes: []webhook.EventType{{Target: webhook.Second, TTL: 9 * webhook.Second}}})
@@ -42,11 +42,11 @@
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
 	item := func(id string) stream.Item { return stream.Item{Request: id, To: []webhook.DestinationID{7}} }
-	for _, id := range []exchange.RequestID{"a", "b"} {
-		now := exchange.Now()
-		what, _ := x.HandInHere(&exchange.Webhook{RequestID: id, Destination: 7, TTL: now + 9*webhook.Second,
+	for _, id := range []inflight.RequestID{"a", "b"} {
+		now := inflight.Now()
+		what, _ := x.HandInHere(&inflight.Webhook{RequestID: id, Destination: 7, TTL: now + 9*webhook.Second,
 			CameAt: now})
-		require.Equal(t, exchange.Taken, what)
+		require.Equal(t, inflight.Taken, what)
 	}
 	require.NoError(t, l.Sending([]stream.Item{item("a")}, 1, 100))
 	require.ErrorIs(t, l.Sending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -8,16 +8,16 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // mark says of one delivery that it may be at a relay. It is kept from before its first byte leaves until
 // its end is known, in a journal beside that of webhooks.
 type mark struct {
 	Site  cluster.SiteID     `cbor:"1,keyasint"`
-	ID    exchange.RequestID `cbor:"2,keyasint"`
+	ID    inflight.RequestID `cbor:"2,keyasint"`
 	Life  uint64             `cbor:"3,keyasint"` // of the relay's folder
 	At    webhook.Micros     `cbor:"4,keyasint"` // when it was sent first
 	Epoch cluster.Epoch      `cbor:"5,keyasint"` // by which it was
@@ -30,8 +30,8 @@
 type marks struct {
 	mu   sync.Mutex
 	kept *journal.Journal
-	of   map[exchange.RequestID]mark
-	at   map[exchange.RequestID]webhook.WebhookID // the record of each
+	of   map[inflight.RequestID]mark
+	at   map[inflight.RequestID]webhook.WebhookID // the record of each
 	last webhook.WebhookID
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &marks{kept: kept, of: map[exchange.RequestID]mark{}, at: map[exchange.RequestID]webhook.WebhookID{}}
+	m := &marks{kept: kept, of: map[inflight.RequestID]mark{}, at: map[inflight.RequestID]webhook.WebhookID{}}
 	for _, e := range kept.Entries() {
 		var one mark
 		if err := transport.Decode(e.Taken, &one); err != nil {
@@ -93,7 +93,7 @@
 
 // drop forgets marks. It need not be on the disk at once: one too many is settled by the relay's word
 // again.
-func (m *marks) drop(ids ...exchange.RequestID) {
+func (m *marks) drop(ids ...inflight.RequestID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range ids {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (m *marks) get(id exchange.RequestID) (mark, bool) {
+func (m *marks) get(id inflight.RequestID) (mark, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	one, known := m.of[id]
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -17,8 +17,8 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
 	"rowanlink/node/decider"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // marksMB of the disk are for what is noted of deliveries on their way.
@@ -36,7 +36,7 @@
 	Self     cluster.MemberID
 	State    string  // the folder that outlasts the process
 	DiskMB   float64 // for a relay's own journal
-	Exchange *exchange.Exchange
+	Exchange *inflight.Exchange
 	Decider  *decider.Decider
 	Said     relay.Said
 	Takes    func() bool // webhooks, from whomever
@@ -66,7 +66,7 @@
 	marks   *marks
 	desk    atomic.Pointer[desk]
 	plan    atomic.Pointer[ways]
-	next    func(*exchange.Webhook, func() (exchange.Answer, webhook.Micros)) (exchange.Answer, webhook.Micros)
+	next    func(*inflight.Webhook, func() (inflight.Answer, webhook.Micros)) (inflight.Answer, webhook.Micros)
 
 	mu    sync.Mutex // one renewal at a time
 	ended chan struct{}
@@ -131,7 +131,7 @@
 	if s.marks, err = openMarks(filepath.Join(s.p.State, "fleet", "sent"), marksMB); err != nil {
 		return err
 	}
-	var sent []exchange.RequestID
+	var sent []inflight.RequestID
 	for id := range s.marks.of {
 		sent = append(sent, id)
 	}
--- a/cluster/site/ways.go
+++ b/cluster/site/ways.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 
 	"rowanlink/cluster/config"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // ways is what the operator file says of sites and lists.
@@ -107,24 +107,24 @@
 }
 
 // away takes an announcement on: each subscriber's webhook has an end of its own from here on.
-func (s *Sites) away(w *exchange.Webhook, here func() (exchange.Answer,
-	webhook.Micros)) (what exchange.Answer, retryIn webhook.Micros) {
+func (s *Sites) away(w *inflight.Webhook, here func() (inflight.Answer,
+	webhook.Micros)) (what inflight.Answer, retryIn webhook.Micros) {
 	if w.List == "" {
 		return s.next(w, here)
 	}
-	var all []*exchange.Webhook
+	var all []*inflight.Webhook
 	for _, to := range s.plan.Load().lists[w.List] {
 		one := *w
-		one.RequestID, one.Destination, one.List = exchange.ForSubscriber(w.RequestID, to), to, ""
+		one.RequestID, one.Destination, one.List = inflight.ForSubscriber(w.RequestID, to), to, ""
 		all = append(all, &one)
 	}
-	if what = s.decider.Announce(all); what == exchange.Taken {
+	if what = s.decider.Announce(all); what == inflight.Taken {
 		s.Announcements.Add(1)
 		s.p.Nudge()
 		return what, 0
 	}
-	if what == exchange.Rejected {
-		retryIn = exchange.AnswerWithin
+	if what == inflight.Rejected {
+		retryIn = inflight.AnswerWithin
 	}
 	return what, retryIn
 }
--- a/node/decider/announced.go
+++ b/node/decider/announced.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // inTurn has something done in the next turn and waits for it.
@@ -18,19 +18,19 @@
 }
 
 // Announce takes all webhooks of an announcement on or none, in one write.
-func (d *Decider) Announce(all []*exchange.Webhook) (what exchange.Answer) {
+func (d *Decider) Announce(all []*inflight.Webhook) (what inflight.Answer) {
 	d.inTurn(func() { what = d.announce(all) })
 	return what
 }
 
-func (d *Decider) announce(all []*exchange.Webhook) exchange.Answer {
-	if !d.life.TakesOn() || len(all) == 0 || d.now-all[0].CameAt > exchange.AnswerWithin ||
+func (d *Decider) announce(all []*inflight.Webhook) inflight.Answer {
+	if !d.life.TakesOn() || len(all) == 0 || d.now-all[0].CameAt > inflight.AnswerWithin ||
 		len(d.held)+len(all) > d.facts.Buffer {
-		return exchange.Rejected
+		return inflight.Rejected
 	}
 	for _, w := range all {
 		if _, held := d.ids[w.RequestID]; held {
-			return exchange.Doubled
+			return inflight.Doubled
 		}
 	}
 	n := 0
@@ -49,7 +49,7 @@
 		for _, w := range all[:n] {
 			d.journal.Forget(w.ID)
 		}
-		return exchange.Rejected
+		return inflight.Rejected
 	}
 	for _, w := range all {
 		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
@@ -57,15 +57,15 @@
 	for _, w := range all {
 		d.begins(w, 0, webhookpkg.Never, 0)
 	}
-	return exchange.Taken
+	return inflight.Taken
 }
 
 // Relays has somebody told of the ends of webhooks of an earlier life, in place of the platform. It tells
 // what those have ended with by now, and of the others which are held.
-func (d *Decider) Relays(ids []exchange.RequestID, ends func(webhookpkg.WebhookID,
-	exchange.End)) (over map[webhookpkg.WebhookID]exchange.End, held map[exchange.RequestID]bool) {
+func (d *Decider) Relays(ids []inflight.RequestID, ends func(webhookpkg.WebhookID,
+	inflight.End)) (over map[webhookpkg.WebhookID]inflight.End, held map[inflight.RequestID]bool) {
 	want := setOf(ids)
-	over, held = map[webhookpkg.WebhookID]exchange.End{}, map[exchange.RequestID]bool{}
+	over, held = map[webhookpkg.WebhookID]inflight.End{}, map[inflight.RequestID]bool{}
 	d.inTurn(func() {
 		for id, w := range byID(d, want) {
 			w.Ends, held[id] = ends, true
--- a/node/decider/announced_test.go
+++ b/node/decider/announced_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // whole does something that waits for turns while turns go on.
@@ -26,36 +26,36 @@
 }
 
 // announcement is one for so many subscribers.
-func announcement(n int) (all []*exchange.Webhook) {
+func announcement(n int) (all []*inflight.Webhook) {
 	for to := range webhookpkg.DestinationID(n) {
-		all = append(all, &exchange.Webhook{RequestID: exchange.ForSubscriber("a", to), Destination: to,
-			Body: make([]byte, 1000), TTL: exchange.Now() + 9*webhookpkg.Second, CameAt: exchange.Now()})
+		all = append(all, &inflight.Webhook{RequestID: inflight.ForSubscriber("a", to), Destination: to,
+			Body: make([]byte, 1000), TTL: inflight.Now() + 9*webhookpkg.Second, CameAt: inflight.Now()})
 	}
 	return all
 }
 
 func TestAnAnnouncementIsTakenOnAsAWholeOrNotAtAll(t *testing.T) {
 	s := stands(t, t.TempDir(), webhookpkg.Second)
-	var what exchange.Answer
+	var what inflight.Answer
 	s.whole(func() { what = s.Announce(announcement(10)) })
-	assert.Equal(t, exchange.Rejected, what, "ten where nine are held")
+	assert.Equal(t, inflight.Rejected, what, "ten where nine are held")
 	assert.Empty(t, s.owes())
 	s.whole(func() { what = s.Announce(announcement(9)) })
-	assert.Equal(t, exchange.Taken, what)
+	assert.Equal(t, inflight.Taken, what)
 	s.whole(func() { what = s.Announce(announcement(1)) })
-	assert.Equal(t, exchange.Rejected, what, "nothing is held beyond the buffer")
+	assert.Equal(t, inflight.Rejected, what, "nothing is held beyond the buffer")
 	assert.Len(t, s.owes(), 9)
 }
 
 func TestWhatIsGivenAwayIsCalledByNobodyHereUntilItIsBack(t *testing.T) {
 	dir := t.TempDir()
 	s := stands(t, dir, 9*webhookpkg.Second)
-	require.Equal(t, exchange.Taken, s.hand(exchange.Webhook{RequestID: "w", Destination: 3,
-		TTL: exchange.Now() + 9*webhookpkg.Second, CameAt: exchange.Now()}))
+	require.Equal(t, inflight.Taken, s.hand(inflight.Webhook{RequestID: "w", Destination: 3,
+		TTL: inflight.Now() + 9*webhookpkg.Second, CameAt: inflight.Now()}))
 	ok := false
-	s.whole(func() { ok = s.Sends(map[exchange.RequestID]int{"w": 1}, 7) })
+	s.whole(func() { ok = s.Sends(map[inflight.RequestID]int{"w": 1}, 7) })
 	assert.False(t, ok, "it was called for here meanwhile, as far as the one who sends knows")
-	s.whole(func() { ok = s.Sends(map[exchange.RequestID]int{"w": 0}, 7) })
+	s.whole(func() { ok = s.Sends(map[inflight.RequestID]int{"w": 0}, 7) })
 	require.True(t, ok)
 	s.all.home = true
 	s.whole(s.Decider.regateNow)
@@ -66,11 +66,11 @@
 	}
 
 	s = stands(t, dir, 9*webhookpkg.Second)
-	s.whole(func() { s.GivenAway([]exchange.RequestID{"w"}) })
+	s.whole(func() { s.GivenAway([]inflight.RequestID{"w"}) })
 	s.all.home = true
 	s.whole(s.Decider.regateNow)
 	require.Len(t, s.owes(), 1, "also in the next life")
-	s.whole(func() { ok = s.Over([]exchange.End{{RequestID: "w", How: exchange.EndDelivered}}) })
+	s.whole(func() { ok = s.Over([]inflight.End{{RequestID: "w", How: inflight.EndDelivered}}) })
 	assert.True(t, ok)
 	assert.Empty(t, s.owes())
 	assert.Empty(t, stands(t, dir, 9*webhookpkg.Second).owes())
@@ -84,11 +84,11 @@
 }
 
 func TestAnEndThatAnotherIsOwedOutlastsTheProcessAndIsNoNotice(t *testing.T) {
-	end := exchange.End{RequestID: "w.dest=4", How: exchange.EndRejected, RetryIn: 5, Attempts: 2, MayRun: true}
-	again, is := exchange.EndFrom(end.Bytes())
+	end := inflight.End{RequestID: "w.dest=4", How: inflight.EndRejected, RetryIn: 5, Attempts: 2, MayRun: true}
+	again, is := inflight.EndFrom(end.Bytes())
 	assert.True(t, is)
 	assert.Equal(t, end, again)
-	_, is = exchange.EndFrom([]byte(`{"message":"w","outcome":"given_up"}`))
+	_, is = inflight.EndFrom([]byte(`{"message":"w","outcome":"given_up"}`))
 	assert.False(t, is)
 }
 
@@ -97,9 +97,9 @@
 // comesBack guards against a second effect: what may have run elsewhere may run once only, and is over here.
 func comesBack(t *testing.T, never bool) {
 	s := stands(t, t.TempDir(), 9*webhookpkg.Second)
-	require.Equal(t, exchange.Taken, s.hand(webhook("w", 9*webhookpkg.Second)))
-	s.whole(func() { s.Sends(map[exchange.RequestID]int{"w": 0}, exchange.Now()) })
-	s.whole(func() { s.Frees(map[exchange.RequestID]Back{"w": {Never: never}}) })
+	require.Equal(t, inflight.Taken, s.hand(webhook("w", 9*webhookpkg.Second)))
+	s.whole(func() { s.Sends(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
+	s.whole(func() { s.Frees(map[inflight.RequestID]Back{"w": {Never: never}}) })
 	s.all.home = true
 	s.whole(s.Decider.regateNow)
 	assert.EqualValues(t, map[bool]int{true: 0, false: 1}[never], s.x.GivenUp.Load())
@@ -107,18 +107,18 @@
 
 func TestWhatIsGivenAwayHasAWhileForItsEndToBeHeard(t *testing.T) {
 	s := stands(t, t.TempDir(), webhookpkg.Second/5)
-	require.Equal(t, exchange.Taken, s.hand(webhook("w", webhookpkg.Second/5)))
-	s.whole(func() { s.Sends(map[exchange.RequestID]int{"w": 0}, exchange.Now()) })
-	for until := exchange.Now() + webhookpkg.Second/4; exchange.Now() < until; {
+	require.Equal(t, inflight.Taken, s.hand(webhook("w", webhookpkg.Second/5)))
+	s.whole(func() { s.Sends(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
+	for until := inflight.Now() + webhookpkg.Second/4; inflight.Now() < until; {
 		s.turn()
 	}
 	require.Len(t, s.owes(), 1, "its time is over, and whoever has it may have delivered it just before")
-	s.whole(func() { s.Over([]exchange.End{{RequestID: "w", How: exchange.EndDelivered}}) })
+	s.whole(func() { s.Over([]inflight.End{{RequestID: "w", How: inflight.EndDelivered}}) })
 	assert.Zero(t, s.x.GivenUp.Load())
 	assert.Empty(t, s.owes())
 
-	require.Equal(t, exchange.Taken, s.hand(webhook("v", webhookpkg.Second/5)))
-	s.whole(func() { s.Sends(map[exchange.RequestID]int{"v": 0}, exchange.Now()) })
+	require.Equal(t, inflight.Taken, s.hand(webhook("v", webhookpkg.Second/5)))
+	s.whole(func() { s.Sends(map[inflight.RequestID]int{"v": 0}, inflight.Now()) })
 	over := func() bool { s.turn(); return s.x.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
 }
--- a/node/decider/custody.go
+++ b/node/decider/custody.go
@@ -1,15 +1,15 @@
 package decider
 
 import (
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Earlier lists the request ids of what an earlier life still owes; before Begin only.
-func (d *Decider) Earlier() (all []exchange.RequestID) {
+func (d *Decider) Earlier() (all []inflight.RequestID) {
 	for _, e := range d.journal.Entries() {
-		if w, err := exchange.FromBytes(e.ID, e.Taken); err == nil && !e.Ended {
+		if w, err := inflight.FromBytes(e.ID, e.Taken); err == nil && !e.Ended {
 			all = append(all, w.RequestID)
 		}
 	}
@@ -17,7 +17,7 @@
 }
 
 // Held lists the request ids of all that is held; it waits for the turn.
-func (d *Decider) Held() (all []exchange.RequestID) {
+func (d *Decider) Held() (all []inflight.RequestID) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		defer close(done)
@@ -64,7 +64,7 @@
 }
 
 // Settled ends the doubt whether another member has webhooks: they are this one's.
-func (d *Decider) Settled(all []exchange.RequestID) {
+func (d *Decider) Settled(all []inflight.RequestID) {
 	if len(all) == 0 {
 		return
 	}
@@ -91,7 +91,7 @@
 // Returned takes what webhooks in doubt bring along from the member that had them, beside what is known here,
 // and waits until that is written, if it could be: then they are to be Settled. What is held here no more has
 // ended.
-func (d *Decider) Returned(all map[exchange.RequestID]*exchange.Past) (written bool) {
+func (d *Decider) Returned(all map[inflight.RequestID]*inflight.Past) (written bool) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		for of, p := range all {
@@ -114,7 +114,7 @@
 }
 
 // past journals what a webhook brings along from another member, beside what was taken.
-func past(j *journal.Journal, w *exchange.Webhook) (attempts int, mayRun webhookpkg.Micros,
+func past(j *journal.Journal, w *inflight.Webhook) (attempts int, mayRun webhookpkg.Micros,
 	zone webhookpkg.ZoneID) {
 	if p := w.Past; p != nil {
 		j.Past(w.ID, p.Attempts, p.MayRun, p.Zone)
--- a/node/decider/decider.go
+++ b/node/decider/decider.go
@@ -7,11 +7,11 @@
 
 	"rowanlink/internal/due"
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // sweepTicks is how many ticks lie between two looks at idle connections.
@@ -19,7 +19,7 @@
 
 // Decider owns the module and what it holds.
 type Decider struct {
-	x       *exchange.Exchange
+	x       *inflight.Exchange
 	life    *lifecycle.Life
 	journal *journal.Journal
 	calls   *endpoints.Endpoints
@@ -31,23 +31,23 @@
 	now    webhookpkg.Micros
 	turned webhookpkg.Micros // when the last turn was
 	nextID webhookpkg.WebhookID
-	held   map[webhookpkg.WebhookID]*exchange.Webhook
-	ids    map[exchange.RequestID]webhookpkg.WebhookID // of those held
+	held   map[webhookpkg.WebhookID]*inflight.Webhook
+	ids    map[inflight.RequestID]webhookpkg.WebhookID // of those held
 	dues   due.Times[func()]
-	stages []func(*exchange.Webhook) bool
+	stages []func(*inflight.Webhook) bool
 	out    map[webhookpkg.WebhookID]bool // in a call
 	over   chan struct{}                 // closed after the last turn
 
 	// Where a fleet acts as one; else nil.
 	fleet  Fleet
-	parked map[webhookpkg.WebhookID]*exchange.Webhook
+	parked map[webhookpkg.WebhookID]*inflight.Webhook
 	turns  map[turnOf][]webhookpkg.WebhookID          // what of each key is parked, in the order taken
 	listed map[webhookpkg.EndpointID]webhookpkg.Entry // as discovery has it
 	rated  map[webhookpkg.EndpointID]float64          // as the module was told
-	told   map[exchange.RequestID]ended               // of an earlier life, for others than the platform
+	told   map[inflight.RequestID]ended               // of an earlier life, for others than the platform
 
 	// Of this turn.
-	fresh    map[webhookpkg.WebhookID]*exchange.Webhook // not answered yet
+	fresh    map[webhookpkg.WebhookID]*inflight.Webhook // not answered yet
 	order    []webhookpkg.WebhookID
 	attempts []attempt
 	ends     []func()
@@ -62,13 +62,13 @@
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *exchange.Exchange, life *lifecycle.Life, j *journal.Journal, f webhookpkg.Facts) *Decider {
+func New(x *inflight.Exchange, life *lifecycle.Life, j *journal.Journal, f webhookpkg.Facts) *Decider {
 	f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
-	d := &Decider{x: x, life: life, journal: j, facts: f, now: exchange.Now(), nextID: 1,
-		held: map[webhookpkg.WebhookID]*exchange.Webhook{}, ids: map[exchange.RequestID]webhookpkg.WebhookID{},
-		fresh: map[webhookpkg.WebhookID]*exchange.Webhook{}, out: map[webhookpkg.WebhookID]bool{},
+	d := &Decider{x: x, life: life, journal: j, facts: f, now: inflight.Now(), nextID: 1,
+		held: map[webhookpkg.WebhookID]*inflight.Webhook{}, ids: map[inflight.RequestID]webhookpkg.WebhookID{},
+		fresh: map[webhookpkg.WebhookID]*inflight.Webhook{}, out: map[webhookpkg.WebhookID]bool{},
 		over: make(chan struct{})}
-	d.stages = []func(*exchange.Webhook) bool{d.inTime, d.room, d.once, d.take}
+	d.stages = []func(*inflight.Webhook) bool{d.inTime, d.room, d.once, d.take}
 	return d
 }
 
@@ -87,7 +87,7 @@
 			d.finals.Owe(e.ID, e.Notice)
 			continue
 		}
-		w, err := exchange.FromBytes(e.ID, e.Taken)
+		w, err := inflight.FromBytes(e.ID, e.Taken)
 		if err != nil {
 			slog.Error("webhook of an earlier life not read", "id", e.ID, "err", err)
 			continue
@@ -145,19 +145,19 @@
 }
 
 // Came takes what came of a webhook's part in a call, from the call's own goroutine.
-func (d *Decider) Came(w *exchange.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome, took webhookpkg.Micros,
+func (d *Decider) Came(w *inflight.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome, took webhookpkg.Micros,
 	over bool, wait webhookpkg.Micros) {
 	d.x.Tell(func() { d.Outcome(w, ep, what, took, over, wait) })
 }
 
 // Outcome notes it and hands it to the module.
-func (d *Decider) Outcome(w *exchange.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
+func (d *Decider) Outcome(w *inflight.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
 	took webhookpkg.Micros, over bool, wait webhookpkg.Micros) {
 	delete(d.out, w.ID)
 	ended := what == webhookpkg.Delivered || over
 	if ended {
 		d.witness(w, d.delivered(w, over))
-		if !d.relayed(w, exchange.EndDelivered, 0) {
+		if !d.relayed(w, inflight.EndDelivered, 0) {
 			d.journal.End(w.ID, nil)
 			d.drop(w)
 		}
@@ -183,7 +183,7 @@
 	})
 }
 
-func (d *Decider) drop(w *exchange.Webhook) {
+func (d *Decider) drop(w *inflight.Webhook) {
 	delete(d.out, w.ID)
 	delete(d.held, w.ID)
 	delete(d.ids, w.RequestID)
--- a/node/decider/decider_test.go
+++ b/node/decider/decider_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
 
@@ -20,7 +20,7 @@
 	dir := t.TempDir()
 	kept, err := journal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := exchange.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
 	d := New(x, life, kept, webhookpkg.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
 		EventTypes: []webhookpkg.EventType{{Target: webhookpkg.Second, TTL: 9 * webhookpkg.Second}}})
@@ -29,11 +29,11 @@
 		func(f webhookpkg.Facts, h webhookpkg.Host) webhookpkg.Module { return policy.New(f, h) })
 	d.Listed([]webhookpkg.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
-	hand := func(id exchange.RequestID) exchange.Answer {
-		said := make(chan exchange.Answer, 1)
+	hand := func(id inflight.RequestID) inflight.Answer {
+		said := make(chan inflight.Answer, 1)
 		go func() {
-			now := exchange.Now()
-			w := exchange.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*webhookpkg.Second}
+			now := inflight.Now()
+			w := inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*webhookpkg.Second}
 			what, _ := x.HandIn(&w)
 			said <- what
 		}()
@@ -44,10 +44,10 @@
 		return <-said
 	}
 	require.NoError(t, kept.Close()) // the next write fails
-	assert.Equal(t, exchange.Rejected, hand("a1"))
+	assert.Equal(t, inflight.Rejected, hand("a1"))
 	assert.Zero(t, x.Calls.Load(), "nothing goes out that would not survive")
 	assert.Empty(t, d.held)
-	assert.Equal(t, exchange.Taken, hand("a2"), "the next one is written anew")
+	assert.Equal(t, inflight.Taken, hand("a2"), "the next one is written anew")
 	assert.EqualValues(t, 1, x.Calls.Load())
 	next, err := journal.Open(dir, 1)
 	require.NoError(t, err)
--- a/node/decider/ends.go
+++ b/node/decider/ends.go
@@ -1,6 +1,6 @@
 package decider
 
-import "rowanlink/node/exchange"
+import "rowanlink/webhook/dispatcher/inflight"
 
 // End is how a webhook that was taken on ended.
 type End uint8
@@ -14,10 +14,10 @@
 
 // Witness is a Fleet that is told of each end, in the decider's own goroutine.
 type Witness interface {
-	Ended(w *exchange.Webhook, how End)
+	Ended(w *inflight.Webhook, how End)
 }
 
-func (d *Decider) witness(w *exchange.Webhook, how End) {
+func (d *Decider) witness(w *inflight.Webhook, how End) {
 	if who, ok := d.fleet.(Witness); ok {
 		who.Ended(w, how)
 	}
@@ -25,7 +25,7 @@
 
 // delivered is InTime or Late: the target latency counts from when the webhook was first handed in, wherever
 // that was.
-func (d *Decider) delivered(w *exchange.Webhook, over bool) End {
+func (d *Decider) delivered(w *inflight.Webhook, over bool) End {
 	if int(w.Event) < len(d.facts.EventTypes) {
 		if e := d.facts.EventTypes[w.Event]; d.now > w.TTL-e.TTL+e.Target {
 			return Late
--- a/node/decider/fleet.go
+++ b/node/decider/fleet.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Fleet is what a fleet that acts as one says of this dispatcher; nil where there is none. It is asked in the
@@ -12,12 +12,12 @@
 type Fleet interface {
 	Calls(dest webhookpkg.DestinationID, ordered bool) bool // whether it may be called from here, now
 	Part(dest webhookpkg.DestinationID) float64             // of its rate, from 0 to 1
-	Doubts(of exchange.RequestID) bool                      // of an earlier life: whether another may have it
+	Doubts(of inflight.RequestID) bool                      // of an earlier life: whether another may have it
 }
 
 // Owed is a webhook that is held here and not called for now.
 type Owed struct {
-	*exchange.Webhook
+	*inflight.Webhook
 	Doubted  bool // another member may have it
 	Attempts int
 	MayRun   webhookpkg.Micros // the first attempt that may have run, or Never
@@ -27,11 +27,11 @@
 // Join has the decider ask a fleet from its first webhook on; before Begin only.
 func (d *Decider) Join(f Fleet) {
 	d.fleet, d.listed = f, map[webhookpkg.EndpointID]webhookpkg.Entry{}
-	d.parked, d.turns = map[webhookpkg.WebhookID]*exchange.Webhook{}, map[turnOf][]webhookpkg.WebhookID{}
+	d.parked, d.turns = map[webhookpkg.WebhookID]*inflight.Webhook{}, map[turnOf][]webhookpkg.WebhookID{}
 }
 
 // mayCall tells whether a webhook may be called from here.
-func (d *Decider) mayCall(w *exchange.Webhook) bool {
+func (d *Decider) mayCall(w *inflight.Webhook) bool {
 	if d.fleet == nil {
 		return true
 	}
@@ -39,13 +39,13 @@
 	return !w.InDoubt && d.fleet.Calls(w.Destination, ordered) && !(ordered && d.behind(w))
 }
 
-func (d *Decider) ordered(w *exchange.Webhook) bool {
+func (d *Decider) ordered(w *inflight.Webhook) bool {
 	return int(w.Event) < len(d.facts.EventTypes) && d.facts.EventTypes[w.Event].Ordered && w.Key != 0
 }
 
 // Follows is whether a webhook that is not taken yet has to wait here for an earlier one of its key, which is
 // parked: guards against one that overtakes it on the way to their home. It waits for the turn.
-func (d *Decider) Follows(w *exchange.Webhook) bool {
+func (d *Decider) Follows(w *inflight.Webhook) bool {
 	if w.Key == 0 {
 		return false
 	}
@@ -59,7 +59,7 @@
 }
 
 // begins hands a webhook to the module, or parks it: journalled and owed, but called by nobody here.
-func (d *Decider) begins(w *exchange.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
+func (d *Decider) begins(w *inflight.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
 	if d.mayCall(w) {
 		d.resume(w, attempts, mayRun, zone)
 		return
--- a/node/decider/fleet_test.go
+++ b/node/decider/fleet_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
 
@@ -21,7 +21,7 @@
 
 func (e *elsewhere) Calls(webhookpkg.DestinationID, bool) bool { return e.home }
 func (e *elsewhere) Part(webhookpkg.DestinationID) float64     { return 1 }
-func (e *elsewhere) Doubts(exchange.RequestID) bool            { return e.doubts }
+func (e *elsewhere) Doubts(inflight.RequestID) bool            { return e.doubts }
 
 // side is a dispatcher without its sockets' other ends.
 type side struct {
@@ -37,7 +37,7 @@
 func standsBeside(t *testing.T, dir string, ttl webhookpkg.Micros, all *elsewhere) *side {
 	kept, err := journal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := exchange.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
 	d := New(x, life, kept, webhookpkg.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
 		EventTypes: []webhookpkg.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhookpkg.AtMostOnce}}})
@@ -50,8 +50,8 @@
 	return &side{d, kept, all}
 }
 
-func (s *side) hand(w exchange.Webhook) exchange.Answer {
-	said := make(chan exchange.Answer, 1)
+func (s *side) hand(w inflight.Webhook) inflight.Answer {
+	said := make(chan inflight.Answer, 1)
 	go func() {
 		what, _ := s.x.HandInHere(&w)
 		said <- what
@@ -78,13 +78,13 @@
 }
 
 func (s *side) owes() (all []Owed) {
-	s.during(func() { all, _ = s.Owes(func(*exchange.Webhook) bool { return true }) })
+	s.during(func() { all, _ = s.Owes(func(*inflight.Webhook) bool { return true }) })
 	return all
 }
 
-func webhook(id exchange.RequestID, ttl webhookpkg.Micros) exchange.Webhook {
-	now := exchange.Now()
-	return exchange.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + ttl}
+func webhook(id inflight.RequestID, ttl webhookpkg.Micros) inflight.Webhook {
+	now := inflight.Now()
+	return inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + ttl}
 }
 
 // Guards against two callers: what belongs to another home is taken on, owed over a restart and called by
@@ -92,7 +92,7 @@
 func TestWhatMayNotBeCalledFromHereIsParkedOverARestartAndPassedOn(t *testing.T) {
 	dir, ttl := t.TempDir(), 90*webhookpkg.Second
 	s := stands(t, dir, ttl)
-	assert.Equal(t, exchange.Taken, s.hand(webhook("a1", ttl)))
+	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", ttl)))
 	assert.Zero(t, s.x.Calls.Load())
 	require.NoError(t, s.kept.Close())
 	s = stands(t, dir, ttl)
@@ -113,11 +113,11 @@
 	s := stands(t, t.TempDir(), ttl)
 	s.all.home = true
 	clean, ran := webhook("a1", ttl), webhook("a2", ttl)
-	clean.Past = &exchange.Past{Attempts: 1, MayRun: webhookpkg.Never}
-	ran.Past = &exchange.Past{Attempts: 1, MayRun: exchange.Now() - webhookpkg.Second}
-	assert.Equal(t, exchange.Taken, s.hand(ran))
+	clean.Past = &inflight.Past{Attempts: 1, MayRun: webhookpkg.Never}
+	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now() - webhookpkg.Second}
+	assert.Equal(t, inflight.Taken, s.hand(ran))
 	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "told at once")
-	assert.Equal(t, exchange.Taken, s.hand(clean))
+	assert.Equal(t, inflight.Taken, s.hand(clean))
 	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "it never ran, and is tried again")
 }
 
@@ -131,7 +131,7 @@
 		s.all.home = true
 		w := webhook("a1", ttl)
 		w.InDoubt = true
-		assert.Equal(t, exchange.Taken, s.hand(w))
+		assert.Equal(t, inflight.Taken, s.hand(w))
 		require.NoError(t, s.kept.Close())
 		earlier := &elsewhere{home: true, doubts: true}
 		s = standsBeside(t, dir, ttl, earlier)
@@ -140,10 +140,10 @@
 		assert.True(t, all[0].Doubted)
 		if ran {
 			s.during(func() {
-				s.Returned(map[exchange.RequestID]*exchange.Past{"a1": {Attempts: 1, MayRun: exchange.Now()}})
+				s.Returned(map[inflight.RequestID]*inflight.Past{"a1": {Attempts: 1, MayRun: inflight.Now()}})
 			})
 		}
-		s.Settled([]exchange.RequestID{"a1"})
+		s.Settled([]inflight.RequestID{"a1"})
 		s.owes()
 		assert.EqualValues(t, map[bool]int{false: 0, true: 1}[ran], s.x.GivenUp.Load())
 	}
@@ -154,7 +154,7 @@
 func TestWhatIsOfferedIsNotCalledMeanwhile(t *testing.T) {
 	ttl := 90 * webhookpkg.Second
 	s := stands(t, t.TempDir(), ttl)
-	assert.Equal(t, exchange.Taken, s.hand(webhook("a1", ttl)))
+	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", ttl)))
 	id := s.owes()[0].ID
 	var marked map[webhookpkg.WebhookID]bool
 	s.during(func() { marked = s.Doubt([]webhookpkg.WebhookID{id, id + 1}) })
@@ -170,10 +170,10 @@
 // Guards against a webhook lost while its home is gone: it ends in time.
 func TestWhatIsParkedEndsWithItsTTL(t *testing.T) {
 	s := stands(t, t.TempDir(), webhookpkg.Second/5)
-	assert.Equal(t, exchange.Taken, s.hand(webhook("a1", webhookpkg.Second/5)))
+	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", webhookpkg.Second/5)))
 	ran := webhook("a2", webhookpkg.Second/5)
-	ran.Past = &exchange.Past{Attempts: 1, MayRun: exchange.Now()}
-	assert.Equal(t, exchange.Taken, s.hand(ran))
+	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now()}
+	assert.Equal(t, inflight.Taken, s.hand(ran))
 	over := func() bool { s.turn(); return s.x.HandedBack.Load() == 1 && s.x.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
 	assert.Empty(t, s.owes())
--- a/node/decider/given.go
+++ b/node/decider/given.go
@@ -3,13 +3,13 @@
 import (
 	"log/slog"
 
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // byID lists what is held of those named.
-func byID[V any](d *Decider, named map[exchange.RequestID]V) map[exchange.RequestID]*exchange.Webhook {
-	all := map[exchange.RequestID]*exchange.Webhook{}
+func byID[V any](d *Decider, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
+	all := map[inflight.RequestID]*inflight.Webhook{}
 	for of := range named {
 		if w := d.held[d.ids[of]]; w != nil {
 			all[of] = w
@@ -21,13 +21,13 @@
 // Sends gives webhooks that are parked here away: until Frees or Over nobody here calls for them, and from
 // at on each may have run. Each comes with the attempts that it is given away with. False: nothing was done,
 // as one is parked here no more, was called for here meanwhile, or it can't be written.
-func (d *Decider) Sends(all map[exchange.RequestID]int, at webhookpkg.Micros) (ok bool) {
+func (d *Decider) Sends(all map[inflight.RequestID]int, at webhookpkg.Micros) (ok bool) {
 	d.inTurn(func() {
 		of := byID(d, all)
 		if len(of) < len(all) {
 			return
 		}
-		ran := map[exchange.RequestID]bool{}
+		ran := map[inflight.RequestID]bool{}
 		for id, w := range of {
 			e := d.journal.Entry(w.ID)
 			if e == nil || d.parked[w.ID] == nil || w.InDoubt || e.Attempts != all[id] {
@@ -62,7 +62,7 @@
 	Ran   bool // it may have run before it was given away
 }
 
-func (d *Decider) free(w *exchange.Webhook, b Back) {
+func (d *Decider) free(w *inflight.Webhook, b Back) {
 	w.InDoubt, w.Given = false, false
 	e := d.journal.Entry(w.ID)
 	if e == nil || !b.Never || e.MayRun == webhookpkg.Never {
@@ -76,7 +76,7 @@
 }
 
 // Frees takes webhooks back that were given away.
-func (d *Decider) Frees(all map[exchange.RequestID]Back) {
+func (d *Decider) Frees(all map[inflight.RequestID]Back) {
 	d.inTurn(func() {
 		for id, w := range byID(d, all) {
 			if w.InDoubt && d.parked[w.ID] != nil {
@@ -89,8 +89,8 @@
 
 // lastWord guards against two ends: what was given away has a while after its time for the word of whoever
 // has it, who ends it in time. It tells whether that is still to come.
-func (d *Decider) lastWord(w *exchange.Webhook) bool {
-	until := w.TTL + exchange.AnswerWithin
+func (d *Decider) lastWord(w *inflight.Webhook) bool {
+	until := w.TTL + inflight.AnswerWithin
 	if !w.Given || d.now >= until {
 		return false
 	}
@@ -99,7 +99,7 @@
 }
 
 // GivenAway is for webhooks of an earlier life that were given away then, before anybody here calls for them.
-func (d *Decider) GivenAway(ids []exchange.RequestID) {
+func (d *Decider) GivenAway(ids []inflight.RequestID) {
 	want := setOf(ids)
 	d.inTurn(func() {
 		for _, w := range byID(d, want) {
@@ -115,15 +115,15 @@
 // Over ends webhooks by the word of whoever they were given to, and tells whether that is written. What is
 // not held any more is over. What is called for here, since that one was out of reach, ends so only by a
 // success.
-func (d *Decider) Over(all []exchange.End) (written bool) {
-	how := map[exchange.RequestID]exchange.End{}
+func (d *Decider) Over(all []inflight.End) (written bool) {
+	how := map[inflight.RequestID]inflight.End{}
 	for _, e := range all {
 		how[e.RequestID] = e
 	}
 	d.inTurn(func() {
 		for id, w := range byID(d, how) {
 			e := how[id]
-			if d.out[w.ID] || !w.InDoubt && e.How != exchange.EndDelivered {
+			if d.out[w.ID] || !w.InDoubt && e.How != inflight.EndDelivered {
 				continue
 			}
 			if d.parked[w.ID] == nil {
@@ -132,10 +132,10 @@
 			d.unpark(w.ID)
 			w.Step("over_elsewhere", 0, webhookpkg.Micros(e.How))
 			switch e.How {
-			case exchange.EndDelivered:
+			case inflight.EndDelivered:
 				d.journal.End(w.ID, nil)
 				d.drop(w)
-			case exchange.EndRejected:
+			case inflight.EndRejected:
 				d.Reject(w.ID, e.RetryIn)
 			default:
 				d.DeadLetter(w.ID)
@@ -150,8 +150,8 @@
 	return written
 }
 
-func setOf(ids []exchange.RequestID) map[exchange.RequestID]bool {
-	all := map[exchange.RequestID]bool{}
+func setOf(ids []inflight.RequestID) map[inflight.RequestID]bool {
+	all := map[inflight.RequestID]bool{}
 	for _, id := range ids {
 		all[id] = true
 	}
--- a/node/decider/host.go
+++ b/node/decider/host.go
@@ -4,9 +4,9 @@
 	"log/slog"
 
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Now is the time of the turn.
@@ -32,10 +32,10 @@
 		delete(d.fresh, id)
 		d.journal.End(id, nil)
 		d.drop(w)
-		d.ends = append(d.ends, func() { w.Answer(exchange.Rejected, advised) })
+		d.ends = append(d.ends, func() { w.Answer(inflight.Rejected, advised) })
 		return
 	}
-	if d.relayed(w, exchange.EndRejected, advised) {
+	if d.relayed(w, inflight.EndRejected, advised) {
 		return
 	}
 	d.x.HandedBack.Add(1)
@@ -45,7 +45,7 @@
 }
 
 func (d *Decider) DeadLetter(id webhookpkg.WebhookID) {
-	if w := d.held[id]; w != nil && !d.relayed(w, exchange.EndDeadLettered, 0) {
+	if w := d.held[id]; w != nil && !d.relayed(w, inflight.EndDeadLettered, 0) {
 		d.x.GivenUp.Add(1)
 		d.witness(w, DeadLettered)
 		w.Step("dead_lettered", 0, 0)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (d *Decider) owe(w *exchange.Webhook, notice []byte) {
+func (d *Decider) owe(w *inflight.Webhook, notice []byte) {
 	notice = d.named(w, notice)
 	d.journal.End(w.ID, notice)
 	d.drop(w)
--- a/node/decider/owes.go
+++ b/node/decider/owes.go
@@ -1,11 +1,11 @@
 package decider
 
-import "rowanlink/node/exchange"
+import "rowanlink/webhook/dispatcher/inflight"
 
 // Owes lists what is parked and whose webhooks match, in the order taken, and counts calls out of such; it
 // waits for the turn. All that may not be called any more is parked first, and what comes behind one of its
 // key that is out counts as out: guards against a webhook handed on before an earlier one of its key.
-func (d *Decider) Owes(match func(*exchange.Webhook) bool) (all []Owed, out int) {
+func (d *Decider) Owes(match func(*inflight.Webhook) bool) (all []Owed, out int) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		defer close(done)
--- a/node/decider/parked.go
+++ b/node/decider/parked.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // turnOf is what order is kept by.
@@ -13,7 +13,7 @@
 	key  webhookpkg.Key
 }
 
-func (d *Decider) park(w *exchange.Webhook) {
+func (d *Decider) park(w *inflight.Webhook) {
 	if d.parked[w.ID] = w; w.Key != 0 {
 		of := turnOf{w.Destination, w.Key}
 		at, _ := slices.BinarySearch(d.turns[of], w.ID)
@@ -53,7 +53,7 @@
 }
 
 // behind is whether an earlier one of a webhook's key is parked here; 0 as id: it has yet to be taken.
-func (d *Decider) behind(w *exchange.Webhook) bool {
+func (d *Decider) behind(w *inflight.Webhook) bool {
 	for _, id := range d.turns[turnOf{w.Destination, w.Key}] {
 		if w.ID != 0 && id >= w.ID {
 			return false
--- a/node/decider/relayed.go
+++ b/node/decider/relayed.go
@@ -4,23 +4,23 @@
 	"bytes"
 	"strconv"
 
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // ended is what the journal of an earlier life says of a webhook whose end another member is owed.
 type ended struct {
 	id webhookpkg.WebhookID
-	exchange.End
+	inflight.End
 }
 
 // relayed ends a webhook of which others than the platform are told, and whether it is one.
-func (d *Decider) relayed(w *exchange.Webhook, how exchange.How, retryIn webhookpkg.Micros) bool {
+func (d *Decider) relayed(w *inflight.Webhook, how inflight.How, retryIn webhookpkg.Micros) bool {
 	if w.Ends == nil || d.held[w.ID] != w {
 		return false
 	}
-	end := exchange.End{RequestID: w.RequestID, How: how, RetryIn: retryIn}
+	end := inflight.End{RequestID: w.RequestID, How: how, RetryIn: retryIn}
 	if e := d.journal.Entry(w.ID); e != nil {
 		end.Attempts, end.MayRun = e.Attempts, e.MayRun != webhookpkg.Never
 	}
@@ -32,10 +32,10 @@
 
 // endedBefore guards against the platform being told of an end that is another member's to hear.
 func (d *Decider) endedBefore(e *journal.Entry) bool {
-	end, is := exchange.EndFrom(e.Notice)
+	end, is := inflight.EndFrom(e.Notice)
 	if is {
 		if d.told == nil {
-			d.told = map[exchange.RequestID]ended{}
+			d.told = map[inflight.RequestID]ended{}
 		}
 		d.told[end.RequestID] = ended{e.ID, end}
 	}
@@ -43,7 +43,7 @@
 }
 
 // named has a notice of an announcement name the announcement and the subscriber.
-func (d *Decider) named(w *exchange.Webhook, notice []byte) []byte {
+func (d *Decider) named(w *inflight.Webhook, notice []byte) []byte {
 	of, to, is := w.RequestID.Subscriber()
 	if d.fleet == nil || !is {
 		return notice
--- a/node/decider/turn.go
+++ b/node/decider/turn.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
@@ -19,13 +19,13 @@
 		if at, ok := d.dues.Next(); ok {
 			next = min(next, webhookpkg.Micros(at))
 		}
-		timer.Reset(exchange.Span(max(next-exchange.Now(), 0)))
+		timer.Reset(inflight.Span(max(next-inflight.Now(), 0)))
 		select {
 		case <-d.x.Bell():
 		case <-timer.C:
 		}
-		if rest := d.turned + d.facts.Tick - exchange.Now(); rest > 0 {
-			time.Sleep(exchange.Span(rest))
+		if rest := d.turned + d.facts.Tick - inflight.Now(); rest > 0 {
+			time.Sleep(inflight.Span(rest))
 		}
 		d.turn()
 	}
@@ -43,7 +43,7 @@
 
 func (d *Decider) turn() {
 	arrivals, news := d.x.All()
-	d.now = exchange.Now()
+	d.now = inflight.Now()
 	d.turned = d.now
 	d.x.Turns.Add(1)
 	for _, call := range news {
@@ -63,47 +63,47 @@
 }
 
 // refuse answers for what is not taken on. What another member may have is neither rejected nor taken.
-func (d *Decider) refuse(w *exchange.Webhook) {
+func (d *Decider) refuse(w *inflight.Webhook) {
 	if w.Keep {
-		w.Answer(exchange.Unsaid, 0)
+		w.Answer(inflight.Unsaid, 0)
 	} else {
-		w.Answer(exchange.Rejected, 0)
+		w.Answer(inflight.Rejected, 0)
 	}
 }
 
 // inTime ends what its client no longer waits for, and what comes when nothing is taken on any more. What
 // another member may have is kept all the same: nobody else would settle that.
-func (d *Decider) inTime(w *exchange.Webhook) bool {
+func (d *Decider) inTime(w *inflight.Webhook) bool {
 	if w.Keep {
 		return true
 	}
-	if !d.life.TakesOn() || d.now-w.CameAt > exchange.AnswerWithin {
-		w.Answer(exchange.Rejected, 0)
+	if !d.life.TakesOn() || d.now-w.CameAt > inflight.AnswerWithin {
+		w.Answer(inflight.Rejected, 0)
 		return false
 	}
 	return true
 }
 
 // room ends what is beyond the buffer.
-func (d *Decider) room(w *exchange.Webhook) bool {
+func (d *Decider) room(w *inflight.Webhook) bool {
 	if len(d.held) >= d.facts.Buffer && !w.Keep { // of those there are no more than clients' connections
-		w.Answer(exchange.Rejected, 0)
+		w.Answer(inflight.Rejected, 0)
 		return false
 	}
 	return true
 }
 
 // once keeps a request id from being held twice.
-func (d *Decider) once(w *exchange.Webhook) bool {
+func (d *Decider) once(w *inflight.Webhook) bool {
 	if _, held := d.ids[w.RequestID]; held {
-		w.Answer(exchange.Doubled, 0)
+		w.Answer(inflight.Doubled, 0)
 		return false
 	}
 	return true
 }
 
 // take notes the webhook and hands it to the module.
-func (d *Decider) take(w *exchange.Webhook) bool {
+func (d *Decider) take(w *inflight.Webhook) bool {
 	w.ID = d.nextID
 	if err := d.accept(w); err != nil {
 		d.x.JournalErrors.Add(1)
@@ -136,7 +136,7 @@
 	}
 	for _, id := range d.order {
 		if w := d.fresh[id]; w != nil {
-			w.Answer(exchange.Taken, 0)
+			w.Answer(inflight.Taken, 0)
 			delete(d.fresh, id)
 		}
 	}
--- a/node/decider/types.go
+++ b/node/decider/types.go
@@ -4,8 +4,8 @@
 	"math"
 	"slices"
 
-	"rowanlink/node/exchange"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // unnamed is an event type that no settings name: what is of it is not repeated.
@@ -21,7 +21,7 @@
 
 // accept journals a webhook with its event type's name: guards against the place alone being read by the next
 // life, whose settings may have another one there, of which an attempt may be repeated.
-func (d *Decider) accept(w *exchange.Webhook) error {
+func (d *Decider) accept(w *inflight.Webhook) error {
 	err := d.journal.Accept(w.ID, w.Bytes())
 	if err == nil && int(w.Event) < len(d.types) {
 		d.journal.Named(w.ID, d.types[w.Event])
@@ -31,7 +31,7 @@
 
 // resume hands a webhook to the module. Guards against a second effect: one that was taken on without a token
 // is not repeated by settings that ask for one, since nobody would know the repeat.
-func (d *Decider) resume(w *exchange.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
+func (d *Decider) resume(w *inflight.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
 	all := d.facts.EventTypes
 	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Repeat == webhookpkg.Tokened {
 		w.Event = unnamed
--- a/node/endpoints/answer.go
+++ b/node/endpoints/answer.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fasthttp"
 
 	"rowanlink/internal/socket"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // answer reads what comes back. Where something came, the call has reached the endpoint: what can't be read
@@ -67,7 +67,7 @@
 }
 
 // read puts an answer into our words; ok: it can be read. What is not in the protocol's table may have run.
-func read(resp *fasthttp.Response, webhooks []*exchange.Webhook) (f fate, ok bool) {
+func read(resp *fasthttp.Response, webhooks []*inflight.Webhook) (f fate, ok bool) {
 	f = fate{what: webhook.Errored, wait: seconds(string(resp.Header.Peek("Retry-After")))}
 	bundle := len(webhooks) > 1
 	switch resp.StatusCode() {
--- a/node/endpoints/call.go
+++ b/node/endpoints/call.go
@@ -8,14 +8,14 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // call is one call out.
 type call struct {
 	ep       *endpoint
-	webhooks []*exchange.Webhook
+	webhooks []*inflight.Webhook
 	patience webhook.Micros
 	latest   webhook.Micros // it does not begin after that
 	link     *link
@@ -27,7 +27,7 @@
 	what webhook.Outcome
 	over bool
 	wait webhook.Micros
-	each map[exchange.RequestID]share // by id, where the webhooks of a bundle fared differently
+	each map[inflight.RequestID]share // by id, where the webhooks of a bundle fared differently
 	keep bool                         // the connection may be used again
 
 	// Turned away without a wait, and the connection with it: on its first call that is said of the connection,
@@ -46,7 +46,7 @@
 		s.close(l)
 	}
 	if f.wait > 0 {
-		s.waits[k.ep.route] = max(s.waits[k.ep.route], exchange.Now()+f.wait)
+		s.waits[k.ep.route] = max(s.waits[k.ep.route], inflight.Now()+f.wait)
 	}
 	for _, w := range k.webhooks {
 		delete(s.out, w.ID)
@@ -56,14 +56,14 @@
 		f.what = webhook.Cancelled
 	}
 	s.mu.Unlock()
-	took := exchange.Now() - at
+	took := inflight.Now() - at
 	for _, w := range k.webhooks {
 		what, over := f.what, f.over
 		if f.each != nil {
 			what, over = f.each[w.RequestID].what, f.each[w.RequestID].over
 		}
 		s.counts.Outcomes[what].Add(1)
-		w.Step(exchange.OutcomeName(what), k.ep.id, took)
+		w.Step(inflight.OutcomeName(what), k.ep.id, took)
 		s.came(w, k.ep.id, what, took, over, f.wait)
 	}
 }
@@ -81,9 +81,9 @@
 		if !used {
 			var err error
 			s.counts.Connections.Add(1)
-			now := exchange.Now()
+			now := inflight.Now()
 			within := max(min(webhook.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
-			if l, err = dial(k.ep.addr, exchange.Span(within)); err != nil {
+			if l, err = dial(k.ep.addr, inflight.Span(within)); err != nil {
 				s.mu.Lock()
 				s.open--
 				s.mu.Unlock()
@@ -93,7 +93,7 @@
 		// Guards the rules on drains, waits and effects: what was told while this call connected, and the time for
 		// which a token is remembered, hold for its first byte.
 		s.mu.Lock()
-		now := exchange.Now()
+		now := inflight.Now()
 		late := !k.ep.listed || now < s.waits[k.ep.route] || now > k.latest || s.ended
 		k.link = l
 		called := k.called
@@ -104,12 +104,12 @@
 		if called {
 			return fate{what: webhook.ConnectFailed}, l
 		}
-		left := k.patience - (exchange.Now() - at) // connecting took its part
-		until := time.Now().Add(exchange.Span(left))
+		left := k.patience - (inflight.Now() - at) // connecting took its part
+		until := time.Now().Add(inflight.Span(left))
 		switch written := l.write(request(k, left), until, func() bool { return s.may(k) }); {
 		case written:
 			for _, w := range k.webhooks {
-				w.Step("written", k.ep.id, exchange.Now()-at)
+				w.Step("written", k.ep.id, inflight.Now()-at)
 			}
 			f := s.answer(l, k, until)
 			if f.tooMany && !used {
--- a/node/endpoints/conn.go
+++ b/node/endpoints/conn.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"rowanlink/internal/socket"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // link is one connection to an endpoint. One call at a time travels on it.
@@ -61,7 +61,7 @@
 		if _, err := l.in.Peek(1); err != nil {
 			return nil, err
 		}
-		if soon := time.Now().Add(exchange.Span(rest)); soon.Before(until) {
+		if soon := time.Now().Add(inflight.Span(rest)); soon.Before(until) {
 			if err := l.SetReadDeadline(soon); err != nil {
 				return nil, err
 			}
@@ -102,7 +102,7 @@
 		s.close(l)
 		return
 	}
-	l.idleAt = exchange.Now()
+	l.idleAt = inflight.Now()
 	e.idle = append(e.idle, l)
 }
 
@@ -118,7 +118,7 @@
 	defer s.mu.Unlock()
 	for n := len(e.idle); n > 0; n = len(e.idle) {
 		l, e.idle = e.idle[n-1], e.idle[:n-1]
-		if int64(exchange.Now()-l.idleAt) < s.idleFor.Load() && l.quiet() {
+		if int64(inflight.Now()-l.idleAt) < s.idleFor.Load() && l.quiet() {
 			return l, true
 		}
 		s.close(l)
@@ -150,7 +150,7 @@
 func (s *Endpoints) Sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := exchange.Now()
+	now := inflight.Now()
 	for _, e := range s.all {
 		kept := e.idle[:0]
 		for _, l := range e.idle {
--- a/node/endpoints/connections_test.go
+++ b/node/endpoints/connections_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Guards against everyone who ever was piling up, and against a webhook sent to one that is forgotten.
@@ -125,7 +125,7 @@
 	}
 	s, send, ends := at(script(t, counted, counted))
 	late := func() webhook.Outcome {
-		s.Send(1, []Try{{&exchange.Webhook{ID: 7, RequestID: "b"}, webhook.Second, exchange.Now() - 1}})
+		s.Send(1, []Try{{&inflight.Webhook{ID: 7, RequestID: "b"}, webhook.Second, inflight.Now() - 1}})
 		return (<-ends).what
 	}
 	assert.True(t, late().NeverRan(), "on a new connection")
--- a/node/endpoints/endpoints.go
+++ b/node/endpoints/endpoints.go
@@ -8,17 +8,17 @@
 	"sync"
 	"sync/atomic"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Came is told what came of a webhook's part in a call; over: nothing more is owed.
-type Came func(w *exchange.Webhook, ep webhook.EndpointID, what webhook.Outcome, took webhook.Micros,
+type Came func(w *inflight.Webhook, ep webhook.EndpointID, what webhook.Outcome, took webhook.Micros,
 	over bool, wait webhook.Micros)
 
 // Endpoints holds the connections and the calls out.
 type Endpoints struct {
-	counts         *exchange.Counters
+	counts         *inflight.Counters
 	came           Came
 	connectTimeout atomic.Int64 // µs
 	idleFor        atomic.Int64 // µs; an idle link is closed after so long
@@ -61,7 +61,7 @@
 
 // New makes a pool of at most mostOpen connections. Those idle are closed well inside the time after which
 // the other side does so: a call that crosses its close would end as a reset.
-func New(counts *exchange.Counters, came Came, connectTimeout, idleLimit webhook.Micros,
+func New(counts *inflight.Counters, came Came, connectTimeout, idleLimit webhook.Micros,
 	mostOpen int) *Endpoints {
 	s := &Endpoints{counts: counts, came: came, mostOpen: max(mostOpen, 1),
 		all: map[webhook.EndpointID]*endpoint{}, waits: map[route]webhook.Micros{},
@@ -137,7 +137,7 @@
 
 // Try is one webhook's part in a call: how long its answer is waited for, and the latest that it may begin.
 type Try struct {
-	Webhook          *exchange.Webhook
+	Webhook          *inflight.Webhook
 	Patience, Latest webhook.Micros
 }
 
@@ -167,7 +167,7 @@
 		if n > 1 {
 			s.counts.Bundled.Add(int64(n))
 		}
-		go s.run(k, exchange.Now())
+		go s.run(k, inflight.Now())
 	}
 }
 
@@ -201,8 +201,8 @@
 }
 
 // ends reads a bundle's answer; ok: it names each of its webhooks once, with a known end, and nothing else.
-func ends(body []byte, webhooks []*exchange.Webhook) (each map[exchange.RequestID]share, ok bool) {
-	each = map[exchange.RequestID]share{}
+func ends(body []byte, webhooks []*inflight.Webhook) (each map[inflight.RequestID]share, ok bool) {
+	each = map[inflight.RequestID]share{}
 	for line := range bytes.Lines(body) {
 		fields := bytes.Fields(line)
 		if len(fields) == 0 && len(each) == len(webhooks) {
@@ -211,7 +211,7 @@
 		if len(fields) != 2 || line[len(line)-1] != '\n' {
 			return nil, false
 		}
-		id, word := exchange.RequestID(fields[0]), string(fields[1])
+		id, word := inflight.RequestID(fields[0]), string(fields[1])
 		if _, known := endWords[word]; !known {
 			return nil, false
 		}
--- a/node/endpoints/endpoints_test.go
+++ b/node/endpoints/endpoints_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 func TestEachAnswerHasItsOutcome(t *testing.T) {
@@ -85,9 +85,9 @@
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		s, _, ends := at(script(t, says(text)))
 		s.Place(webhook.Entry{Endpoint: 2, Destination: 3}, s.all[1].addr, webhook.Kind{Batch: 2})
-		soon := exchange.Now() + webhook.Second
-		s.Send(2, []Try{{&exchange.Webhook{ID: 1, RequestID: "a"}, webhook.Second, soon},
-			{&exchange.Webhook{ID: 2, RequestID: "b"}, webhook.Second, soon}})
+		soon := inflight.Now() + webhook.Second
+		s.Send(2, []Try{{&inflight.Webhook{ID: 1, RequestID: "a"}, webhook.Second, soon},
+			{&inflight.Webhook{ID: 2, RequestID: "b"}, webhook.Second, soon}})
 		got := map[webhook.Outcome]int{}
 		for range 2 {
 			got[(<-ends).what]++
--- a/node/endpoints/helpers_test.go
+++ b/node/endpoints/helpers_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // end is what came of one webhook.
@@ -23,7 +23,7 @@
 // at starts a pool with endpoint 1 at an address, and calls it once with each webhook that is sent on.
 func at(addr string) (s *Endpoints, send func(patience webhook.Micros), ends chan end) {
 	ends = make(chan end, 9)
-	s = New(&exchange.Counters{}, func(_ *exchange.Webhook, _ webhook.EndpointID, what webhook.Outcome,
+	s = New(&inflight.Counters{}, func(_ *inflight.Webhook, _ webhook.EndpointID, what webhook.Outcome,
 		_ webhook.Micros, over bool, wait webhook.Micros) {
 		ends <- end{what, over, wait}
 	}, webhook.Second/5, webhook.Second, 4)
@@ -31,7 +31,7 @@
 	id := webhook.WebhookID(0)
 	return s, func(patience webhook.Micros) {
 		id++
-		s.Send(1, []Try{{&exchange.Webhook{ID: id, RequestID: "a"}, patience, exchange.Now() + patience}})
+		s.Send(1, []Try{{&inflight.Webhook{ID: id, RequestID: "a"}, patience, inflight.Now() + patience}})
 	}, ends
 }
 
--- a/node/notices/notices.go
+++ b/node/notices/notices.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // Notices holds what is not yet heard.
 type Notices struct {
-	counts *exchange.Counters
+	counts *inflight.Counters
 	heard  func([]webhook.WebhookID)
 	mu     sync.Mutex
 	client *fasthttp.HostClient
@@ -32,7 +32,7 @@
 }
 
 // New makes the sender; heard is told which notices were answered.
-func New(addr string, counts *exchange.Counters, heard func([]webhook.WebhookID)) *Notices {
+func New(addr string, counts *inflight.Counters, heard func([]webhook.WebhookID)) *Notices {
 	return &Notices{counts: counts, heard: heard, most: mostOnce, bell: make(chan struct{}, 1),
 		client: client(addr)}
 }
@@ -51,12 +51,12 @@
 }
 
 // GivenUp is the notice of a dead-lettered webhook.
-func GivenUp(requestID exchange.RequestID) []byte {
+func GivenUp(requestID inflight.RequestID) []byte {
 	return []byte(`{"message":` + strconv.Quote(string(requestID)) + `,"outcome":"given_up"}` + "\n")
 }
 
 // HandedBack is the notice of a rejected webhook, with the time after which to come again, if any.
-func HandedBack(requestID exchange.RequestID, retryIn webhook.Micros) []byte {
+func HandedBack(requestID inflight.RequestID, retryIn webhook.Micros) []byte {
 	line := `{"message":` + strconv.Quote(string(requestID)) + `,"outcome":"handed_back"`
 	if retryIn > 0 {
 		line += `,"retry_in_ms":` + strconv.FormatInt(int64((retryIn+999)/1000), 10)
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -13,8 +13,8 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/internal/facts"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/refresh"
 )
 
@@ -62,7 +62,7 @@
 func New(addr string, names facts.Names, asks Asks, most int, keepFor webhook.Micros, listed Listed,
 	broken, begun func()) *Registry {
 	return &Registry{addr: addr, names: names, asks: asks, most: most, listed: listed, broken: broken,
-		begun: sync.OnceFunc(begun), keepFor: exchange.Span(keepFor), ids: map[string]*named{},
+		begun: sync.OnceFunc(begun), keepFor: inflight.Span(keepFor), ids: map[string]*named{},
 		moved: make(chan struct{})}
 }
 
@@ -81,7 +81,7 @@
 func (r *Registry) Renew(names facts.Names, keepFor webhook.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.names, r.keepFor = names, exchange.Span(keepFor)
+	r.names, r.keepFor = names, inflight.Span(keepFor)
 }
 
 // by tells what lists are read by now.
--- a/node/registry/watch.go
+++ b/node/registry/watch.go
@@ -16,7 +16,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/node/exchange"
+	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/refresh"
 )
 
@@ -24,7 +24,7 @@
 // than it may, or the address is another one; when the next one begins is decided elsewhere.
 func (r *Registry) Follow() {
 	names, _ := r.by()
-	time.AfterFunc(exchange.Span(r.asks.Hold(names.Pushed)), r.begun)
+	time.AfterFunc(inflight.Span(r.asks.Hold(names.Pushed)), r.begun)
 	for why := refresh.Started; ; {
 		addr, moved := r.place()
 		names, _ := r.by()
@@ -33,7 +33,7 @@
 		case <-moved: // it was the old address that failed
 			why = refresh.Moved
 			continue
-		case <-time.After(exchange.Span(ask.After)):
+		case <-time.After(inflight.Span(ask.After)):
 		}
 		ctx, end := context.WithCancel(context.Background())
 		go func() {
@@ -69,8 +69,8 @@
 }
 
 func (r *Registry) watch(ctx context.Context, addr string, ask refresh.Ask) error {
-	until := time.Now().Add(exchange.Span(ask.Answer))
-	c, err := (&net.Dialer{Timeout: exchange.Span(ask.Connect)}).DialContext(ctx, "tcp", addr)
+	until := time.Now().Add(inflight.Span(ask.Answer))
+	c, err := (&net.Dialer{Timeout: inflight.Span(ask.Connect)}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetHost(addr)
 	req.SetRequestURI("/registry/instances?follow=1&since=" + strconv.FormatInt(r.generation, 10))
-	live := &alive{Conn: c, until: until, silence: exchange.Span(ask.Silence)}
+	live := &alive{Conn: c, until: until, silence: inflight.Span(ask.Silence)}
 	in, out := bufio.NewReader(live), bufio.NewWriter(c)
 	if err := req.Write(out); err != nil {
 		return err
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -18,12 +18,12 @@
 	"rowanlink/internal/facts"
 	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
-	"rowanlink/node/exchange"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/node/registry"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 	serverpkg "rowanlink/webhook/dispatcher/server"
 	"rowanlink/webhook/policy"
 	"rowanlink/webhook/refresh"
@@ -47,7 +47,7 @@
 	Facts    webhook.Facts
 	Names    facts.Names
 	Life     *lifecycle.Life
-	Exchange *exchange.Exchange
+	Exchange *inflight.Exchange
 	Decider  *decider.Decider
 	Calls    *endpoints.Endpoints
 	Clients  *serverpkg.Clients
@@ -84,7 +84,7 @@
 	debug.SetMemoryLimit(int64(heapPart * memory))
 	sockets := t.limit("sockets", 1024)
 
-	life, x := &lifecycle.Life{}, exchange.New()
+	life, x := &lifecycle.Life{}, inflight.New()
 	life.Enter(lifecycle.Starting)
 	// First: guards the folder against a second start beside a dispatcher that runs, which ends here.
 	on, err := net.Listen("tcp", told.Get("listen").String())
--- a/node/exchange/announced.go
+++ b/webhook/dispatcher/inflight/announced.go
@@ -1,4 +1,4 @@
-package exchange
+package inflight
 
 import (
 	"encoding/binary"
--- a/node/exchange/exchange.go
+++ b/webhook/dispatcher/inflight/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange is where client side and server side meet, and the only place: webhooks as they came, with
+// Package inflight is where client side and server side meet, and the only place: webhooks as they came, with
 // the few fields that decisions need, and what waits to be told to the decider.
-package exchange
+package inflight
 
 import (
 	"context"
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -15,9 +15,9 @@
 
 	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
-	"rowanlink/node/exchange"
 	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // The protocol's sizes, and how long a client may be silent: it waits for its answer so long itself, and an
@@ -25,13 +25,13 @@
 const (
 	mostBody = 64 << 10
 	mostID   = 128
-	within   = 5 * time.Microsecond * time.Duration(exchange.AnswerWithin) / 2
+	within   = 5 * time.Microsecond * time.Duration(inflight.AnswerWithin) / 2
 	idleFor  = 2 * time.Second
 )
 
 // Clients is the server that clients connect to.
 type Clients struct {
-	x      *exchange.Exchange
+	x      *inflight.Exchange
 	life   *lifecycle.Life
 	terms  atomic.Pointer[terms]
 	server fasthttp.Server
@@ -51,7 +51,7 @@
 }
 
 // New makes a server that holds at most mostOpen connections, mostIdle of them idle.
-func New(x *exchange.Exchange, life *lifecycle.Life, f webhook.Facts, names facts.Names,
+func New(x *inflight.Exchange, life *lifecycle.Life, f webhook.Facts, names facts.Names,
 	mostOpen, mostIdle int) *Clients {
 	s := &Clients{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
 	s.Renew(f, names)
@@ -162,13 +162,13 @@
 	}
 	what, retryIn := s.x.HandIn(w)
 	switch what {
-	case exchange.Taken:
+	case inflight.Taken:
 		s.x.Accepted.Add(1)
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
-	case exchange.Doubled:
+	case inflight.Doubled:
 		s.misunderstood("Request-Id is held already")
 		ctx.Error("this Request-Id is held already", fasthttp.StatusConflict)
-	case exchange.Unsaid: // its client comes again by its own rules, and is known by its name
+	case inflight.Unsaid: // its client comes again by its own rules, and is known by its name
 		ctx.SetConnectionClose()
 		ctx.Conn().Close()
 	default:
--- a/webhook/dispatcher/server/clients_test.go
+++ b/webhook/dispatcher/server/clients_test.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
-	"rowanlink/node/exchange"
 	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Guards against a request that has come and is lost because others need its connection's place.
@@ -45,7 +45,7 @@
 		fmt.Fprint(asking, "POST") // its next request begins
 		require.Eventually(t, func() bool { return socket.Unread(first.TCPConn) }, time.Second, time.Millisecond)
 		if second.answered(); full {
-			time.Sleep(exchange.Span(mayBeMute * 3 / 2)) // this process gets to read nothing
+			time.Sleep(inflight.Span(mayBeMute * 3 / 2)) // this process gets to read nothing
 			dial()
 			enter()
 		}
@@ -59,7 +59,7 @@
 
 // Guards against a request that waits for an answer from a decider that has ended or is about to.
 func TestWhenNothingIsTakenOnTheAnswerWaitsForNobody(t *testing.T) {
-	life, x := &lifecycle.Life{}, exchange.New()
+	life, x := &lifecycle.Life{}, inflight.New()
 	life.Enter(lifecycle.Ended)
 	x.Name(3)
 	s := New(x, life, webhook.Facts{EventTypes: []webhook.EventType{{TTL: 9 * webhook.Second}}},
--- a/webhook/dispatcher/server/door.go
+++ b/webhook/dispatcher/server/door.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"rowanlink/internal/socket"
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // door lets connections in, so many at once at most. When all places are taken, a guest that has nothing to
@@ -43,7 +43,7 @@
 }
 
 // mayBeMute is how long a new connection keeps its place whatever comes: a usual client's request is with it.
-const mayBeMute = exchange.AnswerWithin / 2
+const mayBeMute = inflight.AnswerWithin / 2
 
 // newDoor makes a door that has yet to be given its listener.
 func newDoor(most, spare int) *door {
@@ -79,7 +79,7 @@
 // and again.
 func (d *door) dispensable() *guest {
 	first := d.silent()
-	if first != nil && exchange.Now()-first.since > mayBeMute {
+	if first != nil && inflight.Now()-first.since > mayBeMute {
 		return first
 	}
 	if g := d.idlest(); g != nil || first == nil {
@@ -127,7 +127,7 @@
 func (d *door) deserted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.in == 0 && exchange.Now()-d.left > exchange.AnswerWithin
+	return d.in == 0 && inflight.Now()-d.left > inflight.AnswerWithin
 }
 
 // move puts a guest where it stands now; the caller holds the lock.
@@ -136,7 +136,7 @@
 		g.at.Remove(g.place)
 	}
 	if g.at = to; to != nil && !g.gone {
-		g.since, g.place = exchange.Now(), to.PushBack(g)
+		g.since, g.place = inflight.Now(), to.PushBack(g)
 		g.door.freed.Signal()
 	}
 }
@@ -146,7 +146,7 @@
 		g.move(nil)
 		g.gone = true
 		g.door.in--
-		g.door.left = exchange.Now()
+		g.door.left = inflight.Now()
 		g.door.freed.Signal()
 		g.TCPConn.Close()
 	}
--- a/webhook/dispatcher/server/webhook.go
+++ b/webhook/dispatcher/server/webhook.go
@@ -10,13 +10,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/node/exchange"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // webhook takes the few fields out that are decided on; body, id and token stay as they came.
-func (s *Clients) webhook(ctx *fasthttp.RequestCtx, g *guest) (w *exchange.Webhook, why string) {
-	now := exchange.Now() // its time counts from before
+func (s *Clients) webhook(ctx *fasthttp.RequestCtx, g *guest) (w *inflight.Webhook, why string) {
+	now := inflight.Now() // its time counts from before
 	h := &ctx.Request.Header
 	length, coding := times(h, "Content-Length"), times(h, "Transfer-Encoding")
 	switch {
@@ -52,7 +52,7 @@
 	if !ok {
 		return nil, "X-Route-To names no dest"
 	}
-	w = &exchange.Webhook{RequestID: exchange.RequestID(id), Token: exchange.Token(token),
+	w = &inflight.Webhook{RequestID: inflight.RequestID(id), Token: inflight.Token(token),
 		Body: bytes.Clone(ctx.PostBody()), Destination: dest,
 		Event: webhook.EventTypeID(evt), Tenant: math.MaxUint32, TTL: now + min(ttl, longest), CameAt: now}
 	w.List = list
