--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -8,21 +8,21 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // doubt is one webhook that another member may have, as it stands when that is asked.
 type doubt struct {
-	decider.Owed
+	eventloop.Owed
 	name shardmap.Name
 	hand shardmap.Hand
 	out  shardmap.Offer
 }
 
 // settle asks a member that may have webhooks, of which it is not the home any more, or not in that life.
-func (o *owing) settle(at cluster.MemberID, all []decider.Owed) {
+func (o *owing) settle(at cluster.MemberID, all []eventloop.Owed) {
 	f, now := o.forwarding, inflight.Now()
 	var doubts []doubt
 	var asks []asked
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -1,8 +1,8 @@
 package member
 
 import (
-	"rowanlink/node/decider"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -20,4 +20,4 @@
 
 func (g gate) Doubts(of inflight.RequestID) bool { return g.m.names.Doubts(of) }
 
-var _ decider.Fleet = gate{}
+var _ eventloop.Fleet = gate{}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -10,8 +10,8 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -27,7 +27,7 @@
 type harm struct {
 	self  cluster.MemberID
 	homes *homes
-	d     *decider.Decider
+	d     *eventloop.Decider
 	now   func() webhookpkg.Micros
 	over  <-chan struct{}
 
@@ -37,16 +37,16 @@
 }
 
 // Ended counts an end, as the decider tells it.
-func (g gate) Ended(w *inflight.Webhook, how decider.End) { g.m.harm.ended(w, how) }
+func (g gate) Ended(w *inflight.Webhook, how eventloop.End) { g.m.harm.ended(w, how) }
 
-func (h *harm) ended(w *inflight.Webhook, how decider.End) {
+func (h *harm) ended(w *inflight.Webhook, how eventloop.End) {
 	e := rebalance.Ends{Ended: 1}
 	switch how {
-	case decider.Late:
+	case eventloop.Late:
 		e.Late = 1
-	case decider.HandedBack:
+	case eventloop.HandedBack:
 		e.Rejected = 1
-	case decider.DeadLettered:
+	case eventloop.DeadLettered:
 		e.DeadLettered = 1
 	}
 	h.count(w.Destination, e)
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -10,8 +10,8 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -27,8 +27,8 @@
 	h.homes.chart.Store(chart)
 	h.Look()
 	w := &inflight.Webhook{Destination: 7}
-	for _, how := range []decider.End{decider.InTime, decider.Late, decider.Late, decider.HandedBack,
-		decider.DeadLettered, decider.DeadLettered, decider.DeadLettered} {
+	for _, how := range []eventloop.End{eventloop.InTime, eventloop.Late, eventloop.Late, eventloop.HandedBack,
+		eventloop.DeadLettered, eventloop.DeadLettered, eventloop.DeadLettered} {
 		h.ended(w, how)
 	}
 	to := func(what inflight.Answer, done bool) away {
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -7,14 +7,14 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // handOn offers what is owed to its home, or to the target of its move, and has it parked in doubt until
 // there is an answer. What has none is offered again: there it is known by its name.
-func (o *owing) handOn(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []decider.Owed) {
+func (o *owing) handOn(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []eventloop.Owed) {
 	f := o.forwarding
 	s := sent{Version: chart.Version, At: inflight.Now(), Move: move}
 	all = o.offered(chart, to, move, all, &s)
@@ -50,8 +50,8 @@
 
 // offered writes to whom webhooks are on their way, before they are. It keeps those that are still parked
 // here.
-func (o *owing) offered(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []decider.Owed,
-	s *sent) (still []decider.Owed) {
+func (o *owing) offered(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []eventloop.Owed,
+	s *sent) (still []eventloop.Owed) {
 	f := o.forwarding
 	ids, names := make([]webhookpkg.WebhookID, len(all)), make([]shardmap.Name, len(all))
 	for i, w := range all {
@@ -92,7 +92,7 @@
 }
 
 // heard does what the answers to offers say.
-func (o *owing) heard(s sent, all []decider.Owed, hs []heard) {
+func (o *owing) heard(s sent, all []eventloop.Owed, hs []heard) {
 	var own []shardmap.Name
 	var ours []inflight.RequestID
 	var drop []webhookpkg.WebhookID
@@ -128,7 +128,7 @@
 
 // drops ends what another member has. Guards against one that has come back meanwhile, and against one taken
 // on anew before it has ended here: both wait for the names.
-func (o *owing) drops(s sent, all []decider.Owed, hs []heard) {
+func (o *owing) drops(s sent, all []eventloop.Owed, hs []heard) {
 	o.forwarding.names.Note(func(k *shardmap.Known) {
 		var ids []webhookpkg.WebhookID
 		for i, w := range all {
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -5,8 +5,8 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/node/decider"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -16,7 +16,7 @@
 // owing is what is parked here and belongs elsewhere, or may.
 type owing struct {
 	forwarding *forwarding
-	decider    *decider.Decider
+	decider    *eventloop.Decider
 	events     func(webhookpkg.EventTypeID) webhookpkg.EventType
 	looks      func() // has Look called soon; does not wait
 
@@ -42,11 +42,11 @@
 // errand is what one member is to be told: offers by their moves, in the order taken, and doubts to settle.
 type errand struct {
 	moves  []shardmap.MoveID
-	offers map[shardmap.MoveID][]decider.Owed
-	asks   []decider.Owed
+	offers map[shardmap.MoveID][]eventloop.Owed
+	asks   []eventloop.Owed
 }
 
-func (e *errand) offer(w decider.Owed, move shardmap.MoveID) {
+func (e *errand) offer(w eventloop.Owed, move shardmap.MoveID) {
 	if e.offers[move] == nil {
 		e.moves = append(e.moves, move)
 	}
@@ -98,7 +98,7 @@
 
 // sorts is who is to be told what. Behind one that is in doubt, or is waited for, nothing of its key is
 // handed on.
-func (o *owing) sorts(chart *shardmap.Map, all []decider.Owed) map[cluster.MemberID]*errand {
+func (o *owing) sorts(chart *shardmap.Map, all []eventloop.Owed) map[cluster.MemberID]*errand {
 	type turn struct {
 		dest webhookpkg.DestinationID
 		key  webhookpkg.Key
@@ -106,7 +106,7 @@
 	errands, waits := map[cluster.MemberID]*errand{}, map[turn]bool{}
 	errandTo := func(to cluster.MemberID) *errand {
 		if errands[to] == nil {
-			errands[to] = &errand{offers: map[shardmap.MoveID][]decider.Owed{}}
+			errands[to] = &errand{offers: map[shardmap.MoveID][]eventloop.Owed{}}
 		}
 		return errands[to]
 	}
@@ -138,7 +138,7 @@
 
 // came has a webhook go on from here that is in the journal and whose record could not be written when it
 // came.
-func (o *owing) came(w decider.Owed) {
+func (o *owing) came(w eventloop.Owed) {
 	if name := nameOf(w.RequestID); o.forwarding.names.Comes(name) {
 		if o.forwarding.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
 			o.decider.Settled([]inflight.RequestID{w.RequestID})
@@ -147,7 +147,7 @@
 }
 
 // goes is where a webhook belongs, and by which move it goes there; false: it stays here for now.
-func (o *owing) goes(chart *shardmap.Map, w decider.Owed) (cluster.MemberID, shardmap.MoveID, bool) {
+func (o *owing) goes(chart *shardmap.Map, w eventloop.Owed) (cluster.MemberID, shardmap.MoveID, bool) {
 	o.mu.Lock()
 	_, adopted := o.adopted[w.RequestID]
 	o.mu.Unlock()
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -16,12 +16,12 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
@@ -82,7 +82,7 @@
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
 	evt := webhook.EventType{Target: 5 * webhook.Second, TTL: 600 * webhook.Second}
-	d := decider.New(x, life, kept, webhook.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
+	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
 		ConnectTimeout: webhook.Second, EventTypes: []webhook.EventType{evt}, Kinds: []webhook.Kind{{Batch: 1}}})
 	said := transport.New("m", says)
 	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -6,8 +6,8 @@
 
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
-	"rowanlink/node/decider"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -61,11 +61,11 @@
 
 // frees takes deliveries back. never: the relay never had them.
 func (l *lane) frees(all []stream.Delivery, never bool) {
-	back := map[inflight.RequestID]decider.Back{}
+	back := map[inflight.RequestID]eventloop.Back{}
 	for _, d := range all {
 		if g := l.get(d); g != nil {
 			m, _ := l.of.marks.get(g.id)
-			back[g.id] = decider.Back{Never: never, Ran: m.Ran}
+			back[g.id] = eventloop.Back{Never: never, Ran: m.Ran}
 		}
 	}
 	l.of.decider.Frees(back)
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -11,9 +11,9 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	"rowanlink/node/journal"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -54,7 +54,7 @@
 
 // dispatcher is the relay's own.
 type dispatcher struct {
-	decider *decider.Decider
+	decider *eventloop.Decider
 	x       *inflight.Exchange
 	room    func() int  // deliveries that may be held at once
 	takes   func() bool // this member takes webhooks on
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -11,12 +11,12 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := decider.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
+	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
 		EventTypes: []webhook.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhook.AtMostOnce}}})
 	d.Begin(endpoints.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -5,14 +5,14 @@
 
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
-	"rowanlink/node/decider"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // owed lists what is parked here by site, in the order taken: all sites in one turn, since each turn looks at
 // all that is held.
-func (s *Sites) owed(of *ways) map[*lane][]decider.Owed {
+func (s *Sites) owed(of *ways) map[*lane][]eventloop.Owed {
 	for _, l := range of.lanes {
 		l.lists()
 	}
@@ -20,7 +20,7 @@
 		l := s.laneOf(w, of)
 		return l != nil && l.site.Relay != s.self
 	})
-	by := map[*lane][]decider.Owed{}
+	by := map[*lane][]eventloop.Owed{}
 	for _, w := range all {
 		if l := s.laneOf(w.Webhook, of); l != nil {
 			by[l] = append(by[l], w)
@@ -41,7 +41,7 @@
 }
 
 // item is a webhook as it goes over.
-func (l *lane) item(w decider.Owed) *stream.Item {
+func (l *lane) item(w eventloop.Owed) *stream.Item {
 	of, _, many := w.RequestID.Subscriber()
 	i := &stream.Item{Name: l.nameOf(string(of)), Request: string(of), Many: many, Event: w.Event,
 		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, MayRun: w.MayRun,
@@ -56,7 +56,7 @@
 	return i
 }
 
-func (l *lane) adds(i *stream.Item, w decider.Owed) {
+func (l *lane) adds(i *stream.Item, w eventloop.Owed) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.delivery(w.RequestID, w.Destination)
@@ -78,7 +78,7 @@
 }
 
 // feed hands the stream what is owed and not in it yet: subscribers of one announcement together.
-func (l *lane) feed(s *relay.Stream, all []decider.Owed) {
+func (l *lane) feed(s *relay.Stream, all []eventloop.Owed) {
 	type turn struct {
 		to  webhook.DestinationID
 		key webhook.Key
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -12,8 +12,8 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	streampkg "rowanlink/cluster/stream"
-	"rowanlink/node/decider"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -61,7 +61,7 @@
 }
 
 // look does what the grants, the map and the journals ask for now.
-func (l *lane) look(owed []decider.Owed) {
+func (l *lane) look(owed []eventloop.Owed) {
 	epoch, held := l.holds()
 	sent := l.of.marks.all(l.site)
 	now := l.stream.Load()
@@ -141,7 +141,7 @@
 }
 
 // begin makes the stream by what the journals say: what was sent is asked about first.
-func (l *lane) begin(epoch cluster.Epoch, sent []mark, all []decider.Owed) {
+func (l *lane) begin(epoch cluster.Epoch, sent []mark, all []eventloop.Owed) {
 	l.end()
 	l.anew.Store(false)
 	l.epoch = epoch
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,12 +8,12 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/policy"
 )
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := decider.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
+	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
 		EventTypes: []webhook.EventType{{Target: webhook.Second, TTL: 9 * webhook.Second}}})
 	d.Join(shut{})
 	d.Begin(endpoints.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -16,8 +16,8 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/decider"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -37,7 +37,7 @@
 	State    string  // the folder that outlasts the process
 	DiskMB   float64 // for a relay's own journal
 	Exchange *inflight.Exchange
-	Decider  *decider.Decider
+	Decider  *eventloop.Decider
 	Said     relay.Said
 	Takes    func() bool // webhooks, from whomever
 	Nudge    func()      // something is to be handed on; does not wait
@@ -56,7 +56,7 @@
 	p       Part
 	pace    relay.Pace
 	apart   float64
-	decider *decider.Decider
+	decider *eventloop.Decider
 	said    relay.Said
 	session Session
 	event   func(webhook.EventTypeID) webhook.EventType
@@ -191,7 +191,7 @@
 		}
 		s.mu.Lock()
 		now := s.plan.Load()
-		var owed map[*lane][]decider.Owed
+		var owed map[*lane][]eventloop.Owed
 		if slices.ContainsFunc(now.lanes, (*lane).sends) {
 			owed = s.owed(now)
 		}
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -16,13 +16,13 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/internal/facts"
-	"rowanlink/node/decider"
 	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/node/registry"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	serverpkg "rowanlink/webhook/dispatcher/server"
 	"rowanlink/webhook/policy"
@@ -48,7 +48,7 @@
 	Names    facts.Names
 	Life     *lifecycle.Life
 	Exchange *inflight.Exchange
-	Decider  *decider.Decider
+	Decider  *eventloop.Decider
 	Calls    *endpoints.Endpoints
 	Clients  *serverpkg.Clients
 }
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	d := decider.New(x, life, kept, t.facts)
+	d := eventloop.New(x, life, kept, t.facts)
 	d.Types(t.names.EventTypes)
 	calls := endpoints.New(&x.Counters, d.Came, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
 	server := serverpkg.New(x, life, t.facts, t.names, int(clientPart*sockets), int(idlePart*sockets))
--- a/node/decider/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -1,6 +1,6 @@
-// Package decider runs the decision module: one goroutine owns it and is its Host. A turn takes all that
+// Package eventloop runs the decision module: one goroutine owns it and is its Host. A turn takes all that
 // waits, lets the module decide once, writes down what was decided, and only then acts on it.
-package decider
+package eventloop
 
 import (
 	"log/slog"
--- a/node/decider/owes.go
+++ b/webhook/dispatcher/eventloop/owes.go
@@ -1,4 +1,4 @@
-package decider
+package eventloop
 
 import "rowanlink/webhook/dispatcher/inflight"
 
