--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -16,13 +16,13 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/policy"
 )
 
@@ -94,7 +94,7 @@
 	server := transport.Hears(256, 5*time.Second)
 	sites.Hear(server)
 	go server.Serve(hear)
-	calls := endpoints.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 400)
+	calls := upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 400)
 	d.Begin(calls, notices.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,13 +8,13 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/policy"
 )
 
@@ -33,7 +33,7 @@
 	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
 		EventTypes: []webhook.EventType{{Target: webhook.Second, TTL: 9 * webhook.Second}}})
 	d.Join(shut{})
-	d.Begin(endpoints.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
+	d.Begin(upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
 		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -16,7 +16,6 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/internal/facts"
-	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
@@ -25,6 +24,7 @@
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	serverpkg "rowanlink/webhook/dispatcher/server"
+	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/policy"
 	"rowanlink/webhook/refresh"
 )
@@ -49,7 +49,7 @@
 	Life     *lifecycle.Life
 	Exchange *inflight.Exchange
 	Decider  *eventloop.Decider
-	Calls    *endpoints.Endpoints
+	Calls    *upstream.Endpoints
 	Clients  *serverpkg.Clients
 }
 
@@ -98,7 +98,7 @@
 	}
 	d := eventloop.New(x, life, kept, t.facts)
 	d.Types(t.names.EventTypes)
-	calls := endpoints.New(&x.Counters, d.Came, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
+	calls := upstream.New(&x.Counters, d.Came, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
 	server := serverpkg.New(x, life, t.facts, t.names, int(clientPart*sockets), int(idlePart*sockets))
 	if beside != nil {
 		if err := beside.Begin(&Dispatcher{told, state, t.facts, t.names, life, x, d, calls, server}); err != nil {
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -6,12 +6,12 @@
 	"log/slog"
 
 	"rowanlink/internal/due"
-	"rowanlink/node/endpoints"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/upstream"
 )
 
 // sweepTicks is how many ticks lie between two looks at idle connections.
@@ -22,7 +22,7 @@
 	x       *inflight.Exchange
 	life    *lifecycle.Life
 	journal *journal.Journal
-	calls   *endpoints.Endpoints
+	calls   *upstream.Endpoints
 	finals  *notices.Notices
 	facts   webhookpkg.Facts
 	types   []string // the names of event types
@@ -58,7 +58,7 @@
 
 type attempt struct {
 	ep webhookpkg.EndpointID
-	endpoints.Try
+	upstream.Try
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
@@ -73,7 +73,7 @@
 }
 
 // Begin starts the module and hands it the webhooks of an earlier life.
-func (d *Decider) Begin(calls *endpoints.Endpoints, finals *notices.Notices,
+func (d *Decider) Begin(calls *upstream.Endpoints, finals *notices.Notices,
 	start func(webhookpkg.Facts, webhookpkg.Host) webhookpkg.Module) {
 	d.calls, d.finals = calls, finals
 	d.module = start(d.facts, d)
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -3,10 +3,10 @@
 import (
 	"log/slog"
 
-	"rowanlink/node/endpoints"
 	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/upstream"
 )
 
 // Now is the time of the turn.
@@ -16,7 +16,7 @@
 	if w := d.held[id]; w != nil {
 		w.Step("attempt", ep, patience)
 		d.out[id] = true
-		d.attempts = append(d.attempts, attempt{ep, endpoints.Try{Webhook: w, Patience: patience, Latest: latest}})
+		d.attempts = append(d.attempts, attempt{ep, upstream.Try{Webhook: w, Patience: patience, Latest: latest}})
 	}
 }
 
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"rowanlink/node/endpoints"
 	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/upstream"
 )
 
 // Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
@@ -178,7 +178,7 @@
 // send makes the calls of this turn, those to one endpoint together, in the order decided.
 func (d *Decider) send() {
 	var eps []webhookpkg.EndpointID
-	tries := map[webhookpkg.EndpointID][]endpoints.Try{}
+	tries := map[webhookpkg.EndpointID][]upstream.Try{}
 	for _, a := range d.attempts {
 		if tries[a.ep] == nil {
 			eps = append(eps, a.ep)
--- a/node/endpoints/endpoints.go
+++ b/webhook/dispatcher/upstream/endpoints.go
@@ -1,6 +1,6 @@
-// Package endpoints makes the calls: each one exactly once, on connections of its own. It repeats nothing by
+// Package upstream makes the calls: each one exactly once, on connections of its own. It repeats nothing by
 // itself and decides nothing; what came of a call goes back webhook by webhook.
-package endpoints
+package upstream
 
 import (
 	"bytes"
--- a/node/endpoints/may_test.go
+++ b/webhook/dispatcher/upstream/may_test.go
@@ -1,4 +1,4 @@
-package endpoints
+package upstream
 
 import (
 	"bufio"
