--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -18,8 +18,8 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
@@ -95,7 +95,7 @@
 	sites.Hear(server)
 	go server.Serve(hear)
 	calls := upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 400)
-	d.Begin(calls, notices.New("127.0.0.1:1", &x.Counters, d.Heard),
+	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
 	require.NoError(b, sites.Serve(holder{}))
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -13,8 +13,8 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
@@ -37,7 +37,7 @@
 	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
 		EventTypes: []webhook.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhook.AtMostOnce}}})
 	d.Begin(upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
-		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
+		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -10,8 +10,8 @@
 	"rowanlink/cluster/stream"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
@@ -34,7 +34,7 @@
 		EventTypes: []webhook.EventType{{Target: webhook.Second, TTL: 9 * webhook.Second}}})
 	d.Join(shut{})
 	d.Begin(upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
-		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
+		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
--- a/node/notices/notices.go
+++ b/webhook/dispatcher/callback/notices.go
@@ -1,5 +1,5 @@
-// Package notices tells the platform of webhooks that ended undelivered, again and again until it was heard.
-package notices
+// Package callback tells the platform of webhooks that ended undelivered, again and again until it was heard.
+package callback
 
 import (
 	"log/slog"
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -18,9 +18,9 @@
 	"rowanlink/internal/facts"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	"rowanlink/node/registry"
 	"rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	serverpkg "rowanlink/webhook/dispatcher/server"
@@ -105,7 +105,7 @@
 			return err
 		}
 	}
-	finals := notices.New(told.Get("discovery").String(), &x.Counters, d.Heard)
+	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.Heard)
 	held := &refresh.Hold{}
 	list := registry.New(told.Get("discovery").String(), t.names,
 		refresh.New(t.facts.Seed, webhook.Micros(registry.LinePeriod.Microseconds())), int(listPart*memory),
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -8,8 +8,8 @@
 	"rowanlink/internal/due"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
 )
@@ -23,7 +23,7 @@
 	life    *lifecycle.Life
 	journal *journal.Journal
 	calls   *upstream.Endpoints
-	finals  *notices.Notices
+	finals  *callback.Notices
 	facts   webhookpkg.Facts
 	types   []string // the names of event types
 	module  webhookpkg.Module
@@ -73,7 +73,7 @@
 }
 
 // Begin starts the module and hands it the webhooks of an earlier life.
-func (d *Decider) Begin(calls *upstream.Endpoints, finals *notices.Notices,
+func (d *Decider) Begin(calls *upstream.Endpoints, finals *callback.Notices,
 	start func(webhookpkg.Facts, webhookpkg.Host) webhookpkg.Module) {
 	d.calls, d.finals = calls, finals
 	d.module = start(d.facts, d)
--- a/webhook/dispatcher/eventloop/decider_test.go
+++ b/webhook/dispatcher/eventloop/decider_test.go
@@ -9,8 +9,8 @@
 
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/policy"
@@ -25,7 +25,7 @@
 	d := New(x, life, kept, webhookpkg.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
 		EventTypes: []webhookpkg.EventType{{Target: webhookpkg.Second, TTL: 9 * webhookpkg.Second}}})
 	d.Begin(upstream.New(&x.Counters, d.Came, webhookpkg.Second, webhookpkg.Second, 4),
-		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
+		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhookpkg.Facts, h webhookpkg.Host) webhookpkg.Module { return policy.New(f, h) })
 	d.Listed([]webhookpkg.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
--- a/webhook/dispatcher/eventloop/fleet_test.go
+++ b/webhook/dispatcher/eventloop/fleet_test.go
@@ -9,8 +9,8 @@
 
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/policy"
@@ -43,7 +43,7 @@
 		EventTypes: []webhookpkg.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhookpkg.AtMostOnce}}})
 	d.Join(all)
 	d.Begin(upstream.New(&x.Counters, d.Came, webhookpkg.Second, webhookpkg.Second, 4),
-		notices.New("127.0.0.1:1", &x.Counters, d.Heard),
+		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f webhookpkg.Facts, h webhookpkg.Host) webhookpkg.Module { return policy.New(f, h) })
 	d.Listed([]webhookpkg.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
-	"rowanlink/node/notices"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
 )
@@ -41,7 +41,7 @@
 	d.x.HandedBack.Add(1)
 	d.witness(w, HandedBack)
 	w.Step("handed_back", 0, advised)
-	d.owe(w, notices.HandedBack(w.RequestID, advised))
+	d.owe(w, callback.HandedBack(w.RequestID, advised))
 }
 
 func (d *Decider) DeadLetter(id webhookpkg.WebhookID) {
@@ -49,7 +49,7 @@
 		d.x.GivenUp.Add(1)
 		d.witness(w, DeadLettered)
 		w.Step("dead_lettered", 0, 0)
-		d.owe(w, notices.GivenUp(w.RequestID))
+		d.owe(w, callback.GivenUp(w.RequestID))
 	}
 }
 
