--- a/node/registry/registry.go
+++ b/webhook/dispatcher/discovery/registry.go
@@ -1,6 +1,6 @@
-// Package registry follows the endpoint list: it starts from the list this dispatcher last held and watches
+// Package discovery follows the endpoint list: it starts from the list this dispatcher last held and watches
 // for changes from there on.
-package registry
+package discovery
 
 import (
 	"fmt"
--- a/node/registry/stream_test.go
+++ b/webhook/dispatcher/discovery/stream_test.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import (
 	"bytes"
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -18,9 +18,9 @@
 	"rowanlink/internal/facts"
 	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
-	"rowanlink/node/registry"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
+	"rowanlink/webhook/dispatcher/discovery"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	serverpkg "rowanlink/webhook/dispatcher/server"
@@ -107,8 +107,8 @@
 	}
 	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.Heard)
 	held := &refresh.Hold{}
-	list := registry.New(told.Get("discovery").String(), t.names,
-		refresh.New(t.facts.Seed, webhook.Micros(registry.LinePeriod.Microseconds())), int(listPart*memory),
+	list := discovery.New(told.Get("discovery").String(), t.names,
+		refresh.New(t.facts.Seed, webhook.Micros(discovery.LinePeriod.Microseconds())), int(listPart*memory),
 		t.keepNames(), d.Listed, func() { x.ListsBroken.Add(1) }, func() { x.Tell(held.Open) })
 	if err := list.Take(told.Get("known")); err != nil {
 		slog.Warn("no known list", "why", err)
