--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/journal"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // names is what a member knows of webhooks by their names, kept in a journal of its own: what is told to
@@ -25,7 +25,7 @@
 
 	mu    sync.Mutex
 	known *shardmap.Known
-	kept  *journal.Journal
+	kept  *wal.Journal
 	at    map[shardmap.Name]webhookpkg.WebhookID // the record of each
 	last  webhookpkg.WebhookID
 	slack webhookpkg.Micros
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, err := journal.Open(dir, diskMB)
+	kept, err := wal.Open(dir, diskMB)
 	if err != nil {
 		return nil, err
 	}
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -16,13 +16,13 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 )
 
@@ -77,7 +77,7 @@
 		}
 	}
 	f.Lists = []config.List{{ID: "all", Subscribers: all}}
-	kept, err := journal.Open(b.TempDir(), 200)
+	kept, err := wal.Open(b.TempDir(), 200)
 	require.NoError(b, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -11,10 +11,10 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/journal"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // roomPart is the share of a dispatcher's buffer that its relay may fill: the rest is for clients' own.
@@ -40,7 +40,7 @@
 	relay *relay.Relay
 
 	mu     sync.Mutex
-	kept   *journal.Journal
+	kept   *wal.Journal
 	last   webhook.WebhookID
 	marked webhook.WebhookID // the mark's record
 	of     map[stream.Delivery]webhook.WebhookID
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -11,13 +11,13 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 )
 
@@ -25,12 +25,12 @@
 // ends but by its time.
 type bed struct {
 	*desk
-	kept *journal.Journal
+	kept *wal.Journal
 	life *lifecycle.Life
 }
 
 func relayIn(t *testing.T, dir string, ttl webhook.Micros) *bed {
-	kept, err := journal.Open(dir, 1)
+	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,13 +8,13 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 )
 
@@ -26,7 +26,7 @@
 // Guards against a webhook that may be at its relay and that nobody asks for any more: it goes out once more
 // in a frame that is not sent, as the frame has what has gone already.
 func TestWhatWasSentStaysMarkedThoughAFrameWithItIsNotSent(t *testing.T) {
-	kept, err := journal.Open(t.TempDir(), 1)
+	kept, err := wal.Open(t.TempDir(), 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -8,9 +8,9 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/node/journal"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // mark says of one delivery that it may be at a relay. It is kept from before its first byte leaves until
@@ -29,7 +29,7 @@
 
 type marks struct {
 	mu   sync.Mutex
-	kept *journal.Journal
+	kept *wal.Journal
 	of   map[inflight.RequestID]mark
 	at   map[inflight.RequestID]webhook.WebhookID // the record of each
 	last webhook.WebhookID
@@ -55,11 +55,11 @@
 	return m, nil
 }
 
-func openJournal(dir string, diskMB float64) (*journal.Journal, error) {
+func openJournal(dir string, diskMB float64) (*wal.Journal, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	return journal.Open(dir, diskMB)
+	return wal.Open(dir, diskMB)
 }
 
 // put keeps marks in one write. After an error none of them is kept.
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -16,7 +16,6 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/internal/facts"
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
@@ -25,6 +24,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 	serverpkg "rowanlink/webhook/dispatcher/server"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 	"rowanlink/webhook/refresh"
 )
@@ -92,7 +92,7 @@
 		return err
 	}
 	state := os.Getenv("LB_STATE")
-	kept, err := journal.Open(state, t.limit("disk_mb", 3))
+	kept, err := wal.Open(state, t.limit("disk_mb", 3))
 	if err != nil {
 		return err
 	}
--- a/webhook/dispatcher/eventloop/custody.go
+++ b/webhook/dispatcher/eventloop/custody.go
@@ -1,9 +1,9 @@
 package eventloop
 
 import (
-	"rowanlink/node/journal"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // Earlier lists the request ids of what an earlier life still owes; before Begin only.
@@ -114,7 +114,7 @@
 }
 
 // past journals what a webhook brings along from another member, beside what was taken.
-func past(j *journal.Journal, w *inflight.Webhook) (attempts int, mayRun webhookpkg.Micros,
+func past(j *wal.Journal, w *inflight.Webhook) (attempts int, mayRun webhookpkg.Micros,
 	zone webhookpkg.ZoneID) {
 	if p := w.Past; p != nil {
 		j.Past(w.ID, p.Attempts, p.MayRun, p.Zone)
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -6,12 +6,12 @@
 	"log/slog"
 
 	"rowanlink/internal/due"
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // sweepTicks is how many ticks lie between two looks at idle connections.
@@ -21,7 +21,7 @@
 type Decider struct {
 	x       *inflight.Exchange
 	life    *lifecycle.Life
-	journal *journal.Journal
+	journal *wal.Journal
 	calls   *upstream.Endpoints
 	finals  *callback.Notices
 	facts   webhookpkg.Facts
@@ -62,7 +62,7 @@
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *inflight.Exchange, life *lifecycle.Life, j *journal.Journal, f webhookpkg.Facts) *Decider {
+func New(x *inflight.Exchange, life *lifecycle.Life, j *wal.Journal, f webhookpkg.Facts) *Decider {
 	f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
 	d := &Decider{x: x, life: life, journal: j, facts: f, now: inflight.Now(), nextID: 1,
 		held: map[webhookpkg.WebhookID]*inflight.Webhook{}, ids: map[inflight.RequestID]webhookpkg.WebhookID{},
--- a/webhook/dispatcher/eventloop/decider_test.go
+++ b/webhook/dispatcher/eventloop/decider_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 )
 
 func TestWhatTheDiskRefusesIsRejectedAndNotSent(t *testing.T) {
 	dir := t.TempDir()
-	kept, err := journal.Open(dir, 1)
+	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
@@ -49,7 +49,7 @@
 	assert.Empty(t, d.held)
 	assert.Equal(t, inflight.Taken, hand("a2"), "the next one is written anew")
 	assert.EqualValues(t, 1, x.Calls.Load())
-	next, err := journal.Open(dir, 1)
+	next, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	require.Len(t, next.Entries(), 1)
 	assert.Equal(t, webhookpkg.WebhookID(2), next.Entries()[0].ID)
--- a/webhook/dispatcher/eventloop/fleet_test.go
+++ b/webhook/dispatcher/eventloop/fleet_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/node/journal"
 	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 )
 
@@ -26,7 +26,7 @@
 // side is a dispatcher without its sockets' other ends.
 type side struct {
 	*Decider
-	kept *journal.Journal
+	kept *wal.Journal
 	all  *elsewhere
 }
 
@@ -35,7 +35,7 @@
 }
 
 func standsBeside(t *testing.T, dir string, ttl webhookpkg.Micros, all *elsewhere) *side {
-	kept, err := journal.Open(dir, 1)
+	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
--- a/webhook/dispatcher/eventloop/relayed.go
+++ b/webhook/dispatcher/eventloop/relayed.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"strconv"
 
-	"rowanlink/node/journal"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // ended is what the journal of an earlier life says of a webhook whose end another member is owed.
@@ -31,7 +31,7 @@
 }
 
 // endedBefore guards against the platform being told of an end that is another member's to hear.
-func (d *Decider) endedBefore(e *journal.Entry) bool {
+func (d *Decider) endedBefore(e *wal.Entry) bool {
 	end, is := inflight.EndFrom(e.Notice)
 	if is {
 		if d.told == nil {
--- a/node/journal/entry.go
+++ b/webhook/dispatcher/wal/entry.go
@@ -1,4 +1,4 @@
-package journal
+package wal
 
 import (
 	"encoding/binary"
--- a/node/journal/journal.go
+++ b/webhook/dispatcher/wal/journal.go
@@ -1,7 +1,7 @@
-// Package journal keeps what outlasts the process: each webhook taken on, each delivery attempt before its
+// Package wal keeps what outlasts the process: each webhook taken on, each delivery attempt before its
 // first byte, each end, and each final notice until it was heard. It is one file of records that only grows,
 // now and then written anew with what is still owed. Data written survives the process without a sync.
-package journal
+package wal
 
 import (
 	"encoding/binary"
