--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,11 +8,11 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -16,12 +16,12 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/internal/facts"
-	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/discovery"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 	serverpkg "rowanlink/webhook/dispatcher/server"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/dispatcher/wal"
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -6,10 +6,10 @@
 	"log/slog"
 
 	"rowanlink/internal/due"
-	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/dispatcher/wal"
 )
--- a/webhook/dispatcher/eventloop/decider_test.go
+++ b/webhook/dispatcher/eventloop/decider_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"rowanlink/node/lifecycle"
 	webhookpkg "rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 	"rowanlink/webhook/dispatcher/upstream"
 )
 
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -15,9 +15,9 @@
 
 	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
-	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 )
 
 // The protocol's sizes, and how long a client may be silent: it waits for its answer so long itself, and an
--- a/webhook/dispatcher/server/clients_test.go
+++ b/webhook/dispatcher/server/clients_test.go
@@ -13,9 +13,9 @@
 
 	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
-	"rowanlink/node/lifecycle"
 	"rowanlink/webhook"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
 )
 
 // Guards against a request that has come and is lost because others need its connection's place.
