--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"os"
 
-	"rowanlink/benchwire"
 	"rowanlink/webhook"
 	"rowanlink/webhook/policy"
+	"rowanlink/webhook/simadapter"
 )
 
 func main() {
 	start := func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) }
-	if err := benchwire.Serve(os.Stdin, os.Stdout, start); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/benchwire/benchwire.go
+++ b/webhook/simadapter/benchwire.go
@@ -1,7 +1,7 @@
-// Package benchwire puts the decision module on the bench's wire: it reads batches of events for many
+// Package simadapter puts the decision module on the bench's wire: it reads batches of events for many
 // instances that share nothing, turns each into a call on its instance's module, and writes down as actions
 // what the module does. The wire's names end here.
-package benchwire
+package simadapter
 
 import (
 	"bufio"
--- a/benchwire/host.go
+++ b/webhook/simadapter/host.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"encoding/binary"
