--- a/proof/harness/files.go
+++ b/proof/harness/files.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 	"github.com/tidwall/gjson"
 
-	"rowanlink/internal/facts"
 	"rowanlink/proof/child"
 	"rowanlink/standin/ledger"
 	"rowanlink/webhook"
+	"rowanlink/webhook/config"
 )
 
 // usual are the settings of the platform's page, with an event type for each rule.
@@ -61,7 +61,7 @@
 // terms are what the ledger judges by: the settings', with the protocol's 50 ms on top.
 func (f *Fleet) terms() (ledger.Terms, error) {
 	said := gjson.Parse(f.shape.Settings)
-	known, names, _, err := facts.FromJSON(1, said)
+	known, names, _, err := config.FromJSON(1, said)
 	by := ledger.Terms{Types: map[string]webhook.EventType{}, Facts: known, Slack: f.shape.Slack,
 		DrainGrace: webhook.Micros(said.Get("rules.drainGrace").Int()/1000) + seconds/20,
 		ToldWithin: 6 * seconds, WaitGrace: seconds / 10, WaitsBindAll: f.shape.WaitsBind}
--- a/internal/facts/facts.go
+++ b/webhook/config/facts.go
@@ -1,6 +1,6 @@
-// Package facts puts settings into our words: the bench's path=value pairs and the nested JSON of a real
+// Package config puts settings into our words: the bench's path=value pairs and the nested JSON of a real
 // dispatcher's configuration alike, which is first laid out as such pairs.
-package facts
+package config
 
 import (
 	"fmt"
--- a/internal/facts/facts_test.go
+++ b/webhook/config/facts_test.go
@@ -1,4 +1,4 @@
-package facts
+package config
 
 import (
 	"testing"
--- a/webhook/dispatcher/discovery/registry.go
+++ b/webhook/dispatcher/discovery/registry.go
@@ -12,8 +12,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/internal/facts"
 	"rowanlink/webhook"
+	"rowanlink/webhook/config"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/refresh"
 )
@@ -44,7 +44,7 @@
 	last       webhook.EndpointID
 
 	mu      sync.Mutex
-	names   facts.Names
+	names   config.Names
 	keepFor time.Duration // the name of an endpoint that is gone is kept so long
 	addr    string
 	moved   chan struct{} // closed when the address is another one
@@ -59,7 +59,7 @@
 // New makes a watch of the registry at an address; an object has most bytes. broken is called for each that
 // can't be read; begun once, when the first ask has its answer, has failed, or was waited for long enough. A
 // gone endpoint's name is kept for as long as anything of it may still be out or waited for.
-func New(addr string, names facts.Names, asks Asks, most int, keepFor webhook.Micros, listed Listed,
+func New(addr string, names config.Names, asks Asks, most int, keepFor webhook.Micros, listed Listed,
 	broken, begun func()) *Registry {
 	return &Registry{addr: addr, names: names, asks: asks, most: most, listed: listed, broken: broken,
 		begun: sync.OnceFunc(begun), keepFor: inflight.Span(keepFor), ids: map[string]*named{},
@@ -78,14 +78,14 @@
 }
 
 // Renew has lists that come from now on read by other names; kinds and zones are as the last entries said.
-func (r *Registry) Renew(names facts.Names, keepFor webhook.Micros) {
+func (r *Registry) Renew(names config.Names, keepFor webhook.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.names, r.keepFor = names, inflight.Span(keepFor)
 }
 
 // by tells what lists are read by now.
-func (r *Registry) by() (facts.Names, time.Duration) {
+func (r *Registry) by() (config.Names, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.names, r.keepFor
--- a/webhook/dispatcher/discovery/registry_test.go
+++ b/webhook/dispatcher/discovery/registry_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/internal/facts"
 	"rowanlink/webhook"
+	"rowanlink/webhook/config"
 	"rowanlink/webhook/refresh"
 )
 
@@ -72,7 +72,7 @@
 // follow starts one whose lists are pushed.
 func follow(addr string, period webhook.Micros) *follower {
 	f := &follower{}
-	f.Registry = New(addr, facts.Names{Pushed: true}, refresh.New(1, period), 1000, webhook.Second,
+	f.Registry = New(addr, config.Names{Pushed: true}, refresh.New(1, period), 1000, webhook.Second,
 		func(entries []webhook.Entry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -125,7 +125,7 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	r := New("127.0.0.1:1", facts.Names{}, waits, 1000, webhook.Second,
+	r := New("127.0.0.1:1", config.Names{}, waits, 1000, webhook.Second,
 		func([]webhook.Entry, []string, bool) {}, func() {}, func() {})
 	r.Move(d.addr)
 	go r.Follow()
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -15,8 +15,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/internal/facts"
 	"rowanlink/webhook"
+	"rowanlink/webhook/config"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/discovery"
 	"rowanlink/webhook/dispatcher/eventloop"
@@ -45,7 +45,7 @@
 	Told     gjson.Result // the configuration
 	State    string       // the folder that outlasts the process
 	Facts    webhook.Facts
-	Names    facts.Names
+	Names    config.Names
 	Life     *lifecycle.Life
 	Exchange *inflight.Exchange
 	Decider  *eventloop.Decider
--- a/webhook/dispatcher/server/clients_test.go
+++ b/webhook/dispatcher/server/clients_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/internal/facts"
 	"rowanlink/internal/socket"
 	"rowanlink/webhook"
+	"rowanlink/webhook/config"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
 )
@@ -63,7 +63,7 @@
 	life.Enter(lifecycle.Ended)
 	x.Name(3)
 	s := New(x, life, webhook.Facts{EventTypes: []webhook.EventType{{TTL: 9 * webhook.Second}}},
-		facts.Names{EventTypes: []string{"status"}}, 2, 1)
+		config.Names{EventTypes: []string{"status"}}, 2, 1)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go s.Serve(on)
--- a/webhook/dispatcher/told.go
+++ b/webhook/dispatcher/told.go
@@ -10,15 +10,15 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/internal/facts"
 	"rowanlink/webhook"
+	"rowanlink/webhook/config"
 )
 
 // terms are what the configuration says of the platform, put into our words.
 type terms struct {
 	told      gjson.Result
 	facts     webhook.Facts
-	names     facts.Names
+	names     config.Names
 	idleLimit webhook.Micros // after which an idle connection to an endpoint is closed
 }
 
@@ -45,7 +45,7 @@
 		return terms{}, fmt.Errorf("seed: %w", err)
 	}
 	t := terms{told: told}
-	t.facts, t.names, t.idleLimit, err = facts.FromJSON(seed, told.Get("settings"))
+	t.facts, t.names, t.idleLimit, err = config.FromJSON(seed, told.Get("settings"))
 	t.facts.CapsTold = true // the protocol's answer for it has an outcome of its own
 	return t, err
 }
@@ -99,7 +99,7 @@
 	if err != nil {
 		return terms{}, err
 	}
-	return now, facts.Fits(was.facts, now.facts, was.names, now.names)
+	return now, config.Fits(was.facts, now.facts, was.names, now.names)
 }
 
 // configuration reads the file that tells a dispatcher all it is told, and says in one line what is wrong.
--- a/webhook/simadapter/benchwire.go
+++ b/webhook/simadapter/benchwire.go
@@ -11,8 +11,8 @@
 	"io"
 	"runtime/debug"
 
-	"rowanlink/internal/facts"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/config"
 )
 
 // Codes of events and of actions.
@@ -144,13 +144,13 @@
 		if f.bad {
 			return errShort
 		}
-		known, err := facts.FromPairs(seed, text)
+		known, err := config.FromPairs(seed, text)
 		if err != nil {
 			return err
 		}
 		s.close(who)
 		in := &instance{s: s, who: who}
-		in.left, in.limit = facts.Reports(text)
+		in.left, in.limit = config.Reports(text)
 		s.instances[who] = in
 		s.turn(in)
 		in.guard(func() { in.module = s.start(known, in) })
--- a/webhook/simadapter/benchwire_test.go
+++ b/webhook/simadapter/benchwire_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/internal/facts"
 	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/config"
 	"rowanlink/webhook/policy"
 )
 
@@ -145,7 +145,7 @@
 func TestAReportReachesTheModuleByItsNamesAndAShortOneTellsNothing(t *testing.T) {
 	m := &told{}
 	in := &instance{module: m}
-	in.left, in.limit = facts.Reports("reporting.names=x1,x0\n")
+	in.left, in.limit = config.Reports("reporting.names=x1,x0\n")
 	values := binary.LittleEndian.AppendUint32([]byte{2}, math.Float32bits(40))
 	values = binary.LittleEndian.AppendUint32(values, math.Float32bits(0.5))
 	in.report(&fields{left: values}, 1)()
