--- a/cluster/config/operator.go
+++ b/cluster/config/operator.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // What holds where the file says nothing, and what is taken.
@@ -31,7 +31,7 @@
 // File is what the operator says of the fleet.
 type File struct {
 	Name    string
-	Term    webhook.Micros
+	Term    api.Micros
 	Apart   float64 // two clocks differ in rate by so much at the most
 	Ranges  int     // at the first start
 	Leaving int     // members that may leave at once in a planned restart
@@ -56,13 +56,13 @@
 type Site struct {
 	ID          cluster.SiteID
 	Relay       cluster.MemberID
-	Subscribers []webhook.DestinationID
+	Subscribers []api.DestinationID
 }
 
 // List names the subscribers that an announcement goes to.
 type List struct {
 	ID          cluster.ListID
-	Subscribers []webhook.DestinationID
+	Subscribers []api.DestinationID
 }
 
 // raw is the file as it is written. What is not named here is the plan's.
@@ -152,7 +152,7 @@
 			return at(b.At, "term is %q: a time from %s to %s, as in \"3s\"", b.Term, leastTerm, mostTerm)
 		}
 	}
-	f.Term = webhook.Micros(term.Microseconds())
+	f.Term = api.Micros(term.Microseconds())
 	if b.Apart != nil {
 		f.Apart = *b.Apart
 	}
--- a/cluster/config/operator_test.go
+++ b/cluster/config/operator_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const three = `fleet "orders" { term = "3s" }
@@ -28,10 +28,10 @@
 leave "m2" {}
 `), "f.hcl")
 	require.NoError(t, err)
-	assert.Equal(t, 3*webhook.Second, f.Term)
+	assert.Equal(t, 3*api.Second, f.Term)
 	assert.Equal(t, usualApart, f.Apart)
 	assert.Equal(t, 1.0, f.Members[1].Weight)
-	assert.Equal(t, []webhook.DestinationID{3, 5}, f.Sites[0].Subscribers)
+	assert.Equal(t, []api.DestinationID{3, 5}, f.Sites[0].Subscribers)
 	s, ok := f.SiteOf(5)
 	assert.True(t, ok)
 	assert.EqualValues(t, "m2", s.Relay)
--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -8,11 +8,11 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func (f *File) sites(r raw) error {
-	of, named, serves := map[webhook.DestinationID]hcl.Range{}, map[string]hcl.Range{}, map[string]hcl.Range{}
+	of, named, serves := map[api.DestinationID]hcl.Range{}, map[string]hcl.Range{}, map[string]hcl.Range{}
 	for _, s := range r.Sites {
 		if was, ok := named[s.ID]; ok || s.ID == "" {
 			return at(s.At, "site %q: a name of its own is needed (see line %d)", s.ID, was.Start.Line)
@@ -55,16 +55,16 @@
 }
 
 // subscribers are named once each, however often they stand there: an announcement is owed to each once.
-func subscribers(numbers []uint32) (all []webhook.DestinationID) {
+func subscribers(numbers []uint32) (all []api.DestinationID) {
 	for _, n := range numbers {
-		all = append(all, webhook.DestinationID(n))
+		all = append(all, api.DestinationID(n))
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
 // SiteOf tells behind which relay a subscriber stands, if any.
-func (f *File) SiteOf(d webhook.DestinationID) (Site, bool) {
+func (f *File) SiteOf(d api.DestinationID) (Site, bool) {
 	for _, s := range f.Sites {
 		if _, ok := slices.BinarySearch(s.Subscribers, d); ok {
 			return s, true
--- a/cluster/fleet.go
+++ b/cluster/fleet.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The ids. None carries a meaning beyond equality, but that epochs and versions only rise.
@@ -53,7 +53,7 @@
 func SiteHash(s SiteID) KeyHash { return KeyHash(xxhash.Sum64String(sends + string(s))) }
 
 // Hash is where a destination stands among the ranges, by its own number.
-func Hash(d webhook.DestinationID) KeyHash {
+func Hash(d api.DestinationID) KeyHash {
 	return KeyHash(xxhash.Sum64(binary.LittleEndian.AppendUint32(nil, uint32(d))))
 }
 
--- a/cluster/lease/arrivals_test.go
+++ b/cluster/lease/arrivals_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // deliver lets a message arrive: what the keeper and the member do with the real objects.
@@ -86,7 +86,7 @@
 	}
 }
 
-func (w *world) heard(k int, term uint64, sent webhook.Micros) {
+func (w *world) heard(k int, term uint64, sent api.Micros) {
 	w.ownKeeper(k).assent.Heard(term, third, sent)
 }
 
--- a/cluster/lease/assent.go
+++ b/cluster/lease/assent.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Assent is what a leading keeper knows of its lead: when it last asked each of the others something that was
@@ -12,19 +12,19 @@
 type Assent struct {
 	needed int // of the others: with itself a majority
 	term   uint64
-	sent   map[cluster.MemberID]webhook.Micros
+	sent   map[cluster.MemberID]api.Micros
 }
 
 // NewAssent is for so many keepers, itself among them.
 func NewAssent(keepers int) *Assent {
-	return &Assent{needed: keepers / 2, sent: map[cluster.MemberID]webhook.Micros{}}
+	return &Assent{needed: keepers / 2, sent: map[cluster.MemberID]api.Micros{}}
 }
 
 // Heard notes that a keeper answered what was sent to it at a time read before, and that both were of this
 // raft term. What is heard about an earlier term than before counts no more.
-func (a *Assent) Heard(raftTerm uint64, from cluster.MemberID, sent webhook.Micros) {
+func (a *Assent) Heard(raftTerm uint64, from cluster.MemberID, sent api.Micros) {
 	if raftTerm > a.term {
-		a.term, a.sent = raftTerm, map[cluster.MemberID]webhook.Micros{}
+		a.term, a.sent = raftTerm, map[cluster.MemberID]api.Micros{}
 	}
 	if last, ok := a.sent[from]; raftTerm == a.term && (!ok || sent > last) {
 		a.sent[from] = sent
@@ -32,7 +32,7 @@
 }
 
 // Covers is whether this keeper surely led at that moment or after it.
-func (a *Assent) Covers(moment webhook.Micros) bool {
+func (a *Assent) Covers(moment api.Micros) bool {
 	heard := 0
 	for _, sent := range a.sent {
 		if sent >= moment {
--- a/cluster/lease/guest_test.go
+++ b/cluster/lease/guest_test.go
@@ -9,7 +9,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/timing"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func (g *guest) begin(wants []cluster.Task) {
@@ -17,7 +17,7 @@
 	g.tenure, g.proposes, g.polls, g.stopped = NewTenure(hallTerm, 0), 0, 0, 0
 	again := timing.Reask(hallTerm)
 	if g.spoilt.neverAgain {
-		again = webhook.Second << 40
+		again = api.Second << 40
 	}
 	g.wishes = NewWishes(g.tenure, again)
 	for _, t := range wants {
@@ -86,7 +86,7 @@
 }
 
 // propose is heeded by the member only before its time is over.
-func (g *guest) propose(life Incarnation, p Proposal, until webhook.Micros) {
+func (g *guest) propose(life Incarnation, p Proposal, until api.Micros) {
 	k := g.asked()
 	g.send(func() {
 		var a Answer
@@ -131,7 +131,7 @@
 	return no
 }
 
-func (g *guest) poll(life Incarnation, tasks []cluster.Task, until webhook.Micros) {
+func (g *guest) poll(life Incarnation, tasks []cluster.Task, until api.Micros) {
 	k := g.asks % len(g.desks)
 	var look func()
 	look = func() {
--- a/cluster/lease/hall_test.go
+++ b/cluster/lease/hall_test.go
@@ -6,21 +6,21 @@
 
 	"rowanlink/cluster"
 	"rowanlink/internal/due"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // hall is members and keepers that talk by messages: while it is faulty they are lost, doubled and late,
 // members stop, start anew and wish for something else, and the lead changes. It is played by a seed.
 type hall struct {
 	rng     *rand.Rand
-	now     webhook.Micros
+	now     api.Micros
 	queue   due.Times[func()]
 	faulty  bool
 	spoilt  spoilt
 	entries [][]byte
 	desks   [3]*desk
 	lead    int
-	idle    webhook.Micros // until then nobody leads
+	idle    api.Micros // until then nobody leads
 	terms   *Terms
 	members []*guest
 	broken  string
@@ -33,7 +33,7 @@
 type desk struct {
 	book *Book
 	at   int
-	lags webhook.Micros // until then it takes no entries
+	lags api.Micros // until then it takes no entries
 }
 
 // guest is one member, as cluster/member goes about it.
@@ -43,15 +43,15 @@
 	life     Incarnation
 	tenure   *Tenure
 	wishes   *Wishes
-	stopped  webhook.Micros
+	stopped  api.Micros
 	deaf     bool // no keeper's word of free tasks reaches it
-	proposes webhook.Micros
-	polls    webhook.Micros
+	proposes api.Micros
+	polls    api.Micros
 	asks     int // keeper
 }
 
 const (
-	hallTerm = 3 * webhook.Second
+	hallTerm = 3 * api.Second
 	beat     = hallTerm / 40
 )
 
@@ -73,10 +73,10 @@
 	return h
 }
 
-func (h *hall) at(wait webhook.Micros, f func()) { h.queue.Add(int64(h.now+wait), f) }
+func (h *hall) at(wait api.Micros, f func()) { h.queue.Add(int64(h.now+wait), f) }
 
-func (h *hall) upTo(most webhook.Micros) webhook.Micros {
-	return 1 + webhook.Micros(h.rng.Int64N(int64(most)))
+func (h *hall) upTo(most api.Micros) api.Micros {
+	return 1 + api.Micros(h.rng.Int64N(int64(most)))
 }
 
 // send has a message arrive, or not, or late, or twice.
@@ -96,14 +96,14 @@
 }
 
 // run plays until a moment, and looks at each step that no two hold one task.
-func (h *hall) run(until webhook.Micros) {
+func (h *hall) run(until api.Micros) {
 	for h.broken == "" {
 		at, _ := h.queue.Next()
-		if webhook.Micros(at) >= until {
+		if api.Micros(at) >= until {
 			return
 		}
 		f, _ := h.queue.Take(at)
-		h.now = webhook.Micros(at)
+		h.now = api.Micros(at)
 		f()
 		for _, t := range hallTasks {
 			if all := h.holders(t); len(all) > 1 {
--- a/cluster/lease/key_test.go
+++ b/cluster/lease/key_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // coder writes a world down so that two from which the same can follow come out alike: times count from now
@@ -124,11 +124,11 @@
 	k.add(bit(ok), byte(k.w.term-n.assent.term), k.order(i, sent))
 }
 
-func (k *coder) time(t webhook.Micros) { k.out = binary.LittleEndian.AppendUint16(k.out, uint16(t)) }
+func (k *coder) time(t api.Micros) { k.out = binary.LittleEndian.AppendUint16(k.out, uint16(t)) }
 
 // order is a time's rank among those that a keeper compares; what comes later is never below any of them.
-func (k *coder) order(keeper int, at webhook.Micros) (rank byte) {
-	below := func(t webhook.Micros) {
+func (k *coder) order(keeper int, at api.Micros) (rank byte) {
+	below := func(t api.Micros) {
 		if t < at {
 			rank++
 		}
--- a/cluster/lease/mutants_test.go
+++ b/cluster/lease/mutants_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Each world is spoilt in one way, outside the objects; the search must find where it breaks, and nothing
@@ -52,11 +52,11 @@
 // Beyond the reach of the search: long walks with every fault, chosen by chance.
 func TestNoTwoHoldersOnLongWalks(t *testing.T) {
 	chance, taken, steps := rand.New(rand.NewPCG(35, 1)), 0, 0
-	rates := []webhook.Micros{stepSlow, stepFast}
+	rates := []api.Micros{stepSlow, stepFast}
 	for range 10_000 * (1 + deeper) {
-		rate := func() webhook.Micros { return rates[chance.IntN(2)] }
+		rate := func() api.Micros { return rates[chance.IntN(2)] }
 		w := rested(wrong{}, may{true, 4, 6, 4, 3, 2, 3, 6, 2},
-			[2]webhook.Micros{rate(), rate()}, [2]webhook.Micros{rate(), rate()})
+			[2]api.Micros{rate(), rate()}, [2]api.Micros{rate(), rate()})
 		for range 80 {
 			moves := w.moves(nil)
 			m := moves[chance.IntN(len(moves))]
--- a/cluster/lease/search_test.go
+++ b/cluster/lease/search_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // deeper is by how many moves more than in CI, and the walks by so many times: ROWAN_SEARCH_DEEPER=2 takes
@@ -96,7 +96,7 @@
 }
 
 // rested is a fleet in which both members have a session and the first has the task.
-func rested(w wrong, left may, keepers, members [2]webhook.Micros) *world {
+func rested(w wrong, left may, keepers, members [2]api.Micros) *world {
 	n := newWorld(w, left, keepers, members)
 	n.left.late = false
 	for _, ask := range []struct {
@@ -113,14 +113,14 @@
 
 // worst are clocks by which a holder counts longest and a keeper shortest.
 func worst(w wrong, left may) *world {
-	return rested(w, left, [2]webhook.Micros{stepFast, stepFast}, [2]webhook.Micros{stepSlow, stepSlow})
+	return rested(w, left, [2]api.Micros{stepFast, stepFast}, [2]api.Micros{stepSlow, stepSlow})
 }
 
 func anyRates(left may) (all []*world) {
-	rates := []webhook.Micros{stepSlow, stepFast}
+	rates := []api.Micros{stepSlow, stepFast}
 	for i := range 16 {
-		keepers := [2]webhook.Micros{rates[i&1], rates[i>>1&1]}
-		all = append(all, rested(wrong{}, left, keepers, [2]webhook.Micros{rates[i>>2&1], rates[i>>3]}))
+		keepers := [2]api.Micros{rates[i&1], rates[i>>1&1]}
+		all = append(all, rested(wrong{}, left, keepers, [2]api.Micros{rates[i>>2&1], rates[i>>3]}))
 	}
 	return all
 }
--- a/cluster/lease/tenure.go
+++ b/cluster/lease/tenure.go
@@ -6,21 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Tenure is a member's own view of its session: until when it may act, and by which epochs. It is begun anew
 // with each process. Its times are of the member's own clock; it must be asked, not remembered: Holds or
 // Epoch before an act and again before the act's last byte.
 type Tenure struct {
-	use     webhook.Micros // of a term, by this clock, even if it is slow and the keeper's fast
+	use     api.Micros // of a term, by this clock, even if it is slow and the keeper's fast
 	session cluster.SessionID
-	until   webhook.Micros
+	until   api.Micros
 	high    cluster.SessionID // the highest ever answered
 	gone    cluster.SessionID // sessions up to this one were ended by the member: none is heeded again
 	asks    uint64            // made so far
 	void    uint64            // asks up to this one were made before a refusal: their answers count no more
-	asked   webhook.Micros
+	asked   api.Micros
 	waiting bool // the last ask has no answer yet
 	epochs  map[cluster.Task]cluster.Epoch
 	let     map[cluster.Task]cluster.Epoch // given up by the member: an answer that comes late gives none back
@@ -29,7 +29,7 @@
 // Ask is one ask for a session to be opened or to go on: its answer counts from when it was made.
 type Ask struct {
 	no uint64
-	at webhook.Micros
+	at api.Micros
 }
 
 // NewTenure holds nothing. apart is by how much, as a share, a clock may run off true time, or two clocks off
@@ -37,12 +37,12 @@
 //
 // A slow clock that shows `use` has let use/(1-apart) go by, a keeper's fast one ends the session after
 // term/(1+apart): the former must be the lesser, and each of both readings may lack up to a microsecond.
-func NewTenure(term webhook.Micros, apart float64) *Tenure {
-	return &Tenure{use: webhook.Micros(float64(term)*(1-apart)/(1+apart)) - 2}
+func NewTenure(term api.Micros, apart float64) *Tenure {
+	return &Tenure{use: api.Micros(float64(term)*(1-apart)/(1+apart)) - 2}
 }
 
 // Asked is called before each ask is sent, with the time read before.
-func (t *Tenure) Asked(now webhook.Micros) Ask {
+func (t *Tenure) Asked(now api.Micros) Ask {
 	t.asks++
 	t.asked, t.waiting = now, true
 	return Ask{t.asks, now}
@@ -87,14 +87,14 @@
 func (t *Tenure) Session() cluster.SessionID { return t.session }
 
 // Holds is whether the session surely stands: no keeper has let it end, whatever the clocks do within apart.
-func (t *Tenure) Holds(now webhook.Micros) bool { return t.session != 0 && now < t.until }
+func (t *Tenure) Holds(now api.Micros) bool { return t.session != 0 && now < t.until }
 
 // Until is when Holds becomes false, unless an answer comes before; 0 without a session.
-func (t *Tenure) Until() webhook.Micros { return t.until }
+func (t *Tenure) Until() api.Micros { return t.until }
 
 // AskAgainAt is when the next ask is due: a third of the term after one that was answered, half of that after
 // one that was not, so that three may be lost before the session is. At once where none was made.
-func (t *Tenure) AskAgainAt() webhook.Micros {
+func (t *Tenure) AskAgainAt() api.Micros {
 	switch {
 	case t.asks == 0:
 		return 0
@@ -127,7 +127,7 @@
 }
 
 // Epoch is by which epoch the task may be acted on at this moment; false: not at all.
-func (t *Tenure) Epoch(task cluster.Task, now webhook.Micros) (cluster.Epoch, bool) {
+func (t *Tenure) Epoch(task cluster.Task, now api.Micros) (cluster.Epoch, bool) {
 	e, ok := t.epochs[task]
 	return e, ok && t.Holds(now)
 }
--- a/cluster/lease/tenure_test.go
+++ b/cluster/lease/tenure_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const conduct = cluster.Conducts
@@ -21,7 +21,7 @@
 	return tenure, ask
 }
 
-func acts(tenure *Tenure, now webhook.Micros) bool {
+func acts(tenure *Tenure, now api.Micros) bool {
 	_, ok := tenure.Epoch(conduct, now)
 	return ok
 }
@@ -30,12 +30,12 @@
 	tenure, first := begun(t)
 	until := tenure.Until()
 	assert.Less(t, until, term)
-	second := tenure.Asked(webhook.Second)
-	third := tenure.Asked(2 * webhook.Second)
+	second := tenure.Asked(api.Second)
+	third := tenure.Asked(2 * api.Second)
 	require.True(t, tenure.Answered(third, 2))
 	require.True(t, tenure.Answered(second, 2))
 	require.True(t, tenure.Answered(first, 2))
-	assert.Equal(t, until+2*webhook.Second, tenure.Until())
+	assert.Equal(t, until+2*api.Second, tenure.Until())
 	assert.True(t, acts(tenure, tenure.Until()-1))
 	assert.False(t, acts(tenure, tenure.Until()))
 }
--- a/cluster/lease/terms.go
+++ b/cluster/lease/terms.go
@@ -3,7 +3,7 @@
 import (
 	"rowanlink/cluster"
 	"rowanlink/internal/due"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Terms is the leading keeper's clock over sessions: when each is to be ended through the log. Nothing of it
@@ -16,22 +16,22 @@
 // so after that; Follow when it leads no more; what Due names is proposed as Expire, and Ended is told when
 // an end was applied. An Expire that is refused with fleet.ErrStale: propose Began again.
 type Terms struct {
-	term  webhook.Micros
+	term  api.Micros
 	reign Reign
 	runs  map[cluster.SessionID]run
 	order due.Times[cluster.SessionID] // each session once, at or before the time that counts
 }
 
 type run struct {
-	until  webhook.Micros
+	until  api.Micros
 	ending bool // named by Due: the log may end it at any moment
 }
 
 // NewTerms leads nothing yet: it knows no session and renews none.
-func NewTerms(term webhook.Micros) *Terms { return &Terms{term: term} }
+func NewTerms(term api.Micros) *Terms { return &Terms{term: term} }
 
 // Lead begins anew with the sessions of the book: each has a whole term from now, whoever renewed it last.
-func (t *Terms) Lead(now webhook.Micros, reign Reign, sessions []cluster.SessionID) {
+func (t *Terms) Lead(now api.Micros, reign Reign, sessions []cluster.SessionID) {
 	t.Follow()
 	t.reign, t.runs = reign, map[cluster.SessionID]run{}
 	for _, s := range sessions {
@@ -45,14 +45,14 @@
 // Follow forgets all: a keeper that leads no more renews nothing and ends nothing.
 func (t *Terms) Follow() { t.runs, t.order = nil, due.Times[cluster.SessionID]{} }
 
-func (t *Terms) begin(s cluster.SessionID, now webhook.Micros) {
+func (t *Terms) begin(s cluster.SessionID, now api.Micros) {
 	t.runs[s] = run{until: now + t.term}
 	t.order.Add(int64(now+t.term), s)
 }
 
 // Opened is told of each open that was applied. Asked again for a session that goes on, it renews it; false
 // where it is being ended: the member is to ask again until it is given another.
-func (t *Terms) Opened(s cluster.SessionID, now webhook.Micros) bool {
+func (t *Terms) Opened(s cluster.SessionID, now api.Micros) bool {
 	if _, ok := t.runs[s]; ok || t.runs == nil {
 		return t.Renewed(s, now)
 	}
@@ -62,7 +62,7 @@
 
 // Renewed gives a session a whole term from now; false where it has ended or was named by Due.
 // Late but before Due it counts: a keeper that was stopped itself need not end what nobody else has ended.
-func (t *Terms) Renewed(s cluster.SessionID, now webhook.Micros) bool {
+func (t *Terms) Renewed(s cluster.SessionID, now api.Micros) bool {
 	r, ok := t.runs[s]
 	if !ok || r.ending {
 		return false
@@ -73,7 +73,7 @@
 
 // Due names the sessions whose term is over, to be ended through the log: from then on they are not renewed.
 // One is named again a quarter of a term later, should its end not have been applied.
-func (t *Terms) Due(now webhook.Micros) (over []Over) {
+func (t *Terms) Due(now api.Micros) (over []Over) {
 	for {
 		s, ok := t.order.Take(int64(now))
 		if !ok {
@@ -95,7 +95,7 @@
 func (t *Terms) Ended(s cluster.SessionID) { delete(t.runs, s) }
 
 // Next is when Due is to be asked next: never after the earliest end, but perhaps before; false: no session.
-func (t *Terms) Next() (webhook.Micros, bool) {
+func (t *Terms) Next() (api.Micros, bool) {
 	at, ok := t.order.Next()
-	return webhook.Micros(at), ok
+	return api.Micros(at), ok
 }
--- a/cluster/lease/times_test.go
+++ b/cluster/lease/times_test.go
@@ -10,19 +10,19 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const term = 3 * webhook.Second
+const term = 3 * api.Second
 
 // A plain map stands for what the keeper's clock has to do.
 func TestTermsAgainstAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms, until, now := NewTerms(term), times{}, webhook.Micros(0)
+		terms, until, now := NewTerms(term), times{}, api.Micros(0)
 		ending := map[cluster.SessionID]bool{}
 		terms.Lead(now, 1, nil)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += webhook.Micros(rapid.IntRange(0, int(term)/2).Draw(t, "wait"))
+			now += api.Micros(rapid.IntRange(0, int(term)/2).Draw(t, "wait"))
 			s := cluster.SessionID(rapid.IntRange(1, 4).Draw(t, "session"))
 			_, known := until[s]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
@@ -60,9 +60,9 @@
 	})
 }
 
-type times map[cluster.SessionID]webhook.Micros
+type times map[cluster.SessionID]api.Micros
 
-func checkDue(t *rapid.T, over []Over, until times, ending map[cluster.SessionID]bool, now webhook.Micros) {
+func checkDue(t *rapid.T, over []Over, until times, ending map[cluster.SessionID]bool, now api.Micros) {
 	named := map[cluster.SessionID]bool{}
 	for _, o := range over {
 		assert.False(t, named[o.Session])
@@ -105,12 +105,12 @@
 func TestHolderStopsFirstByAnyPairOfClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		apart := rapid.Float64Range(0, 0.3).Draw(t, "apart")
-		length := webhook.Micros(rapid.Int64Range(100, 10_000_000).Draw(t, "term"))
+		length := api.Micros(rapid.Int64Range(100, 10_000_000).Draw(t, "term"))
 		rate := rapid.Float64Range(1-apart, 1+apart)
 		holder, keeper := rate.Draw(t, "holder"), rate.Draw(t, "keeper")
 		tenure, terms := NewTenure(length, apart), NewTerms(length)
 		begin := rapid.Float64Range(0, 1e9).Draw(t, "begin") // true microseconds
-		at := func(rate, true float64) webhook.Micros { return webhook.Micros(rate * true) }
+		at := func(rate, true float64) api.Micros { return api.Micros(rate * true) }
 		ask := tenure.Asked(at(holder, begin))
 		terms.Lead(0, 1, nil)
 		require.True(t, terms.Opened(2, at(keeper, begin)))
--- a/cluster/lease/wishes.go
+++ b/cluster/lease/wishes.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Wishes is what a member wants to hold and what it gave up, over its Tenure: what the keepers are to be told
@@ -14,15 +14,15 @@
 // and Has sets right what the two sides know otherwise of each other.
 type Wishes struct {
 	tenure  *Tenure
-	again   webhook.Micros
+	again   api.Micros
 	wants   map[cluster.Task]wish
 	letting map[cluster.Task]letGo // given up, and the keepers don't know yet
 }
 
 // wish is one task that is wanted.
 type wish struct {
-	elsewhere bool           // another held it when last asked
-	heard     webhook.Micros // when that was
+	elsewhere bool       // another held it when last asked
+	heard     api.Micros // when that was
 }
 
 // letGo is a grant given up that the keepers may not know of yet.
@@ -52,7 +52,7 @@
 
 // NewWishes wants nothing. What another holds is asked for again after the span `again`, in microseconds of
 // the member's clock, even if no keeper ever told that it is free.
-func NewWishes(t *Tenure, again webhook.Micros) *Wishes {
+func NewWishes(t *Tenure, again api.Micros) *Wishes {
 	return &Wishes{tenure: t, again: again, wants: map[cluster.Task]wish{}, letting: map[cluster.Task]letGo{}}
 }
 
@@ -93,7 +93,7 @@
 
 // Next is what the keepers are to be told now: first what was let, since until then it is given to nobody.
 // Nothing while no session stands: one that stands again asks for all.
-func (w *Wishes) Next(now webhook.Micros) Proposal {
+func (w *Wishes) Next(now api.Micros) Proposal {
 	if !w.tenure.Holds(now) {
 		return Proposal{}
 	}
@@ -111,7 +111,7 @@
 }
 
 // AgainAt is when Next may have something to tell though nothing was heard; false: not by itself.
-func (w *Wishes) AgainAt() (at webhook.Micros, some bool) {
+func (w *Wishes) AgainAt() (at api.Micros, some bool) {
 	for _, v := range w.wants {
 		if v.elsewhere && (!some || v.heard+w.again < at) {
 			at, some = v.heard+w.again, true
@@ -121,7 +121,7 @@
 }
 
 // Granted takes the answer to an ask for tasks. It tells whether some are held by others: Waits has them.
-func (w *Wishes) Granted(s cluster.SessionID, granted []Granted, now webhook.Micros) (waits bool) {
+func (w *Wishes) Granted(s cluster.SessionID, granted []Granted, now api.Micros) (waits bool) {
 	for _, g := range granted {
 		if g.Err() == nil {
 			w.has(s, g)
--- a/cluster/lease/wishes_test.go
+++ b/cluster/lease/wishes_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // held is wishes over a session that has a task by an epoch.
@@ -47,7 +47,7 @@
 	require.Equal(t, []cluster.Task{"home/2"}, wishes.Waits())
 	at, some := wishes.AgainAt()
 	require.True(t, some)
-	require.Equal(t, webhook.Micros(10+hallTerm), at)
+	require.Equal(t, api.Micros(10+hallTerm), at)
 	require.False(t, wishes.Next(20).Any())
 	require.False(t, wishes.Free([]cluster.Task{"home/1", "home/3"}))
 	require.True(t, wishes.Free([]cluster.Task{"home/2"}))
--- a/cluster/lease/world_test.go
+++ b/cluster/lease/world_test.go
@@ -6,7 +6,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/internal/due"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The world that the search explores: two members, each with further lives; two keepers of three that lead in
@@ -14,9 +14,9 @@
 // Everything that decides is the real object. True time goes in steps; clocks are fast or slow. Whoever does
 // nothing for a while was stopped, and goes on as if nothing had been: only time has to happen in this world.
 const (
-	stepSlow, stepFast webhook.Micros   = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
+	stepSlow, stepFast api.Micros       = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
 	worldApart                          = 0.25
-	worldTerm          webhook.Micros   = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
+	worldTerm          api.Micros       = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
 	worldTask          cluster.Task     = "task"
 	third              cluster.MemberID = "the third keeper"
 )
@@ -67,11 +67,11 @@
 	epoch        cluster.Epoch
 	reign        Reign
 	term         uint64
-	at           webhook.Micros // of the keeper's clock
+	at           api.Micros // of the keeper's clock
 }
 
 type keeper struct {
-	step     webhook.Micros
+	step     api.Micros
 	believes bool // that it leads
 	terms    *Terms
 	assent   *Assent
@@ -79,7 +79,7 @@
 }
 
 type process struct {
-	step   webhook.Micros
+	step   api.Micros
 	life   Incarnation
 	tenure *Tenure
 	owned  bool
@@ -88,7 +88,7 @@
 type world struct {
 	wrong  wrong
 	left   may
-	now    webhook.Micros // true steps
+	now    api.Micros // true steps
 	index  uint64
 	term   uint64 // raft's
 	leader int
@@ -103,7 +103,7 @@
 	broken string
 }
 
-func newWorld(w wrong, left may, keepers, members [2]webhook.Micros) *world {
+func newWorld(w wrong, left may, keepers, members [2]api.Micros) *world {
 	n := &world{wrong: w, left: left, book: NewBook(), owned: true, fence: NewFence()}
 	n.kept = n.fence.Bytes()
 	for i := range n.keeper {
@@ -124,8 +124,8 @@
 	return NewTenure(worldTerm, worldApart)
 }
 
-func (w *world) keeperClock(k int) webhook.Micros { return w.now * w.keeper[k].step }
-func (w *world) clock(p int) webhook.Micros       { return w.now * w.proc[p].step }
+func (w *world) keeperClock(k int) api.Micros { return w.now * w.keeper[k].step }
+func (w *world) clock(p int) api.Micros       { return w.now * w.proc[p].step }
 
 // clone shares what was not changed; whoever changes something takes it by ownBook, own or ownKeeper.
 func (w *world) clone() *world {
--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -12,7 +12,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/member"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // counted is a listener whose bytes are counted, in and out.
@@ -61,7 +61,7 @@
 }
 
 func atRest(b *testing.B, members int) {
-	const term = 3 * webhookpkg.Second
+	const term = 3 * api.Second
 	f := begin(b, 3, term, true)
 	f.leader()
 	var all []*member.Session
@@ -94,7 +94,7 @@
 // BenchmarkTakeover cuts the leading keeper off, again and again: how long until another leads, by a term of
 // 3 s.
 func BenchmarkTakeover(b *testing.B) {
-	f := begin(b, 3, 3*webhookpkg.Second, false)
+	f := begin(b, 3, 3*api.Second, false)
 	var all []float64
 	for b.Loop() {
 		old := f.leader()
--- a/cluster/member/chart.go
+++ b/cluster/member/chart.go
@@ -9,7 +9,7 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Chart asks a keeper for the map of ranges and the running plan; without an address there are none.
@@ -20,7 +20,7 @@
 	t := transport.New("", map[cluster.MemberID]string{"it": says})
 	defer t.Close()
 	status, raw, err := t.Say("it", transport.StatePath, transport.Encode(transport.StateAsk{
-		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), span(10*webhookpkg.Second))
+		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), span(10*api.Second))
 	var answer transport.StateAnswer
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // conductor runs the plan, while this member holds that task. All that it goes by is in the log, but for how
@@ -26,7 +26,7 @@
 	epoch    cluster.Epoch // since when it conducts
 	under    int           // moves under way when last looked
 	alone    bool          // no leader answered in this look: nothing more is proposed until the next one
-	restedAt webhookpkg.Micros
+	restedAt api.Micros
 }
 
 // wish is what the operator's file says: text by which the plan is made, and whether it goes before the one
@@ -48,7 +48,7 @@
 }
 
 // conduct does what is due; it tells whether the wish has come into the log.
-func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now webhookpkg.Micros) (adopted bool) {
+func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
 	epoch, held := c.homes.session.Holds(cluster.Conducts)
 	chart := c.homes.Map()
 	c.alone = false
@@ -121,7 +121,7 @@
 }
 
 // stepOn takes moves on to the step at which the target and the source do the rest.
-func (c *conductor) stepOn(by shardmap.Conductor, chart *shardmap.Map, now webhookpkg.Micros) {
+func (c *conductor) stepOn(by shardmap.Conductor, chart *shardmap.Map, now api.Micros) {
 	under := 0
 	for _, r := range chart.Ranges {
 		if !r.Move.Open() {
@@ -181,7 +181,7 @@
 
 // follow does what the running plan asks for now.
 func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
-	now webhookpkg.Micros) {
+	now api.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
 	}
--- a/cluster/member/counts.go
+++ b/cluster/member/counts.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -22,7 +22,7 @@
 }
 
 // OutOf counts calls out of destinations.
-func (o *owing) OutOf(of []webhookpkg.DestinationID) int {
+func (o *owing) OutOf(of []api.DestinationID) int {
 	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return slices.Contains(of, w.Destination) })
 	return out
 }
--- a/cluster/member/deeds.go
+++ b/cluster/member/deeds.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"rowanlink/cluster"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Deeds has the session want tasks and do deeds by them, for tests only: ROWAN_GUARD is the host:port of a
@@ -49,8 +49,8 @@
 	}
 }
 
-func (s *Session) drawn() webhookpkg.Micros {
-	return 1 + webhookpkg.Micros(s.Keepers.draw()*float64(s.Term/deedsEach))
+func (s *Session) drawn() api.Micros {
+	return 1 + api.Micros(s.Keepers.draw()*float64(s.Term/deedsEach))
 }
 
 // tellGuard looks once more whether the task is held right before the last byte goes out.
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -67,7 +67,7 @@
 	case shardmap.Drop:
 		names.Note(func(k *shardmap.Known) {
 			if still = k.Heard(d.name, d.hand, shardmap.Has) == shardmap.Drop; still { // its end first
-				o.decider.Passed([]webhookpkg.WebhookID{d.ID})
+				o.decider.Passed([]api.WebhookID{d.ID})
 			}
 		})
 	case shardmap.Own:
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -20,11 +20,11 @@
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
 	"rowanlink/standin/port"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const (
-	term   = webhookpkg.Second
+	term   = api.Second
 	longer = 20 * time.Second // than anything takes, on a busy machine too
 )
 
@@ -37,12 +37,12 @@
 
 var began = time.Now()
 
-func clock() webhookpkg.Micros { return webhookpkg.Micros(time.Since(began).Microseconds()) }
+func clock() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
 
 // fleetOf is some keepers, and members that reach them over links of their own.
 type fleetOf struct {
 	t          testing.TB
-	term       webhookpkg.Micros
+	term       api.Micros
 	names      []cluster.MemberID
 	says, logs map[cluster.MemberID]string
 	folders    map[cluster.MemberID]string
@@ -60,9 +60,9 @@
 	talk   *transport.Talk
 }
 
-func keepers(t testing.TB, n int, term webhookpkg.Micros) *fleetOf { return begin(t, n, term, false) }
+func keepers(t testing.TB, n int, term api.Micros) *fleetOf { return begin(t, n, term, false) }
 
-func begin(t testing.TB, n int, term webhookpkg.Micros, plain bool) *fleetOf {
+func begin(t testing.TB, n int, term api.Micros, plain bool) *fleetOf {
 	f := &fleetOf{t: t, term: term, plain: plain, says: map[cluster.MemberID]string{},
 		logs: map[cluster.MemberID]string{}, folders: map[cluster.MemberID]string{},
 		links: map[[2]cluster.MemberID][]*link{},
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // taker takes a webhook on in this process.
-type taker = func() (inflight.Answer, webhookpkg.Micros)
+type taker = func() (inflight.Answer, api.Micros)
 
 // went is how far a client's webhook came on its way to its home.
 type went uint8
@@ -48,7 +48,7 @@
 
 // Away takes a client's webhook to its home and answers as that does. What can't be taken there is kept here,
 // parked until its home can be reached: it is owned by whoever's journal says so, and by nobody twice.
-func (f *forwarding) Away(w *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros) {
+func (f *forwarding) Away(w *inflight.Webhook, here taker) (inflight.Answer, api.Micros) {
 	for until := inflight.Now() + inflight.AnswerWithin - inflight.AnswerWithin/hopPart; ; {
 		v, what, retryIn, kept := f.keeps(w, here)
 		if kept {
@@ -73,7 +73,7 @@
 // keeps takes on here what belongs here, or what has to wait here for an earlier one of its key, unless the
 // range is shut: guards against what comes after the last count before a switch.
 func (f *forwarding) keeps(w *inflight.Webhook, here taker) (v shardmap.Verdict, what inflight.Answer,
-	retryIn webhookpkg.Micros, kept bool) {
+	retryIn api.Micros, kept bool) {
 	f.homes.door.RLock()
 	defer f.homes.door.RUnlock()
 	v = f.homes.Verdict(w.Destination)
@@ -85,12 +85,12 @@
 }
 
 // goes offers a client's webhook to its home.
-func (f *forwarding) goes(w *inflight.Webhook, v shardmap.Verdict) (inflight.Answer, webhookpkg.Micros, went) {
+func (f *forwarding) goes(w *inflight.Webhook, v shardmap.Verdict) (inflight.Answer, api.Micros, went) {
 	hand := f.names.Next(nameOf(w.RequestID))
 	for hops := 0; ; hops++ {
 		at := inflight.Now()
 		hs, life, err := f.say(v.To, webhookPath, sent{Version: v.Version, At: at,
-			All: []shardmap.Carried{carried(w, hand, 0, webhookpkg.Never, 0)}}, inflight.AnswerWithin/hopPart, true)
+			All: []shardmap.Carried{carried(w, hand, 0, api.Never, 0)}}, inflight.AnswerWithin/hopPart, true)
 		h := heard{}
 		if err == nil {
 			h = hs[0]
@@ -122,7 +122,7 @@
 
 // say sends webhooks to a member's folder, of the life that was told last, and reads one answer for each.
 // Where that folder is new, nothing was taken: again sends them to that. Errors as talk.Say's.
-func (f *forwarding) say(to cluster.MemberID, path string, s sent, within webhookpkg.Micros, again bool) ([]heard,
+func (f *forwarding) say(to cluster.MemberID, path string, s sent, within api.Micros, again bool) ([]heard,
 	uint64, error) {
 	for ; ; again = false {
 		s.Life = f.life(to)
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -1,7 +1,7 @@
 package member
 
 import (
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -9,12 +9,12 @@
 // gate is what the decider asks.
 type gate struct{ m *Member }
 
-func (g gate) Calls(dest webhookpkg.DestinationID, ordered bool) bool {
+func (g gate) Calls(dest api.DestinationID, ordered bool) bool {
 	may, asRelay := g.m.sites.Calls(dest)
 	return may && (asRelay || g.m.homes.Verdict(dest).Calls(ordered))
 }
 
-func (g gate) Part(dest webhookpkg.DestinationID) float64 {
+func (g gate) Part(dest api.DestinationID) float64 {
 	return g.m.sites.Part(dest, g.m.homes.Verdict(dest).Part(int(g.m.many.Load())))
 }
 
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -10,7 +10,7 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -28,7 +28,7 @@
 	self  cluster.MemberID
 	homes *homes
 	d     *eventloop.Decider
-	now   func() webhookpkg.Micros
+	now   func() api.Micros
 	over  <-chan struct{}
 
 	mu       sync.Mutex
@@ -52,7 +52,7 @@
 	h.count(w.Destination, e)
 }
 
-func (h *harm) count(d webhookpkg.DestinationID, e rebalance.Ends) {
+func (h *harm) count(d api.DestinationID, e rebalance.Ends) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tally.Ended(d, e)
@@ -61,7 +61,7 @@
 // entry counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
 // that it counts once.
 func (h *harm) entry(away away) away {
-	return func(w *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros) {
+	return func(w *inflight.Webhook, here taker) (inflight.Answer, api.Micros) {
 		what, retryIn := away(w, here)
 		if what == inflight.Rejected {
 			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
@@ -71,7 +71,7 @@
 }
 
 // away is what an exchange has for a client's webhook.
-type away = func(w *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros)
+type away = func(w *inflight.Webhook, here taker) (inflight.Answer, api.Micros)
 
 // Look takes note of moves that have begun.
 func (h *harm) Look() {
@@ -91,13 +91,13 @@
 // sick asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
 func (h *harm) sick(of []shardmap.Range) rebalance.Sickness {
-	in := func(r shardmap.Range, d webhookpkg.DestinationID) bool {
+	in := func(r shardmap.Range, d api.DestinationID) bool {
 		return r.Home == h.self && h.homes.Map().Holds(r, d)
 	}
-	found := make(chan []webhookpkg.Learned, 1)
+	found := make(chan []api.Learned, 1)
 	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
 		go func() {
-			all, _ := h.d.Learned(func(d webhookpkg.DestinationID) bool {
+			all, _ := h.d.Learned(func(d api.DestinationID) bool {
 				return slices.ContainsFunc(of, func(r shardmap.Range) bool { return in(r, d) })
 			})
 			found <- all
@@ -105,12 +105,12 @@
 	} else {
 		found <- nil
 	}
-	var all []webhookpkg.Learned
+	var all []api.Learned
 	select {
 	case all = <-found:
 	case <-h.over: // no turn comes any more
 	}
-	return func(r shardmap.Range) (sick []webhookpkg.DestinationID) {
+	return func(r shardmap.Range) (sick []api.DestinationID) {
 		for _, l := range all {
 			if l.Sick && in(r, l.Destination) {
 				sick = append(sick, l.Destination)
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -22,8 +22,8 @@
 	assert.NoError(t, err)
 	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.Planned}
 	chart := &shardmap.Map{Ranges: even}
-	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, webhookpkg.Second, 0),
-		now: func() webhookpkg.Micros { return 0 }}
+	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, api.Second, 0),
+		now: func() api.Micros { return 0 }}
 	h.homes.chart.Store(chart)
 	h.Look()
 	w := &inflight.Webhook{Destination: 7}
@@ -32,7 +32,7 @@
 		h.ended(w, how)
 	}
 	to := func(what inflight.Answer, done bool) away {
-		return func(_ *inflight.Webhook, here taker) (inflight.Answer, webhookpkg.Micros) {
+		return func(_ *inflight.Webhook, here taker) (inflight.Answer, api.Micros) {
 			if done {
 				return what, 3
 			}
@@ -45,9 +45,9 @@
 	}{{inflight.Rejected, inflight.Taken, true}, {inflight.Taken, inflight.Rejected, false},
 		{inflight.Taken, inflight.Rejected, true}, {inflight.Rejected, inflight.Taken, false},
 		{inflight.Doubled, inflight.Rejected, true}} {
-		here := func() (inflight.Answer, webhookpkg.Micros) { return c.here, 4 }
+		here := func() (inflight.Answer, api.Micros) { return c.here, 4 }
 		what, in := h.entry(to(c.away, c.done))(w, here)
-		want, wait := c.away, webhookpkg.Micros(3)
+		want, wait := c.away, api.Micros(3)
 		if !c.done {
 			want, wait = c.here, 4
 		}
@@ -64,8 +64,8 @@
 	assert.NoError(f, err)
 	f.Add(transport.Encode(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, webhookpkg.Second, 0),
-			now: func() webhookpkg.Micros { return 0 }}
+		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, api.Second, 0),
+			now: func() api.Micros { return 0 }}
 		h.homes.chart.Store(&shardmap.Map{Ranges: even})
 		h.count(7, rebalance.Ends{Ended: 1})
 		var ctx fasthttp.RequestCtx
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -73,7 +73,7 @@
 }
 
 // lag is by how much this member's clock shows more than another's.
-func (f *forwarding) lag(from cluster.MemberID, sentAt webhookpkg.Micros) webhookpkg.Micros {
+func (f *forwarding) lag(from cluster.MemberID, sentAt api.Micros) api.Micros {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.clocks[from] == nil {
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -11,15 +11,15 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // homes keeps a member's homes as the map names them: it asks for their tasks, says by which grant it serves,
 // and lets go of those that go elsewhere.
 type homes struct {
 	self    cluster.MemberID
-	term    webhookpkg.Micros
-	now     func() webhookpkg.Micros
+	term    api.Micros
+	now     func() api.Micros
 	session *Session
 	side    side
 	changed func()       // something is to be looked at; does not wait
@@ -34,7 +34,7 @@
 // side is the member's dispatcher as far as its homes go.
 type side interface {
 	Out(shardmap.Range) int // calls out of a range
-	OutOf([]webhookpkg.DestinationID) int
+	OutOf([]api.DestinationID) int
 	Owes(shardmap.Range) int       // webhooks of it that have not gone over
 	Told(shardmap.Range) bool      // its move's target knows what was learned
 	Undecided(shardmap.MoveID) int // webhooks that a move's other side may have
@@ -60,11 +60,11 @@
 // tenant is this member as far as its right to call goes.
 func (h *homes) tenant() shardmap.Tenant {
 	return shardmap.Tenant{Member: h.self, Epoch: h.session.Holds,
-		Alone: shardmap.Deserted(webhookpkg.Micros(h.over.Load()), h.now(), h.term)}
+		Alone: shardmap.Deserted(api.Micros(h.over.Load()), h.now(), h.term)}
 }
 
 // Verdict is what this member does with webhooks of a destination, now.
-func (h *homes) Verdict(d webhookpkg.DestinationID) shardmap.Verdict {
+func (h *homes) Verdict(d api.DestinationID) shardmap.Verdict {
 	chart := h.chart.Load()
 	if chart == nil {
 		return shardmap.Verdict{Do: shardmap.Keep}
@@ -163,7 +163,7 @@
 // shutting is since when a range is shut, for which move.
 type shutting struct {
 	move  shardmap.MoveID
-	since webhookpkg.Micros
+	since api.Micros
 }
 
 // shutPart is the part of a term for which a range is shut at the most before its home is let go: guards
@@ -223,8 +223,8 @@
 // Beat notes whether the session stands; it is called often.
 func (h *homes) Beat() {
 	if h.session.Standing() {
-		h.over.Store(int64(webhookpkg.Never))
+		h.over.Store(int64(api.Never))
 	} else {
-		h.over.CompareAndSwap(int64(webhookpkg.Never), int64(h.now()))
+		h.over.CompareAndSwap(int64(api.Never), int64(h.now()))
 	}
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -23,7 +23,7 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -43,8 +43,8 @@
 	text    []byte
 	file    config.File
 	d       *dispatcher.Dispatcher
-	facts   atomic.Pointer[webhookpkg.Facts] // by the settings read last
-	clock   func() webhookpkg.Micros
+	facts   atomic.Pointer[api.Facts] // by the settings read last
+	clock   func() api.Micros
 	on      net.Listener
 	server  *transport.Server
 	talk    *transport.Talk
@@ -134,7 +134,7 @@
 	m.sites.Begin()
 	m.sites.Hear(m.server)
 	d.Decider.Join(gate{m})
-	d.Calls.May = func(dest webhookpkg.DestinationID) bool { return gate{m}.Calls(dest, false) }
+	d.Calls.May = func(dest api.DestinationID) bool { return gate{m}.Calls(dest, false) }
 	m.server.Handle(webhookPath, f.Hear)
 	m.server.Handle(owedPath, f.HearOwed)
 	m.server.Handle(settlePath, f.HearSettle)
@@ -167,11 +167,11 @@
 }
 
 // event is what the settings say of an event type by now.
-func (m *Member) event(t webhookpkg.EventTypeID) webhookpkg.EventType {
+func (m *Member) event(t api.EventTypeID) api.EventType {
 	if all := m.facts.Load().EventTypes; int(t) < len(all) {
 		return all[t]
 	}
-	return webhookpkg.EventType{Repeat: webhookpkg.AtMostOnce}
+	return api.EventType{Repeat: api.AtMostOnce}
 }
 
 // named opens the names of webhooks, beside what the journal still owes.
--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -13,7 +13,7 @@
 
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/wal"
 )
@@ -26,10 +26,10 @@
 	mu    sync.Mutex
 	known *shardmap.Known
 	kept  *wal.Journal
-	at    map[shardmap.Name]webhookpkg.WebhookID // the record of each
-	last  webhookpkg.WebhookID
-	slack webhookpkg.Micros
-	swept webhookpkg.Micros
+	at    map[shardmap.Name]api.WebhookID // the record of each
+	last  api.WebhookID
+	slack api.Micros
+	swept api.Micros
 }
 
 // nameOf is a webhook's over the whole fleet: a request id is never used twice.
@@ -38,7 +38,7 @@
 }
 
 // openNames reads the records of an earlier life from a folder; held tells what that life still owes.
-func openNames(dir string, diskMB float64, slack webhookpkg.Micros, held func(shardmap.Name) bool) (*names,
+func openNames(dir string, diskMB float64, slack api.Micros, held func(shardmap.Name) bool) (*names,
 	error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &names{Life: life, kept: kept, at: map[shardmap.Name]webhookpkg.WebhookID{}, slack: slack}
+	n := &names{Life: life, kept: kept, at: map[shardmap.Name]api.WebhookID{}, slack: slack}
 	latest := map[shardmap.Name]shardmap.Record{}
 	for _, e := range kept.Entries() {
 		var r shardmap.Record
@@ -131,7 +131,7 @@
 
 // write keeps the records that are not as they were; the caller holds the lock.
 func (n *names) write(was []past) (err error) {
-	fresh := map[shardmap.Name]webhookpkg.WebhookID{}
+	fresh := map[shardmap.Name]api.WebhookID{}
 	var gone []shardmap.Name
 	for _, w := range was {
 		r, known := n.known.Record(w.name)
--- a/cluster/member/names_test.go
+++ b/cluster/member/names_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // life is one of a folder's: names as a process finds them that still holds some webhooks.
 func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *names {
-	n, err := openNames(dir, diskMB, webhookpkg.Second, func(name shardmap.Name) bool {
+	n, err := openNames(dir, diskMB, api.Second, func(name shardmap.Name) bool {
 		for _, id := range held {
 			if nameOf(id) == name {
 				return true
@@ -34,7 +34,7 @@
 // Guards against a webhook called by two: that it may be with another member outlasts the process, unless it
 // has ended here meanwhile; and so does what was answered of it.
 func TestWhatIsKnownOfNamesOutlastsTheProcess(t *testing.T) {
-	dir, ttl := t.TempDir(), inflight.Now()+90*webhookpkg.Second
+	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	n := life(t, dir, 1)
 	for _, id := range []inflight.RequestID{"held", "ended"} {
 		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
@@ -56,7 +56,7 @@
 // Guards against a webhook that its sender waits for in vain, and against one told to be here that is not:
 // the process ended between its record and its journal, before or after the webhook was in it.
 func TestAProcessThatEndsWhileItTakesOn(t *testing.T) {
-	dir, ttl := t.TempDir(), inflight.Now()+90*webhookpkg.Second
+	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	n := life(t, dir, 1)
 	for _, id := range []inflight.RequestID{"in", "lost"} {
 		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
@@ -78,7 +78,7 @@
 
 // Guards against an answer that no record stands for: what can't be written did not happen.
 func TestWhatCanNotBeWrittenIsAsBefore(t *testing.T) {
-	n, ttl := life(t, t.TempDir(), 0.01), inflight.Now()+90*webhookpkg.Second
+	n, ttl := life(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
 	for id := range 1000 {
 		name := nameOf(inflight.RequestID(rune('a' + id)))
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -7,7 +7,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -53,7 +53,7 @@
 func (o *owing) offered(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []eventloop.Owed,
 	s *sent) (still []eventloop.Owed) {
 	f := o.forwarding
-	ids, names := make([]webhookpkg.WebhookID, len(all)), make([]shardmap.Name, len(all))
+	ids, names := make([]api.WebhookID, len(all)), make([]shardmap.Name, len(all))
 	for i, w := range all {
 		ids[i], names[i] = w.ID, nameOf(w.RequestID)
 	}
@@ -95,7 +95,7 @@
 func (o *owing) heard(s sent, all []eventloop.Owed, hs []heard) {
 	var own []shardmap.Name
 	var ours []inflight.RequestID
-	var drop []webhookpkg.WebhookID
+	var drop []api.WebhookID
 	for i, w := range all {
 		if hs[i].Reply != shardmap.Has {
 			own = append(own, s.All[i].Name)
@@ -130,7 +130,7 @@
 // on anew before it has ended here: both wait for the names.
 func (o *owing) drops(s sent, all []eventloop.Owed, hs []heard) {
 	o.forwarding.names.Note(func(k *shardmap.Known) {
-		var ids []webhookpkg.WebhookID
+		var ids []api.WebhookID
 		for i, w := range all {
 			if hs[i].Reply == shardmap.Has && k.Heard(s.All[i].Name, s.All[i].Hand, shardmap.Has) == shardmap.Drop {
 				ids = append(ids, w.ID)
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -5,7 +5,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -17,7 +17,7 @@
 type owing struct {
 	forwarding *forwarding
 	decider    *eventloop.Decider
-	events     func(webhookpkg.EventTypeID) webhookpkg.EventType
+	events     func(api.EventTypeID) api.EventType
 	looks      func() // has Look called soon; does not wait
 
 	mu      sync.Mutex
@@ -100,8 +100,8 @@
 // handed on.
 func (o *owing) sorts(chart *shardmap.Map, all []eventloop.Owed) map[cluster.MemberID]*errand {
 	type turn struct {
-		dest webhookpkg.DestinationID
-		key  webhookpkg.Key
+		dest api.DestinationID
+		key  api.Key
 	}
 	errands, waits := map[cluster.MemberID]*errand{}, map[turn]bool{}
 	errandTo := func(to cluster.MemberID) *errand {
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -9,7 +9,7 @@
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // every looks when something changed, and now and then.
@@ -69,7 +69,7 @@
 }
 
 // Renew takes the dispatcher's settings and reads the file again; one that can't be used changes nothing.
-func (m *Member) Renew(f webhookpkg.Facts) {
+func (m *Member) Renew(f api.Facts) {
 	m.facts.Store(&f)
 	m.again()
 }
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -17,13 +17,13 @@
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // scripted is one keeper whose answers go astray as a test says.
 type scripted struct {
 	mu     sync.Mutex
-	term   webhookpkg.Micros
+	term   api.Micros
 	book   *lease.Book
 	index  uint64
 	parts  []transport.PartState                               // to asks for the plan's, one by one
@@ -39,7 +39,7 @@
 	return s, all[0]
 }
 
-func scriptOf(t *testing.T, members int, term webhookpkg.Micros,
+func scriptOf(t *testing.T, members int, term api.Micros,
 	answer func(no int, real transport.Proposed) (int, []byte)) (*scripted, []*member.Session) {
 	s := &scripted{book: lease.NewBook(), term: term, answer: answer}
 	on, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,7 +158,7 @@
 // Guards against keepers that refuse a large fleet's connections: then sessions end, one by one.
 func TestAKeeperHearsAFleetOfThreeHundred(t *testing.T) {
 	t.Parallel()
-	_, all := scriptOf(t, 300, 10*webhookpkg.Second, nil)
+	_, all := scriptOf(t, 300, 10*api.Second, nil)
 	for _, s := range all {
 		s.Follow(cluster.PlanPart, func(uint64, []byte) {})
 	}
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -10,16 +10,16 @@
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
 	"rowanlink/cluster/transport"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Life is what a member's session is told at its start.
 type Life struct {
 	Self        cluster.MemberID
 	Incarnation lease.Incarnation // drawn at each start of the process
-	Term        webhookpkg.Micros
-	Apart       float64                  // lease.NewTenure's
-	Clock       func() webhookpkg.Micros // never runs back
+	Term        api.Micros
+	Apart       float64           // lease.NewTenure's
+	Clock       func() api.Micros // never runs back
 	Keepers     *Keepers
 	Told        func(cluster.Task, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
 }
@@ -60,7 +60,7 @@
 	return s
 }
 
-func span(t webhookpkg.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // nudge wakes a loop that may not be waiting just now.
 func nudge(c chan<- struct{}) {
@@ -71,7 +71,7 @@
 }
 
 // pause waits, or tells that all is over.
-func (s *Session) pause(t webhookpkg.Micros) bool {
+func (s *Session) pause(t api.Micros) bool {
 	timer := time.NewTimer(span(t))
 	defer timer.Stop()
 	select {
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -6,7 +6,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // joins makes what joins this member's dispatcher to site streams.
@@ -19,7 +19,7 @@
 }
 
 // serves is whether this member is home of a destination, by the grant that it holds.
-func (m *Member) serves(d webhookpkg.DestinationID) bool {
+func (m *Member) serves(d api.DestinationID) bool {
 	return m.homes.Verdict(d).Do == shardmap.Serve
 }
 
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -60,7 +60,7 @@
 }
 
 // offered decides one; names are locked.
-func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now webhookpkg.Micros,
+func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now api.Micros,
 	admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
 	admission, told := admit(t.s, c)
 	t.was[i] = t.names.past(c.Name)
@@ -82,7 +82,7 @@
 
 // handIn has what is new taken on; what is refused is as if it had not been offered.
 func (t *taking) handIn() {
-	t.x.HandInAll(t.ins, func(n int, what inflight.Answer, retryIn webhookpkg.Micros) {
+	t.x.HandInAll(t.ins, func(n int, what inflight.Answer, retryIn api.Micros) {
 		i := t.of[n]
 		switch what {
 		case inflight.Taken:
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -7,7 +7,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // tasks asks for what is wanted and tells of what was let, one order at a time.
@@ -32,7 +32,7 @@
 			}
 			continue
 		}
-		wait := webhookpkg.Micros(0)
+		wait := api.Micros(0)
 		if failures++; err == nil {
 			failures = 0
 		} else {
@@ -45,7 +45,7 @@
 }
 
 // next is what the keepers are to be told now, else for how long there will be nothing if nothing is heard.
-func (s *Session) next() (p lease.Proposal, idle webhookpkg.Micros) {
+func (s *Session) next() (p lease.Proposal, idle api.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, idle := s.Clock(), s.Term
@@ -59,7 +59,7 @@
 }
 
 // idle waits until there may be something to ask for, or tells that all is over.
-func (s *Session) idle(most webhookpkg.Micros) bool {
+func (s *Session) idle(most api.Micros) bool {
 	timer := time.NewTimer(span(most))
 	defer timer.Stop()
 	select {
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -4,7 +4,7 @@
 	"log/slog"
 
 	"rowanlink/cluster/shardmap"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -24,7 +24,7 @@
 		if told {
 			continue
 		}
-		all, idle := o.decider.Learned(func(d webhookpkg.DestinationID) bool {
+		all, idle := o.decider.Learned(func(d api.DestinationID) bool {
 			return chart.Holds(r, d)
 		})
 		if !idle {
@@ -51,10 +51,10 @@
 }
 
 // taught takes over what another member learned; lag is by how much this clock shows more.
-func (o *owing) taught(all []webhookpkg.Learned, lag webhookpkg.Micros) {
+func (o *owing) taught(all []api.Learned, lag api.Micros) {
 	for i := range all {
 		l := &all[i]
-		for _, at := range []*webhookpkg.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
+		for _, at := range []*api.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
 			if *at > 0 {
 				*at += lag
 			}
--- a/cluster/member/told.go
+++ b/cluster/member/told.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // says and logs are where the others hear, as this member reaches them.
@@ -40,7 +40,7 @@
 }
 
 // clocked is the clock that terms are counted by: it never runs back. A rate other than 1 is for tests.
-func clocked() (func() webhookpkg.Micros, error) {
+func clocked() (func() api.Micros, error) {
 	rate, start := 1.0, time.Now()
 	if text := os.Getenv("ROWAN_CLOCK_RATE"); text != "" {
 		var err error
@@ -48,8 +48,8 @@
 			return nil, fmt.Errorf("ROWAN_CLOCK_RATE is %q: a number from 0.5 to 2", text)
 		}
 	}
-	return func() webhookpkg.Micros {
-		return webhookpkg.Micros(rate * float64(time.Since(start).Microseconds()))
+	return func() api.Micros {
+		return api.Micros(rate * float64(time.Since(start).Microseconds()))
 	}, nil
 }
 
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Handle has what members ask of a keeper answered by this one. Statuses: 200 with an answer or a refusal,
@@ -60,7 +60,7 @@
 }
 
 // renew has the session go on, if a majority still follows at or after the moment when the ask came.
-func (k *Keeper) renew(ctx *fasthttp.RequestCtx, by transportpkg.SessionAsk, came webhook.Micros) {
+func (k *Keeper) renew(ctx *fasthttp.RequestCtx, by transportpkg.SessionAsk, came api.Micros) {
 	s, verdicts := by.Session, make(chan said, 1)
 	select {
 	case k.asks <- ask{s, by.Tally, came, verdicts}:
--- a/cluster/raftnode/heard.go
+++ b/cluster/raftnode/heard.go
@@ -6,24 +6,24 @@
 	"github.com/hashicorp/raft"
 
 	"rowanlink/cluster/lease"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // heard is the transport, with an ear for who still follows: raft's own calls of life, sent several times in
 // each election timeout, tell lease.Assent what it has to know. Nothing further is sent for a renewal.
 type heard struct {
 	*raft.NetworkTransport
-	clock func() webhook.Micros
+	clock func() api.Micros
 	tell  chan struct{}
 
 	mu   sync.Mutex
 	term uint64
-	sent map[raft.ServerID]webhook.Micros
+	sent map[raft.ServerID]api.Micros
 }
 
-func newHeard(t *raft.NetworkTransport, clock func() webhook.Micros) *heard {
+func newHeard(t *raft.NetworkTransport, clock func() api.Micros) *heard {
 	return &heard{NetworkTransport: t, clock: clock, tell: make(chan struct{}, 1),
-		sent: map[raft.ServerID]webhook.Micros{}}
+		sent: map[raft.ServerID]api.Micros{}}
 }
 
 // SetHeartbeatHandler leaves calls of life with all the others, which raft's own loop takes one by one.
@@ -70,7 +70,7 @@
 	return args
 }
 
-func (h *heard) note(id raft.ServerID, term uint64, sent webhook.Micros) {
+func (h *heard) note(id raft.ServerID, term uint64, sent api.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term < h.term {
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -22,7 +22,7 @@
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Place is what a keeper is told at its start. Each address is as this member reaches the other.
@@ -30,10 +30,10 @@
 	Fleet  string
 	Self   cluster.MemberID
 	Folder string // LB_STATE: what it keeps is under cluster/
-	Term   webhook.Micros
+	Term   api.Micros
 	Logs   map[cluster.MemberID]string // of all keepers, itself among them
 	Talk   *transportpkg.Talk
-	Clock  func() webhook.Micros // never runs back
+	Clock  func() api.Micros // never runs back
 	Book   *lease.Book
 	State  *fsm.Machine // over the book
 }
@@ -42,8 +42,8 @@
 type Keeper struct {
 	Counters
 	self     cluster.MemberID
-	term     webhook.Micros
-	clock    func() webhook.Micros
+	term     api.Micros
+	clock    func() api.Micros
 	talk     *transportpkg.Talk
 	folder   *folder
 	wire     *wire
@@ -110,7 +110,7 @@
 	return k, nil
 }
 
-func span(t webhook.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // Renew takes another table of keepers' logs.
 func (k *Keeper) Renew(logs map[cluster.MemberID]string) {
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -17,7 +17,7 @@
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
 	transportpkg "rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestMain(m *testing.M) {
@@ -25,11 +25,11 @@
 	os.Exit(m.Run())
 }
 
-const term = webhook.Second
+const term = api.Second
 
 var began = time.Now()
 
-func clock() webhook.Micros { return webhook.Micros(time.Since(began).Microseconds()) }
+func clock() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
 
 // alone is a place of a keeper without others.
 func alone(t *testing.T, folder string) (Place, net.Listener) {
@@ -121,7 +121,7 @@
 func TestAMajorityIsOneThatFollowedInThisTerm(t *testing.T) {
 	h := newHeard(nil, clock)
 	all := []raft.Server{server("a/1"), server("b/1"), server("c/1"), {ID: "d/1", Suffrage: raft.Nonvoter}}
-	covers := func(term uint64, at webhook.Micros) bool { return h.assent(term, all, "a/1").Covers(at) }
+	covers := func(term uint64, at api.Micros) bool { return h.assent(term, all, "a/1").Covers(at) }
 	h.note("d/1", 3, 9)
 	h.note("a/1", 3, 9)
 	require.False(t, covers(3, 5))
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -10,14 +10,14 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/timing"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // ask is one renewal that waits until a majority is known to have followed at or after it came.
 type ask struct {
 	session cluster.SessionID
 	tally   lease.Tally // of the grants that the member knows of
-	came    webhook.Micros
+	came    api.Micros
 	answer  chan<- said
 }
 
@@ -192,7 +192,7 @@
 }
 
 // look says it once when no leader is known for long, and once when one is again.
-func (k *Keeper) look(since webhook.Micros) webhook.Micros {
+func (k *Keeper) look(since api.Micros) api.Micros {
 	now := k.clock()
 	if _, id := k.raft.LeaderWithID(); id != "" {
 		if k.missing.Swap(0) == 1 {
--- a/cluster/rebalance/asked.go
+++ b/cluster/rebalance/asked.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // asked is what the rules ask of one range. Each may come from several rules; the first is named in errors.
@@ -35,7 +35,7 @@
 	follows []bool // a piece that goes where its head goes
 	at      map[cluster.MemberID]int
 	rangeAt map[cluster.RangeID]int
-	key     func(webhook.DestinationID) cluster.KeyHash
+	key     func(api.DestinationID) cluster.KeyHash
 }
 
 func newTask(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) *task {
--- a/cluster/rebalance/file.go
+++ b/cluster/rebalance/file.go
@@ -5,7 +5,7 @@
 
 import (
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // File is what the operator file says of the plan. Lists stand in the order in which the file has them.
@@ -54,7 +54,7 @@
 
 // Keys says which ranges a rule is about: those that one of the destinations or a hash of the span lies in.
 type Keys struct {
-	Destinations []webhook.DestinationID
+	Destinations []api.DestinationID
 	Span         bool
 	From, To     cluster.KeyHash // both belong to it
 }
@@ -71,7 +71,7 @@
 	PerMember   int     // moves that a member takes part in, on either side
 	PerZone     int     // moves with a side in a zone
 	Value       float64 // of what was delivered in the ranges under way, as Seen.Value tells it
-	Pause       webhook.Micros
+	Pause       api.Micros
 	Line        int
 }
 
--- a/cluster/rebalance/harm.go
+++ b/cluster/rebalance/harm.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Ends counts how webhooks ended. Rejected are those that were not taken on, or were handed back by notice.
@@ -38,7 +38,7 @@
 
 // Sick is a destination that is, and the range that it lies in.
 type Sick struct {
-	Dest  webhook.DestinationID
+	Dest  api.DestinationID
 	Range cluster.RangeID
 }
 
@@ -73,7 +73,7 @@
 	if g.number != number {
 		return h
 	}
-	moves, were := map[shardmap.MoveID]Spot{}, map[webhook.DestinationID]bool{}
+	moves, were := map[shardmap.MoveID]Spot{}, map[api.DestinationID]bool{}
 	for _, told := range g.spots {
 		for id, s := range told {
 			sum := moves[id]
@@ -89,7 +89,7 @@
 	for _, id := range slices.Sorted(maps.Keys(moves)) {
 		s := moves[id]
 		slices.Sort(s.Sick)
-		s.Sick = slices.DeleteFunc(slices.Compact(s.Sick), func(d webhook.DestinationID) bool { return were[d] })
+		s.Sick = slices.DeleteFunc(slices.Compact(s.Sick), func(d api.DestinationID) bool { return were[d] })
 		for _, d := range s.Sick {
 			h.Sick = append(h.Sick, Sick{d, s.Range})
 		}
--- a/cluster/rebalance/next.go
+++ b/cluster/rebalance/next.go
@@ -6,7 +6,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Seen is what a conductor knows beside the log.
@@ -14,7 +14,7 @@
 	Gone   func(cluster.MemberID) bool   // it has no session; nil: none is gone
 	Value  func(cluster.RangeID) float64 // value of what is delivered in a range, as bounds count it; nil: 0
 	Harm   Harm
-	Rested webhook.Micros // since a move ended; a conductor that has just begun counts from then
+	Rested api.Micros // since a move ended; a conductor that has just begun counts from then
 }
 
 // Do is what a conductor has to do.
--- a/cluster/rebalance/next_test.go
+++ b/cluster/rebalance/next_test.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const two = "member \"a\" { zone = \"x\" }\nmember \"b\" { zone = \"y\" }\n"
@@ -44,10 +44,10 @@
 func TestAPauseFollowsAMove(t *testing.T) {
 	w := newWorld(t, "a")
 	require.NoError(t, w.adopt(two+"leave \"a\" {}\nbounds { pause = \"2s\" }\n"))
-	out := w.p.Next(w.file, w.m, Seen{Rested: 2*webhook.Second - 1})
+	out := w.p.Next(w.file, w.m, Seen{Rested: 2*api.Second - 1})
 	assert.Empty(t, out.Actions)
 	assert.Equal(t, []Wait{{0, "the pause after the last move is not over (line 4)"}}, out.Waits)
-	assert.Len(t, w.p.Next(w.file, w.m, Seen{Rested: 2 * webhook.Second}).Actions, 1)
+	assert.Len(t, w.p.Next(w.file, w.m, Seen{Rested: 2 * api.Second}).Actions, 1)
 }
 
 // Measured harm stops the plan: what has not switched goes back, and nothing starts until another file comes.
--- a/cluster/rebalance/pieces.go
+++ b/cluster/rebalance/pieces.go
@@ -6,7 +6,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // A destination that rules place by its name is split off the range that it lies in: a range of its one hash,
@@ -139,7 +139,7 @@
 func (t *task) byName(i int) bool {
 	return oneHash(t.ranges[i]) && slices.ContainsFunc(t.asked[i].rules, func(k int) bool {
 		r := &t.file.Rules[k]
-		return r.Kind != Keep && slices.ContainsFunc(r.Of.Destinations, func(d webhook.DestinationID) bool {
+		return r.Kind != Keep && slices.ContainsFunc(r.Of.Destinations, func(d api.DestinationID) bool {
 			return t.key(d) == t.ranges[i].From
 		})
 	})
--- a/cluster/rebalance/pieces_test.go
+++ b/cluster/rebalance/pieces_test.go
@@ -12,11 +12,11 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // dests are some that lie in a few ranges, two or more in one.
-var dests = []webhook.DestinationID{2, 4, 1, 3}
+var dests = []api.DestinationID{2, 4, 1, 3}
 
 // placed is a small fleet with rules that name destinations.
 func placed(t *rapid.T, members int) string {
@@ -50,7 +50,7 @@
 }
 
 // held tells whether the rules hold where ranges and destinations are on members, read off the file.
-func (f *File) held(whole []int, of map[webhook.DestinationID]int) bool {
+func (f *File) held(whole []int, of map[api.DestinationID]int) bool {
 	has := make([]int, len(f.Members))
 	for _, m := range whole {
 		has[m]++
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, r := range f.Rules {
-		mine := map[webhook.DestinationID]bool{}
+		mine := map[api.DestinationID]bool{}
 		for n, d := range r.Of.Destinations {
 			m := f.Members[of[d]]
 			mine[d] = true
@@ -119,13 +119,13 @@
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 		}
-		named, in := map[webhook.DestinationID]bool{}, map[webhook.DestinationID]int{}
+		named, in := map[api.DestinationID]bool{}, map[api.DestinationID]int{}
 		for _, r := range f.Rules {
 			for _, d := range r.Of.Destinations {
 				named[d] = true
 			}
 		}
-		var all []webhook.DestinationID
+		var all []api.DestinationID
 		for _, d := range dests {
 			if r, _ := before.Of(cluster.Hash(d)); named[d] {
 				all, in[d] = append(all, d), int(r.ID)-1
@@ -134,7 +134,7 @@
 		least, near, found := uint64(math.MaxUint64), math.MaxInt, false
 		work := newTask(f, &before, told)
 		spans := partsOf(f, n)
-		whole, of := make([]int, n), map[webhook.DestinationID]int{}
+		whole, of := make([]int, n), map[api.DestinationID]int{}
 		for k := 0; k < int(math.Pow(float64(members), float64(n+len(all)))); k++ {
 			rest := k
 			for i := range whole {
--- a/cluster/rebalance/rules.go
+++ b/cluster/rebalance/rules.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func (f *File) members(w *written) error {
@@ -48,7 +48,7 @@
 	}
 	add := func(r Rule, destinations []uint32, hashes []string) error {
 		for _, d := range destinations {
-			r.Of.Destinations = append(r.Of.Destinations, webhook.DestinationID(d))
+			r.Of.Destinations = append(r.Of.Destinations, api.DestinationID(d))
 		}
 		if hashes != nil {
 			if err := f.span(&r, hashes); err != nil {
@@ -134,7 +134,7 @@
 			if err != nil || pause < 0 || pause > 24*time.Hour {
 				return f.at(line, "pause is %q; it may be \"0s\" to \"24h\"", b.Pause)
 			}
-			f.Bounds.Pause = webhook.Micros(pause.Microseconds())
+			f.Bounds.Pause = api.Micros(pause.Microseconds())
 		}
 	}
 	return nil
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -6,16 +6,16 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Tally is what one member counts of how webhooks ended, by destination, and which moves it saw begin. It
 // has no clock: whoever calls it says the time. It belongs to one goroutine at a time.
 type Tally struct {
-	life    uint64         // tells one start of the process from another
-	every   webhook.Micros // what is usual reaches back once to twice so far
-	turnsAt webhook.Micros
-	dests   map[webhook.DestinationID]*count
+	life    uint64     // tells one start of the process from another
+	every   api.Micros // what is usual reaches back once to twice so far
+	turnsAt api.Micros
+	dests   map[api.DestinationID]*count
 	moves   map[shardmap.MoveID]*watched
 	placed  bool // some destinations stood together, now or before
 }
@@ -30,10 +30,10 @@
 type watched struct {
 	Watch
 	number uint64 // of the plan that asked; 0: none yet
-	base   map[webhook.DestinationID]Ends
+	base   map[api.DestinationID]Ends
 	usual  Ends
-	sick   []webhook.DestinationID // when it began
-	seenAt webhook.Micros          // asked for, or open
+	sick   []api.DestinationID // when it began
+	seenAt api.Micros          // asked for, or open
 }
 
 // Watch is a move whose harm is asked for: of its range, from when it began.
@@ -46,12 +46,12 @@
 
 // Spot is what one member saw in the range of a move, since it began and before.
 type Spot struct {
-	Move  shardmap.MoveID         `cbor:"1,keyasint"`
-	Range cluster.RangeID         `cbor:"2,keyasint"`
-	Now   Ends                    `cbor:"3,keyasint"`
-	Usual Ends                    `cbor:"4,keyasint"`
-	Sick  []webhook.DestinationID `cbor:"5,keyasint,omitempty"`
-	Were  []webhook.DestinationID `cbor:"6,keyasint,omitempty"` // sick when it began
+	Move  shardmap.MoveID     `cbor:"1,keyasint"`
+	Range cluster.RangeID     `cbor:"2,keyasint"`
+	Now   Ends                `cbor:"3,keyasint"`
+	Usual Ends                `cbor:"4,keyasint"`
+	Sick  []api.DestinationID `cbor:"5,keyasint,omitempty"`
+	Were  []api.DestinationID `cbor:"6,keyasint,omitempty"` // sick when it began
 }
 
 // Report is what a member answers to a conductor.
@@ -65,13 +65,13 @@
 const usualTerms = 8
 
 // NewTally is one that has counted nothing; life is drawn at each start of the process.
-func NewTally(life uint64, term, now webhook.Micros) *Tally {
+func NewTally(life uint64, term, now api.Micros) *Tally {
 	return &Tally{life: life, every: usualTerms * term, turnsAt: now + usualTerms*term,
-		dests: map[webhook.DestinationID]*count{}, moves: map[shardmap.MoveID]*watched{}}
+		dests: map[api.DestinationID]*count{}, moves: map[shardmap.MoveID]*watched{}}
 }
 
 // Ended counts ends of a destination's webhooks.
-func (t *Tally) Ended(d webhook.DestinationID, e Ends) {
+func (t *Tally) Ended(d api.DestinationID, e Ends) {
 	c := t.dests[d]
 	if c == nil {
 		c = &count{hash: cluster.Hash(d)}
@@ -81,7 +81,7 @@
 }
 
 // Sickness tells which destinations of a range this member, its home, holds to be sick now.
-type Sickness func(r shardmap.Range) []webhook.DestinationID
+type Sickness func(r shardmap.Range) []api.DestinationID
 
 // Unseen are the ranges of moves that Look has yet to take note of.
 func (t *Tally) Unseen(m *shardmap.Map) (all []shardmap.Range) {
@@ -94,7 +94,7 @@
 }
 
 // Look takes note of moves that have begun and forgets those that are over and asked for by nobody.
-func (t *Tally) Look(m *shardmap.Map, sick Sickness, now webhook.Micros) {
+func (t *Tally) Look(m *shardmap.Map, sick Sickness, now api.Micros) {
 	if now >= t.turnsAt {
 		t.turnsAt = now + t.every
 		for _, c := range t.dests {
@@ -114,7 +114,7 @@
 	maps.DeleteFunc(t.moves, func(_ shardmap.MoveID, w *watched) bool { return now-w.seenAt > t.every })
 }
 
-func (t *Tally) watch(what Watch, r shardmap.Range, sick Sickness, now webhook.Micros) *watched {
+func (t *Tally) watch(what Watch, r shardmap.Range, sick Sickness, now api.Micros) *watched {
 	w := t.moves[what.Move]
 	if w == nil {
 		w = &watched{Watch: what}
@@ -132,7 +132,7 @@
 
 // begin counts from now on.
 func (t *Tally) begin(w *watched, r shardmap.Range, sick Sickness) {
-	w.base, w.sick = map[webhook.DestinationID]Ends{}, sick(r)
+	w.base, w.sick = map[api.DestinationID]Ends{}, sick(r)
 	for d, c := range t.dests {
 		if w.has(c) {
 			w.base[d] = c.all
@@ -144,7 +144,7 @@
 
 // Tell answers a conductor whose plan has a number. Another plan's count begins anew, as what an earlier one
 // did is not its harm; what was usual before the move stays so.
-func (t *Tally) Tell(number uint64, of []Watch, m *shardmap.Map, sick Sickness, now webhook.Micros) Report {
+func (t *Tally) Tell(number uint64, of []Watch, m *shardmap.Map, sick Sickness, now api.Micros) Report {
 	out := Report{Life: t.life}
 	for _, what := range of[:min(len(of), mostWatched)] { // whatever a message says
 		r, _ := m.Get(what.Range)
--- a/cluster/rebalance/tally_test.go
+++ b/cluster/rebalance/tally_test.go
@@ -8,10 +8,10 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const second = webhook.Second
+const second = api.Second
 
 // moving is a world whose ranges all begin to move by a plan that stops for harm, and where destination 7
 // lies.
@@ -25,10 +25,10 @@
 	return w, r.ID, r.Move.ID
 }
 
-func well(shardmap.Range) []webhook.DestinationID { return nil }
-func ill(r shardmap.Range) []webhook.DestinationID {
+func well(shardmap.Range) []api.DestinationID { return nil }
+func ill(r shardmap.Range) []api.DestinationID {
 	if k := cluster.Hash(7); r.From <= k && k <= r.To {
-		return []webhook.DestinationID{7}
+		return []api.DestinationID{7}
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 	empty := shardmap.New(nil)
 	y.Ended(7, Ends{Ended: 1000})
 	for n := 1; n < 4; n++ {
-		y.Look(empty, well, webhook.Micros(n)*usualTerms*second)
+		y.Look(empty, well, api.Micros(n)*usualTerms*second)
 		y.Ended(7, Ends{Ended: 1})
 	}
 	y.Look(w.m, well, 3*usualTerms*second)
--- a/cluster/relay/relay.go
+++ b/cluster/relay/relay.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The paths that are heard on.
@@ -31,24 +31,24 @@
 // Ends is what a relay tells an owner; the answer is which of them the owner's journal has. Learned is of
 // their destinations, times by the relay's clock.
 type Ends struct {
-	Answer  stream.Answer     `cbor:"1,keyasint"`
-	Ends    []stream.End      `cbor:"2,keyasint"`
-	Learned []webhook.Learned `cbor:"3,keyasint,omitempty"`
+	Answer  stream.Answer `cbor:"1,keyasint"`
+	Ends    []stream.End  `cbor:"2,keyasint"`
+	Learned []api.Learned `cbor:"3,keyasint,omitempty"`
 }
 
 // Opening is what a sender asks first, with what it learned of the site's destinations while it called
 // for them itself, times by its clock.
 type Opening struct {
 	stream.Ask
-	Learned []webhook.Learned `cbor:"8,keyasint,omitempty"`
-	At      webhook.Micros    `cbor:"9,keyasint"`
+	Learned []api.Learned `cbor:"8,keyasint,omitempty"`
+	At      api.Micros    `cbor:"9,keyasint"`
 }
 
 // Shifted is what was learned by a clock that shows so much more.
-func Shifted(all []webhook.Learned, by webhook.Micros) []webhook.Learned {
+func Shifted(all []api.Learned, by api.Micros) []api.Learned {
 	for i := range all {
 		l := &all[i]
-		for _, at := range []*webhook.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
+		for _, at := range []*api.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
 			if *at > 0 {
 				*at += by
 			}
@@ -65,7 +65,7 @@
 }
 
 // PaceOf derives it: a relay that is restarted in a third of a term is not gone.
-func PaceOf(term webhook.Micros) Pace {
+func PaceOf(term api.Micros) Pace {
 	t := time.Duration(term) * time.Microsecond
 	return Pace{Within: t / 6, Gone: t / 3, Poll: t / 60}
 }
--- a/cluster/relay/relay_test.go
+++ b/cluster/relay/relay_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster/stream"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-func (s *site) add(id uint64, to ...webhook.DestinationID) {
+func (s *site) add(id uint64, to ...api.DestinationID) {
 	i := stream.Item{Name: stream.Name{Owner: "m", Life: 1, ID: id}, Request: "a", Many: true, TTL: 1 << 60,
-		MayRun: webhook.Never, Body: []byte("b"), To: to}
+		MayRun: api.Never, Body: []byte("b"), To: to}
 	s.mu.Lock()
 	for _, d := range to {
 		s.open[stream.Delivery{Name: i.Name, To: d}] = stream.AtRelay
@@ -38,9 +38,9 @@
 	return ended, ran
 }
 
-func to(n int) (all []webhook.DestinationID) {
+func to(n int) (all []api.DestinationID) {
 	for d := range n {
-		all = append(all, webhook.DestinationID(d+1))
+		all = append(all, api.DestinationID(d+1))
 	}
 	return all
 }
--- a/cluster/relay/shelf.go
+++ b/cluster/relay/shelf.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // mostEnds are told at once.
@@ -26,8 +26,8 @@
 	Told([]stream.Delivery) // their owners have their ends
 	// Learned is what is known of destinations, Taught takes over what their owner knows, by this clock.
 	// Both are called with nothing held.
-	Learned(of []webhook.DestinationID) []webhook.Learned
-	Taught([]webhook.Learned)
+	Learned(of []api.DestinationID) []api.Learned
+	Taught([]api.Learned)
 }
 
 // Relay is a site's, at the member that serves it.
@@ -35,7 +35,7 @@
 	shelf Shelf
 	said  Said
 	pace  Pace
-	now   func() webhook.Micros
+	now   func() api.Micros
 
 	mu     sync.Mutex
 	r      *stream.Receiver
@@ -47,7 +47,7 @@
 }
 
 // NewRelay goes on by what its journal knows.
-func NewRelay(r *stream.Receiver, shelf Shelf, said Said, p Pace, now func() webhook.Micros) *Relay {
+func NewRelay(r *stream.Receiver, shelf Shelf, said Said, p Pace, now func() api.Micros) *Relay {
 	relay := &Relay{shelf: shelf, said: said, pace: p, now: now, r: r, tells: map[cluster.MemberID]chan struct{}{},
 		ended: make(chan struct{})}
 	relay.mu.Lock()
@@ -206,7 +206,7 @@
 	if len(ends.Ends) == 0 {
 		return false, false
 	}
-	var of []webhook.DestinationID
+	var of []api.DestinationID
 	for _, e := range ends.Ends {
 		of = append(of, e.Delivery.To)
 	}
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -14,14 +14,14 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const term = 300_000 // microseconds: all else follows from it
 
 var began = time.Now()
 
-func clock() webhook.Micros { return webhook.Micros(time.Since(began).Microseconds()) }
+func clock() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
 
 // faults loses messages and answers, and says some twice.
 type faults struct {
@@ -72,7 +72,7 @@
 	held   map[stream.Delivery]bool
 	owed   []stream.End
 	full   bool
-	slow   map[webhook.DestinationID]bool // its deliveries don't end
+	slow   map[api.DestinationID]bool // its deliveries don't end
 
 	open   map[stream.Delivery]stream.Standing // the owner's
 	once   bool                                // all are at-most-once
@@ -88,9 +88,9 @@
 type book struct{ *site }
 type shelf struct{ *site }
 
-func (b book) Sending([]stream.Item, uint64, webhook.Micros) error { return nil }
-func (b book) Unsent([]stream.Delivery)                            {}
-func (b book) Late([]stream.Delivery)                              {}
+func (b book) Sending([]stream.Item, uint64, api.Micros) error { return nil }
+func (b book) Unsent([]stream.Delivery)                        {}
+func (b book) Late([]stream.Delivery)                          {}
 
 func (b book) Beside(never []stream.Delivery) {
 	b.mu.Lock()
@@ -106,9 +106,9 @@
 func (b book) Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i, t := stream.Item{MayRun: webhook.Never}, webhook.EventType{}
+	i, t := stream.Item{MayRun: api.Never}, api.EventType{}
 	if b.once {
-		t.Repeat = webhook.AtMostOnce
+		t.Repeat = api.AtMostOnce
 	}
 	for _, u := range of {
 		if c := stream.Rule(&i, u.At, t, lost, 1<<60, clock()); c != stream.Waits {
@@ -136,13 +136,13 @@
 	return heard
 }
 
-func (b book) Learned() []webhook.Learned {
-	return []webhook.Learned{{Destination: 1, WaitUntil: clock()}}
+func (b book) Learned() []api.Learned {
+	return []api.Learned{{Destination: 1, WaitUntil: clock()}}
 }
-func (b book) Taught([]webhook.Learned) {}
+func (b book) Taught([]api.Learned) {}
 
-func (s shelf) Learned([]webhook.DestinationID) []webhook.Learned { return nil }
-func (s shelf) Taught(all []webhook.Learned)                      { s.taught.Add(int64(len(all))) }
+func (s shelf) Learned([]api.DestinationID) []api.Learned { return nil }
+func (s shelf) Taught(all []api.Learned)                  { s.taught.Add(int64(len(all))) }
 
 func (s shelf) Room() int { return 64 }
 
@@ -222,7 +222,7 @@
 func begin(t *testing.T, once bool) *site {
 	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Standing{},
 		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Mark{Life: 9},
-		slow: map[webhook.DestinationID]bool{}, addr: "127.0.0.1:0"}
+		slow: map[api.DestinationID]bool{}, addr: "127.0.0.1:0"}
 	owner := transport.Hears(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/cluster/relay/stream.go
+++ b/cluster/relay/stream.go
@@ -10,7 +10,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Books is an owner's journal and its module. It is called with the stream held: it must not call back, nor
@@ -18,7 +18,7 @@
 type Books interface {
 	// Sending notes deliveries before their first byte leaves for that life of the relay's folder; an error:
 	// they are not noted, and nothing is sent.
-	Sending(f []stream.Item, life uint64, at webhook.Micros) error
+	Sending(f []stream.Item, life uint64, at api.Micros) error
 	Unsent([]stream.Delivery)       // they were never taken and never will be: they wait once more
 	Beside(never []stream.Delivery) // this dispatcher's module has them from now on
 	// Unsure settles by streams.Rule what may be at the relay, lost: by streams.Courses. It tells which the
@@ -28,8 +28,8 @@
 	Ended([]stream.End) (heard []stream.Delivery)
 	// Learned is what this dispatcher knows of the site's destinations; it is called with nothing held, as is
 	// Taught, which takes over what the relay knows, by this clock.
-	Learned() []webhook.Learned
-	Taught([]webhook.Learned)
+	Learned() []api.Learned
+	Taught([]api.Learned)
 	Late([]stream.Delivery) // rejected: their time is over, and they never ran
 }
 
@@ -39,7 +39,7 @@
 	books Books
 	said  Said
 	pace  Pace
-	now   func() webhook.Micros
+	now   func() api.Micros
 	holds func() bool // the sender's task, by the clock
 
 	fenced atomic.Bool // the relay has seen a later epoch, though the task is held
@@ -61,13 +61,13 @@
 
 // NewStream sends to a relay what s has, from Run on. holds is asked before each message.
 func NewStream(relay cluster.MemberID, s *stream.Sender, books Books, said Said, p Pace,
-	now func() webhook.Micros, holds func() bool) *Stream {
+	now func() api.Micros, holds func() bool) *Stream {
 	return &Stream{relay: relay, books: books, said: said, pace: p, now: now, holds: holds, s: s,
 		bell: make(chan struct{}, 1), ended: make(chan struct{}), done: make(chan struct{})}
 }
 
 // Add takes an item that the journal has.
-func (t *Stream) Add(i stream.Item, target webhook.Micros) {
+func (t *Stream) Add(i stream.Item, target api.Micros) {
 	t.with(func() { t.s.Add(i, target, t.now()) })
 }
 
@@ -75,8 +75,8 @@
 func (t *Stream) Over(d stream.Delivery) { t.with(func() { t.s.Ended(d) }) }
 
 // Leaves and Joins: by the operator file.
-func (t *Stream) Leaves(to webhook.DestinationID) { t.with(func() { t.s.Leaves(to) }) }
-func (t *Stream) Joins(to webhook.DestinationID)  { t.with(func() { t.s.Joins(to) }) }
+func (t *Stream) Leaves(to api.DestinationID) { t.with(func() { t.s.Leaves(to) }) }
+func (t *Stream) Joins(to api.DestinationID)  { t.with(func() { t.s.Joins(to) }) }
 
 // with does something with the sender and hands on what may go beside the stream by it.
 func (t *Stream) with(do func()) {
--- a/cluster/shardmap/around_test.go
+++ b/cluster/shardmap/around_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // move is one thing that may happen next: i is whose, or which message's; n is which webhook's. calm: it also
@@ -165,7 +165,7 @@
 			w.left.unknowns--
 			w.at[i].copies[n].calling = false
 		})
-		fate := w.carried(i, n).Goes(w.event(), 0, 9, webhook.Micros(w.now))
+		fate := w.carried(i, n).Goes(w.event(), 0, 9, api.Micros(w.now))
 		add(!c.calling && fate != Goes, "ends it", true, (*world).endsIt)
 		add(!c.calling && fate == Goes && !parked && v.Calls(false), "calls", true, (*world).begins)
 		to, id := v.To, MoveID(0)
@@ -205,7 +205,7 @@
 }
 
 func (w *world) carried(i, n int8) Carried {
-	return Carried{Name: named(n), TTL: ttl, MayRun: webhook.Micros(w.at[i].copies[n].ran)}
+	return Carried{Name: named(n), TTL: ttl, MayRun: api.Micros(w.at[i].copies[n].ran)}
 }
 
 // offers sends a webhook to another member; a client's that only comes in has no record yet.
@@ -229,7 +229,7 @@
 	p.mem[n].in(n, func(k *Known, name Name) {
 		next := k.Next(name)
 		m.hand, ok = k.Offers(name, ttl, Offer{To: to, Life: uint64(m.life), Move: id, Range: 1,
-			Epoch: cluster.Epoch(m.epoch), SentAt: webhook.Micros(w.now)})
+			Epoch: cluster.Epoch(m.epoch), SentAt: api.Micros(w.now)})
 		if w.wrong.handStays && !again && next > 1 {
 			m.hand = next - 1
 			k.names[name].Hand = m.hand
--- a/cluster/shardmap/carried.go
+++ b/cluster/shardmap/carried.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Name is a webhook's over the whole fleet, from the member that took it from its client to its end.
@@ -18,24 +18,24 @@
 // Carried is a webhook with what the next owner must know of its past. Times are of its sender's clock, until
 // Shifted.
 type Carried struct {
-	Name     Name                  `cbor:"1,keyasint"`
-	Hand     Hand                  `cbor:"2,keyasint"` // see Known
-	Event    webhook.EventTypeID   `cbor:"3,keyasint"`
-	Tenant   webhook.TenantID      `cbor:"4,keyasint"`
-	Key      webhook.Key           `cbor:"5,keyasint"`
-	Dest     webhook.DestinationID `cbor:"6,keyasint"`
-	TTL      webhook.Micros        `cbor:"7,keyasint"`
-	Attempts int                   `cbor:"8,keyasint"`
-	MayRun   webhook.Micros        `cbor:"9,keyasint"`  // first attempt that may have run, or Never
-	Zone     webhook.ZoneID        `cbor:"10,keyasint"` // of that attempt's endpoint
-	Taken    uint64                `cbor:"11,keyasint"` // place among its sender's: order by key
-	Whole    []byte                `cbor:"12,keyasint"` // request id, token, body: as its journal has it
+	Name     Name              `cbor:"1,keyasint"`
+	Hand     Hand              `cbor:"2,keyasint"` // see Known
+	Event    api.EventTypeID   `cbor:"3,keyasint"`
+	Tenant   api.TenantID      `cbor:"4,keyasint"`
+	Key      api.Key           `cbor:"5,keyasint"`
+	Dest     api.DestinationID `cbor:"6,keyasint"`
+	TTL      api.Micros        `cbor:"7,keyasint"`
+	Attempts int               `cbor:"8,keyasint"`
+	MayRun   api.Micros        `cbor:"9,keyasint"`  // first attempt that may have run, or Never
+	Zone     api.ZoneID        `cbor:"10,keyasint"` // of that attempt's endpoint
+	Taken    uint64            `cbor:"11,keyasint"` // place among its sender's: order by key
+	Whole    []byte            `cbor:"12,keyasint"` // request id, token, body: as its journal has it
 }
 
 // Shifted is the same by a clock that shows so much more.
-func (c Carried) Shifted(by webhook.Micros) Carried {
+func (c Carried) Shifted(by api.Micros) Carried {
 	c.TTL += by
-	if c.MayRun != webhook.Never {
+	if c.MayRun != api.Never {
 		c.MayRun += by
 	}
 	return c
@@ -44,16 +44,16 @@
 // Clock is by how much a member's own clock shows more than another's, as far as its messages tell: the least
 // lag of any, which is as exact as the quickest message was quick. Its zero value has heard none.
 type Clock struct {
-	least, at webhook.Micros
+	least, at api.Micros
 	heard     bool
 }
 
 // Heard takes when a message was sent, by its sender's clock. apart: by how much the two differ in rate at
 // the most, so that the least lag of long ago tells less and less.
-func (c *Clock) Heard(sentAt, now webhook.Micros, apart float64) webhook.Micros {
+func (c *Clock) Heard(sentAt, now api.Micros, apart float64) api.Micros {
 	lag := now - sentAt
 	if c.heard {
-		lag = min(lag, c.least+webhook.Micros(apart*float64(now-c.at)))
+		lag = min(lag, c.least+api.Micros(apart*float64(now-c.at)))
 	}
 	c.least, c.at, c.heard = lag, now, true
 	return lag
@@ -70,14 +70,14 @@
 
 // Goes is the fate of a webhook with no call out, with what its event type says. spare: what a hop and the
 // first attempt there take at the least; most: attempts in all.
-func (c Carried) Goes(t webhook.EventType, spare webhook.Micros, most int, now webhook.Micros) Fate {
-	ran := c.MayRun != webhook.Never
+func (c Carried) Goes(t api.EventType, spare api.Micros, most int, now api.Micros) Fate {
+	ran := c.MayRun != api.Never
 	late := now+spare >= c.TTL || c.Attempts >= most
-	if ran && t.Repeat == webhook.Tokened {
+	if ran && t.Repeat == api.Tokened {
 		late = late || now+spare >= c.MayRun+t.TokenWindow
 	}
 	switch {
-	case ran && (late || t.Repeat == webhook.AtMostOnce):
+	case ran && (late || t.Repeat == api.AtMostOnce):
 		return Dies
 	case late:
 		return Rejects
--- a/cluster/shardmap/deed.go
+++ b/cluster/shardmap/deed.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Deed is what a member does with a webhook of a range.
@@ -90,7 +90,7 @@
 // `over`, and in a whole term more each session that was renewed last before its own has ended too. Where
 // only this member is cut off, others do have homes: then what it sends comes on top, an even part at the
 // most.
-func Deserted(over, now, term webhook.Micros) bool { return over != webhook.Never && now-over > term }
+func Deserted(over, now, term api.Micros) bool { return over != api.Never && now-over > term }
 
 // Part is the share of a destination's rate that a member has, of a fleet of so many.
 func (v Verdict) Part(members int) float64 {
--- a/cluster/shardmap/doubt.go
+++ b/cluster/shardmap/doubt.go
@@ -1,6 +1,6 @@
 package shardmap
 
-import "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // Reply is what a member says of a webhook by its name.
 type Reply uint8
@@ -32,13 +32,13 @@
 // name: should the first come back with its copy, the name tells that one owner is enough. What may not waits
 // for the answer until its time is up; so does what is tokened: the first, back as home before they meet,
 // would count its token's window from its own first call.
-func (o Offer) Settle(r Reply, ended bool, t webhook.EventType, ran, last, now webhook.Micros) Settled {
+func (o Offer) Settle(r Reply, ended bool, t api.EventType, ran, last, now api.Micros) Settled {
 	since := o.SentAt
-	if ran != webhook.Never {
+	if ran != api.Never {
 		since = ran
 	}
 	forgotten := t.TokenByZone || now >= since+t.TokenWindow
-	once := t.Repeat == webhook.AtMostOnce || t.Repeat == webhook.Tokened && forgotten
+	once := t.Repeat == api.AtMostOnce || t.Repeat == api.Tokened && forgotten
 	switch {
 	case r == Has:
 		return Drop
@@ -46,7 +46,7 @@
 		return Own
 	case now >= last, r == Forgot && once:
 		return Ends // only the first call's zone remembers a token by zone, and which that was is not known
-	case r != Forgot && (!ended || t.Repeat != webhook.Idempotent):
+	case r != Forgot && (!ended || t.Repeat != api.Idempotent):
 		return Wait
 	}
 	return Anew
--- a/cluster/shardmap/homes_test.go
+++ b/cluster/shardmap/homes_test.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // homeMoves are those of map, lease and conductor.
@@ -155,9 +155,9 @@
 		switch {
 		case w.broken != "":
 			return w.broken
-		case owners > 1 && (w.repeat == webhook.AtMostOnce || !w.forked[n]):
+		case owners > 1 && (w.repeat == api.AtMostOnce || !w.forked[n]):
 			return "two members own a webhook"
-		case unknowing && w.effects[n] > 0 && w.repeat != webhook.Idempotent && !w.forked[n]:
+		case unknowing && w.effects[n] > 0 && w.repeat != api.Idempotent && !w.forked[n]:
 			return "an owner does not know that it may have run"
 		case copies == 0 && w.promised[n] && !w.told[n] && !w.excused[n]:
 			return "a webhook is lost"
--- a/cluster/shardmap/known.go
+++ b/cluster/shardmap/known.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/internal/due"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Hand counts a webhook's way from member to member: each offer of it to another carries a higher one than
@@ -43,7 +43,7 @@
 	return k
 }
 
-func (k *Known) of(n Name, ttl webhook.Micros) *Record {
+func (k *Known) of(n Name, ttl api.Micros) *Record {
 	r := k.names[n]
 	if r == nil {
 		r = &Record{Name: n, TTL: ttl}
@@ -64,7 +64,7 @@
 
 // Offered is a webhook that was sent here. admits: by the map it is this member's to take. Silent: that can't
 // be told yet, or not at all; Refuses: not by this try.
-func (k *Known) Offered(n Name, hand Hand, ttl, now webhook.Micros, admits bool) (Reply, Taking) {
+func (k *Known) Offered(n Name, hand Hand, ttl, now api.Micros, admits bool) (Reply, Taking) {
 	r := k.names[n]
 	switch {
 	case r != nil && r.Comes:
@@ -106,7 +106,7 @@
 
 // Asked is whether a webhook came by that hand. Where fresh the record is new, and journalled before it is
 // said: by a no what is still on its way comes in vain; by a yes hands go on from there.
-func (k *Known) Asked(n Name, hand Hand, ttl webhook.Micros) (reply Reply, fresh bool) {
+func (k *Known) Asked(n Name, hand Hand, ttl api.Micros) (reply Reply, fresh bool) {
 	r := k.of(n, ttl)
 	switch {
 	case r.Comes:
@@ -125,7 +125,7 @@
 // Offers notes that a webhook that is held here is about to be offered, and by which hand; the same one as
 // before where it goes again to whom it may have reached. false: another may have it, who has to be asked
 // first.
-func (k *Known) Offers(n Name, ttl webhook.Micros, o Offer) (Hand, bool) {
+func (k *Known) Offers(n Name, ttl api.Micros, o Offer) (Hand, bool) {
 	r := k.of(n, ttl)
 	if r.Out.To != "" {
 		return r.Hand, r.Out.To == o.To && r.Out.Life == o.Life
@@ -137,7 +137,7 @@
 // Sent notes that a client's webhook went from its entry by a hand, before it had a record, and that no
 // answer came. false: it has come back since, so that it was taken there, and the entry keeps nothing. Guards
 // against a hand that a question raised meanwhile: by another one nobody could tell.
-func (k *Known) Sent(n Name, hand Hand, ttl webhook.Micros, o Offer) bool {
+func (k *Known) Sent(n Name, hand Hand, ttl api.Micros, o Offer) bool {
 	r := k.of(n, ttl)
 	if r.Hand >= hand {
 		return false
--- a/cluster/shardmap/known_test.go
+++ b/cluster/shardmap/known_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 var nobodyHolds = func(Name) bool { return false }
@@ -93,11 +93,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := Carried{TTL: micros(t, "ttl"), MayRun: 5}
 		if rapid.Bool().Draw(t, "never ran") {
-			c.MayRun = webhook.Never
+			c.MayRun = api.Never
 		}
 		by := micros(t, "by")
 		assert.Equal(t, c, c.Shifted(by).Shifted(-by))
-		assert.Equal(t, c.MayRun == webhook.Never, c.Shifted(by).MayRun == webhook.Never)
+		assert.Equal(t, c.MayRun == api.Never, c.Shifted(by).MayRun == api.Never)
 		assert.Equal(t, by, c.Shifted(by).TTL-c.TTL)
 
 		var all []Carried
@@ -117,11 +117,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const apart = 0.01
 		var c Clock
-		ahead, now, best := micros(t, "ahead"), webhook.Micros(0), webhook.Micros(0)
+		ahead, now, best := micros(t, "ahead"), api.Micros(0), api.Micros(0)
 		for i := range rapid.IntRange(1, 20).Draw(t, "messages") {
 			step, late := micros(t, "step")%10_000_000, micros(t, "late")%5_000_000
 			now += step
-			if best += webhook.Micros(apart * float64(step)); i == 0 || late < best {
+			if best += api.Micros(apart * float64(step)); i == 0 || late < best {
 				best = late
 			}
 			got := c.Heard(now-late-ahead, now, apart)
@@ -133,9 +133,9 @@
 }
 
 func TestWhatMayHaveRunGoesOnOnlyAsItsEventTypeAllows(t *testing.T) {
-	once, tokened := webhook.EventType{Repeat: webhook.AtMostOnce}, webhook.EventType{Repeat: webhook.Tokened,
+	once, tokened := api.EventType{Repeat: api.AtMostOnce}, api.EventType{Repeat: api.Tokened,
 		TokenWindow: 10}
-	c := Carried{TTL: 100, MayRun: webhook.Never}
+	c := Carried{TTL: 100, MayRun: api.Never}
 	ran := c
 	ran.MayRun = 20
 	assert.Equal(t, Goes, c.Goes(once, 5, 3, 20))
@@ -145,7 +145,7 @@
 	assert.Equal(t, Dies, ran.Goes(tokened, 5, 3, 25), "its window is over by then")
 	ran.Attempts = 3
 	assert.Equal(t, Dies, ran.Goes(tokened, 5, 3, 21))
-	assert.Equal(t, Goes, Carried{TTL: 100, MayRun: 1}.Goes(webhook.EventType{}, 5, 3, 50))
+	assert.Equal(t, Goes, Carried{TTL: 100, MayRun: 1}.Goes(api.EventType{}, 5, 3, 50))
 }
 
 // Bytes by chance are refused, or are a map that covers each key once and stays so whatever comes then.
@@ -181,7 +181,7 @@
 
 // What members say to each other and keep: what can be read is the same when it is written and read again.
 func FuzzCarried(f *testing.F) {
-	for _, v := range []any{Carried{Name: named(0), TTL: 5, MayRun: webhook.Never, Whole: []byte("x")},
+	for _, v := range []any{Carried{Name: named(0), TTL: 5, MayRun: api.Never, Whole: []byte("x")},
 		Record{Name: named(1), Hand: 7, Here: true, Out: Offer{To: "b", Move: 3, Unsure: true}}} {
 		b, err := cbor.Marshal(v)
 		require.NoError(f, err)
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // MoveID is the log's index of the entry that planned the move. Like a map's version it only rises.
@@ -82,7 +82,7 @@
 	Strays  []Stray         `cbor:"6,keyasint,omitempty"` // sorted
 
 	holders Holders
-	placed  map[webhook.DestinationID]cluster.KeyHash // of the groups
+	placed  map[api.DestinationID]cluster.KeyHash // of the groups
 }
 
 // New is an empty map, as a keeper has it: the holders are of the same log. Members need none.
--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestEvenCoversEachKeyOnceAndGivesByWeight(t *testing.T) {
@@ -75,7 +75,7 @@
 	task, conduct := cluster.HomeOf(r.ID), Conductor(1)
 	member := cluster.MemberID(rune('a' + chance.IntN(3)))
 	if n := chance.IntN(12); n == 0 {
-		of := []webhook.DestinationID{1, 2, 3}[chance.IntN(3):]
+		of := []api.DestinationID{1, 2, 3}[chance.IntN(3):]
 		return conduct.Place([]Group{{r.From + (r.To-r.From)/3, of}}), false
 	} else if n == 1 && chance.IntN(4) == 0 {
 		return conduct.Sweep(), false
@@ -157,7 +157,7 @@
 				served += len(serves)
 				done[fmt.Sprint("step ", r.Move.Step)]++
 			}
-			for d := range webhook.DestinationID(3) {
+			for d := range api.DestinationID(3) {
 				serves := map[cluster.MemberID]bool{}
 				for _, by := range old {
 					for _, w := range who {
--- a/cluster/shardmap/member_test.go
+++ b/cluster/shardmap/member_test.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // What a member does, as cluster/member has to: each webhook under a lock of its own, one durable write at a
@@ -82,9 +82,9 @@
 		w.first[n] = int8(w.now)
 	}
 	switch again := w.effects[n] > 1; {
-	case again && w.repeat == webhook.AtMostOnce:
+	case again && w.repeat == api.AtMostOnce:
 		w.broken = "an at-most-once webhook was called twice"
-	case again && w.repeat == webhook.Tokened && webhook.Micros(w.now) >= webhook.Micros(w.first[n])+window:
+	case again && w.repeat == api.Tokened && api.Micros(w.now) >= api.Micros(w.first[n])+window:
 		w.broken = "a tokened webhook was called again after its window"
 	}
 	w.effects[n] = min(w.effects[n], 2)
@@ -115,7 +115,7 @@
 	}
 	var taking Taking
 	p.mem[m.w].in(m.w, func(k *Known, n Name) {
-		r.reply, taking = k.Offered(n, m.hand, ttl, webhook.Micros(w.now), admits)
+		r.reply, taking = k.Offered(n, m.hand, ttl, api.Micros(w.now), admits)
 	})
 	p.out.reply = r.reply
 	switch c := p.copies[m.w]; {
@@ -193,7 +193,7 @@
 		kept := false
 		p.mem[n].in(n, func(k *Known, name Name) {
 			kept = k.Sent(name, m.hand, ttl, Offer{who[m.to], uint64(m.life), 0, 1, cluster.Epoch(m.epoch),
-				webhook.Micros(m.sent), true})
+				api.Micros(m.sent), true})
 		})
 		p.entered[n], p.out = false, message{ran: -1}
 		if w.promised[n] = w.promised[n] || !kept; kept {
@@ -217,8 +217,8 @@
 		o, h, out = k.Out(name)
 		out = out && h == hand
 	})
-	if ran := webhook.Micros(p.copies[n].ran); s == Wait && out && of == ask {
-		s = o.Settle(r, w.ended(i, o), w.event(), ran, ttl, webhook.Micros(w.now))
+	if ran := api.Micros(p.copies[n].ran); s == Wait && out && of == ask {
+		s = o.Settle(r, w.ended(i, o), w.event(), ran, ttl, api.Micros(w.now))
 	}
 	p.out = message{ran: earliest(p.copies[n].ran, int8(o.SentAt))}
 	switch s {
--- a/cluster/shardmap/mutants_test.go
+++ b/cluster/shardmap/mutants_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // did is a move that a start has behind it.
@@ -49,12 +49,12 @@
 func TestSpoiltCustodyIsFoundOut(t *testing.T) {
 	const two, lost, out = "two members own a webhook", "a webhook is lost",
 		"a call is out at the source when the target is home"
-	const once, unknowing = webhook.AtMostOnce, "an owner does not know that it may have run"
+	const once, unknowing = api.AtMostOnce, "an owner does not know that it may have run"
 	moved := may{moves: 1, grants: 3, crashes: 1}
 	entered := may{clients: 1, alone: 1, crashes: 1}
 	for name, m := range map[string]struct {
 		wrong  wrong
-		repeat webhook.Repeat
+		repeat api.Repeat
 		left   may
 		start  []did
 		finds  string
@@ -68,7 +68,7 @@
 		"other life trusted":             {wrong{otherLife: true}, once, may{moves: 1, folders: 1}, sent, two},
 		"called while in doubt":          {wrong{callsInDoubt: true}, once, entered, handed, unknowing},
 		"switch before passing is over":  {wrong{early: true}, once, moved, calling, out},
-		"may-have-run lost on the way": {wrong{ranLost: true}, webhook.Tokened, may{moves: 1, unknowns: 1}, ran,
+		"may-have-run lost on the way": {wrong{ranLost: true}, api.Tokened, may{moves: 1, unknowns: 1}, ran,
 			unknowing},
 		"came kept late": {wrong{cameLate: true}, once, entered, handed, unknowing},
 	} {
--- a/cluster/shardmap/places.go
+++ b/cluster/shardmap/places.go
@@ -5,21 +5,21 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Group is of destinations that stand at one place among the ranges, whatever their own numbers say, so that
 // one member is home of them all.
 type Group struct {
-	At cluster.KeyHash         `cbor:"1,keyasint"`
-	Of []webhook.DestinationID `cbor:"2,keyasint"` // sorted
+	At cluster.KeyHash     `cbor:"1,keyasint"`
+	Of []api.DestinationID `cbor:"2,keyasint"` // sorted
 }
 
 // Stray is a destination that came to stand in another range while the grant of the one before was held: by
 // that grant and a map from before Since it may be served there yet, and so nowhere else.
 type Stray struct {
-	Dest  webhook.DestinationID `cbor:"1,keyasint"`
-	Under Under                 `cbor:"2,keyasint"`
+	Dest  api.DestinationID `cbor:"1,keyasint"`
+	Under Under             `cbor:"2,keyasint"`
 }
 
 func (s Stray) compare(o Stray) int {
@@ -31,8 +31,8 @@
 const mostPlaced = 1 << 17
 
 // index is where destinations stand that are in a group.
-func index(groups []Group) map[webhook.DestinationID]cluster.KeyHash {
-	at := map[webhook.DestinationID]cluster.KeyHash{}
+func index(groups []Group) map[api.DestinationID]cluster.KeyHash {
+	at := map[api.DestinationID]cluster.KeyHash{}
 	for _, g := range groups {
 		for _, d := range g.Of {
 			at[d] = g.At
@@ -51,7 +51,7 @@
 }
 
 // Key is where a destination stands among the ranges.
-func (m *Map) Key(d webhook.DestinationID) cluster.KeyHash {
+func (m *Map) Key(d api.DestinationID) cluster.KeyHash {
 	if at, is := m.placed[d]; is {
 		return at
 	}
@@ -59,7 +59,7 @@
 }
 
 // Holds is whether a destination stands in a range of this map.
-func (m *Map) Holds(r Range, d webhook.DestinationID) bool {
+func (m *Map) Holds(r Range, d api.DestinationID) bool {
 	k := m.Key(d)
 	return r.From <= k && k <= r.To
 }
@@ -76,7 +76,7 @@
 	was := *m
 	m.Place(groups)
 	m.Strays = slices.Clone(m.Strays)
-	for _, of := range []map[webhook.DestinationID]cluster.KeyHash{was.placed, m.placed} {
+	for _, of := range []map[api.DestinationID]cluster.KeyHash{was.placed, m.placed} {
 		for d := range of {
 			from, known := was.Of(was.Key(d))
 			if to, _ := m.Of(m.Key(d)); !known || to.ID == from.ID {
@@ -115,8 +115,8 @@
 }
 
 // StraysOf are those of a destination.
-func (m *Map) StraysOf(d webhook.DestinationID) []Stray {
-	first, _ := slices.BinarySearchFunc(m.Strays, d, func(s Stray, d webhook.DestinationID) int {
+func (m *Map) StraysOf(d api.DestinationID) []Stray {
+	first, _ := slices.BinarySearchFunc(m.Strays, d, func(s Stray, d api.DestinationID) int {
 		return cmp.Compare(s.Dest, d)
 	})
 	last := first
@@ -128,12 +128,12 @@
 
 // left is whether a destination is still served under a range's grant, or was when it came to stand
 // elsewhere: calls of it count among the range's.
-func (m *Map) left(r Range, d webhook.DestinationID) bool {
+func (m *Map) left(r Range, d api.DestinationID) bool {
 	return slices.ContainsFunc(m.StraysOf(d), func(s Stray) bool { return s.Under.Range == r.ID })
 }
 
 // Counts is whether calls of a destination are a range's: as long as one is out its grant is not let go.
-func (m *Map) Counts(r Range, d webhook.DestinationID) bool { return m.Holds(r, d) || m.left(r, d) }
+func (m *Map) Counts(r Range, d api.DestinationID) bool { return m.Holds(r, d) || m.left(r, d) }
 
 // Own is whether it is by a member's own grant that a destination may be served elsewhere.
 func (s Stray) Own(who Tenant) bool {
@@ -143,8 +143,8 @@
 
 // StrayedFrom lists a member's own grants under which destinations were served that stand elsewhere now, and
 // which those are.
-func (m *Map) StrayedFrom(who Tenant) map[Under][]webhook.DestinationID {
-	of := map[Under][]webhook.DestinationID{}
+func (m *Map) StrayedFrom(who Tenant) map[Under][]api.DestinationID {
+	of := map[Under][]api.DestinationID{}
 	for _, s := range m.Strays {
 		if by := (Under{Range: s.Under.Range, Epoch: s.Under.Epoch}); s.Own(who) {
 			of[by] = append(of[by], s.Dest)
@@ -155,7 +155,7 @@
 
 // VerdictOf is what a member does with a destination's webhooks, now: MayServe, but for one that may be
 // served by another's grant yet.
-func (m *Map) VerdictOf(who Tenant, d webhook.DestinationID) Verdict {
+func (m *Map) VerdictOf(who Tenant, d api.DestinationID) Verdict {
 	v := m.MayServe(who, m.Key(d))
 	if v.Do == Serve && slices.ContainsFunc(m.StraysOf(d), func(s Stray) bool { return !s.Own(who) }) {
 		v.Do = Hold
@@ -164,7 +164,7 @@
 }
 
 // AdmitOf is what a member says to a webhook of a destination, forwarded by a version of the map.
-func (m *Map) AdmitOf(who Tenant, d webhook.DestinationID, by cluster.Version) (Admission, Verdict) {
+func (m *Map) AdmitOf(who Tenant, d api.DestinationID, by cluster.Version) (Admission, Verdict) {
 	admission, v := m.Admit(who, m.Key(d), by)
 	if admission == Take {
 		v = m.VerdictOf(who, d)
--- a/cluster/shardmap/record.go
+++ b/cluster/shardmap/record.go
@@ -2,18 +2,18 @@
 
 import (
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Record is one name's entry, as it is journalled before what it decides is told.
 type Record struct {
-	Name  Name           `cbor:"1,keyasint"`
-	Hand  Hand           `cbor:"2,keyasint,omitempty"` // the highest by which it was taken or offered here
-	Not   Hand           `cbor:"3,keyasint,omitempty"` // no hand up to this one is taken any more
-	Here  bool           `cbor:"4,keyasint,omitempty"` // it has not gone on: held, in doubt, or ended here
-	TTL   webhook.Micros `cbor:"5,keyasint"`
-	Out   Offer          `cbor:"6,keyasint"`           // To is empty: it is with nobody else
-	Comes bool           `cbor:"7,keyasint,omitempty"` // not yet in the journal of webhooks, or not surely
+	Name  Name       `cbor:"1,keyasint"`
+	Hand  Hand       `cbor:"2,keyasint,omitempty"` // the highest by which it was taken or offered here
+	Not   Hand       `cbor:"3,keyasint,omitempty"` // no hand up to this one is taken any more
+	Here  bool       `cbor:"4,keyasint,omitempty"` // it has not gone on: held, in doubt, or ended here
+	TTL   api.Micros `cbor:"5,keyasint"`
+	Out   Offer      `cbor:"6,keyasint"`           // To is empty: it is with nobody else
+	Comes bool       `cbor:"7,keyasint,omitempty"` // not yet in the journal of webhooks, or not surely
 }
 
 // Offer is a webhook on its way to another member that may have it by now.
@@ -23,7 +23,7 @@
 	Move   MoveID           `cbor:"3,keyasint,omitempty"` // by which it goes over; 0: that member is its home
 	Range  cluster.RangeID  `cbor:"4,keyasint,omitempty"`
 	Epoch  cluster.Epoch    `cbor:"5,keyasint,omitempty"` // by which the range was homed then
-	SentAt webhook.Micros   `cbor:"6,keyasint,omitempty"` // just before
+	SentAt api.Micros       `cbor:"6,keyasint,omitempty"` // just before
 	Unsure bool             `cbor:"7,keyasint,omitempty"` // a try had no answer, or this process did not see it
 }
 
@@ -51,7 +51,7 @@
 }
 
 // Expire forgets names whose time is up by more than slack: by so much clocks differ and messages are late.
-func (k *Known) Expire(now, slack webhook.Micros) {
+func (k *Known) Expire(now, slack api.Micros) {
 	for n, ok := k.dues.Take(int64(now - slack)); ok; n, ok = k.dues.Take(int64(now - slack)) {
 		delete(k.names, n)
 	}
--- a/cluster/shardmap/search_test.go
+++ b/cluster/shardmap/search_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func fleetEpoch(e uint8) cluster.Epoch { return cluster.Epoch(e) }
@@ -131,11 +131,11 @@
 // again only where its event type allows that; it is lost only with its owner's folder; once faults stop, it
 // ends.
 func TestEachWebhookHasOneOwnerInAnyStateWithinReach(t *testing.T) {
-	const once, tokened, idempotent = webhook.AtMostOnce, webhook.Tokened, webhook.Idempotent
+	const once, tokened, idempotent = api.AtMostOnce, api.Tokened, api.Idempotent
 	for _, s := range []struct {
 		name              string
 		members, webhooks int8
-		repeat            webhook.Repeat
+		repeat            api.Repeat
 		left              may
 		start             []did
 		depth             int
@@ -171,7 +171,7 @@
 // twoBranches is a world after both members ended a doubt without knowing who has the webhook, at which each
 // takes the other for its home.
 func twoBranches(spoilt wrong) *world {
-	w := newWorld(2, 1, webhook.Idempotent, may{grants: 3, losts: 1, crashes: 1}, spoilt)
+	w := newWorld(2, 1, api.Idempotent, may{grants: 3, losts: 1, crashes: 1}, spoilt)
 	w.held, w.at[0].epoch = false, 0
 	w.propose(Conductor(1).Lost([]Takeover{{1, who[0], who[1]}}))
 	w.at[0].chart = w.chart
--- a/cluster/shardmap/vacancies.go
+++ b/cluster/shardmap/vacancies.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // startsBy is for how many terms a home that has never served is waited for: a fleet starts one by one.
@@ -18,13 +18,13 @@
 
 // Vacancies is what the conductor sees of ranges whose home holds their task no more.
 type Vacancies struct {
-	term  webhook.Micros
-	since map[cluster.RangeID]webhook.Micros
+	term  api.Micros
+	since map[cluster.RangeID]api.Micros
 }
 
 // NewVacancies sees none yet; term is that of a session.
-func NewVacancies(term webhook.Micros) *Vacancies {
-	return &Vacancies{term: term, since: map[cluster.RangeID]webhook.Micros{}}
+func NewVacancies(term api.Micros) *Vacancies {
+	return &Vacancies{term: term, since: map[cluster.RangeID]api.Micros{}}
 }
 
 // Forget is for one that conducts no more.
@@ -33,7 +33,7 @@
 // Takes are the ranges to be given to other members now: those whose home has no session. One that served has
 // had its whole term; one that is only named is waited for. They go to those with the least for their weight.
 func (v *Vacancies) Takes(m *Map, by Holders, alive map[cluster.MemberID]bool, members []Able,
-	now webhook.Micros) (takes []Takeover) {
+	now api.Micros) (takes []Takeover) {
 	has := map[cluster.MemberID]int{}
 	for _, r := range m.Ranges {
 		if !r.Piece { // a piece takes no room
--- a/cluster/shardmap/vacancies_test.go
+++ b/cluster/shardmap/vacancies_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestHomesAreLostOnlyToLiveMembersWithRoom(t *testing.T) {
-	const term = webhook.Micros(1000)
+	const term = api.Micros(1000)
 	rapid.Check(t, func(t *rapid.T) {
 		n, members, alive := rapid.IntRange(1, 12).Draw(t, "ranges"), []Able{}, map[cluster.MemberID]bool{}
 		roomy := false
@@ -64,10 +64,10 @@
 	})
 }
 
-const day webhook.Micros = 86_400_000_000
+const day api.Micros = 86_400_000_000
 
-func micros(t *rapid.T, name string) webhook.Micros {
-	return webhook.Micros(rapid.Int64Range(1, int64(day)).Draw(t, name))
+func micros(t *rapid.T, name string) api.Micros {
+	return api.Micros(rapid.Int64Range(1, int64(day)).Draw(t, name))
 }
 
 type nobody struct{}
--- a/cluster/shardmap/verdicts_test.go
+++ b/cluster/shardmap/verdicts_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // moving is a map whose only range is on its way from a to b; its move has the id 3.
@@ -103,16 +103,16 @@
 }
 
 func TestADoubtIsSettledAsItsEventTypeAllows(t *testing.T) {
-	const window, last = webhook.Micros(50), webhook.Micros(200)
-	once, idem := webhook.EventType{Repeat: webhook.AtMostOnce}, webhook.EventType{Repeat: webhook.Idempotent}
-	token := webhook.EventType{Repeat: webhook.Tokened, TokenWindow: window}
+	const window, last = api.Micros(50), api.Micros(200)
+	once, idem := api.EventType{Repeat: api.AtMostOnce}, api.EventType{Repeat: api.Idempotent}
+	token := api.EventType{Repeat: api.Tokened, TokenWindow: window}
 	zoned := token
 	zoned.TokenByZone = true
 	for name, s := range map[string]struct {
-		t     webhook.EventType
+		t     api.EventType
 		reply Reply
 		ended bool
-		now   webhook.Micros
+		now   api.Micros
 		want  Settled
 	}{
 		"it has it":               {once, Has, false, 300, Drop},
@@ -131,7 +131,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := Offer{To: "b", SentAt: 100}
-			assert.Equal(t, s.want, o.Settle(s.reply, s.ended, s.t, webhook.Never, last, s.now))
+			assert.Equal(t, s.want, o.Settle(s.reply, s.ended, s.t, api.Never, last, s.now))
 		})
 	}
 	ran := Offer{SentAt: 100}.Settle(Forgot, false, token, 60, last, 110)
--- a/cluster/shardmap/world_test.go
+++ b/cluster/shardmap/world_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The world that the search explores: members with what they know of webhooks and what their journals have,
@@ -14,7 +14,7 @@
 const (
 	mostMembers, mostWebhooks, mostMessages, mostActs = 3, 2, 4, 5
 
-	window, ttl webhook.Micros = 1, 2 // a token's, and the webhook's: time goes 0, 1, 2
+	window, ttl api.Micros = 1, 2 // a token's, and the webhook's: time goes 0, 1, 2
 )
 
 var who = [mostMembers]cluster.MemberID{"a", "b", "c"}
@@ -43,7 +43,7 @@
 	r := Record{Name: n, Hand: e.hand, Not: e.not, Here: e.here, Comes: e.comes, TTL: ttl}
 	if e.to > 0 {
 		r.Out = Offer{who[e.to-1], uint64(e.life), MoveID(e.move), 1, cluster.Epoch(e.epoch),
-			webhook.Micros(e.sent), e.unsure}
+			api.Micros(e.sent), e.unsure}
 	}
 	return r
 }
@@ -148,7 +148,7 @@
 type world struct {
 	maps              *charts
 	members, webhooks int8
-	repeat            webhook.Repeat
+	repeat            api.Repeat
 	wrong             wrong
 	left              may
 	now               uint8
@@ -164,8 +164,8 @@
 	broken            string
 }
 
-func (w *world) event() webhook.EventType {
-	return webhook.EventType{Repeat: w.repeat, TTL: ttl, TokenWindow: window}
+func (w *world) event() api.EventType {
+	return api.EventType{Repeat: w.repeat, TTL: ttl, TokenWindow: window}
 }
 
 // Holder is the lease as the log has it, for the one task.
@@ -205,7 +205,7 @@
 func (w *world) seen(i int8) *Map { return w.maps.all[w.at[i].chart] }
 
 // newWorld has a seated home at a; a webhook is its own, or is yet to come in anywhere.
-func newWorld(members, webhooks int8, r webhook.Repeat, left may, spoilt wrong) *world {
+func newWorld(members, webhooks int8, r api.Repeat, left may, spoilt wrong) *world {
 	w := &world{maps: &charts{ids: map[string]uint16{}}, members: members, webhooks: webhooks, repeat: r,
 		left:  left,
 		wrong: spoilt, held: true, epoch: 1}
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -78,8 +78,8 @@
 func (a *atOnce) Room() int              { return 2 * benchEach }
 func (a *atOnce) Told([]stream.Delivery) {}
 
-func (a *atOnce) Learned([]webhook.DestinationID) []webhook.Learned { return nil }
-func (a *atOnce) Taught([]webhook.Learned)                          {}
+func (a *atOnce) Learned([]api.DestinationID) []api.Learned { return nil }
+func (a *atOnce) Taught([]api.Learned)                      {}
 
 func listen(c *counts) net.Listener {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +105,7 @@
 		said := transport.New(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
 		shelf.relay = relay.NewRelay(stream.NewReceiver(stream.Mark{Life: 9}, nil, nil), shelf, from{said, c},
-			relay.PaceOf(3*webhook.Second), inflight.Now)
+			relay.PaceOf(3*api.Second), inflight.Now)
 		on, s := listen(c), transport.Hears(8, 5*time.Second)
 		s.Handle(relay.OpenPath, shelf.relay.Open)
 		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.relay.Frame(ctx) })
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
@@ -36,9 +36,9 @@
 
 type open struct{ s *Sites }
 
-func (o open) Calls(d webhook.DestinationID, _ bool) bool { may, _ := o.s.Calls(d); return may }
-func (open) Doubts(inflight.RequestID) bool               { return false }
-func (o open) Part(webhook.DestinationID) float64         { return 1 }
+func (o open) Calls(d api.DestinationID, _ bool) bool { may, _ := o.s.Calls(d); return may }
+func (open) Doubts(inflight.RequestID) bool           { return false }
+func (o open) Part(api.DestinationID) float64         { return 1 }
 
 // BenchmarkAnnouncement is one for 10,000 subscribers at 40 sites, at the member that owns them all: from
 // when it is handed in until each has its end in the journal. calls and bytes go over its connections,
@@ -64,12 +64,12 @@
 	n, err := out.Read(line)
 	require.NoError(b, err)
 	addrs := strings.Fields(string(line[:n]))
-	f := config.File{Term: 3 * webhook.Second, Apart: 0.05}
-	says, all := map[cluster.MemberID]string{}, []webhook.DestinationID{}
+	f := config.File{Term: 3 * api.Second, Apart: 0.05}
+	says, all := map[cluster.MemberID]string{}, []api.DestinationID{}
 	for s := range benchSites {
 		site := config.Site{ID: cluster.SiteID(fmt.Sprint(s)), Relay: cluster.MemberID(fmt.Sprint("r", s))}
 		for n := range benchEach {
-			site.Subscribers = append(site.Subscribers, webhook.DestinationID(s*benchEach+n+1))
+			site.Subscribers = append(site.Subscribers, api.DestinationID(s*benchEach+n+1))
 		}
 		says[site.Relay], all = addrs[s+1], append(all, site.Subscribers...)
 		if by {
@@ -81,28 +81,28 @@
 	require.NoError(b, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	evt := webhook.EventType{Target: 5 * webhook.Second, TTL: 600 * webhook.Second}
-	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
-		ConnectTimeout: webhook.Second, EventTypes: []webhook.EventType{evt}, Kinds: []webhook.Kind{{Batch: 1}}})
+	evt := api.EventType{Target: 5 * api.Second, TTL: 600 * api.Second}
+	d := eventloop.New(x, life, kept, api.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
+		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, Kinds: []api.Kind{{Batch: 1}}})
 	said := transport.New("m", says)
 	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
-		Event:  func(webhook.EventTypeID) webhook.EventType { return evt },
-		Serves: func(webhook.DestinationID) bool { return true }, Home: func(cluster.SiteID) bool { return true },
+		Event:  func(api.EventTypeID) api.EventType { return evt },
+		Serves: func(api.DestinationID) bool { return true }, Home: func(cluster.SiteID) bool { return true },
 		Alone: func(cluster.SiteID) bool { return false }, Buffer: func() int { return 2 * len(all) }}, f)
 	sites.Begin()
 	d.Join(open{sites})
 	server := transport.Hears(256, 5*time.Second)
 	sites.Hear(server)
 	go server.Serve(hear)
-	calls := upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 400)
+	calls := upstream.New(&x.Counters, d.Came, api.Second, api.Second, 400)
 	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
+		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
 	go d.Run()
 	require.NoError(b, sites.Serve(holder{}))
-	var list []webhook.Entry
+	var list []api.Entry
 	var to []string
 	for _, dest := range all {
-		list = append(list, webhook.Entry{Endpoint: webhook.EndpointID(dest), Destination: dest, Rate: 50})
+		list = append(list, api.Entry{Endpoint: api.EndpointID(dest), Destination: dest, Rate: 50})
 		to = append(to, addrs[0])
 	}
 	d.Listed(list, to, true)
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -6,7 +6,7 @@
 
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -17,7 +17,7 @@
 
 // Sending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
 // made anew without it.
-func (l *lane) Sending(items []stream.Item, life uint64, at webhook.Micros) error {
+func (l *lane) Sending(items []stream.Item, life uint64, at api.Micros) error {
 	given := map[inflight.RequestID]int{}
 	var all, before []mark
 	var fresh []inflight.RequestID
@@ -31,7 +31,7 @@
 				fresh = append(fresh, id)
 			}
 			all = append(all, mark{Site: l.site.ID, Relay: l.site.Relay, ID: id, Life: life, At: at, Epoch: l.epoch,
-				Ran: i.MayRun != webhook.Never})
+				Ran: i.MayRun != api.Never})
 		}
 	}
 	if err := l.of.marks.put(all); err != nil { // first: a mark too many is settled by the relay's word
@@ -120,7 +120,7 @@
 		for i, s := range of {
 			courses[i] = rule(s)
 			// Guards against a call here beside the relay's own, which may just have begun: it has a while.
-			if courses[i] == stream.Goes && inflight.Now() < s.At+webhook.Micros(l.of.pace.Gone.Microseconds()) {
+			if courses[i] == stream.Goes && inflight.Now() < s.At+api.Micros(l.of.pace.Gone.Microseconds()) {
 				courses[i] = stream.Waits
 			}
 		}
@@ -228,16 +228,16 @@
 
 // Learned is what this dispatcher learned of the site's subscribers as it called for them itself: a wait
 // that it was told holds at the relay, too.
-func (l *lane) Learned() []webhook.Learned {
+func (l *lane) Learned() []api.Learned {
 	if !l.direct.Load() {
 		return nil
 	}
-	all, _ := l.of.decider.Learned(func(d webhook.DestinationID) bool { return l.of.lane(d) == l })
+	all, _ := l.of.decider.Learned(func(d api.DestinationID) bool { return l.of.lane(d) == l })
 	return all
 }
 
 // Taught is for the time when the relay is gone.
-func (l *lane) Taught(all []webhook.Learned) {
+func (l *lane) Taught(all []api.Learned) {
 	if !l.direct.Load() { // else what is known here is newer
 		l.of.decider.Teach(all)
 	}
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/wal"
@@ -29,8 +29,8 @@
 	Request  inflight.RequestID `cbor:"3,keyasint,omitempty"`
 	Whole    []byte             `cbor:"4,keyasint,omitempty"` // as exchange.Webhook.Bytes
 	Attempts int                `cbor:"5,keyasint,omitempty"`
-	MayRun   webhook.Micros     `cbor:"6,keyasint,omitempty"`
-	Zone     webhook.ZoneID     `cbor:"7,keyasint,omitempty"`
+	MayRun   api.Micros         `cbor:"6,keyasint,omitempty"`
+	Zone     api.ZoneID         `cbor:"7,keyasint,omitempty"`
 	End      *stream.End        `cbor:"8,keyasint,omitempty"`
 }
 
@@ -41,11 +41,11 @@
 
 	mu     sync.Mutex
 	kept   *wal.Journal
-	last   webhook.WebhookID
-	marked webhook.WebhookID // the mark's record
-	of     map[stream.Delivery]webhook.WebhookID
+	last   api.WebhookID
+	marked api.WebhookID // the mark's record
+	of     map[stream.Delivery]api.WebhookID
 	ids    map[inflight.RequestID]*record // of those that have no end yet
-	tos    map[webhook.DestinationID]int  // how many of them, by destination
+	tos    map[api.DestinationID]int      // how many of them, by destination
 	fresh  []*record                      // to be handed in
 	over   []over
 	bell   chan struct{}
@@ -70,8 +70,8 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]webhook.WebhookID{},
-		ids: map[inflight.RequestID]*record{}, tos: map[webhook.DestinationID]int{},
+	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]api.WebhookID{},
+		ids: map[inflight.RequestID]*record{}, tos: map[api.DestinationID]int{},
 		bell: make(chan struct{}, 1), ended: make(chan struct{})}
 	var m stream.Mark
 	last, all := map[stream.Delivery]*record{}, []stream.Delivery{}
@@ -187,7 +187,7 @@
 	k.kept.End(k.marked, nil)
 	k.marked = began + 1
 	for n, r := range all[1:] {
-		k.of[r.Delivery] = began + 2 + webhook.WebhookID(n)
+		k.of[r.Delivery] = began + 2 + api.WebhookID(n)
 		k.ids[r.Request] = r
 		k.tos[r.Delivery.To]++
 		k.fresh = append(k.fresh, r)
@@ -197,7 +197,7 @@
 }
 
 // holds tells whether something for a destination has no end yet.
-func (k *desk) holds(d webhook.DestinationID) bool {
+func (k *desk) holds(d api.DestinationID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.tos[d] > 0
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
@@ -29,19 +29,19 @@
 	life *lifecycle.Life
 }
 
-func relayIn(t *testing.T, dir string, ttl webhook.Micros) *bed {
+func relayIn(t *testing.T, dir string, ttl api.Micros) *bed {
 	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []webhook.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhook.AtMostOnce}}})
-	d.Begin(upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
+	d := eventloop.New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
+		EventTypes: []api.EventType{{Target: ttl / 9, TTL: ttl, Repeat: api.AtMostOnce}}})
+	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
+		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
-		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(webhook.Second))
+		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(api.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
 }
@@ -67,16 +67,16 @@
 	return all
 }
 
-func brought(ttl webhook.Micros) (stream.Mark, []stream.Item) {
+func brought(ttl api.Micros) (stream.Mark, []stream.Item) {
 	return stream.Mark{Life: 3, Run: stream.Run{Epoch: 1, No: 1}, Upto: 1, Taken: 2}, []stream.Item{{
-		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: webhook.Never,
-		TTL: inflight.Now() + ttl, Body: []byte("b"), To: []webhook.DestinationID{4, 5}}}
+		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: api.Never,
+		TTL: inflight.Now() + ttl, Body: []byte("b"), To: []api.DestinationID{4, 5}}}
 }
 
 // Guards against a second effect: a record whose end is written outlasts that write, as it is taken out
 // with the next one only.
 func TestAnEndWrittenJustBeforeAKillIsNotHandedInAgain(t *testing.T) {
-	dir, ttl := t.TempDir(), webhook.Second/4
+	dir, ttl := t.TempDir(), api.Second/4
 	b := relayIn(t, dir, ttl)
 	require.NoError(t, b.Keep(brought(ttl)))
 	require.Eventually(t, func() bool { return len(b.owed()) == 2 }, 10*time.Second, time.Millisecond)
@@ -91,7 +91,7 @@
 }
 
 func TestWhatAFrameBroughtOutlastsTheProcessWhetherItWasHandedInOrNot(t *testing.T) {
-	dir, ttl := t.TempDir(), 90*webhook.Second
+	dir, ttl := t.TempDir(), 90*api.Second
 	b := relayIn(t, dir, ttl)
 	close(b.desk.ended) // nothing is handed in any more
 	time.Sleep(20 * time.Millisecond)
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -5,7 +5,7 @@
 
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/stream"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -45,12 +45,12 @@
 	of, _, many := w.RequestID.Subscriber()
 	i := &stream.Item{Name: l.nameOf(string(of)), Request: string(of), Many: many, Event: w.Event,
 		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, MayRun: w.MayRun,
-		Zone: w.Zone, Body: w.Body, To: []webhook.DestinationID{w.Destination}}
+		Zone: w.Zone, Body: w.Body, To: []api.DestinationID{w.Destination}}
 	t := l.of.event(w.Event)
 	if t.Ordered {
 		i.Key = w.Key
 	}
-	if t.Repeat == webhook.Tokened {
+	if t.Repeat == api.Tokened {
 		i.Window = t.TokenWindow
 	}
 	return i
@@ -80,15 +80,15 @@
 // feed hands the stream what is owed and not in it yet: subscribers of one announcement together.
 func (l *lane) feed(s *relay.Stream, all []eventloop.Owed) {
 	type turn struct {
-		to  webhook.DestinationID
-		key webhook.Key
+		to  api.DestinationID
+		key api.Key
 	}
 	type alike struct {
 		name     stream.Name
-		ttl      webhook.Micros
+		ttl      api.Micros
 		attempts int
-		mayRun   webhook.Micros
-		zone     webhook.ZoneID
+		mayRun   api.Micros
+		zone     api.ZoneID
 	}
 	stays, with := map[turn]bool{}, map[alike]*stream.Item{}
 	var items []*stream.Item
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -6,18 +6,18 @@
 	"time"
 
 	"rowanlink/cluster/stream"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // over is an end as the decider told it.
 type over struct {
-	id webhook.WebhookID // in the decider's journal; 0: it was never there
+	id api.WebhookID // in the decider's journal; 0: it was never there
 	inflight.End
 }
 
 // ends is called in the decider's turn, once its journal has the end.
-func (k *desk) ends(id webhook.WebhookID, e inflight.End) {
+func (k *desk) ends(id api.WebhookID, e inflight.End) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.over = append(k.over, over{id, e})
@@ -56,12 +56,12 @@
 			continue
 		}
 		w.CameAt, w.Ends = inflight.Now(), k.ends
-		if r.Attempts > 0 || r.MayRun != webhook.Never {
+		if r.Attempts > 0 || r.MayRun != api.Never {
 			w.Past = &inflight.Past{Attempts: r.Attempts, MayRun: r.MayRun, Zone: r.Zone}
 		}
 		ws, of = append(ws, w), append(of, r)
 	}
-	k.x.HandInAll(ws, func(i int, what inflight.Answer, retryIn webhook.Micros) {
+	k.x.HandInAll(ws, func(i int, what inflight.Answer, retryIn api.Micros) {
 		switch {
 		case what == inflight.Rejected && !k.takes(): // told to end: it is handed in by the next life
 		case what == inflight.Rejected:
@@ -80,7 +80,7 @@
 		return
 	}
 	var records []*record
-	var heard []webhook.WebhookID
+	var heard []api.WebhookID
 	k.mu.Lock()
 	for _, e := range all {
 		if r := k.ids[e.RequestID]; r != nil {
@@ -103,7 +103,7 @@
 		if was, known := k.of[r.Delivery]; known {
 			k.kept.End(was, nil)
 		}
-		k.of[r.Delivery] = began + 1 + webhook.WebhookID(n)
+		k.of[r.Delivery] = began + 1 + api.WebhookID(n)
 	}
 	for _, e := range all {
 		if r := k.ids[e.RequestID]; r != nil {
@@ -122,8 +122,8 @@
 
 // Learned is what the relay's module knows of destinations, and of all others for which something is held: a
 // wait that one tells brings no end.
-func (k *desk) Learned(of []webhook.DestinationID) []webhook.Learned {
-	want := map[webhook.DestinationID]bool{}
+func (k *desk) Learned(of []api.DestinationID) []api.Learned {
+	want := map[api.DestinationID]bool{}
 	for _, d := range of {
 		want[d] = true
 	}
@@ -132,15 +132,15 @@
 		want[d] = true
 	}
 	k.mu.Unlock()
-	all, _ := k.decider.Learned(func(d webhook.DestinationID) bool { return want[d] })
+	all, _ := k.decider.Learned(func(d api.DestinationID) bool { return want[d] })
 	return all
 }
 
 // Taught takes over what the owner knows, but of destinations that are called for here now: what is known of
 // those here is newer, and the module was not made to be told of an outage that it has webhooks for.
-func (k *desk) Taught(all []webhook.Learned) {
+func (k *desk) Taught(all []api.Learned) {
 	k.mu.Lock()
-	all = slices.DeleteFunc(all, func(l webhook.Learned) bool { return k.tos[l.Destination] > 0 })
+	all = slices.DeleteFunc(all, func(l api.Learned) bool { return k.tos[l.Destination] > 0 })
 	k.mu.Unlock()
 	k.decider.Teach(all)
 }
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	streampkg "rowanlink/cluster/stream"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -55,7 +55,7 @@
 		ID: xxhash.Sum64String("name " + request)}
 }
 
-func (l *lane) delivery(id inflight.RequestID, to webhook.DestinationID) streampkg.Delivery {
+func (l *lane) delivery(id inflight.RequestID, to api.DestinationID) streampkg.Delivery {
 	of, _, _ := id.Subscriber()
 	return streampkg.Delivery{Name: l.nameOf(string(of)), To: to}
 }
@@ -155,7 +155,7 @@
 	for _, m := range sent {
 		of[m.ID] = m
 	}
-	n, left := 0, map[webhook.DestinationID]bool{}
+	n, left := 0, map[api.DestinationID]bool{}
 	for _, w := range all {
 		m, was := of[w.RequestID]
 		if !was || !w.InDoubt {
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/stream"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
@@ -21,7 +21,7 @@
 // shut is a member that may call for nothing: all is parked.
 type shut struct{ open }
 
-func (shut) Calls(webhook.DestinationID, bool) bool { return false }
+func (shut) Calls(api.DestinationID, bool) bool { return false }
 
 // Guards against a webhook that may be at its relay and that nobody asks for any more: it goes out once more
 // in a frame that is not sent, as the frame has what has gone already.
@@ -30,21 +30,21 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, webhook.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []webhook.EventType{{Target: webhook.Second, TTL: 9 * webhook.Second}}})
+	d := eventloop.New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
+		EventTypes: []api.EventType{{Target: api.Second, TTL: 9 * api.Second}}})
 	d.Join(shut{})
-	d.Begin(upstream.New(&x.Counters, d.Came, webhook.Second, webhook.Second, 4),
+	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) })
+		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
-	item := func(id string) stream.Item { return stream.Item{Request: id, To: []webhook.DestinationID{7}} }
+	item := func(id string) stream.Item { return stream.Item{Request: id, To: []api.DestinationID{7}} }
 	for _, id := range []inflight.RequestID{"a", "b"} {
 		now := inflight.Now()
-		what, _ := x.HandInHere(&inflight.Webhook{RequestID: id, Destination: 7, TTL: now + 9*webhook.Second,
+		what, _ := x.HandInHere(&inflight.Webhook{RequestID: id, Destination: 7, TTL: now + 9*api.Second,
 			CameAt: now})
 		require.Equal(t, inflight.Taken, what)
 	}
@@ -52,7 +52,7 @@
 	require.ErrorIs(t, l.Sending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
 	m, marked := marks.get("a")
 	assert.True(t, marked)
-	assert.Equal(t, webhook.Micros(100), m.At)
+	assert.Equal(t, api.Micros(100), m.At)
 	_, marked = marks.get("b")
 	assert.False(t, marked)
 }
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/wal"
 )
@@ -19,7 +19,7 @@
 	Site  cluster.SiteID     `cbor:"1,keyasint"`
 	ID    inflight.RequestID `cbor:"2,keyasint"`
 	Life  uint64             `cbor:"3,keyasint"` // of the relay's folder
-	At    webhook.Micros     `cbor:"4,keyasint"` // when it was sent first
+	At    api.Micros         `cbor:"4,keyasint"` // when it was sent first
 	Epoch cluster.Epoch      `cbor:"5,keyasint"` // by which it was
 	Relay cluster.MemberID   `cbor:"7,keyasint"`
 	Ran   bool               `cbor:"6,keyasint"` // it may have run before, here or at another owner
@@ -31,8 +31,8 @@
 	mu   sync.Mutex
 	kept *wal.Journal
 	of   map[inflight.RequestID]mark
-	at   map[inflight.RequestID]webhook.WebhookID // the record of each
-	last webhook.WebhookID
+	at   map[inflight.RequestID]api.WebhookID // the record of each
+	last api.WebhookID
 }
 
 // openMarks reads what an earlier life noted.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &marks{kept: kept, of: map[inflight.RequestID]mark{}, at: map[inflight.RequestID]webhook.WebhookID{}}
+	m := &marks{kept: kept, of: map[inflight.RequestID]mark{}, at: map[inflight.RequestID]api.WebhookID{}}
 	for _, e := range kept.Entries() {
 		var one mark
 		if err := transport.Decode(e.Taken, &one); err != nil {
@@ -86,7 +86,7 @@
 		if was, known := m.at[one.ID]; known {
 			m.kept.End(was, nil)
 		}
-		m.of[one.ID], m.at[one.ID] = one, began+1+webhook.WebhookID(i)
+		m.of[one.ID], m.at[one.ID] = one, began+1+api.WebhookID(i)
 	}
 	return nil
 }
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -16,7 +16,7 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
@@ -41,11 +41,11 @@
 	Said     relay.Said
 	Takes    func() bool // webhooks, from whomever
 	Nudge    func()      // something is to be handed on; does not wait
-	Event    func(webhook.EventTypeID) webhook.EventType
-	Serves   func(webhook.DestinationID) bool // this member, and no other, is home of a destination
-	Home     func(cluster.SiteID) bool        // this member is home of where a site's subscribers stand
-	Alone    func(cluster.SiteID) bool        // nobody may be: whoever holds a webhook calls
-	Buffer   func() int                       // webhooks held at once
+	Event    func(api.EventTypeID) api.EventType
+	Serves   func(api.DestinationID) bool // this member, and no other, is home of a destination
+	Home     func(cluster.SiteID) bool    // this member is home of where a site's subscribers stand
+	Alone    func(cluster.SiteID) bool    // nobody may be: whoever holds a webhook calls
+	Buffer   func() int                   // webhooks held at once
 }
 
 // Sites are all sites as one member sees them.
@@ -59,14 +59,14 @@
 	decider *eventloop.Decider
 	said    relay.Said
 	session Session
-	event   func(webhook.EventTypeID) webhook.EventType
-	serves  func(webhook.DestinationID) bool
+	event   func(api.EventTypeID) api.EventType
+	serves  func(api.DestinationID) bool
 	home    func(cluster.SiteID) bool
 	alone   func(cluster.SiteID) bool
 	marks   *marks
 	desk    atomic.Pointer[desk]
 	plan    atomic.Pointer[ways]
-	next    func(*inflight.Webhook, func() (inflight.Answer, webhook.Micros)) (inflight.Answer, webhook.Micros)
+	next    func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
 
 	mu    sync.Mutex // one renewal at a time
 	ended chan struct{}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (s *Sites) lane(d webhook.DestinationID) *lane { return s.plan.Load().of[d] }
+func (s *Sites) lane(d api.DestinationID) *lane { return s.plan.Load().of[d] }
 
 // End leaves all as it is on disk.
 func (s *Sites) End() {
--- a/cluster/site/ways.go
+++ b/cluster/site/ways.go
@@ -7,22 +7,22 @@
 	"sync/atomic"
 
 	"rowanlink/cluster/config"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // ways is what the operator file says of sites and lists.
 type ways struct {
 	lanes  []*lane
-	of     map[webhook.DestinationID]*lane
-	lists  map[string][]webhook.DestinationID
-	relays map[webhook.DestinationID]bool // this member is their relay
+	of     map[api.DestinationID]*lane
+	lists  map[string][]api.DestinationID
+	relays map[api.DestinationID]bool // this member is their relay
 }
 
 // ways reads the file; what stays of a site goes on.
 func (s *Sites) ways(f config.File, was *ways) *ways {
-	now := &ways{of: map[webhook.DestinationID]*lane{}, lists: map[string][]webhook.DestinationID{},
-		relays: map[webhook.DestinationID]bool{}}
+	now := &ways{of: map[api.DestinationID]*lane{}, lists: map[string][]api.DestinationID{},
+		relays: map[api.DestinationID]bool{}}
 	for _, site := range f.Sites {
 		if len(site.Subscribers) == 0 {
 			continue
@@ -77,7 +77,7 @@
 
 // Calls tells whether a site's subscriber may be called from here as far as its stream goes; asRelay:
 // whatever its home is.
-func (s *Sites) Calls(d webhook.DestinationID) (may, asRelay bool) {
+func (s *Sites) Calls(d api.DestinationID) (may, asRelay bool) {
 	now, k := s.plan.Load(), s.desk.Load()
 	l := now.of[d]
 	switch {
@@ -92,7 +92,7 @@
 }
 
 // Part is the share of a destination's rate that this member has; home: by the map of ranges.
-func (s *Sites) Part(d webhook.DestinationID, home float64) float64 {
+func (s *Sites) Part(d api.DestinationID, home float64) float64 {
 	now, k := s.plan.Load(), s.desk.Load()
 	switch l := now.of[d]; {
 	case k != nil && (now.relays[d] || k.holds(d)):
@@ -108,7 +108,7 @@
 
 // away takes an announcement on: each subscriber's webhook has an end of its own from here on.
 func (s *Sites) away(w *inflight.Webhook, here func() (inflight.Answer,
-	webhook.Micros)) (what inflight.Answer, retryIn webhook.Micros) {
+	api.Micros)) (what inflight.Answer, retryIn api.Micros) {
 	if w.List == "" {
 		return s.next(w, here)
 	}
--- a/cluster/stream/answers.go
+++ b/cluster/stream/answers.go
@@ -1,10 +1,10 @@
 package stream
 
-import "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // Answered takes what the relay said of this run; older and doubled answers do no harm. False: its folder is
 // another than the one that was opened, and so the relay counts as gone.
-func (s *Sender) Answered(a Answer, now webhook.Micros) bool {
+func (s *Sender) Answered(a Answer, now api.Micros) bool {
 	if !s.opened || a.Run != s.run || a.Life != s.life {
 		return !s.opened || a.Run != s.run
 	}
@@ -86,12 +86,12 @@
 // lag is by how much the relay's clock shows more, at the least: an answer was said before it was heard. So
 // no time that goes over is later there than here, however long messages are on their way; it is early by no
 // more than the quickest answer took.
-func (s *Sender) lag(now webhook.Micros) webhook.Micros {
-	return s.lead - webhook.Micros(s.apart*float64(now-s.seen))
+func (s *Sender) lag(now api.Micros) api.Micros {
+	return s.lead - api.Micros(s.apart*float64(now-s.seen))
 }
 
-func (s *Sender) look(a Answer, now webhook.Micros) {
-	if s.seen == webhook.Never || a.At-now > s.lag(now) {
+func (s *Sender) look(a Answer, now api.Micros) {
+	if s.seen == api.Never || a.At-now > s.lag(now) {
 		s.lead, s.seen = a.At-now, now
 	}
 }
--- a/cluster/stream/bench_test.go
+++ b/cluster/stream/bench_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/klauspost/compress/s2"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // As members say things to each other: packed from so many bytes on, each with a head like this.
@@ -47,14 +47,14 @@
 // announcement is of a kilobyte, half of it digests, which can't be packed.
 func announcement(site int) Item {
 	i := Item{Name: Name{Owner: "m1", Life: 1, ID: 1}, Request: "announcement-1", Many: true,
-		MayRun: webhook.Never, TTL: webhook.Second}
+		MayRun: api.Never, TTL: api.Second}
 	for n := range uint32(16) {
 		sum := sha256.Sum256(binary.LittleEndian.AppendUint32(nil, n))
 		i.Body = append(i.Body, sum[:]...)
 		i.Body = append(i.Body, fmt.Sprintf(`,"article":%d,"currency":"EUR"`, n)...)
 	}
 	for n := range each {
-		i.To = append(i.To, webhook.DestinationID(site*each+n+1))
+		i.To = append(i.To, api.DestinationID(site*each+n+1))
 	}
 	return i
 }
@@ -102,8 +102,8 @@
 		b.Fatal(err)
 	}
 	s.Opened(ask, says(t, r.Answer(4*each, 0), false), false, 0)
-	s.Add(i, webhook.Second, 0)
-	for f, ok := s.Next(webhook.Second); ok; f, ok = s.Next(webhook.Second) {
+	s.Add(i, api.Second, 0)
+	for f, ok := s.Next(api.Second); ok; f, ok = s.Next(api.Second) {
 		if _, err := r.Take(says(t, f, true)); err != nil {
 			b.Fatal(err)
 		}
--- a/cluster/stream/form.go
+++ b/cluster/stream/form.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // mostIn bounds the deliveries of one frame as they are read: lists are small, what they unfold to is not.
@@ -49,8 +49,8 @@
 }
 
 // packList writes ascending subscribers as the steps between them: most take one byte.
-func packList(to []byte, subscribers []webhook.DestinationID) []byte {
-	was := webhook.DestinationID(0)
+func packList(to []byte, subscribers []api.DestinationID) []byte {
+	was := api.DestinationID(0)
 	for _, d := range subscribers {
 		to = binary.AppendUvarint(to, uint64(d-was))
 		was = d
@@ -60,7 +60,7 @@
 
 // unpackList reads what packList wrote. A list that is empty, names one twice or ends in the middle of one is
 // ErrForm.
-func unpackList(b []byte) (all []webhook.DestinationID, err error) {
+func unpackList(b []byte) (all []api.DestinationID, err error) {
 	was := uint64(0)
 	for i := 0; len(b) > 0; i++ {
 		step, n := binary.Uvarint(b)
@@ -68,7 +68,7 @@
 			return nil, fmt.Errorf("%w: list of subscribers", ErrForm)
 		}
 		was, b = was+step, b[n:]
-		all = append(all, webhook.DestinationID(was))
+		all = append(all, api.DestinationID(was))
 	}
 	if len(all) == 0 {
 		return nil, fmt.Errorf("%w: list without a subscriber", ErrForm)
@@ -79,7 +79,7 @@
 // Unpack lists a frame's items with their subscribers and tells how many deliveries they are. Those that have
 // the same body or list share it.
 func (f *Frame) Unpack() (items []Item, deliveries int, err error) {
-	lists := make([][]webhook.DestinationID, len(f.Lists))
+	lists := make([][]api.DestinationID, len(f.Lists))
 	for i, b := range f.Lists {
 		if lists[i], err = unpackList(b); err != nil {
 			return nil, 0, err
@@ -87,7 +87,7 @@
 	}
 	for _, p := range f.Items {
 		if p.Body < 0 || p.Body >= len(f.Bodies) || p.List < 0 || p.List >= len(lists) ||
-			p.Attempts < 0 || p.Name.Owner == "" || p.MayRun < webhook.Never {
+			p.Attempts < 0 || p.Name.Owner == "" || p.MayRun < api.Never {
 			return nil, 0, fmt.Errorf("%w: item of %q", ErrForm, p.Name.Owner)
 		}
 		if deliveries += len(lists[p.List]); deliveries > mostIn {
@@ -109,7 +109,7 @@
 
 type part struct {
 	what *entry
-	to   []webhook.DestinationID
+	to   []api.DestinationID
 }
 
 // takes tells whether one more still goes in; a frame has at least one, however large it is.
@@ -121,7 +121,7 @@
 	return p.deliveries == 0 || grown <= frameBytes && p.deliveries < frameMost
 }
 
-func (p *packing) add(e *entry, to webhook.DestinationID) {
+func (p *packing) add(e *entry, to api.DestinationID) {
 	i, in := p.of[e]
 	if !in {
 		i, p.of[e] = len(p.in), len(p.in)
@@ -134,7 +134,7 @@
 }
 
 // frame writes it: items in the order in which they were added, so that each subscriber's stay in theirs.
-func (p *packing) frame(run Run, seq Seq, now webhook.Micros) Frame {
+func (p *packing) frame(run Run, seq Seq, now api.Micros) Frame {
 	slices.SortFunc(p.in, func(a, b part) int { return int(int64(a.what.order) - int64(b.what.order)) })
 	f, bodies, lists := Frame{Run: run, Seq: seq}, map[string]int{}, map[string]int{}
 	for _, in := range p.in {
--- a/cluster/stream/form_test.go
+++ b/cluster/stream/form_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestAListOfSubscribersIsReadAsItWasWritten(t *testing.T) {
@@ -15,7 +15,7 @@
 		e := &entry{item: &Item{}}
 		p := packing{of: map[*entry]int{}}
 		for _, n := range numbers {
-			p.add(e, webhook.DestinationID(n))
+			p.add(e, api.DestinationID(n))
 		}
 		f := p.frame(Run{Epoch: 1, No: 1}, 1, 0)
 		f.Items[0].Name.Owner = "m"
@@ -33,7 +33,7 @@
 func FuzzFrame(f *testing.F) {
 	s := NewSender(1, 0)
 	s.Opened(s.Opening(), Answer{Life: 9, Run: Run{Epoch: 1, No: 1}, Limit: 9, Each: 9}, false, 0)
-	s.Add(Item{Name: Name{Owner: "m"}, To: []webhook.DestinationID{1, 300}, Body: []byte("b")}, 0, 0)
+	s.Add(Item{Name: Name{Owner: "m"}, To: []api.DestinationID{1, 300}, Body: []byte("b")}, 0, 0)
 	whole, _ := s.Next(0)
 	f.Add(Encode(whole))
 	for _, list := range []string{"", "\x80", "\x01\x00", "\xff\xff\xff\xff\x7f"} {
--- a/cluster/stream/gone.go
+++ b/cluster/stream/gone.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Resume takes what this owner's journal says was sent in an earlier life or epoch and has not ended, in the
 // order in which it was taken among what is added, before anything is opened. life: of the relay's folder.
-func (s *Sender) Resume(i Item, life uint64, sentAt webhook.Micros) {
+func (s *Sender) Resume(i Item, life uint64, sentAt api.Micros) {
 	e := s.entry(i, 0)
 	for _, to := range i.To {
 		s.hold(s.line(to), e, &sent{e, life, sentAt, false})
@@ -26,7 +26,7 @@
 }
 
 // Late takes out what is queued and past its time to live, in no order that matters: it never ran.
-func (s *Sender) Late(now webhook.Micros) (late []Delivery) {
+func (s *Sender) Late(now api.Micros) (late []Delivery) {
 	for _, l := range s.all {
 		l.queue = slices.DeleteFunc(l.queue, func(e *entry) bool {
 			if e.item.TTL <= now {
@@ -61,10 +61,10 @@
 }
 
 // Leaves tells that a subscriber is no longer reached by this relay. What is sent ends where it is.
-func (s *Sender) Leaves(to webhook.DestinationID) { s.line(to).leaves = true }
+func (s *Sender) Leaves(to api.DestinationID) { s.line(to).leaves = true }
 
 // Joins takes it back.
-func (s *Sender) Joins(to webhook.DestinationID) {
+func (s *Sender) Joins(to api.DestinationID) {
 	l := s.line(to)
 	l.leaves = false
 	s.wake(l)
@@ -132,7 +132,7 @@
 // where they were. lost: they were sent to a folder that is no more, so that nobody can tell: for Rule, and
 // out of the sender's hands. refused: a later epoch was seen; the same is told, and all else goes to its
 // holder.
-func (s *Sender) Opened(asked Ask, a Answer, refused bool, now webhook.Micros) (again []Delivery,
+func (s *Sender) Opened(asked Ask, a Answer, refused bool, now api.Micros) (again []Delivery,
 	lost []Sent) {
 	if s.opened || asked.Run != s.run || !refused && a.Run != s.run {
 		return nil, nil
@@ -162,7 +162,7 @@
 	for l, first := range back {
 		l.queue = append(first, l.queue...)
 	}
-	s.life, s.seen = a.Life, webhook.Never
+	s.life, s.seen = a.Life, api.Never
 	s.look(a, now)
 	if refused {
 		s.gone = true
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -7,27 +7,27 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The world of the model: one owner, who is the sender too, a relay, links that lose, double and delay, and
 // what either has on disk. What is unsure comes out of it by chance; what must hold is checked at every step.
 const (
 	room   = 6
-	skew   = 7 * webhook.Second // by so much the relay's clock shows more
-	ttl    = 40 * webhook.Second
-	window = 15 * webhook.Second
+	skew   = 7 * api.Second // by so much the relay's clock shows more
+	ttl    = 40 * api.Second
+	window = 15 * api.Second
 )
 
-var types = []webhook.EventType{{TTL: ttl}, {TTL: ttl, Repeat: webhook.Tokened, TokenWindow: window},
-	{TTL: ttl, Repeat: webhook.AtMostOnce}}
+var types = []api.EventType{{TTL: ttl}, {TTL: ttl, Repeat: api.Tokened, TokenWindow: window},
+	{TTL: ttl, Repeat: api.AtMostOnce}}
 
 // owned is a delivery in its owner's journal.
 type owned struct {
 	Item
 	no     int    // as taken on
 	life   uint64 // of the relay's folder that it was sent to; 0: never
-	sentAt webhook.Micros
+	sentAt api.Micros
 	beside bool
 	late   bool // dead-lettered here, after it may have run at the relay
 }
@@ -40,7 +40,7 @@
 
 type world struct {
 	*rapid.T
-	now   webhook.Micros
+	now   api.Micros
 	epoch cluster.Epoch
 	s     *Sender
 	open  map[Delivery]*owned
@@ -56,31 +56,31 @@
 
 	up, down []func()
 
-	ran   map[Delivery][]webhook.Micros
+	ran   map[Delivery][]api.Micros
 	trace map[keyed][]int // what ran, by order taken
 }
 
 func (o *owned) is() Delivery   { return Delivery{Name: o.Name, To: o.To[0]} }
 func (h *atRelay) is() Delivery { return Delivery{Name: h.Name, To: h.To[0]} }
 
-func single(i Item, to webhook.DestinationID) Item {
-	i.To = []webhook.DestinationID{to}
+func single(i Item, to api.DestinationID) Item {
+	i.To = []api.DestinationID{to}
 	return i
 }
 
 func (w *world) add() {
 	id := uint64(len(w.all))
 	kind := rapid.IntRange(0, 2).Draw(w.T, "type")
-	i := Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Event: webhook.EventTypeID(kind), TTL: w.now + ttl,
-		Key: webhook.Key(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: webhook.Never, Body: []byte("b"),
+	i := Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Event: api.EventTypeID(kind), TTL: w.now + ttl,
+		Key: api.Key(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: api.Never, Body: []byte("b"),
 		Many: true, Window: types[kind].TokenWindow}
-	i.To = [][]webhook.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
+	i.To = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
 	for _, to := range i.To {
 		o := &owned{Item: single(i, to), no: len(w.all)}
 		w.open[o.is()] = o
 		w.all = append(w.all, o)
 	}
-	w.s.Add(i, webhook.Second, w.now)
+	w.s.Add(i, api.Second, w.now)
 	w.free()
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-func (o *owned) Repeats() bool { return types[o.Event].Repeat == webhook.AtMostOnce }
+func (o *owned) Repeats() bool { return types[o.Event].Repeat == api.AtMostOnce }
 
 func (w *world) end(d Delivery, how How) {
 	if was, over := w.ends[d]; over {
@@ -182,7 +182,7 @@
 	w.mark = w.r.Mark()
 	for _, i := range fresh {
 		for _, to := range i.To {
-			w.held = append(w.held, &atRelay{single(i, to), i.MayRun != webhook.Never})
+			w.held = append(w.held, &atRelay{single(i, to), i.MayRun != api.Never})
 		}
 	}
 	if len(w.held) > room {
--- a/cluster/stream/owner.go
+++ b/cluster/stream/owner.go
@@ -1,7 +1,7 @@
 package stream
 
 import (
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Course is what an owner does with a delivery that the relay may have.
@@ -16,17 +16,17 @@
 // Rule is the course of what was sent and has no end. lost: the relay's folder is no more, so that it won't
 // run there any more, nor will anyone ever tell. last: when the last attempt can still be made. An ordered
 // one does not go while the relay may have it: it could run there once more after those behind it.
-func Rule(i *Item, sentAt webhook.Micros, t webhook.EventType, lost bool, last, now webhook.Micros) Course {
+func Rule(i *Item, sentAt api.Micros, t api.EventType, lost bool, last, now api.Micros) Course {
 	since := sentAt
-	if i.MayRun != webhook.Never {
+	if i.MayRun != api.Never {
 		since = min(since, i.MayRun)
 	}
 	switch {
-	case now >= last || lost && t.Repeat == webhook.AtMostOnce:
+	case now >= last || lost && t.Repeat == api.AtMostOnce:
 		return Ends
-	case t.Repeat == webhook.AtMostOnce || i.Key != 0 && !lost:
+	case t.Repeat == api.AtMostOnce || i.Key != 0 && !lost:
 		return Waits
-	case t.Repeat == webhook.Tokened && (t.TokenByZone || now >= since+t.TokenWindow):
+	case t.Repeat == api.Tokened && (t.TokenByZone || now >= since+t.TokenWindow):
 		if lost { // only the first call's zone remembers it, and that is not known; or none does any more
 			return Ends
 		}
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // freePart is how much of the room that is free one subscriber may have: one that is sick ends up with a
@@ -57,7 +57,7 @@
 }
 
 // Answer tells where the run stands; buffer: deliveries that may be held at once. What was promised stays so.
-func (r *Receiver) Answer(buffer int, now webhook.Micros) Answer {
+func (r *Receiver) Answer(buffer int, now api.Micros) Answer {
 	all, each := Credit(r.held, buffer)
 	r.limit = max(r.limit, r.mark.Taken+uint64(all))
 	return Answer{Life: r.mark.Life, Run: r.mark.Run, Upto: r.mark.Upto, Limit: r.limit, Each: each, At: now}
@@ -121,7 +121,7 @@
 			took = append(took, d)
 			i.To = append(i.To, to)
 		}
-		if i.TTL += f.Lag; i.MayRun != webhook.Never {
+		if i.TTL += f.Lag; i.MayRun != api.Never {
 			i.MayRun += f.Lag
 		}
 		if len(i.To) > 0 {
--- a/cluster/stream/rules_test.go
+++ b/cluster/stream/rules_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestWhatTheRelayHasIsNotTakenOnceMore(t *testing.T) {
@@ -21,7 +21,7 @@
 	fresh, err := r.Take(next(t, s, 2*target))
 	require.NoError(t, err)
 	require.Len(t, fresh, 1)
-	assert.Equal(t, []webhook.DestinationID{5}, fresh[0].To)
+	assert.Equal(t, []api.DestinationID{5}, fresh[0].To)
 }
 
 func TestAFrameForAFolderThatIsLostIsNotTakenByTheNext(t *testing.T) {
@@ -45,7 +45,7 @@
 	s.Gone()
 	open(t, s, r, 64)
 	for id := range uint64(64) {
-		s.Add(item(id, 0, webhook.DestinationID(id)), target, 0)
+		s.Add(item(id, 0, api.DestinationID(id)), target, 0)
 	}
 	was := uint64(0)
 	for _, most := range []int{4, 8, 16, 32} {
@@ -54,7 +54,7 @@
 		require.NoError(t, err)
 		now := was + uint64(len(f.Items))
 		for ; was < now; was++ {
-			s.Ended(to(was, webhook.DestinationID(was)))
+			s.Ended(to(was, api.DestinationID(was)))
 		}
 		assert.LessOrEqual(t, len(f.Items), most)
 	}
@@ -96,7 +96,7 @@
 }
 
 func TestNoTimeIsLaterAtTheRelayHoweverSlowTheLink(t *testing.T) {
-	const ahead, slow = 50 * webhook.Second, 3 * webhook.Second
+	const ahead, slow = 50 * api.Second, 3 * api.Second
 	s, r := NewSender(1, 0.1), NewReceiver(Mark{Life: 9}, nil, nil)
 	ask := s.Opening()
 	_, err := r.Open(ask)
@@ -115,18 +115,18 @@
 }
 
 func TestRuleOnWhatIsUnsure(t *testing.T) {
-	const last, at = 100 * webhook.Second, webhook.Second
-	idempotent, once := webhook.EventType{}, webhook.EventType{Repeat: webhook.AtMostOnce}
-	tokened := webhook.EventType{Repeat: webhook.Tokened, TokenWindow: 10 * webhook.Second}
+	const last, at = 100 * api.Second, api.Second
+	idempotent, once := api.EventType{}, api.EventType{Repeat: api.AtMostOnce}
+	tokened := api.EventType{Repeat: api.Tokened, TokenWindow: 10 * api.Second}
 	zoned := tokened
 	zoned.TokenByZone = true
 	plain, ordered, ran := item(1, 0, 3), item(1, 7, 3), item(1, 0, 3)
 	ran.MayRun = 0
 	for _, c := range []struct {
 		i    *Item
-		t    webhook.EventType
+		t    api.EventType
 		lost bool
-		now  webhook.Micros
+		now  api.Micros
 		is   Course
 		why  string
 	}{
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Ratios, and the bounds of a frame.
@@ -23,10 +23,10 @@
 	gone   bool
 	order  uint64
 
-	lines map[webhook.DestinationID]*line
+	lines map[api.DestinationID]*line
 	all   []*line // in the order in which they came up: a map's is not the same each time
 	ready []*line // with something queued and room, each once, whose turn it is first
-	dueAt webhook.Micros
+	dueAt api.Micros
 	fresh int // bytes added since the last frame
 
 	out  map[Delivery]*sent
@@ -42,21 +42,21 @@
 	window int // 0: open; else out at the most
 
 	apart float64
-	lead  webhook.Micros // the relay's clock shows at least so much more, as it was seen; Never: not seen
-	seen  webhook.Micros
+	lead  api.Micros // the relay's clock shows at least so much more, as it was seen; Never: not seen
+	seen  api.Micros
 }
 
 type entry struct {
 	item  *Item
 	order uint64
-	due   webhook.Micros
+	due   api.Micros
 }
 
 func (e *entry) size() int { return len(e.item.Body) + len(e.item.Request) + len(e.item.Token) + 64 }
 
 // line is one subscriber's.
 type line struct {
-	to     webhook.DestinationID
+	to     api.DestinationID
 	queue  []*entry
 	out    int
 	ready  bool
@@ -66,13 +66,13 @@
 type sent struct {
 	*entry
 	life   uint64 // of the relay's folder that it was sent to
-	at     webhook.Micros
+	at     api.Micros
 	beside bool
 }
 
 type keyed struct {
-	to  webhook.DestinationID
-	key webhook.Key
+	to  api.DestinationID
+	key api.Key
 }
 
 type ways struct{ out, beside int }
@@ -85,17 +85,17 @@
 // Sent is a delivery that may be at the relay, for the rule on it.
 type Sent struct {
 	Delivery
-	At  webhook.Micros // just before it was first sent
-	Key webhook.Key
+	At  api.Micros // just before it was first sent
+	Key api.Key
 }
 
 // NewSender begins with the epoch of the grant. apart: two clocks differ in rate by so much at the most.
 func NewSender(epoch cluster.Epoch, apart float64) *Sender {
-	return &Sender{run: Run{Epoch: epoch, No: 1}, lines: map[webhook.DestinationID]*line{}, dueAt: webhook.Never,
-		out: map[Delivery]*sent{}, keys: map[keyed]*ways{}, apart: apart, seen: webhook.Never}
+	return &Sender{run: Run{Epoch: epoch, No: 1}, lines: map[api.DestinationID]*line{}, dueAt: api.Never,
+		out: map[Delivery]*sent{}, keys: map[keyed]*ways{}, apart: apart, seen: api.Never}
 }
 
-func (s *Sender) line(to webhook.DestinationID) *line {
+func (s *Sender) line(to api.DestinationID) *line {
 	l := s.lines[to]
 	if l == nil {
 		l = &line{to: to}
@@ -105,7 +105,7 @@
 	return l
 }
 
-func (s *Sender) ways(to webhook.DestinationID, key webhook.Key) *ways {
+func (s *Sender) ways(to api.DestinationID, key api.Key) *ways {
 	if key == 0 {
 		return &ways{}
 	}
@@ -118,8 +118,8 @@
 }
 
 // Add queues an item; target: its event type's target latency. The caller changes nothing of it afterwards.
-func (s *Sender) Add(i Item, target, now webhook.Micros) {
-	e := s.entry(i, now+webhook.Micros(gatherPart*float64(target)))
+func (s *Sender) Add(i Item, target, now api.Micros) {
+	e := s.entry(i, now+api.Micros(gatherPart*float64(target)))
 	for _, to := range i.To {
 		l := s.line(to)
 		l.queue = append(l.queue, e)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (s *Sender) entry(i Item, due webhook.Micros) *entry {
+func (s *Sender) entry(i Item, due api.Micros) *entry {
 	s.order++
 	return &entry{&i, s.order, due}
 }
@@ -155,8 +155,8 @@
 	return e.item.Key != 0 && w != nil && w.beside > 0
 }
 
-func (s *Sender) soon(at webhook.Micros) {
-	if s.dueAt == webhook.Never || at < s.dueAt {
+func (s *Sender) soon(at api.Micros) {
+	if s.dueAt == api.Never || at < s.dueAt {
 		s.dueAt = at
 	}
 }
@@ -171,7 +171,7 @@
 }
 
 // Due tells when Next has a frame, if nothing happens before.
-func (s *Sender) Due() (at webhook.Micros, ok bool) {
+func (s *Sender) Due() (at api.Micros, ok bool) {
 	switch {
 	case !s.opened:
 		return 0, false
@@ -183,7 +183,7 @@
 
 // Next is the next frame to send. What is in it counts as sent from now on: the caller notes it before the
 // first byte leaves. A sick subscriber holds none of the others, and its own stay behind one another.
-func (s *Sender) Next(now webhook.Micros) (f Frame, ok bool) {
+func (s *Sender) Next(now api.Micros) (f Frame, ok bool) {
 	if at, due := s.Due(); !due || now < at {
 		return Frame{}, false
 	}
@@ -211,7 +211,7 @@
 		}
 		s.ready = s.ready[1:]
 	}
-	if s.dueAt, s.fresh = webhook.Never, 0; len(s.ready) > 0 {
+	if s.dueAt, s.fresh = api.Never, 0; len(s.ready) > 0 {
 		s.dueAt = now
 	}
 	if p.deliveries == 0 {
--- a/cluster/stream/stories_test.go
+++ b/cluster/stream/stories_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const target = webhook.Second
+const target = api.Second
 
-func item(id uint64, key webhook.Key, to ...webhook.DestinationID) Item {
-	return Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Request: "r", Key: key, TTL: 100 * webhook.Second,
-		MayRun: webhook.Never, Body: []byte("body"), To: to, Many: len(to) > 1}
+func item(id uint64, key api.Key, to ...api.DestinationID) Item {
+	return Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Request: "r", Key: key, TTL: 100 * api.Second,
+		MayRun: api.Never, Body: []byte("body"), To: to, Many: len(to) > 1}
 }
 
-func to(id uint64, d webhook.DestinationID) Delivery {
+func to(id uint64, d api.DestinationID) Delivery {
 	return Delivery{Name: Name{Owner: "m1", Life: 1, ID: id}, To: d}
 }
 
@@ -37,7 +37,7 @@
 	return s.Opened(ask, a, false, 0)
 }
 
-func next(t *testing.T, s *Sender, now webhook.Micros) Frame {
+func next(t *testing.T, s *Sender, now api.Micros) Frame {
 	f, ok := s.Next(now)
 	require.True(t, ok)
 	return f
@@ -58,7 +58,7 @@
 	fresh, err := r.Take(f)
 	require.NoError(t, err)
 	require.Len(t, fresh, 2)
-	assert.Equal(t, []webhook.DestinationID{3, 4, 500}, fresh[1].To)
+	assert.Equal(t, []api.DestinationID{3, 4, 500}, fresh[1].To)
 	assert.Equal(t, "r.dest=500", fresh[1].RequestOf(500))
 	again, err := r.Take(f)
 	assert.NoError(t, err)
--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"rowanlink/cluster"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // What a frame or an opening is refused with, beside fleet.ErrFenced. Nothing of it was taken.
@@ -32,7 +32,7 @@
 type Delivery struct {
 	_    struct{} `cbor:",toarray"`
 	Name Name
-	To   webhook.DestinationID
+	To   api.DestinationID
 }
 
 // Item is a webhook or an announcement for subscribers of one site. Its times are of the sender's clock, at
@@ -41,27 +41,27 @@
 	Name     Name
 	Request  string // id that the client gave
 	Many     bool   // an announcement
-	Event    webhook.EventTypeID
-	Tenant   webhook.TenantID
+	Event    api.EventTypeID
+	Tenant   api.TenantID
 	Token    string
-	Key      webhook.Key // 0 but of ordered event types
-	TTL      webhook.Micros
+	Key      api.Key // 0 but of ordered event types
+	TTL      api.Micros
 	Attempts int
-	MayRun   webhook.Micros // first attempt that may have run, or gateway.Never
-	Zone     webhook.ZoneID // of that attempt's endpoint
+	MayRun   api.Micros // first attempt that may have run, or gateway.Never
+	Zone     api.ZoneID // of that attempt's endpoint
 	Body     []byte
-	To       []webhook.DestinationID
+	To       []api.DestinationID
 
 	// Tokened: how long a token is remembered, else 0. The relay may call for so long after it was sent and no
 	// longer: whatever its owner then sends by itself comes within that time too.
-	Window webhook.Micros
+	Window api.Micros
 }
 
 // OfSubscriber stands between an announcement's request id and a subscriber's number.
 const OfSubscriber = ".dest="
 
 // RequestOf is the request id of the delivery to one subscriber.
-func (i *Item) RequestOf(to webhook.DestinationID) string {
+func (i *Item) RequestOf(to api.DestinationID) string {
 	if !i.Many {
 		return i.Request
 	}
@@ -83,13 +83,13 @@
 
 // Frame is the unit on the wire. Each body and each list of subscribers stands in it once.
 type Frame struct {
-	Run    Run            `cbor:"1,keyasint"`
-	Seq    Seq            `cbor:"2,keyasint"`
-	Lag    webhook.Micros `cbor:"3,keyasint"` // see Sender.lag: all that differs when it goes again
-	Bodies [][]byte       `cbor:"4,keyasint"`
-	Lists  [][]byte       `cbor:"5,keyasint"` // see packList
-	Items  []Packed       `cbor:"6,keyasint"` // in the order in which they are to be taken
-	Life   uint64         `cbor:"7,keyasint"` // of the relay's folder meant: another could take it once more
+	Run    Run        `cbor:"1,keyasint"`
+	Seq    Seq        `cbor:"2,keyasint"`
+	Lag    api.Micros `cbor:"3,keyasint"` // see Sender.lag: all that differs when it goes again
+	Bodies [][]byte   `cbor:"4,keyasint"`
+	Lists  [][]byte   `cbor:"5,keyasint"` // see packList
+	Items  []Packed   `cbor:"6,keyasint"` // in the order in which they are to be taken
+	Life   uint64     `cbor:"7,keyasint"` // of the relay's folder meant: another could take it once more
 }
 
 // Packed is an item in a frame.
@@ -98,14 +98,14 @@
 	Name     Name
 	Request  string
 	Many     bool
-	Event    webhook.EventTypeID
-	Tenant   webhook.TenantID
+	Event    api.EventTypeID
+	Tenant   api.TenantID
 	Token    string
-	Key      webhook.Key
-	TTL      webhook.Micros
+	Key      api.Key
+	TTL      api.Micros
 	Attempts int
-	MayRun   webhook.Micros
-	Zone     webhook.ZoneID
+	MayRun   api.Micros
+	Zone     api.ZoneID
 	Body     int // index in Bodies
 	List     int // index in Lists
 }
@@ -118,13 +118,13 @@
 
 // Answer is what the relay says to a frame, to an opening and with ends.
 type Answer struct {
-	Life  uint64         `cbor:"1,keyasint"` // of the relay's folder
-	Run   Run            `cbor:"2,keyasint"`
-	Upto  Seq            `cbor:"3,keyasint"` // taken and journalled
-	Limit uint64         `cbor:"4,keyasint"` // deliveries that the run may carry in all: only rises
-	Each  int            `cbor:"5,keyasint"` // of one subscriber, sent and not ended
-	Held  []Delivery     `cbor:"6,keyasint"` // of those asked: held, or ended and not yet heard by the owner
-	At    webhook.Micros `cbor:"7,keyasint"` // the relay's clock
+	Life  uint64     `cbor:"1,keyasint"` // of the relay's folder
+	Run   Run        `cbor:"2,keyasint"`
+	Upto  Seq        `cbor:"3,keyasint"` // taken and journalled
+	Limit uint64     `cbor:"4,keyasint"` // deliveries that the run may carry in all: only rises
+	Each  int        `cbor:"5,keyasint"` // of one subscriber, sent and not ended
+	Held  []Delivery `cbor:"6,keyasint"` // of those asked: held, or ended and not yet heard by the owner
+	At    api.Micros `cbor:"7,keyasint"` // the relay's clock
 }
 
 // How a delivery ended.
@@ -141,7 +141,7 @@
 	_        struct{} `cbor:",toarray"`
 	Delivery Delivery
 	How      How
-	RetryIn  webhook.Micros // rejected: come again after it; 0: nothing is said
+	RetryIn  api.Micros // rejected: come again after it; 0: nothing is said
 	Attempts int
 	MayRun   bool
 }
--- a/cluster/stream/world_test.go
+++ b/cluster/stream/world_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // run is a call that takes effect, at the relay or beside it.
@@ -13,9 +13,9 @@
 	calls := append(w.ran[d], w.now)
 	w.ran[d] = calls
 	switch t := types[i.Event]; {
-	case t.Repeat == webhook.AtMostOnce && len(calls) > 1:
+	case t.Repeat == api.AtMostOnce && len(calls) > 1:
 		w.Fatalf("%v took effect twice", d)
-	case t.Repeat == webhook.Tokened && w.now >= calls[0]+t.TokenWindow:
+	case t.Repeat == api.Tokened && w.now >= calls[0]+t.TokenWindow:
 		w.Fatalf("%v ran again when its token was forgotten", d)
 	}
 	if i.Key != 0 {
@@ -42,7 +42,7 @@
 		return
 	}
 	how := Delivered
-	twice := h.called && types[h.Event].Repeat == webhook.AtMostOnce
+	twice := h.called && types[h.Event].Repeat == api.AtMostOnce
 	switch late := w.now+skew >= h.TTL; {
 	case late && !h.called:
 		how = Rejected
@@ -73,7 +73,7 @@
 		switch {
 		case o.Key != 0 && slices.ContainsFunc(w.all, earlier):
 			continue
-		case w.now >= o.TTL || o.Window > 0 && o.MayRun != webhook.Never && w.now >= o.MayRun+o.Window:
+		case w.now >= o.TTL || o.Window > 0 && o.MayRun != api.Never && w.now >= o.MayRun+o.Window:
 			o.late = true
 			w.end(o.is(), DeadLettered)
 		default:
@@ -86,7 +86,7 @@
 
 // tick is some time; what is past its time ends.
 func (w *world) tick() {
-	w.now += webhook.Micros(rapid.IntRange(1, 4000).Draw(w.T, "ms")) * 1000
+	w.now += api.Micros(rapid.IntRange(1, 4000).Draw(w.T, "ms")) * 1000
 	for _, d := range w.s.Late(w.now) {
 		w.end(d, Rejected)
 	}
@@ -107,7 +107,7 @@
 		case o.life != 0:
 			w.s.Resume(o.Item, o.life, o.sentAt)
 		default:
-			w.s.Add(o.Item, webhook.Second, w.now)
+			w.s.Add(o.Item, api.Second, w.now)
 		}
 	}
 	w.free()
@@ -167,7 +167,7 @@
 
 func play(t *rapid.T) {
 	w := &world{T: t, open: map[Delivery]*owned{}, ends: map[Delivery]How{}, life: 1, mark: Mark{Life: 1},
-		ran: map[Delivery][]webhook.Micros{}, trace: map[keyed][]int{}}
+		ran: map[Delivery][]api.Micros{}, trace: map[keyed][]int{}}
 	w.startRelay(false)
 	w.startSender()
 	folders := rapid.IntRange(0, 3).Draw(t, "folders lost at the most")
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -3,7 +3,7 @@
 import (
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The paths that keepers hear on.
@@ -28,7 +28,7 @@
 // Holds is all that the session holds by the log, where its tally is another than the member's.
 type SessionAnswer struct {
 	Session cluster.SessionID `cbor:"1,keyasint,omitempty"`
-	Term    webhook.Micros    `cbor:"2,keyasint"`
+	Term    api.Micros        `cbor:"2,keyasint"`
 	Refusal uint16            `cbor:"3,keyasint,omitempty"`
 	Holds   []lease.Granted   `cbor:"4,keyasint,omitempty"`
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"os"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 	"rowanlink/webhook/simadapter"
 )
 
 func main() {
-	start := func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) }
+	start := func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
 	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
--- a/emulator/build.go
+++ b/emulator/build.go
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // change is one line of news for the list.
 type change struct {
-	at    webhook.Micros
-	entry webhook.Entry
+	at    api.Micros
+	entry api.Entry
 }
 
 // build draws the destinations from the scenario's own stream: the same for every module.
@@ -50,24 +50,24 @@
 		d.route = int32(len(m.routes))
 		for range routes {
 			each := perS / float64(routes)
-			m.routes = append(m.routes, route{dest: webhook.DestinationID(i), kind: d.kind, perS: each,
+			m.routes = append(m.routes, route{dest: api.DestinationID(i), kind: d.kind, perS: each,
 				stated: each * wrong, backAt: never, tokens: 1})
 		}
 		for e := range n {
-			zone := webhook.ZoneID((i + e) % len(s.Net.Zones))
-			atOnce := math.Ceil(d.kind.Spare * perS / float64(n) * webhook.Micros(d.kind.Answer).Seconds())
-			depth := math.Ceil(webhook.Micros(d.kind.Queue).Seconds() * perS / float64(n))
+			zone := api.ZoneID((i + e) % len(s.Net.Zones))
+			atOnce := math.Ceil(d.kind.Spare * perS / float64(n) * api.Micros(d.kind.Answer).Seconds())
+			depth := math.Ceil(api.Micros(d.kind.Queue).Seconds() * perS / float64(n))
 			m.servers = append(m.servers, server{zone: zone, atOnce: int(atOnce), depth: int(depth)})
-			m.addEndpoint(webhook.DestinationID(i), d.route+int32(e%routes), zone, int32(len(m.servers)-1))
+			m.addEndpoint(api.DestinationID(i), d.route+int32(e%routes), zone, int32(len(m.servers)-1))
 		}
 	}
-	m.base = make([]webhook.Entry, len(m.endpoints))
+	m.base = make([]api.Entry, len(m.endpoints))
 	for i := range m.endpoints {
-		m.base[i] = m.entry(int32(i), webhook.Listed)
+		m.base[i] = m.entry(int32(i), api.Listed)
 	}
 }
 
-func (m *Model) addEndpoint(dest webhook.DestinationID, r int32, zone webhook.ZoneID, server int32) int32 {
+func (m *Model) addEndpoint(dest api.DestinationID, r int32, zone api.ZoneID, server int32) int32 {
 	n := int32(len(m.endpoints))
 	m.endpoints = append(m.endpoints, endpoint{dest: dest, route: r, zone: zone, server: server})
 	m.dests[dest].endpoints = append(m.dests[dest].endpoints, n)
@@ -76,14 +76,14 @@
 }
 
 // idOf and indexOf go between an endpoint's place and its id, of which 0 is none.
-func idOf(endpoint int32) webhook.EndpointID   { return webhook.EndpointID(endpoint + 1) }
-func indexOf(id webhook.EndpointID) (at int32) { return int32(id) - 1 }
+func idOf(endpoint int32) api.EndpointID   { return api.EndpointID(endpoint + 1) }
+func indexOf(id api.EndpointID) (at int32) { return int32(id) - 1 }
 
 // entry is what the list says of an endpoint.
-func (m *Model) entry(i int32, standing webhook.Standing) webhook.Entry {
+func (m *Model) entry(i int32, standing api.Standing) api.Entry {
 	e := &m.endpoints[i]
 	d := &m.dests[e.dest]
-	l := webhook.Entry{Endpoint: idOf(i), Destination: e.dest, Kind: d.kindID, Zone: e.zone, Standing: standing}
+	l := api.Entry{Endpoint: idOf(i), Destination: e.dest, Kind: d.kindID, Zone: e.zone, Standing: standing}
 	if m.plan.Dispatchers.RatesStated {
 		l.Rate = m.routes[e.route].stated
 	}
@@ -91,7 +91,7 @@
 }
 
 // list notes a change of the list; each dispatcher hears of it after its own delay.
-func (m *Model) list(i int32, standing webhook.Standing) {
+func (m *Model) list(i int32, standing api.Standing) {
 	m.changes = append(m.changes, change{m.now, m.entry(i, standing)})
 	for n := range m.dispatchers {
 		d := &m.dispatchers[n]
@@ -101,7 +101,7 @@
 }
 
 // drawDestination follows the skew, or a hot destination's share where there is one.
-func (m *Model) drawDestination(chance *rand.Rand) webhook.DestinationID {
+func (m *Model) drawDestination(chance *rand.Rand) api.DestinationID {
 	for _, h := range m.hot {
 		if chance.Float64() < h.share {
 			return h.to[chance.IntN(len(h.to))]
@@ -109,5 +109,5 @@
 	}
 	x := chance.Float64() * m.weights[len(m.weights)-1]
 	at, _ := slices.BinarySearchFunc(m.weights, x, func(w, x float64) int { return cmp.Compare(w, x) })
-	return webhook.DestinationID(min(at, len(m.weights)-1))
+	return api.DestinationID(min(at, len(m.weights)-1))
 }
--- a/emulator/calls.go
+++ b/emulator/calls.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 type callState uint8
@@ -26,16 +26,16 @@
 	ep        int32
 	server    int32
 	items     []item
-	patience  webhook.Micros // of the least patient of them
-	sentAt    webhook.Micros
+	patience  api.Micros // of the least patient of them
+	sentAt    api.Micros
 	linked    bool   // its connection is up
 	epoch     uint32 // of the server, when it came up
 	atServer  bool   // served or waiting there
 	serving   bool
 	swallowed bool // by a process that answers nothing
 	answered  bool // an answer, or word of a broken connection, is on its way
-	verdict   webhook.Outcome
-	wait      webhook.Micros
+	verdict   api.Outcome
+	wait      api.Micros
 }
 
 type item struct {
@@ -128,9 +128,9 @@
 	case evGiveUp:
 		switch k.at {
 		case callConnecting: // not a byte has left
-			m.finish(e.a, webhook.ConnectFailed, 0)
+			m.finish(e.a, api.ConnectFailed, 0)
 		case callOut:
-			m.finish(e.a, webhook.TimedOut, 0)
+			m.finish(e.a, api.TimedOut, 0)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 		k.swallowed = true
 	case len(s.bad) > 0 && m.chance.Float64() < combined(s.bad): // it ran; its answer is lost
 	default:
-		m.answer(n, webhook.Delivered, 0)
+		m.answer(n, api.Delivered, 0)
 	}
 	m.serve(m.calls[n].server)
 }
@@ -188,12 +188,12 @@
 	}
 }
 
-func (m *Model) answer(n int32, what webhook.Outcome, wait webhook.Micros) {
+func (m *Model) answer(n int32, what api.Outcome, wait api.Micros) {
 	m.answerIn(n, what, wait, 0)
 }
 
 // answerIn sends word back, once for each call.
-func (m *Model) answerIn(n int32, what webhook.Outcome, wait, in webhook.Micros) {
+func (m *Model) answerIn(n int32, what api.Outcome, wait, in api.Micros) {
 	k := &m.calls[n]
 	if k.answered {
 		return
@@ -203,7 +203,7 @@
 }
 
 // finish closes a call at its dispatcher's side and tells each webhook in it the outcome.
-func (m *Model) finish(n int32, what webhook.Outcome, wait webhook.Micros) {
+func (m *Model) finish(n int32, what api.Outcome, wait api.Micros) {
 	k := &m.calls[n]
 	d := &m.dispatchers[k.d]
 	for i := range k.items {
@@ -213,7 +213,7 @@
 				took: m.now - k.sentAt, wait: wait})
 		}
 	}
-	keep := what == webhook.Delivered || what == webhook.Full || what == webhook.Errored
+	keep := what == api.Delivered || what == api.Full || what == api.Errored
 	m.hangUpOr(n, keep)
 }
 
@@ -228,7 +228,7 @@
 		it := &k.items[i]
 		if it.h == h && !it.done {
 			it.done = true
-			d.put(news{kind: newsOutcome, id: h.id, ep: idOf(k.ep), what: webhook.Cancelled, attempt: h.attempts - 1,
+			d.put(news{kind: newsOutcome, id: h.id, ep: idOf(k.ep), what: api.Cancelled, attempt: h.attempts - 1,
 				took: m.now - k.sentAt})
 		}
 		left = left || !it.done
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -6,27 +6,27 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // answerWithin is how long a client waits for word that its webhook is taken on.
-const answerWithin = 2 * webhook.Second / 5
+const answerWithin = 2 * api.Second / 5
 
 // origin is a webhook as its client knows it; each time it is handed in it gets a new id.
 type origin struct {
-	cameAt  webhook.Micros
-	ttl     webhook.Micros
-	key     webhook.Key
-	dest    webhook.DestinationID
-	tenant  webhook.TenantID
+	cameAt  api.Micros
+	ttl     api.Micros
+	key     api.Key
+	dest    api.DestinationID
+	tenant  api.TenantID
 	tries   int32 // rejections so far
 	live    int32 // copies held, or about to be handed in
-	evt     webhook.EventTypeID
+	evt     api.EventTypeID
 	offered bool
 }
 
 // gap draws the time to the next arrival.
-func (m *Model) gap() webhook.Micros {
+func (m *Model) gap() api.Micros {
 	c := &m.plan.Clients
 	rate, t := c.Rate, m.now.Seconds()
 	switch c.Curve {
@@ -37,7 +37,7 @@
 	case "bursty":
 		for m.now >= m.swayUntil {
 			m.sway = 1 + c.Swing*(2*m.arrivals.Float64()-1)
-			m.swayUntil += max(webhook.Micros(float64(c.Period)*m.arrivals.Float64()/5), 1)
+			m.swayUntil += max(api.Micros(float64(c.Period)*m.arrivals.Float64()/5), 1)
 		}
 		rate *= m.sway
 	}
@@ -45,7 +45,7 @@
 		rate *= by
 	}
 	rate /= 1 + c.Clumps*float64(c.Clump-1)
-	return max(webhook.Micros(m.arrivals.ExpFloat64()/max(rate, 1e-9)*float64(webhook.Second)), 1)
+	return max(api.Micros(m.arrivals.ExpFloat64()/max(rate, 1e-9)*float64(api.Second)), 1)
 }
 
 // arrive has one client come, or a clump, and draws when the next one does.
@@ -59,16 +59,16 @@
 	}
 	dest := m.drawDestination(m.arrivals)
 	for i := range n {
-		in := webhook.Micros(0)
+		in := api.Micros(0)
 		if i > 0 {
-			in = webhook.Micros(m.arrivals.Float64() * float64(c.Within))
+			in = api.Micros(m.arrivals.Float64() * float64(c.Within))
 		}
 		evt := draw(m.arrivals, m.events)
 		e := &m.plan.Events[evt]
 		o := origin{cameAt: m.now + in, ttl: m.now + in + e.TTL.us(), dest: dest, live: 1,
-			evt: webhook.EventTypeID(evt), tenant: webhook.TenantID(draw(m.arrivals, m.tenants))}
+			evt: api.EventTypeID(evt), tenant: api.TenantID(draw(m.arrivals, m.tenants))}
 		if e.Keys > 0 {
-			o.key = webhook.Key(1 + m.arrivals.IntN(e.Keys))
+			o.key = api.Key(1 + m.arrivals.IntN(e.Keys))
 		}
 		m.origins = append(m.origins, o)
 		m.open++
@@ -149,7 +149,7 @@
 }
 
 // comeAgain has the client of a rejected webhook hand it in again, if it ever does.
-func (m *Model) comeAgain(n int32, advised webhook.Micros) {
+func (m *Model) comeAgain(n int32, advised api.Micros) {
 	o, c := &m.origins[n], &m.plan.Clients
 	o.tries++
 	pause := float64(within(m.habits, c.Again).us()) * math.Exp2(float64(min(o.tries-1, 20)))
@@ -160,7 +160,7 @@
 		m.giveUp(n)
 		return
 	}
-	m.after(max(webhook.Micros(pause), 1), event{kind: evHandIn, a: n})
+	m.after(max(api.Micros(pause), 1), event{kind: evHandIn, a: n})
 }
 
 func (m *Model) giveUp(n int32) {
@@ -180,7 +180,7 @@
 }
 
 // unanswered takes back what was handed in to a dispatcher that died before it was taken on.
-func (m *Model) unanswered(id webhook.WebhookID, d *dispatcher) {
+func (m *Model) unanswered(id api.WebhookID, d *dispatcher) {
 	n := d.held[id].origin
 	delete(d.held, id)
 	m.after(answerWithin, event{kind: evHandIn, a: n})
--- a/emulator/complete.go
+++ b/emulator/complete.go
@@ -1,6 +1,6 @@
 package emulator
 
-import "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // Complete fills in what was left out.
 func (s *Scenario) Complete() {
@@ -86,25 +86,25 @@
 }
 
 // Facts is what dispatcher number i is told at its start.
-func (s *Scenario) Facts(i int, seed uint64) webhook.Facts {
+func (s *Scenario) Facts(i int, seed uint64) api.Facts {
 	d, r := &s.Dispatchers, &s.Rules
-	f := webhook.Facts{Seed: seed, Fleet: d.Count, Zone: webhook.ZoneID(i % len(s.Net.Zones)), OverShare: 0.1,
+	f := api.Facts{Seed: seed, Fleet: d.Count, Zone: api.ZoneID(i % len(s.Net.Zones)), OverShare: 0.1,
 		Slots: d.Slots, Buffer: d.Buffer, MaxAttempts: d.Attempts, MayCancel: d.Cancel, MaxAdvice: d.MaxAdvice.us(),
 		RatesStated: d.RatesStated, ConnectTimeout: d.ConnectTimeout.us(), Tick: d.Tick.us(),
 		TurnGap: r.TurnGap.us(), StartCapacity: r.StartCapacity, WarmAfter: r.WarmAfter.us(),
 		FallMultiple: r.FallMultiple, TipAfter: r.TipAfter.us()}
 	for _, e := range s.Events {
-		repeat := map[string]webhook.Repeat{"idempotent": webhook.Idempotent, "tokened": webhook.Tokened,
-			"at-most-once": webhook.AtMostOnce}[e.Repeat]
+		repeat := map[string]api.Repeat{"idempotent": api.Idempotent, "tokened": api.Tokened,
+			"at-most-once": api.AtMostOnce}[e.Repeat]
 		f.EventTypes = append(
 			f.EventTypes,
-			webhook.EventType{Target: e.Target.us(), TTL: e.TTL.us(), Value: e.Value,
+			api.EventType{Target: e.Target.us(), TTL: e.TTL.us(), Value: e.Value,
 				LateValue: e.LateValue, Repeat: repeat, TokenWindow: e.Window.us(), TokenByZone: e.ByZone,
 				Ordered: e.Ordered},
 		)
 	}
 	for _, k := range s.Kinds {
-		f.Kinds = append(f.Kinds, webhook.Kind{Batch: k.Batch, Apart: k.Apart})
+		f.Kinds = append(f.Kinds, api.Kind{Batch: k.Batch, Apart: k.Apart})
 		f.CapsTold = f.CapsTold || k.PlacesTold
 	}
 	for _, t := range s.Tenants {
