--- a/emulator/connections.go
+++ b/emulator/connections.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func (m *Model) connect(n int32) {
@@ -13,13 +13,13 @@
 	places := m.dests[m.endpoints[k.ep].dest].kind.Places
 	switch {
 	case s.down > 0 && s.silent > 0:
-		m.answerIn(n, webhook.ConnectFailed, 0, max(m.plan.Dispatchers.ConnectTimeout.us()-(m.now-k.sentAt), 0))
+		m.answerIn(n, api.ConnectFailed, 0, max(m.plan.Dispatchers.ConnectTimeout.us()-(m.now-k.sentAt), 0))
 	case s.down > 0:
-		m.answer(n, webhook.ConnectFailed, 0)
+		m.answer(n, api.ConnectFailed, 0)
 	case places > 0 && s.conns >= places:
-		what := webhook.ConnectFailed
+		what := api.ConnectFailed
 		if m.dests[m.endpoints[k.ep].dest].kind.PlacesTold {
-			what = webhook.Crowded
+			what = api.Crowded
 		}
 		m.answer(n, what, 0)
 	default:
@@ -36,7 +36,7 @@
 	e := &m.endpoints[k.ep]
 	s, r := &m.servers[k.server], &m.routes[e.route]
 	if s.epoch != k.epoch || s.down > 0 {
-		m.answer(n, webhook.Reset, 0)
+		m.answer(n, api.Reset, 0)
 		return
 	}
 	m.onCall(seen.Reached, k)
@@ -50,9 +50,9 @@
 	case e.gone || e.drains:
 		m.refuse(n, r, false)
 	case len(s.errors) > 0 && m.chance.Float64() < combined(s.errors):
-		m.answerIn(n, webhook.Errored, 0, m.served(s, r.kind, 1)/4)
+		m.answerIn(n, api.Errored, 0, m.served(s, r.kind, 1)/4)
 	case len(s.resets) > 0 && m.chance.Float64() < combined(s.resets):
-		m.answer(n, webhook.Reset, 0)
+		m.answer(n, api.Reset, 0)
 	case !m.admits(r):
 		m.refuse(n, r, true)
 	case s.busy < m.atOnce(s, r):
@@ -66,12 +66,12 @@
 }
 
 func (m *Model) refuse(n int32, r *route, mayTell bool) {
-	wait := webhook.Micros(0)
+	wait := api.Micros(0)
 	if mayTell && m.chance.Float64() < r.kind.TellsWait {
 		wait = within(m.chance, r.kind.Wait).us()
 	}
 	m.onCall(seen.Refused, &m.calls[n])
-	m.answer(n, webhook.Full, wait)
+	m.answer(n, api.Full, wait)
 }
 
 func (m *Model) hangUp(n int32) { m.hangUpOr(n, false) }
--- a/emulator/custody.go
+++ b/emulator/custody.go
@@ -6,7 +6,7 @@
 
 	"rowanlink/cluster/shardmap"
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // custody is whose a webhook is that another dispatcher may have.
@@ -14,10 +14,10 @@
 	doubt     int32 // the offer that nobody answered, or none
 	offered   bool  // on its way, by offer
 	offer     int32
-	journaled bool           // here
-	tookAt    webhook.Micros // from another dispatcher, else never
-	forgot    bool           // by whom it was sent to, with its folder
-	unsaid    bool           // and who sent it has not been told
+	journaled bool       // here
+	tookAt    api.Micros // from another dispatcher, else never
+	forgot    bool       // by whom it was sent to, with its folder
+	unsaid    bool       // and who sent it has not been told
 }
 
 // hand is what a dispatcher's folder knows of a webhook by its name.
@@ -29,7 +29,7 @@
 
 // mayGoOn is whether a webhook that a silent home may have called goes to the next one, as one that may have
 // run. It needs the log's word that the home's right to call is over.
-func mayGoOn(w *held, e *EventType, ended bool, now webhook.Micros) bool {
+func mayGoOn(w *held, e *EventType, ended bool, now api.Micros) bool {
 	tokened := e.Repeat == "tokened" && !e.ByZone && now < w.mayRun+e.Window.us()
 	return ended && (e.Repeat == "idempotent" || tokened)
 }
@@ -46,7 +46,7 @@
 }
 
 // lookAt has a dispatcher look at what it has parked, once.
-func (h *homes) lookAt(d *dispatcher, in webhook.Micros) {
+func (h *homes) lookAt(d *dispatcher, in api.Micros) {
 	if !d.member.looks {
 		d.member.looks = true
 		h.m.after(in, event{kind: evLook, a: d.number, gen: d.life})
--- a/emulator/dispatcher.go
+++ b/emulator/dispatcher.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // dispatcher is one dispatcher round its module, and the module's Host.
@@ -15,25 +15,25 @@
 	number int32
 	life   uint32 // counts its starts: what was meant for an earlier life reaches nobody
 	seeds  *rand.Rand
-	module webhook.Module
+	module api.Module
 	weight float64 // of what the front deals out
-	zone   webhook.ZoneID
+	zone   api.ZoneID
 
 	up, leaving bool
-	unseenUntil webhook.Micros // the front takes it for well until then, though it is dead
-	frozenUntil webhook.Micros
-	turnedAt    webhook.Micros
+	unseenUntil api.Micros // the front takes it for well until then, though it is dead
+	frozenUntil api.Micros
+	turnedAt    api.Micros
 	turnDue     bool
 	inbox       []news
-	held        map[webhook.WebhookID]*held
+	held        map[api.WebhookID]*held
 	open        int // of them, those that are owed their end
 	kept        []*held
 	out         int     // calls
 	made        []int32 // calls of this turn, not yet departed
 	links       map[int32]*links
 	knows       int // changes of the list heard of
-	listLate    webhook.Micros
-	startsStale webhook.Micros
+	listLate    api.Micros
+	startsStale api.Micros
 	killInTurn  *Trouble
 	tookInTurn  []*held
 	muted       bool
@@ -42,13 +42,13 @@
 
 // held is a webhook at a dispatcher.
 type held struct {
-	id       webhook.WebhookID
+	id       api.WebhookID
 	origin   int32
 	attempts int
-	mayRun   webhook.Micros
-	zone     webhook.ZoneID
-	sentAt   webhook.Micros
-	sentZone webhook.ZoneID
+	mayRun   api.Micros
+	zone     api.ZoneID
+	sentAt   api.Micros
+	sentZone api.ZoneID
 	call     int32 // out, or -1
 	ended    bool
 	custody
@@ -56,7 +56,7 @@
 
 // links are a dispatcher's idle connections to one endpoint, the longest idle first.
 type links struct {
-	idle  []webhook.Micros
+	idle  []api.Micros
 	epoch uint32
 	due   bool
 }
@@ -74,8 +74,8 @@
 	d := &m.dispatchers[n]
 	d.life++
 	d.up, d.leaving, d.inbox, d.turnDue, d.turnedAt = true, false, nil, false, m.now-m.plan.Dispatchers.Tick.us()
-	d.zone = webhook.ZoneID(int(n) % len(m.plan.Net.Zones))
-	d.held, d.links, d.open, d.out = map[webhook.WebhookID]*held{}, map[int32]*links{}, 0, 0
+	d.zone = api.ZoneID(int(n) % len(m.plan.Net.Zones))
+	d.held, d.links, d.open, d.out = map[api.WebhookID]*held{}, map[int32]*links{}, 0, 0
 	d.made, d.killInTurn, d.muted = nil, nil, false
 	m.Bus.Emit(seen.Event{At: m.now, What: seen.Started, Dispatcher: n})
 	d.module = m.start(m.plan.Facts(int(n), d.seeds.Uint64()), d)
@@ -88,14 +88,14 @@
 	if d.knows > 0 {
 		list = slices.Clone(m.base)
 		for _, c := range m.changes[:d.knows] {
-			same := func(e webhook.Entry) bool { return e.Endpoint == c.entry.Endpoint }
+			same := func(e api.Entry) bool { return e.Endpoint == c.entry.Endpoint }
 			if i := slices.IndexFunc(list, same); i >= 0 {
 				list[i] = c.entry
 			} else {
 				list = append(list, c.entry)
 			}
 		}
-		list = slices.DeleteFunc(list, func(e webhook.Entry) bool { return e.Standing == webhook.Gone })
+		list = slices.DeleteFunc(list, func(e api.Entry) bool { return e.Standing == api.Gone })
 	}
 	if m.homes != nil {
 		m.homes.joins(d)
@@ -153,10 +153,10 @@
 		}
 		m.turn(d)
 	case evWake:
-		d.put(news{kind: newsWake, timer: webhook.TimerID(e.b)})
+		d.put(news{kind: newsWake, timer: api.TimerID(e.b)})
 	case evList:
 		if to := int(e.b); to > d.knows {
-			var list []webhook.Entry
+			var list []api.Entry
 			for _, c := range m.changes[d.knows:to] {
 				list = append(list, c.entry)
 			}
@@ -226,7 +226,7 @@
 		}
 		m.Bus.Emit(m.about(seen.Heard, d, h, e))
 		h.call = -1
-		if n.what == webhook.Delivered && !h.ended {
+		if n.what == api.Delivered && !h.ended {
 			m.end(d, h, seen.Delivered, 0)
 		}
 		if !n.what.NeverRan() && h.mayRun == never {
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -9,14 +9,14 @@
 	"rowanlink/emulator"
 	"rowanlink/emulator/seen"
 	"rowanlink/lab/baseline"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // idle is a host on which nothing happens.
-type idle struct{ webhook.Host }
+type idle struct{ api.Host }
 
-func (idle) Now() webhook.Micros                  { return 0 }
-func (idle) Wake(webhook.Micros, webhook.TimerID) {}
+func (idle) Now() api.Micros              { return 0 }
+func (idle) Wake(api.Micros, api.TimerID) {}
 
 func TestTroublesOverlapAndEndInAnyOrder(t *testing.T) {
 	s := plain(
@@ -26,12 +26,12 @@
 		emulator.Trouble{Kind: "hang", At: 6 * sec, For: 20 * sec, Destinations: []int{1}})
 	w, events, _ := play(t, s, module, seen.OutageStart, seen.OutageOver)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
-	got := map[webhook.DestinationID][]webhook.Micros{}
+	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
 		got[e.Destination] = append(got[e.Destination], e.At/webhook.Second)
 	}
-	assert.Equal(t, []webhook.Micros{5, 11}, got[0], "slow is no outage")
-	assert.Equal(t, []webhook.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
+	assert.Equal(t, []api.Micros{5, 11}, got[0], "slow is no outage")
+	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
 }
 
 func TestKilledInTheVeryTurnThatTakesAWebhookOn(t *testing.T) {
@@ -41,8 +41,8 @@
 		w, events, sum := play(t, s, module, seen.Taken, seen.Killed, seen.Resumed, seen.Ended, seen.Sent)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		assert.Zero(t, sum.Unended)
-		killed := webhook.Never
-		taken, resumed, died := map[webhook.WebhookID]bool{}, 0, 0
+		killed := api.Never
+		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
 			case e.What == seen.Killed:
@@ -77,7 +77,7 @@
 	w, events, _ := play(t, s, module, seen.Taken, seen.Killed, seen.Heard, seen.Ended, seen.Sent)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	dead := false
-	out, again, died := map[seen.Origin]webhook.EventTypeID{}, map[seen.Origin]bool{}, map[seen.Origin]bool{}
+	out, again, died := map[seen.Origin]api.EventTypeID{}, map[seen.Origin]bool{}, map[seen.Origin]bool{}
 	for _, e := range events {
 		switch {
 		case e.What == seen.Killed:
@@ -107,7 +107,7 @@
 func TestAReturningDestinationThatIsPushedFalls(t *testing.T) {
 	s := plain(emulator.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 1})
 	s.Clients.Rate, s.Dispatchers.Slots, s.Events = 400, 400, s.Events[:1]
-	hammer := func(f webhook.Facts, h webhook.Host) webhook.Module {
+	hammer := func(f api.Facts, h api.Host) api.Module {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
 	_, events, sum := play(t, s, hammer, seen.Fell, seen.Reached)
@@ -135,9 +135,9 @@
 		w, events, _ := play(t, s, module, seen.Sent, seen.Told)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		last := events[len(events)-1]
-		before, after := map[webhook.EndpointID]bool{}, map[webhook.EndpointID]bool{}
+		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
-			if e.What == seen.Sent && e.Destination == 0 && e.At < webhook.Micros(5*sec) {
+			if e.What == seen.Sent && e.Destination == 0 && e.At < api.Micros(5*sec) {
 				before[e.Endpoint] = true
 			} else if e.What == seen.Sent && e.Destination == 0 && e.At > last.At-webhook.Micros(5*sec) {
 				after[e.Endpoint] = true
@@ -157,7 +157,7 @@
 	_, events, _ := play(t, s, module, seen.Heard)
 	failed := 0
 	for _, e := range events {
-		if e.Outcome == webhook.ConnectFailed {
+		if e.Outcome == api.ConnectFailed {
 			failed++
 		}
 	}
--- a/emulator/ends.go
+++ b/emulator/ends.go
@@ -2,11 +2,11 @@
 
 import (
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // end closes a webhook's stay here; its client may come again after a rejection.
-func (m *Model) end(d *dispatcher, h *held, how seen.End, advised webhook.Micros) {
+func (m *Model) end(d *dispatcher, h *held, how seen.End, advised api.Micros) {
 	h.ended = true
 	d.open--
 	if d.member != nil {
--- a/emulator/export_test.go
+++ b/emulator/export_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Spoilt are faults in what dispatchers make of leases and map, by name.
@@ -14,14 +14,14 @@
 		m.homes.deeds.calls = func(v shardmap.Verdict) bool { return v.Calls(false) || v.Do == shardmap.Forward }
 	},
 	"a hop costs nothing": func(m *Model) {
-		m.homes.deeds.way = func(webhook.Micros) webhook.Micros { return 0 }
+		m.homes.deeds.way = func(api.Micros) api.Micros { return 0 }
 	},
 	"a lost home stays home": func(m *Model) {
 		m.homes.deeds.takes = func([]shardmap.Takeover) []shardmap.Takeover { return nil }
 	},
 	"told before it is in the journal": func(m *Model) { m.homes.deeds.early = true },
 	"a silent home is taken for one that never had it": func(m *Model) {
-		m.homes.deeds.settles = func(w *held, _ *EventType, ended bool, _ webhook.Micros) bool {
+		m.homes.deeds.settles = func(w *held, _ *EventType, ended bool, _ api.Micros) bool {
 			w.mayRun = never
 			return ended
 		}
--- a/emulator/fleet_test.go
+++ b/emulator/fleet_test.go
@@ -7,7 +7,7 @@
 
 	"rowanlink/emulator"
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // fleet is forty dispatchers in front of six destinations: none sees more than a call a second of most.
@@ -72,12 +72,12 @@
 		s.Kinds[0].Places, s.Kinds[0].PlacesTold, s.Kinds[0].Headroom = 8, told, 3
 		w, events, sum := play(t, s, module, seen.Heard)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
-		outcomes := map[webhook.Outcome]int{}
+		outcomes := map[api.Outcome]int{}
 		for _, e := range events {
 			outcomes[e.Outcome]++
 		}
-		failed := outcomes[webhook.ConnectFailed] + outcomes[webhook.Crowded]
-		assert.Equal(t, told, outcomes[webhook.Crowded] > 0)
+		failed := outcomes[api.ConnectFailed] + outcomes[api.Crowded]
+		assert.Equal(t, told, outcomes[api.Crowded] > 0)
 		assert.Less(t, failed, len(events)/3, "calls that found no place")
 		least := 0.93
 		if told { // and no place is taken for an outage
@@ -94,7 +94,7 @@
 	refused := map[bool]int{}
 	for _, e := range events {
 		if e.Destination == 0 {
-			refused[e.At >= 8*webhook.Second && e.At < 14*webhook.Second]++
+			refused[e.At >= 8*api.Second && e.At < 14*api.Second]++
 		}
 	}
 	assert.Greater(t, refused[true], 3*refused[false], "in its 6 s against the 19 s beside it")
@@ -115,11 +115,11 @@
 			k.Endpoints, k.Headroom, k.PlacesTold, k.TellsWait = []int{1, 1}, 1.2, true, 0
 			w, events, _ := play(t, s, module, seen.OutageOver, seen.Reached)
 			assert.Empty(t, w.Broken, texts(w.Breaches))
-			back, came := webhook.Never, 0.0
+			back, came := api.Never, 0.0
 			for _, e := range events {
 				if e.What == seen.OutageOver {
 					back = e.At
-				} else if back != webhook.Never && e.At < back+2*webhook.Second {
+				} else if back != api.Never && e.At < back+2*api.Second {
 					came++
 				}
 			}
--- a/emulator/forward.go
+++ b/emulator/forward.go
@@ -4,7 +4,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // offer is a webhook on its way to its home.
@@ -14,7 +14,7 @@
 	life     uint32 // of its sender
 	hand     uint32
 	by       shardmap.Verdict
-	at       webhook.Micros
+	at       api.Micros
 	folder   uint32 // of whom it was sent to, by then
 	hops     int
 	fresh    bool // its client waits, and nothing is in the sender's journal yet
--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -9,13 +9,13 @@
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
-const sec = emulator.Span(webhook.Second)
+const sec = emulator.Span(api.Second)
 
-func module(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) }
+func module(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
 
 // plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
 // sort.
@@ -57,8 +57,8 @@
 	observe.Summary) {
 	require.NoError(t, s.Check())
 	m := emulator.New(s, start)
-	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: webhook.Micros(s.Rules.DrainGrace),
-		AnswerGrace: 3*webhook.Micros(s.Dispatchers.Tick) + webhook.Second/20}
+	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
+		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, l := observe.NewWatch(terms), observe.NewRecorder(terms), &log{wants: what}
 	w.Join(&m.Bus)
 	m.Bus.Join(r, l)
@@ -68,26 +68,26 @@
 
 // mutant is the module with its ears or hands tampered with.
 type mutant struct {
-	webhook.Module
+	api.Module
 	host
-	take      func(key webhook.Key) webhook.Key
-	outcome   func(what webhook.Outcome, wait webhook.Micros) (webhook.Outcome, webhook.Micros)
-	endpoints func(list []webhook.Entry) []webhook.Entry
+	take      func(key api.Key) api.Key
+	outcome   func(what api.Outcome, wait api.Micros) (api.Outcome, api.Micros)
+	endpoints func(list []api.Entry) []api.Entry
 }
 
 type host struct {
-	webhook.Host
+	api.Host
 	mute bool
 }
 
-func (h *host) DeadLetter(id webhook.WebhookID) {
+func (h *host) DeadLetter(id api.WebhookID) {
 	if !h.mute {
 		h.Host.DeadLetter(id)
 	}
 }
 
-func (m *mutant) Take(id webhook.WebhookID, evt webhook.EventTypeID, tenant webhook.TenantID, key webhook.Key,
-	ttl webhook.Micros, dest webhook.DestinationID) {
+func (m *mutant) Take(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID, key api.Key,
+	ttl api.Micros, dest api.DestinationID) {
 	if m.take != nil {
 		key = m.take(key)
 	}
@@ -95,12 +95,12 @@
 }
 
 func (m *mutant) Outcome(
-	id webhook.WebhookID,
-	ep webhook.EndpointID,
-	what webhook.Outcome,
-	took webhook.Micros,
+	id api.WebhookID,
+	ep api.EndpointID,
+	what api.Outcome,
+	took api.Micros,
 	ended bool,
-	wait webhook.Micros,
+	wait api.Micros,
 ) {
 	if m.outcome != nil {
 		what, wait = m.outcome(what, wait)
@@ -108,7 +108,7 @@
 	m.Module.Outcome(id, ep, what, took, ended, wait)
 }
 
-func (m *mutant) Endpoints(list []webhook.Entry, whole bool) {
+func (m *mutant) Endpoints(list []api.Entry, whole bool) {
 	if m.endpoints != nil {
 		list = m.endpoints(list)
 	}
@@ -116,8 +116,8 @@
 }
 
 // tampered starts mutants.
-func tampered(facts func(*webhook.Facts), with func(*mutant)) emulator.Starter {
-	return func(f webhook.Facts, h webhook.Host) webhook.Module {
+func tampered(facts func(*api.Facts), with func(*mutant)) emulator.Starter {
+	return func(f api.Facts, h api.Host) api.Module {
 		if facts != nil {
 			facts(&f)
 		}
--- a/emulator/homes.go
+++ b/emulator/homes.go
@@ -7,7 +7,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const (
@@ -44,9 +44,9 @@
 type deeds struct {
 	part    func(shardmap.Verdict, int) float64
 	calls   func(shardmap.Verdict) bool
-	way     func(webhook.Micros) webhook.Micros
+	way     func(api.Micros) api.Micros
 	takes   func([]shardmap.Takeover) []shardmap.Takeover
-	settles func(h *held, e *EventType, ended bool, now webhook.Micros) bool
+	settles func(h *held, e *EventType, ended bool, now api.Micros) bool
 	early   bool // a webhook is said to be taken before it is in the journal
 }
 
@@ -57,7 +57,7 @@
 	h.deeds = deeds{
 		part:    shardmap.Verdict.Part,
 		calls:   func(v shardmap.Verdict) bool { return v.Calls(false) },
-		way:     func(w webhook.Micros) webhook.Micros { return webhook.Micros(float64(w) * p.Hop) },
+		way:     func(w api.Micros) api.Micros { return api.Micros(float64(w) * p.Hop) },
 		takes:   func(t []shardmap.Takeover) []shardmap.Takeover { return t },
 		settles: mayGoOn,
 	}
@@ -68,7 +68,7 @@
 		h.numbers[name] = int32(i)
 	}
 	for i := range m.dests {
-		h.keys = append(h.keys, cluster.Hash(webhook.DestinationID(i)))
+		h.keys = append(h.keys, cluster.Hash(api.DestinationID(i)))
 	}
 	return h
 }
@@ -142,9 +142,9 @@
 }
 
 // at is the keeper's zone.
-func (h *homes) at() webhook.ZoneID { return 0 }
+func (h *homes) at() api.ZoneID { return 0 }
 
-func (h *homes) way(a, b webhook.ZoneID) webhook.Micros {
+func (h *homes) way(a, b api.ZoneID) api.Micros {
 	return h.deeds.way(h.m.span(a, b, h.chance))
 }
 
@@ -192,7 +192,7 @@
 		case e.kind == evLook:
 			h.look(d)
 		case e.kind == evExpire:
-			d.expire(webhook.WebhookID(uint32(e.b)))
+			d.expire(api.WebhookID(uint32(e.b)))
 		case e.kind == evRenew && h.m.now < d.member.tenure.AskAgainAt():
 			h.renewAgain(d)
 		case e.kind == evRenew:
--- a/emulator/homes_test.go
+++ b/emulator/homes_test.go
@@ -11,7 +11,7 @@
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // homesDay is six dispatchers of which each is home of some of twelve destinations.
@@ -67,8 +67,8 @@
 	require.NoError(t, s.Check())
 	m := emulator.New(s, module)
 	spoil(m)
-	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: webhook.Micros(s.Rules.DrainGrace),
-		AnswerGrace: 3*webhook.Micros(s.Dispatchers.Tick) + webhook.Second/20}
+	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
+		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, f := observe.NewWatch(terms), observe.NewRecorder(terms), observe.NewFleet(terms)
 	l := &log{wants: []seen.What{seen.CallOut, seen.Ended}}
 	w.Join(&m.Bus)
@@ -110,7 +110,7 @@
 			return unless(r.Value > 0.97, "value %.3f", r.Value)
 		}},
 		{"forwarders call too", homesDay(), func(r homesRun) error {
-			callers := map[webhook.DestinationID]int32{}
+			callers := map[api.DestinationID]int32{}
 			for _, e := range r.of(seen.CallOut) {
 				if by, ok := callers[e.Destination]; ok && by != e.Dispatcher {
 					return fmt.Errorf("%d and %d call destination %d", by, e.Dispatcher, e.Destination)
@@ -127,11 +127,11 @@
 			return unless(r.Handed > 1000 && r.Hop50 >= 0.019 && r.Hop99 < 0.2, "hops of %.4f s", r.Hop50)
 		}},
 		{"a lost home stays home", killed, func(r homesRun) error {
-			lost, again := map[webhook.DestinationID]bool{}, map[webhook.DestinationID]bool{}
+			lost, again := map[api.DestinationID]bool{}, map[api.DestinationID]bool{}
 			for _, e := range r.all {
 				lost[e.Destination] = lost[e.Destination] || e.What == seen.CallOut && e.Dispatcher == 1
 				again[e.Destination] = again[e.Destination] || e.End == seen.Delivered && e.What == seen.Ended &&
-					e.At > webhook.Micros(kill.At+2*killed.Homes.Term)
+					e.At > api.Micros(kill.At+2*killed.Homes.Term)
 			}
 			for d, was := range lost {
 				if was && !again[d] {
--- a/emulator/host.go
+++ b/emulator/host.go
@@ -2,14 +2,14 @@
 
 import (
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Now is the model's clock.
-func (d *dispatcher) Now() webhook.Micros { return d.m.now }
+func (d *dispatcher) Now() api.Micros { return d.m.now }
 
 // Attempt makes a delivery attempt, alone or in a call of this turn to the same endpoint that has room.
-func (d *dispatcher) Attempt(id webhook.WebhookID, ep webhook.EndpointID, patience, _ webhook.Micros) {
+func (d *dispatcher) Attempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
 	m, h, i := d.m, d.held[id], indexOf(ep)
 	if h == nil || h.call >= 0 {
 		// Nothing is held under this id, or it is out already: for an observer it is an attempt all the same.
@@ -20,7 +20,7 @@
 	o := &m.origins[h.origin]
 	known := i >= 0 && int(i) < len(m.endpoints) && m.endpoints[i].dest == o.dest
 	if h.ended || !known || !d.serves(h) || h.attempts > m.plan.Dispatchers.Attempts || m.now >= o.ttl {
-		d.put(news{kind: newsOutcome, id: id, ep: ep, what: webhook.NotSent, attempt: h.attempts - 1})
+		d.put(news{kind: newsOutcome, id: id, ep: ep, what: api.NotSent, attempt: h.attempts - 1})
 		return
 	}
 	h.sentAt, h.sentZone = m.now, m.endpoints[i].zone
@@ -37,7 +37,7 @@
 	}
 	if at < 0 {
 		if d.out >= m.plan.Dispatchers.Slots {
-			d.put(news{kind: newsOutcome, id: id, ep: ep, what: webhook.NotSent, attempt: h.attempts - 1})
+			d.put(news{kind: newsOutcome, id: id, ep: ep, what: api.NotSent, attempt: h.attempts - 1})
 			return
 		}
 		d.out++
@@ -55,29 +55,29 @@
 }
 
 // Cancel calls off an attempt that is out.
-func (d *dispatcher) Cancel(id webhook.WebhookID, _ int) {
+func (d *dispatcher) Cancel(id api.WebhookID, _ int) {
 	if h := d.held[id]; h != nil && h.call >= 0 {
 		d.m.cancel(h.call, h)
 	}
 }
 
-func (d *dispatcher) Reject(id webhook.WebhookID, advised webhook.Micros) {
+func (d *dispatcher) Reject(id api.WebhookID, advised api.Micros) {
 	if h := d.held[id]; h != nil && !h.ended {
 		d.m.end(d, h, seen.Rejected, advised)
 	}
 }
 
-func (d *dispatcher) DeadLetter(id webhook.WebhookID) {
+func (d *dispatcher) DeadLetter(id api.WebhookID) {
 	if h := d.held[id]; h != nil && !h.ended {
 		d.m.end(d, h, seen.DeadLettered, 0)
 	}
 }
 
-func (d *dispatcher) Wake(in webhook.Micros, timer webhook.TimerID) {
+func (d *dispatcher) Wake(in api.Micros, timer api.TimerID) {
 	d.m.after(in, event{kind: evWake, a: d.number, b: int32(timer), gen: d.life})
 }
 
-func (d *dispatcher) CloseIdle(ep webhook.EndpointID) {
+func (d *dispatcher) CloseIdle(ep api.EndpointID) {
 	if l := d.links[indexOf(ep)]; l != nil {
 		s := &d.m.servers[d.m.endpoints[indexOf(ep)].server]
 		if l.epoch == s.epoch {
--- a/emulator/kill.go
+++ b/emulator/kill.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // kill ends a dispatcher outright. With its journal, all that is not over is its own again at the next start;
@@ -79,7 +79,7 @@
 			m.after(m.plan.Clients.Notice.us(), event{kind: evHandIn, a: h.origin})
 		}
 	}
-	d.held, d.inbox, d.module = map[webhook.WebhookID]*held{}, nil, nil
+	d.held, d.inbox, d.module = map[api.WebhookID]*held{}, nil, nil
 	m.after(t.For.us(), event{kind: evStart, a: d.number})
 }
 
--- a/emulator/lists.go
+++ b/emulator/lists.go
@@ -4,20 +4,20 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // news is what waits for the next turn.
 type news struct {
 	kind    uint8
-	id      webhook.WebhookID
-	ep      webhook.EndpointID
-	what    webhook.Outcome
+	id      api.WebhookID
+	ep      api.EndpointID
+	what    api.Outcome
 	attempt int
-	took    webhook.Micros
-	wait    webhook.Micros
-	timer   webhook.TimerID
-	list    []webhook.Entry
+	took    api.Micros
+	wait    api.Micros
+	timer   api.TimerID
+	list    []api.Entry
 	whole   bool
 	offer   int32 // by which a webhook was sent here, or none
 }
@@ -35,7 +35,7 @@
 func (d *dispatcher) listed(n news) {
 	if d.m.Bus.Listened(seen.Told) {
 		for _, e := range n.list {
-			if e.Standing != webhook.Listed || !n.whole {
+			if e.Standing != api.Listed || !n.whole {
 				d.m.Bus.Emit(seen.Event{At: d.m.now, What: seen.Told, Dispatcher: d.number, Endpoint: e.Endpoint,
 					Destination: e.Destination, Standing: e.Standing})
 			}
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -5,17 +5,17 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // loads sums what came within a span of time.
 type loads struct {
-	at  []webhook.Micros
+	at  []api.Micros
 	of  []float64
 	sum float64
 }
 
-func (l *loads) add(at, span webhook.Micros, of float64) float64 {
+func (l *loads) add(at, span api.Micros, of float64) float64 {
 	l.at, l.of, l.sum = append(l.at, at), append(l.of, of), l.sum+of
 	n := 0
 	for n < len(l.at) && l.at[n] <= at-span {
@@ -96,7 +96,7 @@
 }
 
 // served is how long a call of so many webhooks keeps a server.
-func (m *Model) served(s *server, k *Kind, webhooks int) webhook.Micros {
+func (m *Model) served(s *server, k *Kind, webhooks int) api.Micros {
 	t := float64(k.Answer) * (1 + k.ItemCost*float64(webhooks-1))
 	if k.Spread > 0 { // log-normal with the mean and the spread given
 		v := math.Log(1 + k.Spread*k.Spread)
@@ -105,5 +105,5 @@
 	for _, by := range s.slow {
 		t *= by
 	}
-	return max(webhook.Micros(t), 1)
+	return max(api.Micros(t), 1)
 }
--- a/emulator/member.go
+++ b/emulator/member.go
@@ -7,7 +7,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/shardmap"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // fellow is a dispatcher's part in a fleet with homes.
@@ -16,15 +16,15 @@
 	tenure  *lease.Tenure
 	life    lease.Incarnation
 	chart   *shardmap.Map // nil: not heard of yet
-	over    webhook.Micros
+	over    api.Micros
 	parts   []float64 // of each destination's rate, as the module was told
-	parked  map[webhook.WebhookID]*held
-	known   map[webhook.WebhookID]hand // by its folder: outlasts its process
-	out     map[int32]bool             // offers whose clients wait
-	says    []int32                    // offers taken in this turn
-	folder  uint32                     // counts the folders that it lost
+	parked  map[api.WebhookID]*held
+	known   map[api.WebhookID]hand // by its folder: outlasts its process
+	out     map[int32]bool         // offers whose clients wait
+	says    []int32                // offers taken in this turn
+	folder  uint32                 // counts the folders that it lost
 	looks   bool
-	renewAt webhook.Micros
+	renewAt api.Micros
 
 	mine []shardmap.Range // of the map of version read
 	read cluster.Version
@@ -45,8 +45,8 @@
 	p := &h.m.plan.Homes
 	d.member = &fellow{name: h.members[d.number].Member, life: 1, over: h.m.now,
 		tenure: lease.NewTenure(p.Term.us(), p.Apart),
-		parts:  make([]float64, len(h.m.dests)), parked: map[webhook.WebhookID]*held{},
-		known: map[webhook.WebhookID]hand{}, out: map[int32]bool{}}
+		parts:  make([]float64, len(h.m.dests)), parked: map[api.WebhookID]*held{},
+		known: map[api.WebhookID]hand{}, out: map[int32]bool{}}
 	if was != nil {
 		d.member.life, d.member.known, d.member.folder = was.life+1, was.known, was.folder
 	}
@@ -70,7 +70,7 @@
 }
 
 // verdict is what this dispatcher does with webhooks of a destination, now.
-func (d *dispatcher) verdict(dest webhook.DestinationID) shardmap.Verdict {
+func (d *dispatcher) verdict(dest api.DestinationID) shardmap.Verdict {
 	if d.member.chart == nil {
 		return shardmap.Verdict{Do: shardmap.Keep}
 	}
@@ -86,13 +86,13 @@
 }
 
 // setParts notes what part of each rate is this dispatcher's, and tells of which that is new.
-func (d *dispatcher) setParts() (changed map[webhook.DestinationID]bool) {
+func (d *dispatcher) setParts() (changed map[api.DestinationID]bool) {
 	b := d.member
 	for i := range b.parts {
-		dest := webhook.DestinationID(i)
+		dest := api.DestinationID(i)
 		if part := d.m.homes.deeds.part(d.verdict(dest), len(d.m.dispatchers)); part != b.parts[i] {
 			if b.parts[i] = part; changed == nil {
-				changed = map[webhook.DestinationID]bool{}
+				changed = map[api.DestinationID]bool{}
 			}
 			changed[dest] = true
 		}
@@ -101,7 +101,7 @@
 }
 
 // parted is a list with the rates of which an even part is this dispatcher's.
-func (d *dispatcher) parted(list []webhook.Entry) []webhook.Entry {
+func (d *dispatcher) parted(list []api.Entry) []api.Entry {
 	if d.member == nil {
 		return list
 	}
@@ -130,10 +130,10 @@
 		d.unsure()
 	}
 	if changed := d.setParts(); changed != nil {
-		var anew []webhook.Entry
+		var anew []api.Entry
 		for i := range m.endpoints {
 			if e := &m.endpoints[i]; changed[e.dest] && !e.gone && !e.drains {
-				anew = append(anew, m.entry(int32(i), webhook.Listed))
+				anew = append(anew, m.entry(int32(i), api.Listed))
 			}
 		}
 		d.module.Endpoints(d.parted(anew), false)
@@ -164,7 +164,7 @@
 }
 
 // expire ends a parked webhook in time: nobody else does.
-func (d *dispatcher) expire(id webhook.WebhookID) {
+func (d *dispatcher) expire(id api.WebhookID) {
 	h := d.member.parked[id]
 	switch {
 	case h == nil:
@@ -206,7 +206,7 @@
 		}
 	}
 	if !t.Journal && t.Kind != "restart" {
-		b.known = map[webhook.WebhookID]hand{}
+		b.known = map[api.WebhookID]hand{}
 		b.folder++
 	}
 	for _, w := range d.held {
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -6,11 +6,11 @@
 
 	"rowanlink/emulator/seen"
 	"rowanlink/internal/due"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Starter makes a dispatcher's decision module.
-type Starter func(webhook.Facts, webhook.Host) webhook.Module
+type Starter func(api.Facts, api.Host) api.Module
 
 // Model is one run in progress.
 type Model struct {
@@ -23,7 +23,7 @@
 
 	plan  *Scenario
 	start Starter
-	now   webhook.Micros
+	now   api.Micros
 	queue due.Times[event]
 
 	chance   *rand.Rand // ways, answer times, refusals: drawn in the order of events
@@ -35,21 +35,21 @@
 	endpoints []endpoint
 	servers   []server
 	weights   []float64
-	base      []webhook.Entry
+	base      []api.Entry
 	changes   []change
 
 	dispatchers []dispatcher
 	calls       []call
 	free        []int32
 	origins     []origin
-	lastID      webhook.WebhookID
+	lastID      api.WebhookID
 	open        int // origins that may still come to something
 
 	events, tenants []float64 // cumulative shares
 	bursts          []float64
 	hot             []hot
 	sway            float64 // bursty: the factor that holds now
-	swayUntil       webhook.Micros
+	swayUntil       api.Micros
 
 	homes *homes // nil: each dispatcher has an even part of each rate
 
@@ -59,7 +59,7 @@
 
 type hot struct {
 	share   float64
-	to      []webhook.DestinationID
+	to      []api.DestinationID
 	trouble int32
 }
 
@@ -128,10 +128,10 @@
 }
 
 // after puts an event in so much later.
-func (m *Model) after(span webhook.Micros, e event) { m.queue.Add(int64(m.now+span), e) }
+func (m *Model) after(span api.Micros, e event) { m.queue.Add(int64(m.now+span), e) }
 
 // Run plays the scenario to its end and returns how long that was in simulated time.
-func (m *Model) Run() webhook.Micros {
+func (m *Model) Run() api.Micros {
 	m.dispatchers = make([]dispatcher, m.plan.Dispatchers.Count)
 	for i := range m.dispatchers {
 		m.dispatchers[i] = dispatcher{
@@ -154,19 +154,19 @@
 		m.queue.Add(int64(m.plan.Troubles[i].At), event{kind: evBegin, a: int32(i)})
 	}
 	m.after(m.gap(), event{kind: evArrive})
-	longest := webhook.Micros(0)
+	longest := api.Micros(0)
 	for i := range m.plan.Events {
 		longest = max(longest, m.plan.Events[i].TTL.us())
 	}
 	length := m.plan.Length.us()
-	last := length + 2*longest + 10*webhook.Second
+	last := length + 2*longest + 10*api.Second
 	for {
 		at, ok := m.queue.Next()
-		if !ok || webhook.Micros(at) > last || webhook.Micros(at) > length && m.open == 0 {
+		if !ok || api.Micros(at) > last || api.Micros(at) > length && m.open == 0 {
 			return m.now
 		}
 		e, _ := m.queue.Take(at)
-		m.now = webhook.Micros(at)
+		m.now = api.Micros(at)
 		m.Events++
 		m.Peak = max(m.Peak, m.queue.Len())
 		m.handle(e)
--- a/emulator/observe/claims.go
+++ b/emulator/observe/claims.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const (
@@ -29,7 +29,7 @@
 }
 
 type pause struct {
-	at  webhook.Micros
+	at  api.Micros
 	try int
 	on  *health
 	row int // failures in a row there when it began
@@ -38,7 +38,7 @@
 // health is a route as a dispatcher's outcomes show it.
 type health struct {
 	row         int
-	okAt, illAt webhook.Micros
+	okAt, illAt api.Micros
 }
 
 func newPauses(t Terms) pauses {
@@ -47,27 +47,27 @@
 
 var pausesWant = []seen.What{seen.Heard, seen.Sent, seen.Ended}
 
-func (p *pauses) see(e *seen.Event) (try int, long webhook.Micros, ok bool) {
+func (p *pauses) see(e *seen.Event) (try int, long api.Micros, ok bool) {
 	k := stayOf(e)
 	switch e.What {
 	case seen.Heard:
 		h := p.of[toRouteOf(e)]
 		if h == nil {
-			h = &health{okAt: webhook.Never, illAt: webhook.Never}
+			h = &health{okAt: api.Never, illAt: api.Never}
 			p.of[toRouteOf(e)] = h
 		}
 		switch {
-		case e.Outcome == webhook.Delivered:
+		case e.Outcome == api.Delivered:
 			h.row, h.okAt = 0, e.At
 			return
-		case e.Outcome == webhook.NotSent:
+		case e.Outcome == api.NotSent:
 			return
 		}
 		if h.row++; h.row >= sickFrom || e.Wait > 0 {
 			h.illAt = e.At
 		}
-		ill := h.illAt != webhook.Never && e.At-h.illAt < 2*p.t.WarmAfter
-		if !ill && h.okAt != webhook.Never && e.At-h.okAt < p.t.TipAfter {
+		ill := h.illAt != api.Never && e.At-h.illAt < 2*p.t.WarmAfter
+		if !ill && h.okAt != api.Never && e.At-h.okAt < p.t.TipAfter {
 			p.heard[k] = pause{e.At, e.Attempt, h, h.row}
 		}
 	case seen.Sent:
@@ -184,9 +184,9 @@
 		}
 	case seen.Heard:
 		switch e.Outcome {
-		case webhook.Delivered:
+		case api.Delivered:
 			delete(o.fails, k)
-		case webhook.NotSent:
+		case api.NotSent:
 		default:
 			o.fails[k]++
 		}
--- a/emulator/observe/failback.go
+++ b/emulator/observe/failback.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // failback: a route back from an outage is not pushed over by those who had seen it fail.
@@ -17,7 +17,7 @@
 // returning is a route that is out, or has been back for less than its time to warm.
 type returning struct {
 	out     bool
-	at      webhook.Micros
+	at      api.Micros
 	perS    float64
 	learned map[int32]bool
 	came    []arrival
@@ -26,7 +26,7 @@
 }
 
 type arrival struct {
-	at     webhook.Micros
+	at     api.Micros
 	weight float64
 	knew   bool
 }
@@ -51,7 +51,7 @@
 		return
 	}
 	if e.What == seen.Heard {
-		if r.out && e.Outcome != webhook.Delivered && e.Outcome != webhook.NotSent {
+		if r.out && e.Outcome != api.Delivered && e.Outcome != api.NotSent {
 			r.learned[e.Dispatcher] = true
 		}
 		return
@@ -88,4 +88,4 @@
 	}
 }
 
-func (o *failback) close(webhook.Micros) {}
+func (o *failback) close(api.Micros) {}
--- a/emulator/observe/fleet.go
+++ b/emulator/observe/fleet.go
@@ -6,7 +6,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Fleet measures how many dispatchers act as one: what destinations are sent while they are out and just
@@ -14,9 +14,9 @@
 type Fleet struct {
 	t      Terms
 	routes map[seen.Route]*outage
-	ends   map[webhook.DestinationID]*pulse
-	killed webhook.Micros
-	came   map[seen.Origin]webhook.Micros
+	ends   map[api.DestinationID]*pulse
+	killed api.Micros
+	came   map[seen.Origin]api.Micros
 	hops   *hdr.Histogram
 	sum    Together
 	loads  float64
@@ -40,7 +40,7 @@
 
 type outage struct {
 	out     bool
-	backAt  webhook.Micros
+	backAt  api.Micros
 	perS    float64
 	sent    float64
 	calls   int
@@ -51,7 +51,7 @@
 type pulse struct {
 	beats  int  // before the kill
 	waits  bool // none since
-	killed webhook.Micros
+	killed api.Micros
 }
 
 // busy is from how many deliveries a second on a destination's silence is told from its being idle.
@@ -59,8 +59,8 @@
 
 // NewFleet starts with nothing seen.
 func NewFleet(t Terms) *Fleet {
-	return &Fleet{t: t, routes: map[seen.Route]*outage{}, ends: map[webhook.DestinationID]*pulse{},
-		came: map[seen.Origin]webhook.Micros{}, hops: newLatency(), killed: webhook.Never}
+	return &Fleet{t: t, routes: map[seen.Route]*outage{}, ends: map[api.DestinationID]*pulse{},
+		came: map[seen.Origin]api.Micros{}, hops: newLatency(), killed: api.Never}
 }
 
 func (f *Fleet) Wants() []seen.What {
@@ -117,7 +117,7 @@
 		p = &pulse{}
 		f.ends[e.Destination] = p
 	}
-	if f.killed == webhook.Never {
+	if f.killed == api.Never {
 		p.beats++
 	}
 	if p.waits {
--- a/emulator/observe/observe_test.go
+++ b/emulator/observe/observe_test.go
@@ -6,29 +6,29 @@
 	"github.com/stretchr/testify/assert"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func watch() (*Watch, *seen.Bus) {
 	w, b := NewWatch(
-		Terms{Facts: webhook.Facts{Slots: 8, TurnGap: webhook.Second, EventTypes: []webhook.EventType{
+		Terms{Facts: api.Facts{Slots: 8, TurnGap: api.Second, EventTypes: []api.EventType{
 			{
-				TTL: 20 * webhook.Second,
-			}, {TTL: 20 * webhook.Second, Repeat: webhook.Tokened, TokenWindow: 5 * webhook.Second,
-				TokenByZone: true}, {TTL: 20 * webhook.Second, Ordered: true}}}, AnswerGrace: 100},
+				TTL: 20 * api.Second,
+			}, {TTL: 20 * api.Second, Repeat: api.Tokened, TokenWindow: 5 * api.Second,
+				TokenByZone: true}, {TTL: 20 * api.Second, Ordered: true}}}, AnswerGrace: 100},
 	), &seen.Bus{}
 	w.Join(b)
 	return w, b
 }
 
 func TestASendInTheMicrosecondInWhichAToldWaitEndsIsInTime(t *testing.T) {
-	const told, long = 100 * webhook.Second, webhook.Second / 2
-	for early, broken := range map[webhook.Micros]int{0: 0, 1: 1} {
+	const told, long = 100 * api.Second, api.Second / 2
+	for early, broken := range map[api.Micros]int{0: 0, 1: 1} {
 		w, b := watch()
-		b.Emit(seen.Event{At: told, What: seen.Taken, Webhook: 1, TTL: told + webhook.Second})
-		b.Emit(seen.Event{At: told, What: seen.Heard, Webhook: 2, Outcome: webhook.Full, Wait: long})
+		b.Emit(seen.Event{At: told, What: seen.Taken, Webhook: 1, TTL: told + api.Second})
+		b.Emit(seen.Event{At: told, What: seen.Heard, Webhook: 2, Outcome: api.Full, Wait: long})
 		b.Emit(
-			seen.Event{At: told, What: seen.Heard, Webhook: 3, Outcome: webhook.Full, Wait: 10},
+			seen.Event{At: told, What: seen.Heard, Webhook: 3, Outcome: api.Full, Wait: 10},
 		) // the longest holds
 		b.Emit(seen.Event{At: told + long - early, What: seen.Sent, Webhook: 1, Endpoint: 1})
 		assert.Equal(t, broken, w.Broken["wait"])
@@ -37,8 +37,8 @@
 
 func TestABreachNamesTheWebhooksLastEvents(t *testing.T) {
 	w, b := watch()
-	one := seen.Event{At: 1, Webhook: 7, Dispatcher: 3, Destination: 5, Type: 1, TTL: 20 * webhook.Second}
-	step := func(at webhook.Micros, what seen.What, change func(*seen.Event)) {
+	one := seen.Event{At: 1, Webhook: 7, Dispatcher: 3, Destination: 5, Type: 1, TTL: 20 * api.Second}
+	step := func(at api.Micros, what seen.What, change func(*seen.Event)) {
 		e := one
 		e.At, e.What = at, what
 		if change != nil {
@@ -48,32 +48,32 @@
 	}
 	step(1, seen.Taken, nil)
 	step(2, seen.Sent, nil)
-	step(3, seen.Heard, func(e *seen.Event) { e.Outcome = webhook.TimedOut })
+	step(3, seen.Heard, func(e *seen.Event) { e.Outcome = api.TimedOut })
 	step(4, seen.Sent, func(e *seen.Event) { e.Attempt, e.Zone = 1, 1 })
 	step(5, seen.Ended, func(e *seen.Event) { e.End = seen.Rejected })
 	step(6, seen.Ended, func(e *seen.Event) { e.End = seen.DeadLettered })
 	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, w.Broken)
 	zone := w.Breaches[0]
 	assert.Equal(t, "tokened by zone, sent to another zone", zone.Text)
-	assert.Equal(t, webhook.WebhookID(7), zone.Webhook)
+	assert.Equal(t, api.WebhookID(7), zone.Webhook)
 	assert.Equal(t, int32(3), zone.Dispatcher)
-	assert.Equal(t, webhook.DestinationID(5), zone.Destination)
+	assert.Equal(t, api.DestinationID(5), zone.Destination)
 	assert.Len(t, zone.Last, 4)
 	assert.Contains(t, zone.String(), "0.000003s heard dispatcher 3 attempt 0: timed out")
 }
 
 func TestOrderAsksForARestAfterWhatMayStillRun(t *testing.T) {
-	for after, broken := range map[webhook.Micros]int{webhook.Second - 1: 1, webhook.Second: 0} {
+	for after, broken := range map[api.Micros]int{api.Second - 1: 1, api.Second: 0} {
 		w, b := watch()
-		e := seen.Event{At: 1, Type: 2, Key: 9, TTL: 20 * webhook.Second}
-		send := func(at webhook.Micros, id webhook.WebhookID, what seen.What, out webhook.Outcome, end seen.End) {
+		e := seen.Event{At: 1, Type: 2, Key: 9, TTL: 20 * api.Second}
+		send := func(at api.Micros, id api.WebhookID, what seen.What, out api.Outcome, end seen.End) {
 			e.At, e.Webhook, e.What, e.Outcome, e.End = at, id, what, out, end
 			b.Emit(e)
 		}
 		send(1, 1, seen.Taken, 0, 0)
 		send(1, 2, seen.Taken, 0, 0)
 		send(2, 1, seen.Sent, 0, 0)
-		send(3, 1, seen.Heard, webhook.Reset, 0)
+		send(3, 1, seen.Heard, api.Reset, 0)
 		send(3, 1, seen.Ended, 0, seen.DeadLettered)
 		send(3+after, 2, seen.Sent, 0, 0)
 		assert.Equal(t, broken, w.Broken["order"])
--- a/emulator/observe/order.go
+++ b/emulator/observe/order.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // order: webhooks of ordered event types that share a key go one at a time, in the order taken, with a rest
@@ -18,16 +18,16 @@
 
 type line struct {
 	d   int32
-	key webhook.Key
+	key api.Key
 }
 
 type queue struct {
 	in     []*ordered
-	restTo webhook.Micros
+	restTo api.Micros
 }
 
 type ordered struct {
-	id          webhook.WebhookID
+	id          api.WebhookID
 	out, over   bool
 	sentAlready bool
 }
@@ -56,7 +56,7 @@
 	at := line{e.Dispatcher, e.Key}
 	q := o.lines[at]
 	if q == nil {
-		q = &queue{restTo: webhook.Never}
+		q = &queue{restTo: api.Never}
 		o.lines[at] = q
 	}
 	w := o.of[stayOf(e)]
@@ -90,4 +90,4 @@
 	}
 }
 
-func (o *order) close(webhook.Micros) {}
+func (o *order) close(api.Micros) {}
--- a/emulator/observe/recorder.go
+++ b/emulator/observe/recorder.go
@@ -6,7 +6,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Recorder counts what happened, for a summary and tables by second, by destination and of cold returns.
@@ -14,7 +14,7 @@
 	t       Terms
 	origins []fate
 	seconds []Second
-	dests   map[webhook.DestinationID]*Destination
+	dests   map[api.DestinationID]*Destination
 	out     outs
 	outNow  int
 	sum     Summary
@@ -24,9 +24,9 @@
 
 // fate is what became of a webhook as its client knows it.
 type fate struct {
-	cameAt, endAt webhook.Micros
-	dest          webhook.DestinationID
-	evt           webhook.EventTypeID
+	cameAt, endAt api.Micros
+	dest          api.DestinationID
+	evt           api.EventTypeID
 	how           verdict
 }
 
@@ -42,7 +42,7 @@
 
 // NewRecorder starts with nothing counted.
 func NewRecorder(t Terms) *Recorder {
-	return &Recorder{t: t, dests: map[webhook.DestinationID]*Destination{}, out: outs{},
+	return &Recorder{t: t, dests: map[api.DestinationID]*Destination{}, out: outs{},
 		cold: map[seen.Route]*returning{}}
 }
 
@@ -51,14 +51,14 @@
 		seen.CallBack, seen.Connected, seen.Reached, seen.Refused, seen.OutageStart, seen.OutageOver, seen.Fell}
 }
 
-func (r *Recorder) second(at webhook.Micros) *Second {
-	for n := int(at / webhook.Second); len(r.seconds) <= n; {
+func (r *Recorder) second(at api.Micros) *Second {
+	for n := int(at / api.Second); len(r.seconds) <= n; {
 		r.seconds = append(r.seconds, Second{Out: r.outNow})
 	}
 	return &r.seconds[at/webhook.Second]
 }
 
-func (r *Recorder) dest(id webhook.DestinationID) *Destination {
+func (r *Recorder) dest(id api.DestinationID) *Destination {
 	d := r.dests[id]
 	if d == nil {
 		d = &Destination{ID: id}
@@ -71,7 +71,7 @@
 	switch e.What {
 	case seen.Offered:
 		for len(r.origins) <= int(e.Origin) {
-			r.origins = append(r.origins, fate{cameAt: webhook.Never})
+			r.origins = append(r.origins, fate{cameAt: api.Never})
 		}
 		r.origins[e.Origin] = fate{cameAt: e.At, dest: e.Destination, evt: e.Type}
 	case seen.TurnedAway:
@@ -123,7 +123,7 @@
 		delete(r.cold, e.Route)
 		return
 	}
-	n := int(e.At / webhook.Second)
+	n := int(e.At / api.Second)
 	at := slices.IndexFunc(r.loads, func(l ColdLoad) bool { return l.Second == n && l.Route == e.Route })
 	if at < 0 {
 		share := r.t.StartCapacity + (1-r.t.StartCapacity)*float64(e.At-c.at)/float64(r.t.WarmAfter)
@@ -134,7 +134,7 @@
 	r.loads[at].Came += e.Weight
 }
 
-func (f *fate) settle(how verdict, at webhook.Micros) {
+func (f *fate) settle(how verdict, at api.Micros) {
 	if how > f.how {
 		f.how, f.endAt = how, at
 	}
@@ -146,7 +146,7 @@
 	asked, earned := 0.0, 0.0
 	for i := range r.origins {
 		f := &r.origins[i]
-		if f.cameAt == webhook.Never {
+		if f.cameAt == api.Never {
 			continue
 		}
 		row, d := r.t.EventTypes[f.evt], r.dest(f.dest)
@@ -205,10 +205,10 @@
 // Latencies are kept in steps of 0.1 ms up to a day, to two digits.
 const latencyStep = 100
 
-func newLatency() *hdr.Histogram { return hdr.New(1, 24*3600*int64(webhook.Second)/latencyStep, 2) }
+func newLatency() *hdr.Histogram { return hdr.New(1, 24*3600*int64(api.Second)/latencyStep, 2) }
 
-func note(h *hdr.Histogram, t webhook.Micros) { _ = h.RecordValue(max(int64(t)/latencyStep, 1)) }
+func note(h *hdr.Histogram, t api.Micros) { _ = h.RecordValue(max(int64(t)/latencyStep, 1)) }
 
-func at(h *hdr.Histogram, percentile float64) webhook.Micros {
-	return webhook.Micros(h.ValueAtQuantile(percentile)) * latencyStep
+func at(h *hdr.Histogram, percentile float64) api.Micros {
+	return api.Micros(h.ValueAtQuantile(percentile)) * latencyStep
 }
--- a/emulator/observe/rules.go
+++ b/emulator/observe/rules.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // lost: every webhook that was taken on ends once, in time, and no attempt follows its end.
@@ -14,13 +14,13 @@
 	t     Terms
 	open  map[stay]*due
 	ended map[stay]bool
-	at    map[int32]webhook.Micros // dispatchers down or standing still: until then nothing of theirs is late
+	at    map[int32]api.Micros // dispatchers down or standing still: until then nothing of theirs is late
 	order []stay
 	homes fromHomes
 }
 
 type due struct {
-	by webhook.Micros
+	by api.Micros
 	e  seen.Event
 }
 
@@ -44,7 +44,7 @@
 		}
 	case seen.Killed, seen.Froze:
 		if o.at == nil {
-			o.at = map[int32]webhook.Micros{}
+			o.at = map[int32]api.Micros{}
 		}
 		until := e.Span
 		if e.What == seen.Froze {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (o *lost) close(at webhook.Micros) {
+func (o *lost) close(at api.Micros) {
 	var never []*due
 	for _, d := range o.open {
 		if at > max(d.by, o.at[d.e.Dispatcher]) {
@@ -102,16 +102,16 @@
 type twice struct {
 	teller
 	t  Terms
-	of map[webhook.WebhookID]*tries // whoever has it
+	of map[api.WebhookID]*tries // whoever has it
 }
 
 type tries struct {
 	shared bool // two dispatchers may have it
 	out    bool
-	sentAt webhook.Micros
-	zone   webhook.ZoneID
-	mayRun webhook.Micros
-	ranIn  webhook.ZoneID
+	sentAt api.Micros
+	zone   api.ZoneID
+	mayRun api.Micros
+	ranIn  api.ZoneID
 }
 
 func (o *twice) Wants() []seen.What {
@@ -125,42 +125,42 @@
 		if e.What != seen.Taken && e.What != seen.Resumed {
 			return
 		}
-		w = &tries{mayRun: webhook.Never}
+		w = &tries{mayRun: api.Never}
 		o.of[k] = w
 	}
 	switch e.What {
 	case seen.Resumed, seen.Handed: // what was out may have run
 		w.shared = w.shared || e.What == seen.Handed
-		if w.out && w.mayRun == webhook.Never {
+		if w.out && w.mayRun == api.Never {
 			w.mayRun, w.ranIn = w.sentAt, w.zone
 		}
 		w.out = false
 	case seen.Sent:
-		ran := w.mayRun != webhook.Never
+		ran := w.mayRun != api.Never
 		switch {
 		case w.out:
 			o.breach(e, "sent while another attempt is out")
 		case !ran:
-		case row.Repeat == webhook.AtMostOnce:
+		case row.Repeat == api.AtMostOnce:
 			o.breach(e, "at-most-once, sent again though it may have run at %.6fs", w.mayRun.Seconds())
-		case row.Repeat == webhook.Tokened && e.At > w.mayRun+row.TokenWindow:
+		case row.Repeat == api.Tokened && e.At > w.mayRun+row.TokenWindow:
 			o.breach(
 				e,
 				"tokened, sent again outside its window, %.3f s after it may have run",
 				(e.At - w.mayRun).Seconds(),
 			)
-		case row.Repeat == webhook.Tokened && row.TokenByZone && e.Zone != w.ranIn:
+		case row.Repeat == api.Tokened && row.TokenByZone && e.Zone != w.ranIn:
 			o.breach(e, "tokened by zone, sent to another zone")
 		}
 		w.out, w.sentAt, w.zone = true, e.At, e.Zone
 	case seen.Heard:
 		w.out = false
-		if !e.Outcome.NeverRan() && w.mayRun == webhook.Never {
+		if !e.Outcome.NeverRan() && w.mayRun == api.Never {
 			w.mayRun, w.ranIn = w.sentAt, w.zone
 		}
 	case seen.Ended:
-		mayRun := w.out || w.mayRun != webhook.Never
-		if e.End == seen.Rejected && mayRun && row.Repeat != webhook.Idempotent {
+		mayRun := w.out || w.mayRun != api.Never
+		if e.End == seen.Rejected && mayRun && row.Repeat != api.Idempotent {
 			o.breach(e, "rejected as harmless though it may have run")
 		}
 		if !w.out && !w.shared {
@@ -169,18 +169,18 @@
 	}
 }
 
-func (o *twice) close(webhook.Micros) {}
+func (o *twice) close(api.Micros) {}
 
 // drain: nothing new goes to an endpoint later than the grace after its dispatcher heard that it drains.
 type drain struct {
 	teller
 	t    Terms
-	told map[told]webhook.Micros
+	told map[told]api.Micros
 }
 
 type told struct {
 	d  int32
-	ep webhook.EndpointID
+	ep api.EndpointID
 }
 
 func (o *drain) Wants() []seen.What { return []seen.What{seen.Told, seen.Sent} }
@@ -189,7 +189,7 @@
 	k := told{e.Dispatcher, e.Endpoint}
 	at, known := o.told[k]
 	switch {
-	case e.What == seen.Told && e.Standing == webhook.Listed:
+	case e.What == seen.Told && e.Standing == api.Listed:
 		delete(o.told, k)
 	case e.What == seen.Told && !known:
 		o.told[k] = e.At
@@ -198,13 +198,13 @@
 	}
 }
 
-func (o *drain) close(webhook.Micros) {}
+func (o *drain) close(api.Micros) {}
 
 // wait: a dispatcher that was told to wait sends nothing there before the wait is over. It may send in the
 // very microsecond in which it ends.
 type wait struct {
 	teller
-	until map[toRoute]webhook.Micros
+	until map[toRoute]api.Micros
 }
 
 func (o *wait) Wants() []seen.What { return []seen.What{seen.Heard, seen.Sent, seen.Killed} }
@@ -229,4 +229,4 @@
 	}
 }
 
-func (o *wait) close(webhook.Micros) {}
+func (o *wait) close(api.Micros) {}
--- a/emulator/observe/tables.go
+++ b/emulator/observe/tables.go
@@ -10,7 +10,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Second is what happened within one, by the moment of each thing; what became of webhooks by that of its
@@ -18,13 +18,13 @@
 type Second struct {
 	Offered, InTime, Late, Rejected, DeadLettered, Died int
 	Calls, Refused, Connected, Out                      int // Out: calls out, at most
-	P50, P99                                            webhook.Micros
+	P50, P99                                            api.Micros
 	latency                                             *hdr.Histogram
 }
 
 // Destination is what happened at one.
 type Destination struct {
-	ID                                                  webhook.DestinationID
+	ID                                                  api.DestinationID
 	Offered, InTime, Late, Rejected, DeadLettered, Died int
 	Calls, Refused, Out                                 int // Out: calls of one dispatcher out there, at most
 }
@@ -32,7 +32,7 @@
 // ColdLoad is what reached a route within a second while it was cold, against what it may be sent then.
 type ColdLoad struct {
 	Second      int
-	Destination webhook.DestinationID
+	Destination api.DestinationID
 	Route       seen.Route
 	Came, Limit float64
 }
--- a/emulator/observe/watch.go
+++ b/emulator/observe/watch.go
@@ -8,25 +8,25 @@
 	"math"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Terms are the figures that the rules are told in.
 type Terms struct {
-	webhook.Facts
-	DrainGrace  webhook.Micros
-	AnswerGrace webhook.Micros // past a webhook's TTL until its end is late
+	api.Facts
+	DrainGrace  api.Micros
+	AnswerGrace api.Micros // past a webhook's TTL until its end is late
 }
 
 // Breach is a broken rule: where, when, and the last events of the webhook concerned.
 type Breach struct {
-	Rule        string                `json:"rule"`
-	At          webhook.Micros        `json:"at_us"`
-	Dispatcher  int32                 `json:"dispatcher"`
-	Webhook     webhook.WebhookID     `json:"webhook"`
-	Destination webhook.DestinationID `json:"destination"`
-	Text        string                `json:"text"`
-	Last        []string              `json:"last,omitempty"`
+	Rule        string            `json:"rule"`
+	At          api.Micros        `json:"at_us"`
+	Dispatcher  int32             `json:"dispatcher"`
+	Webhook     api.WebhookID     `json:"webhook"`
+	Destination api.DestinationID `json:"destination"`
+	Text        string            `json:"text"`
+	Last        []string          `json:"last,omitempty"`
 }
 
 func (b Breach) String() string {
@@ -55,7 +55,7 @@
 
 type rule interface {
 	seen.Observer
-	close(at webhook.Micros)
+	close(at api.Micros)
 }
 
 // Claim is one of the design's claims, as seen from outside.
@@ -76,15 +76,15 @@
 
 // NewWatch makes observers that hold a run to the terms.
 func NewWatch(t Terms) *Watch {
-	w := &Watch{Broken: map[string]int{}, history: history{events: map[webhook.WebhookID][]seen.Event{}}}
+	w := &Watch{Broken: map[string]int{}, history: history{events: map[api.WebhookID][]seen.Event{}}}
 	tell := func(rule string) teller { return teller{w, rule} }
 	w.rules = []rule{
 		&lost{teller: tell("lost"), t: t, open: map[stay]*due{}, ended: map[stay]bool{}},
-		&twice{teller: tell("twice"), t: t, of: map[webhook.WebhookID]*tries{}},
-		&drain{teller: tell("drain"), t: t, told: map[told]webhook.Micros{}},
+		&twice{teller: tell("twice"), t: t, of: map[api.WebhookID]*tries{}},
+		&drain{teller: tell("drain"), t: t, told: map[told]api.Micros{}},
 		&failback{teller: tell("failback"), t: t, routes: map[seen.Route]*returning{}},
 		&order{teller: tell("order"), t: t, lines: map[line]*queue{}, of: map[stay]*ordered{}},
-		&wait{teller: tell("wait"), until: map[toRoute]webhook.Micros{}},
+		&wait{teller: tell("wait"), until: map[toRoute]api.Micros{}},
 	}
 	w.claims = []claim{
 		&backoff{pauses: newPauses(t)},
@@ -107,7 +107,7 @@
 }
 
 // Close ends the watch: what is still owed then is lost.
-func (w *Watch) Close(at webhook.Micros) {
+func (w *Watch) Close(at api.Micros) {
 	for _, r := range w.rules {
 		r.close(at)
 	}
@@ -124,7 +124,7 @@
 // stay is a webhook's stay at a dispatcher, which outlasts the dispatcher's process where its folder does.
 type stay struct {
 	d  int32
-	id webhook.WebhookID
+	id api.WebhookID
 }
 
 type toRoute struct {
@@ -156,8 +156,8 @@
 
 // history keeps the last events of each webhook, and those of one that is over for a while.
 type history struct {
-	events map[webhook.WebhookID][]seen.Event
-	ended  []webhook.WebhookID
+	events map[api.WebhookID][]seen.Event
+	ended  []api.WebhookID
 }
 
 func (h *history) Wants() []seen.What {
--- a/emulator/observers_test.go
+++ b/emulator/observers_test.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/emulator"
 	"rowanlink/lab/baseline"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
@@ -24,9 +24,9 @@
 		"lost":  {busy, tampered(nil, func(m *mutant) { m.mute = true })},
 		"twice": {busy, tampered(nil, func(m *mutant) { m.outcome = neverRan })},
 		"drain": {replace, tampered(nil, func(m *mutant) { m.endpoints = allListed })},
-		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(webhook.Key) webhook.Key { return 0 } })},
+		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(api.Key) api.Key { return 0 } })},
 		"wait":  {full, tampered(nil, func(m *mutant) { m.outcome = noWait })},
-		"failback": {hang, func(f webhook.Facts, h webhook.Host) webhook.Module {
+		"failback": {hang, func(f api.Facts, h api.Host) api.Module {
 			return baseline.New(f, h, f.MaxAttempts, baseline.None)
 		}},
 	} {
@@ -53,18 +53,18 @@
 	}
 }
 
-func neverRan(what webhook.Outcome, wait webhook.Micros) (webhook.Outcome, webhook.Micros) {
-	if what == webhook.TimedOut {
-		what = webhook.ConnectFailed
+func neverRan(what api.Outcome, wait api.Micros) (api.Outcome, api.Micros) {
+	if what == api.TimedOut {
+		what = api.ConnectFailed
 	}
 	return what, wait
 }
 
-func noWait(what webhook.Outcome, _ webhook.Micros) (webhook.Outcome, webhook.Micros) { return what, 0 }
+func noWait(what api.Outcome, _ api.Micros) (api.Outcome, api.Micros) { return what, 0 }
 
-func allListed(list []webhook.Entry) (all []webhook.Entry) {
+func allListed(list []api.Entry) (all []api.Entry) {
 	for _, e := range list {
-		e.Standing = webhook.Listed
+		e.Standing = api.Listed
 		all = append(all, e)
 	}
 	return all
@@ -88,7 +88,7 @@
 			s := plain(c.troubles...)
 			s.Events = s.Events[:1]
 			s.Kinds[0].Headroom = 8
-			without := func(f webhook.Facts, h webhook.Host) webhook.Module {
+			without := func(f api.Facts, h api.Host) api.Module {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
 			for _, start := range []emulator.Starter{without, module} {
@@ -105,7 +105,7 @@
 }
 
 func isModule(start emulator.Starter) bool {
-	f := webhook.Facts{EventTypes: []webhook.EventType{{TTL: 1, Target: 1}}}
+	f := api.Facts{EventTypes: []api.EventType{{TTL: 1, Target: 1}}}
 	_, ok := start(f, idle{}).(*policy.Control)
 	return ok
 }
--- a/emulator/scenario.go
+++ b/emulator/scenario.go
@@ -12,11 +12,11 @@
 	"slices"
 	"time"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Span is a time in a scenario, written like "250ms".
-type Span webhook.Micros
+type Span api.Micros
 
 // UnmarshalText reads a Go duration; what is finer than a microsecond or negative is an error.
 func (s *Span) UnmarshalText(text []byte) error {
@@ -36,7 +36,7 @@
 	return []byte((time.Duration(s) * time.Microsecond).String()), nil
 }
 
-func (s Span) us() webhook.Micros { return webhook.Micros(s) }
+func (s Span) us() api.Micros { return api.Micros(s) }
 
 // Scenario is one situation: who is there, what they do, and what goes wrong when.
 type Scenario struct {
--- a/emulator/seen/seen.go
+++ b/emulator/seen/seen.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // What happened.
@@ -75,25 +75,25 @@
 
 // Event is one thing that happened. Fields that say nothing of it are zero.
 type Event struct {
-	At          webhook.Micros
+	At          api.Micros
 	What        What
 	Dispatcher  int32
 	Other       int32 // Passed: who has it
-	Webhook     webhook.WebhookID
+	Webhook     api.WebhookID
 	Origin      Origin
-	Type        webhook.EventTypeID
-	Destination webhook.DestinationID
-	Endpoint    webhook.EndpointID
+	Type        api.EventTypeID
+	Destination api.DestinationID
+	Endpoint    api.EndpointID
 	Route       Route
-	Zone        webhook.ZoneID
-	Key         webhook.Key
-	TTL         webhook.Micros // the last moment at which it may be delivered
+	Zone        api.ZoneID
+	Key         api.Key
+	TTL         api.Micros // the last moment at which it may be delivered
 	Attempt     int
-	Outcome     webhook.Outcome
+	Outcome     api.Outcome
 	End         End
-	Standing    webhook.Standing
-	Wait        webhook.Micros
-	Span        webhook.Micros
+	Standing    api.Standing
+	Wait        api.Micros
+	Span        api.Micros
 	Weight      float64
 }
 
--- a/emulator/trouble.go
+++ b/emulator/trouble.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // trouble begins a trouble or ends it. What holds at an endpoint is counted by sort, so that troubles overlap
@@ -49,7 +49,7 @@
 	case "hot":
 		m.hot = slices.DeleteFunc(m.hot, func(h hot) bool { return h.trouble == n })
 		if begins {
-			var to []webhook.DestinationID
+			var to []api.DestinationID
 			for _, e := range m.struck(t) {
 				to = append(to, m.endpoints[e].dest)
 			}
@@ -160,11 +160,11 @@
 		return
 	}
 	old.drains = true
-	m.list(e, webhook.Draining)
+	m.list(e, api.Draining)
 	if t.Address == "new" {
 		m.servers = append(m.servers, server{zone: old.zone, atOnce: m.servers[old.server].atOnce,
 			depth: m.servers[old.server].depth})
-		m.list(m.addEndpoint(old.dest, old.route, old.zone, int32(len(m.servers)-1)), webhook.Listed)
+		m.list(m.addEndpoint(old.dest, old.route, old.zone, int32(len(m.servers)-1)), api.Listed)
 	}
 	m.after(t.Drain.us(), event{kind: evGone, a: e, b: trouble})
 }
@@ -173,11 +173,11 @@
 func (m *Model) leave(e, trouble int32) {
 	t, old := &m.plan.Troubles[trouble], &m.endpoints[e]
 	old.gone = true
-	m.list(e, webhook.Gone)
+	m.list(e, api.Gone)
 	m.strike(e, func(s *server) { s.down++ })
 	if t.Address == "same" {
 		next := m.addEndpoint(old.dest, old.route, old.zone, old.server)
-		m.list(next, webhook.Listed)
+		m.list(next, api.Listed)
 		m.strike(next, func(s *server) { s.down-- })
 	}
 }
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -5,15 +5,15 @@
 	"slices"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const never = webhook.Never
+const never = api.Never
 
 // destination is where webhooks are meant for.
 type destination struct {
 	kind      *Kind
-	kindID    webhook.KindID
+	kindID    api.KindID
 	busiest   float64 // calls a second that its traffic needs, before any trouble
 	route     int32   // the first of its routes
 	endpoints []int32
@@ -21,7 +21,7 @@
 
 // route is what a limit, told waits, outages and the cold belong to.
 type route struct {
-	dest      webhook.DestinationID
+	dest      api.DestinationID
 	kind      *Kind
 	perS      float64   // the limit, or what counts as its capacity where there is none
 	lowered   []float64 // shares of it that are left, by trouble
@@ -30,26 +30,26 @@
 	out       bool
 
 	tokens   float64 // rate
-	tokensAt webhook.Micros
-	begun    webhook.Micros // window
+	tokensAt api.Micros
+	begun    api.Micros // window
 	used     float64
 
-	backAt webhook.Micros // since when it is cold, or never
-	load   loads          // what reached it since, for the tipping
+	backAt api.Micros // since when it is cold, or never
+	load   loads      // what reached it since, for the tipping
 }
 
 // endpoint is one line of the list; server the process behind its address, which a later one may take over.
 type endpoint struct {
-	dest   webhook.DestinationID
+	dest   api.DestinationID
 	route  int32
-	zone   webhook.ZoneID
+	zone   api.ZoneID
 	server int32
 	gone   bool // from the list: it turns away what still comes
 	drains bool
 }
 
 type server struct {
-	zone   webhook.ZoneID
+	zone   api.ZoneID
 	atOnce int // calls served at once when warm
 	depth  int // places to wait
 	busy   int
@@ -102,7 +102,7 @@
 		}
 		if k.atServer || k.swallowed {
 			k.atServer, k.serving = false, false
-			m.answer(int32(i), webhook.Reset, 0)
+			m.answer(int32(i), api.Reset, 0)
 		}
 		m.release(int32(i))
 	}
@@ -133,15 +133,15 @@
 }
 
 // way is the time from a dispatcher to an endpoint or back.
-func (m *Model) way(a, b webhook.ZoneID) webhook.Micros { return max(m.span(a, b, m.chance), 1) }
+func (m *Model) way(a, b api.ZoneID) api.Micros { return max(m.span(a, b, m.chance), 1) }
 
-func (m *Model) span(a, b webhook.ZoneID, chance *rand.Rand) webhook.Micros {
+func (m *Model) span(a, b api.ZoneID, chance *rand.Rand) api.Micros {
 	n := &m.plan.Net
 	t := float64(n.Same)
 	if a != b {
 		t = float64(n.Cross)
 	}
-	return webhook.Micros(t * (1 + n.Jitter*(2*chance.Float64()-1)))
+	return api.Micros(t * (1 + n.Jitter*(2*chance.Float64()-1)))
 }
 
 // stream is one source of chance; streams of one seed know nothing of each other.
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -9,75 +9,75 @@
 	"slices"
 
 	"rowanlink/internal/due"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Policy sends each webhook as soon as a slot is free, in the order taken, to the endpoints in turn.
 type Policy struct {
-	f      webhookpkg.Facts
-	host   webhookpkg.Host
+	f      api.Facts
+	host   api.Host
 	tries  int
 	waits  Waits
 	chance *rand.Rand
 
-	held  map[webhookpkg.WebhookID]*webhook
+	held  map[api.WebhookID]*webhook
 	queue []*webhook
 	dues  due.Times[*webhook]
-	armed webhookpkg.Micros
-	dests map[webhookpkg.DestinationID]*destination
-	eps   map[webhookpkg.EndpointID]*endpoint
-	lines map[webhookpkg.Key]*line
+	armed api.Micros
+	dests map[api.DestinationID]*destination
+	eps   map[api.EndpointID]*endpoint
+	lines map[api.Key]*line
 	out   int
 }
 
 type destination struct {
 	endpoints []*endpoint
 	next      int
-	wait      webhookpkg.Micros
+	wait      api.Micros
 }
 
 type endpoint struct {
-	id     webhookpkg.EndpointID
-	zone   webhookpkg.ZoneID
+	id     api.EndpointID
+	zone   api.ZoneID
 	listed bool
 	dest   *destination
 }
 
 type webhook struct {
-	id       webhookpkg.WebhookID
-	evt      webhookpkg.EventType
-	key      webhookpkg.Key
-	ttl      webhookpkg.Micros
+	id       api.WebhookID
+	evt      api.EventType
+	key      api.Key
+	ttl      api.Micros
 	dest     *destination
 	attempts int
-	mayRun   webhookpkg.Micros
-	zone     webhookpkg.ZoneID
-	readyAt  webhookpkg.Micros
-	sentAt   webhookpkg.Micros
+	mayRun   api.Micros
+	zone     api.ZoneID
+	readyAt  api.Micros
+	sentAt   api.Micros
 	out      bool
 }
 
 type line struct {
 	in   []*webhook
-	rest webhookpkg.Micros
+	rest api.Micros
 }
 
 // New makes a policy of so many tries for each webhook, as far as the facts allow them.
-func New(f webhookpkg.Facts, host webhookpkg.Host, tries int, waits Waits) *Policy {
+func New(f api.Facts, host api.Host, tries int, waits Waits) *Policy {
 	return &Policy{f: f, host: host, tries: min(tries, f.MaxAttempts), waits: waits,
-		chance: rand.New(rand.NewPCG(f.Seed, 0)), held: map[webhookpkg.WebhookID]*webhook{}, armed: math.MaxInt64,
-		dests: map[webhookpkg.DestinationID]*destination{}, eps: map[webhookpkg.EndpointID]*endpoint{},
-		lines: map[webhookpkg.Key]*line{}}
+		chance: rand.New(rand.NewPCG(f.Seed, 0)), held: map[api.WebhookID]*webhook{}, armed: math.MaxInt64,
+		dests: map[api.DestinationID]*destination{}, eps: map[api.EndpointID]*endpoint{},
+		lines: map[api.Key]*line{}}
 }
 
-func (p *Policy) destination(id webhookpkg.DestinationID) *destination {
+func (p *Policy) destination(id api.DestinationID) *destination {
 	if p.dests[id] == nil {
 		p.dests[id] = &destination{}
 	}
 	return p.dests[id]
 }
 
-func (p *Policy) Endpoints(list []webhookpkg.Entry, _ bool) {
+func (p *Policy) Endpoints(list []api.Entry, _ bool) {
 	for _, l := range list {
 		e := p.eps[l.Endpoint]
 		if e == nil {
@@ -85,20 +85,20 @@
 			p.eps[l.Endpoint] = e
 			e.dest.endpoints = append(e.dest.endpoints, e)
 		}
-		if e.listed = l.Standing == webhookpkg.Listed; !e.listed {
+		if e.listed = l.Standing == api.Listed; !e.listed {
 			e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 			delete(p.eps, l.Endpoint)
 		}
 	}
 }
 
-func (p *Policy) Take(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, tenant webhookpkg.TenantID,
-	key webhookpkg.Key, ttl webhookpkg.Micros, dest webhookpkg.DestinationID) {
-	p.Resume(id, evt, tenant, key, ttl, dest, 0, webhookpkg.Never, 0)
+func (p *Policy) Take(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
+	key api.Key, ttl api.Micros, dest api.DestinationID) {
+	p.Resume(id, evt, tenant, key, ttl, dest, 0, api.Never, 0)
 }
 
-func (p *Policy) Resume(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, _ webhookpkg.TenantID, key webhookpkg.Key,
-	ttl webhookpkg.Micros, dest webhookpkg.DestinationID, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
+func (p *Policy) Resume(id api.WebhookID, evt api.EventTypeID, _ api.TenantID, key api.Key,
+	ttl api.Micros, dest api.DestinationID, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	w := &webhook{id: id, evt: p.f.EventTypes[min(int(evt), len(p.f.EventTypes)-1)], key: key, ttl: ttl,
 		dest: p.destination(dest), attempts: attempts, mayRun: mayRun, zone: zone}
 	if !w.evt.Ordered {
@@ -110,7 +110,7 @@
 			p.lines[w.key] = &line{}
 		}
 		l := p.lines[w.key]
-		if l.in = append(l.in, w); mayRun != webhookpkg.Never {
+		if l.in = append(l.in, w); mayRun != api.Never {
 			l.rest = p.host.Now() + p.f.TurnGap
 			p.dues.Add(int64(l.rest), nil)
 		}
@@ -123,8 +123,8 @@
 	p.queue = append(p.queue, w)
 }
 
-func (p *Policy) Outcome(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
-	_ webhookpkg.Micros, ended bool, wait webhookpkg.Micros) {
+func (p *Policy) Outcome(id api.WebhookID, ep api.EndpointID, what api.Outcome,
+	_ api.Micros, ended bool, wait api.Micros) {
 	w := p.held[id]
 	if w == nil || !w.out {
 		return
@@ -135,7 +135,7 @@
 		w.dest.wait = max(w.dest.wait, p.host.Now()+wait)
 		p.dues.Add(int64(w.dest.wait), nil)
 	}
-	if !what.NeverRan() && w.mayRun == webhookpkg.Never {
+	if !what.NeverRan() && w.mayRun == api.Never {
 		w.mayRun = w.sentAt
 	}
 	if l := p.lines[w.key]; w.key != 0 && what.MayStillRun() {
@@ -150,14 +150,14 @@
 }
 
 // Renew is not heeded: no baseline outlives its facts.
-func (p *Policy) Renew(webhookpkg.Facts) {}
+func (p *Policy) Renew(api.Facts) {}
 
 // Reported is not heeded.
-func (p *Policy) Reported(webhookpkg.EndpointID, float64, float64) {}
+func (p *Policy) Reported(api.EndpointID, float64, float64) {}
 
 func (p *Policy) again(w *webhook) {
 	w.readyAt = p.host.Now() + p.waits(max(w.attempts-1, 0), p.chance)
-	if w.attempts >= p.tries || w.evt.Repeat == webhookpkg.AtMostOnce && w.mayRun != webhookpkg.Never ||
+	if w.attempts >= p.tries || w.evt.Repeat == api.AtMostOnce && w.mayRun != api.Never ||
 		w.readyAt >= p.last(w) {
 		p.end(w)
 		return
@@ -168,16 +168,16 @@
 }
 
 // last is the last moment for an attempt.
-func (p *Policy) last(w *webhook) webhookpkg.Micros {
+func (p *Policy) last(w *webhook) api.Micros {
 	last := w.ttl - 2*p.f.Tick
-	if w.evt.Repeat == webhookpkg.Tokened && w.mayRun != webhookpkg.Never {
+	if w.evt.Repeat == api.Tokened && w.mayRun != api.Never {
 		last = min(last, w.mayRun+w.evt.TokenWindow-2*p.f.Tick)
 	}
 	return last
 }
 
 func (p *Policy) end(w *webhook) {
-	if w.mayRun != webhookpkg.Never {
+	if w.mayRun != api.Never {
 		p.host.DeadLetter(w.id)
 	} else {
 		p.host.Reject(w.id, min(max(w.dest.wait-p.host.Now(), 0), p.f.MaxAdvice))
@@ -192,13 +192,13 @@
 	}
 }
 
-func (p *Policy) Withdrawn(id webhookpkg.WebhookID) {
+func (p *Policy) Withdrawn(id api.WebhookID) {
 	if w := p.held[id]; w != nil && !w.out {
 		p.forget(w)
 	}
 }
 
-func (p *Policy) Wake(webhookpkg.TimerID) { p.armed = math.MaxInt64 }
+func (p *Policy) Wake(api.TimerID) { p.armed = math.MaxInt64 }
 
 func (p *Policy) TurnOver() {
 	now := p.host.Now()
@@ -210,13 +210,13 @@
 	p.queue = slices.DeleteFunc(p.queue, func(w *webhook) bool {
 		return p.held[w.id] != w || w.out || p.send(w, now)
 	})
-	if at, ok := p.dues.Next(); ok && webhookpkg.Micros(at) < p.armed {
-		p.armed = webhookpkg.Micros(at)
+	if at, ok := p.dues.Next(); ok && api.Micros(at) < p.armed {
+		p.armed = api.Micros(at)
 		p.host.Wake(max(p.armed-now, 1), 0)
 	}
 }
 
-func (p *Policy) send(w *webhook, now webhookpkg.Micros) bool {
+func (p *Policy) send(w *webhook, now api.Micros) bool {
 	if p.out >= p.f.Slots || now < max(w.readyAt, w.dest.wait) || len(w.dest.endpoints) == 0 {
 		return false
 	}
@@ -226,11 +226,11 @@
 	n := len(w.dest.endpoints)
 	for i := range n {
 		e := w.dest.endpoints[(w.dest.next+i)%n]
-		if w.evt.TokenByZone && w.evt.Repeat == webhookpkg.Tokened && w.mayRun != webhookpkg.Never && e.zone != w.zone {
+		if w.evt.TokenByZone && w.evt.Repeat == api.Tokened && w.mayRun != api.Never && e.zone != w.zone {
 			continue
 		}
 		w.dest.next = (w.dest.next + i + 1) % n
-		if w.out, w.sentAt, w.attempts = true, now, w.attempts+1; w.mayRun == webhookpkg.Never {
+		if w.out, w.sentAt, w.attempts = true, now, w.attempts+1; w.mayRun == api.Never {
 			w.zone = e.zone
 		}
 		p.out++
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
@@ -148,19 +148,19 @@
 }
 
 // deaf hears of no drain: a fault that shows only where endpoints are replaced.
-type deaf struct{ webhook.Module }
+type deaf struct{ api.Module }
 
-func (d deaf) Endpoints(list []webhook.Entry, whole bool) {
-	heard := make([]webhook.Entry, len(list))
+func (d deaf) Endpoints(list []api.Entry, whole bool) {
+	heard := make([]api.Entry, len(list))
 	for i, e := range list {
-		e.Standing = webhook.Listed
+		e.Standing = api.Listed
 		heard[i] = e
 	}
 	d.Module.Endpoints(heard, whole)
 }
 
 func TestHuntFindsAPlantedFaultAndShrinksIt(t *testing.T) {
-	start := func(f webhook.Facts, h webhook.Host) webhook.Module { return deaf{policy.New(f, h)} }
+	start := func(f api.Facts, h api.Host) api.Module { return deaf{policy.New(f, h)} }
 	base := parsed(t, small(`length = "8s"`, `length = "20s"`))
 	h := &Hunt{Start: start, Runs: 60, Seed: 2, Step: func() {}}
 	f := h.Find(base)
--- a/lab/run.go
+++ b/lab/run.go
@@ -16,7 +16,7 @@
 	"rowanlink/emulator/observe"
 	"rowanlink/emulator/seen"
 	"rowanlink/lab/baseline"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
@@ -25,12 +25,12 @@
 
 // policies are what a scenario can be played with. All but the module are for comparison only.
 var policies = map[string]emulator.Starter{
-	Module: func(f webhook.Facts, h webhook.Host) webhook.Module { return policy.New(f, h) },
-	"once": func(f webhook.Facts, h webhook.Host) webhook.Module { return baseline.New(f, h, 1, baseline.None) },
-	"eager": func(f webhook.Facts, h webhook.Host) webhook.Module {
+	Module: func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) },
+	"once": func(f api.Facts, h api.Host) api.Module { return baseline.New(f, h, 1, baseline.None) },
+	"eager": func(f api.Facts, h api.Host) api.Module {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	},
-	"exponential": func(f webhook.Facts, h webhook.Host) webhook.Module {
+	"exponential": func(f api.Facts, h api.Host) api.Module {
 		return baseline.New(f, h, f.MaxAttempts, baseline.Doubled)
 	},
 }
@@ -73,10 +73,10 @@
 // Terms are what observers hold a scenario's run to.
 func Terms(s *emulator.Scenario) observe.Terms {
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
-	grace := 3*webhook.Micros(s.Dispatchers.Tick) + webhook.Second/20
+	grace := 3*api.Micros(s.Dispatchers.Tick) + api.Second/20
 	return observe.Terms{
 		Facts:       s.Facts(0, 0),
-		DrainGrace:  webhook.Micros(s.Rules.DrainGrace),
+		DrainGrace:  api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: grace,
 	}
 }
--- a/proof/bench_test.go
+++ b/proof/bench_test.go
@@ -12,17 +12,17 @@
 	"rowanlink/proof/harness"
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Each benchmark plays what it compares in one run, on the same processes where it can: only the ratios say
 // something on a machine with other work.
 
-const benched = webhook.DestinationID(1)
+const benched = api.DestinationID(1)
 
 // drive hands in webhooks for one destination at some members, at the most so many a second, for a span.
 func drive(f *harness.Fleet, perSecond float64, span time.Duration,
-	members ...string) (from, until webhook.Micros) {
+	members ...string) (from, until api.Micros) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	from = f.Platform.Now()
@@ -49,7 +49,7 @@
 	return sum
 }
 
-func ms(t webhook.Micros) float64 { return t.Seconds() * 1e3 }
+func ms(t api.Micros) float64 { return t.Seconds() * 1e3 }
 
 // BenchmarkForwarded hands webhooks in at their home, then at another member, in turn. CPU is all members',
 // less what they use at rest.
@@ -68,7 +68,7 @@
 	rest := (used(f) - before).Seconds() / 5
 	type sum struct {
 		n, cpu, spent   float64
-		answered, delay []webhook.Micros
+		answered, delay []api.Micros
 	}
 	var local, away sum
 	for b.Loop() {
@@ -110,7 +110,7 @@
 			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Dest: benched,
 				TTL: 8 * time.Second, Body: "a webhook's body"}
 		}})
-	var gaps [3][]webhook.Micros // nothing happens, a move, stop and restart
+	var gaps [3][]api.Micros // nothing happens, a move, stop and restart
 	var bad [3][]ledger.Window
 	look := func(kind int, what func()) {
 		from := f.Platform.Now()
--- a/proof/harm_test.go
+++ b/proof/harm_test.go
@@ -13,7 +13,7 @@
 	"rowanlink/proof/harness"
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // calmly starts a fleet with terms long enough that none ends by itself on a machine with much else to do.
@@ -28,7 +28,7 @@
 // entering hands webhooks for some destinations in at one member, until stop: none crosses a link that is
 // cut. They have the whole TTL of their type: a shorter one would stand for one that was handed in before.
 func entering(f *harness.Fleet, at *harness.Member, perSecond float64,
-	dests ...webhook.DestinationID) (stop func()) {
+	dests ...api.DestinationID) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
 	wait := f.Platform.Drive(ctx, platform.Load{Members: []string{at.Name}, PerSecond: perSecond, Lines: 6,
@@ -46,7 +46,7 @@
 // its home doesn't reach the target.
 type midst struct {
 	f                   *harness.Fleet
-	through, held       webhook.DestinationID
+	through, held       api.DestinationID
 	target, home, other *harness.Member // of through; of held, now and by the plan
 	marks               map[*harness.Member]int
 	stop                func()
@@ -69,7 +69,7 @@
 	f.Soon("two homes", func() bool {
 		leader, chart := f.LeaderNow(), f.Map()
 		m.held, m.through = 0, 0
-		for d := range webhook.DestinationID(4) {
+		for d := range api.DestinationID(4) {
 			switch home := f.Home(d + 1); {
 			case home == nil || leader == nil || home == m.other:
 			case m.held == 0 && home != leader:
@@ -80,7 +80,7 @@
 			return false
 		}
 		of, _ := chart.Of(cluster.Hash(m.held))
-		for d := range webhook.DestinationID(4) {
+		for d := range api.DestinationID(4) {
 			if r, ok := chart.Of(cluster.Hash(d + 1)); ok && r.ID != of.ID {
 				m.through = d + 1
 			}
--- a/proof/harness/files.go
+++ b/proof/harness/files.go
@@ -14,7 +14,7 @@
 
 	"rowanlink/proof/child"
 	"rowanlink/standin/ledger"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 )
 
@@ -33,7 +33,7 @@
  "rules":{"drainGrace":500000000,"startCapacity":0.15,"warmAfter":3000000000,"fallMultiple":2.5,
  "tipAfter":2000000000}}`
 
-const seconds = webhook.Second
+const seconds = api.Second
 
 func (s Shape) usual() Shape {
 	s.Members = cmp.Or(s.Members, 3)
@@ -50,7 +50,7 @@
 	s.Weight = cmp.Or(s.Weight, 200)
 	s.Slack = cmp.Or(s.Slack, 5*seconds)
 	if s.Dests == nil {
-		s.Dests = []webhook.DestinationID{1, 2, 3, 4}
+		s.Dests = []api.DestinationID{1, 2, 3, 4}
 	}
 	if s.Settings == "" {
 		s.Settings = fmt.Sprintf(usual, s.Members)
@@ -62,8 +62,8 @@
 func (f *Fleet) terms() (ledger.Terms, error) {
 	said := gjson.Parse(f.shape.Settings)
 	known, names, _, err := config.FromJSON(1, said)
-	by := ledger.Terms{Types: map[string]webhook.EventType{}, Facts: known, Slack: f.shape.Slack,
-		DrainGrace: webhook.Micros(said.Get("rules.drainGrace").Int()/1000) + seconds/20,
+	by := ledger.Terms{Types: map[string]api.EventType{}, Facts: known, Slack: f.shape.Slack,
+		DrainGrace: api.Micros(said.Get("rules.drainGrace").Int()/1000) + seconds/20,
 		ToldWithin: 6 * seconds, WaitGrace: seconds / 10, WaitsBindAll: f.shape.WaitsBind}
 	for i, name := range names.EventTypes {
 		by.Types[name] = known.EventTypes[i]
@@ -173,6 +173,6 @@
 	}
 }
 
-func commas(all []webhook.DestinationID) string {
+func commas(all []api.DestinationID) string {
 	return strings.Trim(strings.Join(strings.Fields(fmt.Sprint(all)), ", "), "[]")
 }
--- a/proof/harness/fleet.go
+++ b/proof/harness/fleet.go
@@ -22,7 +22,7 @@
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
 	"rowanlink/standin/port"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Shape is what a fleet is started as. Zero values stand for the usual.
@@ -37,14 +37,14 @@
 	Spare       int                        // of the members, the last so many are in no operator file yet
 	Extra       func(member string) string // further lines of a member's block
 	Blocks      string                     // further blocks of the operator file
-	Dests       []webhook.DestinationID    // 0: 1 to 4, an endpoint each
+	Dests       []api.DestinationID        // 0: 1 to 4, an endpoint each
 	Weight      float64                    // calls a second that the list says of each; 0: 200
-	Lists       map[string][]webhook.DestinationID
-	DiskMB      float64        // limits.disk_mb; 0: 64
-	Settings    string         // in place of the usual
-	Slack       webhook.Micros // of the ledger; 0: 5 s
-	WaitsBind   bool           // a wait told to one member binds all
-	Guarded     []string       // tasks: members that hold them do deeds at the guard
+	Lists       map[string][]api.DestinationID
+	DiskMB      float64    // limits.disk_mb; 0: 64
+	Settings    string     // in place of the usual
+	Slack       api.Micros // of the ledger; 0: 5 s
+	WaitsBind   bool       // a wait told to one member binds all
+	Guarded     []string   // tasks: members that hold them do deeds at the guard
 	Env         []string
 	Plain       bool // bin/rowanlink: no fleet
 	Idle        bool // no member is started
--- a/proof/harness/harness_test.go
+++ b/proof/harness/harness_test.go
@@ -15,7 +15,7 @@
 
 	"rowanlink/proof/harness"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 var binary, alone string
@@ -48,7 +48,7 @@
 	types := []string{"status", "paid", "charge"}
 	p.Drive(context.Background(), platform.Load{Members: names, PerSecond: 200, Lines: 4, Most: most,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%3], Dest: webhook.DestinationID(1 + n%4), Body: "x"}
+			return platform.Webhook{Type: types[n%3], Dest: api.DestinationID(1 + n%4), Body: "x"}
 		}})()
 }
 
--- a/proof/harness/kills_test.go
+++ b/proof/harness/kills_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Guards each point between a request's last byte and its told end: kills land on all of them where many
@@ -25,7 +25,7 @@
 	types := []string{"status", "paid", "charge"}
 	wait := f.Platform.Drive(ctx, platform.Load{Members: f.Names(), PerSecond: 300, Lines: 24,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%3], Dest: webhook.DestinationID(1 + n/3%4), Body: "a webhook's body",
+			return platform.Webhook{Type: types[n%3], Dest: api.DestinationID(1 + n/3%4), Body: "a webhook's body",
 				TTL: 3 * time.Second}
 		}})
 	for n := range 100 {
--- a/proof/harness/map.go
+++ b/proof/harness/map.go
@@ -9,7 +9,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Map is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
@@ -40,7 +40,7 @@
 }
 
 // Home is who is home of a destination and serves, or nil.
-func (f *Fleet) Home(dest webhook.DestinationID) *Member {
+func (f *Fleet) Home(dest api.DestinationID) *Member {
 	if chart := f.Map(); chart != nil {
 		if r, ok := chart.Of(chart.Key(dest)); ok && r.Standing == shardmap.Seated {
 			return f.Member(string(r.Home))
--- a/proof/harness/past.go
+++ b/proof/harness/past.go
@@ -16,7 +16,7 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/proof/child"
 	"rowanlink/standin/guard"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Stamped has members write the microseconds of each line: without it a log is no history.
@@ -60,7 +60,7 @@
 		}
 		status, raw, err := asks.Say("it", transport.StatePath,
 			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: version}}), v.f.shape.Term)
-		got := webhook.Micros(time.Now().UnixMicro())
+		got := api.Micros(time.Now().UnixMicro())
 		var answer transport.StateAnswer
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
 			time.Sleep(5 * time.Millisecond)
@@ -111,7 +111,7 @@
 func unsaid(of, seen []guard.Past) (all []guard.Past) {
 	var unsure []guard.Past
 	for _, p := range of {
-		if p.What == guard.Seated && p.Until == webhook.Never {
+		if p.What == guard.Seated && p.Until == api.Never {
 			unsure = append(unsure, p)
 		} else {
 			all = append(all, p)
@@ -171,26 +171,26 @@
 func lived(name string, lines []child.Line, all map[cluster.Task][]guard.Past) {
 	type grant struct {
 		epoch uint64
-		at    webhook.Micros
+		at    api.Micros
 		ended bool
 	}
-	has, over, lives := map[cluster.Task]*grant{}, map[cluster.Task]webhook.Micros{}, 0
-	add := func(task cluster.Task, what guard.What, epoch uint64, from, until webhook.Micros) {
+	has, over, lives := map[cluster.Task]*grant{}, map[cluster.Task]api.Micros{}, 0
+	add := func(task cluster.Task, what guard.What, epoch uint64, from, until api.Micros) {
 		all[task] = append(all[task], guard.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
 	}
-	end := func(task cluster.Task, until webhook.Micros) {
+	end := func(task cluster.Task, until api.Micros) {
 		if g := has[task]; g != nil && !g.ended {
 			g.ended, over[task] = true, g.at
 			add(task, guard.Ended, g.epoch, g.at, until)
 		}
 	}
-	endAll := func(until webhook.Micros) {
+	endAll := func(until api.Micros) {
 		for task := range has {
 			end(task, until)
 		}
 	}
 	for _, line := range lines {
-		switch at := webhook.Micros(line.At.UnixMicro()); {
+		switch at := api.Micros(line.At.UnixMicro()); {
 		case line.Has("# start " + name):
 			endAll(at)
 			lives++
@@ -202,7 +202,7 @@
 		if may := unsure.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
 			if task := cluster.HomeOf(cluster.RangeID(id)); has[task] != nil {
-				add(task, guard.Seated, has[task].epoch, has[task].at, webhook.Never)
+				add(task, guard.Seated, has[task].epoch, has[task].at, api.Never)
 			}
 		}
 		said := stamp.FindStringSubmatch(line.Text)
@@ -213,7 +213,7 @@
 		if err != nil {
 			continue
 		}
-		at := webhook.Micros(when.UnixMicro())
+		at := api.Micros(when.UnixMicro())
 		switch said[2] {
 		case "task held":
 			task := cluster.Task(ofTask.FindStringSubmatch(line.Text)[1])
@@ -231,5 +231,5 @@
 			}
 		}
 	}
-	endAll(webhook.Never)
+	endAll(api.Never)
 }
--- a/proof/hunt/faults.go
+++ b/proof/hunt/faults.go
@@ -10,7 +10,7 @@
 
 	"rowanlink/proof/harness"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // fault is what befalls a fleet; begin returns what ends it. Members that a fault needs are drawn by it.
@@ -153,6 +153,6 @@
 	return w.one()
 }
 
-func (w *world) dest() webhook.DestinationID { return w.dests()[w.IntN(len(w.dests()))] }
+func (w *world) dest() api.DestinationID { return w.dests()[w.IntN(len(w.dests()))] }
 
-func (w *world) dests() []webhook.DestinationID { return []webhook.DestinationID{1, 2, 3, 4} }
+func (w *world) dests() []api.DestinationID { return []api.DestinationID{1, 2, 3, 4} }
--- a/proof/hunt/hunt_test.go
+++ b/proof/hunt/hunt_test.go
@@ -13,7 +13,7 @@
 
 	"rowanlink/proof/harness"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // TestHunt plays ROWAN_HUNT seeds, from ROWAN_SEED on or from one that is new each time. Without the first it
@@ -40,7 +40,7 @@
 func play(t *testing.T, binary string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	shape := harness.Shape{Binary: binary, Members: 3 + r.IntN(4), Rates: map[string]float64{},
-		Term: time.Second + time.Duration(r.IntN(3))*time.Second, Slack: 10 * webhook.Second, WaitsBind: false,
+		Term: time.Second + time.Duration(r.IntN(3))*time.Second, Slack: 10 * api.Second, WaitsBind: false,
 		Guarded: []string{"errand/1", "errand/2"}, Env: []string{harness.Stamped}}
 	for i := range shape.Members {
 		shape.Rates[fmt.Sprintf("m%d", i+1)] = 1 + (r.Float64()-0.5)*0.05
--- a/proof/plan_test.go
+++ b/proof/plan_test.go
@@ -11,7 +11,7 @@
 	"rowanlink/proof/harness"
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 var to = regexp.MustCompile(` to=(\w+)`)
@@ -48,7 +48,7 @@
 			}
 			stop()
 			f.Judge(ledger.Order) // a home that is lost keeps what it had to itself for a while
-			for d := range webhook.DestinationID(4) {
+			for d := range api.DestinationID(4) {
 				t.Logf("destination %d: longest gap %s", d+1,
 					time.Duration(f.Platform.Ledger.LongestGap(d+1))*time.Microsecond)
 			}
@@ -78,7 +78,7 @@
 func TestMovesUnderLoadLoseNothingAndDoNothingTwice(t *testing.T) {
 	t.Parallel()
 	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8})
-	for d := range webhook.DestinationID(4) {
+	for d := range api.DestinationID(4) {
 		require.NoError(t, f.Platform.Destination(d+1).Set(platform.Slow(term/5)))
 	}
 	stop := load(f)
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -15,7 +15,7 @@
 	"rowanlink/proof/harness"
 	"rowanlink/standin/guard"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const term = time.Second
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
 	next := func(n int) platform.Webhook {
-		return platform.Webhook{Type: types[n%3], Dest: webhook.DestinationID(1 + n/3%4), TTL: 8 * time.Second,
+		return platform.Webhook{Type: types[n%3], Dest: api.DestinationID(1 + n/3%4), TTL: 8 * time.Second,
 			Body: "a webhook's body"}
 	}
 	waits := []func(){f.Platform.Drive(ctx, platform.Load{Members: f.Names(), PerSecond: 90, Lines: 12,
@@ -83,7 +83,7 @@
 
 // slowly has all destinations take a while, so that calls are out when something happens.
 func slowly(t *testing.T, f *harness.Fleet) {
-	for d := range webhook.DestinationID(4) {
+	for d := range api.DestinationID(4) {
 		require.NoError(t, f.Platform.Destination(d+1).Set(platform.Slow(60*time.Millisecond)))
 	}
 }
@@ -101,7 +101,7 @@
 func holder(f *harness.Fleet, of ...*harness.Member) (who *harness.Member, epoch uint64) {
 	f.Soon("a deed is under way", func() bool {
 		d := last(f)
-		if d.Epoch == 0 || d.Until != webhook.Never {
+		if d.Epoch == 0 || d.Until != api.Never {
 			return false
 		}
 		who, epoch = f.Member(d.Member), d.Epoch
@@ -114,7 +114,7 @@
 func taken(f *harness.Fleet, epoch uint64) {
 	f.Soon("the errand is taken up anew", func() bool {
 		d := last(f)
-		return d.Epoch > epoch && d.Until != webhook.Never
+		return d.Epoch > epoch && d.Until != api.Never
 	})
 }
 
--- a/proof/ranges_test.go
+++ b/proof/ranges_test.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/proof/harness"
 	"rowanlink/standin/ledger"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // homes are a home of some destination and another member; neither leads the keepers, so that a broken link
@@ -16,7 +16,7 @@
 func homes(f *harness.Fleet) (home, entry *harness.Member) {
 	f.Soon("a destination's home does not lead", func() bool {
 		leader := f.LeaderNow()
-		for d := range webhook.DestinationID(4) {
+		for d := range api.DestinationID(4) {
 			if m := f.Home(d + 1); leader != nil && m != nil && m != leader {
 				home = m
 			}
--- a/proof/site_test.go
+++ b/proof/site_test.go
@@ -14,13 +14,13 @@
 	"rowanlink/proof/harness"
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 var (
-	depot  = []webhook.DestinationID{21, 22, 23, 24, 25, 26}
-	harbor = []webhook.DestinationID{31, 32, 33, 34, 35, 36}
-	direct = []webhook.DestinationID{41, 42, 43, 44}
+	depot  = []api.DestinationID{21, 22, 23, 24, 25, 26}
+	harbor = []api.DestinationID{31, 32, 33, 34, 35, 36}
+	direct = []api.DestinationID{41, 42, 43, 44}
 )
 
 // siteTerm is long: five members with all their webhooks keep their sessions on a machine that is busy.
@@ -45,7 +45,7 @@
 	all := slices.Concat(depot, harbor, direct)
 	f := begin(t, harness.Shape{Term: siteTerm, Members: 5, Ranges: 9, Dests: all, Blocks: twoSites,
 		WaitsBind: true,
-		Lists:     map[string][]webhook.DestinationID{"prices": all},
+		Lists:     map[string][]api.DestinationID{"prices": all},
 		Extra: func(m string) string {
 			if m == "m4" || m == "m5" {
 				return "  weight = 0\n"
@@ -96,7 +96,7 @@
 }
 
 // sender is who sends to a site: the home of its subscribers.
-func sender(f *harness.Fleet, of webhook.DestinationID) (m *harness.Member) {
+func sender(f *harness.Fleet, of api.DestinationID) (m *harness.Member) {
 	f.Soon("a site has its sender", func() bool {
 		m = f.Home(of)
 		return m != nil
--- a/standin/guard/guard.go
+++ b/standin/guard/guard.go
@@ -27,7 +27,7 @@
 	"time"
 
 	"rowanlink/standin/port"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Event is what was told once. Times are in Unix microseconds, from before it was looked at to after.
@@ -36,8 +36,8 @@
 	Task    string
 	Epoch   uint64
 	Member  string
-	Call    webhook.Micros
-	Return  webhook.Micros
+	Call    api.Micros
+	Return  api.Micros
 	Refused bool
 }
 
@@ -135,7 +135,7 @@
 	rw.WriteHeader(map[bool]int{false: http.StatusNoContent, true: http.StatusConflict}[e.Refused])
 }
 
-func now() webhook.Micros { return webhook.Micros(time.Now().UnixMicro()) }
+func now() api.Micros { return api.Micros(time.Now().UnixMicro()) }
 
 // Stop ends it as a kill would: what it holds in memory is gone.
 func (g *Guard) Stop() error {
--- a/standin/guard/homes.go
+++ b/standin/guard/homes.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Past is something that befell one task at some moment between From and Until, both included, in Unix
@@ -18,7 +18,7 @@
 	Member      string
 	Epoch       uint64
 	Reader      int // Seen: by whom, from 0 on
-	From, Until webhook.Micros
+	From, Until api.Micros
 }
 
 // What befalls the task of being a range's home; other tasks are only Granted and Ended.
@@ -81,7 +81,7 @@
 	var ops []porcupine.Operation
 	for i, p := range all {
 		until := int64(p.Until)
-		if p.Until == webhook.Never {
+		if p.Until == api.Never {
 			until = math.MaxInt64
 		}
 		ops = append(ops, porcupine.Operation{ClientId: i, Input: p, Call: int64(p.From), Return: until})
--- a/standin/guard/homes_test.go
+++ b/standin/guard/homes_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/standin/guard"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Guards against a check of homes that can't fail: what is wrong is so in one way.
 func TestPastsThatNoHomeCanHaveAreCaught(t *testing.T) {
-	p := func(what guard.What, who string, epoch uint64, from, until webhook.Micros, reader ...int) guard.Past {
+	p := func(what guard.What, who string, epoch uint64, from, until api.Micros, reader ...int) guard.Past {
 		return guard.Past{What: what, Member: who, Epoch: epoch, From: from, Until: until, Reader: len(reader)}
 	}
 	const granted, ended, seated, seen = guard.Granted, guard.Ended, guard.Seated, guard.Seen
@@ -27,7 +27,7 @@
 		"its line comes after the next one's": {[]guard.Past{p(granted, "a", 2, 0, 10), p(ended, "a", 2, 10, 99),
 			p(granted, "b", 5, 0, 31)}, true},
 		"nothing has ended yet": {[]guard.Past{p(granted, "a", 2, 0, 10),
-			p(ended, "a", 2, 10, webhook.Never)}, true},
+			p(ended, "a", 2, 10, api.Never)}, true},
 		"its own again": {[]guard.Past{p(granted, "a", 2, 0, 10), p(ended, "a", 2, 10, 20),
 			p(granted, "a", 2, 10, 30), p(ended, "a", 2, 30, 40), p(granted, "b", 5, 0, 50)}, true},
 		"its own again, after the next's": {[]guard.Past{p(granted, "a", 2, 0, 10), p(ended, "a", 2, 10, 20),
--- a/standin/guard/judge.go
+++ b/standin/guard/judge.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Deed is one as it was told. Until is Never where it did not end, or its end was refused.
@@ -16,11 +16,11 @@
 	Task        string
 	Epoch       uint64
 	Member      string
-	From, Until webhook.Micros
+	From, Until api.Micros
 }
 
 // over is when it surely was held last.
-func (d Deed) over() webhook.Micros { return max(d.From, d.Until) }
+func (d Deed) over() api.Micros { return max(d.From, d.Until) }
 
 // Deeds are a task's, as they began. Those that were refused are none.
 func (g *Guard) Deeds(task string) []Deed {
@@ -41,7 +41,7 @@
 		case e.Task != task || e.Refused:
 		case e.What == "begin":
 			open[k] = len(all)
-			all = append(all, Deed{task, e.Epoch, e.Member, e.Return, webhook.Never})
+			all = append(all, Deed{task, e.Epoch, e.Member, e.Return, api.Never})
 		case is:
 			all[at].Until = e.Call
 			delete(open, k)
--- a/standin/ledger/judge.go
+++ b/standin/ledger/judge.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Rule is one of those that are judged by.
@@ -25,9 +25,9 @@
 // Breach is one case of a broken rule.
 type Breach struct {
 	Rule   Rule
-	At     webhookpkg.Micros
+	At     api.Micros
 	ID     string
-	Dest   webhookpkg.DestinationID
+	Dest   api.DestinationID
 	Member string
 	Why    string
 }
@@ -38,11 +38,11 @@
 }
 
 // Judge returns what broke a rule up to a time, in the order of time.
-func (l *Ledger) Judge(at webhookpkg.Micros) []Breach {
+func (l *Ledger) Judge(at api.Micros) []Breach {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := slices.Clone(l.odd)
-	for _, rule := range []func(webhookpkg.Micros) []Breach{l.lost, l.effects, l.overlaps, l.orders, l.waits,
+	for _, rule := range []func(api.Micros) []Breach{l.lost, l.effects, l.overlaps, l.orders, l.waits,
 		l.drained,
 		l.pushed} {
 		all = append(all, rule(at)...)
@@ -61,7 +61,7 @@
 
 type at struct {
 	id   string
-	dest webhookpkg.DestinationID
+	dest api.DestinationID
 }
 
 // ends are the deliveries, by webhook and destination.
@@ -76,7 +76,7 @@
 }
 
 // missing are the destinations at which the webhook has no end yet.
-func (w *webhook) missing(ends map[at]bool) (left []webhookpkg.DestinationID) {
+func (w *webhook) missing(ends map[at]bool) (left []api.DestinationID) {
 	for _, d := range w.Dests {
 		told := slices.ContainsFunc(w.notices, func(n notice) bool { return n.all || n.dest == d })
 		if !told && !ends[at{w.ID, d}] {
@@ -86,7 +86,7 @@
 	return left
 }
 
-func (l *Ledger) lost(now webhookpkg.Micros) (all []Breach) {
+func (l *Ledger) lost(now api.Micros) (all []Breach) {
 	ends := l.ends()
 	for _, w := range l.order {
 		if !w.taken() || l.forgiven[w.ID] {
@@ -103,7 +103,7 @@
 }
 
 // due is when a webhook's end is overdue. Each member that was down meanwhile may be the one that has it.
-func (l *Ledger) due(w *webhook) (by webhookpkg.Micros, known bool) {
+func (l *Ledger) due(w *webhook) (by api.Micros, known bool) {
 	by = w.At + w.TTL + l.Terms.Slack
 	for again := true; again; {
 		again = false
@@ -112,7 +112,7 @@
 				if s.from < w.At || s.from > by {
 					continue
 				}
-				if s.until == webhookpkg.Never {
+				if s.until == api.Never {
 					return 0, false
 				}
 				if later := s.until + l.Terms.Slack; later > by {
@@ -125,9 +125,9 @@
 }
 
 // effects: those of one webhook count together with those of the ones that it was handed in again after.
-func (l *Ledger) effects(webhookpkg.Micros) (all []Breach) {
+func (l *Ledger) effects(api.Micros) (all []Breach) {
 	type run struct {
-		at webhookpkg.Micros
+		at api.Micros
 		id string
 		c  *Call
 	}
@@ -148,7 +148,7 @@
 			continue
 		}
 		t := l.Terms.Types[w.Type]
-		if t.Repeat == webhookpkg.Idempotent {
+		if t.Repeat == api.Idempotent {
 			continue
 		}
 		breach := func(why string) {
@@ -168,7 +168,7 @@
 		switch {
 		case !before:
 			first[k] = r
-		case t.Repeat == webhookpkg.AtMostOnce:
+		case t.Repeat == api.AtMostOnce:
 			breach(fmt.Sprintf("at-most-once, took effect %.3f s before by %s", (r.at - was.at).Seconds(),
 				was.c.Member))
 		case r.at > was.at+t.TokenWindow:
@@ -192,10 +192,10 @@
 }
 
 // LongestGap is the longest time between two deliveries at a destination that follow each other.
-func (l *Ledger) LongestGap(dest webhookpkg.DestinationID) (longest webhookpkg.Micros) {
+func (l *Ledger) LongestGap(dest api.DestinationID) (longest api.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var ends []webhookpkg.Micros
+	var ends []api.Micros
 	for _, c := range l.calls {
 		if c.Dest == dest && len(c.delivered) > 0 {
 			ends = append(ends, c.over)
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -9,67 +9,67 @@
 	"slices"
 	"sync"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Terms are what is judged by.
 type Terms struct {
-	Types map[string]webhookpkg.EventType
-	Facts webhookpkg.Facts // returns, the longest wait, the gap of a key's turn
+	Types map[string]api.EventType
+	Facts api.Facts // returns, the longest wait, the gap of a key's turn
 
-	Slack        webhookpkg.Micros // a webhook's end is overdue so long after its TTL
-	DrainGrace   webhookpkg.Micros // calls to a drained endpoint are let through for so long after it was told
-	ToldWithin   webhookpkg.Micros // what changed counts as told so long after, even where it never came
-	WaitGrace    webhookpkg.Micros // calls that cross a wait on their way are let through
-	WaitsBindAll bool              // a wait binds all members, not only the one that was told
-	OrderAcross  bool              // order by key also holds between webhooks handed in at different members
+	Slack        api.Micros // a webhook's end is overdue so long after its TTL
+	DrainGrace   api.Micros // calls to a drained endpoint are let through for so long after it was told
+	ToldWithin   api.Micros // what changed counts as told so long after, even where it never came
+	WaitGrace    api.Micros // calls that cross a wait on their way are let through
+	WaitsBindAll bool       // a wait binds all members, not only the one that was told
+	OrderAcross  bool       // order by key also holds between webhooks handed in at different members
 }
 
 // HandIn is one try to hand a webhook in.
 type HandIn struct {
-	At     webhookpkg.Micros
+	At     api.Micros
 	ID     string
 	After  string // the id under which it was refused or handed back before, if any
 	Member string
-	Dests  []webhookpkg.DestinationID // several: an announcement's subscribers
+	Dests  []api.DestinationID // several: an announcement's subscribers
 	Type   string
 	Key    string
-	TTL    webhookpkg.Micros
+	TTL    api.Micros
 }
 
 // Call is one call at an endpoint, with one webhook or several.
 type Call struct {
-	At       webhookpkg.Micros
+	At       api.Micros
 	Member   string
 	Endpoint string
-	Dest     webhookpkg.DestinationID
+	Dest     api.DestinationID
 	IDs      []string
 
 	n         int
-	over      webhookpkg.Micros // Never: still out
-	ran       map[string]webhookpkg.Micros
+	over      api.Micros // Never: still out
+	ran       map[string]api.Micros
 	delivered map[string]bool
-	wait      webhookpkg.Micros
+	wait      api.Micros
 }
 
 // webhook is one handed in, with what became of it.
 type webhook struct {
 	HandIn
-	answeredAt webhookpkg.Micros
+	answeredAt api.Micros
 	code       int // 0: no answer
 	notices    []notice
 }
 
 type notice struct {
-	at      webhookpkg.Micros
+	at      api.Micros
 	outcome string
 	all     bool
-	dest    webhookpkg.DestinationID
+	dest    api.DestinationID
 }
 
 // span is a time in which something held; until is Never while it lasts.
 type span struct {
-	from, until webhookpkg.Micros
+	from, until api.Micros
 	died        bool // of a member: its process ended, it didn't only stand still
 }
 
@@ -90,8 +90,8 @@
 	down     map[string][]span // members
 	forgiven map[string]bool
 	drains   map[string][]span // endpoints
-	told     map[toldOf][]webhookpkg.Micros
-	outages  map[webhookpkg.DestinationID][]outage
+	told     map[toldOf][]api.Micros
+	outages  map[api.DestinationID][]outage
 	odd      []Breach
 	over     int // calls above a stated rate
 }
@@ -101,8 +101,8 @@
 // New makes an empty ledger.
 func New(by Terms) *Ledger {
 	return &Ledger{Terms: by, webhooks: map[string]*webhook{}, down: map[string][]span{},
-		forgiven: map[string]bool{}, drains: map[string][]span{}, told: map[toldOf][]webhookpkg.Micros{},
-		outages: map[webhookpkg.DestinationID][]outage{}}
+		forgiven: map[string]bool{}, drains: map[string][]span{}, told: map[toldOf][]api.Micros{},
+		outages: map[api.DestinationID][]outage{}}
 }
 
 // HandedIn notes a try, before its first byte is sent.
@@ -115,7 +115,7 @@
 }
 
 // Answered notes what a client was answered; code 0: nothing in time, or the connection broke.
-func (l *Ledger) Answered(at webhookpkg.Micros, id string, code int) {
+func (l *Ledger) Answered(at api.Micros, id string, code int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w := l.webhooks[id]; w != nil {
@@ -127,7 +127,7 @@
 func (l *Ledger) Called(c Call) *Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.n, c.over, c.ran, c.delivered = len(l.calls), webhookpkg.Never, map[string]webhookpkg.Micros{}, map[string]bool{}
+	c.n, c.over, c.ran, c.delivered = len(l.calls), api.Never, map[string]api.Micros{}, map[string]bool{}
 	l.calls = append(l.calls, &c)
 	for _, id := range c.IDs {
 		switch w := l.webhooks[id]; {
@@ -141,7 +141,7 @@
 }
 
 // Ran notes that a webhook of a call took effect.
-func (l *Ledger) Ran(at webhookpkg.Micros, c *Call, id string) {
+func (l *Ledger) Ran(at api.Micros, c *Call, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.ran[id] = at
@@ -149,7 +149,7 @@
 
 // Returned notes that a call's answer was written, or its connection ended (delivered: none), and what wait
 // it told.
-func (l *Ledger) Returned(at webhookpkg.Micros, c *Call, wait webhookpkg.Micros, delivered ...string) {
+func (l *Ledger) Returned(at api.Micros, c *Call, wait api.Micros, delivered ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.over, c.wait = at, wait
@@ -166,7 +166,7 @@
 }
 
 // Noticed notes an end told to the platform: of all destinations that are left, or of one.
-func (l *Ledger) Noticed(at webhookpkg.Micros, member, id, outcome string, of ...webhookpkg.DestinationID) {
+func (l *Ledger) Noticed(at api.Micros, member, id, outcome string, of ...api.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.webhooks[id]
@@ -183,19 +183,19 @@
 
 // Drained notes that an endpoint is to get nothing new, Relisted that it is again; Told is when a member was
 // told.
-func (l *Ledger) Drained(at webhookpkg.Micros, endpoint string) {
+func (l *Ledger) Drained(at api.Micros, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drains[endpoint] = append(l.drains[endpoint], span{from: at, until: webhookpkg.Never})
+	l.drains[endpoint] = append(l.drains[endpoint], span{from: at, until: api.Never})
 }
 
-func (l *Ledger) Relisted(at webhookpkg.Micros, endpoint string) {
+func (l *Ledger) Relisted(at api.Micros, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	closeLast(l.drains[endpoint], at)
 }
 
-func (l *Ledger) Told(at webhookpkg.Micros, member, endpoint string) {
+func (l *Ledger) Told(at api.Micros, member, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := toldOf{member, endpoint}
@@ -204,16 +204,16 @@
 
 // Failed notes that a destination's outage began, Back that it takes calls again, cold: so many a second once
 // warm.
-func (l *Ledger) Failed(at webhookpkg.Micros, dest webhookpkg.DestinationID) {
+func (l *Ledger) Failed(at api.Micros, dest api.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outages[dest] = append(l.outages[dest], outage{span: span{from: at, until: webhookpkg.Never}})
+	l.outages[dest] = append(l.outages[dest], outage{span: span{from: at, until: api.Never}})
 }
 
-func (l *Ledger) Back(at webhookpkg.Micros, dest webhookpkg.DestinationID, rate float64) {
+func (l *Ledger) Back(at api.Micros, dest api.DestinationID, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if all := l.outages[dest]; len(all) > 0 && all[len(all)-1].until == webhookpkg.Never {
+	if all := l.outages[dest]; len(all) > 0 && all[len(all)-1].until == api.Never {
 		all[len(all)-1].until, all[len(all)-1].rate = at, rate
 	}
 }
@@ -221,11 +221,11 @@
 func (l *Ledger) note(b Breach) { l.odd = append(l.odd, b) }
 
 // Type is the event type of a webhook that was handed in.
-func (l *Ledger) Type(id string) webhookpkg.EventType {
+func (l *Ledger) Type(id string) api.EventType {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w := l.webhooks[id]; w != nil {
 		return l.Terms.Types[w.Type]
 	}
-	return webhookpkg.EventType{}
+	return api.EventType{}
 }
--- a/standin/ledger/ledger_test.go
+++ b/standin/ledger/ledger_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"rowanlink/standin/ledger"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Guards against a judge that can't fail: beside each story that breaks a rule stands one that only just
@@ -28,12 +28,12 @@
 		{"no answer", func(s story) { s.hand(0, "a", "status", 0) }, "[]"},
 		{"not yet due", func(s story) { s.hand(15000, "a", "status", 202) }, "[]"},
 		{"one subscriber of two", func(s story) {
-			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []webhookpkg.DestinationID{3, 4}, Type: "status"})
+			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
 			s.Answered(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 		}, "[lost]"},
 		{"the other is told of", func(s story) {
-			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []webhookpkg.DestinationID{3, 4}, Type: "status"})
+			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
 			s.Answered(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 			s.Noticed(9, "m2", "a", "given_up", 4)
@@ -190,7 +190,7 @@
 		{"never handed in", func(s story) { s.call(1, 2, "m1", "x") }, "[astray]"},
 		{"a notice of nothing", func(s story) { s.Noticed(1, "m1", "x", "given_up") }, "[astray]"},
 		{"for another destination", func(s story) {
-			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []webhookpkg.DestinationID{4}, Type: "status"})
+			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{4}, Type: "status"})
 			s.call(1, 2, "m1", "a")
 		}, "[astray]"},
 	} {
--- a/standin/ledger/members.go
+++ b/standin/ledger/members.go
@@ -4,35 +4,35 @@
 	"maps"
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Down notes that a member stands still, leaves or has ended (died): nothing it may have is overdue until Up.
-func (l *Ledger) Down(at webhookpkg.Micros, member string, died bool) {
+func (l *Ledger) Down(at api.Micros, member string, died bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := l.down[member]
-	if len(all) == 0 || all[len(all)-1].until != webhookpkg.Never {
-		all = append(all, span{from: at, until: webhookpkg.Never})
+	if len(all) == 0 || all[len(all)-1].until != api.Never {
+		all = append(all, span{from: at, until: api.Never})
 	}
 	all[len(all)-1].died = all[len(all)-1].died || died
 	l.down[member] = all
 }
 
-func (l *Ledger) Up(at webhookpkg.Micros, member string) {
+func (l *Ledger) Up(at api.Micros, member string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	closeLast(l.down[member], at)
 }
 
-func closeLast(all []span, at webhookpkg.Micros) {
-	if len(all) > 0 && all[len(all)-1].until == webhookpkg.Never {
+func closeLast(all []span, at api.Micros) {
+	if len(all) > 0 && all[len(all)-1].until == api.Never {
 		all[len(all)-1].until = at
 	}
 }
 
 // FolderLost forgives what has not ended: its home's folder may be the one that is gone. It returns how many.
-func (l *Ledger) FolderLost(at webhookpkg.Micros) (n int) {
+func (l *Ledger) FolderLost(at api.Micros) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ends := l.ends()
--- a/standin/ledger/rules.go
+++ b/standin/ledger/rules.go
@@ -5,16 +5,16 @@
 	"math"
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // overlaps: one call at a time with a webhook at a destination.
-func (l *Ledger) overlaps(webhookpkg.Micros) (all []Breach) {
+func (l *Ledger) overlaps(api.Micros) (all []Breach) {
 	last := map[at]*Call{}
 	for _, c := range l.calls {
 		for _, id := range c.IDs {
 			k := at{id, c.Dest}
-			if p := last[k]; p != nil && (p.over == webhookpkg.Never || p.over > c.At) {
+			if p := last[k]; p != nil && (p.over == api.Never || p.over > c.At) {
 				all = append(all, Breach{Overlap, c.At, id, c.Dest, c.Member, "a call by " + p.Member + " is out"})
 			}
 			last[k] = c
@@ -25,9 +25,9 @@
 
 // orders: where a was taken on before b was handed in, at the same member (or at any, by the terms), no call
 // with a begins after one with b, and none with b while one with a is out.
-func (l *Ledger) orders(webhookpkg.Micros) (all []Breach) {
+func (l *Ledger) orders(api.Micros) (all []Breach) {
 	type key struct {
-		dest webhookpkg.DestinationID
+		dest api.DestinationID
 		key  string
 	}
 	tries := map[at][]*Call{}
@@ -65,7 +65,7 @@
 			switch {
 			case c.At > later.At:
 				return "its turn was before, and it is called after"
-			case c.over == webhookpkg.Never || c.over > later.At:
+			case c.over == api.Never || c.over > later.At:
 				return "a call with it is out"
 			}
 		}
@@ -75,8 +75,8 @@
 
 // waits: nothing to a destination from whoever was told to wait. A process's end also ends the waits that it
 // was told.
-func (l *Ledger) waits(webhookpkg.Micros) (all []Breach) {
-	told := map[webhookpkg.DestinationID][]*Call{}
+func (l *Ledger) waits(api.Micros) (all []Breach) {
+	told := map[api.DestinationID][]*Call{}
 	for _, c := range l.calls {
 		if c.wait > 0 {
 			told[c.Dest] = append(told[c.Dest], c)
@@ -102,17 +102,17 @@
 }
 
 // ended tells whether a member's process ended, or was gone, at some time between two.
-func (l *Ledger) ended(member string, from, to webhookpkg.Micros) bool {
+func (l *Ledger) ended(member string, from, to api.Micros) bool {
 	return slices.ContainsFunc(l.down[member], func(s span) bool {
-		return s.died && s.from < to && (s.until == webhookpkg.Never || s.until > from)
+		return s.died && s.from < to && (s.until == api.Never || s.until > from)
 	})
 }
 
 // drained: nothing new to an endpoint from whoever was told, or would have been by now.
-func (l *Ledger) drained(webhookpkg.Micros) (all []Breach) {
+func (l *Ledger) drained(api.Micros) (all []Breach) {
 	for _, c := range l.calls {
 		for _, d := range l.drains[c.Endpoint] {
-			if c.At < d.from || d.until != webhookpkg.Never && c.At > d.until {
+			if c.At < d.from || d.until != api.Never && c.At > d.until {
 				continue
 			}
 			by := d.from + l.Terms.ToldWithin
@@ -132,11 +132,11 @@
 
 // pushed: over the length of TipAfter, a destination that is back gets no more than FallMultiple times what
 // it can take meanwhile, all members' calls together. Once for each return: it then stays down.
-func (l *Ledger) pushed(webhookpkg.Micros) (all []Breach) {
+func (l *Ledger) pushed(api.Micros) (all []Breach) {
 	f := l.Terms.Facts
 	for dest, outages := range l.outages {
 		for _, o := range outages {
-			if o.until == webhookpkg.Never || o.rate == 0 || f.TipAfter == 0 {
+			if o.until == api.Never || o.rate == 0 || f.TipAfter == 0 {
 				continue
 			}
 			var since []*Call
@@ -161,7 +161,7 @@
 }
 
 // takes is how many calls a destination that warms up can take between two times.
-func (o outage) takes(f webhookpkg.Facts, from, to webhookpkg.Micros) float64 {
+func (o outage) takes(f api.Facts, from, to api.Micros) float64 {
 	const steps = 64
 	sum, step := 0.0, (to-from).Seconds()/steps
 	for i := range steps {
--- a/standin/ledger/story_test.go
+++ b/standin/ledger/story_test.go
@@ -4,20 +4,20 @@
 	"fmt"
 
 	"rowanlink/standin/ledger"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const ms = webhookpkg.Second / 1000
+const ms = api.Second / 1000
 
 func terms() ledger.Terms {
 	return ledger.Terms{
-		Types: map[string]webhookpkg.EventType{
-			"status": {Repeat: webhookpkg.Idempotent},
-			"paid":   {Repeat: webhookpkg.Tokened, TokenWindow: 8000 * ms},
-			"charge": {Repeat: webhookpkg.AtMostOnce},
-			"ride":   {Repeat: webhookpkg.Idempotent, Ordered: true},
+		Types: map[string]api.EventType{
+			"status": {Repeat: api.Idempotent},
+			"paid":   {Repeat: api.Tokened, TokenWindow: 8000 * ms},
+			"charge": {Repeat: api.AtMostOnce},
+			"ride":   {Repeat: api.Idempotent, Ordered: true},
 		},
-		Facts: webhookpkg.Facts{MaxAdvice: 3000 * ms, StartCapacity: 0.2, WarmAfter: 4000 * ms, FallMultiple: 2,
+		Facts: api.Facts{MaxAdvice: 3000 * ms, StartCapacity: 0.2, WarmAfter: 4000 * ms, FallMultiple: 2,
 			TipAfter: 1000 * ms},
 		Slack: 500 * ms, DrainGrace: 550 * ms, ToldWithin: 6000 * ms, WaitGrace: 100 * ms,
 	}
@@ -26,8 +26,8 @@
 // story is what a ledger is told, in milliseconds.
 type story struct{ *ledger.Ledger }
 
-func (s story) hand(at webhookpkg.Micros, id, class string, code int, more ...string) {
-	h := ledger.HandIn{At: at * ms, ID: id, Member: "m1", Dests: []webhookpkg.DestinationID{3}, Type: class,
+func (s story) hand(at api.Micros, id, class string, code int, more ...string) {
+	h := ledger.HandIn{At: at * ms, ID: id, Member: "m1", Dests: []api.DestinationID{3}, Type: class,
 		TTL: 9000 * ms}
 	if len(more) > 0 {
 		h.Key = more[0]
@@ -39,7 +39,7 @@
 	s.Answered(at*ms+1, id, code)
 }
 
-func (s story) call(from, to webhookpkg.Micros, member, id string, how ...string) {
+func (s story) call(from, to api.Micros, member, id string, how ...string) {
 	c := s.Called(ledger.Call{At: from * ms, Member: member, Endpoint: "e", Dest: 3, IDs: []string{id}})
 	switch fmt.Sprint(how) {
 	case "[]":
@@ -63,7 +63,7 @@
 	for i := range n {
 		id := fmt.Sprint("c", i)
 		s.hand(0, id, "status", 202)
-		at := 1000 + webhookpkg.Micros(i)*60
+		at := 1000 + api.Micros(i)*60
 		s.call(at, at+1, fmt.Sprint("m", i%2), id)
 	}
 }
@@ -71,7 +71,7 @@
 // across has two webhooks of a key handed in at two members, and the second called first.
 func (s story) across() {
 	s.hand(0, "a", "ride", 202, "k")
-	s.HandedIn(ledger.HandIn{At: 5 * ms, ID: "b", Member: "m2", Dests: []webhookpkg.DestinationID{3},
+	s.HandedIn(ledger.HandIn{At: 5 * ms, ID: "b", Member: "m2", Dests: []api.DestinationID{3},
 		Type: "ride", Key: "k",
 		TTL: 9000 * ms})
 	s.Answered(6*ms, "b", 202)
--- a/standin/ledger/window.go
+++ b/standin/ledger/window.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Window is what befell a destination's webhooks in a span of time: for benchmarks.
 type Window struct {
-	Answers    []webhookpkg.Micros // from handed in to taken on
-	Delays     []webhookpkg.Micros // from handed in to the first effect
-	LongestGap webhookpkg.Micros   // between two deliveries that follow each other, or the span's ends
-	Refused    int                 // with a time to come again
+	Answers    []api.Micros // from handed in to taken on
+	Delays     []api.Micros // from handed in to the first effect
+	LongestGap api.Micros   // between two deliveries that follow each other, or the span's ends
+	Refused    int          // with a time to come again
 	Unanswered int
 }
 
 // Median is the middle one; 0: there is none.
-func Median(all []webhookpkg.Micros) webhookpkg.Micros {
+func Median(all []api.Micros) api.Micros {
 	if len(all) == 0 {
 		return 0
 	}
@@ -25,11 +25,11 @@
 }
 
 // Window looks at what was handed in, and what was delivered, from one time to another.
-func (l *Ledger) Window(dest webhookpkg.DestinationID, from, until webhookpkg.Micros) (w Window) {
+func (l *Ledger) Window(dest api.DestinationID, from, until api.Micros) (w Window) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	first := map[string]webhookpkg.Micros{}
-	ends := []webhookpkg.Micros{from, until}
+	first := map[string]api.Micros{}
+	ends := []api.Micros{from, until}
 	for _, c := range l.calls {
 		if c.Dest != dest {
 			continue
@@ -67,7 +67,7 @@
 }
 
 // Beside lists the calls of a destination that a member began up to a time while another's was out.
-func (l *Ledger) Beside(dest webhookpkg.DestinationID, until webhookpkg.Micros) (all []string) {
+func (l *Ledger) Beside(dest api.DestinationID, until api.Micros) (all []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, c := range l.calls {
--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"rowanlink/standin/ledger"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // part is one webhook of a call.
@@ -91,7 +91,7 @@
 		if b.RetryAfter > 0 {
 			rw.Header().Set("Retry-After", strconv.FormatFloat(b.RetryAfter.Seconds(), 'f', 3, 64))
 		}
-		log.Returned(s.p.Now(), c, webhook.Micros(b.RetryAfter.Microseconds()))
+		log.Returned(s.p.Now(), c, api.Micros(b.RetryAfter.Microseconds()))
 		rw.WriteHeader(b.Code)
 		return
 	}
@@ -115,7 +115,7 @@
 	for _, one := range all {
 		now, id := d.p.Now(), root(one.id)
 		evt := log.Type(id)
-		if evt.Repeat == webhook.Tokened && one.token != "" && one.token != "-" {
+		if evt.Repeat == api.Tokened && one.token != "" && one.token != "-" {
 			if first, known := d.tokens[one.token]; known && now <= first+evt.TokenWindow {
 				continue
 			}
--- a/standin/platform/clients.go
+++ b/standin/platform/clients.go
@@ -15,13 +15,13 @@
 
 	"rowanlink/internal/socket"
 	"rowanlink/standin/ledger"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Webhook is what a client wants delivered.
 type Webhook struct {
 	Type string
-	Dest webhook.DestinationID
+	Dest api.DestinationID
 	List string // in place of Dest: an announcement
 	Key  string // of its order
 	TTL  time.Duration
@@ -132,7 +132,7 @@
 		case code == 429 || code == 503:
 			w.after = id
 			w.token = cmp.Or(w.token, "k"+id)
-		case code == 0 && l.p.Ledger.Terms.Types[w.Type].Repeat == webhook.Idempotent:
+		case code == 0 && l.p.Ledger.Terms.Types[w.Type].Repeat == api.Idempotent:
 			w.after = ""
 		default:
 			return
@@ -162,7 +162,7 @@
 	p.ids++
 	id = "w" + strconv.Itoa(p.ids)
 	addr := p.front[member]
-	dests, to := []webhook.DestinationID{w.Dest}, fmt.Sprintf("dest=%d", w.Dest)
+	dests, to := []api.DestinationID{w.Dest}, fmt.Sprintf("dest=%d", w.Dest)
 	if w.List != "" {
 		dests, to = p.Lists[w.List], "list="+w.List
 	}
@@ -187,7 +187,7 @@
 	text.WriteString("\r\n" + w.Body)
 	p.Ledger.HandedIn(ledger.HandIn{At: p.Now(), ID: id, After: w.after, Member: member, Dests: dests,
 		Type: w.Type,
-		Key:  w.Key, TTL: webhook.Micros(w.TTL.Microseconds())})
+		Key:  w.Key, TTL: api.Micros(w.TTL.Microseconds())})
 	resp, err := l.ask(addr, text.Bytes())
 	if err == nil {
 		code = resp.StatusCode
--- a/standin/platform/destination.go
+++ b/standin/platform/destination.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Behaviour is how a destination takes calls. Zero: it delivers at once.
@@ -43,7 +43,7 @@
 
 // Destination has one endpoint or several; they share what it remembers.
 type Destination struct {
-	ID     webhook.DestinationID
+	ID     api.DestinationID
 	Kind   string  // the list's machineType
 	Weight float64 // the list's weight: calls a second that it takes
 	p      *Platform
@@ -51,7 +51,7 @@
 	mu     sync.Mutex
 	is     Behaviour
 	next   []Behaviour
-	tokens map[string]webhook.Micros
+	tokens map[string]api.Micros
 	second int64
 	inThis int
 	failed bool
@@ -68,19 +68,19 @@
 }
 
 // Destination is one that New or Add made, or nil.
-func (p *Platform) Destination(id webhook.DestinationID) *Destination {
+func (p *Platform) Destination(id api.DestinationID) *Destination {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dests[id]
 }
 
 // Add lists one more endpoint of a destination, which is made at the first.
-func (p *Platform) Add(id webhook.DestinationID) (*Endpoint, error) {
+func (p *Platform) Add(id api.DestinationID) (*Endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := p.dests[id]
 	if d == nil {
-		d = &Destination{ID: id, Kind: "bulk", Weight: 200, p: p, tokens: map[string]webhook.Micros{}}
+		d = &Destination{ID: id, Kind: "bulk", Weight: 200, p: p, tokens: map[string]api.Micros{}}
 		p.dests[id] = d
 	}
 	e := &Endpoint{Name: fmt.Sprintf("e%d-%d", id, len(p.all)), dest: d, zone: "a"}
@@ -95,7 +95,7 @@
 }
 
 // Endpoints are those of a destination that are listed.
-func (p *Platform) Endpoints(id webhook.DestinationID) (all []*Endpoint) {
+func (p *Platform) Endpoints(id api.DestinationID) (all []*Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.all {
@@ -184,7 +184,7 @@
 }
 
 // takes is the behaviour for one call.
-func (d *Destination) takes(now webhook.Micros) Behaviour {
+func (d *Destination) takes(now api.Micros) Behaviour {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.is
@@ -194,7 +194,7 @@
 	if b.PerSecond == 0 {
 		return b
 	}
-	if second := int64(now / webhook.Second); second != d.second {
+	if second := int64(now / api.Second); second != d.second {
 		d.second, d.inThis = second, 0
 	}
 	if d.inThis++; d.inThis <= b.PerSecond {
@@ -203,7 +203,7 @@
 	d.p.Ledger.OverRate()
 	full := Behaviour{Code: 429}
 	if b.AskWait {
-		full.RetryAfter = time.Duration(webhook.Second-now%webhook.Second) * time.Microsecond
+		full.RetryAfter = time.Duration(api.Second-now%api.Second) * time.Microsecond
 	}
 	return full
 }
--- a/standin/platform/notices.go
+++ b/standin/platform/notices.go
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // notice is one end as the platform was told of it.
@@ -41,9 +41,9 @@
 		id := root(told.Get("message").String())
 		n.outcome, n.retryIn = told.Get("outcome").String(),
 			time.Duration(told.Get("retry_in_ms").Int())*time.Millisecond
-		var of []webhook.DestinationID
+		var of []api.DestinationID
 		if d := told.Get("dest"); d.Exists() {
-			of = append(of, webhook.DestinationID(d.Uint()))
+			of = append(of, api.DestinationID(d.Uint()))
 		}
 		s.p.Ledger.Noticed(s.p.Now(), s.Name, id, n.outcome, of...)
 		s.p.mu.Lock()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -19,18 +19,18 @@
 
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/port"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Platform is safe for use by several goroutines.
 type Platform struct {
 	Ledger *ledger.Ledger
-	Lists  map[string][]webhook.DestinationID // subscribers by list; set before the first webhook
+	Lists  map[string][]api.DestinationID // subscribers by list; set before the first webhook
 
 	began time.Time
 	mu    sync.Mutex
 	seats map[string]*Seat
-	dests map[webhook.DestinationID]*Destination
+	dests map[api.DestinationID]*Destination
 	all   []*Endpoint
 	gen   int
 	news  chan struct{} // closed when the list changes
@@ -53,9 +53,9 @@
 }
 
 // New makes a platform for destinations, with an endpoint each.
-func New(by ledger.Terms, dests ...webhook.DestinationID) (*Platform, error) {
-	p := &Platform{Ledger: ledger.New(by), Lists: map[string][]webhook.DestinationID{}, began: time.Now(),
-		seats: map[string]*Seat{}, dests: map[webhook.DestinationID]*Destination{}, gen: 1,
+func New(by ledger.Terms, dests ...api.DestinationID) (*Platform, error) {
+	p := &Platform{Ledger: ledger.New(by), Lists: map[string][]api.DestinationID{}, began: time.Now(),
+		seats: map[string]*Seat{}, dests: map[api.DestinationID]*Destination{}, gen: 1,
 		news: make(chan struct{}), drive: map[string]func(notice){}, front: map[string]string{}}
 	for _, d := range dests {
 		if _, err := p.Add(d); err != nil {
@@ -66,7 +66,7 @@
 }
 
 // Now is the ledger's time.
-func (p *Platform) Now() webhook.Micros { return webhook.Micros(time.Since(p.began).Microseconds()) }
+func (p *Platform) Now() api.Micros { return api.Micros(time.Since(p.began).Microseconds()) }
 
 // Judge judges all up to now.
 func (p *Platform) Judge() []ledger.Breach { return p.Ledger.Judge(p.Now()) }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -16,14 +16,14 @@
 
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func begin(t *testing.T) *platform.Platform {
-	p, err := platform.New(ledger.Terms{Types: map[string]webhook.EventType{
-		"status": {TTL: 9 * webhook.Second},
-		"paid":   {TTL: 9 * webhook.Second, Repeat: webhook.Tokened, TokenWindow: 8 * webhook.Second},
-	}, DrainGrace: webhook.Second, ToldWithin: 6 * webhook.Second}, 3)
+	p, err := platform.New(ledger.Terms{Types: map[string]api.EventType{
+		"status": {TTL: 9 * api.Second},
+		"paid":   {TTL: 9 * api.Second, Repeat: api.Tokened, TokenWindow: 8 * api.Second},
+	}, DrainGrace: api.Second, ToldWithin: 6 * api.Second}, 3)
 	require.NoError(t, err)
 	t.Cleanup(func() { p.Close() })
 	return p
@@ -165,7 +165,7 @@
 func TestNoticesEndWebhooksAndOddOnesAreNotRead(t *testing.T) {
 	p := begin(t)
 	member(t, p, 202)
-	p.Lists["l"] = []webhook.DestinationID{3, 4}
+	p.Lists["l"] = []api.DestinationID{3, 4}
 	seat, err := p.Seat("m1")
 	require.NoError(t, err)
 	a, _ := p.HandIn("m1", platform.Webhook{Type: "status", List: "l"})
--- a/webhook/gateway.go
+++ b/webhook/api/gateway.go
@@ -1,6 +1,6 @@
-// Package webhook holds what the decision module and its callers share: our words as types, the facts that a
+// Package api holds what the decision module and its callers share: our words as types, the facts that a
 // dispatcher is handed at start, the calls made on the module and the Host through which it acts.
-package webhook
+package api
 
 // Micros is a time or a span in whole microseconds. Times count from an arbitrary origin and never run back.
 type Micros int64
--- a/webhook/config/facts.go
+++ b/webhook/config/facts.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Names holds what only the sockets need: the names by which lists and webhooks speak of a place in Facts,
@@ -23,14 +23,14 @@
 }
 
 // FromPairs reads the settings as the bench's wire gives them.
-func FromPairs(seed uint64, text string) (webhook.Facts, error) {
+func FromPairs(seed uint64, text string) (api.Facts, error) {
 	return read(seed, readPairs(text))
 }
 
 // Fits tells whether settings can take the place of others in a running dispatcher. Webhooks held or owed in
 // the journal say by its place of which event type and tenant they are: a name keeps its place, new ones
 // follow the last, and only the last may go. A kind's routes can't be parted or joined while calls are out.
-func Fits(was, now webhook.Facts, wasNames, nowNames Names) error {
+func Fits(was, now api.Facts, wasNames, nowNames Names) error {
 	for _, l := range []struct {
 		key      string
 		was, now []string
@@ -52,7 +52,7 @@
 }
 
 // FromJSON reads them as nested JSON, and the time after which an idle connection to an endpoint is closed.
-func FromJSON(seed uint64, settings gjson.Result) (webhook.Facts, Names, webhook.Micros, error) {
+func FromJSON(seed uint64, settings gjson.Result) (api.Facts, Names, api.Micros, error) {
 	p := &pairs{values: map[string]string{}}
 	p.flatten("", settings)
 	names := Names{texts(settings, "classes"), texts(settings, "tenants"), texts(settings, "kinds"),
@@ -132,12 +132,12 @@
 func (p *pairs) flag(key string) bool { return p.values[key] == "true" }
 
 // under and atLeast turn nanoseconds into whole microseconds, rounded the way that keeps the rule.
-func (p *pairs) under(key string) webhook.Micros {
-	return webhook.Micros(math.Floor(p.number(key) / 1000))
+func (p *pairs) under(key string) api.Micros {
+	return api.Micros(math.Floor(p.number(key) / 1000))
 }
 
-func (p *pairs) atLeast(key string) webhook.Micros {
-	return webhook.Micros(math.Ceil(p.number(key) / 1000))
+func (p *pairs) atLeast(key string) api.Micros {
+	return api.Micros(math.Ceil(p.number(key) / 1000))
 }
 
 func (p *pairs) list(key string) []string {
@@ -162,9 +162,9 @@
 	return slices.Index(names, "x0"), slices.Index(names, "x1")
 }
 
-func read(seed uint64, p *pairs) (webhook.Facts, error) {
-	f := webhook.Facts{
-		Seed: seed, Fleet: p.count("fleetSize"), Zone: webhook.ZoneID(p.count("zone")),
+func read(seed uint64, p *pairs) (api.Facts, error) {
+	f := api.Facts{
+		Seed: seed, Fleet: p.count("fleetSize"), Zone: api.ZoneID(p.count("zone")),
 		OverShare: p.number("overShareWorth"),
 		Slots:     p.count("familyInfo.slots"), Buffer: p.count("limits.openCap"),
 		MaxAttempts: p.count("limits.maxAttempts"), MayCancel: p.flag("limits.cancel"),
@@ -182,7 +182,7 @@
 	}
 	batches, apart := p.list("familyInfo.batchByKind"), p.list("familyInfo.kindApart")
 	for i := range p.list("kinds") {
-		k := webhook.Kind{Batch: 1}
+		k := api.Kind{Batch: 1}
 		if i < len(batches) {
 			if n, err := strconv.Atoi(batches[i]); err == nil && n > 1 {
 				k.Batch = n
@@ -196,18 +196,18 @@
 	}
 	for i := range p.entries("classes") {
 		at := fmt.Sprintf("classes.%d.", i)
-		t := webhook.EventType{
+		t := api.EventType{
 			Target: p.under(at + "aim"), TTL: p.under(at + "deadline"), Value: p.number(at + "worth"),
 			LateValue: p.number(at + "lateValue"), TokenWindow: p.under(at + "window"),
 			TokenByZone: p.values[at+"group"] != "all", Ordered: p.flag(at + "oneAtATime"),
 		}
 		switch p.values[at+"repeat"] {
 		case "token":
-			t.Repeat = webhook.Tokened
+			t.Repeat = api.Tokened
 		case "side_effect":
-			t.Repeat = webhook.AtMostOnce
+			t.Repeat = api.AtMostOnce
 		case "pure":
-			t.Repeat = webhook.Idempotent
+			t.Repeat = api.Idempotent
 		default:
 			return f, fmt.Errorf("setting %srepeat: %q is unknown", at, p.values[at+"repeat"])
 		}
--- a/webhook/config/facts_test.go
+++ b/webhook/config/facts_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/tidwall/gjson"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestPairsAndNestedJSONSayTheSame(t *testing.T) {
@@ -25,23 +25,23 @@
 	assert.Equal(t, []string{"a b", "c"}, names.Kinds)
 	assert.Equal(t, []string{"status"}, names.EventTypes)
 	assert.Nil(t, names.Tenants)
-	assert.Equal(t, 5*webhook.Second, idle)
+	assert.Equal(t, 5*api.Second, idle)
 }
 
 func TestEventTypeWithoutANameKeepsItsPlace(t *testing.T) {
 	f, names, _, err := FromJSON(7, gjson.Parse(`{"classes":[{"repeat":"pure"},{"repeat":"token","name":"b"}]}`))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"", "b"}, names.EventTypes)
-	assert.Equal(t, webhook.Tokened, f.EventTypes[1].Repeat)
+	assert.Equal(t, api.Tokened, f.EventTypes[1].Repeat)
 }
 
 func TestNamesKeepTheirPlacesInARunningDispatcher(t *testing.T) {
 	was := Names{EventTypes: []string{"a", "b"}, Kinds: []string{"k"}}
-	facts := webhook.Facts{Kinds: []webhook.Kind{{Batch: 1}}}
+	facts := api.Facts{Kinds: []api.Kind{{Batch: 1}}}
 	assert.NoError(t, Fits(facts, facts, was, was))
 	assert.NoError(t, Fits(facts, facts, was, Names{EventTypes: []string{"a"}, Kinds: []string{"k", "l"}}))
 	assert.ErrorContains(t, Fits(facts, facts, was, Names{EventTypes: []string{"b", "a"}}), `classes.0: "b"`)
-	apart := webhook.Facts{Kinds: []webhook.Kind{{Batch: 1, Apart: true}}}
+	apart := api.Facts{Kinds: []api.Kind{{Batch: 1, Apart: true}}}
 	assert.ErrorContains(t, Fits(facts, apart, was, was), "kindApart.0")
 }
 
--- a/webhook/dispatcher/callback/notices.go
+++ b/webhook/dispatcher/callback/notices.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -22,17 +22,17 @@
 // Notices holds what is not yet heard.
 type Notices struct {
 	counts *inflight.Counters
-	heard  func([]webhook.WebhookID)
+	heard  func([]api.WebhookID)
 	mu     sync.Mutex
 	client *fasthttp.HostClient
-	ids    []webhook.WebhookID
+	ids    []api.WebhookID
 	lines  [][]byte
 	most   int // in the next call
 	bell   chan struct{}
 }
 
 // New makes the sender; heard is told which notices were answered.
-func New(addr string, counts *inflight.Counters, heard func([]webhook.WebhookID)) *Notices {
+func New(addr string, counts *inflight.Counters, heard func([]api.WebhookID)) *Notices {
 	return &Notices{counts: counts, heard: heard, most: mostOnce, bell: make(chan struct{}, 1),
 		client: client(addr)}
 }
@@ -56,7 +56,7 @@
 }
 
 // HandedBack is the notice of a rejected webhook, with the time after which to come again, if any.
-func HandedBack(requestID inflight.RequestID, retryIn webhook.Micros) []byte {
+func HandedBack(requestID inflight.RequestID, retryIn api.Micros) []byte {
 	line := `{"message":` + strconv.Quote(string(requestID)) + `,"outcome":"handed_back"`
 	if retryIn > 0 {
 		line += `,"retry_in_ms":` + strconv.FormatInt(int64((retryIn+999)/1000), 10)
@@ -65,7 +65,7 @@
 }
 
 // Owe puts a notice in.
-func (n *Notices) Owe(id webhook.WebhookID, line []byte) {
+func (n *Notices) Owe(id api.WebhookID, line []byte) {
 	n.mu.Lock()
 	n.ids, n.lines = append(n.ids, id), append(n.lines, line)
 	n.mu.Unlock()
--- a/webhook/dispatcher/discovery/clock_test.go
+++ b/webhook/dispatcher/discovery/clock_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const brief = webhook.Second / 5 // a watch's line period, where a story waits for a silence
+const brief = api.Second / 5 // a watch's line period, where a story waits for a silence
 
 func silent(r *http.Request) { <-r.Context().Done() }
 
@@ -77,7 +77,7 @@
 func TestMoveEndsAConnectThatHangsAndAWatchAndGoesOnFromItsList(t *testing.T) {
 	answer := func(n int, w http.ResponseWriter, r *http.Request) { say(w, list(7)); silent(r) }
 	first, second := discover(t, answer), discover(t, answer)
-	f := follow(hanging(t), 1000*webhook.Second)
+	f := follow(hanging(t), 1000*api.Second)
 	time.Sleep(time.Second / 20)
 	f.Move(first.addr)
 	f.soon(t, 7)
@@ -91,16 +91,16 @@
 func TestFirstListIsWaitedForAndAnAgentThatRefusesOrIsSilentIsNot(t *testing.T) {
 	for what, c := range map[string]struct {
 		answer func(n int, w http.ResponseWriter, r *http.Request)
-		period webhook.Micros
+		period api.Micros
 		heard  []int
 	}{
 		"answered": {func(n int, w http.ResponseWriter, r *http.Request) { say(w, list(1)); silent(r) },
-			1000 * webhook.Second, []int{1}},
+			1000 * api.Second, []int{1}},
 		"refused": {func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
-			1000 * webhook.Second, []int{}},
+			1000 * api.Second, []int{}},
 		"silent": {func(_ int, _ http.ResponseWriter, r *http.Request) { silent(r) }, brief, []int{}},
 		"a head and nothing": {func(_ int, w http.ResponseWriter, r *http.Request) { say(w, ""); silent(r) },
-			10 * webhook.Second, []int{}},
+			10 * api.Second, []int{}},
 	} {
 		f := follow(discover(t, c.answer).addr, c.period)
 		require.Eventually(t, func() bool { return f.hasBegun() != nil }, 10*time.Second, time.Millisecond, what)
--- a/webhook/dispatcher/discovery/registry.go
+++ b/webhook/dispatcher/discovery/registry.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/refresh"
@@ -22,14 +22,14 @@
 const LinePeriod = 2 * time.Second
 
 // Listed is told a list, with the address of each of its entries; whole: what is not in it is gone.
-type Listed func(entries []webhook.Entry, addrs []string, whole bool)
+type Listed func(entries []api.Entry, addrs []string, whole bool)
 
 // Asks decides when each ask begins and what it may take, is told of each sign of life of a watch, and says
 // for how long the first one is waited for, in µs.
 type Asks interface {
 	Next(why refresh.End, pushed bool) refresh.Ask
 	Heard()
-	Hold(pushed bool) webhook.Micros
+	Hold(pushed bool) api.Micros
 }
 
 // Registry is one dispatcher's watch.
@@ -41,7 +41,7 @@
 	most       int // bytes of one object
 	generation int64
 	ids        map[string]*named
-	last       webhook.EndpointID
+	last       api.EndpointID
 
 	mu      sync.Mutex
 	names   config.Names
@@ -52,14 +52,14 @@
 
 // named is an endpoint's number, never used for another one, and since when it is gone.
 type named struct {
-	id   webhook.EndpointID
+	id   api.EndpointID
 	gone time.Time
 }
 
 // New makes a watch of the registry at an address; an object has most bytes. broken is called for each that
 // can't be read; begun once, when the first ask has its answer, has failed, or was waited for long enough. A
 // gone endpoint's name is kept for as long as anything of it may still be out or waited for.
-func New(addr string, names config.Names, asks Asks, most int, keepFor webhook.Micros, listed Listed,
+func New(addr string, names config.Names, asks Asks, most int, keepFor api.Micros, listed Listed,
 	broken, begun func()) *Registry {
 	return &Registry{addr: addr, names: names, asks: asks, most: most, listed: listed, broken: broken,
 		begun: sync.OnceFunc(begun), keepFor: inflight.Span(keepFor), ids: map[string]*named{},
@@ -78,7 +78,7 @@
 }
 
 // Renew has lists that come from now on read by other names; kinds and zones are as the last entries said.
-func (r *Registry) Renew(names config.Names, keepFor webhook.Micros) {
+func (r *Registry) Renew(names config.Names, keepFor api.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.names, r.keepFor = names, inflight.Span(keepFor)
@@ -104,7 +104,7 @@
 	if generation.Type != gjson.Number || !list.IsArray() {
 		return fmt.Errorf("a list without generation or instances: %.80s", object.Raw)
 	}
-	var entries []webhook.Entry
+	var entries []api.Entry
 	var addrs []string
 	names, _ := r.by()
 	here := map[string]bool{}
@@ -112,8 +112,8 @@
 		id, addr, cell := l.Get("instanceId").String(), l.Get("hostPort").String(), l.Get("cell")
 		standing, known := standings[l.Get("lifecycle").String()]
 		_, _, err := net.SplitHostPort(addr)
-		dest := webhook.DestinationID(cell.Uint())
-		if id == "" || !known || err != nil && standing != webhook.Gone ||
+		dest := api.DestinationID(cell.Uint())
+		if id == "" || !known || err != nil && standing != api.Gone ||
 			cell.Type != gjson.Number || cell.Float() != float64(dest) {
 			slog.Warn("list entry left out", "entry", l.Raw)
 			continue
@@ -124,16 +124,16 @@
 			n = &named{id: r.last}
 			r.ids[id] = n
 		}
-		if here[id] = standing != webhook.Gone; here[id] {
+		if here[id] = standing != api.Gone; here[id] {
 			n.gone = time.Time{}
 		}
 		rate := l.Get("weight").Float()
 		if !(rate > 0) {
 			rate = 0
 		}
-		entries = append(entries, webhook.Entry{Endpoint: n.id, Standing: standing, Rate: rate,
-			Destination: dest, Kind: webhook.KindID(index(names.Kinds, l.Get("machineType"))),
-			Zone: webhook.ZoneID(index(names.Zones, l.Get("zone")))})
+		entries = append(entries, api.Entry{Endpoint: n.id, Standing: standing, Rate: rate,
+			Destination: dest, Kind: api.KindID(index(names.Kinds, l.Get("machineType"))),
+			Zone: api.ZoneID(index(names.Zones, l.Get("zone")))})
 		addrs = append(addrs, addr)
 	}
 	r.generation = generation.Int()
@@ -158,8 +158,8 @@
 	}
 }
 
-var standings = map[string]webhook.Standing{"SERVING": webhook.Listed, "DRAINING": webhook.Draining,
-	"DELETED": webhook.Gone}
+var standings = map[string]api.Standing{"SERVING": api.Listed, "DRAINING": api.Draining,
+	"DELETED": api.Gone}
 
 // index is a name's index, or one past the last.
 func index(names []string, name gjson.Result) int {
--- a/webhook/dispatcher/discovery/registry_test.go
+++ b/webhook/dispatcher/discovery/registry_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 	"rowanlink/webhook/refresh"
 )
@@ -70,10 +70,10 @@
 }
 
 // follow starts one whose lists are pushed.
-func follow(addr string, period webhook.Micros) *follower {
+func follow(addr string, period api.Micros) *follower {
 	f := &follower{}
-	f.Registry = New(addr, config.Names{Pushed: true}, refresh.New(1, period), 1000, webhook.Second,
-		func(entries []webhook.Entry, _ []string, _ bool) {
+	f.Registry = New(addr, config.Names{Pushed: true}, refresh.New(1, period), 1000, api.Second,
+		func(entries []api.Entry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.lists = append(f.lists, int(entries[0].Rate))
@@ -112,12 +112,12 @@
 
 func (c *counted) Next(refresh.End, bool) refresh.Ask {
 	c.waits.Add(1)
-	return refresh.Ask{After: 1000, Connect: webhook.Second, Answer: webhook.Second, Silence: webhook.Second}
+	return refresh.Ask{After: 1000, Connect: api.Second, Answer: api.Second, Silence: api.Second}
 }
 
 // Without a decision before each, also the first one, a fleet that starts or is moved asks in one moment.
 func TestBeforeEachAskItIsDecidedWhen(t *testing.T) {
-	waits := &counted{Asking: refresh.New(1, webhook.Second)}
+	waits := &counted{Asking: refresh.New(1, api.Second)}
 	var asks, hasty atomic.Int64
 	d := discover(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		if asks.Add(1) > waits.waits.Load() {
@@ -125,8 +125,8 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	r := New("127.0.0.1:1", config.Names{}, waits, 1000, webhook.Second,
-		func([]webhook.Entry, []string, bool) {}, func() {}, func() {})
+	r := New("127.0.0.1:1", config.Names{}, waits, 1000, api.Second,
+		func([]api.Entry, []string, bool) {}, func() {}, func() {})
 	r.Move(d.addr)
 	go r.Follow()
 	require.Eventually(t, func() bool { return asks.Load() >= 5 }, 10*time.Second, time.Millisecond)
--- a/webhook/dispatcher/discovery/stream_test.go
+++ b/webhook/dispatcher/discovery/stream_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func indented(t *testing.T, text string) string {
@@ -34,7 +34,7 @@
 			say(w, parts...)
 			<-r.Context().Done()
 		})
-		f := follow(d.addr, 20*webhook.Second)
+		f := follow(d.addr, 20*api.Second)
 		f.soon(t, 1, 2, 3)
 		assert.Len(t, d.asked(), 1, what)
 		assert.Zero(t, f.broken.Load(), what)
@@ -63,7 +63,7 @@
 			say(w, list(4))
 			<-r.Context().Done()
 		})
-		f := follow(d.addr, 2*webhook.Second)
+		f := follow(d.addr, 2*api.Second)
 		f.soon(t, 1, 4)
 		assert.Equal(t, []string{"0", "1"}, d.asked(), what)
 		assert.EqualValues(t, 1, f.broken.Load(), what)
@@ -82,7 +82,7 @@
 		say(w, list(9))
 		<-r.Context().Done()
 	})
-	f := follow(d.addr, 2*webhook.Second)
+	f := follow(d.addr, 2*api.Second)
 	f.soon(t, 1, 9)
 	assert.Zero(t, f.broken.Load())
 }
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -15,7 +15,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/discovery"
@@ -44,7 +44,7 @@
 type Dispatcher struct {
 	Told     gjson.Result // the configuration
 	State    string       // the folder that outlasts the process
-	Facts    webhook.Facts
+	Facts    api.Facts
 	Names    config.Names
 	Life     *lifecycle.Life
 	Exchange *inflight.Exchange
@@ -58,7 +58,7 @@
 type Beside interface {
 	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
 	Serve()                  // all runs, but clients are not let in yet
-	Renew(webhook.Facts)
+	Renew(api.Facts)
 	Leave() // told to end: before the dispatcher leaves; may take as long as it needs a turn to leave
 	End()   // nothing runs any more
 	Print(io.Writer)
@@ -108,12 +108,12 @@
 	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.Heard)
 	held := &refresh.Hold{}
 	list := discovery.New(told.Get("discovery").String(), t.names,
-		refresh.New(t.facts.Seed, webhook.Micros(discovery.LinePeriod.Microseconds())), int(listPart*memory),
+		refresh.New(t.facts.Seed, api.Micros(discovery.LinePeriod.Microseconds())), int(listPart*memory),
 		t.keepNames(), d.Listed, func() { x.ListsBroken.Add(1) }, func() { x.Tell(held.Open) })
 	if err := list.Take(told.Get("known")); err != nil {
 		slog.Warn("no known list", "why", err)
 	}
-	d.Begin(calls, finals, func(f webhook.Facts, h webhook.Host) webhook.Module {
+	d.Begin(calls, finals, func(f api.Facts, h api.Host) api.Module {
 		held.Module = policy.New(f, h)
 		return held
 	})
--- a/webhook/dispatcher/eventloop/announced.go
+++ b/webhook/dispatcher/eventloop/announced.go
@@ -3,7 +3,7 @@
 import (
 	"log/slog"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -55,17 +55,17 @@
 		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
 	}
 	for _, w := range all {
-		d.begins(w, 0, webhookpkg.Never, 0)
+		d.begins(w, 0, api.Never, 0)
 	}
 	return inflight.Taken
 }
 
 // Relays has somebody told of the ends of webhooks of an earlier life, in place of the platform. It tells
 // what those have ended with by now, and of the others which are held.
-func (d *Decider) Relays(ids []inflight.RequestID, ends func(webhookpkg.WebhookID,
-	inflight.End)) (over map[webhookpkg.WebhookID]inflight.End, held map[inflight.RequestID]bool) {
+func (d *Decider) Relays(ids []inflight.RequestID, ends func(api.WebhookID,
+	inflight.End)) (over map[api.WebhookID]inflight.End, held map[inflight.RequestID]bool) {
 	want := setOf(ids)
-	over, held = map[webhookpkg.WebhookID]inflight.End{}, map[inflight.RequestID]bool{}
+	over, held = map[api.WebhookID]inflight.End{}, map[inflight.RequestID]bool{}
 	d.inTurn(func() {
 		for id, w := range byID(d, want) {
 			w.Ends, held[id] = ends, true
--- a/webhook/dispatcher/eventloop/announced_test.go
+++ b/webhook/dispatcher/eventloop/announced_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -27,15 +27,15 @@
 
 // announcement is one for so many subscribers.
 func announcement(n int) (all []*inflight.Webhook) {
-	for to := range webhookpkg.DestinationID(n) {
+	for to := range api.DestinationID(n) {
 		all = append(all, &inflight.Webhook{RequestID: inflight.ForSubscriber("a", to), Destination: to,
-			Body: make([]byte, 1000), TTL: inflight.Now() + 9*webhookpkg.Second, CameAt: inflight.Now()})
+			Body: make([]byte, 1000), TTL: inflight.Now() + 9*api.Second, CameAt: inflight.Now()})
 	}
 	return all
 }
 
 func TestAnAnnouncementIsTakenOnAsAWholeOrNotAtAll(t *testing.T) {
-	s := stands(t, t.TempDir(), webhookpkg.Second)
+	s := stands(t, t.TempDir(), api.Second)
 	var what inflight.Answer
 	s.whole(func() { what = s.Announce(announcement(10)) })
 	assert.Equal(t, inflight.Rejected, what, "ten where nine are held")
@@ -49,9 +49,9 @@
 
 func TestWhatIsGivenAwayIsCalledByNobodyHereUntilItIsBack(t *testing.T) {
 	dir := t.TempDir()
-	s := stands(t, dir, 9*webhookpkg.Second)
+	s := stands(t, dir, 9*api.Second)
 	require.Equal(t, inflight.Taken, s.hand(inflight.Webhook{RequestID: "w", Destination: 3,
-		TTL: inflight.Now() + 9*webhookpkg.Second, CameAt: inflight.Now()}))
+		TTL: inflight.Now() + 9*api.Second, CameAt: inflight.Now()}))
 	ok := false
 	s.whole(func() { ok = s.Sends(map[inflight.RequestID]int{"w": 1}, 7) })
 	assert.False(t, ok, "it was called for here meanwhile, as far as the one who sends knows")
@@ -65,7 +65,7 @@
 		t.Run("comes back", func(t *testing.T) { comesBack(t, never) })
 	}
 
-	s = stands(t, dir, 9*webhookpkg.Second)
+	s = stands(t, dir, 9*api.Second)
 	s.whole(func() { s.GivenAway([]inflight.RequestID{"w"}) })
 	s.all.home = true
 	s.whole(s.Decider.regateNow)
@@ -73,11 +73,11 @@
 	s.whole(func() { ok = s.Over([]inflight.End{{RequestID: "w", How: inflight.EndDelivered}}) })
 	assert.True(t, ok)
 	assert.Empty(t, s.owes())
-	assert.Empty(t, stands(t, dir, 9*webhookpkg.Second).owes())
+	assert.Empty(t, stands(t, dir, 9*api.Second).owes())
 }
 
 func TestNoticesOfAnAnnouncementNameTheSubscriber(t *testing.T) {
-	s := stands(t, t.TempDir(), webhookpkg.Second)
+	s := stands(t, t.TempDir(), api.Second)
 	w := announcement(8)[7]
 	assert.Equal(t, `{"message":"a","dest":7,"outcome":"given_up"}`,
 		string(s.named(w, []byte(`{"message":"a.dest=7","outcome":"given_up"}`))))
@@ -96,8 +96,8 @@
 
 // comesBack guards against a second effect: what may have run elsewhere may run once only, and is over here.
 func comesBack(t *testing.T, never bool) {
-	s := stands(t, t.TempDir(), 9*webhookpkg.Second)
-	require.Equal(t, inflight.Taken, s.hand(webhook("w", 9*webhookpkg.Second)))
+	s := stands(t, t.TempDir(), 9*api.Second)
+	require.Equal(t, inflight.Taken, s.hand(webhook("w", 9*api.Second)))
 	s.whole(func() { s.Sends(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
 	s.whole(func() { s.Frees(map[inflight.RequestID]Back{"w": {Never: never}}) })
 	s.all.home = true
@@ -106,10 +106,10 @@
 }
 
 func TestWhatIsGivenAwayHasAWhileForItsEndToBeHeard(t *testing.T) {
-	s := stands(t, t.TempDir(), webhookpkg.Second/5)
-	require.Equal(t, inflight.Taken, s.hand(webhook("w", webhookpkg.Second/5)))
+	s := stands(t, t.TempDir(), api.Second/5)
+	require.Equal(t, inflight.Taken, s.hand(webhook("w", api.Second/5)))
 	s.whole(func() { s.Sends(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
-	for until := inflight.Now() + webhookpkg.Second/4; inflight.Now() < until; {
+	for until := inflight.Now() + api.Second/4; inflight.Now() < until; {
 		s.turn()
 	}
 	require.Len(t, s.owes(), 1, "its time is over, and whoever has it may have delivered it just before")
@@ -117,7 +117,7 @@
 	assert.Zero(t, s.x.GivenUp.Load())
 	assert.Empty(t, s.owes())
 
-	require.Equal(t, inflight.Taken, s.hand(webhook("v", webhookpkg.Second/5)))
+	require.Equal(t, inflight.Taken, s.hand(webhook("v", api.Second/5)))
 	s.whole(func() { s.Sends(map[inflight.RequestID]int{"v": 0}, inflight.Now()) })
 	over := func() bool { s.turn(); return s.x.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
--- a/webhook/dispatcher/eventloop/custody.go
+++ b/webhook/dispatcher/eventloop/custody.go
@@ -1,7 +1,7 @@
 package eventloop
 
 import (
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/wal"
 )
@@ -31,8 +31,8 @@
 
 // Doubt marks what is still parked here, before it is offered to another member, and lists that: from then on
 // nobody here calls for it before that is settled. true: it was in no doubt before. It waits for the turn.
-func (d *Decider) Doubt(ids []webhookpkg.WebhookID) map[webhookpkg.WebhookID]bool {
-	fresh, done := map[webhookpkg.WebhookID]bool{}, make(chan struct{})
+func (d *Decider) Doubt(ids []api.WebhookID) map[api.WebhookID]bool {
+	fresh, done := map[api.WebhookID]bool{}, make(chan struct{})
 	d.x.Tell(func() {
 		defer close(done)
 		for _, id := range ids {
@@ -47,7 +47,7 @@
 
 // Passed ends webhooks that another member has in its journal, and waits until that is written: nothing is
 // owed for them here any more.
-func (d *Decider) Passed(ids []webhookpkg.WebhookID) {
+func (d *Decider) Passed(ids []api.WebhookID) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		for _, id := range ids {
@@ -79,7 +79,7 @@
 }
 
 // GiveUp ends what is in doubt and will not be settled: it may have run.
-func (d *Decider) GiveUp(id webhookpkg.WebhookID) {
+func (d *Decider) GiveUp(id api.WebhookID) {
 	d.x.Tell(func() {
 		if w := d.parked[id]; w != nil && w.InDoubt {
 			d.unpark(id)
@@ -98,7 +98,7 @@
 			id := d.ids[of]
 			if e := d.journal.Entry(id); e != nil && d.parked[id] != nil {
 				ran, zone := p.MayRun, p.Zone
-				if ran == webhookpkg.Never || e.MayRun != webhookpkg.Never && e.MayRun < ran {
+				if ran == api.Never || e.MayRun != api.Never && e.MayRun < ran {
 					ran, zone = e.MayRun, e.Zone
 				}
 				d.journal.Past(id, max(p.Attempts, e.Attempts), ran, zone)
@@ -114,8 +114,8 @@
 }
 
 // past journals what a webhook brings along from another member, beside what was taken.
-func past(j *wal.Journal, w *inflight.Webhook) (attempts int, mayRun webhookpkg.Micros,
-	zone webhookpkg.ZoneID) {
+func past(j *wal.Journal, w *inflight.Webhook) (attempts int, mayRun api.Micros,
+	zone api.ZoneID) {
 	if p := w.Past; p != nil {
 		j.Past(w.ID, p.Attempts, p.MayRun, p.Zone)
 	}
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -6,7 +6,7 @@
 	"log/slog"
 
 	"rowanlink/internal/due"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
@@ -24,49 +24,49 @@
 	journal *wal.Journal
 	calls   *upstream.Endpoints
 	finals  *callback.Notices
-	facts   webhookpkg.Facts
+	facts   api.Facts
 	types   []string // the names of event types
-	module  webhookpkg.Module
+	module  api.Module
 
-	now    webhookpkg.Micros
-	turned webhookpkg.Micros // when the last turn was
-	nextID webhookpkg.WebhookID
-	held   map[webhookpkg.WebhookID]*inflight.Webhook
-	ids    map[inflight.RequestID]webhookpkg.WebhookID // of those held
+	now    api.Micros
+	turned api.Micros // when the last turn was
+	nextID api.WebhookID
+	held   map[api.WebhookID]*inflight.Webhook
+	ids    map[inflight.RequestID]api.WebhookID // of those held
 	dues   due.Times[func()]
 	stages []func(*inflight.Webhook) bool
-	out    map[webhookpkg.WebhookID]bool // in a call
-	over   chan struct{}                 // closed after the last turn
+	out    map[api.WebhookID]bool // in a call
+	over   chan struct{}          // closed after the last turn
 
 	// Where a fleet acts as one; else nil.
 	fleet  Fleet
-	parked map[webhookpkg.WebhookID]*inflight.Webhook
-	turns  map[turnOf][]webhookpkg.WebhookID          // what of each key is parked, in the order taken
-	listed map[webhookpkg.EndpointID]webhookpkg.Entry // as discovery has it
-	rated  map[webhookpkg.EndpointID]float64          // as the module was told
-	told   map[inflight.RequestID]ended               // of an earlier life, for others than the platform
+	parked map[api.WebhookID]*inflight.Webhook
+	turns  map[turnOf][]api.WebhookID   // what of each key is parked, in the order taken
+	listed map[api.EndpointID]api.Entry // as discovery has it
+	rated  map[api.EndpointID]float64   // as the module was told
+	told   map[inflight.RequestID]ended // of an earlier life, for others than the platform
 
 	// Of this turn.
-	fresh    map[webhookpkg.WebhookID]*inflight.Webhook // not answered yet
-	order    []webhookpkg.WebhookID
+	fresh    map[api.WebhookID]*inflight.Webhook // not answered yet
+	order    []api.WebhookID
 	attempts []attempt
 	ends     []func()
-	cancels  []webhookpkg.WebhookID
-	hangUps  []webhookpkg.EndpointID
+	cancels  []api.WebhookID
+	hangUps  []api.EndpointID
 	lost     bool // nothing of it could be written
 }
 
 type attempt struct {
-	ep webhookpkg.EndpointID
+	ep api.EndpointID
 	upstream.Try
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *inflight.Exchange, life *lifecycle.Life, j *wal.Journal, f webhookpkg.Facts) *Decider {
+func New(x *inflight.Exchange, life *lifecycle.Life, j *wal.Journal, f api.Facts) *Decider {
 	f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
 	d := &Decider{x: x, life: life, journal: j, facts: f, now: inflight.Now(), nextID: 1,
-		held: map[webhookpkg.WebhookID]*inflight.Webhook{}, ids: map[inflight.RequestID]webhookpkg.WebhookID{},
-		fresh: map[webhookpkg.WebhookID]*inflight.Webhook{}, out: map[webhookpkg.WebhookID]bool{},
+		held: map[api.WebhookID]*inflight.Webhook{}, ids: map[inflight.RequestID]api.WebhookID{},
+		fresh: map[api.WebhookID]*inflight.Webhook{}, out: map[api.WebhookID]bool{},
 		over: make(chan struct{})}
 	d.stages = []func(*inflight.Webhook) bool{d.inTime, d.room, d.once, d.take}
 	return d
@@ -74,7 +74,7 @@
 
 // Begin starts the module and hands it the webhooks of an earlier life.
 func (d *Decider) Begin(calls *upstream.Endpoints, finals *callback.Notices,
-	start func(webhookpkg.Facts, webhookpkg.Host) webhookpkg.Module) {
+	start func(api.Facts, api.Host) api.Module) {
 	d.calls, d.finals = calls, finals
 	d.module = start(d.facts, d)
 	d.sweep()
@@ -98,7 +98,7 @@
 		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
 		w.InDoubt = d.fleet != nil && d.fleet.Doubts(w.RequestID)
 		d.x.Resumed.Add(1)
-		w.Step("resumed", 0, webhookpkg.Micros(e.Attempts))
+		w.Step("resumed", 0, api.Micros(e.Attempts))
 		d.x.Tell(func() { d.begins(w, e.Attempts, e.MayRun, e.Zone) })
 	}
 }
@@ -111,7 +111,7 @@
 }
 
 // Renew has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
-func (d *Decider) Renew(f webhookpkg.Facts, types []string, idleLimit webhookpkg.Micros) {
+func (d *Decider) Renew(f api.Facts, types []string, idleLimit api.Micros) {
 	d.x.Tell(func() {
 		f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
 		d.facts = f
@@ -122,15 +122,15 @@
 }
 
 // Listed takes a list; addrs are its entries' addresses.
-func (d *Decider) Listed(entries []webhookpkg.Entry, addrs []string, whole bool) {
+func (d *Decider) Listed(entries []api.Entry, addrs []string, whole bool) {
 	d.x.Lists.Add(1)
 	for _, l := range entries {
 		d.x.Name(l.Destination)
 	}
 	d.x.Tell(func() {
-		named := map[webhookpkg.EndpointID]bool{}
+		named := map[api.EndpointID]bool{}
 		for i, l := range entries {
-			kind := webhookpkg.Kind{}
+			kind := api.Kind{}
 			if int(l.Kind) < len(d.facts.Kinds) {
 				kind = d.facts.Kinds[l.Kind]
 			}
@@ -145,16 +145,16 @@
 }
 
 // Came takes what came of a webhook's part in a call, from the call's own goroutine.
-func (d *Decider) Came(w *inflight.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome, took webhookpkg.Micros,
-	over bool, wait webhookpkg.Micros) {
+func (d *Decider) Came(w *inflight.Webhook, ep api.EndpointID, what api.Outcome, took api.Micros,
+	over bool, wait api.Micros) {
 	d.x.Tell(func() { d.Outcome(w, ep, what, took, over, wait) })
 }
 
 // Outcome notes it and hands it to the module.
-func (d *Decider) Outcome(w *inflight.Webhook, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
-	took webhookpkg.Micros, over bool, wait webhookpkg.Micros) {
+func (d *Decider) Outcome(w *inflight.Webhook, ep api.EndpointID, what api.Outcome,
+	took api.Micros, over bool, wait api.Micros) {
 	delete(d.out, w.ID)
-	ended := what == webhookpkg.Delivered || over
+	ended := what == api.Delivered || over
 	if ended {
 		d.witness(w, d.delivered(w, over))
 		if !d.relayed(w, inflight.EndDelivered, 0) {
@@ -175,7 +175,7 @@
 }
 
 // Heard takes which notices were heard.
-func (d *Decider) Heard(ids []webhookpkg.WebhookID) {
+func (d *Decider) Heard(ids []api.WebhookID) {
 	d.x.Tell(func() {
 		for _, id := range ids {
 			d.journal.Told(id)
--- a/webhook/dispatcher/eventloop/decider_test.go
+++ b/webhook/dispatcher/eventloop/decider_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
@@ -22,18 +22,18 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := New(x, life, kept, webhookpkg.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
-		EventTypes: []webhookpkg.EventType{{Target: webhookpkg.Second, TTL: 9 * webhookpkg.Second}}})
-	d.Begin(upstream.New(&x.Counters, d.Came, webhookpkg.Second, webhookpkg.Second, 4),
+	d := New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
+		EventTypes: []api.EventType{{Target: api.Second, TTL: 9 * api.Second}}})
+	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f webhookpkg.Facts, h webhookpkg.Host) webhookpkg.Module { return policy.New(f, h) })
-	d.Listed([]webhookpkg.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
+		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
+	d.Listed([]api.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	hand := func(id inflight.RequestID) inflight.Answer {
 		said := make(chan inflight.Answer, 1)
 		go func() {
 			now := inflight.Now()
-			w := inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*webhookpkg.Second}
+			w := inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*api.Second}
 			what, _ := x.HandIn(&w)
 			said <- what
 		}()
@@ -52,5 +52,5 @@
 	next, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	require.Len(t, next.Entries(), 1)
-	assert.Equal(t, webhookpkg.WebhookID(2), next.Entries()[0].ID)
+	assert.Equal(t, api.WebhookID(2), next.Entries()[0].ID)
 }
--- a/webhook/dispatcher/eventloop/fleet.go
+++ b/webhook/dispatcher/eventloop/fleet.go
@@ -3,16 +3,16 @@
 import (
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Fleet is what a fleet that acts as one says of this dispatcher; nil where there is none. It is asked in the
 // decider's own goroutine and must not wait.
 type Fleet interface {
-	Calls(dest webhookpkg.DestinationID, ordered bool) bool // whether it may be called from here, now
-	Part(dest webhookpkg.DestinationID) float64             // of its rate, from 0 to 1
-	Doubts(of inflight.RequestID) bool                      // of an earlier life: whether another may have it
+	Calls(dest api.DestinationID, ordered bool) bool // whether it may be called from here, now
+	Part(dest api.DestinationID) float64             // of its rate, from 0 to 1
+	Doubts(of inflight.RequestID) bool               // of an earlier life: whether another may have it
 }
 
 // Owed is a webhook that is held here and not called for now.
@@ -20,14 +20,14 @@
 	*inflight.Webhook
 	Doubted  bool // another member may have it
 	Attempts int
-	MayRun   webhookpkg.Micros // the first attempt that may have run, or Never
-	Zone     webhookpkg.ZoneID
+	MayRun   api.Micros // the first attempt that may have run, or Never
+	Zone     api.ZoneID
 }
 
 // Join has the decider ask a fleet from its first webhook on; before Begin only.
 func (d *Decider) Join(f Fleet) {
-	d.fleet, d.listed = f, map[webhookpkg.EndpointID]webhookpkg.Entry{}
-	d.parked, d.turns = map[webhookpkg.WebhookID]*inflight.Webhook{}, map[turnOf][]webhookpkg.WebhookID{}
+	d.fleet, d.listed = f, map[api.EndpointID]api.Entry{}
+	d.parked, d.turns = map[api.WebhookID]*inflight.Webhook{}, map[turnOf][]api.WebhookID{}
 }
 
 // mayCall tells whether a webhook may be called from here.
@@ -59,7 +59,7 @@
 }
 
 // begins hands a webhook to the module, or parks it: journalled and owed, but called by nobody here.
-func (d *Decider) begins(w *inflight.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
+func (d *Decider) begins(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	if d.mayCall(w) {
 		d.resume(w, attempts, mayRun, zone)
 		return
@@ -89,8 +89,8 @@
 }
 
 // sorted is what is held in the order taken: order by key rests on it.
-func (d *Decider) sorted() []webhookpkg.WebhookID {
-	ids := make([]webhookpkg.WebhookID, 0, len(d.held))
+func (d *Decider) sorted() []api.WebhookID {
+	ids := make([]api.WebhookID, 0, len(d.held))
 	for id := range d.held {
 		ids = append(ids, id)
 	}
@@ -100,28 +100,28 @@
 
 // rerate tells the module of the rates that are this dispatcher's part by now.
 func (d *Decider) rerate() {
-	var anew []webhookpkg.Entry
+	var anew []api.Entry
 	for id, l := range d.listed {
 		if now := d.parted(l); now.Rate != d.rated[id] {
 			anew = append(anew, now)
 		}
 	}
 	if len(anew) > 0 {
-		slices.SortFunc(anew, func(a, b webhookpkg.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
+		slices.SortFunc(anew, func(a, b api.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
 		d.note(anew)
 		d.module.Endpoints(anew, false)
 	}
 }
 
 // parted is an entry with the rate of which an even part is this dispatcher's.
-func (d *Decider) parted(l webhookpkg.Entry) webhookpkg.Entry {
+func (d *Decider) parted(l api.Entry) api.Entry {
 	l.Rate *= d.fleet.Part(l.Destination) * float64(max(d.facts.Fleet, 1))
 	return l
 }
 
-func (d *Decider) note(entries []webhookpkg.Entry) {
+func (d *Decider) note(entries []api.Entry) {
 	if d.rated == nil {
-		d.rated = map[webhookpkg.EndpointID]float64{}
+		d.rated = map[api.EndpointID]float64{}
 	}
 	for _, l := range entries {
 		d.rated[l.Endpoint] = l.Rate
@@ -129,7 +129,7 @@
 }
 
 // shared keeps a list's rates and makes them this dispatcher's.
-func (d *Decider) shared(entries []webhookpkg.Entry, whole bool) []webhookpkg.Entry {
+func (d *Decider) shared(entries []api.Entry, whole bool) []api.Entry {
 	if d.fleet == nil {
 		return entries
 	}
@@ -137,9 +137,9 @@
 		clear(d.listed)
 		d.rated = nil
 	}
-	all := make([]webhookpkg.Entry, 0, len(entries))
+	all := make([]api.Entry, 0, len(entries))
 	for _, l := range entries {
-		if d.listed[l.Endpoint] = l; l.Standing == webhookpkg.Gone {
+		if d.listed[l.Endpoint] = l; l.Standing == api.Gone {
 			delete(d.listed, l.Endpoint)
 			delete(d.rated, l.Endpoint)
 		}
--- a/webhook/dispatcher/eventloop/fleet_test.go
+++ b/webhook/dispatcher/eventloop/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
@@ -19,9 +19,9 @@
 // elsewhere is a fleet of which this dispatcher may call nobody, until it is home.
 type elsewhere struct{ home, doubts bool }
 
-func (e *elsewhere) Calls(webhookpkg.DestinationID, bool) bool { return e.home }
-func (e *elsewhere) Part(webhookpkg.DestinationID) float64     { return 1 }
-func (e *elsewhere) Doubts(inflight.RequestID) bool            { return e.doubts }
+func (e *elsewhere) Calls(api.DestinationID, bool) bool { return e.home }
+func (e *elsewhere) Part(api.DestinationID) float64     { return 1 }
+func (e *elsewhere) Doubts(inflight.RequestID) bool     { return e.doubts }
 
 // side is a dispatcher without its sockets' other ends.
 type side struct {
@@ -30,22 +30,22 @@
 	all  *elsewhere
 }
 
-func stands(t *testing.T, dir string, ttl webhookpkg.Micros) *side {
+func stands(t *testing.T, dir string, ttl api.Micros) *side {
 	return standsBeside(t, dir, ttl, &elsewhere{})
 }
 
-func standsBeside(t *testing.T, dir string, ttl webhookpkg.Micros, all *elsewhere) *side {
+func standsBeside(t *testing.T, dir string, ttl api.Micros, all *elsewhere) *side {
 	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := New(x, life, kept, webhookpkg.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
-		EventTypes: []webhookpkg.EventType{{Target: ttl / 9, TTL: ttl, Repeat: webhookpkg.AtMostOnce}}})
+	d := New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
+		EventTypes: []api.EventType{{Target: ttl / 9, TTL: ttl, Repeat: api.AtMostOnce}}})
 	d.Join(all)
-	d.Begin(upstream.New(&x.Counters, d.Came, webhookpkg.Second, webhookpkg.Second, 4),
+	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f webhookpkg.Facts, h webhookpkg.Host) webhookpkg.Module { return policy.New(f, h) })
-	d.Listed([]webhookpkg.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
+		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
+	d.Listed([]api.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	return &side{d, kept, all}
 }
@@ -82,7 +82,7 @@
 	return all
 }
 
-func webhook(id inflight.RequestID, ttl webhookpkg.Micros) inflight.Webhook {
+func webhook(id inflight.RequestID, ttl api.Micros) inflight.Webhook {
 	now := inflight.Now()
 	return inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + ttl}
 }
@@ -90,7 +90,7 @@
 // Guards against two callers: what belongs to another home is taken on, owed over a restart and called by
 // nobody here, and is over here once it was passed on.
 func TestWhatMayNotBeCalledFromHereIsParkedOverARestartAndPassedOn(t *testing.T) {
-	dir, ttl := t.TempDir(), 90*webhookpkg.Second
+	dir, ttl := t.TempDir(), 90*api.Second
 	s := stands(t, dir, ttl)
 	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", ttl)))
 	assert.Zero(t, s.x.Calls.Load())
@@ -98,7 +98,7 @@
 	s = stands(t, dir, ttl)
 	all := s.owes()
 	require.Len(t, all, 1)
-	s.during(func() { s.Passed([]webhookpkg.WebhookID{all[0].ID}) })
+	s.during(func() { s.Passed([]api.WebhookID{all[0].ID}) })
 	s.all.home = true
 	s.Regate()
 	assert.Empty(t, s.owes())
@@ -109,12 +109,12 @@
 
 // Guards against a second effect: an attempt of an earlier owner is not forgotten by the next.
 func TestWhatMayHaveRunElsewhereIsNotCalledAgainIfItMayNotRunTwice(t *testing.T) {
-	ttl := 90 * webhookpkg.Second
+	ttl := 90 * api.Second
 	s := stands(t, t.TempDir(), ttl)
 	s.all.home = true
 	clean, ran := webhook("a1", ttl), webhook("a2", ttl)
-	clean.Past = &inflight.Past{Attempts: 1, MayRun: webhookpkg.Never}
-	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now() - webhookpkg.Second}
+	clean.Past = &inflight.Past{Attempts: 1, MayRun: api.Never}
+	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now() - api.Second}
 	assert.Equal(t, inflight.Taken, s.hand(ran))
 	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "told at once")
 	assert.Equal(t, inflight.Taken, s.hand(clean))
@@ -124,7 +124,7 @@
 // Guards against a webhook called by two: in doubt it waits, though this is its home, until that is settled,
 // after a restart too; and what may have run meanwhile and may not run twice is told of at once.
 func TestInDoubtNobodyCallsUntilItIsSettled(t *testing.T) {
-	ttl := 90 * webhookpkg.Second
+	ttl := 90 * api.Second
 	for _, ran := range []bool{false, true} {
 		dir := t.TempDir()
 		s := stands(t, dir, ttl)
@@ -152,13 +152,13 @@
 // Guards against a webhook offered to another member and called here as well: only what is still parked is
 // marked, and what is marked is not called, wherever its home is by then.
 func TestWhatIsOfferedIsNotCalledMeanwhile(t *testing.T) {
-	ttl := 90 * webhookpkg.Second
+	ttl := 90 * api.Second
 	s := stands(t, t.TempDir(), ttl)
 	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", ttl)))
 	id := s.owes()[0].ID
-	var marked map[webhookpkg.WebhookID]bool
-	s.during(func() { marked = s.Doubt([]webhookpkg.WebhookID{id, id + 1}) })
-	assert.Equal(t, map[webhookpkg.WebhookID]bool{id: true}, marked)
+	var marked map[api.WebhookID]bool
+	s.during(func() { marked = s.Doubt([]api.WebhookID{id, id + 1}) })
+	assert.Equal(t, map[api.WebhookID]bool{id: true}, marked)
 	s.all.home = true
 	s.Regate()
 	assert.Len(t, s.owes(), 1, "still parked")
@@ -169,9 +169,9 @@
 
 // Guards against a webhook lost while its home is gone: it ends in time.
 func TestWhatIsParkedEndsWithItsTTL(t *testing.T) {
-	s := stands(t, t.TempDir(), webhookpkg.Second/5)
-	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", webhookpkg.Second/5)))
-	ran := webhook("a2", webhookpkg.Second/5)
+	s := stands(t, t.TempDir(), api.Second/5)
+	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", api.Second/5)))
+	ran := webhook("a2", api.Second/5)
 	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now()}
 	assert.Equal(t, inflight.Taken, s.hand(ran))
 	over := func() bool { s.turn(); return s.x.HandedBack.Load() == 1 && s.x.GivenUp.Load() == 1 }
--- a/webhook/dispatcher/eventloop/given.go
+++ b/webhook/dispatcher/eventloop/given.go
@@ -3,7 +3,7 @@
 import (
 	"log/slog"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -21,7 +21,7 @@
 // Sends gives webhooks that are parked here away: until Frees or Over nobody here calls for them, and from
 // at on each may have run. Each comes with the attempts that it is given away with. False: nothing was done,
 // as one is parked here no more, was called for here meanwhile, or it can't be written.
-func (d *Decider) Sends(all map[inflight.RequestID]int, at webhookpkg.Micros) (ok bool) {
+func (d *Decider) Sends(all map[inflight.RequestID]int, at api.Micros) (ok bool) {
 	d.inTurn(func() {
 		of := byID(d, all)
 		if len(of) < len(all) {
@@ -33,7 +33,7 @@
 			if e == nil || d.parked[w.ID] == nil || w.InDoubt || e.Attempts != all[id] {
 				return
 			}
-			ran[id] = e.MayRun != webhookpkg.Never
+			ran[id] = e.MayRun != api.Never
 		}
 		for id, w := range of {
 			w.InDoubt, w.Given = true, true
@@ -65,13 +65,13 @@
 func (d *Decider) free(w *inflight.Webhook, b Back) {
 	w.InDoubt, w.Given = false, false
 	e := d.journal.Entry(w.ID)
-	if e == nil || !b.Never || e.MayRun == webhookpkg.Never {
+	if e == nil || !b.Never || e.MayRun == api.Never {
 		return
 	}
 	if b.Ran {
 		d.journal.Past(w.ID, e.Attempts-1, e.MayRun, e.Zone)
 	} else {
-		d.journal.Past(w.ID, e.Attempts-1, webhookpkg.Never, 0)
+		d.journal.Past(w.ID, e.Attempts-1, api.Never, 0)
 	}
 }
 
@@ -130,7 +130,7 @@
 				d.module.Withdrawn(w.ID)
 			}
 			d.unpark(w.ID)
-			w.Step("over_elsewhere", 0, webhookpkg.Micros(e.How))
+			w.Step("over_elsewhere", 0, api.Micros(e.How))
 			switch e.How {
 			case inflight.EndDelivered:
 				d.journal.End(w.ID, nil)
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -3,16 +3,16 @@
 import (
 	"log/slog"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/upstream"
 )
 
 // Now is the time of the turn.
-func (d *Decider) Now() webhookpkg.Micros { return d.now }
+func (d *Decider) Now() api.Micros { return d.now }
 
-func (d *Decider) Attempt(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, patience, latest webhookpkg.Micros) {
+func (d *Decider) Attempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
 	if w := d.held[id]; w != nil {
 		w.Step("attempt", ep, patience)
 		d.out[id] = true
@@ -20,10 +20,10 @@
 	}
 }
 
-func (d *Decider) Cancel(id webhookpkg.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
+func (d *Decider) Cancel(id api.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
 
 // Reject hands a webhook back: by the answer where its client still waits for one, else by notice.
-func (d *Decider) Reject(id webhookpkg.WebhookID, advised webhookpkg.Micros) {
+func (d *Decider) Reject(id api.WebhookID, advised api.Micros) {
 	w := d.held[id]
 	if w == nil {
 		return
@@ -44,7 +44,7 @@
 	d.owe(w, callback.HandedBack(w.RequestID, advised))
 }
 
-func (d *Decider) DeadLetter(id webhookpkg.WebhookID) {
+func (d *Decider) DeadLetter(id api.WebhookID) {
 	if w := d.held[id]; w != nil && !d.relayed(w, inflight.EndDeadLettered, 0) {
 		d.x.GivenUp.Add(1)
 		d.witness(w, DeadLettered)
@@ -60,10 +60,10 @@
 	d.ends = append(d.ends, func() { d.finals.Owe(w.ID, notice) })
 }
 
-func (d *Decider) Wake(in webhookpkg.Micros, timer webhookpkg.TimerID) {
+func (d *Decider) Wake(in api.Micros, timer api.TimerID) {
 	d.dues.Add(int64(d.now+in), func() { d.module.Wake(timer) })
 }
 
-func (d *Decider) CloseIdle(ep webhookpkg.EndpointID) { d.hangUps = append(d.hangUps, ep) }
+func (d *Decider) CloseIdle(ep api.EndpointID) { d.hangUps = append(d.hangUps, ep) }
 
 func (d *Decider) Log(text string) { slog.Info("module", "says", text) }
--- a/webhook/dispatcher/eventloop/parked.go
+++ b/webhook/dispatcher/eventloop/parked.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // turnOf is what order is kept by.
 type turnOf struct {
-	dest webhookpkg.DestinationID
-	key  webhookpkg.Key
+	dest api.DestinationID
+	key  api.Key
 }
 
 func (d *Decider) park(w *inflight.Webhook) {
@@ -23,20 +23,20 @@
 	d.dues.Add(int64(w.TTL-2*d.facts.Tick), func() { d.expire(w.ID) })
 }
 
-func (d *Decider) unpark(id webhookpkg.WebhookID) {
+func (d *Decider) unpark(id api.WebhookID) {
 	w := d.parked[id]
 	if delete(d.parked, id); w == nil || w.Key == 0 {
 		return
 	}
 	of := turnOf{w.Destination, w.Key}
-	d.turns[of] = slices.DeleteFunc(d.turns[of], func(other webhookpkg.WebhookID) bool { return other == id })
+	d.turns[of] = slices.DeleteFunc(d.turns[of], func(other api.WebhookID) bool { return other == id })
 	if len(d.turns[of]) == 0 {
 		delete(d.turns, of)
 	}
 }
 
 // frees hands to the module what may be called by now, and then what waited behind it.
-func (d *Decider) frees(id webhookpkg.WebhookID) bool {
+func (d *Decider) frees(id api.WebhookID) bool {
 	w, e := d.parked[id], d.journal.Entry(id)
 	if w == nil || e == nil || !d.mayCall(w) {
 		return false
@@ -66,10 +66,10 @@
 }
 
 // expire guards against a webhook lost while it is parked: it ends in time, as the module ends those it has.
-func (d *Decider) expire(id webhookpkg.WebhookID) {
+func (d *Decider) expire(id api.WebhookID) {
 	e := d.journal.Entry(id)
 	if w := d.parked[id]; w != nil && e != nil && !d.lastWord(w) {
-		if d.unpark(id); e.MayRun != webhookpkg.Never || w.InDoubt {
+		if d.unpark(id); e.MayRun != api.Never || w.InDoubt {
 			d.DeadLetter(id)
 		} else {
 			d.Reject(id, 0)
--- a/webhook/dispatcher/eventloop/relayed.go
+++ b/webhook/dispatcher/eventloop/relayed.go
@@ -4,25 +4,25 @@
 	"bytes"
 	"strconv"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/wal"
 )
 
 // ended is what the journal of an earlier life says of a webhook whose end another member is owed.
 type ended struct {
-	id webhookpkg.WebhookID
+	id api.WebhookID
 	inflight.End
 }
 
 // relayed ends a webhook of which others than the platform are told, and whether it is one.
-func (d *Decider) relayed(w *inflight.Webhook, how inflight.How, retryIn webhookpkg.Micros) bool {
+func (d *Decider) relayed(w *inflight.Webhook, how inflight.How, retryIn api.Micros) bool {
 	if w.Ends == nil || d.held[w.ID] != w {
 		return false
 	}
 	end := inflight.End{RequestID: w.RequestID, How: how, RetryIn: retryIn}
 	if e := d.journal.Entry(w.ID); e != nil {
-		end.Attempts, end.MayRun = e.Attempts, e.MayRun != webhookpkg.Never
+		end.Attempts, end.MayRun = e.Attempts, e.MayRun != api.Never
 	}
 	d.journal.End(w.ID, end.Bytes())
 	d.drop(w)
--- a/webhook/dispatcher/eventloop/taught.go
+++ b/webhook/dispatcher/eventloop/taught.go
@@ -1,15 +1,15 @@
 package eventloop
 
-import webhookpkg "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // Learned lists what the module knows of destinations that match; it waits for the turn. idle: no call to
 // them is out, so that nothing can be added to it any more.
-func (d *Decider) Learned(match func(webhookpkg.DestinationID) bool) (all []webhookpkg.Learned, idle bool) {
+func (d *Decider) Learned(match func(api.DestinationID) bool) (all []api.Learned, idle bool) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		defer close(done)
 		idle = true
-		dests := map[webhookpkg.DestinationID]bool{}
+		dests := map[api.DestinationID]bool{}
 		for _, l := range d.listed {
 			dests[l.Destination] = match(l.Destination)
 		}
@@ -27,7 +27,7 @@
 }
 
 // Teach has the module take over what another one knew, with times of this clock.
-func (d *Decider) Teach(all []webhookpkg.Learned) {
+func (d *Decider) Teach(all []api.Learned) {
 	d.x.Tell(func() {
 		for _, l := range all {
 			d.teacher().Teach(l)
@@ -35,10 +35,10 @@
 	})
 }
 
-func (d *Decider) teacher() webhookpkg.Teacher {
+func (d *Decider) teacher() api.Teacher {
 	m := d.module
-	if held, ok := m.(interface{ Unwrap() webhookpkg.Module }); ok {
+	if held, ok := m.(interface{ Unwrap() api.Module }); ok {
 		m = held.Unwrap()
 	}
-	return m.(webhookpkg.Teacher)
+	return m.(api.Teacher)
 }
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
 	"rowanlink/webhook/dispatcher/upstream"
@@ -15,9 +15,9 @@
 func (d *Decider) Run() {
 	timer := time.NewTimer(0)
 	for d.life.Phase() < lifecycle.Ended {
-		next := d.turned + webhookpkg.Second
+		next := d.turned + api.Second
 		if at, ok := d.dues.Next(); ok {
-			next = min(next, webhookpkg.Micros(at))
+			next = min(next, api.Micros(at))
 		}
 		timer.Reset(inflight.Span(max(next-inflight.Now(), 0)))
 		select {
@@ -124,7 +124,7 @@
 		if d.mayCall(a.Webhook) {
 			return false
 		}
-		d.Outcome(a.Webhook, a.ep, webhookpkg.NotSent, 0, false, 0) // the grant is over since the turn began
+		d.Outcome(a.Webhook, a.ep, api.NotSent, 0, false, 0) // the grant is over since the turn began
 		return true
 	})
 	for _, a := range d.attempts {
@@ -170,15 +170,15 @@
 		}
 	}
 	for _, a := range d.attempts {
-		d.Outcome(a.Webhook, a.ep, webhookpkg.NotSent, 0, false, 0)
+		d.Outcome(a.Webhook, a.ep, api.NotSent, 0, false, 0)
 	}
 	d.attempts = d.attempts[:0]
 }
 
 // send makes the calls of this turn, those to one endpoint together, in the order decided.
 func (d *Decider) send() {
-	var eps []webhookpkg.EndpointID
-	tries := map[webhookpkg.EndpointID][]upstream.Try{}
+	var eps []api.EndpointID
+	tries := map[api.EndpointID][]upstream.Try{}
 	for _, a := range d.attempts {
 		if tries[a.ep] == nil {
 			eps = append(eps, a.ep)
--- a/webhook/dispatcher/eventloop/types.go
+++ b/webhook/dispatcher/eventloop/types.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -31,18 +31,18 @@
 
 // resume hands a webhook to the module. Guards against a second effect: one that was taken on without a token
 // is not repeated by settings that ask for one, since nobody would know the repeat.
-func (d *Decider) resume(w *inflight.Webhook, attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
+func (d *Decider) resume(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	all := d.facts.EventTypes
-	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Repeat == webhookpkg.Tokened {
+	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Repeat == api.Tokened {
 		w.Event = unnamed
 	}
 	d.module.Resume(w.ID, w.Event, w.Tenant, w.Key, w.TTL, w.Destination, attempts, mayRun, zone)
 }
 
 // place is where an event type of an earlier life stands by now.
-func (d *Decider) place(name string) webhookpkg.EventTypeID {
+func (d *Decider) place(name string) api.EventTypeID {
 	if at := slices.Index(d.types, name); at >= 0 {
-		return webhookpkg.EventTypeID(at)
+		return api.EventTypeID(at)
 	}
 	return unnamed
 }
--- a/webhook/dispatcher/inflight/announced.go
+++ b/webhook/dispatcher/inflight/announced.go
@@ -6,16 +6,16 @@
 	"strconv"
 	"strings"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 var errBroken = errors.New("a webhook's kept form is broken")
 
 // Announced is what a webhook has besides where lists and site streams are on.
 type Announced struct {
-	List  string                       // not taken on yet: for its subscribers, in place of a destination
-	Given bool                         // to a relay, which ends it
-	Ends  func(webhook.WebhookID, End) // who hears its end in place of the platform; does not wait. nil: nobody
+	List  string                   // not taken on yet: for its subscribers, in place of a destination
+	Given bool                     // to a relay, which ends it
+	Ends  func(api.WebhookID, End) // who hears its end in place of the platform; does not wait. nil: nobody
 }
 
 // Announcing is what a fleet adds for announcements; nil in a dispatcher that is none of one.
@@ -27,18 +27,18 @@
 const ofSubscriber = ".dest="
 
 // ForSubscriber is the request id of an announcement's delivery to one subscriber.
-func ForSubscriber(of RequestID, to webhook.DestinationID) RequestID {
+func ForSubscriber(of RequestID, to api.DestinationID) RequestID {
 	return of + ofSubscriber + RequestID(strconv.FormatUint(uint64(to), 10))
 }
 
 // Subscriber takes such an id apart.
-func (id RequestID) Subscriber() (of RequestID, to webhook.DestinationID, is bool) {
+func (id RequestID) Subscriber() (of RequestID, to api.DestinationID, is bool) {
 	at := strings.LastIndex(string(id), ofSubscriber)
 	if at < 0 {
 		return id, 0, false
 	}
 	n, err := strconv.ParseUint(string(id[at+len(ofSubscriber):]), 10, 32)
-	return id[:at], webhook.DestinationID(n), err == nil
+	return id[:at], api.DestinationID(n), err == nil
 }
 
 // Reserved guards against a client's request id that would be taken for a subscriber's.
@@ -74,7 +74,7 @@
 type End struct {
 	RequestID RequestID
 	How       How
-	RetryIn   webhook.Micros
+	RetryIn   api.Micros
 	Attempts  int
 	MayRun    bool
 }
@@ -100,7 +100,7 @@
 	if len(b) < endFixed || b[0] != endMark {
 		return End{}, false
 	}
-	return End{How: How(b[1]), RetryIn: webhook.Micros(binary.LittleEndian.Uint64(b[2:])),
+	return End{How: How(b[1]), RetryIn: api.Micros(binary.LittleEndian.Uint64(b[2:])),
 		Attempts: int(binary.LittleEndian.Uint16(b[10:])), MayRun: b[12] != 0,
 		RequestID: RequestID(b[endFixed:])}, true
 }
--- a/webhook/dispatcher/inflight/announced_test.go
+++ b/webhook/dispatcher/inflight/announced_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func FuzzEndFrom(f *testing.F) {
@@ -25,7 +25,7 @@
 	f.Add("a", uint32(3))
 	f.Add("a.dest=4", uint32(5))
 	f.Fuzz(func(t *testing.T, id string, to uint32) {
-		of, dest, is := ForSubscriber(RequestID(id), webhook.DestinationID(to)).Subscriber()
+		of, dest, is := ForSubscriber(RequestID(id), api.DestinationID(to)).Subscriber()
 		assert.True(t, is)
 		assert.Equal(t, RequestID(id), of)
 		assert.EqualValues(t, to, dest)
--- a/webhook/dispatcher/inflight/counters.go
+++ b/webhook/dispatcher/inflight/counters.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"sync/atomic"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Counters count what is taken in, sent and answered since the start.
@@ -19,7 +19,7 @@
 }
 
 // OutcomeName is an outcome as counters and logs name it.
-func OutcomeName(o webhook.Outcome) string { return outcomeNames[o] }
+func OutcomeName(o api.Outcome) string { return outcomeNames[o] }
 
 var outcomeNames = [...]string{"delivered", "errored", "full", "timed_out", "connect_failed", "reset",
 	"cancelled", "not_sent", "crowded"}
