--- a/webhook/dispatcher/inflight/exchange.go
+++ b/webhook/dispatcher/inflight/exchange.go
@@ -9,21 +9,21 @@
 	"sync"
 	"time"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 var started = time.Now()
 
 // Now is the one clock of the process: it starts from the wall's and never runs back.
-func Now() webhook.Micros {
-	return webhook.Micros(started.UnixMicro() + time.Since(started).Microseconds())
+func Now() api.Micros {
+	return api.Micros(started.UnixMicro() + time.Since(started).Microseconds())
 }
 
 // Span is a time from the clock's point of view as the standard library has it.
-func Span(t webhook.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func Span(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // AnswerWithin is the protocol's: a client that waited longer for its answer has gone and may come again.
-const AnswerWithin = 2 * webhook.Second / 5
+const AnswerWithin = 2 * api.Second / 5
 
 // RequestID is a webhook's name on the sockets, Token the mark by which a repeat is known; empty: none.
 type (
@@ -33,18 +33,18 @@
 
 // Webhook is one webhook as it came: what goes on unchanged stays bytes.
 type Webhook struct {
-	ID        webhook.WebhookID
+	ID        api.WebhookID
 	RequestID RequestID
 	Token     Token
 	Body      []byte
 
-	Event       webhook.EventTypeID
-	Tenant      webhook.TenantID
-	Key         webhook.Key
-	Destination webhook.DestinationID
-	TTL         webhook.Micros
+	Event       api.EventTypeID
+	Tenant      api.TenantID
+	Key         api.Key
+	Destination api.DestinationID
+	TTL         api.Micros
 
-	CameAt webhook.Micros
+	CameAt api.Micros
 	answer chan answer
 
 	// In a fleet that acts as one: what it brings along from another member, nil if nothing; whether another
@@ -59,13 +59,13 @@
 // Past is what became of a webhook before it came here.
 type Past struct {
 	Attempts int
-	MayRun   webhook.Micros // the first attempt that may have run, or Never
-	Zone     webhook.ZoneID // of that attempt's endpoint
+	MayRun   api.Micros // the first attempt that may have run, or Never
+	Zone     api.ZoneID // of that attempt's endpoint
 }
 
 // Step logs a step of a webhook's course at debug level, so that its id can be followed through all
 // logs. ep: the endpoint concerned, or 0; took: since the attempt was decided on, or since it came.
-func (w *Webhook) Step(step string, ep webhook.EndpointID, took webhook.Micros) {
+func (w *Webhook) Step(step string, ep api.EndpointID, took api.Micros) {
 	if log := slog.Default(); log.Enabled(context.Background(), slog.LevelDebug) {
 		log.Debug("course", "webhook", w.RequestID, "step", step, "dest", w.Destination, "ep", ep, "took_us", took)
 	}
@@ -85,7 +85,7 @@
 
 type answer struct {
 	what    Answer
-	retryIn webhook.Micros
+	retryIn api.Micros
 }
 
 // Exchange holds what waits for the decider. What waits is bounded: a client's connection has one webhook at
@@ -96,29 +96,29 @@
 	arrivals []*Webhook
 	news     []func()
 	bell     chan struct{}
-	named    map[webhook.DestinationID]bool
+	named    map[api.DestinationID]bool
 
 	// What a fleet adds, before the clients' server runs; nil in a dispatcher that is none of one. Away takes a
 	// webhook to its home and answers for it; here takes it on in this process. More prints further counters.
-	Away func(w *Webhook, here func() (Answer, webhook.Micros)) (what Answer, retryIn webhook.Micros)
+	Away func(w *Webhook, here func() (Answer, api.Micros)) (what Answer, retryIn api.Micros)
 	More func(io.Writer)
 	Announcing
 }
 
 // New makes an exchange in which nothing waits.
 func New() *Exchange {
-	return &Exchange{bell: make(chan struct{}, 1), named: map[webhook.DestinationID]bool{}}
+	return &Exchange{bell: make(chan struct{}, 1), named: map[api.DestinationID]bool{}}
 }
 
 // Name notes that a list has named a destination; that holds also when it has no endpoint any more.
-func (x *Exchange) Name(dest webhook.DestinationID) {
+func (x *Exchange) Name(dest api.DestinationID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.named[dest] = true
 }
 
 // Named tells whether any list has named a destination.
-func (x *Exchange) Named(dest webhook.DestinationID) bool {
+func (x *Exchange) Named(dest api.DestinationID) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.named[dest]
@@ -126,12 +126,12 @@
 
 // HandIn takes a client's webhook to where it is decided on, and waits for its answer; one rejected may be
 // told a time to come back (0: none).
-func (x *Exchange) HandIn(w *Webhook) (what Answer, retryIn webhook.Micros) {
+func (x *Exchange) HandIn(w *Webhook) (what Answer, retryIn api.Micros) {
 	if x.Away == nil {
 		return x.HandInHere(w)
 	}
 	kept := false
-	what, retryIn = x.Away(w, func() (Answer, webhook.Micros) {
+	what, retryIn = x.Away(w, func() (Answer, api.Micros) {
 		kept = true
 		return x.HandInHere(w)
 	})
@@ -142,13 +142,13 @@
 }
 
 // HandInHere puts a webhook in for the next turn and waits for its answer.
-func (x *Exchange) HandInHere(w *Webhook) (what Answer, retryIn webhook.Micros) {
-	x.HandInAll([]*Webhook{w}, func(_ int, is Answer, in webhook.Micros) { what, retryIn = is, in })
+func (x *Exchange) HandInHere(w *Webhook) (what Answer, retryIn api.Micros) {
+	x.HandInAll([]*Webhook{w}, func(_ int, is Answer, in api.Micros) { what, retryIn = is, in })
 	return what, retryIn
 }
 
 // HandInAll puts webhooks in for one turn, in their order, and tells of each answer once all have come.
-func (x *Exchange) HandInAll(all []*Webhook, answered func(i int, what Answer, retryIn webhook.Micros)) {
+func (x *Exchange) HandInAll(all []*Webhook, answered func(i int, what Answer, retryIn api.Micros)) {
 	if len(all) == 0 {
 		return
 	}
@@ -166,7 +166,7 @@
 }
 
 // Answer answers the client that handed the webhook in.
-func (w *Webhook) Answer(what Answer, retryIn webhook.Micros) {
+func (w *Webhook) Answer(what Answer, retryIn api.Micros) {
 	w.Step(answerNames[what], 0, Now()-w.CameAt)
 	w.answer <- answer{what, retryIn}
 }
--- a/webhook/dispatcher/inflight/exchange_test.go
+++ b/webhook/dispatcher/inflight/exchange_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestAWebhookKeptInEitherFormComesBackWhole(t *testing.T) {
@@ -36,7 +36,7 @@
 	assert.Equal(t, w, again)
 
 	for n := range w.Bytes()[:30] {
-		_, err := FromBytes(webhook.WebhookID(n), w.Bytes()[:n])
+		_, err := FromBytes(api.WebhookID(n), w.Bytes()[:n])
 		assert.Error(t, err, "cut at %d", n)
 	}
 }
--- a/webhook/dispatcher/inflight/kept.go
+++ b/webhook/dispatcher/inflight/kept.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"slices"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // wide opens the kept form whose destinations are 32 bits wide. The form before it had 16 and began with the
@@ -27,7 +27,7 @@
 }
 
 // FromBytes reads that form again, and the one before it.
-func FromBytes(id webhook.WebhookID, b []byte) (*Webhook, error) {
+func FromBytes(id api.WebhookID, b []byte) (*Webhook, error) {
 	const fixed, destAt = 1 + 4 + 8 + 4 + 8, 13
 	if len(b) > 0 && b[0] == wide {
 		b = b[1:]
@@ -37,11 +37,11 @@
 	if len(b) < fixed {
 		return nil, errBroken
 	}
-	w := &Webhook{ID: id, Event: webhook.EventTypeID(b[0]),
-		Tenant:      webhook.TenantID(binary.LittleEndian.Uint32(b[1:])),
-		Key:         webhook.Key(binary.LittleEndian.Uint64(b[5:])),
-		Destination: webhook.DestinationID(binary.LittleEndian.Uint32(b[destAt:])),
-		TTL:         webhook.Micros(binary.LittleEndian.Uint64(b[destAt+4:]))}
+	w := &Webhook{ID: id, Event: api.EventTypeID(b[0]),
+		Tenant:      api.TenantID(binary.LittleEndian.Uint32(b[1:])),
+		Key:         api.Key(binary.LittleEndian.Uint64(b[5:])),
+		Destination: api.DestinationID(binary.LittleEndian.Uint32(b[destAt:])),
+		TTL:         api.Micros(binary.LittleEndian.Uint64(b[destAt+4:]))}
 	b = b[fixed:]
 	texts := [2]string{}
 	for i := range texts {
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"rowanlink/internal/socket"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
@@ -42,16 +42,16 @@
 // terms are what webhooks are read by.
 type terms struct {
 	config.Names
-	types []webhook.EventType
+	types []api.EventType
 }
 
 // Renew has webhooks that come from now on read by other settings.
-func (s *Clients) Renew(f webhook.Facts, names config.Names) {
+func (s *Clients) Renew(f api.Facts, names config.Names) {
 	s.terms.Store(&terms{names, f.EventTypes})
 }
 
 // New makes a server that holds at most mostOpen connections, mostIdle of them idle.
-func New(x *inflight.Exchange, life *lifecycle.Life, f webhook.Facts, names config.Names,
+func New(x *inflight.Exchange, life *lifecycle.Life, f api.Facts, names config.Names,
 	mostOpen, mostIdle int) *Clients {
 	s := &Clients{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
 	s.Renew(f, names)
--- a/webhook/dispatcher/server/door.go
+++ b/webhook/dispatcher/server/door.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"rowanlink/internal/socket"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -22,9 +22,9 @@
 	mu    sync.Mutex
 	freed *sync.Cond
 	in    int
-	left  webhook.Micros // when a guest was last closed
-	mute  list.List      // guests whose first or begun request has not come as a whole, longest in wait first
-	idle  [3]list.List   // those that were answered, by how many webhooks they have handed in, longest ago first
+	left  api.Micros   // when a guest was last closed
+	mute  list.List    // guests whose first or begun request has not come as a whole, longest in wait first
+	idle  [3]list.List // those that were answered, by how many webhooks they have handed in, longest ago first
 }
 
 // guest is one client's connection. It counts the bytes of each request: guards against a length that says
@@ -32,7 +32,7 @@
 type guest struct {
 	*net.TCPConn
 	door  *door
-	since webhook.Micros
+	since api.Micros
 	at    *list.List // mute or idle; nil while the webhook that it handed in is decided on
 	place *list.Element
 	gone  bool
--- a/webhook/dispatcher/server/webhook.go
+++ b/webhook/dispatcher/server/webhook.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -37,15 +37,15 @@
 	if class == "" || evt < 0 || evt >= math.MaxUint8 {
 		return nil, "Request-Class names no event type"
 	}
-	if token != "" && !plain(token) || token == "" && by.types[evt].Repeat == webhook.Tokened {
+	if token != "" && !plain(token) || token == "" && by.types[evt].Repeat == api.Tokened {
 		return nil, "Idempotency-Key is missing or not plain text"
 	}
 	ms, err := strconv.ParseInt(string(h.Peek("Request-Timeout-Ms")), 10, 32)
-	ttl, longest := webhook.Micros(ms)*1000, by.types[evt].TTL
+	ttl, longest := api.Micros(ms)*1000, by.types[evt].TTL
 	if err != nil || ms <= 0 || ttl > 2*longest {
 		return nil, "Request-Timeout-Ms is no usable number of milliseconds"
 	}
-	list, dest, ok := "", webhook.DestinationID(0), false
+	list, dest, ok := "", api.DestinationID(0), false
 	if dest, ok = destination(string(h.Peek("X-Route-To"))); !ok {
 		list, ok = s.x.ListIn(string(h.Peek("X-Route-To")))
 	}
@@ -54,15 +54,15 @@
 	}
 	w = &inflight.Webhook{RequestID: inflight.RequestID(id), Token: inflight.Token(token),
 		Body: bytes.Clone(ctx.PostBody()), Destination: dest,
-		Event: webhook.EventTypeID(evt), Tenant: math.MaxUint32, TTL: now + min(ttl, longest), CameAt: now}
+		Event: api.EventTypeID(evt), Tenant: math.MaxUint32, TTL: now + min(ttl, longest), CameAt: now}
 	w.List = list
 	if i := slices.Index(by.Tenants, string(h.Peek("Tenant"))); i >= 0 {
-		w.Tenant = webhook.TenantID(i)
+		w.Tenant = api.TenantID(i)
 	}
 	if key := h.Peek("Affinity-Key"); len(key) > 0 {
 		sum := fnv.New64a()
 		sum.Write(key)
-		w.Key = webhook.Key(max(sum.Sum64(), 1))
+		w.Key = api.Key(max(sum.Sum64(), 1))
 	}
 	return w, ""
 }
@@ -85,11 +85,11 @@
 }
 
 // destination reads `dest=7` among whatever else is said of the route.
-func destination(text string) (webhook.DestinationID, bool) {
+func destination(text string) (api.DestinationID, bool) {
 	for _, part := range strings.FieldsFunc(text, func(r rune) bool { return strings.ContainsRune(";,& ", r) }) {
 		if number, ok := strings.CutPrefix(part, "dest="); ok {
 			n, err := strconv.ParseUint(number, 10, 32)
-			return webhook.DestinationID(n), err == nil
+			return api.DestinationID(n), err == nil
 		}
 	}
 	return 0, false
--- a/webhook/dispatcher/told.go
+++ b/webhook/dispatcher/told.go
@@ -10,20 +10,20 @@
 
 	"github.com/tidwall/gjson"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 )
 
 // terms are what the configuration says of the platform, put into our words.
 type terms struct {
 	told      gjson.Result
-	facts     webhook.Facts
+	facts     api.Facts
 	names     config.Names
-	idleLimit webhook.Micros // after which an idle connection to an endpoint is closed
+	idleLimit api.Micros // after which an idle connection to an endpoint is closed
 }
 
 // keepNames is for how long a gone endpoint's name may still be waited for: two of the longest TTLs.
-func (t terms) keepNames() (longest webhook.Micros) {
+func (t terms) keepNames() (longest api.Micros) {
 	for _, e := range t.facts.EventTypes {
 		longest = max(longest, 2*e.TTL)
 	}
--- a/webhook/dispatcher/upstream/answer.go
+++ b/webhook/dispatcher/upstream/answer.go
@@ -10,24 +10,24 @@
 	"github.com/valyala/fasthttp"
 
 	"rowanlink/internal/socket"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // answer reads what comes back. Where something came, the call has reached the endpoint: what can't be read
 // then may have run, however it begins, and frees its slot soon, whatever it claims still to come.
 func (s *Endpoints) answer(l *link, k *call, until time.Time) fate {
-	head, err := l.head(until, webhook.Micros(s.restWithin.Load()))
+	head, err := l.head(until, api.Micros(s.restWithin.Load()))
 	if len(head) == 0 {
 		if !time.Now().Before(until) { // by the clock: not each error tells a deadline from a broken connection
-			return fate{what: webhook.TimedOut}
+			return fate{what: api.TimedOut}
 		}
-		return fate{what: webhook.Reset}
+		return fate{what: api.Reset}
 	}
-	spoilt := fate{what: webhook.Errored}
+	spoilt := fate{what: api.Errored}
 	bundle := len(k.webhooks) > 1
 	if !bundle && deliveredLine.Match(head) { // whatever becomes of the rest: guards against a second copy
-		spoilt.what = webhook.Delivered
+		spoilt.what = api.Delivered
 	}
 	if err != nil || !framed(head) {
 		return spoilt
@@ -43,8 +43,8 @@
 	}
 	quiet, ended := socket.Look(l.Conn)
 	more := l.in.Buffered() > 0 || !quiet && !ended
-	if f.keep = !resp.ConnectionClose() && quiet && !more; more && f.each == nil && f.what != webhook.Delivered {
-		f.what, f.over = webhook.Errored, false // its length may be wrong: who knows what it was
+	if f.keep = !resp.ConnectionClose() && quiet && !more; more && f.each == nil && f.what != api.Delivered {
+		f.what, f.over = api.Errored, false // its length may be wrong: who knows what it was
 	}
 	return f
 }
@@ -68,30 +68,30 @@
 
 // read puts an answer into our words; ok: it can be read. What is not in the protocol's table may have run.
 func read(resp *fasthttp.Response, webhooks []*inflight.Webhook) (f fate, ok bool) {
-	f = fate{what: webhook.Errored, wait: seconds(string(resp.Header.Peek("Retry-After")))}
+	f = fate{what: api.Errored, wait: seconds(string(resp.Header.Peek("Retry-After")))}
 	bundle := len(webhooks) > 1
 	switch resp.StatusCode() {
 	case 200:
-		if f.what = webhook.Delivered; bundle {
+		if f.what = api.Delivered; bundle {
 			f.each, ok = ends(resp.Body(), webhooks)
 			return f, ok
 		}
 	case 429:
-		f.what = webhook.Full
+		f.what = api.Full
 	case 503:
-		f.what = webhook.Full
+		f.what = api.Full
 		if len(resp.Header.Peek("X-Egress-Full")) > 0 {
-			f.what = webhook.NotSent
+			f.what = api.NotSent
 		} else {
 			f.tooMany = resp.ConnectionClose() && f.wait == 0
 		}
 	case 504:
-		f.what = webhook.NotSent
+		f.what = api.NotSent
 	case 410:
-		f.what, f.over = webhook.NotSent, true
+		f.what, f.over = api.NotSent, true
 	case 400, 413:
 		if bundle { // it could not be read, or was too large: none has run
-			f.what = webhook.NotSent
+			f.what = api.NotSent
 		}
 	}
 	return f, true
@@ -99,18 +99,18 @@
 
 // share is how one webhook of a bundle fared.
 type share struct {
-	what webhook.Outcome
+	what api.Outcome
 	over bool
 }
 
-var endWords = map[string]share{"delivered": {webhook.Delivered, false}, "failed": {webhook.Errored, false},
-	"refused": {webhook.Full, false}, "over": {webhook.NotSent, true}, "spent": {webhook.NotSent, false}}
+var endWords = map[string]share{"delivered": {api.Delivered, false}, "failed": {api.Errored, false},
+	"refused": {api.Full, false}, "over": {api.NotSent, true}, "spent": {api.NotSent, false}}
 
 // seconds reads a wait, whole or decimal, and rounds it up.
-func seconds(text string) webhook.Micros {
+func seconds(text string) api.Micros {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0) {
 		return 0
 	}
-	return webhook.Micros(math.Ceil(min(v, 1e6) * float64(webhook.Second)))
+	return api.Micros(math.Ceil(min(v, 1e6) * float64(api.Second)))
 }
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -16,17 +16,17 @@
 type call struct {
 	ep       *endpoint
 	webhooks []*inflight.Webhook
-	patience webhook.Micros
-	latest   webhook.Micros // it does not begin after that
+	patience api.Micros
+	latest   api.Micros // it does not begin after that
 	link     *link
 	called   bool // called off
 }
 
 // fate is what came of a call as a whole.
 type fate struct {
-	what webhook.Outcome
+	what api.Outcome
 	over bool
-	wait webhook.Micros
+	wait api.Micros
 	each map[inflight.RequestID]share // by id, where the webhooks of a bundle fared differently
 	keep bool                         // the connection may be used again
 
@@ -36,7 +36,7 @@
 }
 
 // run makes one call from connect to answer.
-func (s *Endpoints) run(k *call, at webhook.Micros) {
+func (s *Endpoints) run(k *call, at api.Micros) {
 	f, l := s.connectAndCall(k, at)
 	if l != nil && f.keep {
 		s.keep(k.ep, l)
@@ -52,8 +52,8 @@
 		delete(s.out, w.ID)
 	}
 	k.ep.out--
-	if k.called && f.what != webhook.Delivered && f.what != webhook.ConnectFailed {
-		f.what = webhook.Cancelled
+	if k.called && f.what != api.Delivered && f.what != api.ConnectFailed {
+		f.what = api.Cancelled
 	}
 	s.mu.Unlock()
 	took := inflight.Now() - at
@@ -71,23 +71,23 @@
 // connectAndCall calls on an idle link, or else on a new one. A link that says or ends something before the
 // last byte of the call is written is no longer of use, and the call has not been made: another link is
 // taken.
-func (s *Endpoints) connectAndCall(k *call, at webhook.Micros) (fate, *link) {
+func (s *Endpoints) connectAndCall(k *call, at api.Micros) (fate, *link) {
 	for {
 		l, room := s.take(k.ep)
 		if !room {
-			return fate{what: webhook.NotSent}, nil
+			return fate{what: api.NotSent}, nil
 		}
 		used := l != nil
 		if !used {
 			var err error
 			s.counts.Connections.Add(1)
 			now := inflight.Now()
-			within := max(min(webhook.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
+			within := max(min(api.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
 			if l, err = dial(k.ep.addr, inflight.Span(within)); err != nil {
 				s.mu.Lock()
 				s.open--
 				s.mu.Unlock()
-				return fate{what: webhook.ConnectFailed}, nil
+				return fate{what: api.ConnectFailed}, nil
 			}
 		}
 		// Guards the rules on drains, waits and effects: what was told while this call connected, and the time for
@@ -99,10 +99,10 @@
 		called := k.called
 		s.mu.Unlock()
 		if late || !s.may(k) {
-			return fate{what: webhook.NotSent, keep: true}, l
+			return fate{what: api.NotSent, keep: true}, l
 		}
 		if called {
-			return fate{what: webhook.ConnectFailed}, l
+			return fate{what: api.ConnectFailed}, l
 		}
 		left := k.patience - (inflight.Now() - at) // connecting took its part
 		until := time.Now().Add(inflight.Span(left))
@@ -113,13 +113,13 @@
 			}
 			f := s.answer(l, k, until)
 			if f.tooMany && !used {
-				f.what = webhook.Crowded
+				f.what = api.Crowded
 			}
 			return f, l
 		case !s.may(k): // the grant ended between first and last byte: it never ran
-			return fate{what: webhook.NotSent}, l
+			return fate{what: api.NotSent}, l
 		case !used || !time.Now().Before(until):
-			return fate{what: webhook.ConnectFailed}, l
+			return fate{what: api.ConnectFailed}, l
 		}
 		s.mu.Lock()
 		k.link = nil
@@ -129,7 +129,7 @@
 }
 
 // request is a call as it goes out.
-func request(k *call, left webhook.Micros) []byte {
+func request(k *call, left api.Micros) []byte {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	fill(req, k, left)
@@ -140,7 +140,7 @@
 	return out.Bytes()
 }
 
-func fill(req *fasthttp.Request, k *call, left webhook.Micros) {
+func fill(req *fasthttp.Request, k *call, left api.Micros) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetHost(k.ep.addr)
 	req.Header.SetUserAgent("rowanlink")
--- a/webhook/dispatcher/upstream/conn.go
+++ b/webhook/dispatcher/upstream/conn.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"rowanlink/internal/socket"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
@@ -17,7 +17,7 @@
 type link struct {
 	net.Conn
 	in     *bufio.Reader
-	idleAt webhook.Micros // since when, while it is idle
+	idleAt api.Micros // since when, while it is idle
 }
 
 func dial(addr string, within time.Duration) (*link, error) {
@@ -56,7 +56,7 @@
 
 // head looks at an answer's head, interim ones before it left out: the whole of it, or all that came where it
 // can't be had. Its first byte may come until the end, the rest soon after that.
-func (l *link) head(until time.Time, rest webhook.Micros) ([]byte, error) {
+func (l *link) head(until time.Time, rest api.Micros) ([]byte, error) {
 	for {
 		if _, err := l.in.Peek(1); err != nil {
 			return nil, err
@@ -164,11 +164,11 @@
 			delete(s.all, e.id)
 		}
 	}
-	maps.DeleteFunc(s.waits, func(_ route, until webhook.Micros) bool { return now >= until })
+	maps.DeleteFunc(s.waits, func(_ route, until api.Micros) bool { return now >= until })
 }
 
 // CloseIdle closes all idle links to an endpoint.
-func (s *Endpoints) CloseIdle(id webhook.EndpointID) {
+func (s *Endpoints) CloseIdle(id api.EndpointID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.all[id]; e != nil {
--- a/webhook/dispatcher/upstream/connections_test.go
+++ b/webhook/dispatcher/upstream/connections_test.go
@@ -9,33 +9,33 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Guards against everyone who ever was piling up, and against a webhook sent to one that is forgotten.
 func TestGoneEndpointIsForgottenOnceNothingIsOut(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK")))
-	send(webhook.Second)
+	send(api.Second)
 	<-ends
-	s.Place(webhook.Entry{Endpoint: 1, Destination: 3, Standing: webhook.Gone}, "", webhook.Kind{})
+	s.Place(api.Entry{Endpoint: 1, Destination: 3, Standing: api.Gone}, "", api.Kind{})
 	assert.Zero(t, s.open, "its idle links are closed at once")
 	s.Sweep()
 	assert.Empty(t, s.all)
-	send(webhook.Second)
-	assert.Equal(t, webhook.NotSent, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.NotSent, (<-ends).what)
 }
 
 // Guards against a connection too many that is taken for the destination's limit: window and pace would fall.
 func TestConnectionTurnedAwayIsToldFromADestinationsLimit(t *testing.T) {
 	shut := "503 Shut\r\nConnection: close"
-	for text, want := range map[string]end{shut: {webhook.Crowded, false, 0},
-		shut + "\r\nRetry-After: 1":          {webhook.Full, false, webhook.Second},
-		shut + "\r\nX-Egress-Full: 1":        {webhook.NotSent, false, 0},
-		"429 Slow\r\nConnection: close":      {webhook.Full, false, 0},
-		"503 Shut\r\nConnection: keep-alive": {webhook.Full, false, 0}} {
+	for text, want := range map[string]end{shut: {api.Crowded, false, 0},
+		shut + "\r\nRetry-After: 1":          {api.Full, false, api.Second},
+		shut + "\r\nX-Egress-Full: 1":        {api.NotSent, false, 0},
+		"429 Slow\r\nConnection: close":      {api.Full, false, 0},
+		"503 Shut\r\nConnection: keep-alive": {api.Full, false, 0}} {
 		_, send, ends := at(script(t, answer(text)))
-		send(webhook.Second)
+		send(api.Second)
 		assert.Equal(t, want, <-ends, text)
 	}
 	later := func(c net.Conn, in *bufio.Reader) {
@@ -45,22 +45,22 @@
 		}
 	}
 	_, send, ends := at(script(t, later))
-	send(webhook.Second)
+	send(api.Second)
 	<-ends
-	send(webhook.Second)
-	assert.Equal(t, webhook.Full, (<-ends).what, "a connection that served is not one too many")
+	send(api.Second)
+	assert.Equal(t, api.Full, (<-ends).what, "a connection that served is not one too many")
 }
 
 func TestWhatEndsBeforeTheLastByteNeverRan(t *testing.T) {
 	_, send, ends := at("127.0.0.1:1") // nobody listens
-	send(webhook.Second)
-	assert.Equal(t, webhook.ConnectFailed, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.ConnectFailed, (<-ends).what)
 	_, send, ends = at(script(t, breaks))
-	send(webhook.Second)
-	assert.Equal(t, webhook.Reset, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.Reset, (<-ends).what)
 	_, send, ends = at(script(t, silent))
-	send(webhook.Second / 20)
-	assert.Equal(t, webhook.TimedOut, (<-ends).what)
+	send(api.Second / 20)
+	assert.Equal(t, api.TimedOut, (<-ends).what)
 }
 
 func TestConnectionThatEndedWhileIdleIsNotWrittenTo(t *testing.T) {
@@ -72,8 +72,8 @@
 	}
 	s, send, ends := at(script(t, once, answer("200 OK")))
 	for range 2 {
-		send(webhook.Second)
-		assert.Equal(t, webhook.Delivered, (<-ends).what)
+		send(api.Second)
+		assert.Equal(t, api.Delivered, (<-ends).what)
 		time.Sleep(60 * time.Millisecond)
 	}
 	assert.EqualValues(t, 2, s.counts.Connections.Load())
@@ -82,18 +82,18 @@
 func TestIdleConnectionsAreUsedAgainThenClosedInTime(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK"), answer("200 OK")))
 	for range 3 {
-		send(webhook.Second)
+		send(api.Second)
 		<-ends
 	}
 	time.Sleep(200 * time.Millisecond) // past the deadline of the last answer's rest
-	send(webhook.Second)
+	send(api.Second)
 	<-ends
 	assert.EqualValues(t, 1, s.counts.Connections.Load())
 	time.Sleep(850 * time.Millisecond) // the other side would close after 1 s
 	s.Sweep()
 	assert.Zero(t, s.open)
-	send(webhook.Second)
-	assert.Equal(t, webhook.Delivered, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.Delivered, (<-ends).what)
 	time.Sleep(5 * time.Millisecond)
 	s.CloseIdle(1)
 	assert.Zero(t, s.open)
@@ -101,14 +101,14 @@
 
 func TestWaitOrDrainToldWhileConnectingHoldsTheFirstByte(t *testing.T) {
 	s, send, ends := at(script(t, answer("429 Slow\r\nRetry-After: 0.3"), answer("200 OK"), answer("200 OK")))
-	send(webhook.Second)
-	assert.Equal(t, webhook.Full, (<-ends).what)
-	send(webhook.Second)
-	assert.Equal(t, webhook.NotSent, (<-ends).what, "told to wait")
+	send(api.Second)
+	assert.Equal(t, api.Full, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.NotSent, (<-ends).what, "told to wait")
 	time.Sleep(300 * time.Millisecond)
-	s.Place(webhook.Entry{Endpoint: 1, Destination: 3, Standing: webhook.Draining}, "", webhook.Kind{})
-	send(webhook.Second)
-	assert.Equal(t, webhook.NotSent, (<-ends).what, "draining")
+	s.Place(api.Entry{Endpoint: 1, Destination: 3, Standing: api.Draining}, "", api.Kind{})
+	send(api.Second)
+	assert.Equal(t, api.NotSent, (<-ends).what, "draining")
 }
 
 // Guards against a second effect: a tokened webhook whose connection comes up when its token is forgotten.
@@ -124,35 +124,35 @@
 		}
 	}
 	s, send, ends := at(script(t, counted, counted))
-	late := func() webhook.Outcome {
-		s.Send(1, []Try{{&inflight.Webhook{ID: 7, RequestID: "b"}, webhook.Second, inflight.Now() - 1}})
+	late := func() api.Outcome {
+		s.Send(1, []Try{{&inflight.Webhook{ID: 7, RequestID: "b"}, api.Second, inflight.Now() - 1}})
 		return (<-ends).what
 	}
 	assert.True(t, late().NeverRan(), "on a new connection")
-	send(webhook.Second)
-	assert.Equal(t, webhook.Delivered, (<-ends).what)
-	assert.Equal(t, webhook.NotSent, late(), "on one that is idle")
-	send(webhook.Second)
+	send(api.Second)
+	assert.Equal(t, api.Delivered, (<-ends).what)
+	assert.Equal(t, api.NotSent, late(), "on one that is idle")
+	send(api.Second)
 	<-ends
 	assert.Len(t, calls, 2)
 }
 
 func TestEndpointThatMovedIsCalledAtItsNewAddress(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK")))
-	send(webhook.Second)
-	assert.Equal(t, webhook.Delivered, (<-ends).what)
-	s.Place(webhook.Entry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), webhook.Kind{Batch: 1})
-	send(webhook.Second)
-	assert.Equal(t, webhook.Full, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.Delivered, (<-ends).what)
+	s.Place(api.Entry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), api.Kind{Batch: 1})
+	send(api.Second)
+	assert.Equal(t, api.Full, (<-ends).what)
 }
 
 func TestCancelEndsTheConnection(t *testing.T) {
 	ended := make(chan bool, 1)
 	s, send, ends := at(script(t, func(c net.Conn, in *bufio.Reader) { silent(c, in); ended <- true }))
-	send(webhook.Second)
+	send(api.Second)
 	time.Sleep(50 * time.Millisecond)
 	s.Cancel(1)
-	assert.Equal(t, webhook.Cancelled, (<-ends).what)
+	assert.Equal(t, api.Cancelled, (<-ends).what)
 	assert.True(t, <-ended)
 	assert.Zero(t, s.Out())
 }
--- a/webhook/dispatcher/upstream/endpoints.go
+++ b/webhook/dispatcher/upstream/endpoints.go
@@ -8,13 +8,13 @@
 	"sync"
 	"sync/atomic"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Came is told what came of a webhook's part in a call; over: nothing more is owed.
-type Came func(w *inflight.Webhook, ep webhook.EndpointID, what webhook.Outcome, took webhook.Micros,
-	over bool, wait webhook.Micros)
+type Came func(w *inflight.Webhook, ep api.EndpointID, what api.Outcome, took api.Micros,
+	over bool, wait api.Micros)
 
 // Endpoints holds the connections and the calls out.
 type Endpoints struct {
@@ -26,32 +26,32 @@
 	mostOpen       int
 
 	mu    sync.Mutex
-	all   map[webhook.EndpointID]*endpoint
-	waits map[route]webhook.Micros // told waits, for calls that still connect when they are told
-	out   map[webhook.WebhookID]*call
+	all   map[api.EndpointID]*endpoint
+	waits map[route]api.Micros // told waits, for calls that still connect when they are told
+	out   map[api.WebhookID]*call
 	open  int // links
 	ended bool
 
 	// May, where a fleet acts as one and else nil, tells whether a destination may be called from here now. Set
 	// before the first call; it is asked right before a call's first and last byte and must not wait.
-	May func(webhook.DestinationID) bool
+	May func(api.DestinationID) bool
 }
 
 func (s *Endpoints) may(k *call) bool { return s.May == nil || s.May(k.ep.route.dest) }
 
 // route is what a told wait binds: a destination, or one endpoint where its kind's endpoints are apart.
 type route struct {
-	dest  webhook.DestinationID
-	apart webhook.EndpointID
+	dest  api.DestinationID
+	apart api.EndpointID
 	alone bool
 }
 
 type endpoint struct {
-	id     webhook.EndpointID
+	id     api.EndpointID
 	addr   string
 	route  route
-	zone   webhook.ZoneID
-	kind   webhook.KindID
+	zone   api.ZoneID
+	kind   api.KindID
 	bundle int // webhooks in one call at most
 	listed bool
 	gone   bool
@@ -61,23 +61,23 @@
 
 // New makes a pool of at most mostOpen connections. Those idle are closed well inside the time after which
 // the other side does so: a call that crosses its close would end as a reset.
-func New(counts *inflight.Counters, came Came, connectTimeout, idleLimit webhook.Micros,
+func New(counts *inflight.Counters, came Came, connectTimeout, idleLimit api.Micros,
 	mostOpen int) *Endpoints {
 	s := &Endpoints{counts: counts, came: came, mostOpen: max(mostOpen, 1),
-		all: map[webhook.EndpointID]*endpoint{}, waits: map[route]webhook.Micros{},
-		out: map[webhook.WebhookID]*call{}}
+		all: map[api.EndpointID]*endpoint{}, waits: map[route]api.Micros{},
+		out: map[api.WebhookID]*call{}}
 	s.Renew(connectTimeout, idleLimit, nil)
 	return s
 }
 
 // Renew takes the settings that calls from now on are made by; those out end under the old ones.
-func (s *Endpoints) Renew(connectTimeout, idleLimit webhook.Micros, kinds []webhook.Kind) {
+func (s *Endpoints) Renew(connectTimeout, idleLimit api.Micros, kinds []api.Kind) {
 	if connectTimeout <= 0 { // none is stated: patience alone ends a connect
 		connectTimeout = math.MaxInt64
 	}
 	rest := idleLimit / 16
 	if rest <= 0 { // no limit is stated
-		rest = webhook.Second / 4
+		rest = api.Second / 4
 	}
 	s.connectTimeout.Store(int64(connectTimeout))
 	s.idleFor.Store(int64(idleLimit * 4 / 5))
@@ -92,7 +92,7 @@
 }
 
 // Place notes what the list says of an endpoint.
-func (s *Endpoints) Place(l webhook.Entry, addr string, of webhook.Kind) {
+func (s *Endpoints) Place(l api.Entry, addr string, of api.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[l.Endpoint]
@@ -104,17 +104,17 @@
 		s.all[l.Endpoint] = e
 	}
 	e.zone = l.Zone
-	if e.gone = l.Standing == webhook.Gone; e.gone {
+	if e.gone = l.Standing == api.Gone; e.gone {
 		s.closeIdle(e)
 	}
-	if e.listed = l.Standing == webhook.Listed; addr != "" && addr != e.addr {
+	if e.listed = l.Standing == api.Listed; addr != "" && addr != e.addr {
 		s.closeIdle(e) // they lead elsewhere
 		e.addr = addr
 	}
 }
 
 // Drop notes that a whole list came without these.
-func (s *Endpoints) Drop(but map[webhook.EndpointID]bool) {
+func (s *Endpoints) Drop(but map[api.EndpointID]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.all {
@@ -126,7 +126,7 @@
 }
 
 // Zone tells where an endpoint is.
-func (s *Endpoints) Zone(id webhook.EndpointID) (zone webhook.ZoneID) {
+func (s *Endpoints) Zone(id api.EndpointID) (zone api.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.all[id]; e != nil {
@@ -138,17 +138,17 @@
 // Try is one webhook's part in a call: how long its answer is waited for, and the latest that it may begin.
 type Try struct {
 	Webhook          *inflight.Webhook
-	Patience, Latest webhook.Micros
+	Patience, Latest api.Micros
 }
 
 // Send makes the calls for webhooks that one turn sends to one endpoint: as few as its bundles allow.
-func (s *Endpoints) Send(id webhook.EndpointID, tries []Try) {
+func (s *Endpoints) Send(id api.EndpointID, tries []Try) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[id]
 	if e == nil { // gone and forgotten: guards against a webhook that waits for an outcome for ever
 		for _, t := range tries {
-			s.came(t.Webhook, id, webhook.NotSent, 0, false, 0)
+			s.came(t.Webhook, id, api.NotSent, 0, false, 0)
 		}
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // Cancel calls off the call that a webhook is in.
-func (s *Endpoints) Cancel(id webhook.WebhookID) {
+func (s *Endpoints) Cancel(id api.WebhookID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if k := s.out[id]; k != nil {
--- a/webhook/dispatcher/upstream/endpoints_test.go
+++ b/webhook/dispatcher/upstream/endpoints_test.go
@@ -13,25 +13,25 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 func TestEachAnswerHasItsOutcome(t *testing.T) {
 	for text, want := range map[string]end{
-		"200 OK":                                  {webhook.Delivered, false, 0},
-		"500 Oh":                                  {webhook.Errored, false, 0},
-		"302 Elsewhere":                           {webhook.Errored, false, 0},
-		"429 Slow\r\nRetry-After: 0.0000011":      {webhook.Full, false, 2},
-		"503 Shut\r\nRetry-After: 2":              {webhook.Full, false, 2 * webhook.Second},
-		"503 Shut\r\nRetry-After: soon":           {webhook.Full, false, 0},
-		"503 Slots\r\nX-Egress-Full: 1":           {webhook.NotSent, false, 0},
-		"504 Spent":                               {webhook.NotSent, false, 0},
-		"410 Over":                                {webhook.NotSent, true, 0},
-		"100 Go on\r\n\r\nHTTP/1.1 429 x\r\nA: b": {webhook.Full, false, 0},
+		"200 OK":                                  {api.Delivered, false, 0},
+		"500 Oh":                                  {api.Errored, false, 0},
+		"302 Elsewhere":                           {api.Errored, false, 0},
+		"429 Slow\r\nRetry-After: 0.0000011":      {api.Full, false, 2},
+		"503 Shut\r\nRetry-After: 2":              {api.Full, false, 2 * api.Second},
+		"503 Shut\r\nRetry-After: soon":           {api.Full, false, 0},
+		"503 Slots\r\nX-Egress-Full: 1":           {api.NotSent, false, 0},
+		"504 Spent":                               {api.NotSent, false, 0},
+		"410 Over":                                {api.NotSent, true, 0},
+		"100 Go on\r\n\r\nHTTP/1.1 429 x\r\nA: b": {api.Full, false, 0},
 	} {
 		_, send, ends := at(script(t, answer(text)))
-		send(webhook.Second)
+		send(api.Second)
 		assert.Equal(t, want, <-ends, text)
 	}
 }
@@ -39,34 +39,34 @@
 // Guards against a spoilt answer that is trusted, holds its slot for the whole patience, or leaves a wait.
 func TestSpoiltAnswerMayHaveRunAndFreesItsSlotSoon(t *testing.T) {
 	const whole = "HTTP/1.1 503 Shut\r\nContent-Length: 0\r\n\r\n"
-	for text, want := range map[string]webhook.Outcome{
-		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf":                     webhook.Delivered,
-		"HTTP/1.1 200 OK\r\nnonsense":                                          webhook.Delivered,
-		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx":             webhook.Delivered,
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx":  webhook.Delivered,
-		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + whole: webhook.Full,
-		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n":         webhook.TimedOut,
-		whole + whole: webhook.Errored,
-		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\nContent-Length: 9\r\n\r\nhalf":      webhook.Errored,
-		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\n nonsense":                          webhook.Errored,
-		"HTTP/1.1 503 x\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n": webhook.Errored,
-		"HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n":                           webhook.Errored,
-		"HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nhalf":                          webhook.Errored,
-		"HTTP/1.1 503 Shut\r\nX-Long: " + strings.Repeat("x", 9000):                 webhook.Errored,
-		"HTTP/1.1 200":        webhook.Errored,
-		"HTTP/1.1 2000 x\r\n": webhook.Errored,
-		"HTTP/1.1 2":          webhook.Errored,
-		"garbage\r\n\r\n":     webhook.Errored,
+	for text, want := range map[string]api.Outcome{
+		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf":                     api.Delivered,
+		"HTTP/1.1 200 OK\r\nnonsense":                                          api.Delivered,
+		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx":             api.Delivered,
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx":  api.Delivered,
+		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + whole: api.Full,
+		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n":         api.TimedOut,
+		whole + whole: api.Errored,
+		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\nContent-Length: 9\r\n\r\nhalf":      api.Errored,
+		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\n nonsense":                          api.Errored,
+		"HTTP/1.1 503 x\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n": api.Errored,
+		"HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n":                           api.Errored,
+		"HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nhalf":                          api.Errored,
+		"HTTP/1.1 503 Shut\r\nX-Long: " + strings.Repeat("x", 9000):                 api.Errored,
+		"HTTP/1.1 200":        api.Errored,
+		"HTTP/1.1 2000 x\r\n": api.Errored,
+		"HTTP/1.1 2":          api.Errored,
+		"garbage\r\n\r\n":     api.Errored,
 	} {
 		s, send, ends := at(script(t, says(text)))
 		began := time.Now()
-		send(webhook.Second / 2)
+		send(api.Second / 2)
 		got := <-ends
 		assert.Equal(t, end{want, false, 0}, got, text)
-		if want != webhook.TimedOut {
+		if want != api.TimedOut {
 			assert.Less(t, time.Since(began), time.Second/5, text)
 		}
-		if want == webhook.Errored || want == webhook.Delivered {
+		if want == api.Errored || want == api.Delivered {
 			assert.Zero(t, s.open, text)
 		}
 	}
@@ -74,21 +74,21 @@
 
 // Guards against a bundle's spoilt answer that is believed in part: it may have run as a whole.
 func TestBundleAnswerHoldsOnlyAsAWhole(t *testing.T) {
-	for body, want := range map[string]map[webhook.Outcome]int{
-		"a delivered\r\nb refused\r\n":              {webhook.Delivered: 1, webhook.Full: 1},
-		"a delivered\r\nb refuse":                   {webhook.Errored: 2},
-		"a delivered\r\n":                           {webhook.Errored: 2},
-		"a delivered\r\nb odd\r\n":                  {webhook.Errored: 2},
-		"a delivered\r\na refused\r\nb refused\r\n": {webhook.Errored: 2},
-		"a delivered\r\nb refused\r\nc refused\r\n": {webhook.Errored: 2},
+	for body, want := range map[string]map[api.Outcome]int{
+		"a delivered\r\nb refused\r\n":              {api.Delivered: 1, api.Full: 1},
+		"a delivered\r\nb refuse":                   {api.Errored: 2},
+		"a delivered\r\n":                           {api.Errored: 2},
+		"a delivered\r\nb odd\r\n":                  {api.Errored: 2},
+		"a delivered\r\na refused\r\nb refused\r\n": {api.Errored: 2},
+		"a delivered\r\nb refused\r\nc refused\r\n": {api.Errored: 2},
 	} {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		s, _, ends := at(script(t, says(text)))
-		s.Place(webhook.Entry{Endpoint: 2, Destination: 3}, s.all[1].addr, webhook.Kind{Batch: 2})
-		soon := inflight.Now() + webhook.Second
-		s.Send(2, []Try{{&inflight.Webhook{ID: 1, RequestID: "a"}, webhook.Second, soon},
-			{&inflight.Webhook{ID: 2, RequestID: "b"}, webhook.Second, soon}})
-		got := map[webhook.Outcome]int{}
+		s.Place(api.Entry{Endpoint: 2, Destination: 3}, s.all[1].addr, api.Kind{Batch: 2})
+		soon := inflight.Now() + api.Second
+		s.Send(2, []Try{{&inflight.Webhook{ID: 1, RequestID: "a"}, api.Second, soon},
+			{&inflight.Webhook{ID: 2, RequestID: "b"}, api.Second, soon}})
+		got := map[api.Outcome]int{}
 		for range 2 {
 			got[(<-ends).what]++
 		}
@@ -106,8 +106,8 @@
 		io.Copy(io.Discard, in)
 	}
 	s, send, ends := at(script(t, late, answer("503 Shut")))
-	send(webhook.Second)
-	assert.Equal(t, webhook.Delivered, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.Delivered, (<-ends).what)
 	l, _ := s.take(s.all[1])
 	_, err := l.Conn.Write([]byte("P"))
 	require.NoError(t, err)
@@ -115,6 +115,6 @@
 	always := func() bool { return true }
 	assert.False(t, l.write([]byte("call"), time.Now().Add(time.Second), always), "something came too early")
 	s.close(l)
-	send(webhook.Second)
-	assert.Equal(t, webhook.Full, (<-ends).what)
+	send(api.Second)
+	assert.Equal(t, api.Full, (<-ends).what)
 }
--- a/webhook/dispatcher/upstream/helpers_test.go
+++ b/webhook/dispatcher/upstream/helpers_test.go
@@ -9,27 +9,27 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // end is what came of one webhook.
 type end struct {
-	what webhook.Outcome
+	what api.Outcome
 	over bool
-	wait webhook.Micros
+	wait api.Micros
 }
 
 // at starts a pool with endpoint 1 at an address, and calls it once with each webhook that is sent on.
-func at(addr string) (s *Endpoints, send func(patience webhook.Micros), ends chan end) {
+func at(addr string) (s *Endpoints, send func(patience api.Micros), ends chan end) {
 	ends = make(chan end, 9)
-	s = New(&inflight.Counters{}, func(_ *inflight.Webhook, _ webhook.EndpointID, what webhook.Outcome,
-		_ webhook.Micros, over bool, wait webhook.Micros) {
+	s = New(&inflight.Counters{}, func(_ *inflight.Webhook, _ api.EndpointID, what api.Outcome,
+		_ api.Micros, over bool, wait api.Micros) {
 		ends <- end{what, over, wait}
-	}, webhook.Second/5, webhook.Second, 4)
-	s.Place(webhook.Entry{Endpoint: 1, Destination: 3}, addr, webhook.Kind{Batch: 1})
-	id := webhook.WebhookID(0)
-	return s, func(patience webhook.Micros) {
+	}, api.Second/5, api.Second, 4)
+	s.Place(api.Entry{Endpoint: 1, Destination: 3}, addr, api.Kind{Batch: 1})
+	id := api.WebhookID(0)
+	return s, func(patience api.Micros) {
 		id++
 		s.Send(1, []Try{{&inflight.Webhook{ID: id, RequestID: "a"}, patience, inflight.Now() + patience}})
 	}, ends
--- a/webhook/dispatcher/upstream/may_test.go
+++ b/webhook/dispatcher/upstream/may_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Guards against two callers: where the right to call ends before a call's first byte or between its first
@@ -22,9 +22,9 @@
 			c.Close()
 		}))
 		n := 0
-		s.May = func(webhook.DestinationID) bool { n++; return n <= looks }
-		send(webhook.Second)
-		assert.Equal(t, webhook.NotSent, (<-ends).what, "after %d looks", looks)
+		s.May = func(api.DestinationID) bool { n++; return n <= looks }
+		send(api.Second)
+		assert.Equal(t, api.NotSent, (<-ends).what, "after %d looks", looks)
 		s.End()
 		assert.False(t, <-whole)
 	}
--- a/webhook/dispatcher/wal/entry.go
+++ b/webhook/dispatcher/wal/entry.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"hash/crc32"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Kinds of record.
@@ -26,12 +26,12 @@
 
 // Entry is what the journal knows of one webhook.
 type Entry struct {
-	ID       webhook.WebhookID
+	ID       api.WebhookID
 	Taken    []byte // as handed to Accept
 	Event    string // the name of its event type, where it was told
 	Attempts int
-	MayRun   webhook.Micros // first attempt that may have run, or Never
-	Zone     webhook.ZoneID // of that attempt's endpoint
+	MayRun   api.Micros // first attempt that may have run, or Never
+	Zone     api.ZoneID // of that attempt's endpoint
 	Ended    bool
 	Notice   []byte // owed since it ended
 
@@ -46,16 +46,16 @@
 	return size
 }
 
-func (e *Entry) call(at webhook.Micros, zone webhook.ZoneID) {
+func (e *Entry) call(at api.Micros, zone api.ZoneID) {
 	e.Attempts++
-	if e.firstOut = e.MayRun == webhook.Never; e.firstOut {
+	if e.firstOut = e.MayRun == api.Never; e.firstOut {
 		e.MayRun, e.Zone = at, zone
 	}
 }
 
 func (e *Entry) neverRan() {
 	if e.firstOut {
-		e.MayRun, e.firstOut = webhook.Never, false
+		e.MayRun, e.firstOut = api.Never, false
 	}
 }
 
@@ -78,7 +78,7 @@
 	return to
 }
 
-func record(to []byte, kind byte, id webhook.WebhookID, rest []byte) []byte {
+func record(to []byte, kind byte, id api.WebhookID, rest []byte) []byte {
 	start := len(to)
 	to = binary.LittleEndian.AppendUint32(to, uint32(recordHead-8+len(rest)))
 	to = append(to, 0, 0, 0, 0, kind)
--- a/webhook/dispatcher/wal/journal.go
+++ b/webhook/dispatcher/wal/journal.go
@@ -13,7 +13,7 @@
 	"path/filepath"
 	"slices"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // ErrFull is answered when no room is left for another webhook.
@@ -26,7 +26,7 @@
 	size    int // of the file
 	limit   int
 	live    int // what the file would hold if written anew
-	entries map[webhook.WebhookID]*Entry
+	entries map[api.WebhookID]*Entry
 	pending []byte
 	anew    bool // the file may lack what was noted: write it anew
 }
@@ -36,7 +36,7 @@
 	if dir == "" {
 		return nil, errors.New("journal: no folder is named")
 	}
-	j := &Journal{dir: dir, limit: int(diskMB * mega), entries: map[webhook.WebhookID]*Entry{}}
+	j := &Journal{dir: dir, limit: int(diskMB * mega), entries: map[api.WebhookID]*Entry{}}
 	if err := os.Remove(j.path("new")); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -50,7 +50,7 @@
 		if n < recordHead-8 || n > len(old)-8 || crc32.ChecksumIEEE(old[8:8+n]) != sum {
 			break
 		}
-		j.replay(old[8], webhook.WebhookID(binary.LittleEndian.Uint32(old[9:])), old[recordHead:8+n])
+		j.replay(old[8], api.WebhookID(binary.LittleEndian.Uint32(old[9:])), old[recordHead:8+n])
 		old = old[8+n:]
 	}
 	if err := j.writeAnew(); err != nil {
@@ -61,13 +61,13 @@
 
 func (j *Journal) path(ending string) string { return filepath.Join(j.dir, "webhooks."+ending) }
 
-func (j *Journal) replay(kind byte, id webhook.WebhookID, rest []byte) {
+func (j *Journal) replay(kind byte, id api.WebhookID, rest []byte) {
 	e := j.entries[id]
 	switch {
 	case kind == accepted && len(rest) >= stateLen:
 		j.put(&Entry{ID: id, Attempts: int(binary.LittleEndian.Uint16(rest)),
-			MayRun:   webhook.Micros(binary.LittleEndian.Uint64(rest[2:])),
-			Zone:     webhook.ZoneID(binary.LittleEndian.Uint16(rest[10:])),
+			MayRun:   api.Micros(binary.LittleEndian.Uint64(rest[2:])),
+			Zone:     api.ZoneID(binary.LittleEndian.Uint16(rest[10:])),
 			firstOut: rest[12] != 0, Taken: slices.Clone(rest[stateLen:])})
 	case kind == ended:
 		j.put(&Entry{ID: id, Ended: true, Notice: slices.Clone(rest)})
@@ -77,7 +77,7 @@
 	case e == nil:
 	case kind == called && len(rest) >= 10:
 		at, zone := binary.LittleEndian.Uint64(rest), binary.LittleEndian.Uint16(rest[8:])
-		e.call(webhook.Micros(at), webhook.ZoneID(zone))
+		e.call(api.Micros(at), api.ZoneID(zone))
 	case kind == named:
 		j.name(e, string(rest))
 	case kind == neverRan:
@@ -93,7 +93,7 @@
 	j.live += e.size()
 }
 
-func (j *Journal) drop(id webhook.WebhookID) {
+func (j *Journal) drop(id api.WebhookID) {
 	if e := j.entries[id]; e != nil {
 		j.live -= e.size()
 		delete(j.entries, id)
@@ -111,8 +111,8 @@
 }
 
 // Accept notes a webhook. It fails with ErrFull where what is owed could not be written anew beside the file.
-func (j *Journal) Accept(id webhook.WebhookID, taken []byte) error {
-	e := &Entry{ID: id, Taken: taken, MayRun: webhook.Never}
+func (j *Journal) Accept(id api.WebhookID, taken []byte) error {
+	e := &Entry{ID: id, Taken: taken, MayRun: api.Never}
 	if 2*(j.live+e.size())+j.limit/spare > j.limit {
 		return ErrFull
 	}
@@ -122,7 +122,7 @@
 }
 
 // Named notes the name of the event type of a webhook just accepted.
-func (j *Journal) Named(id webhook.WebhookID, event string) {
+func (j *Journal) Named(id api.WebhookID, event string) {
 	if e := j.Entry(id); e != nil && event != "" {
 		j.name(e, event)
 		j.pending = record(j.pending, named, id, []byte(event))
@@ -136,7 +136,7 @@
 }
 
 // Entry is what is known of a webhook that is held; nil if it is not. It is the journal's own: to be read.
-func (j *Journal) Entry(id webhook.WebhookID) *Entry {
+func (j *Journal) Entry(id api.WebhookID) *Entry {
 	if e := j.entries[id]; e != nil && !e.Ended {
 		return e
 	}
@@ -144,7 +144,7 @@
 }
 
 // Past notes what a webhook just accepted brings along: attempts used, and the first that may have run.
-func (j *Journal) Past(id webhook.WebhookID, attempts int, mayRun webhook.Micros, zone webhook.ZoneID) {
+func (j *Journal) Past(id api.WebhookID, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	if e := j.Entry(id); e != nil {
 		e.Attempts, e.MayRun, e.Zone, e.firstOut = attempts, mayRun, zone, false
 		j.pending = e.record(j.pending)
@@ -152,7 +152,7 @@
 }
 
 // Call notes a delivery attempt before its first byte.
-func (j *Journal) Call(id webhook.WebhookID, at webhook.Micros, zone webhook.ZoneID) {
+func (j *Journal) Call(id api.WebhookID, at api.Micros, zone api.ZoneID) {
 	if e := j.entries[id]; e != nil {
 		e.call(at, zone)
 		rest := binary.LittleEndian.AppendUint64(nil, uint64(at))
@@ -161,7 +161,7 @@
 }
 
 // NeverRan notes that the last attempt is known not to have run.
-func (j *Journal) NeverRan(id webhook.WebhookID) {
+func (j *Journal) NeverRan(id api.WebhookID) {
 	if e := j.entries[id]; e != nil {
 		e.neverRan()
 		j.pending = record(j.pending, neverRan, id, nil)
@@ -169,7 +169,7 @@
 }
 
 // End notes that a webhook is over, and the notice that is owed from now on, if any.
-func (j *Journal) End(id webhook.WebhookID, notice []byte) {
+func (j *Journal) End(id api.WebhookID, notice []byte) {
 	if j.entries[id] == nil {
 		return
 	}
@@ -181,13 +181,13 @@
 }
 
 // Told notes that a notice was heard: nothing is owed any more.
-func (j *Journal) Told(id webhook.WebhookID) {
+func (j *Journal) Told(id api.WebhookID) {
 	j.drop(id)
 	j.pending = record(j.pending, told, id, nil)
 }
 
 // Forget takes back an Accept whose Commit failed.
-func (j *Journal) Forget(id webhook.WebhookID) {
+func (j *Journal) Forget(id api.WebhookID) {
 	j.drop(id)
 	j.anew = true
 }
--- a/webhook/dispatcher/wal/journal_test.go
+++ b/webhook/dispatcher/wal/journal_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func open(t *testing.T, dir string) *Journal {
@@ -46,10 +46,10 @@
 	j.Call(1, 100, 0)
 	require.NoError(t, j.Commit())
 	next := open(t, dir)
-	assert.Equal(t, webhook.Micros(100), next.Entries()[0].MayRun)
+	assert.Equal(t, api.Micros(100), next.Entries()[0].MayRun)
 	next.NeverRan(1)
 	require.NoError(t, next.Commit())
-	assert.Equal(t, webhook.Never, entries(t, dir)[0].MayRun)
+	assert.Equal(t, api.Never, entries(t, dir)[0].MayRun)
 }
 
 func TestTornTailIsLeftOutAndWrittenOver(t *testing.T) {
@@ -83,7 +83,7 @@
 	require.NoError(t, j.Accept(2, []byte("ends with a notice")))
 	j.End(2, []byte("owed"))
 	body := []byte(strings.Repeat("x", 2000))
-	for id := webhook.WebhookID(3); id < 300; id++ {
+	for id := api.WebhookID(3); id < 300; id++ {
 		require.NoError(t, j.Accept(id, body))
 		j.Call(id, 5, 0)
 		j.End(id, nil)
--- a/webhook/policy/choice.go
+++ b/webhook/policy/choice.go
@@ -3,12 +3,12 @@
 import (
 	"math"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // inZone guards against a second effect: where only a zone remembers a token, what may have run stays in it.
 func (c *Control) inZone(w *webhook, e *endpoint) bool {
-	return w.mayRun == never || w.evt.Repeat != webhookpkg.Tokened || !w.evt.TokenByZone || w.zone == e.zone
+	return w.mayRun == never || w.evt.Repeat != api.Tokened || !w.evt.TokenByZone || w.zone == e.zone
 }
 
 // choose takes the first endpoint of the ranked order that has room.
@@ -58,11 +58,11 @@
 // patience leaves a slow answer its time; a time-out makes work that may still run and cost the webhook.
 // Where answers get lost it shrinks towards the time that those which come take: lost answers, hangs of one
 // endpoint of several. Each time-out in a row doubles it, so that a destination grown slow is waited for.
-func (c *Control) patience(w *webhook, e *endpoint) webhookpkg.Micros {
+func (c *Control) patience(w *webhook, e *endpoint) api.Micros {
 	p := float64(w.evt.reach)
 	if r := e.route; r.mean > 0 && !r.sick {
 		tail := tailBy * max(1-2*c.lost, tailLeast) * r.mean * math.Exp2(float64(min(e.fails, 9)))
 		p = max(p*(1-lossBy*max(r.lost, c.lost)), min(p, tail))
 	}
-	return max(min(webhookpkg.Micros(p), w.ttl-c.now), 1)
+	return max(min(api.Micros(p), w.ttl-c.now), 1)
 }
--- a/webhook/policy/control.go
+++ b/webhook/policy/control.go
@@ -17,7 +17,7 @@
 	"slices"
 
 	"rowanlink/internal/mwc"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // The tuned values. docs/design.md tells what each trades and how flat the result is around it.
@@ -51,10 +51,10 @@
 )
 
 // New starts a dispatcher that knows nothing but the facts.
-func New(f webhookpkg.Facts, host webhookpkg.Host) *Control {
+func New(f api.Facts, host api.Host) *Control {
 	c := &Control{host: host, chance: mwc.New(f.Seed), now: host.Now(), armed: math.MaxInt64,
-		held: map[webhookpkg.WebhookID]*webhook{}, dests: map[webhookpkg.DestinationID]*destination{},
-		endpoints: map[webhookpkg.EndpointID]*endpoint{}, turns: map[webhookpkg.Key]*turn{}, kinds: []*kind{{}}}
+		held: map[api.WebhookID]*webhook{}, dests: map[api.DestinationID]*destination{},
+		endpoints: map[api.EndpointID]*endpoint{}, turns: map[api.Key]*turn{}, kinds: []*kind{{}}}
 	c.stages = []func(*webhook) verdict{c.inTurn, c.schedule, c.slots, c.choose, c.send}
 	c.Renew(f)
 	c.Wake(timerPeriod)
@@ -63,11 +63,11 @@
 
 // Renew takes facts, at the start and while it runs; those left out are made harmless. Webhooks taken keep
 // their terms, what was learned stays, and what is held or out beyond a lower limit drains.
-func (c *Control) Renew(f webhookpkg.Facts) {
+func (c *Control) Renew(f api.Facts) {
 	c.now = c.host.Now()
 	f.Fleet, f.Slots, f.Buffer = max(f.Fleet, 1), max(f.Slots, 1), max(f.Buffer, 1)
 	f.MaxAttempts, f.Tick = max(f.MaxAttempts, 1), max(f.Tick, 1)
-	f.WarmAfter, f.TipAfter = max(f.WarmAfter, webhookpkg.Second), max(f.TipAfter, webhookpkg.Second)
+	f.WarmAfter, f.TipAfter = max(f.WarmAfter, api.Second), max(f.TipAfter, api.Second)
 	if f.StartCapacity <= 0 || f.FallMultiple <= 0 {
 		f.StartCapacity, f.FallMultiple = 0.1, 1
 	}
@@ -82,13 +82,13 @@
 		d.stated *= was
 	}
 	c.Facts, c.drains, c.events = f, c.open, nil
-	unnamed := webhookpkg.EventType{TTL: f.WarmAfter, Target: f.TipAfter, Repeat: webhookpkg.AtMostOnce}
+	unnamed := api.EventType{TTL: f.WarmAfter, Target: f.TipAfter, Repeat: api.AtMostOnce}
 	for _, t := range append(slices.Clone(f.EventTypes), unnamed) { // the last row serves those not named
 		tightest := t.TTL
-		if t.Repeat == webhookpkg.Tokened {
+		if t.Repeat == api.Tokened {
 			tightest = min(tightest, t.TokenWindow)
 		}
-		reach := max(webhookpkg.Micros(patienceBy*float64(tightest)), 1)
+		reach := max(api.Micros(patienceBy*float64(tightest)), 1)
 		c.events = append(c.events, eventRow{t, capShare * tightest.Seconds(), reach})
 	}
 	for i, k := range f.Kinds {
@@ -145,13 +145,13 @@
 		d.busy = len(d.queue) > 0
 		return !d.busy
 	})
-	if at, ok := c.dues.Next(); ok && webhookpkg.Micros(at) < c.armed {
-		c.armed = webhookpkg.Micros(at)
+	if at, ok := c.dues.Next(); ok && api.Micros(at) < c.armed {
+		c.armed = api.Micros(at)
 		c.host.Wake(max(c.armed-c.now, 1), timerDue)
 	}
 }
 
-func (c *Control) Wake(timer webhookpkg.TimerID) {
+func (c *Control) Wake(timer api.TimerID) {
 	c.now = c.host.Now()
 	if timer == timerDue {
 		c.armed = math.MaxInt64
@@ -160,8 +160,8 @@
 	if stood := c.now - c.periodAt; stood >= stoodBy*c.Tick {
 		c.respread(stood)
 	}
-	c.periodAt = c.now + webhookpkg.Second/2
-	c.host.Wake(webhookpkg.Second/2, timerPeriod)
+	c.periodAt = c.now + api.Second/2
+	c.host.Wake(api.Second/2, timerPeriod)
 	for _, d := range c.order {
 		c.rank(d)
 	}
@@ -170,7 +170,7 @@
 		return !e.linked
 	})
 	// Guards against keeping all who ever were: order keys at rest, and endpoints that left the list long ago.
-	idle := func(_ webhookpkg.Key, t *turn) bool { return len(t.line) == 0 && c.now >= t.restUntil }
+	idle := func(_ api.Key, t *turn) bool { return len(t.line) == 0 && c.now >= t.restUntil }
 	maps.DeleteFunc(c.turns, idle)
 	c.left = slices.DeleteFunc(c.left, func(e *endpoint) bool {
 		over := e.out == 0 && c.now-e.leftAt > crowdedFor*c.WarmAfter
--- a/webhook/policy/control_test.go
+++ b/webhook/policy/control_test.go
@@ -5,14 +5,14 @@
 
 	"github.com/stretchr/testify/assert"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestSentAndBackWithinOneTurnIsNotSentTwice(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	s.take(1, 0, 0)
 	s.TurnOver()
-	s.report(1, webhookpkg.ConnectFailed, 0)
+	s.report(1, api.ConnectFailed, 0)
 	s.run(3 * sec)
 	assert.Equal(t, 2, s.sentOf(1))
 }
@@ -20,11 +20,11 @@
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() []sent {
 		s := begin(plainFacts(), 0, 1, 2)
-		for id := range webhookpkg.WebhookID(60) {
-			s.take(id, webhookpkg.EventTypeID(id%4), webhookpkg.DestinationID(id%3))
+		for id := range api.WebhookID(60) {
+			s.take(id, api.EventTypeID(id%4), api.DestinationID(id%3))
 			s.run(20000)
 			if id%2 == 0 {
-				s.came(id/2, webhookpkg.Outcome(id%5), 0)
+				s.came(id/2, api.Outcome(id%5), 0)
 			}
 		}
 		return s.h.sent
@@ -34,15 +34,15 @@
 
 func TestSparseFactsLoseNothing(t *testing.T) {
 	for _, slots := range []int{0, 1, 2} {
-		s := begin(webhookpkg.Facts{Slots: slots}, 0, 0)
-		s.Endpoints([]webhookpkg.Entry{{Endpoint: 50, Destination: 7, Kind: 9, Standing: webhookpkg.Gone}}, false)
-		for id := range webhookpkg.WebhookID(10) {
-			s.Take(id, webhookpkg.EventTypeID(id), 3, 0, s.h.now+5*sec, webhookpkg.DestinationID(id))
+		s := begin(api.Facts{Slots: slots}, 0, 0)
+		s.Endpoints([]api.Entry{{Endpoint: 50, Destination: 7, Kind: 9, Standing: api.Gone}}, false)
+		for id := range api.WebhookID(10) {
+			s.Take(id, api.EventTypeID(id), 3, 0, s.h.now+5*sec, api.DestinationID(id))
 		}
 		s.run(6 * sec)
-		for id := range webhookpkg.WebhookID(10) {
+		for id := range api.WebhookID(10) {
 			if w := s.held[id]; w != nil {
-				s.came(id, webhookpkg.Full, 0)
+				s.came(id, api.Full, 0)
 			}
 		}
 		assert.Equal(t, 10, s.h.answers)
@@ -52,12 +52,12 @@
 // Guards against memory that grows with everyone who ever was: endpoints are replaced all day, keys are new.
 func TestThoseLongGoneAreForgotten(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	for i := range webhookpkg.WebhookID(20) {
-		s.Take(i, 3, 0, webhookpkg.Key(i+1), s.h.now+20*sec, 0)
+	for i := range api.WebhookID(20) {
+		s.Take(i, 3, 0, api.Key(i+1), s.h.now+20*sec, 0)
 		s.run(sec / 2)
-		s.came(i, webhookpkg.Delivered, 0)
-		ep := webhookpkg.EndpointID(100 + i)
-		s.Endpoints([]webhookpkg.Entry{{Endpoint: ep, Rate: 1000}, {Endpoint: ep - 1, Standing: webhookpkg.Gone}}, false)
+		s.came(i, api.Delivered, 0)
+		ep := api.EndpointID(100 + i)
+		s.Endpoints([]api.Entry{{Endpoint: ep, Rate: 1000}, {Endpoint: ep - 1, Standing: api.Gone}}, false)
 	}
 	assert.Greater(t, len(s.endpoints), 20, "what may come back is known")
 	s.run(101 * sec)
@@ -74,9 +74,9 @@
 	s.take(2, 0, 2) // the window is one: this one waits
 	s.TurnOver()
 	assert.Equal(t, []*destination{s.dests[2]}, s.busy)
-	s.came(1, webhookpkg.Delivered, 0)
+	s.came(1, api.Delivered, 0)
 	s.run(sec)
-	s.came(2, webhookpkg.Delivered, 0)
+	s.came(2, api.Delivered, 0)
 	assert.Empty(t, s.busy)
 	assert.Len(t, s.linked, 1)
 }
@@ -85,8 +85,8 @@
 func TestNewFactsLeaveWhatIsHeldItsTermsAndDropNothing(t *testing.T) {
 	f, less := plainFacts(), plainFacts()
 	s := begin(f, 0, 0, 0, 0)
-	for id := range webhookpkg.WebhookID(60) {
-		s.take(id, 2, webhookpkg.DestinationID(id%4))
+	for id := range api.WebhookID(60) {
+		s.take(id, 2, api.DestinationID(id%4))
 	}
 	s.TurnOver()
 	out := s.out
@@ -94,11 +94,11 @@
 	less.EventTypes = append(less.EventTypes[:2], less.EventTypes[0])
 	s.Renew(less)
 	assert.InDelta(t, 500, s.dests[0].shared.stated, 1, "a part of the new fleet's")
-	s.all(always(webhookpkg.TimedOut))
+	s.all(always(api.TimedOut))
 	assert.Len(t, s.h.dead, out, "taken as at-most-once, each ends so")
 	assert.Empty(t, s.h.rejected, "what is beyond the new buffer drains")
 	assert.LessOrEqual(t, s.out, 2)
 	s.Renew(f)
 	s.take(100, 2, 0)
-	assert.Equal(t, webhookpkg.AtMostOnce, s.held[100].evt.Repeat, "the way back is the same step")
+	assert.Equal(t, api.AtMostOnce, s.held[100].evt.Repeat, "the way back is the same step")
 }
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // lastSend is the last moment for an attempt: a tick to spare before the TTL and, where a tokened webhook may
 // have run, inside the time for which the destination remembers its token.
-func (c *Control) lastSend(w *webhook) webhookpkg.Micros {
+func (c *Control) lastSend(w *webhook) api.Micros {
 	last := w.ttl - 2*c.Tick
-	if w.mayRun != never && w.evt.Repeat == webhookpkg.Tokened {
+	if w.mayRun != never && w.evt.Repeat == api.Tokened {
 		last = min(last, w.mayRun+w.evt.TokenWindow-2*c.Tick)
 	}
 	return last
@@ -42,7 +42,7 @@
 }
 
 // Withdrawn is told when nobody wants a webhook any more; an attempt that is out runs on.
-func (c *Control) Withdrawn(id webhookpkg.WebhookID) {
+func (c *Control) Withdrawn(id api.WebhookID) {
 	if c.now = c.host.Now(); c.held[id] != nil {
 		c.forget(c.held[id])
 	}
--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -1,50 +1,50 @@
 package policy
 
 import (
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // sent is one attempt that the module asked for.
 type sent struct {
-	id       webhookpkg.WebhookID
-	ep       webhookpkg.EndpointID
-	at       webhookpkg.Micros
-	patience webhookpkg.Micros
-	latest   webhookpkg.Micros
+	id       api.WebhookID
+	ep       api.EndpointID
+	at       api.Micros
+	patience api.Micros
+	latest   api.Micros
 }
 
 // fakeHost writes down what the module does; the story moves its clock.
 type fakeHost struct {
-	now      webhookpkg.Micros
+	now      api.Micros
 	sent     []sent
-	rejected map[webhookpkg.WebhookID]webhookpkg.Micros
-	dead     []webhookpkg.WebhookID
-	wakes    map[webhookpkg.TimerID]webhookpkg.Micros
+	rejected map[api.WebhookID]api.Micros
+	dead     []api.WebhookID
+	wakes    map[api.TimerID]api.Micros
 	logs     []string
 	answers  int
 
-	cancelled []webhookpkg.WebhookID
-	closed    []webhookpkg.EndpointID
+	cancelled []api.WebhookID
+	closed    []api.EndpointID
 }
 
-func (h *fakeHost) Now() webhookpkg.Micros { return h.now }
-func (h *fakeHost) Attempt(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, patience, latest webhookpkg.Micros) {
+func (h *fakeHost) Now() api.Micros { return h.now }
+func (h *fakeHost) Attempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
 	h.sent = append(h.sent, sent{id, ep, h.now, patience, latest})
 }
-func (h *fakeHost) Cancel(id webhookpkg.WebhookID, attempt int) {
+func (h *fakeHost) Cancel(id api.WebhookID, attempt int) {
 	h.cancelled = append(h.cancelled, id)
 }
-func (h *fakeHost) Reject(id webhookpkg.WebhookID, advised webhookpkg.Micros) {
+func (h *fakeHost) Reject(id api.WebhookID, advised api.Micros) {
 	h.rejected[id] = advised
 	h.answers++
 }
-func (h *fakeHost) DeadLetter(id webhookpkg.WebhookID) {
+func (h *fakeHost) DeadLetter(id api.WebhookID) {
 	h.dead = append(h.dead, id)
 	h.answers++
 }
-func (h *fakeHost) Wake(in webhookpkg.Micros, timer webhookpkg.TimerID) { h.wakes[timer] = h.now + in }
-func (h *fakeHost) CloseIdle(ep webhookpkg.EndpointID)                  { h.closed = append(h.closed, ep) }
-func (h *fakeHost) Log(text string)                                     { h.logs = append(h.logs, text) }
+func (h *fakeHost) Wake(in api.Micros, timer api.TimerID) { h.wakes[timer] = h.now + in }
+func (h *fakeHost) CloseIdle(ep api.EndpointID)           { h.closed = append(h.closed, ep) }
+func (h *fakeHost) Log(text string)                       { h.logs = append(h.logs, text) }
 
 // story is a dispatcher on a fake host, with event types 0 idempotent, 1 tokened, 2 at-most-once, 3 ordered.
 type story struct {
@@ -52,31 +52,31 @@
 	h *fakeHost
 }
 
-const sec = webhookpkg.Second
+const sec = api.Second
 
-func plainFacts() webhookpkg.Facts {
-	return webhookpkg.Facts{Seed: 7, Fleet: 1, Slots: 8, Buffer: 100, MaxAttempts: 6, MaxAdvice: 3 * sec,
-		Kinds: []webhookpkg.Kind{{Batch: 1}, {Batch: 3}, {Batch: 1, Apart: true}}, Tick: 5000, RatesStated: true,
+func plainFacts() api.Facts {
+	return api.Facts{Seed: 7, Fleet: 1, Slots: 8, Buffer: 100, MaxAttempts: 6, MaxAdvice: 3 * sec,
+		Kinds: []api.Kind{{Batch: 1}, {Batch: 3}, {Batch: 1, Apart: true}}, Tick: 5000, RatesStated: true,
 		ConnectTimeout: sec, TurnGap: 2 * sec,
 		StartCapacity: 0.2, WarmAfter: 10 * sec, FallMultiple: 2, TipAfter: 2 * sec,
-		EventTypes: []webhookpkg.EventType{
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: webhookpkg.Idempotent},
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: webhookpkg.Tokened, TokenWindow: 8 * sec},
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: webhookpkg.AtMostOnce},
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: webhookpkg.Idempotent, Ordered: true},
+		EventTypes: []api.EventType{
+			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.Idempotent},
+			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.Tokened, TokenWindow: 8 * sec},
+			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.AtMostOnce},
+			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.Idempotent, Ordered: true},
 		}}
 }
 
 // begin starts a story: destination d has endpoints 10d and 10d+1 of the kind given.
-func begin(f webhookpkg.Facts, kinds ...webhookpkg.KindID) *story {
-	h := &fakeHost{now: 100 * sec, rejected: map[webhookpkg.WebhookID]webhookpkg.Micros{},
-		wakes: map[webhookpkg.TimerID]webhookpkg.Micros{}}
+func begin(f api.Facts, kinds ...api.KindID) *story {
+	h := &fakeHost{now: 100 * sec, rejected: map[api.WebhookID]api.Micros{},
+		wakes: map[api.TimerID]api.Micros{}}
 	s := &story{New(f, h), h}
-	var list []webhookpkg.Entry
+	var list []api.Entry
 	for d, k := range kinds {
 		for i := range 2 {
-			list = append(list, webhookpkg.Entry{Endpoint: webhookpkg.EndpointID(10*d + i),
-				Destination: webhookpkg.DestinationID(d), Kind: k, Rate: 1000})
+			list = append(list, api.Entry{Endpoint: api.EndpointID(10*d + i),
+				Destination: api.DestinationID(d), Kind: k, Rate: 1000})
 		}
 	}
 	s.Endpoints(list, true)
@@ -84,27 +84,27 @@
 	return s
 }
 
-func (s *story) take(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, dest webhookpkg.DestinationID) {
+func (s *story) take(id api.WebhookID, evt api.EventTypeID, dest api.DestinationID) {
 	s.Take(id, evt, 0, 5, s.h.now+20*sec, dest)
 }
 
 // came reports an outcome of the webhook's attempt that is out and closes the turn.
-func (s *story) came(id webhookpkg.WebhookID, what webhookpkg.Outcome, wait webhookpkg.Micros) {
+func (s *story) came(id api.WebhookID, what api.Outcome, wait api.Micros) {
 	s.report(id, what, wait)
 	s.TurnOver()
 }
 
-func (s *story) report(id webhookpkg.WebhookID, what webhookpkg.Outcome, wait webhookpkg.Micros) {
+func (s *story) report(id api.WebhookID, what api.Outcome, wait api.Micros) {
 	for i := len(s.h.sent) - 1; i >= 0; i-- {
 		if x := s.h.sent[i]; x.id == id {
-			s.Outcome(id, x.ep, what, s.h.now-x.at, what == webhookpkg.Delivered, wait)
+			s.Outcome(id, x.ep, what, s.h.now-x.at, what == api.Delivered, wait)
 			return
 		}
 	}
 }
 
 // all reports the same outcome, if there is one to report, for each attempt that is out and closes the turn.
-func (s *story) all(of func(ep webhookpkg.EndpointID) webhookpkg.Outcome) (n int) {
+func (s *story) all(of func(ep api.EndpointID) api.Outcome) (n int) {
 	for _, x := range s.h.sent {
 		if w := s.held[x.id]; w != nil && w.call != nil {
 			s.report(x.id, of(w.call.ep.id), 0)
@@ -115,15 +115,15 @@
 	return n
 }
 
-func always(what webhookpkg.Outcome) func(webhookpkg.EndpointID) webhookpkg.Outcome {
-	return func(webhookpkg.EndpointID) webhookpkg.Outcome { return what }
+func always(what api.Outcome) func(api.EndpointID) api.Outcome {
+	return func(api.EndpointID) api.Outcome { return what }
 }
 
 // run moves the clock on in small turns, waking the module when its timers are due.
-func (s *story) run(span webhookpkg.Micros) {
+func (s *story) run(span api.Micros) {
 	for until := s.h.now + span; s.h.now < until; {
 		s.h.now += 5000
-		for _, timer := range []webhookpkg.TimerID{timerPeriod, timerDue} {
+		for _, timer := range []api.TimerID{timerPeriod, timerDue} {
 			if at, ok := s.h.wakes[timer]; ok && at <= s.h.now {
 				delete(s.h.wakes, timer)
 				s.Wake(timer)
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *story) sentOf(id webhookpkg.WebhookID) (n int) {
+func (s *story) sentOf(id api.WebhookID) (n int) {
 	for _, x := range s.h.sent {
 		if x.id == id {
 			n++
--- a/webhook/policy/judging.go
+++ b/webhook/policy/judging.go
@@ -5,12 +5,12 @@
 	"slices"
 
 	"rowanlink/internal/backoff"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Outcome takes what came of an attempt, back through the stages from the last.
-func (c *Control) Outcome(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, what webhookpkg.Outcome,
-	took webhookpkg.Micros, ended bool, wait webhookpkg.Micros) {
+func (c *Control) Outcome(id api.WebhookID, ep api.EndpointID, what api.Outcome,
+	took api.Micros, ended bool, wait api.Micros) {
 	c.now = c.host.Now()
 	w := c.held[id]
 	if w == nil || w.call == nil {
@@ -45,7 +45,7 @@
 // endpoints of a kind where one was missed of late may take few, the whole fleet's counted, and hundreds that
 // rest for half a second fill them. Not where the calls at the stated rate need one for each.
 func (c *Control) hangUp(e *endpoint) (closed bool) {
-	atOnce := e.route.stated * e.route.mean / float64(webhookpkg.Second) * float64(c.Fleet)
+	atOnce := e.route.stated * e.route.mean / float64(api.Second) * float64(c.Fleet)
 	few := max(connsBy*atOnce/float64(len(e.dest.endpoints)), connsLeast) < float64(c.Fleet)
 	if closed = few && e.listed && c.now < e.dest.kind.crowded && e.out == 0; closed {
 		c.host.CloseIdle(e.id)
@@ -54,20 +54,20 @@
 }
 
 // judge counts the fate of a call, once for all the webhooks in it.
-func (c *Control) judge(e *endpoint, what webhookpkg.Outcome, took, wait webhookpkg.Micros) {
+func (c *Control) judge(e *endpoint, what api.Outcome, took, wait api.Micros) {
 	r := e.route
 	r.heardAt, r.wakeAt = c.now, 0
 	// Guards against a cap taken for an outage where the port can't tell them apart: who is silent takes the
 	// whole time-out. One that crashed refuses as quickly; it is found as one that is crowded for long.
-	if what == webhookpkg.ConnectFailed && !c.CapsTold && took < c.ConnectTimeout/2 {
-		what = webhookpkg.Crowded
+	if what == api.ConnectFailed && !c.CapsTold && took < c.ConnectTimeout/2 {
+		what = api.Crowded
 	}
 	// Only a cap answers; who is silent says nothing of one.
-	if what == webhookpkg.Crowded || what == webhookpkg.ConnectFailed && took < c.ConnectTimeout/2 {
+	if what == api.Crowded || what == api.ConnectFailed && took < c.ConnectTimeout/2 {
 		e.dest.kind.crowded = c.now + crowdedFor*c.WarmAfter
 	}
 	switch what {
-	case webhookpkg.Delivered:
+	case api.Delivered:
 		e.mean, r.mean, c.mean = blend(e.mean, took), blend(r.mean, took), blend(c.mean, took)
 		if r.loose {
 			e.dest.kind.trickle = min(e.dest.kind.trickle*(1+paceStep), 1/c.events[0].Target.Seconds())
@@ -85,7 +85,7 @@
 		}
 		r.pace += step
 		c.recover(r)
-	case webhookpkg.Full:
+	case api.Full:
 		r.window = backoff.Halve(r.window)
 		r.refused++
 		if r.loose && wait < c.TipAfter {
@@ -93,7 +93,7 @@
 		}
 		// Guards against refusals that use up the limit: no other webhook follows at once, and the pace falls.
 		r.tokens = min(r.tokens, 0.5-c.chance.Float())
-		if c.now-r.cutAt > webhookpkg.Second/2 {
+		if c.now-r.cutAt > api.Second/2 {
 			r.cutAt = c.now
 			r.pace = max(r.pace*paceCut, r.stated*paceLeast)
 		}
@@ -102,8 +102,8 @@
 		if wait > c.TipAfter || r.refused >= fullRow {
 			c.sicken(r)
 		}
-	case webhookpkg.NotSent:
-	case webhookpkg.Crowded:
+	case api.NotSent:
+	case api.Crowded:
 		// It runs, so that nothing is cold; only where nothing else comes for long may this be how it is shut.
 		e.limit = float64(max(e.out-1, 1))
 		r.tokens = min(r.tokens, 0)
@@ -113,17 +113,17 @@
 	default:
 		// A cap on connections is no outage: calls succeed beside it. It grows with them: it may start one. Where
 		// caps are told this is none, and counts as the failure that it is.
-		if what == webhookpkg.ConnectFailed && c.now-e.okAt < 2*c.ConnectTimeout {
+		if what == api.ConnectFailed && c.now-e.okAt < 2*c.ConnectTimeout {
 			if e.limit = float64(max(e.out-1, 1)); !c.CapsTold {
 				return
 			}
 		}
-		alone := c.now-e.brokeAt > webhookpkg.Micros(r.mean)
-		if e.brokeAt = c.now; what == webhookpkg.Reset && alone && c.now-e.okAt < c.TipAfter {
+		alone := c.now-e.brokeAt > api.Micros(r.mean)
+		if e.brokeAt = c.now; what == api.Reset && alone && c.now-e.okAt < c.TipAfter {
 			c.host.CloseIdle(e.id) // one that breaks alone beside deliveries: others there may have ended unseen
 			return
 		}
-		if what == webhookpkg.TimedOut || what == webhookpkg.Cancelled {
+		if what == api.TimedOut || what == api.Cancelled {
 			r.window = backoff.Halve(r.window)
 			r.lost += smooth * (1 - r.lost)
 			if e.fails == 0 { // strays alone: a hang's many time-outs say nothing of the other destinations
@@ -131,7 +131,7 @@
 			}
 		}
 		// What an endpoint left out fails says nothing more of the route, nor a connection that breaks by itself.
-		if e.fails++; e.fails <= sickRow && (what != webhookpkg.Reset || c.now-e.okAt > c.TipAfter) {
+		if e.fails++; e.fails <= sickRow && (what != api.Reset || c.now-e.okAt > c.TipAfter) {
 			r.failing += smooth * (1 - r.failing)
 		}
 		if e.fails >= sickRow {
@@ -140,11 +140,11 @@
 		// One endpoint that fails among well ones is left out by itself: the route is sick when none is well. Where
 		// calls are too few to tell, a failure where nothing came back well of late is taken for an outage.
 		well := func(o *endpoint) bool { return o.route == r && o.fails < sickRow }
-		stray := r.failing <= smooth && what != webhookpkg.ConnectFailed // a lone one, by something that answers
+		stray := r.failing <= smooth && what != api.ConnectFailed // a lone one, by something that answers
 		// Of many dispatchers hardly one sees two in a short outage: where caps are told and no endpoint
 		// answers, one connect that fails will do.
 		answers := func(o *endpoint) bool { return o.route == r && o.fails == 0 }
-		gone := c.CapsTold && what == webhookpkg.ConnectFailed && !slices.ContainsFunc(e.dest.endpoints, answers)
+		gone := c.CapsTold && what == api.ConnectFailed && !slices.ContainsFunc(e.dest.endpoints, answers)
 		if !slices.ContainsFunc(e.dest.endpoints, well) {
 			c.sicken(r)
 		} else if !r.sick && (r.failing > sickAt || gone || !stray && c.now-r.okAt > c.TipAfter) {
@@ -184,7 +184,7 @@
 }
 
 // blend smooths a measured time; the first one stands for itself.
-func blend(mean float64, took webhookpkg.Micros) float64 {
+func blend(mean float64, took api.Micros) float64 {
 	mean = cmp.Or(mean, float64(took))
 	return mean + smooth*(float64(took)-mean)
 }
--- a/webhook/policy/judging_test.go
+++ b/webhook/policy/judging_test.go
@@ -5,21 +5,21 @@
 
 	"github.com/stretchr/testify/assert"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestOneDeadEndpointLeavesTheOtherInUse(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	delivered := 0
-	for id := range webhookpkg.WebhookID(60) {
+	for id := range api.WebhookID(60) {
 		s.take(id, 0, 0)
 		s.run(sec / 10)
-		s.all(func(ep webhookpkg.EndpointID) webhookpkg.Outcome {
+		s.all(func(ep api.EndpointID) api.Outcome {
 			if ep == 0 {
-				return webhookpkg.Reset
+				return api.Reset
 			}
 			delivered++
-			return webhookpkg.Delivered
+			return api.Delivered
 		})
 	}
 	assert.False(t, s.dests[0].shared.sick)
@@ -28,17 +28,17 @@
 
 func TestConnectionCapIsNoOutage(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	for id := range webhookpkg.WebhookID(80) {
+	for id := range api.WebhookID(80) {
 		s.take(id, 0, 0)
 		s.run(sec / 20)
 		if id%2 == 1 { // of two calls at an endpoint the second finds no connection
-			seen := map[webhookpkg.EndpointID]bool{}
-			s.all(func(ep webhookpkg.EndpointID) webhookpkg.Outcome {
+			seen := map[api.EndpointID]bool{}
+			s.all(func(ep api.EndpointID) api.Outcome {
 				if seen[ep] {
-					return webhookpkg.ConnectFailed
+					return api.ConnectFailed
 				}
 				seen[ep] = true
-				return webhookpkg.Delivered
+				return api.Delivered
 			})
 		}
 	}
@@ -53,21 +53,21 @@
 func TestAConnectionTurnedAwayIsNoOutageWhereCallsAreRare(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	r := s.dests[0].shared
-	for id := webhookpkg.WebhookID(1); id < 40; id += 2 {
+	for id := api.WebhookID(1); id < 40; id += 2 {
 		s.take(id, 0, 0)
 		s.TurnOver()
 		r = s.dests[0].shared
-		s.came(id, webhookpkg.Crowded, 0)
+		s.came(id, api.Crowded, 0)
 		assert.Equal(t, never, r.coldSince)
 		s.run(4 * sec) // it is tried again meanwhile
-		s.came(id, webhookpkg.Delivered, 0)
+		s.came(id, api.Delivered, 0)
 		s.run(4 * sec)
 	}
 	assert.False(t, r.sick)
-	for id := range webhookpkg.WebhookID(4 * fullRow) { // nothing else for long: it may be shut
+	for id := range api.WebhookID(4 * fullRow) { // nothing else for long: it may be shut
 		s.take(100+id, 0, 0)
 		s.TurnOver()
-		s.all(always(webhookpkg.Crowded))
+		s.all(always(api.Crowded))
 		s.run(2 * sec)
 	}
 	assert.True(t, r.sick)
@@ -78,12 +78,12 @@
 		s := crowd(fleet)
 		s.take(1, 0, 0)
 		s.TurnOver()
-		s.came(1, webhookpkg.Delivered, 0)
+		s.came(1, api.Delivered, 0)
 		s.run(sec)
 		assert.Empty(t, s.h.closed, "idle connections serve until one is missed")
 		s.take(2, 0, 1)
 		s.TurnOver()
-		s.came(2, webhookpkg.ConnectFailed, 0) // at another destination of the kind
+		s.came(2, api.ConnectFailed, 0) // at another destination of the kind
 		s.run(sec)
 		assert.Equal(t, fleet == 200, len(s.h.closed) > 0)
 		// From now on none rests, not even until the next look: of hundreds that would always be many.
@@ -91,7 +91,7 @@
 		s.take(3, 0, 0)
 		s.TurnOver()
 		assert.Empty(t, s.h.closed)
-		s.came(3, webhookpkg.Delivered, 0)
+		s.came(3, api.Delivered, 0)
 		assert.Equal(t, fleet == 200, len(s.h.closed) > 0)
 	}
 }
@@ -101,20 +101,20 @@
 		s := crowd(200)
 		s.take(1, 0, 0)
 		s.TurnOver()
-		s.came(1, webhookpkg.Delivered, 0)
+		s.came(1, api.Delivered, 0)
 		if seldom {
 			s.run(5 * sec)
 		}
 		s.now = s.h.now
-		s.judge(s.endpoints[0], webhookpkg.Errored, sec/10, 0)
+		s.judge(s.endpoints[0], api.Errored, sec/10, 0)
 		assert.EqualValues(t, never, s.dests[0].shared.coldSince, "one may be a stray")
 		silent := crowd(200)
 		silent.take(1, 0, 0)
 		silent.run(5 * sec)
 		silent.now = silent.h.now
-		silent.judge(silent.endpoints[0], webhookpkg.ConnectFailed, sec, 0)
+		silent.judge(silent.endpoints[0], api.ConnectFailed, sec, 0)
 		assert.NotEqualValues(t, never, silent.dests[0].shared.coldSince, "who says nothing at all is out")
-		s.judge(s.endpoints[0], webhookpkg.Errored, sec/10, 0)
+		s.judge(s.endpoints[0], api.Errored, sec/10, 0)
 		assert.Equal(t, seldom, s.dests[0].shared.coldSince != never)
 	}
 }
@@ -122,8 +122,8 @@
 // Guards against a stray broken connection taken for a cap on connections, or for a failing destination.
 func TestConnectionsThatBreakBesideDeliveriesChangeLittle(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	id := webhookpkg.WebhookID(0)
-	call := func(what webhookpkg.Outcome) {
+	id := api.WebhookID(0)
+	call := func(what api.Outcome) {
 		id++
 		s.take(id, 0, 0)
 		s.TurnOver()
@@ -131,21 +131,21 @@
 		s.came(id, what, 0)
 	}
 	for range 9 {
-		call(webhookpkg.Delivered)
+		call(api.Delivered)
 	}
-	call(webhookpkg.ConnectFailed)
+	call(api.ConnectFailed)
 	e := s.held[id].dest.endpoints[0]
 	assert.Less(t, e.limit, 2.0)
 	for range 16 {
-		call(webhookpkg.Delivered)
+		call(api.Delivered)
 	}
 	assert.GreaterOrEqual(t, e.limit, 3.0)
 	for range 9 {
 		for range 3 {
-			call(webhookpkg.Reset)
+			call(api.Reset)
 			s.run(sec / 5)
 		}
-		call(webhookpkg.Delivered)
+		call(api.Delivered)
 	}
 	assert.EqualValues(t, never, e.route.coldSince)
 	assert.Empty(t, s.h.logs, "none was taken for an outage")
@@ -154,7 +154,7 @@
 // Guards against caps on connections taken for outages where the port can't tell them apart.
 func TestAQuickFailedConnectIsACapAndASilentOneAnOutage(t *testing.T) {
 	for _, c := range []struct {
-		took   webhookpkg.Micros
+		took   api.Micros
 		told   bool
 		crowds bool
 	}{{sec / 20, false, true}, {sec, false, false}, {sec / 20, true, false}} {
@@ -165,7 +165,7 @@
 		s.awake(s.dests[0])
 		e := s.dests[0].endpoints[0]
 		for range 3 {
-			s.judge(e, webhookpkg.ConnectFailed, c.took, 0)
+			s.judge(e, api.ConnectFailed, c.took, 0)
 		}
 		assert.Equal(t, c.crowds, e.fails == 0)
 		assert.Equal(t, !c.crowds, s.dests[0].shared.coldSince != never)
--- a/webhook/policy/learned.go
+++ b/webhook/policy/learned.go
@@ -1,23 +1,23 @@
 package policy
 
-import webhookpkg "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // Learned tells what is known of a destination that must hold for whoever calls it next; false: nothing is,
 // or its endpoints are separate routes, which are known here by numbers that mean nothing elsewhere.
-func (c *Control) Learned(id webhookpkg.DestinationID) (webhookpkg.Learned, bool) {
+func (c *Control) Learned(id api.DestinationID) (api.Learned, bool) {
 	d := c.dests[id]
 	if d == nil || d.shared == nil || d.kind.Apart {
-		return webhookpkg.Learned{}, false
+		return api.Learned{}, false
 	}
 	r := d.shared
-	return webhookpkg.Learned{Destination: id, At: c.host.Now(), Window: r.window, WaitUntil: r.waitUntil,
+	return api.Learned{Destination: id, At: c.host.Now(), Window: r.window, WaitUntil: r.waitUntil,
 		Sick: r.sick, CanaryAt: r.tryAt, ColdSince: r.coldSince, Mean: r.mean, Failing: r.failing,
 		Lost: r.lost}, true
 }
 
 // Teach takes it over from another dispatcher; times are of this one's clock. What is known here is kept
 // where it is the more careful.
-func (c *Control) Teach(l webhookpkg.Learned) {
+func (c *Control) Teach(l api.Learned) {
 	c.now = c.host.Now()
 	d := c.awake(c.destination(l.Destination))
 	r := d.shared
--- a/webhook/policy/list.go
+++ b/webhook/policy/list.go
@@ -5,11 +5,11 @@
 	"math"
 	"slices"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Endpoints takes a list: the whole of it, or what has changed.
-func (c *Control) Endpoints(list []webhookpkg.Entry, whole bool) {
+func (c *Control) Endpoints(list []api.Entry, whole bool) {
 	c.now = c.host.Now()
 	if whole {
 		for _, e := range c.endpoints {
@@ -27,7 +27,7 @@
 			c.endpoints[l.Endpoint] = e
 		}
 		e.route = cmp.Or(e.route, d.shared)
-		if e.listed = l.Standing == webhookpkg.Listed; e.listed && !slices.Contains(d.endpoints, e) {
+		if e.listed = l.Standing == api.Listed; e.listed && !slices.Contains(d.endpoints, e) {
 			if len(d.endpoints) == 0 && len(d.queue) > 0 {
 				c.chill(e.route) // what waited for it anywhere would go at once
 			}
@@ -55,7 +55,7 @@
 }
 
 // Reported takes a destination's limit from itself: it stands in for a rate that no list states, or roughly.
-func (c *Control) Reported(ep webhookpkg.EndpointID, left, limit float64) {
+func (c *Control) Reported(ep api.EndpointID, left, limit float64) {
 	e, part := c.endpoints[ep], limit/float64(c.Fleet)
 	if e == nil || e.route == nil || !(part > 0) || math.IsInf(part, 0) {
 		return
@@ -70,7 +70,7 @@
 
 // newRoute takes, where none is stated (0) and until one is told, that a slot is used once a second; where no
 // list states any, over all destinations alike.
-func (c *Control) newRoute(name webhookpkg.EndpointID, stated float64, since webhookpkg.Micros) *route {
+func (c *Control) newRoute(name api.EndpointID, stated float64, since api.Micros) *route {
 	perS := float64(c.Slots)
 	if !c.RatesStated {
 		perS /= float64(len(c.order))
--- a/webhook/policy/list_test.go
+++ b/webhook/policy/list_test.go
@@ -5,38 +5,38 @@
 
 	"github.com/stretchr/testify/assert"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestNothingNewGoesToADrainingEndpoint(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	s.Endpoints([]webhookpkg.Entry{{Endpoint: 0, Destination: 0, Standing: webhookpkg.Draining}}, false)
-	for id := range webhookpkg.WebhookID(4) {
+	s.Endpoints([]api.Entry{{Endpoint: 0, Destination: 0, Standing: api.Draining}}, false)
+	for id := range api.WebhookID(4) {
 		s.take(id, 0, 0)
 		s.TurnOver()
 		s.h.now += sec / 10
-		s.came(id, webhookpkg.Delivered, 0)
-		assert.Equal(t, webhookpkg.EndpointID(1), s.h.sent[id].ep)
+		s.came(id, api.Delivered, 0)
+		assert.Equal(t, api.EndpointID(1), s.h.sent[id].ep)
 	}
 }
 
 func TestEndpointOffTheListIsForgottenLaterAndOneThatCameBackIsNot(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	gone := func(ep webhookpkg.EndpointID, standing webhookpkg.Standing) {
-		s.Endpoints([]webhookpkg.Entry{{Endpoint: ep, Rate: 1000, Standing: standing}}, false)
+	gone := func(ep api.EndpointID, standing api.Standing) {
+		s.Endpoints([]api.Entry{{Endpoint: ep, Rate: 1000, Standing: standing}}, false)
 	}
-	gone(0, webhookpkg.Draining)
-	gone(0, webhookpkg.Gone)
-	gone(1, webhookpkg.Draining)
+	gone(0, api.Draining)
+	gone(0, api.Gone)
+	gone(1, api.Draining)
 	s.run(50 * sec)
-	gone(1, webhookpkg.Listed)
+	gone(1, api.Listed)
 	s.run(60 * sec)
 	assert.Nil(t, s.endpoints[0])
 	assert.NotNil(t, s.endpoints[1])
 	assert.Empty(t, s.left)
 	s.take(1, 0, 0)
 	s.TurnOver()
-	assert.Equal(t, webhookpkg.EndpointID(1), s.h.sent[0].ep)
+	assert.Equal(t, api.EndpointID(1), s.h.sent[0].ep)
 }
 
 func TestADestinationAtRestHasNoRouteAndWakesWithWhatTheListSaid(t *testing.T) {
@@ -44,13 +44,13 @@
 	s.run(10 * sec)
 	d := s.dests[0]
 	assert.Nil(t, d.shared)
-	s.Endpoints([]webhookpkg.Entry{{Endpoint: 1, Standing: webhookpkg.Gone}, {Endpoint: 2, Rate: 40}}, false)
+	s.Endpoints([]api.Entry{{Endpoint: 1, Standing: api.Gone}, {Endpoint: 2, Rate: 40}}, false)
 	s.take(1, 0, 0)
 	s.TurnOver()
 	assert.Equal(t, 40.0, d.shared.stated)
 	assert.Equal(t, 40.0, d.shared.pace)
 	assert.Equal(t, 40*burstSpan-1, d.shared.tokens, "the bucket filled while it rested; one call is out of it")
-	s.Endpoints([]webhookpkg.Entry{{Endpoint: 1, Rate: 40}}, false)
+	s.Endpoints([]api.Entry{{Endpoint: 1, Rate: 40}}, false)
 	for _, e := range d.endpoints {
 		assert.Same(t, d.shared, e.route, "endpoint %d", e.id)
 	}
@@ -58,7 +58,7 @@
 	assert.NotSame(t, apart[0].route, apart[1].route)
 }
 
-func untold(fleet int) webhookpkg.Facts {
+func untold(fleet int) api.Facts {
 	f := plainFacts()
 	f.Fleet, f.RatesStated = fleet, false
 	return f
@@ -72,29 +72,29 @@
 	r := s.dests[0].shared
 	assert.LessOrEqual(t, r.stated, 2.0, "the slots serve all destinations")
 	s.Reported(0, 0.5, 40)
-	s.came(1, webhookpkg.Delivered, 0)
+	s.came(1, api.Delivered, 0)
 	assert.InDelta(t, 0.2, r.stated, 1e-9)
 	s.Reported(0, 0.5, 0)
 	s.Reported(99, 0.5, 40)
 	assert.InDelta(t, 0.2, r.stated, 1e-9, "no limit, or no such endpoint, says nothing")
-	s.Endpoints([]webhookpkg.Entry{{Endpoint: 0, Rate: 4}}, false)
+	s.Endpoints([]api.Entry{{Endpoint: 0, Rate: 4}}, false)
 	assert.InDelta(t, 0.2, r.stated, 1e-9, "what the destination tells goes before a list")
 	s.Reported(0, 0.5, 40)
 	before := loose(s.dests[0], r)
 	assert.Greater(t, before, 5.0, "a clump goes by the room told, not by the part")
 	s.now = s.h.now
-	s.judge(s.endpoints[0], webhookpkg.Full, sec/10, 0)
+	s.judge(s.endpoints[0], api.Full, sec/10, 0)
 	assert.Less(t, loose(s.dests[0], r), before/8)
 }
 
 // Guards against all that waits anywhere for a destination without endpoints, sent as soon as one is listed.
 func TestEndpointsListedWhereNoneWasAreCold(t *testing.T) {
 	s := begin(untold(200), 0)
-	gone := []webhookpkg.Entry{{Endpoint: 0, Standing: webhookpkg.Gone}, {Endpoint: 1, Standing: webhookpkg.Gone}}
+	gone := []api.Entry{{Endpoint: 0, Standing: api.Gone}, {Endpoint: 1, Standing: api.Gone}}
 	s.Endpoints(gone, false)
 	s.take(1, 0, 0)
 	s.TurnOver()
-	s.Endpoints([]webhookpkg.Entry{{Endpoint: 7}}, false)
+	s.Endpoints([]api.Entry{{Endpoint: 7}}, false)
 	s.TurnOver()
 	assert.NotEqualValues(t, never, s.dests[0].shared.coldSince)
 }
--- a/webhook/policy/order.go
+++ b/webhook/policy/order.go
@@ -3,20 +3,20 @@
 import (
 	"cmp"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // Take takes on a webhook. From here on it is owed exactly one final answer before its TTL.
-func (c *Control) Take(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, tenant webhookpkg.TenantID,
-	key webhookpkg.Key, ttl webhookpkg.Micros, dest webhookpkg.DestinationID) {
+func (c *Control) Take(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
+	key api.Key, ttl api.Micros, dest api.DestinationID) {
 	c.Resume(id, evt, tenant, key, ttl, dest, 0, never, 0)
 }
 
 // Resume takes on a webhook that an earlier life had, with its attempts and the first that may have run. A
 // call that was out has no outcome any more: like a reset, it is followed by the schedule's wait, or the end.
-func (c *Control) Resume(id webhookpkg.WebhookID, evt webhookpkg.EventTypeID, tenant webhookpkg.TenantID,
-	key webhookpkg.Key, ttl webhookpkg.Micros, dest webhookpkg.DestinationID,
-	attempts int, mayRun webhookpkg.Micros, zone webhookpkg.ZoneID) {
+func (c *Control) Resume(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
+	key api.Key, ttl api.Micros, dest api.DestinationID,
+	attempts int, mayRun api.Micros, zone api.ZoneID) {
 	c.now = c.host.Now()
 	row := &c.events[min(int(evt), len(c.events)-1)]
 	w := &webhook{id: id, evt: row, dest: c.awake(c.destination(dest)), key: key, ttl: ttl, readyAt: c.now,
@@ -39,7 +39,7 @@
 }
 
 // overShare meters a tenant's webhooks: what comes beyond its share earns little, whatever is done with it.
-func (c *Control) overShare(id webhookpkg.TenantID) (over bool) {
+func (c *Control) overShare(id api.TenantID) (over bool) {
 	if int(id) < len(c.tenants) {
 		t := &c.tenants[id]
 		t.level, t.at = min(t.level+t.perS*(c.now-t.at).Seconds(), max(t.perS*overBurst, 1)), c.now
@@ -56,8 +56,8 @@
 // tokened webhook that may have run counts as in time: past its window it would be a dead letter.
 func (c *Control) before(a, b *webhook) int {
 	tier := func(w *webhook) (t int) {
-		atRisk := w.mayRun != never && w.evt.Repeat == webhookpkg.Tokened
-		if !atRisk && c.now+webhookpkg.Micros(w.dest.shared.mean) > w.target {
+		atRisk := w.mayRun != never && w.evt.Repeat == api.Tokened
+		if !atRisk && c.now+api.Micros(w.dest.shared.mean) > w.target {
 			t = 1
 		}
 		if w.over {
--- a/webhook/policy/pace.go
+++ b/webhook/policy/pace.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // opens tells whether an endpoint's route takes one more call now.
@@ -22,12 +22,12 @@
 	}
 	rate, depth := c.rate(e.dest, r)
 	r.tokens, r.tokensAt = min(r.tokens+rate*(c.now-r.tokensAt).Seconds(), depth), c.now
-	lack := math.Ceil((1 - r.tokens) / rate * float64(webhookpkg.Second))
-	return lack <= 0 || c.wakeFor(r, c.now+webhookpkg.Micros(lack))
+	lack := math.Ceil((1 - r.tokens) / rate * float64(api.Second))
+	return lack <= 0 || c.wakeFor(r, c.now+api.Micros(lack))
 }
 
 // wakeFor sees to a turn at the time when a route that is not open may be.
-func (c *Control) wakeFor(r *route, at webhookpkg.Micros) (open bool) {
+func (c *Control) wakeFor(r *route, at api.Micros) (open bool) {
 	if r.wakeAt <= c.now || at < r.wakeAt { // one wake at a time: each turn may come to another one
 		r.wakeAt = at
 		c.dues.Add(int64(at), nil)
@@ -55,8 +55,8 @@
 
 // canaryPause is by chance around the gap that this dispatcher's part of a cold destination's budget gives,
 // within bounds. Guards a small destination against the canaries of hundreds, which alone would push it over.
-func (c *Control) canaryPause(r *route) webhookpkg.Micros {
-	span := float64(webhookpkg.Second) / (coldPart * c.FallMultiple * c.StartCapacity * r.stated)
+func (c *Control) canaryPause(r *route) api.Micros {
+	span := float64(api.Second) / (coldPart * c.FallMultiple * c.StartCapacity * r.stated)
 	span = min(max(span, canaryBy*float64(c.WarmAfter)), float64(c.WarmAfter))
-	return webhookpkg.Micros(span * (1 + c.chance.Float()) / 1.5)
+	return api.Micros(span * (1 + c.chance.Float()) / 1.5)
 }
--- a/webhook/policy/pace_test.go
+++ b/webhook/policy/pace_test.go
@@ -5,18 +5,18 @@
 
 	"github.com/stretchr/testify/assert"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestToldWaitHoldsEveryWebhookOfTheDestination(t *testing.T) {
 	s := begin(plainFacts(), 1)
-	for id := range webhookpkg.WebhookID(3) {
+	for id := range api.WebhookID(3) {
 		s.take(id, 0, 0)
 	}
 	s.TurnOver() // they share a call
-	s.report(0, webhookpkg.Full, sec/2)
-	s.report(1, webhookpkg.Full, 3*sec/2) // each may be told its own wait: the longest holds
-	s.came(2, webhookpkg.Full, 0)
+	s.report(0, api.Full, sec/2)
+	s.report(1, api.Full, 3*sec/2) // each may be told its own wait: the longest holds
+	s.came(2, api.Full, 0)
 	s.take(9, 0, 0)
 	s.run(3*sec/2 - 10000)
 	assert.Len(t, s.h.sent, 3)
@@ -29,7 +29,7 @@
 	s := begin(f, 0)
 	r := s.awake(s.dests[0]).shared
 	r.stated, r.pace = 10, 10
-	for id := range webhookpkg.WebhookID(90) {
+	for id := range api.WebhookID(90) {
 		s.take(id, 0, 0)
 	}
 	s.TurnOver()
@@ -38,9 +38,9 @@
 	for s.h.now < back+2*sec {
 		s.run(5000)
 		if s.h.now < back {
-			s.all(always(webhookpkg.ConnectFailed))
+			s.all(always(api.ConnectFailed))
 		} else {
-			reached += s.all(always(webhookpkg.Delivered))
+			reached += s.all(always(api.Delivered))
 		}
 	}
 	assert.Positive(t, reached)
@@ -48,7 +48,7 @@
 }
 
 func TestPaceOutgrowsALowStatedRate(t *testing.T) {
-	pace := func(waiting webhookpkg.WebhookID) float64 {
+	pace := func(waiting api.WebhookID) float64 {
 		s := begin(plainFacts(), 0)
 		r := s.awake(s.dests[0]).shared
 		r.stated, r.pace = 2, 2
@@ -57,7 +57,7 @@
 		}
 		for range 50 {
 			s.run(sec / 10)
-			s.all(always(webhookpkg.Delivered))
+			s.all(always(api.Delivered))
 		}
 		return r.pace
 	}
@@ -70,27 +70,27 @@
 	f := plainFacts()
 	f.Fleet = fleet
 	s := begin(f, 0, 0)
-	for d := range webhookpkg.DestinationID(2) {
-		s.Endpoints([]webhookpkg.Entry{{Endpoint: webhookpkg.EndpointID(10 * d), Destination: d, Rate: 4}}, false)
+	for d := range api.DestinationID(2) {
+		s.Endpoints([]api.Entry{{Endpoint: api.EndpointID(10 * d), Destination: d, Rate: 4}}, false)
 	}
 	return s
 }
 
 func TestTinyPartOfARateDoesNotHoldTheSecondWebhook(t *testing.T) {
 	s := crowd(200)
-	for id := range webhookpkg.WebhookID(2) {
+	for id := range api.WebhookID(2) {
 		s.take(id, 0, 0)
 	}
 	for range 50 {
 		s.run(sec / 10)
-		s.all(always(webhookpkg.Delivered))
+		s.all(always(api.Delivered))
 	}
 	assert.Len(t, s.h.sent, 2)
 	trickle := s.kinds[0].trickle
-	for id := webhookpkg.WebhookID(10); id < 13; id++ {
+	for id := api.WebhookID(10); id < 13; id++ {
 		s.take(id, 0, 1)
 		s.run(sec / 10)
-		s.all(always(webhookpkg.Full))
+		s.all(always(api.Full))
 	}
 	assert.Less(t, s.kinds[0].trickle, trickle, "refusals of what it let go lower it")
 	full := s.dests[1]
@@ -102,7 +102,7 @@
 		s := crowd(fleet)
 		s.take(1, 0, 0)
 		s.TurnOver()
-		s.came(1, webhookpkg.Full, 4*sec) // told to wait for longer than a limit's span: shut
+		s.came(1, api.Full, 4*sec) // told to wait for longer than a limit's span: shut
 		r := s.awake(s.dests[0]).shared
 		assert.True(t, r.sick)
 		assert.Greater(t, r.tryAt, r.waitUntil, "all come back when it opens")
--- a/webhook/policy/schedule.go
+++ b/webhook/policy/schedule.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/internal/backoff"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 const fullShare, sickShare = backoff.FullShare, backoff.SickShare // the latter to all sick ones too
@@ -14,7 +14,7 @@
 func (c *Control) retry(w *webhook) {
 	w.readyAt = c.now + Wait(w.evt.cap, w.retries, c.chance.Float())
 	w.retries++
-	spent := w.attempts >= c.MaxAttempts || w.evt.Repeat == webhookpkg.AtMostOnce && w.mayRun != never
+	spent := w.attempts >= c.MaxAttempts || w.evt.Repeat == api.AtMostOnce && w.mayRun != never
 	if spent || max(w.readyAt, w.dest.shared.waitUntil) >= c.lastSend(w) {
 		c.finish(w)
 		return
@@ -25,8 +25,8 @@
 }
 
 // Wait is the design's schedule in whole microseconds. m is in seconds, x from [0, 1).
-func Wait(m float64, i int, x float64) webhookpkg.Micros {
-	return webhookpkg.Micros(backoff.Wait(m, i, x, float64(webhookpkg.Second)))
+func Wait(m float64, i int, x float64) api.Micros {
+	return api.Micros(backoff.Wait(m, i, x, float64(api.Second)))
 }
 
 // bound is how many calls a route may have out: its window, up to a share of the slots.
@@ -40,12 +40,12 @@
 // respread draws anew what came due while the dispatcher stood still, and what came new for a destination
 // that failed or refused last. Guards against a building full of them that wake together and send in one
 // moment what chance had spread: that would push over what returned meanwhile.
-func (c *Control) respread(stood webhookpkg.Micros) {
+func (c *Control) respread(stood api.Micros) {
 	for _, d := range c.busy {
 		for _, w := range d.queue {
 			trouble := w.attempts > 0 || d.shared.refused > 0 || d.shared.failing > 0
 			if w.queued && trouble && w.readyAt <= c.now {
-				w.readyAt = c.now + webhookpkg.Micros(c.chance.Float()*float64(stood))
+				w.readyAt = c.now + api.Micros(c.chance.Float()*float64(stood))
 				c.dues.Add(int64(w.readyAt), w)
 			}
 		}
--- a/webhook/policy/schedule_test.go
+++ b/webhook/policy/schedule_test.go
@@ -5,14 +5,14 @@
 
 	"github.com/stretchr/testify/assert"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestScheduleHasTwoBandsAndNeverOverflows(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	row := &s.events[0] // TTL 20 s: m is 5 s, early up to 2*log2(5) = 4.6
 	for range 200 {
-		for i, most := range []webhookpkg.Micros{1, 2, 4, 5, 5} {
+		for i, most := range []api.Micros{1, 2, 4, 5, 5} {
 			assert.LessOrEqual(t, Wait(row.cap, i, s.chance.Float()), most*sec)
 		}
 		for _, i := range []int{5, 6, 100, 1 << 40} {
@@ -24,13 +24,13 @@
 
 func TestWhoMayTryAgainAfterWhat(t *testing.T) {
 	for _, c := range []struct {
-		evt   webhookpkg.EventTypeID
-		what  webhookpkg.Outcome
+		evt   api.EventTypeID
+		what  api.Outcome
 		again bool
 	}{
-		{0, webhookpkg.Errored, true}, {0, webhookpkg.TimedOut, true}, {1, webhookpkg.Reset, true},
-		{2, webhookpkg.Full, true}, {2, webhookpkg.ConnectFailed, true}, {2, webhookpkg.Crowded, true},
-		{2, webhookpkg.TimedOut, false}, {2, webhookpkg.Errored, false},
+		{0, api.Errored, true}, {0, api.TimedOut, true}, {1, api.Reset, true},
+		{2, api.Full, true}, {2, api.ConnectFailed, true}, {2, api.Crowded, true},
+		{2, api.TimedOut, false}, {2, api.Errored, false},
 	} {
 		s := begin(plainFacts(), 0)
 		s.take(1, c.evt, 0)
@@ -47,23 +47,23 @@
 	s.take(1, 1, 0)
 	s.TurnOver()
 	first := s.h.now
-	s.came(1, webhookpkg.Errored, 0)
+	s.came(1, api.Errored, 0)
 	for s.h.answers == 0 && s.h.now < first+20*sec {
 		s.run(5000)
 		if s.held[1] != nil && s.held[1].call != nil {
-			s.came(1, webhookpkg.Errored, 0)
+			s.came(1, api.Errored, 0)
 		}
 	}
 	last := s.h.sent[len(s.h.sent)-1]
 	assert.Less(t, last.at, first+8*sec)
 	assert.Less(t, last.latest, first+8*sec, "however long connecting takes")
-	assert.Equal(t, []webhookpkg.WebhookID{1}, s.h.dead)
+	assert.Equal(t, []api.WebhookID{1}, s.h.dead)
 }
 
 func TestEveryWebhookEndsOnceBeforeItsTTL(t *testing.T) {
 	s := begin(plainFacts()) // no destination is known
-	for id := range webhookpkg.WebhookID(20) {
-		s.take(id, webhookpkg.EventTypeID(id%4), webhookpkg.DestinationID(id%3))
+	for id := range api.WebhookID(20) {
+		s.take(id, api.EventTypeID(id%4), api.DestinationID(id%3))
 	}
 	s.TurnOver()
 	s.run(20*sec - 5000)
@@ -78,7 +78,7 @@
 	s.take(2, 3, 0)
 	s.TurnOver()
 	s.h.now += sec
-	s.came(1, webhookpkg.TimedOut, 0)
+	s.came(1, api.TimedOut, 0)
 	s.Withdrawn(1) // the earlier one is over, but its attempt may still run
 	s.run(2*sec - 10000)
 	assert.Equal(t, 0, s.sentOf(2))
@@ -87,12 +87,12 @@
 }
 
 func TestResumedWebhookGoesOnWhereItStood(t *testing.T) {
-	const none = webhookpkg.Never
+	const none = api.Never
 	for _, c := range []struct {
-		evt      webhookpkg.EventTypeID
+		evt      api.EventTypeID
 		attempts int
-		mayRun   webhookpkg.Micros // before now
-		sent     bool              // at the latest after the schedule's wait
+		mayRun   api.Micros // before now
+		sent     bool       // at the latest after the schedule's wait
 		dead     int
 	}{
 		{evt: 2, attempts: 0, mayRun: none, sent: true},
@@ -120,17 +120,17 @@
 func TestRetriesThatCameDueInAStallAreSpreadAnew(t *testing.T) {
 	f := untold(1)
 	f.Slots = 80
-	kinds := make([]webhookpkg.KindID, 40)
+	kinds := make([]api.KindID, 40)
 	s := begin(f, kinds...)
 	for i := range kinds {
-		s.take(webhookpkg.WebhookID(i), 0, webhookpkg.DestinationID(i))
+		s.take(api.WebhookID(i), 0, api.DestinationID(i))
 	}
 	s.TurnOver()
-	s.all(always(webhookpkg.Errored))
+	s.all(always(api.Errored))
 	sent := len(s.h.sent)
 	s.h.now += 2 * sec // all have come due
 	for i := range kinds {
-		s.take(webhookpkg.WebhookID(100+i), 0, webhookpkg.DestinationID(i))
+		s.take(api.WebhookID(100+i), 0, api.DestinationID(i))
 	}
 	s.Wake(timerPeriod)
 	s.TurnOver()
--- a/webhook/policy/slots.go
+++ b/webhook/policy/slots.go
@@ -1,6 +1,6 @@
 package policy
 
-import webhookpkg "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // slots counts own calls exactly, so that none comes back unsent. Joining a call of this turn needs none.
 func (c *Control) slots(w *webhook) verdict {
@@ -24,9 +24,9 @@
 // many destinations at once would hold them all until its time-outs. Never an at-most-once webhook.
 func (c *Control) chase(w *webhook) {
 	r := w.call.ep.route
-	long := max(webhookpkg.Micros(tailBy*r.mean), w.evt.Target)
+	long := max(api.Micros(tailBy*r.mean), w.evt.Target)
 	unheard := c.now - max(w.sentAt, r.heardAt)
-	if c.MayCancel && c.out >= c.Slots && w.evt.Repeat != webhookpkg.AtMostOnce && unheard >= long {
+	if c.MayCancel && c.out >= c.Slots && w.evt.Repeat != api.AtMostOnce && unheard >= long {
 		c.host.Cancel(w.id, w.attempts-1)
 		return
 	}
--- a/webhook/policy/slots_test.go
+++ b/webhook/policy/slots_test.go
@@ -5,34 +5,34 @@
 
 	"github.com/stretchr/testify/assert"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 func TestWindowGrowsByOneAndHalves(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	for id := range webhookpkg.WebhookID(8) {
+	for id := range api.WebhookID(8) {
 		s.take(id, 0, 0)
 	}
 	s.TurnOver()
 	assert.Len(t, s.h.sent, 1, "the window starts at one")
 	s.h.now += sec / 10
-	s.came(0, webhookpkg.Delivered, 0)
+	s.came(0, api.Delivered, 0)
 	assert.Len(t, s.h.sent, 3)
-	s.report(1, webhookpkg.Delivered, 0)
-	s.came(2, webhookpkg.Delivered, 0)
+	s.report(1, api.Delivered, 0)
+	s.came(2, api.Delivered, 0)
 	assert.Equal(t, 4.0, s.dests[0].shared.window)
-	s.came(3, webhookpkg.Full, 0)
+	s.came(3, api.Full, 0)
 	assert.Equal(t, 2.0, s.dests[0].shared.window)
 }
 
 func TestHungDestinationLeavesSlotsToTheOthers(t *testing.T) {
 	s := begin(plainFacts(), 0, 0)
-	for id := range webhookpkg.WebhookID(40) {
+	for id := range api.WebhookID(40) {
 		s.take(id, 0, 0)
 		s.TurnOver()
 		if id < 10 { // well at first
 			s.h.now += sec / 10
-			s.came(id, webhookpkg.Delivered, 0)
+			s.came(id, api.Delivered, 0)
 		}
 	}
 	s.run(10 * sec)
@@ -44,12 +44,12 @@
 
 func TestLostAnswersShortenPatience(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	for id := range webhookpkg.WebhookID(20) {
+	for id := range api.WebhookID(20) {
 		s.take(id, 0, 0)
 		s.run(sec / 10)
-		what := webhookpkg.Delivered
+		what := api.Delivered
 		if id > 10 && id%2 == 0 {
-			what = webhookpkg.TimedOut
+			what = api.TimedOut
 		}
 		s.came(id, what, 0)
 	}
@@ -62,35 +62,35 @@
 	f := plainFacts()
 	f.MayCancel, f.Slots = true, 4
 	s := begin(f, 0, 0, 0, 0, 0)
-	id := webhookpkg.WebhookID(0)
+	id := api.WebhookID(0)
 	for ; id < 20; id++ { // all are well at first, and their windows grow
-		s.take(id, 0, webhookpkg.DestinationID(id%5))
+		s.take(id, 0, api.DestinationID(id%5))
 		s.run(sec / 10)
-		s.all(always(webhookpkg.Delivered))
+		s.all(always(api.Delivered))
 	}
 	for ; id < 24; id++ {
-		s.take(id, 1+webhookpkg.EventTypeID(id/23), webhookpkg.DestinationID(id%4)) // the last is at-most-once
+		s.take(id, 1+api.EventTypeID(id/23), api.DestinationID(id%4)) // the last is at-most-once
 	}
 	s.run(2*sec - 10000)
 	assert.Equal(t, 4, s.out)
 	assert.Empty(t, s.h.cancelled, "not before the target latency is over")
 	s.run(sec)
-	assert.Equal(t, []webhookpkg.WebhookID{20, 21, 22}, s.h.cancelled)
+	assert.Equal(t, []api.WebhookID{20, 21, 22}, s.h.cancelled)
 }
 
 func TestHangElsewhereLeavesPatienceAlone(t *testing.T) {
 	s := begin(plainFacts(), 0, 0)
-	for id := range webhookpkg.WebhookID(60) {
-		s.take(id, 0, webhookpkg.DestinationID(id%2))
+	for id := range api.WebhookID(60) {
+		s.take(id, 0, api.DestinationID(id%2))
 		s.run(sec / 10)
-		s.all(func(ep webhookpkg.EndpointID) webhookpkg.Outcome {
+		s.all(func(ep api.EndpointID) api.Outcome {
 			if ep < 10 && id > 20 {
-				return webhookpkg.TimedOut
+				return api.TimedOut
 			}
-			return webhookpkg.Delivered
+			return api.Delivered
 		})
 	}
 	last := s.h.sent[len(s.h.sent)-1]
-	assert.GreaterOrEqual(t, last.ep, webhookpkg.EndpointID(10), "the last is for the well destination")
+	assert.GreaterOrEqual(t, last.ep, api.EndpointID(10), "the last is for the well destination")
 	assert.Greater(t, last.patience, 10*sec)
 }
--- a/webhook/policy/state.go
+++ b/webhook/policy/state.go
@@ -6,13 +6,13 @@
 
 	"rowanlink/internal/due"
 	"rowanlink/internal/mwc"
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const never = webhookpkg.Never
+const never = api.Never
 
 // Timers of an instance: one for periodic work, one for the earliest due time.
-const timerPeriod, timerDue webhookpkg.TimerID = 0, 1
+const timerPeriod, timerDue api.TimerID = 0, 1
 
 // verdict is what a stage does with a webhook.
 type verdict bool
@@ -21,31 +21,31 @@
 
 // Control decides for one dispatcher.
 type Control struct {
-	webhookpkg.Facts
-	host      webhookpkg.Host
+	api.Facts
+	host      api.Host
 	chance    *mwc.Source
 	events    []eventRow
 	tenants   []tenant
-	now       webhookpkg.Micros
+	now       api.Micros
 	turn      int
-	held      map[webhookpkg.WebhookID]*webhook
+	held      map[api.WebhookID]*webhook
 	open      int // webhooks that are owed an answer
 	drains    int // of them, held when the facts changed: they end by themselves
 	out       int // calls out
 	sickOut   int // of them, to sick routes
-	dests     map[webhookpkg.DestinationID]*destination
+	dests     map[api.DestinationID]*destination
 	order     []*destination // all of them, as first heard of
 	busy      []*destination // those with a queue
 	rested    []*endpoint    // those whose call ended in this turn
 	linked    []*endpoint    // those that may have idle connections
 	left      []*endpoint    // those off the list, not yet forgotten
-	endpoints map[webhookpkg.EndpointID]*endpoint
-	turns     map[webhookpkg.Key]*turn
+	endpoints map[api.EndpointID]*endpoint
+	turns     map[api.Key]*turn
 	dues      due.Times[*webhook] // nil stands for a route that opens
-	armed     webhookpkg.Micros
-	periodAt  webhookpkg.Micros // the periodic wake is due then
-	mean      float64           // answer time in µs over all routes, smoothed
-	lost      float64           // share of late calls that timed out, over all routes, smoothed
+	armed     api.Micros
+	periodAt  api.Micros // the periodic wake is due then
+	mean      float64    // answer time in µs over all routes, smoothed
+	lost      float64    // share of late calls that timed out, over all routes, smoothed
 	shedding  bool
 	stages    []func(*webhook) verdict
 	pick      *endpoint // the endpoint stage's choice for the send stage
@@ -55,26 +55,26 @@
 
 // eventRow is what the module reads of an event type: a row of the one table in which event types differ.
 type eventRow struct {
-	webhookpkg.EventType
-	cap   float64           // m, in seconds
-	reach webhookpkg.Micros // longest patience
+	api.EventType
+	cap   float64    // m, in seconds
+	reach api.Micros // longest patience
 }
 
 // webhook is one webhook that this dispatcher has taken and not yet forgotten.
 type webhook struct {
-	id       webhookpkg.WebhookID
+	id       api.WebhookID
 	evt      *eventRow
 	dest     *destination
-	key      webhookpkg.Key
-	ttl      webhookpkg.Micros // last moment for the final answer
-	target   webhookpkg.Micros // delivered by then it earns its full value
-	over     bool              // beyond its tenant's share
+	key      api.Key
+	ttl      api.Micros // last moment for the final answer
+	target   api.Micros // delivered by then it earns its full value
+	over     bool       // beyond its tenant's share
 	attempts int
-	retries  int               // waits drawn so far
-	readyAt  webhookpkg.Micros // its own wait ends then
-	mayRun   webhookpkg.Micros // send of the first attempt that may have run, or never
-	zone     webhookpkg.ZoneID // of that attempt's endpoint
-	sentAt   webhookpkg.Micros
+	retries  int        // waits drawn so far
+	readyAt  api.Micros // its own wait ends then
+	mayRun   api.Micros // send of the first attempt that may have run, or never
+	zone     api.ZoneID // of that attempt's endpoint
+	sentAt   api.Micros
 	call     *call // out now, or nil
 	queued   bool
 	ended    bool
@@ -91,59 +91,59 @@
 
 // endpoint is one address of a destination.
 type endpoint struct {
-	id      webhookpkg.EndpointID
-	zone    webhookpkg.ZoneID
+	id      api.EndpointID
+	zone    api.ZoneID
 	dest    *destination
 	route   *route
 	listed  bool
-	leftAt  webhookpkg.Micros // off the list since then
-	out     int               // calls out
-	linked  bool              // it may have idle connections
-	limit   float64           // calls out at most, by the cap on connections met
-	mean    float64           // answer time in µs, smoothed
-	okAt    webhookpkg.Micros // last delivery
-	fails   int               // failures in a row
-	brokeAt webhookpkg.Micros // last failure
-	tryAt   webhookpkg.Micros // sick: not before then
-	open    *call             // call of this turn that still has room
+	leftAt  api.Micros // off the list since then
+	out     int        // calls out
+	linked  bool       // it may have idle connections
+	limit   float64    // calls out at most, by the cap on connections met
+	mean    float64    // answer time in µs, smoothed
+	okAt    api.Micros // last delivery
+	fails   int        // failures in a row
+	brokeAt api.Micros // last failure
+	tryAt   api.Micros // sick: not before then
+	open    *call      // call of this turn that still has room
 }
 
 // route is what limits, waits and outages belong to: a destination, or one endpoint where routes are apart.
 type route struct {
-	name      webhookpkg.EndpointID // one endpoint of it, for the log
-	out       int                   // calls out
-	window    float64               // calls out at most
-	waitUntil webhookpkg.Micros
+	name      api.EndpointID // one endpoint of it, for the log
+	out       int            // calls out
+	window    float64        // calls out at most
+	waitUntil api.Micros
 	stated    float64 // calls a second, this dispatcher's part
 	pace      float64 // calls a second let out
 	tokens    float64
-	tokensAt  webhookpkg.Micros
-	cutAt     webhookpkg.Micros // last cut of the pace
-	wakeAt    webhookpkg.Micros // wake already asked for
-	heardAt   webhookpkg.Micros // last outcome, or first send since it was idle
-	mean      float64           // answer time in µs, smoothed; 0: none yet
-	failing   float64           // share of late calls that failed, smoothed
-	lost      float64           // share of late calls that timed out, smoothed
-	refused   int               // refusals in a row
-	okAt      webhookpkg.Micros // last delivery
+	tokensAt  api.Micros
+	cutAt     api.Micros // last cut of the pace
+	wakeAt    api.Micros // wake already asked for
+	heardAt   api.Micros // last outcome, or first send since it was idle
+	mean      float64    // answer time in µs, smoothed; 0: none yet
+	failing   float64    // share of late calls that failed, smoothed
+	lost      float64    // share of late calls that timed out, smoothed
+	refused   int        // refusals in a row
+	okAt      api.Micros // last delivery
 	sick      bool
-	loose     bool              // the last call went by the trickle
-	room      float64           // calls a second of the limit that were left when last told
-	told      bool              // stated is from reports
-	tryAt     webhookpkg.Micros // sick: next canary
-	coldSince webhookpkg.Micros // first success after an outage, or never
+	loose     bool       // the last call went by the trickle
+	room      float64    // calls a second of the limit that were left when last told
+	told      bool       // stated is from reports
+	tryAt     api.Micros // sick: next canary
+	coldSince api.Micros // first success after an outage, or never
 }
 
 // kind is a row of the one table in which kinds of destination differ, with what is learned over all of it.
 type kind struct {
-	webhookpkg.Kind
-	trickle float64           // calls a second that a route with a tiny part is let
-	crowded webhookpkg.Micros // until then it counts as short of connections
+	api.Kind
+	trickle float64    // calls a second that a route with a tiny part is let
+	crowded api.Micros // until then it counts as short of connections
 }
 
 // destination is where webhooks are meant for.
 type destination struct {
-	id        webhookpkg.DestinationID
+	id        api.DestinationID
 	kind      *kind
 	shared    *route      // nil until its first webhook comes
 	endpoints []*endpoint // ranked
@@ -151,12 +151,12 @@
 	stale     bool        // some of the queue is held no longer
 	busy      bool        // it stands among the busy ones
 	place     int         // in the order of first hearing
-	knownAt   webhookpkg.Micros
+	knownAt   api.Micros
 	stated    float64 // as route.stated, until it has one
 }
 
 // destination finds one, or takes it in as just heard of, of the kind for those that no list names.
-func (c *Control) destination(id webhookpkg.DestinationID) *destination {
+func (c *Control) destination(id api.DestinationID) *destination {
 	if c.dests[id] == nil {
 		c.dests[id] = &destination{id: id, kind: c.kinds[len(c.kinds)-1], knownAt: c.now, place: len(c.order)}
 		c.order = append(c.order, c.dests[id])
@@ -212,13 +212,13 @@
 // turn is the line of ordered webhooks that share a key.
 type turn struct {
 	line      []*webhook
-	restUntil webhookpkg.Micros
+	restUntil api.Micros
 }
 
 // tenant meters what a tenant hands in against its share.
 type tenant struct {
 	perS, level float64
-	at          webhookpkg.Micros
+	at          api.Micros
 }
 
 func (c *Control) log(format string, of ...any) { c.host.Log(fmt.Sprintf(format, of...)) }
--- a/webhook/refresh/asking.go
+++ b/webhook/refresh/asking.go
@@ -10,7 +10,7 @@
 	"cmp"
 
 	"rowanlink/internal/mwc"
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
@@ -54,23 +54,23 @@
 
 // Ask says when an ask begins and what it may take, in µs.
 type Ask struct {
-	After   webhook.Micros // from now on
-	Connect webhook.Micros // for the connection to come up
-	Answer  webhook.Micros // for the answer's head, from when the ask begins, connecting included
-	Silence webhook.Micros // between two signs of life of the watch
+	After   api.Micros // from now on
+	Connect api.Micros // for the connection to come up
+	Answer  api.Micros // for the answer's head, from when the ask begins, connecting included
+	Silence api.Micros // between two signs of life of the watch
 }
 
 // Asking is one dispatcher's.
 type Asking struct {
-	period webhook.Micros
+	period api.Micros
 	chance *mwc.Source
 	// In a row: asks that were refused or ended, silences, watches that brought a list that can't be read.
 	failed, silences, broken int
 }
 
 // New draws by a dispatcher's seed; linePeriod is how often a watch says something.
-func New(seed uint64, linePeriod webhook.Micros) *Asking {
-	return &Asking{period: cmp.Or(linePeriod, webhook.Second), chance: mwc.New(seed)}
+func New(seed uint64, linePeriod api.Micros) *Asking {
+	return &Asking{period: cmp.Or(linePeriod, api.Second), chance: mwc.New(seed)}
 }
 
 // Heard notes a sign of life of a watch: the next wait is the schedule's first again.
@@ -78,7 +78,7 @@
 
 // Hold is how long the calls of a new process wait at most for the first list, in µs. Where lists are asked
 // for, the kept one holds: it would cost each webhook of a restart up to the schedule's first wait.
-func (a *Asking) Hold(pushed bool) webhook.Micros {
+func (a *Asking) Hold(pushed bool) api.Micros {
 	if !pushed {
 		return 0
 	}
@@ -109,7 +109,7 @@
 	case pushed:
 		ask.After = a.wait(paceBy, a.failed)
 	case why == Silent && a.silences <= breaths:
-		ask.After = webhook.Micros(a.chance.Float() * float64(a.part(breathBy)))
+		ask.After = api.Micros(a.chance.Float() * float64(a.part(breathBy)))
 	case why == Silent:
 		ask.After = a.wait(downBy, a.silences-breaths-1)
 	default:
@@ -126,9 +126,9 @@
 }
 
 // wait is the schedule's i-th wait with an m in periods.
-func (a *Asking) wait(m float64, i int) webhook.Micros {
+func (a *Asking) wait(m float64, i int) api.Micros {
 	s := policy.Wait(m/unitBy, i, a.chance.Float()).Seconds()
-	return webhook.Micros(s * unitBy * float64(a.period))
+	return api.Micros(s * unitBy * float64(a.period))
 }
 
-func (a *Asking) part(by float64) webhook.Micros { return webhook.Micros(by * float64(a.period)) }
+func (a *Asking) part(by float64) api.Micros { return api.Micros(by * float64(a.period)) }
--- a/webhook/refresh/asking_test.go
+++ b/webhook/refresh/asking_test.go
@@ -6,28 +6,28 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-const period = 2 * webhook.Second
+const period = 2 * api.Second
 
 // Each dispatcher alone may ask four times a second; where all of a fleet do, refusing them is all that
 // discovery comes to.
 func TestAFleetThatLostItsListsHasThemAgainFromADiscoveryThatAsksKeepBusy(t *testing.T) {
-	const fleet, serving, refusing, until = 80, webhook.Second / 10, webhook.Second / 40, 60 * webhook.Second
+	const fleet, serving, refusing, until = 80, api.Second / 10, api.Second / 40, 60 * api.Second
 	var asks []*Asking
-	next := make([]webhook.Micros, fleet)
+	next := make([]api.Micros, fleet)
 	for i := range next {
 		asks = append(asks, New(uint64(i), period))
 		next[i] = asks[i].Next(Started, false).After
 	}
-	busy, waiting := webhook.Micros(0), fleet
-	for now := webhook.Micros(0); now < until && waiting > 0; now += webhook.Second / 1000 {
+	busy, waiting := api.Micros(0), fleet
+	for now := api.Micros(0); now < until && waiting > 0; now += api.Second / 1000 {
 		for i, at := range next {
 			switch {
-			case at == webhook.Never || at > now:
+			case at == api.Never || at > now:
 			case busy <= now:
-				next[i], busy = webhook.Never, now+serving
+				next[i], busy = api.Never, now+serving
 				waiting--
 			default:
 				next[i], busy = now+asks[i].Next(Ended, false).After, busy+refusing
@@ -56,7 +56,7 @@
 func TestEachPathToTheListIsInsideTheClock(t *testing.T) {
 	for what, path := range map[string]struct {
 		ends  []End
-		clock webhook.Micros
+		clock api.Micros
 	}{
 		"silent watch":                         {[]End{Silent}, 3 * period},
 		"silent watch, silent connect or head": {[]End{Silent, Silent}, 3 * period},
@@ -71,7 +71,7 @@
 	} {
 		for seed := range uint64(500) {
 			for _, pushed := range []bool{false, true} {
-				a, took := New(seed, period), webhook.Micros(0)
+				a, took := New(seed, period), api.Micros(0)
 				a.Heard()
 				ask := a.Next(Started, pushed)
 				a.Heard()
--- a/webhook/refresh/hold.go
+++ b/webhook/refresh/hold.go
@@ -1,11 +1,11 @@
 package refresh
 
-import "rowanlink/webhook"
+import "rowanlink/webhook/api"
 
 // Hold is a module that makes no calls until it is opened: what a new process was last told may be old.
 // Webhooks are taken on and answered meanwhile.
 type Hold struct {
-	webhook.Module
+	api.Module
 	open bool
 }
 
@@ -20,4 +20,4 @@
 }
 
 // Unwrap is the module that is held.
-func (h *Hold) Unwrap() webhook.Module { return h.Module }
+func (h *Hold) Unwrap() api.Module { return h.Module }
--- a/webhook/refresh/hold_test.go
+++ b/webhook/refresh/hold_test.go
@@ -5,16 +5,16 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 type turns struct {
-	webhook.Module
+	api.Module
 	taken, over int
 }
 
-func (m *turns) Take(webhook.WebhookID, webhook.EventTypeID, webhook.TenantID, webhook.Key, webhook.Micros,
-	webhook.DestinationID) {
+func (m *turns) Take(api.WebhookID, api.EventTypeID, api.TenantID, api.Key, api.Micros,
+	api.DestinationID) {
 	m.taken++
 }
 func (m *turns) TurnOver() { m.over++ }
--- a/webhook/simadapter/benchwire.go
+++ b/webhook/simadapter/benchwire.go
@@ -11,7 +11,7 @@
 	"io"
 	"runtime/debug"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 )
 
@@ -32,11 +32,11 @@
 )
 
 // outcomes puts the wire's outcome codes, from 0, into our words.
-var outcomes = [...]webhookpkg.Outcome{webhookpkg.Errored, webhookpkg.Delivered, webhookpkg.Full, webhookpkg.TimedOut,
-	webhookpkg.ConnectFailed, webhookpkg.Reset, webhookpkg.Cancelled, webhookpkg.NotSent}
+var outcomes = [...]api.Outcome{api.Errored, api.Delivered, api.Full, api.TimedOut,
+	api.ConnectFailed, api.Reset, api.Cancelled, api.NotSent}
 
 // Serve answers batches from in until it ends. An error means that the input was malformed or broke off.
-func Serve(in io.Reader, out io.Writer, start func(webhookpkg.Facts, webhookpkg.Host) webhookpkg.Module) error {
+func Serve(in io.Reader, out io.Writer, start func(api.Facts, api.Host) api.Module) error {
 	s := &server{start: start, instances: map[uint16]*instance{}}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	var header [headerLen]byte
@@ -74,9 +74,9 @@
 }
 
 type server struct {
-	start     func(webhookpkg.Facts, webhookpkg.Host) webhookpkg.Module
+	start     func(api.Facts, api.Host) api.Module
 	instances map[uint16]*instance
-	lists     [listNumbers][]webhookpkg.Entry
+	lists     [listNumbers][]api.Entry
 	defined   [listNumbers]bool
 	clock     uint64
 	reply     []byte
@@ -88,7 +88,7 @@
 type instance struct {
 	s      *server
 	who    uint16
-	module webhookpkg.Module
+	module api.Module
 	inTurn bool
 	dead   bool // killed, or its module panicked
 	killed bool // what it did in this batch must not reach its next life
@@ -176,7 +176,7 @@
 }
 
 // report reads a load report and returns the call that tells of it; an absent or short one tells nothing.
-func (in *instance) report(f *fields, ep webhookpkg.EndpointID) (tell func()) {
+func (in *instance) report(f *fields, ep api.EndpointID) (tell func()) {
 	values := make([]float64, f.u8())
 	for i := range values {
 		values[i] = float64(f.f32())
--- a/webhook/simadapter/decode.go
+++ b/webhook/simadapter/decode.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
 // decode reads an event's fields and returns the call that they make, or nil where there is none to make.
@@ -27,37 +27,37 @@
 			call = func() { in.module.Endpoints(list, form == whole || form == cached) }
 		}
 	case evNew:
-		id, evt, tenant := webhookpkg.WebhookID(f.u32()), webhookpkg.EventTypeID(f.u8()), webhookpkg.TenantID(f.u32())
-		key, ttl := webhookpkg.Key(f.u64()), micros(f.u64())
+		id, evt, tenant := api.WebhookID(f.u32()), api.EventTypeID(f.u8()), api.TenantID(f.u32())
+		key, ttl := api.Key(f.u64()), micros(f.u64())
 		f.skip(8)
 		dest := f.f32()
 		f.skip(1)
 		if !f.bad && !(dest >= 0 && dest <= math.MaxUint16) {
 			return nil, fmt.Errorf("destination %v is no number of one", dest)
 		}
-		call = func() { in.module.Take(id, evt, tenant, key, ttl, webhookpkg.DestinationID(dest)) }
+		call = func() { in.module.Take(id, evt, tenant, key, ttl, api.DestinationID(dest)) }
 	case evOutcome:
-		id := webhookpkg.WebhookID(f.u32())
+		id := api.WebhookID(f.u32())
 		f.skip(1)
-		ep, what, took := webhookpkg.EndpointID(f.u32()), f.u16(), micros(f.u64())
+		ep, what, took := api.EndpointID(f.u32()), f.u16(), micros(f.u64())
 		ended, note := f.u8() != 0, f.u32()
 		tell := in.report(f, ep)
 		if !f.bad && int(what) >= len(outcomes) {
 			return nil, fmt.Errorf("outcome %d is unknown", what)
 		}
-		wait := webhookpkg.Micros(0)
-		if !f.bad && outcomes[what] == webhookpkg.Full {
-			wait = webhookpkg.Micros(note) * 1000
+		wait := api.Micros(0)
+		if !f.bad && outcomes[what] == api.Full {
+			wait = api.Micros(note) * 1000
 		}
 		call = func() {
 			tell()
 			in.module.Outcome(id, ep, outcomes[what], took, ended, wait)
 		}
 	case evVanished:
-		id := webhookpkg.WebhookID(f.u32())
+		id := api.WebhookID(f.u32())
 		call = func() { in.module.Withdrawn(id) }
 	case evWakeup:
-		timer := webhookpkg.TimerID(f.u32())
+		timer := api.TimerID(f.u32())
 		call = func() { in.module.Wake(timer) }
 	case evEcho: // the module sends no probes
 		f.skip(14)
@@ -83,12 +83,12 @@
 	if ref >= listNumbers {
 		return fmt.Errorf("list number %d is over %d", ref, listNumbers-1)
 	}
-	list := make([]webhookpkg.Entry, n)
-	standings := [...]webhookpkg.Standing{webhookpkg.Listed, webhookpkg.Gone, webhookpkg.Draining}
+	list := make([]api.Entry, n)
+	standings := [...]api.Standing{api.Listed, api.Gone, api.Draining}
 	for i := range list {
 		e := &list[i]
-		e.Endpoint, e.Zone, e.Kind = webhookpkg.EndpointID(f.u32()), webhookpkg.ZoneID(f.u16()), webhookpkg.KindID(f.u16())
-		e.Destination = webhookpkg.DestinationID(f.u16())
+		e.Endpoint, e.Zone, e.Kind = api.EndpointID(f.u32()), api.ZoneID(f.u16()), api.KindID(f.u16())
+		e.Destination = api.DestinationID(f.u16())
 		state := f.u8()
 		if int(state) >= len(standings) {
 			return fmt.Errorf("state %d of an endpoint is unknown", state)
--- a/webhook/simadapter/host.go
+++ b/webhook/simadapter/host.go
@@ -3,12 +3,12 @@
 import (
 	"encoding/binary"
 
-	webhookpkg "rowanlink/webhook"
+	"rowanlink/webhook/api"
 )
 
-func micros(ns uint64) webhookpkg.Micros { return webhookpkg.Micros(ns / 1000) }
+func micros(ns uint64) api.Micros { return api.Micros(ns / 1000) }
 
-func ns(t webhookpkg.Micros) uint64 { return uint64(max(t, 0)) * 1000 }
+func ns(t api.Micros) uint64 { return uint64(max(t, 0)) * 1000 }
 
 // act writes an action's header and instance; size is that of the fields after these.
 func (in *instance) act(code byte, size int) {
@@ -29,39 +29,39 @@
 }
 
 // Now is the batch's clock.
-func (in *instance) Now() webhookpkg.Micros { return micros(in.s.clock) }
+func (in *instance) Now() api.Micros { return micros(in.s.clock) }
 
-func (in *instance) Attempt(id webhookpkg.WebhookID, ep webhookpkg.EndpointID, patience, _ webhookpkg.Micros) {
+func (in *instance) Attempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
 	in.act(actAttempt, 16)
 	in.u32(uint32(id))
 	in.u32(uint32(ep))
 	in.u64(ns(patience))
 }
 
-func (in *instance) Cancel(id webhookpkg.WebhookID, attempt int) {
+func (in *instance) Cancel(id api.WebhookID, attempt int) {
 	in.act(actRevoke, 5)
 	in.u32(uint32(id))
 	in.acts = append(in.acts, byte(attempt))
 }
 
-func (in *instance) Reject(id webhookpkg.WebhookID, advised webhookpkg.Micros) {
+func (in *instance) Reject(id api.WebhookID, advised api.Micros) {
 	in.act(actBounce, 12)
 	in.u32(uint32(id))
 	in.u64(ns(advised))
 }
 
-func (in *instance) DeadLetter(id webhookpkg.WebhookID) {
+func (in *instance) DeadLetter(id api.WebhookID) {
 	in.act(actSurrender, 4)
 	in.u32(uint32(id))
 }
 
-func (in *instance) Wake(after webhookpkg.Micros, timer webhookpkg.TimerID) {
+func (in *instance) Wake(after api.Micros, timer api.TimerID) {
 	in.act(actTimer, 12)
 	in.u64(ns(after))
 	in.u32(uint32(timer))
 }
 
-func (in *instance) CloseIdle(ep webhookpkg.EndpointID) {
+func (in *instance) CloseIdle(ep api.EndpointID) {
 	in.act(actClose, 4)
 	in.u32(uint32(ep))
 }
