--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -31,7 +31,7 @@
 	rate, t := c.Rate, m.now.Seconds()
 	switch c.Curve {
 	case "wave":
-		rate *= 1 + c.Swing*math.Sin(2*math.Pi*t/webhook.Micros(c.Period).Seconds())
+		rate *= 1 + c.Swing*math.Sin(2*math.Pi*t/api.Micros(c.Period).Seconds())
 	case "ramp":
 		rate *= 1 - c.Swing + 2*c.Swing*t/m.plan.Length.us().Seconds()
 	case "bursty":
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -28,7 +28,7 @@
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
-		got[e.Destination] = append(got[e.Destination], e.At/webhook.Second)
+		got[e.Destination] = append(got[e.Destination], e.At/api.Second)
 	}
 	assert.Equal(t, []api.Micros{5, 11}, got[0], "slow is no outage")
 	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
@@ -139,7 +139,7 @@
 		for _, e := range events {
 			if e.What == seen.Sent && e.Destination == 0 && e.At < api.Micros(5*sec) {
 				before[e.Endpoint] = true
-			} else if e.What == seen.Sent && e.Destination == 0 && e.At > last.At-webhook.Micros(5*sec) {
+			} else if e.What == seen.Sent && e.Destination == 0 && e.At > last.At-api.Micros(5*sec) {
 				after[e.Endpoint] = true
 			}
 		}
--- a/emulator/observe/recorder.go
+++ b/emulator/observe/recorder.go
@@ -55,7 +55,7 @@
 	for n := int(at / api.Second); len(r.seconds) <= n; {
 		r.seconds = append(r.seconds, Second{Out: r.outNow})
 	}
-	return &r.seconds[at/webhook.Second]
+	return &r.seconds[at/api.Second]
 }
 
 func (r *Recorder) dest(id api.DestinationID) *Destination {
