--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 build:
 	mkdir -p bin && go build $(LINKED) -o bin/ ./cmd/... ./examples/toyserver
 
-# The stories of node/ and proof/ build the program themselves, which the test cache does not see. Those of whole
+# The stories of webhook/dispatcher/e2e/ and proof/ build the program themselves, which the test cache does not see. Those of whole
 # fleets come last and by themselves: their terms are short, and beside the searches sessions end that no fault ended.
 test:
 	go test -count=1 $$(go list ./... | grep -v /proof)
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -63,7 +63,7 @@
 
 func examples(t *testing.T) []string {
 	var files []string
-	for _, pattern := range []string{"../examples/lab/*.toml", "../examples/lab/homes/*.toml"} {
+	for _, pattern := range []string{"../../examples/lab/*.toml", "../../examples/lab/homes/*.toml"} {
 		some, err := filepath.Glob(pattern)
 		require.NoError(t, err)
 		require.NotEmpty(t, some)
--- a/proof/harness/harness_test.go
+++ b/proof/harness/harness_test.go
@@ -26,7 +26,7 @@
 	}
 	var ends []func()
 	for command, path := range map[string]*string{"rowanfleet": &binary, "rowanlink": &alone} {
-		built, remove, err := harness.Build("../..", command)
+		built, remove, err := harness.Build("../../..", command)
 		if err != nil {
 			panic(err)
 		}
--- a/proof/system/cut_test.go
+++ b/proof/system/cut_test.go
@@ -21,7 +21,7 @@
 // testdata/cut.go.txt. No file of the repository is changed.
 func buildCuttable(t *testing.T) (folder string) {
 	t.Helper()
-	root, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
 	calls := filepath.Join(root, "serving", "rpc", "rpc.go")
 	source, err := os.ReadFile(calls)
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 	path := filepath.Join(work, "overlay.json")
 	require.NoError(t, os.WriteFile(path, overlay, 0o600))
-	folder, remove, err := child.BuildOverlaid("../..", path, programCore, programAgent, programProxy)
+	folder, remove, err := child.BuildOverlaid("../../..", path, programCore, programAgent, programProxy)
 	require.NoError(t, err)
 	t.Cleanup(remove)
 	return folder
--- a/proof/system/main_test.go
+++ b/proof/system/main_test.go
@@ -14,7 +14,7 @@
 var programs string
 
 func TestMain(m *testing.M) {
-	folder, remove, err := child.Build("../..", programCore, programAgent, programProxy)
+	folder, remove, err := child.Build("../../..", programCore, programAgent, programProxy)
 	if err != nil {
 		panic(err)
 	}
--- a/node/helpers_test.go
+++ b/webhook/dispatcher/e2e/helpers_test.go
@@ -1,6 +1,6 @@
 // Package node_test tells short stories of the whole dispatcher: its program, started and killed as in
 // service, between a client, endpoints and a platform that the test plays on loopback.
-package node_test
+package e2e_test
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 		panic(err)
 	}
 	binary = filepath.Join(dir, "rowanlink")
-	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", binary, "../cmd/rowanlink")
+	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", binary, "../../../cmd/rowanlink")
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(string(out))
 	}
--- a/node/list_test.go
+++ b/webhook/dispatcher/e2e/list_test.go
@@ -1,4 +1,4 @@
-package node_test
+package e2e_test
 
 import (
 	"fmt"
