--- a/cluster/lease/hall_test.go
+++ b/cluster/lease/hall_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 
 	"rowanlink/cluster"
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
 
@@ -14,7 +14,7 @@
 type hall struct {
 	rng     *rand.Rand
 	now     api.Micros
-	queue   due.Times[func()]
+	queue   timerqueue.Times[func()]
 	faulty  bool
 	spoilt  spoilt
 	entries [][]byte
--- a/cluster/lease/terms.go
+++ b/cluster/lease/terms.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster"
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
 
@@ -19,7 +19,7 @@
 	term  api.Micros
 	reign Reign
 	runs  map[cluster.SessionID]run
-	order due.Times[cluster.SessionID] // each session once, at or before the time that counts
+	order timerqueue.Times[cluster.SessionID] // each session once, at or before the time that counts
 }
 
 type run struct {
@@ -43,7 +43,7 @@
 func (t *Terms) Leads() bool { return t.runs != nil }
 
 // Follow forgets all: a keeper that leads no more renews nothing and ends nothing.
-func (t *Terms) Follow() { t.runs, t.order = nil, due.Times[cluster.SessionID]{} }
+func (t *Terms) Follow() { t.runs, t.order = nil, timerqueue.Times[cluster.SessionID]{} }
 
 func (t *Terms) begin(s cluster.SessionID, now api.Micros) {
 	t.runs[s] = run{until: now + t.term}
--- a/cluster/lease/world_test.go
+++ b/cluster/lease/world_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
 
@@ -154,7 +154,7 @@
 func (w *world) ownKeeper(i int) *keeper {
 	k := &w.keeper[i]
 	if t := k.terms; !k.owned {
-		k.terms = &Terms{t.term, t.reign, maps.Clone(t.runs), due.Times[cluster.SessionID]{}}
+		k.terms = &Terms{t.term, t.reign, maps.Clone(t.runs), timerqueue.Times[cluster.SessionID]{}}
 		for _, s := range sorted(t.runs) {
 			k.terms.order.Add(int64(t.runs[s].until), s)
 		}
--- a/cluster/rebalance/network.go
+++ b/cluster/rebalance/network.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 )
 
 // network finds the cheapest way for units from node 0 to node 1. The price of an arc's units may rise from
@@ -80,7 +80,7 @@
 		n.dist[i], n.next[i] = math.MaxInt64, 0
 	}
 	n.dist[0] = 0
-	var open due.Times[int32]
+	var open timerqueue.Times[int32]
 	open.Add(0, 0)
 	for open.Len() > 0 {
 		dist, _ := open.Next()
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"rowanlink/emulator/seen"
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
 
@@ -24,7 +24,7 @@
 	plan  *Scenario
 	start Starter
 	now   api.Micros
-	queue due.Times[event]
+	queue timerqueue.Times[event]
 
 	chance   *rand.Rand // ways, answer times, refusals: drawn in the order of events
 	arrivals *rand.Rand // who hands in what and when: the same for every module
--- a/emulator/queue_test.go
+++ b/emulator/queue_test.go
@@ -6,12 +6,12 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 )
 
 func TestTenMillionEventsWaitAndComeInOrder(t *testing.T) {
 	const n = 10_000_000
-	var queue due.Times[event]
+	var queue timerqueue.Times[event]
 	chance := rand.New(rand.NewPCG(1, 1))
 	for i := range int32(n) {
 		queue.Add(chance.Int64N(n/4), event{a: i})
--- a/internal/due/due.go
+++ b/internal/timerqueue/due.go
@@ -1,6 +1,6 @@
-// Package due keeps things in the order of the time at which they fall due; what falls due together comes
+// Package timerqueue keeps things in the order of the time at which they fall due; what falls due together comes
 // out in the order in which it went in, so that a run can be repeated exactly.
-package due
+package timerqueue
 
 import "container/heap"
 
--- a/internal/due/due_test.go
+++ b/internal/timerqueue/due_test.go
@@ -1,4 +1,4 @@
-package due
+package timerqueue
 
 import (
 	"slices"
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
 
@@ -22,7 +22,7 @@
 
 	held  map[api.WebhookID]*webhook
 	queue []*webhook
-	dues  due.Times[*webhook]
+	dues  timerqueue.Times[*webhook]
 	armed api.Micros
 	dests map[api.DestinationID]*destination
 	eps   map[api.EndpointID]*endpoint
--- a/serving/placement/simulate_test.go
+++ b/serving/placement/simulate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"rowanlink/internal/due"
 	"rowanlink/internal/mwc"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
 	"rowanlink/serving/subscription"
@@ -16,7 +16,7 @@
 // simulation plays proxies against endpoints that read prompts one after the other, on a clock of its own.
 type simulation struct {
 	now       time.Duration
-	due       due.Times[func()]
+	due       timerqueue.Times[func()]
 	random    *mwc.Source
 	endpoints []state.Endpoint
 	proxies   []*Placer
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -5,7 +5,7 @@
 import (
 	"log/slog"
 
-	"rowanlink/internal/due"
+	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/callback"
 	"rowanlink/webhook/dispatcher/inflight"
@@ -33,7 +33,7 @@
 	nextID api.WebhookID
 	held   map[api.WebhookID]*inflight.Webhook
 	ids    map[inflight.RequestID]api.WebhookID // of those held
-	dues   due.Times[func()]
+	dues   timerqueue.Times[func()]
 	stages []func(*inflight.Webhook) bool
 	out    map[api.WebhookID]bool // in a call
 	over   chan struct{}          // closed after the last turn
