--- a/proof/harness/member.go
+++ b/proof/harness/member.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"rowanlink/internal/halted"
 	"rowanlink/proof/child"
 	"rowanlink/standin/port"
+	"rowanlink/test/procstate"
 )
 
 // Bounds on waits: generous, for a machine with other work. None is asserted.
@@ -101,7 +101,7 @@
 	m.f.t.Helper()
 	m.down("stop", false)
 	require.NoError(m.f.t, m.is.Signal(syscall.SIGSTOP))
-	m.f.Soon(m.Name+" stands still", func() bool { return halted.All(m.PID()) })
+	m.f.Soon(m.Name+" stands still", func() bool { return procstate.All(m.PID()) })
 	m.stopped = true
 }
 
--- a/internal/halted/halted.go
+++ b/test/procstate/halted.go
@@ -1,5 +1,5 @@
-// Package halted tells, for tests, when a process that was sent SIGSTOP stands still.
-package halted
+// Package procstate tells, for tests, when a process that was sent SIGSTOP stands still.
+package procstate
 
 import (
 	"bytes"
--- a/webhook/dispatcher/e2e/helpers_test.go
+++ b/webhook/dispatcher/e2e/helpers_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/internal/halted"
+	"rowanlink/test/procstate"
 )
 
 var binary string
@@ -161,7 +161,7 @@
 // stop has the process stand still, and waits until it does.
 func (w *world) stop() {
 	require.NoError(w.t, w.process.Process.Signal(syscall.SIGSTOP))
-	w.soon("the process stands still", func() bool { return halted.All(w.process.Process.Pid) })
+	w.soon("the process stands still", func() bool { return procstate.All(w.process.Process.Pid) })
 }
 
 func (w *world) kill() {
