--- a/internal/mwc/mwc.go
+++ b/internal/mwcrand/mwc.go
@@ -1,5 +1,5 @@
-// Package mwc is the multiply-with-carry generator behind every draw of chance.
-package mwc
+// Package mwcrand is the multiply-with-carry generator behind every draw of chance.
+package mwcrand
 
 import "math/bits"
 
--- a/serving/placement/placer.go
+++ b/serving/placement/placer.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
 )
@@ -14,7 +14,7 @@
 	mutex    sync.Mutex
 	options  Options
 	nameHash uint64
-	random   *mwc.Source
+	random   *mwcrand.Source
 	proxies  int // the most that were told of
 
 	routing   *routing.Table
@@ -34,7 +34,7 @@
 	return &Placer{
 		options:   options,
 		nameHash:  hashText(hashStart, options.Name),
-		random:    mwc.New(options.Seed),
+		random:    mwcrand.New(options.Seed),
 		services:  map[string]*service{},
 		endpoints: map[string]*endpoint{},
 		zones:     map[string]*zone{},
--- a/serving/placement/simulate_test.go
+++ b/serving/placement/simulate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/internal/timerqueue"
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
@@ -17,7 +17,7 @@
 type simulation struct {
 	now       time.Duration
 	due       timerqueue.Times[func()]
-	random    *mwc.Source
+	random    *mwcrand.Source
 	endpoints []state.Endpoint
 	proxies   []*Placer
 	zones     map[string][]*Placer
@@ -83,7 +83,7 @@
 )
 
 func newSimulation(t testing.TB, seed uint64, endpoints []state.Endpoint, proxies map[string]int) *simulation {
-	s := &simulation{random: mwc.New(seed), engines: map[string]*engine{}, endpoints: endpoints, zones: map[string][]*Placer{},
+	s := &simulation{random: mwcrand.New(seed), engines: map[string]*engine{}, endpoints: endpoints, zones: map[string][]*Placer{},
 		known: map[string]bool{}}
 	total := 0
 	for _, count := range proxies {
--- a/serving/retry/policy.go
+++ b/serving/retry/policy.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"rowanlink/internal/backoff"
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/routing"
 )
@@ -65,13 +65,13 @@
 	limits  Limits
 	started time.Time
 	proxies int
-	random  *mwc.Source
+	random  *mwcrand.Source
 	budgets map[string]*budget // by service
 }
 
 // New starts a policy with an empty budget.
 func New(now time.Time, limits Limits, seed uint64) *Policy {
-	return &Policy{limits: limits, started: now, proxies: 1, random: mwc.New(seed), budgets: map[string]*budget{}}
+	return &Policy{limits: limits, started: now, proxies: 1, random: mwcrand.New(seed), budgets: map[string]*budget{}}
 }
 
 // SetProxies tells the most proxies that may run. The number in use never falls: what was seen once may run again.
--- a/serving/retry/policy_test.go
+++ b/serving/retry/policy_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/routing"
 )
@@ -122,7 +122,7 @@
 	repeats  []time.Duration
 }
 
-func (s *simulation) play(t *rapid.T, proxies, known int, random *mwc.Source) {
+func (s *simulation) play(t *rapid.T, proxies, known int, random *mwcrand.Source) {
 	policies := make([]*Policy, proxies)
 	for index := range policies {
 		policies[index] = New(start, limits, uint64(index))
@@ -163,7 +163,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 30).Draw(t, "proxies")
 		var s simulation
-		s.play(t, proxies, proxies, mwc.New(rapid.Uint64().Draw(t, "seed")))
+		s.play(t, proxies, proxies, mwcrand.New(rapid.Uint64().Draw(t, "seed")))
 		for from := time.Duration(0); from < 50*time.Second; from += 250 * time.Millisecond {
 			most := 0
 			for _, back := range []time.Duration{0, limits.Window / 2, limits.Window} {
--- a/webhook/policy/control.go
+++ b/webhook/policy/control.go
@@ -16,7 +16,7 @@
 	"math"
 	"slices"
 
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/webhook/api"
 )
 
@@ -52,7 +52,7 @@
 
 // New starts a dispatcher that knows nothing but the facts.
 func New(f api.Facts, host api.Host) *Control {
-	c := &Control{host: host, chance: mwc.New(f.Seed), now: host.Now(), armed: math.MaxInt64,
+	c := &Control{host: host, chance: mwcrand.New(f.Seed), now: host.Now(), armed: math.MaxInt64,
 		held: map[api.WebhookID]*webhook{}, dests: map[api.DestinationID]*destination{},
 		endpoints: map[api.EndpointID]*endpoint{}, turns: map[api.Key]*turn{}, kinds: []*kind{{}}}
 	c.stages = []func(*webhook) verdict{c.inTurn, c.schedule, c.slots, c.choose, c.send}
--- a/webhook/policy/state.go
+++ b/webhook/policy/state.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
@@ -23,7 +23,7 @@
 type Control struct {
 	api.Facts
 	host      api.Host
-	chance    *mwc.Source
+	chance    *mwcrand.Source
 	events    []eventRow
 	tenants   []tenant
 	now       api.Micros
--- a/webhook/refresh/asking.go
+++ b/webhook/refresh/asking.go
@@ -9,7 +9,7 @@
 import (
 	"cmp"
 
-	"rowanlink/internal/mwc"
+	"rowanlink/internal/mwcrand"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
@@ -63,14 +63,14 @@
 // Asking is one dispatcher's.
 type Asking struct {
 	period api.Micros
-	chance *mwc.Source
+	chance *mwcrand.Source
 	// In a row: asks that were refused or ended, silences, watches that brought a list that can't be read.
 	failed, silences, broken int
 }
 
 // New draws by a dispatcher's seed; linePeriod is how often a watch says something.
 func New(seed uint64, linePeriod api.Micros) *Asking {
-	return &Asking{period: cmp.Or(linePeriod, api.Second), chance: mwc.New(seed)}
+	return &Asking{period: cmp.Or(linePeriod, api.Second), chance: mwcrand.New(seed)}
 }
 
 // Heard notes a sign of life of a watch: the next wait is the schedule's first again.
