--- a/internal/pause/pause.go
+++ b/internal/ctxsleep/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits under a context.
-package pause
+// Package ctxsleep waits under a context.
+package ctxsleep
 
 import (
 	"context"
--- a/internal/pause/pause_test.go
+++ b/internal/ctxsleep/pause_test.go
@@ -1,4 +1,4 @@
-package pause
+package ctxsleep
 
 import (
 	"context"
--- a/serving/agent/feedserver.go
+++ b/serving/agent/feedserver.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/actor"
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
@@ -62,7 +62,7 @@
 		}
 		select {
 		case <-seen.changed:
-			pause.For(ctx, coalesce)
+			ctxsleep.For(ctx, coalesce)
 		case <-over.C:
 			return s.last(request.Since)
 		case <-ctx.Done():
--- a/serving/httpserver/flow.go
+++ b/serving/httpserver/flow.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/placement"
@@ -106,7 +106,7 @@
 		case placement.Chosen:
 			return choice, true
 		case placement.Wait:
-			if !pause.For(f.ctx, max(min(verdict.Delay, f.place.TimeLeft), leastWait)) {
+			if !ctxsleep.For(f.ctx, max(min(verdict.Delay, f.place.TimeLeft), leastWait)) {
 				f.abort()
 			}
 		default:
@@ -221,7 +221,7 @@
 		f.finish()
 		return false
 	}
-	if !pause.For(f.ctx, decision.Wait) {
+	if !ctxsleep.For(f.ctx, decision.Wait) {
 		f.abort()
 	}
 	return true
--- a/serving/httpserver/server.go
+++ b/serving/httpserver/server.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/event"
 	"rowanlink/serving/placement"
@@ -90,7 +90,7 @@
 	if options.BodyMemory <= 0 {
 		options.BodyMemory = defaultBodyMemory
 	}
-	s := &Server{options: options, bodies: bodyMemory{most: options.BodyMemory}, pause: pause.For}
+	s := &Server{options: options, bodies: bodyMemory{most: options.BodyMemory}, pause: ctxsleep.For}
 	s.listener = newListener(options.Clients, options.MostConnections, s.limits, s.noteFull)
 	s.clients = &http.Server{
 		Handler:                      s,
--- a/serving/operator/client/client.go
+++ b/serving/operator/client/client.go
@@ -15,7 +15,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 )
 
 const (
@@ -124,7 +124,7 @@
 			}
 			last = errors.CombineErrors(last, err)
 		}
-		if !pause.For(ctx, between) {
+		if !ctxsleep.For(ctx, between) {
 			return nil, &unclear{last: last}
 		}
 		between = min(2*between, pauseMost)
--- a/serving/proxy/watcher.go
+++ b/serving/proxy/watcher.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/event"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/state"
@@ -66,11 +66,11 @@
 			cursor, standing := w.take(response)
 			w.cursor = cursor
 			w.advance(standing)
-			pause.For(ctx, pauseAfter(time.Since(begun)))
+			ctxsleep.For(ctx, pauseAfter(time.Since(begun)))
 		case interrupted:
 		default:
 			w.noteLost(ctx, err)
-			pause.For(ctx, reconnect)
+			ctxsleep.For(ctx, reconnect)
 			reconnect = min(2*reconnect, reconnectMost)
 		}
 	}
--- a/serving/register/machine_test.go
+++ b/serving/register/machine_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
 )
@@ -84,7 +84,7 @@
 // keep does the duty of the holder, which is the first machine that runs.
 func (p *process) keep(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, keepInterval)
+		ctxsleep.For(ctx, keepInterval)
 		p.finish(ctx)
 		all := p.machine.simulation.all()
 		first := slices.IndexFunc(all, func(m *machine) bool { return m.running() != nil })
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/actor"
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
@@ -76,7 +76,7 @@
 			return record, err
 		case failed:
 			last = err
-			pause.For(ctx, retryWait(change.tries, time.Since(begun)))
+			ctxsleep.For(ctx, retryWait(change.tries, time.Since(begun)))
 		case advanced:
 		}
 	}
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/state"
 )
@@ -21,7 +21,7 @@
 		switch {
 		case err != nil:
 			last = err
-			pause.For(ctx, retryWait(attempt, 0))
+			ctxsleep.For(ctx, retryWait(attempt, 0))
 		case votes.committed() && !votes.highest.Proposal.setPending():
 			p.commit(votes.highest)
 			return votes.highest.Proposal.Record, nil
--- a/serving/register/repair.go
+++ b/serving/register/repair.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/event"
 	"rowanlink/serving/state"
 )
@@ -100,7 +100,7 @@
 			event.VoteHandedOver.Log(n.log).Str("replica", own.ReplicaID).Send()
 			return true
 		}
-		pause.For(ctx, handOverWait)
+		ctxsleep.For(ctx, handOverWait)
 	}
 	event.VoteKept.Log(n.log).Str("replica", own.ReplicaID).Send()
 	return false
--- a/serving/register/takepart.go
+++ b/serving/register/takepart.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
 	"rowanlink/serving/state"
@@ -37,7 +37,7 @@
 				event.ReplicaUnsettled.Log(n.log).Err(err).Send()
 			}
 			part = noPart
-			pause.For(ctx, wait)
+			ctxsleep.For(ctx, wait)
 			wait = min(wait*3/2, joinWaitMost)
 			continue
 		}
@@ -107,7 +107,7 @@
 			complained = true
 			event.ReplicaDiskUnreadable.Log(n.log).Err(err).Send()
 		}
-		pause.For(ctx, loadWait)
+		ctxsleep.For(ctx, loadWait)
 	}
 	return false
 }
--- a/standin/endpoint/stream.go
+++ b/standin/endpoint/stream.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"rowanlink/internal/pause"
+	"rowanlink/internal/ctxsleep"
 )
 
 // stream answers with a series of events whose ids rise from 1, or from the one after that at which the client takes
@@ -47,7 +47,7 @@
 	running, _ := c.endpoint.slots.counts()
 	share := 1 + float64(running)/float64(c.endpoint.options.Slots)
 	slowness := c.endpoint.cold.slowness(time.Now())
-	return pause.For(ctx, time.Duration(float64(alone)*share*slowness))
+	return ctxsleep.For(ctx, time.Duration(float64(alone)*share*slowness))
 }
 
 // send sends one event; false: the caller has left.
