--- a/internal/harddays/main.go
+++ b/test/faultschedule/main.go
@@ -3,7 +3,7 @@
 //
 // Example:
 //
-//	go run ./internal/harddays --site SITE.toml --seed 7 --days 30 --out /tmp/hard/SITE.toml
+//	go run ./test/faultschedule --site SITE.toml --seed 7 --days 30 --out /tmp/hard/SITE.toml
 package main
 
 import (
