--- a/proof/harness/fleet.go
+++ b/proof/harness/fleet.go
@@ -18,10 +18,10 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/child"
-	"rowanlink/standin/guard"
 	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
 	"rowanlink/standin/port"
+	"rowanlink/test/checker/leasecheck"
 	"rowanlink/webhook/api"
 )
 
@@ -55,7 +55,7 @@
 	Members  []*Member
 	Net      *Net
 	Platform *platform.Platform
-	Guard    *guard.Guard // where Shape names tasks for it
+	Guard    *leasecheck.Guard // where Shape names tasks for it
 
 	t      testing.TB
 	shape  Shape
@@ -89,7 +89,7 @@
 	t.Cleanup(f.end)
 	dir := t.TempDir()
 	if len(f.shape.Guarded) > 0 {
-		f.Guard, err = guard.Open(filepath.Join(dir, "deeds"))
+		f.Guard, err = leasecheck.Open(filepath.Join(dir, "deeds"))
 		require.NoError(t, err)
 		t.Cleanup(func() { f.Guard.Close() })
 		f.shape.Env = append(f.shape.Env, "ROWAN_GUARD="+f.Guard.Addr,
--- a/proof/harness/past.go
+++ b/proof/harness/past.go
@@ -15,7 +15,7 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/proof/child"
-	"rowanlink/standin/guard"
+	"rowanlink/test/checker/leasecheck"
 	"rowanlink/webhook/api"
 )
 
@@ -29,13 +29,13 @@
 	all     sync.WaitGroup
 	mu      sync.Mutex
 	readers int
-	seen    map[cluster.Task][]guard.Past
+	seen    map[cluster.Task][]leasecheck.Past
 }
 
 // Watch begins to follow the keepers.
 func (f *Fleet) Watch() *Views {
 	ctx, end := context.WithCancel(context.Background())
-	v := &Views{f: f, end: end, seen: map[cluster.Task][]guard.Past{}}
+	v := &Views{f: f, end: end, seen: map[cluster.Task][]leasecheck.Past{}}
 	for _, m := range f.Keepers() {
 		v.all.Go(func() { v.follow(ctx, m) })
 	}
@@ -78,7 +78,7 @@
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
-				v.seen[cluster.HomeOf(r.ID)] = append(v.seen[cluster.HomeOf(r.ID)], guard.Past{What: guard.Seen,
+				v.seen[cluster.HomeOf(r.ID)] = append(v.seen[cluster.HomeOf(r.ID)], leasecheck.Past{What: leasecheck.Seen,
 					Member: string(r.Home), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
@@ -93,10 +93,10 @@
 }
 
 // Past ends following and returns what befell each task, from all logs and all that was seen.
-func (v *Views) Past() map[cluster.Task][]guard.Past {
+func (v *Views) Past() map[cluster.Task][]leasecheck.Past {
 	v.end()
 	v.all.Wait()
-	all := map[cluster.Task][]guard.Past{}
+	all := map[cluster.Task][]leasecheck.Past{}
 	for _, m := range v.f.Members {
 		lived(m.Name, m.Log.All(0, ""), all)
 	}
@@ -108,20 +108,20 @@
 
 // unsaid leaves of the seats that may have been taken, as their member said, those that were seen and that no
 // other line tells of: their answers were lost.
-func unsaid(of, seen []guard.Past) (all []guard.Past) {
-	var unsure []guard.Past
+func unsaid(of, seen []leasecheck.Past) (all []leasecheck.Past) {
+	var unsure []leasecheck.Past
 	for _, p := range of {
-		if p.What == guard.Seated && p.Until == api.Never {
+		if p.What == leasecheck.Seated && p.Until == api.Never {
 			unsure = append(unsure, p)
 		} else {
 			all = append(all, p)
 		}
 	}
 	for _, p := range unsure {
-		was := func(what guard.What) func(guard.Past) bool {
-			return func(o guard.Past) bool { return o.What == what && o.Member == p.Member && o.Epoch == p.Epoch }
+		was := func(what leasecheck.What) func(leasecheck.Past) bool {
+			return func(o leasecheck.Past) bool { return o.What == what && o.Member == p.Member && o.Epoch == p.Epoch }
 		}
-		if slices.ContainsFunc(seen, was(guard.Seen)) && !slices.ContainsFunc(all, was(guard.Seated)) {
+		if slices.ContainsFunc(seen, was(leasecheck.Seen)) && !slices.ContainsFunc(all, was(leasecheck.Seated)) {
 			all = append(all, p)
 		}
 	}
@@ -133,12 +133,12 @@
 	v.f.t.Helper()
 	all, seats := v.Past(), 0
 	for _, task := range slices.Sorted(maps.Keys(all)) {
-		could, err := guard.CheckPast(all[task], time.Minute)
+		could, err := leasecheck.CheckPast(all[task], time.Minute)
 		if !could || err != nil {
 			v.f.t.Errorf("porcupine: %s has a past that it can't have (%v):\n%s", task, err, told(all[task]))
 		}
 		for _, p := range all[task] {
-			if p.What == guard.Seated {
+			if p.What == leasecheck.Seated {
 				seats++
 			}
 		}
@@ -149,8 +149,8 @@
 	v.f.t.Logf("%d tasks, %d homes seated, %d readers", len(all), seats, v.readers)
 }
 
-func told(all []guard.Past) (text string) {
-	slices.SortStableFunc(all, func(a, b guard.Past) int { return cmp.Compare(a.Until, b.Until) })
+func told(all []leasecheck.Past) (text string) {
+	slices.SortStableFunc(all, func(a, b leasecheck.Past) int { return cmp.Compare(a.Until, b.Until) })
 	for _, p := range all {
 		text += fmt.Sprintf("  %s %s/%d by %d: %d to %d\n", p.What, p.Member, p.Epoch, p.Reader, p.From, p.Until)
 	}
@@ -168,20 +168,20 @@
 
 // lived adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []child.Line, all map[cluster.Task][]guard.Past) {
+func lived(name string, lines []child.Line, all map[cluster.Task][]leasecheck.Past) {
 	type grant struct {
 		epoch uint64
 		at    api.Micros
 		ended bool
 	}
 	has, over, lives := map[cluster.Task]*grant{}, map[cluster.Task]api.Micros{}, 0
-	add := func(task cluster.Task, what guard.What, epoch uint64, from, until api.Micros) {
-		all[task] = append(all[task], guard.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
+	add := func(task cluster.Task, what leasecheck.What, epoch uint64, from, until api.Micros) {
+		all[task] = append(all[task], leasecheck.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
 	}
 	end := func(task cluster.Task, until api.Micros) {
 		if g := has[task]; g != nil && !g.ended {
 			g.ended, over[task] = true, g.at
-			add(task, guard.Ended, g.epoch, g.at, until)
+			add(task, leasecheck.Ended, g.epoch, g.at, until)
 		}
 	}
 	endAll := func(until api.Micros) {
@@ -202,7 +202,7 @@
 		if may := unsure.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
 			if task := cluster.HomeOf(cluster.RangeID(id)); has[task] != nil {
-				add(task, guard.Seated, has[task].epoch, has[task].at, api.Never)
+				add(task, leasecheck.Seated, has[task].epoch, has[task].at, api.Never)
 			}
 		}
 		said := stamp.FindStringSubmatch(line.Text)
@@ -220,14 +220,14 @@
 			epoch, _ := strconv.ParseUint(ofEpoch.FindStringSubmatch(line.Text)[1], 10, 64)
 			end(task, at)
 			has[task] = &grant{epoch: epoch, at: at}
-			add(task, guard.Granted, epoch, over[task], at)
+			add(task, leasecheck.Granted, epoch, over[task], at)
 		case "task over":
 			end(cluster.Task(ofTask.FindStringSubmatch(line.Text)[1]), at)
 		default:
 			id, _ := strconv.ParseUint(ofRange.FindStringSubmatch(line.Text)[1], 10, 32)
 			task := cluster.HomeOf(cluster.RangeID(id))
 			if g := has[task]; g != nil {
-				add(task, guard.Seated, g.epoch, g.at, at)
+				add(task, leasecheck.Seated, g.epoch, g.at, at)
 			}
 		}
 	}
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/guard"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/leasecheck"
 	"rowanlink/webhook/api"
 )
 
@@ -89,7 +89,7 @@
 }
 
 // last is the errand's deed that began last.
-func last(f *harness.Fleet) (d guard.Deed) {
+func last(f *harness.Fleet) (d leasecheck.Deed) {
 	if all := f.Guard.Deeds(errand); len(all) > 0 {
 		return all[len(all)-1]
 	}
--- a/standin/guard/guard.go
+++ b/test/checker/leasecheck/guard.go
@@ -1,4 +1,4 @@
-// Package guard is a process that only tests have: it is told when each deed of a task began and ended, and
+// Package leasecheck is a process that only tests have: it is told when each deed of a task began and ended, and
 // by whom with which epoch, at its own clock, and finds deeds of two holders that overlap and epochs that go
 // back.
 //
@@ -12,7 +12,7 @@
 //
 // All that is told stands in a file, one JSON object a line: fences hold over a restart of the guard, and the
 // file is the history that porcupine checks.
-package guard
+package leasecheck
 
 import (
 	"bufio"
--- a/standin/guard/guard_test.go
+++ b/test/checker/leasecheck/guard_test.go
@@ -1,4 +1,4 @@
-package guard_test
+package leasecheck_test
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/standin/guard"
+	"rowanlink/test/checker/leasecheck"
 )
 
 // alone keeps no connection over a restart of the guard.
 var alone = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // tell tells a guard steps such as "begin m1/3" or "end m1/3 fence" and returns what it was answered.
-func tell(t *testing.T, g *guard.Guard, steps string) (codes []int) {
+func tell(t *testing.T, g *leasecheck.Guard, steps string) (codes []int) {
 	for s := range strings.SplitSeq(steps, ", ") {
 		f := strings.Fields(s)
 		member, epoch, _ := strings.Cut(f[1], "/")
@@ -47,7 +47,7 @@
 		{"begin m1/3, begin m2/5 fence, end m1/3 fence, end m2/5", ""}, // its end was refused
 		{"begin m2/5, end m2/5, begin m1/3 fence", ""},
 	} {
-		g, err := guard.Open(filepath.Join(t.TempDir(), "history"))
+		g, err := leasecheck.Open(filepath.Join(t.TempDir(), "history"))
 		require.NoError(t, err)
 		tell(t, g, c.steps)
 		broken, err := g.Check(time.Minute)
@@ -65,7 +65,7 @@
 }
 
 func TestAFenceHoldsOverTheGuardsOwnRestart(t *testing.T) {
-	g, err := guard.Open(filepath.Join(t.TempDir(), "history"))
+	g, err := leasecheck.Open(filepath.Join(t.TempDir(), "history"))
 	require.NoError(t, err)
 	defer g.Close()
 	assert.Equal(t, []int{204, 204}, tell(t, g, "begin m2/5, end m2/5"))
--- a/standin/guard/judge.go
+++ b/test/checker/leasecheck/judge.go
@@ -1,4 +1,4 @@
-package guard
+package leasecheck
 
 import (
 	"fmt"
