--- a/proof/bench_test.go
+++ b/proof/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -91,11 +91,11 @@
 	for name, s := range map[string]*sum{"local": &local, "forwarded": &away} {
 		b.ReportMetric(s.n/s.spent, name+"/s")
 		b.ReportMetric(1e6*s.cpu/s.n, name+"-cpu-us")
-		b.ReportMetric(ms(ledger.Median(s.answered)), name+"-answer-ms")
-		b.ReportMetric(ms(ledger.Median(s.delay)), name+"-delay-ms")
+		b.ReportMetric(ms(deliverycheck.Median(s.answered)), name+"-answer-ms")
+		b.ReportMetric(ms(deliverycheck.Median(s.delay)), name+"-delay-ms")
 	}
 	b.ReportMetric((away.cpu/away.n)/(local.cpu/local.n), "cpu-ratio")
-	b.ReportMetric(float64(ledger.Median(away.delay))/float64(ledger.Median(local.delay)), "delay-ratio")
+	b.ReportMetric(float64(deliverycheck.Median(away.delay))/float64(deliverycheck.Median(local.delay)), "delay-ratio")
 	b.ReportMetric(rest*100, "rest-%cpu")
 	b.ReportMetric(0, "ns/op")
 }
@@ -111,7 +111,7 @@
 				TTL: 8 * time.Second, Body: "a webhook's body"}
 		}})
 	var gaps [3][]api.Micros // nothing happens, a move, stop and restart
-	var bad [3][]ledger.Window
+	var bad [3][]deliverycheck.Window
 	look := func(kind int, what func()) {
 		from := f.Platform.Now()
 		what()
@@ -140,7 +140,7 @@
 	cancel()
 	done()
 	for kind, name := range []string{"still", "move", "restart"} {
-		b.ReportMetric(ms(ledger.Median(gaps[kind])), name+"-gap-ms")
+		b.ReportMetric(ms(deliverycheck.Median(gaps[kind])), name+"-gap-ms")
 		b.ReportMetric(ms(slices.Max(gaps[kind])), name+"-gap-worst-ms")
 		refused, unanswered := 0, 0
 		for _, w := range bad[kind] {
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 )
 
 // Guards against a step of a move that can't be the last one before a stop of more than a term, or before a
@@ -40,7 +40,7 @@
 					f.Homed(leaver)
 				}
 				stop()
-				f.Judge(ledger.Order) // a home that is lost keeps what it had to itself for a while
+				f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 			})
 		}
 	}
@@ -77,11 +77,11 @@
 			f.Net.Heal()
 			going(f)
 		}
-		f.Judge(ledger.Order)
+		f.Judge(deliverycheck.Order)
 		require.False(t, t.Failed(), name)
 	}
 	stop()
-	f.Judge(ledger.Order)
+	f.Judge(deliverycheck.Order)
 }
 
 // Guards against a keeper that comes back with nothing and votes, or is never counted again: without it there
@@ -105,5 +105,5 @@
 		}
 	}
 	stop()
-	f.Judge(ledger.Order)
+	f.Judge(deliverycheck.Order)
 }
--- a/proof/harm_test.go
+++ b/proof/harm_test.go
@@ -11,8 +11,8 @@
 
 	"rowanlink/cluster"
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -127,7 +127,7 @@
 	m.f.Net.Heal()
 	m.f.Homed()
 	m.stop()
-	m.f.Judge(ledger.Order)
+	m.f.Judge(deliverycheck.Order)
 }
 
 // Guards against a plan that goes on while it does harm: a destination goes sick or late at its new home.
@@ -200,7 +200,7 @@
 		assert.False(t, anew, "%s made the plan anew", m.Name)
 	}
 	stop()
-	f.Judge(ledger.Order)
+	f.Judge(deliverycheck.Order)
 }
 
 // Guards against a pin that takes along what lies in the same range, or can't be taken back: the destination
@@ -230,5 +230,5 @@
 	f.Reload(fmt.Sprintf("leave %q {}\n", home.Name))
 	f.Homed(home)
 	stop()
-	f.Judge(ledger.Order)
+	f.Judge(deliverycheck.Order)
 }
--- a/proof/harness/files.go
+++ b/proof/harness/files.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/gjson"
 
 	"rowanlink/proof/child"
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 )
@@ -59,10 +59,10 @@
 }
 
 // terms are what the ledger judges by: the settings', with the protocol's 50 ms on top.
-func (f *Fleet) terms() (ledger.Terms, error) {
+func (f *Fleet) terms() (deliverycheck.Terms, error) {
 	said := gjson.Parse(f.shape.Settings)
 	known, names, _, err := config.FromJSON(1, said)
-	by := ledger.Terms{Types: map[string]api.EventType{}, Facts: known, Slack: f.shape.Slack,
+	by := deliverycheck.Terms{Types: map[string]api.EventType{}, Facts: known, Slack: f.shape.Slack,
 		DrainGrace: api.Micros(said.Get("rules.drainGrace").Int()/1000) + seconds/20,
 		ToldWithin: 6 * seconds, WaitGrace: seconds / 10, WaitsBindAll: f.shape.WaitsBind}
 	for i, name := range names.EventTypes {
--- a/proof/harness/fleet.go
+++ b/proof/harness/fleet.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/child"
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
 	"rowanlink/standin/port"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/checker/leasecheck"
 	"rowanlink/webhook/api"
 )
@@ -152,7 +152,7 @@
 }
 
 // Judge fails the test for each breach, but for those of rules that it names, and for what the guard saw.
-func (f *Fleet) Judge(but ...ledger.Rule) {
+func (f *Fleet) Judge(but ...deliverycheck.Rule) {
 	f.t.Helper()
 	n := 0
 	for _, b := range f.Platform.Judge() {
--- a/proof/keepers_test.go
+++ b/proof/keepers_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 )
 
 // loaded is a fleet under load in which all members want the errand, by clocks as far apart as may be.
@@ -40,7 +40,7 @@
 			f.Homed()
 			going(f)
 			stop()
-			f.Judge(ledger.Order) // a home that is lost keeps what it had to itself for a while
+			f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 		})
 	}
 }
@@ -72,7 +72,7 @@
 		going(f)
 	}
 	stop()
-	f.Judge(ledger.Order)
+	f.Judge(deliverycheck.Order)
 }
 
 // Guards against two that act at once where clocks run apart and members stand still for half a term to
@@ -91,5 +91,5 @@
 	}
 	f.Homed()
 	stop()
-	f.Judge(ledger.Order)
+	f.Judge(deliverycheck.Order)
 }
--- a/proof/places_test.go
+++ b/proof/places_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/deliverycheck"
 )
 
 // A destination comes to stand behind a relay while its home is cut off and goes on by the map that it has,
@@ -48,7 +48,7 @@
 		cancel()
 		wait()
 		assert.Empty(t, f.Platform.Ledger.Beside(joins, until), "%s conducts, %s was home", conducts.Name, was.Name)
-	}, ledger.Order, ledger.Overlap) // a relay may be cut off from its sender, too
+	}, deliverycheck.Order, deliverycheck.Overlap) // a relay may be cut off from its sender, too
 }
 
 // conductor is who said last that it conducts.
--- a/proof/plan_test.go
+++ b/proof/plan_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -47,7 +47,7 @@
 				f.Homed(leaver)
 			}
 			stop()
-			f.Judge(ledger.Order) // a home that is lost keeps what it had to itself for a while
+			f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 			for d := range api.DestinationID(4) {
 				t.Logf("destination %d: longest gap %s", d+1,
 					time.Duration(f.Platform.Ledger.LongestGap(d+1))*time.Microsecond)
--- a/proof/ranges_test.go
+++ b/proof/ranges_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -45,7 +45,7 @@
 // is lost for longer than a term, what lies in its journal comes after what the next home takes meanwhile,
 // whatever its key.
 func over(t *testing.T, fault func(f *harness.Fleet, home, entry *harness.Member),
-	but ...ledger.Rule) {
+	but ...deliverycheck.Rule) {
 	t.Parallel()
 	f := begin(t, harness.Shape{Ranges: 8})
 	slowly(t, f)
@@ -66,14 +66,14 @@
 		home.Kill()
 		f.Served()
 		home.Start()
-	}, ledger.Order)
+	}, deliverycheck.Order)
 }
 
 func TestAHomeThatIsKilledAndComesBackAtOnce(t *testing.T) {
 	over(t, func(f *harness.Fleet, home, _ *harness.Member) {
 		home.Restart()
 		home.Restart()
-	}, ledger.Order)
+	}, deliverycheck.Order)
 }
 
 func TestAHomeThatStandsStill(t *testing.T) {
@@ -85,7 +85,7 @@
 			some(0.5)
 			home, _ = homes(f)
 		}
-	}, ledger.Order)
+	}, deliverycheck.Order)
 }
 
 func TestAHomeThatIsCutOffFromOneEntry(t *testing.T) {
@@ -102,7 +102,7 @@
 		f.Net.Apart(harness.Cut, home.Name)
 		some(2.5)
 		f.Net.Heal()
-	}, ledger.Order)
+	}, deliverycheck.Order)
 }
 
 func TestAnswersOfAHomeThatAreLostHalfWay(t *testing.T) {
--- a/proof/site_test.go
+++ b/proof/site_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -107,7 +107,7 @@
 // story plays faults at such a fleet under load, at which no rule may break. Where a home is lost for
 // longer than a term, what lies in its journal comes after what the next home takes meanwhile, whatever its
 // key.
-func story(t *testing.T, faults func(f *harness.Fleet), but ...ledger.Rule) (notices int) {
+func story(t *testing.T, faults func(f *harness.Fleet), but ...deliverycheck.Rule) (notices int) {
 	t.Parallel()
 	f := sited(t)
 	stop := announce(f, "m1", "m2", "m3")
@@ -135,7 +135,7 @@
 			f.Net.Heal()
 			lasts(0.5)
 		}
-	}, ledger.Overlap), "no webhook ends but by being delivered")
+	}, deliverycheck.Overlap), "no webhook ends but by being delivered")
 }
 
 func TestAnAnnouncementEndsOnceAtEachSubscriberWhateverBecomesOfItsRelayAndSender(t *testing.T) {
@@ -158,7 +158,7 @@
 		who.Kill()
 		f.Served()
 		who.Start()
-	}, ledger.Order, ledger.Overlap) // while a relay is cut off, what may run twice may run at both
+	}, deliverycheck.Order, deliverycheck.Overlap) // while a relay is cut off, what may run twice may run at both
 }
 
 func TestARelayThatStandsStillHoldsUpNoOtherSite(t *testing.T) {
@@ -170,7 +170,7 @@
 			f.Member("m5").Continue()
 			lasts(0.5)
 		}
-	}, ledger.Order)
+	}, deliverycheck.Order)
 }
 
 func TestSubscribersThatLeaveMoveAndComeBackAndRelaysThatChangeSitesUnderLoad(t *testing.T) {
@@ -181,7 +181,7 @@
 			f.Reload(blocks)
 			lasts(1)
 		}
-	}, ledger.Order), "no webhook ends but by being delivered")
+	}, deliverycheck.Order), "no webhook ends but by being delivered")
 }
 
 func TestRelaysAndSendersThatAreToldToEndAndComeBack(t *testing.T) {
@@ -192,7 +192,7 @@
 			m.Start()
 			lasts(0.5)
 		}
-	}, ledger.Order)
+	}, deliverycheck.Order)
 }
 
 // A subscriber behind one relay is sick while that is lost, one behind the other has an endpoint that drains
@@ -213,5 +213,5 @@
 		f.Member("m4").Start()
 		f.Net.Heal()
 		lasts(1)
-	}, ledger.Order, ledger.Overlap) // as above
+	}, deliverycheck.Order, deliverycheck.Overlap) // as above
 }
--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -59,7 +59,7 @@
 		ids[i] = root(one.id)
 	}
 	log := s.p.Ledger
-	c := log.Called(ledger.Call{At: at, Member: s.Name, Endpoint: e.Name, Dest: e.dest.ID, IDs: ids})
+	c := log.Called(deliverycheck.Call{At: at, Member: s.Name, Endpoint: e.Name, Dest: e.dest.ID, IDs: ids})
 	b := e.dest.takes(at)
 	if b.Took > 0 || b.Hang {
 		var took <-chan time.Time
@@ -105,7 +105,7 @@
 }
 
 // run has a call take effect, if the behaviour lets it: a token that is remembered takes effect once.
-func (e *Endpoint) run(c *ledger.Call, all []part, b Behaviour) {
+func (e *Endpoint) run(c *deliverycheck.Call, all []part, b Behaviour) {
 	if !b.Ran && (b.Hang || b.Close || b.Code != 0 && b.Code != http.StatusOK) {
 		return
 	}
--- a/standin/platform/clients.go
+++ b/standin/platform/clients.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"rowanlink/internal/socket"
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -185,7 +185,7 @@
 		text.WriteString("Client-Retry: 1\r\n")
 	}
 	text.WriteString("\r\n" + w.Body)
-	p.Ledger.HandedIn(ledger.HandIn{At: p.Now(), ID: id, After: w.after, Member: member, Dests: dests,
+	p.Ledger.HandedIn(deliverycheck.HandIn{At: p.Now(), ID: id, After: w.after, Member: member, Dests: dests,
 		Type: w.Type,
 		Key:  w.Key, TTL: api.Micros(w.TTL.Microseconds())})
 	resp, err := l.ask(addr, text.Bytes())
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -17,14 +17,14 @@
 	"sync/atomic"
 	"time"
 
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/port"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
 // Platform is safe for use by several goroutines.
 type Platform struct {
-	Ledger *ledger.Ledger
+	Ledger *deliverycheck.Ledger
 	Lists  map[string][]api.DestinationID // subscribers by list; set before the first webhook
 
 	began time.Time
@@ -53,8 +53,8 @@
 }
 
 // New makes a platform for destinations, with an endpoint each.
-func New(by ledger.Terms, dests ...api.DestinationID) (*Platform, error) {
-	p := &Platform{Ledger: ledger.New(by), Lists: map[string][]api.DestinationID{}, began: time.Now(),
+func New(by deliverycheck.Terms, dests ...api.DestinationID) (*Platform, error) {
+	p := &Platform{Ledger: deliverycheck.New(by), Lists: map[string][]api.DestinationID{}, began: time.Now(),
 		seats: map[string]*Seat{}, dests: map[api.DestinationID]*Destination{}, gen: 1,
 		news: make(chan struct{}), drive: map[string]func(notice){}, front: map[string]string{}}
 	for _, d := range dests {
@@ -69,7 +69,7 @@
 func (p *Platform) Now() api.Micros { return api.Micros(time.Since(p.began).Microseconds()) }
 
 // Judge judges all up to now.
-func (p *Platform) Judge() []ledger.Breach { return p.Ledger.Judge(p.Now()) }
+func (p *Platform) Judge() []deliverycheck.Breach { return p.Ledger.Judge(p.Now()) }
 
 // Close ends all that listens.
 func (p *Platform) Close() error {
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/standin/ledger"
 	"rowanlink/standin/platform"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
 func begin(t *testing.T) *platform.Platform {
-	p, err := platform.New(ledger.Terms{Types: map[string]api.EventType{
+	p, err := platform.New(deliverycheck.Terms{Types: map[string]api.EventType{
 		"status": {TTL: 9 * api.Second},
 		"paid":   {TTL: 9 * api.Second, Repeat: api.Tokened, TokenWindow: 8 * api.Second},
 	}, DrainGrace: api.Second, ToldWithin: 6 * api.Second}, 3)
@@ -122,7 +122,7 @@
 	p.Drive(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Lines: 2, Most: 4,
 		Tries: 3,
 		Next:  func(int) platform.Webhook { return platform.Webhook{Type: "paid", Dest: 3} }})()
-	assert.Equal(t, ledger.Counts{HandedIn: 12, Refused: 12}, p.Ledger.Counts())
+	assert.Equal(t, deliverycheck.Counts{HandedIn: 12, Refused: 12}, p.Ledger.Counts())
 	require.NoError(t, p.Front("m1", "127.0.0.1:1"))
 	p.Drive(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Most: 4, Tries: 3,
 		Next: func(int) platform.Webhook { return platform.Webhook{Type: "paid", Dest: 3} }})()
--- a/standin/ledger/counts.go
+++ b/test/checker/deliverycheck/counts.go
@@ -1,4 +1,4 @@
-package ledger
+package deliverycheck
 
 // Open is how many webhooks were taken on and have no end yet.
 func (l *Ledger) Open() (n int) {
--- a/standin/ledger/ledger.go
+++ b/test/checker/deliverycheck/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger counts, for tests, what becomes of every webhook at every destination that it is for, and
+// Package deliverycheck counts, for tests, what becomes of every webhook at every destination that it is for, and
 // judges by the rules. It does no I/O and has no clock: whoever sees something happen says when, in
 // microseconds from any origin. A webhook is known by the request id that it was handed in with. One that was
 // refused, or handed back, and is handed in again has a new id and names the one before: what may not take
 // effect twice may not over both.
-package ledger
+package deliverycheck
 
 import (
 	"slices"
--- a/standin/ledger/ledger_test.go
+++ b/test/checker/deliverycheck/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package deliverycheck_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -28,12 +28,12 @@
 		{"no answer", func(s story) { s.hand(0, "a", "status", 0) }, "[]"},
 		{"not yet due", func(s story) { s.hand(15000, "a", "status", 202) }, "[]"},
 		{"one subscriber of two", func(s story) {
-			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
+			s.HandedIn(deliverycheck.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
 			s.Answered(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 		}, "[lost]"},
 		{"the other is told of", func(s story) {
-			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
+			s.HandedIn(deliverycheck.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
 			s.Answered(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 			s.Noticed(9, "m2", "a", "given_up", 4)
@@ -190,13 +190,13 @@
 		{"never handed in", func(s story) { s.call(1, 2, "m1", "x") }, "[astray]"},
 		{"a notice of nothing", func(s story) { s.Noticed(1, "m1", "x", "given_up") }, "[astray]"},
 		{"for another destination", func(s story) {
-			s.HandedIn(ledger.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{4}, Type: "status"})
+			s.HandedIn(deliverycheck.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{4}, Type: "status"})
 			s.call(1, 2, "m1", "a")
 		}, "[astray]"},
 	} {
-		s := story{ledger.New(terms())}
+		s := story{deliverycheck.New(terms())}
 		c.tell(s)
-		rules := []ledger.Rule{}
+		rules := []deliverycheck.Rule{}
 		for _, b := range s.Judge(20000 * ms) {
 			rules = append(rules, b.Rule)
 		}
@@ -205,7 +205,7 @@
 }
 
 func TestCountsAndOpen(t *testing.T) {
-	s := story{ledger.New(terms())}
+	s := story{deliverycheck.New(terms())}
 	s.hand(0, "a", "status", 202)
 	s.hand(0, "b", "status", 202)
 	s.hand(0, "c", "status", 503)
@@ -213,7 +213,7 @@
 	s.call(1, 2, "m1", "a")
 	s.OverRate()
 	assert.Equal(t, 1, s.Open())
-	assert.Equal(t, ledger.Counts{HandedIn: 4, Taken: 2, Refused: 1, Unanswered: 1, Delivered: 1, Calls: 1,
+	assert.Equal(t, deliverycheck.Counts{HandedIn: 4, Taken: 2, Refused: 1, Unanswered: 1, Delivered: 1, Calls: 1,
 		OverRate: 1,
 		Effects:  1},
 		s.Counts())
--- a/standin/ledger/story_test.go
+++ b/test/checker/deliverycheck/story_test.go
@@ -1,16 +1,16 @@
-package ledger_test
+package deliverycheck_test
 
 import (
 	"fmt"
 
-	"rowanlink/standin/ledger"
+	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
 const ms = api.Second / 1000
 
-func terms() ledger.Terms {
-	return ledger.Terms{
+func terms() deliverycheck.Terms {
+	return deliverycheck.Terms{
 		Types: map[string]api.EventType{
 			"status": {Repeat: api.Idempotent},
 			"paid":   {Repeat: api.Tokened, TokenWindow: 8000 * ms},
@@ -24,10 +24,10 @@
 }
 
 // story is what a ledger is told, in milliseconds.
-type story struct{ *ledger.Ledger }
+type story struct{ *deliverycheck.Ledger }
 
 func (s story) hand(at api.Micros, id, class string, code int, more ...string) {
-	h := ledger.HandIn{At: at * ms, ID: id, Member: "m1", Dests: []api.DestinationID{3}, Type: class,
+	h := deliverycheck.HandIn{At: at * ms, ID: id, Member: "m1", Dests: []api.DestinationID{3}, Type: class,
 		TTL: 9000 * ms}
 	if len(more) > 0 {
 		h.Key = more[0]
@@ -40,7 +40,7 @@
 }
 
 func (s story) call(from, to api.Micros, member, id string, how ...string) {
-	c := s.Called(ledger.Call{At: from * ms, Member: member, Endpoint: "e", Dest: 3, IDs: []string{id}})
+	c := s.Called(deliverycheck.Call{At: from * ms, Member: member, Endpoint: "e", Dest: 3, IDs: []string{id}})
 	switch fmt.Sprint(how) {
 	case "[]":
 		s.Ran(to*ms, c, id)
@@ -71,7 +71,7 @@
 // across has two webhooks of a key handed in at two members, and the second called first.
 func (s story) across() {
 	s.hand(0, "a", "ride", 202, "k")
-	s.HandedIn(ledger.HandIn{At: 5 * ms, ID: "b", Member: "m2", Dests: []api.DestinationID{3},
+	s.HandedIn(deliverycheck.HandIn{At: 5 * ms, ID: "b", Member: "m2", Dests: []api.DestinationID{3},
 		Type: "ride", Key: "k",
 		TTL: 9000 * ms})
 	s.Answered(6*ms, "b", 202)
--- a/standin/ledger/window.go
+++ b/test/checker/deliverycheck/window.go
@@ -1,4 +1,4 @@
-package ledger
+package deliverycheck
 
 import (
 	"fmt"
