--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -19,7 +19,7 @@
 	"rowanlink/cluster/member"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
-	"rowanlink/standin/port"
+	"rowanlink/test/fake/portalloc"
 	"rowanlink/webhook/api"
 )
 
@@ -85,7 +85,7 @@
 func (f *fleetOf) place(m cluster.MemberID) {
 	f.names = append(f.names, m)
 	for _, to := range []map[cluster.MemberID]string{f.says, f.logs} {
-		kept, err := port.Keep()
+		kept, err := portalloc.Keep()
 		require.NoError(f.t, err)
 		f.t.Cleanup(func() { kept.Close() })
 		to[m] = kept.Addr
--- a/proof/harness/fleet.go
+++ b/proof/harness/fleet.go
@@ -19,9 +19,9 @@
 
 	"rowanlink/proof/child"
 	"rowanlink/standin/platform"
-	"rowanlink/standin/port"
 	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/checker/leasecheck"
+	"rowanlink/test/fake/portalloc"
 	"rowanlink/webhook/api"
 )
 
@@ -115,8 +115,8 @@
 	return f
 }
 
-func (f *Fleet) keep() *port.Port {
-	p, err := port.Keep()
+func (f *Fleet) keep() *portalloc.Port {
+	p, err := portalloc.Keep()
 	require.NoError(f.t, err)
 	f.t.Cleanup(func() { p.Close() })
 	return p
--- a/proof/harness/link.go
+++ b/proof/harness/link.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"rowanlink/standin/port"
+	"rowanlink/test/fake/portalloc"
 )
 
 // mode is what a link does with connections.
@@ -22,7 +22,7 @@
 
 // link is one address that a member has for another: what connects there goes on to the real one.
 type link struct {
-	at          *port.Port
+	at          *portalloc.Port
 	from, to    string
 	real        string
 	there, back *flow
@@ -35,7 +35,7 @@
 
 // link makes one, open, and returns its address.
 func (n *Net) link(from, to, real string) (string, error) {
-	at, err := port.Keep()
+	at, err := portalloc.Keep()
 	if err != nil {
 		return "", err
 	}
--- a/proof/harness/member.go
+++ b/proof/harness/member.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"rowanlink/proof/child"
-	"rowanlink/standin/port"
+	"rowanlink/test/fake/portalloc"
 	"rowanlink/test/procstate"
 )
 
@@ -34,8 +34,8 @@
 
 	f                *Fleet
 	dir              string
-	listen           *port.Port
-	says, log        *port.Port
+	listen           *portalloc.Port
+	says, log        *portalloc.Port
 	config, operator string
 	is               *child.Process
 	stopped          bool
--- a/standin/platform/door.go
+++ b/standin/platform/door.go
@@ -6,12 +6,12 @@
 	"net/http"
 	"sync"
 
-	"rowanlink/standin/port"
+	"rowanlink/test/fake/portalloc"
 )
 
 // door is one address of an endpoint, which can refuse connections for a while.
 type door struct {
-	port    *port.Port
+	port    *portalloc.Port
 	handler http.HandlerFunc
 	mu      sync.Mutex
 	server  *http.Server
@@ -19,7 +19,7 @@
 }
 
 func newDoor(h http.HandlerFunc) (*door, error) {
-	p, err := port.Keep()
+	p, err := portalloc.Keep()
 	if err != nil {
 		return nil, err
 	}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"rowanlink/standin/port"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/fake/portalloc"
 	"rowanlink/webhook/api"
 )
 
@@ -34,7 +34,7 @@
 	all   []*Endpoint
 	gen   int
 	news  chan struct{} // closed when the list changes
-	ports []*port.Port
+	ports []*portalloc.Port
 	drive map[string]func(notice) // by id: who has it, for notices
 	front map[string]string       // members' client addresses
 	serve []func() error
@@ -124,8 +124,8 @@
 }
 
 // listen serves on a port of its own until Close.
-func (p *Platform) listen(h http.Handler) (*port.Port, error) {
-	at, err := port.Keep()
+func (p *Platform) listen(h http.Handler) (*portalloc.Port, error) {
+	at, err := portalloc.Keep()
 	if err != nil {
 		return nil, err
 	}
--- a/test/checker/leasecheck/guard.go
+++ b/test/checker/leasecheck/guard.go
@@ -26,7 +26,7 @@
 	"sync"
 	"time"
 
-	"rowanlink/standin/port"
+	"rowanlink/test/fake/portalloc"
 	"rowanlink/webhook/api"
 )
 
@@ -47,7 +47,7 @@
 
 	mu     sync.Mutex
 	path   string
-	port   *port.Port
+	port   *portalloc.Port
 	server *http.Server
 	file   *os.File
 	events []Event
@@ -57,7 +57,7 @@
 
 // Open listens on a free port and goes on with the history in a file, or begins one.
 func Open(path string) (*Guard, error) {
-	at, err := port.Keep()
+	at, err := portalloc.Keep()
 	if err != nil {
 		return nil, err
 	}
--- a/standin/port/port.go
+++ b/test/fake/portalloc/port.go
@@ -1,7 +1,7 @@
-// Package port keeps loopback ports for stand-ins, for tests only. A port that was asked for stays bound as
+// Package portalloc keeps loopback ports for stand-ins, for tests only. A port that was asked for stays bound as
 // long as it is kept, so that no other process gets it while nobody listens: whoever connects then is
 // refused, as on a machine whose process has ended.
-package port
+package portalloc
 
 import (
 	"context"
--- a/standin/port/port_test.go
+++ b/test/fake/portalloc/port_test.go
@@ -1,4 +1,4 @@
-package port_test
+package portalloc_test
 
 import (
 	"net"
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/standin/port"
+	"rowanlink/test/fake/portalloc"
 )
 
 // Guards against a port that another process gets between two listeners, and against a cut that is a refusal.
 func TestPortRefusesHangsAndListensInTurn(t *testing.T) {
-	p, err := port.Keep()
+	p, err := portalloc.Keep()
 	require.NoError(t, err)
 	defer p.Close()
 	for range 3 {
