--- a/cmd/rowanstand/file.go
+++ b/cmd/rowanstand/file.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/pelletier/go-toml/v2"
 
-	"rowanlink/standin/endpoint"
+	"rowanlink/test/fake/endpoint"
 )
 
 // file is what a TOML file says. Times are in milliseconds.
--- a/cmd/rowanstand/main.go
+++ b/cmd/rowanstand/main.go
@@ -17,7 +17,7 @@
 
 	"rowanlink/serving/operator/client"
 	"rowanlink/serving/process"
-	"rowanlink/standin/endpoint"
+	"rowanlink/test/fake/endpoint"
 )
 
 const (
--- a/proof/doubt_test.go
+++ b/proof/doubt_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
+	"rowanlink/test/fake/platform"
 )
 
 // answerless plays a webhook that may take effect once only, that its home takes on and calls for while no
--- a/proof/harm_test.go
+++ b/proof/harm_test.go
@@ -11,8 +11,8 @@
 
 	"rowanlink/cluster"
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/harness/fleet.go
+++ b/proof/harness/fleet.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/child"
-	"rowanlink/standin/platform"
 	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/checker/leasecheck"
+	"rowanlink/test/fake/platform"
 	"rowanlink/test/fake/portalloc"
 	"rowanlink/webhook/api"
 )
--- a/proof/harness/kills_test.go
+++ b/proof/harness/kills_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/standin/platform"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/hunt/faults.go
+++ b/proof/hunt/faults.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/hunt/hunt_test.go
+++ b/proof/hunt/hunt_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/places_test.go
+++ b/proof/places_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/fake/platform"
 )
 
 // A destination comes to stand behind a relay while its home is cut off and goes on by the map that it has,
--- a/proof/plan_test.go
+++ b/proof/plan_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/proof/harness"
-	"rowanlink/standin/platform"
 	"rowanlink/test/checker/leasecheck"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/system/cluster_test.go
+++ b/proof/system/cluster_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/operator/client"
 	"rowanlink/serving/rpc"
-	"rowanlink/standin/endpoint"
+	"rowanlink/test/fake/endpoint"
 )
 
 const (
--- a/proof/system/endpoints_test.go
+++ b/proof/system/endpoints_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/standin/endpoint"
+	"rowanlink/test/fake/endpoint"
 )
 
 // The services.
--- a/proof/system/ledger_test.go
+++ b/proof/system/ledger_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/standin/endpoint"
+	"rowanlink/test/fake/endpoint"
 )
 
 // ending is how one try of a client ended.
--- a/standin/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/standin/platform"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/fake/platform"
 	"rowanlink/webhook/api"
 )
 
