--- a/emulator/calls.go
+++ b/emulator/calls.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -81,11 +81,11 @@
 	m.release(n)
 }
 
-func (m *Model) onCall(what seen.What, k *call) {
+func (m *Model) onCall(what eventpkg.What, k *call) {
 	e := &m.endpoints[k.ep]
 	weight := 1 + m.dests[e.dest].kind.ItemCost*float64(len(k.items)-1)
-	m.Bus.Emit(seen.Event{At: m.now, What: what, Dispatcher: k.d, Endpoint: idOf(k.ep), Destination: e.dest,
-		Route: seen.Route(e.route), Zone: e.zone, Weight: weight, Webhook: k.items[0].h.id})
+	m.Bus.Emit(eventpkg.Event{At: m.now, What: what, Dispatcher: k.d, Endpoint: idOf(k.ep), Destination: e.dest,
+		Route: eventpkg.Route(e.route), Zone: e.zone, Weight: weight, Webhook: k.items[0].h.id})
 }
 
 // depart takes an idle connection, the last used first, or opens one.
@@ -93,7 +93,7 @@
 	k := &m.calls[n]
 	d, s := &m.dispatchers[k.d], &m.servers[k.server]
 	k.sentAt = m.now
-	m.onCall(seen.CallOut, k)
+	m.onCall(eventpkg.CallOut, k)
 	m.after(k.patience, event{kind: evGiveUp, a: n, gen: k.gen})
 	if l := d.links[k.ep]; l != nil && l.epoch == s.epoch {
 		m.closeIdle(d, k.ep)
--- a/emulator/clients.go
+++ b/emulator/clients.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -114,7 +114,7 @@
 	if !o.offered {
 		o.offered = true
 		m.Bus.Emit(
-			seen.Event{At: m.now, What: seen.Offered, Origin: seen.Origin(n), Type: o.evt, Destination: o.dest,
+			eventpkg.Event{At: m.now, What: eventpkg.Offered, Origin: eventpkg.Origin(n), Type: o.evt, Destination: o.dest,
 				TTL: o.ttl},
 		)
 	}
@@ -129,7 +129,7 @@
 	case d.frozenUntil > m.now+answerWithin:
 		m.after(answerWithin, event{kind: evHandIn, a: n})
 	case d.open >= m.plan.Dispatchers.Buffer:
-		m.Bus.Emit(seen.Event{At: m.now, What: seen.TurnedAway, Dispatcher: d.number, Origin: seen.Origin(n),
+		m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.TurnedAway, Dispatcher: d.number, Origin: eventpkg.Origin(n),
 			Destination: o.dest, Type: o.evt})
 		m.comeAgain(n, 0)
 	default:
@@ -166,7 +166,7 @@
 func (m *Model) giveUp(n int32) {
 	o := &m.origins[n]
 	m.Bus.Emit(
-		seen.Event{At: m.now, What: seen.GivenUp, Origin: seen.Origin(n), Type: o.evt, Destination: o.dest},
+		eventpkg.Event{At: m.now, What: eventpkg.GivenUp, Origin: eventpkg.Origin(n), Type: o.evt, Destination: o.dest},
 	)
 	m.close(n)
 }
--- a/emulator/connections.go
+++ b/emulator/connections.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -25,7 +25,7 @@
 	default:
 		s.conns++
 		k.linked, k.epoch, k.at = true, s.epoch, callOut
-		m.onCall(seen.Connected, k)
+		m.onCall(eventpkg.Connected, k)
 		m.after(2*m.way(d.zone, s.zone), event{kind: evReach, a: n, gen: k.gen})
 	}
 }
@@ -39,7 +39,7 @@
 		m.answer(n, api.Reset, 0)
 		return
 	}
-	m.onCall(seen.Reached, k)
+	m.onCall(eventpkg.Reached, k)
 	m.weigh(e.route, 1+r.kind.ItemCost*float64(len(k.items)-1))
 	switch {
 	case s.down > 0: // that call pushed it over
@@ -70,7 +70,7 @@
 	if mayTell && m.chance.Float64() < r.kind.TellsWait {
 		wait = within(m.chance, r.kind.Wait).us()
 	}
-	m.onCall(seen.Refused, &m.calls[n])
+	m.onCall(eventpkg.Refused, &m.calls[n])
 	m.answer(n, api.Full, wait)
 }
 
@@ -81,7 +81,7 @@
 	k := &m.calls[n]
 	d, s := &m.dispatchers[k.d], &m.servers[k.server]
 	if k.at != callMade {
-		m.onCall(seen.CallBack, k)
+		m.onCall(eventpkg.CallBack, k)
 	}
 	d.out--
 	if k.linked && k.epoch == s.epoch {
--- a/emulator/ends.go
+++ b/emulator/ends.go
@@ -1,24 +1,24 @@
 package emulator
 
 import (
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
 // end closes a webhook's stay here; its client may come again after a rejection.
-func (m *Model) end(d *dispatcher, h *held, how seen.End, advised api.Micros) {
+func (m *Model) end(d *dispatcher, h *held, how eventpkg.End, advised api.Micros) {
 	h.ended = true
 	d.open--
 	if d.member != nil {
 		delete(d.member.parked, h.id)
 	}
 	o := &m.origins[h.origin]
-	m.Bus.Emit(m.about(seen.Ended, d, h, seen.Event{End: how, Span: m.now - o.cameAt}))
+	m.Bus.Emit(m.about(eventpkg.Ended, d, h, eventpkg.Event{End: how, Span: m.now - o.cameAt}))
 	if h.call < 0 {
 		delete(d.held, h.id)
 	}
 	switch how {
-	case seen.Rejected:
+	case eventpkg.Rejected:
 		m.comeAgain(h.origin, advised)
 	default:
 		m.close(h.origin)
--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
@@ -40,20 +40,20 @@
 
 // log writes down all events that it wants.
 type log struct {
-	wants []seen.What
-	all   []seen.Event
+	wants []eventpkg.What
+	all   []eventpkg.Event
 }
 
-func (l *log) Wants() []seen.What { return l.wants }
-func (l *log) See(e *seen.Event)  { l.all = append(l.all, *e) }
+func (l *log) Wants() []eventpkg.What { return l.wants }
+func (l *log) See(e *eventpkg.Event)  { l.all = append(l.all, *e) }
 
 // play runs a scenario under the watch; events of the kinds given come back, too.
 func play(
 	t *testing.T,
 	s *emulator.Scenario,
 	start emulator.Starter,
-	what ...seen.What,
-) (*observe.Watch, []seen.Event,
+	what ...eventpkg.What,
+) (*observe.Watch, []eventpkg.Event,
 	observe.Summary) {
 	require.NoError(t, s.Check())
 	m := emulator.New(s, start)
--- a/emulator/homes_test.go
+++ b/emulator/homes_test.go
@@ -10,7 +10,7 @@
 
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -51,10 +51,10 @@
 	*observe.Watch
 	observe.Summary
 	observe.Together
-	all []seen.Event
+	all []eventpkg.Event
 }
 
-func (r homesRun) of(what seen.What) (all []seen.Event) {
+func (r homesRun) of(what eventpkg.What) (all []eventpkg.Event) {
 	for _, e := range r.all {
 		if e.What == what {
 			all = append(all, e)
@@ -70,7 +70,7 @@
 	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, f := observe.NewWatch(terms), observe.NewRecorder(terms), observe.NewFleet(terms)
-	l := &log{wants: []seen.What{seen.CallOut, seen.Ended}}
+	l := &log{wants: []eventpkg.What{eventpkg.CallOut, eventpkg.Ended}}
 	w.Join(&m.Bus)
 	m.Bus.Join(r, f, l)
 	w.Close(m.Run())
@@ -111,7 +111,7 @@
 		}},
 		{"forwarders call too", homesDay(), func(r homesRun) error {
 			callers := map[api.DestinationID]int32{}
-			for _, e := range r.of(seen.CallOut) {
+			for _, e := range r.of(eventpkg.CallOut) {
 				if by, ok := callers[e.Destination]; ok && by != e.Dispatcher {
 					return fmt.Errorf("%d and %d call destination %d", by, e.Dispatcher, e.Destination)
 				}
@@ -129,8 +129,8 @@
 		{"a lost home stays home", killed, func(r homesRun) error {
 			lost, again := map[api.DestinationID]bool{}, map[api.DestinationID]bool{}
 			for _, e := range r.all {
-				lost[e.Destination] = lost[e.Destination] || e.What == seen.CallOut && e.Dispatcher == 1
-				again[e.Destination] = again[e.Destination] || e.End == seen.Delivered && e.What == seen.Ended &&
+				lost[e.Destination] = lost[e.Destination] || e.What == eventpkg.CallOut && e.Dispatcher == 1
+				again[e.Destination] = again[e.Destination] || e.End == eventpkg.Delivered && e.What == eventpkg.Ended &&
 					e.At > api.Micros(kill.At+2*killed.Homes.Term)
 			}
 			for d, was := range lost {
--- a/emulator/host.go
+++ b/emulator/host.go
@@ -1,7 +1,7 @@
 package emulator
 
 import (
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -13,7 +13,7 @@
 	m, h, i := d.m, d.held[id], indexOf(ep)
 	if h == nil || h.call >= 0 {
 		// Nothing is held under this id, or it is out already: for an observer it is an attempt all the same.
-		m.Bus.Emit(seen.Event{At: m.now, What: seen.Sent, Dispatcher: d.number, Webhook: id, Endpoint: ep})
+		m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.Sent, Dispatcher: d.number, Webhook: id, Endpoint: ep})
 		return
 	}
 	h.attempts++
@@ -49,8 +49,8 @@
 	k.patience = min(k.patience, patience)
 	h.call = at
 	if !d.muted {
-		m.Bus.Emit(m.about(seen.Sent, d, h, seen.Event{Attempt: h.attempts - 1, Endpoint: ep,
-			Route: seen.Route(m.endpoints[i].route), Zone: m.endpoints[i].zone}))
+		m.Bus.Emit(m.about(eventpkg.Sent, d, h, eventpkg.Event{Attempt: h.attempts - 1, Endpoint: ep,
+			Route: eventpkg.Route(m.endpoints[i].route), Zone: m.endpoints[i].zone}))
 	}
 }
 
@@ -63,13 +63,13 @@
 
 func (d *dispatcher) Reject(id api.WebhookID, advised api.Micros) {
 	if h := d.held[id]; h != nil && !h.ended {
-		d.m.end(d, h, seen.Rejected, advised)
+		d.m.end(d, h, eventpkg.Rejected, advised)
 	}
 }
 
 func (d *dispatcher) DeadLetter(id api.WebhookID) {
 	if h := d.held[id]; h != nil && !h.ended {
-		d.m.end(d, h, seen.DeadLettered, 0)
+		d.m.end(d, h, eventpkg.DeadLettered, 0)
 	}
 }
 
--- a/emulator/lists.go
+++ b/emulator/lists.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -33,10 +33,10 @@
 }
 
 func (d *dispatcher) listed(n news) {
-	if d.m.Bus.Listened(seen.Told) {
+	if d.m.Bus.Listened(eventpkg.Told) {
 		for _, e := range n.list {
 			if e.Standing != api.Listed || !n.whole {
-				d.m.Bus.Emit(seen.Event{At: d.m.now, What: seen.Told, Dispatcher: d.number, Endpoint: e.Endpoint,
+				d.m.Bus.Emit(eventpkg.Event{At: d.m.now, What: eventpkg.Told, Dispatcher: d.number, Endpoint: e.Endpoint,
 					Destination: e.Destination, Standing: e.Standing})
 			}
 		}
@@ -45,12 +45,12 @@
 }
 
 // about is an event that concerns a webhook.
-func (m *Model) about(what seen.What, d *dispatcher, h *held, e seen.Event) seen.Event {
+func (m *Model) about(what eventpkg.What, d *dispatcher, h *held, e eventpkg.Event) eventpkg.Event {
 	o := &m.origins[h.origin]
-	e.At, e.What, e.Dispatcher, e.Webhook, e.Origin = m.now, what, d.number, h.id, seen.Origin(h.origin)
+	e.At, e.What, e.Dispatcher, e.Webhook, e.Origin = m.now, what, d.number, h.id, eventpkg.Origin(h.origin)
 	e.Type, e.Destination, e.Key, e.TTL = o.evt, o.dest, o.key, o.ttl
 	if e.Route == 0 {
-		e.Route = seen.Route(m.dests[o.dest].route)
+		e.Route = eventpkg.Route(m.dests[o.dest].route)
 	}
 	return e
 }
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -54,7 +54,7 @@
 		return
 	}
 	if r.load.add(m.now, rules.TipAfter.us(), weight) > budget+slack(budget) {
-		m.Bus.Emit(seen.Event{At: m.now, What: seen.Fell, Route: seen.Route(ri), Destination: r.dest})
+		m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.Fell, Route: eventpkg.Route(ri), Destination: r.dest})
 		for _, e := range r.endpoints {
 			m.strike(e, func(s *server) { s.down++ })
 		}
--- a/emulator/model.go
+++ b/emulator/model.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"rowanlink/emulator/seen"
 	"rowanlink/internal/timerqueue"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -14,7 +14,7 @@
 
 // Model is one run in progress.
 type Model struct {
-	Bus    seen.Bus
+	Bus    eventpkg.Bus
 	Events int           // handled so far
 	Peak   int           // most events that waited at once
 	Module time.Duration // real time spent in the modules, where Clocked
--- a/emulator/observe/claims.go
+++ b/emulator/observe/claims.go
@@ -5,7 +5,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -45,12 +45,12 @@
 	return pauses{t, map[stay]pause{}, map[toRoute]*health{}}
 }
 
-var pausesWant = []seen.What{seen.Heard, seen.Sent, seen.Ended}
+var pausesWant = []event.What{event.Heard, event.Sent, event.Ended}
 
-func (p *pauses) see(e *seen.Event) (try int, long api.Micros, ok bool) {
+func (p *pauses) see(e *event.Event) (try int, long api.Micros, ok bool) {
 	k := stayOf(e)
 	switch e.What {
-	case seen.Heard:
+	case event.Heard:
 		h := p.of[toRouteOf(e)]
 		if h == nil {
 			h = &health{okAt: api.Never, illAt: api.Never}
@@ -70,12 +70,12 @@
 		if !ill && h.okAt != api.Never && e.At-h.okAt < p.t.TipAfter {
 			p.heard[k] = pause{e.At, e.Attempt, h, h.row}
 		}
-	case seen.Sent:
+	case event.Sent:
 		if was, there := p.heard[k]; there {
 			delete(p.heard, k)
 			return was.try, e.At - was.at, was.on.row <= was.row && was.on.illAt < was.at
 		}
-	case seen.Ended:
+	case event.Ended:
 		delete(p.heard, k)
 	}
 	return 0, 0, false
@@ -87,8 +87,8 @@
 	by [judgedTo][]float64
 }
 
-func (o *backoff) Wants() []seen.What { return pausesWant }
-func (o *backoff) See(e *seen.Event) {
+func (o *backoff) Wants() []event.What { return pausesWant }
+func (o *backoff) See(e *event.Event) {
 	if try, long, ok := o.see(e); ok && try < judgedTo {
 		o.by[try] = append(o.by[try], long.Seconds())
 	}
@@ -122,8 +122,8 @@
 	first []float64
 }
 
-func (o *jitter) Wants() []seen.What { return pausesWant }
-func (o *jitter) See(e *seen.Event) {
+func (o *jitter) Wants() []event.What { return pausesWant }
+func (o *jitter) See(e *event.Event) {
 	if try, long, ok := o.see(e); ok && try == 0 {
 		o.first = append(o.first, long.Seconds())
 	}
@@ -146,8 +146,8 @@
 	worst int
 }
 
-func (o *destCap) Wants() []seen.What { return []seen.What{seen.CallOut, seen.CallBack} }
-func (o *destCap) See(e *seen.Event)  { o.worst = max(o.worst, o.out.see(e)) }
+func (o *destCap) Wants() []event.What { return []event.What{event.CallOut, event.CallBack} }
+func (o *destCap) See(e *event.Event)  { o.worst = max(o.worst, o.out.see(e)) }
 func (o *destCap) judge() Claim {
 	limit := most(most34, o.t.Slots)
 	return Claim{Name: "dest_cap", Seen: o.worst > 0, Kept: o.worst <= limit,
@@ -169,20 +169,20 @@
 	seen  bool
 }
 
-func (o *isolates) Wants() []seen.What {
-	return []seen.What{seen.CallOut, seen.CallBack, seen.Heard, seen.Killed}
+func (o *isolates) Wants() []event.What {
+	return []event.What{event.CallOut, event.CallBack, event.Heard, event.Killed}
 }
 
-func (o *isolates) See(e *seen.Event) {
+func (o *isolates) See(e *event.Event) {
 	k := toRouteOf(e)
 	switch e.What {
-	case seen.Killed:
+	case event.Killed:
 		for k := range o.fails {
 			if k.d == e.Dispatcher {
 				delete(o.fails, k)
 			}
 		}
-	case seen.Heard:
+	case event.Heard:
 		switch e.Outcome {
 		case api.Delivered:
 			delete(o.fails, k)
@@ -192,7 +192,7 @@
 		}
 	default:
 		n := o.out.see(e)
-		if e.What == seen.CallOut && o.fails[k] >= sickAfter {
+		if e.What == event.CallOut && o.fails[k] >= sickAfter {
 			o.seen, o.worst = true, max(o.worst, n)
 		}
 	}
--- a/emulator/observe/failback.go
+++ b/emulator/observe/failback.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -11,7 +11,7 @@
 type failback struct {
 	teller
 	t      Terms
-	routes map[seen.Route]*returning
+	routes map[event.Route]*returning
 }
 
 // returning is a route that is out, or has been back for less than its time to warm.
@@ -31,17 +31,17 @@
 	knew   bool
 }
 
-func (o *failback) Wants() []seen.What {
-	return []seen.What{seen.OutageStart, seen.OutageOver, seen.Heard, seen.Reached}
+func (o *failback) Wants() []event.What {
+	return []event.What{event.OutageStart, event.OutageOver, event.Heard, event.Reached}
 }
 
-func (o *failback) See(e *seen.Event) {
+func (o *failback) See(e *event.Event) {
 	r := o.routes[e.Route]
 	switch e.What {
-	case seen.OutageStart:
+	case event.OutageStart:
 		o.routes[e.Route] = &returning{out: true, perS: e.Weight, learned: map[int32]bool{}}
 		return
-	case seen.OutageOver:
+	case event.OutageOver:
 		if r != nil {
 			r.out, r.at = false, e.At
 		}
@@ -50,7 +50,7 @@
 	if r == nil {
 		return
 	}
-	if e.What == seen.Heard {
+	if e.What == event.Heard {
 		if r.out && e.Outcome != api.Delivered && e.Outcome != api.NotSent {
 			r.learned[e.Dispatcher] = true
 		}
--- a/emulator/observe/fleet.go
+++ b/emulator/observe/fleet.go
@@ -5,7 +5,7 @@
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -13,10 +13,10 @@
 // after, how long it is silent where a dispatcher was lost, and what the way to a home takes.
 type Fleet struct {
 	t      Terms
-	routes map[seen.Route]*outage
+	routes map[event.Route]*outage
 	ends   map[api.DestinationID]*pulse
 	killed api.Micros
-	came   map[seen.Origin]api.Micros
+	came   map[event.Origin]api.Micros
 	hops   *hdr.Histogram
 	sum    Together
 	loads  float64
@@ -59,38 +59,38 @@
 
 // NewFleet starts with nothing seen.
 func NewFleet(t Terms) *Fleet {
-	return &Fleet{t: t, routes: map[seen.Route]*outage{}, ends: map[api.DestinationID]*pulse{},
-		came: map[seen.Origin]api.Micros{}, hops: newLatency(), killed: api.Never}
+	return &Fleet{t: t, routes: map[event.Route]*outage{}, ends: map[api.DestinationID]*pulse{},
+		came: map[event.Origin]api.Micros{}, hops: newLatency(), killed: api.Never}
 }
 
-func (f *Fleet) Wants() []seen.What {
-	return []seen.What{seen.Offered, seen.Handed, seen.OutageStart, seen.OutageOver, seen.CallOut, seen.Reached,
-		seen.Ended, seen.Killed}
+func (f *Fleet) Wants() []event.What {
+	return []event.What{event.Offered, event.Handed, event.OutageStart, event.OutageOver, event.CallOut, event.Reached,
+		event.Ended, event.Killed}
 }
 
-func (f *Fleet) See(e *seen.Event) {
+func (f *Fleet) See(e *event.Event) {
 	switch e.What {
-	case seen.Offered:
+	case event.Offered:
 		f.came[e.Origin] = e.At
-	case seen.Handed:
+	case event.Handed:
 		if at, ok := f.came[e.Origin]; ok {
 			delete(f.came, e.Origin)
 			f.sum.Handed++
 			note(f.hops, e.At-at)
 		}
-	case seen.OutageStart:
+	case event.OutageStart:
 		f.close(f.routes[e.Route])
 		f.routes[e.Route] = &outage{out: true, perS: e.Weight, callers: map[int32]bool{}}
-	case seen.OutageOver:
+	case event.OutageOver:
 		if r := f.routes[e.Route]; r != nil {
 			r.out, r.backAt = false, e.At
 		}
-	case seen.CallOut:
+	case event.CallOut:
 		if r := f.routes[e.Route]; r != nil && r.out {
 			r.calls++
 			r.callers[e.Dispatcher] = true
 		}
-	case seen.Reached:
+	case event.Reached:
 		if r := f.routes[e.Route]; r != nil && !r.out && e.At-r.backAt <= f.t.TipAfter {
 			r.sent += e.Weight
 		}
@@ -99,8 +99,8 @@
 	}
 }
 
-func (f *Fleet) beat(e *seen.Event) {
-	if e.What == seen.Killed {
+func (f *Fleet) beat(e *event.Event) {
+	if e.What == event.Killed {
 		f.killed = e.At
 		for _, p := range f.ends {
 			if !p.waits && float64(p.beats) >= busy*e.At.Seconds() {
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if e.End != seen.Delivered {
+	if e.End != event.Delivered {
 		return
 	}
 	p := f.ends[e.Destination]
--- a/emulator/observe/order.go
+++ b/emulator/observe/order.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -32,12 +32,12 @@
 	sentAlready bool
 }
 
-func (o *order) Wants() []seen.What {
-	return []seen.What{seen.Taken, seen.Resumed, seen.Sent, seen.Heard, seen.Ended, seen.Killed}
+func (o *order) Wants() []event.What {
+	return []event.What{event.Taken, event.Resumed, event.Sent, event.Heard, event.Ended, event.Killed}
 }
 
-func (o *order) See(e *seen.Event) {
-	if e.What == seen.Killed {
+func (o *order) See(e *event.Event) {
+	if e.What == event.Killed {
 		for k := range o.lines {
 			if k.d == e.Dispatcher {
 				delete(o.lines, k)
@@ -61,7 +61,7 @@
 	}
 	w := o.of[stayOf(e)]
 	if w == nil {
-		if e.What != seen.Taken && e.What != seen.Resumed {
+		if e.What != event.Taken && e.What != event.Resumed {
 			return
 		}
 		w = &ordered{id: e.Webhook, sentAlready: e.Attempt > 0}
@@ -69,19 +69,19 @@
 		q.in = append(q.in, w)
 	}
 	switch e.What {
-	case seen.Sent:
+	case event.Sent:
 		if q.in[0] != w {
 			o.breach(e, "sent while webhook %d of its key, taken before it, is not over", q.in[0].id)
 		} else if !w.sentAlready && e.At < q.restTo {
 			o.breach(e, "sent %.3f s before its key had rested", (q.restTo - e.At).Seconds())
 		}
 		w.out, w.sentAlready = true, true
-	case seen.Heard:
+	case event.Heard:
 		w.out = false
 		if e.Outcome.MayStillRun() {
 			q.restTo = max(q.restTo, e.At+o.t.TurnGap)
 		}
-	case seen.Ended:
+	case event.Ended:
 		w.over = true
 	}
 	if w.over && !w.out {
--- a/emulator/observe/recorder.go
+++ b/emulator/observe/recorder.go
@@ -5,7 +5,7 @@
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -18,7 +18,7 @@
 	out     outs
 	outNow  int
 	sum     Summary
-	cold    map[seen.Route]*returning
+	cold    map[event.Route]*returning
 	loads   []ColdLoad
 }
 
@@ -43,12 +43,12 @@
 // NewRecorder starts with nothing counted.
 func NewRecorder(t Terms) *Recorder {
 	return &Recorder{t: t, dests: map[api.DestinationID]*Destination{}, out: outs{},
-		cold: map[seen.Route]*returning{}}
+		cold: map[event.Route]*returning{}}
 }
 
-func (r *Recorder) Wants() []seen.What {
-	return []seen.What{seen.Offered, seen.TurnedAway, seen.Sent, seen.Ended, seen.GivenUp, seen.CallOut,
-		seen.CallBack, seen.Connected, seen.Reached, seen.Refused, seen.OutageStart, seen.OutageOver, seen.Fell}
+func (r *Recorder) Wants() []event.What {
+	return []event.What{event.Offered, event.TurnedAway, event.Sent, event.Ended, event.GivenUp, event.CallOut,
+		event.CallBack, event.Connected, event.Reached, event.Refused, event.OutageStart, event.OutageOver, event.Fell}
 }
 
 func (r *Recorder) second(at api.Micros) *Second {
@@ -67,25 +67,25 @@
 	return d
 }
 
-func (r *Recorder) See(e *seen.Event) {
+func (r *Recorder) See(e *event.Event) {
 	switch e.What {
-	case seen.Offered:
+	case event.Offered:
 		for len(r.origins) <= int(e.Origin) {
 			r.origins = append(r.origins, fate{cameAt: api.Never})
 		}
 		r.origins[e.Origin] = fate{cameAt: e.At, dest: e.Destination, evt: e.Type}
-	case seen.TurnedAway:
+	case event.TurnedAway:
 		r.sum.TurnedAway++
-	case seen.Sent:
+	case event.Sent:
 		r.sum.Attempts++
-	case seen.GivenUp:
+	case event.GivenUp:
 		r.origins[e.Origin].settle(givenUp, e.At)
-	case seen.Ended:
-		if how, ok := map[seen.End]verdict{seen.Delivered: delivered, seen.DeadLettered: deadLettered,
-			seen.Died: died}[e.End]; ok {
+	case event.Ended:
+		if how, ok := map[event.End]verdict{event.Delivered: delivered, event.DeadLettered: deadLettered,
+			event.Died: died}[e.End]; ok {
 			r.origins[e.Origin].settle(how, e.At)
 		}
-	case seen.CallOut:
+	case event.CallOut:
 		r.outNow++
 		r.sum.Calls++
 		s, d := r.second(e.At), r.dest(e.Destination)
@@ -93,28 +93,28 @@
 		s.Out = max(s.Out, r.outNow)
 		d.Calls++
 		d.Out = max(d.Out, r.out.see(e))
-	case seen.CallBack:
+	case event.CallBack:
 		r.outNow--
 		r.out.see(e)
-	case seen.Connected:
+	case event.Connected:
 		r.sum.Connects++
 		r.second(e.At).Connected++
-	case seen.Refused:
+	case event.Refused:
 		r.sum.Refused++
 		r.second(e.At).Refused++
 		r.dest(e.Destination).Refused++
-	case seen.Fell:
+	case event.Fell:
 		r.sum.Fell++
-	case seen.OutageStart:
+	case event.OutageStart:
 		delete(r.cold, e.Route)
-	case seen.OutageOver:
+	case event.OutageOver:
 		r.cold[e.Route] = &returning{at: e.At, perS: e.Weight}
-	case seen.Reached:
+	case event.Reached:
 		r.onCold(e)
 	}
 }
 
-func (r *Recorder) onCold(e *seen.Event) {
+func (r *Recorder) onCold(e *event.Event) {
 	c := r.cold[e.Route]
 	if c == nil {
 		return
--- a/emulator/observe/rules.go
+++ b/emulator/observe/rules.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -21,58 +21,58 @@
 
 type due struct {
 	by api.Micros
-	e  seen.Event
+	e  event.Event
 }
 
-func (o *lost) Wants() []seen.What {
-	return []seen.What{seen.Taken, seen.Resumed, seen.Ended, seen.Sent, seen.Killed, seen.Froze, seen.Handed,
-		seen.Passed}
+func (o *lost) Wants() []event.What {
+	return []event.What{event.Taken, event.Resumed, event.Ended, event.Sent, event.Killed, event.Froze, event.Handed,
+		event.Passed}
 }
 
-func (o *lost) See(e *seen.Event) {
+func (o *lost) See(e *event.Event) {
 	k := stayOf(e)
 	switch e.What {
-	case seen.Taken, seen.Resumed:
+	case event.Taken, event.Resumed:
 		o.open[k] = &due{max(e.TTL, e.At) + o.t.AnswerGrace, *e}
 		delete(o.homes.passed, k)
-	case seen.Handed:
+	case event.Handed:
 		o.homes.begin()
-	case seen.Passed: // there may have been a copy here, or none yet
+	case event.Passed: // there may have been a copy here, or none yet
 		delete(o.open, k)
 		if !o.homes.has(o, k, e.Other) {
 			o.breach(e, "said to be dispatcher %d's, which does not have it", e.Other)
 		}
-	case seen.Killed, seen.Froze:
+	case event.Killed, event.Froze:
 		if o.at == nil {
 			o.at = map[int32]api.Micros{}
 		}
 		until := e.Span
-		if e.What == seen.Froze {
+		if e.What == event.Froze {
 			until += e.At
 		}
 		o.at[e.Dispatcher] = max(o.at[e.Dispatcher], until+o.t.AnswerGrace)
-		if e.End == seen.Died { // it can't know what it had
+		if e.End == event.Died { // it can't know what it had
 			maps.DeleteFunc(o.ended, func(k stay, _ bool) bool { return k.d == e.Dispatcher })
 		}
-	case seen.Sent:
+	case event.Sent:
 		if o.ended[k] {
 			o.breach(e, "sent after its end")
 		} else if o.open[k] == nil {
 			o.breach(e, "sent by a dispatcher that did not take it on")
 		}
-	case seen.Ended:
+	case event.Ended:
 		d := o.open[k]
 		if d == nil {
-			if e.End != seen.Died { // one that died untaken is owed nothing
+			if e.End != event.Died { // one that died untaken is owed nothing
 				o.breach(e, "ended (%s) though it is not held", e.End)
 			}
 			return
 		}
-		if e.End != seen.Died && e.At > max(d.by, o.at[e.Dispatcher]) {
+		if e.End != event.Died && e.At > max(d.by, o.at[e.Dispatcher]) {
 			o.breach(e, "ended %.3f s late", (e.At - d.by).Seconds())
 		}
 		o.homes.ended(k)
-		if delete(o.open, k); e.End == seen.Died {
+		if delete(o.open, k); e.End == event.Died {
 			return
 		}
 		o.ended[k] = true
@@ -114,28 +114,28 @@
 	ranIn  api.ZoneID
 }
 
-func (o *twice) Wants() []seen.What {
-	return []seen.What{seen.Taken, seen.Resumed, seen.Sent, seen.Heard, seen.Ended, seen.Handed}
+func (o *twice) Wants() []event.What {
+	return []event.What{event.Taken, event.Resumed, event.Sent, event.Heard, event.Ended, event.Handed}
 }
 
-func (o *twice) See(e *seen.Event) {
+func (o *twice) See(e *event.Event) {
 	k, row := e.Webhook, o.t.EventTypes[min(int(e.Type), len(o.t.EventTypes)-1)]
 	w := o.of[k]
 	if w == nil {
-		if e.What != seen.Taken && e.What != seen.Resumed {
+		if e.What != event.Taken && e.What != event.Resumed {
 			return
 		}
 		w = &tries{mayRun: api.Never}
 		o.of[k] = w
 	}
 	switch e.What {
-	case seen.Resumed, seen.Handed: // what was out may have run
-		w.shared = w.shared || e.What == seen.Handed
+	case event.Resumed, event.Handed: // what was out may have run
+		w.shared = w.shared || e.What == event.Handed
 		if w.out && w.mayRun == api.Never {
 			w.mayRun, w.ranIn = w.sentAt, w.zone
 		}
 		w.out = false
-	case seen.Sent:
+	case event.Sent:
 		ran := w.mayRun != api.Never
 		switch {
 		case w.out:
@@ -153,14 +153,14 @@
 			o.breach(e, "tokened by zone, sent to another zone")
 		}
 		w.out, w.sentAt, w.zone = true, e.At, e.Zone
-	case seen.Heard:
+	case event.Heard:
 		w.out = false
 		if !e.Outcome.NeverRan() && w.mayRun == api.Never {
 			w.mayRun, w.ranIn = w.sentAt, w.zone
 		}
-	case seen.Ended:
+	case event.Ended:
 		mayRun := w.out || w.mayRun != api.Never
-		if e.End == seen.Rejected && mayRun && row.Repeat != api.Idempotent {
+		if e.End == event.Rejected && mayRun && row.Repeat != api.Idempotent {
 			o.breach(e, "rejected as harmless though it may have run")
 		}
 		if !w.out && !w.shared {
@@ -183,17 +183,17 @@
 	ep api.EndpointID
 }
 
-func (o *drain) Wants() []seen.What { return []seen.What{seen.Told, seen.Sent} }
+func (o *drain) Wants() []event.What { return []event.What{event.Told, event.Sent} }
 
-func (o *drain) See(e *seen.Event) {
+func (o *drain) See(e *event.Event) {
 	k := told{e.Dispatcher, e.Endpoint}
 	at, known := o.told[k]
 	switch {
-	case e.What == seen.Told && e.Standing == api.Listed:
+	case e.What == event.Told && e.Standing == api.Listed:
 		delete(o.told, k)
-	case e.What == seen.Told && !known:
+	case e.What == event.Told && !known:
 		o.told[k] = e.At
-	case e.What == seen.Sent && known && e.At > at+o.t.DrainGrace:
+	case e.What == event.Sent && known && e.At > at+o.t.DrainGrace:
 		o.breach(e, "sent to endpoint %d, %.3f s after it was told to drain", e.Endpoint, (e.At - at).Seconds())
 	}
 }
@@ -207,20 +207,20 @@
 	until map[toRoute]api.Micros
 }
 
-func (o *wait) Wants() []seen.What { return []seen.What{seen.Heard, seen.Sent, seen.Killed} }
+func (o *wait) Wants() []event.What { return []event.What{event.Heard, event.Sent, event.Killed} }
 
-func (o *wait) See(e *seen.Event) {
+func (o *wait) See(e *event.Event) {
 	k := toRouteOf(e)
 	switch e.What {
-	case seen.Heard:
+	case event.Heard:
 		if e.Wait > 0 {
 			o.until[k] = max(o.until[k], e.At+e.Wait)
 		}
-	case seen.Sent:
+	case event.Sent:
 		if until := o.until[k]; e.At < until {
 			o.breach(e, "sent %.6f s before the told wait was over", (until - e.At).Seconds())
 		}
-	case seen.Killed: // a restart ends the wait
+	case event.Killed: // a restart ends the wait
 		for k := range o.until {
 			if k.d == e.Dispatcher {
 				delete(o.until, k)
--- a/emulator/observe/tables.go
+++ b/emulator/observe/tables.go
@@ -9,7 +9,7 @@
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -33,7 +33,7 @@
 type ColdLoad struct {
 	Second      int
 	Destination api.DestinationID
-	Route       seen.Route
+	Route       event.Route
 	Came, Limit float64
 }
 
--- a/emulator/observe/watch.go
+++ b/emulator/observe/watch.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"math"
 
-	"rowanlink/emulator/seen"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -54,7 +54,7 @@
 }
 
 type rule interface {
-	seen.Observer
+	event.Observer
 	close(at api.Micros)
 }
 
@@ -67,7 +67,7 @@
 }
 
 type claim interface {
-	seen.Observer
+	event.Observer
 	judge() Claim
 }
 
@@ -76,13 +76,13 @@
 
 // NewWatch makes observers that hold a run to the terms.
 func NewWatch(t Terms) *Watch {
-	w := &Watch{Broken: map[string]int{}, history: history{events: map[api.WebhookID][]seen.Event{}}}
+	w := &Watch{Broken: map[string]int{}, history: history{events: map[api.WebhookID][]event.Event{}}}
 	tell := func(rule string) teller { return teller{w, rule} }
 	w.rules = []rule{
 		&lost{teller: tell("lost"), t: t, open: map[stay]*due{}, ended: map[stay]bool{}},
 		&twice{teller: tell("twice"), t: t, of: map[api.WebhookID]*tries{}},
 		&drain{teller: tell("drain"), t: t, told: map[told]api.Micros{}},
-		&failback{teller: tell("failback"), t: t, routes: map[seen.Route]*returning{}},
+		&failback{teller: tell("failback"), t: t, routes: map[event.Route]*returning{}},
 		&order{teller: tell("order"), t: t, lines: map[line]*queue{}, of: map[stay]*ordered{}},
 		&wait{teller: tell("wait"), until: map[toRoute]api.Micros{}},
 	}
@@ -96,7 +96,7 @@
 }
 
 // Join puts the observers on a bus.
-func (w *Watch) Join(b *seen.Bus) {
+func (w *Watch) Join(b *event.Bus) {
 	b.Join(&w.history)
 	for _, r := range w.rules {
 		b.Join(r)
@@ -129,11 +129,11 @@
 
 type toRoute struct {
 	d int32
-	r seen.Route
+	r event.Route
 }
 
-func stayOf(e *seen.Event) stay       { return stay{e.Dispatcher, e.Webhook} }
-func toRouteOf(e *seen.Event) toRoute { return toRoute{e.Dispatcher, e.Route} }
+func stayOf(e *event.Event) stay       { return stay{e.Dispatcher, e.Webhook} }
+func toRouteOf(e *event.Event) toRoute { return toRoute{e.Dispatcher, e.Route} }
 
 // teller writes breaches of one rule down.
 type teller struct {
@@ -141,7 +141,7 @@
 	rule string
 }
 
-func (t teller) breach(e *seen.Event, text string, args ...any) {
+func (t teller) breach(e *event.Event, text string, args ...any) {
 	t.w.Broken[t.rule]++
 	if len(t.w.Breaches) >= keptBreaches {
 		return
@@ -156,22 +156,22 @@
 
 // history keeps the last events of each webhook, and those of one that is over for a while.
 type history struct {
-	events map[api.WebhookID][]seen.Event
+	events map[api.WebhookID][]event.Event
 	ended  []api.WebhookID
 }
 
-func (h *history) Wants() []seen.What {
-	return []seen.What{seen.Taken, seen.Resumed, seen.Sent, seen.Heard, seen.Ended}
+func (h *history) Wants() []event.What {
+	return []event.What{event.Taken, event.Resumed, event.Sent, event.Heard, event.Ended}
 }
 
-func (h *history) See(e *seen.Event) {
+func (h *history) See(e *event.Event) {
 	of := h.events[e.Webhook]
 	if len(of) == keptEvents {
 		copy(of, of[1:])
 		of = of[:keptEvents-1]
 	}
 	h.events[e.Webhook] = append(of, *e)
-	if e.What != seen.Ended {
+	if e.What != event.Ended {
 		return
 	}
 	if h.ended = append(h.ended, e.Webhook); len(h.ended) > keptEnded {
@@ -183,12 +183,12 @@
 // outs counts the calls that each dispatcher has out to each route.
 type outs map[toRoute]int
 
-func (o outs) see(e *seen.Event) int {
+func (o outs) see(e *event.Event) int {
 	k := toRouteOf(e)
 	switch e.What {
-	case seen.CallOut:
+	case event.CallOut:
 		o[k]++
-	case seen.CallBack:
+	case event.CallBack:
 		if o[k]--; o[k] <= 0 {
 			delete(o, k)
 		}
--- a/emulator/sender.go
+++ b/emulator/sender.go
@@ -2,7 +2,7 @@
 
 import (
 	"rowanlink/cluster/shardmap"
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 )
 
 // told is an answer at the sender.
@@ -20,7 +20,7 @@
 	delete(d.member.out, n)
 	switch {
 	case o.reply == shardmap.Has && o.fresh:
-		h.m.Bus.Emit(h.m.about(seen.Passed, d, o.h, seen.Event{Other: o.to}))
+		h.m.Bus.Emit(h.m.about(eventpkg.Passed, d, o.h, eventpkg.Event{Other: o.to}))
 	case !o.fresh && (!o.h.offered || o.h.offer != n): // settled by another message
 	case o.reply == shardmap.Has:
 		h.drop(d, o.h, o.to)
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"rowanlink/emulator/seen"
+	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -118,15 +118,15 @@
 		return
 	}
 	r.out, r.load = out, loads{}
-	e := seen.Event{
+	e := eventpkg.Event{
 		At:          m.now,
-		What:        seen.OutageStart,
-		Route:       seen.Route(ri),
+		What:        eventpkg.OutageStart,
+		Route:       eventpkg.Route(ri),
 		Destination: r.dest,
 		Weight:      r.perS,
 	}
 	if r.backAt = never; !out {
-		e.What, r.backAt = seen.OutageOver, m.now
+		e.What, r.backAt = eventpkg.OutageOver, m.now
 		r.tokens, r.tokensAt, r.used, r.begun = 0, m.now, 0, m.now
 	}
 	m.Bus.Emit(e)
--- a/lab/run.go
+++ b/lab/run.go
@@ -14,8 +14,8 @@
 
 	"rowanlink/emulator"
 	"rowanlink/emulator/observe"
-	"rowanlink/emulator/seen"
 	"rowanlink/lab/baseline"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
@@ -102,7 +102,7 @@
 }
 
 // PlayWith runs a scenario with any module, under further observers where there are any.
-func PlayWith(s *emulator.Scenario, start emulator.Starter, measured bool, also ...seen.Observer) *Result {
+func PlayWith(s *emulator.Scenario, start emulator.Starter, measured bool, also ...event.Observer) *Result {
 	m := emulator.New(s, start)
 	m.Clocked = measured
 	watch, recorder := observe.NewWatch(Terms(s)), observe.NewRecorder(Terms(s))
--- a/emulator/seen/seen.go
+++ b/sim/event/seen.go
@@ -1,6 +1,6 @@
-// Package seen holds what happens in an emulated fleet as plain events. The model writes them, observers and
+// Package event holds what happens in an emulated fleet as plain events. The model writes them, observers and
 // recorders read them, and neither knows the other.
-package seen
+package event
 
 import (
 	"fmt"
