--- a/emulator/helpers_test.go
+++ b/emulator/helpers_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/emulator"
-	"rowanlink/emulator/observe"
 	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
@@ -53,13 +53,13 @@
 	s *emulator.Scenario,
 	start emulator.Starter,
 	what ...eventpkg.What,
-) (*observe.Watch, []eventpkg.Event,
-	observe.Summary) {
+) (*invariant.Watch, []eventpkg.Event,
+	invariant.Summary) {
 	require.NoError(t, s.Check())
 	m := emulator.New(s, start)
-	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
+	terms := invariant.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
-	w, r, l := observe.NewWatch(terms), observe.NewRecorder(terms), &log{wants: what}
+	w, r, l := invariant.NewWatch(terms), invariant.NewRecorder(terms), &log{wants: what}
 	w.Join(&m.Bus)
 	m.Bus.Join(r, l)
 	w.Close(m.Run())
@@ -135,7 +135,7 @@
 	return list
 }
 
-func texts(b []observe.Breach) (s string) {
+func texts(b []invariant.Breach) (s string) {
 	for _, x := range b[:min(len(b), 3)] {
 		s += fmt.Sprintln(x)
 	}
--- a/emulator/homes_test.go
+++ b/emulator/homes_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/emulator"
-	"rowanlink/emulator/observe"
 	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 )
 
@@ -48,9 +48,9 @@
 }
 
 type homesRun struct {
-	*observe.Watch
-	observe.Summary
-	observe.Together
+	*invariant.Watch
+	invariant.Summary
+	invariant.Together
 	all []eventpkg.Event
 }
 
@@ -67,9 +67,9 @@
 	require.NoError(t, s.Check())
 	m := emulator.New(s, module)
 	spoil(m)
-	terms := observe.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
+	terms := invariant.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
-	w, r, f := observe.NewWatch(terms), observe.NewRecorder(terms), observe.NewFleet(terms)
+	w, r, f := invariant.NewWatch(terms), invariant.NewRecorder(terms), invariant.NewFleet(terms)
 	l := &log{wants: []eventpkg.What{eventpkg.CallOut, eventpkg.Ended}}
 	w.Join(&m.Bus)
 	m.Bus.Join(r, f, l)
--- a/lab/homes.go
+++ b/lab/homes.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 
 	"rowanlink/emulator"
-	"rowanlink/emulator/observe"
+	"rowanlink/sim/invariant"
 )
 
 // EvenParts is the way of sharing in which each dispatcher has an even part of each rate. The others have
@@ -37,7 +37,7 @@
 	Broken         int     // runs in which a rule was
 	Rules          map[string]int
 	Unended        int
-	observe.Together
+	invariant.Together
 }
 
 // CompareHomes plays each point of a sweep with each way of sharing, side by side. free adds the one that
@@ -52,12 +52,12 @@
 			return nil, fmt.Errorf("%s has no table homes: there is nothing to compare", s.Base)
 		}
 	}
-	results, seen := make([]*Result, len(points)*ways), make([]observe.Together, len(points)*ways)
+	results, seen := make([]*Result, len(points)*ways), make([]invariant.Together, len(points)*ways)
 	Parallel(runtime.GOMAXPROCS(0), len(results), func(i int) {
 		defer step()
 		run := *points[i/ways].scenario
 		run.Homes = sharing(run.Homes, i%ways)
-		fleet := observe.NewFleet(Terms(&run))
+		fleet := invariant.NewFleet(Terms(&run))
 		results[i] = PlayWith(&run, policies[Module], false, fleet)
 		seen[i] = fleet.Close()
 	})
@@ -96,7 +96,7 @@
 	return h
 }
 
-func (s *Shared) add(r *Result, t observe.Together) {
+func (s *Shared) add(r *Result, t invariant.Together) {
 	s.Value += r.Value
 	s.Refused += float64(r.Refused) / float64(max(r.Calls, 1))
 	s.P50, s.P99 = s.P50+r.P50, s.P99+r.P99
@@ -146,7 +146,7 @@
 		}
 		if s.Broken > 0 {
 			broken = strconv.Itoa(s.Broken)
-			for _, rule := range observe.Rules {
+			for _, rule := range invariant.Rules {
 				if s.Rules[rule] > 0 {
 					broken += " " + rule
 				}
--- a/lab/run.go
+++ b/lab/run.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"rowanlink/emulator"
-	"rowanlink/emulator/observe"
 	"rowanlink/lab/baseline"
 	"rowanlink/sim/event"
+	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
@@ -43,19 +43,19 @@
 
 // Result is one run in figures. All but Cost is the same each time.
 type Result struct {
-	Scenario string          `json:"scenario"`
-	Policy   string          `json:"policy"`
-	Seed     uint64          `json:"seed"`
-	Ended    float64         `json:"ended_s"` // simulated
-	Events   int             `json:"events"`
-	Peak     int             `json:"peak_events"` // waiting at once
-	Broken   map[string]int  `json:"broken"`
-	Claims   []observe.Claim `json:"claims"`
-	observe.Summary
-	Breaches []observe.Breach `json:"breaches,omitempty"`
-	Cost     *Cost            `json:"cost,omitempty"`
-
-	recorder *observe.Recorder
+	Scenario string            `json:"scenario"`
+	Policy   string            `json:"policy"`
+	Seed     uint64            `json:"seed"`
+	Ended    float64           `json:"ended_s"` // simulated
+	Events   int               `json:"events"`
+	Peak     int               `json:"peak_events"` // waiting at once
+	Broken   map[string]int    `json:"broken"`
+	Claims   []invariant.Claim `json:"claims"`
+	invariant.Summary
+	Breaches []invariant.Breach `json:"breaches,omitempty"`
+	Cost     *Cost              `json:"cost,omitempty"`
+
+	recorder *invariant.Recorder
 }
 
 // Cost is what a run took on this machine; it is measured only where it is asked for.
@@ -71,10 +71,10 @@
 func (r *Result) RulesBroken() bool { return len(r.Broken) > 0 }
 
 // Terms are what observers hold a scenario's run to.
-func Terms(s *emulator.Scenario) observe.Terms {
+func Terms(s *emulator.Scenario) invariant.Terms {
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
 	grace := 3*api.Micros(s.Dispatchers.Tick) + api.Second/20
-	return observe.Terms{
+	return invariant.Terms{
 		Facts:       s.Facts(0, 0),
 		DrainGrace:  api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: grace,
@@ -105,7 +105,7 @@
 func PlayWith(s *emulator.Scenario, start emulator.Starter, measured bool, also ...event.Observer) *Result {
 	m := emulator.New(s, start)
 	m.Clocked = measured
-	watch, recorder := observe.NewWatch(Terms(s)), observe.NewRecorder(Terms(s))
+	watch, recorder := invariant.NewWatch(Terms(s)), invariant.NewRecorder(Terms(s))
 	watch.Join(&m.Bus)
 	m.Bus.Join(recorder)
 	m.Bus.Join(also...)
--- a/emulator/observe/claims.go
+++ b/sim/invariant/claims.go
@@ -1,4 +1,4 @@
-package observe
+package invariant
 
 import (
 	"fmt"
--- a/emulator/observe/passed.go
+++ b/sim/invariant/passed.go
@@ -1,4 +1,4 @@
-package observe
+package invariant
 
 // fromHomes follows webhooks that dispatchers with homes pass to one another; it is nil while none does.
 type fromHomes struct {
--- a/emulator/observe/watch.go
+++ b/sim/invariant/watch.go
@@ -1,7 +1,7 @@
-// Package observe holds the observers of an emulated run: one for each rule, one for each claim that the
+// Package invariant holds the observers of an emulated run: one for each rule, one for each claim that the
 // design makes of what can be seen from outside, and a recorder that makes tables. They read events and
 // nothing else; none knows the model or a module.
-package observe
+package invariant
 
 import (
 	"fmt"
