--- a/lab/compare.go
+++ b/lab/compare.go
@@ -7,7 +7,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 )
 
 // Comparison is two policies on the same runs. Diff is A's value less B's, seed by seed.
@@ -33,7 +33,7 @@
 )
 
 // Compare plays both policies with seeds 1 to n, side by side on all cores.
-func Compare(s *emulator.Scenario, a, b string, n int, step func()) (*Comparison, error) {
+func Compare(s *engine.Scenario, a, b string, n int, step func()) (*Comparison, error) {
 	c := &Comparison{Scenario: s.Name, A: a, B: b, ValuesA: make([]float64, n), ValuesB: make([]float64, n)}
 	broken, failed := make([]bool, 2*n), make([]error, 2*n)
 	Parallel(runtime.GOMAXPROCS(0), 2*n, func(i int) {
--- a/lab/file.go
+++ b/lab/file.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 )
 
 // FileError is what is wrong with a file, with its place. Line is from 1, or 0 where the file as a whole is
@@ -38,7 +38,7 @@
 }
 
 // Load reads a scenario. All that is wrong is named at once, as joined FileErrors.
-func Load(path string) (*emulator.Scenario, error) {
+func Load(path string) (*engine.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -47,8 +47,8 @@
 }
 
 // Parse is Load on text already read; path only names it in errors.
-func Parse(path string, text []byte) (*emulator.Scenario, error) {
-	s := &emulator.Scenario{}
+func Parse(path string, text []byte) (*engine.Scenario, error) {
+	s := &engine.Scenario{}
 	if err := decode(path, text, s); err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, FileError{File: path, Text: err.Error()}
 	}
-	if bare := bareTimes(tree, reflect.TypeFor[emulator.Scenario](), ""); len(bare) > 0 {
+	if bare := bareTimes(tree, reflect.TypeFor[engine.Scenario](), ""); len(bare) > 0 {
 		return nil, placed(path, text, errors.Join(bare...))
 	}
 	s.Complete()
@@ -113,8 +113,8 @@
 			faults = append(faults, bareTimes(v, t.Elem(), at)...)
 		}
 	default:
-		if _, text := tree.(string); t == reflect.TypeFor[emulator.Span]() && !text {
-			faults = append(faults, emulator.Fault{Key: key,
+		if _, text := tree.(string); t == reflect.TypeFor[engine.Span]() && !text {
+			faults = append(faults, engine.Fault{Key: key,
 				Text: fmt.Sprintf("%v has no unit: write a time like \"250ms\"", tree)})
 		}
 	}
@@ -130,7 +130,7 @@
 		return FileError{File: path, Text: err.Error()}
 	}
 	for _, e := range list.Unwrap() {
-		var f emulator.Fault
+		var f engine.Fault
 		if !errors.As(e, &f) {
 			all = append(all, FileError{File: path, Text: e.Error()})
 			continue
@@ -178,4 +178,4 @@
 }
 
 // Text writes a scenario in the form that Parse reads.
-func Text(s *emulator.Scenario) ([]byte, error) { return toml.Marshal(s) }
+func Text(s *engine.Scenario) ([]byte, error) { return toml.Marshal(s) }
--- a/lab/grid.go
+++ b/lab/grid.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pelletier/go-toml/v2"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 )
 
 // Sweep is a grid: each point of it is played with each policy and each seed.
@@ -31,7 +31,7 @@
 
 // point is one run to be played.
 type point struct {
-	scenario *emulator.Scenario
+	scenario *engine.Scenario
 	policy   string
 	axes     []string
 	key      string // of the scenario's whole text and the policy: a row of another text is never taken for it
--- a/lab/helpers_test.go
+++ b/lab/helpers_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 )
 
 // small is a scenario that plays in some milliseconds, as text; change swaps parts of it.
@@ -49,7 +49,7 @@
 	return path
 }
 
-func parsed(t *testing.T, text string) *emulator.Scenario {
+func parsed(t *testing.T, text string) *engine.Scenario {
 	s, err := Parse("small.toml", []byte(text))
 	require.NoError(t, err)
 	return s
--- a/lab/homes.go
+++ b/lab/homes.go
@@ -9,7 +9,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 	"rowanlink/sim/invariant"
 )
 
@@ -18,7 +18,7 @@
 // lost.
 const EvenParts = "even parts"
 
-func homesBy(h emulator.Homes) string {
+func homesBy(h engine.Homes) string {
 	return fmt.Sprintf("homes, hop %g, lost %g%%", h.Hop, 100*h.Lost)
 }
 
@@ -86,10 +86,10 @@
 }
 
 // sharing is a scenario's homes by each way: none, as they are, with free hops.
-func sharing(h emulator.Homes, way int) emulator.Homes {
+func sharing(h engine.Homes, way int) engine.Homes {
 	switch way {
 	case 0:
-		return emulator.Homes{}
+		return engine.Homes{}
 	case 2:
 		h.Hop, h.Lost = 0, 0
 	}
--- a/lab/hunt.go
+++ b/lab/hunt.go
@@ -6,12 +6,12 @@
 	"runtime"
 	"slices"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 )
 
 // Hunt searches round a scenario for the run that breaks a rule, or else loses most, and makes it small.
 type Hunt struct {
-	Start emulator.Starter
+	Start engine.Starter
 	Runs  int // at most, for the search; as many again for the shrinking
 	Seed  uint64
 	Step  func()
@@ -19,7 +19,7 @@
 
 // Found is the worst run of a hunt, as a scenario that plays it again.
 type Found struct {
-	Scenario *emulator.Scenario
+	Scenario *engine.Scenario
 	Rule     string // that it breaks, or none
 	Loss     float64
 	Played   int // runs in all
@@ -30,9 +30,9 @@
 const kept = 0.9
 
 // Find hunts. The same scenario, seed and module give the same find.
-func (h *Hunt) Find(base *emulator.Scenario) *Found {
+func (h *Hunt) Find(base *engine.Scenario) *Found {
 	chance := rand.New(rand.NewPCG(h.Seed, 0))
-	tries := make([]*emulator.Scenario, h.Runs)
+	tries := make([]*engine.Scenario, h.Runs)
 	for i := range tries {
 		tries[i] = vary(base, chance)
 	}
@@ -71,25 +71,25 @@
 }
 
 // vary draws one to three troubles, their sizes and timings, and a load.
-func vary(base *emulator.Scenario, chance *rand.Rand) *emulator.Scenario {
+func vary(base *engine.Scenario, chance *rand.Rand) *engine.Scenario {
 	s := *base
 	s.Seed = 1 + chance.Uint64N(1<<31)
 	s.Troubles = nil
 	s.Dispatchers.Count = max(int(float64(base.Dispatchers.Count)*(0.5+chance.Float64())), 1)
 	each := base.Clients.Rate / float64(base.Dispatchers.Count) // an overload is no find
 	s.Clients.Rate = round(each * float64(s.Dispatchers.Count) * (0.5 + chance.Float64()/2))
-	kinds := emulator.TroubleKinds()
+	kinds := engine.TroubleKinds()
 	for range 1 + chance.IntN(3) {
 		s.Troubles = append(s.Troubles, draw(&s, kinds[chance.IntN(len(kinds))], chance))
 	}
 	return &s
 }
 
-func draw(s *emulator.Scenario, kind string, chance *rand.Rand) emulator.Trouble {
+func draw(s *engine.Scenario, kind string, chance *rand.Rand) engine.Trouble {
 	length := float64(s.Length)
-	t := emulator.Trouble{Kind: kind, At: span(length * (0.1 + 0.5*chance.Float64())),
+	t := engine.Trouble{Kind: kind, At: span(length * (0.1 + 0.5*chance.Float64())),
 		For: span(length * (0.05 + 0.3*chance.Float64()))}
-	n := emulator.Needs(kind)
+	n := engine.Needs(kind)
 	switch kind {
 	case "replace":
 		t.Address = []string{"new", "same"}[chance.IntN(2)]
@@ -131,7 +131,7 @@
 }
 
 // span keeps drawn times short to read: whole tenths of a second.
-func span(us float64) emulator.Span { return emulator.Span(max(us/1e5, 1)) * 100_000 }
+func span(us float64) engine.Span { return engine.Span(max(us/1e5, 1)) * 100_000 }
 
 func round(x float64) float64 { return float64(int(x*100)) / 100 }
 
@@ -167,8 +167,8 @@
 }
 
 // steps are the ways in which a scenario may get smaller by one step.
-func steps(s *emulator.Scenario) (all []*emulator.Scenario) {
-	with := func(change func(*emulator.Scenario) bool) {
+func steps(s *engine.Scenario) (all []*engine.Scenario) {
+	with := func(change func(*engine.Scenario) bool) {
 		c := *s
 		c.Troubles = slices.Clone(s.Troubles)
 		for i := range c.Troubles {
@@ -179,39 +179,39 @@
 		}
 	}
 	for i := range s.Troubles {
-		with(func(c *emulator.Scenario) bool {
+		with(func(c *engine.Scenario) bool {
 			c.Troubles = slices.Delete(c.Troubles, i, i+1)
 			return true
 		})
-		with(func(c *emulator.Scenario) bool {
+		with(func(c *engine.Scenario) bool {
 			t := &c.Troubles[i]
 			t.For = t.For / 2 / 100_000 * 100_000
 			return t.For > 0
 		})
-		with(func(c *emulator.Scenario) bool {
+		with(func(c *engine.Scenario) bool {
 			t := &c.Troubles[i]
 			t.Busiest /= 2
 			return t.Busiest > 0
 		})
-		with(func(c *emulator.Scenario) bool {
+		with(func(c *engine.Scenario) bool {
 			t := &c.Troubles[i]
 			t.Dispatchers = t.Dispatchers[:len(t.Dispatchers)/2]
 			return len(t.Dispatchers) > 0
 		})
 	}
-	with(func(c *emulator.Scenario) bool {
-		last := emulator.Span(0)
+	with(func(c *engine.Scenario) bool {
+		last := engine.Span(0)
 		for _, t := range c.Troubles {
 			last = max(last, t.At+t.For)
 		}
 		c.Length = max(c.Length*3/4, last) / 100_000 * 100_000
 		return c.Length < s.Length
 	})
-	with(func(c *emulator.Scenario) bool {
+	with(func(c *engine.Scenario) bool {
 		c.Clients.Rate = round(c.Clients.Rate * 0.7)
 		return c.Clients.Rate >= 1
 	})
-	with(func(c *emulator.Scenario) bool {
+	with(func(c *engine.Scenario) bool {
 		c.Dispatchers.Count = c.Dispatchers.Count * 2 / 3
 		c.Clients.Rate = round(c.Clients.Rate * float64(c.Dispatchers.Count) / float64(s.Dispatchers.Count))
 		for i := range c.Troubles {
@@ -224,16 +224,16 @@
 		}
 		return c.Dispatchers.Count > 0
 	})
-	with(func(c *emulator.Scenario) bool { // the idle ones; fewer busy ones are busier
+	with(func(c *engine.Scenario) bool { // the idle ones; fewer busy ones are busier
 		c.Destinations.Count = max(c.Destinations.Count*2/3, c.Destinations.Busy)
 		return c.Destinations.Count < s.Destinations.Count
 	})
-	with(func(c *emulator.Scenario) bool {
+	with(func(c *engine.Scenario) bool {
 		c.Destinations.Busy = c.Destinations.Busy * 2 / 3
 		c.Clients.Rate = round(c.Clients.Rate * 2 / 3)
 		return c.Destinations.Busy > 0 && c.Clients.Rate >= 1
 	})
-	with(func(c *emulator.Scenario) bool {
+	with(func(c *engine.Scenario) bool {
 		c.Tenants = nil
 		return len(s.Tenants) > 0
 	})
--- a/lab/run.go
+++ b/lab/run.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"rowanlink/emulator"
 	"rowanlink/lab/baseline"
+	"rowanlink/sim/engine"
 	"rowanlink/sim/event"
 	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
@@ -24,7 +24,7 @@
 const Module = "module"
 
 // policies are what a scenario can be played with. All but the module are for comparison only.
-var policies = map[string]emulator.Starter{
+var policies = map[string]engine.Starter{
 	Module: func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) },
 	"once": func(f api.Facts, h api.Host) api.Module { return baseline.New(f, h, 1, baseline.None) },
 	"eager": func(f api.Facts, h api.Host) api.Module {
@@ -71,7 +71,7 @@
 func (r *Result) RulesBroken() bool { return len(r.Broken) > 0 }
 
 // Terms are what observers hold a scenario's run to.
-func Terms(s *emulator.Scenario) invariant.Terms {
+func Terms(s *engine.Scenario) invariant.Terms {
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
 	grace := 3*api.Micros(s.Dispatchers.Tick) + api.Second/20
 	return invariant.Terms{
@@ -82,7 +82,7 @@
 }
 
 // Starter is the policy of that name.
-func Starter(policy string) (emulator.Starter, error) {
+func Starter(policy string) (engine.Starter, error) {
 	start, ok := policies[policy]
 	if !ok {
 		return nil, fmt.Errorf("no policy is called %q: there are %s", policy, strings.Join(Policies(), ", "))
@@ -91,7 +91,7 @@
 }
 
 // Play runs a scenario with the named policy.
-func Play(s *emulator.Scenario, policy string, measured bool) (*Result, error) {
+func Play(s *engine.Scenario, policy string, measured bool) (*Result, error) {
 	start, err := Starter(policy)
 	if err != nil {
 		return nil, err
@@ -102,8 +102,8 @@
 }
 
 // PlayWith runs a scenario with any module, under further observers where there are any.
-func PlayWith(s *emulator.Scenario, start emulator.Starter, measured bool, also ...event.Observer) *Result {
-	m := emulator.New(s, start)
+func PlayWith(s *engine.Scenario, start engine.Starter, measured bool, also ...event.Observer) *Result {
+	m := engine.New(s, start)
 	m.Clocked = measured
 	watch, recorder := invariant.NewWatch(Terms(s)), invariant.NewRecorder(Terms(s))
 	watch.Join(&m.Bus)
@@ -135,7 +135,7 @@
 	Modules  map[string]string `json:"modules"`
 }
 
-func newManifest(s *emulator.Scenario, policies []string, seeds []uint64) manifest {
+func newManifest(s *engine.Scenario, policies []string, seeds []uint64) manifest {
 	m := manifest{Scenario: s.Name, Policies: policies, Seeds: seeds, Go: runtime.Version(),
 		Modules: map[string]string{}}
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -157,7 +157,7 @@
 }
 
 // Save writes a run's folder: the scenario, a manifest, the summary and the tables.
-func Save(dir string, s *emulator.Scenario, r *Result) error {
+func Save(dir string, s *engine.Scenario, r *Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/emulator/emulator_test.go
+++ b/sim/engine/emulator_test.go
@@ -1,4 +1,4 @@
-package emulator_test
+package engine_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/emulator"
 	"rowanlink/lab/baseline"
+	"rowanlink/sim/engine"
 	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
@@ -20,10 +20,10 @@
 
 func TestTroublesOverlapAndEndInAnyOrder(t *testing.T) {
 	s := plain(
-		emulator.Trouble{Kind: "shut", At: 5 * sec, For: 6 * sec, Destinations: []int{0}},
-		emulator.Trouble{Kind: "slow", At: 7 * sec, For: 12 * sec, Destinations: []int{0}, Size: 3},
-		emulator.Trouble{Kind: "down", At: 8 * sec, For: 10 * sec, Destinations: []int{1}},
-		emulator.Trouble{Kind: "hang", At: 6 * sec, For: 20 * sec, Destinations: []int{1}})
+		engine.Trouble{Kind: "shut", At: 5 * sec, For: 6 * sec, Destinations: []int{0}},
+		engine.Trouble{Kind: "slow", At: 7 * sec, For: 12 * sec, Destinations: []int{0}, Size: 3},
+		engine.Trouble{Kind: "down", At: 8 * sec, For: 10 * sec, Destinations: []int{1}},
+		engine.Trouble{Kind: "hang", At: 6 * sec, For: 20 * sec, Destinations: []int{1}})
 	w, events, _ := play(t, s, module, eventpkg.OutageStart, eventpkg.OutageOver)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	got := map[api.DestinationID][]api.Micros{}
@@ -36,7 +36,7 @@
 
 func TestKilledInTheVeryTurnThatTakesAWebhookOn(t *testing.T) {
 	for _, journal := range []bool{true, false} {
-		s := plain(emulator.Trouble{Kind: "kill", At: 5 * sec, For: sec, Dispatchers: []int{0}, Journal: journal,
+		s := plain(engine.Trouble{Kind: "kill", At: 5 * sec, For: sec, Dispatchers: []int{0}, Journal: journal,
 			InTurn: true})
 		w, events, sum := play(t, s, module, eventpkg.Taken, eventpkg.Killed, eventpkg.Resumed, eventpkg.Ended, eventpkg.Sent)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
@@ -72,8 +72,8 @@
 }
 
 func TestWhatADeadDispatcherHadOutReachesNobodyAndIsHandedOn(t *testing.T) {
-	s := plain(emulator.Trouble{Kind: "hang", At: 4 * sec, For: 20 * sec, Busiest: 8},
-		emulator.Trouble{Kind: "kill", At: 6 * sec, For: 30 * sec, Dispatchers: []int{0}})
+	s := plain(engine.Trouble{Kind: "hang", At: 4 * sec, For: 20 * sec, Busiest: 8},
+		engine.Trouble{Kind: "kill", At: 6 * sec, For: 30 * sec, Dispatchers: []int{0}})
 	w, events, _ := play(t, s, module, eventpkg.Taken, eventpkg.Killed, eventpkg.Heard, eventpkg.Ended, eventpkg.Sent)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	dead := false
@@ -105,7 +105,7 @@
 }
 
 func TestAReturningDestinationThatIsPushedFalls(t *testing.T) {
-	s := plain(emulator.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 1})
+	s := plain(engine.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 1})
 	s.Clients.Rate, s.Dispatchers.Slots, s.Events = 400, 400, s.Events[:1]
 	hammer := func(f api.Facts, h api.Host) api.Module {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
@@ -131,7 +131,7 @@
 
 func TestAnEndpointThatIsReplacedDrainsAndItsAddressMayServeOn(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
-		s := plain(emulator.Trouble{Kind: "replace", At: 5 * sec, Busiest: 1, Drain: 4 * sec, Address: address})
+		s := plain(engine.Trouble{Kind: "replace", At: 5 * sec, Busiest: 1, Drain: 4 * sec, Address: address})
 		w, events, _ := play(t, s, module, eventpkg.Sent, eventpkg.Told)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		last := events[len(events)-1]
@@ -166,7 +166,7 @@
 
 func TestAPlannedRestartHandsOverAndServesOn(t *testing.T) {
 	s := plain(
-		emulator.Trouble{Kind: "restart", At: 5 * sec, For: sec / 2, Drain: 2 * sec, Dispatchers: []int{0}},
+		engine.Trouble{Kind: "restart", At: 5 * sec, For: sec / 2, Drain: 2 * sec, Dispatchers: []int{0}},
 	)
 	w, events, sum := play(t, s, module, eventpkg.Taken, eventpkg.Started)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
@@ -184,7 +184,7 @@
 }
 
 func TestAFrontDealsUnevenlyAndAHotDestinationDrawsItsShare(t *testing.T) {
-	s := plain(emulator.Trouble{Kind: "hot", For: 30 * sec, Destinations: []int{7}, Size: 0.5})
+	s := plain(engine.Trouble{Kind: "hot", For: 30 * sec, Destinations: []int{7}, Size: 0.5})
 	s.Dispatchers.FrontSkew, s.Events = 0.8, s.Events[:1]
 	_, events, sum := play(t, s, module, eventpkg.Taken, eventpkg.Offered)
 	taken, hot := map[int32]int{}, 0
--- a/emulator/fleet_test.go
+++ b/sim/engine/fleet_test.go
@@ -1,21 +1,21 @@
-package emulator_test
+package engine_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
 // fleet is forty dispatchers in front of six destinations: none sees more than a call a second of most.
-func fleet(troubles ...emulator.Trouble) *emulator.Scenario {
+func fleet(troubles ...engine.Trouble) *engine.Scenario {
 	s := plain(troubles...)
 	s.Dispatchers.Count, s.Dispatchers.Slots, s.Dispatchers.Buffer = 40, 6, 80
 	s.Clients.Rate, s.Destinations.Count, s.Destinations.Busy, s.Length = 200, 6, 6, 25*sec
-	s.Events = []emulator.EventType{s.Events[1]}
+	s.Events = []engine.EventType{s.Events[1]}
 	s.Kinds[0].Headroom = 1.5
 	return s
 }
@@ -31,25 +31,25 @@
 // Each is harmless to one dispatcher. Rules are kept, each webhook has its end, nothing is pushed over,
 // and what is delivered is worth a stated part of all.
 func TestAFleetsHardDays(t *testing.T) {
-	lowered := emulator.Trouble{Kind: "limit", At: 6 * sec, For: 9 * sec, Busiest: 3, Size: 1.0 / 3}
-	down := emulator.Trouble{Kind: "down", At: 6 * sec, For: 5 * sec, Busiest: 2}
+	lowered := engine.Trouble{Kind: "limit", At: 6 * sec, For: 9 * sec, Busiest: 3, Size: 1.0 / 3}
+	down := engine.Trouble{Kind: "down", At: 6 * sec, For: 5 * sec, Busiest: 2}
 	for name, day := range map[string]struct {
-		troubles []emulator.Trouble
-		change   func(s *emulator.Scenario)
+		troubles []engine.Trouble
+		change   func(s *engine.Scenario)
 		worth    float64
 	}{
-		"killed at once in a release, lists late": {[]emulator.Trouble{
+		"killed at once in a release, lists late": {[]engine.Trouble{
 			{Kind: "replace", At: 5 * sec, Busiest: 3, One: true, Drain: 2 * sec},
 			{Kind: "kill", At: 7 * sec, For: sec, Dispatchers: most(), Stale: 4 * sec},
 			{Kind: "list_late", At: 4 * sec, For: 11 * sec, Dispatchers: most(), Delay: 3 * sec}}, nil, 0.9},
-		"a limit lowered": {[]emulator.Trouble{lowered}, nil, 0.85},
-		"a limit lowered, no waits told, refused calls use it up": {[]emulator.Trouble{lowered},
-			func(s *emulator.Scenario) { s.Kinds[0].TellsWait, s.Kinds[0].CountsRefused = 0, true }, 0.75},
-		"half of the traffic down and back cold": {[]emulator.Trouble{down}, nil, 0.85},
-		"back while its limit is still lowered":  {[]emulator.Trouble{down, lowered}, nil, 0.8},
+		"a limit lowered": {[]engine.Trouble{lowered}, nil, 0.85},
+		"a limit lowered, no waits told, refused calls use it up": {[]engine.Trouble{lowered},
+			func(s *engine.Scenario) { s.Kinds[0].TellsWait, s.Kinds[0].CountsRefused = 0, true }, 0.75},
+		"half of the traffic down and back cold": {[]engine.Trouble{down}, nil, 0.85},
+		"back while its limit is still lowered":  {[]engine.Trouble{down, lowered}, nil, 0.8},
 		"some with several times the mean beside idle ones": {nil,
-			func(s *emulator.Scenario) { s.Dispatchers.FrontSkew = 0.6 }, 0.85},
-		"one call in ten seconds each": {nil, func(s *emulator.Scenario) { s.Clients.Rate = 4 }, 0.9},
+			func(s *engine.Scenario) { s.Dispatchers.FrontSkew = 0.6 }, 0.85},
+		"one call in ten seconds each": {nil, func(s *engine.Scenario) { s.Clients.Rate = 4 }, 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := fleet(day.troubles...)
@@ -88,8 +88,8 @@
 }
 
 func TestALoweredLimitHoldsForItsTimeAndItsDestinations(t *testing.T) {
-	s := fleet(emulator.Trouble{Kind: "limit", At: 8 * sec, For: 6 * sec, Destinations: []int{0}, Size: 0.2},
-		emulator.Trouble{Kind: "limit", At: 10 * sec, For: 2 * sec, Destinations: []int{0}, Size: 0.5})
+	s := fleet(engine.Trouble{Kind: "limit", At: 8 * sec, For: 6 * sec, Destinations: []int{0}, Size: 0.2},
+		engine.Trouble{Kind: "limit", At: 10 * sec, For: 2 * sec, Destinations: []int{0}, Size: 0.5})
 	_, events, _ := play(t, s, module, eventpkg.Refused)
 	refused := map[bool]int{}
 	for _, e := range events {
@@ -108,7 +108,7 @@
 		rate        float64
 	}{{3, 10}, {20, 25}} {
 		for _, seed := range []uint64{3, 4} {
-			s := plain(emulator.Trouble{Kind: "down", At: 10 * sec, For: 11 * sec / 10, Busiest: 1})
+			s := plain(engine.Trouble{Kind: "down", At: 10 * sec, For: 11 * sec / 10, Busiest: 1})
 			s.Seed, s.Dispatchers.Count, s.Destinations.Count, s.Destinations.Busy = seed, day.dispatchers, 1, 1
 			s.Clients.Rate, s.Events = day.rate, s.Events[:1]
 			k := &s.Kinds[0]
--- a/emulator/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -1,4 +1,4 @@
-package emulator_test
+package engine_test
 
 import (
 	"fmt"
@@ -6,33 +6,33 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 	eventpkg "rowanlink/sim/event"
 	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
-const sec = emulator.Span(api.Second)
+const sec = engine.Span(api.Second)
 
 func module(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
 
 // plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
 // sort.
-func plain(troubles ...emulator.Trouble) *emulator.Scenario {
-	s := &emulator.Scenario{Name: "plain", Length: 30 * sec,
-		Dispatchers: emulator.Dispatchers{Count: 2, Slots: 24, Buffer: 400, Cancel: true, MaxAdvice: 3 * sec,
-			RatesStated: true, ListDelay: []emulator.Span{sec, sec}},
-		Clients:      emulator.Clients{Rate: 100, Skew: 0.5, Retries: 2, Heed: 1},
-		Destinations: emulator.Destinations{Count: 8},
-		Events: []emulator.EventType{
+func plain(troubles ...engine.Trouble) *engine.Scenario {
+	s := &engine.Scenario{Name: "plain", Length: 30 * sec,
+		Dispatchers: engine.Dispatchers{Count: 2, Slots: 24, Buffer: 400, Cancel: true, MaxAdvice: 3 * sec,
+			RatesStated: true, ListDelay: []engine.Span{sec, sec}},
+		Clients:      engine.Clients{Rate: 100, Skew: 0.5, Retries: 2, Heed: 1},
+		Destinations: engine.Destinations{Count: 8},
+		Events: []engine.EventType{
 			{Name: "idempotent", Target: 3 * sec, TTL: 20 * sec},
 			{Name: "tokened", Target: 3 * sec, TTL: 20 * sec, Repeat: "tokened", Window: 8 * sec},
 			{Name: "once", Target: 3 * sec, TTL: 20 * sec, Repeat: "at-most-once"},
 			{Name: "ordered", Target: 3 * sec, TTL: 20 * sec, Ordered: true, Keys: 12},
 		},
-		Kinds: []emulator.Kind{{Name: "shop", Endpoints: []int{2}, Answer: sec / 5, Spread: 0.5, Limit: "rate",
-			Headroom: 2, Least: 4, TellsWait: 1, Wait: []emulator.Span{sec / 2, sec}}},
+		Kinds: []engine.Kind{{Name: "shop", Endpoints: []int{2}, Answer: sec / 5, Spread: 0.5, Limit: "rate",
+			Headroom: 2, Least: 4, TellsWait: 1, Wait: []engine.Span{sec / 2, sec}}},
 		Troubles: troubles}
 	s.Complete()
 	return s
@@ -50,13 +50,13 @@
 // play runs a scenario under the watch; events of the kinds given come back, too.
 func play(
 	t *testing.T,
-	s *emulator.Scenario,
-	start emulator.Starter,
+	s *engine.Scenario,
+	start engine.Starter,
 	what ...eventpkg.What,
 ) (*invariant.Watch, []eventpkg.Event,
 	invariant.Summary) {
 	require.NoError(t, s.Check())
-	m := emulator.New(s, start)
+	m := engine.New(s, start)
 	terms := invariant.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, l := invariant.NewWatch(terms), invariant.NewRecorder(terms), &log{wants: what}
@@ -116,7 +116,7 @@
 }
 
 // tampered starts mutants.
-func tampered(facts func(*api.Facts), with func(*mutant)) emulator.Starter {
+func tampered(facts func(*api.Facts), with func(*mutant)) engine.Starter {
 	return func(f api.Facts, h api.Host) api.Module {
 		if facts != nil {
 			facts(&f)
--- a/emulator/homes_test.go
+++ b/sim/engine/homes_test.go
@@ -1,4 +1,4 @@
-package emulator_test
+package engine_test
 
 import (
 	"fmt"
@@ -8,32 +8,32 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/emulator"
+	"rowanlink/sim/engine"
 	eventpkg "rowanlink/sim/event"
 	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 )
 
 // homesDay is six dispatchers of which each is home of some of twelve destinations.
-func homesDay(troubles ...emulator.Trouble) *emulator.Scenario {
+func homesDay(troubles ...engine.Trouble) *engine.Scenario {
 	s := plain(troubles...)
 	s.Dispatchers.Count, s.Clients.Rate, s.Length = 6, 120, 16*sec
 	s.Destinations.Count, s.Destinations.Busy = 12, 12
 	s.Events = s.Events[:3]
 	s.Net.Same, s.Net.Cross = sec/100, sec/100
-	s.Homes = emulator.Homes{Term: 3 * sec, Hop: 2, Lost: 0.001, Apart: 0.05}
+	s.Homes = engine.Homes{Term: 3 * sec, Hop: 2, Lost: 0.001, Apart: 0.05}
 	s.Complete()
 	return s
 }
 
 // drawn is a day on which dispatchers die, stand still and restart while destinations go out and messages
 // between dispatchers are lost.
-func drawn(seed uint64) *emulator.Scenario {
+func drawn(seed uint64) *engine.Scenario {
 	c := rand.New(rand.NewPCG(seed, 7))
-	var all []emulator.Trouble
+	var all []engine.Trouble
 	for range 1 + c.IntN(5) {
-		t := emulator.Trouble{Kind: []string{"kill", "kill", "freeze", "restart", "hang", "down"}[c.IntN(6)],
-			At: emulator.Span(c.IntN(int(14 * sec))), For: emulator.Span(c.IntN(int(10 * sec))),
+		t := engine.Trouble{Kind: []string{"kill", "kill", "freeze", "restart", "hang", "down"}[c.IntN(6)],
+			At: engine.Span(c.IntN(int(14 * sec))), For: engine.Span(c.IntN(int(10 * sec))),
 			Journal: c.IntN(4) > 0}
 		if t.Kind == "hang" || t.Kind == "down" {
 			t.Busiest = 2
@@ -63,9 +63,9 @@
 	return all
 }
 
-func playHomes(t *testing.T, s *emulator.Scenario, spoil func(*emulator.Model)) homesRun {
+func playHomes(t *testing.T, s *engine.Scenario, spoil func(*engine.Model)) homesRun {
 	require.NoError(t, s.Check())
-	m := emulator.New(s, module)
+	m := engine.New(s, module)
 	spoil(m)
 	terms := invariant.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
@@ -77,7 +77,7 @@
 	return homesRun{w, r.Close(), f.Close(), l.all}
 }
 
-func sound(*emulator.Model) {}
+func sound(*engine.Model) {}
 
 func TestAFleetWithHomesKeepsTheRulesWhateverDiesOrIsLost(t *testing.T) {
 	// The first sixteen, and two on which one that goes on calling what is on its way would be found out.
@@ -91,9 +91,9 @@
 
 // Each fault in what dispatchers make of leases and map is seen by what it does; without it nothing is.
 func TestSpoiltFleetsAreFoundOut(t *testing.T) {
-	kill := emulator.Trouble{Kind: "kill", At: 5 * sec, For: 40 * sec, Dispatchers: []int{1}, Journal: true}
+	kill := engine.Trouble{Kind: "kill", At: 5 * sec, For: 40 * sec, Dispatchers: []int{1}, Journal: true}
 	killed := homesDay(kill)
-	lossy := homesDay(kill, emulator.Trouble{Kind: "kill", At: 7 * sec, For: 40 * sec, Dispatchers: []int{2, 3},
+	lossy := homesDay(kill, engine.Trouble{Kind: "kill", At: 7 * sec, For: 40 * sec, Dispatchers: []int{2, 3},
 		Journal: true})
 	lossy.Homes.Lost, lossy.Clients.Rate = 0.4, 400
 	lossy.Events = lossy.Events[2:]
@@ -103,7 +103,7 @@
 	many.Dispatchers.Count = 12
 	for _, c := range []struct {
 		fault string
-		day   *emulator.Scenario
+		day   *engine.Scenario
 		well  func(homesRun) error
 	}{
 		{"a home has an even part only", many, func(r homesRun) error {
@@ -119,7 +119,7 @@
 			}
 			return unless(len(callers) == 12, "%d destinations called", len(callers))
 		}},
-		{"forwarders call too", homesDay(emulator.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 2}),
+		{"forwarders call too", homesDay(engine.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 2}),
 			func(r homesRun) error {
 				return unless(r.Returns == 2 && r.Callers == 1, "canaries of %.1f dispatchers", r.Callers)
 			}},
@@ -151,7 +151,7 @@
 			r := playHomes(t, c.day, sound)
 			assert.Empty(t, r.Broken, texts(r.Breaches))
 			assert.NoError(t, c.well(r))
-			assert.Error(t, c.well(playHomes(t, c.day, emulator.Spoilt[c.fault])), "not found out")
+			assert.Error(t, c.well(playHomes(t, c.day, engine.Spoilt[c.fault])), "not found out")
 		})
 	}
 }
--- a/emulator/host.go
+++ b/sim/engine/host.go
@@ -1,4 +1,4 @@
-package emulator
+package engine
 
 import (
 	eventpkg "rowanlink/sim/event"
--- a/emulator/observers_test.go
+++ b/sim/engine/observers_test.go
@@ -1,4 +1,4 @@
-package emulator_test
+package engine_test
 
 import (
 	"testing"
@@ -6,20 +6,20 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/emulator"
 	"rowanlink/lab/baseline"
+	"rowanlink/sim/engine"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
 func TestEachRulesObserverCatchesAModuleThatBreaksIt(t *testing.T) {
-	busy := emulator.Trouble{Kind: "lost", At: 3 * sec, For: 20 * sec, Busiest: 8, Size: 0.4}
-	full := emulator.Trouble{Kind: "shut", At: 3 * sec, For: 20 * sec, Busiest: 4}
-	replace := emulator.Trouble{Kind: "replace", At: 5 * sec, Busiest: 8, One: true}
-	hang := emulator.Trouble{Kind: "hang", At: 5 * sec, For: 10 * sec, Busiest: 2}
+	busy := engine.Trouble{Kind: "lost", At: 3 * sec, For: 20 * sec, Busiest: 8, Size: 0.4}
+	full := engine.Trouble{Kind: "shut", At: 3 * sec, For: 20 * sec, Busiest: 4}
+	replace := engine.Trouble{Kind: "replace", At: 5 * sec, Busiest: 8, One: true}
+	hang := engine.Trouble{Kind: "hang", At: 5 * sec, For: 10 * sec, Busiest: 2}
 	for rule, c := range map[string]struct {
-		trouble emulator.Trouble
-		start   emulator.Starter
+		trouble engine.Trouble
+		start   engine.Starter
 	}{
 		"lost":  {busy, tampered(nil, func(m *mutant) { m.mute = true })},
 		"twice": {busy, tampered(nil, func(m *mutant) { m.outcome = neverRan })},
@@ -71,18 +71,18 @@
 }
 
 func TestEachClaimsObserverCatchesAPolicyWithoutIt(t *testing.T) {
-	chance := emulator.Trouble{Kind: "errors", At: 0, For: 30 * sec, Busiest: 8, Size: 0.15}
-	hang := emulator.Trouble{Kind: "hang", At: 5 * sec, For: 20 * sec, Busiest: 1}
-	fails := emulator.Trouble{Kind: "errors", At: 3 * sec, For: 27 * sec, Busiest: 1, Size: 1}
-	slowly := emulator.Trouble{Kind: "slow", At: 3 * sec, For: 27 * sec, Busiest: 1, Size: 12}
+	chance := engine.Trouble{Kind: "errors", At: 0, For: 30 * sec, Busiest: 8, Size: 0.15}
+	hang := engine.Trouble{Kind: "hang", At: 5 * sec, For: 20 * sec, Busiest: 1}
+	fails := engine.Trouble{Kind: "errors", At: 3 * sec, For: 27 * sec, Busiest: 1, Size: 1}
+	slowly := engine.Trouble{Kind: "slow", At: 3 * sec, For: 27 * sec, Busiest: 1, Size: 12}
 	for claim, c := range map[string]struct {
-		troubles []emulator.Trouble
+		troubles []engine.Trouble
 		waits    baseline.Waits
 	}{
-		"backoff":  {[]emulator.Trouble{chance}, baseline.None},
-		"jitter":   {[]emulator.Trouble{chance}, baseline.Doubled},
-		"dest_cap": {[]emulator.Trouble{hang}, baseline.Doubled},
-		"isolates": {[]emulator.Trouble{fails, slowly}, baseline.Doubled},
+		"backoff":  {[]engine.Trouble{chance}, baseline.None},
+		"jitter":   {[]engine.Trouble{chance}, baseline.Doubled},
+		"dest_cap": {[]engine.Trouble{hang}, baseline.Doubled},
+		"isolates": {[]engine.Trouble{fails, slowly}, baseline.Doubled},
 	} {
 		t.Run(claim, func(t *testing.T) {
 			s := plain(c.troubles...)
@@ -91,7 +91,7 @@
 			without := func(f api.Facts, h api.Host) api.Module {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
-			for _, start := range []emulator.Starter{without, module} {
+			for _, start := range []engine.Starter{without, module} {
 				w, _, _ := play(t, s, start)
 				for _, got := range w.Claims() {
 					if got.Name == claim {
@@ -104,7 +104,7 @@
 	}
 }
 
-func isModule(start emulator.Starter) bool {
+func isModule(start engine.Starter) bool {
 	f := api.Facts{EventTypes: []api.EventType{{TTL: 1, Target: 1}}}
 	_, ok := start(f, idle{}).(*policy.Control)
 	return ok
--- a/emulator/scenario.go
+++ b/sim/engine/scenario.go
@@ -1,10 +1,10 @@
-// Package emulator is a model of what rowanlink balances: destinations with limits, queues and outages, the
+// Package engine is a model of what rowanlink balances: destinations with limits, queues and outages, the
 // dispatchers that call them, and the clients that hand webhooks in. It plays one scenario in simulated whole
 // microseconds round unchanged decision modules, which it hosts through gateway.Module and gateway.Host.
 //
 // One run is one goroutine and depends on nothing but the scenario, its seed and the module: the same events
 // in the same order, to the bit. docs/emulator.md says what the model leaves out.
-package emulator
+package engine
 
 import (
 	"fmt"
--- a/emulator/world.go
+++ b/sim/engine/world.go
@@ -1,4 +1,4 @@
-package emulator
+package engine
 
 import (
 	"math/rand/v2"
