--- a/lab/run.go
+++ b/lab/run.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"rowanlink/lab/baseline"
+	"rowanlink/sim/baseline"
 	"rowanlink/sim/engine"
 	"rowanlink/sim/event"
 	"rowanlink/sim/invariant"
--- a/sim/engine/emulator_test.go
+++ b/sim/engine/emulator_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/lab/baseline"
+	"rowanlink/sim/baseline"
 	"rowanlink/sim/engine"
 	eventpkg "rowanlink/sim/event"
 	"rowanlink/webhook/api"
