--- a/cmd/rowanlab/homes.go
+++ b/cmd/rowanlab/homes.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"rowanlink/lab"
+	"rowanlink/sim/experiment"
 )
 
 func homesCommand() *cobra.Command {
@@ -21,14 +21,14 @@
 		Example: "  rowanlab homes --free-hops examples/lab/sweeps/homes-*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var all []lab.Shared
+			var all []experiment.Shared
 			if out != "" {
 				if err := os.MkdirAll(out, 0o755); err != nil {
 					return err
 				}
 			}
 			for _, file := range args {
-				s, points, err := lab.LoadSweep(file)
+				s, points, err := experiment.LoadSweep(file)
 				if err != nil {
 					return err
 				}
@@ -45,13 +45,13 @@
 					return err
 				}
 				if out != "" {
-					if err := lab.SaveHomes(out, s, points, rows); err != nil {
+					if err := experiment.SaveHomes(out, s, points, rows); err != nil {
 						return err
 					}
 				}
 				all = append(all, rows...)
 			}
-			_, err := fmt.Fprint(c.OutOrStdout(), lab.HomesTable(all))
+			_, err := fmt.Fprint(c.OutOrStdout(), experiment.HomesTable(all))
 			return err
 		},
 	}
--- a/cmd/rowanlab/run.go
+++ b/cmd/rowanlab/run.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"rowanlink/lab"
+	"rowanlink/sim/experiment"
 )
 
 func runCommand() *cobra.Command {
@@ -21,19 +21,19 @@
 		Example: "  rowanlab run examples/lab/calm.toml --seed 7 --out /tmp/calm && rowanlab plot /tmp/calm",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Load(args[0])
+			s, err := experiment.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if c.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			r, err := lab.Play(s, policy, measured)
+			r, err := experiment.Play(s, policy, measured)
 			if err != nil {
 				return err
 			}
 			if out != "" {
-				if err := lab.Save(out, s, r); err != nil {
+				if err := experiment.Save(out, s, r); err != nil {
 					return err
 				}
 			}
@@ -51,7 +51,7 @@
 		},
 	}
 	c.Flags().Uint64Var(&seed, "seed", 0, "seed in place of the scenario's")
-	c.Flags().StringVar(&policy, "policy", lab.Module, "one of "+strings.Join(lab.Policies(), ", "))
+	c.Flags().StringVar(&policy, "policy", experiment.Module, "one of "+strings.Join(experiment.Policies(), ", "))
 	c.Flags().StringVar(&out, "out", "", "folder for the tables")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the summary as JSON")
 	c.Flags().BoolVar(&measured, "cost", false, "measure what the run takes on this machine")
@@ -66,7 +66,7 @@
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, file := range args {
-				s, err := lab.Load(file)
+				s, err := experiment.Load(file)
 				if err != nil {
 					return err
 				}
@@ -77,7 +77,7 @@
 	}
 }
 
-func summary(to io.Writer, r *lab.Result) error {
+func summary(to io.Writer, r *experiment.Result) error {
 	share := func(n int) string {
 		return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(max(r.Offered, 1)))
 	}
--- a/cmd/rowanlab/study.go
+++ b/cmd/rowanlab/study.go
@@ -11,7 +11,7 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"rowanlink/lab"
+	"rowanlink/sim/experiment"
 )
 
 // bar shows progress on standard error where a person looks at it.
@@ -41,7 +41,7 @@
 		Example: "  rowanlab sweep examples/lab/sweeps/slots.toml --out /tmp/slots",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, points, err := lab.LoadSweep(args[0])
+			s, points, err := experiment.LoadSweep(args[0])
 			if err != nil {
 				return err
 			}
@@ -90,12 +90,12 @@
 				"95% interval",
 			)
 			for _, file := range args {
-				s, err := lab.Load(file)
+				s, err := experiment.Load(file)
 				if err != nil {
 					return err
 				}
 				b := bar(2*seeds, s.Name)
-				r, err := lab.Compare(s, pair[0], pair[1], seeds, func() { _ = b.Add(1) })
+				r, err := experiment.Compare(s, pair[0], pair[1], seeds, func() { _ = b.Add(1) })
 				if err != nil {
 					return err
 				}
@@ -121,7 +121,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringArrayVar(&pair, "policy", nil, "a policy; give two ("+strings.Join(lab.Policies(), ", ")+")")
+	c.Flags().StringArrayVar(&pair, "policy", nil, "a policy; give two ("+strings.Join(experiment.Policies(), ", ")+")")
 	c.Flags().IntVar(&seeds, "seeds", 10, "how many seeds")
 	c.Flags().BoolVar(&asJSON, "json", false, "print a line of JSON for each scenario")
 	return c
@@ -139,11 +139,11 @@
 		Example: "  rowanlab hunt examples/lab/calm.toml --runs 200 --out found.toml && rowanlab run found.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Load(args[0])
+			s, err := experiment.Load(args[0])
 			if err != nil {
 				return err
 			}
-			start, err := lab.Starter(policy)
+			start, err := experiment.Starter(policy)
 			if err != nil {
 				return err
 			}
@@ -151,9 +151,9 @@
 				return errors.New("hunt needs one run or more")
 			}
 			b := bar(2*runs, "runs")
-			f := (&lab.Hunt{Start: start, Runs: runs, Seed: seed, Step: func() { _ = b.Add(1) }}).Find(s)
+			f := (&experiment.Hunt{Start: start, Runs: runs, Seed: seed, Step: func() { _ = b.Add(1) }}).Find(s)
 			_ = b.Finish()
-			text, err := lab.Text(f.Scenario)
+			text, err := experiment.Text(f.Scenario)
 			if err != nil {
 				return err
 			}
@@ -177,7 +177,7 @@
 	}
 	c.Flags().StringVar(&out, "out", "found.toml", "file for the scenario found")
 	c.Flags().
-		StringVar(&policy, "policy", lab.Module, "whom to hunt: one of "+strings.Join(lab.Policies(), ", "))
+		StringVar(&policy, "policy", experiment.Module, "whom to hunt: one of "+strings.Join(experiment.Policies(), ", "))
 	c.Flags().IntVar(&runs, "runs", 100, "runs to search with, and as many again to shrink")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the search")
 	return c
@@ -191,7 +191,7 @@
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, dir := range args {
-				written, err := lab.Plot(dir)
+				written, err := experiment.Plot(dir)
 				if err != nil {
 					return err
 				}
--- a/lab/file.go
+++ b/sim/experiment/file.go
@@ -1,6 +1,6 @@
-// Package lab makes experiments with the emulator: scenarios from files, runs under a module or a baseline,
+// Package experiment makes experiments with the emulator: scenarios from files, runs under a module or a baseline,
 // grids of runs, comparisons, searches for the worst, and the tables and charts of all of them.
-package lab
+package experiment
 
 import (
 	"bytes"
--- a/lab/homes_test.go
+++ b/sim/experiment/homes_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"strings"
