--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 
 # Faults drawn by seed at a fleet of real members: N seeds, from SEED on where it is given.
 hunt-fleet:
-	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./proof/hunt
+	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/chaos
 
 # The same at a whole serving system of real processes.
 hunt-system:
--- a/proof/hunt/faults.go
+++ b/test/integration/chaos/faults.go
@@ -1,7 +1,7 @@
-// Package hunt plays seeds against a fleet of real members: faults of a list, drawn, at moments of a list,
+// Package chaos plays seeds against a fleet of real members: faults of a list, drawn, at moments of a list,
 // drawn, under a drawn load, and all is judged at the end. What is drawn comes from the seed alone; what
 // comes of it also from the machine, so a seed that fails is played again several times.
-package hunt
+package chaos
 
 import (
 	"fmt"
--- a/proof/hunt/hunt_test.go
+++ b/test/integration/chaos/hunt_test.go
@@ -1,4 +1,4 @@
-package hunt
+package chaos
 
 import (
 	"context"
