--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 LINKED = -ldflags=-linkmode=external
 # The serving system: its packages and programs.
 SERVING = ./serving/... ./cmd/rowan-proxy ./cmd/rowan-agent ./cmd/rowan-core ./cmd/rowanctl ./cmd/rowanstand \
-	./test/fake/endpoint ./proof/child ./proof/system ./internal/catalogue ./internal/ctxsleep
+	./test/fake/endpoint ./proof/child ./test/integration/serving ./internal/catalogue ./internal/ctxsleep
 
 build:
 	mkdir -p bin && go build $(LINKED) -o bin/ ./cmd/... ./examples/toyserver
@@ -22,7 +22,7 @@
 
 # The same at a whole serving system of real processes.
 hunt-system:
-	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./proof/system
+	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/serving
 
 # Drawn histories of the register: N of three machines and N of five.
 hunt-register:
--- a/proof/system/hunt_test.go
+++ b/test/integration/serving/hunt_test.go
@@ -1,4 +1,4 @@
-package system
+package serving
 
 import (
 	"fmt"
--- a/proof/system/main_test.go
+++ b/test/integration/serving/main_test.go
@@ -1,7 +1,7 @@
-// Package system has the stories of whole serving systems: real cores, agents and proxies on loopback addresses, with
+// Package serving has the stories of whole serving systems: real cores, agents and proxies on loopback addresses, with
 // endpoints that the test plays and clients that keep to the protocol. Processes are killed, ended and started again;
 // what was acknowledged must stay, and no request may run twice, be mixed up or get lost over planned work.
-package system
+package serving
 
 import (
 	"os"
