--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 LINKED = -ldflags=-linkmode=external
 # The serving system: its packages and programs.
 SERVING = ./serving/... ./cmd/rowan-proxy ./cmd/rowan-agent ./cmd/rowan-core ./cmd/rowanctl ./cmd/rowanstand \
-	./test/fake/endpoint ./proof/child ./test/integration/serving ./internal/catalogue ./internal/ctxsleep
+	./test/fake/endpoint ./test/integration/subprocess ./test/integration/serving ./internal/catalogue ./internal/ctxsleep
 
 build:
 	mkdir -p bin && go build $(LINKED) -o bin/ ./cmd/... ./examples/toyserver
--- a/proof/harness/files.go
+++ b/proof/harness/files.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"github.com/tidwall/gjson"
 
-	"rowanlink/proof/child"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/integration/subprocess"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
 )
@@ -72,7 +72,7 @@
 }
 
 func (f *Fleet) member(dir, name string) *Member {
-	m := &Member{Name: name, Log: child.NewLog(), f: f, dir: filepath.Join(dir, name), listen: f.keep()}
+	m := &Member{Name: name, Log: subprocess.NewLog(), f: f, dir: filepath.Join(dir, name), listen: f.keep()}
 	m.Folder = filepath.Join(m.dir, "state")
 	m.config, m.operator = filepath.Join(m.dir, "config.json"), filepath.Join(m.dir, "fleet.hcl")
 	m.Listen = m.listen.Addr
--- a/proof/harness/fleet.go
+++ b/proof/harness/fleet.go
@@ -17,11 +17,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/child"
 	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/checker/leasecheck"
 	"rowanlink/test/fake/platform"
 	"rowanlink/test/fake/portalloc"
+	"rowanlink/test/integration/subprocess"
 	"rowanlink/webhook/api"
 )
 
@@ -68,7 +68,7 @@
 // Build builds a command of the repository for a test's TestMain and returns its path and what removes it. root is
 // where go.mod is, as seen from the test.
 func Build(root, command string) (path string, remove func(), err error) {
-	folder, remove, err := child.Build(root, command)
+	folder, remove, err := subprocess.Build(root, command)
 	return filepath.Join(folder, command), remove, err
 }
 
@@ -179,7 +179,7 @@
 }
 
 // began has links to a member's new life stand until it is over; whoever ends by itself is refused, too.
-func (f *Fleet) began(m *Member, p *child.Process) {
+func (f *Fleet) began(m *Member, p *subprocess.Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.is = p
--- a/proof/harness/member.go
+++ b/proof/harness/member.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"rowanlink/proof/child"
 	"rowanlink/test/fake/portalloc"
+	"rowanlink/test/integration/subprocess"
 	"rowanlink/test/procstate"
 )
 
@@ -27,7 +27,7 @@
 // Member is one process of a fleet, over all its lives.
 type Member struct {
 	Name   string
-	Log    *child.Log
+	Log    *subprocess.Log
 	Folder string // LB_STATE
 	Listen string // where clients reach it
 	Env    []string
@@ -37,7 +37,7 @@
 	listen           *portalloc.Port
 	says, log        *portalloc.Port
 	config, operator string
-	is               *child.Process
+	is               *subprocess.Process
 	stopped          bool
 	limit            uint64
 }
@@ -57,7 +57,7 @@
 	m.Log.Note("start %s", m.Name)
 	env := append([]string{"LB_CONFIG=" + m.config, "LB_STATE=" + m.Folder, "GOMAXPROCS=2", "TMPDIR=" + m.dir},
 		m.Env...)
-	p, err := child.Start(m.f.shape.Binary, nil, env, m.Log)
+	p, err := subprocess.Start(m.f.shape.Binary, nil, env, m.Log)
 	require.NoError(m.f.t, err)
 	m.f.began(m, p)
 	if m.limit > 0 {
@@ -184,12 +184,12 @@
 }
 
 // Await waits for a line with all parts, from its first life on; AwaitFrom from a mark on.
-func (m *Member) Await(parts ...string) child.Line {
+func (m *Member) Await(parts ...string) subprocess.Line {
 	m.f.t.Helper()
 	return m.AwaitFrom(0, parts...)
 }
 
-func (m *Member) AwaitFrom(mark int, parts ...string) child.Line {
+func (m *Member) AwaitFrom(mark int, parts ...string) subprocess.Line {
 	m.f.t.Helper()
 	line, ok := m.Log.Await(mark, lineWithin, parts)
 	require.True(m.f.t, ok, "%s never said: %s", m.Name, strings.Join(parts, " "))
--- a/proof/harness/past.go
+++ b/proof/harness/past.go
@@ -14,8 +14,8 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
-	"rowanlink/proof/child"
 	"rowanlink/test/checker/leasecheck"
+	"rowanlink/test/integration/subprocess"
 	"rowanlink/webhook/api"
 )
 
@@ -46,7 +46,7 @@
 func (v *Views) follow(ctx context.Context, m *Member) {
 	asks := transport.New("proof", map[cluster.MemberID]string{"it": m.says.Addr})
 	defer asks.Close()
-	var life *child.Process
+	var life *subprocess.Process
 	var reader int
 	var version uint64
 	saw := map[cluster.RangeID]cluster.Epoch{}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (f *Fleet) life(m *Member) *child.Process {
+func (f *Fleet) life(m *Member) *subprocess.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return m.is
@@ -168,7 +168,7 @@
 
 // lived adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []child.Line, all map[cluster.Task][]leasecheck.Past) {
+func lived(name string, lines []subprocess.Line, all map[cluster.Task][]leasecheck.Past) {
 	type grant struct {
 		epoch uint64
 		at    api.Micros
--- a/test/integration/serving/cluster_test.go
+++ b/test/integration/serving/cluster_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/child"
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/operator/client"
 	"rowanlink/serving/rpc"
 	"rowanlink/test/fake/endpoint"
+	"rowanlink/test/integration/subprocess"
 )
 
 const (
@@ -94,7 +94,7 @@
 
 // newNode describes a process. Its settings are those that the platform would write.
 func (c *cluster) newNode(program string, number int, p place) *node {
-	n := &node{t: c.t, program: program, name: fmt.Sprintf("machine-%d", number), log: child.NewLog(), firstRun: true,
+	n := &node{t: c.t, program: program, name: fmt.Sprintf("machine-%d", number), log: subprocess.NewLog(), firstRun: true,
 		ip: fmt.Sprintf("%s.%d", c.network, number)}
 	n.settings = filepath.Join(c.folder, fmt.Sprintf("%s-%d.conf", program, number))
 	n.programs, n.cut = c.programs, filepath.Join(c.folder, fmt.Sprintf("%s-%d.cut", program, number))
--- a/test/integration/serving/cut_test.go
+++ b/test/integration/serving/cut_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/child"
+	"rowanlink/test/integration/subprocess"
 )
 
 // buildCuttable builds the programs with links that can be cut: their calls to each other go through
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 	path := filepath.Join(work, "overlay.json")
 	require.NoError(t, os.WriteFile(path, overlay, 0o600))
-	folder, remove, err := child.BuildOverlaid("../../..", path, programCore, programAgent, programProxy)
+	folder, remove, err := subprocess.BuildOverlaid("../../..", path, programCore, programAgent, programProxy)
 	require.NoError(t, err)
 	t.Cleanup(remove)
 	return folder
--- a/test/integration/serving/main_test.go
+++ b/test/integration/serving/main_test.go
@@ -7,14 +7,14 @@
 	"os"
 	"testing"
 
-	"rowanlink/proof/child"
+	"rowanlink/test/integration/subprocess"
 )
 
 // programs is the folder of the programs, built for these stories.
 var programs string
 
 func TestMain(m *testing.M) {
-	folder, remove, err := child.Build("../../..", programCore, programAgent, programProxy)
+	folder, remove, err := subprocess.Build("../../..", programCore, programAgent, programProxy)
 	if err != nil {
 		panic(err)
 	}
--- a/test/integration/serving/node_test.go
+++ b/test/integration/serving/node_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/child"
+	"rowanlink/test/integration/subprocess"
 )
 
 // The programs of the system.
@@ -45,7 +45,7 @@
 	name    string // of the machine
 	ip      string
 	store   string // empty: no disk
-	log     *child.Log
+	log     *subprocess.Log
 
 	programs string // folder of the programs; empty: the ordinary ones
 	cut      string // path of the file that names the hosts that it can't reach; empty: it reaches all
@@ -53,7 +53,7 @@
 	settings string // path
 	lines    []string
 	firstRun bool
-	process  *child.Process
+	process  *subprocess.Process
 }
 
 // at is host:port on the node's machine.
@@ -78,7 +78,7 @@
 	if n.programs != "" {
 		folder, environment = n.programs, []string{"ROWAN_CUT=" + n.cut}
 	}
-	process, err := child.Start(filepath.Join(folder, n.program), []string{"--settings", n.settings}, environment, n.log)
+	process, err := subprocess.Start(filepath.Join(folder, n.program), []string{"--settings", n.settings}, environment, n.log)
 	require.NoError(n.t, err)
 	n.process, n.firstRun = process, false
 }
--- a/proof/child/log.go
+++ b/test/integration/subprocess/log.go
@@ -1,4 +1,4 @@
-package child
+package subprocess
 
 import (
 	"bytes"
--- a/proof/child/process.go
+++ b/test/integration/subprocess/process.go
@@ -1,6 +1,6 @@
-// Package child starts programs of the repository as children of a test, ends them with it, and watches what they
+// Package subprocess starts programs of the repository as children of a test, ends them with it, and watches what they
 // write.
-package child
+package subprocess
 
 import (
 	"fmt"
