--- a/proof/doubt_test.go
+++ b/proof/doubt_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 )
 
 // answerless plays a webhook that may take effect once only, that its home takes on and calls for while no
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/integration/harness"
 )
 
 // Guards against a step of a move that can't be the last one before a stop of more than a term, or before a
--- a/proof/harm_test.go
+++ b/proof/harm_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/history_test.go
+++ b/proof/history_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/leasecheck"
+	"rowanlink/test/integration/harness"
 )
 
 // Guards against a home that two have, a map that goes back or names who never had it: what all logs say and
--- a/proof/keepers_test.go
+++ b/proof/keepers_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/integration/harness"
 )
 
 // loaded is a fleet under load in which all members want the errand, by clocks as far apart as may be.
--- a/proof/lease_test.go
+++ b/proof/lease_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
+	"rowanlink/test/integration/harness"
 )
 
 // guarded is a fleet in which all members want the errand.
--- a/proof/places_test.go
+++ b/proof/places_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 )
 
 // A destination comes to stand behind a relay while its home is cut off and goes on by the map that it has,
--- a/proof/plan_test.go
+++ b/proof/plan_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/leasecheck"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/ranges_test.go
+++ b/proof/ranges_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/checker/deliverycheck"
+	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/session_test.go
+++ b/proof/session_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
+	"rowanlink/test/integration/harness"
 )
 
 // BenchmarkTakeoverAfterAKill kills the holder of a task with SIGKILL, again and again: how long until
--- a/test/integration/chaos/faults.go
+++ b/test/integration/chaos/faults.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
--- a/proof/harness/harness_test.go
+++ b/test/integration/harness/harness_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/proof/harness"
 	"rowanlink/test/fake/platform"
+	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
