--- a/proof/places_test.go
+++ b/test/integration/cluster/places_test.go
@@ -1,4 +1,4 @@
-package proof
+package cluster
 
 import (
 	"context"
--- a/proof/proof_test.go
+++ b/test/integration/cluster/proof_test.go
@@ -1,6 +1,6 @@
-// Package proof has the stories of a fleet of real members: what befalls them, and what must hold all the
+// Package cluster has the stories of a fleet of real members: what befalls them, and what must hold all the
 // same. The guard sees every deed of a task, the ledger every webhook and call; no time is asserted.
-package proof
+package cluster
 
 import (
 	"context"
