--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 export CGO_ENABLED = 1
 LINKED = -ldflags=-linkmode=external
 # The serving system: its packages and programs.
-SERVING = ./serving/... ./cmd/rowan-proxy ./cmd/rowan-agent ./cmd/rowan-core ./cmd/rowanctl ./cmd/rowanstand \
+SERVING = ./serving/... ./cmd/rowan-proxy ./cmd/rowan-agent ./cmd/rowan-core ./cmd/rowanctl ./cmd/rowan-endpointsim \
 	./test/fake/endpoint ./test/integration/subprocess ./test/integration/serving ./internal/catalogue ./internal/ctxsleep
 
 build:
@@ -51,4 +51,4 @@
 	exec examples/system/start
 
 system-toy: build
-	exec bin/rowanstand examples/system/endpoints.toml
+	exec bin/rowan-endpointsim examples/system/endpoints.toml
--- a/cmd/rowanstand/main.go
+++ b/cmd/rowan-endpointsim/main.go
@@ -1,4 +1,4 @@
-// Command rowanstand plays the endpoints of a serving system on one machine, so that the system can be tried: it
+// Command rowan-endpointsim plays the endpoints of a serving system on one machine, so that the system can be tried: it
 // starts the endpoints that a file names, puts the first configuration in force, and shows what comes to them.
 package main
 
@@ -37,7 +37,7 @@
 
 func main() {
 	var line grammar
-	parsed := kong.Parse(&line, kong.Name("rowanstand"), kong.Description("Play the endpoints of a serving system."),
+	parsed := kong.Parse(&line, kong.Name("rowan-endpointsim"), kong.Description("Play the endpoints of a serving system."),
 		kong.Vars{"version": process.Version()}, kong.ShortUsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
