--- a/cmd/rowanlab/main.go
+++ b/cmd/rowan-sim/main.go
@@ -1,4 +1,4 @@
-// Command rowanlab makes experiments with the emulator.
+// Command rowan-sim makes experiments with the emulator.
 package main
 
 import (
@@ -15,9 +15,9 @@
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	root := &cobra.Command{
-		Use:   "rowanlab",
+		Use:   "rowan-sim",
 		Short: "Experiments with the emulator of rowanlink",
-		Long: "rowanlab plays scenarios in simulated time round the decision module or a baseline, and keeps\n" +
+		Long: "rowan-sim plays scenarios in simulated time round the decision module or a baseline, and keeps\n" +
 			"what came of them as tables and charts.\n\n" +
 			"Results go to standard output, all else to standard error. Exit status: 0 done, 1 could not be done,\n" +
 			"3 done, and a rule was broken.",
