--- a/cmd/benchlink/main.go
+++ b/cmd/rowan-simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink runs the decision module on the bench's wire, standard input to standard output.
+// Command rowan-simadapter runs the decision module on the bench's wire, standard input to standard output.
 package main
 
 import (
@@ -13,7 +13,7 @@
 func main() {
 	start := func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
 	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "rowan-simadapter:", err)
 		os.Exit(1)
 	}
 }
