--- a/cmd/rowanfleet/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -1,4 +1,4 @@
-// Command rowanfleet is one dispatcher as a member of a fleet that acts as one, and what operators ask of it.
+// Command rowan-clustered is one dispatcher as a member of a fleet that acts as one, and what operators ask of it.
 package main
 
 import (
@@ -16,7 +16,7 @@
 
 func main() {
 	serve := &cobra.Command{
-		Use:   "rowanfleet",
+		Use:   "rowan-clustered",
 		Short: "A dispatcher as a member of a fleet",
 		Long: "Without a sub-command it is started as a dispatcher is (LB_CONFIG, LB_STATE) and with\n" +
 			"ROWAN_FLEET, the operator file. SIGHUP has it read both files again.",
@@ -53,7 +53,7 @@
 	show.Flags().StringVar(&from, "from", "", "a keeper's address says, host:port")
 	serve.AddCommand(show)
 	if err := serve.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "rowanfleet:", err)
+		fmt.Fprintln(os.Stderr, "rowan-clustered:", err)
 		os.Exit(1)
 	}
 }
--- a/deploy/fleet.hcl
+++ b/deploy/fleet.hcl
@@ -1,5 +1,5 @@
 # The operator file of a fleet that acts as one: who is in it, and where key ranges shall be. It states what shall
-# be; the steps are found. "rowanfleet plan FILE" prints them. SIGHUP reads it again: what has switched stays.
+# be; the steps are found. "rowan-clustered plan FILE" prints them. SIGHUP reads it again: what has switched stays.
 
 fleet "orders" {
   term         = "3s" # a session ends so long after its last renewal
--- a/test/integration/chaos/hunt_test.go
+++ b/test/integration/chaos/hunt_test.go
@@ -28,7 +28,7 @@
 		first, err = strconv.ParseUint(text, 10, 64)
 		require.NoError(t, err)
 	}
-	binary, remove, err := harness.Build("../../..", "rowanfleet")
+	binary, remove, err := harness.Build("../../..", "rowan-clustered")
 	require.NoError(t, err)
 	defer remove()
 	for i := range uint64(n) {
--- a/test/integration/cluster/proof_test.go
+++ b/test/integration/cluster/proof_test.go
@@ -26,7 +26,7 @@
 var binary string
 
 func TestMain(m *testing.M) {
-	built, remove, err := harness.Build("../../..", "rowanfleet")
+	built, remove, err := harness.Build("../../..", "rowan-clustered")
 	if err != nil {
 		panic(err)
 	}
--- a/test/integration/harness/harness_test.go
+++ b/test/integration/harness/harness_test.go
@@ -25,7 +25,7 @@
 		os.Exit(m.Run())
 	}
 	var ends []func()
-	for command, path := range map[string]*string{"rowanfleet": &binary, "rowanlink": &alone} {
+	for command, path := range map[string]*string{"rowan-clustered": &binary, "rowanlink": &alone} {
 		built, remove, err := harness.Build("../../..", command)
 		if err != nil {
 			panic(err)
