--- a/Makefile
+++ b/Makefile
@@ -10,11 +10,11 @@
 build:
 	mkdir -p bin && go build $(LINKED) -o bin/ ./cmd/... ./examples/toyserver
 
-# The stories of webhook/dispatcher/e2e/ and test/integration/cluster/ build the program themselves, which the test cache does not see. Those of whole
-# fleets come last and by themselves: their terms are short, and beside the searches sessions end that no fault ended.
+# The tests of webhook/dispatcher/e2e and test/integration build the programs themselves, which the test cache does
+# not see. Those of several processes run last and one package at a time: their leases are short.
 test:
-	go test -count=1 $$(go list ./... | grep -v /proof)
-	go test -count=1 -p 1 -timeout 30m ./test/integration/cluster/...
+	go test -count=1 $$(go list ./... | grep -v /test/integration)
+	go test -count=1 -p 1 -timeout 30m ./test/integration/...
 
 # Faults drawn by seed at a fleet of real members: N seeds, from SEED on where it is given.
 hunt-fleet:
