--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -29,7 +29,7 @@
 type Place struct {
 	Fleet  string
 	Self   cluster.MemberID
-	Folder string // LB_STATE: what it keeps is under cluster/
+	Folder string // LB_STATE: what it keeps is under fleet/
 	Term   api.Micros
 	Logs   map[cluster.MemberID]string // of all keepers, itself among them
 	Talk   *transportpkg.Talk
