--- a/test/checker/leasecheck/guard.go
+++ b/test/checker/leasecheck/guard.go
@@ -32,13 +32,13 @@
 
 // Event is what was told once. Times are in Unix microseconds, from before it was looked at to after.
 type Event struct {
-	What    string // begin, end
-	Task    string
-	Epoch   uint64
-	Member  string
-	Call    api.Micros
-	Return  api.Micros
-	Refused bool
+	What    string     `json:"What"` // begin, end
+	Task    string     `json:"Task"`
+	Epoch   uint64     `json:"Epoch"`
+	Member  string     `json:"Member"`
+	Call    api.Micros `json:"Call"`
+	Return  api.Micros `json:"Return"`
+	Refused bool       `json:"Refused"`
 }
 
 // Guard is safe for use by several goroutines.
