--- a/cmd/rowanctl/config_test.go
+++ b/cmd/rowanctl/config_test.go
@@ -105,7 +105,7 @@
 	assert.Equal(t, "add carriers s\n", out.String())
 	assert.Equal(t, uint64(3), register.record.Configuration.Version, "a dry run changes nothing")
 	require.NoError(t, (&configAmendCommand{File: file, Base: 3}).Run(s))
-	document, err := register.record.Configuration.Open()
+	document, err := register.record.Configuration.Decompress()
 	require.NoError(t, err)
 	assert.Equal(t, `{"edition":4,"routings":[],"carriers":[{"name":"s"}]}`, string(document))
 	assert.ErrorContains(t, (&configAmendCommand{File: file, Base: 3, DryRun: true}).Run(s), "version 4 is current")
--- a/cmd/rowanctl/inspect.go
+++ b/cmd/rowanctl/inspect.go
@@ -39,7 +39,7 @@
 func ask(ctx context.Context, client *rpc.Client, address string, request introspect.Request) (*introspect.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	return introspect.Ask(ctx, client, address, request)
+	return introspect.Fetch(ctx, client, address, request)
 }
 
 // memberReport is what one member says of itself, or why it couldn't be asked.
@@ -51,7 +51,7 @@
 
 // reports asks all members that the first one knows.
 func (s *session) reports() ([]memberReport, error) {
-	first, err := s.report(introspect.Request{WithTables: true})
+	first, err := s.report(introspect.Request{IncludeTables: true})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/rowanctl/names.go
+++ b/cmd/rowanctl/names.go
@@ -15,9 +15,9 @@
 }
 
 var endpointStateNames = map[state.EndpointState]string{
-	state.Accepting: "accepting",
-	state.Closing:   "closing",
-	state.Gone:      "gone",
+	state.EndpointAccepting: "accepting",
+	state.EndpointDraining:  "closing",
+	state.EndpointDeparted:  "gone",
 }
 
 // Words for the states of members that these don't tell themselves.
@@ -37,7 +37,7 @@
 // lifeOf names the state of an endpoint.
 func lifeOf(endpoint state.Endpoint) string {
 	name := endpointStateNames[endpoint.State]
-	if endpoint.Silent {
+	if endpoint.Unresponsive {
 		return name + ", silent"
 	}
 	return name
--- a/cmd/rowanctl/replicas.go
+++ b/cmd/rowanctl/replicas.go
@@ -28,14 +28,14 @@
 
 // Run implements the command.
 func (c *replicasCommand) Run(s *session) error {
-	report, err := s.report(introspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{IncludeTables: true})
 	if err != nil {
 		return err
 	}
-	lines := make([]replicaLine, 0, len(report.Replicas.Replicas))
+	lines := make([]replicaLine, 0, len(report.Voters.Replicas))
 	var rows [][]string
-	for _, replica := range report.Replicas.Replicas {
-		line := replicaLine{ID: replica.ID, Part: voterPart, Address: replica.Address, State: unknownState, Epoch: report.Replicas.Epoch}
+	for _, replica := range report.Voters.Replicas {
+		line := replicaLine{ID: replica.ID, Part: voterPart, Address: replica.Address, State: unknownState, Epoch: report.Voters.Epoch}
 		if known, found := memberAt(report, replica.Address); found {
 			line.Member, line.State = known.Member.Name, stateOf(known)
 		}
@@ -44,7 +44,7 @@
 	for _, known := range report.Members {
 		if partOf(report, known.Member) == learnerPart {
 			lines = append(lines, replicaLine{Part: learnerPart, Address: known.Member.Address, Member: known.Member.Name,
-				State: stateOf(known), Epoch: report.Replicas.Epoch})
+				State: stateOf(known), Epoch: report.Voters.Epoch})
 		}
 	}
 	for _, line := range lines {
@@ -56,10 +56,10 @@
 
 // partOf names what a member does in the register; empty for one that has no replica, and while no voters are known.
 func partOf(report *introspect.Report, member state.Member) string {
-	if member.Role != state.RoleCore || len(report.Replicas.Replicas) == 0 {
+	if member.Role != state.RoleCore || len(report.Voters.Replicas) == 0 {
 		return ""
 	}
-	for _, voter := range report.Replicas.Replicas {
+	for _, voter := range report.Voters.Replicas {
 		if voter.Address == member.Address {
 			return voterPart
 		}
--- a/cmd/rowanctl/tables.go
+++ b/cmd/rowanctl/tables.go
@@ -28,7 +28,7 @@
 
 // Run implements the command.
 func (c *membersCommand) Run(s *session) error {
-	report, err := s.report(introspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{IncludeTables: true})
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 	for _, known := range report.Members {
 		member := known.Member
 		line := memberLine{Name: member.Name, Role: roleNames[member.Role], Part: partOf(report, member), State: stateOf(known),
-			Zone: member.Zone, Region: member.Region, Address: member.Address, Serves: member.Front + member.Control}
+			Zone: member.Zone, Region: member.Region, Address: member.Address, Serves: member.ProxyAddress + member.ControlAddress}
 		lines = append(lines, line)
 		rows = append(rows, []string{line.Name, line.Role, orUnknown(line.Part), line.State, line.Zone, line.Region, line.Address,
 			orUnknown(line.Serves)})
@@ -64,7 +64,7 @@
 
 // Run implements the command.
 func (c *endpointsCommand) Run(s *session) error {
-	report, err := s.report(introspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{IncludeTables: true})
 	if err != nil {
 		return err
 	}
@@ -75,8 +75,8 @@
 			continue
 		}
 		line := endpointLine{ID: endpoint.ID, Service: endpoint.Service, State: lifeOf(endpoint), Zone: endpoint.Zone,
-			Address: endpoint.Address, Slots: endpoint.Slots, Edition: endpoint.Edition,
-			ColdMillis: endpoint.ColdLeftMillis}
+			Address: endpoint.Address, Slots: endpoint.Slots, Edition: endpoint.SoftwareVersion,
+			ColdMillis: endpoint.WarmupLeftMillis}
 		lines = append(lines, line)
 		rows = append(rows, []string{line.ID, line.Service, line.State, line.Zone, line.Address,
 			strconv.Itoa(line.Slots), orUnknown(line.Edition), fmt.Sprintf("%d ms", line.ColdMillis)})
@@ -96,13 +96,13 @@
 
 // Run implements the command.
 func (c *dutiesCommand) Run(s *session) error {
-	report, err := s.report(introspect.Request{WithTables: true})
+	report, err := s.report(introspect.Request{IncludeTables: true})
 	if err != nil {
 		return err
 	}
-	lines := make([]dutyLine, 0, len(report.Duties))
+	lines := make([]dutyLine, 0, len(report.SingletonClaims))
 	var rows [][]string
-	for _, claim := range report.Duties {
+	for _, claim := range report.SingletonClaims {
 		lines = append(lines, dutyLine{Duty: claim.Duty, Holder: claim.Holder, Epoch: claim.Epoch})
 		rows = append(rows, []string{claim.Duty, orUnknown(claim.Holder), strconv.FormatUint(claim.Epoch, 10)})
 	}
--- a/cmd/rowanctl/tables_test.go
+++ b/cmd/rowanctl/tables_test.go
@@ -17,21 +17,21 @@
 // someReport is what the member at an address reports.
 func someReport(address string) introspect.Report {
 	report := introspect.Report{Self: state.Member{Name: "a", Address: address}}
-	report.TakeRecord(&state.Record{Revision: 5, Configuration: state.Configuration{Version: 9},
+	report.SetRecord(&state.Record{Revision: 5, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}},
-		Replicas: state.ReplicaSet{Epoch: 4, Replicas: []state.Replica{{ID: "r1", Address: "127.0.0.1:1"},
+		Voters: state.ReplicaSet{Epoch: 4, Replicas: []state.Replica{{ID: "r1", Address: "127.0.0.1:1"},
 			{ID: "r2", Address: "127.0.0.1:2"}}}})
 	live := []state.Member{{Name: "a", Role: state.RoleAgent, State: state.MemberReady, Zone: "n1", Region: "north",
-		Address: address, Front: "10.0.0.1:80"}}
+		Address: address, ProxyAddress: "10.0.0.1:80"}}
 	live = append(live, state.Member{Name: "d", Role: state.RoleCore, State: state.MemberReady, Zone: "n1", Region: "north",
 		Address: "127.0.0.1:9"})
 	down := []state.Member{{Name: "c", Role: state.RoleCore, Zone: "n2", Region: "north", Address: "127.0.0.1:1"}}
-	report.TakeMembers(live, down)
+	report.SetMembers(live, down)
 	report.Endpoints = []state.Endpoint{
-		{ID: "e1", Service: "s", Address: "10.0.0.8:80", Zone: "n1", Slots: 4, Silent: true},
-		{ID: "e2", Service: "other", Address: "10.0.0.9:80", Zone: "n1", Slots: 4, State: state.Closing},
+		{ID: "e1", Service: "s", Address: "10.0.0.8:80", Zone: "n1", Slots: 4, Unresponsive: true},
+		{ID: "e2", Service: "other", Address: "10.0.0.9:80", Zone: "n1", Slots: 4, State: state.EndpointDraining},
 	}
-	report.Duties = []singleton.Claim{{Duty: "loads", Holder: "a", Epoch: 7}}
+	report.SingletonClaims = []singleton.Claim{{Duty: "loads", Holder: "a", Epoch: 7}}
 	return report
 }
 
--- a/serving/actor/owner_test.go
+++ b/serving/actor/actor_test.go
@@ -13,10 +13,10 @@
 	defer table.Stop()
 	var all sync.WaitGroup
 	for range 50 {
-		all.Go(func() { table.Tell(func(n *int) { *n++ }) })
+		all.Go(func() { table.Send(func(n *int) { *n++ }) })
 	}
 	all.Wait()
-	got, ok := Ask(table, func(n *int) int { return *n })
+	got, ok := Call(table, func(n *int) int { return *n })
 	assert.True(t, ok)
 	assert.Equal(t, 50, got)
 }
@@ -24,6 +24,6 @@
 func TestNothingHangsAfterStop(t *testing.T) {
 	table := Start(new(int))
 	table.Stop()
-	_, ok := Ask(table, func(n *int) int { return *n })
+	_, ok := Call(table, func(n *int) int { return *n })
 	assert.False(t, ok)
 }
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -49,7 +49,7 @@
 	settings *settings.Process
 	log      *zerolog.Logger
 	mesh     memberMesh
-	board    *actor.Owner[board]
+	board    *actor.Actor[board]
 	started  time.Time
 
 	announcing sync.Mutex
@@ -82,7 +82,7 @@
 			told = nil
 			ticks.Reset(endingInterval)
 			event.ProgramEnding.Log(a.log).Send()
-			a.board.Tell(func(b *board) { b.end(time.Now(), a.settings.Bounds.Grace) })
+			a.board.Send(func(b *board) { b.end(time.Now(), a.settings.Bounds.Grace) })
 		case <-ticks.C:
 		}
 		if a.tick() {
@@ -94,7 +94,7 @@
 // tick does what the passing of time asks for and tells whether the agent may end.
 func (a *agent) tick() (ended bool) {
 	proxies, synced := a.mesh.Proxies(), a.synced()
-	ended, _ = actor.Ask(a.board, func(b *board) bool {
+	ended, _ = actor.Call(a.board, func(b *board) bool {
 		if synced && !b.news.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
@@ -109,7 +109,7 @@
 func (a *agent) announce() {
 	a.announcing.Lock()
 	defer a.announcing.Unlock()
-	now, ok := actor.Ask(a.board, func(b *board) said {
+	now, ok := actor.Call(a.board, func(b *board) said {
 		return said{state: b.proxyState(time.Now()), front: b.presence.front}
 	})
 	if !ok || now == a.said {
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -29,7 +29,7 @@
 		second := s.poll(t.Context(), waiting(first.response.Cursor, state.MemberReady))
 		synctest.Wait()
 		assert.Equal(t, []state.MemberState{state.MemberReady}, s.mesh.announced())
-		assert.Equal(t, "10.0.0.1:80", s.mesh.Self().Front)
+		assert.Equal(t, "10.0.0.1:80", s.mesh.Self().ProxyAddress)
 		for sequence := range uint64(3) {
 			s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", sequence+1))
 		}
@@ -193,7 +193,7 @@
 	s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}, {Zone: "n2"}}})
 	s.mesh.deliver(t, gossip.TableEndpoints, endpoint("e", 1))
-	report := s.report(introspect.Request{WithTables: true})
+	report := s.report(introspect.Request{IncludeTables: true})
 	assert.Equal(t, uint64(4), report.Revision)
 	assert.Equal(t, uint64(9), report.Version)
 	assert.Equal(t, []string{"n1"}, report.Evacuated)
--- a/serving/agent/confirm_test.go
+++ b/serving/agent/confirm_test.go
@@ -26,7 +26,7 @@
 func (f fakeVoters) ask(_ context.Context, address string, request *register.QueryRequest) (*register.Vote, error) {
 	time.Sleep(5 * time.Millisecond)
 	vote, ok := f[address]
-	if !ok || !request.Brief {
+	if !ok || !request.RevisionOnly {
 		return nil, errCut
 	}
 	return &vote, nil
@@ -41,13 +41,13 @@
 }
 
 func granted(revision uint64) register.Vote {
-	return register.Vote{Verdict: register.Granted, Revision: revision}
+	return register.Vote{Result: register.Granted, Revision: revision}
 }
 
 // unconfirmed makes an agent that has just begun.
 func unconfirmed() *standing {
 	s := stand(8 * time.Second)
-	s.board.Tell(func(b *board) { b.confirmed = false })
+	s.board.Send(func(b *board) { b.confirmed = false })
 	return s
 }
 
@@ -60,11 +60,11 @@
 	}{
 		{"the voters are those of the old record", fakeVoters{"b": granted(7), "c": granted(6)}},
 		{"they have been replaced since", fakeVoters{
-			"a": {Verdict: register.Granted, Revision: 5},
-			"b": {Verdict: register.Stranger, Established: newerVoters()},
+			"a": {Result: register.Granted, Revision: 5},
+			"b": {Result: register.WrongReplica, CommittedVoters: newerVoters()},
 			"d": granted(7), "e": granted(4)}},
 		{"a change of the voters is half-way", fakeVoters{
-			"a": granted(5), "b": {Verdict: register.Granted, Revision: 6, Proposed: newerVoters()},
+			"a": granted(5), "b": {Result: register.Granted, Revision: 6, ProposedVoters: newerVoters()},
 			"d": granted(7), "e": granted(4)}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,12 +72,12 @@
 				s := unconfirmed()
 				defer s.board.Stop()
 				go s.agent.confirm(t.Context(), test.voters.ask)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: votersAt(1, "a", "b", "c")})
 				poll := s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: votersAt(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: votersAt(1, "a", "b", "c")})
 				got := <-poll
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(7), got.response.Record.Revision)
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := unconfirmed()
 		defer s.board.Stop()
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: votersAt(1, "a", "b", "c")})
 		go s.agent.confirm(t.Context(), fakeVoters{"a": granted(5), "c": granted(5)}.ask)
 		got := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
@@ -123,7 +123,7 @@
 					voters["a"] = granted(9)
 				}
 				go s.agent.confirm(t.Context(), voters.ask)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: votersAt(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: votersAt(1, "a", "b", "c")})
 				got := <-s.poll(t.Context(), waiting(subscription.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
--- a/serving/agent/directory.go
+++ b/serving/agent/directory.go
@@ -40,15 +40,15 @@
 func choose(live []state.Member, client place, random *rand.Rand) []string {
 	var inZone, inRegion, anywhere []string
 	for _, member := range live {
-		if member.Role != state.RoleAgent || member.State != state.MemberReady || member.Front == "" {
+		if member.Role != state.RoleAgent || member.State != state.MemberReady || member.ProxyAddress == "" {
 			continue
 		}
-		anywhere = append(anywhere, member.Front)
+		anywhere = append(anywhere, member.ProxyAddress)
 		if client.Region != "" && member.Region == client.Region {
-			inRegion = append(inRegion, member.Front)
+			inRegion = append(inRegion, member.ProxyAddress)
 		}
 		if client.Zone != "" && member.Zone == client.Zone {
-			inZone = append(inZone, member.Front)
+			inZone = append(inZone, member.ProxyAddress)
 		}
 	}
 	chosen := anywhere
--- a/serving/agent/directory_test.go
+++ b/serving/agent/directory_test.go
@@ -17,7 +17,7 @@
 
 func proxyIn(zone string, number int, life state.MemberState) state.Member {
 	return state.Member{Name: fmt.Sprintf("%s-%d", zone, number), Role: state.RoleAgent, Zone: zone,
-		Region: someRegions[zone], Front: fmt.Sprintf("%s-%d:80", zone, number), State: life}
+		Region: someRegions[zone], ProxyAddress: fmt.Sprintf("%s-%d:80", zone, number), State: life}
 }
 
 func chosenFor(live []state.Member, zone, region string) []string {
@@ -55,7 +55,7 @@
 	core := proxyIn("n1", 5, state.MemberReady)
 	core.Role = state.RoleCore
 	unknownFront := proxyIn("n1", 6, state.MemberReady)
-	unknownFront.Front = ""
+	unknownFront.ProxyAddress = ""
 	live := []state.Member{proxyIn("n1", 1, state.MemberStarting), proxyIn("n1", 2, state.MemberLeaving),
 		proxyIn("n1", 3, state.MemberLeft), proxyIn("n1", 4, state.MemberReady), core, unknownFront}
 	assert.Equal(t, []string{"n1-4:80"}, chosenFor(live, "n1", "north"))
@@ -73,7 +73,7 @@
 			member := proxyIn(rapid.SampledFrom(zones).Draw(t, "zone"), number, life)
 			live = append(live, member)
 			if life == state.MemberReady {
-				ready[member.Front] = member
+				ready[member.ProxyAddress] = member
 			}
 		}
 		zone := rapid.SampledFrom(zones).Draw(t, "client")
--- a/serving/agent/entries.go
+++ b/serving/agent/entries.go
@@ -38,5 +38,5 @@
 		return
 	}
 	now := time.Now()
-	a.board.Tell(func(b *board) { take(b, now, value) })
+	a.board.Send(func(b *board) { take(b, now, value) })
 }
--- a/serving/agent/feedserver.go
+++ b/serving/agent/feedserver.go
@@ -20,7 +20,7 @@
 
 // feedServer answers the proxy's polls.
 type feedServer struct {
-	board *actor.Owner[board]
+	board *actor.Actor[board]
 	now   func() time.Time
 	// announce tells the mesh what has become of the proxy's state.
 	announce func()
@@ -37,12 +37,12 @@
 
 // watch implements feed.Watch.
 func (s *feedServer) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
-	s.board.Tell(func(b *board) { b.presence.pollOpened(s.now(), request) })
+	s.board.Send(func(b *board) { b.presence.pollOpened(s.now(), request) })
 	s.announce()
 	s.observed(request.Observations)
 	defer func() {
 		broken := ctx.Err() != nil
-		s.board.Tell(func(b *board) { b.presence.pollClosed(s.now(), request.Incarnation, broken) })
+		s.board.Send(func(b *board) { b.presence.pollClosed(s.now(), request.Incarnation, broken) })
 	}()
 	return s.answer(ctx, request)
 }
@@ -73,7 +73,7 @@
 
 // look returns news since the cursor, or what to wait for.
 func (s *feedServer) look(since subscription.Cursor) (found, bool) {
-	return actor.Ask(s.board, func(b *board) found {
+	return actor.Call(s.board, func(b *board) found {
 		if b.holdsBack(s.now()) {
 			return found{changed: b.news.changed}
 		}
@@ -84,7 +84,7 @@
 
 // last answers a poll whose wait is over.
 func (s *feedServer) last(since subscription.Cursor) (*subscription.Response, error) {
-	seen, ok := actor.Ask(s.board, func(b *board) *subscription.Response {
+	seen, ok := actor.Call(s.board, func(b *board) *subscription.Response {
 		if response, more := b.news.since(s.now(), since); more && !b.holdsBack(s.now()) {
 			return response
 		}
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -28,7 +28,7 @@
 
 // receivers looks up which member receives the heartbeats of each endpoint.
 func (a *agent) receivers(ids []string) map[string]string {
-	found, _ := actor.Ask(a.board, func(b *board) map[string]string {
+	found, _ := actor.Call(a.board, func(b *board) map[string]string {
 		receivers := make(map[string]string, len(ids))
 		for _, id := range ids {
 			if endpoint, known := b.news.endpoints.Get(time.Now(), id); known {
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -11,7 +11,7 @@
 
 // endpoints returns all endpoints that are known.
 func (a *agent) endpoints() []state.Endpoint {
-	all, _ := actor.Ask(a.board, func(b *board) []state.Endpoint {
+	all, _ := actor.Call(a.board, func(b *board) []state.Endpoint {
 		list, _, _, _ := b.news.endpoints.Changes(time.Now(), 0)
 		return list
 	})
@@ -27,20 +27,20 @@
 // report answers operators.
 func (a *agent) report(request introspect.Request) introspect.Report {
 	report := introspect.Report{Self: a.mesh.Self()}
-	seen, _ := actor.Ask(a.board, func(b *board) (seen known) {
+	seen, _ := actor.Call(a.board, func(b *board) (seen known) {
 		seen.record = b.news.record
-		if request.WithTables {
+		if request.IncludeTables {
 			seen.endpoints, _, _, _ = b.news.endpoints.Changes(time.Now(), 0)
 		}
 		return seen
 	})
-	report.TakeRecord(seen.record)
-	if !request.WithTables {
+	report.SetRecord(seen.record)
+	if !request.IncludeTables {
 		return report
 	}
 	report.Endpoints = seen.endpoints
-	report.TakeMembers(a.mesh.Members(), a.mesh.DownMembers())
-	report.Duties = a.mesh.Claims()
+	report.SetMembers(a.mesh.Members(), a.mesh.DownMembers())
+	report.SingletonClaims = a.mesh.Claims()
 	return report
 }
 
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -66,7 +66,7 @@
 	table := endpoints.NewTable(endpoints.Options{Self: options.Settings.NodeName,
 		BeatInterval: options.Settings.BeatInterval})
 	a := newAgent(options.Settings, options.Log, joined, table)
-	go a.confirm(life, register.AskOver(client))
+	go a.confirm(life, register.QueryOverRPC(client))
 	introspect.Serve(inner, a.report)
 	passing := &observations{observer: options.Settings.NodeName, client: client, members: joined.Members,
 		receiver: a.receivers, calls: make(chan struct{}, observeCalls)}
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -81,7 +81,7 @@
 	require.NoError(t, json.NewDecoder(answer.Body).Decode(&found))
 	assert.Equal(t, []string{"127.0.0.1:80"}, found.Addresses)
 
-	report, err := introspect.Ask(ctx, client, process.InnerAddress(), introspect.Request{WithTables: true})
+	report, err := introspect.Fetch(ctx, client, process.InnerAddress(), introspect.Request{IncludeTables: true})
 	require.NoError(t, err)
 	assert.Equal(t, "a", report.Self.Name)
 	assert.Equal(t, state.MemberReady, report.Self.State)
--- a/serving/agent/standing_test.go
+++ b/serving/agent/standing_test.go
@@ -66,7 +66,7 @@
 func (f *fakeMesh) SetFront(front string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.self.Front = front
+	f.self.ProxyAddress = front
 }
 
 func (f *fakeMesh) announced() []state.MemberState {
@@ -111,7 +111,7 @@
 	process := &settings.Process{NodeName: "n1-1", Regions: someRegions, Bounds: settings.Bounds{Grace: grace}}
 	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", BeatInterval: time.Second})
 	a := newAgent(process, &log, fake, table)
-	a.board.Tell(func(b *board) { b.confirm(0) })
+	a.board.Send(func(b *board) { b.confirm(0) })
 	noted := make(chan []state.Observation, 100)
 	return &standing{agent: a, mesh: fake, noted: noted,
 		server: &feedServer{board: a.board, now: time.Now, announce: a.announce,
--- a/serving/core/keeper.go
+++ b/serving/core/keeper.go
@@ -50,7 +50,7 @@
 // finish finds out whether what this replica has accepted is in force, where nobody has told. Committed records are
 // told to the other members by the register's own callback.
 func (k *keeper) finish(ctx context.Context) {
-	revision, unfinished := k.node.Unfinished()
+	revision, unfinished := k.node.UncommittedRevision()
 	if !k.finisher.look(time.Now(), revision, unfinished) {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // reportMajority logs when too few voters are left, and when enough are back.
 func (k *keeper) reportMajority() {
-	absent := k.node.AbsentMajority()
+	absent := k.node.QuorumLoss()
 	if k.lost == (absent != nil) {
 		return
 	}
@@ -80,16 +80,16 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	if err := k.node.Repair(bounded); err != nil && ctx.Err() == nil {
+	if err := k.node.RepairVoters(bounded); err != nil && ctx.Err() == nil {
 		event.RepairFailed.Log(k.log).Err(err).Send()
 	}
 }
 
 // coreMachines are the members that may hold replicas.
-func coreMachines(members []state.Member) (machines []register.Machine) {
+func coreMachines(members []state.Member) (machines []register.Peer) {
 	for _, member := range members {
 		if member.Role == state.RoleCore {
-			machines = append(machines, register.Machine{Address: member.Address, Zone: member.Zone})
+			machines = append(machines, register.Peer{Address: member.Address, Zone: member.Zone})
 		}
 	}
 	return machines
--- a/serving/core/probe.go
+++ b/serving/core/probe.go
@@ -53,9 +53,9 @@
 	if response.StatusCode != http.StatusOK || response.Header.Get(endpointIDHeader) != kept.ID {
 		return kept, errNotConfirmed
 	}
-	kept.Silent = false
+	kept.Unresponsive = false
 	if cold, err := strconv.ParseFloat(response.Header.Get(coldLeftHeader), 64); err == nil {
-		kept.ColdLeftMillis = max(int64(cold), 0)
+		kept.WarmupLeftMillis = max(int64(cold), 0)
 	}
 	return kept, nil
 }
--- a/serving/core/report.go
+++ b/serving/core/report.go
@@ -17,13 +17,13 @@
 func (r *reporter) report(request introspect.Request) introspect.Report {
 	report := introspect.Report{Self: r.mesh.Self(), Learner: r.node.IsLearner()}
 	if record, known := r.node.Latest(); known {
-		report.TakeRecord(&record)
+		report.SetRecord(&record)
 	}
-	if !request.WithTables {
+	if !request.IncludeTables {
 		return report
 	}
-	report.TakeMembers(r.mesh.Members(), r.mesh.DownMembers())
-	report.Duties = r.mesh.Claims()
+	report.SetMembers(r.mesh.Members(), r.mesh.DownMembers())
+	report.SingletonClaims = r.mesh.Claims()
 	if known, ok := r.endpoints.Changes(0); ok {
 		report.Endpoints = known.Changed
 	}
--- a/serving/core/restore.go
+++ b/serving/core/restore.go
@@ -86,7 +86,7 @@
 	if record.Configuration.Version == 0 {
 		return nil
 	}
-	document, err := record.Configuration.Open()
+	document, err := record.Configuration.Decompress()
 	if err != nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 		known[endpoint.ID] = true
 	}
 	for _, endpoint := range kept {
-		if endpoint.Receiver == r.self && endpoint.State == state.Accepting && !known[endpoint.ID] {
+		if endpoint.Receiver == r.self && endpoint.State == state.EndpointAccepting && !known[endpoint.ID] {
 			missing = append(missing, endpoint)
 		}
 	}
--- a/serving/core/restore_test.go
+++ b/serving/core/restore_test.go
@@ -46,13 +46,13 @@
 	if m.fails() {
 		return errDisk
 	}
-	if changes.Complete || m.kept == nil {
+	if changes.Snapshot || m.kept == nil {
 		m.kept = map[string]state.Endpoint{}
 	}
 	for _, endpoint := range changes.Changed {
 		m.kept[endpoint.ID] = endpoint
 	}
-	for _, id := range changes.Forgotten {
+	for _, id := range changes.Removed {
 		delete(m.kept, id)
 	}
 	return nil
@@ -85,7 +85,7 @@
 			if endpoint.ID == "dead" {
 				return endpoint, errNotConfirmed
 			}
-			endpoint.ColdLeftMillis = 1500
+			endpoint.WarmupLeftMillis = 1500
 			return endpoint, nil
 		}}, asked, told
 }
@@ -98,8 +98,8 @@
 
 func TestOnlyConfirmedEndpointsComeBack(t *testing.T) {
 	saved := &memoryStore{kept: map[string]state.Endpoint{}}
-	for _, endpoint := range []state.Endpoint{kept("lives", "m", state.Accepting), kept("dead", "m", state.Accepting),
-		kept("closing", "m", state.Closing), kept("others", "n", state.Accepting), kept("beat", "m", state.Accepting)} {
+	for _, endpoint := range []state.Endpoint{kept("lives", "m", state.EndpointAccepting), kept("dead", "m", state.EndpointAccepting),
+		kept("closing", "m", state.EndpointDraining), kept("others", "n", state.EndpointAccepting), kept("beat", "m", state.EndpointAccepting)} {
 		saved.kept[endpoint.ID] = endpoint
 	}
 	table := newTable(t)
@@ -112,14 +112,14 @@
 	for _, endpoint := range table.Live() {
 		known = append(known, endpoint.ID)
 		if endpoint.ID == "lives" {
-			assert.InDelta(t, 1500, endpoint.ColdLeftMillis, 1000, "its own word")
+			assert.InDelta(t, 1500, endpoint.WarmupLeftMillis, 1000, "its own word")
 		}
 	}
 	assert.Equal(t, []string{"beat", "lives"}, known)
 }
 
 func TestNothingIsRestoredFromARefusingDisk(t *testing.T) {
-	saved := &memoryStore{failAt: 1, kept: map[string]state.Endpoint{"lives": kept("lives", "m", state.Accepting)}}
+	saved := &memoryStore{failAt: 1, kept: map[string]state.Endpoint{"lives": kept("lives", "m", state.EndpointAccepting)}}
 	r, asked, _ := newRestorer(t, saved, newTable(t))
 	r.run(t.Context())
 	assert.Empty(t, *asked)
@@ -127,7 +127,7 @@
 
 func TestRestoringGivesUpWithoutARecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		saved := &memoryStore{kept: map[string]state.Endpoint{"lives": kept("lives", "m", state.Accepting)}}
+		saved := &memoryStore{kept: map[string]state.Endpoint{"lives": kept("lives", "m", state.EndpointAccepting)}}
 		table := endpoints.Start(endpoints.Options{Self: "m", BeatInterval: time.Second}, time.Now)
 		defer table.Stop()
 		r, asked, _ := newRestorer(t, saved, table)
@@ -195,15 +195,15 @@
 				w.WriteHeader(answer.status)
 			}))
 			defer server.Close()
-			endpoint := state.Endpoint{ID: "i-1", Address: server.Listener.Addr().String(), ColdLeftMillis: 900, Silent: true}
+			endpoint := state.Endpoint{ID: "i-1", Address: server.Listener.Addr().String(), WarmupLeftMillis: 900, Unresponsive: true}
 			got, err := newProber().confirm(t.Context(), endpoint, "/health")
 			if !answer.confirmed {
 				assert.Error(t, err)
 				return
 			}
 			require.NoError(t, err)
-			assert.False(t, got.Silent)
-			assert.Equal(t, answer.coldLeft, got.ColdLeftMillis)
+			assert.False(t, got.Unresponsive)
+			assert.Equal(t, answer.coldLeft, got.WarmupLeftMillis)
 		})
 	}
 }
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -81,11 +81,11 @@
 		return err
 	}
 	defer node.Close()
-	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
+	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.LiveAt}
 	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
-		InTouch: touch.InTouch, Log: options.Log})
+		InTouch: touch.HasQuorum, Log: options.Log})
 	table.Serve(inner)
-	kept := store.OpenEndpoints(process.StoreDir, options.Log)
+	kept := store.OpenEndpointStore(process.StoreDir, options.Log)
 	defer kept.Close()
 	go keepEndpoints(life, options, node, table, kept)
 	introspect.Serve(inner, (&reporter{mesh: joined, node: node, endpoints: table.Table()}).report)
@@ -108,7 +108,7 @@
 	records := &records{mesh: joined, log: options.Log}
 	node, err := register.Start(ctx, register.NodeOptions{Settings: options.Settings, Storage: storage, Client: client,
 		Mux: inner, Log: options.Log, Committed: records.spread,
-		Members: func() []register.Machine { return coreMachines(joined.Members()) }})
+		Peers: func() []register.Peer { return coreMachines(joined.Members()) }})
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 
 // keepEndpoints restores the endpoints that were kept on disk and then keeps that copy up to date.
 func keepEndpoints(ctx context.Context, options Options, node *register.Node, table *exchange.Exchange,
-	kept *store.Endpoints) {
+	kept *store.EndpointStore) {
 	restoring := &restorer{self: options.Settings.NodeName, store: kept, latest: node.Latest, table: table.Table(),
 		put: table.Put, ask: newProber().confirm, log: options.Log}
 	restoring.run(ctx)
@@ -129,7 +129,7 @@
 
 // controlHandler answers operators and endpoints.
 func controlHandler(options Options, joined *member.Mesh, node *register.Node, table *exchange.Exchange,
-	touch *quorum.Contact) http.Handler {
+	touch *quorum.Checker) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
 	return operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: table.Table(), Spread: table, Contact: touch,
@@ -144,7 +144,7 @@
 		defer close(handedOver)
 		bounded, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
-		node.HandOver(bounded)
+		node.TransferVote(bounded)
 	}()
 	finishing, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
@@ -158,7 +158,7 @@
 // self is what a core process tells the mesh of its member at first.
 func self(process *settings.Process) state.Member {
 	return state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
-		Address: process.InnerAddress(), Control: process.Bind.Control, State: state.MemberStarting}
+		Address: process.InnerAddress(), ControlAddress: process.Bind.Control, State: state.MemberStarting}
 }
 
 func listen(ctx context.Context, address string) (net.Listener, error) {
--- a/serving/core/saver.go
+++ b/serving/core/saver.go
@@ -56,10 +56,10 @@
 	if !ok || delta.Position == s.position {
 		return
 	}
-	changes := store.EndpointChanges{Forgotten: delta.Forgotten, Complete: delta.Complete}
+	changes := store.EndpointChanges{Removed: delta.Forgotten, Snapshot: delta.Complete}
 	for _, endpoint := range delta.Changed {
-		if endpoint.State == state.Gone {
-			changes.Forgotten = append(changes.Forgotten, endpoint.ID)
+		if endpoint.State == state.EndpointDeparted {
+			changes.Removed = append(changes.Removed, endpoint.ID)
 			continue
 		}
 		changes.Changed = append(changes.Changed, endpoint)
--- a/serving/endpoints/calls.go
+++ b/serving/endpoints/calls.go
@@ -58,13 +58,13 @@
 // apply writes a heartbeat into an entry.
 func (t *Table) apply(now time.Time, e *entry, beat Beat) {
 	e.known.Service, e.known.Address, e.known.Zone = beat.Service, beat.Address, beat.Zone
-	e.known.Edition, e.known.Slots, e.known.Models = beat.Edition, beat.Slots, beat.Models
-	e.known.State = state.Accepting
+	e.known.SoftwareVersion, e.known.Slots, e.known.Models = beat.Edition, beat.Slots, beat.Models
+	e.known.State = state.EndpointAccepting
 	if beat.Closing {
-		e.known.State = state.Closing
+		e.known.State = state.EndpointDraining
 	}
 	e.known.Sequence = beat.Sequence
-	e.known.Silent = false
+	e.known.Unresponsive = false
 	e.known.Failing = e.failing.holds(now, t.options.BeatInterval, e.heard)
 	e.known.Receiver = t.options.Self
 	e.coldUntil = deadline(now, beat.ColdLeft)
@@ -87,14 +87,14 @@
 
 // alike tells whether two states of an endpoint mean the same to all who send it requests or judge it.
 func alike(a, b state.Endpoint) bool {
-	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Edition == b.Edition &&
-		a.Slots == b.Slots && a.State == b.State && a.Silent == b.Silent && a.Failing == b.Failing &&
+	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.SoftwareVersion == b.SoftwareVersion &&
+		a.Slots == b.Slots && a.State == b.State && a.Unresponsive == b.Unresponsive && a.Failing == b.Failing &&
 		a.Receiver == b.Receiver &&
 		slices.EqualFunc(a.Models, b.Models, sameModel)
 }
 
 func sameModel(a, b state.Model) bool {
-	return a.Name == b.Name && a.Edition == b.Edition && slices.Equal(a.Adapters, b.Adapters)
+	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
 // SignOff takes in that an endpoint has signed off. It may serve on for a while what it has; it never comes back.
@@ -116,8 +116,8 @@
 
 // end marks an entry as gone.
 func (t *Table) end(now time.Time, e *entry) {
-	e.known.State = state.Gone
-	e.known.Silent, e.known.Failing = false, false
+	e.known.State = state.EndpointDeparted
+	e.known.Unresponsive, e.known.Failing = false, false
 	e.goneAt = now
 	e.coldUntil, e.takenAt = time.Time{}, time.Time{}
 	t.touch(e)
@@ -130,14 +130,14 @@
 		if other == owner || other.known.Address != owner.known.Address {
 			continue
 		}
-		if other.known.State != state.Gone && !other.known.Silent {
+		if other.known.State != state.EndpointDeparted && !other.known.Unresponsive {
 			t.silence(other)
 		}
 	}
 }
 
 func (t *Table) silence(e *entry) {
-	e.known.Silent = true
+	e.known.Unresponsive = true
 	t.touch(e)
 	t.pending[e.known.ID] = e
 }
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -80,9 +80,9 @@
 	for _, endpoint := range x.table.Sweep() {
 		x.Put(endpoint)
 		switch {
-		case endpoint.State == state.Gone:
+		case endpoint.State == state.EndpointDeparted:
 			event.EndpointLost.Log(x.log).Str("endpoint", endpoint.ID).Send()
-		case endpoint.Silent:
+		case endpoint.Unresponsive:
 			event.EndpointSilent.Log(x.log).Str("endpoint", endpoint.ID).Send()
 		}
 	}
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -88,7 +88,7 @@
 		require.Len(t, f.told(), 3)
 		told, err := endpoints.Decode(f.told()[2].Value)
 		require.NoError(t, err)
-		assert.Equal(t, state.Gone, told.State)
+		assert.Equal(t, state.EndpointDeparted, told.State)
 		assert.True(t, endpoints.IsTombstone(f.told()[2].Value))
 	})
 }
--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -110,13 +110,13 @@
 		endpoint, change := handle(w.tables[member])
 		acknowledged = true
 		defer func() {
-			if acknowledged && endpoint.State != state.Accepting {
+			if acknowledged && endpoint.State != state.EndpointAccepting {
 				assert.True(t, w.heldElsewhere(member, endpoint), "%s acknowledged alone", member)
 			}
 		}()
-		if change.Spread || endpoint.State != state.Accepting && !change.Copied {
+		if change.Spread || endpoint.State != state.EndpointAccepting && !change.Copied {
 			copies := w.tell(member, endpoint)
-			acknowledged = endpoint.State == state.Accepting || copies > 0
+			acknowledged = endpoint.State == state.EndpointAccepting || copies > 0
 			if copies > 0 {
 				w.tables[member].Copied(endpoint)
 			}
@@ -160,7 +160,7 @@
 		other, known := table.Get(w.now, id)
 		require.True(t, known, name)
 		assert.Equal(t, first.State, other.State, name)
-		assert.Equal(t, first.Silent, other.Silent, name)
+		assert.Equal(t, first.Unresponsive, other.Unresponsive, name)
 	}
 	return first
 }
@@ -188,7 +188,7 @@
 	w.repair()
 	for name, table := range w.tables {
 		endpoint, _ := table.Get(w.now, "e")
-		assert.NotEqual(t, state.Accepting, endpoint.State, "%s after the closing was acknowledged", name)
+		assert.NotEqual(t, state.EndpointAccepting, endpoint.State, "%s after the closing was acknowledged", name)
 	}
 	w.now = w.now.Add(testInterval)
 	for attempt := 0; ; attempt++ {
@@ -200,7 +200,7 @@
 	}
 	w.flush()
 	w.repair()
-	assert.Equal(t, state.Gone, w.requireAgreement(t, "e").State)
+	assert.Equal(t, state.EndpointDeparted, w.requireAgreement(t, "e").State)
 }
 
 // TestLifeWithAFaultAtEachMessage plays a life once for each message and each fault that may befall it.
@@ -256,7 +256,7 @@
 			}
 			agreed := w.requireAgreement(t, id)
 			if signedOff[id] {
-				assert.Equal(t, state.Gone, agreed.State)
+				assert.Equal(t, state.EndpointDeparted, agreed.State)
 			}
 		}
 	})
--- a/serving/endpoints/fuzz_test.go
+++ b/serving/endpoints/fuzz_test.go
@@ -14,9 +14,9 @@
 // counts as live, spans aren't negative, and what was read means the same when it is written again.
 func FuzzEntry(f *testing.F) {
 	for _, told := range []state.Endpoint{
-		{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 3, ColdLeftMillis: 500, Models: []state.Model{{Name: "m"}}},
-		{ID: "b", State: state.Gone, Sequence: signedOffSequence},
-		{ID: "c", Service: "s", Address: "x:1", State: 9, ColdLeftMillis: 1 << 62, RemainingMillis: -5, Slots: -1},
+		{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 3, WarmupLeftMillis: 500, Models: []state.Model{{Name: "m"}}},
+		{ID: "b", State: state.EndpointDeparted, Sequence: signedOffSequence},
+		{ID: "c", Service: "s", Address: "x:1", State: 9, WarmupLeftMillis: 1 << 62, RemovalInMillis: -5, Slots: -1},
 	} {
 		value, err := Encode(told)
 		require.NoError(f, err)
@@ -41,13 +41,13 @@
 			s.now = s.now.Add(time.Second)
 			s.table.Sweep(s.now)
 			for _, endpoint := range s.table.All(s.now) {
-				assert.GreaterOrEqual(t, endpoint.ColdLeftMillis, int64(0))
-				assert.GreaterOrEqual(t, endpoint.RemainingMillis, int64(0))
+				assert.GreaterOrEqual(t, endpoint.WarmupLeftMillis, int64(0))
+				assert.GreaterOrEqual(t, endpoint.RemovalInMillis, int64(0))
 				_, err := Encode(endpoint)
 				assert.NoError(t, err)
 			}
 			for _, endpoint := range s.table.Live(s.now) {
-				assert.NotEqual(t, state.Gone, endpoint.State)
+				assert.NotEqual(t, state.EndpointDeparted, endpoint.State)
 			}
 		}
 	})
--- a/serving/endpoints/merge.go
+++ b/serving/endpoints/merge.go
@@ -23,7 +23,7 @@
 	}
 	moved := e.known.Address != told.Address
 	t.adopt(now, e, told)
-	if moved && told.State != state.Gone && !told.Silent {
+	if moved && told.State != state.EndpointDeparted && !told.Unresponsive {
 		t.silenceJudgedAt(e)
 	}
 	return true
@@ -33,13 +33,13 @@
 func (t *Table) adopt(now time.Time, e *entry, told state.Endpoint) {
 	if told.Service == "" { // signed off where nothing was known of it
 		told.Service, told.Address, told.Zone = e.known.Service, e.known.Address, e.known.Zone
-		told.Edition, told.Slots, told.Models = e.known.Edition, e.known.Slots, e.known.Models
+		told.SoftwareVersion, told.Slots, told.Models = e.known.SoftwareVersion, e.known.Slots, e.known.Models
 	}
-	if told.State == state.Gone && e.known.State != state.Gone {
+	if told.State == state.EndpointDeparted && e.known.State != state.EndpointDeparted {
 		e.goneAt = now
 	}
-	e.coldUntil = deadline(now, time.Duration(told.ColdLeftMillis)*time.Millisecond)
-	e.takenAt = deadline(now, time.Duration(told.RemainingMillis)*time.Millisecond)
+	e.coldUntil = deadline(now, time.Duration(told.WarmupLeftMillis)*time.Millisecond)
+	e.takenAt = deadline(now, time.Duration(told.RemovalInMillis)*time.Millisecond)
 	e.known = told
 	e.heard, e.judged = now, false
 	t.touch(e)
@@ -59,10 +59,10 @@
 // judge others do the same.
 func (t *Table) silenceJudgedAt(owner *entry) {
 	for _, other := range t.entries {
-		if other == owner || other.known.Address != owner.known.Address || other.known.State == state.Gone {
+		if other == owner || other.known.Address != owner.known.Address || other.known.State == state.EndpointDeparted {
 			continue
 		}
-		if !other.known.Silent && t.options.Judges(other.known.Receiver) {
+		if !other.known.Unresponsive && t.options.Judges(other.known.Receiver) {
 			t.silence(other)
 		}
 	}
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -96,7 +96,7 @@
 // hear of the endpoint, and returns it.
 func (t *Table) Observe(now time.Time, observer string, told state.Observation) (state.Endpoint, bool) {
 	e, known := t.entries[told.EndpointID]
-	if !known || e.known.State == state.Gone || !t.options.Judges(e.known.Receiver) {
+	if !known || e.known.State == state.EndpointDeparted || !t.options.Judges(e.known.Receiver) {
 		return state.Endpoint{}, false
 	}
 	e.failing.note(now, observer, told)
@@ -118,7 +118,7 @@
 	}
 	others, othersFailures, marked := 0, 0, 0
 	for _, e := range t.entries {
-		if e == suspect || e.known.Service != suspect.known.Service || e.known.State != state.Accepting {
+		if e == suspect || e.known.Service != suspect.known.Service || e.known.State != state.EndpointAccepting {
 			continue
 		}
 		others++
--- a/serving/endpoints/owner.go
+++ b/serving/endpoints/owner.go
@@ -10,7 +10,7 @@
 // Owner runs a table in a goroutine of its own and gives it the time. It is safe for use by several goroutines.
 // After Stop all calls return zero values and false.
 type Owner struct {
-	table *actor.Owner[Table]
+	table *actor.Actor[Table]
 	clock func() time.Time
 }
 
@@ -30,7 +30,7 @@
 
 // Beat is Table.Beat.
 func (o *Owner) Beat(id string, beat Beat) (state.Endpoint, Change, bool) {
-	result, ok := actor.Ask(o.table, func(t *Table) called {
+	result, ok := actor.Call(o.table, func(t *Table) called {
 		endpoint, change := t.Beat(o.clock(), id, beat)
 		return called{endpoint, change}
 	})
@@ -39,7 +39,7 @@
 
 // SignOff is Table.SignOff.
 func (o *Owner) SignOff(id string) (state.Endpoint, Change, bool) {
-	result, ok := actor.Ask(o.table, func(t *Table) called {
+	result, ok := actor.Call(o.table, func(t *Table) called {
 		endpoint, change := t.SignOff(o.clock(), id)
 		return called{endpoint, change}
 	})
@@ -54,7 +54,7 @@
 
 // Observe is Table.Observe.
 func (o *Owner) Observe(observer string, told state.Observation) (state.Endpoint, bool, bool) {
-	result, ok := actor.Ask(o.table, func(t *Table) marked {
+	result, ok := actor.Call(o.table, func(t *Table) marked {
 		endpoint, news := t.Observe(o.clock(), observer, told)
 		return marked{endpoint: endpoint, marked: news}
 	})
@@ -62,11 +62,11 @@
 }
 
 // Copied is Table.Copied. It doesn't wait.
-func (o *Owner) Copied(held state.Endpoint) { o.table.Tell(func(t *Table) { t.Copied(held) }) }
+func (o *Owner) Copied(held state.Endpoint) { o.table.Send(func(t *Table) { t.Copied(held) }) }
 
 // Merge is Table.Merge. It doesn't wait; news, where not nil, is called by the owner's goroutine if there was news.
 func (o *Owner) Merge(told state.Endpoint, news func()) {
-	o.table.Tell(func(t *Table) {
+	o.table.Send(func(t *Table) {
 		if t.Merge(o.clock(), told) && news != nil {
 			news()
 		}
@@ -75,19 +75,19 @@
 
 // Restore is Table.Restore.
 func (o *Owner) Restore(kept state.Endpoint) bool {
-	taken, _ := actor.Ask(o.table, func(t *Table) bool { return t.Restore(o.clock(), kept) })
+	taken, _ := actor.Call(o.table, func(t *Table) bool { return t.Restore(o.clock(), kept) })
 	return taken
 }
 
 // Sweep is Table.Sweep.
 func (o *Owner) Sweep() []state.Endpoint {
-	list, _ := actor.Ask(o.table, func(t *Table) []state.Endpoint { return t.Sweep(o.clock()) })
+	list, _ := actor.Call(o.table, func(t *Table) []state.Endpoint { return t.Sweep(o.clock()) })
 	return list
 }
 
 // Live is Table.Live.
 func (o *Owner) Live() []state.Endpoint {
-	list, _ := actor.Ask(o.table, func(t *Table) []state.Endpoint { return t.Live(o.clock()) })
+	list, _ := actor.Call(o.table, func(t *Table) []state.Endpoint { return t.Live(o.clock()) })
 	return list
 }
 
@@ -101,7 +101,7 @@
 
 // Changes is Table.Changes.
 func (o *Owner) Changes(since uint64) (Delta, bool) {
-	return actor.Ask(o.table, func(t *Table) (delta Delta) {
+	return actor.Call(o.table, func(t *Table) (delta Delta) {
 		delta.Changed, delta.Forgotten, delta.Position, delta.Complete = t.Changes(o.clock(), since)
 		return delta
 	})
--- a/serving/endpoints/restore.go
+++ b/serving/endpoints/restore.go
@@ -10,7 +10,7 @@
 // tells whether it was taken in. Times left count from now: they become too long, never too short. Until its next
 // heartbeat comes its silence is judged as if one had come now.
 func (t *Table) Restore(now time.Time, kept state.Endpoint) bool {
-	if _, known := t.entries[kept.ID]; known || kept.ID == "" || kept.State == state.Gone {
+	if _, known := t.entries[kept.ID]; known || kept.ID == "" || kept.State == state.EndpointDeparted {
 		return false
 	}
 	e := &entry{}
--- a/serving/endpoints/restore_test.go
+++ b/serving/endpoints/restore_test.go
@@ -13,16 +13,16 @@
 	now := time.Unix(1000, 0)
 	table := NewTable(Options{Self: "m", BeatInterval: time.Second})
 	kept := state.Endpoint{ID: "i", Service: "s", Address: "a:1", Zone: "z", Sequence: 7, Receiver: "m",
-		ColdLeftMillis: 2000}
+		WarmupLeftMillis: 2000}
 	assert.True(t, table.Restore(now, kept))
 	assert.False(t, table.Restore(now, kept), "once")
 	got, _ := table.Get(now.Add(time.Second), "i")
-	assert.EqualValues(t, 1000, got.ColdLeftMillis)
+	assert.EqualValues(t, 1000, got.WarmupLeftMillis)
 
 	_, change := table.Beat(now.Add(time.Second), "i", Beat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Closing: true})
 	assert.Equal(t, Change{Spread: true}, change, "its closing isn't known to be held by another member")
 	assert.False(t, table.Restore(now, kept))
-	assert.False(t, table.Restore(now, state.Endpoint{ID: "gone", State: state.Gone}))
+	assert.False(t, table.Restore(now, state.Endpoint{ID: "gone", State: state.EndpointDeparted}))
 }
 
 func TestRestoredEndpointThatSaysNothingIsSilentAndThenGone(t *testing.T) {
@@ -36,11 +36,11 @@
 		got, _ := table.Get(now, "i")
 		switch {
 		case second < 2:
-			assert.False(t, got.Silent)
+			assert.False(t, got.Unresponsive)
 		case second > 5 && second < 28:
-			assert.True(t, got.Silent)
+			assert.True(t, got.Unresponsive)
 		case second > 32:
-			assert.Equal(t, state.Gone, got.State)
+			assert.Equal(t, state.EndpointDeparted, got.State)
 		}
 	}
 }
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -32,7 +32,7 @@
 
 // judge looks at one endpoint. Judged: its silence is this member's to judge.
 func (t *Table) judge(now time.Time, e *entry, judged bool) {
-	if e.known.State == state.Gone {
+	if e.known.State == state.EndpointDeparted {
 		if now.Sub(e.goneAt) > tombstoneKept {
 			t.forget(e)
 		}
@@ -50,7 +50,7 @@
 	case silence > goneAfter, !e.takenAt.IsZero() && now.Sub(e.takenAt) > takenSlack:
 		t.end(now, e)
 		t.pending[e.known.ID] = e
-	case silence > silentBeats*t.options.BeatInterval+silentSlack && !e.known.Silent:
+	case silence > silentBeats*t.options.BeatInterval+silentSlack && !e.known.Unresponsive:
 		t.silence(e)
 	}
 }
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -97,7 +97,7 @@
 
 // Live returns the endpoints that are not gone, ordered by ID.
 func (t *Table) Live(now time.Time) []state.Endpoint {
-	return t.list(now, func(e *entry) bool { return e.known.State != state.Gone })
+	return t.list(now, func(e *entry) bool { return e.known.State != state.EndpointDeparted })
 }
 
 func (t *Table) list(now time.Time, wanted func(*entry) bool) []state.Endpoint {
@@ -114,10 +114,10 @@
 // at returns the endpoint with the times that are left now.
 func (e *entry) at(now time.Time) state.Endpoint {
 	endpoint := e.known
-	endpoint.ColdLeftMillis = millisLeft(now, e.coldUntil)
-	endpoint.RemainingMillis = 0
+	endpoint.WarmupLeftMillis = millisLeft(now, e.coldUntil)
+	endpoint.RemovalInMillis = 0
 	if !e.takenAt.IsZero() {
-		endpoint.RemainingMillis = max(1, millisLeft(now, e.takenAt))
+		endpoint.RemovalInMillis = max(1, millisLeft(now, e.takenAt))
 	}
 	return endpoint
 }
--- a/serving/endpoints/table_test.go
+++ b/serving/endpoints/table_test.go
@@ -91,13 +91,13 @@
 
 func endpointOf(t *testing.T, d *datadriven.TestData) state.Endpoint {
 	e := state.Endpoint{ID: word(t, d, "id"), Service: "s", Address: text(t, d, "address", "10.0.0.1:80"), Zone: "z",
-		Slots: 6, Sequence: number(t, d, "seq"), Silent: d.HasArg("silent"), Receiver: text(t, d, "receiver", "other"),
-		ColdLeftMillis: int64(number(t, d, "cold")), RemainingMillis: int64(number(t, d, "remaining"))}
+		Slots: 6, Sequence: number(t, d, "seq"), Unresponsive: d.HasArg("silent"), Receiver: text(t, d, "receiver", "other"),
+		WarmupLeftMillis: int64(number(t, d, "cold")), RemovalInMillis: int64(number(t, d, "remaining"))}
 	if d.HasArg("closing") {
-		e.State = state.Closing
+		e.State = state.EndpointDraining
 	}
 	if d.HasArg("gone") {
-		e.State = state.Gone
+		e.State = state.EndpointDeparted
 	}
 	if d.HasArg("bare") {
 		e = state.Endpoint{ID: e.ID, Sequence: e.Sequence, State: e.State}
@@ -141,7 +141,7 @@
 
 func show(e state.Endpoint) string {
 	line := fmt.Sprintf("%s %s", e.ID, [...]string{"accepting", "closing", "gone"}[e.State])
-	if e.Silent {
+	if e.Unresponsive {
 		line += " silent"
 	}
 	sequence := strconv.FormatUint(e.Sequence, 10)
@@ -149,11 +149,11 @@
 		sequence = "max"
 	}
 	line += fmt.Sprintf(" %s@%s seq=%s receiver=%s", e.Service, e.Address, sequence, e.Receiver)
-	if e.ColdLeftMillis != 0 {
-		line += fmt.Sprintf(" cold=%d", e.ColdLeftMillis)
+	if e.WarmupLeftMillis != 0 {
+		line += fmt.Sprintf(" cold=%d", e.WarmupLeftMillis)
 	}
-	if e.RemainingMillis != 0 {
-		line += fmt.Sprintf(" remaining=%d", e.RemainingMillis)
+	if e.RemovalInMillis != 0 {
+		line += fmt.Sprintf(" remaining=%d", e.RemovalInMillis)
 	}
 	return line + "\n"
 }
--- a/serving/endpoints/version.go
+++ b/serving/endpoints/version.go
@@ -18,7 +18,7 @@
 func Version(e state.Endpoint) (major, minor uint64) {
 	const silent, failing, stateShift = 1, 2, 2
 	minor = uint64(e.State) << stateShift
-	if e.Silent {
+	if e.Unresponsive {
 		minor |= silent
 	}
 	if e.Failing {
@@ -50,5 +50,5 @@
 // IsTombstone tells whether a value of the spread is of an endpoint that is gone. A value that can't be read isn't.
 func IsTombstone(value []byte) bool {
 	e, err := Decode(value)
-	return err == nil && e.State == state.Gone
+	return err == nil && e.State == state.EndpointDeparted
 }
--- a/serving/introspect/inspect.go
+++ b/serving/introspect/introspect.go
@@ -16,21 +16,21 @@
 
 // Request asks for a report.
 type Request struct {
-	// WithTables asks for the members and endpoints too, not only for what the process itself is and has in force.
-	WithTables bool `cbor:"1,keyasint,omitempty"`
+	// IncludeTables asks for the members and endpoints too, not only for what the process itself is and has in force.
+	IncludeTables bool `cbor:"1,keyasint,omitempty"`
 }
 
 // Report is what a process knows.
 type Report struct {
-	Self      state.Member      `cbor:"1,keyasint"`
-	Revision  uint64            `cbor:"2,keyasint"` // of the newest record; 0: none known
-	Version   uint64            `cbor:"3,keyasint"` // of its configuration
-	Digest    state.Digest      `cbor:"4,keyasint"`
-	Evacuated []string          `cbor:"5,keyasint,omitempty"` // zones
-	Replicas  state.ReplicaSet  `cbor:"6,keyasint"`
-	Members   []Member          `cbor:"7,keyasint,omitempty"`
-	Endpoints []state.Endpoint  `cbor:"8,keyasint,omitempty"`
-	Duties    []singleton.Claim `cbor:"9,keyasint,omitempty"`
+	Self            state.Member      `cbor:"1,keyasint"`
+	Revision        uint64            `cbor:"2,keyasint"` // of the newest record; 0: none known
+	Version         uint64            `cbor:"3,keyasint"` // of its configuration
+	Digest          state.Digest      `cbor:"4,keyasint"`
+	Evacuated       []string          `cbor:"5,keyasint,omitempty"` // zones
+	Voters          state.ReplicaSet  `cbor:"6,keyasint"`
+	Members         []Member          `cbor:"7,keyasint,omitempty"`
+	Endpoints       []state.Endpoint  `cbor:"8,keyasint,omitempty"`
+	SingletonClaims []singleton.Claim `cbor:"9,keyasint,omitempty"`
 	// Learner tells that the process keeps the committed record, has caught up and may be given a vote.
 	Learner bool `cbor:"10,keyasint,omitempty"`
 }
@@ -41,15 +41,15 @@
 	Down   bool         `cbor:"2,keyasint,omitempty"`
 }
 
-// TakeRecord fills in what a report says of the record. A nil record is none.
-func (r *Report) TakeRecord(record *state.Record) {
+// SetRecord fills in what a report says of the record. A nil record is none.
+func (r *Report) SetRecord(record *state.Record) {
 	if record == nil {
 		return
 	}
 	r.Revision = record.Revision
 	r.Version = record.Configuration.Version
 	r.Digest = record.Configuration.Digest
-	r.Replicas = record.Replicas
+	r.Voters = record.Voters
 	for _, evacuation := range record.Evacuations {
 		if evacuation.Active {
 			r.Evacuated = append(r.Evacuated, evacuation.Zone)
@@ -57,8 +57,8 @@
 	}
 }
 
-// TakeMembers fills in the members.
-func (r *Report) TakeMembers(live, down []state.Member) {
+// SetMembers fills in the members.
+func (r *Report) SetMembers(live, down []state.Member) {
 	for _, member := range live {
 		r.Members = append(r.Members, Member{Member: member})
 	}
@@ -75,7 +75,7 @@
 	})
 }
 
-// Ask returns the report of the process at host:port. The context bounds the call.
-func Ask(ctx context.Context, client *rpc.Client, address string, request Request) (*Report, error) {
+// Fetch returns the report of the process at host:port. The context bounds the call.
+func Fetch(ctx context.Context, client *rpc.Client, address string, request Request) (*Report, error) {
 	return method.Call(ctx, client, address, &request)
 }
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -100,7 +100,7 @@
 // choose returns the zone's endpoints that serve models and take requests.
 func (p *Poller) choose() (chosen []state.Endpoint) {
 	for _, endpoint := range p.options.Endpoints() {
-		if endpoint.Zone == p.options.Zone && endpoint.State == state.Accepting && !endpoint.Silent &&
+		if endpoint.Zone == p.options.Zone && endpoint.State == state.EndpointAccepting && !endpoint.Unresponsive &&
 			len(endpoint.Models) > 0 {
 			chosen = append(chosen, endpoint)
 		}
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -81,7 +81,7 @@
 	mesh := &fakeMesh{}
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
 	elsewhere, plain, closing, silent := good, good, good, good
-	elsewhere.Zone, plain.Models, closing.State, silent.Silent = "n2", nil, state.Closing, true
+	elsewhere.Zone, plain.Models, closing.State, silent.Unresponsive = "n2", nil, state.EndpointDraining, true
 	chosen := poller(mesh, elsewhere, plain, good, closing, silent).choose()
 	assert.Equal(t, []state.Endpoint{good}, chosen)
 }
--- a/serving/member/codec.go
+++ b/serving/member/codec.go
@@ -54,7 +54,7 @@
 		return err == nil && member.State == state.MemberLeft
 	case gossip.TableEndpoints:
 		endpoint, err := decode[endpointEnd](entry)
-		return err == nil && endpoint.State == state.Gone
+		return err == nil && endpoint.State == state.EndpointDeparted
 	case gossip.TableSuspicions:
 		word, err := decode[membership.Suspicion](entry)
 		return err == nil && word.Withdrawn
--- a/serving/member/front.go
+++ b/serving/member/front.go
@@ -9,8 +9,8 @@
 // SetFront changes where the own member's proxy takes clients' requests, host:port.
 func (m *Mesh) SetFront(front string) {
 	m.do(func(now time.Time, n *node) {
-		if n.members.Self().Front != front {
-			n.updateSelf(now, func(member *state.Member) { member.Front = front })
+		if n.members.Self().ProxyAddress != front {
+			n.updateSelf(now, func(member *state.Member) { member.ProxyAddress = front })
 		}
 	})
 }
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -28,7 +28,7 @@
 
 // answer runs a command on the node and returns its result, or an error after Close.
 func answer[Response any](m *Mesh, command func(now time.Time, n *node) Response) (*Response, error) {
-	response, ok := actor.Ask(m.owner, func(n *node) Response {
+	response, ok := actor.Call(m.owner, func(n *node) Response {
 		response := command(time.Now(), n)
 		m.wakeFor(n)
 		return response
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -22,7 +22,7 @@
 		case <-timer.C:
 		case <-m.poke:
 		}
-		todo, ok := actor.Ask(m.owner, func(n *node) actions {
+		todo, ok := actor.Call(m.owner, func(n *node) actions {
 			now := time.Now()
 			todo := n.tick(now)
 			n.wakeAt = todo.next
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -34,7 +34,7 @@
 // Mesh is one process's part in the mesh. Its methods may be called from several goroutines.
 type Mesh struct {
 	options  Options
-	owner    *actor.Owner[node]
+	owner    *actor.Actor[node]
 	calls    *caller
 	delivery *delivery
 	poke     chan struct{} // something is due earlier than the timer says
@@ -89,7 +89,7 @@
 
 // do runs a command on the node and sees to it that the timer fits what it brought about.
 func (m *Mesh) do(command func(now time.Time, n *node)) {
-	m.owner.Tell(func(n *node) {
+	m.owner.Send(func(n *node) {
 		command(time.Now(), n)
 		m.wakeFor(n)
 	})
@@ -97,7 +97,7 @@
 
 // ask runs a command on the node and returns its result; the zero value after Close.
 func ask[Result any](m *Mesh, command func(now time.Time, n *node) Result) Result {
-	result, _ := actor.Ask(m.owner, func(n *node) Result {
+	result, _ := actor.Call(m.owner, func(n *node) Result {
 		result := command(time.Now(), n)
 		m.wakeFor(n)
 		return result
@@ -123,7 +123,7 @@
 
 // Get returns the newest entry of a key.
 func (m *Mesh) Get(table gossip.Table, key string) (entry gossip.Entry, found bool) {
-	actor.Ask(m.owner, func(n *node) bool {
+	actor.Call(m.owner, func(n *node) bool {
 		entry, found = n.engine.Get(table, key)
 		return true
 	})
--- a/serving/operator/core_test.go
+++ b/serving/operator/core_test.go
@@ -95,15 +95,15 @@
 	inner := &httptest.Server{Listener: listener, Config: &http.Server{Handler: mux}}
 	inner.Start()
 	self := state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
-		Address: process.InnerAddress(), Control: process.IP + ":1", State: state.MemberReady}
+		Address: process.InnerAddress(), ControlAddress: process.IP + ":1", State: state.MemberReady}
 	joined, err := memberpkg.Start(ctx, memberpkg.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
 	require.NoError(t, err)
 	node, err := register.Start(ctx, register.NodeOptions{Settings: process, Storage: &memoryStorage{}, Client: client,
-		Mux: mux, Log: &log, Committed: func(state.Record) {}, Members: func() []register.Machine { return nil }})
+		Mux: mux, Log: &log, Committed: func(state.Record) {}, Peers: func() []register.Peer { return nil }})
 	require.NoError(t, err)
-	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
+	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.LiveAt}
 	linked := exchange.Start(ctx, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
-		InTouch: touch.InTouch, Log: &log})
+		InTouch: touch.HasQuorum, Log: &log})
 	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: joined.Members, Clock: time.Now}
 	handler := operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: linked.Table(),
 		Spread: linked, Contact: touch, Regions: process.Regions, Forward: forwarder.Forward, Log: &log})
@@ -262,7 +262,7 @@
 	for _, c := range cores {
 		require.Eventually(t, func() bool {
 			live := c.exchange.Table().Live()
-			return len(live) == 1 && live[0].State == state.Closing
+			return len(live) == 1 && live[0].State == state.EndpointDraining
 		}, 20*time.Second, 20*time.Millisecond, c.name)
 	}
 	cores[1].until(t, 200, "POST", "/Endpoints.SignOff/e", "", "")
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoints.go
@@ -18,7 +18,7 @@
 type EndpointsResource struct {
 	endpoints Endpoints
 	spread    Spread
-	contact   *quorum.Contact
+	contact   *quorum.Checker
 	forward   func(id, zone string) string
 	log       *zerolog.Logger
 }
@@ -77,11 +77,11 @@
 // the voters holds that: each dispatcher that is in touch hears it from one of them, and a machine that is cut off
 // acknowledges nothing. Errors are result.NotReplicated.
 func (e *EndpointsResource) tellOthers(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
-	if endpoint.State == state.Accepting {
+	if endpoint.State == state.EndpointAccepting {
 		if change.Spread {
 			e.spread.Put(endpoint)
 		}
-		if !e.contact.InTouch() {
+		if !e.contact.HasQuorum() {
 			return errcode.NotReplicated.With("endpoint %s: too few voters are live", endpoint.ID)
 		}
 		return nil
@@ -89,7 +89,7 @@
 	if change.Copied {
 		return nil
 	}
-	others, copies, known := e.contact.Others()
+	others, copies, known := e.contact.OtherVoters()
 	if !known {
 		return errcode.NotReplicated.With("endpoint %s: the voters aren't known yet", endpoint.ID)
 	}
@@ -120,8 +120,8 @@
 	case change.New:
 		event.EndpointRegistered.Log(e.log).Str("endpoint", endpoint.ID).Str("service", endpoint.Service).
 			Str("address", endpoint.Address).Str("zone", endpoint.Zone).Send()
-	case change.Spread && endpoint.State == state.Closing:
+	case change.Spread && endpoint.State == state.EndpointDraining:
 		event.EndpointClosing.Log(e.log).Str("endpoint", endpoint.ID).
-			Int64("remaining_ms", endpoint.RemainingMillis).Send()
+			Int64("remaining_ms", endpoint.RemovalInMillis).Send()
 	}
 }
--- a/serving/operator/endpoints_test.go
+++ b/serving/operator/endpoints_test.go
@@ -16,8 +16,8 @@
 	answer := f.call("POST", beatPath, beatBody("accepting", 4))
 	assert.Equal(t, 200, answer.Code)
 	assert.JSONEq(t, `{"forward_to":"z1:1"}`, answer.Body.String())
-	want := state.Endpoint{ID: "i-7f3a91c2", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "z1", Edition: "v1",
-		Slots: 128, Sequence: 4, Receiver: "core-1", Models: []state.Model{{Name: "m", Edition: 1}}}
+	want := state.Endpoint{ID: "i-7f3a91c2", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "z1", SoftwareVersion: "v1",
+		Slots: 128, Sequence: 4, Receiver: "core-1", Models: []state.Model{{Name: "m", Version: 1}}}
 	assert.Equal(t, []state.Endpoint{want}, f.spread.put)
 	assert.Equal(t, []state.Endpoint{want}, f.table.Live())
 
@@ -127,7 +127,7 @@
 
 func member(name, zone, region string) state.Member {
 	return state.Member{Name: name, Zone: zone, Region: region, Role: state.RoleCore, State: state.MemberReady,
-		Control: name + ":1"}
+		ControlAddress: name + ":1"}
 }
 
 func TestForwarderChoosesTheNearest(t *testing.T) {
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -102,7 +102,7 @@
 // fakeVoters is a set of voters.
 type fakeVoters []string
 
-func (f fakeVoters) Replicas() (set state.ReplicaSet) {
+func (f fakeVoters) Voters() (set state.ReplicaSet) {
 	for _, address := range f {
 		set.Replicas = append(set.Replicas, state.Replica{ID: address, Address: address})
 	}
@@ -125,7 +125,7 @@
 	t.Cleanup(f.table.Stop)
 	log := zerolog.Nop()
 	f.handler = New(Options{Register: f.register, Endpoints: f.table, Spread: f.spread,
-		Contact: &quorum.Contact{Voters: f.voters, Self: "core-1", Live: f.spread.live},
+		Contact: &quorum.Checker{Voters: f.voters, Self: "core-1", IsLive: f.spread.live},
 		Regions: map[string]string{"z1": "r1"}, Forward: func(_, zone string) string { return zone + ":1" }, Log: &log})
 	return f
 }
--- a/serving/operator/forward.go
+++ b/serving/operator/forward.go
@@ -37,10 +37,10 @@
 // Forward returns the control address for an endpoint's next heartbeats.
 func (f *Forwarder) Forward(id, zone string) string {
 	chosen := chooseReceiver(f.Self, f.Members(), f.Regions, id, zone)
-	if chosen.Name == f.Self.Name || f.cameBack(id, chosen.Control) {
-		return f.Self.Control
+	if chosen.Name == f.Self.Name || f.cameBack(id, chosen.ControlAddress) {
+		return f.Self.ControlAddress
 	}
-	return chosen.Control
+	return chosen.ControlAddress
 }
 
 // cameBack tells whether an endpoint calls here although it was just sent there, else notes that it is sent.
@@ -76,7 +76,7 @@
 func chooseReceiver(self state.Member, members []state.Member, regions map[string]string, id, zone string) state.Member {
 	best, bestNear, bestWeight := self, nearness(self, regions, zone), weight(self.Name, id)
 	for _, member := range members {
-		if member.Role != state.RoleCore || member.State != state.MemberReady || member.Control == "" {
+		if member.Role != state.RoleCore || member.State != state.MemberReady || member.ControlAddress == "" {
 			continue
 		}
 		near, share := nearness(member, regions, zone), weight(member.Name, id)
--- a/serving/operator/fuzz_test.go
+++ b/serving/operator/fuzz_test.go
@@ -55,7 +55,7 @@
 			document.State = "closing"
 		}
 		for _, model := range beat.Models {
-			document.Models = append(document.Models, modelDocument{model.Name, model.Edition, model.Adapters})
+			document.Models = append(document.Models, modelDocument{model.Name, model.Version, model.Adapters})
 		}
 		written, err := json.Marshal(document)
 		require.NoError(t, err)
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -41,7 +41,7 @@
 	modelSettings = schema.Table[state.Model]{
 		{Name: "name", Type: schema.Text(func(m *state.Model) *string { return &m.Name })},
 		{Name: "edition", Type: schema.Raw(func(m *state.Model, value gjson.Result) error {
-			m.Edition = int(value.Int())
+			m.Version = int(value.Int())
 			return nil
 		})},
 		{Name: "adapters", Type: schema.Raw(storeAdapters)},
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -65,7 +65,7 @@
 	Register  Register
 	Endpoints Endpoints
 	Spread    Spread
-	Contact   *quorum.Contact
+	Contact   *quorum.Checker
 	Regions   map[string]string // region by zone: the zones that may be evacuated
 	// Forward names the control address where the endpoint's next heartbeats are to go, empty for none; see Forwarder.
 	Forward func(id, zone string) string
--- a/serving/operator/register.go
+++ b/serving/operator/register.go
@@ -27,7 +27,7 @@
 
 // AmendConfiguration implements Register.
 func (n nodeRegister) AmendConfiguration(ctx context.Context, order Amendment) error {
-	accepted := state.Accepted{Version: order.amendment.Version, Digest: order.digest}
+	accepted := state.AppliedUpdate{Version: order.amendment.Version, Digest: order.digest}
 	_, err := n.node.Change(ctx, register.AmendConfiguration(order.basedOn, accepted, order.Apply))
 	return err
 }
--- a/serving/operator/settings.go
+++ b/serving/operator/settings.go
@@ -115,7 +115,7 @@
 	if configuration.Version == 0 {
 		return noConfiguration, nil
 	}
-	return configuration.Open()
+	return configuration.Decompress()
 }
 
 // Read answers with the newest configuration, byte for byte as it was sent, or 503 without a majority.
--- a/serving/placement/cold_test.go
+++ b/serving/placement/cold_test.go
@@ -20,7 +20,7 @@
 // coldEndpoint is the only one of its service and stays cold for long.
 func coldEndpoint() []state.Endpoint {
 	made := modelEndpoints("e1", 1)
-	made[0].ColdLeftMillis = 60_000
+	made[0].WarmupLeftMillis = 60_000
 	return made
 }
 
@@ -106,11 +106,11 @@
 	cold := func(after time.Duration) bool { return w.isCold(w.now.Add(after), e) }
 	assert.False(t, cold(0))
 
-	w.view.Endpoints[0].Sequence, w.view.Endpoints[0].ColdLeftMillis = 2, 3000
+	w.view.Endpoints[0].Sequence, w.view.Endpoints[0].WarmupLeftMillis = 2, 3000
 	w.tell()
 	assert.True(t, cold(3900*time.Millisecond))
 	assert.False(t, cold(4*time.Second))
-	w.view.Endpoints[0].Sequence, w.view.Endpoints[0].ColdLeftMillis = 3, 0
+	w.view.Endpoints[0].Sequence, w.view.Endpoints[0].WarmupLeftMillis = 3, 0
 	w.tell()
 	assert.False(t, cold(0), "its own word ends it")
 
@@ -160,12 +160,12 @@
 // TestASilentEndpointCountsAsCold: it may have ended and come back cold, before its first heartbeat tells.
 func TestASilentEndpointCountsAsCold(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
-	w.view.Endpoints[0].Silent = true
+	w.view.Endpoints[0].Unresponsive = true
 	w.tell()
 	assert.True(t, w.isCold(w.now, w.endpoints["e1-0"]))
 	assert.False(t, w.isCold(w.now, w.endpoints["e1-1"]))
 	for index := range w.view.Endpoints {
-		w.view.Endpoints[index].Silent = true
+		w.view.Endpoints[index].Unresponsive = true
 	}
 	w.tell()
 	assert.False(t, w.isCold(w.now, w.endpoints["e1-0"]), "where most are silent, their heartbeats are what is lost")
--- a/serving/placement/eligible_test.go
+++ b/serving/placement/eligible_test.go
@@ -23,7 +23,7 @@
 			info := &w.view.Endpoints[index]
 			switch rapid.IntRange(0, 4).Draw(r, "event") {
 			case 0:
-				info.State = rapid.SampledFrom([]state.EndpointState{state.Accepting, state.Closing, state.Gone}).Draw(r, "state")
+				info.State = rapid.SampledFrom([]state.EndpointState{state.EndpointAccepting, state.EndpointDraining, state.EndpointDeparted}).Draw(r, "state")
 				info.Sequence++
 			case 1:
 				zone := rapid.SampledFrom([]string{"e1", "e2", "w1"}).Draw(r, "evacuated")
@@ -35,7 +35,7 @@
 			if verdict.Kind != Chosen {
 				continue
 			}
-			assert.Equal(r, state.Accepting, choice.Endpoint.State)
+			assert.Equal(r, state.EndpointAccepting, choice.Endpoint.State)
 			assert.False(r, w.evacuated[choice.Endpoint.Zone], "evacuated")
 			if request.Route.Name == "home" {
 				assert.Equal(r, "east", regions[choice.Endpoint.Zone], "homes bind")
@@ -96,7 +96,7 @@
 
 func TestASilentEndpointIsTheLastChoice(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
-	w.view.Endpoints[0].Silent = true
+	w.view.Endpoints[0].Unresponsive = true
 	w.tell()
 	for subject := range 30 {
 		choice, verdict := w.Choose(w.now, w.request("review", subject))
@@ -104,7 +104,7 @@
 		assert.NotEqual(t, "e1-0", choice.Endpoint.ID)
 		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
 	}
-	w.view.Endpoints[1].State, w.view.Endpoints[2].State = state.Closing, state.Closing
+	w.view.Endpoints[1].State, w.view.Endpoints[2].State = state.EndpointDraining, state.EndpointDraining
 	w.tell()
 	_, verdict := w.Choose(w.now, w.request("review", 1))
 	assert.Equal(t, Chosen, verdict.Kind, "there is nothing else")
--- a/serving/placement/endpoint.go
+++ b/serving/placement/endpoint.go
@@ -158,7 +158,9 @@
 )
 
 // doubtful tells whether the endpoint alone, or with few others, is said to be silent or to fail its calls.
-func (e *endpoint) doubtful() bool { return (e.info.Silent || e.info.Failing) && !e.service.mostSilent }
+func (e *endpoint) doubtful() bool {
+	return (e.info.Unresponsive || e.info.Failing) && !e.service.mostSilent
+}
 
 // delay is how much longer than computed a first byte is expected to take. Of an endpoint that was hardly used of late
 // the others of its region tell.
--- a/serving/placement/estimate_test.go
+++ b/serving/placement/estimate_test.go
@@ -103,7 +103,7 @@
 	w.Finished(w.now, first.Ticket, attempt.Succeeded)
 	for index := range w.view.Endpoints {
 		if info := &w.view.Endpoints[index]; info.ID == first.Endpoint.ID {
-			info.Sequence, info.ColdLeftMillis = 2, 60_000
+			info.Sequence, info.WarmupLeftMillis = 2, 60_000
 		}
 	}
 	w.tell()
--- a/serving/placement/service.go
+++ b/serving/placement/service.go
@@ -111,7 +111,7 @@
 		if !e.closed {
 			all++
 		}
-		if !e.closed && (e.info.Silent || e.info.Failing) {
+		if !e.closed && (e.info.Unresponsive || e.info.Failing) {
 			silent++
 		}
 		e.group = s.region(e.region)
--- a/serving/placement/subset_test.go
+++ b/serving/placement/subset_test.go
@@ -89,7 +89,7 @@
 	own := w.use(t, 40, usual)
 	for index := range w.view.Endpoints {
 		if own[w.view.Endpoints[index].ID] > 0 {
-			w.view.Endpoints[index].State = state.Closing
+			w.view.Endpoints[index].State = state.EndpointDraining
 			w.view.Endpoints[index].Sequence++
 		}
 	}
--- a/serving/placement/update.go
+++ b/serving/placement/update.go
@@ -46,14 +46,14 @@
 	e.region = p.options.Regions[info.Zone]
 	e.zone = p.zone(info.Zone)
 	e.prefixes.limit = e.service.cacheTokens() / 2 // the other half is left to running requests and others' parts
-	e.closed = e.lost || info.State != state.Accepting || p.evacuated[info.Zone]
+	e.closed = e.lost || info.State != state.EndpointAccepting || p.evacuated[info.Zone]
 	return e
 }
 
 // takeCold reads from newer word how long the endpoint stays cold, counted from now: too long rather than too short.
 func (e *endpoint) takeCold(now time.Time, info *state.Endpoint) {
-	if info.ColdLeftMillis > 0 {
-		left := time.Duration(info.ColdLeftMillis) * time.Millisecond
+	if info.WarmupLeftMillis > 0 {
+		left := time.Duration(info.WarmupLeftMillis) * time.Millisecond
 		e.cold.toldUntil = now.Add(left + coldMargin)
 		return
 	}
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -111,7 +111,7 @@
 
 	w.now = e.health.heldUntil.Add(time.Millisecond)
 	for index := 1; index < 4; index++ { // probes are the only way left
-		w.view.Endpoints[index].State = state.Closing
+		w.view.Endpoints[index].State = state.EndpointDraining
 	}
 	w.tell()
 	e.service.crowdEjected = false
--- a/serving/proxy/knowledge.go
+++ b/serving/proxy/knowledge.go
@@ -52,7 +52,7 @@
 	if now.Version == 0 || now.Version == before.Version && now.Digest == before.Digest {
 		return nil
 	}
-	document, err := now.Open()
+	document, err := now.Decompress()
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 		return false
 	}
 	for _, endpoint := range k.endpoints {
-		if endpoint.State == state.Accepting {
+		if endpoint.State == state.EndpointAccepting {
 			return true
 		}
 	}
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -42,7 +42,7 @@
 func TestKnowledge(t *testing.T) {
 	k := newKnowledge()
 	one := state.Endpoint{ID: "i-1", Service: "plain"}
-	two := state.Endpoint{ID: "i-2", Service: "plain", State: state.Closing}
+	two := state.Endpoint{ID: "i-2", Service: "plain", State: state.EndpointDraining}
 	require.NoError(t, k.take(&subscription.Response{Endpoints: []state.Endpoint{two}, Complete: true}))
 	assert.False(t, k.enough())
 	require.NoError(t, k.take(&subscription.Response{Record: &state.Record{Revision: 1}}))
--- a/serving/quorum/contact_test.go
+++ b/serving/quorum/checker_test.go
@@ -11,7 +11,7 @@
 // voters is a set of voters by their addresses. It implements Voters.
 type voters []string
 
-func (v voters) Replicas() (set state.ReplicaSet) {
+func (v voters) Voters() (set state.ReplicaSet) {
 	for _, address := range v {
 		set.Replicas = append(set.Replicas, state.Replica{ID: address, Address: address})
 	}
@@ -40,11 +40,11 @@
 		for _, address := range test.live {
 			live[address] = true
 		}
-		c := &Contact{Voters: test.voters, Self: "self", Live: func(address string) bool { return live[address] }}
-		others, needed, known := c.Others()
+		c := &Checker{Voters: test.voters, Self: "self", IsLive: func(address string) bool { return live[address] }}
+		others, needed, known := c.OtherVoters()
 		assert.Equal(t, test.others, others, test.name)
 		assert.Equal(t, test.needed, needed, test.name)
 		assert.Equal(t, test.known, known, test.name)
-		assert.Equal(t, test.touch, c.InTouch(), test.name)
+		assert.Equal(t, test.touch, c.HasQuorum(), test.name)
 	}
 }
--- a/serving/register/acceptor.go
+++ b/serving/register/acceptor.go
@@ -25,7 +25,7 @@
 // Acceptor is a replica: it votes on proposals and saves each vote before giving it. Requests that change its state
 // go one after the other through the disk; what it has saved is read without waiting for the disk.
 type Acceptor struct {
-	disk    *actor.Owner[acceptorDisk]
+	disk    *actor.Actor[acceptorDisk]
 	saved   atomic.Pointer[AcceptorState] // what is certainly on disk; nil before Install
 	waiting atomic.Int32
 }
@@ -112,7 +112,7 @@
 		return nil, errBacklog
 	}
 	answers := make(chan answer, 1)
-	a.disk.Tell(func(disk *acceptorDisk) {
+	a.disk.Send(func(disk *acceptorDisk) {
 		defer a.waiting.Add(-1)
 		if err := ctx.Err(); err != nil {
 			answers <- answer{err: err}
--- a/serving/register/acceptor_test.go
+++ b/serving/register/acceptor_test.go
@@ -42,7 +42,7 @@
 	}
 	vote, err := prepare(first)
 	require.NoError(t, err)
-	require.Equal(t, Granted, vote.Verdict)
+	require.Equal(t, Granted, vote.Result)
 
 	storage.refuses = true
 	_, err = prepare(second)
@@ -57,6 +57,6 @@
 	storage.refuses = false
 	vote, err = acceptor.Accept(ctx, &AcceptRequest{ReplicaID: "r", Ballot: second, Proposal: proposal})
 	require.NoError(t, err)
-	assert.Equal(t, Granted, vote.Verdict)
+	assert.Equal(t, Granted, vote.Result)
 	assert.Equal(t, second, storage.saved.Accepted)
 }
--- a/serving/register/change.go
+++ b/serving/register/change.go
@@ -57,7 +57,7 @@
 	case err != nil:
 		return verdict{refusal: err}
 	}
-	setChanged := !slices.Equal(record.Replicas.Replicas, newest.Record.Replicas.Replicas)
+	setChanged := !slices.Equal(record.Voters.Replicas, newest.Record.Voters.Replicas)
 	return verdict{next: newest.successor(record, c.id, setChanged), write: true}
 }
 
@@ -94,7 +94,7 @@
 	established, committed := known.established, votes.committed()
 	if committed {
 		p.commit(votes.highest)
-		established = votes.highest.Proposal.Record.Replicas
+		established = votes.highest.Proposal.Record.Voters
 	}
 	newest := votes.highest.Proposal.settled(established)
 	if newest.setPending() { // somebody's change of the set is under way: finish it
@@ -134,7 +134,7 @@
 
 // nextBallot returns what is known and a ballot above all that is known; false where no replicas are known.
 func (p *Proposer) nextBallot() (known knowledge, ballot Ballot, ok bool) {
-	known, ok = actor.Ask(p.knowledge, func(k *knowledge) knowledge {
+	known, ok = actor.Call(p.knowledge, func(k *knowledge) knowledge {
 		ballot = k.nextBallot(p.id)
 		return *k
 	})
@@ -146,7 +146,7 @@
 	votes := newTally(known.established, known.newest)
 	err := p.newRound(votes, timeout, func(ctx context.Context, replica state.Replica) (*Vote, error) {
 		return p.transport.Prepare(ctx, replica.Address, &PrepareRequest{ReplicaID: replica.ID, Ballot: ballot,
-			Known: known.newest.Ballot, Epoch: known.established.Epoch})
+			KnownBallot: known.newest.Ballot, Epoch: known.established.Epoch})
 	}).run(ctx)
 	if err == nil && votes.highest.Ballot.IsZero() && known.established.Epoch > 0 {
 		err = errors.Mark(errors.Newf("replicas of epoch %d hold nothing", known.established.Epoch), errNoMajority)
@@ -156,16 +156,16 @@
 
 // accept puts a proposal to the vote. Without error it is committed.
 func (p *Proposer) accept(ctx context.Context, ballot Ballot, proposal Proposal) error {
-	sets := electorate{proposal.Record.Replicas}
+	sets := electorate{proposal.Record.Voters}
 	if proposal.setPending() {
-		sets = append(sets, proposal.Former)
+		sets = append(sets, proposal.OutgoingVoters)
 	}
 	err := p.newRound(newAgreement(sets), callTimeout, func(ctx context.Context, replica state.Replica) (*Vote, error) {
 		return p.transport.Accept(ctx, replica.Address, &AcceptRequest{ReplicaID: replica.ID, Ballot: ballot,
-			Proposal: proposal, Epoch: proposal.Established().Epoch})
+			Proposal: proposal, Epoch: proposal.CommittedVoters().Epoch})
 	}).run(ctx)
 	if err == nil {
-		p.commit(Candidate{Ballot: ballot, Proposal: proposal})
+		p.commit(AcceptedProposal{Ballot: ballot, Proposal: proposal})
 	}
 	return err
 }
--- a/serving/register/discover.go
+++ b/serving/register/discover.go
@@ -35,7 +35,7 @@
 	for range expected {
 		select {
 		case description := <-answers:
-			if description == nil || len(description.Established.Replicas) == 0 {
+			if description == nil || len(description.CommittedVoters.Replicas) == 0 {
 				continue
 			}
 			given++
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil
 	}
-	n.proposer.learnSet(description.Established)
+	n.proposer.learnSet(description.CommittedVoters)
 	return description
 }
 
@@ -74,7 +74,7 @@
 	for _, number := range rand.Perm(len(machines))[:min(len(machines), acquaintancesMost)] {
 		addresses = append(addresses, machines[number].Address)
 	}
-	for _, replica := range n.Replicas().Replicas {
+	for _, replica := range n.Voters().Replicas {
 		addresses = append(addresses, replica.Address)
 	}
 	slices.Sort(addresses)
--- a/serving/register/disk_test.go
+++ b/serving/register/disk_test.go
@@ -28,7 +28,7 @@
 	defer own.mutex.Unlock()
 	if own.damaged {
 		own.damaged = false
-		return AcceptorState{}, false, ErrDamaged
+		return AcceptorState{}, false, ErrStateLost
 	}
 	return own.saved, own.found, nil
 }
--- a/serving/register/electorate.go
+++ b/serving/register/electorate.go
@@ -13,12 +13,12 @@
 // former one could commit something else there.
 func electorateOf(proposal *Proposal, established state.ReplicaSet) electorate {
 	switch {
-	case proposal.Record.Replicas.Epoch <= established.Epoch:
+	case proposal.Record.Voters.Epoch <= established.Epoch:
 		return electorate{established}
 	case proposal.setPending():
-		return electorate{proposal.Former, proposal.Record.Replicas}
+		return electorate{proposal.OutgoingVoters, proposal.Record.Voters}
 	default:
-		return electorate{proposal.Record.Replicas}
+		return electorate{proposal.Record.Voters}
 	}
 }
 
--- a/serving/register/explore_judge_test.go
+++ b/serving/register/explore_judge_test.go
@@ -20,7 +20,7 @@
 // what was acknowledged before.
 func (w *world) seen(proposal *Proposal) {
 	record := &proposal.Record
-	fact := committedFact{revision: record.Revision, version: record.Configuration.Version, epoch: record.Replicas.Epoch}
+	fact := committedFact{revision: record.Revision, version: record.Configuration.Version, epoch: record.Voters.Epoch}
 	if known, ok := w.committed[fact.revision]; ok && known != fact {
 		w.fail("two records of revision %d: %v and %v", fact.revision, known, fact)
 	}
@@ -33,7 +33,7 @@
 func (w *world) holdsAcknowledged(record *state.Record, readNow bool) {
 	for index, acknowledged := range w.acknowledged {
 		must := readNow || record.Revision >= w.acknowledgedAt[index]
-		if must && !record.WasAccepted(acknowledged.configuration.Version, state.Digest{}) {
+		if must && !record.WasApplied(acknowledged.configuration.Version, state.Digest{}) {
 			w.fail("version %d was acknowledged and is not in revision %d", acknowledged.configuration.Version, record.Revision)
 		}
 	}
@@ -74,7 +74,7 @@
 		if bits.OnesCount(uint(mask)) < established.Quorum() {
 			continue
 		}
-		votes := newTally(established, Candidate{})
+		votes := newTally(established, AcceptedProposal{})
 		for index, id := range exploredIDs {
 			own := w.replicas[id]
 			if mask&(1<<index) == 0 || own.ReplicaID == "" {
@@ -197,7 +197,7 @@
 	}
 	p := &r.proposal
 	text := []byte{'A', ballotKey(r.ballot), byte(p.Record.Revision), byte(p.Record.Configuration.Version),
-		byte(p.Record.Replicas.Epoch), byte(len(p.Former.Replicas))}
+		byte(p.Record.Voters.Epoch), byte(len(p.OutgoingVoters.Replicas))}
 	for _, made := range p.Changes {
 		text = append(text, made.Proposer[0], byte(made.Sequence))
 	}
--- a/serving/register/explore_progress_test.go
+++ b/serving/register/explore_progress_test.go
@@ -98,7 +98,7 @@
 func (f *fairSchedule) decide(votes *tally) (next Proposal, last bool) {
 	established := f.known.established
 	if votes.committed() {
-		established = votes.highest.Proposal.Record.Replicas
+		established = votes.highest.Proposal.Record.Voters
 		f.known.establish(established)
 	}
 	newest := votes.highest.Proposal.settled(established)
@@ -127,7 +127,7 @@
 	if !votes.complete() {
 		return false
 	}
-	f.known.committed(Candidate{Ballot: ballot, Proposal: *proposal})
+	f.known.committed(AcceptedProposal{Ballot: ballot, Proposal: *proposal})
 	return true
 }
 
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -19,9 +19,9 @@
 	accept: AcceptorState.accept,
 	agreementOf: func(p *Proposal) electorate {
 		if p.setPending() {
-			return electorate{p.Record.Replicas, p.Former}
+			return electorate{p.Record.Voters, p.OutgoingVoters}
 		}
-		return electorate{p.Record.Replicas}
+		return electorate{p.Record.Voters}
 	},
 }
 
@@ -83,9 +83,9 @@
 
 // addBoth adds two voters in one change.
 func addBoth(record state.Record) (state.Record, error) {
-	if record.Replicas.Contains("r4") {
+	if record.Voters.Contains("r4") {
 		return record, ErrNoChange
 	}
-	record.Replicas.Replicas = append(slices.Clone(record.Replicas.Replicas), replicaNamed("r4"), replicaNamed("r5"))
+	record.Voters.Replicas = append(slices.Clone(record.Voters.Replicas), replicaNamed("r4"), replicaNamed("r5"))
 	return record, nil
 }
--- a/serving/register/explore_test.go
+++ b/serving/register/explore_test.go
@@ -53,7 +53,7 @@
 		next.wiped, next.saved = true, true
 		next.replicas[s.wiped] = AcceptorState{}
 		if rules.wipedKeepsID {
-			next.replicas[s.wiped] = AcceptorState{ReplicaID: s.wiped, Proposal: Proposal{Record: state.Record{Replicas: exploredGenesis()}}}
+			next.replicas[s.wiped] = AcceptorState{ReplicaID: s.wiped, Proposal: Proposal{Record: state.Record{Voters: exploredGenesis()}}}
 		}
 		visit(exploredEvent{round: -1, replica: s.wiped}, next)
 	}
@@ -169,7 +169,7 @@
 	unfenced := evacuating
 	unfenced.unfenced = true
 	newSetAlone := trueRules
-	newSetAlone.agreementOf = func(p *Proposal) electorate { return electorate{p.Record.Replicas} }
+	newSetAlone.agreementOf = func(p *Proposal) electorate { return electorate{p.Record.Voters} }
 	sameID := trueRules
 	sameID.wipedKeepsID = true
 	for name, mutant := range map[string]struct {
--- a/serving/register/explore_world_test.go
+++ b/serving/register/explore_world_test.go
@@ -70,7 +70,7 @@
 	w := &world{replicas: map[string]AcceptorState{}, committed: map[uint64]committedFact{}}
 	for _, replica := range exploredGenesis().Replicas {
 		w.replicas[replica.ID] = AcceptorState{ReplicaID: replica.ID,
-			Proposal: Proposal{Record: state.Record{Replicas: exploredGenesis()}}}
+			Proposal: Proposal{Record: state.Record{Voters: exploredGenesis()}}}
 	}
 	for _, id := range []string{"r4", "r5"} {
 		w.replicas[id] = AcceptorState{ReplicaID: id}
@@ -172,10 +172,10 @@
 	if round.accepting {
 		decided = rules.accept(own, &AcceptRequest{ReplicaID: id, Ballot: round.ballot, Proposal: round.proposal})
 	} else {
-		decided = own.prepare(&PrepareRequest{ReplicaID: id, Ballot: round.ballot, Known: round.known.newest.Ballot})
+		decided = own.prepare(&PrepareRequest{ReplicaID: id, Ballot: round.ballot, KnownBallot: round.known.newest.Ballot})
 	}
 	if own.ReplicaID == "" { // the disk is lost, and with it the ID
-		decided = step{vote: Vote{Verdict: Stranger}}
+		decided = step{vote: Vote{Result: WrongReplica}}
 	}
 	if decided.save {
 		w.replicas[id], w.saved = decided.next, true
@@ -185,7 +185,7 @@
 	}
 	p := &w.proposers[round.proposer]
 	p.known.voted(&decided.vote)
-	if p.round != number || decided.vote.Verdict != Granted {
+	if p.round != number || decided.vote.Result != Granted {
 		return
 	}
 	p.granted[id] = decided.vote
@@ -210,7 +210,7 @@
 	established, committed := round.known.established, votes.committed()
 	if committed {
 		w.commit(s, p, votes.highest)
-		established = votes.highest.Proposal.Record.Replicas
+		established = votes.highest.Proposal.Record.Voters
 	}
 	newest := votes.highest.Proposal.settled(established)
 	if newest.setPending() {
@@ -257,7 +257,7 @@
 	if !votes.complete() {
 		return
 	}
-	w.commit(s, p, Candidate{Ballot: round.ballot, Proposal: round.proposal})
+	w.commit(s, p, AcceptedProposal{Ballot: round.ballot, Proposal: round.proposal})
 	if p.then == advanced {
 		w.giveUp(s, index) // another try follows
 		return
@@ -278,9 +278,9 @@
 }
 
 // commit notes that a proposer takes a proposal for committed.
-func (w *world) commit(s *scenario, p *exploredProposer, candidate Candidate) {
+func (w *world) commit(s *scenario, p *exploredProposer, candidate AcceptedProposal) {
 	p.known.committed(candidate)
-	if epoch := candidate.Proposal.Record.Replicas.Epoch; epoch > 0 && (s.unsettled || !candidate.Proposal.setPending()) {
+	if epoch := candidate.Proposal.Record.Voters.Epoch; epoch > 0 && (s.unsettled || !candidate.Proposal.setPending()) {
 		w.replaced = true
 	}
 	w.seen(&candidate.Proposal)
--- a/serving/register/fuzz_test.go
+++ b/serving/register/fuzz_test.go
@@ -33,13 +33,13 @@
 func fuzzState() AcceptorState {
 	set := state.ReplicaSet{Epoch: 2, Replicas: []state.Replica{{ID: "r1", Address: "a:1"}, {ID: "r2"}, {ID: "r3"}}}
 	return AcceptorState{ReplicaID: "r1", Promised: Ballot{9, "p"}, Accepted: Ballot{7, "q"},
-		Proposal: Proposal{Record: state.Record{Revision: 5, Replicas: set}}}
+		Proposal: Proposal{Record: state.Record{Revision: 5, Voters: set}}}
 }
 
 // FuzzRequests: whatever asks a replica for its vote, it goes back on no promise, and its answer can be sent.
 func FuzzRequests(f *testing.F) {
 	own := fuzzState()
-	f.Add(encoded(f, PrepareRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, Known: own.Accepted, Epoch: 2}))
+	f.Add(encoded(f, PrepareRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, KnownBallot: own.Accepted, Epoch: 2}))
 	f.Add(encoded(f, AcceptRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, Proposal: own.Proposal, Epoch: 2}))
 	f.Add(encoded(f, QueryRequest{ReplicaID: "r1", Epoch: 2}))
 	f.Add(encoded(f, PrepareRequest{ReplicaID: "r2", Ballot: Ballot{^uint64(0), "z"}}))
@@ -71,11 +71,11 @@
 
 func checkStep(t *testing.T, before AcceptorState, asked string, decided step) {
 	stable(t, &decided.vote)
-	assert.Equal(t, asked != before.ReplicaID, decided.vote.Verdict == Stranger)
+	assert.Equal(t, asked != before.ReplicaID, decided.vote.Result == WrongReplica)
 	if !decided.save {
 		return
 	}
-	assert.Equal(t, Granted, decided.vote.Verdict)
+	assert.Equal(t, Granted, decided.vote.Result)
 	assert.False(t, decided.next.Promised.Before(before.Promised), "a promise is taken back")
 	assert.False(t, decided.next.Promised.Before(decided.next.Accepted))
 	assert.False(t, decided.next.Accepted.Before(before.Accepted))
@@ -86,17 +86,17 @@
 func FuzzVotes(f *testing.F) {
 	own := fuzzState()
 	proposal := own.Proposal
-	f.Add(encoded(f, Vote{Verdict: Granted, Promised: own.Promised, Accepted: own.Accepted, Proposal: &proposal}), uint8(0))
-	f.Add(encoded(f, Vote{Verdict: Granted, Established: &proposal.Record.Replicas}), uint8(1))
-	f.Add(encoded(f, Vote{Verdict: 200, Accepted: Ballot{1 << 63, "x"}}), uint8(2))
+	f.Add(encoded(f, Vote{Result: Granted, Promised: own.Promised, Accepted: own.Accepted, Proposal: &proposal}), uint8(0))
+	f.Add(encoded(f, Vote{Result: Granted, CommittedVoters: &proposal.Record.Voters}), uint8(1))
+	f.Add(encoded(f, Vote{Result: 200, Accepted: Ballot{1 << 63, "x"}}), uint8(2))
 	f.Fuzz(func(t *testing.T, data []byte, place uint8) {
 		var vote Vote
 		if cbor.Unmarshal(data, &vote) != nil {
 			return
 		}
 		stable(t, &vote)
-		assert.NotEmpty(t, vote.Verdict.String())
-		before := knowledge{number: 7, established: own.Proposal.Record.Replicas, newest: Candidate{own.Accepted, own.Proposal}}
+		assert.NotEmpty(t, vote.Result.String())
+		before := knowledge{number: 7, established: own.Proposal.Record.Voters, newest: AcceptedProposal{own.Accepted, own.Proposal}}
 		after := before
 		after.voted(&vote)
 		assert.GreaterOrEqual(t, after.number, before.number)
--- a/serving/register/genesis.go
+++ b/serving/register/genesis.go
@@ -38,7 +38,7 @@
 func firstState(process *settings.Process, newID string) AcceptorState {
 	own := process.InnerAddress()
 	if process.FirstRun && slices.Contains(seedAddresses(process), own) {
-		return AcceptorState{ReplicaID: genesisPrefix + own, Proposal: Proposal{Record: state.Record{Replicas: genesis(process)}}}
+		return AcceptorState{ReplicaID: genesisPrefix + own, Proposal: Proposal{Record: state.Record{Voters: genesis(process)}}}
 	}
 	return AcceptorState{ReplicaID: newID}
 }
--- a/serving/register/history_test.go
+++ b/serving/register/history_test.go
@@ -48,7 +48,7 @@
 	if !sent.amends {
 		return ReplaceConfiguration(sent.basedOn, sent.configuration)
 	}
-	accepted := state.Accepted{Version: sent.configuration.Version, Digest: sent.configuration.Digest}
+	accepted := state.AppliedUpdate{Version: sent.configuration.Version, Digest: sent.configuration.Digest}
 	return AmendConfiguration(sent.basedOn, accepted, func(found state.Configuration) (state.Configuration, error) {
 		if found.Version != sent.basedOn {
 			h.mutex.Lock()
@@ -281,7 +281,7 @@
 	bases := map[uint64]state.Digest{}
 	for _, sent := range h.accepted {
 		c := sent.configuration
-		assert.True(t, final.WasAccepted(c.Version, c.Digest), "acknowledged version %d is lost", c.Version)
+		assert.True(t, final.WasApplied(c.Version, c.Digest), "acknowledged version %d is lost", c.Version)
 		if other, ok := bases[sent.basedOn]; ok {
 			assert.Equal(t, other, c.Digest, "two orders on version %d were acknowledged", sent.basedOn)
 		}
@@ -289,13 +289,13 @@
 	}
 	for _, sent := range h.without {
 		if !slices.ContainsFunc(h.resent, sent.same) {
-			assert.False(t, final.WasAccepted(sent.configuration.Version, sent.configuration.Digest),
+			assert.False(t, final.WasApplied(sent.configuration.Version, sent.configuration.Digest),
 				"version %d, of which nothing was changed, was in force", sent.configuration.Version)
 		}
 	}
 	for _, sent := range h.refused {
 		c := sent.configuration
-		assert.False(t, final.WasAccepted(c.Version, c.Digest), "refused version %d was in force", c.Version)
+		assert.False(t, final.WasApplied(c.Version, c.Digest), "refused version %d was in force", c.Version)
 	}
 }
 
--- a/serving/register/knowledge.go
+++ b/serving/register/knowledge.go
@@ -7,7 +7,7 @@
 type knowledge struct {
 	number      uint64           // the highest ballot number seen or used
 	established state.ReplicaSet // the newest set known to be committed; empty: none
-	newest      Candidate        // the highest proposal that some replica has accepted
+	newest      AcceptedProposal // the highest proposal that some replica has accepted
 }
 
 // nextBallot returns a ballot above all that were seen, never used before by this process.
@@ -26,18 +26,18 @@
 }
 
 // accepted takes in a proposal that some replica has accepted and tells whether it showed a newer established set.
-func (k *knowledge) accepted(candidate Candidate) bool {
+func (k *knowledge) accepted(candidate AcceptedProposal) bool {
 	k.number = max(k.number, candidate.Ballot.Number)
 	if k.newest.Ballot.Before(candidate.Ballot) {
 		k.newest = candidate
 	}
-	return k.establish(candidate.Proposal.Established())
+	return k.establish(candidate.Proposal.CommittedVoters())
 }
 
 // committed takes in a proposal that is known to be committed and tells whether it showed a newer established set.
-func (k *knowledge) committed(candidate Candidate) bool {
+func (k *knowledge) committed(candidate AcceptedProposal) bool {
 	news := k.accepted(candidate)
-	return k.establish(candidate.Proposal.Record.Replicas) || news
+	return k.establish(candidate.Proposal.Record.Voters) || news
 }
 
 // voted takes in what a vote tells and reports whether it showed a newer established set.
@@ -45,10 +45,10 @@
 	k.number = max(k.number, vote.Promised.Number, vote.Accepted.Number)
 	news := false
 	if vote.Proposal != nil {
-		news = k.accepted(Candidate{Ballot: vote.Accepted, Proposal: *vote.Proposal})
+		news = k.accepted(AcceptedProposal{Ballot: vote.Accepted, Proposal: *vote.Proposal})
 	}
-	if vote.Established != nil {
-		news = k.establish(*vote.Established) || news
+	if vote.CommittedVoters != nil {
+		news = k.establish(*vote.CommittedVoters) || news
 	}
 	return news
 }
--- a/serving/register/machine_test.go
+++ b/serving/register/machine_test.go
@@ -57,7 +57,7 @@
 	life := &process{machine: m, stop: stop}
 	told := uint64(0)
 	options := NodeOptions{Settings: m.settings(), Storage: &disk{life: life, machine: m}, Log: &log,
-		Members: m.simulation.listed,
+		Peers: m.simulation.listed,
 		Committed: func(record state.Record) {
 			m.simulation.history.committed(record, &told)
 		}}
@@ -73,7 +73,7 @@
 
 // finish reads where this process has accepted a change of which it doesn't know the end.
 func (p *process) finish(ctx context.Context) {
-	if _, unfinished := p.node.Unfinished(); !unfinished || !p.machine.simulation.finishing {
+	if _, unfinished := p.node.UncommittedRevision(); !unfinished || !p.machine.simulation.finishing {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
@@ -90,7 +90,7 @@
 		first := slices.IndexFunc(all, func(m *machine) bool { return m.running() != nil })
 		if first >= 0 && all[first] == p.machine {
 			bounded, cancel := context.WithTimeout(ctx, 2*time.Second)
-			_ = p.node.Repair(bounded)
+			_ = p.node.RepairVoters(bounded)
 			cancel()
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer cancel()
-	left := process.node.HandOver(ctx)
+	left := process.node.TransferVote(ctx)
 	if process.runs() {
 		m.crash()
 	}
--- a/serving/register/majority_revision.go
+++ b/serving/register/majority_revision.go
@@ -7,11 +7,11 @@
 	"rowanlink/serving/state"
 )
 
-// Asker carries the queries of a process without a replica; rpc carries them between processes.
-type Asker func(ctx context.Context, address string, request *QueryRequest) (*Vote, error)
+// QueryFunc carries the queries of a process without a replica; rpc carries them between processes.
+type QueryFunc func(ctx context.Context, address string, request *QueryRequest) (*Vote, error)
 
-// AskOver returns an Asker that calls replicas over rpc.
-func AskOver(client *rpc.Client) Asker {
+// QueryOverRPC returns an Asker that calls replicas over rpc.
+func QueryOverRPC(client *rpc.Client) QueryFunc {
 	return func(ctx context.Context, address string, request *QueryRequest) (*Vote, error) {
 		return queryMethod.Call(ctx, client, address, request)
 	}
@@ -21,7 +21,7 @@
 // before the call has a revision that is not above it: a majority has accepted that change, and any two majorities of a
 // set share a voter. The set may be out of date: voters that know a newer one tell it, and are then asked there too.
 // It returns false where no majority answered before the context ended.
-func MajorityRevision(ctx context.Context, ask Asker, set state.ReplicaSet) (revision uint64, known bool) {
+func MajorityRevision(ctx context.Context, ask QueryFunc, set state.ReplicaSet) (revision uint64, known bool) {
 	survey := newRevisionSurvey(set)
 	answers := make(chan revisionAnswer)
 	ctx, cancel := context.WithCancel(ctx)
@@ -29,7 +29,7 @@
 	for waiting := 0; ; {
 		for _, replica := range survey.unasked() {
 			waiting++
-			request := &QueryRequest{ReplicaID: replica.ID, Epoch: survey.newest, Brief: true}
+			request := &QueryRequest{ReplicaID: replica.ID, Epoch: survey.newest, RevisionOnly: true}
 			go func() {
 				bounded, cancel := context.WithTimeout(ctx, callTimeout)
 				defer cancel()
@@ -99,20 +99,20 @@
 	if vote == nil {
 		return
 	}
-	if vote.Established != nil && vote.Established.Epoch > s.newest {
-		s.newest = vote.Established.Epoch
-		s.sets[s.newest] = *vote.Established
+	if vote.CommittedVoters != nil && vote.CommittedVoters.Epoch > s.newest {
+		s.newest = vote.CommittedVoters.Epoch
+		s.sets[s.newest] = *vote.CommittedVoters
 		for epoch := range s.sets {
 			if epoch < s.newest {
 				delete(s.sets, epoch)
 			}
 		}
 	}
-	if vote.Verdict != Granted {
+	if vote.Result != Granted {
 		return
 	}
-	if vote.Proposed != nil && vote.Proposed.Epoch > s.newest {
-		s.sets[vote.Proposed.Epoch] = *vote.Proposed
+	if vote.ProposedVoters != nil && vote.ProposedVoters.Epoch > s.newest {
+		s.sets[vote.ProposedVoters.Epoch] = *vote.ProposedVoters
 	}
 	s.answered[answer.id] = true
 	s.revision = max(s.revision, vote.Revision)
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -93,8 +93,8 @@
 		replacement.started = true
 		replacement.start()
 		time.Sleep(joinBound)
-		assert.True(t, replacement.running().node.IsMember())
-		assert.Len(t, replacement.running().node.Replicas().Replicas, 3)
+		assert.True(t, replacement.running().node.IsVoter())
+		assert.Len(t, replacement.running().node.Voters().Replicas, 3)
 		require.NoError(t, s.replace(replacement, 1, 3, 4))
 		s.drop(lost)
 		s.awaitSettled(joinBound)
@@ -111,7 +111,7 @@
 		added.started = true
 		added.start()
 		time.Sleep(joinBound)
-		require.True(t, added.running().node.IsMember())
+		require.True(t, added.running().node.IsVoter())
 		require.NoError(t, s.replace(added, 1, 0, 3))
 		assert.Error(t, s.replace(s.machines[0], 2, 3, 4), "cut off")
 		s.heal()
@@ -211,8 +211,8 @@
 func TestLearnedRecordsAreKnownAndNotToldOn(t *testing.T) {
 	inSimulation(t, 3, func(t *testing.T, s *simulation) {
 		node := s.machines[0].running().node
-		set := node.Replicas()
-		node.Learn(state.Record{Revision: 9, Replicas: state.ReplicaSet{Epoch: set.Epoch, Replicas: set.Replicas}})
+		set := node.Voters()
+		node.Learn(state.Record{Revision: 9, Voters: state.ReplicaSet{Epoch: set.Epoch, Replicas: set.Replicas}})
 		record, ok := node.Latest()
 		assert.True(t, ok)
 		assert.Equal(t, uint64(9), record.Revision)
--- a/serving/register/messages.go
+++ b/serving/register/messages.go
@@ -15,10 +15,10 @@
 
 // PrepareRequest asks a replica to promise that it will accept nothing below the ballot.
 type PrepareRequest struct {
-	ReplicaID string `cbor:"1,keyasint"` // whom it is meant for
-	Ballot    Ballot `cbor:"2,keyasint"`
-	Known     Ballot `cbor:"3,keyasint"` // the vote leaves out the proposal of this ballot
-	Epoch     uint64 `cbor:"4,keyasint"` // of the set that the proposer takes for established
+	ReplicaID   string `cbor:"1,keyasint"` // whom it is meant for
+	Ballot      Ballot `cbor:"2,keyasint"`
+	KnownBallot Ballot `cbor:"3,keyasint"` // the vote leaves out the proposal of this ballot
+	Epoch       uint64 `cbor:"4,keyasint"` // of the set that the proposer takes for established
 }
 
 // AcceptRequest asks a replica to accept a proposal.
@@ -31,26 +31,26 @@
 
 // QueryRequest asks a replica what it has accepted. It promises nothing and saves nothing.
 type QueryRequest struct {
-	ReplicaID string `cbor:"1,keyasint"`
-	Known     Ballot `cbor:"2,keyasint"`
-	Epoch     uint64 `cbor:"3,keyasint"`
-	// Brief asks for the revision of what was accepted in place of the proposal.
-	Brief bool `cbor:"4,keyasint,omitempty"`
+	ReplicaID   string `cbor:"1,keyasint"`
+	KnownBallot Ballot `cbor:"2,keyasint"`
+	Epoch       uint64 `cbor:"3,keyasint"`
+	// RevisionOnly asks for the revision of what was accepted in place of the proposal.
+	RevisionOnly bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Verdict is a replica's answer in short.
-type Verdict uint8
+// VoteResult is a replica's answer in short.
+type VoteResult uint8
 
 // The verdicts.
 const (
-	Granted  Verdict = iota + 1 // promised, accepted, or answered
-	Refused                     // a higher ballot was promised
-	Stranger                    // the replica that was asked for is not here
+	Granted      VoteResult = iota + 1 // promised, accepted, or answered
+	Rejected                           // a higher ballot was promised
+	WrongReplica                       // the replica that was asked for is not here
 )
 
 // String names the verdict, also one that this program doesn't know.
-func (v Verdict) String() string {
-	names := [...]string{"none", "granted", "refused", "stranger"}
+func (v VoteResult) String() string {
+	names := [...]string{"none", "granted", "rejected", "wrong replica"}
 	if int(v) >= len(names) {
 		return "unknown"
 	}
@@ -59,16 +59,16 @@
 
 // Vote is a replica's answer to all three requests.
 type Vote struct {
-	Verdict  Verdict   `cbor:"1,keyasint"`
-	Promised Ballot    `cbor:"2,keyasint"`
-	Accepted Ballot    `cbor:"3,keyasint"`
-	Proposal *Proposal `cbor:"4,keyasint,omitempty"` // of Accepted; nil where the proposer knows it or there is none
-	// Established is the newest set that the voter knows to be established, where it is newer than the request's.
-	Established *state.ReplicaSet `cbor:"5,keyasint,omitempty"`
+	Result   VoteResult `cbor:"1,keyasint"`
+	Promised Ballot     `cbor:"2,keyasint"`
+	Accepted Ballot     `cbor:"3,keyasint"`
+	Proposal *Proposal  `cbor:"4,keyasint,omitempty"` // of Accepted; nil where the proposer knows it or there is none
+	// CommittedVoters is the newest set that the voter knows to be established, where it is newer than the request's.
+	CommittedVoters *state.ReplicaSet `cbor:"5,keyasint,omitempty"`
 	// Revision and Proposed answer a brief query: the revision of what was accepted, and its set of replicas where that
 	// is newer than the request's.
-	Revision uint64            `cbor:"6,keyasint,omitempty"`
-	Proposed *state.ReplicaSet `cbor:"7,keyasint,omitempty"`
+	Revision       uint64            `cbor:"6,keyasint,omitempty"`
+	ProposedVoters *state.ReplicaSet `cbor:"7,keyasint,omitempty"`
 }
 
 // DescribeRequest asks a process for the replicas that it knows.
@@ -77,9 +77,9 @@
 // Description tells the newest set of replicas that a process knows to be established. It may be out of date;
 // whoever uses an old set meets a newer one in the votes.
 type Description struct {
-	Established state.ReplicaSet `cbor:"1,keyasint"`           // empty: none known yet
-	Down        []string         `cbor:"2,keyasint,omitempty"` // addresses of replicas that the process takes for down
-	// Own is the process's own replica where that is a learner which may become a voter; else zero.
-	Own  state.Replica `cbor:"3,keyasint,omitzero"`
-	Held uint64        `cbor:"4,keyasint,omitempty"` // the highest revision that Own has on disk
+	CommittedVoters state.ReplicaSet `cbor:"1,keyasint"`           // empty: none known yet
+	Down            []string         `cbor:"2,keyasint,omitempty"` // addresses of replicas that the process takes for down
+	// Learner is the process's own replica where that is a learner which may become a voter; else zero.
+	Learner         state.Replica `cbor:"3,keyasint,omitzero"`
+	LearnerRevision uint64        `cbor:"4,keyasint,omitempty"` // the highest revision that Own has on disk
 }
--- a/serving/register/node.go
+++ b/serving/register/node.go
@@ -24,12 +24,12 @@
 	// Committed is called with each newer record that this process has found to be committed, in order, by changes
 	// and reads of its own. It must not call Change or Read. Revision 0, "nothing yet", is not told.
 	Committed func(state.Record)
-	// Members returns the live processes that may hold replicas.
-	Members func() []Machine
+	// Peers returns the live processes that may hold replicas.
+	Peers func() []Peer
 }
 
-// Machine is where a process that may hold a replica runs.
-type Machine struct {
+// Peer is where a process that may hold a replica runs.
+type Peer struct {
 	Address string // host:port for calls between the system's processes
 	Zone    string
 }
@@ -39,7 +39,7 @@
 	settings  *settings.Process
 	log       *zerolog.Logger
 	storage   Storage
-	members   func() []Machine
+	members   func() []Peer
 	transport Transport
 	acceptor  *Acceptor
 	proposer  *Proposer
@@ -72,7 +72,7 @@
 		settings:  options.Settings,
 		log:       options.Log,
 		storage:   options.Storage,
-		members:   options.Members,
+		members:   options.Peers,
 		transport: transport,
 		acceptor:  NewAcceptor(options.Storage, options.Log),
 		announcer: &announcer{committed: options.Committed},
@@ -107,7 +107,7 @@
 // Learn takes in a committed record that another process has told of. NodeOptions.Committed isn't called with it.
 func (n *Node) Learn(record state.Record) {
 	if n.announcer.adopt(record) {
-		n.proposer.learnSet(record.Replicas)
+		n.proposer.learnSet(record.Voters)
 		n.signal()
 	}
 }
@@ -122,13 +122,13 @@
 	return *latest, true
 }
 
-// Replicas returns the newest set of replicas that is known to be in force; empty before one is known.
-func (n *Node) Replicas() state.ReplicaSet { return n.proposer.replicas() }
+// Voters returns the newest set of replicas that is known to be in force; empty before one is known.
+func (n *Node) Voters() state.ReplicaSet { return n.proposer.replicas() }
 
-// IsMember tells whether this process's replica votes in the newest known set.
-func (n *Node) IsMember() bool {
+// IsVoter tells whether this process's replica votes in the newest known set.
+func (n *Node) IsVoter() bool {
 	own, ok := n.acceptor.State()
-	return ok && n.Replicas().Contains(own.ReplicaID)
+	return ok && n.Voters().Contains(own.ReplicaID)
 }
 
 // absences is what a process knows of addresses at which nobody lives.
--- a/serving/register/proposal.go
+++ b/serving/register/proposal.go
@@ -15,22 +15,22 @@
 // Proposal is what is put to the vote under a ballot.
 type Proposal struct {
 	Record state.Record `cbor:"1,keyasint"`
-	// Former is the set of replicas before Record.Replicas while it is not yet known that the change of the set is
+	// OutgoingVoters is the set of replicas before Record.Replicas while it is not yet known that the change of the set is
 	// committed; empty otherwise.
-	Former  state.ReplicaSet `cbor:"2,keyasint,omitzero"`
-	Changes []ChangeID       `cbor:"3,keyasint,omitempty"` // the newest last, one for each of the last revisions
+	OutgoingVoters state.ReplicaSet `cbor:"2,keyasint,omitzero"`
+	Changes        []ChangeID       `cbor:"3,keyasint,omitempty"` // the newest last, one for each of the last revisions
 }
 
-// Established returns a set of replicas that is certainly committed, judging by the proposal alone.
-func (p *Proposal) Established() state.ReplicaSet {
+// CommittedVoters returns a set of replicas that is certainly committed, judging by the proposal alone.
+func (p *Proposal) CommittedVoters() state.ReplicaSet {
 	if p.setPending() {
-		return p.Former
+		return p.OutgoingVoters
 	}
-	return p.Record.Replicas
+	return p.Record.Voters
 }
 
 // setPending tells whether the proposal changes the set of replicas and it isn't known to be committed.
-func (p *Proposal) setPending() bool { return len(p.Former.Replicas) > 0 }
+func (p *Proposal) setPending() bool { return len(p.OutgoingVoters.Replicas) > 0 }
 
 // includes tells whether the proposal holds the effect of a change that was made lately.
 func (p *Proposal) includes(id ChangeID) bool {
@@ -48,8 +48,8 @@
 	record.Revision = p.Record.Revision + 1
 	next := Proposal{Record: record}
 	if setChanged {
-		next.Record.Replicas.Epoch = p.Record.Replicas.Epoch + 1
-		next.Former = p.Record.Replicas
+		next.Record.Voters.Epoch = p.Record.Voters.Epoch + 1
+		next.OutgoingVoters = p.Record.Voters
 	}
 	kept := p.Changes
 	if len(kept) >= rememberedChanges {
@@ -62,14 +62,14 @@
 // settled returns the proposal without the former set where its own set is known to be established.
 func (p *Proposal) settled(established state.ReplicaSet) Proposal {
 	settled := *p
-	if p.Record.Replicas.Epoch <= established.Epoch {
-		settled.Former = state.ReplicaSet{}
+	if p.Record.Voters.Epoch <= established.Epoch {
+		settled.OutgoingVoters = state.ReplicaSet{}
 	}
 	return settled
 }
 
-// Candidate is a proposal and the ballot under which it was accepted. The zero ballot stands for "nothing accepted".
-type Candidate struct {
+// AcceptedProposal is a proposal and the ballot under which it was accepted. The zero ballot stands for "nothing accepted".
+type AcceptedProposal struct {
 	Ballot   Ballot
 	Proposal Proposal
 }
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -23,7 +23,7 @@
 	id          string
 	transport   Transport
 	life        context.Context // ends all calls
-	knowledge   *actor.Owner[knowledge]
+	knowledge   *actor.Actor[knowledge]
 	announcer   *announcer
 	turn        chan struct{} // held by the one change that runs
 	sequence    uint64        // of the newest change; whoever has the turn touches it
@@ -97,8 +97,8 @@
 
 // commit takes in a candidate that is known to be committed. A change of the voters is told only once nobody needs the
 // former set any more: whoever sees the new one may end those that were replaced.
-func (p *Proposer) commit(candidate Candidate) {
-	news, _ := actor.Ask(p.knowledge, func(k *knowledge) bool { return k.committed(candidate) })
+func (p *Proposer) commit(candidate AcceptedProposal) {
+	news, _ := actor.Call(p.knowledge, func(k *knowledge) bool { return k.committed(candidate) })
 	if news {
 		p.established()
 	}
@@ -109,7 +109,7 @@
 
 // learnVote takes in what a replica has told.
 func (p *Proposer) learnVote(vote *Vote) {
-	news, _ := actor.Ask(p.knowledge, func(k *knowledge) bool { return k.voted(vote) })
+	news, _ := actor.Call(p.knowledge, func(k *knowledge) bool { return k.voted(vote) })
 	if news {
 		p.established()
 	}
@@ -117,7 +117,7 @@
 
 // learnSet takes in a set of replicas that is known to be committed.
 func (p *Proposer) learnSet(set state.ReplicaSet) {
-	news, _ := actor.Ask(p.knowledge, func(k *knowledge) bool { return k.establish(set) })
+	news, _ := actor.Call(p.knowledge, func(k *knowledge) bool { return k.establish(set) })
 	if news {
 		p.established()
 	}
@@ -130,7 +130,7 @@
 
 // known returns a copy of what is known; false where that is no set of replicas.
 func (p *Proposer) known() (knowledge, bool) {
-	known, ok := actor.Ask(p.knowledge, func(k *knowledge) knowledge { return *k })
+	known, ok := actor.Call(p.knowledge, func(k *knowledge) knowledge { return *k })
 	return known, ok && len(known.established.Replicas) > 0
 }
 
--- a/serving/register/random_test.go
+++ b/serving/register/random_test.go
@@ -95,7 +95,7 @@
 		s.retire(m)
 	case "repair":
 		if process := m.running(); process != nil {
-			_ = process.node.Repair(ctx)
+			_ = process.node.RepairVoters(ctx)
 		}
 	}
 }
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -45,7 +45,7 @@
 	votes := newTally(known.established, known.newest)
 	query := p.newRound(votes, timeout, func(ctx context.Context, replica state.Replica) (*Vote, error) {
 		return p.transport.Query(ctx, replica.Address, &QueryRequest{ReplicaID: replica.ID,
-			Known: known.newest.Ballot, Epoch: known.established.Epoch})
+			KnownBallot: known.newest.Ballot, Epoch: known.established.Epoch})
 	})
 	return votes, query.runUntil(ctx, votes.committed, queryLinger)
 }
--- a/serving/register/repair.go
+++ b/serving/register/repair.go
@@ -30,7 +30,7 @@
 // learner returns the own replica where it is a learner that has caught up.
 func (n *Node) learner() (candidate, bool) {
 	own, loaded := n.acceptor.State()
-	if !loaded || n.leaving.Load() || !n.caughtUp.Load() || n.Replicas().Contains(own.ReplicaID) {
+	if !loaded || n.leaving.Load() || !n.caughtUp.Load() || n.Voters().Contains(own.ReplicaID) {
 		return candidate{}, false
 	}
 	return candidate{replica: state.Replica{ID: own.ReplicaID, Address: n.settings.InnerAddress()}, held: own.held()}, true
@@ -43,7 +43,7 @@
 }
 
 // machines returns the live processes that may hold replicas.
-func (n *Node) machines() []Machine {
+func (n *Node) machines() []Peer {
 	if n.members == nil {
 		return nil
 	}
@@ -60,11 +60,11 @@
 		zone: func(address string) string { return zones[address] }, learners: learners}
 }
 
-// Repair makes the next change of the voters: it replaces one that is absent, and brings their number to what the
+// RepairVoters makes the next change of the voters: it replaces one that is absent, and brings their number to what the
 // settings ask for. The holder of the duty calls it now and then; where there is nothing to do it asks nobody. Errors
 // are those of Change.
-func (n *Node) Repair(ctx context.Context) error {
-	before := n.Replicas()
+func (n *Node) RepairVoters(ctx context.Context) error {
+	before := n.Voters()
 	if len(before.Replicas) == 0 {
 		return nil
 	}
@@ -76,23 +76,23 @@
 		return nil
 	}
 	record, err := n.Change(ctx, replaceVoters(seats.next))
-	if err == nil && record.Replicas.Epoch > before.Epoch {
-		event.ReplicasChanged.Log(n.log).Uint64("epoch", record.Replicas.Epoch).Int("voters", len(record.Replicas.Replicas)).Send()
+	if err == nil && record.Voters.Epoch > before.Epoch {
+		event.ReplicasChanged.Log(n.log).Uint64("epoch", record.Voters.Epoch).Int("voters", len(record.Voters.Replicas)).Send()
 	}
 	return err
 }
 
-// HandOver gives the own vote to a learner before the process ends by plan. It returns at once where the replica has
+// TransferVote gives the own vote to a learner before the process ends by plan. It returns at once where the replica has
 // no vote or no other process could take it, else when that is done or the context ends; true where the replica surely
 // has no vote, so that its machine may go for good. The replica takes part in nothing new afterwards; what it has
 // accepted it still answers for.
-func (n *Node) HandOver(ctx context.Context) bool {
+func (n *Node) TransferVote(ctx context.Context) bool {
 	n.leaving.Store(true)
 	own, loaded := n.acceptor.State()
-	if !loaded || len(n.Replicas().Replicas) == 0 {
+	if !loaded || len(n.Voters().Replicas) == 0 {
 		return false
 	}
-	if !n.IsMember() && n.surelyLearner(ctx) {
+	if !n.IsVoter() && n.surelyLearner(ctx) {
 		return true
 	}
 	for len(n.possibleLearners()) > 0 && ctx.Err() == nil {
@@ -112,7 +112,7 @@
 	defer cancel()
 	record, err := n.Read(bounded)
 	own, _ := n.acceptor.State()
-	return err == nil && !record.Replicas.Contains(own.ReplicaID)
+	return err == nil && !record.Voters.Contains(own.ReplicaID)
 }
 
 // handOver makes one try and tells whether the replica has no vote any more.
@@ -124,7 +124,7 @@
 	record, err := n.Change(ctx, replaceVoters(func(voters []state.Replica) ([]state.Replica, bool) {
 		return seats.handOver(voters, id)
 	}))
-	if err != nil || record.Replicas.Contains(id) {
+	if err != nil || record.Voters.Contains(id) {
 		return false
 	}
 	_, err = n.Read(ctx) // nobody may need the former set any more, of which this replica is one
@@ -134,7 +134,7 @@
 // possibleLearners returns the other processes that may hold learners, by address alone, without asking them.
 func (n *Node) possibleLearners() (learners []state.Replica) {
 	voting := map[string]bool{n.settings.InnerAddress(): true}
-	for _, voter := range n.Replicas().Replicas {
+	for _, voter := range n.Voters().Replicas {
 		voting[voter.Address] = true
 	}
 	if own, ok := n.learner(); ok {
@@ -178,16 +178,16 @@
 		return own
 	}
 	description := n.describe(address)
-	if description == nil || description.Own.Address != address {
+	if description == nil || description.Learner.Address != address {
 		return candidate{}
 	}
-	return candidate{replica: description.Own, held: description.Held}
+	return candidate{replica: description.Learner, held: description.LearnerRevision}
 }
 
-// AbsentMajority returns the addresses of the voters that are absent where too few are left for a majority: nothing
+// QuorumLoss returns the addresses of the voters that are absent where too few are left for a majority: nothing
 // can be changed or read before some of them are back, with their disks.
-func (n *Node) AbsentMajority() (absent []string) {
-	set := n.Replicas()
+func (n *Node) QuorumLoss() (absent []string) {
+	set := n.Voters()
 	for _, voter := range set.Replicas {
 		if n.isAbsent(voter.Address) {
 			absent = append(absent, voter.Address)
--- a/serving/register/replica_updates_test.go
+++ b/serving/register/replica_updates_test.go
@@ -12,10 +12,10 @@
 // AddReplica adds a member to the register.
 func AddReplica(replica state.Replica) Update {
 	return func(record state.Record) (state.Record, error) {
-		if record.Replicas.Contains(replica.ID) {
+		if record.Voters.Contains(replica.ID) {
 			return record, ErrNoChange
 		}
-		record.Replicas.Replicas = append(slices.Clone(record.Replicas.Replicas), replica)
+		record.Voters.Replicas = append(slices.Clone(record.Voters.Replicas), replica)
 		return record, nil
 	}
 }
@@ -23,10 +23,10 @@
 // ReplaceReplica puts a member in the place of another. Where that one isn't a member, it is only added.
 func ReplaceReplica(formerID string, replica state.Replica) Update {
 	return func(record state.Record) (state.Record, error) {
-		if record.Replicas.Contains(replica.ID) {
+		if record.Voters.Contains(replica.ID) {
 			return record, ErrNoChange
 		}
-		record.Replicas.Replicas = append(without(record.Replicas.Replicas, formerID), replica)
+		record.Voters.Replicas = append(without(record.Voters.Replicas, formerID), replica)
 		return record, nil
 	}
 }
@@ -34,11 +34,11 @@
 // RemoveReplica takes a member out of the register. The last one stays.
 func RemoveReplica(id string) Update {
 	return func(record state.Record) (state.Record, error) {
-		left := without(record.Replicas.Replicas, id)
-		if len(left) == len(record.Replicas.Replicas) || len(left) == 0 {
+		left := without(record.Voters.Replicas, id)
+		if len(left) == len(record.Voters.Replicas) || len(left) == 0 {
 			return record, ErrNoChange
 		}
-		record.Replicas.Replicas = left
+		record.Voters.Replicas = left
 		return record, nil
 	}
 }
--- a/serving/register/round.go
+++ b/serving/register/round.go
@@ -95,7 +95,7 @@
 func (r *round) take(reply reply) {
 	r.answered++
 	r.votes.add(reply.id, reply.vote)
-	if reply.vote != nil && reply.vote.Verdict == Refused {
+	if reply.vote != nil && reply.vote.Result == Rejected {
 		r.outvoted = true
 	}
 }
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -107,7 +107,7 @@
 func (s *script) genesis(names []string) {
 	set := state.ReplicaSet{Replicas: replicasNamed(names)}
 	for _, name := range names {
-		s.replicas[name] = &AcceptorState{ReplicaID: name, Proposal: Proposal{Record: state.Record{Replicas: set}}}
+		s.replicas[name] = &AcceptorState{ReplicaID: name, Proposal: Proposal{Record: state.Record{Voters: set}}}
 		s.order = append(s.order, name)
 	}
 }
@@ -124,9 +124,9 @@
 		query: argument(data, "query")}
 	p := newProposer(life, id, reached, &announcer{}, func() {})
 	defer p.close()
-	p.knowledge.Tell(func(k *knowledge) { *k = *s.proposers[id] })
+	p.knowledge.Send(func(k *knowledge) { *k = *s.proposers[id] })
 	defer func() {
-		known, _ := actor.Ask(p.knowledge, func(k *knowledge) knowledge { return *k })
+		known, _ := actor.Call(p.knowledge, func(k *knowledge) knowledge { return *k })
 		s.proposers[id] = &known
 	}()
 	if data.Cmd == "read" {
@@ -196,7 +196,7 @@
 
 func printedRecord(record *state.Record) string {
 	var members, zones []string
-	for _, replica := range record.Replicas.Replicas {
+	for _, replica := range record.Voters.Replicas {
 		members = append(members, replica.ID)
 	}
 	for _, evacuation := range record.Evacuations {
@@ -205,7 +205,7 @@
 		}
 	}
 	return fmt.Sprintf("revision=%d version=%d evacuated=%v epoch=%d members=%v", record.Revision,
-		record.Configuration.Version, zones, record.Replicas.Epoch, members)
+		record.Configuration.Version, zones, record.Voters.Epoch, members)
 }
 
 // show prints what the replicas hold.
--- a/serving/register/seats.go
+++ b/serving/register/seats.go
@@ -34,11 +34,11 @@
 // replaceVoters returns the update that makes the change of the voters that next tells, if there is one to make.
 func replaceVoters(next func(voters []state.Replica) ([]state.Replica, bool)) Update {
 	return func(record state.Record) (state.Record, error) {
-		next, changed := next(record.Replicas.Replicas)
+		next, changed := next(record.Voters.Replicas)
 		if !changed {
 			return record, ErrNoChange
 		}
-		record.Replicas.Replicas = next
+		record.Voters.Replicas = next
 		return record, nil
 	}
 }
--- a/serving/register/server.go
+++ b/serving/register/server.go
@@ -12,8 +12,8 @@
 
 func (s *server) Accept(ctx context.Context, request *AcceptRequest) (*Vote, error) {
 	vote, err := s.node.acceptor.Accept(ctx, request)
-	if err == nil && vote.Verdict == Granted {
-		s.node.proposer.learnSet(request.Proposal.Established())
+	if err == nil && vote.Result == Granted {
+		s.node.proposer.learnSet(request.Proposal.CommittedVoters())
 	}
 	return s.informed(vote, request.Epoch), err
 }
@@ -25,17 +25,17 @@
 
 // informed adds the set of replicas in force where the caller goes by an older one.
 func (s *server) informed(vote *Vote, epoch uint64) *Vote {
-	if set := s.node.Replicas(); vote != nil && set.Epoch > epoch {
-		vote.Established = &set
+	if set := s.node.Voters(); vote != nil && set.Epoch > epoch {
+		vote.CommittedVoters = &set
 	}
 	return vote
 }
 
 func (s *server) Describe(context.Context, *DescribeRequest) (*Description, error) {
-	set := s.node.Replicas()
-	description := &Description{Established: set}
+	set := s.node.Voters()
+	description := &Description{CommittedVoters: set}
 	if own, ok := s.node.learner(); ok {
-		description.Own, description.Held = own.replica, own.held
+		description.Learner, description.LearnerRevision = own.replica, own.held
 	}
 	for _, replica := range set.Replicas {
 		if s.node.isAbsent(replica.Address) {
--- a/serving/register/simulation_test.go
+++ b/serving/register/simulation_test.go
@@ -102,10 +102,10 @@
 }
 
 // listed are the machines that run, as the members know them.
-func (s *simulation) listed() (all []Machine) {
+func (s *simulation) listed() (all []Peer) {
 	for _, m := range s.all() {
 		if m.running() != nil {
-			all = append(all, Machine{Address: m.address, Zone: m.zone})
+			all = append(all, Peer{Address: m.address, Zone: m.zone})
 		}
 	}
 	return all
@@ -184,12 +184,12 @@
 		if process == nil {
 			return false
 		}
-		set := process.node.Replicas()
+		set := process.node.Voters()
 		if len(set.Replicas) != s.wantedVoters() || number > 0 && set.Epoch != epoch {
 			return false
 		}
 		epoch = set.Epoch
-		if process.node.IsMember() {
+		if process.node.IsVoter() {
 			voters[m.address] = true
 		} else if _, ready := process.node.learner(); !ready {
 			return false
@@ -233,7 +233,7 @@
 		line := m.address + " down"
 		if process := m.running(); process != nil {
 			own, _ := process.node.acceptor.State()
-			line = fmt.Sprintf("%s is %s, knows %v", m.address, own.ReplicaID, process.node.Replicas())
+			line = fmt.Sprintf("%s is %s, knows %v", m.address, own.ReplicaID, process.node.Voters())
 		}
 		all = append(all, line)
 	}
--- a/serving/register/sockets_test.go
+++ b/serving/register/sockets_test.go
@@ -78,7 +78,7 @@
 	assert.Equal(t, document, read.Configuration)
 	_, err = nodes[0].Change(ctx, register.SetEvacuation("z", true))
 	require.NoError(t, err)
-	assert.True(t, nodes[0].IsMember())
+	assert.True(t, nodes[0].IsVoter())
 }
 
 func TestStartNeedsItsOptions(t *testing.T) {
--- a/serving/register/step.go
+++ b/serving/register/step.go
@@ -6,9 +6,9 @@
 	"rowanlink/serving/state"
 )
 
-// ErrDamaged is what Storage.Load returns where something was saved and can't be read any more. The replica has then
+// ErrStateLost is what Storage.Load returns where something was saved and can't be read any more. The replica has then
 // lost its disk.
-var ErrDamaged = errors.New("saved state is damaged")
+var ErrStateLost = errors.New("saved state is damaged")
 
 // AcceptorState is what a replica must not forget.
 type AcceptorState struct {
@@ -27,7 +27,7 @@
 // Storage keeps a replica's state on disk.
 type Storage interface {
 	// Load returns what was saved last; found is false where nothing was, as on a new or replaced disk. It may wait for
-	// the disk for long. ErrDamaged is final; after other errors, another try may succeed.
+	// the disk for long. ErrStateLost is final; after other errors, another try may succeed.
 	Load() (saved AcceptorState, found bool, err error)
 	// Save returns once the state would survive a loss of power. After an error the state may or may not be saved.
 	Save(next AcceptorState) error
@@ -42,8 +42,8 @@
 }
 
 // vote answers with what the replica has promised and accepted, without the proposal where it is known.
-func (s *AcceptorState) vote(verdict Verdict, known Ballot) Vote {
-	vote := Vote{Verdict: verdict, Promised: s.Promised, Accepted: s.Accepted}
+func (s *AcceptorState) vote(verdict VoteResult, known Ballot) Vote {
+	vote := Vote{Result: verdict, Promised: s.Promised, Accepted: s.Accepted}
 	if verdict == Granted && s.Accepted != known && !s.Accepted.IsZero() {
 		proposal := s.Proposal
 		vote.Proposal = &proposal
@@ -55,23 +55,23 @@
 func (s AcceptorState) prepare(request *PrepareRequest) step {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
-		return step{vote: Vote{Verdict: Stranger}}
+		return step{vote: Vote{Result: WrongReplica}}
 	case request.Ballot.Before(s.Promised):
-		return step{vote: s.vote(Refused, Ballot{})}
+		return step{vote: s.vote(Rejected, Ballot{})}
 	case request.Ballot == s.Promised:
-		return step{vote: s.vote(Granted, request.Known)}
+		return step{vote: s.vote(Granted, request.KnownBallot)}
 	}
 	s.Promised = request.Ballot
-	return step{next: s, vote: s.vote(Granted, request.Known), save: true}
+	return step{next: s, vote: s.vote(Granted, request.KnownBallot), save: true}
 }
 
 // accept decides on an AcceptRequest.
 func (s AcceptorState) accept(request *AcceptRequest) step {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
-		return step{vote: Vote{Verdict: Stranger}}
+		return step{vote: Vote{Result: WrongReplica}}
 	case request.Ballot.Before(s.Promised):
-		return step{vote: s.vote(Refused, Ballot{})}
+		return step{vote: s.vote(Rejected, Ballot{})}
 	case request.Ballot == s.Accepted:
 		return step{vote: s.vote(Granted, request.Ballot)}
 	}
@@ -94,14 +94,14 @@
 // query answers a QueryRequest.
 func (s AcceptorState) query(request *QueryRequest) Vote {
 	if request.ReplicaID != s.ReplicaID {
-		return Vote{Verdict: Stranger}
+		return Vote{Result: WrongReplica}
 	}
-	if !request.Brief {
-		return s.vote(Granted, request.Known)
+	if !request.RevisionOnly {
+		return s.vote(Granted, request.KnownBallot)
 	}
-	vote := Vote{Verdict: Granted, Promised: s.Promised, Accepted: s.Accepted, Revision: s.Proposal.Record.Revision}
-	if proposed := s.Proposal.Record.Replicas; proposed.Epoch > request.Epoch {
-		vote.Proposed = &proposed
+	vote := Vote{Result: Granted, Promised: s.Promised, Accepted: s.Accepted, Revision: s.Proposal.Record.Revision}
+	if proposed := s.Proposal.Record.Voters; proposed.Epoch > request.Epoch {
+		vote.ProposedVoters = &proposed
 	}
 	return vote
 }
--- a/serving/register/takepart.go
+++ b/serving/register/takepart.go
@@ -59,12 +59,12 @@
 // report logs what the replica does now where that has changed.
 func (n *Node) report(before part) part {
 	now, kind := learner, event.ReplicaLearns
-	if n.IsMember() {
+	if n.IsVoter() {
 		now, kind = voter, event.ReplicaJoined
 	}
 	if now != before {
 		own, _ := n.acceptor.State()
-		kind.Log(n.log).Str("replica", own.ReplicaID).Uint64("epoch", n.Replicas().Epoch).Send()
+		kind.Log(n.log).Str("replica", own.ReplicaID).Uint64("epoch", n.Voters().Epoch).Send()
 	}
 	return now
 }
@@ -81,7 +81,7 @@
 		}
 		return
 	}
-	for n.IsMember() {
+	for n.IsVoter() {
 		select {
 		case <-n.news:
 		case <-ctx.Done():
@@ -117,7 +117,7 @@
 func (n *Node) loadState() (own AcceptorState, found bool, err error) {
 	saved, found, err := n.storage.Load()
 	switch {
-	case errors.Is(err, ErrDamaged):
+	case errors.Is(err, ErrStateLost):
 		return AcceptorState{ReplicaID: rand.Text()}, false, nil
 	case err != nil:
 		return AcceptorState{}, false, err
@@ -142,14 +142,14 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTry)
 	defer cancel()
 	absent := n.isAbsent
-	if again || len(n.Replicas().Replicas) == 0 {
+	if again || len(n.Voters().Replicas) == 0 {
 		absent = n.discover(ctx)
 	}
-	if n.IsMember() {
+	if n.IsVoter() {
 		_, err := n.Read(ctx)
 		return err
 	}
-	if len(n.Replicas().Replicas) == 0 {
+	if len(n.Voters().Replicas) == 0 {
 		return errcode.RegisterNotReady.With("no other process knows the replicas")
 	}
 	own, err := n.ownReplica()
@@ -184,7 +184,7 @@
 func (n *Node) takeSeat(ctx context.Context, own state.Replica, absent func(address string) bool) error {
 	all := n.seating(n.possibleLearners())
 	all.absent = absent
-	next, free := all.nextSeat(n.Replicas().Replicas)
+	next, free := all.nextSeat(n.Voters().Replicas)
 	fits := func(voter state.Replica) bool { return voter.ID == own.ID }
 	if !free || !slices.ContainsFunc(next, fits) {
 		return nil
@@ -200,7 +200,7 @@
 // reach the one that joins.
 func (n *Node) ownReplica() (state.Replica, error) {
 	own, _ := n.acceptor.State()
-	if own.expelled(n.Replicas()) {
+	if own.expelled(n.Voters()) {
 		event.ReplicaExpelled.Log(n.log).Str("replica", own.ReplicaID).Send()
 		own = AcceptorState{ReplicaID: rand.Text()}
 		if latest, known := n.Latest(); known {
@@ -217,7 +217,7 @@
 // expelled tells whether a replica was a member and, by an established set, is one no more. A replica that has
 // accepted its own joining, but doesn't know whether that is committed, is not.
 func (s *AcceptorState) expelled(established state.ReplicaSet) bool {
-	accepted := s.Proposal.Record.Replicas
+	accepted := s.Proposal.Record.Voters
 	if len(accepted.Replicas) == 0 || established.Contains(s.ReplicaID) {
 		return false
 	}
--- a/serving/register/tally.go
+++ b/serving/register/tally.go
@@ -5,19 +5,19 @@
 // tally gathers the votes of a Prepare or Query round and tells what they amount to.
 type tally struct {
 	established state.ReplicaSet  // what the proposer took for established when the round began
-	known       Candidate         // what the requests named as known
+	known       AcceptedProposal  // what the requests named as known
 	granted     map[string]Ballot // by replica: what it has accepted
 	lost        map[string]bool   // replicas that refused, answered for another, or didn't answer
-	highest     Candidate
+	highest     AcceptedProposal
 }
 
-func newTally(established state.ReplicaSet, known Candidate) *tally {
+func newTally(established state.ReplicaSet, known AcceptedProposal) *tally {
 	return &tally{
 		established: established,
 		known:       known,
 		granted:     map[string]Ballot{},
 		lost:        map[string]bool{},
-		highest:     Candidate{Proposal: Proposal{Record: state.Record{Replicas: established}}},
+		highest:     AcceptedProposal{Proposal: Proposal{Record: state.Record{Voters: established}}},
 	}
 }
 
@@ -26,11 +26,11 @@
 
 // add takes a replica's vote; nil stands for none.
 func (t *tally) add(id string, vote *Vote) {
-	if vote == nil || vote.Verdict != Granted {
+	if vote == nil || vote.Result != Granted {
 		t.lost[id] = true
 		return
 	}
-	candidate := Candidate{Ballot: vote.Accepted}
+	candidate := AcceptedProposal{Ballot: vote.Accepted}
 	switch {
 	case vote.Proposal != nil:
 		candidate.Proposal = *vote.Proposal
@@ -78,7 +78,7 @@
 func (a *agreement) electorate() electorate { return a.sets }
 
 func (a *agreement) add(id string, vote *Vote) {
-	if vote == nil || vote.Verdict != Granted {
+	if vote == nil || vote.Result != Granted {
 		a.lost[id] = true
 		return
 	}
--- a/serving/register/unfinished_test.go
+++ b/serving/register/unfinished_test.go
@@ -17,7 +17,7 @@
 		if process == nil {
 			continue
 		}
-		if _, unfinished := process.node.Unfinished(); unfinished {
+		if _, unfinished := process.node.UncommittedRevision(); unfinished {
 			reads++
 			_, _ = s.read(m, number)
 		}
@@ -43,7 +43,7 @@
 			finished += s.finishAll()
 			s.shareRecords()
 			for _, m := range s.machines[1:] {
-				_, unfinished := m.running().node.Unfinished()
+				_, unfinished := m.running().node.UncommittedRevision()
 				assert.False(t, unfinished, "point %d", point)
 			}
 			if err == nil {
@@ -79,7 +79,7 @@
 			if s.newestIsPending(t, node) {
 				unsettled++
 				latest, _ := node.Latest()
-				assert.True(t, latest.Replicas.Contains(former.ReplicaID), "a change that isn't settled isn't told")
+				assert.True(t, latest.Voters.Contains(former.ReplicaID), "a change that isn't settled isn't told")
 			}
 			time.Sleep(400 * time.Millisecond)
 			s.shareRecords()
--- a/serving/register/updates.go
+++ b/serving/register/updates.go
@@ -27,7 +27,7 @@
 // is no change; where the history is too short to tell, the error is result.RegisterUnclear: what was acknowledged once
 // is never refused.
 func ReplaceConfiguration(basedOn uint64, configuration state.Configuration) Update {
-	order := state.Accepted{Version: configuration.Version, Digest: configuration.Digest}
+	order := state.AppliedUpdate{Version: configuration.Version, Digest: configuration.Digest}
 	return func(record state.Record) (state.Record, error) {
 		current := &record.Configuration
 		if current.Version == configuration.Version && current.Digest == configuration.Digest {
@@ -43,7 +43,7 @@
 // AmendConfiguration puts the configuration in force that amend makes of version basedOn, as ReplaceConfiguration does.
 // The order is known again by its number and its own digest, not by the document that came of it. What amend refuses
 // with, the change is refused with. Amend may be called several times.
-func AmendConfiguration(basedOn uint64, order state.Accepted,
+func AmendConfiguration(basedOn uint64, order state.AppliedUpdate,
 	amend func(state.Configuration) (state.Configuration, error)) Update {
 	return func(record state.Record) (state.Record, error) {
 		if err := checkOrder(&record, basedOn, order); err != nil {
@@ -58,12 +58,12 @@
 }
 
 // checkOrder tells why an order on version basedOn can't be carried out: ErrNoChange where it was before.
-func checkOrder(record *state.Record, basedOn uint64, order state.Accepted) error {
+func checkOrder(record *state.Record, basedOn uint64, order state.AppliedUpdate) error {
 	current := record.Configuration.Version
 	switch {
-	case record.WasAccepted(order.Version, order.Digest):
+	case record.WasApplied(order.Version, order.Digest):
 		return ErrNoChange
-	case basedOn != current && order.Version <= record.ForgottenVersion:
+	case basedOn != current && order.Version <= record.TruncatedVersion:
 		return errcode.RegisterUnclear.With("version %d may have been in force long ago", order.Version)
 	case basedOn != current:
 		return errcode.VersionConflict.With("version %d is current, not %d", current, basedOn)
@@ -74,11 +74,11 @@
 }
 
 // succeeded is the record with the configuration that an order has put in force.
-func succeeded(record state.Record, configuration state.Configuration, order state.Accepted) state.Record {
+func succeeded(record state.Record, configuration state.Configuration, order state.AppliedUpdate) state.Record {
 	record.Configuration = configuration
 	record.History = append(slices.Clone(record.History), order)
-	if excess := len(record.History) - state.HistoryLimit; excess > 0 {
-		record.ForgottenVersion = record.History[excess-1].Version
+	if excess := len(record.History) - state.MaxHistory; excess > 0 {
+		record.TruncatedVersion = record.History[excess-1].Version
 		record.History = record.History[excess:]
 	}
 	return record
--- a/serving/register/updates_test.go
+++ b/serving/register/updates_test.go
@@ -45,7 +45,7 @@
 
 // An amendment is known again by its own digest, and what it is made of is the record that is found.
 func TestAmendConfiguration(t *testing.T) {
-	order := state.Accepted{Version: 5, Digest: state.DigestOf([]byte("order"))}
+	order := state.AppliedUpdate{Version: 5, Digest: state.DigestOf([]byte("order"))}
 	var found []state.Configuration
 	amend := func(current state.Configuration) (state.Configuration, error) {
 		found = append(found, current)
@@ -60,12 +60,12 @@
 	third, err := ReplaceConfiguration(5, configuration(9, "c"))(amended)
 	require.NoError(t, err)
 
-	other := state.Accepted{Version: 5, Digest: state.DigestOf([]byte("another order"))}
+	other := state.AppliedUpdate{Version: 5, Digest: state.DigestOf([]byte("another order"))}
 	for _, tried := range []struct {
 		name     string
 		record   state.Record
 		basedOn  uint64
-		order    state.Accepted
+		order    state.AppliedUpdate
 		expected func(error) bool
 	}{
 		{"again at once", amended, 3, order, isNoChange},
@@ -84,7 +84,7 @@
 	_, err = AmendConfiguration(9, other, amend)(third)
 	assert.True(t, errcode.VersionNotAbove.Is(err), "%v", err)
 	refusal := errcode.ServiceUnknown.With("x")
-	_, err = AmendConfiguration(9, state.Accepted{Version: 10}, func(state.Configuration) (state.Configuration, error) {
+	_, err = AmendConfiguration(9, state.AppliedUpdate{Version: 10}, func(state.Configuration) (state.Configuration, error) {
 		return state.Configuration{}, refusal
 	})(third)
 	assert.Equal(t, refusal, err)
@@ -94,28 +94,28 @@
 
 func TestHistoryIsBoundedAndUpdatesLeaveTheirInputAlone(t *testing.T) {
 	record := state.Record{}
-	for version := range uint64(state.HistoryLimit + 20) {
+	for version := range uint64(state.MaxHistory + 20) {
 		before := slices.Clone(record.History)
 		next, err := ReplaceConfiguration(version, configuration(version+1, fmt.Sprint(version)))(record)
 		require.NoError(t, err)
 		require.Equal(t, before, record.History)
 		record = next
 	}
-	assert.Len(t, record.History, state.HistoryLimit)
-	assert.Equal(t, uint64(20), record.ForgottenVersion)
-	assert.Equal(t, uint64(state.HistoryLimit+20), record.History[state.HistoryLimit-1].Version)
+	assert.Len(t, record.History, state.MaxHistory)
+	assert.Equal(t, uint64(20), record.TruncatedVersion)
+	assert.Equal(t, uint64(state.MaxHistory+20), record.History[state.MaxHistory-1].Version)
 }
 
 // An order that was acknowledged long ago and comes once more gets no verdict where the history is too short, and is
 // never refused. What is younger than the history's end is told from it.
 func TestOrderFromBeforeTheHistoryGetsNoVerdict(t *testing.T) {
 	record := state.Record{}
-	for version := range uint64(state.HistoryLimit + 20) {
+	for version := range uint64(state.MaxHistory + 20) {
 		next, err := ReplaceConfiguration(version, configuration(version+1, fmt.Sprint(version)))(record)
 		require.NoError(t, err)
 		record = next
 	}
-	for version := range uint64(state.HistoryLimit + 20) {
+	for version := range uint64(state.MaxHistory + 20) {
 		_, err := ReplaceConfiguration(version, configuration(version+1, fmt.Sprint(version)))(record)
 		if version+1 <= 20 {
 			assert.True(t, errcode.RegisterUnclear.Is(err), "version %d: %v", version+1, err)
@@ -123,11 +123,11 @@
 			assert.Equal(t, ErrNoChange, err, "version %d", version+1)
 		}
 	}
-	_, err := AmendConfiguration(19, state.Accepted{Version: 20}, nil)(record)
+	_, err := AmendConfiguration(19, state.AppliedUpdate{Version: 20}, nil)(record)
 	assert.True(t, errcode.RegisterUnclear.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(20, configuration(21, "another document"))(record)
 	assert.True(t, errcode.VersionConflict.Is(err), "%v", err)
-	_, err = ReplaceConfiguration(state.HistoryLimit+20, configuration(7, "on the newest"))(record)
+	_, err = ReplaceConfiguration(state.MaxHistory+20, configuration(7, "on the newest"))(record)
 	assert.True(t, errcode.VersionNotAbove.Is(err), "%v", err)
 }
 
@@ -152,7 +152,7 @@
 	assert.Equal(t, "genesis-10.0.0.2:7660", first.ReplicaID)
 	assert.Equal(t, []state.Replica{{ID: "genesis-10.0.0.1:7660", Address: "10.0.0.1:7660"},
 		{ID: "genesis-10.0.0.2:7660", Address: "10.0.0.2:7660"},
-		{ID: "genesis-10.0.0.3:7660", Address: "10.0.0.3:7660"}}, first.Proposal.Record.Replicas.Replicas)
+		{ID: "genesis-10.0.0.3:7660", Address: "10.0.0.3:7660"}}, first.Proposal.Record.Voters.Replicas)
 	process.FirstRun = false
 	assert.Equal(t, AcceptorState{ReplicaID: "new"}, firstState(process, "new"), "a later start: its disk was lost")
 	process.FirstRun, process.IP = true, "10.0.0.4"
@@ -167,7 +167,7 @@
 }
 
 func TestReplicaUpdates(t *testing.T) {
-	set := state.Record{Replicas: state.ReplicaSet{Replicas: replicasNamed([]string{"A"})}}
+	set := state.Record{Voters: state.ReplicaSet{Replicas: replicasNamed([]string{"A"})}}
 	_, err := RemoveReplica("A")(set)
 	assert.Equal(t, ErrNoChange, err, "the last one stays")
 	_, err = RemoveReplica("B")(set)
--- a/serving/register/voters_test.go
+++ b/serving/register/voters_test.go
@@ -16,7 +16,7 @@
 		s.shareRecords()
 		time.Sleep(time.Second)
 		node := s.machines[3].running().node
-		assert.False(t, node.IsMember())
+		assert.False(t, node.IsVoter())
 		held, _ := node.acceptor.State()
 		assert.Equal(t, uint64(3), held.Learned.Configuration.Version)
 		assert.True(t, held.Accepted.IsZero(), "it has voted on nothing")
@@ -29,12 +29,12 @@
 		s.machines[2].crash()
 		time.Sleep(joinBound)
 		node := s.machines[0].running().node
-		require.Len(t, node.Replicas().Replicas, 3)
-		assert.True(t, s.machines[3].running().node.IsMember())
-		epoch := node.Replicas().Epoch
+		require.Len(t, node.Voters().Replicas, 3)
+		assert.True(t, s.machines[3].running().node.IsVoter())
+		epoch := node.Voters().Epoch
 		s.machines[1].crash()
 		time.Sleep(joinBound)
-		assert.Equal(t, epoch, node.Replicas().Epoch)
+		assert.Equal(t, epoch, node.Voters().Epoch)
 		assert.Equal(t, []string{s.machines[1].address}, absentVoters(node))
 		s.startAll()
 		s.awaitSettled(joinBound)
@@ -42,7 +42,7 @@
 }
 
 func absentVoters(n *Node) (absent []string) {
-	for _, voter := range n.Replicas().Replicas {
+	for _, voter := range n.Voters().Replicas {
 		if n.isAbsent(voter.Address) {
 			absent = append(absent, voter.Address)
 		}
@@ -75,7 +75,7 @@
 			time.AfterFunc(time.Duration(point)*2*time.Millisecond, leaving.crash)
 			ctx, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 			defer cancel()
-			leaving.running().node.HandOver(ctx)
+			leaving.running().node.TransferVote(ctx)
 			time.Sleep(200 * time.Millisecond)
 			leaving.crash()
 			time.Sleep(joinBound)
@@ -89,13 +89,13 @@
 // A voter without a learner that could take its vote keeps it: a restart by plan changes no set.
 func TestEndByPlanWithoutALearnerKeepsTheVote(t *testing.T) {
 	inSimulation(t, 3, func(t *testing.T, s *simulation) {
-		epoch := s.machines[1].running().node.Replicas().Epoch
+		epoch := s.machines[1].running().node.Voters().Epoch
 		begun := time.Now()
 		s.machines[0].leave()
 		assert.Less(t, time.Since(begun), 100*time.Millisecond, "and ends at once")
 		s.machines[0].start()
 		s.awaitSettled(joinBound)
-		assert.Equal(t, epoch, s.machines[1].running().node.Replicas().Epoch)
+		assert.Equal(t, epoch, s.machines[1].running().node.Voters().Epoch)
 	})
 }
 
@@ -117,7 +117,7 @@
 				version++
 				s.drop(leaving)
 				s.awaitSettled(joinBound)
-				assert.True(t, added.running().node.IsMember())
+				assert.True(t, added.running().node.IsVoter())
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 				time.Sleep(200 * time.Millisecond)
 			}
 			s.awaitSettled(joinBound)
-			assert.Len(t, s.machines[0].running().node.Replicas().Replicas, 2*losses+1)
+			assert.Len(t, s.machines[0].running().node.Voters().Replicas, 2*losses+1)
 			require.NoError(t, s.replace(s.machines[4], 1, uint64(version+1), uint64(version+2)))
 		}
 	})
@@ -168,11 +168,11 @@
 func TestFewerSeedsThanVotersWanted(t *testing.T) {
 	inSimulation(t, 3, func(t *testing.T, s *simulation) {
 		first := s.machines[0].running().node
-		_, err := first.Change(t.Context(), RemoveReplica(first.Replicas().Replicas[2].ID))
+		_, err := first.Change(t.Context(), RemoveReplica(first.Voters().Replicas[2].ID))
 		require.NoError(t, err)
-		require.Len(t, first.Replicas().Replicas, 2)
+		require.Len(t, first.Voters().Replicas, 2)
 		s.awaitSettled(2 * joinBound)
-		assert.Len(t, first.Replicas().Replicas, 3)
+		assert.Len(t, first.Voters().Replicas, 3)
 	})
 }
 
@@ -181,12 +181,12 @@
 	inSimulation(t, 3, func(t *testing.T, s *simulation) {
 		node := s.machines[0].running().node
 		s.machines[1].crash()
-		assert.Empty(t, node.AbsentMajority(), "two are left")
+		assert.Empty(t, node.QuorumLoss(), "two are left")
 		s.machines[2].crash()
-		assert.ElementsMatch(t, []string{s.machines[1].address, s.machines[2].address}, node.AbsentMajority())
+		assert.ElementsMatch(t, []string{s.machines[1].address, s.machines[2].address}, node.QuorumLoss())
 		s.startAll()
 		s.awaitSettled(joinBound)
-		assert.Empty(t, node.AbsentMajority())
+		assert.Empty(t, node.QuorumLoss())
 	})
 }
 
@@ -202,7 +202,7 @@
 		before := s.changesBegun()
 		s.machines[1].crash()
 		time.Sleep(joinBound)
-		set := s.machines[0].running().node.Replicas()
+		set := s.machines[0].running().node.Voters()
 		assert.Len(t, set.Replicas, 3)
 		assert.Empty(t, absentVoters(s.machines[0].running().node))
 		assert.LessOrEqual(t, s.changesBegun()-before, uint64(3), "changes begun by all processes together")
--- a/serving/state/record.go
+++ b/serving/state/record.go
@@ -48,21 +48,21 @@
 	return Configuration{Version: version, Digest: DigestOf(document), Document: packed.Bytes()}, nil
 }
 
-// Open returns the document as the operator sent it.
-func (c Configuration) Open() ([]byte, error) {
+// Decompress returns the document as the operator sent it.
+func (c Configuration) Decompress() ([]byte, error) {
 	document, err := io.ReadAll(flate.NewReader(bytes.NewReader(c.Document)))
 	return document, errors.Wrap(err, "expand configuration")
 }
 
-// Accepted names an order that has put a configuration in force, by the configuration's version and the order's bytes.
+// AppliedUpdate names an order that has put a configuration in force, by the configuration's version and the order's bytes.
 // It lets a repeated order be acknowledged again.
-type Accepted struct {
+type AppliedUpdate struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  Digest `cbor:"2,keyasint"`
 }
 
-// HistoryLimit is the number of accepted configurations that a record remembers, the newest last.
-const HistoryLimit = 512
+// MaxHistory is the number of accepted configurations that a record remembers, the newest last.
+const MaxHistory = 512
 
 // Evacuation is an operator's order that nothing more go to the endpoints of a zone, or its end.
 type Evacuation struct {
@@ -99,13 +99,13 @@
 
 // Record is the value of the register: everything that an operator's acknowledgement promises to keep.
 type Record struct {
-	Revision      uint64        `cbor:"1,keyasint"` // one more with each change; orders records
-	Configuration Configuration `cbor:"2,keyasint"`
-	History       []Accepted    `cbor:"3,keyasint,omitempty"`
-	Evacuations   []Evacuation  `cbor:"4,keyasint,omitempty"`
-	Replicas      ReplicaSet    `cbor:"5,keyasint"` // those that vote
-	// ForgottenVersion is the highest version that History was too short to keep; zero: it holds all.
-	ForgottenVersion uint64 `cbor:"6,keyasint,omitempty"`
+	Revision      uint64          `cbor:"1,keyasint"` // one more with each change; orders records
+	Configuration Configuration   `cbor:"2,keyasint"`
+	History       []AppliedUpdate `cbor:"3,keyasint,omitempty"`
+	Evacuations   []Evacuation    `cbor:"4,keyasint,omitempty"`
+	Voters        ReplicaSet      `cbor:"5,keyasint"` // those that vote
+	// TruncatedVersion is the highest version that History was too short to keep; zero: it holds all.
+	TruncatedVersion uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 // Evacuated tells whether a zone is evacuated.
@@ -118,8 +118,8 @@
 	return false
 }
 
-// WasAccepted tells whether a configuration is or was in force, as far as the history goes.
-func (r *Record) WasAccepted(version uint64, digest Digest) bool {
+// WasApplied tells whether a configuration is or was in force, as far as the history goes.
+func (r *Record) WasApplied(version uint64, digest Digest) bool {
 	for _, accepted := range r.History {
 		if accepted.Version == version && accepted.Digest == digest {
 			return true
--- a/serving/store/endpoints.go
+++ b/serving/store/endpoints.go
@@ -33,14 +33,14 @@
 
 // EndpointChanges is what has become of the endpoints since the last save.
 type EndpointChanges struct {
-	Changed   []state.Endpoint
-	Forgotten []string // by ID
-	Complete  bool     // Changed is everything
+	Changed  []state.Endpoint
+	Removed  []string // by ID
+	Snapshot bool     // Changed is everything
 }
 
-// Endpoints keeps a copy of the table of endpoints. What it holds may be out of date by whatever came after the last
+// EndpointStore keeps a copy of the table of endpoints. What it holds may be out of date by whatever came after the last
 // save, and nothing may rest on it but a quicker start. It is safe for use by several goroutines.
-type Endpoints struct{ file *actor.Owner[endpointFile] }
+type EndpointStore struct{ file *actor.Actor[endpointFile] }
 
 // endpointFile is what only the goroutine that owns the file touches.
 type endpointFile struct {
@@ -50,14 +50,14 @@
 	closed bool    // for good
 }
 
-// OpenEndpoints makes a store in a folder. The disk is first touched by Load or Save.
-func OpenEndpoints(folder string, log *zerolog.Logger) *Endpoints {
-	return &Endpoints{file: actor.Start(&endpointFile{folder: folder, log: log})}
+// OpenEndpointStore makes a store in a folder. The disk is first touched by Load or Save.
+func OpenEndpointStore(folder string, log *zerolog.Logger) *EndpointStore {
+	return &EndpointStore{file: actor.Start(&endpointFile{folder: folder, log: log})}
 }
 
 // Close closes the file. It doesn't wait for the disk.
-func (e *Endpoints) Close() {
-	e.file.Tell(func(f *endpointFile) {
+func (e *EndpointStore) Close() {
+	e.file.Send(func(f *endpointFile) {
 		f.close()
 		f.closed = true
 		e.file.Stop()
@@ -66,12 +66,12 @@
 
 // Load returns the endpoints that were saved. Rows that can't be read are left out, and a damaged file is removed.
 // Errors are the disk's.
-func (e *Endpoints) Load() ([]state.Endpoint, error) {
+func (e *EndpointStore) Load() ([]state.Endpoint, error) {
 	type loaded struct {
 		endpoints []state.Endpoint
 		err       error
 	}
-	result, ok := actor.Ask(e.file, func(f *endpointFile) (l loaded) {
+	result, ok := actor.Call(e.file, func(f *endpointFile) (l loaded) {
 		l.endpoints, l.err = f.load()
 		return l
 	})
@@ -83,8 +83,8 @@
 
 // Save returns once the changes would survive a loss of power. After an error what is saved is unknown: the next
 // changes have to be complete.
-func (e *Endpoints) Save(changes EndpointChanges) error {
-	err, ok := actor.Ask(e.file, func(f *endpointFile) error { return f.save(changes) })
+func (e *EndpointStore) Save(changes EndpointChanges) error {
+	err, ok := actor.Call(e.file, func(f *endpointFile) error { return f.save(changes) })
 	if !ok {
 		return errStopped
 	}
@@ -137,7 +137,7 @@
 }
 
 func (f *endpointFile) write(changes EndpointChanges) error {
-	if changes.Complete {
+	if changes.Snapshot {
 		if err := f.sqlite.execute(deleteEndpoints); err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 			return err
 		}
 	}
-	for _, id := range changes.Forgotten {
+	for _, id := range changes.Removed {
 		if err := f.sqlite.execute(deleteEndpoint, id); err != nil {
 			return err
 		}
--- a/serving/store/endpoints_test.go
+++ b/serving/store/endpoints_test.go
@@ -14,19 +14,19 @@
 	"rowanlink/serving/state"
 )
 
-func openEndpoints(t *testing.T, folder string) *Endpoints {
+func openEndpoints(t *testing.T, folder string) *EndpointStore {
 	log := zerolog.Nop()
-	opened := OpenEndpoints(folder, &log)
+	opened := OpenEndpointStore(folder, &log)
 	t.Cleanup(opened.Close)
 	return opened
 }
 
 func endpoint(number int) state.Endpoint {
 	return state.Endpoint{ID: fmt.Sprintf("i-%d", number), Service: "s", Address: "10.0.0.1:80", Sequence: uint64(number),
-		ColdLeftMillis: 100, Models: []state.Model{{Name: "m", Adapters: []string{"x"}}}}
+		WarmupLeftMillis: 100, Models: []state.Model{{Name: "m", Adapters: []string{"x"}}}}
 }
 
-func loadEndpoints(t *testing.T, kept *Endpoints) (ids []string) {
+func loadEndpoints(t *testing.T, kept *EndpointStore) (ids []string) {
 	list, err := kept.Load()
 	require.NoError(t, err)
 	for _, endpoint := range list {
@@ -38,15 +38,15 @@
 func TestSavedEndpointsOutliveTheProcess(t *testing.T) {
 	folder := t.TempDir()
 	first := openEndpoints(t, folder)
-	require.NoError(t, first.Save(EndpointChanges{Complete: true, Changed: []state.Endpoint{endpoint(1), endpoint(2)}}))
-	require.NoError(t, first.Save(EndpointChanges{Changed: []state.Endpoint{endpoint(3)}, Forgotten: []string{"i-1"}}))
+	require.NoError(t, first.Save(EndpointChanges{Snapshot: true, Changed: []state.Endpoint{endpoint(1), endpoint(2)}}))
+	require.NoError(t, first.Save(EndpointChanges{Changed: []state.Endpoint{endpoint(3)}, Removed: []string{"i-1"}}))
 	copied := t.TempDir() // as a loss of power leaves the files
 	require.NoError(t, os.CopyFS(copied, os.DirFS(folder)))
 	second := openEndpoints(t, copied)
 	list, err := second.Load()
 	require.NoError(t, err)
 	assert.ElementsMatch(t, []state.Endpoint{endpoint(2), endpoint(3)}, list)
-	require.NoError(t, second.Save(EndpointChanges{Complete: true}))
+	require.NoError(t, second.Save(EndpointChanges{Snapshot: true}))
 	assert.Empty(t, loadEndpoints(t, second))
 }
 
@@ -67,7 +67,7 @@
 		kept := openEndpoints(t, copied)
 		_, err := kept.Load()
 		require.NoError(t, err, "cut at %d", cut)
-		require.NoError(t, kept.Save(EndpointChanges{Complete: true, Changed: []state.Endpoint{endpoint(7)}}))
+		require.NoError(t, kept.Save(EndpointChanges{Snapshot: true, Changed: []state.Endpoint{endpoint(7)}}))
 		assert.Equal(t, []string{"i-7"}, loadEndpoints(t, kept), "cut at %d", cut)
 		kept.Close()
 	}
@@ -87,9 +87,9 @@
 	kept := openEndpoints(t, folder)
 	_, err := kept.Load()
 	assert.Error(t, err)
-	assert.Error(t, kept.Save(EndpointChanges{Complete: true}))
+	assert.Error(t, kept.Save(EndpointChanges{Snapshot: true}))
 	require.NoError(t, os.Mkdir(folder, 0o700))
-	require.NoError(t, kept.Save(EndpointChanges{Complete: true, Changed: []state.Endpoint{endpoint(1)}}))
+	require.NoError(t, kept.Save(EndpointChanges{Snapshot: true, Changed: []state.Endpoint{endpoint(1)}}))
 	kept.Close()
 	_, err = kept.Load()
 	assert.Error(t, err, "closed")
--- a/serving/store/store.go
+++ b/serving/store/store.go
@@ -28,7 +28,7 @@
 
 // Store keeps the state of a replica. It implements register.Storage and is safe for use by several goroutines.
 type Store struct {
-	files *actor.Owner[files]
+	files *actor.Actor[files]
 }
 
 // files is what only the goroutine that owns the disk touches.
@@ -47,7 +47,7 @@
 
 // Close closes the file. It doesn't wait for the disk.
 func (s *Store) Close() {
-	s.files.Tell(func(f *files) {
+	s.files.Send(func(f *files) {
 		f.close()
 		f.closed = true
 		s.files.Stop()
@@ -62,7 +62,7 @@
 		found bool
 		err   error
 	}
-	result, ok := actor.Ask(s.files, func(f *files) loaded {
+	result, ok := actor.Call(s.files, func(f *files) loaded {
 		state, found, err := f.load()
 		return loaded{state, found, err}
 	})
@@ -74,7 +74,7 @@
 
 // Save returns once the state would survive a loss of power. After an error it may or may not be saved.
 func (s *Store) Save(next register.AcceptorState) error {
-	err, ok := actor.Ask(s.files, func(f *files) error { return f.save(&next) })
+	err, ok := actor.Call(s.files, func(f *files) error { return f.save(&next) })
 	if !ok {
 		return errStopped
 	}
@@ -92,7 +92,7 @@
 	if err := f.moveAside(); err != nil {
 		return register.AcceptorState{}, false, err
 	}
-	return register.AcceptorState{}, false, register.ErrDamaged
+	return register.AcceptorState{}, false, register.ErrStateLost
 }
 
 func (f *files) read() (register.AcceptorState, bool, error) {
--- a/serving/store/store_test.go
+++ b/serving/store/store_test.go
@@ -103,7 +103,7 @@
 	for cut := 0; cut < len(whole); cut += 1500 {
 		second, copied := reopenCut(t, folder, cut)
 		saved, found, err := second.Load()
-		if !errors.Is(err, register.ErrDamaged) {
+		if !errors.Is(err, register.ErrStateLost) {
 			require.NoError(t, err, "cut at %d", cut)
 		}
 		if found {
@@ -148,7 +148,7 @@
 	require.NoError(t, os.WriteFile(path, bytes.Repeat([]byte("noise"), 4000), 0o600))
 	s := open(t, folder)
 	_, _, err := s.Load()
-	assert.ErrorIs(t, err, register.ErrDamaged)
+	assert.ErrorIs(t, err, register.ErrStateLost)
 	_, found := load(t, s)
 	assert.False(t, found)
 	assert.FileExists(t, path+damagedSuffix)
--- a/test/integration/serving/cluster_test.go
+++ b/test/integration/serving/cluster_test.go
@@ -212,7 +212,7 @@
 func (c *cluster) report(n *node) (*introspect.Report, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	report, err := introspect.Ask(ctx, c.rpc, n.at(portInner), introspect.Request{WithTables: true})
+	report, err := introspect.Fetch(ctx, c.rpc, n.at(portInner), introspect.Request{IncludeTables: true})
 	return report, err == nil
 }
 
--- a/test/integration/serving/losses_test.go
+++ b/test/integration/serving/losses_test.go
@@ -65,7 +65,7 @@
 	c.hasVersion(c.cores[1])
 	report, answered := c.report(c.cores[0])
 	require.True(t, answered)
-	assert.Len(t, report.Replicas.Replicas, machinesOfKind)
+	assert.Len(t, report.Voters.Replicas, machinesOfKind)
 }
 
 // replicaOf is the ID of the replica at an address, as a member knows it; empty: none.
@@ -74,7 +74,7 @@
 	if !answered {
 		return ""
 	}
-	for _, replica := range report.Replicas.Replicas {
+	for _, replica := range report.Voters.Replicas {
 		if replica.Address == address {
 			return replica.ID
 		}
@@ -136,7 +136,7 @@
 	c.t.Helper()
 	c.soon(fmt.Sprintf("%d replicas", n), func() bool {
 		report, answered := c.report(c.cores[0])
-		return answered && len(report.Replicas.Replicas) == n
+		return answered && len(report.Voters.Replicas) == n
 	})
 }
 
@@ -178,7 +178,7 @@
 	report, answered := c.report(c.agents[0])
 	require.True(c.t, answered)
 	for _, each := range report.Endpoints {
-		if each.Zone == zone && each.State == state.Accepting {
+		if each.Zone == zone && each.State == state.EndpointAccepting {
 			ids = append(ids, each.ID)
 		}
 	}
