--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -68,7 +68,7 @@
 	for i := range members {
 		task := cluster.HomeOf(cluster.RangeID(i))
 		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
-		s.Follow(cluster.LeasePart, func(uint64, []byte) {})
+		s.Watch(cluster.LeasePart, func(uint64, []byte) {})
 		all = append(all, s)
 	}
 	for i, s := range all {
--- a/cluster/member/chart.go
+++ b/cluster/member/chart.go
@@ -12,15 +12,15 @@
 	"rowanlink/webhook/api"
 )
 
-// Chart asks a keeper for the map of ranges and the running plan; without an address there are none.
-func Chart(says string) (*shardmap.Map, *rebalance.Progress, error) {
+// FetchShardMap asks a keeper for the map of ranges and the running plan; without an address there are none.
+func FetchShardMap(says string) (*shardmap.Map, *rebalance.Progress, error) {
 	if says == "" {
 		return nil, nil, nil
 	}
 	t := transport.New("", map[cluster.MemberID]string{"it": says})
 	defer t.Close()
 	status, raw, err := t.Say("it", transport.StatePath, transport.Encode(transport.StateAsk{
-		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), span(10*api.Second))
+		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), duration(10*api.Second))
 	var answer transport.StateAnswer
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -14,51 +14,51 @@
 	"rowanlink/webhook/api"
 )
 
-// conductor runs the plan, while this member holds that task. All that it goes by is in the log, but for how
+// Coordinator runs the plan, while this member holds that task. All that it goes by is in the log, but for how
 // long it has seen a home named and not taken, and since when no move ended: another one starts to count
 // anew, which only makes it later. It belongs to one goroutine.
-type conductor struct {
-	homes    *homes
-	harm     *harm
-	vacancy  *shardmap.Vacancies
-	book     *lease.Book
-	progress *rebalance.Progress
-	epoch    cluster.Epoch // since when it conducts
-	under    int           // moves under way when last looked
-	alone    bool          // no leader answered in this look: nothing more is proposed until the next one
-	restedAt api.Micros
+type Coordinator struct {
+	ownership       *Ownership
+	health          *Reporter
+	vacancies       *shardmap.Vacancies
+	leases          *lease.Book
+	progress        *rebalance.Progress
+	epoch           cluster.Epoch // since when it conducts
+	openMoves       int           // moves under way when last looked
+	leaderUnreached bool          // no leader answered in this look: nothing more is proposed until the next one
+	idleSince       api.Micros
 }
 
-// wish is what the operator's file says: text by which the plan is made, and whether it goes before the one
+// PlanRequest is what the operator's file says: text by which the plan is made, and whether it goes before the one
 // that runs: it was read anew. resumes is the number of the plan that stood stopped then; 0: none. It goes on
 // by the same file, too, but only by one read after it was stopped, by whoever conducts.
-type wish struct {
-	text    []byte
-	groups  []shardmap.Group // its sites' subscribers
-	fresh   bool
-	resumes uint64
+type PlanRequest struct {
+	Text    []byte
+	Groups  []shardmap.Group // its sites' subscribers
+	Fresh   bool
+	Resumes uint64
 }
 
-// stopped is the number of the plan that stands stopped; 0: none does.
-func (c *conductor) stopped() uint64 {
+// StoppedPlan is the number of the plan that stands stopped; 0: none does.
+func (c *Coordinator) StoppedPlan() uint64 {
 	if c.progress == nil || c.progress.Stopped == "" {
 		return 0
 	}
 	return c.progress.Number
 }
 
-// conduct does what is due; it tells whether the wish has come into the log.
-func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
-	epoch, held := c.homes.session.Holds(cluster.Conducts)
-	chart := c.homes.Map()
-	c.alone = false
-	if !held || c.book == nil {
-		c.vacancy.Forget()
+// Run does what is due; it tells whether the wish has come into the log.
+func (c *Coordinator) Run(w PlanRequest, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
+	epoch, held := c.ownership.session.Holds(cluster.Conducts)
+	chart := c.ownership.Map()
+	c.leaderUnreached = false
+	if !held || c.leases == nil {
+		c.vacancies.Forget()
 		c.epoch = 0
 		return false
 	}
 	if epoch != c.epoch {
-		c.epoch, c.restedAt = epoch, now
+		c.epoch, c.idleSince = epoch, now
 		slog.Info("conducts", "epoch", epoch)
 	}
 	by := shardmap.Conductor(epoch)
@@ -67,39 +67,39 @@
 		for _, m := range members {
 			weights = append(weights, m.Weight)
 		}
-		c.say("first map", by.First(parts, weights))
+		c.propose("first map", by.First(parts, weights))
 		return false
 	}
 	alive := map[cluster.MemberID]bool{}
-	for _, s := range c.book.Sessions() {
-		alive[c.book.MemberOf(s)] = true
+	for _, s := range c.leases.Sessions() {
+		alive[c.leases.MemberOf(s)] = true
 	}
-	if takes := c.vacancy.Takes(chart, c.book, alive, c.staying(members, alive), now); len(takes) > 0 {
-		c.say("homes given anew", by.Lost(takes), "ranges", len(takes))
+	if takes := c.vacancies.Takes(chart, c.leases, alive, c.remainingMembers(members, alive), now); len(takes) > 0 {
+		c.propose("homes given anew", by.Lost(takes), "ranges", len(takes))
 		return false // the next map tells
 	}
-	if (w.fresh || len(chart.Groups) == 0) && !shardmap.SameGroups(w.groups, chart.Groups) {
-		c.say("destinations placed", by.Place(w.groups), "sites", len(w.groups))
+	if (w.Fresh || len(chart.Groups) == 0) && !shardmap.SameGroups(w.Groups, chart.Groups) {
+		c.propose("destinations placed", by.Place(w.Groups), "sites", len(w.Groups))
 		return false // what a plan makes of destinations is by where they stand
 	}
-	if slices.ContainsFunc(chart.Strays, c.over) {
-		c.say("grants over that destinations strayed from", by.Sweep())
+	if slices.ContainsFunc(chart.Strays, c.isGrantEnded) {
+		c.propose("grants over that destinations strayed from", by.Sweep())
 	}
-	c.stepOn(by, chart, now)
+	c.advanceMoves(by, chart, now)
 	adopted = c.adopt(w, chart)
-	c.follow(by, chart, alive, now)
+	c.runPlan(by, chart, alive, now)
 	return adopted
 }
 
-// over is whether a stray's grant is held no more.
-func (c *conductor) over(s shardmap.Stray) bool {
-	_, _, epoch, held := c.book.Holder(cluster.HomeOf(s.Under.Range))
+// isGrantEnded is whether a stray's grant is held no more.
+func (c *Coordinator) isGrantEnded(s shardmap.Stray) bool {
+	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(s.Under.Range))
 	return !held || epoch != s.Under.Epoch
 }
 
-// staying are those whom the running plan does not want to leave; all, where no other is alive. Guards
+// remainingMembers are those whom the running plan does not want to leave; all, where no other is alive. Guards
 // against a lost home's range given to a member that leaves, behind steps that are through.
-func (c *conductor) staying(members []shardmap.Able, alive map[cluster.MemberID]bool) (stay []shardmap.Able) {
+func (c *Coordinator) remainingMembers(members []shardmap.Able, alive map[cluster.MemberID]bool) (stay []shardmap.Able) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return members
 	}
@@ -120,8 +120,8 @@
 	return stay
 }
 
-// stepOn takes moves on to the step at which the target and the source do the rest.
-func (c *conductor) stepOn(by shardmap.Conductor, chart *shardmap.Map, now api.Micros) {
+// advanceMoves takes moves on to the step at which the target and the source do the rest.
+func (c *Coordinator) advanceMoves(by shardmap.Conductor, chart *shardmap.Map, now api.Micros) {
 	under := 0
 	for _, r := range chart.Ranges {
 		if !r.Move.Open() {
@@ -130,45 +130,45 @@
 		under++
 		switch r.Move.Step {
 		case shardmap.Planned:
-			c.say("move warms", by.Step(r.Move.ID, shardmap.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+			c.propose("move warms", by.Step(r.Move.ID, shardmap.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 		case shardmap.Warming:
-			c.say("move passes", by.Step(r.Move.ID, shardmap.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+			c.propose("move passes", by.Step(r.Move.ID, shardmap.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 		}
 	}
-	if under < c.under {
-		c.restedAt = now
+	if under < c.openMoves {
+		c.idleSince = now
 	}
-	c.under = under
+	c.openMoves = under
 }
 
 // adopt brings what the operator wishes into the log, where it is another plan than the one that runs.
-func (c *conductor) adopt(w wish, chart *shardmap.Map) bool {
+func (c *Coordinator) adopt(w PlanRequest, chart *shardmap.Map) bool {
 	number := uint64(0)
 	if c.progress != nil {
 		number = c.progress.Number
 	}
-	if number != 0 && !w.fresh {
+	if number != 0 && !w.Fresh {
 		return false
 	}
-	wished, err := rebalance.Read(w.text, "plan")
+	wished, err := rebalance.Read(w.Text, "plan")
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
-	if number != 0 && (c.stopped() == 0 || c.stopped() != w.resumes) {
+	if number != 0 && (c.StoppedPlan() == 0 || c.StoppedPlan() != w.Resumes) {
 		if runs, err := rebalance.Read(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
 			return true
 		}
 	}
-	return c.make(wished, w.text, number, chart)
+	return c.makePlan(wished, w.Text, number, chart)
 }
 
-func (c *conductor) make(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
+func (c *Coordinator) makePlan(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
 	p, err := rebalance.Make(f, chart, nil)
 	var moving *rebalance.Moving
 	if errors.As(err, &moving) { // the file is taken up once that has ended
 		if moving.Move.Step < shardmap.Switched {
-			c.say("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
+			c.propose("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
 		}
 		return false
 	}
@@ -176,11 +176,11 @@
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
-	return c.say("plan taken up", rebalance.Conductor(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
+	return c.propose("plan taken up", rebalance.Conductor(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
 }
 
-// follow does what the running plan asks for now.
-func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
+// runPlan does what the running plan asks for now.
+func (c *Coordinator) runPlan(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
 	now api.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
@@ -191,36 +191,36 @@
 		return
 	}
 	out := c.progress.Next(f, chart, rebalance.Seen{Gone: func(m cluster.MemberID) bool { return !alive[m] },
-		Rested: now - c.restedAt, Harm: c.harm.Of(c.progress.Number)})
+		Rested: now - c.idleSince, Harm: c.health.Collected(c.progress.Number)})
 	says := rebalance.Conductor(c.epoch)
 	for _, a := range out.Actions {
 		switch a.Do {
 		case rebalance.Start:
-			c.say("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
+			c.propose("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
 		case rebalance.GoBack:
-			c.say("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Why)
+			c.propose("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Why)
 		case rebalance.TakeOn:
-			c.say("plan's step", says.Note(c.progress.Number, a.Step, a.Stand, a.Move), "step", a.Step)
+			c.propose("plan's step", says.Note(c.progress.Number, a.Step, a.Stand, a.Move), "step", a.Step)
 		case rebalance.GiveUp:
-			c.say("plan stopped", says.Stop(c.progress.Number, a.Why), "why", a.Why)
+			c.propose("plan stopped", says.Stop(c.progress.Number, a.Why), "why", a.Why)
 		case rebalance.SplitOff:
-			c.say("range split", by.Split(a.Range, a.At), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.At)))
+			c.propose("range split", by.Split(a.Range, a.At), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.At)))
 		case rebalance.MergeIn:
-			c.say("ranges merged", by.Merge(a.Range, a.Other), "range", a.Range, "other", a.Other)
+			c.propose("ranges merged", by.Merge(a.Range, a.Other), "range", a.Range, "other", a.Other)
 		case rebalance.Replan:
 			slog.Info("plan made anew", "why", a.Why)
-			c.make(f, slices.Clone(c.progress.Text), c.progress.Number, chart)
+			c.makePlan(f, slices.Clone(c.progress.Text), c.progress.Number, chart)
 		}
 	}
 }
 
-// say proposes; a refusal means that the log went on, and the next look is by what it holds then.
-func (c *conductor) say(what string, command cluster.Command, more ...any) bool {
-	if c.alone {
+// propose proposes; a refusal means that the log went on, and the next look is by what it holds then.
+func (c *Coordinator) propose(what string, command cluster.Command, more ...any) bool {
+	if c.leaderUnreached {
 		return false
 	}
-	if _, err := c.homes.Propose(command); err != nil {
-		c.alone = unreached(err)
+	if _, err := c.ownership.Propose(command); err != nil {
+		c.leaderUnreached = IsLeaderUnreached(err)
 		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
 			slog.Warn(what+" not said", "why", err)
 		}
--- a/cluster/member/deeds.go
+++ b/cluster/member/deeds.go
@@ -14,10 +14,10 @@
 	"rowanlink/webhook/api"
 )
 
-// Deeds has the session want tasks and do deeds by them, for tests only: ROWAN_GUARD is the host:port of a
+// RunLeaseWorkload has the session want tasks and do deeds by them, for tests only: ROWAN_GUARD is the host:port of a
 // guard, which is told when each began and ended, ROWAN_GUARD_TASKS the tasks, split by commas, and
 // ROWAN_GUARD_FENCE=1 has the guard refuse what comes with an epoch gone by.
-func (s *Session) Deeds(env func(string) string) {
+func (s *Session) RunLeaseWorkload(env func(string) string) {
 	guard := env("ROWAN_GUARD")
 	if guard == "" {
 		return
@@ -26,43 +26,43 @@
 		if name == "" {
 			continue
 		}
-		s.Want(cluster.Task(name))
-		s.done.Go(func() { s.deeds(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
+		s.Acquire(cluster.Task(name))
+		s.done.Go(func() { s.workloadLoop(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
 	}
 }
 
 // A deed lasts up to a tenth of a term, and the pause between two is as long.
-const deedsEach = 10
+const workloadDelayDivisor = 10
 
-func (s *Session) deeds(guard string, t cluster.Task, fenced bool) {
-	for s.pause(s.drawn()) {
-		s.Guarded(t, func(e cluster.Epoch, still func() bool) {
+func (s *Session) workloadLoop(guard string, t cluster.Task, fenced bool) {
+	for s.sleep(s.workloadDelay()) {
+		s.DoWhileHeld(t, func(e cluster.Epoch, still func() bool) {
 			with := url.Values{"task": {string(t)}, "epoch": {strconv.FormatUint(uint64(e), 10)},
 				"member": {string(s.Self)}}
 			if fenced {
 				with.Set("fence", "1")
 			}
-			if s.tellGuard(guard, "begin", with, still) && s.pause(s.drawn()) {
-				s.tellGuard(guard, "end", with, still)
+			if s.reportToGuard(guard, "begin", with, still) && s.sleep(s.workloadDelay()) {
+				s.reportToGuard(guard, "end", with, still)
 			}
 		})
 	}
 }
 
-func (s *Session) drawn() api.Micros {
-	return 1 + api.Micros(s.Keepers.draw()*float64(s.Term/deedsEach))
+func (s *Session) workloadDelay() api.Micros {
+	return 1 + api.Micros(s.Leader.drawRandom()*float64(s.LeaseTTL/workloadDelayDivisor))
 }
 
-// tellGuard looks once more whether the task is held right before the last byte goes out.
-func (s *Session) tellGuard(guard, what string, with url.Values, still func() bool) bool {
-	c, err := net.DialTimeout("tcp", guard, span(s.Term))
+// reportToGuard looks once more whether the task is held right before the last byte goes out.
+func (s *Session) reportToGuard(guard, what string, with url.Values, still func() bool) bool {
+	c, err := net.DialTimeout("tcp", guard, duration(s.LeaseTTL))
 	if err != nil {
 		return false
 	}
 	defer c.Close()
 	said := fmt.Sprintf("POST /%s?%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		what, with.Encode(), guard)
-	if c.SetDeadline(time.Now().Add(span(s.Term))) != nil {
+	if c.SetDeadline(time.Now().Add(duration(s.LeaseTTL))) != nil {
 		return false
 	}
 	last := len(said) - 1
--- a/cluster/member/deeds_test.go
+++ b/cluster/member/deeds_test.go
@@ -38,10 +38,10 @@
 		}
 	}
 	a := f.member("a")
-	a.Deeds(env)
+	a.RunLeaseWorkload(env)
 	require.Eventually(t, told("/end a"), longer, time.Millisecond)
 	b := f.member("b")
-	b.Deeds(env)
+	b.RunLeaseWorkload(env)
 	f.cut("a", true, f.names...)
 	require.Eventually(t, told("/end b"), longer, time.Millisecond)
 	mu.Lock()
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -13,31 +13,31 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// doubt is one webhook that another member may have, as it stands when that is asked.
-type doubt struct {
+// inDoubt is one webhook that another member may have, as it stands when that is asked.
+type inDoubt struct {
 	eventloop.Owed
 	name shardmap.Name
 	hand shardmap.Hand
 	out  shardmap.Offer
 }
 
-// settle asks a member that may have webhooks, of which it is not the home any more, or not in that life.
-func (o *owing) settle(at cluster.MemberID, all []eventloop.Owed) {
+// queryInDoubt asks a member that may have webhooks, of which it is not the home any more, or not in that life.
+func (o *Handoff) queryInDoubt(at cluster.MemberID, all []eventloop.Owed) {
 	f, now := o.forwarding, inflight.Now()
-	var doubts []doubt
-	var asks []asked
+	var doubts []inDoubt
+	var asks []CustodyQuery
 	for _, w := range all {
-		name := nameOf(w.RequestID)
-		if out, hand, is := f.names.Out(name); is && out.To == at {
-			doubts = append(doubts, doubt{w, name, hand, out})
-			asks = append(asks, asked{Name: name, Hand: hand, Left: w.TTL - now, Life: out.Life})
+		name := NameOf(w.RequestID)
+		if out, hand, is := f.custody.PendingOffer(name); is && out.To == at {
+			doubts = append(doubts, inDoubt{w, name, hand, out})
+			asks = append(asks, CustodyQuery{Name: name, Hand: hand, TTLLeft: w.TTL - now, Incarnation: out.Life})
 		}
 	}
 	if len(asks) == 0 {
 		return
 	}
 	replies := make([]shardmap.Reply, len(asks))
-	status, raw, err := f.talk.Say(at, settlePath, transport.Encode(asks), inflight.Span(f.homes.term/4))
+	status, raw, err := f.client.Say(at, QueryPath, transport.Encode(asks), inflight.Span(f.ownership.leaseTTL/4))
 	var said []shardmap.Reply
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &said)
@@ -48,14 +48,14 @@
 		slog.Debug("doubts not settled", "at", at, "webhooks", len(asks), "status", status, "why", err)
 	}
 	for i, d := range doubts {
-		o.settled(d, replies[i])
+		o.resolveInDoubt(d, replies[i])
 	}
 }
 
-// settled does what a reply says, or what holds where there is none.
-func (o *owing) settled(d doubt, r shardmap.Reply) {
-	names, now := o.forwarding.names, inflight.Now()
-	what := d.out.Settle(r, o.gone(d), o.events(d.Event), d.MayRun, d.TTL, now)
+// resolveInDoubt does what a reply says, or what holds where there is none.
+func (o *Handoff) resolveInDoubt(d inDoubt, r shardmap.Reply) {
+	names, now := o.forwarding.custody, inflight.Now()
+	what := d.out.Settle(r, o.isOwnerReplaced(d), o.eventType(d.Event), d.MayRun, d.TTL, now)
 	is := func(k *shardmap.Known) bool { // nothing else was heard meanwhile
 		_, hand, out := k.Out(d.name)
 		return out && hand == d.hand
@@ -65,13 +65,13 @@
 	case shardmap.Wait:
 		return
 	case shardmap.Drop:
-		names.Note(func(k *shardmap.Known) {
+		names.UpdateUnsynced(func(k *shardmap.Known) {
 			if still = k.Heard(d.name, d.hand, shardmap.Has) == shardmap.Drop; still { // its end first
 				o.decider.Passed([]api.WebhookID{d.ID})
 			}
 		})
 	case shardmap.Own:
-		err := names.Change([]shardmap.Name{d.name}, func(k *shardmap.Known) {
+		err := names.Update([]shardmap.Name{d.name}, func(k *shardmap.Known) {
 			still = k.Heard(d.name, d.hand, shardmap.Never) == shardmap.Own
 		})
 		if still = still && err == nil; still {
@@ -82,7 +82,7 @@
 		if !o.decider.Returned(ran) { // first, so that a restart finds it
 			return
 		}
-		err := names.Change([]shardmap.Name{d.name}, func(k *shardmap.Known) {
+		err := names.Update([]shardmap.Name{d.name}, func(k *shardmap.Known) {
 			if still = is(k); still {
 				k.Forked(d.name)
 			}
@@ -95,14 +95,14 @@
 	}
 	if still {
 		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != shardmap.Drop, "at", d.out.To, "said", r)
-		o.looks()
+		o.wake()
 	}
 }
 
-// gone is whether, by the map, the member that may have a webhook can't call for it any more: its range was
+// isOwnerReplaced is whether, by the map, the member that may have a webhook can't call for it any more: its range was
 // granted to another since.
-func (o *owing) gone(d doubt) bool {
-	chart := o.forwarding.homes.Map()
+func (o *Handoff) isOwnerReplaced(d inDoubt) bool {
+	chart := o.forwarding.ownership.Map()
 	if chart == nil {
 		return false
 	}
--- a/cluster/member/encoded_test.go
+++ b/cluster/member/encoded_test.go
@@ -20,8 +20,8 @@
 func TestEncodedForms(t *testing.T) {
 	for name, values := range map[string][]any{
 		"custody": {shardmap.Record{}},
-		"handoff": {sent{}, heards{}, []asked{}, []shardmap.Reply{}},
-		"health":  {harmAsk{}, rebalance.Report{}},
+		"handoff": {Transfer{}, TransferReply{}, []CustodyQuery{}, []shardmap.Reply{}},
+		"health":  {Query{}, rebalance.Report{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden := filepath.Join("testdata", "encoded_"+name+".golden")
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -167,19 +167,19 @@
 	return false
 }
 
-func (f *fleetOf) keepers(by cluster.MemberID) *member.Keepers {
+func (f *fleetOf) keepers(by cluster.MemberID) *member.LeaderClient {
 	t := transport.New(by, f.seen(by, f.says))
 	f.t.Cleanup(t.Close)
-	return member.NewKeepers(t, f.names, rand.Float64)
+	return member.NewLeaderClient(t, f.names, rand.Float64)
 }
 
 func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Task) *member.Session {
 	f.lives++
-	s := member.NewSession(member.Life{Self: name, Incarnation: f.lives, Term: f.term,
-		Apart: 0.05, Clock: clock, Keepers: f.keepers(name)})
+	s := member.NewSession(member.Config{Self: name, Incarnation: f.lives, LeaseTTL: f.term,
+		MaxClockDrift: 0.05, Clock: clock, Leader: f.keepers(name)})
 	f.t.Cleanup(s.Close)
 	for _, t := range wants {
-		s.Want(t)
+		s.Acquire(t)
 	}
 	return s
 }
--- a/cluster/member/gap_test.go
+++ b/cluster/member/gap_test.go
@@ -39,7 +39,7 @@
 	stop, err := time.ParseDuration(os.Getenv(gapStop))
 	require.NoError(t, err)
 	_, s := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
-	s.Want("home/1")
+	s.Acquire("home/1")
 	holds(t, s, "home/1")
 	c, err := net.Dial("tcp", to)
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 		default:
 		}
 		from := time.Now()
-		s.Guarded("home/1", func(_ cluster.Epoch, still func() bool) {
+		s.DoWhileHeld("home/1", func(_ cluster.Epoch, still func() bool) {
 			if _, err := c.Write(said[:len(said)-1]); err != nil || !still() {
 				return
 			}
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -6,18 +6,18 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// gate is what the decider asks.
-type gate struct{ m *Member }
+// admission is what the decider asks.
+type admission struct{ m *Member }
 
-func (g gate) Calls(dest api.DestinationID, ordered bool) bool {
+func (g admission) Calls(dest api.DestinationID, ordered bool) bool {
 	may, asRelay := g.m.sites.Calls(dest)
-	return may && (asRelay || g.m.homes.Verdict(dest).Calls(ordered))
+	return may && (asRelay || g.m.ownership.Verdict(dest).Calls(ordered))
 }
 
-func (g gate) Part(dest api.DestinationID) float64 {
-	return g.m.sites.Part(dest, g.m.homes.Verdict(dest).Part(int(g.m.many.Load())))
+func (g admission) Part(dest api.DestinationID) float64 {
+	return g.m.sites.Part(dest, g.m.ownership.Verdict(dest).Part(int(g.m.memberCount.Load())))
 }
 
-func (g gate) Doubts(of inflight.RequestID) bool { return g.m.names.Doubts(of) }
+func (g admission) Doubts(of inflight.RequestID) bool { return g.m.custody.IsInDoubt(of) }
 
-var _ eventloop.Fleet = gate{}
+var _ eventloop.Fleet = admission{}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -15,21 +15,21 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// harmPath is where a conductor asks for the harm that its moves did.
-const harmPath = "/fleet/harm"
+// Path is where a conductor asks for the harm that its moves did.
+const Path = "/fleet/harm"
 
-type harmAsk struct {
-	Number uint64            `cbor:"1,keyasint"` // of the plan
-	Of     []rebalance.Watch `cbor:"2,keyasint"`
+type Query struct {
+	Plan    uint64            `cbor:"1,keyasint"` // of the plan
+	Watches []rebalance.Watch `cbor:"2,keyasint"`
 }
 
-// harm counts how webhooks end here, answers conductors, and, where this member conducts, asks the others.
-type harm struct {
-	self  cluster.MemberID
-	homes *homes
-	d     *eventloop.Decider
-	now   func() api.Micros
-	over  <-chan struct{}
+// Reporter counts how webhooks end here, answers conductors, and, where this member conducts, asks the others.
+type Reporter struct {
+	self      cluster.MemberID
+	ownership *Ownership
+	decider   *eventloop.Decider
+	now       func() api.Micros
+	stop      <-chan struct{}
 
 	mu       sync.Mutex
 	tally    *rebalance.Tally
@@ -37,9 +37,9 @@
 }
 
 // Ended counts an end, as the decider tells it.
-func (g gate) Ended(w *inflight.Webhook, how eventloop.End) { g.m.harm.ended(w, how) }
+func (g admission) Ended(w *inflight.Webhook, how eventloop.End) { g.m.health.CountEnd(w, how) }
 
-func (h *harm) ended(w *inflight.Webhook, how eventloop.End) {
+func (h *Reporter) CountEnd(w *inflight.Webhook, how eventloop.End) {
 	e := rebalance.Ends{Ended: 1}
 	switch how {
 	case eventloop.Late:
@@ -52,16 +52,16 @@
 	h.count(w.Destination, e)
 }
 
-func (h *harm) count(d api.DestinationID, e rebalance.Ends) {
+func (h *Reporter) count(d api.DestinationID, e rebalance.Ends) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tally.Ended(d, e)
 }
 
-// entry counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
+// CountRejections counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
 // that it counts once.
-func (h *harm) entry(away away) away {
-	return func(w *inflight.Webhook, here taker) (inflight.Answer, api.Micros) {
+func (h *Reporter) CountRejections(away ForwardFunc) ForwardFunc {
+	return func(w *inflight.Webhook, here AcceptFunc) (inflight.Answer, api.Micros) {
 		what, retryIn := away(w, here)
 		if what == inflight.Rejected {
 			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
@@ -70,34 +70,34 @@
 	}
 }
 
-// away is what an exchange has for a client's webhook.
-type away = func(w *inflight.Webhook, here taker) (inflight.Answer, api.Micros)
+// ForwardFunc is what an exchange has for a client's webhook.
+type ForwardFunc = func(w *inflight.Webhook, here AcceptFunc) (inflight.Answer, api.Micros)
 
-// Look takes note of moves that have begun.
-func (h *harm) Look() {
-	chart := h.homes.Map()
+// NoteMoves takes note of moves that have begun.
+func (h *Reporter) NoteMoves() {
+	chart := h.ownership.Map()
 	if chart == nil {
 		return
 	}
 	h.mu.Lock()
 	fresh := h.tally.Unseen(chart)
 	h.mu.Unlock()
-	sick := h.sick(fresh)
+	sick := h.findUnhealthy(fresh)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.tally.Look(chart, sick, h.now())
 }
 
-// sick asks the module, all at once and before the lock is taken, for which the decider waits with each end.
+// findUnhealthy asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
-func (h *harm) sick(of []shardmap.Range) rebalance.Sickness {
+func (h *Reporter) findUnhealthy(of []shardmap.Range) rebalance.Sickness {
 	in := func(r shardmap.Range, d api.DestinationID) bool {
-		return r.Home == h.self && h.homes.Map().Holds(r, d)
+		return r.Home == h.self && h.ownership.Map().Holds(r, d)
 	}
 	found := make(chan []api.Learned, 1)
 	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
 		go func() {
-			all, _ := h.d.Learned(func(d api.DestinationID) bool {
+			all, _ := h.decider.Learned(func(d api.DestinationID) bool {
 				return slices.ContainsFunc(of, func(r shardmap.Range) bool { return in(r, d) })
 			})
 			found <- all
@@ -108,7 +108,7 @@
 	var all []api.Learned
 	select {
 	case all = <-found:
-	case <-h.over: // no turn comes any more
+	case <-h.stop: // no turn comes any more
 	}
 	return func(r shardmap.Range) (sick []api.DestinationID) {
 		for _, l := range all {
@@ -120,41 +120,41 @@
 	}
 }
 
-func (h *harm) tell(a harmAsk) rebalance.Report {
-	chart := h.homes.Map()
+func (h *Reporter) Report(a Query) rebalance.Report {
+	chart := h.ownership.Map()
 	if chart == nil {
 		return rebalance.Report{}
 	}
 	var of []shardmap.Range
-	for _, w := range a.Of {
+	for _, w := range a.Watches {
 		if r, ok := chart.Get(w.Range); ok {
 			of = append(of, r)
 		}
 	}
-	sick := h.sick(of)
+	sick := h.findUnhealthy(of)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.tally.Tell(a.Number, a.Of, chart, sick, h.now())
+	return h.tally.Tell(a.Plan, a.Watches, chart, sick, h.now())
 }
 
-// Hear answers a conductor.
-func (h *harm) Hear(ctx *fasthttp.RequestCtx) {
-	var a harmAsk
+// HandleQuery answers a conductor.
+func (h *Reporter) HandleQuery(ctx *fasthttp.RequestCtx) {
+	var a Query
 	if err := transport.Decode(ctx.Request.Body(), &a); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	ctx.SetBody(transport.Encode(h.tell(a)))
+	ctx.SetBody(transport.Encode(h.Report(a)))
 }
 
-func (h *harm) took(number uint64, from cluster.MemberID, r rebalance.Report) {
+func (h *Reporter) Collect(number uint64, from cluster.MemberID, r rebalance.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.gathered.Take(number, from, r)
 }
 
-// Of is the harm that was told of the plan of a number.
-func (h *harm) Of(number uint64) rebalance.Harm {
+// Collected is the harm that was told of the plan of a number.
+func (h *Reporter) Collected(number uint64) rebalance.Harm {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gathered.Harm(number)
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -22,17 +22,17 @@
 	assert.NoError(t, err)
 	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.Planned}
 	chart := &shardmap.Map{Ranges: even}
-	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, api.Second, 0),
+	h := &Reporter{self: "a", ownership: &Ownership{}, tally: rebalance.NewTally(1, api.Second, 0),
 		now: func() api.Micros { return 0 }}
-	h.homes.chart.Store(chart)
-	h.Look()
+	h.ownership.shardMap.Store(chart)
+	h.NoteMoves()
 	w := &inflight.Webhook{Destination: 7}
 	for _, how := range []eventloop.End{eventloop.InTime, eventloop.Late, eventloop.Late, eventloop.HandedBack,
 		eventloop.DeadLettered, eventloop.DeadLettered, eventloop.DeadLettered} {
-		h.ended(w, how)
+		h.CountEnd(w, how)
 	}
-	to := func(what inflight.Answer, done bool) away {
-		return func(_ *inflight.Webhook, here taker) (inflight.Answer, api.Micros) {
+	to := func(what inflight.Answer, done bool) ForwardFunc {
+		return func(_ *inflight.Webhook, here AcceptFunc) (inflight.Answer, api.Micros) {
 			if done {
 				return what, 3
 			}
@@ -46,7 +46,7 @@
 		{inflight.Taken, inflight.Rejected, true}, {inflight.Rejected, inflight.Taken, false},
 		{inflight.Doubled, inflight.Rejected, true}} {
 		here := func() (inflight.Answer, api.Micros) { return c.here, 4 }
-		what, in := h.entry(to(c.away, c.done))(w, here)
+		what, in := h.CountRejections(to(c.away, c.done))(w, here)
 		want, wait := c.away, api.Micros(3)
 		if !c.done {
 			want, wait = c.here, 4
@@ -54,7 +54,7 @@
 		assert.Equal(t, want, what)
 		assert.Equal(t, wait, in)
 	}
-	r := h.tell(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
+	r := h.Report(Query{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
 	assert.Equal(t, rebalance.Ends{Ended: 9, Rejected: 3, DeadLettered: 3, Late: 2}, r.Spots[0].Now)
 }
 
@@ -62,15 +62,15 @@
 func FuzzHear(f *testing.F) {
 	even, err := shardmap.Even(2, []shardmap.Weight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
-	f.Add(transport.Encode(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
+	f.Add(transport.Encode(Query{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, api.Second, 0),
+		h := &Reporter{self: "a", ownership: &Ownership{}, tally: rebalance.NewTally(1, api.Second, 0),
 			now: func() api.Micros { return 0 }}
-		h.homes.chart.Store(&shardmap.Map{Ranges: even})
+		h.ownership.shardMap.Store(&shardmap.Map{Ranges: even})
 		h.count(7, rebalance.Ends{Ended: 1})
 		var ctx fasthttp.RequestCtx
 		ctx.Request.SetBody(body)
-		h.Hear(&ctx)
+		h.HandleQuery(&ctx)
 		var r rebalance.Report
 		if ctx.Response.StatusCode() == fasthttp.StatusOK {
 			assert.NoError(t, transport.Decode(ctx.Response.Body(), &r))
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -14,125 +14,125 @@
 	"rowanlink/webhook/api"
 )
 
-// homes keeps a member's homes as the map names them: it asks for their tasks, says by which grant it serves,
+// Ownership keeps a member's homes as the map names them: it asks for their tasks, says by which grant it serves,
 // and lets go of those that go elsewhere.
-type homes struct {
-	self    cluster.MemberID
-	term    api.Micros
-	now     func() api.Micros
-	session *Session
-	side    side
-	changed func()       // something is to be looked at; does not wait
-	shuts   sync.Map     // fleet.RangeID to shutting, of a move that is about to switch
-	over    atomic.Int64 // since when there is no session; gateway.Never while there is
-
-	chart atomic.Pointer[shardmap.Map]
-	mu    sync.Mutex   // one look at a time
-	door  sync.RWMutex // open from a webhook's admission until it is in; shut is set while it is closed
-}
-
-// side is the member's dispatcher as far as its homes go.
-type side interface {
-	Out(shardmap.Range) int // calls out of a range
-	OutOf([]api.DestinationID) int
-	Owes(shardmap.Range) int       // webhooks of it that have not gone over
-	Told(shardmap.Range) bool      // its move's target knows what was learned
-	Undecided(shardmap.MoveID) int // webhooks that a move's other side may have
+type Ownership struct {
+	self          cluster.MemberID
+	leaseTTL      api.Micros
+	now           func() api.Micros
+	session       *Session
+	local         LocalWork
+	onChange      func()       // something is to be looked at; does not wait
+	closures      sync.Map     // fleet.RangeID to shutting, of a move that is about to switch
+	inactiveSince atomic.Int64 // since when there is no session; gateway.Never while there is
+
+	shardMap    atomic.Pointer[shardmap.Map]
+	reconcileMu sync.Mutex   // one look at a time
+	admissionMu sync.RWMutex // open from a webhook's admission until it is in; shut is set while it is closed
+}
+
+// LocalWork is the member's dispatcher as far as its homes go.
+type LocalWork interface {
+	CallsInFlight(shardmap.Range) int // calls out of a range
+	CallsInFlightTo([]api.DestinationID) int
+	PendingWebhooks(shardmap.Range) int   // webhooks of it that have not gone over
+	StateTransferred(shardmap.Range) bool // its move's target knows what was learned
+	InDoubt(shardmap.MoveID) int          // webhooks that a move's other side may have
 }
 
 // Map is the newest map that this member has.
-func (h *homes) Map() *shardmap.Map { return h.chart.Load() }
+func (h *Ownership) Map() *shardmap.Map { return h.shardMap.Load() }
 
-// Charted takes a newer map.
-func (h *homes) Charted(snapshot []byte) {
+// ApplySnapshot takes a newer map.
+func (h *Ownership) ApplySnapshot(snapshot []byte) {
 	next := shardmap.New(nil)
 	if err := next.Restore(snapshot); err != nil {
 		slog.Error("map of ranges not read, the old one stays", "why", err)
 		return
 	}
-	if was := h.chart.Load(); was != nil && was.Version > next.Version {
+	if was := h.shardMap.Load(); was != nil && was.Version > next.Version {
 		return
 	}
-	h.chart.Store(next)
-	h.changed()
+	h.shardMap.Store(next)
+	h.onChange()
 }
 
-// tenant is this member as far as its right to call goes.
-func (h *homes) tenant() shardmap.Tenant {
+// Claimant is this member as far as its right to call goes.
+func (h *Ownership) Claimant() shardmap.Tenant {
 	return shardmap.Tenant{Member: h.self, Epoch: h.session.Holds,
-		Alone: shardmap.Deserted(api.Micros(h.over.Load()), h.now(), h.term)}
+		Alone: shardmap.Deserted(api.Micros(h.inactiveSince.Load()), h.now(), h.leaseTTL)}
 }
 
 // Verdict is what this member does with webhooks of a destination, now.
-func (h *homes) Verdict(d api.DestinationID) shardmap.Verdict {
-	chart := h.chart.Load()
+func (h *Ownership) Verdict(d api.DestinationID) shardmap.Verdict {
+	chart := h.shardMap.Load()
 	if chart == nil {
 		return shardmap.Verdict{Do: shardmap.Keep}
 	}
-	return chart.VerdictOf(h.tenant(), d)
+	return chart.VerdictOf(h.Claimant(), d)
 }
 
-// VerdictAt is the same for whatever stands at a place among the ranges.
-func (h *homes) VerdictAt(key cluster.KeyHash) shardmap.Verdict {
-	chart := h.chart.Load()
+// VerdictForKey is the same for whatever stands at a place among the ranges.
+func (h *Ownership) VerdictForKey(key cluster.KeyHash) shardmap.Verdict {
+	chart := h.shardMap.Load()
 	if chart == nil {
 		return shardmap.Verdict{Do: shardmap.Keep}
 	}
-	return chart.MayServe(h.tenant(), key)
+	return chart.MayServe(h.Claimant(), key)
 }
 
-// Look does what the map and the grants ask for now; it is called whenever one of them changed, and now and
+// Reconcile does what the map and the grants ask for now; it is called whenever one of them changed, and now and
 // then: a proposal may have been lost. After one that no leader answered nothing more is proposed: guards
 // against a look that takes a part of a term for each of many ranges, while grants end and homes are let go.
-func (h *homes) Look() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	chart, reached := h.chart.Load(), true
+func (h *Ownership) Reconcile() {
+	h.reconcileMu.Lock()
+	defer h.reconcileMu.Unlock()
+	chart, reached := h.shardMap.Load(), true
 	if chart == nil {
 		return
 	}
-	say := func(what string, r shardmap.Range, c cluster.Command) { reached = reached && h.say(what, r, c) }
+	say := func(what string, r shardmap.Range, c cluster.Command) { reached = reached && h.proposeFor(what, r, c) }
 	for _, r := range chart.Ranges {
 		task := cluster.HomeOf(r.ID)
 		epoch, held := h.session.Holds(task)
 		switch {
-		case held && h.leaves(r):
-			h.letGo(r, task, epoch)
+		case held && h.mayLeave(r):
+			h.releaseRange(r, task, epoch)
 		case !held && r.Wants(h.self):
-			h.session.Want(task)
+			h.session.Acquire(task)
 		case !held:
-			h.session.Unwant(task)
+			h.session.CancelAcquire(task)
 		case held && r.Home == h.self && epoch > r.Epoch && r.Move.Step != shardmap.Passing:
 			say("home taken", r, shardmap.Home(r.ID, h.self, epoch, chart.Version))
 		case held && r.Move.Step == shardmap.Passing && r.Move.To == h.self:
 			say("home switched", r, shardmap.Switch(r.Move.ID, r.ID, h.self, epoch))
 		}
-		if r.Move.Step == shardmap.Switched && h.clears(r.Move) && h.side.Undecided(r.Move.ID) == 0 {
+		if r.Move.Step == shardmap.Switched && h.mustClear(r.Move) && h.local.InDoubt(r.Move.ID) == 0 {
 			say("move cleared", r, shardmap.Clear(r.Move.ID, h.self))
 		}
 	}
-	for u, of := range chart.StrayedFrom(h.tenant()) {
-		if h.side.OutOf(of) == 0 {
+	for u, of := range chart.StrayedFrom(h.Claimant()) {
+		if h.local.CallsInFlightTo(of) == 0 {
 			say("destinations let go", shardmap.Range{ID: u.Range}, shardmap.Seen(u.Range, u.Epoch, chart.Version))
 		}
 	}
-	h.reopen(chart)
+	h.reopenRanges(chart)
 	for _, v := range chart.Left {
-		if h.clears(v) && h.side.Undecided(v.ID) == 0 {
+		if h.mustClear(v) && h.local.InDoubt(v.ID) == 0 {
 			say("move cleared", shardmap.Range{Move: v}, shardmap.Clear(v.ID, h.self))
 		}
 	}
 }
 
-// letGo gives up a home that goes elsewhere as soon as it may. What came before the range was shut is counted
+// releaseRange gives up a home that goes elsewhere as soon as it may. What came before the range was shut is counted
 // at the next look.
-func (h *homes) letGo(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
-	out, owed := h.side.Out(r), h.side.Owes(r)
-	if h.side.Told(r) && r.Shuts(h.self, out, owed, mostAtOnce) && h.shut(r) {
+func (h *Ownership) releaseRange(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
+	out, owed := h.local.CallsInFlight(r), h.local.PendingWebhooks(r)
+	if h.local.StateTransferred(r) && r.Shuts(h.self, out, owed, MaxBatch) && h.closeAdmission(r) {
 		return
 	}
-	s, shut := h.shuts.Load(r.ID)
-	shut = shut && s.(shutting).move == r.Move.ID
+	s, shut := h.closures.Load(r.ID)
+	shut = shut && s.(closure).move == r.Move.ID
 	passes := r.Move.Step == shardmap.Passing && r.Home == h.self
 	if r.LetsGo(h.self, out, owed) && (shut || !passes) {
 		h.session.Release(task)
@@ -140,91 +140,91 @@
 	}
 }
 
-// shut has nothing more taken on for a range whose move is about to switch, and tells whether that is new.
+// closeAdmission has nothing more taken on for a range whose move is about to switch, and tells whether that is new.
 // Guards order by key: what came after the last count would go over behind what the target takes by then.
-func (h *homes) shut(r shardmap.Range) (fresh bool) {
-	was, known := h.shuts.Load(r.ID)
-	if known && was.(shutting).move == r.Move.ID {
+func (h *Ownership) closeAdmission(r shardmap.Range) (fresh bool) {
+	was, known := h.closures.Load(r.ID)
+	if known && was.(closure).move == r.Move.ID {
 		return false
 	}
-	h.door.Lock()
-	h.shuts.Store(r.ID, shutting{r.Move.ID, h.now()})
-	h.door.Unlock()
-	h.changed()
+	h.admissionMu.Lock()
+	h.closures.Store(r.ID, closure{r.Move.ID, h.now()})
+	h.admissionMu.Unlock()
+	h.onChange()
 	return true
 }
 
-// isShut is whether a webhook by this verdict has to wait for the switch.
-func (h *homes) isShut(v shardmap.Verdict) bool {
-	s, known := h.shuts.Load(v.Range)
-	return known && v.Do == shardmap.Hold && v.Passes.Open() && s.(shutting).move == v.Passes.ID
+// IsClosed is whether a webhook by this verdict has to wait for the switch.
+func (h *Ownership) IsClosed(v shardmap.Verdict) bool {
+	s, known := h.closures.Load(v.Range)
+	return known && v.Do == shardmap.Hold && v.Passes.Open() && s.(closure).move == v.Passes.ID
 }
 
-// shutting is since when a range is shut, for which move.
-type shutting struct {
+// closure is since when a range is shut, for which move.
+type closure struct {
 	move  shardmap.MoveID
 	since api.Micros
 }
 
-// shutPart is the part of a term for which a range is shut at the most before its home is let go: guards
+// closureLimitDivisor is the part of a term for which a range is shut at the most before its home is let go: guards
 // against clients that are turned away for as long as the target can't be reached.
-const shutPart = 4
+const closureLimitDivisor = 4
 
-// reopen forgets ranges whose move has switched or gone back, or goes over too slowly.
-func (h *homes) reopen(chart *shardmap.Map) {
-	h.shuts.Range(func(id, is any) bool {
+// reopenRanges forgets ranges whose move has switched or gone back, or goes over too slowly.
+func (h *Ownership) reopenRanges(chart *shardmap.Map) {
+	h.closures.Range(func(id, is any) bool {
 		r, ok := chart.Get(id.(cluster.RangeID))
-		s := is.(shutting)
+		s := is.(closure)
 		_, held := h.session.Holds(cluster.HomeOf(r.ID))
 		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.Passing || r.Home != h.self ||
-			held && h.now()-s.since > h.term/shutPart {
-			h.shuts.Delete(id)
+			held && h.now()-s.since > h.leaseTTL/closureLimitDivisor {
+			h.closures.Delete(id)
 		}
 		return true
 	})
 }
 
-// leaves is whether a range that is held here may be on its way elsewhere: only then its calls are counted.
-func (h *homes) leaves(r shardmap.Range) bool {
+// mayLeave is whether a range that is held here may be on its way elsewhere: only then its calls are counted.
+func (h *Ownership) mayLeave(r shardmap.Range) bool {
 	return !r.Wants(h.self) || r.Move.Step == shardmap.Passing && r.Home == h.self
 }
 
-// clears is whether this member has yet to say that it has no copies left of a switched move.
-func (h *homes) clears(v shardmap.Move) bool {
+// mustClear is whether this member has yet to say that it has no copies left of a switched move.
+func (h *Ownership) mustClear(v shardmap.Move) bool {
 	return v.From == h.self && !v.FromClear || v.To == h.self && !v.ToClear
 }
 
-// say proposes what one range needs, and tells whether a leader answered. A refusal means that the map went
+// proposeFor proposes what one range needs, and tells whether a leader answered. A refusal means that the map went
 // on: the next one tells what holds.
-func (h *homes) say(what string, r shardmap.Range, c cluster.Command) (reached bool) {
+func (h *Ownership) proposeFor(what string, r shardmap.Range, c cluster.Command) (reached bool) {
 	if _, err := h.Propose(c); err != nil {
 		level := slog.LevelWarn
 		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrHeld) {
 			level = slog.LevelDebug
 		}
 		slog.Log(context.Background(), level, what+" not said", "range", r.ID, "why", err)
-		return !unreached(err)
+		return !IsLeaderUnreached(err)
 	}
 	slog.Info(what, "range", r.ID, "move", r.Move.ID)
 	return true
 }
 
-// unreached is whether no leader answered.
-func unreached(err error) bool {
+// IsLeaderUnreached is whether no leader answered.
+func IsLeaderUnreached(err error) bool {
 	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrUnsure)
 }
 
 // Propose has a command put in the log.
-func (h *homes) Propose(c cluster.Command) (answer []byte, err error) {
-	answer, _, err = h.session.Keepers.Propose(c, span(timing.Opening(h.term)))
+func (h *Ownership) Propose(c cluster.Command) (answer []byte, err error) {
+	answer, _, err = h.session.Leader.Propose(c, duration(timing.Opening(h.leaseTTL)))
 	return answer, err
 }
 
-// Beat notes whether the session stands; it is called often.
-func (h *homes) Beat() {
-	if h.session.Standing() {
-		h.over.Store(int64(api.Never))
+// TrackSession notes whether the session stands; it is called often.
+func (h *Ownership) TrackSession() {
+	if h.session.IsActive() {
+		h.inactiveSince.Store(int64(api.Never))
 	} else {
-		h.over.CompareAndSwap(int64(api.Never), int64(h.now()))
+		h.inactiveSince.CompareAndSwap(int64(api.Never), int64(h.now()))
 	}
 }
--- a/cluster/member/keepers_test.go
+++ b/cluster/member/keepers_test.go
@@ -84,7 +84,7 @@
 		r.talk.Renew(f.seen(m, f.says))
 		r.Renew(f.seen(m, f.logs))
 	}
-	a.Keepers.Renew(f.names)
+	a.Leader.SetNodes(f.names)
 	require.Eventually(t, func() bool {
 		servers := f.up[f.leader(gone)].Servers()
 		_, still := servers[gone]
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -23,7 +23,7 @@
 	chart.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
-		a.Want(cluster.HomeOf(r.ID))
+		a.Acquire(cluster.HomeOf(r.ID))
 		holds(t, a, cluster.HomeOf(r.ID))
 	}
 	last := &chart.Ranges[3]
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	harmAsksBy = 4  // asks of each member in a term, while a plan has moved something and has more to move
-	harmAtOnce = 16 // members that are asked at once
+	pollsPerTTL        = 4  // asks of each member in a term, while a plan has moved something and has more to move
+	maxConcurrentPolls = 16 // members that are asked at once
 )
 
-// measure asks all members for the harm done, while there can be any. It is not the conductor's own loop:
+// pollHealth asks all members for the harm done, while there can be any. It is not the conductor's own loop:
 // that must not wait for a member that does not answer, and End does not wait for it.
-func (m *Member) measure() {
-	tick := time.NewTicker(span(m.file.Term) / harmAsksBy)
+func (m *Member) pollHealth() {
+	tick := time.NewTicker(duration(m.file.Term) / pollsPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -30,14 +30,14 @@
 			return
 		case <-tick.C:
 		}
-		if number, of := m.watches(); len(of) > 0 {
-			m.ask(harmAsk{number, of})
+		if number, of := m.healthQuery(); len(of) > 0 {
+			m.pollMembers(Query{number, of})
 		}
 	}
 }
 
-func (m *Member) watches() (number uint64, of []rebalance.Watch) {
-	chart := m.homes.Map()
+func (m *Member) healthQuery() (number uint64, of []rebalance.Watch) {
+	chart := m.ownership.Map()
 	if _, held := m.session.Holds(cluster.Conducts); !held || chart == nil {
 		return 0, nil
 	}
@@ -52,19 +52,19 @@
 	return p.Number, p.Watches(f, chart)
 }
 
-func (m *Member) ask(a harmAsk) {
+func (m *Member) pollMembers(a Query) {
 	body := transport.Encode(a)
 	var all sync.WaitGroup
-	turns := make(chan struct{}, harmAtOnce)
-	for id := range m.says() {
+	turns := make(chan struct{}, maxConcurrentPolls)
+	for id := range m.peerAddresses() {
 		if id == m.self {
-			m.harm.took(a.Number, id, m.harm.tell(a))
+			m.health.Collect(a.Plan, id, m.health.Report(a))
 			continue
 		}
 		turns <- struct{}{}
 		all.Go(func() {
 			defer func() { <-turns }()
-			status, raw, err := m.talk.Say(id, harmPath, body, span(m.file.Term)/harmAsksBy)
+			status, raw, err := m.client.Say(id, Path, body, duration(m.file.Term)/pollsPerTTL)
 			var r rebalance.Report
 			if err == nil && status == fasthttp.StatusOK {
 				err = transport.Decode(raw, &r)
@@ -73,26 +73,26 @@
 				slog.Debug("harm not told", "member", id, "status", status, "why", err)
 				return
 			}
-			m.harm.took(a.Number, id, r)
+			m.health.Collect(a.Plan, id, r)
 		})
 	}
 	all.Wait()
-	m.nudge()
+	m.wake()
 }
 
-func (m *Member) says() map[cluster.MemberID]string {
+func (m *Member) peerAddresses() map[cluster.MemberID]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return says(m.file)
+	return memberAddresses(m.file)
 }
 
-// printPlan writes the running plan's figures; those of harm are the conductor's, 0 elsewhere.
-func (m *Member) printPlan(to io.Writer) {
+// writePlanMetrics writes the running plan's figures; those of harm are the conductor's, 0 elsewhere.
+func (m *Member) writePlanMetrics(to io.Writer) {
 	p := m.progress.Load()
 	if p == nil {
 		return
 	}
-	stopped, h := 0, m.harm.Of(p.Number)
+	stopped, h := 0, m.health.Collected(p.Number)
 	if p.Stopped != "" {
 		stopped = 1
 	}
--- a/cluster/member/merged.go
+++ b/cluster/member/merged.go
@@ -7,22 +7,22 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// merged gives up the tasks of ranges that are no range of their own any more: guards against a grant by
+// ReleaseMergedRanges gives up the tasks of ranges that are no range of their own any more: guards against a grant by
 // which the range that they are a part of could never move, since its map has somebody serve that part yet.
 // What is let go is of a map before this one: what is asked for is always in the map.
-func (h *homes) merged() {
+func (h *Ownership) ReleaseMergedRanges() {
 	chart := h.Map()
 	if chart == nil {
 		return
 	}
-	for _, task := range h.session.homesBut(chart) {
+	for _, task := range h.session.staleRangeResources(chart) {
 		h.session.Release(task)
 		slog.Info("home merged", "task", task)
 	}
 }
 
-// homesBut lists the homes' tasks that are wanted here and that a map doesn't have.
-func (s *Session) homesBut(chart *shardmap.Map) (all []cluster.Task) {
+// staleRangeResources lists the homes' tasks that are wanted here and that a map doesn't have.
+func (s *Session) staleRangeResources(chart *shardmap.Map) (all []cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, task := range s.wishes.Wanted() {
--- a/cluster/member/names_test.go
+++ b/cluster/member/names_test.go
@@ -12,10 +12,10 @@
 )
 
 // life is one of a folder's: names as a process finds them that still holds some webhooks.
-func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *names {
-	n, err := openNames(dir, diskMB, api.Second, func(name shardmap.Name) bool {
+func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *Store {
+	n, err := Open(dir, diskMB, api.Second, func(name shardmap.Name) bool {
 		for _, id := range held {
-			if nameOf(id) == name {
+			if NameOf(id) == name {
 				return true
 			}
 		}
@@ -26,9 +26,9 @@
 	return n
 }
 
-func (n *names) does(t *testing.T, id inflight.RequestID, do func(*shardmap.Known, shardmap.Name)) {
-	name := nameOf(id)
-	require.NoError(t, n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { do(k, name) }))
+func (n *Store) does(t *testing.T, id inflight.RequestID, do func(*shardmap.Known, shardmap.Name)) {
+	name := NameOf(id)
+	require.NoError(t, n.Update([]shardmap.Name{name}, func(k *shardmap.Known) { do(k, name) }))
 }
 
 // Guards against a webhook called by two: that it may be with another member outlasts the process, unless it
@@ -43,14 +43,14 @@
 	}
 	n.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) { k.Asked(name, 4, ttl) })
 	next := life(t, dir, 1, "held")
-	assert.Equal(t, n.Life, next.Life)
-	assert.True(t, next.Doubts("held"))
-	assert.False(t, next.Doubts("ended"))
+	assert.Equal(t, n.Incarnation, next.Incarnation)
+	assert.True(t, next.IsInDoubt("held"))
+	assert.False(t, next.IsInDoubt("ended"))
 	next.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) {
 		reply, _ := k.Offered(name, 4, ttl, inflight.Now(), true)
 		assert.Equal(t, shardmap.Never, reply, "a no is bound to last")
 	})
-	assert.NotEqual(t, n.Life, life(t, t.TempDir(), 1).Life, "a folder that was lost is another life's")
+	assert.NotEqual(t, n.Incarnation, life(t, t.TempDir(), 1).Incarnation, "a folder that was lost is another life's")
 }
 
 // Guards against a webhook that its sender waits for in vain, and against one told to be here that is not:
@@ -63,7 +63,7 @@
 			_, what := k.Offered(name, 1, ttl, inflight.Now(), true)
 			require.Equal(t, shardmap.Takes, what)
 		})
-		assert.True(t, n.Comes(nameOf(id)))
+		assert.True(t, n.IsArriving(NameOf(id)))
 	}
 	for range 2 { // the life after the next finds the same
 		n = life(t, dir, 1, "in")
@@ -81,10 +81,10 @@
 	n, ttl := life(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
 	for id := range 1000 {
-		name := nameOf(inflight.RequestID(rune('a' + id)))
-		err = n.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Offered(name, 1, ttl, inflight.Now(), true) })
+		name := NameOf(inflight.RequestID(rune('a' + id)))
+		err = n.Update([]shardmap.Name{name}, func(k *shardmap.Known) { k.Offered(name, 1, ttl, inflight.Now(), true) })
 		if err != nil {
-			assert.False(t, n.Comes(name))
+			assert.False(t, n.IsArriving(name))
 			break
 		}
 	}
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -10,125 +10,127 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// mostAtOnce bounds what goes over in one message.
-const mostAtOnce = 256
+// MaxBatch bounds what goes over in one message.
+const MaxBatch = 256
 
-// owing is what is parked here and belongs elsewhere, or may.
-type owing struct {
-	forwarding *forwarding
+// Handoff is what is parked here and belongs elsewhere, or may.
+type Handoff struct {
+	forwarding *forwarder
 	decider    *eventloop.Decider
-	events     func(api.EventTypeID) api.EventType
-	looks      func() // has Look called soon; does not wait
+	eventType  func(api.EventTypeID) api.EventType
+	wake       func() // has Look called soon; does not wait
 
-	mu      sync.Mutex
-	adopted map[inflight.RequestID]shardmap.MoveID // came here by a move that has not ended
-	told    map[shardmap.MoveID]bool               // its target knows what was learned here
-	busy    map[cluster.MemberID]bool              // is being told
+	mu         sync.Mutex
+	arrivals   map[inflight.RequestID]shardmap.MoveID // came here by a move that has not ended
+	stateSent  map[shardmap.MoveID]bool               // its target knows what was learned here
+	inProgress map[cluster.MemberID]bool              // is being told
 }
 
-// adopts notes by which move a webhook came here; 0: by none, or it did not.
-func (o *owing) adopts(id inflight.RequestID, move shardmap.MoveID) {
+// RecordArrival notes by which move a webhook came here; 0: by none, or it did not.
+func (o *Handoff) RecordArrival(id inflight.RequestID, move shardmap.MoveID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if move == 0 {
-		delete(o.adopted, id)
+		delete(o.arrivals, id)
 	} else {
-		o.adopted[id] = move
+		o.arrivals[id] = move
 	}
 }
 
-func (o *owing) ordered(w *inflight.Webhook) bool { return w.Key != 0 && o.events(w.Event).Ordered }
+func (o *Handoff) IsOrdered(w *inflight.Webhook) bool {
+	return w.Key != 0 && o.eventType(w.Event).Ordered
+}
 
-// errand is what one member is to be told: offers by their moves, in the order taken, and doubts to settle.
-type errand struct {
-	moves  []shardmap.MoveID
-	offers map[shardmap.MoveID][]eventloop.Owed
-	asks   []eventloop.Owed
+// batch is what one member is to be told: offers by their moves, in the order taken, and doubts to settle.
+type batch struct {
+	moves   []shardmap.MoveID
+	offers  map[shardmap.MoveID][]eventloop.Owed
+	queries []eventloop.Owed
 }
 
-func (e *errand) offer(w eventloop.Owed, move shardmap.MoveID) {
+func (e *batch) addOffer(w eventloop.Owed, move shardmap.MoveID) {
 	if e.offers[move] == nil {
 		e.moves = append(e.moves, move)
 	}
-	if len(e.offers[move]) < mostAtOnce {
+	if len(e.offers[move]) < MaxBatch {
 		e.offers[move] = append(e.offers[move], w)
 	}
 }
 
-// Look hands on what belongs elsewhere and settles doubts, each member by itself: one that is cut off holds
+// Run hands on what belongs elsewhere and settles doubts, each member by itself: one that is cut off holds
 // up nothing that the others are told.
-func (o *owing) Look() {
-	chart := o.forwarding.homes.Map()
+func (o *Handoff) Run() {
+	chart := o.forwarding.ownership.Map()
 	if chart == nil {
 		return
 	}
 	all, _ := o.decider.Owes(func(*inflight.Webhook) bool { return true })
-	o.over(chart)
-	errands := map[cluster.MemberID]*errand{}
-	for to, e := range o.sorts(chart, all) {
-		if o.starts(to) {
+	o.forgetDecidedMoves(chart)
+	errands := map[cluster.MemberID]*batch{}
+	for to, e := range o.batchByPeer(chart, all) {
+		if o.tryStart(to) {
 			errands[to] = e
 		}
 	}
 	for to, e := range errands {
 		go func() {
-			defer o.ends(to)
-			o.settle(to, e.asks)
+			defer o.finish(to)
+			o.queryInDoubt(to, e.queries)
 			for _, move := range e.moves {
-				o.handOn(chart, to, move, e.offers[move])
+				o.offerBatch(chart, to, move, e.offers[move])
 			}
 		}()
 	}
-	o.teach(chart)
+	o.transferState(chart)
 }
 
-func (o *owing) starts(to cluster.MemberID) bool {
+func (o *Handoff) tryStart(to cluster.MemberID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	was := o.busy[to]
-	o.busy[to] = true
+	was := o.inProgress[to]
+	o.inProgress[to] = true
 	return !was
 }
 
-func (o *owing) ends(to cluster.MemberID) {
+func (o *Handoff) finish(to cluster.MemberID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.busy, to)
+	delete(o.inProgress, to)
 }
 
-// sorts is who is to be told what. Behind one that is in doubt, or is waited for, nothing of its key is
+// batchByPeer is who is to be told what. Behind one that is in doubt, or is waited for, nothing of its key is
 // handed on.
-func (o *owing) sorts(chart *shardmap.Map, all []eventloop.Owed) map[cluster.MemberID]*errand {
+func (o *Handoff) batchByPeer(chart *shardmap.Map, all []eventloop.Owed) map[cluster.MemberID]*batch {
 	type turn struct {
 		dest api.DestinationID
 		key  api.Key
 	}
-	errands, waits := map[cluster.MemberID]*errand{}, map[turn]bool{}
-	errandTo := func(to cluster.MemberID) *errand {
+	errands, waits := map[cluster.MemberID]*batch{}, map[turn]bool{}
+	errandTo := func(to cluster.MemberID) *batch {
 		if errands[to] == nil {
-			errands[to] = &errand{offers: map[shardmap.MoveID][]eventloop.Owed{}}
+			errands[to] = &batch{offers: map[shardmap.MoveID][]eventloop.Owed{}}
 		}
 		return errands[to]
 	}
 	for _, w := range all {
 		of := turn{w.Destination, w.Key}
-		ordered := o.ordered(w.Webhook)
+		ordered := o.IsOrdered(w.Webhook)
 		if ordered && waits[of] {
 			continue
 		}
-		to, move, goes := o.goes(chart, w)
+		to, move, goes := o.route(chart, w)
 		switch {
 		case w.Doubted:
 			waits[of] = waits[of] || ordered
-			if at, _, out := o.forwarding.names.Out(nameOf(w.RequestID)); !out {
-				o.came(w) // or settled by now
-			} else if goes && to == at.To && o.forwarding.life(to) == at.Life {
-				errandTo(to).offer(w, move)
-			} else if e := errandTo(at.To); len(e.asks) < mostAtOnce {
-				e.asks = append(e.asks, w)
+			if at, _, out := o.forwarding.custody.PendingOffer(NameOf(w.RequestID)); !out {
+				o.confirmArrival(w) // or settled by now
+			} else if goes && to == at.To && o.forwarding.Incarnation(to) == at.Life {
+				errandTo(to).addOffer(w, move)
+			} else if e := errandTo(at.To); len(e.queries) < MaxBatch {
+				e.queries = append(e.queries, w)
 			}
 		case goes:
-			errandTo(to).offer(w, move)
+			errandTo(to).addOffer(w, move)
 		default:
 			waits[of] = waits[of] || ordered
 		}
@@ -136,39 +138,39 @@
 	return errands
 }
 
-// came has a webhook go on from here that is in the journal and whose record could not be written when it
+// confirmArrival has a webhook go on from here that is in the journal and whose record could not be written when it
 // came.
-func (o *owing) came(w eventloop.Owed) {
-	if name := nameOf(w.RequestID); o.forwarding.names.Comes(name) {
-		if o.forwarding.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
+func (o *Handoff) confirmArrival(w eventloop.Owed) {
+	if name := NameOf(w.RequestID); o.forwarding.custody.IsArriving(name) {
+		if o.forwarding.custody.Update([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
 			o.decider.Settled([]inflight.RequestID{w.RequestID})
 		}
 	}
 }
 
-// goes is where a webhook belongs, and by which move it goes there; false: it stays here for now.
-func (o *owing) goes(chart *shardmap.Map, w eventloop.Owed) (cluster.MemberID, shardmap.MoveID, bool) {
+// route is where a webhook belongs, and by which move it goes there; false: it stays here for now.
+func (o *Handoff) route(chart *shardmap.Map, w eventloop.Owed) (cluster.MemberID, shardmap.MoveID, bool) {
 	o.mu.Lock()
-	_, adopted := o.adopted[w.RequestID]
+	_, adopted := o.arrivals[w.RequestID]
 	o.mu.Unlock()
-	v := chart.VerdictOf(o.forwarding.homes.tenant(), w.Destination)
+	v := chart.VerdictOf(o.forwarding.ownership.Claimant(), w.Destination)
 	switch {
 	case adopted:
 	case v.Do == shardmap.Forward:
 		return v.To, 0, true
-	case v.Do == shardmap.Hold && v.Passes.Open() && v.Passes.From == o.forwarding.homes.self:
+	case v.Do == shardmap.Hold && v.Passes.Open() && v.Passes.From == o.forwarding.ownership.self:
 		return v.Passes.To, v.Passes.ID, true
 	}
 	return "", 0, false
 }
 
-// over forgets by which moves webhooks came here, once those are decided.
-func (o *owing) over(chart *shardmap.Map) {
+// forgetDecidedMoves forgets by which moves webhooks came here, once those are decided.
+func (o *Handoff) forgetDecidedMoves(chart *shardmap.Map) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, move := range o.adopted {
+	for id, move := range o.arrivals {
 		if chart.Owns(move) != shardmap.Undecided {
-			delete(o.adopted, id)
+			delete(o.arrivals, id)
 		}
 	}
 }
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -12,10 +12,10 @@
 	"rowanlink/webhook/api"
 )
 
-// every looks when something changed, and now and then.
-func (m *Member) every(poke chan struct{}, look func()) {
+// runPeriodically looks when something changed, and now and then.
+func (m *Member) runPeriodically(poke chan struct{}, look func()) {
 	defer m.done.Done()
-	tick := time.NewTicker(span(m.file.Term) / looksBy)
+	tick := time.NewTicker(duration(m.file.Term) / checksPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -28,7 +28,7 @@
 	}
 }
 
-func (m *Member) booked(_ uint64, snapshot []byte) {
+func (m *Member) applyLeases(_ uint64, snapshot []byte) {
 	book := lease.NewBook()
 	if err := book.Restore(snapshot); err != nil {
 		slog.Error("leases not read", "why", err)
@@ -36,11 +36,11 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.conductor.book = book
-	m.nudge()
+	m.coordinator.leases = book
+	m.wake()
 }
 
-func (m *Member) planned(_ uint64, snapshot []byte) {
+func (m *Member) applyProgress(_ uint64, snapshot []byte) {
 	p := &rebalance.Progress{}
 	if err := p.Restore(snapshot); err != nil {
 		slog.Error("plan's progress not read", "why", err)
@@ -48,13 +48,13 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.conductor.progress = p
+	m.coordinator.progress = p
 	m.progress.Store(p)
-	m.nudge()
+	m.wake()
 }
 
-func (m *Member) conduct() {
-	if m.keeper == nil {
+func (m *Member) coordinate() {
+	if m.raft == nil {
 		return
 	}
 	m.mu.Lock()
@@ -63,19 +63,19 @@
 	for _, w := range m.file.Members {
 		able = append(able, shardmap.Able{Weight: shardmap.Weight{Member: w.ID, Weight: w.Weight}, Room: w.Room})
 	}
-	if m.conductor.conduct(m.wish, able, m.file.Ranges, m.clock()) {
-		m.wish.fresh = false
+	if m.coordinator.Run(m.request, able, m.file.Ranges, m.clock()) {
+		m.request.Fresh = false
 	}
 }
 
 // Renew takes the dispatcher's settings and reads the file again; one that can't be used changes nothing.
 func (m *Member) Renew(f api.Facts) {
-	m.facts.Store(&f)
-	m.again()
+	m.settings.Store(&f)
+	m.reloadConfig()
 }
 
-func (m *Member) again() {
-	text, f, err := m.read()
+func (m *Member) reloadConfig() {
+	text, f, err := m.readConfig()
 	if err != nil {
 		slog.Error("operator file not read again, the old one stays", "why", err)
 		return
@@ -83,20 +83,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f.Term, f.Apart, f.Name = m.file.Term, m.file.Apart, m.file.Name // hold from start to end
-	m.file, m.text = f, text
-	m.wish = wish{text: text, groups: f.Groups(), fresh: true, resumes: m.conductor.stopped()}
-	m.renewed(f)
-	m.many.Store(int64(len(f.Members)))
+	m.file, m.configText = f, text
+	m.request = PlanRequest{Text: text, Groups: f.Groups(), Fresh: true, Resumes: m.coordinator.StoppedPlan()}
+	m.updatePeers(f)
+	m.memberCount.Store(int64(len(f.Members)))
 	m.sites.Renew(f)
 	slog.Info("operator file read again", "members", len(f.Members))
-	m.nudge()
+	m.wake()
 }
 
-func (m *Member) renewed(f config.File) {
-	m.talk.Renew(says(f))
-	m.session.Keepers.Renew(keepers(f))
-	if m.keeper != nil {
-		m.keeper.Renew(logs(f))
+func (m *Member) updatePeers(f config.File) {
+	m.client.Renew(memberAddresses(f))
+	m.session.Leader.SetNodes(raftNodes(f))
+	if m.raft != nil {
+		m.raft.Renew(raftAddresses(f))
 	}
 }
 
@@ -105,9 +105,9 @@
 func (m *Member) Leave() {
 	turns := m.file.Leaving
 	for i := range turns {
-		m.session.Want(cluster.LeaveTurn(i))
+		m.session.Acquire(cluster.LeaveTurn(i))
 	}
-	until := time.Now().Add(leaveBy * span(m.file.Term))
+	until := time.Now().Add(leaveTimeoutTTLs * duration(m.file.Term))
 	for time.Now().Before(until) {
 		for i := range turns {
 			if e, held := m.session.Holds(cluster.LeaveTurn(i)); held {
@@ -120,7 +120,7 @@
 				return
 			}
 		}
-		time.Sleep(span(m.file.Term) / (looksBy * looksBy))
+		time.Sleep(duration(m.file.Term) / (checksPerTTL * checksPerTTL))
 	}
 	slog.Warn("leaves without a turn: none was free for a term")
 }
@@ -131,12 +131,12 @@
 	m.sites.End()
 	m.done.Wait()
 	m.session.Close()
-	if m.keeper != nil {
-		if err := m.keeper.Close(); err != nil {
+	if m.raft != nil {
+		if err := m.raft.Close(); err != nil {
 			slog.Warn("log not closed in time", "why", err)
 		}
 	}
-	m.server.Close(span(m.file.Term) / looksBy)
-	m.talk.Close()
-	m.names.Close()
+	m.server.Close(duration(m.file.Term) / checksPerTTL)
+	m.client.Close()
+	m.custody.Close()
 }
--- a/cluster/member/said.go
+++ b/cluster/member/said.go
@@ -9,56 +9,56 @@
 
 // The paths on which members hear each other.
 const (
-	webhookPath = "/fleet/webhook" // one, from its client's entry
-	owedPath    = "/fleet/move/owed"
-	settlePath  = "/fleet/settle"
+	WebhookPath  = "/fleet/webhook" // one, from its client's entry
+	TransferPath = "/fleet/move/owed"
+	QueryPath    = "/fleet/settle"
 )
 
-// sent is webhooks on their way to their home.
-type sent struct {
-	Version cluster.Version    `cbor:"1,keyasint"`           // of the map that they were sent by
-	At      api.Micros         `cbor:"2,keyasint"`           // by their sender's clock, as the times within
-	Move    shardmap.MoveID    `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
-	All     []shardmap.Carried `cbor:"4,keyasint"`           // in the order taken
-	Life    uint64             `cbor:"6,keyasint"`           // of the folder that they are sent to
+// Transfer is webhooks on their way to their home.
+type Transfer struct {
+	MapVersion  cluster.Version    `cbor:"1,keyasint"`           // of the map that they were sent by
+	SentAt      api.Micros         `cbor:"2,keyasint"`           // by their sender's clock, as the times within
+	Move        shardmap.MoveID    `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
+	Webhooks    []shardmap.Carried `cbor:"4,keyasint"`           // in the order taken
+	Incarnation uint64             `cbor:"6,keyasint"`           // of the folder that they are sent to
 
 	Learned []api.Learned `cbor:"5,keyasint,omitempty"` // of the move's destinations, once none is called
 }
 
-// heards is what came of them. Where the folder is of another life than was thought, nothing was taken and
+// TransferReply is what came of them. Where the folder is of another life than was thought, nothing was taken and
 // there are no answers.
-type heards struct {
-	Life uint64  `cbor:"1,keyasint"`
-	All  []heard `cbor:"2,keyasint,omitempty"`
+type TransferReply struct {
+	Incarnation uint64    `cbor:"1,keyasint"`
+	Outcomes    []Outcome `cbor:"2,keyasint,omitempty"`
 }
 
-// heard is what came of one.
-type heard struct {
-	Reply   shardmap.Reply     `cbor:"1,keyasint,omitempty"` // Has: it is the other's now
-	Refused shardmap.Admission `cbor:"2,keyasint,omitempty"`
-	Told    shardmap.Verdict   `cbor:"3,keyasint,omitempty"`
-	RetryIn api.Micros         `cbor:"4,keyasint,omitempty"` // rejected, with the time told
-	Doubled bool               `cbor:"5,keyasint,omitempty"` // its request id is held there
+// Outcome is what came of one.
+type Outcome struct {
+	Reply      shardmap.Reply     `cbor:"1,keyasint,omitempty"` // Has: it is the other's now
+	Admission  shardmap.Admission `cbor:"2,keyasint,omitempty"`
+	Verdict    shardmap.Verdict   `cbor:"3,keyasint,omitempty"`
+	RetryAfter api.Micros         `cbor:"4,keyasint,omitempty"` // rejected, with the time told
+	Duplicate  bool               `cbor:"5,keyasint,omitempty"` // its request id is held there
 }
 
-// asked is whether a webhook was ever taken by a hand, as that folder's life knows.
-type asked struct {
-	Name shardmap.Name `cbor:"1,keyasint"`
-	Hand shardmap.Hand `cbor:"2,keyasint"`
-	Left api.Micros    `cbor:"3,keyasint"`
-	Life uint64        `cbor:"4,keyasint"`
+// CustodyQuery is whether a webhook was ever taken by a hand, as that folder's life knows.
+type CustodyQuery struct {
+	Name        shardmap.Name `cbor:"1,keyasint"`
+	Hand        shardmap.Hand `cbor:"2,keyasint"`
+	TTLLeft     api.Micros    `cbor:"3,keyasint"`
+	Incarnation uint64        `cbor:"4,keyasint"`
 }
 
-// carried is a webhook as it goes over.
-func carried(w *inflight.Webhook, hand shardmap.Hand, attempts int, mayRun api.Micros,
+// NewCarried is a webhook as it goes over.
+func NewCarried(w *inflight.Webhook, hand shardmap.Hand, attempts int, mayRun api.Micros,
 	zone api.ZoneID) shardmap.Carried {
-	return shardmap.Carried{Name: nameOf(w.RequestID), Hand: hand, Event: w.Event, Tenant: w.Tenant, Key: w.Key,
+	return shardmap.Carried{Name: NameOf(w.RequestID), Hand: hand, Event: w.Event, Tenant: w.Tenant, Key: w.Key,
 		Dest: w.Destination, TTL: w.TTL, Attempts: attempts, MayRun: mayRun, Zone: zone,
 		Taken: uint64(w.ID), Whole: w.Bytes()}
 }
 
-// webhook is the same at the other end, its times by the clock here.
-func webhook(c shardmap.Carried) (*inflight.Webhook, error) {
+// DecodeWebhook is the same at the other end, its times by the clock here.
+func DecodeWebhook(c shardmap.Carried) (*inflight.Webhook, error) {
 	w, err := inflight.FromBytes(0, c.Whole)
 	if err != nil {
 		return nil, err
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -44,7 +44,7 @@
 	s := &scripted{book: lease.NewBook(), term: term, answer: answer}
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := transport.Hears(member.Hearers(members), time.Second)
+	server := transport.Hears(member.MaxConnections(members), time.Second)
 	server.Handle(transport.SessionPath, s.session)
 	server.Handle(transport.ProposePath, s.propose)
 	server.Handle(transport.StatePath, s.states)
@@ -54,8 +54,8 @@
 	for i := range members {
 		id := cluster.MemberID(fmt.Sprint("a", i))
 		say := transport.New(id, map[cluster.MemberID]string{"m1": on.Addr().String()})
-		a := member.NewSession(member.Life{Self: id, Incarnation: 1, Term: term, Apart: 0.05, Clock: clock,
-			Keepers: member.NewKeepers(say, []cluster.MemberID{"m1"}, rand.Float64)})
+		a := member.NewSession(member.Config{Self: id, Incarnation: 1, LeaseTTL: term, MaxClockDrift: 0.05, Clock: clock,
+			Leader: member.NewLeaderClient(say, []cluster.MemberID{"m1"}, rand.Float64)})
 		t.Cleanup(func() { a.Close(); say.Close() })
 		all = append(all, a)
 	}
@@ -122,7 +122,7 @@
 		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
 		return fasthttp.StatusOK, transport.Encode(transport.Proposed{Answer: transport.Encode(older)})
 	})
-	a.Want("home/1")
+	a.Acquire("home/1")
 	holds(t, a, "home/1")
 }
 
@@ -134,7 +134,7 @@
 		asked <- struct{}{}
 		return fasthttp.StatusGatewayTimeout, nil
 	})
-	a.Want("home/1")
+	a.Acquire("home/1")
 	<-asked
 	a.Release("home/1")
 	require.Eventually(t, func() bool { return keeper.free("home/1") }, longer, time.Millisecond)
@@ -160,12 +160,12 @@
 	t.Parallel()
 	_, all := scriptOf(t, 300, 10*api.Second, nil)
 	for _, s := range all {
-		s.Follow(cluster.PlanPart, func(uint64, []byte) {})
+		s.Watch(cluster.PlanPart, func(uint64, []byte) {})
 	}
 	time.Sleep(11 * time.Second) // each renews
 	for _, s := range all {
-		require.Eventually(t, s.Standing, longer, time.Millisecond)
-		require.Zero(t, s.Losses.Load())
+		require.Eventually(t, s.IsActive, longer, time.Millisecond)
+		require.Zero(t, s.SessionsLost.Load())
 	}
 }
 
@@ -178,7 +178,7 @@
 	keeper.parts = []transport.PartState{part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"),
 		part(3, 0, "three"), part(7, 0, "seven")}
 	news := make(chan string, 9)
-	a.Follow(cluster.PlanPart, func(_ uint64, s []byte) { news <- string(s) })
+	a.Watch(cluster.PlanPart, func(_ uint64, s []byte) { news <- string(s) })
 	require.Equal(t, "five", <-news)
 	require.Equal(t, "seven", <-news)
 	keeper.mu.Lock()
@@ -190,7 +190,7 @@
 // against a range without a home for good: whoever is neither home nor target has nothing to wait for.
 func TestAHomeTakenByAFormerWishIsLetGoWhileItsMovePasses(t *testing.T) {
 	_, a := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
-	a.Want(cluster.HomeOf(1))
+	a.Acquire(cluster.HomeOf(1))
 	holds(t, a, cluster.HomeOf(1))
 	chart := shardmap.New(nil)
 	chart.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -13,66 +13,66 @@
 	"rowanlink/webhook/api"
 )
 
-// Life is what a member's session is told at its start.
-type Life struct {
-	Self        cluster.MemberID
-	Incarnation lease.Incarnation // drawn at each start of the process
-	Term        api.Micros
-	Apart       float64           // lease.NewTenure's
-	Clock       func() api.Micros // never runs back
-	Keepers     *Keepers
-	Told        func(cluster.Task, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
+// Config is what a member's session is told at its start.
+type Config struct {
+	Self          cluster.MemberID
+	Incarnation   lease.Incarnation // drawn at each start of the process
+	LeaseTTL      api.Micros
+	MaxClockDrift float64           // lease.NewTenure's
+	Clock         func() api.Micros // never runs back
+	Leader        *LeaderClient
+	OnChange      func(cluster.Task, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
 }
 
 // Session keeps a member's session up and what hangs on it.
 type Session struct {
 	Counters
-	Life
+	Config
 
-	mu      sync.Mutex
-	tenure  *lease.Tenure
-	wishes  *lease.Wishes
-	has     map[cluster.Task]cluster.Epoch // as Told last
-	follows map[byte]*followed
+	mu       sync.Mutex
+	tenure   *lease.Tenure
+	wishes   *lease.Wishes
+	notified map[cluster.Task]cluster.Epoch // as Told last
+	watchers map[byte]*watcher
 
-	fresh bool // a task became free: all who wait for it are told in one moment
-	tells []func()
+	hasFreed      bool // a task became free: all who wait for it are told in one moment
+	notifications []func()
 
-	poke, look, toTell, toHand chan struct{} // there is something to ask for, to follow, to tell, to hand over
+	acquireWake, pollWake, notifyWake, deliverWake chan struct{} // there is something to ask for, to follow, to tell, to hand over
 
-	ended   chan struct{}
-	done    sync.WaitGroup
-	handing sync.Mutex // news over to those who follow
+	ended     chan struct{}
+	done      sync.WaitGroup
+	deliverMu sync.Mutex // news over to those who follow
 }
 
 // NewSession begins to ask for a session at once.
-func NewSession(l Life) *Session {
-	tenure := lease.NewTenure(l.Term, l.Apart)
-	s := &Session{Life: l, tenure: tenure, wishes: lease.NewWishes(tenure, timing.Reask(l.Term)),
-		has: map[cluster.Task]cluster.Epoch{}, follows: map[byte]*followed{}, poke: make(chan struct{}, 1),
-		look: make(chan struct{}, 1), toTell: make(chan struct{}, 1), toHand: make(chan struct{}, 1),
+func NewSession(l Config) *Session {
+	tenure := lease.NewTenure(l.LeaseTTL, l.MaxClockDrift)
+	s := &Session{Config: l, tenure: tenure, wishes: lease.NewWishes(tenure, timing.Reask(l.LeaseTTL)),
+		notified: map[cluster.Task]cluster.Epoch{}, watchers: map[byte]*watcher{}, acquireWake: make(chan struct{}, 1),
+		pollWake: make(chan struct{}, 1), notifyWake: make(chan struct{}, 1), deliverWake: make(chan struct{}, 1),
 		ended: make(chan struct{})}
-	s.done.Go(s.telling)
-	s.done.Go(s.upkeep)
-	s.done.Go(s.tasks)
-	go s.follow()  // Close does not wait for a poll that is out
-	go s.handOut() // nor, but for the one that is under way, for those who follow
+	s.done.Go(s.notifyLoop)
+	s.done.Go(s.renewLoop)
+	s.done.Go(s.acquireLoop)
+	go s.watchLoop()   // Close does not wait for a poll that is out
+	go s.deliverLoop() // nor, but for the one that is under way, for those who follow
 	return s
 }
 
-func span(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// nudge wakes a loop that may not be waiting just now.
-func nudge(c chan<- struct{}) {
+// wake wakes a loop that may not be waiting just now.
+func wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// pause waits, or tells that all is over.
-func (s *Session) pause(t api.Micros) bool {
-	timer := time.NewTimer(span(t))
+// sleep waits, or tells that all is over.
+func (s *Session) sleep(t api.Micros) bool {
+	timer := time.NewTimer(duration(t))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -82,7 +82,7 @@
 	}
 }
 
-func (s *Session) closed() bool {
+func (s *Session) isClosed() bool {
 	select {
 	case <-s.ended:
 		return true
@@ -91,18 +91,18 @@
 	}
 }
 
-// Want has a task asked for until it is released.
-func (s *Session) Want(t cluster.Task) {
+// Acquire has a task asked for until it is released.
+func (s *Session) Acquire(t cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Want(t) {
-		nudge(s.poke)
-		nudge(s.look)
+		wake(s.acquireWake)
+		wake(s.pollWake)
 	}
 }
 
-// Unwant drops a wish of before, where nothing was granted by it; cheap, since it is called time and again.
-func (s *Session) Unwant(t cluster.Task) {
+// CancelAcquire drops a wish of before, where nothing was granted by it; cheap, since it is called time and again.
+func (s *Session) CancelAcquire(t cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wishes.Unwant(t)
@@ -113,8 +113,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wishes.Release(t)
-	nudge(s.poke)
-	s.tell()
+	wake(s.acquireWake)
+	s.notifyChanges()
 }
 
 // Holds looks at the clock: by which epoch the task may be acted on now.
@@ -124,9 +124,9 @@
 	return s.tenure.Epoch(t, s.Clock())
 }
 
-// Guarded does a deed if the task is held. The deed calls still right before its last byte goes out, and
+// DoWhileHeld does a deed if the task is held. The deed calls still right before its last byte goes out, and
 // leaves it if that says no: between the two lies what can't be fenced at a partner.
-func (s *Session) Guarded(t cluster.Task, deed func(e cluster.Epoch, still func() bool)) bool {
+func (s *Session) DoWhileHeld(t cluster.Task, deed func(e cluster.Epoch, still func() bool)) bool {
 	e, held := s.Holds(t)
 	if held {
 		deed(e, func() bool {
@@ -137,89 +137,89 @@
 	return held
 }
 
-// Standing is whether the session surely stands, for who looks from outside.
-func (s *Session) Standing() bool {
+// IsActive is whether the session surely stands, for who looks from outside.
+func (s *Session) IsActive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tenure.Holds(s.Clock())
 }
 
-// upkeep asks for the session to be opened, then to go on, each time it is due.
-func (s *Session) upkeep() {
+// renewLoop asks for the session to be opened, then to go on, each time it is due.
+func (s *Session) renewLoop() {
 	failures := 0
 	for {
 		s.mu.Lock()
 		now := s.Clock()
-		s.tell()
+		s.notifyChanges()
 		wait := s.tenure.AskAgainAt() - now
 		if left := s.tenure.Until() - now; s.tenure.Holds(now) {
 			wait = min(wait, left) // guards against a term's end that nobody is told of
 		}
-		if wait <= 0 && !s.closed() {
+		if wait <= 0 && !s.isClosed() {
 			ask, session, tally := s.tenure.Asked(now), s.tenure.Session(), s.tenure.Tally()
 			s.mu.Unlock()
-			if s.ask(ask, session, tally) {
+			if s.requestRenewal(ask, session, tally) {
 				failures = 0
 				continue
 			}
 			failures++
-			wait = timing.Again(s.Term, failures, s.Keepers.draw())
+			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
 		} else {
 			s.mu.Unlock()
 		}
-		if !s.pause(wait) {
+		if !s.sleep(wait) {
 			return
 		}
 	}
 }
 
-// ask asks the leading keeper once, and tells whether it answered.
-func (s *Session) ask(a lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
-	within := timing.Answer(s.Term)
+// requestRenewal asks the leading keeper once, and tells whether it answered.
+func (s *Session) requestRenewal(a lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
+	within := timing.Answer(s.LeaseTTL)
 	if session == 0 {
-		within = timing.Opening(s.Term)
+		within = timing.Opening(s.LeaseTTL)
 	}
-	raw, err := s.Keepers.Ask(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
-		Incarnation: s.Incarnation, Tally: tally}), span(within))
+	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
+		Incarnation: s.Incarnation, Tally: tally}), duration(within))
 	var answer transport.SessionAnswer
 	if err == nil {
 		err = transport.Decode(raw, &answer)
 	}
 	if err == nil && answer.Refusal != 0 {
 		err = fsm.Refusal(answer.Refusal)
-		s.refused(session)
+		s.dropSession(session)
 	}
-	if err == nil && answer.Term < s.Term { // guards against acting for longer than the keepers wait
-		slog.Error("the keepers count a shorter term: none is held", "term_us", s.Term, "theirs_us", answer.Term)
+	if err == nil && answer.Term < s.LeaseTTL { // guards against acting for longer than the keepers wait
+		slog.Error("the keepers count a shorter term: none is held", "term_us", s.LeaseTTL, "theirs_us", answer.Term)
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.Unanswered.Add(1)
+		s.RenewalsUnanswered.Add(1)
 		slog.Debug("session not answered", "session", session, "why", err)
 		return false
 	}
 	before, stood := s.tenure.Session(), s.tenure.Holds(s.Clock())
 	if s.tenure.Answered(a, answer.Session) && before != answer.Session {
-		s.Sessions.Add(1)
+		s.SessionsOpened.Add(1)
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
 		s.wishes.Anew()
 	}
 	if len(answer.Holds) > 0 {
 		s.wishes.Has(answer.Session, answer.Holds)
-		s.tell()
+		s.notifyChanges()
 	}
 	if !stood || len(answer.Holds) > 0 {
-		nudge(s.poke)
+		wake(s.acquireWake)
 	}
 	return true
 }
 
-// refused is a keeper's no to a session: all is given up.
-func (s *Session) refused(session cluster.SessionID) {
+// dropSession is a keeper's no to a session: all is given up.
+func (s *Session) dropSession(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tenure.Refused(session)
-	s.tell()
+	s.notifyChanges()
 }
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -19,8 +19,8 @@
 	a, b := f.member("a", "home/1"), f.member("b")
 	watched(t, "home/1", a, b)
 	first := holds(t, a, "home/1")
-	b.Want("home/1")
-	b.Want("home/2")
+	b.Acquire("home/1")
+	b.Acquire("home/2")
 	holds(t, b, "home/2")
 	_, held := b.Holds("home/1")
 	require.False(t, held)
@@ -29,7 +29,7 @@
 	require.False(t, held)
 	second := holds(t, b, "home/1")
 	require.Greater(t, second, first)
-	a.Want("home/1")
+	a.Acquire("home/1")
 	b.Release("home/1")
 	require.Greater(t, holds(t, a, "home/1"), second)
 }
@@ -44,7 +44,7 @@
 	leader := f.up[f.leader()]
 	renewed, entries := leader.Renewed.Load(), leader.LastIndex()
 	c := f.member("c", "home/1")
-	require.Eventually(t, func() bool { return c.Standing() && leader.Renewed.Load() >= renewed+15 }, longer,
+	require.Eventually(t, func() bool { return c.IsActive() && leader.Renewed.Load() >= renewed+15 }, longer,
 		time.Millisecond)
 	require.Equal(t, entries+1, leader.LastIndex()) // c's session
 }
@@ -76,7 +76,7 @@
 	a, b := f.member("a", "home/1"), f.member("b")
 	watched(t, "home/1", a, b)
 	epoch := holds(t, a, "home/1")
-	b.Want("home/1")
+	b.Acquire("home/1")
 	old := f.leader()
 	f.cut(old, true, append(slices.Clone(f.names), "a", "b")...)
 	f.leader(old)
@@ -96,7 +96,7 @@
 	a, b := f.member("a", "home/1"), f.member("b")
 	watched(t, "home/1", a, b)
 	epoch := holds(t, a, "home/1")
-	b.Want("home/1")
+	b.Acquire("home/1")
 	f.cut("a", true, f.names...)
 	later := holds(t, b, "home/1")
 	require.Greater(t, later, epoch)
@@ -114,7 +114,7 @@
 	f.stop("m2")
 	require.Eventually(t, func() bool {
 		_, held := a.Holds("home/1")
-		return !held && f.up["m3"].NoMajority.Load() > 0 && a.Losses.Load() > 0
+		return !held && f.up["m3"].NoMajority.Load() > 0 && a.SessionsLost.Load() > 0
 	}, longer, time.Millisecond)
 	b := f.member("b", "home/2")
 	time.Sleep(time.Second)
@@ -132,7 +132,7 @@
 	a, b := f.member("a", "home/1", "home/2"), f.member("b")
 	watched(t, "home/1", a, b)
 	epoch := holds(t, a, "home/1")
-	b.Want("home/1")
+	b.Acquire("home/1")
 	f.leader()
 	for _, m := range f.names {
 		f.stop(m)
@@ -151,7 +151,7 @@
 	a := f.member("a")
 	var seen atomic.Pointer[lease.Book]
 	var versions []uint64
-	a.Follow(cluster.LeasePart, func(version uint64, snapshot []byte) {
+	a.Watch(cluster.LeasePart, func(version uint64, snapshot []byte) {
 		versions = append(versions, version)
 		book := lease.NewBook()
 		if book.Restore(snapshot) == nil {
@@ -170,22 +170,22 @@
 	for i, m := range f.names { // one that is cut off has nothing new
 		f.cut(m, true, f.names...)
 		task := cluster.HomeOf(cluster.RangeID(10 + i))
-		b.Want(task)
+		b.Acquire(task)
 		knows(b, task)
 		f.cut(m, false, f.names...)
 	}
 	many := make([]cluster.Task, 0, 200)
 	for i := range cap(many) {
 		many = append(many, cluster.HomeOf(cluster.RangeID(100+i)))
-		b.Want(many[i])
+		b.Acquire(many[i])
 	}
 	for i, task := range append(many, "home/13", "home/14") { // guards against the whole at each step
 		if i >= len(many) {
-			b.Want(task)
+			b.Acquire(task)
 		}
 		knows(b, task)
 	}
-	require.Positive(t, a.Changes.Load())
+	require.Positive(t, a.DeltasApplied.Load())
 	a.Close()
 	require.True(t, slices.IsSorted(versions))
 }
--- a/cluster/member/settings_test.go
+++ b/cluster/member/settings_test.go
@@ -12,9 +12,9 @@
 // Guards against a second effect: a copy lost with a relay goes once more by settings that no longer hold.
 func TestWhatIsLostWithARelayGoesByTheSettingsReadLast(t *testing.T) {
 	m := New("")
-	m.facts.Store(&api.Facts{EventTypes: []api.EventType{{Repeat: api.Idempotent}}})
+	m.settings.Store(&api.Facts{EventTypes: []api.EventType{{Repeat: api.Idempotent}}})
 	lost := func() stream.Course {
-		return stream.Rule(&stream.Item{MayRun: api.Never}, 1, m.event(0), true, 9, 2)
+		return stream.Rule(&stream.Item{MayRun: api.Never}, 1, m.eventType(0), true, 9, 2)
 	}
 	assert.Equal(t, stream.Goes, lost())
 	m.Renew(api.Facts{EventTypes: []api.EventType{{Repeat: api.AtMostOnce}}})
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -9,37 +9,37 @@
 	"rowanlink/webhook/api"
 )
 
-// joins makes what joins this member's dispatcher to site streams.
-func (m *Member) joins() *site.Sites {
-	d := m.d
+// newSites makes what joins this member's dispatcher to site streams.
+func (m *Member) newSites() *site.Sites {
+	d := m.dispatcher
 	return site.New(site.Part{Self: m.self, State: d.State, DiskMB: diskMB(d.Told), Exchange: d.Exchange,
-		Decider: d.Decider, Said: m.talk, Takes: d.Life.TakesOn, Nudge: m.nudge, Event: m.event,
-		Serves: m.serves, Home: m.homeOf, Alone: m.alone,
-		Buffer: func() int { return m.facts.Load().Buffer }}, m.file)
+		Decider: d.Decider, Said: m.client, Takes: d.Life.TakesOn, Nudge: m.wake, Event: m.eventType,
+		Serves: m.isOwnerOf, Home: m.isSiteOwner, Alone: m.isSiteIsolated,
+		Buffer: func() int { return m.settings.Load().Buffer }}, m.file)
 }
 
-// serves is whether this member is home of a destination, by the grant that it holds.
-func (m *Member) serves(d api.DestinationID) bool {
-	return m.homes.Verdict(d).Do == shardmap.Serve
+// isOwnerOf is whether this member is home of a destination, by the grant that it holds.
+func (m *Member) isOwnerOf(d api.DestinationID) bool {
+	return m.ownership.Verdict(d).Do == shardmap.Serve
 }
 
-// homeOf is whether it is home of where a site's subscribers stand.
-func (m *Member) homeOf(s cluster.SiteID) bool {
-	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Serve
+// isSiteOwner is whether it is home of where a site's subscribers stand.
+func (m *Member) isSiteOwner(s cluster.SiteID) bool {
+	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Do == shardmap.Serve
 }
 
-// alone is whether nobody may be home there, as no keeper is reached.
-func (m *Member) alone(s cluster.SiteID) bool {
-	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Alone
+// isSiteIsolated is whether nobody may be home there, as no keeper is reached.
+func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
+	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Do == shardmap.Alone
 }
 
-// leastDiskMB is what the dispatcher's own journal has where nothing is told.
-const leastDiskMB = 3
+// defaultDiskMB is what the dispatcher's own journal has where nothing is told.
+const defaultDiskMB = 3
 
 // diskMB is for a relay's journal, beside the dispatcher's own: as much again.
 func diskMB(told gjson.Result) float64 {
 	if mb := told.Get("limits.disk_mb").Float(); mb > 0 {
 		return mb
 	}
-	return leastDiskMB
+	return defaultDiskMB
 }
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -6,120 +6,120 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// taking is webhooks of one message, taken on in their order, each once, whatever is said twice.
-type taking struct {
-	*forwarding
-	s    sent
-	said []heard
-	was  []past // records before, where this message takes them on; by place in the message
-	ins  []*inflight.Webhook
-	of   []int // their places in the message
-	back map[inflight.RequestID]*inflight.Past
-	own  []inflight.RequestID // may be called from here on
+// intake is webhooks of one message, taken on in their order, each once, whatever is said twice.
+type intake struct {
+	*forwarder
+	transfer  Transfer
+	outcomes  []Outcome
+	before    []SavedRecord // records before, where this message takes them on; by place in the message
+	accepted  []*inflight.Webhook
+	positions []int // their places in the message
+	returned  map[inflight.RequestID]*inflight.Past
+	callable  []inflight.RequestID // may be called from here on
 }
 
-func (t *taking) take(admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
-	names, webhooks := make([]shardmap.Name, len(t.s.All)), make([]*inflight.Webhook, len(t.s.All))
-	t.was, t.back = make([]past, len(t.s.All)), map[inflight.RequestID]*inflight.Past{}
-	for i, c := range t.s.All {
+func (t *intake) run(admit func(Transfer, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
+	names, webhooks := make([]shardmap.Name, len(t.transfer.Webhooks)), make([]*inflight.Webhook, len(t.transfer.Webhooks))
+	t.before, t.returned = make([]SavedRecord, len(t.transfer.Webhooks)), map[inflight.RequestID]*inflight.Past{}
+	for i, c := range t.transfer.Webhooks {
 		names[i] = c.Name
-		if w, err := webhook(c); err == nil && t.x.Named(c.Dest) {
+		if w, err := DecodeWebhook(c); err == nil && t.exchange.Named(c.Dest) {
 			webhooks[i] = w
 		}
 	}
-	err := t.names.Change(names, func(k *shardmap.Known) {
+	err := t.custody.Update(names, func(k *shardmap.Known) {
 		now := inflight.Now()
-		if !t.returns(k, webhooks) {
+		if !t.writeReturned(k, webhooks) {
 			return
 		}
-		for i, c := range t.s.All {
-			t.offered(k, i, c, webhooks[i], now, admit)
+		for i, c := range t.transfer.Webhooks {
+			t.decide(k, i, c, webhooks[i], now, admit)
 		}
 	})
 	if err != nil { // what was to be taken on is refused by this try, of the rest nothing is told
-		clear(t.said)
-		for n, i := range t.of {
-			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: inflight.AnswerWithin}
+		clear(t.outcomes)
+		for n, i := range t.positions {
+			t.handoff.RecordArrival(t.accepted[n].RequestID, 0)
+			t.outcomes[i] = Outcome{Reply: shardmap.Refuses, RetryAfter: inflight.AnswerWithin}
 		}
 		return
 	}
-	t.handIn()
-	t.settle(names)
+	t.submit()
+	t.recordArrivals(names)
 }
 
-// returns has what comes back written with what it brings along, before the record says that it is here;
+// writeReturned has what comes back written with what it brings along, before the record says that it is here;
 // names are locked.
-func (t *taking) returns(k *shardmap.Known, webhooks []*inflight.Webhook) (written bool) {
-	for i, c := range t.s.All {
+func (t *intake) writeReturned(k *shardmap.Known, webhooks []*inflight.Webhook) (written bool) {
+	for i, c := range t.transfer.Webhooks {
 		if w := webhooks[i]; w != nil && k.Returns(c.Name, c.Hand) && w.Past != nil {
-			t.back[w.RequestID] = w.Past
+			t.returned[w.RequestID] = w.Past
 		}
 	}
-	return len(t.back) == 0 || t.side.decider.Returned(t.back)
+	return len(t.returned) == 0 || t.handoff.decider.Returned(t.returned)
 }
 
-// offered decides one; names are locked.
-func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now api.Micros,
-	admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
-	admission, told := admit(t.s, c)
-	t.was[i] = t.names.past(c.Name)
+// decide decides one; names are locked.
+func (t *intake) decide(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now api.Micros,
+	admit func(Transfer, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
+	admission, told := admit(t.transfer, c)
+	t.before[i] = t.custody.SaveRecord(c.Name)
 	reply, what := k.Offered(c.Name, c.Hand, c.TTL, now, admission == shardmap.Take && w != nil)
-	if t.said[i].Reply = reply; reply == shardmap.Refuses && admission != shardmap.Take {
-		t.said[i].Refused, t.said[i].Told = admission, told
+	if t.outcomes[i].Reply = reply; reply == shardmap.Refuses && admission != shardmap.Take {
+		t.outcomes[i].Admission, t.outcomes[i].Verdict = admission, told
 	}
 	switch what {
 	case shardmap.Takes:
 		w.InDoubt = true // until its record says that it came
-		t.ins, t.of = append(t.ins, w), append(t.of, i)
+		t.accepted, t.positions = append(t.accepted, w), append(t.positions, i)
 	case shardmap.Back:
-		t.own = append(t.own, w.RequestID)
+		t.callable = append(t.callable, w.RequestID)
 	default:
 		return
 	}
-	t.side.adopts(w.RequestID, t.s.Move)
+	t.handoff.RecordArrival(w.RequestID, t.transfer.Move)
 }
 
-// handIn has what is new taken on; what is refused is as if it had not been offered.
-func (t *taking) handIn() {
-	t.x.HandInAll(t.ins, func(n int, what inflight.Answer, retryIn api.Micros) {
-		i := t.of[n]
+// submit has what is new taken on; what is refused is as if it had not been offered.
+func (t *intake) submit() {
+	t.exchange.HandInAll(t.accepted, func(n int, what inflight.Answer, retryIn api.Micros) {
+		i := t.positions[n]
 		switch what {
 		case inflight.Taken:
-			t.homes.session.TakenOver.Add(1)
-			t.x.Accepted.Add(1)
+			t.ownership.session.Received.Add(1)
+			t.exchange.Accepted.Add(1)
 		case inflight.Doubled: // it came here by another way, and is this member's already
-			t.said[i].Doubled = true
+			t.outcomes[i].Duplicate = true
 		default:
-			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: retryIn}
+			t.handoff.RecordArrival(t.accepted[n].RequestID, 0)
+			t.outcomes[i] = Outcome{Reply: shardmap.Refuses, RetryAfter: retryIn}
 		}
 	})
 }
 
-// settle notes what has come, before it may be called and before that is said.
-func (t *taking) settle(names []shardmap.Name) {
+// recordArrivals notes what has come, before it may be called and before that is said.
+func (t *intake) recordArrivals(names []shardmap.Name) {
 	var after []shardmap.Name
-	for _, i := range t.of {
+	for _, i := range t.positions {
 		after = append(after, names[i])
 	}
 	note := func(k *shardmap.Known) {
-		for _, i := range t.of {
-			if w := t.was[i]; t.said[i].Reply == shardmap.Refuses {
-				k.Undo(w.name, w.record, w.known)
+		for _, i := range t.positions {
+			if w := t.before[i]; t.outcomes[i].Reply == shardmap.Refuses {
+				k.Undo(w.Name, w.Record, w.Known)
 			} else {
-				k.Came(w.name)
+				k.Came(w.Name)
 			}
 		}
 	}
-	if len(after) > 0 && t.names.Change(after, note) != nil { // Look tries again
-		clear(t.said)
+	if len(after) > 0 && t.custody.Update(after, note) != nil { // Look tries again
+		clear(t.outcomes)
 	} else {
-		for n, i := range t.of {
-			if t.said[i].Reply == shardmap.Has {
-				t.own = append(t.own, t.ins[n].RequestID)
+		for n, i := range t.positions {
+			if t.outcomes[i].Reply == shardmap.Has {
+				t.callable = append(t.callable, t.accepted[n].RequestID)
 			}
 		}
 	}
-	t.side.decider.Settled(t.own)
+	t.handoff.decider.Settled(t.callable)
 }
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -10,24 +10,24 @@
 	"rowanlink/webhook/api"
 )
 
-// tasks asks for what is wanted and tells of what was let, one order at a time.
-func (s *Session) tasks() {
+// acquireLoop asks for what is wanted and tells of what was let, one order at a time.
+func (s *Session) acquireLoop() {
 	failures := 0
 	for {
-		next, idle := s.next()
+		next, idle := s.nextProposal()
 		var err error
 		switch {
 		case next.Let != "":
-			err = s.release(next)
-		case next.Any() && s.afresh():
-			if !s.pause(timing.Spread(s.Term, s.Keepers.draw())) {
+			err = s.proposeRelease(next)
+		case next.Any() && s.takeFreed():
+			if !s.sleep(timing.Spread(s.LeaseTTL, s.Leader.drawRandom())) {
 				return
 			}
 			continue
 		case next.Any():
-			err = s.grant(next)
+			err = s.proposeGrant(next)
 		default:
-			if !s.idle(idle) {
+			if !s.waitForWork(idle) {
 				return
 			}
 			continue
@@ -36,34 +36,34 @@
 		if failures++; err == nil {
 			failures = 0
 		} else {
-			wait = timing.Again(s.Term, failures, s.Keepers.draw())
+			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
 		}
-		if !s.pause(wait) {
+		if !s.sleep(wait) {
 			return
 		}
 	}
 }
 
-// next is what the keepers are to be told now, else for how long there will be nothing if nothing is heard.
-func (s *Session) next() (p lease.Proposal, idle api.Micros) {
+// nextProposal is what the keepers are to be told now, else for how long there will be nothing if nothing is heard.
+func (s *Session) nextProposal() (p lease.Proposal, idle api.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, idle := s.Clock(), s.Term
+	now, idle := s.Clock(), s.LeaseTTL
 	if at, some := s.wishes.AgainAt(); some {
 		idle = min(idle, max(at-now, 0)+1)
 	}
 	if !s.tenure.Holds(now) {
-		idle = s.Term // it is told when a session stands again
+		idle = s.LeaseTTL // it is told when a session stands again
 	}
 	return s.wishes.Next(now), idle
 }
 
-// idle waits until there may be something to ask for, or tells that all is over.
-func (s *Session) idle(most api.Micros) bool {
-	timer := time.NewTimer(span(most))
+// waitForWork waits until there may be something to ask for, or tells that all is over.
+func (s *Session) waitForWork(most api.Micros) bool {
+	timer := time.NewTimer(duration(most))
 	defer timer.Stop()
 	select {
-	case <-s.poke:
+	case <-s.acquireWake:
 	case <-timer.C:
 	case <-s.ended:
 		return false
@@ -71,8 +71,8 @@
 	return true
 }
 
-func (s *Session) release(p lease.Proposal) error {
-	_, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
+func (s *Session) proposeRelease(p lease.Proposal) error {
+	_, _, err := s.Leader.Propose(p.Command(), duration(timing.Opening(s.LeaseTTL)))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Released(p, err) {
@@ -81,12 +81,12 @@
 	return err
 }
 
-// grant asks for tasks. What another holds is asked for again once a keeper tells that it is free, or after a
+// proposeGrant asks for tasks. What another holds is asked for again once a keeper tells that it is free, or after a
 // while.
-func (s *Session) grant(p lease.Proposal) error {
-	raw, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
+func (s *Session) proposeGrant(p lease.Proposal) error {
+	raw, _, err := s.Leader.Propose(p.Command(), duration(timing.Opening(s.LeaseTTL)))
 	if errors.Is(err, cluster.ErrUnknown) {
-		s.refused(p.Session)
+		s.dropSession(p.Session)
 	}
 	if err != nil {
 		return err
@@ -98,50 +98,50 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Granted(p.Session, answer.Granted, s.Clock()) {
-		nudge(s.look)
+		wake(s.pollWake)
 	}
-	s.tell()
+	s.notifyChanges()
 	return nil
 }
 
-// freed is a keeper's word that tasks are free.
-func (s *Session) freed(tasks []cluster.Task) {
+// markFreed is a keeper's word that tasks are free.
+func (s *Session) markFreed(tasks []cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Free(tasks) {
-		s.fresh = true
-		nudge(s.poke)
+		s.hasFreed = true
+		wake(s.acquireWake)
 	}
 }
 
-// afresh is whether something was freed that others may want too, once.
-func (s *Session) afresh() bool {
+// takeFreed is whether something was freed that others may want too, once.
+func (s *Session) takeFreed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.fresh
-	s.fresh = false
+	was := s.hasFreed
+	s.hasFreed = false
 	return was
 }
 
 // Close gives everything up and has the session ended, so that nobody has to wait for its term.
 func (s *Session) Close() {
 	s.mu.Lock()
-	if s.closed() {
+	if s.isClosed() {
 		s.mu.Unlock()
 		return
 	}
 	session := s.tenure.End()
-	s.standing.Store(0) // it is no loss
-	s.tell()
+	s.active.Store(0) // it is no loss
+	s.notifyChanges()
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
-		s.Keepers.Propose(lease.End(session), span(timing.Answer(s.Term)))
+		s.Leader.Propose(lease.End(session), duration(timing.Answer(s.LeaseTTL)))
 	}
 	s.done.Wait()
-	s.handing.Lock()
-	defer s.handing.Unlock()
-	for _, f := range s.tells {
+	s.deliverMu.Lock()
+	defer s.deliverMu.Unlock()
+	for _, f := range s.notifications {
 		f()
 	}
 }
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -8,18 +8,18 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// teach tells the target of each move what was learned here, once no call of the range is out any more.
-func (o *owing) teach(chart *shardmap.Map) {
+// transferState tells the target of each move what was learned here, once no call of the range is out any more.
+func (o *Handoff) transferState(chart *shardmap.Map) {
 	f := o.forwarding
 	passing := map[shardmap.MoveID]bool{}
 	for _, r := range chart.Ranges {
 		v := r.Move
-		if v.Step != shardmap.Passing || v.From != f.homes.self {
+		if v.Step != shardmap.Passing || v.From != f.ownership.self {
 			continue
 		}
 		o.mu.Lock()
 		passing[v.ID] = true
-		told := o.told[v.ID]
+		told := o.stateSent[v.ID]
 		o.mu.Unlock()
 		if told {
 			continue
@@ -30,28 +30,28 @@
 		if !idle {
 			continue
 		}
-		s := sent{Version: chart.Version, At: inflight.Now(), Move: v.ID, Learned: all}
-		if _, _, err := f.say(v.To, owedPath, s, f.homes.term/2, true); err != nil {
+		s := Transfer{MapVersion: chart.Version, SentAt: inflight.Now(), Move: v.ID, Learned: all}
+		if _, _, err := f.Send(v.To, TransferPath, s, f.ownership.leaseTTL/2, true); err != nil {
 			slog.Debug("learned not handed on", "to", v.To, "why", err)
 			continue
 		}
 		slog.Info("learned handed on", "range", r.ID, "move", v.ID, "to", v.To, "destinations", len(all))
 		o.mu.Lock()
-		o.told[v.ID] = true
+		o.stateSent[v.ID] = true
 		o.mu.Unlock()
-		f.homes.changed()
+		f.ownership.onChange()
 	}
 	o.mu.Lock()
-	for id := range o.told {
+	for id := range o.stateSent {
 		if !passing[id] {
-			delete(o.told, id)
+			delete(o.stateSent, id)
 		}
 	}
 	o.mu.Unlock()
 }
 
-// taught takes over what another member learned; lag is by how much this clock shows more.
-func (o *owing) taught(all []api.Learned, lag api.Micros) {
+// ApplyState takes over what another member learned; lag is by how much this clock shows more.
+func (o *Handoff) ApplyState(all []api.Learned, lag api.Micros) {
 	for i := range all {
 		l := &all[i]
 		for _, at := range []*api.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
--- a/cluster/member/tell.go
+++ b/cluster/member/tell.go
@@ -8,41 +8,41 @@
 	"rowanlink/cluster"
 )
 
-// tell compares what is held now with what was told last; the caller holds the lock.
-func (s *Session) tell() {
+// notifyChanges compares what is held now with what was told last; the caller holds the lock.
+func (s *Session) notifyChanges() {
 	now := s.Clock()
-	for _, t := range slices.Sorted(maps.Keys(s.has)) {
-		if e, held := s.tenure.Epoch(t, now); !held || e != s.has[t] {
-			slog.Info("task over", "member", s.Self, "task", t, "epoch", s.has[t])
-			delete(s.has, t)
-			s.Lost.Add(1)
-			s.told(t, 0)
+	for _, t := range slices.Sorted(maps.Keys(s.notified)) {
+		if e, held := s.tenure.Epoch(t, now); !held || e != s.notified[t] {
+			slog.Info("task over", "member", s.Self, "task", t, "epoch", s.notified[t])
+			delete(s.notified, t)
+			s.ResourcesLost.Add(1)
+			s.queueNotification(t, 0)
 		}
 	}
 	for _, t := range s.wishes.Wanted() {
-		if e, held := s.tenure.Epoch(t, now); held && s.has[t] == 0 {
+		if e, held := s.tenure.Epoch(t, now); held && s.notified[t] == 0 {
 			slog.Info("task held", "member", s.Self, "task", t, "epoch", e, "session", s.tenure.Session())
-			s.has[t] = e
-			s.Gained.Add(1)
-			s.told(t, e)
+			s.notified[t] = e
+			s.ResourcesAcquired.Add(1)
+			s.queueNotification(t, e)
 		}
 	}
-	s.stands(s.tenure.Holds(now))
+	s.setActive(s.tenure.Holds(now))
 }
 
-// told has Told called by a loop of its own: it may ask the session back.
-func (s *Session) told(t cluster.Task, e cluster.Epoch) {
-	if s.Told != nil {
-		s.tells = append(s.tells, func() { s.Told(t, e) })
-		nudge(s.toTell)
+// queueNotification has Told called by a loop of its own: it may ask the session back.
+func (s *Session) queueNotification(t cluster.Task, e cluster.Epoch) {
+	if s.OnChange != nil {
+		s.notifications = append(s.notifications, func() { s.OnChange(t, e) })
+		wake(s.notifyWake)
 	}
 }
 
-func (s *Session) telling() {
+func (s *Session) notifyLoop() {
 	for {
 		s.mu.Lock()
-		tells := s.tells
-		s.tells = nil
+		tells := s.notifications
+		s.notifications = nil
 		s.mu.Unlock()
 		for _, f := range tells {
 			f()
@@ -51,7 +51,7 @@
 			continue
 		}
 		select {
-		case <-s.toTell:
+		case <-s.notifyWake:
 		case <-s.ended:
 			return
 		}
--- a/cluster/member/told.go
+++ b/cluster/member/told.go
@@ -11,8 +11,8 @@
 	"rowanlink/webhook/api"
 )
 
-// says and logs are where the others hear, as this member reaches them.
-func says(f config.File) map[cluster.MemberID]string {
+// memberAddresses and logs are where the others hear, as this member reaches them.
+func memberAddresses(f config.File) map[cluster.MemberID]string {
 	all := map[cluster.MemberID]string{}
 	for _, m := range f.Members {
 		all[m.ID] = m.Says
@@ -20,7 +20,7 @@
 	return all
 }
 
-func logs(f config.File) map[cluster.MemberID]string {
+func raftAddresses(f config.File) map[cluster.MemberID]string {
 	all := map[cluster.MemberID]string{}
 	for _, m := range f.Members {
 		if m.Log != "" {
@@ -30,7 +30,7 @@
 	return all
 }
 
-func keepers(f config.File) (all []cluster.MemberID) {
+func raftNodes(f config.File) (all []cluster.MemberID) {
 	for _, m := range f.Members {
 		if m.Log != "" {
 			all = append(all, m.ID)
@@ -39,8 +39,8 @@
 	return all
 }
 
-// clocked is the clock that terms are counted by: it never runs back. A rate other than 1 is for tests.
-func clocked() (func() api.Micros, error) {
+// newLeaseClock is the clock that terms are counted by: it never runs back. A rate other than 1 is for tests.
+func newLeaseClock() (func() api.Micros, error) {
 	rate, start := 1.0, time.Now()
 	if text := os.Getenv("ROWAN_CLOCK_RATE"); text != "" {
 		var err error
@@ -53,8 +53,8 @@
 	}, nil
 }
 
-// Hearers is how many connections a member hears at the most, in a fleet of so many: guards against keepers
+// MaxConnections is how many connections a member hears at the most, in a fleet of so many: guards against keepers
 // that refuse a large fleet's renewals and asks, each of which holds one, and against no bound at all.
-func Hearers(members int) int { return max(hearersLeast, hearersEach*members) }
+func MaxConnections(members int) int { return max(minConnections, connectionsPerMember*members) }
 
-const hearersLeast, hearersEach = 256, 8
+const minConnections, connectionsPerMember = 256, 8
--- a/cluster/member/wish_test.go
+++ b/cluster/member/wish_test.go
@@ -12,11 +12,11 @@
 // was told of the same file before.
 func TestAStoppedPlanIsResumedOnlyByAFileReadSince(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
-	c := &conductor{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, Stopped: "late"}}
-	assert.Equal(t, uint64(3), c.stopped())
+	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, Stopped: "late"}}
+	assert.Equal(t, uint64(3), c.StoppedPlan())
 	assert.NotPanics(t, func() {
-		assert.True(t, c.adopt(wish{text: text, fresh: true}, nil))
-		assert.True(t, c.adopt(wish{text: text, fresh: true, resumes: 2}, nil))
+		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true}, nil))
+		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 2}, nil))
 	})
-	assert.Panics(t, func() { c.adopt(wish{text: text, fresh: true, resumes: 3}, nil) }, "it is made anew")
+	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 3}, nil) }, "it is made anew")
 }
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -30,7 +30,7 @@
 
 type holder struct{}
 
-func (holder) Want(cluster.Task)                        {}
+func (holder) Acquire(cluster.Task)                     {}
 func (holder) Release(cluster.Task)                     {}
 func (holder) Holds(cluster.Task) (cluster.Epoch, bool) { return 1, true }
 
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -106,7 +106,7 @@
 		slog.Info("site asked for anew: its relay has seen a later epoch", "site", l.site.ID)
 	}
 	if l.of.home(l.site.ID) {
-		l.of.session.Want(l.task)
+		l.of.session.Acquire(l.task)
 		return l.of.session.Holds(l.task)
 	}
 	if _, held := l.of.session.Holds(l.task); held {
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -26,7 +26,7 @@
 
 // Session is what a member holds.
 type Session interface {
-	Want(cluster.Task)
+	Acquire(cluster.Task)
 	Release(cluster.Task)
 	Holds(cluster.Task) (cluster.Epoch, bool)
 }
--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			chart, runs, err := member.Chart(from)
+			chart, runs, err := member.FetchShardMap(from)
 			if err != nil {
 				return err
 			}
