--- a/serving/httpserver/flow.go
+++ b/serving/httpserver/flow.go
@@ -61,7 +61,7 @@
 			return
 		}
 		outcome, next := f.attempt(choice)
-		f.server.options.Placer.Finished(time.Now(), choice.Ticket, outcome)
+		f.server.options.Placer.ReportOutcome(time.Now(), choice.Reservation, outcome)
 		if next == stepDone {
 			return
 		}
@@ -94,16 +94,16 @@
 	for {
 		now := time.Now()
 		f.place.TimeLeft = f.end.Sub(now)
-		f.place.Waited = now.Sub(f.arrivedAt)
-		f.place.Service, f.place.Tried = f.service, f.tried
+		f.place.QueuedFor = now.Sub(f.arrivedAt)
+		f.place.Service, f.place.TriedEndpoints = f.service, f.tried
 		f.place.Resumed = f.stream.begun
 		if f.place.TimeLeft <= 0 {
 			f.expire()
 			return placement.Choice{}, false
 		}
-		choice, verdict := f.server.options.Placer.Choose(now, f.place)
+		choice, verdict := f.server.options.Placer.Pick(now, f.place)
 		switch verdict.Kind {
-		case placement.Chosen:
+		case placement.Picked:
 			return choice, true
 		case placement.Wait:
 			if !ctxsleep.For(f.ctx, max(min(verdict.Delay, f.place.TimeLeft), leastWait)) {
@@ -131,9 +131,9 @@
 	}
 	defer answer.Close()
 	if f.stream.begun || isEventStream(f.route, answer) {
-		return f.passStream(answer, choice.Ticket)
+		return f.passStream(answer, choice.Reservation)
 	}
-	return f.passPlain(answer, choice.Ticket)
+	return f.passPlain(answer, choice.Reservation)
 }
 
 // call puts the request into the endpoint side's words.
@@ -157,11 +157,11 @@
 	if known {
 		call.MostOpen = f.server.options.ConnectionShare(service)
 		if service.Engine != nil {
-			call.Priority = priority(f.route, choice.Quick)
+			call.Priority = priority(f.route, choice.ShortPrefill)
 		}
 	}
 	if f.route.Idempotent() {
-		call.Patience = patience(f.route, service, choice.ExpectFirst)
+		call.Patience = patience(f.route, service, choice.ExpectedFirstByte)
 		call.GiveUp = f.giveUp
 	}
 	return call
--- a/serving/httpserver/fuzz_test.go
+++ b/serving/httpserver/fuzz_test.go
@@ -38,16 +38,16 @@
 		}
 		read := placementRequest(&routing.Route{}, header)
 		sum := 0
-		for _, part := range read.Parts {
+		for _, part := range read.Blocks {
 			assert.NotEmpty(t, part.ID)
 			assert.GreaterOrEqual(t, part.Tokens, 0)
 			sum += part.Tokens
 			require.GreaterOrEqual(t, sum, 0, "the parts' sum overflows")
 		}
-		assert.LessOrEqual(t, len(read.Parts), mostParts)
+		assert.LessOrEqual(t, len(read.Blocks), mostParts)
 		assert.GreaterOrEqual(t, read.PromptTokens, 0)
-		assert.GreaterOrEqual(t, read.OutputTokens, 0)
-		assert.GreaterOrEqual(t, sum+read.PromptTokens+read.OutputTokens, 0, "the total overflows")
+		assert.GreaterOrEqual(t, read.MaxOutputTokens, 0)
+		assert.GreaterOrEqual(t, sum+read.PromptTokens+read.MaxOutputTokens, 0, "the total overflows")
 	})
 }
 
--- a/serving/httpserver/helpers_test.go
+++ b/serving/httpserver/helpers_test.go
@@ -38,35 +38,35 @@
 type fakePlacer struct {
 	mu        sync.Mutex
 	endpoints []state.Endpoint
-	verdicts  []placement.Verdict // given first
+	verdicts  []placement.Decision // given first
 	requests  []placement.Request
 	outcomes  []attempt.Outcome
 	returning bool // endpoints are given out again to the same request
 }
 
-func (p *fakePlacer) Choose(_ time.Time, r placement.Request) (placement.Choice, placement.Verdict) {
+func (p *fakePlacer) Pick(_ time.Time, r placement.Request) (placement.Choice, placement.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests = append(p.requests, r)
 	if len(p.verdicts) > 0 {
 		verdict := p.verdicts[0]
 		p.verdicts = p.verdicts[1:]
-		if verdict.Kind != placement.Chosen {
+		if verdict.Kind != placement.Picked {
 			return placement.Choice{}, verdict
 		}
 	}
 	for _, endpoint := range p.endpoints {
-		if p.returning || !slices.Contains(r.Tried, endpoint.ID) {
+		if p.returning || !slices.Contains(r.TriedEndpoints, endpoint.ID) {
 			endpoint.Service = r.Route.Services[0].Service
-			return placement.Choice{Endpoint: endpoint}, placement.Verdict{Kind: placement.Chosen}
+			return placement.Choice{Endpoint: endpoint}, placement.Decision{Kind: placement.Picked}
 		}
 	}
-	return placement.Choice{}, placement.Verdict{Kind: placement.RefuseRetryAfter, Delay: 100 * time.Millisecond}
+	return placement.Choice{}, placement.Decision{Kind: placement.Reject, Delay: 100 * time.Millisecond}
 }
 
-func (p *fakePlacer) FirstByte(time.Time, placement.Ticket) {}
+func (p *fakePlacer) ReportProgress(time.Time, placement.Reservation) {}
 
-func (p *fakePlacer) Finished(_ time.Time, _ placement.Ticket, outcome attempt.Outcome) {
+func (p *fakePlacer) ReportOutcome(_ time.Time, _ placement.Reservation, outcome attempt.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes = append(p.outcomes, outcome)
--- a/serving/httpserver/plain.go
+++ b/serving/httpserver/plain.go
@@ -40,8 +40,8 @@
 }
 
 // passPlain passes an answer on that is no stream.
-func (f *flow) passPlain(answer *upstream.Answer, ticket placement.Ticket) (attempt.Outcome, step) {
-	f.server.options.Placer.FirstByte(time.Now(), ticket)
+func (f *flow) passPlain(answer *upstream.Answer, ticket placement.Reservation) (attempt.Outcome, step) {
+	f.server.options.Placer.ReportProgress(time.Now(), ticket)
 	body, err := readSome(answer, wholeFirst)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return outcomeOf(err), stepAgain
--- a/serving/httpserver/plain_test.go
+++ b/serving/httpserver/plain_test.go
@@ -53,8 +53,8 @@
 	placed := r.placer.requests[0]
 	assert.Equal(t, "m", placed.Model)
 	assert.Equal(t, 1460, placed.PromptTokens)
-	assert.Equal(t, 80, placed.OutputTokens)
-	assert.Equal(t, []placement.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, placed.Parts)
+	assert.Equal(t, 80, placed.MaxOutputTokens)
+	assert.Equal(t, []placement.PrefixBlock{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, placed.Blocks)
 	assert.Equal(t, []attempt.Outcome{attempt.Succeeded}, r.placer.ended())
 }
 
@@ -145,7 +145,7 @@
 
 func TestWaitForAPlace(t *testing.T) {
 	r := newRig(t, says(okAnswer))
-	r.placer.verdicts = []placement.Verdict{{Kind: placement.Wait, Delay: time.Millisecond}, {Kind: placement.Wait}}
+	r.placer.verdicts = []placement.Decision{{Kind: placement.Wait, Delay: time.Millisecond}, {Kind: placement.Wait}}
 	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
 	assert.Len(t, r.placer.requests, 3)
 }
@@ -254,7 +254,7 @@
 // TestTimeEndsWhileARequestWaitsToGoAgain: an earlier attempt may have run, so that no answer may promise otherwise.
 func TestTimeEndsWhileARequestWaitsToGoAgain(t *testing.T) {
 	r := newRig(t, breaks(okHead[:20]), says(okAnswer))
-	r.placer.verdicts = []placement.Verdict{{Kind: placement.Chosen}, {Kind: placement.Wait, Delay: time.Minute}}
+	r.placer.verdicts = []placement.Decision{{Kind: placement.Picked}, {Kind: placement.Wait, Delay: time.Minute}}
 	request := r.request("/fetch/x", "")
 	request.Header.Set("X-Time-Left", "100")
 	assert.Equal(t, 504, r.do(request).status)
--- a/serving/httpserver/request.go
+++ b/serving/httpserver/request.go
@@ -125,11 +125,11 @@
 func placementRequest(route *routing.Route, header http.Header) placement.Request {
 	prompt, output := tokenCounts(header.Get(headerTokens))
 	return placement.Request{
-		Route:        route,
-		Model:        header.Get(headerModel),
-		PromptTokens: prompt,
-		OutputTokens: output,
-		Parts:        promptParts(header.Get(headerPrompt)),
+		Route:           route,
+		Model:           header.Get(headerModel),
+		PromptTokens:    prompt,
+		MaxOutputTokens: output,
+		Blocks:          promptParts(header.Get(headerPrompt)),
 	}
 }
 
@@ -155,17 +155,17 @@
 const mostParts = 256
 
 // promptParts reads "ID:TOKENS,ID:TOKENS,...". It ends at the first part that can't be read.
-func promptParts(text string) []placement.Part {
+func promptParts(text string) []placement.PrefixBlock {
 	if text == "" {
 		return nil
 	}
-	parts := make([]placement.Part, 0, min(1+strings.Count(text, ","), mostParts))
+	parts := make([]placement.PrefixBlock, 0, min(1+strings.Count(text, ","), mostParts))
 	for field := range strings.SplitSeq(text, ",") {
 		id, tokens, named := strings.Cut(strings.TrimSpace(field), ":")
 		if !named || id == "" || len(parts) == mostParts {
 			break
 		}
-		parts = append(parts, placement.Part{ID: id, Tokens: count(tokens)})
+		parts = append(parts, placement.PrefixBlock{ID: id, Tokens: count(tokens)})
 	}
 	return parts
 }
--- a/serving/httpserver/server.go
+++ b/serving/httpserver/server.go
@@ -27,9 +27,9 @@
 
 // Placer says where requests go. *placement.Placer is one.
 type Placer interface {
-	Choose(now time.Time, request placement.Request) (placement.Choice, placement.Verdict)
-	FirstByte(now time.Time, ticket placement.Ticket)
-	Finished(now time.Time, ticket placement.Ticket, outcome attempt.Outcome)
+	Pick(now time.Time, request placement.Request) (placement.Choice, placement.Decision)
+	ReportProgress(now time.Time, ticket placement.Reservation)
+	ReportOutcome(now time.Time, ticket placement.Reservation, outcome attempt.Outcome)
 }
 
 // Retrier says whether requests go again. *retry.Policy is one.
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -37,7 +37,7 @@
 
 // passStream passes events on as they come, each of them whole. A run that goes on where an earlier one broke off
 // keeps that one's head.
-func (f *flow) passStream(answer *upstream.Answer, ticket placement.Ticket) (attempt.Outcome, step) {
+func (f *flow) passStream(answer *upstream.Answer, ticket placement.Reservation) (attempt.Outcome, step) {
 	if f.stream.begun && !isEventStream(f.route, answer) {
 		return attempt.Failed, stepAgain
 	}
@@ -45,7 +45,7 @@
 	for {
 		events, err := reader.Next()
 		if len(events) > 0 || err == io.EOF {
-			f.server.options.Placer.FirstByte(time.Now(), ticket)
+			f.server.options.Placer.ReportProgress(time.Now(), ticket)
 			answer.Watch(gapPatience(f.route))
 			if !f.passEvents(answer, events) {
 				return attempt.Canceled, stepAbort
--- a/serving/placement/affinity_test.go
+++ b/serving/placement/affinity_test.go
@@ -16,12 +16,12 @@
 	one, other := newWorld(t, "e1", endpoints...), newWorld(t, "e2", endpoints...)
 	met := map[string]bool{}
 	for subject := range 40 {
-		first, _ := one.Choose(one.now, one.request("review", subject))
-		second, _ := other.Choose(other.now, other.request("review", subject))
+		first, _ := one.Pick(one.now, one.request("review", subject))
+		second, _ := other.Pick(other.now, other.request("review", subject))
 		assert.Equal(t, first.Endpoint.ID, second.Endpoint.ID, "subject %d", subject)
 		met[first.Endpoint.ID] = true
-		one.Finished(one.now, first.Ticket, attempt.Succeeded)
-		other.Finished(other.now, second.Ticket, attempt.Succeeded)
+		one.ReportOutcome(one.now, first.Reservation, attempt.Succeeded)
+		other.ReportOutcome(other.now, second.Reservation, attempt.Succeeded)
 	}
 	assert.Greater(t, len(met), 5, "subjects are spread")
 }
@@ -30,8 +30,8 @@
 	w := newWorld(t, "e1", modelEndpoints("e1", 6)...)
 	count := map[string]int{}
 	for range 60 {
-		choice, verdict := w.Choose(w.now, w.request("review", 1))
-		require.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.request("review", 1))
+		require.Equal(t, Picked, verdict.Kind)
 		count[choice.Endpoint.ID]++
 	}
 	most := 0
@@ -44,29 +44,29 @@
 func TestASessionFollowsItsEarlierEndpoint(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 6)...)
 	for session := range 20 {
-		parts := []Part{{fmt.Sprint("session", session), 6000}} // nothing shared: only own sends know of it
-		request := Request{Route: w.route("review"), Model: "m", PromptTokens: 6000, Parts: parts, TimeLeft: 1e9}
-		first, _ := w.Choose(w.now, request)
-		w.Finished(w.now, first.Ticket, attempt.Succeeded)
-		again, _ := w.Choose(w.now, request)
-		w.Finished(w.now, again.Ticket, attempt.Succeeded)
+		parts := []PrefixBlock{{fmt.Sprint("session", session), 6000}} // nothing shared: only own sends know of it
+		request := Request{Route: w.route("review"), Model: "m", PromptTokens: 6000, Blocks: parts, TimeLeft: 1e9}
+		first, _ := w.Pick(w.now, request)
+		w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
+		again, _ := w.Pick(w.now, request)
+		w.ReportOutcome(w.now, again.Reservation, attempt.Succeeded)
 		assert.Equal(t, first.Endpoint.ID, again.Endpoint.ID)
-		assert.Less(t, again.ExpectFirst, first.ExpectFirst)
+		assert.Less(t, again.ExpectedFirstByte, first.ExpectedFirstByte)
 	}
 }
 
 func TestPrefixesGiveWayByUse(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		p := prefixes{limit: 1000}
+		p := prefixCache{tokenLimit: 1000}
 		for range 200 {
-			var parts []Part
+			var parts []PrefixBlock
 			for depth := range rapid.IntRange(1, 4).Draw(r, "depth") {
-				parts = append(parts, Part{fmt.Sprint(depth, rapid.IntRange(0, 6).Draw(r, "id")), rapid.IntRange(1, 200).Draw(r, "tokens")})
+				parts = append(parts, PrefixBlock{fmt.Sprint(depth, rapid.IntRange(0, 6).Draw(r, "id")), rapid.IntRange(1, 200).Draw(r, "tokens")})
 			}
-			c := chainOf(chain{}, parts)
-			p.use(&c)
+			c := hashBlocks(blockChain{}, parts)
+			p.touch(&c)
 			assert.LessOrEqual(r, p.tokens, 1000)
-			assert.LessOrEqual(r, p.cached(&c), 4*200)
+			assert.LessOrEqual(r, p.cachedTokens(&c), 4*200)
 			count, tokens := 0, 0
 			for entry := p.newest; entry != nil; entry = entry.older {
 				count++
--- a/serving/placement/benchmark_test.go
+++ b/serving/placement/benchmark_test.go
@@ -16,9 +16,9 @@
 	b.ReportAllocs()
 	for turn := 0; b.Loop(); turn++ {
 		w.now = w.now.Add(10 * time.Millisecond)
-		choice, _ := w.Choose(w.now, requests[turn%len(requests)])
-		w.FirstByte(w.now.Add(5*time.Millisecond), choice.Ticket)
-		w.Finished(w.now.Add(8*time.Millisecond), choice.Ticket, attempt.Succeeded)
+		choice, _ := w.Pick(w.now, requests[turn%len(requests)])
+		w.ReportProgress(w.now.Add(5*time.Millisecond), choice.Reservation)
+		w.ReportOutcome(w.now.Add(8*time.Millisecond), choice.Reservation, attempt.Succeeded)
 	}
 }
 
--- a/serving/placement/bounds.go
+++ b/serving/placement/bounds.go
@@ -3,7 +3,7 @@
 import "rowanlink/serving/settings"
 
 // SetBounds takes in the operator's bounds, which may change in a process's life.
-func (p *Placer) SetBounds(bounds settings.Bounds) {
+func (p *Picker) SetBounds(bounds settings.Bounds) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.options.Bounds = bounds
--- a/serving/placement/burst_test.go
+++ b/serving/placement/burst_test.go
@@ -18,7 +18,7 @@
 	started time.Time
 	looks   []time.Time // of the requests that wait: when each asks again
 	ends    []time.Time // of the calls out
-	tickets []Ticket
+	tickets []Reservation
 	refused []time.Duration // after which requests were refused
 	busy    []int           // the calls out at each refusal
 	served  int
@@ -51,7 +51,7 @@
 // finish ends the calls whose time is over.
 func (b *burst) finish() {
 	for len(b.ends) > 0 && !b.now.Before(b.ends[0]) {
-		b.Finished(b.now, b.tickets[0], attempt.Succeeded)
+		b.ReportOutcome(b.now, b.tickets[0], attempt.Succeeded)
 		b.ends, b.tickets = b.ends[1:], b.tickets[1:]
 		b.served++
 	}
@@ -59,15 +59,15 @@
 
 // ask looks for a place for one request.
 func (b *burst) ask() {
-	b.request.Waited = b.now.Sub(b.started)
-	choice, verdict := b.Choose(b.now, b.request)
+	b.request.QueuedFor = b.now.Sub(b.started)
+	choice, verdict := b.Pick(b.now, b.request)
 	switch verdict.Kind {
-	case Chosen:
-		b.ends, b.tickets = append(b.ends, b.now.Add(b.took)), append(b.tickets, choice.Ticket)
+	case Picked:
+		b.ends, b.tickets = append(b.ends, b.now.Add(b.took)), append(b.tickets, choice.Reservation)
 	case Wait:
 		b.looks = append(b.looks, b.now.Add(verdict.Delay))
-	case RefuseRetryAfter:
-		b.refused, b.busy = append(b.refused, b.request.Waited), append(b.busy, len(b.ends))
+	case Reject:
+		b.refused, b.busy = append(b.refused, b.request.QueuedFor), append(b.busy, len(b.ends))
 	}
 }
 
@@ -87,7 +87,7 @@
 		b.play()
 		for index, after := range b.refused {
 			assert.GreaterOrEqual(r, 2*b.busy[index], endpoints[0].Slots, "half of the slots are taken")
-			assert.GreaterOrEqual(r, after, route.Target/4-patienceSlack-lastWait)
+			assert.GreaterOrEqual(r, after, route.Target/4-queueTimeSlack-minPollInterval)
 			assert.Less(r, after, route.Target/4)
 		}
 	})
--- a/serving/placement/decay.go
+++ b/serving/placement/decay.go
@@ -7,48 +7,48 @@
 
 // Smoothing of measured times.
 const (
-	// decaySpan is the time in which what was seen of an endpoint's queue loses most of its weight.
-	decaySpan = 2 * time.Second
-	// decayPrior is the weight, in measurements, of the assumption that there is no queue.
-	decayPrior = 2.0
-	tookBlend  = 1.0 / 8
+	// decayTimeConstant is the time in which what was seen of an endpoint's queue loses most of its weight.
+	decayTimeConstant = 2 * time.Second
+	// priorWeight is the weight, in measurements, of the assumption that there is no queue.
+	priorWeight       = 2.0
+	callTimeSmoothing = 1.0 / 8
 )
 
-// decay is a mean of measured times in which the older weigh less. It fades to nothing while no new one is seen, so
+// decayingMean is a mean of measured times in which the older weigh less. It fades to nothing while no new one is seen, so
 // that what was avoided is tried again.
-type decay struct {
-	sum    float64 // of the times, each by its weight
-	weight float64
-	seenAt time.Time
+type decayingMean struct {
+	sum       float64 // of the times, each by its weight
+	weight    float64
+	updatedAt time.Time
 }
 
-// at is the mean now, where the assumption is that there is no queue.
-func (d *decay) at(now time.Time) time.Duration { return d.over(now, 0) }
+// meanAt is the mean now, where the assumption is that there is no queue.
+func (d *decayingMean) meanAt(now time.Time) time.Duration { return d.meanWithPrior(now, 0) }
 
-// over is the mean now, with an assumption that weighs as much as decayPrior measurements.
-func (d *decay) over(now time.Time, assumed time.Duration) time.Duration {
+// meanWithPrior is the mean now, with an assumption that weighs as much as priorWeight measurements.
+func (d *decayingMean) meanWithPrior(now time.Time, assumed time.Duration) time.Duration {
 	if d.weight == 0 {
 		return assumed
 	}
-	faded := d.faded(now)
-	return time.Duration((d.sum*faded + decayPrior*float64(assumed)) / (d.weight*faded + decayPrior))
+	faded := d.decayFactor(now)
+	return time.Duration((d.sum*faded + priorWeight*float64(assumed)) / (d.weight*faded + priorWeight))
 }
 
-// see takes a measured time in.
-func (d *decay) see(now time.Time, seen time.Duration) {
-	faded := d.faded(now)
+// add takes a measured time in.
+func (d *decayingMean) add(now time.Time, seen time.Duration) {
+	faded := d.decayFactor(now)
 	d.sum = d.sum*faded + float64(seen)
 	d.weight = d.weight*faded + 1
-	d.seenAt = now
+	d.updatedAt = now
 }
 
-// faded is what a weight of one has become since the last measurement.
-func (d *decay) faded(now time.Time) float64 {
-	return math.Exp(-float64(now.Sub(d.seenAt)) / float64(decaySpan))
+// decayFactor is what a weight of one has become since the last measurement.
+func (d *decayingMean) decayFactor(now time.Time) float64 {
+	return math.Exp(-float64(now.Sub(d.updatedAt)) / float64(decayTimeConstant))
 }
 
-// blend smooths a figure; the first one stands for itself.
-func blend(mean, seen, weight float64) float64 {
+// smooth smooths a figure; the first one stands for itself.
+func smooth(mean, seen, weight float64) float64 {
 	if mean == 0 {
 		return seen
 	}
--- a/serving/placement/eligible_test.go
+++ b/serving/placement/eligible_test.go
@@ -31,8 +31,8 @@
 			}
 			w.tell()
 			request := w.request(rapid.SampledFrom([]string{"review", "home", "urgent"}).Draw(r, "route"), index)
-			choice, verdict := w.Choose(w.now, request)
-			if verdict.Kind != Chosen {
+			choice, verdict := w.Pick(w.now, request)
+			if verdict.Kind != Picked {
 				continue
 			}
 			assert.Equal(r, state.Accepting, choice.Endpoint.State)
@@ -40,7 +40,7 @@
 			if request.Route.Name == "home" {
 				assert.Equal(r, "east", regions[choice.Endpoint.Zone], "homes bind")
 			}
-			w.Finished(w.now, choice.Ticket, attempt.Outcome(rapid.IntRange(0, 7).Draw(r, "outcome")))
+			w.ReportOutcome(w.now, choice.Reservation, attempt.Outcome(rapid.IntRange(0, 7).Draw(r, "outcome")))
 		}
 	})
 }
@@ -48,18 +48,18 @@
 func TestOwnRegionFirstThenAnother(t *testing.T) {
 	w := newWorld(t, "e1", append(modelEndpoints("e2", 2), modelEndpoints("w1", 4)...)...)
 	for subject := range 20 {
-		choice, verdict := w.Choose(w.now, w.shortRequest("review", subject))
-		require.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.shortRequest("review", subject))
+		require.Equal(t, Picked, verdict.Kind)
 		assert.Equal(t, "e2", choice.Endpoint.Zone)
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
 	w.view.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
 	w.tell()
-	choice, verdict := w.Choose(w.now, w.shortRequest("review", 1))
-	require.Equal(t, Chosen, verdict.Kind)
+	choice, verdict := w.Pick(w.now, w.shortRequest("review", 1))
+	require.Equal(t, Picked, verdict.Kind)
 	assert.Equal(t, "w1", choice.Endpoint.Zone)
-	_, verdict = w.Choose(w.now, w.shortRequest("home", 1))
-	assert.Equal(t, RefuseRetryAfter, verdict.Kind, "nothing is left at home")
+	_, verdict = w.Pick(w.now, w.shortRequest("home", 1))
+	assert.Equal(t, Reject, verdict.Kind, "nothing is left at home")
 }
 
 func TestASplitKeepsItsWeightsAndARequestItsService(t *testing.T) {
@@ -67,31 +67,31 @@
 	drawn := map[string]int{}
 	for range 1000 {
 		request := w.request("split", 0)
-		first, _ := w.Choose(w.now, request)
+		first, _ := w.Pick(w.now, request)
 		drawn[first.Endpoint.Service]++
-		request.Tried = []string{first.Endpoint.ID}
-		second, _ := w.Choose(w.now, request)
+		request.TriedEndpoints = []string{first.Endpoint.ID}
+		second, _ := w.Pick(w.now, request)
 		assert.Equal(t, first.Endpoint.Service, second.Endpoint.Service)
 		assert.NotEqual(t, first.Endpoint.ID, second.Endpoint.ID)
-		w.Finished(w.now, first.Ticket, attempt.Succeeded)
-		w.Finished(w.now, second.Ticket, attempt.Succeeded)
+		w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
+		w.ReportOutcome(w.now, second.Reservation, attempt.Succeeded)
 	}
 	assert.InDelta(t, 100, drawn["other"], 40)
 }
 
 func TestAnEndpointThatAnswers421IsLeftOutUntilItSpeaksAgain(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
-	choice, _ := w.Choose(w.now, w.request("review", 1))
-	w.Finished(w.now, choice.Ticket, attempt.Misdirected)
-	_, verdict := w.Choose(w.now, w.request("review", 1))
-	assert.NotEqual(t, Chosen, verdict.Kind)
+	choice, _ := w.Pick(w.now, w.request("review", 1))
+	w.ReportOutcome(w.now, choice.Reservation, attempt.Misdirected)
+	_, verdict := w.Pick(w.now, w.request("review", 1))
+	assert.NotEqual(t, Picked, verdict.Kind)
 	w.tell()
-	_, verdict = w.Choose(w.now, w.request("review", 1))
-	assert.NotEqual(t, Chosen, verdict.Kind, "the same word again is no news")
+	_, verdict = w.Pick(w.now, w.request("review", 1))
+	assert.NotEqual(t, Picked, verdict.Kind, "the same word again is no news")
 	w.view.Endpoints[0].Sequence++
 	w.tell()
-	_, verdict = w.Choose(w.now, w.request("review", 1))
-	assert.Equal(t, Chosen, verdict.Kind)
+	_, verdict = w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Picked, verdict.Kind)
 }
 
 func TestASilentEndpointIsTheLastChoice(t *testing.T) {
@@ -99,13 +99,13 @@
 	w.view.Endpoints[0].Silent = true
 	w.tell()
 	for subject := range 30 {
-		choice, verdict := w.Choose(w.now, w.request("review", subject))
-		require.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.request("review", subject))
+		require.Equal(t, Picked, verdict.Kind)
 		assert.NotEqual(t, "e1-0", choice.Endpoint.ID)
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
 	w.view.Endpoints[1].State, w.view.Endpoints[2].State = state.Closing, state.Closing
 	w.tell()
-	_, verdict := w.Choose(w.now, w.request("review", 1))
-	assert.Equal(t, Chosen, verdict.Kind, "there is nothing else")
+	_, verdict := w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Picked, verdict.Kind, "there is nothing else")
 }
--- a/serving/placement/estimate_test.go
+++ b/serving/placement/estimate_test.go
@@ -14,93 +14,93 @@
 func TestReportsOnLoadRefineTheEstimate(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
 	request := w.request("review", 1)
-	first, _ := w.Choose(w.now, request)
-	w.Finished(w.now, first.Ticket, attempt.Succeeded)
+	first, _ := w.Pick(w.now, request)
+	w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
 	w.view.Loads = []state.Load{{EndpointID: first.Endpoint.ID, Queued: 60, CacheTotal: 180_000, Measurement: 1}}
 	w.tell()
-	second, verdict := w.Choose(w.now, request)
-	require.Equal(t, Chosen, verdict.Kind)
+	second, verdict := w.Pick(w.now, request)
+	require.Equal(t, Picked, verdict.Kind)
 	assert.NotEqual(t, first.Endpoint.ID, second.Endpoint.ID, "its queue is longer than the prefix is worth")
-	w.Finished(w.now, second.Ticket, attempt.Succeeded)
-	w.now = w.now.Add(loadFresh + time.Millisecond)
-	third, _ := w.Choose(w.now, request)
+	w.ReportOutcome(w.now, second.Reservation, attempt.Succeeded)
+	w.now = w.now.Add(loadReportTTL + time.Millisecond)
+	third, _ := w.Pick(w.now, request)
 	assert.Contains(t, []string{first.Endpoint.ID, second.Endpoint.ID}, third.Endpoint.ID, "the report is old")
 }
 
 func TestOwnCallsThatWaitMakeTheEstimateLonger(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
 	var expected []time.Duration
-	var out []Ticket
+	var out []Reservation
 	for subject := range 5 {
-		choice, _ := w.Choose(w.now, w.request("review", subject))
-		expected = append(expected, choice.ExpectFirst)
-		out = append(out, choice.Ticket)
+		choice, _ := w.Pick(w.now, w.request("review", subject))
+		expected = append(expected, choice.ExpectedFirstByte)
+		out = append(out, choice.Reservation)
 	}
 	assert.IsIncreasing(t, expected)
-	urgent, _ := w.Choose(w.now, w.request("urgent", 6))
-	assert.Less(t, urgent.ExpectFirst, expected[2], "the more urgent are read first")
+	urgent, _ := w.Pick(w.now, w.request("urgent", 6))
+	assert.Less(t, urgent.ExpectedFirstByte, expected[2], "the more urgent are read first")
 	for _, ticket := range out {
-		w.FirstByte(w.now, ticket)
+		w.ReportProgress(w.now, ticket)
 	}
-	rested, _ := w.Choose(w.now, w.request("review", 7))
-	assert.Less(t, rested.ExpectFirst, expected[4])
+	rested, _ := w.Pick(w.now, w.request("review", 7))
+	assert.Less(t, rested.ExpectedFirstByte, expected[4])
 }
 
 func TestARequestThatWouldWaitLongerThanItsTimeIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
 	for subject := range 20 {
-		_, verdict := w.Choose(w.now, w.request("review", subject))
-		require.Equal(t, Chosen, verdict.Kind)
+		_, verdict := w.Pick(w.now, w.request("review", subject))
+		require.Equal(t, Picked, verdict.Kind)
 	}
 	short := w.request("review", 1)
 	short.TimeLeft = time.Second
-	_, verdict := w.Choose(w.now, short)
-	assert.Equal(t, RefuseRetryAfter, verdict.Kind)
+	_, verdict := w.Pick(w.now, short)
+	assert.Equal(t, Reject, verdict.Kind)
 	assert.Positive(t, verdict.Delay)
-	_, verdict = w.Choose(w.now, w.request("review", 1))
-	assert.Equal(t, Chosen, verdict.Kind, "it has the time")
+	_, verdict = w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Picked, verdict.Kind, "it has the time")
 }
 
 func TestSilenceOnEveryCallPutsAnEndpointAside(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
-	choice, _ := w.Choose(w.now, w.request("review", 1))
-	e := choice.Ticket.call.endpoint
+	choice, _ := w.Pick(w.now, w.request("review", 1))
+	e := choice.Reservation.call.endpoint
 	w.now = w.now.Add(800 * time.Millisecond)
-	other, _ := w.Choose(w.now, w.request("review", 1))
+	other, _ := w.Pick(w.now, w.request("review", 1))
 	assert.NotEqual(t, choice.Endpoint.ID, other.Endpoint.ID, "overdue")
 	w.now = w.now.Add(4 * time.Second)
-	w.Finished(w.now, choice.Ticket, attempt.Canceled)
-	assert.True(t, e.health.ejected())
-	assert.True(t, w.now.Before(e.health.heldUntil))
+	w.ReportOutcome(w.now, choice.Reservation, attempt.Canceled)
+	assert.True(t, e.health.isEjected())
+	assert.True(t, w.now.Before(e.health.backoffUntil))
 }
 
 func TestAClientThatLeavesSaysNothingOfAnEndpointThatAnswers(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
-	choice, _ := w.Choose(w.now, w.request("review", 1))
-	w.FirstByte(w.now.Add(time.Second), choice.Ticket)
-	w.Finished(w.now.Add(20*time.Second), choice.Ticket, attempt.Canceled)
-	e := choice.Ticket.call.endpoint
-	assert.Zero(t, e.health.failures)
-	assert.Zero(t, e.health.failing)
+	choice, _ := w.Pick(w.now, w.request("review", 1))
+	w.ReportProgress(w.now.Add(time.Second), choice.Reservation)
+	w.ReportOutcome(w.now.Add(20*time.Second), choice.Reservation, attempt.Canceled)
+	e := choice.Reservation.call.endpoint
+	assert.Zero(t, e.health.consecutiveFailures)
+	assert.Zero(t, e.health.failureRate)
 }
 
 func TestARefusalOfWhatIsTooLargeSaysNothingOfLoad(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
 	request := w.request("review", 1)
 	request.PromptTokens = 200_000
-	choice, _ := w.Choose(w.now, request)
-	e := choice.Ticket.call.endpoint
+	choice, _ := w.Pick(w.now, request)
+	e := choice.Reservation.call.endpoint
 	window := e.window
-	w.Finished(w.now.Add(time.Millisecond), choice.Ticket, attempt.Refused)
+	w.ReportOutcome(w.now.Add(time.Millisecond), choice.Reservation, attempt.Refused)
 	assert.Equal(t, window, e.window)
-	assert.False(t, w.now.Before(e.health.heldUntil))
+	assert.False(t, w.now.Before(e.health.backoffUntil))
 }
 
 func TestAColdEndpointOwnsNoPrefix(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
 	request := w.request("review", 1)
-	first, _ := w.Choose(w.now, request)
-	w.Finished(w.now, first.Ticket, attempt.Succeeded)
+	first, _ := w.Pick(w.now, request)
+	w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
 	for index := range w.view.Endpoints {
 		if info := &w.view.Endpoints[index]; info.ID == first.Endpoint.ID {
 			info.Sequence, info.ColdLeftMillis = 2, 60_000
@@ -109,10 +109,10 @@
 	w.tell()
 	met := map[string]int{}
 	for range 10 {
-		choice, _ := w.Choose(w.now, w.request("review", 1))
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
+		choice, _ := w.Pick(w.now, w.request("review", 1))
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		met[choice.Endpoint.ID]++
-		w.endpoints[first.Endpoint.ID].prefixes.forget()
+		w.endpoints[first.Endpoint.ID].prefixCache.clear()
 	}
 	assert.Zero(t, met[first.Endpoint.ID])
 	assert.Len(t, met, 1, "one stands in")
@@ -122,8 +122,8 @@
 	w := newWorld(t, "e1", plainEndpoints("plain", "e1", "e2", "w1")...)
 	count := map[string]int{}
 	for range 4 {
-		choice, verdict := w.Choose(w.now, w.request("plain", 0))
-		require.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.request("plain", 0))
+		require.Equal(t, Picked, verdict.Kind)
 		count[choice.Endpoint.Zone]++
 	}
 	assert.Equal(t, map[string]int{"e1": 2, "e2": 2}, count)
--- a/serving/placement/helpers_test.go
+++ b/serving/placement/helpers_test.go
@@ -60,15 +60,15 @@
 
 // world is a placer and what it is told.
 type world struct {
-	*Placer
-	view View
+	*Picker
+	view Snapshot
 	now  time.Time
 }
 
 func newWorld(t testing.TB, zone string, endpoints ...state.Endpoint) *world {
-	w := &world{now: begin.Add(10 * time.Second), Placer: New(Options{Name: "proxy-" + zone, Zone: zone,
-		Region: regions[zone], Regions: regions, Bounds: bounds, Seed: 7, Started: begin})}
-	w.view = View{Routing: testDocument(t), Endpoints: endpoints, Record: &state.Record{Revision: 1},
+	w := &world{now: begin.Add(10 * time.Second), Picker: New(Options{Name: "proxy-" + zone, Zone: zone,
+		Region: regions[zone], Regions: regions, Bounds: bounds, Seed: 7, StartedAt: begin})}
+	w.view = Snapshot{Routing: testDocument(t), Endpoints: endpoints, Record: &state.Record{Revision: 1},
 		Proxies: subscription.Proxies{Live: 3, Most: 3, Region: 2}}
 	w.tell()
 	return w
@@ -87,15 +87,15 @@
 
 // request is one on the named route, with a prompt that shares its first two parts with others of the subject.
 func (w *world) request(route string, subject int) Request {
-	parts := []Part{{"b" + fmt.Sprint(subject%4), 2500}, {"s" + fmt.Sprint(subject), 3800}, {"own", 2000}}
-	return Request{Route: w.route(route), Model: "m", PromptTokens: 8300, OutputTokens: 50, Parts: parts,
+	parts := []PrefixBlock{{"b" + fmt.Sprint(subject%4), 2500}, {"s" + fmt.Sprint(subject), 3800}, {"own", 2000}}
+	return Request{Route: w.route(route), Model: "m", PromptTokens: 8300, MaxOutputTokens: 50, Blocks: parts,
 		TimeLeft: 6 * time.Second}
 }
 
 // shortRequest is one with a prompt whose shared part is read faster than another region is reached.
 func (w *world) shortRequest(route string, subject int) Request {
 	request := w.request(route, subject)
-	request.Parts = []Part{{"s" + fmt.Sprint(subject), 600}, {"own", 2000}}
+	request.Blocks = []PrefixBlock{{"s" + fmt.Sprint(subject), 600}, {"own", 2000}}
 	request.PromptTokens = 2600
 	return request
 }
--- a/serving/placement/keeper_test.go
+++ b/serving/placement/keeper_test.go
@@ -15,9 +15,9 @@
 	all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
 	east, west := newWorld(t, "e1", all...), newWorld(t, "w1", all...)
 	place := func(w *world, request Request) string {
-		choice, verdict := w.Choose(w.now, request)
-		require.Equal(t, Chosen, verdict.Kind)
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
+		choice, verdict := w.Pick(w.now, request)
+		require.Equal(t, Picked, verdict.Kind)
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		return choice.Endpoint.ID
 	}
 	zones := map[string]int{}
--- a/serving/placement/observe.go
+++ b/serving/placement/observe.go
@@ -6,40 +6,40 @@
 	"rowanlink/serving/state"
 )
 
-// observe returns the observation of an endpoint that is to be told next.
-func (p *Placer) observe(e *endpoint) *state.Observation {
-	if e.observed == (state.Observation{}) {
-		e.observed.EndpointID = e.info.ID
-		p.observed = append(p.observed, e)
+// pendingObservation returns the observation of an endpoint that is to be told next.
+func (p *Picker) pendingObservation(e *endpoint) *state.Observation {
+	if e.observation == (state.Observation{}) {
+		e.observation.EndpointID = e.info.ID
+		p.observedEndpoints = append(p.observedEndpoints, e)
 	}
-	return &e.observed
+	return &e.observation
 }
 
-// Observations returns what there is to tell of endpoints since the last call; nil: nothing.
-func (p *Placer) Observations() (observations []state.Observation) {
+// TakeObservations returns what there is to tell of endpoints since the last call; nil: nothing.
+func (p *Picker) TakeObservations() (observations []state.Observation) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, e := range p.observed {
-		observations = append(observations, e.observed)
-		e.observed = state.Observation{}
+	for _, e := range p.observedEndpoints {
+		observations = append(observations, e.observation)
+		e.observation = state.Observation{}
 	}
-	p.observed = nil
+	p.observedEndpoints = nil
 	return observations
 }
 
-// ToTell tells whether there are observations, and whether one of them is urgent.
-func (p *Placer) ToTell() (any, urgent bool) {
+// PendingObservations tells whether there are observations, and whether one of them is urgent.
+func (p *Picker) PendingObservations() (any, urgent bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, e := range p.observed {
-		urgent = urgent || e.observed.Unacknowledged
+	for _, e := range p.observedEndpoints {
+		urgent = urgent || e.observation.Unacknowledged
 	}
-	return len(p.observed) > 0, urgent
+	return len(p.observedEndpoints) > 0, urgent
 }
 
-// Unacknowledged notes that endpoints, by ID, do not even acknowledge what is sent to them. Where that is so for most
+// ReportUnacknowledged notes that endpoints, by ID, do not even acknowledge what is sent to them. Where that is so for most
 // of those that have calls in flight, the cause is this machine's own link, and it says nothing of them.
-func (p *Placer) Unacknowledged(now time.Time, ids []string) {
+func (p *Picker) ReportUnacknowledged(now time.Time, ids []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	busy := 0
@@ -53,14 +53,14 @@
 	}
 	for _, id := range ids {
 		e := p.endpoints[id]
-		if e == nil || e.closed {
+		if e == nil || e.excluded {
 			continue
 		}
-		if !e.health.ejected() {
-			p.observe(e).Unacknowledged = true
-			e.health.failures = ejectRow
-			e.health.hold(now, ejectRow, e.service.holdLimit(), 1)
-			e.service.countEjected()
+		if !e.health.isEjected() {
+			p.pendingObservation(e).Unacknowledged = true
+			e.health.consecutiveFailures = ejectionThreshold
+			e.health.setBackoff(now, ejectionThreshold, e.service.maxBackoff(), 1)
+			e.service.updateMajorityEjected()
 		}
 	}
 }
--- a/serving/placement/observe_test.go
+++ b/serving/placement/observe_test.go
@@ -16,30 +16,30 @@
 		attempt.Failed: true, attempt.Broken: true, attempt.ConnectFailed: true, attempt.TimedOut: true,
 	} {
 		w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
-		w.judge(w.now, &call{endpoint: w.endpoints["e1-0"], sentAt: w.now}, outcome)
-		some, urgent := w.ToTell()
+		w.applyOutcome(w.now, &call{endpoint: w.endpoints["e1-0"], sentAt: w.now}, outcome)
+		some, urgent := w.PendingObservations()
 		assert.Equal(t, told, some, outcome)
 		assert.False(t, urgent)
-		assert.Equal(t, told, len(w.Observations()) == 1, outcome)
-		assert.Empty(t, w.Observations(), "each is told once")
+		assert.Equal(t, told, len(w.TakeObservations()) == 1, outcome)
+		assert.Empty(t, w.TakeObservations(), "each is told once")
 	}
 }
 
 func TestUnacknowledgedEndpointsArePutAsideAndTold(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
-	w.Unacknowledged(w.now, []string{"e1-0", "unknown"})
-	assert.False(t, w.endpoints["e1-0"].health.ejected(), "two of no calls in flight: the own link")
+	w.ReportUnacknowledged(w.now, []string{"e1-0", "unknown"})
+	assert.False(t, w.endpoints["e1-0"].health.isEjected(), "two of no calls in flight: the own link")
 	for _, e := range w.endpoints {
 		e.inFlight = 1
 	}
-	w.Unacknowledged(w.now, []string{"e1-0"})
-	assert.True(t, w.endpoints["e1-0"].health.ejected())
-	_, urgent := w.ToTell()
+	w.ReportUnacknowledged(w.now, []string{"e1-0"})
+	assert.True(t, w.endpoints["e1-0"].health.isEjected())
+	_, urgent := w.PendingObservations()
 	assert.True(t, urgent)
-	w.Unacknowledged(w.now, []string{"e1-0"})
-	assert.Equal(t, []state.Observation{{EndpointID: "e1-0", Unacknowledged: true}}, w.Observations())
-	w.Unacknowledged(w.now, []string{"e1-0"})
-	assert.Empty(t, w.Observations(), "known already")
+	w.ReportUnacknowledged(w.now, []string{"e1-0"})
+	assert.Equal(t, []state.Observation{{EndpointID: "e1-0", Unacknowledged: true}}, w.TakeObservations())
+	w.ReportUnacknowledged(w.now, []string{"e1-0"})
+	assert.Empty(t, w.TakeObservations(), "known already")
 }
 
 // TestFailingEndpointsAreAvoided: others have told that calls of an endpoint fail.
@@ -48,13 +48,13 @@
 	w.view.Endpoints[0].Failing = true
 	w.tell()
 	for range 20 {
-		choice, verdict := w.Choose(w.now, w.request("urgent", 1))
-		assert.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.request("urgent", 1))
+		assert.Equal(t, Picked, verdict.Kind)
 		assert.NotEqual(t, w.view.Endpoints[0].ID, choice.Endpoint.ID)
 	}
 	for index := range w.view.Endpoints {
 		w.view.Endpoints[index].Failing = true
 	}
 	w.tell()
-	assert.False(t, w.endpoints["e1-0"].doubtful(), "where all fail the cause is elsewhere")
+	assert.False(t, w.endpoints["e1-0"].isSuspect(), "where all fail the cause is elsewhere")
 }
--- a/serving/placement/placement.go
+++ b/serving/placement/placement.go
@@ -1,5 +1,5 @@
 // Package placement chooses the endpoint of each request. It does no I/O: the caller tells what the system knows
-// (Update), asks for a choice (Choose) and reports what came of it (FirstByte, Finished), each with the time of the
+// (Update), asks for a choice (Choose) and reports what came of it (ReportProgress, Finished), each with the time of the
 // steady clock.
 //
 // An endpoint is eligible where the operator's configuration, its own state and the bounds on cold endpoints allow
@@ -25,17 +25,17 @@
 
 // Options are what a placer knows from its process's settings.
 type Options struct {
-	Name    string // of this proxy's machine; decides which cold endpoints it may send to where the share is small
-	Zone    string
-	Region  string
-	Regions map[string]string // region by zone
-	Bounds  settings.Bounds
-	Seed    uint64
-	Started time.Time // of the process; nothing goes to cold endpoints in the first second after it
+	Name      string // of this proxy's machine; decides which cold endpoints it may send to where the share is small
+	Zone      string
+	Region    string
+	Regions   map[string]string // region by zone
+	Bounds    settings.Bounds
+	Seed      uint64
+	StartedAt time.Time // of the process; nothing goes to cold endpoints in the first second after it
 }
 
-// View is what the system knows now, whole.
-type View struct {
+// Snapshot is what the system knows now, whole.
+type Snapshot struct {
 	Routing   *routing.Table
 	Endpoints []state.Endpoint
 	Loads     []state.Load
@@ -43,8 +43,8 @@
 	Proxies   subscription.Proxies
 }
 
-// Part is a part of a prompt. Equal IDs after equal parts stand for equal tokens.
-type Part struct {
+// PrefixBlock is a part of a prompt. Equal IDs after equal parts stand for equal tokens.
+type PrefixBlock struct {
 	ID     string
 	Tokens int
 }
@@ -53,58 +53,58 @@
 type Request struct {
 	Route *routing.Route
 	// Service, where not empty, is the one that an earlier choice for the same request has drawn from a split.
-	Service      string
-	Model        string // empty: any
-	PromptTokens int    // of all parts together
-	OutputTokens int    // the most
-	Parts        []Part // in order; the last one is the request's own or its session's
-	TimeLeft     time.Duration
-	// Waited is the time since the request was taken in. It bounds how long Choose asks to wait.
-	Waited  time.Duration
-	Tried   []string // IDs of endpoints that were tried for this request
-	Resumed bool     // a stream is taken up again
+	Service         string
+	Model           string        // empty: any
+	PromptTokens    int           // of all parts together
+	MaxOutputTokens int           // the most
+	Blocks          []PrefixBlock // in order; the last one is the request's own or its session's
+	TimeLeft        time.Duration
+	// QueuedFor is the time since the request was taken in. It bounds how long Choose asks to wait.
+	QueuedFor      time.Duration
+	TriedEndpoints []string // IDs of endpoints that were tried for this request
+	Resumed        bool     // a stream is taken up again
 }
 
-// VerdictKind is what to do with a request.
-type VerdictKind uint8
+// DecisionKind is what to do with a request.
+type DecisionKind uint8
 
 // The verdicts.
 const (
-	Chosen           VerdictKind = iota // send it to the choice
-	Wait                                // ask again after Verdict.Delay
-	RefuseRetryAfter                    // refuse it and tell the client to come back after Verdict.Delay
+	Picked DecisionKind = iota // send it to the choice
+	Wait                       // ask again after Verdict.Delay
+	Reject                     // refuse it and tell the client to come back after Verdict.Delay
 )
 
-// Verdict is the answer to a request for a choice.
-type Verdict struct {
-	Kind  VerdictKind
+// Decision is the answer to a request for a choice.
+type Decision struct {
+	Kind  DecisionKind
 	Delay time.Duration
 }
 
 // Choice is the endpoint that a request goes to.
 type Choice struct {
-	Endpoint state.Endpoint
-	Ticket   Ticket
-	// ExpectFirst is the estimated time until the first byte of the answer.
-	ExpectFirst time.Duration
+	Endpoint    state.Endpoint
+	Reservation Reservation
+	// ExpectedFirstByte is the estimated time until the first byte of the answer.
+	ExpectedFirstByte time.Duration
 	// Quick: the prompt is read in a moment and should go first in the endpoint's queue, whatever its route's rank.
-	Quick bool
+	ShortPrefill bool
 }
 
-// Ticket stands for a call that was chosen. Each must end in Finished. The zero value is ignored.
-type Ticket struct{ call *call }
+// Reservation stands for a call that was chosen. Each must end in Finished. The zero value is ignored.
+type Reservation struct{ call *call }
 
 // call is one request at one endpoint, from the choice to its end.
 type call struct {
-	endpoint   *endpoint
-	sentAt     time.Time
-	rank       int  // level of urgency
-	heard      bool // a first byte came
-	finished   bool
-	uncached   int           // prompt tokens that the endpoint is believed to read
-	tokens     int           // memory that the call may take
-	queueAhead int           // tokens of own calls that were unread when it was sent
-	computed   time.Duration // until the first byte, without the waiting that was seen of late
-	expected   time.Duration // the same with it
-	way        time.Duration
+	endpoint          *endpoint
+	sentAt            time.Time
+	priority          int  // level of urgency
+	gotFirstByte      bool // a first byte came
+	finished          bool
+	uncachedTokens    int           // prompt tokens that the endpoint is believed to read
+	reservedTokens    int           // memory that the call may take
+	tokensAhead       int           // tokens of own calls that were unread when it was sent
+	modeledFirstByte  time.Duration // until the first byte, without the waiting that was seen of late
+	expectedFirstByte time.Duration // the same with it
+	pathLatency       time.Duration
 }
--- a/serving/placement/placer.go
+++ b/serving/placement/placer.go
@@ -9,83 +9,83 @@
 	"rowanlink/serving/state"
 )
 
-// Placer chooses endpoints for one proxy. It is safe for use by several goroutines; calls are short.
-type Placer struct {
-	mutex    sync.Mutex
-	options  Options
-	nameHash uint64
-	random   *mwcrand.Source
-	proxies  int // the most that were told of
+// Picker chooses endpoints for one proxy. It is safe for use by several goroutines; calls are short.
+type Picker struct {
+	mutex      sync.Mutex
+	options    Options
+	nameHash   uint64
+	random     *mwcrand.Source
+	proxyCount int // the most that were told of
 
-	routing   *routing.Table
-	services  map[string]*service
-	endpoints map[string]*endpoint // by ID
-	zones     map[string]*zone     // by name
-	evacuated map[string]bool      // by zone
-	reopened  map[string]time.Time // by zone: when its last evacuation was taken back
-	viewed    bool                 // a record has come
-	chain     chain                // of the request in hand
-	near      int                  // proxies in this one's region, itself included
-	observed  []*endpoint          // those of which there is something to tell
+	routing           *routing.Table
+	services          map[string]*service
+	endpoints         map[string]*endpoint // by ID
+	zones             map[string]*zone     // by name
+	evacuated         map[string]bool      // by zone
+	evacuationEndedAt map[string]time.Time // by zone: when its last evacuation was taken back
+	hasRecord         bool                 // a record has come
+	chain             blockChain           // of the request in hand
+	proxiesInRegion   int                  // proxies in this one's region, itself included
+	observedEndpoints []*endpoint          // those of which there is something to tell
 }
 
 // New makes a placer that knows nothing yet.
-func New(options Options) *Placer {
-	return &Placer{
-		options:   options,
-		nameHash:  hashText(hashStart, options.Name),
-		random:    mwcrand.New(options.Seed),
-		services:  map[string]*service{},
-		endpoints: map[string]*endpoint{},
-		zones:     map[string]*zone{},
-		evacuated: map[string]bool{},
-		reopened:  map[string]time.Time{},
-		near:      1,
+func New(options Options) *Picker {
+	return &Picker{
+		options:           options,
+		nameHash:          hashString(fnvOffset, options.Name),
+		random:            mwcrand.New(options.Seed),
+		services:          map[string]*service{},
+		endpoints:         map[string]*endpoint{},
+		zones:             map[string]*zone{},
+		evacuated:         map[string]bool{},
+		evacuationEndedAt: map[string]time.Time{},
+		proxiesInRegion:   1,
 	}
 }
 
 // Update takes in what the system knows now, whole.
-func (p *Placer) Update(now time.Time, view View) {
+func (p *Picker) Update(now time.Time, view Snapshot) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.options.Started.IsZero() {
-		p.options.Started = now
+	if p.options.StartedAt.IsZero() {
+		p.options.StartedAt = now
 	}
-	p.countProxies(view.Proxies)
-	p.configure(view.Routing)
+	p.updateProxyCount(view.Proxies)
+	p.applyRouting(view.Routing)
 	for _, known := range p.services {
-		known.shareConnections(p.proxies)
+		known.updateConnectionLimit(p.proxyCount)
 	}
-	p.evacuate(now, view.Record)
-	p.replace(now, view.Endpoints)
+	p.applyEvacuations(now, view.Record)
+	p.replaceEndpoints(now, view.Endpoints)
 	for _, load := range view.Loads {
-		p.takeLoad(now, load)
+		p.updateLoad(now, load)
 	}
 }
 
-// configure points the services at a new configuration.
-func (p *Placer) configure(table *routing.Table) {
+// applyRouting points the services at a new configuration.
+func (p *Picker) applyRouting(table *routing.Table) {
 	if table == p.routing {
 		return
 	}
 	p.routing = table
 	for name, known := range p.services {
-		known.config = configOf(table, name)
+		known.config = serviceConfig(table, name)
 	}
 }
 
-func (p *Placer) service(name string) *service {
+func (p *Picker) ensureService(name string) *service {
 	known := p.services[name]
 	if known == nil {
 		known = newService(name)
-		known.config = configOf(p.routing, name)
-		known.shareConnections(p.proxies)
+		known.config = serviceConfig(p.routing, name)
+		known.updateConnectionLimit(p.proxyCount)
 		p.services[name] = known
 	}
 	return known
 }
 
-func configOf(table *routing.Table, name string) *routing.Service {
+func serviceConfig(table *routing.Table, name string) *routing.Service {
 	if table == nil {
 		return nil
 	}
@@ -93,17 +93,17 @@
 	return config
 }
 
-// evacuate takes in the record's evacuations. The endpoints of a zone that comes back may have turned cold.
-func (p *Placer) evacuate(now time.Time, record *state.Record) {
+// applyEvacuations takes in the record's evacuations. The endpoints of a zone that comes back may have turned cold.
+func (p *Picker) applyEvacuations(now time.Time, record *state.Record) {
 	if record == nil {
 		return
 	}
 	for _, evacuation := range record.Evacuations {
-		ended := !evacuation.Active && (p.evacuated[evacuation.Zone] || !p.viewed)
+		ended := !evacuation.Active && (p.evacuated[evacuation.Zone] || !p.hasRecord)
 		p.evacuated[evacuation.Zone] = evacuation.Active
 		if ended {
-			p.reopen(now, evacuation.Zone)
+			p.endEvacuation(now, evacuation.Zone)
 		}
 	}
-	p.viewed = true
+	p.hasRecord = true
 }
--- a/serving/placement/prefixes.go
+++ b/serving/placement/prefixes.go
@@ -1,7 +1,7 @@
 package placement
 
-// prefixesMost bounds the parts remembered for one endpoint; the memory is this process's.
-const prefixesMost = 512
+// maxPrefixEntries bounds the parts remembered for one endpoint; the memory is this process's.
+const maxPrefixEntries = 512
 
 // prefixEntry is a part that an endpoint was sent, in a list from the most to the least recently used.
 type prefixEntry struct {
@@ -11,37 +11,37 @@
 	older  *prefixEntry
 }
 
-// prefixes holds the parts of prompts that an endpoint is believed to keep: those that this proxy has sent there,
+// prefixCache holds the parts of prompts that an endpoint is believed to keep: those that this proxy has sent there,
 // the least recently used giving way as they do at the endpoint.
-type prefixes struct {
-	entries map[uint64]*prefixEntry
-	newest  *prefixEntry
-	oldest  *prefixEntry
-	tokens  int
-	limit   int // tokens
+type prefixCache struct {
+	entries    map[uint64]*prefixEntry
+	newest     *prefixEntry
+	oldest     *prefixEntry
+	tokens     int
+	tokenLimit int // tokens
 }
 
-// cached is the number of tokens of a chain that are kept: a part counts only if all before it are kept.
-func (p *prefixes) cached(c *chain) (tokens int) {
-	for index, hash := range c.hashes {
+// cachedTokens is the number of tokens of a chain that are kept: a part counts only if all before it are kept.
+func (p *prefixCache) cachedTokens(c *blockChain) (tokens int) {
+	for index, hash := range c.prefixHashes {
 		if p.entries[hash] == nil {
 			break
 		}
-		tokens += c.tokens[index]
+		tokens += c.blockTokens[index]
 	}
 	return tokens
 }
 
-// use notes that a chain was sent. The last part goes in first, so that the parts that more requests share are the
+// touch notes that a chain was sent. The last part goes in first, so that the parts that more requests share are the
 // last to give way.
-func (p *prefixes) use(c *chain) {
+func (p *prefixCache) touch(c *blockChain) {
 	if p.entries == nil {
 		p.entries = map[uint64]*prefixEntry{}
 	}
-	for index := len(c.hashes) - 1; index >= 0; index-- {
-		entry := p.entries[c.hashes[index]]
+	for index := len(c.prefixHashes) - 1; index >= 0; index-- {
+		entry := p.entries[c.prefixHashes[index]]
 		if entry == nil {
-			entry = &prefixEntry{hash: c.hashes[index], tokens: c.tokens[index]}
+			entry = &prefixEntry{hash: c.prefixHashes[index], tokens: c.blockTokens[index]}
 			p.entries[entry.hash] = entry
 			p.tokens += entry.tokens
 		} else {
@@ -49,21 +49,21 @@
 		}
 		p.link(entry)
 	}
-	for p.oldest != nil && (p.tokens > p.limit || len(p.entries) > prefixesMost) {
-		p.drop(p.oldest)
+	for p.oldest != nil && (p.tokens > p.tokenLimit || len(p.entries) > maxPrefixEntries) {
+		p.evict(p.oldest)
 	}
 }
 
-// forget drops everything: the endpoint has started anew or was away.
-func (p *prefixes) forget() { p.entries, p.newest, p.oldest, p.tokens = nil, nil, nil, 0 }
+// clear drops everything: the endpoint has started anew or was away.
+func (p *prefixCache) clear() { p.entries, p.newest, p.oldest, p.tokens = nil, nil, nil, 0 }
 
-func (p *prefixes) drop(entry *prefixEntry) {
+func (p *prefixCache) evict(entry *prefixEntry) {
 	p.unlink(entry)
 	delete(p.entries, entry.hash)
 	p.tokens -= entry.tokens
 }
 
-func (p *prefixes) link(entry *prefixEntry) {
+func (p *prefixCache) link(entry *prefixEntry) {
 	entry.older, entry.newer = p.newest, nil
 	if p.newest != nil {
 		p.newest.newer = entry
@@ -74,7 +74,7 @@
 	}
 }
 
-func (p *prefixes) unlink(entry *prefixEntry) {
+func (p *prefixCache) unlink(entry *prefixEntry) {
 	if entry.newer != nil {
 		entry.newer.older = entry.older
 	} else {
--- a/serving/placement/simulate_test.go
+++ b/serving/placement/simulate_test.go
@@ -19,9 +19,9 @@
 	due       timerqueue.Times[func()]
 	random    *mwcrand.Source
 	endpoints []state.Endpoint
-	proxies   []*Placer
-	zones     map[string][]*Placer
-	view      View
+	proxies   []*Picker
+	zones     map[string][]*Picker
+	view      Snapshot
 	engines   map[string]*engine
 
 	answered  int
@@ -39,7 +39,7 @@
 	queue   []*simulated
 	reading bool
 	running int
-	cache   prefixes
+	cache   prefixCache
 	dark    bool
 	slow    float64 // times as long for everything; 1: as told
 	read    int
@@ -48,13 +48,13 @@
 // simulated is one request of the simulation.
 type simulated struct {
 	kind     kind
-	proxy    *Placer
+	proxy    *Picker
 	request  Request
 	sentAt   time.Duration // first asked
-	ticket   Ticket
+	ticket   Reservation
 	engine   *engine
 	endpoint state.Endpoint
-	chain    chain
+	chain    blockChain
 }
 
 // kind is a class of requests of the simulated traffic, a second over all zones.
@@ -83,7 +83,7 @@
 )
 
 func newSimulation(t testing.TB, seed uint64, endpoints []state.Endpoint, proxies map[string]int) *simulation {
-	s := &simulation{random: mwcrand.New(seed), engines: map[string]*engine{}, endpoints: endpoints, zones: map[string][]*Placer{},
+	s := &simulation{random: mwcrand.New(seed), engines: map[string]*engine{}, endpoints: endpoints, zones: map[string][]*Picker{},
 		known: map[string]bool{}}
 	total := 0
 	for _, count := range proxies {
@@ -93,15 +93,15 @@
 	for _, zone := range []string{"e1", "e2", "w1"} {
 		for index := range proxies[zone] {
 			p := New(Options{Name: fmt.Sprint(zone, index), Zone: zone, Region: regions[zone], Regions: regions, Bounds: bounds,
-				Seed: seed + uint64(len(s.proxies)), Started: begin})
-			s.view = View{Routing: table, Endpoints: endpoints, Proxies: subscription.Proxies{Live: total, Most: total, Region: total / 2}}
+				Seed: seed + uint64(len(s.proxies)), StartedAt: begin})
+			s.view = Snapshot{Routing: table, Endpoints: endpoints, Proxies: subscription.Proxies{Live: total, Most: total, Region: total / 2}}
 			p.Update(begin, s.view)
 			s.proxies = append(s.proxies, p)
 			s.zones[zone] = append(s.zones[zone], p)
 		}
 	}
 	for _, info := range endpoints {
-		s.engines[info.ID] = &engine{cache: prefixes{limit: 140_000}, slow: 1}
+		s.engines[info.ID] = &engine{cache: prefixCache{tokenLimit: 140_000}, slow: 1}
 	}
 	return s
 }
@@ -147,7 +147,7 @@
 		own := int(s.lognormal(k.own, k.spread)) + 1
 		r := &simulated{kind: k, proxy: proxies[int(s.random.Float()*float64(len(proxies)))], sentAt: s.now}
 		r.request = Request{Route: route, Model: "m", PromptTokens: k.base + k.subject + own,
-			OutputTokens: int(4 * k.events), TimeLeft: route.Timeout, Parts: []Part{{fmt.Sprint(k.route, subject%4), k.base},
+			MaxOutputTokens: int(4 * k.events), TimeLeft: route.Timeout, Blocks: []PrefixBlock{{fmt.Sprint(k.route, subject%4), k.base},
 				{fmt.Sprint(k.route, "s", subject), k.subject}, {fmt.Sprint("own", s.random.Float()), own}}}
 		s.place(r)
 		s.arrive(table, zone, k, rate)
@@ -156,22 +156,22 @@
 
 // place asks for a choice until there is one or the request is refused.
 func (s *simulation) place(r *simulated) {
-	r.request.Waited = s.now - r.sentAt
-	r.request.TimeLeft = r.request.Route.Timeout - r.request.Waited
-	choice, verdict := r.proxy.Choose(s.at(), r.request)
+	r.request.QueuedFor = s.now - r.sentAt
+	r.request.TimeLeft = r.request.Route.Timeout - r.request.QueuedFor
+	choice, verdict := r.proxy.Pick(s.at(), r.request)
 	switch verdict.Kind {
 	case Wait:
 		s.after(verdict.Delay, func() { s.place(r) })
-	case RefuseRetryAfter:
+	case Reject:
 		s.refused++
-	case Chosen:
-		r.ticket, r.endpoint, r.engine = choice.Ticket, choice.Endpoint, s.engines[choice.Endpoint.ID]
-		r.chain = chainOf(chain{}, r.request.Parts)
+	case Picked:
+		r.ticket, r.endpoint, r.engine = choice.Reservation, choice.Endpoint, s.engines[choice.Endpoint.ID]
+		r.chain = hashBlocks(blockChain{}, r.request.Blocks)
 		if r.engine.dark {
 			s.meetDark(r)
 			return
 		}
-		s.after(r.proxy.way(choice.Ticket.call.endpoint)/2, func() { r.engine.enter(s, r) })
+		s.after(r.proxy.pathLatency(choice.Reservation.call.endpoint)/2, func() { r.engine.enter(s, r) })
 	}
 }
 
--- a/serving/placement/simulated_engine_test.go
+++ b/serving/placement/simulated_engine_test.go
@@ -25,7 +25,7 @@
 	r := e.queue[0]
 	e.queue = e.queue[1:]
 	e.reading = true
-	tokens := r.request.PromptTokens - e.cache.cached(&r.chain)
+	tokens := r.request.PromptTokens - e.cache.cachedTokens(&r.chain)
 	s.countRead(r, e)
 	e.read += tokens
 	steps := float64(tokens/simulatedChunk+1) * e.step()
@@ -33,7 +33,7 @@
 	s.after(took, func() {
 		e.reading = false
 		e.running++
-		e.cache.use(&r.chain)
+		e.cache.touch(&r.chain)
 		s.after(simulatedFirst, func() { s.first(r) })
 		e.next(s)
 	})
@@ -44,10 +44,10 @@
 
 // countRead notes shared parts that are read though an endpoint of the region has read them.
 func (s *simulation) countRead(r *simulated, e *engine) {
-	for index, hash := range r.chain.hashes[:r.chain.shared] {
-		name := regions[r.endpoint.Zone] + r.request.Parts[index].ID
+	for index, hash := range r.chain.prefixHashes[:r.chain.sharedBlocks] {
+		name := regions[r.endpoint.Zone] + r.request.Blocks[index].ID
 		if s.known[name] && e.cache.entries[hash] == nil {
-			s.readAgain += r.chain.tokens[index]
+			s.readAgain += r.chain.blockTokens[index]
 		}
 		s.known[name] = true
 	}
@@ -55,9 +55,9 @@
 
 // first passes the first event on and lets the rest follow.
 func (s *simulation) first(r *simulated) {
-	way := r.proxy.way(r.ticket.call.endpoint) / 2
+	way := r.proxy.pathLatency(r.ticket.call.endpoint) / 2
 	s.after(way, func() {
-		r.proxy.FirstByte(s.at(), r.ticket)
+		r.proxy.ReportProgress(s.at(), r.ticket)
 		wait := s.now - r.sentAt
 		s.waits = append(s.waits, wait)
 		s.answered++
@@ -72,7 +72,7 @@
 	rest := time.Duration(4 * events * r.engine.step() * r.engine.slow * float64(time.Millisecond))
 	s.after(rest+way, func() {
 		r.engine.running--
-		r.proxy.Finished(s.at(), r.ticket, attempt.Succeeded)
+		r.proxy.ReportOutcome(s.at(), r.ticket, attempt.Succeeded)
 	})
 }
 
--- a/serving/placement/simulated_trouble_test.go
+++ b/serving/placement/simulated_trouble_test.go
@@ -28,14 +28,14 @@
 	}
 	s.after(simulatedPatience, func() {
 		s.lost++
-		r.proxy.Finished(s.at(), r.ticket, attempt.Canceled)
+		r.proxy.ReportOutcome(s.at(), r.ticket, attempt.Canceled)
 	})
 }
 
 // again ends an attempt and makes another.
 func (s *simulation) again(r *simulated, outcome attempt.Outcome) {
-	r.proxy.Finished(s.at(), r.ticket, outcome)
-	r.request.Tried = append(r.request.Tried, r.endpoint.ID)
+	r.proxy.ReportOutcome(s.at(), r.ticket, outcome)
+	r.request.TriedEndpoints = append(r.request.TriedEndpoints, r.endpoint.ID)
 	s.place(r)
 }
 
--- a/serving/placement/size_benchmark_test.go
+++ b/serving/placement/size_benchmark_test.go
@@ -24,9 +24,9 @@
 		})
 		b.Run(fmt.Sprintf("choose/%d", count), func(b *testing.B) {
 			for b.Loop() {
-				choice, verdict := w.Choose(w.now, w.request("urgent", 1))
-				if verdict.Kind == Chosen {
-					w.Finished(w.now, choice.Ticket, 0)
+				choice, verdict := w.Pick(w.now, w.request("urgent", 1))
+				if verdict.Kind == Picked {
+					w.ReportOutcome(w.now, choice.Reservation, 0)
 				}
 			}
 		})
--- a/serving/placement/subset_test.go
+++ b/serving/placement/subset_test.go
@@ -15,27 +15,27 @@
 // named makes a world of a proxy of the name in zone e1.
 func named(t *testing.T, name string, endpoints ...state.Endpoint) *world {
 	w := newWorld(t, "e1", endpoints...)
-	w.Placer = New(Options{Name: name, Zone: "e1", Region: "east", Regions: regions, Bounds: bounds, Seed: 7, Started: begin})
+	w.Picker = New(Options{Name: name, Zone: "e1", Region: "east", Regions: regions, Bounds: bounds, Seed: 7, StartedAt: begin})
 	w.tell()
 	return w
 }
 
 // ownPrompt is a request whose prompt shares nothing with others.
 func (w *world) ownPrompt(number int) Request {
-	return Request{Route: w.route("review"), Model: "m", PromptTokens: 600, OutputTokens: 300,
-		Parts: []Part{{fmt.Sprint("own", number), 600}}, TimeLeft: 6 * time.Second}
+	return Request{Route: w.route("review"), Model: "m", PromptTokens: 600, MaxOutputTokens: 300,
+		Blocks: []PrefixBlock{{fmt.Sprint("own", number), 600}}, TimeLeft: 6 * time.Second}
 }
 
 // use sends requests one after the other, each answered after some time, and counts them by endpoint.
 func (w *world) use(t *testing.T, requests int, first func(id string) time.Duration) map[string]int {
 	met := map[string]int{}
 	for number := range requests {
-		choice, verdict := w.Choose(w.now, w.ownPrompt(number))
-		require.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.ownPrompt(number))
+		require.Equal(t, Picked, verdict.Kind)
 		met[choice.Endpoint.ID]++
 		w.now = w.now.Add(first(choice.Endpoint.ID))
-		w.FirstByte(w.now, choice.Ticket)
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
+		w.ReportProgress(w.now, choice.Reservation)
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
 	return met
 }
@@ -77,7 +77,7 @@
 		}
 	}
 	assert.Greater(t, outside, 40)
-	w.now = w.now.Add(5 * decaySpan)
+	w.now = w.now.Add(5 * decayTimeConstant)
 	for id := range w.use(t, 20, usual) {
 		assert.Contains(t, own, id)
 	}
@@ -106,8 +106,8 @@
 	endpoints := modelEndpoints("e1", 30)
 	one, other := named(t, "one", endpoints...), named(t, "other", endpoints...)
 	for subject := range 20 {
-		first, _ := one.Choose(one.now, one.request("review", subject))
-		second, _ := other.Choose(other.now, other.request("review", subject))
+		first, _ := one.Pick(one.now, one.request("review", subject))
+		second, _ := other.Pick(other.now, other.request("review", subject))
 		assert.Equal(t, first.Endpoint.ID, second.Endpoint.ID)
 	}
 }
@@ -118,11 +118,11 @@
 	w.use(t, 40, func(string) time.Duration { return 400 * time.Millisecond })
 	service := w.services["model"]
 	for _, e := range service.endpoints {
-		assert.Greater(t, e.delay(w.now, rankOf(1)), 100*time.Millisecond, e.info.ID)
+		assert.Greater(t, e.expectedQueueDelay(w.now, priorityOf(1)), 100*time.Millisecond, e.info.ID)
 	}
-	later := w.now.Add(10 * decaySpan)
+	later := w.now.Add(10 * decayTimeConstant)
 	for _, e := range service.endpoints {
-		assert.Less(t, e.delay(later, rankOf(1)), time.Millisecond)
+		assert.Less(t, e.expectedQueueDelay(later, priorityOf(1)), time.Millisecond)
 	}
 }
 
@@ -130,10 +130,10 @@
 func TestWaysAreMeasured(t *testing.T) {
 	w := newWorld(t, "e1", append(modelEndpoints("e1", 2), modelEndpoints("w1", 2)...)...)
 	far := w.endpoints["w1-0"]
-	assert.Equal(t, wayRegions, w.way(far))
-	assert.Equal(t, wayRegions, w.farWay())
+	assert.Equal(t, crossRegionLatency, w.pathLatency(far))
+	assert.Equal(t, crossRegionLatency, w.longestPathLatency())
 	w.SetRoundTrips(map[string]time.Duration{"w1": 200 * time.Millisecond, "e1": time.Millisecond})
-	assert.Equal(t, 200*time.Millisecond+wayZone, w.way(far))
-	assert.Equal(t, 200*time.Millisecond+wayZone, w.farWay())
-	assert.Equal(t, time.Millisecond+wayZone, w.way(w.endpoints["e1-0"]))
+	assert.Equal(t, 200*time.Millisecond+sameZoneLatency, w.pathLatency(far))
+	assert.Equal(t, 200*time.Millisecond+sameZoneLatency, w.longestPathLatency())
+	assert.Equal(t, time.Millisecond+sameZoneLatency, w.pathLatency(w.endpoints["e1-0"]))
 }
--- a/serving/placement/update.go
+++ b/serving/placement/update.go
@@ -7,100 +7,100 @@
 	"rowanlink/serving/state"
 )
 
-// replace takes in all endpoints. Those that are no longer told of are forgotten.
-func (p *Placer) replace(now time.Time, all []state.Endpoint) {
+// replaceEndpoints takes in all endpoints. Those that are no longer told of are forgotten.
+func (p *Picker) replaceEndpoints(now time.Time, all []state.Endpoint) {
 	for _, known := range p.endpoints {
-		known.present = false
+		known.inSnapshot = false
 	}
 	for _, s := range p.services {
 		s.endpoints = s.endpoints[:0]
 	}
 	for index := range all {
-		e := p.take(now, &all[index])
+		e := p.updateEndpoint(now, &all[index])
 		e.service.endpoints = append(e.service.endpoints, e)
 	}
 	for id, known := range p.endpoints {
-		if !known.present {
+		if !known.inSnapshot {
 			delete(p.endpoints, id)
 		}
 	}
 	for _, s := range p.services {
-		s.group()
-		p.drawSubsets(s)
+		s.groupByRegion()
+		p.selectSubsets(s)
 	}
 }
 
-// take brings one endpoint up to date.
-func (p *Placer) take(now time.Time, info *state.Endpoint) *endpoint {
+// updateEndpoint brings one endpoint up to date.
+func (p *Picker) updateEndpoint(now time.Time, info *state.Endpoint) *endpoint {
 	e := p.endpoints[info.ID]
 	if e == nil || e.service.name != info.Service {
-		e = newEndpoint(p.service(info.Service), *info)
-		e.cold.reopenedAt = p.reopened[info.Zone]
+		e = newEndpoint(p.ensureService(info.Service), *info)
+		e.warmup.evacuationEndedAt = p.evacuationEndedAt[info.Zone]
 		p.endpoints[info.ID] = e
-		e.takeCold(now, info)
+		e.updateWarmup(now, info)
 	} else if info.Sequence > e.info.Sequence {
-		e.lost = false
-		e.takeCold(now, info)
+		e.replaced = false
+		e.updateWarmup(now, info)
 	}
-	e.info, e.present = *info, true
+	e.info, e.inSnapshot = *info, true
 	e.region = p.options.Regions[info.Zone]
-	e.zone = p.zone(info.Zone)
-	e.prefixes.limit = e.service.cacheTokens() / 2 // the other half is left to running requests and others' parts
-	e.closed = e.lost || info.State != state.Accepting || p.evacuated[info.Zone]
+	e.zone = p.ensureZone(info.Zone)
+	e.prefixCache.tokenLimit = e.service.cacheTokens() / 2 // the other half is left to running requests and others' parts
+	e.excluded = e.replaced || info.State != state.Accepting || p.evacuated[info.Zone]
 	return e
 }
 
-// takeCold reads from newer word how long the endpoint stays cold, counted from now: too long rather than too short.
-func (e *endpoint) takeCold(now time.Time, info *state.Endpoint) {
+// updateWarmup reads from newer word how long the endpoint stays cold, counted from now: too long rather than too short.
+func (e *endpoint) updateWarmup(now time.Time, info *state.Endpoint) {
 	if info.ColdLeftMillis > 0 {
 		left := time.Duration(info.ColdLeftMillis) * time.Millisecond
-		e.cold.toldUntil = now.Add(left + coldMargin)
+		e.warmup.reportedUntil = now.Add(left + warmupMargin)
 		return
 	}
-	e.cold.toldUntil, e.cold.returnUntil = time.Time{}, time.Time{}
+	e.warmup.reportedUntil, e.warmup.recoveryUntil = time.Time{}, time.Time{}
 }
 
-// reopen notes that a zone's evacuation was taken back.
-func (p *Placer) reopen(now time.Time, zone string) {
-	p.reopened[zone] = now
+// endEvacuation notes that a zone's evacuation was taken back.
+func (p *Picker) endEvacuation(now time.Time, zone string) {
+	p.evacuationEndedAt[zone] = now
 	for _, e := range p.endpoints {
 		if e.info.Zone == zone {
-			e.cold.reopenedAt = now
+			e.warmup.evacuationEndedAt = now
 		}
 	}
 }
 
-// takeLoad notes an endpoint's report on itself.
-func (p *Placer) takeLoad(now time.Time, load state.Load) {
+// updateLoad notes an endpoint's report on itself.
+func (p *Picker) updateLoad(now time.Time, load state.Load) {
 	e := p.endpoints[load.EndpointID]
-	if e == nil || load == e.load {
+	if e == nil || load == e.loadReport {
 		return
 	}
-	e.load, e.loadAt, e.loadSent = load, now, 0
+	e.loadReport, e.loadReportedAt, e.tokensSinceReport = load, now, 0
 }
 
-// FirstByte notes that a call's answer has begun and, called again, that it goes on.
-func (p *Placer) FirstByte(now time.Time, ticket Ticket) {
+// ReportProgress notes that a call's answer has begun and, called again, that it goes on.
+func (p *Picker) ReportProgress(now time.Time, ticket Reservation) {
 	c := ticket.call
 	if c == nil {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if c.heard && !c.finished {
-		c.endpoint.seenAlive(now)
+	if c.gotFirstByte && !c.finished {
+		c.endpoint.recordActivity(now)
 	}
-	if c.heard || c.finished {
+	if c.gotFirstByte || c.finished {
 		return
 	}
-	p.measure(now, c)
-	c.heard = true
-	c.endpoint.read(c)
-	c.endpoint.seenAlive(now)
+	p.recordFirstByte(now, c)
+	c.gotFirstByte = true
+	c.endpoint.leaveQueue(c)
+	c.endpoint.recordActivity(now)
 }
 
-// Finished ends a call. Every ticket must come here once; what comes twice is ignored.
-func (p *Placer) Finished(now time.Time, ticket Ticket, outcome attempt.Outcome) {
+// ReportOutcome ends a call. Every ticket must come here once; what comes twice is ignored.
+func (p *Picker) ReportOutcome(now time.Time, ticket Reservation, outcome attempt.Outcome) {
 	c := ticket.call
 	if c == nil {
 		return
@@ -112,31 +112,31 @@
 	}
 	c.finished = true
 	if outcome == attempt.Succeeded {
-		p.measureWhole(now, c)
+		p.recordCallTime(now, c)
 	}
-	c.endpoint.end(c)
+	c.endpoint.endCall(c)
 	if c.endpoint.health.probe == c {
 		c.endpoint.health.probe = nil
 	}
-	p.judge(now, c, outcome)
+	p.applyOutcome(now, c, outcome)
 }
 
-// measure learns from the time to a first byte.
-func (p *Placer) measure(now time.Time, c *call) {
+// recordFirstByte learns from the time to a first byte.
+func (p *Picker) recordFirstByte(now time.Time, c *call) {
 	s := c.endpoint.service
 	took := now.Sub(c.sentAt)
-	for rank := c.rank; rank < ranks; rank++ {
-		c.endpoint.delays[rank].see(now, max(took-c.computed, 0))
-		c.endpoint.group.delays[rank].see(now, max(took-c.computed, 0))
+	for rank := c.priority; rank < priorityLevels; rank++ {
+		c.endpoint.queueDelays[rank].add(now, max(took-c.modeledFirstByte, 0))
+		c.endpoint.regionGroup.queueDelays[rank].add(now, max(took-c.modeledFirstByte, 0))
 	}
-	if s.engine() {
-		s.learn(c, took)
+	if s.hasEngine() {
+		s.learnPrefillRate(c, took)
 	}
 }
 
-// measureWhole learns from the length of a call.
-func (p *Placer) measureWhole(now time.Time, c *call) {
-	took := float64(now.Sub(c.sentAt)-c.way) / float64(time.Millisecond)
-	c.endpoint.took = blend(c.endpoint.took, took, tookBlend)
-	c.endpoint.service.took = blend(c.endpoint.service.took, took, tookBlend)
+// recordCallTime learns from the length of a call.
+func (p *Picker) recordCallTime(now time.Time, c *call) {
+	took := float64(now.Sub(c.sentAt)-c.pathLatency) / float64(time.Millisecond)
+	c.endpoint.callMillis = smooth(c.endpoint.callMillis, took, callTimeSmoothing)
+	c.endpoint.service.callMillis = smooth(c.endpoint.service.callMillis, took, callTimeSmoothing)
 }
--- a/serving/placement/ways_test.go
+++ b/serving/placement/ways_test.go
@@ -19,12 +19,12 @@
 	w.view.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
 	w.tell()
 	for subject := range 20 {
-		choice, verdict := w.Choose(w.now, w.request("review", subject))
-		require.Equal(t, Chosen, verdict.Kind)
+		choice, verdict := w.Pick(w.now, w.request("review", subject))
+		require.Equal(t, Picked, verdict.Kind)
 		assert.Equal(t, "w1", choice.Endpoint.Zone)
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
-		_, verdict = w.Choose(w.now, w.request("home", subject))
-		assert.Equal(t, RefuseRetryAfter, verdict.Kind, "nothing is left at home")
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
+		_, verdict = w.Pick(w.now, w.request("home", subject))
+		assert.Equal(t, Reject, verdict.Kind, "nothing is left at home")
 	}
 }
 
@@ -40,11 +40,11 @@
 			subject := rapid.IntRange(0, subjects-1).Draw(r, "subject")
 			w := rapid.SampledFrom([]*world{one, other}).Draw(r, "proxy")
 			w.now = w.now.Add(time.Duration(rapid.IntRange(50, 500).Draw(r, "ms")) * time.Millisecond)
-			choice, verdict := w.Choose(w.now, w.request("review", subject))
-			require.Equal(r, Chosen, verdict.Kind)
-			w.Finished(w.now, choice.Ticket, attempt.Succeeded)
+			choice, verdict := w.Pick(w.now, w.request("review", subject))
+			require.Equal(r, Picked, verdict.Kind)
+			w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 			if choice.Endpoint.Zone == "w1" {
-				away[subject] += wayRegions
+				away[subject] += crossRegionLatency
 				continue
 			}
 			if home[subject] == "" {
@@ -53,38 +53,38 @@
 			assert.Equal(r, home[subject], choice.Endpoint.ID, "one endpoint of the region")
 		}
 		for subject, cost := range away {
-			reading := one.services["model"].reading(2500 + 3800)
-			assert.LessOrEqual(r, cost, 2*(reading+wayRegions), "subject %d, of both proxies together", subject)
+			reading := one.services["model"].prefillTime(2500 + 3800)
+			assert.LessOrEqual(r, cost, 2*(reading+crossRegionLatency), "subject %d, of both proxies together", subject)
 		}
 	})
 }
 
 func TestWhatWaysHaveCostIsForgottenAsCachedPartsAre(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := ways{limit: 1000}
+		w := pathCosts{tokenLimit: 1000}
 		unused, spent := 0, time.Duration(0) // tokens of other parts since part 0 was used
 		for range 300 {
 			hash := uint64(rapid.IntRange(0, 60).Draw(r, "hash"))
 			if hash != 0 {
-				w.use(hash, 100, wayRegions)
+				w.add(hash, 100, crossRegionLatency)
 				unused += 100
 			} else {
-				w.use(0, 100, wayRegions)
-				spent, unused = spent+wayRegions, 0
-				if w.spent(0) == wayRegions {
-					spent = wayRegions // it had been forgotten
+				w.add(0, 100, crossRegionLatency)
+				spent, unused = spent+crossRegionLatency, 0
+				if w.total(0) == crossRegionLatency {
+					spent = crossRegionLatency // it had been forgotten
 				}
 			}
 			if unused <= 900 {
-				assert.Equal(r, spent, w.spent(0), "kept while fewer tokens than a cache's were used since")
+				assert.Equal(r, spent, w.total(0), "kept while fewer tokens than a cache's were used since")
 			}
-			assert.LessOrEqual(r, len(w.newer)+len(w.older), 20)
+			assert.LessOrEqual(r, len(w.young)+len(w.old), 20)
 		}
-		for hash := range uint64(2 * waysMost) {
-			w.limit = 1 << 40
-			w.use(100+hash, 100, wayRegions)
-			assert.LessOrEqual(r, len(w.newer), waysMost)
+		for hash := range uint64(2 * maxPathCostEntries) {
+			w.tokenLimit = 1 << 40
+			w.add(100+hash, 100, crossRegionLatency)
+			assert.LessOrEqual(r, len(w.young), maxPathCostEntries)
 		}
-		assert.Zero(r, w.spent(0))
+		assert.Zero(r, w.total(0))
 	})
 }
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -15,29 +15,29 @@
 func TestWindowLaws(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newWorld(t, "e1", modelEndpoints("e1", 2)...)
-		var out []Ticket
+		var out []Reservation
 		for range 300 {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(r, "ms")) * time.Millisecond)
 			if len(out) > 0 && rapid.Bool().Draw(r, "end") {
 				outcome := attempt.Outcome(rapid.IntRange(0, 7).Draw(r, "outcome"))
 				if outcome != attempt.Misdirected {
-					w.Finished(w.now, out[0], outcome)
+					w.ReportOutcome(w.now, out[0], outcome)
 					out = out[1:]
 				}
 				continue
 			}
-			choice, verdict := w.Choose(w.now, w.request("urgent", rapid.IntRange(0, 9).Draw(r, "subject")))
-			if verdict.Kind == Chosen {
-				out = append(out, choice.Ticket)
-				e := choice.Ticket.call.endpoint
-				assert.LessOrEqual(r, e.inFlight, e.bound(w.now))
-				assert.False(r, w.now.Before(e.health.heldUntil), "a told wait holds every send")
+			choice, verdict := w.Pick(w.now, w.request("urgent", rapid.IntRange(0, 9).Draw(r, "subject")))
+			if verdict.Kind == Picked {
+				out = append(out, choice.Reservation)
+				e := choice.Reservation.call.endpoint
+				assert.LessOrEqual(r, e.inFlight, e.concurrencyLimit(w.now))
+				assert.False(r, w.now.Before(e.health.backoffUntil), "a told wait holds every send")
 			}
 			for _, e := range w.endpoints {
 				assert.GreaterOrEqual(r, e.window, 1.0)
 				assert.LessOrEqual(r, e.window, 0.75*128)
 				assert.GreaterOrEqual(r, e.inFlight, 0)
-				assert.GreaterOrEqual(r, e.unreadBefore(ranks-1), 0)
+				assert.GreaterOrEqual(r, e.backlogBefore(priorityLevels-1), 0)
 			}
 		}
 	})
@@ -47,18 +47,18 @@
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
 	e := w.endpoints["e1-0"]
 	first := e.window
-	var out []Ticket
+	var out []Reservation
 	for range 10 {
-		choice, verdict := w.Choose(w.now, w.request("review", 1))
-		require.Equal(t, Chosen, verdict.Kind)
-		out = append(out, choice.Ticket)
+		choice, verdict := w.Pick(w.now, w.request("review", 1))
+		require.Equal(t, Picked, verdict.Kind)
+		out = append(out, choice.Reservation)
 	}
 	w.now = w.now.Add(time.Second)
-	w.Finished(w.now, out[0], attempt.Succeeded)
-	w.Finished(w.now, out[0], attempt.Succeeded) // twice is ignored
+	w.ReportOutcome(w.now, out[0], attempt.Succeeded)
+	w.ReportOutcome(w.now, out[0], attempt.Succeeded) // twice is ignored
 	assert.Equal(t, first+1, e.window)
 	for _, ticket := range out[1:] {
-		w.Finished(w.now, ticket, attempt.Refused)
+		w.ReportOutcome(w.now, ticket, attempt.Refused)
 	}
 	assert.Equal(t, (first+1)/2, e.window)
 	assert.Equal(t, 0, e.inFlight)
@@ -68,74 +68,74 @@
 	w := newWorld(t, "e1", plainEndpoints("plain", "e1", "e2")...)
 	request := w.request("plain", 0)
 	for {
-		if _, verdict := w.Choose(w.now, request); verdict.Kind != Chosen {
+		if _, verdict := w.Pick(w.now, request); verdict.Kind != Picked {
 			break
 		}
 	}
-	_, verdict := w.Choose(w.now, request)
+	_, verdict := w.Pick(w.now, request)
 	assert.Equal(t, Wait, verdict.Kind)
 	assert.LessOrEqual(t, verdict.Delay, 40*time.Millisecond)
-	request.Waited = 249 * time.Millisecond
-	_, verdict = w.Choose(w.now, request)
-	assert.Equal(t, RefuseRetryAfter, verdict.Kind)
+	request.QueuedFor = 249 * time.Millisecond
+	_, verdict = w.Pick(w.now, request)
+	assert.Equal(t, Reject, verdict.Kind)
 	assert.LessOrEqual(t, verdict.Delay, time.Second)
 }
 
 func TestTheMoreUrgentGoFirst(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
 	w.endpoints["e1-0"].window = 1
-	out, verdict := w.Choose(w.now, w.request("urgent", 1))
-	require.Equal(t, Chosen, verdict.Kind)
-	_, verdict = w.Choose(w.now, w.request("urgent", 1))
+	out, verdict := w.Pick(w.now, w.request("urgent", 1))
+	require.Equal(t, Picked, verdict.Kind)
+	_, verdict = w.Pick(w.now, w.request("urgent", 1))
 	require.Equal(t, Wait, verdict.Kind)
-	w.Finished(w.now, out.Ticket, attempt.Succeeded)
-	_, verdict = w.Choose(w.now, w.request("review", 1))
+	w.ReportOutcome(w.now, out.Reservation, attempt.Succeeded)
+	_, verdict = w.Pick(w.now, w.request("review", 1))
 	assert.Equal(t, Wait, verdict.Kind, "a more urgent one waits")
-	_, verdict = w.Choose(w.now, w.request("urgent", 1))
-	assert.Equal(t, Chosen, verdict.Kind)
+	_, verdict = w.Pick(w.now, w.request("urgent", 1))
+	assert.Equal(t, Picked, verdict.Kind)
 }
 
 func TestAnEndpointThatFailsIsPutAsideAndProbedByOne(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
 	e := w.endpoints["e1-0"]
-	for range ejectRow {
-		for w.now.Before(e.health.heldUntil) {
+	for range ejectionThreshold {
+		for w.now.Before(e.health.backoffUntil) {
 			w.now = w.now.Add(10 * time.Millisecond)
 		}
 		w.now = w.now.Add(time.Millisecond)
-		w.judge(w.now, &call{endpoint: e, sentAt: w.now}, attempt.Failed)
+		w.applyOutcome(w.now, &call{endpoint: e, sentAt: w.now}, attempt.Failed)
 	}
-	assert.True(t, e.health.ejected())
-	assert.Equal(t, []state.Observation{{EndpointID: e.info.ID, Failures: ejectRow}}, w.Observations())
-	assert.Empty(t, w.Observations())
+	assert.True(t, e.health.isEjected())
+	assert.Equal(t, []state.Observation{{EndpointID: e.info.ID, Failures: ejectionThreshold}}, w.TakeObservations())
+	assert.Empty(t, w.TakeObservations())
 
-	w.now = e.health.heldUntil.Add(time.Millisecond)
+	w.now = e.health.backoffUntil.Add(time.Millisecond)
 	for index := 1; index < 4; index++ { // probes are the only way left
 		w.view.Endpoints[index].State = state.Closing
 	}
 	w.tell()
-	e.service.crowdEjected = false
-	probe, verdict := w.Choose(w.now, w.request("urgent", 1))
-	require.Equal(t, Chosen, verdict.Kind)
-	_, verdict = w.Choose(w.now, w.request("urgent", 1))
+	e.service.majorityEjected = false
+	probe, verdict := w.Pick(w.now, w.request("urgent", 1))
+	require.Equal(t, Picked, verdict.Kind)
+	_, verdict = w.Pick(w.now, w.request("urgent", 1))
 	assert.Equal(t, Wait, verdict.Kind, "one probe at a time")
-	w.Finished(w.now, probe.Ticket, attempt.Succeeded)
-	assert.False(t, e.health.ejected())
-	assert.Empty(t, w.Observations(), "a success is not told: the mark that others see ends by time")
+	w.ReportOutcome(w.now, probe.Reservation, attempt.Succeeded)
+	assert.False(t, e.health.isEjected())
+	assert.Empty(t, w.TakeObservations(), "a success is not told: the mark that others see ends by time")
 }
 
 func TestWhereMostFailNoneIsHeldLong(t *testing.T) {
 	w := newWorld(t, "e1", modelEndpoints("e1", 2)...)
 	for range 400 {
-		choice, verdict := w.Choose(w.now, w.request("urgent", 1))
-		if verdict.Kind == Chosen {
-			w.Finished(w.now.Add(time.Millisecond), choice.Ticket, attempt.ConnectFailed)
+		choice, verdict := w.Pick(w.now, w.request("urgent", 1))
+		if verdict.Kind == Picked {
+			w.ReportOutcome(w.now.Add(time.Millisecond), choice.Reservation, attempt.ConnectFailed)
 		}
 		w.now = w.now.Add(20 * time.Millisecond)
 	}
 	for _, e := range w.endpoints {
-		assert.True(t, e.health.ejected())
-		assert.LessOrEqual(t, e.health.heldUntil.Sub(w.now), holdCrowd)
+		assert.True(t, e.health.isEjected())
+		assert.LessOrEqual(t, e.health.backoffUntil.Sub(w.now), maxMajorityBackoff)
 	}
 }
 
@@ -143,11 +143,11 @@
 	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
 	e := w.endpoints["e1-0"]
 	window, health := e.window, e.health
-	choice, verdict := w.Choose(w.now, w.request("review", 1))
-	require.Equal(t, Chosen, verdict.Kind)
-	w.Finished(w.now, choice.Ticket, attempt.AtLimit)
+	choice, verdict := w.Pick(w.now, w.request("review", 1))
+	require.Equal(t, Picked, verdict.Kind)
+	w.ReportOutcome(w.now, choice.Reservation, attempt.AtLimit)
 	assert.Equal(t, window, e.window)
 	assert.Equal(t, health, e.health)
 	assert.Zero(t, e.inFlight, "the place is free again")
-	assert.Empty(t, w.Observations())
+	assert.Empty(t, w.TakeObservations())
 }
--- a/serving/placement/zones_test.go
+++ b/serving/placement/zones_test.go
@@ -19,37 +19,37 @@
 	// play sends requests of prompts all unlike, fails those that go to the lost zone, and counts these.
 	play := func(w *world, from, count int) (failed int) {
 		for number := range count {
-			choice, verdict := w.Choose(w.now, w.request("review", from+number))
-			require.Equal(t, Chosen, verdict.Kind)
+			choice, verdict := w.Pick(w.now, w.request("review", from+number))
+			require.Equal(t, Picked, verdict.Kind)
 			outcome := attempt.Succeeded
 			if lost(choice) {
 				outcome = attempt.ConnectFailed
 				failed++
 			}
-			w.Finished(w.now, choice.Ticket, outcome)
+			w.ReportOutcome(w.now, choice.Reservation, outcome)
 		}
 		return failed
 	}
 	w := newWorld(t, "e1", endpoints...)
 	failed := play(w, 0, 200)
-	assert.LessOrEqual(t, failed, 2*zoneSuspects)
+	assert.LessOrEqual(t, failed, 2*zoneSuspectThreshold)
 	assert.Positive(t, failed)
 
-	w.now = w.now.Add(zoneDoubt + time.Second)
+	w.now = w.now.Add(zoneSuspicionTTL + time.Second)
 	again := play(w, 200, 200)
 	assert.Positive(t, again, "after a while the zone is tried again")
-	assert.LessOrEqual(t, again, 2*zoneSuspects)
+	assert.LessOrEqual(t, again, 2*zoneSuspectThreshold)
 
-	w.now = w.now.Add(zoneDoubt + time.Second)
-	choice, verdict := w.Choose(w.now, w.request("review", 400))
-	require.Equal(t, Chosen, verdict.Kind)
+	w.now = w.now.Add(zoneSuspicionTTL + time.Second)
+	choice, verdict := w.Pick(w.now, w.request("review", 400))
+	require.Equal(t, Picked, verdict.Kind)
 	for tried := 0; !lost(choice) && tried < 100; tried++ {
-		w.Finished(w.now, choice.Ticket, attempt.Succeeded)
-		choice, _ = w.Choose(w.now, w.request("review", 401+tried))
+		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
+		choice, _ = w.Pick(w.now, w.request("review", 401+tried))
 	}
 	require.True(t, lost(choice))
-	w.Finished(w.now, choice.Ticket, attempt.Succeeded)
-	assert.False(t, w.zone("e1").doubtful(w.now), "it answers again")
+	w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
+	assert.False(t, w.ensureZone("e1").isSuspect(w.now), "it answers again")
 }
 
 // TestZoneIsInDoubtOnlyWhileNobodyThereIsHeard: one of its endpoints that answers shows that the zone isn't lost.
@@ -60,18 +60,18 @@
 	failing := []*endpoint{{info: state.Endpoint{ID: "a"}}, {info: state.Endpoint{ID: "b"}}, {info: state.Endpoint{ID: "c"}}}
 	for range 5 {
 		for _, e := range failing {
-			z.silent(now, e)
-			z.silent(now, e)
-			well.seenAlive(now)
-			assert.False(t, z.doubtful(now))
+			z.recordSilence(now, e)
+			z.recordSilence(now, e)
+			well.recordActivity(now)
+			assert.False(t, z.isSuspect(now))
 		}
 	}
 	for index, e := range failing {
-		assert.False(t, z.doubtful(now), "after %d", index)
-		z.silent(now, e)
+		assert.False(t, z.isSuspect(now), "after %d", index)
+		z.recordSilence(now, e)
 	}
-	assert.True(t, z.doubtful(now.Add(zoneDoubt)))
-	assert.False(t, z.doubtful(now.Add(zoneDoubt+1)))
-	z.silent(now.Add(2*zoneDoubt), failing[0])
-	assert.False(t, z.doubtful(now.Add(2*zoneDoubt)), "old observations don't count")
+	assert.True(t, z.isSuspect(now.Add(zoneSuspicionTTL)))
+	assert.False(t, z.isSuspect(now.Add(zoneSuspicionTTL+1)))
+	z.recordSilence(now.Add(2*zoneSuspicionTTL), failing[0])
+	assert.False(t, z.isSuspect(now.Add(2*zoneSuspicionTTL)), "old observations don't count")
 }
--- a/serving/proxy/knowledge.go
+++ b/serving/proxy/knowledge.go
@@ -65,12 +65,12 @@
 }
 
 // view puts what is known into placement's words. Loads are those of the last answer.
-func (k *knowledge) view(loads []state.Load) placement.View {
+func (k *knowledge) view(loads []state.Load) placement.Snapshot {
 	endpoints := make([]state.Endpoint, 0, len(k.endpoints))
 	for _, endpoint := range k.endpoints {
 		endpoints = append(endpoints, endpoint)
 	}
-	return placement.View{
+	return placement.Snapshot{
 		Routing: k.table, Endpoints: endpoints, Loads: loads, Record: k.record, Proxies: k.proxies,
 	}
 }
--- a/serving/proxy/lookout.go
+++ b/serving/proxy/lookout.go
@@ -30,10 +30,10 @@
 // look has the agent told where there is something to tell, and returns when it was told last.
 func (p *proxy) look(now, told time.Time) time.Time {
 	if stuck := p.pool.Unacknowledged(now); len(stuck) > 0 {
-		p.placer.Unacknowledged(now, stuck)
+		p.placer.ReportUnacknowledged(now, stuck)
 	}
 	p.placer.SetRoundTrips(p.pool.RoundTrips())
-	some, urgent := p.placer.ToTell()
+	some, urgent := p.placer.PendingObservations()
 	if !some || !urgent && now.Sub(told) < tellInterval {
 		return told
 	}
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -43,7 +43,7 @@
 type proxy struct {
 	settings *settings.Process
 	log      *zerolog.Logger
-	placer   *placement.Placer
+	placer   *placement.Picker
 	retry    *retry.Policy
 	pool     *upstream.Pool
 	server   *httpserver.Server
@@ -96,14 +96,14 @@
 	p := &proxy{settings: process, log: log, known: newKnowledge()}
 	p.placer = placement.New(placement.Options{
 		Name: process.NodeName, Zone: process.Zone, Region: process.Region, Regions: process.Regions,
-		Bounds: bounds, Seed: rand.Uint64(), Started: now,
+		Bounds: bounds, Seed: rand.Uint64(), StartedAt: now,
 	})
 	p.retry = retry.New(now, limitsOf(bounds), rand.Uint64())
 	p.grace.Store(int64(bounds.Grace))
 	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(process, endpointShare)})
 	p.watcher = &watcher{
 		client: client, address: process.FeedAddress(), front: process.Bind.Front, log: log,
-		take: p.take, observe: p.placer.Observations,
+		take: p.take, observe: p.placer.TakeObservations,
 	}
 	return p
 }
