--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -41,7 +41,7 @@
 
 // stopped is the number of the plan that stands stopped; 0: none does.
 func (c *conductor) stopped() uint64 {
-	if c.progress == nil || c.progress.Stopped == "" {
+	if c.progress == nil || c.progress.StopReason == "" {
 		return 0
 	}
 	return c.progress.Number
@@ -109,7 +109,7 @@
 	}
 	some := false
 	for _, m := range members {
-		leaves := func(r rebalance.Rule) bool { return r.Kind == rebalance.Leave && r.Member == m.Member }
+		leaves := func(r rebalance.Rule) bool { return r.Kind == rebalance.Drain && r.Member == m.Member }
 		if !slices.ContainsFunc(f.Rules, leaves) {
 			stay, some = append(stay, m), some || alive[m.Member]
 		}
@@ -150,13 +150,13 @@
 	if number != 0 && !w.fresh {
 		return false
 	}
-	wished, err := rebalance.Read(w.text, "plan")
+	wished, err := rebalance.ParseFile(w.text, "plan")
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
 	if number != 0 && (c.stopped() == 0 || c.stopped() != w.resumes) {
-		if runs, err := rebalance.Read(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
+		if runs, err := rebalance.ParseFile(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
 			return true
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 func (c *conductor) make(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
-	p, err := rebalance.Make(f, chart, nil)
-	var moving *rebalance.Moving
+	p, err := rebalance.NewPlan(f, chart, nil)
+	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) { // the file is taken up once that has ended
 		if moving.Move.Step < shardmap.Switched {
 			c.say("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
@@ -176,7 +176,7 @@
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
-	return c.say("plan taken up", rebalance.Conductor(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
+	return c.say("plan taken up", rebalance.Coordinator(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
 }
 
 // follow does what the running plan asks for now.
@@ -190,25 +190,25 @@
 		slog.Error("running plan not read", "why", err)
 		return
 	}
-	out := c.progress.Next(f, chart, rebalance.Seen{Gone: func(m cluster.MemberID) bool { return !alive[m] },
-		Rested: now - c.restedAt, Harm: c.harm.Of(c.progress.Number)})
-	says := rebalance.Conductor(c.epoch)
+	out := c.progress.Schedule(f, chart, rebalance.Observations{IsGone: func(m cluster.MemberID) bool { return !alive[m] },
+		SinceLastMove: now - c.restedAt, Impact: c.harm.Of(c.progress.Number)})
+	says := rebalance.Coordinator(c.epoch)
 	for _, a := range out.Actions {
-		switch a.Do {
-		case rebalance.Start:
+		switch a.Kind {
+		case rebalance.ActionStart:
 			c.say("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
-		case rebalance.GoBack:
-			c.say("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Why)
-		case rebalance.TakeOn:
-			c.say("plan's step", says.Note(c.progress.Number, a.Step, a.Stand, a.Move), "step", a.Step)
-		case rebalance.GiveUp:
-			c.say("plan stopped", says.Stop(c.progress.Number, a.Why), "why", a.Why)
-		case rebalance.SplitOff:
-			c.say("range split", by.Split(a.Range, a.At), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.At)))
-		case rebalance.MergeIn:
-			c.say("ranges merged", by.Merge(a.Range, a.Other), "range", a.Range, "other", a.Other)
-		case rebalance.Replan:
-			slog.Info("plan made anew", "why", a.Why)
+		case rebalance.ActionRollBack:
+			c.say("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Reason)
+		case rebalance.ActionRecordState:
+			c.say("plan's step", says.RecordState(c.progress.Number, a.Step, a.State, a.Move), "step", a.Step)
+		case rebalance.ActionStop:
+			c.say("plan stopped", says.Stop(c.progress.Number, a.Reason), "why", a.Reason)
+		case rebalance.ActionSplit:
+			c.say("range split", by.Split(a.Range, a.SplitKey), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.SplitKey)))
+		case rebalance.ActionMerge:
+			c.say("ranges merged", by.Merge(a.Range, a.OtherRange), "range", a.Range, "other", a.OtherRange)
+		case rebalance.ActionReplan:
+			slog.Info("plan made anew", "why", a.Reason)
 			c.make(f, slices.Clone(c.progress.Text), c.progress.Number, chart)
 		}
 	}
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -19,8 +19,8 @@
 const harmPath = "/fleet/harm"
 
 type harmAsk struct {
-	Number uint64            `cbor:"1,keyasint"` // of the plan
-	Of     []rebalance.Watch `cbor:"2,keyasint"`
+	Number uint64                    `cbor:"1,keyasint"` // of the plan
+	Of     []rebalance.MonitoredMove `cbor:"2,keyasint"`
 }
 
 // harm counts how webhooks end here, answers conductors, and, where this member conducts, asks the others.
@@ -32,15 +32,15 @@
 	over  <-chan struct{}
 
 	mu       sync.Mutex
-	tally    *rebalance.Tally
-	gathered rebalance.Gathered
+	tally    *rebalance.ImpactMeter
+	gathered rebalance.ImpactCollector
 }
 
 // Ended counts an end, as the decider tells it.
 func (g gate) Ended(w *inflight.Webhook, how eventloop.End) { g.m.harm.ended(w, how) }
 
 func (h *harm) ended(w *inflight.Webhook, how eventloop.End) {
-	e := rebalance.Ends{Ended: 1}
+	e := rebalance.Outcomes{Total: 1}
 	switch how {
 	case eventloop.Late:
 		e.Late = 1
@@ -52,10 +52,10 @@
 	h.count(w.Destination, e)
 }
 
-func (h *harm) count(d api.DestinationID, e rebalance.Ends) {
+func (h *harm) count(d api.DestinationID, e rebalance.Outcomes) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tally.Ended(d, e)
+	h.tally.CountOutcomes(d, e)
 }
 
 // entry counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
@@ -64,7 +64,7 @@
 	return func(w *inflight.Webhook, here taker) (inflight.Answer, api.Micros) {
 		what, retryIn := away(w, here)
 		if what == inflight.Rejected {
-			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
+			h.count(w.Destination, rebalance.Outcomes{Total: 1, Rejected: 1})
 		}
 		return what, retryIn
 	}
@@ -80,17 +80,17 @@
 		return
 	}
 	h.mu.Lock()
-	fresh := h.tally.Unseen(chart)
+	fresh := h.tally.UnobservedMoves(chart)
 	h.mu.Unlock()
 	sick := h.sick(fresh)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tally.Look(chart, sick, h.now())
+	h.tally.ObserveMap(chart, sick, h.now())
 }
 
 // sick asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
-func (h *harm) sick(of []shardmap.Range) rebalance.Sickness {
+func (h *harm) sick(of []shardmap.Range) rebalance.UnhealthyFunc {
 	in := func(r shardmap.Range, d api.DestinationID) bool {
 		return r.Home == h.self && h.homes.Map().Holds(r, d)
 	}
@@ -134,7 +134,7 @@
 	sick := h.sick(of)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.tally.Tell(a.Number, a.Of, chart, sick, h.now())
+	return h.tally.Report(a.Number, a.Of, chart, sick, h.now())
 }
 
 // Hear answers a conductor.
@@ -150,12 +150,12 @@
 func (h *harm) took(number uint64, from cluster.MemberID, r rebalance.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gathered.Take(number, from, r)
+	h.gathered.AddReport(number, from, r)
 }
 
 // Of is the harm that was told of the plan of a number.
-func (h *harm) Of(number uint64) rebalance.Harm {
+func (h *harm) Of(number uint64) rebalance.Impact {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gathered.Harm(number)
+	return h.gathered.Impact(number)
 }
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -22,7 +22,7 @@
 	assert.NoError(t, err)
 	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.Planned}
 	chart := &shardmap.Map{Ranges: even}
-	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, api.Second, 0),
+	h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewImpactMeter(1, api.Second, 0),
 		now: func() api.Micros { return 0 }}
 	h.homes.chart.Store(chart)
 	h.Look()
@@ -54,29 +54,29 @@
 		assert.Equal(t, want, what)
 		assert.Equal(t, wait, in)
 	}
-	r := h.tell(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
-	assert.Equal(t, rebalance.Ends{Ended: 9, Rejected: 3, DeadLettered: 3, Late: 2}, r.Spots[0].Now)
+	r := h.tell(harmAsk{1, []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
+	assert.Equal(t, rebalance.Outcomes{Total: 9, Rejected: 3, DeadLettered: 3, Late: 2}, r.Ranges[0].During)
 }
 
 // Whatever a message says, it is refused or answered: guards against a member ended by what another sends.
 func FuzzHear(f *testing.F) {
 	even, err := shardmap.Even(2, []shardmap.Weight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
-	f.Add(transport.Encode(harmAsk{1, []rebalance.Watch{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
+	f.Add(transport.Encode(harmAsk{1, []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewTally(1, api.Second, 0),
+		h := &harm{self: "a", homes: &homes{}, tally: rebalance.NewImpactMeter(1, api.Second, 0),
 			now: func() api.Micros { return 0 }}
 		h.homes.chart.Store(&shardmap.Map{Ranges: even})
-		h.count(7, rebalance.Ends{Ended: 1})
+		h.count(7, rebalance.Outcomes{Total: 1})
 		var ctx fasthttp.RequestCtx
 		ctx.Request.SetBody(body)
 		h.Hear(&ctx)
 		var r rebalance.Report
 		if ctx.Response.StatusCode() == fasthttp.StatusOK {
 			assert.NoError(t, transport.Decode(ctx.Response.Body(), &r))
-			var g rebalance.Gathered
-			g.Take(1, "a", r)
-			assert.LessOrEqual(t, len(g.Harm(1).Spots), 64)
+			var g rebalance.ImpactCollector
+			g.AddReport(1, "a", r)
+			assert.LessOrEqual(t, len(g.Impact(1).Ranges), 64)
 		}
 	})
 }
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func (m *Member) watches() (number uint64, of []rebalance.Watch) {
+func (m *Member) watches() (number uint64, of []rebalance.MonitoredMove) {
 	chart := m.homes.Map()
 	if _, held := m.session.Holds(cluster.Conducts); !held || chart == nil {
 		return 0, nil
@@ -49,7 +49,7 @@
 	if err != nil {
 		return 0, nil // the conductor says why
 	}
-	return p.Number, p.Watches(f, chart)
+	return p.Number, p.MonitoredMoves(f, chart)
 }
 
 func (m *Member) ask(a harmAsk) {
@@ -93,18 +93,18 @@
 		return
 	}
 	stopped, h := 0, m.harm.Of(p.Number)
-	if p.Stopped != "" {
+	if p.StopReason != "" {
 		stopped = 1
 	}
 	for _, row := range []struct {
 		name string
 		n    uint64
 	}{
-		{"number", p.Number}, {"steps", uint64(len(p.Steps))}, {"steps_through", uint64(p.Through())},
-		{"stopped", uint64(stopped)}, {"harm_ended", h.Now.Ended}, {"harm_rejected", h.Now.Rejected},
-		{"harm_dead_lettered", h.Now.DeadLettered}, {"harm_late", h.Now.Late}, {"harm_sick", uint64(len(h.Sick))},
-		{"usual_ended", h.Usual.Ended}, {"usual_rejected", h.Usual.Rejected},
-		{"usual_dead_lettered", h.Usual.DeadLettered}, {"usual_late", h.Usual.Late},
+		{"number", p.Number}, {"steps", uint64(len(p.Steps))}, {"steps_through", uint64(p.DoneSteps())},
+		{"stopped", uint64(stopped)}, {"harm_ended", h.During.Total}, {"harm_rejected", h.During.Rejected},
+		{"harm_dead_lettered", h.During.DeadLettered}, {"harm_late", h.During.Late}, {"harm_sick", uint64(len(h.Unhealthy))},
+		{"usual_ended", h.Baseline.Total}, {"usual_rejected", h.Baseline.Rejected},
+		{"usual_dead_lettered", h.Baseline.DeadLettered}, {"usual_late", h.Baseline.Late},
 	} {
 		fmt.Fprintf(to, "rowanlink_plan_%s %d\n", row.name, row.n)
 	}
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -85,7 +85,7 @@
 	if f, err = config.Read(text, m.path); err != nil {
 		return nil, f, err
 	}
-	if _, err = rebalance.Read(text, m.path); err != nil {
+	if _, err = rebalance.ParseFile(text, m.path); err != nil {
 		return nil, f, err
 	}
 	if _, ok := f.Member(m.self); !ok {
@@ -127,7 +127,7 @@
 		looks: func() { nudge(m.pokeOwed) }}
 	f.side, m.homes.side = m.owing, m.owing
 	m.harm = &harm{self: m.self, homes: m.homes, d: d.Decider, now: m.clock, over: m.ended,
-		tally: rebalance.NewTally(drawn(), m.file.Term, m.clock())}
+		tally: rebalance.NewImpactMeter(drawn(), m.file.Term, m.clock())}
 	d.Exchange.Away, d.Exchange.More = m.harm.entry(f.Away), m.Print
 	m.many.Store(int64(len(m.file.Members)))
 	m.sites = m.joins()
--- a/cluster/member/wish_test.go
+++ b/cluster/member/wish_test.go
@@ -12,7 +12,7 @@
 // was told of the same file before.
 func TestAStoppedPlanIsResumedOnlyByAFileReadSince(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
-	c := &conductor{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, Stopped: "late"}}
+	c := &conductor{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, StopReason: "late"}}
 	assert.Equal(t, uint64(3), c.stopped())
 	assert.NotPanics(t, func() {
 		assert.True(t, c.adopt(wish{text: text, fresh: true}, nil))
--- a/cluster/rebalance/asked.go
+++ b/cluster/rebalance/asked.go
@@ -44,7 +44,7 @@
 	for i, v := range f.Members {
 		t.at[v.ID] = i
 		t.stays = append(t.stays, f.leaves(v.ID) == nil)
-		t.alone = append(t.alone, f.about(Alone, v.ID))
+		t.alone = append(t.alone, f.about(Dedicated, v.ID))
 	}
 	for i, r := range t.ranges {
 		t.rangeAt[r.ID] = i
@@ -107,7 +107,7 @@
 		return err
 	}
 	for k := range f.Rules {
-		if f.Rules[k].Kind == Apart {
+		if f.Rules[k].Kind == AntiAffinity {
 			if err := t.partable(k); err != nil {
 				return err
 			}
@@ -120,18 +120,18 @@
 func (t *task) covers(r *Rule) ([]int, error) {
 	var found []int
 	of := map[int]int{}
-	for k, d := range r.Of.Destinations {
+	for k, d := range r.Selector.Destinations {
 		i := t.holds(t.key(d))
-		if was, twice := of[i]; twice && r.Kind == Apart && r.Of.Destinations[was] != d {
+		if was, twice := of[i]; twice && r.Kind == AntiAffinity && r.Selector.Destinations[was] != d {
 			return nil, t.file.at(r.Line, "apart %q: destinations %d and %d lie in one range (%d); split it first",
-				r.Name, r.Of.Destinations[was], d, t.ranges[i].ID)
+				r.Name, r.Selector.Destinations[was], d, t.ranges[i].ID)
 		}
 		of[i] = k
 		found = append(found, i)
 	}
-	if r.Of.Span {
-		for i := t.holds(r.Of.From); i < len(t.ranges) && t.ranges[i].From <= r.Of.To; i++ {
-			if r.Kind != Apart || t.whole(i) { // pieces of a range are not apart from one another
+	if r.Selector.HasHashes {
+		for i := t.holds(r.Selector.FirstHash); i < len(t.ranges) && t.ranges[i].From <= r.Selector.LastHash; i++ {
+			if r.Kind != AntiAffinity || t.whole(i) { // pieces of a range are not apart from one another
 				found = append(found, i)
 			}
 		}
@@ -151,7 +151,7 @@
 // what names a range as the operator knows it.
 func (t *task) what(i int, rules ...*Rule) string {
 	for _, r := range rules {
-		for _, d := range r.Of.Destinations {
+		for _, d := range r.Selector.Destinations {
 			if t.holds(t.key(d)) == i {
 				return fmt.Sprintf("destination %d (range %d)", d, t.ranges[i].ID)
 			}
@@ -170,17 +170,17 @@
 			t.what(i, r, was))
 	}
 	switch r.Kind {
-	case Pin, Alone:
+	case Pin, Dedicated:
 		if a.pin != nil && a.pin.Member != r.Member {
 			return clash(a.pin, "want it on two members")
 		}
 		if a.keep != nil && a.keep.Zone != t.members[t.at[r.Member]].Zone {
 			return clash(a.keep, fmt.Sprintf("can't both be, as %q is not in zone %q", r.Member, a.keep.Zone))
 		}
-		if a.pin == nil || r.Kind == Alone {
+		if a.pin == nil || r.Kind == Dedicated {
 			a.pin = r
 		}
-	case Keep:
+	case ZoneAffinity:
 		if a.keep != nil && a.keep.Zone != r.Zone {
 			return clash(a.keep, "want it in two zones")
 		}
@@ -188,7 +188,7 @@
 			return clash(a.pin, fmt.Sprintf("can't both be, as %q is not in zone %q", a.pin.Member, r.Zone))
 		}
 		a.keep = r
-	case Apart:
+	case AntiAffinity:
 		a.apart = append(a.apart, rule)
 	}
 	return nil
@@ -203,7 +203,7 @@
 			continue
 		}
 		m := t.at[pin.Member]
-		if alone := t.alone[m]; alone != nil && pin.Kind != Alone {
+		if alone := t.alone[m]; alone != nil && pin.Kind != Dedicated {
 			return t.file.at(pin.Line,
 				"pin %q puts %s on %q, which shall have nothing but what alone %q (line %d) says",
 				pin.Name, t.what(i, pin), pin.Member, alone.Name, alone.Line)
@@ -211,9 +211,9 @@
 		if t.whole(i) {
 			count[m]++
 		}
-		if t.members[m].Room > 0 && count[m] > t.members[m].Room {
+		if t.members[m].Capacity > 0 && count[m] > t.members[m].Capacity {
 			return t.file.at(pin.Line, "%s %q: %q has room for %d (line %d), and more are pinned there, as %s",
-				pin.Kind, pin.Name, pin.Member, t.members[m].Room, t.members[m].Line, t.what(i, pin))
+				pin.Kind, pin.Name, pin.Member, t.members[m].Capacity, t.members[m].Line, t.what(i, pin))
 		}
 	}
 	return nil
--- a/cluster/rebalance/assign.go
+++ b/cluster/rebalance/assign.go
@@ -107,8 +107,8 @@
 	}
 	for m, v := range t.members {
 		room, s := len(t.ranges), spans[m]
-		if v.Room > 0 {
-			room = min(room, v.Room)
+		if v.Capacity > 0 {
+			room = min(room, v.Capacity)
 		}
 		if !t.stays[m] {
 			room = 0
--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -43,7 +43,7 @@
 		text.WriteString("before \"p0\" { after = [\"p1\", \"m" + fmt.Sprint(members-1) + "\"] }\n")
 	}
 	text.WriteString("bounds {\n  moves_at_once = 16\n  per_member = 2\n}\n")
-	f, err := Read([]byte(text.String()), "f.hcl")
+	f, err := ParseFile([]byte(text.String()), "f.hcl")
 	require.NoError(b, err)
 	m := &shardmap.Map{Version: 1}
 	m.Ranges, err = shardmap.Even(n, weights)
@@ -63,10 +63,10 @@
 				var p *Plan
 				for b.Loop() {
 					var err error
-					p, err = Make(f, m, keys)
+					p, err = NewPlan(f, m, keys)
 					require.NoError(b, err)
 				}
-				b.ReportMetric(float64(p.Moved)/float64(p.Least), "moved/least")
+				b.ReportMetric(float64(p.MovedKeys)/float64(p.MinMovedKeys), "moved/least")
 				b.ReportMetric(float64(len(p.Steps)), "steps")
 			})
 		}
@@ -90,23 +90,23 @@
 	for i := range m.Ranges { // each range to the next but one member: two rings of full members
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  %s\n  to = \"m%d\"\n}\n", i, of(i, n), (i/(n/members)+2)%members)
 	}
-	f, err := Read([]byte(text.String()), "f.hcl")
+	f, err := ParseFile([]byte(text.String()), "f.hcl")
 	require.NoError(b, err)
 	var p *Plan
 	for b.Loop() {
-		p, err = Make(f, m, nil)
+		p, err = NewPlan(f, m, nil)
 		require.NoError(b, err)
 	}
-	b.ReportMetric(float64(p.Moved)/float64(p.Least), "moved/least")
+	b.ReportMetric(float64(p.MovedKeys)/float64(p.MinMovedKeys), "moved/least")
 	b.ReportMetric(float64(len(p.Steps)), "steps")
 }
 
 func BenchmarkNext(b *testing.B) {
 	f, m, keys := large(b, 4096, 300, false, false)
-	p, err := Make(f, m, keys)
+	p, err := NewPlan(f, m, keys)
 	require.NoError(b, err)
-	run := &Progress{Number: 1, Steps: p.Steps, Stands: make([]Stand, len(p.Steps))}
+	run := &Progress{Number: 1, Steps: p.Steps, States: make([]StepState, len(p.Steps))}
 	for b.Loop() {
-		run.Next(f, m, Seen{})
+		run.Schedule(f, m, Observations{})
 	}
 }
--- a/cluster/rebalance/check.go
+++ b/cluster/rebalance/check.go
@@ -31,12 +31,12 @@
 	}
 	leaves := f.leaves(r.Member)
 	switch {
-	case r.Kind == Pin || r.Kind == Alone:
+	case r.Kind == Pin || r.Kind == Dedicated:
 		if leaves != nil {
 			return f.at(r.Line, "%s %q wants ranges on %q, which leaves by line %d", r.Kind, r.Name, r.Member,
 				leaves.Line)
 		}
-	case r.Kind == Keep:
+	case r.Kind == ZoneAffinity:
 		var zones []string
 		var why []string
 		for _, m := range f.Members {
@@ -99,7 +99,7 @@
 		if err != nil {
 			return err
 		}
-		f.Turns = append(f.Turns, Turn{a, b, line})
+		f.Precedences = append(f.Precedences, Precedence{a, b, line})
 		return nil
 	}
 	for _, b := range w.Before {
@@ -116,23 +116,23 @@
 			}
 		}
 	}
-	slices.SortStableFunc(f.Turns, func(a, b Turn) int { return a.Line - b.Line })
+	slices.SortStableFunc(f.Precedences, func(a, b Precedence) int { return a.Line - b.Line })
 	return nil
 }
 
 // round refuses turns that go in a circle, with the lines that make it up.
 func (f *File) round() error {
 	state := make([]int, len(f.Rules)) // 1: on the path, 2: done
-	var path []Turn
+	var path []Precedence
 	var visit func(rule int) error
 	visit = func(rule int) error {
 		state[rule] = 1
-		for _, t := range f.Turns {
+		for _, t := range f.Precedences {
 			if t.First != rule || state[t.Then] == 2 {
 				continue
 			}
 			if path = append(path, t); state[t.Then] == 1 {
-				from := slices.IndexFunc(path, func(p Turn) bool { return p.First == t.Then })
+				from := slices.IndexFunc(path, func(p Precedence) bool { return p.First == t.Then })
 				var way []string
 				for _, p := range path[from:] {
 					way = append(way, fmt.Sprintf("%q before %q (line %d)", f.Rules[p.First].Name,
--- a/cluster/rebalance/choose.go
+++ b/cluster/rebalance/choose.go
@@ -87,7 +87,7 @@
 func (t *task) together(to []int) (found []pair) {
 	for k := range t.file.Rules {
 		r := &t.file.Rules[k]
-		if r.Kind != Apart {
+		if r.Kind != AntiAffinity {
 			continue
 		}
 		there := map[string]int{}
@@ -162,12 +162,12 @@
 	}
 	if r := t.file.Rules; all == nil && but != nil {
 		for k := range r {
-			if r[k].Kind != Apart && &r[k] != but {
+			if r[k].Kind != AntiAffinity && &r[k] != but {
 				all = append(all, fmt.Sprintf("%s %q in line %d", r[k].Kind, r[k].Name, r[k].Line))
 			}
 		}
 		for _, m := range t.members {
-			if m.Room > 0 {
+			if m.Capacity > 0 {
 				all = append(all, fmt.Sprintf("room of %q in line %d", m.ID, m.Line))
 			}
 		}
--- a/cluster/rebalance/choose_test.go
+++ b/cluster/rebalance/choose_test.go
@@ -58,7 +58,7 @@
 		has[m]++
 	}
 	for m, v := range f.Members {
-		if v.Room > 0 && has[m] > v.Room {
+		if v.Capacity > 0 && has[m] > v.Capacity {
 			return false
 		}
 	}
@@ -70,17 +70,17 @@
 		}
 		for n, i := range covered {
 			m := f.Members[to[i]]
-			if (r.Kind == Pin || r.Kind == Alone) && m.ID != r.Member || r.Kind == Keep && m.Zone != r.Zone {
+			if (r.Kind == Pin || r.Kind == Dedicated) && m.ID != r.Member || r.Kind == ZoneAffinity && m.Zone != r.Zone {
 				return false
 			}
 			for _, other := range covered[:n] {
-				if r.Kind == Apart && (to[other] == to[i] || r.ByZone && f.Members[to[other]].Zone == m.Zone) {
+				if r.Kind == AntiAffinity && (to[other] == to[i] || r.ByZone && f.Members[to[other]].Zone == m.Zone) {
 					return false
 				}
 			}
 		}
 		for m, v := range f.Members {
-			if v.ID == r.Member && (r.Kind == Leave && has[m] > 0 || r.Kind == Alone && has[m] != len(covered)) {
+			if v.ID == r.Member && (r.Kind == Drain && has[m] > 0 || r.Kind == Dedicated && has[m] != len(covered)) {
 				return false
 			}
 		}
@@ -107,7 +107,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 4).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "ranges")
 		text := wishes(t, members, n)
-		f, err := Read([]byte(text), "f.hcl")
+		f, err := ParseFile([]byte(text), "f.hcl")
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 			return
@@ -193,7 +193,7 @@
 member "b" { weight = 0 }`, []span{{3, 3}, {5, 5}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, err := Read([]byte(c.text), "f.hcl")
+			f, err := ParseFile([]byte(c.text), "f.hcl")
 			require.NoError(t, err)
 			work := newTask(f, newWorld(t, "a", "a", "a", "a", "a", "a", "a", "a").m, nil)
 			require.NoError(t, work.resolve())
@@ -207,9 +207,9 @@
 	text := "member \"a\" {}\nmember \"b\" {}\nmember \"c\" { weight = 0 }\nmember \"d\" { weight = 0 }\n" +
 		"apart \"p\" { hashes = [\"0x0\", \"0x5fffffffffffffff\"] }\n" +
 		"apart \"q\" { hashes = [\"0x6000000000000000\", \"0xbfffffffffffffff\"] }\n"
-	f, err := Read([]byte(text), "f.hcl")
+	f, err := ParseFile([]byte(text), "f.hcl")
 	require.NoError(t, err)
-	p, err := Make(f, newWorld(t, "a", "b", "c", "a", "b", "c", "a", "a").m, nil)
+	p, err := NewPlan(f, newWorld(t, "a", "b", "c", "a", "b", "c", "a", "a").m, nil)
 	require.NoError(t, err)
-	assert.Equal(t, map[cluster.MemberID]int{"a": 3, "b": 3, "c": 1, "d": 1}, p.Ends)
+	assert.Equal(t, map[cluster.MemberID]int{"a": 3, "b": 3, "c": 1, "d": 1}, p.RangesPerMember)
 }
--- a/cluster/rebalance/encoding_test.go
+++ b/cluster/rebalance/encoding_test.go
@@ -14,5 +14,5 @@
 func TestEncodedForms(t *testing.T) {
 	golden, err := os.ReadFile("testdata/encoded-forms.txt")
 	require.NoError(t, err)
-	assert.Equal(t, string(golden), wireschema.Describe(wireschema.CBOR, command{}, Progress{}, Report{}, Watch{}))
+	assert.Equal(t, string(golden), wireschema.Describe(wireschema.CBOR, command{}, Progress{}, Report{}, MonitoredMove{}))
 }
--- a/cluster/rebalance/harm.go
+++ b/cluster/rebalance/harm.go
@@ -11,42 +11,42 @@
 	"rowanlink/webhook/api"
 )
 
-// Ends counts how webhooks ended. Rejected are those that were not taken on, or were handed back by notice.
-type Ends struct {
-	Ended        uint64 `cbor:"1,keyasint,omitempty"`
+// Outcomes counts how webhooks ended. Rejected are those that were not taken on, or were handed back by notice.
+type Outcomes struct {
+	Total        uint64 `cbor:"1,keyasint,omitempty"`
 	Rejected     uint64 `cbor:"2,keyasint,omitempty"`
 	DeadLettered uint64 `cbor:"3,keyasint,omitempty"`
 	Late         uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-func (e Ends) plus(o Ends) Ends {
-	return Ends{e.Ended + o.Ended, e.Rejected + o.Rejected, e.DeadLettered + o.DeadLettered, e.Late + o.Late}
+func (e Outcomes) plus(o Outcomes) Outcomes {
+	return Outcomes{e.Total + o.Total, e.Rejected + o.Rejected, e.DeadLettered + o.DeadLettered, e.Late + o.Late}
 }
 
 // less is what came on top of an earlier count.
-func (e Ends) less(o Ends) Ends {
-	return Ends{e.Ended - o.Ended, e.Rejected - o.Rejected, e.DeadLettered - o.DeadLettered, e.Late - o.Late}
+func (e Outcomes) less(o Outcomes) Outcomes {
+	return Outcomes{e.Total - o.Total, e.Rejected - o.Rejected, e.DeadLettered - o.DeadLettered, e.Late - o.Late}
 }
 
-// Harm is what was measured in the ranges that the plan moves: since their moves began and what was usual
+// Impact is what was measured in the ranges that the plan moves: since their moves began and what was usual
 // there before.
-type Harm struct {
-	Now, Usual Ends
-	Sick       []Sick // that were well before their move
-	Spots      []Spot // the same range by range
+type Impact struct {
+	During, Baseline Outcomes
+	Unhealthy        []UnhealthyDestination // that were well before their move
+	Ranges           []RangeImpact          // the same range by range
 }
 
-// Sick is a destination that is, and the range that it lies in.
-type Sick struct {
-	Dest  api.DestinationID
-	Range cluster.RangeID
+// UnhealthyDestination is a destination that is, and the range that it lies in.
+type UnhealthyDestination struct {
+	Destination api.DestinationID
+	Range       cluster.RangeID
 }
 
-// Gathered is what members told of one plan. What was told last by a member stays when it tells nothing more:
+// ImpactCollector is what members told of one plan. What was told last by a member stays when it tells nothing more:
 // guards against harm forgotten because the one that saw it was killed.
-type Gathered struct {
+type ImpactCollector struct {
 	number uint64
-	spots  map[teller]map[shardmap.MoveID]Spot
+	spots  map[teller]map[shardmap.MoveID]RangeImpact
 }
 
 type teller struct {
@@ -54,84 +54,84 @@
 	life   uint64
 }
 
-// Take takes a member's report for the plan of a number; another plan's begins anew.
-func (g *Gathered) Take(number uint64, from cluster.MemberID, r Report) {
+// AddReport takes a member's report for the plan of a number; another plan's begins anew.
+func (g *ImpactCollector) AddReport(number uint64, from cluster.MemberID, r Report) {
 	if g.number != number || g.spots == nil {
-		g.number, g.spots = number, map[teller]map[shardmap.MoveID]Spot{}
+		g.number, g.spots = number, map[teller]map[shardmap.MoveID]RangeImpact{}
 	}
-	at := teller{from, r.Life}
+	at := teller{from, r.Incarnation}
 	if g.spots[at] == nil {
-		g.spots[at] = map[shardmap.MoveID]Spot{}
+		g.spots[at] = map[shardmap.MoveID]RangeImpact{}
 	}
-	for _, s := range r.Spots {
+	for _, s := range r.Ranges {
 		g.spots[at][s.Move] = s
 	}
 }
 
-// Harm adds up what was told for the plan of a number.
-func (g *Gathered) Harm(number uint64) (h Harm) {
+// Impact adds up what was told for the plan of a number.
+func (g *ImpactCollector) Impact(number uint64) (h Impact) {
 	if g.number != number {
 		return h
 	}
-	moves, were := map[shardmap.MoveID]Spot{}, map[api.DestinationID]bool{}
+	moves, were := map[shardmap.MoveID]RangeImpact{}, map[api.DestinationID]bool{}
 	for _, told := range g.spots {
 		for id, s := range told {
 			sum := moves[id]
 			sum.Move, sum.Range = id, s.Range
-			sum.Now, sum.Usual = sum.Now.plus(s.Now), sum.Usual.plus(s.Usual)
-			sum.Sick = append(slices.Clone(sum.Sick), s.Sick...)
+			sum.During, sum.Baseline = sum.During.plus(s.During), sum.Baseline.plus(s.Baseline)
+			sum.Unhealthy = append(slices.Clone(sum.Unhealthy), s.Unhealthy...)
 			moves[id] = sum
-			for _, d := range s.Were {
+			for _, d := range s.UnhealthyBefore {
 				were[d] = true
 			}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(moves)) {
 		s := moves[id]
-		slices.Sort(s.Sick)
-		s.Sick = slices.DeleteFunc(slices.Compact(s.Sick), func(d api.DestinationID) bool { return were[d] })
-		for _, d := range s.Sick {
-			h.Sick = append(h.Sick, Sick{d, s.Range})
+		slices.Sort(s.Unhealthy)
+		s.Unhealthy = slices.DeleteFunc(slices.Compact(s.Unhealthy), func(d api.DestinationID) bool { return were[d] })
+		for _, d := range s.Unhealthy {
+			h.Unhealthy = append(h.Unhealthy, UnhealthyDestination{d, s.Range})
 		}
-		h.Now, h.Usual, h.Spots = h.Now.plus(s.Now), h.Usual.plus(s.Usual), append(h.Spots, s)
+		h.During, h.Baseline, h.Ranges = h.During.plus(s.During), h.Baseline.plus(s.Baseline), append(h.Ranges, s)
 	}
 	return h
 }
 
-// measures are the shares that may stop a plan, as StopWhen has them.
+// measures are the shares that may stop a plan, as StopConditions has them.
 var measures = [...]struct {
 	name string
-	of   func(Ends) uint64
+	of   func(Outcomes) uint64
 }{
-	{"rejected", func(e Ends) uint64 { return e.Rejected }},
-	{"dead-lettered", func(e Ends) uint64 { return e.DeadLettered }},
-	{"late", func(e Ends) uint64 { return e.Late }},
+	{"rejected", func(e Outcomes) uint64 { return e.Rejected }},
+	{"dead-lettered", func(e Outcomes) uint64 { return e.DeadLettered }},
+	{"late", func(e Outcomes) uint64 { return e.Late }},
 }
 
 // harm says which share is over what the file allows beyond what is usual, and where most of it was. A share
 // is taken from so many webhooks on that one of them alone is within the limit: one rejected of three says
 // nothing of 2 in a hundred.
-func (s StopWhen) harm(h Harm) string {
+func (s StopConditions) harm(h Impact) string {
 	for k, limit := range [...]float64{s.Rejected, s.DeadLettered, s.Late} {
-		if limit < 0 || h.Now.Ended == 0 || limit > 0 && float64(h.Now.Ended)*limit < 1 {
+		if limit < 0 || h.During.Total == 0 || limit > 0 && float64(h.During.Total)*limit < 1 {
 			continue
 		}
 		of := measures[k].of
-		share, was := float64(of(h.Now))/float64(h.Now.Ended), float64(of(h.Usual))/float64(max(1, h.Usual.Ended))
+		share, was := float64(of(h.During))/float64(h.During.Total), float64(of(h.Baseline))/float64(max(1, h.Baseline.Total))
 		if share-was <= limit {
 			continue
 		}
 		where := "the ranges that move"
-		if len(h.Spots) > 0 {
-			most := slices.MaxFunc(h.Spots, func(a, b Spot) int { return cmp.Compare(of(a.Now), of(b.Now)) })
-			where = fmt.Sprintf("%s, most in range %d (%d of %d)", where, most.Range, of(most.Now), most.Now.Ended)
+		if len(h.Ranges) > 0 {
+			most := slices.MaxFunc(h.Ranges, func(a, b RangeImpact) int { return cmp.Compare(of(a.During), of(b.During)) })
+			where = fmt.Sprintf("%s, most in range %d (%d of %d)", where, most.Range, of(most.During), most.During.Total)
 		}
 		return fmt.Sprintf("%.4g of webhooks %s in %s, %.4g before; line %d stops at %g more", share,
 			measures[k].name, where, was, s.Line, limit)
 	}
-	if s.Sick && len(h.Sick) > 0 {
+	if s.Unhealthy && len(h.Unhealthy) > 0 {
 		return fmt.Sprintf("destination %d went sick in range %d, which moves; line %d stops at that",
-			h.Sick[0].Dest, h.Sick[0].Range, s.Line)
+			h.Unhealthy[0].Destination, h.Unhealthy[0].Range, s.Line)
 	}
 	return ""
 }
--- a/cluster/rebalance/lacks.go
+++ b/cluster/rebalance/lacks.go
@@ -31,9 +31,9 @@
 	for k := range f.Rules {
 		r := &f.Rules[k]
 		switch r.Kind {
-		case Leave:
+		case Drain:
 			why = append(why, fmt.Sprintf("%q leaves by line %d", r.Member, r.Line))
-		case Alone:
+		case Dedicated:
 			why = append(why, fmt.Sprintf("%q is alone by line %d", r.Member, r.Line))
 		default:
 			continue
@@ -43,9 +43,9 @@
 	var who []string
 	for m, v := range a.members {
 		if reach[a.member[m]] && a.stays[m] {
-			room += v.Room
+			room += v.Capacity
 			line = cmp.Or(line, v.Line)
-			who = append(who, fmt.Sprintf("%q (line %d) has room for %d", v.ID, v.Line, v.Room))
+			who = append(who, fmt.Sprintf("%q (line %d) has room for %d", v.ID, v.Line, v.Capacity))
 		}
 	}
 	if len(who) == 0 {
--- a/cluster/rebalance/next.go
+++ b/cluster/rebalance/next.go
@@ -9,50 +9,50 @@
 	"rowanlink/webhook/api"
 )
 
-// Seen is what a conductor knows beside the log.
-type Seen struct {
-	Gone   func(cluster.MemberID) bool   // it has no session; nil: none is gone
-	Value  func(cluster.RangeID) float64 // value of what is delivered in a range, as bounds count it; nil: 0
-	Harm   Harm
-	Rested api.Micros // since a move ended; a conductor that has just begun counts from then
+// Observations is what a conductor knows beside the log.
+type Observations struct {
+	IsGone        func(cluster.MemberID) bool   // it has no session; nil: none is gone
+	RangeValue    func(cluster.RangeID) float64 // value of what is delivered in a range, as bounds count it; nil: 0
+	Impact        Impact
+	SinceLastMove api.Micros // since a move ended; a conductor that has just begun counts from then
 }
 
-// Do is what a conductor has to do.
-type Do uint8
+// ActionKind is what a conductor has to do.
+type ActionKind uint8
 
 const (
-	Start    Do = iota + 1 // ranges.Conductor.Plan(Range, From, To)
-	GoBack                 // ranges.Conductor.Back(Move)
-	TakeOn                 // Conductor.Note(number, Step, Stand, Move)
-	GiveUp                 // Conductor.Stop(number, Why)
-	Replan                 // Make by the same file and the map as it is, then Adopt
-	SplitOff               // ranges.Conductor.Split(Range, At)
-	MergeIn                // ranges.Conductor.Merge(Range, Other)
+	ActionStart       ActionKind = iota + 1 // ranges.Conductor.Plan(Range, From, To)
+	ActionRollBack                          // ranges.Conductor.Back(Move)
+	ActionRecordState                       // Conductor.Note(number, Step, Stand, Move)
+	ActionStop                              // Conductor.Stop(number, Why)
+	ActionReplan                            // Make by the same file and the map as it is, then Adopt
+	ActionSplit                             // ranges.Conductor.Split(Range, At)
+	ActionMerge                             // ranges.Conductor.Merge(Range, Other)
 )
 
 // Action is one thing to do. What the log refuses is asked for again as long as it is due.
 type Action struct {
-	Do       Do
-	Step     int // from 0 on; -1: no step's
-	Range    cluster.RangeID
-	From, To cluster.MemberID
-	Move     shardmap.MoveID
-	Stand    Stand
-	Why      string
-	At       cluster.KeyHash // SplitOff
-	Other    cluster.RangeID // MergeIn
+	Kind       ActionKind
+	Step       int // from 0 on; -1: no step's
+	Range      cluster.RangeID
+	From, To   cluster.MemberID
+	Move       shardmap.MoveID
+	State      StepState
+	Reason     string
+	SplitKey   cluster.KeyHash // ActionSplit
+	OtherRange cluster.RangeID // ActionMerge
 }
 
-// Wait says why a step has not begun.
-type Wait struct {
-	Step int
-	Why  string
+// BlockedStep says why a step has not begun.
+type BlockedStep struct {
+	Step   int
+	Reason string
 }
 
-// Turnout is what Next found.
-type Turnout struct {
+// Decisions is what Next found.
+type Decisions struct {
 	Actions  []Action
-	Waits    []Wait
+	Blocked  []BlockedStep
 	Finished bool // all that shall be is, or the plan was stopped and nothing is under way
 }
 
@@ -60,14 +60,14 @@
 type look struct {
 	*Progress
 	file   *File
-	seen   Seen
-	stands []Stand // as they are by the map, noted or not
+	seen   Observations
+	stands []StepState // as they are by the map, noted or not
 	ranges map[cluster.RangeID]*shardmap.Range
 	whole  map[cluster.RangeID]bool // those that count in a member's room
 	left   map[shardmap.MoveID]bool
 	wanted map[shardmap.MoveID]bool // by a step
 	backs  map[shardmap.MoveID]bool // told already
-	out    Turnout
+	out    Decisions
 
 	members map[cluster.MemberID]*Member
 	used    map[cluster.MemberID]int // places
@@ -75,14 +75,14 @@
 	busy    busy
 }
 
-// Next tells what has to be done now by the log, the map of ranges and what the conductor sees. f is the
+// Schedule tells what has to be done now by the log, the map of ranges and what the conductor sees. f is the
 // running plan's file, as Progress.File reads it. It keeps nothing: whoever conducts next goes on from the
 // same.
-func (p *Progress) Next(f *File, m *shardmap.Map, s Seen) Turnout {
+func (p *Progress) Schedule(f *File, m *shardmap.Map, s Observations) Decisions {
 	if p.Number == 0 {
-		return Turnout{Finished: true}
+		return Decisions{Finished: true}
 	}
-	l := &look{Progress: p, file: f, seen: s, stands: append([]Stand(nil), p.Stands...),
+	l := &look{Progress: p, file: f, seen: s, stands: append([]StepState(nil), p.States...),
 		ranges: map[cluster.RangeID]*shardmap.Range{}, left: map[shardmap.MoveID]bool{}, wanted: map[shardmap.MoveID]bool{},
 		backs: map[shardmap.MoveID]bool{}, members: map[cluster.MemberID]*Member{}}
 	for i := range f.Members {
@@ -102,14 +102,14 @@
 		}
 	}
 	l.unwanted(m)
-	switch harm := f.StopWhen.harm(s.Harm); {
-	case p.Stopped != "":
-		l.backAll(m, "the plan is stopped: "+p.Stopped)
+	switch harm := f.StopConditions.harm(s.Impact); {
+	case p.StopReason != "":
+		l.backAll(m, "the plan is stopped: "+p.StopReason)
 	case harm != "":
-		l.add(Action{Do: GiveUp, Step: -1, Why: harm})
+		l.add(Action{Kind: ActionStop, Step: -1, Reason: harm})
 		l.backAll(m, harm)
 	case why != "":
-		l.add(Action{Do: Replan, Step: -1, Why: why})
+		l.add(Action{Kind: ActionReplan, Step: -1, Reason: why})
 	default:
 		l.starts(m)
 	}
@@ -119,82 +119,82 @@
 
 func (l *look) add(a Action) { l.out.Actions = append(l.out.Actions, a) }
 
-func (l *look) note(k int, stand Stand, move shardmap.MoveID) {
+func (l *look) note(k int, stand StepState, move shardmap.MoveID) {
 	l.stands[k] = stand
-	if l.Stands[k] != stand {
+	if l.States[k] != stand {
 		s := l.Steps[k]
-		l.add(Action{Do: TakeOn, Step: k, Range: s.Range, From: s.From, To: s.To, Move: move, Stand: stand})
+		l.add(Action{Kind: ActionRecordState, Step: k, Range: s.Range, From: s.From, To: s.To, Move: move, State: stand})
 	}
 }
 
 // judge brings a step and the map together. A text says why the steps can't go on from where the ranges are.
 func (l *look) judge(k int) string {
 	s, r := l.Steps[k], l.ranges[l.Steps[k].Range]
-	if l.stands[k] == Through {
+	if l.stands[k] == Done {
 		return ""
 	}
 	if s.Range == 0 { // of a home that was lost: only to be cleared
 		if !l.left[s.Move] {
-			l.note(k, Through, s.Move)
+			l.note(k, Done, s.Move)
 		}
 		return ""
 	}
-	if s.Way == Split || s.Way == Join {
+	if s.Kind == StepSplit || s.Kind == StepMerge {
 		return l.reshape(k)
 	}
-	if slices.ContainsFunc(s.Needs, func(n Need) bool { return n.Why == Shape && l.stands[n.Step] != Through }) {
+	if slices.ContainsFunc(s.DependsOn, func(n Dependency) bool { return n.Reason == RangeBoundary && l.stands[n.Step] != Done }) {
 		return ""
 	}
 	if r == nil {
 		return fmt.Sprintf("range %d was split or merged", s.Range)
 	}
 	elsewhere := fmt.Sprintf("step %d: range %d is on %q", k+1, s.Range, r.Home)
-	if l.stands[k] == Begun {
+	if l.stands[k] == Started {
 		open := r.Move.Open() && r.Move.ID == s.Move
 		switch {
-		case open && s.Way == Back && r.Move.Step == shardmap.Switched:
+		case open && s.Kind == StepRollBack && r.Move.Step == shardmap.Switched:
 			return elsewhere + " already"
 		case open:
 			l.wanted[s.Move] = true
-			if s.Way == Back {
+			if s.Kind == StepRollBack {
 				l.back(k, r, "the plan wants it elsewhere")
 			} else if l.gone(s.To) && r.Move.Step < shardmap.Switched {
 				l.back(k, r, fmt.Sprintf("%q is not heard", s.To))
 			}
-		case s.Way == Back && r.Home == s.From, s.Way != Back && r.Home == s.To:
-			l.note(k, Through, s.Move)
-		case s.Way != Back && r.Home == s.From:
-			l.note(k, Returned, s.Move)
+		case s.Kind == StepRollBack && r.Home == s.From, s.Kind != StepRollBack && r.Home == s.To:
+			l.note(k, Done, s.Move)
+		case s.Kind != StepRollBack && r.Home == s.From:
+			l.note(k, RolledBack, s.Move)
 		default:
 			return elsewhere
 		}
 		return ""
 	}
-	for _, n := range s.Needs { // until then the range may be where an earlier step has it
-		if n.Why == Same && l.stands[n.Step] != Through {
+	for _, n := range s.DependsOn { // until then the range may be where an earlier step has it
+		if n.Reason == SameRange && l.stands[n.Step] != Done {
 			return ""
 		}
 	}
 	switch {
 	case r.Home == s.From && r.Move.Open() && r.Move.From == s.From && r.Move.To == s.To:
 		l.wanted[r.Move.ID] = true
-		l.note(k, Begun, r.Move.ID)
+		l.note(k, Started, r.Move.ID)
 	case r.Home == s.To && !r.Move.Open():
-		l.note(k, Through, s.Move)
+		l.note(k, Done, s.Move)
 	case r.Home != s.From:
 		return elsewhere
 	}
 	return ""
 }
 
-func (l *look) gone(m cluster.MemberID) bool { return l.seen.Gone != nil && l.seen.Gone(m) }
+func (l *look) gone(m cluster.MemberID) bool { return l.seen.IsGone != nil && l.seen.IsGone(m) }
 
 func (l *look) back(k int, r *shardmap.Range, why string) {
 	if l.backs[r.Move.ID] {
 		return
 	}
 	l.backs[r.Move.ID] = true
-	l.add(Action{Do: GoBack, Step: k, Range: r.ID, From: r.Move.From, To: r.Move.To, Move: r.Move.ID, Why: why})
+	l.add(Action{Kind: ActionRollBack, Step: k, Range: r.ID, From: r.Move.From, To: r.Move.To, Move: r.Move.ID, Reason: why})
 }
 
 // unwanted sends back what a plan before this one began and this one doesn't know.
@@ -214,8 +214,8 @@
 		}
 	}
 	for k, s := range l.stands {
-		if s == Waits || s == Returned {
-			l.out.Waits = append(l.out.Waits, Wait{k, why})
+		if s == Pending || s == RolledBack {
+			l.out.Blocked = append(l.out.Blocked, BlockedStep{k, why})
 		}
 	}
 }
@@ -227,7 +227,7 @@
 		}
 	}
 	for _, s := range l.stands {
-		if s != Through && l.Stopped == "" {
+		if s != Done && l.StopReason == "" {
 			return false
 		}
 	}
--- a/cluster/rebalance/next_test.go
+++ b/cluster/rebalance/next_test.go
@@ -24,15 +24,15 @@
 	require.NoError(t, w.adopt(text))
 	starts := func() (all []cluster.RangeID) {
 		for _, a := range w.next().Actions {
-			if a.Do == Start {
+			if a.Kind == ActionStart {
 				all = append(all, a.Range)
 			}
 		}
 		return all
 	}
 	assert.Equal(t, []cluster.RangeID{2}, starts())
-	for _, wait := range w.next().Waits {
-		assert.Contains(t, wait.Why, "value_under_way is 10 (line 7)")
+	for _, wait := range w.next().Blocked {
+		assert.Contains(t, wait.Reason, "value_under_way is 10 (line 7)")
 	}
 	w.act()
 	worth[2] = 3
@@ -44,27 +44,27 @@
 func TestAPauseFollowsAMove(t *testing.T) {
 	w := newWorld(t, "a")
 	require.NoError(t, w.adopt(two+"leave \"a\" {}\nbounds { pause = \"2s\" }\n"))
-	out := w.p.Next(w.file, w.m, Seen{Rested: 2*api.Second - 1})
+	out := w.p.Schedule(w.file, w.m, Observations{SinceLastMove: 2*api.Second - 1})
 	assert.Empty(t, out.Actions)
-	assert.Equal(t, []Wait{{0, "the pause after the last move is not over (line 4)"}}, out.Waits)
-	assert.Len(t, w.p.Next(w.file, w.m, Seen{Rested: 2 * api.Second}).Actions, 1)
+	assert.Equal(t, []BlockedStep{{0, "the pause after the last move is not over (line 4)"}}, out.Blocked)
+	assert.Len(t, w.p.Schedule(w.file, w.m, Observations{SinceLastMove: 2 * api.Second}).Actions, 1)
 }
 
 // Measured harm stops the plan: what has not switched goes back, and nothing starts until another file comes.
 func TestHarmStopsThePlan(t *testing.T) {
 	text := two +
 		"leave \"a\" {}\nbounds { moves_at_once = 2 }\nstop_when {\n rejected = 0.02\n sick = true\n}\n"
-	usual := Ends{Ended: 1000, Rejected: 10}
+	usual := Outcomes{Total: 1000, Rejected: 10}
 	for name, c := range map[string]struct {
-		harm Harm
+		harm Impact
 		why  string
 	}{
-		"none": {Harm{Now: Ends{Ended: 100, Rejected: 3}, Usual: usual}, ""},
-		"over": {Harm{Now: Ends{Ended: 100, Rejected: 4}, Usual: usual},
+		"none": {Impact{During: Outcomes{Total: 100, Rejected: 3}, Baseline: usual}, ""},
+		"over": {Impact{During: Outcomes{Total: 100, Rejected: 4}, Baseline: usual},
 			"0.04 of webhooks rejected"},
-		"too few to tell":      {Harm{Now: Ends{Ended: 49, Rejected: 49}, Usual: usual}, ""},
-		"late is not asked":    {Harm{Now: Ends{Ended: 100, Late: 100}}, ""},
-		"a destination is ill": {Harm{Sick: []Sick{{7, 1}}}, "destination 7 went sick"},
+		"too few to tell":      {Impact{During: Outcomes{Total: 49, Rejected: 49}, Baseline: usual}, ""},
+		"late is not asked":    {Impact{During: Outcomes{Total: 100, Late: 100}}, ""},
+		"a destination is ill": {Impact{Unhealthy: []UnhealthyDestination{{7, 1}}}, "destination 7 went sick"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, "a", "a", "a")
@@ -73,20 +73,20 @@
 			}
 			w.goOn(w.open()[0])
 			require.Len(t, w.open(), 2)
-			out := w.p.Next(w.file, w.m, Seen{Harm: c.harm})
+			out := w.p.Schedule(w.file, w.m, Observations{Impact: c.harm})
 			if c.why == "" {
 				assert.Empty(t, out.Actions)
 				return
 			}
 			require.Len(t, out.Actions, 3)
-			assert.Equal(t, GiveUp, out.Actions[0].Do)
-			assert.Contains(t, out.Actions[0].Why, c.why)
-			w.must(Conductor(1).Stop(1, out.Actions[0].Why))
+			assert.Equal(t, ActionStop, out.Actions[0].Kind)
+			assert.Contains(t, out.Actions[0].Reason, c.why)
+			w.must(Coordinator(1).Stop(1, out.Actions[0].Reason))
 			for w.act() > 0 {
 			}
 			assert.Empty(t, w.open())
 			assert.True(t, w.next().Finished)
-			assert.Contains(t, w.next().Waits[0].Why, "the plan is stopped: "+c.why)
+			assert.Contains(t, w.next().Blocked[0].Reason, "the plan is stopped: "+c.why)
 			require.NoError(t, w.adopt(text))
 			assert.Len(t, w.next().Actions, 2)
 		})
@@ -103,7 +103,7 @@
 	for w.act() > 0 {
 	}
 	assert.Empty(t, w.open())
-	assert.Equal(t, []Wait{{0, "b is not heard"}}, w.next().Waits)
+	assert.Equal(t, []BlockedStep{{0, "b is not heard"}}, w.next().Blocked)
 	w.gone["b"] = false
 	for w.act() > 0 {
 	}
@@ -120,11 +120,11 @@
 	w.must(shardmap.Conductor(1).Lost([]shardmap.Takeover{{Range: 1, Lost: "a", To: "c"}}))
 	out := w.next()
 	require.Len(t, out.Actions, 1)
-	assert.Equal(t, Replan, out.Actions[0].Do)
-	assert.Contains(t, out.Actions[0].Why, `range 1 is on "c"`)
+	assert.Equal(t, ActionReplan, out.Actions[0].Kind)
+	assert.Contains(t, out.Actions[0].Reason, `range 1 is on "c"`)
 	w.act()
 	assert.Equal(t, uint64(2), w.p.Number)
-	assert.Contains(t, w.next().Waits[0].Why, "c has yet to say that it serves range 1")
+	assert.Contains(t, w.next().Blocked[0].Reason, "c has yet to say that it serves range 1")
 }
 
 // What the log must not take.
@@ -132,23 +132,23 @@
 	w := newWorld(t, "a")
 	text := two + "leave \"a\" {}\n"
 	require.NoError(t, w.adopt(text))
-	p, err := Make(w.file, w.m, nil)
+	p, err := NewPlan(w.file, w.m, nil)
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		cmd  cluster.Command
 		want error
 	}{
-		"a plan beside it":    {Conductor(1).Adopt(0, "f.hcl", []byte(text), p), cluster.ErrStale},
-		"another plan's step": {Conductor(1).Note(2, 0, Begun, 5), cluster.ErrStale},
-		"no such step":        {Conductor(1).Note(1, 1, Begun, 5), cluster.ErrUnknown},
-		"another plan's end":  {Conductor(1).Stop(2, "x"), cluster.ErrStale},
-		"back to the start":   {Conductor(1).Note(1, 0, Waits, 5), cluster.ErrStale},
+		"a plan beside it":    {Coordinator(1).Adopt(0, "f.hcl", []byte(text), p), cluster.ErrStale},
+		"another plan's step": {Coordinator(1).RecordState(2, 0, Started, 5), cluster.ErrStale},
+		"no such step":        {Coordinator(1).RecordState(1, 1, Started, 5), cluster.ErrUnknown},
+		"another plan's end":  {Coordinator(1).Stop(2, "x"), cluster.ErrStale},
+		"back to the start":   {Coordinator(1).RecordState(1, 0, Pending, 5), cluster.ErrStale},
 	} {
 		_, err := w.propose(c.cmd)
 		assert.ErrorIs(t, err, c.want, name)
 	}
-	w.must(Conductor(1).Note(1, 0, Through, 5))
-	_, err = w.propose(Conductor(1).Note(1, 0, Begun, 5))
+	w.must(Coordinator(1).RecordState(1, 0, Done, 5))
+	_, err = w.propose(Coordinator(1).RecordState(1, 0, Started, 5))
 	assert.ErrorIs(t, err, cluster.ErrStale, "it is through")
 }
 
@@ -160,5 +160,5 @@
 	out := w.next()
 	require.Len(t, out.Actions, 1)
 	assert.Equal(t, cluster.RangeID(1), out.Actions[0].Range)
-	assert.Equal(t, []Wait{{1, `pin "p" (line 3) goes first and has 1 moves left`}}, out.Waits)
+	assert.Equal(t, []BlockedStep{{1, `pin "p" (line 3) goes first and has 1 moves left`}}, out.Blocked)
 }
--- a/cluster/rebalance/none.go
+++ b/cluster/rebalance/none.go
@@ -48,13 +48,13 @@
 	return nil
 }
 
-func (s *search) waitsBy(k int) Turn {
+func (s *search) waitsBy(k int) Precedence {
 	for _, r := range s.moves[k].rules {
-		for _, t := range s.file.Turns {
+		for _, t := range s.file.Precedences {
 			if (t.Then == r || slices.Contains(s.goesBefore[r], t.Then)) && s.undone[t.First] > 0 {
 				return t
 			}
 		}
 	}
-	return Turn{}
+	return Precedence{}
 }
--- a/cluster/rebalance/order_test.go
+++ b/cluster/rebalance/order_test.go
@@ -133,9 +133,9 @@
 
 func (p puzzle) solve(t *rapid.T) {
 	w := newWorld(t, p.homes()...)
-	f, err := Read([]byte(p.text()), "f.hcl")
+	f, err := ParseFile([]byte(p.text()), "f.hcl")
 	require.NoError(t, err)
-	made, err := Make(f, w.m, nil)
+	made, err := NewPlan(f, w.m, nil)
 	for m, room := range p.room {
 		pinned := 0
 		for _, to := range p.to {
@@ -157,10 +157,10 @@
 	require.NoError(t, err)
 	stops := 0
 	for k, s := range made.Steps {
-		if s.Way == Over {
+		if s.Kind == StepDetour {
 			stops++
 		}
-		for _, n := range s.Needs {
+		for _, n := range s.DependsOn {
 			require.Less(t, n.Step, k)
 		}
 	}
--- a/cluster/rebalance/pieces.go
+++ b/cluster/rebalance/pieces.go
@@ -28,19 +28,19 @@
 // oneHash is whether a range is one hash.
 func oneHash(r shardmap.Range) bool { return r.From == r.To }
 
-// Cut is a split that a plan needs: what lies from At on becomes range New.
-type Cut struct {
+// rangeSplit is a split that a plan needs: what lies from At on becomes range New.
+type rangeSplit struct {
 	Range, New cluster.RangeID
 	At         cluster.KeyHash
 }
 
-// Moving is why no plan can be made yet: a range that has to be split is on its way.
-type Moving struct {
+// RangeMovingError is why no plan can be made yet: a range that has to be split is on its way.
+type RangeMovingError struct {
 	Range cluster.RangeID
 	Move  shardmap.Move
 }
 
-func (m *Moving) Error() string {
+func (m *RangeMovingError) Error() string {
 	return fmt.Sprintf("range %d has to be split and moves to %q: first that has to end", m.Range, m.Move.To)
 }
 
@@ -48,8 +48,8 @@
 // there with its range.
 func (f *File) named(m *shardmap.Map) (all []cluster.KeyHash) {
 	for _, r := range f.Rules {
-		if r.Kind != Keep {
-			for _, d := range r.Of.Destinations {
+		if r.Kind != ZoneAffinity {
+			for _, d := range r.Selector.Destinations {
 				all = append(all, m.Key(d))
 			}
 		}
@@ -60,7 +60,7 @@
 
 // cuts are the splits that a file needs of a map, in the order in which they are made, and the map after
 // them.
-func (f *File) cuts(m *shardmap.Map) (all []Cut, after *shardmap.Map, err error) {
+func (f *File) cuts(m *shardmap.Map) (all []rangeSplit, after *shardmap.Map, err error) {
 	in := map[cluster.RangeID][]cluster.KeyHash{}
 	for _, h := range f.named(m) {
 		if r, ok := m.Of(h); ok {
@@ -78,9 +78,9 @@
 					continue // it lies at an end, or is a range of its own
 				}
 				if r.Move.Open() {
-					return nil, nil, &Moving{r.ID, r.Move}
+					return nil, nil, &RangeMovingError{r.ID, r.Move}
 				}
-				all = append(all, Cut{r.ID, after.NextID, at})
+				all = append(all, rangeSplit{r.ID, after.NextID, at})
 				upper := shardmap.Range{ID: after.NextID, From: at, To: low.To, Home: r.Home, Epoch: r.Epoch,
 					Standing: r.Standing, Piece: true}
 				low.To, after.NextID = at-1, after.NextID+1
@@ -98,7 +98,7 @@
 
 // shared tells the keys of ranges after cuts: each part has as many of what its range had as it is wide.
 func shared(keys func(cluster.RangeID) uint64, before, after *shardmap.Map,
-	cuts []Cut) func(cluster.RangeID) uint64 {
+	cuts []rangeSplit) func(cluster.RangeID) uint64 {
 	if keys == nil || len(cuts) == 0 {
 		return keys
 	}
@@ -139,7 +139,7 @@
 func (t *task) byName(i int) bool {
 	return oneHash(t.ranges[i]) && slices.ContainsFunc(t.asked[i].rules, func(k int) bool {
 		r := &t.file.Rules[k]
-		return r.Kind != Keep && slices.ContainsFunc(r.Of.Destinations, func(d api.DestinationID) bool {
+		return r.Kind != ZoneAffinity && slices.ContainsFunc(r.Selector.Destinations, func(d api.DestinationID) bool {
 			return t.key(d) == t.ranges[i].From
 		})
 	})
@@ -150,32 +150,32 @@
 
 // reshaped puts the cuts before a plan's steps and the joins behind them: pieces that lie side by side and
 // that nothing holds apart any more.
-func (t *task) reshaped(steps []Step, cuts []Cut, to []int) []Step {
+func (t *task) reshaped(steps []Step, cuts []rangeSplit, to []int) []Step {
 	var out []Step
 	last := map[cluster.RangeID]int{} // by range: the last step that is about it
 	for k, c := range cuts {
-		s := Step{Range: c.Range, Way: Split, At: c.At, Other: c.New}
+		s := Step{Range: c.Range, Kind: StepSplit, SplitKey: c.At, OtherRange: c.New}
 		if r, ok := t.rangeAt[c.Range]; ok {
 			s.From, s.To = t.ranges[r].Home, t.ranges[r].Home
 		}
 		if k > 0 { // the ids of what is split off are given in this order
-			s.Needs = []Need{{k - 1, Shape}}
+			s.DependsOn = []Dependency{{k - 1, RangeBoundary}}
 		}
 		out = append(out, s)
 		last[c.Range], last[c.New] = k, k
 	}
 	for _, s := range steps {
-		for n := range s.Needs {
-			s.Needs[n].Step += len(cuts)
+		for n := range s.DependsOn {
+			s.DependsOn[n].Step += len(cuts)
 		}
 		if k, ok := last[s.Range]; ok && k < len(cuts) {
-			s.Needs = append(s.Needs, Need{k, Shape})
+			s.DependsOn = append(s.DependsOn, Dependency{k, RangeBoundary})
 		}
 		out = append(out, s)
 	}
 	for k, s := range out {
-		if last[s.Range] = k; s.Way == Split {
-			last[s.Other] = k
+		if last[s.Range] = k; s.Kind == StepSplit {
+			last[s.OtherRange] = k
 		}
 	}
 	run := 0 // where the pieces that are joined begin
@@ -187,10 +187,10 @@
 			continue
 		}
 		a, b := t.ranges[run], t.ranges[i]
-		s := Step{Range: a.ID, From: t.members[to[i]].ID, To: t.members[to[i]].ID, Way: Join, Other: b.ID}
+		s := Step{Range: a.ID, From: t.members[to[i]].ID, To: t.members[to[i]].ID, Kind: StepMerge, OtherRange: b.ID}
 		for _, id := range []cluster.RangeID{a.ID, b.ID} {
 			if k, ok := last[id]; ok {
-				s.Needs = append(s.Needs, Need{k, Shape})
+				s.DependsOn = append(s.DependsOn, Dependency{k, RangeBoundary})
 			}
 		}
 		out = append(out, s)
--- a/cluster/rebalance/pieces_test.go
+++ b/cluster/rebalance/pieces_test.go
@@ -56,26 +56,26 @@
 		has[m]++
 	}
 	for m, v := range f.Members {
-		if v.Room > 0 && has[m] > v.Room {
+		if v.Capacity > 0 && has[m] > v.Capacity {
 			return false
 		}
 	}
 	for _, r := range f.Rules {
 		mine := map[api.DestinationID]bool{}
-		for n, d := range r.Of.Destinations {
+		for n, d := range r.Selector.Destinations {
 			m := f.Members[of[d]]
 			mine[d] = true
-			if (r.Kind == Pin || r.Kind == Alone) && m.ID != r.Member {
+			if (r.Kind == Pin || r.Kind == Dedicated) && m.ID != r.Member {
 				return false
 			}
-			for _, o := range r.Of.Destinations[:n] {
-				if w := f.Members[of[o]]; r.Kind == Apart && (w.ID == m.ID || r.ByZone && w.Zone == m.Zone) {
+			for _, o := range r.Selector.Destinations[:n] {
+				if w := f.Members[of[o]]; r.Kind == AntiAffinity && (w.ID == m.ID || r.ByZone && w.Zone == m.Zone) {
 					return false
 				}
 			}
 		}
 		for m, v := range f.Members {
-			if v.ID != r.Member || r.Kind != Leave && r.Kind != Alone {
+			if v.ID != r.Member || r.Kind != Drain && r.Kind != Dedicated {
 				continue
 			}
 			for d, at := range of {
@@ -98,7 +98,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 3).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "ranges")
 		text := placed(t, members)
-		f, err := Read([]byte(text), "f.hcl")
+		f, err := ParseFile([]byte(text), "f.hcl")
 		if err != nil {
 			return
 		}
@@ -115,13 +115,13 @@
 			keys[cluster.RangeID(i+1)] = 1000 * uint64(rapid.IntRange(1, 5).Draw(t, "keys"))
 		}
 		told := func(id cluster.RangeID) uint64 { return keys[id] }
-		p, err := Make(f, w.m, told)
+		p, err := NewPlan(f, w.m, told)
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 		}
 		named, in := map[api.DestinationID]bool{}, map[api.DestinationID]int{}
 		for _, r := range f.Rules {
-			for _, d := range r.Of.Destinations {
+			for _, d := range r.Selector.Destinations {
 				named[d] = true
 			}
 		}
@@ -165,11 +165,11 @@
 			rapid.IntRange(1, 3).Draw(t, "at once"))))
 		over := uint64(0)
 		for _, s := range p.Steps {
-			if s.Way == Over {
+			if s.Kind == StepDetour {
 				over += 2 * s.Keys
 			}
 		}
-		require.LessOrEqual(t, p.Moved, least+slack+over, "%s", text)
+		require.LessOrEqual(t, p.MovedKeys, least+slack+over, "%s", text)
 		w.settle(t)
 		var ends []int
 		for i, h := range heads(w.m.Ranges) {
@@ -184,7 +184,7 @@
 		}
 		require.True(t, w.file.held(ends, of), "%v %v in\n%s", ends, of, text)
 		require.Equal(t, near, far(spans, ends), "distance from the parts in\n%s", text)
-		again, err := Make(w.file, w.m, nil)
+		again, err := NewPlan(w.file, w.m, nil)
 		require.NoError(t, err)
 		require.Empty(t, again.Steps)
 
@@ -216,7 +216,7 @@
 	even, _ := shardmap.Even(n, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
 	t := newTask(f, &shardmap.Map{Ranges: even}, nil)
 	for m, v := range f.Members {
-		t.alone[m] = f.about(Alone, v.ID)
+		t.alone[m] = f.about(Dedicated, v.ID)
 	}
 	return t.shares()
 }
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -8,59 +8,59 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Way is what a step does.
-type Way uint8
+// StepKind is what a step does.
+type StepKind uint8
 
 const (
-	Go    Way = iota + 1 // a move to where the range shall be
-	Over                 // a move to a free place, since all that shall change places are full
-	Kept                 // a move that was under way and goes on
-	Back                 // a move that was under way and goes back
-	Split                // no move: what lies from At on becomes range Other
-	Join                 // no move: range Other becomes a part of Range
+	StepMove     StepKind = iota + 1 // a move to where the range shall be
+	StepDetour                       // a move to a free place, since all that shall change places are full
+	StepContinue                     // a move that was under way and goes on
+	StepRollBack                     // a move that was under way and goes back
+	StepSplit                        // no move: what lies from At on becomes range Other
+	StepMerge                        // no move: range Other becomes a part of Range
 )
 
 // Step is one move. It may start once each step of Needs is through, and each step that has a rule of After.
 type Step struct {
-	Range cluster.RangeID  `cbor:"1,keyasint"`
-	From  cluster.MemberID `cbor:"2,keyasint"`
-	To    cluster.MemberID `cbor:"3,keyasint"`
-	Way   Way              `cbor:"4,keyasint"`
-	Move  shardmap.MoveID  `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
-	Needs []Need           `cbor:"6,keyasint,omitempty"`
-	Rules []int            `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
-	After []int            `cbor:"8,keyasint,omitempty"`
-	Keys  uint64           `cbor:"9,keyasint"`
-	At    cluster.KeyHash  `cbor:"10,keyasint,omitempty"`
-	Other cluster.RangeID  `cbor:"11,keyasint,omitempty"`
+	Range      cluster.RangeID  `cbor:"1,keyasint"`
+	From       cluster.MemberID `cbor:"2,keyasint"`
+	To         cluster.MemberID `cbor:"3,keyasint"`
+	Kind       StepKind         `cbor:"4,keyasint"`
+	Move       shardmap.MoveID  `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
+	DependsOn  []Dependency     `cbor:"6,keyasint,omitempty"`
+	Rules      []int            `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
+	AfterRules []int            `cbor:"8,keyasint,omitempty"`
+	Keys       uint64           `cbor:"9,keyasint"`
+	SplitKey   cluster.KeyHash  `cbor:"10,keyasint,omitempty"`
+	OtherRange cluster.RangeID  `cbor:"11,keyasint,omitempty"`
 }
 
-// Need is an earlier step that has to be through, and why.
-type Need struct {
-	Step int `cbor:"1,keyasint"`
-	Why  Why `cbor:"2,keyasint"`
+// Dependency is an earlier step that has to be through, and why.
+type Dependency struct {
+	Step   int              `cbor:"1,keyasint"`
+	Reason DependencyReason `cbor:"2,keyasint"`
 }
 
-type Why uint8
+type DependencyReason uint8
 
 const (
-	Room  Why = iota + 1 // the place at To is the one it frees
-	Same                 // it moves the same range
-	Shape                // it splits the range off, or has to be through before it is merged
+	CapacityFreed DependencyReason = iota + 1 // the place at To is the one it frees
+	SameRange                                 // it moves the same range
+	RangeBoundary                             // it splits the range off, or has to be through before it is merged
 )
 
 // Plan is the steps from one map to what the file states. Each needs earlier ones only.
 type Plan struct {
-	Version cluster.Version
-	Steps   []Step
-	Keys    uint64 // in all ranges; where nothing was told, parts of the hashes
-	Moved   uint64 // keys moved, twice for a range that makes a stop-over
-	Least   uint64 // keys that have to move at the least, if each member shall be as near to its part
-	Proven  bool   // Least is that, not only what rules send away from where it is
-	Ends    map[cluster.MemberID]int
+	Version         cluster.Version
+	Steps           []Step
+	TotalKeys       uint64 // in all ranges; where nothing was told, parts of the hashes
+	MovedKeys       uint64 // keys moved, twice for a range that makes a stop-over
+	MinMovedKeys    uint64 // keys that have to move at the least, if each member shall be as near to its part
+	Optimal         bool   // Least is that, not only what rules send away from where it is
+	RangesPerMember map[cluster.MemberID]int
 }
 
-// Make finds where each range shall be and orders the moves there. keys tells how many a range has; nil:
+// NewPlan finds where each range shall be and orders the moves there. keys tells how many a range has; nil:
 // ranges count by their part of the hashes. An error is one line, and names both lines where two contradict
 // each other.
 //
@@ -68,7 +68,7 @@
 // moves. The first two are proven to be least, unless ranges are held apart by zone or by several rules at
 // once and the search for those ends early. Stop-overs come on top: one for each ring of full members, of few
 // keys.
-func Make(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
+func NewPlan(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
 		return nil, fmt.Errorf("%s:1: there is no map of ranges yet", f.Name)
 	}
@@ -86,14 +86,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Version: m.Version, Proven: proven, Ends: map[cluster.MemberID]int{}}
+	p := &Plan{Version: m.Version, Optimal: proven, RangesPerMember: map[cluster.MemberID]int{}}
 	for i, to := range c.to {
-		p.Keys += t.told[i]
+		p.TotalKeys += t.told[i]
 		if t.whole(i) {
-			p.Ends[t.members[to].ID]++
+			p.RangesPerMember[t.members[to].ID]++
 		}
 		if _, may := t.may(i); to != t.home[i] && (proven || !slices.Contains(may, t.home[i])) {
-			p.Least += t.told[i]
+			p.MinMovedKeys += t.told[i]
 		}
 	}
 	o := t.order(m, c.to)
@@ -102,8 +102,8 @@
 	}
 	p.Steps = t.reshaped(o.steps(), cuts, c.to)
 	for _, s := range p.Steps {
-		if s.Way < Back && !(s.Way == Kept && t.homeIs(s)) {
-			p.Moved += s.Keys
+		if s.Kind < StepRollBack && !(s.Kind == StepContinue && t.homeIs(s)) {
+			p.MovedKeys += s.Keys
 		}
 	}
 	return p, nil
@@ -117,7 +117,7 @@
 // move is a move on its way to become a step, by index of range and members.
 type move struct {
 	of, from, to int
-	way          Way
+	way          StepKind
 	id           shardmap.MoveID
 	rules        []int
 	forced       bool // a rule wants it; others only balance
@@ -149,8 +149,8 @@
 			k = len(o.names)
 			of[id], o.names = k, append(o.names, id)
 			o.free = append(o.free, unbounded)
-			if k < len(t.members) && t.members[k].Room > 0 {
-				o.free[k] = t.members[k].Room
+			if k < len(t.members) && t.members[k].Capacity > 0 {
+				o.free[k] = t.members[k].Capacity
 			}
 		}
 		return k
@@ -168,12 +168,12 @@
 			o.underWay(i, r.Move, at(r.Move.From, of), at(r.Move.To, of))
 		}
 		if goal != r.Home && !(r.Move.Open() && r.Move.Step < shardmap.Switched && goal == r.Move.To) {
-			o.moves = append(o.moves, move{of: i, from: home, to: at(goal, of), way: Go, rules: t.by(i, real),
+			o.moves = append(o.moves, move{of: i, from: home, to: at(goal, of), way: StepMove, rules: t.by(i, real),
 				forced: t.forced(i, real)})
 		}
 	}
 	for _, v := range m.Left {
-		o.head = append(o.head, move{of: -1, from: at(v.From, index), to: at(v.To, index), way: Kept, id: v.ID})
+		o.head = append(o.head, move{of: -1, from: at(v.From, index), to: at(v.To, index), way: StepContinue, id: v.ID})
 	}
 	o.start = slices.Clone(o.free)
 	for _, v := range o.head {
@@ -192,10 +192,10 @@
 
 // underWay takes note of a move that has begun. One that can go back does so unless it goes where it should.
 func (o *order) underWay(i int, v shardmap.Move, from, to int) {
-	way, rules := Kept, o.by(i, o.member(v.From))
+	way, rules := StepContinue, o.by(i, o.member(v.From))
 	if v.Step < shardmap.Switched {
 		if o.members[o.to[i]].ID != v.To {
-			way, rules = Back, nil
+			way, rules = StepRollBack, nil
 		} else {
 			o.free[to]--
 			o.free[from]++
@@ -206,7 +206,7 @@
 
 // frees is where a step of the head, once through, leaves a place that it holds until then.
 func (o *order) frees(v move) int {
-	if v.way == Back {
+	if v.way == StepRollBack {
 		return v.to
 	}
 	return v.from
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -19,26 +19,26 @@
 		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 )
 
-// Stand is how far a step has come.
-type Stand uint8
+// StepState is how far a step has come.
+type StepState uint8
 
 const (
-	Waits    Stand = iota
-	Begun          // its move is in the map of ranges
-	Through        // the range is where the step takes it, and both sides have cleared
-	Returned       // its move went back; it may begin again
+	Pending    StepState = iota
+	Started              // its move is in the map of ranges
+	Done                 // the range is where the step takes it, and both sides have cleared
+	RolledBack           // its move went back; it may begin again
 )
 
 // Progress is what the log keeps of the running plan, so that another conductor goes on. It implements
 // fleet.Part. A later plan takes its place: its steps are made from the map, so that what has switched stays.
 type Progress struct {
-	Number  uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
-	Name    string          `cbor:"2,keyasint"` // of the file, as errors call it
-	Text    []byte          `cbor:"3,keyasint"` // the file
-	Version cluster.Version `cbor:"4,keyasint"` // of the map that the steps start from
-	Steps   []Step          `cbor:"5,keyasint"`
-	Stands  []Stand         `cbor:"6,keyasint"`
-	Stopped string          `cbor:"7,keyasint"` // why it was stopped; nothing starts any more
+	Number     uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
+	Name       string          `cbor:"2,keyasint"` // of the file, as errors call it
+	Text       []byte          `cbor:"3,keyasint"` // the file
+	Version    cluster.Version `cbor:"4,keyasint"` // of the map that the steps start from
+	Steps      []Step          `cbor:"5,keyasint"`
+	States     []StepState     `cbor:"6,keyasint"`
+	StopReason string          `cbor:"7,keyasint"` // why it was stopped; nothing starts any more
 }
 
 type op uint8
@@ -54,15 +54,15 @@
 	Number uint64          `cbor:"2,keyasint"`
 	Plan   *Progress       `cbor:"3,keyasint,omitempty"`
 	Step   int             `cbor:"4,keyasint,omitempty"`
-	Stand  Stand           `cbor:"5,keyasint,omitempty"`
+	Stand  StepState       `cbor:"5,keyasint,omitempty"`
 	Move   shardmap.MoveID `cbor:"6,keyasint,omitempty"`
 	Why    string          `cbor:"7,keyasint,omitempty"`
 }
 
-// Conductor writes the commands on the plan under its epoch of task fleet.Conducts.
-type Conductor cluster.Epoch
+// Coordinator writes the commands on the plan under its epoch of task fleet.Conducts.
+type Coordinator cluster.Epoch
 
-func (e Conductor) of(c command) cluster.Command {
+func (e Coordinator) of(c command) cluster.Command {
 	body, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // nothing in it can fail
@@ -72,18 +72,18 @@
 
 // Adopt makes a plan the running one. was is the number of the plan that the conductor knows of: where
 // another came meanwhile, the log refuses with fleet.ErrStale.
-func (e Conductor) Adopt(was uint64, name string, text []byte, p *Plan) cluster.Command {
+func (e Coordinator) Adopt(was uint64, name string, text []byte, p *Plan) cluster.Command {
 	next := &Progress{Number: was + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
 	return e.of(command{Op: opAdopt, Number: was + 1, Plan: next})
 }
 
-// Note says how far a step has come, as Next asks for it.
-func (e Conductor) Note(number uint64, step int, stand Stand, move shardmap.MoveID) cluster.Command {
+// RecordState says how far a step has come, as Next asks for it.
+func (e Coordinator) RecordState(number uint64, step int, stand StepState, move shardmap.MoveID) cluster.Command {
 	return e.of(command{Op: opNote, Number: number, Step: step, Stand: stand, Move: move})
 }
 
 // Stop ends a plan: what is before its switch goes back, nothing starts. Only a later plan goes on.
-func (e Conductor) Stop(number uint64, why string) cluster.Command {
+func (e Coordinator) Stop(number uint64, why string) cluster.Command {
 	return e.of(command{Op: opStop, Number: number, Why: why})
 }
 
@@ -102,8 +102,8 @@
 	case c.Number != p.Number || p.Number == 0:
 		return nil, cluster.ErrStale
 	case c.Op == opStop:
-		if p.Stopped == "" {
-			p.Stopped = cmp.Or(c.Why, "stopped")
+		if p.StopReason == "" {
+			p.StopReason = cmp.Or(c.Why, "stopped")
 		}
 		return nil, nil
 	case c.Op != opNote:
@@ -111,11 +111,11 @@
 	case c.Step < 0 || c.Step >= len(p.Steps):
 		return nil, cluster.ErrUnknown
 	}
-	was := p.Stands[c.Step]
-	if c.Stand > Returned || c.Stand == Waits || was == Through || was == c.Stand {
+	was := p.States[c.Step]
+	if c.Stand > RolledBack || c.Stand == Pending || was == Done || was == c.Stand {
 		return nil, cluster.ErrStale
 	}
-	if p.Stands[c.Step] = c.Stand; c.Stand == Begun {
+	if p.States[c.Step] = c.Stand; c.Stand == Started {
 		p.Steps[c.Step].Move = c.Move
 	}
 	return nil, nil
@@ -129,11 +129,11 @@
 		return cluster.ErrStale
 	}
 	next := *c.Plan
-	next.Number, next.Stopped = c.Number, ""
-	next.Stands = make([]Stand, len(next.Steps))
+	next.Number, next.StopReason = c.Number, ""
+	next.States = make([]StepState, len(next.Steps))
 	for k, s := range next.Steps {
-		if s.Way == Kept || s.Way == Back {
-			next.Stands[k] = Begun
+		if s.Kind == StepContinue || s.Kind == StepRollBack {
+			next.States[k] = Started
 		}
 	}
 	if err := next.sound(); err != nil {
@@ -145,16 +145,16 @@
 
 // sound guards against a plan that no planner made: what reads it counts on each of these.
 func (p *Progress) sound() error {
-	if len(p.Stands) != len(p.Steps) || len(p.Text) > mostBytes {
-		return fmt.Errorf("plan: %d steps, %d stands, %d bytes", len(p.Steps), len(p.Stands), len(p.Text))
+	if len(p.States) != len(p.Steps) || len(p.Text) > mostBytes {
+		return fmt.Errorf("plan: %d steps, %d stands, %d bytes", len(p.Steps), len(p.States), len(p.Text))
 	}
 	for k, s := range p.Steps {
-		bad := slices.ContainsFunc(s.Needs, func(n Need) bool { return n.Step < 0 || n.Step >= k }) ||
-			slices.ContainsFunc(append(slices.Clone(s.Rules), s.After...), func(r int) bool {
+		bad := slices.ContainsFunc(s.DependsOn, func(n Dependency) bool { return n.Step < 0 || n.Step >= k }) ||
+			slices.ContainsFunc(append(slices.Clone(s.Rules), s.AfterRules...), func(r int) bool {
 				return r < 0 ||
 					r > mostBytes
 			})
-		if bad || s.Way < Go || s.Way > Join || p.Stands[k] > Returned {
+		if bad || s.Kind < StepMove || s.Kind > StepMerge || p.States[k] > RolledBack {
 			return fmt.Errorf("plan: step %d can't be", k+1)
 		}
 	}
@@ -178,12 +178,12 @@
 }
 
 // File reads the running plan's text again.
-func (p *Progress) File() (*File, error) { return Read(p.Text, p.Name) }
+func (p *Progress) File() (*File, error) { return ParseFile(p.Text, p.Name) }
 
-// Through counts the steps that are.
-func (p *Progress) Through() (n int) {
-	for _, s := range p.Stands {
-		if s == Through {
+// DoneSteps counts the steps that are.
+func (p *Progress) DoneSteps() (n int) {
+	for _, s := range p.States {
+		if s == Done {
 			n++
 		}
 	}
--- a/cluster/rebalance/read.go
+++ b/cluster/rebalance/read.go
@@ -111,9 +111,9 @@
 	mostMembers = 1 << 12
 )
 
-// Read reads the plan's blocks of an operator file; name is what errors call it. An error is one line with
+// ParseFile reads the plan's blocks of an operator file; name is what errors call it. An error is one line with
 // file, line and what it may be. What contradicts itself whatever the map is refused here, the rest by Make.
-func Read(text []byte, name string) (*File, error) {
+func ParseFile(text []byte, name string) (*File, error) {
 	if err := readable(text, name); err != nil {
 		return nil, err
 	}
--- a/cluster/rebalance/read_test.go
+++ b/cluster/rebalance/read_test.go
@@ -91,9 +91,9 @@
 			`f.hcl:3: pin "p": "a" has room for 1 (line 1), and more are pinned there`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, err := Read([]byte(c.text), "f.hcl")
+			f, err := ParseFile([]byte(c.text), "f.hcl")
 			if err == nil {
-				_, err = Make(f, sixteen(t, f), nil)
+				_, err = NewPlan(f, sixteen(t, f), nil)
 			}
 			if c.says == "" {
 				require.NoError(t, err)
@@ -117,9 +117,9 @@
 	const members = "member \"a\" { room = 1 }\nmember \"b\" { room = 1 }\n"
 	swap := "pin \"p\" {\n " + of(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + of(1, 2) + "\n to = \"a\"\n}\n"
 	made := func(text string) (*Plan, error) {
-		f, err := Read([]byte(text), "f.hcl")
+		f, err := ParseFile([]byte(text), "f.hcl")
 		require.NoError(t, err)
-		return Make(f, newWorld(t, "a", "b").m, nil)
+		return NewPlan(f, newWorld(t, "a", "b").m, nil)
 	}
 	_, err := made(members + swap)
 	assert.ErrorContains(t, err,
@@ -127,8 +127,8 @@
 	p, err := made(members + "member \"c\" { weight = 0 }\n" + swap)
 	require.NoError(t, err)
 	require.Len(t, p.Steps, 3)
-	assert.Equal(t, []Way{Over, Go, Go}, []Way{p.Steps[0].Way, p.Steps[1].Way, p.Steps[2].Way})
-	assert.Equal(t, p.Least*3/2, p.Moved)
+	assert.Equal(t, []StepKind{StepDetour, StepMove, StepMove}, []StepKind{p.Steps[0].Kind, p.Steps[1].Kind, p.Steps[2].Kind})
+	assert.Equal(t, p.MinMovedKeys*3/2, p.MovedKeys)
 	move := "pin \"p\" {\n " + of(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + of(1, 2) + "\n to = \"c\"\n}\n"
 	_, err = made(members + "member \"c\" {}\n" + move + "before \"p\" { after = [\"q\"] }\n")
 	assert.ErrorContains(t, err,
@@ -156,15 +156,15 @@
 		{"full", "member \"c\" { room = 1 }\n", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, err := Read([]byte(swap+c.rules+pins), "f.hcl")
+			f, err := ParseFile([]byte(swap+c.rules+pins), "f.hcl")
 			require.NoError(t, err)
-			p, err := Make(f, newWorld(t, "a", "b", "c").m, func(id cluster.RangeID) uint64 { return uint64(10 - id) })
+			p, err := NewPlan(f, newWorld(t, "a", "b", "c").m, func(id cluster.RangeID) uint64 { return uint64(10 - id) })
 			if c.over == 0 {
 				assert.ErrorContains(t, err, "are full and shall change")
 				return
 			}
 			require.NoError(t, err)
-			assert.Equal(t, Over, p.Steps[0].Way)
+			assert.Equal(t, StepDetour, p.Steps[0].Kind)
 			assert.Equal(t, c.over, p.Steps[0].Range)
 		})
 	}
@@ -176,9 +176,9 @@
 	f.Add(example)
 	f.Add([]byte("member \"a\" { weight = 1e999 }\nalone \"a\" { hashes = [\"0\", \"1\"] }\nleave \"a\" {}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		file, err := Read(text, "f.hcl")
+		file, err := ParseFile(text, "f.hcl")
 		if err == nil && len(file.Members) < 50 {
-			_, err = Make(file, sixteen(t, file), nil)
+			_, err = NewPlan(file, sixteen(t, file), nil)
 		}
 		if err != nil {
 			assert.NotContains(t, err.Error(), "\n")
@@ -189,13 +189,13 @@
 
 // Whatever a body or a snapshot holds, it is refused or can be gone on with.
 func FuzzProgress(f *testing.F) {
-	file, err := Read([]byte(two+"leave \"a\" {}\n"), "f.hcl")
+	file, err := ParseFile([]byte(two+"leave \"a\" {}\n"), "f.hcl")
 	require.NoError(f, err)
-	p, err := Make(file, newWorld(f, "a", "b").m, nil)
+	p, err := NewPlan(file, newWorld(f, "a", "b").m, nil)
 	require.NoError(f, err)
-	f.Add(Conductor(1).Adopt(0, "f.hcl", []byte(two), p).Body)
-	f.Add(Conductor(1).Note(1, 0, Begun, 3).Body)
-	f.Add(Conductor(1).Stop(1, "x").Body)
+	f.Add(Coordinator(1).Adopt(0, "f.hcl", []byte(two), p).Body)
+	f.Add(Coordinator(1).RecordState(1, 0, Started, 3).Body)
+	f.Add(Coordinator(1).Stop(1, "x").Body)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var next Progress
 		for _, take := range []func() error{
@@ -203,7 +203,7 @@
 			func() error { return next.Restore(body) },
 		} {
 			if take() == nil {
-				next.Next(file, newWorld(t, "a", "b").m, Seen{})
+				next.Schedule(file, newWorld(t, "a", "b").m, Observations{})
 				kept, err := next.Snapshot()
 				require.NoError(t, err)
 				assert.NoError(t, new(Progress).Restore(kept))
--- a/cluster/rebalance/reload_test.go
+++ b/cluster/rebalance/reload_test.go
@@ -41,7 +41,7 @@
 		}
 		backs := map[shardmap.MoveID]bool{}
 		for _, a := range w.next().Actions {
-			if a.Do == GoBack {
+			if a.Kind == ActionRollBack {
 				backs[a.Move] = true
 			}
 		}
@@ -70,7 +70,7 @@
 			return
 		}
 		w.settle(t)
-		again, err := Make(w.file, w.m, nil)
+		again, err := NewPlan(w.file, w.m, nil)
 		require.NoError(t, err)
 		require.Empty(t, again.Steps)
 	})
@@ -83,13 +83,13 @@
 		2)+"\n to = \"a\"\n}\n"))
 	w.must(shardmap.Conductor(1).Plan(2, "a", "b"))
 	out := w.next()
-	require.Equal(t, GoBack, out.Actions[0].Do)
+	require.Equal(t, ActionRollBack, out.Actions[0].Kind)
 	for range 3 {
 		w.goOn(w.open()[0])
 	}
 	require.Equal(t, shardmap.Switched, w.open()[0].Move.Step)
 	for _, a := range w.next().Actions {
-		assert.NotEqual(t, GoBack, a.Do, "it has switched")
+		assert.NotEqual(t, ActionRollBack, a.Kind, "it has switched")
 	}
 }
 
@@ -98,7 +98,7 @@
 func TestMovesUnderWayAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, text := newWorld(t, "a", "a", "a", "a", "a", "a"), "member \"a\" {}\nmember \"b\" {}\n"
-		w.file, _ = Read([]byte(text), "f.hcl")
+		w.file, _ = ParseFile([]byte(text), "f.hcl")
 		under := map[cluster.RangeID]bool{}
 		for range rapid.IntRange(1, 3).Draw(t, "under way") {
 			id := cluster.RangeID(rapid.IntRange(1, 6).Draw(t, "range"))
@@ -111,8 +111,8 @@
 		require.NoError(t, w.adopt(text))
 		kept := 0
 		for _, s := range w.p.Steps {
-			require.NotEqual(t, Back, s.Way)
-			if s.Way == Kept {
+			require.NotEqual(t, StepRollBack, s.Kind)
+			if s.Kind == StepContinue {
 				kept++
 			}
 		}
--- a/cluster/rebalance/reshape.go
+++ b/cluster/rebalance/reshape.go
@@ -9,26 +9,26 @@
 // reshape brings a split or a merge and the map together. A text says why the steps can't go on.
 func (l *look) reshape(k int) string {
 	s := l.Steps[k]
-	r, other := l.ranges[s.Range], l.ranges[s.Other]
+	r, other := l.ranges[s.Range], l.ranges[s.OtherRange]
 	switch {
-	case s.Way == Join && other == nil && r != nil && !l.needs(s),
-		s.Way == Split && other != nil && other.From == s.At:
-		l.note(k, Through, 0)
+	case s.Kind == StepMerge && other == nil && r != nil && !l.needs(s),
+		s.Kind == StepSplit && other != nil && other.From == s.SplitKey:
+		l.note(k, Done, 0)
 	case l.needs(s):
 	case r == nil:
 		return fmt.Sprintf("range %d was split or merged", s.Range)
-	case s.Way == Split && (other != nil || s.At <= r.From || s.At > r.To):
+	case s.Kind == StepSplit && (other != nil || s.SplitKey <= r.From || s.SplitKey > r.To):
 		return fmt.Sprintf("step %d: range %d was split elsewhere", k+1, s.Range)
-	case s.Way == Join && r.Home != other.Home:
-		return fmt.Sprintf("step %d: range %d is on %q, range %d on %q", k+1, s.Range, r.Home, s.Other, other.Home)
+	case s.Kind == StepMerge && r.Home != other.Home:
+		return fmt.Sprintf("step %d: range %d is on %q, range %d on %q", k+1, s.Range, r.Home, s.OtherRange, other.Home)
 	}
 	return ""
 }
 
 // needs is whether a step waits for another.
 func (l *look) needs(s Step) bool {
-	for _, n := range s.Needs {
-		if l.stands[n.Step] != Through {
+	for _, n := range s.DependsOn {
+		if l.stands[n.Step] != Done {
 			return true
 		}
 	}
@@ -39,27 +39,27 @@
 func (l *look) shapes(k int) {
 	s := l.Steps[k]
 	if l.needs(s) {
-		l.out.Waits = append(l.out.Waits, Wait{k, fmt.Sprintf("step %d goes first", l.first(s)+1)})
+		l.out.Blocked = append(l.out.Blocked, BlockedStep{k, fmt.Sprintf("step %d goes first", l.first(s)+1)})
 		return
 	}
-	for _, r := range []*shardmap.Range{l.ranges[s.Range], l.ranges[s.Other]} {
+	for _, r := range []*shardmap.Range{l.ranges[s.Range], l.ranges[s.OtherRange]} {
 		if r != nil && !r.Settled() {
-			l.out.Waits = append(l.out.Waits, Wait{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Home,
+			l.out.Blocked = append(l.out.Blocked, BlockedStep{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Home,
 				r.ID)})
 			return
 		}
 	}
-	do := SplitOff
-	if s.Way == Join {
-		do = MergeIn
+	do := ActionSplit
+	if s.Kind == StepMerge {
+		do = ActionMerge
 	}
-	l.add(Action{Do: do, Step: k, Range: s.Range, At: s.At, Other: s.Other})
+	l.add(Action{Kind: do, Step: k, Range: s.Range, SplitKey: s.SplitKey, OtherRange: s.OtherRange})
 }
 
 // first is the first step that one waits for.
 func (l *look) first(s Step) int {
-	for _, n := range s.Needs {
-		if l.stands[n.Step] != Through {
+	for _, n := range s.DependsOn {
+		if l.stands[n.Step] != Done {
 			return n.Step
 		}
 	}
--- a/cluster/rebalance/rules.go
+++ b/cluster/rebalance/rules.go
@@ -43,19 +43,19 @@
 
 func (f *File) rules(w *written) error {
 	for _, b := range w.Leave {
-		r := Rule{Kind: Leave, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.Name)}
+		r := Rule{Kind: Drain, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.Name)}
 		f.Rules = append(f.Rules, r)
 	}
 	add := func(r Rule, destinations []uint32, hashes []string) error {
 		for _, d := range destinations {
-			r.Of.Destinations = append(r.Of.Destinations, api.DestinationID(d))
+			r.Selector.Destinations = append(r.Selector.Destinations, api.DestinationID(d))
 		}
 		if hashes != nil {
 			if err := f.span(&r, hashes); err != nil {
 				return err
 			}
 		}
-		if len(destinations) == 0 && !r.Of.Span {
+		if len(destinations) == 0 && !r.Selector.HasHashes {
 			return f.at(r.Line, "%s %q names nothing; it may have destinations = [7, 9], hashes = [\"0x0\", \"0xff\"]",
 				r.Kind, r.Name)
 		}
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, b := range w.Apart {
-		r := Rule{Kind: Apart, Name: b.Name, Line: b.At.Start.Line, ByZone: b.By == "zone"}
+		r := Rule{Kind: AntiAffinity, Name: b.Name, Line: b.At.Start.Line, ByZone: b.By == "zone"}
 		if !slices.Contains([]string{"", "member", "zone"}, b.By) {
 			return f.at(r.Line, "by is %q in apart %q; it may be \"member\" or \"zone\"", b.By, b.Name)
 		}
@@ -78,13 +78,13 @@
 		}
 	}
 	for _, b := range w.Keep {
-		r := Rule{Kind: Keep, Name: b.Name, Line: b.At.Start.Line, Zone: b.Zone}
+		r := Rule{Kind: ZoneAffinity, Name: b.Name, Line: b.At.Start.Line, Zone: b.Zone}
 		if err := add(r, b.Destinations, b.Hashes); err != nil {
 			return err
 		}
 	}
 	for _, b := range w.Alone {
-		r := Rule{Kind: Alone, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.Name)}
+		r := Rule{Kind: Dedicated, Name: b.Name, Line: b.At.Start.Line, Member: cluster.MemberID(b.Name)}
 		if err := add(r, b.Destinations, b.Hashes); err != nil {
 			return err
 		}
@@ -105,28 +105,28 @@
 			"hashes of %s %q are %q; they may be [FIRST, LAST], as in [\"0x0\", \"0x7fffffffffffffff\"]",
 			r.Kind, r.Name, hashes)
 	}
-	r.Of.Span, r.Of.From, r.Of.To = true, cluster.KeyHash(ends[0]), cluster.KeyHash(ends[1])
+	r.Selector.HasHashes, r.Selector.FirstHash, r.Selector.LastHash = true, cluster.KeyHash(ends[0]), cluster.KeyHash(ends[1])
 	return nil
 }
 
 func (f *File) bounds(w *written) error {
-	f.Bounds.MovesAtOnce = 1
+	f.Limits.ConcurrentMoves = 1
 	for i, b := range w.Bounds {
 		line := b.At.Start.Line
 		if i > 0 {
-			return f.at(line, "a second bounds block; the first stands in line %d", f.Bounds.Line)
+			return f.at(line, "a second bounds block; the first stands in line %d", f.Limits.Line)
 		}
-		f.Bounds.Line = line
+		f.Limits.Line = line
 		names := [...]string{"moves_at_once", "per_member", "per_zone"}
 		for k, n := range [...]*int{b.MovesAtOnce, b.PerMember, b.PerZone} {
 			if n != nil && *n < 1 {
 				return f.at(line, "%s is %d; it may be 1 or more", names[k], *n)
 			}
 		}
-		set(&f.Bounds.MovesAtOnce, b.MovesAtOnce)
-		set(&f.Bounds.PerMember, b.PerMember)
-		set(&f.Bounds.PerZone, b.PerZone)
-		if set(&f.Bounds.Value, b.Value); b.Value != nil && !(*b.Value > 0 && *b.Value < math.MaxFloat64) {
+		set(&f.Limits.ConcurrentMoves, b.MovesAtOnce)
+		set(&f.Limits.MovesPerMember, b.PerMember)
+		set(&f.Limits.MovesPerZone, b.PerZone)
+		if set(&f.Limits.ValueInFlight, b.Value); b.Value != nil && !(*b.Value > 0 && *b.Value < math.MaxFloat64) {
 			return f.at(line, "value_under_way is %g; it may be more than 0", *b.Value)
 		}
 		if b.Pause != "" {
@@ -134,7 +134,7 @@
 			if err != nil || pause < 0 || pause > 24*time.Hour {
 				return f.at(line, "pause is %q; it may be \"0s\" to \"24h\"", b.Pause)
 			}
-			f.Bounds.Pause = api.Micros(pause.Microseconds())
+			f.Limits.Cooldown = api.Micros(pause.Microseconds())
 		}
 	}
 	return nil
@@ -147,14 +147,14 @@
 }
 
 func (f *File) stopWhen(w *written) error {
-	s := &f.StopWhen
+	s := &f.StopConditions
 	s.Rejected, s.DeadLettered, s.Late = -1, -1, -1
 	for i, b := range w.Stop {
 		line := b.At.Start.Line
 		if i > 0 {
 			return f.at(line, "a second stop_when block; the first stands in line %d", s.Line)
 		}
-		s.Line, s.Sick = line, b.Sick
+		s.Line, s.Unhealthy = line, b.Sick
 		names := [...]string{"rejected", "dead_lettered", "late"}
 		for k, share := range [...]*float64{b.Rejected, b.DeadLettered, b.Late} {
 			if share != nil && !(*share >= 0 && *share <= 1) {
--- a/cluster/rebalance/search.go
+++ b/cluster/rebalance/search.go
@@ -41,7 +41,7 @@
 	}
 	urgent := func(k int) int {
 		v := o.moves[k]
-		followed := slices.ContainsFunc(o.file.Turns, func(t Turn) bool {
+		followed := slices.ContainsFunc(o.file.Precedences, func(t Precedence) bool {
 			return slices.Contains(v.rules,
 				t.First)
 		})
@@ -193,7 +193,7 @@
 			v.from = a.over
 			last[a.move] = len(o.moves)
 			o.moves = append(o.moves, v)
-			o.moves[a.move].to, o.moves[a.move].way = a.over, Over
+			o.moves[a.move].to, o.moves[a.move].way = a.over, StepDetour
 			o.serial = append(o.serial, a.move)
 		case stopped:
 			o.serial = append(o.serial, second)
--- a/cluster/rebalance/shapes_test.go
+++ b/cluster/rebalance/shapes_test.go
@@ -17,7 +17,7 @@
 	w := newWorld(t, "a", "a", "b", "b")
 	text := two + "pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"
 	var out strings.Builder
-	require.NoError(t, Show([]byte(text), "f.hcl", w.m, nil, &out))
+	require.NoError(t, PrintPlan([]byte(text), "f.hcl", w.m, nil, &out))
 	for _, line := range []string{
 		"1     1      a     a   0%         at once: splits range 5 off at 0x277af360cedcb29f",
 		"2     1      a     a   0%         splits range 6 off at 0x277af360cedcb29e; waits: step 1 goes first",
@@ -32,7 +32,7 @@
 	})
 	require.Len(t, w.m.Ranges, 6)
 	out.Reset()
-	require.NoError(t, Show([]byte(two), "f.hcl", w.m, nil, &out))
+	require.NoError(t, PrintPlan([]byte(two), "f.hcl", w.m, nil, &out))
 	assert.Contains(t, out.String(), "merges range 6 into it; ")
 	assert.Contains(t, out.String(), "merges range 5 into it; ")
 }
@@ -41,19 +41,19 @@
 func TestARangeThatMovesIsNotSplit(t *testing.T) {
 	w := newWorld(t, "a", "a", "b", "b")
 	w.must(shardmap.Conductor(1).Plan(1, "a", "b"))
-	f, err := Read([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
+	f, err := ParseFile([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
-	_, err = Make(f, w.m, nil)
-	var moving *Moving
+	_, err = NewPlan(f, w.m, nil)
+	var moving *RangeMovingError
 	require.ErrorAs(t, err, &moving)
 	assert.Equal(t, cluster.RangeID(1), moving.Range)
 }
 
 // What follows a range's beginning is weighed with it: the beginning by itself looks cheap.
 func TestPiecesAreWeighedWithTheirRange(t *testing.T) {
-	f, err := Read([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
+	f, err := ParseFile([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
-	p, err := Make(f, newWorld(t, "a", "a").m, func(id cluster.RangeID) uint64 { return 2000 - 500*uint64(id) })
+	p, err := NewPlan(f, newWorld(t, "a", "a").m, func(id cluster.RangeID) uint64 { return 2000 - 500*uint64(id) })
 	require.NoError(t, err)
-	assert.Equal(t, uint64(1000), p.Moved)
+	assert.Equal(t, uint64(1000), p.MovedKeys)
 }
--- a/cluster/rebalance/shares.go
+++ b/cluster/rebalance/shares.go
@@ -12,8 +12,8 @@
 	low, high := make([]float64, n), make([]float64, n)
 	for m, v := range t.members {
 		high[m] = math.Inf(1)
-		if v.Room > 0 {
-			high[m] = float64(v.Room)
+		if v.Capacity > 0 {
+			high[m] = float64(v.Capacity)
 		}
 		if !t.stays[m] {
 			high[m] = 0
--- a/cluster/rebalance/show.go
+++ b/cluster/rebalance/show.go
@@ -12,10 +12,10 @@
 
 const usualRanges = 64 // of a first map, where the file doesn't say
 
-// Show prints what the file makes of a map: the steps, why each waits at first, the keys moved beside the
+// PrintPlan prints what the file makes of a map: the steps, why each waits at first, the keys moved beside the
 // least. Without a map it takes the first one that the file's members get. keys is as Make has it.
-func Show(text []byte, name string, m *shardmap.Map, keys func(cluster.RangeID) uint64, out io.Writer) error {
-	f, err := Read(text, name)
+func PrintPlan(text []byte, name string, m *shardmap.Map, keys func(cluster.RangeID) uint64, out io.Writer) error {
+	f, err := ParseFile(text, name)
 	if err != nil {
 		return err
 	}
@@ -29,20 +29,20 @@
 		}
 		fmt.Fprintln(out, "there is no map yet: this is from the first one, by the members' weights")
 	}
-	p, err := Make(f, m, keys)
+	p, err := NewPlan(f, m, keys)
 	if err != nil {
 		return err
 	}
 	run := Progress{Number: 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
-	run.Stands = make([]Stand, len(p.Steps))
+	run.States = make([]StepState, len(p.Steps))
 	for k, s := range p.Steps {
-		if s.Way == Kept || s.Way == Back {
-			run.Stands[k] = Begun
+		if s.Kind == StepContinue || s.Kind == StepRollBack {
+			run.States[k] = Started
 		}
 	}
 	waits := map[int]string{}
-	for _, w := range run.Next(f, m, Seen{Rested: f.Bounds.Pause}).Waits {
-		waits[w.Step] = "waits: " + w.Why
+	for _, w := range run.Schedule(f, m, Observations{SinceLastMove: f.Limits.Cooldown}).Blocked {
+		waits[w.Step] = "waits: " + w.Reason
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "step\trange\tfrom\tto\tkeys\t")
@@ -50,30 +50,30 @@
 		if keys != nil {
 			return fmt.Sprint(n)
 		}
-		return fmt.Sprintf("%.3g%%", 100*float64(n)/float64(p.Keys))
+		return fmt.Sprintf("%.3g%%", 100*float64(n)/float64(p.TotalKeys))
 	}
 	moves := 0
 	for k, s := range p.Steps {
 		why := waits[k]
 		switch {
-		case s.Way == Split && why == "":
-			why = fmt.Sprintf("at once: splits range %d off at %#x", s.Other, uint64(s.At))
-		case s.Way == Split:
-			why = fmt.Sprintf("splits range %d off at %#x; %s", s.Other, uint64(s.At), why)
-		case s.Way == Join:
-			why = fmt.Sprintf("merges range %d into it; %s", s.Other, cmp.Or(why, "at once"))
-		case s.Way == Kept:
+		case s.Kind == StepSplit && why == "":
+			why = fmt.Sprintf("at once: splits range %d off at %#x", s.OtherRange, uint64(s.SplitKey))
+		case s.Kind == StepSplit:
+			why = fmt.Sprintf("splits range %d off at %#x; %s", s.OtherRange, uint64(s.SplitKey), why)
+		case s.Kind == StepMerge:
+			why = fmt.Sprintf("merges range %d into it; %s", s.OtherRange, cmp.Or(why, "at once"))
+		case s.Kind == StepContinue:
 			why = "is under way"
-		case s.Way == Back:
+		case s.Kind == StepRollBack:
 			why = "goes back"
-		case s.Way == Over && why == "":
+		case s.Kind == StepDetour && why == "":
 			why = "starts at once; a stop-over"
-		case s.Way == Over:
+		case s.Kind == StepDetour:
 			why += "; a stop-over"
 		case why == "":
 			why = "starts at once"
 		}
-		if s.Way == Go || s.Way == Over {
+		if s.Kind == StepMove || s.Kind == StepDetour {
 			moves++
 		}
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", k+1, rangeName(s.Range), s.From, s.To, amount(s.Keys), why)
@@ -82,10 +82,10 @@
 		return err
 	}
 	least := "the least possible is"
-	if !p.Proven {
+	if !p.Optimal {
 		least = "rules send away at the least"
 	}
-	fmt.Fprintf(out, "%d moves, keys moved: %s; %s %s\n", moves, amount(p.Moved), least, amount(p.Least))
+	fmt.Fprintf(out, "%d moves, keys moved: %s; %s %s\n", moves, amount(p.MovedKeys), least, amount(p.MinMovedKeys))
 	return members(f, m, p, out)
 }
 
@@ -108,10 +108,10 @@
 	fmt.Fprintln(table, "member\tzone\tweight\troom\tranges\tthen\t")
 	for _, v := range f.Members {
 		room := "-"
-		if v.Room > 0 {
-			room = fmt.Sprint(v.Room)
+		if v.Capacity > 0 {
+			room = fmt.Sprint(v.Capacity)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%g\t%s\t%d\t%d\t\n", v.ID, v.Zone, v.Weight, room, has[v.ID], p.Ends[v.ID])
+		fmt.Fprintf(table, "%s\t%s\t%g\t%s\t%d\t%d\t\n", v.ID, v.Zone, v.Weight, room, has[v.ID], p.RangesPerMember[v.ID])
 	}
 	return table.Flush()
 }
@@ -132,21 +132,21 @@
 	return &shardmap.Map{Ranges: even, NextID: cluster.RangeID(len(even) + 1)}, err
 }
 
-// ShowRunning prints how far the running plan is, and why it was stopped, if it was.
-func ShowRunning(p *Progress, out io.Writer) {
+// PrintProgress prints how far the running plan is, and why it was stopped, if it was.
+func PrintProgress(p *Progress, out io.Writer) {
 	if p == nil || p.Number == 0 {
 		return
 	}
 	under := 0
-	for _, s := range p.Stands {
-		if s == Begun {
+	for _, s := range p.States {
+		if s == Started {
 			under++
 		}
 	}
-	fmt.Fprintf(out, "running: plan %d, %d of %d steps through, %d under way\n", p.Number, p.Through(),
+	fmt.Fprintf(out, "running: plan %d, %d of %d steps through, %d under way\n", p.Number, p.DoneSteps(),
 		len(p.Steps), under)
-	if p.Stopped != "" {
-		fmt.Fprintf(out, "stopped: %s; SIGHUP takes it up again\n", p.Stopped)
+	if p.StopReason != "" {
+		fmt.Fprintf(out, "stopped: %s; SIGHUP takes it up again\n", p.StopReason)
 	}
 	fmt.Fprintln(out, "this file, from where the ranges are now:")
 }
--- a/cluster/rebalance/show_test.go
+++ b/cluster/rebalance/show_test.go
@@ -17,7 +17,7 @@
 		"pin \"p\" {\n " + of(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + of(1, 2) + "\n to = \"a\"\n}\n"
 	var out strings.Builder
 	keys := func(id cluster.RangeID) uint64 { return uint64(10 * id) }
-	require.NoError(t, Show([]byte(text), "f.hcl", newWorld(t, "a", "b").m, keys, &out))
+	require.NoError(t, PrintPlan([]byte(text), "f.hcl", newWorld(t, "a", "b").m, keys, &out))
 	for _, line := range []string{
 		"1     1      a     c   10    starts at once; a stop-over",
 		"2     2      b     a   20    waits: a has no room until step 1 is through",
@@ -33,6 +33,6 @@
 	example, err := os.ReadFile("../../deploy/fleet.hcl")
 	require.NoError(t, err)
 	var out strings.Builder
-	require.NoError(t, Show(example, "fleet.hcl", nil, nil, &out))
+	require.NoError(t, PrintPlan(example, "fleet.hcl", nil, nil, &out))
 	assert.Contains(t, out.String(), `waits: pin "billing"`)
 }
--- a/cluster/rebalance/start.go
+++ b/cluster/rebalance/start.go
@@ -27,10 +27,10 @@
 }
 
 func (l *look) value(id cluster.RangeID) float64 {
-	if l.seen.Value == nil {
+	if l.seen.RangeValue == nil {
 		return 0
 	}
-	return l.seen.Value(id)
+	return l.seen.RangeValue(id)
 }
 
 // takes counts a place at a member, for a range that takes one.
@@ -73,17 +73,17 @@
 	}
 	for k, s := range l.Steps {
 		for _, r := range s.Rules {
-			if r < len(l.undone) && l.stands[k] != Through {
+			if r < len(l.undone) && l.stands[k] != Done {
 				l.undone[r]++
 			}
 		}
 	}
 	held := "" // a bound on all moves that an earlier step waits for
 	for k, s := range l.Steps {
-		if l.stands[k] != Waits && l.stands[k] != Returned {
+		if l.stands[k] != Pending && l.stands[k] != RolledBack {
 			continue
 		}
-		if s.Way == Split || s.Way == Join {
+		if s.Kind == StepSplit || s.Kind == StepMerge {
 			l.shapes(k)
 			continue
 		}
@@ -95,35 +95,35 @@
 			why = l.bound(s)
 		}
 		if why == "" {
-			most := l.file.Bounds.Value
+			most := l.file.Limits.ValueInFlight
 			if why = l.bounds(s); why != "" && !(most > 0 && l.value(s.Range) > most) {
 				held = why // one that is over the bound by itself doesn't hold up the others
 			}
 		}
 		if why != "" {
-			l.out.Waits = append(l.out.Waits, Wait{k, why})
+			l.out.Blocked = append(l.out.Blocked, BlockedStep{k, why})
 			continue
 		}
 		l.begin(s.Range, s.From, s.To)
 		l.takes(s.Range, s.To)
-		l.add(Action{Do: Start, Step: k, Range: s.Range, From: s.From, To: s.To})
+		l.add(Action{Kind: ActionStart, Step: k, Range: s.Range, From: s.From, To: s.To})
 	}
 }
 
 // waits says what has to happen before a step.
 func (l *look) waits(s Step) string {
-	for _, n := range s.Needs {
+	for _, n := range s.DependsOn {
 		switch {
-		case l.stands[n.Step] == Through:
-		case n.Why == Shape:
+		case l.stands[n.Step] == Done:
+		case n.Reason == RangeBoundary:
 			return fmt.Sprintf("range %d is split off by step %d first", s.Range, n.Step+1)
-		case n.Why == Same:
+		case n.Reason == SameRange:
 			return fmt.Sprintf("range %d moves by step %d first", s.Range, n.Step+1)
 		default:
 			return fmt.Sprintf("%s has no room until step %d is through", s.To, n.Step+1)
 		}
 	}
-	for _, r := range s.After {
+	for _, r := range s.AfterRules {
 		if r < len(l.undone) && l.undone[r] > 0 {
 			rule := l.file.Rules[r]
 			return fmt.Sprintf("%s %q (line %d) goes first and has %d moves left", rule.Kind, rule.Name, rule.Line,
@@ -142,7 +142,7 @@
 		return fmt.Sprintf("%s has yet to say that it serves range %d", r.Home, s.Range)
 	case to == nil:
 		return fmt.Sprintf("%s is not in the file", s.To)
-	case to.Room > 0 && l.whole[s.Range] && l.used[s.To] >= to.Room:
+	case to.Capacity > 0 && l.whole[s.Range] && l.used[s.To] >= to.Capacity:
 		return fmt.Sprintf("%s has no room yet", s.To)
 	}
 	return ""
@@ -150,16 +150,16 @@
 
 // bound says which bound on a member or a zone a step would pass.
 func (l *look) bound(s Step) string {
-	b := l.file.Bounds
+	b := l.file.Limits
 	for _, id := range [...]cluster.MemberID{s.From, s.To} {
-		if b.PerMember > 0 && l.busy.member[id] >= b.PerMember {
-			return fmt.Sprintf("%s has %d moves, per_member is %d (line %d)", id, l.busy.member[id], b.PerMember,
+		if b.MovesPerMember > 0 && l.busy.member[id] >= b.MovesPerMember {
+			return fmt.Sprintf("%s has %d moves, per_member is %d (line %d)", id, l.busy.member[id], b.MovesPerMember,
 				b.Line)
 		}
 	}
 	for _, z := range l.zones(s.From, s.To) {
-		if b.PerZone > 0 && l.busy.zone[z] >= b.PerZone {
-			return fmt.Sprintf("zone %q has %d moves, per_zone is %d (line %d)", z, l.busy.zone[z], b.PerZone, b.Line)
+		if b.MovesPerZone > 0 && l.busy.zone[z] >= b.MovesPerZone {
+			return fmt.Sprintf("zone %q has %d moves, per_zone is %d (line %d)", z, l.busy.zone[z], b.MovesPerZone, b.Line)
 		}
 	}
 	return ""
@@ -167,16 +167,16 @@
 
 // bounds says which bound on all moves a step would pass.
 func (l *look) bounds(s Step) string {
-	b, v := l.file.Bounds, l.value(s.Range)
+	b, v := l.file.Limits, l.value(s.Range)
 	switch {
-	case l.busy.moves >= b.MovesAtOnce:
-		return fmt.Sprintf("%d moves are under way, moves_at_once is %d%s", l.busy.moves, b.MovesAtOnce,
+	case l.busy.moves >= b.ConcurrentMoves:
+		return fmt.Sprintf("%d moves are under way, moves_at_once is %d%s", l.busy.moves, b.ConcurrentMoves,
 			inLine(b.Line))
-	case b.Value > 0 && l.busy.value+v > b.Value:
+	case b.ValueInFlight > 0 && l.busy.value+v > b.ValueInFlight:
 		return fmt.Sprintf("value %.4g under way and %.4g here, value_under_way is %g (line %d)", l.busy.value, v,
-			b.Value,
+			b.ValueInFlight,
 			b.Line)
-	case l.seen.Rested < b.Pause:
+	case l.seen.SinceLastMove < b.Cooldown:
 		return fmt.Sprintf("the pause after the last move is not over (line %d)", b.Line)
 	}
 	return ""
--- a/cluster/rebalance/steps.go
+++ b/cluster/rebalance/steps.go
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	var line Turn
+	var line Precedence
 	var all []string
 	for k, v := range o.moves {
 		if !gone[k] {
@@ -92,7 +92,7 @@
 	if m >= len(o.members) {
 		return "not in the file"
 	}
-	return fmt.Sprintf("line %d, room = %d", o.members[m].Line, o.members[m].Room)
+	return fmt.Sprintf("line %d, room = %d", o.members[m].Line, o.members[m].Capacity)
 }
 
 // steps makes the order found into steps that each know which earlier one frees their place, so that they may
@@ -101,7 +101,7 @@
 	type place struct{ by []int } // steps that have to be through
 	free := make([][]place, len(o.names))
 	debt, paid := make([]int, len(o.names)), make([][]int, len(o.names))
-	bounded := func(m int) bool { return m < len(o.members) && o.members[m].Room > 0 }
+	bounded := func(m int) bool { return m < len(o.members) && o.members[m].Capacity > 0 }
 	for m := range o.names {
 		debt[m] = max(0, -o.start[m])
 		for range o.start[m] {
@@ -125,7 +125,7 @@
 	var all []Step
 	last, level := map[int]int{}, []int{}
 	add := func(v move) int {
-		s := Step{From: o.names[v.from], To: o.names[v.to], Way: v.way, Move: v.id, Rules: v.rules}
+		s := Step{From: o.names[v.from], To: o.names[v.to], Kind: v.way, Move: v.id, Rules: v.rules}
 		if v.of >= 0 {
 			s.Range, s.Keys = o.ranges[v.of].ID, o.told[v.of]
 		}
@@ -151,24 +151,24 @@
 		of = append(of, v)
 		s := &all[n]
 		if before, moved := last[v.of]; moved {
-			s.Needs = append(s.Needs, Need{before, Same})
+			s.DependsOn = append(s.DependsOn, Dependency{before, SameRange})
 		}
 		if bounded(v.to) {
 			for _, by := range free[v.to][0].by {
-				s.Needs = append(s.Needs, Need{by, Room})
+				s.DependsOn = append(s.DependsOn, Dependency{by, CapacityFreed})
 			}
 			free[v.to] = free[v.to][1:]
 		}
 		for _, r := range v.rules {
 			for _, b := range o.goesBefore[r] {
-				if !slices.Contains(s.After, b) {
-					s.After = append(s.After, b)
+				if !slices.Contains(s.AfterRules, b) {
+					s.AfterRules = append(s.AfterRules, b)
 				}
 				level[n] = max(level[n], rule[b])
 			}
 		}
-		slices.Sort(s.After)
-		for _, need := range s.Needs {
+		slices.Sort(s.AfterRules)
+		for _, need := range s.DependsOn {
 			level[n] = max(level[n], level[need.Step]+1)
 		}
 		for _, r := range v.rules {
@@ -205,8 +205,8 @@
 	steps := make([]Step, len(all))
 	for n, was := range by {
 		s := all[was]
-		for k := range s.Needs {
-			s.Needs[k].Step = now[s.Needs[k].Step]
+		for k := range s.DependsOn {
+			s.DependsOn[k].Step = now[s.DependsOn[k].Step]
 		}
 		steps[n] = s
 	}
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -9,9 +9,9 @@
 	"rowanlink/webhook/api"
 )
 
-// Tally is what one member counts of how webhooks ended, by destination, and which moves it saw begin. It
+// ImpactMeter is what one member counts of how webhooks ended, by destination, and which moves it saw begin. It
 // has no clock: whoever calls it says the time. It belongs to one goroutine at a time.
-type Tally struct {
+type ImpactMeter struct {
 	life    uint64     // tells one start of the process from another
 	every   api.Micros // what is usual reaches back once to twice so far
 	turnsAt api.Micros
@@ -23,55 +23,55 @@
 // count is of one destination since the start, now and when what is usual began to count anew.
 type count struct {
 	hash          cluster.KeyHash
-	all, mid, old Ends
+	all, mid, old Outcomes
 }
 
 // watched is a move that was seen to begin.
 type watched struct {
-	Watch
+	MonitoredMove
 	number uint64 // of the plan that asked; 0: none yet
-	base   map[api.DestinationID]Ends
-	usual  Ends
+	base   map[api.DestinationID]Outcomes
+	usual  Outcomes
 	sick   []api.DestinationID // when it began
 	seenAt api.Micros          // asked for, or open
 }
 
-// Watch is a move whose harm is asked for: of its range, from when it began.
-type Watch struct {
+// MonitoredMove is a move whose harm is asked for: of its range, from when it began.
+type MonitoredMove struct {
 	Move  shardmap.MoveID `cbor:"1,keyasint"`
 	Range cluster.RangeID `cbor:"2,keyasint"`
 	From  cluster.KeyHash `cbor:"3,keyasint"`
 	To    cluster.KeyHash `cbor:"4,keyasint"`
 }
 
-// Spot is what one member saw in the range of a move, since it began and before.
-type Spot struct {
-	Move  shardmap.MoveID     `cbor:"1,keyasint"`
-	Range cluster.RangeID     `cbor:"2,keyasint"`
-	Now   Ends                `cbor:"3,keyasint"`
-	Usual Ends                `cbor:"4,keyasint"`
-	Sick  []api.DestinationID `cbor:"5,keyasint,omitempty"`
-	Were  []api.DestinationID `cbor:"6,keyasint,omitempty"` // sick when it began
+// RangeImpact is what one member saw in the range of a move, since it began and before.
+type RangeImpact struct {
+	Move            shardmap.MoveID     `cbor:"1,keyasint"`
+	Range           cluster.RangeID     `cbor:"2,keyasint"`
+	During          Outcomes            `cbor:"3,keyasint"`
+	Baseline        Outcomes            `cbor:"4,keyasint"`
+	Unhealthy       []api.DestinationID `cbor:"5,keyasint,omitempty"`
+	UnhealthyBefore []api.DestinationID `cbor:"6,keyasint,omitempty"` // sick when it began
 }
 
 // Report is what a member answers to a conductor.
 type Report struct {
-	Life  uint64 `cbor:"1,keyasint"`
-	Spots []Spot `cbor:"2,keyasint,omitempty"`
+	Incarnation uint64        `cbor:"1,keyasint"`
+	Ranges      []RangeImpact `cbor:"2,keyasint,omitempty"`
 }
 
 // What is usual reaches back eight to sixteen terms: long beside a move, so that a few webhooks a second are
 // enough to tell, and short beside a day's course. A move that nobody asks for is forgotten as late.
 const usualTerms = 8
 
-// NewTally is one that has counted nothing; life is drawn at each start of the process.
-func NewTally(life uint64, term, now api.Micros) *Tally {
-	return &Tally{life: life, every: usualTerms * term, turnsAt: now + usualTerms*term,
+// NewImpactMeter is one that has counted nothing; life is drawn at each start of the process.
+func NewImpactMeter(life uint64, term, now api.Micros) *ImpactMeter {
+	return &ImpactMeter{life: life, every: usualTerms * term, turnsAt: now + usualTerms*term,
 		dests: map[api.DestinationID]*count{}, moves: map[shardmap.MoveID]*watched{}}
 }
 
-// Ended counts ends of a destination's webhooks.
-func (t *Tally) Ended(d api.DestinationID, e Ends) {
+// CountOutcomes counts ends of a destination's webhooks.
+func (t *ImpactMeter) CountOutcomes(d api.DestinationID, e Outcomes) {
 	c := t.dests[d]
 	if c == nil {
 		c = &count{hash: cluster.Hash(d)}
@@ -80,11 +80,11 @@
 	c.all = c.all.plus(e)
 }
 
-// Sickness tells which destinations of a range this member, its home, holds to be sick now.
-type Sickness func(r shardmap.Range) []api.DestinationID
+// UnhealthyFunc tells which destinations of a range this member, its home, holds to be sick now.
+type UnhealthyFunc func(r shardmap.Range) []api.DestinationID
 
-// Unseen are the ranges of moves that Look has yet to take note of.
-func (t *Tally) Unseen(m *shardmap.Map) (all []shardmap.Range) {
+// UnobservedMoves are the ranges of moves that Look has yet to take note of.
+func (t *ImpactMeter) UnobservedMoves(m *shardmap.Map) (all []shardmap.Range) {
 	for _, r := range m.Ranges {
 		if r.Move.Open() && t.moves[r.Move.ID] == nil {
 			all = append(all, r)
@@ -93,8 +93,8 @@
 	return all
 }
 
-// Look takes note of moves that have begun and forgets those that are over and asked for by nobody.
-func (t *Tally) Look(m *shardmap.Map, sick Sickness, now api.Micros) {
+// ObserveMap takes note of moves that have begun and forgets those that are over and asked for by nobody.
+func (t *ImpactMeter) ObserveMap(m *shardmap.Map, sick UnhealthyFunc, now api.Micros) {
 	if now >= t.turnsAt {
 		t.turnsAt = now + t.every
 		for _, c := range t.dests {
@@ -108,16 +108,16 @@
 	}
 	for _, r := range m.Ranges {
 		if r.Move.Open() {
-			t.watch(Watch{r.Move.ID, r.ID, r.From, r.To}, r, sick, now)
+			t.watch(MonitoredMove{r.Move.ID, r.ID, r.From, r.To}, r, sick, now)
 		}
 	}
 	maps.DeleteFunc(t.moves, func(_ shardmap.MoveID, w *watched) bool { return now-w.seenAt > t.every })
 }
 
-func (t *Tally) watch(what Watch, r shardmap.Range, sick Sickness, now api.Micros) *watched {
+func (t *ImpactMeter) watch(what MonitoredMove, r shardmap.Range, sick UnhealthyFunc, now api.Micros) *watched {
 	w := t.moves[what.Move]
 	if w == nil {
-		w = &watched{Watch: what}
+		w = &watched{MonitoredMove: what}
 		t.moves[what.Move] = w
 		for _, c := range t.dests {
 			if w.has(c) {
@@ -131,8 +131,8 @@
 }
 
 // begin counts from now on.
-func (t *Tally) begin(w *watched, r shardmap.Range, sick Sickness) {
-	w.base, w.sick = map[api.DestinationID]Ends{}, sick(r)
+func (t *ImpactMeter) begin(w *watched, r shardmap.Range, sick UnhealthyFunc) {
+	w.base, w.sick = map[api.DestinationID]Outcomes{}, sick(r)
 	for d, c := range t.dests {
 		if w.has(c) {
 			w.base[d] = c.all
@@ -142,10 +142,10 @@
 
 func (w *watched) has(c *count) bool { return w.From <= c.hash && c.hash <= w.To }
 
-// Tell answers a conductor whose plan has a number. Another plan's count begins anew, as what an earlier one
+// Report answers a conductor whose plan has a number. Another plan's count begins anew, as what an earlier one
 // did is not its harm; what was usual before the move stays so.
-func (t *Tally) Tell(number uint64, of []Watch, m *shardmap.Map, sick Sickness, now api.Micros) Report {
-	out := Report{Life: t.life}
+func (t *ImpactMeter) Report(number uint64, of []MonitoredMove, m *shardmap.Map, sick UnhealthyFunc, now api.Micros) Report {
+	out := Report{Incarnation: t.life}
 	for _, what := range of[:min(len(of), mostWatched)] { // whatever a message says
 		r, _ := m.Get(what.Range)
 		w := t.watch(what, r, sick, now)
@@ -153,14 +153,14 @@
 			t.begin(w, r, sick)
 		}
 		w.number = number
-		s := Spot{Move: w.Move, Range: w.Range, Usual: w.usual, Sick: sick(r), Were: w.sick}
+		s := RangeImpact{Move: w.Move, Range: w.Range, Baseline: w.usual, Unhealthy: sick(r), UnhealthyBefore: w.sick}
 		for d, c := range t.dests {
 			if w.has(c) {
-				s.Now = s.Now.plus(c.all.less(w.base[d]))
+				s.During = s.During.plus(c.all.less(w.base[d]))
 			}
 		}
-		if s.Now != (Ends{}) || s.Usual != (Ends{}) || len(s.Sick)+len(s.Were) > 0 {
-			out.Spots = append(out.Spots, s)
+		if s.During != (Outcomes{}) || s.Baseline != (Outcomes{}) || len(s.Unhealthy)+len(s.UnhealthyBefore) > 0 {
+			out.Ranges = append(out.Ranges, s)
 		}
 	}
 	return out
@@ -169,22 +169,22 @@
 // mostWatched bounds the moves that are asked for: those that began last.
 const mostWatched = 64
 
-// Watches are the moves whose harm counts for the running plan: those that it has begun, also when they are
+// MonitoredMoves are the moves whose harm counts for the running plan: those that it has begun, also when they are
 // through, as what a move does shows after it. None once it is stopped or through, or where its file stops
 // for nothing: then nobody is asked.
-func (p *Progress) Watches(f *File, m *shardmap.Map) (all []Watch) {
+func (p *Progress) MonitoredMoves(f *File, m *shardmap.Map) (all []MonitoredMove) {
 	open := false
 	for k, s := range p.Steps {
-		if open = open || p.Stands[k] != Through; s.Move == 0 || s.Way == Back || p.Stands[k] == Waits {
+		if open = open || p.States[k] != Done; s.Move == 0 || s.Kind == StepRollBack || p.States[k] == Pending {
 			continue
 		}
 		if r, ok := m.Get(s.Range); ok {
-			all = append(all, Watch{s.Move, r.ID, r.From, r.To})
+			all = append(all, MonitoredMove{s.Move, r.ID, r.From, r.To})
 		}
 	}
-	if !open || p.Stopped != "" || f.StopWhen.Line == 0 {
+	if !open || p.StopReason != "" || f.StopConditions.Line == 0 {
 		return nil
 	}
-	slices.SortStableFunc(all, func(a, b Watch) int { return int(int64(b.Move) - int64(a.Move)) })
+	slices.SortStableFunc(all, func(a, b MonitoredMove) int { return int(int64(b.Move) - int64(a.Move)) })
 	return all[:min(len(all), mostWatched)]
 }
--- a/cluster/rebalance/tally_test.go
+++ b/cluster/rebalance/tally_test.go
@@ -37,63 +37,63 @@
 // the members saw it; the reason names the measure, the range and how much.
 func TestHarmIsWhatAMoveAddsToWhatWasUsual(t *testing.T) {
 	w, at, _ := moving(t)
-	source, target := NewTally(1, second, 0), NewTally(2, second, 0)
-	source.Ended(7, Ends{Ended: 100, Late: 10})
-	of := w.p.Watches(w.file, w.m)
+	source, target := NewImpactMeter(1, second, 0), NewImpactMeter(2, second, 0)
+	source.CountOutcomes(7, Outcomes{Total: 100, Late: 10})
+	of := w.p.MonitoredMoves(w.file, w.m)
 	require.Len(t, of, 2)
-	for _, y := range []*Tally{source, target} {
-		y.Look(w.m, well, second)
+	for _, y := range []*ImpactMeter{source, target} {
+		y.ObserveMap(w.m, well, second)
 	}
-	source.Ended(7, Ends{Ended: 20, Late: 3})
-	target.Ended(7, Ends{Ended: 20, Late: 6})
-	var g Gathered
+	source.CountOutcomes(7, Outcomes{Total: 20, Late: 3})
+	target.CountOutcomes(7, Outcomes{Total: 20, Late: 6})
+	var g ImpactCollector
 	for range 2 { // asked again, nothing counts twice
-		g.Take(1, "a", source.Tell(1, of, w.m, well, 2*second))
-		g.Take(1, "b", target.Tell(1, of, w.m, well, 2*second))
+		g.AddReport(1, "a", source.Report(1, of, w.m, well, 2*second))
+		g.AddReport(1, "b", target.Report(1, of, w.m, well, 2*second))
 	}
-	var another Gathered // of a conductor that has just begun
-	for id, y := range map[cluster.MemberID]*Tally{"a": source, "b": target} {
-		another.Take(1, id, y.Tell(1, of, w.m, well, 2*second))
+	var another ImpactCollector // of a conductor that has just begun
+	for id, y := range map[cluster.MemberID]*ImpactMeter{"a": source, "b": target} {
+		another.AddReport(1, id, y.Report(1, of, w.m, well, 2*second))
 	}
-	h := g.Harm(1)
-	assert.Equal(t, h, another.Harm(1))
-	assert.Equal(t, Ends{Ended: 40, Late: 9}, h.Now)
-	assert.Equal(t, Ends{Ended: 100, Late: 10}, h.Usual)
-	why := w.file.StopWhen.harm(h)
+	h := g.Impact(1)
+	assert.Equal(t, h, another.Impact(1))
+	assert.Equal(t, Outcomes{Total: 40, Late: 9}, h.During)
+	assert.Equal(t, Outcomes{Total: 100, Late: 10}, h.Baseline)
+	why := w.file.StopConditions.harm(h)
 	assert.Contains(t, why, "0.225 of webhooks late")
 	assert.Contains(t, why, "(9 of 40), 0.1 before; line 5 stops at 0.1 more")
 	assert.Contains(t, why, "most in range "+rangeName(at))
 
 	// The member that saw most of it is killed and comes back: what it told still counts.
-	back := NewTally(3, second, 0)
+	back := NewImpactMeter(3, second, 0)
 	for range 2 {
-		g.Take(1, "b", back.Tell(1, of, w.m, well, 2*second))
-		back.Ended(7, Ends{Ended: 1, Late: 1})
+		g.AddReport(1, "b", back.Report(1, of, w.m, well, 2*second))
+		back.CountOutcomes(7, Outcomes{Total: 1, Late: 1})
 	}
-	assert.Equal(t, Ends{Ended: 41, Late: 10}, g.Harm(1).Now)
+	assert.Equal(t, Outcomes{Total: 41, Late: 10}, g.Impact(1).During)
 	// Another plan is not blamed for it, nor stopped by what an earlier one did.
-	assert.Empty(t, g.Harm(2).Spots)
-	g.Take(2, "b", target.Tell(2, of, w.m, well, 3*second))
-	assert.Equal(t, Ends{}, g.Harm(2).Now)
+	assert.Empty(t, g.Impact(2).Ranges)
+	g.AddReport(2, "b", target.Report(2, of, w.m, well, 3*second))
+	assert.Equal(t, Outcomes{}, g.Impact(2).During)
 }
 
 // A destination counts as gone sick only if it was well when its move began, by whichever home.
 func TestOnlyWhatWasWellBeforeGoesSick(t *testing.T) {
 	for name, c := range map[string]struct {
-		before Sickness
+		before UnhealthyFunc
 		sick   int
 	}{"well before": {well, 1}, "sick before": {ill, 0}} {
 		t.Run(name, func(t *testing.T) {
 			w, at, _ := moving(t)
-			source, target, of := NewTally(1, second, 0), NewTally(2, second, 0), w.p.Watches(w.file, w.m)
-			source.Look(w.m, c.before, 0)
-			target.Look(w.m, well, 0)
-			var g Gathered
-			g.Take(1, "a", source.Tell(1, of, w.m, well, 1))
-			g.Take(1, "b", target.Tell(1, of, w.m, ill, 1))
-			assert.Len(t, g.Harm(1).Sick, c.sick)
+			source, target, of := NewImpactMeter(1, second, 0), NewImpactMeter(2, second, 0), w.p.MonitoredMoves(w.file, w.m)
+			source.ObserveMap(w.m, c.before, 0)
+			target.ObserveMap(w.m, well, 0)
+			var g ImpactCollector
+			g.AddReport(1, "a", source.Report(1, of, w.m, well, 1))
+			g.AddReport(1, "b", target.Report(1, of, w.m, ill, 1))
+			assert.Len(t, g.Impact(1).Unhealthy, c.sick)
 			if c.sick > 0 {
-				assert.Equal(t, Sick{7, at}, g.Harm(1).Sick[0])
+				assert.Equal(t, UnhealthyDestination{7, at}, g.Impact(1).Unhealthy[0])
 			}
 		})
 	}
@@ -102,37 +102,37 @@
 // Nobody is asked while nothing was moved, once all is, once it is stopped, or where the file says nothing.
 func TestNobodyIsAskedWithoutNeed(t *testing.T) {
 	w, _, _ := moving(t)
-	assert.Len(t, w.p.Watches(w.file, w.m), 2)
+	assert.Len(t, w.p.MonitoredMoves(w.file, w.m), 2)
 	silent := *w.file
-	silent.StopWhen.Line = 0
-	assert.Empty(t, w.p.Watches(&silent, w.m))
+	silent.StopConditions.Line = 0
+	assert.Empty(t, w.p.MonitoredMoves(&silent, w.m))
 	stopped := *w.p
-	stopped.Stopped = "x"
-	assert.Empty(t, stopped.Watches(w.file, w.m))
+	stopped.StopReason = "x"
+	assert.Empty(t, stopped.MonitoredMoves(w.file, w.m))
 	for len(w.open()) > 0 {
 		w.goOn(w.open()[0])
 	}
 	for w.act() > 0 {
 	}
-	assert.Empty(t, w.p.Watches(w.file, w.m))
+	assert.Empty(t, w.p.MonitoredMoves(w.file, w.m))
 	fresh := newWorld(t, "a")
 	require.NoError(t, fresh.adopt(two+"leave \"a\" {}\nstop_when { sick = true }\n"))
-	assert.Empty(t, fresh.p.Watches(fresh.file, fresh.m))
+	assert.Empty(t, fresh.p.MonitoredMoves(fresh.file, fresh.m))
 }
 
 // What is usual is of a while ago at the most, and moves are forgotten: guards against a member that runs for
 // months.
 func TestWhatIsUsualIsOfLately(t *testing.T) {
 	w, _, move := moving(t)
-	y := NewTally(1, second, 0)
+	y := NewImpactMeter(1, second, 0)
 	empty := shardmap.New(nil)
-	y.Ended(7, Ends{Ended: 1000})
+	y.CountOutcomes(7, Outcomes{Total: 1000})
 	for n := 1; n < 4; n++ {
-		y.Look(empty, well, api.Micros(n)*usualTerms*second)
-		y.Ended(7, Ends{Ended: 1})
+		y.ObserveMap(empty, well, api.Micros(n)*usualTerms*second)
+		y.CountOutcomes(7, Outcomes{Total: 1})
 	}
-	y.Look(w.m, well, 3*usualTerms*second)
-	assert.Equal(t, uint64(2), y.moves[move].usual.Ended)
-	y.Look(empty, well, 5*usualTerms*second)
+	y.ObserveMap(w.m, well, 3*usualTerms*second)
+	assert.Equal(t, uint64(2), y.moves[move].usual.Total)
+	y.ObserveMap(empty, well, 5*usualTerms*second)
 	assert.Empty(t, y.moves)
 }
--- a/cluster/rebalance/trails.go
+++ b/cluster/rebalance/trails.go
@@ -169,7 +169,7 @@
 			continue
 		}
 		first, last := o.moves[k], o.moves[k]
-		first.to, first.way, last.from = found, Over, found
+		first.to, first.way, last.from = found, StepDetour, found
 		others := slices.Delete(slices.Clone(ring), n, n+1)
 		slices.Sort(others)
 		o.moves[k] = first
--- a/cluster/rebalance/turns.go
+++ b/cluster/rebalance/turns.go
@@ -10,7 +10,7 @@
 	rules := slices.Clone(t.asked[i].rules)
 	if from < len(t.members) && !t.stays[from] {
 		for k := range t.file.Rules {
-			if r := &t.file.Rules[k]; r.Kind == Leave && r.Member == t.members[from].ID {
+			if r := &t.file.Rules[k]; r.Kind == Drain && r.Member == t.members[from].ID {
 				rules = append(rules, k)
 			}
 		}
@@ -38,7 +38,7 @@
 	for len(open) > 0 {
 		k := open[len(open)-1]
 		open = open[:len(open)-1]
-		for _, turn := range t.file.Turns {
+		for _, turn := range t.file.Precedences {
 			if turn.Then == k && !slices.Contains(all, turn.First) {
 				all, open = append(all, turn.First), append(open, turn.First)
 			}
--- a/cluster/rebalance/world_test.go
+++ b/cluster/rebalance/world_test.go
@@ -92,23 +92,23 @@
 }
 
 func (w *world) adopt(text string) error {
-	f, err := Read([]byte(text), "f.hcl")
+	f, err := ParseFile([]byte(text), "f.hcl")
 	if err != nil {
 		return err
 	}
-	p, err := Make(f, w.m, nil)
+	p, err := NewPlan(f, w.m, nil)
 	if err != nil {
 		return err
 	}
-	w.must(Conductor(1).Adopt(w.p.Number, "f.hcl", []byte(text), p))
+	w.must(Coordinator(1).Adopt(w.p.Number, "f.hcl", []byte(text), p))
 	w.file = f
 	return nil
 }
 
-func (w *world) next() Turnout {
-	seen := Seen{Rested: w.file.Bounds.Pause, Value: w.value,
-		Gone: func(m cluster.MemberID) bool { return w.gone[m] }}
-	return w.p.Next(w.file, w.m, seen)
+func (w *world) next() Decisions {
+	seen := Observations{SinceLastMove: w.file.Limits.Cooldown, RangeValue: w.value,
+		IsGone: func(m cluster.MemberID) bool { return w.gone[m] }}
+	return w.p.Schedule(w.file, w.m, seen)
 }
 
 // act does all that is asked, and tells how much there was.
@@ -116,23 +116,23 @@
 	w.t.Helper()
 	out := w.next()
 	for _, a := range out.Actions {
-		switch a.Do {
-		case Start:
+		switch a.Kind {
+		case ActionStart:
 			var id shardmap.MoveID
 			require.NoError(w.t, cbor.Unmarshal(w.must(shardmap.Conductor(1).Plan(a.Range, a.From, a.To)), &id))
 			w.began = append(w.began, a.Step)
-		case GoBack:
+		case ActionRollBack:
 			w.must(shardmap.Conductor(1).Back(a.Move))
-		case TakeOn:
-			w.must(Conductor(1).Note(w.p.Number, a.Step, a.Stand, a.Move))
-		case GiveUp:
-			w.must(Conductor(1).Stop(w.p.Number, a.Why))
-		case SplitOff:
-			w.must(shardmap.Conductor(1).Split(a.Range, a.At))
+		case ActionRecordState:
+			w.must(Coordinator(1).RecordState(w.p.Number, a.Step, a.State, a.Move))
+		case ActionStop:
+			w.must(Coordinator(1).Stop(w.p.Number, a.Reason))
+		case ActionSplit:
+			w.must(shardmap.Conductor(1).Split(a.Range, a.SplitKey))
 			w.seat()
-		case MergeIn:
-			w.must(shardmap.Conductor(1).Merge(a.Range, a.Other))
-		case Replan:
+		case ActionMerge:
+			w.must(shardmap.Conductor(1).Merge(a.Range, a.OtherRange))
+		case ActionReplan:
 			require.NoError(w.t, w.adopt(string(w.p.Text)))
 		}
 	}
@@ -180,7 +180,7 @@
 func (w *world) inBounds() {
 	w.t.Helper()
 	has, moves, zones, value := map[cluster.MemberID]int{}, map[cluster.MemberID]int{}, map[string]int{}, 0.0
-	b := w.file.Bounds
+	b := w.file.Limits
 	for _, r := range w.m.Ranges {
 		counts := 0
 		if w.first[r.From] { // pieces split off take no room
@@ -204,21 +204,21 @@
 			}
 		}
 	}
-	require.LessOrEqual(w.t, len(w.open()), b.MovesAtOnce, "moves_at_once")
+	require.LessOrEqual(w.t, len(w.open()), b.ConcurrentMoves, "moves_at_once")
 	for _, m := range w.file.Members {
-		require.True(w.t, b.PerMember == 0 || moves[m.ID] <= b.PerMember, "per_member of %s", m.ID)
-		require.True(w.t, b.PerZone == 0 || zones[m.Zone] <= b.PerZone, "per_zone of %s", m.Zone)
-		if moves[m.ID] > 0 && m.Room > 0 {
+		require.True(w.t, b.MovesPerMember == 0 || moves[m.ID] <= b.MovesPerMember, "per_member of %s", m.ID)
+		require.True(w.t, b.MovesPerZone == 0 || zones[m.Zone] <= b.MovesPerZone, "per_zone of %s", m.Zone)
+		if moves[m.ID] > 0 && m.Capacity > 0 {
 			out := 0 // a member over its room from the start may let ranges go
 			for _, r := range w.open() {
 				if r.Move.To == m.ID && w.first[r.From] {
 					out++
 				}
 			}
-			require.True(w.t, out == 0 || has[m.ID] <= m.Room, "room of %s: %d of %d", m.ID, has[m.ID], m.Room)
+			require.True(w.t, out == 0 || has[m.ID] <= m.Capacity, "room of %s: %d of %d", m.ID, has[m.ID], m.Capacity)
 		}
 	}
-	require.True(w.t, b.Value == 0 || value <= b.Value, "value_under_way")
+	require.True(w.t, b.ValueInFlight == 0 || value <= b.ValueInFlight, "value_under_way")
 }
 
 // settle goes on until nothing is left to do, the moves in an order by chance.
--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -46,8 +46,8 @@
 			if chart == nil {
 				chart = &shardmap.Map{Groups: f.Groups()}
 			}
-			rebalance.ShowRunning(runs, os.Stdout)
-			return rebalance.Show(text, args[0], chart, nil, os.Stdout)
+			rebalance.PrintProgress(runs, os.Stdout)
+			return rebalance.PrintPlan(text, args[0], chart, nil, os.Stdout)
 		},
 	}
 	show.Flags().StringVar(&from, "from", "", "a keeper's address says, host:port")
