--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint catalogue run toy system system-toy hunt-fleet hunt-system hunt-register
+.PHONY: build test lint catalogue run toy system system-toy chaos-cluster chaos-serving random-register
 
 # As deploy/balancer.toml does: the operators' fleet asks for a program that is linked against the C library.
 export CGO_ENABLED = 1
@@ -17,15 +17,15 @@
 	go test -count=1 -p 1 -timeout 30m ./test/integration/...
 
 # Faults drawn by seed at a fleet of real members: N seeds, from SEED on where it is given.
-hunt-fleet:
+chaos-cluster:
 	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/chaos
 
 # The same at a whole serving system of real processes.
-hunt-system:
+chaos-serving:
 	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/serving
 
 # Drawn histories of the register: N of three machines and N of five.
-hunt-register:
+random-register:
 	go test -count=1 -timeout 0 -v -run 'TestRandomHistories$$' ./serving/register -rapid.checks=$(or $(N),1000) | grep -v '/history'
 
 lint:
--- a/cluster/lease/book.go
+++ b/cluster/lease/book.go
@@ -1,6 +1,6 @@
 // Package lease decides who may do a task that only one member may do. Book is the replicated truth, Terms
 // the leading keeper's clock over sessions, Tenure the holder's own, Fence the memory of whoever is acted on.
-// None has a clock: times are handed in, each of one machine's clock only. docs/fleet.md, "Leases", has the
+// None has a clock: times are handed in, each of one machine's clock only. docs/cluster.md, "Leases", has the
 // argument.
 package lease
 
--- a/cluster/rebalance/file.go
+++ b/cluster/rebalance/file.go
@@ -1,6 +1,6 @@
 // Package rebalance holds the plan language, the planner that orders moves of key ranges by it, what the log keeps
 // of a running plan, and which of its moves may start. The file states what shall be; the steps are found
-// here. docs/fleet.md, "The plan language", has the argument.
+// here. docs/cluster.md, "The plan language", has the argument.
 package rebalance
 
 import (
--- a/cluster/shardmap/around_test.go
+++ b/cluster/shardmap/around_test.go
@@ -78,7 +78,7 @@
 	return all
 }
 
-// isCalling: between the last look and the call time stands still here. See docs/fleet.md for that gap.
+// isCalling: between the last look and the call time stands still here. See docs/cluster.md for that gap.
 func (w *world) isCalling() bool {
 	return slices.ContainsFunc(w.at[:], func(p process) bool { return slices.Contains(p.todo[:], calls) })
 }
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -1,6 +1,6 @@
 // Package shardmap holds the versioned map of ranges of keys, the steps by which a range moves from one home to
 // another, and what follows from both for a member: what it may serve, what it forwards, and whose a webhook
-// is. docs/fleet.md, "Ranges and moves", has the argument.
+// is. docs/cluster.md, "Ranges and moves", has the argument.
 package shardmap
 
 import (
--- a/cmd/rowan-sim/homes.go
+++ b/cmd/rowan-sim/homes.go
@@ -18,7 +18,7 @@
 		Short: "Compare homes with even parts over the points of sweeps",
 		Long: "Plays each point and seed of sweeps whose scenarios have a table homes with and without it, and\n" +
 			"prints a row for each way of sharing.",
-		Example: "  rowan-sim homes --free-hops examples/lab/sweeps/homes-*.toml",
+		Example: "  rowan-sim homes --free-hops examples/experiments/sweeps/homes-*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var all []experiment.Shared
--- a/cmd/rowan-sim/run.go
+++ b/cmd/rowan-sim/run.go
@@ -18,7 +18,7 @@
 	c := &cobra.Command{
 		Use:     "run FILE",
 		Short:   "Play one scenario and sum it up",
-		Example: "  rowan-sim run examples/lab/calm.toml --seed 7 --out /tmp/calm && rowan-sim plot /tmp/calm",
+		Example: "  rowan-sim run examples/experiments/calm.toml --seed 7 --out /tmp/calm && rowan-sim plot /tmp/calm",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := experiment.Load(args[0])
@@ -62,7 +62,7 @@
 	return &cobra.Command{
 		Use:     "check FILE...",
 		Short:   "Read scenarios and say all that is wrong with them",
-		Example: "  rowan-sim check examples/lab/*.toml",
+		Example: "  rowan-sim check examples/experiments/*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, file := range args {
--- a/cmd/rowan-sim/study.go
+++ b/cmd/rowan-sim/study.go
@@ -38,7 +38,7 @@
 		Short: "Play a grid of parameters, policies and seeds",
 		Long: "Plays each point of a grid with each policy and seed, on all cores, and writes runs.csv, a row a\n" +
 			"run. A sweep that was killed goes on where it was when it is started again with the same folder.",
-		Example: "  rowan-sim sweep examples/lab/sweeps/slots.toml --out /tmp/slots",
+		Example: "  rowan-sim sweep examples/experiments/sweeps/slots.toml --out /tmp/slots",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, points, err := experiment.LoadSweep(args[0])
@@ -74,7 +74,7 @@
 		Short: "Compare two policies, paired by seed",
 		Long: "Plays scenarios with two policies and the same seeds, so that both meet the same webhooks, and\n" +
 			"prints the mean difference in value with its 95% bootstrap interval.",
-		Example: "  rowan-sim compare examples/lab/calm.toml --policy module --policy exponential --seeds 20",
+		Example: "  rowan-sim compare examples/experiments/calm.toml --policy module --policy exponential --seeds 20",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(pair) != 2 || seeds < 2 {
@@ -136,7 +136,7 @@
 		Short: "Search for the run that breaks a rule or loses most, and make it small",
 		Long: "Draws troubles, their sizes and timings, and loads round a scenario; takes the run that breaks a\n" +
 			"rule, or else loses most; takes away what it does not need; and writes that as a scenario.",
-		Example: "  rowan-sim hunt examples/lab/calm.toml --runs 200 --out found.toml && rowan-sim run found.toml",
+		Example: "  rowan-sim hunt examples/experiments/calm.toml --runs 200 --out found.toml && rowan-sim run found.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := experiment.Load(args[0])
--- a/docs/fleet-count.awk
+++ b/docs/cluster-count.awk
@@ -1,6 +1,6 @@
 # Counts a day's logs over the whole fleet, by five seconds and destination: what became of webhooks and calls, and
 # how often lists were asked for. The dispatchers log each webhook's course where ROWANLINK_LOG=debug is set.
-#   awk -f docs/fleet-count.awk LOGS/n*.log | sort -n
+#   awk -f docs/cluster-count.awk LOGS/n*.log | sort -n
 # A line: second, destination (or "fleet"), step, count. rejected0 and handed_back0: without any attempt.
 # Each log line begins with its second on the day's clock, as the bench writes it.
 FNR == 1 { delete tried }
--- a/sim/engine/scenario.go
+++ b/sim/engine/scenario.go
@@ -3,7 +3,7 @@
 // microseconds round unchanged decision modules, which it hosts through gateway.Module and gateway.Host.
 //
 // One run is one goroutine and depends on nothing but the scenario, its seed and the module: the same events
-// in the same order, to the bit. docs/emulator.md says what the model leaves out.
+// in the same order, to the bit. docs/simulator.md says what the model leaves out.
 package engine
 
 import (
@@ -174,7 +174,7 @@
 }
 
 // Trouble is one thing that goes wrong. Which of the fields count is told by its kind; see
-// docs/laboratory.md.
+// docs/experiments.md.
 type Trouble struct {
 	Kind string `toml:"kind"`
 	At   Span   `toml:"at"`
--- a/sim/experiment/lab_test.go
+++ b/sim/experiment/lab_test.go
@@ -63,7 +63,7 @@
 
 func examples(t *testing.T) []string {
 	var files []string
-	for _, pattern := range []string{"../../examples/lab/*.toml", "../../examples/lab/homes/*.toml"} {
+	for _, pattern := range []string{"../../examples/experiments/*.toml", "../../examples/experiments/homes/*.toml"} {
 		some, err := filepath.Glob(pattern)
 		require.NoError(t, err)
 		require.NotEmpty(t, some)
@@ -79,7 +79,7 @@
 		if !assert.NoError(t, err) {
 			return
 		}
-		if s.Dispatchers.Count*s.Destinations.Count > 100_000 { // by hand at full size: docs/laboratory.md
+		if s.Dispatchers.Count*s.Destinations.Count > 100_000 { // by hand at full size: docs/experiments.md
 			s.Destinations.Count, s.Length = 2000, 20_000_000
 			s.Destinations.Busy = min(s.Destinations.Busy, 2000)
 			s.Dispatchers.Count = min(s.Dispatchers.Count, 50)
