--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -19,8 +19,8 @@
 const Path = "/fleet/harm"
 
 type Query struct {
-	Plan    uint64            `cbor:"1,keyasint"` // of the plan
-	Watches []rebalance.Watch `cbor:"2,keyasint"`
+	Plan    uint64                    `cbor:"1,keyasint"` // of the plan
+	Watches []rebalance.MonitoredMove `cbor:"2,keyasint"`
 }
 
 // Reporter counts how webhooks end here, answers conductors, and, where this member conducts, asks the others.
@@ -32,15 +32,15 @@
 	stop      <-chan struct{}
 
 	mu       sync.Mutex
-	tally    *rebalance.Tally
-	gathered rebalance.Gathered
+	tally    *rebalance.ImpactMeter
+	gathered rebalance.ImpactCollector
 }
 
 // Ended counts an end, as the decider tells it.
 func (g admission) Ended(w *inflight.Webhook, how eventloop.End) { g.m.health.CountEnd(w, how) }
 
 func (h *Reporter) CountEnd(w *inflight.Webhook, how eventloop.End) {
-	e := rebalance.Ends{Ended: 1}
+	e := rebalance.Outcomes{Total: 1}
 	switch how {
 	case eventloop.Late:
 		e.Late = 1
@@ -52,10 +52,10 @@
 	h.count(w.Destination, e)
 }
 
-func (h *Reporter) count(d api.DestinationID, e rebalance.Ends) {
+func (h *Reporter) count(d api.DestinationID, e rebalance.Outcomes) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tally.Ended(d, e)
+	h.tally.CountOutcomes(d, e)
 }
 
 // CountRejections counts what a client is told of a webhook here: rejected counts at the entry, whoever rejects it, so
@@ -64,7 +64,7 @@
 	return func(w *inflight.Webhook, here AcceptFunc) (inflight.Answer, api.Micros) {
 		what, retryIn := away(w, here)
 		if what == inflight.Rejected {
-			h.count(w.Destination, rebalance.Ends{Ended: 1, Rejected: 1})
+			h.count(w.Destination, rebalance.Outcomes{Total: 1, Rejected: 1})
 		}
 		return what, retryIn
 	}
@@ -80,17 +80,17 @@
 		return
 	}
 	h.mu.Lock()
-	fresh := h.tally.Unseen(chart)
+	fresh := h.tally.UnobservedMoves(chart)
 	h.mu.Unlock()
 	sick := h.findUnhealthy(fresh)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tally.Look(chart, sick, h.now())
+	h.tally.ObserveMap(chart, sick, h.now())
 }
 
 // findUnhealthy asks the module, all at once and before the lock is taken, for which the decider waits with each end.
 // Only a home's word counts, as others have no calls to know it by.
-func (h *Reporter) findUnhealthy(of []shardmap.Range) rebalance.Sickness {
+func (h *Reporter) findUnhealthy(of []shardmap.Range) rebalance.UnhealthyFunc {
 	in := func(r shardmap.Range, d api.DestinationID) bool {
 		return r.Home == h.self && h.ownership.Map().Holds(r, d)
 	}
@@ -134,7 +134,7 @@
 	sick := h.findUnhealthy(of)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.tally.Tell(a.Plan, a.Watches, chart, sick, h.now())
+	return h.tally.Report(a.Plan, a.Watches, chart, sick, h.now())
 }
 
 // HandleQuery answers a conductor.
@@ -150,12 +150,12 @@
 func (h *Reporter) Collect(number uint64, from cluster.MemberID, r rebalance.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gathered.Take(number, from, r)
+	h.gathered.AddReport(number, from, r)
 }
 
 // Collected is the harm that was told of the plan of a number.
-func (h *Reporter) Collected(number uint64) rebalance.Harm {
+func (h *Reporter) Collected(number uint64) rebalance.Impact {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gathered.Harm(number)
+	return h.gathered.Impact(number)
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -85,7 +85,7 @@
 	if f, err = config.Read(text, m.configPath); err != nil {
 		return nil, f, err
 	}
-	if _, err = rebalance.Read(text, m.configPath); err != nil {
+	if _, err = rebalance.ParseFile(text, m.configPath); err != nil {
 		return nil, f, err
 	}
 	if _, ok := f.Member(m.self); !ok {
@@ -127,7 +127,7 @@
 		wake: func() { wake(m.handoffWake) }}
 	f.handoff, m.ownership.local = m.handoff, m.handoff
 	m.health = &Reporter{self: m.self, ownership: m.ownership, decider: d.Decider, now: m.clock, stop: m.ended,
-		tally: rebalance.NewTally(randomID(), m.file.Term, m.clock())}
+		tally: rebalance.NewImpactMeter(randomID(), m.file.Term, m.clock())}
 	d.Exchange.Away, d.Exchange.More = m.health.CountRejections(f.Forward), m.Print
 	m.memberCount.Store(int64(len(m.file.Members)))
 	m.sites = m.newSites()
--- a/cluster/member/wish_test.go
+++ b/cluster/member/wish_test.go
@@ -12,7 +12,7 @@
 // was told of the same file before.
 func TestAStoppedPlanIsResumedOnlyByAFileReadSince(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
-	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, Stopped: "late"}}
+	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, StopReason: "late"}}
 	assert.Equal(t, uint64(3), c.StoppedPlan())
 	assert.NotPanics(t, func() {
 		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true}, nil))
