--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -18,23 +18,24 @@
 )
 
 const (
-	// tickInterval is the time between two looks at the proxy's silence and the counts of proxies.
+	// tickInterval is the time between two checks of the proxy's liveness and of the proxy counts.
 	tickInterval = 500 * time.Millisecond
-	// endingInterval is the same while the agent waits for its proxy's end.
-	endingInterval = 100 * time.Millisecond
-	// leaveTimeout bounds the farewell to other members.
+	// shutdownTickInterval replaces tickInterval while the agent waits for its proxy to exit.
+	shutdownTickInterval = 100 * time.Millisecond
+	// leaveTimeout bounds the announcement of the agent's departure to other members.
 	leaveTimeout = 250 * time.Millisecond
-	// settleTime is how long a directory of an agent that was just started keeps silent while it knows nobody.
-	settleTime = time.Second
-	// syncTime is how long after its start an agent that has met others takes what it knows for complete. Members
-	// that were started at the same time learn of the endpoints only by their next heartbeats.
-	syncTime = 5 * time.Second
+	// directoryStartDelay is how long the directory of a starting agent that knows no peers gives no addresses.
+	directoryStartDelay = time.Second
+	// syncDelay is the age from which an agent that has peers regards its knowledge as complete. Members that were
+	// started at the same time learn of the endpoints only by their next heartbeats.
+	syncDelay = 5 * time.Second
 )
 
-// memberMesh is what the agent needs of the mesh.
+// memberMesh is the part of member.Mesh that the agent uses.
 type memberMesh interface {
 	Self() state.Member
-	Members() []state.Member // those known to run
+	// Members returns the live members, this one included.
+	Members() []state.Member
 	DownMembers() []state.Member
 	Proxies() subscription.Proxies
 	Claims() []singleton.Claim
@@ -44,46 +45,50 @@
 	Leave(context.Context) error
 }
 
-// agent connects the board with the mesh and the proxy.
+// agent connects its state with the mesh of members and with the proxy.
 type agent struct {
-	settings *settings.Process
-	log      *zerolog.Logger
-	mesh     memberMesh
-	board    *actor.Owner[board]
-	started  time.Time
-
-	announcing sync.Mutex
-	said       said
+	settings   *settings.Process
+	log        *zerolog.Logger
+	mesh       memberMesh
+	stateOwner *actor.Owner[agentState]
+	started    time.Time
+
+	announceMutex sync.Mutex
+	announced     announcement
 }
 
-// said is what the mesh was last told of the proxy.
-type said struct {
+// announcement is what the agent has last announced of its proxy in the mesh.
+type announcement struct {
 	state state.MemberState
 	front string
 }
 
 func newAgent(process *settings.Process, log *zerolog.Logger, mesh memberMesh, table endpointTable) *agent {
 	now := time.Now()
-	life := rand.Uint64() | 1 // never zero
+	incarnation := rand.Uint64() | 1 // never zero: a zero cursor belongs to no agent
 	a := &agent{settings: process, log: log, mesh: mesh, started: now}
-	a.board = actor.Start(&board{news: newNews(life, table), started: now})
-	a.subscribe()
+	a.stateOwner = actor.Start(&agentState{
+		updates: newPublisher(incarnation, table),
+		started: now,
+	})
+	a.subscribeToMesh()
 	return a
 }
 
-// run keeps the mesh and the board up to date until the context ends and the proxy's end was waited for.
+// run keeps the mesh and the agent's state up to date until the context ends and the proxy has exited or the time for
+// that is over.
 func (a *agent) run(ctx context.Context) {
-	ticks := time.NewTicker(tickInterval)
-	defer ticks.Stop()
-	told := ctx.Done()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	stopping := ctx.Done()
 	for {
 		select {
-		case <-told:
-			told = nil
-			ticks.Reset(endingInterval)
+		case <-stopping:
+			stopping = nil
+			ticker.Reset(shutdownTickInterval)
 			event.ProgramEnding.Log(a.log).Send()
-			a.board.Tell(func(b *board) { b.end(time.Now(), a.settings.Bounds.Grace) })
-		case <-ticks.C:
+			a.stateOwner.Tell(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
+		case <-ticker.C:
 		}
 		if a.tick() {
 			return
@@ -91,61 +96,72 @@
 	}
 }
 
-// tick does what the passing of time asks for and tells whether the agent may end.
-func (a *agent) tick() (ended bool) {
-	proxies, synced := a.mesh.Proxies(), a.synced()
-	ended, _ = actor.Ask(a.board, func(b *board) bool {
-		if synced && !b.news.synced {
+// tick applies what depends on time and reports whether the agent may stop.
+func (a *agent) tick() (stopped bool) {
+	proxies, synced := a.mesh.Proxies(), a.isSynced()
+	stopped, _ = actor.Ask(a.stateOwner, func(s *agentState) bool {
+		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
-		b.tick(time.Now(), proxies, synced)
-		return b.mayEnd(time.Now())
+		s.tick(time.Now(), proxies, synced)
+		return s.canStop(time.Now())
 	})
-	a.announce()
-	return ended
+	a.announceProxy()
+	return stopped
 }
 
-// announce tells the mesh of the proxy's state and front if they have changed.
-func (a *agent) announce() {
-	a.announcing.Lock()
-	defer a.announcing.Unlock()
-	now, ok := actor.Ask(a.board, func(b *board) said {
-		return said{state: b.proxyState(time.Now()), front: b.presence.front}
+// announceProxy announces the proxy's state and front in the mesh if they have changed.
+func (a *agent) announceProxy() {
+	a.announceMutex.Lock()
+	defer a.announceMutex.Unlock()
+	current, ok := actor.Ask(a.stateOwner, func(s *agentState) announcement {
+		return announcement{state: s.proxyState(time.Now()), front: s.proxy.front}
 	})
-	if !ok || now == a.said {
+	if !ok || current == a.announced {
 		return
 	}
-	event.ProxyState.Log(a.log).Uint8("from", uint8(a.said.state)).Uint8("to", uint8(now.state)).
-		Str("front", now.front).Send()
-	if now.front != a.said.front {
-		a.mesh.SetFront(now.front)
+	event.ProxyState.Log(a.log).
+		Uint8("from", uint8(a.announced.state)).
+		Uint8("to", uint8(current.state)).
+		Str("front", current.front).
+		Send()
+	if current.front != a.announced.front {
+		a.mesh.SetFront(current.front)
 	}
-	if now.state != a.said.state {
-		a.mesh.SetState(now.state)
+	if current.state != a.announced.state {
+		a.mesh.SetState(current.state)
 	}
-	a.said = now
+	a.announced = current
 }
 
-// leave bids the other members farewell.
-func (a *agent) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+// announceLeave announces to the other members that this one leaves.
+func (a *agent) announceLeave(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := a.mesh.Leave(ctx); err != nil {
 		event.LeaveUnheard.Log(a.log).Err(err).Send()
 	}
 }
 
-// metOthers tells whether another member is known. Whoever is met first hands over all that it knows.
-func (a *agent) metOthers() bool { return len(a.mesh.Members()) > 1 }
-
-// settled tells whether the directory may answer: the agent has met others or has waited for them long enough.
-func (a *agent) settled() bool { return time.Since(a.started) >= settleTime || a.metOthers() }
+// hasPeers reports whether another member is known. The first peer transfers all that it knows.
+func (a *agent) hasPeers() bool { return len(a.mesh.Members()) > 1 }
 
-// synced tells whether what the agent knows is all there is to know.
-func (a *agent) synced() bool { return time.Since(a.started) >= syncTime && a.metOthers() }
+// isDirectoryReady reports whether the directory may give addresses: the agent knows peers or has waited for them for
+// directoryStartDelay.
+func (a *agent) isDirectoryReady() bool {
+	return time.Since(a.started) >= directoryStartDelay || a.hasPeers()
+}
 
-// directory makes the handler of clients' look-ups.
-func (a *agent) directory() *lookupHandler {
-	return &lookupHandler{live: a.mesh.Members, settled: a.settled, regions: a.settings.Regions,
-		ttlMost: a.settings.Bounds.TTLMost, random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+// isSynced reports whether the agent's knowledge counts as complete.
+func (a *agent) isSynced() bool { return time.Since(a.started) >= syncDelay && a.hasPeers() }
+
+// lookupHandler returns the HTTP handler of clients' look-ups.
+func (a *agent) lookupHandler() *lookupHandler {
+	return &lookupHandler{
+		members: a.mesh.Members,
+		isReady: a.isDirectoryReady,
+		regions: a.settings.Regions,
+		maxTTL:  a.settings.Bounds.TTLMost,
+		random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	}
 }
--- /dev/null
+++ b/serving/agent/confirmation_test.go
@@ -0,0 +1,134 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/serving/gossip"
+	"rowanlink/serving/register"
+	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
+)
+
+// errUnreachable is the error of a call to a voter that can't be reached.
+var errUnreachable = errors.New("unreachable")
+
+// fakeVoters answer a query for their newest revision after 5 ms; calls to an address that is missing fail.
+type fakeVoters map[string]register.Vote
+
+func (f fakeVoters) query(_ context.Context, address string, request *register.QueryRequest) (*register.Vote, error) {
+	time.Sleep(5 * time.Millisecond)
+	vote, ok := f[address]
+	if !ok || !request.Brief {
+		return nil, errUnreachable
+	}
+	return &vote, nil
+}
+
+func newReplicaSet(epoch uint64, addresses ...string) (set state.ReplicaSet) {
+	set.Epoch = epoch
+	for _, address := range addresses {
+		set.Replicas = append(set.Replicas, state.Replica{ID: address, Address: address})
+	}
+	return set
+}
+
+func newGrantedVote(revision uint64) register.Vote {
+	return register.Vote{Verdict: register.Granted, Revision: revision}
+}
+
+// newUnconfirmedAgent returns an agent that has just started.
+func newUnconfirmedAgent() *testAgent {
+	s := newTestAgent(8 * time.Second)
+	s.stateOwner.Tell(func(s *agentState) { s.confirmed = false })
+	return s
+}
+
+// An agent restarts, and the first member that it reaches is a partitioned core that transfers an outdated record. The
+// proxy gets no update until the newest record has arrived.
+func TestConfirmRecord_WithholdsARecordFromAPartitionedMember(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		voters fakeVoters
+	}{
+		{"the voters are those of the outdated record", fakeVoters{"b": newGrantedVote(7), "c": newGrantedVote(6)}},
+		{"the voters have been replaced since", fakeVoters{
+			"a": {Verdict: register.Granted, Revision: 5},
+			"b": {Verdict: register.Stranger, Established: newSuccessorVoters()},
+			"d": newGrantedVote(7), "e": newGrantedVote(4)}},
+		{"a replacement of the voters is in progress", fakeVoters{
+			"a": newGrantedVote(5), "b": {Verdict: register.Granted, Revision: 6, Proposed: newSuccessorVoters()},
+			"d": newGrantedVote(7), "e": newGrantedVote(4)}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				s := newUnconfirmedAgent()
+				defer s.stateOwner.Stop()
+				go s.confirmRecord(t.Context(), test.voters.query)
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: newReplicaSet(1, "a", "b", "c")})
+				poll := s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+				time.Sleep(500 * time.Millisecond)
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Replicas: newReplicaSet(1, "a", "b", "c")})
+				time.Sleep(500 * time.Millisecond)
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Replicas: newReplicaSet(1, "a", "b", "c")})
+				got := <-poll
+				require.NoError(t, got.err)
+				assert.Equal(t, uint64(7), got.response.Record.Revision)
+				assert.Equal(t, time.Second+coalesceDelay, got.elapsed)
+			})
+		})
+	}
+}
+
+func newSuccessorVoters() *state.ReplicaSet {
+	set := newReplicaSet(2, "d", "e", "f")
+	return &set
+}
+
+// A record that is the newest already is published as soon as a majority has confirmed it.
+func TestConfirmRecord_ReleasesTheNewestRecordAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newUnconfirmedAgent()
+		defer s.stateOwner.Stop()
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: newReplicaSet(1, "a", "b", "c")})
+		go s.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
+		got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+		require.NoError(t, got.err)
+		assert.Less(t, got.elapsed, 20*time.Millisecond)
+	})
+}
+
+// Without a majority the agent publishes the record that it has after confirmationTimeout.
+func TestConfirmRecord_ReleasesAfterTheTimeoutWithoutAMajority(t *testing.T) {
+	for alone := range 2 {
+		t.Run(fmt.Sprint(alone, " voters"), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				s := newUnconfirmedAgent()
+				ctx, stop := context.WithCancel(t.Context())
+				go s.run(ctx)
+				defer func() {
+					stop()
+					time.Sleep(time.Minute)
+					s.stateOwner.Stop()
+				}()
+				voters := fakeVoters{}
+				if alone == 1 {
+					voters["a"] = newGrantedVote(9)
+				}
+				go s.confirmRecord(t.Context(), voters.query)
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: newReplicaSet(1, "a", "b", "c")})
+				got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+				require.NoError(t, got.err)
+				assert.Equal(t, uint64(5), got.response.Record.Revision)
+				assert.InDelta(t, confirmationTimeout.Seconds(), got.elapsed.Seconds(), tickInterval.Seconds())
+			})
+		})
+	}
+}
--- a/serving/agent/doc.go
+++ b/serving/agent/doc.go
@@ -1,7 +1,7 @@
-// Package agent is the process that stands beside each proxy. It joins the mesh of members, feeds the proxy over
-// loopback with the newest record, endpoints and loads, tells the mesh whether the proxy is ready, and answers
-// clients that ask where to go.
+// Package agent is the node agent, a process beside each proxy. It joins the mesh of members, publishes the newest
+// record, endpoints and loads to the proxy over loopback, announces in the mesh whether the proxy is ready, and answers
+// the directory look-ups of clients.
 //
-// What decides (presence, news, directory choice, ending) does no I/O and has the time passed in; Run is the shell
-// that connects it to sockets, the mesh and signals.
+// The decisions (proxyMonitor, publisher, chooseFronts, agentState) do no I/O and take the time as an argument; Run
+// connects them with sockets, the mesh and signals.
 package agent
--- a/serving/agent/standing_test.go
+++ b/serving/agent/fixture_test.go
@@ -19,20 +19,20 @@
 	"rowanlink/serving/subscription"
 )
 
-// fakeMesh is a mesh whose members the test sets. It notes what the agent says of itself.
+// fakeMesh is a mesh whose members the test sets. It records what the agent announces.
 type fakeMesh struct {
 	mutex       sync.Mutex
 	self        state.Member
 	others      []state.Member
 	proxies     subscription.Proxies
 	subscribers map[gossip.Table]func(gossip.Entry)
-	states      []state.MemberState // that the agent announced, in order
+	states      []state.MemberState // announced by the agent, in order
 	left        bool
 	leaveError  error
 }
 
 func newFakeMesh() *fakeMesh {
-	return &fakeMesh{self: proxyIn("n1", 1, state.MemberStarting), subscribers: map[gossip.Table]func(gossip.Entry){}}
+	return &fakeMesh{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.Table]func(gossip.Entry){}}
 }
 
 func (f *fakeMesh) Self() state.Member {
@@ -56,11 +56,11 @@
 	return f.proxies
 }
 
-func (f *fakeMesh) SetState(to state.MemberState) {
+func (f *fakeMesh) SetState(announced state.MemberState) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.self.State = to
-	f.states = append(f.states, to)
+	f.self.State = announced
+	f.states = append(f.states, announced)
 }
 
 func (f *fakeMesh) SetFront(front string) {
@@ -84,58 +84,68 @@
 	return f.leaveError
 }
 
-func (f *fakeMesh) meet(others ...state.Member) {
+func (f *fakeMesh) setPeers(others ...state.Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.others = others
 }
 
-// deliver hands an entry to the agent as the mesh does.
+// deliver passes an entry to the agent's subscriber, as the mesh does.
 func (f *fakeMesh) deliver(t *testing.T, table gossip.Table, value any) {
+	t.Helper()
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	f.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: encoded})
 }
 
-// standing is an agent on a fake mesh, with the server that its proxy polls.
-type standing struct {
+// testAgent is an agent on a fake mesh, with the server that its proxy polls.
+type testAgent struct {
 	*agent
-	mesh   *fakeMesh
-	server *feedServer
-	noted  chan []state.Observation // what the proxy has told of endpoints
+	mesh         *fakeMesh
+	server       *subscriptionServer
+	observations chan []state.Observation // forwarded from the proxy's polls
 }
 
-func stand(grace time.Duration) *standing {
+func newTestAgent(grace time.Duration) *testAgent {
 	fake := newFakeMesh()
 	log := zerolog.Nop()
-	process := &settings.Process{NodeName: "n1-1", Regions: someRegions, Bounds: settings.Bounds{Grace: grace}}
+	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
 	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", BeatInterval: time.Second})
 	a := newAgent(process, &log, fake, table)
-	a.board.Tell(func(b *board) { b.confirm(0) })
-	noted := make(chan []state.Observation, 100)
-	return &standing{agent: a, mesh: fake, noted: noted,
-		server: &feedServer{board: a.board, now: time.Now, announce: a.announce,
-			observed: func(seen []state.Observation) { noted <- seen }}}
-}
-
-// polled is the end of a poll.
-type polled struct {
+	a.stateOwner.Tell(func(s *agentState) { s.confirmRevision(0) })
+	forwarded := make(chan []state.Observation, 100)
+	return &testAgent{
+		agent:        a,
+		mesh:         fake,
+		observations: forwarded,
+		server: &subscriptionServer{
+			stateOwner:          a.stateOwner,
+			now:                 time.Now,
+			announceProxy:       a.announceProxy,
+			forwardObservations: func(observations []state.Observation) { forwarded <- observations },
+		},
+	}
+}
+
+// pollOutcome is the outcome of a poll.
+type pollOutcome struct {
 	response *subscription.Response
 	err      error
-	after    time.Duration
+	elapsed  time.Duration
 }
 
-// poll begins a poll whose end comes through the channel.
-func (s *standing) poll(ctx context.Context, request *subscription.Request) <-chan polled {
-	ended := make(chan polled, 1)
-	begun := time.Now()
+// poll starts a poll and returns the channel for its outcome.
+func (s *testAgent) poll(ctx context.Context, request *subscription.Request) <-chan pollOutcome {
+	outcome := make(chan pollOutcome, 1)
+	start := time.Now()
 	go func() {
 		response, err := s.server.watch(ctx, request)
-		ended <- polled{response, err, time.Since(begun)}
+		outcome <- pollOutcome{response, err, time.Since(start)}
 	}()
-	return ended
+	return outcome
 }
 
-func waiting(since subscription.Cursor, told state.MemberState) *subscription.Request {
-	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: told, Front: "10.0.0.1:80"}
+// newWaitingRequest returns a request that waits for up to five seconds.
+func newWaitingRequest(since subscription.Cursor, reported state.MemberState) *subscription.Request {
+	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, Front: "10.0.0.1:80"}
 }
--- /dev/null
+++ b/serving/agent/frontselection.go
@@ -0,0 +1,68 @@
+package agent
+
+import (
+	"math/rand/v2"
+
+	"rowanlink/serving/state"
+)
+
+const (
+	// maxAddresses is the number of addresses that a client uses of one answer.
+	maxAddresses = 64
+	// minZoneProxies is the number of proxies from which a zone serves its own clients alone: with one, its loss would
+	// leave them no address until their next look-up.
+	minZoneProxies = 2
+)
+
+// clientLocation is the location that a client gives in its look-up. Either part may be empty or unknown.
+type clientLocation struct {
+	Zone   string
+	Region string
+}
+
+// resolve completes and checks a location by the known zones. Unknown parts become empty, which means "any".
+func (l clientLocation) resolve(regions map[string]string) clientLocation {
+	region, isKnown := regions[l.Zone]
+	if isKnown {
+		return clientLocation{Zone: l.Zone, Region: region}
+	}
+	for _, knownRegion := range regions {
+		if knownRegion == l.Region {
+			return clientLocation{Region: l.Region}
+		}
+	}
+	return clientLocation{}
+}
+
+// chooseFronts selects the addresses of the proxies that a client should use: those of its zone if there are at least
+// minZoneProxies, else those of its region, else all. The region takes precedence over the number of proxies because
+// the client's own region may always serve it, while another may be barred. The order is random.
+func chooseFronts(members []state.Member, client clientLocation, random *rand.Rand) []string {
+	var inZone, inRegion, anywhere []string
+	for _, member := range members {
+		if !isReadyProxy(member) {
+			continue
+		}
+		anywhere = append(anywhere, member.Front)
+		if client.Region != "" && member.Region == client.Region {
+			inRegion = append(inRegion, member.Front)
+		}
+		if client.Zone != "" && member.Zone == client.Zone {
+			inZone = append(inZone, member.Front)
+		}
+	}
+	chosen := anywhere
+	switch {
+	case len(inZone) >= minZoneProxies:
+		chosen = inZone
+	case len(inRegion) > 0:
+		chosen = inRegion
+	}
+	random.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
+	return chosen[:min(len(chosen), maxAddresses)]
+}
+
+// isReadyProxy reports whether the member is an agent whose proxy takes requests at a known address.
+func isReadyProxy(member state.Member) bool {
+	return member.Role == state.RoleAgent && member.State == state.MemberReady && member.Front != ""
+}
--- /dev/null
+++ b/serving/agent/frontselection_test.go
@@ -0,0 +1,93 @@
+package agent
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+
+	"rowanlink/serving/state"
+)
+
+// testRegions maps zones to regions: two regions, one with two zones.
+var testRegions = map[string]string{"n1": "north", "n2": "north", "s1": "south"}
+
+func newProxyMember(zone string, number int, memberState state.MemberState) state.Member {
+	return state.Member{Name: fmt.Sprintf("%s-%d", zone, number), Role: state.RoleAgent, Zone: zone,
+		Region: testRegions[zone], Front: fmt.Sprintf("%s-%d:80", zone, number), State: memberState}
+}
+
+func sortedFronts(live []state.Member, zone, region string) []string {
+	client := clientLocation{Zone: zone, Region: region}.resolve(testRegions)
+	fronts := chooseFronts(live, client, rand.New(rand.NewPCG(1, 2)))
+	slices.Sort(fronts)
+	return fronts
+}
+
+func TestChooseFronts_PrefersTheClientsZoneAndRegion(t *testing.T) {
+	ready := state.MemberReady
+	two := []state.Member{newProxyMember("n1", 1, ready), newProxyMember("n1", 2, ready), newProxyMember("n2", 1, ready),
+		newProxyMember("s1", 1, ready)}
+	all := []string{"n1-1:80", "n1-2:80", "n2-1:80", "s1-1:80"}
+	for _, test := range []struct {
+		name, zone, region string
+		live               []state.Member
+		want               []string
+	}{
+		{"enough in the zone", "n1", "north", two, all[:2]},
+		{"one in the zone: those of the region", "n2", "north", two, all[:3]},
+		{"one in the region precedes others", "s1", "south", two, all[3:]},
+		{"none in the region", "s1", "south", two[:3], all[:3]},
+		{"unknown zone of a known region", "x", "north", two, all[:3]},
+		{"unknown zone and region", "x", "y", two, all},
+		{"no location given", "", "", two, all},
+		{"the zone's region precedes the region given", "s1", "north", two, all[3:]},
+		{"no members", "n1", "north", nil, nil},
+	} {
+		assert.ElementsMatch(t, test.want, sortedFronts(test.live, test.zone, test.region), test.name)
+	}
+}
+
+func TestChooseFronts_OmitsMembersThatAreNotReady(t *testing.T) {
+	core := newProxyMember("n1", 5, state.MemberReady)
+	core.Role = state.RoleCore
+	unknownFront := newProxyMember("n1", 6, state.MemberReady)
+	unknownFront.Front = ""
+	live := []state.Member{newProxyMember("n1", 1, state.MemberStarting), newProxyMember("n1", 2, state.MemberLeaving),
+		newProxyMember("n1", 3, state.MemberLeft), newProxyMember("n1", 4, state.MemberReady), core, unknownFront}
+	assert.Equal(t, []string{"n1-4:80"}, sortedFronts(live, "n1", "north"))
+}
+
+// TestChooseFronts_Invariants: no address twice, at most maxAddresses, none of a member that isn't ready, and none of
+// another region while the client's own has one.
+func TestChooseFronts_Invariants(t *testing.T) {
+	zones := []string{"n1", "n2", "s1"}
+	rapid.Check(t, func(t *rapid.T) {
+		ready := map[string]state.Member{}
+		var live []state.Member
+		for number := range rapid.IntRange(0, 150).Draw(t, "members") {
+			memberState := rapid.SampledFrom([]state.MemberState{state.MemberReady, state.MemberLeaving}).Draw(t, "state")
+			member := newProxyMember(rapid.SampledFrom(zones).Draw(t, "zone"), number, memberState)
+			live = append(live, member)
+			if memberState == state.MemberReady {
+				ready[member.Front] = member
+			}
+		}
+		zone := rapid.SampledFrom(zones).Draw(t, "client")
+		fronts := sortedFronts(live, zone, "")
+		assert.Len(t, slices.Compact(slices.Clone(fronts)), len(fronts))
+		assert.LessOrEqual(t, len(fronts), maxAddresses)
+		regionHasProxy := slices.ContainsFunc(live, func(m state.Member) bool {
+			return m.State == state.MemberReady && m.Region == testRegions[zone]
+		})
+		for _, front := range fronts {
+			member, found := ready[front]
+			assert.True(t, found)
+			assert.True(t, !regionHasProxy || member.Region == testRegions[zone])
+		}
+		assert.Equal(t, len(ready) == 0, len(fronts) == 0)
+	})
+}
--- /dev/null
+++ b/serving/agent/listeners.go
@@ -0,0 +1,70 @@
+package agent
+
+import (
+	"context"
+	"io"
+	stdlog "log"
+	"net"
+	"net/http"
+	"time"
+
+	"rowanlink/serving/errcode"
+	"rowanlink/serving/process"
+	"rowanlink/serving/settings"
+)
+
+const (
+	// readHeaderTimeout bounds the time to read the header of a request.
+	readHeaderTimeout = 3 * time.Second
+	// innerIdleTimeout is longer than members keep idle connections, so that the clients close them.
+	innerIdleTimeout = time.Minute
+	// lookupIdleTimeout is longer than clients cache an answer of the directory.
+	lookupIdleTimeout = 15 * time.Second
+	// maxLookupHeaderBytes bounds the header of a look-up.
+	maxLookupHeaderBytes = 8 << 10
+)
+
+// listeners are the sockets that an agent listens on.
+type listeners struct {
+	inner     net.Listener // calls of other members
+	feed      net.Listener // polls of the proxy, on loopback
+	directory net.Listener // look-ups of clients; nil if the settings have no address for it
+}
+
+// listenOnAll opens all listeners or none. Its errors are errcode.AgentAddressInUse.
+func listenOnAll(ctx context.Context, processSettings *settings.Process) (all listeners, err error) {
+	for _, each := range []struct {
+		listener *net.Listener
+		address  string
+	}{
+		{&all.inner, processSettings.InnerAddress()},
+		{&all.feed, processSettings.FeedAddress()},
+		{&all.directory, processSettings.Bind.Directory},
+	} {
+		if each.address == "" {
+			continue
+		}
+		if *each.listener, err = process.Listen(ctx, each.address); err != nil {
+			all.close()
+			return all, errcode.AgentAddressInUse.With("%s: %v", each.address, err)
+		}
+	}
+	return all, nil
+}
+
+// close closes all listeners.
+func (l listeners) close() {
+	for _, listener := range []net.Listener{l.inner, l.feed, l.directory} {
+		if listener != nil {
+			_ = listener.Close() // nothing is lost with a listener
+		}
+	}
+}
+
+// serve serves on the listener, in a goroutine, until the returned server is closed.
+func serve(listener net.Listener, server *http.Server) *http.Server {
+	server.ReadHeaderTimeout = readHeaderTimeout
+	server.ErrorLog = stdlog.New(io.Discard, "", 0) // faults of clients don't belong in the log
+	go func() { _ = server.Serve(listener) }()
+	return server
+}
--- /dev/null
+++ b/serving/agent/lookuphandler.go
@@ -0,0 +1,81 @@
+package agent
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"rowanlink/serving/errcode"
+	"rowanlink/serving/state"
+)
+
+// defaultTTL is how long clients should cache an answer. Some cache it three times as long; a proxy that shuts down
+// takes requests for a little longer than that.
+const defaultTTL = time.Second
+
+// lookupHandler is the directory: it answers clients that look up the addresses of proxies.
+type lookupHandler struct {
+	members func() []state.Member // live members
+	isReady func() bool           // false: the agent has just started and may know too few members
+	regions map[string]string     // region by zone
+	maxTTL  time.Duration         // 0: no limit
+
+	mutex  sync.Mutex // guards random
+	random *rand.Rand
+}
+
+// ServeHTTP implements http.Handler.
+func (h *lookupHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case r.URL.Path != lookupPath:
+		writeError(w, errcode.DirectoryNotFound)
+	case r.Method != http.MethodGet:
+		w.Header().Set("Allow", http.MethodGet)
+		writeError(w, errcode.DirectoryWrongVerb)
+	default:
+		h.serveLookup(w, r)
+	}
+}
+
+func (h *lookupHandler) serveLookup(w http.ResponseWriter, r *http.Request) {
+	if !h.isReady() {
+		writeError(w, errcode.DirectoryEmpty)
+		return
+	}
+	query := r.URL.Query()
+	client := clientLocation{Zone: query.Get(queryZone), Region: query.Get(queryRegion)}.resolve(h.regions)
+	addresses := h.chooseFronts(client)
+	if len(addresses) == 0 {
+		writeError(w, errcode.DirectoryEmpty)
+		return
+	}
+	ttl := defaultTTL
+	if h.maxTTL > 0 {
+		ttl = min(ttl, h.maxTTL)
+	}
+	writeJSON(w, http.StatusOK, lookupAnswer{Addresses: addresses, TTLSeconds: ttl.Seconds()})
+}
+
+func (h *lookupHandler) chooseFronts(client clientLocation) []string {
+	members := h.members()
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return chooseFronts(members, client, h.random)
+}
+
+func writeError(w http.ResponseWriter, kind errcode.Kind) {
+	writeJSON(w, kind.Status, lookupError{Error: kind.Message, Code: uint16(kind.Code)})
+}
+
+// writeJSON writes a JSON response. A failed write is ignored: the client has disconnected.
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	encoded, err := json.Marshal(body)
+	if err != nil {
+		status, encoded = http.StatusInternalServerError, nil
+	}
+	w.Header().Set("Content-Type", contentType)
+	w.WriteHeader(status)
+	_, _ = w.Write(encoded)
+}
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -11,79 +11,85 @@
 )
 
 const (
-	// observeTimeout bounds a call by which observations are passed on.
-	observeTimeout = 400 * time.Millisecond
-	// observeCalls bounds those under way.
-	observeCalls = 4
+	// forwardTimeout bounds one call that forwards observations.
+	forwardTimeout = 400 * time.Millisecond
+	// maxForwardCalls bounds the concurrent ones.
+	maxForwardCalls = 4
 )
 
-// observations passes on what the proxy has seen of endpoints to the members that judge them.
-type observations struct {
-	observer string
-	client   *rpc.Client
-	members  func() []state.Member
-	receiver func(ids []string) map[string]string // by endpoint ID
-	calls    chan struct{}
+// observationForwarder forwards the proxy's observations of endpoints to the core members that judge them.
+type observationForwarder struct {
+	observer    string // name of this member
+	client      *rpc.Client
+	members     func() []state.Member                // live members
+	receiversOf func(ids []string) map[string]string // name of the receiving member by endpoint ID
+	callSlots   chan struct{}                        // semaphore; its capacity bounds the concurrent calls
 }
 
-// receivers looks up which member receives the heartbeats of each endpoint.
+// receivers returns, by endpoint ID, the member that receives the endpoint's heartbeats.
 func (a *agent) receivers(ids []string) map[string]string {
-	found, _ := actor.Ask(a.board, func(b *board) map[string]string {
-		receivers := make(map[string]string, len(ids))
+	receivers, _ := actor.Ask(a.stateOwner, func(s *agentState) map[string]string {
+		byID := make(map[string]string, len(ids))
 		for _, id := range ids {
-			if endpoint, known := b.news.endpoints.Get(time.Now(), id); known {
-				receivers[id] = endpoint.Receiver
+			if endpoint, found := s.updates.endpoints.Get(time.Now(), id); found {
+				byID[id] = endpoint.Receiver
 			}
 		}
-		return receivers
+		return byID
 	})
-	return found
+	return receivers
 }
 
-// pass sends observations on and doesn't wait. What can't be sent is lost: newer ones will come.
-func (o *observations) pass(ctx context.Context, seen []state.Observation) {
-	if len(seen) == 0 {
+// forward sends observations without blocking. Observations beyond the limit of concurrent calls are dropped: newer
+// ones will follow.
+func (f *observationForwarder) forward(ctx context.Context, observations []state.Observation) {
+	if len(observations) == 0 {
 		return
 	}
-	for address, part := range o.byAddress(seen) {
+	for address, group := range f.groupByAddress(observations) {
 		select {
-		case o.calls <- struct{}{}:
+		case f.callSlots <- struct{}{}:
 		default:
 			return
 		}
 		go func() {
-			defer func() { <-o.calls }()
-			bounded, cancel := context.WithTimeout(ctx, observeTimeout)
-			defer cancel()
-			request := exchange.ObserveRequest{Observer: o.observer, Observations: part}
-			_, _ = exchange.Observe.Call(bounded, o.client, address, &request)
+			defer func() { <-f.callSlots }()
+			f.send(ctx, address, group)
 		}()
 	}
 }
 
-// byAddress groups observations by the core member that judges the endpoint: its receiver or, where that is not live,
-// whoever of the others has the duty.
-func (o *observations) byAddress(seen []state.Observation) map[string][]state.Observation {
-	ids := make([]string, 0, len(seen))
-	for _, each := range seen {
-		ids = append(ids, each.EndpointID)
+// send calls one member. Errors are ignored, as newer observations will follow.
+func (f *observationForwarder) send(ctx context.Context, address string, observations []state.Observation) {
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	defer cancel()
+	request := exchange.ObserveRequest{Observer: f.observer, Observations: observations}
+	_, _ = exchange.Observe.Call(ctx, f.client, address, &request)
+}
+
+// groupByAddress groups observations by the core member that judges the endpoint: its receiver or, if that isn't live,
+// all core members, one of which has the role of judging it.
+func (f *observationForwarder) groupByAddress(observations []state.Observation) map[string][]state.Observation {
+	ids := make([]string, 0, len(observations))
+	for _, observation := range observations {
+		ids = append(ids, observation.EndpointID)
 	}
-	receivers := o.receiver(ids)
-	cores := map[string]string{} // addresses by name
-	for _, member := range o.members() {
+	receivers := f.receiversOf(ids)
+	coreAddresses := map[string]string{} // by name
+	for _, member := range f.members() {
 		if member.Role == state.RoleCore {
-			cores[member.Name] = member.Address
+			coreAddresses[member.Name] = member.Address
 		}
 	}
-	grouped := map[string][]state.Observation{}
-	for _, each := range seen {
-		if address, live := cores[receivers[each.EndpointID]]; live {
-			grouped[address] = append(grouped[address], each)
+	groups := map[string][]state.Observation{}
+	for _, observation := range observations {
+		if address, isLive := coreAddresses[receivers[observation.EndpointID]]; isLive {
+			groups[address] = append(groups[address], observation)
 			continue
 		}
-		for _, address := range cores {
-			grouped[address] = append(grouped[address], each)
+		for _, address := range coreAddresses {
+			groups[address] = append(groups[address], observation)
 		}
 	}
-	return grouped
+	return groups
 }
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -18,25 +18,26 @@
 	"rowanlink/serving/subscription"
 )
 
-// TestObservationsGoToWhoJudges: to the receiver of the endpoint's heartbeats or, without it, to all cores.
-func TestObservationsGoToWhoJudges(t *testing.T) {
-	o := &observations{
+// TestObservationForwarder_GroupsByReceiver: observations go to the receiver of the endpoint's heartbeats or, if that
+// isn't live, to all core members.
+func TestObservationForwarder_GroupsByReceiver(t *testing.T) {
+	o := &observationForwarder{
 		members: func() []state.Member {
 			return []state.Member{{Name: "a", Role: state.RoleAgent, Address: "a:1"},
 				{Name: "c1", Role: state.RoleCore, Address: "c1:1"}, {Name: "c2", Role: state.RoleCore, Address: "c2:1"}}
 		},
-		receiver: func([]string) map[string]string { return map[string]string{"e1": "c1", "e2": "down"} },
+		receiversOf: func([]string) map[string]string { return map[string]string{"e1": "c1", "e2": "down"} },
 	}
 	one, two := state.Observation{EndpointID: "e1", Failures: 1}, state.Observation{EndpointID: "e2", Failures: 2}
 	assert.Equal(t, map[string][]state.Observation{"c1:1": {one, two}, "c2:1": {two}},
-		o.byAddress([]state.Observation{one, two}))
+		o.groupByAddress([]state.Observation{one, two}))
 }
 
-func TestObservationsArePassedOn(t *testing.T) {
-	taken := make(chan *exchange.ObserveRequest, 1)
+func TestObservationForwarder_Forwards(t *testing.T) {
+	received := make(chan *exchange.ObserveRequest, 1)
 	mux := http.NewServeMux()
 	exchange.Observe.Serve(mux, func(_ context.Context, r *exchange.ObserveRequest) (*exchange.ObserveResponse, error) {
-		taken <- r
+		received <- r
 		return &exchange.ObserveResponse{}, nil
 	})
 	server := httptest.NewServer(mux)
@@ -44,26 +45,26 @@
 	client := rpc.NewClient()
 	defer client.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	o := &observations{observer: "a", client: client, calls: make(chan struct{}, 1),
-		members:  func() []state.Member { return []state.Member{{Name: "c", Role: state.RoleCore, Address: address}} },
-		receiver: func([]string) map[string]string { return nil }}
+	o := &observationForwarder{observer: "a", client: client, callSlots: make(chan struct{}, 1),
+		members:     func() []state.Member { return []state.Member{{Name: "c", Role: state.RoleCore, Address: address}} },
+		receiversOf: func([]string) map[string]string { return nil }}
 	seen := []state.Observation{{EndpointID: "e", Unacknowledged: true}}
-	o.pass(t.Context(), nil)
-	o.pass(t.Context(), seen)
-	assert.Equal(t, &exchange.ObserveRequest{Observer: "a", Observations: seen}, <-taken)
+	o.forward(t.Context(), nil)
+	o.forward(t.Context(), seen)
+	assert.Equal(t, &exchange.ObserveRequest{Observer: "a", Observations: seen}, <-received)
 }
 
-func TestAPollHandsObservationsOn(t *testing.T) {
+func TestPoll_ForwardsObservations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := stand(time.Second)
-		defer s.board.Stop()
+		s := newTestAgent(time.Second)
+		defer s.stateOwner.Stop()
 		ctx, cancel := context.WithCancel(t.Context())
-		request := waiting(subscription.Cursor{}, state.MemberReady)
+		request := newWaitingRequest(subscription.Cursor{}, state.MemberReady)
 		request.Observations = []state.Observation{{EndpointID: "e", Failures: 1}}
 		ended := s.poll(ctx, request)
 		synctest.Wait()
-		require.Len(t, s.noted, 1)
-		assert.Equal(t, request.Observations, <-s.noted)
+		require.Len(t, s.observations, 1)
+		assert.Equal(t, request.Observations, <-s.observations)
 		cancel()
 		<-ended
 	})
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -9,39 +9,41 @@
 	"rowanlink/serving/state"
 )
 
-// endpoints returns all endpoints that are known.
-func (a *agent) endpoints() []state.Endpoint {
-	all, _ := actor.Ask(a.board, func(b *board) []state.Endpoint {
-		list, _, _, _ := b.news.endpoints.Changes(time.Now(), 0)
-		return list
-	})
-	return all
+var _ endpointTable = (*endpoints.Table)(nil)
+
+// knownEndpoints returns all endpoints in the agent's table.
+func (a *agent) knownEndpoints() []state.Endpoint {
+	endpoints, _ := actor.Ask(a.stateOwner, listEndpoints)
+	return endpoints
 }
 
-// known is what the board holds for a report.
-type known struct {
+func listEndpoints(s *agentState) []state.Endpoint {
+	endpoints, _, _, _ := s.updates.endpoints.Changes(time.Now(), 0)
+	return endpoints
+}
+
+// reportData is the part of a report that comes from the agent's state.
+type reportData struct {
 	record    *state.Record
 	endpoints []state.Endpoint
 }
 
-// report answers operators.
+// report returns the agent's report for operators.
 func (a *agent) report(request introspect.Request) introspect.Report {
 	report := introspect.Report{Self: a.mesh.Self()}
-	seen, _ := actor.Ask(a.board, func(b *board) (seen known) {
-		seen.record = b.news.record
+	data, _ := actor.Ask(a.stateOwner, func(s *agentState) (data reportData) {
+		data.record = s.updates.record
 		if request.WithTables {
-			seen.endpoints, _, _, _ = b.news.endpoints.Changes(time.Now(), 0)
+			data.endpoints = listEndpoints(s)
 		}
-		return seen
+		return data
 	})
-	report.TakeRecord(seen.record)
+	report.TakeRecord(data.record)
 	if !request.WithTables {
 		return report
 	}
-	report.Endpoints = seen.endpoints
+	report.Endpoints = data.endpoints
 	report.TakeMembers(a.mesh.Members(), a.mesh.DownMembers())
 	report.Duties = a.mesh.Claims()
 	return report
 }
-
-var _ endpointTable = (*endpoints.Table)(nil)
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -27,11 +27,12 @@
 // seedIP is the address of the member through which the agent joins. All of 127/8 is this machine.
 const seedIP = "127.0.0.2"
 
-// startSeed starts a member of the mesh that holds a record and an endpoint.
+// startSeed starts a member of the mesh as the agent's seed.
 func startSeed(t *testing.T, agentSettings *settings.Process) *member.Mesh {
+	t.Helper()
 	process := *agentSettings
 	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
-	listener, err := net.Listen("tcp", process.InnerAddress())
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InnerAddress())
 	require.NoError(t, err, "needs a second loopback address")
 	mux := http.NewServeMux()
 	serve(listener, &http.Server{Handler: mux})
@@ -49,68 +50,69 @@
 	return seed
 }
 
-// put has the seed spread a value.
-func put(t *testing.T, seed *member.Mesh, table gossip.Table, key string, version uint64, value any) {
+// publish has the seed gossip a value.
+func publish(t *testing.T, seed *member.Mesh, table gossip.Table, key string, version uint64, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	seed.Put(gossip.Entry{Table: table, Key: key, Version: gossip.NewVersion(version, 0), Value: encoded})
 }
 
-// life is one life of an agent's process.
-type life struct {
+// agentProcess is one run of an agent.
+type agentProcess struct {
 	terminate context.CancelFunc
 	ended     chan error
 }
 
-func startLife(t *testing.T, process *settings.Process, path string) life {
+func startAgentProcess(t *testing.T, process *settings.Process, path string) agentProcess {
 	ctx, terminate := context.WithCancel(t.Context())
 	log := zerolog.Nop()
-	l := life{terminate: terminate, ended: make(chan error, 1)}
+	l := agentProcess{terminate: terminate, ended: make(chan error, 1)}
 	go func() { l.ended <- Run(ctx, Options{Settings: process, SettingsPath: path, Log: &log}) }()
 	return l
 }
 
-// learn polls as a proxy does until what it knows is as wanted.
-func learn(t *testing.T, client *rpc.Client, address string, proxy *knowledge, wanted func() bool) {
+// pollUntil polls as a proxy does until the condition on the proxy's copy holds.
+func pollUntil(t *testing.T, client *rpc.Client, address string, proxy *proxyReplica, wanted func() bool) {
 	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 1000}
 	require.Eventually(t, func() bool {
 		request.Since = proxy.cursor
 		response, err := subscription.Watch.Call(t.Context(), client, address, request)
 		if err == nil {
-			proxy.take(response)
+			proxy.apply(response)
 		}
 		return wanted()
 	}, 20*time.Second, time.Millisecond)
 }
 
-// TestARestartedAgentLearnsAllFromASeed: an agent ends and comes back while the record and an endpoint change. Its
-// proxy never sees the record go back and ends up with what the seed holds.
-func TestARestartedAgentLearnsAllFromASeed(t *testing.T) {
-	process, path := loopback(t)
+// TestRun_RestartedAgentSynchronizesFromASeed restarts an agent while the record and an endpoint change. Its proxy never
+// sees an older record and ends up with the seed's data.
+func TestRun_RestartedAgentSynchronizesFromASeed(t *testing.T) {
+	process, path := newLoopbackSettings(t)
 	seed := startSeed(t, process)
 	process.Seeds = []string{net.JoinHostPort(seedIP, strconv.Itoa(process.LastPort))}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	require.NoError(t, err)
-	fmt.Fprintf(file, "seed_nodes=%s\n", process.Seeds[0])
+	_, err = fmt.Fprintf(file, "seed_nodes=%s\n", process.Seeds[0])
+	require.NoError(t, err)
 	require.NoError(t, file.Close())
 
-	put(t, seed, gossip.TableRecord, gossip.RecordKey, 5, state.Record{Revision: 5})
-	major, _ := endpoints.Version(endpoint("e", 1))
-	put(t, seed, gossip.TableEndpoints, "e", major, endpoint("e", 1))
+	publish(t, seed, gossip.TableRecord, gossip.RecordKey, 5, state.Record{Revision: 5})
+	major, _ := endpoints.Version(newEndpoint("e", 1))
+	publish(t, seed, gossip.TableEndpoints, "e", major, newEndpoint("e", 1))
 	client := rpc.NewClient()
 	defer client.Close()
-	proxy := nothingKnown()
-	first := startLife(t, process, path)
-	learn(t, client, process.FeedAddress(), proxy, func() bool {
+	proxy := newProxyReplica()
+	first := startAgentProcess(t, process, path)
+	pollUntil(t, client, process.FeedAddress(), proxy, func() bool {
 		return proxy.revision == 5 && proxy.endpoints["e"] == 1
 	})
 	first.terminate()
 	require.NoError(t, <-first.ended)
 
-	put(t, seed, gossip.TableRecord, gossip.RecordKey, 6, state.Record{Revision: 6})
-	put(t, seed, gossip.TableEndpoints, "e", 2, endpoint("e", 2))
-	second := startLife(t, process, path)
-	learn(t, client, process.FeedAddress(), proxy, func() bool {
+	publish(t, seed, gossip.TableRecord, gossip.RecordKey, 6, state.Record{Revision: 6})
+	publish(t, seed, gossip.TableEndpoints, "e", 2, newEndpoint("e", 2))
+	second := startAgentProcess(t, process, path)
+	pollUntil(t, client, process.FeedAddress(), proxy, func() bool {
 		assert.GreaterOrEqual(t, proxy.revision, uint64(5))
 		return proxy.revision == 6 && proxy.endpoints["e"] == 2
 	})
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -2,20 +2,15 @@
 
 import (
 	"context"
-	"io"
-	stdlog "log"
-	"net"
 	"net/http"
 	"time"
 
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints"
-	"rowanlink/serving/errcode"
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/loadreport"
 	"rowanlink/serving/member"
-	processpkg "rowanlink/serving/process"
 	"rowanlink/serving/register"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
@@ -23,126 +18,113 @@
 	"rowanlink/serving/subscription"
 )
 
-const (
-	// headWait bounds the time for the head of a call.
-	headWait = 3 * time.Second
-	// innerIdle is longer than members keep connections, so that they end them.
-	innerIdle = time.Minute
-	// lookupIdle is longer than clients keep an answer of the directory.
-	lookupIdle = 15 * time.Second
-	// lookupHead bounds the head of a look-up, in bytes.
-	lookupHead = 8 << 10
-)
-
 // Options of Run.
 type Options struct {
 	Settings     *settings.Process
 	SettingsPath string // watched for changes
 	Log          *zerolog.Logger
-	PollLoads    bool // take part in the duty of reading the loads of the zone's endpoints
+	PollLoads    bool // be a candidate for the singleton role that polls the loads of the zone's endpoints
 }
 
-// Run is an agent's life. When the context ends it tells the other members that its proxy is leaving, waits for the
-// proxy's end within the time that the settings grant, bids farewell and returns. Errors are of the kind
-// result.AgentAddressInUse or come from joining the mesh.
+// Run runs an agent until the context ends. It then announces that its proxy is leaving, waits for the proxy to exit
+// within the grace period of the settings, leaves the mesh and returns. Errors are errcode.AgentAddressInUse or come
+// from joining the mesh.
 func Run(ctx context.Context, options Options) error {
-	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // lasts through the shutdown
 	defer cancel()
-	listeners, err := listenAll(ctx, options.Settings)
+	listeners, err := listenOnAll(ctx, options.Settings)
 	if err != nil {
 		return err
 	}
 	defer listeners.close()
 
-	inner := http.NewServeMux()
-	defer serve(listeners.inner, &http.Server{Handler: inner, IdleTimeout: innerIdle}).Close()
+	innerMux := http.NewServeMux()
+	innerServer := serve(listeners.inner, &http.Server{Handler: innerMux, IdleTimeout: innerIdleTimeout})
+	defer func() { _ = innerServer.Close() }()
 	client := rpc.NewClient()
 	defer client.Close()
-	joined, err := member.Start(life, member.Options{Settings: options.Settings, Self: self(options.Settings),
-		Client: client, Mux: inner, Log: options.Log})
+	mesh, err := member.Start(runContext, member.Options{
+		Settings: options.Settings,
+		Self:     initialMember(options.Settings),
+		Client:   client,
+		Mux:      innerMux,
+		Log:      options.Log,
+	})
 	if err != nil {
 		return err
 	}
-	table := endpoints.NewTable(endpoints.Options{Self: options.Settings.NodeName,
-		BeatInterval: options.Settings.BeatInterval})
-	a := newAgent(options.Settings, options.Log, joined, table)
-	go a.confirm(life, register.AskOver(client))
-	introspect.Serve(inner, a.report)
-	passing := &observations{observer: options.Settings.NodeName, client: client, members: joined.Members,
-		receiver: a.receivers, calls: make(chan struct{}, observeCalls)}
-	observed := func(seen []state.Observation) { passing.pass(life, seen) }
-	defer serve(listeners.feed, &http.Server{Handler: a.feedHandler(observed)}).Close()
+	a := newAgent(options.Settings, options.Log, mesh, newEndpointTable(options.Settings))
+	go a.confirmRecord(runContext, register.AskOver(client))
+	introspect.Serve(innerMux, a.report)
+
+	forwarder := a.newObservationForwarder(client)
+	forward := func(observations []state.Observation) { forwarder.forward(runContext, observations) }
+	feedServer := serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
+	defer func() { _ = feedServer.Close() }()
 	if listeners.directory != nil {
-		defer serve(listeners.directory, &http.Server{Handler: a.directory(), IdleTimeout: lookupIdle,
-			MaxHeaderBytes: lookupHead}).Close()
+		directoryServer := serve(listeners.directory, &http.Server{
+			Handler:        a.lookupHandler(),
+			IdleTimeout:    lookupIdleTimeout,
+			MaxHeaderBytes: maxLookupHeaderBytes,
+		})
+		defer func() { _ = directoryServer.Close() }()
 	}
 	if options.PollLoads {
-		go loadreport.New(loadreport.Options{Zone: options.Settings.Zone, Mesh: joined, Endpoints: a.endpoints,
-			Log: options.Log}).Run(ctx) // whoever ends leaves the duty to others at once
+		poller := loadreport.New(loadreport.Options{
+			Zone:      options.Settings.Zone,
+			Mesh:      mesh,
+			Endpoints: a.knownEndpoints,
+			Log:       options.Log,
+		})
+		go poller.Run(ctx) // ends with ctx: an agent that shuts down leaves the role to others at once
 	}
-	go settings.Watch(life, options.SettingsPath, settings.WatchInterval, func(process *settings.Process) {
-		joined.SetSeeds(process.Seeds)
+	go settings.Watch(runContext, options.SettingsPath, settings.WatchInterval, func(changed *settings.Process) {
+		mesh.SetSeeds(changed.Seeds)
 	})
 	a.run(ctx)
-	a.leave()
-	a.board.Stop()
+	a.announceLeave(runContext)
+	a.stateOwner.Stop()
 	return nil
 }
 
-// self is what the agent tells the mesh of its member at first.
-func self(process *settings.Process) state.Member {
-	return state.Member{Name: process.NodeName, Role: state.RoleAgent, Zone: process.Zone, Region: process.Region,
-		Address: process.InnerAddress(), State: state.MemberStarting}
-}
-
-// listeners of an agent.
-type listeners struct {
-	inner     net.Listener
-	feed      net.Listener
-	directory net.Listener // nil where the settings name no address for it
+func newEndpointTable(process *settings.Process) *endpoints.Table {
+	return endpoints.NewTable(endpoints.Options{
+		Self:         process.NodeName,
+		BeatInterval: process.BeatInterval,
+	})
 }
 
-func listenAll(ctx context.Context, process *settings.Process) (all listeners, err error) {
-	for _, each := range []struct {
-		into    *net.Listener
-		address string
-	}{
-		{&all.inner, process.InnerAddress()},
-		{&all.feed, process.FeedAddress()},
-		{&all.directory, process.Bind.Directory},
-	} {
-		if each.address == "" {
-			continue
-		}
-		if *each.into, err = processpkg.Listen(ctx, each.address); err != nil {
-			all.close()
-			return all, errcode.AgentAddressInUse.With("%s: %v", each.address, err)
-		}
+func (a *agent) newObservationForwarder(client *rpc.Client) *observationForwarder {
+	return &observationForwarder{
+		observer:    a.settings.NodeName,
+		client:      client,
+		members:     a.mesh.Members,
+		receiversOf: a.receivers,
+		callSlots:   make(chan struct{}, maxForwardCalls),
 	}
-	return all, nil
 }
 
-// close ends all listeners.
-func (l listeners) close() {
-	for _, each := range []net.Listener{l.inner, l.feed, l.directory} {
-		if each != nil {
-			_ = each.Close()
-		}
+// initialMember is the agent's member entry until its proxy polls for the first time.
+func initialMember(process *settings.Process) state.Member {
+	return state.Member{
+		Name:    process.NodeName,
+		Role:    state.RoleAgent,
+		Zone:    process.Zone,
+		Region:  process.Region,
+		Address: process.InnerAddress(),
+		State:   state.MemberStarting,
 	}
 }
 
-// serve runs a server until it is closed.
-func serve(listener net.Listener, server *http.Server) *http.Server {
-	server.ReadHeaderTimeout = headWait
-	server.ErrorLog = stdlog.New(io.Discard, "", 0) // what clients do wrong isn't for the log
-	go func() { _ = server.Serve(listener) }()
-	return server
-}
-
-// feedHandler answers the proxy.
-func (a *agent) feedHandler(observed func([]state.Observation)) http.Handler {
+// subscriptionHandler returns the HTTP handler of the proxy's polls.
+func (a *agent) subscriptionHandler(forwardObservations func([]state.Observation)) http.Handler {
 	mux := http.NewServeMux()
-	server := &feedServer{board: a.board, now: time.Now, announce: a.announce, observed: observed}
+	server := &subscriptionServer{
+		stateOwner:          a.stateOwner,
+		now:                 time.Now,
+		announceProxy:       a.announceProxy,
+		forwardObservations: forwardObservations,
+	}
 	subscription.Watch.Serve(mux, server.watch)
 	return mux
 }
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -23,29 +23,32 @@
 	"rowanlink/serving/subscription"
 )
 
-// freePorts finds two ports in a row, and one more, that nobody listens on.
-func freePorts(t *testing.T) (first, single int) {
+// findFreePorts returns the first of two consecutive free ports, and another free port.
+func findFreePorts(t *testing.T) (first, single int) {
+	t.Helper()
+	var listen net.ListenConfig
 	for range 100 {
-		a, err := net.Listen("tcp", "127.0.0.1:0")
+		a, err := listen.Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		first = a.Addr().(*net.TCPAddr).Port
-		b, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first+1))
+		b, err := listen.Listen(t.Context(), "tcp", fmt.Sprintf("127.0.0.1:%d", first+1))
 		_ = a.Close()
 		if err != nil {
 			continue
 		}
-		c, err := net.Listen("tcp", "127.0.0.1:0")
+		c, err := listen.Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		_, _ = b.Close(), c.Close()
 		return first, c.Addr().(*net.TCPAddr).Port
 	}
-	t.Fatal("no two free ports in a row")
+	t.Fatal("no two consecutive free ports")
 	return 0, 0
 }
 
-// loopback writes the settings of an agent on this machine.
-func loopback(t *testing.T) (process *settings.Process, path string) {
-	first, directory := freePorts(t)
+// newLoopbackSettings writes and loads the settings of an agent on loopback.
+func newLoopbackSettings(t *testing.T) (process *settings.Process, path string) {
+	t.Helper()
+	first, directory := findFreePorts(t)
 	path = filepath.Join(t.TempDir(), "local.conf")
 	content := fmt.Sprintf("node_name=a\nip_addr=127.0.0.1\nzone=z\nregion=r\nfirst_run=true\nport_range=%d,%d\n"+
 		"bind.directory_addr=127.0.0.1:%d\n", first, first+1, directory)
@@ -55,9 +58,9 @@
 	return process, path
 }
 
-// TestRunOnLoopback plays a whole life: a proxy polls, clients look up, an operator looks in, and SIGTERM ends it.
-func TestRunOnLoopback(t *testing.T) {
-	process, path := loopback(t)
+// TestRun_OnLoopback runs an agent from start to shutdown: a proxy polls, a client looks up, an operator reads a report.
+func TestRun_OnLoopback(t *testing.T) {
+	process, path := newLoopbackSettings(t)
 	ctx, terminate := context.WithCancel(t.Context())
 	log := zerolog.Nop()
 	ended := make(chan error, 1)
@@ -74,12 +77,15 @@
 	}, 10*time.Second, 10*time.Millisecond)
 	assert.Nil(t, response.Record)
 
-	answer, err := http.Get("http://" + process.Bind.Directory + "/lookup?zone=z&region=r")
+	lookup, err := http.NewRequestWithContext(t.Context(), http.MethodGet,
+		"http://"+process.Bind.Directory+"/lookup?zone=z&region=r", nil)
 	require.NoError(t, err)
-	defer answer.Body.Close()
-	var found lookupAnswer
-	require.NoError(t, json.NewDecoder(answer.Body).Decode(&found))
-	assert.Equal(t, []string{"127.0.0.1:80"}, found.Addresses)
+	answer, err := http.DefaultClient.Do(lookup)
+	require.NoError(t, err)
+	defer func() { _ = answer.Body.Close() }()
+	var decoded lookupAnswer
+	require.NoError(t, json.NewDecoder(answer.Body).Decode(&decoded))
+	assert.Equal(t, []string{"127.0.0.1:80"}, decoded.Addresses)
 
 	report, err := introspect.Ask(ctx, client, process.InnerAddress(), introspect.Request{WithTables: true})
 	require.NoError(t, err)
@@ -90,14 +96,14 @@
 	assert.NoError(t, <-ended)
 }
 
-func TestRunNeedsItsAddresses(t *testing.T) {
-	process, path := loopback(t)
-	taken, err := net.Listen("tcp", process.FeedAddress())
+func TestRun_FailsIfAnAddressIsInUse(t *testing.T) {
+	process, path := newLoopbackSettings(t)
+	occupying, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.FeedAddress())
 	require.NoError(t, err)
-	defer taken.Close()
-	hurried, cancel := context.WithCancel(t.Context())
-	cancel() // no time for the process before this one to go
+	defer func() { _ = occupying.Close() }()
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel() // without the retries that wait for the previous process to exit
 	log := zerolog.Nop()
-	err = Run(hurried, Options{Settings: process, SettingsPath: path, Log: &log})
+	err = Run(cancelled, Options{Settings: process, SettingsPath: path, Log: &log})
 	assert.True(t, errcode.AgentAddressInUse.Is(err))
 }
