--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -39,15 +39,15 @@
 			if err != nil {
 				return err
 			}
-			chart, runs, err := member.Chart(from)
+			chart, runs, err := member.FetchShardMap(from)
 			if err != nil {
 				return err
 			}
 			if chart == nil {
 				chart = &shardmap.Map{Groups: f.Groups()}
 			}
-			rebalance.ShowRunning(runs, os.Stdout)
-			return rebalance.Show(text, args[0], chart, nil, os.Stdout)
+			rebalance.PrintProgress(runs, os.Stdout)
+			return rebalance.PrintPlan(text, args[0], chart, nil, os.Stdout)
 		},
 	}
 	show.Flags().StringVar(&from, "from", "", "a keeper's address says, host:port")
