--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -86,7 +86,7 @@
 		case <-stopping:
 			stopping = nil
 			ticker.Reset(shutdownTickInterval)
-			event.ProgramEnding.Log(a.log).Send()
+			event.ProgramStopping.Log(a.log).Send()
 			a.stateOwner.Tell(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
 		case <-ticker.C:
 		}
@@ -120,7 +120,7 @@
 	if !ok || current == a.announced {
 		return
 	}
-	event.ProxyState.Log(a.log).
+	event.ProxyStateChanged.Log(a.log).
 		Uint8("from", uint8(a.announced.state)).
 		Uint8("to", uint8(current.state)).
 		Str("front", current.front).
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := a.mesh.Leave(ctx); err != nil {
-		event.LeaveUnheard.Log(a.log).Err(err).Send()
+		event.LeaveUnacknowledged.Log(a.log).Err(err).Send()
 	}
 }
 
--- a/serving/agent/lookuphandler.go
+++ b/serving/agent/lookuphandler.go
@@ -33,7 +33,7 @@
 		writeError(w, errcode.DirectoryNotFound)
 	case r.Method != http.MethodGet:
 		w.Header().Set("Allow", http.MethodGet)
-		writeError(w, errcode.DirectoryWrongVerb)
+		writeError(w, errcode.DirectoryMethodNotAllowed)
 	default:
 		h.serveLookup(w, r)
 	}
--- a/serving/agent/meshentries.go
+++ b/serving/agent/meshentries.go
@@ -15,7 +15,7 @@
 	a.mesh.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
 		applyEntry(a, entry, func(s *agentState, _ time.Time, record state.Record) {
 			if s.updates.setRecord(&record) {
-				event.RecordTaken.Log(a.log).
+				event.RecordUpdated.Log(a.log).
 					Uint64("revision", record.Revision).
 					Uint64("version", record.Configuration.Version).
 					Send()
@@ -37,7 +37,7 @@
 func applyEntry[Value any](a *agent, entry gossip.Entry, apply func(*agentState, time.Time, Value)) {
 	var value Value
 	if err := cbor.Unmarshal(entry.Value, &value); err != nil {
-		event.FeedEntryUnreadable.Log(a.log).
+		event.AgentEntryUnreadable.Log(a.log).
 			Uint8("table", uint8(entry.Table)).
 			Str("key", entry.Key).
 			Err(err).
--- a/serving/agent/subscriptionserver.go
+++ b/serving/agent/subscriptionserver.go
@@ -57,7 +57,7 @@
 		result, ok := s.readUpdate(request.Since)
 		switch {
 		case !ok:
-			return nil, errcode.AgentEnding.With("")
+			return nil, errcode.AgentStopping.With("")
 		case result.hasUpdate:
 			return result.response, nil
 		}
@@ -93,7 +93,7 @@
 		return owned.updates.emptyUpdate(since)
 	})
 	if !ok {
-		return nil, errcode.AgentEnding.With("")
+		return nil, errcode.AgentStopping.With("")
 	}
 	return response, nil
 }
--- a/serving/core/keeper.go
+++ b/serving/core/keeper.go
@@ -57,7 +57,7 @@
 	bounded, cancel := context.WithTimeout(ctx, finishBound)
 	defer cancel()
 	record, err := k.node.Read(bounded) // tried again if it fails
-	event.ChangeFinished.Log(k.log).Uint64("accepted", revision).Uint64("in_force", record.Revision).Err(err).Send()
+	event.ChangeRecovered.Log(k.log).Uint64("accepted", revision).Uint64("in_force", record.Revision).Err(err).Send()
 }
 
 // reportMajority logs when too few voters are left, and when enough are back.
@@ -67,7 +67,7 @@
 		return
 	}
 	k.lost = absent != nil
-	kind := event.MajorityBack
+	kind := event.MajorityRestored
 	if k.lost {
 		kind = event.MajorityLost
 	}
--- a/serving/core/restore.go
+++ b/serving/core/restore.go
@@ -45,7 +45,7 @@
 func (r *restorer) run(ctx context.Context) {
 	kept, err := r.store.Load()
 	if err != nil {
-		event.EndpointStoreRefuses.Log(r.log).Err(err).Send()
+		event.EndpointStoreFailed.Log(r.log).Err(err).Send()
 		return
 	}
 	if len(kept) == 0 {
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -97,7 +97,7 @@
 		joined.SetSeeds(process.Seeds)
 	})
 	(&keeper{mesh: joined, node: node, log: options.Log}).run(ctx)
-	event.ProgramEnding.Log(options.Log).Send()
+	event.ProgramStopping.Log(options.Log).Send()
 	end(joined, node, control)
 	return nil
 }
--- a/serving/core/saver.go
+++ b/serving/core/saver.go
@@ -75,7 +75,7 @@
 // noteFailure logs the first failure of several in a row.
 func (s *saver) noteFailure(err error) {
 	if !s.failing {
-		event.EndpointStoreRefuses.Log(s.log).Err(err).Send()
+		event.EndpointStoreFailed.Log(s.log).Err(err).Send()
 	}
 	s.failing = true
 }
--- a/serving/errcode/register.go
+++ b/serving/errcode/register.go
@@ -6,8 +6,8 @@
 var (
 	// RegisterUnavailable: nothing was changed; another try is safe.
 	RegisterUnavailable = define(200, http.StatusServiceUnavailable, "no majority of the register's replicas answered in time")
-	// RegisterUnclear: the change may or may not be in force.
-	RegisterUnclear = define(201, http.StatusGatewayTimeout, "no majority confirmed the change in time; it may be in force")
+	// RegisterInDoubt: the change may or may not be in force.
+	RegisterInDoubt = define(201, http.StatusGatewayTimeout, "no majority confirmed the change in time; it may be in force")
 	// VersionConflict: the change builds on a version that is not the current one. It is not and never will be in force.
 	VersionConflict = define(202, http.StatusPreconditionFailed, "another version of the configuration is current")
 	// VersionNotAbove: the new version number is not above the current one.
--- a/serving/event/operator.go
+++ b/serving/event/operator.go
@@ -5,12 +5,12 @@
 // Orders of operators and calls of endpoints (400 to 499).
 var (
 	ConfigurationAcknowledged = define(400, zerolog.InfoLevel, "configuration acknowledged")
-	ConfigurationRefused      = define(401, zerolog.InfoLevel, "configuration refused")
-	OrderWithoutAnswer        = define(402, zerolog.WarnLevel, "an operator's order got no clear answer")
+	ConfigurationRejected     = define(401, zerolog.InfoLevel, "configuration refused")
+	ChangeInDoubt             = define(402, zerolog.WarnLevel, "an operator's order got no clear answer")
 	EvacuationAcknowledged    = define(410, zerolog.InfoLevel, "evacuation of a zone or its end acknowledged")
 	EndpointRegistered        = define(420, zerolog.InfoLevel, "endpoint registered")
 	EndpointClosing           = define(421, zerolog.InfoLevel, "endpoint is closing")
-	EndpointSignedOff         = define(422, zerolog.InfoLevel, "endpoint has signed off")
+	EndpointDeregistered      = define(422, zerolog.InfoLevel, "endpoint has signed off")
 	EndpointNotReplicated     = define(423, zerolog.WarnLevel, "an endpoint's closing reached no other member in time")
 	EndpointLost              = define(424, zerolog.InfoLevel, "endpoint was silent for long, or its time is over; it counts as gone")
 	EndpointSilent            = define(425, zerolog.DebugLevel, "endpoint is silent")
--- a/serving/httpserver/drain.go
+++ b/serving/httpserver/drain.go
@@ -56,7 +56,7 @@
 	s.stopListening()
 	for !s.done() {
 		if !s.pause(ctx, doneCheck) {
-			event.ProxyDrainCut.Log(s.options.Log).Int("requests", s.InFlight()).Send()
+			event.ProxyDrainAborted.Log(s.options.Log).Int("requests", s.InFlight()).Send()
 			return
 		}
 	}
--- a/serving/httpserver/ending.go
+++ b/serving/httpserver/ending.go
@@ -19,7 +19,7 @@
 		f.fail()
 		return
 	}
-	f.refuse(errcode.NotRun, 0)
+	f.refuse(errcode.NotExecuted, 0)
 }
 
 // refuse promises that nothing has run and tells the client when to come back. Where something may have run, the
@@ -41,7 +41,7 @@
 		f.fail()
 		return
 	}
-	answerOwn(f.writer, errcode.NotRunInTime, 0)
+	answerOwn(f.writer, errcode.NotExecutedInTime, 0)
 }
 
 // fail answers a request that may have run: by the endpoint's own error where there is one.
@@ -52,9 +52,9 @@
 	case f.held != nil:
 		f.held.write(f.writer)
 	case f.last == attempt.TimedOut || !time.Now().Before(f.end):
-		answerOwn(f.writer, errcode.DeadlinePassed, 0)
+		answerOwn(f.writer, errcode.DeadlineExceeded, 0)
 	default:
-		answerOwn(f.writer, errcode.EndpointBroke, 0)
+		answerOwn(f.writer, errcode.EndpointResponseBroken, 0)
 	}
 }
 
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if s.refusing.Load() {
-		s.turnAway(w, r, arrived, errcode.Ending, endingComeBack)
+		s.turnAway(w, r, arrived, errcode.ShuttingDown, endingComeBack)
 		return
 	}
 	route, found := table.Match(r.Host, pathOf(target(r)))
@@ -75,7 +75,7 @@
 func (s *Server) read(to *request, limits routing.Limits) error {
 	r := to.http
 	if limits.HeaderBytes > 0 && headSize(r) > limits.HeaderBytes {
-		return errcode.HeadTooLarge.With("over %d bytes", limits.HeaderBytes)
+		return errcode.HeaderTooLarge.With("over %d bytes", limits.HeaderBytes)
 	}
 	client := connectionOf(r.Context())
 	if client != nil {
--- a/serving/httpserver/plain.go
+++ b/serving/httpserver/plain.go
@@ -28,7 +28,7 @@
 // write passes the answer on, unless its status would promise that a request has not run which may have.
 func (r *reply) write(w http.ResponseWriter) {
 	if upstream.Promise(r.status) {
-		answerOwn(w, errcode.EndpointBroke, 0)
+		answerOwn(w, errcode.EndpointResponseBroken, 0)
 		return
 	}
 	copyHead(w.Header(), r.header)
--- a/serving/httpserver/request.go
+++ b/serving/httpserver/request.go
@@ -96,7 +96,7 @@
 		return nil, errcode.BodyTooLarge.With("%d bytes", r.ContentLength)
 	}
 	if !memory.take(r.ContentLength) {
-		return nil, errcode.BodiesTooMany.With("%d bytes", r.ContentLength)
+		return nil, errcode.TooManyLargeBodies.With("%d bytes", r.ContentLength)
 	}
 	if r.ContentLength > 0 && r.ContentLength <= smallBody {
 		body = make([]byte, r.ContentLength)
@@ -112,7 +112,7 @@
 	}
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, errcode.BodyLate.With("%v", err)
+		return nil, errcode.BodyTimeout.With("%v", err)
 	case err != nil:
 		return nil, errors.CombineErrors(errClientGone, err)
 	case len(body) > limit:
--- a/serving/httpserver/server.go
+++ b/serving/httpserver/server.go
@@ -166,12 +166,12 @@
 	return "timeout=" + strconv.Itoa(int(table.Limits.Idle/time.Second))
 }
 
-func (s *Server) noteFull() { event.ConnectionsFull.Log(s.options.Log).Send() }
+func (s *Server) noteFull() { event.ConnectionLimitReached.Log(s.options.Log).Send() }
 
 // faultLog turns the HTTP server's own lines into events.
 type faultLog struct{ log *zerolog.Logger }
 
 func (l faultLog) Write(line []byte) (int, error) {
-	event.HandlerFailed.Log(l.log).Bytes(zerolog.ErrorFieldName, bytes.TrimSpace(line)).Send()
+	event.ClientServerFailed.Log(l.log).Bytes(zerolog.ErrorFieldName, bytes.TrimSpace(line)).Send()
 	return len(line), nil
 }
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -78,7 +78,7 @@
 	holding := p.options.Mesh.Holder(dutyPrefix+p.options.Zone, scope)
 	if holding.Mine != p.mine {
 		p.mine = holding.Mine
-		event.LoadDuty.Log(p.options.Log).Bool("mine", p.mine).Uint64("epoch", holding.Epoch).Send()
+		event.LoadPollerRoleChanged.Log(p.options.Log).Bool("mine", p.mine).Uint64("epoch", holding.Epoch).Send()
 	}
 	if !holding.Mine {
 		return
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -56,11 +56,11 @@
 		}
 		entry, err := claimEntry(*claim)
 		if err != nil {
-			event.SpreadEntryUnreadable.Log(n.log).Err(err).Send()
+			event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
 			return
 		}
 		n.engine.Put(now, entry)
-		event.DutyTaken.Log(n.log).Str("duty", name).Uint64("epoch", claim.Epoch).Send()
+		event.SingletonRoleTaken.Log(n.log).Str("duty", name).Uint64("epoch", claim.Epoch).Send()
 	})
 	return holding
 }
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -151,7 +151,7 @@
 func (n *node) publishSuspicion(word membership.Suspicion) {
 	entry, err := suspicionEntry(word)
 	if err != nil {
-		event.SpreadEntryUnreadable.Log(n.log).Err(err).Send()
+		event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
 		return
 	}
 	n.engine.Put(n.current, entry)
@@ -161,7 +161,7 @@
 func (n *node) publishSelf(now time.Time) {
 	entry, err := memberEntry(n.members.Self())
 	if err != nil {
-		event.SpreadEntryUnreadable.Log(n.log).Err(err).Send()
+		event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
 		return
 	}
 	n.engine.Put(now, entry)
@@ -179,7 +179,7 @@
 func (n *node) mergeMember(entry gossip.Entry) {
 	member, err := decode[state.Member](entry)
 	if err != nil || member.Name != entry.Key {
-		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
+		event.GossipEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
 	}
 	self := n.members.Self()
@@ -196,7 +196,7 @@
 func (n *node) mergeSuspicion(entry gossip.Entry) {
 	word, err := decode[membership.Suspicion](entry)
 	if err != nil {
-		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
+		event.GossipEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
 	}
 	if n.members.IsOfEarlierLife(word) {
@@ -210,7 +210,7 @@
 func (n *node) mergeClaim(entry gossip.Entry) {
 	claim, err := decode[singleton.Claim](entry)
 	if err != nil {
-		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
+		event.GossipEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
 	}
 	n.duties.Merge(claim)
--- a/serving/operator/amendment.go
+++ b/serving/operator/amendment.go
@@ -39,7 +39,7 @@
 	}
 	amended := a.amendment.Apply(document)
 	if len(amended) > documentMost {
-		return state.Configuration{}, errcode.AmendedTooLarge.With("%d bytes", len(amended))
+		return state.Configuration{}, errcode.AmendedConfigurationTooLarge.With("%d bytes", len(amended))
 	}
 	table, err := routing.Parse(amended)
 	if err != nil {
--- a/serving/operator/answer.go
+++ b/serving/operator/answer.go
@@ -41,7 +41,7 @@
 // readBody reads a body of limit bytes at most. Errors are result.OrderTooLarge and result.OrderIncomplete.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
-		return nil, errcode.OrderTooLarge.With("%d bytes, %d may come", r.ContentLength, limit)
+		return nil, errcode.RequestTooLarge.With("%d bytes, %d may come", r.ContentLength, limit)
 	}
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
@@ -53,9 +53,9 @@
 	case err == nil:
 		return body.Bytes(), nil
 	case errors.As(err, &tooLarge):
-		return nil, errcode.OrderTooLarge.With("more than %d bytes", limit)
+		return nil, errcode.RequestTooLarge.With("more than %d bytes", limit)
 	default:
-		return nil, errcode.OrderIncomplete.With("%v", err)
+		return nil, errcode.RequestIncomplete.With("%v", err)
 	}
 }
 
--- a/serving/operator/clearance.go
+++ b/serving/operator/clearance.go
@@ -34,8 +34,8 @@
 	ctx, cancel := context.WithTimeout(r.Context(), orderLimit)
 	defer cancel()
 	if err := c.register.SetEvacuation(ctx, zone, active); err != nil {
-		event.OrderWithoutAnswer.Log(c.log).Str("zone", zone).Bool("active", active).Err(err).Send()
-		writeError(w, errcode.OrderUnclear.With("%v", err))
+		event.ChangeInDoubt.Log(c.log).Str("zone", zone).Bool("active", active).Err(err).Send()
+		writeError(w, errcode.ChangeInDoubt.With("%v", err))
 		return
 	}
 	event.EvacuationAcknowledged.Log(c.log).Str("zone", zone).Bool("active", active).Send()
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoints.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if change.Spread {
-		event.EndpointSignedOff.Log(e.log).Str("endpoint", endpoint.ID).Send()
+		event.EndpointDeregistered.Log(e.log).Str("endpoint", endpoint.ID).Send()
 	}
 	if err := e.tellOthers(r.Context(), endpoint, change); err != nil {
 		writeError(w, err)
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -59,13 +59,13 @@
 		status             int
 		code               errcode.Code
 	}{
-		{"no base", validDocument, "X-Other: 1", 400, errcode.BaseUnreadable.Code},
-		{"base is no number", validDocument, "X-Based-On: new", 400, errcode.BaseUnreadable.Code},
-		{"negative base", validDocument, "X-Based-On: -1", 400, errcode.BaseUnreadable.Code},
+		{"no base", validDocument, "X-Other: 1", 400, errcode.BaseVersionUnreadable.Code},
+		{"base is no number", validDocument, "X-Based-On: new", 400, errcode.BaseVersionUnreadable.Code},
+		{"negative base", validDocument, "X-Based-On: -1", 400, errcode.BaseVersionUnreadable.Code},
 		{"cut short", validDocument[:20], basedOnZero, 400, errcode.DocumentUnreadable.Code},
 		{"empty", "", basedOnZero, 400, errcode.DocumentUnreadable.Code},
 		{"wrong type", `{"edition":7,"routings":3}`, basedOnZero, 400, errcode.FieldInvalid.Code},
-		{"too large", strings.Repeat(" ", documentMost+1), basedOnZero, 413, errcode.OrderTooLarge.Code},
+		{"too large", strings.Repeat(" ", documentMost+1), basedOnZero, 413, errcode.RequestTooLarge.Code},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/serving/operator/settings.go
+++ b/serving/operator/settings.go
@@ -32,7 +32,7 @@
 func (s *SettingsResource) Replace(w http.ResponseWriter, r *http.Request) {
 	basedOn, configuration, err := readConfiguration(w, r)
 	if err != nil {
-		event.ConfigurationRefused.Log(s.log).Err(err).Send()
+		event.ConfigurationRejected.Log(s.log).Err(err).Send()
 		writeError(w, err)
 		return
 	}
@@ -46,7 +46,7 @@
 func (s *SettingsResource) Amend(w http.ResponseWriter, r *http.Request) {
 	order, err := readAmendment(w, r)
 	if err != nil {
-		event.ConfigurationRefused.Log(s.log).Err(err).Send()
+		event.ConfigurationRejected.Log(s.log).Err(err).Send()
 		writeError(w, err)
 		return
 	}
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), orderLimit)
 	defer cancel()
 	if err := change(ctx); err != nil {
-		s.answerFailure(w, orderError(err, errcode.OrderUnclear), version)
+		s.answerFailure(w, orderError(err, errcode.ChangeInDoubt), version)
 		return
 	}
 	event.ConfigurationAcknowledged.Log(s.log).Uint64("version", version).Send()
@@ -69,9 +69,9 @@
 }
 
 func (s *SettingsResource) answerFailure(w http.ResponseWriter, err error, version uint64) {
-	kind := event.ConfigurationRefused
-	if errcode.OrderUnclear.Is(err) {
-		kind = event.OrderWithoutAnswer
+	kind := event.ConfigurationRejected
+	if errcode.ChangeInDoubt.Is(err) {
+		kind = event.ChangeInDoubt
 	}
 	kind.Log(s.log).Uint64("version", version).Err(err).Send()
 	writeError(w, err)
@@ -105,7 +105,7 @@
 func readBasedOn(text string) (uint64, error) {
 	version, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(text), `"`), 10, 64)
 	if err != nil {
-		return 0, errcode.BaseUnreadable.With("%s: %q", basedOnHeader, text)
+		return 0, errcode.BaseVersionUnreadable.With("%s: %q", basedOnHeader, text)
 	}
 	return version, nil
 }
--- a/serving/process/program.go
+++ b/serving/process/program.go
@@ -61,7 +61,7 @@
 		event.ProgramFailed.Log(&log).Err(err).Send()
 		os.Exit(1)
 	}
-	event.ProgramEnded.Log(&log).Send()
+	event.ProgramStopped.Log(&log).Send()
 	os.Exit(0)
 }
 
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -150,14 +150,14 @@
 func (p *proxy) take(response *subscription.Response) (subscription.Cursor, state.MemberState) {
 	before := p.known.table
 	if err := p.known.take(response); err != nil {
-		event.ConfigurationUnusable.Log(p.log).Err(err).Send()
+		event.ConfigurationInvalid.Log(p.log).Err(err).Send()
 	}
 	p.proxies.Store(int64(max(p.known.proxies.Most, p.known.proxies.Live)))
 	p.retry.SetProxies(p.known.proxies.Most)
 	p.placer.Update(time.Now(), p.known.view(response.Loads))
 	if after := p.known.table; after != before {
 		p.table.Store(after)
-		event.ConfigurationInForce.Log(p.log).Uint64("version", after.Version).Send()
+		event.ConfigurationActivated.Log(p.log).Uint64("version", after.Version).Send()
 	}
 	if !p.enough.Load() && !p.known.enough() {
 		return p.known.cursor, state.MemberStarting
--- a/serving/proxy/watcher.go
+++ b/serving/proxy/watcher.go
@@ -153,13 +153,13 @@
 func (w *watcher) noteAlive() {
 	if w.lost {
 		w.lost = false
-		event.FeedRegained.Log(w.log).Send()
+		event.AgentConnectionRestored.Log(w.log).Send()
 	}
 }
 
 func (w *watcher) noteLost(ctx context.Context, err error) {
 	if !w.lost && ctx.Err() == nil {
 		w.lost = true
-		event.FeedLost.Log(w.log).Err(err).Send()
+		event.AgentConnectionLost.Log(w.log).Err(err).Send()
 	}
 }
--- a/serving/register/acceptor.go
+++ b/serving/register/acceptor.go
@@ -149,10 +149,10 @@
 	switch {
 	case err != nil && !d.refusing:
 		d.refusing = true
-		event.ReplicaDiskRefuses.Log(d.log).Err(err).Send()
+		event.ReplicaStoreFailed.Log(d.log).Err(err).Send()
 	case err == nil && d.refusing:
 		d.refusing = false
-		event.ReplicaDiskBack.Log(d.log).Send()
+		event.ReplicaStoreRecovered.Log(d.log).Send()
 	}
 	return errors.Wrap(err, "save replica state")
 }
--- a/serving/register/change.go
+++ b/serving/register/change.go
@@ -46,7 +46,7 @@
 		return verdict{}
 	}
 	if c.begun && newest.Record.Revision >= c.revision+rememberedChanges {
-		return verdict{refusal: errcode.RegisterUnclear.With("too many changes since the first try")}
+		return verdict{refusal: errcode.RegisterInDoubt.With("too many changes since the first try")}
 	}
 	record, err := c.update(newest.Record)
 	switch {
@@ -70,7 +70,7 @@
 // abandoned is the error of a change whose context ended.
 func (c *change) abandoned(last error) error {
 	if c.begun {
-		return errcode.RegisterUnclear.With("%v", last)
+		return errcode.RegisterInDoubt.With("%v", last)
 	}
 	if errcode.RegisterNotReady.Is(last) {
 		return last
--- a/serving/register/history_test.go
+++ b/serving/register/history_test.go
@@ -170,7 +170,7 @@
 		h.mutex.Lock()
 		h.accepted = append(h.accepted, sent)
 		h.mutex.Unlock()
-	case errcode.RegisterUnclear.Is(err):
+	case errcode.RegisterInDoubt.Is(err):
 		h.note(client, in, output{unclear: true}, call)
 	case errcode.VersionConflict.Is(err) || errcode.VersionNotAbove.Is(err):
 		h.note(client, in, output{}, call)
@@ -245,7 +245,7 @@
 	defer s.history.mutex.Unlock()
 	if err == nil {
 		s.history.zones[zone] = active
-	} else if errcode.RegisterUnclear.Is(err) {
+	} else if errcode.RegisterInDoubt.Is(err) {
 		delete(s.history.zones, zone)
 	}
 	return err
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -180,7 +180,7 @@
 			switch {
 			case errcode.RegisterUnavailable.Is(err):
 				unavailable++
-			case errcode.RegisterUnclear.Is(err):
+			case errcode.RegisterInDoubt.Is(err):
 				unclear++
 			}
 		})
--- a/serving/register/repair.go
+++ b/serving/register/repair.go
@@ -97,12 +97,12 @@
 	}
 	for len(n.possibleLearners()) > 0 && ctx.Err() == nil {
 		if n.handOver(ctx, own.ReplicaID) {
-			event.VoteHandedOver.Log(n.log).Str("replica", own.ReplicaID).Send()
+			event.VoteTransferred.Log(n.log).Str("replica", own.ReplicaID).Send()
 			return true
 		}
 		ctxsleep.For(ctx, handOverWait)
 	}
-	event.VoteKept.Log(n.log).Str("replica", own.ReplicaID).Send()
+	event.VoteRetained.Log(n.log).Str("replica", own.ReplicaID).Send()
 	return false
 }
 
--- a/serving/register/takepart.go
+++ b/serving/register/takepart.go
@@ -34,7 +34,7 @@
 	for ctx.Err() == nil && !n.leaving.Load() {
 		if err := n.settleIn(ctx, failures > 0); err != nil {
 			if failures++; failures == complainFrom {
-				event.ReplicaUnsettled.Log(n.log).Err(err).Send()
+				event.ReplicaWithoutMajority.Log(n.log).Err(err).Send()
 			}
 			part = noPart
 			ctxsleep.For(ctx, wait)
@@ -58,7 +58,7 @@
 
 // report logs what the replica does now where that has changed.
 func (n *Node) report(before part) part {
-	now, kind := learner, event.ReplicaLearns
+	now, kind := learner, event.ReplicaIsLearner
 	if n.IsMember() {
 		now, kind = voter, event.ReplicaJoined
 	}
@@ -105,7 +105,7 @@
 		}
 		if !complained && ctx.Err() == nil {
 			complained = true
-			event.ReplicaDiskUnreadable.Log(n.log).Err(err).Send()
+			event.ReplicaStoreUnreadable.Log(n.log).Err(err).Send()
 		}
 		ctxsleep.For(ctx, loadWait)
 	}
--- a/serving/register/updates.go
+++ b/serving/register/updates.go
@@ -64,7 +64,7 @@
 	case record.WasAccepted(order.Version, order.Digest):
 		return ErrNoChange
 	case basedOn != current && order.Version <= record.ForgottenVersion:
-		return errcode.RegisterUnclear.With("version %d may have been in force long ago", order.Version)
+		return errcode.RegisterInDoubt.With("version %d may have been in force long ago", order.Version)
 	case basedOn != current:
 		return errcode.VersionConflict.With("version %d is current, not %d", current, basedOn)
 	case order.Version <= current:
--- a/serving/register/updates_test.go
+++ b/serving/register/updates_test.go
@@ -118,13 +118,13 @@
 	for version := range uint64(state.HistoryLimit + 20) {
 		_, err := ReplaceConfiguration(version, configuration(version+1, fmt.Sprint(version)))(record)
 		if version+1 <= 20 {
-			assert.True(t, errcode.RegisterUnclear.Is(err), "version %d: %v", version+1, err)
+			assert.True(t, errcode.RegisterInDoubt.Is(err), "version %d: %v", version+1, err)
 		} else {
 			assert.Equal(t, ErrNoChange, err, "version %d", version+1)
 		}
 	}
 	_, err := AmendConfiguration(19, state.Accepted{Version: 20}, nil)(record)
-	assert.True(t, errcode.RegisterUnclear.Is(err), "%v", err)
+	assert.True(t, errcode.RegisterInDoubt.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(20, configuration(21, "another document"))(record)
 	assert.True(t, errcode.VersionConflict.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(state.HistoryLimit+20, configuration(7, "on the newest"))(record)
--- a/serving/routing/amend.go
+++ b/serving/routing/amend.go
@@ -86,7 +86,7 @@
 func (a *Amendment) eachOfList(place, name string, items gjson.Result,
 	take func(list *listAmendment, place string, item gjson.Result) error) (failed error) {
 	if !slices.Contains(amendableLists, name) {
-		return errcode.AmendedListUnknown.With("%s", place)
+		return errcode.AmendmentListUnknown.With("%s", place)
 	}
 	if items.Type == gjson.Null {
 		return nil
@@ -110,10 +110,10 @@
 func (l *listAmendment) addItem(place string, item gjson.Result) error {
 	name := nameOf(item)
 	if name == "" {
-		return errcode.AmendedItemUnnamed.With("%s", place)
+		return errcode.AmendmentItemUnnamed.With("%s", place)
 	}
 	if _, twice := l.items[name]; twice {
-		return errcode.AmendedNameTwice.With("%s: %q", place, name)
+		return errcode.AmendmentNameDuplicate.With("%s: %q", place, name)
 	}
 	l.names = append(l.names, name)
 	l.items[name] = item.Raw
@@ -123,10 +123,10 @@
 // addRemoval takes in a name that is to be removed.
 func (l *listAmendment) addRemoval(place string, name gjson.Result) error {
 	if name.Type != gjson.String || name.Str == "" {
-		return errcode.AmendedItemUnnamed.With("%s", place)
+		return errcode.AmendmentItemUnnamed.With("%s", place)
 	}
 	if _, kept := l.items[name.Str]; kept || l.remove[name.Str] {
-		return errcode.AmendedNameTwice.With("%s: %q", place, name.Str)
+		return errcode.AmendmentNameDuplicate.With("%s: %q", place, name.Str)
 	}
 	l.remove[name.Str] = true
 	return nil
--- a/serving/routing/parse.go
+++ b/serving/routing/parse.go
@@ -53,7 +53,7 @@
 	for index := range t.services {
 		service := &t.services[index]
 		if t.byName[service.Name] != nil {
-			return errcode.ServiceTwice.With("carrier %q", service.Name)
+			return errcode.DuplicateService.With("carrier %q", service.Name)
 		}
 		t.byName[service.Name] = service
 	}
@@ -89,7 +89,7 @@
 		}
 	}
 	if len(route.Services) == 0 {
-		return errcode.RouteWeightless.With("routing %q: split", route.Name)
+		return errcode.RouteWithoutWeight.With("routing %q: split", route.Name)
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 		}
 		route.Host = known.host
 		if other := known.add(route); other != nil {
-			return errcode.RouteTwice.With("routings %q and %q: station %q, lane_prefix %q", other.Name, route.Name,
+			return errcode.DuplicateRoute.With("routings %q and %q: station %q, lane_prefix %q", other.Name, route.Name,
 				route.Host, route.Prefix)
 		}
 	}
