--- a/cluster/shardmap/deed.go
+++ b/cluster/shardmap/deed.go
@@ -18,12 +18,12 @@
 
 // Verdict says what to do, by which version of the map, and with whom.
 type Verdict struct {
-	Do      Deed
-	Range   cluster.RangeID
-	Epoch   cluster.Epoch // by which the home serves; Serve: the one to check before each call
-	Version cluster.Version
-	To      cluster.MemberID // Forward: the home
-	Passes  Move             // Hold: the move by which what is owed goes over
+	Do      Deed             `cbor:"Do"`
+	Range   cluster.RangeID  `cbor:"Range"`
+	Epoch   cluster.Epoch    `cbor:"Epoch"` // by which the home serves; Serve: the one to check before each call
+	Version cluster.Version  `cbor:"Version"`
+	To      cluster.MemberID `cbor:"To"`     // Forward: the home
+	Passes  Move             `cbor:"Passes"` // Hold: the move by which what is owed goes over
 }
 
 // Tenant is a member as far as its right to call goes.
--- /dev/null
+++ b/cluster/transport/encoded_forms_test.go
@@ -0,0 +1,19 @@
+package transport
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/internal/wireschema"
+)
+
+// TestEncodedForms guards the messages between members: no renamed Go field may change them.
+func TestEncodedForms(t *testing.T) {
+	golden, err := os.ReadFile("testdata/encoded_forms.golden")
+	require.NoError(t, err)
+	got := wireschema.Describe(wireschema.CBOR, SessionAsk{}, SessionAnswer{}, Proposed{}, StateAsk{}, StateAnswer{},
+		Elsewhere{}, Who{}, Join{})
+	require.Equal(t, string(golden), got)
+}
