--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -20,7 +20,7 @@
 type conductor struct {
 	homes    *homes
 	harm     *harm
-	vacancy  *shardmap.FailoverPlanner
+	vacancy  *shardmap.Vacancies
 	book     *lease.Book
 	progress *rebalance.Progress
 	epoch    cluster.Epoch // since when it conducts
@@ -34,7 +34,7 @@
 // by the same file, too, but only by one read after it was stopped, by whoever conducts.
 type wish struct {
 	text    []byte
-	groups  []shardmap.PlacementGroup // its sites' subscribers
+	groups  []shardmap.Group // its sites' subscribers
 	fresh   bool
 	resumes uint64
 }
@@ -48,12 +48,12 @@
 }
 
 // conduct does what is due; it tells whether the wish has come into the log.
-func (c *conductor) conduct(w wish, members []shardmap.Candidate, parts int, now api.Micros) (adopted bool) {
+func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
 	epoch, held := c.homes.session.Holds(cluster.Conducts)
 	chart := c.homes.Map()
 	c.alone = false
 	if !held || c.book == nil {
-		c.vacancy.Reset()
+		c.vacancy.Forget()
 		c.epoch = 0
 		return false
 	}
@@ -61,29 +61,29 @@
 		c.epoch, c.restedAt = epoch, now
 		slog.Info("conducts", "epoch", epoch)
 	}
-	by := shardmap.Coordinator(epoch)
+	by := shardmap.Conductor(epoch)
 	if chart == nil || len(chart.Ranges) == 0 {
-		var weights []shardmap.MemberWeight
+		var weights []shardmap.Weight
 		for _, m := range members {
-			weights = append(weights, m.MemberWeight)
+			weights = append(weights, m.Weight)
 		}
-		c.say("first map", by.Initialize(parts, weights))
+		c.say("first map", by.First(parts, weights))
 		return false
 	}
 	alive := map[cluster.MemberID]bool{}
 	for _, s := range c.book.Sessions() {
 		alive[c.book.MemberOf(s)] = true
 	}
-	if takes := c.vacancy.PlanTakeovers(chart, c.book, alive, c.staying(members, alive), now); len(takes) > 0 {
-		c.say("homes given anew", by.FailOver(takes), "ranges", len(takes))
+	if takes := c.vacancy.Takes(chart, c.book, alive, c.staying(members, alive), now); len(takes) > 0 {
+		c.say("homes given anew", by.Lost(takes), "ranges", len(takes))
 		return false // the next map tells
 	}
-	if (w.fresh || len(chart.Groups) == 0) && !shardmap.EqualPlacements(w.groups, chart.Groups) {
+	if (w.fresh || len(chart.Groups) == 0) && !shardmap.SameGroups(w.groups, chart.Groups) {
 		c.say("destinations placed", by.Place(w.groups), "sites", len(w.groups))
 		return false // what a plan makes of destinations is by where they stand
 	}
-	if slices.ContainsFunc(chart.Misplaced, c.over) {
-		c.say("grants over that destinations strayed from", by.SweepMisplaced())
+	if slices.ContainsFunc(chart.Strays, c.over) {
+		c.say("grants over that destinations strayed from", by.Sweep())
 	}
 	c.stepOn(by, chart, now)
 	adopted = c.adopt(w, chart)
@@ -92,14 +92,14 @@
 }
 
 // over is whether a stray's grant is held no more.
-func (c *conductor) over(s shardmap.MisplacedDestination) bool {
-	_, _, epoch, held := c.book.Holder(cluster.HomeOf(s.Grant.Range))
-	return !held || epoch != s.Grant.Epoch
+func (c *conductor) over(s shardmap.Stray) bool {
+	_, _, epoch, held := c.book.Holder(cluster.HomeOf(s.Under.Range))
+	return !held || epoch != s.Under.Epoch
 }
 
 // staying are those whom the running plan does not want to leave; all, where no other is alive. Guards
 // against a lost home's range given to a member that leaves, behind steps that are through.
-func (c *conductor) staying(members []shardmap.Candidate, alive map[cluster.MemberID]bool) (stay []shardmap.Candidate) {
+func (c *conductor) staying(members []shardmap.Able, alive map[cluster.MemberID]bool) (stay []shardmap.Able) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return members
 	}
@@ -121,18 +121,18 @@
 }
 
 // stepOn takes moves on to the step at which the target and the source do the rest.
-func (c *conductor) stepOn(by shardmap.Coordinator, chart *shardmap.Map, now api.Micros) {
+func (c *conductor) stepOn(by shardmap.Conductor, chart *shardmap.Map, now api.Micros) {
 	under := 0
 	for _, r := range chart.Ranges {
-		if !r.Move.IsOpen() {
+		if !r.Move.Open() {
 			continue
 		}
 		under++
 		switch r.Move.Step {
-		case shardmap.StepPlanned:
-			c.say("move warms", by.AdvanceMove(r.Move.ID, shardmap.StepWarming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
-		case shardmap.StepWarming:
-			c.say("move passes", by.AdvanceMove(r.Move.ID, shardmap.StepHandoff), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.Planned:
+			c.say("move warms", by.Step(r.Move.ID, shardmap.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.Warming:
+			c.say("move passes", by.Step(r.Move.ID, shardmap.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 		}
 	}
 	if under < c.under {
@@ -167,8 +167,8 @@
 	p, err := rebalance.Make(f, chart, nil)
 	var moving *rebalance.Moving
 	if errors.As(err, &moving) { // the file is taken up once that has ended
-		if moving.Move.Step < shardmap.StepSwitched {
-			c.say("move goes back", shardmap.Coordinator(c.epoch).RevertMove(moving.Move.ID), "move", moving.Move.ID, "why", err)
+		if moving.Move.Step < shardmap.Switched {
+			c.say("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
 		}
 		return false
 	}
@@ -180,7 +180,7 @@
 }
 
 // follow does what the running plan asks for now.
-func (c *conductor) follow(by shardmap.Coordinator, chart *shardmap.Map, alive map[cluster.MemberID]bool,
+func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
 	now api.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
@@ -196,9 +196,9 @@
 	for _, a := range out.Actions {
 		switch a.Do {
 		case rebalance.Start:
-			c.say("move planned", by.PlanMove(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
+			c.say("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
 		case rebalance.GoBack:
-			c.say("move goes back", by.RevertMove(a.Move), "move", a.Move, "why", a.Why)
+			c.say("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Why)
 		case rebalance.TakeOn:
 			c.say("plan's step", says.Note(c.progress.Number, a.Step, a.Stand, a.Move), "step", a.Step)
 		case rebalance.GiveUp:
--- a/cluster/member/counts.go
+++ b/cluster/member/counts.go
@@ -11,13 +11,13 @@
 // in is whether a webhook's destination lies in a range.
 func (o *owing) in(r shardmap.Range) func(*inflight.Webhook) bool {
 	chart := o.forwarding.homes.Map()
-	return func(w *inflight.Webhook) bool { return chart.Contains(r, w.Destination) }
+	return func(w *inflight.Webhook) bool { return chart.Holds(r, w.Destination) }
 }
 
 // Out counts calls out of a range.
 func (o *owing) Out(r shardmap.Range) int {
 	chart := o.forwarding.homes.Map()
-	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return chart.CountsToward(r, w.Destination) })
+	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return chart.Counts(r, w.Destination) })
 	return out
 }
 
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -16,8 +16,8 @@
 // doubt is one webhook that another member may have, as it stands when that is asked.
 type doubt struct {
 	eventloop.Owed
-	name shardmap.WebhookID
-	hand shardmap.HandoffNumber
+	name shardmap.Name
+	hand shardmap.Hand
 	out  shardmap.Offer
 }
 
@@ -30,15 +30,15 @@
 		name := nameOf(w.RequestID)
 		if out, hand, is := f.names.Out(name); is && out.To == at {
 			doubts = append(doubts, doubt{w, name, hand, out})
-			asks = append(asks, asked{Name: name, Hand: hand, Left: w.TTL - now, Life: out.Incarnation})
+			asks = append(asks, asked{Name: name, Hand: hand, Left: w.TTL - now, Life: out.Life})
 		}
 	}
 	if len(asks) == 0 {
 		return
 	}
-	replies := make([]shardmap.CustodyReply, len(asks))
+	replies := make([]shardmap.Reply, len(asks))
 	status, raw, err := f.talk.Say(at, settlePath, transport.Encode(asks), inflight.Span(f.homes.term/4))
-	var said []shardmap.CustodyReply
+	var said []shardmap.Reply
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &said)
 	}
@@ -53,26 +53,26 @@
 }
 
 // settled does what a reply says, or what holds where there is none.
-func (o *owing) settled(d doubt, r shardmap.CustodyReply) {
+func (o *owing) settled(d doubt, r shardmap.Reply) {
 	names, now := o.forwarding.names, inflight.Now()
-	what := d.out.Resolve(r, o.gone(d), o.events(d.Event), d.MayRun, d.TTL, now)
-	is := func(k *shardmap.CustodyTable) bool { // nothing else was heard meanwhile
-		_, hand, out := k.OutstandingOffer(d.name)
+	what := d.out.Settle(r, o.gone(d), o.events(d.Event), d.MayRun, d.TTL, now)
+	is := func(k *shardmap.Known) bool { // nothing else was heard meanwhile
+		_, hand, out := k.Out(d.name)
 		return out && hand == d.hand
 	}
 	still := false
 	switch what {
-	case shardmap.StayInDoubt:
+	case shardmap.Wait:
 		return
-	case shardmap.DropCopy:
-		names.Note(func(k *shardmap.CustodyTable) {
-			if still = k.HandleReply(d.name, d.hand, shardmap.CustodyTaken) == shardmap.DropCopy; still { // its end first
+	case shardmap.Drop:
+		names.Note(func(k *shardmap.Known) {
+			if still = k.Heard(d.name, d.hand, shardmap.Has) == shardmap.Drop; still { // its end first
 				o.decider.Passed([]api.WebhookID{d.ID})
 			}
 		})
-	case shardmap.KeepCopy:
-		err := names.Change([]shardmap.WebhookID{d.name}, func(k *shardmap.CustodyTable) {
-			still = k.HandleReply(d.name, d.hand, shardmap.CustodyNever) == shardmap.KeepCopy
+	case shardmap.Own:
+		err := names.Change([]shardmap.Name{d.name}, func(k *shardmap.Known) {
+			still = k.Heard(d.name, d.hand, shardmap.Never) == shardmap.Own
 		})
 		if still = still && err == nil; still {
 			o.decider.Settled([]inflight.RequestID{d.RequestID})
@@ -82,19 +82,19 @@
 		if !o.decider.Returned(ran) { // first, so that a restart finds it
 			return
 		}
-		err := names.Change([]shardmap.WebhookID{d.name}, func(k *shardmap.CustodyTable) {
+		err := names.Change([]shardmap.Name{d.name}, func(k *shardmap.Known) {
 			if still = is(k); still {
-				k.Fork(d.name)
+				k.Forked(d.name)
 			}
 		})
-		if still = still && err == nil; still && what == shardmap.ForkCopy {
+		if still = still && err == nil; still && what == shardmap.Anew {
 			o.decider.Settled([]inflight.RequestID{d.RequestID})
 		} else if still {
 			o.decider.GiveUp(d.ID)
 		}
 	}
 	if still {
-		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != shardmap.DropCopy, "at", d.out.To, "said", r)
+		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != shardmap.Drop, "at", d.out.To, "said", r)
 		o.looks()
 	}
 }
@@ -106,7 +106,7 @@
 	if chart == nil {
 		return false
 	}
-	r, ok := chart.RangeOf(chart.KeyOf(d.Destination))
-	return ok && len(chart.MisplacedOf(d.Destination)) == 0 && r.Epoch > d.out.Epoch && r.Owner != d.out.To &&
-		!(r.Move.IsOpen() && r.Move.To == d.out.To)
+	r, ok := chart.Of(chart.Key(d.Destination))
+	return ok && len(chart.StraysOf(d.Destination)) == 0 && r.Epoch > d.out.Epoch && r.Home != d.out.To &&
+		!(r.Move.Open() && r.Move.To == d.out.To)
 }
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -30,7 +30,7 @@
 	apart float64
 
 	mu     sync.Mutex
-	clocks map[cluster.MemberID]*shardmap.ClockOffset
+	clocks map[cluster.MemberID]*shardmap.Clock
 	lives  map[cluster.MemberID]uint64 // of their folders, as told last
 }
 
@@ -55,13 +55,13 @@
 			return what, retryIn
 		}
 		how := later
-		if v.Action == shardmap.Forward {
+		if v.Do == shardmap.Forward {
 			what, retryIn, how = f.goes(w, v)
 		}
 		switch {
 		case how == answered:
 			return what, retryIn
-		case how == stays, v.Action == shardmap.Forward && !f.side.ordered(w):
+		case how == stays, v.Do == shardmap.Forward && !f.side.ordered(w):
 			return here()
 		case inflight.Now() > until: // rejected, and told when the switch should be through
 			return inflight.Rejected, inflight.AnswerWithin
@@ -72,12 +72,12 @@
 
 // keeps takes on here what belongs here, or what has to wait here for an earlier one of its key, unless the
 // range is shut: guards against what comes after the last count before a switch.
-func (f *forwarding) keeps(w *inflight.Webhook, here taker) (v shardmap.Decision, what inflight.Answer,
+func (f *forwarding) keeps(w *inflight.Webhook, here taker) (v shardmap.Verdict, what inflight.Answer,
 	retryIn api.Micros, kept bool) {
 	f.homes.door.RLock()
 	defer f.homes.door.RUnlock()
 	v = f.homes.Verdict(w.Destination)
-	if f.homes.isShut(v) || v.Action == shardmap.Forward && !f.side.decider.Follows(w) {
+	if f.homes.isShut(v) || v.Do == shardmap.Forward && !f.side.decider.Follows(w) {
 		return v, 0, 0, false
 	}
 	what, retryIn = here()
@@ -85,12 +85,12 @@
 }
 
 // goes offers a client's webhook to its home.
-func (f *forwarding) goes(w *inflight.Webhook, v shardmap.Decision) (inflight.Answer, api.Micros, went) {
+func (f *forwarding) goes(w *inflight.Webhook, v shardmap.Verdict) (inflight.Answer, api.Micros, went) {
 	hand := f.names.Next(nameOf(w.RequestID))
 	for hops := 0; ; hops++ {
 		at := inflight.Now()
-		hs, life, err := f.say(v.Owner, webhookPath, sent{Version: v.Version, At: at,
-			All: []shardmap.TransferredWebhook{carried(w, hand, 0, api.Never, 0)}}, inflight.AnswerWithin/hopPart, true)
+		hs, life, err := f.say(v.To, webhookPath, sent{Version: v.Version, At: at,
+			All: []shardmap.Carried{carried(w, hand, 0, api.Never, 0)}}, inflight.AnswerWithin/hopPart, true)
 		h := heard{}
 		if err == nil {
 			h = hs[0]
@@ -98,24 +98,24 @@
 		switch {
 		case errors.Is(err, transport.ErrNotSent):
 			return 0, 0, stays
-		case err != nil || h.Reply == shardmap.CustodyUnknown || h.Reply == shardmap.CustodyStateLost:
-			if !f.doubt(w, hand, shardmap.Offer{To: v.Owner, Incarnation: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
+		case err != nil || h.Reply == shardmap.Silent || h.Reply == shardmap.Forgot:
+			if !f.doubt(w, hand, shardmap.Offer{To: v.To, Life: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
 				return inflight.Taken, 0, answered
 			}
 			return 0, 0, stays
 		case h.Doubled:
 			return inflight.Doubled, 0, answered
-		case h.Reply == shardmap.CustodyTaken:
+		case h.Reply == shardmap.Has:
 			f.homes.session.Forwarded.Add(1)
 			return inflight.Taken, 0, answered
-		case h.Reply == shardmap.CustodyRejected && h.Refused == 0:
+		case h.Reply == shardmap.Refuses && h.Refused == 0:
 			return inflight.Rejected, h.RetryIn, answered
-		case h.Reply == shardmap.CustodyNever: // its time is up: here it ends
+		case h.Reply == shardmap.Never: // its time is up: here it ends
 			return 0, 0, stays
-		case !shardmap.ShouldFollowRedirect(v, h.Told, h.Refused, hops):
+		case !shardmap.Again(v, h.Told, h.Refused, hops):
 			return 0, 0, later
 		}
-		h.Told.Action = shardmap.Forward
+		h.Told.Do = shardmap.Forward
 		v = h.Told
 	}
 }
@@ -164,11 +164,11 @@
 // doubt has a webhook kept here that its home may have: nobody here calls before that is settled, after a
 // restart either. Where that can't be written, the restart finds that it may have run. false: it has come
 // back here by now, and is held.
-func (f *forwarding) doubt(w *inflight.Webhook, hand shardmap.HandoffNumber, o shardmap.Offer) (kept bool) {
+func (f *forwarding) doubt(w *inflight.Webhook, hand shardmap.Hand, o shardmap.Offer) (kept bool) {
 	slog.Warn("webhook in doubt: its home gave no answer", "webhook", w.RequestID, "home", o.To)
 	f.homes.session.Doubts.Add(1)
 	name := nameOf(w.RequestID)
-	err := f.names.Change([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { kept = k.RecordUnansweredForward(name, hand, w.TTL, o) })
+	err := f.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { kept = k.Sent(name, hand, w.TTL, o) })
 	if w.InDoubt, w.Keep = true, true; err != nil {
 		w.Past, kept = &inflight.Past{Attempts: 1, MayRun: o.SentAt}, true
 	}
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -11,11 +11,11 @@
 
 func (g gate) Calls(dest api.DestinationID, ordered bool) bool {
 	may, asRelay := g.m.sites.Calls(dest)
-	return may && (asRelay || g.m.homes.Verdict(dest).AllowsCall(ordered))
+	return may && (asRelay || g.m.homes.Verdict(dest).Calls(ordered))
 }
 
 func (g gate) Part(dest api.DestinationID) float64 {
-	return g.m.sites.Part(dest, g.m.homes.Verdict(dest).RateShare(int(g.m.many.Load())))
+	return g.m.sites.Part(dest, g.m.homes.Verdict(dest).Part(int(g.m.many.Load())))
 }
 
 func (g gate) Doubts(of inflight.RequestID) bool { return g.m.names.Doubts(of) }
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -92,10 +92,10 @@
 // Only a home's word counts, as others have no calls to know it by.
 func (h *harm) sick(of []shardmap.Range) rebalance.Sickness {
 	in := func(r shardmap.Range, d api.DestinationID) bool {
-		return r.Owner == h.self && h.homes.Map().Contains(r, d)
+		return r.Home == h.self && h.homes.Map().Holds(r, d)
 	}
 	found := make(chan []api.Learned, 1)
-	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Owner == h.self }) {
+	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
 		go func() {
 			all, _ := h.d.Learned(func(d api.DestinationID) bool {
 				return slices.ContainsFunc(of, func(r shardmap.Range) bool { return in(r, d) })
@@ -127,7 +127,7 @@
 	}
 	var of []shardmap.Range
 	for _, w := range a.Of {
-		if r, ok := chart.RangeByID(w.Range); ok {
+		if r, ok := chart.Get(w.Range); ok {
 			of = append(of, r)
 		}
 	}
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -14,41 +14,41 @@
 
 // Hear takes a webhook that its entry sent here, or says where it goes.
 func (f *forwarding) Hear(ctx *fasthttp.RequestCtx) {
-	f.hear(ctx, func(s sent, c shardmap.TransferredWebhook) (admission shardmap.Admission, v shardmap.Decision) {
+	f.hear(ctx, func(s sent, c shardmap.Carried) (admission shardmap.Admission, v shardmap.Verdict) {
 		if chart := f.homes.Map(); chart != nil {
 			return f.admit(chart, s, c)
 		}
-		return shardmap.AdmissionMapStale, v
+		return shardmap.Behind, v
 	})
 }
 
 // admit guards against a webhook taken on by a move's source that has let go, or is about to, which the next
 // one of its key, sent to the target, overtakes: its sender keeps it.
-func (f *forwarding) admit(chart *shardmap.Map, s sent, c shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
-	admission, v := chart.AdmitDestination(f.homes.tenant(), c.Destination, s.Version)
+func (f *forwarding) admit(chart *shardmap.Map, s sent, c shardmap.Carried) (shardmap.Admission, shardmap.Verdict) {
+	admission, v := chart.AdmitOf(f.homes.tenant(), c.Dest, s.Version)
 	_, held := f.homes.session.Holds(cluster.HomeOf(v.Range))
-	if admission == shardmap.AdmissionAccepted && v.Move.IsOpen() && (!held || f.homes.isShut(v)) {
-		admission = shardmap.AdmissionMapStale
+	if admission == shardmap.Take && v.Passes.Open() && (!held || f.homes.isShut(v)) {
+		admission = shardmap.Behind
 	}
 	return admission, v
 }
 
 // HearOwed takes what another member owes and hands on: by a move, or since the home is here.
 func (f *forwarding) HearOwed(ctx *fasthttp.RequestCtx) {
-	f.hear(ctx, func(s sent, c shardmap.TransferredWebhook) (admission shardmap.Admission, v shardmap.Decision) {
+	f.hear(ctx, func(s sent, c shardmap.Carried) (admission shardmap.Admission, v shardmap.Verdict) {
 		chart := f.homes.Map()
 		switch {
 		case chart == nil:
-			return shardmap.AdmissionMapStale, v
+			return shardmap.Behind, v
 		case s.Move == 0:
 			return f.admit(chart, s, c)
 		}
-		return chart.AdmitTransfer(s.Move, f.homes.self), v
+		return chart.Passes(s.Move, f.homes.self), v
 	})
 }
 
-func (f *forwarding) hear(ctx *fasthttp.RequestCtx, admit func(sent, shardmap.TransferredWebhook) (shardmap.Admission,
-	shardmap.Decision)) {
+func (f *forwarding) hear(ctx *fasthttp.RequestCtx, admit func(sent, shardmap.Carried) (shardmap.Admission,
+	shardmap.Verdict)) {
 	var s sent
 	if err := transport.Decode(ctx.Request.Body(), &s); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -62,7 +62,7 @@
 	lag := f.lag(transport.From(ctx), s.At)
 	f.side.taught(s.Learned, lag)
 	for i, c := range s.All {
-		s.All[i] = c.WithClockShift(lag)
+		s.All[i] = c.Shifted(lag)
 	}
 	f.homes.door.RLock() // until what is admitted is in
 	defer f.homes.door.RUnlock()
@@ -77,9 +77,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.clocks[from] == nil {
-		f.clocks[from] = &shardmap.ClockOffset{}
+		f.clocks[from] = &shardmap.Clock{}
 	}
-	return f.clocks[from].Observe(sentAt, inflight.Now(), f.apart)
+	return f.clocks[from].Heard(sentAt, inflight.Now(), f.apart)
 }
 
 // HearSettle answers a member in doubt. A no is kept: what is still on its way comes in vain.
@@ -89,19 +89,19 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	replies, names, now := make([]shardmap.CustodyReply, len(all)), make([]shardmap.WebhookID, len(all)), inflight.Now()
+	replies, names, now := make([]shardmap.Reply, len(all)), make([]shardmap.Name, len(all)), inflight.Now()
 	for i, a := range all {
 		switch names[i] = a.Name; {
 		case a.Life == 0: // sent before any life was known: no folder takes that
-			replies[i] = shardmap.CustodyNever
+			replies[i] = shardmap.Never
 		case a.Life != f.names.Life:
-			replies[i] = shardmap.CustodyStateLost
+			replies[i] = shardmap.Forgot
 		}
 	}
-	err := f.names.Change(names, func(k *shardmap.CustodyTable) {
+	err := f.names.Change(names, func(k *shardmap.Known) {
 		for i, a := range all {
-			if replies[i] == shardmap.CustodyUnknown {
-				replies[i], _ = k.HandleQuery(a.Name, a.Hand, now+a.Left)
+			if replies[i] == shardmap.Silent {
+				replies[i], _ = k.Asked(a.Name, a.Hand, now+a.Left)
 			}
 		}
 	})
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -58,27 +58,27 @@
 }
 
 // tenant is this member as far as its right to call goes.
-func (h *homes) tenant() shardmap.LocalMember {
-	return shardmap.LocalMember{Member: h.self, HeldEpoch: h.session.Holds,
-		Isolated: shardmap.IsolationSuspected(api.Micros(h.over.Load()), h.now(), h.term)}
+func (h *homes) tenant() shardmap.Tenant {
+	return shardmap.Tenant{Member: h.self, Epoch: h.session.Holds,
+		Alone: shardmap.Deserted(api.Micros(h.over.Load()), h.now(), h.term)}
 }
 
 // Verdict is what this member does with webhooks of a destination, now.
-func (h *homes) Verdict(d api.DestinationID) shardmap.Decision {
+func (h *homes) Verdict(d api.DestinationID) shardmap.Verdict {
 	chart := h.chart.Load()
 	if chart == nil {
-		return shardmap.Decision{Action: shardmap.ParkUnmapped}
+		return shardmap.Verdict{Do: shardmap.Keep}
 	}
-	return chart.DecideDestination(h.tenant(), d)
+	return chart.VerdictOf(h.tenant(), d)
 }
 
 // VerdictAt is the same for whatever stands at a place among the ranges.
-func (h *homes) VerdictAt(key cluster.KeyHash) shardmap.Decision {
+func (h *homes) VerdictAt(key cluster.KeyHash) shardmap.Verdict {
 	chart := h.chart.Load()
 	if chart == nil {
-		return shardmap.Decision{Action: shardmap.ParkUnmapped}
+		return shardmap.Verdict{Do: shardmap.Keep}
 	}
-	return chart.DecideKey(h.tenant(), key)
+	return chart.MayServe(h.tenant(), key)
 }
 
 // Look does what the map and the grants ask for now; it is called whenever one of them changed, and now and
@@ -98,28 +98,28 @@
 		switch {
 		case held && h.leaves(r):
 			h.letGo(r, task, epoch)
-		case !held && r.ShouldAcquire(h.self):
+		case !held && r.Wants(h.self):
 			h.session.Want(task)
 		case !held:
 			h.session.Unwant(task)
-		case held && r.Owner == h.self && epoch > r.Epoch && r.Move.Step != shardmap.StepHandoff:
-			say("home taken", r, shardmap.ConfirmOwner(r.ID, h.self, epoch, chart.Version))
-		case held && r.Move.Step == shardmap.StepHandoff && r.Move.To == h.self:
-			say("home switched", r, shardmap.SwitchOwner(r.Move.ID, r.ID, h.self, epoch))
+		case held && r.Home == h.self && epoch > r.Epoch && r.Move.Step != shardmap.Passing:
+			say("home taken", r, shardmap.Home(r.ID, h.self, epoch, chart.Version))
+		case held && r.Move.Step == shardmap.Passing && r.Move.To == h.self:
+			say("home switched", r, shardmap.Switch(r.Move.ID, r.ID, h.self, epoch))
 		}
-		if r.Move.Step == shardmap.StepSwitched && h.clears(r.Move) && h.side.Undecided(r.Move.ID) == 0 {
-			say("move cleared", r, shardmap.ClearMove(r.Move.ID, h.self))
+		if r.Move.Step == shardmap.Switched && h.clears(r.Move) && h.side.Undecided(r.Move.ID) == 0 {
+			say("move cleared", r, shardmap.Clear(r.Move.ID, h.self))
 		}
 	}
-	for u, of := range chart.MisplacedByGrant(h.tenant()) {
+	for u, of := range chart.StrayedFrom(h.tenant()) {
 		if h.side.OutOf(of) == 0 {
-			say("destinations let go", shardmap.Range{ID: u.Range}, shardmap.ConfirmPlacement(u.Range, u.Epoch, chart.Version))
+			say("destinations let go", shardmap.Range{ID: u.Range}, shardmap.Seen(u.Range, u.Epoch, chart.Version))
 		}
 	}
 	h.reopen(chart)
-	for _, v := range chart.DetachedMoves {
+	for _, v := range chart.Left {
 		if h.clears(v) && h.side.Undecided(v.ID) == 0 {
-			say("move cleared", shardmap.Range{Move: v}, shardmap.ClearMove(v.ID, h.self))
+			say("move cleared", shardmap.Range{Move: v}, shardmap.Clear(v.ID, h.self))
 		}
 	}
 }
@@ -128,13 +128,13 @@
 // at the next look.
 func (h *homes) letGo(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
 	out, owed := h.side.Out(r), h.side.Owes(r)
-	if h.side.Told(r) && r.ShouldCloseIntake(h.self, out, owed, mostAtOnce) && h.shut(r) {
+	if h.side.Told(r) && r.Shuts(h.self, out, owed, mostAtOnce) && h.shut(r) {
 		return
 	}
 	s, shut := h.shuts.Load(r.ID)
 	shut = shut && s.(shutting).move == r.Move.ID
-	passes := r.Move.Step == shardmap.StepHandoff && r.Owner == h.self
-	if r.ShouldRelease(h.self, out, owed) && (shut || !passes) {
+	passes := r.Move.Step == shardmap.Passing && r.Home == h.self
+	if r.LetsGo(h.self, out, owed) && (shut || !passes) {
 		h.session.Release(task)
 		slog.Info("home let go", "range", r.ID, "epoch", epoch)
 	}
@@ -155,9 +155,9 @@
 }
 
 // isShut is whether a webhook by this verdict has to wait for the switch.
-func (h *homes) isShut(v shardmap.Decision) bool {
+func (h *homes) isShut(v shardmap.Verdict) bool {
 	s, known := h.shuts.Load(v.Range)
-	return known && v.Action == shardmap.ParkOwned && v.Move.IsOpen() && s.(shutting).move == v.Move.ID
+	return known && v.Do == shardmap.Hold && v.Passes.Open() && s.(shutting).move == v.Passes.ID
 }
 
 // shutting is since when a range is shut, for which move.
@@ -173,10 +173,10 @@
 // reopen forgets ranges whose move has switched or gone back, or goes over too slowly.
 func (h *homes) reopen(chart *shardmap.Map) {
 	h.shuts.Range(func(id, is any) bool {
-		r, ok := chart.RangeByID(id.(cluster.RangeID))
+		r, ok := chart.Get(id.(cluster.RangeID))
 		s := is.(shutting)
 		_, held := h.session.Holds(cluster.HomeOf(r.ID))
-		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.StepHandoff || r.Owner != h.self ||
+		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.Passing || r.Home != h.self ||
 			held && h.now()-s.since > h.term/shutPart {
 			h.shuts.Delete(id)
 		}
@@ -186,12 +186,12 @@
 
 // leaves is whether a range that is held here may be on its way elsewhere: only then its calls are counted.
 func (h *homes) leaves(r shardmap.Range) bool {
-	return !r.ShouldAcquire(h.self) || r.Move.Step == shardmap.StepHandoff && r.Owner == h.self
+	return !r.Wants(h.self) || r.Move.Step == shardmap.Passing && r.Home == h.self
 }
 
 // clears is whether this member has yet to say that it has no copies left of a switched move.
 func (h *homes) clears(v shardmap.Move) bool {
-	return v.From == h.self && !v.SourceCleared || v.To == h.self && !v.TargetCleared
+	return v.From == h.self && !v.FromClear || v.To == h.self && !v.ToClear
 }
 
 // say proposes what one range needs, and tells whether a leader answered. A refusal means that the map went
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -121,7 +121,7 @@
 		return fmt.Errorf("names of webhooks: %w", err)
 	}
 	f := &forwarding{homes: m.homes, x: d.Exchange, talk: m.talk, names: m.names, apart: m.file.Apart,
-		clocks: map[cluster.MemberID]*shardmap.ClockOffset{}, lives: map[cluster.MemberID]uint64{}}
+		clocks: map[cluster.MemberID]*shardmap.Clock{}, lives: map[cluster.MemberID]uint64{}}
 	m.owing = &owing{forwarding: f, decider: d.Decider, adopted: map[inflight.RequestID]shardmap.MoveID{},
 		told: map[shardmap.MoveID]bool{}, busy: map[cluster.MemberID]bool{}, events: m.event,
 		looks: func() { nudge(m.pokeOwed) }}
@@ -176,12 +176,12 @@
 
 // named opens the names of webhooks, beside what the journal still owes.
 func (m *Member) named() (err error) {
-	held := map[shardmap.WebhookID]bool{}
+	held := map[shardmap.Name]bool{}
 	for _, id := range m.d.Decider.Earlier() {
 		held[nameOf(id)] = true
 	}
 	m.names, err = openNames(filepath.Join(m.d.State, "fleet", "names"), namesMB, expireBy*m.file.Term,
-		func(n shardmap.WebhookID) bool { return held[n] })
+		func(n shardmap.Name) bool { return held[n] })
 	return err
 }
 
@@ -202,7 +202,7 @@
 		slog.Error("what goes to relays not read", "why", err)
 		os.Exit(1)
 	}
-	m.conductor = &conductor{homes: m.homes, harm: m.harm, vacancy: shardmap.NewFailoverPlanner(m.file.Term)}
+	m.conductor = &conductor{homes: m.homes, harm: m.harm, vacancy: shardmap.NewVacancies(m.file.Term)}
 	go m.server.Serve(m.on)
 	m.session.Follow(cluster.RangesPart, func(_ uint64, s []byte) { m.homes.Charted(s) })
 	if m.keeper != nil {
--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -24,21 +24,21 @@
 	Life uint64 // of the folder: one that was lost begins anew
 
 	mu    sync.Mutex
-	known *shardmap.CustodyTable
+	known *shardmap.Known
 	kept  *wal.Journal
-	at    map[shardmap.WebhookID]api.WebhookID // the record of each
+	at    map[shardmap.Name]api.WebhookID // the record of each
 	last  api.WebhookID
 	slack api.Micros
 	swept api.Micros
 }
 
 // nameOf is a webhook's over the whole fleet: a request id is never used twice.
-func nameOf(id inflight.RequestID) shardmap.WebhookID {
-	return shardmap.WebhookID{Incarnation: xxhash.Sum64String(string(id)), LocalID: xxhash.Sum64String("name " + string(id))}
+func nameOf(id inflight.RequestID) shardmap.Name {
+	return shardmap.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
 }
 
 // openNames reads the records of an earlier life from a folder; held tells what that life still owes.
-func openNames(dir string, diskMB float64, slack api.Micros, held func(shardmap.WebhookID) bool) (*names,
+func openNames(dir string, diskMB float64, slack api.Micros, held func(shardmap.Name) bool) (*names,
 	error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,23 +51,23 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &names{Life: life, kept: kept, at: map[shardmap.WebhookID]api.WebhookID{}, slack: slack}
-	latest := map[shardmap.WebhookID]shardmap.CustodyRecord{}
+	n := &names{Life: life, kept: kept, at: map[shardmap.Name]api.WebhookID{}, slack: slack}
+	latest := map[shardmap.Name]shardmap.Record{}
 	for _, e := range kept.Entries() {
-		var r shardmap.CustodyRecord
+		var r shardmap.Record
 		if err := transport.Decode(e.Taken, &r); err != nil {
 			return nil, fmt.Errorf("names of webhooks: record %d: %w", e.ID, err)
 		}
-		if was, twice := n.at[r.ID]; twice { // the process ended between the new one and the end of the old
+		if was, twice := n.at[r.Name]; twice { // the process ended between the new one and the end of the old
 			kept.End(was, nil)
 		}
-		latest[r.ID], n.last, n.at[r.ID] = r, max(n.last, e.ID), e.ID
+		latest[r.Name], n.last, n.at[r.Name] = r, max(n.last, e.ID), e.ID
 	}
-	all, was := make([]shardmap.CustodyRecord, 0, len(latest)), make([]past, 0, len(latest))
+	all, was := make([]shardmap.Record, 0, len(latest)), make([]past, 0, len(latest))
 	for name, r := range latest {
 		all, was = append(all, r), append(was, past{name, r, true})
 	}
-	n.known = shardmap.NewCustodyTable(all, held)
+	n.known = shardmap.NewKnown(all, held)
 	return n, n.write(was) // guards against a next life that reads the same otherwise
 }
 
@@ -91,19 +91,19 @@
 
 // past is a record as it was, to be put back.
 type past struct {
-	name   shardmap.WebhookID
-	record shardmap.CustodyRecord
+	name   shardmap.Name
+	record shardmap.Record
 	known  bool
 }
 
-func (n *names) past(name shardmap.WebhookID) past {
-	r, known := n.known.Lookup(name)
+func (n *names) past(name shardmap.Name) past {
+	r, known := n.known.Record(name)
 	return past{name, r, known}
 }
 
 // Change does something with records of names, and has written what changed before it returns; what can't be
 // written is as before.
-func (n *names) Change(of []shardmap.WebhookID, do func(*shardmap.CustodyTable)) error {
+func (n *names) Change(of []shardmap.Name, do func(*shardmap.Known)) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.expire()
@@ -115,7 +115,7 @@
 	err := n.write(was)
 	if err != nil {
 		for _, w := range was {
-			n.known.Rollback(w.name, w.record, w.known)
+			n.known.Undo(w.name, w.record, w.known)
 		}
 		slog.Error("names of webhooks not written", "webhooks", len(of), "why", err)
 	}
@@ -123,7 +123,7 @@
 }
 
 // Note does something with records that needs not be written: a restart finds the same by asking again.
-func (n *names) Note(do func(*shardmap.CustodyTable)) {
+func (n *names) Note(do func(*shardmap.Known)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(n.known)
@@ -131,10 +131,10 @@
 
 // write keeps the records that are not as they were; the caller holds the lock.
 func (n *names) write(was []past) (err error) {
-	fresh := map[shardmap.WebhookID]api.WebhookID{}
-	var gone []shardmap.WebhookID
+	fresh := map[shardmap.Name]api.WebhookID{}
+	var gone []shardmap.Name
 	for _, w := range was {
-		r, known := n.known.Lookup(w.name)
+		r, known := n.known.Record(w.name)
 		switch {
 		case r == w.record && known == w.known:
 			continue
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (n *names) drop(name shardmap.WebhookID) {
+func (n *names) drop(name shardmap.Name) {
 	if id, ok := n.at[name]; ok {
 		n.kept.End(id, nil)
 		delete(n.at, name)
@@ -183,32 +183,32 @@
 }
 
 // Out is to whom a webhook is on its way.
-func (n *names) Out(name shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
+func (n *names) Out(name shardmap.Name) (shardmap.Offer, shardmap.Hand, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.known.OutstandingOffer(name)
+	return n.known.Out(name)
 }
 
 // Comes is whether a webhook is being taken on.
-func (n *names) Comes(name shardmap.WebhookID) bool {
+func (n *names) Comes(name shardmap.Name) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r, _ := n.known.Lookup(name)
-	return r.Arriving
+	r, _ := n.known.Record(name)
+	return r.Comes
 }
 
 // Next is the hand by which a webhook is offered next.
-func (n *names) Next(name shardmap.WebhookID) shardmap.HandoffNumber {
+func (n *names) Next(name shardmap.Name) shardmap.Hand {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.known.NextHandoff(name)
+	return n.known.Next(name)
 }
 
 // By counts what is on its way by a move.
 func (n *names) By(move shardmap.MoveID) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.known.CountOffersOfMove(move)
+	return n.known.By(move)
 }
 
 // expire forgets what can't be asked for any more; the caller holds the lock.
@@ -220,7 +220,7 @@
 	n.swept = now
 	n.known.Expire(now, n.slack)
 	for name := range n.at {
-		if _, known := n.known.Lookup(name); !known {
+		if _, known := n.known.Record(name); !known {
 			n.drop(name)
 		}
 	}
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -27,12 +27,12 @@
 	}
 	if errors.Is(err, transport.ErrNotSent) {
 		for i := range hs {
-			hs[i].Reply = shardmap.CustodyRejected // by nobody: this try went nowhere
+			hs[i].Reply = shardmap.Refuses // by nobody: this try went nowhere
 		}
 	}
 	n := 0
 	for _, h := range hs {
-		if h.Reply == shardmap.CustodyTaken {
+		if h.Reply == shardmap.Has {
 			n++
 		}
 	}
@@ -53,18 +53,18 @@
 func (o *owing) offered(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []eventloop.Owed,
 	s *sent) (still []eventloop.Owed) {
 	f := o.forwarding
-	ids, names := make([]api.WebhookID, len(all)), make([]shardmap.WebhookID, len(all))
+	ids, names := make([]api.WebhookID, len(all)), make([]shardmap.Name, len(all))
 	for i, w := range all {
 		ids[i], names[i] = w.ID, nameOf(w.RequestID)
 	}
 	marked := o.decider.Doubt(ids)
 	life := f.life(to)
 	var anew, settled []inflight.RequestID
-	err := f.names.Change(names, func(k *shardmap.CustodyTable) {
+	err := f.names.Change(names, func(k *shardmap.Known) {
 		for i, w := range all {
-			r, ok := chart.RangeOf(chart.KeyOf(w.Destination))
+			r, ok := chart.Of(chart.Key(w.Destination))
 			fresh, parked := marked[w.ID]
-			_, _, out := k.OutstandingOffer(names[i])
+			_, _, out := k.Out(names[i])
 			switch {
 			case !parked || !ok:
 				continue
@@ -76,7 +76,7 @@
 			case !out:
 				anew = append(anew, w.RequestID)
 			}
-			hand, ok := k.BeginOffer(names[i], w.TTL, shardmap.Offer{To: to, Incarnation: life, Move: move, Range: r.ID,
+			hand, ok := k.Offers(names[i], w.TTL, shardmap.Offer{To: to, Life: life, Move: move, Range: r.ID,
 				Epoch: r.Epoch, SentAt: s.At})
 			if ok {
 				still = append(still, w)
@@ -93,12 +93,12 @@
 
 // heard does what the answers to offers say.
 func (o *owing) heard(s sent, all []eventloop.Owed, hs []heard) {
-	var own []shardmap.WebhookID
+	var own []shardmap.Name
 	var ours []inflight.RequestID
 	var drop []api.WebhookID
 	for i, w := range all {
-		if hs[i].Reply != shardmap.CustodyTaken {
-			own = append(own, s.All[i].ID)
+		if hs[i].Reply != shardmap.Has {
+			own = append(own, s.All[i].Name)
 			continue
 		}
 		drop = append(drop, w.ID)
@@ -109,9 +109,9 @@
 	if len(own) == 0 {
 		return
 	}
-	err := o.forwarding.names.Change(own, func(k *shardmap.CustodyTable) {
+	err := o.forwarding.names.Change(own, func(k *shardmap.Known) {
 		for i, w := range all {
-			if hs[i].Reply != shardmap.CustodyTaken && k.HandleReply(s.All[i].ID, s.All[i].Handoff, hs[i].Reply) == shardmap.KeepCopy {
+			if hs[i].Reply != shardmap.Has && k.Heard(s.All[i].Name, s.All[i].Hand, hs[i].Reply) == shardmap.Own {
 				ours = append(ours, w.RequestID)
 			}
 		}
@@ -120,8 +120,8 @@
 		o.decider.Settled(ours)
 	}
 	for i, w := range all {
-		if out, hand, is := o.forwarding.names.Out(s.All[i].ID); is && hs[i].Reply == shardmap.CustodyStateLost {
-			o.settled(doubt{w, s.All[i].ID, hand, out}, shardmap.CustodyStateLost)
+		if out, hand, is := o.forwarding.names.Out(s.All[i].Name); is && hs[i].Reply == shardmap.Forgot {
+			o.settled(doubt{w, s.All[i].Name, hand, out}, shardmap.Forgot)
 		}
 	}
 }
@@ -129,10 +129,10 @@
 // drops ends what another member has. Guards against one that has come back meanwhile, and against one taken
 // on anew before it has ended here: both wait for the names.
 func (o *owing) drops(s sent, all []eventloop.Owed, hs []heard) {
-	o.forwarding.names.Note(func(k *shardmap.CustodyTable) {
+	o.forwarding.names.Note(func(k *shardmap.Known) {
 		var ids []api.WebhookID
 		for i, w := range all {
-			if hs[i].Reply == shardmap.CustodyTaken && k.HandleReply(s.All[i].ID, s.All[i].Handoff, shardmap.CustodyTaken) == shardmap.DropCopy {
+			if hs[i].Reply == shardmap.Has && k.Heard(s.All[i].Name, s.All[i].Hand, shardmap.Has) == shardmap.Drop {
 				ids = append(ids, w.ID)
 			}
 		}
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -122,7 +122,7 @@
 			waits[of] = waits[of] || ordered
 			if at, _, out := o.forwarding.names.Out(nameOf(w.RequestID)); !out {
 				o.came(w) // or settled by now
-			} else if goes && to == at.To && o.forwarding.life(to) == at.Incarnation {
+			} else if goes && to == at.To && o.forwarding.life(to) == at.Life {
 				errandTo(to).offer(w, move)
 			} else if e := errandTo(at.To); len(e.asks) < mostAtOnce {
 				e.asks = append(e.asks, w)
@@ -140,7 +140,7 @@
 // came.
 func (o *owing) came(w eventloop.Owed) {
 	if name := nameOf(w.RequestID); o.forwarding.names.Comes(name) {
-		if o.forwarding.names.Change([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { k.ConfirmStored(name) }) == nil {
+		if o.forwarding.names.Change([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
 			o.decider.Settled([]inflight.RequestID{w.RequestID})
 		}
 	}
@@ -151,13 +151,13 @@
 	o.mu.Lock()
 	_, adopted := o.adopted[w.RequestID]
 	o.mu.Unlock()
-	v := chart.DecideDestination(o.forwarding.homes.tenant(), w.Destination)
+	v := chart.VerdictOf(o.forwarding.homes.tenant(), w.Destination)
 	switch {
 	case adopted:
-	case v.Action == shardmap.Forward:
-		return v.Owner, 0, true
-	case v.Action == shardmap.ParkOwned && v.Move.IsOpen() && v.Move.From == o.forwarding.homes.self:
-		return v.Move.To, v.Move.ID, true
+	case v.Do == shardmap.Forward:
+		return v.To, 0, true
+	case v.Do == shardmap.Hold && v.Passes.Open() && v.Passes.From == o.forwarding.homes.self:
+		return v.Passes.To, v.Passes.ID, true
 	}
 	return "", 0, false
 }
@@ -167,7 +167,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, move := range o.adopted {
-		if chart.OwnerByMove(move) != shardmap.OwnerUndecided {
+		if chart.Owns(move) != shardmap.Undecided {
 			delete(o.adopted, id)
 		}
 	}
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -59,9 +59,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var able []shardmap.Candidate
+	var able []shardmap.Able
 	for _, w := range m.file.Members {
-		able = append(able, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: w.ID, Weight: w.Weight}, MaxRanges: w.Room})
+		able = append(able, shardmap.Able{Weight: shardmap.Weight{Member: w.ID, Weight: w.Weight}, Room: w.Room})
 	}
 	if m.conductor.conduct(m.wish, able, m.file.Ranges, m.clock()) {
 		m.wish.fresh = false
--- a/cluster/member/said.go
+++ b/cluster/member/said.go
@@ -16,11 +16,11 @@
 
 // sent is webhooks on their way to their home.
 type sent struct {
-	Version cluster.Version               `cbor:"1,keyasint"`           // of the map that they were sent by
-	At      api.Micros                    `cbor:"2,keyasint"`           // by their sender's clock, as the times within
-	Move    shardmap.MoveID               `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
-	All     []shardmap.TransferredWebhook `cbor:"4,keyasint"`           // in the order taken
-	Life    uint64                        `cbor:"6,keyasint"`           // of the folder that they are sent to
+	Version cluster.Version    `cbor:"1,keyasint"`           // of the map that they were sent by
+	At      api.Micros         `cbor:"2,keyasint"`           // by their sender's clock, as the times within
+	Move    shardmap.MoveID    `cbor:"3,keyasint,omitempty"` // by which they go over; 0: to their home
+	All     []shardmap.Carried `cbor:"4,keyasint"`           // in the order taken
+	Life    uint64             `cbor:"6,keyasint"`           // of the folder that they are sent to
 
 	Learned []api.Learned `cbor:"5,keyasint,omitempty"` // of the move's destinations, once none is called
 }
@@ -34,38 +34,38 @@
 
 // heard is what came of one.
 type heard struct {
-	Reply   shardmap.CustodyReply `cbor:"1,keyasint,omitempty"` // Has: it is the other's now
-	Refused shardmap.Admission    `cbor:"2,keyasint,omitempty"`
-	Told    shardmap.Decision     `cbor:"3,keyasint,omitempty"`
-	RetryIn api.Micros            `cbor:"4,keyasint,omitempty"` // rejected, with the time told
-	Doubled bool                  `cbor:"5,keyasint,omitempty"` // its request id is held there
+	Reply   shardmap.Reply     `cbor:"1,keyasint,omitempty"` // Has: it is the other's now
+	Refused shardmap.Admission `cbor:"2,keyasint,omitempty"`
+	Told    shardmap.Verdict   `cbor:"3,keyasint,omitempty"`
+	RetryIn api.Micros         `cbor:"4,keyasint,omitempty"` // rejected, with the time told
+	Doubled bool               `cbor:"5,keyasint,omitempty"` // its request id is held there
 }
 
 // asked is whether a webhook was ever taken by a hand, as that folder's life knows.
 type asked struct {
-	Name shardmap.WebhookID     `cbor:"1,keyasint"`
-	Hand shardmap.HandoffNumber `cbor:"2,keyasint"`
-	Left api.Micros             `cbor:"3,keyasint"`
-	Life uint64                 `cbor:"4,keyasint"`
+	Name shardmap.Name `cbor:"1,keyasint"`
+	Hand shardmap.Hand `cbor:"2,keyasint"`
+	Left api.Micros    `cbor:"3,keyasint"`
+	Life uint64        `cbor:"4,keyasint"`
 }
 
 // carried is a webhook as it goes over.
-func carried(w *inflight.Webhook, hand shardmap.HandoffNumber, attempts int, mayRun api.Micros,
-	zone api.ZoneID) shardmap.TransferredWebhook {
-	return shardmap.TransferredWebhook{ID: nameOf(w.RequestID), Handoff: hand, EventType: w.Event, Tenant: w.Tenant, Key: w.Key,
-		Destination: w.Destination, TTL: w.TTL, Attempts: attempts, FirstRunAt: mayRun, Zone: zone,
-		AcceptOrder: uint64(w.ID), JournalEntry: w.Bytes()}
+func carried(w *inflight.Webhook, hand shardmap.Hand, attempts int, mayRun api.Micros,
+	zone api.ZoneID) shardmap.Carried {
+	return shardmap.Carried{Name: nameOf(w.RequestID), Hand: hand, Event: w.Event, Tenant: w.Tenant, Key: w.Key,
+		Dest: w.Destination, TTL: w.TTL, Attempts: attempts, MayRun: mayRun, Zone: zone,
+		Taken: uint64(w.ID), Whole: w.Bytes()}
 }
 
 // webhook is the same at the other end, its times by the clock here.
-func webhook(c shardmap.TransferredWebhook) (*inflight.Webhook, error) {
-	w, err := inflight.FromBytes(0, c.JournalEntry)
+func webhook(c shardmap.Carried) (*inflight.Webhook, error) {
+	w, err := inflight.FromBytes(0, c.Whole)
 	if err != nil {
 		return nil, err
 	}
 	w.CameAt, w.TTL = inflight.Now(), c.TTL
-	if c.Attempts > 0 || c.FirstRunAt != api.Never {
-		w.Past = &inflight.Past{Attempts: c.Attempts, MayRun: c.FirstRunAt, Zone: c.Zone}
+	if c.Attempts > 0 || c.MayRun != api.Never {
+		w.Past = &inflight.Past{Attempts: c.Attempts, MayRun: c.MayRun, Zone: c.Zone}
 	}
 	return w, nil
 }
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -20,17 +20,17 @@
 
 // serves is whether this member is home of a destination, by the grant that it holds.
 func (m *Member) serves(d api.DestinationID) bool {
-	return m.homes.Verdict(d).Action == shardmap.Serve
+	return m.homes.Verdict(d).Do == shardmap.Serve
 }
 
 // homeOf is whether it is home of where a site's subscribers stand.
 func (m *Member) homeOf(s cluster.SiteID) bool {
-	return m.homes.VerdictAt(cluster.SiteHash(s)).Action == shardmap.Serve
+	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Serve
 }
 
 // alone is whether nobody may be home there, as no keeper is reached.
 func (m *Member) alone(s cluster.SiteID) bool {
-	return m.homes.VerdictAt(cluster.SiteHash(s)).Action == shardmap.ServeIsolated
+	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Alone
 }
 
 // leastDiskMB is what the dispatcher's own journal has where nothing is told.
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -18,16 +18,16 @@
 	own  []inflight.RequestID // may be called from here on
 }
 
-func (t *taking) take(admit func(sent, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)) {
-	names, webhooks := make([]shardmap.WebhookID, len(t.s.All)), make([]*inflight.Webhook, len(t.s.All))
+func (t *taking) take(admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
+	names, webhooks := make([]shardmap.Name, len(t.s.All)), make([]*inflight.Webhook, len(t.s.All))
 	t.was, t.back = make([]past, len(t.s.All)), map[inflight.RequestID]*inflight.Past{}
 	for i, c := range t.s.All {
-		names[i] = c.ID
-		if w, err := webhook(c); err == nil && t.x.Named(c.Destination) {
+		names[i] = c.Name
+		if w, err := webhook(c); err == nil && t.x.Named(c.Dest) {
 			webhooks[i] = w
 		}
 	}
-	err := t.names.Change(names, func(k *shardmap.CustodyTable) {
+	err := t.names.Change(names, func(k *shardmap.Known) {
 		now := inflight.Now()
 		if !t.returns(k, webhooks) {
 			return
@@ -40,7 +40,7 @@
 		clear(t.said)
 		for n, i := range t.of {
 			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: shardmap.CustodyRejected, RetryIn: inflight.AnswerWithin}
+			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: inflight.AnswerWithin}
 		}
 		return
 	}
@@ -50,9 +50,9 @@
 
 // returns has what comes back written with what it brings along, before the record says that it is here;
 // names are locked.
-func (t *taking) returns(k *shardmap.CustodyTable, webhooks []*inflight.Webhook) (written bool) {
+func (t *taking) returns(k *shardmap.Known, webhooks []*inflight.Webhook) (written bool) {
 	for i, c := range t.s.All {
-		if w := webhooks[i]; w != nil && k.ReturnsCopy(c.ID, c.Handoff) && w.Past != nil {
+		if w := webhooks[i]; w != nil && k.Returns(c.Name, c.Hand) && w.Past != nil {
 			t.back[w.RequestID] = w.Past
 		}
 	}
@@ -60,19 +60,19 @@
 }
 
 // offered decides one; names are locked.
-func (t *taking) offered(k *shardmap.CustodyTable, i int, c shardmap.TransferredWebhook, w *inflight.Webhook, now api.Micros,
-	admit func(sent, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)) {
+func (t *taking) offered(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now api.Micros,
+	admit func(sent, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
 	admission, told := admit(t.s, c)
-	t.was[i] = t.names.past(c.ID)
-	reply, what := k.HandleOffer(c.ID, c.Handoff, c.TTL, now, admission == shardmap.AdmissionAccepted && w != nil)
-	if t.said[i].Reply = reply; reply == shardmap.CustodyRejected && admission != shardmap.AdmissionAccepted {
+	t.was[i] = t.names.past(c.Name)
+	reply, what := k.Offered(c.Name, c.Hand, c.TTL, now, admission == shardmap.Take && w != nil)
+	if t.said[i].Reply = reply; reply == shardmap.Refuses && admission != shardmap.Take {
 		t.said[i].Refused, t.said[i].Told = admission, told
 	}
 	switch what {
-	case shardmap.OfferTaken:
+	case shardmap.Takes:
 		w.InDoubt = true // until its record says that it came
 		t.ins, t.of = append(t.ins, w), append(t.of, i)
-	case shardmap.OfferReturnsCopy:
+	case shardmap.Back:
 		t.own = append(t.own, w.RequestID)
 	default:
 		return
@@ -92,23 +92,23 @@
 			t.said[i].Doubled = true
 		default:
 			t.side.adopts(t.ins[n].RequestID, 0)
-			t.said[i] = heard{Reply: shardmap.CustodyRejected, RetryIn: retryIn}
+			t.said[i] = heard{Reply: shardmap.Refuses, RetryIn: retryIn}
 		}
 	})
 }
 
 // settle notes what has come, before it may be called and before that is said.
-func (t *taking) settle(names []shardmap.WebhookID) {
-	var after []shardmap.WebhookID
+func (t *taking) settle(names []shardmap.Name) {
+	var after []shardmap.Name
 	for _, i := range t.of {
 		after = append(after, names[i])
 	}
-	note := func(k *shardmap.CustodyTable) {
+	note := func(k *shardmap.Known) {
 		for _, i := range t.of {
-			if w := t.was[i]; t.said[i].Reply == shardmap.CustodyRejected {
-				k.Rollback(w.name, w.record, w.known)
+			if w := t.was[i]; t.said[i].Reply == shardmap.Refuses {
+				k.Undo(w.name, w.record, w.known)
 			} else {
-				k.ConfirmStored(w.name)
+				k.Came(w.name)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		clear(t.said)
 	} else {
 		for n, i := range t.of {
-			if t.said[i].Reply == shardmap.CustodyTaken {
+			if t.said[i].Reply == shardmap.Has {
 				t.own = append(t.own, t.ins[n].RequestID)
 			}
 		}
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -14,7 +14,7 @@
 	passing := map[shardmap.MoveID]bool{}
 	for _, r := range chart.Ranges {
 		v := r.Move
-		if v.Step != shardmap.StepHandoff || v.From != f.homes.self {
+		if v.Step != shardmap.Passing || v.From != f.homes.self {
 			continue
 		}
 		o.mu.Lock()
@@ -25,7 +25,7 @@
 			continue
 		}
 		all, idle := o.decider.Learned(func(d api.DestinationID) bool {
-			return chart.Contains(r, d)
+			return chart.Holds(r, d)
 		})
 		if !idle {
 			continue
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -111,7 +111,7 @@
 
 func (t *task) homeIs(s Step) bool {
 	i, known := t.rangeAt[s.Range]
-	return known && t.ranges[i].Owner == s.To
+	return known && t.ranges[i].Home == s.To
 }
 
 // move is a move on its way to become a step, by index of range and members.
@@ -163,16 +163,16 @@
 		if !t.whole(i) {
 			of = beside
 		}
-		home, real, goal := at(r.Owner, of), at(r.Owner, index), t.members[to[i]].ID
-		if o.free[home]--; r.Move.IsOpen() {
+		home, real, goal := at(r.Home, of), at(r.Home, index), t.members[to[i]].ID
+		if o.free[home]--; r.Move.Open() {
 			o.underWay(i, r.Move, at(r.Move.From, of), at(r.Move.To, of))
 		}
-		if goal != r.Owner && !(r.Move.IsOpen() && r.Move.Step < shardmap.StepSwitched && goal == r.Move.To) {
+		if goal != r.Home && !(r.Move.Open() && r.Move.Step < shardmap.Switched && goal == r.Move.To) {
 			o.moves = append(o.moves, move{of: i, from: home, to: at(goal, of), way: Go, rules: t.by(i, real),
 				forced: t.forced(i, real)})
 		}
 	}
-	for _, v := range m.DetachedMoves {
+	for _, v := range m.Left {
 		o.head = append(o.head, move{of: -1, from: at(v.From, index), to: at(v.To, index), way: Kept, id: v.ID})
 	}
 	o.start = slices.Clone(o.free)
@@ -193,7 +193,7 @@
 // underWay takes note of a move that has begun. One that can go back does so unless it goes where it should.
 func (o *order) underWay(i int, v shardmap.Move, from, to int) {
 	way, rules := Kept, o.by(i, o.member(v.From))
-	if v.Step < shardmap.StepSwitched {
+	if v.Step < shardmap.Switched {
 		if o.members[o.to[i]].ID != v.To {
 			way, rules = Back, nil
 		} else {
--- a/cluster/rebalance/reshape.go
+++ b/cluster/rebalance/reshape.go
@@ -19,8 +19,8 @@
 		return fmt.Sprintf("range %d was split or merged", s.Range)
 	case s.Way == Split && (other != nil || s.At <= r.From || s.At > r.To):
 		return fmt.Sprintf("step %d: range %d was split elsewhere", k+1, s.Range)
-	case s.Way == Join && r.Owner != other.Owner:
-		return fmt.Sprintf("step %d: range %d is on %q, range %d on %q", k+1, s.Range, r.Owner, s.Other, other.Owner)
+	case s.Way == Join && r.Home != other.Home:
+		return fmt.Sprintf("step %d: range %d is on %q, range %d on %q", k+1, s.Range, r.Home, s.Other, other.Home)
 	}
 	return ""
 }
@@ -43,8 +43,8 @@
 		return
 	}
 	for _, r := range []*shardmap.Range{l.ranges[s.Range], l.ranges[s.Other]} {
-		if r != nil && !r.IsStable() {
-			l.out.Waits = append(l.out.Waits, Wait{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Owner,
+		if r != nil && !r.Settled() {
+			l.out.Waits = append(l.out.Waits, Wait{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Home,
 				r.ID)})
 			return
 		}
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -86,7 +86,7 @@
 // Unseen are the ranges of moves that Look has yet to take note of.
 func (t *Tally) Unseen(m *shardmap.Map) (all []shardmap.Range) {
 	for _, r := range m.Ranges {
-		if r.Move.IsOpen() && t.moves[r.Move.ID] == nil {
+		if r.Move.Open() && t.moves[r.Move.ID] == nil {
 			all = append(all, r)
 		}
 	}
@@ -103,11 +103,11 @@
 	}
 	if t.placed = t.placed || len(m.Groups) > 0; t.placed {
 		for d, c := range t.dests {
-			c.hash = m.KeyOf(d)
+			c.hash = m.Key(d)
 		}
 	}
 	for _, r := range m.Ranges {
-		if r.Move.IsOpen() {
+		if r.Move.Open() {
 			t.watch(Watch{r.Move.ID, r.ID, r.From, r.To}, r, sick, now)
 		}
 	}
@@ -147,7 +147,7 @@
 func (t *Tally) Tell(number uint64, of []Watch, m *shardmap.Map, sick Sickness, now api.Micros) Report {
 	out := Report{Life: t.life}
 	for _, what := range of[:min(len(of), mostWatched)] { // whatever a message says
-		r, _ := m.RangeByID(what.Range)
+		r, _ := m.Get(what.Range)
 		w := t.watch(what, r, sick, now)
 		if w.number != number && w.number != 0 {
 			t.begin(w, r, sick)
@@ -178,7 +178,7 @@
 		if open = open || p.Stands[k] != Through; s.Move == 0 || s.Way == Back || p.Stands[k] == Waits {
 			continue
 		}
-		if r, ok := m.RangeByID(s.Range); ok {
+		if r, ok := m.Get(s.Range); ok {
 			all = append(all, Watch{s.Move, r.ID, r.From, r.To})
 		}
 	}
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -63,18 +63,18 @@
 	d.setParts()
 }
 
-func (d *dispatcher) tenant() shardmap.LocalMember {
+func (d *dispatcher) tenant() shardmap.Tenant {
 	b, now := d.member, d.m.now
-	return shardmap.LocalMember{Member: b.name, Isolated: shardmap.IsolationSuspected(b.over, now, d.m.plan.Homes.Term.us()),
-		HeldEpoch: func(t cluster.Task) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
+	return shardmap.Tenant{Member: b.name, Alone: shardmap.Deserted(b.over, now, d.m.plan.Homes.Term.us()),
+		Epoch: func(t cluster.Task) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
 }
 
 // verdict is what this dispatcher does with webhooks of a destination, now.
-func (d *dispatcher) verdict(dest api.DestinationID) shardmap.Decision {
+func (d *dispatcher) verdict(dest api.DestinationID) shardmap.Verdict {
 	if d.member.chart == nil {
-		return shardmap.Decision{Action: shardmap.ParkUnmapped}
+		return shardmap.Verdict{Do: shardmap.Keep}
 	}
-	return d.member.chart.DecideKey(d.tenant(), d.m.homes.keys[dest])
+	return d.member.chart.MayServe(d.tenant(), d.m.homes.keys[dest])
 }
 
 // serves is whether a webhook may be called from here, now.
