--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -74,12 +74,12 @@
 }
 
 // Groups are where the sites' subscribers stand among the ranges.
-func (f *File) Groups() (all []shardmap.Group) {
+func (f *File) Groups() (all []shardmap.PlacementGroup) {
 	for _, s := range f.Sites {
 		if len(s.Subscribers) > 0 {
-			all = append(all, shardmap.Group{At: cluster.SiteHash(s.ID), Of: s.Subscribers})
+			all = append(all, shardmap.PlacementGroup{Key: cluster.SiteHash(s.ID), Destinations: s.Subscribers})
 		}
 	}
-	slices.SortFunc(all, func(a, b shardmap.Group) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(all, func(a, b shardmap.PlacementGroup) int { return cmp.Compare(a.Key, b.Key) })
 	return all
 }
--- a/cluster/fsm/past_test.go
+++ b/cluster/fsm/past_test.go
@@ -63,18 +63,18 @@
 // BenchmarkChange is one step of one move among 4,096 ranges: bytes to each member beside the whole.
 func BenchmarkChange(b *testing.B) {
 	m := shardmap.New(nil)
-	all := []shardmap.Weight{}
+	all := []shardmap.MemberWeight{}
 	for i := range 300 {
-		all = append(all, shardmap.Weight{Member: cluster.MemberID(fmt.Sprint("m", i)), Weight: 1})
+		all = append(all, shardmap.MemberWeight{Member: cluster.MemberID(fmt.Sprint("m", i)), Weight: 1})
 	}
-	m.Ranges, _ = shardmap.Even(4096, all)
+	m.Ranges, _ = shardmap.EvenRanges(4096, all)
 	for i := range m.Ranges {
-		m.Ranges[i].Epoch, m.Ranges[i].Standing = 1000, shardmap.Seated
+		m.Ranges[i].Epoch, m.Ranges[i].Status = 1000, shardmap.OwnerServing
 	}
 	m.Version = 70_000
 	before, _ := m.Snapshot()
 	m.Version++
-	m.Ranges[1234].Move = shardmap.Move{ID: 70_001, From: m.Ranges[1234].Home, To: "m17", Step: shardmap.Planned}
+	m.Ranges[1234].Move = shardmap.Move{ID: 70_001, From: m.Ranges[1234].Owner, To: "m17", Step: shardmap.StepPlanned}
 	after, _ := m.Snapshot()
 	var c []byte
 	b.Run("made", func(b *testing.B) {
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -20,7 +20,7 @@
 type Coordinator struct {
 	ownership       *Ownership
 	health          *Reporter
-	vacancies       *shardmap.Vacancies
+	vacancies       *shardmap.FailoverPlanner
 	leases          *lease.Book
 	progress        *rebalance.Progress
 	epoch           cluster.Epoch // since when it conducts
@@ -34,7 +34,7 @@
 // by the same file, too, but only by one read after it was stopped, by whoever conducts.
 type PlanRequest struct {
 	Text    []byte
-	Groups  []shardmap.Group // its sites' subscribers
+	Groups  []shardmap.PlacementGroup // its sites' subscribers
 	Fresh   bool
 	Resumes uint64
 }
@@ -48,12 +48,12 @@
 }
 
 // Run does what is due; it tells whether the wish has come into the log.
-func (c *Coordinator) Run(w PlanRequest, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
+func (c *Coordinator) Run(w PlanRequest, members []shardmap.Candidate, parts int, now api.Micros) (adopted bool) {
 	epoch, held := c.ownership.session.Holds(cluster.Conducts)
 	chart := c.ownership.Map()
 	c.leaderUnreached = false
 	if !held || c.leases == nil {
-		c.vacancies.Forget()
+		c.vacancies.Reset()
 		c.epoch = 0
 		return false
 	}
@@ -61,29 +61,29 @@
 		c.epoch, c.idleSince = epoch, now
 		slog.Info("conducts", "epoch", epoch)
 	}
-	by := shardmap.Conductor(epoch)
+	by := shardmap.Coordinator(epoch)
 	if chart == nil || len(chart.Ranges) == 0 {
-		var weights []shardmap.Weight
+		var weights []shardmap.MemberWeight
 		for _, m := range members {
-			weights = append(weights, m.Weight)
+			weights = append(weights, m.MemberWeight)
 		}
-		c.propose("first map", by.First(parts, weights))
+		c.propose("first map", by.Initialize(parts, weights))
 		return false
 	}
 	alive := map[cluster.MemberID]bool{}
 	for _, s := range c.leases.Sessions() {
 		alive[c.leases.MemberOf(s)] = true
 	}
-	if takes := c.vacancies.Takes(chart, c.leases, alive, c.remainingMembers(members, alive), now); len(takes) > 0 {
-		c.propose("homes given anew", by.Lost(takes), "ranges", len(takes))
+	if takes := c.vacancies.PlanTakeovers(chart, c.leases, alive, c.remainingMembers(members, alive), now); len(takes) > 0 {
+		c.propose("homes given anew", by.FailOver(takes), "ranges", len(takes))
 		return false // the next map tells
 	}
-	if (w.Fresh || len(chart.Groups) == 0) && !shardmap.SameGroups(w.Groups, chart.Groups) {
+	if (w.Fresh || len(chart.Groups) == 0) && !shardmap.EqualPlacements(w.Groups, chart.Groups) {
 		c.propose("destinations placed", by.Place(w.Groups), "sites", len(w.Groups))
 		return false // what a plan makes of destinations is by where they stand
 	}
-	if slices.ContainsFunc(chart.Strays, c.isGrantEnded) {
-		c.propose("grants over that destinations strayed from", by.Sweep())
+	if slices.ContainsFunc(chart.Misplaced, c.isGrantEnded) {
+		c.propose("grants over that destinations strayed from", by.SweepMisplaced())
 	}
 	c.advanceMoves(by, chart, now)
 	adopted = c.adopt(w, chart)
@@ -92,14 +92,14 @@
 }
 
 // isGrantEnded is whether a stray's grant is held no more.
-func (c *Coordinator) isGrantEnded(s shardmap.Stray) bool {
-	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(s.Under.Range))
-	return !held || epoch != s.Under.Epoch
+func (c *Coordinator) isGrantEnded(s shardmap.MisplacedDestination) bool {
+	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(s.Grant.Range))
+	return !held || epoch != s.Grant.Epoch
 }
 
 // remainingMembers are those whom the running plan does not want to leave; all, where no other is alive. Guards
 // against a lost home's range given to a member that leaves, behind steps that are through.
-func (c *Coordinator) remainingMembers(members []shardmap.Able, alive map[cluster.MemberID]bool) (stay []shardmap.Able) {
+func (c *Coordinator) remainingMembers(members []shardmap.Candidate, alive map[cluster.MemberID]bool) (stay []shardmap.Candidate) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return members
 	}
@@ -121,18 +121,18 @@
 }
 
 // advanceMoves takes moves on to the step at which the target and the source do the rest.
-func (c *Coordinator) advanceMoves(by shardmap.Conductor, chart *shardmap.Map, now api.Micros) {
+func (c *Coordinator) advanceMoves(by shardmap.Coordinator, chart *shardmap.Map, now api.Micros) {
 	under := 0
 	for _, r := range chart.Ranges {
-		if !r.Move.Open() {
+		if !r.Move.IsOpen() {
 			continue
 		}
 		under++
 		switch r.Move.Step {
-		case shardmap.Planned:
-			c.propose("move warms", by.Step(r.Move.ID, shardmap.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
-		case shardmap.Warming:
-			c.propose("move passes", by.Step(r.Move.ID, shardmap.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.StepPlanned:
+			c.propose("move warms", by.AdvanceMove(r.Move.ID, shardmap.StepWarming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.StepWarming:
+			c.propose("move passes", by.AdvanceMove(r.Move.ID, shardmap.StepHandoff), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 		}
 	}
 	if under < c.openMoves {
@@ -167,8 +167,8 @@
 	p, err := rebalance.NewPlan(f, chart, nil)
 	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) { // the file is taken up once that has ended
-		if moving.Move.Step < shardmap.Switched {
-			c.propose("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
+		if moving.Move.Step < shardmap.StepSwitched {
+			c.propose("move goes back", shardmap.Coordinator(c.epoch).RevertMove(moving.Move.ID), "move", moving.Move.ID, "why", err)
 		}
 		return false
 	}
@@ -180,7 +180,7 @@
 }
 
 // runPlan does what the running plan asks for now.
-func (c *Coordinator) runPlan(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
+func (c *Coordinator) runPlan(by shardmap.Coordinator, chart *shardmap.Map, alive map[cluster.MemberID]bool,
 	now api.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
@@ -196,9 +196,9 @@
 	for _, a := range out.Actions {
 		switch a.Kind {
 		case rebalance.ActionStart:
-			c.propose("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
+			c.propose("move planned", by.PlanMove(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
 		case rebalance.ActionRollBack:
-			c.propose("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Reason)
+			c.propose("move goes back", by.RevertMove(a.Move), "move", a.Move, "why", a.Reason)
 		case rebalance.ActionRecordState:
 			c.propose("plan's step", says.RecordState(c.progress.Number, a.Step, a.State, a.Move), "step", a.Step)
 		case rebalance.ActionStop:
--- a/cluster/member/counts.go
+++ b/cluster/member/counts.go
@@ -11,13 +11,13 @@
 // inRange is whether a webhook's destination lies in a range.
 func (o *Handoff) inRange(r shardmap.Range) func(*inflight.Webhook) bool {
 	chart := o.forwarding.ownership.Map()
-	return func(w *inflight.Webhook) bool { return chart.Holds(r, w.Destination) }
+	return func(w *inflight.Webhook) bool { return chart.Contains(r, w.Destination) }
 }
 
 // PendingOffer counts calls out of a range.
 func (o *Handoff) CallsInFlight(r shardmap.Range) int {
 	chart := o.forwarding.ownership.Map()
-	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return chart.Counts(r, w.Destination) })
+	_, out := o.decider.Owes(func(w *inflight.Webhook) bool { return chart.CountsToward(r, w.Destination) })
 	return out
 }
 
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -16,8 +16,8 @@
 // inDoubt is one webhook that another member may have, as it stands when that is asked.
 type inDoubt struct {
 	eventloop.Owed
-	name shardmap.Name
-	hand shardmap.Hand
+	name shardmap.WebhookID
+	hand shardmap.HandoffNumber
 	out  shardmap.Offer
 }
 
@@ -30,15 +30,15 @@
 		name := NameOf(w.RequestID)
 		if out, hand, is := f.custody.PendingOffer(name); is && out.To == at {
 			doubts = append(doubts, inDoubt{w, name, hand, out})
-			asks = append(asks, CustodyQuery{Name: name, Hand: hand, TTLLeft: w.TTL - now, Incarnation: out.Life})
+			asks = append(asks, CustodyQuery{Name: name, Hand: hand, TTLLeft: w.TTL - now, Incarnation: out.Incarnation})
 		}
 	}
 	if len(asks) == 0 {
 		return
 	}
-	replies := make([]shardmap.Reply, len(asks))
+	replies := make([]shardmap.CustodyReply, len(asks))
 	status, raw, err := f.client.Say(at, QueryPath, transport.Encode(asks), inflight.Span(f.ownership.leaseTTL/4))
-	var said []shardmap.Reply
+	var said []shardmap.CustodyReply
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &said)
 	}
@@ -53,26 +53,26 @@
 }
 
 // resolveInDoubt does what a reply says, or what holds where there is none.
-func (o *Handoff) resolveInDoubt(d inDoubt, r shardmap.Reply) {
+func (o *Handoff) resolveInDoubt(d inDoubt, r shardmap.CustodyReply) {
 	names, now := o.forwarding.custody, inflight.Now()
-	what := d.out.Settle(r, o.isOwnerReplaced(d), o.eventType(d.Event), d.MayRun, d.TTL, now)
-	is := func(k *shardmap.Known) bool { // nothing else was heard meanwhile
-		_, hand, out := k.Out(d.name)
+	what := d.out.Resolve(r, o.isOwnerReplaced(d), o.eventType(d.Event), d.MayRun, d.TTL, now)
+	is := func(k *shardmap.CustodyTable) bool { // nothing else was heard meanwhile
+		_, hand, out := k.OutstandingOffer(d.name)
 		return out && hand == d.hand
 	}
 	still := false
 	switch what {
-	case shardmap.Wait:
+	case shardmap.StayInDoubt:
 		return
-	case shardmap.Drop:
-		names.UpdateUnsynced(func(k *shardmap.Known) {
-			if still = k.Heard(d.name, d.hand, shardmap.Has) == shardmap.Drop; still { // its end first
+	case shardmap.DropCopy:
+		names.UpdateUnsynced(func(k *shardmap.CustodyTable) {
+			if still = k.HandleReply(d.name, d.hand, shardmap.CustodyTaken) == shardmap.DropCopy; still { // its end first
 				o.decider.Passed([]api.WebhookID{d.ID})
 			}
 		})
-	case shardmap.Own:
-		err := names.Update([]shardmap.Name{d.name}, func(k *shardmap.Known) {
-			still = k.Heard(d.name, d.hand, shardmap.Never) == shardmap.Own
+	case shardmap.KeepCopy:
+		err := names.Update([]shardmap.WebhookID{d.name}, func(k *shardmap.CustodyTable) {
+			still = k.HandleReply(d.name, d.hand, shardmap.CustodyNever) == shardmap.KeepCopy
 		})
 		if still = still && err == nil; still {
 			o.decider.Settled([]inflight.RequestID{d.RequestID})
@@ -82,19 +82,19 @@
 		if !o.decider.Returned(ran) { // first, so that a restart finds it
 			return
 		}
-		err := names.Update([]shardmap.Name{d.name}, func(k *shardmap.Known) {
+		err := names.Update([]shardmap.WebhookID{d.name}, func(k *shardmap.CustodyTable) {
 			if still = is(k); still {
-				k.Forked(d.name)
+				k.Fork(d.name)
 			}
 		})
-		if still = still && err == nil; still && what == shardmap.Anew {
+		if still = still && err == nil; still && what == shardmap.ForkCopy {
 			o.decider.Settled([]inflight.RequestID{d.RequestID})
 		} else if still {
 			o.decider.GiveUp(d.ID)
 		}
 	}
 	if still {
-		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != shardmap.Drop, "at", d.out.To, "said", r)
+		slog.Info("doubt settled", "webhook", d.RequestID, "ours", what != shardmap.DropCopy, "at", d.out.To, "said", r)
 		o.wake()
 	}
 }
@@ -106,7 +106,7 @@
 	if chart == nil {
 		return false
 	}
-	r, ok := chart.Of(chart.Key(d.Destination))
-	return ok && len(chart.StraysOf(d.Destination)) == 0 && r.Epoch > d.out.Epoch && r.Home != d.out.To &&
-		!(r.Move.Open() && r.Move.To == d.out.To)
+	r, ok := chart.RangeOf(chart.KeyOf(d.Destination))
+	return ok && len(chart.MisplacedOf(d.Destination)) == 0 && r.Epoch > d.out.Epoch && r.Owner != d.out.To &&
+		!(r.Move.IsOpen() && r.Move.To == d.out.To)
 }
--- a/cluster/member/encoded_test.go
+++ b/cluster/member/encoded_test.go
@@ -19,8 +19,8 @@
 // a renamed field.
 func TestEncodedForms(t *testing.T) {
 	for name, values := range map[string][]any{
-		"custody": {shardmap.Record{}},
-		"handoff": {Transfer{}, TransferReply{}, []CustodyQuery{}, []shardmap.Reply{}},
+		"custody": {shardmap.CustodyRecord{}},
+		"handoff": {Transfer{}, TransferReply{}, []CustodyQuery{}, []shardmap.CustodyReply{}},
 		"health":  {Query{}, rebalance.Report{}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -30,7 +30,7 @@
 	maxClockDrift float64
 
 	mu           sync.Mutex
-	clockOffsets map[cluster.MemberID]*shardmap.Clock
+	clockOffsets map[cluster.MemberID]*shardmap.ClockOffset
 	incarnations map[cluster.MemberID]uint64 // of their folders, as told last
 }
 
@@ -55,13 +55,13 @@
 			return what, retryIn
 		}
 		how := retryLater
-		if v.Do == shardmap.Forward {
+		if v.Action == shardmap.Forward {
 			what, retryIn, how = f.offerToOwner(w, v)
 		}
 		switch {
 		case how == answeredByOwner:
 			return what, retryIn
-		case how == keptHere, v.Do == shardmap.Forward && !f.handoff.IsOrdered(w):
+		case how == keptHere, v.Action == shardmap.Forward && !f.handoff.IsOrdered(w):
 			return here()
 		case inflight.Now() > until: // rejected, and told when the switch should be through
 			return inflight.Rejected, inflight.AnswerWithin
@@ -72,12 +72,12 @@
 
 // acceptHere takes on here what belongs here, or what has to wait here for an earlier one of its key, unless the
 // range is shut: guards against what comes after the last count before a switch.
-func (f *forwarder) acceptHere(w *inflight.Webhook, here AcceptFunc) (v shardmap.Verdict, what inflight.Answer,
+func (f *forwarder) acceptHere(w *inflight.Webhook, here AcceptFunc) (v shardmap.Decision, what inflight.Answer,
 	retryIn api.Micros, kept bool) {
 	f.ownership.admissionMu.RLock()
 	defer f.ownership.admissionMu.RUnlock()
 	v = f.ownership.Verdict(w.Destination)
-	if f.ownership.IsClosed(v) || v.Do == shardmap.Forward && !f.handoff.decider.Follows(w) {
+	if f.ownership.IsClosed(v) || v.Action == shardmap.Forward && !f.handoff.decider.Follows(w) {
 		return v, 0, 0, false
 	}
 	what, retryIn = here()
@@ -85,12 +85,12 @@
 }
 
 // offerToOwner offers a client's webhook to its home.
-func (f *forwarder) offerToOwner(w *inflight.Webhook, v shardmap.Verdict) (inflight.Answer, api.Micros, forwardOutcome) {
+func (f *forwarder) offerToOwner(w *inflight.Webhook, v shardmap.Decision) (inflight.Answer, api.Micros, forwardOutcome) {
 	hand := f.custody.NextHand(NameOf(w.RequestID))
 	for hops := 0; ; hops++ {
 		at := inflight.Now()
-		hs, life, err := f.Send(v.To, WebhookPath, Transfer{MapVersion: v.Version, SentAt: at,
-			Webhooks: []shardmap.Carried{NewCarried(w, hand, 0, api.Never, 0)}}, inflight.AnswerWithin/hopDivisor, true)
+		hs, life, err := f.Send(v.Owner, WebhookPath, Transfer{MapVersion: v.Version, SentAt: at,
+			Webhooks: []shardmap.TransferredWebhook{NewCarried(w, hand, 0, api.Never, 0)}}, inflight.AnswerWithin/hopDivisor, true)
 		h := Outcome{}
 		if err == nil {
 			h = hs[0]
@@ -98,24 +98,24 @@
 		switch {
 		case errors.Is(err, transport.ErrNotSent):
 			return 0, 0, keptHere
-		case err != nil || h.Reply == shardmap.Silent || h.Reply == shardmap.Forgot:
-			if !f.keepInDoubt(w, hand, shardmap.Offer{To: v.To, Life: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
+		case err != nil || h.Reply == shardmap.CustodyUnknown || h.Reply == shardmap.CustodyStateLost:
+			if !f.keepInDoubt(w, hand, shardmap.Offer{To: v.Owner, Incarnation: life, Range: v.Range, Epoch: v.Epoch, SentAt: at}) {
 				return inflight.Taken, 0, answeredByOwner
 			}
 			return 0, 0, keptHere
 		case h.Duplicate:
 			return inflight.Doubled, 0, answeredByOwner
-		case h.Reply == shardmap.Has:
+		case h.Reply == shardmap.CustodyTaken:
 			f.ownership.session.Forwarded.Add(1)
 			return inflight.Taken, 0, answeredByOwner
-		case h.Reply == shardmap.Refuses && h.Admission == 0:
+		case h.Reply == shardmap.CustodyRejected && h.Admission == 0:
 			return inflight.Rejected, h.RetryAfter, answeredByOwner
-		case h.Reply == shardmap.Never: // its time is up: here it ends
+		case h.Reply == shardmap.CustodyNever: // its time is up: here it ends
 			return 0, 0, keptHere
-		case !shardmap.Again(v, h.Verdict, h.Admission, hops):
+		case !shardmap.ShouldFollowRedirect(v, h.Verdict, h.Admission, hops):
 			return 0, 0, retryLater
 		}
-		h.Verdict.Do = shardmap.Forward
+		h.Verdict.Action = shardmap.Forward
 		v = h.Verdict
 	}
 }
@@ -164,11 +164,11 @@
 // keepInDoubt has a webhook kept here that its home may have: nobody here calls before that is settled, after a
 // restart either. Where that can't be written, the restart finds that it may have run. false: it has come
 // back here by now, and is held.
-func (f *forwarder) keepInDoubt(w *inflight.Webhook, hand shardmap.Hand, o shardmap.Offer) (kept bool) {
+func (f *forwarder) keepInDoubt(w *inflight.Webhook, hand shardmap.HandoffNumber, o shardmap.Offer) (kept bool) {
 	slog.Warn("webhook in doubt: its home gave no answer", "webhook", w.RequestID, "home", o.To)
 	f.ownership.session.InDoubt.Add(1)
 	name := NameOf(w.RequestID)
-	err := f.custody.Update([]shardmap.Name{name}, func(k *shardmap.Known) { kept = k.Sent(name, hand, w.TTL, o) })
+	err := f.custody.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { kept = k.RecordUnansweredForward(name, hand, w.TTL, o) })
 	if w.InDoubt, w.Keep = true, true; err != nil {
 		w.Past, kept = &inflight.Past{Attempts: 1, MayRun: o.SentAt}, true
 	}
--- a/cluster/member/gate.go
+++ b/cluster/member/gate.go
@@ -11,11 +11,11 @@
 
 func (g admission) Calls(dest api.DestinationID, ordered bool) bool {
 	may, asRelay := g.m.sites.Calls(dest)
-	return may && (asRelay || g.m.ownership.Verdict(dest).Calls(ordered))
+	return may && (asRelay || g.m.ownership.Verdict(dest).AllowsCall(ordered))
 }
 
 func (g admission) Part(dest api.DestinationID) float64 {
-	return g.m.sites.Part(dest, g.m.ownership.Verdict(dest).Part(int(g.m.memberCount.Load())))
+	return g.m.sites.Part(dest, g.m.ownership.Verdict(dest).RateShare(int(g.m.memberCount.Load())))
 }
 
 func (g admission) Doubts(of inflight.RequestID) bool { return g.m.custody.IsInDoubt(of) }
--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -92,10 +92,10 @@
 // Only a home's word counts, as others have no calls to know it by.
 func (h *Reporter) findUnhealthy(of []shardmap.Range) rebalance.UnhealthyFunc {
 	in := func(r shardmap.Range, d api.DestinationID) bool {
-		return r.Home == h.self && h.ownership.Map().Holds(r, d)
+		return r.Owner == h.self && h.ownership.Map().Contains(r, d)
 	}
 	found := make(chan []api.Learned, 1)
-	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
+	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Owner == h.self }) {
 		go func() {
 			all, _ := h.decider.Learned(func(d api.DestinationID) bool {
 				return slices.ContainsFunc(of, func(r shardmap.Range) bool { return in(r, d) })
@@ -127,7 +127,7 @@
 	}
 	var of []shardmap.Range
 	for _, w := range a.Watches {
-		if r, ok := chart.Get(w.Range); ok {
+		if r, ok := chart.RangeByID(w.Range); ok {
 			of = append(of, r)
 		}
 	}
--- a/cluster/member/harm_test.go
+++ b/cluster/member/harm_test.go
@@ -18,9 +18,9 @@
 // Each end counts once and as what it was, a rejection where its client heard of it: guards against harm that
 // is done and not seen, and against a plan stopped for what a home and an entry both count.
 func TestEachEndCountsOnceAsWhatItWas(t *testing.T) {
-	even, err := shardmap.Even(1, []shardmap.Weight{{Member: "b", Weight: 1}})
+	even, err := shardmap.EvenRanges(1, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(t, err)
-	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.Planned}
+	even[0].Move = shardmap.Move{ID: 5, From: "b", To: "c", Step: shardmap.StepPlanned}
 	chart := &shardmap.Map{Ranges: even}
 	h := &Reporter{self: "a", ownership: &Ownership{}, tally: rebalance.NewImpactMeter(1, api.Second, 0),
 		now: func() api.Micros { return 0 }}
@@ -60,7 +60,7 @@
 
 // Whatever a message says, it is refused or answered: guards against a member ended by what another sends.
 func FuzzHear(f *testing.F) {
-	even, err := shardmap.Even(2, []shardmap.Weight{{Member: "b", Weight: 1}})
+	even, err := shardmap.EvenRanges(2, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
 	f.Add(transport.Encode(Query{1, []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -14,41 +14,41 @@
 
 // HandleWebhook takes a webhook that its entry sent here, or says where it goes.
 func (f *forwarder) HandleWebhook(ctx *fasthttp.RequestCtx) {
-	f.receive(ctx, func(s Transfer, c shardmap.Carried) (admission shardmap.Admission, v shardmap.Verdict) {
+	f.receive(ctx, func(s Transfer, c shardmap.TransferredWebhook) (admission shardmap.Admission, v shardmap.Decision) {
 		if chart := f.ownership.Map(); chart != nil {
 			return f.admit(chart, s, c)
 		}
-		return shardmap.Behind, v
+		return shardmap.AdmissionMapStale, v
 	})
 }
 
 // admit guards against a webhook taken on by a move's source that has let go, or is about to, which the next
 // one of its key, sent to the target, overtakes: its sender keeps it.
-func (f *forwarder) admit(chart *shardmap.Map, s Transfer, c shardmap.Carried) (shardmap.Admission, shardmap.Verdict) {
-	admission, v := chart.AdmitOf(f.ownership.Claimant(), c.Dest, s.MapVersion)
+func (f *forwarder) admit(chart *shardmap.Map, s Transfer, c shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
+	admission, v := chart.AdmitDestination(f.ownership.Claimant(), c.Destination, s.MapVersion)
 	_, held := f.ownership.session.Holds(cluster.HomeOf(v.Range))
-	if admission == shardmap.Take && v.Passes.Open() && (!held || f.ownership.IsClosed(v)) {
-		admission = shardmap.Behind
+	if admission == shardmap.AdmissionAccepted && v.Move.IsOpen() && (!held || f.ownership.IsClosed(v)) {
+		admission = shardmap.AdmissionMapStale
 	}
 	return admission, v
 }
 
 // HandleTransfer takes what another member owes and hands on: by a move, or since the home is here.
 func (f *forwarder) HandleTransfer(ctx *fasthttp.RequestCtx) {
-	f.receive(ctx, func(s Transfer, c shardmap.Carried) (admission shardmap.Admission, v shardmap.Verdict) {
+	f.receive(ctx, func(s Transfer, c shardmap.TransferredWebhook) (admission shardmap.Admission, v shardmap.Decision) {
 		chart := f.ownership.Map()
 		switch {
 		case chart == nil:
-			return shardmap.Behind, v
+			return shardmap.AdmissionMapStale, v
 		case s.Move == 0:
 			return f.admit(chart, s, c)
 		}
-		return chart.Passes(s.Move, f.ownership.self), v
+		return chart.AdmitTransfer(s.Move, f.ownership.self), v
 	})
 }
 
-func (f *forwarder) receive(ctx *fasthttp.RequestCtx, admit func(Transfer, shardmap.Carried) (shardmap.Admission,
-	shardmap.Verdict)) {
+func (f *forwarder) receive(ctx *fasthttp.RequestCtx, admit func(Transfer, shardmap.TransferredWebhook) (shardmap.Admission,
+	shardmap.Decision)) {
 	var s Transfer
 	if err := transport.Decode(ctx.Request.Body(), &s); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -62,7 +62,7 @@
 	lag := f.clockOffset(transport.From(ctx), s.SentAt)
 	f.handoff.ApplyState(s.Learned, lag)
 	for i, c := range s.Webhooks {
-		s.Webhooks[i] = c.Shifted(lag)
+		s.Webhooks[i] = c.WithClockShift(lag)
 	}
 	f.ownership.admissionMu.RLock() // until what is admitted is in
 	defer f.ownership.admissionMu.RUnlock()
@@ -77,9 +77,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.clockOffsets[from] == nil {
-		f.clockOffsets[from] = &shardmap.Clock{}
+		f.clockOffsets[from] = &shardmap.ClockOffset{}
 	}
-	return f.clockOffsets[from].Heard(sentAt, inflight.Now(), f.maxClockDrift)
+	return f.clockOffsets[from].Observe(sentAt, inflight.Now(), f.maxClockDrift)
 }
 
 // HandleQuery answers a member in doubt. A no is kept: what is still on its way comes in vain.
@@ -89,19 +89,19 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	replies, names, now := make([]shardmap.Reply, len(all)), make([]shardmap.Name, len(all)), inflight.Now()
+	replies, names, now := make([]shardmap.CustodyReply, len(all)), make([]shardmap.WebhookID, len(all)), inflight.Now()
 	for i, a := range all {
 		switch names[i] = a.Name; {
 		case a.Incarnation == 0: // sent before any life was known: no folder takes that
-			replies[i] = shardmap.Never
+			replies[i] = shardmap.CustodyNever
 		case a.Incarnation != f.custody.Incarnation:
-			replies[i] = shardmap.Forgot
+			replies[i] = shardmap.CustodyStateLost
 		}
 	}
-	err := f.custody.Update(names, func(k *shardmap.Known) {
+	err := f.custody.Update(names, func(k *shardmap.CustodyTable) {
 		for i, a := range all {
-			if replies[i] == shardmap.Silent {
-				replies[i], _ = k.Asked(a.Name, a.Hand, now+a.TTLLeft)
+			if replies[i] == shardmap.CustodyUnknown {
+				replies[i], _ = k.HandleQuery(a.Name, a.Hand, now+a.TTLLeft)
 			}
 		}
 	})
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -58,27 +58,27 @@
 }
 
 // Claimant is this member as far as its right to call goes.
-func (h *Ownership) Claimant() shardmap.Tenant {
-	return shardmap.Tenant{Member: h.self, Epoch: h.session.Holds,
-		Alone: shardmap.Deserted(api.Micros(h.inactiveSince.Load()), h.now(), h.leaseTTL)}
+func (h *Ownership) Claimant() shardmap.LocalMember {
+	return shardmap.LocalMember{Member: h.self, HeldEpoch: h.session.Holds,
+		Isolated: shardmap.IsolationSuspected(api.Micros(h.inactiveSince.Load()), h.now(), h.leaseTTL)}
 }
 
 // Verdict is what this member does with webhooks of a destination, now.
-func (h *Ownership) Verdict(d api.DestinationID) shardmap.Verdict {
+func (h *Ownership) Verdict(d api.DestinationID) shardmap.Decision {
 	chart := h.shardMap.Load()
 	if chart == nil {
-		return shardmap.Verdict{Do: shardmap.Keep}
+		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return chart.VerdictOf(h.Claimant(), d)
+	return chart.DecideDestination(h.Claimant(), d)
 }
 
 // VerdictForKey is the same for whatever stands at a place among the ranges.
-func (h *Ownership) VerdictForKey(key cluster.KeyHash) shardmap.Verdict {
+func (h *Ownership) VerdictForKey(key cluster.KeyHash) shardmap.Decision {
 	chart := h.shardMap.Load()
 	if chart == nil {
-		return shardmap.Verdict{Do: shardmap.Keep}
+		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return chart.MayServe(h.Claimant(), key)
+	return chart.DecideKey(h.Claimant(), key)
 }
 
 // Reconcile does what the map and the grants ask for now; it is called whenever one of them changed, and now and
@@ -98,28 +98,28 @@
 		switch {
 		case held && h.mayLeave(r):
 			h.releaseRange(r, task, epoch)
-		case !held && r.Wants(h.self):
+		case !held && r.ShouldAcquire(h.self):
 			h.session.Acquire(task)
 		case !held:
 			h.session.CancelAcquire(task)
-		case held && r.Home == h.self && epoch > r.Epoch && r.Move.Step != shardmap.Passing:
-			say("home taken", r, shardmap.Home(r.ID, h.self, epoch, chart.Version))
-		case held && r.Move.Step == shardmap.Passing && r.Move.To == h.self:
-			say("home switched", r, shardmap.Switch(r.Move.ID, r.ID, h.self, epoch))
+		case held && r.Owner == h.self && epoch > r.Epoch && r.Move.Step != shardmap.StepHandoff:
+			say("home taken", r, shardmap.ConfirmOwner(r.ID, h.self, epoch, chart.Version))
+		case held && r.Move.Step == shardmap.StepHandoff && r.Move.To == h.self:
+			say("home switched", r, shardmap.SwitchOwner(r.Move.ID, r.ID, h.self, epoch))
 		}
-		if r.Move.Step == shardmap.Switched && h.mustClear(r.Move) && h.local.InDoubt(r.Move.ID) == 0 {
-			say("move cleared", r, shardmap.Clear(r.Move.ID, h.self))
+		if r.Move.Step == shardmap.StepSwitched && h.mustClear(r.Move) && h.local.InDoubt(r.Move.ID) == 0 {
+			say("move cleared", r, shardmap.ClearMove(r.Move.ID, h.self))
 		}
 	}
-	for u, of := range chart.StrayedFrom(h.Claimant()) {
+	for u, of := range chart.MisplacedByGrant(h.Claimant()) {
 		if h.local.CallsInFlightTo(of) == 0 {
-			say("destinations let go", shardmap.Range{ID: u.Range}, shardmap.Seen(u.Range, u.Epoch, chart.Version))
+			say("destinations let go", shardmap.Range{ID: u.Range}, shardmap.ConfirmPlacement(u.Range, u.Epoch, chart.Version))
 		}
 	}
 	h.reopenRanges(chart)
-	for _, v := range chart.Left {
+	for _, v := range chart.DetachedMoves {
 		if h.mustClear(v) && h.local.InDoubt(v.ID) == 0 {
-			say("move cleared", shardmap.Range{Move: v}, shardmap.Clear(v.ID, h.self))
+			say("move cleared", shardmap.Range{Move: v}, shardmap.ClearMove(v.ID, h.self))
 		}
 	}
 }
@@ -128,13 +128,13 @@
 // at the next look.
 func (h *Ownership) releaseRange(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
 	out, owed := h.local.CallsInFlight(r), h.local.PendingWebhooks(r)
-	if h.local.StateTransferred(r) && r.Shuts(h.self, out, owed, MaxBatch) && h.closeAdmission(r) {
+	if h.local.StateTransferred(r) && r.ShouldCloseIntake(h.self, out, owed, MaxBatch) && h.closeAdmission(r) {
 		return
 	}
 	s, shut := h.closures.Load(r.ID)
 	shut = shut && s.(closure).move == r.Move.ID
-	passes := r.Move.Step == shardmap.Passing && r.Home == h.self
-	if r.LetsGo(h.self, out, owed) && (shut || !passes) {
+	passes := r.Move.Step == shardmap.StepHandoff && r.Owner == h.self
+	if r.ShouldRelease(h.self, out, owed) && (shut || !passes) {
 		h.session.Release(task)
 		slog.Info("home let go", "range", r.ID, "epoch", epoch)
 	}
@@ -155,9 +155,9 @@
 }
 
 // IsClosed is whether a webhook by this verdict has to wait for the switch.
-func (h *Ownership) IsClosed(v shardmap.Verdict) bool {
+func (h *Ownership) IsClosed(v shardmap.Decision) bool {
 	s, known := h.closures.Load(v.Range)
-	return known && v.Do == shardmap.Hold && v.Passes.Open() && s.(closure).move == v.Passes.ID
+	return known && v.Action == shardmap.ParkOwned && v.Move.IsOpen() && s.(closure).move == v.Move.ID
 }
 
 // closure is since when a range is shut, for which move.
@@ -173,10 +173,10 @@
 // reopenRanges forgets ranges whose move has switched or gone back, or goes over too slowly.
 func (h *Ownership) reopenRanges(chart *shardmap.Map) {
 	h.closures.Range(func(id, is any) bool {
-		r, ok := chart.Get(id.(cluster.RangeID))
+		r, ok := chart.RangeByID(id.(cluster.RangeID))
 		s := is.(closure)
 		_, held := h.session.Holds(cluster.HomeOf(r.ID))
-		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.Passing || r.Home != h.self ||
+		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.StepHandoff || r.Owner != h.self ||
 			held && h.now()-s.since > h.leaseTTL/closureLimitDivisor {
 			h.closures.Delete(id)
 		}
@@ -186,12 +186,12 @@
 
 // mayLeave is whether a range that is held here may be on its way elsewhere: only then its calls are counted.
 func (h *Ownership) mayLeave(r shardmap.Range) bool {
-	return !r.Wants(h.self) || r.Move.Step == shardmap.Passing && r.Home == h.self
+	return !r.ShouldAcquire(h.self) || r.Move.Step == shardmap.StepHandoff && r.Owner == h.self
 }
 
 // mustClear is whether this member has yet to say that it has no copies left of a switched move.
 func (h *Ownership) mustClear(v shardmap.Move) bool {
-	return v.From == h.self && !v.FromClear || v.To == h.self && !v.ToClear
+	return v.From == h.self && !v.SourceCleared || v.To == h.self && !v.TargetCleared
 }
 
 // proposeFor proposes what one range needs, and tells whether a leader answered. A refusal means that the map went
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -20,14 +20,14 @@
 	})
 	chart := shardmap.New(nil)
 	var err error
-	chart.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
+	chart.Ranges, err = shardmap.EvenRanges(4, []shardmap.MemberWeight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
 		a.Acquire(cluster.HomeOf(r.ID))
 		holds(t, a, cluster.HomeOf(r.ID))
 	}
 	last := &chart.Ranges[3]
-	last.Home = "m2"
+	last.Owner = "m2"
 	member.Looks("a0", a, chart)()
 	keeper.mu.Lock()
 	require.Equal(t, 1, keeper.charts)
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -121,7 +121,7 @@
 		return fmt.Errorf("names of webhooks: %w", err)
 	}
 	f := &forwarder{ownership: m.ownership, exchange: d.Exchange, client: m.client, custody: m.custody, maxClockDrift: m.file.Apart,
-		clockOffsets: map[cluster.MemberID]*shardmap.Clock{}, incarnations: map[cluster.MemberID]uint64{}}
+		clockOffsets: map[cluster.MemberID]*shardmap.ClockOffset{}, incarnations: map[cluster.MemberID]uint64{}}
 	m.handoff = &Handoff{forwarding: f, decider: d.Decider, arrivals: map[inflight.RequestID]shardmap.MoveID{},
 		stateSent: map[shardmap.MoveID]bool{}, inProgress: map[cluster.MemberID]bool{}, eventType: m.eventType,
 		wake: func() { wake(m.handoffWake) }}
@@ -176,12 +176,12 @@
 
 // openCustody opens the names of webhooks, beside what the journal still owes.
 func (m *Member) openCustody() (err error) {
-	held := map[shardmap.Name]bool{}
+	held := map[shardmap.WebhookID]bool{}
 	for _, id := range m.dispatcher.Decider.Earlier() {
 		held[NameOf(id)] = true
 	}
 	m.custody, err = Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB, custodyRetentionTTLs*m.file.Term,
-		func(n shardmap.Name) bool { return held[n] })
+		func(n shardmap.WebhookID) bool { return held[n] })
 	return err
 }
 
@@ -202,7 +202,7 @@
 		slog.Error("what goes to relays not read", "why", err)
 		os.Exit(1)
 	}
-	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewVacancies(m.file.Term)}
+	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewFailoverPlanner(m.file.Term)}
 	go m.server.Serve(m.listener)
 	m.session.Watch(cluster.RangesPart, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
 	if m.raft != nil {
--- a/cluster/member/merged.go
+++ b/cluster/member/merged.go
@@ -27,7 +27,7 @@
 	defer s.mu.Unlock()
 	for _, task := range s.wishes.Wanted() {
 		if id, ok := task.Home(); ok {
-			if _, there := chart.Get(id); !there {
+			if _, there := chart.RangeByID(id); !there {
 				all = append(all, task)
 			}
 		}
--- a/cluster/member/names.go
+++ b/cluster/member/names.go
@@ -24,21 +24,21 @@
 	Incarnation uint64 // of the folder: one that was lost begins anew
 
 	mu          sync.Mutex
-	table       *shardmap.Known
+	table       *shardmap.CustodyTable
 	journal     *wal.Journal
-	entryIDs    map[shardmap.Name]api.WebhookID // the record of each
+	entryIDs    map[shardmap.WebhookID]api.WebhookID // the record of each
 	lastEntryID api.WebhookID
 	retention   api.Micros
 	lastExpiry  api.Micros
 }
 
 // NameOf is a webhook's over the whole fleet: a request id is never used twice.
-func NameOf(id inflight.RequestID) shardmap.Name {
-	return shardmap.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
+func NameOf(id inflight.RequestID) shardmap.WebhookID {
+	return shardmap.WebhookID{Incarnation: xxhash.Sum64String(string(id)), LocalID: xxhash.Sum64String("name " + string(id))}
 }
 
 // Open reads the records of an earlier life from a folder; held tells what that life still owes.
-func Open(dir string, diskMB float64, slack api.Micros, held func(shardmap.Name) bool) (*Store,
+func Open(dir string, diskMB float64, slack api.Micros, held func(shardmap.WebhookID) bool) (*Store,
 	error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,23 +51,23 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Store{Incarnation: life, journal: kept, entryIDs: map[shardmap.Name]api.WebhookID{}, retention: slack}
-	latest := map[shardmap.Name]shardmap.Record{}
+	n := &Store{Incarnation: life, journal: kept, entryIDs: map[shardmap.WebhookID]api.WebhookID{}, retention: slack}
+	latest := map[shardmap.WebhookID]shardmap.CustodyRecord{}
 	for _, e := range kept.Entries() {
-		var r shardmap.Record
+		var r shardmap.CustodyRecord
 		if err := transport.Decode(e.Taken, &r); err != nil {
 			return nil, fmt.Errorf("names of webhooks: record %d: %w", e.ID, err)
 		}
-		if was, twice := n.entryIDs[r.Name]; twice { // the process ended between the new one and the end of the old
+		if was, twice := n.entryIDs[r.ID]; twice { // the process ended between the new one and the end of the old
 			kept.End(was, nil)
 		}
-		latest[r.Name], n.lastEntryID, n.entryIDs[r.Name] = r, max(n.lastEntryID, e.ID), e.ID
+		latest[r.ID], n.lastEntryID, n.entryIDs[r.ID] = r, max(n.lastEntryID, e.ID), e.ID
 	}
-	all, was := make([]shardmap.Record, 0, len(latest)), make([]SavedRecord, 0, len(latest))
+	all, was := make([]shardmap.CustodyRecord, 0, len(latest)), make([]SavedRecord, 0, len(latest))
 	for name, r := range latest {
 		all, was = append(all, r), append(was, SavedRecord{name, r, true})
 	}
-	n.table = shardmap.NewKnown(all, held)
+	n.table = shardmap.NewCustodyTable(all, held)
 	return n, n.writeChanges(was) // guards against a next life that reads the same otherwise
 }
 
@@ -91,19 +91,19 @@
 
 // SavedRecord is a record as it was, to be put back.
 type SavedRecord struct {
-	Name   shardmap.Name
-	Record shardmap.Record
+	Name   shardmap.WebhookID
+	Record shardmap.CustodyRecord
 	Known  bool
 }
 
-func (n *Store) SaveRecord(name shardmap.Name) SavedRecord {
-	r, known := n.table.Record(name)
+func (n *Store) SaveRecord(name shardmap.WebhookID) SavedRecord {
+	r, known := n.table.Lookup(name)
 	return SavedRecord{name, r, known}
 }
 
 // Update does something with records of names, and has written what changed before it returns; what can't be
 // written is as before.
-func (n *Store) Update(of []shardmap.Name, do func(*shardmap.Known)) error {
+func (n *Store) Update(of []shardmap.WebhookID, do func(*shardmap.CustodyTable)) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.expireRecords()
@@ -115,7 +115,7 @@
 	err := n.writeChanges(was)
 	if err != nil {
 		for _, w := range was {
-			n.table.Undo(w.Name, w.Record, w.Known)
+			n.table.Rollback(w.Name, w.Record, w.Known)
 		}
 		slog.Error("names of webhooks not written", "webhooks", len(of), "why", err)
 	}
@@ -123,7 +123,7 @@
 }
 
 // UpdateUnsynced does something with records that needs not be written: a restart finds the same by asking again.
-func (n *Store) UpdateUnsynced(do func(*shardmap.Known)) {
+func (n *Store) UpdateUnsynced(do func(*shardmap.CustodyTable)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do(n.table)
@@ -131,10 +131,10 @@
 
 // writeChanges keeps the records that are not as they were; the caller holds the lock.
 func (n *Store) writeChanges(was []SavedRecord) (err error) {
-	fresh := map[shardmap.Name]api.WebhookID{}
-	var gone []shardmap.Name
+	fresh := map[shardmap.WebhookID]api.WebhookID{}
+	var gone []shardmap.WebhookID
 	for _, w := range was {
-		r, known := n.table.Record(w.Name)
+		r, known := n.table.Lookup(w.Name)
 		switch {
 		case r == w.Record && known == w.Known:
 			continue
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (n *Store) endRecord(name shardmap.Name) {
+func (n *Store) endRecord(name shardmap.WebhookID) {
 	if id, ok := n.entryIDs[name]; ok {
 		n.journal.End(id, nil)
 		delete(n.entryIDs, name)
@@ -183,32 +183,32 @@
 }
 
 // PendingOffer is to whom a webhook is on its way.
-func (n *Store) PendingOffer(name shardmap.Name) (shardmap.Offer, shardmap.Hand, bool) {
+func (n *Store) PendingOffer(name shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Out(name)
+	return n.table.OutstandingOffer(name)
 }
 
 // IsArriving is whether a webhook is being taken on.
-func (n *Store) IsArriving(name shardmap.Name) bool {
+func (n *Store) IsArriving(name shardmap.WebhookID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r, _ := n.table.Record(name)
-	return r.Comes
+	r, _ := n.table.Lookup(name)
+	return r.Arriving
 }
 
 // NextHand is the hand by which a webhook is offered next.
-func (n *Store) NextHand(name shardmap.Name) shardmap.Hand {
+func (n *Store) NextHand(name shardmap.WebhookID) shardmap.HandoffNumber {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Next(name)
+	return n.table.NextHandoff(name)
 }
 
 // PendingByMove counts what is on its way by a move.
 func (n *Store) PendingByMove(move shardmap.MoveID) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.By(move)
+	return n.table.CountOffersOfMove(move)
 }
 
 // expireRecords forgets what can't be asked for any more; the caller holds the lock.
@@ -220,7 +220,7 @@
 	n.lastExpiry = now
 	n.table.Expire(now, n.retention)
 	for name := range n.entryIDs {
-		if _, known := n.table.Record(name); !known {
+		if _, known := n.table.Lookup(name); !known {
 			n.endRecord(name)
 		}
 	}
--- a/cluster/member/names_test.go
+++ b/cluster/member/names_test.go
@@ -13,7 +13,7 @@
 
 // life is one of a folder's: names as a process finds them that still holds some webhooks.
 func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *Store {
-	n, err := Open(dir, diskMB, api.Second, func(name shardmap.Name) bool {
+	n, err := Open(dir, diskMB, api.Second, func(name shardmap.WebhookID) bool {
 		for _, id := range held {
 			if NameOf(id) == name {
 				return true
@@ -26,9 +26,9 @@
 	return n
 }
 
-func (n *Store) does(t *testing.T, id inflight.RequestID, do func(*shardmap.Known, shardmap.Name)) {
+func (n *Store) does(t *testing.T, id inflight.RequestID, do func(*shardmap.CustodyTable, shardmap.WebhookID)) {
 	name := NameOf(id)
-	require.NoError(t, n.Update([]shardmap.Name{name}, func(k *shardmap.Known) { do(k, name) }))
+	require.NoError(t, n.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { do(k, name) }))
 }
 
 // Guards against a webhook called by two: that it may be with another member outlasts the process, unless it
@@ -37,18 +37,18 @@
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	n := life(t, dir, 1)
 	for _, id := range []inflight.RequestID{"held", "ended"} {
-		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
-			k.Offers(name, ttl, shardmap.Offer{To: "b", Life: 3})
+		n.does(t, id, func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
+			k.BeginOffer(name, ttl, shardmap.Offer{To: "b", Incarnation: 3})
 		})
 	}
-	n.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) { k.Asked(name, 4, ttl) })
+	n.does(t, "asked", func(k *shardmap.CustodyTable, name shardmap.WebhookID) { k.HandleQuery(name, 4, ttl) })
 	next := life(t, dir, 1, "held")
 	assert.Equal(t, n.Incarnation, next.Incarnation)
 	assert.True(t, next.IsInDoubt("held"))
 	assert.False(t, next.IsInDoubt("ended"))
-	next.does(t, "asked", func(k *shardmap.Known, name shardmap.Name) {
-		reply, _ := k.Offered(name, 4, ttl, inflight.Now(), true)
-		assert.Equal(t, shardmap.Never, reply, "a no is bound to last")
+	next.does(t, "asked", func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
+		reply, _ := k.HandleOffer(name, 4, ttl, inflight.Now(), true)
+		assert.Equal(t, shardmap.CustodyNever, reply, "a no is bound to last")
 	})
 	assert.NotEqual(t, n.Incarnation, life(t, t.TempDir(), 1).Incarnation, "a folder that was lost is another life's")
 }
@@ -59,17 +59,17 @@
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	n := life(t, dir, 1)
 	for _, id := range []inflight.RequestID{"in", "lost"} {
-		n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
-			_, what := k.Offered(name, 1, ttl, inflight.Now(), true)
-			require.Equal(t, shardmap.Takes, what)
+		n.does(t, id, func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
+			_, what := k.HandleOffer(name, 1, ttl, inflight.Now(), true)
+			require.Equal(t, shardmap.OfferTaken, what)
 		})
 		assert.True(t, n.IsArriving(NameOf(id)))
 	}
 	for range 2 { // the life after the next finds the same
 		n = life(t, dir, 1, "in")
-		for id, want := range map[inflight.RequestID]shardmap.Reply{"in": shardmap.Has, "lost": shardmap.Never} {
-			n.does(t, id, func(k *shardmap.Known, name shardmap.Name) {
-				reply, _ := k.Asked(name, 1, ttl)
+		for id, want := range map[inflight.RequestID]shardmap.CustodyReply{"in": shardmap.CustodyTaken, "lost": shardmap.CustodyNever} {
+			n.does(t, id, func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
+				reply, _ := k.HandleQuery(name, 1, ttl)
 				assert.Equal(t, want, reply, id)
 			})
 		}
@@ -82,7 +82,7 @@
 	var err error
 	for id := range 1000 {
 		name := NameOf(inflight.RequestID(rune('a' + id)))
-		err = n.Update([]shardmap.Name{name}, func(k *shardmap.Known) { k.Offered(name, 1, ttl, inflight.Now(), true) })
+		err = n.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { k.HandleOffer(name, 1, ttl, inflight.Now(), true) })
 		if err != nil {
 			assert.False(t, n.IsArriving(name))
 			break
--- a/cluster/member/offers.go
+++ b/cluster/member/offers.go
@@ -27,12 +27,12 @@
 	}
 	if errors.Is(err, transport.ErrNotSent) {
 		for i := range hs {
-			hs[i].Reply = shardmap.Refuses // by nobody: this try went nowhere
+			hs[i].Reply = shardmap.CustodyRejected // by nobody: this try went nowhere
 		}
 	}
 	n := 0
 	for _, h := range hs {
-		if h.Reply == shardmap.Has {
+		if h.Reply == shardmap.CustodyTaken {
 			n++
 		}
 	}
@@ -53,18 +53,18 @@
 func (o *Handoff) recordOffers(chart *shardmap.Map, to cluster.MemberID, move shardmap.MoveID, all []eventloop.Owed,
 	s *Transfer) (still []eventloop.Owed) {
 	f := o.forwarding
-	ids, names := make([]api.WebhookID, len(all)), make([]shardmap.Name, len(all))
+	ids, names := make([]api.WebhookID, len(all)), make([]shardmap.WebhookID, len(all))
 	for i, w := range all {
 		ids[i], names[i] = w.ID, NameOf(w.RequestID)
 	}
 	marked := o.decider.Doubt(ids)
 	life := f.Incarnation(to)
 	var anew, settled []inflight.RequestID
-	err := f.custody.Update(names, func(k *shardmap.Known) {
+	err := f.custody.Update(names, func(k *shardmap.CustodyTable) {
 		for i, w := range all {
-			r, ok := chart.Of(chart.Key(w.Destination))
+			r, ok := chart.RangeOf(chart.KeyOf(w.Destination))
 			fresh, parked := marked[w.ID]
-			_, _, out := k.Out(names[i])
+			_, _, out := k.OutstandingOffer(names[i])
 			switch {
 			case !parked || !ok:
 				continue
@@ -76,7 +76,7 @@
 			case !out:
 				anew = append(anew, w.RequestID)
 			}
-			hand, ok := k.Offers(names[i], w.TTL, shardmap.Offer{To: to, Life: life, Move: move, Range: r.ID,
+			hand, ok := k.BeginOffer(names[i], w.TTL, shardmap.Offer{To: to, Incarnation: life, Move: move, Range: r.ID,
 				Epoch: r.Epoch, SentAt: s.SentAt})
 			if ok {
 				still = append(still, w)
@@ -93,12 +93,12 @@
 
 // applyOutcomes does what the answers to offers say.
 func (o *Handoff) applyOutcomes(s Transfer, all []eventloop.Owed, hs []Outcome) {
-	var own []shardmap.Name
+	var own []shardmap.WebhookID
 	var ours []inflight.RequestID
 	var drop []api.WebhookID
 	for i, w := range all {
-		if hs[i].Reply != shardmap.Has {
-			own = append(own, s.Webhooks[i].Name)
+		if hs[i].Reply != shardmap.CustodyTaken {
+			own = append(own, s.Webhooks[i].ID)
 			continue
 		}
 		drop = append(drop, w.ID)
@@ -109,9 +109,9 @@
 	if len(own) == 0 {
 		return
 	}
-	err := o.forwarding.custody.Update(own, func(k *shardmap.Known) {
+	err := o.forwarding.custody.Update(own, func(k *shardmap.CustodyTable) {
 		for i, w := range all {
-			if hs[i].Reply != shardmap.Has && k.Heard(s.Webhooks[i].Name, s.Webhooks[i].Hand, hs[i].Reply) == shardmap.Own {
+			if hs[i].Reply != shardmap.CustodyTaken && k.HandleReply(s.Webhooks[i].ID, s.Webhooks[i].Handoff, hs[i].Reply) == shardmap.KeepCopy {
 				ours = append(ours, w.RequestID)
 			}
 		}
@@ -120,8 +120,8 @@
 		o.decider.Settled(ours)
 	}
 	for i, w := range all {
-		if out, hand, is := o.forwarding.custody.PendingOffer(s.Webhooks[i].Name); is && hs[i].Reply == shardmap.Forgot {
-			o.resolveInDoubt(inDoubt{w, s.Webhooks[i].Name, hand, out}, shardmap.Forgot)
+		if out, hand, is := o.forwarding.custody.PendingOffer(s.Webhooks[i].ID); is && hs[i].Reply == shardmap.CustodyStateLost {
+			o.resolveInDoubt(inDoubt{w, s.Webhooks[i].ID, hand, out}, shardmap.CustodyStateLost)
 		}
 	}
 }
@@ -129,10 +129,10 @@
 // dropTransferred ends what another member has. Guards against one that has come back meanwhile, and against one taken
 // on anew before it has ended here: both wait for the names.
 func (o *Handoff) dropTransferred(s Transfer, all []eventloop.Owed, hs []Outcome) {
-	o.forwarding.custody.UpdateUnsynced(func(k *shardmap.Known) {
+	o.forwarding.custody.UpdateUnsynced(func(k *shardmap.CustodyTable) {
 		var ids []api.WebhookID
 		for i, w := range all {
-			if hs[i].Reply == shardmap.Has && k.Heard(s.Webhooks[i].Name, s.Webhooks[i].Hand, shardmap.Has) == shardmap.Drop {
+			if hs[i].Reply == shardmap.CustodyTaken && k.HandleReply(s.Webhooks[i].ID, s.Webhooks[i].Handoff, shardmap.CustodyTaken) == shardmap.DropCopy {
 				ids = append(ids, w.ID)
 			}
 		}
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -124,7 +124,7 @@
 			waits[of] = waits[of] || ordered
 			if at, _, out := o.forwarding.custody.PendingOffer(NameOf(w.RequestID)); !out {
 				o.confirmArrival(w) // or settled by now
-			} else if goes && to == at.To && o.forwarding.Incarnation(to) == at.Life {
+			} else if goes && to == at.To && o.forwarding.Incarnation(to) == at.Incarnation {
 				errandTo(to).addOffer(w, move)
 			} else if e := errandTo(at.To); len(e.queries) < MaxBatch {
 				e.queries = append(e.queries, w)
@@ -142,7 +142,7 @@
 // came.
 func (o *Handoff) confirmArrival(w eventloop.Owed) {
 	if name := NameOf(w.RequestID); o.forwarding.custody.IsArriving(name) {
-		if o.forwarding.custody.Update([]shardmap.Name{name}, func(k *shardmap.Known) { k.Came(name) }) == nil {
+		if o.forwarding.custody.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { k.ConfirmStored(name) }) == nil {
 			o.decider.Settled([]inflight.RequestID{w.RequestID})
 		}
 	}
@@ -153,13 +153,13 @@
 	o.mu.Lock()
 	_, adopted := o.arrivals[w.RequestID]
 	o.mu.Unlock()
-	v := chart.VerdictOf(o.forwarding.ownership.Claimant(), w.Destination)
+	v := chart.DecideDestination(o.forwarding.ownership.Claimant(), w.Destination)
 	switch {
 	case adopted:
-	case v.Do == shardmap.Forward:
-		return v.To, 0, true
-	case v.Do == shardmap.Hold && v.Passes.Open() && v.Passes.From == o.forwarding.ownership.self:
-		return v.Passes.To, v.Passes.ID, true
+	case v.Action == shardmap.Forward:
+		return v.Owner, 0, true
+	case v.Action == shardmap.ParkOwned && v.Move.IsOpen() && v.Move.From == o.forwarding.ownership.self:
+		return v.Move.To, v.Move.ID, true
 	}
 	return "", 0, false
 }
@@ -169,7 +169,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, move := range o.arrivals {
-		if chart.Owns(move) != shardmap.Undecided {
+		if chart.OwnerByMove(move) != shardmap.OwnerUndecided {
 			delete(o.arrivals, id)
 		}
 	}
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -59,9 +59,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var able []shardmap.Able
+	var able []shardmap.Candidate
 	for _, w := range m.file.Members {
-		able = append(able, shardmap.Able{Weight: shardmap.Weight{Member: w.ID, Weight: w.Weight}, Room: w.Room})
+		able = append(able, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: w.ID, Weight: w.Weight}, MaxRanges: w.Room})
 	}
 	if m.coordinator.Run(m.request, able, m.file.Ranges, m.clock()) {
 		m.request.Fresh = false
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -193,8 +193,8 @@
 	a.Acquire(cluster.HomeOf(1))
 	holds(t, a, cluster.HomeOf(1))
 	chart := shardmap.New(nil)
-	chart.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
-		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.Passing}}}
+	chart.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Owner: "m2", Epoch: 1, Status: shardmap.OwnerServing,
+		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.StepHandoff}}}
 	look := member.Looks("a0", a, chart)
 	require.Eventually(t, func() bool {
 		look()
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -20,17 +20,17 @@
 
 // isOwnerOf is whether this member is home of a destination, by the grant that it holds.
 func (m *Member) isOwnerOf(d api.DestinationID) bool {
-	return m.ownership.Verdict(d).Do == shardmap.Serve
+	return m.ownership.Verdict(d).Action == shardmap.Serve
 }
 
 // isSiteOwner is whether it is home of where a site's subscribers stand.
 func (m *Member) isSiteOwner(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Do == shardmap.Serve
+	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Action == shardmap.Serve
 }
 
 // isSiteIsolated is whether nobody may be home there, as no keeper is reached.
 func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Do == shardmap.Alone
+	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Action == shardmap.ServeIsolated
 }
 
 // defaultDiskMB is what the dispatcher's own journal has where nothing is told.
--- a/cluster/member/taking.go
+++ b/cluster/member/taking.go
@@ -18,16 +18,16 @@
 	callable  []inflight.RequestID // may be called from here on
 }
 
-func (t *intake) run(admit func(Transfer, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
-	names, webhooks := make([]shardmap.Name, len(t.transfer.Webhooks)), make([]*inflight.Webhook, len(t.transfer.Webhooks))
+func (t *intake) run(admit func(Transfer, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)) {
+	names, webhooks := make([]shardmap.WebhookID, len(t.transfer.Webhooks)), make([]*inflight.Webhook, len(t.transfer.Webhooks))
 	t.before, t.returned = make([]SavedRecord, len(t.transfer.Webhooks)), map[inflight.RequestID]*inflight.Past{}
 	for i, c := range t.transfer.Webhooks {
-		names[i] = c.Name
-		if w, err := DecodeWebhook(c); err == nil && t.exchange.Named(c.Dest) {
+		names[i] = c.ID
+		if w, err := DecodeWebhook(c); err == nil && t.exchange.Named(c.Destination) {
 			webhooks[i] = w
 		}
 	}
-	err := t.custody.Update(names, func(k *shardmap.Known) {
+	err := t.custody.Update(names, func(k *shardmap.CustodyTable) {
 		now := inflight.Now()
 		if !t.writeReturned(k, webhooks) {
 			return
@@ -40,7 +40,7 @@
 		clear(t.outcomes)
 		for n, i := range t.positions {
 			t.handoff.RecordArrival(t.accepted[n].RequestID, 0)
-			t.outcomes[i] = Outcome{Reply: shardmap.Refuses, RetryAfter: inflight.AnswerWithin}
+			t.outcomes[i] = Outcome{Reply: shardmap.CustodyRejected, RetryAfter: inflight.AnswerWithin}
 		}
 		return
 	}
@@ -50,9 +50,9 @@
 
 // writeReturned has what comes back written with what it brings along, before the record says that it is here;
 // names are locked.
-func (t *intake) writeReturned(k *shardmap.Known, webhooks []*inflight.Webhook) (written bool) {
+func (t *intake) writeReturned(k *shardmap.CustodyTable, webhooks []*inflight.Webhook) (written bool) {
 	for i, c := range t.transfer.Webhooks {
-		if w := webhooks[i]; w != nil && k.Returns(c.Name, c.Hand) && w.Past != nil {
+		if w := webhooks[i]; w != nil && k.ReturnsCopy(c.ID, c.Handoff) && w.Past != nil {
 			t.returned[w.RequestID] = w.Past
 		}
 	}
@@ -60,19 +60,19 @@
 }
 
 // decide decides one; names are locked.
-func (t *intake) decide(k *shardmap.Known, i int, c shardmap.Carried, w *inflight.Webhook, now api.Micros,
-	admit func(Transfer, shardmap.Carried) (shardmap.Admission, shardmap.Verdict)) {
+func (t *intake) decide(k *shardmap.CustodyTable, i int, c shardmap.TransferredWebhook, w *inflight.Webhook, now api.Micros,
+	admit func(Transfer, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)) {
 	admission, told := admit(t.transfer, c)
-	t.before[i] = t.custody.SaveRecord(c.Name)
-	reply, what := k.Offered(c.Name, c.Hand, c.TTL, now, admission == shardmap.Take && w != nil)
-	if t.outcomes[i].Reply = reply; reply == shardmap.Refuses && admission != shardmap.Take {
+	t.before[i] = t.custody.SaveRecord(c.ID)
+	reply, what := k.HandleOffer(c.ID, c.Handoff, c.TTL, now, admission == shardmap.AdmissionAccepted && w != nil)
+	if t.outcomes[i].Reply = reply; reply == shardmap.CustodyRejected && admission != shardmap.AdmissionAccepted {
 		t.outcomes[i].Admission, t.outcomes[i].Verdict = admission, told
 	}
 	switch what {
-	case shardmap.Takes:
+	case shardmap.OfferTaken:
 		w.InDoubt = true // until its record says that it came
 		t.accepted, t.positions = append(t.accepted, w), append(t.positions, i)
-	case shardmap.Back:
+	case shardmap.OfferReturnsCopy:
 		t.callable = append(t.callable, w.RequestID)
 	default:
 		return
@@ -92,23 +92,23 @@
 			t.outcomes[i].Duplicate = true
 		default:
 			t.handoff.RecordArrival(t.accepted[n].RequestID, 0)
-			t.outcomes[i] = Outcome{Reply: shardmap.Refuses, RetryAfter: retryIn}
+			t.outcomes[i] = Outcome{Reply: shardmap.CustodyRejected, RetryAfter: retryIn}
 		}
 	})
 }
 
 // recordArrivals notes what has come, before it may be called and before that is said.
-func (t *intake) recordArrivals(names []shardmap.Name) {
-	var after []shardmap.Name
+func (t *intake) recordArrivals(names []shardmap.WebhookID) {
+	var after []shardmap.WebhookID
 	for _, i := range t.positions {
 		after = append(after, names[i])
 	}
-	note := func(k *shardmap.Known) {
+	note := func(k *shardmap.CustodyTable) {
 		for _, i := range t.positions {
-			if w := t.before[i]; t.outcomes[i].Reply == shardmap.Refuses {
-				k.Undo(w.Name, w.Record, w.Known)
+			if w := t.before[i]; t.outcomes[i].Reply == shardmap.CustodyRejected {
+				k.Rollback(w.Name, w.Record, w.Known)
 			} else {
-				k.Came(w.Name)
+				k.ConfirmStored(w.Name)
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		clear(t.outcomes)
 	} else {
 		for n, i := range t.positions {
-			if t.outcomes[i].Reply == shardmap.Has {
+			if t.outcomes[i].Reply == shardmap.CustodyTaken {
 				t.callable = append(t.callable, t.accepted[n].RequestID)
 			}
 		}
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -14,7 +14,7 @@
 	passing := map[shardmap.MoveID]bool{}
 	for _, r := range chart.Ranges {
 		v := r.Move
-		if v.Step != shardmap.Passing || v.From != f.ownership.self {
+		if v.Step != shardmap.StepHandoff || v.From != f.ownership.self {
 			continue
 		}
 		o.mu.Lock()
@@ -25,7 +25,7 @@
 			continue
 		}
 		all, idle := o.decider.Learned(func(d api.DestinationID) bool {
-			return chart.Holds(r, d)
+			return chart.Contains(r, d)
 		})
 		if !idle {
 			continue
--- a/cluster/rebalance/asked.go
+++ b/cluster/rebalance/asked.go
@@ -39,7 +39,7 @@
 }
 
 func newTask(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) *task {
-	t := &task{file: f, ranges: m.Ranges, key: m.Key, members: f.Members, at: map[cluster.MemberID]int{},
+	t := &task{file: f, ranges: m.Ranges, key: m.KeyOf, members: f.Members, at: map[cluster.MemberID]int{},
 		rangeAt: map[cluster.RangeID]int{}, asked: make([]asked, len(m.Ranges))}
 	for i, v := range f.Members {
 		t.at[v.ID] = i
@@ -48,9 +48,9 @@
 	}
 	for i, r := range t.ranges {
 		t.rangeAt[r.ID] = i
-		t.home = append(t.home, t.index(r.Home))
+		t.home = append(t.home, t.index(r.Owner))
 		t.towards = append(t.towards, -1)
-		if r.Move.Open() && r.Move.Step < shardmap.Switched {
+		if r.Move.IsOpen() && r.Move.Step < shardmap.StepSwitched {
 			t.towards[i] = t.index(r.Move.To)
 		}
 	}
--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -18,7 +18,7 @@
 func large(b *testing.B, n, members int, room, turns bool) (*File, *shardmap.Map, func(cluster.RangeID) uint64) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	var text strings.Builder
-	var weights []shardmap.Weight
+	var weights []shardmap.MemberWeight
 	for m := range members {
 		fmt.Fprintf(&text, "member \"m%d\" {\n  zone = \"z%d\"\n  weight = %d\n", m, m%3, 1+m%4)
 		if room {
@@ -26,7 +26,7 @@
 		}
 		text.WriteString("}\n")
 		if m >= members/10 {
-			weights = append(weights, shardmap.Weight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
+			weights = append(weights, shardmap.MemberWeight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
 		}
 	}
 	for m := range members / 20 {
@@ -46,7 +46,7 @@
 	f, err := ParseFile([]byte(text.String()), "f.hcl")
 	require.NoError(b, err)
 	m := &shardmap.Map{Version: 1}
-	m.Ranges, err = shardmap.Even(n, weights)
+	m.Ranges, err = shardmap.EvenRanges(n, weights)
 	require.NoError(b, err)
 	keys := make([]uint64, n+1)
 	for i := range keys {
@@ -77,15 +77,15 @@
 func BenchmarkMakeOfFullMembers(b *testing.B) {
 	const n, members = 4096, 256
 	var text strings.Builder
-	var weights []shardmap.Weight
+	var weights []shardmap.MemberWeight
 	for m := range members {
 		fmt.Fprintf(&text, "member \"m%d\" { room = %d }\n", m, n/members)
-		weights = append(weights, shardmap.Weight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
+		weights = append(weights, shardmap.MemberWeight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
 	}
 	text.WriteString("member \"spare\" {\n  room = 1\n  weight = 0\n}\n")
 	m := &shardmap.Map{Version: 1}
 	var err error
-	m.Ranges, err = shardmap.Even(n, weights)
+	m.Ranges, err = shardmap.EvenRanges(n, weights)
 	require.NoError(b, err)
 	for i := range m.Ranges { // each range to the next but one member: two rings of full members
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  %s\n  to = \"m%d\"\n}\n", i, of(i, n), (i/(n/members)+2)%members)
--- a/cluster/rebalance/next.go
+++ b/cluster/rebalance/next.go
@@ -92,7 +92,7 @@
 	for i, head := range heads(m.Ranges) {
 		l.ranges[m.Ranges[i].ID], l.whole[m.Ranges[i].ID] = &m.Ranges[i], head == i
 	}
-	for _, v := range m.Left {
+	for _, v := range m.DetachedMoves {
 		l.left[v.ID] = true
 	}
 	why := ""
@@ -148,22 +148,22 @@
 	if r == nil {
 		return fmt.Sprintf("range %d was split or merged", s.Range)
 	}
-	elsewhere := fmt.Sprintf("step %d: range %d is on %q", k+1, s.Range, r.Home)
+	elsewhere := fmt.Sprintf("step %d: range %d is on %q", k+1, s.Range, r.Owner)
 	if l.stands[k] == Started {
-		open := r.Move.Open() && r.Move.ID == s.Move
+		open := r.Move.IsOpen() && r.Move.ID == s.Move
 		switch {
-		case open && s.Kind == StepRollBack && r.Move.Step == shardmap.Switched:
+		case open && s.Kind == StepRollBack && r.Move.Step == shardmap.StepSwitched:
 			return elsewhere + " already"
 		case open:
 			l.wanted[s.Move] = true
 			if s.Kind == StepRollBack {
 				l.back(k, r, "the plan wants it elsewhere")
-			} else if l.gone(s.To) && r.Move.Step < shardmap.Switched {
+			} else if l.gone(s.To) && r.Move.Step < shardmap.StepSwitched {
 				l.back(k, r, fmt.Sprintf("%q is not heard", s.To))
 			}
-		case s.Kind == StepRollBack && r.Home == s.From, s.Kind != StepRollBack && r.Home == s.To:
+		case s.Kind == StepRollBack && r.Owner == s.From, s.Kind != StepRollBack && r.Owner == s.To:
 			l.note(k, Done, s.Move)
-		case s.Kind != StepRollBack && r.Home == s.From:
+		case s.Kind != StepRollBack && r.Owner == s.From:
 			l.note(k, RolledBack, s.Move)
 		default:
 			return elsewhere
@@ -176,12 +176,12 @@
 		}
 	}
 	switch {
-	case r.Home == s.From && r.Move.Open() && r.Move.From == s.From && r.Move.To == s.To:
+	case r.Owner == s.From && r.Move.IsOpen() && r.Move.From == s.From && r.Move.To == s.To:
 		l.wanted[r.Move.ID] = true
 		l.note(k, Started, r.Move.ID)
-	case r.Home == s.To && !r.Move.Open():
+	case r.Owner == s.To && !r.Move.IsOpen():
 		l.note(k, Done, s.Move)
-	case r.Home != s.From:
+	case r.Owner != s.From:
 		return elsewhere
 	}
 	return ""
@@ -200,7 +200,7 @@
 // unwanted sends back what a plan before this one began and this one doesn't know.
 func (l *look) unwanted(m *shardmap.Map) {
 	for i := range m.Ranges {
-		if r := &m.Ranges[i]; r.Move.Open() && r.Move.Step < shardmap.Switched && !l.wanted[r.Move.ID] {
+		if r := &m.Ranges[i]; r.Move.IsOpen() && r.Move.Step < shardmap.StepSwitched && !l.wanted[r.Move.ID] {
 			l.back(-1, r, "no step of the plan wants it")
 		}
 	}
@@ -209,7 +209,7 @@
 // backAll sends back all that has not switched.
 func (l *look) backAll(m *shardmap.Map, why string) {
 	for i := range m.Ranges {
-		if r := &m.Ranges[i]; r.Move.Open() && r.Move.Step < shardmap.Switched && l.wanted[r.Move.ID] {
+		if r := &m.Ranges[i]; r.Move.IsOpen() && r.Move.Step < shardmap.StepSwitched && l.wanted[r.Move.ID] {
 			l.back(-1, r, why)
 		}
 	}
@@ -222,7 +222,7 @@
 
 func (l *look) finished(m *shardmap.Map) bool {
 	for i := range m.Ranges {
-		if m.Ranges[i].Move.Open() {
+		if m.Ranges[i].Move.IsOpen() {
 			return false
 		}
 	}
--- a/cluster/rebalance/next_test.go
+++ b/cluster/rebalance/next_test.go
@@ -117,7 +117,7 @@
 	require.NoError(t, w.adopt(two+"member \"c\" {}\npin \"p\" {\n "+of(0,
 		2)+"\n to = \"b\"\n}\nleave \"a\" {}\n"))
 	delete(w.held, cluster.HomeOf(1))
-	w.must(shardmap.Conductor(1).Lost([]shardmap.Takeover{{Range: 1, Lost: "a", To: "c"}}))
+	w.must(shardmap.Coordinator(1).FailOver([]shardmap.Takeover{{Range: 1, PreviousOwner: "a", NewOwner: "c"}}))
 	out := w.next()
 	require.Len(t, out.Actions, 1)
 	assert.Equal(t, ActionReplan, out.Actions[0].Kind)
--- a/cluster/rebalance/pieces.go
+++ b/cluster/rebalance/pieces.go
@@ -18,7 +18,7 @@
 func heads(all []shardmap.Range) []int {
 	head := make([]int, len(all))
 	for i := range all {
-		if head[i] = i; i > 0 && all[i].Piece {
+		if head[i] = i; i > 0 && all[i].SplitOff {
 			head[i] = head[i-1]
 		}
 	}
@@ -50,7 +50,7 @@
 	for _, r := range f.Rules {
 		if r.Kind != ZoneAffinity {
 			for _, d := range r.Selector.Destinations {
-				all = append(all, m.Key(d))
+				all = append(all, m.KeyOf(d))
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 func (f *File) cuts(m *shardmap.Map) (all []rangeSplit, after *shardmap.Map, err error) {
 	in := map[cluster.RangeID][]cluster.KeyHash{}
 	for _, h := range f.named(m) {
-		if r, ok := m.Of(h); ok {
+		if r, ok := m.RangeOf(h); ok {
 			in[r.ID] = append(in[r.ID], h)
 		}
 	}
@@ -77,12 +77,12 @@
 				if at <= low.From || at > low.To {
 					continue // it lies at an end, or is a range of its own
 				}
-				if r.Move.Open() {
+				if r.Move.IsOpen() {
 					return nil, nil, &RangeMovingError{r.ID, r.Move}
 				}
 				all = append(all, rangeSplit{r.ID, after.NextID, at})
-				upper := shardmap.Range{ID: after.NextID, From: at, To: low.To, Home: r.Home, Epoch: r.Epoch,
-					Standing: r.Standing, Piece: true}
+				upper := shardmap.Range{ID: after.NextID, From: at, To: low.To, Owner: r.Owner, Epoch: r.Epoch,
+					Status: r.Status, SplitOff: true}
 				low.To, after.NextID = at-1, after.NextID+1
 				parts = slices.Insert(parts, 1, upper)
 			}
@@ -104,9 +104,9 @@
 	}
 	parts := map[cluster.RangeID]uint64{}
 	for _, c := range cuts {
-		whole, _ := before.Get(c.Range)
+		whole, _ := before.RangeByID(c.Range)
 		for _, id := range []cluster.RangeID{c.Range, c.New} {
-			r, _ := after.Get(id)
+			r, _ := after.RangeByID(id)
 			width := float64(r.To-r.From) + 1
 			parts[id] = uint64(float64(keys(c.Range)) * (width / (float64(whole.To-whole.From) + 1)))
 			if oneHash(r) {
@@ -156,7 +156,7 @@
 	for k, c := range cuts {
 		s := Step{Range: c.Range, Kind: StepSplit, SplitKey: c.At, OtherRange: c.New}
 		if r, ok := t.rangeAt[c.Range]; ok {
-			s.From, s.To = t.ranges[r].Home, t.ranges[r].Home
+			s.From, s.To = t.ranges[r].Owner, t.ranges[r].Owner
 		}
 		if k > 0 { // the ids of what is split off are given in this order
 			s.DependsOn = []Dependency{{k - 1, RangeBoundary}}
--- a/cluster/rebalance/pieces_test.go
+++ b/cluster/rebalance/pieces_test.go
@@ -127,7 +127,7 @@
 		}
 		var all []api.DestinationID
 		for _, d := range dests {
-			if r, _ := before.Of(cluster.Hash(d)); named[d] {
+			if r, _ := before.RangeOf(cluster.Hash(d)); named[d] {
 				all, in[d] = append(all, d), int(r.ID)-1
 			}
 		}
@@ -174,13 +174,13 @@
 		var ends []int
 		for i, h := range heads(w.m.Ranges) {
 			if h == i {
-				ends = append(ends, w.file.index(w.m.Ranges[i].Home))
+				ends = append(ends, w.file.index(w.m.Ranges[i].Owner))
 			}
 		}
 		for _, d := range all {
-			r, _ := w.m.Of(cluster.Hash(d))
+			r, _ := w.m.RangeOf(cluster.Hash(d))
 			require.True(t, oneHash(r))
-			of[d] = w.file.index(r.Home)
+			of[d] = w.file.index(r.Owner)
 		}
 		require.True(t, w.file.held(ends, of), "%v %v in\n%s", ends, of, text)
 		require.Equal(t, near, far(spans, ends), "distance from the parts in\n%s", text)
@@ -213,7 +213,7 @@
 
 // partsOf is the members' parts of n ranges: what rules name is no range of theirs.
 func partsOf(f *File, n int) []span {
-	even, _ := shardmap.Even(n, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
+	even, _ := shardmap.EvenRanges(n, []shardmap.MemberWeight{{Member: f.Members[0].ID, Weight: 1}})
 	t := newTask(f, &shardmap.Map{Ranges: even}, nil)
 	for m, v := range f.Members {
 		t.alone[m] = f.about(Dedicated, v.ID)
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -111,7 +111,7 @@
 
 func (t *task) homeIs(s Step) bool {
 	i, known := t.rangeAt[s.Range]
-	return known && t.ranges[i].Home == s.To
+	return known && t.ranges[i].Owner == s.To
 }
 
 // move is a move on its way to become a step, by index of range and members.
@@ -163,16 +163,16 @@
 		if !t.whole(i) {
 			of = beside
 		}
-		home, real, goal := at(r.Home, of), at(r.Home, index), t.members[to[i]].ID
-		if o.free[home]--; r.Move.Open() {
+		home, real, goal := at(r.Owner, of), at(r.Owner, index), t.members[to[i]].ID
+		if o.free[home]--; r.Move.IsOpen() {
 			o.underWay(i, r.Move, at(r.Move.From, of), at(r.Move.To, of))
 		}
-		if goal != r.Home && !(r.Move.Open() && r.Move.Step < shardmap.Switched && goal == r.Move.To) {
+		if goal != r.Owner && !(r.Move.IsOpen() && r.Move.Step < shardmap.StepSwitched && goal == r.Move.To) {
 			o.moves = append(o.moves, move{of: i, from: home, to: at(goal, of), way: StepMove, rules: t.by(i, real),
 				forced: t.forced(i, real)})
 		}
 	}
-	for _, v := range m.Left {
+	for _, v := range m.DetachedMoves {
 		o.head = append(o.head, move{of: -1, from: at(v.From, index), to: at(v.To, index), way: StepContinue, id: v.ID})
 	}
 	o.start = slices.Clone(o.free)
@@ -193,7 +193,7 @@
 // underWay takes note of a move that has begun. One that can go back does so unless it goes where it should.
 func (o *order) underWay(i int, v shardmap.Move, from, to int) {
 	way, rules := StepContinue, o.by(i, o.member(v.From))
-	if v.Step < shardmap.Switched {
+	if v.Step < shardmap.StepSwitched {
 		if o.members[o.to[i]].ID != v.To {
 			way, rules = StepRollBack, nil
 		} else {
--- a/cluster/rebalance/read_test.go
+++ b/cluster/rebalance/read_test.go
@@ -107,7 +107,7 @@
 }
 
 func sixteen(t testing.TB, f *File) *shardmap.Map {
-	even, err := shardmap.Even(16, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
+	even, err := shardmap.EvenRanges(16, []shardmap.MemberWeight{{Member: f.Members[0].ID, Weight: 1}})
 	require.NoError(t, err)
 	return &shardmap.Map{Version: 1, Ranges: even}
 }
--- a/cluster/rebalance/reload_test.go
+++ b/cluster/rebalance/reload_test.go
@@ -47,7 +47,7 @@
 		}
 		for _, r := range before {
 			to := cluster.MemberID(fmt.Sprint("m", p.to[int(r.ID)-1]))
-			assert.Equal(t, r.Move.Step < shardmap.Switched && to != r.Move.To, backs[r.Move.ID],
+			assert.Equal(t, r.Move.Step < shardmap.StepSwitched && to != r.Move.To, backs[r.Move.ID],
 				"range %d at step %d to %s, now to %s", r.ID, r.Move.Step, r.Move.To, to)
 		}
 		w.settle(t)
@@ -81,13 +81,13 @@
 	w := newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"pin \"p\" {\n "+of(0, 2)+"\n to = \"b\"\n}\npin \"q\" {\n "+of(1,
 		2)+"\n to = \"a\"\n}\n"))
-	w.must(shardmap.Conductor(1).Plan(2, "a", "b"))
+	w.must(shardmap.Coordinator(1).PlanMove(2, "a", "b"))
 	out := w.next()
 	require.Equal(t, ActionRollBack, out.Actions[0].Kind)
 	for range 3 {
 		w.goOn(w.open()[0])
 	}
-	require.Equal(t, shardmap.Switched, w.open()[0].Move.Step)
+	require.Equal(t, shardmap.StepSwitched, w.open()[0].Move.Step)
 	for _, a := range w.next().Actions {
 		assert.NotEqual(t, ActionRollBack, a.Kind, "it has switched")
 	}
@@ -106,7 +106,7 @@
 				continue
 			}
 			under[id] = true
-			w.must(shardmap.Conductor(1).Plan(id, "a", "b"))
+			w.must(shardmap.Coordinator(1).PlanMove(id, "a", "b"))
 		}
 		require.NoError(t, w.adopt(text))
 		kept := 0
--- a/cluster/rebalance/reshape.go
+++ b/cluster/rebalance/reshape.go
@@ -19,8 +19,8 @@
 		return fmt.Sprintf("range %d was split or merged", s.Range)
 	case s.Kind == StepSplit && (other != nil || s.SplitKey <= r.From || s.SplitKey > r.To):
 		return fmt.Sprintf("step %d: range %d was split elsewhere", k+1, s.Range)
-	case s.Kind == StepMerge && r.Home != other.Home:
-		return fmt.Sprintf("step %d: range %d is on %q, range %d on %q", k+1, s.Range, r.Home, s.OtherRange, other.Home)
+	case s.Kind == StepMerge && r.Owner != other.Owner:
+		return fmt.Sprintf("step %d: range %d is on %q, range %d on %q", k+1, s.Range, r.Owner, s.OtherRange, other.Owner)
 	}
 	return ""
 }
@@ -43,8 +43,8 @@
 		return
 	}
 	for _, r := range []*shardmap.Range{l.ranges[s.Range], l.ranges[s.OtherRange]} {
-		if r != nil && !r.Settled() {
-			l.out.Blocked = append(l.out.Blocked, BlockedStep{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Home,
+		if r != nil && !r.IsStable() {
+			l.out.Blocked = append(l.out.Blocked, BlockedStep{k, fmt.Sprintf("%s has yet to say that it serves range %d", r.Owner,
 				r.ID)})
 			return
 		}
--- a/cluster/rebalance/shapes_test.go
+++ b/cluster/rebalance/shapes_test.go
@@ -40,7 +40,7 @@
 // A range that moves can't be split: the conductor learns which, to end that first.
 func TestARangeThatMovesIsNotSplit(t *testing.T) {
 	w := newWorld(t, "a", "a", "b", "b")
-	w.must(shardmap.Conductor(1).Plan(1, "a", "b"))
+	w.must(shardmap.Coordinator(1).PlanMove(1, "a", "b"))
 	f, err := ParseFile([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
 	_, err = NewPlan(f, w.m, nil)
--- a/cluster/rebalance/show.go
+++ b/cluster/rebalance/show.go
@@ -25,7 +25,7 @@
 			return fmt.Errorf("%s:1: %w", name, err)
 		}
 		if was != nil {
-			m.Place(was.Groups)
+			m.SetPlacement(was.Groups)
 		}
 		fmt.Fprintln(out, "there is no map yet: this is from the first one, by the members' weights")
 	}
@@ -101,7 +101,7 @@
 	has := map[cluster.MemberID]int{}
 	for i, head := range heads(m.Ranges) {
 		if head == i { // the others are pieces
-			has[m.Ranges[i].Home]++
+			has[m.Ranges[i].Owner]++
 		}
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -121,13 +121,13 @@
 	if n == 0 {
 		n = usualRanges
 	}
-	var weights []shardmap.Weight
+	var weights []shardmap.MemberWeight
 	for _, v := range f.Members {
-		weights = append(weights, shardmap.Weight{Member: v.ID, Weight: v.Weight})
+		weights = append(weights, shardmap.MemberWeight{Member: v.ID, Weight: v.Weight})
 	}
-	even, err := shardmap.Even(n, weights)
+	even, err := shardmap.EvenRanges(n, weights)
 	for i := range even {
-		even[i].Standing = shardmap.Seated
+		even[i].Status = shardmap.OwnerServing
 	}
 	return &shardmap.Map{Ranges: even, NextID: cluster.RangeID(len(even) + 1)}, err
 }
--- a/cluster/rebalance/start.go
+++ b/cluster/rebalance/start.go
@@ -59,16 +59,16 @@
 	l.used, l.undone = map[cluster.MemberID]int{}, make([]int, len(l.file.Rules))
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
-		l.takes(r.ID, r.Home)
-		if r.Move.Open() {
-			if l.begin(r.ID, r.Move.From, r.Move.To); r.Home == r.Move.From {
+		l.takes(r.ID, r.Owner)
+		if r.Move.IsOpen() {
+			if l.begin(r.ID, r.Move.From, r.Move.To); r.Owner == r.Move.From {
 				l.takes(r.ID, r.Move.To)
 			} else {
 				l.takes(r.ID, r.Move.From)
 			}
 		}
 	}
-	for _, v := range m.Left {
+	for _, v := range m.DetachedMoves {
 		l.used[v.From]++
 	}
 	for k, s := range l.Steps {
@@ -136,10 +136,10 @@
 		return fmt.Sprintf("%s is not heard", s.To)
 	case l.gone(s.From):
 		return fmt.Sprintf("%s is not heard", s.From)
-	case r.Move.Open():
+	case r.Move.IsOpen():
 		return fmt.Sprintf("range %d moves already", s.Range)
-	case !r.Settled():
-		return fmt.Sprintf("%s has yet to say that it serves range %d", r.Home, s.Range)
+	case !r.IsStable():
+		return fmt.Sprintf("%s has yet to say that it serves range %d", r.Owner, s.Range)
 	case to == nil:
 		return fmt.Sprintf("%s is not in the file", s.To)
 	case to.Capacity > 0 && l.whole[s.Range] && l.used[s.To] >= to.Capacity:
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -86,7 +86,7 @@
 // UnobservedMoves are the ranges of moves that Look has yet to take note of.
 func (t *ImpactMeter) UnobservedMoves(m *shardmap.Map) (all []shardmap.Range) {
 	for _, r := range m.Ranges {
-		if r.Move.Open() && t.moves[r.Move.ID] == nil {
+		if r.Move.IsOpen() && t.moves[r.Move.ID] == nil {
 			all = append(all, r)
 		}
 	}
@@ -103,11 +103,11 @@
 	}
 	if t.placed = t.placed || len(m.Groups) > 0; t.placed {
 		for d, c := range t.dests {
-			c.hash = m.Key(d)
+			c.hash = m.KeyOf(d)
 		}
 	}
 	for _, r := range m.Ranges {
-		if r.Move.Open() {
+		if r.Move.IsOpen() {
 			t.watch(MonitoredMove{r.Move.ID, r.ID, r.From, r.To}, r, sick, now)
 		}
 	}
@@ -147,7 +147,7 @@
 func (t *ImpactMeter) Report(number uint64, of []MonitoredMove, m *shardmap.Map, sick UnhealthyFunc, now api.Micros) Report {
 	out := Report{Incarnation: t.life}
 	for _, what := range of[:min(len(of), mostWatched)] { // whatever a message says
-		r, _ := m.Get(what.Range)
+		r, _ := m.RangeByID(what.Range)
 		w := t.watch(what, r, sick, now)
 		if w.number != number && w.number != 0 {
 			t.begin(w, r, sick)
@@ -178,7 +178,7 @@
 		if open = open || p.States[k] != Done; s.Move == 0 || s.Kind == StepRollBack || p.States[k] == Pending {
 			continue
 		}
-		if r, ok := m.Get(s.Range); ok {
+		if r, ok := m.RangeByID(s.Range); ok {
 			all = append(all, MonitoredMove{s.Move, r.ID, r.From, r.To})
 		}
 	}
--- a/cluster/rebalance/tally_test.go
+++ b/cluster/rebalance/tally_test.go
@@ -21,7 +21,7 @@
 		" sick = true\n}\n"))
 	for w.act() > 0 {
 	}
-	r, _ := w.m.Of(cluster.Hash(7))
+	r, _ := w.m.RangeOf(cluster.Hash(7))
 	return w, r.ID, r.Move.ID
 }
 
--- a/cluster/rebalance/world_test.go
+++ b/cluster/rebalance/world_test.go
@@ -47,12 +47,12 @@
 	w := &world{t: t, p: &Progress{}, held: map[cluster.Task]held{}, gone: map[cluster.MemberID]bool{},
 		first: map[cluster.KeyHash]bool{}}
 	w.m = shardmap.New(w)
-	even, err := shardmap.Even(len(homes), []shardmap.Weight{{Member: "x", Weight: 1}})
+	even, err := shardmap.EvenRanges(len(homes), []shardmap.MemberWeight{{Member: "x", Weight: 1}})
 	require.NoError(t, err)
 	for i := range even {
 		r := &even[i]
 		w.first[r.From] = true
-		r.Home, r.Epoch, r.Standing = homes[i], 1, shardmap.Seated
+		r.Owner, r.Epoch, r.Status = homes[i], 1, shardmap.OwnerServing
 		w.held[cluster.HomeOf(r.ID)] = held{homes[i], 1}
 	}
 	w.m.Ranges, w.m.NextID, w.m.Version = even, cluster.RangeID(len(homes)+1), 1
@@ -119,19 +119,19 @@
 		switch a.Kind {
 		case ActionStart:
 			var id shardmap.MoveID
-			require.NoError(w.t, cbor.Unmarshal(w.must(shardmap.Conductor(1).Plan(a.Range, a.From, a.To)), &id))
+			require.NoError(w.t, cbor.Unmarshal(w.must(shardmap.Coordinator(1).PlanMove(a.Range, a.From, a.To)), &id))
 			w.began = append(w.began, a.Step)
 		case ActionRollBack:
-			w.must(shardmap.Conductor(1).Back(a.Move))
+			w.must(shardmap.Coordinator(1).RevertMove(a.Move))
 		case ActionRecordState:
 			w.must(Coordinator(1).RecordState(w.p.Number, a.Step, a.State, a.Move))
 		case ActionStop:
 			w.must(Coordinator(1).Stop(w.p.Number, a.Reason))
 		case ActionSplit:
-			w.must(shardmap.Conductor(1).Split(a.Range, a.SplitKey))
+			w.must(shardmap.Coordinator(1).Split(a.Range, a.SplitKey))
 			w.seat()
 		case ActionMerge:
-			w.must(shardmap.Conductor(1).Merge(a.Range, a.OtherRange))
+			w.must(shardmap.Coordinator(1).Merge(a.Range, a.OtherRange))
 		case ActionReplan:
 			require.NoError(w.t, w.adopt(string(w.p.Text)))
 		}
@@ -142,9 +142,9 @@
 // seat has the homes of what was split off take it, and let go of what was merged.
 func (w *world) seat() {
 	for _, r := range w.m.Ranges {
-		if task := cluster.HomeOf(r.ID); r.Standing == shardmap.Named {
-			w.held[task] = held{r.Home, 1}
-			w.must(shardmap.Home(r.ID, r.Home, 1, w.m.Version))
+		if task := cluster.HomeOf(r.ID); r.Status == shardmap.OwnerAssigned {
+			w.held[task] = held{r.Owner, 1}
+			w.must(shardmap.ConfirmOwner(r.ID, r.Owner, 1, w.m.Version))
 		}
 	}
 }
@@ -152,7 +152,7 @@
 // open is the moves that are open.
 func (w *world) open() (all []shardmap.Range) {
 	for _, r := range w.m.Ranges {
-		if r.Move.Open() {
+		if r.Move.IsOpen() {
 			all = append(all, r)
 		}
 	}
@@ -164,15 +164,15 @@
 	w.t.Helper()
 	v, task := r.Move, cluster.HomeOf(r.ID)
 	switch {
-	case v.Step < shardmap.Passing:
-		w.must(shardmap.Conductor(1).Step(v.ID, v.Step+1))
-	case v.Step == shardmap.Passing:
+	case v.Step < shardmap.StepHandoff:
+		w.must(shardmap.Coordinator(1).AdvanceMove(v.ID, v.Step+1))
+	case v.Step == shardmap.StepHandoff:
 		w.held[task] = held{v.To, w.held[task].epoch + 1}
-		w.must(shardmap.Switch(v.ID, r.ID, v.To, w.held[task].epoch))
-	case !v.ToClear:
-		w.must(shardmap.Clear(v.ID, v.To))
+		w.must(shardmap.SwitchOwner(v.ID, r.ID, v.To, w.held[task].epoch))
+	case !v.TargetCleared:
+		w.must(shardmap.ClearMove(v.ID, v.To))
 	default:
-		w.must(shardmap.Clear(v.ID, v.From))
+		w.must(shardmap.ClearMove(v.ID, v.From))
 	}
 }
 
@@ -186,10 +186,10 @@
 		if w.first[r.From] { // pieces split off take no room
 			counts = 1
 		}
-		has[r.Home] += counts
-		if v := r.Move; v.Open() {
+		has[r.Owner] += counts
+		if v := r.Move; v.IsOpen() {
 			other := v.To
-			if r.Home == v.To {
+			if r.Owner == v.To {
 				other = v.From
 			}
 			has[other] += counts
@@ -237,6 +237,6 @@
 	require.Fail(w.t, "it doesn't end")
 }
 
-func (w *world) home(i int) cluster.MemberID { return w.m.Ranges[i].Home }
+func (w *world) home(i int) cluster.MemberID { return w.m.Ranges[i].Owner }
 
 var _ tester = (*testing.T)(nil)
--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -13,7 +13,7 @@
 // another member than the command needs.
 func (m *Map) Apply(index uint64, body []byte) ([]byte, error) {
 	var c command
-	if err := decoding.Unmarshal(body, &c); err != nil {
+	if err := decMode.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("ranges: %w", err)
 	}
 	answer, err := m.apply(cluster.Version(index), c)
@@ -21,52 +21,52 @@
 		return nil, err
 	}
 	m.Version = cluster.Version(index)
-	return encoding.Marshal(answer)
+	return encMode.Marshal(answer)
 }
 
 func (m *Map) apply(now cluster.Version, c command) (any, error) {
 	switch c.Op {
-	case opFirst:
-		return nil, m.first(c)
-	case opLost:
-		return m.lost(c.Takes)
-	case opClear:
-		return nil, m.clear(c)
+	case opInitialize:
+		return nil, m.initialize(c)
+	case opFailOver:
+		return m.failOver(c.Takeovers)
+	case opClearMove:
+		return nil, m.clearMove(c)
 	case opPlace:
-		return nil, m.place(now, c.Groups)
-	case opSeen:
-		return nil, m.settle(func(s Stray) bool {
-			return s.Under.Range == c.Range && s.Under.Epoch == c.Epoch && s.Under.Since <= c.Seen
+		return nil, m.applyPlacement(now, c.Groups)
+	case opConfirmPlacement:
+		return nil, m.removeMisplaced(func(s MisplacedDestination) bool {
+			return s.Grant.Range == c.Range && s.Grant.Epoch == c.Epoch && s.Grant.Since <= c.Seen
 		})
-	case opSweep:
-		return nil, m.settle(func(s Stray) bool { return !m.under(s.Under) })
-	case opSplit, opMerge, opPlan, opHome:
-		i := m.at(c.Range)
+	case opSweepMisplaced:
+		return nil, m.removeMisplaced(func(s MisplacedDestination) bool { return !m.isHeld(s.Grant) })
+	case opSplit, opMerge, opPlanMove, opConfirmOwner:
+		i := m.indexOf(c.Range)
 		if i < 0 {
 			return nil, cluster.ErrUnknown
 		}
 		switch c.Op {
 		case opSplit:
-			return m.split(now, i, c.At)
+			return m.split(now, i, c.Key)
 		case opMerge:
 			return nil, m.merge(now, i, c.Other)
-		case opPlan:
-			return MoveID(now), m.plan(MoveID(now), &m.Ranges[i], c)
+		case opPlanMove:
+			return MoveID(now), m.planMove(MoveID(now), &m.Ranges[i], c)
 		}
-		return nil, m.home(&m.Ranges[i], c)
-	case opStep, opBack, opSwitch:
-		v := m.move(c.Move)
+		return nil, m.confirmOwner(&m.Ranges[i], c)
+	case opAdvanceMove, opRevertMove, opSwitchOwner:
+		v := m.findMove(c.Move)
 		switch {
 		case v == nil:
 			return nil, cluster.ErrUnknown
-		case v.Step == Switched:
+		case v.Step == StepSwitched:
 			return nil, cluster.ErrStale
-		case c.Op == opBack:
+		case c.Op == opRevertMove:
 			*v = Move{}
 			return nil, nil
-		case c.Op == opSwitch:
-			return nil, m.toTarget(c)
-		case c.Step != v.Step+1 || c.Step > Passing:
+		case c.Op == opSwitchOwner:
+			return nil, m.switchOwner(c)
+		case c.Step != v.Step+1 || c.Step > StepHandoff:
 			return nil, cluster.ErrStale
 		}
 		v.Step = c.Step
@@ -75,14 +75,14 @@
 	return nil, fmt.Errorf("ranges: no command has the number %d", c.Op)
 }
 
-// mostRanges bounds what a broken command can make a keeper hold.
-const mostRanges = 1 << 16
+// maxRanges bounds what a broken command can make a keeper hold.
+const maxRanges = 1 << 16
 
-func (m *Map) first(c command) error {
+func (m *Map) initialize(c command) error {
 	if len(m.Ranges) > 0 {
 		return cluster.ErrStale
 	}
-	ranges, err := Even(c.N, c.Members)
+	ranges, err := EvenRanges(c.Count, c.Members)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Even is a first map: n ranges alike in size, given out by weight, each member's side by side.
-func Even(n int, members []Weight) ([]Range, error) {
+// EvenRanges is a first map: n ranges alike in size, given out by weight, each member's side by side.
+func EvenRanges(n int, members []MemberWeight) ([]Range, error) {
 	total := 0.0
 	for _, w := range members {
 		if !(w.Weight >= 0) || math.IsInf(w.Weight, 0) || w.Member == "" {
@@ -99,7 +99,7 @@
 		}
 		total += w.Weight
 	}
-	if n < 1 || n > mostRanges || !(total > 0) || math.IsInf(total, 0) {
+	if n < 1 || n > maxRanges || !(total > 0) || math.IsInf(total, 0) {
 		return nil, fmt.Errorf("ranges: %d for a weight of %v in all", n, total)
 	}
 	each, upTo, k := ^uint64(0)/uint64(n), members[0].Weight, 0
@@ -109,7 +109,7 @@
 			k++
 			upTo += members[k].Weight
 		}
-		all[i] = Range{ID: cluster.RangeID(i + 1), Home: members[k].Member}
+		all[i] = Range{ID: cluster.RangeID(i + 1), Owner: members[k].Member}
 		if all[i].To = cluster.KeyHash(each*uint64(i+1) + uint64(i)); i > 0 {
 			all[i].From = all[i-1].To + 1
 		}
@@ -122,14 +122,14 @@
 // asked for it, it may still serve there by an older map.
 func (m *Map) split(now cluster.Version, i int, at cluster.KeyHash) (cluster.RangeID, error) {
 	r := m.Ranges[i]
-	if !r.Settled() || len(m.Ranges) >= mostRanges {
+	if !r.IsStable() || len(m.Ranges) >= maxRanges {
 		return 0, cluster.ErrStale
 	}
 	if at <= r.From || at > r.To {
 		return 0, cluster.ErrUnknown
 	}
-	upper := Range{ID: m.NextID, From: at, To: r.To, Home: r.Home, Piece: true,
-		Also: append(slices.Clone(r.Also), Under{r.ID, r.Epoch, now})}
+	upper := Range{ID: m.NextID, From: at, To: r.To, Owner: r.Owner, SplitOff: true,
+		PriorGrants: append(slices.Clone(r.PriorGrants), PriorGrant{r.ID, r.Epoch, now})}
 	m.NextID++
 	m.Ranges[i].To = at - 1
 	m.Ranges = slices.Insert(m.Ranges, i+1, upper)
@@ -137,20 +137,20 @@
 }
 
 func (m *Map) merge(now cluster.Version, i int, other cluster.RangeID) error {
-	k := m.at(other)
+	k := m.indexOf(other)
 	if k < 0 {
 		return cluster.ErrUnknown
 	}
 	a, b := &m.Ranges[i], m.Ranges[k]
-	if i-k != 1 && k-i != 1 || a.Home != b.Home || !a.Settled() || !b.Settled() {
+	if i-k != 1 && k-i != 1 || a.Owner != b.Owner || !a.IsStable() || !b.IsStable() {
 		return cluster.ErrStale
 	}
 	if b.From < a.From {
-		a.Piece = b.Piece
+		a.SplitOff = b.SplitOff
 	}
 	a.From, a.To = min(a.From, b.From), max(a.To, b.To)
-	a.Also = slices.DeleteFunc(append(append(slices.Clone(a.Also), b.Also...), Under{b.ID, b.Epoch, now}),
-		func(u Under) bool { return u.Range == a.ID || !m.under(u) })
+	a.PriorGrants = slices.DeleteFunc(append(append(slices.Clone(a.PriorGrants), b.PriorGrants...), PriorGrant{b.ID, b.Epoch, now}),
+		func(u PriorGrant) bool { return u.Range == a.ID || !m.isHeld(u) })
 	m.Ranges = slices.Delete(m.Ranges, k, k+1)
 	return nil
 }
--- a/cluster/shardmap/around_test.go
+++ b/cluster/shardmap/around_test.go
@@ -109,9 +109,9 @@
 	mine := asked.kind == m.of && asked.to == m.from && asked.hand == m.hand
 	switch {
 	case p.entered[m.w] && !mine: // nobody waits for it
-	case p.entered[m.w] && m.reply == Silent:
+	case p.entered[m.w] && m.reply == CustodyUnknown:
 		w.unheard(m.to, m.w)
-	case p.entered[m.w] && m.reply == Has:
+	case p.entered[m.w] && m.reply == CustodyTaken:
 		p.entered[m.w], p.waits[m.w], w.promised[m.w] = false, message{}, true
 	case p.entered[m.w]:
 		p.waits[m.w] = message{}
@@ -144,11 +144,11 @@
 	v, c, waits := w.verdict(i), p.copies[n], p.waits[n].kind != none
 	add(w.left.clients&(1<<n) != 0, "a client hands in", true, func(w *world, i, n int8) {
 		w.left.clients &^= 1 << n
-		if w.at[i].entered[n] = true; w.verdict(i).Do != Forward {
+		if w.at[i].entered[n] = true; w.verdict(i).Action != Forward {
 			w.keeps(i, n)
 			return
 		}
-		w.offers(i, n, 0, w.verdict(i).To)
+		w.offers(i, n, 0, w.verdict(i).Owner)
 	})
 	add(waits && !slices.ContainsFunc(w.net[:], func(m message) bool {
 		return m.kind != none && m.w == n && (m.from == i || m.to == i)
@@ -158,26 +158,26 @@
 		return all
 	}
 	doubts := p.mem[n].to > 0
-	parked := c.came != 0 && w.seen(i).Owns(MoveID(c.came)) == Undecided
+	parked := c.came != 0 && w.seen(i).OwnerByMove(MoveID(c.came)) == OwnerUndecided
 	if !doubts || w.wrong.callsInDoubt {
 		add(c.calling, "its call ends", true, func(w *world, i, n int8) { w.endsIt(i, n) })
 		add(c.calling && w.left.unknowns > 0, "its call ends unknown", false, func(w *world, i, n int8) {
 			w.left.unknowns--
 			w.at[i].copies[n].calling = false
 		})
-		fate := w.carried(i, n).Goes(w.event(), 0, 9, api.Micros(w.now))
-		add(!c.calling && fate != Goes, "ends it", true, (*world).endsIt)
-		add(!c.calling && fate == Goes && !parked && v.Calls(false), "calls", true, (*world).begins)
-		to, id := v.To, MoveID(0)
-		if v.Do == Hold && v.Passes.From == who[i] {
-			to, id = v.Passes.To, v.Passes.ID
+		fate := w.carried(i, n).DecideTransfer(w.event(), 0, 9, api.Micros(w.now))
+		add(!c.calling && fate != TransferWebhook, "ends it", true, (*world).endsIt)
+		add(!c.calling && fate == TransferWebhook && !parked && v.AllowsCall(false), "calls", true, (*world).begins)
+		to, id := v.Owner, MoveID(0)
+		if v.Action == ParkOwned && v.Move.From == who[i] {
+			to, id = v.Move.To, v.Move.ID
 		}
-		away := v.Do == Forward || id != 0
-		add(!doubts && !c.calling && fate == Goes && !parked && away && w.room(), "hands on", true,
+		away := v.Action == Forward || id != 0
+		add(!doubts && !c.calling && fate == TransferWebhook && !parked && away && w.room(), "hands on", true,
 			func(w *world, i, n int8) { w.offers(i, n, id, to) })
 		return all
 	}
-	o := p.mem[n].record(named(n)).Out
+	o := p.mem[n].record(named(n)).Offer
 	add(w.room(), "asks", true, func(w *world, i, n int8) {
 		e := w.at[i].mem[n]
 		w.at[i].waits[n] = message{kind: ask, from: i, to: e.to - 1, w: n, hand: e.hand, life: e.life}
@@ -204,8 +204,8 @@
 	w.at[i].does(n, ends)
 }
 
-func (w *world) carried(i, n int8) Carried {
-	return Carried{Name: named(n), TTL: ttl, MayRun: api.Micros(w.at[i].copies[n].ran)}
+func (w *world) carried(i, n int8) TransferredWebhook {
+	return TransferredWebhook{ID: named(n), TTL: ttl, FirstRunAt: api.Micros(w.at[i].copies[n].ran)}
 }
 
 // offers sends a webhook to another member; a client's that only comes in has no record yet.
@@ -214,7 +214,7 @@
 	m := message{kind: offer, from: i, to: member(to), w: n, ran: -1, move: uint8(id), ver: uint8(chart.Version),
 		epoch: uint8(chart.Ranges[0].Epoch), sent: w.now, life: w.at[member(to)].life}
 	if p.entered[n] {
-		p.mem[n].in(n, func(k *Known, name Name) { m.hand = k.Next(name) })
+		p.mem[n].in(n, func(k *CustodyTable, name WebhookID) { m.hand = k.NextHandoff(name) })
 		p.waits[n] = m
 		w.send(m)
 		return
@@ -226,13 +226,13 @@
 	if again {
 		m.life = p.mem[n].life
 	}
-	p.mem[n].in(n, func(k *Known, name Name) {
-		next := k.Next(name)
-		m.hand, ok = k.Offers(name, ttl, Offer{To: to, Life: uint64(m.life), Move: id, Range: 1,
+	p.mem[n].in(n, func(k *CustodyTable, name WebhookID) {
+		next := k.NextHandoff(name)
+		m.hand, ok = k.BeginOffer(name, ttl, Offer{To: to, Incarnation: uint64(m.life), Move: id, Range: 1,
 			Epoch: cluster.Epoch(m.epoch), SentAt: api.Micros(w.now)})
 		if w.wrong.handStays && !again && next > 1 {
 			m.hand = next - 1
-			k.names[name].Hand = m.hand
+			k.records[name].Handoff = m.hand
 		}
 	})
 	m.again = again
--- a/cluster/shardmap/carried.go
+++ b/cluster/shardmap/carried.go
@@ -8,84 +8,84 @@
 	"rowanlink/webhook/api"
 )
 
-// Name is a webhook's over the whole fleet, from the member that took it from its client to its end.
-type Name struct {
-	Origin cluster.MemberID `cbor:"1,keyasint"`
-	Life   uint64           `cbor:"2,keyasint"` // of the origin's folder: ids begin anew with it
-	ID     uint64           `cbor:"3,keyasint"` // never used twice in that life
+// WebhookID is a webhook's over the whole fleet, from the member that took it from its client to its end.
+type WebhookID struct {
+	Origin      cluster.MemberID `cbor:"1,keyasint"`
+	Incarnation uint64           `cbor:"2,keyasint"` // of the origin's folder: ids begin anew with it
+	LocalID     uint64           `cbor:"3,keyasint"` // never used twice in that life
 }
 
-// Carried is a webhook with what the next owner must know of its past. Times are of its sender's clock, until
+// TransferredWebhook is a webhook with what the next owner must know of its past. Times are of its sender's clock, until
 // Shifted.
-type Carried struct {
-	Name     Name              `cbor:"1,keyasint"`
-	Hand     Hand              `cbor:"2,keyasint"` // see Known
-	Event    api.EventTypeID   `cbor:"3,keyasint"`
-	Tenant   api.TenantID      `cbor:"4,keyasint"`
-	Key      api.Key           `cbor:"5,keyasint"`
-	Dest     api.DestinationID `cbor:"6,keyasint"`
-	TTL      api.Micros        `cbor:"7,keyasint"`
-	Attempts int               `cbor:"8,keyasint"`
-	MayRun   api.Micros        `cbor:"9,keyasint"`  // first attempt that may have run, or Never
-	Zone     api.ZoneID        `cbor:"10,keyasint"` // of that attempt's endpoint
-	Taken    uint64            `cbor:"11,keyasint"` // place among its sender's: order by key
-	Whole    []byte            `cbor:"12,keyasint"` // request id, token, body: as its journal has it
+type TransferredWebhook struct {
+	ID           WebhookID         `cbor:"1,keyasint"`
+	Handoff      HandoffNumber     `cbor:"2,keyasint"` // see Known
+	EventType    api.EventTypeID   `cbor:"3,keyasint"`
+	Tenant       api.TenantID      `cbor:"4,keyasint"`
+	Key          api.Key           `cbor:"5,keyasint"`
+	Destination  api.DestinationID `cbor:"6,keyasint"`
+	TTL          api.Micros        `cbor:"7,keyasint"`
+	Attempts     int               `cbor:"8,keyasint"`
+	FirstRunAt   api.Micros        `cbor:"9,keyasint"`  // first attempt that may have run, or Never
+	Zone         api.ZoneID        `cbor:"10,keyasint"` // of that attempt's endpoint
+	AcceptOrder  uint64            `cbor:"11,keyasint"` // place among its sender's: order by key
+	JournalEntry []byte            `cbor:"12,keyasint"` // request id, token, body: as its journal has it
 }
 
-// Shifted is the same by a clock that shows so much more.
-func (c Carried) Shifted(by api.Micros) Carried {
+// WithClockShift is the same by a clock that shows so much more.
+func (c TransferredWebhook) WithClockShift(by api.Micros) TransferredWebhook {
 	c.TTL += by
-	if c.MayRun != api.Never {
-		c.MayRun += by
+	if c.FirstRunAt != api.Never {
+		c.FirstRunAt += by
 	}
 	return c
 }
 
-// Clock is by how much a member's own clock shows more than another's, as far as its messages tell: the least
+// ClockOffset is by how much a member's own clock shows more than another's, as far as its messages tell: the least
 // lag of any, which is as exact as the quickest message was quick. Its zero value has heard none.
-type Clock struct {
-	least, at api.Micros
-	heard     bool
+type ClockOffset struct {
+	leastLag, observedAt api.Micros
+	hasObservation       bool
 }
 
-// Heard takes when a message was sent, by its sender's clock. apart: by how much the two differ in rate at
+// Observe takes when a message was sent, by its sender's clock. apart: by how much the two differ in rate at
 // the most, so that the least lag of long ago tells less and less.
-func (c *Clock) Heard(sentAt, now api.Micros, apart float64) api.Micros {
+func (c *ClockOffset) Observe(sentAt, now api.Micros, apart float64) api.Micros {
 	lag := now - sentAt
-	if c.heard {
-		lag = min(lag, c.least+api.Micros(apart*float64(now-c.at)))
+	if c.hasObservation {
+		lag = min(lag, c.leastLag+api.Micros(apart*float64(now-c.observedAt)))
 	}
-	c.least, c.at, c.heard = lag, now, true
+	c.leastLag, c.observedAt, c.hasObservation = lag, now, true
 	return lag
 }
 
-// Fate is what becomes of a webhook whose range passes to another home.
-type Fate uint8
+// TransferDecision is what becomes of a webhook whose range passes to another home.
+type TransferDecision uint8
 
 const (
-	Goes    Fate = iota + 1 // it goes over
-	Rejects                 // too late to be sent, and it never ran: rejected at once
-	Dies                    // it may have run and may not run again: dead-lettered at once
+	TransferWebhook   TransferDecision = iota + 1 // it goes over
+	RejectWebhook                                 // too late to be sent, and it never ran: rejected at once
+	DeadLetterWebhook                             // it may have run and may not run again: dead-lettered at once
 )
 
-// Goes is the fate of a webhook with no call out, with what its event type says. spare: what a hop and the
+// DecideTransfer is the fate of a webhook with no call out, with what its event type says. spare: what a hop and the
 // first attempt there take at the least; most: attempts in all.
-func (c Carried) Goes(t api.EventType, spare api.Micros, most int, now api.Micros) Fate {
-	ran := c.MayRun != api.Never
+func (c TransferredWebhook) DecideTransfer(t api.EventType, spare api.Micros, most int, now api.Micros) TransferDecision {
+	ran := c.FirstRunAt != api.Never
 	late := now+spare >= c.TTL || c.Attempts >= most
 	if ran && t.Repeat == api.Tokened {
-		late = late || now+spare >= c.MayRun+t.TokenWindow
+		late = late || now+spare >= c.FirstRunAt+t.TokenWindow
 	}
 	switch {
 	case ran && (late || t.Repeat == api.AtMostOnce):
-		return Dies
+		return DeadLetterWebhook
 	case late:
-		return Rejects
+		return RejectWebhook
 	}
-	return Goes
+	return TransferWebhook
 }
 
-// InOrder sorts what goes over as its source took it, so that those of one key arrive in their order.
-func InOrder(all []Carried) {
-	slices.SortStableFunc(all, func(a, b Carried) int { return cmp.Compare(a.Taken, b.Taken) })
+// SortByAcceptOrder sorts what goes over as its source took it, so that those of one key arrive in their order.
+func SortByAcceptOrder(all []TransferredWebhook) {
+	slices.SortStableFunc(all, func(a, b TransferredWebhook) int { return cmp.Compare(a.AcceptOrder, b.AcceptOrder) })
 }
--- a/cluster/shardmap/doubt.go
+++ b/cluster/shardmap/doubt.go
@@ -2,29 +2,29 @@
 
 import "rowanlink/webhook/api"
 
-// Reply is what a member says of a webhook by its name.
-type Reply uint8
+// CustodyReply is what a member says of a webhook by its name.
+type CustodyReply uint8
 
 const (
-	Silent  Reply = iota // it can't be reached, or can't tell yet
-	Has                  // it has taken it: held, ended or sent on
-	Never                // it has not, and is bound never to
-	Forgot               // its folder is not the one it had then: it can't tell
-	Refuses              // not by this try
+	CustodyUnknown   CustodyReply = iota // it can't be reached, or can't tell yet
+	CustodyTaken                         // it has taken it: held, ended or sent on
+	CustodyNever                         // it has not, and is bound never to
+	CustodyStateLost                     // its folder is not the one it had then: it can't tell
+	CustodyRejected                      // not by this try
 )
 
-// Settled is what a member does with a copy that may not be its own.
-type Settled uint8
+// Resolution is what a member does with a copy that may not be its own.
+type Resolution uint8
 
 const (
-	Wait Settled = iota // parked, journalled, asked for again
-	Drop                // it is the other's
-	Own                 // it is this member's, as it was
-	Anew                // this member's, as one that may have run since it was sent
-	Ends                // dead-lettered, as it may have run and nobody will tell
+	StayInDoubt    Resolution = iota // parked, journalled, asked for again
+	DropCopy                         // it is the other's
+	KeepCopy                         // it is this member's, as it was
+	ForkCopy                         // this member's, as one that may have run since it was sent
+	DeadLetterCopy                   // dead-lettered, as it may have run and nobody will tell
 )
 
-// Settle is what a reply to the question who has it makes of an offer without an answer. ended: by the log
+// Resolve is what a reply to the question who has it makes of an offer without an answer. ended: by the log
 // the right by which the other could call is over. ran: when it may have run first before it was offered, or
 // Never; last: when the last attempt can still be made.
 //
@@ -32,7 +32,7 @@
 // name: should the first come back with its copy, the name tells that one owner is enough. What may not waits
 // for the answer until its time is up; so does what is tokened: the first, back as home before they meet,
 // would count its token's window from its own first call.
-func (o Offer) Settle(r Reply, ended bool, t api.EventType, ran, last, now api.Micros) Settled {
+func (o Offer) Resolve(r CustodyReply, ended bool, t api.EventType, ran, last, now api.Micros) Resolution {
 	since := o.SentAt
 	if ran != api.Never {
 		since = ran
@@ -40,14 +40,14 @@
 	forgotten := t.TokenByZone || now >= since+t.TokenWindow
 	once := t.Repeat == api.AtMostOnce || t.Repeat == api.Tokened && forgotten
 	switch {
-	case r == Has:
-		return Drop
-	case r == Never:
-		return Own
-	case now >= last, r == Forgot && once:
-		return Ends // only the first call's zone remembers a token by zone, and which that was is not known
-	case r != Forgot && (!ended || t.Repeat != api.Idempotent):
-		return Wait
+	case r == CustodyTaken:
+		return DropCopy
+	case r == CustodyNever:
+		return KeepCopy
+	case now >= last, r == CustodyStateLost && once:
+		return DeadLetterCopy // only the first call's zone remembers a token by zone, and which that was is not known
+	case r != CustodyStateLost && (!ended || t.Repeat != api.Idempotent):
+		return StayInDoubt
 	}
-	return Anew
+	return ForkCopy
 }
--- a/cluster/shardmap/encoded_forms_test.go
+++ b/cluster/shardmap/encoded_forms_test.go
@@ -14,6 +14,6 @@
 func TestEncodedForms(t *testing.T) {
 	golden, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	got := wireschema.Describe(wireschema.CBOR, Map{}, command{}, Carried{}, Record{}, Verdict{})
+	got := wireschema.Describe(wireschema.CBOR, Map{}, command{}, TransferredWebhook{}, CustodyRecord{}, Decision{})
 	require.Equal(t, string(golden), got)
 }
--- a/cluster/shardmap/homes_test.go
+++ b/cluster/shardmap/homes_test.go
@@ -23,24 +23,24 @@
 		if p.busy() {
 			continue
 		}
-		add(p.epoch == 0 && r.Wants(who[i]) && !w.held && w.left.grants > 0, "is granted the home", i, true,
+		add(p.epoch == 0 && r.ShouldAcquire(who[i]) && !w.held && w.left.grants > 0, "is granted the home", i, true,
 			func(w *world, i, _ int8) {
 				w.left.grants--
 				w.epoch++
 				w.held, w.holder, w.at[i].epoch, w.at[i].alone, w.at[i].let = true, i, w.epoch, false, false
 			})
-		add(p.epoch != 0 && r.Home == who[i] && p.epoch > uint8(r.Epoch) && r.Move.Step != Passing &&
+		add(p.epoch != 0 && r.Owner == who[i] && p.epoch > uint8(r.Epoch) && r.Move.Step != StepHandoff &&
 			home.Epoch < r.Epoch+1 && p.chart == w.chart, "says home", i, true, func(w *world, i, _ int8) {
 			r := w.seen(i).Ranges[0]
-			w.propose(Home(r.ID, who[i], fleetEpoch(w.at[i].epoch), w.seen(i).Version))
+			w.propose(ConfirmOwner(r.ID, who[i], fleetEpoch(w.at[i].epoch), w.seen(i).Version))
 		})
-		passes := r.Move.Step == Passing && home.Move.Step == Passing
+		passes := r.Move.Step == StepHandoff && home.Move.Step == StepHandoff
 		add(p.epoch != 0 && passes && r.Move.To == who[i], "switches", i, true, (*world).switches)
 		add(p.epoch != 0 && w.letsGo(i, r), "lets the home go", i, true, func(w *world, i, _ int8) {
 			w.at[i].epoch, w.at[i].let, w.held = 0, true, false
 		})
 		add(w.clears(i, home.Move) && p.chart == w.chart, "clears the move", i, true, func(w *world, i, _ int8) {
-			w.propose(Clear(w.home().Move.ID, who[i]))
+			w.propose(ClearMove(w.home().Move.ID, who[i]))
 		})
 		add(p.epoch != 0 && w.left.ends > 0, "its session ends", i, false, func(w *world, i, _ int8) {
 			w.left.ends--
@@ -51,25 +51,25 @@
 			w.at[i].alone = true
 		})
 		add(p.alone, "is alone no more", i, true, func(w *world, i, _ int8) { w.at[i].alone = false })
-		add(w.left.losts > 0 && !w.held && home.Home != who[i], "the home is lost to", i, false,
+		add(w.left.losts > 0 && !w.held && home.Owner != who[i], "the home is lost to", i, false,
 			func(w *world, i, _ int8) {
 				w.left.losts--
-				w.propose(Conductor(1).Lost([]Takeover{{1, w.home().Home, who[i]}}))
+				w.propose(Coordinator(1).FailOver([]Takeover{{1, w.home().Owner, who[i]}}))
 			})
-		add(w.left.moves > 0 && home.Settled() && home.Home != who[i], "a move is planned to", i, false,
+		add(w.left.moves > 0 && home.IsStable() && home.Owner != who[i], "a move is planned to", i, false,
 			func(w *world, i, _ int8) {
 				w.left.moves--
-				w.propose(Conductor(1).Plan(1, w.home().Home, who[i]))
-				w.propose(Conductor(1).Step(w.home().Move.ID, Warming))
+				w.propose(Coordinator(1).PlanMove(1, w.home().Owner, who[i]))
+				w.propose(Coordinator(1).AdvanceMove(w.home().Move.ID, StepWarming))
 			})
 	}
-	add(home.Move.Step == Warming, "the move passes", 0, true, func(w *world, _, _ int8) {
-		w.propose(Conductor(1).Step(w.home().Move.ID, Passing))
+	add(home.Move.Step == StepWarming, "the move passes", 0, true, func(w *world, _, _ int8) {
+		w.propose(Coordinator(1).AdvanceMove(w.home().Move.ID, StepHandoff))
 	})
-	add(w.left.backs > 0 && home.Move.Open() && home.Move.Step < Switched, "the move goes back", 0, false,
+	add(w.left.backs > 0 && home.Move.IsOpen() && home.Move.Step < StepSwitched, "the move goes back", 0, false,
 		func(w *world, _, _ int8) {
 			w.left.backs--
-			w.propose(Conductor(1).Back(w.home().Move.ID))
+			w.propose(Coordinator(1).RevertMove(w.home().Move.ID))
 		})
 	return all
 }
@@ -85,15 +85,15 @@
 			owed++
 		}
 	}
-	if w.wrong.early && r.Move.Step == Passing {
+	if w.wrong.early && r.Move.Step == StepHandoff {
 		return true
 	}
-	return r.LetsGo(who[i], out, owed)
+	return r.ShouldRelease(who[i], out, owed)
 }
 
 func (w *world) switches(i, _ int8) {
 	from := &w.at[member(w.home().Move.From)]
-	if !w.propose(Switch(w.home().Move.ID, 1, who[i], fleetEpoch(w.at[i].epoch))) {
+	if !w.propose(SwitchOwner(w.home().Move.ID, 1, who[i], fleetEpoch(w.at[i].epoch))) {
 		return
 	}
 	if slices.ContainsFunc(from.copies[:], func(c held) bool { return c.calling && from.let && !from.alone }) {
@@ -102,7 +102,7 @@
 }
 
 func (w *world) clears(i int8, v Move) bool {
-	if v.Step != Switched || v.From == who[i] && v.FromClear || v.To == who[i] && v.ToClear ||
+	if v.Step != StepSwitched || v.From == who[i] && v.SourceCleared || v.To == who[i] && v.TargetCleared ||
 		v.From != who[i] && v.To != who[i] {
 		return false
 	}
@@ -118,15 +118,15 @@
 func (w *world) crashes(i int8) {
 	p := w.at[i]
 	w.at[i] = process{life: p.life, chart: p.chart, disk: p.disk}
-	var earlier []Record
+	var earlier []CustodyRecord
 	for n, e := range p.disk {
 		if w.at[i].copies[n] = (held{here: p.copies[n].here, ran: p.copies[n].ran}); e.known {
 			earlier = append(earlier, e.record(named(int8(n))))
 		}
 	}
-	k := NewKnown(earlier, func(n Name) bool { return p.copies[n.ID-1].here })
+	k := NewCustodyTable(earlier, func(n WebhookID) bool { return p.copies[n.LocalID-1].here })
 	for n := range p.disk {
-		w.at[i].mem[n] = entryOf(k.Record(named(int8(n))))
+		w.at[i].mem[n] = entryOf(k.Lookup(named(int8(n))))
 		if e := &w.at[i].mem[n]; w.wrong.doubtLost {
 			*e = entry{hand: e.hand, not: e.not, known: e.known, here: e.here, comes: e.comes}
 		}
@@ -166,20 +166,20 @@
 	return ""
 }
 
-func (w *world) tenant(i int8) Tenant {
+func (w *world) tenant(i int8) LocalMember {
 	p := &w.at[i]
 	holds := func(cluster.Task) (cluster.Epoch, bool) { return cluster.Epoch(p.epoch), p.epoch != 0 }
-	return Tenant{who[i], holds, p.alone}
+	return LocalMember{who[i], holds, p.alone}
 }
 
-func (w *world) verdict(i int8) Verdict { return w.seen(i).MayServe(w.tenant(i), 0) }
+func (w *world) verdict(i int8) Decision { return w.seen(i).DecideKey(w.tenant(i), 0) }
 
 // ended is whether by its map the right is over by which the other could call.
 func (w *world) ended(i int8, o Offer) bool {
 	m := w.seen(i)
 	r := m.Ranges[0]
-	if o.Move != 0 && m.Owns(o.Move) != Target {
-		return m.Owns(o.Move) == Source
+	if o.Move != 0 && m.OwnerByMove(o.Move) != OwnerIsTarget {
+		return m.OwnerByMove(o.Move) == OwnerIsSource
 	}
-	return r.Home != o.To || o.Move == 0 && r.Epoch > o.Epoch
+	return r.Owner != o.To || o.Move == 0 && r.Epoch > o.Epoch
 }
--- a/cluster/shardmap/member_test.go
+++ b/cluster/shardmap/member_test.go
@@ -46,7 +46,7 @@
 		case ends:
 			*c, w.told[n] = held{}, true
 		case cameAndGoes:
-			p.mem[n].in(n, func(k *Known, name Name) { k.Came(name) })
+			p.mem[n].in(n, func(k *CustodyTable, name WebhookID) { k.ConfirmStored(name) })
 			w.goes(i)
 		case goes:
 			w.goes(i)
@@ -65,7 +65,7 @@
 
 func (p *process) undone(n int8) entry {
 	e := p.mem[n]
-	e.in(n, func(k *Known, name Name) { k.Undo(name, p.before.record(name), p.before.known) })
+	e.in(n, func(k *CustodyTable, name WebhookID) { k.Rollback(name, p.before.record(name), p.before.known) })
 	return e
 }
 
@@ -97,37 +97,37 @@
 	r := message{kind: answer, of: m.kind, from: m.to, to: m.from, w: m.w, hand: m.hand, ran: m.ran,
 		move: m.move}
 	if p.busy() {
-		p.mem[m.w].in(m.w, func(k *Known, n Name) { r.reply, _ = k.Offered(n, m.hand, ttl, 0, true) })
+		p.mem[m.w].in(m.w, func(k *CustodyTable, n WebhookID) { r.reply, _ = k.HandleOffer(n, m.hand, ttl, 0, true) })
 		w.whileItComes(r)
 		return
 	}
 	p.out, p.before, p.of = r, p.mem[m.w], m.w
 	if m.life != p.life && !w.wrong.otherLife {
-		w.says(m.to, Refuses)
+		w.says(m.to, CustodyRejected)
 		return
 	}
 	var admits bool
 	if m.move != 0 {
-		admits = w.seen(m.to).Passes(MoveID(m.move), who[m.to]) == Take
+		admits = w.seen(m.to).AdmitTransfer(MoveID(m.move), who[m.to]) == AdmissionAccepted
 	} else {
-		a, _ := w.seen(m.to).Admit(w.tenant(m.to), 0, cluster.Version(m.ver))
-		admits = a == Take
+		a, _ := w.seen(m.to).AdmitKey(w.tenant(m.to), 0, cluster.Version(m.ver))
+		admits = a == AdmissionAccepted
 	}
-	var taking Taking
-	p.mem[m.w].in(m.w, func(k *Known, n Name) {
-		r.reply, taking = k.Offered(n, m.hand, ttl, api.Micros(w.now), admits)
+	var taking OfferOutcome
+	p.mem[m.w].in(m.w, func(k *CustodyTable, n WebhookID) {
+		r.reply, taking = k.HandleOffer(n, m.hand, ttl, api.Micros(w.now), admits)
 	})
 	p.out.reply = r.reply
 	switch c := p.copies[m.w]; {
-	case taking == Takes && full:
-		p.out.reply = Refuses
+	case taking == OfferTaken && full:
+		p.out.reply = CustodyRejected
 		p.does(m.w, writes, undoes, writes, goes)
-	case taking == Takes && w.wrong.hasFirst:
+	case taking == OfferTaken && w.wrong.hasFirst:
 		p.does(m.w, goes, writes, journals)
 		w.step(m.to)
-	case taking == Takes:
+	case taking == OfferTaken:
 		p.does(m.w, writes, journals, cameAndGoes)
-	case taking == Back:
+	case taking == OfferReturnsCopy:
 		p.out.ran = earliest(p.out.ran, c.ran)
 		p.copies[m.w].came = m.move
 		p.does(m.w, notes, writes, goes)
@@ -146,7 +146,7 @@
 	return min(a, b)
 }
 
-func (w *world) says(i int8, r Reply) {
+func (w *world) says(i int8, r CustodyReply) {
 	p := &w.at[i]
 	p.out.reply = r
 	p.does(p.of, goes)
@@ -155,8 +155,8 @@
 
 // whileItComes answers what is heard of a webhook between its record and its place in the journal.
 func (w *world) whileItComes(r message) {
-	if r.ran, r.move = -1, 0; w.wrong.hasComing && r.reply == Silent {
-		r.reply = Has
+	if r.ran, r.move = -1, 0; w.wrong.hasComing && r.reply == CustodyUnknown {
+		r.reply = CustodyTaken
 	}
 	w.send(r)
 }
@@ -166,17 +166,17 @@
 	p := &w.at[m.to]
 	r := message{kind: answer, of: ask, from: m.to, to: m.from, w: m.w, hand: m.hand, ran: -1}
 	if p.busy() {
-		p.mem[m.w].in(m.w, func(k *Known, n Name) { r.reply, _ = k.Asked(n, m.hand, ttl) })
+		p.mem[m.w].in(m.w, func(k *CustodyTable, n WebhookID) { r.reply, _ = k.HandleQuery(n, m.hand, ttl) })
 		w.whileItComes(r)
 		return
 	}
 	p.out, p.of = r, m.w
 	if m.life != p.life && !w.wrong.otherLife {
-		w.says(m.to, Forgot)
+		w.says(m.to, CustodyStateLost)
 		return
 	}
 	fresh := false
-	p.mem[m.w].in(m.w, func(k *Known, n Name) { r.reply, fresh = k.Asked(n, m.hand, ttl) })
+	p.mem[m.w].in(m.w, func(k *CustodyTable, n WebhookID) { r.reply, fresh = k.HandleQuery(n, m.hand, ttl) })
 	if p.out.reply = r.reply; fresh && !w.wrong.neverLost {
 		p.does(m.w, writes, goes)
 		return
@@ -191,8 +191,8 @@
 	p.waits[n] = message{}
 	if p.entered[n] {
 		kept := false
-		p.mem[n].in(n, func(k *Known, name Name) {
-			kept = k.Sent(name, m.hand, ttl, Offer{who[m.to], uint64(m.life), 0, 1, cluster.Epoch(m.epoch),
+		p.mem[n].in(n, func(k *CustodyTable, name WebhookID) {
+			kept = k.RecordUnansweredForward(name, m.hand, ttl, Offer{who[m.to], uint64(m.life), 0, 1, cluster.Epoch(m.epoch),
 				api.Micros(m.sent), true})
 		})
 		p.entered[n], p.out = false, message{ran: -1}
@@ -201,40 +201,40 @@
 		}
 		return
 	}
-	w.settles(i, n, m.hand, Silent, m.kind)
+	w.settles(i, n, m.hand, CustodyUnknown, m.kind)
 }
 
 // settles is what an answer does to who asked or offered.
-func (w *world) settles(i, n int8, hand Hand, r Reply, of kind) {
+func (w *world) settles(i, n int8, hand HandoffNumber, r CustodyReply, of kind) {
 	p := &w.at[i]
-	s, o, out := Wait, Offer{}, false
-	p.mem[n].in(n, func(k *Known, name Name) {
-		if w.wrong.refusesFinal && k.names[name] != nil && r == Refuses {
-			k.names[name].Out.Unsure = false
+	s, o, out := StayInDoubt, Offer{}, false
+	p.mem[n].in(n, func(k *CustodyTable, name WebhookID) {
+		if w.wrong.refusesFinal && k.records[name] != nil && r == CustodyRejected {
+			k.records[name].Offer.Uncertain = false
 		}
-		s = k.Heard(name, hand, r)
-		var h Hand
-		o, h, out = k.Out(name)
+		s = k.HandleReply(name, hand, r)
+		var h HandoffNumber
+		o, h, out = k.OutstandingOffer(name)
 		out = out && h == hand
 	})
-	if ran := api.Micros(p.copies[n].ran); s == Wait && out && of == ask {
-		s = o.Settle(r, w.ended(i, o), w.event(), ran, ttl, api.Micros(w.now))
+	if ran := api.Micros(p.copies[n].ran); s == StayInDoubt && out && of == ask {
+		s = o.Resolve(r, w.ended(i, o), w.event(), ran, ttl, api.Micros(w.now))
 	}
 	p.out = message{ran: earliest(p.copies[n].ran, int8(o.SentAt))}
 	switch s {
-	case Wait:
+	case StayInDoubt:
 		p.out = message{}
-	case Drop:
+	case DropCopy:
 		p.does(n, drops, writes)
-	case Own:
+	case KeepCopy:
 		p.does(n, writes)
-	case Ends:
-		p.mem[n].in(n, func(k *Known, name Name) { k.Heard(name, hand, Has) })
+	case DeadLetterCopy:
+		p.mem[n].in(n, func(k *CustodyTable, name WebhookID) { k.HandleReply(name, hand, CustodyTaken) })
 		p.does(n, ends, writes)
-	case Anew:
-		p.mem[n].in(n, func(k *Known, name Name) {
-			if k.Forked(name); w.wrong.forkLow {
-				k.names[name].Hand = hand
+	case ForkCopy:
+		p.mem[n].in(n, func(k *CustodyTable, name WebhookID) {
+			if k.Fork(name); w.wrong.forkLow {
+				k.records[name].Handoff = hand
 			}
 		})
 		w.forked[n] = true
--- a/cluster/shardmap/search_test.go
+++ b/cluster/shardmap/search_test.go
@@ -173,13 +173,13 @@
 func twoBranches(spoilt wrong) *world {
 	w := newWorld(2, 1, api.Idempotent, may{grants: 3, losts: 1, crashes: 1}, spoilt)
 	w.held, w.at[0].epoch = false, 0
-	w.propose(Conductor(1).Lost([]Takeover{{1, who[0], who[1]}}))
+	w.propose(Coordinator(1).FailOver([]Takeover{{1, who[0], who[1]}}))
 	w.at[0].chart = w.chart
 	for i := range w.members {
 		p := &w.at[i]
-		p.mem[0].in(0, func(k *Known, n Name) {
-			k.Offers(n, ttl, Offer{To: who[1-i]})
-			k.Forked(n)
+		p.mem[0].in(0, func(k *CustodyTable, n WebhookID) {
+			k.BeginOffer(n, ttl, Offer{To: who[1-i]})
+			k.Fork(n)
 		})
 		p.disk, p.copies[0] = p.mem, held{here: true, ran: 0}
 	}
--- a/cluster/shardmap/vacancies_test.go
+++ b/cluster/shardmap/vacancies_test.go
@@ -14,51 +14,51 @@
 func TestHomesAreLostOnlyToLiveMembersWithRoom(t *testing.T) {
 	const term = api.Micros(1000)
 	rapid.Check(t, func(t *rapid.T) {
-		n, members, alive := rapid.IntRange(1, 12).Draw(t, "ranges"), []Able{}, map[cluster.MemberID]bool{}
+		n, members, alive := rapid.IntRange(1, 12).Draw(t, "ranges"), []Candidate{}, map[cluster.MemberID]bool{}
 		roomy := false
 		for _, m := range []cluster.MemberID{"a", "b", "c", "d"} {
 			alive[m] = rapid.Bool().Draw(t, "alive")
-			members = append(members, Able{Weight{m, float64(rapid.IntRange(0, 3).Draw(t, "weight"))},
+			members = append(members, Candidate{MemberWeight{m, float64(rapid.IntRange(0, 3).Draw(t, "weight"))},
 				rapid.IntRange(0, 6).Draw(t, "room")})
 			last := members[len(members)-1]
-			roomy = roomy || alive[m] && last.Room == 0 && last.Weight.Weight > 0
+			roomy = roomy || alive[m] && last.MaxRanges == 0 && last.MemberWeight.Weight > 0
 		}
-		all, err := Even(n, []Weight{{"a", 1}, {"b", 1}})
+		all, err := EvenRanges(n, []MemberWeight{{"a", 1}, {"b", 1}})
 		require.NoError(t, err)
 		l, m := leases{map[cluster.Task]cluster.MemberID{}, nil}, &Map{Ranges: all}
 		has := map[cluster.MemberID]int{}
 		for i := range all {
-			if has[all[i].Home]++; rapid.Bool().Draw(t, "held") {
-				l.held[cluster.HomeOf(all[i].ID)] = all[i].Home
+			if has[all[i].Owner]++; rapid.Bool().Draw(t, "held") {
+				l.held[cluster.HomeOf(all[i].ID)] = all[i].Owner
 			}
-			all[i].Standing = Standing(rapid.IntRange(0, 1).Draw(t, "standing"))
+			all[i].Status = OwnerStatus(rapid.IntRange(0, 1).Draw(t, "standing"))
 		}
-		v, first := NewVacancies(term), map[cluster.RangeID]bool{}
-		for _, take := range v.Takes(m, l, alive, members, 1) {
-			r, _ := m.Get(take.Range)
-			require.Equal(t, Seated, r.Standing, "one that never served is waited for")
+		v, first := NewFailoverPlanner(term), map[cluster.RangeID]bool{}
+		for _, take := range v.PlanTakeovers(m, l, alive, members, 1) {
+			r, _ := m.RangeByID(take.Range)
+			require.Equal(t, OwnerServing, r.Status, "one that never served is waited for")
 			first[r.ID] = true
 		}
 		for _, r := range all {
-			if _, held := l.held[cluster.HomeOf(r.ID)]; !held && !alive[r.Home] && r.Standing == Seated && roomy {
+			if _, held := l.held[cluster.HomeOf(r.ID)]; !held && !alive[r.Owner] && r.Status == OwnerServing && roomy {
 				require.True(t, first[r.ID], "one that served had its whole term")
 			}
 		}
 		taken := map[cluster.RangeID]bool{}
-		for _, take := range v.Takes(m, l, alive, members, 1+startsBy*term) {
+		for _, take := range v.PlanTakeovers(m, l, alive, members, 1+initialOwnerGrace*term) {
 			_, held := l.held[cluster.HomeOf(take.Range)]
-			require.False(t, held || alive[take.Lost] || taken[take.Range])
-			require.True(t, alive[take.To])
+			require.False(t, held || alive[take.PreviousOwner] || taken[take.Range])
+			require.True(t, alive[take.NewOwner])
 			taken[take.Range] = true
-			has[take.Lost]--
-			has[take.To]++
+			has[take.PreviousOwner]--
+			has[take.NewOwner]++
 		}
 		for _, a := range members {
-			if a.Weight.Weight == 0 && a.Member > "b" {
+			if a.MemberWeight.Weight == 0 && a.Member > "b" {
 				require.Zero(t, has[a.Member])
 			}
-			if a.Room > 0 && a.Member > "b" {
-				require.LessOrEqual(t, has[a.Member], a.Room)
+			if a.MaxRanges > 0 && a.Member > "b" {
+				require.LessOrEqual(t, has[a.Member], a.MaxRanges)
 			}
 		}
 	})
@@ -80,15 +80,15 @@
 // and against pieces scattered over the fleet.
 func TestPiecesOfALostHomeTakeNoRoomAndGoWithTheirRange(t *testing.T) {
 	m := &Map{Ranges: []Range{
-		{ID: 1, To: 9, Home: "a", Standing: Seated},
-		{ID: 2, From: 10, To: 10, Home: "a", Standing: Seated, Piece: true},
-		{ID: 3, From: 11, To: 19, Home: "a", Standing: Seated, Piece: true},
-		{ID: 4, From: 20, To: 29, Home: "b", Standing: Seated},
-		{ID: 5, From: 30, To: 30, Home: "b", Standing: Seated, Piece: true},
-		{ID: 6, From: 31, To: ^cluster.KeyHash(0), Home: "b", Standing: Seated, Piece: true},
+		{ID: 1, To: 9, Owner: "a", Status: OwnerServing},
+		{ID: 2, From: 10, To: 10, Owner: "a", Status: OwnerServing, SplitOff: true},
+		{ID: 3, From: 11, To: 19, Owner: "a", Status: OwnerServing, SplitOff: true},
+		{ID: 4, From: 20, To: 29, Owner: "b", Status: OwnerServing},
+		{ID: 5, From: 30, To: 30, Owner: "b", Status: OwnerServing, SplitOff: true},
+		{ID: 6, From: 31, To: ^cluster.KeyHash(0), Owner: "b", Status: OwnerServing, SplitOff: true},
 	}}
-	members := []Able{{Weight{"a", 1}, 2}, {Weight{"b", 1}, 2}, {Weight{"c", 0.1}, 1}}
+	members := []Candidate{{MemberWeight{"a", 1}, 2}, {MemberWeight{"b", 1}, 2}, {MemberWeight{"c", 0.1}, 1}}
 	alive := map[cluster.MemberID]bool{"b": true, "c": true}
 	assert.Equal(t, []Takeover{{1, "a", "b"}, {2, "a", "b"}, {3, "a", "b"}},
-		NewVacancies(1).Takes(m, nobody{}, alive, members, 5))
+		NewFailoverPlanner(1).PlanTakeovers(m, nobody{}, alive, members, 5))
 }
--- a/cluster/shardmap/verdicts_test.go
+++ b/cluster/shardmap/verdicts_test.go
@@ -11,95 +11,95 @@
 )
 
 // moving is a map whose only range is on its way from a to b; its move has the id 3.
-func moving(step Step) *Map {
+func moving(step MoveStep) *Map {
 	home, m := cluster.MemberID("a"), New(nil)
-	if step == Switched {
+	if step == StepSwitched {
 		home = "b"
 	}
 	m.Version = 9
-	m.Ranges = []Range{{ID: 1, To: ^cluster.KeyHash(0), Home: home, Epoch: 4, Standing: Seated,
+	m.Ranges = []Range{{ID: 1, To: ^cluster.KeyHash(0), Owner: home, Epoch: 4, Status: OwnerServing,
 		Move: Move{ID: 3, From: "a", To: "b", Step: step}}}
 	return m
 }
 
 func TestWhatGoesOverByAMoveIsTakenWhileItPassesAndParkedUntilItSwitches(t *testing.T) {
 	for _, s := range []struct {
-		step   Step
+		step   MoveStep
 		passes Admission
-		owns   Owner
-	}{{Planned, Behind, Undecided}, {Warming, Behind, Undecided}, {Passing, Take, Undecided},
-		{Switched, Take, Target}, {Rests, Newer, Source}} {
+		owns   MoveOwner
+	}{{StepPlanned, AdmissionMapStale, OwnerUndecided}, {StepWarming, AdmissionMapStale, OwnerUndecided}, {StepHandoff, AdmissionAccepted, OwnerUndecided},
+		{StepSwitched, AdmissionAccepted, OwnerIsTarget}, {StepNone, AdmissionRedirected, OwnerIsSource}} {
 		m := moving(s.step)
-		assert.Equal(t, s.passes, m.Passes(3, "b"), "step %d", s.step)
-		assert.Equal(t, s.owns, m.Owns(3), "step %d", s.step)
-		if s.passes == Take {
-			assert.Equal(t, Newer, m.Passes(3, "c"), "another is not the target")
+		assert.Equal(t, s.passes, m.AdmitTransfer(3, "b"), "step %d", s.step)
+		assert.Equal(t, s.owns, m.OwnerByMove(3), "step %d", s.step)
+		if s.passes == AdmissionAccepted {
+			assert.Equal(t, AdmissionRedirected, m.AdmitTransfer(3, "c"), "another is not the target")
 		}
-		assert.Equal(t, Behind, m.Passes(10, "b"), "of a move planned later nothing is known")
-		assert.Equal(t, Undecided, m.Owns(10))
+		assert.Equal(t, AdmissionMapStale, m.AdmitTransfer(10, "b"), "of a move planned later nothing is known")
+		assert.Equal(t, OwnerUndecided, m.OwnerByMove(10))
 	}
 }
 
 func TestASourceLetsGoOnlyOnceAllHasGoneOver(t *testing.T) {
-	r := moving(Passing).Ranges[0]
-	assert.True(t, r.LetsGo("a", 0, 0))
-	assert.False(t, r.LetsGo("a", 1, 0), "a call is out")
-	assert.False(t, r.LetsGo("a", 0, 1), "something is owed")
-	assert.True(t, r.Wants("b"))
-	assert.False(t, r.Wants("a") || r.LetsGo("b", 0, 0))
-	r = moving(Warming).Ranges[0]
-	assert.True(t, r.Wants("a"))
-	assert.False(t, r.Wants("b") || r.LetsGo("a", 0, 0))
-	assert.True(t, r.LetsGo("c", 0, 5), "not its home: what it holds goes there all the same")
-	assert.False(t, r.LetsGo("c", 1, 0))
+	r := moving(StepHandoff).Ranges[0]
+	assert.True(t, r.ShouldRelease("a", 0, 0))
+	assert.False(t, r.ShouldRelease("a", 1, 0), "a call is out")
+	assert.False(t, r.ShouldRelease("a", 0, 1), "something is owed")
+	assert.True(t, r.ShouldAcquire("b"))
+	assert.False(t, r.ShouldAcquire("a") || r.ShouldRelease("b", 0, 0))
+	r = moving(StepWarming).Ranges[0]
+	assert.True(t, r.ShouldAcquire("a"))
+	assert.False(t, r.ShouldAcquire("b") || r.ShouldRelease("a", 0, 0))
+	assert.True(t, r.ShouldRelease("c", 0, 5), "not its home: what it holds goes there all the same")
+	assert.False(t, r.ShouldRelease("c", 1, 0))
 }
 
 func TestAMemberServesByItsGrantAloneAndTellsWhatElseItDoes(t *testing.T) {
-	tenant := func(who cluster.MemberID, epoch cluster.Epoch, alone bool) Tenant {
-		return Tenant{who, func(cluster.Task) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
+	tenant := func(who cluster.MemberID, epoch cluster.Epoch, alone bool) LocalMember {
+		return LocalMember{who, func(cluster.Task) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
 	}
 	for name, s := range map[string]struct {
-		step Step
-		who  Tenant
-		do   Deed
+		step MoveStep
+		who  LocalMember
+		do   Action
 		part float64
 	}{
-		"home":                {Warming, tenant("a", 4, false), Serve, 1},
-		"by a later grant":    {Warming, tenant("a", 5, false), Hold, 0},
-		"by none":             {Warming, tenant("a", 0, false), Hold, 0},
-		"passing":             {Passing, tenant("a", 4, false), Hold, 0},
-		"the target":          {Passing, tenant("b", 5, false), Forward, 0},
-		"the new home":        {Switched, tenant("b", 4, false), Serve, 1},
-		"the old home":        {Switched, tenant("a", 4, false), Forward, 0},
-		"alone":               {Passing, tenant("c", 0, true), Alone, 0.25},
-		"alone, yet it holds": {Warming, tenant("a", 4, true), Serve, 1},
+		"home":                {StepWarming, tenant("a", 4, false), Serve, 1},
+		"by a later grant":    {StepWarming, tenant("a", 5, false), ParkOwned, 0},
+		"by none":             {StepWarming, tenant("a", 0, false), ParkOwned, 0},
+		"passing":             {StepHandoff, tenant("a", 4, false), ParkOwned, 0},
+		"the target":          {StepHandoff, tenant("b", 5, false), Forward, 0},
+		"the new home":        {StepSwitched, tenant("b", 4, false), Serve, 1},
+		"the old home":        {StepSwitched, tenant("a", 4, false), Forward, 0},
+		"alone":               {StepHandoff, tenant("c", 0, true), ServeIsolated, 0.25},
+		"alone, yet it holds": {StepWarming, tenant("a", 4, true), Serve, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := moving(s.step).MayServe(s.who, 7)
-			assert.Equal(t, s.do, v.Do)
-			assert.Equal(t, s.part, v.Part(4))
-			assert.Equal(t, s.do == Serve, v.Calls(true), "ordered ones wait while alone")
-			assert.Equal(t, s.part > 0, v.Calls(false))
-			assert.Equal(t, s.do == Hold && s.step == Passing, v.Passes.Open())
+			v := moving(s.step).DecideKey(s.who, 7)
+			assert.Equal(t, s.do, v.Action)
+			assert.Equal(t, s.part, v.RateShare(4))
+			assert.Equal(t, s.do == Serve, v.AllowsCall(true), "ordered ones wait while alone")
+			assert.Equal(t, s.part > 0, v.AllowsCall(false))
+			assert.Equal(t, s.do == ParkOwned && s.step == StepHandoff, v.Move.IsOpen())
 		})
 	}
-	assert.Equal(t, Keep, New(nil).MayServe(tenant("a", 1, false), 7).Do)
+	assert.Equal(t, ParkUnmapped, New(nil).DecideKey(tenant("a", 1, false), 7).Action)
 }
 
 func TestAWebhookIsSentOnOnceAndByANewerMapOnly(t *testing.T) {
-	m, who := moving(Switched), Tenant{"a", func(cluster.Task) (cluster.Epoch, bool) { return 0, false }, false}
-	refusal, told := m.Admit(who, 7, 5)
-	require.Equal(t, Newer, refusal)
-	assert.Equal(t, cluster.MemberID("b"), told.To)
-	sent := Verdict{Version: 5, To: "a"}
-	assert.True(t, Again(sent, told, refusal, 0))
-	assert.False(t, Again(sent, told, refusal, Hops), "no further")
-	assert.False(t, Again(Verdict{Version: 9, To: "a"}, told, refusal, 0), "not by the same map")
-	assert.False(t, Again(Verdict{Version: 5, To: "b"}, told, refusal, 0), "not where it was")
-	refusal, _ = m.Admit(who, 7, 10)
-	assert.Equal(t, Behind, refusal)
-	refusal, _ = m.Admit(Tenant{"b", who.Epoch, false}, 7, 5)
-	assert.Equal(t, Take, refusal, "served or parked")
+	m, who := moving(StepSwitched), LocalMember{"a", func(cluster.Task) (cluster.Epoch, bool) { return 0, false }, false}
+	refusal, told := m.AdmitKey(who, 7, 5)
+	require.Equal(t, AdmissionRedirected, refusal)
+	assert.Equal(t, cluster.MemberID("b"), told.Owner)
+	sent := Decision{Version: 5, Owner: "a"}
+	assert.True(t, ShouldFollowRedirect(sent, told, refusal, 0))
+	assert.False(t, ShouldFollowRedirect(sent, told, refusal, MaxRedirects), "no further")
+	assert.False(t, ShouldFollowRedirect(Decision{Version: 9, Owner: "a"}, told, refusal, 0), "not by the same map")
+	assert.False(t, ShouldFollowRedirect(Decision{Version: 5, Owner: "b"}, told, refusal, 0), "not where it was")
+	refusal, _ = m.AdmitKey(who, 7, 10)
+	assert.Equal(t, AdmissionMapStale, refusal)
+	refusal, _ = m.AdmitKey(LocalMember{"b", who.HeldEpoch, false}, 7, 5)
+	assert.Equal(t, AdmissionAccepted, refusal, "served or parked")
 }
 
 func TestADoubtIsSettledAsItsEventTypeAllows(t *testing.T) {
@@ -110,30 +110,30 @@
 	zoned.TokenByZone = true
 	for name, s := range map[string]struct {
 		t     api.EventType
-		reply Reply
+		reply CustodyReply
 		ended bool
 		now   api.Micros
-		want  Settled
+		want  Resolution
 	}{
-		"it has it":               {once, Has, false, 300, Drop},
-		"it never will":           {once, Never, false, 300, Own},
-		"silent":                  {idem, Silent, false, 110, Wait},
-		"silent, its right over":  {idem, Silent, true, 110, Anew},
-		"silent, at most once":    {once, Silent, true, 110, Wait},
-		"silent, tokened":         {token, Silent, true, 110, Wait},
-		"refuses, its right over": {idem, Refuses, true, 110, Anew},
-		"its time is up":          {idem, Silent, false, last, Ends},
-		"forgot":                  {idem, Forgot, false, 110, Anew},
-		"forgot, at most once":    {once, Forgot, false, 110, Ends},
-		"forgot, tokened":         {token, Forgot, false, 149, Anew},
-		"forgot, its window over": {token, Forgot, false, 150, Ends},
-		"forgot, by zone":         {zoned, Forgot, false, 110, Ends},
+		"it has it":               {once, CustodyTaken, false, 300, DropCopy},
+		"it never will":           {once, CustodyNever, false, 300, KeepCopy},
+		"silent":                  {idem, CustodyUnknown, false, 110, StayInDoubt},
+		"silent, its right over":  {idem, CustodyUnknown, true, 110, ForkCopy},
+		"silent, at most once":    {once, CustodyUnknown, true, 110, StayInDoubt},
+		"silent, tokened":         {token, CustodyUnknown, true, 110, StayInDoubt},
+		"refuses, its right over": {idem, CustodyRejected, true, 110, ForkCopy},
+		"its time is up":          {idem, CustodyUnknown, false, last, DeadLetterCopy},
+		"forgot":                  {idem, CustodyStateLost, false, 110, ForkCopy},
+		"forgot, at most once":    {once, CustodyStateLost, false, 110, DeadLetterCopy},
+		"forgot, tokened":         {token, CustodyStateLost, false, 149, ForkCopy},
+		"forgot, its window over": {token, CustodyStateLost, false, 150, DeadLetterCopy},
+		"forgot, by zone":         {zoned, CustodyStateLost, false, 110, DeadLetterCopy},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := Offer{To: "b", SentAt: 100}
-			assert.Equal(t, s.want, o.Settle(s.reply, s.ended, s.t, api.Never, last, s.now))
+			assert.Equal(t, s.want, o.Resolve(s.reply, s.ended, s.t, api.Never, last, s.now))
 		})
 	}
-	ran := Offer{SentAt: 100}.Settle(Forgot, false, token, 60, last, 110)
-	assert.Equal(t, Ends, ran, "it ran before it was sent")
+	ran := Offer{SentAt: 100}.Resolve(CustodyStateLost, false, token, 60, last, 110)
+	assert.Equal(t, DeadLetterCopy, ran, "it ran before it was sent")
 }
--- a/cluster/shardmap/walks_test.go
+++ b/cluster/shardmap/walks_test.go
@@ -39,7 +39,7 @@
 				forked++
 			}
 		}
-		if w.home().Home != who[0] {
+		if w.home().Owner != who[0] {
 			passed++
 		}
 	}
--- a/cluster/shardmap/world_test.go
+++ b/cluster/shardmap/world_test.go
@@ -21,42 +21,44 @@
 
 func member(id cluster.MemberID) int8 { return int8(slices.Index(who[:], id)) }
 
-func named(webhook int8) Name { return Name{Origin: who[0], Life: 1, ID: uint64(webhook) + 1} }
+func named(webhook int8) WebhookID {
+	return WebhookID{Origin: who[0], Incarnation: 1, LocalID: uint64(webhook) + 1}
+}
 
 // entry is a Record, small and without pointers; to: 0 is nobody.
 type entry struct {
-	hand, not                  Hand
+	hand, not                  HandoffNumber
 	known, here, comes, unsure bool
 	to                         int8
 	life, epoch, move, sent    uint8
 }
 
-func entryOf(r Record, known bool) entry {
+func entryOf(r CustodyRecord, known bool) entry {
 	if !known {
 		return entry{}
 	}
-	return entry{r.Hand, r.Not, true, r.Here, r.Comes, r.Out.Unsure, member(r.Out.To) + 1, uint8(r.Out.Life),
-		uint8(r.Out.Epoch), uint8(r.Out.Move), uint8(r.Out.SentAt)}
+	return entry{r.Handoff, r.RejectedUpTo, true, r.Present, r.Arriving, r.Offer.Uncertain, member(r.Offer.To) + 1, uint8(r.Offer.Incarnation),
+		uint8(r.Offer.Epoch), uint8(r.Offer.Move), uint8(r.Offer.SentAt)}
 }
 
-func (e entry) record(n Name) Record {
-	r := Record{Name: n, Hand: e.hand, Not: e.not, Here: e.here, Comes: e.comes, TTL: ttl}
+func (e entry) record(n WebhookID) CustodyRecord {
+	r := CustodyRecord{ID: n, Handoff: e.hand, RejectedUpTo: e.not, Present: e.here, Arriving: e.comes, TTL: ttl}
 	if e.to > 0 {
-		r.Out = Offer{who[e.to-1], uint64(e.life), MoveID(e.move), 1, cluster.Epoch(e.epoch),
+		r.Offer = Offer{who[e.to-1], uint64(e.life), MoveID(e.move), 1, cluster.Epoch(e.epoch),
 			api.Micros(e.sent), e.unsure}
 	}
 	return r
 }
 
 // in lets the real object act on one record.
-func (e *entry) in(webhook int8, do func(*Known, Name)) {
-	k, n := &Known{names: map[Name]*Record{}}, named(webhook)
+func (e *entry) in(webhook int8, do func(*CustodyTable, WebhookID)) {
+	k, n := &CustodyTable{records: map[WebhookID]*CustodyRecord{}}, named(webhook)
 	if e.known {
 		r := e.record(n)
-		k.names[n] = &r
+		k.records[n] = &r
 	}
 	do(k, n)
-	*e = entryOf(k.Record(n))
+	*e = entryOf(k.Lookup(n))
 }
 
 // held is a copy in the journal of webhooks. ran: when it may have run first, -1: never.
@@ -82,10 +84,10 @@
 	again                 bool // another try
 	kind, of              kind // answer: of what
 	from, to, w           int8
-	hand                  Hand
+	hand                  HandoffNumber
 	life, move, ver, sent uint8
 	ran                   int8
-	reply                 Reply
+	reply                 CustodyReply
 	epoch                 uint8
 }
 
@@ -210,7 +212,7 @@
 		left:  left,
 		wrong: spoilt, held: true, epoch: 1}
 	m := New(w)
-	for i, c := range []cluster.Command{Conductor(1).First(1, []Weight{{who[0], 1}}), Home(1, who[0], 1, 1)} {
+	for i, c := range []cluster.Command{Coordinator(1).Initialize(1, []MemberWeight{{who[0], 1}}), ConfirmOwner(1, who[0], 1, 1)} {
 		if _, err := m.Apply(uint64(i+1), c.Body); err != nil {
 			panic(err)
 		}
@@ -234,7 +236,7 @@
 		return false // fleet.ErrFenced
 	}
 	m := *w.maps.all[w.chart]
-	m.Ranges, m.Left, m.holders = slices.Clone(m.Ranges), slices.Clone(m.Left), w
+	m.Ranges, m.DetachedMoves, m.holders = slices.Clone(m.Ranges), slices.Clone(m.DetachedMoves), w
 	if _, err := m.Apply(uint64(m.Version)+1, c.Body); err != nil {
 		return false
 	}
--- a/sim/engine/custody.go
+++ b/sim/engine/custody.go
@@ -67,7 +67,7 @@
 			h.settle(d, w)
 		case h.deeds.calls(v):
 			d.put(news{kind: newsGate})
-		case v.Do == shardmap.Forward && !w.offered:
+		case v.Action == shardmap.Forward && !w.offered:
 			h.send(d, w, v, 0, false)
 		}
 	}
@@ -79,8 +79,8 @@
 // settle asks who was sent a webhook whether it has it. One that stays silent may have called.
 func (h *homes) settle(d *dispatcher, w *held) {
 	o := &h.offers[w.doubt]
-	r, ok := d.member.chart.Of(h.keys[h.m.origins[w.origin].dest])
-	ended := ok && (r.Home != o.by.To || r.Epoch > o.by.Epoch) || w.forgot
+	r, ok := d.member.chart.RangeOf(h.keys[h.m.origins[w.origin].dest])
+	ended := ok && (r.Owner != o.by.Owner || r.Epoch > o.by.Epoch) || w.forgot
 	asked := *w
 	if asked.mayRun == never {
 		asked.mayRun = o.at
@@ -98,9 +98,9 @@
 
 // question is whether an offer was taken, at whom it was sent to, or the answer at its sender. A no is kept:
 // what is still on its way comes in vain.
-func (h *homes) question(n int32, back shardmap.Reply) {
+func (h *homes) question(n int32, back shardmap.CustodyReply) {
 	o := &h.offers[n]
-	if back != shardmap.Silent {
+	if back != shardmap.CustodyUnknown {
 		h.answered(n, back)
 		return
 	}
@@ -112,15 +112,15 @@
 		h.m.queue.Add(int64(d.frozenUntil), event{kind: evQuestion, a: n})
 		return
 	}
-	known, here, reply := d.member.known[o.h.id], d.held[o.h.id], shardmap.Never
+	known, here, reply := d.member.known[o.h.id], d.held[o.h.id], shardmap.CustodyNever
 	away := here != nil && (here.doubt != none || here.offered)
 	switch {
 	case d.member.folder != o.folder:
-		reply = shardmap.Forgot
+		reply = shardmap.CustodyStateLost
 	case away && h.offers[here.offer].hand > o.hand:
 		return // it can't tell yet: were both to say so, each would let it go
 	case known.took >= o.hand || known.here && !away:
-		reply = shardmap.Has
+		reply = shardmap.CustodyTaken
 	case here != nil && !here.journaled:
 		return // taken in the turn to come
 	default:
@@ -132,17 +132,17 @@
 	}
 }
 
-func (h *homes) answered(n int32, reply shardmap.Reply) {
+func (h *homes) answered(n int32, reply shardmap.CustodyReply) {
 	o := &h.offers[n]
 	d := &h.m.dispatchers[o.from]
 	if !d.up || d.member.parked[o.h.id] != o.h || o.h.doubt != n {
 		return
 	}
-	if reply == shardmap.Forgot {
+	if reply == shardmap.CustodyStateLost {
 		o.h.forgot = true
 		return
 	}
-	if reply == shardmap.Has {
+	if reply == shardmap.CustodyTaken {
 		h.drop(d, o.h, o.to)
 	} else {
 		h.own(d, o.h)
--- a/sim/engine/export_test.go
+++ b/sim/engine/export_test.go
@@ -8,10 +8,10 @@
 // Spoilt are faults in what dispatchers make of leases and map, by name.
 var Spoilt = map[string]func(*Model){
 	"a home has an even part only": func(m *Model) {
-		m.homes.deeds.part = func(v shardmap.Verdict, n int) float64 { return v.Part(n) / float64(n) }
+		m.homes.deeds.part = func(v shardmap.Decision, n int) float64 { return v.RateShare(n) / float64(n) }
 	},
 	"forwarders call too": func(m *Model) {
-		m.homes.deeds.calls = func(v shardmap.Verdict) bool { return v.Calls(false) || v.Do == shardmap.Forward }
+		m.homes.deeds.calls = func(v shardmap.Decision) bool { return v.AllowsCall(false) || v.Action == shardmap.Forward }
 	},
 	"a hop costs nothing": func(m *Model) {
 		m.homes.deeds.way = func(api.Micros) api.Micros { return 0 }
--- a/sim/engine/forward.go
+++ b/sim/engine/forward.go
@@ -13,7 +13,7 @@
 	from, to int32
 	life     uint32 // of its sender
 	hand     uint32
-	by       shardmap.Verdict
+	by       shardmap.Decision
 	at       api.Micros
 	folder   uint32 // of whom it was sent to, by then
 	hops     int
@@ -25,9 +25,9 @@
 	kept   bool // its sender keeps a copy
 	orphan bool // its sender died while its client waited
 
-	reply   shardmap.Reply
+	reply   shardmap.CustodyReply
 	refused shardmap.Admission
-	told    shardmap.Verdict
+	told    shardmap.Decision
 	full    bool
 }
 
@@ -35,7 +35,7 @@
 func (h *homes) away(d *dispatcher, w *held) bool {
 	w.custody = custody{doubt: none, tookAt: never}
 	v := d.verdict(h.m.origins[w.origin].dest)
-	if v.Do != shardmap.Forward || h.deeds.calls(v) {
+	if v.Action != shardmap.Forward || h.deeds.calls(v) {
 		return false
 	}
 	if d.frozenUntil > h.m.now { // it is heard when the dispatcher goes on
@@ -46,10 +46,10 @@
 	return true
 }
 
-func (h *homes) send(d *dispatcher, w *held, v shardmap.Verdict, hops int, fresh bool) {
+func (h *homes) send(d *dispatcher, w *held, v shardmap.Decision, hops int, fresh bool) {
 	h.hands++
 	n := int32(len(h.offers))
-	to := &h.m.dispatchers[h.numbers[v.To]]
+	to := &h.m.dispatchers[h.numbers[v.Owner]]
 	h.offers = append(h.offers, offer{h: w, from: d.number, to: to.number, life: d.life, hand: h.hands, by: v,
 		at: h.m.now, folder: to.member.folder, hops: hops, fresh: fresh})
 	if w.offered, w.offer = true, n; fresh {
@@ -67,7 +67,7 @@
 	d := &h.m.dispatchers[o.to]
 	switch {
 	case !d.up: // its connection is refused: surely it is not there
-		h.comesToNothing(n, shardmap.Never)
+		h.comesToNothing(n, shardmap.CustodyNever)
 		return
 	case d.frozenUntil > h.m.now:
 		h.m.queue.Add(int64(d.frozenUntil), event{kind: evOffer, a: n})
@@ -84,28 +84,28 @@
 			here.mayRun, here.zone = o.h.mayRun, o.h.zone
 		}
 		h.has(d, here, o.hand)
-		h.says(n, shardmap.Has)
+		h.says(n, shardmap.CustodyTaken)
 		return
 	case here != nil && !known.here: // it came to both, and is this one's own
 		h.has(d, here, o.hand)
-		h.says(n, shardmap.Has)
+		h.says(n, shardmap.CustodyTaken)
 		return
 	case known.took >= o.hand || known.here:
-		h.says(n, shardmap.Has)
+		h.says(n, shardmap.CustodyTaken)
 		return
 	case known.not >= o.hand:
-		h.comesToNothing(n, shardmap.Never)
+		h.comesToNothing(n, shardmap.CustodyNever)
 		return
 	}
 	admission, told := d.member.admits(d.tenant(), h.keys[dest], o.by.Version)
 	o.refused, o.told = admission, told
-	o.full = admission == shardmap.Take && d.open >= h.m.plan.Dispatchers.Buffer
-	if admission != shardmap.Take || o.full || h.m.now >= h.m.origins[o.h.origin].ttl {
+	o.full = admission == shardmap.AdmissionAccepted && d.open >= h.m.plan.Dispatchers.Buffer
+	if admission != shardmap.AdmissionAccepted || o.full || h.m.now >= h.m.origins[o.h.origin].ttl {
 		if o.full && o.fresh {
 			h.m.Bus.Emit(eventpkg.Event{At: h.m.now, What: eventpkg.TurnedAway, Dispatcher: d.number,
 				Origin: eventpkg.Origin(o.h.origin), Destination: dest, Type: h.m.origins[o.h.origin].evt})
 		}
-		h.comesToNothing(n, shardmap.Never)
+		h.comesToNothing(n, shardmap.CustodyNever)
 		return
 	}
 	o.refused = 0
@@ -115,7 +115,7 @@
 	d.take(&held{id: id, origin: o.h.origin, attempts: o.h.attempts, mayRun: o.h.mayRun, zone: o.h.zone,
 		call: -1, custody: custody{doubt: none, tookAt: h.m.now}}, n)
 	if h.deeds.early {
-		h.says(n, shardmap.Has)
+		h.says(n, shardmap.CustodyTaken)
 	}
 }
 
@@ -135,16 +135,16 @@
 	d.put(news{kind: newsGate})
 }
 
-func (b *fellow) admits(who shardmap.Tenant, key cluster.KeyHash,
-	by cluster.Version) (shardmap.Admission, shardmap.Verdict) {
+func (b *fellow) admits(who shardmap.LocalMember, key cluster.KeyHash,
+	by cluster.Version) (shardmap.Admission, shardmap.Decision) {
 	if b.chart == nil {
-		return shardmap.Behind, shardmap.Verdict{}
+		return shardmap.AdmissionMapStale, shardmap.Decision{}
 	}
-	return b.chart.Admit(who, key, by)
+	return b.chart.AdmitKey(who, key, by)
 }
 
 // comesToNothing notes that an offer is not taken by this try and never will be, and says so.
-func (h *homes) comesToNothing(n int32, reply shardmap.Reply) {
+func (h *homes) comesToNothing(n int32, reply shardmap.CustodyReply) {
 	o := &h.offers[n]
 	if o.gone = true; o.orphan {
 		h.m.close(o.h.origin)
@@ -152,7 +152,7 @@
 	h.says(n, reply)
 }
 
-func (h *homes) says(n int32, reply shardmap.Reply) {
+func (h *homes) says(n int32, reply shardmap.CustodyReply) {
 	o := &h.offers[n]
 	o.reply = reply
 	if !h.lost() {
@@ -182,7 +182,7 @@
 		if w := d.held[d.m.homes.offers[n].h.id]; w != nil {
 			w.unsaid = false
 		}
-		d.m.homes.says(n, shardmap.Has)
+		d.m.homes.says(n, shardmap.CustodyTaken)
 	}
 	d.member.says = d.member.says[:0]
 }
--- a/sim/engine/homes.go
+++ b/sim/engine/homes.go
@@ -27,9 +27,9 @@
 	book      *lease.Book
 	terms     *lease.Terms
 	chart     *shardmap.Map
-	vacancies *shardmap.Vacancies
+	vacancies *shardmap.FailoverPlanner
 	index     uint64
-	members   []shardmap.Able
+	members   []shardmap.Candidate
 	numbers   map[cluster.MemberID]int32
 
 	charts []*shardmap.Map // as published; never changed
@@ -42,8 +42,8 @@
 
 // deeds are what dispatchers make of leases and map. Tests spoil them one by one.
 type deeds struct {
-	part    func(shardmap.Verdict, int) float64
-	calls   func(shardmap.Verdict) bool
+	part    func(shardmap.Decision, int) float64
+	calls   func(shardmap.Decision) bool
 	way     func(api.Micros) api.Micros
 	takes   func([]shardmap.Takeover) []shardmap.Takeover
 	settles func(h *held, e *EventType, ended bool, now api.Micros) bool
@@ -53,10 +53,10 @@
 func newHomes(m *Model) *homes {
 	p := &m.plan.Homes
 	h := &homes{m: m, chance: stream(m.plan.Seed, 5), book: lease.NewBook(), terms: lease.NewTerms(p.Term.us()),
-		vacancies: shardmap.NewVacancies(p.Term.us()), numbers: map[cluster.MemberID]int32{}}
+		vacancies: shardmap.NewFailoverPlanner(p.Term.us()), numbers: map[cluster.MemberID]int32{}}
 	h.deeds = deeds{
-		part:    shardmap.Verdict.Part,
-		calls:   func(v shardmap.Verdict) bool { return v.Calls(false) },
+		part:    shardmap.Decision.RateShare,
+		calls:   func(v shardmap.Decision) bool { return v.AllowsCall(false) },
 		way:     func(w api.Micros) api.Micros { return api.Micros(float64(w) * p.Hop) },
 		takes:   func(t []shardmap.Takeover) []shardmap.Takeover { return t },
 		settles: mayGoOn,
@@ -64,7 +64,7 @@
 	h.chart = shardmap.New(h.book)
 	for i := range m.plan.Dispatchers.Count {
 		name := cluster.MemberID(fmt.Sprintf("d%d", i))
-		h.members = append(h.members, shardmap.Able{Weight: shardmap.Weight{Member: name, Weight: 1}})
+		h.members = append(h.members, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: name, Weight: 1}})
 		h.numbers[name] = int32(i)
 	}
 	for i := range m.dests {
@@ -101,11 +101,11 @@
 func (h *homes) settled() {
 	reign, _ := h.lease(lease.Began())
 	h.terms.Lead(h.m.now, reign.Reign, nil)
-	var weights []shardmap.Weight
+	var weights []shardmap.MemberWeight
 	for _, m := range h.members {
-		weights = append(weights, m.Weight)
+		weights = append(weights, m.MemberWeight)
 	}
-	h.propose(shardmap.Conductor(1).First(h.m.plan.Homes.Ranges*len(h.members), weights))
+	h.propose(shardmap.Coordinator(1).Initialize(h.m.plan.Homes.Ranges*len(h.members), weights))
 	h.publish()
 	h.setup = true
 	for i := range h.m.dispatchers {
@@ -162,8 +162,8 @@
 	for _, s := range h.book.Sessions() {
 		alive[h.book.MemberOf(s)] = true
 	}
-	takes := h.deeds.takes(h.vacancies.Takes(h.chart, h.book, alive, h.members, now))
-	if len(takes) > 0 && h.propose(shardmap.Conductor(1).Lost(takes)) != nil {
+	takes := h.deeds.takes(h.vacancies.PlanTakeovers(h.chart, h.book, alive, h.members, now))
+	if len(takes) > 0 && h.propose(shardmap.Coordinator(1).FailOver(takes)) != nil {
 		h.publish()
 	}
 	h.m.after(h.m.plan.Homes.Term.us()/looks, event{kind: evKeep})
@@ -178,7 +178,7 @@
 	case evOfferOver:
 		h.over(e.a)
 	case evQuestion:
-		h.question(e.a, shardmap.Reply(e.b))
+		h.question(e.a, shardmap.CustodyReply(e.b))
 	case evAsk:
 		h.asked(e.a, e.b == 1)
 	case evKeep:
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -63,18 +63,18 @@
 	d.setParts()
 }
 
-func (d *dispatcher) tenant() shardmap.Tenant {
+func (d *dispatcher) tenant() shardmap.LocalMember {
 	b, now := d.member, d.m.now
-	return shardmap.Tenant{Member: b.name, Alone: shardmap.Deserted(b.over, now, d.m.plan.Homes.Term.us()),
-		Epoch: func(t cluster.Task) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
+	return shardmap.LocalMember{Member: b.name, Isolated: shardmap.IsolationSuspected(b.over, now, d.m.plan.Homes.Term.us()),
+		HeldEpoch: func(t cluster.Task) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
 }
 
 // verdict is what this dispatcher does with webhooks of a destination, now.
-func (d *dispatcher) verdict(dest api.DestinationID) shardmap.Verdict {
+func (d *dispatcher) verdict(dest api.DestinationID) shardmap.Decision {
 	if d.member.chart == nil {
-		return shardmap.Verdict{Do: shardmap.Keep}
+		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return d.member.chart.MayServe(d.tenant(), d.m.homes.keys[dest])
+	return d.member.chart.DecideKey(d.tenant(), d.m.homes.keys[dest])
 }
 
 // serves is whether a webhook may be called from here, now.
--- a/sim/engine/sender.go
+++ b/sim/engine/sender.go
@@ -19,14 +19,14 @@
 	o.over = true
 	delete(d.member.out, n)
 	switch {
-	case o.reply == shardmap.Has && o.fresh:
+	case o.reply == shardmap.CustodyTaken && o.fresh:
 		h.m.Bus.Emit(h.m.about(eventpkg.Passed, d, o.h, eventpkg.Event{Other: o.to}))
 	case !o.fresh && (!o.h.offered || o.h.offer != n): // settled by another message
-	case o.reply == shardmap.Has:
+	case o.reply == shardmap.CustodyTaken:
 		h.drop(d, o.h, o.to)
-	case shardmap.Again(o.by, o.told, o.refused, o.hops) && o.told.To != d.member.name:
+	case shardmap.ShouldFollowRedirect(o.by, o.told, o.refused, o.hops) && o.told.Owner != d.member.name:
 		next := o.told
-		next.Do = shardmap.Forward
+		next.Action = shardmap.Forward
 		h.send(d, o.h, next, o.hops+1, o.fresh)
 	case !o.fresh:
 		o.h.offered = false
--- a/sim/engine/session.go
+++ b/sim/engine/session.go
@@ -50,7 +50,7 @@
 	if b.read != b.chart.Version {
 		b.read, b.mine = b.chart.Version, nil
 		for _, r := range b.chart.Ranges {
-			if r.Wants(b.name) {
+			if r.ShouldAcquire(b.name) {
 				b.mine = append(b.mine, r)
 			}
 		}
@@ -142,7 +142,7 @@
 	}
 	changed := false
 	for i, r := range a.seats {
-		changed = h.propose(shardmap.Home(r.ID, name, a.epochs[i], h.chart.Version)) != nil || changed
+		changed = h.propose(shardmap.ConfirmOwner(r.ID, name, a.epochs[i], h.chart.Version)) != nil || changed
 	}
 	if changed && !h.setup {
 		h.publish()
--- a/test/integration/cluster/harm_test.go
+++ b/test/integration/cluster/harm_test.go
@@ -79,9 +79,9 @@
 		if m.held == 0 {
 			return false
 		}
-		of, _ := chart.Of(cluster.Hash(m.held))
+		of, _ := chart.RangeOf(cluster.Hash(m.held))
 		for d := range api.DestinationID(4) {
-			if r, ok := chart.Of(cluster.Hash(d + 1)); ok && r.ID != of.ID {
+			if r, ok := chart.RangeOf(cluster.Hash(d + 1)); ok && r.ID != of.ID {
 				m.through = d + 1
 			}
 		}
@@ -101,9 +101,9 @@
 		if chart == nil || f.Home(m.through) != m.target {
 			return false
 		}
-		r, _ := chart.Of(cluster.Hash(m.held))
-		through, _ := chart.Of(cluster.Hash(m.through))
-		return r.Move.Open() && !through.Move.Open() && f.Member(string(r.Home)) == m.home
+		r, _ := chart.RangeOf(cluster.Hash(m.held))
+		through, _ := chart.RangeOf(cluster.Hash(m.through))
+		return r.Move.IsOpen() && !through.Move.IsOpen() && f.Member(string(r.Owner)) == m.home
 	})
 	m.stop = entering(f, m.target, 60, m.through)
 	return m
@@ -116,8 +116,8 @@
 		if chart == nil {
 			return false
 		}
-		r, _ := chart.Of(cluster.Hash(m.held))
-		return !r.Move.Open()
+		r, _ := chart.RangeOf(cluster.Hash(m.held))
+		return !r.Move.IsOpen()
 	})
 	assert.Equal(t, m.home, m.f.Home(m.held))
 	assert.Equal(t, m.target, m.f.Home(m.through))
@@ -169,8 +169,8 @@
 	m.f.Reload(m.rules(false, ""))
 	m.goneBack(t)
 	m.f.Homed()
-	was, _ := before.Of(cluster.Hash(m.through))
-	is, _ := m.f.Map().Of(cluster.Hash(m.through))
+	was, _ := before.RangeOf(cluster.Hash(m.through))
+	is, _ := m.f.Map().RangeOf(cluster.Hash(m.through))
 	assert.Equal(t, was.Epoch, is.Epoch, "it was let go of meanwhile")
 	m.end()
 }
--- a/test/integration/cluster/plan_test.go
+++ b/test/integration/cluster/plan_test.go
@@ -65,8 +65,8 @@
 			return false
 		}
 		for _, r := range chart.Ranges {
-			if n[string(r.Home)]++; most == "" || n[string(r.Home)] > n[most] {
-				most = string(r.Home)
+			if n[string(r.Owner)]++; most == "" || n[string(r.Owner)] > n[most] {
+				most = string(r.Owner)
 			}
 		}
 		return true
--- a/test/integration/harness/map.go
+++ b/test/integration/harness/map.go
@@ -42,8 +42,8 @@
 // Home is who is home of a destination and serves, or nil.
 func (f *Fleet) Home(dest api.DestinationID) *Member {
 	if chart := f.Map(); chart != nil {
-		if r, ok := chart.Of(chart.Key(dest)); ok && r.Standing == shardmap.Seated {
-			return f.Member(string(r.Home))
+		if r, ok := chart.RangeOf(chart.KeyOf(dest)); ok && r.Status == shardmap.OwnerServing {
+			return f.Member(string(r.Owner))
 		}
 	}
 	return nil
@@ -65,12 +65,12 @@
 
 func (f *Fleet) homed(settled bool, but []*Member) bool {
 	chart := f.Map()
-	if chart == nil || len(chart.Ranges) == 0 || settled && len(chart.Left) > 0 {
+	if chart == nil || len(chart.Ranges) == 0 || settled && len(chart.DetachedMoves) > 0 {
 		return false
 	}
 	return !slices.ContainsFunc(chart.Ranges, func(r shardmap.Range) bool {
-		home := f.Member(string(r.Home))
-		return r.Standing != shardmap.Seated || settled && r.Move.Open() || !home.Running() || slices.Contains(but,
+		home := f.Member(string(r.Owner))
+		return r.Status != shardmap.OwnerServing || settled && r.Move.IsOpen() || !home.Running() || slices.Contains(but,
 			home)
 	})
 }
--- a/test/integration/harness/past.go
+++ b/test/integration/harness/past.go
@@ -73,13 +73,13 @@
 				continue
 			}
 			for _, r := range chart.Ranges {
-				if r.Standing != shardmap.Seated || saw[r.ID] == r.Epoch {
+				if r.Status != shardmap.OwnerServing || saw[r.ID] == r.Epoch {
 					continue
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
 				v.seen[cluster.HomeOf(r.ID)] = append(v.seen[cluster.HomeOf(r.ID)], leasecheck.Past{What: leasecheck.Seen,
-					Member: string(r.Home), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
+					Member: string(r.Owner), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
 		}
