--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -76,7 +76,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	k := f.up[f.leader()]
-	entries, renewed, moved, used, since := k.LastIndex(), k.Renewed.Load(), f.moved.Load(), cpu(), time.Now()
+	entries, renewed, moved, used, since := k.LastIndex(), k.RenewalsAccepted.Load(), f.moved.Load(), cpu(), time.Now()
 	for b.Loop() {
 		time.Sleep(3 * time.Second)
 	}
@@ -84,7 +84,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(k.LastIndex()-entries)/spent, "entries/s")
-	b.ReportMetric(float64(k.Renewed.Load()-renewed)/spent, "renewed/s")
+	b.ReportMetric(float64(k.RenewalsAccepted.Load()-renewed)/spent, "renewed/s")
 	b.ReportMetric(float64(f.moved.Load()-moved)/spent, "B/s")
 	b.ReportMetric(100*(cpu()-used).Seconds()/spent, "%cpu")
 	b.ReportMetric(float64(m.Sys)/1e6, "MB")
--- a/cluster/member/chart.go
+++ b/cluster/member/chart.go
@@ -17,11 +17,11 @@
 	if says == "" {
 		return nil, nil, nil
 	}
-	t := transport.New("", map[cluster.MemberID]string{"it": says})
+	t := transport.NewClient("", map[cluster.MemberID]string{"it": says})
 	defer t.Close()
-	status, raw, err := t.Say("it", transport.StatePath, transport.Encode(transport.StateAsk{
+	status, raw, err := t.Call("it", transport.StatePath, transport.Encode(transport.StateRequest{
 		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), duration(10*api.Second))
-	var answer transport.StateAnswer
+	var answer transport.StateResponse
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
 	}
@@ -30,9 +30,9 @@
 		switch {
 		case err != nil:
 		case part.Part == cluster.RangesPart:
-			err, told = m.Restore(part.Snapshot), true
+			err, told = m.Restore(part.Data), true
 		case part.Part == cluster.PlanPart:
-			err = p.Restore(part.Snapshot)
+			err = p.Restore(part.Data)
 		}
 	}
 	if err != nil || status != fasthttp.StatusOK || !told {
--- a/cluster/member/doubts.go
+++ b/cluster/member/doubts.go
@@ -37,7 +37,7 @@
 		return
 	}
 	replies := make([]shardmap.CustodyReply, len(asks))
-	status, raw, err := f.client.Say(at, QueryPath, transport.Encode(asks), inflight.Span(f.ownership.leaseTTL/4))
+	status, raw, err := f.client.Call(at, QueryPath, transport.Encode(asks), inflight.Span(f.ownership.leaseTTL/4))
 	var said []shardmap.CustodyReply
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &said)
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -54,10 +54,10 @@
 }
 
 type running struct {
-	*raftnode.Keeper
+	*raftnode.Node
 	book   *lease.Book
 	server *transport.Server
-	talk   *transport.Talk
+	talk   *transport.Client
 }
 
 func keepers(t testing.TB, n int, term api.Micros) *fleetOf { return begin(t, n, term, false) }
@@ -119,20 +119,20 @@
 func (f *fleetOf) start(m cluster.MemberID) {
 	says, err := net.Listen("tcp", f.says[m])
 	require.NoError(f.t, err)
-	r := &running{server: transport.Hears(1000, time.Second), talk: transport.New(m, f.seen(m, f.says)),
+	r := &running{server: transport.NewServer(1000, time.Second), talk: transport.NewClient(m, f.seen(m, f.says)),
 		book: lease.NewBook()}
-	r.Keeper, err = f.open(m, r)
+	r.Node, err = f.open(m, r)
 	require.NoError(f.t, err)
-	r.Handle(r.server)
+	r.RegisterHandlers(r.server)
 	go r.server.Serve(counted{says, &f.moved})
 	f.up[m] = r
 }
 
-func (f *fleetOf) open(m cluster.MemberID, r *running) (*raftnode.Keeper, error) {
+func (f *fleetOf) open(m cluster.MemberID, r *running) (*raftnode.Node, error) {
 	log, err := net.Listen("tcp", f.logs[m])
 	require.NoError(f.t, err)
-	return raftnode.Open(raftnode.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.term,
-		Logs: f.seen(m, f.logs), Talk: r.talk, Clock: clock, Book: r.book, State: fsm.New(r.book, nil)},
+	return raftnode.Open(raftnode.Config{ClusterName: "test", Self: m, StateDir: f.folders[m], SessionTTL: f.term,
+		Addresses: f.seen(m, f.logs), Client: r.talk, Clock: clock, Leases: r.book, StateMachine: fsm.New(r.book, nil)},
 		counted{log, &f.moved})
 }
 
@@ -148,7 +148,7 @@
 func (f *fleetOf) leader(but ...cluster.MemberID) (who cluster.MemberID) {
 	require.Eventually(f.t, func() bool {
 		for m, r := range f.up {
-			if _, self := r.Leads(); self && !contains(but, m) {
+			if _, self := r.Leader(); self && !contains(but, m) {
 				who = m
 				return true
 			}
@@ -168,7 +168,7 @@
 }
 
 func (f *fleetOf) keepers(by cluster.MemberID) *member.LeaderClient {
-	t := transport.New(by, f.seen(by, f.says))
+	t := transport.NewClient(by, f.seen(by, f.says))
 	f.t.Cleanup(t.Close)
 	return member.NewLeaderClient(t, f.names, rand.Float64)
 }
--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -37,7 +37,7 @@
 	at, failures := cluster.MemberID(""), 0
 	for !s.isClosed() {
 		ask := s.watchRequest()
-		if len(ask.Versions)+len(ask.Wants) == 0 {
+		if len(ask.Versions)+len(ask.WantedTasks) == 0 {
 			select {
 			case <-s.pollWake:
 				continue
@@ -46,9 +46,9 @@
 			}
 		}
 		at = s.Leader.nextNode(at, failures > 0)
-		status, raw, err := s.Leader.client.Say(at, transport.StatePath, transport.Encode(ask),
+		status, raw, err := s.Leader.client.Call(at, transport.StatePath, transport.Encode(ask),
 			duration(timing.LongPoll(s.LeaseTTL)+timing.Answer(s.LeaseTTL)))
-		var answer transport.StateAnswer
+		var answer transport.StateResponse
 		if err == nil && status == fasthttp.StatusOK {
 			err = transport.Decode(raw, &answer)
 		}
@@ -61,24 +61,24 @@
 			continue
 		}
 		failures = 0
-		if s.applyState(answer); len(answer.Parts)+len(answer.Free) == 0 {
+		if s.applyState(answer); len(answer.Parts)+len(answer.FreeTasks) == 0 {
 			at = ""
 		}
 	}
 }
 
-func (s *Session) watchRequest() (ask transport.StateAsk) {
+func (s *Session) watchRequest() (ask transport.StateRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ask.Versions, ask.Wants, ask.Changes = map[byte]uint64{}, s.wishes.Waits(), true
+	ask.Versions, ask.WantedTasks, ask.AcceptDeltas = map[byte]uint64{}, s.wishes.Waits(), true
 	for part, f := range s.watchers {
 		ask.Versions[part] = f.version
 	}
 	return ask
 }
 
-func (s *Session) applyState(answer transport.StateAnswer) {
-	s.markFreed(answer.Free)
+func (s *Session) applyState(answer transport.StateResponse) {
+	s.markFreed(answer.FreeTasks)
 	for _, p := range answer.Parts {
 		s.applyPart(p)
 	}
@@ -89,11 +89,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.watchers[p.Part]
-	if f == nil || p.Version <= f.version || p.Since != 0 && p.Since != f.version {
+	if f == nil || p.Version <= f.version || p.BaseVersion != 0 && p.BaseVersion != f.version {
 		return
 	}
-	raw := p.Snapshot
-	if p.Since != 0 {
+	raw := p.Data
+	if p.BaseVersion != 0 {
 		var err error
 		if raw, err = fsm.Changed(f.snapshot, raw); err != nil {
 			slog.Warn("change of the state does not fit, the whole is asked for", "part", p.Part, "why", err)
--- a/cluster/member/forward.go
+++ b/cluster/member/forward.go
@@ -23,7 +23,7 @@
 type forwarder struct {
 	ownership *Ownership
 	exchange  *inflight.Exchange
-	client    *transport.Talk
+	client    *transport.Client
 	custody   *Store
 	handoff   *Handoff
 
@@ -126,7 +126,7 @@
 	uint64, error) {
 	for ; ; again = false {
 		s.Incarnation = f.Incarnation(to)
-		status, raw, err := f.client.Say(to, path, transport.Encode(s), inflight.Span(within))
+		status, raw, err := f.client.Call(to, path, transport.Encode(s), inflight.Span(within))
 		var hs TransferReply
 		if err == nil && status == fasthttp.StatusOK {
 			err = transport.Decode(raw, &hs)
@@ -135,7 +135,7 @@
 		case err != nil:
 			return nil, s.Incarnation, err
 		case status != fasthttp.StatusOK:
-			return nil, s.Incarnation, fmt.Errorf("%w: status %d", transport.ErrUnsure, status)
+			return nil, s.Incarnation, fmt.Errorf("%w: status %d", transport.ErrOutcomeUnknown, status)
 		case hs.Incarnation != s.Incarnation:
 			f.setIncarnation(to, hs.Incarnation)
 			if again {
@@ -143,7 +143,7 @@
 			}
 			return nil, s.Incarnation, fmt.Errorf("%w: its folder is new", transport.ErrNotSent)
 		case len(hs.Outcomes) != len(s.Webhooks):
-			return nil, s.Incarnation, fmt.Errorf("%w: %d answers", transport.ErrUnsure, len(hs.Outcomes))
+			return nil, s.Incarnation, fmt.Errorf("%w: %d answers", transport.ErrOutcomeUnknown, len(hs.Outcomes))
 		}
 		return hs.Outcomes, s.Incarnation, nil
 	}
--- a/cluster/member/gap_test.go
+++ b/cluster/member/gap_test.go
@@ -38,7 +38,7 @@
 	}
 	stop, err := time.ParseDuration(os.Getenv(gapStop))
 	require.NoError(t, err)
-	_, s := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
+	_, s := script(t, func(_ int, real transport.ProposeResponse) (int, []byte) { return 200, transport.Encode(real) })
 	s.Acquire("home/1")
 	holds(t, s, "home/1")
 	c, err := net.Dial("tcp", to)
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -59,7 +59,7 @@
 		ctx.SetBody(transport.Encode(said))
 		return
 	}
-	lag := f.clockOffset(transport.From(ctx), s.SentAt)
+	lag := f.clockOffset(transport.Sender(ctx), s.SentAt)
 	f.handoff.ApplyState(s.Learned, lag)
 	for i, c := range s.Webhooks {
 		s.Webhooks[i] = c.WithClockShift(lag)
@@ -109,6 +109,6 @@
 		ctx.Error("names not written", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	slog.Debug("asked who has webhooks", "by", transport.From(ctx), "webhooks", len(all))
+	slog.Debug("asked who has webhooks", "by", transport.Sender(ctx), "webhooks", len(all))
 	ctx.SetBody(transport.Encode(replies))
 }
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -211,7 +211,7 @@
 
 // IsLeaderUnreached is whether no leader answered.
 func IsLeaderUnreached(err error) bool {
-	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrUnsure)
+	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrOutcomeUnknown)
 }
 
 // Propose has a command put in the log.
--- a/cluster/member/keepers.go
+++ b/cluster/member/keepers.go
@@ -16,7 +16,7 @@
 
 // LeaderClient finds the one that leads.
 type LeaderClient struct {
-	client *transport.Talk
+	client *transport.Client
 	random func() float64 // a draw from [0, 1)
 
 	mu           sync.Mutex
@@ -26,7 +26,7 @@
 }
 
 // NewLeaderClient knows the keepers' names; chance is called by one caller at a time.
-func NewLeaderClient(t *transport.Talk, all []cluster.MemberID, chance func() float64) *LeaderClient {
+func NewLeaderClient(t *transport.Client, all []cluster.MemberID, chance func() float64) *LeaderClient {
 	return &LeaderClient{client: t, random: chance, nodes: slices.Clone(all)}
 }
 
@@ -53,12 +53,12 @@
 	until, why := time.Now().Add(within), errNoLeader
 	for _, to := range k.attemptOrder() {
 		for hops := 0; to != "" && hops < 2; hops++ {
-			status, answer, err := k.client.Say(to, path, body, time.Until(until))
+			status, answer, err := k.client.Call(to, path, body, time.Until(until))
 			next := cluster.MemberID("")
 			switch {
-			case errors.Is(err, transport.ErrUnsure), err == nil && status == fasthttp.StatusGatewayTimeout:
+			case errors.Is(err, transport.ErrOutcomeUnknown), err == nil && status == fasthttp.StatusGatewayTimeout:
 				k.markUnresponsive(to)
-				return nil, fmt.Errorf("%w: keeper %s: status %d: %w", transport.ErrUnsure, to, status,
+				return nil, fmt.Errorf("%w: keeper %s: status %d: %w", transport.ErrOutcomeUnknown, to, status,
 					orUnknownOutcome(err))
 			case err != nil:
 				why = err
@@ -66,9 +66,9 @@
 				k.setLeader(to)
 				return answer, nil
 			case status == fasthttp.StatusMisdirectedRequest:
-				var other transport.Elsewhere
-				if transport.Decode(answer, &other) == nil && other.Leads != to {
-					next = other.Leads
+				var other transport.NotLeaderResponse
+				if transport.Decode(answer, &other) == nil && other.Leader != to {
+					next = other.Leader
 				}
 			default:
 				why = fmt.Errorf("keeper %s: status %d: %.100s", to, status, answer)
@@ -138,9 +138,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	var p transport.Proposed
+	var p transport.ProposeResponse
 	if err := transport.Decode(raw, &p); err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", transport.ErrUnsure, err)
+		return nil, 0, fmt.Errorf("%w: %w", transport.ErrOutcomeUnknown, err)
 	}
-	return p.Answer, p.Index, fsm.Refusal(p.Refusal)
+	return p.Result, p.Index, fsm.Refusal(p.ErrorCode)
 }
--- a/cluster/member/keepers_test.go
+++ b/cluster/member/keepers_test.go
@@ -25,13 +25,13 @@
 	f.start(lost)
 	require.Eventually(t, func() bool {
 		servers, voters := 0, 0
-		for _, v := range f.up[f.leader()].Servers() {
+		for _, v := range f.up[f.leader()].Membership() {
 			servers++
 			if v {
 				voters++
 			}
 		}
-		return servers == 3 && voters == 3 && f.up[lost].LastIndex() > 0 && f.up[lost].Voter()
+		return servers == 3 && voters == 3 && f.up[lost].LastIndex() > 0 && f.up[lost].IsVoter()
 	}, longer, 10*time.Millisecond)
 	require.Equal(t, epoch, holds(t, a, "home/1"))
 	f.stop(f.names[1])
@@ -61,7 +61,7 @@
 		f.cut("m3", cut, f.names...)
 		time.Sleep(2 * time.Second)
 		for _, m := range []cluster.MemberID{"m1", "m3"} {
-			_, self := f.up[m].Leads()
+			_, self := f.up[m].Leader()
 			require.False(t, self)
 		}
 	}
@@ -81,12 +81,12 @@
 	delete(f.logs, gone)
 	f.start("m4")
 	for m, r := range f.up {
-		r.talk.Renew(f.seen(m, f.says))
-		r.Renew(f.seen(m, f.logs))
+		r.talk.SetAddresses(f.seen(m, f.says))
+		r.SetAddresses(f.seen(m, f.logs))
 	}
 	a.Leader.SetNodes(f.names)
 	require.Eventually(t, func() bool {
-		servers := f.up[f.leader(gone)].Servers()
+		servers := f.up[f.leader(gone)].Membership()
 		_, still := servers[gone]
 		return len(servers) == 3 && !still && servers["m4"]
 	}, longer, 10*time.Millisecond)
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -15,7 +15,7 @@
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
 // none.
 func TestALookEndsItsProposalsAtTheFirstThatNoLeaderAnswers(t *testing.T) {
-	keeper, a := script(t, func(_ int, real transport.Proposed) (int, []byte) {
+	keeper, a := script(t, func(_ int, real transport.ProposeResponse) (int, []byte) {
 		return fasthttp.StatusOK, transport.Encode(real)
 	})
 	chart := shardmap.New(nil)
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -64,7 +64,7 @@
 		turns <- struct{}{}
 		all.Go(func() {
 			defer func() { <-turns }()
-			status, raw, err := m.client.Say(id, Path, body, duration(m.file.Term)/pollsPerTTL)
+			status, raw, err := m.client.Call(id, Path, body, duration(m.file.Term)/pollsPerTTL)
 			var r rebalance.Report
 			if err == nil && status == fasthttp.StatusOK {
 				err = transport.Decode(raw, &r)
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -47,8 +47,8 @@
 	clock      func() api.Micros
 	listener   net.Listener
 	server     *transport.Server
-	client     *transport.Talk
-	raft       *raftnode.Keeper // nil where it keeps no log
+	client     *transport.Client
+	raft       *raftnode.Node // nil where it keeps no log
 	session    *Session
 	ownership  *Ownership
 	handoff    *Handoff
@@ -109,7 +109,7 @@
 		return err
 	}
 	m.request = PlanRequest{Text: m.configText, Groups: m.file.Groups()}
-	m.client, m.server = transport.New(m.self, memberAddresses(m.file)), transport.Hears(MaxConnections(len(m.file.Members)), requestTimeout)
+	m.client, m.server = transport.NewClient(m.self, memberAddresses(m.file)), transport.NewServer(MaxConnections(len(m.file.Members)), requestTimeout)
 	if own.Log != "" {
 		if err := m.openRaftNode(own); err != nil {
 			return err
@@ -148,14 +148,14 @@
 		return err
 	}
 	book := lease.NewBook()
-	m.raft, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.dispatcher.State,
-		Term: m.file.Term, Logs: raftAddresses(m.file), Talk: m.client, Clock: m.clock, Book: book,
-		State: fsm.New(book, map[byte]cluster.Part{cluster.RangesPart: shardmap.New(book),
+	m.raft, err = raftnode.Open(raftnode.Config{ClusterName: m.file.Name, Self: m.self, StateDir: m.dispatcher.State,
+		SessionTTL: m.file.Term, Addresses: raftAddresses(m.file), Client: m.client, Clock: m.clock, Leases: book,
+		StateMachine: fsm.New(book, map[byte]cluster.Part{cluster.RangesPart: shardmap.New(book),
 			cluster.PlanPart: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
 	}
-	m.raft.Handle(m.server)
+	m.raft.RegisterHandlers(m.server)
 	return nil
 }
 
@@ -232,7 +232,7 @@
 	m.session.WriteMetrics(to)
 	m.sites.Print(to)
 	if m.raft != nil {
-		m.raft.Print(to)
+		m.raft.WriteMetrics(to)
 		m.writePlanMetrics(to)
 	}
 }
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -93,10 +93,10 @@
 }
 
 func (m *Member) updatePeers(f config.File) {
-	m.client.Renew(memberAddresses(f))
+	m.client.SetAddresses(memberAddresses(f))
 	m.session.Leader.SetNodes(raftNodes(f))
 	if m.raft != nil {
-		m.raft.Renew(raftAddresses(f))
+		m.raft.SetAddresses(raftAddresses(f))
 	}
 }
 
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -26,25 +26,25 @@
 	term   api.Micros
 	book   *lease.Book
 	index  uint64
-	parts  []transport.PartState                               // to asks for the plan's, one by one
-	asked  []uint64                                            // the version, each time
-	grants int                                                 // asked for so far
-	charts int                                                 // commands to the map so far: none is taken
-	answer func(no int, real transport.Proposed) (int, []byte) // to an ask for a grant
+	parts  []transport.PartState                                      // to asks for the plan's, one by one
+	asked  []uint64                                                   // the version, each time
+	grants int                                                        // asked for so far
+	charts int                                                        // commands to the map so far: none is taken
+	answer func(no int, real transport.ProposeResponse) (int, []byte) // to an ask for a grant
 }
 
-func script(t *testing.T, answer func(no int, real transport.Proposed) (int, []byte)) (*scripted,
+func script(t *testing.T, answer func(no int, real transport.ProposeResponse) (int, []byte)) (*scripted,
 	*member.Session) {
 	s, all := scriptOf(t, 1, term, answer)
 	return s, all[0]
 }
 
 func scriptOf(t *testing.T, members int, term api.Micros,
-	answer func(no int, real transport.Proposed) (int, []byte)) (*scripted, []*member.Session) {
+	answer func(no int, real transport.ProposeResponse) (int, []byte)) (*scripted, []*member.Session) {
 	s := &scripted{book: lease.NewBook(), term: term, answer: answer}
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := transport.Hears(member.MaxConnections(members), time.Second)
+	server := transport.NewServer(member.MaxConnections(members), time.Second)
 	server.Handle(transport.SessionPath, s.session)
 	server.Handle(transport.ProposePath, s.propose)
 	server.Handle(transport.StatePath, s.states)
@@ -53,7 +53,7 @@
 	var all []*member.Session
 	for i := range members {
 		id := cluster.MemberID(fmt.Sprint("a", i))
-		say := transport.New(id, map[cluster.MemberID]string{"m1": on.Addr().String()})
+		say := transport.NewClient(id, map[cluster.MemberID]string{"m1": on.Addr().String()})
 		a := member.NewSession(member.Config{Self: id, Incarnation: 1, LeaseTTL: term, MaxClockDrift: 0.05, Clock: clock,
 			Leader: member.NewLeaderClient(say, []cluster.MemberID{"m1"}, rand.Float64)})
 		t.Cleanup(func() { a.Close(); say.Close() })
@@ -62,23 +62,23 @@
 	return s, all
 }
 
-func (s *scripted) apply(c cluster.Command) transport.Proposed {
+func (s *scripted) apply(c cluster.Command) transport.ProposeResponse {
 	s.index++
 	raw, err := s.book.Apply(s.index, c.Body)
-	return transport.Proposed{Answer: raw, Refusal: fsm.Code(err), Index: s.index}
+	return transport.ProposeResponse{Result: raw, ErrorCode: fsm.Code(err), Index: s.index}
 }
 
 func (s *scripted) session(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ask transport.SessionAsk
+	var ask transport.SessionRequest
 	transport.Decode(ctx.Request.Body(), &ask)
-	answer := transport.SessionAnswer{Session: ask.Session, Term: s.term}
+	answer := transport.SessionResponse{Session: ask.Session, TTL: s.term}
 	if ask.Session == 0 {
-		opened, _ := lease.ReadAnswer(s.apply(lease.Open(ask.Member, ask.Incarnation)).Answer)
+		opened, _ := lease.ReadAnswer(s.apply(lease.Open(ask.Member, ask.Incarnation)).Result)
 		answer.Session = opened.Session
-	} else if s.book.Tally(ask.Session) != ask.Tally {
-		answer.Holds = s.book.HeldBy(ask.Session)
+	} else if s.book.Tally(ask.Session) != ask.GrantTally {
+		answer.Grants = s.book.HeldBy(ask.Session)
 	}
 	ctx.SetBody(transport.Encode(answer))
 }
@@ -115,12 +115,12 @@
 // The grant's answer is lost, and the next one is of a leader that was stopped and still has an older book.
 // Guards against a task that is the member's own by the log and that it never takes.
 func TestATaskIsTakenThoughItsGrantWasLostAndAnOlderBookSaysNo(t *testing.T) {
-	_, a := script(t, func(no int, real transport.Proposed) (int, []byte) {
+	_, a := script(t, func(no int, real transport.ProposeResponse) (int, []byte) {
 		if no == 1 {
 			return fasthttp.StatusGatewayTimeout, nil
 		}
 		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
-		return fasthttp.StatusOK, transport.Encode(transport.Proposed{Answer: transport.Encode(older)})
+		return fasthttp.StatusOK, transport.Encode(transport.ProposeResponse{Result: transport.Encode(older)})
 	})
 	a.Acquire("home/1")
 	holds(t, a, "home/1")
@@ -130,7 +130,7 @@
 // wanted no more.
 func TestATaskGivenUpWhileItsGrantIsUnsureComesFree(t *testing.T) {
 	asked := make(chan struct{}, 1000)
-	keeper, a := script(t, func(int, transport.Proposed) (int, []byte) {
+	keeper, a := script(t, func(int, transport.ProposeResponse) (int, []byte) {
 		asked <- struct{}{}
 		return fasthttp.StatusGatewayTimeout, nil
 	})
@@ -141,8 +141,8 @@
 }
 
 func (s *scripted) states(ctx *fasthttp.RequestCtx) {
-	var ask transport.StateAsk
-	var answer transport.StateAnswer
+	var ask transport.StateRequest
+	var answer transport.StateResponse
 	transport.Decode(ctx.Request.Body(), &ask)
 	s.mu.Lock()
 	if n := len(s.asked); n < len(s.parts) {
@@ -173,7 +173,7 @@
 func TestAChangeThatDoesNotFitHasTheWholeAskedFor(t *testing.T) {
 	keeper, a := script(t, nil)
 	part := func(version, since uint64, snapshot string) transport.PartState {
-		return transport.PartState{Part: cluster.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
+		return transport.PartState{Part: cluster.PlanPart, Version: version, BaseVersion: since, Data: []byte(snapshot)}
 	}
 	keeper.parts = []transport.PartState{part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"),
 		part(3, 0, "three"), part(7, 0, "seven")}
@@ -189,7 +189,7 @@
 // A member that had been home got the task by a wish of before, while it was let go for another. Guards
 // against a range without a home for good: whoever is neither home nor target has nothing to wait for.
 func TestAHomeTakenByAFormerWishIsLetGoWhileItsMovePasses(t *testing.T) {
-	_, a := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
+	_, a := script(t, func(_ int, real transport.ProposeResponse) (int, []byte) { return 200, transport.Encode(real) })
 	a.Acquire(cluster.HomeOf(1))
 	holds(t, a, cluster.HomeOf(1))
 	chart := shardmap.New(nil)
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -179,18 +179,18 @@
 	if session == 0 {
 		within = timing.Opening(s.LeaseTTL)
 	}
-	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
-		Incarnation: s.Incarnation, Tally: tally}), duration(within))
-	var answer transport.SessionAnswer
+	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(transport.SessionRequest{Member: s.Self, Session: session,
+		Incarnation: s.Incarnation, GrantTally: tally}), duration(within))
+	var answer transport.SessionResponse
 	if err == nil {
 		err = transport.Decode(raw, &answer)
 	}
-	if err == nil && answer.Refusal != 0 {
-		err = fsm.Refusal(answer.Refusal)
+	if err == nil && answer.ErrorCode != 0 {
+		err = fsm.Refusal(answer.ErrorCode)
 		s.dropSession(session)
 	}
-	if err == nil && answer.Term < s.LeaseTTL { // guards against acting for longer than the keepers wait
-		slog.Error("the keepers count a shorter term: none is held", "term_us", s.LeaseTTL, "theirs_us", answer.Term)
+	if err == nil && answer.TTL < s.LeaseTTL { // guards against acting for longer than the keepers wait
+		slog.Error("the keepers count a shorter term: none is held", "term_us", s.LeaseTTL, "theirs_us", answer.TTL)
 		return false
 	}
 	s.mu.Lock()
@@ -206,11 +206,11 @@
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
 		s.wishes.Anew()
 	}
-	if len(answer.Holds) > 0 {
-		s.wishes.Has(answer.Session, answer.Holds)
+	if len(answer.Grants) > 0 {
+		s.wishes.Has(answer.Session, answer.Grants)
 		s.notifyChanges()
 	}
-	if !stood || len(answer.Holds) > 0 {
+	if !stood || len(answer.Grants) > 0 {
 		wake(s.acquireWake)
 	}
 	return true
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -42,9 +42,9 @@
 	b := f.member("b", "home/1", "home/2")
 	holds(t, b, "home/2")
 	leader := f.up[f.leader()]
-	renewed, entries := leader.Renewed.Load(), leader.LastIndex()
+	renewed, entries := leader.RenewalsAccepted.Load(), leader.LastIndex()
 	c := f.member("c", "home/1")
-	require.Eventually(t, func() bool { return c.IsActive() && leader.Renewed.Load() >= renewed+15 }, longer,
+	require.Eventually(t, func() bool { return c.IsActive() && leader.RenewalsAccepted.Load() >= renewed+15 }, longer,
 		time.Millisecond)
 	require.Equal(t, entries+1, leader.LastIndex()) // c's session
 }
@@ -53,11 +53,11 @@
 func TestALeaderCutOffRenewsNothing(t *testing.T) {
 	f := keepers(t, 3, term)
 	leader := f.leader()
-	say := transport.New("a", f.says)
+	say := transport.NewClient("a", f.says)
 	defer say.Close()
-	renew := func(session cluster.SessionID) (status int, answer transport.SessionAnswer) {
-		ask := transport.SessionAsk{Member: "a", Session: session, Incarnation: 77}
-		status, raw, err := say.Say(leader, transport.SessionPath, transport.Encode(ask), longer)
+	renew := func(session cluster.SessionID) (status int, answer transport.SessionResponse) {
+		ask := transport.SessionRequest{Member: "a", Session: session, Incarnation: 77}
+		status, raw, err := say.Call(leader, transport.SessionPath, transport.Encode(ask), longer)
 		require.NoError(t, err)
 		transport.Decode(raw, &answer)
 		return status, answer
@@ -80,7 +80,7 @@
 	old := f.leader()
 	f.cut(old, true, append(slices.Clone(f.names), "a", "b")...)
 	f.leader(old)
-	require.Eventually(t, func() bool { return f.up[old].LeadsNoMore.Load() > 0 }, longer, time.Millisecond)
+	require.Eventually(t, func() bool { return f.up[old].LeadershipsLost.Load() > 0 }, longer, time.Millisecond)
 	time.Sleep(2 * 2 * time.Second) // two terms
 	still, held := a.Holds("home/1")
 	require.True(t, held)
@@ -114,7 +114,7 @@
 	f.stop("m2")
 	require.Eventually(t, func() bool {
 		_, held := a.Holds("home/1")
-		return !held && f.up["m3"].NoMajority.Load() > 0 && a.SessionsLost.Load() > 0
+		return !held && f.up["m3"].QuorumLosses.Load() > 0 && a.SessionsLost.Load() > 0
 	}, longer, time.Millisecond)
 	b := f.member("b", "home/2")
 	time.Sleep(time.Second)
@@ -141,7 +141,7 @@
 		f.start(m)
 	}
 	leader := f.up[f.leader()]
-	require.Eventually(t, func() bool { return leader.Renewed.Load() > 4 }, longer, time.Millisecond)
+	require.Eventually(t, func() bool { return leader.RenewalsAccepted.Load() > 4 }, longer, time.Millisecond)
 	require.Equal(t, epoch, holds(t, a, "home/1"))
 }
 
--- a/cluster/raftnode/encoded_forms_test.go
+++ b/cluster/raftnode/encoded_forms_test.go
@@ -13,5 +13,5 @@
 func TestEncodedForms(t *testing.T) {
 	golden, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	require.Equal(t, string(golden), wireschema.Describe(wireschema.CBOR, about{}))
+	require.Equal(t, string(golden), wireschema.Describe(wireschema.CBOR, entryHeader{}))
 }
--- a/cluster/raftnode/folder.go
+++ b/cluster/raftnode/folder.go
@@ -18,52 +18,52 @@
 	"rowanlink/cluster"
 )
 
-// folder is what a keeper has on disk. It is named at random when it is made: a keeper that lost its folder
+// storage is what a keeper has on disk. It is named at random when it is made: a keeper that lost its folder
 // is another server to the rest, and holds none of the votes and entries that the lost one had vouched for.
-type folder struct {
-	id    raft.ServerID
-	store *raftboltdb.BoltStore
-	snaps *raft.FileSnapshotStore
-	empty bool // it never had an entry, a vote or a snapshot
+type storage struct {
+	id        raft.ServerID
+	log       *raftboltdb.BoltStore
+	snapshots *raft.FileSnapshotStore
+	empty     bool // it never had an entry, a vote or a snapshot
 }
 
 const (
-	nameFile     = "keeper"
-	logFile      = "log.bolt"
-	snapsKept    = 2
-	logIsInUseBy = time.Second // waited for a process that ends and still has the log
+	nameFile          = "keeper"
+	logFile           = "log.bolt"
+	snapshotsRetained = 2
+	logLockTimeout    = time.Second // waited for a process that ends and still has the log
 )
 
-func openFolder(path string, member cluster.MemberID, logger hclog.Logger) (*folder, error) {
+func openStorage(path string, member cluster.MemberID, logger hclog.Logger) (*storage, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	name, err := folderName(path)
+	name, err := loadOrCreateName(path)
 	if err != nil {
 		return nil, err
 	}
-	f := &folder{id: raft.ServerID(string(member) + "/" + name)}
-	f.store, err = raftboltdb.New(raftboltdb.Options{Path: filepath.Join(path, logFile),
-		BoltOptions:             &bbolt.Options{Timeout: logIsInUseBy, NoFreelistSync: true},
+	f := &storage{id: raft.ServerID(string(member) + "/" + name)}
+	f.log, err = raftboltdb.New(raftboltdb.Options{Path: filepath.Join(path, logFile),
+		BoltOptions:             &bbolt.Options{Timeout: logLockTimeout, NoFreelistSync: true},
 		MsgpackUseNewTimeFormat: true})
 	if err != nil {
 		return nil, fmt.Errorf("the log in %s can't be opened: %w", path, err)
 	}
-	if f.snaps, err = raft.NewFileSnapshotStoreWithLogger(path, snapsKept, logger); err == nil {
+	if f.snapshots, err = raft.NewFileSnapshotStoreWithLogger(path, snapshotsRetained, logger); err == nil {
 		var has bool
-		has, err = raft.HasExistingState(f.store, f.store, f.snaps)
+		has, err = raft.HasExistingState(f.log, f.log, f.snapshots)
 		f.empty = !has
 	}
 	if err != nil {
-		f.store.Close()
+		f.log.Close()
 		return nil, fmt.Errorf("the folder %s can't be read: %w", path, err)
 	}
 	return f, nil
 }
 
-// folderName reads the folder's name, or gives it one if it is new. Guards against a log whose name is gone:
+// loadOrCreateName reads the folder's name, or gives it one if it is new. Guards against a log whose name is gone:
 // under a new one it would be a server that the others don't know, with entries that they have.
-func folderName(path string) (string, error) {
+func loadOrCreateName(path string) (string, error) {
 	at := filepath.Join(path, nameFile)
 	raw, err := os.ReadFile(at)
 	if name := strings.TrimSpace(string(raw)); err == nil && len(name) == 16 {
@@ -78,14 +78,14 @@
 	drawn := make([]byte, 8)
 	rand.Read(drawn)
 	name := hex.EncodeToString(drawn)
-	if err := writeSynced(at, name+"\n"); err != nil {
+	if err := writeFileAtomically(at, name+"\n"); err != nil {
 		return "", err
 	}
 	return name, nil
 }
 
-// writeSynced puts a small file there whole or not at all.
-func writeSynced(at, text string) error {
+// writeFileAtomically puts a small file there whole or not at all.
+func writeFileAtomically(at, text string) error {
 	f, err := os.Create(at + ".new")
 	if err != nil {
 		return err
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -15,20 +15,20 @@
 	"rowanlink/webhook/api"
 )
 
-// Handle has what members ask of a keeper answered by this one. Statuses: 200 with an answer or a refusal,
+// RegisterHandlers has what members ask of a keeper answered by this one. Statuses: 200 with an answer or a refusal,
 // 421 where another leads, 503 where it was not done and may be asked again, 504 where that is not known.
-func (k *Keeper) Handle(on *transportpkg.Server) {
-	on.Handle(transportpkg.SessionPath, k.session)
-	on.Handle(transportpkg.ProposePath, k.propose)
-	on.Handle(transportpkg.StatePath, k.states)
-	on.Handle(transportpkg.WhoPath, k.who)
-	on.Handle(transportpkg.JoinPath, k.join)
+func (k *Node) RegisterHandlers(on *transportpkg.Server) {
+	on.Handle(transportpkg.SessionPath, k.handleSession)
+	on.Handle(transportpkg.ProposePath, k.handlePropose)
+	on.Handle(transportpkg.StatePath, k.handleState)
+	on.Handle(transportpkg.IdentifyPath, k.handleIdentify)
+	on.Handle(transportpkg.JoinPath, k.handleJoin)
 }
 
-const mostEntry = 4 << 20 // bytes of one entry of the log
+const maxCommandSize = 4 << 20 // bytes of one entry of the log
 
-// read decodes a message, else answers that it can't be.
-func read(ctx *fasthttp.RequestCtx, v any) bool {
+// decodeRequest decodes a message, else answers that it can't be.
+func decodeRequest(ctx *fasthttp.RequestCtx, v any) bool {
 	err := transportpkg.Decode(ctx.Request.Body(), v)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -36,140 +36,140 @@
 	return err == nil
 }
 
-func (k *Keeper) elsewhere(ctx *fasthttp.RequestCtx) {
-	k.Elsewhere.Add(1)
-	who, _ := k.Leads()
+func (k *Node) redirectToLeader(ctx *fasthttp.RequestCtx) {
+	k.Redirects.Add(1)
+	who, _ := k.Leader()
 	if who == k.self {
 		who = "" // not yet: its sessions have no terms
 	}
 	ctx.SetStatusCode(fasthttp.StatusMisdirectedRequest)
-	ctx.SetBody(transportpkg.Encode(transportpkg.Elsewhere{Leads: who}))
+	ctx.SetBody(transportpkg.Encode(transportpkg.NotLeaderResponse{Leader: who}))
 }
 
-func (k *Keeper) session(ctx *fasthttp.RequestCtx) {
+func (k *Node) handleSession(ctx *fasthttp.RequestCtx) {
 	came := k.clock() + 1 // what was sent in this microsecond was sent before
-	var ask transportpkg.SessionAsk
-	if !read(ctx, &ask) {
+	var ask transportpkg.SessionRequest
+	if !decodeRequest(ctx, &ask) {
 		return
 	}
 	if ask.Session == 0 {
-		k.open(ctx, ask)
+		k.openSession(ctx, ask)
 		return
 	}
-	k.renew(ctx, ask, came)
+	k.renewSession(ctx, ask, came)
 }
 
-// renew has the session go on, if a majority still follows at or after the moment when the ask came.
-func (k *Keeper) renew(ctx *fasthttp.RequestCtx, by transportpkg.SessionAsk, came api.Micros) {
-	s, verdicts := by.Session, make(chan said, 1)
+// renewSession has the session go on, if a majority still follows at or after the moment when the ask came.
+func (k *Node) renewSession(ctx *fasthttp.RequestCtx, by transportpkg.SessionRequest, came api.Micros) {
+	s, verdicts := by.Session, make(chan renewalResult, 1)
 	select {
-	case k.asks <- ask{s, by.Tally, came, verdicts}:
-	case <-k.ended:
-		k.elsewhere(ctx)
+	case k.renewals <- renewal{s, by.GrantTally, came, verdicts}:
+	case <-k.closing:
+		k.redirectToLeader(ctx)
 		return
 	}
 	select {
 	case v := <-verdicts:
-		switch v.verdict {
-		case goesOn:
-			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term, Holds: v.holds}))
-		case ended:
-			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term,
-				Refusal: fsm.Code(cluster.ErrUnknown)}))
+		switch v.outcome {
+		case renewalAccepted:
+			ctx.SetBody(transportpkg.Encode(transportpkg.SessionResponse{Session: s, TTL: k.sessionTTL, Grants: v.grants}))
+		case renewalSessionEnded:
+			ctx.SetBody(transportpkg.Encode(transportpkg.SessionResponse{Session: s, TTL: k.sessionTTL,
+				ErrorCode: fsm.Code(cluster.ErrUnknown)}))
 		default:
-			k.elsewhere(ctx)
+			k.redirectToLeader(ctx)
 		}
-	case <-k.ended:
-		k.elsewhere(ctx)
+	case <-k.closing:
+		k.redirectToLeader(ctx)
 	}
 }
 
-func (k *Keeper) open(ctx *fasthttp.RequestCtx, ask transportpkg.SessionAsk) {
-	did, _, ok := k.enter(ctx, lease.Open(ask.Member, ask.Incarnation))
+func (k *Node) openSession(ctx *fasthttp.RequestCtx, ask transportpkg.SessionRequest) {
+	did, _, ok := k.proposeCommand(ctx, lease.Open(ask.Member, ask.Incarnation))
 	if !ok {
 		return
 	}
-	answer := transportpkg.SessionAnswer{Term: k.term, Refusal: fsm.Code(did.err)}
+	answer := transportpkg.SessionResponse{TTL: k.sessionTTL, ErrorCode: fsm.Code(did.err)}
 	if did.err == nil {
-		if !did.lives { // it is being ended: the next one asked for is another
+		if !did.sessionLive { // it is being ended: the next one asked for is another
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
-		opened, err := lease.ReadAnswer(did.answer)
-		answer.Session, answer.Refusal = opened.Session, fsm.Code(err)
+		opened, err := lease.ReadAnswer(did.response)
+		answer.Session, answer.ErrorCode = opened.Session, fsm.Code(err)
 	}
 	ctx.SetBody(transportpkg.Encode(answer))
 }
 
-func (k *Keeper) propose(ctx *fasthttp.RequestCtx) {
+func (k *Node) handlePropose(ctx *fasthttp.RequestCtx) {
 	var c cluster.Command
-	if !read(ctx, &c) {
+	if !decodeRequest(ctx, &c) {
 		return
 	}
-	if len(c.Body) > mostEntry {
+	if len(c.Body) > maxCommandSize {
 		ctx.SetStatusCode(fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
-	if answer, sure := k.taken(c); sure {
-		ctx.SetBody(transportpkg.Encode(transportpkg.Proposed{Answer: answer}))
+	if answer, sure := k.rejectHeldTasks(c); sure {
+		ctx.SetBody(transportpkg.Encode(transportpkg.ProposeResponse{Result: answer}))
 		return
 	}
-	if did, index, ok := k.enter(ctx, c); ok {
-		ctx.SetBody(transportpkg.Encode(transportpkg.Proposed{Answer: did.answer, Refusal: fsm.Code(did.err), Index: index}))
+	if did, index, ok := k.proposeCommand(ctx, c); ok {
+		ctx.SetBody(transportpkg.Encode(transportpkg.ProposeResponse{Result: did.response, ErrorCode: fsm.Code(did.err), Index: index}))
 	}
 }
 
-// enter puts a command into the log and waits until it is applied; else it answers why not.
-func (k *Keeper) enter(ctx *fasthttp.RequestCtx, c cluster.Command) (did applied, index uint64, ok bool) {
-	if _, self := k.Leads(); !self {
-		k.elsewhere(ctx)
-		return applied{}, 0, false
-	}
-	k.Proposed.Add(1)
-	f := k.raft.ApplyLog(entry(c), span(timing.Proposing(k.term)))
+// proposeCommand puts a command into the log and waits until it is applied; else it answers why not.
+func (k *Node) proposeCommand(ctx *fasthttp.RequestCtx, c cluster.Command) (did applyResult, index uint64, ok bool) {
+	if _, self := k.Leader(); !self {
+		k.redirectToLeader(ctx)
+		return applyResult{}, 0, false
+	}
+	k.Proposals.Add(1)
+	f := k.raft.ApplyLog(newLogEntry(c), toDuration(timing.Proposing(k.sessionTTL)))
 	switch err := f.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader):
-		k.elsewhere(ctx)
-		return applied{}, 0, false
+		k.redirectToLeader(ctx)
+		return applyResult{}, 0, false
 	case errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
-		return applied{}, 0, false
+		return applyResult{}, 0, false
 	default: // it may be committed all the same
-		k.ProposalsOut.Add(1)
+		k.ProposalsOutcomeUnknown.Add(1)
 		ctx.Error(err.Error(), fasthttp.StatusGatewayTimeout)
-		return applied{}, 0, false
+		return applyResult{}, 0, false
 	}
-	did = f.Response().(applied)
+	did = f.Response().(applyResult)
 	if did.err != nil {
-		k.ProposalsRefused.Add(1)
+		k.ProposalsRejected.Add(1)
 	}
 	return did, f.Index(), true
 }
 
-// states answers with the parts that are newer, and waits a while if none is.
-func (k *Keeper) states(ctx *fasthttp.RequestCtx) {
-	var ask transportpkg.StateAsk
-	if !read(ctx, &ask) {
+// handleState answers with the parts that are newer, and waits a while if none is.
+func (k *Node) handleState(ctx *fasthttp.RequestCtx) {
+	var ask transportpkg.StateRequest
+	if !decodeRequest(ctx, &ask) {
 		return
 	}
-	late := time.NewTimer(span(timing.LongPoll(k.term)))
+	late := time.NewTimer(toDuration(timing.LongPoll(k.sessionTTL)))
 	defer late.Stop()
 	for {
-		answer, news, err := k.newer(ask)
+		answer, news, err := k.readNewerState(ask)
 		if err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		if len(answer.Parts)+len(answer.Free) == 0 {
+		if len(answer.Parts)+len(answer.FreeTasks) == 0 {
 			select {
 			case <-news:
 				continue
 			case <-late.C:
-			case <-k.ended:
+			case <-k.closing:
 			}
 		}
-		k.States.Add(int64(len(answer.Parts)))
+		k.PartsServed.Add(int64(len(answer.Parts)))
 		ctx.SetBody(transportpkg.Encode(answer))
 		return
 	}
--- a/cluster/raftnode/heard.go
+++ b/cluster/raftnode/heard.go
@@ -9,59 +9,59 @@
 	"rowanlink/webhook/api"
 )
 
-// heard is the transport, with an ear for who still follows: raft's own calls of life, sent several times in
+// contactTransport is the transport, with an ear for who still follows: raft's own calls of life, sent several times in
 // each election timeout, tell lease.Assent what it has to know. Nothing further is sent for a renewal.
-type heard struct {
+type contactTransport struct {
 	*raft.NetworkTransport
-	clock func() api.Micros
-	tell  chan struct{}
+	clock     func() api.Micros
+	contacted chan struct{}
 
-	mu   sync.Mutex
-	term uint64
-	sent map[raft.ServerID]api.Micros
+	mu          sync.Mutex
+	term        uint64
+	lastContact map[raft.ServerID]api.Micros
 }
 
-func newHeard(t *raft.NetworkTransport, clock func() api.Micros) *heard {
-	return &heard{NetworkTransport: t, clock: clock, tell: make(chan struct{}, 1),
-		sent: map[raft.ServerID]api.Micros{}}
+func newContactTransport(t *raft.NetworkTransport, clock func() api.Micros) *contactTransport {
+	return &contactTransport{NetworkTransport: t, clock: clock, contacted: make(chan struct{}, 1),
+		lastContact: map[raft.ServerID]api.Micros{}}
 }
 
 // SetHeartbeatHandler leaves calls of life with all the others, which raft's own loop takes one by one.
 // Guards against a leader that was stopped: raft would take up the later term of such a call beside its loop,
 // which then writes the leader's own last entries under that term, and takes them for the new leader's.
-func (h *heard) SetHeartbeatHandler(func(raft.RPC)) {}
+func (h *contactTransport) SetHeartbeatHandler(func(raft.RPC)) {}
 
 // AppendEntries notes when a call was sent that was answered in its own raft term.
-func (h *heard) AppendEntries(id raft.ServerID, target raft.ServerAddress, args *raft.AppendEntriesRequest,
+func (h *contactTransport) AppendEntries(id raft.ServerID, target raft.ServerAddress, args *raft.AppendEntriesRequest,
 	resp *raft.AppendEntriesResponse) error {
 	term, sent := args.Term, h.clock()
-	err := h.NetworkTransport.AppendEntries(id, target, vouched(args), resp)
+	err := h.NetworkTransport.AppendEntries(id, target, boundCommitIndex(args), resp)
 	if err == nil && resp.Term == term {
-		h.note(id, term, sent)
+		h.recordContact(id, term, sent)
 	}
 	return err
 }
 
 // AppendEntriesPipeline is for calls that don't wait for one another's answers.
-func (h *heard) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline,
+func (h *contactTransport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline,
 	error) {
 	p, err := h.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
 		return nil, err
 	}
-	return pipeline{p}, nil
+	return boundedPipeline{p}, nil
 }
 
-type pipeline struct{ raft.AppendPipeline }
+type boundedPipeline struct{ raft.AppendPipeline }
 
-func (p pipeline) AppendEntries(args *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) (
+func (p boundedPipeline) AppendEntries(args *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) (
 	raft.AppendFuture, error) {
-	return p.AppendPipeline.AppendEntries(vouched(args), resp)
+	return p.AppendPipeline.AppendEntries(boundCommitIndex(args), resp)
 }
 
-// vouched has a call commit no more than it brings, or has compared with what is there: raft's follower would
+// boundCommitIndex has a call commit no more than it brings, or has compared with what is there: raft's follower would
 // commit what it has behind that, perhaps entries of a leader that is gone.
-func vouched(args *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
+func boundCommitIndex(args *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
 	if last := args.PrevLogEntry + uint64(len(args.Entries)); args.LeaderCommitIndex > last {
 		c := *args
 		c.LeaderCommitIndex = last
@@ -70,7 +70,7 @@
 	return args
 }
 
-func (h *heard) note(id raft.ServerID, term uint64, sent api.Micros) {
+func (h *contactTransport) recordContact(id raft.ServerID, term uint64, sent api.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if term < h.term {
@@ -78,18 +78,18 @@
 	}
 	if term > h.term {
 		h.term = term
-		clear(h.sent)
+		clear(h.lastContact)
 	}
-	h.sent[id] = max(h.sent[id], sent)
+	h.lastContact[id] = max(h.lastContact[id], sent)
 	select {
-	case h.tell <- struct{}{}:
+	case h.contacted <- struct{}{}:
 	default:
 	}
 }
 
-// assent is what is known of leading in one raft term, by the servers that vote now. Guards against what was
+// quorumContact is what is known of leading in one raft term, by the servers that vote now. Guards against what was
 // heard in a later term of this keeper's: another may have led between the two.
-func (h *heard) assent(term uint64, all []raft.Server, self raft.ServerID) *lease.Assent {
+func (h *contactTransport) quorumContact(term uint64, all []raft.Server, self raft.ServerID) *lease.Assent {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	voters := 0
@@ -100,7 +100,7 @@
 	}
 	a := lease.NewAssent(voters)
 	for _, s := range all {
-		if sent, ok := h.sent[s.ID]; ok && s.Suffrage == raft.Voter && s.ID != self && term == h.term {
+		if sent, ok := h.lastContact[s.ID]; ok && s.Suffrage == raft.Voter && s.ID != self && term == h.term {
 			a.Heard(term, memberOf(s.ID), sent)
 		}
 	}
--- a/cluster/raftnode/heard_test.go
+++ b/cluster/raftnode/heard_test.go
@@ -15,7 +15,7 @@
 // calls, and none commits what it does not vouch for.
 func TestCallsGoOneWayAndCommitWhatTheyVouchFor(t *testing.T) {
 	caller, called := transport(t, "a/1"), transport(t, "b/1")
-	caller.wire.renew(map[cluster.MemberID]string{"b": called.wire.on.Addr().String()})
+	caller.wire.setAddresses(map[cluster.MemberID]string{"b": called.wire.listener.Addr().String()})
 	beside := make(chan raft.RPC, 1)
 	called.SetHeartbeatHandler(func(rpc raft.RPC) { beside <- rpc })
 	commits := make(chan uint64, 1)
@@ -73,18 +73,18 @@
 }
 
 func transport(t *testing.T, self raft.ServerID) struct {
-	*heard
-	wire *wire
+	*contactTransport
+	wire *streamLayer
 } {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	w := newWire(on, "tests", self, 5*time.Second)
-	h := newHeard(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{ServerAddressProvider: w,
-		Logger: newLogs(time.Second), Stream: w, MaxPool: 2, Timeout: 5 * time.Second,
+	w := newStreamLayer(on, "tests", self, 5*time.Second)
+	h := newContactTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{ServerAddressProvider: w,
+		Logger: newRaftLogger(time.Second), Stream: w, MaxPool: 2, Timeout: 5 * time.Second,
 		MsgpackUseNewTimeFormat: true}), clock)
 	t.Cleanup(func() { h.Close() })
 	return struct {
-		*heard
-		wire *wire
+		*contactTransport
+		wire *streamLayer
 	}{h, w}
 }
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -25,123 +25,123 @@
 	"rowanlink/webhook/api"
 )
 
-// Place is what a keeper is told at its start. Each address is as this member reaches the other.
-type Place struct {
-	Fleet  string
-	Self   cluster.MemberID
-	Folder string // LB_STATE: what it keeps is under fleet/
-	Term   api.Micros
-	Logs   map[cluster.MemberID]string // of all keepers, itself among them
-	Talk   *transportpkg.Talk
-	Clock  func() api.Micros // never runs back
-	Book   *lease.Book
-	State  *fsm.Machine // over the book
+// Config is what a keeper is told at its start. Each address is as this member reaches the other.
+type Config struct {
+	ClusterName  string
+	Self         cluster.MemberID
+	StateDir     string // LB_STATE: what it keeps is under fleet/
+	SessionTTL   api.Micros
+	Addresses    map[cluster.MemberID]string // of all keepers, itself among them
+	Client       *transportpkg.Client
+	Clock        func() api.Micros // never runs back
+	Leases       *lease.Book
+	StateMachine *fsm.Machine // over the book
 }
 
-// Keeper is one copy of the log.
-type Keeper struct {
-	Counters
-	self     cluster.MemberID
-	term     api.Micros
-	clock    func() api.Micros
-	talk     *transportpkg.Talk
-	folder   *folder
-	wire     *wire
-	heard    *heard
-	raft     *raft.Raft
-	lead     chan bool
-	asks     chan ask
-	ended    chan struct{}
-	outdated chan struct{} // its reign is no longer the book's
-	done     sync.WaitGroup
-
-	mu      sync.Mutex
-	book    *lease.Book
-	state   *fsm.Machine
-	terms   *lease.Terms
-	reign   uint64 // the raft term that it leads in, its sessions' terms begun; 0: it does not lead
-	halted  error
-	refused error         // a snapshot that could not be read
-	news    chan struct{} // closed when a part is newer
-	waiters int
-	keepers []cluster.MemberID // by the operator file, sorted
-	joins   map[cluster.MemberID]transportpkg.Join
-	parts   map[byte]*fsm.Past
+// Node is one copy of the log.
+type Node struct {
+	Metrics
+	self            cluster.MemberID
+	sessionTTL      api.Micros
+	clock           func() api.Micros
+	client          *transportpkg.Client
+	storage         *storage
+	streams         *streamLayer
+	transport       *contactTransport
+	raft            *raft.Raft
+	leaderChanges   chan bool
+	renewals        chan renewal
+	closing         chan struct{}
+	staleLeadership chan struct{} // its reign is no longer the book's
+	background      sync.WaitGroup
+
+	mu           sync.Mutex
+	leases       *lease.Book
+	machine      *fsm.Machine
+	deadlines    *lease.Terms
+	leaderTerm   uint64 // the raft term that it leads in, its sessions' terms begun; 0: it does not lead
+	haltErr      error
+	restoreErr   error         // a snapshot that could not be read
+	stateChanged chan struct{} // closed when a part is newer
+	waiters      int
+	members      []cluster.MemberID // by the operator file, sorted
+	joinRequests map[cluster.MemberID]transportpkg.JoinRequest
+	history      map[byte]*fsm.Past
 }
 
 // Open starts a keeper that hears the other logs on a listener, which it closes in the end. An error is one
 // line: a folder that can't be read, or is of a newer program.
-func Open(p Place, on net.Listener) (k *Keeper, err error) {
-	k = &Keeper{self: p.Self, term: p.Term, clock: p.Clock, talk: p.Talk, book: p.Book, state: p.State,
-		terms: lease.NewTerms(p.Term), lead: make(chan bool, 16), asks: make(chan ask, 64),
-		outdated: make(chan struct{}),
-		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[cluster.MemberID]transportpkg.Join{},
-		parts: map[byte]*fsm.Past{}}
-	goes, logger := timing.OfLog(p.Term), newLogs(span(p.Term))
-	if k.folder, err = openFolder(filepath.Join(p.Folder, "fleet"), p.Self, logger); err != nil {
+func Open(p Config, on net.Listener) (k *Node, err error) {
+	k = &Node{self: p.Self, sessionTTL: p.SessionTTL, clock: p.Clock, client: p.Client, leases: p.Leases, machine: p.StateMachine,
+		deadlines: lease.NewTerms(p.SessionTTL), leaderChanges: make(chan bool, 16), renewals: make(chan renewal, 64),
+		staleLeadership: make(chan struct{}),
+		closing:         make(chan struct{}), stateChanged: make(chan struct{}), joinRequests: map[cluster.MemberID]transportpkg.JoinRequest{},
+		history: map[byte]*fsm.Past{}}
+	goes, logger := timing.OfLog(p.SessionTTL), newRaftLogger(toDuration(p.SessionTTL))
+	if k.storage, err = openStorage(filepath.Join(p.StateDir, "fleet"), p.Self, logger); err != nil {
 		on.Close()
 		return nil, fmt.Errorf("keeper %s: %w", p.Self, err)
 	}
-	k.wire = newWire(on, p.Fleet, k.folder.id, span(goes.Call))
-	k.heard = newHeard(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		ServerAddressProvider: k.wire, Logger: logger, Stream: k.wire, MaxPool: 2, Timeout: span(goes.Call),
+	k.streams = newStreamLayer(on, p.ClusterName, k.storage.id, toDuration(goes.Call))
+	k.transport = newContactTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		ServerAddressProvider: k.streams, Logger: logger, Stream: k.streams, MaxPool: 2, Timeout: toDuration(goes.Call),
 		MsgpackUseNewTimeFormat: true,
 	}), p.Clock)
-	k.setKeepers(p.Logs)
+	k.setMembers(p.Addresses)
 	how := raft.DefaultConfig()
-	how.LocalID, how.Logger, how.NotifyCh, how.NoLegacyTelemetry = k.folder.id, logger, k.lead, true
-	how.HeartbeatTimeout, how.ElectionTimeout = span(goes.Silence), span(goes.Silence)
-	how.LeaderLeaseTimeout, how.CommitTimeout = span(goes.Lease), span(goes.Tell)
+	how.LocalID, how.Logger, how.NotifyCh, how.NoLegacyTelemetry = k.storage.id, logger, k.leaderChanges, true
+	how.HeartbeatTimeout, how.ElectionTimeout = toDuration(goes.Silence), toDuration(goes.Silence)
+	how.LeaderLeaseTimeout, how.CommitTimeout = toDuration(goes.Lease), toDuration(goes.Tell)
 	how.SnapshotThreshold, how.TrailingLogs = goes.Entries, goes.Trail
-	how.SnapshotInterval = span(goes.Look)
-	logs, err := raft.NewLogCache(int(goes.Trail), k.folder.store)
+	how.SnapshotInterval = toDuration(goes.Look)
+	logs, err := raft.NewLogCache(int(goes.Trail), k.storage.log)
 	if err == nil {
-		kept := stable{k.folder.store, span(goes.Call), k.ended}
-		k.raft, err = raft.NewRaft(how, machine{k}, logs, kept, k.folder.snaps, k.heard)
+		kept := retryingStableStore{k.storage.log, toDuration(goes.Call), k.closing}
+		k.raft, err = raft.NewRaft(how, stateMachine{k}, logs, kept, k.storage.snapshots, k.transport)
 	}
 	if err != nil {
-		err = fmt.Errorf("keeper %s can't start from its folder: %w", p.Self, cmp.Or(k.refused, err))
-		return nil, errors.Join(err, k.heard.Close(), k.folder.store.Close())
+		err = fmt.Errorf("keeper %s can't start from its folder: %w", p.Self, cmp.Or(k.restoreErr, err))
+		return nil, errors.Join(err, k.transport.Close(), k.storage.log.Close())
 	}
-	slog.Info("keeper starts", "server", k.folder.id, "empty", k.folder.empty, "log", k.raft.LastIndex())
-	k.done.Add(2)
-	go k.run()
-	go k.tend()
+	slog.Info("keeper starts", "server", k.storage.id, "empty", k.storage.empty, "log", k.raft.LastIndex())
+	k.background.Add(2)
+	go k.runLeadership()
+	go k.maintainMembership()
 	return k, nil
 }
 
-func span(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func toDuration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// Renew takes another table of keepers' logs.
-func (k *Keeper) Renew(logs map[cluster.MemberID]string) {
-	k.setKeepers(logs)
-	k.heard.CloseStreams() // what is connected now may be at an address that was another's
+// SetAddresses takes another table of keepers' logs.
+func (k *Node) SetAddresses(logs map[cluster.MemberID]string) {
+	k.setMembers(logs)
+	k.transport.CloseStreams() // what is connected now may be at an address that was another's
 }
 
-func (k *Keeper) setKeepers(logs map[cluster.MemberID]string) {
-	k.wire.renew(maps.Clone(logs))
+func (k *Node) setMembers(logs map[cluster.MemberID]string) {
+	k.streams.setAddresses(maps.Clone(logs))
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.keepers = slices.Sorted(maps.Keys(logs))
+	k.members = slices.Sorted(maps.Keys(logs))
 }
 
 // Close hands the lead on if it has it, writes a snapshot, and ends. It takes no longer than a term.
-func (k *Keeper) Close() error {
-	part := span(k.term / 3)
+func (k *Node) Close() error {
+	part := toDuration(k.sessionTTL / 3)
 	if k.raft.State() == raft.Leader {
-		within(part, func() { k.raft.LeadershipTransfer().Error() })
+		runWithin(part, func() { k.raft.LeadershipTransfer().Error() })
 	}
-	close(k.ended)
-	within(part, func() { k.raft.Snapshot().Error() })
+	close(k.closing)
+	runWithin(part, func() { k.raft.Snapshot().Error() })
 	ended := k.raft.Shutdown()
-	if !within(part, func() { ended.Error(); k.done.Wait() }) {
+	if !runWithin(part, func() { ended.Error(); k.background.Wait() }) {
 		return fmt.Errorf("keeper %s: the log is still busy", k.self) // and is left open under it
 	}
-	return errors.Join(k.heard.Close(), k.folder.store.Close())
+	return errors.Join(k.transport.Close(), k.storage.log.Close())
 }
 
-// within waits for what may take longer than there is time for, and tells whether it is over.
-func within(most time.Duration, f func()) bool {
+// runWithin waits for what may take longer than there is time for, and tells whether it is over.
+func runWithin(most time.Duration, f func()) bool {
 	over := make(chan struct{})
 	go func() { f(); close(over) }()
 	select {
@@ -152,10 +152,10 @@
 	}
 }
 
-// Leads tells who leads, as far as is known, and whether it is this keeper, able to answer.
-func (k *Keeper) Leads() (who cluster.MemberID, self bool) {
+// Leader tells who leads, as far as is known, and whether it is this keeper, able to answer.
+func (k *Node) Leader() (who cluster.MemberID, self bool) {
 	k.mu.Lock()
-	self = k.reign != 0
+	self = k.leaderTerm != 0
 	k.mu.Unlock()
 	if self {
 		return k.self, true
@@ -164,21 +164,21 @@
 	return memberOf(id), false
 }
 
-// changed wakes those who wait for newer state; the caller holds the lock.
-func (k *Keeper) changed() {
+// notifyStateChange wakes those who wait for newer state; the caller holds the lock.
+func (k *Node) notifyStateChange() {
 	if k.waiters > 0 {
-		close(k.news)
-		k.news, k.waiters = make(chan struct{}), 0
+		close(k.stateChanged)
+		k.stateChanged, k.waiters = make(chan struct{}), 0
 	}
 }
 
-// said counts and says what the book did, where this keeper leads: all keepers do the same.
-func (k *Keeper) said(n *atomic.Int64, what string, with ...any) {
-	if k.reign != 0 {
+// reportEvent counts and says what the book did, where this keeper leads: all keepers do the same.
+func (k *Node) reportEvent(n *atomic.Int64, what string, with ...any) {
+	if k.leaderTerm != 0 {
 		n.Add(1)
 		slog.Info(what, with...)
 	}
 }
 
 // LastIndex is of the log's last entry here.
-func (k *Keeper) LastIndex() uint64 { return k.raft.LastIndex() }
+func (k *Node) LastIndex() uint64 { return k.raft.LastIndex() }
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -32,64 +32,64 @@
 func clock() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
 
 // alone is a place of a keeper without others.
-func alone(t *testing.T, folder string) (Place, net.Listener) {
+func alone(t *testing.T, folder string) (Config, net.Listener) {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	book := lease.NewBook()
-	return Place{Fleet: "f", Self: "m1", Folder: folder, Term: term, Talk: transportpkg.New("m1", nil), Clock: clock,
-		Logs: map[cluster.MemberID]string{"m1": on.Addr().String()}, Book: book, State: fsm.New(book, nil)}, on
+	return Config{ClusterName: "f", Self: "m1", StateDir: folder, SessionTTL: term, Client: transportpkg.NewClient("m1", nil), Clock: clock,
+		Addresses: map[cluster.MemberID]string{"m1": on.Addr().String()}, Leases: book, StateMachine: fsm.New(book, nil)}, on
 }
 
-func starts(t *testing.T, folder string) *Keeper {
+func starts(t *testing.T, folder string) *Node {
 	k, err := Open(alone(t, folder))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { _, self := k.Leads(); return self }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { _, self := k.Leader(); return self }, 20*time.Second, time.Millisecond)
 	return k
 }
 
-func (k *Keeper) does(t *testing.T, l raft.Log) applied {
+func (k *Node) does(t *testing.T, l raft.Log) applyResult {
 	f := k.raft.ApplyLog(l, time.Second)
 	require.NoError(t, f.Error())
-	return f.Response().(applied)
+	return f.Response().(applyResult)
 }
 
 // Guards against an end decided on in one reign and put in the log in a later one.
 func TestAnEndOfAnEarlierReignChangesNothing(t *testing.T) {
 	k := starts(t, t.TempDir())
 	defer k.Close()
-	opened, err := lease.ReadAnswer(k.does(t, entry(lease.Open("a", 7))).answer)
+	opened, err := lease.ReadAnswer(k.does(t, newLogEntry(lease.Open("a", 7))).response)
 	require.NoError(t, err)
-	began, err := lease.ReadAnswer(k.does(t, entry(lease.Began())).answer) // another's, as far as it knows
+	began, err := lease.ReadAnswer(k.does(t, newLogEntry(lease.Began())).response) // another's, as far as it knows
 	require.NoError(t, err)
 	over := lease.Over{Session: opened.Session, Reign: began.Reign - 1}
-	require.ErrorIs(t, k.does(t, entry(lease.Expire(over))).err, cluster.ErrStale)
-	require.Eventually(t, func() bool { return k.Ended.Load() == 1 }, 20*time.Second, time.Millisecond)
+	require.ErrorIs(t, k.does(t, newLogEntry(lease.Expire(over))).err, cluster.ErrStale)
+	require.Eventually(t, func() bool { return k.SessionsEnded.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
 func TestSessionsThatAreNotRenewedEnd(t *testing.T) {
 	k := starts(t, t.TempDir())
 	defer k.Close()
-	k.does(t, entry(lease.Open("a", 7)))
-	require.Eventually(t, func() bool { return k.Ended.Load() == 1 }, 20*time.Second, time.Millisecond)
+	k.does(t, newLogEntry(lease.Open("a", 7)))
+	require.Eventually(t, func() bool { return k.SessionsEnded.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
 // What a newer program wrote is neither skipped nor passed over by a snapshot.
 func TestAnEntryOfANewerProgramHaltsTheKeeper(t *testing.T) {
 	folder := t.TempDir()
 	k := starts(t, folder)
-	k.does(t, entry(lease.Open("a", 7)))
-	newer := entry(lease.Open("b", 8))
-	newer.Extensions = transportpkg.Encode(about{Format: entryFormat + 1})
-	require.ErrorIs(t, k.does(t, newer).err, errNewer)
-	require.ErrorIs(t, k.does(t, entry(lease.Open("c", 9))).err, errNewer)
+	k.does(t, newLogEntry(lease.Open("a", 7)))
+	newer := newLogEntry(lease.Open("b", 8))
+	newer.Extensions = transportpkg.Encode(entryHeader{Format: entryFormat + 1})
+	require.ErrorIs(t, k.does(t, newer).err, errNewerFormat)
+	require.ErrorIs(t, k.does(t, newLogEntry(lease.Open("c", 9))).err, errNewerFormat)
 	require.Error(t, k.raft.Snapshot().Error())
 	require.NoError(t, k.Close())
 	again, err := Open(alone(t, folder))
 	require.NoError(t, err)
 	defer again.Close()
-	require.Eventually(t, func() bool { return again.stopped() != nil }, 20*time.Second, time.Millisecond)
-	require.Len(t, again.book.Sessions(), 1)
-	_, self := again.Leads()
+	require.Eventually(t, func() bool { return again.haltCause() != nil }, 20*time.Second, time.Millisecond)
+	require.Len(t, again.leases.Sessions(), 1)
+	_, self := again.Leader()
 	require.False(t, self)
 }
 
@@ -108,7 +108,7 @@
 	} {
 		folder := t.TempDir()
 		k := starts(t, folder)
-		k.does(t, entry(lease.Open("a", 7)))
+		k.does(t, newLogEntry(lease.Open("a", 7)))
 		require.NoError(t, k.Close())
 		harm(filepath.Join(folder, "fleet"))
 		_, err := Open(alone(t, folder))
@@ -119,21 +119,21 @@
 
 // What counts was heard in this very term, from those who vote, and other than itself.
 func TestAMajorityIsOneThatFollowedInThisTerm(t *testing.T) {
-	h := newHeard(nil, clock)
-	all := []raft.Server{server("a/1"), server("b/1"), server("c/1"), {ID: "d/1", Suffrage: raft.Nonvoter}}
-	covers := func(term uint64, at api.Micros) bool { return h.assent(term, all, "a/1").Covers(at) }
-	h.note("d/1", 3, 9)
-	h.note("a/1", 3, 9)
+	h := newContactTransport(nil, clock)
+	all := []raft.Server{voter("a/1"), voter("b/1"), voter("c/1"), {ID: "d/1", Suffrage: raft.Nonvoter}}
+	covers := func(term uint64, at api.Micros) bool { return h.quorumContact(term, all, "a/1").Covers(at) }
+	h.recordContact("d/1", 3, 9)
+	h.recordContact("a/1", 3, 9)
 	require.False(t, covers(3, 5))
-	h.note("b/1", 3, 5)
+	h.recordContact("b/1", 3, 5)
 	require.True(t, covers(3, 5))
-	h.note("b/1", 3, 4) // came late
+	h.recordContact("b/1", 3, 4) // came late
 	require.True(t, covers(3, 5))
 	require.False(t, covers(3, 6))
-	h.note("c/1", 5, 8)
+	h.recordContact("c/1", 5, 8)
 	require.False(t, covers(3, 5))
 	require.True(t, covers(5, 8))
-	h.note("b/1", 3, 9)
+	h.recordContact("b/1", 3, 9)
 	require.False(t, covers(5, 9))
 }
 
@@ -141,7 +141,7 @@
 func TestOnlyCallsForThisVeryFolderAreHeard(t *testing.T) {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	w := newWire(on, "f", "m1/new", time.Second)
+	w := newStreamLayer(on, "f", "m1/new", time.Second)
 	defer w.Close()
 	heard := make(chan string, 10)
 	go func() {
@@ -155,8 +155,8 @@
 			heard <- string(b[:n])
 		}
 	}()
-	from := newWire(&net.TCPListener{}, "f", "m2/x", time.Second)
-	from.renew(map[cluster.MemberID]string{"m1": on.Addr().String()})
+	from := newStreamLayer(&net.TCPListener{}, "f", "m2/x", time.Second)
+	from.setAddresses(map[cluster.MemberID]string{"m1": on.Addr().String()})
 	for _, to := range []raft.ServerAddress{"m1/old", "m1/new"} {
 		c, err := from.Dial(to, time.Second)
 		require.NoError(t, err)
--- a/cluster/raftnode/logs.go
+++ b/cluster/raftnode/logs.go
@@ -12,38 +12,38 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// logs hands raft's own lines to slog. What raft calls an error is an outage as it goes on, said each time a
+// raftLogger hands raft's own lines to slog. What raft calls an error is an outage as it goes on, said each time a
 // call fails: one line of a kind in each span is enough, with how many were left out.
-type logs struct {
+type raftLogger struct {
 	hclog.Logger // for what raft does not use
-	every        time.Duration
+	interval     time.Duration
 
-	mu   sync.Mutex
-	said map[string]*line
+	mu     sync.Mutex
+	recent map[string]*recentMessage
 }
 
-type line struct {
-	last time.Time
-	left int
+type recentMessage struct {
+	loggedAt   time.Time
+	suppressed int
 }
 
-func newLogs(every time.Duration) *logs {
-	return &logs{Logger: hclog.NewNullLogger(), every: every, said: map[string]*line{}}
+func newRaftLogger(every time.Duration) *raftLogger {
+	return &raftLogger{Logger: hclog.NewNullLogger(), interval: every, recent: map[string]*recentMessage{}}
 }
 
-func (l *logs) Trace(string, ...any)           {}
-func (l *logs) Debug(string, ...any)           {}
-func (l *logs) Info(msg string, with ...any)   { l.say(slog.LevelDebug, msg, with) }
-func (l *logs) Warn(msg string, with ...any)   { l.say(slog.LevelInfo, msg, with) }
-func (l *logs) Error(msg string, with ...any)  { l.say(slog.LevelWarn, msg, with) }
-func (l *logs) Named(string) hclog.Logger      { return l }
-func (l *logs) ResetNamed(string) hclog.Logger { return l }
-func (l *logs) With(...any) hclog.Logger       { return l }
-func (l *logs) IsInfo() bool                   { return true }
-func (l *logs) IsWarn() bool                   { return true }
-func (l *logs) IsError() bool                  { return true }
+func (l *raftLogger) Trace(string, ...any)           {}
+func (l *raftLogger) Debug(string, ...any)           {}
+func (l *raftLogger) Info(msg string, with ...any)   { l.write(slog.LevelDebug, msg, with) }
+func (l *raftLogger) Warn(msg string, with ...any)   { l.write(slog.LevelInfo, msg, with) }
+func (l *raftLogger) Error(msg string, with ...any)  { l.write(slog.LevelWarn, msg, with) }
+func (l *raftLogger) Named(string) hclog.Logger      { return l }
+func (l *raftLogger) ResetNamed(string) hclog.Logger { return l }
+func (l *raftLogger) With(...any) hclog.Logger       { return l }
+func (l *raftLogger) IsInfo() bool                   { return true }
+func (l *raftLogger) IsWarn() bool                   { return true }
+func (l *raftLogger) IsError() bool                  { return true }
 
-func (l *logs) Log(level hclog.Level, msg string, with ...any) {
+func (l *raftLogger) Log(level hclog.Level, msg string, with ...any) {
 	switch level {
 	case hclog.Info:
 		l.Info(msg, with...)
@@ -54,23 +54,23 @@
 	}
 }
 
-func (l *logs) say(level slog.Level, msg string, with []any) {
+func (l *raftLogger) write(level slog.Level, msg string, with []any) {
 	if !slog.Default().Enabled(context.Background(), level) {
 		return
 	}
 	l.mu.Lock()
-	s := l.said[msg]
+	s := l.recent[msg]
 	if s == nil {
-		s = &line{}
-		l.said[msg] = s
+		s = &recentMessage{}
+		l.recent[msg] = s
 	}
-	if time.Since(s.last) < l.every {
-		s.left++
+	if time.Since(s.loggedAt) < l.interval {
+		s.suppressed++
 		l.mu.Unlock()
 		return
 	}
-	left := s.left
-	s.last, s.left = time.Now(), 0
+	left := s.suppressed
+	s.loggedAt, s.suppressed = time.Now(), 0
 	l.mu.Unlock()
 	attrs := []any{"raft", msg, "left_out", left}
 	for i := 0; i+1 < len(with); i += 2 {
@@ -79,8 +79,8 @@
 	slog.Log(context.Background(), level, "keeper's log", attrs...)
 }
 
-func (l *logs) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
+func (l *raftLogger) StandardLogger(*hclog.StandardLoggerOptions) *log.Logger {
 	return log.New(io.Discard, "", 0)
 }
 
-func (l *logs) StandardWriter(*hclog.StandardLoggerOptions) io.Writer { return io.Discard }
+func (l *raftLogger) StandardWriter(*hclog.StandardLoggerOptions) io.Writer { return io.Discard }
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -16,153 +16,153 @@
 // entryFormat rises when an older program could no longer apply an entry of the log.
 const entryFormat = 2 // 2: destinations that stand together
 
-// about goes with each entry, beside its command.
-type about struct {
+// entryHeader goes with each entry, beside its command.
+type entryHeader struct {
 	Format int `cbor:"1,keyasint"`
 }
 
-// applied is what became of an entry.
-type applied struct {
-	answer []byte
-	err    error
-	lives  bool // of an open: the session has its term
+// applyResult is what became of an entry.
+type applyResult struct {
+	response    []byte
+	err         error
+	sessionLive bool // of an open: the session has its term
 }
 
-// machine is what raft feeds: the fleet's state, and this keeper's terms beside it.
-type machine struct{ *Keeper }
+// stateMachine is what raft feeds: the fleet's state, and this keeper's terms beside it.
+type stateMachine struct{ *Node }
 
-var errNewer = errors.New("the log has entries of a newer program")
+var errNewerFormat = errors.New("the log has entries of a newer program")
 
 // Apply does one entry.
-func (m machine) Apply(l *raft.Log) any {
-	k := m.Keeper
+func (m stateMachine) Apply(l *raft.Log) any {
+	k := m.Node
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var a about
+	var a entryHeader
 	if err := transportpkg.Decode(l.Extensions, &a); err != nil || a.Format > entryFormat {
-		k.broken(l.Index, a.Format)
+		k.halt(l.Index, a.Format)
 	}
-	if k.halted != nil {
-		return applied{err: k.halted}
+	if k.haltErr != nil {
+		return applyResult{err: k.haltErr}
 	}
-	var did applied
-	before := k.before(l.Data)
-	if did.answer, did.err = k.state.Apply(l.Index, l.Data); did.err == nil {
-		k.took(before, &did)
-		k.changed()
+	var did applyResult
+	before := k.captureOrder(l.Data)
+	if did.response, did.err = k.machine.Apply(l.Index, l.Data); did.err == nil {
+		k.recordOutcome(before, &did)
+		k.notifyStateChange()
 	}
 	return did
 }
 
 // broken: nothing is applied from there on, nor kept in a snapshot: a program that can read it goes on.
-func (k *Keeper) broken(index uint64, format int) {
-	if k.halted == nil {
-		k.halted, k.reign = errNewer, 0
-		k.terms.Follow()
+func (k *Node) halt(index uint64, format int) {
+	if k.haltErr == nil {
+		k.haltErr, k.leaderTerm = errNewerFormat, 0
+		k.deadlines.Follow()
 		slog.Error("keeper halts: an entry of the log is of a newer program", "index", index, "format", format,
 			"reads", entryFormat)
 	}
 }
 
-// before is an order to the book, and how what it is about stood before it.
-type before struct {
+// orderContext is an order to the book, and how what it is about stood before it.
+type orderContext struct {
 	lease.Order
 	member cluster.MemberID
 	tasks  []cluster.Task
 	epochs map[cluster.Task]cluster.Epoch
 }
 
-func (k *Keeper) before(command []byte) (b before) {
+func (k *Node) captureOrder(command []byte) (b orderContext) {
 	var c cluster.Command
 	if transportpkg.Decode(command, &c) != nil || c.Part != cluster.LeasePart || transportpkg.Decode(c.Body, &b.Order) != nil {
-		return before{}
+		return orderContext{}
 	}
-	b.member, b.epochs = k.book.MemberOf(b.Session), map[cluster.Task]cluster.Epoch{}
+	b.member, b.epochs = k.leases.MemberOf(b.Session), map[cluster.Task]cluster.Epoch{}
 	switch b.Kind {
 	case lease.EndKind, lease.ExpireKind:
-		b.tasks = k.book.TasksOf(b.Session)
+		b.tasks = k.leases.TasksOf(b.Session)
 	case lease.GrantKind:
 		for _, t := range b.Tasks {
-			b.epochs[t] = k.book.Epoch(t)
+			b.epochs[t] = k.leases.Epoch(t)
 		}
 	}
 	return b
 }
 
-// took keeps the terms up with what the book did, and says it where this keeper leads.
-func (k *Keeper) took(b before, did *applied) {
-	answer, err := lease.ReadAnswer(did.answer)
+// recordOutcome keeps the terms up with what the book did, and says it where this keeper leads.
+func (k *Node) recordOutcome(b orderContext, did *applyResult) {
+	answer, err := lease.ReadAnswer(did.response)
 	if b.Kind == 0 || err != nil {
 		return
 	}
 	switch b.Kind {
 	case lease.OpenKind:
-		did.lives = k.terms.Opened(answer.Session, k.clock())
-		k.said(&k.Opened, "session opened", "member", b.Member, "session", answer.Session)
+		did.sessionLive = k.deadlines.Opened(answer.Session, k.clock())
+		k.reportEvent(&k.SessionsOpened, "session opened", "member", b.Member, "session", answer.Session)
 	case lease.EndKind, lease.ExpireKind:
-		k.terms.Ended(b.Session)
-		k.said(&k.Ended, "session ended", "member", b.member, "session", b.Session, "tasks", len(b.tasks))
+		k.deadlines.Ended(b.Session)
+		k.reportEvent(&k.SessionsEnded, "session ended", "member", b.member, "session", b.Session, "tasks", len(b.tasks))
 		for _, t := range b.tasks {
-			k.said(&k.Released, "lease ended", "task", t, "epoch", k.book.Epoch(t), "member", b.member)
+			k.reportEvent(&k.LeasesReleased, "lease ended", "task", t, "epoch", k.leases.Epoch(t), "member", b.member)
 		}
 	case lease.GrantKind:
 		for _, g := range answer.Granted {
 			if g.Epoch > b.epochs[g.Task] {
-				k.said(&k.Granted, "lease granted", "task", g.Task, "epoch", g.Epoch, "member", b.member,
+				k.reportEvent(&k.LeasesGranted, "lease granted", "task", g.Task, "epoch", g.Epoch, "member", b.member,
 					"session", b.Session)
 			}
 		}
 	case lease.ReleaseKind:
-		k.said(&k.Released, "lease released", "task", b.Tasks[0], "epoch", b.Epoch, "member", b.member)
+		k.reportEvent(&k.LeasesReleased, "lease released", "task", b.Tasks[0], "epoch", b.Epoch, "member", b.member)
 	}
 }
 
 // Snapshot is the whole state at this entry.
-func (m machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.halted != nil {
-		return nil, m.halted
+	if m.haltErr != nil {
+		return nil, m.haltErr
 	}
-	raw, err := m.state.Snapshot()
-	return image(raw), err
+	raw, err := m.machine.Snapshot()
+	return encodedSnapshot(raw), err
 }
 
 // Restore puts a snapshot in the state's place.
-func (m machine) Restore(from io.ReadCloser) error {
+func (m stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	raw, err := io.ReadAll(io.LimitReader(from, mostSnapshot))
+	raw, err := io.ReadAll(io.LimitReader(from, maxSnapshotSize))
 	if err != nil {
 		return err
 	}
-	k := m.Keeper
+	k := m.Node
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.state.Restore(raw); err != nil {
-		k.refused = err
+	if err := k.machine.Restore(raw); err != nil {
+		k.restoreErr = err
 		return err
 	}
-	k.changed()
+	k.notifyStateChange()
 	return nil
 }
 
-const mostSnapshot = 1 << 30
+const maxSnapshotSize = 1 << 30
 
-// image is a snapshot on its way to disk.
-type image []byte
+// encodedSnapshot is a snapshot on its way to disk.
+type encodedSnapshot []byte
 
-func (i image) Persist(to raft.SnapshotSink) error {
+func (i encodedSnapshot) Persist(to raft.SnapshotSink) error {
 	if _, err := to.Write(i); err != nil {
 		return errors.Join(err, to.Cancel())
 	}
 	return to.Close()
 }
 
-func (i image) Release() {}
+func (i encodedSnapshot) Release() {}
 
-var _ raft.FSM = machine{}
+var _ raft.FSM = stateMachine{}
 
-// entry is a command as it goes into the log.
-func entry(c cluster.Command) raft.Log {
-	return raft.Log{Data: fsm.Encode(c), Extensions: transportpkg.Encode(about{entryFormat})}
+// newLogEntry is a command as it goes into the log.
+func newLogEntry(c cluster.Command) raft.Log {
+	return raft.Log{Data: fsm.Encode(c), Extensions: transportpkg.Encode(entryHeader{entryFormat})}
 }
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -10,26 +10,26 @@
 	transportpkg "rowanlink/cluster/transport"
 )
 
-// newer reads, in one moment, the parts that are newer than what a member has and which of the tasks that it
+// readNewerState reads, in one moment, the parts that are newer than what a member has and which of the tasks that it
 // wants are free; where there is nothing to say, news tells when to look again.
-func (k *Keeper) newer(ask transportpkg.StateAsk) (answer transportpkg.StateAnswer, news <-chan struct{}, err error) {
+func (k *Node) readNewerState(ask transportpkg.StateRequest) (answer transportpkg.StateResponse, news <-chan struct{}, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	answer.Index = k.raft.AppliedIndex()
+	answer.AppliedIndex = k.raft.AppliedIndex()
 	for _, part := range slices.Sorted(maps.Keys(ask.Versions)) {
-		version, past := k.state.Version(part), k.parts[part]
+		version, past := k.machine.Version(part), k.history[part]
 		if past == nil {
 			past = &fsm.Past{}
-			k.parts[part] = past
+			k.history[part] = past
 		}
 		// What is the newest now is remembered, too: guards against a whole for all when it changes next.
-		if version < ask.Versions[part] || version == ask.Versions[part] && !ask.Changes || version == 0 {
+		if version < ask.Versions[part] || version == ask.Versions[part] && !ask.AcceptDeltas || version == 0 {
 			continue
 		}
 		if past.Newest() != version {
-			raw, err := k.state.Part(part)
+			raw, err := k.machine.Part(part)
 			if err != nil {
-				return transportpkg.StateAnswer{}, nil, err
+				return transportpkg.StateResponse{}, nil, err
 			}
 			past.Add(version, raw)
 		}
@@ -37,39 +37,39 @@
 			continue
 		}
 		p := transportpkg.PartState{Part: part, Version: version}
-		if ask.Changes {
-			p.Since, p.Snapshot = past.Since(ask.Versions[part])
+		if ask.AcceptDeltas {
+			p.BaseVersion, p.Data = past.Since(ask.Versions[part])
 		} else {
-			_, p.Snapshot = past.Since(0)
+			_, p.Data = past.Since(0)
 		}
 		answer.Parts = append(answer.Parts, p)
 	}
-	for _, t := range ask.Wants {
-		if _, _, _, held := k.book.Holder(t); !held {
-			answer.Free = append(answer.Free, t)
+	for _, t := range ask.WantedTasks {
+		if _, _, _, held := k.leases.Holder(t); !held {
+			answer.FreeTasks = append(answer.FreeTasks, t)
 		}
 	}
-	if len(answer.Parts)+len(answer.Free) == 0 {
+	if len(answer.Parts)+len(answer.FreeTasks) == 0 {
 		k.waiters++
 	}
-	return answer, k.news, nil
+	return answer, k.stateChanged, nil
 }
 
-// taken answers an ask for tasks that others hold, all of them, without an entry in the log: guards against
+// rejectHeldTasks answers an ask for tasks that others hold, all of them, without an entry in the log: guards against
 // one for each time that somebody asks. A yes is never given so.
-func (k *Keeper) taken(c cluster.Command) (answer []byte, sure bool) {
+func (k *Node) rejectHeldTasks(c cluster.Command) (answer []byte, sure bool) {
 	var o lease.Order
 	if c.Part != cluster.LeasePart || c.By != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
 		return nil, false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.reign == 0 || k.book.MemberOf(o.Session) == "" {
+	if k.leaderTerm == 0 || k.leases.MemberOf(o.Session) == "" {
 		return nil, false
 	}
 	no := lease.Answer{Session: o.Session}
 	for _, t := range o.Tasks {
-		if s, _, _, held := k.book.Holder(t); !held || s == o.Session {
+		if s, _, _, held := k.leases.Holder(t); !held || s == o.Session {
 			return nil, false
 		}
 		no.Granted = append(no.Granted, lease.Granted{Task: t})
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -13,208 +13,208 @@
 	"rowanlink/webhook/api"
 )
 
-// ask is one renewal that waits until a majority is known to have followed at or after it came.
-type ask struct {
-	session cluster.SessionID
-	tally   lease.Tally // of the grants that the member knows of
-	came    api.Micros
-	answer  chan<- said
+// renewal is one renewal that waits until a majority is known to have followed at or after it came.
+type renewal struct {
+	session    cluster.SessionID
+	grantTally lease.Tally // of the grants that the member knows of
+	receivedAt api.Micros
+	result     chan<- renewalResult
 }
 
-// said is the answer; holds is all that the session holds, where the member does not know it.
-type said struct {
-	verdict verdict
-	holds   []lease.Granted
+// renewalResult is the answer; holds is all that the session holds, where the member does not know it.
+type renewalResult struct {
+	outcome renewalOutcome
+	grants  []lease.Granted
 }
 
-// verdict on an ask.
-type verdict byte
+// renewalOutcome on an ask.
+type renewalOutcome byte
 
 const (
-	goesOn verdict = iota
-	ended
-	elsewhere // this keeper does not lead, or not surely
+	renewalAccepted renewalOutcome = iota
+	renewalSessionEnded
+	renewalNotLeader // this keeper does not lead, or not surely
 )
 
-// run is the loop of all that has to do with leading. It has one timer.
-func (k *Keeper) run() {
-	defer k.done.Done()
-	var waiting []ask
+// runLeadership is the loop of all that has to do with leading. It has one timer.
+func (k *Node) runLeadership() {
+	defer k.background.Done()
+	var waiting []renewal
 	timer := time.NewTimer(time.Hour)
-	began := make(chan reign, 1)
+	began := make(chan leadership, 1)
 	since := k.clock() // no leader since then
 	for {
-		timer.Reset(k.untilDue())
+		timer.Reset(k.untilNextDeadline())
 		select {
-		case leads := <-k.lead:
-			if k.stop(); leads {
-				go k.begin(began)
+		case leads := <-k.leaderChanges:
+			if k.resignLeadership(); leads {
+				go k.beginLeadership(began)
 			}
-		case <-k.outdated:
-			go k.begin(began)
+		case <-k.staleLeadership:
+			go k.beginLeadership(began)
 		case r := <-began:
-			k.start(r)
-		case a := <-k.asks:
+			k.assumeLeadership(r)
+		case a := <-k.renewals:
 			waiting = append(waiting, a)
-		case <-k.heard.tell:
+		case <-k.transport.contacted:
 		case <-timer.C:
-		case <-k.ended:
-			k.stop()
-			answer(waiting, elsewhere)
+		case <-k.closing:
+			k.resignLeadership()
+			answerAll(waiting, renewalNotLeader)
 			return
 		}
-		waiting = k.settle(waiting)
-		k.endDue()
-		since = k.look(since)
+		waiting = k.answerRenewals(waiting)
+		k.expireSessions()
+		since = k.monitorLeader(since)
 	}
 }
 
-// reign is a time of leading: its raft term, and its number in the book.
-type reign struct {
-	term   uint64
-	number lease.Reign
+// leadership is a time of leading: its raft term, and its number in the book.
+type leadership struct {
+	term  uint64
+	epoch lease.Reign
 }
 
-// begin puts a reign's beginning in the log: once that is applied, so is all that was committed before.
-func (k *Keeper) begin(began chan<- reign) {
+// beginLeadership puts a reign's beginning in the log: once that is applied, so is all that was committed before.
+func (k *Node) beginLeadership(began chan<- leadership) {
 	term := k.raft.CurrentTerm()
-	f := k.raft.ApplyLog(entry(lease.Began()), 0)
+	f := k.raft.ApplyLog(newLogEntry(lease.Began()), 0)
 	if f.Error() != nil {
 		return
 	}
-	answer, err := lease.ReadAnswer(f.Response().(applied).answer)
+	answer, err := lease.ReadAnswer(f.Response().(applyResult).response)
 	if err != nil {
 		return
 	}
 	select {
-	case began <- reign{term, answer.Reign}:
-	case <-k.ended:
+	case began <- leadership{term, answer.Reign}:
+	case <-k.closing:
 	}
 }
 
-// start gives each session its term. Guards against a reign that ended and another that began meanwhile.
-func (k *Keeper) start(r reign) {
+// assumeLeadership gives each session its term. Guards against a reign that ended and another that began meanwhile.
+func (k *Node) assumeLeadership(r leadership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.raft.CurrentTerm() != r.term || k.raft.State() != raft.Leader || k.halted != nil {
+	if k.raft.CurrentTerm() != r.term || k.raft.State() != raft.Leader || k.haltErr != nil {
 		return
 	}
-	again := k.reign != 0
-	k.reign = r.term
-	k.terms.Lead(k.clock(), r.number, k.book.Sessions())
+	again := k.leaderTerm != 0
+	k.leaderTerm = r.term
+	k.deadlines.Lead(k.clock(), r.epoch, k.leases.Sessions())
 	if again {
 		return
 	}
-	k.Counters.Leads.Add(1)
-	k.leading.Store(1)
-	slog.Info("keeper leads", "member", k.self, "reign", r.number, "sessions", len(k.book.Sessions()),
+	k.Metrics.LeadershipsGained.Add(1)
+	k.isLeader.Store(1)
+	slog.Info("keeper leads", "member", k.self, "reign", r.epoch, "sessions", len(k.leases.Sessions()),
 		"log", k.raft.LastIndex())
 }
 
-func (k *Keeper) stop() {
+func (k *Node) resignLeadership() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.reign == 0 {
+	if k.leaderTerm == 0 {
 		return
 	}
-	slog.Info("keeper leads no more", "member", k.self, "term", k.reign)
-	k.terms.Follow()
-	k.reign = 0
-	k.LeadsNoMore.Add(1)
-	k.leading.Store(0)
+	slog.Info("keeper leads no more", "member", k.self, "term", k.leaderTerm)
+	k.deadlines.Follow()
+	k.leaderTerm = 0
+	k.LeadershipsLost.Add(1)
+	k.isLeader.Store(0)
 }
 
-// settle answers the asks that came before a majority was surely there.
-func (k *Keeper) settle(waiting []ask) []ask {
+// answerRenewals answers the asks that came before a majority was surely there.
+func (k *Node) answerRenewals(waiting []renewal) []renewal {
 	if len(waiting) == 0 {
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.reign == 0 {
-		answer(waiting, elsewhere)
+	if k.leaderTerm == 0 {
+		answerAll(waiting, renewalNotLeader)
 		return nil
 	}
-	assent := k.heard.assent(k.reign, k.raft.GetConfiguration().Configuration().Servers, k.folder.id)
+	assent := k.transport.quorumContact(k.leaderTerm, k.raft.GetConfiguration().Configuration().Servers, k.storage.id)
 	left, now := waiting[:0], k.clock()
 	for _, a := range waiting {
 		switch {
-		case !assent.Covers(a.came):
+		case !assent.Covers(a.receivedAt):
 			left = append(left, a)
-		case k.terms.Renewed(a.session, now):
-			k.Renewed.Add(1)
-			yes := said{verdict: goesOn}
-			if k.book.Tally(a.session) != a.tally {
-				yes.holds = k.book.HeldBy(a.session)
+		case k.deadlines.Renewed(a.session, now):
+			k.RenewalsAccepted.Add(1)
+			yes := renewalResult{outcome: renewalAccepted}
+			if k.leases.Tally(a.session) != a.grantTally {
+				yes.grants = k.leases.HeldBy(a.session)
 			}
-			a.answer <- yes
+			a.result <- yes
 		default:
-			k.Refused.Add(1)
-			a.answer <- said{verdict: ended}
+			k.RenewalsRejected.Add(1)
+			a.result <- renewalResult{outcome: renewalSessionEnded}
 		}
 	}
 	return left
 }
 
-func answer(all []ask, v verdict) {
+func answerAll(all []renewal, v renewalOutcome) {
 	for _, a := range all {
-		a.answer <- said{verdict: v}
+		a.result <- renewalResult{outcome: v}
 	}
 }
 
-// endDue ends through the log the sessions whose term is over.
-func (k *Keeper) endDue() {
+// expireSessions ends through the log the sessions whose term is over.
+func (k *Node) expireSessions() {
 	k.mu.Lock()
 	var over []lease.Over
-	if k.reign != 0 {
-		over = k.terms.Due(k.clock())
+	if k.leaderTerm != 0 {
+		over = k.deadlines.Due(k.clock())
 	}
 	k.mu.Unlock()
 	if len(over) > 0 {
-		go k.end(over) // raft takes entries as its disk lets it: renewals don't wait for that
+		go k.proposeExpiries(over) // raft takes entries as its disk lets it: renewals don't wait for that
 	}
 }
 
-func (k *Keeper) end(over []lease.Over) {
+func (k *Node) proposeExpiries(over []lease.Over) {
 	var all []raft.ApplyFuture
 	for _, o := range over {
-		all = append(all, k.raft.ApplyLog(entry(lease.Expire(o)), span(timing.Answer(k.term))))
+		all = append(all, k.raft.ApplyLog(newLogEntry(lease.Expire(o)), toDuration(timing.Answer(k.sessionTTL))))
 	}
 	for _, f := range all {
-		if f.Error() == nil && errors.Is(f.Response().(applied).err, cluster.ErrStale) {
+		if f.Error() == nil && errors.Is(f.Response().(applyResult).err, cluster.ErrStale) {
 			select {
-			case k.outdated <- struct{}{}:
-			case <-k.ended:
+			case k.staleLeadership <- struct{}{}:
+			case <-k.closing:
 			}
 			return
 		}
 	}
 }
 
-// look says it once when no leader is known for long, and once when one is again.
-func (k *Keeper) look(since api.Micros) api.Micros {
+// monitorLeader says it once when no leader is known for long, and once when one is again.
+func (k *Node) monitorLeader(since api.Micros) api.Micros {
 	now := k.clock()
 	if _, id := k.raft.LeaderWithID(); id != "" {
-		if k.missing.Swap(0) == 1 {
+		if k.quorumLost.Swap(0) == 1 {
 			slog.Info("majority again", "member", k.self, "leader", memberOf(id))
 		}
 		return now
 	}
-	if now-since > timing.Missing(k.term) && k.missing.Swap(1) == 0 {
-		k.Counters.NoMajority.Add(1)
+	if now-since > timing.Missing(k.sessionTTL) && k.quorumLost.Swap(1) == 0 {
+		k.Metrics.QuorumLosses.Add(1)
 		slog.Warn("no majority: nothing is granted until a majority of the keepers hear each other",
 			"member", k.self)
 	}
 	return since
 }
 
-// untilDue is how long nothing has to be done.
-func (k *Keeper) untilDue() time.Duration {
+// untilNextDeadline is how long nothing has to be done.
+func (k *Node) untilNextDeadline() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait := timing.Tending(k.term)
-	if at, any := k.terms.Next(); any && k.reign != 0 {
+	wait := timing.Tending(k.sessionTTL)
+	if at, any := k.deadlines.Next(); any && k.leaderTerm != 0 {
 		wait = min(wait, max(at-k.clock(), 0))
 	}
-	return span(wait) + time.Millisecond/2
+	return toDuration(wait) + time.Millisecond/2
 }
--- a/cluster/raftnode/stable.go
+++ b/cluster/raftnode/stable.go
@@ -7,24 +7,24 @@
 	"github.com/hashicorp/raft"
 )
 
-// stable is where raft keeps its term and its vote. It can't go on without them and ends the whole process
+// retryingStableStore is where raft keeps its term and its vote. It can't go on without them and ends the whole process
 // where they can't be written: guards the dispatcher beside it against a full disk. The keeper stands still
 // instead, neither votes nor leads, until there is room.
-type stable struct {
+type retryingStableStore struct {
 	raft.StableStore
-	again time.Duration
-	ended <-chan struct{}
+	interval time.Duration
+	closing  <-chan struct{}
 }
 
-func (s stable) Set(key, value []byte) error {
-	return s.until(func() error { return s.StableStore.Set(key, value) })
+func (s retryingStableStore) Set(key, value []byte) error {
+	return s.retry(func() error { return s.StableStore.Set(key, value) })
 }
 
-func (s stable) SetUint64(key []byte, value uint64) error {
-	return s.until(func() error { return s.StableStore.SetUint64(key, value) })
+func (s retryingStableStore) SetUint64(key []byte, value uint64) error {
+	return s.retry(func() error { return s.StableStore.SetUint64(key, value) })
 }
 
-func (s stable) until(write func() error) error {
+func (s retryingStableStore) retry(write func() error) error {
 	for said := false; ; said = true {
 		err := write()
 		if err == nil {
@@ -34,8 +34,8 @@
 			slog.Error("keeper stands still: its folder can't be written", "why", err)
 		}
 		select {
-		case <-time.After(s.again):
-		case <-s.ended:
+		case <-time.After(s.interval):
+		case <-s.closing:
 			select {} // the process ends; raft would end it here
 		}
 	}
--- a/cluster/raftnode/stable_test.go
+++ b/cluster/raftnode/stable_test.go
@@ -25,7 +25,7 @@
 // Guards the dispatcher in the same process: raft panics where its term can't be written.
 func TestAFullDiskIsWaitedFor(t *testing.T) {
 	store := &fullFor{raft.NewInmemStore(), 3}
-	s := stable{store, time.Millisecond, nil}
+	s := retryingStableStore{store, time.Millisecond, nil}
 	require.NoError(t, s.SetUint64([]byte("term"), 7))
 	at, err := store.GetUint64([]byte("term"))
 	require.NoError(t, err)
--- a/cluster/relay/relay.go
+++ b/cluster/relay/relay.go
@@ -86,7 +86,7 @@
 
 // Said is how this package says things; *talk.Talk does.
 type Said interface {
-	Say(to cluster.MemberID, path string, body []byte, within time.Duration) (int, []byte, error)
+	Call(to cluster.MemberID, path string, body []byte, within time.Duration) (int, []byte, error)
 }
 
-var _ Said = (*transport.Talk)(nil)
+var _ Said = (*transport.Client)(nil)
--- a/cluster/relay/send.go
+++ b/cluster/relay/send.go
@@ -113,7 +113,7 @@
 }
 
 func (t *Stream) says(path string, body []byte, then func(stream.Answer)) time.Duration {
-	code, raw, err := t.said.Say(t.relay, path, body, t.pace.Within)
+	code, raw, err := t.said.Call(t.relay, path, body, t.pace.Within)
 	var a stream.Answer
 	switch {
 	case err != nil || code == statusUnkept:
@@ -155,7 +155,7 @@
 	ask := t.s.Opening()
 	t.mu.Unlock()
 	raw := transport.Encode(Opening{Ask: ask, Learned: t.books.Learned(), At: t.now()})
-	code, raw, err := t.said.Say(t.relay, OpenPath, raw, t.pace.Within)
+	code, raw, err := t.said.Call(t.relay, OpenPath, raw, t.pace.Within)
 	var a stream.Answer
 	if err != nil || code != fasthttp.StatusOK && code != statusFenced || transport.Decode(raw, &a) != nil {
 		if time.Since(t.heard) > t.pace.Gone {
--- a/cluster/relay/shelf.go
+++ b/cluster/relay/shelf.go
@@ -211,7 +211,7 @@
 		of = append(of, e.Delivery.To)
 	}
 	ends.Learned = r.shelf.Learned(of)
-	code, raw, err := r.said.Say(owner, AnswersPath, transport.Encode(ends), r.pace.Within)
+	code, raw, err := r.said.Call(owner, AnswersPath, transport.Encode(ends), r.pace.Within)
 	var known []stream.Delivery
 	if err != nil || code != fasthttp.StatusOK || transport.Decode(raw, &known) != nil || len(known) == 0 {
 		slog.Debug("relay: ends not heard", "owner", owner, "count", len(ends.Ends), "status", code, "err", err)
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -25,7 +25,7 @@
 
 // faults loses messages and answers, and says some twice.
 type faults struct {
-	*transport.Talk
+	*transport.Client
 	mu  sync.Mutex
 	r   *rand.Rand
 	cut bool
@@ -33,7 +33,7 @@
 	few int // frames that are lost next
 }
 
-func (f *faults) Say(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
+func (f *faults) Call(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
 	f.mu.Lock()
 	what, cut := f.r.IntN(3*f.one), f.cut
 	if path == FramePath && f.few > 0 {
@@ -42,14 +42,14 @@
 	}
 	f.mu.Unlock()
 	if cut || what == 0 {
-		return 0, nil, transport.ErrUnsure
+		return 0, nil, transport.ErrOutcomeUnknown
 	}
 	if what == 1 {
-		f.Talk.Say(to, path, body, in)
+		f.Client.Call(to, path, body, in)
 	}
-	code, raw, err := f.Talk.Say(to, path, body, in)
+	code, raw, err := f.Client.Call(to, path, body, in)
 	if what == 2 {
-		return 0, nil, transport.ErrUnsure
+		return 0, nil, transport.ErrOutcomeUnknown
 	}
 	return code, raw, err
 }
@@ -211,7 +211,7 @@
 	}
 	s.relay = NewRelay(stream.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, PaceOf(term), clock)
 	s.mu.Unlock()
-	s.server = transport.Hears(50, time.Second)
+	s.server = transport.NewServer(50, time.Second)
 	s.relay.Hear(s.server)
 	on, err := net.Listen("tcp", s.addr)
 	require.NoError(s.t, err)
@@ -223,13 +223,13 @@
 	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Standing{},
 		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Mark{Life: 9},
 		slow: map[api.DestinationID]bool{}, addr: "127.0.0.1:0"}
-	owner := transport.Hears(50, time.Second)
+	owner := transport.NewServer(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s.back = &faults{Talk: transport.New("r", map[cluster.MemberID]string{"m": on.Addr().String()}),
+	s.back = &faults{Client: transport.NewClient("r", map[cluster.MemberID]string{"m": on.Addr().String()}),
 		r: rand.New(rand.NewPCG(1, 2)), one: 1 << 20}
 	s.start()
-	s.toward = &faults{Talk: transport.New("m", map[cluster.MemberID]string{"r": s.addr}),
+	s.toward = &faults{Client: transport.NewClient("m", map[cluster.MemberID]string{"r": s.addr}),
 		r: rand.New(rand.NewPCG(3, 4)), one: 1 << 20}
 	s.stream = NewStream("r", stream.NewSender(1, 0.05), book{s}, s.toward, PaceOf(term), clock,
 		func() bool { return true })
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -102,11 +102,11 @@
 	go server.Serve(dest)
 	addrs := []string{dest.Addr().String()}
 	for n := range benchSites {
-		said := transport.New(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(other)})
+		said := transport.NewClient(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
 		shelf.relay = relay.NewRelay(stream.NewReceiver(stream.Mark{Life: 9}, nil, nil), shelf, from{said, c},
 			relay.PaceOf(3*api.Second), inflight.Now)
-		on, s := listen(c), transport.Hears(8, 5*time.Second)
+		on, s := listen(c), transport.NewServer(8, 5*time.Second)
 		s.Handle(relay.OpenPath, shelf.relay.Open)
 		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.relay.Frame(ctx) })
 		go s.Serve(on)
@@ -118,12 +118,12 @@
 
 // from counts what the relays say.
 type from struct {
-	*transport.Talk
+	*transport.Client
 	c *counts
 }
 
-func (f from) Say(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
-	code, raw, err := f.Talk.Say(to, path, body, in)
+func (f from) Call(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
+	code, raw, err := f.Client.Call(to, path, body, in)
 	f.c.calls.Add(1)
 	f.c.bytes.Add(int64(len(body) + len(raw)))
 	return code, raw, err
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -84,14 +84,14 @@
 	evt := api.EventType{Target: 5 * api.Second, TTL: 600 * api.Second}
 	d := eventloop.New(x, life, kept, api.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
 		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, Kinds: []api.Kind{{Batch: 1}}})
-	said := transport.New("m", says)
+	said := transport.NewClient("m", says)
 	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
 		Event:  func(api.EventTypeID) api.EventType { return evt },
 		Serves: func(api.DestinationID) bool { return true }, Home: func(cluster.SiteID) bool { return true },
 		Alone: func(cluster.SiteID) bool { return false }, Buffer: func() int { return 2 * len(all) }}, f)
 	sites.Begin()
 	d.Join(open{sites})
-	server := transport.Hears(256, 5*time.Second)
+	server := transport.NewServer(256, 5*time.Second)
 	sites.Hear(server)
 	go server.Serve(hear)
 	calls := upstream.New(&x.Counters, d.Came, api.Second, api.Second, 400)
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -41,7 +41,7 @@
 		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
-		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(api.Second))
+		transport.NewClient("r", map[cluster.MemberID]string{}), relay.PaceOf(api.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
 }
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -101,7 +101,7 @@
 func (s *Sites) answers(ctx *fasthttp.RequestCtx) {
 	l := &lane{of: s}
 	for _, one := range s.plan.Load().lanes {
-		if one.site.Relay == transport.From(ctx) {
+		if one.site.Relay == transport.Sender(ctx) {
 			l = one
 			if stream := l.stream.Load(); stream != nil {
 				stream.Answers(ctx)
--- a/cluster/transport/form.go
+++ b/cluster/transport/form.go
@@ -10,20 +10,20 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// MostBody bounds a message and an answer, in bytes, also once it is unpacked.
-const MostBody = 16 << 20
+// MaxMessageSize bounds a message and an answer, in bytes, also once it is unpacked.
+const MaxMessageSize = 16 << 20
 
 const (
-	packOver   = 4 << 10 // below it packing saves no packet
-	packedBy   = "Packed"
-	packedAsS2 = "s2"
+	minCompressSize   = 4 << 10 // below it packing saves no packet
+	compressionHeader = "Packed"
+	compressionS2     = "s2"
 )
 
-var errTooLarge = fmt.Errorf("over %d bytes", MostBody)
+var errMessageTooLarge = fmt.Errorf("over %d bytes", MaxMessageSize)
 
-var coded, decoded = forms()
+var encMode, decMode = newModes()
 
-func forms() (cbor.EncMode, cbor.DecMode) {
+func newModes() (cbor.EncMode, cbor.DecMode) {
 	in, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -40,7 +40,7 @@
 
 // Encode is a message's one form. It panics on what has none, such as a channel.
 func Encode(v any) []byte {
-	raw, err := coded.Marshal(v)
+	raw, err := encMode.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
@@ -48,11 +48,11 @@
 }
 
 // Decode reads one whole message; nothing may follow it.
-func Decode(raw []byte, v any) error { return decoded.Unmarshal(raw, v) }
+func Decode(raw []byte, v any) error { return decMode.Unmarshal(raw, v) }
 
-// pack makes a body smaller, where that pays.
-func pack(body []byte) (packed []byte, smaller bool) {
-	if len(body) < packOver {
+// compress makes a body smaller, where that pays.
+func compress(body []byte) (packed []byte, smaller bool) {
+	if len(body) < minCompressSize {
 		return body, false
 	}
 	if packed = s2.Encode(nil, body); len(packed) > len(body)*7/8 {
@@ -61,12 +61,12 @@
 	return packed, true
 }
 
-// unpack looks at what a body says of its length first: guards against one that grows over the bound.
-func unpack(body []byte, by string) ([]byte, error) {
+// decompress looks at what a body says of its length first: guards against one that grows over the bound.
+func decompress(body []byte, by string) ([]byte, error) {
 	switch by {
 	case "":
 		return body, nil
-	case packedAsS2:
+	case compressionS2:
 	default:
 		return nil, errors.New("packed in an unknown way")
 	}
@@ -74,8 +74,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if n > MostBody {
-		return nil, errTooLarge
+	if n > MaxMessageSize {
+		return nil, errMessageTooLarge
 	}
 	return s2.Decode(nil, body)
 }
--- a/cluster/transport/server.go
+++ b/cluster/transport/server.go
@@ -11,29 +11,29 @@
 	"rowanlink/cluster"
 )
 
-const saidBy = "Said-By"
+const senderHeader = "Said-By"
 
 // Server hears what other members say.
 type Server struct {
-	http  fasthttp.Server
-	paths map[string]func(*fasthttp.RequestCtx)
+	http     fasthttp.Server
+	handlers map[string]func(*fasthttp.RequestCtx)
 }
 
-// Hears makes a Server for so many connections at most. A message that has begun must be whole within the
+// NewServer makes a Server for so many connections at most. A message that has begun must be whole within the
 // span, and its answer read.
-func Hears(most int, within time.Duration) *Server {
-	s := &Server{paths: map[string]func(*fasthttp.RequestCtx){}}
+func NewServer(most int, within time.Duration) *Server {
+	s := &Server{handlers: map[string]func(*fasthttp.RequestCtx){}}
 	s.http = fasthttp.Server{
-		Handler: s.hear, Name: "rowanfleet", MaxRequestBodySize: MostBody, Concurrency: most,
-		ReadTimeout: within, WriteTimeout: within, IdleTimeout: 3 * idleFor / 2, ReduceMemoryUsage: true,
+		Handler: s.serve, Name: "rowanfleet", MaxRequestBodySize: MaxMessageSize, Concurrency: most,
+		ReadTimeout: within, WriteTimeout: within, IdleTimeout: 3 * maxIdleDuration / 2, ReduceMemoryUsage: true,
 		DisablePreParseMultipartForm: true, NoDefaultContentType: true, NoDefaultDate: true,
-		CloseOnShutdown: true, Logger: quiet{}, SecureErrorLogMessage: true,
+		CloseOnShutdown: true, Logger: discardLogger{}, SecureErrorLogMessage: true,
 	}
 	return s
 }
 
 // Handle has a path's messages answered by h; before Serve only.
-func (s *Server) Handle(path string, h func(ctx *fasthttp.RequestCtx)) { s.paths[path] = h }
+func (s *Server) Handle(path string, h func(ctx *fasthttp.RequestCtx)) { s.handlers[path] = h }
 
 // Serve hears until Close.
 func (s *Server) Serve(on net.Listener) error { return s.http.Serve(on) }
@@ -45,38 +45,38 @@
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// From is who said a message, by its own word.
-func From(ctx *fasthttp.RequestCtx) cluster.MemberID {
-	return cluster.MemberID(ctx.Request.Header.Peek(saidBy))
+// Sender is who said a message, by its own word.
+func Sender(ctx *fasthttp.RequestCtx) cluster.MemberID {
+	return cluster.MemberID(ctx.Request.Header.Peek(senderHeader))
 }
 
-func (s *Server) hear(ctx *fasthttp.RequestCtx) {
-	h := s.paths[string(ctx.Path())]
+func (s *Server) serve(ctx *fasthttp.RequestCtx) {
+	h := s.handlers[string(ctx.Path())]
 	if h == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	body, err := unpack(ctx.Request.Body(), string(ctx.Request.Header.Peek(packedBy)))
+	body, err := decompress(ctx.Request.Body(), string(ctx.Request.Header.Peek(compressionHeader)))
 	if err != nil {
 		code := fasthttp.StatusBadRequest
-		if errors.Is(err, errTooLarge) {
+		if errors.Is(err, errMessageTooLarge) {
 			code = fasthttp.StatusRequestEntityTooLarge
 		}
 		ctx.Error(err.Error(), code)
 		return
 	}
-	if len(ctx.Request.Header.Peek(packedBy)) > 0 {
-		ctx.Request.Header.Del(packedBy)
+	if len(ctx.Request.Header.Peek(compressionHeader)) > 0 {
+		ctx.Request.Header.Del(compressionHeader)
 		ctx.Request.SetBodyRaw(body) // never its own body: that goes back to the pool while it is read
 	}
 	h(ctx)
-	if packed, smaller := pack(ctx.Response.Body()); smaller {
-		ctx.Response.Header.Set(packedBy, packedAsS2)
+	if packed, smaller := compress(ctx.Response.Body()); smaller {
+		ctx.Response.Header.Set(compressionHeader, compressionS2)
 		ctx.Response.SetBodyRaw(packed)
 	}
 }
 
-// quiet guards against a log line for each connection that ends.
-type quiet struct{}
+// discardLogger guards against a log line for each connection that ends.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/cluster/transport/talk_test.go
+++ b/cluster/transport/talk_test.go
@@ -20,15 +20,15 @@
 func hears(t *testing.T, h func(*fasthttp.RequestCtx)) string {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := Hears(100, time.Second)
+	s := NewServer(100, time.Second)
 	s.Handle("/x", h)
 	go s.Serve(on)
 	t.Cleanup(func() { s.Close(time.Second) })
 	return on.Addr().String()
 }
 
-func talks(t *testing.T, addr string) *Talk {
-	talk := New("a", map[cluster.MemberID]string{"b": addr})
+func talks(t *testing.T, addr string) *Client {
+	talk := NewClient("a", map[cluster.MemberID]string{"b": addr})
 	t.Cleanup(talk.Close)
 	return talk
 }
@@ -61,12 +61,12 @@
 func TestWhatIsSaidIsAnsweredPackedOrNot(t *testing.T) {
 	addr := hears(t, func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(299)
-		ctx.SetBody(append(ctx.Request.Body(), From(ctx)...))
+		ctx.SetBody(append(ctx.Request.Body(), Sender(ctx)...))
 	})
 	noise := make([]byte, 100_000)
 	rand.Read(noise)
 	for _, body := range [][]byte{nil, []byte("short"), bytes.Repeat([]byte("long"), 50_000), noise} {
-		status, answer, err := talks(t, addr).Say("b", "/x", body, time.Second)
+		status, answer, err := talks(t, addr).Call("b", "/x", body, time.Second)
 		require.NoError(t, err)
 		require.Equal(t, 299, status)
 		require.True(t, bytes.Equal(append(body, 'a'), answer))
@@ -76,9 +76,9 @@
 func TestNobodyThereIsNotSent(t *testing.T) {
 	on, _ := net.Listen("tcp", "127.0.0.1:0")
 	on.Close()
-	_, _, err := talks(t, on.Addr().String()).Say("b", "/x", nil, time.Second)
+	_, _, err := talks(t, on.Addr().String()).Call("b", "/x", nil, time.Second)
 	require.ErrorIs(t, err, ErrNotSent)
-	_, _, err = talks(t, on.Addr().String()).Say("c", "/x", nil, time.Second)
+	_, _, err = talks(t, on.Addr().String()).Call("c", "/x", nil, time.Second)
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
@@ -91,19 +91,19 @@
 	silent := func(_ net.Conn, in *bufio.Reader) { in.ReadString(0) }
 	talk := talks(t, crude(t, closed, half, silent))
 	for range 3 {
-		_, _, err := talk.Say("b", "/x", []byte("body"), 200*time.Millisecond)
-		require.ErrorIs(t, err, ErrUnsure)
+		_, _, err := talk.Call("b", "/x", []byte("body"), 200*time.Millisecond)
+		require.ErrorIs(t, err, ErrOutcomeUnknown)
 	}
 }
 
 // The far side reads nothing, so that the buffers fill and the last byte can't be written.
 func TestNotWrittenAsAWholeIsNotSent(t *testing.T) {
-	noise := make([]byte, MostBody)
+	noise := make([]byte, MaxMessageSize)
 	rand.Read(noise)
 	held := make(chan struct{})
 	defer close(held)
 	talk := talks(t, crude(t, func(net.Conn, *bufio.Reader) { <-held }))
-	_, _, err := talk.Say("b", "/x", noise, 300*time.Millisecond)
+	_, _, err := talk.Call("b", "/x", noise, 300*time.Millisecond)
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
@@ -112,22 +112,22 @@
 func TestAConnectionThatEndedWhileIdleIsNotUsed(t *testing.T) {
 	talk := talks(t, crude(t, answers, answers))
 	for range 2 {
-		_, _, err := talk.Say("b", "/x", nil, time.Second)
+		_, _, err := talk.Call("b", "/x", nil, time.Second)
 		require.NoError(t, err)
 		time.Sleep(50 * time.Millisecond)
 	}
-	_, _, err := talk.Say("b", "/x", nil, 100*time.Millisecond)
+	_, _, err := talk.Call("b", "/x", nil, 100*time.Millisecond)
 	require.Error(t, err)
 }
 
 func TestABodyThatUnpacksToTooMuchIsRefused(t *testing.T) {
 	addr := hears(t, func(ctx *fasthttp.RequestCtx) { t.Error("handled") })
 	for body, status := range map[string]int{
-		string(s2.Encode(nil, make([]byte, MostBody+1))): 413, "\xff": 400} {
+		string(s2.Encode(nil, make([]byte, MaxMessageSize+1))): 413, "\xff": 400} {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.SetRequestURI("http://" + addr + "/x")
 		req.Header.SetMethod("POST")
-		req.Header.Set(packedBy, packedAsS2)
+		req.Header.Set(compressionHeader, compressionS2)
 		req.SetBodyString(body)
 		require.NoError(t, fasthttp.Do(req, resp))
 		require.Equal(t, status, resp.StatusCode())
@@ -138,10 +138,10 @@
 	one := hears(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("one") })
 	two := hears(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("two") })
 	talk := talks(t, one)
-	_, answer, _ := talk.Say("b", "/x", nil, time.Second)
+	_, answer, _ := talk.Call("b", "/x", nil, time.Second)
 	require.Equal(t, "one", string(answer))
-	talk.Renew(map[cluster.MemberID]string{"b": two})
-	_, answer, _ = talk.Say("b", "/x", nil, time.Second)
+	talk.SetAddresses(map[cluster.MemberID]string{"b": two})
+	_, answer, _ = talk.Call("b", "/x", nil, time.Second)
 	require.Equal(t, "two", string(answer))
 }
 
--- a/test/integration/harness/map.go
+++ b/test/integration/harness/map.go
@@ -21,17 +21,17 @@
 			says[cluster.MemberID(m.Name)] = m.says.Addr
 		}
 	}
-	asks := transport.New("proof", says)
+	asks := transport.NewClient("proof", says)
 	defer asks.Close()
 	for keeper := range says {
-		status, raw, err := asks.Say(keeper, transport.StatePath,
-			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: 0}}), 2*time.Second)
-		var answer transport.StateAnswer
+		status, raw, err := asks.Call(keeper, transport.StatePath,
+			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.RangesPart: 0}}), 2*time.Second)
+		var answer transport.StateResponse
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
 			continue
 		}
 		chart := shardmap.New(nil)
-		require.NoError(f.t, chart.Restore(answer.Parts[0].Snapshot))
+		require.NoError(f.t, chart.Restore(answer.Parts[0].Data))
 		if newest == nil || chart.Version > newest.Version {
 			newest = chart
 		}
--- a/test/integration/harness/past.go
+++ b/test/integration/harness/past.go
@@ -44,7 +44,7 @@
 
 // follow is one reader for each life of a keeper: another life may know less.
 func (v *Views) follow(ctx context.Context, m *Member) {
-	asks := transport.New("proof", map[cluster.MemberID]string{"it": m.says.Addr})
+	asks := transport.NewClient("proof", map[cluster.MemberID]string{"it": m.says.Addr})
 	defer asks.Close()
 	var life *subprocess.Process
 	var reader int
@@ -58,10 +58,10 @@
 			v.mu.Unlock()
 			clear(saw)
 		}
-		status, raw, err := asks.Say("it", transport.StatePath,
-			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: version}}), v.f.shape.Term)
+		status, raw, err := asks.Call("it", transport.StatePath,
+			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.RangesPart: version}}), v.f.shape.Term)
 		got := api.Micros(time.Now().UnixMicro())
-		var answer transport.StateAnswer
+		var answer transport.StateResponse
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
 			time.Sleep(5 * time.Millisecond)
 			continue
@@ -69,7 +69,7 @@
 		for _, part := range answer.Parts {
 			version = part.Version
 			chart := shardmap.New(nil)
-			if chart.Restore(part.Snapshot) != nil {
+			if chart.Restore(part.Data) != nil {
 				continue
 			}
 			for _, r := range chart.Ranges {
