--- a/cmd/rowanctl/tables.go
+++ b/cmd/rowanctl/tables.go
@@ -103,8 +103,8 @@
 	lines := make([]dutyLine, 0, len(report.Duties))
 	var rows [][]string
 	for _, claim := range report.Duties {
-		lines = append(lines, dutyLine{Duty: claim.Duty, Holder: claim.Holder, Epoch: claim.Epoch})
-		rows = append(rows, []string{claim.Duty, orUnknown(claim.Holder), strconv.FormatUint(claim.Epoch, 10)})
+		lines = append(lines, dutyLine{Duty: claim.Role, Holder: claim.Holder, Epoch: claim.Epoch})
+		rows = append(rows, []string{claim.Role, orUnknown(claim.Holder), strconv.FormatUint(claim.Epoch, 10)})
 	}
 	return s.print(lines, []string{"DUTY", "HOLDER", "EPOCH"}, rows)
 }
--- a/cmd/rowanctl/tables_test.go
+++ b/cmd/rowanctl/tables_test.go
@@ -31,7 +31,7 @@
 		{ID: "e1", Service: "s", Address: "10.0.0.8:80", Zone: "n1", Slots: 4, Silent: true},
 		{ID: "e2", Service: "other", Address: "10.0.0.9:80", Zone: "n1", Slots: 4, State: state.Closing},
 	}
-	report.Duties = []singleton.Claim{{Duty: "loads", Holder: "a", Epoch: 7}}
+	report.Duties = []singleton.Claim{{Role: "loads", Holder: "a", Epoch: 7}}
 	return report
 }
 
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -36,11 +36,11 @@
 	Self() state.Member
 	Members() []state.Member // those known to run
 	DownMembers() []state.Member
-	Proxies() subscription.Proxies
-	Claims() []singleton.Claim
+	CountProxies() subscription.Proxies
+	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
-	SetFront(string)
-	Subscribe(table gossip.Table, take func(gossip.Entry))
+	SetClientAddress(string)
+	Subscribe(table gossip.TableID, take func(gossip.Entry))
 	Leave(context.Context) error
 }
 
@@ -93,7 +93,7 @@
 
 // tick does what the passing of time asks for and tells whether the agent may end.
 func (a *agent) tick() (ended bool) {
-	proxies, synced := a.mesh.Proxies(), a.synced()
+	proxies, synced := a.mesh.CountProxies(), a.synced()
 	ended, _ = actor.Ask(a.board, func(b *board) bool {
 		if synced && !b.news.synced {
 			event.AgentSynced.Log(a.log).Send()
@@ -118,7 +118,7 @@
 	event.ProxyState.Log(a.log).Uint8("from", uint8(a.said.state)).Uint8("to", uint8(now.state)).
 		Str("front", now.front).Send()
 	if now.front != a.said.front {
-		a.mesh.SetFront(now.front)
+		a.mesh.SetClientAddress(now.front)
 	}
 	if now.state != a.said.state {
 		a.mesh.SetState(now.state)
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -40,7 +40,7 @@
 	}
 	report.Endpoints = seen.endpoints
 	report.TakeMembers(a.mesh.Members(), a.mesh.DownMembers())
-	report.Duties = a.mesh.Claims()
+	report.Duties = a.mesh.RoleClaims()
 	return report
 }
 
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -28,7 +28,7 @@
 const seedIP = "127.0.0.2"
 
 // startSeed starts a member of the mesh that holds a record and an endpoint.
-func startSeed(t *testing.T, agentSettings *settings.Process) *member.Mesh {
+func startSeed(t *testing.T, agentSettings *settings.Process) *member.Service {
 	process := *agentSettings
 	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
 	listener, err := net.Listen("tcp", process.InnerAddress())
@@ -50,7 +50,7 @@
 }
 
 // put has the seed spread a value.
-func put(t *testing.T, seed *member.Mesh, table gossip.Table, key string, version uint64, value any) {
+func put(t *testing.T, seed *member.Service, table gossip.TableID, key string, version uint64, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	seed.Put(gossip.Entry{Table: table, Key: key, Version: gossip.NewVersion(version, 0), Value: encoded})
--- a/serving/agent/standing_test.go
+++ b/serving/agent/standing_test.go
@@ -25,14 +25,14 @@
 	self        state.Member
 	others      []state.Member
 	proxies     subscription.Proxies
-	subscribers map[gossip.Table]func(gossip.Entry)
+	subscribers map[gossip.TableID]func(gossip.Entry)
 	states      []state.MemberState // that the agent announced, in order
 	left        bool
 	leaveError  error
 }
 
 func newFakeMesh() *fakeMesh {
-	return &fakeMesh{self: proxyIn("n1", 1, state.MemberStarting), subscribers: map[gossip.Table]func(gossip.Entry){}}
+	return &fakeMesh{self: proxyIn("n1", 1, state.MemberStarting), subscribers: map[gossip.TableID]func(gossip.Entry){}}
 }
 
 func (f *fakeMesh) Self() state.Member {
@@ -47,10 +47,10 @@
 	return append([]state.Member{f.self}, f.others...)
 }
 
-func (f *fakeMesh) DownMembers() []state.Member { return nil }
-func (f *fakeMesh) Claims() []singleton.Claim   { return nil }
+func (f *fakeMesh) DownMembers() []state.Member   { return nil }
+func (f *fakeMesh) RoleClaims() []singleton.Claim { return nil }
 
-func (f *fakeMesh) Proxies() subscription.Proxies {
+func (f *fakeMesh) CountProxies() subscription.Proxies {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.proxies
@@ -63,7 +63,7 @@
 	f.states = append(f.states, to)
 }
 
-func (f *fakeMesh) SetFront(front string) {
+func (f *fakeMesh) SetClientAddress(front string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.self.Front = front
@@ -75,7 +75,7 @@
 	return slices.Clone(f.states)
 }
 
-func (f *fakeMesh) Subscribe(table gossip.Table, take func(gossip.Entry)) {
+func (f *fakeMesh) Subscribe(table gossip.TableID, take func(gossip.Entry)) {
 	f.subscribers[table] = take
 }
 
@@ -91,7 +91,7 @@
 }
 
 // deliver hands an entry to the agent as the mesh does.
-func (f *fakeMesh) deliver(t *testing.T, table gossip.Table, value any) {
+func (f *fakeMesh) deliver(t *testing.T, table gossip.TableID, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	f.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: encoded})
--- a/serving/core/absences.go
+++ b/serving/core/absences.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	return slices.ContainsFunc(a.mesh.DownMembers(), holds) || slices.ContainsFunc(a.mesh.LeftMembers(), holds) ||
-		a.now().Sub(a.started) > membership.ForgetSpan
+		a.now().Sub(a.started) > membership.RetentionPeriod
 }
 
 // forgotten tells whether the member at an address went so long ago that nobody remembers it.
--- a/serving/core/absences_test.go
+++ b/serving/core/absences_test.go
@@ -30,7 +30,7 @@
 	for address, want := range map[string]bool{"live": false, "down": true, "left": true, "again": false, "unknown": false} {
 		assert.Equal(t, want, a.absent(address), address)
 	}
-	a.now = func() time.Time { return started.Add(membership.ForgetSpan + 1) }
+	a.now = func() time.Time { return started.Add(membership.RetentionPeriod + 1) }
 	assert.True(t, a.absent("unknown"), "forgotten")
 	assert.True(t, a.forgotten("unknown"))
 	for _, address := range []string{"live", "down", "left", "again"} {
--- a/serving/core/keeper.go
+++ b/serving/core/keeper.go
@@ -24,7 +24,7 @@
 
 // keeper repairs the replica set while it holds that duty, and finishes changes that others have left half-way.
 type keeper struct {
-	mesh     *member.Mesh
+	mesh     *member.Service
 	node     *register.Node
 	log      *zerolog.Logger
 	finisher finisher
@@ -75,7 +75,7 @@
 }
 
 func (k *keeper) repair(ctx context.Context) {
-	if !k.mesh.Holder(repairDuty, singleton.Scope{Role: state.RoleCore}).Mine {
+	if !k.mesh.AcquireRole(repairDuty, singleton.Scope{Role: state.RoleCore}).Local {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, repairTimeout)
--- a/serving/core/records.go
+++ b/serving/core/records.go
@@ -13,7 +13,7 @@
 // recordMesh is what the spread of records needs of the mesh.
 type recordMesh interface {
 	Put(entry gossip.Entry)
-	Subscribe(table gossip.Table, call func(gossip.Entry))
+	Subscribe(table gossip.TableID, call func(gossip.Entry))
 }
 
 // records passes committed records between the register and the mesh.
--- a/serving/core/report.go
+++ b/serving/core/report.go
@@ -9,7 +9,7 @@
 
 // reporter answers operators who look into the process.
 type reporter struct {
-	mesh      *member.Mesh
+	mesh      *member.Service
 	node      *register.Node
 	endpoints *endpoints.Owner
 }
@@ -23,7 +23,7 @@
 		return report
 	}
 	report.TakeMembers(r.mesh.Members(), r.mesh.DownMembers())
-	report.Duties = r.mesh.Claims()
+	report.Duties = r.mesh.RoleClaims()
 	if known, ok := r.endpoints.Changes(0); ok {
 		report.Endpoints = known.Changed
 	}
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer node.Close()
-	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
+	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.IsLiveAt}
 	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
 		InTouch: touch.InTouch, Log: options.Log})
 	table.Serve(inner)
@@ -103,7 +103,7 @@
 }
 
 // startRegister joins the register to the mesh: what is committed here is spread, what others tell is learned.
-func startRegister(ctx context.Context, options Options, joined *member.Mesh, storage register.Storage, client *rpc.Client,
+func startRegister(ctx context.Context, options Options, joined *member.Service, storage register.Storage, client *rpc.Client,
 	inner *http.ServeMux) (*register.Node, error) {
 	records := &records{mesh: joined, log: options.Log}
 	node, err := register.Start(ctx, register.NodeOptions{Settings: options.Settings, Storage: storage, Client: client,
@@ -128,7 +128,7 @@
 }
 
 // controlHandler answers operators and endpoints.
-func controlHandler(options Options, joined *member.Mesh, node *register.Node, table *exchange.Exchange,
+func controlHandler(options Options, joined *member.Service, node *register.Node, table *exchange.Exchange,
 	touch *quorum.Contact) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
@@ -137,7 +137,7 @@
 }
 
 // end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
-func end(joined *member.Mesh, node *register.Node, control *http.Server) {
+func end(joined *member.Service, node *register.Node, control *http.Server) {
 	joined.SetState(state.MemberLeaving)
 	handedOver := make(chan struct{})
 	go func() {
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -26,10 +26,10 @@
 type Mesh interface {
 	Put(entry gossip.Entry)
 	PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error
-	Subscribe(table gossip.Table, call func(gossip.Entry))
+	Subscribe(table gossip.TableID, call func(gossip.Entry))
 	Members() []state.Member // those that are live
 	Self() state.Member
-	Holder(name string, scope singleton.Scope) singleton.Holding
+	AcquireRole(name string, scope singleton.Scope) singleton.Assignment
 }
 
 // Exchange is a table of endpoints and its link to the mesh. It is safe for use by several goroutines.
@@ -138,6 +138,6 @@
 			return true
 		}
 		live := slices.ContainsFunc(mesh.Members(), func(member state.Member) bool { return member.Name == receiver })
-		return !live && inTouch() && mesh.Holder(JudgeDuty, singleton.Scope{Role: state.RoleCore}).Mine
+		return !live && inTouch() && mesh.AcquireRole(JudgeDuty, singleton.Scope{Role: state.RoleCore}).Local
 	}
 }
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -21,7 +21,7 @@
 
 // The real parts fit the interfaces.
 var (
-	_ Mesh               = (*member.Mesh)(nil)
+	_ Mesh               = (*member.Service)(nil)
 	_ operator.Spread    = (*Exchange)(nil)
 	_ operator.Endpoints = (*endpoints.Owner)(nil)
 )
@@ -56,14 +56,14 @@
 	return nil
 }
 
-func (f *fakeMesh) Subscribe(_ gossip.Table, call func(gossip.Entry)) { f.subscriber = call }
+func (f *fakeMesh) Subscribe(_ gossip.TableID, call func(gossip.Entry)) { f.subscriber = call }
 
 func (f *fakeMesh) Members() []state.Member { return f.live }
 
 func (f *fakeMesh) Self() state.Member { return state.Member{Name: "core-1"} }
 
-func (f *fakeMesh) Holder(string, singleton.Scope) singleton.Holding {
-	return singleton.Holding{Mine: f.mine}
+func (f *fakeMesh) AcquireRole(string, singleton.Scope) singleton.Assignment {
+	return singleton.Assignment{Local: f.mine}
 }
 
 func start(t *testing.T, f *fakeMesh) *Exchange {
--- a/serving/gossip/bench_test.go
+++ b/serving/gossip/bench_test.go
@@ -10,11 +10,11 @@
 func largeEngine() *Engine {
 	e := testEngine(600)
 	for i := range 600 {
-		e.Put(begun, endpointEntry(fmt.Sprintf("endpoint-%d", i), 1))
-		e.Put(begun, Entry{Table: TableMembers, Key: fmt.Sprintf("member-%d", i), Version: NewVersion(1, 1),
+		e.PutLocal(begun, endpointEntry(fmt.Sprintf("endpoint-%d", i), 1))
+		e.PutLocal(begun, Entry{Table: TableMembers, Key: fmt.Sprintf("member-%d", i), Version: NewVersion(1, 1),
 			Value: make([]byte, 120)})
 	}
-	e.Outgoing(begun.Add(time.Second))
+	e.TakeOutgoing(begun.Add(time.Second))
 	return e
 }
 
@@ -32,14 +32,14 @@
 		version++
 		now = now.Add(200 * time.Millisecond)
 		e.Receive(now, Message{From: "m1", Entries: []Entry{endpointEntry("endpoint-7", version)}})
-		e.Outgoing(now.Add(150 * time.Millisecond))
+		e.TakeOutgoing(now.Add(150 * time.Millisecond))
 	}
 }
 
 func BenchmarkCompareOneDifference(b *testing.B) {
 	one, other := largeEngine(), largeEngine()
-	other.Put(begun, endpointEntry("endpoint-9", 2))
+	other.PutLocal(begun, endpointEntry("endpoint-9", 2))
 	for b.Loop() {
-		one.Compare(other.List(one.Digest(one.Difference(other.Summary()))))
+		one.CompareBuckets(other.ListDifferingBuckets(one.Digest(one.DifferingTables(other.Summary()))))
 	}
 }
--- a/serving/gossip/digest.go
+++ b/serving/gossip/digest.go
@@ -9,7 +9,7 @@
 const BucketCount = 32
 
 // repaired lists the tables that are compared, in the order of their sums in a Summary.
-var repaired = [...]Table{TableRecord, TableMembers, TableEndpoints, TableSuspicions, TableDuties}
+var repaired = [...]TableID{TableRecord, TableMembers, TableEndpoints, TableSuspicions, TableRoleClaims}
 
 // Summary holds one sum for each repaired table. Equal tables have equal sums.
 type Summary []uint32
@@ -24,8 +24,8 @@
 	return summary
 }
 
-// Difference returns the tables whose sums differ from those of another member.
-func (e *Engine) Difference(theirs Summary) (tables []Table) {
+// DifferingTables returns the tables whose sums differ from those of another member.
+func (e *Engine) DifferingTables(theirs Summary) (tables []TableID) {
 	ours := e.Summary()
 	for i, table := range repaired {
 		if i < len(theirs) && theirs[i] != ours[i] {
@@ -38,49 +38,49 @@
 // TableDigest holds the sums of a table's buckets.
 type TableDigest struct {
 	_     struct{} `cbor:",toarray"`
-	Table Table
+	Table TableID
 	Sums  []uint32
 }
 
 // Digest returns the sums of all buckets of the tables; of all repaired tables where none is named.
-func (e *Engine) Digest(tables []Table) (digest []TableDigest) {
+func (e *Engine) Digest(tables []TableID) (digest []TableDigest) {
 	if len(tables) == 0 {
 		tables = repaired[:]
 	}
 	for _, table := range tables {
-		if table.Valid() && !table.ephemeral() {
+		if table.IsValid() && !table.isEphemeral() {
 			digest = append(digest, TableDigest{Table: table, Sums: slices.Clone(e.tables[table].buckets[:])})
 		}
 	}
 	return digest
 }
 
-// BucketListing names a bucket and all that it holds.
-type BucketListing struct {
+// BucketContents names a bucket and all that it holds.
+type BucketContents struct {
 	_        struct{} `cbor:",toarray"`
-	Table    Table
+	Table    TableID
 	Bucket   int
-	Headings []Heading
+	Headings []Header
 }
 
-// List returns the own contents of the buckets that differ from another member's digest.
-func (e *Engine) List(theirs []TableDigest) (listings []BucketListing) {
+// ListDifferingBuckets returns the own contents of the buckets that differ from another member's digest.
+func (e *Engine) ListDifferingBuckets(theirs []TableDigest) (listings []BucketContents) {
 	for _, digest := range theirs {
-		if !digest.Table.Valid() || digest.Table.ephemeral() || len(digest.Sums) != BucketCount {
+		if !digest.Table.IsValid() || digest.Table.isEphemeral() || len(digest.Sums) != BucketCount {
 			continue
 		}
 		own := &e.tables[digest.Table]
 		var differing [BucketCount]int // index of the listing plus one
 		for bucket, sum := range digest.Sums {
 			if own.buckets[bucket] != sum {
-				listings = append(listings, BucketListing{Table: digest.Table, Bucket: bucket})
+				listings = append(listings, BucketContents{Table: digest.Table, Bucket: bucket})
 				differing[bucket] = len(listings)
 			}
 		}
 		for key, found := range own.entries {
 			if index := differing[bucketOf(key)]; index > 0 {
 				listing := &listings[index-1]
-				listing.Headings = append(listing.Headings, found.entry.Heading())
+				listing.Headings = append(listing.Headings, found.entry.Header())
 			}
 		}
 	}
@@ -89,15 +89,15 @@
 
 // Comparison is what comes out of another member's listings.
 type Comparison struct {
-	Send    []Entry   // the other member lacks them or has older ones
-	Wanted  []Heading // the other member has newer ones
-	Expired []Heading // the other member still has what has expired here
+	Send    []Entry  // the other member lacks them or has older ones
+	Missing []Header // the other member has newer ones
+	Expired []Header // the other member still has what has expired here
 }
 
-// Compare takes another member's listings.
-func (e *Engine) Compare(theirs []BucketListing) (found Comparison) {
+// CompareBuckets takes another member's listings.
+func (e *Engine) CompareBuckets(theirs []BucketContents) (found Comparison) {
 	for _, listing := range theirs {
-		if !listing.Table.Valid() || listing.Table.ephemeral() {
+		if !listing.Table.IsValid() || listing.Table.isEphemeral() {
 			continue
 		}
 		known := make(map[string]Version, len(listing.Headings))
@@ -110,7 +110,7 @@
 			case e.graves.covers(heading.id(), heading.Version):
 				found.Expired = append(found.Expired, heading)
 			case e.lacks(heading):
-				found.Wanted = append(found.Wanted, heading)
+				found.Missing = append(found.Missing, heading)
 			}
 		}
 		found.Send = append(found.Send, e.newerThan(listing.Table, listing.Bucket, known)...)
@@ -118,19 +118,19 @@
 	return found
 }
 
-// Expired returns those of the entries that have expired here.
-func (e *Engine) Expired(entries []Entry) (expired []Heading) {
+// ExpiredHeaders returns those of the entries that have expired here.
+func (e *Engine) ExpiredHeaders(entries []Entry) (expired []Header) {
 	for _, entry := range entries {
-		if heading := entry.Heading(); e.graves.covers(heading.id(), heading.Version) {
+		if heading := entry.Header(); e.graves.covers(heading.id(), heading.Version) {
 			expired = append(expired, heading)
 		}
 	}
 	return expired
 }
 
-// Expire forgets a tombstone that has expired at another member, so that the two know the same again.
-func (e *Engine) Expire(now time.Time, heading Heading) {
-	if !heading.Table.Valid() {
+// ExpireTombstone forgets a tombstone that has expired at another member, so that the two know the same again.
+func (e *Engine) ExpireTombstone(now time.Time, heading Header) {
+	if !heading.Table.IsValid() {
 		return
 	}
 	found, ok := e.tables[heading.Table].entries[heading.Key]
@@ -141,7 +141,7 @@
 
 // newerThan returns the entries of a bucket that are newer than the versions given or not among them. An entry
 // that has expired here is sent to a member that still has an older one.
-func (e *Engine) newerThan(table Table, bucket int, known map[string]Version) (entries []Entry) {
+func (e *Engine) newerThan(table TableID, bucket int, known map[string]Version) (entries []Entry) {
 	for key, found := range e.tables[table].entries {
 		if bucketOf(key) != bucket {
 			continue
@@ -152,7 +152,7 @@
 	}
 	for key, version := range known {
 		expired, ok := e.graves.byID[entryID{table: table, key: key}]
-		if ok && version.Less(expired.entry.Version) && e.options.Tombstone(expired.entry) {
+		if ok && version.Less(expired.entry.Version) && e.options.IsTombstone(expired.entry) {
 			entries = append(entries, expired.entry)
 		}
 	}
--- a/serving/gossip/encoding_test.go
+++ b/serving/gossip/encoding_test.go
@@ -19,11 +19,11 @@
 	forms := wireschema.Describe(wireschema.CBOR,
 		Message{},
 		Entry{},
-		Heading{},
+		Header{},
 		Version{},
 		Summary{},
 		TableDigest{},
-		BucketListing{},
+		BucketContents{},
 	)
 	assert.Equal(t, string(golden), forms)
 }
--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -19,15 +19,15 @@
 	Name   string // of the own member
 	Zone   string
 	Region string
-	// Tombstone tells whether an entry says that its key is gone. Such an entry expires. Nil: none does.
-	Tombstone func(Entry) bool
-	Random    *rand.Rand
+	// IsTombstone tells whether an entry says that its key is gone. Such an entry expires. Nil: none does.
+	IsTombstone func(Entry) bool
+	Random      *rand.Rand
 }
 
 // Engine holds the newest entry of every key and decides what is sent to whom. It is for one goroutine.
 type Engine struct {
 	options     Options
-	tables      [tableCount]table
+	tables      [tableCount]entryTable
 	graves      graves
 	subscribers [tableCount][]func(Entry)
 	peers       []Peer
@@ -45,8 +45,8 @@
 
 // New makes an empty engine.
 func New(options Options) *Engine {
-	if options.Tombstone == nil {
-		options.Tombstone = func(Entry) bool { return false }
+	if options.IsTombstone == nil {
+		options.IsTombstone = func(Entry) bool { return false }
 	}
 	e := &Engine{
 		options:   options,
@@ -82,13 +82,13 @@
 }
 
 // Subscribe has the function called for every entry that the table takes in from now on.
-func (e *Engine) Subscribe(table Table, call func(Entry)) {
+func (e *Engine) Subscribe(table TableID, call func(Entry)) {
 	e.subscribers[table] = append(e.subscribers[table], call)
 }
 
-// Put takes in an entry of the own process and plans its way to all other members. It returns false where the
+// PutLocal takes in an entry of the own process and plans its way to all other members. It returns false where the
 // engine has an entry as new already.
-func (e *Engine) Put(now time.Time, entry Entry) bool {
+func (e *Engine) PutLocal(now time.Time, entry Entry) bool {
 	if !e.store(now, entry) {
 		return false
 	}
@@ -99,10 +99,10 @@
 // Receive takes in a message of another member, plans how the fresh entries go on and returns them.
 func (e *Engine) Receive(now time.Time, message Message) (fresh []Entry) {
 	for _, entry := range message.Entries {
-		if !entry.Table.Valid() {
+		if !entry.Table.IsValid() {
 			continue
 		}
-		delete(e.requested, entry.Heading().id())
+		delete(e.requested, entry.Header().id())
 		isFresh := e.store(now, entry)
 		if isFresh {
 			fresh = append(fresh, entry)
@@ -115,7 +115,7 @@
 }
 
 // Get returns the newest entry of a key.
-func (e *Engine) Get(table Table, key string) (Entry, bool) {
+func (e *Engine) Get(table TableID, key string) (Entry, bool) {
 	found, ok := e.tables[table].entries[key]
 	if !ok {
 		return Entry{}, false
@@ -124,7 +124,7 @@
 }
 
 // All calls the function for every entry of a table, in no order, until it returns false.
-func (e *Engine) All(table Table, call func(Entry) bool) {
+func (e *Engine) All(table TableID, call func(Entry) bool) {
 	for _, found := range e.tables[table].entries {
 		if !call(found.entry) {
 			return
@@ -133,18 +133,18 @@
 }
 
 // Len is the number of entries of a table.
-func (e *Engine) Len(table Table) int { return len(e.tables[table].entries) }
+func (e *Engine) Len(table TableID) int { return len(e.tables[table].entries) }
 
 // store takes the entry in where it is newer than what is known and tells the subscribers.
 func (e *Engine) store(now time.Time, entry Entry) bool {
-	id := entry.Heading().id()
+	id := entry.Header().id()
 	if e.graves.covers(id, entry.Version) {
 		return false
 	}
-	if !e.tables[entry.Table].put(now, entry, e.options.Tombstone(entry)) {
+	if !e.tables[entry.Table].put(now, entry, e.options.IsTombstone(entry)) {
 		return false
 	}
-	if !entry.Table.ephemeral() {
+	if !entry.Table.isEphemeral() {
 		e.changes++
 	}
 	for _, call := range e.subscribers[entry.Table] {
--- a/serving/gossip/engine_test.go
+++ b/serving/gossip/engine_test.go
@@ -20,7 +20,7 @@
 // region and y0 of another.
 func testEngine(peers int) *Engine {
 	e := New(Options{Name: "m0", Zone: "z0", Region: "z", Random: rand.New(rand.NewPCG(1, 1)),
-		Tombstone: func(entry Entry) bool { return string(entry.Value) == string(tombstoneValue) }})
+		IsTombstone: func(entry Entry) bool { return string(entry.Value) == string(tombstoneValue) }})
 	places := []Peer{{Zone: "z0", Region: "z"}, {Zone: "z1", Region: "z"}, {Zone: "y0", Region: "y"}}
 	var all []Peer
 	for i := 1; i <= peers; i++ {
@@ -41,7 +41,7 @@
 	var seen []uint64
 	e.Subscribe(TableEndpoints, func(entry Entry) { seen = append(seen, entry.Version.Major) })
 	for _, version := range []uint64{2, 1, 2, 5, 3} {
-		e.Put(begun, endpointEntry("k", version))
+		e.PutLocal(begun, endpointEntry("k", version))
 	}
 	got, ok := e.Get(TableEndpoints, "k")
 	assert.True(t, ok)
@@ -52,10 +52,10 @@
 func TestChangesAreCoalesced(t *testing.T) {
 	e := testEngine(9)
 	for version := uint64(1); version <= 50; version++ {
-		e.Put(begun, endpointEntry("k", version))
+		e.PutLocal(begun, endpointEntry("k", version))
 	}
-	assert.Empty(t, e.Outgoing(begun), "not yet")
-	sent := e.Outgoing(begun.Add(coalesce))
+	assert.Empty(t, e.TakeOutgoing(begun), "not yet")
+	sent := e.TakeOutgoing(begun.Add(coalesce))
 	require.NotEmpty(t, sent)
 	byZone := map[string]int{}
 	for _, envelope := range sent {
@@ -64,13 +64,13 @@
 		byZone[envelope.To.Zone]++
 	}
 	assert.Equal(t, map[string]int{"z0": 2, "z1": 1, "y0": 1}, byZone)
-	assert.Empty(t, e.Outgoing(begun.Add(time.Second)))
+	assert.Empty(t, e.TakeOutgoing(begun.Add(time.Second)))
 }
 
 func TestWhatOthersSentStaysInTheRegion(t *testing.T) {
 	e := testEngine(9)
 	e.Receive(begun, Message{From: "m3", Entries: []Entry{endpointEntry("k", 1)}})
-	for _, envelope := range e.Outgoing(begun.Add(coalesce)) {
+	for _, envelope := range e.TakeOutgoing(begun.Add(coalesce)) {
 		assert.Equal(t, "z", envelope.To.Region)
 		assert.NotEqual(t, "m3", envelope.To.Name, "not back to its sender")
 	}
@@ -78,14 +78,14 @@
 
 func TestLoadsStayInTheRegionAndExpire(t *testing.T) {
 	e := testEngine(9)
-	e.Put(begun, Entry{Table: TableLoads, Key: "k", Version: NewVersion(1, 0)})
-	sent := e.Outgoing(begun.Add(coalesce))
+	e.PutLocal(begun, Entry{Table: TableLoads, Key: "k", Version: NewVersion(1, 0)})
+	sent := e.TakeOutgoing(begun.Add(coalesce))
 	require.NotEmpty(t, sent)
 	for _, envelope := range sent {
 		assert.Equal(t, "z", envelope.To.Region)
 	}
 	assert.Equal(t, testEngine(9).Summary(), e.Summary(), "they are no part of the digests")
-	e.Outgoing(begun.Add(ephemeralSpan + sweepInterval))
+	e.TakeOutgoing(begun.Add(ephemeralSpan + sweepInterval))
 	assert.Zero(t, e.Len(TableLoads))
 }
 
@@ -93,8 +93,8 @@
 	e := testEngine(9)
 	sendings := 0
 	for at := time.Duration(0); at < 5*time.Second; at += 10 * time.Millisecond {
-		e.Put(begun.Add(at), endpointEntry("k", uint64(at)+1))
-		if len(e.Outgoing(begun.Add(at))) > 0 {
+		e.PutLocal(begun.Add(at), endpointEntry("k", uint64(at)+1))
+		if len(e.TakeOutgoing(begun.Add(at))) > 0 {
 			sendings++
 		}
 	}
@@ -106,44 +106,44 @@
 	e := testEngine(9)
 	long := endpointEntry("long", 1)
 	long.Value = make([]byte, offerAbove+1)
-	e.Put(begun, long)
-	offered := e.Outgoing(begun.Add(coalesce))[0].Message
+	e.PutLocal(begun, long)
+	offered := e.TakeOutgoing(begun.Add(coalesce))[0].Message
 	assert.Empty(t, offered.Entries)
 	require.Len(t, offered.Offers, 1)
 
 	other := testEngine(9)
-	wanted := other.Wanted(begun, offered.Offers)
+	wanted := other.RequestMissing(begun, offered.Offers)
 	assert.Equal(t, offered.Offers, wanted)
-	assert.Empty(t, other.Wanted(begun, offered.Offers), "it is on its way already")
-	assert.Equal(t, wanted, other.Wanted(begun.Add(requestSpan), offered.Offers), "it was lost")
-	other.Receive(begun, Message{From: "m1", Entries: e.Collect(wanted)})
-	assert.Empty(t, other.Wanted(begun.Add(time.Second), offered.Offers))
+	assert.Empty(t, other.RequestMissing(begun, offered.Offers), "it is on its way already")
+	assert.Equal(t, wanted, other.RequestMissing(begun.Add(requestSpan), offered.Offers), "it was lost")
+	other.Receive(begun, Message{From: "m1", Entries: e.CollectEntries(wanted)})
+	assert.Empty(t, other.RequestMissing(begun.Add(time.Second), offered.Offers))
 
 	for i := range offerAllAbove + 1 {
-		e.Put(begun, endpointEntry(fmt.Sprint(i), 1))
+		e.PutLocal(begun, endpointEntry(fmt.Sprint(i), 1))
 	}
-	many := e.Outgoing(begun.Add(time.Second))[0].Message
+	many := e.TakeOutgoing(begun.Add(time.Second))[0].Message
 	assert.Empty(t, many.Entries)
 	assert.Len(t, many.Offers, offerAllAbove+1)
 }
 
 func TestTombstonesExpireForGood(t *testing.T) {
 	e := testEngine(3)
-	e.Put(begun, endpointEntry("k", 1))
+	e.PutLocal(begun, endpointEntry("k", 1))
 	end := endpointEntry("k", 2)
 	end.Value = tombstoneValue
-	e.Put(begun, end)
-	e.Outgoing(begun.Add(TombstoneSpan - time.Second))
+	e.PutLocal(begun, end)
+	e.TakeOutgoing(begun.Add(TombstoneRetention - time.Second))
 	assert.Equal(t, 1, e.Len(TableEndpoints), "kept for repairs")
-	after := begun.Add(TombstoneSpan + sweepInterval)
-	e.Outgoing(after)
+	after := begun.Add(TombstoneRetention + sweepInterval)
+	e.TakeOutgoing(after)
 	assert.Zero(t, e.Len(TableEndpoints))
 
 	assert.Empty(t, e.Receive(after, Message{From: "m1", Entries: []Entry{endpointEntry("k", 1), end}}))
-	assert.Equal(t, []Heading{end.Heading()}, e.Expired([]Entry{end}))
+	assert.Equal(t, []Header{end.Header()}, e.ExpiredHeaders([]Entry{end}))
 	stale := testEngine(3)
-	stale.Put(begun, endpointEntry("k", 1))
-	found := e.Compare(stale.List(e.Digest(nil)))
+	stale.PutLocal(begun, endpointEntry("k", 1))
+	found := e.CompareBuckets(stale.ListDifferingBuckets(e.Digest(nil)))
 	assert.Equal(t, []Entry{end}, found.Send, "who has missed the end is told")
 	assert.Len(t, e.Receive(after, Message{From: "m1", Entries: []Entry{endpointEntry("k", 3)}}), 1, "a newer life")
 }
@@ -152,7 +152,7 @@
 	e := testEngine(0)
 	for i := range graveLimit + 10 {
 		now := begun.Add(time.Duration(i) * time.Millisecond)
-		e.Put(now, endpointEntry(fmt.Sprint(i), 1))
+		e.PutLocal(now, endpointEntry(fmt.Sprint(i), 1))
 		e.Forget(now, TableEndpoints, fmt.Sprint(i))
 	}
 	assert.Len(t, e.graves.byID, graveLimit)
@@ -163,18 +163,18 @@
 // TestLostPushGoesAnotherWay takes each of the receivers in turn for one that does not answer.
 func TestLostPushGoesAnotherWay(t *testing.T) {
 	first := testEngine(12)
-	first.Put(begun, endpointEntry("k", 1))
-	sent := len(first.Outgoing(begun.Add(coalesce)))
+	first.PutLocal(begun, endpointEntry("k", 1))
+	sent := len(first.TakeOutgoing(begun.Add(coalesce)))
 	require.Equal(t, 4, sent)
 	for point := range sent {
 		t.Run(fmt.Sprintf("push %d", point), func(t *testing.T) {
 			e := testEngine(12)
-			e.Put(begun, endpointEntry("k", 1))
-			lost := e.Outgoing(begun.Add(coalesce))[point]
+			e.PutLocal(begun, endpointEntry("k", 1))
+			lost := e.TakeOutgoing(begun.Add(coalesce))[point]
 			now := begun.Add(500 * time.Millisecond)
-			e.Unresponsive(now, lost.To.Name)
+			e.MarkUnresponsive(now, lost.To.Name)
 			e.Retry(now, lost)
-			again := e.Outgoing(now.Add(coalesceMost))
+			again := e.TakeOutgoing(now.Add(coalesceMost))
 			direct, relayed := 0, 0
 			for _, envelope := range again {
 				assert.NotEqual(t, lost.To.Name, envelope.To.Name)
@@ -194,7 +194,7 @@
 				for _, envelope := range again {
 					e.Retry(now, envelope)
 				}
-				again = e.Outgoing(now.Add(coalesceMost))
+				again = e.TakeOutgoing(now.Add(coalesceMost))
 			}
 		})
 	}
@@ -204,9 +204,9 @@
 	e := testEngine(12)
 	entry := endpointEntry("k", 1)
 	e.Receive(begun, Message{From: "m3", Entries: []Entry{entry}})
-	e.Outgoing(begun.Add(time.Second))
+	e.TakeOutgoing(begun.Add(time.Second))
 	e.Receive(begun.Add(time.Second), Message{From: "m3", Entries: []Entry{entry}, Relay: []string{"y0"}})
-	sent := e.Outgoing(begun.Add(2 * time.Second))
+	sent := e.TakeOutgoing(begun.Add(2 * time.Second))
 	require.Len(t, sent, 1)
 	assert.Equal(t, "y0", sent[0].To.Zone)
 	assert.Empty(t, sent[0].Message.Relay)
@@ -223,16 +223,16 @@
 			entry.Table = rapid.SampledFrom(repaired[:]).Draw(draw, "table")
 			switch to := rapid.IntRange(0, 2).Draw(draw, "to"); to {
 			case 2:
-				engines[0].Put(begun, entry)
-				engines[1].Put(begun, entry)
+				engines[0].PutLocal(begun, entry)
+				engines[1].PutLocal(begun, entry)
 			default:
-				engines[to].Put(begun, entry)
+				engines[to].PutLocal(begun, entry)
 			}
 		}
 		one, other := engines[0], engines[1]
-		found := one.Compare(other.List(one.Digest(one.Difference(other.Summary()))))
+		found := one.CompareBuckets(other.ListDifferingBuckets(one.Digest(one.DifferingTables(other.Summary()))))
 		other.Receive(begun, Message{From: "m1", Entries: found.Send})
-		one.Receive(begun, Message{From: "m1", Entries: other.Collect(found.Wanted)})
+		one.Receive(begun, Message{From: "m1", Entries: other.CollectEntries(found.Missing)})
 		require.Equal(draw, one.Summary(), other.Summary())
 		for _, table := range repaired {
 			require.Equal(draw, one.Len(table), other.Len(table))
@@ -243,8 +243,8 @@
 				return true
 			})
 		}
-		require.Empty(draw, one.Difference(other.Summary()))
-		require.Empty(draw, other.List(one.Digest(nil)))
+		require.Empty(draw, one.DifferingTables(other.Summary()))
+		require.Empty(draw, other.ListDifferingBuckets(one.Digest(nil)))
 	})
 }
 
@@ -253,10 +253,10 @@
 	e := testEngine(3)
 	bad := Entry{Table: 99, Key: "k", Version: NewVersion(1, 0)}
 	assert.Empty(t, e.Receive(begun, Message{From: "x", Entries: []Entry{bad, {}}}))
-	assert.Empty(t, e.Wanted(begun, []Heading{bad.Heading(), {}}))
-	assert.Empty(t, e.Collect([]Heading{bad.Heading(), {}}))
-	assert.Empty(t, e.List([]TableDigest{{Table: 99}, {Table: TableMembers, Sums: []uint32{1}}}))
-	assert.Empty(t, e.Compare([]BucketListing{{Table: 99}, {Table: TableMembers, Bucket: -5},
-		{Table: TableMembers, Headings: []Heading{bad.Heading()}}}))
-	e.Expire(begun, bad.Heading())
+	assert.Empty(t, e.RequestMissing(begun, []Header{bad.Header(), {}}))
+	assert.Empty(t, e.CollectEntries([]Header{bad.Header(), {}}))
+	assert.Empty(t, e.ListDifferingBuckets([]TableDigest{{Table: 99}, {Table: TableMembers, Sums: []uint32{1}}}))
+	assert.Empty(t, e.CompareBuckets([]BucketContents{{Table: 99}, {Table: TableMembers, Bucket: -5},
+		{Table: TableMembers, Headings: []Header{bad.Header()}}}))
+	e.ExpireTombstone(begun, bad.Header())
 }
--- a/serving/gossip/entry.go
+++ b/serving/gossip/entry.go
@@ -9,29 +9,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table is a kind of entry.
-type Table uint8
+// TableID is a kind of entry.
+type TableID uint8
 
 // The tables that are spread.
 const (
-	TableRecord     Table = iota + 1 // the committed record under RecordKey
-	TableMembers                     // state.Member by name
-	TableEndpoints                   // state.Endpoint by ID
-	TableLoads                       // state.Load by endpoint ID; never leaves the region, not repaired
-	TableSuspicions                  // what watchers say of members that they no longer hear
-	TableDuties                      // who holds which singleton duty under which epoch
-
-	tableCount = int(TableDuties) + 1
+	TableRecord     TableID = iota + 1 // the committed record under RecordKey
+	TableMembers                       // state.Member by name
+	TableEndpoints                     // state.Endpoint by ID
+	TableLoads                         // state.Load by endpoint ID; never leaves the region, not repaired
+	TableSuspicions                    // what watchers say of members that they no longer hear
+	TableRoleClaims                    // who holds which singleton duty under which epoch
+
+	tableCount = int(TableRoleClaims) + 1
 )
 
 // RecordKey is the key of the only entry of TableRecord. Its version is the record's revision.
 const RecordKey = "record"
 
-// Valid tells whether a table number that came from elsewhere is one of the above.
-func (t Table) Valid() bool { return t >= TableRecord && int(t) < tableCount }
+// IsValid tells whether a table number that came from elsewhere is one of the above.
+func (t TableID) IsValid() bool { return t >= TableRecord && int(t) < tableCount }
 
-// ephemeral tells whether entries of the table stay in the region and are neither repaired nor retried.
-func (t Table) ephemeral() bool { return t == TableLoads }
+// isEphemeral tells whether entries of the table stay in the region and are neither repaired nor retried.
+func (t TableID) isEphemeral() bool { return t == TableLoads }
 
 // Version orders the entries of one key. Entries of the same version are the same.
 type Version struct {
@@ -54,34 +54,34 @@
 // Entry is one update: the newest word on a key of a table.
 type Entry struct {
 	_       struct{} `cbor:",toarray"`
-	Table   Table
+	Table   TableID
 	Key     string
 	Version Version
 	Value   []byte
 }
 
-// Heading names an entry without its value.
-type Heading struct {
+// Header names an entry without its value.
+type Header struct {
 	_       struct{} `cbor:",toarray"`
-	Table   Table
+	Table   TableID
 	Key     string
 	Version Version
 }
 
-// Heading returns the entry's name.
-func (e Entry) Heading() Heading { return Heading{Table: e.Table, Key: e.Key, Version: e.Version} }
+// Header returns the entry's name.
+func (e Entry) Header() Header { return Header{Table: e.Table, Key: e.Key, Version: e.Version} }
 
 // id returns the place of an entry without its version.
-func (h Heading) id() entryID { return entryID{table: h.Table, key: h.Key} }
+func (h Header) id() entryID { return entryID{table: h.Table, key: h.Key} }
 
 // entryID is a place that holds one entry at a time.
 type entryID struct {
-	table Table
+	table TableID
 	key   string
 }
 
 // hash is the entry's part of the digests. It depends on the table, the key and the version.
-func (h Heading) hash() uint64 {
+func (h Header) hash() uint64 {
 	var numbers [17]byte
 	numbers[0] = byte(h.Table)
 	binary.LittleEndian.PutUint64(numbers[1:], h.Version.Major)
--- a/serving/gossip/outgoing.go
+++ b/serving/gossip/outgoing.go
@@ -23,9 +23,9 @@
 
 // Message is what one member sends to another.
 type Message struct {
-	From    string    `cbor:"1,keyasint"`
-	Entries []Entry   `cbor:"2,keyasint,omitempty"`
-	Offers  []Heading `cbor:"3,keyasint,omitempty"` // entries with long values, sent if the receiver wants them
+	From    string   `cbor:"1,keyasint"`
+	Entries []Entry  `cbor:"2,keyasint,omitempty"`
+	Offers  []Header `cbor:"3,keyasint,omitempty"` // entries with long values, sent if the receiver wants them
 	// Relay asks the receiver to pass the entries on into these zones, which the sender cannot reach.
 	Relay []string `cbor:"4,keyasint,omitempty"`
 }
@@ -88,14 +88,14 @@
 
 // enqueue plans an entry's way on. A newer entry of the key takes the place of one that waits.
 func (e *Engine) enqueue(now time.Time, entry Entry, from origin) {
-	planned := e.pending.at(now, entry.Heading().id())
+	planned := e.pending.at(now, entry.Header().id())
 	planned.from = from.from
 	if len(from.relay) > 0 {
 		planned.zones = mergeNames(planned.zones, from.relay)
 		planned.retries = deliveryRetries
 	}
 	planned.inside = planned.inside || from.fresh
-	planned.regions = planned.regions || from.own && !entry.Table.ephemeral()
+	planned.regions = planned.regions || from.own && !entry.Table.isEphemeral()
 }
 
 // at returns the plan of an entry and sees to it that the plans are carried out soon.
@@ -114,11 +114,11 @@
 	return planned
 }
 
-// NextSend is when Outgoing has something to send; zero where nothing waits.
-func (e *Engine) NextSend() time.Time { return e.pending.due }
+// NextSendTime is when Outgoing has something to send; zero where nothing waits.
+func (e *Engine) NextSendTime() time.Time { return e.pending.due }
 
-// Outgoing returns the messages that are due.
-func (e *Engine) Outgoing(now time.Time) []Envelope {
+// TakeOutgoing returns the messages that are due.
+func (e *Engine) TakeOutgoing(now time.Time) []Envelope {
 	e.sweep(now)
 	if e.pending.due.IsZero() || now.Before(e.pending.due) {
 		return nil
@@ -143,10 +143,10 @@
 	}
 	headings := slices.Clone(envelope.Message.Offers)
 	for _, entry := range envelope.Message.Entries {
-		headings = append(headings, entry.Heading())
+		headings = append(headings, entry.Header())
 	}
 	for _, heading := range headings {
-		if heading.Table.ephemeral() {
+		if heading.Table.isEphemeral() {
 			continue
 		}
 		planned := e.pending.at(now, heading.id())
@@ -155,19 +155,19 @@
 	}
 }
 
-// Unresponsive has a peer avoided for a while.
-func (e *Engine) Unresponsive(now time.Time, name string) {
+// MarkUnresponsive has a peer avoided for a while.
+func (e *Engine) MarkUnresponsive(now time.Time, name string) {
 	e.failing[name] = now.Add(avoidSpan)
 	if zone, ok := e.zoneOf(name); ok {
 		e.doubtful[zone] = now
 	}
 }
 
-// Avoids tells whether a peer is being avoided.
-func (e *Engine) Avoids(now time.Time, name string) bool { return now.Before(e.failing[name]) }
+// IsAvoided tells whether a peer is being avoided.
+func (e *Engine) IsAvoided(now time.Time, name string) bool { return now.Before(e.failing[name]) }
 
-// Responsive tells that a peer has answered a call. It is no longer avoided, and its zone can be reached.
-func (e *Engine) Responsive(name string) {
+// MarkResponsive tells that a peer has answered a call. It is no longer avoided, and its zone can be reached.
+func (e *Engine) MarkResponsive(name string) {
 	delete(e.failing, name)
 	if zone, ok := e.zoneOf(name); ok {
 		delete(e.doubtful, zone)
@@ -180,10 +180,10 @@
 	return peer.Zone, known
 }
 
-// Wanted returns which of the offered entries are to be sent, and notes that they are on their way.
-func (e *Engine) Wanted(now time.Time, offers []Heading) (wanted []Heading) {
+// RequestMissing returns which of the offered entries are to be sent, and notes that they are on their way.
+func (e *Engine) RequestMissing(now time.Time, offers []Header) (wanted []Header) {
 	for _, offer := range offers {
-		if !offer.Table.Valid() || !e.lacks(offer) {
+		if !offer.Table.IsValid() || !e.lacks(offer) {
 			continue
 		}
 		asked, ok := e.requested[offer.id()]
@@ -196,10 +196,10 @@
 	return wanted
 }
 
-// Collect returns the entries of the headings, in the version now known.
-func (e *Engine) Collect(headings []Heading) (entries []Entry) {
+// CollectEntries returns the entries of the headings, in the version now known.
+func (e *Engine) CollectEntries(headings []Header) (entries []Entry) {
 	for _, heading := range headings {
-		if !heading.Table.Valid() {
+		if !heading.Table.IsValid() {
 			continue
 		}
 		if found, ok := e.tables[heading.Table].entries[heading.Key]; ok {
@@ -210,7 +210,7 @@
 }
 
 // lacks tells whether an entry of the heading would be news.
-func (e *Engine) lacks(heading Heading) bool {
+func (e *Engine) lacks(heading Header) bool {
 	if e.graves.covers(heading.id(), heading.Version) {
 		return false
 	}
--- a/serving/gossip/repair.go
+++ b/serving/gossip/repair.go
@@ -23,27 +23,27 @@
 type repairPlan struct {
 	last    time.Time // of the last comparison
 	partner string    // a member whose sums were seen to differ; empty: none
-	tables  []Table   // that differ
+	tables  []TableID // that differ
 	first   time.Time // when a difference was seen first since the last comparison
 	seen    time.Time // when the partner's was seen
 	changes uint64    // own changes up to then
 }
 
-// Appointment is a comparison of digests that is due.
-type Appointment struct {
+// RepairTask is a comparison of digests that is due.
+type RepairTask struct {
 	Peer   Peer
-	Tables []Table // empty: all
+	Tables []TableID // empty: all
 }
 
-// NoteSummary takes in the summary of a member and tells whether it differs from the own.
-func (e *Engine) NoteSummary(now time.Time, name string, theirs Summary) (differing []Table) {
-	differing = e.Difference(theirs)
-	e.NoteDifference(now, name, differing)
+// RecordSummary takes in the summary of a member and tells whether it differs from the own.
+func (e *Engine) RecordSummary(now time.Time, name string, theirs Summary) (differing []TableID) {
+	differing = e.DifferingTables(theirs)
+	e.RecordDifference(now, name, differing)
 	return differing
 }
 
-// NoteDifference tells in which tables a member was seen to differ; none says that it is equal.
-func (e *Engine) NoteDifference(now time.Time, name string, tables []Table) {
+// RecordDifference tells in which tables a member was seen to differ; none says that it is equal.
+func (e *Engine) RecordDifference(now time.Time, name string, tables []TableID) {
 	peer, known := e.byName[name]
 	if !known {
 		return
@@ -74,8 +74,8 @@
 	return e.options.Random.Float64()*float64(e.inRegion+1) < remoteRepairs
 }
 
-// NextRepair is when a comparison is due for a difference seen; zero where there is none.
-func (e *Engine) NextRepair() time.Time {
+// NextRepairTime is when a comparison is due for a difference seen; zero where there is none.
+func (e *Engine) NextRepairTime() time.Time {
 	if e.repair.partner == "" {
 		return time.Time{}
 	}
@@ -89,22 +89,22 @@
 	return due
 }
 
-// Repair returns the comparison that is due now; false where none is.
-func (e *Engine) Repair(now time.Time) (Appointment, bool) {
+// TakeDueRepair returns the comparison that is due now; false where none is.
+func (e *Engine) TakeDueRepair(now time.Time) (RepairTask, bool) {
 	noted := e.repair
-	due := e.NextRepair()
+	due := e.NextRepairTime()
 	if !due.IsZero() && !now.Before(due) {
 		e.repair = repairPlan{last: now}
 		if peer, known := e.byName[noted.partner]; known {
-			return Appointment{Peer: peer, Tables: noted.tables}, true
+			return RepairTask{Peer: peer, Tables: noted.tables}, true
 		}
 	}
 	if now.Sub(e.repair.last) < idleRepairInterval {
-		return Appointment{}, false
+		return RepairTask{}, false
 	}
 	e.repair = repairPlan{last: now}
 	peer, found := e.drawPartner(now)
-	return Appointment{Peer: peer}, found
+	return RepairTask{Peer: peer}, found
 }
 
 // partnerCount is from how many neighbours a partner without a known difference is drawn.
@@ -117,7 +117,7 @@
 	e.neighbours.update(now, e.options, e.peers)
 	for _, peer := range e.neighbours.order {
 		switch {
-		case e.Avoids(now, peer.Name):
+		case e.IsAvoided(now, peer.Name):
 		case (peer.Region != e.options.Region) == remote:
 			fitting = append(fitting, peer)
 		default:
--- a/serving/gossip/table.go
+++ b/serving/gossip/table.go
@@ -4,8 +4,8 @@
 
 // Spans after which entries leave their tables.
 const (
-	// TombstoneSpan is how long an entry that says that its key is gone is kept and repaired.
-	TombstoneSpan = 60 * time.Second
+	// TombstoneRetention is how long an entry that says that its key is gone is kept and repaired.
+	TombstoneRetention = 60 * time.Second
 	// ephemeralSpan is how long an entry of an ephemeral table is kept without a newer one.
 	ephemeralSpan = 10 * time.Second
 	// graveSpan is how long versions of expired entries are remembered, so that they are not taken in again.
@@ -23,40 +23,40 @@
 	tombstone bool
 }
 
-// table holds the newest entry of each key and the sums of their hashes.
-type table struct {
+// entryTable holds the newest entry of each key and the sums of their hashes.
+type entryTable struct {
 	entries map[string]*held
 	sum     uint64
 	buckets [BucketCount]uint32
 }
 
 // put takes in an entry that is newer than the one known.
-func (t *table) put(now time.Time, entry Entry, tombstone bool) bool {
+func (t *entryTable) put(now time.Time, entry Entry, tombstone bool) bool {
 	known, ok := t.entries[entry.Key]
 	if ok && !known.entry.Version.Less(entry.Version) {
 		return false
 	}
 	if ok {
-		t.count(known.entry.Heading(), false)
+		t.count(known.entry.Header(), false)
 	}
 	t.entries[entry.Key] = &held{entry: entry, since: now, tombstone: tombstone}
-	t.count(entry.Heading(), true)
+	t.count(entry.Header(), true)
 	return true
 }
 
 // remove takes an entry out of the table.
-func (t *table) remove(key string) (*held, bool) {
+func (t *entryTable) remove(key string) (*held, bool) {
 	known, ok := t.entries[key]
 	if !ok {
 		return nil, false
 	}
-	t.count(known.entry.Heading(), false)
+	t.count(known.entry.Header(), false)
 	delete(t.entries, key)
 	return known, true
 }
 
 // count adds an entry to the digests or takes it out.
-func (t *table) count(heading Heading, add bool) {
+func (t *entryTable) count(heading Header, add bool) {
 	hash := heading.hash()
 	bucket := &t.buckets[bucketOf(heading.Key)]
 	if add {
@@ -92,7 +92,7 @@
 	if len(g.byID) >= graveLimit {
 		g.dropOldest()
 	}
-	g.byID[entry.Heading().id()] = grave{entry: entry, since: now}
+	g.byID[entry.Header().id()] = grave{entry: entry, since: now}
 }
 
 func (g *graves) dropOldest() {
@@ -116,7 +116,7 @@
 }
 
 // Forget takes an entry out and refuses it from others for a long time, as long as none is newer.
-func (e *Engine) Forget(now time.Time, table Table, key string) {
+func (e *Engine) Forget(now time.Time, table TableID, key string) {
 	if removed, ok := e.tables[table].remove(key); ok {
 		e.graves.add(now, removed.entry)
 	}
@@ -129,14 +129,14 @@
 	}
 	e.sweepAt = now.Add(sweepInterval)
 	for i := range e.tables {
-		ephemeral := Table(i).ephemeral()
+		ephemeral := TableID(i).isEphemeral()
 		for key, found := range e.tables[i].entries {
 			age := now.Sub(found.since)
 			if ephemeral && age >= ephemeralSpan {
 				e.tables[i].remove(key)
 			}
-			if found.tombstone && age >= TombstoneSpan {
-				e.Forget(now, Table(i), key)
+			if found.tombstone && age >= TombstoneRetention {
+				e.Forget(now, TableID(i), key)
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 // ExpiredVersion returns the version under which a key left its table, as long as that is remembered.
-func (e *Engine) ExpiredVersion(table Table, key string) (Version, bool) {
+func (e *Engine) ExpiredVersion(table TableID, key string) (Version, bool) {
 	found, ok := e.graves.byID[entryID{table: table, key: key}]
 	return found.entry.Version, ok
 }
--- a/serving/gossip/targets.go
+++ b/serving/gossip/targets.go
@@ -35,7 +35,7 @@
 		if len(found) == most {
 			break
 		}
-		if !b.engine.Avoids(b.now, peer.Name) {
+		if !b.engine.IsAvoided(b.now, peer.Name) {
 			found = append(found, peer)
 		}
 	}
@@ -45,7 +45,7 @@
 // first returns the highest ranking peer that is not being avoided and fits.
 func (b *batch) first(fits func(Peer) bool) (Peer, bool) {
 	for _, peer := range b.engine.neighbours.order {
-		if fits(peer) && !b.engine.Avoids(b.now, peer.Name) {
+		if fits(peer) && !b.engine.IsAvoided(b.now, peer.Name) {
 			return peer, true
 		}
 	}
@@ -143,7 +143,7 @@
 	}
 	envelope.retries = max(envelope.retries, planned.retries)
 	if b.offerAll || len(entry.Value) > offerAbove {
-		envelope.Message.Offers = append(envelope.Message.Offers, entry.Heading())
+		envelope.Message.Offers = append(envelope.Message.Offers, entry.Header())
 		return
 	}
 	envelope.Message.Entries = append(envelope.Message.Entries, entry)
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -30,7 +30,7 @@
 
 // Mesh is what a poller needs of the mesh.
 type Mesh interface {
-	Holder(name string, scope singleton.Scope) singleton.Holding
+	AcquireRole(name string, scope singleton.Scope) singleton.Assignment
 	Put(gossip.Entry)
 }
 
@@ -75,12 +75,12 @@
 // round reads once if the duty is this member's.
 func (p *Poller) round(ctx context.Context) {
 	scope := singleton.Scope{Role: state.RoleAgent, Zone: p.options.Zone}
-	holding := p.options.Mesh.Holder(dutyPrefix+p.options.Zone, scope)
-	if holding.Mine != p.mine {
-		p.mine = holding.Mine
+	holding := p.options.Mesh.AcquireRole(dutyPrefix+p.options.Zone, scope)
+	if holding.Local != p.mine {
+		p.mine = holding.Local
 		event.LoadDuty.Log(p.options.Log).Bool("mine", p.mine).Uint64("epoch", holding.Epoch).Send()
 	}
-	if !holding.Mine {
+	if !holding.Local {
 		return
 	}
 	chosen := p.choose()
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -18,13 +18,13 @@
 
 // fakeMesh gives the duty as the test says and notes what is spread.
 type fakeMesh struct {
-	holding singleton.Holding
+	holding singleton.Assignment
 	asked   string
 	scope   singleton.Scope
 	spread  []gossip.Entry
 }
 
-func (f *fakeMesh) Holder(name string, scope singleton.Scope) singleton.Holding {
+func (f *fakeMesh) AcquireRole(name string, scope singleton.Scope) singleton.Assignment {
 	f.asked, f.scope = name, scope
 	return f.holding
 }
@@ -55,7 +55,7 @@
 }
 
 func TestHolderSpreadsLoads(t *testing.T) {
-	mesh := &fakeMesh{holding: singleton.Holding{Name: "a", Epoch: 7, Mine: true}}
+	mesh := &fakeMesh{holding: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
 	endpoint := answering(t, reporting)
 	poller(mesh, endpoint).round(t.Context())
 	assert.Equal(t, "loads/n1", mesh.asked)
@@ -71,7 +71,7 @@
 
 func TestOthersAskNobody(t *testing.T) {
 	calls := 0
-	mesh := &fakeMesh{holding: singleton.Holding{Name: "b", Epoch: 7}}
+	mesh := &fakeMesh{holding: singleton.Assignment{Holder: "b", Epoch: 7}}
 	endpoint := answering(t, func(http.ResponseWriter, *http.Request) { calls++ })
 	poller(mesh, endpoint).round(t.Context())
 	assert.Zero(t, calls)
@@ -95,7 +95,7 @@
 		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, reportMost+1)) },
 	}
 	for name, fault := range faults {
-		mesh := &fakeMesh{holding: singleton.Holding{Epoch: 7, Mine: true}}
+		mesh := &fakeMesh{holding: singleton.Assignment{Epoch: 7, Local: true}}
 		good := answering(t, reporting)
 		poller(mesh, answering(t, fault), good).round(t.Context())
 		require.Len(t, mesh.spread, 1, name)
--- a/serving/member/answers.go
+++ b/serving/member/answers.go
@@ -11,7 +11,7 @@
 func (n *node) heartbeat(now time.Time, request *heartbeatRequest) (response heartbeatResponse) {
 	n.step(now, func() {
 		response.Heard = n.hear(request.Beat)
-		response.Differs = n.engine.NoteSummary(now, request.Beat.Name, request.Summary)
+		response.Differs = n.engine.RecordSummary(now, request.Beat.Name, request.Summary)
 		n.contacted(request.Beat.Name)
 	})
 	return response
@@ -19,16 +19,16 @@
 
 // contacted notes that a call of a member, or its answer to one, has come.
 func (n *node) contacted(name string) {
-	n.engine.Responsive(name)
-	n.members.Contacted(n.current, name)
+	n.engine.MarkResponsive(name)
+	n.members.RecordContact(n.current, name)
 }
 
 // hear takes in a sign of life. A member that was forgotten is told to speak with a higher sequence.
-func (n *node) hear(beat membership.Heartbeat) membership.Heard {
-	heard := n.members.Hear(n.current, beat)
+func (n *node) hear(beat membership.Heartbeat) membership.HeartbeatAck {
+	heard := n.members.ReceiveHeartbeat(n.current, beat)
 	expired, ok := n.engine.ExpiredVersion(gossip.TableMembers, beat.Name)
 	if heard.Unknown && ok && expired.Major == beat.Incarnation && expired.Minor >= beat.Sequence {
-		return membership.Heard{Above: max(expired.Minor, 1)}
+		return membership.HeartbeatAck{RefuteAbove: max(expired.Minor, 1)}
 	}
 	return heard
 }
@@ -38,7 +38,7 @@
 	n.step(now, func() {
 		n.contacted(message.From)
 		n.engine.Receive(now, message)
-		response.Wanted = n.engine.Wanted(now, message.Offers)
+		response.Wanted = n.engine.RequestMissing(now, message.Offers)
 	})
 	return response
 }
@@ -48,7 +48,7 @@
 	n.step(now, func() {
 		n.contacted(request.Beat.Name)
 		response.Heard = n.hear(request.Beat)
-		response.Listings = n.engine.List(request.Digest)
+		response.Listings = n.engine.ListDifferingBuckets(request.Digest)
 	})
 	return response
 }
@@ -59,22 +59,22 @@
 	n.step(now, func() {
 		n.engine.Receive(now, gossip.Message{From: request.From, Entries: request.Entries})
 		n.expire(request.Expired)
-		response.Entries = n.engine.Collect(request.Wanted)
-		response.Expired = n.engine.Expired(request.Entries)
+		response.Entries = n.engine.CollectEntries(request.Wanted)
+		response.Expired = n.engine.ExpiredHeaders(request.Entries)
 	})
 	return response
 }
 
 // heard takes in the answer to a sign of life. It returns an entry of the own member that the other lacks.
-func (n *node) heard(now time.Time, heard membership.Heard) (own *gossip.Entry) {
+func (n *node) heard(now time.Time, heard membership.HeartbeatAck) (own *gossip.Entry) {
 	n.step(now, func() {
-		if heard.Above > 0 {
-			if _, refuted := n.members.Refute(now, heard.Above); refuted {
+		if heard.RefuteAbove > 0 {
+			if _, refuted := n.members.Refute(now, heard.RefuteAbove); refuted {
 				n.refuted = true
 			}
 		}
 	})
-	if !heard.Unknown && heard.Above == 0 {
+	if !heard.Unknown && heard.RefuteAbove == 0 {
 		return nil
 	}
 	entry, err := memberEntry(n.members.Self())
@@ -87,13 +87,13 @@
 // beatAnswered takes in a watcher's answer.
 func (n *node) beatAnswered(now time.Time, from string, response *heartbeatResponse) (own *gossip.Entry) {
 	n.step(now, func() { n.contacted(from) })
-	n.engine.NoteDifference(now, from, response.Differs)
+	n.engine.RecordDifference(now, from, response.Differs)
 	return n.heard(now, response.Heard)
 }
 
 // beatFailed tells that a heartbeat has had no answer.
 func (n *node) beatFailed(now time.Time, to gossip.Peer) {
-	n.engine.Unresponsive(now, to.Name)
+	n.engine.MarkUnresponsive(now, to.Name)
 	if to.Region != n.members.Self().Region {
 		n.schedule.remoteAgain = true
 	}
@@ -103,14 +103,14 @@
 func (n *node) compared(now time.Time, from string, response *compareResponse) (request transferRequest, needed bool) {
 	n.step(now, func() { n.contacted(from) })
 	own := n.heard(now, response.Heard)
-	request.Heard = n.members.Answered(from)
+	request.Heard = n.members.DownNotice(from)
 	request.From = n.members.Self().Name
-	found := n.engine.Compare(response.Listings)
-	request.Entries, request.Wanted, request.Expired = found.Send, found.Wanted, found.Expired
+	found := n.engine.CompareBuckets(response.Listings)
+	request.Entries, request.Wanted, request.Expired = found.Send, found.Missing, found.Expired
 	if own != nil && len(response.Listings) == 0 {
 		request.Entries = append(request.Entries, *own)
 	}
-	needed = len(request.Entries)+len(request.Wanted)+len(request.Expired) > 0 || request.Heard.Above > 0
+	needed = len(request.Entries)+len(request.Wanted)+len(request.Expired) > 0 || request.Heard.RefuteAbove > 0
 	return request, needed
 }
 
@@ -124,21 +124,21 @@
 
 // expire forgets what another member has forgotten already: what is gone here too, only for less long, such as after
 // a start in the meantime. Otherwise the two would find a difference at each heartbeat until it expires here.
-func (n *node) expire(headings []gossip.Heading) {
+func (n *node) expire(headings []gossip.Header) {
 	for _, heading := range headings {
 		switch {
-		case heading.Table == gossip.TableMembers && n.members.ForgetGone(heading.Key):
+		case heading.Table == gossip.TableMembers && n.members.RemoveTerminated(heading.Key):
 			n.forgetMember(heading.Key)
 		case heading.Table == gossip.TableSuspicions:
 			n.expireSuspicion(heading)
 		default:
-			n.engine.Expire(n.current, heading)
+			n.engine.ExpireTombstone(n.current, heading)
 		}
 	}
 }
 
 // expireSuspicion forgets a suspicion that others dropped with its member or its watcher.
-func (n *node) expireSuspicion(heading gossip.Heading) {
+func (n *node) expireSuspicion(heading gossip.Header) {
 	entry, ok := n.engine.Get(heading.Table, heading.Key)
 	if !ok || heading.Version.Less(entry.Version) {
 		return
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -23,12 +23,12 @@
 type caller struct {
 	ctx     context.Context
 	client  *rpc.Client
-	mesh    *Mesh
+	mesh    *Service
 	routine chan struct{}
 	push    chan struct{}
 }
 
-func newCaller(ctx context.Context, client *rpc.Client, mesh *Mesh) *caller {
+func newCaller(ctx context.Context, client *rpc.Client, mesh *Service) *caller {
 	return &caller{
 		ctx:     ctx,
 		client:  client,
@@ -102,7 +102,7 @@
 	if c.ctx.Err() != nil || name == "" {
 		return
 	}
-	c.mesh.do(func(now time.Time, n *node) { n.engine.Unresponsive(now, name) })
+	c.mesh.do(func(now time.Time, n *node) { n.engine.MarkUnresponsive(now, name) })
 }
 
 // sendPush sends a message and then those entries that the receiver wants of the ones offered.
@@ -125,9 +125,9 @@
 }
 
 // sendWanted sends the entries that a receiver wants.
-func (c *caller) sendWanted(envelope gossip.Envelope, wanted []gossip.Heading) error {
+func (c *caller) sendWanted(envelope gossip.Envelope, wanted []gossip.Header) error {
 	message := gossip.Message{From: envelope.Message.From, Relay: envelope.Message.Relay}
-	message.Entries = ask(c.mesh, func(_ time.Time, n *node) []gossip.Entry { return n.engine.Collect(wanted) })
+	message.Entries = ask(c.mesh, func(_ time.Time, n *node) []gossip.Entry { return n.engine.CollectEntries(wanted) })
 	_, err := call(c, timeoutFor(message.Entries), pushMethod, envelope.To.Address, &message)
 	return err
 }
--- a/serving/member/codec.go
+++ b/serving/member/codec.go
@@ -18,16 +18,16 @@
 
 // suspicionEntry is a watcher's word as it is spread.
 func suspicionEntry(word membership.Suspicion) (gossip.Entry, error) {
-	version := gossip.NewVersion(word.WatcherIncarnation, word.Count)
+	version := gossip.NewVersion(word.WatcherIncarnation, word.Revision)
 	return encode(gossip.TableSuspicions, word.Key(), version, word)
 }
 
 // claimEntry is the word of a duty's holder as it is spread.
 func claimEntry(claim singleton.Claim) (gossip.Entry, error) {
-	return encode(gossip.TableDuties, claim.Duty, gossip.NewVersion(claim.Epoch, 0), claim)
+	return encode(gossip.TableRoleClaims, claim.Role, gossip.NewVersion(claim.Epoch, 0), claim)
 }
 
-func encode(table gossip.Table, key string, version gossip.Version, value any) (gossip.Entry, error) {
+func encode(table gossip.TableID, key string, version gossip.Version, value any) (gossip.Entry, error) {
 	data, err := cbor.Marshal(value)
 	if err != nil {
 		return gossip.Entry{}, errors.Wrapf(err, "encode entry %q", key)
--- a/serving/member/front.go
+++ b/serving/member/front.go
@@ -6,8 +6,8 @@
 	"rowanlink/serving/state"
 )
 
-// SetFront changes where the own member's proxy takes clients' requests, host:port.
-func (m *Mesh) SetFront(front string) {
+// SetClientAddress changes where the own member's proxy takes clients' requests, host:port.
+func (m *Service) SetClientAddress(front string) {
 	m.do(func(now time.Time, n *node) {
 		if n.members.Self().Front != front {
 			n.updateSelf(now, func(member *state.Member) { member.Front = front })
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -70,22 +70,22 @@
 	assert.Equal(t, "z1", self.Zone)
 	_, known := n.members.Member("self")
 	assert.True(t, known)
-	other := gossip.New(gossip.Options{Name: "x", Zone: "z1", Region: "r", Tombstone: isTombstone,
+	other := gossip.New(gossip.Options{Name: "x", Zone: "z1", Region: "r", IsTombstone: isTombstone,
 		Random: rand.New(rand.NewPCG(2, 2))})
 	var all []gossip.Entry
-	for table := gossip.TableRecord; table.Valid(); table++ {
+	for table := gossip.TableRecord; table.IsValid(); table++ {
 		n.engine.All(table, func(entry gossip.Entry) bool { all = append(all, entry); return true })
 	}
 	other.Receive(fuzzStart, gossip.Message{From: "self", Entries: all})
-	assert.Empty(t, other.Difference(n.engine.Summary()))
+	assert.Empty(t, other.DifferingTables(n.engine.Summary()))
 	for step := range 5 {
 		now := fuzzStart.Add(time.Duration(step) * time.Second)
 		n.step(now, func() { n.members.Tick(now) })
-		for _, envelope := range n.engine.Outgoing(now) {
+		for _, envelope := range n.engine.TakeOutgoing(now) {
 			_, err := cbor.Marshal(envelope.Message)
 			assert.NoError(t, err)
 		}
-		_, _ = n.engine.Repair(now)
+		_, _ = n.engine.TakeDueRepair(now)
 	}
 	n.holder(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
 }
@@ -95,15 +95,15 @@
 	entry, err := memberEntry(fuzzMember("e", "z2"))
 	require.NoError(f, err)
 	beat := membership.Heartbeat{Name: "b", Incarnation: 5, Sequence: 2}
-	heading := entry.Heading()
+	heading := entry.Header()
 	for _, message := range []any{
 		heartbeatRequest{Beat: beat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
-		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Heading{heading}, Relay: []string{"z9"}},
+		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Header{heading}, Relay: []string{"z9"}},
 		compareRequest{Beat: beat, Digest: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
-		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Wanted: []gossip.Heading{heading}, Heard: membership.Heard{Above: 9}},
-		heartbeatResponse{Heard: membership.Heard{Unknown: true}, Differs: []gossip.Table{0, 2, 200}},
-		compareResponse{Listings: []gossip.BucketListing{{Table: 2, Bucket: -1, Headings: []gossip.Heading{heading}}}},
-		pushResponse{Wanted: []gossip.Heading{{Table: 99, Key: "x"}}},
+		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Wanted: []gossip.Header{heading}, Heard: membership.HeartbeatAck{RefuteAbove: 9}},
+		heartbeatResponse{Heard: membership.HeartbeatAck{Unknown: true}, Differs: []gossip.TableID{0, 2, 200}},
+		compareResponse{Listings: []gossip.BucketContents{{Table: 2, Bucket: -1, Headings: []gossip.Header{heading}}}},
+		pushResponse{Wanted: []gossip.Header{{Table: 99, Key: "x"}}},
 	} {
 		data, err := cbor.Marshal(message)
 		require.NoError(f, err)
@@ -118,7 +118,7 @@
 		take(t, data, func(m *heartbeatResponse) { n.beatAnswered(fuzzStart, "b", m) })
 		take(t, data, func(m *compareResponse) { n.compared(fuzzStart, "b", m) })
 		take(t, data, func(m *transferResponse) { n.transferred(fuzzStart, "b", m) })
-		take(t, data, func(m *pushResponse) { n.engine.Collect(m.Wanted) })
+		take(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Wanted) })
 		checkNode(t, n)
 	})
 }
@@ -129,9 +129,9 @@
 	require.NoError(f, err)
 	self, err := memberEntry(fuzzMember("self", "z9"))
 	require.NoError(f, err)
-	word, err := suspicionEntry(membership.Suspicion{Member: "c", Watcher: "self", Count: 3})
+	word, err := suspicionEntry(membership.Suspicion{Member: "c", Watcher: "self", Revision: 3})
 	require.NoError(f, err)
-	claim, err := claimEntry(singleton.Claim{Duty: "repair", Holder: "nobody", Epoch: 1 << 40})
+	claim, err := claimEntry(singleton.Claim{Role: "repair", Holder: "nobody", Epoch: 1 << 40})
 	require.NoError(f, err)
 	for _, entry := range []gossip.Entry{member, self, word, claim} {
 		f.Add(uint8(entry.Table), entry.Key, entry.Version.Major, entry.Version.Minor, entry.Value)
@@ -139,7 +139,7 @@
 	f.Add(uint8(gossip.TableEndpoints), "e", uint64(1), uint64(8), []byte{0xa1, 7, 2})
 	f.Fuzz(func(t *testing.T, table uint8, key string, major, minor uint64, value []byte) {
 		n := fuzzNode()
-		entry := gossip.Entry{Table: gossip.Table(table), Key: key, Version: gossip.NewVersion(major, minor), Value: value}
+		entry := gossip.Entry{Table: gossip.TableID(table), Key: key, Version: gossip.NewVersion(major, minor), Value: value}
 		n.receive(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
 		got, known := n.engine.Get(gossip.TableMembers, "self")
 		require.True(t, known)
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -11,7 +11,7 @@
 )
 
 // serve registers the calls of other members.
-func (m *Mesh) serve(mux *http.ServeMux) {
+func (m *Service) serve(mux *http.ServeMux) {
 	heartbeatMethod.Serve(mux, func(_ context.Context, request *heartbeatRequest) (*heartbeatResponse, error) {
 		return answer(m, func(now time.Time, n *node) heartbeatResponse { return n.heartbeat(now, request) })
 	})
@@ -27,7 +27,7 @@
 }
 
 // answer runs a command on the node and returns its result, or an error after Close.
-func answer[Response any](m *Mesh, command func(now time.Time, n *node) Response) (*Response, error) {
+func answer[Response any](m *Service, command func(now time.Time, n *node) Response) (*Response, error) {
 	response, ok := actor.Ask(m.owner, func(n *node) Response {
 		response := command(time.Now(), n)
 		m.wakeFor(n)
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -11,7 +11,7 @@
 )
 
 // loop asks the node what is due whenever its timer or a poke says so.
-func (m *Mesh) loop(ctx context.Context) {
+func (m *Service) loop(ctx context.Context) {
 	defer close(m.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -37,7 +37,7 @@
 }
 
 // all returns the entries of a table.
-func (n *node) all(table gossip.Table) []gossip.Entry {
+func (n *node) all(table gossip.TableID) []gossip.Entry {
 	entries := make([]gossip.Entry, 0, n.engine.Len(table))
 	n.engine.All(table, func(entry gossip.Entry) bool {
 		entries = append(entries, entry)
@@ -47,10 +47,10 @@
 }
 
 // holder looks up a duty and spreads the own claim where one is made.
-func (n *node) holder(now time.Time, name string, scope singleton.Scope) (holding singleton.Holding) {
+func (n *node) holder(now time.Time, name string, scope singleton.Scope) (holding singleton.Assignment) {
 	n.step(now, func() {
 		var claim *singleton.Claim
-		holding, claim = n.duties.Holder(now, name, scope, n.members.Live())
+		holding, claim = n.duties.Acquire(now, name, scope, n.members.LiveMembers())
 		if claim == nil {
 			return
 		}
@@ -59,7 +59,7 @@
 			event.SpreadEntryUnreadable.Log(n.log).Err(err).Send()
 			return
 		}
-		n.engine.Put(now, entry)
+		n.engine.PutLocal(now, entry)
 		event.DutyTaken.Log(n.log).Str("duty", name).Uint64("epoch", claim.Epoch).Send()
 	})
 	return holding
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -31,8 +31,8 @@
 	Log      *zerolog.Logger
 }
 
-// Mesh is one process's part in the mesh. Its methods may be called from several goroutines.
-type Mesh struct {
+// Service is one process's part in the mesh. Its methods may be called from several goroutines.
+type Service struct {
 	options  Options
 	owner    *actor.Owner[node]
 	calls    *caller
@@ -45,9 +45,9 @@
 // Start joins the other members in the background, until ctx ends or Close is called. It asks nobody before: the time
 // of day is the incarnation, and where it has jumped back since an earlier life, the first member that is met knows
 // that life and the own process raises itself above it.
-func Start(ctx context.Context, options Options) (*Mesh, error) {
+func Start(ctx context.Context, options Options) (*Service, error) {
 	running, cancel := context.WithCancel(ctx)
-	m := &Mesh{
+	m := &Service{
 		options:  options,
 		delivery: newDelivery(),
 		poke:     make(chan struct{}, 1),
@@ -81,14 +81,14 @@
 }
 
 // Close ends the part without telling others.
-func (m *Mesh) Close() {
+func (m *Service) Close() {
 	m.cancel()
 	<-m.done
 	m.owner.Stop()
 }
 
 // do runs a command on the node and sees to it that the timer fits what it brought about.
-func (m *Mesh) do(command func(now time.Time, n *node)) {
+func (m *Service) do(command func(now time.Time, n *node)) {
 	m.owner.Tell(func(n *node) {
 		command(time.Now(), n)
 		m.wakeFor(n)
@@ -96,7 +96,7 @@
 }
 
 // ask runs a command on the node and returns its result; the zero value after Close.
-func ask[Result any](m *Mesh, command func(now time.Time, n *node) Result) Result {
+func ask[Result any](m *Service, command func(now time.Time, n *node) Result) Result {
 	result, _ := actor.Ask(m.owner, func(n *node) Result {
 		result := command(time.Now(), n)
 		m.wakeFor(n)
@@ -106,7 +106,7 @@
 }
 
 // wakeFor wakes the timer loop where something is due before its timer ends.
-func (m *Mesh) wakeFor(n *node) {
+func (m *Service) wakeFor(n *node) {
 	if !n.nextTick().Before(n.wakeAt) {
 		return
 	}
@@ -117,12 +117,12 @@
 }
 
 // Put takes in an entry and spreads it. It returns at once.
-func (m *Mesh) Put(entry gossip.Entry) {
+func (m *Service) Put(entry gossip.Entry) {
 	m.do(func(now time.Time, n *node) { n.put(now, entry) })
 }
 
 // Get returns the newest entry of a key.
-func (m *Mesh) Get(table gossip.Table, key string) (entry gossip.Entry, found bool) {
+func (m *Service) Get(table gossip.TableID, key string) (entry gossip.Entry, found bool) {
 	actor.Ask(m.owner, func(n *node) bool {
 		entry, found = n.engine.Get(table, key)
 		return true
@@ -131,13 +131,13 @@
 }
 
 // All returns the entries of a table, in no order.
-func (m *Mesh) All(table gossip.Table) []gossip.Entry {
+func (m *Service) All(table gossip.TableID) []gossip.Entry {
 	return ask(m, func(_ time.Time, n *node) []gossip.Entry { return n.all(table) })
 }
 
 // Subscribe has the function called for every entry of the table: first for those known now, then for each that is
 // taken in, in this order. Calls come one at a time from a goroutine of the mesh and may use the mesh.
-func (m *Mesh) Subscribe(table gossip.Table, call func(gossip.Entry)) {
+func (m *Service) Subscribe(table gossip.TableID, call func(gossip.Entry)) {
 	m.do(func(_ time.Time, n *node) {
 		for _, entry := range n.all(table) {
 			m.delivery.add(call, entry)
@@ -147,37 +147,37 @@
 }
 
 // Members returns the live members, the own among them, by name.
-func (m *Mesh) Members() []state.Member {
-	return ask(m, func(_ time.Time, n *node) []state.Member { return n.members.Live() })
+func (m *Service) Members() []state.Member {
+	return ask(m, func(_ time.Time, n *node) []state.Member { return n.members.LiveMembers() })
 }
 
 // DownMembers returns the members that are known to be down, by name.
-func (m *Mesh) DownMembers() []state.Member {
-	return ask(m, func(_ time.Time, n *node) []state.Member { return n.members.AllDown() })
+func (m *Service) DownMembers() []state.Member {
+	return ask(m, func(_ time.Time, n *node) []state.Member { return n.members.DownMembers() })
 }
 
 // LeftMembers returns the members that have ended by plan of late, by name.
-func (m *Mesh) LeftMembers() []state.Member {
-	return ask(m, func(_ time.Time, n *node) []state.Member { return n.members.AllLeft() })
+func (m *Service) LeftMembers() []state.Member {
+	return ask(m, func(_ time.Time, n *node) []state.Member { return n.members.LeftMembers() })
 }
 
-// Down tells whether a member is known to be down.
-func (m *Mesh) Down(name string) bool {
-	return ask(m, func(_ time.Time, n *node) bool { return n.members.Down(name) })
+// IsDown tells whether a member is known to be down.
+func (m *Service) IsDown(name string) bool {
+	return ask(m, func(_ time.Time, n *node) bool { return n.members.IsDown(name) })
 }
 
-// LiveAt tells whether the member at an address is known to be live.
-func (m *Mesh) LiveAt(address string) bool {
+// IsLiveAt tells whether the member at an address is known to be live.
+func (m *Service) IsLiveAt(address string) bool {
 	return slices.ContainsFunc(m.Members(), func(member state.Member) bool { return member.Address == address })
 }
 
 // Self returns the own member as the others know it.
-func (m *Mesh) Self() state.Member {
+func (m *Service) Self() state.Member {
 	return ask(m, func(_ time.Time, n *node) state.Member { return n.members.Self() })
 }
 
 // SetState changes what the own member says of itself.
-func (m *Mesh) SetState(to state.MemberState) {
+func (m *Service) SetState(to state.MemberState) {
 	m.do(func(now time.Time, n *node) {
 		if n.members.Self().State != to {
 			n.updateSelf(now, func(member *state.Member) { member.State = to })
@@ -186,30 +186,30 @@
 }
 
 // SetSeeds replaces the seeds, given as control addresses.
-func (m *Mesh) SetSeeds(controls []string) {
+func (m *Service) SetSeeds(controls []string) {
 	addresses := seedAddresses(m.options.Settings, controls, m.options.Log)
 	m.do(func(now time.Time, n *node) { n.seeds.set(now, addresses) })
 }
 
-// Proxies counts the proxies of the whole system.
-func (m *Mesh) Proxies() subscription.Proxies {
+// CountProxies counts the proxies of the whole system.
+func (m *Service) CountProxies() subscription.Proxies {
 	return ask(m, func(now time.Time, n *node) subscription.Proxies {
 		return subscription.Proxies{
-			Live:   n.members.Count(state.RoleAgent, ""),
-			Most:   n.members.MostLive(now, state.RoleAgent, proxyWindow),
-			Region: n.members.Count(state.RoleAgent, n.members.Self().Region),
+			Live:   n.members.CountLive(state.RoleAgent, ""),
+			Most:   n.members.CountRecentlyLive(now, state.RoleAgent, proxyWindow),
+			Region: n.members.CountLive(state.RoleAgent, n.members.Self().Region),
 		}
 	})
 }
 
-// Holder returns who holds a duty among the live members of a scope. The own process takes the duty if it is its
+// AcquireRole returns who holds a duty among the live members of a scope. The own process takes the duty if it is its
 // turn: call this before each run of the duty, and do it only while Holding.Mine.
-func (m *Mesh) Holder(name string, scope singleton.Scope) singleton.Holding {
-	return ask(m, func(now time.Time, n *node) singleton.Holding { return n.holder(now, name, scope) })
+func (m *Service) AcquireRole(name string, scope singleton.Scope) singleton.Assignment {
+	return ask(m, func(now time.Time, n *node) singleton.Assignment { return n.holder(now, name, scope) })
 }
 
-// Claims returns the newest claim of every duty.
-func (m *Mesh) Claims() []singleton.Claim {
+// RoleClaims returns the newest claim of every duty.
+func (m *Service) RoleClaims() []singleton.Claim {
 	return ask(m, func(_ time.Time, n *node) []singleton.Claim { return n.duties.Claims() })
 }
 
@@ -217,7 +217,7 @@
 const leaveCopies = 3
 
 // Leave tells the others that the own member ends by plan. It returns when some have acknowledged or ctx ends.
-func (m *Mesh) Leave(ctx context.Context) error {
+func (m *Service) Leave(ctx context.Context) error {
 	left := ask(m, func(now time.Time, n *node) gossip.Entry {
 		n.updateSelf(now, func(member *state.Member) { member.State = state.MemberLeft })
 		entry, _ := n.engine.Get(gossip.TableMembers, n.members.Self().Name)
--- a/serving/member/mesh_test.go
+++ b/serving/member/mesh_test.go
@@ -26,7 +26,7 @@
 
 // process is a member with a server of its own on loopback.
 type process struct {
-	mesh   *Mesh
+	mesh   *Service
 	server *http.Server
 	client *rpc.Client
 }
@@ -62,7 +62,7 @@
 	return started
 }
 
-func processOf(mesh *Mesh, server *http.Server, client *rpc.Client) *process {
+func processOf(mesh *Service, server *http.Server, client *rpc.Client) *process {
 	return &process{mesh: mesh, server: server, client: client}
 }
 
@@ -74,7 +74,7 @@
 }
 
 // waitFor waits until the members' table of a mesh fulfils a condition. It looks at each change.
-func waitFor(t *testing.T, m *Mesh, table gossip.Table, condition func() bool) {
+func waitFor(t *testing.T, m *Service, table gossip.TableID, condition func() bool) {
 	t.Helper()
 	changed := make(chan struct{}, 1)
 	m.Subscribe(table, func(gossip.Entry) {
@@ -105,8 +105,8 @@
 	}
 	for _, process := range all {
 		waitFor(t, process.mesh, gossip.TableMembers, func() bool { return len(process.mesh.Members()) == 5 })
-		assert.Equal(t, 3, process.mesh.Proxies().Live)
-		assert.Equal(t, 3, process.mesh.Proxies().Most)
+		assert.Equal(t, 3, process.mesh.CountProxies().Live)
+		assert.Equal(t, 3, process.mesh.CountProxies().Most)
 	}
 
 	entry := gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey, Version: gossip.NewVersion(3, 0),
@@ -129,13 +129,13 @@
 	err := all[0].mesh.PutReplicated(ctx, entry, nil, 9)
 	assert.True(t, errcode.TooFewMembers.Is(err))
 
-	holding := singleton.Holding{}
+	holding := singleton.Assignment{}
 	for _, process := range all {
-		if found := process.mesh.Holder("repair", singleton.Scope{Role: state.RoleCore}); found.Mine {
+		if found := process.mesh.AcquireRole("repair", singleton.Scope{Role: state.RoleCore}); found.Local {
 			holding = found
 		}
 	}
-	assert.NotEmpty(t, holding.Name)
+	assert.NotEmpty(t, holding.Holder)
 
 	require.NoError(t, all[0].mesh.Leave(ctx))
 	waitFor(t, all[4].mesh, gossip.TableMembers, func() bool { return len(all[4].mesh.Members()) == 4 })
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -23,13 +23,13 @@
 }
 
 type heartbeatResponse struct {
-	Heard   membership.Heard `cbor:"1,keyasint"`
-	Differs []gossip.Table   `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
+	Heard   membership.HeartbeatAck `cbor:"1,keyasint"`
+	Differs []gossip.TableID        `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
 }
 
 // pushResponse acknowledges a message: the receiver has its entries now, or newer ones.
 type pushResponse struct {
-	Wanted []gossip.Heading `cbor:"1,keyasint,omitempty"` // of the entries offered
+	Wanted []gossip.Header `cbor:"1,keyasint,omitempty"` // of the entries offered
 }
 
 // compareRequest begins a repair.
@@ -40,23 +40,23 @@
 
 // compareResponse lists what the receiver has in the buckets that differ.
 type compareResponse struct {
-	Heard    membership.Heard       `cbor:"1,keyasint"`
-	Listings []gossip.BucketListing `cbor:"2,keyasint,omitempty"`
+	Heard    membership.HeartbeatAck `cbor:"1,keyasint"`
+	Listings []gossip.BucketContents `cbor:"2,keyasint,omitempty"`
 }
 
 // transferRequest ends a repair: entries that the receiver lacks, and names of those that the sender wants.
 type transferRequest struct {
-	From    string           `cbor:"1,keyasint"`
-	Entries []gossip.Entry   `cbor:"2,keyasint,omitempty"`
-	Wanted  []gossip.Heading `cbor:"3,keyasint,omitempty"`
+	From    string          `cbor:"1,keyasint"`
+	Entries []gossip.Entry  `cbor:"2,keyasint,omitempty"`
+	Wanted  []gossip.Header `cbor:"3,keyasint,omitempty"`
 	// Heard tells the receiver, which has just answered, if the sender took it for dead.
-	Heard membership.Heard `cbor:"4,keyasint"`
+	Heard membership.HeartbeatAck `cbor:"4,keyasint"`
 	// Expired names what has expired at the sender, but not at the receiver.
-	Expired []gossip.Heading `cbor:"5,keyasint,omitempty"`
+	Expired []gossip.Header `cbor:"5,keyasint,omitempty"`
 }
 
 // transferResponse carries what was wanted, and names what has expired at the receiver, but not at the sender.
 type transferResponse struct {
-	Entries []gossip.Entry   `cbor:"1,keyasint,omitempty"`
-	Expired []gossip.Heading `cbor:"2,keyasint,omitempty"`
+	Entries []gossip.Entry  `cbor:"1,keyasint,omitempty"`
+	Expired []gossip.Header `cbor:"2,keyasint,omitempty"`
 }
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -64,18 +64,18 @@
 		current:    now,
 		peersStale: true,
 		engine: gossip.New(gossip.Options{
-			Name:      options.self.Name,
-			Zone:      options.self.Zone,
-			Region:    options.self.Region,
-			Tombstone: isTombstone,
-			Random:    options.random,
+			Name:        options.self.Name,
+			Zone:        options.self.Zone,
+			Region:      options.self.Region,
+			IsTombstone: isTombstone,
+			Random:      options.random,
 		}),
 	}
 	n.schedule = schedule{beat: now, probe: now.Add(probeInterval), report: now}
 	n.members.OnChange(n.memberChanged)
 	n.engine.Subscribe(gossip.TableMembers, func(entry gossip.Entry) { n.mergeMember(entry) })
 	n.engine.Subscribe(gossip.TableSuspicions, func(entry gossip.Entry) { n.mergeSuspicion(entry) })
-	n.engine.Subscribe(gossip.TableDuties, n.mergeClaim)
+	n.engine.Subscribe(gossip.TableRoleClaims, n.mergeClaim)
 	n.step(now, func() { n.publishSelf(now) })
 	return n
 }
@@ -110,7 +110,7 @@
 		n.publishSelf(n.current)
 	}
 	for _, word := range n.suspicions {
-		n.publishSuspicion(n.members.Withdraw(word))
+		n.publishSuspicion(n.members.WithdrawSuspicion(word))
 	}
 	n.suspicions = nil
 	if n.peersStale {
@@ -123,13 +123,13 @@
 func (n *node) outliveEarlierLife(earlier state.Member) {
 	event.IncarnationRaised.Log(n.log).Uint64("earlier", earlier.Incarnation).Send()
 	raised := earlier.Incarnation + 1 + n.random.Uint64N(incarnationSpread)
-	n.members.Update(n.current, func(member *state.Member) { member.Incarnation = raised })
+	n.members.UpdateSelf(n.current, func(member *state.Member) { member.Incarnation = raised })
 	n.publishSelf(n.current)
 }
 
 // peers returns the live members but the own.
 func (n *node) peers() (peers []gossip.Peer) {
-	for _, member := range n.members.Live() {
+	for _, member := range n.members.LiveMembers() {
 		if member.Name != n.members.Self().Name {
 			peers = append(peers, peerOf(member))
 		}
@@ -143,7 +143,7 @@
 
 // put takes in an entry of the own process.
 func (n *node) put(now time.Time, entry gossip.Entry) (taken bool) {
-	n.step(now, func() { taken = n.engine.Put(now, entry) })
+	n.step(now, func() { taken = n.engine.PutLocal(now, entry) })
 	return taken
 }
 
@@ -154,7 +154,7 @@
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Send()
 		return
 	}
-	n.engine.Put(n.current, entry)
+	n.engine.PutLocal(n.current, entry)
 }
 
 // publishSelf spreads the own member's newest word.
@@ -164,13 +164,13 @@
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Send()
 		return
 	}
-	n.engine.Put(now, entry)
+	n.engine.PutLocal(now, entry)
 }
 
 // updateSelf changes the own member's word and spreads it.
 func (n *node) updateSelf(now time.Time, change func(*state.Member)) {
 	n.step(now, func() {
-		n.members.Update(now, change)
+		n.members.UpdateSelf(now, change)
 		n.publishSelf(now)
 	})
 }
@@ -184,12 +184,12 @@
 	}
 	self := n.members.Self()
 	if member.Name == self.Name {
-		if membership.Newer(member, self) {
+		if membership.IsNewer(member, self) {
 			n.earlierLife = &member
 		}
 		return
 	}
-	n.members.Merge(n.current, member)
+	n.members.MergeMember(n.current, member)
 }
 
 // mergeSuspicion takes in a watcher's entry.
@@ -199,7 +199,7 @@
 		event.SpreadEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
 	}
-	if n.members.IsOfEarlierLife(word) {
+	if n.members.IsFromEarlierIncarnation(word) {
 		n.suspicions = append(n.suspicions, word)
 		return
 	}
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -153,7 +153,7 @@
 func TestLongCutComesBack(t *testing.T) {
 	s := started(t, 3, 10, threeZones)
 	s.blocked = func(from, to *simNode) bool { return from.member.Region != to.member.Region }
-	s.run(membership.ForgetSpan + gossip.TombstoneSpan + 10*time.Second)
+	s.run(membership.RetentionPeriod + gossip.TombstoneRetention + 10*time.Second)
 	_, known := s.inZone("a")[0].node.members.Member(s.inZone("c")[0].member.Name)
 	assert.False(t, known, "a member that is long down is forgotten")
 	s.blocked = func(_, _ *simNode) bool { return false }
@@ -234,7 +234,7 @@
 		s.run(50 * time.Millisecond)
 		for _, other := range s.nodes {
 			if other != n {
-				assert.False(t, other.node.members.Down(n.member.Name))
+				assert.False(t, other.node.members.IsDown(n.member.Name))
 			}
 		}
 	}
@@ -248,9 +248,9 @@
 	s.run(time.Second)
 	s.kill(n)
 	assert.True(t, s.settled())
-	assert.Equal(t, 7, s.nodes[0].node.members.MostLive(s.now, state.RoleAgent, time.Minute))
+	assert.Equal(t, 7, s.nodes[0].node.members.CountRecentlyLive(s.now, state.RoleAgent, time.Minute))
 	s.run(2 * time.Minute)
-	assert.Equal(t, 6, s.nodes[0].node.members.MostLive(s.now, state.RoleAgent, time.Minute))
+	assert.Equal(t, 6, s.nodes[0].node.members.CountRecentlyLive(s.now, state.RoleAgent, time.Minute))
 	_, known := s.nodes[0].node.members.Member(n.member.Name)
 	assert.False(t, known)
 	for _, other := range s.runningNodes() {
@@ -286,7 +286,7 @@
 	left.node.updateSelf(s.now, func(member *state.Member) { member.State = state.MemberLeft })
 	s.run(time.Second)
 	s.kill(left)
-	s.run(gossip.TombstoneSpan - 10*time.Second)
+	s.run(gossip.TombstoneRetention - 10*time.Second)
 	s.start(late)
 	s.run(13 * time.Second)
 	for _, n := range s.runningNodes() {
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -147,7 +147,7 @@
 		if !holder.running || p.now.Sub(p.nodeTrouble[holder]) < calmSpan {
 			continue
 		}
-		for _, member := range holder.node.members.AllDown() {
+		for _, member := range holder.node.members.DownMembers() {
 			x := p.byName(member.Name)
 			hearing, watchers := 0, holder.node.members.Watchers(member.Name)
 			for _, watcher := range watchers {
@@ -203,7 +203,7 @@
 		p.runUntil(5*time.Second, "all see all", p.settled)
 		p.runUntil(2*time.Second, "the newest record is everywhere", p.allKnow(p.revision))
 		p.runUntil(3*time.Second, "all know the same", p.equal)
-		p.run(2 * membership.Patience)
+		p.run(2 * membership.SuspicionTimeout)
 		require.True(draw, p.settled(), "calm lasts")
 	})
 }
--- a/serving/member/replicate.go
+++ b/serving/member/replicate.go
@@ -18,7 +18,7 @@
 // any are given, have acknowledged that they have it; core members are asked first. It fails with result.TooFewMembers where not so many are live, and with
 // result.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
 // any case.
-func (m *Mesh) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
+func (m *Service) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
 	targets := ask(m, func(now time.Time, n *node) []gossip.Peer {
 		n.put(now, entry)
 		return n.replicaTargets(addresses)
@@ -39,7 +39,7 @@
 // others, those of the own region first.
 func (n *node) replicaTargets(addresses []string) []gossip.Peer {
 	self := n.members.Self()
-	live := slices.Clone(n.members.Live())
+	live := slices.Clone(n.members.LiveMembers())
 	n.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	rank := func(member state.Member) int {
 		value := 0
@@ -56,7 +56,7 @@
 	for _, member := range live {
 		switch peer := peerOf(member); {
 		case member.Name == self.Name, len(addresses) > 0 && !slices.Contains(addresses, member.Address):
-		case n.engine.Avoids(n.current, member.Name):
+		case n.engine.IsAvoided(n.current, member.Name):
 			avoided = append(avoided, peer)
 		default:
 			targets = append(targets, peer)
@@ -67,7 +67,7 @@
 
 // replication is one entry on its way to a number of members.
 type replication struct {
-	mesh    *Mesh
+	mesh    *Service
 	entry   gossip.Entry
 	targets []gossip.Peer // not asked yet
 	answers chan error
--- a/serving/member/replicate_test.go
+++ b/serving/member/replicate_test.go
@@ -31,7 +31,7 @@
 )
 
 // fakeMembers are members that only take pushes.
-type fakeMembers struct{ mesh *Mesh }
+type fakeMembers struct{ mesh *Service }
 
 // newFakeMembers makes a mesh that knows one core member for each fault. Their ranks are drawn.
 func newFakeMembers(t *testing.T, faults ...fault) *fakeMembers {
@@ -48,7 +48,7 @@
 		t.Cleanup(server.Close)
 		member := state.Member{Name: fmt.Sprintf("fake%d", i), Incarnation: 1, Role: state.RoleCore, Zone: "z",
 			Region: "r", Address: strings.TrimPrefix(server.URL, "http://")}
-		ask(mesh, func(now time.Time, n *node) bool { return n.members.Merge(now, member) })
+		ask(mesh, func(now time.Time, n *node) bool { return n.members.MergeMember(now, member) })
 	}
 	t.Cleanup(func() {
 		mesh.Close()
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -125,12 +125,12 @@
 	life := n.life
 	s.at(s.now.Add(lateAfter), func() { s.whenAwake(n, life, retry) })
 	failed := func() {
-		n.node.engine.Unresponsive(s.now, envelope.To.Name)
+		n.node.engine.MarkUnresponsive(s.now, envelope.To.Name)
 		retry()
 	}
 	succeeded := func(pushResponse) {
 		done = true
-		n.node.engine.Responsive(envelope.To.Name)
+		n.node.engine.MarkResponsive(envelope.To.Name)
 	}
 	answered := func(response pushResponse) {
 		if len(response.Wanted) == 0 {
@@ -138,7 +138,7 @@
 			return
 		}
 		message := gossip.Message{From: n.member.Name, Relay: envelope.Message.Relay}
-		message.Entries = n.node.engine.Collect(response.Wanted)
+		message.Entries = n.node.engine.CollectEntries(response.Wanted)
 		simCall(s, n, envelope.To.Address, callTimeout, message, servePush, succeeded, failed)
 	}
 	simCall(s, n, envelope.To.Address, callTimeout, envelope.Message, servePush, answered, failed)
@@ -153,7 +153,7 @@
 	failed := func() {
 		ended()
 		if repair.to.Name != "" {
-			n.node.engine.Unresponsive(s.now, repair.to.Name)
+			n.node.engine.MarkUnresponsive(s.now, repair.to.Name)
 		}
 	}
 	answered := func(response compareResponse) {
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -239,7 +239,7 @@
 func (s *simulation) settled() bool {
 	running := s.runningNodes()
 	for _, n := range running {
-		live := n.node.members.Live()
+		live := n.node.members.LiveMembers()
 		if len(live) != len(running) {
 			return false
 		}
@@ -254,7 +254,7 @@
 
 // sees tells whether a node takes another for live.
 func sees(n, other *simNode) bool {
-	return slices.ContainsFunc(n.node.members.Live(), func(member state.Member) bool {
+	return slices.ContainsFunc(n.node.members.LiveMembers(), func(member state.Member) bool {
 		return member.Name == other.member.Name
 	})
 }
@@ -274,6 +274,6 @@
 	s := newSimulation(t, seed, count, places)
 	s.startAll()
 	s.runUntil(5*time.Second, "the members meet", s.settled)
-	s.run(3 * membership.Patience)
+	s.run(3 * membership.SuspicionTimeout)
 	return s
 }
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -50,7 +50,7 @@
 		n.planDoubt(&todo)
 		n.planSeed(&todo)
 		n.settle()
-		todo.pushes = n.engine.Outgoing(now)
+		todo.pushes = n.engine.TakeOutgoing(now)
 	})
 	n.report()
 	todo.next = n.nextTick()
@@ -71,7 +71,7 @@
 
 // routine does what each heartbeat interval brings.
 func (n *node) routine(todo *actions) {
-	n.members.Late(n.current.Sub(n.schedule.beat))
+	n.members.RecordDelay(n.current.Sub(n.schedule.beat))
 	n.schedule.beat = n.current.Add(membership.HeartbeatInterval)
 	n.schedule.beatCount++
 	if n.members.Self().State == state.MemberLeft {
@@ -85,7 +85,7 @@
 	if n.members.Self().State == state.MemberLeft {
 		return
 	}
-	if appointment, due := n.engine.Repair(n.current); due {
+	if appointment, due := n.engine.TakeDueRepair(n.current); due {
 		call := repairCall{to: appointment.Peer, request: n.compareRequest(appointment.Tables)}
 		todo.repairs = append(todo.repairs, call)
 	}
@@ -95,7 +95,7 @@
 func (n *node) beats() (calls []beatCall) {
 	self := n.members.Self()
 	request := heartbeatRequest{Beat: n.ownBeat(), Summary: n.engine.Summary()}
-	remote := n.schedule.beatCount%membership.RemoteFactor == 0 || n.schedule.remoteAgain
+	remote := n.schedule.beatCount%membership.RemoteIntervalFactor == 0 || n.schedule.remoteAgain
 	n.schedule.remoteAgain = false
 	for _, watcher := range n.members.Watchers(self.Name) {
 		if watcher.Region == self.Region || remote {
@@ -112,7 +112,7 @@
 }
 
 // compareRequest asks for a comparison of some tables, or of all where none is named.
-func (n *node) compareRequest(tables []gossip.Table) compareRequest {
+func (n *node) compareRequest(tables []gossip.TableID) compareRequest {
 	return compareRequest{Beat: n.ownBeat(), Digest: n.engine.Digest(tables)}
 }
 
@@ -122,7 +122,7 @@
 		return
 	}
 	n.schedule.probe = n.current.Add(probeInterval)
-	down := n.members.AllDown()
+	down := n.members.DownMembers()
 	if len(down) == 0 || n.members.Self().State == state.MemberLeft {
 		return
 	}
@@ -136,7 +136,7 @@
 		return
 	}
 	n.schedule.doubt = n.current.Add(doubtInterval)
-	doubted := n.members.Doubted()
+	doubted := n.members.SuspectZoneMembers()
 	n.random.Shuffle(len(doubted), func(i, j int) { doubted[i], doubted[j] = doubted[j], doubted[i] })
 	tried := map[string]bool{}
 	for _, member := range doubted {
@@ -185,7 +185,7 @@
 	if n.current.Before(n.schedule.report) {
 		return
 	}
-	live := len(n.members.Live())
+	live := len(n.members.LiveMembers())
 	if live == n.schedule.reported {
 		return
 	}
@@ -200,16 +200,16 @@
 // nextTick is the earliest time at which something is due.
 func (n *node) nextTick() time.Time {
 	next := n.current.Add(idleInterval)
-	for _, due := range []time.Time{n.schedule.beat, n.engine.NextSend(), n.engine.NextRepair(),
-		n.members.NextExpiry()} {
+	for _, due := range []time.Time{n.schedule.beat, n.engine.NextSendTime(), n.engine.NextRepairTime(),
+		n.members.NextTimeout()} {
 		if !due.IsZero() && due.Before(next) {
 			next = due
 		}
 	}
-	if n.members.InDoubt() && n.members.Self().State != state.MemberLeft && n.schedule.doubt.Before(next) {
+	if n.members.HasSuspectZones() && n.members.Self().State != state.MemberLeft && n.schedule.doubt.Before(next) {
 		next = n.schedule.doubt
 	}
-	joining := len(n.members.Live()) == 1 || n.current.Sub(n.seeds.since) < joinSpan
+	joining := len(n.members.LiveMembers()) == 1 || n.current.Sub(n.seeds.since) < joinSpan
 	if len(n.seeds.addresses) > 0 && n.seeds.due.Before(next) && joining {
 		next = n.seeds.due
 	}
--- a/serving/membership/count.go
+++ b/serving/membership/count.go
@@ -6,8 +6,8 @@
 	"rowanlink/serving/state"
 )
 
-// Count returns how many members of a role are live, in a region or, where it is empty, in all.
-func (t *Table) Count(role state.Role, region string) (count int) {
+// CountLive returns how many members of a role are live, in a region or, where it is empty, in all.
+func (t *Table) CountLive(role state.Role, region string) (count int) {
 	for _, found := range t.members {
 		inRegion := region == "" || found.member.Region == region
 		if found.live() && found.member.Role == role && inRegion {
@@ -17,8 +17,8 @@
 	return count
 }
 
-// MostLive counts the members of a role that were live at some moment of the window that ends now.
-func (t *Table) MostLive(now time.Time, role state.Role, window time.Duration) (count int) {
+// CountRecentlyLive counts the members of a role that were live at some moment of the window that ends now.
+func (t *Table) CountRecentlyLive(now time.Time, role state.Role, window time.Duration) (count int) {
 	for _, found := range t.members {
 		if found.member.Role == role && (found.live() || now.Sub(found.lastLive) < window) {
 			count++
--- a/serving/membership/encoding_test.go
+++ b/serving/membership/encoding_test.go
@@ -19,7 +19,7 @@
 	forms := wireschema.Describe(wireschema.CBOR,
 		Suspicion{},
 		Heartbeat{},
-		Heard{},
+		HeartbeatAck{},
 	)
 	assert.Equal(t, string(golden), forms)
 }
--- a/serving/membership/judge_zones.go
+++ b/serving/membership/judge_zones.go
@@ -33,7 +33,7 @@
 		t.unjudged = true // looked at again
 		return
 	}
-	for _, member := range slices.Clone(t.Live()) {
+	for _, member := range slices.Clone(t.LiveMembers()) {
 		if unheard[member.Zone] {
 			t.setDown(now, t.members[member.Name])
 		}
@@ -72,16 +72,16 @@
 	}
 }
 
-// InDoubt tells whether some zone is in doubt.
-func (t *Table) InDoubt() bool { return len(t.doubts) > 0 }
+// HasSuspectZones tells whether some zone is in doubt.
+func (t *Table) HasSuspectZones() bool { return len(t.doubts) > 0 }
 
-// Doubted returns the live members of zones that are in doubt: some are to be called, so that an answer may clear the
+// SuspectZoneMembers returns the live members of zones that are in doubt: some are to be called, so that an answer may clear the
 // zone.
-func (t *Table) Doubted() (members []state.Member) {
+func (t *Table) SuspectZoneMembers() (members []state.Member) {
 	if len(t.doubts) == 0 {
 		return nil
 	}
-	for _, member := range t.Live() {
+	for _, member := range t.LiveMembers() {
 		if _, doubted := t.doubts[member.Zone]; doubted {
 			members = append(members, member)
 		}
@@ -89,8 +89,8 @@
 	return members
 }
 
-// Contacted notes that a call of a member, or its answer to one, has come.
-func (t *Table) Contacted(now time.Time, name string) {
+// RecordContact notes that a call of a member, or its answer to one, has come.
+func (t *Table) RecordContact(now time.Time, name string) {
 	if found, ok := t.members[name]; ok {
 		t.contacts[found.member.Zone] = now
 	}
@@ -99,7 +99,7 @@
 // otherZones returns the zones with live members, but the own.
 func (t *Table) otherZones() map[string]bool {
 	zones := map[string]bool{}
-	for _, member := range t.Live() {
+	for _, member := range t.LiveMembers() {
 		zones[member.Zone] = true
 	}
 	delete(zones, t.Self().Zone)
@@ -110,7 +110,7 @@
 // watchers outside is suspected by their majority.
 func (t *Table) zoneUnheard(zone string, unreachable map[string]bool, suspected map[string][]string) bool {
 	silent := map[string]bool{} // zones outside that have a watcher here who hears nothing
-	for _, member := range t.Live() {
+	for _, member := range t.LiveMembers() {
 		if member.Zone != zone {
 			continue
 		}
@@ -129,7 +129,7 @@
 			return false
 		}
 	}
-	for _, member := range t.Live() {
+	for _, member := range t.LiveMembers() {
 		if !unreachable[member.Zone] && !silent[member.Zone] {
 			return false
 		}
--- a/serving/membership/late_test.go
+++ b/serving/membership/late_test.go
@@ -27,11 +27,11 @@
 		t.Run(point.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			table := New(now, Options{Self: state.Member{Name: "a", Incarnation: 1}})
-			table.Merge(now, state.Member{Name: "b", Incarnation: 1})
+			table.MergeMember(now, state.Member{Name: "b", Incarnation: 1})
 			table.Tick(now)
-			table.Late(point.late)
+			table.RecordDelay(point.late)
 			for range point.ticks {
-				table.Late(0)
+				table.RecordDelay(0)
 			}
 			suspectedAfter := time.Duration(0)
 			for suspectedAfter < time.Minute {
@@ -40,7 +40,7 @@
 					break
 				}
 			}
-			assert.InDelta(t, Patience+point.added, suspectedAfter, float64(standstill/4))
+			assert.InDelta(t, SuspicionTimeout+point.added, suspectedAfter, float64(standstill/4))
 		})
 	}
 }
@@ -61,15 +61,15 @@
 		t.Run(point.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			table := New(now, Options{Self: state.Member{Name: "a", Incarnation: 1}})
-			table.Merge(now, state.Member{Name: "b", Incarnation: 1})
+			table.MergeMember(now, state.Member{Name: "b", Incarnation: 1})
 			table.Tick(now)
 			now = now.Add(HeartbeatInterval + point.late)
-			table.Hear(now, Heartbeat{Name: "b", Incarnation: 1})
+			table.ReceiveHeartbeat(now, Heartbeat{Name: "b", Incarnation: 1})
 			for range point.regular {
 				now = now.Add(HeartbeatInterval)
-				table.Hear(now, Heartbeat{Name: "b", Incarnation: 1})
+				table.ReceiveHeartbeat(now, Heartbeat{Name: "b", Incarnation: 1})
 			}
-			assert.InDelta(t, Patience+point.added, table.NextExpiry().Sub(now), float64(lateLeast))
+			assert.InDelta(t, SuspicionTimeout+point.added, table.NextTimeout().Sub(now), float64(lateLeast))
 		})
 	}
 }
--- a/serving/membership/left_test.go
+++ b/serving/membership/left_test.go
@@ -14,20 +14,20 @@
 	now := time.Unix(1000, 0)
 	table := New(now, Options{Self: state.Member{Name: "self", Incarnation: 1, State: state.MemberReady}})
 	other := state.Member{Name: "other", Incarnation: 1, Sequence: 1, State: state.MemberReady}
-	table.Merge(now, other)
-	assert.Empty(t, table.AllLeft())
+	table.MergeMember(now, other)
+	assert.Empty(t, table.LeftMembers())
 	other.Sequence, other.State = 2, state.MemberLeft
-	table.Merge(now, other)
-	assert.Equal(t, []state.Member{other}, table.AllLeft())
-	assert.Empty(t, table.AllDown())
+	table.MergeMember(now, other)
+	assert.Equal(t, []state.Member{other}, table.LeftMembers())
+	assert.Empty(t, table.DownMembers())
 
 	back := state.Member{Name: "other", Incarnation: 2, Sequence: 1, State: state.MemberReady}
-	table.Merge(now, back)
-	assert.Empty(t, table.AllLeft())
+	table.MergeMember(now, back)
+	assert.Empty(t, table.LeftMembers())
 	back.Sequence, back.State = 2, state.MemberLeft
-	table.Merge(now, back)
-	for at := now; at.Before(now.Add(ForgetSpan + time.Second)); at = at.Add(HeartbeatInterval) {
+	table.MergeMember(now, back)
+	for at := now; at.Before(now.Add(RetentionPeriod + time.Second)); at = at.Add(HeartbeatInterval) {
 		table.Tick(at)
 	}
-	assert.Empty(t, table.AllLeft(), "forgotten")
+	assert.Empty(t, table.LeftMembers(), "forgotten")
 }
--- a/serving/membership/ring_test.go
+++ b/serving/membership/ring_test.go
@@ -23,7 +23,7 @@
 func tableOf(members ...state.Member) *Table {
 	t := New(begun, Options{Self: members[0]})
 	for _, member := range members[1:] {
-		t.Merge(begun, member)
+		t.MergeMember(begun, member)
 	}
 	return t
 }
@@ -53,7 +53,7 @@
 	} {
 		t.Run(fmt.Sprint(point.zones), func(t *testing.T) {
 			table := tableOf(deal(40, point.zones...)...)
-			for _, member := range table.Live() {
+			for _, member := range table.LiveMembers() {
 				watchers := table.Watchers(member.Name)
 				require.Len(t, watchers, WatcherCount)
 				perZone := map[string]int{}
@@ -110,6 +110,6 @@
 	assert.Equal(t, before, table.Watchers("m7"), "until all that died have been judged")
 	table.Tick(begun.Add(ringHold))
 	for _, watcher := range table.Watchers("m7") {
-		assert.False(t, table.Down(watcher.Name))
+		assert.False(t, table.IsDown(watcher.Name))
 	}
 }
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -15,14 +15,14 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats to a watcher of the own region.
 	HeartbeatInterval = 400 * time.Millisecond
-	// RemoteFactor is how many times rarer heartbeats to a watcher of another region are.
-	RemoteFactor = 3
-	// Patience is how long a watcher waits for a heartbeat before it suspects the member.
-	Patience = 1200 * time.Millisecond
-	// RemotePatience is Patience for a member of another region.
-	RemotePatience = 2200 * time.Millisecond
-	// ForgetSpan is how long a member stays known after it went down or left.
-	ForgetSpan = 60 * time.Second
+	// RemoteIntervalFactor is how many times rarer heartbeats to a watcher of another region are.
+	RemoteIntervalFactor = 3
+	// SuspicionTimeout is how long a watcher waits for a heartbeat before it suspects the member.
+	SuspicionTimeout = 1200 * time.Millisecond
+	// RemoteSuspicionTimeout is Patience for a member of another region.
+	RemoteSuspicionTimeout = 2200 * time.Millisecond
+	// RetentionPeriod is how long a member stays known after it went down or left.
+	RetentionPeriod = 60 * time.Second
 	// ringHold is how long a member that went down keeps its place on the ring. When many go at once the watchers of
 	// the others so stay who they are until all of them have been judged.
 	ringHold = 5 * time.Second
@@ -34,7 +34,7 @@
 	lateDecay        = 8
 	// lateHeartbeats is how many times the lateness of a member's heartbeats, of lateHeartbeatMost at most, is added.
 	lateHeartbeats    = 2
-	lateHeartbeatMost = Patience
+	lateHeartbeatMost = SuspicionTimeout
 	// standstill is a pause between two ticks that says that this process was frozen or late itself.
 	standstill = HeartbeatInterval + 300*time.Millisecond
 	// refuteInterval is the least time between two refutations.
@@ -107,7 +107,7 @@
 		doubts:     map[string]time.Time{},
 		lastTick:   now,
 	}
-	t.Merge(now, options.Self)
+	t.MergeMember(now, options.Self)
 	return t
 }
 
@@ -117,8 +117,8 @@
 // Self returns the own member.
 func (t *Table) Self() state.Member { return t.members[t.self].member }
 
-// Newer tells whether a member's word on itself is newer than another.
-func Newer(one, other state.Member) bool {
+// IsNewer tells whether a member's word on itself is newer than another.
+func IsNewer(one, other state.Member) bool {
 	if one.Incarnation != other.Incarnation {
 		return one.Incarnation > other.Incarnation
 	}
@@ -128,11 +128,11 @@
 // hasLeft tells whether a member has ended by plan, which is final for its incarnation.
 func hasLeft(member state.Member) bool { return member.State == state.MemberLeft }
 
-// Merge takes in a member's word on itself. A newer word ends every suspicion of an older one. It returns false
+// MergeMember takes in a member's word on itself. A newer word ends every suspicion of an older one. It returns false
 // where the word is no news.
-func (t *Table) Merge(now time.Time, member state.Member) bool {
+func (t *Table) MergeMember(now time.Time, member state.Member) bool {
 	found, ok := t.members[member.Name]
-	if ok && (!Newer(member, found.member) || hasLeft(found.member) && member.Incarnation == found.member.Incarnation) {
+	if ok && (!IsNewer(member, found.member) || hasLeft(found.member) && member.Incarnation == found.member.Incarnation) {
 		return false
 	}
 	if !ok {
@@ -158,20 +158,20 @@
 	return true
 }
 
-// Update changes the own member's word on itself and returns the new one.
-func (t *Table) Update(now time.Time, change func(*state.Member)) state.Member {
+// UpdateSelf changes the own member's word on itself and returns the new one.
+func (t *Table) UpdateSelf(now time.Time, change func(*state.Member)) state.Member {
 	member := t.Self()
 	if hasLeft(member) {
 		return member
 	}
 	change(&member)
 	member.Sequence++
-	t.Merge(now, member)
+	t.MergeMember(now, member)
 	return member
 }
 
-// Live returns all live members, by name. The caller must not change the slice.
-func (t *Table) Live() []state.Member {
+// LiveMembers returns all live members, by name. The caller must not change the slice.
+func (t *Table) LiveMembers() []state.Member {
 	if t.sorted != nil {
 		return t.sorted
 	}
@@ -185,13 +185,13 @@
 	return t.sorted
 }
 
-// AllDown returns the members that are known to be down, by name.
-func (t *Table) AllDown() []state.Member {
+// DownMembers returns the members that are known to be down, by name.
+func (t *Table) DownMembers() []state.Member {
 	return t.all(func(found *known) bool { return !found.downSince.IsZero() && !hasLeft(found.member) })
 }
 
-// AllLeft returns the members that have ended by plan and are not forgotten yet, by name.
-func (t *Table) AllLeft() []state.Member {
+// LeftMembers returns the members that have ended by plan and are not forgotten yet, by name.
+func (t *Table) LeftMembers() []state.Member {
 	return t.all(func(found *known) bool { return hasLeft(found.member) })
 }
 
@@ -216,8 +216,8 @@
 	return found.member, true
 }
 
-// Down tells whether a member is known and down.
-func (t *Table) Down(name string) bool {
+// IsDown tells whether a member is known and down.
+func (t *Table) IsDown(name string) bool {
 	since, ok := t.DownSince(name)
 	return ok && !since.IsZero()
 }
@@ -239,8 +239,8 @@
 	t.tell(Change{Member: found.member, Down: true})
 }
 
-// ForgetGone drops a member that is down or has left, before its time. It returns false where it is live.
-func (t *Table) ForgetGone(name string) bool {
+// RemoveTerminated drops a member that is down or has left, before its time. It returns false where it is live.
+func (t *Table) RemoveTerminated(name string) bool {
 	found, ok := t.members[name]
 	if !ok || found.live() || name == t.self {
 		return false
@@ -259,14 +259,14 @@
 // forget drops the members that went long ago and returns their names.
 func (t *Table) forget(now time.Time) (names []string) {
 	for name, found := range t.members {
-		if name == t.self || found.live() || now.Sub(found.lastLive) < ForgetSpan {
+		if name == t.self || found.live() || now.Sub(found.lastLive) < RetentionPeriod {
 			continue
 		}
 		t.drop(name, found)
 		names = append(names, name)
 	}
 	for name, gone := range t.departed {
-		if now.Sub(gone.lastLive) >= 2*ForgetSpan {
+		if now.Sub(gone.lastLive) >= 2*RetentionPeriod {
 			delete(t.departed, name)
 		}
 	}
--- a/serving/membership/tick.go
+++ b/serving/membership/tick.go
@@ -33,8 +33,8 @@
 	return words, forgotten
 }
 
-// NextExpiry is when the patience with a watched member ends if nothing is heard of it; zero where none is watched.
-func (t *Table) NextExpiry() (next time.Time) {
+// NextTimeout is when the patience with a watched member ends if nothing is heard of it; zero where none is watched.
+func (t *Table) NextTimeout() (next time.Time) {
 	for name, seen := range t.watched {
 		found, ok := t.members[name]
 		if !ok || seen.suspected || !found.live() {
@@ -82,7 +82,7 @@
 		Sequence:           member.Sequence,
 		Watcher:            t.self,
 		WatcherIncarnation: t.Self().Incarnation,
-		Count:              t.wordCount,
+		Revision:           t.wordCount,
 		Withdrawn:          withdrawn,
 	}
 	t.MergeSuspicion(seen.word)
@@ -92,9 +92,9 @@
 // patience is how long the own process waits for a member's heartbeat. It is longer while this process itself is late
 // or the member's heartbeats are.
 func (t *Table) patience(member state.Member, seen *watch) time.Duration {
-	patience := Patience
+	patience := SuspicionTimeout
 	if member.Region != t.Self().Region {
-		patience = RemotePatience
+		patience = RemoteSuspicionTimeout
 	}
 	return patience + min(latePatience*t.late+lateHeartbeats*seen.late, latePatienceMost)
 }
@@ -102,14 +102,14 @@
 // intervalOf is the time between two heartbeats of a member to the own process.
 func (t *Table) intervalOf(member state.Member) time.Duration {
 	if member.Region != t.Self().Region {
-		return RemoteFactor * HeartbeatInterval
+		return RemoteIntervalFactor * HeartbeatInterval
 	}
 	return HeartbeatInterval
 }
 
-// Late notes by how much the own process was late with something that it had planned. What is heard of others comes
+// RecordDelay notes by how much the own process was late with something that it had planned. What is heard of others comes
 // late too then, and to suspect them would load a system that is short of processor time already.
-func (t *Table) Late(late time.Duration) {
+func (t *Table) RecordDelay(late time.Duration) {
 	t.late = decayed(t.late, min(late, latePatienceMost/latePatience))
 }
 
--- a/serving/membership/watch.go
+++ b/serving/membership/watch.go
@@ -15,7 +15,7 @@
 	Sequence           uint64 `cbor:"3,keyasint"` // of the member
 	Watcher            string `cbor:"4,keyasint"`
 	WatcherIncarnation uint64 `cbor:"5,keyasint"`
-	Count              uint64 `cbor:"6,keyasint"` // rises with each word of this watcher on this member
+	Revision           uint64 `cbor:"6,keyasint"` // rises with each word of this watcher on this member
 	Withdrawn          bool   `cbor:"7,keyasint,omitempty"`
 }
 
@@ -57,22 +57,22 @@
 	Sequence    uint64 `cbor:"3,keyasint"`
 }
 
-// Heard is the answer to a heartbeat.
-type Heard struct {
+// HeartbeatAck is the answer to a heartbeat.
+type HeartbeatAck struct {
 	// Unknown: the watcher does not know this incarnation. The member is to send its own entry.
 	Unknown bool `cbor:"1,keyasint,omitempty"`
 	// Above: the member was taken for dead under a word up to this Sequence. It is to speak with a higher one.
-	Above uint64 `cbor:"2,keyasint,omitempty"`
+	RefuteAbove uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Hear takes in a heartbeat.
-func (t *Table) Hear(now time.Time, beat Heartbeat) Heard {
+// ReceiveHeartbeat takes in a heartbeat.
+func (t *Table) ReceiveHeartbeat(now time.Time, beat Heartbeat) HeartbeatAck {
 	found, ok := t.members[beat.Name]
 	if !ok || found.member.Incarnation < beat.Incarnation || hasLeft(found.member) {
-		return Heard{Unknown: true}
+		return HeartbeatAck{Unknown: true}
 	}
 	if found.member.Incarnation > beat.Incarnation {
-		return Heard{} // a process that has been replaced
+		return HeartbeatAck{} // a process that has been replaced
 	}
 	seen, watching := t.watched[beat.Name]
 	if watching {
@@ -80,18 +80,18 @@
 	}
 	suspected := watching && seen.suspected || !found.downSince.IsZero()
 	if suspected && beat.Sequence <= found.member.Sequence {
-		return Heard{Above: max(found.member.Sequence, 1)}
+		return HeartbeatAck{RefuteAbove: max(found.member.Sequence, 1)}
 	}
-	return Heard{Unknown: beat.Sequence > found.member.Sequence}
+	return HeartbeatAck{Unknown: beat.Sequence > found.member.Sequence}
 }
 
-// Answered returns what a member that has answered a call is to be told: that it was taken for dead, if it was.
-func (t *Table) Answered(name string) Heard {
+// DownNotice returns what a member that has answered a call is to be told: that it was taken for dead, if it was.
+func (t *Table) DownNotice(name string) HeartbeatAck {
 	found, ok := t.members[name]
 	if !ok || found.downSince.IsZero() {
-		return Heard{}
+		return HeartbeatAck{}
 	}
-	return Heard{Above: max(found.member.Sequence, 1)}
+	return HeartbeatAck{RefuteAbove: max(found.member.Sequence, 1)}
 }
 
 // Refute raises the own word above a sequence under which others took the own process for dead. It returns false
@@ -101,7 +101,7 @@
 		return state.Member{}, false
 	}
 	t.refutedAt = now
-	return t.Update(now, func(member *state.Member) { member.Sequence = max(member.Sequence, above) }), true
+	return t.UpdateSelf(now, func(member *state.Member) { member.Sequence = max(member.Sequence, above) }), true
 }
 
 // MergeSuspicion takes in a watcher's word. A word on the own member is kept like any other: whoever hears the own
@@ -124,7 +124,7 @@
 	if one.WatcherIncarnation != other.WatcherIncarnation {
 		return one.WatcherIncarnation > other.WatcherIncarnation
 	}
-	return one.Count > other.Count
+	return one.Revision > other.Revision
 }
 
 // ForgetSuspicion drops the word of a watcher that is no longer known.
@@ -132,15 +132,15 @@
 	delete(t.suspicions, suspicionID{member: word.Member, watcher: word.Watcher})
 }
 
-// IsOfEarlierLife tells whether a suspicion was spoken by an earlier life of the own process.
-func (t *Table) IsOfEarlierLife(word Suspicion) bool {
+// IsFromEarlierIncarnation tells whether a suspicion was spoken by an earlier life of the own process.
+func (t *Table) IsFromEarlierIncarnation(word Suspicion) bool {
 	return word.Watcher == t.self && !word.Withdrawn && word.WatcherIncarnation < t.Self().Incarnation
 }
 
-// Withdraw makes the own withdrawal of a suspicion.
-func (t *Table) Withdraw(word Suspicion) Suspicion {
+// WithdrawSuspicion makes the own withdrawal of a suspicion.
+func (t *Table) WithdrawSuspicion(word Suspicion) Suspicion {
 	t.wordCount++
-	word.WatcherIncarnation, word.Count, word.Withdrawn = t.Self().Incarnation, t.wordCount, true
+	word.WatcherIncarnation, word.Revision, word.Withdrawn = t.Self().Incarnation, t.wordCount, true
 	t.MergeSuspicion(word)
 	return word
 }
--- a/serving/operator/core_test.go
+++ b/serving/operator/core_test.go
@@ -101,7 +101,7 @@
 	node, err := register.Start(ctx, register.NodeOptions{Settings: process, Storage: &memoryStorage{}, Client: client,
 		Mux: mux, Log: &log, Committed: func(state.Record) {}, Members: func() []register.Machine { return nil }})
 	require.NoError(t, err)
-	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
+	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.IsLiveAt}
 	linked := exchange.Start(ctx, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
 		InTouch: touch.InTouch, Log: &log})
 	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: joined.Members, Clock: time.Now}
--- a/serving/singleton/duty.go
+++ b/serving/singleton/duty.go
@@ -31,16 +31,16 @@
 
 // Claim is a member's word that it holds a duty from now on.
 type Claim struct {
-	Duty   string `cbor:"1,keyasint"`
-	Holder string `cbor:"2,keyasint"`
-	Epoch  uint64 `cbor:"3,keyasint"`
+	Role   string `cbor:"1,keyasint" json:"Duty"`
+	Holder string `cbor:"2,keyasint" json:"Holder"`
+	Epoch  uint64 `cbor:"3,keyasint" json:"Epoch"`
 }
 
-// Holding is who holds a duty.
-type Holding struct {
-	Name  string // empty: nobody yet
-	Epoch uint64
-	Mine  bool // the own process may do the duty under Epoch
+// Assignment is who holds a duty.
+type Assignment struct {
+	Holder string // empty: nobody yet
+	Epoch  uint64
+	Local  bool // the own process may do the duty under Epoch
 }
 
 // epochStep leaves the lower bits of an epoch to a hash of the holder's name, so that two members that claim a
@@ -61,13 +61,13 @@
 
 // Merge takes in a claim that came by the spread.
 func (t *Table) Merge(claim Claim) {
-	if known, ok := t.claims[claim.Duty]; !ok || known.Epoch < claim.Epoch {
-		t.claims[claim.Duty] = claim
+	if known, ok := t.claims[claim.Role]; !ok || known.Epoch < claim.Epoch {
+		t.claims[claim.Role] = claim
 	}
 }
 
-// Admit tells whether an order given under an epoch of a duty is to be followed.
-func (t *Table) Admit(duty string, epoch uint64) bool { return epoch >= t.claims[duty].Epoch }
+// AdmitsEpoch tells whether an order given under an epoch of a duty is to be followed.
+func (t *Table) AdmitsEpoch(duty string, epoch uint64) bool { return epoch >= t.claims[duty].Epoch }
 
 // Claims returns the newest claim of every duty, in no order.
 func (t *Table) Claims() []Claim {
@@ -78,9 +78,9 @@
 	return claims
 }
 
-// Holder returns who holds a duty. Where the own process is to take it, the claim that it makes is returned too and
+// Acquire returns who holds a duty. Where the own process is to take it, the claim that it makes is returned too and
 // must be spread.
-func (t *Table) Holder(now time.Time, duty string, scope Scope, live []state.Member) (Holding, *Claim) {
+func (t *Table) Acquire(now time.Time, duty string, scope Scope, live []state.Member) (Assignment, *Claim) {
 	first, holderLives := t.order(duty, scope, live)
 	if first != t.self {
 		delete(t.first, duty)
@@ -97,7 +97,7 @@
 	if holderLives && now.Sub(since) < settleSpan {
 		return t.holding(duty, true), nil
 	}
-	claim := Claim{Duty: duty, Holder: t.self, Epoch: t.nextEpoch(duty)}
+	claim := Claim{Role: duty, Holder: t.self, Epoch: t.nextEpoch(duty)}
 	t.claims[duty] = claim
 	return t.holding(duty, true), &claim
 }
@@ -120,12 +120,12 @@
 }
 
 // holding reports the newest claim.
-func (t *Table) holding(duty string, holderLives bool) Holding {
+func (t *Table) holding(duty string, holderLives bool) Assignment {
 	claim := t.claims[duty]
 	if !holderLives {
-		return Holding{Epoch: claim.Epoch}
+		return Assignment{Epoch: claim.Epoch}
 	}
-	return Holding{Name: claim.Holder, Epoch: claim.Epoch, Mine: claim.Holder == t.self}
+	return Assignment{Holder: claim.Holder, Epoch: claim.Epoch, Local: claim.Holder == t.self}
 }
 
 // nextEpoch is above every epoch known of the duty.
--- a/serving/singleton/duty_test.go
+++ b/serving/singleton/duty_test.go
@@ -36,8 +36,8 @@
 	live := members("a", "b", "c")
 	first := firstOf(live)
 	for _, member := range live {
-		holding, claim := New(member.Name).Holder(begun, name, cores, live)
-		assert.Equal(t, member.Name == first, holding.Mine)
+		holding, claim := New(member.Name).Acquire(begun, name, cores, live)
+		assert.Equal(t, member.Name == first, holding.Local)
 		assert.Equal(t, member.Name == first, claim != nil)
 	}
 }
@@ -45,7 +45,7 @@
 func TestDutyMovesUnderAHigherEpoch(t *testing.T) {
 	live := members("a", "b", "c")
 	first := firstOf(live)
-	_, claim := New(first).Holder(begun, name, cores, live)
+	_, claim := New(first).Acquire(begun, name, cores, live)
 	require.NotNil(t, claim)
 
 	var rest []state.Member
@@ -56,18 +56,18 @@
 	}
 	second := New(firstOf(rest))
 	second.Merge(*claim)
-	holding, _ := second.Holder(begun, name, cores, live)
-	assert.Equal(t, Holding{Name: first, Epoch: claim.Epoch}, holding)
-	holding, next := second.Holder(begun, name, cores, rest)
+	holding, _ := second.Acquire(begun, name, cores, live)
+	assert.Equal(t, Assignment{Holder: first, Epoch: claim.Epoch}, holding)
+	holding, next := second.Acquire(begun, name, cores, rest)
 	require.NotNil(t, next, "the holder is dead")
-	assert.True(t, holding.Mine)
+	assert.True(t, holding.Local)
 	assert.Greater(t, next.Epoch, claim.Epoch)
 
 	other := New("nobody")
 	other.Merge(*next)
 	other.Merge(*claim)
-	assert.False(t, other.Admit(name, claim.Epoch))
-	assert.True(t, other.Admit(name, next.Epoch))
+	assert.False(t, other.AdmitsEpoch(name, claim.Epoch))
+	assert.True(t, other.AdmitsEpoch(name, next.Epoch))
 }
 
 func TestLiveHolderKeepsTheDutyForAWhile(t *testing.T) {
@@ -77,22 +77,22 @@
 	if table.self == "a" {
 		holder = "b"
 	}
-	table.Merge(Claim{Duty: name, Holder: holder, Epoch: 7 * epochStep})
-	holding, claim := table.Holder(begun, name, cores, live)
+	table.Merge(Claim{Role: name, Holder: holder, Epoch: 7 * epochStep})
+	holding, claim := table.Acquire(begun, name, cores, live)
 	assert.Nil(t, claim)
-	assert.Equal(t, holder, holding.Name)
-	_, claim = table.Holder(begun.Add(settleSpan), name, cores, live)
+	assert.Equal(t, holder, holding.Holder)
+	_, claim = table.Acquire(begun.Add(settleSpan), name, cores, live)
 	assert.NotNil(t, claim)
 }
 
 func TestHolderLosesTheDutyToANewerClaim(t *testing.T) {
 	live := members("a", "b")
 	table := New(firstOf(live))
-	_, claim := table.Holder(begun, name, cores, live)
-	table.Merge(Claim{Duty: name, Holder: "c", Epoch: claim.Epoch + epochStep})
-	holding, next := table.Holder(begun, name, cores, live)
+	_, claim := table.Acquire(begun, name, cores, live)
+	table.Merge(Claim{Role: name, Holder: "c", Epoch: claim.Epoch + epochStep})
+	holding, next := table.Acquire(begun, name, cores, live)
 	require.NotNil(t, next, "it is first and the other is not live")
-	assert.True(t, holding.Mine)
+	assert.True(t, holding.Local)
 	assert.Greater(t, next.Epoch, claim.Epoch+epochStep)
 }
 
@@ -118,8 +118,8 @@
 			tables[name] = New(name)
 		}
 		now, claimed, all := begun, map[uint64]string{}, []Claim{}
-		ask := func(self string, live []state.Member) Holding {
-			holding, claim := tables[self].Holder(now, name, cores, live)
+		ask := func(self string, live []state.Member) Assignment {
+			holding, claim := tables[self].Acquire(now, name, cores, live)
 			if claim != nil {
 				other, taken := claimed[claim.Epoch]
 				require.False(draw, taken && other != self, fmt.Sprint(other, self))
@@ -149,12 +149,12 @@
 		holders := 0
 		for _, self := range names {
 			holding := ask(self, members(names...))
-			require.Equal(draw, firstOf(members(names...)), holding.Name)
-			if holding.Mine {
+			require.Equal(draw, firstOf(members(names...)), holding.Holder)
+			if holding.Local {
 				holders++
 			}
 			for _, other := range tables {
-				require.True(draw, other.Admit(name, holding.Epoch))
+				require.True(draw, other.AdmitsEpoch(name, holding.Epoch))
 			}
 		}
 		require.Equal(draw, 1, holders)
--- a/serving/singleton/encoding_test.go
+++ b/serving/singleton/encoding_test.go
@@ -1,6 +1,7 @@
 package singleton
 
 import (
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"testing"
@@ -21,3 +22,10 @@
 	)
 	assert.Equal(t, string(golden), forms)
 }
+
+// TestClaim_JSONForm covers rowanctl, which prints claims as JSON.
+func TestClaim_JSONForm(t *testing.T) {
+	claim, err := json.Marshal(Claim{Role: "loads", Holder: "a", Epoch: 7})
+	require.NoError(t, err)
+	assert.Equal(t, `{"Duty":"loads","Holder":"a","Epoch":7}`, string(claim))
+}
--- a/serving/singleton/explore_test.go
+++ b/serving/singleton/explore_test.go
@@ -52,7 +52,7 @@
 
 // successors: a member looks who holds the duty, with any view of who lives; a claim reaches a member; a member loses
 // its memory. The function next is called with the claim that was made, if one was.
-func (w *world) successors(visit func(next *world, at int, holding Holding)) {
+func (w *world) successors(visit func(next *world, at int, holding Assignment)) {
 	for index := range exploredMembers {
 		for view := range 1 << exploredMembers {
 			if view&(1<<index) == 0 {
@@ -67,7 +67,7 @@
 			next := w.clone()
 			next.clock[index]++
 			now := time.Unix(1_000_000, 0).Add(time.Duration(next.clock[index]) * settleSpan)
-			holding, claim := next.tables[index].Holder(now, exploredDuty, Scope{Role: state.RoleCore}, live)
+			holding, claim := next.tables[index].Acquire(now, exploredDuty, Scope{Role: state.RoleCore}, live)
 			if claim != nil && !slices.Contains(next.claims, *claim) {
 				next.claims = append(next.claims, *claim)
 				slices.SortFunc(next.claims, func(a, b Claim) int { return int(a.Epoch/epochStep) - int(b.Epoch/epochStep) })
@@ -77,11 +77,11 @@
 		for _, claim := range w.claims {
 			next := w.clone()
 			next.tables[index].Merge(claim)
-			visit(next, index, Holding{})
+			visit(next, index, Assignment{})
 		}
 		next := w.clone()
 		next.tables[index] = New(member(index).Name)
-		visit(next, index, Holding{})
+		visit(next, index, Assignment{})
 	}
 }
 
@@ -96,16 +96,16 @@
 	made := 0
 	for queue := []*world{first}; len(queue) > 0; queue = queue[1:] {
 		at := queue[0]
-		at.successors(func(next *world, index int, holding Holding) {
+		at.successors(func(next *world, index int, holding Assignment) {
 			holders := map[uint64]string{}
 			for _, claim := range next.claims {
 				other, taken := holders[claim.Epoch]
 				require.False(t, taken && other != claim.Holder, "two holders in one epoch: %v", next.claims)
 				holders[claim.Epoch] = claim.Holder
 			}
-			if holding.Mine {
+			if holding.Local {
 				require.Equal(t, member(index).Name, holders[holding.Epoch], "a duty is done under another's epoch")
-				require.True(t, next.tables[index].Admit(exploredDuty, holding.Epoch))
+				require.True(t, next.tables[index].AdmitsEpoch(exploredDuty, holding.Epoch))
 			}
 			before, after := at.tables[index].claims[exploredDuty].Epoch, next.tables[index].claims[exploredDuty].Epoch
 			require.True(t, after >= before || len(next.tables[index].claims) == 0, "an epoch goes back")
@@ -125,7 +125,7 @@
 	holders := map[uint64]string{}
 	for number := range 5000 {
 		name := fmt.Sprintf("machine-%d", number)
-		_, claim := New(name).Holder(time.Unix(1, 0), exploredDuty, Scope{}, []state.Member{{Name: name}})
+		_, claim := New(name).Acquire(time.Unix(1, 0), exploredDuty, Scope{}, []state.Member{{Name: name}})
 		require.NotNil(t, claim)
 		assert.Empty(t, holders[claim.Epoch], "%s claims the same epoch", name)
 		holders[claim.Epoch] = name
