--- a/serving/singleton/duty.go
+++ b/serving/singleton/duty.go
@@ -31,9 +31,9 @@
 
 // Claim is a member's word that it holds a duty from now on.
 type Claim struct {
-	Role   string `cbor:"1,keyasint" json:"Duty"`
-	Holder string `cbor:"2,keyasint" json:"Holder"`
-	Epoch  uint64 `cbor:"3,keyasint" json:"Epoch"`
+	Role   string `cbor:"1,keyasint"`
+	Holder string `cbor:"2,keyasint"`
+	Epoch  uint64 `cbor:"3,keyasint"`
 }
 
 // Assignment is who holds a duty.
