--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -44,6 +44,6 @@
 	}
 	report.Endpoints = data.endpoints
 	report.SetMembers(a.mesh.Members(), a.mesh.DownMembers())
-	report.SingletonClaims = a.mesh.Claims()
+	report.SingletonClaims = a.mesh.RoleClaims()
 	return report
 }
--- a/serving/operator/core_test.go
+++ b/serving/operator/core_test.go
@@ -101,7 +101,7 @@
 	node, err := register.Start(ctx, register.NodeOptions{Settings: process, Storage: &memoryStorage{}, Client: client,
 		Mux: mux, Log: &log, Committed: func(state.Record) {}, Peers: func() []register.Peer { return nil }})
 	require.NoError(t, err)
-	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.LiveAt}
+	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
 	linked := exchange.Start(ctx, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
 		InTouch: touch.HasQuorum, Log: &log})
 	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: joined.Members, Clock: time.Now}
