--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -14,92 +14,92 @@
 	"rowanlink/webhook/api"
 )
 
-// conductor runs the plan, while this member holds that task. All that it goes by is in the log, but for how
+// Coordinator runs the plan, while this member holds that task. All that it goes by is in the log, but for how
 // long it has seen a home named and not taken, and since when no move ended: another one starts to count
 // anew, which only makes it later. It belongs to one goroutine.
-type conductor struct {
-	homes    *homes
-	harm     *harm
-	vacancy  *shardmap.Vacancies
-	book     *lease.Book
-	progress *rebalance.Progress
-	epoch    cluster.Epoch // since when it conducts
-	under    int           // moves under way when last looked
-	alone    bool          // no leader answered in this look: nothing more is proposed until the next one
-	restedAt api.Micros
+type Coordinator struct {
+	ownership       *Ownership
+	health          *Reporter
+	vacancies       *shardmap.FailoverPlanner
+	leases          *lease.Book
+	progress        *rebalance.Progress
+	epoch           cluster.Epoch // since when it conducts
+	openMoves       int           // moves under way when last looked
+	leaderUnreached bool          // no leader answered in this look: nothing more is proposed until the next one
+	idleSince       api.Micros
 }
 
-// wish is what the operator's file says: text by which the plan is made, and whether it goes before the one
+// PlanRequest is what the operator's file says: text by which the plan is made, and whether it goes before the one
 // that runs: it was read anew. resumes is the number of the plan that stood stopped then; 0: none. It goes on
 // by the same file, too, but only by one read after it was stopped, by whoever conducts.
-type wish struct {
-	text    []byte
-	groups  []shardmap.Group // its sites' subscribers
-	fresh   bool
-	resumes uint64
+type PlanRequest struct {
+	Text    []byte
+	Groups  []shardmap.PlacementGroup // its sites' subscribers
+	Fresh   bool
+	Resumes uint64
 }
 
-// stopped is the number of the plan that stands stopped; 0: none does.
-func (c *conductor) stopped() uint64 {
+// StoppedPlan is the number of the plan that stands stopped; 0: none does.
+func (c *Coordinator) StoppedPlan() uint64 {
 	if c.progress == nil || c.progress.StopReason == "" {
 		return 0
 	}
 	return c.progress.Number
 }
 
-// conduct does what is due; it tells whether the wish has come into the log.
-func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
-	epoch, held := c.homes.session.Holds(cluster.Conducts)
-	chart := c.homes.Map()
-	c.alone = false
-	if !held || c.book == nil {
-		c.vacancy.Forget()
+// Run does what is due; it tells whether the wish has come into the log.
+func (c *Coordinator) Run(w PlanRequest, members []shardmap.Candidate, parts int, now api.Micros) (adopted bool) {
+	epoch, held := c.ownership.session.Holds(cluster.Conducts)
+	chart := c.ownership.Map()
+	c.leaderUnreached = false
+	if !held || c.leases == nil {
+		c.vacancies.Reset()
 		c.epoch = 0
 		return false
 	}
 	if epoch != c.epoch {
-		c.epoch, c.restedAt = epoch, now
+		c.epoch, c.idleSince = epoch, now
 		slog.Info("conducts", "epoch", epoch)
 	}
-	by := shardmap.Conductor(epoch)
+	by := shardmap.Coordinator(epoch)
 	if chart == nil || len(chart.Ranges) == 0 {
-		var weights []shardmap.Weight
+		var weights []shardmap.MemberWeight
 		for _, m := range members {
-			weights = append(weights, m.Weight)
+			weights = append(weights, m.MemberWeight)
 		}
-		c.say("first map", by.First(parts, weights))
+		c.propose("first map", by.Initialize(parts, weights))
 		return false
 	}
 	alive := map[cluster.MemberID]bool{}
-	for _, s := range c.book.Sessions() {
-		alive[c.book.MemberOf(s)] = true
+	for _, s := range c.leases.Sessions() {
+		alive[c.leases.MemberOf(s)] = true
 	}
-	if takes := c.vacancy.Takes(chart, c.book, alive, c.staying(members, alive), now); len(takes) > 0 {
-		c.say("homes given anew", by.Lost(takes), "ranges", len(takes))
+	if takes := c.vacancies.PlanTakeovers(chart, c.leases, alive, c.remainingMembers(members, alive), now); len(takes) > 0 {
+		c.propose("homes given anew", by.FailOver(takes), "ranges", len(takes))
 		return false // the next map tells
 	}
-	if (w.fresh || len(chart.Groups) == 0) && !shardmap.SameGroups(w.groups, chart.Groups) {
-		c.say("destinations placed", by.Place(w.groups), "sites", len(w.groups))
+	if (w.Fresh || len(chart.Groups) == 0) && !shardmap.EqualPlacements(w.Groups, chart.Groups) {
+		c.propose("destinations placed", by.Place(w.Groups), "sites", len(w.Groups))
 		return false // what a plan makes of destinations is by where they stand
 	}
-	if slices.ContainsFunc(chart.Strays, c.over) {
-		c.say("grants over that destinations strayed from", by.Sweep())
+	if slices.ContainsFunc(chart.Misplaced, c.isGrantEnded) {
+		c.propose("grants over that destinations strayed from", by.SweepMisplaced())
 	}
-	c.stepOn(by, chart, now)
+	c.advanceMoves(by, chart, now)
 	adopted = c.adopt(w, chart)
-	c.follow(by, chart, alive, now)
+	c.runPlan(by, chart, alive, now)
 	return adopted
 }
 
-// over is whether a stray's grant is held no more.
-func (c *conductor) over(s shardmap.Stray) bool {
-	_, _, epoch, held := c.book.Holder(cluster.HomeOf(s.Under.Range))
-	return !held || epoch != s.Under.Epoch
+// isGrantEnded is whether a stray's grant is held no more.
+func (c *Coordinator) isGrantEnded(s shardmap.MisplacedDestination) bool {
+	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(s.Grant.Range))
+	return !held || epoch != s.Grant.Epoch
 }
 
-// staying are those whom the running plan does not want to leave; all, where no other is alive. Guards
+// remainingMembers are those whom the running plan does not want to leave; all, where no other is alive. Guards
 // against a lost home's range given to a member that leaves, behind steps that are through.
-func (c *conductor) staying(members []shardmap.Able, alive map[cluster.MemberID]bool) (stay []shardmap.Able) {
+func (c *Coordinator) remainingMembers(members []shardmap.Candidate, alive map[cluster.MemberID]bool) (stay []shardmap.Candidate) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return members
 	}
@@ -120,55 +120,55 @@
 	return stay
 }
 
-// stepOn takes moves on to the step at which the target and the source do the rest.
-func (c *conductor) stepOn(by shardmap.Conductor, chart *shardmap.Map, now api.Micros) {
+// advanceMoves takes moves on to the step at which the target and the source do the rest.
+func (c *Coordinator) advanceMoves(by shardmap.Coordinator, chart *shardmap.Map, now api.Micros) {
 	under := 0
 	for _, r := range chart.Ranges {
-		if !r.Move.Open() {
+		if !r.Move.IsOpen() {
 			continue
 		}
 		under++
 		switch r.Move.Step {
-		case shardmap.Planned:
-			c.say("move warms", by.Step(r.Move.ID, shardmap.Warming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
-		case shardmap.Warming:
-			c.say("move passes", by.Step(r.Move.ID, shardmap.Passing), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.StepPlanned:
+			c.propose("move warms", by.AdvanceMove(r.Move.ID, shardmap.StepWarming), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
+		case shardmap.StepWarming:
+			c.propose("move passes", by.AdvanceMove(r.Move.ID, shardmap.StepHandoff), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 		}
 	}
-	if under < c.under {
-		c.restedAt = now
+	if under < c.openMoves {
+		c.idleSince = now
 	}
-	c.under = under
+	c.openMoves = under
 }
 
 // adopt brings what the operator wishes into the log, where it is another plan than the one that runs.
-func (c *conductor) adopt(w wish, chart *shardmap.Map) bool {
+func (c *Coordinator) adopt(w PlanRequest, chart *shardmap.Map) bool {
 	number := uint64(0)
 	if c.progress != nil {
 		number = c.progress.Number
 	}
-	if number != 0 && !w.fresh {
+	if number != 0 && !w.Fresh {
 		return false
 	}
-	wished, err := rebalance.ParseFile(w.text, "plan")
+	wished, err := rebalance.ParseFile(w.Text, "plan")
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
-	if number != 0 && (c.stopped() == 0 || c.stopped() != w.resumes) {
+	if number != 0 && (c.StoppedPlan() == 0 || c.StoppedPlan() != w.Resumes) {
 		if runs, err := rebalance.ParseFile(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
 			return true
 		}
 	}
-	return c.make(wished, w.text, number, chart)
+	return c.makePlan(wished, w.Text, number, chart)
 }
 
-func (c *conductor) make(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
+func (c *Coordinator) makePlan(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
 	p, err := rebalance.NewPlan(f, chart, nil)
 	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) { // the file is taken up once that has ended
-		if moving.Move.Step < shardmap.Switched {
-			c.say("move goes back", shardmap.Conductor(c.epoch).Back(moving.Move.ID), "move", moving.Move.ID, "why", err)
+		if moving.Move.Step < shardmap.StepSwitched {
+			c.propose("move goes back", shardmap.Coordinator(c.epoch).RevertMove(moving.Move.ID), "move", moving.Move.ID, "why", err)
 		}
 		return false
 	}
@@ -176,11 +176,11 @@
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
-	return c.say("plan taken up", rebalance.Coordinator(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
+	return c.propose("plan taken up", rebalance.Coordinator(c.epoch).Adopt(number, "plan", text, p), "steps", len(p.Steps))
 }
 
-// follow does what the running plan asks for now.
-func (c *conductor) follow(by shardmap.Conductor, chart *shardmap.Map, alive map[cluster.MemberID]bool,
+// runPlan does what the running plan asks for now.
+func (c *Coordinator) runPlan(by shardmap.Coordinator, chart *shardmap.Map, alive map[cluster.MemberID]bool,
 	now api.Micros) {
 	if c.progress == nil || c.progress.Number == 0 {
 		return
@@ -191,36 +191,36 @@
 		return
 	}
 	out := c.progress.Schedule(f, chart, rebalance.Observations{IsGone: func(m cluster.MemberID) bool { return !alive[m] },
-		SinceLastMove: now - c.restedAt, Impact: c.harm.Of(c.progress.Number)})
+		SinceLastMove: now - c.idleSince, Impact: c.health.Collected(c.progress.Number)})
 	says := rebalance.Coordinator(c.epoch)
 	for _, a := range out.Actions {
 		switch a.Kind {
 		case rebalance.ActionStart:
-			c.say("move planned", by.Plan(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
+			c.propose("move planned", by.PlanMove(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
 		case rebalance.ActionRollBack:
-			c.say("move goes back", by.Back(a.Move), "move", a.Move, "why", a.Reason)
+			c.propose("move goes back", by.RevertMove(a.Move), "move", a.Move, "why", a.Reason)
 		case rebalance.ActionRecordState:
-			c.say("plan's step", says.RecordState(c.progress.Number, a.Step, a.State, a.Move), "step", a.Step)
+			c.propose("plan's step", says.RecordState(c.progress.Number, a.Step, a.State, a.Move), "step", a.Step)
 		case rebalance.ActionStop:
-			c.say("plan stopped", says.Stop(c.progress.Number, a.Reason), "why", a.Reason)
+			c.propose("plan stopped", says.Stop(c.progress.Number, a.Reason), "why", a.Reason)
 		case rebalance.ActionSplit:
-			c.say("range split", by.Split(a.Range, a.SplitKey), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.SplitKey)))
+			c.propose("range split", by.Split(a.Range, a.SplitKey), "range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.SplitKey)))
 		case rebalance.ActionMerge:
-			c.say("ranges merged", by.Merge(a.Range, a.OtherRange), "range", a.Range, "other", a.OtherRange)
+			c.propose("ranges merged", by.Merge(a.Range, a.OtherRange), "range", a.Range, "other", a.OtherRange)
 		case rebalance.ActionReplan:
 			slog.Info("plan made anew", "why", a.Reason)
-			c.make(f, slices.Clone(c.progress.Text), c.progress.Number, chart)
+			c.makePlan(f, slices.Clone(c.progress.Text), c.progress.Number, chart)
 		}
 	}
 }
 
-// say proposes; a refusal means that the log went on, and the next look is by what it holds then.
-func (c *conductor) say(what string, command cluster.Command, more ...any) bool {
-	if c.alone {
+// propose proposes; a refusal means that the log went on, and the next look is by what it holds then.
+func (c *Coordinator) propose(what string, command cluster.Command, more ...any) bool {
+	if c.leaderUnreached {
 		return false
 	}
-	if _, err := c.homes.Propose(command); err != nil {
-		c.alone = unreached(err)
+	if _, err := c.ownership.Propose(command); err != nil {
+		c.leaderUnreached = IsLeaderUnreached(err)
 		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
 			slog.Warn(what+" not said", "why", err)
 		}
