--- a/serving/httpserver/buffered.go
+++ b/serving/httpserver/buffered.go
@@ -28,7 +28,7 @@
 // write passes the answer on, unless its status would promise that a request has not run which may have.
 func (r *bufferedResponse) write(w http.ResponseWriter) {
 	if upstream.ImpliesNotRun(r.status) {
-		respondError(w, errcode.EndpointBroke, 0)
+		respondError(w, errcode.EndpointResponseBroken, 0)
 		return
 	}
 	copyHead(w.Header(), r.header)
--- a/serving/httpserver/drain.go
+++ b/serving/httpserver/drain.go
@@ -56,7 +56,7 @@
 	s.stopListening()
 	for !s.isDrained() {
 		if !s.sleep(ctx, drainPollInterval) {
-			event.ProxyDrainCut.Log(s.options.Log).Int("requests", s.InFlight()).Send()
+			event.ProxyDrainAborted.Log(s.options.Log).Int("requests", s.InFlight()).Send()
 			return
 		}
 	}
--- a/serving/httpserver/finish.go
+++ b/serving/httpserver/finish.go
@@ -19,7 +19,7 @@
 		f.respondFailed()
 		return
 	}
-	f.reject(errcode.NotRun, 0)
+	f.reject(errcode.NotExecuted, 0)
 }
 
 // reject promises that nothing has run and tells the client when to come back. Where something may have run, the
@@ -41,7 +41,7 @@
 		f.respondFailed()
 		return
 	}
-	respondError(f.writer, errcode.NotRunInTime, 0)
+	respondError(f.writer, errcode.NotExecutedInTime, 0)
 }
 
 // respondFailed answers a request that may have run: by the endpoint's own error where there is one.
@@ -52,9 +52,9 @@
 	case f.endpointError != nil:
 		f.endpointError.write(f.writer)
 	case f.lastOutcome == attempt.TimedOut || !time.Now().Before(f.deadline):
-		respondError(f.writer, errcode.DeadlinePassed, 0)
+		respondError(f.writer, errcode.DeadlineExceeded, 0)
 	default:
-		respondError(f.writer, errcode.EndpointBroke, 0)
+		respondError(f.writer, errcode.EndpointResponseBroken, 0)
 	}
 }
 
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if s.rejecting.Load() {
-		s.rejectUnrouted(w, r, arrived, errcode.Ending, drainingRetryAfter)
+		s.rejectUnrouted(w, r, arrived, errcode.ShuttingDown, drainingRetryAfter)
 		return
 	}
 	route, found := table.Match(r.Host, pathOfTarget(requestTarget(r)))
@@ -75,7 +75,7 @@
 func (s *Server) readRequest(to *request, limits routing.Limits) error {
 	r := to.httpRequest
 	if limits.HeaderBytes > 0 && headSize(r) > limits.HeaderBytes {
-		return errcode.HeadTooLarge.With("over %d bytes", limits.HeaderBytes)
+		return errcode.HeaderTooLarge.With("over %d bytes", limits.HeaderBytes)
 	}
 	client := connectionFromContext(r.Context())
 	if client != nil {
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -150,14 +150,14 @@
 func (p *proxy) applyResponse(response *subscription.Response) (subscription.Cursor, state.MemberState) {
 	before := p.view.table
 	if err := p.view.apply(response); err != nil {
-		event.ConfigurationUnusable.Log(p.log).Err(err).Send()
+		event.ConfigurationInvalid.Log(p.log).Err(err).Send()
 	}
 	p.proxyCount.Store(int64(max(p.view.proxies.Most, p.view.proxies.Live)))
 	p.retry.SetProxies(p.view.proxies.Most)
 	p.picker.Update(time.Now(), p.view.snapshot(response.Loads))
 	if after := p.view.table; after != before {
 		p.table.Store(after)
-		event.ConfigurationInForce.Log(p.log).Uint64("version", after.Version).Send()
+		event.ConfigurationActivated.Log(p.log).Uint64("version", after.Version).Send()
 	}
 	if !p.ready.Load() && !p.view.canServe() {
 		return p.view.cursor, state.MemberStarting
--- a/serving/proxy/watcher.go
+++ b/serving/proxy/watcher.go
@@ -153,13 +153,13 @@
 func (w *watcher) logRegained() {
 	if w.disconnected {
 		w.disconnected = false
-		event.FeedRegained.Log(w.log).Send()
+		event.AgentConnectionRestored.Log(w.log).Send()
 	}
 }
 
 func (w *watcher) logLost(ctx context.Context, err error) {
 	if !w.disconnected && ctx.Err() == nil {
 		w.disconnected = true
-		event.FeedLost.Log(w.log).Err(err).Send()
+		event.AgentConnectionLost.Log(w.log).Err(err).Send()
 	}
 }
