--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -31,17 +31,17 @@
 	syncDelay = 5 * time.Second
 )
 
-// memberMesh is the part of member.Mesh that the agent uses.
+// memberMesh is the part of member.Service that the agent uses.
 type memberMesh interface {
 	Self() state.Member
 	// Members returns the live members, this one included.
 	Members() []state.Member
 	DownMembers() []state.Member
-	Proxies() subscription.Proxies
-	Claims() []singleton.Claim
+	CountProxies() subscription.Proxies
+	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
-	SetFront(string)
-	Subscribe(table gossip.Table, take func(gossip.Entry))
+	SetClientAddress(string)
+	Subscribe(table gossip.TableID, take func(gossip.Entry))
 	Leave(context.Context) error
 }
 
@@ -98,7 +98,7 @@
 
 // tick applies what depends on time and reports whether the agent may stop.
 func (a *agent) tick() (stopped bool) {
-	proxies, synced := a.mesh.Proxies(), a.isSynced()
+	proxies, synced := a.mesh.CountProxies(), a.isSynced()
 	stopped, _ = actor.Ask(a.stateOwner, func(s *agentState) bool {
 		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
@@ -126,7 +126,7 @@
 		Str("front", current.front).
 		Send()
 	if current.front != a.announced.front {
-		a.mesh.SetFront(current.front)
+		a.mesh.SetClientAddress(current.front)
 	}
 	if current.state != a.announced.state {
 		a.mesh.SetState(current.state)
