--- a/cluster/shardmap/record.go
+++ b/cluster/shardmap/record.go
@@ -52,7 +52,7 @@
 
 // Expire forgets names whose time is up by more than slack: by so much clocks differ and messages are late.
 func (k *CustodyTable) Expire(now, slack api.Micros) {
-	for n, ok := k.expiries.Take(int64(now - slack)); ok; n, ok = k.expiries.Take(int64(now - slack)) {
+	for n, ok := k.expiries.PopDue(int64(now - slack)); ok; n, ok = k.expiries.PopDue(int64(now - slack)) {
 		delete(k.records, n)
 	}
 }
--- a/serving/agent/subscriptionserver.go
+++ b/serving/agent/subscriptionserver.go
@@ -63,7 +63,7 @@
 		}
 		select {
 		case <-result.changed:
-			ctxsleep.For(ctx, coalesceDelay)
+			ctxsleep.Sleep(ctx, coalesceDelay)
 		case <-timeout.C:
 			return s.timeoutResponse(request.Since)
 		case <-ctx.Done():
--- a/serving/register/repair.go
+++ b/serving/register/repair.go
@@ -100,7 +100,7 @@
 			event.VoteTransferred.Log(n.log).Str("replica", own.ReplicaID).Send()
 			return true
 		}
-		ctxsleep.For(ctx, handOverWait)
+		ctxsleep.Sleep(ctx, handOverWait)
 	}
 	event.VoteRetained.Log(n.log).Str("replica", own.ReplicaID).Send()
 	return false
