--- a/serving/register/step.go
+++ b/serving/register/acceptorstate.go
@@ -21,8 +21,10 @@
 	Learned state.Record
 }
 
-// held returns the highest revision that is on disk, accepted or learned.
-func (s *AcceptorState) held() uint64 { return max(s.Proposal.Record.Revision, s.Learned.Revision) }
+// durableRevision returns the highest revision that is on disk, accepted or learned.
+func (s *AcceptorState) durableRevision() uint64 {
+	return max(s.Proposal.Record.Revision, s.Learned.Revision)
+}
 
 // Storage keeps a replica's state on disk.
 type Storage interface {
@@ -33,9 +35,9 @@
 	Save(next AcceptorState) error
 }
 
-// step is one decision of a replica: the state to be saved before the vote is given. Where save is false, nothing
+// transition is one decision of a replica: the state to be saved before the vote is given. Where save is false, nothing
 // has changed.
-type step struct {
+type transition struct {
 	next AcceptorState
 	vote Vote
 	save bool
@@ -52,43 +54,43 @@
 }
 
 // prepare decides on a PrepareRequest.
-func (s AcceptorState) prepare(request *PrepareRequest) step {
+func (s AcceptorState) prepare(request *PrepareRequest) transition {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
-		return step{vote: Vote{Result: WrongReplica}}
+		return transition{vote: Vote{Result: WrongReplica}}
 	case request.Ballot.Before(s.Promised):
-		return step{vote: s.vote(Rejected, Ballot{})}
+		return transition{vote: s.vote(Rejected, Ballot{})}
 	case request.Ballot == s.Promised:
-		return step{vote: s.vote(Granted, request.KnownBallot)}
+		return transition{vote: s.vote(Granted, request.KnownBallot)}
 	}
 	s.Promised = request.Ballot
-	return step{next: s, vote: s.vote(Granted, request.KnownBallot), save: true}
+	return transition{next: s, vote: s.vote(Granted, request.KnownBallot), save: true}
 }
 
 // accept decides on an AcceptRequest.
-func (s AcceptorState) accept(request *AcceptRequest) step {
+func (s AcceptorState) accept(request *AcceptRequest) transition {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
-		return step{vote: Vote{Result: WrongReplica}}
+		return transition{vote: Vote{Result: WrongReplica}}
 	case request.Ballot.Before(s.Promised):
-		return step{vote: s.vote(Rejected, Ballot{})}
+		return transition{vote: s.vote(Rejected, Ballot{})}
 	case request.Ballot == s.Accepted:
-		return step{vote: s.vote(Granted, request.Ballot)}
+		return transition{vote: s.vote(Granted, request.Ballot)}
 	}
 	s.Promised, s.Accepted, s.Proposal = request.Ballot, request.Ballot, request.Proposal
 	if s.Learned.Revision <= s.Proposal.Record.Revision {
 		s.Learned = state.Record{}
 	}
-	return step{next: s, vote: s.vote(Granted, request.Ballot), save: true}
+	return transition{next: s, vote: s.vote(Granted, request.Ballot), save: true}
 }
 
 // learn keeps a committed record that is newer than what is held.
-func (s AcceptorState) learn(record *state.Record) step {
-	if record.Revision <= s.held() {
-		return step{}
+func (s AcceptorState) learn(record *state.Record) transition {
+	if record.Revision <= s.durableRevision() {
+		return transition{}
 	}
 	s.Learned = *record
-	return step{next: s, save: true}
+	return transition{next: s, save: true}
 }
 
 // query answers a QueryRequest.
--- a/serving/register/discover.go
+++ b/serving/register/discover.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// discoverLinger is how long further answers are awaited after the first that names replicas.
-const discoverLinger = 50 * time.Millisecond
+// discoveryGracePeriod is how long further answers are awaited after the first that names replicas.
+const discoveryGracePeriod = 50 * time.Millisecond
 
-// acquaintancesMost bounds how many machines beyond seeds and voters are asked at once: where no majority is there, all
+// maxDiscoveryPeers bounds how many machines beyond seeds and voters are asked at once: where no majority is there, all
 // ask again and again.
-const acquaintancesMost = 8
+const maxDiscoveryPeers = 8
 
 // discover asks the seeds, the members and the known replicas which replicas are in force, and learns what they tell.
 // It returns who is absent by this node's or by everybody else's judgement.
 func (n *Node) discover(ctx context.Context) (absent func(address string) bool) {
-	addresses := n.acquaintances()
+	addresses := n.discoveryTargets()
 	answers := make(chan *Description, len(addresses))
 	for _, address := range addresses {
 		go func() { answers <- n.describe(address) }()
 	}
 	reports := map[string]int{}
-	given := n.gather(ctx, answers, len(addresses), reports)
+	given := n.collectDescriptions(ctx, answers, len(addresses), reports)
 	return func(address string) bool {
 		return n.isAbsent(address) || given > 0 && reports[address] == given
 	}
 }
 
-// gather counts the answers that name replicas, and how many of them report an address down.
-func (n *Node) gather(ctx context.Context, answers <-chan *Description, expected int, reports map[string]int) (given int) {
+// collectDescriptions counts the answers that name replicas, and how many of them report an address down.
+func (n *Node) collectDescriptions(ctx context.Context, answers <-chan *Description, expected int, reports map[string]int) (given int) {
 	var enough <-chan time.Time
 	for range expected {
 		select {
@@ -43,7 +43,7 @@
 				reports[address]++
 			}
 			if enough == nil {
-				enough = time.After(discoverLinger)
+				enough = time.After(discoveryGracePeriod)
 			}
 		case <-enough:
 			return given
@@ -56,22 +56,22 @@
 
 // describe asks one process; nil where it doesn't answer. What it tells is learned, however late it comes.
 func (n *Node) describe(address string) *Description {
-	ctx, cancel := context.WithTimeout(n.proposer.life, callTimeout)
+	ctx, cancel := context.WithTimeout(n.proposer.lifetime, callTimeout)
 	defer cancel()
 	description, err := n.transport.Describe(ctx, address, &DescribeRequest{})
 	if err != nil {
 		return nil
 	}
-	n.proposer.learnSet(description.CommittedVoters)
+	n.proposer.observeVoters(description.CommittedVoters)
 	return description
 }
 
-// acquaintances returns the addresses of processes that may know the replicas, but this one: seeds, voters, and some of
+// discoveryTargets returns the addresses of processes that may know the replicas, but this one: seeds, voters, and some of
 // the other machines by chance.
-func (n *Node) acquaintances() []string {
+func (n *Node) discoveryTargets() []string {
 	addresses := seedAddresses(n.settings)
-	machines := n.machines()
-	for _, number := range rand.Perm(len(machines))[:min(len(machines), acquaintancesMost)] {
+	machines := n.peers()
+	for _, number := range rand.Perm(len(machines))[:min(len(machines), maxDiscoveryPeers)] {
 		addresses = append(addresses, machines[number].Address)
 	}
 	for _, replica := range n.Voters().Replicas {
--- a/serving/register/explore_judge_test.go
+++ b/serving/register/explore_invariants_test.go
@@ -74,7 +74,7 @@
 		if bits.OnesCount(uint(mask)) < established.Quorum() {
 			continue
 		}
-		votes := newTally(established, AcceptedProposal{})
+		votes := newPrepareTally(established, AcceptedProposal{})
 		for index, id := range exploredIDs {
 			own := w.replicas[id]
 			if mask&(1<<index) == 0 || own.ReplicaID == "" {
@@ -83,13 +83,13 @@
 			vote := own.query(&QueryRequest{ReplicaID: id})
 			votes.add(id, &vote)
 		}
-		if w.ended && votes.complete() && votes.highest.Proposal.Record.Evacuated(exploredZone) {
+		if w.ended && votes.hasQuorum() && votes.highestAccepted.Proposal.Record.Evacuated(exploredZone) {
 			w.fail("the evacuation is begun again after its end was acknowledged")
 		}
-		empty := votes.highest.Ballot.IsZero() && established.Epoch > 0
-		if votes.complete() && votes.committed() && !votes.highest.Proposal.setPending() && !empty {
-			w.seen(&votes.highest.Proposal)
-			w.holdsAcknowledged(&votes.highest.Proposal.Record, true)
+		empty := votes.highestAccepted.Ballot.IsZero() && established.Epoch > 0
+		if votes.hasQuorum() && votes.isCommitted() && !votes.highestAccepted.Proposal.isJoint() && !empty {
+			w.seen(&votes.highestAccepted.Proposal)
+			w.holdsAcknowledged(&votes.highestAccepted.Proposal.Record, true)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	epochs := uint64(0)
 	w.read(exploredGenesis())
 	for index := range w.proposers {
-		if set := w.proposers[index].known.established; set.Epoch > epochs {
+		if set := w.proposers[index].known.committedVoters; set.Epoch > epochs {
 			epochs = set.Epoch
 			w.read(set)
 		}
@@ -179,8 +179,8 @@
 	if p.gone {
 		return []byte{'-'}
 	}
-	text := []byte{byte(p.at), byte(p.change.tries), byte(p.change.revision), byte(p.then), byte(p.known.number),
-		byte(p.known.established.Epoch), ballotKey(p.known.newest.Ballot)}
+	text := []byte{byte(p.at), byte(p.change.attempts), byte(p.change.highestRevision), byte(p.then), byte(p.known.highestBallotNumber),
+		byte(p.known.committedVoters.Epoch), ballotKey(p.known.highestAccepted.Ballot)}
 	if p.round >= 0 {
 		text = append(text, w.rounds[p.round].name...)
 	}
@@ -193,7 +193,7 @@
 // nameOf tells rounds apart.
 func nameOf(r *exploredRound) string {
 	if !r.accepting {
-		return string([]byte{'P', ballotKey(r.ballot), ballotKey(r.known.newest.Ballot), byte(r.known.established.Epoch)})
+		return string([]byte{'P', ballotKey(r.ballot), ballotKey(r.known.highestAccepted.Ballot), byte(r.known.committedVoters.Epoch)})
 	}
 	p := &r.proposal
 	text := []byte{'A', ballotKey(r.ballot), byte(p.Record.Revision), byte(p.Record.Configuration.Version),
--- a/serving/register/explore_progress_test.go
+++ b/serving/register/explore_progress_test.go
@@ -27,8 +27,8 @@
 type fairSchedule struct {
 	rules    *exploredRules
 	replicas map[string]AcceptorState
-	seats    *seating
-	known    knowledge
+	seats    *voterPlacement
+	known    learnedState
 }
 
 func newFairSchedule(w *world, s *scenario, rules *exploredRules) *fairSchedule {
@@ -41,11 +41,11 @@
 	if w.wiped { // it comes back at its address under a new ID
 		f.replicas[s.wiped+"'"] = AcceptorState{ReplicaID: s.wiped + "'"}
 	}
-	f.known.establish(exploredGenesis())
-	f.seats = &seating{wanted: leastVoters, zone: func(string) string { return "" }, forgotten: func(string) bool { return false },
-		absent: func(address string) bool { return w.gone && address == s.goes }}
+	f.known.observeVoters(exploredGenesis())
+	f.seats = &voterPlacement{desiredVoters: minVoters, zoneOf: func(string) string { return "" }, isExpired: func(string) bool { return false },
+		isDown: func(address string) bool { return w.gone && address == s.goes }}
 	for id, held := range f.replicas {
-		f.known.voted(&Vote{Promised: held.Promised, Accepted: held.Accepted, Proposal: &held.Proposal})
+		f.known.observeVote(&Vote{Promised: held.Promised, Accepted: held.Accepted, Proposal: &held.Proposal})
 		f.seats.learners = append(f.seats.learners, state.Replica{ID: id, Address: id[:2]})
 	}
 	return f
@@ -71,12 +71,12 @@
 }
 
 // prepare asks all replicas that the votes bring into the round.
-func (f *fairSchedule) prepare(ballot Ballot) (*tally, bool) {
-	votes := newTally(f.known.established, f.known.newest)
+func (f *fairSchedule) prepare(ballot Ballot) (*prepareTally, bool) {
+	votes := newPrepareTally(f.known.committedVoters, f.known.highestAccepted)
 	asked := map[string]bool{}
 	for news := true; news; {
 		news = false
-		for _, replica := range votes.electorate().replicas() {
+		for _, replica := range votes.config().replicas() {
 			if asked[replica.ID] {
 				continue
 			}
@@ -91,22 +91,22 @@
 			votes.add(replica.ID, &decided.vote)
 		}
 	}
-	return votes, votes.complete()
+	return votes, votes.hasQuorum()
 }
 
 // decide returns what is to be put to the vote, in the order of Proposer.try; last says that it is the change.
-func (f *fairSchedule) decide(votes *tally) (next Proposal, last bool) {
-	established := f.known.established
-	if votes.committed() {
-		established = votes.highest.Proposal.Record.Voters
-		f.known.establish(established)
+func (f *fairSchedule) decide(votes *prepareTally) (next Proposal, last bool) {
+	established := f.known.committedVoters
+	if votes.isCommitted() {
+		established = votes.highestAccepted.Proposal.Record.Voters
+		f.known.observeVoters(established)
 	}
-	newest := votes.highest.Proposal.settled(established)
-	if newest.setPending() {
+	newest := votes.highestAccepted.Proposal.leaveJoint(established)
+	if newest.isJoint() {
 		return newest, false
 	}
 	id := ChangeID{Proposer: fairProposer, Sequence: newest.Record.Revision}
-	repaired, err := replaceVoters(f.seats.next)(newest.Record)
+	repaired, err := placementUpdate(f.seats.nextVoters)(newest.Record)
 	if err == nil {
 		return newest.successor(repaired, id, true), false
 	}
@@ -114,8 +114,8 @@
 }
 
 func (f *fairSchedule) accept(ballot Ballot, proposal *Proposal) bool {
-	votes := newAgreement(f.rules.agreementOf(proposal))
-	for _, replica := range votes.electorate().replicas() {
+	votes := newAcceptTally(f.rules.agreementOf(proposal))
+	for _, replica := range votes.config().replicas() {
 		held, there := f.replicas[replica.ID]
 		if !there {
 			continue
@@ -124,14 +124,14 @@
 		f.keep(replica.ID, &decided)
 		votes.add(replica.ID, &decided.vote)
 	}
-	if !votes.complete() {
+	if !votes.hasQuorum() {
 		return false
 	}
-	f.known.committed(AcceptedProposal{Ballot: ballot, Proposal: *proposal})
+	f.known.observeCommitted(AcceptedProposal{Ballot: ballot, Proposal: *proposal})
 	return true
 }
 
-func (f *fairSchedule) keep(id string, decided *step) {
+func (f *fairSchedule) keep(id string, decided *transition) {
 	if decided.save {
 		f.replicas[id] = decided.next
 	}
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -10,18 +10,18 @@
 
 // exploredRules are what a mutant changes.
 type exploredRules struct {
-	accept       func(AcceptorState, *AcceptRequest) step
-	agreementOf  func(*Proposal) electorate
+	accept       func(AcceptorState, *AcceptRequest) transition
+	agreementOf  func(*Proposal) jointConfig
 	wipedKeepsID bool
 }
 
 var trueRules = exploredRules{
 	accept: AcceptorState.accept,
-	agreementOf: func(p *Proposal) electorate {
-		if p.setPending() {
-			return electorate{p.Record.Voters, p.OutgoingVoters}
+	agreementOf: func(p *Proposal) jointConfig {
+		if p.isJoint() {
+			return jointConfig{p.Record.Voters, p.OutgoingVoters}
 		}
-		return electorate{p.Record.Voters}
+		return jointConfig{p.Record.Voters}
 	},
 }
 
@@ -57,7 +57,7 @@
 	racing = scenario{name: "two changes on one base", tries: 2, named: []string{"r4"},
 		scripts: [2][]Update{{configured(0, 1)}, {configured(0, 2)}}}
 	swapping = scenario{name: "a change beside a swap of replicas", tries: 2, named: []string{"r3", "r4"},
-		scripts: [2][]Update{{configured(0, 1)}, {swap("r3"), unchanged}}}
+		scripts: [2][]Update{{configured(0, 1)}, {swap("r3"), confirmOnly}}}
 	losing = scenario{name: "a change beside the loss of a disk and the join of its successor", tries: 2, wiped: "r3",
 		named:   []string{"r3", "r4"},
 		scripts: [2][]Update{{configured(0, 1)}, {swap("r3")}}}
@@ -70,15 +70,15 @@
 	// handingOver is an end by plan: r1 gives its vote to r4 and goes for good, at any moment. Once that is settled, or
 	// instead of it, r2 loses its disk.
 	handingOver = scenario{name: "an end by plan and a lost disk", tries: 2, named: []string{"r1", "r2", "r4"}, goes: "r1", wiped: "r2",
-		progress: true, scripts: [2][]Update{{swap("r1"), unchanged}, {configured(0, 1)}}}
+		progress: true, scripts: [2][]Update{{swap("r1"), confirmOnly}, {configured(0, 1)}}}
 	handingOverAlone = scenario{name: "an end by plan and a lost disk, without another change", tries: 2, named: []string{"r1", "r2", "r4"},
-		goes: "r1", wiped: "r2", progress: true, scripts: [2][]Update{{swap("r1"), unchanged}, {}}}
+		goes: "r1", wiped: "r2", progress: true, scripts: [2][]Update{{swap("r1"), confirmOnly}, {}}}
 	// evacuating is one operator who begins an evacuation, perhaps in vain, and ends it through another machine.
 	evacuating = scenario{name: "an evacuation's begin that may be given up, then its end", tries: 2, named: []string{"r4"}, inTurn: true,
 		scripts: [2][]Update{{SetEvacuation(exploredZone, true)}, {SetEvacuation(exploredZone, false)}}}
 	// joining is the rule before: the successor of r1 was added to the set, which then had four.
 	joining = scenario{name: "a join before an end by plan, and a lost disk", tries: 2, named: []string{"r1", "r2", "r4"}, goes: "r1",
-		wiped: "r2", progress: true, scripts: [2][]Update{{AddReplica(replicaNamed("r4")), unchanged}, {}}}
+		wiped: "r2", progress: true, scripts: [2][]Update{{AddReplica(replicaNamed("r4")), confirmOnly}, {}}}
 )
 
 // addBoth adds two voters in one change.
--- a/serving/register/explore_test.go
+++ b/serving/register/explore_test.go
@@ -158,7 +158,7 @@
 // TestExploreFindsMutants: a search that finds nothing shows nothing unless it finds what is wrong.
 func TestExploreFindsMutants(t *testing.T) {
 	forgetful := trueRules
-	forgetful.accept = func(s AcceptorState, request *AcceptRequest) step {
+	forgetful.accept = func(s AcceptorState, request *AcceptRequest) transition {
 		if s.ReplicaID == request.ReplicaID {
 			s.Promised = Ballot{}
 		}
@@ -169,7 +169,7 @@
 	unfenced := evacuating
 	unfenced.unfenced = true
 	newSetAlone := trueRules
-	newSetAlone.agreementOf = func(p *Proposal) electorate { return electorate{p.Record.Voters} }
+	newSetAlone.agreementOf = func(p *Proposal) jointConfig { return jointConfig{p.Record.Voters} }
 	sameID := trueRules
 	sameID.wipedKeepsID = true
 	for name, mutant := range map[string]struct {
--- a/serving/register/explore_world_test.go
+++ b/serving/register/explore_world_test.go
@@ -21,19 +21,19 @@
 	ballot    Ballot
 	accepting bool
 	proposal  Proposal // accepting
-	known     knowledge
+	known     learnedState
 	name      string
 }
 
 // exploredProposer is a proposer in the middle of its script.
 type exploredProposer struct {
-	known   knowledge
+	known   learnedState
 	at      int // change of the script
 	change  change
 	round   int // index of the round under way; negative: none
 	granted map[string]Vote
 	// then is what the end of an accepting round means.
-	then    outcome
+	then    attemptOutcome
 	refused bool // the change is refused once what it was decided on is committed
 	gone    bool // it gives up after the last try
 }
@@ -77,7 +77,7 @@
 	}
 	for index := range w.proposers {
 		p := &w.proposers[index]
-		p.known.establish(exploredGenesis())
+		p.known.observeVoters(exploredGenesis())
 		w.beginChange(s, index)
 	}
 	return w
@@ -127,7 +127,7 @@
 // giveUp ends the round under way without a decision; the next try begins, if there is one.
 func (w *world) giveUp(s *scenario, index int) {
 	p := &w.proposers[index]
-	if p.change.tries++; p.change.tries >= s.tries {
+	if p.change.attempts++; p.change.attempts >= s.tries {
 		w.leave(s, index)
 		return
 	}
@@ -149,15 +149,15 @@
 		return rules.agreementOf(&round.proposal).replicas()
 	}
 	if p := &w.proposers[round.proposer]; p.round == number {
-		return w.tallyOf(p).electorate().replicas()
+		return w.tallyOf(p).config().replicas()
 	}
 	return append(slices.Clone(exploredGenesis().Replicas), replicaNamed("r4"), replicaNamed("r5"))
 }
 
 // tallyOf is the tally of a proposer's prepare round, made of the votes that came.
-func (w *world) tallyOf(p *exploredProposer) *tally {
+func (w *world) tallyOf(p *exploredProposer) *prepareTally {
 	round := &w.rounds[p.round]
-	votes := newTally(round.known.established, round.known.newest)
+	votes := newPrepareTally(round.known.committedVoters, round.known.highestAccepted)
 	for _, id := range slices.Sorted(maps.Keys(p.granted)) {
 		vote := p.granted[id]
 		votes.add(id, &vote)
@@ -168,14 +168,14 @@
 // deliver has a replica take a round's request. Where arrives is set, the vote reaches the proposer.
 func (w *world) deliver(s *scenario, rules *exploredRules, number int, id string, arrives bool) {
 	round := &w.rounds[number]
-	own, decided := w.replicas[id], step{}
+	own, decided := w.replicas[id], transition{}
 	if round.accepting {
 		decided = rules.accept(own, &AcceptRequest{ReplicaID: id, Ballot: round.ballot, Proposal: round.proposal})
 	} else {
-		decided = own.prepare(&PrepareRequest{ReplicaID: id, Ballot: round.ballot, KnownBallot: round.known.newest.Ballot})
+		decided = own.prepare(&PrepareRequest{ReplicaID: id, Ballot: round.ballot, KnownBallot: round.known.highestAccepted.Ballot})
 	}
 	if own.ReplicaID == "" { // the disk is lost, and with it the ID
-		decided = step{vote: Vote{Result: WrongReplica}}
+		decided = transition{vote: Vote{Result: WrongReplica}}
 	}
 	if decided.save {
 		w.replicas[id], w.saved = decided.next, true
@@ -184,7 +184,7 @@
 		return
 	}
 	p := &w.proposers[round.proposer]
-	p.known.voted(&decided.vote)
+	p.known.observeVote(&decided.vote)
 	if p.round != number || decided.vote.Result != Granted {
 		return
 	}
@@ -200,39 +200,39 @@
 func (w *world) prepared(s *scenario, index int) {
 	p := &w.proposers[index]
 	votes, round := w.tallyOf(p), w.rounds[p.round]
-	if !votes.complete() {
+	if !votes.hasQuorum() {
 		return
 	}
-	if votes.highest.Ballot.IsZero() && round.known.established.Epoch > 0 {
+	if votes.highestAccepted.Ballot.IsZero() && round.known.committedVoters.Epoch > 0 {
 		w.giveUp(s, index)
 		return
 	}
-	established, committed := round.known.established, votes.committed()
+	established, committed := round.known.committedVoters, votes.isCommitted()
 	if committed {
-		w.commit(s, p, votes.highest)
-		established = votes.highest.Proposal.Record.Voters
+		w.commit(s, p, votes.highestAccepted)
+		established = votes.highestAccepted.Proposal.Record.Voters
 	}
-	newest := votes.highest.Proposal.settled(established)
-	if newest.setPending() {
-		w.propose(index, round.ballot, newest, advanced)
+	newest := votes.highestAccepted.Proposal.leaveJoint(established)
+	if newest.isJoint() {
+		w.propose(index, round.ballot, newest, attemptFinishedOther)
 		return
 	}
-	verdict := p.change.decide(&newest)
+	verdict := p.change.resolve(&newest)
 	if verdict.write {
-		p.change.begin(&verdict.next)
-		w.propose(index, round.ballot, verdict.next, decided)
+		p.change.recordProposal(&verdict.proposal)
+		w.propose(index, round.ballot, verdict.proposal, attemptDecided)
 		return
 	}
-	p.refused = verdict.refusal != nil
-	if committed && !votes.highest.Proposal.setPending() && (!verdict.fence || s.unfenced) {
+	p.refused = verdict.rejection != nil
+	if committed && !votes.highestAccepted.Proposal.isJoint() && (!verdict.fence || s.unfenced) {
 		w.end(s, index, &newest)
 		return
 	}
-	w.propose(index, round.ballot, newest, decided)
+	w.propose(index, round.ballot, newest, attemptDecided)
 }
 
 // propose sends the second round of a try.
-func (w *world) propose(index int, ballot Ballot, proposal Proposal, then outcome) {
+func (w *world) propose(index int, ballot Ballot, proposal Proposal, then attemptOutcome) {
 	p := &w.proposers[index]
 	p.granted, p.then = map[string]Vote{}, then
 	p.round = len(w.rounds)
@@ -249,16 +249,16 @@
 func (w *world) accepted(s *scenario, rules *exploredRules, index int) {
 	p := &w.proposers[index]
 	round := w.rounds[p.round]
-	votes := newAgreement(rules.agreementOf(&round.proposal))
+	votes := newAcceptTally(rules.agreementOf(&round.proposal))
 	for id := range p.granted {
 		vote := p.granted[id]
 		votes.add(id, &vote)
 	}
-	if !votes.complete() {
+	if !votes.hasQuorum() {
 		return
 	}
 	w.commit(s, p, AcceptedProposal{Ballot: round.ballot, Proposal: round.proposal})
-	if p.then == advanced {
+	if p.then == attemptFinishedOther {
 		w.giveUp(s, index) // another try follows
 		return
 	}
@@ -268,7 +268,7 @@
 // end ends a change: it is acknowledged or refused.
 func (w *world) end(s *scenario, index int, proposal *Proposal) {
 	p := &w.proposers[index]
-	if !p.refused && !p.change.setChanged && proposal.includes(p.change.id) {
+	if !p.refused && !p.change.changesVoters && proposal.containsChange(p.change.id) {
 		w.acknowledge(p, proposal)
 	}
 	w.ended = w.ended || s.inTurn && index == len(w.proposers)-1
@@ -279,8 +279,8 @@
 
 // commit notes that a proposer takes a proposal for committed.
 func (w *world) commit(s *scenario, p *exploredProposer, candidate AcceptedProposal) {
-	p.known.committed(candidate)
-	if epoch := candidate.Proposal.Record.Voters.Epoch; epoch > 0 && (s.unsettled || !candidate.Proposal.setPending()) {
+	p.known.observeCommitted(candidate)
+	if epoch := candidate.Proposal.Record.Voters.Epoch; epoch > 0 && (s.unsettled || !candidate.Proposal.isJoint()) {
 		w.replaced = true
 	}
 	w.seen(&candidate.Proposal)
--- a/serving/register/fuzz_test.go
+++ b/serving/register/fuzz_test.go
@@ -69,7 +69,7 @@
 	})
 }
 
-func checkStep(t *testing.T, before AcceptorState, asked string, decided step) {
+func checkStep(t *testing.T, before AcceptorState, asked string, decided transition) {
 	stable(t, &decided.vote)
 	assert.Equal(t, asked != before.ReplicaID, decided.vote.Result == WrongReplica)
 	if !decided.save {
@@ -96,23 +96,23 @@
 		}
 		stable(t, &vote)
 		assert.NotEmpty(t, vote.Result.String())
-		before := knowledge{number: 7, established: own.Proposal.Record.Voters, newest: AcceptedProposal{own.Accepted, own.Proposal}}
+		before := learnedState{highestBallotNumber: 7, committedVoters: own.Proposal.Record.Voters, highestAccepted: AcceptedProposal{own.Accepted, own.Proposal}}
 		after := before
-		after.voted(&vote)
-		assert.GreaterOrEqual(t, after.number, before.number)
-		assert.GreaterOrEqual(t, after.established.Epoch, before.established.Epoch)
-		assert.NotEmpty(t, after.established.Replicas)
-		assert.False(t, after.newest.Ballot.Before(before.newest.Ballot))
-		tally := newTally(before.established, before.newest)
-		for index, replica := range before.established.Replicas {
+		after.observeVote(&vote)
+		assert.GreaterOrEqual(t, after.highestBallotNumber, before.highestBallotNumber)
+		assert.GreaterOrEqual(t, after.committedVoters.Epoch, before.committedVoters.Epoch)
+		assert.NotEmpty(t, after.committedVoters.Replicas)
+		assert.False(t, after.highestAccepted.Ballot.Before(before.highestAccepted.Ballot))
+		tally := newPrepareTally(before.committedVoters, before.highestAccepted)
+		for index, replica := range before.committedVoters.Replicas {
 			if index == int(place)%3 {
 				tally.add(replica.ID, &vote)
 			} else {
 				tally.add(replica.ID, nil)
 			}
 		}
-		assert.False(t, tally.complete(), "one vote of three is a majority")
-		assert.False(t, tally.committed())
-		tally.electorate().replicas()
+		assert.False(t, tally.hasQuorum(), "one vote of three is a majority")
+		assert.False(t, tally.isCommitted())
+		tally.config().replicas()
 	})
 }
--- a/serving/register/genesis.go
+++ b/serving/register/genesis.go
@@ -10,9 +10,9 @@
 // genesisPrefix begins the IDs of the first replicas.
 const genesisPrefix = "genesis-"
 
-// genesis returns the register's first set of replicas: the machines that every process was told of at the very
+// genesisVoters returns the register's first set of replicas: the machines that every process was told of at the very
 // first start.
-func genesis(process *settings.Process) state.ReplicaSet {
+func genesisVoters(process *settings.Process) state.ReplicaSet {
 	var set state.ReplicaSet
 	for _, address := range seedAddresses(process) {
 		set.Replicas = append(set.Replicas, state.Replica{ID: genesisPrefix + address, Address: address})
@@ -33,12 +33,12 @@
 	return slices.Compact(addresses)
 }
 
-// firstState returns what a replica with an empty store begins with: at the very first start of the system, on the
+// initialState returns what a replica with an empty store begins with: at the very first start of the system, on the
 // machines that all were told of, a member of the first set; else a replica that has to join under the given new ID.
-func firstState(process *settings.Process, newID string) AcceptorState {
+func initialState(process *settings.Process, newID string) AcceptorState {
 	own := process.InnerAddress()
 	if process.FirstRun && slices.Contains(seedAddresses(process), own) {
-		return AcceptorState{ReplicaID: genesisPrefix + own, Proposal: Proposal{Record: state.Record{Voters: genesis(process)}}}
+		return AcceptorState{ReplicaID: genesisPrefix + own, Proposal: Proposal{Record: state.Record{Voters: genesisVoters(process)}}}
 	}
 	return AcceptorState{ReplicaID: newID}
 }
--- a/serving/register/majority_revision.go
+++ b/serving/register/majorityrevision.go
@@ -22,14 +22,14 @@
 // set share a voter. The set may be out of date: voters that know a newer one tell it, and are then asked there too.
 // It returns false where no majority answered before the context ended.
 func MajorityRevision(ctx context.Context, ask QueryFunc, set state.ReplicaSet) (revision uint64, known bool) {
-	survey := newRevisionSurvey(set)
+	survey := newRevisionQuery(set)
 	answers := make(chan revisionAnswer)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for waiting := 0; ; {
-		for _, replica := range survey.unasked() {
+		for _, replica := range survey.takeUnqueried() {
 			waiting++
-			request := &QueryRequest{ReplicaID: replica.ID, Epoch: survey.newest, RevisionOnly: true}
+			request := &QueryRequest{ReplicaID: replica.ID, Epoch: survey.committedEpoch, RevisionOnly: true}
 			go func() {
 				bounded, cancel := context.WithTimeout(ctx, callTimeout)
 				defer cancel()
@@ -43,7 +43,7 @@
 				}
 			}()
 		}
-		if survey.complete() {
+		if survey.hasQuorum() {
 			return survey.revision, true
 		}
 		if waiting == 0 {
@@ -65,26 +65,26 @@
 	vote *Vote
 }
 
-// revisionSurvey gathers answers to brief queries. It does no I/O.
-type revisionSurvey struct {
-	sets     map[uint64]state.ReplicaSet // by epoch: those of which a majority has to answer
-	newest   uint64                      // the highest epoch of a set that is known to be established
-	asked    map[string]bool
-	answered map[string]bool
-	revision uint64
+// revisionQuery gathers answers to brief queries. It does no I/O.
+type revisionQuery struct {
+	sets           map[uint64]state.ReplicaSet // by epoch: those of which a majority has to answer
+	committedEpoch uint64                      // the highest epoch of a set that is known to be established
+	queried        map[string]bool
+	answered       map[string]bool
+	revision       uint64
 }
 
-func newRevisionSurvey(set state.ReplicaSet) *revisionSurvey {
-	return &revisionSurvey{sets: map[uint64]state.ReplicaSet{set.Epoch: set}, newest: set.Epoch, asked: map[string]bool{},
+func newRevisionQuery(set state.ReplicaSet) *revisionQuery {
+	return &revisionQuery{sets: map[uint64]state.ReplicaSet{set.Epoch: set}, committedEpoch: set.Epoch, queried: map[string]bool{},
 		answered: map[string]bool{}}
 }
 
-// unasked returns the replicas that are to be asked now, and counts them as asked.
-func (s *revisionSurvey) unasked() (replicas []state.Replica) {
+// takeUnqueried returns the replicas that are to be asked now, and counts them as asked.
+func (s *revisionQuery) takeUnqueried() (replicas []state.Replica) {
 	for _, set := range s.sets {
 		for _, replica := range set.Replicas {
-			if !s.asked[replica.ID] {
-				s.asked[replica.ID] = true
+			if !s.queried[replica.ID] {
+				s.queried[replica.ID] = true
 				replicas = append(replicas, replica)
 			}
 		}
@@ -94,16 +94,16 @@
 
 // add takes an answer. A set that is established takes the place of all older ones; one that is only proposed may be
 // in force, or not, and is asked beside them.
-func (s *revisionSurvey) add(answer revisionAnswer) {
+func (s *revisionQuery) add(answer revisionAnswer) {
 	vote := answer.vote
 	if vote == nil {
 		return
 	}
-	if vote.CommittedVoters != nil && vote.CommittedVoters.Epoch > s.newest {
-		s.newest = vote.CommittedVoters.Epoch
-		s.sets[s.newest] = *vote.CommittedVoters
+	if vote.CommittedVoters != nil && vote.CommittedVoters.Epoch > s.committedEpoch {
+		s.committedEpoch = vote.CommittedVoters.Epoch
+		s.sets[s.committedEpoch] = *vote.CommittedVoters
 		for epoch := range s.sets {
-			if epoch < s.newest {
+			if epoch < s.committedEpoch {
 				delete(s.sets, epoch)
 			}
 		}
@@ -111,17 +111,17 @@
 	if vote.Result != Granted {
 		return
 	}
-	if vote.ProposedVoters != nil && vote.ProposedVoters.Epoch > s.newest {
+	if vote.ProposedVoters != nil && vote.ProposedVoters.Epoch > s.committedEpoch {
 		s.sets[vote.ProposedVoters.Epoch] = *vote.ProposedVoters
 	}
 	s.answered[answer.id] = true
 	s.revision = max(s.revision, vote.Revision)
 }
 
-// complete tells whether a majority of each set has answered.
-func (s *revisionSurvey) complete() bool {
+// hasQuorum tells whether a majority of each set has answered.
+func (s *revisionQuery) hasQuorum() bool {
 	for _, set := range s.sets {
-		if len(set.Replicas) == 0 || count(set, func(id string) bool { return s.answered[id] }) < set.Quorum() {
+		if len(set.Replicas) == 0 || countVoters(set, func(id string) bool { return s.answered[id] }) < set.Quorum() {
 			return false
 		}
 	}
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -202,9 +202,9 @@
 			t.Error("the update is computed though its caller has left")
 			return record, nil
 		})
-		_, outcome, _ := node.proposer.try(leftContext{t.Context()}, change)
-		assert.Equal(t, failed, outcome)
-		assert.False(t, change.begun)
+		_, outcome, _ := node.proposer.runAttempt(leftContext{t.Context()}, change)
+		assert.Equal(t, attemptFailed, outcome)
+		assert.False(t, change.proposed)
 	})
 }
 
--- a/serving/register/node.go
+++ b/serving/register/node.go
@@ -36,19 +36,19 @@
 
 // Node is a process's part in the register: its replica, and the changes and reads that it makes.
 type Node struct {
-	settings  *settings.Process
-	log       *zerolog.Logger
-	storage   Storage
-	members   func() []Peer
-	transport Transport
-	acceptor  *Acceptor
-	proposer  *Proposer
-	announcer *announcer
-	absences  atomic.Pointer[absences]
-	caughtUp  atomic.Bool   // as a learner the replica has read the record from a majority in this life
-	leaving   atomic.Bool   // the replica gives up its vote and takes none any more
-	news      chan struct{} // a newer set of replicas, or for a learner a newer record, has become known
-	stop      context.CancelFunc
+	settings        *settings.Process
+	log             *zerolog.Logger
+	storage         Storage
+	listPeers       func() []Peer
+	transport       Transport
+	acceptor        *Acceptor
+	proposer        *Proposer
+	notifier        *commitNotifier
+	failureDetector atomic.Pointer[absences]
+	caughtUp        atomic.Bool   // as a learner the replica has read the record from a majority in this life
+	transferring    atomic.Bool   // the replica gives up its vote and takes none any more
+	votersChanged   chan struct{} // a newer set of replicas, or for a learner a newer record, has become known
+	stop            context.CancelFunc
 }
 
 // Start begins to take part: the replica's state is loaded and, where it isn't a member, it joins, in the background.
@@ -57,11 +57,11 @@
 	if options.Settings == nil || options.Storage == nil || options.Client == nil || options.Mux == nil || options.Log == nil {
 		return nil, errors.New("register: settings, storage, client, mux and log are needed")
 	}
-	carrier := &network{client: options.Client, own: options.Settings.InnerAddress()}
+	carrier := &rpcTransport{client: options.Client, own: options.Settings.InnerAddress()}
 	node, server := newNode(ctx, options, carrier)
 	carrier.local = server
-	serve(options.Mux, server)
-	node.run()
+	registerHandlers(options.Mux, server)
+	node.start()
 	return node, nil
 }
 
@@ -69,28 +69,28 @@
 func newNode(ctx context.Context, options NodeOptions, transport Transport) (*Node, Server) {
 	ctx, stop := context.WithCancel(ctx)
 	n := &Node{
-		settings:  options.Settings,
-		log:       options.Log,
-		storage:   options.Storage,
-		members:   options.Peers,
-		transport: transport,
-		acceptor:  NewAcceptor(options.Storage, options.Log),
-		announcer: &announcer{committed: options.Committed},
-		news:      make(chan struct{}, 1),
-		stop:      stop,
+		settings:      options.Settings,
+		log:           options.Log,
+		storage:       options.Storage,
+		listPeers:     options.Peers,
+		transport:     transport,
+		acceptor:      NewAcceptor(options.Storage, options.Log),
+		notifier:      &commitNotifier{onCommitted: options.Committed},
+		votersChanged: make(chan struct{}, 1),
+		stop:          stop,
 	}
-	n.proposer = newProposer(ctx, rand.Text(), transport, n.announcer, n.signal)
+	n.proposer = newProposer(ctx, rand.Text(), transport, n.notifier, n.signalChange)
 	return n, &server{node: n}
 }
 
-// run starts the background work.
-func (n *Node) run() {
-	life := n.proposer.life
+// start starts the background work.
+func (n *Node) start() {
+	life := n.proposer.lifetime
 	context.AfterFunc(life, func() {
 		n.acceptor.Close()
 		n.proposer.close()
 	})
-	go n.takePart(life)
+	go n.runReplica(life)
 }
 
 // Close ends the node. Calls under way fail; their changes may be in force.
@@ -106,16 +106,16 @@
 
 // Learn takes in a committed record that another process has told of. NodeOptions.Committed isn't called with it.
 func (n *Node) Learn(record state.Record) {
-	if n.announcer.adopt(record) {
-		n.proposer.learnSet(record.Voters)
-		n.signal()
+	if n.notifier.advance(record) {
+		n.proposer.observeVoters(record.Voters)
+		n.signalChange()
 	}
 }
 
 // Latest returns the newest record that this process knows to be committed, without asking anybody; false before the
 // first one. A record of revision 0 says that a majority holds nothing yet.
 func (n *Node) Latest() (state.Record, bool) {
-	latest := n.announcer.latest.Load()
+	latest := n.notifier.latest.Load()
 	if latest == nil {
 		return state.Record{}, false
 	}
@@ -123,7 +123,7 @@
 }
 
 // Voters returns the newest set of replicas that is known to be in force; empty before one is known.
-func (n *Node) Voters() state.ReplicaSet { return n.proposer.replicas() }
+func (n *Node) Voters() state.ReplicaSet { return n.proposer.voters() }
 
 // IsVoter tells whether this process's replica votes in the newest known set.
 func (n *Node) IsVoter() bool {
@@ -138,24 +138,24 @@
 // nobody knows it any more. The vote of an absent replica may be given to a learner; two that are forgotten may be
 // left out. A wrong answer costs a replica its vote for a while, never the record.
 func (n *Node) SetAbsence(absent, forgotten func(address string) bool) {
-	n.absences.Store(&absences{absent: absent, forgotten: forgotten})
+	n.failureDetector.Store(&absences{absent: absent, forgotten: forgotten})
 }
 
 // isAbsent tells whether nobody lives at an address; all are taken for live before SetAbsence.
 func (n *Node) isAbsent(address string) bool {
-	known := n.absences.Load()
+	known := n.failureDetector.Load()
 	return known != nil && known.absent(address)
 }
 
 func (n *Node) isForgotten(address string) bool {
-	known := n.absences.Load()
+	known := n.failureDetector.Load()
 	return known != nil && known.forgotten(address)
 }
 
-// signal wakes the background work after a newer set of replicas has become known.
-func (n *Node) signal() {
+// signalChange wakes the background work after a newer set of replicas has become known.
+func (n *Node) signalChange() {
 	select {
-	case n.news <- struct{}{}:
+	case n.votersChanged <- struct{}{}:
 	default:
 	}
 }
--- a/serving/register/proposal.go
+++ b/serving/register/proposal.go
@@ -2,9 +2,9 @@
 
 import "rowanlink/serving/state"
 
-// rememberedChanges is how many of the newest changes a proposal names, so that whoever made one can tell later that
+// maxRememberedChanges is how many of the newest changes a proposal names, so that whoever made one can tell later that
 // it took effect.
-const rememberedChanges = 32
+const maxRememberedChanges = 32
 
 // ChangeID identifies one call of Proposer.Change.
 type ChangeID struct {
@@ -23,17 +23,17 @@
 
 // CommittedVoters returns a set of replicas that is certainly committed, judging by the proposal alone.
 func (p *Proposal) CommittedVoters() state.ReplicaSet {
-	if p.setPending() {
+	if p.isJoint() {
 		return p.OutgoingVoters
 	}
 	return p.Record.Voters
 }
 
-// setPending tells whether the proposal changes the set of replicas and it isn't known to be committed.
-func (p *Proposal) setPending() bool { return len(p.OutgoingVoters.Replicas) > 0 }
+// isJoint tells whether the proposal changes the set of replicas and it isn't known to be committed.
+func (p *Proposal) isJoint() bool { return len(p.OutgoingVoters.Replicas) > 0 }
 
-// includes tells whether the proposal holds the effect of a change that was made lately.
-func (p *Proposal) includes(id ChangeID) bool {
+// containsChange tells whether the proposal holds the effect of a change that was made lately.
+func (p *Proposal) containsChange(id ChangeID) bool {
 	for _, change := range p.Changes {
 		if change == id {
 			return true
@@ -52,15 +52,15 @@
 		next.OutgoingVoters = p.Record.Voters
 	}
 	kept := p.Changes
-	if len(kept) >= rememberedChanges {
-		kept = kept[len(kept)-rememberedChanges+1:]
+	if len(kept) >= maxRememberedChanges {
+		kept = kept[len(kept)-maxRememberedChanges+1:]
 	}
 	next.Changes = append(append(make([]ChangeID, 0, len(kept)+1), kept...), id)
 	return next
 }
 
-// settled returns the proposal without the former set where its own set is known to be established.
-func (p *Proposal) settled(established state.ReplicaSet) Proposal {
+// leaveJoint returns the proposal without the former set where its own set is known to be established.
+func (p *Proposal) leaveJoint(established state.ReplicaSet) Proposal {
 	settled := *p
 	if p.Record.Voters.Epoch <= established.Epoch {
 		settled.OutgoingVoters = state.ReplicaSet{}
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -13,33 +13,33 @@
 
 // Waits between tries.
 const (
-	shortestWait = 10 * time.Millisecond
-	firstWait    = 20 * time.Millisecond  // the longest wait after the first try; it doubles
-	longestWait  = 100 * time.Millisecond // what it grows to; the length of the lost try is added by chance
+	minBackoff        = 10 * time.Millisecond
+	initialMaxBackoff = 20 * time.Millisecond  // the longest wait after the first try; it doubles
+	maxBackoff        = 100 * time.Millisecond // what it grows to; the length of the lost try is added by chance
 )
 
 // Proposer runs changes and reads of the register. It is safe for use by several goroutines.
 type Proposer struct {
-	id          string
-	transport   Transport
-	life        context.Context // ends all calls
-	knowledge   *actor.Actor[knowledge]
-	announcer   *announcer
-	turn        chan struct{} // held by the one change that runs
-	sequence    uint64        // of the newest change; whoever has the turn touches it
-	established func()        // called when a newer set has become known
+	id            string
+	transport     Transport
+	lifetime      context.Context // ends all calls
+	learned       *actor.Actor[learnedState]
+	notifier      *commitNotifier
+	changeSlot    chan struct{} // held by the one change that runs
+	sequence      uint64        // of the newest change; whoever has the turn touches it
+	votersChanged func()        // called when a newer set has become known
 }
 
 // newProposer makes a proposer that knows no replicas. The ID must be new for each life of a process.
-func newProposer(life context.Context, id string, transport Transport, announcer *announcer, established func()) *Proposer {
+func newProposer(life context.Context, id string, transport Transport, announcer *commitNotifier, established func()) *Proposer {
 	return &Proposer{
-		id:          id,
-		transport:   transport,
-		life:        life,
-		knowledge:   actor.Start(&knowledge{}),
-		announcer:   announcer,
-		turn:        make(chan struct{}, 1),
-		established: established,
+		id:            id,
+		transport:     transport,
+		lifetime:      life,
+		learned:       actor.Start(&learnedState{}),
+		notifier:      announcer,
+		changeSlot:    make(chan struct{}, 1),
+		votersChanged: established,
 	}
 }
 
@@ -52,41 +52,41 @@
 // is begun, so a caller who has given up may repeat the change elsewhere.
 func (p *Proposer) Change(ctx context.Context, update Update) (state.Record, error) {
 	select {
-	case p.turn <- struct{}{}:
-		defer func() { <-p.turn }()
+	case p.changeSlot <- struct{}{}:
+		defer func() { <-p.changeSlot }()
 	case <-ctx.Done():
 		return state.Record{}, errcode.RegisterUnavailable.With("earlier changes took too long")
 	}
 	change := p.newChange(update)
-	record, err := p.carryOut(ctx, change)
-	if err == nil && change.setChanged {
-		p.settle(ctx)
+	record, err := p.runToDecision(ctx, change)
+	if err == nil && change.changesVoters {
+		p.finishReconfiguration(ctx)
 	}
 	return record, err
 }
 
-// carryOut tries until the change is decided or the context ends.
-func (p *Proposer) carryOut(ctx context.Context, change *change) (state.Record, error) {
-	last := errNoMajority
-	for ; ctx.Err() == nil && p.life.Err() == nil; change.tries++ {
+// runToDecision tries until the change is decided or the context ends.
+func (p *Proposer) runToDecision(ctx context.Context, change *change) (state.Record, error) {
+	last := errNoQuorum
+	for ; ctx.Err() == nil && p.lifetime.Err() == nil; change.attempts++ {
 		begun := time.Now()
-		record, outcome, err := p.try(ctx, change)
+		record, outcome, err := p.runAttempt(ctx, change)
 		switch outcome {
-		case decided:
+		case attemptDecided:
 			return record, err
-		case failed:
+		case attemptFailed:
 			last = err
-			ctxsleep.Sleep(ctx, retryWait(change.tries, time.Since(begun)))
-		case advanced:
+			ctxsleep.Sleep(ctx, retryBackoff(change.attempts, time.Since(begun)))
+		case attemptFinishedOther:
 		}
 	}
-	return state.Record{}, change.abandoned(last)
+	return state.Record{}, change.abandonmentError(last)
 }
 
-// settle writes the record once more after a change of the set of replicas, so that nobody needs the former set any
+// finishReconfiguration writes the record once more after a change of the set of replicas, so that nobody needs the former set any
 // more. It is done as far as the context allows; the next change or read does it otherwise.
-func (p *Proposer) settle(ctx context.Context) {
-	_, _ = p.carryOut(ctx, p.newChange(unchanged))
+func (p *Proposer) finishReconfiguration(ctx context.Context) {
+	_, _ = p.runToDecision(ctx, p.newChange(confirmOnly))
 }
 
 // newChange gives a change its ID; the caller has the turn.
@@ -95,58 +95,58 @@
 	return &change{id: ChangeID{Proposer: p.id, Sequence: p.sequence}, update: update}
 }
 
-// commit takes in a candidate that is known to be committed. A change of the voters is told only once nobody needs the
+// handleCommitted takes in a candidate that is known to be committed. A change of the voters is told only once nobody needs the
 // former set any more: whoever sees the new one may end those that were replaced.
-func (p *Proposer) commit(candidate AcceptedProposal) {
-	news, _ := actor.Call(p.knowledge, func(k *knowledge) bool { return k.committed(candidate) })
+func (p *Proposer) handleCommitted(candidate AcceptedProposal) {
+	news, _ := actor.Call(p.learned, func(k *learnedState) bool { return k.observeCommitted(candidate) })
 	if news {
-		p.established()
+		p.votersChanged()
 	}
-	if !candidate.Proposal.setPending() {
-		p.announcer.announce(candidate.Proposal.Record)
+	if !candidate.Proposal.isJoint() {
+		p.notifier.notify(candidate.Proposal.Record)
 	}
 }
 
-// learnVote takes in what a replica has told.
-func (p *Proposer) learnVote(vote *Vote) {
-	news, _ := actor.Call(p.knowledge, func(k *knowledge) bool { return k.voted(vote) })
+// observeVote takes in what a replica has told.
+func (p *Proposer) observeVote(vote *Vote) {
+	news, _ := actor.Call(p.learned, func(k *learnedState) bool { return k.observeVote(vote) })
 	if news {
-		p.established()
+		p.votersChanged()
 	}
 }
 
-// learnSet takes in a set of replicas that is known to be committed.
-func (p *Proposer) learnSet(set state.ReplicaSet) {
-	news, _ := actor.Call(p.knowledge, func(k *knowledge) bool { return k.establish(set) })
+// observeVoters takes in a set of replicas that is known to be committed.
+func (p *Proposer) observeVoters(set state.ReplicaSet) {
+	news, _ := actor.Call(p.learned, func(k *learnedState) bool { return k.observeVoters(set) })
 	if news {
-		p.established()
+		p.votersChanged()
 	}
 }
 
-// learnState takes in the state of this process's replica.
-func (p *Proposer) learnState(state *AcceptorState) {
-	p.learnVote(&Vote{Promised: state.Promised, Accepted: state.Accepted, Proposal: &state.Proposal})
+// observeOwnState takes in the state of this process's replica.
+func (p *Proposer) observeOwnState(state *AcceptorState) {
+	p.observeVote(&Vote{Promised: state.Promised, Accepted: state.Accepted, Proposal: &state.Proposal})
 }
 
-// known returns a copy of what is known; false where that is no set of replicas.
-func (p *Proposer) known() (knowledge, bool) {
-	known, ok := actor.Call(p.knowledge, func(k *knowledge) knowledge { return *k })
-	return known, ok && len(known.established.Replicas) > 0
+// learnedCopy returns a copy of what is known; false where that is no set of replicas.
+func (p *Proposer) learnedCopy() (learnedState, bool) {
+	known, ok := actor.Call(p.learned, func(k *learnedState) learnedState { return *k })
+	return known, ok && len(known.committedVoters.Replicas) > 0
 }
 
-// replicas returns the newest set that is known to be committed; empty where none is.
-func (p *Proposer) replicas() state.ReplicaSet {
-	known, _ := p.known()
-	return known.established
+// voters returns the newest set that is known to be committed; empty where none is.
+func (p *Proposer) voters() state.ReplicaSet {
+	known, _ := p.learnedCopy()
+	return known.committedVoters
 }
 
-func (p *Proposer) close() { p.knowledge.Stop() }
+func (p *Proposer) close() { p.learned.Stop() }
 
-// retryWait draws how long to wait before the next try. The bound grows with each try, and with the time that the
+// retryBackoff draws how long to wait before the next try. The bound grows with each try, and with the time that the
 // last one took, so that two proposers that are far away from a majority don't keep on outvoting each other.
-func retryWait(attempt int, took time.Duration) time.Duration {
-	most := min(firstWait<<min(attempt, 8), longestWait)
-	wait := shortestWait + rand.N(most-shortestWait)
+func retryBackoff(attempt int, took time.Duration) time.Duration {
+	most := min(initialMaxBackoff<<min(attempt, 8), maxBackoff)
+	wait := minBackoff + rand.N(most-minBackoff)
 	if took > 0 {
 		wait += rand.N(took)
 	}
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -9,24 +9,24 @@
 	"rowanlink/serving/state"
 )
 
-// queryLinger is how long a read waits for replicas beyond a majority that doesn't agree.
-const queryLinger = 100 * time.Millisecond
+// quorumGracePeriod is how long a read waits for replicas beyond a majority that doesn't agree.
+const quorumGracePeriod = 100 * time.Millisecond
 
 // Read returns the record in force: at least as new as whatever was acknowledged before the call. In the usual case
 // that is one round, and nothing is written; a change that was left half-way is finished. Errors: result.RegisterUnavailable and result.RegisterNotReady.
 func (p *Proposer) Read(ctx context.Context) (state.Record, error) {
-	last := errNoMajority
-	for attempt := 0; ctx.Err() == nil && p.life.Err() == nil; attempt++ {
-		votes, err := p.query(ctx, timeoutOf(attempt))
+	last := errNoQuorum
+	for attempt := 0; ctx.Err() == nil && p.lifetime.Err() == nil; attempt++ {
+		votes, err := p.query(ctx, attemptTimeout(attempt))
 		switch {
 		case err != nil:
 			last = err
-			ctxsleep.Sleep(ctx, retryWait(attempt, 0))
-		case votes.committed() && !votes.highest.Proposal.setPending():
-			p.commit(votes.highest)
-			return votes.highest.Proposal.Record, nil
+			ctxsleep.Sleep(ctx, retryBackoff(attempt, 0))
+		case votes.isCommitted() && !votes.highestAccepted.Proposal.isJoint():
+			p.handleCommitted(votes.highestAccepted)
+			return votes.highestAccepted.Proposal.Record, nil
 		default:
-			return p.Change(ctx, unchanged)
+			return p.Change(ctx, confirmOnly)
 		}
 	}
 	if errcode.RegisterNotReady.Is(last) {
@@ -37,15 +37,15 @@
 
 // query asks the replicas what they have accepted until a majority has answered, and a little longer where that
 // majority doesn't agree.
-func (p *Proposer) query(ctx context.Context, timeout time.Duration) (*tally, error) {
-	known, ok := p.known()
+func (p *Proposer) query(ctx context.Context, timeout time.Duration) (*prepareTally, error) {
+	known, ok := p.learnedCopy()
 	if !ok {
 		return nil, errNotReady()
 	}
-	votes := newTally(known.established, known.newest)
+	votes := newPrepareTally(known.committedVoters, known.highestAccepted)
 	query := p.newRound(votes, timeout, func(ctx context.Context, replica state.Replica) (*Vote, error) {
 		return p.transport.Query(ctx, replica.Address, &QueryRequest{ReplicaID: replica.ID,
-			KnownBallot: known.newest.Ballot, Epoch: known.established.Epoch})
+			KnownBallot: known.highestAccepted.Ballot, Epoch: known.committedVoters.Epoch})
 	})
-	return votes, query.runUntil(ctx, votes.committed, queryLinger)
+	return votes, query.runUntil(ctx, votes.isCommitted, quorumGracePeriod)
 }
--- a/serving/register/takepart.go
+++ b/serving/register/replicalifecycle.go
@@ -16,51 +16,51 @@
 
 // Times of taking part.
 const (
-	joinTry      = time.Second            // bounds one try to read or join
-	joinWait     = 50 * time.Millisecond  // before the second try; it grows by half with each
-	joinWaitMost = time.Second            // what it grows to
-	loadWait     = 200 * time.Millisecond // between tries to read the store
-	complainFrom = 8                      // failed tries in a row after which a line is logged
-	seatInterval = 500 * time.Millisecond // between two looks of a learner for a vote that is free
+	joinAttemptTimeout  = time.Second            // bounds one try to read or join
+	minJoinBackoff      = 50 * time.Millisecond  // before the second try; it grows by half with each
+	maxJoinBackoff      = time.Second            // what it grows to
+	loadRetryInterval   = 200 * time.Millisecond // between tries to read the store
+	failuresBeforeLog   = 8                      // failed tries in a row after which a line is logged
+	learnerPollInterval = 500 * time.Millisecond // between two looks of a learner for a vote that is free
 )
 
-// takePart loads the replica's state and then sees to it that the replica knows what is in force and has its place, as
+// runReplica loads the replica's state and then sees to it that the replica knows what is in force and has its place, as
 // a voter or a learner: after the start, and whenever a newer set of replicas has become known.
-func (n *Node) takePart(ctx context.Context) {
-	if !n.load(ctx) {
+func (n *Node) runReplica(ctx context.Context) {
+	if !n.loadReplica(ctx) {
 		return
 	}
-	failures, wait, part := 0, joinWait, noPart
-	for ctx.Err() == nil && !n.leaving.Load() {
-		if err := n.settleIn(ctx, failures > 0); err != nil {
-			if failures++; failures == complainFrom {
+	failures, wait, part := 0, minJoinBackoff, roleUnknown
+	for ctx.Err() == nil && !n.transferring.Load() {
+		if err := n.synchronize(ctx, failures > 0); err != nil {
+			if failures++; failures == failuresBeforeLog {
 				event.ReplicaWithoutMajority.Log(n.log).Err(err).Send()
 			}
-			part = noPart
+			part = roleUnknown
 			ctxsleep.Sleep(ctx, wait)
-			wait = min(wait*3/2, joinWaitMost)
+			wait = min(wait*3/2, maxJoinBackoff)
 			continue
 		}
-		failures, wait = 0, joinWait
-		part = n.report(part)
-		n.awaitNews(ctx, part)
+		failures, wait = 0, minJoinBackoff
+		part = n.logRoleChange(part)
+		n.awaitChange(ctx, part)
 	}
 }
 
-// part is what a replica does in the register.
-type part uint8
+// replicaRole is what a replica does in the register.
+type replicaRole uint8
 
 const (
-	noPart  part = iota // not known yet
-	learner             // keeps the committed record, and waits for a vote
-	voter
+	roleUnknown replicaRole = iota // not known yet
+	roleLearner                    // keeps the committed record, and waits for a vote
+	roleVoter
 )
 
-// report logs what the replica does now where that has changed.
-func (n *Node) report(before part) part {
-	now, kind := learner, event.ReplicaIsLearner
+// logRoleChange logs what the replica does now where that has changed.
+func (n *Node) logRoleChange(before replicaRole) replicaRole {
+	now, kind := roleLearner, event.ReplicaIsLearner
 	if n.IsVoter() {
-		now, kind = voter, event.ReplicaJoined
+		now, kind = roleVoter, event.ReplicaJoined
 	}
 	if now != before {
 		own, _ := n.acceptor.State()
@@ -69,13 +69,13 @@
 	return now
 }
 
-// awaitNews returns when a voter has lost its vote, when a learner may have something to do, or when the node ends.
-func (n *Node) awaitNews(ctx context.Context, as part) {
-	if as == learner {
-		timer := time.NewTimer(seatInterval)
+// awaitChange returns when a voter has lost its vote, when a learner may have something to do, or when the node ends.
+func (n *Node) awaitChange(ctx context.Context, as replicaRole) {
+	if as == roleLearner {
+		timer := time.NewTimer(learnerPollInterval)
 		defer timer.Stop()
 		select {
-		case <-n.news:
+		case <-n.votersChanged:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -83,16 +83,16 @@
 	}
 	for n.IsVoter() {
 		select {
-		case <-n.news:
+		case <-n.votersChanged:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// load reads the store, with patience, and begins a new replica where there is none. It returns false when the node
+// loadReplica reads the store, with patience, and begins a new replica where there is none. It returns false when the node
 // ends first.
-func (n *Node) load(ctx context.Context) bool {
+func (n *Node) loadReplica(ctx context.Context) bool {
 	complained := false
 	for ctx.Err() == nil {
 		own, found, err := n.loadState()
@@ -100,14 +100,14 @@
 			err = n.acceptor.Install(ctx, own, !found)
 		}
 		if err == nil {
-			n.began(&own, found)
+			n.replicaStarted(&own, found)
 			return true
 		}
 		if !complained && ctx.Err() == nil {
 			complained = true
 			event.ReplicaStoreUnreadable.Log(n.log).Err(err).Send()
 		}
-		ctxsleep.Sleep(ctx, loadWait)
+		ctxsleep.Sleep(ctx, loadRetryInterval)
 	}
 	return false
 }
@@ -122,14 +122,14 @@
 	case err != nil:
 		return AcceptorState{}, false, err
 	case !found:
-		return firstState(n.settings, rand.Text()), false, nil
+		return initialState(n.settings, rand.Text()), false, nil
 	}
 	return saved, true, nil
 }
 
-// began takes in the state that the replica starts with.
-func (n *Node) began(own *AcceptorState, found bool) {
-	n.proposer.learnState(own)
+// replicaStarted takes in the state that the replica starts with.
+func (n *Node) replicaStarted(own *AcceptorState, found bool) {
+	n.proposer.observeOwnState(own)
 	kind := event.ReplicaCreated
 	if found {
 		kind = event.ReplicaRestored
@@ -137,9 +137,9 @@
 	kind.Log(n.log).Str("replica", own.ReplicaID).Uint64("revision", own.Proposal.Record.Revision).Send()
 }
 
-// settleIn makes one try to learn what is in force, and to get a vote where one is to be had.
-func (n *Node) settleIn(ctx context.Context, again bool) error {
-	ctx, cancel := context.WithTimeout(ctx, joinTry)
+// synchronize makes one try to learn what is in force, and to get a vote where one is to be had.
+func (n *Node) synchronize(ctx context.Context, again bool) error {
+	ctx, cancel := context.WithTimeout(ctx, joinAttemptTimeout)
 	defer cancel()
 	absent := n.isAbsent
 	if again || len(n.Voters().Replicas) == 0 {
@@ -152,14 +152,14 @@
 	if len(n.Voters().Replicas) == 0 {
 		return errcode.RegisterNotReady.With("no other process knows the replicas")
 	}
-	own, err := n.ownReplica()
+	own, err := n.joiningReplica()
 	if err != nil {
 		return err
 	}
 	if err := n.catchUp(ctx); err != nil {
 		return err
 	}
-	return n.takeSeat(ctx, own, absent)
+	return n.claimVote(ctx, own, absent)
 }
 
 // catchUp keeps the newest committed record on disk. Once in each life a learner asks a majority for it, whatever it
@@ -178,45 +178,45 @@
 	return nil
 }
 
-// takeSeat makes the own replica a voter where it succeeds one that has lost its disk, or where a voter is absent and
+// claimVote makes the own replica a voter where it succeeds one that has lost its disk, or where a voter is absent and
 // this learner is the one that fits best: of many learners that try at once, each would outvote the others. All else is
 // left to the holder of the duty, see Repair.
-func (n *Node) takeSeat(ctx context.Context, own state.Replica, absent func(address string) bool) error {
-	all := n.seating(n.possibleLearners())
-	all.absent = absent
-	next, free := all.nextSeat(n.Voters().Replicas)
+func (n *Node) claimVote(ctx context.Context, own state.Replica, absent func(address string) bool) error {
+	all := n.voterPlacement(n.potentialLearners())
+	all.isDown = absent
+	next, free := all.replaceUnavailable(n.Voters().Replicas)
 	fits := func(voter state.Replica) bool { return voter.ID == own.ID }
 	if !free || !slices.ContainsFunc(next, fits) {
 		return nil
 	}
-	seats := n.seating([]state.Replica{own})
-	seats.absent = absent
-	_, err := n.Change(ctx, replaceVoters(seats.nextSeat))
+	seats := n.voterPlacement([]state.Replica{own})
+	seats.isDown = absent
+	_, err := n.Change(ctx, placementUpdate(seats.replaceUnavailable))
 	return err
 }
 
-// ownReplica returns this process's replica as it may join. Where it was a member of an earlier set it gets a new
+// joiningReplica returns this process's replica as it may join. Where it was a member of an earlier set it gets a new
 // ID and an empty state, as after the loss of its disk: calls that were meant for the one that was replaced must not
 // reach the one that joins.
-func (n *Node) ownReplica() (state.Replica, error) {
+func (n *Node) joiningReplica() (state.Replica, error) {
 	own, _ := n.acceptor.State()
-	if own.expelled(n.Voters()) {
+	if own.removedFrom(n.Voters()) {
 		event.ReplicaExpelled.Log(n.log).Str("replica", own.ReplicaID).Send()
 		own = AcceptorState{ReplicaID: rand.Text()}
 		if latest, known := n.Latest(); known {
 			own.Learned = latest
 		}
 		// The install may wait for the disk for longer than this try; a second ID must not be drawn meanwhile.
-		if err := n.acceptor.Install(n.proposer.life, own, true); err != nil {
+		if err := n.acceptor.Install(n.proposer.lifetime, own, true); err != nil {
 			return state.Replica{}, err
 		}
 	}
 	return state.Replica{ID: own.ReplicaID, Address: n.settings.InnerAddress()}, nil
 }
 
-// expelled tells whether a replica was a member and, by an established set, is one no more. A replica that has
+// removedFrom tells whether a replica was a member and, by an established set, is one no more. A replica that has
 // accepted its own joining, but doesn't know whether that is committed, is not.
-func (s *AcceptorState) expelled(established state.ReplicaSet) bool {
+func (s *AcceptorState) removedFrom(established state.ReplicaSet) bool {
 	accepted := s.Proposal.Record.Voters
 	if len(accepted.Replicas) == 0 || established.Contains(s.ReplicaID) {
 		return false
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -22,7 +22,7 @@
 	mutex     sync.Mutex // of replicas, while a try runs
 	replicas  map[string]*AcceptorState
 	order     []string
-	proposers map[string]*knowledge
+	proposers map[string]*learnedState
 	changes   map[string]*change // by proposer and name: a name used again is another try of the same change
 }
 
@@ -35,15 +35,15 @@
 var _ Transport = (*reach)(nil)
 
 func (r *reach) Prepare(ctx context.Context, to string, request *PrepareRequest) (*Vote, error) {
-	return r.vote(ctx, to, r.prepare, func(s AcceptorState) step { return s.prepare(request) })
+	return r.vote(ctx, to, r.prepare, func(s AcceptorState) transition { return s.prepare(request) })
 }
 
 func (r *reach) Accept(ctx context.Context, to string, request *AcceptRequest) (*Vote, error) {
-	return r.vote(ctx, to, r.accept, func(s AcceptorState) step { return s.accept(request) })
+	return r.vote(ctx, to, r.accept, func(s AcceptorState) transition { return s.accept(request) })
 }
 
 func (r *reach) Query(ctx context.Context, to string, request *QueryRequest) (*Vote, error) {
-	return r.vote(ctx, to, r.query, func(s AcceptorState) step { return step{vote: s.query(request)} })
+	return r.vote(ctx, to, r.query, func(s AcceptorState) transition { return transition{vote: s.query(request)} })
 }
 
 func (r *reach) Describe(context.Context, string, *DescribeRequest) (*Description, error) {
@@ -51,7 +51,7 @@
 }
 
 // vote lets the silent ones be silent for as long as a call lasts, so that all answers come before.
-func (r *reach) vote(ctx context.Context, to string, reached []string, decision func(AcceptorState) step) (*Vote, error) {
+func (r *reach) vote(ctx context.Context, to string, reached []string, decision func(AcceptorState) transition) (*Vote, error) {
 	if !slices.Contains(reached, to) {
 		return hang[Vote](ctx)
 	}
@@ -116,38 +116,38 @@
 func (s *script) propose(t *testing.T, data *datadriven.TestData) string {
 	id := word(data, "by")
 	if s.proposers[id] == nil {
-		s.proposers[id] = &knowledge{established: state.ReplicaSet{Replicas: replicasNamed(argument(data, "knows"))}}
+		s.proposers[id] = &learnedState{committedVoters: state.ReplicaSet{Replicas: replicasNamed(argument(data, "knows"))}}
 	}
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
 	reached := &reach{script: s, prepare: argument(data, "prepare"), accept: argument(data, "accept"),
 		query: argument(data, "query")}
-	p := newProposer(life, id, reached, &announcer{}, func() {})
+	p := newProposer(life, id, reached, &commitNotifier{}, func() {})
 	defer p.close()
-	p.knowledge.Send(func(k *knowledge) { *k = *s.proposers[id] })
+	p.learned.Send(func(k *learnedState) { *k = *s.proposers[id] })
 	defer func() {
-		known, _ := actor.Call(p.knowledge, func(k *knowledge) knowledge { return *k })
+		known, _ := actor.Call(p.learned, func(k *learnedState) learnedState { return *k })
 		s.proposers[id] = &known
 	}()
 	if data.Cmd == "read" {
 		return s.query(t, p)
 	}
-	record, outcome, err := p.try(life, s.change(t, id, data))
+	record, outcome, err := p.runAttempt(life, s.change(t, id, data))
 	synctest.Wait()
-	if outcome == advanced {
+	if outcome == attemptFinishedOther {
 		return "advanced\n"
 	}
 	return fmt.Sprintf("%s%s\n", [...]string{"decided", "failed"}[outcome], printedResult(&record, err))
 }
 
 func (s *script) query(t *testing.T, p *Proposer) string {
-	votes, err := p.query(p.life, callTimeout)
+	votes, err := p.query(p.lifetime, callTimeout)
 	synctest.Wait()
 	if err != nil {
 		return fmt.Sprintf("error: %v\n", err)
 	}
-	require.True(t, votes.complete())
-	return fmt.Sprintf("committed=%v revision=%d\n", votes.committed(), votes.highest.Proposal.Record.Revision)
+	require.True(t, votes.hasQuorum())
+	return fmt.Sprintf("committed=%v revision=%d\n", votes.isCommitted(), votes.highestAccepted.Proposal.Record.Revision)
 }
 
 func (s *script) change(t *testing.T, proposer string, data *datadriven.TestData) *change {
@@ -162,7 +162,7 @@
 
 func scriptedUpdate(t *testing.T, words []string) Update {
 	if len(words) == 0 {
-		return unchanged
+		return confirmOnly
 	}
 	number := func(position int) (n uint64) {
 		_, err := fmt.Sscan(words[position], &n)
@@ -214,7 +214,7 @@
 	for _, name := range s.order {
 		held := s.replicas[name]
 		former := ""
-		if held.Proposal.setPending() {
+		if held.Proposal.isJoint() {
 			former = " pending"
 		}
 		fmt.Fprintf(&lines, "%s promised=%d%s accepted=%d%s %s%s\n", held.ReplicaID, held.Promised.Number,
@@ -225,7 +225,7 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		s := &script{replicas: map[string]*AcceptorState{}, proposers: map[string]*knowledge{}, changes: map[string]*change{}}
+		s := &script{replicas: map[string]*AcceptorState{}, proposers: map[string]*learnedState{}, changes: map[string]*change{}}
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string { return s.run(t, data) })
 	})
 }
--- a/serving/register/server.go
+++ b/serving/register/server.go
@@ -7,24 +7,24 @@
 
 func (s *server) Prepare(ctx context.Context, request *PrepareRequest) (*Vote, error) {
 	vote, err := s.node.acceptor.Prepare(ctx, request)
-	return s.informed(vote, request.Epoch), err
+	return s.withCommittedVoters(vote, request.Epoch), err
 }
 
 func (s *server) Accept(ctx context.Context, request *AcceptRequest) (*Vote, error) {
 	vote, err := s.node.acceptor.Accept(ctx, request)
 	if err == nil && vote.Result == Granted {
-		s.node.proposer.learnSet(request.Proposal.CommittedVoters())
+		s.node.proposer.observeVoters(request.Proposal.CommittedVoters())
 	}
-	return s.informed(vote, request.Epoch), err
+	return s.withCommittedVoters(vote, request.Epoch), err
 }
 
 func (s *server) Query(ctx context.Context, request *QueryRequest) (*Vote, error) {
 	vote, err := s.node.acceptor.Query(ctx, request)
-	return s.informed(vote, request.Epoch), err
+	return s.withCommittedVoters(vote, request.Epoch), err
 }
 
-// informed adds the set of replicas in force where the caller goes by an older one.
-func (s *server) informed(vote *Vote, epoch uint64) *Vote {
+// withCommittedVoters adds the set of replicas in force where the caller goes by an older one.
+func (s *server) withCommittedVoters(vote *Vote, epoch uint64) *Vote {
 	if set := s.node.Voters(); vote != nil && set.Epoch > epoch {
 		vote.CommittedVoters = &set
 	}
@@ -34,8 +34,8 @@
 func (s *server) Describe(context.Context, *DescribeRequest) (*Description, error) {
 	set := s.node.Voters()
 	description := &Description{CommittedVoters: set}
-	if own, ok := s.node.learner(); ok {
-		description.Learner, description.LearnerRevision = own.replica, own.held
+	if own, ok := s.node.caughtUpLearner(); ok {
+		description.Learner, description.LearnerRevision = own.replica, own.revision
 	}
 	for _, replica := range set.Replicas {
 		if s.node.isAbsent(replica.Address) {
--- a/serving/register/machine_test.go
+++ b/serving/register/simulatedmachine_test.go
@@ -64,7 +64,7 @@
 	life.node, life.server = newNode(ctx, options, &wire{simulation: m.simulation, from: life})
 	life.node.SetAbsence(m.simulation.isDown, func(string) bool { return false })
 	m.process, m.started = life, true
-	life.node.run()
+	life.node.start()
 	go life.keep(ctx)
 }
 
@@ -123,7 +123,7 @@
 
 // retire adds a successor and ends a machine by plan, for good if its vote was handed over.
 func (s *simulation) retire(m *machine) {
-	if len(s.all()) < leastVoters || m.running() == nil {
+	if len(s.all()) < minVoters || m.running() == nil {
 		return
 	}
 	successor := s.addNext()
--- a/serving/register/simulation_test.go
+++ b/serving/register/simulation_test.go
@@ -117,7 +117,7 @@
 	if machines%2 == 0 {
 		machines--
 	}
-	return min(machines, max(leastVoters, 2*s.losses+1))
+	return min(machines, max(minVoters, 2*s.losses+1))
 }
 
 // isDown is what the nodes' failure detector says: it sees processes that don't run, and is mistaken at times.
@@ -191,7 +191,7 @@
 		epoch = set.Epoch
 		if process.node.IsVoter() {
 			voters[m.address] = true
-		} else if _, ready := process.node.learner(); !ready {
+		} else if _, ready := process.node.caughtUpLearner(); !ready {
 			return false
 		}
 	}
--- a/serving/register/transport.go
+++ b/serving/register/transport.go
@@ -11,14 +11,14 @@
 // Bounds of one call to one replica. A replica that is slower counts as silent.
 const (
 	callTimeout = 700 * time.Millisecond
-	// firstTimeout is the bound of the first try of a prepare or query, which loses nothing by being sent again: a call
+	// initialCallTimeout is the bound of the first try of a prepare or query, which loses nothing by being sent again: a call
 	// that went out just before its replica came back hangs, the next one doesn't. The bound grows with each try.
-	firstTimeout = 250 * time.Millisecond
+	initialCallTimeout = 250 * time.Millisecond
 )
 
-// timeoutOf returns the bound of the calls of a try, counted from 0.
-func timeoutOf(attempt int) time.Duration {
-	return min(firstTimeout*time.Duration(attempt+1), callTimeout)
+// attemptTimeout returns the bound of the calls of a try, counted from 0.
+func attemptTimeout(attempt int) time.Duration {
+	return min(initialCallTimeout*time.Duration(attempt+1), callTimeout)
 }
 
 // Transport carries calls to the replica at an address. An error stands for silence: nothing is known of whether the
@@ -38,40 +38,40 @@
 	Describe(ctx context.Context, request *DescribeRequest) (*Description, error)
 }
 
-// network carries calls over rpc, and those to the replica of the same process directly.
-type network struct {
+// rpcTransport carries calls over rpc, and those to the replica of the same process directly.
+type rpcTransport struct {
 	client *rpc.Client
 	own    string
 	local  Server
 }
 
-func (n *network) Prepare(ctx context.Context, address string, request *PrepareRequest) (*Vote, error) {
+func (n *rpcTransport) Prepare(ctx context.Context, address string, request *PrepareRequest) (*Vote, error) {
 	if address == n.own {
 		return n.local.Prepare(ctx, request)
 	}
 	return prepareMethod.Call(ctx, n.client, address, request)
 }
 
-func (n *network) Accept(ctx context.Context, address string, request *AcceptRequest) (*Vote, error) {
+func (n *rpcTransport) Accept(ctx context.Context, address string, request *AcceptRequest) (*Vote, error) {
 	if address == n.own {
 		return n.local.Accept(ctx, request)
 	}
 	return acceptMethod.Call(ctx, n.client, address, request)
 }
 
-func (n *network) Query(ctx context.Context, address string, request *QueryRequest) (*Vote, error) {
+func (n *rpcTransport) Query(ctx context.Context, address string, request *QueryRequest) (*Vote, error) {
 	if address == n.own {
 		return n.local.Query(ctx, request)
 	}
 	return queryMethod.Call(ctx, n.client, address, request)
 }
 
-func (n *network) Describe(ctx context.Context, address string, request *DescribeRequest) (*Description, error) {
+func (n *rpcTransport) Describe(ctx context.Context, address string, request *DescribeRequest) (*Description, error) {
 	return describeMethod.Call(ctx, n.client, address, request)
 }
 
-// serve registers the calls. Each is bounded, also where the caller names no bound.
-func serve(mux *http.ServeMux, server Server) {
+// registerHandlers registers the calls. Each is bounded, also where the caller names no bound.
+func registerHandlers(mux *http.ServeMux, server Server) {
 	prepareMethod.Serve(mux, bounded(server.Prepare))
 	acceptMethod.Serve(mux, bounded(server.Accept))
 	queryMethod.Serve(mux, bounded(server.Query))
@@ -88,4 +88,4 @@
 	}
 }
 
-var _ Transport = (*network)(nil)
+var _ Transport = (*rpcTransport)(nil)
--- a/serving/register/unfinished_test.go
+++ b/serving/register/uncommitted_test.go
@@ -70,7 +70,7 @@
 	for point := range 60 {
 		inSimulation(t, 4, func(t *testing.T, s *simulation) {
 			former, _ := s.machines[0].running().node.acceptor.State()
-			successor, _ := s.machines[3].running().node.learner()
+			successor, _ := s.machines[3].running().node.caughtUpLearner()
 			node := s.machines[1].running().node
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(point)*time.Millisecond)
 			defer cancel()
@@ -95,5 +95,5 @@
 func (s *simulation) newestIsPending(t *testing.T, asking *Node) bool {
 	votes, err := asking.proposer.query(t.Context(), time.Second)
 	require.NoError(t, err)
-	return votes.highest.Proposal.setPending()
+	return votes.highestAccepted.Proposal.isJoint()
 }
--- a/serving/register/updates.go
+++ b/serving/register/update.go
@@ -33,10 +33,10 @@
 		if current.Version == configuration.Version && current.Digest == configuration.Digest {
 			return record, ErrNoChange // an amendment may have made it
 		}
-		if err := checkOrder(&record, basedOn, order); err != nil {
+		if err := checkBase(&record, basedOn, order); err != nil {
 			return record, err
 		}
-		return succeeded(record, configuration, order), nil
+		return withConfiguration(record, configuration, order), nil
 	}
 }
 
@@ -46,19 +46,19 @@
 func AmendConfiguration(basedOn uint64, order state.AppliedUpdate,
 	amend func(state.Configuration) (state.Configuration, error)) Update {
 	return func(record state.Record) (state.Record, error) {
-		if err := checkOrder(&record, basedOn, order); err != nil {
+		if err := checkBase(&record, basedOn, order); err != nil {
 			return record, err
 		}
 		configuration, err := amend(record.Configuration)
 		if err != nil {
 			return record, err
 		}
-		return succeeded(record, configuration, order), nil
+		return withConfiguration(record, configuration, order), nil
 	}
 }
 
-// checkOrder tells why an order on version basedOn can't be carried out: ErrNoChange where it was before.
-func checkOrder(record *state.Record, basedOn uint64, order state.AppliedUpdate) error {
+// checkBase tells why an order on version basedOn can't be carried out: ErrNoChange where it was before.
+func checkBase(record *state.Record, basedOn uint64, order state.AppliedUpdate) error {
 	current := record.Configuration.Version
 	switch {
 	case record.WasApplied(order.Version, order.Digest):
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// succeeded is the record with the configuration that an order has put in force.
-func succeeded(record state.Record, configuration state.Configuration, order state.AppliedUpdate) state.Record {
+// withConfiguration is the record with the configuration that an order has put in force.
+func withConfiguration(record state.Record, configuration state.Configuration, order state.AppliedUpdate) state.Record {
 	record.Configuration = configuration
 	record.History = append(slices.Clone(record.History), order)
 	if excess := len(record.History) - state.MaxHistory; excess > 0 {
@@ -103,5 +103,5 @@
 	}
 }
 
-// unchanged is the update that only makes sure that what is newest is committed.
-func unchanged(record state.Record) (state.Record, error) { return record, ErrNoChange }
+// confirmOnly is the update that only makes sure that what is newest is committed.
+func confirmOnly(record state.Record) (state.Record, error) { return record, ErrNoChange }
--- a/serving/register/updates_test.go
+++ b/serving/register/update_test.go
@@ -148,15 +148,15 @@
 func TestFirstStateIsGenesisOnlyAtTheVeryFirstStartOnASeed(t *testing.T) {
 	process := &settings.Process{IP: "10.0.0.2", FirstPort: 7660, FirstRun: true,
 		Seeds: []string{"10.0.0.3:80", "10.0.0.1:80", "10.0.0.2:80", "no address"}}
-	first := firstState(process, "new")
+	first := initialState(process, "new")
 	assert.Equal(t, "genesis-10.0.0.2:7660", first.ReplicaID)
 	assert.Equal(t, []state.Replica{{ID: "genesis-10.0.0.1:7660", Address: "10.0.0.1:7660"},
 		{ID: "genesis-10.0.0.2:7660", Address: "10.0.0.2:7660"},
 		{ID: "genesis-10.0.0.3:7660", Address: "10.0.0.3:7660"}}, first.Proposal.Record.Voters.Replicas)
 	process.FirstRun = false
-	assert.Equal(t, AcceptorState{ReplicaID: "new"}, firstState(process, "new"), "a later start: its disk was lost")
+	assert.Equal(t, AcceptorState{ReplicaID: "new"}, initialState(process, "new"), "a later start: its disk was lost")
 	process.FirstRun, process.IP = true, "10.0.0.4"
-	assert.Equal(t, AcceptorState{ReplicaID: "new"}, firstState(process, "new"), "not among the seeds")
+	assert.Equal(t, AcceptorState{ReplicaID: "new"}, initialState(process, "new"), "not among the seeds")
 }
 
 func ids(set state.ReplicaSet) (all []string) {
@@ -192,11 +192,11 @@
 
 func TestProposalRemembersTheNewestChanges(t *testing.T) {
 	proposal := Proposal{}
-	for sequence := range uint64(rememberedChanges + 5) {
+	for sequence := range uint64(maxRememberedChanges + 5) {
 		proposal = proposal.successor(proposal.Record, ChangeID{Proposer: "p", Sequence: sequence}, false)
 	}
-	assert.Len(t, proposal.Changes, rememberedChanges)
-	assert.False(t, proposal.includes(ChangeID{Proposer: "p", Sequence: 4}))
-	assert.True(t, proposal.includes(ChangeID{Proposer: "p", Sequence: 5}))
-	assert.True(t, proposal.includes(ChangeID{Proposer: "p", Sequence: rememberedChanges + 4}))
+	assert.Len(t, proposal.Changes, maxRememberedChanges)
+	assert.False(t, proposal.containsChange(ChangeID{Proposer: "p", Sequence: 4}))
+	assert.True(t, proposal.containsChange(ChangeID{Proposer: "p", Sequence: 5}))
+	assert.True(t, proposal.containsChange(ChangeID{Proposer: "p", Sequence: maxRememberedChanges + 4}))
 }
--- a/serving/register/seats_test.go
+++ b/serving/register/voterplacement_test.go
@@ -13,12 +13,12 @@
 )
 
 // seatsOf makes a seating where addresses are names, and a name's first letter is its zone; wanted voters are 3.
-func seatsOf(learners, absent, forgotten string) *seating {
+func seatsOf(learners, absent, forgotten string) *voterPlacement {
 	within := func(names string) func(string) bool {
 		return func(address string) bool { return strings.Contains(" "+names+" ", " "+address+" ") }
 	}
-	return &seating{wanted: 3, absent: within(absent), forgotten: within(forgotten),
-		zone: func(address string) string { return address[:1] }, learners: replicasAt(strings.Fields(learners))}
+	return &voterPlacement{desiredVoters: 3, isDown: within(absent), isExpired: within(forgotten),
+		zoneOf: func(address string) string { return address[:1] }, learners: replicasAt(strings.Fields(learners))}
 }
 
 // replicasAt are replicas whose IDs and addresses are the names.
@@ -54,8 +54,8 @@
 		{name: "not into another full zone", voters: "a1 a2 c", learners: "c2", expected: ""},
 	} {
 		seats := seatsOf(tried.learners, tried.absent, tried.forgotten)
-		seats.wanted = max(3, tried.wanted)
-		next, changed := seats.next(replicasAt(strings.Fields(tried.voters)))
+		seats.desiredVoters = max(3, tried.wanted)
+		next, changed := seats.nextVoters(replicasAt(strings.Fields(tried.voters)))
 		assert.Equal(t, tried.expected, strings.Join(ids(state.ReplicaSet{Replicas: next}), " "), tried.name)
 		assert.Equal(t, tried.expected != "", changed, tried.name)
 	}
@@ -64,28 +64,28 @@
 func TestSuccessorTakesThePlaceOfItsOwnAddressFirst(t *testing.T) {
 	seats := seatsOf("", "b", "")
 	seats.learners = []state.Replica{{ID: "c2", Address: "c"}}
-	next, _ := seats.nextSeat(replicasAt([]string{"a", "b", "c"}))
+	next, _ := seats.replaceUnavailable(replicasAt([]string{"a", "b", "c"}))
 	assert.Equal(t, []string{"a", "b", "c2"}, ids(state.ReplicaSet{Replicas: next}), "though another is absent")
 }
 
 func TestHandOverGoesToTheLearnerThatFits(t *testing.T) {
 	seats := seatsOf("b2 d", "", "")
-	next, changed := seats.handOver(replicasAt([]string{"a", "b", "c"}), "a")
+	next, changed := seats.transferVote(replicasAt([]string{"a", "b", "c"}), "a")
 	assert.True(t, changed)
 	assert.Equal(t, []string{"d", "b", "c"}, ids(state.ReplicaSet{Replicas: next}))
-	_, changed = seats.handOver(replicasAt([]string{"a", "b", "c"}), "d")
+	_, changed = seats.transferVote(replicasAt([]string{"a", "b", "c"}), "d")
 	assert.False(t, changed, "it has no vote")
-	_, changed = seatsOf("", "", "").handOver(replicasAt([]string{"a", "b", "c"}), "a")
+	_, changed = seatsOf("", "", "").transferVote(replicasAt([]string{"a", "b", "c"}), "a")
 	assert.False(t, changed, "no learner")
 }
 
 func TestVotersWanted(t *testing.T) {
 	process := &settings.Process{}
-	assert.Equal(t, 3, votersWanted(process))
+	assert.Equal(t, 3, desiredVoterCount(process))
 	process.Withstand = settings.Withstand{MachineLosses: 1, Zones: 1}
-	assert.Equal(t, 3, votersWanted(process))
+	assert.Equal(t, 3, desiredVoterCount(process))
 	process.Withstand.MachineLosses = 2
-	assert.Equal(t, 5, votersWanted(process))
+	assert.Equal(t, 5, desiredVoterCount(process))
 }
 
 // Whatever the voters, learners and absences are: steps end, odd sets stay odd, a step changes a set by two at most,
@@ -107,9 +107,9 @@
 			}
 		}
 		seats := seatsOf(strings.Join(learners, " "), strings.Join(absent, " "), "")
-		seats.wanted = rapid.SampledFrom([]int{3, 5, 7}).Draw(rt, "wanted")
+		seats.desiredVoters = rapid.SampledFrom([]int{3, 5, 7}).Draw(rt, "wanted")
 		for step := 0; ; step++ {
-			next, changed := seats.next(voters)
+			next, changed := seats.nextVoters(voters)
 			if !changed {
 				break
 			}
@@ -124,10 +124,10 @@
 			}
 			voters = next
 		}
-		if len(voters) > seats.wanted {
+		if len(voters) > seats.desiredVoters {
 			rt.Fatalf("too many: %v", voters)
 		}
-		if seats.firstAbsent(voters) >= 0 && len(seats.free(voters)) > 0 {
+		if seats.firstDown(voters) >= 0 && len(seats.availableLearners(voters)) > 0 {
 			rt.Fatalf("an absent voter could be replaced: %v", voters)
 		}
 	})
--- a/serving/register/voters_test.go
+++ b/serving/register/voters_test.go
@@ -132,7 +132,7 @@
 			require.NoError(t, s.replace(s.machines[0], 1, version, version+1))
 		}
 		behind.start()
-		_, ready := behind.running().node.learner()
+		_, ready := behind.running().node.caughtUpLearner()
 		assert.False(t, ready, "what it has on disk is from before")
 		s.awaitSettled(joinBound)
 		held, _ := behind.running().node.acceptor.State()
