--- a/serving/core/absences_test.go
+++ b/serving/core/failuredetector_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/state"
 )
 
-// fakeMembers implements memberships.
+// fakeMembers implements memberLister.
 type fakeMembers struct{ live, down, left []state.Member }
 
 func (f fakeMembers) Members() []state.Member     { return f.live }
@@ -25,16 +25,16 @@
 		return members
 	}
 	started := time.Unix(1000, 0)
-	a := &absences{started: started, mesh: fakeMembers{live: at("live", "again"), down: at("down"), left: at("left", "again")}}
-	a.now = func() time.Time { return started }
+	d := &failureDetector{started: started, members: fakeMembers{live: at("live", "again"), down: at("down"), left: at("left", "again")}}
+	d.now = func() time.Time { return started }
 	for address, want := range map[string]bool{"live": false, "down": true, "left": true, "again": false, "unknown": false} {
-		assert.Equal(t, want, a.absent(address), address)
+		assert.Equal(t, want, d.IsDown(address), address)
 	}
-	a.now = func() time.Time { return started.Add(membership.RetentionPeriod + 1) }
-	assert.True(t, a.absent("unknown"), "forgotten")
-	assert.True(t, a.forgotten("unknown"))
+	d.now = func() time.Time { return started.Add(membership.RetentionPeriod + 1) }
+	assert.True(t, d.IsDown("unknown"), "forgotten")
+	assert.True(t, d.IsExpired("unknown"))
 	for _, address := range []string{"live", "down", "left", "again"} {
-		assert.False(t, a.forgotten(address), address)
+		assert.False(t, d.IsExpired(address), address)
 	}
-	assert.False(t, a.absent("live"))
+	assert.False(t, d.IsDown("live"))
 }
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -112,8 +112,8 @@
 	if err != nil {
 		return nil, err
 	}
-	gone := &absences{mesh: joined, started: time.Now(), now: time.Now}
-	node.SetAbsence(gone.absent, gone.forgotten)
+	detector := &failureDetector{members: joined, started: time.Now(), now: time.Now}
+	node.SetFailureDetector(detector)
 	records.subscribe(node)
 	return node, nil
 }
--- a/serving/register/acceptor.go
+++ b/serving/register/acceptor.go
@@ -12,78 +12,81 @@
 	"rowanlink/serving/state"
 )
 
-// maxQueuedRequests is how many requests may wait for the disk. Proposers give up and ask again, so what comes on top
-// has nobody who still waits for it soon.
+// maxQueuedRequests bounds the requests that wait for the disk. Proposers time out and retry, so the senders of further
+// requests would no longer be waiting when their turn came.
 const maxQueuedRequests = 64
 
-// Errors of an acceptor that can't vote now. Whoever asked can't tell them from silence.
+// Errors of an acceptor that can't vote now. To a proposer they are the same as no answer.
 var (
 	errNotLoaded = errors.New("replica has not read its store yet")
 	errQueueFull = errors.New("too many requests wait for the replica's disk")
 )
 
-// Acceptor is a replica: it votes on proposals and saves each vote before giving it. Requests that change its state
-// go one after the other through the disk; what it has saved is read without waiting for the disk.
+// Acceptor is the voting part of a replica (CASPaxos §2.2). It makes each state transition durable before it answers.
+// Requests that change the state are serialized through the disk; queries read the durable state without waiting for
+// the disk. An Acceptor is safe for concurrent use.
 type Acceptor struct {
 	storageActor *actor.Actor[durableStorage]
-	durable      atomic.Pointer[AcceptorState] // what is certainly on disk; nil before Install
+	durable      atomic.Pointer[AcceptorState] // the state on disk; nil before Install
 	queued       atomic.Int32
 }
 
-// durableStorage is what only the goroutine that saves touches.
+// durableStorage is owned by the goroutine that writes to disk.
 type durableStorage struct {
 	storage Storage
 	log     *zerolog.Logger
 	failing bool // the last save failed
 }
 
-// NewAcceptor makes an acceptor that votes nothing before Install.
+// NewAcceptor returns an acceptor that answers no request before Install.
 func NewAcceptor(storage Storage, log *zerolog.Logger) *Acceptor {
 	return &Acceptor{storageActor: actor.Start(&durableStorage{storage: storage, log: log})}
 }
 
-// Install gives the acceptor its state: as loaded, or a fresh one, which is saved first. It also replaces the state
-// of a replica that has ended and goes on under a new ID. It waits for the disk.
+// Install sets the acceptor's state: either one that was loaded, or a new one, which is saved first. It is also used to
+// restart a removed replica under a new ID. It waits for the disk.
 func (a *Acceptor) Install(ctx context.Context, state AcceptorState, save bool) error {
-	_, err := a.enqueue(ctx, func(AcceptorState) transition { return transition{next: state, save: save} })
+	_, err := a.enqueue(ctx, func(AcceptorState) transition {
+		return transition{next: state, save: save}
+	})
 	if err == nil && !save {
 		a.durable.Store(&state)
 	}
 	return err
 }
 
-// State returns what is on disk; false before Install.
+// State returns the durable state, and false before Install.
 func (a *Acceptor) State() (AcceptorState, bool) {
-	saved := a.durable.Load()
-	if saved == nil {
+	durable := a.durable.Load()
+	if durable == nil {
 		return AcceptorState{}, false
 	}
-	return *saved, true
+	return *durable, true
 }
 
-// Close stops the acceptor. What waits gets no vote.
+// Close stops the acceptor. Queued requests are dropped.
 func (a *Acceptor) Close() { a.storageActor.Stop() }
 
-// Prepare votes on a PrepareRequest.
+// Prepare answers a PrepareRequest.
 func (a *Acceptor) Prepare(ctx context.Context, request *PrepareRequest) (*Vote, error) {
 	return a.vote(ctx, func(state AcceptorState) transition { return state.prepare(request) })
 }
 
-// Accept votes on an AcceptRequest.
+// Accept answers an AcceptRequest.
 func (a *Acceptor) Accept(ctx context.Context, request *AcceptRequest) (*Vote, error) {
 	return a.vote(ctx, func(state AcceptorState) transition { return state.accept(request) })
 }
 
-// Learn keeps a committed record on disk, for a replica that doesn't vote.
+// Learn stores a committed record. Learners use it to keep a durable copy without voting.
 func (a *Acceptor) Learn(ctx context.Context, record *state.Record) error {
 	if a.durable.Load() == nil {
 		return errNotLoaded
 	}
-	_, err := a.enqueue(ctx, func(held AcceptorState) transition { return held.learn(record) })
+	_, err := a.enqueue(ctx, func(current AcceptorState) transition { return current.learn(record) })
 	return err
 }
 
-// Query answers from what is saved, whatever the disk is doing.
+// Query answers from the durable state without waiting for the disk.
 func (a *Acceptor) Query(_ context.Context, request *QueryRequest) (*Vote, error) {
 	state, ok := a.State()
 	if !ok {
@@ -93,17 +96,17 @@
 	return &vote, nil
 }
 
-func (a *Acceptor) vote(ctx context.Context, decision func(AcceptorState) transition) (*Vote, error) {
+func (a *Acceptor) vote(ctx context.Context, step func(AcceptorState) transition) (*Vote, error) {
 	if a.durable.Load() == nil {
 		return nil, errNotLoaded
 	}
-	return a.enqueue(ctx, decision)
+	return a.enqueue(ctx, step)
 }
 
-// enqueue runs a decision and saves what follows from it. The decision is dropped if the context ends while it waits
-// its turn; once its save has begun it takes effect even if nobody waits any more.
-func (a *Acceptor) enqueue(ctx context.Context, decision func(AcceptorState) transition) (*Vote, error) {
-	type answer struct {
+// enqueue computes a transition on the storage goroutine and makes it durable. A request whose context ends while it is
+// queued is dropped; once its save has begun it takes effect even if the caller no longer waits.
+func (a *Acceptor) enqueue(ctx context.Context, step func(AcceptorState) transition) (*Vote, error) {
+	type response struct {
 		vote *Vote
 		err  error
 	}
@@ -111,48 +114,48 @@
 		a.queued.Add(-1)
 		return nil, errQueueFull
 	}
-	answers := make(chan answer, 1)
-	a.storageActor.Send(func(disk *durableStorage) {
+	responses := make(chan response, 1)
+	a.storageActor.Send(func(storage *durableStorage) {
 		defer a.queued.Add(-1)
 		if err := ctx.Err(); err != nil {
-			answers <- answer{err: err}
+			responses <- response{err: err}
 			return
 		}
-		vote, err := a.apply(disk, decision)
-		answers <- answer{vote, err}
+		vote, err := a.apply(storage, step)
+		responses <- response{vote: vote, err: err}
 	})
 	select {
-	case given := <-answers:
-		return given.vote, given.err
+	case received := <-responses:
+		return received.vote, received.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// apply runs on the goroutine that owns the disk. What is in memory never runs ahead of what was saved.
-func (a *Acceptor) apply(disk *durableStorage, decision func(AcceptorState) transition) (*Vote, error) {
+// apply runs on the storage goroutine. Invariant: a.durable never holds a state that isn't on disk.
+func (a *Acceptor) apply(storage *durableStorage, step func(AcceptorState) transition) (*Vote, error) {
 	current, _ := a.State()
-	decided := decision(current)
-	if !decided.save {
-		return &decided.vote, nil
+	result := step(current)
+	if !result.save {
+		return &result.vote, nil
 	}
-	if err := disk.save(decided.next); err != nil {
+	if err := storage.save(result.next); err != nil {
 		return nil, err
 	}
-	a.durable.Store(&decided.next)
-	return &decided.vote, nil
+	a.durable.Store(&result.next)
+	return &result.vote, nil
 }
 
-// save logs when the disk begins to refuse and when it takes saves again.
-func (d *durableStorage) save(next AcceptorState) error {
-	err := d.storage.Save(next)
+// save writes the state, and logs when saves begin to fail and when they succeed again.
+func (s *durableStorage) save(next AcceptorState) error {
+	err := s.storage.Save(next)
 	switch {
-	case err != nil && !d.failing:
-		d.failing = true
-		event.ReplicaStoreFailed.Log(d.log).Err(err).Send()
-	case err == nil && d.failing:
-		d.failing = false
-		event.ReplicaStoreRecovered.Log(d.log).Send()
+	case err != nil && !s.failing:
+		s.failing = true
+		event.ReplicaStoreFailed.Log(s.log).Err(err).Send()
+	case err == nil && s.failing:
+		s.failing = false
+		event.ReplicaStoreRecovered.Log(s.log).Send()
 	}
 	return errors.Wrap(err, "save replica state")
 }
--- a/serving/register/acceptorstate.go
+++ b/serving/register/acceptorstate.go
@@ -6,54 +6,62 @@
 	"rowanlink/serving/state"
 )
 
-// ErrStateLost is what Storage.Load returns where something was saved and can't be read any more. The replica has then
-// lost its disk.
+// ErrStateLost is returned by Storage.Load when a state was saved and can't be read any more. The replica then has to
+// rejoin under a new ID, as after the loss of its disk.
 var ErrStateLost = errors.New("saved state is damaged")
 
-// AcceptorState is what a replica must not forget.
+// AcceptorState is the durable state of a replica.
+//
+// Invariants, kept by prepare and accept (CASPaxos §2.2): Promised never decreases; Accepted never exceeds Promised;
+// Proposal changes only together with Accepted.
 type AcceptorState struct {
 	ReplicaID string
 	Promised  Ballot
-	Accepted  Ballot // zero: nothing accepted; the record then holds the first set of replicas, or nothing
+	Accepted  Ballot // zero: nothing accepted yet; Proposal then holds the first voters, or nothing
 	Proposal  Proposal
-	// Learned is the newest committed record that the replica has kept as a learner. It takes part in no vote: as a
-	// voter the replica answers for what it has accepted alone.
+	// Learned is the newest committed record that the replica has stored as a learner. It has no part in votes: a
+	// voter answers only for what it has accepted itself.
 	Learned state.Record
 }
 
-// durableRevision returns the highest revision that is on disk, accepted or learned.
+// durableRevision returns the highest revision on disk, accepted or learned.
 func (s *AcceptorState) durableRevision() uint64 {
 	return max(s.Proposal.Record.Revision, s.Learned.Revision)
 }
 
-// Storage keeps a replica's state on disk.
+// Storage keeps the state of one replica on disk.
 type Storage interface {
-	// Load returns what was saved last; found is false where nothing was, as on a new or replaced disk. It may wait for
-	// the disk for long. ErrStateLost is final; after other errors, another try may succeed.
+	// Load returns the state that was saved last, and false if there is none, as on a new or replaced disk. It may
+	// block on the disk for a long time. ErrStateLost is final; after other errors a later call may succeed.
 	Load() (saved AcceptorState, found bool, err error)
-	// Save returns once the state would survive a loss of power. After an error the state may or may not be saved.
+	// Save returns once the state would survive a power failure. After an error it may or may not have been saved.
 	Save(next AcceptorState) error
 }
 
-// transition is one decision of a replica: the state to be saved before the vote is given. Where save is false, nothing
-// has changed.
+// transition is the result of applying one request to a replica's state. If save is set, next has to be durable before
+// vote is sent; otherwise the state is unchanged.
 type transition struct {
 	next AcceptorState
 	vote Vote
 	save bool
 }
 
-// vote answers with what the replica has promised and accepted, without the proposal where it is known.
-func (s *AcceptorState) vote(verdict VoteResult, known Ballot) Vote {
-	vote := Vote{Result: verdict, Promised: s.Promised, Accepted: s.Accepted}
-	if verdict == Granted && s.Accepted != known && !s.Accepted.IsZero() {
+// vote returns a vote with what the replica has promised and accepted. The proposal is left out if the proposer has
+// it already.
+func (s *AcceptorState) vote(result VoteResult, known Ballot) Vote {
+	vote := Vote{
+		Result:   result,
+		Promised: s.Promised,
+		Accepted: s.Accepted,
+	}
+	if result == Granted && s.Accepted != known && !s.Accepted.IsZero() {
 		proposal := s.Proposal
 		vote.Proposal = &proposal
 	}
 	return vote
 }
 
-// prepare decides on a PrepareRequest.
+// prepare promises to accept nothing below the request's ballot. A repeated request gets the same answer.
 func (s AcceptorState) prepare(request *PrepareRequest) transition {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
@@ -67,7 +75,7 @@
 	return transition{next: s, vote: s.vote(Granted, request.KnownBallot), save: true}
 }
 
-// accept decides on an AcceptRequest.
+// accept accepts the request's proposal unless a higher ballot was promised. A repeated request gets the same answer.
 func (s AcceptorState) accept(request *AcceptRequest) transition {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
@@ -77,14 +85,16 @@
 	case request.Ballot == s.Accepted:
 		return transition{vote: s.vote(Granted, request.Ballot)}
 	}
-	s.Promised, s.Accepted, s.Proposal = request.Ballot, request.Ballot, request.Proposal
+	s.Promised = request.Ballot
+	s.Accepted = request.Ballot
+	s.Proposal = request.Proposal
 	if s.Learned.Revision <= s.Proposal.Record.Revision {
 		s.Learned = state.Record{}
 	}
 	return transition{next: s, vote: s.vote(Granted, request.Ballot), save: true}
 }
 
-// learn keeps a committed record that is newer than what is held.
+// learn stores a committed record that is newer than any on disk.
 func (s AcceptorState) learn(record *state.Record) transition {
 	if record.Revision <= s.durableRevision() {
 		return transition{}
@@ -93,7 +103,7 @@
 	return transition{next: s, save: true}
 }
 
-// query answers a QueryRequest.
+// query answers a QueryRequest; it changes nothing.
 func (s AcceptorState) query(request *QueryRequest) Vote {
 	if request.ReplicaID != s.ReplicaID {
 		return Vote{Result: WrongReplica}
@@ -101,9 +111,27 @@
 	if !request.RevisionOnly {
 		return s.vote(Granted, request.KnownBallot)
 	}
-	vote := Vote{Result: Granted, Promised: s.Promised, Accepted: s.Accepted, Revision: s.Proposal.Record.Revision}
+	vote := Vote{
+		Result:   Granted,
+		Promised: s.Promised,
+		Accepted: s.Accepted,
+		Revision: s.Proposal.Record.Revision,
+	}
 	if proposed := s.Proposal.Record.Voters; proposed.Epoch > request.Epoch {
 		vote.ProposedVoters = &proposed
 	}
 	return vote
 }
+
+// removedFrom reports whether the replica was a voter and, by the committed set, is one no longer. A replica that has
+// accepted its own joining, without knowing whether that is committed, wasn't removed.
+func (s *AcceptorState) removedFrom(committed state.ReplicaSet) bool {
+	accepted := s.Proposal.Record.Voters
+	if len(accepted.Replicas) == 0 || committed.Contains(s.ReplicaID) {
+		return false
+	}
+	if accepted.Contains(s.ReplicaID) {
+		return accepted.Epoch < committed.Epoch
+	}
+	return accepted.Epoch <= committed.Epoch // it has accepted its own removal, or something later
+}
--- a/serving/register/ballot.go
+++ b/serving/register/ballot.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Ballot orders proposals. Each ballot is used for one proposal at most.
+// Ballot orders proposals (CASPaxos §2.2). Each ballot is used for at most one proposal.
 type Ballot struct {
 	Number   uint64 `cbor:"1,keyasint"`
-	Proposer string `cbor:"2,keyasint,omitempty"` // random for each life of a process
+	Proposer string `cbor:"2,keyasint,omitempty"` // breaks ties; random for each start of a process
 }
 
 // Compare returns -1, 0 or 1 as b is before, equal to or after other.
@@ -20,8 +20,8 @@
 	}
 }
 
-// Before tells whether b is lower than other.
+// Before reports whether b is lower than other.
 func (b Ballot) Before(other Ballot) bool { return b.Compare(other) < 0 }
 
-// IsZero tells whether b is the ballot of a replica that has accepted nothing.
+// IsZero reports whether b is the ballot of a replica that has accepted nothing.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
--- /dev/null
+++ b/serving/register/change.go
@@ -0,0 +1,68 @@
+package register
+
+import (
+	"slices"
+
+	"github.com/cockroachdb/errors"
+
+	"rowanlink/serving/errcode"
+)
+
+// change is the state of one call of Proposer.Change across its attempts. It does no I/O.
+type change struct {
+	id     ChangeID
+	update Update
+
+	attempts        int    // that were begun before the present one
+	proposed        bool   // an Accept round was begun for some proposal of the change
+	highestRevision uint64 // of those proposals
+	changesVoters   bool   // some of those proposals are joint
+}
+
+// decision is what a change makes of the newest proposal.
+type decision struct {
+	proposal  Proposal // to be proposed if write is set
+	write     bool
+	fence     bool // nothing to change, but the newest proposal has to be written under the present ballot
+	rejection error
+}
+
+// resolve applies the change's update to the newest proposal.
+func (c *change) resolve(newest *Proposal) decision {
+	if newest.containsChange(c.id) {
+		return decision{}
+	}
+	if c.proposed && newest.Record.Revision >= c.highestRevision+maxRememberedChanges {
+		return decision{rejection: errcode.RegisterInDoubt.With("too many changes since the first attempt")}
+	}
+	record, err := c.update(newest.Record)
+	switch {
+	case errors.Is(err, ErrNoChange):
+		return decision{}
+	case errors.Is(err, ErrFence):
+		return decision{fence: true}
+	case err != nil:
+		return decision{rejection: err}
+	}
+	changesVoters := !slices.Equal(record.Voters.Replicas, newest.Record.Voters.Replicas)
+	return decision{proposal: newest.successor(record, c.id, changesVoters), write: true}
+}
+
+// recordProposal notes that an Accept round is about to begin for a proposal of the change: from now on the change may
+// take effect, whatever becomes of the attempt.
+func (c *change) recordProposal(next *Proposal) {
+	c.proposed = true
+	c.highestRevision = max(c.highestRevision, next.Record.Revision)
+	c.changesVoters = c.changesVoters || next.isJoint()
+}
+
+// abandonmentError returns the error of a change whose context ended, given the error of its last attempt.
+func (c *change) abandonmentError(last error) error {
+	if c.proposed {
+		return errcode.RegisterInDoubt.With("%v", last)
+	}
+	if errcode.RegisterNotReady.Is(last) {
+		return last
+	}
+	return errcode.RegisterUnavailable.With("%v", last)
+}
--- a/serving/register/commitnotifier.go
+++ b/serving/register/commitnotifier.go
@@ -7,37 +7,39 @@
 	"rowanlink/serving/state"
 )
 
-// commitNotifier keeps the newest committed record and tells each newer one that this process has found to be committed.
+// commitNotifier keeps the newest committed record, and calls onCommitted with each newer one that this process has
+// found to be committed. It is safe for concurrent use.
 type commitNotifier struct {
-	onCommitted func(state.Record)
+	onCommitted func(state.Record) // may be nil
 	latest      atomic.Pointer[state.Record]
 
-	mutex            sync.Mutex // held while committed runs, so that records are told in order
-	notifiedRevision uint64     // the newest revision told
+	mutex            sync.Mutex // held while onCommitted runs, so that its calls are in order of revision
+	notifiedRevision uint64     // the highest revision that onCommitted was called with
 }
 
-// notify takes in a committed record and tells it, once, if it is newer than all told before.
-func (a *commitNotifier) notify(record state.Record) {
-	a.advance(record)
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if record.Revision <= a.notifiedRevision {
+// notify takes a committed record, and calls onCommitted if it is newer than all before.
+func (n *commitNotifier) notify(record state.Record) {
+	n.advance(record)
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if record.Revision <= n.notifiedRevision {
 		return
 	}
-	a.notifiedRevision = record.Revision
-	if a.onCommitted != nil {
-		a.onCommitted(record)
+	n.notifiedRevision = record.Revision
+	if n.onCommitted != nil {
+		n.onCommitted(record)
 	}
 }
 
-// advance takes in a committed record that others have told; it is not told on. It reports whether it was news.
-func (a *commitNotifier) advance(record state.Record) bool {
+// advance takes a committed record that another process has published, without calling onCommitted. It reports whether
+// the record is newer than the latest one.
+func (n *commitNotifier) advance(record state.Record) bool {
 	for {
-		latest := a.latest.Load()
+		latest := n.latest.Load()
 		if latest != nil && latest.Revision >= record.Revision {
 			return false
 		}
-		if a.latest.CompareAndSwap(latest, &record) {
+		if n.latest.CompareAndSwap(latest, &record) {
 			return true
 		}
 	}
--- a/serving/register/discover.go
+++ b/serving/register/discover.go
@@ -7,56 +7,60 @@
 	"time"
 )
 
-// discoveryGracePeriod is how long further answers are awaited after the first that names replicas.
-const discoveryGracePeriod = 50 * time.Millisecond
-
-// maxDiscoveryPeers bounds how many machines beyond seeds and voters are asked at once: where no majority is there, all
-// ask again and again.
-const maxDiscoveryPeers = 8
+const (
+	// discoveryGracePeriod is how long further answers are awaited after the first one that names voters.
+	discoveryGracePeriod = 50 * time.Millisecond
+	// maxDiscoveryPeers bounds the peers, beyond seeds and voters, that one discovery asks: without a majority, all
+	// nodes repeat it again and again.
+	maxDiscoveryPeers = 8
+)
 
-// discover asks the seeds, the members and the known replicas which replicas are in force, and learns what they tell.
-// It returns who is absent by this node's or by everybody else's judgement.
-func (n *Node) discover(ctx context.Context) (absent func(address string) bool) {
+// discover asks seeds, voters and some peers for the committed voters. It returns a predicate for the addresses that are
+// down in the view of this node or of everyone who answered.
+func (n *Node) discover(ctx context.Context) (isDown func(address string) bool) {
 	addresses := n.discoveryTargets()
 	answers := make(chan *Description, len(addresses))
 	for _, address := range addresses {
-		go func() { answers <- n.describe(address) }()
+		go func() { answers <- n.describe(n.proposer.lifetime, address) }()
 	}
-	reports := map[string]int{}
-	given := n.collectDescriptions(ctx, answers, len(addresses), reports)
+	answered, downReports := collectDescriptions(ctx, answers, len(addresses))
 	return func(address string) bool {
-		return n.isAbsent(address) || given > 0 && reports[address] == given
+		return n.isDown(address) || answered > 0 && downReports[address] == answered
 	}
 }
 
-// collectDescriptions counts the answers that name replicas, and how many of them report an address down.
-func (n *Node) collectDescriptions(ctx context.Context, answers <-chan *Description, expected int, reports map[string]int) (given int) {
-	var enough <-chan time.Time
+// collectDescriptions counts the answers that name voters, and for each address how many of them report it down.
+func collectDescriptions(
+	ctx context.Context, answers <-chan *Description, expected int,
+) (answered int, downReports map[string]int) {
+	downReports = map[string]int{}
+	var graceEnded <-chan time.Time
 	for range expected {
 		select {
 		case description := <-answers:
 			if description == nil || len(description.CommittedVoters.Replicas) == 0 {
 				continue
 			}
-			given++
+			answered++
 			for _, address := range description.Down {
-				reports[address]++
+				downReports[address]++
 			}
-			if enough == nil {
-				enough = time.After(discoveryGracePeriod)
+			if graceEnded == nil {
+				graceEnded = time.After(discoveryGracePeriod)
 			}
-		case <-enough:
-			return given
+		case <-graceEnded:
+			return answered, downReports
 		case <-ctx.Done():
-			return given
+			return answered, downReports
 		}
 	}
-	return given
+	return answered, downReports
 }
 
-// describe asks one process; nil where it doesn't answer. What it tells is learned, however late it comes.
-func (n *Node) describe(address string) *Description {
-	ctx, cancel := context.WithTimeout(n.proposer.lifetime, callTimeout)
+// describe asks one process for its description, and learns the voters that it names. It returns nil if there is no
+// answer. The context should be the node's lifetime: a late answer is still of use.
+func (n *Node) describe(ctx context.Context, address string) *Description {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	description, err := n.transport.Describe(ctx, address, &DescribeRequest{})
 	if err != nil {
@@ -66,16 +70,16 @@
 	return description
 }
 
-// discoveryTargets returns the addresses of processes that may know the replicas, but this one: seeds, voters, and some of
-// the other machines by chance.
+// discoveryTargets returns the addresses of processes that may know the voters, except this one: seeds, voters, and a
+// random choice of the other peers.
 func (n *Node) discoveryTargets() []string {
 	addresses := seedAddresses(n.settings)
-	machines := n.peers()
-	for _, number := range rand.Perm(len(machines))[:min(len(machines), maxDiscoveryPeers)] {
-		addresses = append(addresses, machines[number].Address)
+	peers := n.peers()
+	for _, index := range rand.Perm(len(peers))[:min(len(peers), maxDiscoveryPeers)] {
+		addresses = append(addresses, peers[index].Address)
 	}
-	for _, replica := range n.Voters().Replicas {
-		addresses = append(addresses, replica.Address)
+	for _, voter := range n.Voters().Replicas {
+		addresses = append(addresses, voter.Address)
 	}
 	slices.Sort(addresses)
 	own := n.settings.InnerAddress()
--- a/serving/register/doc.go
+++ b/serving/register/doc.go
@@ -1,16 +1,23 @@
-// Package register keeps one replicated record at a majority of replicas, with neither a log nor a leader.
+// Package register implements a replicated register: one record, stored at a majority of replicas without a log and
+// without a leader.
 //
-// It is a CASPaxos register (D. Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). A change takes
-// two rounds: Prepare gathers a majority's promises and the newest record that any of them has accepted; the update
-// is applied to that record; Accept puts the result to a majority. A record accepted by a majority is committed: every
-// later change builds on it.
+// It is a CASPaxos register (D. Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). A change takes two
+// rounds (§2.2): Prepare collects promises from a majority of the voters, and with them the newest record that any of
+// them has accepted; the update function is applied to that record; Accept has a majority accept the result. A record
+// that a majority has accepted is committed, and every later change builds on it.
 //
-// The set of replicas is part of the record. A record that changes the set from S to T names S as its former set and
-// must be accepted by a majority of S and by a majority of T. Until it is known to be committed, everyone who meets it
-// needs both majorities; after that, T's alone. Every proposal therefore tells a set that is surely established: its
-// own where it names no former set, else the former one. See electorate.go.
+// # Reconfiguration
 //
-// Acceptor (one per process with a disk) votes, Proposer runs changes and reads, Node joins both with the membership
-// of the register. Decisions are free of I/O: step.go, tally.go, knowledge.go, updates.go,
-// genesis.go, seats.go.
+// The set of voters is part of the record. A proposal that changes it from S to T is joint: it names S as the outgoing
+// voters and has to be accepted by a majority of S and by a majority of T, as in joint consensus (D. Ongaro,
+// "Consensus: Bridging Theory and Practice", 2014, §4.3). Until the proposal is known to be committed, every process
+// that encounters it needs both majorities, afterwards that of T alone. So each proposal names a set that is certainly
+// committed: the outgoing voters if it is joint, else its own. See jointconfig.go.
+//
+// # Structure
+//
+// Acceptor votes and stores what it has voted for; there is one in each process with a disk. Proposer makes changes and
+// reads. Node combines both and keeps the replica a voter or a learner. The decisions are free of I/O: acceptorstate.go
+// (transitions of an acceptor), preparetally.go and accepttally.go (counting votes), learnedstate.go, update.go,
+// genesis.go and voterplacement.go (which replicas vote).
 package register
--- a/serving/register/genesis.go
+++ b/serving/register/genesis.go
@@ -7,11 +7,11 @@
 	"rowanlink/serving/state"
 )
 
-// genesisPrefix begins the IDs of the first replicas.
+// genesisPrefix begins the IDs of the first voters.
 const genesisPrefix = "genesis-"
 
-// genesisVoters returns the register's first set of replicas: the machines that every process was told of at the very
-// first start.
+// genesisVoters returns the first set of voters, one for each seed. All processes compute the same set at the first
+// start of the system.
 func genesisVoters(process *settings.Process) state.ReplicaSet {
 	var set state.ReplicaSet
 	for _, address := range seedAddresses(process) {
@@ -20,8 +20,8 @@
 	return set
 }
 
-// seedAddresses returns where the seeds take calls of the system's processes, sorted, each once. Seeds that are no
-// addresses are left out.
+// seedAddresses returns the addresses at which the seeds take calls between the system's processes, sorted and without
+// duplicates. Invalid seeds are left out.
 func seedAddresses(process *settings.Process) []string {
 	var addresses []string
 	for _, seed := range process.Seeds {
@@ -33,12 +33,15 @@
 	return slices.Compact(addresses)
 }
 
-// initialState returns what a replica with an empty store begins with: at the very first start of the system, on the
-// machines that all were told of, a member of the first set; else a replica that has to join under the given new ID.
+// initialState returns the state of a replica with an empty store: a voter of the first set if this is a seed at the
+// first start of the system, else a replica with the given new ID that has to join.
 func initialState(process *settings.Process, newID string) AcceptorState {
 	own := process.InnerAddress()
 	if process.FirstRun && slices.Contains(seedAddresses(process), own) {
-		return AcceptorState{ReplicaID: genesisPrefix + own, Proposal: Proposal{Record: state.Record{Voters: genesisVoters(process)}}}
+		return AcceptorState{
+			ReplicaID: genesisPrefix + own,
+			Proposal:  Proposal{Record: state.Record{Voters: genesisVoters(process)}},
+		}
 	}
 	return AcceptorState{ReplicaID: newID}
 }
--- a/serving/register/jointconfig.go
+++ b/serving/register/jointconfig.go
@@ -2,19 +2,19 @@
 
 import "rowanlink/serving/state"
 
-// jointConfig is the sets of replicas of each of which a majority has to agree.
+// jointConfig is one or two sets of voters. A decision needs a majority of each of them.
 type jointConfig []state.ReplicaSet
 
-// jointConfigFor returns the sets that have to agree on a proposal, or on its being committed, for someone who takes
-// the given set for established.
+// jointConfigFor returns the sets whose majorities are needed to decide on a proposal, or to find it committed, for a
+// process that knows the given set to be committed.
 //
-// A proposal in an established set needs that set alone. One that names a former set, met by someone who doesn't know
-// whether the change of the set is committed, needs both: had only the new set to agree, those who still go by the
-// former one could commit something else there.
-func jointConfigFor(proposal *Proposal, established state.ReplicaSet) jointConfig {
+// A proposal whose own set is committed needs a majority of that set alone. A joint proposal needs both majorities as
+// long as the process doesn't know whether it is committed: with a majority of the incoming set alone, processes that
+// still use the outgoing set could commit something else there (Ongaro, §4.3).
+func jointConfigFor(proposal *Proposal, committed state.ReplicaSet) jointConfig {
 	switch {
-	case proposal.Record.Voters.Epoch <= established.Epoch:
-		return jointConfig{established}
+	case proposal.Record.Voters.Epoch <= committed.Epoch:
+		return jointConfig{committed}
 	case proposal.isJoint():
 		return jointConfig{proposal.OutgoingVoters, proposal.Record.Voters}
 	default:
@@ -22,31 +22,31 @@
 	}
 }
 
-// hasQuorum tells whether a majority of every set is within the given replicas.
-func (e jointConfig) hasQuorum(within func(id string) bool) bool {
-	for _, set := range e {
-		if countVoters(set, within) < set.Quorum() {
+// hasQuorum reports whether a majority of each set satisfies the predicate.
+func (c jointConfig) hasQuorum(granted func(id string) bool) bool {
+	for _, set := range c {
+		if countVoters(set, granted) < set.Quorum() {
 			return false
 		}
 	}
 	return true
 }
 
-// cannotReachQuorum tells whether some set can't reach a majority any more because of the lost replicas.
-func (e jointConfig) cannotReachQuorum(lost func(id string) bool) bool {
-	for _, set := range e {
-		if len(set.Replicas)-countVoters(set, lost) < set.Quorum() {
+// cannotReachQuorum reports whether some set has too few voters left for a majority, not counting those that failed.
+func (c jointConfig) cannotReachQuorum(failed func(id string) bool) bool {
+	for _, set := range c {
+		if len(set.Replicas)-countVoters(set, failed) < set.Quorum() {
 			return true
 		}
 	}
 	return false
 }
 
-// replicas returns the members of all sets, each once.
-func (e jointConfig) replicas() []state.Replica {
+// replicas returns the voters of all sets, each once, in the order of the sets.
+func (c jointConfig) replicas() []state.Replica {
 	var all []state.Replica
 	seen := map[string]bool{}
-	for _, set := range e {
+	for _, set := range c {
 		for _, replica := range set.Replicas {
 			if !seen[replica.ID] {
 				seen[replica.ID] = true
@@ -57,12 +57,13 @@
 	return all
 }
 
-func countVoters(set state.ReplicaSet, within func(id string) bool) int {
-	number := 0
+// countVoters returns the number of voters of a set that satisfy the predicate.
+func countVoters(set state.ReplicaSet, matches func(id string) bool) int {
+	count := 0
 	for _, replica := range set.Replicas {
-		if within(replica.ID) {
-			number++
+		if matches(replica.ID) {
+			count++
 		}
 	}
-	return number
+	return count
 }
--- a/serving/register/learnedstate.go
+++ b/serving/register/learnedstate.go
@@ -2,53 +2,56 @@
 
 import "rowanlink/serving/state"
 
-// learnedState is what a process has learned of the register from votes and from others. It is lost with the process;
-// the register's safety doesn't rest on its being up to date.
+// learnedState is what a proposer has learned of the register from votes and from other processes. It isn't stored: the
+// safety of the register doesn't depend on it, only the number of attempts that a change takes.
 type learnedState struct {
-	highestBallotNumber uint64           // the highest ballot number seen or used
+	highestBallotNumber uint64           // seen or used
 	committedVoters     state.ReplicaSet // the newest set known to be committed; empty: none
 	highestAccepted     AcceptedProposal // the highest proposal that some replica has accepted
 }
 
-// nextBallot returns a ballot above all that were seen, never used before by this process.
-func (k *learnedState) nextBallot(proposer string) Ballot {
-	k.highestBallotNumber++
-	return Ballot{Number: k.highestBallotNumber, Proposer: proposer}
+// nextBallot returns a ballot above all that were seen. Each call returns another one.
+func (l *learnedState) nextBallot(proposer string) Ballot {
+	l.highestBallotNumber++
+	return Ballot{Number: l.highestBallotNumber, Proposer: proposer}
 }
 
-// observeVoters takes in a set that is known to be committed and tells whether it was news.
-func (k *learnedState) observeVoters(set state.ReplicaSet) bool {
-	if len(set.Replicas) == 0 || len(k.committedVoters.Replicas) > 0 && set.Epoch <= k.committedVoters.Epoch {
+// observeVoters takes a committed set of voters and reports whether it is newer than the known one.
+func (l *learnedState) observeVoters(set state.ReplicaSet) bool {
+	if len(set.Replicas) == 0 {
 		return false
 	}
-	k.committedVoters = set
+	if len(l.committedVoters.Replicas) > 0 && set.Epoch <= l.committedVoters.Epoch {
+		return false
+	}
+	l.committedVoters = set
 	return true
 }
 
-// observeAccepted takes in a proposal that some replica has accepted and tells whether it showed a newer established set.
-func (k *learnedState) observeAccepted(candidate AcceptedProposal) bool {
-	k.highestBallotNumber = max(k.highestBallotNumber, candidate.Ballot.Number)
-	if k.highestAccepted.Ballot.Before(candidate.Ballot) {
-		k.highestAccepted = candidate
+// observeAccepted takes a proposal that some replica has accepted and reports whether it shows newer committed voters.
+func (l *learnedState) observeAccepted(accepted AcceptedProposal) bool {
+	l.highestBallotNumber = max(l.highestBallotNumber, accepted.Ballot.Number)
+	if l.highestAccepted.Ballot.Before(accepted.Ballot) {
+		l.highestAccepted = accepted
 	}
-	return k.observeVoters(candidate.Proposal.CommittedVoters())
+	return l.observeVoters(accepted.Proposal.CommittedVoters())
 }
 
-// observeCommitted takes in a proposal that is known to be committed and tells whether it showed a newer established set.
-func (k *learnedState) observeCommitted(candidate AcceptedProposal) bool {
-	news := k.observeAccepted(candidate)
-	return k.observeVoters(candidate.Proposal.Record.Voters) || news
+// observeCommitted takes a committed proposal and reports whether it shows newer committed voters.
+func (l *learnedState) observeCommitted(committed AcceptedProposal) bool {
+	changed := l.observeAccepted(committed)
+	return l.observeVoters(committed.Proposal.Record.Voters) || changed
 }
 
-// observeVote takes in what a vote tells and reports whether it showed a newer established set.
-func (k *learnedState) observeVote(vote *Vote) bool {
-	k.highestBallotNumber = max(k.highestBallotNumber, vote.Promised.Number, vote.Accepted.Number)
-	news := false
+// observeVote takes a replica's vote and reports whether it shows newer committed voters.
+func (l *learnedState) observeVote(vote *Vote) bool {
+	l.highestBallotNumber = max(l.highestBallotNumber, vote.Promised.Number, vote.Accepted.Number)
+	changed := false
 	if vote.Proposal != nil {
-		news = k.observeAccepted(AcceptedProposal{Ballot: vote.Accepted, Proposal: *vote.Proposal})
+		changed = l.observeAccepted(AcceptedProposal{Ballot: vote.Accepted, Proposal: *vote.Proposal})
 	}
 	if vote.CommittedVoters != nil {
-		news = k.observeVoters(*vote.CommittedVoters) || news
+		changed = l.observeVoters(*vote.CommittedVoters) || changed
 	}
-	return news
+	return changed
 }
--- a/serving/register/majorityrevision.go
+++ b/serving/register/majorityrevision.go
@@ -7,52 +7,41 @@
 	"rowanlink/serving/state"
 )
 
-// QueryFunc carries the queries of a process without a replica; rpc carries them between processes.
+// QueryFunc sends a query to the node at an address, for a process that has no replica itself.
 type QueryFunc func(ctx context.Context, address string, request *QueryRequest) (*Vote, error)
 
-// QueryOverRPC returns an Asker that calls replicas over rpc.
+// QueryOverRPC returns a QueryFunc that calls nodes over rpc.
 func QueryOverRPC(client *rpc.Client) QueryFunc {
 	return func(ctx context.Context, address string, request *QueryRequest) (*Vote, error) {
 		return queryMethod.Call(ctx, client, address, request)
 	}
 }
 
-// MajorityRevision asks the voters for the newest revision that they have accepted. Every change that was acknowledged
-// before the call has a revision that is not above it: a majority has accepted that change, and any two majorities of a
-// set share a voter. The set may be out of date: voters that know a newer one tell it, and are then asked there too.
-// It returns false where no majority answered before the context ended.
-func MajorityRevision(ctx context.Context, ask QueryFunc, set state.ReplicaSet) (revision uint64, known bool) {
-	survey := newRevisionQuery(set)
+// MajorityRevision returns the newest revision that a majority of the voters has accepted, and false if no majority
+// answers before the context ends. Each change that was acknowledged before the call has at most that revision: a
+// majority has accepted the change, and any two majorities of a set have a voter in common. The set may be out of date:
+// voters that know a newer one name it, and a majority of that is queried too.
+func MajorityRevision(ctx context.Context, query QueryFunc, set state.ReplicaSet) (revision uint64, known bool) {
+	revisions := newRevisionQuery(set)
 	answers := make(chan revisionAnswer)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for waiting := 0; ; {
-		for _, replica := range survey.takeUnqueried() {
-			waiting++
-			request := &QueryRequest{ReplicaID: replica.ID, Epoch: survey.committedEpoch, RevisionOnly: true}
-			go func() {
-				bounded, cancel := context.WithTimeout(ctx, callTimeout)
-				defer cancel()
-				vote, err := ask(bounded, replica.Address, request)
-				if err != nil {
-					vote = nil
-				}
-				select {
-				case answers <- revisionAnswer{id: replica.ID, vote: vote}:
-				case <-ctx.Done():
-				}
-			}()
+	for pending := 0; ; {
+		for _, replica := range revisions.takeUnqueried() {
+			pending++
+			request := &QueryRequest{ReplicaID: replica.ID, Epoch: revisions.committedEpoch, RevisionOnly: true}
+			go queryRevision(ctx, query, replica, request, answers)
 		}
-		if survey.hasQuorum() {
-			return survey.revision, true
+		if revisions.hasQuorum() {
+			return revisions.revision, true
 		}
-		if waiting == 0 {
+		if pending == 0 {
 			return 0, false
 		}
 		select {
 		case answer := <-answers:
-			waiting--
-			survey.add(answer)
+			pending--
+			revisions.add(answer)
 		case <-ctx.Done():
 			return 0, false
 		}
@@ -65,26 +54,46 @@
 	vote *Vote
 }
 
-// revisionQuery gathers answers to brief queries. It does no I/O.
+// queryRevision queries one replica and passes on its answer, unless the context ends first.
+func queryRevision(
+	ctx context.Context, query QueryFunc, replica state.Replica, request *QueryRequest, answers chan<- revisionAnswer,
+) {
+	callContext, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	vote, err := query(callContext, replica.Address, request)
+	if err != nil {
+		vote = nil
+	}
+	select {
+	case answers <- revisionAnswer{id: replica.ID, vote: vote}:
+	case <-ctx.Done():
+	}
+}
+
+// revisionQuery counts the answers to queries with RevisionOnly. It does no I/O.
 type revisionQuery struct {
 	sets           map[uint64]state.ReplicaSet // by epoch: those of which a majority has to answer
-	committedEpoch uint64                      // the highest epoch of a set that is known to be established
-	queried        map[string]bool
-	answered       map[string]bool
-	revision       uint64
+	committedEpoch uint64                      // the highest epoch of a set known to be committed
+	queried        map[string]bool             // by replica ID
+	answered       map[string]bool             // by replica ID
+	revision       uint64                      // the highest among the answers
 }
 
 func newRevisionQuery(set state.ReplicaSet) *revisionQuery {
-	return &revisionQuery{sets: map[uint64]state.ReplicaSet{set.Epoch: set}, committedEpoch: set.Epoch, queried: map[string]bool{},
-		answered: map[string]bool{}}
+	return &revisionQuery{
+		sets:           map[uint64]state.ReplicaSet{set.Epoch: set},
+		committedEpoch: set.Epoch,
+		queried:        map[string]bool{},
+		answered:       map[string]bool{},
+	}
 }
 
-// takeUnqueried returns the replicas that are to be asked now, and counts them as asked.
-func (s *revisionQuery) takeUnqueried() (replicas []state.Replica) {
-	for _, set := range s.sets {
+// takeUnqueried returns the replicas that haven't been queried yet, and marks them as queried.
+func (q *revisionQuery) takeUnqueried() (replicas []state.Replica) {
+	for _, set := range q.sets {
 		for _, replica := range set.Replicas {
-			if !s.queried[replica.ID] {
-				s.queried[replica.ID] = true
+			if !q.queried[replica.ID] {
+				q.queried[replica.ID] = true
 				replicas = append(replicas, replica)
 			}
 		}
@@ -92,36 +101,45 @@
 	return replicas
 }
 
-// add takes an answer. A set that is established takes the place of all older ones; one that is only proposed may be
-// in force, or not, and is asked beside them.
-func (s *revisionQuery) add(answer revisionAnswer) {
+// add counts an answer. A committed set replaces all older ones. A set that is only proposed may be committed or not,
+// and so is needed in addition.
+func (q *revisionQuery) add(answer revisionAnswer) {
 	vote := answer.vote
 	if vote == nil {
 		return
 	}
-	if vote.CommittedVoters != nil && vote.CommittedVoters.Epoch > s.committedEpoch {
-		s.committedEpoch = vote.CommittedVoters.Epoch
-		s.sets[s.committedEpoch] = *vote.CommittedVoters
-		for epoch := range s.sets {
-			if epoch < s.committedEpoch {
-				delete(s.sets, epoch)
-			}
-		}
+	if vote.CommittedVoters != nil {
+		q.observeCommitted(*vote.CommittedVoters)
 	}
 	if vote.Result != Granted {
 		return
 	}
-	if vote.ProposedVoters != nil && vote.ProposedVoters.Epoch > s.committedEpoch {
-		s.sets[vote.ProposedVoters.Epoch] = *vote.ProposedVoters
+	if vote.ProposedVoters != nil && vote.ProposedVoters.Epoch > q.committedEpoch {
+		q.sets[vote.ProposedVoters.Epoch] = *vote.ProposedVoters
+	}
+	q.answered[answer.id] = true
+	q.revision = max(q.revision, vote.Revision)
+}
+
+// observeCommitted takes a committed set and drops those of lower epochs.
+func (q *revisionQuery) observeCommitted(set state.ReplicaSet) {
+	if set.Epoch <= q.committedEpoch {
+		return
+	}
+	q.committedEpoch = set.Epoch
+	q.sets[set.Epoch] = set
+	for epoch := range q.sets {
+		if epoch < set.Epoch {
+			delete(q.sets, epoch)
+		}
 	}
-	s.answered[answer.id] = true
-	s.revision = max(s.revision, vote.Revision)
 }
 
-// hasQuorum tells whether a majority of each set has answered.
-func (s *revisionQuery) hasQuorum() bool {
-	for _, set := range s.sets {
-		if len(set.Replicas) == 0 || countVoters(set, func(id string) bool { return s.answered[id] }) < set.Quorum() {
+// hasQuorum reports whether a majority of each set has answered.
+func (q *revisionQuery) hasQuorum() bool {
+	answered := func(id string) bool { return q.answered[id] }
+	for _, set := range q.sets {
+		if len(set.Replicas) == 0 || countVoters(set, answered) < set.Quorum() {
 			return false
 		}
 	}
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -202,8 +202,8 @@
 			t.Error("the update is computed though its caller has left")
 			return record, nil
 		})
-		_, outcome, _ := node.proposer.runAttempt(leftContext{t.Context()}, change)
-		assert.Equal(t, attemptFailed, outcome)
+		result := node.proposer.runAttempt(leftContext{t.Context()}, change)
+		assert.Equal(t, attemptFailed, result.outcome)
 		assert.False(t, change.proposed)
 	})
 }
--- a/serving/register/proposal.go
+++ b/serving/register/proposal.go
@@ -2,8 +2,8 @@
 
 import "rowanlink/serving/state"
 
-// maxRememberedChanges is how many of the newest changes a proposal names, so that whoever made one can tell later that
-// it took effect.
+// maxRememberedChanges is the number of latest changes that a proposal names. A proposer whose Accept round failed
+// looks for its change among them, to find out whether another proposer has committed it.
 const maxRememberedChanges = 32
 
 // ChangeID identifies one call of Proposer.Change.
@@ -12,16 +12,23 @@
 	Sequence uint64 `cbor:"2,keyasint"`
 }
 
-// Proposal is what is put to the vote under a ballot.
+// Proposal is the value that acceptors accept under a ballot.
 type Proposal struct {
 	Record state.Record `cbor:"1,keyasint"`
-	// OutgoingVoters is the set of replicas before Record.Replicas while it is not yet known that the change of the set is
-	// committed; empty otherwise.
+	// OutgoingVoters is the set of voters before Record.Voters while the change of the set isn't known to be
+	// committed. It is empty otherwise.
 	OutgoingVoters state.ReplicaSet `cbor:"2,keyasint,omitzero"`
-	Changes        []ChangeID       `cbor:"3,keyasint,omitempty"` // the newest last, one for each of the last revisions
+	Changes        []ChangeID       `cbor:"3,keyasint,omitempty"` // one for each of the latest revisions, the newest last
 }
 
-// CommittedVoters returns a set of replicas that is certainly committed, judging by the proposal alone.
+// AcceptedProposal is a proposal and the ballot under which a replica has accepted it. The zero ballot means that
+// nothing was accepted.
+type AcceptedProposal struct {
+	Ballot   Ballot
+	Proposal Proposal
+}
+
+// CommittedVoters returns a set of voters that is certainly committed, as far as the proposal itself shows.
 func (p *Proposal) CommittedVoters() state.ReplicaSet {
 	if p.isJoint() {
 		return p.OutgoingVoters
@@ -29,10 +36,10 @@
 	return p.Record.Voters
 }
 
-// isJoint tells whether the proposal changes the set of replicas and it isn't known to be committed.
+// isJoint reports whether the proposal changes the voters and isn't known to be committed.
 func (p *Proposal) isJoint() bool { return len(p.OutgoingVoters.Replicas) > 0 }
 
-// containsChange tells whether the proposal holds the effect of a change that was made lately.
+// containsChange reports whether the proposal includes the effect of one of the latest changes.
 func (p *Proposal) containsChange(id ChangeID) bool {
 	for _, change := range p.Changes {
 		if change == id {
@@ -42,34 +49,30 @@
 	return false
 }
 
-// successor returns the proposal that the change makes of p by giving it another record. A changed set of replicas
-// gets the next epoch. p's own set must be established.
-func (p *Proposal) successor(record state.Record, id ChangeID, setChanged bool) Proposal {
+// successor returns the proposal of a change that replaces p's record. A changed set of voters gets the next epoch, and
+// the proposal is joint. The voters of p must be committed: changes of the voters don't overlap.
+func (p *Proposal) successor(record state.Record, id ChangeID, changesVoters bool) Proposal {
 	record.Revision = p.Record.Revision + 1
 	next := Proposal{Record: record}
-	if setChanged {
+	if changesVoters {
 		next.Record.Voters.Epoch = p.Record.Voters.Epoch + 1
 		next.OutgoingVoters = p.Record.Voters
 	}
-	kept := p.Changes
-	if len(kept) >= maxRememberedChanges {
-		kept = kept[len(kept)-maxRememberedChanges+1:]
+	remembered := p.Changes
+	if len(remembered) >= maxRememberedChanges {
+		remembered = remembered[len(remembered)-maxRememberedChanges+1:]
 	}
-	next.Changes = append(append(make([]ChangeID, 0, len(kept)+1), kept...), id)
+	next.Changes = make([]ChangeID, 0, len(remembered)+1)
+	next.Changes = append(next.Changes, remembered...)
+	next.Changes = append(next.Changes, id)
 	return next
 }
 
-// leaveJoint returns the proposal without the former set where its own set is known to be established.
-func (p *Proposal) leaveJoint(established state.ReplicaSet) Proposal {
-	settled := *p
-	if p.Record.Voters.Epoch <= established.Epoch {
-		settled.OutgoingVoters = state.ReplicaSet{}
+// leaveJoint returns the proposal without its outgoing voters if its own voters are known to be committed.
+func (p *Proposal) leaveJoint(committed state.ReplicaSet) Proposal {
+	next := *p
+	if p.Record.Voters.Epoch <= committed.Epoch {
+		next.OutgoingVoters = state.ReplicaSet{}
 	}
-	return settled
-}
-
-// AcceptedProposal is a proposal and the ballot under which it was accepted. The zero ballot stands for "nothing accepted".
-type AcceptedProposal struct {
-	Ballot   Ballot
-	Proposal Proposal
+	return next
 }
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -11,45 +11,49 @@
 	"rowanlink/serving/state"
 )
 
-// Waits between tries.
+// The backoff between attempts is random between minBackoff and a bound, which doubles with each attempt.
 const (
 	minBackoff        = 10 * time.Millisecond
-	initialMaxBackoff = 20 * time.Millisecond  // the longest wait after the first try; it doubles
-	maxBackoff        = 100 * time.Millisecond // what it grows to; the length of the lost try is added by chance
+	initialMaxBackoff = 20 * time.Millisecond
+	maxBackoff        = 100 * time.Millisecond // highest bound; the duration of the failed attempt comes on top
+	maxBackoffShift   = 8                      // keeps the doubled bound from overflowing
 )
 
-// Proposer runs changes and reads of the register. It is safe for use by several goroutines.
+// Proposer makes changes and reads of the register (CASPaxos §2.2). It is safe for concurrent use.
 type Proposer struct {
 	id            string
 	transport     Transport
 	lifetime      context.Context // ends all calls
 	learned       *actor.Actor[learnedState]
 	notifier      *commitNotifier
-	changeSlot    chan struct{} // held by the one change that runs
-	sequence      uint64        // of the newest change; whoever has the turn touches it
-	votersChanged func()        // called when a newer set has become known
+	changeSlot    chan struct{} // holds a token while a change runs
+	sequence      uint64        // of the newest change; guarded by changeSlot
+	votersChanged func()        // called when newer committed voters have become known
 }
 
-// newProposer makes a proposer that knows no replicas. The ID must be new for each life of a process.
-func newProposer(life context.Context, id string, transport Transport, announcer *commitNotifier, established func()) *Proposer {
+// newProposer returns a proposer that knows no voters. The ID has to be new for each start of a process, because it
+// makes ballots and change IDs unique.
+func newProposer(
+	lifetime context.Context, id string, transport Transport, notifier *commitNotifier, votersChanged func(),
+) *Proposer {
 	return &Proposer{
 		id:            id,
 		transport:     transport,
-		lifetime:      life,
+		lifetime:      lifetime,
 		learned:       actor.Start(&learnedState{}),
-		notifier:      announcer,
+		notifier:      notifier,
 		changeSlot:    make(chan struct{}, 1),
-		votersChanged: established,
+		votersChanged: votersChanged,
 	}
 }
 
-// Change applies an update to the newest record and returns the record in force once a majority holds it on disk.
+// Change applies an update to the newest record and returns the committed record once a majority has it on disk.
 // Changes of one proposer run one after the other.
 //
-// Errors: what the update refuses with, once the record on which it refused is committed (the change isn't and never
-// will be in force); result.RegisterUnavailable and result.RegisterNotReady (nothing was changed);
-// result.RegisterUnclear (the change may be in force). The context bounds the wait; after it has ended no further try
-// is begun, so a caller who has given up may repeat the change elsewhere.
+// It returns the update's own error once the record that the update rejected is committed: the change then never takes
+// effect. errcode.RegisterUnavailable and errcode.RegisterNotReady mean that nothing was changed,
+// errcode.RegisterInDoubt that the change may take effect. No attempt is begun after the context has ended, so a caller
+// that has given up may repeat the change through another process.
 func (p *Proposer) Change(ctx context.Context, update Update) (state.Record, error) {
 	select {
 	case p.changeSlot <- struct{}{}:
@@ -65,17 +69,17 @@
 	return record, err
 }
 
-// runToDecision tries until the change is decided or the context ends.
+// runToDecision makes attempts until the change is decided or the context ends.
 func (p *Proposer) runToDecision(ctx context.Context, change *change) (state.Record, error) {
 	last := errNoQuorum
 	for ; ctx.Err() == nil && p.lifetime.Err() == nil; change.attempts++ {
 		begun := time.Now()
-		record, outcome, err := p.runAttempt(ctx, change)
-		switch outcome {
+		result := p.runAttempt(ctx, change)
+		switch result.outcome {
 		case attemptDecided:
-			return record, err
+			return result.record, result.err
 		case attemptFailed:
-			last = err
+			last = result.err
 			ctxsleep.Sleep(ctx, retryBackoff(change.attempts, time.Since(begun)))
 		case attemptFinishedOther:
 		}
@@ -83,74 +87,76 @@
 	return state.Record{}, change.abandonmentError(last)
 }
 
-// finishReconfiguration writes the record once more after a change of the set of replicas, so that nobody needs the former set any
-// more. It is done as far as the context allows; the next change or read does it otherwise.
+// finishReconfiguration writes the record once more after a change of the voters, without the outgoing voters, so that
+// their majority is no longer needed. Errors are ignored: the next change or read does it otherwise.
 func (p *Proposer) finishReconfiguration(ctx context.Context) {
 	_, _ = p.runToDecision(ctx, p.newChange(confirmOnly))
 }
 
-// newChange gives a change its ID; the caller has the turn.
+// newChange assigns the next change ID. The caller holds the change slot.
 func (p *Proposer) newChange(update Update) *change {
 	p.sequence++
-	return &change{id: ChangeID{Proposer: p.id, Sequence: p.sequence}, update: update}
+	return &change{
+		id:     ChangeID{Proposer: p.id, Sequence: p.sequence},
+		update: update,
+	}
 }
 
-// handleCommitted takes in a candidate that is known to be committed. A change of the voters is told only once nobody needs the
-// former set any more: whoever sees the new one may end those that were replaced.
-func (p *Proposer) handleCommitted(candidate AcceptedProposal) {
-	news, _ := actor.Call(p.learned, func(k *learnedState) bool { return k.observeCommitted(candidate) })
-	if news {
-		p.votersChanged()
-	}
-	if !candidate.Proposal.isJoint() {
-		p.notifier.notify(candidate.Proposal.Record)
+// handleCommitted takes a proposal that is known to be committed. A joint one isn't published yet: whoever learns of
+// the new voters may stop the outgoing ones, whose majority is still needed.
+func (p *Proposer) handleCommitted(committed AcceptedProposal) {
+	p.updateLearned(func(l *learnedState) bool { return l.observeCommitted(committed) })
+	if !committed.Proposal.isJoint() {
+		p.notifier.notify(committed.Proposal.Record)
 	}
 }
 
-// observeVote takes in what a replica has told.
+// observeVote learns from a replica's vote.
 func (p *Proposer) observeVote(vote *Vote) {
-	news, _ := actor.Call(p.learned, func(k *learnedState) bool { return k.observeVote(vote) })
-	if news {
-		p.votersChanged()
-	}
+	p.updateLearned(func(l *learnedState) bool { return l.observeVote(vote) })
 }
 
-// observeVoters takes in a set of replicas that is known to be committed.
+// observeVoters learns of a committed set of voters.
 func (p *Proposer) observeVoters(set state.ReplicaSet) {
-	news, _ := actor.Call(p.learned, func(k *learnedState) bool { return k.observeVoters(set) })
-	if news {
-		p.votersChanged()
-	}
+	p.updateLearned(func(l *learnedState) bool { return l.observeVoters(set) })
 }
 
-// observeOwnState takes in the state of this process's replica.
+// observeOwnState learns from the state of this process's own replica.
 func (p *Proposer) observeOwnState(state *AcceptorState) {
 	p.observeVote(&Vote{Promised: state.Promised, Accepted: state.Accepted, Proposal: &state.Proposal})
 }
 
-// learnedCopy returns a copy of what is known; false where that is no set of replicas.
+// updateLearned applies an observation, and calls votersChanged if that showed newer committed voters.
+func (p *Proposer) updateLearned(observe func(*learnedState) (changed bool)) {
+	changed, _ := actor.Call(p.learned, observe)
+	if changed {
+		p.votersChanged()
+	}
+}
+
+// learnedCopy returns a copy of the learned state, and false if no voters are known.
 func (p *Proposer) learnedCopy() (learnedState, bool) {
-	known, ok := actor.Call(p.learned, func(k *learnedState) learnedState { return *k })
-	return known, ok && len(known.committedVoters.Replicas) > 0
+	learned, ok := actor.Call(p.learned, func(l *learnedState) learnedState { return *l })
+	return learned, ok && len(learned.committedVoters.Replicas) > 0
 }
 
-// voters returns the newest set that is known to be committed; empty where none is.
+// voters returns the newest set of voters known to be committed, empty if there is none.
 func (p *Proposer) voters() state.ReplicaSet {
-	known, _ := p.learnedCopy()
-	return known.committedVoters
+	learned, _ := p.learnedCopy()
+	return learned.committedVoters
 }
 
 func (p *Proposer) close() { p.learned.Stop() }
 
-// retryBackoff draws how long to wait before the next try. The bound grows with each try, and with the time that the
-// last one took, so that two proposers that are far away from a majority don't keep on outvoting each other.
-func retryBackoff(attempt int, took time.Duration) time.Duration {
-	most := min(initialMaxBackoff<<min(attempt, 8), maxBackoff)
-	wait := minBackoff + rand.N(most-minBackoff)
-	if took > 0 {
-		wait += rand.N(took)
+// retryBackoff returns a random backoff before the next attempt, counted from 0. Its bound grows with each attempt and
+// with the duration of the last one, so that two proposers far from a majority don't preempt each other forever.
+func retryBackoff(attempt int, duration time.Duration) time.Duration {
+	bound := min(initialMaxBackoff<<min(attempt, maxBackoffShift), maxBackoff)
+	backoff := minBackoff + rand.N(bound-minBackoff)
+	if duration > 0 {
+		backoff += rand.N(duration)
 	}
-	return wait
+	return backoff
 }
 
 func errNotReady() error { return errcode.RegisterNotReady.With("") }
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -9,22 +9,23 @@
 	"rowanlink/serving/state"
 )
 
-// quorumGracePeriod is how long a read waits for replicas beyond a majority that doesn't agree.
+// quorumGracePeriod is how long a read waits for further votes when those of a majority don't agree.
 const quorumGracePeriod = 100 * time.Millisecond
 
-// Read returns the record in force: at least as new as whatever was acknowledged before the call. In the usual case
-// that is one round, and nothing is written; a change that was left half-way is finished. Errors: result.RegisterUnavailable and result.RegisterNotReady.
+// Read returns the committed record, at least as new as any that was acknowledged before the call. Usually it takes one
+// Query round and writes nothing; a change that was left unfinished is finished first. Errors:
+// errcode.RegisterUnavailable and errcode.RegisterNotReady.
 func (p *Proposer) Read(ctx context.Context) (state.Record, error) {
 	last := errNoQuorum
 	for attempt := 0; ctx.Err() == nil && p.lifetime.Err() == nil; attempt++ {
-		votes, err := p.query(ctx, attemptTimeout(attempt))
+		tally, err := p.query(ctx, attemptTimeout(attempt))
 		switch {
 		case err != nil:
 			last = err
 			ctxsleep.Sleep(ctx, retryBackoff(attempt, 0))
-		case votes.isCommitted() && !votes.highestAccepted.Proposal.isJoint():
-			p.handleCommitted(votes.highestAccepted)
-			return votes.highestAccepted.Proposal.Record, nil
+		case tally.isCommitted() && !tally.highestAccepted.Proposal.isJoint():
+			p.handleCommitted(tally.highestAccepted)
+			return tally.highestAccepted.Proposal.Record, nil
 		default:
 			return p.Change(ctx, confirmOnly)
 		}
@@ -35,17 +36,20 @@
 	return state.Record{}, errcode.RegisterUnavailable.With("%v", last)
 }
 
-// query asks the replicas what they have accepted until a majority has answered, and a little longer where that
-// majority doesn't agree.
+// query asks the replicas what they have accepted, until a majority has answered, and for quorumGracePeriod longer if
+// that majority doesn't agree.
 func (p *Proposer) query(ctx context.Context, timeout time.Duration) (*prepareTally, error) {
-	known, ok := p.learnedCopy()
+	learned, ok := p.learnedCopy()
 	if !ok {
 		return nil, errNotReady()
 	}
-	votes := newPrepareTally(known.committedVoters, known.highestAccepted)
-	query := p.newRound(votes, timeout, func(ctx context.Context, replica state.Replica) (*Vote, error) {
-		return p.transport.Query(ctx, replica.Address, &QueryRequest{ReplicaID: replica.ID,
-			KnownBallot: known.highestAccepted.Ballot, Epoch: known.committedVoters.Epoch})
+	tally := newPrepareTally(learned.committedVoters, learned.highestAccepted)
+	round := p.newRound(tally, timeout, func(ctx context.Context, replica state.Replica) (*Vote, error) {
+		return p.transport.Query(ctx, replica.Address, &QueryRequest{
+			ReplicaID:   replica.ID,
+			KnownBallot: learned.highestAccepted.Ballot,
+			Epoch:       learned.committedVoters.Epoch,
+		})
 	})
-	return votes, query.runUntil(ctx, votes.isCommitted, quorumGracePeriod)
+	return tally, round.runUntil(ctx, tally.isCommitted, quorumGracePeriod)
 }
--- a/serving/register/replicalifecycle.go
+++ b/serving/register/replicalifecycle.go
@@ -14,71 +14,64 @@
 	"rowanlink/serving/state"
 )
 
-// Times of taking part.
 const (
-	joinAttemptTimeout  = time.Second            // bounds one try to read or join
-	minJoinBackoff      = 50 * time.Millisecond  // before the second try; it grows by half with each
-	maxJoinBackoff      = time.Second            // what it grows to
-	loadRetryInterval   = 200 * time.Millisecond // between tries to read the store
-	failuresBeforeLog   = 8                      // failed tries in a row after which a line is logged
-	learnerPollInterval = 500 * time.Millisecond // between two looks of a learner for a vote that is free
+	joinAttemptTimeout  = time.Second            // bounds one attempt to read the record or to join
+	minJoinBackoff      = 50 * time.Millisecond  // before the second attempt; it grows by half with each
+	maxJoinBackoff      = time.Second            // bound of that growth
+	loadRetryInterval   = 200 * time.Millisecond // between attempts to read the store
+	failuresBeforeLog   = 8                      // consecutive failed attempts after which one is logged
+	learnerPollInterval = 500 * time.Millisecond // between a learner's checks for a vote that it could take
 )
 
-// runReplica loads the replica's state and then sees to it that the replica knows what is in force and has its place, as
-// a voter or a learner: after the start, and whenever a newer set of replicas has become known.
+// replicaRole is the role of a replica in the register.
+type replicaRole uint8
+
+const (
+	roleUnknown replicaRole = iota
+	roleLearner             // stores the committed record without voting
+	roleVoter
+)
+
+// runReplica is the background work of a node. It loads the replica's state and then brings the replica up to date, as
+// a voter or a learner: after the start, and whenever newer committed voters have become known.
 func (n *Node) runReplica(ctx context.Context) {
 	if !n.loadReplica(ctx) {
 		return
 	}
-	failures, wait, part := 0, minJoinBackoff, roleUnknown
+	failures, backoff, role := 0, minJoinBackoff, roleUnknown
 	for ctx.Err() == nil && !n.transferring.Load() {
 		if err := n.synchronize(ctx, failures > 0); err != nil {
 			if failures++; failures == failuresBeforeLog {
 				event.ReplicaWithoutMajority.Log(n.log).Err(err).Send()
 			}
-			part = roleUnknown
-			ctxsleep.Sleep(ctx, wait)
-			wait = min(wait*3/2, maxJoinBackoff)
+			role = roleUnknown
+			ctxsleep.Sleep(ctx, backoff)
+			backoff = min(backoff*3/2, maxJoinBackoff)
 			continue
 		}
-		failures, wait = 0, minJoinBackoff
-		part = n.logRoleChange(part)
-		n.awaitChange(ctx, part)
+		failures, backoff = 0, minJoinBackoff
+		role = n.logRoleChange(role)
+		n.awaitChange(ctx, role)
 	}
 }
 
-// replicaRole is what a replica does in the register.
-type replicaRole uint8
-
-const (
-	roleUnknown replicaRole = iota // not known yet
-	roleLearner                    // keeps the committed record, and waits for a vote
-	roleVoter
-)
-
-// logRoleChange logs what the replica does now where that has changed.
-func (n *Node) logRoleChange(before replicaRole) replicaRole {
-	now, kind := roleLearner, event.ReplicaIsLearner
+// logRoleChange returns the replica's present role, and logs it if it differs from the previous one.
+func (n *Node) logRoleChange(previous replicaRole) replicaRole {
+	current, kind := roleLearner, event.ReplicaIsLearner
 	if n.IsVoter() {
-		now, kind = roleVoter, event.ReplicaJoined
+		current, kind = roleVoter, event.ReplicaJoined
 	}
-	if now != before {
+	if current != previous {
 		own, _ := n.acceptor.State()
 		kind.Log(n.log).Str("replica", own.ReplicaID).Uint64("epoch", n.Voters().Epoch).Send()
 	}
-	return now
+	return current
 }
 
-// awaitChange returns when a voter has lost its vote, when a learner may have something to do, or when the node ends.
-func (n *Node) awaitChange(ctx context.Context, as replicaRole) {
-	if as == roleLearner {
-		timer := time.NewTimer(learnerPollInterval)
-		defer timer.Stop()
-		select {
-		case <-n.votersChanged:
-		case <-timer.C:
-		case <-ctx.Done():
-		}
+// awaitChange returns when a voter has lost its vote, when a learner may have something to do, or when the context ends.
+func (n *Node) awaitChange(ctx context.Context, role replicaRole) {
+	if role == roleLearner {
+		n.awaitLearnerWork(ctx)
 		return
 	}
 	for n.IsVoter() {
@@ -90,10 +83,21 @@
 	}
 }
 
-// loadReplica reads the store, with patience, and begins a new replica where there is none. It returns false when the node
-// ends first.
+// awaitLearnerWork returns on a newer record or newer voters, and after learnerPollInterval at the latest.
+func (n *Node) awaitLearnerWork(ctx context.Context) {
+	timer := time.NewTimer(learnerPollInterval)
+	defer timer.Stop()
+	select {
+	case <-n.votersChanged:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// loadReplica reads the store, retrying until it succeeds, and initializes the replica if there is none. It returns
+// false if the context ends first.
 func (n *Node) loadReplica(ctx context.Context) bool {
-	complained := false
+	logged := false
 	for ctx.Err() == nil {
 		own, found, err := n.loadState()
 		if err == nil {
@@ -103,8 +107,8 @@
 			n.replicaStarted(&own, found)
 			return true
 		}
-		if !complained && ctx.Err() == nil {
-			complained = true
+		if !logged && ctx.Err() == nil {
+			logged = true
 			event.ReplicaStoreUnreadable.Log(n.log).Err(err).Send()
 		}
 		ctxsleep.Sleep(ctx, loadRetryInterval)
@@ -112,8 +116,8 @@
 	return false
 }
 
-// loadState returns the saved state, or the one that a replica begins with. Where a state was saved and is lost, that
-// is never one of the first set: the lost one may have voted.
+// loadState returns the saved state, or an initial one and false. A state that was lost is never replaced by a voter of
+// the first set: the lost replica may have voted under that ID.
 func (n *Node) loadState() (own AcceptorState, found bool, err error) {
 	saved, found, err := n.storage.Load()
 	switch {
@@ -127,7 +131,7 @@
 	return saved, true, nil
 }
 
-// replicaStarted takes in the state that the replica starts with.
+// replicaStarted learns from the installed state and logs it.
 func (n *Node) replicaStarted(own *AcceptorState, found bool) {
 	n.proposer.observeOwnState(own)
 	kind := event.ReplicaCreated
@@ -137,13 +141,14 @@
 	kind.Log(n.log).Str("replica", own.ReplicaID).Uint64("revision", own.Proposal.Record.Revision).Send()
 }
 
-// synchronize makes one try to learn what is in force, and to get a vote where one is to be had.
-func (n *Node) synchronize(ctx context.Context, again bool) error {
+// synchronize makes one attempt to read the committed record and, for a learner, to store it and to take a vote that is
+// free. The voters are discovered again if the last attempt failed.
+func (n *Node) synchronize(ctx context.Context, lastFailed bool) error {
 	ctx, cancel := context.WithTimeout(ctx, joinAttemptTimeout)
 	defer cancel()
-	absent := n.isAbsent
-	if again || len(n.Voters().Replicas) == 0 {
-		absent = n.discover(ctx)
+	isDown := n.isDown
+	if lastFailed || len(n.Voters().Replicas) == 0 {
+		isDown = n.discover(ctx) //nolint:contextcheck // answers that come after the context has ended are still used
 	}
 	if n.IsVoter() {
 		_, err := n.Read(ctx)
@@ -159,11 +164,11 @@
 	if err := n.catchUp(ctx); err != nil {
 		return err
 	}
-	return n.claimVote(ctx, own, absent)
+	return n.claimVote(ctx, own, isDown)
 }
 
-// catchUp keeps the newest committed record on disk. Once in each life a learner asks a majority for it, whatever it
-// has on disk; later ones are told to it.
+// catchUp stores the newest committed record. After each start a learner first reads it from a majority, whatever it
+// has on disk; later records reach it through Learn.
 func (n *Node) catchUp(ctx context.Context) error {
 	if !n.caughtUp.Load() {
 		if _, err := n.Read(ctx); err != nil {
@@ -178,26 +183,26 @@
 	return nil
 }
 
-// claimVote makes the own replica a voter where it succeeds one that has lost its disk, or where a voter is absent and
-// this learner is the one that fits best: of many learners that try at once, each would outvote the others. All else is
-// left to the holder of the duty, see Repair.
-func (n *Node) claimVote(ctx context.Context, own state.Replica, absent func(address string) bool) error {
-	all := n.voterPlacement(n.potentialLearners())
-	all.isDown = absent
-	next, free := all.replaceUnavailable(n.Voters().Replicas)
-	fits := func(voter state.Replica) bool { return voter.ID == own.ID }
-	if !free || !slices.ContainsFunc(next, fits) {
+// claimVote makes the own replica a voter if it succeeds one that has lost its disk, or if a voter is down and this is
+// the learner that fits best: many learners that tried at once would preempt each other. Other changes of the voters are
+// left to RepairVoters.
+func (n *Node) claimVote(ctx context.Context, own state.Replica, isDown func(address string) bool) error {
+	withAllLearners := n.voterPlacement(n.potentialLearners())
+	withAllLearners.isDown = isDown
+	next, changed := withAllLearners.replaceUnavailable(n.Voters().Replicas)
+	isOwn := func(voter state.Replica) bool { return voter.ID == own.ID }
+	if !changed || !slices.ContainsFunc(next, isOwn) {
 		return nil
 	}
-	seats := n.voterPlacement([]state.Replica{own})
-	seats.isDown = absent
-	_, err := n.Change(ctx, placementUpdate(seats.replaceUnavailable))
+	withOwn := n.voterPlacement([]state.Replica{own})
+	withOwn.isDown = isDown
+	_, err := n.Change(ctx, placementUpdate(withOwn.replaceUnavailable))
 	return err
 }
 
-// joiningReplica returns this process's replica as it may join. Where it was a member of an earlier set it gets a new
-// ID and an empty state, as after the loss of its disk: calls that were meant for the one that was replaced must not
-// reach the one that joins.
+// joiningReplica returns this process's replica as it may join. A replica that was a voter of an earlier set first gets a
+// new ID and an empty state, as after the loss of its disk: requests that were meant for the removed voter must not reach
+// the one that joins.
 func (n *Node) joiningReplica() (state.Replica, error) {
 	own, _ := n.acceptor.State()
 	if own.removedFrom(n.Voters()) {
@@ -206,23 +211,11 @@
 		if latest, known := n.Latest(); known {
 			own.Learned = latest
 		}
-		// The install may wait for the disk for longer than this try; a second ID must not be drawn meanwhile.
+		// The disk may take longer than this attempt. Install therefore isn't bounded by it: the next attempt must not
+		// generate another ID meanwhile.
 		if err := n.acceptor.Install(n.proposer.lifetime, own, true); err != nil {
 			return state.Replica{}, err
 		}
 	}
 	return state.Replica{ID: own.ReplicaID, Address: n.settings.InnerAddress()}, nil
 }
-
-// removedFrom tells whether a replica was a member and, by an established set, is one no more. A replica that has
-// accepted its own joining, but doesn't know whether that is committed, is not.
-func (s *AcceptorState) removedFrom(established state.ReplicaSet) bool {
-	accepted := s.Proposal.Record.Voters
-	if len(accepted.Replicas) == 0 || established.Contains(s.ReplicaID) {
-		return false
-	}
-	if accepted.Contains(s.ReplicaID) {
-		return accepted.Epoch < established.Epoch
-	}
-	return accepted.Epoch <= established.Epoch // it has voted on its own leaving, or later
-}
--- a/serving/register/round.go
+++ b/serving/register/round.go
@@ -9,14 +9,14 @@
 	"rowanlink/serving/state"
 )
 
-// Reasons for which a round fails. The change or read that it belongs to may try again.
+// Reasons for which a round fails. The change or read that it belongs to may make another attempt.
 var (
 	errPreempted  = errors.New("a higher ballot was promised")
 	errNoQuorum   = errors.New("no majority answered")
 	errCallerGone = errors.New("the caller has given up")
 )
 
-// tally is what a round gathers: a tally or an agreement.
+// tally counts the votes of a round: a prepareTally or an acceptTally.
 type tally interface {
 	config() jointConfig
 	add(id string, vote *Vote)
@@ -24,17 +24,18 @@
 	cannotReachQuorum() bool
 }
 
-// requestFunc sends one round's request to one replica.
+// requestFunc sends a round's request to one replica.
 type requestFunc func(ctx context.Context, replica state.Replica) (*Vote, error)
 
-// roundReply is what came of one call; a nil vote stands for none.
+// roundReply is the result of one call; a nil vote stands for no answer.
 type roundReply struct {
 	id   string
 	vote *Vote
 }
 
-// round sends a request to all replicas of the electorate at once, also to those that only the votes bring into it,
-// until the votes are complete or can't be. Calls that are still under way then go on, and what they bring is learned.
+// round sends a request to all replicas of a configuration in parallel, also to those that only the votes bring into
+// it, until the tally has a quorum or can't reach one. Calls in flight are not cancelled when it ends, and the proposer
+// still learns from their votes.
 type round struct {
 	proposer   *Proposer
 	tally      tally
@@ -42,41 +43,48 @@
 	send       requestFunc
 	replies    chan roundReply
 	done       chan struct{}
-	requested  map[string]bool
+	requested  map[string]bool // by replica ID
 	replyCount int
 	preempted  bool
 }
 
-func (p *Proposer) newRound(votes tally, timeout time.Duration, send requestFunc) *round {
-	return &round{proposer: p, tally: votes, timeout: timeout, send: send, replies: make(chan roundReply), done: make(chan struct{}),
-		requested: map[string]bool{}}
+func (p *Proposer) newRound(tally tally, timeout time.Duration, send requestFunc) *round {
+	return &round{
+		proposer:  p,
+		tally:     tally,
+		timeout:   timeout,
+		send:      send,
+		replies:   make(chan roundReply),
+		done:      make(chan struct{}),
+		requested: map[string]bool{},
+	}
 }
 
-// run returns nil once the votes are complete.
+// run returns nil once the tally has a quorum.
 func (r *round) run(ctx context.Context) error {
 	defer close(r.done)
 	return r.collect(ctx, r.tally.hasQuorum, nil)
 }
 
-// runUntil waits on for agreed where the votes are complete, but no longer than linger. It returns nil once the votes
-// are complete, whether agreed or not.
-func (r *round) runUntil(ctx context.Context, agreed func() bool, linger time.Duration) error {
+// runUntil returns nil once the tally has a quorum. If agreed isn't true by then, it waits for that, but for at most
+// the grace period.
+func (r *round) runUntil(ctx context.Context, agreed func() bool, gracePeriod time.Duration) error {
 	defer close(r.done)
 	if err := r.collect(ctx, r.tally.hasQuorum, nil); err != nil || agreed() {
 		return err
 	}
-	timer := time.NewTimer(linger)
+	timer := time.NewTimer(gracePeriod)
 	defer timer.Stop()
-	_ = r.collect(ctx, agreed, timer.C) // the votes are complete, so the round has not failed
+	_ = r.collect(ctx, agreed, timer.C) // the tally has a quorum, so the round has not failed
 	return nil
 }
 
-// collect takes replies until done, or the round can't go on.
-func (r *round) collect(ctx context.Context, done func() bool, enough <-chan time.Time) error {
+// collect takes replies until finished is true, expired fires or the round fails.
+func (r *round) collect(ctx context.Context, finished func() bool, expired <-chan time.Time) error {
 	for {
 		r.sendPending()
 		switch {
-		case done():
+		case finished():
 			return nil
 		case r.tally.cannotReachQuorum() || r.replyCount == len(r.requested):
 			return r.failure()
@@ -84,7 +92,7 @@
 		select {
 		case reply := <-r.replies:
 			r.record(reply)
-		case <-enough:
+		case <-expired:
 			return errNoQuorum
 		case <-ctx.Done():
 			return r.failure()
@@ -107,7 +115,7 @@
 	return errNoQuorum
 }
 
-// sendPending sends the request to those replicas of the electorate that have not got it.
+// sendPending sends the request to those replicas of the configuration that haven't got it yet.
 func (r *round) sendPending() {
 	for _, replica := range r.tally.config().replicas() {
 		if !r.requested[replica.ID] {
@@ -117,8 +125,8 @@
 	}
 }
 
-// call makes one call. It lasts as long as its own bound, not the caller's: a record should reach also those replicas
-// that the majority didn't wait for.
+// call makes one call. It is bounded by the round's own timeout rather than by the caller's context: a record should
+// also reach the replicas that the majority didn't wait for.
 func (r *round) call(replica state.Replica) {
 	ctx, cancel := context.WithTimeout(r.proposer.lifetime, r.timeout)
 	defer cancel()
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -132,12 +132,13 @@
 	if data.Cmd == "read" {
 		return s.query(t, p)
 	}
-	record, outcome, err := p.runAttempt(life, s.change(t, id, data))
+	result := p.runAttempt(life, s.change(t, id, data))
 	synctest.Wait()
-	if outcome == attemptFinishedOther {
+	if result.outcome == attemptFinishedOther {
 		return "advanced\n"
 	}
-	return fmt.Sprintf("%s%s\n", [...]string{"decided", "failed"}[outcome], printedResult(&record, err))
+	outcome := [...]string{"decided", "failed"}[result.outcome]
+	return fmt.Sprintf("%s%s\n", outcome, printedResult(&result.record, result.err))
 }
 
 func (s *script) query(t *testing.T, p *Proposer) string {
--- a/serving/register/server.go
+++ b/serving/register/server.go
@@ -5,6 +5,8 @@
 // server answers the calls of other processes to a node.
 type server struct{ node *Node }
 
+var _ Server = (*server)(nil)
+
 func (s *server) Prepare(ctx context.Context, request *PrepareRequest) (*Vote, error) {
 	vote, err := s.node.acceptor.Prepare(ctx, request)
 	return s.withCommittedVoters(vote, request.Epoch), err
@@ -23,26 +25,25 @@
 	return s.withCommittedVoters(vote, request.Epoch), err
 }
 
-// withCommittedVoters adds the set of replicas in force where the caller goes by an older one.
-func (s *server) withCommittedVoters(vote *Vote, epoch uint64) *Vote {
-	if set := s.node.Voters(); vote != nil && set.Epoch > epoch {
-		vote.CommittedVoters = &set
-	}
-	return vote
-}
-
 func (s *server) Describe(context.Context, *DescribeRequest) (*Description, error) {
-	set := s.node.Voters()
-	description := &Description{CommittedVoters: set}
+	voters := s.node.Voters()
+	description := &Description{CommittedVoters: voters}
 	if own, ok := s.node.caughtUpLearner(); ok {
-		description.Learner, description.LearnerRevision = own.replica, own.revision
+		description.Learner = own.replica
+		description.LearnerRevision = own.revision
 	}
-	for _, replica := range set.Replicas {
-		if s.node.isAbsent(replica.Address) {
-			description.Down = append(description.Down, replica.Address)
+	for _, voter := range voters.Replicas {
+		if s.node.isDown(voter.Address) {
+			description.Down = append(description.Down, voter.Address)
 		}
 	}
 	return description, nil
 }
 
-var _ Server = (*server)(nil)
+// withCommittedVoters adds the newest committed voters to a vote if the caller's epoch is older.
+func (s *server) withCommittedVoters(vote *Vote, epoch uint64) *Vote {
+	if voters := s.node.Voters(); vote != nil && voters.Epoch > epoch {
+		vote.CommittedVoters = &voters
+	}
+	return vote
+}
--- a/serving/register/simulatedmachine_test.go
+++ b/serving/register/simulatedmachine_test.go
@@ -62,7 +62,7 @@
 			m.simulation.history.committed(record, &told)
 		}}
 	life.node, life.server = newNode(ctx, options, &wire{simulation: m.simulation, from: life})
-	life.node.SetAbsence(m.simulation.isDown, func(string) bool { return false })
+	life.node.SetFailureDetector(m.simulation)
 	m.process, m.started = life, true
 	life.node.start()
 	go life.keep(ctx)
--- a/serving/register/simulation_test.go
+++ b/serving/register/simulation_test.go
@@ -120,8 +120,8 @@
 	return min(machines, max(minVoters, 2*s.losses+1))
 }
 
-// isDown is what the nodes' failure detector says: it sees processes that don't run, and is mistaken at times.
-func (s *simulation) isDown(address string) bool {
+// IsDown makes the simulation the nodes' failure detector: it knows which processes run, except for falsely reported ones.
+func (s *simulation) IsDown(address string) bool {
 	s.mutex.Lock()
 	mistaken := s.mistaken[address]
 	s.mutex.Unlock()
@@ -136,6 +136,9 @@
 	return true
 }
 
+// IsExpired implements FailureDetector: no address is ever forgotten.
+func (s *simulation) IsExpired(string) bool { return false }
+
 func (s *simulation) isolate(m *machine, cut bool) {
 	machines := s.all()
 	s.mutex.Lock()
--- a/serving/register/transport.go
+++ b/serving/register/transport.go
@@ -8,21 +8,20 @@
 	"rowanlink/serving/rpc"
 )
 
-// Bounds of one call to one replica. A replica that is slower counts as silent.
+// Time-outs of one call to one replica.
 const (
 	callTimeout = 700 * time.Millisecond
-	// initialCallTimeout is the bound of the first try of a prepare or query, which loses nothing by being sent again: a call
-	// that went out just before its replica came back hangs, the next one doesn't. The bound grows with each try.
+	// initialCallTimeout bounds the calls of the first attempt of a Prepare or Query round, which are safe to repeat: a
+	// call that was sent just before its replica restarted hangs, and the next one doesn't. It grows with each attempt.
 	initialCallTimeout = 250 * time.Millisecond
 )
 
-// attemptTimeout returns the bound of the calls of a try, counted from 0.
+// attemptTimeout returns the time-out of the calls of an attempt, counted from 0.
 func attemptTimeout(attempt int) time.Duration {
 	return min(initialCallTimeout*time.Duration(attempt+1), callTimeout)
 }
 
-// Transport carries calls to the replica at an address. An error stands for silence: nothing is known of whether the
-// call took effect.
+// Transport carries calls to the node at an address. After an error it is unknown whether the call took effect.
 type Transport interface {
 	Prepare(ctx context.Context, address string, request *PrepareRequest) (*Vote, error)
 	Accept(ctx context.Context, address string, request *AcceptRequest) (*Vote, error)
@@ -30,7 +29,7 @@
 	Describe(ctx context.Context, address string, request *DescribeRequest) (*Description, error)
 }
 
-// Server answers calls to the replica of this process.
+// Server answers the calls of other nodes to the node of this process.
 type Server interface {
 	Prepare(ctx context.Context, request *PrepareRequest) (*Vote, error)
 	Accept(ctx context.Context, request *AcceptRequest) (*Vote, error)
@@ -38,54 +37,57 @@
 	Describe(ctx context.Context, request *DescribeRequest) (*Description, error)
 }
 
-// rpcTransport carries calls over rpc, and those to the replica of the same process directly.
+// rpcTransport carries calls over rpc, and those to the process's own replica by a function call.
 type rpcTransport struct {
 	client *rpc.Client
-	own    string
+	own    string // address
 	local  Server
 }
 
-func (n *rpcTransport) Prepare(ctx context.Context, address string, request *PrepareRequest) (*Vote, error) {
-	if address == n.own {
-		return n.local.Prepare(ctx, request)
+var _ Transport = (*rpcTransport)(nil)
+
+func (t *rpcTransport) Prepare(ctx context.Context, address string, request *PrepareRequest) (*Vote, error) {
+	if address == t.own {
+		return t.local.Prepare(ctx, request)
 	}
-	return prepareMethod.Call(ctx, n.client, address, request)
+	return prepareMethod.Call(ctx, t.client, address, request)
 }
 
-func (n *rpcTransport) Accept(ctx context.Context, address string, request *AcceptRequest) (*Vote, error) {
-	if address == n.own {
-		return n.local.Accept(ctx, request)
+func (t *rpcTransport) Accept(ctx context.Context, address string, request *AcceptRequest) (*Vote, error) {
+	if address == t.own {
+		return t.local.Accept(ctx, request)
 	}
-	return acceptMethod.Call(ctx, n.client, address, request)
+	return acceptMethod.Call(ctx, t.client, address, request)
 }
 
-func (n *rpcTransport) Query(ctx context.Context, address string, request *QueryRequest) (*Vote, error) {
-	if address == n.own {
-		return n.local.Query(ctx, request)
+func (t *rpcTransport) Query(ctx context.Context, address string, request *QueryRequest) (*Vote, error) {
+	if address == t.own {
+		return t.local.Query(ctx, request)
 	}
-	return queryMethod.Call(ctx, n.client, address, request)
+	return queryMethod.Call(ctx, t.client, address, request)
 }
 
-func (n *rpcTransport) Describe(ctx context.Context, address string, request *DescribeRequest) (*Description, error) {
-	return describeMethod.Call(ctx, n.client, address, request)
+func (t *rpcTransport) Describe(
+	ctx context.Context, address string, request *DescribeRequest,
+) (*Description, error) {
+	return describeMethod.Call(ctx, t.client, address, request)
 }
 
-// registerHandlers registers the calls. Each is bounded, also where the caller names no bound.
+// registerHandlers adds the handlers of a server's calls to the mux. Each call is bounded by callTimeout, even if the
+// caller sets no deadline.
 func registerHandlers(mux *http.ServeMux, server Server) {
-	prepareMethod.Serve(mux, bounded(server.Prepare))
-	acceptMethod.Serve(mux, bounded(server.Accept))
-	queryMethod.Serve(mux, bounded(server.Query))
-	describeMethod.Serve(mux, bounded(server.Describe))
+	prepareMethod.Serve(mux, withTimeout(server.Prepare))
+	acceptMethod.Serve(mux, withTimeout(server.Accept))
+	queryMethod.Serve(mux, withTimeout(server.Query))
+	describeMethod.Serve(mux, withTimeout(server.Describe))
 }
 
-func bounded[Request, Response any](
-	answer func(context.Context, *Request) (*Response, error),
+func withTimeout[Request, Response any](
+	handle func(context.Context, *Request) (*Response, error),
 ) func(context.Context, *Request) (*Response, error) {
 	return func(ctx context.Context, request *Request) (*Response, error) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		return answer(ctx, request)
+		return handle(ctx, request)
 	}
 }
-
-var _ Transport = (*rpcTransport)(nil)
--- a/serving/register/voterplacement.go
+++ b/serving/register/voterplacement.go
@@ -8,56 +8,64 @@
 	"rowanlink/serving/state"
 )
 
-// minVoters is the fewest voters that are wanted, whatever is to be borne: with fewer, no loss would be.
+// minVoters is the smallest number of voters that is aimed at: fewer could not tolerate a loss.
 const minVoters = 3
 
-// desiredVoterCount returns how many voters the register is to have: an odd number that bears the losses of machines and
-// the loss of a zone that the settings tell, at least minVoters. Every other core machine is a learner.
+// desiredVoterCount returns how many voters the register should have: the smallest odd number, at least minVoters, that
+// tolerates the losses of machines and of zones in the settings. Every other core member is a learner.
 func desiredVoterCount(process *settings.Process) int {
-	return max(minVoters, 2*max(process.Withstand.MachineLosses, process.Withstand.Zones)+1)
+	tolerated := max(process.Withstand.MachineLosses, process.Withstand.Zones)
+	return max(minVoters, 2*tolerated+1)
 }
 
-// voterPlacement decides who votes. It does no I/O. The set is changed one for one, or by two at a time, so that it keeps an
-// odd size: an even set needs one answer more than the odd one below it and bears no more losses.
+// voterPlacement decides which replicas vote. It does no I/O.
+//
+// Invariant: a set of odd size stays odd. Voters are replaced one for one, and added or removed in pairs: an even set
+// needs one vote more for a majority than the odd set below it and tolerates no more losses.
 type voterPlacement struct {
-	desiredVoters int // voters; odd
-	// isDown tells whether no process lives at an address, so that its voter may be replaced.
+	desiredVoters int // odd
+	// isDown reports that no process lives at an address, so that its voter may be replaced.
 	isDown func(address string) bool
-	// isExpired tells whether an address has been absent for so long that nobody knows it any more.
+	// isExpired reports that an address has been down for so long that no member remembers it.
 	isExpired func(address string) bool
-	// zoneOf is where an address lies; empty: unknown.
+	// zoneOf returns the zone of an address; empty: unknown.
 	zoneOf func(address string) string
-	// learners may become voters. They hold the record on disk.
+	// learners may become voters. They have the record on disk.
 	learners []state.Replica
 }
 
-// placementUpdate returns the update that makes the change of the voters that next tells, if there is one to make.
+// placementStep returns the voters after one kind of change, given the learners that aren't voters yet. It returns nil
+// if the change isn't needed or not possible.
+type placementStep func(voters, learners []state.Replica) []state.Replica
+
+// placementUpdate returns the update that replaces the voters by those that next returns, if it reports a change.
 func placementUpdate(next func(voters []state.Replica) ([]state.Replica, bool)) Update {
 	return func(record state.Record) (state.Record, error) {
-		next, changed := next(record.Voters.Replicas)
+		voters, changed := next(record.Voters.Replicas)
 		if !changed {
 			return record, ErrNoChange
 		}
-		record.Voters.Replicas = next
+		record.Voters.Replicas = voters
 		return record, nil
 	}
 }
 
-// nextVoters returns the voters after the next change of the set; false where the set is as it should be, or the learners
-// for the change are lacking.
-func (s *voterPlacement) nextVoters(voters []state.Replica) ([]state.Replica, bool) {
-	return s.firstApplicable(voters, s.replaceAtSameAddress, s.replaceDown, s.makeOdd, s.grow, s.shrink, s.spreadZones)
+// nextVoters returns the voters after the next change of the set. It returns false if the set is as it should be, or if
+// there aren't enough learners for the change.
+func (p *voterPlacement) nextVoters(voters []state.Replica) ([]state.Replica, bool) {
+	return p.firstApplicable(voters,
+		p.replaceAtSameAddress, p.replaceDown, p.makeOdd, p.grow, p.shrink, p.spreadZones)
 }
 
-// replaceUnavailable returns the voters after a learner has taken a vote that is free for it alone; false where none is.
-func (s *voterPlacement) replaceUnavailable(voters []state.Replica) ([]state.Replica, bool) {
-	return s.firstApplicable(voters, s.replaceAtSameAddress, s.replaceDown)
+// replaceUnavailable returns the voters after a learner has taken the place of a voter that can't vote, and false if
+// there is none.
+func (p *voterPlacement) replaceUnavailable(voters []state.Replica) ([]state.Replica, bool) {
+	return p.firstApplicable(voters, p.replaceAtSameAddress, p.replaceDown)
 }
 
-// firstApplicable returns what the first of the steps makes that has something to do.
-func (s *voterPlacement) firstApplicable(voters []state.Replica,
-	steps ...func(voters, learners []state.Replica) []state.Replica) ([]state.Replica, bool) {
-	learners := s.availableLearners(voters)
+// firstApplicable returns the result of the first step that changes the voters.
+func (p *voterPlacement) firstApplicable(voters []state.Replica, steps ...placementStep) ([]state.Replica, bool) {
+	learners := p.availableLearners(voters)
 	for _, step := range steps {
 		if next := step(voters, learners); next != nil {
 			return next, true
@@ -66,29 +74,29 @@
 	return nil, false
 }
 
-// transferVote returns the voters after a learner has taken the place of the one with the given ID; false where it has no
-// place or there is no learner.
-func (s *voterPlacement) transferVote(voters []state.Replica, id string) ([]state.Replica, bool) {
-	position := slices.IndexFunc(voters, func(r state.Replica) bool { return r.ID == id })
-	learners := s.availableLearners(voters)
+// transferVote returns the voters after a learner has taken the place of the voter with the given ID. It returns false
+// if that is no voter or there is no learner.
+func (p *voterPlacement) transferVote(voters []state.Replica, id string) ([]state.Replica, bool) {
+	position := slices.IndexFunc(voters, func(voter state.Replica) bool { return voter.ID == id })
+	learners := p.availableLearners(voters)
 	if position < 0 || len(learners) == 0 {
 		return nil, false
 	}
-	return s.substitute(voters, position, learners), true
+	return p.substitute(voters, position, learners), true
 }
 
-// availableLearners returns the learners that are no voters yet.
-func (s *voterPlacement) availableLearners(voters []state.Replica) []state.Replica {
-	return slices.DeleteFunc(slices.Clone(s.learners), func(learner state.Replica) bool {
+// availableLearners returns the learners that aren't voters yet.
+func (p *voterPlacement) availableLearners(voters []state.Replica) []state.Replica {
+	return slices.DeleteFunc(slices.Clone(p.learners), func(learner state.Replica) bool {
 		return slices.ContainsFunc(voters, func(voter state.Replica) bool { return voter.ID == learner.ID })
 	})
 }
 
-// replaceAtSameAddress puts a learner in the place of the voter at its own address: that one has lost its disk, and votes no more.
-func (s *voterPlacement) replaceAtSameAddress(voters, learners []state.Replica) []state.Replica {
+// replaceAtSameAddress replaces a voter by the learner at its address: the voter has lost its disk and won't vote again.
+func (p *voterPlacement) replaceAtSameAddress(voters, learners []state.Replica) []state.Replica {
 	for _, learner := range learners {
-		holds := func(voter state.Replica) bool { return voter.Address == learner.Address }
-		position := slices.IndexFunc(voters, holds)
+		hasSameAddress := func(voter state.Replica) bool { return voter.Address == learner.Address }
+		position := slices.IndexFunc(voters, hasSameAddress)
 		if position < 0 {
 			continue
 		}
@@ -99,122 +107,135 @@
 	return nil
 }
 
-// replaceDown puts a learner in the place of a voter that is absent.
-func (s *voterPlacement) replaceDown(voters, learners []state.Replica) []state.Replica {
-	position := s.firstDown(voters)
+// replaceDown replaces a voter that is down by a learner.
+func (p *voterPlacement) replaceDown(voters, learners []state.Replica) []state.Replica {
+	position := p.firstDown(voters)
 	if position < 0 || len(learners) == 0 {
 		return nil
 	}
-	return s.substitute(voters, position, learners)
+	return p.substitute(voters, position, learners)
 }
 
-// makeOdd adds a voter to an even set, or takes an absent one out of it. Even sets come from deployments with two seeds,
-// and from versions that let every core machine vote.
-func (s *voterPlacement) makeOdd(voters, learners []state.Replica) []state.Replica {
+// makeOdd adds a voter to an even set, or removes one that is down. Even sets come from deployments with two seeds and
+// from releases in which every core member voted.
+func (p *voterPlacement) makeOdd(voters, learners []state.Replica) []state.Replica {
 	if len(voters)%2 != 0 {
 		return nil
 	}
-	if len(voters) < s.desiredVoters && len(learners) > 0 {
-		return append(slices.Clone(voters), s.bestLearner(voters, learners))
+	if len(voters) < p.desiredVoters && len(learners) > 0 {
+		return append(slices.Clone(voters), p.bestLearner(voters, learners))
 	}
-	position := s.firstDown(voters)
+	position := p.firstDown(voters)
 	switch {
 	case len(voters) <= 2:
 		return nil
 	case position >= 0:
-		return slices.Delete(slices.Clone(voters), position, position+1)
-	case len(voters) > s.desiredVoters:
-		return s.removeVoter(voters)
+		return withoutPosition(voters, position)
+	case len(voters) > p.desiredVoters:
+		return p.removeVoter(voters)
 	}
 	return nil
 }
 
-// grow adds two voters at once.
-func (s *voterPlacement) grow(voters, learners []state.Replica) []state.Replica {
-	if len(voters) >= s.desiredVoters || len(learners) < 2 {
+// grow adds two voters.
+func (p *voterPlacement) grow(voters, learners []state.Replica) []state.Replica {
+	if len(voters) >= p.desiredVoters || len(learners) < 2 {
 		return nil
 	}
-	next := append(slices.Clone(voters), s.bestLearner(voters, learners))
-	return append(next, s.bestLearner(next, s.availableLearners(next)))
+	next := append(slices.Clone(voters), p.bestLearner(voters, learners))
+	return append(next, p.bestLearner(next, p.availableLearners(next)))
 }
 
-// shrink takes two voters out at once where there are too many, or where two have been absent for so long that they
-// won't be back: the smaller set bears more losses of those that are left.
-func (s *voterPlacement) shrink(voters, _ []state.Replica) []state.Replica {
-	if len(voters) > s.desiredVoters {
-		return s.removeVoter(s.removeVoter(voters))
+// shrink removes two voters if there are too many, or if two have been down for so long that they won't return: the
+// smaller set tolerates more losses among the rest.
+func (p *voterPlacement) shrink(voters, _ []state.Replica) []state.Replica {
+	if len(voters) > p.desiredVoters {
+		return p.removeVoter(p.removeVoter(voters))
 	}
-	left := slices.DeleteFunc(slices.Clone(voters), func(r state.Replica) bool { return s.isExpired(r.Address) })
-	if lost := len(voters) - len(left); lost < 2 || len(voters) <= minVoters {
+	expired := func(voter state.Replica) bool { return p.isExpired(voter.Address) }
+	remaining := slices.DeleteFunc(slices.Clone(voters), expired)
+	if lost := len(voters) - len(remaining); lost < 2 || len(voters) <= minVoters {
 		return nil
 	}
 	next := slices.Clone(voters)
 	for range 2 {
-		position := slices.IndexFunc(next, func(r state.Replica) bool { return s.isExpired(r.Address) })
+		position := slices.IndexFunc(next, expired)
 		next = slices.Delete(next, position, position+1)
 	}
 	return next
 }
 
-// spreadZones moves a vote out of a zone that alone could end the majority to one that has fewer voters.
-func (s *voterPlacement) spreadZones(voters, learners []state.Replica) []state.Replica {
-	most := len(voters) - (len(voters)/2 + 1) // voters that may go at once
-	position := slices.IndexFunc(voters, func(r state.Replica) bool {
-		zone := s.zoneOf(r.Address)
-		return zone != "" && s.countInZone(voters, zone) > most
+// spreadZones moves a vote out of a zone whose loss alone would cost the majority, into a zone that has fewer voters.
+func (p *voterPlacement) spreadZones(voters, learners []state.Replica) []state.Replica {
+	tolerated := len(voters) - (len(voters)/2 + 1) // losses that leave a majority
+	position := slices.IndexFunc(voters, func(voter state.Replica) bool {
+		zone := p.zoneOf(voter.Address)
+		return zone != "" && p.countInZone(voters, zone) > tolerated
 	})
 	if position < 0 || len(learners) == 0 {
 		return nil
 	}
-	left := slices.Delete(slices.Clone(voters), position, position+1)
-	chosen := s.bestLearner(left, learners)
-	if zone := s.zoneOf(chosen.Address); zone == "" || s.countInZone(left, zone)+1 > most {
+	others := withoutPosition(voters, position)
+	learner := p.bestLearner(others, learners)
+	zone := p.zoneOf(learner.Address)
+	if zone == "" || p.countInZone(others, zone)+1 > tolerated {
 		return nil
 	}
 	next := slices.Clone(voters)
-	next[position] = chosen
+	next[position] = learner
 	return next
 }
 
-// substitute puts the learner that fits best in a voter's place.
-func (s *voterPlacement) substitute(voters []state.Replica, position int, learners []state.Replica) []state.Replica {
-	left := slices.Delete(slices.Clone(voters), position, position+1)
+// substitute replaces the voter at a position by the best learner.
+func (p *voterPlacement) substitute(voters []state.Replica, position int, learners []state.Replica) []state.Replica {
 	next := slices.Clone(voters)
-	next[position] = s.bestLearner(left, learners)
+	next[position] = p.bestLearner(withoutPosition(voters, position), learners)
 	return next
 }
 
-// bestLearner returns the learner whose zone has the fewest of the voters; among several alike the one with the lowest
-// address, so that all who decide at once decide alike.
-func (s *voterPlacement) bestLearner(voters, learners []state.Replica) state.Replica {
-	return slices.MinFunc(learners, func(a, b state.Replica) int {
-		return cmp.Or(cmp.Compare(s.countInZone(voters, s.zoneOf(a.Address)), s.countInZone(voters, s.zoneOf(b.Address))),
-			cmp.Compare(a.Address, b.Address))
-	})
+// bestLearner returns the learner in the zone with the fewest voters, and among equals the one with the lowest address,
+// so that nodes that decide concurrently agree.
+func (p *voterPlacement) bestLearner(voters, learners []state.Replica) state.Replica {
+	return slices.MinFunc(learners, p.byZoneCount(voters))
 }
 
-// removeVoter takes one voter out: an absent one, else one of the zone that has the most.
-func (s *voterPlacement) removeVoter(voters []state.Replica) []state.Replica {
-	position := s.firstDown(voters)
+// removeVoter removes one voter: one that is down, else one of the zone with the most voters.
+func (p *voterPlacement) removeVoter(voters []state.Replica) []state.Replica {
+	position := p.firstDown(voters)
 	if position < 0 {
-		crowded := slices.MaxFunc(voters, func(a, b state.Replica) int {
-			return cmp.Or(cmp.Compare(s.countInZone(voters, s.zoneOf(a.Address)), s.countInZone(voters, s.zoneOf(b.Address))),
-				cmp.Compare(a.Address, b.Address))
-		})
-		position = slices.Index(voters, crowded)
+		position = slices.Index(voters, slices.MaxFunc(voters, p.byZoneCount(voters)))
+	}
+	return withoutPosition(voters, position)
+}
+
+// byZoneCount returns an order of replicas by the number of voters in their zone, then by address.
+func (p *voterPlacement) byZoneCount(voters []state.Replica) func(a, b state.Replica) int {
+	votersBeside := func(replica state.Replica) int {
+		return p.countInZone(voters, p.zoneOf(replica.Address))
+	}
+	return func(a, b state.Replica) int {
+		return cmp.Or(
+			cmp.Compare(votersBeside(a), votersBeside(b)),
+			cmp.Compare(a.Address, b.Address),
+		)
 	}
-	return slices.Delete(slices.Clone(voters), position, position+1)
 }
 
-func (s *voterPlacement) firstDown(voters []state.Replica) int {
-	return slices.IndexFunc(voters, func(r state.Replica) bool { return s.isDown(r.Address) })
+// firstDown returns the position of the first voter that is down, negative if there is none.
+func (p *voterPlacement) firstDown(voters []state.Replica) int {
+	return slices.IndexFunc(voters, func(voter state.Replica) bool { return p.isDown(voter.Address) })
 }
 
-func (s *voterPlacement) countInZone(voters []state.Replica, zone string) (count int) {
+func (p *voterPlacement) countInZone(voters []state.Replica, zone string) (count int) {
 	for _, voter := range voters {
-		if s.zoneOf(voter.Address) == zone {
+		if p.zoneOf(voter.Address) == zone {
 			count++
 		}
 	}
 	return count
 }
+
+// withoutPosition returns a copy of the voters without the one at a position.
+func withoutPosition(voters []state.Replica, position int) []state.Replica {
+	return slices.Delete(slices.Clone(voters), position, position+1)
+}
--- a/serving/register/voters_test.go
+++ b/serving/register/voters_test.go
@@ -43,7 +43,7 @@
 
 func absentVoters(n *Node) (absent []string) {
 	for _, voter := range n.Voters().Replicas {
-		if n.isAbsent(voter.Address) {
+		if n.isDown(voter.Address) {
 			absent = append(absent, voter.Address)
 		}
 	}
