--- a/cluster/member/harm.go
+++ b/cluster/member/harm.go
@@ -94,7 +94,7 @@
 	in := func(r shardmap.Range, d api.DestinationID) bool {
 		return r.Home == h.self && h.ownership.Map().Holds(r, d)
 	}
-	found := make(chan []api.Learned, 1)
+	found := make(chan []api.DestinationState, 1)
 	if slices.ContainsFunc(of, func(r shardmap.Range) bool { return r.Home == h.self }) {
 		go func() {
 			all, _ := h.decider.Learned(func(d api.DestinationID) bool {
@@ -105,14 +105,14 @@
 	} else {
 		found <- nil
 	}
-	var all []api.Learned
+	var all []api.DestinationState
 	select {
 	case all = <-found:
 	case <-h.stop: // no turn comes any more
 	}
 	return func(r shardmap.Range) (sick []api.DestinationID) {
 		for _, l := range all {
-			if l.Sick && in(r, l.Destination) {
+			if l.Unhealthy && in(r, l.Destination) {
 				sick = append(sick, l.Destination)
 			}
 		}
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -43,7 +43,7 @@
 	configText []byte
 	file       config.File
 	dispatcher *dispatcher.Dispatcher
-	settings   atomic.Pointer[api.Facts] // by the settings read last
+	settings   atomic.Pointer[api.Settings] // by the settings read last
 	clock      func() api.Micros
 	listener   net.Listener
 	server     *transport.Server
@@ -171,7 +171,7 @@
 	if all := m.settings.Load().EventTypes; int(t) < len(all) {
 		return all[t]
 	}
-	return api.EventType{Repeat: api.AtMostOnce}
+	return api.EventType{Semantics: api.AtMostOnce}
 }
 
 // openCustody opens the names of webhooks, beside what the journal still owes.
--- a/cluster/member/owed.go
+++ b/cluster/member/owed.go
@@ -103,7 +103,7 @@
 func (o *Handoff) batchByPeer(chart *shardmap.Map, all []eventloop.Owed) map[cluster.MemberID]*batch {
 	type turn struct {
 		dest api.DestinationID
-		key  api.Key
+		key  api.OrderingKey
 	}
 	errands, waits := map[cluster.MemberID]*batch{}, map[turn]bool{}
 	errandTo := func(to cluster.MemberID) *batch {
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -69,7 +69,7 @@
 }
 
 // Renew takes the dispatcher's settings and reads the file again; one that can't be used changes nothing.
-func (m *Member) Renew(f api.Facts) {
+func (m *Member) Renew(f api.Settings) {
 	m.settings.Store(&f)
 	m.reloadConfig()
 }
--- a/cluster/member/said.go
+++ b/cluster/member/said.go
@@ -22,7 +22,7 @@
 	Webhooks    []shardmap.Carried `cbor:"4,keyasint"`           // in the order taken
 	Incarnation uint64             `cbor:"6,keyasint"`           // of the folder that they are sent to
 
-	Learned []api.Learned `cbor:"5,keyasint,omitempty"` // of the move's destinations, once none is called
+	Learned []api.DestinationState `cbor:"5,keyasint,omitempty"` // of the move's destinations, once none is called
 }
 
 // TransferReply is what came of them. Where the folder is of another life than was thought, nothing was taken and
--- a/cluster/member/settings_test.go
+++ b/cluster/member/settings_test.go
@@ -12,13 +12,13 @@
 // Guards against a second effect: a copy lost with a relay goes once more by settings that no longer hold.
 func TestWhatIsLostWithARelayGoesByTheSettingsReadLast(t *testing.T) {
 	m := New("")
-	m.settings.Store(&api.Facts{EventTypes: []api.EventType{{Repeat: api.Idempotent}}})
+	m.settings.Store(&api.Settings{EventTypes: []api.EventType{{Semantics: api.Idempotent}}})
 	lost := func() stream.Course {
 		return stream.Rule(&stream.Item{MayRun: api.Never}, 1, m.eventType(0), true, 9, 2)
 	}
 	assert.Equal(t, stream.Goes, lost())
-	m.Renew(api.Facts{EventTypes: []api.EventType{{Repeat: api.AtMostOnce}}})
+	m.Renew(api.Settings{EventTypes: []api.EventType{{Semantics: api.AtMostOnce}}})
 	assert.Equal(t, stream.Ends, lost())
-	m.Renew(api.Facts{})
+	m.Renew(api.Settings{})
 	assert.Equal(t, stream.Ends, lost(), "its event type has gone")
 }
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -15,7 +15,7 @@
 	return site.New(site.Part{Self: m.self, State: d.State, DiskMB: diskMB(d.Told), Exchange: d.Exchange,
 		Decider: d.Decider, Said: m.client, Takes: d.Life.TakesOn, Nudge: m.wake, Event: m.eventType,
 		Serves: m.isOwnerOf, Home: m.isSiteOwner, Alone: m.isSiteIsolated,
-		Buffer: func() int { return m.settings.Load().Buffer }}, m.file)
+		Buffer: func() int { return m.settings.Load().BufferSize }}, m.file)
 }
 
 // isOwnerOf is whether this member is home of a destination, by the grant that it holds.
--- a/cluster/member/teach.go
+++ b/cluster/member/teach.go
@@ -51,10 +51,10 @@
 }
 
 // ApplyState takes over what another member learned; lag is by how much this clock shows more.
-func (o *Handoff) ApplyState(all []api.Learned, lag api.Micros) {
+func (o *Handoff) ApplyState(all []api.DestinationState, lag api.Micros) {
 	for i := range all {
 		l := &all[i]
-		for _, at := range []*api.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
+		for _, at := range []*api.Micros{&l.ObservedAt, &l.WaitUntil, &l.NextCanaryAt, &l.SlowStartSince} {
 			if *at > 0 {
 				*at += lag
 			}
--- a/cluster/relay/relay.go
+++ b/cluster/relay/relay.go
@@ -31,24 +31,24 @@
 // Ends is what a relay tells an owner; the answer is which of them the owner's journal has. Learned is of
 // their destinations, times by the relay's clock.
 type Ends struct {
-	Answer  stream.Answer `cbor:"1,keyasint"`
-	Ends    []stream.End  `cbor:"2,keyasint"`
-	Learned []api.Learned `cbor:"3,keyasint,omitempty"`
+	Answer  stream.Answer          `cbor:"1,keyasint"`
+	Ends    []stream.End           `cbor:"2,keyasint"`
+	Learned []api.DestinationState `cbor:"3,keyasint,omitempty"`
 }
 
 // Opening is what a sender asks first, with what it learned of the site's destinations while it called
 // for them itself, times by its clock.
 type Opening struct {
 	stream.Ask
-	Learned []api.Learned `cbor:"8,keyasint,omitempty"`
-	At      api.Micros    `cbor:"9,keyasint"`
+	Learned []api.DestinationState `cbor:"8,keyasint,omitempty"`
+	At      api.Micros             `cbor:"9,keyasint"`
 }
 
 // Shifted is what was learned by a clock that shows so much more.
-func Shifted(all []api.Learned, by api.Micros) []api.Learned {
+func Shifted(all []api.DestinationState, by api.Micros) []api.DestinationState {
 	for i := range all {
 		l := &all[i]
-		for _, at := range []*api.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
+		for _, at := range []*api.Micros{&l.ObservedAt, &l.WaitUntil, &l.NextCanaryAt, &l.SlowStartSince} {
 			if *at > 0 {
 				*at += by
 			}
--- a/cluster/relay/shelf.go
+++ b/cluster/relay/shelf.go
@@ -26,8 +26,8 @@
 	Told([]stream.Delivery) // their owners have their ends
 	// Learned is what is known of destinations, Taught takes over what their owner knows, by this clock.
 	// Both are called with nothing held.
-	Learned(of []api.DestinationID) []api.Learned
-	Taught([]api.Learned)
+	Learned(of []api.DestinationID) []api.DestinationState
+	Taught([]api.DestinationState)
 }
 
 // Relay is a site's, at the member that serves it.
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -108,7 +108,7 @@
 	defer b.mu.Unlock()
 	i, t := stream.Item{MayRun: api.Never}, api.EventType{}
 	if b.once {
-		t.Repeat = api.AtMostOnce
+		t.Semantics = api.AtMostOnce
 	}
 	for _, u := range of {
 		if c := stream.Rule(&i, u.At, t, lost, 1<<60, clock()); c != stream.Waits {
@@ -136,13 +136,13 @@
 	return heard
 }
 
-func (b book) Learned() []api.Learned {
-	return []api.Learned{{Destination: 1, WaitUntil: clock()}}
+func (b book) Learned() []api.DestinationState {
+	return []api.DestinationState{{Destination: 1, WaitUntil: clock()}}
 }
-func (b book) Taught([]api.Learned) {}
+func (b book) Taught([]api.DestinationState) {}
 
-func (s shelf) Learned([]api.DestinationID) []api.Learned { return nil }
-func (s shelf) Taught(all []api.Learned)                  { s.taught.Add(int64(len(all))) }
+func (s shelf) Learned([]api.DestinationID) []api.DestinationState { return nil }
+func (s shelf) Taught(all []api.DestinationState)                  { s.taught.Add(int64(len(all))) }
 
 func (s shelf) Room() int { return 64 }
 
--- a/cluster/relay/stream.go
+++ b/cluster/relay/stream.go
@@ -28,8 +28,8 @@
 	Ended([]stream.End) (heard []stream.Delivery)
 	// Learned is what this dispatcher knows of the site's destinations; it is called with nothing held, as is
 	// Taught, which takes over what the relay knows, by this clock.
-	Learned() []api.Learned
-	Taught([]api.Learned)
+	Learned() []api.DestinationState
+	Taught([]api.DestinationState)
 	Late([]stream.Delivery) // rejected: their time is over, and they never ran
 }
 
--- a/cluster/shardmap/carried.go
+++ b/cluster/shardmap/carried.go
@@ -22,7 +22,7 @@
 	Hand     Hand              `cbor:"2,keyasint"` // see Known
 	Event    api.EventTypeID   `cbor:"3,keyasint"`
 	Tenant   api.TenantID      `cbor:"4,keyasint"`
-	Key      api.Key           `cbor:"5,keyasint"`
+	Key      api.OrderingKey   `cbor:"5,keyasint"`
 	Dest     api.DestinationID `cbor:"6,keyasint"`
 	TTL      api.Micros        `cbor:"7,keyasint"`
 	Attempts int               `cbor:"8,keyasint"`
@@ -73,11 +73,11 @@
 func (c Carried) Goes(t api.EventType, spare api.Micros, most int, now api.Micros) Fate {
 	ran := c.MayRun != api.Never
 	late := now+spare >= c.TTL || c.Attempts >= most
-	if ran && t.Repeat == api.Tokened {
-		late = late || now+spare >= c.MayRun+t.TokenWindow
+	if ran && t.Semantics == api.Deduplicated {
+		late = late || now+spare >= c.MayRun+t.DedupWindow
 	}
 	switch {
-	case ran && (late || t.Repeat == api.AtMostOnce):
+	case ran && (late || t.Semantics == api.AtMostOnce):
 		return Dies
 	case late:
 		return Rejects
--- a/cluster/shardmap/doubt.go
+++ b/cluster/shardmap/doubt.go
@@ -37,8 +37,8 @@
 	if ran != api.Never {
 		since = ran
 	}
-	forgotten := t.TokenByZone || now >= since+t.TokenWindow
-	once := t.Repeat == api.AtMostOnce || t.Repeat == api.Tokened && forgotten
+	forgotten := t.DedupByZone || now >= since+t.DedupWindow
+	once := t.Semantics == api.AtMostOnce || t.Semantics == api.Deduplicated && forgotten
 	switch {
 	case r == Has:
 		return Drop
@@ -46,7 +46,7 @@
 		return Own
 	case now >= last, r == Forgot && once:
 		return Ends // only the first call's zone remembers a token by zone, and which that was is not known
-	case r != Forgot && (!ended || t.Repeat != api.Idempotent):
+	case r != Forgot && (!ended || t.Semantics != api.Idempotent):
 		return Wait
 	}
 	return Anew
--- a/cluster/shardmap/known_test.go
+++ b/cluster/shardmap/known_test.go
@@ -133,8 +133,8 @@
 }
 
 func TestWhatMayHaveRunGoesOnOnlyAsItsEventTypeAllows(t *testing.T) {
-	once, tokened := api.EventType{Repeat: api.AtMostOnce}, api.EventType{Repeat: api.Tokened,
-		TokenWindow: 10}
+	once, tokened := api.EventType{Semantics: api.AtMostOnce}, api.EventType{Semantics: api.Deduplicated,
+		DedupWindow: 10}
 	c := Carried{TTL: 100, MayRun: api.Never}
 	ran := c
 	ran.MayRun = 20
--- a/cluster/shardmap/member_test.go
+++ b/cluster/shardmap/member_test.go
@@ -84,7 +84,7 @@
 	switch again := w.effects[n] > 1; {
 	case again && w.repeat == api.AtMostOnce:
 		w.broken = "an at-most-once webhook was called twice"
-	case again && w.repeat == api.Tokened && api.Micros(w.now) >= api.Micros(w.first[n])+window:
+	case again && w.repeat == api.Deduplicated && api.Micros(w.now) >= api.Micros(w.first[n])+window:
 		w.broken = "a tokened webhook was called again after its window"
 	}
 	w.effects[n] = min(w.effects[n], 2)
--- a/cluster/shardmap/mutants_test.go
+++ b/cluster/shardmap/mutants_test.go
@@ -54,7 +54,7 @@
 	entered := may{clients: 1, alone: 1, crashes: 1}
 	for name, m := range map[string]struct {
 		wrong  wrong
-		repeat api.Repeat
+		repeat api.Semantics
 		left   may
 		start  []did
 		finds  string
@@ -68,7 +68,7 @@
 		"other life trusted":             {wrong{otherLife: true}, once, may{moves: 1, folders: 1}, sent, two},
 		"called while in doubt":          {wrong{callsInDoubt: true}, once, entered, handed, unknowing},
 		"switch before passing is over":  {wrong{early: true}, once, moved, calling, out},
-		"may-have-run lost on the way": {wrong{ranLost: true}, api.Tokened, may{moves: 1, unknowns: 1}, ran,
+		"may-have-run lost on the way": {wrong{ranLost: true}, api.Deduplicated, may{moves: 1, unknowns: 1}, ran,
 			unknowing},
 		"came kept late": {wrong{cameLate: true}, once, entered, handed, unknowing},
 	} {
--- a/cluster/shardmap/search_test.go
+++ b/cluster/shardmap/search_test.go
@@ -131,11 +131,11 @@
 // again only where its event type allows that; it is lost only with its owner's folder; once faults stop, it
 // ends.
 func TestEachWebhookHasOneOwnerInAnyStateWithinReach(t *testing.T) {
-	const once, tokened, idempotent = api.AtMostOnce, api.Tokened, api.Idempotent
+	const once, tokened, idempotent = api.AtMostOnce, api.Deduplicated, api.Idempotent
 	for _, s := range []struct {
 		name              string
 		members, webhooks int8
-		repeat            api.Repeat
+		repeat            api.Semantics
 		left              may
 		start             []did
 		depth             int
--- a/cluster/shardmap/verdicts_test.go
+++ b/cluster/shardmap/verdicts_test.go
@@ -104,10 +104,10 @@
 
 func TestADoubtIsSettledAsItsEventTypeAllows(t *testing.T) {
 	const window, last = api.Micros(50), api.Micros(200)
-	once, idem := api.EventType{Repeat: api.AtMostOnce}, api.EventType{Repeat: api.Idempotent}
-	token := api.EventType{Repeat: api.Tokened, TokenWindow: window}
+	once, idem := api.EventType{Semantics: api.AtMostOnce}, api.EventType{Semantics: api.Idempotent}
+	token := api.EventType{Semantics: api.Deduplicated, DedupWindow: window}
 	zoned := token
-	zoned.TokenByZone = true
+	zoned.DedupByZone = true
 	for name, s := range map[string]struct {
 		t     api.EventType
 		reply Reply
--- a/cluster/shardmap/walks_test.go
+++ b/cluster/shardmap/walks_test.go
@@ -13,7 +13,7 @@
 
 // Beyond the reach of the search: long walks with every fault, chosen by chance, each calmed at its end.
 func TestEachWebhookHasOneOwnerOnLongWalks(t *testing.T) {
-	repeats := []api.Repeat{api.AtMostOnce, api.Tokened, api.Idempotent}
+	repeats := []api.Semantics{api.AtMostOnce, api.Deduplicated, api.Idempotent}
 	chance, steps, passed, forked := rand.New(rand.NewPCG(35, 2)), 0, 0, 0
 	for n := range 6000 * (1 + 20*deeper) {
 		left := may{crashes: 3, folders: int8(n / 3 % 2), doubles: 4, fulls: 2, moves: 3, backs: 2,
--- a/cluster/shardmap/world_test.go
+++ b/cluster/shardmap/world_test.go
@@ -148,7 +148,7 @@
 type world struct {
 	maps              *charts
 	members, webhooks int8
-	repeat            api.Repeat
+	repeat            api.Semantics
 	wrong             wrong
 	left              may
 	now               uint8
@@ -165,7 +165,7 @@
 }
 
 func (w *world) event() api.EventType {
-	return api.EventType{Repeat: w.repeat, TTL: ttl, TokenWindow: window}
+	return api.EventType{Semantics: w.repeat, TTL: ttl, DedupWindow: window}
 }
 
 // Holder is the lease as the log has it, for the one task.
@@ -205,7 +205,7 @@
 func (w *world) seen(i int8) *Map { return w.maps.all[w.at[i].chart] }
 
 // newWorld has a seated home at a; a webhook is its own, or is yet to come in anywhere.
-func newWorld(members, webhooks int8, r api.Repeat, left may, spoilt wrong) *world {
+func newWorld(members, webhooks int8, r api.Semantics, left may, spoilt wrong) *world {
 	w := &world{maps: &charts{ids: map[string]uint16{}}, members: members, webhooks: webhooks, repeat: r,
 		left:  left,
 		wrong: spoilt, held: true, epoch: 1}
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -78,8 +78,8 @@
 func (a *atOnce) Room() int              { return 2 * benchEach }
 func (a *atOnce) Told([]stream.Delivery) {}
 
-func (a *atOnce) Learned([]api.DestinationID) []api.Learned { return nil }
-func (a *atOnce) Taught([]api.Learned)                      {}
+func (a *atOnce) Learned([]api.DestinationID) []api.DestinationState { return nil }
+func (a *atOnce) Taught([]api.DestinationState)                      {}
 
 func listen(c *counts) net.Listener {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -81,9 +81,9 @@
 	require.NoError(b, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	evt := api.EventType{Target: 5 * api.Second, TTL: 600 * api.Second}
-	d := eventloop.New(x, life, kept, api.Facts{Slots: 256, Buffer: 2 * len(all), MaxAttempts: 3, Tick: 1000,
-		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, Kinds: []api.Kind{{Batch: 1}}})
+	evt := api.EventType{LatencyTarget: 5 * api.Second, TTL: 600 * api.Second}
+	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
+		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, DestinationKinds: []api.DestinationKind{{BatchSize: 1}}})
 	said := transport.New("m", says)
 	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
 		Event:  func(api.EventTypeID) api.EventType { return evt },
@@ -96,13 +96,13 @@
 	go server.Serve(hear)
 	calls := upstream.New(&x.Counters, d.Came, api.Second, api.Second, 400)
 	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
+		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	require.NoError(b, sites.Serve(holder{}))
-	var list []api.Entry
+	var list []api.EndpointEntry
 	var to []string
 	for _, dest := range all {
-		list = append(list, api.Entry{Endpoint: api.EndpointID(dest), Destination: dest, Rate: 50})
+		list = append(list, api.EndpointEntry{Endpoint: api.EndpointID(dest), Destination: dest, Rate: 50})
 		to = append(to, addrs[0])
 	}
 	d.Listed(list, to, true)
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -228,7 +228,7 @@
 
 // Learned is what this dispatcher learned of the site's subscribers as it called for them itself: a wait
 // that it was told holds at the relay, too.
-func (l *lane) Learned() []api.Learned {
+func (l *lane) Learned() []api.DestinationState {
 	if !l.direct.Load() {
 		return nil
 	}
@@ -237,7 +237,7 @@
 }
 
 // Taught is for the time when the relay is gone.
-func (l *lane) Taught(all []api.Learned) {
+func (l *lane) Taught(all []api.DestinationState) {
 	if !l.direct.Load() { // else what is known here is newer
 		l.of.decider.Teach(all)
 	}
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -34,11 +34,11 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []api.EventType{{Target: ttl / 9, TTL: ttl, Repeat: api.AtMostOnce}}})
+	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
+		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
 	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
+		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
 		transport.New("r", map[cluster.MemberID]string{}), relay.PaceOf(api.Second))
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -50,8 +50,8 @@
 	if t.Ordered {
 		i.Key = w.Key
 	}
-	if t.Repeat == api.Tokened {
-		i.Window = t.TokenWindow
+	if t.Semantics == api.Deduplicated {
+		i.Window = t.DedupWindow
 	}
 	return i
 }
@@ -81,7 +81,7 @@
 func (l *lane) feed(s *relay.Stream, all []eventloop.Owed) {
 	type turn struct {
 		to  api.DestinationID
-		key api.Key
+		key api.OrderingKey
 	}
 	type alike struct {
 		name     stream.Name
@@ -119,6 +119,6 @@
 		l.adds(i, w)
 	}
 	for _, i := range items {
-		s.Add(*i, l.of.event(i.Event).Target)
+		s.Add(*i, l.of.event(i.Event).LatencyTarget)
 	}
 }
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -122,7 +122,7 @@
 
 // Learned is what the relay's module knows of destinations, and of all others for which something is held: a
 // wait that one tells brings no end.
-func (k *desk) Learned(of []api.DestinationID) []api.Learned {
+func (k *desk) Learned(of []api.DestinationID) []api.DestinationState {
 	want := map[api.DestinationID]bool{}
 	for _, d := range of {
 		want[d] = true
@@ -138,9 +138,9 @@
 
 // Taught takes over what the owner knows, but of destinations that are called for here now: what is known of
 // those here is newer, and the module was not made to be told of an outage that it has webhooks for.
-func (k *desk) Taught(all []api.Learned) {
+func (k *desk) Taught(all []api.DestinationState) {
 	k.mu.Lock()
-	all = slices.DeleteFunc(all, func(l api.Learned) bool { return k.tos[l.Destination] > 0 })
+	all = slices.DeleteFunc(all, func(l api.DestinationState) bool { return k.tos[l.Destination] > 0 })
 	k.mu.Unlock()
 	k.decider.Teach(all)
 }
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -30,12 +30,12 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []api.EventType{{Target: api.Second, TTL: 9 * api.Second}}})
+	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
+		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
 	d.Join(shut{})
 	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
+		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
 	marks, err := openMarks(t.TempDir(), 1)
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -19,8 +19,8 @@
 	window = 15 * api.Second
 )
 
-var types = []api.EventType{{TTL: ttl}, {TTL: ttl, Repeat: api.Tokened, TokenWindow: window},
-	{TTL: ttl, Repeat: api.AtMostOnce}}
+var types = []api.EventType{{TTL: ttl}, {TTL: ttl, Semantics: api.Deduplicated, DedupWindow: window},
+	{TTL: ttl, Semantics: api.AtMostOnce}}
 
 // owned is a delivery in its owner's journal.
 type owned struct {
@@ -72,8 +72,8 @@
 	id := uint64(len(w.all))
 	kind := rapid.IntRange(0, 2).Draw(w.T, "type")
 	i := Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Event: api.EventTypeID(kind), TTL: w.now + ttl,
-		Key: api.Key(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: api.Never, Body: []byte("b"),
-		Many: true, Window: types[kind].TokenWindow}
+		Key: api.OrderingKey(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: api.Never, Body: []byte("b"),
+		Many: true, Window: types[kind].DedupWindow}
 	i.To = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
 	for _, to := range i.To {
 		o := &owned{Item: single(i, to), no: len(w.all)}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (o *owned) Repeats() bool { return types[o.Event].Repeat == api.AtMostOnce }
+func (o *owned) Repeats() bool { return types[o.Event].Semantics == api.AtMostOnce }
 
 func (w *world) end(d Delivery, how How) {
 	if was, over := w.ends[d]; over {
--- a/cluster/stream/owner.go
+++ b/cluster/stream/owner.go
@@ -22,11 +22,11 @@
 		since = min(since, i.MayRun)
 	}
 	switch {
-	case now >= last || lost && t.Repeat == api.AtMostOnce:
+	case now >= last || lost && t.Semantics == api.AtMostOnce:
 		return Ends
-	case t.Repeat == api.AtMostOnce || i.Key != 0 && !lost:
+	case t.Semantics == api.AtMostOnce || i.Key != 0 && !lost:
 		return Waits
-	case t.Repeat == api.Tokened && (t.TokenByZone || now >= since+t.TokenWindow):
+	case t.Semantics == api.Deduplicated && (t.DedupByZone || now >= since+t.DedupWindow):
 		if lost { // only the first call's zone remembers it, and that is not known; or none does any more
 			return Ends
 		}
--- a/cluster/stream/rules_test.go
+++ b/cluster/stream/rules_test.go
@@ -116,10 +116,10 @@
 
 func TestRuleOnWhatIsUnsure(t *testing.T) {
 	const last, at = 100 * api.Second, api.Second
-	idempotent, once := api.EventType{}, api.EventType{Repeat: api.AtMostOnce}
-	tokened := api.EventType{Repeat: api.Tokened, TokenWindow: 10 * api.Second}
+	idempotent, once := api.EventType{}, api.EventType{Semantics: api.AtMostOnce}
+	tokened := api.EventType{Semantics: api.Deduplicated, DedupWindow: 10 * api.Second}
 	zoned := tokened
-	zoned.TokenByZone = true
+	zoned.DedupByZone = true
 	plain, ordered, ran := item(1, 0, 3), item(1, 7, 3), item(1, 0, 3)
 	ran.MayRun = 0
 	for _, c := range []struct {
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -72,7 +72,7 @@
 
 type keyed struct {
 	to  api.DestinationID
-	key api.Key
+	key api.OrderingKey
 }
 
 type ways struct{ out, beside int }
@@ -86,7 +86,7 @@
 type Sent struct {
 	Delivery
 	At  api.Micros // just before it was first sent
-	Key api.Key
+	Key api.OrderingKey
 }
 
 // NewSender begins with the epoch of the grant. apart: two clocks differ in rate by so much at the most.
@@ -105,7 +105,7 @@
 	return l
 }
 
-func (s *Sender) ways(to api.DestinationID, key api.Key) *ways {
+func (s *Sender) ways(to api.DestinationID, key api.OrderingKey) *ways {
 	if key == 0 {
 		return &ways{}
 	}
--- a/cluster/stream/stories_test.go
+++ b/cluster/stream/stories_test.go
@@ -12,7 +12,7 @@
 
 const target = api.Second
 
-func item(id uint64, key api.Key, to ...api.DestinationID) Item {
+func item(id uint64, key api.OrderingKey, to ...api.DestinationID) Item {
 	return Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Request: "r", Key: key, TTL: 100 * api.Second,
 		MayRun: api.Never, Body: []byte("body"), To: to, Many: len(to) > 1}
 }
--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -44,7 +44,7 @@
 	Event    api.EventTypeID
 	Tenant   api.TenantID
 	Token    string
-	Key      api.Key // 0 but of ordered event types
+	Key      api.OrderingKey // 0 but of ordered event types
 	TTL      api.Micros
 	Attempts int
 	MayRun   api.Micros // first attempt that may have run, or gateway.Never
@@ -101,7 +101,7 @@
 	Event    api.EventTypeID
 	Tenant   api.TenantID
 	Token    string
-	Key      api.Key
+	Key      api.OrderingKey
 	TTL      api.Micros
 	Attempts int
 	MayRun   api.Micros
--- a/cluster/stream/world_test.go
+++ b/cluster/stream/world_test.go
@@ -13,9 +13,9 @@
 	calls := append(w.ran[d], w.now)
 	w.ran[d] = calls
 	switch t := types[i.Event]; {
-	case t.Repeat == api.AtMostOnce && len(calls) > 1:
+	case t.Semantics == api.AtMostOnce && len(calls) > 1:
 		w.Fatalf("%v took effect twice", d)
-	case t.Repeat == api.Tokened && w.now >= calls[0]+t.TokenWindow:
+	case t.Semantics == api.Deduplicated && w.now >= calls[0]+t.DedupWindow:
 		w.Fatalf("%v ran again when its token was forgotten", d)
 	}
 	if i.Key != 0 {
@@ -42,7 +42,7 @@
 		return
 	}
 	how := Delivered
-	twice := h.called && types[h.Event].Repeat == api.AtMostOnce
+	twice := h.called && types[h.Event].Semantics == api.AtMostOnce
 	switch late := w.now+skew >= h.TTL; {
 	case late && !h.called:
 		how = Rejected
--- a/cmd/rowan-simadapter/main.go
+++ b/cmd/rowan-simadapter/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	start := func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
+	start := func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) }
 	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "rowan-simadapter:", err)
 		os.Exit(1)
--- a/sim/baseline/baseline.go
+++ b/sim/baseline/baseline.go
@@ -14,7 +14,7 @@
 
 // Policy sends each webhook as soon as a slot is free, in the order taken, to the endpoints in turn.
 type Policy struct {
-	f      api.Facts
+	f      api.Settings
 	host   api.Host
 	tries  int
 	waits  Waits
@@ -26,7 +26,7 @@
 	armed api.Micros
 	dests map[api.DestinationID]*destination
 	eps   map[api.EndpointID]*endpoint
-	lines map[api.Key]*line
+	lines map[api.OrderingKey]*line
 	out   int
 }
 
@@ -46,7 +46,7 @@
 type webhook struct {
 	id       api.WebhookID
 	evt      api.EventType
-	key      api.Key
+	key      api.OrderingKey
 	ttl      api.Micros
 	dest     *destination
 	attempts int
@@ -63,11 +63,11 @@
 }
 
 // New makes a policy of so many tries for each webhook, as far as the facts allow them.
-func New(f api.Facts, host api.Host, tries int, waits Waits) *Policy {
+func New(f api.Settings, host api.Host, tries int, waits Waits) *Policy {
 	return &Policy{f: f, host: host, tries: min(tries, f.MaxAttempts), waits: waits,
 		chance: rand.New(rand.NewPCG(f.Seed, 0)), held: map[api.WebhookID]*webhook{}, armed: math.MaxInt64,
 		dests: map[api.DestinationID]*destination{}, eps: map[api.EndpointID]*endpoint{},
-		lines: map[api.Key]*line{}}
+		lines: map[api.OrderingKey]*line{}}
 }
 
 func (p *Policy) destination(id api.DestinationID) *destination {
@@ -77,7 +77,7 @@
 	return p.dests[id]
 }
 
-func (p *Policy) Endpoints(list []api.Entry, _ bool) {
+func (p *Policy) UpdateEndpoints(list []api.EndpointEntry, _ bool) {
 	for _, l := range list {
 		e := p.eps[l.Endpoint]
 		if e == nil {
@@ -85,19 +85,19 @@
 			p.eps[l.Endpoint] = e
 			e.dest.endpoints = append(e.dest.endpoints, e)
 		}
-		if e.listed = l.Standing == api.Listed; !e.listed {
+		if e.listed = l.Status == api.EndpointActive; !e.listed {
 			e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(x *endpoint) bool { return x == e })
 			delete(p.eps, l.Endpoint)
 		}
 	}
 }
 
-func (p *Policy) Take(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
-	key api.Key, ttl api.Micros, dest api.DestinationID) {
-	p.Resume(id, evt, tenant, key, ttl, dest, 0, api.Never, 0)
+func (p *Policy) Submit(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
+	key api.OrderingKey, ttl api.Micros, dest api.DestinationID) {
+	p.Recover(id, evt, tenant, key, ttl, dest, 0, api.Never, 0)
 }
 
-func (p *Policy) Resume(id api.WebhookID, evt api.EventTypeID, _ api.TenantID, key api.Key,
+func (p *Policy) Recover(id api.WebhookID, evt api.EventTypeID, _ api.TenantID, key api.OrderingKey,
 	ttl api.Micros, dest api.DestinationID, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	w := &webhook{id: id, evt: p.f.EventTypes[min(int(evt), len(p.f.EventTypes)-1)], key: key, ttl: ttl,
 		dest: p.destination(dest), attempts: attempts, mayRun: mayRun, zone: zone}
@@ -111,11 +111,11 @@
 		}
 		l := p.lines[w.key]
 		if l.in = append(l.in, w); mayRun != api.Never {
-			l.rest = p.host.Now() + p.f.TurnGap
+			l.rest = p.host.Now() + p.f.OrderingGap
 			p.dues.Add(int64(l.rest), nil)
 		}
 	}
-	p.dues.Add(int64(ttl-2*p.f.Tick), w)
+	p.dues.Add(int64(ttl-2*p.f.MinTurnInterval), w)
 	if attempts > 0 {
 		p.again(w)
 		return
@@ -123,7 +123,7 @@
 	p.queue = append(p.queue, w)
 }
 
-func (p *Policy) Outcome(id api.WebhookID, ep api.EndpointID, what api.Outcome,
+func (p *Policy) AttemptEnded(id api.WebhookID, ep api.EndpointID, what api.Outcome,
 	_ api.Micros, ended bool, wait api.Micros) {
 	w := p.held[id]
 	if w == nil || !w.out {
@@ -139,7 +139,7 @@
 		w.mayRun = w.sentAt
 	}
 	if l := p.lines[w.key]; w.key != 0 && what.MayStillRun() {
-		l.rest = max(l.rest, p.host.Now()+p.f.TurnGap)
+		l.rest = max(l.rest, p.host.Now()+p.f.OrderingGap)
 		p.dues.Add(int64(l.rest), nil)
 	}
 	if ended {
@@ -149,15 +149,15 @@
 	p.again(w)
 }
 
-// Renew is not heeded: no baseline outlives its facts.
-func (p *Policy) Renew(api.Facts) {}
+// UpdateSettings is not heeded: no baseline outlives its facts.
+func (p *Policy) UpdateSettings(api.Settings) {}
 
-// Reported is not heeded.
-func (p *Policy) Reported(api.EndpointID, float64, float64) {}
+// ReportLoad is not heeded.
+func (p *Policy) ReportLoad(api.EndpointID, float64, float64) {}
 
 func (p *Policy) again(w *webhook) {
 	w.readyAt = p.host.Now() + p.waits(max(w.attempts-1, 0), p.chance)
-	if w.attempts >= p.tries || w.evt.Repeat == api.AtMostOnce && w.mayRun != api.Never ||
+	if w.attempts >= p.tries || w.evt.Semantics == api.AtMostOnce && w.mayRun != api.Never ||
 		w.readyAt >= p.last(w) {
 		p.end(w)
 		return
@@ -169,9 +169,9 @@
 
 // last is the last moment for an attempt.
 func (p *Policy) last(w *webhook) api.Micros {
-	last := w.ttl - 2*p.f.Tick
-	if w.evt.Repeat == api.Tokened && w.mayRun != api.Never {
-		last = min(last, w.mayRun+w.evt.TokenWindow-2*p.f.Tick)
+	last := w.ttl - 2*p.f.MinTurnInterval
+	if w.evt.Semantics == api.Deduplicated && w.mayRun != api.Never {
+		last = min(last, w.mayRun+w.evt.DedupWindow-2*p.f.MinTurnInterval)
 	}
 	return last
 }
@@ -180,7 +180,7 @@
 	if w.mayRun != api.Never {
 		p.host.DeadLetter(w.id)
 	} else {
-		p.host.Reject(w.id, min(max(w.dest.wait-p.host.Now(), 0), p.f.MaxAdvice))
+		p.host.Reject(w.id, min(max(w.dest.wait-p.host.Now(), 0), p.f.MaxRetryAfter))
 	}
 	p.forget(w)
 }
@@ -192,15 +192,15 @@
 	}
 }
 
-func (p *Policy) Withdrawn(id api.WebhookID) {
+func (p *Policy) Withdraw(id api.WebhookID) {
 	if w := p.held[id]; w != nil && !w.out {
 		p.forget(w)
 	}
 }
 
-func (p *Policy) Wake(api.TimerID) { p.armed = math.MaxInt64 }
+func (p *Policy) TimerFired(api.TimerID) { p.armed = math.MaxInt64 }
 
-func (p *Policy) TurnOver() {
+func (p *Policy) EndTurn() {
 	now := p.host.Now()
 	for w, ok := p.dues.Take(int64(now)); ok; w, ok = p.dues.Take(int64(now)) {
 		if w != nil && p.held[w.id] == w && !w.out && now >= p.last(w) {
@@ -212,12 +212,12 @@
 	})
 	if at, ok := p.dues.Next(); ok && api.Micros(at) < p.armed {
 		p.armed = api.Micros(at)
-		p.host.Wake(max(p.armed-now, 1), 0)
+		p.host.SetTimer(max(p.armed-now, 1), 0)
 	}
 }
 
 func (p *Policy) send(w *webhook, now api.Micros) bool {
-	if p.out >= p.f.Slots || now < max(w.readyAt, w.dest.wait) || len(w.dest.endpoints) == 0 {
+	if p.out >= p.f.MaxInFlight || now < max(w.readyAt, w.dest.wait) || len(w.dest.endpoints) == 0 {
 		return false
 	}
 	if l := p.lines[w.key]; w.key != 0 && (l.in[0] != w || w.attempts == 0 && now < l.rest) {
@@ -226,7 +226,7 @@
 	n := len(w.dest.endpoints)
 	for i := range n {
 		e := w.dest.endpoints[(w.dest.next+i)%n]
-		if w.evt.TokenByZone && w.evt.Repeat == api.Tokened && w.mayRun != api.Never && e.zone != w.zone {
+		if w.evt.DedupByZone && w.evt.Semantics == api.Deduplicated && w.mayRun != api.Never && e.zone != w.zone {
 			continue
 		}
 		w.dest.next = (w.dest.next + i + 1) % n
@@ -234,7 +234,7 @@
 			w.zone = e.zone
 		}
 		p.out++
-		p.host.Attempt(w.id, e.id, (w.ttl-now)/2+1, w.ttl)
+		p.host.StartAttempt(w.id, e.id, (w.ttl-now)/2+1, w.ttl)
 		return true
 	}
 	return false
--- a/sim/engine/build.go
+++ b/sim/engine/build.go
@@ -12,7 +12,7 @@
 // change is one line of news for the list.
 type change struct {
 	at    api.Micros
-	entry api.Entry
+	entry api.EndpointEntry
 }
 
 // build draws the destinations from the scenario's own stream: the same for every module.
@@ -61,9 +61,9 @@
 			m.addEndpoint(api.DestinationID(i), d.route+int32(e%routes), zone, int32(len(m.servers)-1))
 		}
 	}
-	m.base = make([]api.Entry, len(m.endpoints))
+	m.base = make([]api.EndpointEntry, len(m.endpoints))
 	for i := range m.endpoints {
-		m.base[i] = m.entry(int32(i), api.Listed)
+		m.base[i] = m.entry(int32(i), api.EndpointActive)
 	}
 }
 
@@ -80,10 +80,10 @@
 func indexOf(id api.EndpointID) (at int32) { return int32(id) - 1 }
 
 // entry is what the list says of an endpoint.
-func (m *Model) entry(i int32, standing api.Standing) api.Entry {
+func (m *Model) entry(i int32, standing api.EndpointStatus) api.EndpointEntry {
 	e := &m.endpoints[i]
 	d := &m.dests[e.dest]
-	l := api.Entry{Endpoint: idOf(i), Destination: e.dest, Kind: d.kindID, Zone: e.zone, Standing: standing}
+	l := api.EndpointEntry{Endpoint: idOf(i), Destination: e.dest, Kind: d.kindID, Zone: e.zone, Status: standing}
 	if m.plan.Dispatchers.RatesStated {
 		l.Rate = m.routes[e.route].stated
 	}
@@ -91,7 +91,7 @@
 }
 
 // list notes a change of the list; each dispatcher hears of it after its own delay.
-func (m *Model) list(i int32, standing api.Standing) {
+func (m *Model) list(i int32, standing api.EndpointStatus) {
 	m.changes = append(m.changes, change{m.now, m.entry(i, standing)})
 	for n := range m.dispatchers {
 		d := &m.dispatchers[n]
--- a/sim/engine/calls.go
+++ b/sim/engine/calls.go
@@ -213,7 +213,7 @@
 				took: m.now - k.sentAt, wait: wait})
 		}
 	}
-	keep := what == api.Delivered || what == api.Full || what == api.Errored
+	keep := what == api.Delivered || what == api.Rejected || what == api.ErrorResponse
 	m.hangUpOr(n, keep)
 }
 
--- a/sim/engine/clients.go
+++ b/sim/engine/clients.go
@@ -16,7 +16,7 @@
 type origin struct {
 	cameAt  api.Micros
 	ttl     api.Micros
-	key     api.Key
+	key     api.OrderingKey
 	dest    api.DestinationID
 	tenant  api.TenantID
 	tries   int32 // rejections so far
@@ -68,7 +68,7 @@
 		o := origin{cameAt: m.now + in, ttl: m.now + in + e.TTL.us(), dest: dest, live: 1,
 			evt: api.EventTypeID(evt), tenant: api.TenantID(draw(m.arrivals, m.tenants))}
 		if e.Keys > 0 {
-			o.key = api.Key(1 + m.arrivals.IntN(e.Keys))
+			o.key = api.OrderingKey(1 + m.arrivals.IntN(e.Keys))
 		}
 		m.origins = append(m.origins, o)
 		m.open++
--- a/sim/engine/complete.go
+++ b/sim/engine/complete.go
@@ -86,29 +86,29 @@
 }
 
 // Facts is what dispatcher number i is told at its start.
-func (s *Scenario) Facts(i int, seed uint64) api.Facts {
+func (s *Scenario) Facts(i int, seed uint64) api.Settings {
 	d, r := &s.Dispatchers, &s.Rules
-	f := api.Facts{Seed: seed, Fleet: d.Count, Zone: api.ZoneID(i % len(s.Net.Zones)), OverShare: 0.1,
-		Slots: d.Slots, Buffer: d.Buffer, MaxAttempts: d.Attempts, MayCancel: d.Cancel, MaxAdvice: d.MaxAdvice.us(),
-		RatesStated: d.RatesStated, ConnectTimeout: d.ConnectTimeout.us(), Tick: d.Tick.us(),
-		TurnGap: r.TurnGap.us(), StartCapacity: r.StartCapacity, WarmAfter: r.WarmAfter.us(),
-		FallMultiple: r.FallMultiple, TipAfter: r.TipAfter.us()}
+	f := api.Settings{Seed: seed, Dispatchers: d.Count, Zone: api.ZoneID(i % len(s.Net.Zones)), OverQuotaValue: 0.1,
+		MaxInFlight: d.Slots, BufferSize: d.Buffer, MaxAttempts: d.Attempts, CanCancel: d.Cancel, MaxRetryAfter: d.MaxAdvice.us(),
+		RatesListed: d.RatesStated, ConnectTimeout: d.ConnectTimeout.us(), MinTurnInterval: d.Tick.us(),
+		OrderingGap: r.TurnGap.us(), SlowStartCapacity: r.StartCapacity, SlowStartDuration: r.WarmAfter.us(),
+		OverloadFactor: r.FallMultiple, OverloadDuration: r.TipAfter.us()}
 	for _, e := range s.Events {
-		repeat := map[string]api.Repeat{"idempotent": api.Idempotent, "tokened": api.Tokened,
+		repeat := map[string]api.Semantics{"idempotent": api.Idempotent, "tokened": api.Deduplicated,
 			"at-most-once": api.AtMostOnce}[e.Repeat]
 		f.EventTypes = append(
 			f.EventTypes,
-			api.EventType{Target: e.Target.us(), TTL: e.TTL.us(), Value: e.Value,
-				LateValue: e.LateValue, Repeat: repeat, TokenWindow: e.Window.us(), TokenByZone: e.ByZone,
+			api.EventType{LatencyTarget: e.Target.us(), TTL: e.TTL.us(), Value: e.Value,
+				LateValue: e.LateValue, Semantics: repeat, DedupWindow: e.Window.us(), DedupByZone: e.ByZone,
 				Ordered: e.Ordered},
 		)
 	}
 	for _, k := range s.Kinds {
-		f.Kinds = append(f.Kinds, api.Kind{Batch: k.Batch, Apart: k.Apart})
-		f.CapsTold = f.CapsTold || k.PlacesTold
+		f.DestinationKinds = append(f.DestinationKinds, api.DestinationKind{BatchSize: k.Batch, SeparateRoutes: k.Apart})
+		f.ConnectionLimitsReported = f.ConnectionLimitsReported || k.PlacesTold
 	}
 	for _, t := range s.Tenants {
-		f.Tenants = append(f.Tenants, t.Allowed)
+		f.TenantRates = append(f.TenantRates, t.Allowed)
 	}
 	return f
 }
--- a/sim/engine/connections.go
+++ b/sim/engine/connections.go
@@ -19,7 +19,7 @@
 	case places > 0 && s.conns >= places:
 		what := api.ConnectFailed
 		if m.dests[m.endpoints[k.ep].dest].kind.PlacesTold {
-			what = api.Crowded
+			what = api.ConnectionLimited
 		}
 		m.answer(n, what, 0)
 	default:
@@ -36,7 +36,7 @@
 	e := &m.endpoints[k.ep]
 	s, r := &m.servers[k.server], &m.routes[e.route]
 	if s.epoch != k.epoch || s.down > 0 {
-		m.answer(n, api.Reset, 0)
+		m.answer(n, api.ConnectionReset, 0)
 		return
 	}
 	m.onCall(eventpkg.Reached, k)
@@ -50,9 +50,9 @@
 	case e.gone || e.drains:
 		m.refuse(n, r, false)
 	case len(s.errors) > 0 && m.chance.Float64() < combined(s.errors):
-		m.answerIn(n, api.Errored, 0, m.served(s, r.kind, 1)/4)
+		m.answerIn(n, api.ErrorResponse, 0, m.served(s, r.kind, 1)/4)
 	case len(s.resets) > 0 && m.chance.Float64() < combined(s.resets):
-		m.answer(n, api.Reset, 0)
+		m.answer(n, api.ConnectionReset, 0)
 	case !m.admits(r):
 		m.refuse(n, r, true)
 	case s.busy < m.atOnce(s, r):
@@ -71,7 +71,7 @@
 		wait = within(m.chance, r.kind.Wait).us()
 	}
 	m.onCall(eventpkg.Refused, &m.calls[n])
-	m.answer(n, api.Full, wait)
+	m.answer(n, api.Rejected, wait)
 }
 
 func (m *Model) hangUp(n int32) { m.hangUpOr(n, false) }
--- a/sim/engine/dispatcher.go
+++ b/sim/engine/dispatcher.go
@@ -15,7 +15,7 @@
 	number int32
 	life   uint32 // counts its starts: what was meant for an earlier life reaches nobody
 	seeds  *rand.Rand
-	module api.Module
+	module api.Policy
 	weight float64 // of what the front deals out
 	zone   api.ZoneID
 
@@ -88,14 +88,14 @@
 	if d.knows > 0 {
 		list = slices.Clone(m.base)
 		for _, c := range m.changes[:d.knows] {
-			same := func(e api.Entry) bool { return e.Endpoint == c.entry.Endpoint }
+			same := func(e api.EndpointEntry) bool { return e.Endpoint == c.entry.Endpoint }
 			if i := slices.IndexFunc(list, same); i >= 0 {
 				list[i] = c.entry
 			} else {
 				list = append(list, c.entry)
 			}
 		}
-		list = slices.DeleteFunc(list, func(e api.Entry) bool { return e.Standing == api.Gone })
+		list = slices.DeleteFunc(list, func(e api.EndpointEntry) bool { return e.Status == api.EndpointRemoved })
 	}
 	if m.homes != nil {
 		m.homes.joins(d)
@@ -124,7 +124,7 @@
 			d.begins(h)
 			continue
 		}
-		d.module.Resume(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest, h.attempts, h.mayRun, h.zone)
+		d.module.Recover(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest, h.attempts, h.mayRun, h.zone)
 	}
 	d.wakeUp()
 }
@@ -156,7 +156,7 @@
 		d.put(news{kind: newsWake, timer: api.TimerID(e.b)})
 	case evList:
 		if to := int(e.b); to > d.knows {
-			var list []api.Entry
+			var list []api.EndpointEntry
 			for _, c := range m.changes[d.knows:to] {
 				list = append(list, c.entry)
 			}
@@ -184,7 +184,7 @@
 	for i := range waiting {
 		d.tell(&waiting[i])
 	}
-	d.module.TurnOver()
+	d.module.EndTurn()
 	if m.Clocked {
 		m.Module += time.Since(began)
 	}
@@ -214,7 +214,7 @@
 			d.takesOn(h, n.offer)
 			return
 		}
-		d.module.Take(n.id, o.evt, o.tenant, o.key, o.ttl, o.dest)
+		d.module.Submit(n.id, o.evt, o.tenant, o.key, o.ttl, o.dest)
 	case newsOutcome:
 		h := d.held[n.id]
 		if h == nil {
@@ -233,14 +233,14 @@
 			h.mayRun, h.zone = h.sentAt, h.sentZone
 		}
 		ended := h.ended
-		d.module.Outcome(n.id, n.ep, n.what, n.took, ended, n.wait)
+		d.module.AttemptEnded(n.id, n.ep, n.what, n.took, ended, n.wait)
 		if ended {
 			delete(d.held, n.id)
 		} else if d.member != nil {
 			d.gate(h)
 		}
 	case newsWake:
-		d.module.Wake(n.timer)
+		d.module.TimerFired(n.timer)
 	case newsList:
 		d.listed(*n)
 	case newsGate:
--- a/sim/engine/emulator_test.go
+++ b/sim/engine/emulator_test.go
@@ -15,8 +15,8 @@
 // idle is a host on which nothing happens.
 type idle struct{ api.Host }
 
-func (idle) Now() api.Micros              { return 0 }
-func (idle) Wake(api.Micros, api.TimerID) {}
+func (idle) Now() api.Micros                  { return 0 }
+func (idle) SetTimer(api.Micros, api.TimerID) {}
 
 func TestTroublesOverlapAndEndInAnyOrder(t *testing.T) {
 	s := plain(
@@ -107,7 +107,7 @@
 func TestAReturningDestinationThatIsPushedFalls(t *testing.T) {
 	s := plain(engine.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 1})
 	s.Clients.Rate, s.Dispatchers.Slots, s.Events = 400, 400, s.Events[:1]
-	hammer := func(f api.Facts, h api.Host) api.Module {
+	hammer := func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
 	_, events, sum := play(t, s, hammer, eventpkg.Fell, eventpkg.Reached)
--- a/sim/engine/fleet_test.go
+++ b/sim/engine/fleet_test.go
@@ -76,8 +76,8 @@
 		for _, e := range events {
 			outcomes[e.Outcome]++
 		}
-		failed := outcomes[api.ConnectFailed] + outcomes[api.Crowded]
-		assert.Equal(t, told, outcomes[api.Crowded] > 0)
+		failed := outcomes[api.ConnectFailed] + outcomes[api.ConnectionLimited]
+		assert.Equal(t, told, outcomes[api.ConnectionLimited] > 0)
 		assert.Less(t, failed, len(events)/3, "calls that found no place")
 		least := 0.93
 		if told { // and no place is taken for an outage
--- a/sim/engine/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -15,7 +15,7 @@
 
 const sec = engine.Span(api.Second)
 
-func module(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
+func module(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) }
 
 // plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
 // sort.
@@ -57,7 +57,7 @@
 	invariant.Summary) {
 	require.NoError(t, s.Check())
 	m := engine.New(s, start)
-	terms := invariant.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
+	terms := invariant.Terms{Settings: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, l := invariant.NewWatch(terms), invariant.NewRecorder(terms), &log{wants: what}
 	w.Join(&m.Bus)
@@ -68,11 +68,11 @@
 
 // mutant is the module with its ears or hands tampered with.
 type mutant struct {
-	api.Module
+	api.Policy
 	host
-	take      func(key api.Key) api.Key
+	take      func(key api.OrderingKey) api.OrderingKey
 	outcome   func(what api.Outcome, wait api.Micros) (api.Outcome, api.Micros)
-	endpoints func(list []api.Entry) []api.Entry
+	endpoints func(list []api.EndpointEntry) []api.EndpointEntry
 }
 
 type host struct {
@@ -86,15 +86,15 @@
 	}
 }
 
-func (m *mutant) Take(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID, key api.Key,
+func (m *mutant) Submit(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID, key api.OrderingKey,
 	ttl api.Micros, dest api.DestinationID) {
 	if m.take != nil {
 		key = m.take(key)
 	}
-	m.Module.Take(id, evt, tenant, key, ttl, dest)
+	m.Policy.Submit(id, evt, tenant, key, ttl, dest)
 }
 
-func (m *mutant) Outcome(
+func (m *mutant) AttemptEnded(
 	id api.WebhookID,
 	ep api.EndpointID,
 	what api.Outcome,
@@ -105,25 +105,25 @@
 	if m.outcome != nil {
 		what, wait = m.outcome(what, wait)
 	}
-	m.Module.Outcome(id, ep, what, took, ended, wait)
+	m.Policy.AttemptEnded(id, ep, what, took, ended, wait)
 }
 
-func (m *mutant) Endpoints(list []api.Entry, whole bool) {
+func (m *mutant) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
 	if m.endpoints != nil {
 		list = m.endpoints(list)
 	}
-	m.Module.Endpoints(list, whole)
+	m.Policy.UpdateEndpoints(list, whole)
 }
 
 // tampered starts mutants.
-func tampered(facts func(*api.Facts), with func(*mutant)) engine.Starter {
-	return func(f api.Facts, h api.Host) api.Module {
+func tampered(facts func(*api.Settings), with func(*mutant)) engine.Starter {
+	return func(f api.Settings, h api.Host) api.Policy {
 		if facts != nil {
 			facts(&f)
 		}
 		m := &mutant{host: host{Host: h}}
 		with(m)
-		m.Module = policy.New(f, &m.host)
+		m.Policy = policy.New(f, &m.host)
 		return m
 	}
 }
--- a/sim/engine/homes_test.go
+++ b/sim/engine/homes_test.go
@@ -67,7 +67,7 @@
 	require.NoError(t, s.Check())
 	m := engine.New(s, module)
 	spoil(m)
-	terms := invariant.Terms{Facts: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
+	terms := invariant.Terms{Settings: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, f := invariant.NewWatch(terms), invariant.NewRecorder(terms), invariant.NewFleet(terms)
 	l := &log{wants: []eventpkg.What{eventpkg.CallOut, eventpkg.Ended}}
--- a/sim/engine/host.go
+++ b/sim/engine/host.go
@@ -8,8 +8,8 @@
 // Now is the model's clock.
 func (d *dispatcher) Now() api.Micros { return d.m.now }
 
-// Attempt makes a delivery attempt, alone or in a call of this turn to the same endpoint that has room.
-func (d *dispatcher) Attempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
+// StartAttempt makes a delivery attempt, alone or in a call of this turn to the same endpoint that has room.
+func (d *dispatcher) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
 	m, h, i := d.m, d.held[id], indexOf(ep)
 	if h == nil || h.call >= 0 {
 		// Nothing is held under this id, or it is out already: for an observer it is an attempt all the same.
@@ -54,8 +54,8 @@
 	}
 }
 
-// Cancel calls off an attempt that is out.
-func (d *dispatcher) Cancel(id api.WebhookID, _ int) {
+// CancelAttempt calls off an attempt that is out.
+func (d *dispatcher) CancelAttempt(id api.WebhookID, _ int) {
 	if h := d.held[id]; h != nil && h.call >= 0 {
 		d.m.cancel(h.call, h)
 	}
@@ -73,11 +73,11 @@
 	}
 }
 
-func (d *dispatcher) Wake(in api.Micros, timer api.TimerID) {
+func (d *dispatcher) SetTimer(in api.Micros, timer api.TimerID) {
 	d.m.after(in, event{kind: evWake, a: d.number, b: int32(timer), gen: d.life})
 }
 
-func (d *dispatcher) CloseIdle(ep api.EndpointID) {
+func (d *dispatcher) CloseIdleConnections(ep api.EndpointID) {
 	if l := d.links[indexOf(ep)]; l != nil {
 		s := &d.m.servers[d.m.endpoints[indexOf(ep)].server]
 		if l.epoch == s.epoch {
--- a/sim/engine/kill.go
+++ b/sim/engine/kill.go
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, e := range slices.Sorted(maps.Keys(d.links)) {
-		d.CloseIdle(idOf(e))
+		d.CloseIdleConnections(idOf(e))
 	}
 	for _, id := range ids {
 		h := d.held[id]
--- a/sim/engine/lists.go
+++ b/sim/engine/lists.go
@@ -17,7 +17,7 @@
 	took    api.Micros
 	wait    api.Micros
 	timer   api.TimerID
-	list    []api.Entry
+	list    []api.EndpointEntry
 	whole   bool
 	offer   int32 // by which a webhook was sent here, or none
 }
@@ -35,13 +35,13 @@
 func (d *dispatcher) listed(n news) {
 	if d.m.Bus.Listened(eventpkg.Told) {
 		for _, e := range n.list {
-			if e.Standing != api.Listed || !n.whole {
+			if e.Status != api.EndpointActive || !n.whole {
 				d.m.Bus.Emit(eventpkg.Event{At: d.m.now, What: eventpkg.Told, Dispatcher: d.number, Endpoint: e.Endpoint,
-					Destination: e.Destination, Standing: e.Standing})
+					Destination: e.Destination, Standing: e.Status})
 			}
 		}
 	}
-	d.module.Endpoints(d.parted(n.list), n.whole)
+	d.module.UpdateEndpoints(d.parted(n.list), n.whole)
 }
 
 // about is an event that concerns a webhook.
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -101,7 +101,7 @@
 }
 
 // parted is a list with the rates of which an even part is this dispatcher's.
-func (d *dispatcher) parted(list []api.Entry) []api.Entry {
+func (d *dispatcher) parted(list []api.EndpointEntry) []api.EndpointEntry {
 	if d.member == nil {
 		return list
 	}
@@ -130,13 +130,13 @@
 		d.unsure()
 	}
 	if changed := d.setParts(); changed != nil {
-		var anew []api.Entry
+		var anew []api.EndpointEntry
 		for i := range m.endpoints {
 			if e := &m.endpoints[i]; changed[e.dest] && !e.gone && !e.drains {
-				anew = append(anew, m.entry(int32(i), api.Listed))
+				anew = append(anew, m.entry(int32(i), api.EndpointActive))
 			}
 		}
-		d.module.Endpoints(d.parted(anew), false)
+		d.module.UpdateEndpoints(d.parted(anew), false)
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.held)) {
 		if h := d.held[id]; b.parked[id] != nil && d.serves(h) {
@@ -151,7 +151,7 @@
 // gate parks what the module has and may not call any more; what is out ends first.
 func (d *dispatcher) gate(h *held) {
 	if !h.ended && h.call < 0 && d.member.parked[h.id] == nil && !d.serves(h) {
-		d.module.Withdrawn(h.id)
+		d.module.Withdraw(h.id)
 		d.park(h)
 	}
 }
@@ -187,9 +187,9 @@
 func (d *dispatcher) resume(h *held) {
 	o := &d.m.origins[h.origin]
 	if h.attempts == 0 && h.mayRun == never {
-		d.module.Take(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest)
+		d.module.Submit(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest)
 	} else {
-		d.module.Resume(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest, h.attempts, h.mayRun, h.zone)
+		d.module.Recover(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest, h.attempts, h.mayRun, h.zone)
 	}
 }
 
--- a/sim/engine/model.go
+++ b/sim/engine/model.go
@@ -10,7 +10,7 @@
 )
 
 // Starter makes a dispatcher's decision module.
-type Starter func(api.Facts, api.Host) api.Module
+type Starter func(api.Settings, api.Host) api.Policy
 
 // Model is one run in progress.
 type Model struct {
@@ -35,7 +35,7 @@
 	endpoints []endpoint
 	servers   []server
 	weights   []float64
-	base      []api.Entry
+	base      []api.EndpointEntry
 	changes   []change
 
 	dispatchers []dispatcher
--- a/sim/engine/observers_test.go
+++ b/sim/engine/observers_test.go
@@ -24,9 +24,9 @@
 		"lost":  {busy, tampered(nil, func(m *mutant) { m.mute = true })},
 		"twice": {busy, tampered(nil, func(m *mutant) { m.outcome = neverRan })},
 		"drain": {replace, tampered(nil, func(m *mutant) { m.endpoints = allListed })},
-		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(api.Key) api.Key { return 0 } })},
+		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(api.OrderingKey) api.OrderingKey { return 0 } })},
 		"wait":  {full, tampered(nil, func(m *mutant) { m.outcome = noWait })},
-		"failback": {hang, func(f api.Facts, h api.Host) api.Module {
+		"failback": {hang, func(f api.Settings, h api.Host) api.Policy {
 			return baseline.New(f, h, f.MaxAttempts, baseline.None)
 		}},
 	} {
@@ -62,9 +62,9 @@
 
 func noWait(what api.Outcome, _ api.Micros) (api.Outcome, api.Micros) { return what, 0 }
 
-func allListed(list []api.Entry) (all []api.Entry) {
+func allListed(list []api.EndpointEntry) (all []api.EndpointEntry) {
 	for _, e := range list {
-		e.Standing = api.Listed
+		e.Status = api.EndpointActive
 		all = append(all, e)
 	}
 	return all
@@ -88,7 +88,7 @@
 			s := plain(c.troubles...)
 			s.Events = s.Events[:1]
 			s.Kinds[0].Headroom = 8
-			without := func(f api.Facts, h api.Host) api.Module {
+			without := func(f api.Settings, h api.Host) api.Policy {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
 			for _, start := range []engine.Starter{without, module} {
@@ -105,7 +105,7 @@
 }
 
 func isModule(start engine.Starter) bool {
-	f := api.Facts{EventTypes: []api.EventType{{TTL: 1, Target: 1}}}
+	f := api.Settings{EventTypes: []api.EventType{{TTL: 1, LatencyTarget: 1}}}
 	_, ok := start(f, idle{}).(*policy.Control)
 	return ok
 }
--- a/sim/engine/trouble.go
+++ b/sim/engine/trouble.go
@@ -160,11 +160,11 @@
 		return
 	}
 	old.drains = true
-	m.list(e, api.Draining)
+	m.list(e, api.EndpointDraining)
 	if t.Address == "new" {
 		m.servers = append(m.servers, server{zone: old.zone, atOnce: m.servers[old.server].atOnce,
 			depth: m.servers[old.server].depth})
-		m.list(m.addEndpoint(old.dest, old.route, old.zone, int32(len(m.servers)-1)), api.Listed)
+		m.list(m.addEndpoint(old.dest, old.route, old.zone, int32(len(m.servers)-1)), api.EndpointActive)
 	}
 	m.after(t.Drain.us(), event{kind: evGone, a: e, b: trouble})
 }
@@ -173,11 +173,11 @@
 func (m *Model) leave(e, trouble int32) {
 	t, old := &m.plan.Troubles[trouble], &m.endpoints[e]
 	old.gone = true
-	m.list(e, api.Gone)
+	m.list(e, api.EndpointRemoved)
 	m.strike(e, func(s *server) { s.down++ })
 	if t.Address == "same" {
 		next := m.addEndpoint(old.dest, old.route, old.zone, old.server)
-		m.list(next, api.Listed)
+		m.list(next, api.EndpointActive)
 		m.strike(next, func(s *server) { s.down-- })
 	}
 }
--- a/sim/engine/world.go
+++ b/sim/engine/world.go
@@ -13,7 +13,7 @@
 // destination is where webhooks are meant for.
 type destination struct {
 	kind      *Kind
-	kindID    api.KindID
+	kindID    api.DestinationKindID
 	busiest   float64 // calls a second that its traffic needs, before any trouble
 	route     int32   // the first of its routes
 	endpoints []int32
@@ -102,7 +102,7 @@
 		}
 		if k.atServer || k.swallowed {
 			k.atServer, k.serving = false, false
-			m.answer(int32(i), api.Reset, 0)
+			m.answer(int32(i), api.ConnectionReset, 0)
 		}
 		m.release(int32(i))
 	}
--- a/sim/event/seen.go
+++ b/sim/event/seen.go
@@ -86,12 +86,12 @@
 	Endpoint    api.EndpointID
 	Route       Route
 	Zone        api.ZoneID
-	Key         api.Key
+	Key         api.OrderingKey
 	TTL         api.Micros // the last moment at which it may be delivered
 	Attempt     int
 	Outcome     api.Outcome
 	End         End
-	Standing    api.Standing
+	Standing    api.EndpointStatus
 	Wait        api.Micros
 	Span        api.Micros
 	Weight      float64
--- a/sim/experiment/lab_test.go
+++ b/sim/experiment/lab_test.go
@@ -148,19 +148,19 @@
 }
 
 // deaf hears of no drain: a fault that shows only where endpoints are replaced.
-type deaf struct{ api.Module }
+type deaf struct{ api.Policy }
 
-func (d deaf) Endpoints(list []api.Entry, whole bool) {
-	heard := make([]api.Entry, len(list))
+func (d deaf) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
+	heard := make([]api.EndpointEntry, len(list))
 	for i, e := range list {
-		e.Standing = api.Listed
+		e.Status = api.EndpointActive
 		heard[i] = e
 	}
-	d.Module.Endpoints(heard, whole)
+	d.Policy.UpdateEndpoints(heard, whole)
 }
 
 func TestHuntFindsAPlantedFaultAndShrinksIt(t *testing.T) {
-	start := func(f api.Facts, h api.Host) api.Module { return deaf{policy.New(f, h)} }
+	start := func(f api.Settings, h api.Host) api.Policy { return deaf{policy.New(f, h)} }
 	base := parsed(t, small(`length = "8s"`, `length = "20s"`))
 	h := &Hunt{Start: start, Runs: 60, Seed: 2, Step: func() {}}
 	f := h.Find(base)
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -25,12 +25,12 @@
 
 // policies are what a scenario can be played with. All but the module are for comparison only.
 var policies = map[string]engine.Starter{
-	Module: func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) },
-	"once": func(f api.Facts, h api.Host) api.Module { return baseline.New(f, h, 1, baseline.None) },
-	"eager": func(f api.Facts, h api.Host) api.Module {
+	Module: func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) },
+	"once": func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.None) },
+	"eager": func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	},
-	"exponential": func(f api.Facts, h api.Host) api.Module {
+	"exponential": func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.Doubled)
 	},
 }
@@ -75,7 +75,7 @@
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
 	grace := 3*api.Micros(s.Dispatchers.Tick) + api.Second/20
 	return invariant.Terms{
-		Facts:       s.Facts(0, 0),
+		Settings:    s.Facts(0, 0),
 		DrainGrace:  api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: grace,
 	}
--- a/sim/invariant/claims.go
+++ b/sim/invariant/claims.go
@@ -66,8 +66,8 @@
 		if h.row++; h.row >= sickFrom || e.Wait > 0 {
 			h.illAt = e.At
 		}
-		ill := h.illAt != api.Never && e.At-h.illAt < 2*p.t.WarmAfter
-		if !ill && h.okAt != api.Never && e.At-h.okAt < p.t.TipAfter {
+		ill := h.illAt != api.Never && e.At-h.illAt < 2*p.t.SlowStartDuration
+		if !ill && h.okAt != api.Never && e.At-h.okAt < p.t.OverloadDuration {
 			p.heard[k] = pause{e.At, e.Attempt, h, h.row}
 		}
 	case event.Sent:
@@ -103,7 +103,7 @@
 		}
 		mean := stat.Mean(pauses, nil)
 		c.Text += fmt.Sprintf(" %.3f", mean)
-		if i == 0 && mean <= o.t.Tick.Seconds() { // no pause at all
+		if i == 0 && mean <= o.t.MinTurnInterval.Seconds() { // no pause at all
 			c.Seen, c.Kept = true, false
 		}
 		if i > 0 { // in the late band pauses no longer grow
@@ -133,7 +133,7 @@
 	c := Claim{Name: "jitter", Seen: len(o.first) >= enough, Kept: true}
 	if c.Seen {
 		mean, dev := stat.MeanStdDev(o.first, nil)
-		c.Kept = dev > varies*mean && mean > o.t.Tick.Seconds()
+		c.Kept = dev > varies*mean && mean > o.t.MinTurnInterval.Seconds()
 		c.Text = fmt.Sprintf("first retry waits %.3f s, standard deviation %.3f s", mean, dev)
 	}
 	return c
@@ -149,13 +149,13 @@
 func (o *destCap) Wants() []event.What { return []event.What{event.CallOut, event.CallBack} }
 func (o *destCap) See(e *event.Event)  { o.worst = max(o.worst, o.out.see(e)) }
 func (o *destCap) judge() Claim {
-	limit := most(most34, o.t.Slots)
+	limit := most(most34, o.t.MaxInFlight)
 	return Claim{Name: "dest_cap", Seen: o.worst > 0, Kept: o.worst <= limit,
 		Text: fmt.Sprintf(
 			"at most %d calls out to one destination, %d of %d slots allowed",
 			o.worst,
 			limit,
-			o.t.Slots,
+			o.t.MaxInFlight,
 		)}
 }
 
@@ -199,8 +199,8 @@
 }
 
 func (o *isolates) judge() Claim {
-	limit := most(most12, o.t.Slots)
+	limit := most(most12, o.t.MaxInFlight)
 	return Claim{Name: "isolates", Seen: o.seen, Kept: o.worst <= limit,
 		Text: fmt.Sprintf("at most %d calls out to a sick destination, %d of %d slots allowed", o.worst, limit,
-			o.t.Slots)}
+			o.t.MaxInFlight)}
 }
--- a/sim/invariant/failback.go
+++ b/sim/invariant/failback.go
@@ -59,18 +59,18 @@
 	if r.out {
 		return
 	}
-	if e.At-r.at >= o.t.WarmAfter {
+	if e.At-r.at >= o.t.SlowStartDuration {
 		delete(o.routes, e.Route)
 		return
 	}
 	r.came = append(r.came, arrival{e.At, e.Weight, r.learned[e.Dispatcher]})
 	r.sum += e.Weight
-	for r.came[0].at <= e.At-o.t.TipAfter {
+	for r.came[0].at <= e.At-o.t.OverloadDuration {
 		r.sum -= r.came[0].weight
 		r.came = r.came[1:]
 	}
-	share := o.t.StartCapacity + (1-o.t.StartCapacity)*float64(e.At-r.at)/float64(o.t.WarmAfter)
-	budget := o.t.FallMultiple * share * r.perS * o.t.TipAfter.Seconds()
+	share := o.t.SlowStartCapacity + (1-o.t.SlowStartCapacity)*float64(e.At-r.at)/float64(o.t.SlowStartDuration)
+	budget := o.t.OverloadFactor * share * r.perS * o.t.OverloadDuration.Seconds()
 	if r.broken || r.sum <= budget+2+math.Sqrt(budget) {
 		return
 	}
@@ -83,7 +83,7 @@
 	if knew >= r.sum*2/3 {
 		r.broken = true
 		o.breach(e, "%.1f calls reached it within %.1f s, %.1f of them from dispatchers that had seen it fail; "+
-			"its budget, cold as it was %.1f s after its return, was %.1f", r.sum, o.t.TipAfter.Seconds(), knew,
+			"its budget, cold as it was %.1f s after its return, was %.1f", r.sum, o.t.OverloadDuration.Seconds(), knew,
 			(e.At - r.at).Seconds(), budget)
 	}
 }
--- a/sim/invariant/fleet.go
+++ b/sim/invariant/fleet.go
@@ -91,7 +91,7 @@
 			r.callers[e.Dispatcher] = true
 		}
 	case event.Reached:
-		if r := f.routes[e.Route]; r != nil && !r.out && e.At-r.backAt <= f.t.TipAfter {
+		if r := f.routes[e.Route]; r != nil && !r.out && e.At-r.backAt <= f.t.OverloadDuration {
 			r.sent += e.Weight
 		}
 	default:
@@ -132,8 +132,8 @@
 		return
 	}
 	// What it takes grows evenly from StartCapacity at its return.
-	mean := f.t.StartCapacity + (1-f.t.StartCapacity)*f.t.TipAfter.Seconds()/f.t.WarmAfter.Seconds()/2
-	load := r.sent / (f.t.FallMultiple * mean * r.perS * f.t.TipAfter.Seconds())
+	mean := f.t.SlowStartCapacity + (1-f.t.SlowStartCapacity)*f.t.OverloadDuration.Seconds()/f.t.SlowStartDuration.Seconds()/2
+	load := r.sent / (f.t.OverloadFactor * mean * r.perS * f.t.OverloadDuration.Seconds())
 	f.sum.Returns++
 	f.loads += load
 	f.calls += float64(r.calls)
--- a/sim/invariant/observe_test.go
+++ b/sim/invariant/observe_test.go
@@ -11,11 +11,11 @@
 
 func watch() (*Watch, *event.Bus) {
 	w, b := NewWatch(
-		Terms{Facts: api.Facts{Slots: 8, TurnGap: api.Second, EventTypes: []api.EventType{
+		Terms{Settings: api.Settings{MaxInFlight: 8, OrderingGap: api.Second, EventTypes: []api.EventType{
 			{
 				TTL: 20 * api.Second,
-			}, {TTL: 20 * api.Second, Repeat: api.Tokened, TokenWindow: 5 * api.Second,
-				TokenByZone: true}, {TTL: 20 * api.Second, Ordered: true}}}, AnswerGrace: 100},
+			}, {TTL: 20 * api.Second, Semantics: api.Deduplicated, DedupWindow: 5 * api.Second,
+				DedupByZone: true}, {TTL: 20 * api.Second, Ordered: true}}}, AnswerGrace: 100},
 	), &event.Bus{}
 	w.Join(b)
 	return w, b
@@ -26,9 +26,9 @@
 	for early, broken := range map[api.Micros]int{0: 0, 1: 1} {
 		w, b := watch()
 		b.Emit(event.Event{At: told, What: event.Taken, Webhook: 1, TTL: told + api.Second})
-		b.Emit(event.Event{At: told, What: event.Heard, Webhook: 2, Outcome: api.Full, Wait: long})
+		b.Emit(event.Event{At: told, What: event.Heard, Webhook: 2, Outcome: api.Rejected, Wait: long})
 		b.Emit(
-			event.Event{At: told, What: event.Heard, Webhook: 3, Outcome: api.Full, Wait: 10},
+			event.Event{At: told, What: event.Heard, Webhook: 3, Outcome: api.Rejected, Wait: 10},
 		) // the longest holds
 		b.Emit(event.Event{At: told + long - early, What: event.Sent, Webhook: 1, Endpoint: 1})
 		assert.Equal(t, broken, w.Broken["wait"])
@@ -73,7 +73,7 @@
 		send(1, 1, event.Taken, 0, 0)
 		send(1, 2, event.Taken, 0, 0)
 		send(2, 1, event.Sent, 0, 0)
-		send(3, 1, event.Heard, api.Reset, 0)
+		send(3, 1, event.Heard, api.ConnectionReset, 0)
 		send(3, 1, event.Ended, 0, event.DeadLettered)
 		send(3+after, 2, event.Sent, 0, 0)
 		assert.Equal(t, broken, w.Broken["order"])
--- a/sim/invariant/order.go
+++ b/sim/invariant/order.go
@@ -18,7 +18,7 @@
 
 type line struct {
 	d   int32
-	key api.Key
+	key api.OrderingKey
 }
 
 type queue struct {
@@ -79,7 +79,7 @@
 	case event.Heard:
 		w.out = false
 		if e.Outcome.MayStillRun() {
-			q.restTo = max(q.restTo, e.At+o.t.TurnGap)
+			q.restTo = max(q.restTo, e.At+o.t.OrderingGap)
 		}
 	case event.Ended:
 		w.over = true
--- a/sim/invariant/recorder.go
+++ b/sim/invariant/recorder.go
@@ -119,16 +119,16 @@
 	if c == nil {
 		return
 	}
-	if e.At-c.at >= r.t.WarmAfter {
+	if e.At-c.at >= r.t.SlowStartDuration {
 		delete(r.cold, e.Route)
 		return
 	}
 	n := int(e.At / api.Second)
 	at := slices.IndexFunc(r.loads, func(l ColdLoad) bool { return l.Second == n && l.Route == e.Route })
 	if at < 0 {
-		share := r.t.StartCapacity + (1-r.t.StartCapacity)*float64(e.At-c.at)/float64(r.t.WarmAfter)
+		share := r.t.SlowStartCapacity + (1-r.t.SlowStartCapacity)*float64(e.At-c.at)/float64(r.t.SlowStartDuration)
 		r.loads = append(r.loads, ColdLoad{Second: n, Destination: e.Destination, Route: e.Route,
-			Limit: r.t.FallMultiple * share * c.perS})
+			Limit: r.t.OverloadFactor * share * c.perS})
 		at = len(r.loads) - 1
 	}
 	r.loads[at].Came += e.Weight
@@ -168,12 +168,12 @@
 			count(&r.sum.DeadLettered, &d.DeadLettered, &s.DeadLettered)
 		case delivered:
 			took := f.endAt - f.cameAt
-			if took <= row.Target {
+			if took <= row.LatencyTarget {
 				count(&r.sum.InTime, &d.InTime, &s.InTime)
 				earned += row.Value
 			} else {
 				count(&r.sum.Late, &d.Late, &s.Late)
-				part := float64(took-row.Target) / float64(max(row.TTL-row.Target, 1))
+				part := float64(took-row.LatencyTarget) / float64(max(row.TTL-row.LatencyTarget, 1))
 				earned += row.Value * (1 - (1-row.LateValue)*min(part, 1))
 			}
 			if s.latency == nil {
--- a/sim/invariant/rules.go
+++ b/sim/invariant/rules.go
@@ -141,15 +141,15 @@
 		case w.out:
 			o.breach(e, "sent while another attempt is out")
 		case !ran:
-		case row.Repeat == api.AtMostOnce:
+		case row.Semantics == api.AtMostOnce:
 			o.breach(e, "at-most-once, sent again though it may have run at %.6fs", w.mayRun.Seconds())
-		case row.Repeat == api.Tokened && e.At > w.mayRun+row.TokenWindow:
+		case row.Semantics == api.Deduplicated && e.At > w.mayRun+row.DedupWindow:
 			o.breach(
 				e,
 				"tokened, sent again outside its window, %.3f s after it may have run",
 				(e.At - w.mayRun).Seconds(),
 			)
-		case row.Repeat == api.Tokened && row.TokenByZone && e.Zone != w.ranIn:
+		case row.Semantics == api.Deduplicated && row.DedupByZone && e.Zone != w.ranIn:
 			o.breach(e, "tokened by zone, sent to another zone")
 		}
 		w.out, w.sentAt, w.zone = true, e.At, e.Zone
@@ -160,7 +160,7 @@
 		}
 	case event.Ended:
 		mayRun := w.out || w.mayRun != api.Never
-		if e.End == event.Rejected && mayRun && row.Repeat != api.Idempotent {
+		if e.End == event.Rejected && mayRun && row.Semantics != api.Idempotent {
 			o.breach(e, "rejected as harmless though it may have run")
 		}
 		if !w.out && !w.shared {
@@ -189,7 +189,7 @@
 	k := told{e.Dispatcher, e.Endpoint}
 	at, known := o.told[k]
 	switch {
-	case e.What == event.Told && e.Standing == api.Listed:
+	case e.What == event.Told && e.Standing == api.EndpointActive:
 		delete(o.told, k)
 	case e.What == event.Told && !known:
 		o.told[k] = e.At
--- a/sim/invariant/watch.go
+++ b/sim/invariant/watch.go
@@ -13,7 +13,7 @@
 
 // Terms are the figures that the rules are told in.
 type Terms struct {
-	api.Facts
+	api.Settings
 	DrainGrace  api.Micros
 	AnswerGrace api.Micros // past a webhook's TTL until its end is late
 }
--- a/test/checker/deliverycheck/judge.go
+++ b/test/checker/deliverycheck/judge.go
@@ -148,7 +148,7 @@
 			continue
 		}
 		t := l.Terms.Types[w.Type]
-		if t.Repeat == api.Idempotent {
+		if t.Semantics == api.Idempotent {
 			continue
 		}
 		breach := func(why string) {
@@ -168,10 +168,10 @@
 		switch {
 		case !before:
 			first[k] = r
-		case t.Repeat == api.AtMostOnce:
+		case t.Semantics == api.AtMostOnce:
 			breach(fmt.Sprintf("at-most-once, took effect %.3f s before by %s", (r.at - was.at).Seconds(),
 				was.c.Member))
-		case r.at > was.at+t.TokenWindow:
+		case r.at > was.at+t.DedupWindow:
 			breach(fmt.Sprintf("tokened, took effect %.3f s before by %s, outside its window",
 				(r.at - was.at).Seconds(), was.c.Member))
 		}
--- a/test/checker/deliverycheck/ledger.go
+++ b/test/checker/deliverycheck/ledger.go
@@ -15,7 +15,7 @@
 // Terms are what is judged by.
 type Terms struct {
 	Types map[string]api.EventType
-	Facts api.Facts // returns, the longest wait, the gap of a key's turn
+	Facts api.Settings // returns, the longest wait, the gap of a key's turn
 
 	Slack        api.Micros // a webhook's end is overdue so long after its TTL
 	DrainGrace   api.Micros // calls to a drained endpoint are let through for so long after it was told
--- a/test/checker/deliverycheck/rules.go
+++ b/test/checker/deliverycheck/rules.go
@@ -85,7 +85,7 @@
 	for _, c := range l.calls {
 		for _, told := range told[c.Dest] {
 			wait := told.wait
-			if longest := l.Terms.Facts.MaxAdvice; longest > 0 {
+			if longest := l.Terms.Facts.MaxRetryAfter; longest > 0 {
 				wait = min(wait, longest)
 			}
 			if !l.Terms.WaitsBindAll && told.Member != c.Member || c.At <= told.over+l.Terms.WaitGrace ||
@@ -136,19 +136,19 @@
 	f := l.Terms.Facts
 	for dest, outages := range l.outages {
 		for _, o := range outages {
-			if o.until == api.Never || o.rate == 0 || f.TipAfter == 0 {
+			if o.until == api.Never || o.rate == 0 || f.OverloadDuration == 0 {
 				continue
 			}
 			var since []*Call
 			for _, c := range l.calls {
-				if c.Dest == dest && c.At >= o.until && c.At <= o.until+f.WarmAfter {
+				if c.Dest == dest && c.At >= o.until && c.At <= o.until+f.SlowStartDuration {
 					since = append(since, c)
 				}
 			}
 			for i, c := range since {
-				from := max(o.until, c.At-f.TipAfter)
+				from := max(o.until, c.At-f.OverloadDuration)
 				first := slices.IndexFunc(since, func(c *Call) bool { return c.At >= from })
-				most := f.FallMultiple * o.takes(f, from, from+f.TipAfter)
+				most := f.OverloadFactor * o.takes(f, from, from+f.OverloadDuration)
 				if n := float64(i - first + 1); n > math.Ceil(most) {
 					all = append(all, Breach{Cold, c.At, c.IDs[0], dest, c.Member, fmt.Sprintf(
 						"%.0f calls, with %.1f it falls over, %.3f s after its return", n, most, (c.At - o.until).Seconds())})
@@ -161,12 +161,12 @@
 }
 
 // takes is how many calls a destination that warms up can take between two times.
-func (o outage) takes(f api.Facts, from, to api.Micros) float64 {
+func (o outage) takes(f api.Settings, from, to api.Micros) float64 {
 	const steps = 64
 	sum, step := 0.0, (to-from).Seconds()/steps
 	for i := range steps {
-		warm := ((from - o.until).Seconds() + (float64(i)+0.5)*step) / max(f.WarmAfter.Seconds(), 1e-6)
-		sum += step * o.rate * (f.StartCapacity + (1-f.StartCapacity)*min(1, warm))
+		warm := ((from - o.until).Seconds() + (float64(i)+0.5)*step) / max(f.SlowStartDuration.Seconds(), 1e-6)
+		sum += step * o.rate * (f.SlowStartCapacity + (1-f.SlowStartCapacity)*min(1, warm))
 	}
 	return sum
 }
--- a/test/checker/deliverycheck/story_test.go
+++ b/test/checker/deliverycheck/story_test.go
@@ -12,13 +12,13 @@
 func terms() deliverycheck.Terms {
 	return deliverycheck.Terms{
 		Types: map[string]api.EventType{
-			"status": {Repeat: api.Idempotent},
-			"paid":   {Repeat: api.Tokened, TokenWindow: 8000 * ms},
-			"charge": {Repeat: api.AtMostOnce},
-			"ride":   {Repeat: api.Idempotent, Ordered: true},
+			"status": {Semantics: api.Idempotent},
+			"paid":   {Semantics: api.Deduplicated, DedupWindow: 8000 * ms},
+			"charge": {Semantics: api.AtMostOnce},
+			"ride":   {Semantics: api.Idempotent, Ordered: true},
 		},
-		Facts: api.Facts{MaxAdvice: 3000 * ms, StartCapacity: 0.2, WarmAfter: 4000 * ms, FallMultiple: 2,
-			TipAfter: 1000 * ms},
+		Facts: api.Settings{MaxRetryAfter: 3000 * ms, SlowStartCapacity: 0.2, SlowStartDuration: 4000 * ms, OverloadFactor: 2,
+			OverloadDuration: 1000 * ms},
 		Slack: 500 * ms, DrainGrace: 550 * ms, ToldWithin: 6000 * ms, WaitGrace: 100 * ms,
 	}
 }
--- a/test/fake/platform/calls.go
+++ b/test/fake/platform/calls.go
@@ -115,8 +115,8 @@
 	for _, one := range all {
 		now, id := d.p.Now(), root(one.id)
 		evt := log.Type(id)
-		if evt.Repeat == api.Tokened && one.token != "" && one.token != "-" {
-			if first, known := d.tokens[one.token]; known && now <= first+evt.TokenWindow {
+		if evt.Semantics == api.Deduplicated && one.token != "" && one.token != "-" {
+			if first, known := d.tokens[one.token]; known && now <= first+evt.DedupWindow {
 				continue
 			}
 			d.tokens[one.token] = now
--- a/test/fake/platform/clients.go
+++ b/test/fake/platform/clients.go
@@ -132,7 +132,7 @@
 		case code == 429 || code == 503:
 			w.after = id
 			w.token = cmp.Or(w.token, "k"+id)
-		case code == 0 && l.p.Ledger.Terms.Types[w.Type].Repeat == api.Idempotent:
+		case code == 0 && l.p.Ledger.Terms.Types[w.Type].Semantics == api.Idempotent:
 			w.after = ""
 		default:
 			return
--- a/test/fake/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -22,7 +22,7 @@
 func begin(t *testing.T) *platform.Platform {
 	p, err := platform.New(deliverycheck.Terms{Types: map[string]api.EventType{
 		"status": {TTL: 9 * api.Second},
-		"paid":   {TTL: 9 * api.Second, Repeat: api.Tokened, TokenWindow: 8 * api.Second},
+		"paid":   {TTL: 9 * api.Second, Semantics: api.Deduplicated, DedupWindow: 8 * api.Second},
 	}, DrainGrace: api.Second, ToldWithin: 6 * api.Second}, 3)
 	require.NoError(t, err)
 	t.Cleanup(func() { p.Close() })
--- a/webhook/config/facts.go
+++ b/webhook/config/facts.go
@@ -23,14 +23,14 @@
 }
 
 // FromPairs reads the settings as the bench's wire gives them.
-func FromPairs(seed uint64, text string) (api.Facts, error) {
+func FromPairs(seed uint64, text string) (api.Settings, error) {
 	return read(seed, readPairs(text))
 }
 
 // Fits tells whether settings can take the place of others in a running dispatcher. Webhooks held or owed in
 // the journal say by its place of which event type and tenant they are: a name keeps its place, new ones
 // follow the last, and only the last may go. A kind's routes can't be parted or joined while calls are out.
-func Fits(was, now api.Facts, wasNames, nowNames Names) error {
+func Fits(was, now api.Settings, wasNames, nowNames Names) error {
 	for _, l := range []struct {
 		key      string
 		was, now []string
@@ -43,8 +43,8 @@
 			}
 		}
 	}
-	for i := range min(len(was.Kinds), len(now.Kinds)) {
-		if was.Kinds[i].Apart != now.Kinds[i].Apart {
+	for i := range min(len(was.DestinationKinds), len(now.DestinationKinds)) {
+		if was.DestinationKinds[i].SeparateRoutes != now.DestinationKinds[i].SeparateRoutes {
 			return fmt.Errorf("settings familyInfo.kindApart.%d can't change in a running process", i)
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // FromJSON reads them as nested JSON, and the time after which an idle connection to an endpoint is closed.
-func FromJSON(seed uint64, settings gjson.Result) (api.Facts, Names, api.Micros, error) {
+func FromJSON(seed uint64, settings gjson.Result) (api.Settings, Names, api.Micros, error) {
 	p := &pairs{values: map[string]string{}}
 	p.flatten("", settings)
 	names := Names{texts(settings, "classes"), texts(settings, "tenants"), texts(settings, "kinds"),
@@ -162,52 +162,52 @@
 	return slices.Index(names, "x0"), slices.Index(names, "x1")
 }
 
-func read(seed uint64, p *pairs) (api.Facts, error) {
-	f := api.Facts{
-		Seed: seed, Fleet: p.count("fleetSize"), Zone: api.ZoneID(p.count("zone")),
-		OverShare: p.number("overShareWorth"),
-		Slots:     p.count("familyInfo.slots"), Buffer: p.count("limits.openCap"),
-		MaxAttempts: p.count("limits.maxAttempts"), MayCancel: p.flag("limits.cancel"),
-		RatesStated:    p.values["weightSource"] == "nominal" || p.values["weightSource"] == "rough",
-		ConnectTimeout: p.under("limits.connectTimeout"), Tick: p.atLeast("period"),
-		TurnGap: p.atLeast("rules.turnGap"), StartCapacity: p.number("rules.startCapacity"),
-		WarmAfter: p.atLeast("rules.warmAfter"), FallMultiple: p.number("rules.fallMultiple"),
-		TipAfter: p.atLeast("rules.tipAfter"),
+func read(seed uint64, p *pairs) (api.Settings, error) {
+	f := api.Settings{
+		Seed: seed, Dispatchers: p.count("fleetSize"), Zone: api.ZoneID(p.count("zone")),
+		OverQuotaValue: p.number("overShareWorth"),
+		MaxInFlight:    p.count("familyInfo.slots"), BufferSize: p.count("limits.openCap"),
+		MaxAttempts: p.count("limits.maxAttempts"), CanCancel: p.flag("limits.cancel"),
+		RatesListed:    p.values["weightSource"] == "nominal" || p.values["weightSource"] == "rough",
+		ConnectTimeout: p.under("limits.connectTimeout"), MinTurnInterval: p.atLeast("period"),
+		OrderingGap: p.atLeast("rules.turnGap"), SlowStartCapacity: p.number("rules.startCapacity"),
+		SlowStartDuration: p.atLeast("rules.warmAfter"), OverloadFactor: p.number("rules.fallMultiple"),
+		OverloadDuration: p.atLeast("rules.tipAfter"),
 	}
 	if p.flag("limits.retryAfter") {
-		f.MaxAdvice = p.under("limits.maxRetryAfter")
+		f.MaxRetryAfter = p.under("limits.maxRetryAfter")
 	}
 	if w := p.values["weightSource"]; p.err == nil && !slices.Contains(weightSources, w) {
 		p.err = fmt.Errorf("setting weightSource: %q is none of silent, nominal, rough, live", w)
 	}
 	batches, apart := p.list("familyInfo.batchByKind"), p.list("familyInfo.kindApart")
 	for i := range p.list("kinds") {
-		k := api.Kind{Batch: 1}
+		k := api.DestinationKind{BatchSize: 1}
 		if i < len(batches) {
 			if n, err := strconv.Atoi(batches[i]); err == nil && n > 1 {
-				k.Batch = n
+				k.BatchSize = n
 			}
 		}
-		k.Apart = i < len(apart) && apart[i] == "true"
-		f.Kinds = append(f.Kinds, k)
+		k.SeparateRoutes = i < len(apart) && apart[i] == "true"
+		f.DestinationKinds = append(f.DestinationKinds, k)
 	}
 	for i := range p.entries("tenants") {
-		f.Tenants = append(f.Tenants, p.number(fmt.Sprintf("tenants.%d.allowancePerS", i)))
+		f.TenantRates = append(f.TenantRates, p.number(fmt.Sprintf("tenants.%d.allowancePerS", i)))
 	}
 	for i := range p.entries("classes") {
 		at := fmt.Sprintf("classes.%d.", i)
 		t := api.EventType{
-			Target: p.under(at + "aim"), TTL: p.under(at + "deadline"), Value: p.number(at + "worth"),
-			LateValue: p.number(at + "lateValue"), TokenWindow: p.under(at + "window"),
-			TokenByZone: p.values[at+"group"] != "all", Ordered: p.flag(at + "oneAtATime"),
+			LatencyTarget: p.under(at + "aim"), TTL: p.under(at + "deadline"), Value: p.number(at + "worth"),
+			LateValue: p.number(at + "lateValue"), DedupWindow: p.under(at + "window"),
+			DedupByZone: p.values[at+"group"] != "all", Ordered: p.flag(at + "oneAtATime"),
 		}
 		switch p.values[at+"repeat"] {
 		case "token":
-			t.Repeat = api.Tokened
+			t.Semantics = api.Deduplicated
 		case "side_effect":
-			t.Repeat = api.AtMostOnce
+			t.Semantics = api.AtMostOnce
 		case "pure":
-			t.Repeat = api.Idempotent
+			t.Semantics = api.Idempotent
 		default:
 			return f, fmt.Errorf("setting %srepeat: %q is unknown", at, p.values[at+"repeat"])
 		}
--- a/webhook/config/facts_test.go
+++ b/webhook/config/facts_test.go
@@ -32,16 +32,16 @@
 	f, names, _, err := FromJSON(7, gjson.Parse(`{"classes":[{"repeat":"pure"},{"repeat":"token","name":"b"}]}`))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"", "b"}, names.EventTypes)
-	assert.Equal(t, api.Tokened, f.EventTypes[1].Repeat)
+	assert.Equal(t, api.Deduplicated, f.EventTypes[1].Semantics)
 }
 
 func TestNamesKeepTheirPlacesInARunningDispatcher(t *testing.T) {
 	was := Names{EventTypes: []string{"a", "b"}, Kinds: []string{"k"}}
-	facts := api.Facts{Kinds: []api.Kind{{Batch: 1}}}
+	facts := api.Settings{DestinationKinds: []api.DestinationKind{{BatchSize: 1}}}
 	assert.NoError(t, Fits(facts, facts, was, was))
 	assert.NoError(t, Fits(facts, facts, was, Names{EventTypes: []string{"a"}, Kinds: []string{"k", "l"}}))
 	assert.ErrorContains(t, Fits(facts, facts, was, Names{EventTypes: []string{"b", "a"}}), `classes.0: "b"`)
-	apart := api.Facts{Kinds: []api.Kind{{Batch: 1, Apart: true}}}
+	apart := api.Settings{DestinationKinds: []api.DestinationKind{{BatchSize: 1, SeparateRoutes: true}}}
 	assert.ErrorContains(t, Fits(facts, apart, was, was), "kindApart.0")
 }
 
--- a/webhook/dispatcher/discovery/registry.go
+++ b/webhook/dispatcher/discovery/registry.go
@@ -22,7 +22,7 @@
 const LinePeriod = 2 * time.Second
 
 // Listed is told a list, with the address of each of its entries; whole: what is not in it is gone.
-type Listed func(entries []api.Entry, addrs []string, whole bool)
+type Listed func(entries []api.EndpointEntry, addrs []string, whole bool)
 
 // Asks decides when each ask begins and what it may take, is told of each sign of life of a watch, and says
 // for how long the first one is waited for, in µs.
@@ -104,7 +104,7 @@
 	if generation.Type != gjson.Number || !list.IsArray() {
 		return fmt.Errorf("a list without generation or instances: %.80s", object.Raw)
 	}
-	var entries []api.Entry
+	var entries []api.EndpointEntry
 	var addrs []string
 	names, _ := r.by()
 	here := map[string]bool{}
@@ -113,7 +113,7 @@
 		standing, known := standings[l.Get("lifecycle").String()]
 		_, _, err := net.SplitHostPort(addr)
 		dest := api.DestinationID(cell.Uint())
-		if id == "" || !known || err != nil && standing != api.Gone ||
+		if id == "" || !known || err != nil && standing != api.EndpointRemoved ||
 			cell.Type != gjson.Number || cell.Float() != float64(dest) {
 			slog.Warn("list entry left out", "entry", l.Raw)
 			continue
@@ -124,15 +124,15 @@
 			n = &named{id: r.last}
 			r.ids[id] = n
 		}
-		if here[id] = standing != api.Gone; here[id] {
+		if here[id] = standing != api.EndpointRemoved; here[id] {
 			n.gone = time.Time{}
 		}
 		rate := l.Get("weight").Float()
 		if !(rate > 0) {
 			rate = 0
 		}
-		entries = append(entries, api.Entry{Endpoint: n.id, Standing: standing, Rate: rate,
-			Destination: dest, Kind: api.KindID(index(names.Kinds, l.Get("machineType"))),
+		entries = append(entries, api.EndpointEntry{Endpoint: n.id, Status: standing, Rate: rate,
+			Destination: dest, Kind: api.DestinationKindID(index(names.Kinds, l.Get("machineType"))),
 			Zone: api.ZoneID(index(names.Zones, l.Get("zone")))})
 		addrs = append(addrs, addr)
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-var standings = map[string]api.Standing{"SERVING": api.Listed, "DRAINING": api.Draining,
-	"DELETED": api.Gone}
+var standings = map[string]api.EndpointStatus{"SERVING": api.EndpointActive, "DRAINING": api.EndpointDraining,
+	"DELETED": api.EndpointRemoved}
 
 // index is a name's index, or one past the last.
 func index(names []string, name gjson.Result) int {
--- a/webhook/dispatcher/discovery/registry_test.go
+++ b/webhook/dispatcher/discovery/registry_test.go
@@ -73,7 +73,7 @@
 func follow(addr string, period api.Micros) *follower {
 	f := &follower{}
 	f.Registry = New(addr, config.Names{Pushed: true}, refresh.New(1, period), 1000, api.Second,
-		func(entries []api.Entry, _ []string, _ bool) {
+		func(entries []api.EndpointEntry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.lists = append(f.lists, int(entries[0].Rate))
@@ -126,7 +126,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	r := New("127.0.0.1:1", config.Names{}, waits, 1000, api.Second,
-		func([]api.Entry, []string, bool) {}, func() {}, func() {})
+		func([]api.EndpointEntry, []string, bool) {}, func() {}, func() {})
 	r.Move(d.addr)
 	go r.Follow()
 	require.Eventually(t, func() bool { return asks.Load() >= 5 }, 10*time.Second, time.Millisecond)
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -44,7 +44,7 @@
 type Dispatcher struct {
 	Told     gjson.Result // the configuration
 	State    string       // the folder that outlasts the process
-	Facts    api.Facts
+	Facts    api.Settings
 	Names    config.Names
 	Life     *lifecycle.Life
 	Exchange *inflight.Exchange
@@ -58,7 +58,7 @@
 type Beside interface {
 	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
 	Serve()                  // all runs, but clients are not let in yet
-	Renew(api.Facts)
+	Renew(api.Settings)
 	Leave() // told to end: before the dispatcher leaves; may take as long as it needs a turn to leave
 	End()   // nothing runs any more
 	Print(io.Writer)
@@ -113,8 +113,8 @@
 	if err := list.Take(told.Get("known")); err != nil {
 		slog.Warn("no known list", "why", err)
 	}
-	d.Begin(calls, finals, func(f api.Facts, h api.Host) api.Module {
-		held.Module = policy.New(f, h)
+	d.Begin(calls, finals, func(f api.Settings, h api.Host) api.Policy {
+		held.Policy = policy.New(f, h)
 		return held
 	})
 	life.Enter(lifecycle.Serving)
--- a/webhook/dispatcher/eventloop/announced.go
+++ b/webhook/dispatcher/eventloop/announced.go
@@ -25,7 +25,7 @@
 
 func (d *Decider) announce(all []*inflight.Webhook) inflight.Answer {
 	if !d.life.TakesOn() || len(all) == 0 || d.now-all[0].CameAt > inflight.AnswerWithin ||
-		len(d.held)+len(all) > d.facts.Buffer {
+		len(d.held)+len(all) > d.facts.BufferSize {
 		return inflight.Rejected
 	}
 	for _, w := range all {
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -24,9 +24,9 @@
 	journal *wal.Journal
 	calls   *upstream.Endpoints
 	finals  *callback.Notices
-	facts   api.Facts
+	facts   api.Settings
 	types   []string // the names of event types
-	module  api.Module
+	module  api.Policy
 
 	now    api.Micros
 	turned api.Micros // when the last turn was
@@ -41,10 +41,10 @@
 	// Where a fleet acts as one; else nil.
 	fleet  Fleet
 	parked map[api.WebhookID]*inflight.Webhook
-	turns  map[turnOf][]api.WebhookID   // what of each key is parked, in the order taken
-	listed map[api.EndpointID]api.Entry // as discovery has it
-	rated  map[api.EndpointID]float64   // as the module was told
-	told   map[inflight.RequestID]ended // of an earlier life, for others than the platform
+	turns  map[turnOf][]api.WebhookID           // what of each key is parked, in the order taken
+	listed map[api.EndpointID]api.EndpointEntry // as discovery has it
+	rated  map[api.EndpointID]float64           // as the module was told
+	told   map[inflight.RequestID]ended         // of an earlier life, for others than the platform
 
 	// Of this turn.
 	fresh    map[api.WebhookID]*inflight.Webhook // not answered yet
@@ -62,8 +62,8 @@
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *inflight.Exchange, life *lifecycle.Life, j *wal.Journal, f api.Facts) *Decider {
-	f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
+func New(x *inflight.Exchange, life *lifecycle.Life, j *wal.Journal, f api.Settings) *Decider {
+	f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
 	d := &Decider{x: x, life: life, journal: j, facts: f, now: inflight.Now(), nextID: 1,
 		held: map[api.WebhookID]*inflight.Webhook{}, ids: map[inflight.RequestID]api.WebhookID{},
 		fresh: map[api.WebhookID]*inflight.Webhook{}, out: map[api.WebhookID]bool{},
@@ -74,7 +74,7 @@
 
 // Begin starts the module and hands it the webhooks of an earlier life.
 func (d *Decider) Begin(calls *upstream.Endpoints, finals *callback.Notices,
-	start func(api.Facts, api.Host) api.Module) {
+	start func(api.Settings, api.Host) api.Policy) {
 	d.calls, d.finals = calls, finals
 	d.module = start(d.facts, d)
 	d.sweep()
@@ -111,18 +111,18 @@
 }
 
 // Renew has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
-func (d *Decider) Renew(f api.Facts, types []string, idleLimit api.Micros) {
+func (d *Decider) Renew(f api.Settings, types []string, idleLimit api.Micros) {
 	d.x.Tell(func() {
-		f.Buffer, f.Tick = max(f.Buffer, 1), max(f.Tick, 1)
+		f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
 		d.facts = f
 		d.Types(types)
-		d.calls.Renew(f.ConnectTimeout, idleLimit, f.Kinds)
-		d.module.Renew(f)
+		d.calls.Renew(f.ConnectTimeout, idleLimit, f.DestinationKinds)
+		d.module.UpdateSettings(f)
 	})
 }
 
 // Listed takes a list; addrs are its entries' addresses.
-func (d *Decider) Listed(entries []api.Entry, addrs []string, whole bool) {
+func (d *Decider) Listed(entries []api.EndpointEntry, addrs []string, whole bool) {
 	d.x.Lists.Add(1)
 	for _, l := range entries {
 		d.x.Name(l.Destination)
@@ -130,9 +130,9 @@
 	d.x.Tell(func() {
 		named := map[api.EndpointID]bool{}
 		for i, l := range entries {
-			kind := api.Kind{}
-			if int(l.Kind) < len(d.facts.Kinds) {
-				kind = d.facts.Kinds[l.Kind]
+			kind := api.DestinationKind{}
+			if int(l.Kind) < len(d.facts.DestinationKinds) {
+				kind = d.facts.DestinationKinds[l.Kind]
 			}
 			d.calls.Place(l, addrs[i], kind)
 			named[l.Endpoint] = true
@@ -140,7 +140,7 @@
 		if whole {
 			d.calls.Drop(named)
 		}
-		d.module.Endpoints(d.shared(entries, whole), whole)
+		d.module.UpdateEndpoints(d.shared(entries, whole), whole)
 	})
 }
 
@@ -167,9 +167,9 @@
 	if over {
 		d.x.Over.Add(1)
 	}
-	d.module.Outcome(w.ID, ep, what, took, ended, wait)
+	d.module.AttemptEnded(w.ID, ep, what, took, ended, wait)
 	if d.held[w.ID] != nil && !d.mayCall(w) {
-		d.module.Withdrawn(w.ID)
+		d.module.Withdraw(w.ID)
 		d.park(w)
 	}
 }
@@ -191,7 +191,7 @@
 
 // sweep has idle connections looked at now and then.
 func (d *Decider) sweep() {
-	d.dues.Add(int64(d.now+sweepTicks*d.facts.Tick), func() {
+	d.dues.Add(int64(d.now+sweepTicks*d.facts.MinTurnInterval), func() {
 		d.calls.Sweep()
 		d.sweep()
 	})
--- a/webhook/dispatcher/eventloop/ends.go
+++ b/webhook/dispatcher/eventloop/ends.go
@@ -27,7 +27,7 @@
 // that was.
 func (d *Decider) delivered(w *inflight.Webhook, over bool) End {
 	if int(w.Event) < len(d.facts.EventTypes) {
-		if e := d.facts.EventTypes[w.Event]; d.now > w.TTL-e.TTL+e.Target {
+		if e := d.facts.EventTypes[w.Event]; d.now > w.TTL-e.TTL+e.LatencyTarget {
 			return Late
 		}
 	}
--- a/webhook/dispatcher/eventloop/fleet.go
+++ b/webhook/dispatcher/eventloop/fleet.go
@@ -26,7 +26,7 @@
 
 // Join has the decider ask a fleet from its first webhook on; before Begin only.
 func (d *Decider) Join(f Fleet) {
-	d.fleet, d.listed = f, map[api.EndpointID]api.Entry{}
+	d.fleet, d.listed = f, map[api.EndpointID]api.EndpointEntry{}
 	d.parked, d.turns = map[api.WebhookID]*inflight.Webhook{}, map[turnOf][]api.WebhookID{}
 }
 
@@ -82,7 +82,7 @@
 		case parked:
 			d.frees(id)
 		case !d.out[id] && !d.mayCall(w):
-			d.module.Withdrawn(id)
+			d.module.Withdraw(id)
 			d.park(w)
 		}
 	}
@@ -100,26 +100,26 @@
 
 // rerate tells the module of the rates that are this dispatcher's part by now.
 func (d *Decider) rerate() {
-	var anew []api.Entry
+	var anew []api.EndpointEntry
 	for id, l := range d.listed {
 		if now := d.parted(l); now.Rate != d.rated[id] {
 			anew = append(anew, now)
 		}
 	}
 	if len(anew) > 0 {
-		slices.SortFunc(anew, func(a, b api.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
+		slices.SortFunc(anew, func(a, b api.EndpointEntry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
 		d.note(anew)
-		d.module.Endpoints(anew, false)
+		d.module.UpdateEndpoints(anew, false)
 	}
 }
 
 // parted is an entry with the rate of which an even part is this dispatcher's.
-func (d *Decider) parted(l api.Entry) api.Entry {
-	l.Rate *= d.fleet.Part(l.Destination) * float64(max(d.facts.Fleet, 1))
+func (d *Decider) parted(l api.EndpointEntry) api.EndpointEntry {
+	l.Rate *= d.fleet.Part(l.Destination) * float64(max(d.facts.Dispatchers, 1))
 	return l
 }
 
-func (d *Decider) note(entries []api.Entry) {
+func (d *Decider) note(entries []api.EndpointEntry) {
 	if d.rated == nil {
 		d.rated = map[api.EndpointID]float64{}
 	}
@@ -129,7 +129,7 @@
 }
 
 // shared keeps a list's rates and makes them this dispatcher's.
-func (d *Decider) shared(entries []api.Entry, whole bool) []api.Entry {
+func (d *Decider) shared(entries []api.EndpointEntry, whole bool) []api.EndpointEntry {
 	if d.fleet == nil {
 		return entries
 	}
@@ -137,9 +137,9 @@
 		clear(d.listed)
 		d.rated = nil
 	}
-	all := make([]api.Entry, 0, len(entries))
+	all := make([]api.EndpointEntry, 0, len(entries))
 	for _, l := range entries {
-		if d.listed[l.Endpoint] = l; l.Standing == api.Gone {
+		if d.listed[l.Endpoint] = l; l.Status == api.EndpointRemoved {
 			delete(d.listed, l.Endpoint)
 			delete(d.rated, l.Endpoint)
 		}
--- a/webhook/dispatcher/eventloop/fleet_test.go
+++ b/webhook/dispatcher/eventloop/fleet_test.go
@@ -39,13 +39,13 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000, RatesStated: true,
-		EventTypes: []api.EventType{{Target: ttl / 9, TTL: ttl, Repeat: api.AtMostOnce}}})
+	d := New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000, RatesListed: true,
+		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
 	d.Join(all)
 	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
-	d.Listed([]api.Entry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
+		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
+	d.Listed([]api.EndpointEntry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	return &side{d, kept, all}
 }
--- a/webhook/dispatcher/eventloop/given.go
+++ b/webhook/dispatcher/eventloop/given.go
@@ -105,7 +105,7 @@
 		for _, w := range byID(d, want) {
 			w.InDoubt, w.Given = true, true
 			if d.parked[w.ID] == nil {
-				d.module.Withdrawn(w.ID)
+				d.module.Withdraw(w.ID)
 				d.park(w)
 			}
 		}
@@ -127,7 +127,7 @@
 				continue
 			}
 			if d.parked[w.ID] == nil {
-				d.module.Withdrawn(w.ID)
+				d.module.Withdraw(w.ID)
 			}
 			d.unpark(w.ID)
 			w.Step("over_elsewhere", 0, api.Micros(e.How))
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -12,7 +12,7 @@
 // Now is the time of the turn.
 func (d *Decider) Now() api.Micros { return d.now }
 
-func (d *Decider) Attempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
+func (d *Decider) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
 	if w := d.held[id]; w != nil {
 		w.Step("attempt", ep, patience)
 		d.out[id] = true
@@ -20,7 +20,7 @@
 	}
 }
 
-func (d *Decider) Cancel(id api.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
+func (d *Decider) CancelAttempt(id api.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
 
 // Reject hands a webhook back: by the answer where its client still waits for one, else by notice.
 func (d *Decider) Reject(id api.WebhookID, advised api.Micros) {
@@ -60,10 +60,10 @@
 	d.ends = append(d.ends, func() { d.finals.Owe(w.ID, notice) })
 }
 
-func (d *Decider) Wake(in api.Micros, timer api.TimerID) {
-	d.dues.Add(int64(d.now+in), func() { d.module.Wake(timer) })
+func (d *Decider) SetTimer(in api.Micros, timer api.TimerID) {
+	d.dues.Add(int64(d.now+in), func() { d.module.TimerFired(timer) })
 }
 
-func (d *Decider) CloseIdle(ep api.EndpointID) { d.hangUps = append(d.hangUps, ep) }
+func (d *Decider) CloseIdleConnections(ep api.EndpointID) { d.hangUps = append(d.hangUps, ep) }
 
 func (d *Decider) Log(text string) { slog.Info("module", "says", text) }
--- a/webhook/dispatcher/eventloop/parked.go
+++ b/webhook/dispatcher/eventloop/parked.go
@@ -10,7 +10,7 @@
 // turnOf is what order is kept by.
 type turnOf struct {
 	dest api.DestinationID
-	key  api.Key
+	key  api.OrderingKey
 }
 
 func (d *Decider) park(w *inflight.Webhook) {
@@ -20,7 +20,7 @@
 		d.turns[of] = slices.Insert(d.turns[of], at, w.ID)
 	}
 	w.Step("parked", 0, 0)
-	d.dues.Add(int64(w.TTL-2*d.facts.Tick), func() { d.expire(w.ID) })
+	d.dues.Add(int64(w.TTL-2*d.facts.MinTurnInterval), func() { d.expire(w.ID) })
 }
 
 func (d *Decider) unpark(id api.WebhookID) {
--- a/webhook/dispatcher/eventloop/taught.go
+++ b/webhook/dispatcher/eventloop/taught.go
@@ -4,7 +4,7 @@
 
 // Learned lists what the module knows of destinations that match; it waits for the turn. idle: no call to
 // them is out, so that nothing can be added to it any more.
-func (d *Decider) Learned(match func(api.DestinationID) bool) (all []api.Learned, idle bool) {
+func (d *Decider) Learned(match func(api.DestinationID) bool) (all []api.DestinationState, idle bool) {
 	done := make(chan struct{})
 	d.x.Tell(func() {
 		defer close(done)
@@ -17,7 +17,7 @@
 			idle = idle && !(match(w.Destination) && d.out[id])
 		}
 		for dest, is := range dests {
-			if l, known := d.teacher().Learned(dest); is && known {
+			if l, known := d.teacher().ExportState(dest); is && known {
 				all = append(all, l)
 			}
 		}
@@ -27,18 +27,18 @@
 }
 
 // Teach has the module take over what another one knew, with times of this clock.
-func (d *Decider) Teach(all []api.Learned) {
+func (d *Decider) Teach(all []api.DestinationState) {
 	d.x.Tell(func() {
 		for _, l := range all {
-			d.teacher().Teach(l)
+			d.teacher().ImportState(l)
 		}
 	})
 }
 
-func (d *Decider) teacher() api.Teacher {
+func (d *Decider) teacher() api.StateTransferer {
 	m := d.module
-	if held, ok := m.(interface{ Unwrap() api.Module }); ok {
+	if held, ok := m.(interface{ Unwrap() api.Policy }); ok {
 		m = held.Unwrap()
 	}
-	return m.(api.Teacher)
+	return m.(api.StateTransferer)
 }
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -24,7 +24,7 @@
 		case <-d.x.Bell():
 		case <-timer.C:
 		}
-		if rest := d.turned + d.facts.Tick - inflight.Now(); rest > 0 {
+		if rest := d.turned + d.facts.MinTurnInterval - inflight.Now(); rest > 0 {
 			time.Sleep(inflight.Span(rest))
 		}
 		d.turn()
@@ -57,7 +57,7 @@
 		call()
 	}
 	if d.life.Sends() {
-		d.module.TurnOver()
+		d.module.EndTurn()
 	}
 	d.act()
 }
@@ -86,7 +86,7 @@
 
 // room ends what is beyond the buffer.
 func (d *Decider) room(w *inflight.Webhook) bool {
-	if len(d.held) >= d.facts.Buffer && !w.Keep { // of those there are no more than clients' connections
+	if len(d.held) >= d.facts.BufferSize && !w.Keep { // of those there are no more than clients' connections
 		w.Answer(inflight.Rejected, 0)
 		return false
 	}
@@ -162,7 +162,7 @@
 	for _, id := range d.order {
 		if w := d.fresh[id]; w != nil {
 			d.journal.Forget(id)
-			d.module.Withdrawn(id)
+			d.module.Withdraw(id)
 			d.unpark(id)
 			d.drop(w)
 			d.refuse(w)
--- a/webhook/dispatcher/eventloop/types.go
+++ b/webhook/dispatcher/eventloop/types.go
@@ -33,10 +33,10 @@
 // is not repeated by settings that ask for one, since nobody would know the repeat.
 func (d *Decider) resume(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	all := d.facts.EventTypes
-	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Repeat == api.Tokened {
+	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Semantics == api.Deduplicated {
 		w.Event = unnamed
 	}
-	d.module.Resume(w.ID, w.Event, w.Tenant, w.Key, w.TTL, w.Destination, attempts, mayRun, zone)
+	d.module.Recover(w.ID, w.Event, w.Tenant, w.Key, w.TTL, w.Destination, attempts, mayRun, zone)
 }
 
 // place is where an event type of an earlier life stands by now.
--- a/webhook/dispatcher/inflight/exchange.go
+++ b/webhook/dispatcher/inflight/exchange.go
@@ -40,7 +40,7 @@
 
 	Event       api.EventTypeID
 	Tenant      api.TenantID
-	Key         api.Key
+	Key         api.OrderingKey
 	Destination api.DestinationID
 	TTL         api.Micros
 
--- a/webhook/dispatcher/inflight/kept.go
+++ b/webhook/dispatcher/inflight/kept.go
@@ -39,7 +39,7 @@
 	}
 	w := &Webhook{ID: id, Event: api.EventTypeID(b[0]),
 		Tenant:      api.TenantID(binary.LittleEndian.Uint32(b[1:])),
-		Key:         api.Key(binary.LittleEndian.Uint64(b[5:])),
+		Key:         api.OrderingKey(binary.LittleEndian.Uint64(b[5:])),
 		Destination: api.DestinationID(binary.LittleEndian.Uint32(b[destAt:])),
 		TTL:         api.Micros(binary.LittleEndian.Uint64(b[destAt+4:]))}
 	b = b[fixed:]
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -46,12 +46,12 @@
 }
 
 // Renew has webhooks that come from now on read by other settings.
-func (s *Clients) Renew(f api.Facts, names config.Names) {
+func (s *Clients) Renew(f api.Settings, names config.Names) {
 	s.terms.Store(&terms{names, f.EventTypes})
 }
 
 // New makes a server that holds at most mostOpen connections, mostIdle of them idle.
-func New(x *inflight.Exchange, life *lifecycle.Life, f api.Facts, names config.Names,
+func New(x *inflight.Exchange, life *lifecycle.Life, f api.Settings, names config.Names,
 	mostOpen, mostIdle int) *Clients {
 	s := &Clients{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
 	s.Renew(f, names)
--- a/webhook/dispatcher/server/webhook.go
+++ b/webhook/dispatcher/server/webhook.go
@@ -37,7 +37,7 @@
 	if class == "" || evt < 0 || evt >= math.MaxUint8 {
 		return nil, "Request-Class names no event type"
 	}
-	if token != "" && !plain(token) || token == "" && by.types[evt].Repeat == api.Tokened {
+	if token != "" && !plain(token) || token == "" && by.types[evt].Semantics == api.Deduplicated {
 		return nil, "Idempotency-Key is missing or not plain text"
 	}
 	ms, err := strconv.ParseInt(string(h.Peek("Request-Timeout-Ms")), 10, 32)
@@ -62,7 +62,7 @@
 	if key := h.Peek("Affinity-Key"); len(key) > 0 {
 		sum := fnv.New64a()
 		sum.Write(key)
-		w.Key = api.Key(max(sum.Sum64(), 1))
+		w.Key = api.OrderingKey(max(sum.Sum64(), 1))
 	}
 	return w, ""
 }
--- a/webhook/dispatcher/told.go
+++ b/webhook/dispatcher/told.go
@@ -17,7 +17,7 @@
 // terms are what the configuration says of the platform, put into our words.
 type terms struct {
 	told      gjson.Result
-	facts     api.Facts
+	facts     api.Settings
 	names     config.Names
 	idleLimit api.Micros // after which an idle connection to an endpoint is closed
 }
@@ -46,7 +46,7 @@
 	}
 	t := terms{told: told}
 	t.facts, t.names, t.idleLimit, err = config.FromJSON(seed, told.Get("settings"))
-	t.facts.CapsTold = true // the protocol's answer for it has an outcome of its own
+	t.facts.ConnectionLimitsReported = true // the protocol's answer for it has an outcome of its own
 	return t, err
 }
 
@@ -65,7 +65,7 @@
 		renew(now)
 		was = now.beside(was)
 		slog.Info("configuration read again", "discovery", now.told.Get("discovery").String(),
-			"slots", now.facts.Slots, "buffer", now.facts.Buffer, "fleet", now.facts.Fleet,
+			"slots", now.facts.MaxInFlight, "buffer", now.facts.BufferSize, "fleet", now.facts.Dispatchers,
 			"event_types", len(now.names.EventTypes), "kinds", len(now.names.Kinds))
 	}
 }
@@ -76,7 +76,7 @@
 	n := &t.names
 	n.EventTypes, n.Tenants = stay(was.names.EventTypes, n.EventTypes), stay(was.names.Tenants, n.Tenants)
 	n.Kinds, n.Zones = stay(was.names.Kinds, n.Kinds), stay(was.names.Zones, n.Zones)
-	t.facts.Kinds = stay(was.facts.Kinds, t.facts.Kinds)
+	t.facts.DestinationKinds = stay(was.facts.DestinationKinds, t.facts.DestinationKinds)
 	return t
 }
 
--- a/webhook/dispatcher/upstream/answer.go
+++ b/webhook/dispatcher/upstream/answer.go
@@ -22,9 +22,9 @@
 		if !time.Now().Before(until) { // by the clock: not each error tells a deadline from a broken connection
 			return fate{what: api.TimedOut}
 		}
-		return fate{what: api.Reset}
+		return fate{what: api.ConnectionReset}
 	}
-	spoilt := fate{what: api.Errored}
+	spoilt := fate{what: api.ErrorResponse}
 	bundle := len(k.webhooks) > 1
 	if !bundle && deliveredLine.Match(head) { // whatever becomes of the rest: guards against a second copy
 		spoilt.what = api.Delivered
@@ -44,7 +44,7 @@
 	quiet, ended := socket.Look(l.Conn)
 	more := l.in.Buffered() > 0 || !quiet && !ended
 	if f.keep = !resp.ConnectionClose() && quiet && !more; more && f.each == nil && f.what != api.Delivered {
-		f.what, f.over = api.Errored, false // its length may be wrong: who knows what it was
+		f.what, f.over = api.ErrorResponse, false // its length may be wrong: who knows what it was
 	}
 	return f
 }
@@ -68,7 +68,7 @@
 
 // read puts an answer into our words; ok: it can be read. What is not in the protocol's table may have run.
 func read(resp *fasthttp.Response, webhooks []*inflight.Webhook) (f fate, ok bool) {
-	f = fate{what: api.Errored, wait: seconds(string(resp.Header.Peek("Retry-After")))}
+	f = fate{what: api.ErrorResponse, wait: seconds(string(resp.Header.Peek("Retry-After")))}
 	bundle := len(webhooks) > 1
 	switch resp.StatusCode() {
 	case 200:
@@ -77,9 +77,9 @@
 			return f, ok
 		}
 	case 429:
-		f.what = api.Full
+		f.what = api.Rejected
 	case 503:
-		f.what = api.Full
+		f.what = api.Rejected
 		if len(resp.Header.Peek("X-Egress-Full")) > 0 {
 			f.what = api.NotSent
 		} else {
@@ -103,8 +103,8 @@
 	over bool
 }
 
-var endWords = map[string]share{"delivered": {api.Delivered, false}, "failed": {api.Errored, false},
-	"refused": {api.Full, false}, "over": {api.NotSent, true}, "spent": {api.NotSent, false}}
+var endWords = map[string]share{"delivered": {api.Delivered, false}, "failed": {api.ErrorResponse, false},
+	"refused": {api.Rejected, false}, "over": {api.NotSent, true}, "spent": {api.NotSent, false}}
 
 // seconds reads a wait, whole or decimal, and rounds it up.
 func seconds(text string) api.Micros {
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -113,7 +113,7 @@
 			}
 			f := s.answer(l, k, until)
 			if f.tooMany && !used {
-				f.what = api.Crowded
+				f.what = api.ConnectionLimited
 			}
 			return f, l
 		case !s.may(k): // the grant ended between first and last byte: it never ran
--- a/webhook/dispatcher/upstream/connections_test.go
+++ b/webhook/dispatcher/upstream/connections_test.go
@@ -18,7 +18,7 @@
 	s, send, ends := at(script(t, answer("200 OK")))
 	send(api.Second)
 	<-ends
-	s.Place(api.Entry{Endpoint: 1, Destination: 3, Standing: api.Gone}, "", api.Kind{})
+	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointRemoved}, "", api.DestinationKind{})
 	assert.Zero(t, s.open, "its idle links are closed at once")
 	s.Sweep()
 	assert.Empty(t, s.all)
@@ -29,11 +29,11 @@
 // Guards against a connection too many that is taken for the destination's limit: window and pace would fall.
 func TestConnectionTurnedAwayIsToldFromADestinationsLimit(t *testing.T) {
 	shut := "503 Shut\r\nConnection: close"
-	for text, want := range map[string]end{shut: {api.Crowded, false, 0},
-		shut + "\r\nRetry-After: 1":          {api.Full, false, api.Second},
+	for text, want := range map[string]end{shut: {api.ConnectionLimited, false, 0},
+		shut + "\r\nRetry-After: 1":          {api.Rejected, false, api.Second},
 		shut + "\r\nX-Egress-Full: 1":        {api.NotSent, false, 0},
-		"429 Slow\r\nConnection: close":      {api.Full, false, 0},
-		"503 Shut\r\nConnection: keep-alive": {api.Full, false, 0}} {
+		"429 Slow\r\nConnection: close":      {api.Rejected, false, 0},
+		"503 Shut\r\nConnection: keep-alive": {api.Rejected, false, 0}} {
 		_, send, ends := at(script(t, answer(text)))
 		send(api.Second)
 		assert.Equal(t, want, <-ends, text)
@@ -48,7 +48,7 @@
 	send(api.Second)
 	<-ends
 	send(api.Second)
-	assert.Equal(t, api.Full, (<-ends).what, "a connection that served is not one too many")
+	assert.Equal(t, api.Rejected, (<-ends).what, "a connection that served is not one too many")
 }
 
 func TestWhatEndsBeforeTheLastByteNeverRan(t *testing.T) {
@@ -57,7 +57,7 @@
 	assert.Equal(t, api.ConnectFailed, (<-ends).what)
 	_, send, ends = at(script(t, breaks))
 	send(api.Second)
-	assert.Equal(t, api.Reset, (<-ends).what)
+	assert.Equal(t, api.ConnectionReset, (<-ends).what)
 	_, send, ends = at(script(t, silent))
 	send(api.Second / 20)
 	assert.Equal(t, api.TimedOut, (<-ends).what)
@@ -102,11 +102,11 @@
 func TestWaitOrDrainToldWhileConnectingHoldsTheFirstByte(t *testing.T) {
 	s, send, ends := at(script(t, answer("429 Slow\r\nRetry-After: 0.3"), answer("200 OK"), answer("200 OK")))
 	send(api.Second)
-	assert.Equal(t, api.Full, (<-ends).what)
+	assert.Equal(t, api.Rejected, (<-ends).what)
 	send(api.Second)
 	assert.Equal(t, api.NotSent, (<-ends).what, "told to wait")
 	time.Sleep(300 * time.Millisecond)
-	s.Place(api.Entry{Endpoint: 1, Destination: 3, Standing: api.Draining}, "", api.Kind{})
+	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointDraining}, "", api.DestinationKind{})
 	send(api.Second)
 	assert.Equal(t, api.NotSent, (<-ends).what, "draining")
 }
@@ -141,9 +141,9 @@
 	s, send, ends := at(script(t, answer("200 OK")))
 	send(api.Second)
 	assert.Equal(t, api.Delivered, (<-ends).what)
-	s.Place(api.Entry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), api.Kind{Batch: 1})
+	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), api.DestinationKind{BatchSize: 1})
 	send(api.Second)
-	assert.Equal(t, api.Full, (<-ends).what)
+	assert.Equal(t, api.Rejected, (<-ends).what)
 }
 
 func TestCancelEndsTheConnection(t *testing.T) {
--- a/webhook/dispatcher/upstream/endpoints.go
+++ b/webhook/dispatcher/upstream/endpoints.go
@@ -51,7 +51,7 @@
 	addr   string
 	route  route
 	zone   api.ZoneID
-	kind   api.KindID
+	kind   api.DestinationKindID
 	bundle int // webhooks in one call at most
 	listed bool
 	gone   bool
@@ -71,7 +71,7 @@
 }
 
 // Renew takes the settings that calls from now on are made by; those out end under the old ones.
-func (s *Endpoints) Renew(connectTimeout, idleLimit api.Micros, kinds []api.Kind) {
+func (s *Endpoints) Renew(connectTimeout, idleLimit api.Micros, kinds []api.DestinationKind) {
 	if connectTimeout <= 0 { // none is stated: patience alone ends a connect
 		connectTimeout = math.MaxInt64
 	}
@@ -86,28 +86,28 @@
 	defer s.mu.Unlock()
 	for _, e := range s.all {
 		if int(e.kind) < len(kinds) {
-			e.bundle = max(kinds[e.kind].Batch, 1)
+			e.bundle = max(kinds[e.kind].BatchSize, 1)
 		}
 	}
 }
 
 // Place notes what the list says of an endpoint.
-func (s *Endpoints) Place(l api.Entry, addr string, of api.Kind) {
+func (s *Endpoints) Place(l api.EndpointEntry, addr string, of api.DestinationKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[l.Endpoint]
 	if e == nil {
-		e = &endpoint{id: l.Endpoint, kind: l.Kind, bundle: max(of.Batch, 1), route: route{dest: l.Destination}}
-		if of.Apart {
+		e = &endpoint{id: l.Endpoint, kind: l.Kind, bundle: max(of.BatchSize, 1), route: route{dest: l.Destination}}
+		if of.SeparateRoutes {
 			e.route = route{l.Destination, l.Endpoint, true}
 		}
 		s.all[l.Endpoint] = e
 	}
 	e.zone = l.Zone
-	if e.gone = l.Standing == api.Gone; e.gone {
+	if e.gone = l.Status == api.EndpointRemoved; e.gone {
 		s.closeIdle(e)
 	}
-	if e.listed = l.Standing == api.Listed; addr != "" && addr != e.addr {
+	if e.listed = l.Status == api.EndpointActive; addr != "" && addr != e.addr {
 		s.closeIdle(e) // they lead elsewhere
 		e.addr = addr
 	}
--- a/webhook/dispatcher/upstream/endpoints_test.go
+++ b/webhook/dispatcher/upstream/endpoints_test.go
@@ -20,15 +20,15 @@
 func TestEachAnswerHasItsOutcome(t *testing.T) {
 	for text, want := range map[string]end{
 		"200 OK":                                  {api.Delivered, false, 0},
-		"500 Oh":                                  {api.Errored, false, 0},
-		"302 Elsewhere":                           {api.Errored, false, 0},
-		"429 Slow\r\nRetry-After: 0.0000011":      {api.Full, false, 2},
-		"503 Shut\r\nRetry-After: 2":              {api.Full, false, 2 * api.Second},
-		"503 Shut\r\nRetry-After: soon":           {api.Full, false, 0},
+		"500 Oh":                                  {api.ErrorResponse, false, 0},
+		"302 Elsewhere":                           {api.ErrorResponse, false, 0},
+		"429 Slow\r\nRetry-After: 0.0000011":      {api.Rejected, false, 2},
+		"503 Shut\r\nRetry-After: 2":              {api.Rejected, false, 2 * api.Second},
+		"503 Shut\r\nRetry-After: soon":           {api.Rejected, false, 0},
 		"503 Slots\r\nX-Egress-Full: 1":           {api.NotSent, false, 0},
 		"504 Spent":                               {api.NotSent, false, 0},
 		"410 Over":                                {api.NotSent, true, 0},
-		"100 Go on\r\n\r\nHTTP/1.1 429 x\r\nA: b": {api.Full, false, 0},
+		"100 Go on\r\n\r\nHTTP/1.1 429 x\r\nA: b": {api.Rejected, false, 0},
 	} {
 		_, send, ends := at(script(t, answer(text)))
 		send(api.Second)
@@ -44,19 +44,19 @@
 		"HTTP/1.1 200 OK\r\nnonsense":                                          api.Delivered,
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx":             api.Delivered,
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx":  api.Delivered,
-		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + whole: api.Full,
+		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + whole: api.Rejected,
 		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n":         api.TimedOut,
-		whole + whole: api.Errored,
-		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\nContent-Length: 9\r\n\r\nhalf":      api.Errored,
-		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\n nonsense":                          api.Errored,
-		"HTTP/1.1 503 x\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n": api.Errored,
-		"HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n":                           api.Errored,
-		"HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nhalf":                          api.Errored,
-		"HTTP/1.1 503 Shut\r\nX-Long: " + strings.Repeat("x", 9000):                 api.Errored,
-		"HTTP/1.1 200":        api.Errored,
-		"HTTP/1.1 2000 x\r\n": api.Errored,
-		"HTTP/1.1 2":          api.Errored,
-		"garbage\r\n\r\n":     api.Errored,
+		whole + whole: api.ErrorResponse,
+		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\nContent-Length: 9\r\n\r\nhalf":      api.ErrorResponse,
+		"HTTP/1.1 429 Slow\r\nRetry-After: 9\r\n nonsense":                          api.ErrorResponse,
+		"HTTP/1.1 503 x\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n": api.ErrorResponse,
+		"HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n":                           api.ErrorResponse,
+		"HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nhalf":                          api.ErrorResponse,
+		"HTTP/1.1 503 Shut\r\nX-Long: " + strings.Repeat("x", 9000):                 api.ErrorResponse,
+		"HTTP/1.1 200":        api.ErrorResponse,
+		"HTTP/1.1 2000 x\r\n": api.ErrorResponse,
+		"HTTP/1.1 2":          api.ErrorResponse,
+		"garbage\r\n\r\n":     api.ErrorResponse,
 	} {
 		s, send, ends := at(script(t, says(text)))
 		began := time.Now()
@@ -66,7 +66,7 @@
 		if want != api.TimedOut {
 			assert.Less(t, time.Since(began), time.Second/5, text)
 		}
-		if want == api.Errored || want == api.Delivered {
+		if want == api.ErrorResponse || want == api.Delivered {
 			assert.Zero(t, s.open, text)
 		}
 	}
@@ -75,16 +75,16 @@
 // Guards against a bundle's spoilt answer that is believed in part: it may have run as a whole.
 func TestBundleAnswerHoldsOnlyAsAWhole(t *testing.T) {
 	for body, want := range map[string]map[api.Outcome]int{
-		"a delivered\r\nb refused\r\n":              {api.Delivered: 1, api.Full: 1},
-		"a delivered\r\nb refuse":                   {api.Errored: 2},
-		"a delivered\r\n":                           {api.Errored: 2},
-		"a delivered\r\nb odd\r\n":                  {api.Errored: 2},
-		"a delivered\r\na refused\r\nb refused\r\n": {api.Errored: 2},
-		"a delivered\r\nb refused\r\nc refused\r\n": {api.Errored: 2},
+		"a delivered\r\nb refused\r\n":              {api.Delivered: 1, api.Rejected: 1},
+		"a delivered\r\nb refuse":                   {api.ErrorResponse: 2},
+		"a delivered\r\n":                           {api.ErrorResponse: 2},
+		"a delivered\r\nb odd\r\n":                  {api.ErrorResponse: 2},
+		"a delivered\r\na refused\r\nb refused\r\n": {api.ErrorResponse: 2},
+		"a delivered\r\nb refused\r\nc refused\r\n": {api.ErrorResponse: 2},
 	} {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		s, _, ends := at(script(t, says(text)))
-		s.Place(api.Entry{Endpoint: 2, Destination: 3}, s.all[1].addr, api.Kind{Batch: 2})
+		s.Place(api.EndpointEntry{Endpoint: 2, Destination: 3}, s.all[1].addr, api.DestinationKind{BatchSize: 2})
 		soon := inflight.Now() + api.Second
 		s.Send(2, []Try{{&inflight.Webhook{ID: 1, RequestID: "a"}, api.Second, soon},
 			{&inflight.Webhook{ID: 2, RequestID: "b"}, api.Second, soon}})
@@ -116,5 +116,5 @@
 	assert.False(t, l.write([]byte("call"), time.Now().Add(time.Second), always), "something came too early")
 	s.close(l)
 	send(api.Second)
-	assert.Equal(t, api.Full, (<-ends).what)
+	assert.Equal(t, api.Rejected, (<-ends).what)
 }
--- a/webhook/dispatcher/upstream/helpers_test.go
+++ b/webhook/dispatcher/upstream/helpers_test.go
@@ -27,7 +27,7 @@
 		_ api.Micros, over bool, wait api.Micros) {
 		ends <- end{what, over, wait}
 	}, api.Second/5, api.Second, 4)
-	s.Place(api.Entry{Endpoint: 1, Destination: 3}, addr, api.Kind{Batch: 1})
+	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3}, addr, api.DestinationKind{BatchSize: 1})
 	id := api.WebhookID(0)
 	return s, func(patience api.Micros) {
 		id++
--- a/webhook/policy/choice.go
+++ b/webhook/policy/choice.go
@@ -8,7 +8,7 @@
 
 // inZone guards against a second effect: where only a zone remembers a token, what may have run stays in it.
 func (c *Control) inZone(w *webhook, e *endpoint) bool {
-	return w.mayRun == never || w.evt.Repeat != api.Tokened || !w.evt.TokenByZone || w.zone == e.zone
+	return w.mayRun == never || w.evt.Semantics != api.Deduplicated || !w.evt.DedupByZone || w.zone == e.zone
 }
 
 // choose takes the first endpoint of the ranked order that has room.
@@ -16,8 +16,8 @@
 	if c.pick != nil {
 		return pass
 	}
-	each := math.Ceil(float64(c.Slots) * fullShare)
-	if n := len(w.dest.endpoints); n > 1 && !w.dest.kind.Apart {
+	each := math.Ceil(float64(c.MaxInFlight) * fullShare)
+	if n := len(w.dest.endpoints); n > 1 && !w.dest.kind.SeparateRoutes {
 		each = math.Ceil(float64(c.bound(w.dest.shared)) / float64(n))
 	}
 	for _, e := range w.dest.endpoints {
@@ -34,7 +34,7 @@
 
 func (c *Control) send(w *webhook) verdict {
 	e, r := c.pick, c.pick.route
-	if k := e.open; k == nil || k.turn != c.turn || k.left >= w.dest.kind.Batch {
+	if k := e.open; k == nil || k.turn != c.turn || k.left >= w.dest.kind.BatchSize {
 		if r.out == 0 {
 			r.heardAt = c.now
 		}
@@ -50,8 +50,8 @@
 	w.call.left++
 	w.sentAt, w.attempts = c.now, w.attempts+1
 	w.dequeue()
-	c.dues.Add(int64(c.now+w.evt.Target), w)
-	c.host.Attempt(w.id, e.id, c.patience(w, e), c.lastSend(w))
+	c.dues.Add(int64(c.now+w.evt.LatencyTarget), w)
+	c.host.StartAttempt(w.id, e.id, c.patience(w, e), c.lastSend(w))
 	return pass
 }
 
--- a/webhook/policy/control.go
+++ b/webhook/policy/control.go
@@ -2,7 +2,7 @@
 // named under policy in deploy/balancer.toml; state.go has the records kept.
 //
 // Callers make one instance a dispatcher with New and call it turn by turn through gateway.Module: the
-// endpoint list, webhooks taken or resumed, outcomes, withdrawals, wakes, and TurnOver when all of one
+// endpoint list, webhooks taken or resumed, outcomes, withdrawals, wakes, and EndTurn when all of one
 // moment was told. It acts through gateway.Host. Nothing is shared between instances.
 //
 // A webhook passes a chain of stages - order, schedule, slots, endpoint, send - each of which passes it on
@@ -51,27 +51,27 @@
 )
 
 // New starts a dispatcher that knows nothing but the facts.
-func New(f api.Facts, host api.Host) *Control {
+func New(f api.Settings, host api.Host) *Control {
 	c := &Control{host: host, chance: mwcrand.New(f.Seed), now: host.Now(), armed: math.MaxInt64,
 		held: map[api.WebhookID]*webhook{}, dests: map[api.DestinationID]*destination{},
-		endpoints: map[api.EndpointID]*endpoint{}, turns: map[api.Key]*turn{}, kinds: []*kind{{}}}
+		endpoints: map[api.EndpointID]*endpoint{}, turns: map[api.OrderingKey]*turn{}, kinds: []*kind{{}}}
 	c.stages = []func(*webhook) verdict{c.inTurn, c.schedule, c.slots, c.choose, c.send}
-	c.Renew(f)
-	c.Wake(timerPeriod)
+	c.UpdateSettings(f)
+	c.TimerFired(timerPeriod)
 	return c
 }
 
-// Renew takes facts, at the start and while it runs; those left out are made harmless. Webhooks taken keep
+// UpdateSettings takes facts, at the start and while it runs; those left out are made harmless. Webhooks taken keep
 // their terms, what was learned stays, and what is held or out beyond a lower limit drains.
-func (c *Control) Renew(f api.Facts) {
+func (c *Control) UpdateSettings(f api.Settings) {
 	c.now = c.host.Now()
-	f.Fleet, f.Slots, f.Buffer = max(f.Fleet, 1), max(f.Slots, 1), max(f.Buffer, 1)
-	f.MaxAttempts, f.Tick = max(f.MaxAttempts, 1), max(f.Tick, 1)
-	f.WarmAfter, f.TipAfter = max(f.WarmAfter, api.Second), max(f.TipAfter, api.Second)
-	if f.StartCapacity <= 0 || f.FallMultiple <= 0 {
-		f.StartCapacity, f.FallMultiple = 0.1, 1
+	f.Dispatchers, f.MaxInFlight, f.BufferSize = max(f.Dispatchers, 1), max(f.MaxInFlight, 1), max(f.BufferSize, 1)
+	f.MaxAttempts, f.MinTurnInterval = max(f.MaxAttempts, 1), max(f.MinTurnInterval, 1)
+	f.SlowStartDuration, f.OverloadDuration = max(f.SlowStartDuration, api.Second), max(f.OverloadDuration, api.Second)
+	if f.SlowStartCapacity <= 0 || f.OverloadFactor <= 0 {
+		f.SlowStartCapacity, f.OverloadFactor = 0.1, 1
 	}
-	was, routes := float64(c.Fleet)/float64(f.Fleet), map[*route]bool{}
+	was, routes := float64(c.Dispatchers)/float64(f.Dispatchers), map[*route]bool{}
 	for _, e := range c.endpoints { // parts of rates are of the fleet
 		routes[cmp.Or(e.route, &route{})] = true
 	}
@@ -81,34 +81,34 @@
 	for _, d := range c.order {
 		d.stated *= was
 	}
-	c.Facts, c.drains, c.events = f, c.open, nil
-	unnamed := api.EventType{TTL: f.WarmAfter, Target: f.TipAfter, Repeat: api.AtMostOnce}
+	c.Settings, c.drains, c.events = f, c.open, nil
+	unnamed := api.EventType{TTL: f.SlowStartDuration, LatencyTarget: f.OverloadDuration, Semantics: api.AtMostOnce}
 	for _, t := range append(slices.Clone(f.EventTypes), unnamed) { // the last row serves those not named
 		tightest := t.TTL
-		if t.Repeat == api.Tokened {
-			tightest = min(tightest, t.TokenWindow)
+		if t.Semantics == api.Deduplicated {
+			tightest = min(tightest, t.DedupWindow)
 		}
 		reach := max(api.Micros(patienceBy*float64(tightest)), 1)
 		c.events = append(c.events, eventRow{t, capShare * tightest.Seconds(), reach})
 	}
-	for i, k := range f.Kinds {
+	for i, k := range f.DestinationKinds {
 		if i == len(c.kinds)-1 { // the last row serves kinds not named
 			c.kinds = slices.Insert(c.kinds, i, &kind{})
 		}
-		c.kinds[i].Kind = k
+		c.kinds[i].DestinationKind = k
 	}
 	for _, k := range c.kinds {
-		k.Batch, k.trickle = max(k.Batch, 1), cmp.Or(k.trickle, 1/c.events[0].Target.Seconds())
+		k.BatchSize, k.trickle = max(k.BatchSize, 1), cmp.Or(k.trickle, 1/c.events[0].LatencyTarget.Seconds())
 	}
 	c.tenants = nil
-	for _, perS := range f.Tenants {
-		perS /= float64(f.Fleet)
+	for _, perS := range f.TenantRates {
+		perS /= float64(f.Dispatchers)
 		c.tenants = append(c.tenants, tenant{perS: perS, level: perS * overBurst, at: c.now})
 	}
 }
 
-// TurnOver sends what may go now.
-func (c *Control) TurnOver() {
+// EndTurn sends what may go now.
+func (c *Control) EndTurn() {
 	c.now, c.turn = c.host.Now(), c.turn+1
 	for w, ok := c.dues.Take(int64(c.now)); ok; w, ok = c.dues.Take(int64(c.now)) {
 		// Guards against a webhook lost: whatever holds it, it ends in time.
@@ -123,7 +123,7 @@
 	slices.SortFunc(c.busy, func(a, b *destination) int { return a.place - b.place })
 	for _, d := range c.busy {
 		d.prune()
-		shut := !d.kind.Apart && c.now < d.shared.wakeAt // nothing to look at before, but for an outcome
+		shut := !d.kind.SeparateRoutes && c.now < d.shared.wakeAt // nothing to look at before, but for an outcome
 		if !shut && slices.ContainsFunc(d.endpoints, c.opens) {
 			c.ready = append(c.ready, d.queue...)
 		}
@@ -147,21 +147,21 @@
 	})
 	if at, ok := c.dues.Next(); ok && api.Micros(at) < c.armed {
 		c.armed = api.Micros(at)
-		c.host.Wake(max(c.armed-c.now, 1), timerDue)
+		c.host.SetTimer(max(c.armed-c.now, 1), timerDue)
 	}
 }
 
-func (c *Control) Wake(timer api.TimerID) {
+func (c *Control) TimerFired(timer api.TimerID) {
 	c.now = c.host.Now()
 	if timer == timerDue {
 		c.armed = math.MaxInt64
 		return
 	}
-	if stood := c.now - c.periodAt; stood >= stoodBy*c.Tick {
+	if stood := c.now - c.periodAt; stood >= stoodBy*c.MinTurnInterval {
 		c.respread(stood)
 	}
 	c.periodAt = c.now + api.Second/2
-	c.host.Wake(api.Second/2, timerPeriod)
+	c.host.SetTimer(api.Second/2, timerPeriod)
 	for _, d := range c.order {
 		c.rank(d)
 	}
@@ -170,10 +170,10 @@
 		return !e.linked
 	})
 	// Guards against keeping all who ever were: order keys at rest, and endpoints that left the list long ago.
-	idle := func(_ api.Key, t *turn) bool { return len(t.line) == 0 && c.now >= t.restUntil }
+	idle := func(_ api.OrderingKey, t *turn) bool { return len(t.line) == 0 && c.now >= t.restUntil }
 	maps.DeleteFunc(c.turns, idle)
 	c.left = slices.DeleteFunc(c.left, func(e *endpoint) bool {
-		over := e.out == 0 && c.now-e.leftAt > crowdedFor*c.WarmAfter
+		over := e.out == 0 && c.now-e.leftAt > crowdedFor*c.SlowStartDuration
 		if over && !e.listed && c.endpoints[e.id] == e {
 			delete(c.endpoints, e.id)
 		}
--- a/webhook/policy/control_test.go
+++ b/webhook/policy/control_test.go
@@ -11,7 +11,7 @@
 func TestSentAndBackWithinOneTurnIsNotSentTwice(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	s.take(1, 0, 0)
-	s.TurnOver()
+	s.EndTurn()
 	s.report(1, api.ConnectFailed, 0)
 	s.run(3 * sec)
 	assert.Equal(t, 2, s.sentOf(1))
@@ -34,15 +34,15 @@
 
 func TestSparseFactsLoseNothing(t *testing.T) {
 	for _, slots := range []int{0, 1, 2} {
-		s := begin(api.Facts{Slots: slots}, 0, 0)
-		s.Endpoints([]api.Entry{{Endpoint: 50, Destination: 7, Kind: 9, Standing: api.Gone}}, false)
+		s := begin(api.Settings{MaxInFlight: slots}, 0, 0)
+		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 50, Destination: 7, Kind: 9, Status: api.EndpointRemoved}}, false)
 		for id := range api.WebhookID(10) {
-			s.Take(id, api.EventTypeID(id), 3, 0, s.h.now+5*sec, api.DestinationID(id))
+			s.Submit(id, api.EventTypeID(id), 3, 0, s.h.now+5*sec, api.DestinationID(id))
 		}
 		s.run(6 * sec)
 		for id := range api.WebhookID(10) {
 			if w := s.held[id]; w != nil {
-				s.came(id, api.Full, 0)
+				s.came(id, api.Rejected, 0)
 			}
 		}
 		assert.Equal(t, 10, s.h.answers)
@@ -53,18 +53,18 @@
 func TestThoseLongGoneAreForgotten(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	for i := range api.WebhookID(20) {
-		s.Take(i, 3, 0, api.Key(i+1), s.h.now+20*sec, 0)
+		s.Submit(i, 3, 0, api.OrderingKey(i+1), s.h.now+20*sec, 0)
 		s.run(sec / 2)
 		s.came(i, api.Delivered, 0)
 		ep := api.EndpointID(100 + i)
-		s.Endpoints([]api.Entry{{Endpoint: ep, Rate: 1000}, {Endpoint: ep - 1, Standing: api.Gone}}, false)
+		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: ep, Rate: 1000}, {Endpoint: ep - 1, Status: api.EndpointRemoved}}, false)
 	}
 	assert.Greater(t, len(s.endpoints), 20, "what may come back is known")
 	s.run(101 * sec)
 	assert.Len(t, s.endpoints, 3)
 	assert.Empty(t, s.turns)
 	s.take(99, 0, 0)
-	s.TurnOver()
+	s.EndTurn()
 	assert.Equal(t, 1, s.sentOf(99))
 }
 
@@ -72,7 +72,7 @@
 	s := begin(plainFacts(), 0, 0, 0)
 	s.take(1, 0, 2)
 	s.take(2, 0, 2) // the window is one: this one waits
-	s.TurnOver()
+	s.EndTurn()
 	assert.Equal(t, []*destination{s.dests[2]}, s.busy)
 	s.came(1, api.Delivered, 0)
 	s.run(sec)
@@ -88,17 +88,17 @@
 	for id := range api.WebhookID(60) {
 		s.take(id, 2, api.DestinationID(id%4))
 	}
-	s.TurnOver()
+	s.EndTurn()
 	out := s.out
-	less.Slots, less.Buffer, less.Fleet = 2, 5, 2
+	less.MaxInFlight, less.BufferSize, less.Dispatchers = 2, 5, 2
 	less.EventTypes = append(less.EventTypes[:2], less.EventTypes[0])
-	s.Renew(less)
+	s.UpdateSettings(less)
 	assert.InDelta(t, 500, s.dests[0].shared.stated, 1, "a part of the new fleet's")
 	s.all(always(api.TimedOut))
 	assert.Len(t, s.h.dead, out, "taken as at-most-once, each ends so")
 	assert.Empty(t, s.h.rejected, "what is beyond the new buffer drains")
 	assert.LessOrEqual(t, s.out, 2)
-	s.Renew(f)
+	s.UpdateSettings(f)
 	s.take(100, 2, 0)
-	assert.Equal(t, api.AtMostOnce, s.held[100].evt.Repeat, "the way back is the same step")
+	assert.Equal(t, api.AtMostOnce, s.held[100].evt.Semantics, "the way back is the same step")
 }
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -9,9 +9,9 @@
 // lastSend is the last moment for an attempt: a tick to spare before the TTL and, where a tokened webhook may
 // have run, inside the time for which the destination remembers its token.
 func (c *Control) lastSend(w *webhook) api.Micros {
-	last := w.ttl - 2*c.Tick
-	if w.mayRun != never && w.evt.Repeat == api.Tokened {
-		last = min(last, w.mayRun+w.evt.TokenWindow-2*c.Tick)
+	last := w.ttl - 2*c.MinTurnInterval
+	if w.mayRun != never && w.evt.Semantics == api.Deduplicated {
+		last = min(last, w.mayRun+w.evt.DedupWindow-2*c.MinTurnInterval)
 	}
 	return last
 }
@@ -21,7 +21,7 @@
 	if w.mayRun != never {
 		c.host.DeadLetter(w.id)
 	} else {
-		c.host.Reject(w.id, min(max(w.dest.shared.waitUntil-c.now, 0), c.MaxAdvice))
+		c.host.Reject(w.id, min(max(w.dest.shared.waitUntil-c.now, 0), c.MaxRetryAfter))
 	}
 	c.forget(w)
 }
@@ -41,8 +41,8 @@
 	}
 }
 
-// Withdrawn is told when nobody wants a webhook any more; an attempt that is out runs on.
-func (c *Control) Withdrawn(id api.WebhookID) {
+// Withdraw is told when nobody wants a webhook any more; an attempt that is out runs on.
+func (c *Control) Withdraw(id api.WebhookID) {
 	if c.now = c.host.Now(); c.held[id] != nil {
 		c.forget(c.held[id])
 	}
@@ -52,7 +52,7 @@
 // longest queue, are rejected, so that those for other destinations are not turned away at the door.
 func (c *Control) shed() {
 	c.drains = min(c.drains, c.open)
-	most := max(int(fillTo*float64(c.Buffer)), c.drains, 1)
+	most := max(int(fillTo*float64(c.BufferSize)), c.drains, 1)
 	if !c.shedding && c.open > most || c.shedding && c.open <= most/2 {
 		c.shedding = !c.shedding
 		c.log("shedding %v, %d held", c.shedding, c.open)
--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -28,10 +28,10 @@
 }
 
 func (h *fakeHost) Now() api.Micros { return h.now }
-func (h *fakeHost) Attempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
+func (h *fakeHost) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
 	h.sent = append(h.sent, sent{id, ep, h.now, patience, latest})
 }
-func (h *fakeHost) Cancel(id api.WebhookID, attempt int) {
+func (h *fakeHost) CancelAttempt(id api.WebhookID, attempt int) {
 	h.cancelled = append(h.cancelled, id)
 }
 func (h *fakeHost) Reject(id api.WebhookID, advised api.Micros) {
@@ -42,9 +42,9 @@
 	h.dead = append(h.dead, id)
 	h.answers++
 }
-func (h *fakeHost) Wake(in api.Micros, timer api.TimerID) { h.wakes[timer] = h.now + in }
-func (h *fakeHost) CloseIdle(ep api.EndpointID)           { h.closed = append(h.closed, ep) }
-func (h *fakeHost) Log(text string)                       { h.logs = append(h.logs, text) }
+func (h *fakeHost) SetTimer(in api.Micros, timer api.TimerID) { h.wakes[timer] = h.now + in }
+func (h *fakeHost) CloseIdleConnections(ep api.EndpointID)    { h.closed = append(h.closed, ep) }
+func (h *fakeHost) Log(text string)                           { h.logs = append(h.logs, text) }
 
 // story is a dispatcher on a fake host, with event types 0 idempotent, 1 tokened, 2 at-most-once, 3 ordered.
 type story struct {
@@ -54,50 +54,50 @@
 
 const sec = api.Second
 
-func plainFacts() api.Facts {
-	return api.Facts{Seed: 7, Fleet: 1, Slots: 8, Buffer: 100, MaxAttempts: 6, MaxAdvice: 3 * sec,
-		Kinds: []api.Kind{{Batch: 1}, {Batch: 3}, {Batch: 1, Apart: true}}, Tick: 5000, RatesStated: true,
-		ConnectTimeout: sec, TurnGap: 2 * sec,
-		StartCapacity: 0.2, WarmAfter: 10 * sec, FallMultiple: 2, TipAfter: 2 * sec,
+func plainFacts() api.Settings {
+	return api.Settings{Seed: 7, Dispatchers: 1, MaxInFlight: 8, BufferSize: 100, MaxAttempts: 6, MaxRetryAfter: 3 * sec,
+		DestinationKinds: []api.DestinationKind{{BatchSize: 1}, {BatchSize: 3}, {BatchSize: 1, SeparateRoutes: true}}, MinTurnInterval: 5000, RatesListed: true,
+		ConnectTimeout: sec, OrderingGap: 2 * sec,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10 * sec, OverloadFactor: 2, OverloadDuration: 2 * sec,
 		EventTypes: []api.EventType{
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.Idempotent},
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.Tokened, TokenWindow: 8 * sec},
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.AtMostOnce},
-			{Target: 2 * sec, TTL: 20 * sec, Value: 1, Repeat: api.Idempotent, Ordered: true},
+			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.Idempotent},
+			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.Deduplicated, DedupWindow: 8 * sec},
+			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.AtMostOnce},
+			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.Idempotent, Ordered: true},
 		}}
 }
 
 // begin starts a story: destination d has endpoints 10d and 10d+1 of the kind given.
-func begin(f api.Facts, kinds ...api.KindID) *story {
+func begin(f api.Settings, kinds ...api.DestinationKindID) *story {
 	h := &fakeHost{now: 100 * sec, rejected: map[api.WebhookID]api.Micros{},
 		wakes: map[api.TimerID]api.Micros{}}
 	s := &story{New(f, h), h}
-	var list []api.Entry
+	var list []api.EndpointEntry
 	for d, k := range kinds {
 		for i := range 2 {
-			list = append(list, api.Entry{Endpoint: api.EndpointID(10*d + i),
+			list = append(list, api.EndpointEntry{Endpoint: api.EndpointID(10*d + i),
 				Destination: api.DestinationID(d), Kind: k, Rate: 1000})
 		}
 	}
-	s.Endpoints(list, true)
-	s.TurnOver()
+	s.UpdateEndpoints(list, true)
+	s.EndTurn()
 	return s
 }
 
 func (s *story) take(id api.WebhookID, evt api.EventTypeID, dest api.DestinationID) {
-	s.Take(id, evt, 0, 5, s.h.now+20*sec, dest)
+	s.Submit(id, evt, 0, 5, s.h.now+20*sec, dest)
 }
 
 // came reports an outcome of the webhook's attempt that is out and closes the turn.
 func (s *story) came(id api.WebhookID, what api.Outcome, wait api.Micros) {
 	s.report(id, what, wait)
-	s.TurnOver()
+	s.EndTurn()
 }
 
 func (s *story) report(id api.WebhookID, what api.Outcome, wait api.Micros) {
 	for i := len(s.h.sent) - 1; i >= 0; i-- {
 		if x := s.h.sent[i]; x.id == id {
-			s.Outcome(id, x.ep, what, s.h.now-x.at, what == api.Delivered, wait)
+			s.AttemptEnded(id, x.ep, what, s.h.now-x.at, what == api.Delivered, wait)
 			return
 		}
 	}
@@ -111,7 +111,7 @@
 			n++
 		}
 	}
-	s.TurnOver()
+	s.EndTurn()
 	return n
 }
 
@@ -126,10 +126,10 @@
 		for _, timer := range []api.TimerID{timerPeriod, timerDue} {
 			if at, ok := s.h.wakes[timer]; ok && at <= s.h.now {
 				delete(s.h.wakes, timer)
-				s.Wake(timer)
+				s.TimerFired(timer)
 			}
 		}
-		s.TurnOver()
+		s.EndTurn()
 	}
 }
 
--- a/webhook/policy/judging.go
+++ b/webhook/policy/judging.go
@@ -8,8 +8,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Outcome takes what came of an attempt, back through the stages from the last.
-func (c *Control) Outcome(id api.WebhookID, ep api.EndpointID, what api.Outcome,
+// AttemptEnded takes what came of an attempt, back through the stages from the last.
+func (c *Control) AttemptEnded(id api.WebhookID, ep api.EndpointID, what api.Outcome,
 	took api.Micros, ended bool, wait api.Micros) {
 	c.now = c.host.Now()
 	w := c.held[id]
@@ -31,7 +31,7 @@
 		w.mayRun, w.zone = w.sentAt, k.ep.zone
 	}
 	if t := c.turns[w.key]; t != nil && w.evt.Ordered && what.MayStillRun() {
-		t.restUntil = max(t.restUntil, c.now+c.TurnGap)
+		t.restUntil = max(t.restUntil, c.now+c.OrderingGap)
 		c.dues.Add(int64(t.restUntil), nil)
 	}
 	if ended || w.ended {
@@ -45,10 +45,10 @@
 // endpoints of a kind where one was missed of late may take few, the whole fleet's counted, and hundreds that
 // rest for half a second fill them. Not where the calls at the stated rate need one for each.
 func (c *Control) hangUp(e *endpoint) (closed bool) {
-	atOnce := e.route.stated * e.route.mean / float64(api.Second) * float64(c.Fleet)
-	few := max(connsBy*atOnce/float64(len(e.dest.endpoints)), connsLeast) < float64(c.Fleet)
+	atOnce := e.route.stated * e.route.mean / float64(api.Second) * float64(c.Dispatchers)
+	few := max(connsBy*atOnce/float64(len(e.dest.endpoints)), connsLeast) < float64(c.Dispatchers)
 	if closed = few && e.listed && c.now < e.dest.kind.crowded && e.out == 0; closed {
-		c.host.CloseIdle(e.id)
+		c.host.CloseIdleConnections(e.id)
 	}
 	return closed
 }
@@ -59,36 +59,36 @@
 	r.heardAt, r.wakeAt = c.now, 0
 	// Guards against a cap taken for an outage where the port can't tell them apart: who is silent takes the
 	// whole time-out. One that crashed refuses as quickly; it is found as one that is crowded for long.
-	if what == api.ConnectFailed && !c.CapsTold && took < c.ConnectTimeout/2 {
-		what = api.Crowded
+	if what == api.ConnectFailed && !c.ConnectionLimitsReported && took < c.ConnectTimeout/2 {
+		what = api.ConnectionLimited
 	}
 	// Only a cap answers; who is silent says nothing of one.
-	if what == api.Crowded || what == api.ConnectFailed && took < c.ConnectTimeout/2 {
-		e.dest.kind.crowded = c.now + crowdedFor*c.WarmAfter
+	if what == api.ConnectionLimited || what == api.ConnectFailed && took < c.ConnectTimeout/2 {
+		e.dest.kind.crowded = c.now + crowdedFor*c.SlowStartDuration
 	}
 	switch what {
 	case api.Delivered:
 		e.mean, r.mean, c.mean = blend(e.mean, took), blend(r.mean, took), blend(c.mean, took)
 		if r.loose {
-			e.dest.kind.trickle = min(e.dest.kind.trickle*(1+paceStep), 1/c.events[0].Target.Seconds())
+			e.dest.kind.trickle = min(e.dest.kind.trickle*(1+paceStep), 1/c.events[0].LatencyTarget.Seconds())
 		}
 		e.fails, e.okAt, r.okAt, r.refused = 0, c.now, c.now, 0
 		e.limit += smooth // a failed connect may have been a stray one
 		r.failing, r.lost = (1-smooth)*r.failing, (1-smooth)*r.lost
 		c.lost -= smooth / 4 * c.lost
-		r.window = backoff.Grow(r.window, 1, float64(c.Slots))
+		r.window = backoff.Grow(r.window, 1, float64(c.MaxInFlight))
 		// A stated rate may be far too low: where the queue is longer than the pace can carry within the target
 		// latency, and nothing was refused for long, seek.
 		step, q := paceStep, e.dest.queue
-		if len(q) > 0 && float64(len(q)) > r.pace*q[0].evt.Target.Seconds() && c.now-r.cutAt > c.WarmAfter {
+		if len(q) > 0 && float64(len(q)) > r.pace*q[0].evt.LatencyTarget.Seconds() && c.now-r.cutAt > c.SlowStartDuration {
 			step = paceSeek
 		}
 		r.pace += step
 		c.recover(r)
-	case api.Full:
+	case api.Rejected:
 		r.window = backoff.Halve(r.window)
 		r.refused++
-		if r.loose && wait < c.TipAfter {
+		if r.loose && wait < c.OverloadDuration {
 			e.dest.kind.trickle *= paceCut
 		}
 		// Guards against refusals that use up the limit: no other webhook follows at once, and the pace falls.
@@ -99,28 +99,28 @@
 		}
 		// Shut and limited look alike but for length: a wait longer than a cold destination would need to
 		// fall, or refusals and nothing else for a while, is taken for an outage.
-		if wait > c.TipAfter || r.refused >= fullRow {
+		if wait > c.OverloadDuration || r.refused >= fullRow {
 			c.sicken(r)
 		}
 	case api.NotSent:
-	case api.Crowded:
+	case api.ConnectionLimited:
 		// It runs, so that nothing is cold; only where nothing else comes for long may this be how it is shut.
 		e.limit = float64(max(e.out-1, 1))
 		r.tokens = min(r.tokens, 0)
-		if r.refused++; r.refused >= fullRow && c.now-r.okAt > c.TipAfter {
+		if r.refused++; r.refused >= fullRow && c.now-r.okAt > c.OverloadDuration {
 			c.sicken(r)
 		}
 	default:
 		// A cap on connections is no outage: calls succeed beside it. It grows with them: it may start one. Where
 		// caps are told this is none, and counts as the failure that it is.
 		if what == api.ConnectFailed && c.now-e.okAt < 2*c.ConnectTimeout {
-			if e.limit = float64(max(e.out-1, 1)); !c.CapsTold {
+			if e.limit = float64(max(e.out-1, 1)); !c.ConnectionLimitsReported {
 				return
 			}
 		}
 		alone := c.now-e.brokeAt > api.Micros(r.mean)
-		if e.brokeAt = c.now; what == api.Reset && alone && c.now-e.okAt < c.TipAfter {
-			c.host.CloseIdle(e.id) // one that breaks alone beside deliveries: others there may have ended unseen
+		if e.brokeAt = c.now; what == api.ConnectionReset && alone && c.now-e.okAt < c.OverloadDuration {
+			c.host.CloseIdleConnections(e.id) // one that breaks alone beside deliveries: others there may have ended unseen
 			return
 		}
 		if what == api.TimedOut || what == api.Cancelled {
@@ -131,7 +131,7 @@
 			}
 		}
 		// What an endpoint left out fails says nothing more of the route, nor a connection that breaks by itself.
-		if e.fails++; e.fails <= sickRow && (what != api.Reset || c.now-e.okAt > c.TipAfter) {
+		if e.fails++; e.fails <= sickRow && (what != api.ConnectionReset || c.now-e.okAt > c.OverloadDuration) {
 			r.failing += smooth * (1 - r.failing)
 		}
 		if e.fails >= sickRow {
@@ -144,10 +144,10 @@
 		// Of many dispatchers hardly one sees two in a short outage: where caps are told and no endpoint
 		// answers, one connect that fails will do.
 		answers := func(o *endpoint) bool { return o.route == r && o.fails == 0 }
-		gone := c.CapsTold && what == api.ConnectFailed && !slices.ContainsFunc(e.dest.endpoints, answers)
+		gone := c.ConnectionLimitsReported && what == api.ConnectFailed && !slices.ContainsFunc(e.dest.endpoints, answers)
 		if !slices.ContainsFunc(e.dest.endpoints, well) {
 			c.sicken(r)
-		} else if !r.sick && (r.failing > sickAt || gone || !stray && c.now-r.okAt > c.TipAfter) {
+		} else if !r.sick && (r.failing > sickAt || gone || !stray && c.now-r.okAt > c.OverloadDuration) {
 			c.chill(r)
 		}
 	}
@@ -177,7 +177,7 @@
 		r.pace = max(r.pace, r.stated) // refusals while it was shut said nothing of its limit
 		c.log("endpoint %d: destination cold", r.name)
 	}
-	if r.coldSince != never && c.now-r.coldSince > c.WarmAfter {
+	if r.coldSince != never && c.now-r.coldSince > c.SlowStartDuration {
 		r.coldSince = never
 		c.log("endpoint %d: destination well", r.name)
 	}
--- a/webhook/policy/judging_test.go
+++ b/webhook/policy/judging_test.go
@@ -16,7 +16,7 @@
 		s.run(sec / 10)
 		s.all(func(ep api.EndpointID) api.Outcome {
 			if ep == 0 {
-				return api.Reset
+				return api.ConnectionReset
 			}
 			delivered++
 			return api.Delivered
@@ -55,9 +55,9 @@
 	r := s.dests[0].shared
 	for id := api.WebhookID(1); id < 40; id += 2 {
 		s.take(id, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		r = s.dests[0].shared
-		s.came(id, api.Crowded, 0)
+		s.came(id, api.ConnectionLimited, 0)
 		assert.Equal(t, never, r.coldSince)
 		s.run(4 * sec) // it is tried again meanwhile
 		s.came(id, api.Delivered, 0)
@@ -66,8 +66,8 @@
 	assert.False(t, r.sick)
 	for id := range api.WebhookID(4 * fullRow) { // nothing else for long: it may be shut
 		s.take(100+id, 0, 0)
-		s.TurnOver()
-		s.all(always(api.Crowded))
+		s.EndTurn()
+		s.all(always(api.ConnectionLimited))
 		s.run(2 * sec)
 	}
 	assert.True(t, r.sick)
@@ -77,19 +77,19 @@
 	for _, fleet := range []int{2, 200} {
 		s := crowd(fleet)
 		s.take(1, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		s.came(1, api.Delivered, 0)
 		s.run(sec)
 		assert.Empty(t, s.h.closed, "idle connections serve until one is missed")
 		s.take(2, 0, 1)
-		s.TurnOver()
+		s.EndTurn()
 		s.came(2, api.ConnectFailed, 0) // at another destination of the kind
 		s.run(sec)
 		assert.Equal(t, fleet == 200, len(s.h.closed) > 0)
 		// From now on none rests, not even until the next look: of hundreds that would always be many.
 		s.h.closed = nil
 		s.take(3, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		assert.Empty(t, s.h.closed)
 		s.came(3, api.Delivered, 0)
 		assert.Equal(t, fleet == 200, len(s.h.closed) > 0)
@@ -100,13 +100,13 @@
 	for _, seldom := range []bool{true, false} {
 		s := crowd(200)
 		s.take(1, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		s.came(1, api.Delivered, 0)
 		if seldom {
 			s.run(5 * sec)
 		}
 		s.now = s.h.now
-		s.judge(s.endpoints[0], api.Errored, sec/10, 0)
+		s.judge(s.endpoints[0], api.ErrorResponse, sec/10, 0)
 		assert.EqualValues(t, never, s.dests[0].shared.coldSince, "one may be a stray")
 		silent := crowd(200)
 		silent.take(1, 0, 0)
@@ -114,7 +114,7 @@
 		silent.now = silent.h.now
 		silent.judge(silent.endpoints[0], api.ConnectFailed, sec, 0)
 		assert.NotEqualValues(t, never, silent.dests[0].shared.coldSince, "who says nothing at all is out")
-		s.judge(s.endpoints[0], api.Errored, sec/10, 0)
+		s.judge(s.endpoints[0], api.ErrorResponse, sec/10, 0)
 		assert.Equal(t, seldom, s.dests[0].shared.coldSince != never)
 	}
 }
@@ -126,7 +126,7 @@
 	call := func(what api.Outcome) {
 		id++
 		s.take(id, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		s.run(sec / 10)
 		s.came(id, what, 0)
 	}
@@ -142,7 +142,7 @@
 	assert.GreaterOrEqual(t, e.limit, 3.0)
 	for range 9 {
 		for range 3 {
-			call(api.Reset)
+			call(api.ConnectionReset)
 			s.run(sec / 5)
 		}
 		call(api.Delivered)
@@ -159,7 +159,7 @@
 		crowds bool
 	}{{sec / 20, false, true}, {sec, false, false}, {sec / 20, true, false}} {
 		f := untold(200)
-		f.CapsTold = c.told
+		f.ConnectionLimitsReported = c.told
 		s := begin(f, 0)
 		s.now = s.h.now
 		s.awake(s.dests[0])
--- a/webhook/policy/learned.go
+++ b/webhook/policy/learned.go
@@ -2,29 +2,29 @@
 
 import "rowanlink/webhook/api"
 
-// Learned tells what is known of a destination that must hold for whoever calls it next; false: nothing is,
+// ExportState tells what is known of a destination that must hold for whoever calls it next; false: nothing is,
 // or its endpoints are separate routes, which are known here by numbers that mean nothing elsewhere.
-func (c *Control) Learned(id api.DestinationID) (api.Learned, bool) {
+func (c *Control) ExportState(id api.DestinationID) (api.DestinationState, bool) {
 	d := c.dests[id]
-	if d == nil || d.shared == nil || d.kind.Apart {
-		return api.Learned{}, false
+	if d == nil || d.shared == nil || d.kind.SeparateRoutes {
+		return api.DestinationState{}, false
 	}
 	r := d.shared
-	return api.Learned{Destination: id, At: c.host.Now(), Window: r.window, WaitUntil: r.waitUntil,
-		Sick: r.sick, CanaryAt: r.tryAt, ColdSince: r.coldSince, Mean: r.mean, Failing: r.failing,
-		Lost: r.lost}, true
+	return api.DestinationState{Destination: id, ObservedAt: c.host.Now(), Window: r.window, WaitUntil: r.waitUntil,
+		Unhealthy: r.sick, NextCanaryAt: r.tryAt, SlowStartSince: r.coldSince, MeanLatency: r.mean, FailureRate: r.failing,
+		TimeoutRate: r.lost}, true
 }
 
-// Teach takes it over from another dispatcher; times are of this one's clock. What is known here is kept
+// ImportState takes it over from another dispatcher; times are of this one's clock. What is known here is kept
 // where it is the more careful.
-func (c *Control) Teach(l api.Learned) {
+func (c *Control) ImportState(l api.DestinationState) {
 	c.now = c.host.Now()
 	d := c.awake(c.destination(l.Destination))
 	r := d.shared
-	if r.waitUntil = max(r.waitUntil, l.WaitUntil); l.Sick && !r.sick {
-		r.sick, r.tryAt = true, max(r.tryAt, l.CanaryAt)
+	if r.waitUntil = max(r.waitUntil, l.WaitUntil); l.Unhealthy && !r.sick {
+		r.sick, r.tryAt = true, max(r.tryAt, l.NextCanaryAt)
 	}
-	if r.coldSince = max(r.coldSince, l.ColdSince); r.mean == 0 {
-		r.window, r.mean, r.failing, r.lost = max(l.Window, 1), l.Mean, l.Failing, l.Lost
+	if r.coldSince = max(r.coldSince, l.SlowStartSince); r.mean == 0 {
+		r.window, r.mean, r.failing, r.lost = max(l.Window, 1), l.MeanLatency, l.FailureRate, l.TimeoutRate
 	}
 }
--- a/webhook/policy/learned_test.go
+++ b/webhook/policy/learned_test.go
@@ -13,10 +13,10 @@
 	was.run(sec / 10)
 	was.dests[0].shared.waitUntil = was.h.now + 3*sec
 	was.dests[0].shared.sick, was.dests[0].shared.coldSince = true, was.h.now
-	l, known := was.Learned(0)
+	l, known := was.ExportState(0)
 	assert.True(t, known)
 	next.h.now = was.h.now
-	next.Teach(l)
+	next.ImportState(l)
 	r := next.dests[0].shared
 	assert.Equal(t, was.dests[0].shared.waitUntil, r.waitUntil)
 	assert.True(t, r.sick)
@@ -24,9 +24,9 @@
 	next.take(2, 0, 0)
 	next.run(sec / 10)
 	assert.Empty(t, next.h.sent, "a told wait holds there too")
-	l.WaitUntil, l.Sick, l.ColdSince = 0, false, never
-	next.Teach(l)
+	l.WaitUntil, l.Unhealthy, l.SlowStartSince = 0, false, never
+	next.ImportState(l)
 	assert.True(t, r.sick && r.waitUntil > 0 && r.coldSince != never, "an older word makes nobody less careful")
-	_, known = next.Learned(99)
+	_, known = next.ExportState(99)
 	assert.False(t, known)
 }
--- a/webhook/policy/list.go
+++ b/webhook/policy/list.go
@@ -8,8 +8,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Endpoints takes a list: the whole of it, or what has changed.
-func (c *Control) Endpoints(list []api.Entry, whole bool) {
+// UpdateEndpoints takes a list: the whole of it, or what has changed.
+func (c *Control) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
 	c.now = c.host.Now()
 	if whole {
 		for _, e := range c.endpoints {
@@ -21,13 +21,13 @@
 		d.kind = c.kinds[min(int(l.Kind), len(c.kinds)-1)]
 		if e == nil {
 			e = &endpoint{id: l.Endpoint, zone: l.Zone, dest: d, limit: math.Inf(1), leftAt: c.now}
-			if d.kind.Apart {
+			if d.kind.SeparateRoutes {
 				e.route = c.newRoute(e.id, 0, c.now)
 			}
 			c.endpoints[l.Endpoint] = e
 		}
 		e.route = cmp.Or(e.route, d.shared)
-		if e.listed = l.Standing == api.Listed; e.listed && !slices.Contains(d.endpoints, e) {
+		if e.listed = l.Status == api.EndpointActive; e.listed && !slices.Contains(d.endpoints, e) {
 			if len(d.endpoints) == 0 && len(d.queue) > 0 {
 				c.chill(e.route) // what waited for it anywhere would go at once
 			}
@@ -35,8 +35,8 @@
 		} else if !e.listed && !slices.Contains(d.endpoints, e) {
 			c.left = append(c.left, e) // never listed here: it is forgotten like one that was
 		}
-		switch r, part := e.route, l.Rate/float64(c.Fleet); {
-		case !c.RatesStated || !(part > 0) || math.IsInf(part, 0) || r != nil && r.told:
+		switch r, part := e.route, l.Rate/float64(c.Dispatchers); {
+		case !c.RatesListed || !(part > 0) || math.IsInf(part, 0) || r != nil && r.told:
 		case r == nil:
 			d.stated = part
 		case r.stated != part:
@@ -54,9 +54,9 @@
 	}
 }
 
-// Reported takes a destination's limit from itself: it stands in for a rate that no list states, or roughly.
-func (c *Control) Reported(ep api.EndpointID, left, limit float64) {
-	e, part := c.endpoints[ep], limit/float64(c.Fleet)
+// ReportLoad takes a destination's limit from itself: it stands in for a rate that no list states, or roughly.
+func (c *Control) ReportLoad(ep api.EndpointID, left, limit float64) {
+	e, part := c.endpoints[ep], limit/float64(c.Dispatchers)
 	if e == nil || e.route == nil || !(part > 0) || math.IsInf(part, 0) {
 		return
 	}
@@ -71,8 +71,8 @@
 // newRoute takes, where none is stated (0) and until one is told, that a slot is used once a second; where no
 // list states any, over all destinations alike.
 func (c *Control) newRoute(name api.EndpointID, stated float64, since api.Micros) *route {
-	perS := float64(c.Slots)
-	if !c.RatesStated {
+	perS := float64(c.MaxInFlight)
+	if !c.RatesListed {
 		perS /= float64(len(c.order))
 	}
 	perS = cmp.Or(stated, perS)
--- a/webhook/policy/list_test.go
+++ b/webhook/policy/list_test.go
@@ -10,10 +10,10 @@
 
 func TestNothingNewGoesToADrainingEndpoint(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	s.Endpoints([]api.Entry{{Endpoint: 0, Destination: 0, Standing: api.Draining}}, false)
+	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 0, Destination: 0, Status: api.EndpointDraining}}, false)
 	for id := range api.WebhookID(4) {
 		s.take(id, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		s.h.now += sec / 10
 		s.came(id, api.Delivered, 0)
 		assert.Equal(t, api.EndpointID(1), s.h.sent[id].ep)
@@ -22,20 +22,20 @@
 
 func TestEndpointOffTheListIsForgottenLaterAndOneThatCameBackIsNot(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	gone := func(ep api.EndpointID, standing api.Standing) {
-		s.Endpoints([]api.Entry{{Endpoint: ep, Rate: 1000, Standing: standing}}, false)
+	gone := func(ep api.EndpointID, standing api.EndpointStatus) {
+		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: ep, Rate: 1000, Status: standing}}, false)
 	}
-	gone(0, api.Draining)
-	gone(0, api.Gone)
-	gone(1, api.Draining)
+	gone(0, api.EndpointDraining)
+	gone(0, api.EndpointRemoved)
+	gone(1, api.EndpointDraining)
 	s.run(50 * sec)
-	gone(1, api.Listed)
+	gone(1, api.EndpointActive)
 	s.run(60 * sec)
 	assert.Nil(t, s.endpoints[0])
 	assert.NotNil(t, s.endpoints[1])
 	assert.Empty(t, s.left)
 	s.take(1, 0, 0)
-	s.TurnOver()
+	s.EndTurn()
 	assert.Equal(t, api.EndpointID(1), s.h.sent[0].ep)
 }
 
@@ -44,13 +44,13 @@
 	s.run(10 * sec)
 	d := s.dests[0]
 	assert.Nil(t, d.shared)
-	s.Endpoints([]api.Entry{{Endpoint: 1, Standing: api.Gone}, {Endpoint: 2, Rate: 40}}, false)
+	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 1, Status: api.EndpointRemoved}, {Endpoint: 2, Rate: 40}}, false)
 	s.take(1, 0, 0)
-	s.TurnOver()
+	s.EndTurn()
 	assert.Equal(t, 40.0, d.shared.stated)
 	assert.Equal(t, 40.0, d.shared.pace)
 	assert.Equal(t, 40*burstSpan-1, d.shared.tokens, "the bucket filled while it rested; one call is out of it")
-	s.Endpoints([]api.Entry{{Endpoint: 1, Rate: 40}}, false)
+	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 1, Rate: 40}}, false)
 	for _, e := range d.endpoints {
 		assert.Same(t, d.shared, e.route, "endpoint %d", e.id)
 	}
@@ -58,9 +58,9 @@
 	assert.NotSame(t, apart[0].route, apart[1].route)
 }
 
-func untold(fleet int) api.Facts {
+func untold(fleet int) api.Settings {
 	f := plainFacts()
-	f.Fleet, f.RatesStated = fleet, false
+	f.Dispatchers, f.RatesListed = fleet, false
 	return f
 }
 
@@ -68,33 +68,33 @@
 func TestReportsStandInForARateThatNoListStates(t *testing.T) {
 	s := begin(untold(200), 0, 0, 0, 0)
 	s.take(1, 0, 0)
-	s.TurnOver()
+	s.EndTurn()
 	r := s.dests[0].shared
 	assert.LessOrEqual(t, r.stated, 2.0, "the slots serve all destinations")
-	s.Reported(0, 0.5, 40)
+	s.ReportLoad(0, 0.5, 40)
 	s.came(1, api.Delivered, 0)
 	assert.InDelta(t, 0.2, r.stated, 1e-9)
-	s.Reported(0, 0.5, 0)
-	s.Reported(99, 0.5, 40)
+	s.ReportLoad(0, 0.5, 0)
+	s.ReportLoad(99, 0.5, 40)
 	assert.InDelta(t, 0.2, r.stated, 1e-9, "no limit, or no such endpoint, says nothing")
-	s.Endpoints([]api.Entry{{Endpoint: 0, Rate: 4}}, false)
+	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 0, Rate: 4}}, false)
 	assert.InDelta(t, 0.2, r.stated, 1e-9, "what the destination tells goes before a list")
-	s.Reported(0, 0.5, 40)
+	s.ReportLoad(0, 0.5, 40)
 	before := loose(s.dests[0], r)
 	assert.Greater(t, before, 5.0, "a clump goes by the room told, not by the part")
 	s.now = s.h.now
-	s.judge(s.endpoints[0], api.Full, sec/10, 0)
+	s.judge(s.endpoints[0], api.Rejected, sec/10, 0)
 	assert.Less(t, loose(s.dests[0], r), before/8)
 }
 
 // Guards against all that waits anywhere for a destination without endpoints, sent as soon as one is listed.
 func TestEndpointsListedWhereNoneWasAreCold(t *testing.T) {
 	s := begin(untold(200), 0)
-	gone := []api.Entry{{Endpoint: 0, Standing: api.Gone}, {Endpoint: 1, Standing: api.Gone}}
-	s.Endpoints(gone, false)
+	gone := []api.EndpointEntry{{Endpoint: 0, Status: api.EndpointRemoved}, {Endpoint: 1, Status: api.EndpointRemoved}}
+	s.UpdateEndpoints(gone, false)
 	s.take(1, 0, 0)
-	s.TurnOver()
-	s.Endpoints([]api.Entry{{Endpoint: 7}}, false)
-	s.TurnOver()
+	s.EndTurn()
+	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 7}}, false)
+	s.EndTurn()
 	assert.NotEqualValues(t, never, s.dests[0].shared.coldSince)
 }
--- a/webhook/policy/order.go
+++ b/webhook/policy/order.go
@@ -6,27 +6,27 @@
 	"rowanlink/webhook/api"
 )
 
-// Take takes on a webhook. From here on it is owed exactly one final answer before its TTL.
-func (c *Control) Take(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
-	key api.Key, ttl api.Micros, dest api.DestinationID) {
-	c.Resume(id, evt, tenant, key, ttl, dest, 0, never, 0)
+// Submit takes on a webhook. From here on it is owed exactly one final answer before its TTL.
+func (c *Control) Submit(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
+	key api.OrderingKey, ttl api.Micros, dest api.DestinationID) {
+	c.Recover(id, evt, tenant, key, ttl, dest, 0, never, 0)
 }
 
-// Resume takes on a webhook that an earlier life had, with its attempts and the first that may have run. A
+// Recover takes on a webhook that an earlier life had, with its attempts and the first that may have run. A
 // call that was out has no outcome any more: like a reset, it is followed by the schedule's wait, or the end.
-func (c *Control) Resume(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
-	key api.Key, ttl api.Micros, dest api.DestinationID,
+func (c *Control) Recover(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
+	key api.OrderingKey, ttl api.Micros, dest api.DestinationID,
 	attempts int, mayRun api.Micros, zone api.ZoneID) {
 	c.now = c.host.Now()
 	row := &c.events[min(int(evt), len(c.events)-1)]
 	w := &webhook{id: id, evt: row, dest: c.awake(c.destination(dest)), key: key, ttl: ttl, readyAt: c.now,
-		mayRun: mayRun, zone: zone, target: ttl - row.TTL + row.Target, over: c.overShare(tenant),
+		mayRun: mayRun, zone: zone, target: ttl - row.TTL + row.LatencyTarget, over: c.overShare(tenant),
 		attempts: attempts, retries: max(attempts-1, 0)}
 	c.held[id], c.open = w, c.open+1
 	if row.Ordered && key != 0 {
 		t := cmp.Or(c.turns[key], &turn{restUntil: never})
 		if t.line = append(t.line, w); mayRun != never {
-			t.restUntil = c.now + c.TurnGap
+			t.restUntil = c.now + c.OrderingGap
 		}
 		c.turns[key] = t
 	}
@@ -56,7 +56,7 @@
 // tokened webhook that may have run counts as in time: past its window it would be a dead letter.
 func (c *Control) before(a, b *webhook) int {
 	tier := func(w *webhook) (t int) {
-		atRisk := w.mayRun != never && w.evt.Repeat == api.Tokened
+		atRisk := w.mayRun != never && w.evt.Semantics == api.Deduplicated
 		if !atRisk && c.now+api.Micros(w.dest.shared.mean) > w.target {
 			t = 1
 		}
@@ -70,7 +70,7 @@
 		return ta - tb
 	}
 	// While slots are scarce those go first that give them back soonest: a few slow destinations would take all.
-	if ra, rb := a.dest.shared, b.dest.shared; ra != rb && float64(c.out) >= fullShare*float64(c.Slots) {
+	if ra, rb := a.dest.shared, b.dest.shared; ra != rb && float64(c.out) >= fullShare*float64(c.MaxInFlight) {
 		return cmp.Compare(ra.mean, rb.mean)
 	}
 	if ta&1 == 1 {
--- a/webhook/policy/pace.go
+++ b/webhook/policy/pace.go
@@ -14,7 +14,7 @@
 	}
 	if r.sick {
 		// One canary at a time; all sick routes together hold a bounded part of the slots.
-		free := r.out == 0 && c.sickOut < max(int(sickShare*float64(c.Slots)), 1)
+		free := r.out == 0 && c.sickOut < max(int(sickShare*float64(c.MaxInFlight)), 1)
 		return free && (c.now >= r.tryAt || c.wakeFor(r, r.tryAt))
 	}
 	if r.out >= c.bound(r) || c.silent(r) {
@@ -41,8 +41,8 @@
 	if rate = max(r.pace, loose(d, r)); r.coldSince == never {
 		return rate, max(rate*burstSpan, 1)
 	}
-	share := c.StartCapacity + (1-c.StartCapacity)*min(float64(c.now-r.coldSince)/float64(c.WarmAfter), 1)
-	part := max(coldPart*c.FallMultiple*share*r.stated, 1/(coldCalls*c.WarmAfter.Seconds()))
+	share := c.SlowStartCapacity + (1-c.SlowStartCapacity)*min(float64(c.now-r.coldSince)/float64(c.SlowStartDuration), 1)
+	part := max(coldPart*c.OverloadFactor*share*r.stated, 1/(coldCalls*c.SlowStartDuration.Seconds()))
 	return min(rate, part), 1
 }
 
@@ -56,7 +56,7 @@
 // canaryPause is by chance around the gap that this dispatcher's part of a cold destination's budget gives,
 // within bounds. Guards a small destination against the canaries of hundreds, which alone would push it over.
 func (c *Control) canaryPause(r *route) api.Micros {
-	span := float64(api.Second) / (coldPart * c.FallMultiple * c.StartCapacity * r.stated)
-	span = min(max(span, canaryBy*float64(c.WarmAfter)), float64(c.WarmAfter))
+	span := float64(api.Second) / (coldPart * c.OverloadFactor * c.SlowStartCapacity * r.stated)
+	span = min(max(span, canaryBy*float64(c.SlowStartDuration)), float64(c.SlowStartDuration))
 	return api.Micros(span * (1 + c.chance.Float()) / 1.5)
 }
--- a/webhook/policy/pace_test.go
+++ b/webhook/policy/pace_test.go
@@ -13,10 +13,10 @@
 	for id := range api.WebhookID(3) {
 		s.take(id, 0, 0)
 	}
-	s.TurnOver() // they share a call
-	s.report(0, api.Full, sec/2)
-	s.report(1, api.Full, 3*sec/2) // each may be told its own wait: the longest holds
-	s.came(2, api.Full, 0)
+	s.EndTurn() // they share a call
+	s.report(0, api.Rejected, sec/2)
+	s.report(1, api.Rejected, 3*sec/2) // each may be told its own wait: the longest holds
+	s.came(2, api.Rejected, 0)
 	s.take(9, 0, 0)
 	s.run(3*sec/2 - 10000)
 	assert.Len(t, s.h.sent, 3)
@@ -32,7 +32,7 @@
 	for id := range api.WebhookID(90) {
 		s.take(id, 0, 0)
 	}
-	s.TurnOver()
+	s.EndTurn()
 	back := s.h.now + 4*sec
 	reached := 0
 	for s.h.now < back+2*sec {
@@ -44,7 +44,7 @@
 		}
 	}
 	assert.Positive(t, reached)
-	assert.LessOrEqual(t, float64(reached), f.FallMultiple*(f.StartCapacity+0.1)*10*2)
+	assert.LessOrEqual(t, float64(reached), f.OverloadFactor*(f.SlowStartCapacity+0.1)*10*2)
 }
 
 func TestPaceOutgrowsALowStatedRate(t *testing.T) {
@@ -68,10 +68,10 @@
 // crowd is a story of one of so many dispatchers, at destinations that each take four calls a second.
 func crowd(fleet int) *story {
 	f := plainFacts()
-	f.Fleet = fleet
+	f.Dispatchers = fleet
 	s := begin(f, 0, 0)
 	for d := range api.DestinationID(2) {
-		s.Endpoints([]api.Entry{{Endpoint: api.EndpointID(10 * d), Destination: d, Rate: 4}}, false)
+		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: api.EndpointID(10 * d), Destination: d, Rate: 4}}, false)
 	}
 	return s
 }
@@ -90,7 +90,7 @@
 	for id := api.WebhookID(10); id < 13; id++ {
 		s.take(id, 0, 1)
 		s.run(sec / 10)
-		s.all(always(api.Full))
+		s.all(always(api.Rejected))
 	}
 	assert.Less(t, s.kinds[0].trickle, trickle, "refusals of what it let go lower it")
 	full := s.dests[1]
@@ -101,8 +101,8 @@
 	for _, fleet := range []int{1, 200} {
 		s := crowd(fleet)
 		s.take(1, 0, 0)
-		s.TurnOver()
-		s.came(1, api.Full, 4*sec) // told to wait for longer than a limit's span: shut
+		s.EndTurn()
+		s.came(1, api.Rejected, 4*sec) // told to wait for longer than a limit's span: shut
 		r := s.awake(s.dests[0]).shared
 		assert.True(t, r.sick)
 		assert.Greater(t, r.tryAt, r.waitUntil, "all come back when it opens")
--- a/webhook/policy/schedule.go
+++ b/webhook/policy/schedule.go
@@ -14,7 +14,7 @@
 func (c *Control) retry(w *webhook) {
 	w.readyAt = c.now + Wait(w.evt.cap, w.retries, c.chance.Float())
 	w.retries++
-	spent := w.attempts >= c.MaxAttempts || w.evt.Repeat == api.AtMostOnce && w.mayRun != never
+	spent := w.attempts >= c.MaxAttempts || w.evt.Semantics == api.AtMostOnce && w.mayRun != never
 	if spent || max(w.readyAt, w.dest.shared.waitUntil) >= c.lastSend(w) {
 		c.finish(w)
 		return
@@ -32,9 +32,9 @@
 // bound is how many calls a route may have out: its window, up to a share of the slots.
 func (c *Control) bound(r *route) int {
 	if r.failing > sickAt/2 || r.mean > silentBy*c.mean {
-		return backoff.Bound(r.window, sickShare, float64(c.Slots))
+		return backoff.Bound(r.window, sickShare, float64(c.MaxInFlight))
 	}
-	return backoff.Bound(r.window, fullShare, float64(c.Slots))
+	return backoff.Bound(r.window, fullShare, float64(c.MaxInFlight))
 }
 
 // respread draws anew what came due while the dispatcher stood still, and what came new for a destination
--- a/webhook/policy/schedule_test.go
+++ b/webhook/policy/schedule_test.go
@@ -28,13 +28,13 @@
 		what  api.Outcome
 		again bool
 	}{
-		{0, api.Errored, true}, {0, api.TimedOut, true}, {1, api.Reset, true},
-		{2, api.Full, true}, {2, api.ConnectFailed, true}, {2, api.Crowded, true},
-		{2, api.TimedOut, false}, {2, api.Errored, false},
+		{0, api.ErrorResponse, true}, {0, api.TimedOut, true}, {1, api.ConnectionReset, true},
+		{2, api.Rejected, true}, {2, api.ConnectFailed, true}, {2, api.ConnectionLimited, true},
+		{2, api.TimedOut, false}, {2, api.ErrorResponse, false},
 	} {
 		s := begin(plainFacts(), 0)
 		s.take(1, c.evt, 0)
-		s.TurnOver()
+		s.EndTurn()
 		s.came(1, c.what, 0)
 		s.run(4 * sec)
 		assert.Equal(t, c.again, s.sentOf(1) == 2, "event type %d after %d", c.evt, c.what)
@@ -45,13 +45,13 @@
 func TestTokenedIsNotSentOutsideItsWindow(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	s.take(1, 1, 0)
-	s.TurnOver()
+	s.EndTurn()
 	first := s.h.now
-	s.came(1, api.Errored, 0)
+	s.came(1, api.ErrorResponse, 0)
 	for s.h.answers == 0 && s.h.now < first+20*sec {
 		s.run(5000)
 		if s.held[1] != nil && s.held[1].call != nil {
-			s.came(1, api.Errored, 0)
+			s.came(1, api.ErrorResponse, 0)
 		}
 	}
 	last := s.h.sent[len(s.h.sent)-1]
@@ -65,7 +65,7 @@
 	for id := range api.WebhookID(20) {
 		s.take(id, api.EventTypeID(id%4), api.DestinationID(id%3))
 	}
-	s.TurnOver()
+	s.EndTurn()
 	s.run(20*sec - 5000)
 	assert.Len(t, s.h.rejected, 20)
 	assert.Equal(t, 20, s.h.answers)
@@ -76,10 +76,10 @@
 	s := begin(plainFacts(), 0)
 	s.take(1, 3, 0)
 	s.take(2, 3, 0)
-	s.TurnOver()
+	s.EndTurn()
 	s.h.now += sec
 	s.came(1, api.TimedOut, 0)
-	s.Withdrawn(1) // the earlier one is over, but its attempt may still run
+	s.Withdraw(1) // the earlier one is over, but its attempt may still run
 	s.run(2*sec - 10000)
 	assert.Equal(t, 0, s.sentOf(2))
 	s.run(sec)
@@ -107,8 +107,8 @@
 		if c.mayRun != none {
 			c.mayRun = s.h.now - c.mayRun
 		}
-		s.Resume(1, c.evt, 0, 0, s.h.now+18*sec, 0, c.attempts, c.mayRun, 0)
-		s.TurnOver()
+		s.Recover(1, c.evt, 0, 0, s.h.now+18*sec, 0, c.attempts, c.mayRun, 0)
+		s.EndTurn()
 		assert.Equal(t, c.attempts == 0, s.sentOf(1) == 1, "an attempt that was out is followed by a wait")
 		s.run(6 * sec)
 		assert.Equal(t, c.sent, s.sentOf(1) == 1, c)
@@ -119,21 +119,21 @@
 // Guards against dispatchers that stood still and send in one moment all that came due meanwhile.
 func TestRetriesThatCameDueInAStallAreSpreadAnew(t *testing.T) {
 	f := untold(1)
-	f.Slots = 80
-	kinds := make([]api.KindID, 40)
+	f.MaxInFlight = 80
+	kinds := make([]api.DestinationKindID, 40)
 	s := begin(f, kinds...)
 	for i := range kinds {
 		s.take(api.WebhookID(i), 0, api.DestinationID(i))
 	}
-	s.TurnOver()
-	s.all(always(api.Errored))
+	s.EndTurn()
+	s.all(always(api.ErrorResponse))
 	sent := len(s.h.sent)
 	s.h.now += 2 * sec // all have come due
 	for i := range kinds {
 		s.take(api.WebhookID(100+i), 0, api.DestinationID(i))
 	}
-	s.Wake(timerPeriod)
-	s.TurnOver()
+	s.TimerFired(timerPeriod)
+	s.EndTurn()
 	assert.Less(t, len(s.h.sent)-sent, 20, "what came new where calls failed is spread, too")
 	s.run(2 * sec)
 	assert.GreaterOrEqual(t, len(s.h.sent)-sent, 35)
--- a/webhook/policy/slots.go
+++ b/webhook/policy/slots.go
@@ -6,12 +6,12 @@
 func (c *Control) slots(w *webhook) verdict {
 	c.pick = nil
 	for _, e := range w.dest.endpoints {
-		if k := e.open; k != nil && k.turn == c.turn && k.left < w.dest.kind.Batch && !k.sick && c.inZone(w, e) {
+		if k := e.open; k != nil && k.turn == c.turn && k.left < w.dest.kind.BatchSize && !k.sick && c.inZone(w, e) {
 			c.pick = e
 			return pass
 		}
 	}
-	return c.out < c.Slots
+	return c.out < c.MaxInFlight
 }
 
 // silent guards the slots against a route that hangs, before a time-out tells of it, and short stalls,
@@ -24,11 +24,11 @@
 // many destinations at once would hold them all until its time-outs. Never an at-most-once webhook.
 func (c *Control) chase(w *webhook) {
 	r := w.call.ep.route
-	long := max(api.Micros(tailBy*r.mean), w.evt.Target)
+	long := max(api.Micros(tailBy*r.mean), w.evt.LatencyTarget)
 	unheard := c.now - max(w.sentAt, r.heardAt)
-	if c.MayCancel && c.out >= c.Slots && w.evt.Repeat != api.AtMostOnce && unheard >= long {
-		c.host.Cancel(w.id, w.attempts-1)
+	if c.CanCancel && c.out >= c.MaxInFlight && w.evt.Semantics != api.AtMostOnce && unheard >= long {
+		c.host.CancelAttempt(w.id, w.attempts-1)
 		return
 	}
-	c.dues.Add(int64(c.now+max(long/8, c.Tick)), w)
+	c.dues.Add(int64(c.now+max(long/8, c.MinTurnInterval)), w)
 }
--- a/webhook/policy/slots_test.go
+++ b/webhook/policy/slots_test.go
@@ -13,7 +13,7 @@
 	for id := range api.WebhookID(8) {
 		s.take(id, 0, 0)
 	}
-	s.TurnOver()
+	s.EndTurn()
 	assert.Len(t, s.h.sent, 1, "the window starts at one")
 	s.h.now += sec / 10
 	s.came(0, api.Delivered, 0)
@@ -21,7 +21,7 @@
 	s.report(1, api.Delivered, 0)
 	s.came(2, api.Delivered, 0)
 	assert.Equal(t, 4.0, s.dests[0].shared.window)
-	s.came(3, api.Full, 0)
+	s.came(3, api.Rejected, 0)
 	assert.Equal(t, 2.0, s.dests[0].shared.window)
 }
 
@@ -29,7 +29,7 @@
 	s := begin(plainFacts(), 0, 0)
 	for id := range api.WebhookID(40) {
 		s.take(id, 0, 0)
-		s.TurnOver()
+		s.EndTurn()
 		if id < 10 { // well at first
 			s.h.now += sec / 10
 			s.came(id, api.Delivered, 0)
@@ -38,7 +38,7 @@
 	s.run(10 * sec)
 	assert.LessOrEqual(t, s.out, 6)
 	s.take(99, 0, 1)
-	s.TurnOver()
+	s.EndTurn()
 	assert.Equal(t, 1, s.sentOf(99))
 }
 
@@ -60,7 +60,7 @@
 
 func TestHangOverAllSlotsIsCalledOff(t *testing.T) {
 	f := plainFacts()
-	f.MayCancel, f.Slots = true, 4
+	f.CanCancel, f.MaxInFlight = true, 4
 	s := begin(f, 0, 0, 0, 0, 0)
 	id := api.WebhookID(0)
 	for ; id < 20; id++ { // all are well at first, and their windows grow
--- a/webhook/policy/state.go
+++ b/webhook/policy/state.go
@@ -21,7 +21,7 @@
 
 // Control decides for one dispatcher.
 type Control struct {
-	api.Facts
+	api.Settings
 	host      api.Host
 	chance    *mwcrand.Source
 	events    []eventRow
@@ -40,7 +40,7 @@
 	linked    []*endpoint    // those that may have idle connections
 	left      []*endpoint    // those off the list, not yet forgotten
 	endpoints map[api.EndpointID]*endpoint
-	turns     map[api.Key]*turn
+	turns     map[api.OrderingKey]*turn
 	dues      timerqueue.Times[*webhook] // nil stands for a route that opens
 	armed     api.Micros
 	periodAt  api.Micros // the periodic wake is due then
@@ -65,7 +65,7 @@
 	id       api.WebhookID
 	evt      *eventRow
 	dest     *destination
-	key      api.Key
+	key      api.OrderingKey
 	ttl      api.Micros // last moment for the final answer
 	target   api.Micros // delivered by then it earns its full value
 	over     bool       // beyond its tenant's share
@@ -136,7 +136,7 @@
 
 // kind is a row of the one table in which kinds of destination differ, with what is learned over all of it.
 type kind struct {
-	api.Kind
+	api.DestinationKind
 	trickle float64    // calls a second that a route with a tiny part is let
 	crowded api.Micros // until then it counts as short of connections
 }
--- a/webhook/refresh/hold_test.go
+++ b/webhook/refresh/hold_test.go
@@ -9,23 +9,23 @@
 )
 
 type turns struct {
-	api.Module
+	api.Policy
 	taken, over int
 }
 
-func (m *turns) Take(api.WebhookID, api.EventTypeID, api.TenantID, api.Key, api.Micros,
+func (m *turns) Submit(api.WebhookID, api.EventTypeID, api.TenantID, api.OrderingKey, api.Micros,
 	api.DestinationID) {
 	m.taken++
 }
-func (m *turns) TurnOver() { m.over++ }
+func (m *turns) EndTurn() { m.over++ }
 
 func TestUntilItIsOpenedWebhooksAreTakenOnAndNoTurnMakesCalls(t *testing.T) {
 	m := &turns{}
-	h := &Hold{Module: m}
-	h.Take(1, 0, 0, 0, 9, 3)
-	h.TurnOver()
+	h := &Hold{Policy: m}
+	h.Submit(1, 0, 0, 0, 9, 3)
+	h.EndTurn()
 	assert.Equal(t, []int{1, 0}, []int{m.taken, m.over})
 	h.Open()
-	h.TurnOver()
+	h.EndTurn()
 	assert.Equal(t, 1, m.over)
 }
--- a/webhook/simadapter/benchwire.go
+++ b/webhook/simadapter/benchwire.go
@@ -32,11 +32,11 @@
 )
 
 // outcomes puts the wire's outcome codes, from 0, into our words.
-var outcomes = [...]api.Outcome{api.Errored, api.Delivered, api.Full, api.TimedOut,
-	api.ConnectFailed, api.Reset, api.Cancelled, api.NotSent}
+var outcomes = [...]api.Outcome{api.ErrorResponse, api.Delivered, api.Rejected, api.TimedOut,
+	api.ConnectFailed, api.ConnectionReset, api.Cancelled, api.NotSent}
 
 // Serve answers batches from in until it ends. An error means that the input was malformed or broke off.
-func Serve(in io.Reader, out io.Writer, start func(api.Facts, api.Host) api.Module) error {
+func Serve(in io.Reader, out io.Writer, start func(api.Settings, api.Host) api.Policy) error {
 	s := &server{start: start, instances: map[uint16]*instance{}}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	var header [headerLen]byte
@@ -74,9 +74,9 @@
 }
 
 type server struct {
-	start     func(api.Facts, api.Host) api.Module
+	start     func(api.Settings, api.Host) api.Policy
 	instances map[uint16]*instance
-	lists     [listNumbers][]api.Entry
+	lists     [listNumbers][]api.EndpointEntry
 	defined   [listNumbers]bool
 	clock     uint64
 	reply     []byte
@@ -88,7 +88,7 @@
 type instance struct {
 	s      *server
 	who    uint16
-	module api.Module
+	module api.Policy
 	inTurn bool
 	dead   bool // killed, or its module panicked
 	killed bool // what it did in this batch must not reach its next life
@@ -117,7 +117,7 @@
 	for _, in := range s.acted {
 		in.inTurn = false
 		if !in.dead {
-			in.guard(in.module.TurnOver)
+			in.guard(in.module.EndTurn)
 		}
 		if !in.killed {
 			s.reply = append(s.reply, in.acts...)
@@ -184,7 +184,7 @@
 	if in.left < 0 || in.limit < 0 || max(in.left, in.limit) >= len(values) {
 		return func() {}
 	}
-	return func() { in.module.Reported(ep, values[in.left], values[in.limit]) }
+	return func() { in.module.ReportLoad(ep, values[in.left], values[in.limit]) }
 }
 
 func (s *server) turn(in *instance) {
--- a/webhook/simadapter/benchwire_test.go
+++ b/webhook/simadapter/benchwire_test.go
@@ -18,7 +18,7 @@
 	"classes.0.repeat=pure\nclasses.0.worth=1\nkinds=a\nfamilyInfo.slots=4\nlimits.openCap=9\n" +
 	"limits.maxAttempts=3\nfleetSize=1\nperiod=5000000\nunknown.key=x,y\n"
 
-func start(f api.Facts, h api.Host) api.Module { return policy.New(f, h) }
+func start(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) }
 
 // le puts values of the wire's types one behind the other.
 func le(values ...any) []byte {
@@ -81,7 +81,7 @@
 
 func TestPanicBecomesTheLastAction(t *testing.T) {
 	var out bytes.Buffer
-	err := Serve(bytes.NewReader(batch(open(3))), &out, func(api.Facts, api.Host) api.Module {
+	err := Serve(bytes.NewReader(batch(open(3))), &out, func(api.Settings, api.Host) api.Policy {
 		panic("no idea")
 	})
 	assert.NoError(t, err)
@@ -136,11 +136,11 @@
 
 // told notes the reports that reach a module.
 type told struct {
-	api.Module
+	api.Policy
 	left, limit float64
 }
 
-func (m *told) Reported(_ api.EndpointID, left, limit float64) { m.left, m.limit = left, limit }
+func (m *told) ReportLoad(_ api.EndpointID, left, limit float64) { m.left, m.limit = left, limit }
 
 func TestAReportReachesTheModuleByItsNamesAndAShortOneTellsNothing(t *testing.T) {
 	m := &told{}
--- a/webhook/simadapter/decode.go
+++ b/webhook/simadapter/decode.go
@@ -24,18 +24,18 @@
 			return nil, fmt.Errorf("list %d was never defined", ref)
 		default:
 			list := s.lists[ref]
-			call = func() { in.module.Endpoints(list, form == whole || form == cached) }
+			call = func() { in.module.UpdateEndpoints(list, form == whole || form == cached) }
 		}
 	case evNew:
 		id, evt, tenant := api.WebhookID(f.u32()), api.EventTypeID(f.u8()), api.TenantID(f.u32())
-		key, ttl := api.Key(f.u64()), micros(f.u64())
+		key, ttl := api.OrderingKey(f.u64()), micros(f.u64())
 		f.skip(8)
 		dest := f.f32()
 		f.skip(1)
 		if !f.bad && !(dest >= 0 && dest <= math.MaxUint16) {
 			return nil, fmt.Errorf("destination %v is no number of one", dest)
 		}
-		call = func() { in.module.Take(id, evt, tenant, key, ttl, api.DestinationID(dest)) }
+		call = func() { in.module.Submit(id, evt, tenant, key, ttl, api.DestinationID(dest)) }
 	case evOutcome:
 		id := api.WebhookID(f.u32())
 		f.skip(1)
@@ -46,19 +46,19 @@
 			return nil, fmt.Errorf("outcome %d is unknown", what)
 		}
 		wait := api.Micros(0)
-		if !f.bad && outcomes[what] == api.Full {
+		if !f.bad && outcomes[what] == api.Rejected {
 			wait = api.Micros(note) * 1000
 		}
 		call = func() {
 			tell()
-			in.module.Outcome(id, ep, outcomes[what], took, ended, wait)
+			in.module.AttemptEnded(id, ep, outcomes[what], took, ended, wait)
 		}
 	case evVanished:
 		id := api.WebhookID(f.u32())
-		call = func() { in.module.Withdrawn(id) }
+		call = func() { in.module.Withdraw(id) }
 	case evWakeup:
 		timer := api.TimerID(f.u32())
-		call = func() { in.module.Wake(timer) }
+		call = func() { in.module.TimerFired(timer) }
 	case evEcho: // the module sends no probes
 		f.skip(14)
 		f.skip(4 * int(f.u8()))
@@ -83,17 +83,17 @@
 	if ref >= listNumbers {
 		return fmt.Errorf("list number %d is over %d", ref, listNumbers-1)
 	}
-	list := make([]api.Entry, n)
-	standings := [...]api.Standing{api.Listed, api.Gone, api.Draining}
+	list := make([]api.EndpointEntry, n)
+	standings := [...]api.EndpointStatus{api.EndpointActive, api.EndpointRemoved, api.EndpointDraining}
 	for i := range list {
 		e := &list[i]
-		e.Endpoint, e.Zone, e.Kind = api.EndpointID(f.u32()), api.ZoneID(f.u16()), api.KindID(f.u16())
+		e.Endpoint, e.Zone, e.Kind = api.EndpointID(f.u32()), api.ZoneID(f.u16()), api.DestinationKindID(f.u16())
 		e.Destination = api.DestinationID(f.u16())
 		state := f.u8()
 		if int(state) >= len(standings) {
 			return fmt.Errorf("state %d of an endpoint is unknown", state)
 		}
-		e.Standing, e.Rate = standings[state], float64(f.f32())
+		e.Status, e.Rate = standings[state], float64(f.f32())
 		f.skip(8)
 	}
 	s.lists[ref], s.defined[ref] = list, true
--- a/webhook/simadapter/host.go
+++ b/webhook/simadapter/host.go
@@ -31,14 +31,14 @@
 // Now is the batch's clock.
 func (in *instance) Now() api.Micros { return micros(in.s.clock) }
 
-func (in *instance) Attempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
+func (in *instance) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
 	in.act(actAttempt, 16)
 	in.u32(uint32(id))
 	in.u32(uint32(ep))
 	in.u64(ns(patience))
 }
 
-func (in *instance) Cancel(id api.WebhookID, attempt int) {
+func (in *instance) CancelAttempt(id api.WebhookID, attempt int) {
 	in.act(actRevoke, 5)
 	in.u32(uint32(id))
 	in.acts = append(in.acts, byte(attempt))
@@ -55,13 +55,13 @@
 	in.u32(uint32(id))
 }
 
-func (in *instance) Wake(after api.Micros, timer api.TimerID) {
+func (in *instance) SetTimer(after api.Micros, timer api.TimerID) {
 	in.act(actTimer, 12)
 	in.u64(ns(after))
 	in.u32(uint32(timer))
 }
 
-func (in *instance) CloseIdle(ep api.EndpointID) {
+func (in *instance) CloseIdleConnections(ep api.EndpointID) {
 	in.act(actClose, 4)
 	in.u32(uint32(ep))
 }
