--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -15,19 +15,19 @@
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
 // none.
 func TestALookEndsItsProposalsAtTheFirstThatNoLeaderAnswers(t *testing.T) {
-	keeper, a := script(t, func(_ int, real transport.Proposed) (int, []byte) {
+	keeper, a := script(t, func(_ int, real transport.ProposeResponse) (int, []byte) {
 		return fasthttp.StatusOK, transport.Encode(real)
 	})
 	chart := shardmap.New(nil)
 	var err error
-	chart.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
+	chart.Ranges, err = shardmap.EvenRanges(4, []shardmap.MemberWeight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
 		a.Acquire(cluster.HomeOf(r.ID))
 		holds(t, a, cluster.HomeOf(r.ID))
 	}
 	last := &chart.Ranges[3]
-	last.Home = "m2"
+	last.Owner = "m2"
 	member.Looks("a0", a, chart)()
 	keeper.mu.Lock()
 	require.Equal(t, 1, keeper.charts)
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -59,9 +59,9 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var able []shardmap.Able
+	var able []shardmap.Candidate
 	for _, w := range m.file.Members {
-		able = append(able, shardmap.Able{Weight: shardmap.Weight{Member: w.ID, Weight: w.Weight}, Room: w.Room})
+		able = append(able, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: w.ID, Weight: w.Weight}, MaxRanges: w.Room})
 	}
 	if m.coordinator.Run(m.request, able, m.file.Ranges, m.clock()) {
 		m.request.Fresh = false
@@ -93,10 +93,10 @@
 }
 
 func (m *Member) updatePeers(f config.File) {
-	m.client.Renew(memberAddresses(f))
+	m.client.SetAddresses(memberAddresses(f))
 	m.session.Leader.SetNodes(raftNodes(f))
 	if m.raft != nil {
-		m.raft.Renew(raftAddresses(f))
+		m.raft.SetAddresses(raftAddresses(f))
 	}
 }
 
--- /dev/null
+++ b/serving/agent/fixture_test.go
@@ -0,0 +1,151 @@
+package agent
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/serving/endpoints"
+	"rowanlink/serving/gossip"
+	"rowanlink/serving/settings"
+	"rowanlink/serving/singleton"
+	"rowanlink/serving/state"
+	"rowanlink/serving/subscription"
+)
+
+// fakeMesh is a mesh whose members the test sets. It records what the agent announces.
+type fakeMesh struct {
+	mutex       sync.Mutex
+	self        state.Member
+	others      []state.Member
+	proxies     subscription.Proxies
+	subscribers map[gossip.TableID]func(gossip.Entry)
+	states      []state.MemberState // announced by the agent, in order
+	left        bool
+	leaveError  error
+}
+
+func newFakeMesh() *fakeMesh {
+	return &fakeMesh{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.TableID]func(gossip.Entry){}}
+}
+
+func (f *fakeMesh) Self() state.Member {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.self
+}
+
+func (f *fakeMesh) Members() []state.Member {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return append([]state.Member{f.self}, f.others...)
+}
+
+func (f *fakeMesh) DownMembers() []state.Member   { return nil }
+func (f *fakeMesh) RoleClaims() []singleton.Claim { return nil }
+
+func (f *fakeMesh) CountProxies() subscription.Proxies {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.proxies
+}
+
+func (f *fakeMesh) SetState(announced state.MemberState) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.self.State = announced
+	f.states = append(f.states, announced)
+}
+
+func (f *fakeMesh) SetClientAddress(front string) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.self.ProxyAddress = front
+}
+
+func (f *fakeMesh) announced() []state.MemberState {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return slices.Clone(f.states)
+}
+
+func (f *fakeMesh) Subscribe(table gossip.TableID, take func(gossip.Entry)) {
+	f.subscribers[table] = take
+}
+
+func (f *fakeMesh) Leave(context.Context) error {
+	f.left = true
+	return f.leaveError
+}
+
+func (f *fakeMesh) setPeers(others ...state.Member) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.others = others
+}
+
+// deliver passes an entry to the agent's subscriber, as the mesh does.
+func (f *fakeMesh) deliver(t *testing.T, table gossip.TableID, value any) {
+	t.Helper()
+	encoded, err := cbor.Marshal(value)
+	require.NoError(t, err)
+	f.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: encoded})
+}
+
+// testAgent is an agent on a fake mesh, with the server that its proxy polls.
+type testAgent struct {
+	*agent
+	mesh         *fakeMesh
+	server       *subscriptionServer
+	observations chan []state.Observation // forwarded from the proxy's polls
+}
+
+func newTestAgent(grace time.Duration) *testAgent {
+	fake := newFakeMesh()
+	log := zerolog.Nop()
+	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
+	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", BeatInterval: time.Second})
+	a := newAgent(process, &log, fake, table)
+	a.stateOwner.Send(func(s *agentState) { s.confirmRevision(0) })
+	forwarded := make(chan []state.Observation, 100)
+	return &testAgent{
+		agent:        a,
+		mesh:         fake,
+		observations: forwarded,
+		server: &subscriptionServer{
+			stateOwner:          a.stateOwner,
+			now:                 time.Now,
+			announceProxy:       a.announceProxy,
+			forwardObservations: func(observations []state.Observation) { forwarded <- observations },
+		},
+	}
+}
+
+// pollOutcome is the outcome of a poll.
+type pollOutcome struct {
+	response *subscription.Response
+	err      error
+	elapsed  time.Duration
+}
+
+// poll starts a poll and returns the channel for its outcome.
+func (s *testAgent) poll(ctx context.Context, request *subscription.Request) <-chan pollOutcome {
+	outcome := make(chan pollOutcome, 1)
+	start := time.Now()
+	go func() {
+		response, err := s.server.watch(ctx, request)
+		outcome <- pollOutcome{response, err, time.Since(start)}
+	}()
+	return outcome
+}
+
+// newWaitingRequest returns a request that waits for up to five seconds.
+func newWaitingRequest(since subscription.Cursor, reported state.MemberState) *subscription.Request {
+	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, Front: "10.0.0.1:80"}
+}
--- a/serving/core/keeper.go
+++ b/serving/core/keeper.go
@@ -24,7 +24,7 @@
 
 // keeper repairs the replica set while it holds that duty, and finishes changes that others have left half-way.
 type keeper struct {
-	mesh     *member.Mesh
+	mesh     *member.Service
 	node     *register.Node
 	log      *zerolog.Logger
 	finisher finisher
@@ -50,24 +50,24 @@
 // finish finds out whether what this replica has accepted is in force, where nobody has told. Committed records are
 // told to the other members by the register's own callback.
 func (k *keeper) finish(ctx context.Context) {
-	revision, unfinished := k.node.Unfinished()
+	revision, unfinished := k.node.UncommittedRevision()
 	if !k.finisher.look(time.Now(), revision, unfinished) {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, finishBound)
 	defer cancel()
 	record, err := k.node.Read(bounded) // tried again if it fails
-	event.ChangeFinished.Log(k.log).Uint64("accepted", revision).Uint64("in_force", record.Revision).Err(err).Send()
+	event.ChangeRecovered.Log(k.log).Uint64("accepted", revision).Uint64("in_force", record.Revision).Err(err).Send()
 }
 
 // reportMajority logs when too few voters are left, and when enough are back.
 func (k *keeper) reportMajority() {
-	absent := k.node.AbsentMajority()
+	absent := k.node.QuorumLoss()
 	if k.lost == (absent != nil) {
 		return
 	}
 	k.lost = absent != nil
-	kind := event.MajorityBack
+	kind := event.MajorityRestored
 	if k.lost {
 		kind = event.MajorityLost
 	}
@@ -75,21 +75,21 @@
 }
 
 func (k *keeper) repair(ctx context.Context) {
-	if !k.mesh.Holder(repairDuty, singleton.Scope{Role: state.RoleCore}).Mine {
+	if !k.mesh.AcquireRole(repairDuty, singleton.Scope{Role: state.RoleCore}).Local {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
-	if err := k.node.Repair(bounded); err != nil && ctx.Err() == nil {
+	if err := k.node.RepairVoters(bounded); err != nil && ctx.Err() == nil {
 		event.RepairFailed.Log(k.log).Err(err).Send()
 	}
 }
 
 // coreMachines are the members that may hold replicas.
-func coreMachines(members []state.Member) (machines []register.Machine) {
+func coreMachines(members []state.Member) (machines []register.Peer) {
 	for _, member := range members {
 		if member.Role == state.RoleCore {
-			machines = append(machines, register.Machine{Address: member.Address, Zone: member.Zone})
+			machines = append(machines, register.Peer{Address: member.Address, Zone: member.Zone})
 		}
 	}
 	return machines
--- a/webhook/policy/pace.go
+++ b/webhook/policy/pace.go
@@ -58,5 +58,5 @@
 func (c *Control) canaryPause(r *route) api.Micros {
 	span := float64(api.Second) / (coldPart * c.OverloadFactor * c.SlowStartCapacity * r.stated)
 	span = min(max(span, canaryBy*float64(c.SlowStartDuration)), float64(c.SlowStartDuration))
-	return api.Micros(span * (1 + c.chance.Float()) / 1.5)
+	return api.Micros(span * (1 + c.chance.Float64()) / 1.5)
 }
