--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -82,8 +82,8 @@
 	}
 	defer node.Close()
 	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.IsLiveAt}
-	table := exchange.Start(life, exchange.Options{Gossip: joined, HeartbeatInterval: process.BeatInterval,
-		HasQuorum: touch.InTouch, Log: options.Log})
+	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
+		InTouch: touch.InTouch, Log: options.Log})
 	table.Serve(inner)
 	kept := store.OpenEndpoints(process.StoreDir, options.Log)
 	defer kept.Close()
--- a/serving/endpoints/calls.go
+++ b/serving/endpoints/calls.go
@@ -7,148 +7,148 @@
 	"rowanlink/serving/state"
 )
 
-// Heartbeat is one heartbeat of an endpoint.
-type Heartbeat struct {
-	Service         string
-	Address         string
-	Zone            string
-	Edition         string
-	Slots           int
-	Closing         bool
-	Sequence        uint64        // its own count of its calls
-	WarmUpRemaining time.Duration // how much longer it is slow
-	Remaining       time.Duration // until it is taken away; 0: not told
-	Models          []state.Model
+// Beat is one heartbeat of an endpoint.
+type Beat struct {
+	Service   string
+	Address   string
+	Zone      string
+	Edition   string
+	Slots     int
+	Closing   bool
+	Sequence  uint64        // its own count of its calls
+	ColdLeft  time.Duration // how much longer it is slow
+	Remaining time.Duration // until it is taken away; 0: not told
+	Models    []state.Model
 }
 
 // Change is what a call has changed.
 type Change struct {
-	New       bool // an endpoint that was not known
-	Stale     bool // a newer call was known already: nothing has changed
-	Broadcast bool // the other members must be told
+	New    bool // an endpoint that was not known
+	Late   bool // a newer call was known already: nothing has changed
+	Spread bool // the other members must be told
 	// Copied: another member is known to hold this state of the endpoint.
-	Replicated bool
+	Copied bool
 }
 
-// ReceiveHeartbeat takes a heartbeat in and returns the endpoint as it is known now.
-func (t *Table) ReceiveHeartbeat(now time.Time, id string, beat Heartbeat) (state.Endpoint, Change) {
+// Beat takes a heartbeat in and returns the endpoint as it is known now.
+func (t *Table) Beat(now time.Time, id string, beat Beat) (state.Endpoint, Change) {
 	e, known := t.entries[id]
-	if known && beat.Sequence <= e.endpoint.Sequence {
-		return e.snapshotAt(now), Change{Stale: true, Replicated: e.broadcast.replicated}
+	if known && beat.Sequence <= e.known.Sequence {
+		return e.at(now), Change{Late: true, Copied: e.told.copied}
 	}
 	if !known {
-		e = &entry{endpoint: state.Endpoint{ID: id}}
+		e = &entry{known: state.Endpoint{ID: id}}
 		t.entries[id] = e
 	}
-	moved := e.endpoint.Address != beat.Address
-	before := e.endpoint
-	t.applyHeartbeat(now, e, beat)
-	change := Change{New: !known, Broadcast: e.needsBroadcast(before) || beat.Closing && !e.broadcast.replicated}
+	moved := e.known.Address != beat.Address
+	before := e.known
+	t.apply(now, e, beat)
+	change := Change{New: !known, Spread: e.matters(before) || beat.Closing && !e.told.copied}
 	if moved {
-		t.markOthersSilent(e)
+		t.silenceOthersAt(e)
 	}
-	if change.Broadcast {
-		t.recordChange(e)
-		t.recordBroadcast(e)
+	if change.Spread {
+		t.touch(e)
+		t.tell(e)
 	}
-	change.Replicated = e.broadcast.replicated
-	return e.snapshotAt(now), change
+	change.Copied = e.told.copied
+	return e.at(now), change
 }
 
-// applyHeartbeat writes a heartbeat into an entry.
-func (t *Table) applyHeartbeat(now time.Time, e *entry, beat Heartbeat) {
-	e.endpoint.Service, e.endpoint.Address, e.endpoint.Zone = beat.Service, beat.Address, beat.Zone
-	e.endpoint.Edition, e.endpoint.Slots, e.endpoint.Models = beat.Edition, beat.Slots, beat.Models
-	e.endpoint.State = state.Accepting
+// apply writes a heartbeat into an entry.
+func (t *Table) apply(now time.Time, e *entry, beat Beat) {
+	e.known.Service, e.known.Address, e.known.Zone = beat.Service, beat.Address, beat.Zone
+	e.known.Edition, e.known.Slots, e.known.Models = beat.Edition, beat.Slots, beat.Models
+	e.known.State = state.Accepting
 	if beat.Closing {
-		e.endpoint.State = state.Closing
+		e.known.State = state.Closing
 	}
-	e.endpoint.Sequence = beat.Sequence
-	e.endpoint.Silent = false
-	e.endpoint.Failing = e.outlier.isEjected(now, t.options.HeartbeatInterval, e.lastHeartbeat)
-	e.endpoint.Receiver = t.options.Self
-	e.warmUpEnds = deadline(now, beat.WarmUpRemaining)
-	e.removalDue = deadline(now, beat.Remaining)
-	e.lastHeartbeat, e.responsible = now, true
-	e.goneSince = time.Time{}
+	e.known.Sequence = beat.Sequence
+	e.known.Silent = false
+	e.known.Failing = e.failing.holds(now, t.options.BeatInterval, e.heard)
+	e.known.Receiver = t.options.Self
+	e.coldUntil = deadline(now, beat.ColdLeft)
+	e.takenAt = deadline(now, beat.Remaining)
+	e.heard, e.judged = now, true
+	e.goneAt = time.Time{}
 }
 
-// needsBroadcast tells whether the other members must hear of an entry that was as before when they last might have.
-func (e *entry) needsBroadcast(before state.Endpoint) bool {
-	if !e.broadcast.exists || !isEquivalent(before, e.endpoint) {
+// matters tells whether the other members must hear of an entry that was as before when they last might have.
+func (e *entry) matters(before state.Endpoint) bool {
+	if !e.told.any || !alike(before, e.known) {
 		return true
 	}
-	coldLonger := e.warmUpEnds.After(e.broadcast.warmUpEnds.Add(timeTolerance))
-	coldOver := e.warmUpEnds.IsZero() && !e.broadcast.warmUpEnds.IsZero()
-	takenSooner := !e.removalDue.IsZero() &&
-		(e.broadcast.removalDue.IsZero() || e.removalDue.Before(e.broadcast.removalDue.Add(-timeTolerance)))
+	coldLonger := e.coldUntil.After(e.told.coldUntil.Add(timeSlack))
+	coldOver := e.coldUntil.IsZero() && !e.told.coldUntil.IsZero()
+	takenSooner := !e.takenAt.IsZero() &&
+		(e.told.takenAt.IsZero() || e.takenAt.Before(e.told.takenAt.Add(-timeSlack)))
 	return coldLonger || coldOver || takenSooner
 }
 
-// isEquivalent tells whether two states of an endpoint mean the same to all who send it requests or judge it.
-func isEquivalent(a, b state.Endpoint) bool {
+// alike tells whether two states of an endpoint mean the same to all who send it requests or judge it.
+func alike(a, b state.Endpoint) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Edition == b.Edition &&
 		a.Slots == b.Slots && a.State == b.State && a.Silent == b.Silent && a.Failing == b.Failing &&
 		a.Receiver == b.Receiver &&
-		slices.EqualFunc(a.Models, b.Models, isSameModel)
+		slices.EqualFunc(a.Models, b.Models, sameModel)
 }
 
-func isSameModel(a, b state.Model) bool {
+func sameModel(a, b state.Model) bool {
 	return a.Name == b.Name && a.Edition == b.Edition && slices.Equal(a.Adapters, b.Adapters)
 }
 
 // SignOff takes in that an endpoint has signed off. It may serve on for a while what it has; it never comes back.
 func (t *Table) SignOff(now time.Time, id string) (state.Endpoint, Change) {
 	e, known := t.entries[id]
-	if known && e.endpoint.Sequence == signedOffSequence {
-		return e.snapshotAt(now), Change{Stale: true, Replicated: e.broadcast.replicated}
+	if known && e.known.Sequence == signedOffSequence {
+		return e.at(now), Change{Late: true, Copied: e.told.copied}
 	}
 	if !known {
-		e = &entry{endpoint: state.Endpoint{ID: id}}
+		e = &entry{known: state.Endpoint{ID: id}}
 		t.entries[id] = e
 	}
-	e.endpoint.Sequence = signedOffSequence
-	e.endpoint.Receiver = t.options.Self
-	t.markGone(now, e)
-	t.recordBroadcast(e)
-	return e.snapshotAt(now), Change{New: !known, Broadcast: true}
+	e.known.Sequence = signedOffSequence
+	e.known.Receiver = t.options.Self
+	t.end(now, e)
+	t.tell(e)
+	return e.at(now), Change{New: !known, Spread: true}
 }
 
-// markGone marks an entry as gone.
-func (t *Table) markGone(now time.Time, e *entry) {
-	e.endpoint.State = state.Gone
-	e.endpoint.Silent, e.endpoint.Failing = false, false
-	e.goneSince = now
-	e.warmUpEnds, e.removalDue = time.Time{}, time.Time{}
-	t.recordChange(e)
+// end marks an entry as gone.
+func (t *Table) end(now time.Time, e *entry) {
+	e.known.State = state.Gone
+	e.known.Silent, e.known.Failing = false, false
+	e.goneAt = now
+	e.coldUntil, e.takenAt = time.Time{}, time.Time{}
+	t.touch(e)
 }
 
-// markOthersSilent marks the endpoints that had the address before as silent. They may have ended without a word, and
+// silenceOthersAt marks the endpoints that had the address before as silent. They may have ended without a word, and
 // may have moved.
-func (t *Table) markOthersSilent(owner *entry) {
+func (t *Table) silenceOthersAt(owner *entry) {
 	for _, other := range t.entries {
-		if other == owner || other.endpoint.Address != owner.endpoint.Address {
+		if other == owner || other.known.Address != owner.known.Address {
 			continue
 		}
-		if other.endpoint.State != state.Gone && !other.endpoint.Silent {
-			t.markSilent(other)
+		if other.known.State != state.Gone && !other.known.Silent {
+			t.silence(other)
 		}
 	}
 }
 
-func (t *Table) markSilent(e *entry) {
-	e.endpoint.Silent = true
-	t.recordChange(e)
-	t.pending[e.endpoint.ID] = e
+func (t *Table) silence(e *entry) {
+	e.known.Silent = true
+	t.touch(e)
+	t.pending[e.known.ID] = e
 }
 
-// MarkReplicated notes that another member holds a state of an endpoint. Older states than the last told change nothing.
-func (t *Table) MarkReplicated(held state.Endpoint) {
+// Copied notes that another member holds a state of an endpoint. Older states than the last told change nothing.
+func (t *Table) Copied(held state.Endpoint) {
 	e, known := t.entries[held.ID]
 	if !known {
 		return
 	}
-	if major, minor := Version(held); major == e.broadcast.major && minor == e.broadcast.minor {
-		e.broadcast.replicated = true
+	if major, minor := Version(held); major == e.told.major && minor == e.told.minor {
+		e.told.copied = true
 	}
 }
--- a/serving/endpoints/merge.go
+++ b/serving/endpoints/merge.go
@@ -13,57 +13,57 @@
 		return false
 	}
 	e, known := t.entries[told.ID]
-	if known && !isNewer(told, e.endpoint) {
-		t.correctStaleUpdate(e, told)
+	if known && !newer(told, e.known) {
+		t.answerOlder(e, told)
 		return false
 	}
 	if !known {
 		e = &entry{}
 		t.entries[told.ID] = e
 	}
-	moved := e.endpoint.Address != told.Address
-	t.adoptUpdate(now, e, told)
+	moved := e.known.Address != told.Address
+	t.adopt(now, e, told)
 	if moved && told.State != state.Gone && !told.Silent {
-		t.markPredecessorsSilent(e)
+		t.silenceJudgedAt(e)
 	}
 	return true
 }
 
-// adoptUpdate makes what another member has told what this one knows.
-func (t *Table) adoptUpdate(now time.Time, e *entry, told state.Endpoint) {
+// adopt makes what another member has told what this one knows.
+func (t *Table) adopt(now time.Time, e *entry, told state.Endpoint) {
 	if told.Service == "" { // signed off where nothing was known of it
-		told.Service, told.Address, told.Zone = e.endpoint.Service, e.endpoint.Address, e.endpoint.Zone
-		told.Edition, told.Slots, told.Models = e.endpoint.Edition, e.endpoint.Slots, e.endpoint.Models
+		told.Service, told.Address, told.Zone = e.known.Service, e.known.Address, e.known.Zone
+		told.Edition, told.Slots, told.Models = e.known.Edition, e.known.Slots, e.known.Models
 	}
-	if told.State == state.Gone && e.endpoint.State != state.Gone {
-		e.goneSince = now
+	if told.State == state.Gone && e.known.State != state.Gone {
+		e.goneAt = now
 	}
-	e.warmUpEnds = deadline(now, time.Duration(told.ColdLeftMillis)*time.Millisecond)
-	e.removalDue = deadline(now, time.Duration(told.RemainingMillis)*time.Millisecond)
-	e.endpoint = told
-	e.lastHeartbeat, e.responsible = now, false
-	t.recordChange(e)
-	t.recordBroadcast(e)
-	e.broadcast.replicated = true
+	e.coldUntil = deadline(now, time.Duration(told.ColdLeftMillis)*time.Millisecond)
+	e.takenAt = deadline(now, time.Duration(told.RemainingMillis)*time.Millisecond)
+	e.known = told
+	e.heard, e.judged = now, false
+	t.touch(e)
+	t.tell(e)
+	e.told.copied = true
 }
 
-// correctStaleUpdate has the others told again where they hold old news that says something else. News of the same version
+// answerOlder has the others told again where they hold old news that says something else. News of the same version
 // changes nothing: it may be this member's own word, come back from its spread.
-func (t *Table) correctStaleUpdate(e *entry, told state.Endpoint) {
-	if isNewer(e.endpoint, told) && e.endpoint.Receiver == t.options.Self && !isEquivalent(e.endpoint, told) {
-		t.pending[e.endpoint.ID] = e
+func (t *Table) answerOlder(e *entry, told state.Endpoint) {
+	if newer(e.known, told) && e.known.Receiver == t.options.Self && !alike(e.known, told) {
+		t.pending[e.known.ID] = e
 	}
 }
 
-// markPredecessorsSilent marks those endpoints as silent that had the address before and are judged here. The members that
+// silenceJudgedAt marks those endpoints as silent that had the address before and are judged here. The members that
 // judge others do the same.
-func (t *Table) markPredecessorsSilent(owner *entry) {
+func (t *Table) silenceJudgedAt(owner *entry) {
 	for _, other := range t.entries {
-		if other == owner || other.endpoint.Address != owner.endpoint.Address || other.endpoint.State == state.Gone {
+		if other == owner || other.known.Address != owner.known.Address || other.known.State == state.Gone {
 			continue
 		}
-		if !other.endpoint.Silent && t.options.IsResponsibleFor(other.endpoint.Receiver) {
-			t.markSilent(other)
+		if !other.known.Silent && t.options.Judges(other.known.Receiver) {
+			t.silence(other)
 		}
 	}
 }
--- a/serving/endpoints/owner.go
+++ b/serving/endpoints/owner.go
@@ -7,67 +7,65 @@
 	"rowanlink/serving/state"
 )
 
-// SharedTable runs a table in a goroutine of its own and gives it the time. It is safe for use by several goroutines.
+// Owner runs a table in a goroutine of its own and gives it the time. It is safe for use by several goroutines.
 // After Stop all calls return zero values and false.
-type SharedTable struct {
+type Owner struct {
 	table *actor.Owner[Table]
 	clock func() time.Time
 }
 
 // Start makes a table and its owner. The clock is time.Now outside tests.
-func Start(options Options, clock func() time.Time) *SharedTable {
-	return &SharedTable{table: actor.Start(NewTable(options)), clock: clock}
+func Start(options Options, clock func() time.Time) *Owner {
+	return &Owner{table: actor.Start(NewTable(options)), clock: clock}
 }
 
 // Stop ends the goroutine.
-func (o *SharedTable) Stop() { o.table.Stop() }
+func (o *Owner) Stop() { o.table.Stop() }
 
-// heartbeatResult is what a call of an endpoint returns.
-type heartbeatResult struct {
+// called is what a call of an endpoint returns.
+type called struct {
 	endpoint state.Endpoint
 	change   Change
 }
 
-// ReceiveHeartbeat is Table.Beat.
-func (o *SharedTable) ReceiveHeartbeat(id string, beat Heartbeat) (state.Endpoint, Change, bool) {
-	result, ok := actor.Ask(o.table, func(t *Table) heartbeatResult {
-		endpoint, change := t.ReceiveHeartbeat(o.clock(), id, beat)
-		return heartbeatResult{endpoint, change}
+// Beat is Table.Beat.
+func (o *Owner) Beat(id string, beat Beat) (state.Endpoint, Change, bool) {
+	result, ok := actor.Ask(o.table, func(t *Table) called {
+		endpoint, change := t.Beat(o.clock(), id, beat)
+		return called{endpoint, change}
 	})
 	return result.endpoint, result.change, ok
 }
 
 // SignOff is Table.SignOff.
-func (o *SharedTable) SignOff(id string) (state.Endpoint, Change, bool) {
-	result, ok := actor.Ask(o.table, func(t *Table) heartbeatResult {
+func (o *Owner) SignOff(id string) (state.Endpoint, Change, bool) {
+	result, ok := actor.Ask(o.table, func(t *Table) called {
 		endpoint, change := t.SignOff(o.clock(), id)
-		return heartbeatResult{endpoint, change}
+		return called{endpoint, change}
 	})
 	return result.endpoint, result.change, ok
 }
 
-// observationResult is what an observation returns.
-type observationResult struct {
+// marked is what an observation returns.
+type marked struct {
 	endpoint state.Endpoint
 	marked   bool
 }
 
-// RecordObservation is Table.RecordObservation.
-func (o *SharedTable) RecordObservation(observer string, told state.Observation) (state.Endpoint, bool, bool) {
-	result, ok := actor.Ask(o.table, func(t *Table) observationResult {
-		endpoint, news := t.RecordObservation(o.clock(), observer, told)
-		return observationResult{endpoint: endpoint, marked: news}
+// Observe is Table.Observe.
+func (o *Owner) Observe(observer string, told state.Observation) (state.Endpoint, bool, bool) {
+	result, ok := actor.Ask(o.table, func(t *Table) marked {
+		endpoint, news := t.Observe(o.clock(), observer, told)
+		return marked{endpoint: endpoint, marked: news}
 	})
 	return result.endpoint, result.marked, ok
 }
 
-// MarkReplicated is Table.MarkReplicated. It doesn't wait.
-func (o *SharedTable) MarkReplicated(held state.Endpoint) {
-	o.table.Tell(func(t *Table) { t.MarkReplicated(held) })
-}
+// Copied is Table.Copied. It doesn't wait.
+func (o *Owner) Copied(held state.Endpoint) { o.table.Tell(func(t *Table) { t.Copied(held) }) }
 
 // Merge is Table.Merge. It doesn't wait; news, where not nil, is called by the owner's goroutine if there was news.
-func (o *SharedTable) Merge(told state.Endpoint, news func()) {
+func (o *Owner) Merge(told state.Endpoint, news func()) {
 	o.table.Tell(func(t *Table) {
 		if t.Merge(o.clock(), told) && news != nil {
 			news()
@@ -76,35 +74,35 @@
 }
 
 // Restore is Table.Restore.
-func (o *SharedTable) Restore(kept state.Endpoint) bool {
+func (o *Owner) Restore(kept state.Endpoint) bool {
 	taken, _ := actor.Ask(o.table, func(t *Table) bool { return t.Restore(o.clock(), kept) })
 	return taken
 }
 
 // Sweep is Table.Sweep.
-func (o *SharedTable) Sweep() []state.Endpoint {
+func (o *Owner) Sweep() []state.Endpoint {
 	list, _ := actor.Ask(o.table, func(t *Table) []state.Endpoint { return t.Sweep(o.clock()) })
 	return list
 }
 
 // Live is Table.Live.
-func (o *SharedTable) Live() []state.Endpoint {
+func (o *Owner) Live() []state.Endpoint {
 	list, _ := actor.Ask(o.table, func(t *Table) []state.Endpoint { return t.Live(o.clock()) })
 	return list
 }
 
 // Delta is what Table.Changes returns.
 type Delta struct {
-	Changed  []state.Endpoint
-	Removed  []string
-	Position uint64
-	Complete bool
+	Changed   []state.Endpoint
+	Forgotten []string
+	Position  uint64
+	Complete  bool
 }
 
-// ChangesSince is Table.ChangesSince.
-func (o *SharedTable) ChangesSince(since uint64) (Delta, bool) {
+// Changes is Table.Changes.
+func (o *Owner) Changes(since uint64) (Delta, bool) {
 	return actor.Ask(o.table, func(t *Table) (delta Delta) {
-		delta.Changed, delta.Removed, delta.Position, delta.Complete = t.ChangesSince(o.clock(), since)
+		delta.Changed, delta.Forgotten, delta.Position, delta.Complete = t.Changes(o.clock(), since)
 		return delta
 	})
 }
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -47,9 +47,9 @@
 
 // Endpoints is the table of endpoints; endpoints.Owner is one. The last result is false once it has stopped.
 type Endpoints interface {
-	ReceiveHeartbeat(id string, beat endpoints.Heartbeat) (state.Endpoint, endpoints.Change, bool)
+	Beat(id string, beat endpoints.Beat) (state.Endpoint, endpoints.Change, bool)
 	SignOff(id string) (state.Endpoint, endpoints.Change, bool)
-	MarkReplicated(held state.Endpoint)
+	Copied(held state.Endpoint)
 }
 
 // Spread tells the other members of endpoints.
--- a/serving/placement/placement.go
+++ b/serving/placement/placement.go
@@ -40,7 +40,7 @@
 	Endpoints []state.Endpoint
 	Loads     []state.Load
 	Record    *state.Record
-	Proxies   subscription.ProxyCounts
+	Proxies   subscription.Proxies
 }
 
 // PrefixBlock is a part of a prompt. Equal IDs after equal parts stand for equal tokens.
--- a/serving/proxy/knowledge.go
+++ b/serving/proxy/knowledge.go
@@ -16,7 +16,7 @@
 	record    *state.Record
 	table     *routing.Table // of the newest configuration that could be read; nil: none yet
 	endpoints map[string]state.Endpoint
-	proxies   subscription.ProxyCounts
+	proxies   subscription.Proxies
 	cursor    subscription.Cursor
 }
 
@@ -30,7 +30,7 @@
 	for _, endpoint := range response.Endpoints {
 		k.endpoints[endpoint.ID] = endpoint
 	}
-	for _, id := range response.Removed {
+	for _, id := range response.Forgotten {
 		delete(k.endpoints, id)
 	}
 	k.proxies = response.Proxies
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -152,8 +152,8 @@
 	if err := p.known.take(response); err != nil {
 		event.ConfigurationInvalid.Log(p.log).Err(err).Send()
 	}
-	p.proxies.Store(int64(max(p.known.proxies.MaxRunning, p.known.proxies.Live)))
-	p.retry.SetProxies(p.known.proxies.MaxRunning)
+	p.proxies.Store(int64(max(p.known.proxies.Most, p.known.proxies.Live)))
+	p.retry.SetProxies(p.known.proxies.Most)
 	p.placer.Update(time.Now(), p.known.view(response.Loads))
 	if after := p.known.table; after != before {
 		p.table.Store(after)
--- a/serving/proxy/watcher.go
+++ b/serving/proxy/watcher.go
@@ -89,7 +89,7 @@
 	w.gather()
 	request := subscription.Request{
 		Since: w.cursor, WaitMillis: pollWait.Milliseconds(), Incarnation: w.incarnation,
-		State: w.begin(cancel), Observations: w.pending, ClientAddress: w.front,
+		State: w.begin(cancel), Observations: w.pending, Front: w.front,
 	}
 	response, err = subscription.Watch.Call(ctx, w.client, w.address, &request)
 	interrupted = w.end()
