--- a/cluster/shardmap/known.go
+++ b/cluster/shardmap/known.go
@@ -19,7 +19,7 @@
 // late or said twice, and a member that was offered it is its owner from its own record on.
 type CustodyTable struct {
 	records  map[WebhookID]*CustodyRecord
-	expiries timerqueue.Times[WebhookID]
+	expiries timerqueue.Queue[WebhookID]
 }
 
 // NewCustodyTable has the records of an earlier life, the last of each name. held tells what that life still owes.
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -66,7 +66,7 @@
 func (f *fakeMesh) SetClientAddress(front string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.self.Front = front
+	f.self.ProxyAddress = front
 }
 
 func (f *fakeMesh) announced() []state.MemberState {
@@ -112,7 +112,7 @@
 	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
 	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", BeatInterval: time.Second})
 	a := newAgent(process, &log, fake, table)
-	a.stateOwner.Tell(func(s *agentState) { s.confirmRevision(0) })
+	a.stateOwner.Send(func(s *agentState) { s.confirmRevision(0) })
 	forwarded := make(chan []state.Observation, 100)
 	return &testAgent{
 		agent:        a,
--- a/serving/placement/estimate_test.go
+++ b/serving/placement/estimate_test.go
@@ -91,7 +91,7 @@
 	choice, _ := w.Pick(w.now, request)
 	e := choice.Reservation.call.endpoint
 	window := e.window
-	w.ReportOutcome(w.now.Add(time.Millisecond), choice.Reservation, attempt.Refused)
+	w.ReportOutcome(w.now.Add(time.Millisecond), choice.Reservation, attempt.Rejected)
 	assert.Equal(t, window, e.window)
 	assert.False(t, w.now.Before(e.health.backoffUntil))
 }
@@ -103,7 +103,7 @@
 	w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
 	for index := range w.view.Endpoints {
 		if info := &w.view.Endpoints[index]; info.ID == first.Endpoint.ID {
-			info.Sequence, info.ColdLeftMillis = 2, 60_000
+			info.Sequence, info.WarmupLeftMillis = 2, 60_000
 		}
 	}
 	w.tell()
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -58,7 +58,7 @@
 	w.ReportOutcome(w.now, out[0], attempt.Succeeded) // twice is ignored
 	assert.Equal(t, first+1, e.window)
 	for _, ticket := range out[1:] {
-		w.ReportOutcome(w.now, ticket, attempt.Refused)
+		w.ReportOutcome(w.now, ticket, attempt.Rejected)
 	}
 	assert.Equal(t, (first+1)/2, e.window)
 	assert.Equal(t, 0, e.inFlight)
@@ -111,7 +111,7 @@
 
 	w.now = e.health.backoffUntil.Add(time.Millisecond)
 	for index := 1; index < 4; index++ { // probes are the only way left
-		w.view.Endpoints[index].State = state.Closing
+		w.view.Endpoints[index].State = state.EndpointDraining
 	}
 	w.tell()
 	e.service.majorityEjected = false
