--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -37,7 +37,7 @@
 	// Members returns the live members, this one included.
 	Members() []state.Member
 	DownMembers() []state.Member
-	CountProxies() subscription.Proxies
+	CountProxies() subscription.ProxyCounts
 	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
 	SetClientAddress(string)
--- a/serving/agent/agentstate.go
+++ b/serving/agent/agentstate.go
@@ -49,7 +49,7 @@
 }
 
 // tick applies what depends on time: it updates the proxy counts and wakes polls that had been withheld.
-func (s *agentState) tick(now time.Time, proxies subscription.Proxies, synced bool) {
+func (s *agentState) tick(now time.Time, proxies subscription.ProxyCounts, synced bool) {
 	s.updates.setProxies(proxies)
 	s.updates.sweepEndpoints(now)
 	if synced {
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -24,7 +24,7 @@
 	mutex       sync.Mutex
 	self        state.Member
 	others      []state.Member
-	proxies     subscription.Proxies
+	proxies     subscription.ProxyCounts
 	subscribers map[gossip.TableID]func(gossip.Entry)
 	states      []state.MemberState // announced by the agent, in order
 	left        bool
@@ -50,7 +50,7 @@
 func (f *fakeMesh) DownMembers() []state.Member   { return nil }
 func (f *fakeMesh) RoleClaims() []singleton.Claim { return nil }
 
-func (f *fakeMesh) CountProxies() subscription.Proxies {
+func (f *fakeMesh) CountProxies() subscription.ProxyCounts {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.proxies
@@ -110,7 +110,7 @@
 	fake := newFakeMesh()
 	log := zerolog.Nop()
 	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
-	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", BeatInterval: time.Second})
+	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", HeartbeatInterval: time.Second})
 	a := newAgent(process, &log, fake, table)
 	a.stateOwner.Send(func(s *agentState) { s.confirmRevision(0) })
 	forwarded := make(chan []state.Observation, 100)
@@ -147,5 +147,5 @@
 
 // newWaitingRequest returns a request that waits for up to five seconds.
 func newWaitingRequest(since subscription.Cursor, reported state.MemberState) *subscription.Request {
-	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, Front: "10.0.0.1:80"}
+	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, ClientAddress: "10.0.0.1:80"}
 }
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	request := exchange.ObserveRequest{Observer: f.observer, Observations: observations}
-	_, _ = exchange.Observe.Call(ctx, f.client, address, &request)
+	_, _ = exchange.ObserveMethod.Call(ctx, f.client, address, &request)
 }
 
 // groupByAddress groups observations by the core member that judges the endpoint: its receiver or, if that isn't live,
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -36,7 +36,7 @@
 func TestObservationForwarder_Forwards(t *testing.T) {
 	received := make(chan *exchange.ObserveRequest, 1)
 	mux := http.NewServeMux()
-	exchange.Observe.Serve(mux, func(_ context.Context, r *exchange.ObserveRequest) (*exchange.ObserveResponse, error) {
+	exchange.ObserveMethod.Serve(mux, func(_ context.Context, r *exchange.ObserveRequest) (*exchange.ObserveResponse, error) {
 		received <- r
 		return &exchange.ObserveResponse{}, nil
 	})
--- a/serving/agent/proxymonitor.go
+++ b/serving/agent/proxymonitor.go
@@ -31,8 +31,8 @@
 	m.lastPoll = now
 	m.reportedState = request.State
 	m.disconnected = false
-	if request.Front != "" {
-		m.front = request.Front
+	if request.ClientAddress != "" {
+		m.front = request.ClientAddress
 	}
 }
 
--- a/serving/agent/proxymonitor_test.go
+++ b/serving/agent/proxymonitor_test.go
@@ -16,7 +16,7 @@
 var epoch = time.Unix(1_000_000, 0)
 
 func newPollRequest(incarnation uint64, reported state.MemberState) *subscription.Request {
-	return &subscription.Request{Incarnation: incarnation, State: reported, Front: "10.0.0.1:80"}
+	return &subscription.Request{Incarnation: incarnation, State: reported, ClientAddress: "10.0.0.1:80"}
 }
 
 func TestProxyMonitor_ReportsTheProxysStateWhileItPolls(t *testing.T) {
--- a/serving/agent/publisher.go
+++ b/serving/agent/publisher.go
@@ -15,8 +15,8 @@
 type endpointTable interface {
 	// Merge applies an entry and reports whether it changed the table.
 	Merge(now time.Time, endpoint state.Endpoint) bool
-	// Changes returns what has changed since a position; complete: what it returns is the whole table.
-	Changes(now time.Time, since uint64) (changed []state.Endpoint, forgotten []string, position uint64, complete bool)
+	// ChangesSince returns what has changed since a position; complete: what it returns is the whole table.
+	ChangesSince(now time.Time, since uint64) (changed []state.Endpoint, forgotten []string, position uint64, complete bool)
 	// Get returns an endpoint.
 	Get(now time.Time, id string) (state.Endpoint, bool)
 	// Sweep removes endpoints that have been gone for long.
@@ -29,7 +29,7 @@
 	endpointsPosition uint64 // in the table of endpoints
 	loadsPosition     uint64 // in the table of loads
 	revision          uint64 // of the record
-	proxies           subscription.Proxies
+	proxies           subscription.ProxyCounts
 	partial           bool // a snapshot was due, but the agent wasn't synced when it was sent
 }
 
@@ -40,7 +40,7 @@
 	endpoints   endpointTable
 	record      *state.Record // nil: none known yet
 	loads       loadTable
-	proxies     subscription.Proxies
+	proxies     subscription.ProxyCounts
 	synced      bool // the data counts as complete
 	position    uint64
 	checkpoints [checkpointsRetained]checkpoint // ring, by position
@@ -91,7 +91,7 @@
 }
 
 // setProxies stores the counts of proxies.
-func (p *publisher) setProxies(proxies subscription.Proxies) {
+func (p *publisher) setProxies(proxies subscription.ProxyCounts) {
 	if p.proxies != proxies {
 		p.proxies = proxies
 		p.notifySubscriber()
@@ -113,13 +113,13 @@
 	if !found || base.partial && p.synced {
 		return p.snapshot(now), true
 	}
-	changed, forgotten, endpointsPosition, complete := p.endpoints.Changes(now, base.endpointsPosition)
+	changed, forgotten, endpointsPosition, complete := p.endpoints.ChangesSince(now, base.endpointsPosition)
 	if complete && base.endpointsPosition != 0 { // at position 0 the table was empty: the whole table is the delta
 		return p.snapshot(now), true
 	}
 	response := &subscription.Response{
 		Endpoints: changed,
-		Forgotten: forgotten,
+		Removed:   forgotten,
 		Loads:     p.loads.changesSince(base.loadsPosition),
 		Proxies:   p.proxies,
 	}
@@ -137,14 +137,14 @@
 func isEmpty(response *subscription.Response) bool {
 	return response.Record == nil &&
 		len(response.Endpoints) == 0 &&
-		len(response.Forgotten) == 0 &&
+		len(response.Removed) == 0 &&
 		len(response.Loads) == 0
 }
 
 // snapshot returns all data. A proxy drops what isn't in a complete snapshot; an agent that isn't synced may not have
 // met a member that knows more, and so leaves the proxy what it has.
 func (p *publisher) snapshot(now time.Time) *subscription.Response {
-	endpoints, _, endpointsPosition, _ := p.endpoints.Changes(now, 0)
+	endpoints, _, endpointsPosition, _ := p.endpoints.ChangesSince(now, 0)
 	return &subscription.Response{
 		Cursor:    p.addCheckpoint(endpointsPosition, !p.synced),
 		Complete:  p.synced,
@@ -179,12 +179,12 @@
 		proxies:           p.proxies,
 		partial:           partial,
 	}
-	return subscription.Cursor{Life: p.incarnation, Position: p.position}
+	return subscription.Cursor{Incarnation: p.incarnation, Position: p.position}
 }
 
 // findCheckpoint returns the checkpoint of a cursor. The zero cursor has none.
 func (p *publisher) findCheckpoint(cursor subscription.Cursor) (checkpoint, bool) {
 	retained := p.checkpoints[cursor.Position%checkpointsRetained]
-	found := cursor.Life == p.incarnation && cursor.Position != 0 && retained.position == cursor.Position
+	found := cursor.Incarnation == p.incarnation && cursor.Position != 0 && retained.position == cursor.Position
 	return retained, found
 }
--- a/serving/agent/publisher_test.go
+++ b/serving/agent/publisher_test.go
@@ -14,7 +14,7 @@
 )
 
 func newTestPublisher(incarnation uint64) *publisher {
-	return newPublisher(incarnation, endpoints.NewTable(endpoints.Options{Self: "a", BeatInterval: time.Second}))
+	return newPublisher(incarnation, endpoints.NewTable(endpoints.Options{Self: "a", HeartbeatInterval: time.Second}))
 }
 
 func newEndpoint(id string, sequence uint64) state.Endpoint {
@@ -44,7 +44,7 @@
 	for _, endpoint := range response.Endpoints {
 		r.endpoints[endpoint.ID] = endpoint.Sequence
 	}
-	for _, id := range response.Forgotten {
+	for _, id := range response.Removed {
 		delete(r.endpoints, id)
 	}
 	for _, load := range response.Loads {
@@ -65,10 +65,10 @@
 	p.setRecord(&state.Record{Revision: 3})
 	p.mergeEndpoint(timeAfter(0), newEndpoint("e", 1))
 	p.setLoad(state.Load{EndpointID: "e", Queued: 2})
-	p.setProxies(subscription.Proxies{Live: 4})
+	p.setProxies(subscription.ProxyCounts{Live: 4})
 	second, hasUpdate := p.updateSince(timeAfter(0), proxy.cursor)
 	require.True(t, hasUpdate)
-	assert.Equal(t, subscription.Proxies{Live: 4}, second.Proxies)
+	assert.Equal(t, subscription.ProxyCounts{Live: 4}, second.Proxies)
 	proxy.apply(second)
 	assert.Equal(t, uint64(3), proxy.revision)
 	assert.Equal(t, map[string]uint64{"e": 1}, proxy.endpoints)
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -18,7 +18,7 @@
 }
 
 func listEndpoints(s *agentState) []state.Endpoint {
-	endpoints, _, _, _ := s.updates.endpoints.Changes(time.Now(), 0)
+	endpoints, _, _, _ := s.updates.endpoints.ChangesSince(time.Now(), 0)
 	return endpoints
 }
 
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -73,7 +73,7 @@
 
 // pollUntil polls as a proxy does until the condition on the proxy's copy holds.
 func pollUntil(t *testing.T, client *rpc.Client, address string, proxy *proxyReplica, wanted func() bool) {
-	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 1000}
+	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, ClientAddress: "127.0.0.1:80", WaitMillis: 1000}
 	require.Eventually(t, func() bool {
 		request.Since = proxy.cursor
 		response, err := subscription.Watch.Call(t.Context(), client, address, request)
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -72,7 +72,7 @@
 	if options.PollLoads {
 		poller := loadreport.New(loadreport.Options{
 			Zone:      options.Settings.Zone,
-			Mesh:      mesh,
+			Gossip:    mesh,
 			Endpoints: a.knownEndpoints,
 			Log:       options.Log,
 		})
@@ -89,8 +89,8 @@
 
 func newEndpointTable(process *settings.Process) *endpoints.Table {
 	return endpoints.NewTable(endpoints.Options{
-		Self:         process.NodeName,
-		BeatInterval: process.BeatInterval,
+		Self:              process.NodeName,
+		HeartbeatInterval: process.BeatInterval,
 	})
 }
 
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -68,7 +68,7 @@
 
 	client := rpc.NewClient()
 	defer client.Close()
-	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 5000}
+	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, ClientAddress: "127.0.0.1:80", WaitMillis: 5000}
 	var response *subscription.Response
 	require.Eventually(t, func() (up bool) {
 		var err error
--- a/serving/core/report.go
+++ b/serving/core/report.go
@@ -11,7 +11,7 @@
 type reporter struct {
 	mesh      *member.Service
 	node      *register.Node
-	endpoints *endpoints.Owner
+	endpoints *endpoints.SharedTable
 }
 
 func (r *reporter) report(request introspect.Request) introspect.Report {
@@ -24,7 +24,7 @@
 	}
 	report.SetMembers(r.mesh.Members(), r.mesh.DownMembers())
 	report.SingletonClaims = r.mesh.RoleClaims()
-	if known, ok := r.endpoints.Changes(0); ok {
+	if known, ok := r.endpoints.ChangesSince(0); ok {
 		report.Endpoints = known.Changed
 	}
 	return report
--- a/serving/core/restore.go
+++ b/serving/core/restore.go
@@ -24,7 +24,7 @@
 
 // restoredTable is a table of endpoints that some are restored to.
 type restoredTable interface {
-	Changes(since uint64) (endpoints.Delta, bool)
+	ChangesSince(since uint64) (endpoints.Delta, bool)
 	Restore(kept state.Endpoint) bool
 }
 
@@ -100,7 +100,7 @@
 // missing returns those of the endpoints kept that this member received the heartbeats of, that took requests, and
 // that nobody has told of since the start. One that was closing has said so for an end that may have come.
 func (r *restorer) missing(kept []state.Endpoint) (missing []state.Endpoint) {
-	delta, _ := r.table.Changes(0)
+	delta, _ := r.table.ChangesSince(0)
 	known := make(map[string]bool, len(delta.Changed))
 	for _, endpoint := range delta.Changed {
 		known[endpoint.ID] = true
--- a/serving/core/restore_test.go
+++ b/serving/core/restore_test.go
@@ -75,7 +75,7 @@
 }
 
 // newRestorer makes a restorer of member m for a store; what it asks and tells is noted.
-func newRestorer(t *testing.T, kept *memoryStore, table *endpoints.Owner) (r *restorer, asked, told *[]string) {
+func newRestorer(t *testing.T, kept *memoryStore, table *endpoints.SharedTable) (r *restorer, asked, told *[]string) {
 	log := zerolog.Nop()
 	asked, told = &[]string{}, &[]string{}
 	return &restorer{self: "m", store: kept, latest: committed(t), table: table, log: &log,
@@ -90,8 +90,8 @@
 		}}, asked, told
 }
 
-func newTable(t *testing.T) *endpoints.Owner {
-	table := endpoints.Start(endpoints.Options{Self: "m", BeatInterval: time.Second}, time.Now)
+func newTable(t *testing.T) *endpoints.SharedTable {
+	table := endpoints.Start(endpoints.Options{Self: "m", HeartbeatInterval: time.Second}, time.Now)
 	t.Cleanup(table.Stop)
 	return table
 }
@@ -103,7 +103,7 @@
 		saved.kept[endpoint.ID] = endpoint
 	}
 	table := newTable(t)
-	table.Beat("beat", endpoints.Beat{Service: "plain", Address: "beat:80", Zone: "z", Sequence: 8})
+	table.ReceiveHeartbeat("beat", endpoints.Heartbeat{Service: "plain", Address: "beat:80", Zone: "z", Sequence: 8})
 	r, asked, told := newRestorer(t, saved, table)
 	r.run(t.Context())
 	assert.ElementsMatch(t, []string{"lives/health", "dead/health"}, *asked)
@@ -128,7 +128,7 @@
 func TestRestoringGivesUpWithoutARecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		saved := &memoryStore{kept: map[string]state.Endpoint{"lives": kept("lives", "m", state.EndpointAccepting)}}
-		table := endpoints.Start(endpoints.Options{Self: "m", BeatInterval: time.Second}, time.Now)
+		table := endpoints.Start(endpoints.Options{Self: "m", HeartbeatInterval: time.Second}, time.Now)
 		defer table.Stop()
 		r, asked, _ := newRestorer(t, saved, table)
 		r.latest = func() (state.Record, bool) { return state.Record{}, false }
@@ -147,7 +147,7 @@
 		log := zerolog.Nop()
 		s := &saver{table: table, store: saved, log: &log}
 		beat := func(id string, sequence uint64, closing bool) {
-			table.Beat(id, endpoints.Beat{Service: "plain", Address: id + ":80", Zone: "z", Sequence: sequence,
+			table.ReceiveHeartbeat(id, endpoints.Heartbeat{Service: "plain", Address: id + ":80", Zone: "z", Sequence: sequence,
 				Closing: closing})
 		}
 		beat("a", 1, false)
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -82,8 +82,8 @@
 	}
 	defer node.Close()
 	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
-	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
-		InTouch: touch.HasQuorum, Log: options.Log})
+	table := exchange.Start(life, exchange.Options{Gossip: joined, HeartbeatInterval: process.BeatInterval,
+		HasQuorum: touch.HasQuorum, Log: options.Log})
 	table.Serve(inner)
 	kept := store.OpenEndpointStore(process.StoreDir, options.Log)
 	defer kept.Close()
--- a/serving/core/saver.go
+++ b/serving/core/saver.go
@@ -24,7 +24,7 @@
 
 // endpointSource is a table of endpoints whose changes can be followed; endpoints.Owner is one.
 type endpointSource interface {
-	Changes(since uint64) (endpoints.Delta, bool)
+	ChangesSince(since uint64) (endpoints.Delta, bool)
 }
 
 // saver keeps the copy of the endpoints on disk up to date, without haste: only the process's next start needs it.
@@ -52,11 +52,11 @@
 
 // save saves what has changed since the last time.
 func (s *saver) save() {
-	delta, ok := s.table.Changes(s.position)
+	delta, ok := s.table.ChangesSince(s.position)
 	if !ok || delta.Position == s.position {
 		return
 	}
-	changes := store.EndpointChanges{Removed: delta.Forgotten, Snapshot: delta.Complete}
+	changes := store.EndpointChanges{Removed: delta.Removed, Snapshot: delta.Complete}
 	for _, endpoint := range delta.Changed {
 		if endpoint.State == state.EndpointDeparted {
 			changes.Removed = append(changes.Removed, endpoint.ID)
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -19,11 +19,11 @@
 // sweepInterval is the time between two looks for silent endpoints.
 const sweepInterval = 500 * time.Millisecond
 
-// JudgeDuty is the duty of judging the silence of endpoints whose receiver is not live.
-const JudgeDuty = "judge-endpoints"
+// JudgeRole is the duty of judging the silence of endpoints whose receiver is not live.
+const JudgeRole = "judge-endpoints"
 
-// Mesh is what is needed of the members' mesh; mesh.Mesh is one.
-type Mesh interface {
+// Gossip is what is needed of the members' mesh; mesh.Mesh is one.
+type Gossip interface {
 	Put(entry gossip.Entry)
 	PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error
 	Subscribe(table gossip.TableID, call func(gossip.Entry))
@@ -34,33 +34,33 @@
 
 // Exchange is a table of endpoints and its link to the mesh. It is safe for use by several goroutines.
 type Exchange struct {
-	mesh  Mesh
-	table *endpoints.Owner
-	log   *zerolog.Logger
+	gossip Gossip
+	table  *endpoints.SharedTable
+	log    *zerolog.Logger
 }
 
 // Options of an exchange.
 type Options struct {
-	Mesh         Mesh
-	BeatInterval time.Duration // between two heartbeats of an endpoint
-	// InTouch tells whether this member is in touch with a majority of the voters.
-	InTouch func() bool
-	Log     *zerolog.Logger
+	Gossip            Gossip
+	HeartbeatInterval time.Duration // between two heartbeats of an endpoint
+	// HasQuorum tells whether this member is in touch with a majority of the voters.
+	HasQuorum func() bool
+	Log       *zerolog.Logger
 }
 
 // Start makes a table and keeps it in touch with the mesh until ctx ends.
 func Start(ctx context.Context, options Options) *Exchange {
-	mesh := options.Mesh
-	table := endpoints.Options{Self: mesh.Self().Name, BeatInterval: options.BeatInterval,
-		Judges: judgesBy(mesh, options.InTouch)}
-	x := &Exchange{mesh: mesh, table: endpoints.Start(table, time.Now), log: options.Log}
-	mesh.Subscribe(gossip.TableEndpoints, x.take)
+	mesh := options.Gossip
+	table := endpoints.Options{Self: mesh.Self().Name, HeartbeatInterval: options.HeartbeatInterval,
+		IsResponsibleFor: newResponsibility(mesh, options.HasQuorum)}
+	x := &Exchange{gossip: mesh, table: endpoints.Start(table, time.Now), log: options.Log}
+	mesh.Subscribe(gossip.TableEndpoints, x.merge)
 	go x.run(ctx)
 	return x
 }
 
 // Table returns the table. It ends with the context that Start was given.
-func (x *Exchange) Table() *endpoints.Owner { return x.table }
+func (x *Exchange) Table() *endpoints.SharedTable { return x.table }
 
 func (x *Exchange) run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
@@ -88,8 +88,8 @@
 	}
 }
 
-// take merges an entry that the mesh has taken in.
-func (x *Exchange) take(entry gossip.Entry) {
+// merge merges an entry that the mesh has taken in.
+func (x *Exchange) merge(entry gossip.Entry) {
 	endpoint, err := endpoints.Decode(entry.Value)
 	if err != nil {
 		event.EndpointUnreadable.Log(x.log).Str("endpoint", entry.Key).Err(err).Send()
@@ -100,25 +100,25 @@
 
 // Put tells the other members of an endpoint and doesn't wait.
 func (x *Exchange) Put(endpoint state.Endpoint) {
-	entry, err := entryOf(endpoint)
+	entry, err := encodeEntry(endpoint)
 	if err != nil {
 		event.EndpointUnreadable.Log(x.log).Str("endpoint", endpoint.ID).Err(err).Send()
 		return
 	}
-	x.mesh.Put(entry)
+	x.gossip.Put(entry)
 }
 
 // PutReplicated tells the other members and returns when so many of those at the addresses hold the endpoint. Errors are
 // the mesh's.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, addresses []string, copies int) error {
-	entry, err := entryOf(endpoint)
+	entry, err := encodeEntry(endpoint)
 	if err != nil {
 		return err
 	}
-	return x.mesh.PutReplicated(ctx, entry, addresses, copies)
+	return x.gossip.PutReplicated(ctx, entry, addresses, copies)
 }
 
-func entryOf(endpoint state.Endpoint) (gossip.Entry, error) {
+func encodeEntry(endpoint state.Endpoint) (gossip.Entry, error) {
 	value, err := endpoints.Encode(endpoint)
 	if err != nil {
 		return gossip.Entry{}, err
@@ -128,16 +128,16 @@
 		Value: value}, nil
 }
 
-// judgesBy tells whether this member judges the endpoints of a receiver: its own, and as the holder of the duty those
+// newResponsibility tells whether this member judges the endpoints of a receiver: its own, and as the holder of the duty those
 // of a receiver that isn't live. A member that is cut off from the voters takes the others for dead and the duty for
 // its own; the endpoints that it doesn't hear may be well.
-func judgesBy(mesh Mesh, inTouch func() bool) func(receiver string) bool {
+func newResponsibility(mesh Gossip, inTouch func() bool) func(receiver string) bool {
 	self := mesh.Self().Name
 	return func(receiver string) bool {
 		if receiver == self {
 			return true
 		}
 		live := slices.ContainsFunc(mesh.Members(), func(member state.Member) bool { return member.Name == receiver })
-		return !live && inTouch() && mesh.AcquireRole(JudgeDuty, singleton.Scope{Role: state.RoleCore}).Local
+		return !live && inTouch() && mesh.AcquireRole(JudgeRole, singleton.Scope{Role: state.RoleCore}).Local
 	}
 }
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -21,9 +21,9 @@
 
 // The real parts fit the interfaces.
 var (
-	_ Mesh               = (*member.Service)(nil)
+	_ Gossip             = (*member.Service)(nil)
 	_ operator.Spread    = (*Exchange)(nil)
-	_ operator.Endpoints = (*endpoints.Owner)(nil)
+	_ operator.Endpoints = (*endpoints.SharedTable)(nil)
 )
 
 // fakeMesh gives back each entry to those who subscribe, as the mesh does.
@@ -70,14 +70,14 @@
 	log := zerolog.Nop()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	return Start(ctx, Options{Mesh: f, BeatInterval: time.Second, InTouch: func() bool { return !f.cutOff }, Log: &log})
+	return Start(ctx, Options{Gossip: f, HeartbeatInterval: time.Second, HasQuorum: func() bool { return !f.cutOff }, Log: &log})
 }
 
 func TestSilentAndLostEndpointsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeMesh{live: []state.Member{{Name: "core-1", Address: "a:1"}}}
 		x := start(t, f)
-		endpoint, _, _ := x.Table().Beat("e", endpoints.Beat{Service: "s", Address: "x:1", Sequence: 3})
+		endpoint, _, _ := x.Table().ReceiveHeartbeat("e", endpoints.Heartbeat{Service: "s", Address: "x:1", Sequence: 3})
 		x.Put(endpoint)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
@@ -110,7 +110,7 @@
 					f.live = append(f.live, state.Member{Name: "core-2"})
 				}
 				start(t, f)
-				entry, err := entryOf(state.Endpoint{ID: "e", Service: "s", Receiver: "core-2", Sequence: 4})
+				entry, err := encodeEntry(state.Endpoint{ID: "e", Service: "s", Receiver: "core-2", Sequence: 4})
 				require.NoError(t, err)
 				f.subscriber(entry)
 				f.subscriber(gossip.Entry{Key: "f", Value: []byte{0xff}})
--- a/serving/endpoints/exchange/observations.go
+++ b/serving/endpoints/exchange/observations.go
@@ -9,8 +9,8 @@
 	"rowanlink/serving/state"
 )
 
-// Observe is the call by which an agent tells a core member what its proxy has seen of endpoints.
-var Observe = rpc.Method[ObserveRequest, ObserveResponse]{Procedure: "/rowanlink.endpoints.v1/Observe"}
+// ObserveMethod is the call by which an agent tells a core member what its proxy has seen of endpoints.
+var ObserveMethod = rpc.Method[ObserveRequest, ObserveResponse]{Procedure: "/rowanlink.endpoints.v1/Observe"}
 
 // ObserveRequest is what one proxy has seen.
 type ObserveRequest struct {
@@ -23,9 +23,9 @@
 
 // Serve registers the answer to Observe.
 func (x *Exchange) Serve(mux *http.ServeMux) {
-	Observe.Serve(mux, func(_ context.Context, request *ObserveRequest) (*ObserveResponse, error) {
+	ObserveMethod.Serve(mux, func(_ context.Context, request *ObserveRequest) (*ObserveResponse, error) {
 		for _, told := range request.Observations {
-			endpoint, marked, ok := x.table.Observe(request.Observer, told)
+			endpoint, marked, ok := x.table.RecordObservation(request.Observer, told)
 			if ok && marked {
 				event.EndpointFailing.Log(x.log).Str("endpoint", endpoint.ID).Send()
 				x.Put(endpoint)
--- a/serving/endpoints/exchange/observations_test.go
+++ b/serving/endpoints/exchange/observations_test.go
@@ -19,7 +19,7 @@
 	f := &fakeMesh{live: []state.Member{{Name: "core-1"}}}
 	x := start(t, f)
 	for _, id := range []string{"e", "e2", "e3"} {
-		x.Table().Beat(id, endpoints.Beat{Service: "s", Address: id + ":1", Sequence: 3})
+		x.Table().ReceiveHeartbeat(id, endpoints.Heartbeat{Service: "s", Address: id + ":1", Sequence: 3})
 	}
 	mux := http.NewServeMux()
 	x.Serve(mux)
@@ -29,7 +29,7 @@
 	defer client.Close()
 	for told, observer := range []string{"agent-1", "agent-2"} {
 		require.Len(t, f.told(), 0, "after %d", told)
-		_, err := Observe.Call(t.Context(), client, strings.TrimPrefix(server.URL, "http://"), &ObserveRequest{
+		_, err := ObserveMethod.Call(t.Context(), client, strings.TrimPrefix(server.URL, "http://"), &ObserveRequest{
 			Observer: observer, Observations: []state.Observation{{EndpointID: "e", Failures: 2}, {EndpointID: "other"}}})
 		require.NoError(t, err)
 	}
--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -40,7 +40,7 @@
 	w := &world{now: epoch, tables: map[string]*Table{}, spread: map[string]map[string]state.Endpoint{},
 		faultAt: faultAt, delayed: map[int][]func(){}}
 	for _, name := range []string{"core-1", "core-2", "agent"} {
-		w.tables[name] = NewTable(Options{Self: name, BeatInterval: testInterval})
+		w.tables[name] = NewTable(Options{Self: name, HeartbeatInterval: testInterval})
 		w.spread[name] = map[string]state.Endpoint{}
 	}
 	return w
@@ -96,7 +96,7 @@
 // put is a member's spread taking an entry in: only newer ones reach the table.
 func (w *world) put(member string, endpoint state.Endpoint) {
 	held, known := w.spread[member][endpoint.ID]
-	if known && !newer(endpoint, held) {
+	if known && !isNewer(endpoint, held) {
 		return
 	}
 	w.spread[member][endpoint.ID] = endpoint
@@ -114,11 +114,11 @@
 				assert.True(t, w.heldElsewhere(member, endpoint), "%s acknowledged alone", member)
 			}
 		}()
-		if change.Spread || endpoint.State != state.EndpointAccepting && !change.Copied {
+		if change.Broadcast || endpoint.State != state.EndpointAccepting && !change.Replicated {
 			copies := w.tell(member, endpoint)
 			acknowledged = endpoint.State == state.EndpointAccepting || copies > 0
 			if copies > 0 {
-				w.tables[member].Copied(endpoint)
+				w.tables[member].MarkReplicated(endpoint)
 			}
 		}
 	})
@@ -173,9 +173,9 @@
 		for attempt := 0; ; attempt++ {
 			require.Less(t, attempt, 10)
 			sequence++
-			beat := Beat{Service: "s", Address: "x:1", Sequence: sequence, Closing: closing}
+			beat := Heartbeat{Service: "s", Address: "x:1", Sequence: sequence, Closing: closing}
 			member := []string{"core-1", "core-2"}[attempt%2]
-			if w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.Beat(w.now, "e", beat) }) {
+			if w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.ReceiveHeartbeat(w.now, "e", beat) }) {
 				return
 			}
 		}
@@ -264,6 +264,6 @@
 
 func (w *world) randomBeat(t require.TestingT, id, member string, sequences map[string]uint64, closing bool) {
 	sequences[id]++
-	beat := Beat{Service: "s", Address: id + ":1", Sequence: sequences[id], Closing: closing}
-	w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.Beat(w.now, id, beat) })
+	beat := Heartbeat{Service: "s", Address: id + ":1", Sequence: sequences[id], Closing: closing}
+	w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.ReceiveHeartbeat(w.now, id, beat) })
 }
--- a/serving/endpoints/fuzz_test.go
+++ b/serving/endpoints/fuzz_test.go
@@ -34,7 +34,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, told, again)
 		s := newScript()
-		s.table.Beat(s.now, "own", Beat{Service: "s", Address: "x:1", Sequence: 1, Slots: 1})
+		s.table.ReceiveHeartbeat(s.now, "own", Heartbeat{Service: "s", Address: "x:1", Sequence: 1, Slots: 1})
 		s.table.Merge(s.now, told)
 		assert.False(t, s.table.Merge(s.now, told), "news twice")
 		for range 4 {
--- a/serving/endpoints/merge.go
+++ b/serving/endpoints/merge.go
@@ -13,57 +13,57 @@
 		return false
 	}
 	e, known := t.entries[told.ID]
-	if known && !newer(told, e.known) {
-		t.answerOlder(e, told)
+	if known && !isNewer(told, e.endpoint) {
+		t.correctStaleUpdate(e, told)
 		return false
 	}
 	if !known {
 		e = &entry{}
 		t.entries[told.ID] = e
 	}
-	moved := e.known.Address != told.Address
-	t.adopt(now, e, told)
+	moved := e.endpoint.Address != told.Address
+	t.adoptUpdate(now, e, told)
 	if moved && told.State != state.EndpointDeparted && !told.Unresponsive {
-		t.silenceJudgedAt(e)
+		t.markPredecessorsSilent(e)
 	}
 	return true
 }
 
-// adopt makes what another member has told what this one knows.
-func (t *Table) adopt(now time.Time, e *entry, told state.Endpoint) {
+// adoptUpdate makes what another member has told what this one knows.
+func (t *Table) adoptUpdate(now time.Time, e *entry, told state.Endpoint) {
 	if told.Service == "" { // signed off where nothing was known of it
-		told.Service, told.Address, told.Zone = e.known.Service, e.known.Address, e.known.Zone
-		told.SoftwareVersion, told.Slots, told.Models = e.known.SoftwareVersion, e.known.Slots, e.known.Models
+		told.Service, told.Address, told.Zone = e.endpoint.Service, e.endpoint.Address, e.endpoint.Zone
+		told.SoftwareVersion, told.Slots, told.Models = e.endpoint.SoftwareVersion, e.endpoint.Slots, e.endpoint.Models
 	}
-	if told.State == state.EndpointDeparted && e.known.State != state.EndpointDeparted {
-		e.goneAt = now
+	if told.State == state.EndpointDeparted && e.endpoint.State != state.EndpointDeparted {
+		e.goneSince = now
 	}
-	e.coldUntil = deadline(now, time.Duration(told.WarmupLeftMillis)*time.Millisecond)
-	e.takenAt = deadline(now, time.Duration(told.RemovalInMillis)*time.Millisecond)
-	e.known = told
-	e.heard, e.judged = now, false
-	t.touch(e)
-	t.tell(e)
-	e.told.copied = true
+	e.warmUpEnds = deadline(now, time.Duration(told.WarmupLeftMillis)*time.Millisecond)
+	e.removalDue = deadline(now, time.Duration(told.RemovalInMillis)*time.Millisecond)
+	e.endpoint = told
+	e.lastHeartbeat, e.responsible = now, false
+	t.recordChange(e)
+	t.recordBroadcast(e)
+	e.broadcast.replicated = true
 }
 
-// answerOlder has the others told again where they hold old news that says something else. News of the same version
+// correctStaleUpdate has the others told again where they hold old news that says something else. News of the same version
 // changes nothing: it may be this member's own word, come back from its spread.
-func (t *Table) answerOlder(e *entry, told state.Endpoint) {
-	if newer(e.known, told) && e.known.Receiver == t.options.Self && !alike(e.known, told) {
-		t.pending[e.known.ID] = e
+func (t *Table) correctStaleUpdate(e *entry, told state.Endpoint) {
+	if isNewer(e.endpoint, told) && e.endpoint.Receiver == t.options.Self && !isEquivalent(e.endpoint, told) {
+		t.pending[e.endpoint.ID] = e
 	}
 }
 
-// silenceJudgedAt marks those endpoints as silent that had the address before and are judged here. The members that
+// markPredecessorsSilent marks those endpoints as silent that had the address before and are judged here. The members that
 // judge others do the same.
-func (t *Table) silenceJudgedAt(owner *entry) {
+func (t *Table) markPredecessorsSilent(owner *entry) {
 	for _, other := range t.entries {
-		if other == owner || other.known.Address != owner.known.Address || other.known.State == state.EndpointDeparted {
+		if other == owner || other.endpoint.Address != owner.endpoint.Address || other.endpoint.State == state.EndpointDeparted {
 			continue
 		}
-		if !other.known.Unresponsive && t.options.Judges(other.known.Receiver) {
-			t.silence(other)
+		if !other.endpoint.Unresponsive && t.options.IsResponsibleFor(other.endpoint.Receiver) {
+			t.markSilent(other)
 		}
 	}
 }
--- a/serving/endpoints/outlier_test.go
+++ b/serving/endpoints/outlier_test.go
@@ -20,7 +20,7 @@
 const outlierEndpoints = 10
 
 func newOutliers() *outliers {
-	o := &outliers{Table: NewTable(Options{Self: "self", BeatInterval: testInterval}), now: epoch}
+	o := &outliers{Table: NewTable(Options{Self: "self", HeartbeatInterval: testInterval}), now: epoch}
 	o.beat()
 	return o
 }
@@ -30,9 +30,9 @@
 	o.sequence++
 	for index := range outlierEndpoints {
 		id := fmt.Sprintf("e%d", index)
-		known, change := o.Beat(o.now, id, Beat{Service: "s", Address: id + ":80", Sequence: o.sequence})
+		known, change := o.ReceiveHeartbeat(o.now, id, Heartbeat{Service: "s", Address: id + ":80", Sequence: o.sequence})
 		if index == 0 {
-			first, spread = known, change.Spread
+			first, spread = known, change.Broadcast
 		}
 	}
 	return first, spread
@@ -41,7 +41,7 @@
 // observe tells of an endpoint through so many proxies.
 func (o *outliers) observe(id string, observers, failures int, unacknowledged bool) (marked bool) {
 	for index := range observers {
-		_, news := o.Observe(o.now, fmt.Sprintf("proxy-%d", index),
+		_, news := o.RecordObservation(o.now, fmt.Sprintf("proxy-%d", index),
 			state.Observation{EndpointID: id, Failures: failures, Unacknowledged: unacknowledged})
 		marked = marked || news
 	}
@@ -67,7 +67,7 @@
 			assert.Equal(t, point.marked, o.observe("e0", point.observers, point.failures, point.unacknowledged))
 			after, _ := o.Get(o.now, "e0")
 			assert.Equal(t, point.marked, after.Failing)
-			assert.Equal(t, point.marked, newer(after, before), "others take it for news")
+			assert.Equal(t, point.marked, isNewer(after, before), "others take it for news")
 		})
 	}
 }
@@ -75,8 +75,8 @@
 func TestOldObservationsDontCount(t *testing.T) {
 	o := newOutliers()
 	assert.False(t, o.observe("e0", 1, 5, false))
-	o.now = o.now.Add(observedSpan + time.Millisecond)
-	_, news := o.Observe(o.now, "proxy-9", state.Observation{EndpointID: "e0", Failures: 5})
+	o.now = o.now.Add(reportLifetime + time.Millisecond)
+	_, news := o.RecordObservation(o.now, "proxy-9", state.Observation{EndpointID: "e0", Failures: 5})
 	assert.False(t, news)
 }
 
@@ -106,7 +106,7 @@
 func TestAMarkOutlivesHeartbeatsAndEnds(t *testing.T) {
 	o := newOutliers()
 	assert.True(t, o.observe("e0", 2, 3, false))
-	o.now = o.now.Add(holdFirst - time.Millisecond)
+	o.now = o.now.Add(baseEjectionTime - time.Millisecond)
 	first, _ := o.beat()
 	assert.True(t, first.Failing)
 	o.now = o.now.Add(time.Second)
@@ -118,7 +118,7 @@
 // TestMarksThatReturnLastLonger: an endpoint that fails again and again is held off longer, up to a bound.
 func TestMarksThatReturnLastLonger(t *testing.T) {
 	o := newOutliers()
-	for _, want := range []time.Duration{holdFirst, 2 * holdFirst, 4 * holdFirst, holdMost, holdMost} {
+	for _, want := range []time.Duration{baseEjectionTime, 2 * baseEjectionTime, 4 * baseEjectionTime, maxEjectionTime, maxEjectionTime} {
 		assert.True(t, o.observe("e0", 2, 3, false))
 		marked := o.now
 		for first, _ := o.beat(); first.Failing; first, _ = o.beat() {
@@ -126,10 +126,10 @@
 		}
 		assert.Equal(t, want, o.now.Sub(marked))
 	}
-	o.now = o.now.Add(holdMemory)
+	o.now = o.now.Add(ejectionMemory)
 	o.beat()
 	assert.True(t, o.observe("e0", 2, 3, false))
-	assert.Equal(t, o.now.Add(holdFirst), o.entries["e0"].failing.until, "long ago is forgotten")
+	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil, "long ago is forgotten")
 }
 
 // TestAnEndpointThatWasGoneIsUnmarked: its mark spoke of the life before.
@@ -137,9 +137,9 @@
 	o := newOutliers()
 	for range 4 { // so that the mark is long
 		assert.True(t, o.observe("e0", 2, 3, false))
-		o.entries["e0"].known.Failing = false
+		o.entries["e0"].endpoint.Failing = false
 	}
-	o.now = o.now.Add(resumedBeats*testInterval + time.Millisecond)
+	o.now = o.now.Add(resetAfterIntervals*testInterval + time.Millisecond)
 	first, _ := o.beat()
 	assert.False(t, first.Failing)
 }
--- a/serving/endpoints/owner.go
+++ b/serving/endpoints/owner.go
@@ -7,65 +7,67 @@
 	"rowanlink/serving/state"
 )
 
-// Owner runs a table in a goroutine of its own and gives it the time. It is safe for use by several goroutines.
+// SharedTable runs a table in a goroutine of its own and gives it the time. It is safe for use by several goroutines.
 // After Stop all calls return zero values and false.
-type Owner struct {
+type SharedTable struct {
 	table *actor.Actor[Table]
 	clock func() time.Time
 }
 
 // Start makes a table and its owner. The clock is time.Now outside tests.
-func Start(options Options, clock func() time.Time) *Owner {
-	return &Owner{table: actor.Start(NewTable(options)), clock: clock}
+func Start(options Options, clock func() time.Time) *SharedTable {
+	return &SharedTable{table: actor.Start(NewTable(options)), clock: clock}
 }
 
 // Stop ends the goroutine.
-func (o *Owner) Stop() { o.table.Stop() }
+func (o *SharedTable) Stop() { o.table.Stop() }
 
-// called is what a call of an endpoint returns.
-type called struct {
+// heartbeatResult is what a call of an endpoint returns.
+type heartbeatResult struct {
 	endpoint state.Endpoint
 	change   Change
 }
 
-// Beat is Table.Beat.
-func (o *Owner) Beat(id string, beat Beat) (state.Endpoint, Change, bool) {
-	result, ok := actor.Call(o.table, func(t *Table) called {
-		endpoint, change := t.Beat(o.clock(), id, beat)
-		return called{endpoint, change}
+// ReceiveHeartbeat is Table.Beat.
+func (o *SharedTable) ReceiveHeartbeat(id string, beat Heartbeat) (state.Endpoint, Change, bool) {
+	result, ok := actor.Call(o.table, func(t *Table) heartbeatResult {
+		endpoint, change := t.ReceiveHeartbeat(o.clock(), id, beat)
+		return heartbeatResult{endpoint, change}
 	})
 	return result.endpoint, result.change, ok
 }
 
 // SignOff is Table.SignOff.
-func (o *Owner) SignOff(id string) (state.Endpoint, Change, bool) {
-	result, ok := actor.Call(o.table, func(t *Table) called {
+func (o *SharedTable) SignOff(id string) (state.Endpoint, Change, bool) {
+	result, ok := actor.Call(o.table, func(t *Table) heartbeatResult {
 		endpoint, change := t.SignOff(o.clock(), id)
-		return called{endpoint, change}
+		return heartbeatResult{endpoint, change}
 	})
 	return result.endpoint, result.change, ok
 }
 
-// marked is what an observation returns.
-type marked struct {
+// observationResult is what an observation returns.
+type observationResult struct {
 	endpoint state.Endpoint
 	marked   bool
 }
 
-// Observe is Table.Observe.
-func (o *Owner) Observe(observer string, told state.Observation) (state.Endpoint, bool, bool) {
-	result, ok := actor.Call(o.table, func(t *Table) marked {
-		endpoint, news := t.Observe(o.clock(), observer, told)
-		return marked{endpoint: endpoint, marked: news}
+// RecordObservation is Table.RecordObservation.
+func (o *SharedTable) RecordObservation(observer string, told state.Observation) (state.Endpoint, bool, bool) {
+	result, ok := actor.Call(o.table, func(t *Table) observationResult {
+		endpoint, news := t.RecordObservation(o.clock(), observer, told)
+		return observationResult{endpoint: endpoint, marked: news}
 	})
 	return result.endpoint, result.marked, ok
 }
 
-// Copied is Table.Copied. It doesn't wait.
-func (o *Owner) Copied(held state.Endpoint) { o.table.Send(func(t *Table) { t.Copied(held) }) }
+// MarkReplicated is Table.MarkReplicated. It doesn't wait.
+func (o *SharedTable) MarkReplicated(held state.Endpoint) {
+	o.table.Send(func(t *Table) { t.MarkReplicated(held) })
+}
 
 // Merge is Table.Merge. It doesn't wait; news, where not nil, is called by the owner's goroutine if there was news.
-func (o *Owner) Merge(told state.Endpoint, news func()) {
+func (o *SharedTable) Merge(told state.Endpoint, news func()) {
 	o.table.Send(func(t *Table) {
 		if t.Merge(o.clock(), told) && news != nil {
 			news()
@@ -74,35 +76,35 @@
 }
 
 // Restore is Table.Restore.
-func (o *Owner) Restore(kept state.Endpoint) bool {
+func (o *SharedTable) Restore(kept state.Endpoint) bool {
 	taken, _ := actor.Call(o.table, func(t *Table) bool { return t.Restore(o.clock(), kept) })
 	return taken
 }
 
 // Sweep is Table.Sweep.
-func (o *Owner) Sweep() []state.Endpoint {
+func (o *SharedTable) Sweep() []state.Endpoint {
 	list, _ := actor.Call(o.table, func(t *Table) []state.Endpoint { return t.Sweep(o.clock()) })
 	return list
 }
 
 // Live is Table.Live.
-func (o *Owner) Live() []state.Endpoint {
+func (o *SharedTable) Live() []state.Endpoint {
 	list, _ := actor.Call(o.table, func(t *Table) []state.Endpoint { return t.Live(o.clock()) })
 	return list
 }
 
 // Delta is what Table.Changes returns.
 type Delta struct {
-	Changed   []state.Endpoint
-	Forgotten []string
-	Position  uint64
-	Complete  bool
+	Changed  []state.Endpoint
+	Removed  []string
+	Position uint64
+	Complete bool
 }
 
-// Changes is Table.Changes.
-func (o *Owner) Changes(since uint64) (Delta, bool) {
+// ChangesSince is Table.ChangesSince.
+func (o *SharedTable) ChangesSince(since uint64) (Delta, bool) {
 	return actor.Call(o.table, func(t *Table) (delta Delta) {
-		delta.Changed, delta.Forgotten, delta.Position, delta.Complete = t.Changes(o.clock(), since)
+		delta.Changed, delta.Removed, delta.Position, delta.Complete = t.ChangesSince(o.clock(), since)
 		return delta
 	})
 }
--- a/serving/endpoints/restore.go
+++ b/serving/endpoints/restore.go
@@ -15,7 +15,7 @@
 	}
 	e := &entry{}
 	t.entries[kept.ID] = e
-	t.adopt(now, e, kept)
-	e.told.copied = false // the others may have lost their memory too
+	t.adoptUpdate(now, e, kept)
+	e.broadcast.replicated = false // the others may have lost their memory too
 	return true
 }
--- a/serving/endpoints/restore_test.go
+++ b/serving/endpoints/restore_test.go
@@ -11,7 +11,7 @@
 
 func TestRestoredEndpointGivesWayToWhatIsKnown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	table := NewTable(Options{Self: "m", BeatInterval: time.Second})
+	table := NewTable(Options{Self: "m", HeartbeatInterval: time.Second})
 	kept := state.Endpoint{ID: "i", Service: "s", Address: "a:1", Zone: "z", Sequence: 7, Receiver: "m",
 		WarmupLeftMillis: 2000}
 	assert.True(t, table.Restore(now, kept))
@@ -19,15 +19,15 @@
 	got, _ := table.Get(now.Add(time.Second), "i")
 	assert.EqualValues(t, 1000, got.WarmupLeftMillis)
 
-	_, change := table.Beat(now.Add(time.Second), "i", Beat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Closing: true})
-	assert.Equal(t, Change{Spread: true}, change, "its closing isn't known to be held by another member")
+	_, change := table.ReceiveHeartbeat(now.Add(time.Second), "i", Heartbeat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Closing: true})
+	assert.Equal(t, Change{Broadcast: true}, change, "its closing isn't known to be held by another member")
 	assert.False(t, table.Restore(now, kept))
 	assert.False(t, table.Restore(now, state.Endpoint{ID: "gone", State: state.EndpointDeparted}))
 }
 
 func TestRestoredEndpointThatSaysNothingIsSilentAndThenGone(t *testing.T) {
 	now := time.Unix(1000, 0)
-	table := NewTable(Options{Self: "m", BeatInterval: time.Second})
+	table := NewTable(Options{Self: "m", HeartbeatInterval: time.Second})
 	table.Sweep(now)
 	table.Restore(now, state.Endpoint{ID: "i", Service: "s", Address: "a:1", Sequence: 7, Receiver: "m"})
 	for second := range 40 {
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -13,45 +13,45 @@
 // two seconds counts as a standstill of this process, and all silence is counted anew from its end.
 func (t *Table) Sweep(now time.Time) []state.Endpoint {
 	pause := now.Sub(t.lastSweep)
-	stoodStill := pause > standstill && !t.lastSweep.IsZero()
+	stoodStill := pause > maxSweepPause && !t.lastSweep.IsZero()
 	t.lastSweep = now
 	judges := make(map[string]bool) // by receiver: there are few
 	for _, e := range t.entries {
 		if stoodStill {
-			e.heard = now
+			e.lastHeartbeat = now
 		}
-		judged, asked := judges[e.known.Receiver]
+		judged, asked := judges[e.endpoint.Receiver]
 		if !asked {
-			judged = t.options.Judges(e.known.Receiver)
-			judges[e.known.Receiver] = judged
+			judged = t.options.IsResponsibleFor(e.endpoint.Receiver)
+			judges[e.endpoint.Receiver] = judged
 		}
-		t.judge(now, e, judged)
+		t.checkLiveness(now, e, judged)
 	}
 	return t.takePending(now)
 }
 
-// judge looks at one endpoint. Judged: its silence is this member's to judge.
-func (t *Table) judge(now time.Time, e *entry, judged bool) {
-	if e.known.State == state.EndpointDeparted {
-		if now.Sub(e.goneAt) > tombstoneKept {
-			t.forget(e)
+// checkLiveness looks at one endpoint. Judged: its silence is this member's to judge.
+func (t *Table) checkLiveness(now time.Time, e *entry, judged bool) {
+	if e.endpoint.State == state.EndpointDeparted {
+		if now.Sub(e.goneSince) > tombstoneRetention {
+			t.remove(e)
 		}
 		return
 	}
-	if judged && !e.judged {
-		e.heard = now // this member has listened only since now
+	if judged && !e.responsible {
+		e.lastHeartbeat = now // this member has listened only since now
 	}
-	e.judged = judged
+	e.responsible = judged
 	if !judged {
 		return
 	}
-	silence := now.Sub(e.heard)
+	silence := now.Sub(e.lastHeartbeat)
 	switch {
-	case silence > goneAfter, !e.takenAt.IsZero() && now.Sub(e.takenAt) > takenSlack:
-		t.end(now, e)
-		t.pending[e.known.ID] = e
-	case silence > silentBeats*t.options.BeatInterval+silentSlack && !e.known.Unresponsive:
-		t.silence(e)
+	case silence > goneTimeout, !e.removalDue.IsZero() && now.Sub(e.removalDue) > removalSlack:
+		t.markGone(now, e)
+		t.pending[e.endpoint.ID] = e
+	case silence > silentIntervals*t.options.HeartbeatInterval+silentSlack && !e.endpoint.Unresponsive:
+		t.markSilent(e)
 	}
 }
 
@@ -61,16 +61,16 @@
 	}
 	list := make([]state.Endpoint, 0, len(t.pending))
 	for _, e := range t.pending {
-		t.tell(e)
-		list = append(list, e.at(now))
+		t.recordBroadcast(e)
+		list = append(list, e.snapshotAt(now))
 	}
 	slices.SortFunc(list, func(a, b state.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-func (t *Table) forget(e *entry) {
+func (t *Table) remove(e *entry) {
 	t.position++
-	t.forgotten.add(t.position, e.known.ID)
-	delete(t.entries, e.known.ID)
-	delete(t.pending, e.known.ID)
+	t.removals.add(t.position, e.endpoint.ID)
+	delete(t.entries, e.endpoint.ID)
+	delete(t.pending, e.endpoint.ID)
 }
--- a/serving/endpoints/table_test.go
+++ b/serving/endpoints/table_test.go
@@ -28,8 +28,8 @@
 
 func newScript() *script {
 	s := &script{now: epoch, judged: map[string]bool{"self": true}}
-	s.table = NewTable(Options{Self: "self", BeatInterval: testInterval,
-		Judges: func(receiver string) bool { return s.judged[receiver] }})
+	s.table = NewTable(Options{Self: "self", HeartbeatInterval: testInterval,
+		IsResponsibleFor: func(receiver string) bool { return s.judged[receiver] }})
 	return s
 }
 
@@ -51,14 +51,14 @@
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "beat":
-		endpoint, change := s.table.Beat(s.now, word(t, d, "id"), beatOf(t, d))
+		endpoint, change := s.table.ReceiveHeartbeat(s.now, word(t, d, "id"), beatOf(t, d))
 		return show(endpoint) + fmt.Sprintf("%+v\n", change)
 	case "sign-off":
 		endpoint, change := s.table.SignOff(s.now, word(t, d, "id"))
 		return show(endpoint) + fmt.Sprintf("%+v\n", change)
-	case "copied":
+	case "mark-replicated":
 		held, _ := s.table.Get(s.now, word(t, d, "id"))
-		s.table.Copied(held)
+		s.table.MarkReplicated(held)
 		return ""
 	case "merge":
 		return fmt.Sprintf("%v\n", s.table.Merge(s.now, endpointOf(t, d)))
@@ -77,16 +77,16 @@
 }
 
 func (s *script) changes() string {
-	changed, forgotten, position, complete := s.table.Changes(s.now, s.since)
+	changed, forgotten, position, complete := s.table.ChangesSince(s.now, s.since)
 	s.since = position
 	return showAll(changed) + fmt.Sprintf("forgotten %v position %d complete %v\n", forgotten, position, complete)
 }
 
-func beatOf(t *testing.T, d *datadriven.TestData) Beat {
-	return Beat{Service: "s", Address: text(t, d, "address", "10.0.0.1:80"), Zone: "z", Slots: 6,
+func beatOf(t *testing.T, d *datadriven.TestData) Heartbeat {
+	return Heartbeat{Service: "s", Address: text(t, d, "address", "10.0.0.1:80"), Zone: "z", Slots: 6,
 		Closing: d.HasArg("closing"), Sequence: number(t, d, "seq"),
-		ColdLeft:  time.Duration(number(t, d, "cold")) * time.Millisecond,
-		Remaining: time.Duration(number(t, d, "remaining")) * time.Millisecond}
+		WarmUpRemaining: time.Duration(number(t, d, "cold")) * time.Millisecond,
+		Remaining:       time.Duration(number(t, d, "remaining")) * time.Millisecond}
 }
 
 func endpointOf(t *testing.T, d *datadriven.TestData) state.Endpoint {
--- a/serving/endpoints/version.go
+++ b/serving/endpoints/version.go
@@ -27,8 +27,8 @@
 	return e.Sequence, minor
 }
 
-// newer tells whether a is newer than b.
-func newer(a, b state.Endpoint) bool {
+// isNewer tells whether a is newer than b.
+func isNewer(a, b state.Endpoint) bool {
 	aMajor, aMinor := Version(a)
 	bMajor, bMinor := Version(b)
 	return aMajor > bMajor || aMajor == bMajor && aMinor > bMinor
--- a/serving/loadreport/fuzz_test.go
+++ b/serving/loadreport/fuzz_test.go
@@ -14,13 +14,13 @@
 	f.Add([]byte(`{"queued":-1,"in_flight":9223372036854775807,"cache_used":9223372036854775807,"cache_total":-3}`))
 	f.Add([]byte(`{"queued":1.0,"in_flight":null}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		said, err := read(body)
+		said, err := parseReport(body)
 		if err != nil {
 			return
 		}
-		var r reader
-		r.begin(1)
-		load, tell := r.take(state.Endpoint{ID: "e", Slots: 16}, said)
+		var r changeFilter
+		r.beginRound(1)
+		load, tell := r.accept(state.Endpoint{ID: "e", Slots: 16}, said)
 		assert.True(t, tell)
 		for _, number := range []int{load.Queued, load.Running, load.CacheUsed, load.CacheTotal, load.Queued + load.Running} {
 			assert.GreaterOrEqual(t, number, 0)
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -51,13 +51,13 @@
 
 func poller(mesh *fakeMesh, all ...state.Endpoint) *Poller {
 	log := zerolog.Nop()
-	return New(Options{Zone: "n1", Mesh: mesh, Log: &log, Endpoints: func() []state.Endpoint { return all }})
+	return New(Options{Zone: "n1", Gossip: mesh, Log: &log, Endpoints: func() []state.Endpoint { return all }})
 }
 
 func TestHolderSpreadsLoads(t *testing.T) {
 	mesh := &fakeMesh{holding: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
 	endpoint := answering(t, reporting)
-	poller(mesh, endpoint).round(t.Context())
+	poller(mesh, endpoint).pollOnce(t.Context())
 	assert.Equal(t, "loads/n1", mesh.asked)
 	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, mesh.scope)
 	require.Len(t, mesh.spread, 1)
@@ -73,7 +73,7 @@
 	calls := 0
 	mesh := &fakeMesh{holding: singleton.Assignment{Holder: "b", Epoch: 7}}
 	endpoint := answering(t, func(http.ResponseWriter, *http.Request) { calls++ })
-	poller(mesh, endpoint).round(t.Context())
+	poller(mesh, endpoint).pollOnce(t.Context())
 	assert.Zero(t, calls)
 }
 
@@ -82,7 +82,7 @@
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
 	elsewhere, plain, closing, silent := good, good, good, good
 	elsewhere.Zone, plain.Models, closing.State, silent.Unresponsive = "n2", nil, state.EndpointDraining, true
-	chosen := poller(mesh, elsewhere, plain, good, closing, silent).choose()
+	chosen := poller(mesh, elsewhere, plain, good, closing, silent).selectEndpoints()
 	assert.Equal(t, []state.Endpoint{good}, chosen)
 }
 
@@ -92,23 +92,23 @@
 		"status":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"no json":  func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) },
 		"break":    func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, reportMost+1)) },
+		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxReportBytes+1)) },
 	}
 	for name, fault := range faults {
 		mesh := &fakeMesh{holding: singleton.Assignment{Epoch: 7, Local: true}}
 		good := answering(t, reporting)
-		poller(mesh, answering(t, fault), good).round(t.Context())
+		poller(mesh, answering(t, fault), good).pollOnce(t.Context())
 		require.Len(t, mesh.spread, 1, name)
 		assert.Equal(t, good.ID, mesh.spread[0].Key, name)
 	}
 }
 
 func TestSmallChangesAreNotTold(t *testing.T) {
-	var r reader
+	var r changeFilter
 	endpoint := state.Endpoint{ID: "e", Slots: 64}
 	tell := func(said report) bool {
-		r.begin(7)
-		_, told := r.take(endpoint, said)
+		r.beginRound(7)
+		_, told := r.accept(endpoint, said)
 		return told
 	}
 	base := report{Running: 12, CacheUsed: 41000, CacheTotal: 90000}
@@ -117,14 +117,14 @@
 	small.Running, much.Running = 14, 30
 	assert.False(t, tell(small))
 	assert.True(t, tell(much))
-	for range repeatAfter - 1 {
+	for range republishRounds - 1 {
 		assert.False(t, tell(much))
 	}
 	assert.True(t, tell(much), "told again before it expires")
-	r.keep(nil)
+	r.retain(nil)
 	assert.True(t, tell(much), "an endpoint that had gone")
-	r.begin(8)
-	_, told := r.take(endpoint, much)
+	r.beginRound(8)
+	_, told := r.accept(endpoint, much)
 	assert.True(t, told, "a new epoch begins anew")
-	assert.Equal(t, uint64(1), r.readings)
+	assert.Equal(t, uint64(1), r.round)
 }
--- a/serving/loadreport/report.go
+++ b/serving/loadreport/report.go
@@ -14,8 +14,8 @@
 const (
 	// reportPath is where an endpoint reports on itself.
 	reportPath = "/report"
-	// reportMost bounds a report, in bytes.
-	reportMost = 64 << 10
+	// maxReportBytes bounds a report, in bytes.
+	maxReportBytes = 64 << 10
 )
 
 // report is what an endpoint says of itself. Other fields are ignored.
@@ -26,8 +26,8 @@
 	CacheTotal int `json:"cache_total"`
 }
 
-// ask fetches the report of the endpoint at host:port. The context bounds the call.
-func ask(ctx context.Context, client *http.Client, address string) (answer report, err error) {
+// fetchReport fetches the report of the endpoint at host:port. The context bounds the call.
+func fetchReport(ctx context.Context, client *http.Client, address string) (answer report, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+reportPath, nil)
 	if err != nil {
 		return answer, errors.Wrap(err, "ask for a report")
@@ -37,26 +37,26 @@
 		return answer, errors.Wrap(err, "ask for a report")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, reportMost))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
 		return answer, errors.Wrap(err, "read report")
 	}
 	if response.StatusCode != http.StatusOK {
 		return answer, errors.Newf("report of %s: %s", address, response.Status)
 	}
-	return read(body)
+	return parseReport(body)
 }
 
-// numberMost is the largest number that a report may hold: sums of such numbers don't overflow.
-const numberMost = 1 << 40
+// maxValue is the largest number that a report may hold: sums of such numbers don't overflow.
+const maxValue = 1 << 40
 
-// read reads the body of a report. One with a number that can't be is no report.
-func read(body []byte) (said report, err error) {
+// parseReport reads the body of a report. One with a number that can't be is no report.
+func parseReport(body []byte) (said report, err error) {
 	if err := json.Unmarshal(body, &said); err != nil {
 		return report{}, errors.Wrap(err, "read report")
 	}
 	for _, number := range []int{said.Queued, said.Running, said.CacheUsed, said.CacheTotal} {
-		if number < 0 || number > numberMost {
+		if number < 0 || number > maxValue {
 			return report{}, errors.Newf("read report: %d is out of range", number)
 		}
 	}
--- a/serving/member/mesh.go
+++ b/serving/member/mesh.go
@@ -192,12 +192,12 @@
 }
 
 // CountProxies counts the proxies of the whole system.
-func (m *Service) CountProxies() subscription.Proxies {
-	return ask(m, func(now time.Time, n *node) subscription.Proxies {
-		return subscription.Proxies{
-			Live:   n.members.CountLive(state.RoleAgent, ""),
-			Most:   n.members.CountRecentlyLive(now, state.RoleAgent, proxyWindow),
-			Region: n.members.CountLive(state.RoleAgent, n.members.Self().Region),
+func (m *Service) CountProxies() subscription.ProxyCounts {
+	return ask(m, func(now time.Time, n *node) subscription.ProxyCounts {
+		return subscription.ProxyCounts{
+			Live:         n.members.CountLive(state.RoleAgent, ""),
+			MaxRunning:   n.members.CountRecentlyLive(now, state.RoleAgent, proxyWindow),
+			LiveInRegion: n.members.CountLive(state.RoleAgent, n.members.Self().Region),
 		}
 	})
 }
--- a/serving/member/mesh_test.go
+++ b/serving/member/mesh_test.go
@@ -106,7 +106,7 @@
 	for _, process := range all {
 		waitFor(t, process.mesh, gossip.TableMembers, func() bool { return len(process.mesh.Members()) == 5 })
 		assert.Equal(t, 3, process.mesh.CountProxies().Live)
-		assert.Equal(t, 3, process.mesh.CountProxies().Most)
+		assert.Equal(t, 3, process.mesh.CountProxies().MaxRunning)
 	}
 
 	entry := gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey, Version: gossip.NewVersion(3, 0),
--- a/serving/operator/core_test.go
+++ b/serving/operator/core_test.go
@@ -102,8 +102,8 @@
 		Mux: mux, Log: &log, Committed: func(state.Record) {}, Peers: func() []register.Peer { return nil }})
 	require.NoError(t, err)
 	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
-	linked := exchange.Start(ctx, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
-		InTouch: touch.HasQuorum, Log: &log})
+	linked := exchange.Start(ctx, exchange.Options{Gossip: joined, HeartbeatInterval: process.BeatInterval,
+		HasQuorum: touch.HasQuorum, Log: &log})
 	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: joined.Members, Clock: time.Now}
 	handler := operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: linked.Table(),
 		Spread: linked, Contact: touch, Regions: process.Regions, Forward: forwarder.Forward, Log: &log})
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoints.go
@@ -42,7 +42,7 @@
 		writeError(w, err)
 		return
 	}
-	endpoint, change, ok := e.endpoints.Beat(r.PathValue("id"), beat)
+	endpoint, change, ok := e.endpoints.ReceiveHeartbeat(r.PathValue("id"), beat)
 	if !ok {
 		writeError(w, errcode.MemberStopping.With(""))
 		return
@@ -63,7 +63,7 @@
 		writeError(w, errcode.MemberStopping.With(""))
 		return
 	}
-	if change.Spread {
+	if change.Broadcast {
 		event.EndpointDeregistered.Log(e.log).Str("endpoint", endpoint.ID).Send()
 	}
 	if err := e.tellOthers(r.Context(), endpoint, change); err != nil {
@@ -78,7 +78,7 @@
 // acknowledges nothing. Errors are result.NotReplicated.
 func (e *EndpointsResource) tellOthers(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.EndpointAccepting {
-		if change.Spread {
+		if change.Broadcast {
 			e.spread.Put(endpoint)
 		}
 		if !e.contact.HasQuorum() {
@@ -86,7 +86,7 @@
 		}
 		return nil
 	}
-	if change.Copied {
+	if change.Replicated {
 		return nil
 	}
 	others, copies, known := e.contact.OtherVoters()
@@ -99,7 +99,7 @@
 		event.EndpointNotReplicated.Log(e.log).Str("endpoint", endpoint.ID).Err(err).Send()
 		return errcode.NotReplicated.With("endpoint %s: %v", endpoint.ID, err)
 	}
-	e.endpoints.Copied(endpoint)
+	e.endpoints.MarkReplicated(endpoint)
 	return nil
 }
 
@@ -120,7 +120,7 @@
 	case change.New:
 		event.EndpointRegistered.Log(e.log).Str("endpoint", endpoint.ID).Str("service", endpoint.Service).
 			Str("address", endpoint.Address).Str("zone", endpoint.Zone).Send()
-	case change.Spread && endpoint.State == state.EndpointDraining:
+	case change.Broadcast && endpoint.State == state.EndpointDraining:
 		event.EndpointClosing.Log(e.log).Str("endpoint", endpoint.ID).
 			Int64("remaining_ms", endpoint.RemovalInMillis).Send()
 	}
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -114,14 +114,14 @@
 	register *fakeRegister
 	spread   *fakeSpread
 	voters   *fakeVoters
-	table    *endpoints.Owner
+	table    *endpoints.SharedTable
 	handler  http.Handler
 }
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{register: &fakeRegister{}, spread: &fakeSpread{dead: map[string]bool{}},
 		voters: &fakeVoters{"core-1", "core-2", "core-3"}}
-	f.table = endpoints.Start(endpoints.Options{Self: "core-1", BeatInterval: time.Second}, time.Now)
+	f.table = endpoints.Start(endpoints.Options{Self: "core-1", HeartbeatInterval: time.Second}, time.Now)
 	t.Cleanup(f.table.Stop)
 	log := zerolog.Nop()
 	f.handler = New(Options{Register: f.register, Endpoints: f.table, Spread: f.spread,
--- a/serving/operator/fuzz_test.go
+++ b/serving/operator/fuzz_test.go
@@ -46,10 +46,10 @@
 		assert.NotEmpty(t, beat.Service)
 		assert.NotEmpty(t, beat.Address)
 		assert.GreaterOrEqual(t, beat.Slots, 0)
-		assert.GreaterOrEqual(t, int64(beat.ColdLeft), int64(0))
+		assert.GreaterOrEqual(t, int64(beat.WarmUpRemaining), int64(0))
 		assert.GreaterOrEqual(t, int64(beat.Remaining), int64(0))
 		document := heartbeatDocument{Service: beat.Service, Address: beat.Address, Zone: beat.Zone, Edition: beat.Edition,
-			Slots: beat.Slots, State: "accepting", ColdLeftMillis: float64(beat.ColdLeft) / 1e6,
+			Slots: beat.Slots, State: "accepting", ColdLeftMillis: float64(beat.WarmUpRemaining) / 1e6,
 			RemainingMillis: float64(beat.Remaining) / 1e6, Sequence: beat.Sequence}
 		if beat.Closing {
 			document.State = "closing"
@@ -61,7 +61,7 @@
 		require.NoError(t, err)
 		again, err := readHeartbeat(written)
 		require.NoError(t, err)
-		assert.InDelta(t, float64(beat.ColdLeft), float64(again.ColdLeft), 1)
+		assert.InDelta(t, float64(beat.WarmUpRemaining), float64(again.WarmUpRemaining), 1)
 		assert.InDelta(t, float64(beat.Remaining), float64(again.Remaining), 1)
 		assert.Equal(t, len(beat.Models), len(again.Models))
 		assert.Equal(t, beat.Sequence, again.Sequence)
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -17,25 +17,25 @@
 // Settings of a heartbeat. Nothing is required that a core member can do without: an endpoint that is refused would
 // not be known at all.
 var (
-	heartbeatSettings = schema.Table[endpoints.Beat]{
+	heartbeatSettings = schema.Table[endpoints.Heartbeat]{
 		{Name: "carrier", Required: true, Check: schema.NotEmpty,
-			Type: schema.Text(func(b *endpoints.Beat) *string { return &b.Service })},
+			Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Service })},
 		{Name: "address", Required: true, Check: schema.NotEmpty,
-			Type: schema.Text(func(b *endpoints.Beat) *string { return &b.Address })},
-		{Name: "zone", Type: schema.Text(func(b *endpoints.Beat) *string { return &b.Zone })},
-		{Name: "edition", Type: schema.Raw(func(b *endpoints.Beat, value gjson.Result) error {
+			Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Address })},
+		{Name: "zone", Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Zone })},
+		{Name: "edition", Type: schema.Raw(func(b *endpoints.Heartbeat, value gjson.Result) error {
 			b.Edition = value.String()
 			return nil
 		})},
-		{Name: "berths", Type: schema.Whole(func(b *endpoints.Beat) *int { return &b.Slots })},
-		{Name: "state", Type: schema.Word(closingWords, func(b *endpoints.Beat) *bool { return &b.Closing })},
+		{Name: "berths", Type: schema.Whole(func(b *endpoints.Heartbeat) *int { return &b.Slots })},
+		{Name: "state", Type: schema.Word(closingWords, func(b *endpoints.Heartbeat) *bool { return &b.Closing })},
 		{Name: "cold_left_ms", Type: schema.Span(time.Millisecond,
-			func(b *endpoints.Beat) *time.Duration { return &b.ColdLeft })},
+			func(b *endpoints.Heartbeat) *time.Duration { return &b.WarmUpRemaining })},
 		{Name: "remaining_ms", Type: schema.Span(time.Millisecond,
-			func(b *endpoints.Beat) *time.Duration { return &b.Remaining })},
+			func(b *endpoints.Heartbeat) *time.Duration { return &b.Remaining })},
 		{Name: "models", Type: schema.Objects(modelSettings, "name",
-			func(b *endpoints.Beat) *[]state.Model { return &b.Models })},
-		{Name: "call_seq", Type: schema.Counter(func(b *endpoints.Beat) *uint64 { return &b.Sequence })},
+			func(b *endpoints.Heartbeat) *[]state.Model { return &b.Models })},
+		{Name: "call_seq", Type: schema.Counter(func(b *endpoints.Heartbeat) *uint64 { return &b.Sequence })},
 	}
 
 	modelSettings = schema.Table[state.Model]{
@@ -56,8 +56,8 @@
 }
 
 // readHeartbeat reads the body of a heartbeat. Errors are result.HeartbeatUnreadable.
-func readHeartbeat(body []byte) (endpoints.Beat, error) {
-	var beat endpoints.Beat
+func readHeartbeat(body []byte) (endpoints.Heartbeat, error) {
+	var beat endpoints.Heartbeat
 	if err := heartbeatSettings.Parse(body, &beat); err != nil {
 		return beat, errcode.HeartbeatUnreadable.With("%s", errcode.Of(err).Detail)
 	}
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -47,9 +47,9 @@
 
 // Endpoints is the table of endpoints; endpoints.Owner is one. The last result is false once it has stopped.
 type Endpoints interface {
-	Beat(id string, beat endpoints.Beat) (state.Endpoint, endpoints.Change, bool)
+	ReceiveHeartbeat(id string, beat endpoints.Heartbeat) (state.Endpoint, endpoints.Change, bool)
 	SignOff(id string) (state.Endpoint, endpoints.Change, bool)
-	Copied(held state.Endpoint)
+	MarkReplicated(held state.Endpoint)
 }
 
 // Spread tells the other members of endpoints.
--- a/serving/placement/helpers_test.go
+++ b/serving/placement/helpers_test.go
@@ -69,7 +69,7 @@
 	w := &world{now: begin.Add(10 * time.Second), Picker: New(Options{Name: "proxy-" + zone, Zone: zone,
 		Region: regions[zone], Regions: regions, Bounds: bounds, Seed: 7, StartedAt: begin})}
 	w.view = Snapshot{Routing: testDocument(t), Endpoints: endpoints, Record: &state.Record{Revision: 1},
-		Proxies: subscription.Proxies{Live: 3, Most: 3, Region: 2}}
+		Proxies: subscription.ProxyCounts{Live: 3, MaxRunning: 3, LiveInRegion: 2}}
 	w.tell()
 	return w
 }
--- a/serving/placement/placement.go
+++ b/serving/placement/placement.go
@@ -40,7 +40,7 @@
 	Endpoints []state.Endpoint
 	Loads     []state.Load
 	Record    *state.Record
-	Proxies   subscription.Proxies
+	Proxies   subscription.ProxyCounts
 }
 
 // PrefixBlock is a part of a prompt. Equal IDs after equal parts stand for equal tokens.
--- a/serving/placement/warmup.go
+++ b/serving/placement/warmup.go
@@ -126,7 +126,7 @@
 }
 
 // updateProxyCount keeps the most proxies that were ever told of.
-func (p *Picker) updateProxyCount(told subscription.Proxies) {
-	p.proxyCount = max(p.proxyCount, told.Most, told.Live)
-	p.proxiesInRegion = max(told.Region, 1)
+func (p *Picker) updateProxyCount(told subscription.ProxyCounts) {
+	p.proxyCount = max(p.proxyCount, told.MaxRunning, told.Live)
+	p.proxiesInRegion = max(told.LiveInRegion, 1)
 }
--- a/serving/placement/warmup_test.go
+++ b/serving/placement/warmup_test.go
@@ -39,7 +39,7 @@
 func TestAllProxiesTogetherKeepAColdEndpointsBound(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(r, "proxies")
-		told := subscription.Proxies{Live: count, Most: max(count-rapid.IntRange(0, uncountedProxies).Draw(r, "unknown"), 1), Region: count}
+		told := subscription.ProxyCounts{Live: count, MaxRunning: max(count-rapid.IntRange(0, uncountedProxies).Draw(r, "unknown"), 1), LiveInRegion: count}
 		table := testDocument(t)
 		now := begin
 		start := func(index int) *Picker {
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -152,8 +152,8 @@
 	if err := p.view.apply(response); err != nil {
 		event.ConfigurationInvalid.Log(p.log).Err(err).Send()
 	}
-	p.proxyCount.Store(int64(max(p.view.proxies.Most, p.view.proxies.Live)))
-	p.retry.SetProxies(p.view.proxies.Most)
+	p.proxyCount.Store(int64(max(p.view.proxies.MaxRunning, p.view.proxies.Live)))
+	p.retry.SetProxies(p.view.proxies.MaxRunning)
 	p.picker.Update(time.Now(), p.view.snapshot(response.Loads))
 	if after := p.view.table; after != before {
 		p.table.Store(after)
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -64,7 +64,7 @@
 	assert.True(t, k.snapshot(nil).Record.Evacuated("z"))
 
 	unreadable := &state.Record{Revision: 7, Configuration: configuration(t, 4, "{")}
-	assert.Error(t, k.apply(&subscription.Response{Record: unreadable, Forgotten: []string{"i-1"}}))
+	assert.Error(t, k.apply(&subscription.Response{Record: unreadable, Removed: []string{"i-1"}}))
 	assert.Same(t, table, k.table)
 	assert.NotContains(t, k.endpoints, "i-1", "the rest of the answer counts")
 	require.NoError(t, k.apply(&subscription.Response{Record: record(t, 8, 5)}))
@@ -148,19 +148,19 @@
 
 	first := <-agent.requests
 	assert.Equal(t, state.MemberStarting, first.State)
-	assert.Equal(t, process.Bind.Front, first.Front)
+	assert.Equal(t, process.Bind.Front, first.ClientAddress)
 	assert.NotZero(t, first.Incarnation)
 	assert.Equal(t, 503, fetch(t, process.Bind.Front, "/fetch/x").status)
 	assert.Equal(t, 503, fetch(t, process.Bind.Ready, "/readiness").status)
 	agent.news <- &subscription.Response{
-		Cursor: subscription.Cursor{Life: 7, Position: 1}, Complete: true, Record: record(t, 1, 3),
+		Cursor: subscription.Cursor{Incarnation: 7, Position: 1}, Complete: true, Record: record(t, 1, 3),
 		Endpoints: []state.Endpoint{{ID: "i-1", Service: "plain", Zone: "z", Slots: 6, Sequence: 1,
 			Address: endpoint.Listener.Addr().String()}},
-		Proxies: subscription.Proxies{Live: 1, Most: 1, Region: 1},
+		Proxies: subscription.ProxyCounts{Live: 1, MaxRunning: 1, LiveInRegion: 1},
 	}
 	second := <-agent.requests
 	assert.Equal(t, state.MemberReady, second.State)
-	assert.Equal(t, subscription.Cursor{Life: 7, Position: 1}, second.Since)
+	assert.Equal(t, subscription.Cursor{Incarnation: 7, Position: 1}, second.Since)
 	assert.Equal(t, first.Incarnation, second.Incarnation)
 	assert.Equal(t, 200, fetch(t, process.Bind.Ready, "/readiness").status)
 	got := fetch(t, process.Bind.Front, "/fetch/x")
@@ -221,7 +221,7 @@
 	}()
 	first := <-agent.requests
 	assert.Equal(t, observed, first.Observations)
-	agent.news <- &subscription.Response{Cursor: subscription.Cursor{Life: 1, Position: 2}}
+	agent.news <- &subscription.Response{Cursor: subscription.Cursor{Incarnation: 1, Position: 2}}
 	<-taken
 	next := <-agent.requests
 	assert.Empty(t, next.Observations)
--- a/serving/proxy/system_view.go
+++ b/serving/proxy/system_view.go
@@ -16,7 +16,7 @@
 	record    *state.Record
 	table     *routing.Table // of the newest configuration that could be read; nil: none yet
 	endpoints map[string]state.Endpoint
-	proxies   subscription.Proxies
+	proxies   subscription.ProxyCounts
 	cursor    subscription.Cursor
 }
 
@@ -30,7 +30,7 @@
 	for _, endpoint := range response.Endpoints {
 		k.endpoints[endpoint.ID] = endpoint
 	}
-	for _, id := range response.Forgotten {
+	for _, id := range response.Removed {
 		delete(k.endpoints, id)
 	}
 	k.proxies = response.Proxies
--- a/serving/proxy/watcher.go
+++ b/serving/proxy/watcher.go
@@ -89,7 +89,7 @@
 	w.gatherObservations()
 	request := subscription.Request{
 		Since: w.cursor, WaitMillis: pollWait.Milliseconds(), Incarnation: w.incarnation,
-		State: w.beginPoll(cancel), Observations: w.pending, Front: w.front,
+		State: w.beginPoll(cancel), Observations: w.pending, ClientAddress: w.front,
 	}
 	response, err = subscription.Watch.Call(ctx, w.client, w.address, &request)
 	interrupted = w.endPoll()
--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -20,8 +20,8 @@
 	dialTimeout     = 400 * time.Millisecond
 	idleTimeout     = 30 * time.Second
 	idleConnections = 2 // per peer
-	// unacknowledgedLimit ends a connection whose peer has lost power or is cut off.
-	unacknowledgedLimit = time.Second
+	// userTimeout ends a connection whose peer has lost power or is cut off.
+	userTimeout = time.Second
 )
 
 // codec writes messages as CBOR. It implements connect.Codec.
@@ -39,7 +39,7 @@
 
 // NewClient makes a client with a connection pool of its own.
 func NewClient() *Client {
-	dialer := &net.Dialer{Timeout: dialTimeout, Control: limitUnacknowledged}
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
 		MaxIdleConnsPerHost: idleConnections,
@@ -52,10 +52,10 @@
 // Close ends the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func limitUnacknowledged(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) {
-		limit := int(unacknowledgedLimit / time.Millisecond)
+		limit := int(userTimeout / time.Millisecond)
 		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, limit)
 	})
 	return errors.CombineErrors(err, failed)
--- a/serving/subscription/feed.go
+++ b/serving/subscription/feed.go
@@ -13,8 +13,8 @@
 
 // Cursor is a place in an agent's changes. The zero value asks for everything.
 type Cursor struct {
-	Life     uint64 `cbor:"1,keyasint"` // of the agent's process
-	Position uint64 `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"1,keyasint"` // of the agent's process
+	Position    uint64 `cbor:"2,keyasint"`
 }
 
 // Request is what a proxy asks and what it says of itself.
@@ -25,8 +25,8 @@
 	State       state.MemberState `cbor:"4,keyasint"`
 	// Observations are what the proxy has seen of endpoints since its last request that was answered.
 	Observations []state.Observation `cbor:"5,keyasint,omitempty"`
-	// Front is where the proxy takes clients' requests, host:port. The agent's own settings don't name it.
-	Front string `cbor:"6,keyasint,omitempty"`
+	// ClientAddress is where the proxy takes clients' requests, host:port. The agent's own settings don't name it.
+	ClientAddress string `cbor:"6,keyasint,omitempty"`
 }
 
 // Response is what has changed since the cursor.
@@ -36,15 +36,15 @@
 	Complete  bool             `cbor:"2,keyasint,omitempty"`
 	Record    *state.Record    `cbor:"3,keyasint,omitempty"` // nil: unchanged, or none known yet
 	Endpoints []state.Endpoint `cbor:"4,keyasint,omitempty"`
-	Forgotten []string         `cbor:"5,keyasint,omitempty"` // endpoints by ID
+	Removed   []string         `cbor:"5,keyasint,omitempty"` // endpoints by ID
 	Loads     []state.Load     `cbor:"6,keyasint,omitempty"`
-	Proxies   Proxies          `cbor:"7,keyasint"`
+	Proxies   ProxyCounts      `cbor:"7,keyasint"`
 }
 
-// Proxies counts the proxies of the whole system, for shares of common budgets.
-type Proxies struct {
-	Live int `cbor:"1,keyasint"` // known to run now
-	Most int `cbor:"2,keyasint"` // the most that may run: live ones and all that were live in the last minute
-	// Region counts those live in this proxy's region.
-	Region int `cbor:"3,keyasint"`
+// ProxyCounts counts the proxies of the whole system, for shares of common budgets.
+type ProxyCounts struct {
+	Live       int `cbor:"1,keyasint"` // known to run now
+	MaxRunning int `cbor:"2,keyasint"` // the most that may run: live ones and all that were live in the last minute
+	// LiveInRegion counts those live in this proxy's region.
+	LiveInRegion int `cbor:"3,keyasint"`
 }
