--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -77,7 +77,7 @@
 func (f *File) Groups() (all []shardmap.Group) {
 	for _, s := range f.Sites {
 		if len(s.Subscribers) > 0 {
-			all = append(all, shardmap.Group{At: cluster.SiteHash(s.ID), Of: s.Subscribers})
+			all = append(all, shardmap.Group{At: cluster.SiteKeyHash(s.ID), Of: s.Subscribers})
 		}
 	}
 	slices.SortFunc(all, func(a, b shardmap.Group) int { return cmp.Compare(a.At, b.At) })
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -15,8 +15,8 @@
 
 // Machine is all that is replicated.
 type Machine struct {
-	book     *lease.Book
-	parts    map[byte]cluster.Part
+	book     *lease.Table
+	parts    map[byte]cluster.Component
 	versions map[byte]uint64
 	fresh    map[byte][]byte // each part as it was at first: for a snapshot that lacks it
 }
@@ -34,13 +34,13 @@
 	}.DecMode()
 )
 
-// New joins the book with the other parts, by their letters; fleet.LeasePart is the book's.
-func New(book *lease.Book, others map[byte]cluster.Part) *Machine {
+// New joins the book with the other parts, by their letters; cluster.LeaseComponent is the book's.
+func New(book *lease.Table, others map[byte]cluster.Component) *Machine {
 	parts := maps.Clone(others)
 	if parts == nil {
-		parts = map[byte]cluster.Part{}
+		parts = map[byte]cluster.Component{}
 	}
-	parts[cluster.LeasePart] = book
+	parts[cluster.LeaseComponent] = book
 	m := &Machine{book, parts, map[byte]uint64{}, map[byte][]byte{}}
 	for letter, p := range parts {
 		m.fresh[letter], _ = p.Snapshot() // one that can't be is refused by the part in Restore
@@ -57,23 +57,23 @@
 	return b
 }
 
-// Apply does the log's entry: fleet.ErrFenced where By is not held by that epoch, ErrUnreadable where it
+// Apply does the log's entry: cluster.ErrFenced where By is not held by that epoch, ErrUnreadable where it
 // can't be decoded or is for no part, else what the part says. With an error nothing was changed.
 func (m *Machine) Apply(index uint64, raw []byte) ([]byte, error) {
 	var c cluster.Command
 	if err := decoding.Unmarshal(raw, &c); err != nil {
 		return nil, fmt.Errorf("log's entry %d: %w: %w", index, ErrUnreadable, err)
 	}
-	part := m.parts[c.Part]
+	part := m.parts[c.Component]
 	if part == nil {
-		return nil, fmt.Errorf("log's entry %d is for part %q, not known: %w", index, c.Part, ErrUnreadable)
+		return nil, fmt.Errorf("log's entry %d is for part %q, not known: %w", index, c.Component, ErrUnreadable)
 	}
-	if c.By == "" && c.Epoch != 0 || c.By != "" && !m.book.Holds(c.By, c.Epoch) {
+	if c.FencedBy == "" && c.Epoch != 0 || c.FencedBy != "" && !m.book.IsCurrent(c.FencedBy, c.Epoch) {
 		return nil, cluster.ErrFenced
 	}
 	answer, err := part.Apply(index, c.Body)
 	if err == nil {
-		m.versions[c.Part] = index
+		m.versions[c.Component] = index
 	}
 	return answer, err
 }
--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -33,19 +33,19 @@
 	return nil
 }
 
-const notesPart = cluster.PlanPart
+const notesPart = cluster.RebalanceComponent
 
 func machine() (*Machine, *notes) {
 	n := &notes{}
-	return New(lease.NewBook(), map[byte]cluster.Part{notesPart: n}), n
+	return New(lease.NewTable(), map[byte]cluster.Component{notesPart: n}), n
 }
 
 // held is a machine in which session 1 has the task that the conductor acts by.
 func held(t *testing.T) (*Machine, *notes, cluster.Epoch) {
 	m, n := machine()
-	_, err := m.Apply(1, Encode(lease.Open("m1", 1)))
+	_, err := m.Apply(1, Encode(lease.OpenSession("m1", 1)))
 	require.NoError(t, err)
-	_, err = m.Apply(2, Encode(lease.Grant(1, cluster.Conducts)))
+	_, err = m.Apply(2, Encode(lease.AcquireLeases(1, cluster.CoordinatorResource)))
 	require.NoError(t, err)
 	return m, n, 2
 }
@@ -53,34 +53,34 @@
 func TestFormerHolderChangesNothing(t *testing.T) {
 	m, n, epoch := held(t)
 	by := func(e cluster.Epoch, body string) []byte {
-		return Encode(cluster.Command{Part: notesPart, By: cluster.Conducts, Epoch: e, Body: []byte(body)})
+		return Encode(cluster.Command{Component: notesPart, FencedBy: cluster.CoordinatorResource, Epoch: e, Body: []byte(body)})
 	}
 	raw, err := m.Apply(3, by(epoch, "a"))
 	require.NoError(t, err)
 	assert.Equal(t, "took a", string(raw))
-	_, err = m.Apply(4, Encode(lease.End(1)))
+	_, err = m.Apply(4, Encode(lease.EndSession(1)))
 	require.NoError(t, err)
 	for _, e := range []cluster.Epoch{0, epoch, epoch + 1} {
 		_, err = m.Apply(5, by(e, "b"))
 		assert.ErrorIs(t, err, cluster.ErrFenced)
 	}
-	_, err = m.Apply(6, Encode(cluster.Command{Part: notesPart, Epoch: epoch, Body: []byte("c")}))
+	_, err = m.Apply(6, Encode(cluster.Command{Component: notesPart, Epoch: epoch, Body: []byte("c")}))
 	assert.ErrorIs(t, err, cluster.ErrFenced, "an epoch of no task")
 	assert.Equal(t, "a", string(n.last))
 }
 
 func TestVersionIsOfTheLastEntryThatWasTaken(t *testing.T) {
 	m, _, _ := held(t)
-	assert.Equal(t, []uint64{2, 0}, []uint64{m.Version(cluster.LeasePart), m.Version(notesPart)})
-	for i, raw := range [][]byte{{0xff}, nil, Encode(cluster.Command{Part: '?'}),
-		Encode(cluster.Command{Part: notesPart, Body: []byte("stale")})} {
+	assert.Equal(t, []uint64{2, 0}, []uint64{m.Version(cluster.LeaseComponent), m.Version(notesPart)})
+	for i, raw := range [][]byte{{0xff}, nil, Encode(cluster.Command{Component: '?'}),
+		Encode(cluster.Command{Component: notesPart, Body: []byte("stale")})} {
 		_, err := m.Apply(uint64(3+i), raw)
 		assert.Error(t, err)
 	}
 	assert.Zero(t, m.Version(notesPart))
-	_, err := m.Apply(9, Encode(cluster.Command{Part: notesPart, Body: []byte("a")}))
+	_, err := m.Apply(9, Encode(cluster.Command{Component: notesPart, Body: []byte("a")}))
 	require.NoError(t, err)
-	assert.Equal(t, []uint64{2, 9}, []uint64{m.Version(cluster.LeasePart), m.Version(notesPart)})
+	assert.Equal(t, []uint64{2, 9}, []uint64{m.Version(cluster.LeaseComponent), m.Version(notesPart)})
 }
 
 func TestRestoredMachineGoesOn(t *testing.T) {
@@ -91,12 +91,12 @@
 	other, kept := machine()
 	require.NoError(t, other.Restore(whole))
 	assert.Equal(t, "a", string(kept.last))
-	assert.Equal(t, uint64(2), other.Version(cluster.LeasePart))
-	_, err = other.Apply(3, Encode(cluster.Command{Part: notesPart, By: cluster.Conducts, Epoch: epoch}))
+	assert.Equal(t, uint64(2), other.Version(cluster.LeaseComponent))
+	_, err = other.Apply(3, Encode(cluster.Command{Component: notesPart, FencedBy: cluster.CoordinatorResource, Epoch: epoch}))
 	assert.NoError(t, err)
-	again, err := other.Part(cluster.LeasePart)
+	again, err := other.Part(cluster.LeaseComponent)
 	require.NoError(t, err)
-	assert.NoError(t, lease.NewBook().Restore(again))
+	assert.NoError(t, lease.NewTable().Restore(again))
 	_, err = other.Part('?')
 	assert.ErrorIs(t, err, ErrUnreadable)
 }
@@ -105,13 +105,13 @@
 func TestPartThatASnapshotLacksBeginsAnew(t *testing.T) {
 	m, n, _ := held(t)
 	n.last = []byte("a")
-	before, err := New(lease.NewBook(), nil).Snapshot()
+	before, err := New(lease.NewTable(), nil).Snapshot()
 	require.NoError(t, err)
 	require.NoError(t, m.Restore(before))
 	assert.Empty(t, n.last)
-	assert.Zero(t, m.Version(cluster.LeasePart))
-	_, err = m.Apply(3, Encode(lease.Grant(1, cluster.Conducts)))
-	assert.ErrorIs(t, err, cluster.ErrUnknown)
+	assert.Zero(t, m.Version(cluster.LeaseComponent))
+	_, err = m.Apply(3, Encode(lease.AcquireLeases(1, cluster.CoordinatorResource)))
+	assert.ErrorIs(t, err, cluster.ErrNotFound)
 }
 
 func TestSnapshotThatCantBeTakenLeavesTheMachine(t *testing.T) {
@@ -119,7 +119,7 @@
 	n.last = []byte("a")
 	before, err := m.Snapshot()
 	require.NoError(t, err)
-	book, err := lease.NewBook().Snapshot()
+	book, err := lease.NewTable().Snapshot()
 	require.NoError(t, err)
 	for name, bad := range map[string]image{
 		"a newer format":      {Format: format + 1},
@@ -147,9 +147,9 @@
 }
 
 func FuzzApply(f *testing.F) {
-	f.Add(Encode(lease.Open("m2", 1)))
-	f.Add(Encode(lease.Release(1, cluster.Conducts, 2)))
-	f.Add(Encode(cluster.Command{Part: notesPart, By: cluster.Conducts, Epoch: 2, Body: []byte("a")}))
+	f.Add(Encode(lease.OpenSession("m2", 1)))
+	f.Add(Encode(lease.ReleaseLease(1, cluster.CoordinatorResource, 2)))
+	f.Add(Encode(cluster.Command{Component: notesPart, FencedBy: cluster.CoordinatorResource, Epoch: 2, Body: []byte("a")}))
 	f.Add([]byte{0xa1, 0x01, 0x18})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, _, _ := held(t)
--- a/cluster/fsm/restore.go
+++ b/cluster/fsm/restore.go
@@ -58,7 +58,7 @@
 var ErrUnreadable = lease.ErrUnreadable
 
 // refusals by code, from 1 on; a code never gets another meaning.
-var refusals = []error{cluster.ErrFenced, cluster.ErrUnknown, cluster.ErrHeld, cluster.ErrStale, ErrUnreadable}
+var refusals = []error{cluster.ErrFenced, cluster.ErrNotFound, cluster.ErrAlreadyHeld, cluster.ErrStale, ErrUnreadable}
 
 const unreadable = 5
 
--- a/cluster/lease/arrivals_test.go
+++ b/cluster/lease/arrivals_test.go
@@ -24,26 +24,26 @@
 			if w.wrong.answerTime {
 				m.ask.at = w.clock(m.proc)
 			}
-			w.own(m.proc).Answered(m.ask, m.session)
+			w.own(m.proc).ConfirmRenewal(m.ask, m.session)
 		}
 	case no:
-		w.own(m.proc).Refused(m.session)
+		w.own(m.proc).HandleRejection(m.session)
 	case grantAsk:
-		a, err := w.apply(Grant(m.session, worldTask))
+		a, err := w.apply(AcquireLeases(m.session, worldTask))
 		if m.proc < 0 {
 			return
 		}
-		if errors.Is(err, cluster.ErrUnknown) {
+		if errors.Is(err, cluster.ErrNotFound) {
 			w.send(message{kind: no, proc: m.proc, session: m.session})
-		} else if a.Granted[0].Err() == nil {
-			w.send(message{kind: granted, proc: m.proc, session: a.Session, epoch: a.Granted[0].Epoch})
+		} else if a.Grants[0].Err() == nil {
+			w.send(message{kind: granted, proc: m.proc, session: a.Session, epoch: a.Grants[0].Epoch})
 		}
 	case granted:
-		w.own(m.proc).Took(m.session, Granted{worldTask, m.epoch})
+		w.own(m.proc).AddGrant(m.session, Grant{worldTask, m.epoch})
 	case releaseAsk:
-		_, _ = w.apply(Release(m.session, worldTask, m.epoch))
+		_, _ = w.apply(ReleaseLease(m.session, worldTask, m.epoch))
 	case endAsk:
-		w.end(End(m.session), m.session)
+		w.end(EndSession(m.session), m.session)
 	case expireAsk:
 		w.expire(m)
 	case assentSaid:
@@ -56,17 +56,17 @@
 	}
 }
 
-func (w *world) apply(c cluster.Command) (a Answer, err error) {
+func (w *world) apply(c cluster.Command) (a Result, err error) {
 	w.index++
-	before := w.book.Epoch(worldTask)
+	before := w.book.LastEpoch(worldTask)
 	raw, err := w.ownBook().Apply(w.index, c.Body)
 	if err != nil {
-		return Answer{}, err
+		return Result{}, err
 	}
-	if w.book.Epoch(worldTask) < before {
+	if w.book.LastEpoch(worldTask) < before {
 		w.broken = "an epoch fell"
 	}
-	if a, err = ReadAnswer(raw); err != nil {
+	if a, err = DecodeResult(raw); err != nil {
 		panic(err)
 	}
 	return a, nil
@@ -76,29 +76,29 @@
 func (w *world) elect(k int) {
 	w.term++
 	w.leader = k
-	a, _ := w.apply(Began())
+	a, _ := w.apply(BeginLeaderEpoch())
 	n := w.ownKeeper(k)
 	n.believes = true
 	if w.wrong.noWholeTerm {
-		n.terms.reign = a.Reign
+		n.terms.reign = a.LeaderEpoch
 	} else {
-		n.terms.Lead(w.keeperClock(k), a.Reign, w.book.Sessions())
+		n.terms.StartLeading(w.keeperClock(k), a.LeaderEpoch, w.book.Sessions())
 	}
 }
 
 func (w *world) heard(k int, term uint64, sent api.Micros) {
-	w.ownKeeper(k).assent.Heard(term, third, sent)
+	w.ownKeeper(k).assent.RecordContact(term, third, sent)
 }
 
 // open goes through the log, which proves the lead by itself. A process from before a death is nobody's: -1.
 func (w *world) open(m message) {
-	a, err := w.apply(Open("m", m.life))
+	a, err := w.apply(OpenSession("m", m.life))
 	if err != nil {
 		panic(err)
 	}
-	goes := w.ownKeeper(w.leader).terms.Opened(a.Session, w.keeperClock(w.leader))
+	goes := w.ownKeeper(w.leader).terms.AddOrRenew(a.Session, w.keeperClock(w.leader))
 	if other := 1 - w.leader; w.wrong.noWholeTerm {
-		w.ownKeeper(other).terms.Opened(a.Session, w.keeperClock(other))
+		w.ownKeeper(other).terms.AddOrRenew(a.Session, w.keeperClock(other))
 	}
 	m.kind, m.session, m.keeper, m.life = no, a.Session, 0, 0
 	if goes {
@@ -112,7 +112,7 @@
 // answers is whether a keeper would answer a renewal now: it believes that it leads and knows so.
 func (w *world) answers(m message) bool {
 	k := &w.keeper[m.keeper]
-	return !k.believes || w.wrong.unverified || k.assent.Covers(m.at)
+	return !k.believes || w.wrong.unverified || k.assent.HasQuorumSince(m.at)
 }
 
 func (w *world) renew(m message) {
@@ -120,7 +120,7 @@
 	if !k.believes {
 		return
 	}
-	goes := k.terms.Renewed(m.session, w.keeperClock(m.keeper))
+	goes := k.terms.Renew(m.session, w.keeperClock(m.keeper))
 	if _, counted := k.terms.runs[m.session]; counted && w.wrong.renewsEnding {
 		k.terms.runs[m.session], goes = run{until: w.keeperClock(m.keeper) + worldTerm}, true
 	}
@@ -133,9 +133,9 @@
 
 func (w *world) end(c cluster.Command, s cluster.SessionID) {
 	if _, err := w.apply(c); !errors.Is(err, cluster.ErrStale) {
-		w.ownKeeper(w.leader).terms.Ended(s)
+		w.ownKeeper(w.leader).terms.Remove(s)
 		if w.wrong.noWholeTerm {
-			w.ownKeeper(1 - w.leader).terms.Ended(s)
+			w.ownKeeper(1 - w.leader).terms.Remove(s)
 		}
 	}
 }
@@ -145,11 +145,11 @@
 	if m.keeper != w.leader {
 		return
 	}
-	o := Over{m.session, m.reign}
+	o := ExpiredSession{m.session, m.reign}
 	if w.wrong.anyReign {
-		o.Reign = w.book.Reign()
+		o.LeaderEpoch = w.book.LeaderEpoch()
 	}
-	w.end(Expire(o), m.session)
+	w.end(ExpireSession(o), m.session)
 }
 
 // broke tells what must never be, or "": two holders, and, before it comes to that, one whose task the log
@@ -159,7 +159,7 @@
 	for p := range w.proc {
 		if e, ok := w.proc[p].tenure.Epoch(worldTask, w.clock(p)); ok {
 			holders++
-			if !w.book.Holds(worldTask, e) {
+			if !w.book.IsCurrent(worldTask, e) {
 				astray = "a member holds what the log has freed"
 			}
 		}
--- a/cluster/lease/assent.go
+++ b/cluster/lease/assent.go
@@ -5,24 +5,24 @@
 	"rowanlink/webhook/api"
 )
 
-// Assent is what a leading keeper knows of its lead: when it last asked each of the others something that was
+// QuorumContact is what a leading keeper knows of its lead: when it last asked each of the others something that was
 // answered in its own raft term. It is there because raft's VerifyLeader takes any answer that comes after
 // the call, also one given before another keeper was elected and read late, by a leader that had been
 // stopped. Times are of this keeper's clock.
-type Assent struct {
+type QuorumContact struct {
 	needed int // of the others: with itself a majority
 	term   uint64
 	sent   map[cluster.MemberID]api.Micros
 }
 
-// NewAssent is for so many keepers, itself among them.
-func NewAssent(keepers int) *Assent {
-	return &Assent{needed: keepers / 2, sent: map[cluster.MemberID]api.Micros{}}
+// NewQuorumContact is for so many keepers, itself among them.
+func NewQuorumContact(keepers int) *QuorumContact {
+	return &QuorumContact{needed: keepers / 2, sent: map[cluster.MemberID]api.Micros{}}
 }
 
-// Heard notes that a keeper answered what was sent to it at a time read before, and that both were of this
+// RecordContact notes that a keeper answered what was sent to it at a time read before, and that both were of this
 // raft term. What is heard about an earlier term than before counts no more.
-func (a *Assent) Heard(raftTerm uint64, from cluster.MemberID, sent api.Micros) {
+func (a *QuorumContact) RecordContact(raftTerm uint64, from cluster.MemberID, sent api.Micros) {
 	if raftTerm > a.term {
 		a.term, a.sent = raftTerm, map[cluster.MemberID]api.Micros{}
 	}
@@ -31,8 +31,8 @@
 	}
 }
 
-// Covers is whether this keeper surely led at that moment or after it.
-func (a *Assent) Covers(moment api.Micros) bool {
+// HasQuorumSince is whether this keeper surely led at that moment or after it.
+func (a *QuorumContact) HasQuorumSince(moment api.Micros) bool {
 	heard := 0
 	for _, sent := range a.sent {
 		if sent >= moment {
--- a/cluster/lease/book.go
+++ b/cluster/lease/book.go
@@ -11,15 +11,15 @@
 	"rowanlink/cluster"
 )
 
-// Book is the replicated part: sessions, what hangs on them, and the last epoch of each task. It knows no
+// Table is the replicated part: sessions, what hangs on them, and the last epoch of each task. It knows no
 // time. Its index rises with the log's; were that to begin anew, session ids and epochs go on rising all the
 // same.
-type Book struct {
+type Table struct {
 	last     uint64 // the highest id or epoch given out: the next is above it
-	reign    Reign
+	reign    LeaderEpoch
 	sessions map[cluster.SessionID]*session
 	opened   map[opener]cluster.SessionID // sessions that have not ended
-	tasks    map[cluster.Task]grant
+	tasks    map[cluster.Resource]leaseState
 }
 
 type opener struct {
@@ -29,69 +29,69 @@
 
 type session struct {
 	opener
-	tasks map[cluster.Task]struct{}
+	tasks map[cluster.Resource]struct{}
 }
 
-type grant struct {
+type leaseState struct {
 	session cluster.SessionID // 0: free
 	epoch   cluster.Epoch     // the last, also while it is free
 }
 
-// NewBook has no sessions.
-func NewBook() *Book {
-	return &Book{sessions: map[cluster.SessionID]*session{}, opened: map[opener]cluster.SessionID{},
-		tasks: map[cluster.Task]grant{}}
+// NewTable has no sessions.
+func NewTable() *Table {
+	return &Table{sessions: map[cluster.SessionID]*session{}, opened: map[opener]cluster.SessionID{},
+		tasks: map[cluster.Resource]leaseState{}}
 }
 
-// Apply does one order. Refusals: ErrUnreadable; fleet.ErrUnknown where the session has ended or never was;
-// fleet.ErrFenced for a release of what this session no longer holds with that epoch; fleet.ErrStale for the
+// Apply does one order. Refusals: ErrUnreadable; cluster.ErrNotFound where the session has ended or never was;
+// cluster.ErrFenced for a release of what this session no longer holds with that epoch; cluster.ErrStale for the
 // end that a keeper found in an earlier reign. Each changes nothing.
-func (b *Book) Apply(index uint64, body []byte) ([]byte, error) {
+func (b *Table) Apply(index uint64, body []byte) ([]byte, error) {
 	o, err := readOrder(body)
 	if err != nil {
 		return nil, err
 	}
 	if o.Session != 0 && b.sessions[o.Session] == nil {
-		return nil, cluster.ErrUnknown
+		return nil, cluster.ErrNotFound
 	}
-	answer := Answer{Session: o.Session}
+	answer := Result{Session: o.Session}
 	switch o.Kind {
-	case OpenKind:
+	case OpOpenSession:
 		answer.Session = b.open(index, opener{o.Member, o.Incarnation})
-	case ReignKind:
-		b.reign = Reign(b.next(index))
-		answer.Reign = b.reign
-	case ExpireKind:
-		if o.Reign != b.reign {
+	case OpBeginLeaderEpoch:
+		b.reign = LeaderEpoch(b.next(index))
+		answer.LeaderEpoch = b.reign
+	case OpExpireSession:
+		if o.LeaderEpoch != b.reign {
 			return nil, cluster.ErrStale
 		}
 		b.end(o.Session)
-	case EndKind:
+	case OpEndSession:
 		b.end(o.Session)
-	case GrantKind:
-		answer.Granted = b.grant(index, o.Session, o.Tasks)
-	case ReleaseKind:
-		if b.tasks[o.Tasks[0]] != (grant{o.Session, o.Epoch}) {
+	case OpAcquire:
+		answer.Grants = b.grant(index, o.Session, o.Resources)
+	case OpRelease:
+		if b.tasks[o.Resources[0]] != (leaseState{o.Session, o.Epoch}) {
 			return nil, cluster.ErrFenced
 		}
-		b.free(o.Tasks[0])
-		delete(b.sessions[o.Session].tasks, o.Tasks[0])
+		b.free(o.Resources[0])
+		delete(b.sessions[o.Session].tasks, o.Resources[0])
 	}
 	return encode(answer), nil
 }
 
 // open leaves sessions of the member's earlier lives to end by their terms: the old process may be stopped,
 // or another that runs from a copied folder, and still believe what it was told.
-func (b *Book) open(index uint64, who opener) cluster.SessionID {
+func (b *Table) open(index uint64, who opener) cluster.SessionID {
 	if s := b.opened[who]; s != 0 {
 		return s
 	}
 	s := cluster.SessionID(b.next(index))
-	b.opened[who], b.sessions[s] = s, &session{who, map[cluster.Task]struct{}{}}
+	b.opened[who], b.sessions[s] = s, &session{who, map[cluster.Resource]struct{}{}}
 	return s
 }
 
-func (b *Book) end(s cluster.SessionID) {
+func (b *Table) end(s cluster.SessionID) {
 	for t := range b.sessions[s].tasks {
 		b.free(t)
 	}
@@ -99,9 +99,9 @@
 	delete(b.sessions, s)
 }
 
-func (b *Book) free(t cluster.Task) { b.tasks[t] = grant{epoch: b.tasks[t].epoch} }
+func (b *Table) free(t cluster.Resource) { b.tasks[t] = leaseState{epoch: b.tasks[t].epoch} }
 
-func (b *Book) grant(index uint64, s cluster.SessionID, tasks []cluster.Task) (answers []Granted) {
+func (b *Table) grant(index uint64, s cluster.SessionID, tasks []cluster.Resource) (answers []Grant) {
 	var epoch cluster.Epoch
 	for _, t := range tasks {
 		g := b.tasks[t]
@@ -109,24 +109,24 @@
 			if epoch == 0 {
 				epoch = cluster.Epoch(b.next(index))
 			}
-			g = grant{s, epoch}
+			g = leaseState{s, epoch}
 			b.tasks[t], b.sessions[s].tasks[t] = g, struct{}{}
 		}
 		if g.session != s {
 			g.epoch = 0
 		}
-		answers = append(answers, Granted{t, g.epoch})
+		answers = append(answers, Grant{t, g.epoch})
 	}
 	return answers
 }
 
-func (b *Book) next(index uint64) uint64 {
+func (b *Table) next(index uint64) uint64 {
 	b.last = max(index, b.last+1)
 	return b.last
 }
 
 // Holder tells who holds a task and by which epoch; false while it is free.
-func (b *Book) Holder(t cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (b *Table) Holder(t cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	g := b.tasks[t]
 	if g.session == 0 {
 		return 0, "", 0, false
@@ -134,47 +134,47 @@
 	return g.session, b.sessions[g.session].member, g.epoch, true
 }
 
-// Holds is whether the task's last grant was this one and still stands.
-func (b *Book) Holds(t cluster.Task, e cluster.Epoch) bool {
+// IsCurrent is whether the task's last grant was this one and still stands.
+func (b *Table) IsCurrent(t cluster.Resource, e cluster.Epoch) bool {
 	g := b.tasks[t]
 	return g.session != 0 && g.epoch == e
 }
 
-// Epoch is the task's last granted one, also while the task is free; 0: never granted.
-func (b *Book) Epoch(t cluster.Task) cluster.Epoch { return b.tasks[t].epoch }
+// LastEpoch is the task's last granted one, also while the task is free; 0: never granted.
+func (b *Table) LastEpoch(t cluster.Resource) cluster.Epoch { return b.tasks[t].epoch }
 
 // Sessions are those that have not ended, oldest first.
-func (b *Book) Sessions() []cluster.SessionID { return slices.Sorted(maps.Keys(b.sessions)) }
+func (b *Table) Sessions() []cluster.SessionID { return slices.Sorted(maps.Keys(b.sessions)) }
 
-// Reign is the last that began.
-func (b *Book) Reign() Reign { return b.reign }
+// LeaderEpoch is the last that began.
+func (b *Table) LeaderEpoch() LeaderEpoch { return b.reign }
 
 // MemberOf is whose session it is; "": ended, or never was.
-func (b *Book) MemberOf(s cluster.SessionID) cluster.MemberID {
+func (b *Table) MemberOf(s cluster.SessionID) cluster.MemberID {
 	if s := b.sessions[s]; s != nil {
 		return s.member
 	}
 	return ""
 }
 
-// TasksOf is what a session holds, sorted; nothing where it has ended.
-func (b *Book) TasksOf(s cluster.SessionID) []cluster.Task {
+// ResourcesOf is what a session holds, sorted; nothing where it has ended.
+func (b *Table) ResourcesOf(s cluster.SessionID) []cluster.Resource {
 	if s := b.sessions[s]; s != nil {
 		return slices.Sorted(maps.Keys(s.tasks))
 	}
 	return nil
 }
 
-// HeldBy is what a session holds, sorted.
-func (b *Book) HeldBy(s cluster.SessionID) (all []Granted) {
-	for _, t := range b.TasksOf(s) {
-		all = append(all, Granted{t, b.tasks[t].epoch})
+// GrantsOf is what a session holds, sorted.
+func (b *Table) GrantsOf(s cluster.SessionID) (all []Grant) {
+	for _, t := range b.ResourcesOf(s) {
+		all = append(all, Grant{t, b.tasks[t].epoch})
 	}
 	return all
 }
 
-// Tally is one number for all that a session holds, for comparison with Tenure.Tally.
-func (b *Book) Tally(s cluster.SessionID) (sum Tally) {
+// Digest is one number for all that a session holds, for comparison with Tenure.Digest.
+func (b *Table) Digest(s cluster.SessionID) (sum Digest) {
 	if s := b.sessions[s]; s != nil {
 		for t := range s.tasks {
 			sum += tallyOf(t, b.tasks[t].epoch)
--- a/cluster/lease/encoded_forms_test.go
+++ b/cluster/lease/encoded_forms_test.go
@@ -14,5 +14,5 @@
 func TestEncodedForms(t *testing.T) {
 	want, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Order{}, Answer{}, bookImage{}, fenceImage{}))
+	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Operation{}, Result{}, tableImage{}, fenceImage{}))
 }
--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -8,37 +8,37 @@
 
 // Fence is kept by whoever is acted on: the highest epoch seen of each task.
 type Fence struct {
-	seen map[cluster.Task]cluster.Epoch
+	highest map[cluster.Resource]cluster.Epoch
 }
 
 type fenceImage struct {
-	Format int                            `cbor:"1,keyasint"`
-	Seen   map[cluster.Task]cluster.Epoch `cbor:"2,keyasint"`
+	Format int                                `cbor:"1,keyasint"`
+	Seen   map[cluster.Resource]cluster.Epoch `cbor:"2,keyasint"`
 }
 
 const fenceFormat = 1
 
 // NewFence has seen nothing: only for a folder that never had one.
-func NewFence() *Fence { return &Fence{map[cluster.Task]cluster.Epoch{}} }
+func NewFence() *Fence { return &Fence{map[cluster.Resource]cluster.Epoch{}} }
 
-// Admit lets a deed in whose epoch is the highest seen or above it, else fleet.ErrFenced. Where risen is true
+// Admit lets a deed in whose epoch is the highest seen or above it, else cluster.ErrFenced. Where risen is true
 // the caller must keep Bytes, synced to disk, before it acts: a deed done by an epoch that a restart forgets
 // would let a former holder in after it.
-func (f *Fence) Admit(t cluster.Task, e cluster.Epoch) (risen bool, err error) {
-	if e == 0 || e < f.seen[t] {
+func (f *Fence) Admit(t cluster.Resource, e cluster.Epoch) (risen bool, err error) {
+	if e == 0 || e < f.highest[t] {
 		return false, cluster.ErrFenced
 	}
-	risen = e > f.seen[t]
-	f.seen[t] = e
+	risen = e > f.highest[t]
+	f.highest[t] = e
 	return risen, nil
 }
 
-// Bytes is what LoadFence reads.
-func (f *Fence) Bytes() []byte { return encode(fenceImage{fenceFormat, f.seen}) }
+// Encode is what DecodeFence reads.
+func (f *Fence) Encode() []byte { return encode(fenceImage{fenceFormat, f.highest}) }
 
-// LoadFence is the fence of an earlier life; ErrUnreadable where it is damaged or of a newer program, and
+// DecodeFence is the fence of an earlier life; ErrUnreadable where it is damaged or of a newer program, and
 // then nothing may be admitted: the caller must not begin with an empty one.
-func LoadFence(b []byte) (*Fence, error) {
+func DecodeFence(b []byte) (*Fence, error) {
 	var image fenceImage
 	if err := decoding.Unmarshal(b, &image); err != nil {
 		return nil, fmt.Errorf("fence: %w: %w", ErrUnreadable, err)
@@ -52,7 +52,7 @@
 		if t == "" || e == 0 {
 			return nil, fmt.Errorf("fence: task %q with epoch %d: %w", t, e, ErrUnreadable)
 		}
-		f.seen[t] = e
+		f.highest[t] = e
 	}
 	return f, nil
 }
--- a/cluster/lease/guest_test.go
+++ b/cluster/lease/guest_test.go
@@ -12,16 +12,16 @@
 	"rowanlink/webhook/api"
 )
 
-func (g *guest) begin(wants []cluster.Task) {
+func (g *guest) begin(wants []cluster.Resource) {
 	g.life++
-	g.tenure, g.proposes, g.polls, g.stopped = NewTenure(hallTerm, 0), 0, 0, 0
-	again := timing.Reask(hallTerm)
+	g.tenure, g.proposes, g.polls, g.stopped = NewHolder(hallTerm, 0), 0, 0, 0
+	again := timing.AcquireRetryInterval(hallTerm)
 	if g.spoilt.neverAgain {
 		again = api.Second << 40
 	}
-	g.wishes = NewWishes(g.tenure, again)
+	g.wishes = NewReconciler(g.tenure, again)
 	for _, t := range wants {
-		g.wishes.Want(t)
+		g.wishes.Request(t)
 	}
 }
 
@@ -44,44 +44,44 @@
 	if g.now < g.stopped {
 		return
 	}
-	if g.now >= g.tenure.AskAgainAt() {
-		g.renew(g.life, g.tenure.Asked(g.now), g.tenure.Session(), g.tenure.Tally())
+	if g.now >= g.tenure.NextRenewalAt() {
+		g.renew(g.life, g.tenure.StartRenewal(g.now), g.tenure.Session(), g.tenure.Digest())
 	}
-	if p := g.wishes.Next(g.now); p.Any() && g.now >= g.proposes {
-		g.proposes = g.now + timing.Opening(hallTerm)
+	if p := g.wishes.NextProposal(g.now); p.HasWork() && g.now >= g.proposes {
+		g.proposes = g.now + timing.LoggedRequestTimeout(hallTerm)
 		g.propose(g.life, p, g.proposes)
 	}
-	if tasks := g.wishes.Waits(); len(tasks) > 0 && g.now >= g.polls && !g.deaf {
-		g.polls = g.now + timing.LongPoll(hallTerm) + timing.Answer(hallTerm)
+	if tasks := g.wishes.Blocked(); len(tasks) > 0 && g.now >= g.polls && !g.deaf {
+		g.polls = g.now + timing.LongPollTimeout(hallTerm) + timing.RequestTimeout(hallTerm)
 		g.poll(g.life, tasks, g.polls)
 	}
 }
 
-func (g *guest) renew(life Incarnation, ask Ask, s cluster.SessionID, tally Tally) {
+func (g *guest) renew(life Incarnation, ask Renewal, s cluster.SessionID, tally Digest) {
 	k := g.asked()
 	g.send(func() {
 		switch {
 		case !g.leads(k):
 		case s == 0:
-			a, err := g.apply(Open(g.id, life))
-			if err == nil && g.terms.Opened(a.Session, g.now) {
+			a, err := g.apply(OpenSession(g.id, life))
+			if err == nil && g.terms.AddOrRenew(a.Session, g.now) {
 				g.reply(life, func() { g.answered(ask, a.Session) })
 			}
-		case g.terms.Renewed(s, g.now):
-			var holds []Granted
-			if book := g.desks[k].book; book.Tally(s) != tally && !g.spoilt.holdsUntold {
-				holds = book.HeldBy(s)
+		case g.terms.Renew(s, g.now):
+			var holds []Grant
+			if book := g.desks[k].book; book.Digest(s) != tally && !g.spoilt.holdsUntold {
+				holds = book.GrantsOf(s)
 			}
-			g.reply(life, func() { g.answered(ask, s); g.wishes.Has(s, holds) })
+			g.reply(life, func() { g.answered(ask, s); g.wishes.ReconcileGrants(s, holds) })
 		default:
-			g.reply(life, func() { g.tenure.Refused(s) })
+			g.reply(life, func() { g.tenure.HandleRejection(s) })
 		}
 	})
 }
 
-func (g *guest) answered(ask Ask, s cluster.SessionID) {
-	if before := g.tenure.Session(); g.tenure.Answered(ask, s) && before != s {
-		g.wishes.Anew()
+func (g *guest) answered(ask Renewal, s cluster.SessionID) {
+	if before := g.tenure.Session(); g.tenure.ConfirmRenewal(ask, s) && before != s {
+		g.wishes.RetryAll()
 	}
 }
 
@@ -89,12 +89,12 @@
 func (g *guest) propose(life Incarnation, p Proposal, until api.Micros) {
 	k := g.asked()
 	g.send(func() {
-		var a Answer
+		var a Result
 		var err error
 		taken := g.taken(k, p)
 		switch {
 		case len(taken) > 0:
-			a.Granted = taken
+			a.Grants = taken
 		case g.leads(k):
 			a, err = g.apply(p.Command())
 		default:
@@ -105,37 +105,37 @@
 				return
 			}
 			switch g.proposes = g.now; {
-			case p.Let != "":
-				g.wishes.Released(p, err)
+			case p.Release != "":
+				g.wishes.HandleReleaseResult(p, err)
 			case err != nil:
-				g.tenure.Refused(p.Session)
+				g.tenure.HandleRejection(p.Session)
 			default:
-				g.wishes.Granted(p.Session, a.Granted, g.now)
+				g.wishes.HandleResult(p.Session, a.Grants, g.now)
 			}
 		})
 	})
 }
 
 // taken is the no that a keeper which leads, or still believes so, gives without an entry.
-func (g *guest) taken(k int, p Proposal) (no []Granted) {
+func (g *guest) taken(k int, p Proposal) (no []Grant) {
 	d := g.desks[k]
-	if p.Let != "" || !g.leads(k) && d.lags <= g.now || d.book.MemberOf(p.Session) == "" {
+	if p.Release != "" || !g.leads(k) && d.lags <= g.now || d.book.MemberOf(p.Session) == "" {
 		return nil
 	}
-	for _, t := range p.Wanted {
+	for _, t := range p.Acquire {
 		if s, _, _, held := d.book.Holder(t); !held || s == p.Session {
 			return nil
 		}
-		no = append(no, Granted{Task: t})
+		no = append(no, Grant{Resource: t})
 	}
 	return no
 }
 
-func (g *guest) poll(life Incarnation, tasks []cluster.Task, until api.Micros) {
+func (g *guest) poll(life Incarnation, tasks []cluster.Resource, until api.Micros) {
 	k := g.asks % len(g.desks)
 	var look func()
 	look = func() {
-		book, free := g.caught(k), []cluster.Task(nil)
+		book, free := g.caught(k), []cluster.Resource(nil)
 		for _, t := range tasks {
 			if _, _, _, held := book.Holder(t); !held {
 				free = append(free, t)
@@ -149,7 +149,7 @@
 			if g.polls != until {
 				return
 			}
-			if g.polls = g.now; !g.wishes.Free(free) {
+			if g.polls = g.now; !g.wishes.HandleFreed(free) {
 				g.asks++
 			}
 		})
@@ -170,7 +170,7 @@
 	}
 	h.run(h.now + hallTerm + takenBy*hallTerm) // the latest message, and then the bound
 	for _, t := range hallTasks {
-		wants := func(g *guest) bool { return slices.Contains(g.wishes.Wanted(), t) }
+		wants := func(g *guest) bool { return slices.Contains(g.wishes.Requested(), t) }
 		wanted := slices.ContainsFunc(h.members, wants)
 		_, who, epoch, held := h.desks[h.lead].book.Holder(t)
 		switch all := h.holders(t); {
--- a/cluster/lease/hall_test.go
+++ b/cluster/lease/hall_test.go
@@ -21,7 +21,7 @@
 	desks   [3]*desk
 	lead    int
 	idle    api.Micros // until then nobody leads
-	terms   *Terms
+	terms   *ExpiryTracker
 	members []*guest
 	broken  string
 }
@@ -31,7 +31,7 @@
 
 // desk is one keeper: a copy of the log's book, as far as it has come.
 type desk struct {
-	book *Book
+	book *Table
 	at   int
 	lags api.Micros // until then it takes no entries
 }
@@ -41,8 +41,8 @@
 	*hall
 	id       cluster.MemberID
 	life     Incarnation
-	tenure   *Tenure
-	wishes   *Wishes
+	tenure   *Holder
+	wishes   *Reconciler
 	stopped  api.Micros
 	deaf     bool // no keeper's word of free tasks reaches it
 	proposes api.Micros
@@ -55,12 +55,12 @@
 	beat     = hallTerm / 40
 )
 
-var hallTasks = []cluster.Task{"conduct", "home/1", "home/2"}
+var hallTasks = []cluster.Resource{"conduct", "home/1", "home/2"}
 
 func newHall(seed uint64, s spoilt) *hall {
-	h := &hall{rng: rand.New(rand.NewPCG(seed, 35)), faulty: true, spoilt: s, terms: NewTerms(hallTerm)}
+	h := &hall{rng: rand.New(rand.NewPCG(seed, 35)), faulty: true, spoilt: s, terms: NewExpiryTracker(hallTerm)}
 	for i := range h.desks {
-		h.desks[i] = &desk{book: NewBook()}
+		h.desks[i] = &desk{book: NewTable()}
 	}
 	h.elect()
 	for i := range 3 {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (h *hall) holders(t cluster.Task) (all []*guest) {
+func (h *hall) holders(t cluster.Resource) (all []*guest) {
 	for _, g := range h.members {
 		if _, held := g.tenure.Epoch(t, h.now); held {
 			all = append(all, g)
@@ -123,17 +123,17 @@
 }
 
 // apply commits an order, by the keeper that leads.
-func (h *hall) apply(c cluster.Command) (a Answer, err error) {
+func (h *hall) apply(c cluster.Command) (a Result, err error) {
 	h.entries = append(h.entries, c.Body)
 	raw, err := h.caught(h.lead).Apply(uint64(len(h.entries)), c.Body)
 	if h.desks[h.lead].at++; err == nil {
-		a, err = ReadAnswer(raw)
+		a, err = DecodeResult(raw)
 	}
 	return a, err
 }
 
 // caught is a keeper's book, as far as it can have it.
-func (h *hall) caught(k int) *Book {
+func (h *hall) caught(k int) *Table {
 	d := h.desks[k]
 	most := len(h.entries)
 	if k == h.lead {
@@ -151,16 +151,16 @@
 	if h.lead = h.rng.IntN(len(h.desks)); h.faulty {
 		h.idle = h.now + h.upTo(hallTerm/2)
 	}
-	a, _ := h.apply(Began())
-	h.terms.Lead(h.now, a.Reign, h.desks[h.lead].book.Sessions())
+	a, _ := h.apply(BeginLeaderEpoch())
+	h.terms.StartLeading(h.now, a.LeaderEpoch, h.desks[h.lead].book.Sessions())
 }
 
 // beat ends what is due and has faults befall the hall.
 func (h *hall) beat() {
 	h.at(beat, h.beat)
-	for _, o := range h.terms.Due(h.now) {
-		if _, err := h.apply(Expire(o)); err == nil {
-			h.terms.Ended(o.Session)
+	for _, o := range h.terms.TakeExpired(h.now) {
+		if _, err := h.apply(ExpireSession(o)); err == nil {
+			h.terms.Remove(o.Session)
 		}
 	}
 	if !h.faulty {
@@ -179,9 +179,9 @@
 		case 0:
 			g.stopped = h.now + hallTerm/2 + h.upTo(5*hallTerm/2)
 		case 1:
-			g.begin(g.wishes.Wanted())
+			g.begin(g.wishes.Requested())
 		case 2, 3, 4, 5, 6:
-			g.wishes.Want(task)
+			g.wishes.Request(task)
 		case 7, 8, 9, 10, 11:
 			g.wishes.Release(task)
 		}
--- a/cluster/lease/key_test.go
+++ b/cluster/lease/key_test.go
@@ -25,7 +25,7 @@
 		byte(w.left.ends), byte(w.left.deaths), byte(w.left.deeds), byte(w.left.restarts))
 	g := w.book.tasks[worldTask]
 	k.id(uint64(w.done), uint64(w.book.reign), uint64(g.session), uint64(g.epoch),
-		uint64(w.fence.seen[worldTask]))
+		uint64(w.fence.highest[worldTask]))
 	for _, s := range w.book.Sessions() {
 		k.id(uint64(s))
 		k.add(k.life(w.book.sessions[s].incarnation))
@@ -68,12 +68,12 @@
 func (w *world) ids(all []uint64) []uint64 {
 	g := w.book.tasks[worldTask]
 	all = append(all, 0, uint64(w.done), uint64(w.book.reign), uint64(g.session), uint64(g.epoch),
-		uint64(w.fence.seen[worldTask]))
+		uint64(w.fence.highest[worldTask]))
 	for s := range w.book.sessions {
 		all = append(all, uint64(s))
 	}
 	for i := range w.keeper {
-		if w.keeper[i].terms.Leads() {
+		if w.keeper[i].terms.IsLeading() {
 			all = append(all, uint64(w.keeper[i].terms.reign))
 		}
 		for s := range w.keeper[i].terms.runs {
@@ -110,8 +110,8 @@
 // keeper: of the runs what is left; of assents and what waits for one only which came first.
 func (k *coder) keeper(i int) {
 	n := &k.w.keeper[i]
-	k.add('K', byte(n.step/1000), bit(n.believes), bit(n.terms.Leads()))
-	if n.terms.Leads() {
+	k.add('K', byte(n.step/1000), bit(n.believes), bit(n.terms.IsLeading()))
+	if n.terms.IsLeading() {
 		k.id(uint64(n.terms.reign))
 	}
 	for _, s := range sorted(n.terms.runs) {
--- a/cluster/lease/moves_test.go
+++ b/cluster/lease/moves_test.go
@@ -68,7 +68,7 @@
 		}})
 	}
 	if k == w.leader && slices.ContainsFunc(w.net, func(m message) bool {
-		return m.kind == renewHeld && m.keeper == k && !n.assent.Covers(m.at)
+		return m.kind == renewHeld && m.keeper == k && !n.assent.HasQuorumSince(m.at)
 	}) {
 		all = append(all, move{"a keeper hears another's assent", k, func(w *world, k int) {
 			w.heard(k, w.term, w.keeperClock(k))
@@ -81,13 +81,13 @@
 		all = append(all, move{"a keeper follows", k, func(w *world, k int) {
 			n := w.ownKeeper(k)
 			n.believes = false
-			n.terms.Follow()
+			n.terms.StopLeading()
 		}})
 	}
 	if n.believes && w.someDue(k) {
 		all = append(all, move{"a keeper looks at what is due", k, func(w *world, k int) {
-			for _, o := range w.ownKeeper(k).terms.Due(w.keeperClock(k)) {
-				w.send(message{kind: expireAsk, proc: -1, keeper: k, session: o.Session, reign: o.Reign})
+			for _, o := range w.ownKeeper(k).terms.TakeExpired(w.keeperClock(k)) {
+				w.send(message{kind: expireAsk, proc: -1, keeper: k, session: o.Session, reign: o.LeaderEpoch})
 			}
 		}})
 	}
@@ -148,14 +148,14 @@
 	if t.epochs[worldTask] != 0 && w.left.lets > 0 {
 		all = append(all, move{"a member lets the task go", p, func(w *world, p int) {
 			w.left.lets--
-			e, _ := w.own(p).Let(worldTask)
+			e, _ := w.own(p).Relinquish(worldTask)
 			w.send(message{kind: releaseAsk, proc: p, session: w.proc[p].tenure.Session(), epoch: e})
 		}})
 	}
 	if s != 0 && w.left.ends > 0 {
 		all = append(all, move{"a member ends its session", p, func(w *world, p int) {
 			w.left.ends--
-			w.send(message{kind: endAsk, proc: p, session: w.own(p).End()})
+			w.send(message{kind: endAsk, proc: p, session: w.own(p).EndSession()})
 			w.proc[p].life += 2
 		}})
 	}
@@ -170,7 +170,7 @@
 func (w *world) ask(p int, what kind, k int) {
 	t := w.own(p)
 	m := message{kind: what, proc: p, keeper: k, session: t.Session()}
-	m.ask, m.life = t.Asked(w.clock(p)), w.proc[p].life
+	m.ask, m.life = t.StartRenewal(w.clock(p)), w.proc[p].life
 	if what == renewHeld {
 		m.at = w.keeperClock(k)
 	}
@@ -195,7 +195,7 @@
 func (w *world) restart(int) {
 	w.left.restarts--
 	var err error
-	if w.fence, err = LoadFence(w.kept); err != nil {
+	if w.fence, err = DecodeFence(w.kept); err != nil {
 		panic(err)
 	}
 	if w.wrong.fenceLost {
@@ -204,14 +204,14 @@
 }
 
 func (w *world) acted(e cluster.Epoch) {
-	f, err := LoadFence(w.fence.Bytes())
+	f, err := DecodeFence(w.fence.Encode())
 	if err != nil {
 		panic(err)
 	}
 	w.fence = f
 	risen, err := f.Admit(worldTask, e)
 	if risen {
-		w.kept = f.Bytes()
+		w.kept = f.Encode()
 	}
 	if err == nil && e < w.done {
 		w.broken = "a deed came in after one of a later epoch"
--- a/cluster/lease/order.go
+++ b/cluster/lease/order.go
@@ -13,57 +13,57 @@
 // nowhere: two processes from one folder must not share a session.
 type Incarnation uint64
 
-// Order is what the lease part is told by an entry of the log.
-type Order struct {
-	Kind        Kind              `cbor:"1,keyasint"`
-	Member      cluster.MemberID  `cbor:"2,keyasint,omitempty"`
-	Incarnation Incarnation       `cbor:"3,keyasint,omitempty"`
-	Session     cluster.SessionID `cbor:"4,keyasint,omitempty"`
-	Tasks       []cluster.Task    `cbor:"5,keyasint,omitempty"`
-	Epoch       cluster.Epoch     `cbor:"6,keyasint,omitempty"`
-	Reign       Reign             `cbor:"7,keyasint,omitempty"`
+// Operation is what the lease part is told by an entry of the log.
+type Operation struct {
+	Kind        OperationKind      `cbor:"1,keyasint"`
+	Member      cluster.MemberID   `cbor:"2,keyasint,omitempty"`
+	Incarnation Incarnation        `cbor:"3,keyasint,omitempty"`
+	Session     cluster.SessionID  `cbor:"4,keyasint,omitempty"`
+	Resources   []cluster.Resource `cbor:"5,keyasint,omitempty"`
+	Epoch       cluster.Epoch      `cbor:"6,keyasint,omitempty"`
+	LeaderEpoch LeaderEpoch        `cbor:"7,keyasint,omitempty"`
 }
 
-// Reign is one keeper's time of leading, the log's index of the entry by which it began; 0: none yet.
-type Reign uint64
+// LeaderEpoch is one keeper's time of leading, the log's index of the entry by which it began; 0: none yet.
+type LeaderEpoch uint64
 
-// Over is a session whose term ran out, and in whose reign that was found.
-type Over struct {
-	Session cluster.SessionID
-	Reign   Reign
+// ExpiredSession is a session whose term ran out, and in whose reign that was found.
+type ExpiredSession struct {
+	Session     cluster.SessionID
+	LeaderEpoch LeaderEpoch
 }
 
-// Kind is what an order does.
-type Kind uint8
+// OperationKind is what an order does.
+type OperationKind uint8
 
 const (
-	OpenKind Kind = iota + 1
-	EndKind
-	GrantKind
-	ReleaseKind
-	ReignKind
-	ExpireKind
+	OpOpenSession OperationKind = iota + 1
+	OpEndSession
+	OpAcquire
+	OpRelease
+	OpBeginLeaderEpoch
+	OpExpireSession
 )
 
-// Granted is the answer for one task: with epoch 0 another session holds it.
-type Granted struct {
-	Task  cluster.Task  `cbor:"1,keyasint"`
-	Epoch cluster.Epoch `cbor:"2,keyasint,omitempty"`
+// Grant is the answer for one task: with epoch 0 another session holds it.
+type Grant struct {
+	Resource cluster.Resource `cbor:"1,keyasint"`
+	Epoch    cluster.Epoch    `cbor:"2,keyasint,omitempty"`
 }
 
-// Err is fleet.ErrHeld where another session holds the task.
-func (g Granted) Err() error {
+// Err is cluster.ErrAlreadyHeld where another session holds the task.
+func (g Grant) Err() error {
 	if g.Epoch == 0 {
-		return cluster.ErrHeld
+		return cluster.ErrAlreadyHeld
 	}
 	return nil
 }
 
-// Answer is what goes to whoever proposed an order.
-type Answer struct {
-	Session cluster.SessionID `cbor:"1,keyasint"` // the one the order was about
-	Granted []Granted         `cbor:"2,keyasint,omitempty"`
-	Reign   Reign             `cbor:"3,keyasint,omitempty"` // of Began
+// Result is what goes to whoever proposed an order.
+type Result struct {
+	Session     cluster.SessionID `cbor:"1,keyasint"` // the one the order was about
+	Grants      []Grant           `cbor:"2,keyasint,omitempty"`
+	LeaderEpoch LeaderEpoch       `cbor:"3,keyasint,omitempty"` // of Began
 }
 
 // ErrUnreadable is an order, answer or snapshot that can't be understood; nothing was changed.
@@ -86,39 +86,39 @@
 	}.DecMode()
 )
 
-// Open asks for a session of this life of a member; asked again, it answers the same one until that has
+// OpenSession asks for a session of this life of a member; asked again, it answers the same one until that has
 // ended.
-func Open(m cluster.MemberID, i Incarnation) cluster.Command {
-	return command(Order{Kind: OpenKind, Member: m, Incarnation: i})
+func OpenSession(m cluster.MemberID, i Incarnation) cluster.Command {
+	return command(Operation{Kind: OpOpenSession, Member: m, Incarnation: i})
 }
 
-// End frees all that a session holds. The member itself asks for it, after Tenure.End.
-func End(s cluster.SessionID) cluster.Command {
-	return command(Order{Kind: EndKind, Session: s})
+// EndSession frees all that a session holds. The member itself asks for it, after Tenure.End.
+func EndSession(s cluster.SessionID) cluster.Command {
+	return command(Operation{Kind: OpEndSession, Session: s})
 }
 
-// Grant asks for tasks, at most 4096 at a time; what the session holds already is answered with its epoch.
-func Grant(s cluster.SessionID, tasks ...cluster.Task) cluster.Command {
-	return command(Order{Kind: GrantKind, Session: s, Tasks: tasks})
+// AcquireLeases asks for tasks, at most 4096 at a time; what the session holds already is answered with its epoch.
+func AcquireLeases(s cluster.SessionID, tasks ...cluster.Resource) cluster.Command {
+	return command(Operation{Kind: OpAcquire, Session: s, Resources: tasks})
 }
 
-// Release frees one task. The holder stops acting before it asks: Tenure.Let.
-func Release(s cluster.SessionID, t cluster.Task, e cluster.Epoch) cluster.Command {
-	return command(Order{Kind: ReleaseKind, Session: s, Tasks: []cluster.Task{t}, Epoch: e})
+// ReleaseLease frees one task. The holder stops acting before it asks: Tenure.Let.
+func ReleaseLease(s cluster.SessionID, t cluster.Resource, e cluster.Epoch) cluster.Command {
+	return command(Operation{Kind: OpRelease, Session: s, Resources: []cluster.Resource{t}, Epoch: e})
 }
 
-// Began is what a keeper proposes in each raft term in which it leads, before it leads by Terms: its answer
+// BeginLeaderEpoch is what a keeper proposes in each raft term in which it leads, before it leads by Terms: its answer
 // has the reign. Being applied it is the barrier too.
-func Began() cluster.Command { return command(Order{Kind: ReignKind}) }
+func BeginLeaderEpoch() cluster.Command { return command(Operation{Kind: OpBeginLeaderEpoch}) }
 
-// Expire ends a session that Terms.Due named. It is refused with fleet.ErrStale where another reign has begun
+// ExpireSession ends a session that Terms.Due named. It is refused with cluster.ErrStale where another reign has begun
 // since: that one gives the session a whole term again, whatever was found before.
-func Expire(o Over) cluster.Command {
-	return command(Order{Kind: ExpireKind, Session: o.Session, Reign: o.Reign})
+func ExpireSession(o ExpiredSession) cluster.Command {
+	return command(Operation{Kind: OpExpireSession, Session: o.Session, LeaderEpoch: o.LeaderEpoch})
 }
 
-func command(o Order) cluster.Command {
-	return cluster.Command{Part: cluster.LeasePart, Body: encode(o)}
+func command(o Operation) cluster.Command {
+	return cluster.Command{Component: cluster.LeaseComponent, Body: encode(o)}
 }
 
 // encode is for what always can be: an error would be one of this package's types.
@@ -130,37 +130,37 @@
 	return b
 }
 
-// ReadAnswer decodes what Book.Apply answered, else ErrUnreadable.
-func ReadAnswer(b []byte) (a Answer, err error) {
+// DecodeResult decodes what Book.Apply answered, else ErrUnreadable.
+func DecodeResult(b []byte) (a Result, err error) {
 	if err = decoding.Unmarshal(b, &a); err != nil {
-		return Answer{}, fmt.Errorf("answer of a lease order: %w: %w", ErrUnreadable, err)
+		return Result{}, fmt.Errorf("answer of a lease order: %w: %w", ErrUnreadable, err)
 	}
 	return a, nil
 }
 
 // readOrder refuses what says too little or too much for its kind, so that each keeper refuses the same.
-func readOrder(body []byte) (o Order, err error) {
+func readOrder(body []byte) (o Operation, err error) {
 	if err = decoding.Unmarshal(body, &o); err != nil {
-		return Order{}, fmt.Errorf("lease order: %w: %w", ErrUnreadable, err)
+		return Operation{}, fmt.Errorf("lease order: %w: %w", ErrUnreadable, err)
 	}
-	opens, reigns, tasks := o.Kind == OpenKind, o.Kind == ReignKind, 0
+	opens, reigns, tasks := o.Kind == OpOpenSession, o.Kind == OpBeginLeaderEpoch, 0
 	switch o.Kind {
-	case OpenKind, EndKind, ReignKind, ExpireKind:
-	case GrantKind:
-		tasks = min(max(len(o.Tasks), 1), mostTasks)
-	case ReleaseKind:
+	case OpOpenSession, OpEndSession, OpBeginLeaderEpoch, OpExpireSession:
+	case OpAcquire:
+		tasks = min(max(len(o.Resources), 1), mostTasks)
+	case OpRelease:
 		tasks = 1
 	default:
-		return Order{}, fmt.Errorf("lease order of kind %d: %w", o.Kind, ErrUnreadable)
+		return Operation{}, fmt.Errorf("lease order of kind %d: %w", o.Kind, ErrUnreadable)
 	}
-	if len(o.Tasks) != tasks || opens != (o.Member != "") || (opens || reigns) == (o.Session != 0) ||
-		!opens && o.Incarnation != 0 || (o.Epoch != 0) != (o.Kind == ReleaseKind) ||
-		(o.Reign != 0) != (o.Kind == ExpireKind) || len(o.Member) > longestName {
-		return Order{}, fmt.Errorf("lease order of kind %d lacks or adds something: %w", o.Kind, ErrUnreadable)
+	if len(o.Resources) != tasks || opens != (o.Member != "") || (opens || reigns) == (o.Session != 0) ||
+		!opens && o.Incarnation != 0 || (o.Epoch != 0) != (o.Kind == OpRelease) ||
+		(o.LeaderEpoch != 0) != (o.Kind == OpExpireSession) || len(o.Member) > longestName {
+		return Operation{}, fmt.Errorf("lease order of kind %d lacks or adds something: %w", o.Kind, ErrUnreadable)
 	}
-	for _, t := range o.Tasks {
+	for _, t := range o.Resources {
 		if t == "" || len(t) > longestName {
-			return Order{}, fmt.Errorf("lease order: a task without or with too long a name: %w", ErrUnreadable)
+			return Operation{}, fmt.Errorf("lease order: a task without or with too long a name: %w", ErrUnreadable)
 		}
 	}
 	return o, nil
--- a/cluster/lease/snapshot.go
+++ b/cluster/lease/snapshot.go
@@ -8,15 +8,15 @@
 	"rowanlink/cluster"
 )
 
-// bookFormat rises when an older program could no longer read a snapshot.
-const bookFormat = 1
+// tableFormat rises when an older program could no longer read a snapshot.
+const tableFormat = 1
 
-type bookImage struct {
-	Format   int            `cbor:"1,keyasint"`
-	Last     uint64         `cbor:"2,keyasint"`
-	Sessions []sessionImage `cbor:"3,keyasint"`
-	Tasks    []taskImage    `cbor:"4,keyasint"`
-	Reign    Reign          `cbor:"5,keyasint"`
+type tableImage struct {
+	Format      int            `cbor:"1,keyasint"`
+	Last        uint64         `cbor:"2,keyasint"`
+	Sessions    []sessionImage `cbor:"3,keyasint"`
+	Resources   []leaseImage   `cbor:"4,keyasint"`
+	LeaderEpoch LeaderEpoch    `cbor:"5,keyasint"`
 }
 
 type sessionImage struct {
@@ -25,38 +25,38 @@
 	Incarnation Incarnation       `cbor:"3,keyasint"`
 }
 
-type taskImage struct {
-	Task    cluster.Task      `cbor:"1,keyasint"`
-	Epoch   cluster.Epoch     `cbor:"2,keyasint"`
-	Session cluster.SessionID `cbor:"3,keyasint,omitempty"`
+type leaseImage struct {
+	Resource cluster.Resource  `cbor:"1,keyasint"`
+	Epoch    cluster.Epoch     `cbor:"2,keyasint"`
+	Session  cluster.SessionID `cbor:"3,keyasint,omitempty"`
 }
 
 // Snapshot is the whole book, the same bytes on each keeper.
-func (b *Book) Snapshot() ([]byte, error) {
-	image := bookImage{Format: bookFormat, Last: b.last, Reign: b.reign}
+func (b *Table) Snapshot() ([]byte, error) {
+	image := tableImage{Format: tableFormat, Last: b.last, LeaderEpoch: b.reign}
 	for _, s := range b.Sessions() {
 		who := b.sessions[s].opener
 		image.Sessions = append(image.Sessions, sessionImage{s, who.member, who.incarnation})
 	}
 	for _, t := range slices.Sorted(maps.Keys(b.tasks)) {
-		image.Tasks = append(image.Tasks, taskImage{t, b.tasks[t].epoch, b.tasks[t].session})
+		image.Resources = append(image.Resources, leaseImage{t, b.tasks[t].epoch, b.tasks[t].session})
 	}
 	return encoding.Marshal(image)
 }
 
 // Restore puts a snapshot in the book's place. One that can't be read, is of a newer program or contradicts
 // itself leaves the book as it was.
-func (b *Book) Restore(snapshot []byte) error {
-	var image bookImage
+func (b *Table) Restore(snapshot []byte) error {
+	var image tableImage
 	if err := decoding.Unmarshal(snapshot, &image); err != nil {
 		return fmt.Errorf("snapshot of leases: %w: %w", ErrUnreadable, err)
 	}
-	if image.Format != bookFormat {
+	if image.Format != tableFormat {
 		return fmt.Errorf("snapshot of leases: format %d, this program reads %d: %w",
-			image.Format, bookFormat, ErrUnreadable)
+			image.Format, tableFormat, ErrUnreadable)
 	}
-	n := NewBook()
-	n.last, n.reign = image.Last, image.Reign
+	n := NewTable()
+	n.last, n.reign = image.Last, image.LeaderEpoch
 	if uint64(n.reign) > n.last {
 		return fmt.Errorf("snapshot of leases: reign %d: %w", n.reign, ErrUnreadable)
 	}
@@ -66,15 +66,15 @@
 			n.sessions[s.Session] != nil || n.opened[who] != 0 {
 			return fmt.Errorf("snapshot of leases: session %d of %q: %w", s.Session, s.Member, ErrUnreadable)
 		}
-		n.opened[who], n.sessions[s.Session] = s.Session, &session{who, map[cluster.Task]struct{}{}}
+		n.opened[who], n.sessions[s.Session] = s.Session, &session{who, map[cluster.Resource]struct{}{}}
 	}
-	for _, t := range image.Tasks {
-		held, twice := n.sessions[t.Session], n.tasks[t.Task].epoch != 0
-		if twice || t.Task == "" || t.Epoch == 0 || uint64(t.Epoch) > n.last || held == nil && t.Session != 0 {
-			return fmt.Errorf("snapshot of leases: task %q: %w", t.Task, ErrUnreadable)
+	for _, t := range image.Resources {
+		held, twice := n.sessions[t.Session], n.tasks[t.Resource].epoch != 0
+		if twice || t.Resource == "" || t.Epoch == 0 || uint64(t.Epoch) > n.last || held == nil && t.Session != 0 {
+			return fmt.Errorf("snapshot of leases: task %q: %w", t.Resource, ErrUnreadable)
 		}
-		if n.tasks[t.Task] = (grant{t.Session, t.Epoch}); held != nil {
-			held.tasks[t.Task] = struct{}{}
+		if n.tasks[t.Resource] = (leaseState{t.Session, t.Epoch}); held != nil {
+			held.tasks[t.Resource] = struct{}{}
 		}
 	}
 	*b = *n
--- a/cluster/lease/terms.go
+++ b/cluster/lease/terms.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Terms is the leading keeper's clock over sessions: when each is to be ended through the log. Nothing of it
+// ExpiryTracker is the leading keeper's clock over sessions: when each is to be ended through the log. Nothing of it
 // is kept or copied: whoever leads next gives each session a whole term again. Its times are of the keeper's
 // clock.
 //
@@ -14,10 +14,10 @@
 // Lead the time read after it; Opened for each open that is applied while it leads, before the member is
 // answered; a renewal is answered only if Assent covers the moment at which the ask came, and if Renewed says
 // so after that; Follow when it leads no more; what Due names is proposed as Expire, and Ended is told when
-// an end was applied. An Expire that is refused with fleet.ErrStale: propose Began again.
-type Terms struct {
+// an end was applied. An Expire that is refused with cluster.ErrStale: propose Began again.
+type ExpiryTracker struct {
 	term  api.Micros
-	reign Reign
+	reign LeaderEpoch
 	runs  map[cluster.SessionID]run
 	order timerqueue.Times[cluster.SessionID] // each session once, at or before the time that counts
 }
@@ -27,42 +27,42 @@
 	ending bool // named by Due: the log may end it at any moment
 }
 
-// NewTerms leads nothing yet: it knows no session and renews none.
-func NewTerms(term api.Micros) *Terms { return &Terms{term: term} }
+// NewExpiryTracker leads nothing yet: it knows no session and renews none.
+func NewExpiryTracker(term api.Micros) *ExpiryTracker { return &ExpiryTracker{term: term} }
 
-// Lead begins anew with the sessions of the book: each has a whole term from now, whoever renewed it last.
-func (t *Terms) Lead(now api.Micros, reign Reign, sessions []cluster.SessionID) {
-	t.Follow()
+// StartLeading begins anew with the sessions of the book: each has a whole term from now, whoever renewed it last.
+func (t *ExpiryTracker) StartLeading(now api.Micros, reign LeaderEpoch, sessions []cluster.SessionID) {
+	t.StopLeading()
 	t.reign, t.runs = reign, map[cluster.SessionID]run{}
 	for _, s := range sessions {
 		t.begin(s, now)
 	}
 }
 
-// Leads is whether Lead was told in this leading; before that the keeper answers as one that does not lead.
-func (t *Terms) Leads() bool { return t.runs != nil }
+// IsLeading is whether Lead was told in this leading; before that the keeper answers as one that does not lead.
+func (t *ExpiryTracker) IsLeading() bool { return t.runs != nil }
 
-// Follow forgets all: a keeper that leads no more renews nothing and ends nothing.
-func (t *Terms) Follow() { t.runs, t.order = nil, timerqueue.Times[cluster.SessionID]{} }
+// StopLeading forgets all: a keeper that leads no more renews nothing and ends nothing.
+func (t *ExpiryTracker) StopLeading() { t.runs, t.order = nil, timerqueue.Times[cluster.SessionID]{} }
 
-func (t *Terms) begin(s cluster.SessionID, now api.Micros) {
+func (t *ExpiryTracker) begin(s cluster.SessionID, now api.Micros) {
 	t.runs[s] = run{until: now + t.term}
 	t.order.Add(int64(now+t.term), s)
 }
 
-// Opened is told of each open that was applied. Asked again for a session that goes on, it renews it; false
+// AddOrRenew is told of each open that was applied. Asked again for a session that goes on, it renews it; false
 // where it is being ended: the member is to ask again until it is given another.
-func (t *Terms) Opened(s cluster.SessionID, now api.Micros) bool {
+func (t *ExpiryTracker) AddOrRenew(s cluster.SessionID, now api.Micros) bool {
 	if _, ok := t.runs[s]; ok || t.runs == nil {
-		return t.Renewed(s, now)
+		return t.Renew(s, now)
 	}
 	t.begin(s, now)
 	return true
 }
 
-// Renewed gives a session a whole term from now; false where it has ended or was named by Due.
+// Renew gives a session a whole term from now; false where it has ended or was named by Due.
 // Late but before Due it counts: a keeper that was stopped itself need not end what nobody else has ended.
-func (t *Terms) Renewed(s cluster.SessionID, now api.Micros) bool {
+func (t *ExpiryTracker) Renew(s cluster.SessionID, now api.Micros) bool {
 	r, ok := t.runs[s]
 	if !ok || r.ending {
 		return false
@@ -71,9 +71,9 @@
 	return true
 }
 
-// Due names the sessions whose term is over, to be ended through the log: from then on they are not renewed.
+// TakeExpired names the sessions whose term is over, to be ended through the log: from then on they are not renewed.
 // One is named again a quarter of a term later, should its end not have been applied.
-func (t *Terms) Due(now api.Micros) (over []Over) {
+func (t *ExpiryTracker) TakeExpired(now api.Micros) (over []ExpiredSession) {
 	for {
 		s, ok := t.order.Take(int64(now))
 		if !ok {
@@ -85,17 +85,17 @@
 		}
 		if now >= r.until {
 			r = run{until: now + max(t.term/4, 1), ending: true}
-			t.runs[s], over = r, append(over, Over{s, t.reign})
+			t.runs[s], over = r, append(over, ExpiredSession{s, t.reign})
 		}
 		t.order.Add(int64(r.until), s)
 	}
 }
 
-// Ended is told of each end that was applied.
-func (t *Terms) Ended(s cluster.SessionID) { delete(t.runs, s) }
+// Remove is told of each end that was applied.
+func (t *ExpiryTracker) Remove(s cluster.SessionID) { delete(t.runs, s) }
 
-// Next is when Due is to be asked next: never after the earliest end, but perhaps before; false: no session.
-func (t *Terms) Next() (api.Micros, bool) {
+// NextCheckAt is when Due is to be asked next: never after the earliest end, but perhaps before; false: no session.
+func (t *ExpiryTracker) NextCheckAt() (api.Micros, bool) {
 	at, ok := t.order.Next()
 	return api.Micros(at), ok
 }
--- a/cluster/lease/wishes.go
+++ b/cluster/lease/wishes.go
@@ -9,14 +9,14 @@
 	"rowanlink/webhook/api"
 )
 
-// Wishes is what a member wants to hold and what it gave up, over its Tenure: what the keepers are to be told
+// Reconciler is what a member wants to hold and what it gave up, over its Tenure: what the keepers are to be told
 // next, and what they surely know. Messages may be lost, doubled and late: what is not known is asked again,
 // and Has sets right what the two sides know otherwise of each other.
-type Wishes struct {
-	tenure  *Tenure
+type Reconciler struct {
+	tenure  *Holder
 	again   api.Micros
-	wants   map[cluster.Task]wish
-	letting map[cluster.Task]letGo // given up, and the keepers don't know yet
+	wants   map[cluster.Resource]wish
+	letting map[cluster.Resource]letGo // given up, and the keepers don't know yet
 }
 
 // wish is one task that is wanted.
@@ -34,30 +34,30 @@
 // Proposal is what the keepers are to be told next: a release where Let is named, else an ask for Wanted.
 type Proposal struct {
 	Session cluster.SessionID
-	Let     cluster.Task
+	Release cluster.Resource
 	Epoch   cluster.Epoch
-	Wanted  []cluster.Task
+	Acquire []cluster.Resource
 }
 
-// Any is whether there is something to tell.
-func (p Proposal) Any() bool { return p.Let != "" || len(p.Wanted) > 0 }
+// HasWork is whether there is something to tell.
+func (p Proposal) HasWork() bool { return p.Release != "" || len(p.Acquire) > 0 }
 
 // Command is the proposal as it goes into the log.
 func (p Proposal) Command() cluster.Command {
-	if p.Let != "" {
-		return Release(p.Session, p.Let, p.Epoch)
+	if p.Release != "" {
+		return ReleaseLease(p.Session, p.Release, p.Epoch)
 	}
-	return Grant(p.Session, p.Wanted...)
+	return AcquireLeases(p.Session, p.Acquire...)
 }
 
-// NewWishes wants nothing. What another holds is asked for again after the span `again`, in microseconds of
+// NewReconciler wants nothing. What another holds is asked for again after the span `again`, in microseconds of
 // the member's clock, even if no keeper ever told that it is free.
-func NewWishes(t *Tenure, again api.Micros) *Wishes {
-	return &Wishes{tenure: t, again: again, wants: map[cluster.Task]wish{}, letting: map[cluster.Task]letGo{}}
+func NewReconciler(t *Holder, again api.Micros) *Reconciler {
+	return &Reconciler{tenure: t, again: again, wants: map[cluster.Resource]wish{}, letting: map[cluster.Resource]letGo{}}
 }
 
-// Want has a task asked for until it is released; false: it is already.
-func (w *Wishes) Want(t cluster.Task) bool {
+// Request has a task asked for until it is released; false: it is already.
+func (w *Reconciler) Request(t cluster.Resource) bool {
 	_, already := w.wants[t]
 	if !already {
 		w.wants[t] = wish{}
@@ -66,52 +66,52 @@
 }
 
 // Release gives a task up at once. A grant of it that is not known here yet is given back by Granted or Has.
-func (w *Wishes) Release(t cluster.Task) {
+func (w *Reconciler) Release(t cluster.Resource) {
 	delete(w.wants, t)
-	if e, held := w.tenure.Let(t); held {
+	if e, held := w.tenure.Relinquish(t); held {
 		w.letting[t] = letGo{w.tenure.Session(), e}
 	}
 }
 
-// Unwant drops a wish that has no grant. One that has is left for Release, also while its session is over by
+// CancelRequest drops a wish that has no grant. One that has is left for Release, also while its session is over by
 // the clock: it may stand again, and calls by it may be out.
-func (w *Wishes) Unwant(t cluster.Task) {
+func (w *Reconciler) CancelRequest(t cluster.Resource) {
 	if _, granted := w.tenure.epochs[t]; !granted {
 		delete(w.wants, t)
 	}
 }
 
-// Wanted are the tasks wanted, sorted.
-func (w *Wishes) Wanted() []cluster.Task { return slices.Sorted(maps.Keys(w.wants)) }
+// Requested are the tasks wanted, sorted.
+func (w *Reconciler) Requested() []cluster.Resource { return slices.Sorted(maps.Keys(w.wants)) }
 
-// Anew has all that is wanted asked for: for a session that begins.
-func (w *Wishes) Anew() {
+// RetryAll has all that is wanted asked for: for a session that begins.
+func (w *Reconciler) RetryAll() {
 	for t := range w.wants {
 		w.wants[t] = wish{}
 	}
 }
 
-// Next is what the keepers are to be told now: first what was let, since until then it is given to nobody.
+// NextProposal is what the keepers are to be told now: first what was let, since until then it is given to nobody.
 // Nothing while no session stands: one that stands again asks for all.
-func (w *Wishes) Next(now api.Micros) Proposal {
-	if !w.tenure.Holds(now) {
+func (w *Reconciler) NextProposal(now api.Micros) Proposal {
+	if !w.tenure.IsValid(now) {
 		return Proposal{}
 	}
 	for _, t := range slices.Sorted(maps.Keys(w.letting)) {
-		return Proposal{Session: w.letting[t].session, Let: t, Epoch: w.letting[t].epoch}
+		return Proposal{Session: w.letting[t].session, Release: t, Epoch: w.letting[t].epoch}
 	}
 	p := Proposal{Session: w.tenure.Session()}
-	for _, t := range w.Wanted() {
+	for _, t := range w.Requested() {
 		_, held := w.tenure.Epoch(t, now)
-		if v := w.wants[t]; !held && (!v.elsewhere || now-v.heard >= w.again) && len(p.Wanted) < mostTasks {
-			p.Wanted = append(p.Wanted, t)
+		if v := w.wants[t]; !held && (!v.elsewhere || now-v.heard >= w.again) && len(p.Acquire) < mostTasks {
+			p.Acquire = append(p.Acquire, t)
 		}
 	}
 	return p
 }
 
-// AgainAt is when Next may have something to tell though nothing was heard; false: not by itself.
-func (w *Wishes) AgainAt() (at api.Micros, some bool) {
+// NextRetryAt is when Next may have something to tell though nothing was heard; false: not by itself.
+func (w *Reconciler) NextRetryAt() (at api.Micros, some bool) {
 	for _, v := range w.wants {
 		if v.elsewhere && (!some || v.heard+w.again < at) {
 			at, some = v.heard+w.again, true
@@ -120,26 +120,26 @@
 	return at, some
 }
 
-// Granted takes the answer to an ask for tasks. It tells whether some are held by others: Waits has them.
-func (w *Wishes) Granted(s cluster.SessionID, granted []Granted, now api.Micros) (waits bool) {
+// HandleResult takes the answer to an ask for tasks. It tells whether some are held by others: Waits has them.
+func (w *Reconciler) HandleResult(s cluster.SessionID, granted []Grant, now api.Micros) (waits bool) {
 	for _, g := range granted {
 		if g.Err() == nil {
 			w.has(s, g)
 			continue
 		}
 		// Guards against an answer to an earlier session's ask: by then it may have been that one's own.
-		_, wants := w.wants[g.Task]
-		if _, knows := w.tenure.epochs[g.Task]; wants && !knows && s == w.tenure.Session() {
-			w.wants[g.Task], waits = wish{true, now}, true
+		_, wants := w.wants[g.Resource]
+		if _, knows := w.tenure.epochs[g.Resource]; wants && !knows && s == w.tenure.Session() {
+			w.wants[g.Resource], waits = wish{true, now}, true
 		}
 	}
 	return waits
 }
 
-// Has takes what a session holds by the log, as a keeper has it. Guards against a grant whose answer was lost
+// ReconcileGrants takes what a session holds by the log, as a keeper has it. Guards against a grant whose answer was lost
 // and of which an older book said that another has it, and against one that came into the log late, after the
 // task was given up: nobody would hold it, and nobody else be given it.
-func (w *Wishes) Has(s cluster.SessionID, all []Granted) {
+func (w *Reconciler) ReconcileGrants(s cluster.SessionID, all []Grant) {
 	for _, g := range all {
 		if g.Err() == nil {
 			w.has(s, g)
@@ -148,33 +148,33 @@
 }
 
 // has takes one grant, or gives it back: where it is not wanted, and where its release was lost.
-func (w *Wishes) has(s cluster.SessionID, g Granted) {
-	if s != w.tenure.Session() || g.Epoch < max(w.tenure.epochs[g.Task], w.tenure.let[g.Task]) {
+func (w *Reconciler) has(s cluster.SessionID, g Grant) {
+	if s != w.tenure.Session() || g.Epoch < max(w.tenure.epochs[g.Resource], w.tenure.let[g.Resource]) {
 		return // of an earlier session, or of a grant that is over: guards against one that comes late
 	}
-	if _, wants := w.wants[g.Task]; w.tenure.Took(s, g) && wants {
-		w.wants[g.Task] = wish{}
+	if _, wants := w.wants[g.Resource]; w.tenure.AddGrant(s, g) && wants {
+		w.wants[g.Resource] = wish{}
 		return
 	}
-	w.tenure.Let(g.Task) // guards against Has giving it back to this member while its release is on the way
-	w.letting[g.Task] = letGo{s, g.Epoch}
+	w.tenure.Relinquish(g.Resource) // guards against Has giving it back to this member while its release is on the way
+	w.letting[g.Resource] = letGo{s, g.Epoch}
 }
 
-// Released takes what became of a release; false: it has to be told again.
-func (w *Wishes) Released(p Proposal, err error) bool {
-	if err != nil && !errors.Is(err, cluster.ErrFenced) && !errors.Is(err, cluster.ErrUnknown) {
+// HandleReleaseResult takes what became of a release; false: it has to be told again.
+func (w *Reconciler) HandleReleaseResult(p Proposal, err error) bool {
+	if err != nil && !errors.Is(err, cluster.ErrFenced) && !errors.Is(err, cluster.ErrNotFound) {
 		return false
 	}
 	// Done, or an earlier try was, or the session is over and all of it free.
-	if w.letting[p.Let] == (letGo{p.Session, p.Epoch}) {
-		delete(w.letting, p.Let)
+	if w.letting[p.Release] == (letGo{p.Session, p.Epoch}) {
+		delete(w.letting, p.Release)
 	}
 	return true
 }
 
-// Waits is what others held when last asked, sorted.
-func (w *Wishes) Waits() (all []cluster.Task) {
-	for _, t := range w.Wanted() {
+// Blocked is what others held when last asked, sorted.
+func (w *Reconciler) Blocked() (all []cluster.Resource) {
+	for _, t := range w.Requested() {
 		if w.wants[t].elsewhere {
 			all = append(all, t)
 		}
@@ -182,8 +182,8 @@
 	return all
 }
 
-// Free is a keeper's word that tasks are free; it tells whether one of them is to be asked for now.
-func (w *Wishes) Free(tasks []cluster.Task) (some bool) {
+// HandleFreed is a keeper's word that tasks are free; it tells whether one of them is to be asked for now.
+func (w *Reconciler) HandleFreed(tasks []cluster.Resource) (some bool) {
 	for _, t := range tasks {
 		if w.wants[t].elsewhere {
 			w.wants[t], some = wish{}, true
--- a/cluster/lease/world_test.go
+++ b/cluster/lease/world_test.go
@@ -17,7 +17,7 @@
 	stepSlow, stepFast api.Micros       = 3000, 5000 // what a clock shows for one step of true time: 4000 +- 25%
 	worldApart                          = 0.25
 	worldTerm          api.Micros       = 15000 // 3 steps of a fast clock, 5 of a slow one; used: 3 of a slow one
-	worldTask          cluster.Task     = "task"
+	worldTask          cluster.Resource = "task"
 	third              cluster.MemberID = "the third keeper"
 )
 
@@ -61,11 +61,11 @@
 type message struct {
 	kind         kind
 	proc, keeper int
-	ask          Ask
+	ask          Renewal
 	life         Incarnation
 	session      cluster.SessionID
 	epoch        cluster.Epoch
-	reign        Reign
+	reign        LeaderEpoch
 	term         uint64
 	at           api.Micros // of the keeper's clock
 }
@@ -73,15 +73,15 @@
 type keeper struct {
 	step     api.Micros
 	believes bool // that it leads
-	terms    *Terms
-	assent   *Assent
+	terms    *ExpiryTracker
+	assent   *QuorumContact
 	owned    bool // by this world alone; else shared with the one it was cloned from
 }
 
 type process struct {
 	step   api.Micros
 	life   Incarnation
-	tenure *Tenure
+	tenure *Holder
 	owned  bool
 }
 
@@ -92,7 +92,7 @@
 	index  uint64
 	term   uint64 // raft's
 	leader int
-	book   *Book
+	book   *Table
 	owned  bool // the book
 	keeper [2]keeper
 	proc   [2]process
@@ -104,12 +104,12 @@
 }
 
 func newWorld(w wrong, left may, keepers, members [2]api.Micros) *world {
-	n := &world{wrong: w, left: left, book: NewBook(), owned: true, fence: NewFence()}
-	n.kept = n.fence.Bytes()
+	n := &world{wrong: w, left: left, book: NewTable(), owned: true, fence: NewFence()}
+	n.kept = n.fence.Encode()
 	for i := range n.keeper {
-		n.keeper[i] = keeper{keepers[i], false, NewTerms(worldTerm), NewAssent(3), true}
+		n.keeper[i] = keeper{keepers[i], false, NewExpiryTracker(worldTerm), NewQuorumContact(3), true}
 		if w.noWholeTerm {
-			n.keeper[i].terms.Lead(0, 0, nil)
+			n.keeper[i].terms.StartLeading(0, 0, nil)
 		}
 		n.proc[i] = process{members[i], Incarnation(i), n.newTenure(), true}
 	}
@@ -117,11 +117,11 @@
 	return n
 }
 
-func (w *world) newTenure() *Tenure {
+func (w *world) newTenure() *Holder {
 	if w.wrong.noDrift {
-		return NewTenure(worldTerm, 0)
+		return NewHolder(worldTerm, 0)
 	}
-	return NewTenure(worldTerm, worldApart)
+	return NewHolder(worldTerm, worldApart)
 }
 
 func (w *world) keeperClock(k int) api.Micros { return w.now * w.keeper[k].step }
@@ -138,7 +138,7 @@
 	return &n
 }
 
-func (w *world) ownBook() *Book {
+func (w *world) ownBook() *Table {
 	if b := w.book; !w.owned {
 		n := *b
 		n.opened, n.tasks, n.sessions = maps.Clone(b.opened), maps.Clone(b.tasks), map[cluster.SessionID]*session{}
@@ -154,17 +154,17 @@
 func (w *world) ownKeeper(i int) *keeper {
 	k := &w.keeper[i]
 	if t := k.terms; !k.owned {
-		k.terms = &Terms{t.term, t.reign, maps.Clone(t.runs), timerqueue.Times[cluster.SessionID]{}}
+		k.terms = &ExpiryTracker{t.term, t.reign, maps.Clone(t.runs), timerqueue.Times[cluster.SessionID]{}}
 		for _, s := range sorted(t.runs) {
 			k.terms.order.Add(int64(t.runs[s].until), s)
 		}
-		k.assent = &Assent{k.assent.needed, k.assent.term, maps.Clone(k.assent.sent)}
+		k.assent = &QuorumContact{k.assent.needed, k.assent.term, maps.Clone(k.assent.sent)}
 		k.owned = true
 	}
 	return k
 }
 
-func (w *world) own(i int) *Tenure {
+func (w *world) own(i int) *Holder {
 	p := &w.proc[i]
 	if !p.owned {
 		n := *p.tenure
--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -66,13 +66,13 @@
 	f.leader()
 	var all []*member.Session
 	for i := range members {
-		task := cluster.HomeOf(cluster.RangeID(i))
+		task := cluster.RangeOwnerResource(cluster.RangeID(i))
 		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
-		s.Follow(cluster.LeasePart, func(uint64, []byte) {})
+		s.Follow(cluster.LeaseComponent, func(uint64, []byte) {})
 		all = append(all, s)
 	}
 	for i, s := range all {
-		holds(b, s, cluster.HomeOf(cluster.RangeID(i)))
+		holds(b, s, cluster.RangeOwnerResource(cluster.RangeID(i)))
 	}
 	time.Sleep(3 * time.Second)
 	k := f.up[f.leader()]
--- a/cluster/member/chart.go
+++ b/cluster/member/chart.go
@@ -20,7 +20,7 @@
 	t := transport.New("", map[cluster.MemberID]string{"it": says})
 	defer t.Close()
 	status, raw, err := t.Say("it", transport.StatePath, transport.Encode(transport.StateAsk{
-		Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}), span(10*api.Second))
+		Versions: map[byte]uint64{cluster.ShardMapComponent: 0, cluster.RebalanceComponent: 0}}), span(10*api.Second))
 	var answer transport.StateAnswer
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
@@ -29,9 +29,9 @@
 	for _, part := range answer.Parts {
 		switch {
 		case err != nil:
-		case part.Part == cluster.RangesPart:
+		case part.Part == cluster.ShardMapComponent:
 			err, told = m.Restore(part.Snapshot), true
-		case part.Part == cluster.PlanPart:
+		case part.Part == cluster.RebalanceComponent:
 			err = p.Restore(part.Snapshot)
 		}
 	}
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -21,7 +21,7 @@
 	homes    *homes
 	harm     *harm
 	vacancy  *shardmap.Vacancies
-	book     *lease.Book
+	book     *lease.Table
 	progress *rebalance.Progress
 	epoch    cluster.Epoch // since when it conducts
 	under    int           // moves under way when last looked
@@ -49,7 +49,7 @@
 
 // conduct does what is due; it tells whether the wish has come into the log.
 func (c *conductor) conduct(w wish, members []shardmap.Able, parts int, now api.Micros) (adopted bool) {
-	epoch, held := c.homes.session.Holds(cluster.Conducts)
+	epoch, held := c.homes.session.Holds(cluster.CoordinatorResource)
 	chart := c.homes.Map()
 	c.alone = false
 	if !held || c.book == nil {
@@ -93,7 +93,7 @@
 
 // over is whether a stray's grant is held no more.
 func (c *conductor) over(s shardmap.Stray) bool {
-	_, _, epoch, held := c.book.Holder(cluster.HomeOf(s.Under.Range))
+	_, _, epoch, held := c.book.Holder(cluster.RangeOwnerResource(s.Under.Range))
 	return !held || epoch != s.Under.Epoch
 }
 
@@ -221,7 +221,7 @@
 	}
 	if _, err := c.homes.Propose(command); err != nil {
 		c.alone = unreached(err)
-		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
+		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
 			slog.Warn(what+" not said", "why", err)
 		}
 		return false
--- a/cluster/member/deeds.go
+++ b/cluster/member/deeds.go
@@ -26,15 +26,15 @@
 		if name == "" {
 			continue
 		}
-		s.Want(cluster.Task(name))
-		s.done.Go(func() { s.deeds(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
+		s.Want(cluster.Resource(name))
+		s.done.Go(func() { s.deeds(guard, cluster.Resource(name), env("ROWAN_GUARD_FENCE") == "1") })
 	}
 }
 
 // A deed lasts up to a tenth of a term, and the pause between two is as long.
 const deedsEach = 10
 
-func (s *Session) deeds(guard string, t cluster.Task, fenced bool) {
+func (s *Session) deeds(guard string, t cluster.Resource, fenced bool) {
 	for s.pause(s.drawn()) {
 		s.Guarded(t, func(e cluster.Epoch, still func() bool) {
 			with := url.Values{"task": {string(t)}, "epoch": {strconv.FormatUint(uint64(e), 10)},
--- a/cluster/member/deeds_test.go
+++ b/cluster/member/deeds_test.go
@@ -48,6 +48,6 @@
 	defer mu.Unlock()
 	first := slices.IndexFunc(by, func(s string) bool { return strings.HasSuffix(s, " b") })
 	require.False(t, slices.ContainsFunc(by[first:], func(s string) bool { return strings.HasSuffix(s, " a") }))
-	_, held := b.Holds(cluster.Task("job/1"))
+	_, held := b.Holds(cluster.Resource("job/1"))
 	require.True(t, held)
 }
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -55,7 +55,7 @@
 
 type running struct {
 	*raftnode.Keeper
-	book   *lease.Book
+	book   *lease.Table
 	server *transport.Server
 	talk   *transport.Talk
 }
@@ -120,7 +120,7 @@
 	says, err := net.Listen("tcp", f.says[m])
 	require.NoError(f.t, err)
 	r := &running{server: transport.Hears(1000, time.Second), talk: transport.New(m, f.seen(m, f.says)),
-		book: lease.NewBook()}
+		book: lease.NewTable()}
 	r.Keeper, err = f.open(m, r)
 	require.NoError(f.t, err)
 	r.Handle(r.server)
@@ -173,7 +173,7 @@
 	return member.NewKeepers(t, f.names, rand.Float64)
 }
 
-func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Task) *member.Session {
+func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Resource) *member.Session {
 	f.lives++
 	s := member.NewSession(member.Life{Self: name, Incarnation: f.lives, Term: f.term,
 		Apart: 0.05, Clock: clock, Keepers: f.keepers(name)})
@@ -184,7 +184,7 @@
 	return s
 }
 
-func holds(t testing.TB, s *member.Session, task cluster.Task) (e cluster.Epoch) {
+func holds(t testing.TB, s *member.Session, task cluster.Resource) (e cluster.Epoch) {
 	require.Eventually(t, func() (held bool) {
 		e, held = s.Holds(task)
 		return held
@@ -193,7 +193,7 @@
 }
 
 // watched looks all the time who holds a task: never two at once, never an epoch that goes back.
-func watched(t testing.TB, task cluster.Task, all ...*member.Session) {
+func watched(t testing.TB, task cluster.Resource, all ...*member.Session) {
 	end, over := make(chan struct{}), make(chan string, 1)
 	go func() {
 		var last cluster.Epoch
--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -47,7 +47,7 @@
 		}
 		at = s.Keepers.another(at, failures > 0)
 		status, raw, err := s.Keepers.talk.Say(at, transport.StatePath, transport.Encode(ask),
-			span(timing.LongPoll(s.Term)+timing.Answer(s.Term)))
+			span(timing.LongPollTimeout(s.Term)+timing.RequestTimeout(s.Term)))
 		var answer transport.StateAnswer
 		if err == nil && status == fasthttp.StatusOK {
 			err = transport.Decode(raw, &answer)
@@ -55,7 +55,7 @@
 		if err != nil || status != fasthttp.StatusOK {
 			failures++
 			slog.Debug("state not answered", "keeper", at, "status", status, "why", err)
-			if !s.pause(timing.Again(s.Term, failures, s.Keepers.draw())) {
+			if !s.pause(timing.RetryBackoff(s.Term, failures, s.Keepers.draw())) {
 				return
 			}
 			continue
@@ -70,7 +70,7 @@
 func (s *Session) unknown() (ask transport.StateAsk) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ask.Versions, ask.Wants, ask.Changes = map[byte]uint64{}, s.wishes.Waits(), true
+	ask.Versions, ask.Wants, ask.Changes = map[byte]uint64{}, s.wishes.Blocked(), true
 	for part, f := range s.follows {
 		ask.Versions[part] = f.version
 	}
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -26,7 +26,7 @@
 // one of its key, sent to the target, overtakes: its sender keeps it.
 func (f *forwarding) admit(chart *shardmap.Map, s sent, c shardmap.Carried) (shardmap.Admission, shardmap.Verdict) {
 	admission, v := chart.AdmitOf(f.homes.tenant(), c.Dest, s.Version)
-	_, held := f.homes.session.Holds(cluster.HomeOf(v.Range))
+	_, held := f.homes.session.Holds(cluster.RangeOwnerResource(v.Range))
 	if admission == shardmap.Take && v.Passes.Open() && (!held || f.homes.isShut(v)) {
 		admission = shardmap.Behind
 	}
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -24,7 +24,7 @@
 	side    side
 	changed func()       // something is to be looked at; does not wait
 	shuts   sync.Map     // fleet.RangeID to shutting, of a move that is about to switch
-	over    atomic.Int64 // since when there is no session; gateway.Never while there is
+	over    atomic.Int64 // since when there is no session; api.Never while there is
 
 	chart atomic.Pointer[shardmap.Map]
 	mu    sync.Mutex   // one look at a time
@@ -93,7 +93,7 @@
 	}
 	say := func(what string, r shardmap.Range, c cluster.Command) { reached = reached && h.say(what, r, c) }
 	for _, r := range chart.Ranges {
-		task := cluster.HomeOf(r.ID)
+		task := cluster.RangeOwnerResource(r.ID)
 		epoch, held := h.session.Holds(task)
 		switch {
 		case held && h.leaves(r):
@@ -126,7 +126,7 @@
 
 // letGo gives up a home that goes elsewhere as soon as it may. What came before the range was shut is counted
 // at the next look.
-func (h *homes) letGo(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
+func (h *homes) letGo(r shardmap.Range, task cluster.Resource, epoch cluster.Epoch) {
 	out, owed := h.side.Out(r), h.side.Owes(r)
 	if h.side.Told(r) && r.Shuts(h.self, out, owed, mostAtOnce) && h.shut(r) {
 		return
@@ -175,7 +175,7 @@
 	h.shuts.Range(func(id, is any) bool {
 		r, ok := chart.Get(id.(cluster.RangeID))
 		s := is.(shutting)
-		_, held := h.session.Holds(cluster.HomeOf(r.ID))
+		_, held := h.session.Holds(cluster.RangeOwnerResource(r.ID))
 		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.Passing || r.Home != h.self ||
 			held && h.now()-s.since > h.term/shutPart {
 			h.shuts.Delete(id)
@@ -199,7 +199,7 @@
 func (h *homes) say(what string, r shardmap.Range, c cluster.Command) (reached bool) {
 	if _, err := h.Propose(c); err != nil {
 		level := slog.LevelWarn
-		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrHeld) {
+		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrAlreadyHeld) {
 			level = slog.LevelDebug
 		}
 		slog.Log(context.Background(), level, what+" not said", "range", r.ID, "why", err)
@@ -216,7 +216,7 @@
 
 // Propose has a command put in the log.
 func (h *homes) Propose(c cluster.Command) (answer []byte, err error) {
-	answer, _, err = h.session.Keepers.Propose(c, span(timing.Opening(h.term)))
+	answer, _, err = h.session.Keepers.Propose(c, span(timing.LoggedRequestTimeout(h.term)))
 	return answer, err
 }
 
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -23,8 +23,8 @@
 	chart.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
-		a.Want(cluster.HomeOf(r.ID))
-		holds(t, a, cluster.HomeOf(r.ID))
+		a.Want(cluster.RangeOwnerResource(r.ID))
+		holds(t, a, cluster.RangeOwnerResource(r.ID))
 	}
 	last := &chart.Ranges[3]
 	last.Home = "m2"
@@ -32,6 +32,6 @@
 	keeper.mu.Lock()
 	require.Equal(t, 1, keeper.charts)
 	keeper.mu.Unlock()
-	_, held := a.Holds(cluster.HomeOf(last.ID))
+	_, held := a.Holds(cluster.RangeOwnerResource(last.ID))
 	require.False(t, held)
 }
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -38,7 +38,7 @@
 
 func (m *Member) watches() (number uint64, of []rebalance.Watch) {
 	chart := m.homes.Map()
-	if _, held := m.session.Holds(cluster.Conducts); !held || chart == nil {
+	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || chart == nil {
 		return 0, nil
 	}
 	p := m.progress.Load()
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -147,11 +147,11 @@
 	if err != nil {
 		return err
 	}
-	book := lease.NewBook()
+	book := lease.NewTable()
 	m.keeper, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.d.State,
 		Term: m.file.Term, Logs: logs(m.file), Talk: m.talk, Clock: m.clock, Book: book,
-		State: fsm.New(book, map[byte]cluster.Part{cluster.RangesPart: shardmap.New(book),
-			cluster.PlanPart: &rebalance.Progress{}})}, on)
+		State: fsm.New(book, map[byte]cluster.Component{cluster.ShardMapComponent: shardmap.New(book),
+			cluster.RebalanceComponent: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
 	}
@@ -196,7 +196,7 @@
 	m.session = NewSession(Life{Self: m.self, Incarnation: lease.Incarnation(drawn()),
 		Term: m.file.Term, Apart: m.file.Apart, Clock: m.clock,
 		Keepers: NewKeepers(m.talk, keepers(m.file), rand.Float64),
-		Told:    func(cluster.Task, cluster.Epoch) { m.nudge() }})
+		Told:    func(cluster.Resource, cluster.Epoch) { m.nudge() }})
 	m.homes.session = m.session
 	if err := m.sites.Serve(m.session); err != nil { // guards against a second effect, as above
 		slog.Error("what goes to relays not read", "why", err)
@@ -204,11 +204,11 @@
 	}
 	m.conductor = &conductor{homes: m.homes, harm: m.harm, vacancy: shardmap.NewVacancies(m.file.Term)}
 	go m.server.Serve(m.on)
-	m.session.Follow(cluster.RangesPart, func(_ uint64, s []byte) { m.homes.Charted(s) })
+	m.session.Follow(cluster.ShardMapComponent, func(_ uint64, s []byte) { m.homes.Charted(s) })
 	if m.keeper != nil {
-		m.session.Want(cluster.Conducts)
-		m.session.Follow(cluster.LeasePart, m.booked)
-		m.session.Follow(cluster.PlanPart, m.planned)
+		m.session.Want(cluster.CoordinatorResource)
+		m.session.Follow(cluster.LeaseComponent, m.booked)
+		m.session.Follow(cluster.RebalanceComponent, m.planned)
 	}
 	m.done.Add(2)
 	go m.measure()
--- a/cluster/member/merged.go
+++ b/cluster/member/merged.go
@@ -22,11 +22,11 @@
 }
 
 // homesBut lists the homes' tasks that are wanted here and that a map doesn't have.
-func (s *Session) homesBut(chart *shardmap.Map) (all []cluster.Task) {
+func (s *Session) homesBut(chart *shardmap.Map) (all []cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, task := range s.wishes.Wanted() {
-		if id, ok := task.Home(); ok {
+	for _, task := range s.wishes.Requested() {
+		if id, ok := task.OwnedRange(); ok {
 			if _, there := chart.Get(id); !there {
 				all = append(all, task)
 			}
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -29,7 +29,7 @@
 }
 
 func (m *Member) booked(_ uint64, snapshot []byte) {
-	book := lease.NewBook()
+	book := lease.NewTable()
 	if err := book.Restore(snapshot); err != nil {
 		slog.Error("leases not read", "why", err)
 		return
@@ -105,15 +105,15 @@
 func (m *Member) Leave() {
 	turns := m.file.Leaving
 	for i := range turns {
-		m.session.Want(cluster.LeaveTurn(i))
+		m.session.Want(cluster.DepartureSlotResource(i))
 	}
 	until := time.Now().Add(leaveBy * span(m.file.Term))
 	for time.Now().Before(until) {
 		for i := range turns {
-			if e, held := m.session.Holds(cluster.LeaveTurn(i)); held {
+			if e, held := m.session.Holds(cluster.DepartureSlotResource(i)); held {
 				for j := range turns {
 					if j != i {
-						m.session.Release(cluster.LeaveTurn(j))
+						m.session.Release(cluster.DepartureSlotResource(j))
 					}
 				}
 				slog.Info("leaves in turn", "turn", i, "epoch", e)
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -24,7 +24,7 @@
 type scripted struct {
 	mu     sync.Mutex
 	term   api.Micros
-	book   *lease.Book
+	book   *lease.Table
 	index  uint64
 	parts  []transport.PartState                               // to asks for the plan's, one by one
 	asked  []uint64                                            // the version, each time
@@ -41,7 +41,7 @@
 
 func scriptOf(t *testing.T, members int, term api.Micros,
 	answer func(no int, real transport.Proposed) (int, []byte)) (*scripted, []*member.Session) {
-	s := &scripted{book: lease.NewBook(), term: term, answer: answer}
+	s := &scripted{book: lease.NewTable(), term: term, answer: answer}
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := transport.Hears(member.Hearers(members), time.Second)
@@ -75,10 +75,10 @@
 	transport.Decode(ctx.Request.Body(), &ask)
 	answer := transport.SessionAnswer{Session: ask.Session, Term: s.term}
 	if ask.Session == 0 {
-		opened, _ := lease.ReadAnswer(s.apply(lease.Open(ask.Member, ask.Incarnation)).Answer)
+		opened, _ := lease.DecodeResult(s.apply(lease.OpenSession(ask.Member, ask.Incarnation)).Answer)
 		answer.Session = opened.Session
-	} else if s.book.Tally(ask.Session) != ask.Tally {
-		answer.Holds = s.book.HeldBy(ask.Session)
+	} else if s.book.Digest(ask.Session) != ask.Tally {
+		answer.Holds = s.book.GrantsOf(ask.Session)
 	}
 	ctx.SetBody(transport.Encode(answer))
 }
@@ -87,9 +87,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var c cluster.Command
-	var o lease.Order
+	var o lease.Operation
 	transport.Decode(ctx.Request.Body(), &c)
-	if c.Part == cluster.RangesPart {
+	if c.Component == cluster.ShardMapComponent {
 		s.charts++
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
@@ -97,7 +97,7 @@
 	transport.Decode(c.Body, &o)
 	real := s.apply(c)
 	status, body := fasthttp.StatusOK, transport.Encode(real)
-	if o.Kind == lease.GrantKind {
+	if o.Kind == lease.OpAcquire {
 		s.grants++
 		status, body = s.answer(s.grants, real)
 	}
@@ -105,7 +105,7 @@
 	ctx.SetBody(body)
 }
 
-func (s *scripted) free(task cluster.Task) bool {
+func (s *scripted) free(task cluster.Resource) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _, _, held := s.book.Holder(task)
@@ -119,7 +119,7 @@
 		if no == 1 {
 			return fasthttp.StatusGatewayTimeout, nil
 		}
-		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
+		older := lease.Result{Grants: []lease.Grant{{Resource: "home/1"}}}
 		return fasthttp.StatusOK, transport.Encode(transport.Proposed{Answer: transport.Encode(older)})
 	})
 	a.Want("home/1")
@@ -146,7 +146,7 @@
 	transport.Decode(ctx.Request.Body(), &ask)
 	s.mu.Lock()
 	if n := len(s.asked); n < len(s.parts) {
-		answer.Parts, s.asked = s.parts[n:n+1], append(s.asked, ask.Versions[cluster.PlanPart])
+		answer.Parts, s.asked = s.parts[n:n+1], append(s.asked, ask.Versions[cluster.RebalanceComponent])
 	}
 	s.mu.Unlock()
 	if len(answer.Parts) == 0 {
@@ -160,7 +160,7 @@
 	t.Parallel()
 	_, all := scriptOf(t, 300, 10*api.Second, nil)
 	for _, s := range all {
-		s.Follow(cluster.PlanPart, func(uint64, []byte) {})
+		s.Follow(cluster.RebalanceComponent, func(uint64, []byte) {})
 	}
 	time.Sleep(11 * time.Second) // each renews
 	for _, s := range all {
@@ -173,12 +173,12 @@
 func TestAChangeThatDoesNotFitHasTheWholeAskedFor(t *testing.T) {
 	keeper, a := script(t, nil)
 	part := func(version, since uint64, snapshot string) transport.PartState {
-		return transport.PartState{Part: cluster.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
+		return transport.PartState{Part: cluster.RebalanceComponent, Version: version, Since: since, Snapshot: []byte(snapshot)}
 	}
 	keeper.parts = []transport.PartState{part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"),
 		part(3, 0, "three"), part(7, 0, "seven")}
 	news := make(chan string, 9)
-	a.Follow(cluster.PlanPart, func(_ uint64, s []byte) { news <- string(s) })
+	a.Follow(cluster.RebalanceComponent, func(_ uint64, s []byte) { news <- string(s) })
 	require.Equal(t, "five", <-news)
 	require.Equal(t, "seven", <-news)
 	keeper.mu.Lock()
@@ -190,15 +190,15 @@
 // against a range without a home for good: whoever is neither home nor target has nothing to wait for.
 func TestAHomeTakenByAFormerWishIsLetGoWhileItsMovePasses(t *testing.T) {
 	_, a := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
-	a.Want(cluster.HomeOf(1))
-	holds(t, a, cluster.HomeOf(1))
+	a.Want(cluster.RangeOwnerResource(1))
+	holds(t, a, cluster.RangeOwnerResource(1))
 	chart := shardmap.New(nil)
 	chart.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
 		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.Passing}}}
 	look := member.Looks("a0", a, chart)
 	require.Eventually(t, func() bool {
 		look()
-		_, held := a.Holds(cluster.HomeOf(1))
+		_, held := a.Holds(cluster.RangeOwnerResource(1))
 		return !held
 	}, longer/10, time.Millisecond)
 }
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -21,7 +21,7 @@
 	Apart       float64           // lease.NewTenure's
 	Clock       func() api.Micros // never runs back
 	Keepers     *Keepers
-	Told        func(cluster.Task, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
+	Told        func(cluster.Resource, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
 }
 
 // Session keeps a member's session up and what hangs on it.
@@ -30,9 +30,9 @@
 	Life
 
 	mu      sync.Mutex
-	tenure  *lease.Tenure
-	wishes  *lease.Wishes
-	has     map[cluster.Task]cluster.Epoch // as Told last
+	tenure  *lease.Holder
+	wishes  *lease.Reconciler
+	has     map[cluster.Resource]cluster.Epoch // as Told last
 	follows map[byte]*followed
 
 	fresh bool // a task became free: all who wait for it are told in one moment
@@ -47,9 +47,9 @@
 
 // NewSession begins to ask for a session at once.
 func NewSession(l Life) *Session {
-	tenure := lease.NewTenure(l.Term, l.Apart)
-	s := &Session{Life: l, tenure: tenure, wishes: lease.NewWishes(tenure, timing.Reask(l.Term)),
-		has: map[cluster.Task]cluster.Epoch{}, follows: map[byte]*followed{}, poke: make(chan struct{}, 1),
+	tenure := lease.NewHolder(l.Term, l.Apart)
+	s := &Session{Life: l, tenure: tenure, wishes: lease.NewReconciler(tenure, timing.AcquireRetryInterval(l.Term)),
+		has: map[cluster.Resource]cluster.Epoch{}, follows: map[byte]*followed{}, poke: make(chan struct{}, 1),
 		look: make(chan struct{}, 1), toTell: make(chan struct{}, 1), toHand: make(chan struct{}, 1),
 		ended: make(chan struct{})}
 	s.done.Go(s.telling)
@@ -92,24 +92,24 @@
 }
 
 // Want has a task asked for until it is released.
-func (s *Session) Want(t cluster.Task) {
+func (s *Session) Want(t cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Want(t) {
+	if s.wishes.Request(t) {
 		nudge(s.poke)
 		nudge(s.look)
 	}
 }
 
 // Unwant drops a wish of before, where nothing was granted by it; cheap, since it is called time and again.
-func (s *Session) Unwant(t cluster.Task) {
+func (s *Session) Unwant(t cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wishes.Unwant(t)
+	s.wishes.CancelRequest(t)
 }
 
 // Release gives a task up at once, and tells the keepers.
-func (s *Session) Release(t cluster.Task) {
+func (s *Session) Release(t cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wishes.Release(t)
@@ -118,7 +118,7 @@
 }
 
 // Holds looks at the clock: by which epoch the task may be acted on now.
-func (s *Session) Holds(t cluster.Task) (cluster.Epoch, bool) {
+func (s *Session) Holds(t cluster.Resource) (cluster.Epoch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tenure.Epoch(t, s.Clock())
@@ -126,7 +126,7 @@
 
 // Guarded does a deed if the task is held. The deed calls still right before its last byte goes out, and
 // leaves it if that says no: between the two lies what can't be fenced at a partner.
-func (s *Session) Guarded(t cluster.Task, deed func(e cluster.Epoch, still func() bool)) bool {
+func (s *Session) Guarded(t cluster.Resource, deed func(e cluster.Epoch, still func() bool)) bool {
 	e, held := s.Holds(t)
 	if held {
 		deed(e, func() bool {
@@ -141,7 +141,7 @@
 func (s *Session) Standing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tenure.Holds(s.Clock())
+	return s.tenure.IsValid(s.Clock())
 }
 
 // upkeep asks for the session to be opened, then to go on, each time it is due.
@@ -151,19 +151,19 @@
 		s.mu.Lock()
 		now := s.Clock()
 		s.tell()
-		wait := s.tenure.AskAgainAt() - now
-		if left := s.tenure.Until() - now; s.tenure.Holds(now) {
+		wait := s.tenure.NextRenewalAt() - now
+		if left := s.tenure.Deadline() - now; s.tenure.IsValid(now) {
 			wait = min(wait, left) // guards against a term's end that nobody is told of
 		}
 		if wait <= 0 && !s.closed() {
-			ask, session, tally := s.tenure.Asked(now), s.tenure.Session(), s.tenure.Tally()
+			ask, session, tally := s.tenure.StartRenewal(now), s.tenure.Session(), s.tenure.Digest()
 			s.mu.Unlock()
 			if s.ask(ask, session, tally) {
 				failures = 0
 				continue
 			}
 			failures++
-			wait = timing.Again(s.Term, failures, s.Keepers.draw())
+			wait = timing.RetryBackoff(s.Term, failures, s.Keepers.draw())
 		} else {
 			s.mu.Unlock()
 		}
@@ -174,10 +174,10 @@
 }
 
 // ask asks the leading keeper once, and tells whether it answered.
-func (s *Session) ask(a lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
-	within := timing.Answer(s.Term)
+func (s *Session) ask(a lease.Renewal, session cluster.SessionID, tally lease.Digest) bool {
+	within := timing.RequestTimeout(s.Term)
 	if session == 0 {
-		within = timing.Opening(s.Term)
+		within = timing.LoggedRequestTimeout(s.Term)
 	}
 	raw, err := s.Keepers.Ask(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
 		Incarnation: s.Incarnation, Tally: tally}), span(within))
@@ -200,14 +200,14 @@
 		slog.Debug("session not answered", "session", session, "why", err)
 		return false
 	}
-	before, stood := s.tenure.Session(), s.tenure.Holds(s.Clock())
-	if s.tenure.Answered(a, answer.Session) && before != answer.Session {
+	before, stood := s.tenure.Session(), s.tenure.IsValid(s.Clock())
+	if s.tenure.ConfirmRenewal(a, answer.Session) && before != answer.Session {
 		s.Sessions.Add(1)
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
-		s.wishes.Anew()
+		s.wishes.RetryAll()
 	}
 	if len(answer.Holds) > 0 {
-		s.wishes.Has(answer.Session, answer.Holds)
+		s.wishes.ReconcileGrants(answer.Session, answer.Holds)
 		s.tell()
 	}
 	if !stood || len(answer.Holds) > 0 {
@@ -220,6 +220,6 @@
 func (s *Session) refused(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tenure.Refused(session)
+	s.tenure.HandleRejection(session)
 	s.tell()
 }
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -149,34 +149,34 @@
 	t.Parallel()
 	f := keepers(t, 3, term)
 	a := f.member("a")
-	var seen atomic.Pointer[lease.Book]
+	var seen atomic.Pointer[lease.Table]
 	var versions []uint64
-	a.Follow(cluster.LeasePart, func(version uint64, snapshot []byte) {
+	a.Follow(cluster.LeaseComponent, func(version uint64, snapshot []byte) {
 		versions = append(versions, version)
-		book := lease.NewBook()
+		book := lease.NewTable()
 		if book.Restore(snapshot) == nil {
 			seen.Store(book)
 		}
 	})
-	knows := func(by *member.Session, task cluster.Task) {
+	knows := func(by *member.Session, task cluster.Resource) {
 		epoch := holds(t, by, task)
 		require.Eventually(t, func() bool {
 			book := seen.Load()
-			return book != nil && book.Holds(task, epoch)
+			return book != nil && book.IsCurrent(task, epoch)
 		}, longer, time.Millisecond)
 	}
 	b := f.member("b", "home/1")
 	knows(b, "home/1")
 	for i, m := range f.names { // one that is cut off has nothing new
 		f.cut(m, true, f.names...)
-		task := cluster.HomeOf(cluster.RangeID(10 + i))
+		task := cluster.RangeOwnerResource(cluster.RangeID(10 + i))
 		b.Want(task)
 		knows(b, task)
 		f.cut(m, false, f.names...)
 	}
-	many := make([]cluster.Task, 0, 200)
+	many := make([]cluster.Resource, 0, 200)
 	for i := range cap(many) {
-		many = append(many, cluster.HomeOf(cluster.RangeID(100+i)))
+		many = append(many, cluster.RangeOwnerResource(cluster.RangeID(100+i)))
 		b.Want(many[i])
 	}
 	for i, task := range append(many, "home/13", "home/14") { // guards against the whole at each step
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -25,12 +25,12 @@
 
 // homeOf is whether it is home of where a site's subscribers stand.
 func (m *Member) homeOf(s cluster.SiteID) bool {
-	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Serve
+	return m.homes.VerdictAt(cluster.SiteKeyHash(s)).Do == shardmap.Serve
 }
 
 // alone is whether nobody may be home there, as no keeper is reached.
 func (m *Member) alone(s cluster.SiteID) bool {
-	return m.homes.VerdictAt(cluster.SiteHash(s)).Do == shardmap.Alone
+	return m.homes.VerdictAt(cluster.SiteKeyHash(s)).Do == shardmap.Alone
 }
 
 // leastDiskMB is what the dispatcher's own journal has where nothing is told.
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -17,14 +17,14 @@
 		next, idle := s.next()
 		var err error
 		switch {
-		case next.Let != "":
+		case next.Release != "":
 			err = s.release(next)
-		case next.Any() && s.afresh():
-			if !s.pause(timing.Spread(s.Term, s.Keepers.draw())) {
+		case next.HasWork() && s.afresh():
+			if !s.pause(timing.AcquireJitter(s.Term, s.Keepers.draw())) {
 				return
 			}
 			continue
-		case next.Any():
+		case next.HasWork():
 			err = s.grant(next)
 		default:
 			if !s.idle(idle) {
@@ -36,7 +36,7 @@
 		if failures++; err == nil {
 			failures = 0
 		} else {
-			wait = timing.Again(s.Term, failures, s.Keepers.draw())
+			wait = timing.RetryBackoff(s.Term, failures, s.Keepers.draw())
 		}
 		if !s.pause(wait) {
 			return
@@ -49,13 +49,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, idle := s.Clock(), s.Term
-	if at, some := s.wishes.AgainAt(); some {
+	if at, some := s.wishes.NextRetryAt(); some {
 		idle = min(idle, max(at-now, 0)+1)
 	}
-	if !s.tenure.Holds(now) {
+	if !s.tenure.IsValid(now) {
 		idle = s.Term // it is told when a session stands again
 	}
-	return s.wishes.Next(now), idle
+	return s.wishes.NextProposal(now), idle
 }
 
 // idle waits until there may be something to ask for, or tells that all is over.
@@ -72,10 +72,10 @@
 }
 
 func (s *Session) release(p lease.Proposal) error {
-	_, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
+	_, _, err := s.Keepers.Propose(p.Command(), span(timing.LoggedRequestTimeout(s.Term)))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Released(p, err) {
+	if s.wishes.HandleReleaseResult(p, err) {
 		return nil
 	}
 	return err
@@ -84,20 +84,20 @@
 // grant asks for tasks. What another holds is asked for again once a keeper tells that it is free, or after a
 // while.
 func (s *Session) grant(p lease.Proposal) error {
-	raw, _, err := s.Keepers.Propose(p.Command(), span(timing.Opening(s.Term)))
-	if errors.Is(err, cluster.ErrUnknown) {
+	raw, _, err := s.Keepers.Propose(p.Command(), span(timing.LoggedRequestTimeout(s.Term)))
+	if errors.Is(err, cluster.ErrNotFound) {
 		s.refused(p.Session)
 	}
 	if err != nil {
 		return err
 	}
-	answer, err := lease.ReadAnswer(raw)
+	answer, err := lease.DecodeResult(raw)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Granted(p.Session, answer.Granted, s.Clock()) {
+	if s.wishes.HandleResult(p.Session, answer.Grants, s.Clock()) {
 		nudge(s.look)
 	}
 	s.tell()
@@ -105,10 +105,10 @@
 }
 
 // freed is a keeper's word that tasks are free.
-func (s *Session) freed(tasks []cluster.Task) {
+func (s *Session) freed(tasks []cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Free(tasks) {
+	if s.wishes.HandleFreed(tasks) {
 		s.fresh = true
 		nudge(s.poke)
 	}
@@ -130,13 +130,13 @@
 		s.mu.Unlock()
 		return
 	}
-	session := s.tenure.End()
+	session := s.tenure.EndSession()
 	s.standing.Store(0) // it is no loss
 	s.tell()
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
-		s.Keepers.Propose(lease.End(session), span(timing.Answer(s.Term)))
+		s.Keepers.Propose(lease.EndSession(session), span(timing.RequestTimeout(s.Term)))
 	}
 	s.done.Wait()
 	s.handing.Lock()
--- a/cluster/member/tell.go
+++ b/cluster/member/tell.go
@@ -19,7 +19,7 @@
 			s.told(t, 0)
 		}
 	}
-	for _, t := range s.wishes.Wanted() {
+	for _, t := range s.wishes.Requested() {
 		if e, held := s.tenure.Epoch(t, now); held && s.has[t] == 0 {
 			slog.Info("task held", "member", s.Self, "task", t, "epoch", e, "session", s.tenure.Session())
 			s.has[t] = e
@@ -27,11 +27,11 @@
 			s.told(t, e)
 		}
 	}
-	s.stands(s.tenure.Holds(now))
+	s.stands(s.tenure.IsValid(now))
 }
 
 // told has Told called by a loop of its own: it may ask the session back.
-func (s *Session) told(t cluster.Task, e cluster.Epoch) {
+func (s *Session) told(t cluster.Resource, e cluster.Epoch) {
 	if s.Told != nil {
 		s.tells = append(s.tells, func() { s.Told(t, e) })
 		nudge(s.toTell)
--- a/cluster/raftnode/found.go
+++ b/cluster/raftnode/found.go
@@ -18,7 +18,7 @@
 // in and lets go, one at a time.
 func (k *Keeper) tend() {
 	defer k.done.Done()
-	every := time.NewTicker(span(timing.Tending(k.term)))
+	every := time.NewTicker(span(timing.ReconfigureInterval(k.term)))
 	defer every.Stop()
 	for {
 		servers := k.raft.GetConfiguration().Configuration().Servers
@@ -74,7 +74,7 @@
 			continue
 		}
 		var who transportpkg.Who
-		_, raw, err := k.talk.Say(m, transportpkg.WhoPath, transportpkg.Encode(k.whoAmI()), span(timing.Answer(k.term)))
+		_, raw, err := k.talk.Say(m, transportpkg.WhoPath, transportpkg.Encode(k.whoAmI()), span(timing.RequestTimeout(k.term)))
 		switch {
 		case err != nil || transportpkg.Decode(raw, &who) != nil || memberOf(raft.ServerID(who.Server)) != m:
 			servers = nil
@@ -123,7 +123,7 @@
 	ask := transportpkg.Encode(transportpkg.Join{Member: k.self, Server: string(k.folder.id), Applied: k.raft.AppliedIndex()})
 	for _, m := range keepers {
 		if m != k.self {
-			status, _, err := k.talk.Say(m, transportpkg.JoinPath, ask, span(timing.Answer(k.term)))
+			status, _, err := k.talk.Say(m, transportpkg.JoinPath, ask, span(timing.RequestTimeout(k.term)))
 			if err == nil && status == fasthttp.StatusOK {
 				return
 			}
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -75,7 +75,7 @@
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term, Holds: v.holds}))
 		case ended:
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionAnswer{Session: s, Term: k.term,
-				Refusal: fsm.Code(cluster.ErrUnknown)}))
+				Refusal: fsm.Code(cluster.ErrNotFound)}))
 		default:
 			k.elsewhere(ctx)
 		}
@@ -85,7 +85,7 @@
 }
 
 func (k *Keeper) open(ctx *fasthttp.RequestCtx, ask transportpkg.SessionAsk) {
-	did, _, ok := k.enter(ctx, lease.Open(ask.Member, ask.Incarnation))
+	did, _, ok := k.enter(ctx, lease.OpenSession(ask.Member, ask.Incarnation))
 	if !ok {
 		return
 	}
@@ -95,7 +95,7 @@
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
-		opened, err := lease.ReadAnswer(did.answer)
+		opened, err := lease.DecodeResult(did.answer)
 		answer.Session, answer.Refusal = opened.Session, fsm.Code(err)
 	}
 	ctx.SetBody(transportpkg.Encode(answer))
@@ -126,7 +126,7 @@
 		return applied{}, 0, false
 	}
 	k.Proposed.Add(1)
-	f := k.raft.ApplyLog(entry(c), span(timing.Proposing(k.term)))
+	f := k.raft.ApplyLog(entry(c), span(timing.ProposalTimeout(k.term)))
 	switch err := f.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader):
@@ -153,7 +153,7 @@
 	if !read(ctx, &ask) {
 		return
 	}
-	late := time.NewTimer(span(timing.LongPoll(k.term)))
+	late := time.NewTimer(span(timing.LongPollTimeout(k.term)))
 	defer late.Stop()
 	for {
 		answer, news, err := k.newer(ask)
--- a/cluster/raftnode/heard.go
+++ b/cluster/raftnode/heard.go
@@ -10,7 +10,7 @@
 )
 
 // heard is the transport, with an ear for who still follows: raft's own calls of life, sent several times in
-// each election timeout, tell lease.Assent what it has to know. Nothing further is sent for a renewal.
+// each election timeout, tell lease.QuorumContact what it has to know. Nothing further is sent for a renewal.
 type heard struct {
 	*raft.NetworkTransport
 	clock func() api.Micros
@@ -89,7 +89,7 @@
 
 // assent is what is known of leading in one raft term, by the servers that vote now. Guards against what was
 // heard in a later term of this keeper's: another may have led between the two.
-func (h *heard) assent(term uint64, all []raft.Server, self raft.ServerID) *lease.Assent {
+func (h *heard) assent(term uint64, all []raft.Server, self raft.ServerID) *lease.QuorumContact {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	voters := 0
@@ -98,10 +98,10 @@
 			voters++
 		}
 	}
-	a := lease.NewAssent(voters)
+	a := lease.NewQuorumContact(voters)
 	for _, s := range all {
 		if sent, ok := h.sent[s.ID]; ok && s.Suffrage == raft.Voter && s.ID != self && term == h.term {
-			a.Heard(term, memberOf(s.ID), sent)
+			a.RecordContact(term, memberOf(s.ID), sent)
 		}
 	}
 	return a
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -34,7 +34,7 @@
 	Logs   map[cluster.MemberID]string // of all keepers, itself among them
 	Talk   *transportpkg.Talk
 	Clock  func() api.Micros // never runs back
-	Book   *lease.Book
+	Book   *lease.Table
 	State  *fsm.Machine // over the book
 }
 
@@ -56,9 +56,9 @@
 	done     sync.WaitGroup
 
 	mu      sync.Mutex
-	book    *lease.Book
+	book    *lease.Table
 	state   *fsm.Machine
-	terms   *lease.Terms
+	terms   *lease.ExpiryTracker
 	reign   uint64 // the raft term that it leads in, its sessions' terms begun; 0: it does not lead
 	halted  error
 	refused error         // a snapshot that could not be read
@@ -73,30 +73,30 @@
 // line: a folder that can't be read, or is of a newer program.
 func Open(p Place, on net.Listener) (k *Keeper, err error) {
 	k = &Keeper{self: p.Self, term: p.Term, clock: p.Clock, talk: p.Talk, book: p.Book, state: p.State,
-		terms: lease.NewTerms(p.Term), lead: make(chan bool, 16), asks: make(chan ask, 64),
+		terms: lease.NewExpiryTracker(p.Term), lead: make(chan bool, 16), asks: make(chan ask, 64),
 		outdated: make(chan struct{}),
 		ended:    make(chan struct{}), news: make(chan struct{}), joins: map[cluster.MemberID]transportpkg.Join{},
 		parts: map[byte]*fsm.Past{}}
-	goes, logger := timing.OfLog(p.Term), newLogs(span(p.Term))
+	goes, logger := timing.RaftTimingFor(p.Term), newLogs(span(p.Term))
 	if k.folder, err = openFolder(filepath.Join(p.Folder, "fleet"), p.Self, logger); err != nil {
 		on.Close()
 		return nil, fmt.Errorf("keeper %s: %w", p.Self, err)
 	}
-	k.wire = newWire(on, p.Fleet, k.folder.id, span(goes.Call))
+	k.wire = newWire(on, p.Fleet, k.folder.id, span(goes.RPCTimeout))
 	k.heard = newHeard(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		ServerAddressProvider: k.wire, Logger: logger, Stream: k.wire, MaxPool: 2, Timeout: span(goes.Call),
+		ServerAddressProvider: k.wire, Logger: logger, Stream: k.wire, MaxPool: 2, Timeout: span(goes.RPCTimeout),
 		MsgpackUseNewTimeFormat: true,
 	}), p.Clock)
 	k.setKeepers(p.Logs)
 	how := raft.DefaultConfig()
 	how.LocalID, how.Logger, how.NotifyCh, how.NoLegacyTelemetry = k.folder.id, logger, k.lead, true
-	how.HeartbeatTimeout, how.ElectionTimeout = span(goes.Silence), span(goes.Silence)
-	how.LeaderLeaseTimeout, how.CommitTimeout = span(goes.Lease), span(goes.Tell)
-	how.SnapshotThreshold, how.TrailingLogs = goes.Entries, goes.Trail
-	how.SnapshotInterval = span(goes.Look)
-	logs, err := raft.NewLogCache(int(goes.Trail), k.folder.store)
+	how.HeartbeatTimeout, how.ElectionTimeout = span(goes.HeartbeatTimeout), span(goes.HeartbeatTimeout)
+	how.LeaderLeaseTimeout, how.CommitTimeout = span(goes.LeaderLeaseTimeout), span(goes.CommitTimeout)
+	how.SnapshotThreshold, how.TrailingLogs = goes.SnapshotThreshold, goes.TrailingLogs
+	how.SnapshotInterval = span(goes.SnapshotInterval)
+	logs, err := raft.NewLogCache(int(goes.TrailingLogs), k.folder.store)
 	if err == nil {
-		kept := stable{k.folder.store, span(goes.Call), k.ended}
+		kept := stable{k.folder.store, span(goes.RPCTimeout), k.ended}
 		k.raft, err = raft.NewRaft(how, machine{k}, logs, kept, k.folder.snaps, k.heard)
 	}
 	if err != nil {
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -35,7 +35,7 @@
 func alone(t *testing.T, folder string) (Place, net.Listener) {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	book := lease.NewBook()
+	book := lease.NewTable()
 	return Place{Fleet: "f", Self: "m1", Folder: folder, Term: term, Talk: transportpkg.New("m1", nil), Clock: clock,
 		Logs: map[cluster.MemberID]string{"m1": on.Addr().String()}, Book: book, State: fsm.New(book, nil)}, on
 }
@@ -57,19 +57,19 @@
 func TestAnEndOfAnEarlierReignChangesNothing(t *testing.T) {
 	k := starts(t, t.TempDir())
 	defer k.Close()
-	opened, err := lease.ReadAnswer(k.does(t, entry(lease.Open("a", 7))).answer)
+	opened, err := lease.DecodeResult(k.does(t, entry(lease.OpenSession("a", 7))).answer)
 	require.NoError(t, err)
-	began, err := lease.ReadAnswer(k.does(t, entry(lease.Began())).answer) // another's, as far as it knows
+	began, err := lease.DecodeResult(k.does(t, entry(lease.BeginLeaderEpoch())).answer) // another's, as far as it knows
 	require.NoError(t, err)
-	over := lease.Over{Session: opened.Session, Reign: began.Reign - 1}
-	require.ErrorIs(t, k.does(t, entry(lease.Expire(over))).err, cluster.ErrStale)
+	over := lease.ExpiredSession{Session: opened.Session, LeaderEpoch: began.LeaderEpoch - 1}
+	require.ErrorIs(t, k.does(t, entry(lease.ExpireSession(over))).err, cluster.ErrStale)
 	require.Eventually(t, func() bool { return k.Ended.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
 func TestSessionsThatAreNotRenewedEnd(t *testing.T) {
 	k := starts(t, t.TempDir())
 	defer k.Close()
-	k.does(t, entry(lease.Open("a", 7)))
+	k.does(t, entry(lease.OpenSession("a", 7)))
 	require.Eventually(t, func() bool { return k.Ended.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
@@ -77,11 +77,11 @@
 func TestAnEntryOfANewerProgramHaltsTheKeeper(t *testing.T) {
 	folder := t.TempDir()
 	k := starts(t, folder)
-	k.does(t, entry(lease.Open("a", 7)))
-	newer := entry(lease.Open("b", 8))
+	k.does(t, entry(lease.OpenSession("a", 7)))
+	newer := entry(lease.OpenSession("b", 8))
 	newer.Extensions = transportpkg.Encode(about{Format: entryFormat + 1})
 	require.ErrorIs(t, k.does(t, newer).err, errNewer)
-	require.ErrorIs(t, k.does(t, entry(lease.Open("c", 9))).err, errNewer)
+	require.ErrorIs(t, k.does(t, entry(lease.OpenSession("c", 9))).err, errNewer)
 	require.Error(t, k.raft.Snapshot().Error())
 	require.NoError(t, k.Close())
 	again, err := Open(alone(t, folder))
@@ -108,7 +108,7 @@
 	} {
 		folder := t.TempDir()
 		k := starts(t, folder)
-		k.does(t, entry(lease.Open("a", 7)))
+		k.does(t, entry(lease.OpenSession("a", 7)))
 		require.NoError(t, k.Close())
 		harm(filepath.Join(folder, "fleet"))
 		_, err := Open(alone(t, folder))
@@ -121,7 +121,7 @@
 func TestAMajorityIsOneThatFollowedInThisTerm(t *testing.T) {
 	h := newHeard(nil, clock)
 	all := []raft.Server{server("a/1"), server("b/1"), server("c/1"), {ID: "d/1", Suffrage: raft.Nonvoter}}
-	covers := func(term uint64, at api.Micros) bool { return h.assent(term, all, "a/1").Covers(at) }
+	covers := func(term uint64, at api.Micros) bool { return h.assent(term, all, "a/1").HasQuorumSince(at) }
 	h.note("d/1", 3, 9)
 	h.note("a/1", 3, 9)
 	require.False(t, covers(3, 5))
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -58,7 +58,7 @@
 func (k *Keeper) broken(index uint64, format int) {
 	if k.halted == nil {
 		k.halted, k.reign = errNewer, 0
-		k.terms.Follow()
+		k.terms.StopLeading()
 		slog.Error("keeper halts: an entry of the log is of a newer program", "index", index, "format", format,
 			"reads", entryFormat)
 	}
@@ -66,24 +66,24 @@
 
 // before is an order to the book, and how what it is about stood before it.
 type before struct {
-	lease.Order
+	lease.Operation
 	member cluster.MemberID
-	tasks  []cluster.Task
-	epochs map[cluster.Task]cluster.Epoch
+	tasks  []cluster.Resource
+	epochs map[cluster.Resource]cluster.Epoch
 }
 
 func (k *Keeper) before(command []byte) (b before) {
 	var c cluster.Command
-	if transportpkg.Decode(command, &c) != nil || c.Part != cluster.LeasePart || transportpkg.Decode(c.Body, &b.Order) != nil {
+	if transportpkg.Decode(command, &c) != nil || c.Component != cluster.LeaseComponent || transportpkg.Decode(c.Body, &b.Operation) != nil {
 		return before{}
 	}
-	b.member, b.epochs = k.book.MemberOf(b.Session), map[cluster.Task]cluster.Epoch{}
+	b.member, b.epochs = k.book.MemberOf(b.Session), map[cluster.Resource]cluster.Epoch{}
 	switch b.Kind {
-	case lease.EndKind, lease.ExpireKind:
-		b.tasks = k.book.TasksOf(b.Session)
-	case lease.GrantKind:
-		for _, t := range b.Tasks {
-			b.epochs[t] = k.book.Epoch(t)
+	case lease.OpEndSession, lease.OpExpireSession:
+		b.tasks = k.book.ResourcesOf(b.Session)
+	case lease.OpAcquire:
+		for _, t := range b.Resources {
+			b.epochs[t] = k.book.LastEpoch(t)
 		}
 	}
 	return b
@@ -91,29 +91,29 @@
 
 // took keeps the terms up with what the book did, and says it where this keeper leads.
 func (k *Keeper) took(b before, did *applied) {
-	answer, err := lease.ReadAnswer(did.answer)
+	answer, err := lease.DecodeResult(did.answer)
 	if b.Kind == 0 || err != nil {
 		return
 	}
 	switch b.Kind {
-	case lease.OpenKind:
-		did.lives = k.terms.Opened(answer.Session, k.clock())
+	case lease.OpOpenSession:
+		did.lives = k.terms.AddOrRenew(answer.Session, k.clock())
 		k.said(&k.Opened, "session opened", "member", b.Member, "session", answer.Session)
-	case lease.EndKind, lease.ExpireKind:
-		k.terms.Ended(b.Session)
+	case lease.OpEndSession, lease.OpExpireSession:
+		k.terms.Remove(b.Session)
 		k.said(&k.Ended, "session ended", "member", b.member, "session", b.Session, "tasks", len(b.tasks))
 		for _, t := range b.tasks {
-			k.said(&k.Released, "lease ended", "task", t, "epoch", k.book.Epoch(t), "member", b.member)
+			k.said(&k.Released, "lease ended", "task", t, "epoch", k.book.LastEpoch(t), "member", b.member)
 		}
-	case lease.GrantKind:
-		for _, g := range answer.Granted {
-			if g.Epoch > b.epochs[g.Task] {
-				k.said(&k.Granted, "lease granted", "task", g.Task, "epoch", g.Epoch, "member", b.member,
+	case lease.OpAcquire:
+		for _, g := range answer.Grants {
+			if g.Epoch > b.epochs[g.Resource] {
+				k.said(&k.Granted, "lease granted", "task", g.Resource, "epoch", g.Epoch, "member", b.member,
 					"session", b.Session)
 			}
 		}
-	case lease.ReleaseKind:
-		k.said(&k.Released, "lease released", "task", b.Tasks[0], "epoch", b.Epoch, "member", b.member)
+	case lease.OpRelease:
+		k.said(&k.Released, "lease released", "task", b.Resources[0], "epoch", b.Epoch, "member", b.member)
 	}
 }
 
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -58,8 +58,8 @@
 // taken answers an ask for tasks that others hold, all of them, without an entry in the log: guards against
 // one for each time that somebody asks. A yes is never given so.
 func (k *Keeper) taken(c cluster.Command) (answer []byte, sure bool) {
-	var o lease.Order
-	if c.Part != cluster.LeasePart || c.By != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
+	var o lease.Operation
+	if c.Component != cluster.LeaseComponent || c.FencedBy != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.OpAcquire {
 		return nil, false
 	}
 	k.mu.Lock()
@@ -67,12 +67,12 @@
 	if k.reign == 0 || k.book.MemberOf(o.Session) == "" {
 		return nil, false
 	}
-	no := lease.Answer{Session: o.Session}
-	for _, t := range o.Tasks {
+	no := lease.Result{Session: o.Session}
+	for _, t := range o.Resources {
 		if s, _, _, held := k.book.Holder(t); !held || s == o.Session {
 			return nil, false
 		}
-		no.Granted = append(no.Granted, lease.Granted{Task: t})
+		no.Grants = append(no.Grants, lease.Grant{Resource: t})
 	}
-	return transportpkg.Encode(no), len(o.Tasks) > 0
+	return transportpkg.Encode(no), len(o.Resources) > 0
 }
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -16,7 +16,7 @@
 // ask is one renewal that waits until a majority is known to have followed at or after it came.
 type ask struct {
 	session cluster.SessionID
-	tally   lease.Tally // of the grants that the member knows of
+	tally   lease.Digest // of the grants that the member knows of
 	came    api.Micros
 	answer  chan<- said
 }
@@ -24,7 +24,7 @@
 // said is the answer; holds is all that the session holds, where the member does not know it.
 type said struct {
 	verdict verdict
-	holds   []lease.Granted
+	holds   []lease.Grant
 }
 
 // verdict on an ask.
@@ -72,22 +72,22 @@
 // reign is a time of leading: its raft term, and its number in the book.
 type reign struct {
 	term   uint64
-	number lease.Reign
+	number lease.LeaderEpoch
 }
 
 // begin puts a reign's beginning in the log: once that is applied, so is all that was committed before.
 func (k *Keeper) begin(began chan<- reign) {
 	term := k.raft.CurrentTerm()
-	f := k.raft.ApplyLog(entry(lease.Began()), 0)
+	f := k.raft.ApplyLog(entry(lease.BeginLeaderEpoch()), 0)
 	if f.Error() != nil {
 		return
 	}
-	answer, err := lease.ReadAnswer(f.Response().(applied).answer)
+	answer, err := lease.DecodeResult(f.Response().(applied).answer)
 	if err != nil {
 		return
 	}
 	select {
-	case began <- reign{term, answer.Reign}:
+	case began <- reign{term, answer.LeaderEpoch}:
 	case <-k.ended:
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	again := k.reign != 0
 	k.reign = r.term
-	k.terms.Lead(k.clock(), r.number, k.book.Sessions())
+	k.terms.StartLeading(k.clock(), r.number, k.book.Sessions())
 	if again {
 		return
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	slog.Info("keeper leads no more", "member", k.self, "term", k.reign)
-	k.terms.Follow()
+	k.terms.StopLeading()
 	k.reign = 0
 	k.LeadsNoMore.Add(1)
 	k.leading.Store(0)
@@ -139,13 +139,13 @@
 	left, now := waiting[:0], k.clock()
 	for _, a := range waiting {
 		switch {
-		case !assent.Covers(a.came):
+		case !assent.HasQuorumSince(a.came):
 			left = append(left, a)
-		case k.terms.Renewed(a.session, now):
+		case k.terms.Renew(a.session, now):
 			k.Renewed.Add(1)
 			yes := said{verdict: goesOn}
-			if k.book.Tally(a.session) != a.tally {
-				yes.holds = k.book.HeldBy(a.session)
+			if k.book.Digest(a.session) != a.tally {
+				yes.holds = k.book.GrantsOf(a.session)
 			}
 			a.answer <- yes
 		default:
@@ -165,9 +165,9 @@
 // endDue ends through the log the sessions whose term is over.
 func (k *Keeper) endDue() {
 	k.mu.Lock()
-	var over []lease.Over
+	var over []lease.ExpiredSession
 	if k.reign != 0 {
-		over = k.terms.Due(k.clock())
+		over = k.terms.TakeExpired(k.clock())
 	}
 	k.mu.Unlock()
 	if len(over) > 0 {
@@ -175,10 +175,10 @@
 	}
 }
 
-func (k *Keeper) end(over []lease.Over) {
+func (k *Keeper) end(over []lease.ExpiredSession) {
 	var all []raft.ApplyFuture
 	for _, o := range over {
-		all = append(all, k.raft.ApplyLog(entry(lease.Expire(o)), span(timing.Answer(k.term))))
+		all = append(all, k.raft.ApplyLog(entry(lease.ExpireSession(o)), span(timing.RequestTimeout(k.term))))
 	}
 	for _, f := range all {
 		if f.Error() == nil && errors.Is(f.Response().(applied).err, cluster.ErrStale) {
@@ -200,7 +200,7 @@
 		}
 		return now
 	}
-	if now-since > timing.Missing(k.term) && k.missing.Swap(1) == 0 {
+	if now-since > timing.QuorumLossTimeout(k.term) && k.missing.Swap(1) == 0 {
 		k.Counters.NoMajority.Add(1)
 		slog.Warn("no majority: nothing is granted until a majority of the keepers hear each other",
 			"member", k.self)
@@ -212,8 +212,8 @@
 func (k *Keeper) untilDue() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait := timing.Tending(k.term)
-	if at, any := k.terms.Next(); any && k.reign != 0 {
+	wait := timing.ReconfigureInterval(k.term)
+	if at, any := k.terms.NextCheckAt(); any && k.reign != 0 {
 		wait = min(wait, max(at-k.clock(), 0))
 	}
 	return span(wait) + time.Millisecond/2
--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -33,7 +33,7 @@
 		fmt.Fprintf(&text, "leave \"m%d\" {}\n", members-1-m)
 	}
 	for d := range 40 {
-		if cluster.Hash(api.DestinationID(d*7+1)) < 1<<60 {
+		if cluster.DestinationKeyHash(api.DestinationID(d*7+1)) < 1<<60 {
 			continue // would be pinned out of the zone that it is kept to
 		}
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  destinations = [%d]\n  to = \"m%d\"\n}\n", d, d*7+1, d)
--- a/cluster/rebalance/next_test.go
+++ b/cluster/rebalance/next_test.go
@@ -116,7 +116,7 @@
 	w := newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"member \"c\" {}\npin \"p\" {\n "+of(0,
 		2)+"\n to = \"b\"\n}\nleave \"a\" {}\n"))
-	delete(w.held, cluster.HomeOf(1))
+	delete(w.held, cluster.RangeOwnerResource(1))
 	w.must(shardmap.Conductor(1).Lost([]shardmap.Takeover{{Range: 1, Lost: "a", To: "c"}}))
 	out := w.next()
 	require.Len(t, out.Actions, 1)
@@ -140,7 +140,7 @@
 	}{
 		"a plan beside it":    {Conductor(1).Adopt(0, "f.hcl", []byte(text), p), cluster.ErrStale},
 		"another plan's step": {Conductor(1).Note(2, 0, Begun, 5), cluster.ErrStale},
-		"no such step":        {Conductor(1).Note(1, 1, Begun, 5), cluster.ErrUnknown},
+		"no such step":        {Conductor(1).Note(1, 1, Begun, 5), cluster.ErrNotFound},
 		"another plan's end":  {Conductor(1).Stop(2, "x"), cluster.ErrStale},
 		"back to the start":   {Conductor(1).Note(1, 0, Waits, 5), cluster.ErrStale},
 	} {
--- a/cluster/rebalance/pieces_test.go
+++ b/cluster/rebalance/pieces_test.go
@@ -127,7 +127,7 @@
 		}
 		var all []api.DestinationID
 		for _, d := range dests {
-			if r, _ := before.Of(cluster.Hash(d)); named[d] {
+			if r, _ := before.Of(cluster.DestinationKeyHash(d)); named[d] {
 				all, in[d] = append(all, d), int(r.ID)-1
 			}
 		}
@@ -178,7 +178,7 @@
 			}
 		}
 		for _, d := range all {
-			r, _ := w.m.Of(cluster.Hash(d))
+			r, _ := w.m.Of(cluster.DestinationKeyHash(d))
 			require.True(t, oneHash(r))
 			of[d] = w.file.index(r.Home)
 		}
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -59,7 +59,7 @@
 	Why    string          `cbor:"7,keyasint,omitempty"`
 }
 
-// Conductor writes the commands on the plan under its epoch of task fleet.Conducts.
+// Conductor writes the commands on the plan under its epoch of task cluster.CoordinatorResource.
 type Conductor cluster.Epoch
 
 func (e Conductor) of(c command) cluster.Command {
@@ -67,11 +67,11 @@
 	if err != nil {
 		panic(err) // nothing in it can fail
 	}
-	return cluster.Command{Part: cluster.PlanPart, By: cluster.Conducts, Epoch: cluster.Epoch(e), Body: body}
+	return cluster.Command{Component: cluster.RebalanceComponent, FencedBy: cluster.CoordinatorResource, Epoch: cluster.Epoch(e), Body: body}
 }
 
 // Adopt makes a plan the running one. was is the number of the plan that the conductor knows of: where
-// another came meanwhile, the log refuses with fleet.ErrStale.
+// another came meanwhile, the log refuses with cluster.ErrStale.
 func (e Conductor) Adopt(was uint64, name string, text []byte, p *Plan) cluster.Command {
 	next := &Progress{Number: was + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
 	return e.of(command{Op: opAdopt, Number: was + 1, Plan: next})
@@ -87,8 +87,8 @@
 	return e.of(command{Op: opStop, Number: number, Why: why})
 }
 
-// Apply takes a command of the log. What is refused changed nothing: with fleet.ErrStale where it is about
-// another plan than the running one or a step has come further, with fleet.ErrUnknown where there is no such
+// Apply takes a command of the log. What is refused changed nothing: with cluster.ErrStale where it is about
+// another plan than the running one or a step has come further, with cluster.ErrNotFound where there is no such
 // step.
 func (p *Progress) Apply(_ uint64, body []byte) ([]byte, error) {
 	var c command
@@ -109,7 +109,7 @@
 	case c.Op != opNote:
 		return nil, fmt.Errorf("plan: no command has the number %d", c.Op)
 	case c.Step < 0 || c.Step >= len(p.Steps):
-		return nil, cluster.ErrUnknown
+		return nil, cluster.ErrNotFound
 	}
 	was := p.Stands[c.Step]
 	if c.Stand > Returned || c.Stand == Waits || was == Through || was == c.Stand {
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -74,7 +74,7 @@
 func (t *Tally) Ended(d api.DestinationID, e Ends) {
 	c := t.dests[d]
 	if c == nil {
-		c = &count{hash: cluster.Hash(d)}
+		c = &count{hash: cluster.DestinationKeyHash(d)}
 		t.dests[d] = c
 	}
 	c.all = c.all.plus(e)
--- a/cluster/rebalance/tally_test.go
+++ b/cluster/rebalance/tally_test.go
@@ -21,13 +21,13 @@
 		" sick = true\n}\n"))
 	for w.act() > 0 {
 	}
-	r, _ := w.m.Of(cluster.Hash(7))
+	r, _ := w.m.Of(cluster.DestinationKeyHash(7))
 	return w, r.ID, r.Move.ID
 }
 
 func well(shardmap.Range) []api.DestinationID { return nil }
 func ill(r shardmap.Range) []api.DestinationID {
-	if k := cluster.Hash(7); r.From <= k && k <= r.To {
+	if k := cluster.DestinationKeyHash(7); r.From <= k && k <= r.To {
 		return []api.DestinationID{7}
 	}
 	return nil
--- a/cluster/rebalance/world_test.go
+++ b/cluster/rebalance/world_test.go
@@ -25,7 +25,7 @@
 	m     *shardmap.Map
 	p     *Progress
 	index uint64
-	held  map[cluster.Task]held
+	held  map[cluster.Resource]held
 	value func(cluster.RangeID) float64
 	gone  map[cluster.MemberID]bool
 	first map[cluster.KeyHash]bool // where ranges began before any was split
@@ -37,14 +37,14 @@
 	epoch  cluster.Epoch
 }
 
-func (w *world) Holder(task cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (w *world) Holder(task cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	h, ok := w.held[task]
 	return 1, h.member, h.epoch, ok
 }
 
 // newWorld has one even range for each home, all seated.
 func newWorld(t tester, homes ...cluster.MemberID) *world {
-	w := &world{t: t, p: &Progress{}, held: map[cluster.Task]held{}, gone: map[cluster.MemberID]bool{},
+	w := &world{t: t, p: &Progress{}, held: map[cluster.Resource]held{}, gone: map[cluster.MemberID]bool{},
 		first: map[cluster.KeyHash]bool{}}
 	w.m = shardmap.New(w)
 	even, err := shardmap.Even(len(homes), []shardmap.Weight{{Member: "x", Weight: 1}})
@@ -53,7 +53,7 @@
 		r := &even[i]
 		w.first[r.From] = true
 		r.Home, r.Epoch, r.Standing = homes[i], 1, shardmap.Seated
-		w.held[cluster.HomeOf(r.ID)] = held{homes[i], 1}
+		w.held[cluster.RangeOwnerResource(r.ID)] = held{homes[i], 1}
 	}
 	w.m.Ranges, w.m.NextID, w.m.Version = even, cluster.RangeID(len(homes)+1), 1
 	w.index = 1
@@ -68,7 +68,7 @@
 
 func (w *world) propose(c cluster.Command) ([]byte, error) {
 	w.index++
-	if c.Part == cluster.PlanPart {
+	if c.Component == cluster.RebalanceComponent {
 		answer, err := w.p.Apply(w.index, c.Body)
 		w.elsewhere()
 		return answer, err
@@ -142,7 +142,7 @@
 // seat has the homes of what was split off take it, and let go of what was merged.
 func (w *world) seat() {
 	for _, r := range w.m.Ranges {
-		if task := cluster.HomeOf(r.ID); r.Standing == shardmap.Named {
+		if task := cluster.RangeOwnerResource(r.ID); r.Standing == shardmap.Named {
 			w.held[task] = held{r.Home, 1}
 			w.must(shardmap.Home(r.ID, r.Home, 1, w.m.Version))
 		}
@@ -162,7 +162,7 @@
 // goOn takes a move one step further.
 func (w *world) goOn(r shardmap.Range) {
 	w.t.Helper()
-	v, task := r.Move, cluster.HomeOf(r.ID)
+	v, task := r.Move, cluster.RangeOwnerResource(r.ID)
 	switch {
 	case v.Step < shardmap.Passing:
 		w.must(shardmap.Conductor(1).Step(v.ID, v.Step+1))
--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -8,8 +8,8 @@
 	"rowanlink/cluster"
 )
 
-// Apply takes a command of the log. What is refused changed nothing: with fleet.ErrUnknown where there is no
-// such range or move, fleet.ErrStale where the map or the move went on, fleet.ErrHeld where a task is held by
+// Apply takes a command of the log. What is refused changed nothing: with cluster.ErrNotFound where there is no
+// such range or move, cluster.ErrStale where the map or the move went on, cluster.ErrAlreadyHeld where a task is held by
 // another member than the command needs.
 func (m *Map) Apply(index uint64, body []byte) ([]byte, error) {
 	var c command
@@ -43,7 +43,7 @@
 	case opSplit, opMerge, opPlan, opHome:
 		i := m.at(c.Range)
 		if i < 0 {
-			return nil, cluster.ErrUnknown
+			return nil, cluster.ErrNotFound
 		}
 		switch c.Op {
 		case opSplit:
@@ -58,7 +58,7 @@
 		v := m.move(c.Move)
 		switch {
 		case v == nil:
-			return nil, cluster.ErrUnknown
+			return nil, cluster.ErrNotFound
 		case v.Step == Switched:
 			return nil, cluster.ErrStale
 		case c.Op == opBack:
@@ -126,7 +126,7 @@
 		return 0, cluster.ErrStale
 	}
 	if at <= r.From || at > r.To {
-		return 0, cluster.ErrUnknown
+		return 0, cluster.ErrNotFound
 	}
 	upper := Range{ID: m.NextID, From: at, To: r.To, Home: r.Home, Piece: true,
 		Also: append(slices.Clone(r.Also), Under{r.ID, r.Epoch, now})}
@@ -139,7 +139,7 @@
 func (m *Map) merge(now cluster.Version, i int, other cluster.RangeID) error {
 	k := m.at(other)
 	if k < 0 {
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	}
 	a, b := &m.Ranges[i], m.Ranges[k]
 	if i-k != 1 && k-i != 1 || a.Home != b.Home || !a.Settled() || !b.Settled() {
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -62,18 +62,20 @@
 	Groups  []Group          `cbor:"14,keyasint,omitempty"`
 }
 
-func (c command) by(task cluster.Task, epoch cluster.Epoch) cluster.Command {
+func (c command) by(task cluster.Resource, epoch cluster.Epoch) cluster.Command {
 	body, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // nothing in it can fail
 	}
-	return cluster.Command{Part: cluster.RangesPart, By: task, Epoch: epoch, Body: body}
+	return cluster.Command{Component: cluster.ShardMapComponent, FencedBy: task, Epoch: epoch, Body: body}
 }
 
-// Conductor writes the commands that only the conductor gives, under its epoch of task fleet.Conducts.
+// Conductor writes the commands that only the conductor gives, under its epoch of task cluster.CoordinatorResource.
 type Conductor cluster.Epoch
 
-func (e Conductor) of(c command) cluster.Command { return c.by(cluster.Conducts, cluster.Epoch(e)) }
+func (e Conductor) of(c command) cluster.Command {
+	return c.by(cluster.CoordinatorResource, cluster.Epoch(e))
+}
 
 // First is the first map: n even ranges, as Even gives them out.
 func (e Conductor) First(n int, members []Weight) cluster.Command {
@@ -111,13 +113,13 @@
 
 // Home says that a range's home holds its task; seen is the version of the map by which it will serve.
 func Home(id cluster.RangeID, home cluster.MemberID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
-	return command{Op: opHome, Range: id, Member: home, Epoch: epoch, Seen: seen}.by(cluster.HomeOf(id), epoch)
+	return command{Op: opHome, Range: id, Member: home, Epoch: epoch, Seen: seen}.by(cluster.RangeOwnerResource(id), epoch)
 }
 
 // Switch makes a move's target the range's home. The target proposes it once it holds the task: whoever held
 // it before has let it go or has ended, so that the map and the right to call change at one place in the log.
 func Switch(move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch) cluster.Command {
-	return command{Op: opSwitch, Move: move, Member: target, Epoch: epoch}.by(cluster.HomeOf(id), epoch)
+	return command{Op: opSwitch, Move: move, Member: target, Epoch: epoch}.by(cluster.RangeOwnerResource(id), epoch)
 }
 
 // Clear says that a member has no copies left that a switched move must tell the owner of. For a member that
--- a/cluster/shardmap/deed.go
+++ b/cluster/shardmap/deed.go
@@ -29,8 +29,8 @@
 // Tenant is a member as far as its right to call goes.
 type Tenant struct {
 	Member cluster.MemberID
-	Epoch  func(cluster.Task) (cluster.Epoch, bool) // by which it holds a task now, by its own clock
-	Alone  bool                                     // see Deserted
+	Epoch  func(cluster.Resource) (cluster.Epoch, bool) // by which it holds a task now, by its own clock
+	Alone  bool                                         // see Deserted
 }
 
 // MayServe is what a member does with webhooks of a key hash, now. A call needs Serve (or Alone) when it is
@@ -42,7 +42,7 @@
 	v := Verdict{Range: r.ID, Epoch: r.Epoch, Version: m.Version, To: r.Home}
 	epoch, held := cluster.Epoch(0), false
 	if ok && r.Home == who.Member {
-		epoch, held = who.Epoch(cluster.HomeOf(r.ID))
+		epoch, held = who.Epoch(cluster.RangeOwnerResource(r.ID))
 	}
 	switch {
 	case held && r.Standing == Seated && epoch == r.Epoch && r.Move.Step != Passing:
--- a/cluster/shardmap/homes_test.go
+++ b/cluster/shardmap/homes_test.go
@@ -168,7 +168,7 @@
 
 func (w *world) tenant(i int8) Tenant {
 	p := &w.at[i]
-	holds := func(cluster.Task) (cluster.Epoch, bool) { return cluster.Epoch(p.epoch), p.epoch != 0 }
+	holds := func(cluster.Resource) (cluster.Epoch, bool) { return cluster.Epoch(p.epoch), p.epoch != 0 }
 	return Tenant{who[i], holds, p.alone}
 }
 
--- a/cluster/shardmap/known_test.go
+++ b/cluster/shardmap/known_test.go
@@ -150,7 +150,7 @@
 
 // Bytes by chance are refused, or are a map that covers each key once and stays so whatever comes then.
 func FuzzMap(f *testing.F) {
-	m := New(leases{map[cluster.Task]cluster.MemberID{}, map[cluster.Task]cluster.Epoch{}})
+	m := New(leases{map[cluster.Resource]cluster.MemberID{}, map[cluster.Resource]cluster.Epoch{}})
 	commands := [][]byte{Conductor(1).First(3, []Weight{{"a", 1}, {"b", 1}}).Body, Conductor(1).Split(1, 9).Body,
 		Home(1, "a", 1, 1).Body, Conductor(1).Plan(1, "a", "b").Body, Switch(4, 1, "b", 2).Body,
 		Clear(4, "a").Body}
@@ -161,8 +161,8 @@
 		f.Add(b, c)
 	}
 	f.Fuzz(func(t *testing.T, snapshot, command []byte) {
-		home := cluster.HomeOf(1)
-		m := New(leases{map[cluster.Task]cluster.MemberID{home: "b"}, map[cluster.Task]cluster.Epoch{home: 2}})
+		home := cluster.RangeOwnerResource(1)
+		m := New(leases{map[cluster.Resource]cluster.MemberID{home: "b"}, map[cluster.Resource]cluster.Epoch{home: 2}})
 		if m.Restore(snapshot) != nil {
 			require.Empty(t, m.Ranges)
 		}
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -54,7 +54,7 @@
 	From     cluster.KeyHash  `cbor:"2,keyasint"`
 	To       cluster.KeyHash  `cbor:"3,keyasint"`
 	Home     cluster.MemberID `cbor:"4,keyasint"`
-	Epoch    cluster.Epoch    `cbor:"5,keyasint"` // of task fleet.HomeOf(ID), by which Home serves; 0: never yet
+	Epoch    cluster.Epoch    `cbor:"5,keyasint"` // of task cluster.RangeOwnerResource(ID), by which Home serves; 0: never yet
 	Standing Standing         `cbor:"6,keyasint"`
 	Move     Move             `cbor:"7,keyasint"`
 	Also     []Under          `cbor:"8,keyasint,omitempty"`
@@ -91,7 +91,7 @@
 // Holders tells who holds a task by the log. A grant that is not held any more has ended at its holder too,
 // by the holder's own clock: the leases see to that before they end it in the log.
 type Holders interface {
-	Holder(task cluster.Task) (session cluster.SessionID, member cluster.MemberID, epoch cluster.Epoch, held bool)
+	Holder(task cluster.Resource) (session cluster.SessionID, member cluster.MemberID, epoch cluster.Epoch, held bool)
 }
 
 // Of is the range that a key hash lies in. There is none before the first map.
--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -47,17 +47,17 @@
 
 // leases grants any task to one member at a time.
 type leases struct {
-	held map[cluster.Task]cluster.MemberID
-	last map[cluster.Task]cluster.Epoch
+	held map[cluster.Resource]cluster.MemberID
+	last map[cluster.Resource]cluster.Epoch
 }
 
-func (l leases) Holder(t cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (l leases) Holder(t cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	who, held := l.held[t]
 	return 1, who, l.last[t], held
 }
 
 func (l leases) tenant(who cluster.MemberID) Tenant {
-	return Tenant{Member: who, Epoch: func(t cluster.Task) (cluster.Epoch, bool) {
+	return Tenant{Member: who, Epoch: func(t cluster.Resource) (cluster.Epoch, bool) {
 		return l.last[t], l.held[t] == who
 	}}
 }
@@ -72,7 +72,7 @@
 
 // drawn is a command by chance that has some hope in the state of a range.
 func drawn(chance *rand.Rand, m *Map, l leases, r Range, seen *Map) (c cluster.Command, home bool) {
-	task, conduct := cluster.HomeOf(r.ID), Conductor(1)
+	task, conduct := cluster.RangeOwnerResource(r.ID), Conductor(1)
 	member := cluster.MemberID(rune('a' + chance.IntN(3)))
 	if n := chance.IntN(12); n == 0 {
 		of := []api.DestinationID{1, 2, 3}[chance.IntN(3):]
@@ -122,7 +122,7 @@
 	chance, who := rand.New(rand.NewPCG(35, 3)), []cluster.MemberID{"a", "b", "c"}
 	served, done := 0, map[string]int{}
 	for range 1500 {
-		l := leases{map[cluster.Task]cluster.MemberID{}, map[cluster.Task]cluster.Epoch{}}
+		l := leases{map[cluster.Resource]cluster.MemberID{}, map[cluster.Resource]cluster.Epoch{}}
 		m := New(l)
 		_, err := m.Apply(1, Conductor(1).First(1, []Weight{{"a", 1}}).Body)
 		require.NoError(t, err)
@@ -130,9 +130,9 @@
 		for range 70 {
 			r, seen := m.Ranges[chance.IntN(len(m.Ranges))], old[max(0, len(old)-1-chance.IntN(6))]
 			c, home := drawn(chance, m, l, r, seen)
-			holder, held := l.held[cluster.HomeOf(r.ID)]
-			if c.By == cluster.HomeOf(r.ID) && !held {
-				continue // fleet.ErrFenced
+			holder, held := l.held[cluster.RangeOwnerResource(r.ID)]
+			if c.FencedBy == cluster.RangeOwnerResource(r.ID) && !held {
+				continue // cluster.ErrFenced
 			}
 			if c.Body != nil && !(home && seen.Version < least[holder]) {
 				if _, err := m.Apply(uint64(m.Version)+1, c.Body); err != nil {
@@ -177,8 +177,8 @@
 
 func TestAPartThatIsSplitOffAndMergedIsAsBefore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		home := cluster.HomeOf(1)
-		l := leases{map[cluster.Task]cluster.MemberID{home: "a"}, map[cluster.Task]cluster.Epoch{home: 1}}
+		home := cluster.RangeOwnerResource(1)
+		l := leases{map[cluster.Resource]cluster.MemberID{home: "a"}, map[cluster.Resource]cluster.Epoch{home: 1}}
 		m := New(l)
 		at := cluster.KeyHash(rapid.Uint64Min(1).Draw(t, "at"))
 		apply := func(index uint64, c cluster.Command) {
@@ -192,7 +192,7 @@
 		r, ok := m.Of(key)
 		require.True(t, ok)
 		assert.Equal(t, key >= at, r.ID == 2)
-		l.held[cluster.HomeOf(2)], l.last[cluster.HomeOf(2)] = "a", 1
+		l.held[cluster.RangeOwnerResource(2)], l.last[cluster.RangeOwnerResource(2)] = "a", 1
 		apply(4, Home(2, "a", 1, 3))
 		apply(5, Conductor(1).Merge(1, 2))
 		require.Len(t, m.Ranges, 1)
--- a/cluster/shardmap/places.go
+++ b/cluster/shardmap/places.go
@@ -55,7 +55,7 @@
 	if at, is := m.placed[d]; is {
 		return at
 	}
-	return cluster.Hash(d)
+	return cluster.DestinationKeyHash(d)
 }
 
 // Holds is whether a destination stands in a range of this map.
@@ -68,7 +68,7 @@
 // holds the grant by which it was served is to say first that it goes by this map.
 func (m *Map) place(now cluster.Version, groups []Group) error {
 	if !apart(groups) {
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	}
 	if SameGroups(groups, m.Groups) {
 		return cluster.ErrStale
@@ -137,7 +137,7 @@
 
 // Own is whether it is by a member's own grant that a destination may be served elsewhere.
 func (s Stray) Own(who Tenant) bool {
-	epoch, held := who.Epoch(cluster.HomeOf(s.Under.Range))
+	epoch, held := who.Epoch(cluster.RangeOwnerResource(s.Under.Range))
 	return held && epoch == s.Under.Epoch
 }
 
@@ -183,5 +183,5 @@
 // Seen says that a home goes by a map as new as this one, and that no call is out of what strayed from it
 // until then.
 func Seen(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
-	return command{Op: opSeen, Range: id, Epoch: epoch, Seen: seen}.by(cluster.HomeOf(id), epoch)
+	return command{Op: opSeen, Range: id, Epoch: epoch, Seen: seen}.by(cluster.RangeOwnerResource(id), epoch)
 }
--- a/cluster/shardmap/vacancies.go
+++ b/cluster/shardmap/vacancies.go
@@ -45,7 +45,7 @@
 		if !r.Piece {
 			head = Takeover{}
 		}
-		if _, _, _, held := by.Holder(cluster.HomeOf(r.ID)); held || alive[r.Home] {
+		if _, _, _, held := by.Holder(cluster.RangeOwnerResource(r.ID)); held || alive[r.Home] {
 			delete(v.since, r.ID)
 			continue
 		}
--- a/cluster/shardmap/vacancies_test.go
+++ b/cluster/shardmap/vacancies_test.go
@@ -25,11 +25,11 @@
 		}
 		all, err := Even(n, []Weight{{"a", 1}, {"b", 1}})
 		require.NoError(t, err)
-		l, m := leases{map[cluster.Task]cluster.MemberID{}, nil}, &Map{Ranges: all}
+		l, m := leases{map[cluster.Resource]cluster.MemberID{}, nil}, &Map{Ranges: all}
 		has := map[cluster.MemberID]int{}
 		for i := range all {
 			if has[all[i].Home]++; rapid.Bool().Draw(t, "held") {
-				l.held[cluster.HomeOf(all[i].ID)] = all[i].Home
+				l.held[cluster.RangeOwnerResource(all[i].ID)] = all[i].Home
 			}
 			all[i].Standing = Standing(rapid.IntRange(0, 1).Draw(t, "standing"))
 		}
@@ -40,13 +40,13 @@
 			first[r.ID] = true
 		}
 		for _, r := range all {
-			if _, held := l.held[cluster.HomeOf(r.ID)]; !held && !alive[r.Home] && r.Standing == Seated && roomy {
+			if _, held := l.held[cluster.RangeOwnerResource(r.ID)]; !held && !alive[r.Home] && r.Standing == Seated && roomy {
 				require.True(t, first[r.ID], "one that served had its whole term")
 			}
 		}
 		taken := map[cluster.RangeID]bool{}
 		for _, take := range v.Takes(m, l, alive, members, 1+startsBy*term) {
-			_, held := l.held[cluster.HomeOf(take.Range)]
+			_, held := l.held[cluster.RangeOwnerResource(take.Range)]
 			require.False(t, held || alive[take.Lost] || taken[take.Range])
 			require.True(t, alive[take.To])
 			taken[take.Range] = true
@@ -72,7 +72,7 @@
 
 type nobody struct{}
 
-func (nobody) Holder(cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (nobody) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	return 0, "", 0, false
 }
 
--- a/cluster/shardmap/verdicts_test.go
+++ b/cluster/shardmap/verdicts_test.go
@@ -56,7 +56,7 @@
 
 func TestAMemberServesByItsGrantAloneAndTellsWhatElseItDoes(t *testing.T) {
 	tenant := func(who cluster.MemberID, epoch cluster.Epoch, alone bool) Tenant {
-		return Tenant{who, func(cluster.Task) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
+		return Tenant{who, func(cluster.Resource) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
 	}
 	for name, s := range map[string]struct {
 		step Step
@@ -87,7 +87,7 @@
 }
 
 func TestAWebhookIsSentOnOnceAndByANewerMapOnly(t *testing.T) {
-	m, who := moving(Switched), Tenant{"a", func(cluster.Task) (cluster.Epoch, bool) { return 0, false }, false}
+	m, who := moving(Switched), Tenant{"a", func(cluster.Resource) (cluster.Epoch, bool) { return 0, false }, false}
 	refusal, told := m.Admit(who, 7, 5)
 	require.Equal(t, Newer, refusal)
 	assert.Equal(t, cluster.MemberID("b"), told.To)
--- a/cluster/shardmap/world_test.go
+++ b/cluster/shardmap/world_test.go
@@ -169,7 +169,7 @@
 }
 
 // Holder is the lease as the log has it, for the one task.
-func (w *world) Holder(cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (w *world) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	if !w.held {
 		return 0, "", 0, false
 	}
@@ -230,8 +230,8 @@
 
 // propose gives the log a command.
 func (w *world) propose(c cluster.Command) bool {
-	if c.By == cluster.HomeOf(1) && (!w.held || c.Epoch != cluster.Epoch(w.epoch)) {
-		return false // fleet.ErrFenced
+	if c.FencedBy == cluster.RangeOwnerResource(1) && (!w.held || c.Epoch != cluster.Epoch(w.epoch)) {
+		return false // cluster.ErrFenced
 	}
 	m := *w.maps.all[w.chart]
 	m.Ranges, m.Left, m.holders = slices.Clone(m.Ranges), slices.Clone(m.Left), w
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -30,9 +30,9 @@
 
 type holder struct{}
 
-func (holder) Want(cluster.Task)                        {}
-func (holder) Release(cluster.Task)                     {}
-func (holder) Holds(cluster.Task) (cluster.Epoch, bool) { return 1, true }
+func (holder) Want(cluster.Resource)                        {}
+func (holder) Release(cluster.Resource)                     {}
+func (holder) Holds(cluster.Resource) (cluster.Epoch, bool) { return 1, true }
 
 type open struct{ s *Sites }
 
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -21,7 +21,7 @@
 type lane struct {
 	of     *Sites
 	site   config.Site
-	task   cluster.Task
+	task   cluster.Resource
 	direct atomic.Bool // its subscribers may be called from here
 
 	// The file names it no more, or with another relay: what was sent ends by the word of the one that has it.
@@ -46,7 +46,7 @@
 }
 
 func newLane(of *Sites, s config.Site) *lane {
-	return &lane{of: of, site: s, task: cluster.SenderOf(s.ID)}
+	return &lane{of: of, site: s, task: cluster.SiteSenderResource(s.ID)}
 }
 
 // nameOf is a webhook's or an announcement's name over the whole fleet: no request id is used twice.
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -26,9 +26,9 @@
 
 // Session is what a member holds.
 type Session interface {
-	Want(cluster.Task)
-	Release(cluster.Task)
-	Holds(cluster.Task) (cluster.Epoch, bool)
+	Want(cluster.Resource)
+	Release(cluster.Resource)
+	Holds(cluster.Resource) (cluster.Epoch, bool)
 }
 
 // Part is what a Sites is made of.
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -68,7 +68,7 @@
 
 // Open begins a run, which ends all before it; the mark must be kept before Answer is said. Of what was
 // asked, held is here or owed; of the rest, what was sent to this life was never taken and never will be.
-// That holds with fleet.ErrFenced too, as a run that is refused is over.
+// That holds with cluster.ErrFenced too, as a run that is refused is over.
 func (r *Receiver) Open(a Ask) (held []Delivery, err error) {
 	r.undo = nil
 	if a.Run.Epoch == 0 || a.Run.No == 0 {
--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -14,7 +14,7 @@
 	"rowanlink/webhook/api"
 )
 
-// What a frame or an opening is refused with, beside fleet.ErrFenced. Nothing of it was taken.
+// What a frame or an opening is refused with, beside cluster.ErrFenced. Nothing of it was taken.
 var (
 	ErrUnopened = errors.New("streams: the relay knows no such run: it has to be opened anew")
 	ErrForm     = errors.New("streams: not read")
@@ -47,7 +47,7 @@
 	Key      api.Key // 0 but of ordered event types
 	TTL      api.Micros
 	Attempts int
-	MayRun   api.Micros // first attempt that may have run, or gateway.Never
+	MayRun   api.Micros // first attempt that may have run, or api.Never
 	Zone     api.ZoneID // of that attempt's endpoint
 	Body     []byte
 	To       []api.DestinationID
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -21,7 +21,7 @@
 	Member      cluster.MemberID  `cbor:"1,keyasint"`
 	Session     cluster.SessionID `cbor:"2,keyasint,omitempty"`
 	Incarnation lease.Incarnation `cbor:"3,keyasint,omitempty"`
-	Tally       lease.Tally       `cbor:"4,keyasint,omitempty"`
+	Tally       lease.Digest      `cbor:"4,keyasint,omitempty"`
 }
 
 // SessionAnswer is a keeper's yes, or which refusal (state.Code). Term is the one that the keeper counts.
@@ -30,7 +30,7 @@
 	Session cluster.SessionID `cbor:"1,keyasint,omitempty"`
 	Term    api.Micros        `cbor:"2,keyasint"`
 	Refusal uint16            `cbor:"3,keyasint,omitempty"`
-	Holds   []lease.Granted   `cbor:"4,keyasint,omitempty"`
+	Holds   []lease.Grant     `cbor:"4,keyasint,omitempty"`
 }
 
 // Proposed is what became of a fleet.Command: the part's answer, or which refusal (state.Code).
@@ -43,16 +43,16 @@
 // StateAsk asks for each part that is newer than the version named, and which of the tasks are free.
 // Changes is whether a part may come as what changed since that version.
 type StateAsk struct {
-	Versions map[byte]uint64 `cbor:"1,keyasint,omitempty"`
-	Wants    []cluster.Task  `cbor:"2,keyasint,omitempty"`
-	Changes  bool            `cbor:"3,keyasint,omitempty"`
+	Versions map[byte]uint64    `cbor:"1,keyasint,omitempty"`
+	Wants    []cluster.Resource `cbor:"2,keyasint,omitempty"`
+	Changes  bool               `cbor:"3,keyasint,omitempty"`
 }
 
 // StateAnswer holds those that are; Index is how far the log's entries were applied where it was read.
 type StateAnswer struct {
-	Index uint64         `cbor:"1,keyasint"`
-	Parts []PartState    `cbor:"2,keyasint,omitempty"`
-	Free  []cluster.Task `cbor:"3,keyasint,omitempty"`
+	Index uint64             `cbor:"1,keyasint"`
+	Parts []PartState        `cbor:"2,keyasint,omitempty"`
+	Free  []cluster.Resource `cbor:"3,keyasint,omitempty"`
 }
 
 // PartState is one part as it was at a version: whole, or by state.Changed from what it was at Since.
--- a/cluster/transport/talk_test.go
+++ b/cluster/transport/talk_test.go
@@ -146,7 +146,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(cluster.Command{Part: 'L', By: "t", Epoch: 3, Body: []byte("x")}))
+	f.Add(Encode(cluster.Command{Component: 'L', FencedBy: "t", Epoch: 3, Body: []byte("x")}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var c, again cluster.Command
 		if Decode(raw, &c) == nil {
--- a/sim/engine/homes.go
+++ b/sim/engine/homes.go
@@ -24,8 +24,8 @@
 	chance *rand.Rand // of ways and losses between dispatchers
 	keys   []cluster.KeyHash
 
-	book      *lease.Book
-	terms     *lease.Terms
+	book      *lease.Table
+	terms     *lease.ExpiryTracker
 	chart     *shardmap.Map
 	vacancies *shardmap.Vacancies
 	index     uint64
@@ -52,7 +52,7 @@
 
 func newHomes(m *Model) *homes {
 	p := &m.plan.Homes
-	h := &homes{m: m, chance: stream(m.plan.Seed, 5), book: lease.NewBook(), terms: lease.NewTerms(p.Term.us()),
+	h := &homes{m: m, chance: stream(m.plan.Seed, 5), book: lease.NewTable(), terms: lease.NewExpiryTracker(p.Term.us()),
 		vacancies: shardmap.NewVacancies(p.Term.us()), numbers: map[cluster.MemberID]int32{}}
 	h.deeds = deeds{
 		part:    shardmap.Verdict.Part,
@@ -68,15 +68,15 @@
 		h.numbers[name] = int32(i)
 	}
 	for i := range m.dests {
-		h.keys = append(h.keys, cluster.Hash(api.DestinationID(i)))
+		h.keys = append(h.keys, cluster.DestinationKeyHash(api.DestinationID(i)))
 	}
 	return h
 }
 
 // propose has the log take a command; what comes of it is nil where it was refused.
 func (h *homes) propose(c cluster.Command) []byte {
-	part := cluster.Part(h.book)
-	if c.Part == cluster.RangesPart {
+	part := cluster.Component(h.book)
+	if c.Component == cluster.ShardMapComponent {
 		part = h.chart
 	}
 	h.index++
@@ -88,19 +88,19 @@
 }
 
 // lease proposes one of the book's commands; false: it was refused.
-func (h *homes) lease(c cluster.Command) (lease.Answer, bool) {
+func (h *homes) lease(c cluster.Command) (lease.Result, bool) {
 	raw := h.propose(c)
 	if raw == nil {
-		return lease.Answer{}, false
+		return lease.Result{}, false
 	}
-	a, err := lease.ReadAnswer(raw)
+	a, err := lease.DecodeResult(raw)
 	return a, err == nil
 }
 
 // settled begins the run with a fleet in which each range has its home.
 func (h *homes) settled() {
-	reign, _ := h.lease(lease.Began())
-	h.terms.Lead(h.m.now, reign.Reign, nil)
+	reign, _ := h.lease(lease.BeginLeaderEpoch())
+	h.terms.StartLeading(h.m.now, reign.LeaderEpoch, nil)
 	var weights []shardmap.Weight
 	for _, m := range h.members {
 		weights = append(weights, m.Weight)
@@ -153,9 +153,9 @@
 // keep ends sessions whose term is over and gives what they had to others.
 func (h *homes) keep() {
 	now := h.m.now
-	for _, o := range h.terms.Due(now) {
-		if _, ok := h.lease(lease.Expire(o)); ok {
-			h.terms.Ended(o.Session)
+	for _, o := range h.terms.TakeExpired(now) {
+		if _, ok := h.lease(lease.ExpireSession(o)); ok {
+			h.terms.Remove(o.Session)
 		}
 	}
 	alive := map[cluster.MemberID]bool{}
@@ -193,7 +193,7 @@
 			h.look(d)
 		case e.kind == evExpire:
 			d.expire(api.WebhookID(uint32(e.b)))
-		case e.kind == evRenew && h.m.now < d.member.tenure.AskAgainAt():
+		case e.kind == evRenew && h.m.now < d.member.tenure.NextRenewalAt():
 			h.renewAgain(d)
 		case e.kind == evRenew:
 			h.renew(d)
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -13,7 +13,7 @@
 // fellow is a dispatcher's part in a fleet with homes.
 type fellow struct {
 	name    cluster.MemberID
-	tenure  *lease.Tenure
+	tenure  *lease.Holder
 	life    lease.Incarnation
 	chart   *shardmap.Map // nil: not heard of yet
 	over    api.Micros
@@ -44,7 +44,7 @@
 	was := d.member
 	p := &h.m.plan.Homes
 	d.member = &fellow{name: h.members[d.number].Member, life: 1, over: h.m.now,
-		tenure: lease.NewTenure(p.Term.us(), p.Apart),
+		tenure: lease.NewHolder(p.Term.us(), p.Apart),
 		parts:  make([]float64, len(h.m.dests)), parked: map[api.WebhookID]*held{},
 		known: map[api.WebhookID]hand{}, out: map[int32]bool{}}
 	if was != nil {
@@ -58,7 +58,7 @@
 		h.starts(d)
 		h.renew(d)
 	} else {
-		h.m.after(d.member.tenure.AskAgainAt()-h.m.now, event{kind: evRenew, a: d.number, gen: d.life})
+		h.m.after(d.member.tenure.NextRenewalAt()-h.m.now, event{kind: evRenew, a: d.number, gen: d.life})
 	}
 	d.setParts()
 }
@@ -66,7 +66,7 @@
 func (d *dispatcher) tenant() shardmap.Tenant {
 	b, now := d.member, d.m.now
 	return shardmap.Tenant{Member: b.name, Alone: shardmap.Deserted(b.over, now, d.m.plan.Homes.Term.us()),
-		Epoch: func(t cluster.Task) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
+		Epoch: func(t cluster.Resource) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
 }
 
 // verdict is what this dispatcher does with webhooks of a destination, now.
@@ -114,7 +114,7 @@
 
 // regateIfDue has a dispatcher look at its session before it acts.
 func (d *dispatcher) regateIfDue() {
-	if b := d.member; b != nil && b.tenure.Holds(d.m.now) != (b.over == never) {
+	if b := d.member; b != nil && b.tenure.IsValid(d.m.now) != (b.over == never) {
 		d.regate()
 	}
 }
@@ -122,7 +122,7 @@
 // regate follows the map and the session: rates, what may be called from here, what may not.
 func (d *dispatcher) regate() {
 	b, m := d.member, d.m
-	switch holds := b.tenure.Holds(m.now); {
+	switch holds := b.tenure.IsValid(m.now); {
 	case holds:
 		b.over = never
 	case b.over == never:
@@ -214,9 +214,9 @@
 			w.doubt = w.offer
 		}
 	}
-	if s := b.tenure.End(); t.Kind == "restart" && s != 0 { // it says so before it goes
-		if _, ok := h.lease(lease.End(s)); ok {
-			h.terms.Ended(s)
+	if s := b.tenure.EndSession(); t.Kind == "restart" && s != 0 { // it says so before it goes
+		if _, ok := h.lease(lease.EndSession(s)); ok {
+			h.terms.Remove(s)
 		}
 	}
 }
--- a/sim/engine/session.go
+++ b/sim/engine/session.go
@@ -10,20 +10,20 @@
 type ask struct {
 	from    int32
 	life    lease.Incarnation
-	asked   lease.Ask
+	asked   lease.Renewal
 	session cluster.SessionID // 0: to be opened
-	tasks   []cluster.Task
+	tasks   []cluster.Resource
 	seats   []shardmap.Range // of which it says that it is home
 	epochs  []cluster.Epoch
 
 	refused bool
-	granted []lease.Granted
+	granted []lease.Grant
 }
 
 // ask puts together what a dispatcher says to the keeper now.
 func (h *homes) ask(d *dispatcher) int32 {
 	a := h.wants(d)
-	a.asked = d.member.tenure.Asked(h.m.now)
+	a.asked = d.member.tenure.StartRenewal(h.m.now)
 	h.asks = append(h.asks, a)
 	return int32(len(h.asks) - 1)
 }
@@ -32,9 +32,9 @@
 	b, now := d.member, h.m.now
 	a := ask{from: d.number, life: b.life, session: b.tenure.Session()}
 	for _, r := range b.homes() {
-		switch epoch, held := b.tenure.Epoch(cluster.HomeOf(r.ID), now); {
+		switch epoch, held := b.tenure.Epoch(cluster.RangeOwnerResource(r.ID), now); {
 		case !held:
-			a.tasks = append(a.tasks, cluster.HomeOf(r.ID))
+			a.tasks = append(a.tasks, cluster.RangeOwnerResource(r.ID))
 		case epoch > r.Epoch:
 			a.seats, a.epochs = append(a.seats, r), append(a.epochs, epoch)
 		}
@@ -81,7 +81,7 @@
 
 func (h *homes) renewAgain(d *dispatcher) {
 	b := d.member
-	in := max(b.tenure.AskAgainAt()-h.m.now, 1)
+	in := max(b.tenure.NextRenewalAt()-h.m.now, 1)
 	if b.renewAt <= h.m.now || h.m.now+in < b.renewAt {
 		b.renewAt = h.m.now + in
 		h.m.after(in, event{kind: evRenew, a: d.number, gen: d.life})
@@ -127,18 +127,18 @@
 func (h *homes) serve(a *ask) {
 	name, now := h.members[a.from].Member, h.m.now
 	if a.session == 0 {
-		o, _ := h.lease(lease.Open(name, a.life))
+		o, _ := h.lease(lease.OpenSession(name, a.life))
 		a.session = o.Session
-		a.refused = !h.terms.Opened(a.session, now)
+		a.refused = !h.terms.AddOrRenew(a.session, now)
 	} else {
-		a.refused = !h.terms.Renewed(a.session, now)
+		a.refused = !h.terms.Renew(a.session, now)
 	}
 	if a.refused {
 		return
 	}
 	if len(a.tasks) > 0 {
-		g, _ := h.lease(lease.Grant(a.session, a.tasks...))
-		a.granted = g.Granted
+		g, _ := h.lease(lease.AcquireLeases(a.session, a.tasks...))
+		a.granted = g.Grants
 	}
 	changed := false
 	for i, r := range a.seats {
@@ -152,14 +152,14 @@
 func (h *homes) heard(d *dispatcher, a *ask) {
 	b := d.member
 	if a.refused {
-		b.tenure.Refused(a.session)
-	} else if b.tenure.Answered(a.asked, a.session) {
+		b.tenure.HandleRejection(a.session)
+	} else if b.tenure.ConfirmRenewal(a.asked, a.session) {
 		for _, g := range a.granted {
-			b.tenure.Took(a.session, g)
+			b.tenure.AddGrant(a.session, g)
 		}
 	}
-	if b.tenure.Holds(h.m.now) != (b.over == never) {
-		if b.over = h.m.now; b.tenure.Holds(h.m.now) {
+	if b.tenure.IsValid(h.m.now) != (b.over == never) {
+		if b.over = h.m.now; b.tenure.IsValid(h.m.now) {
 			b.over = never
 		}
 		if d.up {
--- a/test/integration/cluster/harm_test.go
+++ b/test/integration/cluster/harm_test.go
@@ -79,9 +79,9 @@
 		if m.held == 0 {
 			return false
 		}
-		of, _ := chart.Of(cluster.Hash(m.held))
+		of, _ := chart.Of(cluster.DestinationKeyHash(m.held))
 		for d := range api.DestinationID(4) {
-			if r, ok := chart.Of(cluster.Hash(d + 1)); ok && r.ID != of.ID {
+			if r, ok := chart.Of(cluster.DestinationKeyHash(d + 1)); ok && r.ID != of.ID {
 				m.through = d + 1
 			}
 		}
@@ -101,8 +101,8 @@
 		if chart == nil || f.Home(m.through) != m.target {
 			return false
 		}
-		r, _ := chart.Of(cluster.Hash(m.held))
-		through, _ := chart.Of(cluster.Hash(m.through))
+		r, _ := chart.Of(cluster.DestinationKeyHash(m.held))
+		through, _ := chart.Of(cluster.DestinationKeyHash(m.through))
 		return r.Move.Open() && !through.Move.Open() && f.Member(string(r.Home)) == m.home
 	})
 	m.stop = entering(f, m.target, 60, m.through)
@@ -116,7 +116,7 @@
 		if chart == nil {
 			return false
 		}
-		r, _ := chart.Of(cluster.Hash(m.held))
+		r, _ := chart.Of(cluster.DestinationKeyHash(m.held))
 		return !r.Move.Open()
 	})
 	assert.Equal(t, m.home, m.f.Home(m.held))
@@ -169,8 +169,8 @@
 	m.f.Reload(m.rules(false, ""))
 	m.goneBack(t)
 	m.f.Homed()
-	was, _ := before.Of(cluster.Hash(m.through))
-	is, _ := m.f.Map().Of(cluster.Hash(m.through))
+	was, _ := before.Of(cluster.DestinationKeyHash(m.through))
+	is, _ := m.f.Map().Of(cluster.DestinationKeyHash(m.through))
 	assert.Equal(t, was.Epoch, is.Epoch, "it was let go of meanwhile")
 	m.end()
 }
--- a/test/integration/cluster/history_test.go
+++ b/test/integration/cluster/history_test.go
@@ -66,7 +66,7 @@
 }
 
 // lastGrant is that of a home that was granted by more than one epoch, and the rest of its past.
-func lastGrant(t *testing.T, all map[cluster.Task][]leasecheck.Past) (last leasecheck.Past, others []leasecheck.Past) {
+func lastGrant(t *testing.T, all map[cluster.Resource][]leasecheck.Past) (last leasecheck.Past, others []leasecheck.Past) {
 	for task, past := range all {
 		slices.SortStableFunc(past, func(a, b leasecheck.Past) int {
 			return cmp.Or(cmp.Compare(a.What, b.What), cmp.Compare(b.Epoch, a.Epoch))
--- a/test/integration/harness/map.go
+++ b/test/integration/harness/map.go
@@ -25,7 +25,7 @@
 	defer asks.Close()
 	for keeper := range says {
 		status, raw, err := asks.Say(keeper, transport.StatePath,
-			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: 0}}), 2*time.Second)
+			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.ShardMapComponent: 0}}), 2*time.Second)
 		var answer transport.StateAnswer
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
 			continue
--- a/test/integration/harness/past.go
+++ b/test/integration/harness/past.go
@@ -29,13 +29,13 @@
 	all     sync.WaitGroup
 	mu      sync.Mutex
 	readers int
-	seen    map[cluster.Task][]leasecheck.Past
+	seen    map[cluster.Resource][]leasecheck.Past
 }
 
 // Watch begins to follow the keepers.
 func (f *Fleet) Watch() *Views {
 	ctx, end := context.WithCancel(context.Background())
-	v := &Views{f: f, end: end, seen: map[cluster.Task][]leasecheck.Past{}}
+	v := &Views{f: f, end: end, seen: map[cluster.Resource][]leasecheck.Past{}}
 	for _, m := range f.Keepers() {
 		v.all.Go(func() { v.follow(ctx, m) })
 	}
@@ -59,7 +59,7 @@
 			clear(saw)
 		}
 		status, raw, err := asks.Say("it", transport.StatePath,
-			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.RangesPart: version}}), v.f.shape.Term)
+			transport.Encode(transport.StateAsk{Versions: map[byte]uint64{cluster.ShardMapComponent: version}}), v.f.shape.Term)
 		got := api.Micros(time.Now().UnixMicro())
 		var answer transport.StateAnswer
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
@@ -78,7 +78,7 @@
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
-				v.seen[cluster.HomeOf(r.ID)] = append(v.seen[cluster.HomeOf(r.ID)], leasecheck.Past{What: leasecheck.Seen,
+				v.seen[cluster.RangeOwnerResource(r.ID)] = append(v.seen[cluster.RangeOwnerResource(r.ID)], leasecheck.Past{What: leasecheck.Seen,
 					Member: string(r.Home), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
@@ -93,10 +93,10 @@
 }
 
 // Past ends following and returns what befell each task, from all logs and all that was seen.
-func (v *Views) Past() map[cluster.Task][]leasecheck.Past {
+func (v *Views) Past() map[cluster.Resource][]leasecheck.Past {
 	v.end()
 	v.all.Wait()
-	all := map[cluster.Task][]leasecheck.Past{}
+	all := map[cluster.Resource][]leasecheck.Past{}
 	for _, m := range v.f.Members {
 		lived(m.Name, m.Log.All(0, ""), all)
 	}
@@ -168,17 +168,17 @@
 
 // lived adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []subprocess.Line, all map[cluster.Task][]leasecheck.Past) {
+func lived(name string, lines []subprocess.Line, all map[cluster.Resource][]leasecheck.Past) {
 	type grant struct {
 		epoch uint64
 		at    api.Micros
 		ended bool
 	}
-	has, over, lives := map[cluster.Task]*grant{}, map[cluster.Task]api.Micros{}, 0
-	add := func(task cluster.Task, what leasecheck.What, epoch uint64, from, until api.Micros) {
+	has, over, lives := map[cluster.Resource]*grant{}, map[cluster.Resource]api.Micros{}, 0
+	add := func(task cluster.Resource, what leasecheck.What, epoch uint64, from, until api.Micros) {
 		all[task] = append(all[task], leasecheck.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
 	}
-	end := func(task cluster.Task, until api.Micros) {
+	end := func(task cluster.Resource, until api.Micros) {
 		if g := has[task]; g != nil && !g.ended {
 			g.ended, over[task] = true, g.at
 			add(task, leasecheck.Ended, g.epoch, g.at, until)
@@ -201,7 +201,7 @@
 		}
 		if may := unsure.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
-			if task := cluster.HomeOf(cluster.RangeID(id)); has[task] != nil {
+			if task := cluster.RangeOwnerResource(cluster.RangeID(id)); has[task] != nil {
 				add(task, leasecheck.Seated, has[task].epoch, has[task].at, api.Never)
 			}
 		}
@@ -216,16 +216,16 @@
 		at := api.Micros(when.UnixMicro())
 		switch said[2] {
 		case "task held":
-			task := cluster.Task(ofTask.FindStringSubmatch(line.Text)[1])
+			task := cluster.Resource(ofTask.FindStringSubmatch(line.Text)[1])
 			epoch, _ := strconv.ParseUint(ofEpoch.FindStringSubmatch(line.Text)[1], 10, 64)
 			end(task, at)
 			has[task] = &grant{epoch: epoch, at: at}
 			add(task, leasecheck.Granted, epoch, over[task], at)
 		case "task over":
-			end(cluster.Task(ofTask.FindStringSubmatch(line.Text)[1]), at)
+			end(cluster.Resource(ofTask.FindStringSubmatch(line.Text)[1]), at)
 		default:
 			id, _ := strconv.ParseUint(ofRange.FindStringSubmatch(line.Text)[1], 10, 32)
-			task := cluster.HomeOf(cluster.RangeID(id))
+			task := cluster.RangeOwnerResource(cluster.RangeID(id))
 			if g := has[task]; g != nil {
 				add(task, leasecheck.Seated, g.epoch, g.at, at)
 			}
