--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -68,7 +68,7 @@
 	for i := range members {
 		task := cluster.RangeOwnerResource(cluster.RangeID(i))
 		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
-		s.Follow(cluster.LeaseComponent, func(uint64, []byte) {})
+		s.Watch(cluster.LeaseComponent, func(uint64, []byte) {})
 		all = append(all, s)
 	}
 	for i, s := range all {
--- a/cluster/rebalance/world_test.go
+++ b/cluster/rebalance/world_test.go
@@ -47,12 +47,12 @@
 	w := &world{t: t, p: &Progress{}, held: map[cluster.Resource]held{}, gone: map[cluster.MemberID]bool{},
 		first: map[cluster.KeyHash]bool{}}
 	w.m = shardmap.New(w)
-	even, err := shardmap.Even(len(homes), []shardmap.Weight{{Member: "x", Weight: 1}})
+	even, err := shardmap.EvenRanges(len(homes), []shardmap.MemberWeight{{Member: "x", Weight: 1}})
 	require.NoError(t, err)
 	for i := range even {
 		r := &even[i]
 		w.first[r.From] = true
-		r.Home, r.Epoch, r.Standing = homes[i], 1, shardmap.Seated
+		r.Owner, r.Epoch, r.Status = homes[i], 1, shardmap.OwnerServing
 		w.held[cluster.RangeOwnerResource(r.ID)] = held{homes[i], 1}
 	}
 	w.m.Ranges, w.m.NextID, w.m.Version = even, cluster.RangeID(len(homes)+1), 1
@@ -92,23 +92,23 @@
 }
 
 func (w *world) adopt(text string) error {
-	f, err := Read([]byte(text), "f.hcl")
+	f, err := ParseFile([]byte(text), "f.hcl")
 	if err != nil {
 		return err
 	}
-	p, err := Make(f, w.m, nil)
+	p, err := NewPlan(f, w.m, nil)
 	if err != nil {
 		return err
 	}
-	w.must(Conductor(1).Adopt(w.p.Number, "f.hcl", []byte(text), p))
+	w.must(Coordinator(1).Adopt(w.p.Number, "f.hcl", []byte(text), p))
 	w.file = f
 	return nil
 }
 
-func (w *world) next() Turnout {
-	seen := Seen{Rested: w.file.Bounds.Pause, Value: w.value,
-		Gone: func(m cluster.MemberID) bool { return w.gone[m] }}
-	return w.p.Next(w.file, w.m, seen)
+func (w *world) next() Decisions {
+	seen := Observations{SinceLastMove: w.file.Limits.Cooldown, RangeValue: w.value,
+		IsGone: func(m cluster.MemberID) bool { return w.gone[m] }}
+	return w.p.Schedule(w.file, w.m, seen)
 }
 
 // act does all that is asked, and tells how much there was.
@@ -116,23 +116,23 @@
 	w.t.Helper()
 	out := w.next()
 	for _, a := range out.Actions {
-		switch a.Do {
-		case Start:
+		switch a.Kind {
+		case ActionStart:
 			var id shardmap.MoveID
-			require.NoError(w.t, cbor.Unmarshal(w.must(shardmap.Conductor(1).Plan(a.Range, a.From, a.To)), &id))
+			require.NoError(w.t, cbor.Unmarshal(w.must(shardmap.Coordinator(1).PlanMove(a.Range, a.From, a.To)), &id))
 			w.began = append(w.began, a.Step)
-		case GoBack:
-			w.must(shardmap.Conductor(1).Back(a.Move))
-		case TakeOn:
-			w.must(Conductor(1).Note(w.p.Number, a.Step, a.Stand, a.Move))
-		case GiveUp:
-			w.must(Conductor(1).Stop(w.p.Number, a.Why))
-		case SplitOff:
-			w.must(shardmap.Conductor(1).Split(a.Range, a.At))
+		case ActionRollBack:
+			w.must(shardmap.Coordinator(1).RevertMove(a.Move))
+		case ActionRecordState:
+			w.must(Coordinator(1).RecordState(w.p.Number, a.Step, a.State, a.Move))
+		case ActionStop:
+			w.must(Coordinator(1).Stop(w.p.Number, a.Reason))
+		case ActionSplit:
+			w.must(shardmap.Coordinator(1).Split(a.Range, a.SplitKey))
 			w.seat()
-		case MergeIn:
-			w.must(shardmap.Conductor(1).Merge(a.Range, a.Other))
-		case Replan:
+		case ActionMerge:
+			w.must(shardmap.Coordinator(1).Merge(a.Range, a.OtherRange))
+		case ActionReplan:
 			require.NoError(w.t, w.adopt(string(w.p.Text)))
 		}
 	}
@@ -142,9 +142,9 @@
 // seat has the homes of what was split off take it, and let go of what was merged.
 func (w *world) seat() {
 	for _, r := range w.m.Ranges {
-		if task := cluster.RangeOwnerResource(r.ID); r.Standing == shardmap.Named {
-			w.held[task] = held{r.Home, 1}
-			w.must(shardmap.Home(r.ID, r.Home, 1, w.m.Version))
+		if task := cluster.RangeOwnerResource(r.ID); r.Status == shardmap.OwnerAssigned {
+			w.held[task] = held{r.Owner, 1}
+			w.must(shardmap.ConfirmOwner(r.ID, r.Owner, 1, w.m.Version))
 		}
 	}
 }
@@ -152,7 +152,7 @@
 // open is the moves that are open.
 func (w *world) open() (all []shardmap.Range) {
 	for _, r := range w.m.Ranges {
-		if r.Move.Open() {
+		if r.Move.IsOpen() {
 			all = append(all, r)
 		}
 	}
@@ -164,15 +164,15 @@
 	w.t.Helper()
 	v, task := r.Move, cluster.RangeOwnerResource(r.ID)
 	switch {
-	case v.Step < shardmap.Passing:
-		w.must(shardmap.Conductor(1).Step(v.ID, v.Step+1))
-	case v.Step == shardmap.Passing:
+	case v.Step < shardmap.StepHandoff:
+		w.must(shardmap.Coordinator(1).AdvanceMove(v.ID, v.Step+1))
+	case v.Step == shardmap.StepHandoff:
 		w.held[task] = held{v.To, w.held[task].epoch + 1}
-		w.must(shardmap.Switch(v.ID, r.ID, v.To, w.held[task].epoch))
-	case !v.ToClear:
-		w.must(shardmap.Clear(v.ID, v.To))
+		w.must(shardmap.SwitchOwner(v.ID, r.ID, v.To, w.held[task].epoch))
+	case !v.TargetCleared:
+		w.must(shardmap.ClearMove(v.ID, v.To))
 	default:
-		w.must(shardmap.Clear(v.ID, v.From))
+		w.must(shardmap.ClearMove(v.ID, v.From))
 	}
 }
 
@@ -180,16 +180,16 @@
 func (w *world) inBounds() {
 	w.t.Helper()
 	has, moves, zones, value := map[cluster.MemberID]int{}, map[cluster.MemberID]int{}, map[string]int{}, 0.0
-	b := w.file.Bounds
+	b := w.file.Limits
 	for _, r := range w.m.Ranges {
 		counts := 0
 		if w.first[r.From] { // pieces split off take no room
 			counts = 1
 		}
-		has[r.Home] += counts
-		if v := r.Move; v.Open() {
+		has[r.Owner] += counts
+		if v := r.Move; v.IsOpen() {
 			other := v.To
-			if r.Home == v.To {
+			if r.Owner == v.To {
 				other = v.From
 			}
 			has[other] += counts
@@ -204,21 +204,21 @@
 			}
 		}
 	}
-	require.LessOrEqual(w.t, len(w.open()), b.MovesAtOnce, "moves_at_once")
+	require.LessOrEqual(w.t, len(w.open()), b.ConcurrentMoves, "moves_at_once")
 	for _, m := range w.file.Members {
-		require.True(w.t, b.PerMember == 0 || moves[m.ID] <= b.PerMember, "per_member of %s", m.ID)
-		require.True(w.t, b.PerZone == 0 || zones[m.Zone] <= b.PerZone, "per_zone of %s", m.Zone)
-		if moves[m.ID] > 0 && m.Room > 0 {
+		require.True(w.t, b.MovesPerMember == 0 || moves[m.ID] <= b.MovesPerMember, "per_member of %s", m.ID)
+		require.True(w.t, b.MovesPerZone == 0 || zones[m.Zone] <= b.MovesPerZone, "per_zone of %s", m.Zone)
+		if moves[m.ID] > 0 && m.Capacity > 0 {
 			out := 0 // a member over its room from the start may let ranges go
 			for _, r := range w.open() {
 				if r.Move.To == m.ID && w.first[r.From] {
 					out++
 				}
 			}
-			require.True(w.t, out == 0 || has[m.ID] <= m.Room, "room of %s: %d of %d", m.ID, has[m.ID], m.Room)
+			require.True(w.t, out == 0 || has[m.ID] <= m.Capacity, "room of %s: %d of %d", m.ID, has[m.ID], m.Capacity)
 		}
 	}
-	require.True(w.t, b.Value == 0 || value <= b.Value, "value_under_way")
+	require.True(w.t, b.ValueInFlight == 0 || value <= b.ValueInFlight, "value_under_way")
 }
 
 // settle goes on until nothing is left to do, the moves in an order by chance.
@@ -237,6 +237,6 @@
 	require.Fail(w.t, "it doesn't end")
 }
 
-func (w *world) home(i int) cluster.MemberID { return w.m.Ranges[i].Home }
+func (w *world) home(i int) cluster.MemberID { return w.m.Ranges[i].Owner }
 
 var _ tester = (*testing.T)(nil)
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -30,7 +30,7 @@
 
 type holder struct{}
 
-func (holder) Want(cluster.Resource)                        {}
+func (holder) Acquire(cluster.Resource)                     {}
 func (holder) Release(cluster.Resource)                     {}
 func (holder) Holds(cluster.Resource) (cluster.Epoch, bool) { return 1, true }
 
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -26,7 +26,7 @@
 
 // Session is what a member holds.
 type Session interface {
-	Want(cluster.Resource)
+	Acquire(cluster.Resource)
 	Release(cluster.Resource)
 	Holds(cluster.Resource) (cluster.Epoch, bool)
 }
