--- a/cluster/lease/terms.go
+++ b/cluster/lease/terms.go
@@ -19,7 +19,7 @@
 	term  api.Micros
 	reign LeaderEpoch
 	runs  map[cluster.SessionID]run
-	order timerqueue.Times[cluster.SessionID] // each session once, at or before the time that counts
+	order timerqueue.Queue[cluster.SessionID] // each session once, at or before the time that counts
 }
 
 type run struct {
@@ -43,7 +43,7 @@
 func (t *ExpiryTracker) IsLeading() bool { return t.runs != nil }
 
 // StopLeading forgets all: a keeper that leads no more renews nothing and ends nothing.
-func (t *ExpiryTracker) StopLeading() { t.runs, t.order = nil, timerqueue.Times[cluster.SessionID]{} }
+func (t *ExpiryTracker) StopLeading() { t.runs, t.order = nil, timerqueue.Queue[cluster.SessionID]{} }
 
 func (t *ExpiryTracker) begin(s cluster.SessionID, now api.Micros) {
 	t.runs[s] = run{until: now + t.term}
@@ -75,7 +75,7 @@
 // One is named again a quarter of a term later, should its end not have been applied.
 func (t *ExpiryTracker) TakeExpired(now api.Micros) (over []ExpiredSession) {
 	for {
-		s, ok := t.order.Take(int64(now))
+		s, ok := t.order.PopDue(int64(now))
 		if !ok {
 			return over
 		}
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -31,17 +31,17 @@
 	syncDelay = 5 * time.Second
 )
 
-// memberMesh is the part of member.Mesh that the agent uses.
+// memberMesh is the part of member.Service that the agent uses.
 type memberMesh interface {
 	Self() state.Member
 	// Members returns the live members, this one included.
 	Members() []state.Member
 	DownMembers() []state.Member
-	Proxies() subscription.Proxies
-	Claims() []singleton.Claim
+	CountProxies() subscription.Proxies
+	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
-	SetFront(string)
-	Subscribe(table gossip.Table, take func(gossip.Entry))
+	SetClientAddress(string)
+	Subscribe(table gossip.TableID, take func(gossip.Entry))
 	Leave(context.Context) error
 }
 
@@ -86,7 +86,7 @@
 		case <-stopping:
 			stopping = nil
 			ticker.Reset(shutdownTickInterval)
-			event.ProgramEnding.Log(a.log).Send()
+			event.ProgramStopping.Log(a.log).Send()
 			a.stateOwner.Tell(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
 		case <-ticker.C:
 		}
@@ -98,7 +98,7 @@
 
 // tick applies what depends on time and reports whether the agent may stop.
 func (a *agent) tick() (stopped bool) {
-	proxies, synced := a.mesh.Proxies(), a.isSynced()
+	proxies, synced := a.mesh.CountProxies(), a.isSynced()
 	stopped, _ = actor.Ask(a.stateOwner, func(s *agentState) bool {
 		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
@@ -120,13 +120,13 @@
 	if !ok || current == a.announced {
 		return
 	}
-	event.ProxyState.Log(a.log).
+	event.ProxyStateChanged.Log(a.log).
 		Uint8("from", uint8(a.announced.state)).
 		Uint8("to", uint8(current.state)).
 		Str("front", current.front).
 		Send()
 	if current.front != a.announced.front {
-		a.mesh.SetFront(current.front)
+		a.mesh.SetClientAddress(current.front)
 	}
 	if current.state != a.announced.state {
 		a.mesh.SetState(current.state)
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := a.mesh.Leave(ctx); err != nil {
-		event.LeaveUnheard.Log(a.log).Err(err).Send()
+		event.LeaveUnacknowledged.Log(a.log).Err(err).Send()
 	}
 }
 
--- a/serving/agent/confirmation.go
+++ b/serving/agent/confirmation.go
@@ -20,7 +20,7 @@
 func (a *agent) confirmRecord(ctx context.Context, query register.Asker) {
 	ctx, cancel := context.WithDeadline(ctx, a.started.Add(confirmationTimeout))
 	defer cancel()
-	for ; ctx.Err() == nil; ctxsleep.For(ctx, confirmationRetryInterval) {
+	for ; ctx.Err() == nil; ctxsleep.Sleep(ctx, confirmationRetryInterval) {
 		voters, ok := a.voters()
 		if !ok || len(voters.Replicas) == 0 {
 			continue
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -28,7 +28,7 @@
 const seedIP = "127.0.0.2"
 
 // startSeed starts a member of the mesh as the agent's seed.
-func startSeed(t *testing.T, agentSettings *settings.Process) *member.Mesh {
+func startSeed(t *testing.T, agentSettings *settings.Process) *member.Service {
 	t.Helper()
 	process := *agentSettings
 	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
@@ -51,7 +51,7 @@
 }
 
 // publish has the seed gossip a value.
-func publish(t *testing.T, seed *member.Mesh, table gossip.Table, key string, version uint64, value any) {
+func publish(t *testing.T, seed *member.Service, table gossip.TableID, key string, version uint64, value any) {
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	seed.Put(gossip.Entry{Table: table, Key: key, Version: gossip.NewVersion(version, 0), Value: encoded})
