--- a/serving/agent/frontselection.go
+++ b/serving/agent/frontselection.go
@@ -43,12 +43,12 @@
 		if !isReadyProxy(member) {
 			continue
 		}
-		anywhere = append(anywhere, member.Front)
+		anywhere = append(anywhere, member.ProxyAddress)
 		if client.Region != "" && member.Region == client.Region {
-			inRegion = append(inRegion, member.Front)
+			inRegion = append(inRegion, member.ProxyAddress)
 		}
 		if client.Zone != "" && member.Zone == client.Zone {
-			inZone = append(inZone, member.Front)
+			inZone = append(inZone, member.ProxyAddress)
 		}
 	}
 	chosen := anywhere
@@ -64,5 +64,5 @@
 
 // isReadyProxy reports whether the member is an agent whose proxy takes requests at a known address.
 func isReadyProxy(member state.Member) bool {
-	return member.Role == state.RoleAgent && member.State == state.MemberReady && member.Front != ""
+	return member.Role == state.RoleAgent && member.State == state.MemberReady && member.ProxyAddress != ""
 }
--- a/serving/agent/frontselection_test.go
+++ b/serving/agent/frontselection_test.go
@@ -17,7 +17,7 @@
 
 func newProxyMember(zone string, number int, memberState state.MemberState) state.Member {
 	return state.Member{Name: fmt.Sprintf("%s-%d", zone, number), Role: state.RoleAgent, Zone: zone,
-		Region: testRegions[zone], Front: fmt.Sprintf("%s-%d:80", zone, number), State: memberState}
+		Region: testRegions[zone], ProxyAddress: fmt.Sprintf("%s-%d:80", zone, number), State: memberState}
 }
 
 func sortedFronts(live []state.Member, zone, region string) []string {
@@ -55,7 +55,7 @@
 	core := newProxyMember("n1", 5, state.MemberReady)
 	core.Role = state.RoleCore
 	unknownFront := newProxyMember("n1", 6, state.MemberReady)
-	unknownFront.Front = ""
+	unknownFront.ProxyAddress = ""
 	live := []state.Member{newProxyMember("n1", 1, state.MemberStarting), newProxyMember("n1", 2, state.MemberLeaving),
 		newProxyMember("n1", 3, state.MemberLeft), newProxyMember("n1", 4, state.MemberReady), core, unknownFront}
 	assert.Equal(t, []string{"n1-4:80"}, sortedFronts(live, "n1", "north"))
@@ -73,7 +73,7 @@
 			member := newProxyMember(rapid.SampledFrom(zones).Draw(t, "zone"), number, memberState)
 			live = append(live, member)
 			if memberState == state.MemberReady {
-				ready[member.Front] = member
+				ready[member.ProxyAddress] = member
 			}
 		}
 		zone := rapid.SampledFrom(zones).Draw(t, "client")
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	a := newAgent(options.Settings, options.Log, mesh, newEndpointTable(options.Settings))
-	go a.confirmRecord(runContext, register.AskOver(client))
+	go a.confirmRecord(runContext, register.QueryOverRPC(client))
 	introspect.Serve(innerMux, a.report)
 
 	forwarder := a.newObservationForwarder(client)
--- a/serving/placement/endpoint.go
+++ b/serving/placement/endpoint.go
@@ -159,7 +159,7 @@
 
 // isSuspect tells whether the endpoint alone, or with few others, is said to be silent or to fail its calls.
 func (e *endpoint) isSuspect() bool {
-	return (e.info.Silent || e.info.Failing) && !e.service.majoritySuspect
+	return (e.info.Unresponsive || e.info.Failing) && !e.service.majoritySuspect
 }
 
 // expectedQueueDelay is how much longer than computed a first byte is expected to take. Of an endpoint that was hardly used of late
--- a/serving/register/explore_test.go
+++ b/serving/register/explore_test.go
@@ -53,7 +53,7 @@
 		next.wiped, next.saved = true, true
 		next.replicas[s.wiped] = AcceptorState{}
 		if rules.wipedKeepsID {
-			next.replicas[s.wiped] = AcceptorState{ReplicaID: s.wiped, Proposal: Proposal{Record: state.Record{Replicas: exploredGenesis()}}}
+			next.replicas[s.wiped] = AcceptorState{ReplicaID: s.wiped, Proposal: Proposal{Record: state.Record{Voters: exploredGenesis()}}}
 		}
 		visit(exploredEvent{round: -1, replica: s.wiped}, next)
 	}
@@ -158,7 +158,7 @@
 // TestExploreFindsMutants: a search that finds nothing shows nothing unless it finds what is wrong.
 func TestExploreFindsMutants(t *testing.T) {
 	forgetful := trueRules
-	forgetful.accept = func(s AcceptorState, request *AcceptRequest) step {
+	forgetful.accept = func(s AcceptorState, request *AcceptRequest) transition {
 		if s.ReplicaID == request.ReplicaID {
 			s.Promised = Ballot{}
 		}
@@ -169,7 +169,7 @@
 	unfenced := evacuating
 	unfenced.unfenced = true
 	newSetAlone := trueRules
-	newSetAlone.agreementOf = func(p *Proposal) electorate { return electorate{p.Record.Replicas} }
+	newSetAlone.agreementOf = func(p *Proposal) jointConfig { return jointConfig{p.Record.Voters} }
 	sameID := trueRules
 	sameID.wipedKeepsID = true
 	for name, mutant := range map[string]struct {
--- a/serving/register/unfinished_test.go
+++ b/serving/register/uncommitted_test.go
@@ -17,7 +17,7 @@
 		if process == nil {
 			continue
 		}
-		if _, unfinished := process.node.Unfinished(); unfinished {
+		if _, unfinished := process.node.UncommittedRevision(); unfinished {
 			reads++
 			_, _ = s.read(m, number)
 		}
@@ -43,7 +43,7 @@
 			finished += s.finishAll()
 			s.shareRecords()
 			for _, m := range s.machines[1:] {
-				_, unfinished := m.running().node.Unfinished()
+				_, unfinished := m.running().node.UncommittedRevision()
 				assert.False(t, unfinished, "point %d", point)
 			}
 			if err == nil {
@@ -70,7 +70,7 @@
 	for point := range 60 {
 		inSimulation(t, 4, func(t *testing.T, s *simulation) {
 			former, _ := s.machines[0].running().node.acceptor.State()
-			successor, _ := s.machines[3].running().node.learner()
+			successor, _ := s.machines[3].running().node.caughtUpLearner()
 			node := s.machines[1].running().node
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(point)*time.Millisecond)
 			defer cancel()
@@ -79,7 +79,7 @@
 			if s.newestIsPending(t, node) {
 				unsettled++
 				latest, _ := node.Latest()
-				assert.True(t, latest.Replicas.Contains(former.ReplicaID), "a change that isn't settled isn't told")
+				assert.True(t, latest.Voters.Contains(former.ReplicaID), "a change that isn't settled isn't told")
 			}
 			time.Sleep(400 * time.Millisecond)
 			s.shareRecords()
@@ -95,5 +95,5 @@
 func (s *simulation) newestIsPending(t *testing.T, asking *Node) bool {
 	votes, err := asking.proposer.query(t.Context(), time.Second)
 	require.NoError(t, err)
-	return votes.highest.Proposal.setPending()
+	return votes.highestAccepted.Proposal.isJoint()
 }
