--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -25,12 +25,12 @@
 
 // isSiteOwner is whether it is home of where a site's subscribers stand.
 func (m *Member) isSiteOwner(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Action == shardmap.Serve
+	return m.ownership.VerdictForKey(cluster.SiteKeyHash(s)).Action == shardmap.Serve
 }
 
 // isSiteIsolated is whether nobody may be home there, as no keeper is reached.
 func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Action == shardmap.ServeIsolated
+	return m.ownership.VerdictForKey(cluster.SiteKeyHash(s)).Action == shardmap.ServeIsolated
 }
 
 // defaultDiskMB is what the dispatcher's own journal has where nothing is told.
--- a/cluster/member/tasks.go
+++ b/cluster/member/tasks.go
@@ -17,14 +17,14 @@
 		next, idle := s.nextProposal()
 		var err error
 		switch {
-		case next.Let != "":
+		case next.Release != "":
 			err = s.proposeRelease(next)
-		case next.Any() && s.takeFreed():
-			if !s.sleep(timing.Spread(s.LeaseTTL, s.Leader.drawRandom())) {
+		case next.HasWork() && s.takeFreed():
+			if !s.sleep(timing.AcquireJitter(s.LeaseTTL, s.Leader.drawRandom())) {
 				return
 			}
 			continue
-		case next.Any():
+		case next.HasWork():
 			err = s.proposeGrant(next)
 		default:
 			if !s.waitForWork(idle) {
@@ -36,7 +36,7 @@
 		if failures++; err == nil {
 			failures = 0
 		} else {
-			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
+			wait = timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())
 		}
 		if !s.sleep(wait) {
 			return
@@ -49,13 +49,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, idle := s.Clock(), s.LeaseTTL
-	if at, some := s.wishes.AgainAt(); some {
+	if at, some := s.wishes.NextRetryAt(); some {
 		idle = min(idle, max(at-now, 0)+1)
 	}
-	if !s.tenure.Holds(now) {
+	if !s.tenure.IsValid(now) {
 		idle = s.LeaseTTL // it is told when a session stands again
 	}
-	return s.wishes.Next(now), idle
+	return s.wishes.NextProposal(now), idle
 }
 
 // waitForWork waits until there may be something to ask for, or tells that all is over.
@@ -72,10 +72,10 @@
 }
 
 func (s *Session) proposeRelease(p lease.Proposal) error {
-	_, _, err := s.Leader.Propose(p.Command(), duration(timing.Opening(s.LeaseTTL)))
+	_, _, err := s.Leader.Propose(p.Command(), duration(timing.LoggedRequestTimeout(s.LeaseTTL)))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Released(p, err) {
+	if s.wishes.HandleReleaseResult(p, err) {
 		return nil
 	}
 	return err
@@ -84,20 +84,20 @@
 // proposeGrant asks for tasks. What another holds is asked for again once a keeper tells that it is free, or after a
 // while.
 func (s *Session) proposeGrant(p lease.Proposal) error {
-	raw, _, err := s.Leader.Propose(p.Command(), duration(timing.Opening(s.LeaseTTL)))
-	if errors.Is(err, cluster.ErrUnknown) {
+	raw, _, err := s.Leader.Propose(p.Command(), duration(timing.LoggedRequestTimeout(s.LeaseTTL)))
+	if errors.Is(err, cluster.ErrNotFound) {
 		s.dropSession(p.Session)
 	}
 	if err != nil {
 		return err
 	}
-	answer, err := lease.ReadAnswer(raw)
+	answer, err := lease.DecodeResult(raw)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Granted(p.Session, answer.Granted, s.Clock()) {
+	if s.wishes.HandleResult(p.Session, answer.Grants, s.Clock()) {
 		wake(s.pollWake)
 	}
 	s.notifyChanges()
@@ -105,10 +105,10 @@
 }
 
 // markFreed is a keeper's word that tasks are free.
-func (s *Session) markFreed(tasks []cluster.Task) {
+func (s *Session) markFreed(tasks []cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Free(tasks) {
+	if s.wishes.HandleFreed(tasks) {
 		s.hasFreed = true
 		wake(s.acquireWake)
 	}
@@ -130,13 +130,13 @@
 		s.mu.Unlock()
 		return
 	}
-	session := s.tenure.End()
+	session := s.tenure.EndSession()
 	s.active.Store(0) // it is no loss
 	s.notifyChanges()
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
-		s.Leader.Propose(lease.End(session), duration(timing.Answer(s.LeaseTTL)))
+		s.Leader.Propose(lease.EndSession(session), duration(timing.RequestTimeout(s.LeaseTTL)))
 	}
 	s.done.Wait()
 	s.deliverMu.Lock()
--- a/cluster/raftnode/keeper_test.go
+++ b/cluster/raftnode/keeper_test.go
@@ -35,7 +35,7 @@
 func alone(t *testing.T, folder string) (Config, net.Listener) {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	book := lease.NewBook()
+	book := lease.NewTable()
 	return Config{ClusterName: "f", Self: "m1", StateDir: folder, SessionTTL: term, Client: transportpkg.NewClient("m1", nil), Clock: clock,
 		Addresses: map[cluster.MemberID]string{"m1": on.Addr().String()}, Leases: book, StateMachine: fsm.New(book, nil)}, on
 }
@@ -57,19 +57,19 @@
 func TestAnEndOfAnEarlierReignChangesNothing(t *testing.T) {
 	k := starts(t, t.TempDir())
 	defer k.Close()
-	opened, err := lease.ReadAnswer(k.does(t, newLogEntry(lease.Open("a", 7))).response)
+	opened, err := lease.DecodeResult(k.does(t, newLogEntry(lease.OpenSession("a", 7))).response)
 	require.NoError(t, err)
-	began, err := lease.ReadAnswer(k.does(t, newLogEntry(lease.Began())).response) // another's, as far as it knows
+	began, err := lease.DecodeResult(k.does(t, newLogEntry(lease.BeginLeaderEpoch())).response) // another's, as far as it knows
 	require.NoError(t, err)
-	over := lease.Over{Session: opened.Session, Reign: began.Reign - 1}
-	require.ErrorIs(t, k.does(t, newLogEntry(lease.Expire(over))).err, cluster.ErrStale)
+	over := lease.ExpiredSession{Session: opened.Session, LeaderEpoch: began.LeaderEpoch - 1}
+	require.ErrorIs(t, k.does(t, newLogEntry(lease.ExpireSession(over))).err, cluster.ErrStale)
 	require.Eventually(t, func() bool { return k.SessionsEnded.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
 func TestSessionsThatAreNotRenewedEnd(t *testing.T) {
 	k := starts(t, t.TempDir())
 	defer k.Close()
-	k.does(t, newLogEntry(lease.Open("a", 7)))
+	k.does(t, newLogEntry(lease.OpenSession("a", 7)))
 	require.Eventually(t, func() bool { return k.SessionsEnded.Load() == 1 }, 20*time.Second, time.Millisecond)
 }
 
@@ -77,11 +77,11 @@
 func TestAnEntryOfANewerProgramHaltsTheKeeper(t *testing.T) {
 	folder := t.TempDir()
 	k := starts(t, folder)
-	k.does(t, newLogEntry(lease.Open("a", 7)))
-	newer := newLogEntry(lease.Open("b", 8))
+	k.does(t, newLogEntry(lease.OpenSession("a", 7)))
+	newer := newLogEntry(lease.OpenSession("b", 8))
 	newer.Extensions = transportpkg.Encode(entryHeader{Format: entryFormat + 1})
 	require.ErrorIs(t, k.does(t, newer).err, errNewerFormat)
-	require.ErrorIs(t, k.does(t, newLogEntry(lease.Open("c", 9))).err, errNewerFormat)
+	require.ErrorIs(t, k.does(t, newLogEntry(lease.OpenSession("c", 9))).err, errNewerFormat)
 	require.Error(t, k.raft.Snapshot().Error())
 	require.NoError(t, k.Close())
 	again, err := Open(alone(t, folder))
@@ -108,7 +108,7 @@
 	} {
 		folder := t.TempDir()
 		k := starts(t, folder)
-		k.does(t, newLogEntry(lease.Open("a", 7)))
+		k.does(t, newLogEntry(lease.OpenSession("a", 7)))
 		require.NoError(t, k.Close())
 		harm(filepath.Join(folder, "fleet"))
 		_, err := Open(alone(t, folder))
@@ -121,7 +121,7 @@
 func TestAMajorityIsOneThatFollowedInThisTerm(t *testing.T) {
 	h := newContactTransport(nil, clock)
 	all := []raft.Server{voter("a/1"), voter("b/1"), voter("c/1"), {ID: "d/1", Suffrage: raft.Nonvoter}}
-	covers := func(term uint64, at api.Micros) bool { return h.quorumContact(term, all, "a/1").Covers(at) }
+	covers := func(term uint64, at api.Micros) bool { return h.quorumContact(term, all, "a/1").HasQuorumSince(at) }
 	h.recordContact("d/1", 3, 9)
 	h.recordContact("a/1", 3, 9)
 	require.False(t, covers(3, 5))
--- a/cluster/rebalance/next_test.go
+++ b/cluster/rebalance/next_test.go
@@ -116,7 +116,7 @@
 	w := newWorld(t, "a", "a")
 	require.NoError(t, w.adopt(two+"member \"c\" {}\npin \"p\" {\n "+of(0,
 		2)+"\n to = \"b\"\n}\nleave \"a\" {}\n"))
-	delete(w.held, cluster.HomeOf(1))
+	delete(w.held, cluster.RangeOwnerResource(1))
 	w.must(shardmap.Coordinator(1).FailOver([]shardmap.Takeover{{Range: 1, PreviousOwner: "a", NewOwner: "c"}}))
 	out := w.next()
 	require.Len(t, out.Actions, 1)
@@ -140,7 +140,7 @@
 	}{
 		"a plan beside it":    {Coordinator(1).Adopt(0, "f.hcl", []byte(text), p), cluster.ErrStale},
 		"another plan's step": {Coordinator(1).RecordState(2, 0, Started, 5), cluster.ErrStale},
-		"no such step":        {Coordinator(1).RecordState(1, 1, Started, 5), cluster.ErrUnknown},
+		"no such step":        {Coordinator(1).RecordState(1, 1, Started, 5), cluster.ErrNotFound},
 		"another plan's end":  {Coordinator(1).Stop(2, "x"), cluster.ErrStale},
 		"back to the start":   {Coordinator(1).RecordState(1, 0, Pending, 5), cluster.ErrStale},
 	} {
--- a/cluster/shardmap/places.go
+++ b/cluster/shardmap/places.go
@@ -55,7 +55,7 @@
 	if at, is := m.keys[d]; is {
 		return at
 	}
-	return cluster.Hash(d)
+	return cluster.DestinationKeyHash(d)
 }
 
 // Contains is whether a destination stands in a range of this map.
@@ -68,7 +68,7 @@
 // holds the grant by which it was served is to say first that it goes by this map.
 func (m *Map) applyPlacement(now cluster.Version, groups []PlacementGroup) error {
 	if !groupsAreDisjoint(groups) {
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	}
 	if EqualPlacements(groups, m.Groups) {
 		return cluster.ErrStale
@@ -141,7 +141,7 @@
 
 // IsServedBy is whether it is by a member's own grant that a destination may be served elsewhere.
 func (s MisplacedDestination) IsServedBy(who LocalMember) bool {
-	epoch, held := who.HeldEpoch(cluster.HomeOf(s.Grant.Range))
+	epoch, held := who.HeldEpoch(cluster.RangeOwnerResource(s.Grant.Range))
 	return held && epoch == s.Grant.Epoch
 }
 
@@ -189,5 +189,5 @@
 // ConfirmPlacement says that a home goes by a map as new as this one, and that no call is out of what strayed from it
 // until then.
 func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
-	return command{Op: opConfirmPlacement, Range: id, Epoch: epoch, Seen: seen}.encode(cluster.HomeOf(id), epoch)
+	return command{Op: opConfirmPlacement, Range: id, Epoch: epoch, Seen: seen}.encode(cluster.RangeOwnerResource(id), epoch)
 }
