--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -47,7 +47,7 @@
 		}
 		at = s.Leader.nextNode(at, failures > 0)
 		status, raw, err := s.Leader.client.Call(at, transport.StatePath, transport.Encode(ask),
-			duration(timing.LongPoll(s.LeaseTTL)+timing.Answer(s.LeaseTTL)))
+			duration(timing.LongPollTimeout(s.LeaseTTL)+timing.RequestTimeout(s.LeaseTTL)))
 		var answer transport.StateResponse
 		if err == nil && status == fasthttp.StatusOK {
 			err = transport.Decode(raw, &answer)
@@ -55,7 +55,7 @@
 		if err != nil || status != fasthttp.StatusOK {
 			failures++
 			slog.Debug("state not answered", "keeper", at, "status", status, "why", err)
-			if !s.sleep(timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())) {
+			if !s.sleep(timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())) {
 				return
 			}
 			continue
@@ -70,7 +70,7 @@
 func (s *Session) watchRequest() (ask transport.StateRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ask.Versions, ask.WantedTasks, ask.AcceptDeltas = map[byte]uint64{}, s.wishes.Waits(), true
+	ask.Versions, ask.WantedTasks, ask.AcceptDeltas = map[byte]uint64{}, s.wishes.Blocked(), true
 	for part, f := range s.watchers {
 		ask.Versions[part] = f.version
 	}
--- a/cluster/shardmap/deed.go
+++ b/cluster/shardmap/deed.go
@@ -29,8 +29,8 @@
 // LocalMember is a member as far as its right to call goes.
 type LocalMember struct {
 	Member    cluster.MemberID
-	HeldEpoch func(cluster.Task) (cluster.Epoch, bool) // by which it holds a task now, by its own clock
-	Isolated  bool                                     // see Deserted
+	HeldEpoch func(cluster.Resource) (cluster.Epoch, bool) // by which it holds a task now, by its own clock
+	Isolated  bool                                         // see Deserted
 }
 
 // DecideKey is what a member does with webhooks of a key hash, now. A call needs Serve (or Alone) when it is
@@ -42,7 +42,7 @@
 	v := Decision{Range: r.ID, Epoch: r.Epoch, Version: m.Version, Owner: r.Owner}
 	epoch, held := cluster.Epoch(0), false
 	if ok && r.Owner == who.Member {
-		epoch, held = who.HeldEpoch(cluster.HomeOf(r.ID))
+		epoch, held = who.HeldEpoch(cluster.RangeOwnerResource(r.ID))
 	}
 	switch {
 	case held && r.Status == OwnerServing && epoch == r.Epoch && r.Move.Step != StepHandoff:
