--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -21,7 +21,7 @@
 	ownership       *Ownership
 	health          *Reporter
 	vacancies       *shardmap.FailoverPlanner
-	leases          *lease.Book
+	leases          *lease.Table
 	progress        *rebalance.Progress
 	epoch           cluster.Epoch // since when it conducts
 	openMoves       int           // moves under way when last looked
@@ -49,7 +49,7 @@
 
 // Run does what is due; it tells whether the wish has come into the log.
 func (c *Coordinator) Run(w PlanRequest, members []shardmap.Candidate, parts int, now api.Micros) (adopted bool) {
-	epoch, held := c.ownership.session.Holds(cluster.Conducts)
+	epoch, held := c.ownership.session.Holds(cluster.CoordinatorResource)
 	chart := c.ownership.Map()
 	c.leaderUnreached = false
 	if !held || c.leases == nil {
@@ -93,7 +93,7 @@
 
 // isGrantEnded is whether a stray's grant is held no more.
 func (c *Coordinator) isGrantEnded(s shardmap.MisplacedDestination) bool {
-	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(s.Grant.Range))
+	_, _, epoch, held := c.leases.Holder(cluster.RangeOwnerResource(s.Grant.Range))
 	return !held || epoch != s.Grant.Epoch
 }
 
@@ -221,7 +221,7 @@
 	}
 	if _, err := c.ownership.Propose(command); err != nil {
 		c.leaderUnreached = IsLeaderUnreached(err)
-		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
+		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
 			slog.Warn(what+" not said", "why", err)
 		}
 		return false
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -43,7 +43,7 @@
 	configText []byte
 	file       config.File
 	dispatcher *dispatcher.Dispatcher
-	settings   atomic.Pointer[api.Facts] // by the settings read last
+	settings   atomic.Pointer[api.Settings] // by the settings read last
 	clock      func() api.Micros
 	listener   net.Listener
 	server     *transport.Server
@@ -147,11 +147,11 @@
 	if err != nil {
 		return err
 	}
-	book := lease.NewBook()
+	book := lease.NewTable()
 	m.raft, err = raftnode.Open(raftnode.Config{ClusterName: m.file.Name, Self: m.self, StateDir: m.dispatcher.State,
 		SessionTTL: m.file.Term, Addresses: raftAddresses(m.file), Client: m.client, Clock: m.clock, Leases: book,
-		StateMachine: fsm.New(book, map[byte]cluster.Part{cluster.RangesPart: shardmap.New(book),
-			cluster.PlanPart: &rebalance.Progress{}})}, on)
+		StateMachine: fsm.New(book, map[byte]cluster.Component{cluster.ShardMapComponent: shardmap.New(book),
+			cluster.RebalanceComponent: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
 	}
@@ -171,7 +171,7 @@
 	if all := m.settings.Load().EventTypes; int(t) < len(all) {
 		return all[t]
 	}
-	return api.EventType{Repeat: api.AtMostOnce}
+	return api.EventType{Semantics: api.AtMostOnce}
 }
 
 // openCustody opens the names of webhooks, beside what the journal still owes.
@@ -196,7 +196,7 @@
 	m.session = NewSession(Config{Self: m.self, Incarnation: lease.Incarnation(randomID()),
 		LeaseTTL: m.file.Term, MaxClockDrift: m.file.Apart, Clock: m.clock,
 		Leader:   NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
-		OnChange: func(cluster.Task, cluster.Epoch) { m.wake() }})
+		OnChange: func(cluster.Resource, cluster.Epoch) { m.wake() }})
 	m.ownership.session = m.session
 	if err := m.sites.Serve(m.session); err != nil { // guards against a second effect, as above
 		slog.Error("what goes to relays not read", "why", err)
@@ -204,11 +204,11 @@
 	}
 	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewFailoverPlanner(m.file.Term)}
 	go m.server.Serve(m.listener)
-	m.session.Watch(cluster.RangesPart, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
+	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
 	if m.raft != nil {
-		m.session.Acquire(cluster.Conducts)
-		m.session.Watch(cluster.LeasePart, m.applyLeases)
-		m.session.Watch(cluster.PlanPart, m.applyProgress)
+		m.session.Acquire(cluster.CoordinatorResource)
+		m.session.Watch(cluster.LeaseComponent, m.applyLeases)
+		m.session.Watch(cluster.RebalanceComponent, m.applyProgress)
 	}
 	m.done.Add(2)
 	go m.pollHealth()
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -58,7 +58,7 @@
 func (k *Node) halt(index uint64, format int) {
 	if k.haltErr == nil {
 		k.haltErr, k.leaderTerm = errNewerFormat, 0
-		k.deadlines.Follow()
+		k.deadlines.StopLeading()
 		slog.Error("keeper halts: an entry of the log is of a newer program", "index", index, "format", format,
 			"reads", entryFormat)
 	}
@@ -66,24 +66,24 @@
 
 // orderContext is an order to the book, and how what it is about stood before it.
 type orderContext struct {
-	lease.Order
+	lease.Operation
 	member cluster.MemberID
-	tasks  []cluster.Task
-	epochs map[cluster.Task]cluster.Epoch
+	tasks  []cluster.Resource
+	epochs map[cluster.Resource]cluster.Epoch
 }
 
 func (k *Node) captureOrder(command []byte) (b orderContext) {
 	var c cluster.Command
-	if transportpkg.Decode(command, &c) != nil || c.Part != cluster.LeasePart || transportpkg.Decode(c.Body, &b.Order) != nil {
+	if transportpkg.Decode(command, &c) != nil || c.Component != cluster.LeaseComponent || transportpkg.Decode(c.Body, &b.Operation) != nil {
 		return orderContext{}
 	}
-	b.member, b.epochs = k.leases.MemberOf(b.Session), map[cluster.Task]cluster.Epoch{}
+	b.member, b.epochs = k.leases.MemberOf(b.Session), map[cluster.Resource]cluster.Epoch{}
 	switch b.Kind {
-	case lease.EndKind, lease.ExpireKind:
-		b.tasks = k.leases.TasksOf(b.Session)
-	case lease.GrantKind:
-		for _, t := range b.Tasks {
-			b.epochs[t] = k.leases.Epoch(t)
+	case lease.OpEndSession, lease.OpExpireSession:
+		b.tasks = k.leases.ResourcesOf(b.Session)
+	case lease.OpAcquire:
+		for _, t := range b.Resources {
+			b.epochs[t] = k.leases.LastEpoch(t)
 		}
 	}
 	return b
@@ -91,29 +91,29 @@
 
 // recordOutcome keeps the terms up with what the book did, and says it where this keeper leads.
 func (k *Node) recordOutcome(b orderContext, did *applyResult) {
-	answer, err := lease.ReadAnswer(did.response)
+	answer, err := lease.DecodeResult(did.response)
 	if b.Kind == 0 || err != nil {
 		return
 	}
 	switch b.Kind {
-	case lease.OpenKind:
-		did.sessionLive = k.deadlines.Opened(answer.Session, k.clock())
+	case lease.OpOpenSession:
+		did.sessionLive = k.deadlines.AddOrRenew(answer.Session, k.clock())
 		k.reportEvent(&k.SessionsOpened, "session opened", "member", b.Member, "session", answer.Session)
-	case lease.EndKind, lease.ExpireKind:
-		k.deadlines.Ended(b.Session)
+	case lease.OpEndSession, lease.OpExpireSession:
+		k.deadlines.Remove(b.Session)
 		k.reportEvent(&k.SessionsEnded, "session ended", "member", b.member, "session", b.Session, "tasks", len(b.tasks))
 		for _, t := range b.tasks {
-			k.reportEvent(&k.LeasesReleased, "lease ended", "task", t, "epoch", k.leases.Epoch(t), "member", b.member)
+			k.reportEvent(&k.LeasesReleased, "lease ended", "task", t, "epoch", k.leases.LastEpoch(t), "member", b.member)
 		}
-	case lease.GrantKind:
-		for _, g := range answer.Granted {
-			if g.Epoch > b.epochs[g.Task] {
-				k.reportEvent(&k.LeasesGranted, "lease granted", "task", g.Task, "epoch", g.Epoch, "member", b.member,
+	case lease.OpAcquire:
+		for _, g := range answer.Grants {
+			if g.Epoch > b.epochs[g.Resource] {
+				k.reportEvent(&k.LeasesGranted, "lease granted", "task", g.Resource, "epoch", g.Epoch, "member", b.member,
 					"session", b.Session)
 			}
 		}
-	case lease.ReleaseKind:
-		k.reportEvent(&k.LeasesReleased, "lease released", "task", b.Tasks[0], "epoch", b.Epoch, "member", b.member)
+	case lease.OpRelease:
+		k.reportEvent(&k.LeasesReleased, "lease released", "task", b.Resources[0], "epoch", b.Epoch, "member", b.member)
 	}
 }
 
--- a/cluster/raftnode/reign.go
+++ b/cluster/raftnode/reign.go
@@ -16,7 +16,7 @@
 // renewal is one renewal that waits until a majority is known to have followed at or after it came.
 type renewal struct {
 	session    cluster.SessionID
-	grantTally lease.Tally // of the grants that the member knows of
+	grantTally lease.Digest // of the grants that the member knows of
 	receivedAt api.Micros
 	result     chan<- renewalResult
 }
@@ -24,7 +24,7 @@
 // renewalResult is the answer; holds is all that the session holds, where the member does not know it.
 type renewalResult struct {
 	outcome renewalOutcome
-	grants  []lease.Granted
+	grants  []lease.Grant
 }
 
 // renewalOutcome on an ask.
@@ -72,22 +72,22 @@
 // leadership is a time of leading: its raft term, and its number in the book.
 type leadership struct {
 	term  uint64
-	epoch lease.Reign
+	epoch lease.LeaderEpoch
 }
 
 // beginLeadership puts a reign's beginning in the log: once that is applied, so is all that was committed before.
 func (k *Node) beginLeadership(began chan<- leadership) {
 	term := k.raft.CurrentTerm()
-	f := k.raft.ApplyLog(newLogEntry(lease.Began()), 0)
+	f := k.raft.ApplyLog(newLogEntry(lease.BeginLeaderEpoch()), 0)
 	if f.Error() != nil {
 		return
 	}
-	answer, err := lease.ReadAnswer(f.Response().(applyResult).response)
+	answer, err := lease.DecodeResult(f.Response().(applyResult).response)
 	if err != nil {
 		return
 	}
 	select {
-	case began <- leadership{term, answer.Reign}:
+	case began <- leadership{term, answer.LeaderEpoch}:
 	case <-k.closing:
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	again := k.leaderTerm != 0
 	k.leaderTerm = r.term
-	k.deadlines.Lead(k.clock(), r.epoch, k.leases.Sessions())
+	k.deadlines.StartLeading(k.clock(), r.epoch, k.leases.Sessions())
 	if again {
 		return
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	slog.Info("keeper leads no more", "member", k.self, "term", k.leaderTerm)
-	k.deadlines.Follow()
+	k.deadlines.StopLeading()
 	k.leaderTerm = 0
 	k.LeadershipsLost.Add(1)
 	k.isLeader.Store(0)
@@ -139,13 +139,13 @@
 	left, now := waiting[:0], k.clock()
 	for _, a := range waiting {
 		switch {
-		case !assent.Covers(a.receivedAt):
+		case !assent.HasQuorumSince(a.receivedAt):
 			left = append(left, a)
-		case k.deadlines.Renewed(a.session, now):
+		case k.deadlines.Renew(a.session, now):
 			k.RenewalsAccepted.Add(1)
 			yes := renewalResult{outcome: renewalAccepted}
-			if k.leases.Tally(a.session) != a.grantTally {
-				yes.grants = k.leases.HeldBy(a.session)
+			if k.leases.Digest(a.session) != a.grantTally {
+				yes.grants = k.leases.GrantsOf(a.session)
 			}
 			a.result <- yes
 		default:
@@ -165,9 +165,9 @@
 // expireSessions ends through the log the sessions whose term is over.
 func (k *Node) expireSessions() {
 	k.mu.Lock()
-	var over []lease.Over
+	var over []lease.ExpiredSession
 	if k.leaderTerm != 0 {
-		over = k.deadlines.Due(k.clock())
+		over = k.deadlines.TakeExpired(k.clock())
 	}
 	k.mu.Unlock()
 	if len(over) > 0 {
@@ -175,10 +175,10 @@
 	}
 }
 
-func (k *Node) proposeExpiries(over []lease.Over) {
+func (k *Node) proposeExpiries(over []lease.ExpiredSession) {
 	var all []raft.ApplyFuture
 	for _, o := range over {
-		all = append(all, k.raft.ApplyLog(newLogEntry(lease.Expire(o)), toDuration(timing.Answer(k.sessionTTL))))
+		all = append(all, k.raft.ApplyLog(newLogEntry(lease.ExpireSession(o)), toDuration(timing.RequestTimeout(k.sessionTTL))))
 	}
 	for _, f := range all {
 		if f.Error() == nil && errors.Is(f.Response().(applyResult).err, cluster.ErrStale) {
@@ -200,7 +200,7 @@
 		}
 		return now
 	}
-	if now-since > timing.Missing(k.sessionTTL) && k.quorumLost.Swap(1) == 0 {
+	if now-since > timing.QuorumLossTimeout(k.sessionTTL) && k.quorumLost.Swap(1) == 0 {
 		k.Metrics.QuorumLosses.Add(1)
 		slog.Warn("no majority: nothing is granted until a majority of the keepers hear each other",
 			"member", k.self)
@@ -212,8 +212,8 @@
 func (k *Node) untilNextDeadline() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait := timing.Tending(k.sessionTTL)
-	if at, any := k.deadlines.Next(); any && k.leaderTerm != 0 {
+	wait := timing.ReconfigureInterval(k.sessionTTL)
+	if at, any := k.deadlines.NextCheckAt(); any && k.leaderTerm != 0 {
 		wait = min(wait, max(at-k.clock(), 0))
 	}
 	return toDuration(wait) + time.Millisecond/2
--- a/cluster/shardmap/carried.go
+++ b/cluster/shardmap/carried.go
@@ -22,7 +22,7 @@
 	Handoff      HandoffNumber     `cbor:"2,keyasint"` // see Known
 	EventType    api.EventTypeID   `cbor:"3,keyasint"`
 	Tenant       api.TenantID      `cbor:"4,keyasint"`
-	Key          api.Key           `cbor:"5,keyasint"`
+	Key          api.OrderingKey   `cbor:"5,keyasint"`
 	Destination  api.DestinationID `cbor:"6,keyasint"`
 	TTL          api.Micros        `cbor:"7,keyasint"`
 	Attempts     int               `cbor:"8,keyasint"`
@@ -73,11 +73,11 @@
 func (c TransferredWebhook) DecideTransfer(t api.EventType, spare api.Micros, most int, now api.Micros) TransferDecision {
 	ran := c.FirstRunAt != api.Never
 	late := now+spare >= c.TTL || c.Attempts >= most
-	if ran && t.Repeat == api.Tokened {
-		late = late || now+spare >= c.FirstRunAt+t.TokenWindow
+	if ran && t.Semantics == api.Deduplicated {
+		late = late || now+spare >= c.FirstRunAt+t.DedupWindow
 	}
 	switch {
-	case ran && (late || t.Repeat == api.AtMostOnce):
+	case ran && (late || t.Semantics == api.AtMostOnce):
 		return DeadLetterWebhook
 	case late:
 		return RejectWebhook
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -37,7 +37,7 @@
 	// Members returns the live members, this one included.
 	Members() []state.Member
 	DownMembers() []state.Member
-	CountProxies() subscription.Proxies
+	CountProxies() subscription.ProxyCounts
 	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
 	SetClientAddress(string)
@@ -50,7 +50,7 @@
 	settings   *settings.Process
 	log        *zerolog.Logger
 	mesh       memberMesh
-	stateOwner *actor.Owner[agentState]
+	stateOwner *actor.Actor[agentState]
 	started    time.Time
 
 	announceMutex sync.Mutex
@@ -87,7 +87,7 @@
 			stopping = nil
 			ticker.Reset(shutdownTickInterval)
 			event.ProgramStopping.Log(a.log).Send()
-			a.stateOwner.Tell(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
+			a.stateOwner.Send(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
 		case <-ticker.C:
 		}
 		if a.tick() {
@@ -99,7 +99,7 @@
 // tick applies what depends on time and reports whether the agent may stop.
 func (a *agent) tick() (stopped bool) {
 	proxies, synced := a.mesh.CountProxies(), a.isSynced()
-	stopped, _ = actor.Ask(a.stateOwner, func(s *agentState) bool {
+	stopped, _ = actor.Call(a.stateOwner, func(s *agentState) bool {
 		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
@@ -114,7 +114,7 @@
 func (a *agent) announceProxy() {
 	a.announceMutex.Lock()
 	defer a.announceMutex.Unlock()
-	current, ok := actor.Ask(a.stateOwner, func(s *agentState) announcement {
+	current, ok := actor.Call(a.stateOwner, func(s *agentState) announcement {
 		return announcement{state: s.proxyState(time.Now()), front: s.proxy.front}
 	})
 	if !ok || current == a.announced {
--- a/serving/agent/confirmation.go
+++ b/serving/agent/confirmation.go
@@ -17,7 +17,7 @@
 // confirmRecord queries the voters, once after the start, for the newest revision, so that the proxy isn't given an
 // older record from a member that is partitioned from them. It returns when a majority has answered or updates aren't
 // withheld any more.
-func (a *agent) confirmRecord(ctx context.Context, query register.Asker) {
+func (a *agent) confirmRecord(ctx context.Context, query register.QueryFunc) {
 	ctx, cancel := context.WithDeadline(ctx, a.started.Add(confirmationTimeout))
 	defer cancel()
 	for ; ctx.Err() == nil; ctxsleep.Sleep(ctx, confirmationRetryInterval) {
@@ -27,7 +27,7 @@
 		}
 		revision, confirmed := register.MajorityRevision(ctx, query, voters)
 		if confirmed {
-			a.stateOwner.Tell(func(s *agentState) { s.confirmRevision(revision) })
+			a.stateOwner.Send(func(s *agentState) { s.confirmRevision(revision) })
 			return
 		}
 	}
@@ -36,10 +36,10 @@
 
 // voters returns the replicas of the register that the current record names; false once the agent has stopped.
 func (a *agent) voters() (state.ReplicaSet, bool) {
-	return actor.Ask(a.stateOwner, func(s *agentState) state.ReplicaSet {
+	return actor.Call(a.stateOwner, func(s *agentState) state.ReplicaSet {
 		if s.updates.record == nil {
 			return state.ReplicaSet{}
 		}
-		return s.updates.record.Replicas
+		return s.updates.record.Voters
 	})
 }
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -13,12 +13,12 @@
 
 // knownEndpoints returns all endpoints in the agent's table.
 func (a *agent) knownEndpoints() []state.Endpoint {
-	endpoints, _ := actor.Ask(a.stateOwner, listEndpoints)
+	endpoints, _ := actor.Call(a.stateOwner, listEndpoints)
 	return endpoints
 }
 
 func listEndpoints(s *agentState) []state.Endpoint {
-	endpoints, _, _, _ := s.updates.endpoints.Changes(time.Now(), 0)
+	endpoints, _, _, _ := s.updates.endpoints.ChangesSince(time.Now(), 0)
 	return endpoints
 }
 
@@ -31,19 +31,19 @@
 // report returns the agent's report for operators.
 func (a *agent) report(request introspect.Request) introspect.Report {
 	report := introspect.Report{Self: a.mesh.Self()}
-	data, _ := actor.Ask(a.stateOwner, func(s *agentState) (data reportData) {
+	data, _ := actor.Call(a.stateOwner, func(s *agentState) (data reportData) {
 		data.record = s.updates.record
-		if request.WithTables {
+		if request.IncludeTables {
 			data.endpoints = listEndpoints(s)
 		}
 		return data
 	})
-	report.TakeRecord(data.record)
-	if !request.WithTables {
+	report.SetRecord(data.record)
+	if !request.IncludeTables {
 		return report
 	}
 	report.Endpoints = data.endpoints
-	report.TakeMembers(a.mesh.Members(), a.mesh.DownMembers())
-	report.Duties = a.mesh.RoleClaims()
+	report.SetMembers(a.mesh.Members(), a.mesh.DownMembers())
+	report.SingletonClaims = a.mesh.RoleClaims()
 	return report
 }
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -102,7 +102,7 @@
 // fakeVoters is a set of voters.
 type fakeVoters []string
 
-func (f fakeVoters) Replicas() (set state.ReplicaSet) {
+func (f fakeVoters) Voters() (set state.ReplicaSet) {
 	for _, address := range f {
 		set.Replicas = append(set.Replicas, state.Replica{ID: address, Address: address})
 	}
@@ -114,18 +114,18 @@
 	register *fakeRegister
 	spread   *fakeSpread
 	voters   *fakeVoters
-	table    *endpoints.Owner
+	table    *endpoints.SharedTable
 	handler  http.Handler
 }
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{register: &fakeRegister{}, spread: &fakeSpread{dead: map[string]bool{}},
 		voters: &fakeVoters{"core-1", "core-2", "core-3"}}
-	f.table = endpoints.Start(endpoints.Options{Self: "core-1", BeatInterval: time.Second}, time.Now)
+	f.table = endpoints.Start(endpoints.Options{Self: "core-1", HeartbeatInterval: time.Second}, time.Now)
 	t.Cleanup(f.table.Stop)
 	log := zerolog.Nop()
 	f.handler = New(Options{Register: f.register, Endpoints: f.table, Spread: f.spread,
-		Contact: &quorum.Contact{Voters: f.voters, Self: "core-1", Live: f.spread.live},
+		Contact: &quorum.Checker{Voters: f.voters, Self: "core-1", IsLive: f.spread.live},
 		Regions: map[string]string{"z1": "r1"}, Forward: func(_, zone string) string { return zone + ":1" }, Log: &log})
 	return f
 }
--- a/serving/placement/endpoint.go
+++ b/serving/placement/endpoint.go
@@ -89,5 +89,5 @@
 // isSuspect reports whether other members suspect that the endpoint is down or fails its calls, and do so of a minority
 // of its service's endpoints only.
 func (e *endpoint) isSuspect() bool {
-	return (e.info.Silent || e.info.Failing) && !e.service.majoritySuspect
+	return (e.info.Unresponsive || e.info.Failing) && !e.service.majoritySuspect
 }
--- a/serving/placement/service.go
+++ b/serving/placement/service.go
@@ -105,7 +105,7 @@
 		if !e.excluded {
 			all++
 		}
-		if !e.excluded && (e.info.Silent || e.info.Failing) {
+		if !e.excluded && (e.info.Unresponsive || e.info.Failing) {
 			suspects++
 		}
 		e.regionGroup = s.ensureRegion(e.region)
--- a/serving/placement/snapshot.go
+++ b/serving/placement/snapshot.go
@@ -14,7 +14,7 @@
 	Endpoints []state.Endpoint
 	Loads     []state.Load
 	Record    *state.Record // nil: unknown
-	Proxies   subscription.Proxies
+	Proxies   subscription.ProxyCounts
 }
 
 // Update replaces what is known of the cluster.
@@ -111,15 +111,15 @@
 	e.region = p.options.Regions[info.Zone]
 	e.zone = p.ensureZone(info.Zone)
 	e.prefixCache.tokenLimit = e.service.cacheTokens() / 2 // the rest is for running requests and unshared blocks
-	e.excluded = e.replaced || info.State != state.Accepting || p.evacuated[info.Zone]
+	e.excluded = e.replaced || info.State != state.EndpointAccepting || p.evacuated[info.Zone]
 	return e
 }
 
 // updateWarmup applies a newer heartbeat's remaining warm-up time. It counts from now, so it ends too late rather than
 // too early.
 func (e *endpoint) updateWarmup(now time.Time, info *state.Endpoint) {
-	if info.ColdLeftMillis > 0 {
-		left := time.Duration(info.ColdLeftMillis) * time.Millisecond
+	if info.WarmupLeftMillis > 0 {
+		left := time.Duration(info.WarmupLeftMillis) * time.Millisecond
 		e.warmup.reportedUntil = now.Add(left + warmupMargin)
 		return
 	}
--- a/serving/placement/warmup.go
+++ b/serving/placement/warmup.go
@@ -129,7 +129,7 @@
 }
 
 // updateProxyCount retains the largest number of proxies ever reported.
-func (p *Picker) updateProxyCount(reported subscription.Proxies) {
-	p.proxyCount = max(p.proxyCount, reported.Most, reported.Live)
-	p.proxiesInRegion = max(reported.Region, 1)
+func (p *Picker) updateProxyCount(reported subscription.ProxyCounts) {
+	p.proxyCount = max(p.proxyCount, reported.MaxRunning, reported.Live)
+	p.proxiesInRegion = max(reported.LiveInRegion, 1)
 }
--- a/serving/proxy/system_view.go
+++ b/serving/proxy/system_view.go
@@ -16,7 +16,7 @@
 	record    *state.Record
 	table     *routing.Table // of the newest configuration that could be read; nil: none yet
 	endpoints map[string]state.Endpoint
-	proxies   subscription.Proxies
+	proxies   subscription.ProxyCounts
 	cursor    subscription.Cursor
 }
 
@@ -30,7 +30,7 @@
 	for _, endpoint := range response.Endpoints {
 		k.endpoints[endpoint.ID] = endpoint
 	}
-	for _, id := range response.Forgotten {
+	for _, id := range response.Removed {
 		delete(k.endpoints, id)
 	}
 	k.proxies = response.Proxies
@@ -52,7 +52,7 @@
 	if now.Version == 0 || now.Version == before.Version && now.Digest == before.Digest {
 		return nil
 	}
-	document, err := now.Open()
+	document, err := now.Decompress()
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 		return false
 	}
 	for _, endpoint := range k.endpoints {
-		if endpoint.State == state.Accepting {
+		if endpoint.State == state.EndpointAccepting {
 			return true
 		}
 	}
