--- a/internal/catalogue/list.go
+++ b/internal/catalogue/list.go
@@ -4,43 +4,44 @@
 	"strings"
 )
 
-// todo stands where nobody has written yet what to do about an entry.
+// todo is the hand-written text of a new entry until someone writes it.
 const todo = "TODO"
 
-// list is one file in docs/: an introduction and a table. The table's first column is the key of an entry, and its
-// last one is written by hand if byHand is set.
+// list is one file in docs/: an introduction and a Markdown table. The table's first column is the key of an entry; its
+// last column is written by hand if hasHandwrittenColumn is set.
 type list struct {
-	path    string
-	intro   string
-	columns []string
-	rows    [][]string // without the column that is written by hand
-	byHand  bool
+	path                 string // relative to the root of the repository
+	introduction         string
+	columns              []string
+	rows                 [][]string // without the hand-written column
+	hasHandwrittenColumn bool
 }
 
-// render returns the file. Before is what it held: the source of what was written by hand.
-func (l list) render(before string) string {
-	written := handwritten(before)
+// render returns the file's content, with the hand-written texts of its previous content.
+func (l list) render(previous string) string {
+	texts := handwrittenTexts(previous)
 	var file strings.Builder
-	file.WriteString(l.intro + "\n\n")
+	file.WriteString(l.introduction + "\n\n")
 	writeRow(&file, l.columns)
 	file.WriteString(strings.Repeat("|---", len(l.columns)) + "|\n")
 	for _, row := range l.rows {
-		if !l.byHand {
+		if !l.hasHandwrittenColumn {
 			writeRow(&file, row)
 			continue
 		}
-		advice, found := written[escape(row[0])]
+		text, found := texts[escapeCell(row[0])]
 		if !found {
-			advice = todo
+			text = todo
 		}
-		writeRow(&file, row, advice)
+		writeRow(&file, row, text)
 	}
 	return file.String()
 }
 
+// writeRow writes a row of the table: cells are escaped, raw ones are written as they are.
 func writeRow(file *strings.Builder, cells []string, raw ...string) {
 	for _, cell := range cells {
-		file.WriteString("| " + escape(cell) + " ")
+		file.WriteString("| " + escapeCell(cell) + " ")
 	}
 	for _, cell := range raw {
 		file.WriteString("| " + cell + " ")
@@ -48,18 +49,19 @@
 	file.WriteString("|\n")
 }
 
-func escape(cell string) string { return strings.ReplaceAll(cell, "|", `\|`) }
+func escapeCell(cell string) string { return strings.ReplaceAll(cell, "|", `\|`) }
 
-// handwritten returns the last column of a file's table by the first one.
-func handwritten(file string) map[string]string {
-	written := map[string]string{}
+// handwrittenTexts returns the last column of a file's table by the first column.
+func handwrittenTexts(file string) map[string]string {
+	texts := map[string]string{}
 	for line := range strings.Lines(file) {
 		line = strings.TrimSpace(line)
 		if !strings.HasPrefix(line, "| ") || !strings.HasSuffix(line, " |") {
 			continue
 		}
-		cells := strings.Split(strings.TrimSuffix(strings.TrimPrefix(line, "| "), " |"), " | ")
-		written[cells[0]] = cells[len(cells)-1]
+		row := strings.TrimSuffix(strings.TrimPrefix(line, "| "), " |")
+		cells := strings.Split(row, " | ")
+		texts[cells[0]] = cells[len(cells)-1]
 	}
-	return written
+	return texts
 }
--- a/internal/catalogue/list_test.go
+++ b/internal/catalogue/list_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDocsHoldWhatTheCodeDefines fails where a setting, event or result code was added, changed or dropped and its
-// list in docs/ wasn't written anew, or where nobody has said what to do about an entry.
-func TestDocsHoldWhatTheCodeDefines(t *testing.T) {
+// TestLists_MatchTheCode fails if a setting, event or result code was added, changed or removed and its list in docs/
+// wasn't rewritten, or if an entry has no hand-written text.
+func TestLists_MatchTheCode(t *testing.T) {
 	for _, list := range lists() {
 		content, err := os.ReadFile(filepath.Join("..", "..", list.path))
 		require.NoError(t, err)
@@ -20,13 +20,13 @@
 	}
 }
 
-func TestRenderKeepsWhatWasWrittenByHand(t *testing.T) {
-	l := list{intro: "# Title", columns: []string{"Code", "Message", "What to do"}, byHand: true,
+func TestList_RenderKeepsHandwrittenTexts(t *testing.T) {
+	l := list{introduction: "# Title", columns: []string{"Code", "Message", "What to do"}, hasHandwrittenColumn: true,
 		rows: [][]string{{"1", "one"}, {"3", "three | of a kind"}}}
-	before := "# Old\n\n| Code | Message | What to do |\n|---|---|---|\n" +
+	previous := "# Old\n\n| Code | Message | What to do |\n|---|---|---|\n" +
 		"| 1 | uno | Wait. |\n| 2 | two | Gone. |\n"
-	after := l.render(before)
+	rendered := l.render(previous)
 	assert.Equal(t, "# Title\n\n| Code | Message | What to do |\n|---|---|---|\n"+
-		"| 1 | one | Wait. |\n| 3 | three \\| of a kind | TODO |\n", after)
-	assert.Equal(t, after, l.render(after))
+		"| 1 | one | Wait. |\n| 3 | three \\| of a kind | TODO |\n", rendered)
+	assert.Equal(t, rendered, l.render(rendered))
 }
--- a/internal/catalogue/main.go
+++ b/internal/catalogue/main.go
@@ -1,5 +1,5 @@
-// Command catalogue writes the lists of settings, log events and result codes in docs/ anew from the code. What was
-// written by hand beside an entry, what to do about it, stays. A test holds the lists to the code.
+// Command catalogue writes the lists of settings, log events and result codes in docs/ from the code. Where a list has
+// a hand-written column ("What to do"), its text is kept. A test compares the lists with the code.
 package main
 
 import (
@@ -8,30 +8,35 @@
 	"path/filepath"
 )
 
+const (
+	exitFailure = 1
+	exitUsage   = 2
+)
+
 func main() {
 	if len(os.Args) > 2 {
 		fmt.Fprintln(os.Stderr, "usage: catalogue [root of the repository]")
-		os.Exit(2)
+		os.Exit(exitUsage)
 	}
 	root := "."
 	if len(os.Args) == 2 {
 		root = os.Args[1]
 	}
-	if err := writeAll(root); err != nil {
+	if err := writeLists(root); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
+		os.Exit(exitFailure)
 	}
 }
 
-// writeAll renders each list over what its file holds.
-func writeAll(root string) error {
+// writeLists renders each list into its file below root, keeping the file's hand-written texts.
+func writeLists(root string) error {
 	for _, list := range lists() {
 		path := filepath.Join(root, list.path)
-		before, err := os.ReadFile(path)
+		previous, err := os.ReadFile(path)
 		if err != nil && !os.IsNotExist(err) {
 			return err
 		}
-		if err := os.WriteFile(path, []byte(list.render(string(before))), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(list.render(string(previous))), 0o644); err != nil {
 			return err
 		}
 	}
--- a/serving/agent/lookuphandler_test.go
+++ b/serving/agent/lookuphandler_test.go
@@ -41,7 +41,7 @@
 		{"other path", "GET", "/", true, []state.Member{near}, 404,
 			`{"error":"the directory answers look-ups only","code":802}`},
 		{"wrong method", "POST", target, true, []state.Member{near}, 405,
-			`{"error":"look-ups are made with GET","code":803}`},
+			`{"error":"method not allowed: look-ups are made with GET","code":803}`},
 		{"unreadable query", "GET", "/lookup?zone=%zz&region=north", true, []state.Member{near, far}, 200,
 			`{"addresses":["n1-1:80"],"ttl_s":1}`},
 	} {
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -48,7 +48,7 @@
 }
 
 // Run is the life of a core process. When the context ends it finishes the orders under way, bids the other members
-// farewell and returns. Errors are of the kind result.CoreAddressInUse or come from joining.
+// farewell and returns. Errors are of the kind errcode.CoreAddressInUse or come from joining.
 func Run(ctx context.Context, options Options) error {
 	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/serving/errcode/core.go
+++ b/serving/errcode/core.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// CoreAddressInUse: a core process can't listen where its settings say.
-var CoreAddressInUse = define(900, http.StatusServiceUnavailable, "core can't listen at its address")
+// CoreAddressInUse is the error of a core process that can't listen at the address in its settings.
+var CoreAddressInUse = define(900, http.StatusServiceUnavailable, "can't listen at the core's address")
--- a/serving/errcode/mesh.go
+++ b/serving/errcode/gossip.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// The errors of the spread of updates.
+// Errors of replication by gossip (300 to 399).
 var (
 	TooFewMembers   = define(300, http.StatusServiceUnavailable, "too few other members are live")
 	NotAcknowledged = define(301, http.StatusServiceUnavailable, "too few other members acknowledged in time")
-	MeshClosed      = define(302, http.StatusServiceUnavailable, "this member has ended its part in the spread")
+	MeshClosed      = define(302, http.StatusServiceUnavailable, "this member has left the mesh")
 )
--- a/serving/errcode/register.go
+++ b/serving/errcode/register.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// Results of changes and reads of the replicated register.
+// Errors of changes and reads of the replicated register (200 to 299).
 var (
-	// RegisterUnavailable: nothing was changed; another try is safe.
+	// RegisterUnavailable: nothing was changed; a retry is safe.
 	RegisterUnavailable = define(200, http.StatusServiceUnavailable, "no majority of the register's replicas answered in time")
-	// RegisterInDoubt: the change may or may not be in force.
+	// RegisterInDoubt: the change may or may not be committed.
 	RegisterInDoubt = define(201, http.StatusGatewayTimeout, "no majority confirmed the change in time; it may be in force")
-	// VersionConflict: the change builds on a version that is not the current one. It is not and never will be in force.
+	// VersionConflict: the change's base version is not the current one. The change is not and never will be committed.
 	VersionConflict = define(202, http.StatusPreconditionFailed, "another version of the configuration is current")
 	// VersionNotAbove: the new version number is not above the current one.
 	VersionNotAbove = define(203, http.StatusBadRequest, "the configuration's version is not above the current one")
--- a/serving/event/core.go
+++ b/serving/event/core.go
@@ -2,10 +2,10 @@
 
 import "github.com/rs/zerolog"
 
-// Events of core processes.
+// Events of core processes (900 to 999).
 var (
-	RecordUnreadable  = define(900, zerolog.ErrorLevel, "record can't be read or written; it is left out")
-	RepairFailed      = define(901, zerolog.WarnLevel, "replica set could not be repaired; it is tried again")
-	ChangeRecovered   = define(903, zerolog.InfoLevel, "a change whose maker has gone was looked up or finished")
-	EndpointsRestored = define(902, zerolog.InfoLevel, "endpoints known before the start were asked and restored")
+	RecordUnreadable  = define(900, zerolog.ErrorLevel, "record can't be decoded or encoded; it is skipped")
+	RepairFailed      = define(901, zerolog.WarnLevel, "replica set could not be repaired; retrying")
+	ChangeRecovered   = define(903, zerolog.InfoLevel, "a change of a lost member was resolved")
+	EndpointsRestored = define(902, zerolog.InfoLevel, "endpoints known before the start were queried and restored")
 )
--- a/serving/event/event.go
+++ b/serving/event/event.go
@@ -1,37 +1,37 @@
-// Package event numbers what the system's programs log. docs/log-events.md lists every number with its meaning
-// and what to do; a test holds the two together. Each part of the system has a block of a hundred numbers in a
-// file of its own.
+// Package event numbers the events that the programs of the serving system log. docs/log-events.md lists every number
+// with its meaning and what to do; a test of internal/catalogue compares the two. Each part of the system has a block
+// of a hundred numbers in a file of its own.
 package event
 
 import "github.com/rs/zerolog"
 
-// Code is the number of a kind of event.
+// Code is the number of a kind of event. Numbers are part of the log's format and never change.
 type Code uint16
 
-// Kind is one line of the catalogue.
+// Kind is a numbered kind of event.
 type Kind struct {
 	Code    Code
 	Level   zerolog.Level
 	Message string
 }
 
-// catalogue holds all kinds by number.
-var catalogue = map[Code]Kind{}
+// kinds holds all kinds by number.
+var kinds = map[Code]Kind{}
 
-// define adds a kind to the catalogue. A number used twice is a programming error.
+// define registers a kind. It panics if the number is in use already.
 func define(code Code, level zerolog.Level, message string) Kind {
-	if _, taken := catalogue[code]; taken {
-		panic("event number defined twice")
+	if _, exists := kinds[code]; exists {
+		panic("event code defined twice")
 	}
 	kind := Kind{Code: code, Level: level, Message: message}
-	catalogue[code] = kind
+	kinds[code] = kind
 	return kind
 }
 
-// All returns the catalogue.
-func All() map[Code]Kind { return catalogue }
+// All returns all kinds by number. The caller must not change the map.
+func All() map[Code]Kind { return kinds }
 
-// Log begins a line of the kind. The caller adds fields and ends it with Send.
+// Log starts a log line of the kind. The caller adds fields and writes it with Send.
 func (k Kind) Log(log *zerolog.Logger) *zerolog.Event {
 	return log.WithLevel(k.Level).Uint16("event", uint16(k.Code)).Str(zerolog.MessageFieldName, k.Message)
 }
--- a/serving/event/program.go
+++ b/serving/event/program.go
@@ -2,12 +2,12 @@
 
 import "github.com/rs/zerolog"
 
-// Events of settings and of programs as such.
+// Events of settings and of any program (100 to 199).
 var (
-	SettingsChanged  = define(100, zerolog.InfoLevel, "settings file has changed and is in use")
-	SettingsRejected = define(101, zerolog.WarnLevel, "settings file can't be used; the settings before it stay")
+	SettingsChanged  = define(100, zerolog.InfoLevel, "settings file changed and reloaded")
+	SettingsRejected = define(101, zerolog.WarnLevel, "settings file invalid; the previous settings stay in use")
 	ProgramStarted   = define(110, zerolog.InfoLevel, "program started")
-	ProgramStopping  = define(111, zerolog.InfoLevel, "program was told to end")
-	ProgramStopped   = define(112, zerolog.InfoLevel, "program has ended as told")
-	ProgramFailed    = define(113, zerolog.ErrorLevel, "program can't go on")
+	ProgramStopping  = define(111, zerolog.InfoLevel, "program is shutting down")
+	ProgramStopped   = define(112, zerolog.InfoLevel, "program stopped")
+	ProgramFailed    = define(113, zerolog.ErrorLevel, "program failed")
 )
--- a/serving/member/replicate.go
+++ b/serving/member/replicate.go
@@ -15,8 +15,8 @@
 const hedgeDelay = 120 * time.Millisecond
 
 // PutReplicated takes in an entry, spreads it and returns once so many other members, of those at the addresses where
-// any are given, have acknowledged that they have it; core members are asked first. It fails with result.TooFewMembers where not so many are live, and with
-// result.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
+// any are given, have acknowledged that they have it; core members are asked first. It fails with errcode.TooFewMembers where not so many are live, and with
+// errcode.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
 // any case.
 func (m *Mesh) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
 	targets := ask(m, func(now time.Time, n *node) []gossip.Peer {
--- a/serving/operator/amendment.go
+++ b/serving/operator/amendment.go
@@ -31,7 +31,7 @@
 }
 
 // Apply makes the configuration that comes of the amendment. Errors are those of routing.Parse and
-// result.OrderTooLarge.
+// errcode.RequestTooLarge.
 func (a *Amendment) Apply(current state.Configuration) (state.Configuration, error) {
 	document, err := openConfiguration(current)
 	if err != nil {
--- a/serving/operator/answer.go
+++ b/serving/operator/answer.go
@@ -38,7 +38,7 @@
 	_, _ = w.Write(body) // the caller has left if it fails; it asks again
 }
 
-// readBody reads a body of limit bytes at most. Errors are result.OrderTooLarge and result.OrderIncomplete.
+// readBody reads a body of limit bytes at most. Errors are errcode.RequestTooLarge and errcode.RequestIncomplete.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errcode.RequestTooLarge.With("%d bytes, %d may come", r.ContentLength, limit)
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoints.go
@@ -75,7 +75,7 @@
 
 // tellOthers passes on what others must know. For an endpoint that takes no new requests it returns when a majority of
 // the voters holds that: each dispatcher that is in touch hears it from one of them, and a machine that is cut off
-// acknowledges nothing. Errors are result.NotReplicated.
+// acknowledges nothing. Errors are errcode.NotReplicated.
 func (e *EndpointsResource) tellOthers(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.Accepting {
 		if change.Spread {
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// readHeartbeat reads the body of a heartbeat. Errors are result.HeartbeatUnreadable.
+// readHeartbeat reads the body of a heartbeat. Errors are errcode.HeartbeatUnreadable.
 func readHeartbeat(body []byte) (endpoints.Beat, error) {
 	var beat endpoints.Beat
 	if err := heartbeatSettings.Parse(body, &beat); err != nil {
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -47,8 +47,8 @@
 // Changes of one proposer run one after the other.
 //
 // Errors: what the update refuses with, once the record on which it refused is committed (the change isn't and never
-// will be in force); result.RegisterUnavailable and result.RegisterNotReady (nothing was changed);
-// result.RegisterUnclear (the change may be in force). The context bounds the wait; after it has ended no further try
+// will be in force); errcode.RegisterUnavailable and errcode.RegisterNotReady (nothing was changed);
+// errcode.RegisterInDoubt (the change may be in force). The context bounds the wait; after it has ended no further try
 // is begun, so a caller who has given up may repeat the change elsewhere.
 func (p *Proposer) Change(ctx context.Context, update Update) (state.Record, error) {
 	select {
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -13,7 +13,7 @@
 const queryLinger = 100 * time.Millisecond
 
 // Read returns the record in force: at least as new as whatever was acknowledged before the call. In the usual case
-// that is one round, and nothing is written; a change that was left half-way is finished. Errors: result.RegisterUnavailable and result.RegisterNotReady.
+// that is one round, and nothing is written; a change that was left half-way is finished. Errors: errcode.RegisterUnavailable and errcode.RegisterNotReady.
 func (p *Proposer) Read(ctx context.Context) (state.Record, error) {
 	last := errNoMajority
 	for attempt := 0; ctx.Err() == nil && p.life.Err() == nil; attempt++ {
--- a/serving/register/updates.go
+++ b/serving/register/updates.go
@@ -23,8 +23,8 @@
 var ErrFence = errors.New("no change, and none of earlier proposals")
 
 // ReplaceConfiguration puts a configuration in force that builds on version basedOn (0: on none). The refusals are
-// result.VersionConflict and result.VersionNotAbove. A configuration that already is or was in force, byte for byte,
-// is no change; where the history is too short to tell, the error is result.RegisterUnclear: what was acknowledged once
+// errcode.VersionConflict and errcode.VersionNotAbove. A configuration that already is or was in force, byte for byte,
+// is no change; where the history is too short to tell, the error is errcode.RegisterInDoubt: what was acknowledged once
 // is never refused.
 func ReplaceConfiguration(basedOn uint64, configuration state.Configuration) Update {
 	order := state.Accepted{Version: configuration.Version, Digest: configuration.Digest}
--- a/serving/routing/amend.go
+++ b/serving/routing/amend.go
@@ -50,8 +50,8 @@
 	})},
 }
 
-// ParseAmendment reads an amendment. Errors are result.DocumentUnreadable, result.FieldInvalid,
-// result.AmendedListUnknown, result.AmendedItemUnnamed and result.AmendedNameTwice.
+// ParseAmendment reads an amendment. Errors are errcode.DocumentUnreadable, errcode.FieldInvalid,
+// errcode.AmendmentListUnknown, errcode.AmendmentItemUnnamed and errcode.AmendmentNameDuplicate.
 func ParseAmendment(text []byte) (*Amendment, error) {
 	var read amendmentDocument
 	if err := amendmentSettings.Parse(text, &read); err != nil {
--- a/serving/schema/schema.go
+++ b/serving/schema/schema.go
@@ -37,8 +37,8 @@
 // Table holds the settings of one kind of object. Fields that it doesn't name are ignored; a null counts as missing.
 type Table[Into any] []Setting[Into]
 
-// Parse reads a document that must be one JSON object and nothing else. Errors are result.DocumentUnreadable and
-// result.FieldInvalid.
+// Parse reads a document that must be one JSON object and nothing else. Errors are errcode.DocumentUnreadable and
+// errcode.FieldInvalid.
 func (t Table[Into]) Parse(document []byte, into *Into) error {
 	if tooDeep(document) || !gjson.ValidBytes(document) {
 		return errcode.DocumentUnreadable.With("it is cut short, has bytes after its end or is no JSON")
--- a/serving/settings/load.go
+++ b/serving/settings/load.go
@@ -22,8 +22,8 @@
 	return Load(path)
 }
 
-// Load reads and checks a settings file. The error is of the kind result.SettingsUnreadable, or of the kind
-// result.SettingsInvalid and then names everything that is wrong with the file.
+// Load reads and checks a settings file. The error is of the kind errcode.SettingsUnreadable, or of the kind
+// errcode.SettingsInvalid and then names everything that is wrong with the file.
 func Load(path string) (*Process, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
