--- a/cluster/member/bench_test.go
+++ b/cluster/member/bench_test.go
@@ -66,17 +66,17 @@
 	f.leader()
 	var all []*member.Session
 	for i := range members {
-		task := cluster.HomeOf(cluster.RangeID(i))
+		task := cluster.RangeOwnerResource(cluster.RangeID(i))
 		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
-		s.Watch(cluster.LeasePart, func(uint64, []byte) {})
+		s.Watch(cluster.LeaseComponent, func(uint64, []byte) {})
 		all = append(all, s)
 	}
 	for i, s := range all {
-		holds(b, s, cluster.HomeOf(cluster.RangeID(i)))
+		holds(b, s, cluster.RangeOwnerResource(cluster.RangeID(i)))
 	}
 	time.Sleep(3 * time.Second)
 	k := f.up[f.leader()]
-	entries, renewed, moved, used, since := k.LastIndex(), k.Renewed.Load(), f.moved.Load(), cpu(), time.Now()
+	entries, renewed, moved, used, since := k.LastIndex(), k.RenewalsAccepted.Load(), f.moved.Load(), cpu(), time.Now()
 	for b.Loop() {
 		time.Sleep(3 * time.Second)
 	}
@@ -84,7 +84,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(k.LastIndex()-entries)/spent, "entries/s")
-	b.ReportMetric(float64(k.Renewed.Load()-renewed)/spent, "renewed/s")
+	b.ReportMetric(float64(k.RenewalsAccepted.Load()-renewed)/spent, "renewed/s")
 	b.ReportMetric(float64(f.moved.Load()-moved)/spent, "B/s")
 	b.ReportMetric(100*(cpu()-used).Seconds()/spent, "%cpu")
 	b.ReportMetric(float64(m.Sys)/1e6, "MB")
--- a/cluster/member/homes.go
+++ b/cluster/member/homes.go
@@ -24,7 +24,7 @@
 	local         LocalWork
 	onChange      func()       // something is to be looked at; does not wait
 	closures      sync.Map     // fleet.RangeID to shutting, of a move that is about to switch
-	inactiveSince atomic.Int64 // since when there is no session; gateway.Never while there is
+	inactiveSince atomic.Int64 // since when there is no session; api.Never while there is
 
 	shardMap    atomic.Pointer[shardmap.Map]
 	reconcileMu sync.Mutex   // one look at a time
@@ -93,7 +93,7 @@
 	}
 	say := func(what string, r shardmap.Range, c cluster.Command) { reached = reached && h.proposeFor(what, r, c) }
 	for _, r := range chart.Ranges {
-		task := cluster.HomeOf(r.ID)
+		task := cluster.RangeOwnerResource(r.ID)
 		epoch, held := h.session.Holds(task)
 		switch {
 		case held && h.mayLeave(r):
@@ -126,7 +126,7 @@
 
 // releaseRange gives up a home that goes elsewhere as soon as it may. What came before the range was shut is counted
 // at the next look.
-func (h *Ownership) releaseRange(r shardmap.Range, task cluster.Task, epoch cluster.Epoch) {
+func (h *Ownership) releaseRange(r shardmap.Range, task cluster.Resource, epoch cluster.Epoch) {
 	out, owed := h.local.CallsInFlight(r), h.local.PendingWebhooks(r)
 	if h.local.StateTransferred(r) && r.ShouldCloseIntake(h.self, out, owed, MaxBatch) && h.closeAdmission(r) {
 		return
@@ -175,7 +175,7 @@
 	h.closures.Range(func(id, is any) bool {
 		r, ok := chart.RangeByID(id.(cluster.RangeID))
 		s := is.(closure)
-		_, held := h.session.Holds(cluster.HomeOf(r.ID))
+		_, held := h.session.Holds(cluster.RangeOwnerResource(r.ID))
 		if !ok || r.Move.ID != s.move || r.Move.Step != shardmap.StepHandoff || r.Owner != h.self ||
 			held && h.now()-s.since > h.leaseTTL/closureLimitDivisor {
 			h.closures.Delete(id)
@@ -199,7 +199,7 @@
 func (h *Ownership) proposeFor(what string, r shardmap.Range, c cluster.Command) (reached bool) {
 	if _, err := h.Propose(c); err != nil {
 		level := slog.LevelWarn
-		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrHeld) {
+		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrAlreadyHeld) {
 			level = slog.LevelDebug
 		}
 		slog.Log(context.Background(), level, what+" not said", "range", r.ID, "why", err)
@@ -211,12 +211,12 @@
 
 // IsLeaderUnreached is whether no leader answered.
 func IsLeaderUnreached(err error) bool {
-	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrUnsure)
+	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrOutcomeUnknown)
 }
 
 // Propose has a command put in the log.
 func (h *Ownership) Propose(c cluster.Command) (answer []byte, err error) {
-	answer, _, err = h.session.Leader.Propose(c, duration(timing.Opening(h.leaseTTL)))
+	answer, _, err = h.session.Leader.Propose(c, duration(timing.LoggedRequestTimeout(h.leaseTTL)))
 	return answer, err
 }
 
--- a/cluster/member/looks_test.go
+++ b/cluster/member/looks_test.go
@@ -15,7 +15,7 @@
 // Guards against a look that waits for a leader once for each of a member's ranges: meanwhile it lets go of
 // none.
 func TestALookEndsItsProposalsAtTheFirstThatNoLeaderAnswers(t *testing.T) {
-	keeper, a := script(t, func(_ int, real transport.Proposed) (int, []byte) {
+	keeper, a := script(t, func(_ int, real transport.ProposeResponse) (int, []byte) {
 		return fasthttp.StatusOK, transport.Encode(real)
 	})
 	chart := shardmap.New(nil)
@@ -23,8 +23,8 @@
 	chart.Ranges, err = shardmap.EvenRanges(4, []shardmap.MemberWeight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range chart.Ranges {
-		a.Acquire(cluster.HomeOf(r.ID))
-		holds(t, a, cluster.HomeOf(r.ID))
+		a.Acquire(cluster.RangeOwnerResource(r.ID))
+		holds(t, a, cluster.RangeOwnerResource(r.ID))
 	}
 	last := &chart.Ranges[3]
 	last.Owner = "m2"
@@ -32,6 +32,6 @@
 	keeper.mu.Lock()
 	require.Equal(t, 1, keeper.charts)
 	keeper.mu.Unlock()
-	_, held := a.Holds(cluster.HomeOf(last.ID))
+	_, held := a.Holds(cluster.RangeOwnerResource(last.ID))
 	require.False(t, held)
 }
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -38,7 +38,7 @@
 
 func (m *Member) healthQuery() (number uint64, of []rebalance.MonitoredMove) {
 	chart := m.ownership.Map()
-	if _, held := m.session.Holds(cluster.Conducts); !held || chart == nil {
+	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || chart == nil {
 		return 0, nil
 	}
 	p := m.progress.Load()
@@ -64,7 +64,7 @@
 		turns <- struct{}{}
 		all.Go(func() {
 			defer func() { <-turns }()
-			status, raw, err := m.client.Say(id, Path, body, duration(m.file.Term)/pollsPerTTL)
+			status, raw, err := m.client.Call(id, Path, body, duration(m.file.Term)/pollsPerTTL)
 			var r rebalance.Report
 			if err == nil && status == fasthttp.StatusOK {
 				err = transport.Decode(raw, &r)
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -43,12 +43,12 @@
 	configText []byte
 	file       config.File
 	dispatcher *dispatcher.Dispatcher
-	settings   atomic.Pointer[api.Facts] // by the settings read last
+	settings   atomic.Pointer[api.Settings] // by the settings read last
 	clock      func() api.Micros
 	listener   net.Listener
 	server     *transport.Server
-	client     *transport.Talk
-	raft       *raftnode.Keeper // nil where it keeps no log
+	client     *transport.Client
+	raft       *raftnode.Node // nil where it keeps no log
 	session    *Session
 	ownership  *Ownership
 	handoff    *Handoff
@@ -109,7 +109,7 @@
 		return err
 	}
 	m.request = PlanRequest{Text: m.configText, Groups: m.file.Groups()}
-	m.client, m.server = transport.New(m.self, memberAddresses(m.file)), transport.Hears(MaxConnections(len(m.file.Members)), requestTimeout)
+	m.client, m.server = transport.NewClient(m.self, memberAddresses(m.file)), transport.NewServer(MaxConnections(len(m.file.Members)), requestTimeout)
 	if own.Log != "" {
 		if err := m.openRaftNode(own); err != nil {
 			return err
@@ -147,15 +147,15 @@
 	if err != nil {
 		return err
 	}
-	book := lease.NewBook()
-	m.raft, err = raftnode.Open(raftnode.Place{Fleet: m.file.Name, Self: m.self, Folder: m.dispatcher.State,
-		Term: m.file.Term, Logs: raftAddresses(m.file), Talk: m.client, Clock: m.clock, Book: book,
-		State: fsm.New(book, map[byte]cluster.Part{cluster.RangesPart: shardmap.New(book),
-			cluster.PlanPart: &rebalance.Progress{}})}, on)
+	book := lease.NewTable()
+	m.raft, err = raftnode.Open(raftnode.Config{ClusterName: m.file.Name, Self: m.self, StateDir: m.dispatcher.State,
+		SessionTTL: m.file.Term, Addresses: raftAddresses(m.file), Client: m.client, Clock: m.clock, Leases: book,
+		StateMachine: fsm.New(book, map[byte]cluster.Component{cluster.ShardMapComponent: shardmap.New(book),
+			cluster.RebalanceComponent: &rebalance.Progress{}})}, on)
 	if err != nil {
 		return err
 	}
-	m.raft.Handle(m.server)
+	m.raft.RegisterHandlers(m.server)
 	return nil
 }
 
@@ -171,7 +171,7 @@
 	if all := m.settings.Load().EventTypes; int(t) < len(all) {
 		return all[t]
 	}
-	return api.EventType{Repeat: api.AtMostOnce}
+	return api.EventType{Semantics: api.AtMostOnce}
 }
 
 // openCustody opens the names of webhooks, beside what the journal still owes.
@@ -196,7 +196,7 @@
 	m.session = NewSession(Config{Self: m.self, Incarnation: lease.Incarnation(randomID()),
 		LeaseTTL: m.file.Term, MaxClockDrift: m.file.Apart, Clock: m.clock,
 		Leader:   NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
-		OnChange: func(cluster.Task, cluster.Epoch) { m.wake() }})
+		OnChange: func(cluster.Resource, cluster.Epoch) { m.wake() }})
 	m.ownership.session = m.session
 	if err := m.sites.Serve(m.session); err != nil { // guards against a second effect, as above
 		slog.Error("what goes to relays not read", "why", err)
@@ -204,11 +204,11 @@
 	}
 	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewFailoverPlanner(m.file.Term)}
 	go m.server.Serve(m.listener)
-	m.session.Watch(cluster.RangesPart, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
+	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
 	if m.raft != nil {
-		m.session.Acquire(cluster.Conducts)
-		m.session.Watch(cluster.LeasePart, m.applyLeases)
-		m.session.Watch(cluster.PlanPart, m.applyProgress)
+		m.session.Acquire(cluster.CoordinatorResource)
+		m.session.Watch(cluster.LeaseComponent, m.applyLeases)
+		m.session.Watch(cluster.RebalanceComponent, m.applyProgress)
 	}
 	m.done.Add(2)
 	go m.pollHealth()
@@ -232,7 +232,7 @@
 	m.session.WriteMetrics(to)
 	m.sites.Print(to)
 	if m.raft != nil {
-		m.raft.Print(to)
+		m.raft.WriteMetrics(to)
 		m.writePlanMetrics(to)
 	}
 }
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -29,7 +29,7 @@
 }
 
 func (m *Member) applyLeases(_ uint64, snapshot []byte) {
-	book := lease.NewBook()
+	book := lease.NewTable()
 	if err := book.Restore(snapshot); err != nil {
 		slog.Error("leases not read", "why", err)
 		return
@@ -69,7 +69,7 @@
 }
 
 // Renew takes the dispatcher's settings and reads the file again; one that can't be used changes nothing.
-func (m *Member) Renew(f api.Facts) {
+func (m *Member) Renew(f api.Settings) {
 	m.settings.Store(&f)
 	m.reloadConfig()
 }
@@ -93,10 +93,10 @@
 }
 
 func (m *Member) updatePeers(f config.File) {
-	m.client.Renew(memberAddresses(f))
+	m.client.SetAddresses(memberAddresses(f))
 	m.session.Leader.SetNodes(raftNodes(f))
 	if m.raft != nil {
-		m.raft.Renew(raftAddresses(f))
+		m.raft.SetAddresses(raftAddresses(f))
 	}
 }
 
@@ -105,15 +105,15 @@
 func (m *Member) Leave() {
 	turns := m.file.Leaving
 	for i := range turns {
-		m.session.Acquire(cluster.LeaveTurn(i))
+		m.session.Acquire(cluster.DepartureSlotResource(i))
 	}
 	until := time.Now().Add(leaveTimeoutTTLs * duration(m.file.Term))
 	for time.Now().Before(until) {
 		for i := range turns {
-			if e, held := m.session.Holds(cluster.LeaveTurn(i)); held {
+			if e, held := m.session.Holds(cluster.DepartureSlotResource(i)); held {
 				for j := range turns {
 					if j != i {
-						m.session.Release(cluster.LeaveTurn(j))
+						m.session.Release(cluster.DepartureSlotResource(j))
 					}
 				}
 				slog.Info("leaves in turn", "turn", i, "epoch", e)
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -21,7 +21,7 @@
 	MaxClockDrift float64           // lease.NewTenure's
 	Clock         func() api.Micros // never runs back
 	Leader        *LeaderClient
-	OnChange      func(cluster.Task, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
+	OnChange      func(cluster.Resource, cluster.Epoch) // of each task that it has from now on; with epoch 0, no more
 }
 
 // Session keeps a member's session up and what hangs on it.
@@ -30,9 +30,9 @@
 	Config
 
 	mu       sync.Mutex
-	tenure   *lease.Tenure
-	wishes   *lease.Wishes
-	notified map[cluster.Task]cluster.Epoch // as Told last
+	tenure   *lease.Holder
+	wishes   *lease.Reconciler
+	notified map[cluster.Resource]cluster.Epoch // as Told last
 	watchers map[byte]*watcher
 
 	hasFreed      bool // a task became free: all who wait for it are told in one moment
@@ -47,9 +47,9 @@
 
 // NewSession begins to ask for a session at once.
 func NewSession(l Config) *Session {
-	tenure := lease.NewTenure(l.LeaseTTL, l.MaxClockDrift)
-	s := &Session{Config: l, tenure: tenure, wishes: lease.NewWishes(tenure, timing.Reask(l.LeaseTTL)),
-		notified: map[cluster.Task]cluster.Epoch{}, watchers: map[byte]*watcher{}, acquireWake: make(chan struct{}, 1),
+	tenure := lease.NewHolder(l.LeaseTTL, l.MaxClockDrift)
+	s := &Session{Config: l, tenure: tenure, wishes: lease.NewReconciler(tenure, timing.AcquireRetryInterval(l.LeaseTTL)),
+		notified: map[cluster.Resource]cluster.Epoch{}, watchers: map[byte]*watcher{}, acquireWake: make(chan struct{}, 1),
 		pollWake: make(chan struct{}, 1), notifyWake: make(chan struct{}, 1), deliverWake: make(chan struct{}, 1),
 		ended: make(chan struct{})}
 	s.done.Go(s.notifyLoop)
@@ -92,24 +92,24 @@
 }
 
 // Acquire has a task asked for until it is released.
-func (s *Session) Acquire(t cluster.Task) {
+func (s *Session) Acquire(t cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Want(t) {
+	if s.wishes.Request(t) {
 		wake(s.acquireWake)
 		wake(s.pollWake)
 	}
 }
 
 // CancelAcquire drops a wish of before, where nothing was granted by it; cheap, since it is called time and again.
-func (s *Session) CancelAcquire(t cluster.Task) {
+func (s *Session) CancelAcquire(t cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wishes.Unwant(t)
+	s.wishes.CancelRequest(t)
 }
 
 // Release gives a task up at once, and tells the keepers.
-func (s *Session) Release(t cluster.Task) {
+func (s *Session) Release(t cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wishes.Release(t)
@@ -118,7 +118,7 @@
 }
 
 // Holds looks at the clock: by which epoch the task may be acted on now.
-func (s *Session) Holds(t cluster.Task) (cluster.Epoch, bool) {
+func (s *Session) Holds(t cluster.Resource) (cluster.Epoch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tenure.Epoch(t, s.Clock())
@@ -126,7 +126,7 @@
 
 // DoWhileHeld does a deed if the task is held. The deed calls still right before its last byte goes out, and
 // leaves it if that says no: between the two lies what can't be fenced at a partner.
-func (s *Session) DoWhileHeld(t cluster.Task, deed func(e cluster.Epoch, still func() bool)) bool {
+func (s *Session) DoWhileHeld(t cluster.Resource, deed func(e cluster.Epoch, still func() bool)) bool {
 	e, held := s.Holds(t)
 	if held {
 		deed(e, func() bool {
@@ -141,7 +141,7 @@
 func (s *Session) IsActive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tenure.Holds(s.Clock())
+	return s.tenure.IsValid(s.Clock())
 }
 
 // renewLoop asks for the session to be opened, then to go on, each time it is due.
@@ -151,19 +151,19 @@
 		s.mu.Lock()
 		now := s.Clock()
 		s.notifyChanges()
-		wait := s.tenure.AskAgainAt() - now
-		if left := s.tenure.Until() - now; s.tenure.Holds(now) {
+		wait := s.tenure.NextRenewalAt() - now
+		if left := s.tenure.Deadline() - now; s.tenure.IsValid(now) {
 			wait = min(wait, left) // guards against a term's end that nobody is told of
 		}
 		if wait <= 0 && !s.isClosed() {
-			ask, session, tally := s.tenure.Asked(now), s.tenure.Session(), s.tenure.Tally()
+			ask, session, tally := s.tenure.StartRenewal(now), s.tenure.Session(), s.tenure.Digest()
 			s.mu.Unlock()
 			if s.requestRenewal(ask, session, tally) {
 				failures = 0
 				continue
 			}
 			failures++
-			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
+			wait = timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())
 		} else {
 			s.mu.Unlock()
 		}
@@ -174,23 +174,23 @@
 }
 
 // requestRenewal asks the leading keeper once, and tells whether it answered.
-func (s *Session) requestRenewal(a lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
-	within := timing.Answer(s.LeaseTTL)
+func (s *Session) requestRenewal(a lease.Renewal, session cluster.SessionID, tally lease.Digest) bool {
+	within := timing.RequestTimeout(s.LeaseTTL)
 	if session == 0 {
-		within = timing.Opening(s.LeaseTTL)
+		within = timing.LoggedRequestTimeout(s.LeaseTTL)
 	}
-	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(transport.SessionAsk{Member: s.Self, Session: session,
-		Incarnation: s.Incarnation, Tally: tally}), duration(within))
-	var answer transport.SessionAnswer
+	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(transport.SessionRequest{Member: s.Self, Session: session,
+		Incarnation: s.Incarnation, GrantTally: tally}), duration(within))
+	var answer transport.SessionResponse
 	if err == nil {
 		err = transport.Decode(raw, &answer)
 	}
-	if err == nil && answer.Refusal != 0 {
-		err = fsm.Refusal(answer.Refusal)
+	if err == nil && answer.ErrorCode != 0 {
+		err = fsm.Refusal(answer.ErrorCode)
 		s.dropSession(session)
 	}
-	if err == nil && answer.Term < s.LeaseTTL { // guards against acting for longer than the keepers wait
-		slog.Error("the keepers count a shorter term: none is held", "term_us", s.LeaseTTL, "theirs_us", answer.Term)
+	if err == nil && answer.TTL < s.LeaseTTL { // guards against acting for longer than the keepers wait
+		slog.Error("the keepers count a shorter term: none is held", "term_us", s.LeaseTTL, "theirs_us", answer.TTL)
 		return false
 	}
 	s.mu.Lock()
@@ -200,17 +200,17 @@
 		slog.Debug("session not answered", "session", session, "why", err)
 		return false
 	}
-	before, stood := s.tenure.Session(), s.tenure.Holds(s.Clock())
-	if s.tenure.Answered(a, answer.Session) && before != answer.Session {
+	before, stood := s.tenure.Session(), s.tenure.IsValid(s.Clock())
+	if s.tenure.ConfirmRenewal(a, answer.Session) && before != answer.Session {
 		s.SessionsOpened.Add(1)
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
-		s.wishes.Anew()
+		s.wishes.RetryAll()
 	}
-	if len(answer.Holds) > 0 {
-		s.wishes.Has(answer.Session, answer.Holds)
+	if len(answer.Grants) > 0 {
+		s.wishes.ReconcileGrants(answer.Session, answer.Grants)
 		s.notifyChanges()
 	}
-	if !stood || len(answer.Holds) > 0 {
+	if !stood || len(answer.Grants) > 0 {
 		wake(s.acquireWake)
 	}
 	return true
@@ -220,6 +220,6 @@
 func (s *Session) dropSession(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tenure.Refused(session)
+	s.tenure.HandleRejection(session)
 	s.notifyChanges()
 }
--- a/cluster/rebalance/tally.go
+++ b/cluster/rebalance/tally.go
@@ -74,7 +74,7 @@
 func (t *ImpactMeter) CountOutcomes(d api.DestinationID, e Outcomes) {
 	c := t.dests[d]
 	if c == nil {
-		c = &count{hash: cluster.Hash(d)}
+		c = &count{hash: cluster.DestinationKeyHash(d)}
 		t.dests[d] = c
 	}
 	c.all = c.all.plus(e)
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -62,19 +62,19 @@
 	Groups    []PlacementGroup `cbor:"14,keyasint,omitempty"`
 }
 
-func (c command) encode(task cluster.Task, epoch cluster.Epoch) cluster.Command {
+func (c command) encode(task cluster.Resource, epoch cluster.Epoch) cluster.Command {
 	body, err := encMode.Marshal(c)
 	if err != nil {
 		panic(err) // nothing in it can fail
 	}
-	return cluster.Command{Part: cluster.RangesPart, By: task, Epoch: epoch, Body: body}
+	return cluster.Command{Component: cluster.ShardMapComponent, FencedBy: task, Epoch: epoch, Body: body}
 }
 
-// Coordinator writes the commands that only the conductor gives, under its epoch of task fleet.Conducts.
+// Coordinator writes the commands that only the conductor gives, under its epoch of task cluster.CoordinatorResource.
 type Coordinator cluster.Epoch
 
 func (e Coordinator) command(c command) cluster.Command {
-	return c.encode(cluster.Conducts, cluster.Epoch(e))
+	return c.encode(cluster.CoordinatorResource, cluster.Epoch(e))
 }
 
 // Initialize is the first map: n even ranges, as Even gives them out.
@@ -115,13 +115,13 @@
 
 // ConfirmOwner says that a range's home holds its task; seen is the version of the map by which it will serve.
 func ConfirmOwner(id cluster.RangeID, home cluster.MemberID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
-	return command{Op: opConfirmOwner, Range: id, Member: home, Epoch: epoch, Seen: seen}.encode(cluster.HomeOf(id), epoch)
+	return command{Op: opConfirmOwner, Range: id, Member: home, Epoch: epoch, Seen: seen}.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
 // SwitchOwner makes a move's target the range's home. The target proposes it once it holds the task: whoever held
 // it before has let it go or has ended, so that the map and the right to call change at one place in the log.
 func SwitchOwner(move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch) cluster.Command {
-	return command{Op: opSwitchOwner, Move: move, Member: target, Epoch: epoch}.encode(cluster.HomeOf(id), epoch)
+	return command{Op: opSwitchOwner, Move: move, Member: target, Epoch: epoch}.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
 // ClearMove says that a member has no copies left that a switched move must tell the owner of. For a member that
--- a/cluster/shardmap/doubt.go
+++ b/cluster/shardmap/doubt.go
@@ -37,8 +37,8 @@
 	if ran != api.Never {
 		since = ran
 	}
-	forgotten := t.TokenByZone || now >= since+t.TokenWindow
-	once := t.Repeat == api.AtMostOnce || t.Repeat == api.Tokened && forgotten
+	forgotten := t.DedupByZone || now >= since+t.DedupWindow
+	once := t.Semantics == api.AtMostOnce || t.Semantics == api.Deduplicated && forgotten
 	switch {
 	case r == CustodyTaken:
 		return DropCopy
@@ -46,7 +46,7 @@
 		return KeepCopy
 	case now >= last, r == CustodyStateLost && once:
 		return DeadLetterCopy // only the first call's zone remembers a token by zone, and which that was is not known
-	case r != CustodyStateLost && (!ended || t.Repeat != api.Idempotent):
+	case r != CustodyStateLost && (!ended || t.Semantics != api.Idempotent):
 		return StayInDoubt
 	}
 	return ForkCopy
--- a/cluster/shardmap/vacancies.go
+++ b/cluster/shardmap/vacancies.go
@@ -45,7 +45,7 @@
 		if !r.SplitOff {
 			head = Takeover{}
 		}
-		if _, _, _, held := by.Holder(cluster.HomeOf(r.ID)); held || alive[r.Owner] {
+		if _, _, _, held := by.Holder(cluster.RangeOwnerResource(r.ID)); held || alive[r.Owner] {
 			delete(v.ownerlessSince, r.ID)
 			continue
 		}
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -26,9 +26,9 @@
 
 // Session is what a member holds.
 type Session interface {
-	Acquire(cluster.Task)
-	Release(cluster.Task)
-	Holds(cluster.Task) (cluster.Epoch, bool)
+	Acquire(cluster.Resource)
+	Release(cluster.Resource)
+	Holds(cluster.Resource) (cluster.Epoch, bool)
 }
 
 // Part is what a Sites is made of.
@@ -101,7 +101,7 @@
 func (s *Sites) answers(ctx *fasthttp.RequestCtx) {
 	l := &lane{of: s}
 	for _, one := range s.plan.Load().lanes {
-		if one.site.Relay == transport.From(ctx) {
+		if one.site.Relay == transport.Sender(ctx) {
 			l = one
 			if stream := l.stream.Load(); stream != nil {
 				stream.Answers(ctx)
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -31,17 +31,17 @@
 	syncDelay = 5 * time.Second
 )
 
-// memberMesh is the part of member.Mesh that the agent uses.
+// memberMesh is the part of member.Service that the agent uses.
 type memberMesh interface {
 	Self() state.Member
 	// Members returns the live members, this one included.
 	Members() []state.Member
 	DownMembers() []state.Member
-	Proxies() subscription.Proxies
-	Claims() []singleton.Claim
+	CountProxies() subscription.ProxyCounts
+	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
-	SetFront(string)
-	Subscribe(table gossip.Table, take func(gossip.Entry))
+	SetClientAddress(string)
+	Subscribe(table gossip.TableID, take func(gossip.Entry))
 	Leave(context.Context) error
 }
 
@@ -50,7 +50,7 @@
 	settings   *settings.Process
 	log        *zerolog.Logger
 	mesh       memberMesh
-	stateOwner *actor.Owner[agentState]
+	stateOwner *actor.Actor[agentState]
 	started    time.Time
 
 	announceMutex sync.Mutex
@@ -87,7 +87,7 @@
 			stopping = nil
 			ticker.Reset(shutdownTickInterval)
 			event.ProgramStopping.Log(a.log).Send()
-			a.stateOwner.Tell(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
+			a.stateOwner.Send(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
 		case <-ticker.C:
 		}
 		if a.tick() {
@@ -98,8 +98,8 @@
 
 // tick applies what depends on time and reports whether the agent may stop.
 func (a *agent) tick() (stopped bool) {
-	proxies, synced := a.mesh.Proxies(), a.isSynced()
-	stopped, _ = actor.Ask(a.stateOwner, func(s *agentState) bool {
+	proxies, synced := a.mesh.CountProxies(), a.isSynced()
+	stopped, _ = actor.Call(a.stateOwner, func(s *agentState) bool {
 		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
@@ -114,7 +114,7 @@
 func (a *agent) announceProxy() {
 	a.announceMutex.Lock()
 	defer a.announceMutex.Unlock()
-	current, ok := actor.Ask(a.stateOwner, func(s *agentState) announcement {
+	current, ok := actor.Call(a.stateOwner, func(s *agentState) announcement {
 		return announcement{state: s.proxyState(time.Now()), front: s.proxy.front}
 	})
 	if !ok || current == a.announced {
@@ -126,7 +126,7 @@
 		Str("front", current.front).
 		Send()
 	if current.front != a.announced.front {
-		a.mesh.SetFront(current.front)
+		a.mesh.SetClientAddress(current.front)
 	}
 	if current.state != a.announced.state {
 		a.mesh.SetState(current.state)
--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -26,7 +26,7 @@
 func (f fakeVoters) query(_ context.Context, address string, request *register.QueryRequest) (*register.Vote, error) {
 	time.Sleep(5 * time.Millisecond)
 	vote, ok := f[address]
-	if !ok || !request.Brief {
+	if !ok || !request.RevisionOnly {
 		return nil, errUnreachable
 	}
 	return &vote, nil
@@ -41,13 +41,13 @@
 }
 
 func newGrantedVote(revision uint64) register.Vote {
-	return register.Vote{Verdict: register.Granted, Revision: revision}
+	return register.Vote{Result: register.Granted, Revision: revision}
 }
 
 // newUnconfirmedAgent returns an agent that has just started.
 func newUnconfirmedAgent() *testAgent {
 	s := newTestAgent(8 * time.Second)
-	s.stateOwner.Tell(func(s *agentState) { s.confirmed = false })
+	s.stateOwner.Send(func(s *agentState) { s.confirmed = false })
 	return s
 }
 
@@ -60,11 +60,11 @@
 	}{
 		{"the voters are those of the outdated record", fakeVoters{"b": newGrantedVote(7), "c": newGrantedVote(6)}},
 		{"the voters have been replaced since", fakeVoters{
-			"a": {Verdict: register.Granted, Revision: 5},
-			"b": {Verdict: register.Stranger, Established: newSuccessorVoters()},
+			"a": {Result: register.Granted, Revision: 5},
+			"b": {Result: register.WrongReplica, CommittedVoters: newSuccessorVoters()},
 			"d": newGrantedVote(7), "e": newGrantedVote(4)}},
 		{"a replacement of the voters is in progress", fakeVoters{
-			"a": newGrantedVote(5), "b": {Verdict: register.Granted, Revision: 6, Proposed: newSuccessorVoters()},
+			"a": newGrantedVote(5), "b": {Result: register.Granted, Revision: 6, ProposedVoters: newSuccessorVoters()},
 			"d": newGrantedVote(7), "e": newGrantedVote(4)}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,12 +72,12 @@
 				s := newUnconfirmedAgent()
 				defer s.stateOwner.Stop()
 				go s.confirmRecord(t.Context(), test.voters.query)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: newReplicaSet(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				poll := s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Replicas: newReplicaSet(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Replicas: newReplicaSet(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-poll
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(7), got.response.Record.Revision)
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newUnconfirmedAgent()
 		defer s.stateOwner.Stop()
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: newReplicaSet(1, "a", "b", "c")})
+		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 		go s.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
 		got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
@@ -123,7 +123,7 @@
 					voters["a"] = newGrantedVote(9)
 				}
 				go s.confirmRecord(t.Context(), voters.query)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Replicas: newReplicaSet(1, "a", "b", "c")})
+				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -24,15 +24,15 @@
 	mutex       sync.Mutex
 	self        state.Member
 	others      []state.Member
-	proxies     subscription.Proxies
-	subscribers map[gossip.Table]func(gossip.Entry)
+	proxies     subscription.ProxyCounts
+	subscribers map[gossip.TableID]func(gossip.Entry)
 	states      []state.MemberState // announced by the agent, in order
 	left        bool
 	leaveError  error
 }
 
 func newFakeMesh() *fakeMesh {
-	return &fakeMesh{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.Table]func(gossip.Entry){}}
+	return &fakeMesh{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.TableID]func(gossip.Entry){}}
 }
 
 func (f *fakeMesh) Self() state.Member {
@@ -47,10 +47,10 @@
 	return append([]state.Member{f.self}, f.others...)
 }
 
-func (f *fakeMesh) DownMembers() []state.Member { return nil }
-func (f *fakeMesh) Claims() []singleton.Claim   { return nil }
+func (f *fakeMesh) DownMembers() []state.Member   { return nil }
+func (f *fakeMesh) RoleClaims() []singleton.Claim { return nil }
 
-func (f *fakeMesh) Proxies() subscription.Proxies {
+func (f *fakeMesh) CountProxies() subscription.ProxyCounts {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.proxies
@@ -63,10 +63,10 @@
 	f.states = append(f.states, announced)
 }
 
-func (f *fakeMesh) SetFront(front string) {
+func (f *fakeMesh) SetClientAddress(front string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.self.Front = front
+	f.self.ProxyAddress = front
 }
 
 func (f *fakeMesh) announced() []state.MemberState {
@@ -75,7 +75,7 @@
 	return slices.Clone(f.states)
 }
 
-func (f *fakeMesh) Subscribe(table gossip.Table, take func(gossip.Entry)) {
+func (f *fakeMesh) Subscribe(table gossip.TableID, take func(gossip.Entry)) {
 	f.subscribers[table] = take
 }
 
@@ -91,7 +91,7 @@
 }
 
 // deliver passes an entry to the agent's subscriber, as the mesh does.
-func (f *fakeMesh) deliver(t *testing.T, table gossip.Table, value any) {
+func (f *fakeMesh) deliver(t *testing.T, table gossip.TableID, value any) {
 	t.Helper()
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
@@ -110,9 +110,9 @@
 	fake := newFakeMesh()
 	log := zerolog.Nop()
 	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
-	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", BeatInterval: time.Second})
+	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", HeartbeatInterval: time.Second})
 	a := newAgent(process, &log, fake, table)
-	a.stateOwner.Tell(func(s *agentState) { s.confirmRevision(0) })
+	a.stateOwner.Send(func(s *agentState) { s.confirmRevision(0) })
 	forwarded := make(chan []state.Observation, 100)
 	return &testAgent{
 		agent:        a,
@@ -147,5 +147,5 @@
 
 // newWaitingRequest returns a request that waits for up to five seconds.
 func newWaitingRequest(since subscription.Cursor, reported state.MemberState) *subscription.Request {
-	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, Front: "10.0.0.1:80"}
+	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, ClientAddress: "10.0.0.1:80"}
 }
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -28,7 +28,7 @@
 
 // receivers returns, by endpoint ID, the member that receives the endpoint's heartbeats.
 func (a *agent) receivers(ids []string) map[string]string {
-	receivers, _ := actor.Ask(a.stateOwner, func(s *agentState) map[string]string {
+	receivers, _ := actor.Call(a.stateOwner, func(s *agentState) map[string]string {
 		byID := make(map[string]string, len(ids))
 		for _, id := range ids {
 			if endpoint, found := s.updates.endpoints.Get(time.Now(), id); found {
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	request := exchange.ObserveRequest{Observer: f.observer, Observations: observations}
-	_, _ = exchange.Observe.Call(ctx, f.client, address, &request)
+	_, _ = exchange.ObserveMethod.Call(ctx, f.client, address, &request)
 }
 
 // groupByAddress groups observations by the core member that judges the endpoint: its receiver or, if that isn't live,
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -68,7 +68,7 @@
 
 	client := rpc.NewClient()
 	defer client.Close()
-	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, Front: "127.0.0.1:80", WaitMillis: 5000}
+	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, ClientAddress: "127.0.0.1:80", WaitMillis: 5000}
 	var response *subscription.Response
 	require.Eventually(t, func() (up bool) {
 		var err error
@@ -87,7 +87,7 @@
 	require.NoError(t, json.NewDecoder(answer.Body).Decode(&decoded))
 	assert.Equal(t, []string{"127.0.0.1:80"}, decoded.Addresses)
 
-	report, err := introspect.Ask(ctx, client, process.InnerAddress(), introspect.Request{WithTables: true})
+	report, err := introspect.Fetch(ctx, client, process.InnerAddress(), introspect.Request{IncludeTables: true})
 	require.NoError(t, err)
 	assert.Equal(t, "a", report.Self.Name)
 	assert.Equal(t, state.MemberReady, report.Self.State)
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -21,9 +21,9 @@
 
 // The real parts fit the interfaces.
 var (
-	_ Mesh               = (*member.Mesh)(nil)
+	_ Gossip             = (*member.Service)(nil)
 	_ operator.Spread    = (*Exchange)(nil)
-	_ operator.Endpoints = (*endpoints.Owner)(nil)
+	_ operator.Endpoints = (*endpoints.SharedTable)(nil)
 )
 
 // fakeMesh gives back each entry to those who subscribe, as the mesh does.
@@ -56,28 +56,28 @@
 	return nil
 }
 
-func (f *fakeMesh) Subscribe(_ gossip.Table, call func(gossip.Entry)) { f.subscriber = call }
+func (f *fakeMesh) Subscribe(_ gossip.TableID, call func(gossip.Entry)) { f.subscriber = call }
 
 func (f *fakeMesh) Members() []state.Member { return f.live }
 
 func (f *fakeMesh) Self() state.Member { return state.Member{Name: "core-1"} }
 
-func (f *fakeMesh) Holder(string, singleton.Scope) singleton.Holding {
-	return singleton.Holding{Mine: f.mine}
+func (f *fakeMesh) AcquireRole(string, singleton.Scope) singleton.Assignment {
+	return singleton.Assignment{Local: f.mine}
 }
 
 func start(t *testing.T, f *fakeMesh) *Exchange {
 	log := zerolog.Nop()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	return Start(ctx, Options{Mesh: f, BeatInterval: time.Second, InTouch: func() bool { return !f.cutOff }, Log: &log})
+	return Start(ctx, Options{Gossip: f, HeartbeatInterval: time.Second, HasQuorum: func() bool { return !f.cutOff }, Log: &log})
 }
 
 func TestSilentAndLostEndpointsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeMesh{live: []state.Member{{Name: "core-1", Address: "a:1"}}}
 		x := start(t, f)
-		endpoint, _, _ := x.Table().Beat("e", endpoints.Beat{Service: "s", Address: "x:1", Sequence: 3})
+		endpoint, _, _ := x.Table().ReceiveHeartbeat("e", endpoints.Heartbeat{Service: "s", Address: "x:1", Sequence: 3})
 		x.Put(endpoint)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
@@ -88,7 +88,7 @@
 		require.Len(t, f.told(), 3)
 		told, err := endpoints.Decode(f.told()[2].Value)
 		require.NoError(t, err)
-		assert.Equal(t, state.Gone, told.State)
+		assert.Equal(t, state.EndpointDeparted, told.State)
 		assert.True(t, endpoints.IsTombstone(f.told()[2].Value))
 	})
 }
@@ -110,7 +110,7 @@
 					f.live = append(f.live, state.Member{Name: "core-2"})
 				}
 				start(t, f)
-				entry, err := entryOf(state.Endpoint{ID: "e", Service: "s", Receiver: "core-2", Sequence: 4})
+				entry, err := encodeEntry(state.Endpoint{ID: "e", Service: "s", Receiver: "core-2", Sequence: 4})
 				require.NoError(t, err)
 				f.subscriber(entry)
 				f.subscriber(gossip.Entry{Key: "f", Value: []byte{0xff}})
--- a/serving/placement/update.go
+++ b/serving/placement/snapshot.go
@@ -46,14 +46,14 @@
 	e.region = p.options.Regions[info.Zone]
 	e.zone = p.ensureZone(info.Zone)
 	e.prefixCache.tokenLimit = e.service.cacheTokens() / 2 // the other half is left to running requests and others' parts
-	e.excluded = e.replaced || info.State != state.Accepting || p.evacuated[info.Zone]
+	e.excluded = e.replaced || info.State != state.EndpointAccepting || p.evacuated[info.Zone]
 	return e
 }
 
 // updateWarmup reads from newer word how long the endpoint stays cold, counted from now: too long rather than too short.
 func (e *endpoint) updateWarmup(now time.Time, info *state.Endpoint) {
-	if info.ColdLeftMillis > 0 {
-		left := time.Duration(info.ColdLeftMillis) * time.Millisecond
+	if info.WarmupLeftMillis > 0 {
+		left := time.Duration(info.WarmupLeftMillis) * time.Millisecond
 		e.warmup.reportedUntil = now.Add(left + warmupMargin)
 		return
 	}
