--- a/serving/placement/benchmark_test.go
+++ b/serving/placement/benchmark_test.go
@@ -7,8 +7,8 @@
 	"rowanlink/serving/attempt"
 )
 
-func BenchmarkChoose(b *testing.B) {
-	w := newWorld(b, "e1", append(append(modelEndpoints("e1", 5), modelEndpoints("e2", 5)...), modelEndpoints("w1", 8)...)...)
+func BenchmarkPick(b *testing.B) {
+	w := newFixture(b, "e1", append(append(modelEndpoints("e1", 5), modelEndpoints("e2", 5)...), modelEndpoints("w1", 8)...)...)
 	requests := make([]Request, 64)
 	for subject := range requests {
 		requests[subject] = w.request("review", subject)
@@ -23,9 +23,9 @@
 }
 
 func BenchmarkUpdate(b *testing.B) {
-	w := newWorld(b, "e1", append(modelEndpoints("e1", 100), modelEndpoints("w1", 200)...)...)
+	w := newFixture(b, "e1", append(modelEndpoints("e1", 100), modelEndpoints("w1", 200)...)...)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.tell()
+		w.update()
 	}
 }
--- a/serving/placement/burst_test.go
+++ b/serving/placement/burst_test.go
@@ -10,97 +10,100 @@
 	"rowanlink/serving/attempt"
 )
 
-// burst plays parallel requests that come at once to one endpoint at rest, in steps of a millisecond.
+// burst simulates requests that arrive at the same time for one idle endpoint, in steps of a millisecond.
 type burst struct {
-	*world
-	request Request
-	took    time.Duration // each at the endpoint
-	started time.Time
-	looks   []time.Time // of the requests that wait: when each asks again
-	ends    []time.Time // of the calls out
-	tickets []Reservation
-	refused []time.Duration // after which requests were refused
-	busy    []int           // the calls out at each refusal
-	served  int
+	*pickerFixture
+	request             Request
+	callTime            time.Duration // of each call
+	startedAt           time.Time
+	retryAt             []time.Time // of the waiting requests: when each calls Pick again
+	endAt               []time.Time // of the calls in flight
+	reservations        []Reservation
+	rejectedAfter       []time.Duration // time that each rejected request had waited
+	inFlightAtRejection []int           // calls in flight at each rejection
+	served              int
 }
 
-func newBurst(w *world, requests int, request Request, took time.Duration) *burst {
-	b := &burst{world: w, request: request, took: took, started: w.now}
+func newBurst(w *pickerFixture, requests int, request Request, took time.Duration) *burst {
+	b := &burst{pickerFixture: w, request: request, callTime: took, startedAt: w.now}
 	for range requests {
-		b.looks = append(b.looks, w.now)
+		b.retryAt = append(b.retryAt, w.now)
 	}
 	return b
 }
 
-func (b *burst) play() {
-	for len(b.looks) > 0 {
-		b.finish()
-		waiting := b.looks
-		b.looks = nil
-		for _, look := range waiting {
-			if b.now.Before(look) {
-				b.looks = append(b.looks, look)
+// run simulates until every request has been sent or rejected.
+func (b *burst) run() {
+	for len(b.retryAt) > 0 {
+		b.finishCalls()
+		waiting := b.retryAt
+		b.retryAt = nil
+		for _, at := range waiting {
+			if b.now.Before(at) {
+				b.retryAt = append(b.retryAt, at)
 				continue
 			}
-			b.ask()
+			b.pick()
 		}
 		b.now = b.now.Add(time.Millisecond)
 	}
 }
 
-// finish ends the calls whose time is over.
-func (b *burst) finish() {
-	for len(b.ends) > 0 && !b.now.Before(b.ends[0]) {
-		b.ReportOutcome(b.now, b.tickets[0], attempt.Succeeded)
-		b.ends, b.tickets = b.ends[1:], b.tickets[1:]
+// finishCalls ends the calls that have taken their time.
+func (b *burst) finishCalls() {
+	for len(b.endAt) > 0 && !b.now.Before(b.endAt[0]) {
+		b.ReportOutcome(b.now, b.reservations[0], attempt.Succeeded)
+		b.endAt, b.reservations = b.endAt[1:], b.reservations[1:]
 		b.served++
 	}
 }
 
-// ask looks for a place for one request.
-func (b *burst) ask() {
-	b.request.QueuedFor = b.now.Sub(b.started)
-	choice, verdict := b.Pick(b.now, b.request)
-	switch verdict.Kind {
+// pick calls Pick for one request.
+func (b *burst) pick() {
+	b.request.QueuedFor = b.now.Sub(b.startedAt)
+	choice, decision := b.Pick(b.now, b.request)
+	switch decision.Kind {
 	case Picked:
-		b.ends, b.tickets = append(b.ends, b.now.Add(b.took)), append(b.tickets, choice.Reservation)
+		b.endAt = append(b.endAt, b.now.Add(b.callTime))
+		b.reservations = append(b.reservations, choice.Reservation)
 	case Wait:
-		b.looks = append(b.looks, b.now.Add(verdict.Delay))
+		b.retryAt = append(b.retryAt, b.now.Add(decision.Delay))
 	case Reject:
-		b.refused, b.busy = append(b.refused, b.request.QueuedFor), append(b.busy, len(b.ends))
+		b.rejectedAfter = append(b.rejectedAfter, b.request.QueuedFor)
+		b.inFlightAtRejection = append(b.inFlightAtRejection, len(b.endAt))
 	}
 }
 
-// TestABurstIsRefusedOnlyAtTheEndOfItsPatience: nothing is refused while less than half of the slots are taken, nor
-// before the last moment in which a place may come free.
-func TestABurstIsRefusedOnlyAtTheEndOfItsPatience(t *testing.T) {
+// TestBurst_IsRejectedOnlyAtTheEndOfItsQueueTime: nothing is rejected while fewer than half of the slots are taken,
+// nor before the last moment in which a slot may become free.
+func TestBurst_IsRejectedOnlyAtTheEndOfItsQueueTime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		endpoints := plainEndpoints("plain", "e1")
 		endpoints[0].Slots = rapid.IntRange(1, 16).Draw(r, "slots")
-		w := newWorld(t, "e1", endpoints...)
+		w := newFixture(t, "e1", endpoints...)
 		request := w.request("plain", 0)
 		route := *request.Route
 		route.Target = time.Duration(rapid.IntRange(60, 2000).Draw(r, "target")) * time.Millisecond
 		request.Route = &route
 		took := time.Duration(rapid.IntRange(1, 1000).Draw(r, "took")) * time.Millisecond
 		b := newBurst(w, rapid.IntRange(1, 40).Draw(r, "requests"), request, took)
-		b.play()
-		for index, after := range b.refused {
-			assert.GreaterOrEqual(r, 2*b.busy[index], endpoints[0].Slots, "half of the slots are taken")
+		b.run()
+		for index, after := range b.rejectedAfter {
+			assert.GreaterOrEqual(r, 2*b.inFlightAtRejection[index], endpoints[0].Slots, "half of the slots are taken")
 			assert.GreaterOrEqual(r, after, route.Target/4-queueTimeSlack-minPollInterval)
 			assert.Less(r, after, route.Target/4)
 		}
 	})
 }
 
-// TestABurstOfShortCallsIsServed: 20 calls of 30 ms at 8 slots take 150 ms from half of the slots upward, within a
-// quarter of a second.
-func TestABurstOfShortCallsIsServed(t *testing.T) {
+// TestBurst_OfShortCallsIsServed: 20 calls of 30 ms at 8 slots, of which half are used at first, take 150 ms; they may
+// queue for 250 ms.
+func TestBurst_OfShortCallsIsServed(t *testing.T) {
 	endpoints := plainEndpoints("plain", "e1")
 	endpoints[0].Slots = 8
-	w := newWorld(t, "e1", endpoints...)
+	w := newFixture(t, "e1", endpoints...)
 	b := newBurst(w, 20, w.request("plain", 0), 30*time.Millisecond)
-	b.play()
-	assert.Empty(t, b.refused)
-	assert.Equal(t, 20, b.served+len(b.ends))
+	b.run()
+	assert.Empty(t, b.rejectedAfter)
+	assert.Equal(t, 20, b.served+len(b.endAt))
 }
--- a/serving/placement/eligibility_test.go
+++ b/serving/placement/eligibility_test.go
@@ -12,27 +12,27 @@
 	"rowanlink/serving/state"
 )
 
-func TestNothingGoesWhereItMayNot(t *testing.T) {
+func TestPick_OnlyEligibleEndpoints(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		endpoints := append(modelEndpoints("e1", 2), modelEndpoints("w1", 2)...)
 		endpoints = append(endpoints, modelEndpoints("e2", 2)...)
-		w := newWorld(t, rapid.SampledFrom([]string{"e1", "e2", "w1"}).Draw(r, "zone"), endpoints...)
+		w := newFixture(t, rapid.SampledFrom([]string{"e1", "e2", "w1"}).Draw(r, "zone"), endpoints...)
 		for range 40 {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(r, "ms")) * time.Millisecond)
-			index := rapid.IntRange(0, len(w.view.Endpoints)-1).Draw(r, "endpoint")
-			info := &w.view.Endpoints[index]
+			index := rapid.IntRange(0, len(w.snapshot.Endpoints)-1).Draw(r, "endpoint")
+			info := &w.snapshot.Endpoints[index]
 			switch rapid.IntRange(0, 4).Draw(r, "event") {
 			case 0:
 				info.State = rapid.SampledFrom([]state.EndpointState{state.EndpointAccepting, state.EndpointDraining, state.EndpointDeparted}).Draw(r, "state")
 				info.Sequence++
 			case 1:
 				zone := rapid.SampledFrom([]string{"e1", "e2", "w1"}).Draw(r, "evacuated")
-				w.view.Record.Evacuations = []state.Evacuation{{Zone: zone, Active: rapid.Bool().Draw(r, "active")}}
+				w.snapshot.Record.Evacuations = []state.Evacuation{{Zone: zone, Active: rapid.Bool().Draw(r, "active")}}
 			}
-			w.tell()
+			w.update()
 			request := w.request(rapid.SampledFrom([]string{"review", "home", "urgent"}).Draw(r, "route"), index)
-			choice, verdict := w.Pick(w.now, request)
-			if verdict.Kind != Picked {
+			choice, decision := w.Pick(w.now, request)
+			if decision.Kind != Picked {
 				continue
 			}
 			assert.Equal(r, state.EndpointAccepting, choice.Endpoint.State)
@@ -45,25 +45,25 @@
 	})
 }
 
-func TestOwnRegionFirstThenAnother(t *testing.T) {
-	w := newWorld(t, "e1", append(modelEndpoints("e2", 2), modelEndpoints("w1", 4)...)...)
+func TestPick_OwnRegionBeforeOthers(t *testing.T) {
+	w := newFixture(t, "e1", append(modelEndpoints("e2", 2), modelEndpoints("w1", 4)...)...)
 	for subject := range 20 {
-		choice, verdict := w.Pick(w.now, w.shortRequest("review", subject))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.shortRequest("review", subject))
+		require.Equal(t, Picked, decision.Kind)
 		assert.Equal(t, "e2", choice.Endpoint.Zone)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
-	w.view.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
-	w.tell()
-	choice, verdict := w.Pick(w.now, w.shortRequest("review", 1))
-	require.Equal(t, Picked, verdict.Kind)
+	w.snapshot.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
+	w.update()
+	choice, decision := w.Pick(w.now, w.shortRequest("review", 1))
+	require.Equal(t, Picked, decision.Kind)
 	assert.Equal(t, "w1", choice.Endpoint.Zone)
-	_, verdict = w.Pick(w.now, w.shortRequest("home", 1))
-	assert.Equal(t, Reject, verdict.Kind, "nothing is left at home")
+	_, decision = w.Pick(w.now, w.shortRequest("home", 1))
+	assert.Equal(t, Reject, decision.Kind, "nothing is left at home")
 }
 
-func TestASplitKeepsItsWeightsAndARequestItsService(t *testing.T) {
-	w := newWorld(t, "e1", append(plainEndpoints("plain", "e1", "e2"), plainEndpoints("other", "e1", "e2")...)...)
+func TestPick_SplitRouteKeepsWeightsAndRetriesKeepService(t *testing.T) {
+	w := newFixture(t, "e1", append(plainEndpoints("plain", "e1", "e2"), plainEndpoints("other", "e1", "e2")...)...)
 	drawn := map[string]int{}
 	for range 1000 {
 		request := w.request("split", 0)
@@ -79,33 +79,33 @@
 	assert.InDelta(t, 100, drawn["other"], 40)
 }
 
-func TestAnEndpointThatAnswers421IsLeftOutUntilItSpeaksAgain(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestPick_MisdirectedEndpointIsExcludedUntilItsNextHeartbeat(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	choice, _ := w.Pick(w.now, w.request("review", 1))
 	w.ReportOutcome(w.now, choice.Reservation, attempt.Misdirected)
-	_, verdict := w.Pick(w.now, w.request("review", 1))
-	assert.NotEqual(t, Picked, verdict.Kind)
-	w.tell()
-	_, verdict = w.Pick(w.now, w.request("review", 1))
-	assert.NotEqual(t, Picked, verdict.Kind, "the same word again is no news")
-	w.view.Endpoints[0].Sequence++
-	w.tell()
-	_, verdict = w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Picked, verdict.Kind)
+	_, decision := w.Pick(w.now, w.request("review", 1))
+	assert.NotEqual(t, Picked, decision.Kind)
+	w.update()
+	_, decision = w.Pick(w.now, w.request("review", 1))
+	assert.NotEqual(t, Picked, decision.Kind, "the same word again is no news")
+	w.snapshot.Endpoints[0].Sequence++
+	w.update()
+	_, decision = w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Picked, decision.Kind)
 }
 
-func TestASilentEndpointIsTheLastChoice(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
-	w.view.Endpoints[0].Unresponsive = true
-	w.tell()
+func TestPick_UnresponsiveEndpointIsLastChoice(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 3)...)
+	w.snapshot.Endpoints[0].Unresponsive = true
+	w.update()
 	for subject := range 30 {
-		choice, verdict := w.Pick(w.now, w.request("review", subject))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.request("review", subject))
+		require.Equal(t, Picked, decision.Kind)
 		assert.NotEqual(t, "e1-0", choice.Endpoint.ID)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
-	w.view.Endpoints[1].State, w.view.Endpoints[2].State = state.EndpointDraining, state.EndpointDraining
-	w.tell()
-	_, verdict := w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Picked, verdict.Kind, "there is nothing else")
+	w.snapshot.Endpoints[1].State, w.snapshot.Endpoints[2].State = state.EndpointDraining, state.EndpointDraining
+	w.update()
+	_, decision := w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Picked, decision.Kind, "there is nothing else")
 }
--- a/serving/placement/estimate_test.go
+++ b/serving/placement/estimate_test.go
@@ -11,15 +11,15 @@
 	"rowanlink/serving/state"
 )
 
-func TestReportsOnLoadRefineTheEstimate(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
+func TestEstimate_UsesFreshLoadReports(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 3)...)
 	request := w.request("review", 1)
 	first, _ := w.Pick(w.now, request)
 	w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
-	w.view.Loads = []state.Load{{EndpointID: first.Endpoint.ID, Queued: 60, CacheTotal: 180_000, Measurement: 1}}
-	w.tell()
-	second, verdict := w.Pick(w.now, request)
-	require.Equal(t, Picked, verdict.Kind)
+	w.snapshot.Loads = []state.Load{{EndpointID: first.Endpoint.ID, Queued: 60, CacheTotal: 180_000, Measurement: 1}}
+	w.update()
+	second, decision := w.Pick(w.now, request)
+	require.Equal(t, Picked, decision.Kind)
 	assert.NotEqual(t, first.Endpoint.ID, second.Endpoint.ID, "its queue is longer than the prefix is worth")
 	w.ReportOutcome(w.now, second.Reservation, attempt.Succeeded)
 	w.now = w.now.Add(loadReportTTL + time.Millisecond)
@@ -27,8 +27,8 @@
 	assert.Contains(t, []string{first.Endpoint.ID, second.Endpoint.ID}, third.Endpoint.ID, "the report is old")
 }
 
-func TestOwnCallsThatWaitMakeTheEstimateLonger(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestEstimate_GrowsWithPrefillBacklog(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	var expected []time.Duration
 	var out []Reservation
 	for subject := range 5 {
@@ -39,30 +39,30 @@
 	assert.IsIncreasing(t, expected)
 	urgent, _ := w.Pick(w.now, w.request("urgent", 6))
 	assert.Less(t, urgent.ExpectedFirstByte, expected[2], "the more urgent are read first")
-	for _, ticket := range out {
-		w.ReportProgress(w.now, ticket)
+	for _, reservation := range out {
+		w.ReportProgress(w.now, reservation)
 	}
 	rested, _ := w.Pick(w.now, w.request("review", 7))
 	assert.Less(t, rested.ExpectedFirstByte, expected[4])
 }
 
-func TestARequestThatWouldWaitLongerThanItsTimeIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestPick_RejectsWhenQueueDelayExceedsTimeLeft(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	for subject := range 20 {
-		_, verdict := w.Pick(w.now, w.request("review", subject))
-		require.Equal(t, Picked, verdict.Kind)
+		_, decision := w.Pick(w.now, w.request("review", subject))
+		require.Equal(t, Picked, decision.Kind)
 	}
 	short := w.request("review", 1)
 	short.TimeLeft = time.Second
-	_, verdict := w.Pick(w.now, short)
-	assert.Equal(t, Reject, verdict.Kind)
-	assert.Positive(t, verdict.Delay)
-	_, verdict = w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Picked, verdict.Kind, "it has the time")
+	_, decision := w.Pick(w.now, short)
+	assert.Equal(t, Reject, decision.Kind)
+	assert.Positive(t, decision.Delay)
+	_, decision = w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Picked, decision.Kind, "it has the time")
 }
 
-func TestSilenceOnEveryCallPutsAnEndpointAside(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
+func TestOutcome_HangOnEveryCallEjectsEndpoint(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 3)...)
 	choice, _ := w.Pick(w.now, w.request("review", 1))
 	e := choice.Reservation.call.endpoint
 	w.now = w.now.Add(800 * time.Millisecond)
@@ -74,8 +74,8 @@
 	assert.True(t, w.now.Before(e.health.backoffUntil))
 }
 
-func TestAClientThatLeavesSaysNothingOfAnEndpointThatAnswers(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestOutcome_CanceledCallWithFirstByteIsNoFailure(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	choice, _ := w.Pick(w.now, w.request("review", 1))
 	w.ReportProgress(w.now.Add(time.Second), choice.Reservation)
 	w.ReportOutcome(w.now.Add(20*time.Second), choice.Reservation, attempt.Canceled)
@@ -84,8 +84,8 @@
 	assert.Zero(t, e.health.failureRate)
 }
 
-func TestARefusalOfWhatIsTooLargeSaysNothingOfLoad(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestOutcome_RejectionOfOversizedRequestIsNoSignOfLoad(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	request := w.request("review", 1)
 	request.PromptTokens = 200_000
 	choice, _ := w.Pick(w.now, request)
@@ -96,17 +96,17 @@
 	assert.False(t, w.now.Before(e.health.backoffUntil))
 }
 
-func TestAColdEndpointOwnsNoPrefix(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 3)...)
+func TestPrefixOwner_IsNotWarmingUp(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 3)...)
 	request := w.request("review", 1)
 	first, _ := w.Pick(w.now, request)
 	w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
-	for index := range w.view.Endpoints {
-		if info := &w.view.Endpoints[index]; info.ID == first.Endpoint.ID {
+	for index := range w.snapshot.Endpoints {
+		if info := &w.snapshot.Endpoints[index]; info.ID == first.Endpoint.ID {
 			info.Sequence, info.WarmupLeftMillis = 2, 60_000
 		}
 	}
-	w.tell()
+	w.update()
 	met := map[string]int{}
 	for range 10 {
 		choice, _ := w.Pick(w.now, w.request("review", 1))
@@ -118,12 +118,12 @@
 	assert.Len(t, met, 1, "one stands in")
 }
 
-func TestPlainCallsGoToTheLessLoaded(t *testing.T) {
-	w := newWorld(t, "e1", plainEndpoints("plain", "e1", "e2", "w1")...)
+func TestPick_PlainServiceLeastLoaded(t *testing.T) {
+	w := newFixture(t, "e1", plainEndpoints("plain", "e1", "e2", "w1")...)
 	count := map[string]int{}
 	for range 4 {
-		choice, verdict := w.Pick(w.now, w.request("plain", 0))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.request("plain", 0))
+		require.Equal(t, Picked, decision.Kind)
 		count[choice.Endpoint.Zone]++
 	}
 	assert.Equal(t, map[string]int{"e1": 2, "e2": 2}, count)
--- a/serving/placement/helpers_test.go
+++ b/serving/placement/helpers_test.go
@@ -16,20 +16,20 @@
 
 // The deployment of the tests: two zones in region east, one in region west.
 var (
-	begin   = time.Unix(1000, 0)
-	regions = map[string]string{"e1": "east", "e2": "east", "w1": "west"}
-	bounds  = settings.Bounds{ColdExcess: 1.5, ColdSlack: 5}
+	startTime = time.Unix(1000, 0)
+	regions   = map[string]string{"e1": "east", "e2": "east", "w1": "west"}
+	bounds    = settings.Bounds{ColdExcess: 1.5, ColdSlack: 5}
 )
 
-// testDocument is a configuration with a language model's service and a plain one.
-func testDocument(t testing.TB) *routing.Table {
+// testRouting returns a configuration with the service of a language model and two plain services.
+func testRouting(t testing.TB) *routing.Table {
 	route := func(name, kind, service string, more map[string]any) map[string]any {
-		made := map[string]any{"name": name, "station": "a.example", "lane_prefix": "/" + name + "/", "line_type": kind,
+		built := map[string]any{"name": name, "station": "a.example", "lane_prefix": "/" + name + "/", "line_type": kind,
 			"timeout_ms": 6000, "target_ms": 1000, "precedence": 1, "carrier": service, "tries": 2, "home_regions": []string{}}
 		for key, value := range more {
-			made[key] = value
+			built[key] = value
 		}
-		return made
+		return built
 	}
 	text, err := json.Marshal(map[string]any{
 		"edition": 1,
@@ -58,62 +58,63 @@
 	return table
 }
 
-// world is a placer and what it is told.
-type world struct {
+// pickerFixture is a picker with the snapshot that it has been given.
+type pickerFixture struct {
 	*Picker
-	view Snapshot
-	now  time.Time
+	snapshot Snapshot
+	now      time.Time
 }
 
-func newWorld(t testing.TB, zone string, endpoints ...state.Endpoint) *world {
-	w := &world{now: begin.Add(10 * time.Second), Picker: New(Options{Name: "proxy-" + zone, Zone: zone,
-		Region: regions[zone], Regions: regions, Bounds: bounds, Seed: 7, StartedAt: begin})}
-	w.view = Snapshot{Routing: testDocument(t), Endpoints: endpoints, Record: &state.Record{Revision: 1},
+func newFixture(t testing.TB, zone string, endpoints ...state.Endpoint) *pickerFixture {
+	w := &pickerFixture{now: startTime.Add(10 * time.Second), Picker: New(Options{Name: "proxy-" + zone, Zone: zone,
+		Region: regions[zone], Regions: regions, Bounds: bounds, Seed: 7, StartedAt: startTime})}
+	w.snapshot = Snapshot{Routing: testRouting(t), Endpoints: endpoints, Record: &state.Record{Revision: 1},
 		Proxies: subscription.ProxyCounts{Live: 3, MaxRunning: 3, LiveInRegion: 2}}
-	w.tell()
+	w.update()
 	return w
 }
 
-func (w *world) tell() { w.Update(w.now, w.view) }
+// update gives the picker the current snapshot.
+func (w *pickerFixture) update() { w.Update(w.now, w.snapshot) }
 
-// route finds a route of the test document by its name.
-func (w *world) route(name string) *routing.Route {
-	found, ok := w.view.Routing.Match("a.example", "/"+name+"/")
+// route returns a route of the test configuration by its name.
+func (w *pickerFixture) route(name string) *routing.Route {
+	found, ok := w.snapshot.Routing.Match("a.example", "/"+name+"/")
 	if !ok {
 		panic("no route " + name)
 	}
 	return found
 }
 
-// request is one on the named route, with a prompt that shares its first two parts with others of the subject.
-func (w *world) request(route string, subject int) Request {
-	parts := []PrefixBlock{{"b" + fmt.Sprint(subject%4), 2500}, {"s" + fmt.Sprint(subject), 3800}, {"own", 2000}}
-	return Request{Route: w.route(route), Model: "m", PromptTokens: 8300, MaxOutputTokens: 50, Blocks: parts,
+// request returns a request on the named route whose first two prompt blocks are shared with others of the subject.
+func (w *pickerFixture) request(route string, subject int) Request {
+	blocks := []PrefixBlock{{"b" + fmt.Sprint(subject%4), 2500}, {"s" + fmt.Sprint(subject), 3800}, {"own", 2000}}
+	return Request{Route: w.route(route), Model: "m", PromptTokens: 8300, MaxOutputTokens: 50, Blocks: blocks,
 		TimeLeft: 6 * time.Second}
 }
 
-// shortRequest is one with a prompt whose shared part is read faster than another region is reached.
-func (w *world) shortRequest(route string, subject int) Request {
+// shortRequest is like request, but the shared block is prefilled faster than another region is reached.
+func (w *pickerFixture) shortRequest(route string, subject int) Request {
 	request := w.request(route, subject)
 	request.Blocks = []PrefixBlock{{"s" + fmt.Sprint(subject), 600}, {"own", 2000}}
 	request.PromptTokens = 2600
 	return request
 }
 
-// modelEndpoints makes count endpoints of the model's service in a zone.
-func modelEndpoints(zone string, count int) (made []state.Endpoint) {
+// modelEndpoints returns endpoints of the language model's service in a zone.
+func modelEndpoints(zone string, count int) (built []state.Endpoint) {
 	for index := range count {
-		made = append(made, state.Endpoint{ID: fmt.Sprintf("%s-%d", zone, index), Service: "model", Zone: zone,
+		built = append(built, state.Endpoint{ID: fmt.Sprintf("%s-%d", zone, index), Service: "model", Zone: zone,
 			Address: fmt.Sprintf("10.0.0.%d:80", index), Slots: 128, Sequence: 1, Models: []state.Model{{Name: "m"}}})
 	}
-	return made
+	return built
 }
 
-// plainEndpoints makes endpoints of a plain service, one in each of the zones.
-func plainEndpoints(service string, zones ...string) (made []state.Endpoint) {
+// plainEndpoints returns endpoints of a plain service, one in each of the zones.
+func plainEndpoints(service string, zones ...string) (built []state.Endpoint) {
 	for index, zone := range zones {
-		made = append(made, state.Endpoint{ID: fmt.Sprintf("%s-%d", service, index), Service: service, Zone: zone,
+		built = append(built, state.Endpoint{ID: fmt.Sprintf("%s-%d", service, index), Service: service, Zone: zone,
 			Address: fmt.Sprintf("10.0.1.%d:80", index), Slots: 6, Sequence: 1})
 	}
-	return made
+	return built
 }
--- a/serving/placement/observations_test.go
+++ b/serving/placement/observations_test.go
@@ -9,24 +9,24 @@
 	"rowanlink/serving/state"
 )
 
-// TestOutcomesThatAreTold: what an endpoint refuses or a client ends says nothing of its health.
-func TestOutcomesThatAreTold(t *testing.T) {
-	for outcome, told := range map[attempt.Outcome]bool{
+// TestObservations_ReportFailuresOnly: rejections and canceled calls say nothing of an endpoint's health.
+func TestObservations_ReportFailuresOnly(t *testing.T) {
+	for outcome, reported := range map[attempt.Outcome]bool{
 		attempt.Succeeded: false, attempt.Rejected: false, attempt.Canceled: false, attempt.Misdirected: false,
 		attempt.Failed: true, attempt.Broken: true, attempt.ConnectFailed: true, attempt.TimedOut: true,
 	} {
-		w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
+		w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
 		w.applyOutcome(w.now, &call{endpoint: w.endpoints["e1-0"], sentAt: w.now}, outcome)
 		some, urgent := w.PendingObservations()
-		assert.Equal(t, told, some, outcome)
+		assert.Equal(t, reported, some, outcome)
 		assert.False(t, urgent)
-		assert.Equal(t, told, len(w.TakeObservations()) == 1, outcome)
-		assert.Empty(t, w.TakeObservations(), "each is told once")
+		assert.Equal(t, reported, len(w.TakeObservations()) == 1, outcome)
+		assert.Empty(t, w.TakeObservations(), "each is reported once")
 	}
 }
 
-func TestUnacknowledgedEndpointsArePutAsideAndTold(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
+func TestReportUnacknowledged_EjectsAndReportsUrgently(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
 	w.ReportUnacknowledged(w.now, []string{"e1-0", "unknown"})
 	assert.False(t, w.endpoints["e1-0"].health.isEjected(), "two of no calls in flight: the own link")
 	for _, e := range w.endpoints {
@@ -42,19 +42,19 @@
 	assert.Empty(t, w.TakeObservations(), "known already")
 }
 
-// TestFailingEndpointsAreAvoided: others have told that calls of an endpoint fail.
-func TestFailingEndpointsAreAvoided(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
-	w.view.Endpoints[0].Failing = true
-	w.tell()
+// TestPick_AvoidsEndpointsReportedAsFailing: other proxies have reported that calls to an endpoint fail.
+func TestPick_AvoidsEndpointsReportedAsFailing(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
+	w.snapshot.Endpoints[0].Failing = true
+	w.update()
 	for range 20 {
-		choice, verdict := w.Pick(w.now, w.request("urgent", 1))
-		assert.Equal(t, Picked, verdict.Kind)
-		assert.NotEqual(t, w.view.Endpoints[0].ID, choice.Endpoint.ID)
+		choice, decision := w.Pick(w.now, w.request("urgent", 1))
+		assert.Equal(t, Picked, decision.Kind)
+		assert.NotEqual(t, w.snapshot.Endpoints[0].ID, choice.Endpoint.ID)
 	}
-	for index := range w.view.Endpoints {
-		w.view.Endpoints[index].Failing = true
+	for index := range w.snapshot.Endpoints {
+		w.snapshot.Endpoints[index].Failing = true
 	}
-	w.tell()
+	w.update()
 	assert.False(t, w.endpoints["e1-0"].isSuspect(), "where all fail the cause is elsewhere")
 }
--- a/serving/placement/path_costs_test.go
+++ b/serving/placement/path_costs_test.go
@@ -12,36 +12,37 @@
 	"rowanlink/serving/state"
 )
 
-// TestLongSharedPartsOfALostRegion: where the region is evacuated, prompts with long shared parts leave it too, and
-// those bound to it are refused.
-func TestLongSharedPartsOfALostRegion(t *testing.T) {
-	w := newWorld(t, "e1", append(modelEndpoints("e2", 2), modelEndpoints("w1", 4)...)...)
-	w.view.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
-	w.tell()
+// TestPrefixRegion_EvacuatedRegionOwnsNoPrefix: requests with long shared prefixes leave an evacuated region too, and
+// those that are bound to it are rejected.
+func TestPrefixRegion_EvacuatedRegionOwnsNoPrefix(t *testing.T) {
+	w := newFixture(t, "e1", append(modelEndpoints("e2", 2), modelEndpoints("w1", 4)...)...)
+	w.snapshot.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
+	w.update()
 	for subject := range 20 {
-		choice, verdict := w.Pick(w.now, w.request("review", subject))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.request("review", subject))
+		require.Equal(t, Picked, decision.Kind)
 		assert.Equal(t, "w1", choice.Endpoint.Zone)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
-		_, verdict = w.Pick(w.now, w.request("home", subject))
-		assert.Equal(t, Reject, verdict.Kind, "nothing is left at home")
+		_, decision = w.Pick(w.now, w.request("home", subject))
+		assert.Equal(t, Reject, decision.Kind, "nothing is left at home")
 	}
 }
 
-// TestSteadyTrafficStaysInItsRegionInTheEnd: the ways to another region never cost more than reading the shared parts
-// in the own region once, and one way. Then all later requests go to the one owner that the region's proxies agree on.
-func TestSteadyTrafficStaysInItsRegionInTheEnd(t *testing.T) {
+// TestPathCosts_SteadyTrafficReturnsToOwnRegion: the latency paid for another region exceeds the time to prefill the
+// shared blocks in the own region by one round trip at most. All later requests go to the one owner on which the
+// region's proxies agree.
+func TestPathCosts_SteadyTrafficReturnsToOwnRegion(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
-		one, other := newWorld(t, "e1", all...), newWorld(t, "e2", all...)
+		one, other := newFixture(t, "e1", all...), newFixture(t, "e2", all...)
 		subjects := rapid.IntRange(1, 12).Draw(r, "subjects")
 		away, home := map[int]time.Duration{}, map[int]string{}
 		for range 400 {
 			subject := rapid.IntRange(0, subjects-1).Draw(r, "subject")
-			w := rapid.SampledFrom([]*world{one, other}).Draw(r, "proxy")
+			w := rapid.SampledFrom([]*pickerFixture{one, other}).Draw(r, "proxy")
 			w.now = w.now.Add(time.Duration(rapid.IntRange(50, 500).Draw(r, "ms")) * time.Millisecond)
-			choice, verdict := w.Pick(w.now, w.request("review", subject))
-			require.Equal(r, Picked, verdict.Kind)
+			choice, decision := w.Pick(w.now, w.request("review", subject))
+			require.Equal(r, Picked, decision.Kind)
 			w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 			if choice.Endpoint.Zone == "w1" {
 				away[subject] += crossRegionLatency
@@ -59,10 +60,10 @@
 	})
 }
 
-func TestWhatWaysHaveCostIsForgottenAsCachedPartsAre(t *testing.T) {
+func TestPathCosts_ForgetsUnusedPrefixes(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := pathCosts{tokenLimit: 1000}
-		unused, spent := 0, time.Duration(0) // tokens of other parts since part 0 was used
+		unused, spent := 0, time.Duration(0) // unused: tokens of other prefixes since prefix 0 was used
 		for range 300 {
 			hash := uint64(rapid.IntRange(0, 60).Draw(r, "hash"))
 			if hash != 0 {
--- a/serving/placement/prefix_affinity_test.go
+++ b/serving/placement/prefix_affinity_test.go
@@ -11,9 +11,9 @@
 	"rowanlink/serving/attempt"
 )
 
-func TestProxiesOfARegionAgreeOnAPrefixsEndpoint(t *testing.T) {
+func TestPrefixOwner_SameForAllProxiesOfARegion(t *testing.T) {
 	endpoints := append(modelEndpoints("e1", 4), modelEndpoints("e2", 4)...)
-	one, other := newWorld(t, "e1", endpoints...), newWorld(t, "e2", endpoints...)
+	one, other := newFixture(t, "e1", endpoints...), newFixture(t, "e2", endpoints...)
 	met := map[string]bool{}
 	for subject := range 40 {
 		first, _ := one.Pick(one.now, one.request("review", subject))
@@ -26,12 +26,12 @@
 	assert.Greater(t, len(met), 5, "subjects are spread")
 }
 
-func TestAnOwnerThatIsBusyIsRelieved(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 6)...)
+func TestPrefixOwner_OverloadIsSpread(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 6)...)
 	count := map[string]int{}
 	for range 60 {
-		choice, verdict := w.Pick(w.now, w.request("review", 1))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.request("review", 1))
+		require.Equal(t, Picked, decision.Kind)
 		count[choice.Endpoint.ID]++
 	}
 	most := 0
@@ -41,11 +41,11 @@
 	assert.LessOrEqual(t, most, 20, "one subject alone must not fill one endpoint while others rest")
 }
 
-func TestASessionFollowsItsEarlierEndpoint(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 6)...)
+func TestPrefixCache_SessionReturnsToItsEndpoint(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 6)...)
 	for session := range 20 {
-		parts := []PrefixBlock{{fmt.Sprint("session", session), 6000}} // nothing shared: only own sends know of it
-		request := Request{Route: w.route("review"), Model: "m", PromptTokens: 6000, Blocks: parts, TimeLeft: 1e9}
+		blocks := []PrefixBlock{{fmt.Sprint("session", session), 6000}} // nothing is shared: only this proxy knows where the block is cached
+		request := Request{Route: w.route("review"), Model: "m", PromptTokens: 6000, Blocks: blocks, TimeLeft: 1e9}
 		first, _ := w.Pick(w.now, request)
 		w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
 		again, _ := w.Pick(w.now, request)
@@ -55,15 +55,15 @@
 	}
 }
 
-func TestPrefixesGiveWayByUse(t *testing.T) {
+func TestPrefixCache_EvictsLeastRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		p := prefixCache{tokenLimit: 1000}
 		for range 200 {
-			var parts []PrefixBlock
+			var blocks []PrefixBlock
 			for depth := range rapid.IntRange(1, 4).Draw(r, "depth") {
-				parts = append(parts, PrefixBlock{fmt.Sprint(depth, rapid.IntRange(0, 6).Draw(r, "id")), rapid.IntRange(1, 200).Draw(r, "tokens")})
+				blocks = append(blocks, PrefixBlock{fmt.Sprint(depth, rapid.IntRange(0, 6).Draw(r, "id")), rapid.IntRange(1, 200).Draw(r, "tokens")})
 			}
-			c := hashBlocks(blockChain{}, parts)
+			c := hashBlocks(blockChain{}, blocks)
 			p.touch(&c)
 			assert.LessOrEqual(r, p.tokens, 1000)
 			assert.LessOrEqual(r, p.cachedTokens(&c), 4*200)
--- a/serving/placement/prefix_region_test.go
+++ b/serving/placement/prefix_region_test.go
@@ -9,14 +9,14 @@
 	"rowanlink/serving/attempt"
 )
 
-// TestRegionsMeetAtOneOwner: shared parts whose reading takes longer than the way to another region are read at one
-// endpoint of the system; short ones in each region.
-func TestRegionsMeetAtOneOwner(t *testing.T) {
+// TestPrefixRegion_OneOwnerForLongPrefixes: shared blocks that take longer to prefill than another region to reach are
+// prefilled at one endpoint of the system, short ones at one of each region.
+func TestPrefixRegion_OneOwnerForLongPrefixes(t *testing.T) {
 	all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
-	east, west := newWorld(t, "e1", all...), newWorld(t, "w1", all...)
-	place := func(w *world, request Request) string {
-		choice, verdict := w.Pick(w.now, request)
-		require.Equal(t, Picked, verdict.Kind)
+	east, west := newFixture(t, "e1", all...), newFixture(t, "w1", all...)
+	place := func(w *pickerFixture, request Request) string {
+		choice, decision := w.Pick(w.now, request)
+		require.Equal(t, Picked, decision.Kind)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		return choice.Endpoint.ID
 	}
--- a/serving/placement/short_prefill_test.go
+++ b/serving/placement/short_prefill_test.go
@@ -9,12 +9,12 @@
 	"rowanlink/serving/attempt"
 )
 
-func TestPromptsReadInAMomentGoFirst(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
-	quick := func(route string, parts ...PrefixBlock) bool {
-		request := Request{Route: w.route(route), Model: "m", Blocks: parts, TimeLeft: w.route(route).Target}
-		choice, verdict := w.Pick(w.now, request)
-		require.Equal(t, Picked, verdict.Kind)
+func TestShortPrefill_IsMarked(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
+	quick := func(route string, blocks ...PrefixBlock) bool {
+		request := Request{Route: w.route(route), Model: "m", Blocks: blocks, TimeLeft: w.route(route).Target}
+		choice, decision := w.Pick(w.now, request)
+		require.Equal(t, Picked, decision.Kind)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		return choice.ShortPrefill
 	}
@@ -24,15 +24,15 @@
 	assert.False(t, quick("review"), "nothing is known of the prompt")
 }
 
-func TestQuickPromptsWaitOnlyForTheMostUrgent(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestShortPrefill_QueuesAtHighestPriority(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	long := Request{Route: w.route("review"), Model: "m", Blocks: []PrefixBlock{{"long", 9000}}, TimeLeft: w.route("review").Target}
-	_, verdict := w.Pick(w.now, long)
-	require.Equal(t, Picked, verdict.Kind)
+	_, decision := w.Pick(w.now, long)
+	require.Equal(t, Picked, decision.Kind)
 	short := long
 	short.Blocks = []PrefixBlock{{"short", 300}}
-	choice, verdict := w.Pick(w.now, short)
-	require.Equal(t, Picked, verdict.Kind)
+	choice, decision := w.Pick(w.now, short)
+	require.Equal(t, Picked, decision.Kind)
 	assert.True(t, choice.ShortPrefill)
 	assert.Zero(t, choice.Reservation.call.priority)
 }
--- a/serving/placement/simulated_engine_test.go
+++ b/serving/placement/simulated_engine_test.go
@@ -7,77 +7,77 @@
 	"rowanlink/serving/attempt"
 )
 
-// enter queues a request; the more urgent are read first.
-func (e *engine) enter(s *simulation, r *simulated) {
+// enqueue queues a request by priority.
+func (e *simulatedEngine) enqueue(s *simulation, r *simulatedRequest) {
 	place := len(e.queue)
 	for place > 0 && e.queue[place-1].request.Route.Precedence > r.request.Route.Precedence {
 		place--
 	}
 	e.queue = slices.Insert(e.queue, place, r)
-	e.next(s)
+	e.prefillNext(s)
 }
 
-// next reads the first prompt of the queue.
-func (e *engine) next(s *simulation) {
-	if e.reading || len(e.queue) == 0 {
+// prefillNext prefills the first prompt of the queue.
+func (e *simulatedEngine) prefillNext(s *simulation) {
+	if e.prefilling || len(e.queue) == 0 {
 		return
 	}
 	r := e.queue[0]
 	e.queue = e.queue[1:]
-	e.reading = true
+	e.prefilling = true
 	tokens := r.request.PromptTokens - e.cache.cachedTokens(&r.chain)
-	s.countRead(r, e)
-	e.read += tokens
-	steps := float64(tokens/simulatedChunk+1) * e.step()
-	took := time.Duration((float64(tokens)/simulatedRate + steps) * e.slow * float64(time.Millisecond))
-	s.after(took, func() {
-		e.reading = false
+	s.countRecomputed(r, e)
+	e.prefilledTokens += tokens
+	steps := float64(tokens/simulatedChunk+1) * e.decodeMillis()
+	took := time.Duration((float64(tokens)/simulatedRate + steps) * e.slowdown * float64(time.Millisecond))
+	s.schedule(took, func() {
+		e.prefilling = false
 		e.running++
 		e.cache.touch(&r.chain)
-		s.after(simulatedFirst, func() { s.first(r) })
-		e.next(s)
+		s.schedule(simulatedFirstEvent, func() { s.sendFirstEvent(r) })
+		e.prefillNext(s)
 	})
 }
 
-// step is how long one token takes, in milliseconds.
-func (e *engine) step() float64 { return 6.12 + 0.0234*float64(e.running) }
+// decodeMillis returns the time of one decode step in milliseconds.
+func (e *simulatedEngine) decodeMillis() float64 { return 6.12 + 0.0234*float64(e.running) }
 
-// countRead notes shared parts that are read though an endpoint of the region has read them.
-func (s *simulation) countRead(r *simulated, e *engine) {
+// countRecomputed counts shared blocks that are prefilled although another endpoint of the region has prefilled them.
+func (s *simulation) countRecomputed(r *simulatedRequest, e *simulatedEngine) {
 	for index, hash := range r.chain.prefixHashes[:r.chain.sharedBlocks] {
 		name := regions[r.endpoint.Zone] + r.request.Blocks[index].ID
-		if s.known[name] && e.cache.entries[hash] == nil {
-			s.readAgain += r.chain.blockTokens[index]
+		if s.prefilled[name] && e.cache.entries[hash] == nil {
+			s.recomputedTokens += r.chain.blockTokens[index]
 		}
-		s.known[name] = true
+		s.prefilled[name] = true
 	}
 }
 
-// first passes the first event on and lets the rest follow.
-func (s *simulation) first(r *simulated) {
-	way := r.proxy.pathLatency(r.ticket.call.endpoint) / 2
-	s.after(way, func() {
-		r.proxy.ReportProgress(s.at(), r.ticket)
+// sendFirstEvent delivers the first event of the response and schedules the rest.
+func (s *simulation) sendFirstEvent(r *simulatedRequest) {
+	way := r.proxy.pathLatency(r.reservation.call.endpoint) / 2
+	s.schedule(way, func() {
+		r.proxy.ReportProgress(s.time(), r.reservation)
 		wait := s.now - r.sentAt
-		s.waits = append(s.waits, wait)
+		s.firstByteTimes = append(s.firstByteTimes, wait)
 		s.answered++
 		if wait > r.request.Route.Target {
 			s.late++
 		}
 		if regions[r.endpoint.Zone] != r.proxy.options.Region {
-			s.far++
+			s.remote++
 		}
 	})
 	events := s.lognormal(r.kind.events, 1)
-	rest := time.Duration(4 * events * r.engine.step() * r.engine.slow * float64(time.Millisecond))
-	s.after(rest+way, func() {
+	rest := time.Duration(4 * events * r.engine.decodeMillis() * r.engine.slowdown * float64(time.Millisecond))
+	s.schedule(rest+way, func() {
 		r.engine.running--
-		r.proxy.ReportOutcome(s.at(), r.ticket, attempt.Succeeded)
+		r.proxy.ReportOutcome(s.time(), r.reservation, attempt.Succeeded)
 	})
 }
 
-// quantile of the waits for a first event.
+// quantile returns a quantile of the times to first event.
 func (s *simulation) quantile(share float64) time.Duration {
-	slices.Sort(s.waits)
-	return s.waits[int(share*float64(len(s.waits)-1))]
+	slices.Sort(s.firstByteTimes)
+	return s.firstByteTimes[int(share*float64(len(s.firstByteTimes)-1))]
 }
--- a/serving/placement/simulated_faults_test.go
+++ b/serving/placement/simulated_faults_test.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	simulatedConnect  = 250 * time.Millisecond // until a connection to a dark endpoint is given up
-	simulatedPatience = 4 * time.Second        // until a client gives up a stream that says nothing
+	simulatedConnectTimeout = 250 * time.Millisecond // of a connection to an endpoint that is down
+	simulatedClientTimeout  = 4 * time.Second        // after which a client gives up a stream without events
 )
 
-// meetDark plays a request that went to an endpoint without power: the first calls hang on kept connections, the
-// others find none.
-func (s *simulation) meetDark(r *simulated) {
+// sendToDark simulates a request to an endpoint that has lost power: half of the calls hang on open connections, the
+// others can't connect.
+func (s *simulation) sendToDark(r *simulatedRequest) {
 	if s.random.Float64() < 0.5 {
-		s.after(simulatedConnect, func() { s.again(r, attempt.ConnectFailed) })
+		s.schedule(simulatedConnectTimeout, func() { s.retry(r, attempt.ConnectFailed) })
 		return
 	}
 	if r.request.Route.Idempotent() {
-		s.after(r.request.Route.Target, func() { s.again(r, attempt.TimedOut) })
+		s.schedule(r.request.Route.Target, func() { s.retry(r, attempt.TimedOut) })
 		return
 	}
-	s.after(simulatedPatience, func() {
-		s.lost++
-		r.proxy.ReportOutcome(s.at(), r.ticket, attempt.Canceled)
+	s.schedule(simulatedClientTimeout, func() {
+		s.lostRequests++
+		r.proxy.ReportOutcome(s.time(), r.reservation, attempt.Canceled)
 	})
 }
 
-// again ends an attempt and makes another.
-func (s *simulation) again(r *simulated, outcome attempt.Outcome) {
-	r.proxy.ReportOutcome(s.at(), r.ticket, outcome)
+// retry ends an attempt and starts another.
+func (s *simulation) retry(r *simulatedRequest, outcome attempt.Outcome) {
+	r.proxy.ReportOutcome(s.time(), r.reservation, outcome)
 	r.request.TriedEndpoints = append(r.request.TriedEndpoints, r.endpoint.ID)
-	s.place(r)
+	s.pick(r)
 }
 
-// darken takes the power from a zone's endpoints or gives it back.
-func (s *simulation) darken(endpoints []state.Endpoint, zone string, dark bool) {
+// setDark takes a zone's endpoints down or brings them back.
+func (s *simulation) setDark(endpoints []state.Endpoint, zone string, dark bool) {
 	for _, info := range endpoints {
 		if info.Zone == zone {
 			s.engines[info.ID].dark = dark
@@ -48,39 +48,39 @@
 	}
 }
 
-func TestFirstEventsComeInTimeAtSixTenthsOfTheLoad(t *testing.T) {
-	s := mixOf(t, 2.3, 5)
+func TestSimulation_FirstEventsAreOnTimeAt60PercentLoad(t *testing.T) {
+	s := newMixedSimulation(t, 2.3)
 	s.run(40 * time.Second)
 	s.report(t)
 	assert.Zero(t, s.refused)
 	assert.Less(t, s.quantile(0.95), time.Second)
 }
 
-func TestQuietTimesAreAllServedInTime(t *testing.T) {
-	s := mixOf(t, 1, 5)
+func TestSimulation_LowLoadIsServedOnTime(t *testing.T) {
+	s := newMixedSimulation(t, 1)
 	s.run(40 * time.Second)
 	s.report(t)
 	assert.Zero(t, s.refused)
 	assert.Less(t, float64(s.late), 0.005*float64(s.answered))
 }
 
-func TestAZoneThatGoesDarkCostsFewRequests(t *testing.T) {
-	s := mixOf(t, 1, 5)
+func TestSimulation_ZoneOutageCostsFewRequests(t *testing.T) {
+	s := newMixedSimulation(t, 1)
 	s.run(15 * time.Second)
-	s.darken(s.endpoints, "e1", true)
+	s.setDark(s.endpoints, "e1", true)
 	s.run(20 * time.Second)
-	s.darken(s.endpoints, "e1", false)
+	s.setDark(s.endpoints, "e1", false)
 	s.run(40 * time.Second)
 	s.report(t)
-	assert.Less(t, float64(s.lost+s.refused), 0.02*float64(s.answered))
+	assert.Less(t, float64(s.lostRequests+s.refused), 0.02*float64(s.answered))
 }
 
-func TestAnEvacuatedZonesLoadGoesElsewhere(t *testing.T) {
-	s := mixOf(t, 2, 5)
+func TestSimulation_EvacuatedZonesLoadMoves(t *testing.T) {
+	s := newMixedSimulation(t, 2)
 	s.run(10 * time.Second)
-	s.tell(&state.Record{Evacuations: []state.Evacuation{{Zone: "e1", Active: true}}})
+	s.updateRecord(&state.Record{Evacuations: []state.Evacuation{{Zone: "e1", Active: true}}})
 	s.run(25 * time.Second)
-	s.tell(&state.Record{Evacuations: []state.Evacuation{{Zone: "e1"}}})
+	s.updateRecord(&state.Record{Evacuations: []state.Evacuation{{Zone: "e1"}}})
 	s.run(40 * time.Second)
 	s.report(t)
 	assert.Zero(t, s.refused)
--- a/serving/placement/subset_test.go
+++ b/serving/placement/subset_test.go
@@ -12,26 +12,26 @@
 	"rowanlink/serving/state"
 )
 
-// named makes a world of a proxy of the name in zone e1.
-func named(t *testing.T, name string, endpoints ...state.Endpoint) *world {
-	w := newWorld(t, "e1", endpoints...)
-	w.Picker = New(Options{Name: name, Zone: "e1", Region: "east", Regions: regions, Bounds: bounds, Seed: 7, StartedAt: begin})
-	w.tell()
+// newNamedFixture returns a picker of the proxy with the name, in zone e1.
+func newNamedFixture(t *testing.T, name string, endpoints ...state.Endpoint) *pickerFixture {
+	w := newFixture(t, "e1", endpoints...)
+	w.Picker = New(Options{Name: name, Zone: "e1", Region: "east", Regions: regions, Bounds: bounds, Seed: 7, StartedAt: startTime})
+	w.update()
 	return w
 }
 
-// ownPrompt is a request whose prompt shares nothing with others.
-func (w *world) ownPrompt(number int) Request {
+// unsharedRequest returns a request whose prompt shares nothing with others.
+func (w *pickerFixture) unsharedRequest(number int) Request {
 	return Request{Route: w.route("review"), Model: "m", PromptTokens: 600, MaxOutputTokens: 300,
 		Blocks: []PrefixBlock{{fmt.Sprint("own", number), 600}}, TimeLeft: 6 * time.Second}
 }
 
-// use sends requests one after the other, each answered after some time, and counts them by endpoint.
-func (w *world) use(t *testing.T, requests int, first func(id string) time.Duration) map[string]int {
+// run sends requests one after another, with the given time to first byte, and counts them by endpoint.
+func (w *pickerFixture) run(t *testing.T, requests int, first func(id string) time.Duration) map[string]int {
 	met := map[string]int{}
 	for number := range requests {
-		choice, verdict := w.Pick(w.now, w.ownPrompt(number))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.unsharedRequest(number))
+		require.Equal(t, Picked, decision.Kind)
 		met[choice.Endpoint.ID]++
 		w.now = w.now.Add(first(choice.Endpoint.ID))
 		w.ReportProgress(w.now, choice.Reservation)
@@ -40,15 +40,15 @@
 	return met
 }
 
-func usual(string) time.Duration { return 80 * time.Millisecond }
+func usualFirstByte(string) time.Duration { return 80 * time.Millisecond }
 
-// TestProxiesPreferAFewEndpointsEach: each has its own few, and all endpoints are somebody's.
-func TestProxiesPreferAFewEndpointsEach(t *testing.T) {
+// TestSubset_IsSmallAndCoversAllEndpoints: each proxy has a small subset, and nearly every endpoint is in some subset.
+func TestSubset_IsSmallAndCoversAllEndpoints(t *testing.T) {
 	endpoints := modelEndpoints("e1", 30)
 	met := map[string]int{}
 	for proxy := range 60 {
-		w := named(t, fmt.Sprint("proxy", proxy), endpoints...)
-		own := w.use(t, 40, usual)
+		w := newNamedFixture(t, fmt.Sprint("proxy", proxy), endpoints...)
+		own := w.run(t, 40, usualFirstByte)
 		assert.LessOrEqual(t, len(own), subsetSize)
 		for id := range own {
 			met[id]++
@@ -60,15 +60,15 @@
 	}
 }
 
-// TestSubsetThatIsBusyIsLeft: a proxy goes elsewhere while its few are slow, and comes back.
-func TestSubsetThatIsBusyIsLeft(t *testing.T) {
-	w := named(t, "proxy", modelEndpoints("e1", 30)...)
-	own := w.use(t, 40, usual)
-	busy := w.use(t, 100, func(id string) time.Duration {
+// TestSubset_IsLeftWhileSlow: a proxy uses other endpoints while its subset is slow, and returns to it.
+func TestSubset_IsLeftWhileSlow(t *testing.T) {
+	w := newNamedFixture(t, "proxy", modelEndpoints("e1", 30)...)
+	own := w.run(t, 40, usualFirstByte)
+	busy := w.run(t, 100, func(id string) time.Duration {
 		if own[id] > 0 {
 			return 500 * time.Millisecond
 		}
-		return usual(id)
+		return usualFirstByte(id)
 	})
 	outside := 0
 	for id, calls := range busy {
@@ -78,33 +78,33 @@
 	}
 	assert.Greater(t, outside, 40)
 	w.now = w.now.Add(5 * decayTimeConstant)
-	for id := range w.use(t, 20, usual) {
+	for id := range w.run(t, 20, usualFirstByte) {
 		assert.Contains(t, own, id)
 	}
 }
 
-// TestSubsetIsDrawnAnew: others take the place of members that close.
-func TestSubsetIsDrawnAnew(t *testing.T) {
-	w := named(t, "proxy", modelEndpoints("e1", 30)...)
-	own := w.use(t, 40, usual)
-	for index := range w.view.Endpoints {
-		if own[w.view.Endpoints[index].ID] > 0 {
-			w.view.Endpoints[index].State = state.EndpointDraining
-			w.view.Endpoints[index].Sequence++
+// TestSubset_ReplacesDrainingEndpoints: other endpoints take the place of those that drain.
+func TestSubset_ReplacesDrainingEndpoints(t *testing.T) {
+	w := newNamedFixture(t, "proxy", modelEndpoints("e1", 30)...)
+	own := w.run(t, 40, usualFirstByte)
+	for index := range w.snapshot.Endpoints {
+		if own[w.snapshot.Endpoints[index].ID] > 0 {
+			w.snapshot.Endpoints[index].State = state.EndpointDraining
+			w.snapshot.Endpoints[index].Sequence++
 		}
 	}
-	w.tell()
-	next := w.use(t, 40, usual)
+	w.update()
+	next := w.run(t, 40, usualFirstByte)
 	assert.LessOrEqual(t, len(next), subsetSize)
 	for id := range next {
 		assert.NotContains(t, own, id)
 	}
 }
 
-// TestOwnersAreUsedOutsideTheSubset: proxies with unlike subsets meet at the owner of shared parts that take long to read.
-func TestOwnersAreUsedOutsideTheSubset(t *testing.T) {
+// TestPrefixOwner_OutsideTheSubset: proxies with different subsets choose the same owner of a long shared prefix.
+func TestPrefixOwner_OutsideTheSubset(t *testing.T) {
 	endpoints := modelEndpoints("e1", 30)
-	one, other := named(t, "one", endpoints...), named(t, "other", endpoints...)
+	one, other := newNamedFixture(t, "one", endpoints...), newNamedFixture(t, "other", endpoints...)
 	for subject := range 20 {
 		first, _ := one.Pick(one.now, one.request("review", subject))
 		second, _ := other.Pick(other.now, other.request("review", subject))
@@ -112,10 +112,10 @@
 	}
 }
 
-// TestUnknownEndpointIsTakenForAsBusyAsItsRegion: it isn't taken for idle because nothing is known of it.
-func TestUnknownEndpointIsTakenForAsBusyAsItsRegion(t *testing.T) {
-	w := named(t, "proxy", modelEndpoints("e1", 30)...)
-	w.use(t, 40, func(string) time.Duration { return 400 * time.Millisecond })
+// TestExpectedQueueDelay_FallsBackToRegion: an endpoint without measurements isn't taken to be idle.
+func TestExpectedQueueDelay_FallsBackToRegion(t *testing.T) {
+	w := newNamedFixture(t, "proxy", modelEndpoints("e1", 30)...)
+	w.run(t, 40, func(string) time.Duration { return 400 * time.Millisecond })
 	service := w.services["model"]
 	for _, e := range service.endpoints {
 		assert.Greater(t, e.expectedQueueDelay(w.now, priorityOf(1)), 100*time.Millisecond, e.info.ID)
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestWaysAreMeasured: what was measured stands in for what is assumed.
-func TestWaysAreMeasured(t *testing.T) {
-	w := newWorld(t, "e1", append(modelEndpoints("e1", 2), modelEndpoints("w1", 2)...)...)
+// TestPathLatency_UsesMeasuredRoundTrips: measured round trips replace the assumed ones.
+func TestPathLatency_UsesMeasuredRoundTrips(t *testing.T) {
+	w := newFixture(t, "e1", append(modelEndpoints("e1", 2), modelEndpoints("w1", 2)...)...)
 	far := w.endpoints["w1-0"]
 	assert.Equal(t, crossRegionLatency, w.pathLatency(far))
 	assert.Equal(t, crossRegionLatency, w.longestPathLatency())
--- a/serving/placement/unresponsive_test.go
+++ b/serving/placement/unresponsive_test.go
@@ -8,28 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilenceWithinBegunAnswersRaisesDoubt: an endpoint that goes dark in the middle of its answers is left out before
-// any new request has waited there in vain, and taken again when it goes on.
-func TestSilenceWithinBegunAnswersRaisesDoubt(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 2)...)
+// TestOverdue_StreamWithoutEvents: an endpoint that fails in the middle of its streams is avoided before any new
+// request has waited there in vain, and used again when the streams continue.
+func TestOverdue_StreamWithoutEvents(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 2)...)
 	request := w.request("review", 1)
-	dark, verdict := w.Pick(w.now, request)
-	require.Equal(t, Picked, verdict.Kind)
+	dark, decision := w.Pick(w.now, request)
+	require.Equal(t, Picked, decision.Kind)
 	w.ReportProgress(w.now.Add(200*time.Millisecond), dark.Reservation)
 	chosen := func(after time.Duration) bool {
-		choice, verdict := w.Pick(w.now.Add(after), request)
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now.Add(after), request)
+		require.Equal(t, Picked, decision.Kind)
 		w.ReportOutcome(w.now.Add(after), choice.Reservation, 0)
 		return choice.Endpoint.ID == dark.Endpoint.ID
 	}
-	for step := range 20 { // events come
+	for step := range 20 { // events arrive
 		at := time.Duration(250+50*step) * time.Millisecond
 		w.ReportProgress(w.now.Add(at), dark.Reservation)
-		assert.True(t, chosen(at), "the owner of the prompt's parts")
+		assert.True(t, chosen(at), "the owner of the prompt's blocks")
 	}
 	silence := 1200 * time.Millisecond
 	assert.True(t, chosen(silence+200*time.Millisecond), "others' prompts are read in between")
-	// the choice above succeeded and is itself a sign of life; from there on there is none
+	// the call above succeeded, so it was a sign of activity; there is none after it
 	assert.False(t, chosen(silence+1100*time.Millisecond))
 	w.ReportProgress(w.now.Add(silence+1200*time.Millisecond), dark.Reservation)
 	known := w.endpoints[dark.Endpoint.ID]
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -12,9 +12,9 @@
 	"rowanlink/serving/state"
 )
 
-func TestWindowLaws(t *testing.T) {
+func TestWindow_Invariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(t, "e1", modelEndpoints("e1", 2)...)
+		w := newFixture(t, "e1", modelEndpoints("e1", 2)...)
 		var out []Reservation
 		for range 300 {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(r, "ms")) * time.Millisecond)
@@ -26,12 +26,12 @@
 				}
 				continue
 			}
-			choice, verdict := w.Pick(w.now, w.request("urgent", rapid.IntRange(0, 9).Draw(r, "subject")))
-			if verdict.Kind == Picked {
+			choice, decision := w.Pick(w.now, w.request("urgent", rapid.IntRange(0, 9).Draw(r, "subject")))
+			if decision.Kind == Picked {
 				out = append(out, choice.Reservation)
 				e := choice.Reservation.call.endpoint
 				assert.LessOrEqual(r, e.inFlight, e.concurrencyLimit(w.now))
-				assert.False(r, w.now.Before(e.health.backoffUntil), "a told wait holds every send")
+				assert.False(r, w.now.Before(e.health.backoffUntil), "a reported wait holds every send")
 			}
 			for _, e := range w.endpoints {
 				assert.GreaterOrEqual(r, e.window, 1.0)
@@ -43,60 +43,60 @@
 	})
 }
 
-func TestAWindowGrowsByOneAndHalvesOnceForCallsOutTogether(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestWindow_GrowsByOneAndHalvesOncePerBurst(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	e := w.endpoints["e1-0"]
 	first := e.window
 	var out []Reservation
 	for range 10 {
-		choice, verdict := w.Pick(w.now, w.request("review", 1))
-		require.Equal(t, Picked, verdict.Kind)
+		choice, decision := w.Pick(w.now, w.request("review", 1))
+		require.Equal(t, Picked, decision.Kind)
 		out = append(out, choice.Reservation)
 	}
 	w.now = w.now.Add(time.Second)
 	w.ReportOutcome(w.now, out[0], attempt.Succeeded)
-	w.ReportOutcome(w.now, out[0], attempt.Succeeded) // twice is ignored
+	w.ReportOutcome(w.now, out[0], attempt.Succeeded) // the second report is ignored
 	assert.Equal(t, first+1, e.window)
-	for _, ticket := range out[1:] {
-		w.ReportOutcome(w.now, ticket, attempt.Rejected)
+	for _, reservation := range out[1:] {
+		w.ReportOutcome(w.now, reservation, attempt.Rejected)
 	}
 	assert.Equal(t, (first+1)/2, e.window)
 	assert.Equal(t, 0, e.inFlight)
 }
 
-func TestFullWindowsAskToWaitWithinAQuarterOfTheObjective(t *testing.T) {
-	w := newWorld(t, "e1", plainEndpoints("plain", "e1", "e2")...)
+func TestWindow_FullWindowWaitsWithinQueueTime(t *testing.T) {
+	w := newFixture(t, "e1", plainEndpoints("plain", "e1", "e2")...)
 	request := w.request("plain", 0)
 	for {
-		if _, verdict := w.Pick(w.now, request); verdict.Kind != Picked {
+		if _, decision := w.Pick(w.now, request); decision.Kind != Picked {
 			break
 		}
 	}
-	_, verdict := w.Pick(w.now, request)
-	assert.Equal(t, Wait, verdict.Kind)
-	assert.LessOrEqual(t, verdict.Delay, 40*time.Millisecond)
+	_, decision := w.Pick(w.now, request)
+	assert.Equal(t, Wait, decision.Kind)
+	assert.LessOrEqual(t, decision.Delay, 40*time.Millisecond)
 	request.QueuedFor = 249 * time.Millisecond
-	_, verdict = w.Pick(w.now, request)
-	assert.Equal(t, Reject, verdict.Kind)
-	assert.LessOrEqual(t, verdict.Delay, time.Second)
+	_, decision = w.Pick(w.now, request)
+	assert.Equal(t, Reject, decision.Kind)
+	assert.LessOrEqual(t, decision.Delay, time.Second)
 }
 
-func TestTheMoreUrgentGoFirst(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestPick_LowerPriorityYields(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	w.endpoints["e1-0"].window = 1
-	out, verdict := w.Pick(w.now, w.request("urgent", 1))
-	require.Equal(t, Picked, verdict.Kind)
-	_, verdict = w.Pick(w.now, w.request("urgent", 1))
-	require.Equal(t, Wait, verdict.Kind)
+	out, decision := w.Pick(w.now, w.request("urgent", 1))
+	require.Equal(t, Picked, decision.Kind)
+	_, decision = w.Pick(w.now, w.request("urgent", 1))
+	require.Equal(t, Wait, decision.Kind)
 	w.ReportOutcome(w.now, out.Reservation, attempt.Succeeded)
-	_, verdict = w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Wait, verdict.Kind, "a more urgent one waits")
-	_, verdict = w.Pick(w.now, w.request("urgent", 1))
-	assert.Equal(t, Picked, verdict.Kind)
+	_, decision = w.Pick(w.now, w.request("review", 1))
+	assert.Equal(t, Wait, decision.Kind, "a more urgent one waits")
+	_, decision = w.Pick(w.now, w.request("urgent", 1))
+	assert.Equal(t, Picked, decision.Kind)
 }
 
-func TestAnEndpointThatFailsIsPutAsideAndProbedByOne(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 4)...)
+func TestEjection_OneProbeAtATime(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
 	e := w.endpoints["e1-0"]
 	for range ejectionThreshold {
 		for w.now.Before(e.health.backoffUntil) {
@@ -110,25 +110,25 @@
 	assert.Empty(t, w.TakeObservations())
 
 	w.now = e.health.backoffUntil.Add(time.Millisecond)
-	for index := 1; index < 4; index++ { // probes are the only way left
-		w.view.Endpoints[index].State = state.EndpointDraining
+	for index := 1; index < 4; index++ { // leaves only the ejected endpoint
+		w.snapshot.Endpoints[index].State = state.EndpointDraining
 	}
-	w.tell()
+	w.update()
 	e.service.majorityEjected = false
-	probe, verdict := w.Pick(w.now, w.request("urgent", 1))
-	require.Equal(t, Picked, verdict.Kind)
-	_, verdict = w.Pick(w.now, w.request("urgent", 1))
-	assert.Equal(t, Wait, verdict.Kind, "one probe at a time")
+	probe, decision := w.Pick(w.now, w.request("urgent", 1))
+	require.Equal(t, Picked, decision.Kind)
+	_, decision = w.Pick(w.now, w.request("urgent", 1))
+	assert.Equal(t, Wait, decision.Kind, "one probe at a time")
 	w.ReportOutcome(w.now, probe.Reservation, attempt.Succeeded)
 	assert.False(t, e.health.isEjected())
-	assert.Empty(t, w.TakeObservations(), "a success is not told: the mark that others see ends by time")
+	assert.Empty(t, w.TakeObservations(), "a success is not reported: the mark that others see ends by time")
 }
 
-func TestWhereMostFailNoneIsHeldLong(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 2)...)
+func TestEjection_MajorityHasShortBackoff(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 2)...)
 	for range 400 {
-		choice, verdict := w.Pick(w.now, w.request("urgent", 1))
-		if verdict.Kind == Picked {
+		choice, decision := w.Pick(w.now, w.request("urgent", 1))
+		if decision.Kind == Picked {
 			w.ReportOutcome(w.now.Add(time.Millisecond), choice.Reservation, attempt.ConnectFailed)
 		}
 		w.now = w.now.Add(20 * time.Millisecond)
@@ -139,12 +139,12 @@
 	}
 }
 
-func TestTheOwnLimitOnConnectionsSaysNothingOfAnEndpoint(t *testing.T) {
-	w := newWorld(t, "e1", modelEndpoints("e1", 1)...)
+func TestOutcome_OwnConnectionLimitIsNoFailure(t *testing.T) {
+	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	e := w.endpoints["e1-0"]
 	window, health := e.window, e.health
-	choice, verdict := w.Pick(w.now, w.request("review", 1))
-	require.Equal(t, Picked, verdict.Kind)
+	choice, decision := w.Pick(w.now, w.request("review", 1))
+	require.Equal(t, Picked, decision.Kind)
 	w.ReportOutcome(w.now, choice.Reservation, attempt.AtLimit)
 	assert.Equal(t, window, e.window)
 	assert.Equal(t, health, e.health)
--- a/serving/placement/zone_test.go
+++ b/serving/placement/zone_test.go
@@ -11,16 +11,16 @@
 	"rowanlink/serving/state"
 )
 
-// TestLostZoneIsLeftAfterThreeOfItsEndpoints: where a zone is lost as a whole, a proxy doesn't have to try each of its
-// many endpoints; a sign of life of any of them ends the doubt, and so does time.
-func TestLostZoneIsLeftAfterThreeOfItsEndpoints(t *testing.T) {
+// TestZone_IsAvoidedAfterThreeUnresponsiveEndpoints: if a whole zone fails, a proxy need not try each of its many
+// endpoints; activity of any of them ends the suspicion, and so does time.
+func TestZone_IsAvoidedAfterThreeUnresponsiveEndpoints(t *testing.T) {
 	endpoints := append(modelEndpoints("e1", 20), modelEndpoints("e2", 20)...)
 	lost := func(choice Choice) bool { return choice.Endpoint.Zone == "e1" }
-	// play sends requests of prompts all unlike, fails those that go to the lost zone, and counts these.
-	play := func(w *world, from, count int) (failed int) {
+	// play sends requests with distinct prompts, fails those that go to the failed zone, and counts them.
+	play := func(w *pickerFixture, from, count int) (failed int) {
 		for number := range count {
-			choice, verdict := w.Pick(w.now, w.request("review", from+number))
-			require.Equal(t, Picked, verdict.Kind)
+			choice, decision := w.Pick(w.now, w.request("review", from+number))
+			require.Equal(t, Picked, decision.Kind)
 			outcome := attempt.Succeeded
 			if lost(choice) {
 				outcome = attempt.ConnectFailed
@@ -30,7 +30,7 @@
 		}
 		return failed
 	}
-	w := newWorld(t, "e1", endpoints...)
+	w := newFixture(t, "e1", endpoints...)
 	failed := play(w, 0, 200)
 	assert.LessOrEqual(t, failed, 2*zoneSuspectThreshold)
 	assert.Positive(t, failed)
@@ -41,8 +41,8 @@
 	assert.LessOrEqual(t, again, 2*zoneSuspectThreshold)
 
 	w.now = w.now.Add(zoneSuspicionTTL + time.Second)
-	choice, verdict := w.Pick(w.now, w.request("review", 400))
-	require.Equal(t, Picked, verdict.Kind)
+	choice, decision := w.Pick(w.now, w.request("review", 400))
+	require.Equal(t, Picked, decision.Kind)
 	for tried := 0; !lost(choice) && tried < 100; tried++ {
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		choice, _ = w.Pick(w.now, w.request("review", 401+tried))
@@ -52,8 +52,8 @@
 	assert.False(t, w.ensureZone("e1").isSuspect(w.now), "it answers again")
 }
 
-// TestZoneIsInDoubtOnlyWhileNobodyThereIsHeard: one of its endpoints that answers shows that the zone isn't lost.
-func TestZoneIsInDoubtOnlyWhileNobodyThereIsHeard(t *testing.T) {
+// TestZone_ActivityEndsSuspicion: one endpoint that responds shows that the zone is up.
+func TestZone_ActivityEndsSuspicion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var z zone
 	well := &endpoint{zone: &z}
