--- a/serving/membership/count.go
+++ b/serving/membership/count.go
@@ -6,26 +6,28 @@
 	"rowanlink/serving/state"
 )
 
-// CountLive returns how many members of a role are live, in a region or, where it is empty, in all.
+// CountLive returns the number of live members with a role, in a region or, where region is empty, in all regions.
 func (t *Table) CountLive(role state.Role, region string) (count int) {
-	for _, found := range t.members {
-		inRegion := region == "" || found.member.Region == region
-		if found.live() && found.member.Role == role && inRegion {
+	for _, tracked := range t.members {
+		inRegion := region == "" || tracked.member.Region == region
+		if tracked.isLive() && tracked.member.Role == role && inRegion {
 			count++
 		}
 	}
 	return count
 }
 
-// CountRecentlyLive counts the members of a role that were live at some moment of the window that ends now.
+// CountRecentlyLive returns the number of members with a role that were live at some moment of the window that ends
+// now. It remembers members for at least twice RetentionPeriod after they were live.
 func (t *Table) CountRecentlyLive(now time.Time, role state.Role, window time.Duration) (count int) {
-	for _, found := range t.members {
-		if found.member.Role == role && (found.live() || now.Sub(found.lastLive) < window) {
+	for _, tracked := range t.members {
+		wasLive := tracked.isLive() || now.Sub(tracked.lastLiveAt) < window
+		if tracked.member.Role == role && wasLive {
 			count++
 		}
 	}
-	for _, gone := range t.departed {
-		if gone.role == role && now.Sub(gone.lastLive) < window {
+	for _, member := range t.forgotten {
+		if member.role == role && now.Sub(member.lastLiveAt) < window {
 			count++
 		}
 	}
--- a/serving/membership/left_test.go
+++ b/serving/membership/departed_test.go
@@ -9,8 +9,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestMembersThatLeftAreRemembered: for a while, and until they come back.
-func TestMembersThatLeftAreRemembered(t *testing.T) {
+// TestLeftMembers_RetainsDepartedMembers checks that they stay listed for RetentionPeriod or until they come restarted.
+func TestLeftMembers_RetainsDepartedMembers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New(now, Options{Self: state.Member{Name: "self", Incarnation: 1, State: state.MemberReady}})
 	other := state.Member{Name: "other", Incarnation: 1, Sequence: 1, State: state.MemberReady}
@@ -21,13 +21,13 @@
 	assert.Equal(t, []state.Member{other}, table.LeftMembers())
 	assert.Empty(t, table.DownMembers())
 
-	back := state.Member{Name: "other", Incarnation: 2, Sequence: 1, State: state.MemberReady}
-	table.MergeMember(now, back)
+	restarted := state.Member{Name: "other", Incarnation: 2, Sequence: 1, State: state.MemberReady}
+	table.MergeMember(now, restarted)
 	assert.Empty(t, table.LeftMembers())
-	back.Sequence, back.State = 2, state.MemberLeft
-	table.MergeMember(now, back)
+	restarted.Sequence, restarted.State = 2, state.MemberLeft
+	table.MergeMember(now, restarted)
 	for at := now; at.Before(now.Add(RetentionPeriod + time.Second)); at = at.Add(HeartbeatInterval) {
 		table.Tick(at)
 	}
-	assert.Empty(t, table.LeftMembers(), "forgotten")
+	assert.Empty(t, table.LeftMembers(), "removed after RetentionPeriod")
 }
--- /dev/null
+++ b/serving/membership/heartbeat.go
@@ -0,0 +1,67 @@
+package membership
+
+import "time"
+
+// Heartbeat is the message by which a member shows its watchers that it is alive. It names the member's newest
+// version of itself, so that a watcher notices when it has missed an update.
+type Heartbeat struct {
+	Name        string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Sequence    uint64 `cbor:"3,keyasint"`
+}
+
+// HeartbeatAck answers a heartbeat. The zero value means that the watcher agrees with the sender.
+type HeartbeatAck struct {
+	// Unknown says that the watcher lacks this version of the member, which is to send its own entry.
+	Unknown bool `cbor:"1,keyasint,omitempty"`
+	// RefuteAbove is the highest Sequence under which the member was suspected or taken for down. The member refutes
+	// that with a higher one, see Table.Refute. Zero: there is nothing to refute.
+	RefuteAbove uint64 `cbor:"2,keyasint,omitempty"`
+}
+
+// watchedMember is what the local member, as a watcher, knows about one member.
+type watchedMember struct {
+	lastHeartbeat time.Time     // or when watching began
+	lateness      time.Duration // by how much recent heartbeats came later than planned
+	suspected     bool
+	lastIssued    Suspicion // the last suspicion or withdrawal that was gossiped; zero: none yet
+}
+
+// restart begins the suspicion timeout anew.
+func (w *watchedMember) restart(now time.Time) { w.lastHeartbeat = now }
+
+// recordHeartbeat notes a heartbeat of a member that sends one in each interval.
+func (w *watchedMember) recordHeartbeat(now time.Time, interval time.Duration) {
+	late := min(now.Sub(w.lastHeartbeat)-interval, maxHeartbeatLateness)
+	w.lateness = decayLateness(w.lateness, late)
+	w.restart(now)
+}
+
+// ReceiveHeartbeat notes a heartbeat and returns its answer.
+func (t *Table) ReceiveHeartbeat(now time.Time, heartbeat Heartbeat) HeartbeatAck {
+	tracked, ok := t.members[heartbeat.Name]
+	if !ok || tracked.member.Incarnation < heartbeat.Incarnation || isDeparted(tracked.member) {
+		return HeartbeatAck{Unknown: true}
+	}
+	if tracked.member.Incarnation > heartbeat.Incarnation {
+		return HeartbeatAck{} // from a process that has been replaced
+	}
+	watched, isWatcher := t.watched[heartbeat.Name]
+	if isWatcher {
+		watched.recordHeartbeat(now, t.heartbeatInterval(tracked.member))
+	}
+	isSuspected := isWatcher && watched.suspected || !tracked.downSince.IsZero()
+	if isSuspected && heartbeat.Sequence <= tracked.member.Sequence {
+		return HeartbeatAck{RefuteAbove: max(tracked.member.Sequence, 1)}
+	}
+	return HeartbeatAck{Unknown: heartbeat.Sequence > tracked.member.Sequence}
+}
+
+// DownNotice returns what a member that has just answered a call has to be told: to refute, if it was taken for down.
+func (t *Table) DownNotice(name string) HeartbeatAck {
+	tracked, ok := t.members[name]
+	if !ok || tracked.downSince.IsZero() {
+		return HeartbeatAck{}
+	}
+	return HeartbeatAck{RefuteAbove: max(tracked.member.Sequence, 1)}
+}
--- a/serving/membership/ring.go
+++ b/serving/membership/ring.go
@@ -12,156 +12,160 @@
 )
 
 const (
-	// WatcherCount is the number of watchers of a member, where there are so many others.
+	// WatcherCount is the number of watchers of a member where there are enough other members.
 	WatcherCount = 3
-	// ringReach bounds how far along the ring a member looks for watchers, and so how many it can be watcher of.
-	ringReach = 16
-	// smallZone is how many live members a zone has at most in which they take exact turns.
-	smallZone = 8
+	// maxRingDistance is the number of successors on the ring from which watchers are selected, and so bounds how many
+	// members one member can be watcher of.
+	maxRingDistance = 16
+	// smallZoneSize is the greatest number of live members of a zone in which remoteRank goes round exactly.
+	smallZoneSize = 8
 )
 
-// placeOf is a member's place on the ring.
-func placeOf(name string) uint64 { return xxhash.Sum64String(name) }
+// ringPositionOf returns the position on the hash ring of a member.
+func ringPositionOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// byPlace returns the members on the ring by their place.
-func (t *Table) byPlace() []*known {
-	if t.ring != nil {
-		return t.ring
+// membersOnRing returns the members on the ring, ordered by position and name.
+func (t *Table) membersOnRing() []*trackedMember {
+	if t.ringMembers != nil {
+		return t.ringMembers
 	}
-	t.ring = make([]*known, 0, len(t.members))
-	for _, found := range t.members {
-		if found.onRing {
-			t.ring = append(t.ring, found)
+	t.ringMembers = make([]*trackedMember, 0, len(t.members))
+	for _, tracked := range t.members {
+		if tracked.onRing {
+			t.ringMembers = append(t.ringMembers, tracked)
 		}
 	}
-	slices.SortFunc(t.ring, func(a, b *known) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.member.Name, b.member.Name))
+	slices.SortFunc(t.ringMembers, func(a, b *trackedMember) int {
+		return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.member.Name, b.member.Name))
 	})
-	t.countZones()
-	return t.ring
+	t.updateZones()
+	return t.ringMembers
 }
 
-// countZones lists the zones and has the members of each take turns with what remoteZone chooses from. In a small
-// zone they do so in the order of the ring, in a large one by chance, so that few turns change when one comes or goes.
-func (t *Table) countZones() {
+// updateZones lists the zones of the members on the ring and gives each member its remoteRank: in a small zone its
+// index in the order of the ring, in a large one its position, so that few ranks change when a member comes or goes.
+func (t *Table) updateZones() {
 	t.zones = t.zones[:0]
-	live := map[string][]*known{}
-	for _, found := range t.ring {
-		zone := found.member.Zone
+	live := map[string][]*trackedMember{}
+	for _, tracked := range t.ringMembers {
+		zone := tracked.member.Zone
 		if _, listed := live[zone]; !listed {
-			t.zones = append(t.zones, zonePlace{zone: zone, region: found.member.Region})
+			t.zones = append(t.zones, zoneLocation{zone: zone, region: tracked.member.Region})
 			live[zone] = nil
 		}
-		found.turn = found.place
-		if found.live() {
-			live[zone] = append(live[zone], found)
+		tracked.remoteRank = tracked.ringPosition
+		if tracked.isLive() {
+			live[zone] = append(live[zone], tracked)
 		}
 	}
-	slices.SortFunc(t.zones, func(a, b zonePlace) int { return cmp.Compare(a.zone, b.zone) })
+	slices.SortFunc(t.zones, func(a, b zoneLocation) int { return cmp.Compare(a.zone, b.zone) })
 	for _, inZone := range live {
-		for number, found := range inZone {
-			if len(inZone) <= smallZone {
-				found.turn = uint64(number)
+		for number, tracked := range inZone {
+			if len(inZone) <= smallZoneSize {
+				tracked.remoteRank = uint64(number)
 			}
 		}
 	}
 }
 
-// zonePlace is a zone and where it lies.
-type zonePlace struct{ zone, region string }
+// zoneLocation is a zone with its region.
+type zoneLocation struct{ zone, region string }
 
-// remoteZone is the zone of another region in which a member prefers a watcher; empty where there is none. The
-// members of a zone take turns, so that each zone that is not cut off hears some of them.
-func (t *Table) remoteZone(watched *known) string {
-	var elsewhere []string
-	for _, place := range t.zones {
-		if place.region != watched.member.Region {
-			elsewhere = append(elsewhere, place.zone)
+// remoteZone returns the zone of another region in which a member prefers a watcher; empty where there is none. The
+// members of a zone have different ones, so that each zone that isn't cut off receives heartbeats of some of them.
+func (t *Table) remoteZone(watched *trackedMember) string {
+	var otherRegions []string
+	for _, location := range t.zones {
+		if location.region != watched.member.Region {
+			otherRegions = append(otherRegions, location.zone)
 		}
 	}
-	if len(elsewhere) == 0 {
+	if len(otherRegions) == 0 {
 		return ""
 	}
-	return elsewhere[watched.turn%uint64(len(elsewhere))]
+	return otherRegions[watched.remoteRank%uint64(len(otherRegions))]
 }
 
-// trimRing takes members off the ring that have been down for some time.
-func (t *Table) trimRing(now time.Time) {
-	for _, found := range t.members {
-		if found.onRing && !found.live() && now.Sub(found.downSince) >= ringHold {
-			found.onRing = false
-			t.dropRing()
+// removeDownFromRing removes the members from the ring that have been down for ringRetention.
+func (t *Table) removeDownFromRing(now time.Time) {
+	for _, tracked := range t.members {
+		if tracked.onRing && !tracked.isLive() && now.Sub(tracked.downSince) >= ringRetention {
+			tracked.onRing = false
+			t.invalidateRing()
 		}
 	}
 }
 
-// dropRing has the ring made anew after a member came or went.
-func (t *Table) dropRing() {
-	t.ring, t.watchStale, t.unjudged = nil, true, true
+// invalidateRing discards what was derived from the ring after a member has come, gone or changed its state.
+func (t *Table) invalidateRing() {
+	t.ringMembers = nil
+	t.watchedStale = true
+	t.needsEvaluation = true
 	clear(t.watchers)
 }
 
-// Watchers returns who watches a member, out of those that follow it on the ring: one in another zone of its
-// region, one in a third zone of the region or in its own, and one in another region; where the region has no other
-// zone, two in its own. A cut between two zones so does not hide a member from the majority, and after the loss of a
-// zone there are watchers left whose word counts, see judge.
+// Watchers returns the watchers of a member, selected from its successors on the ring: one in another zone of its
+// region, one in a third zone of the region or in its own zone, and one in another region; where the region has no
+// other zone, two in its own. So a partition between two zones doesn't hide a member from the majority of its watchers,
+// and after the loss of a zone there are watchers left that have a vote, see evaluateSuspicions. All members that know
+// the same members agree on the watchers.
 func (t *Table) Watchers(name string) []state.Member {
 	watched, ok := t.members[name]
 	if !ok {
 		return nil
 	}
 	own := &watched.member
-	chosen := choice{following: t.following(watched), zones: map[string]bool{own.Zone: true}}
-	inRegion := func(m *state.Member) bool { return m.Region == own.Region && !chosen.zones[m.Zone] }
-	elsewhere := func(m *state.Member) bool { return m.Region != own.Region && !chosen.zones[m.Zone] }
+	selection := watcherSelection{candidates: t.successors(watched), zones: map[string]bool{own.Zone: true}}
+	inRegion := func(m *state.Member) bool { return m.Region == own.Region && !selection.zones[m.Zone] }
+	otherRegions := func(m *state.Member) bool { return m.Region != own.Region && !selection.zones[m.Zone] }
 	inZone := func(m *state.Member) bool { return m.Zone == own.Zone }
-	newZone := func(m *state.Member) bool { return !chosen.zones[m.Zone] }
+	newZone := func(m *state.Member) bool { return !selection.zones[m.Zone] }
 	anyone := func(*state.Member) bool { return true }
 	remoteZone := t.remoteZone(watched)
 	inRemoteZone := func(m *state.Member) bool { return m.Zone == remoteZone }
 
-	chosen.take(inRegion)
-	if !chosen.take(inRegion) {
-		chosen.take(inZone)
+	selection.addNearest(inRegion)
+	if !selection.addNearest(inRegion) {
+		selection.addNearest(inZone)
 	}
-	if !chosen.take(inRemoteZone) {
-		chosen.take(elsewhere)
+	if !selection.addNearest(inRemoteZone) {
+		selection.addNearest(otherRegions)
 	}
 	for _, fits := range []func(*state.Member) bool{inZone, newZone, anyone} {
-		for len(chosen.members) < WatcherCount && chosen.take(fits) {
+		for len(selection.selected) < WatcherCount && selection.addNearest(fits) {
 		}
 	}
-	return chosen.members
+	return selection.selected
 }
 
-// following returns the members after a member's place on the ring, the nearest first.
-func (t *Table) following(watched *known) []*state.Member {
-	ring := t.byPlace()
-	start := sort.Search(len(ring), func(i int) bool { return ring[i].place > watched.place })
-	following := make([]*state.Member, 0, ringReach)
-	for i := 0; i < len(ring) && len(following) < ringReach; i++ {
+// successors returns the maxRingDistance members after a member's position on the ring, the nearest first.
+func (t *Table) successors(watched *trackedMember) []*state.Member {
+	ring := t.membersOnRing()
+	start := sort.Search(len(ring), func(i int) bool { return ring[i].ringPosition > watched.ringPosition })
+	nearest := make([]*state.Member, 0, maxRingDistance)
+	for i := 0; i < len(ring) && len(nearest) < maxRingDistance; i++ {
 		next := ring[(start+i)%len(ring)]
 		if next.member.Name != watched.member.Name {
-			following = append(following, &next.member)
+			nearest = append(nearest, &next.member)
 		}
 	}
-	return following
+	return nearest
 }
 
-// choice gathers watchers.
-type choice struct {
-	following []*state.Member
-	zones     map[string]bool // of the member and of the watchers chosen
-	members   []state.Member
+// watcherSelection collects the watchers of one member.
+type watcherSelection struct {
+	candidates []*state.Member
+	zones      map[string]bool // of the member and of the watchers selected
+	selected   []state.Member
 }
 
-// take adds the nearest member that fits.
-func (c *choice) take(fits func(*state.Member) bool) bool {
-	for i, member := range c.following {
+// addNearest selects the nearest candidate that fits and reports whether there was one.
+func (c *watcherSelection) addNearest(fits func(*state.Member) bool) bool {
+	for i, member := range c.candidates {
 		if member != nil && fits(member) {
-			c.members = append(c.members, *member)
+			c.selected = append(c.selected, *member)
 			c.zones[member.Zone] = true
-			c.following[i] = nil
+			c.candidates[i] = nil
 			return true
 		}
 	}
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -1,6 +1,7 @@
-// Package membership knows which members of the system are alive. Every member sends heartbeats to a few watchers
-// that its place on a hash ring names; a member that the majority of its watchers no longer hear is down. The
-// package does no input or output: time is passed in.
+// Package membership is the system's failure detector: it knows which members are alive, down or have left. Every
+// member sends heartbeats to a few watchers, which its position on a hash ring determines; a member that the majority
+// of its watchers suspects is down. Versions of members and suspicions are spread by gossip and refuted by a higher
+// sequence, as in SWIM (Das, Gupta and Motivala, 2002, section 4.2). The package does no I/O: times are arguments.
 package membership
 
 import (
@@ -11,113 +12,116 @@
 	"rowanlink/serving/state"
 )
 
-// Times of the failure detection.
+// Intervals and time-outs of the failure detector.
 const (
-	// HeartbeatInterval is the time between two heartbeats to a watcher of the own region.
+	// HeartbeatInterval is the time between two heartbeats to a watcher in the same region.
 	HeartbeatInterval = 400 * time.Millisecond
-	// RemoteIntervalFactor is how many times rarer heartbeats to a watcher of another region are.
+	// RemoteIntervalFactor is the ratio of the interval for a watcher in another region to HeartbeatInterval.
 	RemoteIntervalFactor = 3
-	// SuspicionTimeout is how long a watcher waits for a heartbeat before it suspects the member.
+	// SuspicionTimeout is how long a watcher waits for a heartbeat before it suspects a member of its region.
 	SuspicionTimeout = 1200 * time.Millisecond
-	// RemoteSuspicionTimeout is Patience for a member of another region.
+	// RemoteSuspicionTimeout is the SuspicionTimeout for a member of another region.
 	RemoteSuspicionTimeout = 2200 * time.Millisecond
-	// RetentionPeriod is how long a member stays known after it went down or left.
+	// RetentionPeriod is how long a member is retained after it went down or left.
 	RetentionPeriod = 60 * time.Second
-	// ringHold is how long a member that went down keeps its place on the ring. When many go at once the watchers of
-	// the others so stay who they are until all of them have been judged.
-	ringHold = 5 * time.Second
-	// latePatience is how many times its own lateness a watcher adds to its patience, up to latePatienceMost. Lateness
-	// below lateLeast is usual, and what was noted falls by a part in lateDecay with each new reading.
-	latePatience     = 6
-	latePatienceMost = 3 * time.Second
-	lateLeast        = 50 * time.Millisecond
-	lateDecay        = 8
-	// lateHeartbeats is how many times the lateness of a member's heartbeats, of lateHeartbeatMost at most, is added.
-	lateHeartbeats    = 2
-	lateHeartbeatMost = SuspicionTimeout
-	// standstill is a pause between two ticks that says that this process was frozen or late itself.
-	standstill = HeartbeatInterval + 300*time.Millisecond
+	// ringRetention is how long a member that went down stays on the ring. When many go down at once, the watchers of
+	// the others so stay the same until all of them have been detected.
+	ringRetention = 5 * time.Second
+	// localLatenessFactor is the multiple of its own lateness by which a watcher extends its suspicion timeouts, up to
+	// maxTimeoutExtension. Lateness up to latenessThreshold is normal and ignored; a recorded lateness falls by one
+	// part in latenessDecay with each further sample.
+	localLatenessFactor = 6
+	maxTimeoutExtension = 3 * time.Second
+	latenessThreshold   = 50 * time.Millisecond
+	latenessDecay       = 8
+	// heartbeatLatenessFactor is the multiple of the lateness of a member's heartbeats, of maxHeartbeatLateness at most,
+	// by which its suspicion timeout is extended.
+	heartbeatLatenessFactor = 2
+	maxHeartbeatLateness    = SuspicionTimeout
+	// maxTickPause is the longest normal pause between two ticks. After a longer one, in which this process didn't run,
+	// all suspicion timeouts begin anew.
+	maxTickPause = HeartbeatInterval + 300*time.Millisecond
 	// refuteInterval is the least time between two refutations.
 	refuteInterval = 200 * time.Millisecond
 )
 
-// known is what the table holds of a member.
-type known struct {
-	member    state.Member
-	place     uint64 // on the ring
-	onRing    bool
-	turn      uint64 // decides in which other region's zone it is watched
-	downSince time.Time
-	lastLive  time.Time // kept up to date only from the moment at which the member is not live any more
+// trackedMember is a member with its state in the table.
+type trackedMember struct {
+	member       state.Member
+	ringPosition uint64
+	onRing       bool
+	remoteRank   uint64 // selects the zone of another region in which it is watched, see remoteZone
+	downSince    time.Time
+	lastLiveAt   time.Time // valid once the member is no longer live
 }
 
-// live tells whether the member takes part.
-func (k *known) live() bool { return k.downSince.IsZero() && !hasLeft(k.member) }
+// isLive reports whether the member is neither down nor departed.
+func (m *trackedMember) isLive() bool { return m.downSince.IsZero() && !isDeparted(m.member) }
 
-// Options tells a table whose it is.
+// Options configures a Table.
 type Options struct {
-	Self state.Member // with its Incarnation and Sequence
+	Self state.Member // the local member, with its Incarnation and Sequence
 }
 
-// Table holds all members, the own among them. It is for one goroutine.
+// Table holds all members, the local one among them, and the suspicions about them. It is not safe for concurrent use.
 type Table struct {
-	self       string
-	members    map[string]*known
-	departed   map[string]departure
-	suspicions map[suspicionID]Suspicion
-	watched    map[string]*watch
-	ring       []*known             // members on the ring by place; nil: to be made anew
-	sorted     []state.Member       // live members by name; nil: to be made anew
-	zones      []zonePlace          // that have members on the ring, by name
-	watchStale bool                 // the ring has changed since the watched members were looked up
-	unjudged   bool                 // words, members or watchers have changed since the last judgement
-	watchers   map[string][]*known  // as far as looked up since the ring changed
-	contacts   map[string]time.Time // by zone: when a call or an answer from it came last
-	doubts     map[string]time.Time // by zone: since when it seems to be out of reach
-	wordCount  uint64               // of the own suspicions and withdrawals
-	lastTick   time.Time
-	late       time.Duration // how late this process has lately been with its own plans
-	refutedAt  time.Time
-	listeners  []func(Change)
+	self            string
+	members         map[string]*trackedMember
+	forgotten       map[string]forgottenMember
+	suspicions      map[suspicionID]Suspicion
+	watched         map[string]*watchedMember
+	ringMembers     []*trackedMember            // by position; nil: to be rebuilt
+	liveMembers     []state.Member              // by name; nil: to be rebuilt
+	zones           []zoneLocation              // that have members on the ring, by name
+	watchedStale    bool                        // the ring has changed since updateWatched
+	needsEvaluation bool                        // suspicions, members or watchers have changed since the last evaluation
+	watchers        map[string][]*trackedMember // by member; a cache, valid until the ring changes
+	lastContacts    map[string]time.Time        // by zone: when the last call or answer came from it
+	suspectZones    map[string]time.Time        // by zone: since when it seems to be unreachable
+	revision        uint64                      // of the last suspicion or withdrawal that was issued here
+	lastTick        time.Time
+	lateness        time.Duration // of this process with what it planned, see RecordDelay
+	refutedAt       time.Time
+	listeners       []func(Change)
 }
 
-// departure is when a forgotten member was live last.
-type departure struct {
-	role     state.Role
-	lastLive time.Time
+// forgottenMember is what remains of a removed member for CountRecentlyLive.
+type forgottenMember struct {
+	role       state.Role
+	lastLiveAt time.Time
 }
 
-// Change is a step in a member's life.
+// Change is a change of a member: a new version of it, after which it is live or has left, or its going down.
 type Change struct {
 	Member state.Member
 	Live   bool
 	Down   bool
 }
 
-// New makes a table that knows the own member alone.
+// New returns a table with the local member alone.
 func New(now time.Time, options Options) *Table {
 	t := &Table{
-		self:       options.Self.Name,
-		members:    map[string]*known{},
-		departed:   map[string]departure{},
-		suspicions: map[suspicionID]Suspicion{},
-		watched:    map[string]*watch{},
-		watchers:   map[string][]*known{},
-		contacts:   map[string]time.Time{},
-		doubts:     map[string]time.Time{},
-		lastTick:   now,
+		self:         options.Self.Name,
+		members:      map[string]*trackedMember{},
+		forgotten:    map[string]forgottenMember{},
+		suspicions:   map[suspicionID]Suspicion{},
+		watched:      map[string]*watchedMember{},
+		watchers:     map[string][]*trackedMember{},
+		lastContacts: map[string]time.Time{},
+		suspectZones: map[string]time.Time{},
+		lastTick:     now,
 	}
 	t.MergeMember(now, options.Self)
 	return t
 }
 
-// OnChange has the function called at every change of a member.
-func (t *Table) OnChange(call func(Change)) { t.listeners = append(t.listeners, call) }
+// OnChange registers a function that is called, synchronously, at every change of a member.
+func (t *Table) OnChange(listener func(Change)) { t.listeners = append(t.listeners, listener) }
 
-// Self returns the own member.
+// Self returns the local member.
 func (t *Table) Self() state.Member { return t.members[t.self].member }
 
-// IsNewer tells whether a member's word on itself is newer than another.
+// IsNewer reports whether one version of a member is newer than the other: by incarnation, then by sequence.
 func IsNewer(one, other state.Member) bool {
 	if one.Incarnation != other.Incarnation {
 		return one.Incarnation > other.Incarnation
@@ -125,43 +129,53 @@
 	return one.Sequence > other.Sequence
 }
 
-// hasLeft tells whether a member has ended by plan, which is final for its incarnation.
-func hasLeft(member state.Member) bool { return member.State == state.MemberLeft }
+// isDeparted reports whether a member has left by a graceful shutdown, which is final for its incarnation.
+func isDeparted(member state.Member) bool { return member.State == state.MemberLeft }
 
-// MergeMember takes in a member's word on itself. A newer word ends every suspicion of an older one. It returns false
-// where the word is no news.
+// MergeMember applies a version of a member that came from the member itself, directly or by gossip. A newer version
+// refutes every suspicion about an older one. It returns false where the version isn't newer.
 func (t *Table) MergeMember(now time.Time, member state.Member) bool {
-	found, ok := t.members[member.Name]
-	if ok && (!IsNewer(member, found.member) || hasLeft(found.member) && member.Incarnation == found.member.Incarnation) {
+	tracked, ok := t.members[member.Name]
+	if ok && !supersedes(member, tracked.member) {
 		return false
 	}
 	if !ok {
-		found = &known{place: placeOf(member.Name)}
-		t.members[member.Name] = found
-		delete(t.departed, member.Name)
+		tracked = &trackedMember{ringPosition: ringPositionOf(member.Name)}
+		t.members[member.Name] = tracked
+		delete(t.forgotten, member.Name)
 	}
-	wasLive := ok && found.live()
-	found.member = member
-	found.downSince = time.Time{}
-	t.sorted, t.unjudged = nil, true
-	if wasLive != found.live() || found.onRing != found.live() {
-		found.onRing = found.live()
-		t.dropRing()
+	wasLive := ok && tracked.isLive()
+	tracked.member = member
+	tracked.downSince = time.Time{}
+	t.liveMembers = nil
+	t.needsEvaluation = true
+	if wasLive != tracked.isLive() || tracked.onRing != tracked.isLive() {
+		tracked.onRing = tracked.isLive()
+		t.invalidateRing()
 	}
-	if !found.live() {
-		found.lastLive = now
+	if !tracked.isLive() {
+		tracked.lastLiveAt = now
 	}
-	if seen, watching := t.watched[member.Name]; watching {
-		seen.renew(now)
+	if watched, watching := t.watched[member.Name]; watching {
+		watched.restart(now)
 	}
-	t.tell(Change{Member: member, Live: found.live()})
+	t.notify(Change{Member: member, Live: tracked.isLive()})
 	return true
 }
 
-// UpdateSelf changes the own member's word on itself and returns the new one.
+// supersedes reports whether a version of a member takes the place of the known one.
+func supersedes(version, known state.Member) bool {
+	if isDeparted(known) && version.Incarnation == known.Incarnation {
+		return false
+	}
+	return IsNewer(version, known)
+}
+
+// UpdateSelf changes the local member, raises its sequence and returns the new version for gossip. After the member has
+// left it changes nothing.
 func (t *Table) UpdateSelf(now time.Time, change func(*state.Member)) state.Member {
 	member := t.Self()
-	if hasLeft(member) {
+	if isDeparted(member) {
 		return member
 	}
 	change(&member)
@@ -170,112 +184,115 @@
 	return member
 }
 
-// LiveMembers returns all live members, by name. The caller must not change the slice.
+// LiveMembers returns the live members, the local one among them, by name. The caller must not modify the slice.
 func (t *Table) LiveMembers() []state.Member {
-	if t.sorted != nil {
-		return t.sorted
+	if t.liveMembers != nil {
+		return t.liveMembers
 	}
-	t.sorted = make([]state.Member, 0, len(t.members))
-	for _, found := range t.members {
-		if found.live() {
-			t.sorted = append(t.sorted, found.member)
+	t.liveMembers = make([]state.Member, 0, len(t.members))
+	for _, tracked := range t.members {
+		if tracked.isLive() {
+			t.liveMembers = append(t.liveMembers, tracked.member)
 		}
 	}
-	slices.SortFunc(t.sorted, func(a, b state.Member) int { return cmp.Compare(a.Name, b.Name) })
-	return t.sorted
+	slices.SortFunc(t.liveMembers, func(a, b state.Member) int { return cmp.Compare(a.Name, b.Name) })
+	return t.liveMembers
 }
 
-// DownMembers returns the members that are known to be down, by name.
+// DownMembers returns the members that are down and not removed yet, by name.
 func (t *Table) DownMembers() []state.Member {
-	return t.all(func(found *known) bool { return !found.downSince.IsZero() && !hasLeft(found.member) })
+	return t.membersWhere(func(tracked *trackedMember) bool { return !tracked.downSince.IsZero() && !isDeparted(tracked.member) })
 }
 
-// LeftMembers returns the members that have ended by plan and are not forgotten yet, by name.
+// LeftMembers returns the members that have left by a graceful shutdown and are not removed yet, by name.
 func (t *Table) LeftMembers() []state.Member {
-	return t.all(func(found *known) bool { return hasLeft(found.member) })
+	return t.membersWhere(func(tracked *trackedMember) bool { return isDeparted(tracked.member) })
 }
 
-// all returns the members of which something holds, by name.
-func (t *Table) all(holds func(*known) bool) []state.Member {
+// membersWhere returns the members that match, by name.
+func (t *Table) membersWhere(matches func(*trackedMember) bool) []state.Member {
 	var all []state.Member
-	for _, found := range t.members {
-		if holds(found) {
-			all = append(all, found.member)
+	for _, tracked := range t.members {
+		if matches(tracked) {
+			all = append(all, tracked.member)
 		}
 	}
 	slices.SortFunc(all, func(a, b state.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Member returns what is known of a member, live or not.
+// Member returns the newest version of a known member, live or not.
 func (t *Table) Member(name string) (state.Member, bool) {
-	found, ok := t.members[name]
+	tracked, ok := t.members[name]
 	if !ok {
 		return state.Member{}, false
 	}
-	return found.member, true
+	return tracked.member, true
 }
 
-// IsDown tells whether a member is known and down.
+// IsDown reports whether a member is known and down.
 func (t *Table) IsDown(name string) bool {
 	since, ok := t.DownSince(name)
 	return ok && !since.IsZero()
 }
 
-// DownSince is when a known member went down; zero where it has not.
+// DownSince returns when a member went down, zero where it hasn't; false where the member isn't known.
 func (t *Table) DownSince(name string) (time.Time, bool) {
-	found, ok := t.members[name]
+	tracked, ok := t.members[name]
 	if !ok {
 		return time.Time{}, false
 	}
-	return found.downSince, true
+	return tracked.downSince, true
 }
 
-// setDown marks a member as down.
-func (t *Table) setDown(now time.Time, found *known) {
-	found.downSince, found.lastLive = now, now
-	t.sorted = nil
-	t.dropRing() // it keeps its place, but others may take its turn
-	t.tell(Change{Member: found.member, Down: true})
+// markDown marks a member as down.
+func (t *Table) markDown(now time.Time, tracked *trackedMember) {
+	tracked.downSince = now
+	tracked.lastLiveAt = now
+	t.liveMembers = nil
+	t.invalidateRing() // it stays on the ring, but the remoteRank of others may change
+	t.notify(Change{Member: tracked.member, Down: true})
 }
 
-// RemoveTerminated drops a member that is down or has left, before its time. It returns false where it is live.
+// RemoveTerminated removes a member that is down or has left before its RetentionPeriod is over. It returns false where
+// the member isn't known, is live, or is the local one.
 func (t *Table) RemoveTerminated(name string) bool {
-	found, ok := t.members[name]
-	if !ok || found.live() || name == t.self {
+	tracked, ok := t.members[name]
+	if !ok || tracked.isLive() || name == t.self {
 		return false
 	}
-	t.drop(name, found)
+	t.remove(name, tracked)
 	return true
 }
 
-// drop takes a member out.
-func (t *Table) drop(name string, found *known) {
+// remove removes a member.
+func (t *Table) remove(name string, tracked *trackedMember) {
 	delete(t.members, name)
-	t.dropRing()
-	t.departed[name] = departure{role: found.member.Role, lastLive: found.lastLive}
+	t.invalidateRing()
+	t.forgotten[name] = forgottenMember{role: tracked.member.Role, lastLiveAt: tracked.lastLiveAt}
 }
 
-// forget drops the members that went long ago and returns their names.
-func (t *Table) forget(now time.Time) (names []string) {
-	for name, found := range t.members {
-		if name == t.self || found.live() || now.Sub(found.lastLive) < RetentionPeriod {
+// removeExpired removes the members that have been down or departed for RetentionPeriod and returns their names, sorted.
+func (t *Table) removeExpired(now time.Time) (names []string) {
+	for name, tracked := range t.members {
+		if name == t.self || tracked.isLive() || now.Sub(tracked.lastLiveAt) < RetentionPeriod {
 			continue
 		}
-		t.drop(name, found)
+		t.remove(name, tracked)
 		names = append(names, name)
 	}
-	for name, gone := range t.departed {
-		if now.Sub(gone.lastLive) >= 2*RetentionPeriod {
-			delete(t.departed, name)
+	for name, forgotten := range t.forgotten {
+		if now.Sub(forgotten.lastLiveAt) >= 2*RetentionPeriod {
+			delete(t.forgotten, name)
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-func (t *Table) tell(change Change) {
-	for _, call := range t.listeners {
-		call(change)
+// notify calls the listeners.
+func (t *Table) notify(change Change) {
+	for _, listener := range t.listeners {
+		listener(change)
 	}
 }
--- a/serving/membership/tick.go
+++ b/serving/membership/tick.go
@@ -7,140 +7,147 @@
 	"rowanlink/serving/state"
 )
 
-// Tick does what time brings: it returns the own words as a watcher that are to be spread, and the members that
-// were forgotten.
-func (t *Table) Tick(now time.Time) (words []Suspicion, forgotten []string) {
-	if now.Sub(t.lastTick) > standstill {
-		for _, seen := range t.watched {
-			seen.renew(now)
+// Tick does what is due. It returns the local member's new suspicions and withdrawals, which the caller gossips, and
+// the names of the members that were removed. The caller ticks at least once in each HeartbeatInterval.
+func (t *Table) Tick(now time.Time) (suspicions []Suspicion, removed []string) {
+	if now.Sub(t.lastTick) > maxTickPause {
+		for _, watched := range t.watched {
+			watched.restart(now)
 		}
 	}
 	t.lastTick = now
-	t.trimRing(now)
-	if t.watchStale {
-		t.watchStale = false
+	t.removeDownFromRing(now)
+	if t.watchedStale {
+		t.watchedStale = false
 		t.updateWatched(now)
 	}
-	for name, seen := range t.watched {
-		words = append(words, t.look(now, name, seen)...)
+	for name, watched := range t.watched {
+		suspicions = append(suspicions, t.checkWatched(now, name, watched)...)
 	}
-	forgotten = t.forget(now)
-	if t.unjudged {
-		t.unjudged = false
-		t.judge(now)
-		t.judgeZones(now)
+	removed = t.removeExpired(now)
+	if t.needsEvaluation {
+		t.needsEvaluation = false
+		t.evaluateSuspicions(now)
+		t.evaluateZones(now)
 	}
-	return words, forgotten
+	return suspicions, removed
 }
 
-// NextTimeout is when the patience with a watched member ends if nothing is heard of it; zero where none is watched.
+// NextTimeout returns when the first suspicion timeout of a watched member ends if no heartbeat comes; zero where no
+// member is watched.
 func (t *Table) NextTimeout() (next time.Time) {
-	for name, seen := range t.watched {
-		found, ok := t.members[name]
-		if !ok || seen.suspected || !found.live() {
+	for name, watched := range t.watched {
+		tracked, ok := t.members[name]
+		if !ok || watched.suspected || !tracked.isLive() {
 			continue
 		}
-		if expiry := seen.heard.Add(t.patience(found.member, seen)); next.IsZero() || expiry.Before(next) {
-			next = expiry
+		timeout := watched.lastHeartbeat.Add(t.suspicionTimeout(tracked.member, watched))
+		if next.IsZero() || timeout.Before(next) {
+			next = timeout
 		}
 	}
 	return next
 }
 
-// look checks one watched member.
-func (t *Table) look(now time.Time, name string, seen *watch) []Suspicion {
-	found, ok := t.members[name]
+// checkWatched returns the suspicion or withdrawal that is due about a watched member, if one is.
+func (t *Table) checkWatched(now time.Time, name string, watched *watchedMember) []Suspicion {
+	tracked, ok := t.members[name]
 	if !ok {
 		return nil
 	}
-	if seen.suspected {
-		if !t.spent(seen.word, found.member) {
+	if watched.suspected {
+		if !isObsolete(watched.lastIssued, tracked.member) {
 			return nil
 		}
-		seen.suspected = false
-		return []Suspicion{t.speak(seen, found.member, true)}
+		watched.suspected = false
+		return []Suspicion{t.issueSuspicion(watched, tracked.member, true)}
 	}
-	if !found.live() || now.Sub(seen.heard) < t.patience(found.member, seen) {
+	timeout := t.suspicionTimeout(tracked.member, watched)
+	if !tracked.isLive() || now.Sub(watched.lastHeartbeat) < timeout {
 		return nil
 	}
-	seen.suspected = true
-	return []Suspicion{t.speak(seen, found.member, false)}
+	watched.suspected = true
+	return []Suspicion{t.issueSuspicion(watched, tracked.member, false)}
 }
 
-// spent tells whether a suspicion speaks of an old word of its member, or of a member that has left.
-func (t *Table) spent(word Suspicion, member state.Member) bool {
-	return word.Incarnation != member.Incarnation || word.Sequence < member.Sequence ||
-		hasLeft(member)
+// isObsolete reports whether a suspicion refers to an old version of its member, or to a member that has departed.
+func isObsolete(suspicion Suspicion, member state.Member) bool {
+	return suspicion.Incarnation != member.Incarnation ||
+		suspicion.Sequence < member.Sequence ||
+		isDeparted(member)
 }
 
-// speak makes the own next word on a watched member and takes it in.
-func (t *Table) speak(seen *watch, member state.Member, withdrawn bool) Suspicion {
-	t.wordCount++
-	seen.word = Suspicion{
+// issueSuspicion makes and merges the local member's next suspicion or withdrawal about a watched member.
+func (t *Table) issueSuspicion(watched *watchedMember, member state.Member, withdrawn bool) Suspicion {
+	t.revision++
+	watched.lastIssued = Suspicion{
 		Member:             member.Name,
 		Incarnation:        member.Incarnation,
 		Sequence:           member.Sequence,
 		Watcher:            t.self,
 		WatcherIncarnation: t.Self().Incarnation,
-		Revision:           t.wordCount,
+		Revision:           t.revision,
 		Withdrawn:          withdrawn,
 	}
-	t.MergeSuspicion(seen.word)
-	return seen.word
+	t.MergeSuspicion(watched.lastIssued)
+	return watched.lastIssued
 }
 
-// patience is how long the own process waits for a member's heartbeat. It is longer while this process itself is late
-// or the member's heartbeats are.
-func (t *Table) patience(member state.Member, seen *watch) time.Duration {
-	patience := SuspicionTimeout
+// suspicionTimeout is how long the local member waits for a member's heartbeat before it suspects it. As in Lifeguard
+// (Dadgar, Phillips and Currey, 2018), it is longer while the local process itself is slow, and besides while the
+// member's heartbeats come late.
+func (t *Table) suspicionTimeout(member state.Member, watched *watchedMember) time.Duration {
+	timeout := SuspicionTimeout
 	if member.Region != t.Self().Region {
-		patience = RemoteSuspicionTimeout
+		timeout = RemoteSuspicionTimeout
 	}
-	return patience + min(latePatience*t.late+lateHeartbeats*seen.late, latePatienceMost)
+	extension := localLatenessFactor*t.lateness + heartbeatLatenessFactor*watched.lateness
+	return timeout + min(extension, maxTimeoutExtension)
 }
 
-// intervalOf is the time between two heartbeats of a member to the own process.
-func (t *Table) intervalOf(member state.Member) time.Duration {
+// heartbeatInterval is the time between two heartbeats of a member to the local member.
+func (t *Table) heartbeatInterval(member state.Member) time.Duration {
 	if member.Region != t.Self().Region {
 		return RemoteIntervalFactor * HeartbeatInterval
 	}
 	return HeartbeatInterval
 }
 
-// RecordDelay notes by how much the own process was late with something that it had planned. What is heard of others comes
-// late too then, and to suspect them would load a system that is short of processor time already.
-func (t *Table) RecordDelay(late time.Duration) {
-	t.late = decayed(t.late, min(late, latePatienceMost/latePatience))
+// RecordDelay notes by how much the local process was late with something that it had planned. It then receives
+// heartbeats late too, and to suspect the senders would load a system that is short of processor time already.
+func (t *Table) RecordDelay(delay time.Duration) {
+	t.lateness = decayLateness(t.lateness, min(delay, maxTimeoutExtension/localLatenessFactor))
 }
 
-// decayed takes a new reading of a lateness: the greatest one counts, and falls with each further reading.
-func decayed(known, late time.Duration) time.Duration {
-	known -= known / lateDecay
-	if late <= lateLeast {
-		return known
+// decayLateness returns a lateness after one more sample: the greatest sample, which decays with each further one.
+func decayLateness(lateness, sample time.Duration) time.Duration {
+	lateness -= lateness / latenessDecay
+	if sample <= latenessThreshold {
+		return lateness
 	}
-	return max(known, late)
+	return max(lateness, sample)
 }
 
-// updateWatched begins to count for members that the ring has given to the own process, and ends it for others.
-// Members that it suspects are kept until they speak again or are forgotten.
+// updateWatched begins to watch the members that the ring has assigned to the local member and stops watching others.
+// It goes on watching members that the local member suspects until they refute that or are removed.
 func (t *Table) updateWatched(now time.Time) {
-	mine := map[string]bool{}
-	for name, found := range t.members {
-		if name == t.self || !found.live() && t.watched[name] == nil {
+	assigned := map[string]bool{}
+	for name, tracked := range t.members {
+		if name == t.self || !tracked.isLive() && t.watched[name] == nil {
 			continue
 		}
-		isWatcher := func(m state.Member) bool { return m.Name == t.self }
-		mine[name] = slices.ContainsFunc(t.Watchers(name), isWatcher)
+		isSelf := func(watcher state.Member) bool { return watcher.Name == t.self }
+		assigned[name] = slices.ContainsFunc(t.Watchers(name), isSelf)
 	}
-	for name, seen := range t.watched {
-		if _, known := t.members[name]; !known || !mine[name] && !seen.suspected {
+	for name, watched := range t.watched {
+		_, known := t.members[name]
+		if !known || !assigned[name] && !watched.suspected {
 			delete(t.watched, name)
 		}
 	}
-	for name, watching := range mine {
-		if watching && t.watched[name] == nil {
-			t.watched[name] = &watch{heard: now}
+	for name, isAssigned := range assigned {
+		if isAssigned && t.watched[name] == nil {
+			t.watched[name] = &watchedMember{lastHeartbeat: now}
 		}
 	}
 }
