--- a/cmd/rowan-endpointsim/main.go
+++ b/cmd/rowan-endpointsim/main.go
@@ -99,7 +99,7 @@
 	defer cancel()
 	operator := &client.Client{Addresses: file.Control}
 	err = operator.ReplaceConfiguration(ctx, 0, document)
-	var refusal *client.Refusal
+	var refusal *client.RejectedError
 	if errors.As(err, &refusal) {
 		fmt.Fprintln(os.Stdout, "the system keeps the configuration that it has:", refusal.Text)
 		return nil
--- a/cmd/rowanctl/main.go
+++ b/cmd/rowanctl/main.go
@@ -92,9 +92,9 @@
 
 // exitCode is the code with which the command ends over an error.
 func exitCode(err error) int {
-	var refusal *client.Refusal
+	var refusal *client.RejectedError
 	switch {
-	case errors.Is(err, client.ErrUnclear):
+	case errors.Is(err, client.ErrInDoubt):
 		return exitUnclear
 	case errors.As(err, &refusal):
 		return exitRefused
--- a/serving/core/restore_test.go
+++ b/serving/core/restore_test.go
@@ -156,7 +156,7 @@
 		s.save()
 		beat("a", 2, true)
 		s.save()
-		table.SignOff("a")
+		table.Deregister("a")
 		s.save()
 		beat("c", 1, false)
 		s.save()
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -132,8 +132,8 @@
 	touch *quorum.Checker) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
-	return operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: table.Table(), Spread: table, Contact: touch,
-		Regions: options.Settings.Regions, Forward: forwarder.Forward, Log: options.Log})
+	return operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: table.Table(), Replicator: table, Quorum: touch,
+		Regions: options.Settings.Regions, ForwardTo: forwarder.ForwardTo, Log: options.Log})
 }
 
 // end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
--- a/serving/endpoints/calls.go
+++ b/serving/endpoints/calls.go
@@ -97,8 +97,8 @@
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// SignOff takes in that an endpoint has signed off. It may serve on for a while what it has; it never comes back.
-func (t *Table) SignOff(now time.Time, id string) (state.Endpoint, Change) {
+// Deregister takes in that an endpoint has deregistered. It may serve on for a while what it has; it never comes back.
+func (t *Table) Deregister(now time.Time, id string) (state.Endpoint, Change) {
 	e, known := t.entries[id]
 	if known && e.endpoint.Sequence == signedOffSequence {
 		return e.snapshotAt(now), Change{Stale: true, Replicated: e.broadcast.replicated}
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -21,9 +21,9 @@
 
 // The real parts fit the interfaces.
 var (
-	_ Gossip             = (*member.Service)(nil)
-	_ operator.Spread    = (*Exchange)(nil)
-	_ operator.Endpoints = (*endpoints.SharedTable)(nil)
+	_ Gossip              = (*member.Service)(nil)
+	_ operator.Replicator = (*Exchange)(nil)
+	_ operator.Endpoints  = (*endpoints.SharedTable)(nil)
 )
 
 // fakeMesh gives back each entry to those who subscribe, as the mesh does.
--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -194,7 +194,7 @@
 	for attempt := 0; ; attempt++ {
 		require.Less(t, attempt, 10)
 		member := []string{"core-2", "core-1"}[attempt%2]
-		if w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.SignOff(w.now, "e") }) {
+		if w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.Deregister(w.now, "e") }) {
 			break
 		}
 	}
@@ -240,7 +240,7 @@
 				closing[id] = true // for good
 				w.randomBeat(t, id, member, sequences, true)
 			case "sign-off":
-				handle := func(table *Table) (state.Endpoint, Change) { return table.SignOff(w.now, id) }
+				handle := func(table *Table) (state.Endpoint, Change) { return table.Deregister(w.now, id) }
 				signedOff[id] = w.call(t, member, handle) || signedOff[id]
 			case "sweep":
 				for _, endpoint := range w.tables[member].Sweep(w.now) {
--- a/serving/endpoints/outlier_test.go
+++ b/serving/endpoints/outlier_test.go
@@ -147,7 +147,7 @@
 func TestObservationsOfWhatIsNotJudgedHere(t *testing.T) {
 	o := newOutliers()
 	o.Merge(o.now, state.Endpoint{ID: "far", Service: "s", Address: "far:80", Receiver: "other", Sequence: 1})
-	o.SignOff(o.now, "e1")
+	o.Deregister(o.now, "e1")
 	for _, id := range []string{"far", "e1", "unknown"} {
 		assert.False(t, o.observe(id, 3, 9, true), id)
 	}
--- a/serving/endpoints/owner.go
+++ b/serving/endpoints/owner.go
@@ -37,10 +37,10 @@
 	return result.endpoint, result.change, ok
 }
 
-// SignOff is Table.SignOff.
-func (o *SharedTable) SignOff(id string) (state.Endpoint, Change, bool) {
+// Deregister is Table.Deregister.
+func (o *SharedTable) Deregister(id string) (state.Endpoint, Change, bool) {
 	result, ok := actor.Call(o.table, func(t *Table) heartbeatResult {
-		endpoint, change := t.SignOff(o.clock(), id)
+		endpoint, change := t.Deregister(o.clock(), id)
 		return heartbeatResult{endpoint, change}
 	})
 	return result.endpoint, result.change, ok
--- a/serving/endpoints/table_test.go
+++ b/serving/endpoints/table_test.go
@@ -54,7 +54,7 @@
 		endpoint, change := s.table.ReceiveHeartbeat(s.now, word(t, d, "id"), beatOf(t, d))
 		return show(endpoint) + fmt.Sprintf("%+v\n", change)
 	case "sign-off":
-		endpoint, change := s.table.SignOff(s.now, word(t, d, "id"))
+		endpoint, change := s.table.Deregister(s.now, word(t, d, "id"))
 		return show(endpoint) + fmt.Sprintf("%+v\n", change)
 	case "mark-replicated":
 		held, _ := s.table.Get(s.now, word(t, d, "id"))
--- a/serving/operator/amendment.go
+++ b/serving/operator/amendment.go
@@ -11,14 +11,14 @@
 
 // Amendment is an order to change named items of the configuration.
 type Amendment struct {
-	basedOn   uint64
-	digest    state.Digest // of the order: what it builds on and its body
-	amendment *routing.Amendment
+	baseVersion uint64
+	digest      state.Digest // of the order: what it builds on and its body
+	amendment   *routing.Amendment
 }
 
 // readAmendment reads an amendment, before the register sees it.
 func readAmendment(w http.ResponseWriter, r *http.Request) (Amendment, error) {
-	basedOn, body, err := readOrder(w, r)
+	basedOn, body, err := readChangeRequest(w, r)
 	if err != nil {
 		return Amendment{}, err
 	}
@@ -27,7 +27,7 @@
 		return Amendment{}, err
 	}
 	order := binary.BigEndian.AppendUint64([]byte("amendment"), basedOn)
-	return Amendment{basedOn: basedOn, digest: state.DigestOf(append(order, body...)), amendment: amendment}, nil
+	return Amendment{baseVersion: basedOn, digest: state.DigestOf(append(order, body...)), amendment: amendment}, nil
 }
 
 // Apply makes the configuration that comes of the amendment. Errors are those of routing.Parse and
@@ -38,7 +38,7 @@
 		return state.Configuration{}, err
 	}
 	amended := a.amendment.Apply(document)
-	if len(amended) > documentMost {
+	if len(amended) > maxDocumentBytes {
 		return state.Configuration{}, errcode.AmendedConfigurationTooLarge.With("%d bytes", len(amended))
 	}
 	table, err := routing.Parse(amended)
--- a/serving/operator/client/client_test.go
+++ b/serving/operator/client/client_test.go
@@ -13,32 +13,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// nobody is an address where nobody listens.
-const nobody = "127.0.0.1:1"
+// unreachableAddress is an address where nobody listens.
+const unreachableAddress = "127.0.0.1:1"
 
-// core notes the calls that it gets and answers with a status and a body.
-type core struct {
+// fakeCore notes the calls that it gets and answers with a status and a body.
+type fakeCore struct {
 	calls  []string
 	status int
 	body   string
 }
 
-func (c *core) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeCore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	c.calls = append(c.calls, r.Method+" "+r.URL.EscapedPath()+" "+r.Header.Get(baseHeader)+" "+string(body))
+	c.calls = append(c.calls, r.Method+" "+r.URL.EscapedPath()+" "+r.Header.Get(baseVersionHeader)+" "+string(body))
 	w.WriteHeader(c.status)
 	_, _ = io.WriteString(w, c.body)
 }
 
-func serve(t *testing.T, handler http.Handler) (address string) {
+func startServer(t *testing.T, handler http.Handler) (address string) {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestCallsAreThoseOfTheAPI(t *testing.T) {
-	there := &core{status: http.StatusOK, body: "the document"}
-	client := &Client{Addresses: []string{nobody, serve(t, there)}}
+func TestClient_Calls(t *testing.T) {
+	there := &fakeCore{status: http.StatusOK, body: "the document"}
+	client := &Client{Addresses: []string{unreachableAddress, startServer(t, there)}}
 	document, err := client.Configuration(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, "the document", string(document))
@@ -49,12 +49,12 @@
 		"POST /Clearance.Finish/z  "}, there.calls)
 }
 
-// TestWhichAnswersSettle: all others go to the next member.
-func TestWhichAnswersSettle(t *testing.T) {
+// TestClient_FinalResponses: all others go to the next member.
+func TestClient_FinalResponses(t *testing.T) {
 	for status, settles := range map[int]bool{400: true, 404: true, 409: true, 412: true, 413: true, 422: true,
 		408: false, 429: false, 500: false, 503: false, 504: false} {
-		first, second := &core{status: status, body: `{"error":"R0202 why","code":202}`}, &core{status: http.StatusOK}
-		client := &Client{Addresses: []string{serve(t, first), serve(t, second)}}
+		first, second := &fakeCore{status: status, body: `{"error":"R0202 why","code":202}`}, &fakeCore{status: http.StatusOK}
+		client := &Client{Addresses: []string{startServer(t, first), startServer(t, second)}}
 		err := client.Evacuate(t.Context(), "z")
 		if !settles {
 			assert.NoError(t, err, status)
@@ -62,24 +62,24 @@
 			continue
 		}
 		assert.Empty(t, second.calls, status)
-		var refusal *Refusal
+		var refusal *RejectedError
 		require.True(t, errors.As(err, &refusal), status)
 		assert.Equal(t, status, refusal.Status)
 		assert.Equal(t, "R0202 why", refusal.Text)
 	}
 }
 
-func TestOrderWithoutAClearAnswerIsUnclear(t *testing.T) {
+func TestClient_NoFinalResponseIsInDoubt(t *testing.T) {
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	client := &Client{Addresses: []string{serve(t, &core{status: http.StatusServiceUnavailable})}}
-	assert.ErrorIs(t, client.Evacuate(ended, "z"), ErrUnclear)
+	client := &Client{Addresses: []string{startServer(t, &fakeCore{status: http.StatusServiceUnavailable})}}
+	assert.ErrorIs(t, client.Evacuate(ended, "z"), ErrInDoubt)
 	_, err := (&Client{}).Configuration(t.Context())
 	assert.ErrorIs(t, err, ErrNoAddress)
 }
 
-func TestReasonOfARefusal(t *testing.T) {
-	assert.Equal(t, "plain", reason([]byte(" plain\n")))
-	assert.Equal(t, `{"other":1}`, reason([]byte(`{"other":1}`)))
-	assert.Equal(t, "told", reason([]byte(`{"error":"told"}`)))
+func TestErrorText(t *testing.T) {
+	assert.Equal(t, "plain", errorText([]byte(" plain\n")))
+	assert.Equal(t, `{"other":1}`, errorText([]byte(`{"other":1}`)))
+	assert.Equal(t, "told", errorText([]byte(`{"error":"told"}`)))
 }
--- a/serving/operator/endpoints.go
+++ b/serving/operator/endpoint.go
@@ -14,25 +14,25 @@
 	"rowanlink/serving/state"
 )
 
-// EndpointsResource takes the calls of endpoints.
-type EndpointsResource struct {
-	endpoints Endpoints
-	spread    Spread
-	contact   *quorum.Checker
-	forward   func(id, zone string) string
-	log       *zerolog.Logger
+// EndpointResource takes the calls of endpoints.
+type EndpointResource struct {
+	endpoints  Endpoints
+	replicator Replicator
+	quorum     *quorum.Checker
+	forwardTo  func(id, zone string) string
+	log        *zerolog.Logger
 }
 
-// heartbeatAnswer is the body of the answer to a heartbeat.
-type heartbeatAnswer struct {
+// heartbeatResponse is the body of the answer to a heartbeat.
+type heartbeatResponse struct {
 	ForwardTo string `json:"forward_to,omitempty"`
 }
 
-// Beat takes a heartbeat. That an endpoint is closing is acknowledged only when a majority of the voters knows it. All
+// Heartbeat takes a heartbeat. That an endpoint is closing is acknowledged only when a majority of the voters knows it. All
 // others are acknowledged while this machine takes a majority for live: one that is cut off sends endpoints on to where
 // the dispatchers hear of them.
-func (e *EndpointsResource) Beat(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(w, r, heartbeatMost)
+func (e *EndpointResource) Heartbeat(w http.ResponseWriter, r *http.Request) {
+	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -47,18 +47,18 @@
 		writeError(w, errcode.MemberStopping.With(""))
 		return
 	}
-	e.logBeat(endpoint, change)
-	if err := e.tellOthers(r.Context(), endpoint, change); err != nil {
+	e.logHeartbeat(endpoint, change)
+	if err := e.replicate(r.Context(), endpoint, change); err != nil {
 		writeError(w, err)
 		return
 	}
 	e.acknowledge(w, endpoint)
 }
 
-// SignOff takes an endpoint's last word, whether or not it said before that it was closing. The body counts for
+// Deregister takes an endpoint's last word, whether or not it said before that it was closing. The body counts for
 // nothing.
-func (e *EndpointsResource) SignOff(w http.ResponseWriter, r *http.Request) {
-	endpoint, change, ok := e.endpoints.SignOff(r.PathValue("id"))
+func (e *EndpointResource) Deregister(w http.ResponseWriter, r *http.Request) {
+	endpoint, change, ok := e.endpoints.Deregister(r.PathValue("id"))
 	if !ok {
 		writeError(w, errcode.MemberStopping.With(""))
 		return
@@ -66,22 +66,22 @@
 	if change.Broadcast {
 		event.EndpointDeregistered.Log(e.log).Str("endpoint", endpoint.ID).Send()
 	}
-	if err := e.tellOthers(r.Context(), endpoint, change); err != nil {
+	if err := e.replicate(r.Context(), endpoint, change); err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, empty)
+	writeJSON(w, http.StatusOK, emptyBody)
 }
 
-// tellOthers passes on what others must know. For an endpoint that takes no new requests it returns when a majority of
+// replicate passes on what others must know. For an endpoint that takes no new requests it returns when a majority of
 // the voters holds that: each dispatcher that is in touch hears it from one of them, and a machine that is cut off
 // acknowledges nothing. Errors are errcode.NotReplicated.
-func (e *EndpointsResource) tellOthers(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
+func (e *EndpointResource) replicate(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.EndpointAccepting {
 		if change.Broadcast {
-			e.spread.Put(endpoint)
+			e.replicator.Put(endpoint)
 		}
-		if !e.contact.HasQuorum() {
+		if !e.quorum.HasQuorum() {
 			return errcode.NotReplicated.With("endpoint %s: too few voters are live", endpoint.ID)
 		}
 		return nil
@@ -89,13 +89,13 @@
 	if change.Replicated {
 		return nil
 	}
-	others, copies, known := e.contact.OtherVoters()
+	others, copies, known := e.quorum.OtherVoters()
 	if !known {
 		return errcode.NotReplicated.With("endpoint %s: the voters aren't known yet", endpoint.ID)
 	}
-	limited, cancel := context.WithTimeout(ctx, replicationLimit)
+	limited, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
-	if err := e.spread.PutReplicated(limited, endpoint, others, copies); err != nil {
+	if err := e.replicator.PutReplicated(limited, endpoint, others, copies); err != nil {
 		event.EndpointNotReplicated.Log(e.log).Str("endpoint", endpoint.ID).Err(err).Send()
 		return errcode.NotReplicated.With("endpoint %s: %v", endpoint.ID, err)
 	}
@@ -103,19 +103,19 @@
 	return nil
 }
 
-func (e *EndpointsResource) acknowledge(w http.ResponseWriter, endpoint state.Endpoint) {
-	var answer heartbeatAnswer
-	if e.forward != nil {
-		answer.ForwardTo = e.forward(endpoint.ID, endpoint.Zone)
+func (e *EndpointResource) acknowledge(w http.ResponseWriter, endpoint state.Endpoint) {
+	var answer heartbeatResponse
+	if e.forwardTo != nil {
+		answer.ForwardTo = e.forwardTo(endpoint.ID, endpoint.Zone)
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
-		body = empty
+		body = emptyBody
 	}
 	writeJSON(w, http.StatusOK, body)
 }
 
-func (e *EndpointsResource) logBeat(endpoint state.Endpoint, change endpoints.Change) {
+func (e *EndpointResource) logHeartbeat(endpoint state.Endpoint, change endpoints.Change) {
 	switch {
 	case change.New:
 		event.EndpointRegistered.Log(e.log).Str("endpoint", endpoint.ID).Str("service", endpoint.Service).
--- a/serving/operator/endpoints_test.go
+++ b/serving/operator/endpoint_test.go
@@ -11,47 +11,47 @@
 	"rowanlink/serving/state"
 )
 
-func TestBeatRegistersAndForwards(t *testing.T) {
+func TestHeartbeat_RegistersAndForwards(t *testing.T) {
 	f := newFixture(t)
-	answer := f.call("POST", beatPath, beatBody("accepting", 4))
+	answer := f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
 	assert.Equal(t, 200, answer.Code)
 	assert.JSONEq(t, `{"forward_to":"z1:1"}`, answer.Body.String())
 	want := state.Endpoint{ID: "i-7f3a91c2", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "z1", SoftwareVersion: "v1",
 		Slots: 128, Sequence: 4, Receiver: "core-1", Models: []state.Model{{Name: "m", Version: 1}}}
-	assert.Equal(t, []state.Endpoint{want}, f.spread.put)
+	assert.Equal(t, []state.Endpoint{want}, f.replicator.put)
 	assert.Equal(t, []state.Endpoint{want}, f.table.Live())
 
-	assert.Equal(t, 200, f.call("POST", beatPath, beatBody("accepting", 5)).Code)
-	assert.Len(t, f.spread.put, 1, "a heartbeat that says nothing new isn't told on")
-	assert.Empty(t, f.spread.replicated)
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 5)).Code)
+	assert.Len(t, f.replicator.put, 1, "a heartbeat that says nothing new isn't told on")
+	assert.Empty(t, f.replicator.replicated)
 }
 
-func TestClosingIsAcknowledgedOnlyWhenAMajorityHoldsIt(t *testing.T) {
+func TestClosing_IsAcknowledgedOnceReplicatedToAMajority(t *testing.T) {
 	for _, call := range []struct{ name, path, body string }{
-		{"closing", beatPath, beatBody("closing", 9)}, {"sign-off", signOffPath, ""},
+		{"closing", heartbeatPath, heartbeatBody("closing", 9)}, {"sign-off", deregisterPath, ""},
 	} {
 		t.Run(call.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t)
-				f.call("POST", beatPath, beatBody("accepting", 4))
-				f.spread.failures = 2
+				f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
+				f.replicator.failures = 2
 				for range 2 {
 					begun := time.Now()
 					assert.Equal(t, 503, f.call("POST", call.path, call.body).Code)
-					assert.Equal(t, replicationLimit, time.Since(begun))
+					assert.Equal(t, replicationTimeout, time.Since(begun))
 				}
 				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
-				assert.Len(t, f.spread.replicated, 3)
-				assert.Equal(t, []string{"core-2", "core-3"}, f.spread.asked)
-				assert.Equal(t, 1, f.spread.copies)
+				assert.Len(t, f.replicator.replicated, 3)
+				assert.Equal(t, []string{"core-2", "core-3"}, f.replicator.addresses)
+				assert.Equal(t, 1, f.replicator.copies)
 				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
-				assert.Len(t, f.spread.replicated, 3, "the others hold it already")
+				assert.Len(t, f.replicator.replicated, 3, "the others hold it already")
 			})
 		})
 	}
 }
 
-func TestCopiesThatMakeAMajority(t *testing.T) {
+func TestClosing_ReplicasNeededForAMajority(t *testing.T) {
 	for _, tried := range []struct {
 		name   string
 		voters fakeVoters
@@ -64,43 +64,43 @@
 	} {
 		f := newFixture(t)
 		*f.voters = tried.voters
-		assert.Equal(t, 200, f.call("POST", beatPath, beatBody("closing", 4)).Code, tried.name)
-		assert.Equal(t, tried.asked, f.spread.asked, tried.name)
-		assert.Equal(t, tried.copies, f.spread.copies, tried.name)
+		assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code, tried.name)
+		assert.Equal(t, tried.asked, f.replicator.addresses, tried.name)
+		assert.Equal(t, tried.copies, f.replicator.copies, tried.name)
 	}
 }
 
 // A machine that takes itself for alone, as one that is cut off does, is no majority: it acknowledges no end, and sends
 // all endpoints on to others.
-func TestMachineThatIsCutOffAcknowledgesNothing(t *testing.T) {
+func TestPartitionedMember_AcknowledgesNothing(t *testing.T) {
 	f := newFixture(t)
-	f.spread.dead["core-2"], f.spread.dead["core-3"] = true, true
-	f.spread.failures = 2
-	assert.Equal(t, 503, f.call("POST", beatPath, beatBody("accepting", 3)).Code)
+	f.replicator.dead["core-2"], f.replicator.dead["core-3"] = true, true
+	f.replicator.failures = 2
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
 	assert.Len(t, f.table.Live(), 1, "what it said is known all the same")
-	assert.Equal(t, 503, f.call("POST", beatPath, beatBody("closing", 4)).Code)
-	assert.Equal(t, 503, f.call("POST", signOffPath, "").Code)
-	f.spread.dead["core-2"] = false
-	assert.Equal(t, 200, f.call("POST", "/Endpoints.Beat/other", beatBody("accepting", 3)).Code)
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code)
+	assert.Equal(t, 503, f.call("POST", deregisterPath, "").Code)
+	f.replicator.dead["core-2"] = false
+	assert.Equal(t, 200, f.call("POST", "/Endpoints.Beat/other", heartbeatBody("accepting", 3)).Code)
 }
 
-func TestNothingClosesBeforeTheVotersAreKnown(t *testing.T) {
+func TestClosing_FailsWhileTheVotersAreUnknown(t *testing.T) {
 	f := newFixture(t)
 	*f.voters = nil
-	assert.Equal(t, 200, f.call("POST", beatPath, beatBody("accepting", 3)).Code)
-	assert.Equal(t, 503, f.call("POST", beatPath, beatBody("closing", 4)).Code)
-	assert.Empty(t, f.spread.replicated)
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code)
+	assert.Empty(t, f.replicator.replicated)
 }
 
-func TestLateBeatAfterSignOffChangesNothing(t *testing.T) {
+func TestHeartbeat_AfterDeregistrationIsIgnored(t *testing.T) {
 	f := newFixture(t)
-	f.call("POST", signOffPath, "any body")
-	assert.Equal(t, 200, f.call("POST", beatPath, beatBody("accepting", 80)).Code)
+	f.call("POST", deregisterPath, "any body")
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 80)).Code)
 	assert.Empty(t, f.table.Live())
-	assert.Empty(t, f.spread.put)
+	assert.Empty(t, f.replicator.put)
 }
 
-func TestBeatOfManyShapes(t *testing.T) {
+func TestHeartbeat_Bodies(t *testing.T) {
 	for _, test := range []struct {
 		name, body string
 		status     int
@@ -115,40 +115,40 @@
 		{"no service", `{"address":"x:1"}`, 400},
 		{"cut short", `{"carrier":"s","address"`, 400},
 		{"unknown state", `{"carrier":"s","address":"x:1","state":"tired"}`, 400},
-		{"too large", `{"carrier":"` + strings.Repeat("s", heartbeatMost) + `"}`, 413},
+		{"too large", `{"carrier":"` + strings.Repeat("s", maxHeartbeatBytes) + `"}`, 413},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			answer := newFixture(t).call("POST", beatPath, test.body)
+			answer := newFixture(t).call("POST", heartbeatPath, test.body)
 			assert.Equal(t, test.status, answer.Code, answer.Body.String())
 			assert.Less(t, answer.Body.Len(), 4096)
 		})
 	}
 }
 
-func member(name, zone, region string) state.Member {
+func newCoreMember(name, zone, region string) state.Member {
 	return state.Member{Name: name, Zone: zone, Region: region, Role: state.RoleCore, State: state.MemberReady,
 		ControlAddress: name + ":1"}
 }
 
-func TestForwarderChoosesTheNearest(t *testing.T) {
-	self := member("a", "z1", "r1")
+func TestForwarder_ChoosesTheNearestMember(t *testing.T) {
+	self := newCoreMember("a", "z1", "r1")
 	regions := map[string]string{"z1": "r1", "z2": "r1", "z3": "r2", "z4": "r2"}
-	starting := member("s", "z4", "r2")
+	starting := newCoreMember("s", "z4", "r2")
 	starting.State = state.MemberStarting
-	agent := member("g", "z4", "r2")
+	agent := newCoreMember("g", "z4", "r2")
 	agent.Role = state.RoleAgent
-	members := []state.Member{self, member("b", "z2", "r1"), member("c", "z3", "r2"), starting, agent}
+	members := []state.Member{self, newCoreMember("b", "z2", "r1"), newCoreMember("c", "z3", "r2"), starting, agent}
 	forwarder := &Forwarder{Self: self, Regions: regions, Clock: time.Now,
 		Members: func() []state.Member { return members }}
 	for zone, want := range map[string]string{"z1": "a:1", "z2": "b:1", "z3": "c:1", "z4": "c:1"} {
-		assert.Equal(t, want, forwarder.Forward("e-"+zone, zone), zone)
+		assert.Equal(t, want, forwarder.ForwardTo("e-"+zone, zone), zone)
 	}
 	members = nil
-	assert.Equal(t, "a:1", forwarder.Forward("e", "z3"), "alone")
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z3"), "alone")
 }
 
-func TestForwarderSharesTheWorkAlikeOnAllMembers(t *testing.T) {
-	a, b := member("a", "z1", "r1"), member("b", "z1", "r1")
+func TestForwarder_DistributesConsistently(t *testing.T) {
+	a, b := newCoreMember("a", "z1", "r1"), newCoreMember("b", "z1", "r1")
 	regions := map[string]string{"z1": "r1"}
 	counts := map[string]int{}
 	for _, id := range strings.Split("0123456789abcdefghijklmnopqrstuvwxyz", "") {
@@ -160,19 +160,19 @@
 	assert.Greater(t, counts["b"], 8)
 }
 
-func TestEndpointThatComesBackIsKept(t *testing.T) {
+func TestForwarder_KeepsReturnedEndpoints(t *testing.T) {
 	now := time.Unix(0, 0)
-	self := member("a", "z1", "r1")
-	other := member("b", "z2", "r1")
+	self := newCoreMember("a", "z1", "r1")
+	other := newCoreMember("b", "z2", "r1")
 	forwarder := &Forwarder{Self: self, Regions: map[string]string{"z1": "r1", "z2": "r1"},
 		Members: func() []state.Member { return []state.Member{self, other} }, Clock: func() time.Time { return now }}
-	assert.Equal(t, "b:1", forwarder.Forward("e", "z2"))
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"))
 	now = now.Add(2 * time.Second)
-	assert.Equal(t, "a:1", forwarder.Forward("e", "z2"), "it could not reach where it was sent")
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"), "it could not reach where it was sent")
 	now = now.Add(30 * time.Second)
-	assert.Equal(t, "a:1", forwarder.Forward("e", "z2"))
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"))
 	now = now.Add(31 * time.Second)
-	assert.Equal(t, "b:1", forwarder.Forward("e", "z2"), "tried again after a minute")
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "tried again after a minute")
 	now = now.Add(11 * time.Second)
-	assert.Equal(t, "b:1", forwarder.Forward("e", "z2"), "a call long after is no return")
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "a call long after is no return")
 }
--- a/serving/operator/clearance.go
+++ b/serving/operator/evacuation.go
@@ -10,28 +10,28 @@
 	"rowanlink/serving/event"
 )
 
-// ClearanceResource holds the evacuations of zones.
-type ClearanceResource struct {
+// EvacuationResource holds the evacuations of zones.
+type EvacuationResource struct {
 	register Register
 	regions  map[string]string
 	log      *zerolog.Logger
 }
 
 // Begin orders that nothing more go to the endpoints of a zone.
-func (c *ClearanceResource) Begin(w http.ResponseWriter, r *http.Request) { c.set(w, r, true) }
+func (c *EvacuationResource) Begin(w http.ResponseWriter, r *http.Request) { c.set(w, r, true) }
 
-// Finish takes the order back.
-func (c *ClearanceResource) Finish(w http.ResponseWriter, r *http.Request) { c.set(w, r, false) }
+// End takes the order back.
+func (c *EvacuationResource) End(w http.ResponseWriter, r *http.Request) { c.set(w, r, false) }
 
 // set answers 200 when a majority holds the order, 404 for a zone that isn't in the settings, 503 when it is open.
 // The work ends when the caller leaves: done later, it might undo an order that followed.
-func (c *ClearanceResource) set(w http.ResponseWriter, r *http.Request, active bool) {
+func (c *EvacuationResource) set(w http.ResponseWriter, r *http.Request, active bool) {
 	zone := r.PathValue("zone")
 	if _, known := c.regions[zone]; !known {
 		writeError(w, errcode.ZoneUnknown.With("%q", zone))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), orderLimit)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	if err := c.register.SetEvacuation(ctx, zone, active); err != nil {
 		event.ChangeInDoubt.Log(c.log).Str("zone", zone).Bool("active", active).Err(err).Send()
@@ -39,5 +39,5 @@
 		return
 	}
 	event.EvacuationAcknowledged.Log(c.log).Str("zone", zone).Bool("active", active).Send()
-	writeJSON(w, http.StatusOK, empty)
+	writeJSON(w, http.StatusOK, emptyBody)
 }
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -21,11 +21,11 @@
 
 // fakeRegister holds a record in memory. failAt makes the call of that number fail or hang.
 type fakeRegister struct {
-	record  state.Record
-	refusal error // given for each change
-	calls   int
-	failAt  map[int]error
-	hangAt  map[int]bool
+	record      state.Record
+	changeError error // given for each change
+	calls       int
+	failAt      map[int]error
+	hangAt      map[int]bool
 }
 
 func (f *fakeRegister) enter(ctx context.Context) error {
@@ -41,8 +41,8 @@
 	if err := f.enter(ctx); err != nil {
 		return err
 	}
-	if f.refusal != nil {
-		return f.refusal
+	if f.changeError != nil {
+		return f.changeError
 	}
 	f.record.Configuration = configuration
 	return nil
@@ -52,8 +52,8 @@
 	if err := f.enter(ctx); err != nil {
 		return err
 	}
-	if f.refusal != nil {
-		return f.refusal
+	if f.changeError != nil {
+		return f.changeError
 	}
 	amended, err := order.Apply(f.record.Configuration)
 	if err == nil {
@@ -74,20 +74,20 @@
 	return f.record, f.enter(ctx)
 }
 
-// fakeSpread counts what is told. Replication fails as often as failures says.
-type fakeSpread struct {
+// fakeReplicator counts what is told. Replication fails as often as failures says.
+type fakeReplicator struct {
 	put        []state.Endpoint
 	replicated []state.Endpoint
-	asked      []string // addresses of the newest replication
+	addresses  []string // addresses of the newest replication
 	copies     int      // of the newest replication
 	failures   int
 	dead       map[string]bool // addresses
 }
 
-func (f *fakeSpread) Put(e state.Endpoint) { f.put = append(f.put, e) }
+func (f *fakeReplicator) Put(e state.Endpoint) { f.put = append(f.put, e) }
 
-func (f *fakeSpread) PutReplicated(ctx context.Context, e state.Endpoint, addresses []string, copies int) error {
-	f.asked, f.copies = addresses, copies
+func (f *fakeReplicator) PutReplicated(ctx context.Context, e state.Endpoint, addresses []string, copies int) error {
+	f.addresses, f.copies = addresses, copies
 	f.replicated = append(f.replicated, e)
 	if f.failures > 0 {
 		f.failures--
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (f *fakeSpread) live(address string) bool { return !f.dead[address] }
+func (f *fakeReplicator) isLive(address string) bool { return !f.dead[address] }
 
 // fakeVoters is a set of voters.
 type fakeVoters []string
@@ -111,22 +111,22 @@
 
 // fixture is a control address over fakes and a real table.
 type fixture struct {
-	register *fakeRegister
-	spread   *fakeSpread
-	voters   *fakeVoters
-	table    *endpoints.SharedTable
-	handler  http.Handler
+	register   *fakeRegister
+	replicator *fakeReplicator
+	voters     *fakeVoters
+	table      *endpoints.SharedTable
+	handler    http.Handler
 }
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{register: &fakeRegister{}, spread: &fakeSpread{dead: map[string]bool{}},
+	f := &fixture{register: &fakeRegister{}, replicator: &fakeReplicator{dead: map[string]bool{}},
 		voters: &fakeVoters{"core-1", "core-2", "core-3"}}
 	f.table = endpoints.Start(endpoints.Options{Self: "core-1", HeartbeatInterval: time.Second}, time.Now)
 	t.Cleanup(f.table.Stop)
 	log := zerolog.Nop()
-	f.handler = New(Options{Register: f.register, Endpoints: f.table, Spread: f.spread,
-		Contact: &quorum.Checker{Voters: f.voters, Self: "core-1", IsLive: f.spread.live},
-		Regions: map[string]string{"z1": "r1"}, Forward: func(_, zone string) string { return zone + ":1" }, Log: &log})
+	f.handler = New(Options{Register: f.register, Endpoints: f.table, Replicator: f.replicator,
+		Quorum:  &quorum.Checker{Voters: f.voters, Self: "core-1", IsLive: f.replicator.isLive},
+		Regions: map[string]string{"z1": "r1"}, ForwardTo: func(_, zone string) string { return zone + ":1" }, Log: &log})
 	return f
 }
 
--- a/serving/operator/forward.go
+++ b/serving/operator/forwarder.go
@@ -8,11 +8,11 @@
 	"rowanlink/serving/state"
 )
 
-// returnedFor is how long an endpoint that has come back from where it was sent is kept here.
-const returnedFor = 60 * time.Second
+// returnRetention is how long an endpoint that has come back from where it was sent is kept here.
+const returnRetention = 60 * time.Second
 
-// sentFor is how long it counts as a return if an endpoint calls here although it was sent elsewhere.
-const sentFor = 10 * time.Second
+// returnWindow is how long it counts as a return if an endpoint calls here although it was sent elsewhere.
+const returnWindow = 10 * time.Second
 
 // Forwarder chooses where the heartbeats of endpoints go: to a core member in the endpoint's zone, else in its region,
 // so that they cross few links and always reach the same member. It is safe for use by several goroutines.
@@ -23,50 +23,50 @@
 	Members func() []state.Member
 	Clock   func() time.Time
 
-	mutex sync.Mutex
-	sent  map[string]sending // by endpoint
+	mutex     sync.Mutex
+	redirects map[string]redirect // by endpoint
 }
 
-// sending is what was last done with an endpoint.
-type sending struct {
-	to       string // control address
+// redirect is what was last done with an endpoint.
+type redirect struct {
+	target   string // control address
 	at       time.Time
 	returned bool // it came back: where it was sent can't be reached from there
 }
 
-// Forward returns the control address for an endpoint's next heartbeats.
-func (f *Forwarder) Forward(id, zone string) string {
+// ForwardTo returns the control address for an endpoint's next heartbeats.
+func (f *Forwarder) ForwardTo(id, zone string) string {
 	chosen := chooseReceiver(f.Self, f.Members(), f.Regions, id, zone)
-	if chosen.Name == f.Self.Name || f.cameBack(id, chosen.ControlAddress) {
+	if chosen.Name == f.Self.Name || f.hasReturned(id, chosen.ControlAddress) {
 		return f.Self.ControlAddress
 	}
 	return chosen.ControlAddress
 }
 
-// cameBack tells whether an endpoint calls here although it was just sent there, else notes that it is sent.
-func (f *Forwarder) cameBack(id, to string) bool {
+// hasReturned tells whether an endpoint calls here although it was just sent there, else notes that it is sent.
+func (f *Forwarder) hasReturned(id, to string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := f.Clock()
-	f.drop(now)
-	last, known := f.sent[id]
-	returned := known && last.to == to
+	f.evictExpired(now)
+	last, known := f.redirects[id]
+	returned := known && last.target == to
 	if returned && last.returned {
 		return true
 	}
-	if f.sent == nil {
-		f.sent = make(map[string]sending)
+	if f.redirects == nil {
+		f.redirects = make(map[string]redirect)
 	}
-	f.sent[id] = sending{to: to, at: now, returned: returned}
+	f.redirects[id] = redirect{target: to, at: now, returned: returned}
 	return returned
 }
 
-// drop forgets what lies long back.
-func (f *Forwarder) drop(now time.Time) {
-	for id, last := range f.sent {
+// evictExpired forgets what lies long back.
+func (f *Forwarder) evictExpired(now time.Time) {
+	for id, last := range f.redirects {
 		age := now.Sub(last.at)
-		if age > returnedFor || !last.returned && age > sentFor {
-			delete(f.sent, id)
+		if age > returnRetention || !last.returned && age > returnWindow {
+			delete(f.redirects, id)
 		}
 	}
 }
@@ -74,12 +74,12 @@
 // chooseReceiver takes the member nearest to the zone; among several alike, one that hangs on the endpoint's ID, so
 // that all members choose the same and share the work.
 func chooseReceiver(self state.Member, members []state.Member, regions map[string]string, id, zone string) state.Member {
-	best, bestNear, bestWeight := self, nearness(self, regions, zone), weight(self.Name, id)
+	best, bestNear, bestWeight := self, proximity(self, regions, zone), rendezvousWeight(self.Name, id)
 	for _, member := range members {
 		if member.Role != state.RoleCore || member.State != state.MemberReady || member.ControlAddress == "" {
 			continue
 		}
-		near, share := nearness(member, regions, zone), weight(member.Name, id)
+		near, share := proximity(member, regions, zone), rendezvousWeight(member.Name, id)
 		if near > bestNear || near == bestNear && share > bestWeight {
 			best, bestNear, bestWeight = member, near, share
 		}
@@ -87,8 +87,8 @@
 	return best
 }
 
-// nearness of a member to a zone: 2 in it, 1 in its region, else 0.
-func nearness(member state.Member, regions map[string]string, zone string) int {
+// proximity of a member to a zone: 2 in it, 1 in its region, else 0.
+func proximity(member state.Member, regions map[string]string, zone string) int {
 	switch {
 	case member.Zone == zone:
 		return 2
@@ -99,16 +99,16 @@
 	}
 }
 
-func weight(member, id string) uint64 {
+func rendezvousWeight(member, id string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(member))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(id))
-	return mix(hash.Sum64())
+	return mixBits(hash.Sum64())
 }
 
-// mix spreads the bits of a hash, whose high ones differ little between similar names (splitmix64's finish).
-func mix(bits uint64) uint64 {
+// mixBits spreads the bits of a hash, whose high ones differ little between similar names (splitmix64's finish).
+func mixBits(bits uint64) uint64 {
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
 	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
 	return bits ^ bits>>31
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -11,13 +11,13 @@
 	"rowanlink/serving/state"
 )
 
-// closingWords says whether an endpoint that calls itself by the word takes no new requests.
-var closingWords = map[string]bool{"accepting": false, "closing": true}
+// isClosingByState says whether an endpoint that calls itself by the word takes no new requests.
+var isClosingByState = map[string]bool{"accepting": false, "closing": true}
 
 // Settings of a heartbeat. Nothing is required that a core member can do without: an endpoint that is refused would
 // not be known at all.
 var (
-	heartbeatSettings = schema.Table[endpoints.Heartbeat]{
+	heartbeatFields = schema.Table[endpoints.Heartbeat]{
 		{Name: "carrier", Required: true, Check: schema.NotEmpty,
 			Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Service })},
 		{Name: "address", Required: true, Check: schema.NotEmpty,
@@ -28,17 +28,17 @@
 			return nil
 		})},
 		{Name: "berths", Type: schema.Whole(func(b *endpoints.Heartbeat) *int { return &b.Slots })},
-		{Name: "state", Type: schema.Word(closingWords, func(b *endpoints.Heartbeat) *bool { return &b.Closing })},
+		{Name: "state", Type: schema.Word(isClosingByState, func(b *endpoints.Heartbeat) *bool { return &b.Closing })},
 		{Name: "cold_left_ms", Type: schema.Span(time.Millisecond,
 			func(b *endpoints.Heartbeat) *time.Duration { return &b.WarmUpRemaining })},
 		{Name: "remaining_ms", Type: schema.Span(time.Millisecond,
 			func(b *endpoints.Heartbeat) *time.Duration { return &b.Remaining })},
-		{Name: "models", Type: schema.Objects(modelSettings, "name",
+		{Name: "models", Type: schema.Objects(modelFields, "name",
 			func(b *endpoints.Heartbeat) *[]state.Model { return &b.Models })},
 		{Name: "call_seq", Type: schema.Counter(func(b *endpoints.Heartbeat) *uint64 { return &b.Sequence })},
 	}
 
-	modelSettings = schema.Table[state.Model]{
+	modelFields = schema.Table[state.Model]{
 		{Name: "name", Type: schema.Text(func(m *state.Model) *string { return &m.Name })},
 		{Name: "edition", Type: schema.Raw(func(m *state.Model, value gjson.Result) error {
 			m.Version = int(value.Int())
@@ -58,7 +58,7 @@
 // readHeartbeat reads the body of a heartbeat. Errors are errcode.HeartbeatUnreadable.
 func readHeartbeat(body []byte) (endpoints.Heartbeat, error) {
 	var beat endpoints.Heartbeat
-	if err := heartbeatSettings.Parse(body, &beat); err != nil {
+	if err := heartbeatFields.Parse(body, &beat); err != nil {
 		return beat, errcode.HeartbeatUnreadable.With("%s", errcode.Of(err).Detail)
 	}
 	return beat, nil
--- a/serving/operator/answer.go
+++ b/serving/operator/httpbody.go
@@ -12,21 +12,21 @@
 	"rowanlink/serving/errcode"
 )
 
-// failure is the body of an answer that is no success.
-type failure struct {
+// errorBody is the body of an answer that is no success.
+type errorBody struct {
 	Error string       `json:"error"`
 	Code  errcode.Code `json:"code"`
 }
 
-// empty is the body of a success that has nothing to say.
-var empty = []byte("{}")
+// emptyBody is the body of a success that has nothing to say.
+var emptyBody = []byte("{}")
 
 // writeError answers with the status of the error's numbered kind.
 func writeError(w http.ResponseWriter, err error) {
 	numbered := errcode.Of(err)
-	body, failed := json.Marshal(failure{Error: numbered.Error(), Code: numbered.Kind.Code})
+	body, failed := json.Marshal(errorBody{Error: numbered.Error(), Code: numbered.Kind.Code})
 	if failed != nil {
-		body = empty
+		body = emptyBody
 	}
 	writeJSON(w, numbered.Kind.Status, body)
 }
@@ -59,9 +59,9 @@
 	}
 }
 
-// orderError keeps an error by which the committed record refuses an order, and makes all others the given kind: the
+// changeError keeps an error by which the committed record refuses an order, and makes all others the given kind: the
 // caller asks again.
-func orderError(err error, otherwise errcode.Kind) error {
+func changeError(err error, otherwise errcode.Kind) error {
 	switch numbered := errcode.Of(err); numbered.Kind.Status {
 	case http.StatusBadRequest, http.StatusPreconditionFailed:
 		return numbered
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -18,16 +18,16 @@
 
 // Times and sizes of the control address.
 const (
-	// orderLimit bounds the work on an operator's call.
-	orderLimit = 2500 * time.Millisecond
-	// replicationLimit bounds the wait until a majority holds an endpoint's word. The endpoint waits for a second.
-	replicationLimit = 300 * time.Millisecond
-	documentMost     = 8 << 20  // bytes of a configuration
-	heartbeatMost    = 64 << 10 // bytes of a heartbeat
-	headerMost       = 64 << 10 // bytes of the head of a call
-	headerLimit      = 3 * time.Second
-	callLimit        = 20 * time.Second // for a call to come and its answer to go
-	idleLimit        = 60 * time.Second
+	// changeTimeout bounds the work on an operator's call.
+	changeTimeout = 2500 * time.Millisecond
+	// replicationTimeout bounds the wait until a majority holds an endpoint's word. The endpoint waits for a second.
+	replicationTimeout = 300 * time.Millisecond
+	maxDocumentBytes   = 8 << 20  // bytes of a configuration
+	maxHeartbeatBytes  = 64 << 10 // bytes of a heartbeat
+	maxHeaderBytes     = 64 << 10 // bytes of the head of a call
+	readHeaderTimeout  = 3 * time.Second
+	requestTimeout     = 20 * time.Second // for a call to come and its answer to go
+	idleTimeout        = 60 * time.Second
 )
 
 // Register is the replicated record. Errors whose numbered kind has status 400 or 412 say that the record, as it
@@ -48,12 +48,12 @@
 // Endpoints is the table of endpoints; endpoints.Owner is one. The last result is false once it has stopped.
 type Endpoints interface {
 	ReceiveHeartbeat(id string, beat endpoints.Heartbeat) (state.Endpoint, endpoints.Change, bool)
-	SignOff(id string) (state.Endpoint, endpoints.Change, bool)
+	Deregister(id string) (state.Endpoint, endpoints.Change, bool)
 	MarkReplicated(held state.Endpoint)
 }
 
-// Spread tells the other members of endpoints.
-type Spread interface {
+// Replicator tells the other members of endpoints.
+type Replicator interface {
 	// Put hands an endpoint to the spread and doesn't wait.
 	Put(endpoint state.Endpoint)
 	// PutReplicated does the same and returns when so many of the members at the addresses hold it.
@@ -62,30 +62,30 @@
 
 // Options of the control address. All are needed but Forward.
 type Options struct {
-	Register  Register
-	Endpoints Endpoints
-	Spread    Spread
-	Contact   *quorum.Checker
-	Regions   map[string]string // region by zone: the zones that may be evacuated
-	// Forward names the control address where the endpoint's next heartbeats are to go, empty for none; see Forwarder.
-	Forward func(id, zone string) string
-	Log     *zerolog.Logger
+	Register   Register
+	Endpoints  Endpoints
+	Replicator Replicator
+	Quorum     *quorum.Checker
+	Regions    map[string]string // region by zone: the zones that may be evacuated
+	// ForwardTo names the control address where the endpoint's next heartbeats are to go, empty for none; see Forwarder.
+	ForwardTo func(id, zone string) string
+	Log       *zerolog.Logger
 }
 
 // New makes the handler of the control address.
 func New(options Options) http.Handler {
-	settings := &SettingsResource{register: options.Register, log: options.Log}
-	clearance := &ClearanceResource{register: options.Register, regions: options.Regions, log: options.Log}
-	calls := &EndpointsResource{endpoints: options.Endpoints, spread: options.Spread,
-		contact: options.Contact, forward: options.Forward, log: options.Log}
+	settings := &ConfigurationResource{register: options.Register, log: options.Log}
+	clearance := &EvacuationResource{register: options.Register, regions: options.Regions, log: options.Log}
+	calls := &EndpointResource{endpoints: options.Endpoints, replicator: options.Replicator,
+		quorum: options.Quorum, forwardTo: options.ForwardTo, log: options.Log}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /Settings.Replace", settings.Replace)
 	mux.HandleFunc("POST /Settings.Amend", settings.Amend)
 	mux.HandleFunc("GET /Settings.Read", settings.Read)
 	mux.HandleFunc("POST /Clearance.Begin/{zone}", clearance.Begin)
-	mux.HandleFunc("POST /Clearance.Finish/{zone}", clearance.Finish)
-	mux.HandleFunc("POST /Endpoints.Beat/{id}", calls.Beat)
-	mux.HandleFunc("POST /Endpoints.SignOff/{id}", calls.SignOff)
+	mux.HandleFunc("POST /Clearance.Finish/{zone}", clearance.End)
+	mux.HandleFunc("POST /Endpoints.Beat/{id}", calls.Heartbeat)
+	mux.HandleFunc("POST /Endpoints.SignOff/{id}", calls.Deregister)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, errcode.ResourceUnknown.With("%s %s", r.Method, r.URL.Path))
 	})
@@ -96,10 +96,10 @@
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerLimit,
-		ReadTimeout:       callLimit,
-		WriteTimeout:      callLimit,
-		IdleTimeout:       idleLimit,
-		MaxHeaderBytes:    headerMost,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       requestTimeout,
+		WriteTimeout:      requestTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	validDocument = ` {"edition":7,"routings":[],"carriers":[]} `
-	basedOnZero   = "X-Based-On: 0"
-	beatPath      = "/Endpoints.Beat/i-7f3a91c2"
-	signOffPath   = "/Endpoints.SignOff/i-7f3a91c2"
+	validDocument  = ` {"edition":7,"routings":[],"carriers":[]} `
+	basedOnZero    = "X-Based-On: 0"
+	heartbeatPath  = "/Endpoints.Beat/i-7f3a91c2"
+	deregisterPath = "/Endpoints.SignOff/i-7f3a91c2"
 )
 
-func beatBody(state string, sequence int) string {
+func heartbeatBody(state string, sequence int) string {
 	return fmt.Sprintf(`{"carrier":"huvo11a","address":"10.128.0.9:8080","zone":"z1","edition":"v1","berths":128,`+
 		`"state":%q,"cold_left_ms":0,"stage":"both","models":[{"name":"m","edition":1,"adapters":[]}],"call_seq":%d}`,
 		state, sequence)
 }
 
-func TestReplaceAndReadByteForByte(t *testing.T) {
+func TestReplace_ReadReturnsTheSameBytes(t *testing.T) {
 	f := newFixture(t)
 	read := f.call("GET", "/Settings.Read", "")
 	assert.Equal(t, 200, read.Code)
@@ -46,14 +46,14 @@
 	assert.Equal(t, "application/json", read.Header().Get("Content-Type"))
 }
 
-func TestLargeConfigurationPasses(t *testing.T) {
+func TestReplace_LargeConfiguration(t *testing.T) {
 	f := newFixture(t)
 	document := `{"edition":1,"later":"` + strings.Repeat("x", 4<<20) + `"}`
 	assert.Equal(t, 200, f.call("POST", "/Settings.Replace", document, basedOnZero).Code)
 	assert.Equal(t, document, f.call("GET", "/Settings.Read", "").Body.String())
 }
 
-func TestReplaceRefusesBeforeTheRegister(t *testing.T) {
+func TestReplace_RejectsInvalidRequestsBeforeTheRegister(t *testing.T) {
 	tests := []struct {
 		name, body, header string
 		status             int
@@ -65,7 +65,7 @@
 		{"cut short", validDocument[:20], basedOnZero, 400, errcode.DocumentUnreadable.Code},
 		{"empty", "", basedOnZero, 400, errcode.DocumentUnreadable.Code},
 		{"wrong type", `{"edition":7,"routings":3}`, basedOnZero, 400, errcode.FieldInvalid.Code},
-		{"too large", strings.Repeat(" ", documentMost+1), basedOnZero, 413, errcode.RequestTooLarge.Code},
+		{"too large", strings.Repeat(" ", maxDocumentBytes+1), basedOnZero, 413, errcode.RequestTooLarge.Code},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,12 +78,12 @@
 	}
 }
 
-func TestQuotedBaseIsTaken(t *testing.T) {
+func TestReplace_AcceptsAQuotedBaseVersion(t *testing.T) {
 	assert.Equal(t, 200, newFixture(t).call("POST", "/Settings.Replace", validDocument, `X-Based-On: "0"`).Code)
 }
 
-// TestReplaceAnswersWhatTheRegisterSays: only the committed record may refuse an order.
-func TestReplaceAnswersWhatTheRegisterSays(t *testing.T) {
+// TestReplace_StatusesOfRegisterErrors: only the committed record may refuse an order.
+func TestReplace_StatusesOfRegisterErrors(t *testing.T) {
 	refusal := func(status int) error { return errcode.Kind{Code: 9999, Status: status}.With("") }
 	for _, test := range []struct {
 		err    error
@@ -93,14 +93,14 @@
 		{refusal(503), 503}, {errNoMajority, 503}, {context.DeadlineExceeded, 503},
 	} {
 		f := newFixture(t)
-		f.register.refusal = test.err
+		f.register.changeError = test.err
 		answer := f.call("POST", "/Settings.Replace", validDocument, basedOnZero)
 		assert.Equal(t, test.status, answer.Code, "%v", test.err)
 	}
 }
 
-// TestHangingRegisterIsBounded lets each call of the register hang in turn.
-func TestHangingRegisterIsBounded(t *testing.T) {
+// TestHangingRegister_TimesOut lets each call of the register hang in turn.
+func TestHangingRegister_TimesOut(t *testing.T) {
 	calls := []struct{ method, path string }{
 		{"POST", "/Settings.Replace"}, {"POST", "/Settings.Amend"}, {"GET", "/Settings.Read"}, {"POST", "/Clearance.Begin/z1"},
 		{"POST", "/Clearance.Finish/z1"},
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestCallerWhoLeaves: a configuration goes on, as its base guards it; an evacuation ends, as a later order might
+// TestDisconnectedCaller: a configuration goes on, as its base guards it; an evacuation ends, as a later order might
 // have overtaken it.
-func TestCallerWhoLeaves(t *testing.T) {
+func TestDisconnectedCaller(t *testing.T) {
 	left, leave := context.WithCancel(context.Background())
 	leave()
 	synctest.Test(t, func(t *testing.T) {
@@ -133,14 +133,14 @@
 		f.register.hangAt = map[int]bool{1: true, 2: true}
 		begun := time.Now()
 		f.callWith(left, "POST", "/Settings.Replace", validDocument, basedOnZero)
-		assert.Equal(t, orderLimit, time.Since(begun))
+		assert.Equal(t, changeTimeout, time.Since(begun))
 		begun = time.Now()
 		f.callWith(left, "POST", "/Clearance.Begin/z1", "")
 		assert.Zero(t, time.Since(begun))
 	})
 }
 
-func TestClearance(t *testing.T) {
+func TestEvacuation(t *testing.T) {
 	f := newFixture(t)
 	for _, order := range []struct {
 		path   string
@@ -156,7 +156,7 @@
 	assert.Equal(t, 503, f.call("POST", "/Clearance.Begin/z1", "").Code, "a proper order never gets a 4xx")
 }
 
-func TestUnknownResources(t *testing.T) {
+func TestUnknownResource(t *testing.T) {
 	f := newFixture(t)
 	for _, call := range [][2]string{{"GET", "/"}, {"GET", "/Settings.Replace"}, {"POST", "/Settings.Read"},
 		{"POST", "/Endpoints.Beat/"}, {"POST", "/Clearance.Begin/"}} {
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestBodyThatBreaksOffIsNoRefusal: the caller may send it again.
-func TestBodyThatBreaksOffIsNoRefusal(t *testing.T) {
+// TestIncompleteBody_IsRetriable: the caller may send it again.
+func TestIncompleteBody_IsRetriable(t *testing.T) {
 	f := newFixture(t)
 	server := httptest.NewServer(f.handler)
 	defer server.Close()
@@ -184,9 +184,9 @@
 	assert.Zero(t, f.register.calls)
 }
 
-func TestStoppedTableAnswers503(t *testing.T) {
+func TestStoppedTable_IsUnavailable(t *testing.T) {
 	f := newFixture(t)
 	f.table.Stop()
-	assert.Equal(t, 503, f.call("POST", beatPath, beatBody("accepting", 1)).Code)
-	assert.Equal(t, 503, f.call("POST", signOffPath, "").Code)
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("accepting", 1)).Code)
+	assert.Equal(t, 503, f.call("POST", deregisterPath, "").Code)
 }
--- a/serving/operator/core_test.go
+++ b/serving/operator/threecores_test.go
@@ -105,8 +105,8 @@
 	linked := exchange.Start(ctx, exchange.Options{Gossip: joined, HeartbeatInterval: process.BeatInterval,
 		HasQuorum: touch.HasQuorum, Log: &log})
 	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: joined.Members, Clock: time.Now}
-	handler := operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: linked.Table(),
-		Spread: linked, Contact: touch, Regions: process.Regions, Forward: forwarder.Forward, Log: &log})
+	handler := operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: linked.Table(),
+		Replicator: linked, Quorum: touch, Regions: process.Regions, ForwardTo: forwarder.ForwardTo, Log: &log})
 	c := &core{name: process.NodeName, handler: handler, exchange: linked, inner: inner}
 	c.stop = func() {
 		stop()
