--- /dev/null
+++ b/cluster/shardmap/apply_moves.go
@@ -0,0 +1,112 @@
+package shardmap
+
+import (
+	"slices"
+
+	"rowanlink/cluster"
+)
+
+// isHeld reports whether a grant, by which an older map lets a part of a range be served, is still held.
+func (m *Map) isHeld(grant PriorGrant) bool {
+	_, _, epoch, held := m.holders.Holder(cluster.HomeOf(grant.Range))
+	return held && epoch == grant.Epoch
+}
+
+// servedByNoneBut reports whether no member except one (nobody, if empty) can serve the range or a part of it, by
+// whatever version of the map.
+func (m *Map) servedByNoneBut(r *Range, member cluster.MemberID) bool {
+	_, holder, _, held := m.holders.Holder(cluster.HomeOf(r.ID))
+	return (!held || holder == member) && !slices.ContainsFunc(r.PriorGrants, m.isHeld)
+}
+
+// holdsLease reports whether a member holds the lease on a range by the given epoch.
+func (m *Map) holdsLease(id cluster.RangeID, member cluster.MemberID, epoch cluster.Epoch) bool {
+	_, holder, current, held := m.holders.Holder(cluster.HomeOf(id))
+	return held && holder == member && current == epoch
+}
+
+func (m *Map) planMove(id MoveID, r *Range, c command) error {
+	if !r.IsStable() || r.Owner != c.From || c.Member == c.From || c.Member == "" {
+		return cluster.ErrStale
+	}
+	r.Move = Move{ID: id, From: c.From, To: c.Member, Step: StepPlanned}
+	return nil
+}
+
+// confirmOwner records the lease by which a range's owner serves. During a hand-off it is rejected, so that a source
+// that has released the lease for the move and acquires it anew does not serve again: only opRevertMove allows that.
+func (m *Map) confirmOwner(r *Range, c command) error {
+	switch {
+	case r.Owner != c.Member || c.Epoch <= r.Epoch || r.Move.Step == StepHandoff:
+		return cluster.ErrStale
+	case !m.holdsLease(r.ID, c.Member, c.Epoch):
+		return cluster.ErrHeld
+	}
+	r.Epoch, r.Status = c.Epoch, OwnerServing
+	isObsolete := func(g PriorGrant) bool { return g.Since <= c.Seen || !m.isHeld(g) }
+	r.PriorGrants = slices.DeleteFunc(slices.Clone(r.PriorGrants), isObsolete)
+	return nil
+}
+
+// switchOwner makes a move's target the owner. The target must hold the lease, so that nobody else does: this is what
+// keeps two members from calling for one range.
+func (m *Map) switchOwner(c command) error {
+	i := slices.IndexFunc(m.Ranges, func(r Range) bool { return r.Move.ID == c.Move })
+	r := &m.Ranges[i]
+	switch {
+	case r.Move.Step != StepHandoff || r.Move.To != c.Member:
+		return cluster.ErrStale
+	case !m.holdsLease(r.ID, c.Member, c.Epoch) || !m.servedByNoneBut(r, c.Member):
+		return cluster.ErrHeld
+	}
+	r.Owner, r.Epoch, r.Status = c.Member, c.Epoch, OwnerServing
+	r.Move.Step = StepSwitched
+	r.PriorGrants = nil
+	return nil
+}
+
+// failOver gives ranges to new owners where the previous ones no longer hold them. A switched move is detached, to be
+// cleared on its own; one that has not switched is reverted.
+func (m *Map) failOver(takeovers []Takeover) (changed []cluster.RangeID, err error) {
+	err = cluster.ErrUnknown
+	for _, t := range takeovers {
+		i := m.indexOf(t.Range)
+		if i < 0 || t.NewOwner == "" || t.NewOwner == t.PreviousOwner || m.Ranges[i].Owner != t.PreviousOwner {
+			err = cluster.ErrStale
+			continue
+		}
+		r := &m.Ranges[i]
+		if !m.servedByNoneBut(r, "") {
+			err = cluster.ErrHeld
+			continue
+		}
+		if r.Move.Step == StepSwitched {
+			m.DetachedMoves = append(m.DetachedMoves, r.Move)
+		}
+		r.Owner, r.Status = t.NewOwner, OwnerAssigned
+		r.Move, r.PriorGrants = Move{}, nil
+		changed = append(changed, r.ID)
+	}
+	if len(changed) > 0 {
+		return changed, nil
+	}
+	return nil, err
+}
+
+// clearMove records that one side of a switched move has cleared its copies, and removes the move once both have.
+func (m *Map) clearMove(c command) error {
+	move := m.findMove(c.Move)
+	switch {
+	case move == nil || c.Member != move.From && c.Member != move.To:
+		return cluster.ErrUnknown
+	case move.Step != StepSwitched:
+		return cluster.ErrStale
+	}
+	move.SourceCleared = move.SourceCleared || move.From == c.Member
+	move.TargetCleared = move.TargetCleared || move.To == c.Member
+	if move.SourceCleared && move.TargetCleared {
+		*move = Move{}
+		m.DetachedMoves = slices.DeleteFunc(m.DetachedMoves, func(d Move) bool { return !d.IsOpen() })
+	}
+	return nil
+}
--- /dev/null
+++ b/cluster/shardmap/apply_ranges.go
@@ -0,0 +1,116 @@
+package shardmap
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"rowanlink/cluster"
+)
+
+// maxRanges bounds what a faulty command can make a raft node store.
+const maxRanges = 1 << 16
+
+// initialize creates the first map.
+func (m *Map) initialize(c command) error {
+	if len(m.Ranges) > 0 {
+		return cluster.ErrStale
+	}
+	ranges, err := EvenRanges(c.Count, c.Members)
+	if err != nil {
+		return err
+	}
+	m.Ranges = ranges
+	m.NextID = cluster.RangeID(len(ranges) + 1)
+	return nil
+}
+
+// EvenRanges returns the ranges of a first map: n of equal size, distributed by weight, those of one member adjacent.
+func EvenRanges(n int, members []MemberWeight) ([]Range, error) {
+	total, err := totalWeight(members)
+	if err != nil {
+		return nil, err
+	}
+	if n < 1 || n > maxRanges || !(total > 0) || math.IsInf(total, 0) {
+		return nil, fmt.Errorf("shardmap: %d ranges for a total weight of %v", n, total)
+	}
+	size := uint64(maxKeyHash) / uint64(n)
+	member, cumulative := 0, members[0].Weight // cumulative: of the members up to and including this one
+	ranges := make([]Range, n)
+	for i := range ranges {
+		for member < len(members)-1 &&
+			(members[member].Weight == 0 || float64(i) >= math.Round(cumulative/total*float64(n))) {
+			member++
+			cumulative += members[member].Weight
+		}
+		ranges[i] = Range{
+			ID:    cluster.RangeID(i + 1),
+			Owner: members[member].Member,
+			To:    cluster.KeyHash(size*uint64(i+1) + uint64(i)),
+		}
+		if i > 0 {
+			ranges[i].From = ranges[i-1].To + 1
+		}
+	}
+	ranges[n-1].To = maxKeyHash
+	return ranges, nil
+}
+
+func totalWeight(members []MemberWeight) (float64, error) {
+	total := 0.0
+	for _, w := range members {
+		if !(w.Weight >= 0) || math.IsInf(w.Weight, 0) || w.Member == "" {
+			return 0, fmt.Errorf("shardmap: member %q has weight %v", w.Member, w.Weight)
+		}
+		total += w.Weight
+	}
+	return total, nil
+}
+
+// split leaves the lower part the owner's present lease. The upper part gets a lease of its own; until its owner has
+// confirmed that one, it may still serve the part by an older map, which the added prior grant records.
+func (m *Map) split(now cluster.Version, i int, key cluster.KeyHash) (cluster.RangeID, error) {
+	r := m.Ranges[i]
+	if !r.IsStable() || len(m.Ranges) >= maxRanges {
+		return 0, cluster.ErrStale
+	}
+	if key <= r.From || key > r.To {
+		return 0, cluster.ErrUnknown
+	}
+	upper := Range{
+		ID:          m.NextID,
+		From:        key,
+		To:          r.To,
+		Owner:       r.Owner,
+		SplitOff:    true,
+		PriorGrants: append(slices.Clone(r.PriorGrants), PriorGrant{Range: r.ID, Epoch: r.Epoch, Since: now}),
+	}
+	m.NextID++
+	m.Ranges[i].To = key - 1
+	m.Ranges = slices.Insert(m.Ranges, i+1, upper)
+	return upper.ID, nil
+}
+
+// merge extends the range at index i by an adjacent one. The grant by which that one was served stays recorded.
+func (m *Map) merge(now cluster.Version, i int, otherID cluster.RangeID) error {
+	k := m.indexOf(otherID)
+	if k < 0 {
+		return cluster.ErrUnknown
+	}
+	r, other := &m.Ranges[i], &m.Ranges[k]
+	isAdjacent := i-k == 1 || k-i == 1
+	if !isAdjacent || r.Owner != other.Owner || !r.IsStable() || !other.IsStable() {
+		return cluster.ErrStale
+	}
+	if other.From < r.From {
+		r.SplitOff = other.SplitOff
+	}
+	r.From, r.To = min(r.From, other.From), max(r.To, other.To)
+	grants := append(slices.Clone(r.PriorGrants), other.PriorGrants...)
+	grants = append(grants, PriorGrant{Range: other.ID, Epoch: other.Epoch, Since: now})
+	r.PriorGrants = slices.DeleteFunc(grants, func(g PriorGrant) bool {
+		return g.Range == r.ID || !m.isHeld(g)
+	})
+	m.Ranges = slices.Delete(m.Ranges, k, k+1)
+	return nil
+}
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -6,14 +6,19 @@
 	"rowanlink/cluster"
 )
 
-// The same bytes for the same thing on each keeper, and nothing that one program reads otherwise than
-// another.
+// The encoding is canonical, so that a value has the same bytes on each raft node. The decoder rejects whatever two
+// versions of the program could read differently.
 var (
 	encMode, _ = cbor.CoreDetEncOptions().EncMode()
-	decMode, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	decMode, _ = cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+	}.DecMode()
 )
 
+// operation is the kind of a command. The numbers are in the raft log.
 type operation uint8
 
 const (
@@ -32,100 +37,128 @@
 	opSweepMisplaced
 )
 
-// MemberWeight is a member's part of the first map. A member of weight 0 gets no range.
+// MemberWeight is a member's share of the first map. A member of weight 0 gets no range.
 type MemberWeight struct {
 	Member cluster.MemberID `cbor:"1,keyasint"`
 	Weight float64          `cbor:"2,keyasint"`
 }
 
-// Takeover gives a range whose home is lost to another member.
+// Takeover gives a range, whose owner is lost, to another member.
 type Takeover struct {
 	Range         cluster.RangeID  `cbor:"1,keyasint"`
 	PreviousOwner cluster.MemberID `cbor:"2,keyasint"`
 	NewOwner      cluster.MemberID `cbor:"3,keyasint"`
 }
 
+// command is the body of a log entry. Which fields are set depends on Op.
 type command struct {
 	Op        operation        `cbor:"1,keyasint"`
 	Range     cluster.RangeID  `cbor:"2,keyasint,omitempty"`
-	Other     cluster.RangeID  `cbor:"3,keyasint,omitempty"`
-	Key       cluster.KeyHash  `cbor:"4,keyasint,omitempty"`
+	Other     cluster.RangeID  `cbor:"3,keyasint,omitempty"` // opMerge: the range that is merged into Range
+	Key       cluster.KeyHash  `cbor:"4,keyasint,omitempty"` // opSplit: where the upper range begins
 	From      cluster.MemberID `cbor:"5,keyasint,omitempty"`
 	Member    cluster.MemberID `cbor:"6,keyasint,omitempty"`
 	Epoch     cluster.Epoch    `cbor:"7,keyasint,omitempty"`
 	Move      MoveID           `cbor:"8,keyasint,omitempty"`
 	Step      MoveStep         `cbor:"9,keyasint,omitempty"`
-	Seen      cluster.Version  `cbor:"10,keyasint,omitempty"`
-	Count     int              `cbor:"11,keyasint,omitempty"`
+	Seen      cluster.Version  `cbor:"10,keyasint,omitempty"` // map version that the proposer serves by
+	Count     int              `cbor:"11,keyasint,omitempty"` // opInitialize: the number of ranges
 	Members   []MemberWeight   `cbor:"12,keyasint,omitempty"`
 	Takeovers []Takeover       `cbor:"13,keyasint,omitempty"`
 	Groups    []PlacementGroup `cbor:"14,keyasint,omitempty"`
 }
 
+// encode returns the command as a log entry that is fenced by the epoch of a task. With an empty task it isn't fenced.
 func (c command) encode(task cluster.Task, epoch cluster.Epoch) cluster.Command {
 	body, err := encMode.Marshal(c)
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // a command has no field that can't be encoded
 	}
 	return cluster.Command{Part: cluster.RangesPart, By: task, Epoch: epoch, Body: body}
 }
 
-// Coordinator writes the commands that only the conductor gives, under its epoch of task fleet.Conducts.
+// Coordinator creates the commands that only the rebalance coordinator proposes. Its value is the epoch of the
+// coordinator's lease on cluster.Conducts, which fences them.
 type Coordinator cluster.Epoch
 
 func (e Coordinator) command(c command) cluster.Command {
 	return c.encode(cluster.Conducts, cluster.Epoch(e))
 }
 
-// Initialize is the first map: n even ranges, as Even gives them out.
+// Initialize creates the first map: n ranges of equal size, distributed as by EvenRanges.
 func (e Coordinator) Initialize(n int, members []MemberWeight) cluster.Command {
 	return e.command(command{Op: opInitialize, Count: n, Members: members})
 }
 
-// Split makes what lies from a key hash on a range of its own, with the same home. Its answer is the new id.
-func (e Coordinator) Split(id cluster.RangeID, at cluster.KeyHash) cluster.Command {
-	return e.command(command{Op: opSplit, Range: id, Key: at})
+// Split makes the part of a range from key on a range of its own, with the same owner. The result is its id.
+func (e Coordinator) Split(id cluster.RangeID, key cluster.KeyHash) cluster.Command {
+	return e.command(command{Op: opSplit, Range: id, Key: key})
 }
 
-// Merge makes b a part of a: b lies next to a, both are settled and have one home.
+// Merge makes b a part of a. The two must be adjacent and stable and have the same owner.
 func (e Coordinator) Merge(a, b cluster.RangeID) cluster.Command {
 	return e.command(command{Op: opMerge, Range: a, Other: b})
 }
 
-// PlanMove plans the move of a settled range; its answer is the move's id.
+// PlanMove plans the move of a stable range. The result is the move's id.
 func (e Coordinator) PlanMove(id cluster.RangeID, from, to cluster.MemberID) cluster.Command {
 	return e.command(command{Op: opPlanMove, Range: id, From: from, Member: to})
 }
 
-// AdvanceMove takes a move on to Warming, then to Passing.
+// AdvanceMove advances a move to StepWarming, and from there to StepHandoff.
 func (e Coordinator) AdvanceMove(move MoveID, to MoveStep) cluster.Command {
 	return e.command(command{Op: opAdvanceMove, Move: move, Step: to})
 }
 
-// RevertMove ends a move that has not switched: the source stays home.
+// RevertMove ends a move that has not switched: the source stays the owner.
 func (e Coordinator) RevertMove(move MoveID) cluster.Command {
 	return e.command(command{Op: opRevertMove, Move: move})
 }
 
-// FailOver gives ranges to other members whose homes hold their tasks no more. It does so for each where that
-// holds, and is refused where it holds for none. Its answer is the ids given.
-func (e Coordinator) FailOver(takes []Takeover) cluster.Command {
-	return e.command(command{Op: opFailOver, Takeovers: takes})
+// FailOver gives ranges whose owners no longer hold their leases to other members. It applies each takeover for which
+// that is so, and is rejected when it is so for none. The result is the ids of the ranges that changed.
+func (e Coordinator) FailOver(takeovers []Takeover) cluster.Command {
+	return e.command(command{Op: opFailOver, Takeovers: takeovers})
 }
 
-// ConfirmOwner says that a range's home holds its task; seen is the version of the map by which it will serve.
-func ConfirmOwner(id cluster.RangeID, home cluster.MemberID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
-	return command{Op: opConfirmOwner, Range: id, Member: home, Epoch: epoch, Seen: seen}.encode(cluster.HomeOf(id), epoch)
+// Place sets the groups of destinations that are placed together; all others are placed by their own hash.
+func (e Coordinator) Place(groups []PlacementGroup) cluster.Command {
+	return e.command(command{Op: opPlace, Groups: groups})
 }
 
-// SwitchOwner makes a move's target the range's home. The target proposes it once it holds the task: whoever held
-// it before has let it go or has ended, so that the map and the right to call change at one place in the log.
-func SwitchOwner(move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch) cluster.Command {
-	return command{Op: opSwitchOwner, Move: move, Member: target, Epoch: epoch}.encode(cluster.HomeOf(id), epoch)
+// SweepMisplaced removes misplaced destinations whose grant has ended without its holder confirming the placement.
+func (e Coordinator) SweepMisplaced() cluster.Command {
+	return e.command(command{Op: opSweepMisplaced})
 }
 
-// ClearMove says that a member has no copies left that a switched move must tell the owner of. For a member that
-// never comes back, the conductor says it.
+// ConfirmOwner states that a range's owner holds the range's lease. seen is the version of the map by which it will
+// serve.
+func ConfirmOwner(
+	id cluster.RangeID, owner cluster.MemberID, epoch cluster.Epoch, seen cluster.Version,
+) cluster.Command {
+	c := command{Op: opConfirmOwner, Range: id, Member: owner, Epoch: epoch, Seen: seen}
+	return c.encode(cluster.HomeOf(id), epoch)
+}
+
+// SwitchOwner makes a move's target the range's owner. The target proposes it once it holds the range's lease: the
+// previous holder has released the lease or it has ended, so that the map and the right to call change at one point
+// of the log.
+func SwitchOwner(
+	move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch,
+) cluster.Command {
+	c := command{Op: opSwitchOwner, Move: move, Member: target, Epoch: epoch}
+	return c.encode(cluster.HomeOf(id), epoch)
+}
+
+// ClearMove states that a member has no copies left that a switched move must account for. For a member that never
+// comes back, the coordinator proposes it.
 func ClearMove(move MoveID, member cluster.MemberID) cluster.Command {
 	return command{Op: opClearMove, Move: move, Member: member}.encode("", 0)
 }
+
+// ConfirmPlacement states that the owner of a range serves by a map as new as seen, and that no call is in flight of
+// the destinations that were placed elsewhere up to then.
+func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
+	c := command{Op: opConfirmPlacement, Range: id, Epoch: epoch, Seen: seen}
+	return c.encode(cluster.HomeOf(id), epoch)
+}
--- /dev/null
+++ b/cluster/shardmap/custody_table.go
@@ -0,0 +1,100 @@
+package shardmap
+
+import (
+	"rowanlink/internal/timerqueue"
+	"rowanlink/webhook/api"
+)
+
+// CustodyTable records, for one member, who has custody of each webhook that came from or was offered to another
+// member, as far as this member can tell. A record outlives its webhook, until no message about it can be in flight.
+//
+// The protocol is a custody transfer with an in-doubt state, as in two-phase commit. A webhook is in the custody of one
+// member. Its custodian offers it to another, and makes no call for it until it knows who has it. CustodyTaken ends the
+// custodian's own right; CustodyNever is binding for the member that answers it. So no two members have custody at
+// once, whatever messages are lost, late or duplicated. A member that was offered a webhook has custody from its own
+// record on.
+//
+// The methods change the table in memory. Callers journal the record, see Lookup, before they send what it decides.
+type CustodyTable struct {
+	records  map[WebhookID]*CustodyRecord
+	expiries timerqueue.Times[WebhookID]
+}
+
+// NewCustodyTable returns a table with the records that an earlier process journalled, the last one of each webhook.
+// isOutstanding reports whether that process still had the webhook.
+func NewCustodyTable(earlier []CustodyRecord, isOutstanding func(WebhookID) bool) *CustodyTable {
+	t := &CustodyTable{records: map[WebhookID]*CustodyRecord{}}
+	for _, r := range earlier {
+		if r.hasOffer() {
+			r.Offer.Uncertain = true
+			if !isOutstanding(r.ID) { // its end was journalled before this record: it was handed on, or ended
+				r.Offer, r.Present = Offer{}, false
+			}
+		}
+		if r.Arriving {
+			r.Arriving = false
+			if !isOutstanding(r.ID) { // it was never stored: see ConfirmStored
+				r.Present = false
+				r.Handoff = max(r.Handoff, 1) - 1 // it was not taken by this one
+			}
+		}
+		*t.recordOf(r.ID, r.TTL) = r
+	}
+	return t
+}
+
+// recordOf returns the record of a webhook, a new one if there is none.
+func (t *CustodyTable) recordOf(id WebhookID, ttl api.Micros) *CustodyRecord {
+	r := t.records[id]
+	if r == nil {
+		r = &CustodyRecord{ID: id, TTL: ttl}
+		t.records[id] = r
+		t.expiries.Add(int64(ttl), id)
+	}
+	return r
+}
+
+// Lookup returns the record of a webhook, to be journalled.
+func (t *CustodyTable) Lookup(id WebhookID) (CustodyRecord, bool) {
+	if r := t.records[id]; r != nil {
+		return *r, true
+	}
+	return CustodyRecord{}, false
+}
+
+// Rollback restores the record that a webhook had before: the new one could not be journalled, or what it was for did
+// not happen. RejectedUpTo does not go back, since it may have been sent.
+func (t *CustodyTable) Rollback(id WebhookID, before CustodyRecord, existed bool) {
+	r := t.records[id]
+	if !existed {
+		delete(t.records, id)
+		return
+	}
+	if r != nil {
+		before.RejectedUpTo = max(before.RejectedUpTo, r.RejectedUpTo)
+		*r = before
+	}
+}
+
+// Expire removes the records of webhooks that expired more than slack ago. slack is by how much clocks differ and
+// messages may be late.
+func (t *CustodyTable) Expire(now, slack api.Micros) {
+	deadline := int64(now - slack)
+	for id, ok := t.expiries.Take(deadline); ok; id, ok = t.expiries.Take(deadline) {
+		delete(t.records, id)
+	}
+}
+
+// Len returns the number of records.
+func (t *CustodyTable) Len() int { return len(t.records) }
+
+// CountOffersOfMove returns the number of offers by a move whose outcome is not known.
+func (t *CustodyTable) CountOffersOfMove(move MoveID) int {
+	n := 0
+	for _, r := range t.records {
+		if r.hasOffer() && r.Offer.Move == move {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/cluster/shardmap/decision.go
@@ -0,0 +1,97 @@
+package shardmap
+
+import (
+	"rowanlink/cluster"
+	"rowanlink/webhook/api"
+)
+
+// Action is what a member does with a webhook of a key hash.
+type Action uint8
+
+// The actions. The numbers are encoded.
+const (
+	ParkUnmapped  Action = iota // no owner is known: accepted, parked
+	Serve                       // this member owns the range and may use the destination's full rate
+	Forward                     // another member owns the range
+	ParkOwned                   // this member owns the range but has no lease that the map names, or hands the range off: accepted, parked
+	ServeIsolated               // see IsolationSuspected: a webhook whose owner is unknown or unreachable is served at an even share of the rate
+)
+
+// Decision is what a member does with webhooks of a key hash, by which version of the map, and with whom.
+type Decision struct {
+	Action  Action           `cbor:"Do"`
+	Range   cluster.RangeID  `cbor:"Range"`
+	Epoch   cluster.Epoch    `cbor:"Epoch"` // by which the owner serves; with Serve it is the one to check before each call
+	Version cluster.Version  `cbor:"Version"`
+	Owner   cluster.MemberID `cbor:"To"`     // with Forward: where to forward to
+	Move    Move             `cbor:"Passes"` // with ParkOwned: the move that hands the outstanding webhooks off, if any
+}
+
+// LocalMember is what a member knows of its own right to call.
+type LocalMember struct {
+	Member    cluster.MemberID
+	HeldEpoch func(cluster.Task) (cluster.Epoch, bool) // epoch of the lease that it holds on a task now, by its own clock
+	Isolated  bool                                     // see IsolationSuspected
+}
+
+// holdsGrant reports whether the member holds the lease on a range by the given epoch.
+func (l LocalMember) holdsGrant(id cluster.RangeID, epoch cluster.Epoch) bool {
+	current, held := l.HeldEpoch(cluster.HomeOf(id))
+	return held && current == epoch
+}
+
+// DecideKey returns what a member does with webhooks of a key hash now. A call requires Serve or ServeIsolated when it
+// is begun and again before its last byte is sent. The decision is Serve only if the map names the member by the very
+// lease that it holds. A map from before a move does not name the leases granted after it, so that no outdated map lets
+// two members call.
+func (m *Map) DecideKey(member LocalMember, key cluster.KeyHash) Decision {
+	r, isMapped := m.RangeOf(key)
+	d := Decision{Range: r.ID, Epoch: r.Epoch, Version: m.Version, Owner: r.Owner}
+	isOwner := isMapped && r.Owner == member.Member
+	switch {
+	case isOwner && r.mayServe(member):
+		d.Action = Serve
+	case member.Isolated:
+		d.Action = ServeIsolated
+	case !isMapped:
+		d.Action = ParkUnmapped
+	case !isOwner:
+		d.Action = Forward
+	default:
+		d.Action = ParkOwned
+		if r.Move.Step == StepHandoff {
+			d.Move = r.Move
+		}
+	}
+	return d
+}
+
+// mayServe reports whether the range's owner holds the lease that the map names and does not hand the range off.
+func (r Range) mayServe(owner LocalMember) bool {
+	return owner.holdsGrant(r.ID, r.Epoch) && r.Status == OwnerServing && r.Move.Step != StepHandoff
+}
+
+// IsolationSuspected reports whether possibly no range has a serving owner anywhere, as far as a member can tell: its
+// own session expired at expiredAt (api.Never: it has not) and a whole lease TTL has passed since, in which each session
+// that was renewed last before its own has ended too. If only this member is partitioned, the ranges do have owners;
+// then its calls come on top, at an even share of the rate at most.
+func IsolationSuspected(expiredAt, now, ttl api.Micros) bool {
+	return expiredAt != api.Never && now-expiredAt > ttl
+}
+
+// RateShare returns the share of a destination's rate, 0 to 1, that the member may use in a cluster of so many members.
+func (d Decision) RateShare(members int) float64 {
+	switch d.Action {
+	case Serve:
+		return 1
+	case ServeIsolated:
+		return 1 / float64(max(members, 1))
+	}
+	return 0
+}
+
+// AllowsCall reports whether a webhook may be called now. While isolated, one of an ordered event type with a key may
+// not: an earlier one of its key may be at an owner that is unreachable.
+func (d Decision) AllowsCall(ordered bool) bool {
+	return d.Action == Serve || d.Action == ServeIsolated && !ordered
+}
--- /dev/null
+++ b/cluster/shardmap/placement.go
@@ -0,0 +1,119 @@
+package shardmap
+
+import (
+	"cmp"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/webhook/api"
+)
+
+// PlacementGroup is a set of destinations that are placed at one key, whatever their own hashes are, so that one
+// member owns them all.
+type PlacementGroup struct {
+	Key          cluster.KeyHash     `cbor:"1,keyasint"`
+	Destinations []api.DestinationID `cbor:"2,keyasint"` // sorted
+}
+
+// maxPlacedDestinations bounds what a faulty command can make a raft node store.
+const maxPlacedDestinations = 1 << 17
+
+// keysByDestination returns the key of each destination that is in a group.
+func keysByDestination(groups []PlacementGroup) map[api.DestinationID]cluster.KeyHash {
+	keys := map[api.DestinationID]cluster.KeyHash{}
+	for _, g := range groups {
+		for _, d := range g.Destinations {
+			keys[d] = g.Key
+		}
+	}
+	return keys
+}
+
+// groupsAreDisjoint reports whether no destination is listed twice and the destinations are not too many.
+func groupsAreDisjoint(groups []PlacementGroup) bool {
+	n := 0
+	for _, g := range groups {
+		n += len(g.Destinations)
+	}
+	return n <= maxPlacedDestinations && n == len(keysByDestination(groups))
+}
+
+// EqualPlacements reports whether two placements put each destination at the same key.
+func EqualPlacements(a, b []PlacementGroup) bool {
+	return slices.EqualFunc(a, b, func(a, b PlacementGroup) bool {
+		return a.Key == b.Key && slices.Equal(a.Destinations, b.Destinations)
+	})
+}
+
+// KeyOf returns the key hash that a destination is placed at: its group's, or else its own.
+func (m *Map) KeyOf(destination api.DestinationID) cluster.KeyHash {
+	if key, isPlaced := m.keys[destination]; isPlaced {
+		return key
+	}
+	return cluster.Hash(destination)
+}
+
+// Contains reports whether a destination is placed in a range of this map.
+func (m *Map) Contains(r Range, destination api.DestinationID) bool {
+	key := m.KeyOf(destination)
+	return r.From <= key && key <= r.To
+}
+
+// SetPlacement sets the placement of a map that nobody serves by yet. Each destination must be in one group at most.
+func (m *Map) SetPlacement(groups []PlacementGroup) {
+	m.Groups = groups
+	m.keys = keysByDestination(groups)
+}
+
+// applyPlacement changes the placement. Each destination that changes to another range is recorded as misplaced for
+// each grant by which it may still be served in the previous one; until the holder of the grant confirms the new map,
+// nobody else serves it.
+func (m *Map) applyPlacement(now cluster.Version, groups []PlacementGroup) error {
+	if !groupsAreDisjoint(groups) {
+		return cluster.ErrUnknown
+	}
+	if EqualPlacements(groups, m.Groups) {
+		return cluster.ErrStale
+	}
+	previous := *m
+	m.SetPlacement(groups)
+	m.Misplaced = slices.Clone(m.Misplaced)
+	for _, keys := range []map[api.DestinationID]cluster.KeyHash{previous.keys, m.keys} {
+		for destination := range keys {
+			m.recordMisplaced(now, &previous, destination)
+		}
+	}
+	slices.SortFunc(m.Misplaced, func(a, b MisplacedDestination) int {
+		return cmp.Or(a.compare(b), cmp.Compare(b.Grant.Since, a.Grant.Since))
+	})
+	m.Misplaced = slices.CompactFunc(m.Misplaced, func(a, b MisplacedDestination) bool { return a.compare(b) == 0 })
+	return nil
+}
+
+// recordMisplaced appends to Misplaced the held grants by which a destination was served in another range of the
+// previous map.
+func (m *Map) recordMisplaced(now cluster.Version, previous *Map, destination api.DestinationID) {
+	from, wasMapped := previous.RangeOf(previous.KeyOf(destination))
+	to, _ := m.RangeOf(m.KeyOf(destination))
+	if !wasMapped || to.ID == from.ID {
+		return
+	}
+	grants := append([]PriorGrant{{Range: from.ID, Epoch: from.Epoch}}, from.PriorGrants...)
+	for _, grant := range grants {
+		grant.Since = now
+		if m.isHeld(grant) {
+			m.Misplaced = append(m.Misplaced, MisplacedDestination{Destination: destination, Grant: grant})
+		}
+	}
+}
+
+// DecideDestination returns what a member does with a destination's webhooks now: as DecideKey, but ParkOwned for a
+// destination that may still be served by another member's grant.
+func (m *Map) DecideDestination(member LocalMember, destination api.DestinationID) Decision {
+	decision := m.DecideKey(member, m.KeyOf(destination))
+	if decision.Action == Serve && slices.ContainsFunc(m.MisplacedOf(destination),
+		func(d MisplacedDestination) bool { return !d.IsServedBy(member) }) {
+		decision.Action = ParkOwned
+	}
+	return decision
+}
