--- a/cluster/member/deeds.go
+++ b/cluster/member/deeds.go
@@ -26,15 +26,15 @@
 		if name == "" {
 			continue
 		}
-		s.Acquire(cluster.Task(name))
-		s.done.Go(func() { s.workloadLoop(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
+		s.Acquire(cluster.Resource(name))
+		s.done.Go(func() { s.workloadLoop(guard, cluster.Resource(name), env("ROWAN_GUARD_FENCE") == "1") })
 	}
 }
 
 // A deed lasts up to a tenth of a term, and the pause between two is as long.
 const workloadDelayDivisor = 10
 
-func (s *Session) workloadLoop(guard string, t cluster.Task, fenced bool) {
+func (s *Session) workloadLoop(guard string, t cluster.Resource, fenced bool) {
 	for s.sleep(s.workloadDelay()) {
 		s.DoWhileHeld(t, func(e cluster.Epoch, still func() bool) {
 			with := url.Values{"task": {string(t)}, "epoch": {strconv.FormatUint(uint64(e), 10)},
--- a/cluster/member/hear.go
+++ b/cluster/member/hear.go
@@ -26,7 +26,7 @@
 // one of its key, sent to the target, overtakes: its sender keeps it.
 func (f *forwarder) admit(chart *shardmap.Map, s Transfer, c shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
 	admission, v := chart.AdmitDestination(f.ownership.Claimant(), c.Destination, s.MapVersion)
-	_, held := f.ownership.session.Holds(cluster.HomeOf(v.Range))
+	_, held := f.ownership.session.Holds(cluster.RangeOwnerResource(v.Range))
 	if admission == shardmap.AdmissionAccepted && v.Move.IsOpen() && (!held || f.ownership.IsClosed(v)) {
 		admission = shardmap.AdmissionMapStale
 	}
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -38,7 +38,7 @@
 
 func (m *Member) healthQuery() (number uint64, of []rebalance.MonitoredMove) {
 	chart := m.ownership.Map()
-	if _, held := m.session.Holds(cluster.Conducts); !held || chart == nil {
+	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || chart == nil {
 		return 0, nil
 	}
 	p := m.progress.Load()
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -15,7 +15,7 @@
 	return site.New(site.Part{Self: m.self, State: d.State, DiskMB: diskMB(d.Told), Exchange: d.Exchange,
 		Decider: d.Decider, Said: m.client, Takes: d.Life.TakesOn, Nudge: m.wake, Event: m.eventType,
 		Serves: m.isOwnerOf, Home: m.isSiteOwner, Alone: m.isSiteIsolated,
-		Buffer: func() int { return m.settings.Load().Buffer }}, m.file)
+		Buffer: func() int { return m.settings.Load().BufferSize }}, m.file)
 }
 
 // isOwnerOf is whether this member is home of a destination, by the grant that it holds.
@@ -25,12 +25,12 @@
 
 // isSiteOwner is whether it is home of where a site's subscribers stand.
 func (m *Member) isSiteOwner(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Action == shardmap.Serve
+	return m.ownership.VerdictForKey(cluster.SiteKeyHash(s)).Action == shardmap.Serve
 }
 
 // isSiteIsolated is whether nobody may be home there, as no keeper is reached.
 func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteHash(s)).Action == shardmap.ServeIsolated
+	return m.ownership.VerdictForKey(cluster.SiteKeyHash(s)).Action == shardmap.ServeIsolated
 }
 
 // defaultDiskMB is what the dispatcher's own journal has where nothing is told.
--- a/cluster/raftnode/found.go
+++ b/cluster/raftnode/found.go
@@ -18,7 +18,7 @@
 // in and lets go, one at a time.
 func (k *Node) maintainMembership() {
 	defer k.background.Done()
-	every := time.NewTicker(toDuration(timing.Tending(k.sessionTTL)))
+	every := time.NewTicker(toDuration(timing.ReconfigureInterval(k.sessionTTL)))
 	defer every.Stop()
 	for {
 		servers := k.raft.GetConfiguration().Configuration().Servers
@@ -74,7 +74,7 @@
 			continue
 		}
 		var who transportpkg.NodeIdentity
-		_, raw, err := k.client.Call(m, transportpkg.IdentifyPath, transportpkg.Encode(k.identity()), toDuration(timing.Answer(k.sessionTTL)))
+		_, raw, err := k.client.Call(m, transportpkg.IdentifyPath, transportpkg.Encode(k.identity()), toDuration(timing.RequestTimeout(k.sessionTTL)))
 		switch {
 		case err != nil || transportpkg.Decode(raw, &who) != nil || memberOf(raft.ServerID(who.ServerID)) != m:
 			servers = nil
@@ -125,7 +125,7 @@
 	ask := transportpkg.Encode(transportpkg.JoinRequest{Member: k.self, ServerID: string(k.storage.id), AppliedIndex: k.raft.AppliedIndex()})
 	for _, m := range keepers {
 		if m != k.self {
-			status, _, err := k.client.Call(m, transportpkg.JoinPath, ask, toDuration(timing.Answer(k.sessionTTL)))
+			status, _, err := k.client.Call(m, transportpkg.JoinPath, ask, toDuration(timing.RequestTimeout(k.sessionTTL)))
 			if err == nil && status == fasthttp.StatusOK {
 				return
 			}
--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -7,8 +7,8 @@
 )
 
 // Apply applies a command of the log and returns its encoded result. A command that is rejected changes nothing:
-// cluster.ErrUnknown when there is no such range or move, cluster.ErrStale when the map or the move has advanced,
-// cluster.ErrHeld when a lease is held by another member than the command requires.
+// cluster.ErrNotFound when there is no such range or move, cluster.ErrStale when the map or the move has advanced,
+// cluster.ErrAlreadyHeld when a lease is held by another member than the command requires.
 func (m *Map) Apply(index uint64, body []byte) ([]byte, error) {
 	var c command
 	if err := decMode.Unmarshal(body, &c); err != nil {
@@ -50,7 +50,7 @@
 func (m *Map) applyToRange(now cluster.Version, c command) (result any, err error) {
 	i := m.indexOf(c.Range)
 	if i < 0 {
-		return nil, cluster.ErrUnknown
+		return nil, cluster.ErrNotFound
 	}
 	switch c.Op {
 	case opSplit:
@@ -68,7 +68,7 @@
 	move := m.findMove(c.Move)
 	switch {
 	case move == nil:
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	case move.Step == StepSwitched:
 		return cluster.ErrStale
 	case c.Op == opRevertMove:
--- a/cluster/shardmap/apply_moves.go
+++ b/cluster/shardmap/apply_moves.go
@@ -8,20 +8,20 @@
 
 // isHeld reports whether a grant, by which an older map lets a part of a range be served, is still held.
 func (m *Map) isHeld(grant PriorGrant) bool {
-	_, _, epoch, held := m.holders.Holder(cluster.HomeOf(grant.Range))
+	_, _, epoch, held := m.holders.Holder(cluster.RangeOwnerResource(grant.Range))
 	return held && epoch == grant.Epoch
 }
 
 // servedByNoneBut reports whether no member except one (nobody, if empty) can serve the range or a part of it, by
 // whatever version of the map.
 func (m *Map) servedByNoneBut(r *Range, member cluster.MemberID) bool {
-	_, holder, _, held := m.holders.Holder(cluster.HomeOf(r.ID))
+	_, holder, _, held := m.holders.Holder(cluster.RangeOwnerResource(r.ID))
 	return (!held || holder == member) && !slices.ContainsFunc(r.PriorGrants, m.isHeld)
 }
 
 // holdsLease reports whether a member holds the lease on a range by the given epoch.
 func (m *Map) holdsLease(id cluster.RangeID, member cluster.MemberID, epoch cluster.Epoch) bool {
-	_, holder, current, held := m.holders.Holder(cluster.HomeOf(id))
+	_, holder, current, held := m.holders.Holder(cluster.RangeOwnerResource(id))
 	return held && holder == member && current == epoch
 }
 
@@ -40,7 +40,7 @@
 	case r.Owner != c.Member || c.Epoch <= r.Epoch || r.Move.Step == StepHandoff:
 		return cluster.ErrStale
 	case !m.holdsLease(r.ID, c.Member, c.Epoch):
-		return cluster.ErrHeld
+		return cluster.ErrAlreadyHeld
 	}
 	r.Epoch, r.Status = c.Epoch, OwnerServing
 	isObsolete := func(g PriorGrant) bool { return g.Since <= c.Seen || !m.isHeld(g) }
@@ -57,7 +57,7 @@
 	case r.Move.Step != StepHandoff || r.Move.To != c.Member:
 		return cluster.ErrStale
 	case !m.holdsLease(r.ID, c.Member, c.Epoch) || !m.servedByNoneBut(r, c.Member):
-		return cluster.ErrHeld
+		return cluster.ErrAlreadyHeld
 	}
 	r.Owner, r.Epoch, r.Status = c.Member, c.Epoch, OwnerServing
 	r.Move.Step = StepSwitched
@@ -68,7 +68,7 @@
 // failOver gives ranges to new owners where the previous ones no longer hold them. A switched move is detached, to be
 // cleared on its own; one that has not switched is reverted.
 func (m *Map) failOver(takeovers []Takeover) (changed []cluster.RangeID, err error) {
-	err = cluster.ErrUnknown
+	err = cluster.ErrNotFound
 	for _, t := range takeovers {
 		i := m.indexOf(t.Range)
 		if i < 0 || t.NewOwner == "" || t.NewOwner == t.PreviousOwner || m.Ranges[i].Owner != t.PreviousOwner {
@@ -77,7 +77,7 @@
 		}
 		r := &m.Ranges[i]
 		if !m.servedByNoneBut(r, "") {
-			err = cluster.ErrHeld
+			err = cluster.ErrAlreadyHeld
 			continue
 		}
 		if r.Move.Step == StepSwitched {
@@ -98,7 +98,7 @@
 	move := m.findMove(c.Move)
 	switch {
 	case move == nil || c.Member != move.From && c.Member != move.To:
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	case move.Step != StepSwitched:
 		return cluster.ErrStale
 	}
--- a/cluster/shardmap/apply_ranges.go
+++ b/cluster/shardmap/apply_ranges.go
@@ -75,7 +75,7 @@
 		return 0, cluster.ErrStale
 	}
 	if key <= r.From || key > r.To {
-		return 0, cluster.ErrUnknown
+		return 0, cluster.ErrNotFound
 	}
 	upper := Range{
 		ID:          m.NextID,
@@ -95,7 +95,7 @@
 func (m *Map) merge(now cluster.Version, i int, otherID cluster.RangeID) error {
 	k := m.indexOf(otherID)
 	if k < 0 {
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	}
 	r, other := &m.Ranges[i], &m.Ranges[k]
 	isAdjacent := i-k == 1 || k-i == 1
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -68,21 +68,21 @@
 	Groups    []PlacementGroup `cbor:"14,keyasint,omitempty"`
 }
 
-// encode returns the command as a log entry that is fenced by the epoch of a task. With an empty task it isn't fenced.
-func (c command) encode(task cluster.Task, epoch cluster.Epoch) cluster.Command {
+// encode returns the command as a log entry that is fenced by the epoch of a lease on a resource. With an empty one it isn't fenced.
+func (c command) encode(resource cluster.Resource, epoch cluster.Epoch) cluster.Command {
 	body, err := encMode.Marshal(c)
 	if err != nil {
 		panic(err) // a command has no field that can't be encoded
 	}
-	return cluster.Command{Part: cluster.RangesPart, By: task, Epoch: epoch, Body: body}
+	return cluster.Command{Component: cluster.ShardMapComponent, FencedBy: resource, Epoch: epoch, Body: body}
 }
 
 // Coordinator creates the commands that only the rebalance coordinator proposes. Its value is the epoch of the
-// coordinator's lease on cluster.Conducts, which fences them.
+// coordinator's lease on cluster.CoordinatorResource, which fences them.
 type Coordinator cluster.Epoch
 
 func (e Coordinator) command(c command) cluster.Command {
-	return c.encode(cluster.Conducts, cluster.Epoch(e))
+	return c.encode(cluster.CoordinatorResource, cluster.Epoch(e))
 }
 
 // Initialize creates the first map: n ranges of equal size, distributed as by EvenRanges.
@@ -137,7 +137,7 @@
 	id cluster.RangeID, owner cluster.MemberID, epoch cluster.Epoch, seen cluster.Version,
 ) cluster.Command {
 	c := command{Op: opConfirmOwner, Range: id, Member: owner, Epoch: epoch, Seen: seen}
-	return c.encode(cluster.HomeOf(id), epoch)
+	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
 // SwitchOwner makes a move's target the range's owner. The target proposes it once it holds the range's lease: the
@@ -147,7 +147,7 @@
 	move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch,
 ) cluster.Command {
 	c := command{Op: opSwitchOwner, Move: move, Member: target, Epoch: epoch}
-	return c.encode(cluster.HomeOf(id), epoch)
+	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
 // ClearMove states that a member has no copies left that a switched move must account for. For a member that never
@@ -160,5 +160,5 @@
 // the destinations that were placed elsewhere up to then.
 func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
 	c := command{Op: opConfirmPlacement, Range: id, Epoch: epoch, Seen: seen}
-	return c.encode(cluster.HomeOf(id), epoch)
+	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
--- a/cluster/shardmap/custody_table.go
+++ b/cluster/shardmap/custody_table.go
@@ -17,7 +17,7 @@
 // The methods change the table in memory. Callers journal the record, see Lookup, before they send what it decides.
 type CustodyTable struct {
 	records  map[WebhookID]*CustodyRecord
-	expiries timerqueue.Times[WebhookID]
+	expiries timerqueue.Queue[WebhookID]
 }
 
 // NewCustodyTable returns a table with the records that an earlier process journalled, the last one of each webhook.
@@ -80,7 +80,7 @@
 // messages may be late.
 func (t *CustodyTable) Expire(now, slack api.Micros) {
 	deadline := int64(now - slack)
-	for id, ok := t.expiries.Take(deadline); ok; id, ok = t.expiries.Take(deadline) {
+	for id, ok := t.expiries.PopDue(deadline); ok; id, ok = t.expiries.PopDue(deadline) {
 		delete(t.records, id)
 	}
 }
--- a/cluster/shardmap/decision.go
+++ b/cluster/shardmap/decision.go
@@ -30,13 +30,13 @@
 // LocalMember is what a member knows of its own right to call.
 type LocalMember struct {
 	Member    cluster.MemberID
-	HeldEpoch func(cluster.Task) (cluster.Epoch, bool) // epoch of the lease that it holds on a task now, by its own clock
-	Isolated  bool                                     // see IsolationSuspected
+	HeldEpoch func(cluster.Resource) (cluster.Epoch, bool) // epoch of the lease that it holds on a resource now, by its own clock
+	Isolated  bool                                         // see IsolationSuspected
 }
 
 // holdsGrant reports whether the member holds the lease on a range by the given epoch.
 func (l LocalMember) holdsGrant(id cluster.RangeID, epoch cluster.Epoch) bool {
-	current, held := l.HeldEpoch(cluster.HomeOf(id))
+	current, held := l.HeldEpoch(cluster.RangeOwnerResource(id))
 	return held && current == epoch
 }
 
--- a/cluster/shardmap/placement.go
+++ b/cluster/shardmap/placement.go
@@ -50,7 +50,7 @@
 	if key, isPlaced := m.keys[destination]; isPlaced {
 		return key
 	}
-	return cluster.Hash(destination)
+	return cluster.DestinationKeyHash(destination)
 }
 
 // Contains reports whether a destination is placed in a range of this map.
@@ -70,7 +70,7 @@
 // nobody else serves it.
 func (m *Map) applyPlacement(now cluster.Version, groups []PlacementGroup) error {
 	if !groupsAreDisjoint(groups) {
-		return cluster.ErrUnknown
+		return cluster.ErrNotFound
 	}
 	if EqualPlacements(groups, m.Groups) {
 		return cluster.ErrStale
--- a/cluster/shardmap/range.go
+++ b/cluster/shardmap/range.go
@@ -17,7 +17,7 @@
 	From        cluster.KeyHash  `cbor:"2,keyasint"`
 	To          cluster.KeyHash  `cbor:"3,keyasint"`
 	Owner       cluster.MemberID `cbor:"4,keyasint"`
-	Epoch       cluster.Epoch    `cbor:"5,keyasint"` // of the lease on cluster.HomeOf(ID) by which Owner serves; 0: never yet
+	Epoch       cluster.Epoch    `cbor:"5,keyasint"` // of the lease on cluster.RangeOwnerResource(ID) by which Owner serves; 0: never yet
 	Status      OwnerStatus      `cbor:"6,keyasint"`
 	Move        Move             `cbor:"7,keyasint"`
 	PriorGrants []PriorGrant     `cbor:"8,keyasint,omitempty"`
--- a/cluster/shardmap/resolution.go
+++ b/cluster/shardmap/resolution.go
@@ -30,8 +30,8 @@
 		mayHaveRunAt = firstRunAt
 	}
 	// Only the zone of the first call remembers a token by zone, and which zone that was is not known.
-	tokenForgotten := eventType.TokenByZone || now >= mayHaveRunAt+eventType.TokenWindow
-	mayNotRepeat := eventType.Repeat == api.AtMostOnce || eventType.Repeat == api.Tokened && tokenForgotten
+	tokenForgotten := eventType.DedupByZone || now >= mayHaveRunAt+eventType.DedupWindow
+	mayNotRepeat := eventType.Semantics == api.AtMostOnce || eventType.Semantics == api.Deduplicated && tokenForgotten
 	switch {
 	case reply == CustodyTaken:
 		return DropCopy
@@ -39,7 +39,7 @@
 		return KeepCopy
 	case now >= lastAttemptAt, reply == CustodyStateLost && mayNotRepeat:
 		return DeadLetterCopy
-	case reply != CustodyStateLost && (!ended || eventType.Repeat != api.Idempotent):
+	case reply != CustodyStateLost && (!ended || eventType.Semantics != api.Idempotent):
 		return StayInDoubt
 	}
 	return ForkCopy
--- a/cluster/shardmap/transfer.go
+++ b/cluster/shardmap/transfer.go
@@ -22,7 +22,7 @@
 	Handoff      HandoffNumber     `cbor:"2,keyasint"`
 	EventType    api.EventTypeID   `cbor:"3,keyasint"`
 	Tenant       api.TenantID      `cbor:"4,keyasint"`
-	Key          api.Key           `cbor:"5,keyasint"`
+	Key          api.OrderingKey   `cbor:"5,keyasint"`
 	Destination  api.DestinationID `cbor:"6,keyasint"`
 	TTL          api.Micros        `cbor:"7,keyasint"` // when it expires
 	Attempts     int               `cbor:"8,keyasint"`
@@ -58,11 +58,11 @@
 ) TransferDecision {
 	mayHaveRun := w.FirstRunAt != api.Never
 	tooLate := now+minLatency >= w.TTL || w.Attempts >= maxAttempts
-	if mayHaveRun && eventType.Repeat == api.Tokened {
-		tooLate = tooLate || now+minLatency >= w.FirstRunAt+eventType.TokenWindow
+	if mayHaveRun && eventType.Semantics == api.Deduplicated {
+		tooLate = tooLate || now+minLatency >= w.FirstRunAt+eventType.DedupWindow
 	}
 	switch {
-	case mayHaveRun && (tooLate || eventType.Repeat == api.AtMostOnce):
+	case mayHaveRun && (tooLate || eventType.Semantics == api.AtMostOnce):
 		return DeadLetterWebhook
 	case tooLate:
 		return RejectWebhook
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -21,7 +21,7 @@
 	Member      cluster.MemberID  `cbor:"1,keyasint"`
 	Session     cluster.SessionID `cbor:"2,keyasint,omitempty"`
 	Incarnation lease.Incarnation `cbor:"3,keyasint,omitempty"`
-	GrantTally  lease.Tally       `cbor:"4,keyasint,omitempty"`
+	GrantTally  lease.Digest      `cbor:"4,keyasint,omitempty"`
 }
 
 // SessionResponse is a keeper's yes, or which refusal (state.Code). Term is the one that the keeper counts.
@@ -30,7 +30,7 @@
 	Session   cluster.SessionID `cbor:"1,keyasint,omitempty"`
 	TTL       api.Micros        `cbor:"2,keyasint"`
 	ErrorCode uint16            `cbor:"3,keyasint,omitempty"`
-	Grants    []lease.Granted   `cbor:"4,keyasint,omitempty"`
+	Grants    []lease.Grant     `cbor:"4,keyasint,omitempty"`
 }
 
 // ProposeResponse is what became of a fleet.Command: the part's answer, or which refusal (state.Code).
@@ -43,16 +43,16 @@
 // StateRequest asks for each part that is newer than the version named, and which of the tasks are free.
 // Changes is whether a part may come as what changed since that version.
 type StateRequest struct {
-	Versions     map[byte]uint64 `cbor:"1,keyasint,omitempty"`
-	WantedTasks  []cluster.Task  `cbor:"2,keyasint,omitempty"`
-	AcceptDeltas bool            `cbor:"3,keyasint,omitempty"`
+	Versions     map[byte]uint64    `cbor:"1,keyasint,omitempty"`
+	WantedTasks  []cluster.Resource `cbor:"2,keyasint,omitempty"`
+	AcceptDeltas bool               `cbor:"3,keyasint,omitempty"`
 }
 
 // StateResponse holds those that are; Index is how far the log's entries were applied where it was read.
 type StateResponse struct {
-	AppliedIndex uint64         `cbor:"1,keyasint"`
-	Parts        []PartState    `cbor:"2,keyasint,omitempty"`
-	FreeTasks    []cluster.Task `cbor:"3,keyasint,omitempty"`
+	AppliedIndex uint64             `cbor:"1,keyasint"`
+	Parts        []PartState        `cbor:"2,keyasint,omitempty"`
+	FreeTasks    []cluster.Resource `cbor:"3,keyasint,omitempty"`
 }
 
 // PartState is one part as it was at a version: whole, or by state.Changed from what it was at Since.
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	a := newAgent(options.Settings, options.Log, mesh, newEndpointTable(options.Settings))
-	go a.confirmRecord(runContext, register.AskOver(client))
+	go a.confirmRecord(runContext, register.QueryOverRPC(client))
 	introspect.Serve(innerMux, a.report)
 
 	forwarder := a.newObservationForwarder(client)
@@ -72,7 +72,7 @@
 	if options.PollLoads {
 		poller := loadreport.New(loadreport.Options{
 			Zone:      options.Settings.Zone,
-			Mesh:      mesh,
+			Gossip:    mesh,
 			Endpoints: a.knownEndpoints,
 			Log:       options.Log,
 		})
@@ -89,8 +89,8 @@
 
 func newEndpointTable(process *settings.Process) *endpoints.Table {
 	return endpoints.NewTable(endpoints.Options{
-		Self:         process.NodeName,
-		BeatInterval: process.BeatInterval,
+		Self:              process.NodeName,
+		HeartbeatInterval: process.BeatInterval,
 	})
 }
 
--- a/serving/placement/endpoint.go
+++ b/serving/placement/endpoint.go
@@ -72,9 +72,9 @@
 func (e *endpoint) concurrencyLimit(now time.Time) int {
 	share := backoff.FullShare
 	if e.health.failureRate > unhealthyFailureRate || e.queueDelays[priorityLevels-1].meanAt(now) > slowQueueDelay {
-		share = backoff.SickShare
+		share = backoff.UnhealthyShare
 	}
-	return min(backoff.Bound(e.window, share, e.slots()), e.service.maxConnections)
+	return min(backoff.ConcurrencyLimit(e.window, share, e.slots()), e.service.maxConnections)
 }
 
 // halveWindow shrinks the window once for all calls that were out together.
@@ -159,7 +159,7 @@
 
 // isSuspect tells whether the endpoint alone, or with few others, is said to be silent or to fail its calls.
 func (e *endpoint) isSuspect() bool {
-	return (e.info.Silent || e.info.Failing) && !e.service.majoritySuspect
+	return (e.info.Unresponsive || e.info.Failing) && !e.service.majoritySuspect
 }
 
 // expectedQueueDelay is how much longer than computed a first byte is expected to take. Of an endpoint that was hardly used of late
--- a/serving/placement/service.go
+++ b/serving/placement/service.go
@@ -111,7 +111,7 @@
 		if !e.excluded {
 			all++
 		}
-		if !e.excluded && (e.info.Silent || e.info.Failing) {
+		if !e.excluded && (e.info.Unresponsive || e.info.Failing) {
 			silent++
 		}
 		e.regionGroup = s.ensureRegion(e.region)
--- a/serving/register/fuzz_test.go
+++ b/serving/register/fuzz_test.go
@@ -33,13 +33,13 @@
 func fuzzState() AcceptorState {
 	set := state.ReplicaSet{Epoch: 2, Replicas: []state.Replica{{ID: "r1", Address: "a:1"}, {ID: "r2"}, {ID: "r3"}}}
 	return AcceptorState{ReplicaID: "r1", Promised: Ballot{9, "p"}, Accepted: Ballot{7, "q"},
-		Proposal: Proposal{Record: state.Record{Revision: 5, Replicas: set}}}
+		Proposal: Proposal{Record: state.Record{Revision: 5, Voters: set}}}
 }
 
 // FuzzRequests: whatever asks a replica for its vote, it goes back on no promise, and its answer can be sent.
 func FuzzRequests(f *testing.F) {
 	own := fuzzState()
-	f.Add(encoded(f, PrepareRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, Known: own.Accepted, Epoch: 2}))
+	f.Add(encoded(f, PrepareRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, KnownBallot: own.Accepted, Epoch: 2}))
 	f.Add(encoded(f, AcceptRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, Proposal: own.Proposal, Epoch: 2}))
 	f.Add(encoded(f, QueryRequest{ReplicaID: "r1", Epoch: 2}))
 	f.Add(encoded(f, PrepareRequest{ReplicaID: "r2", Ballot: Ballot{^uint64(0), "z"}}))
@@ -69,13 +69,13 @@
 	})
 }
 
-func checkStep(t *testing.T, before AcceptorState, asked string, decided step) {
+func checkStep(t *testing.T, before AcceptorState, asked string, decided transition) {
 	stable(t, &decided.vote)
-	assert.Equal(t, asked != before.ReplicaID, decided.vote.Verdict == Stranger)
+	assert.Equal(t, asked != before.ReplicaID, decided.vote.Result == WrongReplica)
 	if !decided.save {
 		return
 	}
-	assert.Equal(t, Granted, decided.vote.Verdict)
+	assert.Equal(t, Granted, decided.vote.Result)
 	assert.False(t, decided.next.Promised.Before(before.Promised), "a promise is taken back")
 	assert.False(t, decided.next.Promised.Before(decided.next.Accepted))
 	assert.False(t, decided.next.Accepted.Before(before.Accepted))
@@ -86,33 +86,33 @@
 func FuzzVotes(f *testing.F) {
 	own := fuzzState()
 	proposal := own.Proposal
-	f.Add(encoded(f, Vote{Verdict: Granted, Promised: own.Promised, Accepted: own.Accepted, Proposal: &proposal}), uint8(0))
-	f.Add(encoded(f, Vote{Verdict: Granted, Established: &proposal.Record.Replicas}), uint8(1))
-	f.Add(encoded(f, Vote{Verdict: 200, Accepted: Ballot{1 << 63, "x"}}), uint8(2))
+	f.Add(encoded(f, Vote{Result: Granted, Promised: own.Promised, Accepted: own.Accepted, Proposal: &proposal}), uint8(0))
+	f.Add(encoded(f, Vote{Result: Granted, CommittedVoters: &proposal.Record.Voters}), uint8(1))
+	f.Add(encoded(f, Vote{Result: 200, Accepted: Ballot{1 << 63, "x"}}), uint8(2))
 	f.Fuzz(func(t *testing.T, data []byte, place uint8) {
 		var vote Vote
 		if cbor.Unmarshal(data, &vote) != nil {
 			return
 		}
 		stable(t, &vote)
-		assert.NotEmpty(t, vote.Verdict.String())
-		before := knowledge{number: 7, established: own.Proposal.Record.Replicas, newest: Candidate{own.Accepted, own.Proposal}}
+		assert.NotEmpty(t, vote.Result.String())
+		before := learnedState{highestBallotNumber: 7, committedVoters: own.Proposal.Record.Voters, highestAccepted: AcceptedProposal{own.Accepted, own.Proposal}}
 		after := before
-		after.voted(&vote)
-		assert.GreaterOrEqual(t, after.number, before.number)
-		assert.GreaterOrEqual(t, after.established.Epoch, before.established.Epoch)
-		assert.NotEmpty(t, after.established.Replicas)
-		assert.False(t, after.newest.Ballot.Before(before.newest.Ballot))
-		tally := newTally(before.established, before.newest)
-		for index, replica := range before.established.Replicas {
+		after.observeVote(&vote)
+		assert.GreaterOrEqual(t, after.highestBallotNumber, before.highestBallotNumber)
+		assert.GreaterOrEqual(t, after.committedVoters.Epoch, before.committedVoters.Epoch)
+		assert.NotEmpty(t, after.committedVoters.Replicas)
+		assert.False(t, after.highestAccepted.Ballot.Before(before.highestAccepted.Ballot))
+		tally := newPrepareTally(before.committedVoters, before.highestAccepted)
+		for index, replica := range before.committedVoters.Replicas {
 			if index == int(place)%3 {
 				tally.add(replica.ID, &vote)
 			} else {
 				tally.add(replica.ID, nil)
 			}
 		}
-		assert.False(t, tally.complete(), "one vote of three is a majority")
-		assert.False(t, tally.committed())
-		tally.electorate().replicas()
+		assert.False(t, tally.hasQuorum(), "one vote of three is a majority")
+		assert.False(t, tally.isCommitted())
+		tally.config().replicas()
 	})
 }
--- a/webhook/dispatcher/server/clients_test.go
+++ b/webhook/dispatcher/server/clients_test.go
@@ -43,7 +43,7 @@
 		second := enter()
 		first.answered()
 		fmt.Fprint(asking, "POST") // its next request begins
-		require.Eventually(t, func() bool { return socket.Unread(first.TCPConn) }, time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return socket.HasUnread(first.TCPConn) }, time.Second, time.Millisecond)
 		if second.answered(); full {
 			time.Sleep(inflight.Span(mayBeMute * 3 / 2)) // this process gets to read nothing
 			dial()
@@ -62,7 +62,7 @@
 	life, x := &lifecycle.Life{}, inflight.New()
 	life.Enter(lifecycle.Ended)
 	x.Name(3)
-	s := New(x, life, api.Facts{EventTypes: []api.EventType{{TTL: 9 * api.Second}}},
+	s := New(x, life, api.Settings{EventTypes: []api.EventType{{TTL: 9 * api.Second}}},
 		config.Names{EventTypes: []string{"status"}}, 2, 1)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
