--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -48,7 +48,7 @@
 }
 
 // Run is the life of a core process. When the context ends it finishes the orders under way, bids the other members
-// farewell and returns. Errors are of the kind result.CoreAddressInUse or come from joining.
+// farewell and returns. Errors are of the kind errcode.CoreAddressInUse or come from joining.
 func Run(ctx context.Context, options Options) error {
 	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -132,8 +132,8 @@
 	touch *quorum.Checker) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
-	return operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: table.Table(), Spread: table, Contact: touch,
-		Regions: options.Settings.Regions, Forward: forwarder.Forward, Log: options.Log})
+	return operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: table.Table(), Replicator: table, Quorum: touch,
+		Regions: options.Settings.Regions, ForwardTo: forwarder.ForwardTo, Log: options.Log})
 }
 
 // end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
