--- /dev/null
+++ b/serving/httpserver/call.go
@@ -0,0 +1,56 @@
+package httpserver
+
+import (
+	"slices"
+	"strconv"
+
+	"rowanlink/serving/placement"
+	"rowanlink/serving/routing"
+	"rowanlink/serving/upstream"
+)
+
+// Bounds of the priority that is sent to endpoints.
+const (
+	highestPriority = 0
+	lowestPriority  = 9
+)
+
+// newCall returns the call that sends the request to the chosen endpoint.
+func (f *forwarder) newCall(choice placement.Choice) *upstream.Call {
+	endpoint := choice.Endpoint
+	call := &upstream.Call{
+		EndpointID:    endpoint.ID,
+		Address:       endpoint.Address,
+		Zone:          endpoint.Zone,
+		Method:        f.httpRequest.Method,
+		RequestTarget: requestTarget(f.httpRequest),
+		Host:          f.httpRequest.Host,
+		Header:        f.httpRequest.Header,
+		Body:          f.body,
+		HasBody:       f.hasBody,
+		Resent:        slices.Contains(f.triedEndpoints, endpoint.ID),
+		Deadline:      f.deadline,
+		LastEventID:   f.stream.lastEventID,
+	}
+	service, known := f.table.Service(endpoint.Service)
+	if known {
+		call.MaxConnections = f.server.options.ConnectionShare(service)
+		if service.Engine != nil {
+			call.Priority = priority(f.route, choice.ShortPrefill)
+		}
+	}
+	if f.route.Idempotent() {
+		call.ProgressTimeout = firstByteTimeout(f.route, service, choice.ExpectedFirstByte)
+		call.MayAbandon = f.mayAbandonAttempt
+	}
+	return call
+}
+
+// priority returns the priority that is sent to endpoints: the route's precedence, within their range, or the highest
+// one for prompts that take little time to prefill.
+func priority(route *routing.Route, shortPrefill bool) string {
+	if shortPrefill {
+		return strconv.Itoa(highestPriority)
+	}
+	return strconv.Itoa(min(max(route.Precedence, highestPriority), lowestPriority))
+}
--- a/serving/httpserver/drain.go
+++ b/serving/httpserver/drain.go
@@ -7,32 +7,30 @@
 	"rowanlink/serving/event"
 )
 
-// The course of an end by plan, from the moment when the process is told to end.
+// The phases of a graceful shutdown, from the moment when the process is told to terminate. Each is bounded by a share
+// of the grace period after which the platform kills the process.
 const (
-	// serveFor is how long new requests are still served: clients learn only by and by that they should go elsewhere.
-	serveFor = 3 * time.Second
-	// serveShare of the platform's patience bounds that where the platform kills early.
+	// serveFor is how long new requests are still served: clients learn only gradually to use other proxies.
+	serveFor   = 3 * time.Second
 	serveShare = 3. / 8
-	// rejectFor is how much longer connections are taken, to tell their clients to go elsewhere.
-	rejectFor = 500 * time.Millisecond
-	// rejectShare of the platform's patience bounds that.
+	// rejectFor is how much longer connections are accepted, to reject their requests.
+	rejectFor   = 500 * time.Millisecond
 	rejectShare = 1. / 16
-	// exitMargin the platform kills the process, it ends by itself.
-	exitMargin = 500 * time.Millisecond
-	// exitMarginShare of the platform's patience bounds that.
+	// exitMargin is how long before the end of the grace period the process exits by itself.
+	exitMargin      = 500 * time.Millisecond
 	exitMarginShare = 1. / 4
-	// drainPollInterval is how often it is looked whether all answers are done.
+	// drainPollInterval is the time between two checks whether all requests have ended.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// drainPlan is an end by plan: each span counts from the end of the one before, but for the last.
+// drainPlan holds the times of a graceful shutdown.
 type drainPlan struct {
 	serve  time.Duration // new requests are served
-	reject time.Duration // new requests are refused
-	total  time.Duration // from the beginning: the process ends whatever is unfinished
+	reject time.Duration // after that, new requests are rejected
+	total  time.Duration // from the start: the process exits, whatever is unfinished
 }
 
-// planDrain fits the end into the platform's patience.
+// planDrain fits a graceful shutdown into a grace period.
 func planDrain(grace time.Duration) drainPlan {
 	share := func(of float64) time.Duration { return time.Duration(of * float64(grace)) }
 	return drainPlan{
@@ -42,12 +40,12 @@
 	}
 }
 
-// Drain ends the server by plan: clients are told to go elsewhere, then new requests are refused, then no more
-// connections are taken, and all answers under way are finished. It returns when they are, or shortly before the
-// platform's patience is over.
+// Drain shuts the server down gracefully: it makes clients use other proxies, then rejects new requests, then accepts
+// no more connections, and waits for the requests in flight. It returns when they have ended or shortly before the
+// grace period does.
 func (s *Server) Drain(grace time.Duration) {
-	plan, begun := planDrain(grace), time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(plan.total))
+	plan, startedAt := planDrain(grace), time.Now()
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(plan.total))
 	defer cancel()
 	s.startDraining()
 	s.sleep(ctx, plan.serve)
@@ -60,20 +58,20 @@
 			return
 		}
 	}
-	event.ProxyDrained.Log(s.options.Log).Dur("took", time.Since(begun)).Send()
+	event.ProxyDrained.Log(s.options.Log).Dur("took", time.Since(startedAt)).Send()
 }
 
-// startDraining begins the end: the process is not ready, and each answer is its connection's last.
+// startDraining makes the process not ready, and each response the last one on its connection.
 func (s *Server) startDraining() {
 	s.draining.Store(true)
 	event.ProxyDraining.Log(s.options.Log).Int("requests", s.InFlight()).Send()
 }
 
-// rejectNewRequests has requests refused from now on.
+// rejectNewRequests rejects requests from now on.
 func (s *Server) rejectNewRequests() { s.rejecting.Store(true) }
 
-// stopListening takes no more connections.
-func (s *Server) stopListening() { _ = s.listener.Listener.Close() } // it may have failed before
+// stopListening accepts no more connections.
+func (s *Server) stopListening() { _ = s.listener.Listener.Close() } // the listener may have failed before
 
-// isDrained tells whether no request is under way or has come unread.
+// isDrained reports whether no request is in flight or has arrived unread.
 func (s *Server) isDrained() bool { return s.inFlight.Load() == 0 && s.listener.allIdle() }
--- a/serving/httpserver/error_response.go
+++ b/serving/httpserver/error_response.go
@@ -9,16 +9,16 @@
 	"rowanlink/serving/errcode"
 )
 
-// errorBody is the body of an answer that no endpoint gave.
+// errorBody is the body of a response that no endpoint gave.
 type errorBody struct {
 	Error string       `json:"error"`
 	Code  errcode.Code `json:"code"`
 }
 
-// respondError answers a request by a numbered error. A retryAfter above zero tells the client when to come back.
+// respondError responds with a numbered error. A positive retryAfter tells the client when to retry.
 func respondError(w http.ResponseWriter, kind errcode.Kind, retryAfter time.Duration) {
 	body, err := json.Marshal(errorBody{Error: kind.Message, Code: kind.Code})
-	if err != nil { // neither a string nor a number fails
+	if err != nil { // can't happen: strings and numbers are always encodable
 		body = nil
 	}
 	header := w.Header()
@@ -28,18 +28,18 @@
 		header.Set(headerRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(kind.Status)
-	_, _ = w.Write(body) // a client that has left gets nothing
+	_, _ = w.Write(body) // it fails only if the client has disconnected
 }
 
 const (
-	// minRetryAfter is the shortest wait that a client is told, so that a refusal's cause can pass.
+	// minRetryAfter is the shortest Retry-After, so that the cause of the rejection can pass.
 	minRetryAfter = 20 * time.Millisecond
-	// retryAfterDivisor of the time left is the longest wait that clients honour.
+	// retryAfterDivisor: clients honor a Retry-After of up to this fraction of the time left.
 	retryAfterDivisor = 3
 )
 
-// clampRetryAfter is the wait that a client is told: the wanted one within what clients honour.
-func clampRetryAfter(wanted, left time.Duration) time.Duration {
+// clampRetryAfter limits a Retry-After to what clients honor.
+func clampRetryAfter(wanted, timeLeft time.Duration) time.Duration {
 	wanted = max(wanted, minRetryAfter)
-	return max(min(wanted, left/retryAfterDivisor), 0).Truncate(time.Millisecond)
+	return max(min(wanted, timeLeft/retryAfterDivisor), 0).Truncate(time.Millisecond)
 }
--- a/serving/httpserver/event_reader.go
+++ b/serving/httpserver/event_reader.go
@@ -10,34 +10,34 @@
 // maxEventSize bounds one event of a stream, in bytes.
 const maxEventSize = 1 << 20
 
-// initialEventBuffer is the size at which the buffer of a stream begins, in bytes.
+// initialEventBuffer is the initial size of a stream's buffer, in bytes.
 const initialEventBuffer = 4 << 10
 
-// errEventTooLong ends a stream with an endless event.
+// errEventTooLong ends a stream with an event above maxEventSize.
 var errEventTooLong = errors.New("event too long")
 
-// eventReader cuts a stream of server-sent events into whole events.
+// eventReader splits a stream of server-sent events into complete events.
 type eventReader struct {
 	source      io.Reader
 	buffer      []byte
-	bufferStart int // of what has not been handed out
-	bufferEnd   int // of what was read
-	readErr     error
+	bufferStart int   // begin of what has not been returned
+	bufferEnd   int   // end of what has been read
+	readErr     error // the source's error
 }
 
 func newEventReader(source io.Reader) *eventReader {
 	return &eventReader{source: source, buffer: make([]byte, initialEventBuffer)}
 }
 
-// Next waits for at least one whole event and returns all whole events that have come, valid until the next call.
-// After the last one it returns what is left over and io.EOF where the source ended cleanly; where it did not,
-// what is left over is lost and the source's error is returned.
+// Next waits for at least one complete event and returns all complete events that have arrived. They are valid until
+// the next call. After the last one, it returns what is left and io.EOF if the source ended cleanly; if not, it drops
+// what is left and returns the source's error.
 func (r *eventReader) Next() ([]byte, error) {
 	searched := r.bufferStart
 	for {
-		if cut := lastEventEnd(r.buffer[r.bufferStart:r.bufferEnd], searched-r.bufferStart); cut > 0 {
-			events := r.buffer[r.bufferStart : r.bufferStart+cut]
-			r.bufferStart += cut
+		if eventsEnd := lastEventEnd(r.buffer[r.bufferStart:r.bufferEnd], searched-r.bufferStart); eventsEnd > 0 {
+			events := r.buffer[r.bufferStart : r.bufferStart+eventsEnd]
+			r.bufferStart += eventsEnd
 			return events, nil
 		}
 		if r.readErr != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// takeRemainder hands out what comes after the last event of a stream that ended cleanly.
+// takeRemainder returns what follows the last event of a stream that ended cleanly.
 func (r *eventReader) takeRemainder() ([]byte, error) {
 	if !errors.Is(r.readErr, io.EOF) {
 		return nil, r.readErr
@@ -65,7 +65,7 @@
 	return left, io.EOF
 }
 
-// makeRoom makes room for reading and returns by how much the contents moved.
+// makeRoom makes room for reading. It returns by how much the contents have moved.
 func (r *eventReader) makeRoom() (moved int) {
 	if r.bufferEnd < len(r.buffer) && r.bufferStart < r.bufferEnd {
 		return 0
@@ -84,8 +84,8 @@
 	return 0
 }
 
-// lastEventEnd is where the last whole event ends: after its blank line. Where there is none it is 0. Nothing
-// before from ends an event.
+// lastEventEnd returns the end of the last complete event, which is after its blank line; 0 if there is none. No event
+// ends before from.
 func lastEventEnd(data []byte, from int) int {
 	from = max(from, 0)
 	for line := len(data); line > from; {
@@ -102,7 +102,7 @@
 	return 0
 }
 
-// endsBlankLine tells whether the line that ends at a newline is blank and ends an event.
+// endsBlankLine reports whether the line that a newline ends is blank and so ends an event.
 func endsBlankLine(data []byte, newline int) bool {
 	if newline > 0 && data[newline-1] == '\r' {
 		newline--
@@ -110,15 +110,16 @@
 	return newline > 0 && data[newline-1] == '\n'
 }
 
-// forEachEvent calls a function with each whole event of a piece that Next returned.
+// forEachEvent calls visit with each of the complete events that Next returned.
 func forEachEvent(events []byte, visit func(event []byte)) {
 	for len(events) > 0 {
-		cut := firstEventEnd(events)
-		visit(events[:cut])
-		events = events[cut:]
+		end := firstEventEnd(events)
+		visit(events[:end])
+		events = events[end:]
 	}
 }
 
+// firstEventEnd returns the end of the first event, or of the data if none is complete.
 func firstEventEnd(data []byte) int {
 	for at, c := range data {
 		if c == '\n' && endsBlankLine(data, at) {
@@ -128,7 +129,7 @@
 	return len(data)
 }
 
-// eventID returns the value of an event's id field, or false where it has none.
+// eventID returns the value of an event's id field, and false if it has none.
 func eventID(event []byte) (string, bool) {
 	found, id := false, ""
 	for line := range bytes.Lines(event) {
--- a/serving/httpserver/finish.go
+++ b/serving/httpserver/finish.go
@@ -9,11 +9,11 @@
 	"rowanlink/serving/errcode"
 )
 
-// rejectedTargetDivisor of the route's target is about what a client is told to wait whose request was refused: long
-// enough for places to come free, short enough for an answer in time.
+// rejectedTargetDivisor of the route's latency target is the least Retry-After of a request that endpoints rejected:
+// long enough for slots to become free, short enough for a response within the target.
 const rejectedTargetDivisor = 8
 
-// respondUnserved answers a request that is not tried again: refused if nothing has run, else failed.
+// respondUnserved responds to a request that is not retried: with a rejection if nothing has run, else with a failure.
 func (f *forwarder) respondUnserved() {
 	if f.mayHaveRun || f.stream.started {
 		f.respondFailed()
@@ -22,20 +22,20 @@
 	f.reject(errcode.NotExecuted, 0)
 }
 
-// reject promises that nothing has run and tells the client when to come back. Where something may have run, the
-// request has failed instead.
+// reject promises that nothing has run and says when to retry. If something may have run, it responds with a failure.
 func (f *forwarder) reject(kind errcode.Kind, wanted time.Duration) {
 	if f.mayHaveRun || f.stream.started {
 		f.respondFailed()
 		return
 	}
 	if wanted <= 0 {
-		wanted = f.route.Target/rejectedTargetDivisor + jitter(f.route.Target/rejectedTargetDivisor)
+		base := f.route.Target / rejectedTargetDivisor
+		wanted = base + randomBelow(base)
 	}
 	respondError(f.writer, kind, clampRetryAfter(wanted, time.Until(f.deadline)))
 }
 
-// respondExpired answers a request whose time is over.
+// respondExpired responds to a request whose deadline has passed.
 func (f *forwarder) respondExpired() {
 	if f.mayHaveRun || f.stream.started {
 		f.respondFailed()
@@ -44,7 +44,7 @@
 	respondError(f.writer, errcode.NotExecutedInTime, 0)
 }
 
-// respondFailed answers a request that may have run: by the endpoint's own error where there is one.
+// respondFailed responds to a request that may have run: with an endpoint's own error if there is one.
 func (f *forwarder) respondFailed() {
 	switch {
 	case f.stream.started:
@@ -58,20 +58,20 @@
 	}
 }
 
-// abortConnection breaks the client's connection off, so that what was sent does not look complete.
+// abortConnection terminates the client's connection, so that what was sent does not look complete. It doesn't return.
 func (f *forwarder) abortConnection() {
-	if !f.httpRequest.ProtoAtLeast(1, 1) { // there the end of the connection is the end of the answer
-		if client := connectionFromContext(f.ctx); client != nil {
+	if !f.httpRequest.ProtoAtLeast(1, 1) { // there the end of the connection is the end of the body
+		if client := connectionFromContext(f.httpRequest.Context()); client != nil {
 			client.resetOnClose()
 		}
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// jitter is a random part of a span.
-func jitter(span time.Duration) time.Duration {
-	if span <= 0 {
+// randomBelow returns a random duration in [0, limit).
+func randomBelow(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(rand.Int64N(int64(span)))
+	return time.Duration(rand.Int64N(int64(limit)))
 }
--- a/serving/httpserver/forward.go
+++ b/serving/httpserver/forward.go
@@ -1,10 +1,7 @@
 package httpserver
 
 import (
-	"context"
 	"net/http"
-	"slices"
-	"strconv"
 	"time"
 
 	"rowanlink/internal/ctxsleep"
@@ -12,52 +9,45 @@
 	"rowanlink/serving/errcode"
 	"rowanlink/serving/placement"
 	"rowanlink/serving/retry"
-	"rowanlink/serving/routing"
-	"rowanlink/serving/upstream"
 )
 
-const (
-	// highestPriority and lowestPriority bound the priority that endpoints are given.
-	highestPriority = 0
-	lowestPriority  = 9
-	// minPickDelay bounds a wait for a place from below.
-	minPickDelay = time.Millisecond
-)
+// minPickDelay is the least time between two searches for an endpoint.
+const minPickDelay = time.Millisecond
 
-// forwarder takes one request through its attempts until it is answered. It belongs to the handler's goroutine, but for
-// mayAbandonAttempt.
+// forwarder makes the attempts for one request until the client has its response. It is used by the handler's goroutine
+// only, except for mayAbandonAttempt.
 type forwarder struct {
 	*request
 	server *Server
 	writer http.ResponseWriter
-	ctx    context.Context
 
-	attempts        int      // attempts before the one under way
-	countedAttempts int      // of them, those that an endpoint took up, may have taken up or turned away as full
-	sentAttempts    int      // of them, those that arrived at an endpoint
-	triedEndpoints  []string // endpoints by ID
-	mayHaveRun      bool
+	attempts        int      // that have ended
+	sentAttempts    int      // of these, those that reached an endpoint or may have
+	countedAttempts int      // of these, those that count toward the route's tries
+	triedEndpoints  []string // by ID
+	mayHaveRun      bool     // some attempt may have run
 	lastOutcome     attempt.Outcome
-	service         string            // of the last attempt's endpoint
-	grantedRetry    *retry.Decision   // by mayAbandonAttempt, before the attempt's end
-	endpointError   *bufferedResponse // an endpoint's own error, passed on if nothing better comes
-	stream          streamProgress
+	service         string          // of the last attempt's endpoint
+	grantedRetry    *retry.Decision // granted by mayAbandonAttempt, before the attempt's end
+
+	endpointError *bufferedResponse // an endpoint's own error, sent to the client if no attempt succeeds
+	stream        streamProgress
 }
 
-// nextStep is what comes after an attempt.
+// nextStep says what follows an attempt.
 type nextStep uint8
 
 const (
-	nextDone  nextStep = iota // the request is answered
-	nextRetry                 // the attempt is over without an answer for the client
-	nextAbort                 // the answer is begun and can't be ended
+	nextDone  nextStep = iota // the client has its response
+	nextRetry                 // the attempt has ended without a response for the client
+	nextAbort                 // the response has begun and can't be completed
 )
 
-// forward makes attempts until the client has its answer.
+// forward makes attempts until the client has its response.
 func (f *forwarder) forward() {
 	for {
-		choice, chosen := f.pickEndpoint()
-		if !chosen {
+		choice, picked := f.pickEndpoint()
+		if !picked {
 			return
 		}
 		outcome, next := f.tryEndpoint(choice)
@@ -75,48 +65,37 @@
 	}
 }
 
-// recordAttempt takes an attempt that has ended without an answer into account.
-func (f *forwarder) recordAttempt(outcome attempt.Outcome) {
-	f.attempts++
-	f.lastOutcome = outcome
-	f.mayHaveRun = f.mayHaveRun || !outcome.NeverRan()
-	if outcome == attempt.ConnectFailed || outcome == attempt.AtLimit {
-		return
-	}
-	f.sentAttempts++
-	if outcome != attempt.Misdirected {
-		f.countedAttempts++
-	}
-}
-
-// pickEndpoint finds an endpoint, waiting where placement says so. It returns false when the request has been answered.
+// pickEndpoint selects an endpoint, waiting as long as the picker says. It returns false if the request has been
+// responded to instead.
 func (f *forwarder) pickEndpoint() (placement.Choice, bool) {
 	for {
 		now := time.Now()
 		f.placement.TimeLeft = f.deadline.Sub(now)
 		f.placement.QueuedFor = now.Sub(f.arrivedAt)
-		f.placement.Service, f.placement.TriedEndpoints = f.service, f.triedEndpoints
+		f.placement.Service = f.service
+		f.placement.TriedEndpoints = f.triedEndpoints
 		f.placement.Resumed = f.stream.started
 		if f.placement.TimeLeft <= 0 {
 			f.respondExpired()
 			return placement.Choice{}, false
 		}
-		choice, verdict := f.server.options.Picker.Pick(now, f.placement)
-		switch verdict.Kind {
+		choice, decision := f.server.options.Picker.Pick(now, f.placement)
+		switch decision.Kind {
 		case placement.Picked:
 			return choice, true
 		case placement.Wait:
-			if !ctxsleep.Sleep(f.ctx, max(min(verdict.Delay, f.placement.TimeLeft), minPickDelay)) {
+			delay := max(min(decision.Delay, f.placement.TimeLeft), minPickDelay)
+			if !ctxsleep.Sleep(f.httpRequest.Context(), delay) {
 				f.abortConnection()
 			}
 		default:
-			f.reject(errcode.NoCapacity, verdict.Delay)
+			f.reject(errcode.NoCapacity, decision.Delay)
 			return placement.Choice{}, false
 		}
 	}
 }
 
-// tryEndpoint sends the request to the chosen endpoint and passes the answer on.
+// tryEndpoint sends the request to the chosen endpoint and relays the response.
 func (f *forwarder) tryEndpoint(choice placement.Choice) (attempt.Outcome, nextStep) {
 	if f.service == "" {
 		f.server.options.RetryPolicy.CountRequest(time.Now(), choice.Endpoint.Service)
@@ -125,104 +104,27 @@
 	call := f.newCall(choice)
 	f.triedEndpoints = append(f.triedEndpoints, choice.Endpoint.ID)
 	f.grantedRetry = nil
-	answer, failure := f.server.options.Pool.Do(f.ctx, call)
+	response, failure := f.server.options.Pool.Do(f.httpRequest.Context(), call)
 	if failure != nil {
 		return failure.Outcome, nextRetry
 	}
-	defer answer.Close()
-	if f.stream.started || isEventStream(f.route, answer) {
-		return f.relayStream(answer, choice.Reservation)
+	defer response.Close()
+	if f.stream.started || isEventStream(f.route, response) {
+		return f.relayStream(response, choice.Reservation)
 	}
-	return f.relayBuffered(answer, choice.Reservation)
+	return f.relayBuffered(response, choice.Reservation)
 }
 
-// newCall puts the request into the endpoint side's words.
-func (f *forwarder) newCall(choice placement.Choice) *upstream.Call {
-	endpoint := choice.Endpoint
-	call := &upstream.Call{
-		EndpointID:    endpoint.ID,
-		Address:       endpoint.Address,
-		Zone:          endpoint.Zone,
-		Method:        f.httpRequest.Method,
-		RequestTarget: requestTarget(f.httpRequest),
-		Host:          f.httpRequest.Host,
-		Header:        f.httpRequest.Header,
-		Body:          f.body,
-		HasBody:       f.hasBody,
-		Resent:        slices.Contains(f.triedEndpoints, endpoint.ID),
-		Deadline:      f.deadline,
-		LastEventID:   f.stream.lastEventID,
-	}
-	service, known := f.table.Service(endpoint.Service)
-	if known {
-		call.MaxConnections = f.server.options.ConnectionShare(service)
-		if service.Engine != nil {
-			call.Priority = priority(f.route, choice.ShortPrefill)
-		}
-	}
-	if f.route.Idempotent() {
-		call.ProgressTimeout = firstByteTimeout(f.route, service, choice.ExpectedFirstByte)
-		call.MayAbandon = f.mayAbandonAttempt
-	}
-	return call
-}
-
-// priority is the rank that endpoints are given: the route's own, as far as their scale goes, but for prompts that are
-// read in a moment.
-func priority(route *routing.Route, quick bool) string {
-	if quick {
-		return strconv.Itoa(highestPriority)
-	}
-	return strconv.Itoa(min(max(route.Precedence, highestPriority), lowestPriority))
-}
-
-// mayAbandonAttempt decides whether an attempt that shows nothing is to be ended: only if the request may then go again. It
-// runs on another goroutine while the flow's own one waits for the endpoint.
-func (f *forwarder) mayAbandonAttempt() bool {
-	decision := f.decideRetry(retry.FailedAttempt{
-		Number:          f.attempts,
-		Outcome:         attempt.TimedOut,
-		CountedAttempts: f.countedAttempts + 1,
-		SentAttempts:    f.sentAttempts + 1,
-		MayHaveRun:      true,
-	})
-	if !decision.Retry {
-		return false
-	}
-	f.grantedRetry = &decision
-	return true
-}
-
-// decideRetry asks the retry policy.
-func (f *forwarder) decideRetry(try retry.FailedAttempt) retry.Decision {
-	now := time.Now()
-	try.Route, try.Service, try.TimeLeft = f.route, f.service, f.deadline.Sub(now)
-	return f.server.options.RetryPolicy.Decide(now, try)
-}
-
-// waitForRetry waits for the next attempt. It returns false when the request has been answered.
-func (f *forwarder) waitForRetry(outcome attempt.Outcome) bool {
-	if f.mayHaveRun && !f.route.Idempotent() {
-		f.respondFailed()
-		return false
-	}
-	decision := f.grantedRetry
-	if decision == nil {
-		asked := f.decideRetry(retry.FailedAttempt{
-			Number:          f.attempts - 1,
-			Outcome:         outcome,
-			CountedAttempts: f.countedAttempts,
-			SentAttempts:    f.sentAttempts,
-			MayHaveRun:      f.mayHaveRun,
-		})
-		decision = &asked
-	}
-	if !decision.Retry {
-		f.respondUnserved()
-		return false
+// recordAttempt records an attempt that has ended without a response for the client.
+func (f *forwarder) recordAttempt(outcome attempt.Outcome) {
+	f.attempts++
+	f.lastOutcome = outcome
+	f.mayHaveRun = f.mayHaveRun || !outcome.NeverRan()
+	if outcome == attempt.ConnectFailed || outcome == attempt.AtLimit {
+		return
 	}
-	if !ctxsleep.Sleep(f.ctx, decision.Backoff) {
-		f.abortConnection()
+	f.sentAttempts++
+	if outcome != attempt.Misdirected {
+		f.countedAttempts++
 	}
-	return true
 }
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -11,67 +11,74 @@
 )
 
 const (
-	// writeGrace is how long after a request's end its last bytes may still be written to a slow client.
+	// writeGrace is how long after a request's deadline its last bytes may still be written to a slow client.
 	writeGrace = time.Second
-	// noConfigurationRetryAfter is what clients are told while no configuration is known.
+	// noConfigurationRetryAfter is sent while no configuration is known.
 	noConfigurationRetryAfter = 250 * time.Millisecond
-	// drainingRetryAfter is what clients are told by a process that ends: another one can serve them at once.
+	// drainingRetryAfter is sent by a process that shuts down: another one can serve the client at once.
 	drainingRetryAfter = 20 * time.Millisecond
 )
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP serves one request of a client: it finds the route, reads the request, and forwards it to an endpoint.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := time.Now()
+	arrivedAt := time.Now()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	w = &keepAliveWriter{ResponseWriter: w, server: s}
+
 	table := s.options.RoutingTable()
 	if table == nil {
-		s.rejectUnrouted(w, r, arrived, errcode.NoConfiguration, noConfigurationRetryAfter)
+		s.rejectUnrouted(w, r, arrivedAt, errcode.NoConfiguration, noConfigurationRetryAfter)
 		return
 	}
 	if s.rejecting.Load() {
-		s.rejectUnrouted(w, r, arrived, errcode.ShuttingDown, drainingRetryAfter)
+		s.rejectUnrouted(w, r, arrivedAt, errcode.ShuttingDown, drainingRetryAfter)
 		return
 	}
 	route, found := table.Match(r.Host, pathOfTarget(requestTarget(r)))
 	if !found {
-		s.rejectUnrouted(w, r, arrived, errcode.NoRoute, 0)
+		s.rejectUnrouted(w, r, arrivedAt, errcode.NoRoute, 0)
 		return
 	}
-	read := request{httpRequest: r, table: table, route: route, arrivedAt: arrived,
-		deadline: deadline(arrived, r.Header, route.Timeout)}
+
+	read := request{
+		httpRequest: r,
+		table:       table,
+		route:       route,
+		arrivedAt:   arrivedAt,
+		deadline:    deadline(arrivedAt, r.Header, route.Timeout),
+	}
 	if err := s.readRequest(&read, table.Limits); err != nil {
 		s.respondReadError(w, err, time.Until(read.deadline))
 		return
 	}
 	defer s.bodyMemory.release(r.ContentLength)
 	read.placement = placementRequest(route, r.Header)
-	run := &forwarder{server: s, request: &read, writer: w, ctx: r.Context()}
-	run.forward()
+	f := &forwarder{server: s, request: &read, writer: w}
+	f.forward()
 }
 
-// keepAliveWriter tells each client, with the head of its answer, how its connection goes on.
+// keepAliveWriter adds to the header of each response how the client's connection continues.
 type keepAliveWriter struct {
 	http.ResponseWriter
 	server *Server
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *keepAliveWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader writes the head.
+// WriteHeader writes the status line and the headers.
 func (w *keepAliveWriter) WriteHeader(status int) {
 	header := w.Header()
 	if w.server.draining.Load() || w.server.listener.isNearLimit() {
 		header.Set("Connection", "close")
-	} else if seconds := w.server.keepAlive(); seconds != "" && header.Get("Connection") == "" {
-		header.Set("Keep-Alive", seconds)
+	} else if timeout := w.server.keepAlive(); timeout != "" && header.Get("Connection") == "" {
+		header.Set("Keep-Alive", timeout)
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// readRequest takes the request in whole, within the operator's limits.
+// readRequest reads the complete request, within the operator's limits.
 func (s *Server) readRequest(to *request, limits routing.Limits) error {
 	r := to.httpRequest
 	if limits.HeaderBytes > 0 && headSize(r) > limits.HeaderBytes {
@@ -95,16 +102,16 @@
 	return nil
 }
 
-// bodyDeadline is when the body must have come; zero where there is none.
-func bodyDeadline(r *http.Request, end time.Time) time.Time {
+// bodyDeadline returns the time by which the body must have arrived; zero if there is none.
+func bodyDeadline(r *http.Request, deadline time.Time) time.Time {
 	if r.ContentLength == 0 {
 		return time.Time{}
 	}
-	return end
+	return deadline
 }
 
-// respondReadError answers a request that was not read whole.
-func (s *Server) respondReadError(w http.ResponseWriter, err error, left time.Duration) {
+// respondReadError responds to a request that could not be read completely.
+func (s *Server) respondReadError(w http.ResponseWriter, err error, timeLeft time.Duration) {
 	if errors.Is(err, errClientDisconnected) {
 		panic(http.ErrAbortHandler)
 	}
@@ -112,15 +119,17 @@
 	w.Header().Set("Connection", "close")
 	retryAfter := time.Duration(0)
 	if kind.Status == http.StatusServiceUnavailable {
-		retryAfter = clampRetryAfter(noConfigurationRetryAfter, left)
+		retryAfter = clampRetryAfter(noConfigurationRetryAfter, timeLeft)
 	}
 	respondError(w, kind, retryAfter)
 }
 
-// rejectUnrouted answers a request that is not even tried. Its body is read all the same, so that the answer arrives.
-func (s *Server) rejectUnrouted(w http.ResponseWriter, r *http.Request, arrived time.Time, kind errcode.Kind,
-	wanted time.Duration) {
-	end := deadline(arrived, r.Header, defaultTimeout)
+// rejectUnrouted responds to a request for which no attempt is made. Its body is read nevertheless, so that the
+// response reaches the client.
+func (s *Server) rejectUnrouted(
+	w http.ResponseWriter, r *http.Request, arrivedAt time.Time, kind errcode.Kind, wanted time.Duration,
+) {
+	end := deadline(arrivedAt, r.Header, defaultTimeout)
 	if client := connectionFromContext(r.Context()); client != nil {
 		client.startServing(bodyDeadline(r, end))
 		_ = client.SetWriteDeadline(end.Add(writeGrace)) // a closed connection shows at the next write
--- a/serving/httpserver/headers.go
+++ b/serving/httpserver/headers.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Header names that clients and the system speak.
+// Names of the headers exchanged with clients.
 const (
 	headerTimeLeft   = "X-Time-Left"
 	headerModel      = "X-Model"
@@ -15,13 +15,14 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders apply to one connection only and are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// dropConnectionHeaders removes the headers that concern one connection, also those that the message itself names.
+// dropConnectionHeaders removes the headers that apply to one connection only, including those that the Connection
+// header lists.
 func dropConnectionHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -35,7 +36,8 @@
 	}
 }
 
-// copyHead puts an endpoint's end-to-end headers on the way to the client, and nothing that this server would add.
+// copyHead copies an endpoint's end-to-end headers to the client's response, and keeps the HTTP server from adding its
+// own.
 func copyHead(to, from http.Header) {
 	dropConnectionHeaders(from)
 	for name, values := range from {
--- /dev/null
+++ b/serving/httpserver/prompt.go
@@ -0,0 +1,60 @@
+package httpserver
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+
+	"rowanlink/serving/placement"
+	"rowanlink/serving/routing"
+)
+
+const (
+	// maxTokenCount bounds each number of tokens that a client states, so that sums of them don't overflow. It is far
+	// above the capacity of any endpoint's KV cache.
+	maxTokenCount = 1 << 40
+	// maxPromptBlocks bounds the prompt blocks of a request that are read.
+	maxPromptBlocks = 256
+)
+
+// placementRequest returns what the picker needs to know of a request, from its headers.
+func placementRequest(route *routing.Route, header http.Header) placement.Request {
+	prompt, output := parseTokenCounts(header.Get(headerTokens))
+	return placement.Request{
+		Route:           route,
+		Model:           header.Get(headerModel),
+		PromptTokens:    prompt,
+		MaxOutputTokens: output,
+		Blocks:          parsePromptBlocks(header.Get(headerPrompt)),
+	}
+}
+
+// parseTokenCounts parses "PROMPT,OUTPUT". An invalid number is zero.
+func parseTokenCounts(text string) (prompt, output int) {
+	first, second, _ := strings.Cut(text, ",")
+	return parseCount(first), parseCount(second)
+}
+
+func parseCount(text string) int {
+	n, err := strconv.Atoi(strings.TrimSpace(text))
+	if err != nil || n < 0 {
+		return 0
+	}
+	return min(n, maxTokenCount)
+}
+
+// parsePromptBlocks parses "ID:TOKENS,ID:TOKENS,...", up to the first block that is invalid.
+func parsePromptBlocks(text string) []placement.PrefixBlock {
+	if text == "" {
+		return nil
+	}
+	blocks := make([]placement.PrefixBlock, 0, min(1+strings.Count(text, ","), maxPromptBlocks))
+	for field := range strings.SplitSeq(text, ",") {
+		id, tokens, hasTokens := strings.Cut(strings.TrimSpace(field), ":")
+		if !hasTokens || id == "" || len(blocks) == maxPromptBlocks {
+			break
+		}
+		blocks = append(blocks, placement.PrefixBlock{ID: id, Tokens: parseCount(tokens)})
+	}
+	return blocks
+}
--- /dev/null
+++ b/serving/httpserver/retry.go
@@ -0,0 +1,63 @@
+package httpserver
+
+import (
+	"time"
+
+	"rowanlink/internal/ctxsleep"
+	"rowanlink/serving/attempt"
+	"rowanlink/serving/retry"
+)
+
+// waitForRetry waits until the next attempt is due. It returns false if there is none and the request has been
+// responded to.
+func (f *forwarder) waitForRetry(outcome attempt.Outcome) bool {
+	if f.mayHaveRun && !f.route.Idempotent() {
+		f.respondFailed()
+		return false
+	}
+	decision := f.grantedRetry
+	if decision == nil {
+		decided := f.decideRetry(retry.FailedAttempt{
+			Number:          f.attempts - 1,
+			Outcome:         outcome,
+			CountedAttempts: f.countedAttempts,
+			SentAttempts:    f.sentAttempts,
+			MayHaveRun:      f.mayHaveRun,
+		})
+		decision = &decided
+	}
+	if !decision.Retry {
+		f.respondUnserved()
+		return false
+	}
+	if !ctxsleep.Sleep(f.httpRequest.Context(), decision.Backoff) {
+		f.abortConnection()
+	}
+	return true
+}
+
+// mayAbandonAttempt decides whether an attempt without progress is to be ended: only if the request may then be
+// retried. It runs on another goroutine while the forwarder's own waits for the endpoint.
+func (f *forwarder) mayAbandonAttempt() bool {
+	decision := f.decideRetry(retry.FailedAttempt{
+		Number:          f.attempts,
+		Outcome:         attempt.TimedOut,
+		CountedAttempts: f.countedAttempts + 1,
+		SentAttempts:    f.sentAttempts + 1,
+		MayHaveRun:      true,
+	})
+	if !decision.Retry {
+		return false
+	}
+	f.grantedRetry = &decision
+	return true
+}
+
+// decideRetry applies the retry policy to an attempt.
+func (f *forwarder) decideRetry(failed retry.FailedAttempt) retry.Decision {
+	now := time.Now()
+	failed.Route = f.route
+	failed.Service = f.service
+	failed.TimeLeft = f.deadline.Sub(now)
+	return f.server.options.RetryPolicy.Decide(now, failed)
+}
--- a/serving/httpserver/server.go
+++ b/serving/httpserver/server.go
@@ -1,6 +1,8 @@
-// Package httpserver is the client side of a proxy: it takes requests, has each served by an endpoint, and passes the
-// answer on. It stands between placement, which says where a request goes, the endpoint side, which sends it, and the
-// retry policy, which says whether it goes again.
+// Package httpserver is the client side of a proxy: a reverse proxy's HTTP server. Server.ServeHTTP takes a request,
+// picks an endpoint (package placement), sends the request to it (package upstream) and relays the response; after a
+// failed attempt the retry policy (package retry) decides whether there is another one. Responses are buffered up to a
+// size, so that a broken one can be retried; streams of server-sent events are relayed event by event and can be
+// resumed at another endpoint.
 package httpserver
 
 import (
@@ -25,34 +27,34 @@
 	"rowanlink/serving/upstream"
 )
 
-// EndpointPicker says where requests go. *placement.EndpointPicker is one.
+// EndpointPicker selects the endpoints of requests. It is implemented by *placement.Picker.
 type EndpointPicker interface {
 	Pick(now time.Time, request placement.Request) (placement.Choice, placement.Decision)
-	ReportProgress(now time.Time, ticket placement.Reservation)
-	ReportOutcome(now time.Time, ticket placement.Reservation, outcome attempt.Outcome)
+	ReportProgress(now time.Time, reservation placement.Reservation)
+	ReportOutcome(now time.Time, reservation placement.Reservation, outcome attempt.Outcome)
 }
 
-// RetryPolicy says whether requests go again. *retry.Policy is one.
+// RetryPolicy decides on retries. It is implemented by *retry.Policy.
 type RetryPolicy interface {
 	CountRequest(now time.Time, service string)
-	Decide(now time.Time, try retry.FailedAttempt) retry.Decision
+	Decide(now time.Time, failed retry.FailedAttempt) retry.Decision
 }
 
-// Options of a server. All but the numbers are required.
+// Options are the parameters of a server. All but ReadinessListener and the numbers are required.
 type Options struct {
-	ClientListener    net.Listener // clients' requests
-	ReadinessListener net.Listener // the platform's readiness checks; may be nil
+	ClientListener    net.Listener // for clients' requests
+	ReadinessListener net.Listener // for the platform's readiness checks; nil: none
 	RoutingTable      func() *routing.Table
 	Ready             func() bool // whether the process knows enough to serve
-	// ConnectionShare is how many connections this process may have to one endpoint of a service.
+	// ConnectionShare returns how many connections this process may have to one endpoint of a service.
 	ConnectionShare func(*routing.Service) int
 	Picker          EndpointPicker
 	RetryPolicy     RetryPolicy
 	Pool            *upstream.Pool
 	Log             *zerolog.Logger
 
-	MaxConnections int   // clients' connections; zero: defaultConnections
-	MaxBodyMemory  int64 // bytes of large bodies held at once; zero: defaultBodyMemory
+	MaxConnections int   // of clients; zero: defaultConnections
+	MaxBodyMemory  int64 // bytes of large bodies in memory at once; zero: defaultBodyMemory
 }
 
 // Defaults of a server.
@@ -61,13 +63,13 @@
 	defaultBodyMemory  = 64 << 20
 	defaultHeaderWait  = 10 * time.Second
 	defaultIdle        = time.Minute
-	// maxHeadSize bounds a request's head whatever the configuration says, in bytes.
+	// maxHeadSize bounds the headers of a request whatever the configuration says, in bytes.
 	maxHeadSize = 1 << 20
-	// idleMargin is how much longer an idle connection is kept than clients are told, for requests on their way.
+	// idleMargin is how much longer an idle connection stays open than its client is told, for requests on their way.
 	idleMargin = 2 * time.Second
 )
 
-// Server serves clients.
+// Server serves clients' requests. Make one with New.
 type Server struct {
 	options         Options
 	listener        *listener
@@ -76,13 +78,13 @@
 	bodyMemory      bodyMemory
 
 	inFlight  atomic.Int64 // requests
-	draining  atomic.Bool  // the process was told to end
-	rejecting atomic.Bool  // new requests are refused
+	draining  atomic.Bool  // graceful shutdown has begun
+	rejecting atomic.Bool  // new requests are rejected
 
-	sleep func(context.Context, time.Duration) bool // pause.For, but in tests of an end by plan
+	sleep func(context.Context, time.Duration) bool // ctxsleep.Sleep, except in tests of Drain
 }
 
-// New makes a server; Start starts it.
+// New returns a server that doesn't listen yet.
 func New(options Options) *Server {
 	if options.MaxConnections <= 0 {
 		options.MaxConnections = defaultConnections
@@ -104,7 +106,7 @@
 	return s
 }
 
-// Start begins to take requests and checks.
+// Start serves requests and readiness checks until Close or until the listeners fail.
 func (s *Server) Start() {
 	go s.run(s.clientServer, s.listener)
 	if s.options.ReadinessListener != nil {
@@ -112,6 +114,7 @@
 	}
 }
 
+// run serves a listener. It logs an error that isn't caused by a shutdown.
 func (s *Server) run(server *http.Server, listener net.Listener) {
 	err := server.Serve(listener)
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -119,19 +122,19 @@
 	}
 }
 
-// Close ends all connections at once.
+// Close closes all connections at once.
 func (s *Server) Close() {
-	_ = s.clientServer.Close() // nothing is left to be told
+	_ = s.clientServer.Close() // there is nothing to do about an error
 	_ = s.readinessServer.Close()
 }
 
-// InFlight is the number of requests under way.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// Ready tells whether clients should be sent here.
+// Ready reports whether clients should be sent to this process.
 func (s *Server) Ready() bool { return !s.draining.Load() && s.options.Ready() }
 
-// serveReadiness answers the platform's check.
+// serveReadiness answers the platform's readiness check.
 func (s *Server) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path != "/readiness":
@@ -143,7 +146,7 @@
 	}
 }
 
-// readTimeouts are the operator's time limits on a client's connection, with some room where it is idle.
+// readTimeouts returns the timeouts for reading a request's headers and for idle connections.
 func (s *Server) readTimeouts() (headerWait, idle time.Duration) {
 	headerWait, idle = defaultHeaderWait, defaultIdle
 	if table := s.options.RoutingTable(); table != nil {
@@ -157,7 +160,7 @@
 	return headerWait, idle
 }
 
-// keepAlive is what clients are told of how long their connection may rest; empty: nothing.
+// keepAlive returns the value of the Keep-Alive header for clients; empty: none.
 func (s *Server) keepAlive() string {
 	table := s.options.RoutingTable()
 	if table == nil || table.Limits.Idle < time.Second {
@@ -168,7 +171,7 @@
 
 func (s *Server) logConnectionLimit() { event.ConnectionLimitReached.Log(s.options.Log).Send() }
 
-// errorLogWriter turns the HTTP server's own lines into events.
+// errorLogWriter turns the log lines of net/http into events.
 type errorLogWriter struct{ log *zerolog.Logger }
 
 func (l errorLogWriter) Write(line []byte) (int, error) {
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -15,43 +15,46 @@
 	"rowanlink/serving/upstream"
 )
 
-// streamProgress is how far an answer that is a series of events has been passed on.
+// streamProgress is how much of a stream of server-sent events the client has received, over all attempts.
 type streamProgress struct {
-	started      bool   // the head and at least one event have been passed on
-	lastEventID  string // of the last event passed on that has one
-	filterBuffer []byte // room for the events of a run that goes on, without those that were passed on before
+	started      bool   // the headers and at least one event have been sent
+	lastEventID  string // of the last event sent that has one
+	filterBuffer []byte // reused by filterRelayed
 }
 
-// isEventStream tells whether an answer is a series of events. On a route for streams one of unknown length is taken
-// for it whatever it calls itself, so that it isn't held back.
-func isEventStream(route *routing.Route, answer *upstream.Response) bool {
-	if answer.Status != http.StatusOK {
+// isEventStream reports whether a response is a stream of events. On a route for streams, a response of unknown length
+// is treated as one whatever its content type, so that it isn't buffered.
+func isEventStream(route *routing.Route, response *upstream.Response) bool {
+	if response.Status != http.StatusOK {
 		return false
 	}
-	if route.Kind == routing.Stream && answer.Length < 0 {
+	if route.Kind == routing.Stream && response.Length < 0 {
 		return true
 	}
-	kind, _, err := mime.ParseMediaType(answer.Header.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream"
+	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream"
 }
 
-// relayStream passes events on as they come, each of them whole. A run that goes on where an earlier one broke off
-// keeps that one's head.
-func (f *forwarder) relayStream(answer *upstream.Response, ticket placement.Reservation) (attempt.Outcome, nextStep) {
-	if f.stream.started && !isEventStream(f.route, answer) {
+// relayStream relays complete events as they arrive. A response that resumes a stream keeps the headers of the first
+// one.
+func (f *forwarder) relayStream(
+	response *upstream.Response, reservation placement.Reservation,
+) (attempt.Outcome, nextStep) {
+	if f.stream.started && !isEventStream(f.route, response) {
 		return attempt.Failed, nextRetry
 	}
-	reader := newEventReader(answer)
+	reader := newEventReader(response)
 	for {
 		events, err := reader.Next()
-		if len(events) > 0 || err == io.EOF {
-			f.server.options.Picker.ReportProgress(time.Now(), ticket)
-			answer.SetProgressTimeout(streamIdleTimeout(f.route))
-			if !f.relayEvents(answer, events) {
+		ended := errors.Is(err, io.EOF)
+		if len(events) > 0 || ended {
+			f.server.options.Picker.ReportProgress(time.Now(), reservation)
+			response.SetProgressTimeout(streamIdleTimeout(f.route))
+			if !f.relayEvents(response, events) {
 				return attempt.Canceled, nextAbort
 			}
 		}
-		if err == io.EOF {
+		if ended {
 			return attempt.Succeeded, nextDone
 		}
 		if err != nil {
@@ -60,13 +63,14 @@
 	}
 }
 
-// relayEvents passes whole events on, the head before the first of them. It returns false where the client is gone.
-func (f *forwarder) relayEvents(answer *upstream.Response, events []byte) bool {
+// relayEvents sends complete events, and the headers before the first of them. It returns false if the client has
+// disconnected.
+func (f *forwarder) relayEvents(response *upstream.Response, events []byte) bool {
 	if !f.stream.started {
 		f.stream.started = true
-		copyHead(f.writer.Header(), answer.Header)
-		f.writer.Header().Del("Content-Length") // another run may end the stream with other bytes
-		f.writer.WriteHeader(answer.Status)
+		copyHead(f.writer.Header(), response.Header)
+		f.writer.Header().Del("Content-Length") // another attempt may end the stream with other bytes
+		f.writer.WriteHeader(response.Status)
 	}
 	events = f.stream.filterRelayed(events, f.attempts > 0)
 	if len(events) == 0 {
@@ -78,23 +82,25 @@
 	return http.NewResponseController(f.writer).Flush() == nil
 }
 
-// handleBrokenStream decides what follows where a stream breaks off.
+// handleBrokenStream decides what follows if a stream breaks off: it can be resumed if the route allows it and the last
+// event had an ID.
 func (f *forwarder) handleBrokenStream(err error) (attempt.Outcome, nextStep) {
 	outcome := attempt.Broken
 	var failure *upstream.Failure
 	if errors.As(err, &failure) {
 		outcome = failure.Outcome
 	}
-	if f.stream.started && (!f.route.Resume || f.stream.lastEventID == "") {
+	resumable := f.route.Resume && f.stream.lastEventID != ""
+	if f.stream.started && !resumable {
 		return outcome, nextAbort
 	}
 	return outcome, nextRetry
 }
 
-// filterRelayed notes the last id among events and returns those to pass on: in a run that goes on after another one,
-// none that was passed on before.
-func (s *streamProgress) filterRelayed(events []byte, goesOn bool) []byte {
-	if !goesOn || s.lastEventID == "" {
+// filterRelayed records the last ID among events and returns those to send: if a stream is resumed, those that the
+// client has not received.
+func (s *streamProgress) filterRelayed(events []byte, resumed bool) []byte {
+	if !resumed || s.lastEventID == "" {
 		if id, found := findLastEventID(events); found {
 			s.lastEventID = id
 		}
@@ -114,7 +120,7 @@
 	return s.filterBuffer
 }
 
-// findLastEventID is the last id among events.
+// findLastEventID returns the last ID among events.
 func findLastEventID(events []byte) (id string, found bool) {
 	for end := len(events); end > 0; {
 		begin := lastEventEnd(events[:end-1], 0)
@@ -126,12 +132,13 @@
 	return "", false
 }
 
-// isLaterID tells whether an id comes after another one. Ids are whole numbers that rise; others only differ.
+// isLaterID reports whether an ID comes after another one. IDs that are whole numbers are ordered; others are only equal
+// or different.
 func isLaterID(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
-	before, errBefore := strconv.ParseUint(last, 10, 64)
-	if err != nil || errBefore != nil {
+	lastNumber, lastErr := strconv.ParseUint(last, 10, 64)
+	if err != nil || lastErr != nil {
 		return id != last
 	}
-	return number > before
+	return number > lastNumber
 }
--- a/serving/httpserver/timeouts.go
+++ b/serving/httpserver/timeouts.go
@@ -6,20 +6,22 @@
 	"rowanlink/serving/routing"
 )
 
-// How long an attempt of a request that may be repeated shows nothing before the request goes elsewhere.
+// Parameters of the time after which an idempotent request's attempt without a first byte is abandoned and retried at
+// another endpoint.
 const (
-	// expectedFactor of the predicted time to the first byte bounds it from below.
+	// expectedFactor times the estimated time to first byte is the least timeout.
 	expectedFactor = 3
-	// targetDivisor of the target bounds it where a run is short and cheap: the next endpoint may still be in time.
+	// targetDivisor of the latency target is the least timeout of services whose runs are short and cheap: the next
+	// endpoint may still respond within the target.
 	targetDivisor = 2
-	// llmTargetFactor bounds it at language models, in targets: a prompt read for nothing costs all others time, and
-	// after the target an answer is late wherever it comes from.
+	// llmTargetFactor times the latency target is the least timeout of language models: prefill for nothing delays all
+	// other requests, and after the target the response is late wherever it comes from.
 	llmTargetFactor = 2
-	// minFirstByteTimeout bounds it where no target is set.
+	// minFirstByteTimeout applies if there is no latency target.
 	minFirstByteTimeout = 100 * time.Millisecond
 )
 
-// firstByteTimeout is how long an attempt at an endpoint of the service may show nothing.
+// firstByteTimeout returns how long an attempt at an endpoint of the service may be without a first byte.
 func firstByteTimeout(route *routing.Route, service *routing.Service, expected time.Duration) time.Duration {
 	least := route.Target / targetDivisor
 	if service != nil && service.Engine != nil {
@@ -29,14 +31,13 @@
 }
 
 const (
-	// gapFactor of the longest pause that keeps a stream in time is how long a stream that can be taken up
-	// elsewhere may pause.
+	// gapFactor times the route's target for gaps between events is the timeout of a stream that can be resumed.
 	gapFactor = 2
-	// defaultStreamIdleTimeout holds where the route states no such pause.
+	// defaultStreamIdleTimeout applies if the route has no such target.
 	defaultStreamIdleTimeout = time.Second
 )
 
-// streamIdleTimeout is how long a stream may pause before it is taken up elsewhere; zero: for ever.
+// streamIdleTimeout returns after how long without an event a stream is resumed at another endpoint; zero: never.
 func streamIdleTimeout(route *routing.Route) time.Duration {
 	switch {
 	case !route.Resume:
