--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -23,16 +23,16 @@
 // Name is a webhook's or an announcement's over the whole fleet, from its owner's journal to its end.
 type Name struct {
 	_     struct{}         `cbor:",toarray"`
-	Owner cluster.MemberID // hears how it ended
-	Life  uint64           // of the owner's folder: numbers begin anew with it
-	ID    uint64           // never used twice in that life
+	Owner cluster.MemberID `cbor:"Owner"` // hears how it ended
+	Life  uint64           `cbor:"Life"`  // of the owner's folder: numbers begin anew with it
+	ID    uint64           `cbor:"ID"`    // never used twice in that life
 }
 
 // Delivery is what ends by itself: one name for one subscriber.
 type Delivery struct {
-	_    struct{} `cbor:",toarray"`
-	Name Name
-	To   api.DestinationID
+	_    struct{}          `cbor:",toarray"`
+	Name Name              `cbor:"Name"`
+	To   api.DestinationID `cbor:"To"`
 }
 
 // Item is a webhook or an announcement for subscribers of one site. Its times are of the sender's clock, at
@@ -71,9 +71,9 @@
 // Run is one opening of a stream. A sender that finds its relay again after it was gone opens a further one:
 // a frame of the one before that is late on its way is then refused, so that "never taken" stays true.
 type Run struct {
-	_     struct{} `cbor:",toarray"`
-	Epoch cluster.Epoch
-	No    uint64 // from 1 on in each epoch
+	_     struct{}      `cbor:",toarray"`
+	Epoch cluster.Epoch `cbor:"Epoch"`
+	No    uint64        `cbor:"No"` // from 1 on in each epoch
 }
 
 func (r Run) before(o Run) bool { return r.Epoch < o.Epoch || r.Epoch == o.Epoch && r.No < o.No }
@@ -94,20 +94,20 @@
 
 // Packed is an item in a frame.
 type Packed struct {
-	_        struct{} `cbor:",toarray"`
-	Name     Name
-	Request  string
-	Many     bool
-	Event    api.EventTypeID
-	Tenant   api.TenantID
-	Token    string
-	Key      api.Key
-	TTL      api.Micros
-	Attempts int
-	MayRun   api.Micros
-	Zone     api.ZoneID
-	Body     int // index in Bodies
-	List     int // index in Lists
+	_        struct{}        `cbor:",toarray"`
+	Name     Name            `cbor:"Name"`
+	Request  string          `cbor:"Request"`
+	Many     bool            `cbor:"Many"`
+	Event    api.EventTypeID `cbor:"Event"`
+	Tenant   api.TenantID    `cbor:"Tenant"`
+	Token    string          `cbor:"Token"`
+	Key      api.Key         `cbor:"Key"`
+	TTL      api.Micros      `cbor:"TTL"`
+	Attempts int             `cbor:"Attempts"`
+	MayRun   api.Micros      `cbor:"MayRun"`
+	Zone     api.ZoneID      `cbor:"Zone"`
+	Body     int             `cbor:"Body"` // index in Bodies
+	List     int             `cbor:"List"` // index in Lists
 }
 
 // Ask opens a run and asks what became of deliveries that were sent in earlier ones.
@@ -138,10 +138,10 @@
 
 // End is one delivery's, for its owner.
 type End struct {
-	_        struct{} `cbor:",toarray"`
-	Delivery Delivery
-	How      How
-	RetryIn  api.Micros // rejected: come again after it; 0: nothing is said
-	Attempts int
-	MayRun   bool
+	_        struct{}   `cbor:",toarray"`
+	Delivery Delivery   `cbor:"Delivery"`
+	How      How        `cbor:"How"`
+	RetryIn  api.Micros `cbor:"RetryIn"` // rejected: come again after it; 0: nothing is said
+	Attempts int        `cbor:"Attempts"`
+	MayRun   bool       `cbor:"MayRun"`
 }
