--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -44,7 +44,7 @@
 	Event    api.EventTypeID
 	Tenant   api.TenantID
 	Token    string
-	Key      api.Key // 0 but of ordered event types
+	Key      api.OrderingKey // 0 but of ordered event types
 	TTL      api.Micros
 	Attempts int
 	MayRun   api.Micros // first attempt that may have run, or api.Never
@@ -94,6 +94,7 @@
 
 // Packed is an item in a frame.
 type Packed struct {
+<<<<<<< HEAD
 	_        struct{}        `cbor:",toarray"`
 	Name     Name            `cbor:"Name"`
 	Request  string          `cbor:"Request"`
@@ -108,6 +109,22 @@
 	Zone     api.ZoneID      `cbor:"Zone"`
 	Body     int             `cbor:"Body"` // index in Bodies
 	List     int             `cbor:"List"` // index in Lists
+=======
+	_        struct{} `cbor:",toarray"`
+	Name     Name
+	Request  string
+	Many     bool
+	Event    api.EventTypeID
+	Tenant   api.TenantID
+	Token    string
+	Key      api.OrderingKey
+	TTL      api.Micros
+	Attempts int
+	MayRun   api.Micros
+	Zone     api.ZoneID
+	Body     int // index in Bodies
+	List     int // index in Lists
+>>>>>>> main
 }
 
 // Ask opens a run and asks what became of deliveries that were sent in earlier ones.
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// readHeartbeat reads the body of a heartbeat. Errors are result.HeartbeatUnreadable.
+// readHeartbeat reads the body of a heartbeat. Errors are errcode.HeartbeatUnreadable.
 func readHeartbeat(body []byte) (endpoints.Heartbeat, error) {
 	var beat endpoints.Heartbeat
 	if err := heartbeatSettings.Parse(body, &beat); err != nil {
