--- a/cluster/stream/streams.go
+++ b/cluster/stream/streams.go
@@ -94,7 +94,6 @@
 
 // Packed is an item in a frame.
 type Packed struct {
-<<<<<<< HEAD
 	_        struct{}        `cbor:",toarray"`
 	Name     Name            `cbor:"Name"`
 	Request  string          `cbor:"Request"`
@@ -102,29 +101,13 @@
 	Event    api.EventTypeID `cbor:"Event"`
 	Tenant   api.TenantID    `cbor:"Tenant"`
 	Token    string          `cbor:"Token"`
-	Key      api.Key         `cbor:"Key"`
+	Key      api.OrderingKey `cbor:"Key"`
 	TTL      api.Micros      `cbor:"TTL"`
 	Attempts int             `cbor:"Attempts"`
 	MayRun   api.Micros      `cbor:"MayRun"`
 	Zone     api.ZoneID      `cbor:"Zone"`
 	Body     int             `cbor:"Body"` // index in Bodies
 	List     int             `cbor:"List"` // index in Lists
-=======
-	_        struct{} `cbor:",toarray"`
-	Name     Name
-	Request  string
-	Many     bool
-	Event    api.EventTypeID
-	Tenant   api.TenantID
-	Token    string
-	Key      api.OrderingKey
-	TTL      api.Micros
-	Attempts int
-	MayRun   api.Micros
-	Zone     api.ZoneID
-	Body     int // index in Bodies
-	List     int // index in Lists
->>>>>>> main
 }
 
 // Ask opens a run and asks what became of deliveries that were sent in earlier ones.
