--- a/cluster/config/operator.go
+++ b/cluster/config/operator.go
@@ -30,26 +30,26 @@
 
 // File is what the operator says of the fleet.
 type File struct {
-	Name    string
-	Term    api.Micros
-	Apart   float64 // two clocks differ in rate by so much at the most
-	Ranges  int     // at the first start
-	Leaving int     // members that may leave at once in a planned restart
-	Members []Member
-	Sites   []Site
-	Lists   []List
+	Name          string
+	LeaseTTL      api.Micros
+	MaxClockDrift float64 // two clocks differ in rate by so much at the most
+	InitialRanges int     // at the first start
+	MaxDeparting  int     // members that may leave at once in a planned restart
+	Members       []Member
+	Sites         []Site
+	Lists         []List
 }
 
 // Member is one of the fleet's processes. Says and Log are host:port; Log is empty for those that keep no
 // copy of the log. Room is ranges at the most, 0: no bound. Relay: it serves a site and takes no clients'
 // part.
 type Member struct {
-	ID     cluster.MemberID
-	Says   string
-	Log    string
-	Zone   string
-	Weight float64
-	Room   int
+	ID          cluster.MemberID
+	Address     string
+	RaftAddress string
+	Zone        string
+	Weight      float64
+	MaxRanges   int
 }
 
 // Site is where subscribers stand behind one relay.
@@ -106,8 +106,8 @@
 	At          hcl.Range `hcl:",def_range"`
 }
 
-// Read reads the file; name is what errors call it. An error is one line with file, line and what it may be.
-func Read(text []byte, name string) (File, error) {
+// Parse reads the file; name is what errors call it. An error is one line with file, line and what it may be.
+func Parse(text []byte, name string) (File, error) {
 	parsed, bad := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if bad.HasErrors() {
 		return File{}, oneLine(bad)
@@ -144,7 +144,7 @@
 
 func (f *File) terms(r raw) error {
 	b := r.Fleet[0]
-	f.Name, f.Apart, f.Ranges, f.Leaving = b.Name, usualApart, usualRanges, 1
+	f.Name, f.MaxClockDrift, f.InitialRanges, f.MaxDeparting = b.Name, usualApart, usualRanges, 1
 	term := usualTerm
 	if b.Term != "" {
 		var err error
@@ -152,24 +152,24 @@
 			return at(b.At, "term is %q: a time from %s to %s, as in \"3s\"", b.Term, leastTerm, mostTerm)
 		}
 	}
-	f.Term = api.Micros(term.Microseconds())
+	f.LeaseTTL = api.Micros(term.Microseconds())
 	if b.Apart != nil {
-		f.Apart = *b.Apart
+		f.MaxClockDrift = *b.Apart
 	}
-	if !(f.Apart >= 0 && f.Apart <= mostApart) {
-		return at(b.At, "clocks_apart is %g: a share from 0 to %g", f.Apart, mostApart)
+	if !(f.MaxClockDrift >= 0 && f.MaxClockDrift <= mostApart) {
+		return at(b.At, "clocks_apart is %g: a share from 0 to %g", f.MaxClockDrift, mostApart)
 	}
 	if b.Ranges != nil {
-		f.Ranges = *b.Ranges
+		f.InitialRanges = *b.Ranges
 	}
-	if f.Ranges < 1 || f.Ranges > mostRanges {
-		return at(b.At, "ranges is %d: from 1 to %d", f.Ranges, mostRanges)
+	if f.InitialRanges < 1 || f.InitialRanges > mostRanges {
+		return at(b.At, "ranges is %d: from 1 to %d", f.InitialRanges, mostRanges)
 	}
 	if b.Leaving != nil {
-		f.Leaving = *b.Leaving
+		f.MaxDeparting = *b.Leaving
 	}
-	if f.Leaving < 1 {
-		return at(b.At, "leaving_at_once is %d: 1 or more", f.Leaving)
+	if f.MaxDeparting < 1 {
+		return at(b.At, "leaving_at_once is %d: 1 or more", f.MaxDeparting)
 	}
 	return nil
 }
--- a/cluster/config/operator_test.go
+++ b/cluster/config/operator_test.go
@@ -20,7 +20,7 @@
 `
 
 func TestAFileIsReadWholeAndThePlansBlocksAreLeftAlone(t *testing.T) {
-	f, err := Read([]byte(three+`site "depot" {
+	f, err := Parse([]byte(three+`site "depot" {
   relay       = "m2"
   subscribers = [5, 3, 5]
 }
@@ -28,8 +28,8 @@
 leave "m2" {}
 `), "f.hcl")
 	require.NoError(t, err)
-	assert.Equal(t, 3*api.Second, f.Term)
-	assert.Equal(t, usualApart, f.Apart)
+	assert.Equal(t, 3*api.Second, f.LeaseTTL)
+	assert.Equal(t, usualApart, f.MaxClockDrift)
 	assert.Equal(t, 1.0, f.Members[1].Weight)
 	assert.Equal(t, []api.DestinationID{3, 5}, f.Sites[0].Subscribers)
 	s, ok := f.SiteOf(5)
@@ -68,7 +68,7 @@
 		`member "m1" { says = "127.0.0.1:1" }`:  "f.hcl: 0 blocks fleet",
 	} {
 		t.Run(fmt.Sprint(len(bad)), func(t *testing.T) {
-			_, err := Read([]byte(bad), "f.hcl")
+			_, err := Parse([]byte(bad), "f.hcl")
 			require.Error(t, err)
 			assert.NotContains(t, err.Error(), "\n")
 			assert.Contains(t, err.Error(), says)
@@ -79,7 +79,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(three))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if file, err := Read(text, "f.hcl"); err == nil {
+		if file, err := Parse(text, "f.hcl"); err == nil {
 			assert.NotEmpty(t, file.Members)
 		} else {
 			assert.NotContains(t, err.Error(), "\n")
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -21,8 +21,8 @@
 	fresh    map[byte][]byte // each part as it was at first: for a snapshot that lacks it
 }
 
-// format rises when an older program could no longer read a snapshot.
-const format = 1
+// snapshotFormat rises when an older program could no longer read a snapshot.
+const snapshotFormat = 1
 
 var (
 	encoding, _ = cbor.CoreDetEncOptions().EncMode()
@@ -48,8 +48,8 @@
 	return m
 }
 
-// Encode is a command as it stands in the log.
-func Encode(c cluster.Command) []byte {
+// EncodeCommand is a command as it stands in the log.
+func EncodeCommand(c cluster.Command) []byte {
 	b, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // no field of a command can fail
@@ -78,11 +78,11 @@
 	return answer, err
 }
 
-// Version is the index of the last entry that a part took; 0: none.
-func (m *Machine) Version(part byte) uint64 { return m.versions[part] }
+// ComponentVersion is the index of the last entry that a part took; 0: none.
+func (m *Machine) ComponentVersion(part byte) uint64 { return m.versions[part] }
 
-// Part is the snapshot of one part; ErrUnreadable where it is not known.
-func (m *Machine) Part(part byte) ([]byte, error) {
+// ComponentSnapshot is the snapshot of one part; ErrUnreadable where it is not known.
+func (m *Machine) ComponentSnapshot(part byte) ([]byte, error) {
 	p := m.parts[part]
 	if p == nil {
 		return nil, fmt.Errorf("part %q is not known: %w", part, ErrUnreadable)
@@ -90,26 +90,26 @@
 	return p.Snapshot()
 }
 
-type image struct {
-	Format int         `cbor:"1,keyasint"`
-	Parts  []partImage `cbor:"2,keyasint"`
+type machineImage struct {
+	Format     int              `cbor:"1,keyasint"`
+	Components []componentImage `cbor:"2,keyasint"`
 }
 
-type partImage struct {
-	Part    byte   `cbor:"1,keyasint"`
-	Version uint64 `cbor:"2,keyasint"`
-	Bytes   []byte `cbor:"3,keyasint"`
+type componentImage struct {
+	Component byte   `cbor:"1,keyasint"`
+	Version   uint64 `cbor:"2,keyasint"`
+	Bytes     []byte `cbor:"3,keyasint"`
 }
 
 // Snapshot is the whole machine, the same bytes on each keeper.
 func (m *Machine) Snapshot() ([]byte, error) {
-	whole := image{Format: format}
+	whole := machineImage{Format: snapshotFormat}
 	for _, letter := range slices.Sorted(maps.Keys(m.parts)) {
 		b, err := m.parts[letter].Snapshot()
 		if err != nil {
 			return nil, fmt.Errorf("part %q: %w", letter, err)
 		}
-		whole.Parts = append(whole.Parts, partImage{letter, m.versions[letter], b})
+		whole.Components = append(whole.Components, componentImage{letter, m.versions[letter], b})
 	}
 	return encoding.Marshal(whole)
 }
--- a/cluster/fsm/past.go
+++ b/cluster/fsm/past.go
@@ -7,9 +7,9 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Past is what a keeper remembers of one part, so that whoever has an earlier snapshot is told what changed
+// SnapshotHistory is what a keeper remembers of one part, so that whoever has an earlier snapshot is told what changed
 // since and not the whole again.
-type Past struct {
+type SnapshotHistory struct {
 	all  []snapshot // oldest first; the last is the newest
 	held int        // bytes
 }
@@ -27,8 +27,8 @@
 	baseID     = 1
 )
 
-// Newest is the version of the newest snapshot; 0: none.
-func (p *Past) Newest() uint64 {
+// NewestVersion is the version of the newest snapshot; 0: none.
+func (p *SnapshotHistory) NewestVersion() uint64 {
 	if len(p.all) == 0 {
 		return 0
 	}
@@ -36,11 +36,11 @@
 }
 
 // Add remembers a snapshot, the newest from now on. One older than that begins anew: the log did.
-func (p *Past) Add(version uint64, raw []byte) {
+func (p *SnapshotHistory) Add(version uint64, raw []byte) {
 	switch {
-	case version < p.Newest():
-		*p = Past{}
-	case version == p.Newest():
+	case version < p.NewestVersion():
+		*p = SnapshotHistory{}
+	case version == p.NewestVersion():
 		return
 	}
 	for i := range p.all {
@@ -53,9 +53,9 @@
 	}
 }
 
-// Since is the newest snapshot for whoever has the one of a version: the change from there, or all of it with
+// DeltaSince is the newest snapshot for whoever has the one of a version: the change from there, or all of it with
 // version 0 where that one is not remembered, or a change would not be much smaller.
-func (p *Past) Since(version uint64) (from uint64, bytes []byte) {
+func (p *SnapshotHistory) DeltaSince(version uint64) (from uint64, bytes []byte) {
 	newest := p.all[len(p.all)-1].raw
 	for i := range p.all[:len(p.all)-1] {
 		s := &p.all[i]
@@ -63,7 +63,7 @@
 			continue
 		}
 		if s.change == nil {
-			s.change = change(s.raw, newest)
+			s.change = encodeDelta(s.raw, newest)
 		}
 		if len(s.change) < len(newest)/2 {
 			return version, s.change
@@ -72,9 +72,9 @@
 	return 0, newest
 }
 
-// change is packed against the snapshot before: what is as it was there is only pointed at. It has a sum of
+// encodeDelta is packed against the snapshot before: what is as it was there is only pointed at. It has a sum of
 // the whole, so that Changed can't make another one of it.
-func change(from, to []byte) []byte {
+func encodeDelta(from, to []byte) []byte {
 	window := min(max(1<<bits.Len(uint(len(from)+len(to))), zstd.MinWindowSize), zstd.MaxWindowSize)
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(baseID, from), zstd.WithWindowSize(window),
 		zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithLowerEncoderMem(true))
@@ -85,9 +85,9 @@
 	return e.EncodeAll(to, make([]byte, 0, len(to)/16))
 }
 
-// Changed is the snapshot that a change led to from an earlier one; ErrUnreadable where it was made from
+// ApplyDelta is the snapshot that a change led to from an earlier one; ErrUnreadable where it was made from
 // another, or is damaged.
-func Changed(from, change []byte) ([]byte, error) {
+func ApplyDelta(from, change []byte) ([]byte, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(baseID, from), zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderMaxMemory(mostChange), zstd.WithDecoderLowmem(true))
 	if err != nil {
--- a/cluster/fsm/past_test.go
+++ b/cluster/fsm/past_test.go
@@ -16,17 +16,17 @@
 // Whoever has any snapshot of before has the newest by what it is told, and by a change of another one never.
 func TestPastLeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, had, raw := Past{}, map[uint64][]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "first")
+		p, had, raw := SnapshotHistory{}, map[uint64][]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "first")
 		for v := range rapid.Uint64Range(1, 20).Draw(t, "versions") {
 			p.Add(2*v+1, raw)
 			had[2*v+1] = raw
 			for range 2 {
 				at := rapid.Uint64Range(0, 2*v+2).Draw(t, "asked")
-				from, bytes := p.Since(at)
+				from, bytes := p.DeltaSince(at)
 				if from != 0 {
 					require.Equal(t, at, from)
 					require.Less(t, len(bytes), len(raw))
-					changed, err := Changed(had[at], bytes)
+					changed, err := ApplyDelta(had[at], bytes)
 					require.NoError(t, err)
 					bytes = changed
 				}
@@ -46,17 +46,17 @@
 		raw[i] = byte(draw.Uint32())
 	}
 	next := append(append([]byte(nil), raw[:2000]...), raw[2003:]...)
-	c := change(raw, next)
-	got, err := Changed(raw, c)
+	c := encodeDelta(raw, next)
+	got, err := ApplyDelta(raw, c)
 	require.NoError(t, err)
 	assert.Equal(t, next, got)
 	other := append([]byte(nil), raw...)
 	other[100]++
 	for _, from := range [][]byte{other, raw[:3000], nil} {
-		_, err = Changed(from, c)
+		_, err = ApplyDelta(from, c)
 		assert.ErrorIs(t, err, ErrUnreadable)
 	}
-	_, err = Changed(raw, c[:len(c)-1])
+	_, err = ApplyDelta(raw, c[:len(c)-1])
 	assert.ErrorIs(t, err, ErrUnreadable)
 }
 
@@ -79,14 +79,14 @@
 	var c []byte
 	b.Run("made", func(b *testing.B) {
 		for b.Loop() {
-			c = change(before, after)
+			c = encodeDelta(before, after)
 		}
 		b.ReportMetric(float64(len(c)), "B")
 		b.ReportMetric(float64(len(after)), "B-whole")
 	})
 	b.Run("taken", func(b *testing.B) {
 		for b.Loop() {
-			Changed(before, c)
+			ApplyDelta(before, c)
 		}
 	})
 	b.Run("whole", func(b *testing.B) {
--- a/cluster/fsm/restore.go
+++ b/cluster/fsm/restore.go
@@ -14,19 +14,19 @@
 // another format, or with a part that is not known, is refused whole. Where a part refuses its bytes, what
 // was done before is undone.
 func (m *Machine) Restore(snapshot []byte) error {
-	var whole image
+	var whole machineImage
 	if err := decoding.Unmarshal(snapshot, &whole); err != nil {
 		return fmt.Errorf("snapshot: %w: %w", ErrUnreadable, err)
 	}
-	if whole.Format != format {
-		return fmt.Errorf("snapshot: format %d, this program reads %d: %w", whole.Format, format, ErrUnreadable)
+	if whole.Format != snapshotFormat {
+		return fmt.Errorf("snapshot: format %d, this program reads %d: %w", whole.Format, snapshotFormat, ErrUnreadable)
 	}
 	next, versions := maps.Clone(m.fresh), map[byte]uint64{}
-	for _, p := range whole.Parts {
-		if _, twice := versions[p.Part]; twice || m.parts[p.Part] == nil {
-			return fmt.Errorf("snapshot: part %q is not known or comes twice: %w", p.Part, ErrUnreadable)
+	for _, p := range whole.Components {
+		if _, twice := versions[p.Component]; twice || m.parts[p.Component] == nil {
+			return fmt.Errorf("snapshot: part %q is not known or comes twice: %w", p.Component, ErrUnreadable)
 		}
-		next[p.Part], versions[p.Part] = p.Bytes, p.Version
+		next[p.Component], versions[p.Component] = p.Bytes, p.Version
 	}
 	if err := m.restore(next); err != nil {
 		return err
@@ -57,32 +57,32 @@
 // ErrUnreadable is a command that this program can't understand; nothing was changed.
 var ErrUnreadable = lease.ErrUnreadable
 
-// refusals by code, from 1 on; a code never gets another meaning.
-var refusals = []error{cluster.ErrFenced, cluster.ErrNotFound, cluster.ErrAlreadyHeld, cluster.ErrStale, ErrUnreadable}
+// codedErrors by code, from 1 on; a code never gets another meaning.
+var codedErrors = []error{cluster.ErrFenced, cluster.ErrNotFound, cluster.ErrAlreadyHeld, cluster.ErrStale, ErrUnreadable}
 
-const unreadable = 5
+const unreadableCode = 5
 
-// Code is a refusal as members tell it to one another: 0 for none; what is none of the fleet's is told as
+// ErrorCode is a refusal as members tell it to one another: 0 for none; what is none of the fleet's is told as
 // ErrUnreadable.
-func Code(err error) uint16 {
+func ErrorCode(err error) uint16 {
 	if err == nil {
 		return 0
 	}
-	for i, r := range refusals {
+	for i, r := range codedErrors {
 		if errors.Is(err, r) {
 			return uint16(i + 1)
 		}
 	}
-	return unreadable
+	return unreadableCode
 }
 
-// Refusal is what Code told; a code of a newer program is ErrUnreadable.
-func Refusal(code uint16) error {
+// ErrorFromCode is what Code told; a code of a newer program is ErrUnreadable.
+func ErrorFromCode(code uint16) error {
 	if code == 0 {
 		return nil
 	}
-	if int(code) > len(refusals) {
-		code = unreadable
+	if int(code) > len(codedErrors) {
+		code = unreadableCode
 	}
-	return refusals[code-1]
+	return codedErrors[code-1]
 }
--- a/cluster/member/follow.go
+++ b/cluster/member/follow.go
@@ -95,7 +95,7 @@
 	raw := p.Data
 	if p.BaseVersion != 0 {
 		var err error
-		if raw, err = fsm.Changed(f.snapshot, raw); err != nil {
+		if raw, err = fsm.ApplyDelta(f.snapshot, raw); err != nil {
 			slog.Warn("change of the state does not fit, the whole is asked for", "part", p.Part, "why", err)
 			f.version = 0
 			return
--- a/cluster/member/keepers.go
+++ b/cluster/member/keepers.go
@@ -142,5 +142,5 @@
 	if err := transport.Decode(raw, &p); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", transport.ErrOutcomeUnknown, err)
 	}
-	return p.Result, p.Index, fsm.Refusal(p.ErrorCode)
+	return p.Result, p.Index, fsm.ErrorFromCode(p.ErrorCode)
 }
--- a/cluster/member/measure.go
+++ b/cluster/member/measure.go
@@ -22,7 +22,7 @@
 // pollHealth asks all members for the harm done, while there can be any. It is not the conductor's own loop:
 // that must not wait for a member that does not answer, and End does not wait for it.
 func (m *Member) pollHealth() {
-	tick := time.NewTicker(duration(m.file.Term) / pollsPerTTL)
+	tick := time.NewTicker(duration(m.file.LeaseTTL) / pollsPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -64,7 +64,7 @@
 		turns <- struct{}{}
 		all.Go(func() {
 			defer func() { <-turns }()
-			status, raw, err := m.client.Call(id, Path, body, duration(m.file.Term)/pollsPerTTL)
+			status, raw, err := m.client.Call(id, Path, body, duration(m.file.LeaseTTL)/pollsPerTTL)
 			var r rebalance.Report
 			if err == nil && status == fasthttp.StatusOK {
 				err = transport.Decode(raw, &r)
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -82,7 +82,7 @@
 	if text, err = os.ReadFile(m.configPath); err != nil {
 		return nil, f, fmt.Errorf("operator file: %w", err)
 	}
-	if f, err = config.Read(text, m.configPath); err != nil {
+	if f, err = config.Parse(text, m.configPath); err != nil {
 		return nil, f, err
 	}
 	if _, err = rebalance.ParseFile(text, m.configPath); err != nil {
@@ -105,34 +105,34 @@
 		return err
 	}
 	own, _ := m.file.Member(m.self)
-	if m.listener, err = net.Listen("tcp", own.Says); err != nil {
+	if m.listener, err = net.Listen("tcp", own.Address); err != nil {
 		return err
 	}
 	m.request = PlanRequest{Text: m.configText, Groups: m.file.Groups()}
 	m.client, m.server = transport.NewClient(m.self, memberAddresses(m.file)), transport.NewServer(MaxConnections(len(m.file.Members)), requestTimeout)
-	if own.Log != "" {
+	if own.RaftAddress != "" {
 		if err := m.openRaftNode(own); err != nil {
 			return err
 		}
 	}
-	m.ownership = &Ownership{self: m.self, leaseTTL: m.file.Term, now: m.clock, onChange: m.wake}
+	m.ownership = &Ownership{self: m.self, leaseTTL: m.file.LeaseTTL, now: m.clock, onChange: m.wake}
 	m.ownership.inactiveSince.Store(int64(m.clock()))
 	if err := m.openCustody(); err != nil { // guards against a second effect: without them nothing is taken over
 		return fmt.Errorf("names of webhooks: %w", err)
 	}
-	f := &forwarder{ownership: m.ownership, exchange: d.Exchange, client: m.client, custody: m.custody, maxClockDrift: m.file.Apart,
+	f := &forwarder{ownership: m.ownership, exchange: d.Exchange, client: m.client, custody: m.custody, maxClockDrift: m.file.MaxClockDrift,
 		clockOffsets: map[cluster.MemberID]*shardmap.ClockOffset{}, incarnations: map[cluster.MemberID]uint64{}}
 	m.handoff = &Handoff{forwarding: f, decider: d.Decider, arrivals: map[inflight.RequestID]shardmap.MoveID{},
 		stateSent: map[shardmap.MoveID]bool{}, inProgress: map[cluster.MemberID]bool{}, eventType: m.eventType,
 		wake: func() { wake(m.handoffWake) }}
 	f.handoff, m.ownership.local = m.handoff, m.handoff
 	m.health = &Reporter{self: m.self, ownership: m.ownership, decider: d.Decider, now: m.clock, stop: m.ended,
-		tally: rebalance.NewImpactMeter(randomID(), m.file.Term, m.clock())}
+		tally: rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock())}
 	d.Exchange.Away, d.Exchange.More = m.health.CountRejections(f.Forward), m.Print
 	m.memberCount.Store(int64(len(m.file.Members)))
 	m.sites = m.newSites()
-	m.sites.Begin()
-	m.sites.Hear(m.server)
+	m.sites.Install()
+	m.sites.RegisterHandlers(m.server)
 	d.Decider.Join(admission{m})
 	d.Calls.May = func(dest api.DestinationID) bool { return admission{m}.Calls(dest, false) }
 	m.server.Handle(WebhookPath, f.HandleWebhook)
@@ -143,13 +143,13 @@
 }
 
 func (m *Member) openRaftNode(own config.Member) error {
-	on, err := net.Listen("tcp", own.Log)
+	on, err := net.Listen("tcp", own.RaftAddress)
 	if err != nil {
 		return err
 	}
 	book := lease.NewTable()
 	m.raft, err = raftnode.Open(raftnode.Config{ClusterName: m.file.Name, Self: m.self, StateDir: m.dispatcher.State,
-		SessionTTL: m.file.Term, Addresses: raftAddresses(m.file), Client: m.client, Clock: m.clock, Leases: book,
+		SessionTTL: m.file.LeaseTTL, Addresses: raftAddresses(m.file), Client: m.client, Clock: m.clock, Leases: book,
 		StateMachine: fsm.New(book, map[byte]cluster.Component{cluster.ShardMapComponent: shardmap.New(book),
 			cluster.RebalanceComponent: &rebalance.Progress{}})}, on)
 	if err != nil {
@@ -180,7 +180,7 @@
 	for _, id := range m.dispatcher.Decider.Earlier() {
 		held[NameOf(id)] = true
 	}
-	m.custody, err = Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB, custodyRetentionTTLs*m.file.Term,
+	m.custody, err = Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB, custodyRetentionTTLs*m.file.LeaseTTL,
 		func(n shardmap.WebhookID) bool { return held[n] })
 	return err
 }
@@ -194,15 +194,15 @@
 func (m *Member) Serve() {
 	slog.Info("member", "fleet", m.file.Name, "name", m.self, "members", len(m.file.Members))
 	m.session = NewSession(Config{Self: m.self, Incarnation: lease.Incarnation(randomID()),
-		LeaseTTL: m.file.Term, MaxClockDrift: m.file.Apart, Clock: m.clock,
+		LeaseTTL: m.file.LeaseTTL, MaxClockDrift: m.file.MaxClockDrift, Clock: m.clock,
 		Leader:   NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
 		OnChange: func(cluster.Resource, cluster.Epoch) { m.wake() }})
 	m.ownership.session = m.session
-	if err := m.sites.Serve(m.session); err != nil { // guards against a second effect, as above
+	if err := m.sites.Start(m.session); err != nil { // guards against a second effect, as above
 		slog.Error("what goes to relays not read", "why", err)
 		os.Exit(1)
 	}
-	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewFailoverPlanner(m.file.Term)}
+	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewFailoverPlanner(m.file.LeaseTTL)}
 	go m.server.Serve(m.listener)
 	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
 	if m.raft != nil {
@@ -230,7 +230,7 @@
 		return
 	}
 	m.session.WriteMetrics(to)
-	m.sites.Print(to)
+	m.sites.WriteMetrics(to)
 	if m.raft != nil {
 		m.raft.WriteMetrics(to)
 		m.writePlanMetrics(to)
--- a/cluster/member/phases.go
+++ b/cluster/member/phases.go
@@ -15,7 +15,7 @@
 // runPeriodically looks when something changed, and now and then.
 func (m *Member) runPeriodically(poke chan struct{}, look func()) {
 	defer m.done.Done()
-	tick := time.NewTicker(duration(m.file.Term) / checksPerTTL)
+	tick := time.NewTicker(duration(m.file.LeaseTTL) / checksPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -61,9 +61,9 @@
 	defer m.mu.Unlock()
 	var able []shardmap.Candidate
 	for _, w := range m.file.Members {
-		able = append(able, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: w.ID, Weight: w.Weight}, MaxRanges: w.Room})
+		able = append(able, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: w.ID, Weight: w.Weight}, MaxRanges: w.MaxRanges})
 	}
-	if m.coordinator.Run(m.request, able, m.file.Ranges, m.clock()) {
+	if m.coordinator.Run(m.request, able, m.file.InitialRanges, m.clock()) {
 		m.request.Fresh = false
 	}
 }
@@ -82,12 +82,12 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f.Term, f.Apart, f.Name = m.file.Term, m.file.Apart, m.file.Name // hold from start to end
+	f.LeaseTTL, f.MaxClockDrift, f.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name // hold from start to end
 	m.file, m.configText = f, text
 	m.request = PlanRequest{Text: text, Groups: f.Groups(), Fresh: true, Resumes: m.coordinator.StoppedPlan()}
 	m.updatePeers(f)
 	m.memberCount.Store(int64(len(f.Members)))
-	m.sites.Renew(f)
+	m.sites.ApplyConfig(f)
 	slog.Info("operator file read again", "members", len(f.Members))
 	m.wake()
 }
@@ -103,11 +103,11 @@
 // Leave waits for one of the turns in which members leave, no longer than a term: at most so many leave at
 // once, and one that can't have a turn leaves all the same, since its process is told to end.
 func (m *Member) Leave() {
-	turns := m.file.Leaving
+	turns := m.file.MaxDeparting
 	for i := range turns {
 		m.session.Acquire(cluster.DepartureSlotResource(i))
 	}
-	until := time.Now().Add(leaveTimeoutTTLs * duration(m.file.Term))
+	until := time.Now().Add(leaveTimeoutTTLs * duration(m.file.LeaseTTL))
 	for time.Now().Before(until) {
 		for i := range turns {
 			if e, held := m.session.Holds(cluster.DepartureSlotResource(i)); held {
@@ -120,7 +120,7 @@
 				return
 			}
 		}
-		time.Sleep(duration(m.file.Term) / (checksPerTTL * checksPerTTL))
+		time.Sleep(duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
 	}
 	slog.Warn("leaves without a turn: none was free for a term")
 }
@@ -128,7 +128,7 @@
 // End gives everything up, so that nobody waits for this member's term, and hands the lead on.
 func (m *Member) End() {
 	close(m.ended)
-	m.sites.End()
+	m.sites.Close()
 	m.done.Wait()
 	m.session.Close()
 	if m.raft != nil {
@@ -136,7 +136,7 @@
 			slog.Warn("log not closed in time", "why", err)
 		}
 	}
-	m.server.Close(duration(m.file.Term) / checksPerTTL)
+	m.server.Close(duration(m.file.LeaseTTL) / checksPerTTL)
 	m.client.Close()
 	m.custody.Close()
 }
--- a/cluster/member/script_test.go
+++ b/cluster/member/script_test.go
@@ -65,7 +65,7 @@
 func (s *scripted) apply(c cluster.Command) transport.ProposeResponse {
 	s.index++
 	raw, err := s.book.Apply(s.index, c.Body)
-	return transport.ProposeResponse{Result: raw, ErrorCode: fsm.Code(err), Index: s.index}
+	return transport.ProposeResponse{Result: raw, ErrorCode: fsm.ErrorCode(err), Index: s.index}
 }
 
 func (s *scripted) session(ctx *fasthttp.RequestCtx) {
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -186,7 +186,7 @@
 		err = transport.Decode(raw, &answer)
 	}
 	if err == nil && answer.ErrorCode != 0 {
-		err = fsm.Refusal(answer.ErrorCode)
+		err = fsm.ErrorFromCode(answer.ErrorCode)
 		s.dropSession(session)
 	}
 	if err == nil && answer.TTL < s.LeaseTTL { // guards against acting for longer than the keepers wait
--- a/cluster/member/settings_test.go
+++ b/cluster/member/settings_test.go
@@ -13,12 +13,12 @@
 func TestWhatIsLostWithARelayGoesByTheSettingsReadLast(t *testing.T) {
 	m := New("")
 	m.settings.Store(&api.Settings{EventTypes: []api.EventType{{Semantics: api.Idempotent}}})
-	lost := func() stream.Course {
-		return stream.Rule(&stream.Item{MayRun: api.Never}, 1, m.eventType(0), true, 9, 2)
+	lost := func() stream.Resolution {
+		return stream.Resolve(&stream.Item{FirstAttemptAt: api.Never}, 1, m.eventType(0), true, 9, 2)
 	}
-	assert.Equal(t, stream.Goes, lost())
+	assert.Equal(t, stream.ResolveRetry, lost())
 	m.Renew(api.Settings{EventTypes: []api.EventType{{Semantics: api.AtMostOnce}}})
-	assert.Equal(t, stream.Ends, lost())
+	assert.Equal(t, stream.ResolveDeadLetter, lost())
 	m.Renew(api.Settings{})
-	assert.Equal(t, stream.Ends, lost(), "its event type has gone")
+	assert.Equal(t, stream.ResolveDeadLetter, lost(), "its event type has gone")
 }
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -12,10 +12,10 @@
 // newSites makes what joins this member's dispatcher to site streams.
 func (m *Member) newSites() *site.Sites {
 	d := m.dispatcher
-	return site.New(site.Part{Self: m.self, State: d.State, DiskMB: diskMB(d.Told), Exchange: d.Exchange,
-		Decider: d.Decider, Said: m.client, Takes: d.Life.TakesOn, Nudge: m.wake, Event: m.eventType,
-		Serves: m.isOwnerOf, Home: m.isSiteOwner, Alone: m.isSiteIsolated,
-		Buffer: func() int { return m.settings.Load().BufferSize }}, m.file)
+	return site.New(site.Options{Self: m.self, StateDir: d.State, DiskMB: diskMB(d.Told), Exchange: d.Exchange,
+		Decider: d.Decider, Messenger: m.client, IsAccepting: d.Life.TakesOn, NotifyHandoff: m.wake, EventType: m.eventType,
+		IsRangeOwner: m.isOwnerOf, IsSiteOwner: m.isSiteOwner, IsOwnerUnknown: m.isSiteIsolated,
+		BufferCapacity: func() int { return m.settings.Load().BufferSize }}, m.file)
 }
 
 // isOwnerOf is whether this member is home of a destination, by the grant that it holds.
--- a/cluster/member/told.go
+++ b/cluster/member/told.go
@@ -15,7 +15,7 @@
 func memberAddresses(f config.File) map[cluster.MemberID]string {
 	all := map[cluster.MemberID]string{}
 	for _, m := range f.Members {
-		all[m.ID] = m.Says
+		all[m.ID] = m.Address
 	}
 	return all
 }
@@ -23,8 +23,8 @@
 func raftAddresses(f config.File) map[cluster.MemberID]string {
 	all := map[cluster.MemberID]string{}
 	for _, m := range f.Members {
-		if m.Log != "" {
-			all[m.ID] = m.Log
+		if m.RaftAddress != "" {
+			all[m.ID] = m.RaftAddress
 		}
 	}
 	return all
@@ -32,7 +32,7 @@
 
 func raftNodes(f config.File) (all []cluster.MemberID) {
 	for _, m := range f.Members {
-		if m.Log != "" {
+		if m.RaftAddress != "" {
 			all = append(all, m.ID)
 		}
 	}
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -75,7 +75,7 @@
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionResponse{Session: s, TTL: k.sessionTTL, Grants: v.grants}))
 		case renewalSessionEnded:
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionResponse{Session: s, TTL: k.sessionTTL,
-				ErrorCode: fsm.Code(cluster.ErrNotFound)}))
+				ErrorCode: fsm.ErrorCode(cluster.ErrNotFound)}))
 		default:
 			k.redirectToLeader(ctx)
 		}
@@ -89,14 +89,14 @@
 	if !ok {
 		return
 	}
-	answer := transportpkg.SessionResponse{TTL: k.sessionTTL, ErrorCode: fsm.Code(did.err)}
+	answer := transportpkg.SessionResponse{TTL: k.sessionTTL, ErrorCode: fsm.ErrorCode(did.err)}
 	if did.err == nil {
 		if !did.sessionLive { // it is being ended: the next one asked for is another
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
 		opened, err := lease.DecodeResult(did.response)
-		answer.Session, answer.ErrorCode = opened.Session, fsm.Code(err)
+		answer.Session, answer.ErrorCode = opened.Session, fsm.ErrorCode(err)
 	}
 	ctx.SetBody(transportpkg.Encode(answer))
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	if did, index, ok := k.proposeCommand(ctx, c); ok {
-		ctx.SetBody(transportpkg.Encode(transportpkg.ProposeResponse{Result: did.response, ErrorCode: fsm.Code(did.err), Index: index}))
+		ctx.SetBody(transportpkg.Encode(transportpkg.ProposeResponse{Result: did.response, ErrorCode: fsm.ErrorCode(did.err), Index: index}))
 	}
 }
 
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -66,7 +66,7 @@
 	waiters      int
 	members      []cluster.MemberID // by the operator file, sorted
 	joinRequests map[cluster.MemberID]transportpkg.JoinRequest
-	history      map[byte]*fsm.Past
+	history      map[byte]*fsm.SnapshotHistory
 }
 
 // Open starts a keeper that hears the other logs on a listener, which it closes in the end. An error is one
@@ -76,7 +76,7 @@
 		deadlines: lease.NewExpiryTracker(p.SessionTTL), leaderChanges: make(chan bool, 16), renewals: make(chan renewal, 64),
 		staleLeadership: make(chan struct{}),
 		closing:         make(chan struct{}), stateChanged: make(chan struct{}), joinRequests: map[cluster.MemberID]transportpkg.JoinRequest{},
-		history: map[byte]*fsm.Past{}}
+		history: map[byte]*fsm.SnapshotHistory{}}
 	goes, logger := timing.RaftTimingFor(p.SessionTTL), newRaftLogger(toDuration(p.SessionTTL))
 	if k.storage, err = openStorage(filepath.Join(p.StateDir, "fleet"), p.Self, logger); err != nil {
 		on.Close()
--- a/cluster/raftnode/machine.go
+++ b/cluster/raftnode/machine.go
@@ -164,5 +164,5 @@
 
 // newLogEntry is a command as it goes into the log.
 func newLogEntry(c cluster.Command) raft.Log {
-	return raft.Log{Data: fsm.Encode(c), Extensions: transportpkg.Encode(entryHeader{entryFormat})}
+	return raft.Log{Data: fsm.EncodeCommand(c), Extensions: transportpkg.Encode(entryHeader{entryFormat})}
 }
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -17,17 +17,17 @@
 	defer k.mu.Unlock()
 	answer.AppliedIndex = k.raft.AppliedIndex()
 	for _, part := range slices.Sorted(maps.Keys(ask.Versions)) {
-		version, past := k.machine.Version(part), k.history[part]
+		version, past := k.machine.ComponentVersion(part), k.history[part]
 		if past == nil {
-			past = &fsm.Past{}
+			past = &fsm.SnapshotHistory{}
 			k.history[part] = past
 		}
 		// What is the newest now is remembered, too: guards against a whole for all when it changes next.
 		if version < ask.Versions[part] || version == ask.Versions[part] && !ask.AcceptDeltas || version == 0 {
 			continue
 		}
-		if past.Newest() != version {
-			raw, err := k.machine.Part(part)
+		if past.NewestVersion() != version {
+			raw, err := k.machine.ComponentSnapshot(part)
 			if err != nil {
 				return transportpkg.StateResponse{}, nil, err
 			}
@@ -38,9 +38,9 @@
 		}
 		p := transportpkg.PartState{Part: part, Version: version}
 		if ask.AcceptDeltas {
-			p.BaseVersion, p.Data = past.Since(ask.Versions[part])
+			p.BaseVersion, p.Data = past.DeltaSince(ask.Versions[part])
 		} else {
-			_, p.Data = past.Since(0)
+			_, p.Data = past.DeltaSince(0)
 		}
 		answer.Parts = append(answer.Parts, p)
 	}
--- a/cluster/relay/relay.go
+++ b/cluster/relay/relay.go
@@ -18,7 +18,7 @@
 const (
 	OpenPath    = "/fleet/stream/open"
 	FramePath   = "/fleet/stream"
-	AnswersPath = "/fleet/stream/answers"
+	ResultsPath = "/fleet/stream/answers"
 )
 
 // What a frame or an opening is answered with, but for 200.
@@ -28,24 +28,24 @@
 	statusUnkept   = fasthttp.StatusInsufficientStorage
 )
 
-// Ends is what a relay tells an owner; the answer is which of them the owner's journal has. Learned is of
+// ResultsMessage is what a relay tells an owner; the answer is which of them the owner's journal has. Learned is of
 // their destinations, times by the relay's clock.
-type Ends struct {
-	Answer  stream.Answer          `cbor:"1,keyasint"`
-	Ends    []stream.End           `cbor:"2,keyasint"`
+type ResultsMessage struct {
+	Ack     stream.Ack             `cbor:"1,keyasint"`
+	Results []stream.Result        `cbor:"2,keyasint"`
 	Learned []api.DestinationState `cbor:"3,keyasint,omitempty"`
 }
 
-// Opening is what a sender asks first, with what it learned of the site's destinations while it called
+// OpenMessage is what a sender asks first, with what it learned of the site's destinations while it called
 // for them itself, times by its clock.
-type Opening struct {
-	stream.Ask
+type OpenMessage struct {
+	stream.OpenRequest
 	Learned []api.DestinationState `cbor:"8,keyasint,omitempty"`
-	At      api.Micros             `cbor:"9,keyasint"`
+	SentAt  api.Micros             `cbor:"9,keyasint"`
 }
 
-// Shifted is what was learned by a clock that shows so much more.
-func Shifted(all []api.DestinationState, by api.Micros) []api.DestinationState {
+// ShiftClock is what was learned by a clock that shows so much more.
+func ShiftClock(all []api.DestinationState, by api.Micros) []api.DestinationState {
 	for i := range all {
 		l := &all[i]
 		for _, at := range []*api.Micros{&l.ObservedAt, &l.WaitUntil, &l.NextCanaryAt, &l.SlowStartSince} {
@@ -57,17 +57,17 @@
 	return all
 }
 
-// Pace is how fast it goes, by the fleet's term.
-type Pace struct {
-	Within time.Duration // a message has its answer
-	Gone   time.Duration // a relay not heard for so long is gone
-	Poll   time.Duration // between two questions for room, and two tries
+// Timing is how fast it goes, by the fleet's term.
+type Timing struct {
+	RequestTimeout     time.Duration // a message has its answer
+	UnreachableTimeout time.Duration // a relay not heard for so long is gone
+	PollInterval       time.Duration // between two questions for room, and two tries
 }
 
-// PaceOf derives it: a relay that is restarted in a third of a term is not gone.
-func PaceOf(term api.Micros) Pace {
+// TimingFor derives it: a relay that is restarted in a third of a term is not gone.
+func TimingFor(term api.Micros) Timing {
 	t := time.Duration(term) * time.Microsecond
-	return Pace{Within: t / 6, Gone: t / 3, Poll: t / 60}
+	return Timing{RequestTimeout: t / 6, UnreachableTimeout: t / 3, PollInterval: t / 60}
 }
 
 func status(err error) int {
@@ -76,17 +76,17 @@
 		return fasthttp.StatusOK
 	case errors.Is(err, cluster.ErrFenced):
 		return statusFenced
-	case errors.Is(err, stream.ErrUnopened):
+	case errors.Is(err, stream.ErrNotOpen):
 		return statusUnopened
-	case errors.Is(err, stream.ErrForm):
+	case errors.Is(err, stream.ErrMalformed):
 		return fasthttp.StatusBadRequest
 	}
 	return statusUnkept
 }
 
-// Said is how this package says things; *talk.Talk does.
-type Said interface {
+// Messenger is how this package says things; *talk.Talk does.
+type Messenger interface {
 	Call(to cluster.MemberID, path string, body []byte, within time.Duration) (int, []byte, error)
 }
 
-var _ Said = (*transport.Client)(nil)
+var _ Messenger = (*transport.Client)(nil)
--- a/cluster/relay/relay_test.go
+++ b/cluster/relay/relay_test.go
@@ -12,11 +12,11 @@
 )
 
 func (s *site) add(id uint64, to ...api.DestinationID) {
-	i := stream.Item{Name: stream.Name{Owner: "m", Life: 1, ID: id}, Request: "a", Many: true, TTL: 1 << 60,
-		MayRun: api.Never, Body: []byte("b"), To: to}
+	i := stream.Item{ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: id}, RequestID: "a", IsAnnouncement: true, TTL: 1 << 60,
+		FirstAttemptAt: api.Never, Body: []byte("b"), Destinations: to}
 	s.mu.Lock()
 	for _, d := range to {
-		s.open[stream.Delivery{Name: i.Name, To: d}] = stream.AtRelay
+		s.open[stream.Delivery{Message: i.ID, Destination: d}] = stream.LocationRelay
 	}
 	s.mu.Unlock()
 	s.stream.Add(i, 10_000)
@@ -107,7 +107,7 @@
 	}, 10*time.Second, time.Millisecond)
 	s.toward.set(true, 1)
 	s.back.set(true, 1)
-	require.Eventually(t, func() bool { return s.stream.Gone() }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.stream.IsUnreachable() }, 10*time.Second, 5*time.Millisecond)
 	s.add(2, 1, 2)
 	require.Eventually(t, func() bool {
 		s.mu.Lock()
@@ -131,7 +131,7 @@
 	s.full = true
 	s.mu.Unlock()
 	s.add(1, 1, 2)
-	time.Sleep(PaceOf(term).Poll * 4)
+	time.Sleep(TimingFor(term).PollInterval * 4)
 	s.mu.Lock()
 	s.full = false
 	s.mu.Unlock()
--- a/cluster/relay/send.go
+++ b/cluster/relay/send.go
@@ -11,7 +11,7 @@
 )
 
 // Run sends until Close.
-func (t *Stream) Run() {
+func (t *Sender) Run() {
 	defer close(t.done)
 	t.heard = time.Now()
 	for {
@@ -29,7 +29,7 @@
 }
 
 // rings is the bell, but not while a try has just failed.
-func (t *Stream) rings(wait time.Duration) <-chan struct{} {
+func (t *Sender) rings(wait time.Duration) <-chan struct{} {
 	if !t.open && wait > 0 {
 		return nil
 	}
@@ -37,10 +37,10 @@
 }
 
 // once says one message at the most, and tells how long to wait before the next.
-func (t *Stream) once() time.Duration {
-	if time.Since(t.looked) > t.pace.Poll {
+func (t *Sender) once() time.Duration {
+	if time.Since(t.looked) > t.pace.PollInterval {
 		t.looked = time.Now()
-		t.with(func() { t.books.Late(t.s.Late(t.now())) })
+		t.with(func() { t.books.DropExpired(t.s.DropExpired(t.now())) })
 	}
 	if !t.holds() {
 		return t.asks()
@@ -49,8 +49,8 @@
 		return t.opening()
 	}
 	t.mu.Lock()
-	f, ok := t.s.Next(t.now())
-	at, due := t.s.Due()
+	f, ok := t.s.NextFrame(t.now())
+	at, due := t.s.NextFrameAt()
 	t.mu.Unlock()
 	if !ok {
 		if due {
@@ -60,68 +60,68 @@
 	}
 	if err := t.notes(f); err != nil { // not sent: it goes again as it is
 		slog.Error("stream: not noted", "relay", t.relay, "why", err)
-		t.with(t.s.Cut)
-		return t.pace.Poll
+		t.with(t.s.Retransmit)
+		return t.pace.PollInterval
 	}
-	return t.says(FramePath, transport.Encode(f), func(a stream.Answer) {
-		if a.Run == f.Run && a.Upto < f.Seq { // behind a gap
-			t.s.Cut()
+	return t.says(FramePath, transport.Encode(f), func(a stream.Ack) {
+		if a.Generation == f.Generation && a.LastSequence < f.Sequence { // behind a gap
+			t.s.Retransmit()
 		}
 	})
 }
 
 // notes has a frame noted before it is sent first. Guards against one that goes again after some of it has
 // ended, which can't be noted any more and need not.
-func (t *Stream) notes(f stream.Frame) error {
-	if f.Run == t.notedIn && f.Seq <= t.noted {
+func (t *Sender) notes(f stream.Frame) error {
+	if f.Generation == t.notedIn && f.Sequence <= t.noted {
 		return nil
 	}
 	items, _, err := f.Unpack()
 	if err == nil {
 		t.mu.Lock()
-		err = t.books.Sending(items, f.Life, t.now())
+		err = t.books.RecordSending(items, f.ReceiverIncarnation, t.now())
 		t.mu.Unlock()
 	}
 	if err == nil {
-		t.notedIn, t.noted = f.Run, f.Seq
+		t.notedIn, t.noted = f.Generation, f.Sequence
 	}
 	return err
 }
 
 // asks is for one that is sender no more: the relay's word on what it sent is still wanted.
-func (t *Stream) asks() time.Duration {
+func (t *Sender) asks() time.Duration {
 	t.lose()
 	t.mu.Lock()
-	outs := t.s.Outs()
+	outs := t.s.InFlight()
 	t.mu.Unlock()
-	if outs > 0 && time.Since(t.asked) > t.pace.Gone {
+	if outs > 0 && time.Since(t.asked) > t.pace.UnreachableTimeout {
 		t.asked = time.Now()
 		t.opening()
 	}
-	return t.pace.Poll
+	return t.pace.PollInterval
 }
 
 // poll asks for news of the relay's room now and then, as a full one may have told it in vain.
-func (t *Stream) poll() time.Duration {
-	if rest := t.pace.Gone/2 - time.Since(t.heard); rest > 0 {
-		return min(rest, t.pace.Gone/2)
+func (t *Sender) poll() time.Duration {
+	if rest := t.pace.UnreachableTimeout/2 - time.Since(t.heard); rest > 0 {
+		return min(rest, t.pace.UnreachableTimeout/2)
 	}
 	t.mu.Lock()
-	ask := t.s.Opening()
+	ask := t.s.OpenRequest()
 	t.mu.Unlock()
-	return t.says(OpenPath, transport.Encode(Opening{Ask: ask, At: t.now()}), func(stream.Answer) {})
+	return t.says(OpenPath, transport.Encode(OpenMessage{OpenRequest: ask, SentAt: t.now()}), func(stream.Ack) {})
 }
 
-func (t *Stream) says(path string, body []byte, then func(stream.Answer)) time.Duration {
-	code, raw, err := t.said.Call(t.relay, path, body, t.pace.Within)
-	var a stream.Answer
+func (t *Sender) says(path string, body []byte, then func(stream.Ack)) time.Duration {
+	code, raw, err := t.said.Call(t.relay, path, body, t.pace.RequestTimeout)
+	var a stream.Ack
 	switch {
 	case err != nil || code == statusUnkept:
-		t.with(t.s.Cut)
-		if time.Since(t.heard) > t.pace.Gone {
+		t.with(t.s.Retransmit)
+		if time.Since(t.heard) > t.pace.UnreachableTimeout {
 			t.lose()
 		}
-		return t.pace.Poll
+		return t.pace.PollInterval
 	case code != fasthttp.StatusOK || transport.Decode(raw, &a) != nil:
 		slog.Warn("stream: to be opened anew", "relay", t.relay, "status", code)
 		t.lose()
@@ -130,7 +130,7 @@
 	t.heard = time.Now()
 	same := true
 	t.with(func() {
-		if same = t.s.Answered(a, t.now()); same {
+		if same = t.s.HandleAck(a, t.now()); same {
 			then(a)
 		}
 	})
@@ -141,41 +141,41 @@
 }
 
 // lose has what is unsure go by its rule, each time anew: it changes with time.
-func (t *Stream) lose() {
+func (t *Sender) lose() {
 	t.open = false
 	t.with(func() {
-		for _, d := range t.books.Unsure(t.s.Gone(), false) {
-			t.s.Ended(d)
+		for _, d := range t.books.ResolveInDoubt(t.s.MarkUnreachable(), false) {
+			t.s.Complete(d)
 		}
 	})
 }
 
-func (t *Stream) opening() time.Duration {
+func (t *Sender) opening() time.Duration {
 	t.mu.Lock()
-	ask := t.s.Opening()
+	ask := t.s.OpenRequest()
 	t.mu.Unlock()
-	raw := transport.Encode(Opening{Ask: ask, Learned: t.books.Learned(), At: t.now()})
-	code, raw, err := t.said.Call(t.relay, OpenPath, raw, t.pace.Within)
-	var a stream.Answer
+	raw := transport.Encode(OpenMessage{OpenRequest: ask, Learned: t.books.Learned(), SentAt: t.now()})
+	code, raw, err := t.said.Call(t.relay, OpenPath, raw, t.pace.RequestTimeout)
+	var a stream.Ack
 	if err != nil || code != fasthttp.StatusOK && code != statusFenced || transport.Decode(raw, &a) != nil {
-		if time.Since(t.heard) > t.pace.Gone {
+		if time.Since(t.heard) > t.pace.UnreachableTimeout {
 			t.lose()
 		}
-		return t.pace.Poll
+		return t.pace.PollInterval
 	}
 	t.heard = time.Now()
 	t.with(func() {
-		again, lost := t.s.Opened(ask, a, code == statusFenced, t.now())
-		t.books.Unsent(again)
-		for _, d := range t.books.Unsure(lost, true) {
-			t.s.Ended(d)
+		again, lost := t.s.HandleOpened(ask, a, code == statusFenced, t.now())
+		t.books.Requeue(again)
+		for _, d := range t.books.ResolveInDoubt(lost, true) {
+			t.s.Complete(d)
 		}
 	})
 	t.open = code == fasthttp.StatusOK
 	t.fenced.Store(!t.open && t.holds())
-	slog.Info("stream opened", "relay", t.relay, "run", a.Run, "fenced", !t.open, "held", len(a.Held))
+	slog.Info("stream opened", "relay", t.relay, "run", a.Generation, "fenced", !t.open, "held", len(a.Pending))
 	if t.open {
 		return 0
 	}
-	return t.pace.Gone
+	return t.pace.UnreachableTimeout
 }
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -65,16 +65,16 @@
 	t      *testing.T
 	toward *faults
 	back   *faults
-	stream *Stream
-	relay  *Relay
+	stream *Sender
+	relay  *Receiver
 	mu     sync.Mutex
-	mark   stream.Mark
+	mark   stream.Checkpoint
 	held   map[stream.Delivery]bool
-	owed   []stream.End
+	owed   []stream.Result
 	full   bool
 	slow   map[api.DestinationID]bool // its deliveries don't end
 
-	open   map[stream.Delivery]stream.Standing // the owner's
+	open   map[stream.Delivery]stream.Location // the owner's
 	once   bool                                // all are at-most-once
 	ends   map[stream.Delivery]int
 	ran    map[stream.Delivery]int
@@ -88,11 +88,11 @@
 type book struct{ *site }
 type shelf struct{ *site }
 
-func (b book) Sending([]stream.Item, uint64, api.Micros) error { return nil }
-func (b book) Unsent([]stream.Delivery)                        {}
-func (b book) Late([]stream.Delivery)                          {}
+func (b book) RecordSending([]stream.Item, uint64, api.Micros) error { return nil }
+func (b book) Requeue([]stream.Delivery)                             {}
+func (b book) DropExpired([]stream.Delivery)                         {}
 
-func (b book) Beside(never []stream.Delivery) {
+func (b book) Bypass(never []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, d := range never {
@@ -103,17 +103,17 @@
 	}
 }
 
-func (b book) Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery) {
+func (b book) ResolveInDoubt(of []stream.InDoubt, lost bool) (forget []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i, t := stream.Item{MayRun: api.Never}, api.EventType{}
+	i, t := stream.Item{FirstAttemptAt: api.Never}, api.EventType{}
 	if b.once {
 		t.Semantics = api.AtMostOnce
 	}
 	for _, u := range of {
-		if c := stream.Rule(&i, u.At, t, lost, 1<<60, clock()); c != stream.Waits {
+		if c := stream.Resolve(&i, u.SentAt, t, lost, 1<<60, clock()); c != stream.ResolveWait {
 			forget = append(forget, u.Delivery)
-			if c == stream.Goes {
+			if c == stream.ResolveRetry {
 				b.ran[u.Delivery]++
 			}
 			b.ends[u.Delivery]++
@@ -123,11 +123,11 @@
 	return forget
 }
 
-func (b book) Ended(ends []stream.End) (heard []stream.Delivery) {
+func (b book) RecordResults(ends []stream.Result) (heard []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
-		if stream.Hear(e, b.open[e.Delivery], false) != stream.Known {
+		if stream.ActionForResult(e, b.open[e.Delivery], false) != stream.IgnoreResult {
 			b.ends[e.Delivery]++
 			delete(b.open, e.Delivery)
 		}
@@ -139,21 +139,21 @@
 func (b book) Learned() []api.DestinationState {
 	return []api.DestinationState{{Destination: 1, WaitUntil: clock()}}
 }
-func (b book) Taught([]api.DestinationState) {}
+func (b book) ApplyLearned([]api.DestinationState) {}
 
 func (s shelf) Learned([]api.DestinationID) []api.DestinationState { return nil }
-func (s shelf) Taught(all []api.DestinationState)                  { s.taught.Add(int64(len(all))) }
+func (s shelf) ApplyLearned(all []api.DestinationState)            { s.taught.Add(int64(len(all))) }
 
-func (s shelf) Room() int { return 64 }
+func (s shelf) Capacity() int { return 64 }
 
-func (s shelf) Told(heard []stream.Delivery) {
+func (s shelf) ForgetResults(heard []stream.Delivery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gone := map[stream.Delivery]bool{}
 	for _, d := range heard {
 		gone[d] = true
 	}
-	var left []stream.End
+	var left []stream.Result
 	for _, e := range s.owed {
 		if !gone[e.Delivery] {
 			left = append(left, e)
@@ -162,7 +162,7 @@
 	s.owed = left
 }
 
-func (s shelf) Keep(m stream.Mark, fresh []stream.Item) error {
+func (s shelf) Persist(m stream.Checkpoint, fresh []stream.Item) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -170,8 +170,8 @@
 	}
 	s.mark = m
 	for _, i := range fresh {
-		for _, to := range i.To {
-			s.held[stream.Delivery{Name: i.Name, To: to}] = true
+		for _, to := range i.Destinations {
+			s.held[stream.Delivery{Message: i.ID, Destination: to}] = true
 		}
 	}
 	return nil
@@ -186,11 +186,11 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 		s.mu.Lock()
-		var ends []stream.End
+		var ends []stream.Result
 		for d := range s.held {
-			if !s.slow[d.To] {
+			if !s.slow[d.Destination] {
 				s.ran[d]++
-				ends = append(ends, stream.End{Delivery: d, How: stream.Delivered, Attempts: 1, MayRun: true})
+				ends = append(ends, stream.Result{Delivery: d, Outcome: stream.Delivered, Attempts: 1, MayHaveRun: true})
 				delete(s.held, d)
 			}
 		}
@@ -198,7 +198,7 @@
 		r := s.relay
 		s.mu.Unlock()
 		for _, e := range ends {
-			r.End(e)
+			r.RecordResult(e)
 		}
 	}
 }
@@ -209,10 +209,10 @@
 	for d := range s.held {
 		held = append(held, d)
 	}
-	s.relay = NewRelay(stream.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, PaceOf(term), clock)
+	s.relay = NewReceiver(stream.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, TimingFor(term), clock)
 	s.mu.Unlock()
 	s.server = transport.NewServer(50, time.Second)
-	s.relay.Hear(s.server)
+	s.relay.RegisterHandlers(s.server)
 	on, err := net.Listen("tcp", s.addr)
 	require.NoError(s.t, err)
 	s.addr = on.Addr().String()
@@ -220,8 +220,8 @@
 }
 
 func begin(t *testing.T, once bool) *site {
-	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Standing{},
-		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Mark{Life: 9},
+	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Location{},
+		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Checkpoint{Incarnation: 9},
 		slow: map[api.DestinationID]bool{}, addr: "127.0.0.1:0"}
 	owner := transport.NewServer(50, time.Second)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
@@ -231,9 +231,9 @@
 	s.start()
 	s.toward = &faults{Client: transport.NewClient("m", map[cluster.MemberID]string{"r": s.addr}),
 		r: rand.New(rand.NewPCG(3, 4)), one: 1 << 20}
-	s.stream = NewStream("r", stream.NewSender(1, 0.05), book{s}, s.toward, PaceOf(term), clock,
+	s.stream = NewSender("r", stream.NewSender(1, 0.05), book{s}, s.toward, TimingFor(term), clock,
 		func() bool { return true })
-	owner.Handle(AnswersPath, s.stream.Answers)
+	owner.Handle(ResultsPath, s.stream.HandleResults)
 	go owner.Serve(on)
 	go s.stream.Run()
 	stop := make(chan struct{})
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -63,23 +63,23 @@
 }
 
 // atOnce is a relay's shelf whose deliveries end when they come.
-type atOnce struct{ relay *relay.Relay }
+type atOnce struct{ relay *relay.Receiver }
 
-func (a *atOnce) Keep(_ stream.Mark, fresh []stream.Item) error {
+func (a *atOnce) Persist(_ stream.Checkpoint, fresh []stream.Item) error {
 	go func() {
 		for _, i := range fresh {
-			for _, to := range i.To {
-				a.relay.End(stream.End{Delivery: stream.Delivery{Name: i.Name, To: to}, How: stream.Delivered})
+			for _, to := range i.Destinations {
+				a.relay.RecordResult(stream.Result{Delivery: stream.Delivery{Message: i.ID, Destination: to}, Outcome: stream.Delivered})
 			}
 		}
 	}()
 	return nil
 }
-func (a *atOnce) Room() int              { return 2 * benchEach }
-func (a *atOnce) Told([]stream.Delivery) {}
+func (a *atOnce) Capacity() int                   { return 2 * benchEach }
+func (a *atOnce) ForgetResults([]stream.Delivery) {}
 
 func (a *atOnce) Learned([]api.DestinationID) []api.DestinationState { return nil }
-func (a *atOnce) Taught([]api.DestinationState)                      {}
+func (a *atOnce) ApplyLearned([]api.DestinationState)                {}
 
 func listen(c *counts) net.Listener {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,11 +104,11 @@
 	for n := range benchSites {
 		said := transport.NewClient(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(other)})
 		shelf := &atOnce{}
-		shelf.relay = relay.NewRelay(stream.NewReceiver(stream.Mark{Life: 9}, nil, nil), shelf, from{said, c},
-			relay.PaceOf(3*api.Second), inflight.Now)
+		shelf.relay = relay.NewReceiver(stream.NewReceiver(stream.Checkpoint{Incarnation: 9}, nil, nil), shelf, from{said, c},
+			relay.TimingFor(3*api.Second), inflight.Now)
 		on, s := listen(c), transport.NewServer(8, 5*time.Second)
-		s.Handle(relay.OpenPath, shelf.relay.Open)
-		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.relay.Frame(ctx) })
+		s.Handle(relay.OpenPath, shelf.relay.HandleOpen)
+		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.relay.HandleFrame(ctx) })
 		go s.Serve(on)
 		addrs = append(addrs, on.Addr().String())
 	}
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -36,7 +36,7 @@
 
 type open struct{ s *Sites }
 
-func (o open) Calls(d api.DestinationID, _ bool) bool { may, _ := o.s.Calls(d); return may }
+func (o open) Calls(d api.DestinationID, _ bool) bool { may, _ := o.s.MayCall(d); return may }
 func (open) Doubts(inflight.RequestID) bool           { return false }
 func (o open) Part(api.DestinationID) float64         { return 1 }
 
@@ -64,7 +64,7 @@
 	n, err := out.Read(line)
 	require.NoError(b, err)
 	addrs := strings.Fields(string(line[:n]))
-	f := config.File{Term: 3 * api.Second, Apart: 0.05}
+	f := config.File{LeaseTTL: 3 * api.Second, MaxClockDrift: 0.05}
 	says, all := map[cluster.MemberID]string{}, []api.DestinationID{}
 	for s := range benchSites {
 		site := config.Site{ID: cluster.SiteID(fmt.Sprint(s)), Relay: cluster.MemberID(fmt.Sprint("r", s))}
@@ -85,20 +85,20 @@
 	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
 		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, DestinationKinds: []api.DestinationKind{{BatchSize: 1}}})
 	said := transport.NewClient("m", says)
-	sites := New(Part{Self: "m", State: b.TempDir(), Exchange: x, Decider: d, Said: said, Nudge: func() {},
-		Event:  func(api.EventTypeID) api.EventType { return evt },
-		Serves: func(api.DestinationID) bool { return true }, Home: func(cluster.SiteID) bool { return true },
-		Alone: func(cluster.SiteID) bool { return false }, Buffer: func() int { return 2 * len(all) }}, f)
-	sites.Begin()
+	sites := New(Options{Self: "m", StateDir: b.TempDir(), Exchange: x, Decider: d, Messenger: said, NotifyHandoff: func() {},
+		EventType:    func(api.EventTypeID) api.EventType { return evt },
+		IsRangeOwner: func(api.DestinationID) bool { return true }, IsSiteOwner: func(cluster.SiteID) bool { return true },
+		IsOwnerUnknown: func(cluster.SiteID) bool { return false }, BufferCapacity: func() int { return 2 * len(all) }}, f)
+	sites.Install()
 	d.Join(open{sites})
 	server := transport.NewServer(256, 5*time.Second)
-	sites.Hear(server)
+	sites.RegisterHandlers(server)
 	go server.Serve(hear)
 	calls := upstream.New(&x.Counters, d.Came, api.Second, api.Second, 400)
 	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.Heard),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
-	require.NoError(b, sites.Serve(holder{}))
+	require.NoError(b, sites.Start(holder{}))
 	var list []api.EndpointEntry
 	var to []string
 	for _, dest := range all {
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -13,17 +13,17 @@
 
 var errMoved = errors.New("some of it is no longer here to be sent")
 
-var _ relay.Books = (*lane)(nil)
+var _ relay.SenderStore = (*lane)(nil)
 
-// Sending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
+// RecordSending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
 // made anew without it.
-func (l *lane) Sending(items []stream.Item, life uint64, at api.Micros) error {
+func (l *lane) RecordSending(items []stream.Item, life uint64, at api.Micros) error {
 	given := map[inflight.RequestID]int{}
 	var all, before []mark
 	var fresh []inflight.RequestID
 	for _, i := range items {
-		for _, to := range i.To {
-			id := inflight.RequestID(i.RequestOf(to))
+		for _, to := range i.Destinations {
+			id := inflight.RequestID(i.RequestIDFor(to))
 			given[id] = i.Attempts
 			if m, sent := l.of.marks.get(id); sent {
 				before = append(before, m)
@@ -31,7 +31,7 @@
 				fresh = append(fresh, id)
 			}
 			all = append(all, mark{Site: l.site.ID, Relay: l.site.Relay, ID: id, Life: life, At: at, Epoch: l.epoch,
-				Ran: i.MayRun != api.Never})
+				Ran: i.FirstAttemptAt != api.Never})
 		}
 	}
 	if err := l.of.marks.put(all); err != nil { // first: a mark too many is settled by the relay's word
@@ -52,10 +52,10 @@
 }
 
 // Unsent: they wait here again.
-func (l *lane) Unsent(again []stream.Delivery) {
+func (l *lane) Requeue(again []stream.Delivery) {
 	if len(again) > 0 {
 		l.frees(again, true)
-		l.of.Unsent.Add(int64(len(again)))
+		l.of.Requeued.Add(int64(len(again)))
 	}
 }
 
@@ -92,36 +92,36 @@
 }
 
 // Beside: they are parked here, and called for as soon as the site's subscribers are.
-func (l *lane) Beside(never []stream.Delivery) {
+func (l *lane) Bypass(never []stream.Delivery) {
 	l.forget(never)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.aside = append(l.aside, never...)
-	l.of.Beside.Add(int64(len(never)))
+	l.of.Bypassed.Add(int64(len(never)))
 }
 
 // Late: the decider ends them itself.
-func (l *lane) Late(late []stream.Delivery) { l.forget(late) }
+func (l *lane) DropExpired(late []stream.Delivery) { l.forget(late) }
 
-// Unsure settles what may be at a relay that is gone.
-func (l *lane) Unsure(of []stream.Sent, lost bool) (forget []stream.Delivery) {
-	rule := func(s stream.Sent) stream.Course {
+// ResolveInDoubt settles what may be at a relay that is gone.
+func (l *lane) ResolveInDoubt(of []stream.InDoubt, lost bool) (forget []stream.Delivery) {
+	rule := func(s stream.InDoubt) stream.Resolution {
 		g := l.get(s.Delivery)
 		if g == nil {
-			return stream.Ends
+			return stream.ResolveDeadLetter
 		}
-		return stream.Rule(g.item, s.At, l.of.event(g.item.Event), lost, g.item.TTL, inflight.Now())
+		return stream.Resolve(g.item, s.SentAt, l.of.event(g.item.EventType), lost, g.item.TTL, inflight.Now())
 	}
-	courses := make([]stream.Course, len(of))
+	courses := make([]stream.Resolution, len(of))
 	if lost {
-		courses = stream.Courses(of, rule)
+		courses = stream.ResolveLost(of, rule)
 		l.anew.Store(l.anew.Load() || len(of) > 0) // guards order by key: all that waits is queued anew
 	} else {
 		for i, s := range of {
 			courses[i] = rule(s)
 			// Guards against a call here beside the relay's own, which may just have begun: it has a while.
-			if courses[i] == stream.Goes && inflight.Now() < s.At+api.Micros(l.of.pace.Gone.Microseconds()) {
-				courses[i] = stream.Waits
+			if courses[i] == stream.ResolveRetry && inflight.Now() < s.SentAt+api.Micros(l.of.pace.UnreachableTimeout.Microseconds()) {
+				courses[i] = stream.ResolveWait
 			}
 		}
 	}
@@ -129,10 +129,10 @@
 	var ends []inflight.End
 	for i, s := range of {
 		switch g := l.get(s.Delivery); {
-		case courses[i] == stream.Waits:
+		case courses[i] == stream.ResolveWait:
 			continue
 		case g == nil:
-		case courses[i] == stream.Goes:
+		case courses[i] == stream.ResolveRetry:
 			goes = append(goes, s.Delivery)
 		default:
 			ends = append(ends, inflight.End{RequestID: g.id, How: inflight.EndDeadLettered, MayRun: true})
@@ -149,7 +149,7 @@
 		l.forget(forget)
 		slog.Warn("relay gone: what it may have had", "site", l.site.ID, "goes", len(goes), "dead_lettered",
 			len(ends), "waits", len(of)-len(forget), "folder_lost", lost)
-		l.of.Unsure.Add(int64(len(forget)))
+		l.of.InDoubt.Add(int64(len(forget)))
 	}
 	return forget
 }
@@ -171,9 +171,9 @@
 	}
 }
 
-// Ended takes the relay's word. One that the stream does not know of may be of an earlier life of this
+// RecordResults takes the relay's word. One that the stream does not know of may be of an earlier life of this
 // process.
-func (l *lane) Ended(ends []stream.End) (heard []stream.Delivery) {
+func (l *lane) RecordResults(ends []stream.Result) (heard []stream.Delivery) {
 	var byName map[stream.Delivery]inflight.RequestID
 	var all []inflight.End
 	for _, e := range ends {
@@ -190,7 +190,7 @@
 		if id == "" {
 			continue // it has ended
 		}
-		end := inflight.End{RequestID: id, How: inflight.How(e.How), RetryIn: e.RetryIn}
+		end := inflight.End{RequestID: id, How: inflight.How(e.Outcome), RetryIn: e.RetryAfter}
 		if m, sent := l.of.marks.get(id); sent && m.Ran && end.How == inflight.EndRejected {
 			end.How = inflight.EndDeadLettered // it never ran there, but may have run before
 		}
@@ -202,12 +202,12 @@
 	l.drop(all)
 	l.ends(all)
 	l.forget(heard)
-	l.of.Ends.Add(int64(len(all)))
+	l.of.Results.Add(int64(len(all)))
 	return heard
 }
 
 // names finds deliveries among all that is held here.
-func (l *lane) names(ends []stream.End) map[stream.Delivery]inflight.RequestID {
+func (l *lane) names(ends []stream.Result) map[stream.Delivery]inflight.RequestID {
 	want := map[stream.Delivery]bool{}
 	for _, e := range ends {
 		want[e.Delivery] = true
@@ -217,8 +217,8 @@
 		of, _, _ := id.Subscriber()
 		name := l.nameOf(string(of))
 		for d := range want {
-			i := stream.Item{Request: string(of), Many: id != of}
-			if d.Name == name && inflight.RequestID(i.RequestOf(d.To)) == id {
+			i := stream.Item{RequestID: string(of), IsAnnouncement: id != of}
+			if d.Message == name && inflight.RequestID(i.RequestIDFor(d.Destination)) == id {
 				all[d] = id
 			}
 		}
@@ -236,8 +236,8 @@
 	return all
 }
 
-// Taught is for the time when the relay is gone.
-func (l *lane) Taught(all []api.DestinationState) {
+// ApplyLearned is for the time when the relay is gone.
+func (l *lane) ApplyLearned(all []api.DestinationState) {
 	if !l.direct.Load() { // else what is known here is newer
 		l.of.decider.Teach(all)
 	}
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -24,20 +24,20 @@
 // that brought it until its owner has heard its end, so around all that the decider's own journal has of
 // it: what is here and not there has yet to be handed in.
 type record struct {
-	Mark     *stream.Mark       `cbor:"1,keyasint,omitempty"`
+	Mark     *stream.Checkpoint `cbor:"1,keyasint,omitempty"`
 	Delivery stream.Delivery    `cbor:"2,keyasint"`
 	Request  inflight.RequestID `cbor:"3,keyasint,omitempty"`
 	Whole    []byte             `cbor:"4,keyasint,omitempty"` // as exchange.Webhook.Bytes
 	Attempts int                `cbor:"5,keyasint,omitempty"`
 	MayRun   api.Micros         `cbor:"6,keyasint,omitempty"`
 	Zone     api.ZoneID         `cbor:"7,keyasint,omitempty"`
-	End      *stream.End        `cbor:"8,keyasint,omitempty"`
+	End      *stream.Result     `cbor:"8,keyasint,omitempty"`
 }
 
 // desk is a relay's journal and its dispatcher: it hands in what came and writes down how it ended.
 type desk struct {
 	dispatcher
-	relay *relay.Relay
+	relay *relay.Receiver
 
 	mu     sync.Mutex
 	kept   *wal.Journal
@@ -62,10 +62,10 @@
 
 var errLeaves = errors.New("this member takes nothing on any more")
 
-var _ relay.Shelf = (*desk)(nil)
+var _ relay.ReceiverStore = (*desk)(nil)
 
 // openDesk reads what an earlier life left and goes on by it.
-func openDesk(dir string, diskMB float64, of dispatcher, said relay.Said, p relay.Pace) (*desk, error) {
+func openDesk(dir string, diskMB float64, of dispatcher, said relay.Messenger, p relay.Timing) (*desk, error) {
 	kept, err := openJournal(dir, diskMB)
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	k := &desk{dispatcher: of, kept: kept, of: map[stream.Delivery]api.WebhookID{},
 		ids: map[inflight.RequestID]*record{}, tos: map[api.DestinationID]int{},
 		bell: make(chan struct{}, 1), ended: make(chan struct{})}
-	var m stream.Mark
+	var m stream.Checkpoint
 	last, all := map[stream.Delivery]*record{}, []stream.Delivery{}
 	for _, e := range kept.Entries() {
 		var r record
@@ -96,7 +96,7 @@
 		}
 	}
 	var held []stream.Delivery
-	var owed []stream.End
+	var owed []stream.Result
 	var ids []inflight.RequestID
 	for _, d := range all {
 		r := last[d]
@@ -106,18 +106,18 @@
 		}
 		held, ids = append(held, d), append(ids, r.Request)
 		k.ids[r.Request] = r
-		k.tos[d.To]++
+		k.tos[d.Destination]++
 	}
-	if m.Life == 0 {
+	if m.Incarnation == 0 {
 		var draw [8]byte
 		crand.Read(draw[:])
-		m.Life = max(1, binary.LittleEndian.Uint64(draw[:]))
+		m.Incarnation = max(1, binary.LittleEndian.Uint64(draw[:]))
 		if err := k.write([]*record{{Mark: &m}}); err != nil {
 			return nil, err
 		}
 		k.marked = k.last
 	}
-	k.relay = relay.NewRelay(stream.NewReceiver(m, held, owed), k, said, p, inflight.Now)
+	k.relay = relay.NewReceiver(stream.NewReceiver(m, held, owed), k, said, p, inflight.Now)
 	ended, there := of.decider.Relays(ids, k.ends)
 	for id, e := range ended {
 		k.ends(id, e)
@@ -164,18 +164,18 @@
 	return err
 }
 
-// Keep writes what a frame brought, with the mark.
-func (k *desk) Keep(m stream.Mark, fresh []stream.Item) error {
+// Persist writes what a frame brought, with the mark.
+func (k *desk) Persist(m stream.Checkpoint, fresh []stream.Item) error {
 	if len(fresh) > 0 && !k.takes() { // told to end: the sender keeps it
 		return errLeaves
 	}
 	all := []*record{{Mark: &m}}
 	for _, i := range fresh {
-		for _, to := range i.To {
-			w := inflight.Webhook{RequestID: inflight.RequestID(i.RequestOf(to)), Token: inflight.Token(i.Token),
-				Event: i.Event, Tenant: i.Tenant, Key: i.Key, Destination: to, TTL: i.TTL, Body: i.Body}
-			all = append(all, &record{Delivery: stream.Delivery{Name: i.Name, To: to}, Request: w.RequestID,
-				Whole: w.Bytes(), Attempts: i.Attempts, MayRun: i.MayRun, Zone: i.Zone})
+		for _, to := range i.Destinations {
+			w := inflight.Webhook{RequestID: inflight.RequestID(i.RequestIDFor(to)), Token: inflight.Token(i.Token),
+				Event: i.EventType, Tenant: i.Tenant, Key: i.Key, Destination: to, TTL: i.TTL, Body: i.Body}
+			all = append(all, &record{Delivery: stream.Delivery{Message: i.ID, Destination: to}, Request: w.RequestID,
+				Whole: w.Bytes(), Attempts: i.Attempts, MayRun: i.FirstAttemptAt, Zone: i.Zone})
 		}
 	}
 	k.mu.Lock()
@@ -189,7 +189,7 @@
 	for n, r := range all[1:] {
 		k.of[r.Delivery] = began + 2 + api.WebhookID(n)
 		k.ids[r.Request] = r
-		k.tos[r.Delivery.To]++
+		k.tos[r.Delivery.Destination]++
 		k.fresh = append(k.fresh, r)
 	}
 	k.ring()
@@ -203,11 +203,11 @@
 	return k.tos[d] > 0
 }
 
-// Room is what may be held at once.
-func (k *desk) Room() int { return k.room() }
+// Capacity is what may be held at once.
+func (k *desk) Capacity() int { return k.room() }
 
-// Told forgets ends that their owners have. One that is kept all the same would be told again.
-func (k *desk) Told(heard []stream.Delivery) {
+// ForgetResults forgets ends that their owners have. One that is kept all the same would be told again.
+func (k *desk) ForgetResults(heard []stream.Delivery) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, d := range heard {
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -41,7 +41,7 @@
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
-		transport.NewClient("r", map[cluster.MemberID]string{}), relay.PaceOf(api.Second))
+		transport.NewClient("r", map[cluster.MemberID]string{}), relay.TimingFor(api.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
 }
@@ -54,10 +54,10 @@
 	b.kept.Close()
 }
 
-func (b *bed) owed() []stream.End {
+func (b *bed) owed() []stream.Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var all []stream.End
+	var all []stream.Result
 	for _, e := range b.desk.kept.Entries() {
 		var r record
 		if transport.Decode(e.Taken, &r) == nil && r.End != nil {
@@ -67,10 +67,10 @@
 	return all
 }
 
-func brought(ttl api.Micros) (stream.Mark, []stream.Item) {
-	return stream.Mark{Life: 3, Run: stream.Run{Epoch: 1, No: 1}, Upto: 1, Taken: 2}, []stream.Item{{
-		Name: stream.Name{Owner: "m", Life: 1, ID: 1}, Request: "a", Many: true, MayRun: api.Never,
-		TTL: inflight.Now() + ttl, Body: []byte("b"), To: []api.DestinationID{4, 5}}}
+func brought(ttl api.Micros) (stream.Checkpoint, []stream.Item) {
+	return stream.Checkpoint{Incarnation: 3, Generation: stream.Generation{Epoch: 1, Number: 1}, LastSequence: 1, Received: 2}, []stream.Item{{
+		ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: 1}, RequestID: "a", IsAnnouncement: true, FirstAttemptAt: api.Never,
+		TTL: inflight.Now() + ttl, Body: []byte("b"), Destinations: []api.DestinationID{4, 5}}}
 }
 
 // Guards against a second effect: a record whose end is written outlasts that write, as it is taken out
@@ -78,10 +78,10 @@
 func TestAnEndWrittenJustBeforeAKillIsNotHandedInAgain(t *testing.T) {
 	dir, ttl := t.TempDir(), api.Second/4
 	b := relayIn(t, dir, ttl)
-	require.NoError(t, b.Keep(brought(ttl)))
+	require.NoError(t, b.Persist(brought(ttl)))
 	require.Eventually(t, func() bool { return len(b.owed()) == 2 }, 10*time.Second, time.Millisecond)
 	for _, e := range b.owed() {
-		assert.Equal(t, stream.Rejected, e.How, "it never ran, and its time is over")
+		assert.Equal(t, stream.Rejected, e.Outcome, "it never ran, and its time is over")
 	}
 	b.stop()
 	b = relayIn(t, dir, ttl)
@@ -95,7 +95,7 @@
 	b := relayIn(t, dir, ttl)
 	close(b.desk.ended) // nothing is handed in any more
 	time.Sleep(20 * time.Millisecond)
-	require.NoError(t, b.Keep(brought(ttl)))
+	require.NoError(t, b.Persist(brought(ttl)))
 	b.desk.ended = make(chan struct{})
 	b.stop()
 	b = relayIn(t, dir, ttl)
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -43,15 +43,15 @@
 // item is a webhook as it goes over.
 func (l *lane) item(w eventloop.Owed) *stream.Item {
 	of, _, many := w.RequestID.Subscriber()
-	i := &stream.Item{Name: l.nameOf(string(of)), Request: string(of), Many: many, Event: w.Event,
-		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, MayRun: w.MayRun,
-		Zone: w.Zone, Body: w.Body, To: []api.DestinationID{w.Destination}}
+	i := &stream.Item{ID: l.nameOf(string(of)), RequestID: string(of), IsAnnouncement: many, EventType: w.Event,
+		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, FirstAttemptAt: w.MayRun,
+		Zone: w.Zone, Body: w.Body, Destinations: []api.DestinationID{w.Destination}}
 	t := l.of.event(w.Event)
 	if t.Ordered {
 		i.Key = w.Key
 	}
 	if t.Semantics == api.Deduplicated {
-		i.Window = t.DedupWindow
+		i.TokenWindow = t.DedupWindow
 	}
 	return i
 }
@@ -78,13 +78,13 @@
 }
 
 // feed hands the stream what is owed and not in it yet: subscribers of one announcement together.
-func (l *lane) feed(s *relay.Stream, all []eventloop.Owed) {
+func (l *lane) feed(s *relay.Sender, all []eventloop.Owed) {
 	type turn struct {
 		to  api.DestinationID
 		key api.OrderingKey
 	}
 	type alike struct {
-		name     stream.Name
+		name     stream.MessageID
 		ttl      api.Micros
 		attempts int
 		mayRun   api.Micros
@@ -109,9 +109,9 @@
 			l.anew.Store(true)
 			return
 		}
-		k := alike{i.Name, i.TTL, i.Attempts, i.MayRun, i.Zone}
+		k := alike{i.ID, i.TTL, i.Attempts, i.FirstAttemptAt, i.Zone}
 		if first := with[k]; first != nil && first.Key == 0 {
-			first.To = append(first.To, w.Destination)
+			first.Destinations = append(first.Destinations, w.Destination)
 			i = first
 		} else {
 			with[k], items = i, append(items, i)
@@ -119,6 +119,6 @@
 		l.adds(i, w)
 	}
 	for _, i := range items {
-		s.Add(*i, l.of.event(i.Event).LatencyTarget)
+		s.Add(*i, l.of.event(i.EventType).LatencyTarget)
 	}
 }
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -84,8 +84,8 @@
 	k.mu.Lock()
 	for _, e := range all {
 		if r := k.ids[e.RequestID]; r != nil {
-			records = append(records, &record{Delivery: r.Delivery, End: &stream.End{Delivery: r.Delivery,
-				How: stream.How(e.How), RetryIn: e.RetryIn, Attempts: e.Attempts, MayRun: e.MayRun}})
+			records = append(records, &record{Delivery: r.Delivery, End: &stream.Result{Delivery: r.Delivery,
+				Outcome: stream.Outcome(e.How), RetryAfter: e.RetryIn, Attempts: e.Attempts, MayHaveRun: e.MayRun}})
 		}
 		if e.id != 0 {
 			heard = append(heard, e.id)
@@ -108,15 +108,15 @@
 	for _, e := range all {
 		if r := k.ids[e.RequestID]; r != nil {
 			delete(k.ids, e.RequestID)
-			if k.tos[r.Delivery.To]--; k.tos[r.Delivery.To] == 0 {
-				delete(k.tos, r.Delivery.To)
+			if k.tos[r.Delivery.Destination]--; k.tos[r.Delivery.Destination] == 0 {
+				delete(k.tos, r.Delivery.Destination)
 			}
 		}
 	}
 	k.mu.Unlock()
 	k.decider.Heard(heard)
 	for _, r := range records {
-		k.relay.End(*r.End)
+		k.relay.RecordResult(*r.End)
 	}
 }
 
@@ -136,9 +136,9 @@
 	return all
 }
 
-// Taught takes over what the owner knows, but of destinations that are called for here now: what is known of
+// ApplyLearned takes over what the owner knows, but of destinations that are called for here now: what is known of
 // those here is newer, and the module was not made to be told of an outage that it has webhooks for.
-func (k *desk) Taught(all []api.DestinationState) {
+func (k *desk) ApplyLearned(all []api.DestinationState) {
 	k.mu.Lock()
 	all = slices.DeleteFunc(all, func(l api.DestinationState) bool { return k.tos[l.Destination] > 0 })
 	k.mu.Unlock()
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -29,7 +29,7 @@
 
 	// Of the goroutine that looks, but for stream.
 	epoch  cluster.Epoch
-	stream atomic.Pointer[relay.Stream]
+	stream atomic.Pointer[relay.Sender]
 	anew   atomic.Bool // the stream is to be made anew from what the journals say
 
 	mu    sync.Mutex
@@ -50,14 +50,14 @@
 }
 
 // nameOf is a webhook's or an announcement's name over the whole fleet: no request id is used twice.
-func (l *lane) nameOf(request string) streampkg.Name {
-	return streampkg.Name{Owner: l.of.self, Life: xxhash.Sum64String(request),
-		ID: xxhash.Sum64String("name " + request)}
+func (l *lane) nameOf(request string) streampkg.MessageID {
+	return streampkg.MessageID{Origin: l.of.self, Incarnation: xxhash.Sum64String(request),
+		Number: xxhash.Sum64String("name " + request)}
 }
 
 func (l *lane) delivery(id inflight.RequestID, to api.DestinationID) streampkg.Delivery {
 	of, _, _ := id.Subscriber()
-	return streampkg.Delivery{Name: l.nameOf(string(of)), To: to}
+	return streampkg.Delivery{Message: l.nameOf(string(of)), Destination: to}
 }
 
 // look does what the grants, the map and the journals ask for now.
@@ -78,10 +78,10 @@
 	}
 	if now = l.stream.Load(); now != nil {
 		for _, d := range l.leavers() {
-			now.Over(d)
+			now.Complete(d)
 		}
 	}
-	gone := now != nil && now.Gone()
+	gone := now != nil && now.IsUnreachable()
 	l.opens(held && gone || !held && l.of.alone(l.site.ID))
 	if held && !gone {
 		l.feed(now, owed)
@@ -100,7 +100,7 @@
 	if l.closing.Load() { // another lane may have the task
 		return 0, false
 	}
-	if now := l.stream.Load(); now != nil && now.Fenced() {
+	if now := l.stream.Load(); now != nil && now.IsFenced() {
 		l.of.session.Release(l.task)
 		l.end()
 		slog.Info("site asked for anew: its relay has seen a later epoch", "site", l.site.ID)
@@ -146,7 +146,7 @@
 	l.anew.Store(false)
 	l.epoch = epoch
 	s := streampkg.NewSender(epoch, l.of.apart)
-	s.From(uint64(inflight.Now()))
+	s.SetGeneration(uint64(inflight.Now()))
 	l.mu.Lock()
 	l.known, l.ids = map[streampkg.Delivery]*given{}, map[inflight.RequestID]streampkg.Delivery{}
 	l.aside = nil
@@ -163,7 +163,7 @@
 		}
 		i := l.item(w)
 		l.adds(i, w)
-		s.Resume(*i, m.Life, m.At)
+		s.RestoreSent(*i, m.Life, m.At)
 		if l.of.lane(w.Destination) != l { // if it never came there, it goes the way it goes now
 			left[w.Destination] = true
 		}
@@ -177,12 +177,12 @@
 		}
 	}
 	slog.Info("site's stream begins", "site", l.site.ID, "relay", l.site.Relay, "epoch", epoch, "sent", n)
-	stream := relay.NewStream(l.site.Relay, s, l, l.of.said, l.of.pace, inflight.Now, func() bool {
+	stream := relay.NewSender(l.site.Relay, s, l, l.of.said, l.of.pace, inflight.Now, func() bool {
 		now, held := l.of.session.Holds(l.task)
 		return held && now == epoch && !l.closing.Load() && l.of.home(l.site.ID)
 	})
 	for to := range left {
-		stream.Leaves(to)
+		stream.DetachDestination(to)
 	}
 	l.stream.Store(stream)
 	go stream.Run()
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -41,15 +41,15 @@
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
-	item := func(id string) stream.Item { return stream.Item{Request: id, To: []api.DestinationID{7}} }
+	item := func(id string) stream.Item { return stream.Item{RequestID: id, Destinations: []api.DestinationID{7}} }
 	for _, id := range []inflight.RequestID{"a", "b"} {
 		now := inflight.Now()
 		what, _ := x.HandInHere(&inflight.Webhook{RequestID: id, Destination: 7, TTL: now + 9*api.Second,
 			CameAt: now})
 		require.Equal(t, inflight.Taken, what)
 	}
-	require.NoError(t, l.Sending([]stream.Item{item("a")}, 1, 100))
-	require.ErrorIs(t, l.Sending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
+	require.NoError(t, l.RecordSending([]stream.Item{item("a")}, 1, 100))
+	require.ErrorIs(t, l.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
 	m, marked := marks.get("a")
 	assert.True(t, marked)
 	assert.Equal(t, api.Micros(100), m.At)
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -31,33 +31,33 @@
 	Holds(cluster.Resource) (cluster.Epoch, bool)
 }
 
-// Part is what a Sites is made of.
-type Part struct {
-	Self     cluster.MemberID
-	State    string  // the folder that outlasts the process
-	DiskMB   float64 // for a relay's own journal
-	Exchange *inflight.Exchange
-	Decider  *eventloop.Decider
-	Said     relay.Said
-	Takes    func() bool // webhooks, from whomever
-	Nudge    func()      // something is to be handed on; does not wait
-	Event    func(api.EventTypeID) api.EventType
-	Serves   func(api.DestinationID) bool // this member, and no other, is home of a destination
-	Home     func(cluster.SiteID) bool    // this member is home of where a site's subscribers stand
-	Alone    func(cluster.SiteID) bool    // nobody may be: whoever holds a webhook calls
-	Buffer   func() int                   // webhooks held at once
+// Options is what a Sites is made of.
+type Options struct {
+	Self           cluster.MemberID
+	StateDir       string  // the folder that outlasts the process
+	DiskMB         float64 // for a relay's own journal
+	Exchange       *inflight.Exchange
+	Decider        *eventloop.Decider
+	Messenger      relay.Messenger
+	IsAccepting    func() bool // webhooks, from whomever
+	NotifyHandoff  func()      // something is to be handed on; does not wait
+	EventType      func(api.EventTypeID) api.EventType
+	IsRangeOwner   func(api.DestinationID) bool // this member, and no other, is home of a destination
+	IsSiteOwner    func(cluster.SiteID) bool    // this member is home of where a site's subscribers stand
+	IsOwnerUnknown func(cluster.SiteID) bool    // nobody may be: whoever holds a webhook calls
+	BufferCapacity func() int                   // webhooks held at once
 }
 
 // Sites are all sites as one member sees them.
 type Sites struct {
-	Sent, Unsent, Beside, Unsure, Ends, Announcements atomic.Int64 // deliveries, but for the last
+	Sent, Requeued, Bypassed, InDoubt, Results, Announcements atomic.Int64 // deliveries, but for the last
 
 	self    cluster.MemberID
-	p       Part
-	pace    relay.Pace
+	p       Options
+	pace    relay.Timing
 	apart   float64
 	decider *eventloop.Decider
-	said    relay.Said
+	said    relay.Messenger
 	session Session
 	event   func(api.EventTypeID) api.EventType
 	serves  func(api.DestinationID) bool
@@ -73,16 +73,16 @@
 }
 
 // New makes them by the operator file; nothing runs yet.
-func New(p Part, f config.File) *Sites {
-	s := &Sites{self: p.Self, p: p, pace: relay.PaceOf(f.Term), apart: f.Apart, decider: p.Decider, said: p.Said,
-		event: p.Event, serves: p.Serves, home: p.Home, alone: p.Alone, ended: make(chan struct{})}
+func New(p Options, f config.File) *Sites {
+	s := &Sites{self: p.Self, p: p, pace: relay.TimingFor(f.LeaseTTL), apart: f.MaxClockDrift, decider: p.Decider, said: p.Messenger,
+		event: p.EventType, serves: p.IsRangeOwner, home: p.IsSiteOwner, alone: p.IsOwnerUnknown, ended: make(chan struct{})}
 	s.plan.Store(s.ways(f, nil))
 	return s
 }
 
-// Hear has messages heard; before the server serves only.
-func (s *Sites) Hear(server *transport.Server) {
-	heard := func(by func(*relay.Relay, *fasthttp.RequestCtx)) func(*fasthttp.RequestCtx) {
+// RegisterHandlers has messages heard; before the server serves only.
+func (s *Sites) RegisterHandlers(server *transport.Server) {
+	heard := func(by func(*relay.Receiver, *fasthttp.RequestCtx)) func(*fasthttp.RequestCtx) {
 		return func(ctx *fasthttp.RequestCtx) {
 			if k := s.desk.Load(); k != nil {
 				by(k.relay, ctx)
@@ -91,9 +91,9 @@
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
 	}
-	server.Handle(relay.OpenPath, heard((*relay.Relay).Open))
-	server.Handle(relay.FramePath, heard((*relay.Relay).Frame))
-	server.Handle(relay.AnswersPath, s.answers)
+	server.Handle(relay.OpenPath, heard((*relay.Receiver).HandleOpen))
+	server.Handle(relay.FramePath, heard((*relay.Receiver).HandleFrame))
+	server.Handle(relay.ResultsPath, s.answers)
 }
 
 // answers hears a relay. Without a stream, what was sent by an earlier life of this process, or to a
@@ -104,31 +104,31 @@
 		if one.site.Relay == transport.Sender(ctx) {
 			l = one
 			if stream := l.stream.Load(); stream != nil {
-				stream.Answers(ctx)
+				stream.HandleResults(ctx)
 				return
 			}
 		}
 	}
-	var ends relay.Ends
+	var ends relay.ResultsMessage
 	if err := transport.Decode(ctx.PostBody(), &ends); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	ctx.SetBody(transport.Encode(l.Ended(ends.Ends)))
+	ctx.SetBody(transport.Encode(l.RecordResults(ends.Results)))
 }
 
-// Begin joins the exchange; before clients are let in.
-func (s *Sites) Begin() {
+// Install joins the exchange; before clients are let in.
+func (s *Sites) Install() {
 	s.next = s.p.Exchange.Away
 	s.p.Exchange.Away = s.away
 	s.p.Exchange.Listed = func(name string) bool { return s.plan.Load().lists[name] != nil }
 }
 
-// Serve starts what goes on by itself. Guards against a second effect: what was given to a relay before is
+// Start starts what goes on by itself. Guards against a second effect: what was given to a relay before is
 // known to be so before anything else is done with it.
-func (s *Sites) Serve(session Session) (err error) {
+func (s *Sites) Start(session Session) (err error) {
 	s.session = session
-	if s.marks, err = openMarks(filepath.Join(s.p.State, "fleet", "sent"), marksMB); err != nil {
+	if s.marks, err = openMarks(filepath.Join(s.p.StateDir, "fleet", "sent"), marksMB); err != nil {
 		return err
 	}
 	var sent []inflight.RequestID
@@ -149,20 +149,20 @@
 		!slices.ContainsFunc(now.lanes, func(l *lane) bool { return l.site.Relay == s.self }) {
 		return nil
 	}
-	room := func() int { return int(roomPart * float64(s.p.Buffer())) }
-	of := dispatcher{s.decider, s.p.Exchange, room, s.p.Takes}
-	k, err := openDesk(filepath.Join(s.p.State, "fleet", "relay"), s.p.DiskMB, of, s.said, s.pace)
+	room := func() int { return int(roomPart * float64(s.p.BufferCapacity())) }
+	of := dispatcher{s.decider, s.p.Exchange, room, s.p.IsAccepting}
+	k, err := openDesk(filepath.Join(s.p.StateDir, "fleet", "relay"), s.p.DiskMB, of, s.said, s.pace)
 	if err != nil {
 		return err
 	}
 	s.desk.Store(k)
 	s.decider.Regate()
-	slog.Info("serves as relay", "member", s.self, "room", k.Room())
+	slog.Info("serves as relay", "member", s.self, "room", k.Capacity())
 	return nil
 }
 
-// Renew goes on by another operator file.
-func (s *Sites) Renew(f config.File) {
+// ApplyConfig goes on by another operator file.
+func (s *Sites) ApplyConfig(f config.File) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.plan.Load()
@@ -181,7 +181,7 @@
 }
 
 func (s *Sites) run() {
-	tick := time.NewTicker(s.pace.Poll)
+	tick := time.NewTicker(s.pace.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -206,8 +206,8 @@
 
 func (s *Sites) lane(d api.DestinationID) *lane { return s.plan.Load().of[d] }
 
-// End leaves all as it is on disk.
-func (s *Sites) End() {
+// Close leaves all as it is on disk.
+func (s *Sites) Close() {
 	close(s.ended)
 	if k := s.desk.Load(); k != nil {
 		if err := k.close(); err != nil {
--- a/cluster/site/ways.go
+++ b/cluster/site/ways.go
@@ -75,9 +75,9 @@
 // other: both may call then.
 const apartPart = 1.0 / 2
 
-// Calls tells whether a site's subscriber may be called from here as far as its stream goes; asRelay:
+// MayCall tells whether a site's subscriber may be called from here as far as its stream goes; asRelay:
 // whatever its home is.
-func (s *Sites) Calls(d api.DestinationID) (may, asRelay bool) {
+func (s *Sites) MayCall(d api.DestinationID) (may, asRelay bool) {
 	now, k := s.plan.Load(), s.desk.Load()
 	l := now.of[d]
 	switch {
@@ -91,12 +91,12 @@
 	return true, false
 }
 
-// Part is the share of a destination's rate that this member has; home: by the map of ranges.
-func (s *Sites) Part(d api.DestinationID, home float64) float64 {
+// RateShare is the share of a destination's rate that this member has; home: by the map of ranges.
+func (s *Sites) RateShare(d api.DestinationID, home float64) float64 {
 	now, k := s.plan.Load(), s.desk.Load()
 	switch l := now.of[d]; {
 	case k != nil && (now.relays[d] || k.holds(d)):
-		if k.relay.Missed() {
+		if k.relay.MayBeBypassed() {
 			return apartPart
 		}
 		return 1
@@ -120,7 +120,7 @@
 	}
 	if what = s.decider.Announce(all); what == inflight.Taken {
 		s.Announcements.Add(1)
-		s.p.Nudge()
+		s.p.NotifyHandoff()
 		return what, 0
 	}
 	if what == inflight.Rejected {
@@ -129,14 +129,14 @@
 	return what, retryIn
 }
 
-// Print writes the counters.
-func (s *Sites) Print(to io.Writer) {
+// WriteMetrics writes the counters.
+func (s *Sites) WriteMetrics(to io.Writer) {
 	for _, row := range []struct {
 		name string
 		n    *atomic.Int64
 	}{{"announcements_total", &s.Announcements}, {"site_sent_total", &s.Sent},
-		{"site_never_taken_total", &s.Unsent},
-		{"site_beside_total", &s.Beside}, {"site_unsure_total", &s.Unsure}, {"site_ends_total", &s.Ends}} {
+		{"site_never_taken_total", &s.Requeued},
+		{"site_beside_total", &s.Bypassed}, {"site_unsure_total", &s.InDoubt}, {"site_ends_total", &s.Results}} {
 		fmt.Fprintf(to, "rowanlink_%s %d\n", row.name, row.n.Load())
 	}
 }
--- a/cluster/stream/answers.go
+++ b/cluster/stream/answers.go
@@ -2,21 +2,21 @@
 
 import "rowanlink/webhook/api"
 
-// Answered takes what the relay said of this run; older and doubled answers do no harm. False: its folder is
+// HandleAck takes what the relay said of this run; older and doubled answers do no harm. False: its folder is
 // another than the one that was opened, and so the relay counts as gone.
-func (s *Sender) Answered(a Answer, now api.Micros) bool {
-	if !s.opened || a.Run != s.run || a.Life != s.life {
-		return !s.opened || a.Run != s.run
+func (s *Sender) HandleAck(a Ack, now api.Micros) bool {
+	if !s.opened || a.Generation != s.run || a.Incarnation != s.life {
+		return !s.opened || a.Generation != s.run
 	}
 	s.look(a, now)
 	n := 0
-	for n < len(s.kept) && s.kept[n].Seq <= a.Upto {
+	for n < len(s.kept) && s.kept[n].Sequence <= a.LastSequence {
 		n++
 	}
 	s.kept, s.again = s.kept[n:], max(s.again-n, 0)
-	s.limit = max(s.limit, a.Limit)
-	if rose := a.Each > s.each; a.Each > 0 {
-		s.each = a.Each
+	s.limit = max(s.limit, a.Credit)
+	if rose := a.DestinationLimit > s.each; a.DestinationLimit > 0 {
+		s.each = a.DestinationLimit
 		if rose {
 			s.wakeAll()
 		}
@@ -30,15 +30,15 @@
 	}
 }
 
-// Cut tells that the link broke or an answer showed a gap: all that is not answered goes again, as it is.
+// Retransmit tells that the link broke or an answer showed a gap: all that is not answered goes again, as it is.
 // What was sent proves nothing: only an answer does.
-func (s *Sender) Cut() { s.again = 0 }
+func (s *Sender) Retransmit() { s.again = 0 }
 
-// Unanswered is how many frames the relay is not known to have.
-func (s *Sender) Unanswered() int { return len(s.kept) }
+// UnackedFrames is how many frames the relay is not known to have.
+func (s *Sender) UnackedFrames() int { return len(s.kept) }
 
-// Ended tells that a delivery is over, or that it goes beside the stream by the rule on what is unsure.
-func (s *Sender) Ended(d Delivery) {
+// Complete tells that a delivery is over, or that it goes beside the stream by the rule on what is unsure.
+func (s *Sender) Complete(d Delivery) {
 	was := s.out[d]
 	if was == nil {
 		return
@@ -47,29 +47,29 @@
 	if s.opened && s.window > 0 && !was.beside {
 		s.window++ // it doubles with each round, and soon the limit alone counts
 	}
-	s.wake(s.line(d.To))
+	s.wake(s.line(d.Destination))
 }
 
 func (s *Sender) forget(d Delivery, was *sent) {
 	delete(s.out, d)
 	key := was.item.Key
-	w := s.ways(d.To, key)
+	w := s.ways(d.Destination, key)
 	if was.beside {
 		w.beside--
 	} else {
 		w.out--
 		s.outs--
-		s.line(d.To).out--
+		s.line(d.Destination).out--
 	}
 	if *w == (ways{}) {
-		delete(s.keys, keyed{d.To, key})
+		delete(s.keys, keyed{d.Destination, key})
 	}
 }
 
 // hold counts a delivery once, wherever it was: guards against one that goes beside the stream twice, as its
 // owner listed it before it was told of the first time. Its key would stay beside for good.
 func (s *Sender) hold(l *line, e *entry, as *sent) {
-	d := Delivery{Name: e.item.Name, To: l.to}
+	d := Delivery{Message: e.item.ID, Destination: l.to}
 	if was := s.out[d]; was != nil {
 		s.forget(d, was)
 	}
@@ -90,8 +90,8 @@
 	return s.lead - api.Micros(s.apart*float64(now-s.seen))
 }
 
-func (s *Sender) look(a Answer, now api.Micros) {
-	if s.seen == api.Never || a.At-now > s.lag(now) {
-		s.lead, s.seen = a.At-now, now
+func (s *Sender) look(a Ack, now api.Micros) {
+	if s.seen == api.Never || a.ReceiverTime-now > s.lag(now) {
+		s.lead, s.seen = a.ReceiverTime-now, now
 	}
 }
--- a/cluster/stream/bench_test.go
+++ b/cluster/stream/bench_test.go
@@ -46,15 +46,15 @@
 
 // announcement is of a kilobyte, half of it digests, which can't be packed.
 func announcement(site int) Item {
-	i := Item{Name: Name{Owner: "m1", Life: 1, ID: 1}, Request: "announcement-1", Many: true,
-		MayRun: api.Never, TTL: api.Second}
+	i := Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: 1}, RequestID: "announcement-1", IsAnnouncement: true,
+		FirstAttemptAt: api.Never, TTL: api.Second}
 	for n := range uint32(16) {
 		sum := sha256.Sum256(binary.LittleEndian.AppendUint32(nil, n))
 		i.Body = append(i.Body, sum[:]...)
 		i.Body = append(i.Body, fmt.Sprintf(`,"article":%d,"currency":"EUR"`, n)...)
 	}
 	for n := range each {
-		i.To = append(i.To, api.DestinationID(site*each+n+1))
+		i.Destinations = append(i.Destinations, api.DestinationID(site*each+n+1))
 	}
 	return i
 }
@@ -68,14 +68,14 @@
 			t = tally{}
 			for site := range sites {
 				i := announcement(site)
-				for _, to := range i.To {
-					one := Frame{Bodies: [][]byte{i.Body}, Lists: [][]byte{packList(nil, i.To[:1])},
-						Items: []Packed{{Name: i.Name, Request: i.RequestOf(to), TTL: i.TTL, MayRun: i.MayRun}}}
+				for _, to := range i.Destinations {
+					one := Frame{Bodies: [][]byte{i.Body}, DestinationLists: [][]byte{packList(nil, i.Destinations[:1])},
+						Items: []FrameItem{{ID: i.ID, RequestID: i.RequestIDFor(to), TTL: i.TTL, FirstAttemptAt: i.FirstAttemptAt}}}
 					got := says(&t, one, true)
 					if _, _, err := got.Unpack(); err != nil {
 						b.Fatal(err)
 					}
-					says(&t, End{Delivery: Delivery{Name: i.Name, To: to}, How: Delivered, Attempts: 1}, false)
+					says(&t, Result{Delivery: Delivery{Message: i.ID, Destination: to}, Outcome: Delivered, Attempts: 1}, false)
 				}
 			}
 		}
@@ -96,28 +96,28 @@
 }
 
 func stream(b *testing.B, t *tally, i Item) {
-	s, r := NewSender(1, 0), NewReceiver(Mark{Life: 9}, nil, nil)
-	ask := says(t, s.Opening(), true)
+	s, r := NewSender(1, 0), NewReceiver(Checkpoint{Incarnation: 9}, nil, nil)
+	ask := says(t, s.OpenRequest(), true)
 	if _, err := r.Open(ask); err != nil {
 		b.Fatal(err)
 	}
-	s.Opened(ask, says(t, r.Answer(4*each, 0), false), false, 0)
+	s.HandleOpened(ask, says(t, r.Ack(4*each, 0), false), false, 0)
 	s.Add(i, api.Second, 0)
-	for f, ok := s.Next(api.Second); ok; f, ok = s.Next(api.Second) {
-		if _, err := r.Take(says(t, f, true)); err != nil {
+	for f, ok := s.NextFrame(api.Second); ok; f, ok = s.NextFrame(api.Second) {
+		if _, err := r.Receive(says(t, f, true)); err != nil {
 			b.Fatal(err)
 		}
-		s.Answered(says(t, r.Answer(4*each, 0), false), 0)
+		s.HandleAck(says(t, r.Ack(4*each, 0), false), 0)
 	}
-	for _, to := range i.To {
-		r.Ended(End{Delivery: Delivery{Name: i.Name, To: to}, How: Delivered, Attempts: 1})
+	for _, to := range i.Destinations {
+		r.RecordResult(Result{Delivery: Delivery{Message: i.ID, Destination: to}, Outcome: Delivered, Attempts: 1})
 	}
-	for ends := r.Owed("m1", 256); len(ends) > 0; ends = r.Owed("m1", 256) {
+	for ends := r.UnacknowledgedResults("m1", 256); len(ends) > 0; ends = r.UnacknowledgedResults("m1", 256) {
 		var heard []Delivery
 		for _, e := range says(t, ends, true) {
-			s.Ended(e.Delivery)
+			s.Complete(e.Delivery)
 			heard = append(heard, e.Delivery)
 		}
-		r.Told(says(t, heard, false))
+		r.AcknowledgeResults(says(t, heard, false))
 	}
 }
--- a/cluster/stream/encoded_forms_test.go
+++ b/cluster/stream/encoded_forms_test.go
@@ -14,5 +14,5 @@
 func TestEncodedForms(t *testing.T) {
 	want, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Frame{}, Ask{}, Answer{}, End{}, Mark{}, Run{}, Delivery{}, Name{}))
+	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Frame{}, OpenRequest{}, Ack{}, Result{}, Checkpoint{}, Generation{}, Delivery{}, MessageID{}))
 }
--- a/cluster/stream/form.go
+++ b/cluster/stream/form.go
@@ -43,7 +43,7 @@
 // Decode reads one whole message, nothing after it. What it says is checked where it is taken.
 func Decode(raw []byte, v any) error {
 	if err := decoded.Unmarshal(raw, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrForm, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
@@ -59,19 +59,19 @@
 }
 
 // unpackList reads what packList wrote. A list that is empty, names one twice or ends in the middle of one is
-// ErrForm.
+// ErrMalformed.
 func unpackList(b []byte) (all []api.DestinationID, err error) {
 	was := uint64(0)
 	for i := 0; len(b) > 0; i++ {
 		step, n := binary.Uvarint(b)
 		if n <= 0 || step > math.MaxUint32-was || step == 0 && i > 0 || i >= mostIn {
-			return nil, fmt.Errorf("%w: list of subscribers", ErrForm)
+			return nil, fmt.Errorf("%w: list of subscribers", ErrMalformed)
 		}
 		was, b = was+step, b[n:]
 		all = append(all, api.DestinationID(was))
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("%w: list without a subscriber", ErrForm)
+		return nil, fmt.Errorf("%w: list without a subscriber", ErrMalformed)
 	}
 	return all, nil
 }
@@ -79,22 +79,22 @@
 // Unpack lists a frame's items with their subscribers and tells how many deliveries they are. Those that have
 // the same body or list share it.
 func (f *Frame) Unpack() (items []Item, deliveries int, err error) {
-	lists := make([][]api.DestinationID, len(f.Lists))
-	for i, b := range f.Lists {
+	lists := make([][]api.DestinationID, len(f.DestinationLists))
+	for i, b := range f.DestinationLists {
 		if lists[i], err = unpackList(b); err != nil {
 			return nil, 0, err
 		}
 	}
 	for _, p := range f.Items {
 		if p.Body < 0 || p.Body >= len(f.Bodies) || p.List < 0 || p.List >= len(lists) ||
-			p.Attempts < 0 || p.Name.Owner == "" || p.MayRun < api.Never {
-			return nil, 0, fmt.Errorf("%w: item of %q", ErrForm, p.Name.Owner)
+			p.Attempts < 0 || p.ID.Origin == "" || p.FirstAttemptAt < api.Never {
+			return nil, 0, fmt.Errorf("%w: item of %q", ErrMalformed, p.ID.Origin)
 		}
 		if deliveries += len(lists[p.List]); deliveries > mostIn {
-			return nil, 0, fmt.Errorf("%w: over %d deliveries", ErrForm, mostIn)
+			return nil, 0, fmt.Errorf("%w: over %d deliveries", ErrMalformed, mostIn)
 		}
-		items = append(items, Item{p.Name, p.Request, p.Many, p.Event, p.Tenant, p.Token, p.Key, p.TTL,
-			p.Attempts, p.MayRun, p.Zone, f.Bodies[p.Body], lists[p.List], 0})
+		items = append(items, Item{p.ID, p.RequestID, p.IsAnnouncement, p.EventType, p.Tenant, p.Token, p.Key, p.TTL,
+			p.Attempts, p.FirstAttemptAt, p.Zone, f.Bodies[p.Body], lists[p.List], 0})
 	}
 	return items, deliveries, nil
 }
@@ -134,18 +134,18 @@
 }
 
 // frame writes it: items in the order in which they were added, so that each subscriber's stay in theirs.
-func (p *packing) frame(run Run, seq Seq, now api.Micros) Frame {
+func (p *packing) frame(run Generation, seq Sequence, now api.Micros) Frame {
 	slices.SortFunc(p.in, func(a, b part) int { return int(int64(a.what.order) - int64(b.what.order)) })
-	f, bodies, lists := Frame{Run: run, Seq: seq}, map[string]int{}, map[string]int{}
+	f, bodies, lists := Frame{Generation: run, Sequence: seq}, map[string]int{}, map[string]int{}
 	for _, in := range p.in {
 		slices.Sort(in.to)
 		i, ttl := in.what.item, in.what.item.TTL
-		if i.Window > 0 {
-			ttl = min(ttl, now+i.Window)
+		if i.TokenWindow > 0 {
+			ttl = min(ttl, now+i.TokenWindow)
 		}
-		f.Items = append(f.Items, Packed{Name: i.Name, Request: i.Request, Many: i.Many, Event: i.Event,
-			Tenant: i.Tenant, Token: i.Token, Key: i.Key, TTL: ttl, Attempts: i.Attempts, MayRun: i.MayRun,
-			Zone: i.Zone, Body: once(&f.Bodies, bodies, i.Body), List: once(&f.Lists, lists, packList(nil, in.to))})
+		f.Items = append(f.Items, FrameItem{ID: i.ID, RequestID: i.RequestID, IsAnnouncement: i.IsAnnouncement, EventType: i.EventType,
+			Tenant: i.Tenant, Token: i.Token, Key: i.Key, TTL: ttl, Attempts: i.Attempts, FirstAttemptAt: i.FirstAttemptAt,
+			Zone: i.Zone, Body: once(&f.Bodies, bodies, i.Body), List: once(&f.DestinationLists, lists, packList(nil, in.to))})
 	}
 	return f
 }
--- a/cluster/stream/form_test.go
+++ b/cluster/stream/form_test.go
@@ -17,13 +17,13 @@
 		for _, n := range numbers {
 			p.add(e, api.DestinationID(n))
 		}
-		f := p.frame(Run{Epoch: 1, No: 1}, 1, 0)
-		f.Items[0].Name.Owner = "m"
+		f := p.frame(Generation{Epoch: 1, Number: 1}, 1, 0)
+		f.Items[0].ID.Origin = "m"
 		items, n, err := f.Unpack()
 		assert.NoError(t, err)
 		assert.Equal(t, len(numbers), n)
-		assert.Len(t, items[0].To, n)
-		for _, d := range items[0].To {
+		assert.Len(t, items[0].Destinations, n)
+		for _, d := range items[0].Destinations {
 			assert.Contains(t, numbers, uint32(d))
 		}
 	})
@@ -32,18 +32,18 @@
 // Whatever comes over the wire is refused whole or taken whole, and means the same when it is said again.
 func FuzzFrame(f *testing.F) {
 	s := NewSender(1, 0)
-	s.Opened(s.Opening(), Answer{Life: 9, Run: Run{Epoch: 1, No: 1}, Limit: 9, Each: 9}, false, 0)
-	s.Add(Item{Name: Name{Owner: "m"}, To: []api.DestinationID{1, 300}, Body: []byte("b")}, 0, 0)
-	whole, _ := s.Next(0)
+	s.HandleOpened(s.OpenRequest(), Ack{Incarnation: 9, Generation: Generation{Epoch: 1, Number: 1}, Credit: 9, DestinationLimit: 9}, false, 0)
+	s.Add(Item{ID: MessageID{Origin: "m"}, Destinations: []api.DestinationID{1, 300}, Body: []byte("b")}, 0, 0)
+	whole, _ := s.NextFrame(0)
 	f.Add(Encode(whole))
 	for _, list := range []string{"", "\x80", "\x01\x00", "\xff\xff\xff\xff\x7f"} {
 		bad := whole
-		bad.Lists = [][]byte{[]byte(list)}
+		bad.DestinationLists = [][]byte{[]byte(list)}
 		f.Add(Encode(bad))
 	}
 	for _, at := range []int{-1, 1} {
 		bad := whole
-		bad.Items = []Packed{whole.Items[0]}
+		bad.Items = []FrameItem{whole.Items[0]}
 		bad.Items[0].Body = at
 		f.Add(Encode(bad))
 	}
@@ -52,33 +52,33 @@
 		if Decode(raw, &got) != nil {
 			return
 		}
-		r := NewReceiver(Mark{Life: got.Life, Run: got.Run, Upto: got.Seq - 1}, nil, nil)
-		before := r.Mark()
-		fresh, err := r.Take(got)
+		r := NewReceiver(Checkpoint{Incarnation: got.ReceiverIncarnation, Generation: got.Generation, LastSequence: got.Sequence - 1}, nil, nil)
+		before := r.Checkpoint()
+		fresh, err := r.Receive(got)
 		if err != nil {
-			assert.Equal(t, before, r.Mark())
+			assert.Equal(t, before, r.Checkpoint())
 			assert.Zero(t, r.held)
 			return
 		}
 		n := 0
 		for _, i := range fresh {
-			n += len(i.To)
+			n += len(i.Destinations)
 		}
 		assert.Equal(t, r.held, n)
 		var again Frame
 		assert.NoError(t, Decode(Encode(got), &again))
-		more, err := r.Take(again)
+		more, err := r.Receive(again)
 		assert.NoError(t, err)
 		assert.Empty(t, more)
 	})
 }
 
 func FuzzOthers(f *testing.F) {
-	f.Add(Encode(Ask{Run: Run{Epoch: 1, No: 1}, Sent: []Delivery{{To: 1}}}))
-	f.Add(Encode(Answer{Life: 1, Held: []Delivery{{To: 1}}}))
-	f.Add(Encode([]End{{How: Delivered}}))
+	f.Add(Encode(OpenRequest{Generation: Generation{Epoch: 1, Number: 1}, Sent: []Delivery{{Destination: 1}}}))
+	f.Add(Encode(Ack{Incarnation: 1, Pending: []Delivery{{Destination: 1}}}))
+	f.Add(Encode([]Result{{Outcome: Delivered}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, v := range []any{&Ask{}, &Answer{}, &[]End{}, &Mark{}} {
+		for _, v := range []any{&OpenRequest{}, &Ack{}, &[]Result{}, &Checkpoint{}} {
 			if Decode(raw, v) == nil {
 				assert.NotEmpty(t, Encode(v))
 			}
--- a/cluster/stream/gone.go
+++ b/cluster/stream/gone.go
@@ -6,31 +6,31 @@
 	"rowanlink/webhook/api"
 )
 
-// Resume takes what this owner's journal says was sent in an earlier life or epoch and has not ended, in the
+// RestoreSent takes what this owner's journal says was sent in an earlier life or epoch and has not ended, in the
 // order in which it was taken among what is added, before anything is opened. life: of the relay's folder.
-func (s *Sender) Resume(i Item, life uint64, sentAt api.Micros) {
+func (s *Sender) RestoreSent(i Item, life uint64, sentAt api.Micros) {
 	e := s.entry(i, 0)
-	for _, to := range i.To {
+	for _, to := range i.Destinations {
 		s.hold(s.line(to), e, &sent{e, life, sentAt, false})
 	}
 }
 
-// Besides takes what went beside the stream in an earlier life and has not ended, as Resume does.
-func (s *Sender) Besides(i Item) {
+// RestoreBypassing takes what went beside the stream in an earlier life and has not ended, as Resume does.
+func (s *Sender) RestoreBypassing(i Item) {
 	e := s.entry(i, 0)
-	for _, to := range i.To {
+	for _, to := range i.Destinations {
 		if i.Key != 0 {
 			s.hold(s.line(to), e, &sent{entry: e, beside: true})
 		}
 	}
 }
 
-// Late takes out what is queued and past its time to live, in no order that matters: it never ran.
-func (s *Sender) Late(now api.Micros) (late []Delivery) {
+// DropExpired takes out what is queued and past its time to live, in no order that matters: it never ran.
+func (s *Sender) DropExpired(now api.Micros) (late []Delivery) {
 	for _, l := range s.all {
 		l.queue = slices.DeleteFunc(l.queue, func(e *entry) bool {
 			if e.item.TTL <= now {
-				late = append(late, Delivery{Name: e.item.Name, To: l.to})
+				late = append(late, Delivery{Message: e.item.ID, Destination: l.to})
 			}
 			return e.item.TTL <= now
 		})
@@ -39,41 +39,41 @@
 	return late
 }
 
-// Gone tells that the relay can't be reached: nothing is sent until it is opened anew. unsure is what may be
+// MarkUnreachable tells that the relay can't be reached: nothing is sent until it is opened anew. unsure is what may be
 // there, for Rule; see Free for what was never sent.
-func (s *Sender) Gone() (unsure []Sent) {
+func (s *Sender) MarkUnreachable() (unsure []InDoubt) {
 	if !s.gone {
 		s.gone = true
 		s.close()
 	}
 	for _, d := range s.sentInOrder() {
-		unsure = append(unsure, Sent{d, s.out[d].at, s.out[d].item.Key})
+		unsure = append(unsure, InDoubt{d, s.out[d].at, s.out[d].item.Key})
 	}
 	return unsure
 }
 
 func (s *Sender) close() {
 	if s.opened {
-		s.run.No++
+		s.run.Number++
 	}
 	s.opened = false
 	s.kept, s.again, s.seq, s.count, s.limit, s.window = nil, 0, 0, 0, 0, 0
 }
 
-// Leaves tells that a subscriber is no longer reached by this relay. What is sent ends where it is.
-func (s *Sender) Leaves(to api.DestinationID) { s.line(to).leaves = true }
+// DetachDestination tells that a subscriber is no longer reached by this relay. What is sent ends where it is.
+func (s *Sender) DetachDestination(to api.DestinationID) { s.line(to).leaves = true }
 
-// Joins takes it back.
-func (s *Sender) Joins(to api.DestinationID) {
+// AttachDestination takes it back.
+func (s *Sender) AttachDestination(to api.DestinationID) {
 	l := s.line(to)
 	l.leaves = false
 	s.wake(l)
 }
 
-// Free takes out what may go beside the stream at once, in order, as it was never sent: all while the relay
+// TakeBypassing takes out what may go beside the stream at once, in order, as it was never sent: all while the relay
 // is gone or its subscriber leaves, and what is behind one that went so before. What is behind one that may
 // be at the relay waits: asked again after an end, Free tells more. Ended is owed for each.
-func (s *Sender) Free() (never []Delivery) {
+func (s *Sender) TakeBypassing() (never []Delivery) {
 	type freed struct {
 		Delivery
 		order uint64
@@ -88,7 +88,7 @@
 			if w.out > 0 || !s.gone && !l.leaves && w.beside == 0 {
 				return false
 			}
-			d := Delivery{Name: e.item.Name, To: l.to}
+			d := Delivery{Message: e.item.ID, Destination: l.to}
 			if e.item.Key != 0 {
 				s.hold(l, e, &sent{entry: e, beside: true})
 			}
@@ -104,9 +104,9 @@
 	return never
 }
 
-// Opening is what to ask the relay first, and again until Opened; also while open, for news of its room.
-func (s *Sender) Opening() Ask {
-	a := Ask{Run: s.run}
+// OpenRequest is what to ask the relay first, and again until Opened; also while open, for news of its room.
+func (s *Sender) OpenRequest() OpenRequest {
+	a := OpenRequest{Generation: s.run}
 	if !s.opened {
 		a.Sent = s.sentInOrder()
 	}
@@ -123,22 +123,22 @@
 		if c := int(int64(s.out[a].order) - int64(s.out[b].order)); c != 0 {
 			return c
 		}
-		return int(int64(a.To) - int64(b.To))
+		return int(int64(a.Destination) - int64(b.Destination))
 	})
 	return all
 }
 
-// Opened takes the answer to an opening. again: the relay never took them and never will, they are queued
+// HandleOpened takes the answer to an opening. again: the relay never took them and never will, they are queued
 // where they were. lost: they were sent to a folder that is no more, so that nobody can tell: for Rule, and
 // out of the sender's hands. refused: a later epoch was seen; the same is told, and all else goes to its
 // holder.
-func (s *Sender) Opened(asked Ask, a Answer, refused bool, now api.Micros) (again []Delivery,
-	lost []Sent) {
-	if s.opened || asked.Run != s.run || !refused && a.Run != s.run {
+func (s *Sender) HandleOpened(asked OpenRequest, a Ack, refused bool, now api.Micros) (again []Delivery,
+	lost []InDoubt) {
+	if s.opened || asked.Generation != s.run || !refused && a.Generation != s.run {
 		return nil, nil
 	}
-	held := make(map[Delivery]bool, len(a.Held))
-	for _, d := range a.Held {
+	held := make(map[Delivery]bool, len(a.Pending))
+	for _, d := range a.Pending {
 		held[d] = true
 	}
 	back := map[*line][]*entry{}
@@ -147,28 +147,28 @@
 		switch {
 		case was == nil || was.beside || held[d]:
 			continue
-		case was.life != a.Life:
-			lost = append(lost, Sent{d, was.at, was.item.Key})
+		case was.life != a.Incarnation:
+			lost = append(lost, InDoubt{d, was.at, was.item.Key})
 			s.forget(d, was)
 			if was.item.Key != 0 { // what is behind it follows it
-				s.hold(s.line(d.To), was.entry, &sent{entry: was.entry, beside: true})
+				s.hold(s.line(d.Destination), was.entry, &sent{entry: was.entry, beside: true})
 			}
 		default:
 			again = append(again, d)
 			s.forget(d, was)
-			back[s.line(d.To)] = append(back[s.line(d.To)], was.entry)
+			back[s.line(d.Destination)] = append(back[s.line(d.Destination)], was.entry)
 		}
 	}
 	for l, first := range back {
 		l.queue = append(first, l.queue...)
 	}
-	s.life, s.seen = a.Life, api.Never
+	s.life, s.seen = a.Incarnation, api.Never
 	s.look(a, now)
 	if refused {
 		s.gone = true
 		return again, lost
 	}
-	s.opened, s.limit, s.each = true, a.Limit, max(a.Each, 1)
+	s.opened, s.limit, s.each = true, a.Credit, max(a.DestinationLimit, 1)
 	if s.gone {
 		s.window = max(1, int(startPart*float64(s.limit)))
 	}
@@ -177,5 +177,5 @@
 	return again, lost
 }
 
-// IsGone tells whether the relay counts as gone.
-func (s *Sender) IsGone() bool { return s.gone }
+// IsUnreachable tells whether the relay counts as gone.
+func (s *Sender) IsUnreachable() bool { return s.gone }
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -44,14 +44,14 @@
 	epoch cluster.Epoch
 	s     *Sender
 	open  map[Delivery]*owned
-	ends  map[Delivery]How
+	ends  map[Delivery]Outcome
 	all   []*owned
 
 	life  uint64
 	r     *Receiver
-	mark  Mark
+	mark  Checkpoint
 	held  []*atRelay
-	owed  []End
+	owed  []Result
 	fails bool // the relay's next write
 
 	up, down []func()
@@ -60,22 +60,22 @@
 	trace map[keyed][]int // what ran, by order taken
 }
 
-func (o *owned) is() Delivery   { return Delivery{Name: o.Name, To: o.To[0]} }
-func (h *atRelay) is() Delivery { return Delivery{Name: h.Name, To: h.To[0]} }
+func (o *owned) is() Delivery   { return Delivery{Message: o.ID, Destination: o.Destinations[0]} }
+func (h *atRelay) is() Delivery { return Delivery{Message: h.ID, Destination: h.Destinations[0]} }
 
 func single(i Item, to api.DestinationID) Item {
-	i.To = []api.DestinationID{to}
+	i.Destinations = []api.DestinationID{to}
 	return i
 }
 
 func (w *world) add() {
 	id := uint64(len(w.all))
 	kind := rapid.IntRange(0, 2).Draw(w.T, "type")
-	i := Item{Name: Name{Owner: "m1", Life: 1, ID: id}, Event: api.EventTypeID(kind), TTL: w.now + ttl,
-		Key: api.OrderingKey(rapid.IntRange(0, 1).Draw(w.T, "key")), MayRun: api.Never, Body: []byte("b"),
-		Many: true, Window: types[kind].DedupWindow}
-	i.To = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
-	for _, to := range i.To {
+	i := Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: id}, EventType: api.EventTypeID(kind), TTL: w.now + ttl,
+		Key: api.OrderingKey(rapid.IntRange(0, 1).Draw(w.T, "key")), FirstAttemptAt: api.Never, Body: []byte("b"),
+		IsAnnouncement: true, TokenWindow: types[kind].DedupWindow}
+	i.Destinations = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
+	for _, to := range i.Destinations {
 		o := &owned{Item: single(i, to), no: len(w.all)}
 		w.open[o.is()] = o
 		w.all = append(w.all, o)
@@ -86,7 +86,7 @@
 
 // free gives this dispatcher's module what goes beside the stream.
 func (w *world) free() {
-	for _, d := range w.s.Free() {
+	for _, d := range w.s.TakeBypassing() {
 		if o := w.open[d]; o.life != 0 && o.Repeats() {
 			w.Fatalf("%v goes beside, was sent and may not run twice", d)
 		}
@@ -94,36 +94,36 @@
 	}
 }
 
-func (o *owned) Repeats() bool { return types[o.Event].Semantics == api.AtMostOnce }
+func (o *owned) Repeats() bool { return types[o.EventType].Semantics == api.AtMostOnce }
 
-func (w *world) end(d Delivery, how How) {
+func (w *world) end(d Delivery, how Outcome) {
 	if was, over := w.ends[d]; over {
 		w.Fatalf("%v ended as %d and again as %d", d, was, how)
 	}
 	w.ends[d] = how
 	delete(w.open, d)
-	w.s.Ended(d)
+	w.s.Complete(d)
 	w.free()
 }
 
-func (w *world) rule(of []Sent, lost bool) {
-	rule := func(u Sent) Course {
+func (w *world) rule(of []InDoubt, lost bool) {
+	rule := func(u InDoubt) Resolution {
 		o := w.open[u.Delivery]
-		return Rule(&o.Item, u.At, types[o.Event], lost, o.TTL, w.now)
+		return Resolve(&o.Item, u.SentAt, types[o.EventType], lost, o.TTL, w.now)
 	}
-	courses := Courses(of, rule)
+	courses := ResolveLost(of, rule)
 	for i, u := range of {
 		o := w.open[u.Delivery]
 		if !lost {
 			courses[i] = rule(u)
 		}
 		switch courses[i] {
-		case Goes:
-			o.beside, o.MayRun = true, u.At
+		case ResolveRetry:
+			o.beside, o.FirstAttemptAt = true, u.SentAt
 			if o.Key == 0 || !lost { // an ordered one is beside in the sender's eyes till it ends
-				w.s.Ended(u.Delivery)
+				w.s.Complete(u.Delivery)
 			}
-		case Ends:
+		case ResolveDeadLetter:
 			o.late = !lost
 			w.end(u.Delivery, DeadLettered)
 		}
@@ -131,17 +131,17 @@
 	w.free()
 }
 
-func (w *world) gone() { w.rule(w.s.Gone(), false) }
+func (w *world) gone() { w.rule(w.s.MarkUnreachable(), false) }
 
-func (w *world) answered(a Answer) {
-	if !w.s.Answered(a, w.now) {
+func (w *world) answered(a Ack) {
+	if !w.s.HandleAck(a, w.now) {
 		w.gone()
 	}
 }
 
 // send sends a frame, noted first.
 func (w *world) send() {
-	f, ok := w.s.Next(w.now)
+	f, ok := w.s.NextFrame(w.now)
 	if !ok {
 		return
 	}
@@ -150,8 +150,8 @@
 		w.Fatal(err)
 	}
 	for _, i := range items {
-		for _, to := range i.To {
-			if o := w.open[Delivery{Name: i.Name, To: to}]; o != nil && o.life == 0 {
+		for _, to := range i.Destinations {
+			if o := w.open[Delivery{Message: i.ID, Destination: to}]; o != nil && o.life == 0 {
 				o.life, o.sentAt = w.s.life, w.now
 			}
 		}
@@ -165,43 +165,43 @@
 	if err := Decode(raw, &f); err != nil {
 		w.Fatal(err)
 	}
-	fresh, err := w.r.Take(f)
+	fresh, err := w.r.Receive(f)
 	if err != nil {
 		w.down = append(w.down, func() {
-			if f.Run == w.s.run {
+			if f.Generation == w.s.run {
 				w.gone()
 			}
 		})
 		return
 	}
 	if w.fails {
-		w.r.Undo()
+		w.r.Rollback()
 		w.fails = false
 		return
 	}
-	w.mark = w.r.Mark()
+	w.mark = w.r.Checkpoint()
 	for _, i := range fresh {
-		for _, to := range i.To {
-			w.held = append(w.held, &atRelay{single(i, to), i.MayRun != api.Never})
+		for _, to := range i.Destinations {
+			w.held = append(w.held, &atRelay{single(i, to), i.FirstAttemptAt != api.Never})
 		}
 	}
 	if len(w.held) > room {
 		w.Fatalf("%d held, room for %d", len(w.held), room)
 	}
-	a := w.r.Answer(room, w.now+skew)
+	a := w.r.Ack(room, w.now+skew)
 	w.down = append(w.down, func() { w.answered(a) })
 }
 
 func (w *world) ask() {
-	ask := w.s.Opening()
+	ask := w.s.OpenRequest()
 	w.up = append(w.up, func() {
 		held, err := w.r.Open(ask)
-		w.mark = w.r.Mark()
-		a := w.r.Answer(room, w.now+skew)
-		a.Held = held
+		w.mark = w.r.Checkpoint()
+		a := w.r.Ack(room, w.now+skew)
+		a.Pending = held
 		w.down = append(w.down, func() {
 			w.answered(a)
-			again, lost := w.s.Opened(ask, a, err != nil, w.now)
+			again, lost := w.s.HandleOpened(ask, a, err != nil, w.now)
 			for _, d := range again {
 				w.open[d].life = 0
 			}
@@ -212,26 +212,26 @@
 
 // tell tells the owner of ends; it says which it has in its journal.
 func (w *world) tell() {
-	ends, a, r := w.r.Owed("m1", rapid.IntRange(1, 4).Draw(w.T, "ends")), w.r.Answer(room, w.now+skew), w.r
+	ends, a, r := w.r.UnacknowledgedResults("m1", rapid.IntRange(1, 4).Draw(w.T, "ends")), w.r.Ack(room, w.now+skew), w.r
 	w.down = append(w.down, func() {
 		w.answered(a)
 		var heard []Delivery
 		for _, e := range ends {
-			at, o := Standing(0), w.open[e.Delivery]
+			at, o := Location(0), w.open[e.Delivery]
 			if o != nil && o.beside {
-				at = Beside
+				at = LocationLocal
 			} else if o != nil {
-				at = AtRelay
+				at = LocationRelay
 			}
-			if Hear(e, at, o != nil && o.Key != 0) != Known {
-				w.end(e.Delivery, e.How)
+			if ActionForResult(e, at, o != nil && o.Key != 0) != IgnoreResult {
+				w.end(e.Delivery, e.Outcome)
 			}
 			heard = append(heard, e.Delivery)
 		}
 		w.up = append(w.up, func() {
-			if w.r == r || w.r.mark.Life == r.mark.Life {
-				w.r.Told(heard)
-				w.owed = slices.DeleteFunc(w.owed, func(e End) bool { return slices.Contains(heard, e.Delivery) })
+			if w.r == r || w.r.mark.Incarnation == r.mark.Incarnation {
+				w.r.AcknowledgeResults(heard)
+				w.owed = slices.DeleteFunc(w.owed, func(e Result) bool { return slices.Contains(heard, e.Delivery) })
 			}
 		})
 	})
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -17,7 +17,7 @@
 // Sender is a site's. All its deliveries are in one of three places: queued, out (sent, or maybe sent in an
 // earlier life, and not ended) or beside the stream, by which those that must stay behind them go as well.
 type Sender struct {
-	run    Run
+	run    Generation
 	life   uint64 // of the relay's folder as last heard; 0: never
 	opened bool
 	gone   bool
@@ -35,7 +35,7 @@
 
 	kept   []keptFrame // sent and not answered
 	again  int         // of kept, the next to be sent
-	seq    Seq
+	seq    Sequence
 	count  uint64 // deliveries sent in this run
 	limit  uint64
 	each   int
@@ -52,7 +52,7 @@
 	due   api.Micros
 }
 
-func (e *entry) size() int { return len(e.item.Body) + len(e.item.Request) + len(e.item.Token) + 64 }
+func (e *entry) size() int { return len(e.item.Body) + len(e.item.RequestID) + len(e.item.Token) + 64 }
 
 // line is one subscriber's.
 type line struct {
@@ -82,16 +82,16 @@
 	count uint64 // of the run, this frame's too
 }
 
-// Sent is a delivery that may be at the relay, for the rule on it.
-type Sent struct {
+// InDoubt is a delivery that may be at the relay, for the rule on it.
+type InDoubt struct {
 	Delivery
-	At  api.Micros // just before it was first sent
-	Key api.OrderingKey
+	SentAt api.Micros // just before it was first sent
+	Key    api.OrderingKey
 }
 
 // NewSender begins with the epoch of the grant. apart: two clocks differ in rate by so much at the most.
 func NewSender(epoch cluster.Epoch, apart float64) *Sender {
-	return &Sender{run: Run{Epoch: epoch, No: 1}, lines: map[api.DestinationID]*line{}, dueAt: api.Never,
+	return &Sender{run: Generation{Epoch: epoch, Number: 1}, lines: map[api.DestinationID]*line{}, dueAt: api.Never,
 		out: map[Delivery]*sent{}, keys: map[keyed]*ways{}, apart: apart, seen: api.Never}
 }
 
@@ -120,7 +120,7 @@
 // Add queues an item; target: its event type's target latency. The caller changes nothing of it afterwards.
 func (s *Sender) Add(i Item, target, now api.Micros) {
 	e := s.entry(i, now+api.Micros(gatherPart*float64(target)))
-	for _, to := range i.To {
+	for _, to := range i.Destinations {
 		l := s.line(to)
 		l.queue = append(l.queue, e)
 		s.wake(l)
@@ -170,8 +170,8 @@
 	return max(n, 0)
 }
 
-// Due tells when Next has a frame, if nothing happens before.
-func (s *Sender) Due() (at api.Micros, ok bool) {
+// NextFrameAt tells when Next has a frame, if nothing happens before.
+func (s *Sender) NextFrameAt() (at api.Micros, ok bool) {
 	switch {
 	case !s.opened:
 		return 0, false
@@ -181,16 +181,16 @@
 	return s.dueAt, len(s.ready) > 0 && s.room() > 0
 }
 
-// Next is the next frame to send. What is in it counts as sent from now on: the caller notes it before the
+// NextFrame is the next frame to send. What is in it counts as sent from now on: the caller notes it before the
 // first byte leaves. A sick subscriber holds none of the others, and its own stay behind one another.
-func (s *Sender) Next(now api.Micros) (f Frame, ok bool) {
-	if at, due := s.Due(); !due || now < at {
+func (s *Sender) NextFrame(now api.Micros) (f Frame, ok bool) {
+	if at, due := s.NextFrameAt(); !due || now < at {
 		return Frame{}, false
 	}
 	if s.again < len(s.kept) {
 		f = s.kept[s.again].Frame
 		s.again++
-		f.Lag = s.lag(now)
+		f.ClockOffset = s.lag(now)
 		return f, true
 	}
 	p := packing{of: map[*entry]int{}}
@@ -220,8 +220,8 @@
 	s.seq++
 	s.count += uint64(p.deliveries)
 	f = p.frame(s.run, s.seq, now)
-	f.Life = s.life
+	f.ReceiverIncarnation = s.life
 	s.kept, s.again = append(s.kept, keptFrame{f, s.count}), len(s.kept)+1
-	f.Lag = s.lag(now)
+	f.ClockOffset = s.lag(now)
 	return f, true
 }
--- a/cluster/stream/world_test.go
+++ b/cluster/stream/world_test.go
@@ -12,14 +12,14 @@
 func (w *world) run(d Delivery, i *Item) {
 	calls := append(w.ran[d], w.now)
 	w.ran[d] = calls
-	switch t := types[i.Event]; {
+	switch t := types[i.EventType]; {
 	case t.Semantics == api.AtMostOnce && len(calls) > 1:
 		w.Fatalf("%v took effect twice", d)
 	case t.Semantics == api.Deduplicated && w.now >= calls[0]+t.DedupWindow:
 		w.Fatalf("%v ran again when its token was forgotten", d)
 	}
 	if i.Key != 0 {
-		k := keyed{d.To, i.Key}
+		k := keyed{d.Destination, i.Key}
 		w.trace[k] = append(w.trace[k], w.number(d))
 	}
 }
@@ -36,13 +36,13 @@
 	n := rapid.IntRange(0, len(w.held)-1).Draw(w.T, "held")
 	h := w.held[n]
 	first := slices.IndexFunc(w.held, func(o *atRelay) bool {
-		return o.To[0] == h.To[0] && o.Key == h.Key && (h.Key != 0 || o == h)
+		return o.Destinations[0] == h.Destinations[0] && o.Key == h.Key && (h.Key != 0 || o == h)
 	})
 	if first != n {
 		return
 	}
 	how := Delivered
-	twice := h.called && types[h.Event].Semantics == api.AtMostOnce
+	twice := h.called && types[h.EventType].Semantics == api.AtMostOnce
 	switch late := w.now+skew >= h.TTL; {
 	case late && !h.called:
 		how = Rejected
@@ -55,10 +55,10 @@
 			return
 		}
 	}
-	e := End{Delivery: h.is(), How: how, MayRun: h.called}
+	e := Result{Delivery: h.is(), Outcome: how, MayHaveRun: h.called}
 	w.held = slices.Delete(w.held, n, n+1)
 	w.owed = append(w.owed, e)
-	w.r.Ended(e)
+	w.r.RecordResult(e)
 }
 
 // aside has this dispatcher's module end one that goes beside the stream.
@@ -68,12 +68,12 @@
 			continue
 		}
 		earlier := func(p *owned) bool {
-			return w.open[p.is()] == p && p.beside && p.no < o.no && p.To[0] == o.To[0] && p.Key == o.Key
+			return w.open[p.is()] == p && p.beside && p.no < o.no && p.Destinations[0] == o.Destinations[0] && p.Key == o.Key
 		}
 		switch {
 		case o.Key != 0 && slices.ContainsFunc(w.all, earlier):
 			continue
-		case w.now >= o.TTL || o.Window > 0 && o.MayRun != api.Never && w.now >= o.MayRun+o.Window:
+		case w.now >= o.TTL || o.TokenWindow > 0 && o.FirstAttemptAt != api.Never && w.now >= o.FirstAttemptAt+o.TokenWindow:
 			o.late = true
 			w.end(o.is(), DeadLettered)
 		default:
@@ -87,7 +87,7 @@
 // tick is some time; what is past its time ends.
 func (w *world) tick() {
 	w.now += api.Micros(rapid.IntRange(1, 4000).Draw(w.T, "ms")) * 1000
-	for _, d := range w.s.Late(w.now) {
+	for _, d := range w.s.DropExpired(w.now) {
 		w.end(d, Rejected)
 	}
 	if w.s.gone {
@@ -103,9 +103,9 @@
 		switch {
 		case w.open[o.is()] != o:
 		case o.beside:
-			w.s.Besides(o.Item)
+			w.s.RestoreBypassing(o.Item)
 		case o.life != 0:
-			w.s.Resume(o.Item, o.life, o.sentAt)
+			w.s.RestoreSent(o.Item, o.life, o.sentAt)
 		default:
 			w.s.Add(o.Item, api.Second, w.now)
 		}
@@ -116,7 +116,7 @@
 func (w *world) startRelay(lost bool) {
 	if lost {
 		w.life++
-		w.mark, w.held, w.owed = Mark{Life: w.life}, nil, nil
+		w.mark, w.held, w.owed = Checkpoint{Incarnation: w.life}, nil, nil
 	}
 	var held []Delivery
 	for _, h := range w.held {
@@ -166,7 +166,7 @@
 }
 
 func play(t *rapid.T) {
-	w := &world{T: t, open: map[Delivery]*owned{}, ends: map[Delivery]How{}, life: 1, mark: Mark{Life: 1},
+	w := &world{T: t, open: map[Delivery]*owned{}, ends: map[Delivery]Outcome{}, life: 1, mark: Checkpoint{Incarnation: 1},
 		ran: map[Delivery][]api.Micros{}, trace: map[keyed][]int{}}
 	w.startRelay(false)
 	w.startSender()
@@ -178,7 +178,7 @@
 	}
 	work := []func(){w.add, w.add, w.send, w.arrived, w.arrived, w.serve, w.serve, w.tell,
 		w.aside, w.round, w.round, w.ask}
-	faults := []func(){func() { w.s.Cut() }, w.gone, w.startSender, func() { w.startRelay(false) },
+	faults := []func(){func() { w.s.Retransmit() }, w.gone, w.startSender, func() { w.startRelay(false) },
 		func() { w.fails = true },
 		lose, w.tick, w.tick, func() { w.lose(&w.up) }, func() { w.lose(&w.down) }, func() { w.now += window }}
 	often := rapid.SampledFrom([]int{2, 5, 15}).Draw(t, "a fault in so many steps")
@@ -213,7 +213,7 @@
 func (w *world) drain() {
 	w.fails = false
 	for n := 0; n < 400 && (len(w.open) > 0 || n < 4); n++ {
-		w.s.Cut()
+		w.s.Retransmit()
 		for _, step := range []func(){w.ask, w.send, w.send, w.send, w.tell, w.aside, w.tick} {
 			step()
 			for _, from := range []*[]func(){&w.up, &w.down} {
--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			f, err := config.Read(text, args[0])
+			f, err := config.Parse(text, args[0])
 			if err != nil {
 				return err
 			}
--- a/test/checker/leasecheck/guard.go
+++ b/test/checker/leasecheck/guard.go
@@ -8,7 +8,7 @@
 // A holder looks at its clock before /begin and again before the last byte of /end. A deed that never ends
 // has no effect: it counts as a moment in which it was held. With &fence=1 what comes with a lower epoch than
 // the guard has seen for the task is refused: a deed that lands in a process of our own. Without it is one
-// that lands at a partner. FenceAll has it so for all, whatever they ask for.
+// that lands at a partner. SetFenceAll has it so for all, whatever they ask for.
 //
 // All that is told stands in a file, one JSON object a line: fences hold over a restart of the guard, and the
 // file is the history that porcupine checks.
@@ -32,7 +32,7 @@
 
 // Event is what was told once. Times are in Unix microseconds, from before it was looked at to after.
 type Event struct {
-	What    string     `json:"What"` // begin, end
+	Phase   string     `json:"What"` // begin, end
 	Task    string     `json:"Task"`
 	Epoch   uint64     `json:"Epoch"`
 	Member  string     `json:"Member"`
@@ -41,8 +41,8 @@
 	Refused bool       `json:"Refused"`
 }
 
-// Guard is safe for use by several goroutines.
-type Guard struct {
+// Checker is safe for use by several goroutines.
+type Checker struct {
 	Addr string
 
 	mu     sync.Mutex
@@ -56,17 +56,17 @@
 }
 
 // Open listens on a free port and goes on with the history in a file, or begins one.
-func Open(path string) (*Guard, error) {
+func Open(path string) (*Checker, error) {
 	at, err := portalloc.Keep()
 	if err != nil {
 		return nil, err
 	}
-	g := &Guard{Addr: at.Addr, path: path, port: at, seen: map[string]uint64{}}
+	g := &Checker{Addr: at.Addr, path: path, port: at, seen: map[string]uint64{}}
 	return g, g.Start()
 }
 
 // Start listens again after Stop, with no more than what stands in the file.
-func (g *Guard) Start() (err error) {
+func (g *Checker) Start() (err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.file, err = os.OpenFile(g.path, os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600); err != nil {
@@ -97,22 +97,22 @@
 	return nil
 }
 
-// FenceAll has what comes late refused, or no longer.
-func (g *Guard) FenceAll(fence bool) {
+// SetFenceAll has what comes late refused, or no longer.
+func (g *Checker) SetFenceAll(fence bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fence = fence
 }
 
-func (g *Guard) note(e Event) {
+func (g *Checker) note(e Event) {
 	g.events = append(g.events, e)
 	if !e.Refused {
 		g.seen[e.Task] = max(g.seen[e.Task], e.Epoch)
 	}
 }
 
-func (g *Guard) told(what string, rw http.ResponseWriter, r *http.Request) {
-	e := Event{What: what, Task: r.FormValue("task"), Member: r.FormValue("member"), Call: now()}
+func (g *Checker) told(what string, rw http.ResponseWriter, r *http.Request) {
+	e := Event{Phase: what, Task: r.FormValue("task"), Member: r.FormValue("member"), Call: now()}
 	var err error
 	if e.Epoch, err = strconv.ParseUint(r.FormValue("epoch"), 10, 64); err != nil || e.Task == "" ||
 		e.Member == "" {
@@ -138,7 +138,7 @@
 func now() api.Micros { return api.Micros(time.Now().UnixMicro()) }
 
 // Stop ends it as a kill would: what it holds in memory is gone.
-func (g *Guard) Stop() error {
+func (g *Checker) Stop() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.server == nil {
@@ -150,4 +150,4 @@
 }
 
 // Close ends it and gives its port up.
-func (g *Guard) Close() error { return errors.Join(g.Stop(), g.port.Close()) }
+func (g *Checker) Close() error { return errors.Join(g.Stop(), g.port.Close()) }
--- a/test/checker/leasecheck/guard_test.go
+++ b/test/checker/leasecheck/guard_test.go
@@ -18,7 +18,7 @@
 var alone = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // tell tells a guard steps such as "begin m1/3" or "end m1/3 fence" and returns what it was answered.
-func tell(t *testing.T, g *leasecheck.Guard, steps string) (codes []int) {
+func tell(t *testing.T, g *leasecheck.Checker, steps string) (codes []int) {
 	for s := range strings.SplitSeq(steps, ", ") {
 		f := strings.Fields(s)
 		member, epoch, _ := strings.Cut(f[1], "/")
@@ -50,9 +50,9 @@
 		g, err := leasecheck.Open(filepath.Join(t.TempDir(), "history"))
 		require.NoError(t, err)
 		tell(t, g, c.steps)
-		broken, err := g.Check(time.Minute)
+		broken, err := g.CheckLinearizable(time.Minute)
 		require.NoError(t, err)
-		said := strings.Join(g.Judge(), "\n")
+		said := strings.Join(g.Violations(), "\n")
 		if c.breach == "" {
 			assert.Empty(t, said, c.steps)
 			assert.Empty(t, broken, c.steps)
@@ -73,6 +73,6 @@
 	require.NoError(t, g.Start())
 	assert.Equal(t, []int{409, 204, 409, 400}, tell(t, g,
 		"begin m1/4 fence, begin m3/6 fence, end m2/5 fence, end m2/x"))
-	assert.Len(t, g.Deeds("a"), 2)
-	assert.Empty(t, g.Judge())
+	assert.Len(t, g.Operations("a"), 2)
+	assert.Empty(t, g.Violations())
 }
--- a/test/checker/leasecheck/homes.go
+++ b/test/checker/leasecheck/homes.go
@@ -11,33 +11,35 @@
 	"rowanlink/webhook/api"
 )
 
-// Past is something that befell one task at some moment between From and Until, both included, in Unix
+// OwnershipEvent is something that befell one task at some moment between From and Until, both included, in Unix
 // microseconds; Until is Never where it may still come.
-type Past struct {
-	What        What
+type OwnershipEvent struct {
+	Kind        OwnershipEventKind
 	Member      string
 	Epoch       uint64
 	Reader      int // Seen: by whom, from 0 on
 	From, Until api.Micros
 }
 
-// What befalls the task of being a range's home; other tasks are only Granted and Ended.
-type What uint8
+// OwnershipEventKind befalls the task of being a range's home; other tasks are only Granted and Ended.
+type OwnershipEventKind uint8
 
 const (
-	Granted What = iota // its member has the task
-	Ended               // its member acts by that grant no more
-	Seated              // the map names the member, with the epoch of its grant
-	Seen                // a reader of the map saw that; late or not, but never older than what it saw before
+	Granted   OwnershipEventKind = iota // its member has the task
+	Ended                               // its member acts by that grant no more
+	Published                           // the map names the member, with the epoch of its grant
+	Observed                            // a reader of the map saw that; late or not, but never older than what it saw before
 )
 
-func (w What) String() string { return [...]string{"granted", "ended", "seated", "seen"}[w] }
+func (w OwnershipEventKind) String() string {
+	return [...]string{"granted", "ended", "seated", "seen"}[w]
+}
 
 // seat is what the model holds: who has the task, the last who was granted it, whom the map names, and what
 // each reader has seen.
 type seat struct {
 	held        bool
-	last, named Deed
+	last, named Operation
 	seen        []uint64
 }
 
@@ -46,15 +48,15 @@
 var homes = porcupine.Model{
 	Init: func() any { return seat{} },
 	Step: func(state, input, _ any) (bool, any) {
-		is, p := state.(seat), input.(Past)
-		who := Deed{Member: p.Member, Epoch: p.Epoch}
-		switch p.What {
+		is, p := state.(seat), input.(OwnershipEvent)
+		who := Operation{Member: p.Member, Epoch: p.Epoch}
+		switch p.Kind {
 		case Granted:
 			again := who == is.last // its session was renewed after its own clock had ended it
 			return !is.held && (again || p.Epoch > is.last.Epoch), seat{true, who, is.named, is.seen}
 		case Ended:
 			return is.held && is.last == who, seat{false, is.last, is.named, is.seen}
-		case Seated:
+		case Published:
 			return is.last == who && p.Epoch > is.named.Epoch, seat{is.held, is.last, who, is.seen}
 		}
 		if is.named != who {
@@ -70,14 +72,14 @@
 		return x.held == y.held && x.last == y.last && x.named == y.named && slices.Equal(x.seen, y.seen)
 	},
 	DescribeOperation: func(input, _ any) string {
-		p := input.(Past)
-		return fmt.Sprintf("%s %s/%d by %d", p.What, p.Member, p.Epoch, p.Reader)
+		p := input.(OwnershipEvent)
+		return fmt.Sprintf("%s %s/%d by %d", p.Kind, p.Member, p.Epoch, p.Reader)
 	},
 }
 
-// CheckPast tells whether one task, and the map of it, could have had such a past; an error where porcupine
+// CheckOwnership tells whether one task, and the map of it, could have had such a past; an error where porcupine
 // did not find that out in time.
-func CheckPast(all []Past, within time.Duration) (could bool, err error) {
+func CheckOwnership(all []OwnershipEvent, within time.Duration) (could bool, err error) {
 	var ops []porcupine.Operation
 	for i, p := range all {
 		until := int64(p.Until)
--- a/test/checker/leasecheck/judge.go
+++ b/test/checker/leasecheck/judge.go
@@ -11,8 +11,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Deed is one as it was told. Until is Never where it did not end, or its end was refused.
-type Deed struct {
+// Operation is one as it was told. Until is Never where it did not end, or its end was refused.
+type Operation struct {
 	Task        string
 	Epoch       uint64
 	Member      string
@@ -20,16 +20,16 @@
 }
 
 // over is when it surely was held last.
-func (d Deed) over() api.Micros { return max(d.From, d.Until) }
+func (d Operation) over() api.Micros { return max(d.From, d.Until) }
 
-// Deeds are a task's, as they began. Those that were refused are none.
-func (g *Guard) Deeds(task string) []Deed {
+// Operations are a task's, as they began. Those that were refused are none.
+func (g *Checker) Operations(task string) []Operation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return deeds(g.events, task)
 }
 
-func deeds(events []Event, task string) (all []Deed) {
+func deeds(events []Event, task string) (all []Operation) {
 	type holder struct {
 		member string
 		epoch  uint64
@@ -39,21 +39,21 @@
 		k := holder{e.Member, e.Epoch}
 		switch at, is := open[k]; {
 		case e.Task != task || e.Refused:
-		case e.What == "begin":
+		case e.Phase == "begin":
 			open[k] = len(all)
-			all = append(all, Deed{task, e.Epoch, e.Member, e.Return, api.Never})
+			all = append(all, Operation{task, e.Epoch, e.Member, e.Return, api.Never})
 		case is:
 			all[at].Until = e.Call
 			delete(open, k)
 		default: // its begin was refused or never came: it was held at that moment
-			all = append(all, Deed{task, e.Epoch, e.Member, e.Call, e.Call})
+			all = append(all, Operation{task, e.Epoch, e.Member, e.Call, e.Call})
 		}
 	}
 	return all
 }
 
-// Tasks are those that were told of.
-func (g *Guard) Tasks() []string {
+// Resources are those that were told of.
+func (g *Checker) Resources() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	tasks := map[string]bool{}
@@ -63,10 +63,10 @@
 	return slices.Sorted(maps.Keys(tasks))
 }
 
-// Judge says where two holders' deeds overlap, two have one epoch, or an epoch goes back.
-func (g *Guard) Judge() (breaches []string) {
-	for _, task := range g.Tasks() {
-		all := g.Deeds(task)
+// Violations says where two holders' deeds overlap, two have one epoch, or an epoch goes back.
+func (g *Checker) Violations() (breaches []string) {
+	for _, task := range g.Resources() {
+		all := g.Operations(task)
 		for i, d := range all {
 			for _, before := range all[:i] {
 				same := before.Member == d.Member && before.Epoch == d.Epoch
@@ -90,7 +90,7 @@
 }
 
 // lock is what the model of a lock with fencing holds: whose deed is on, and who had the highest epoch.
-type lock struct{ held, seen Deed }
+type lock struct{ held, seen Operation }
 
 // model is a lock with fencing, of one task: a deed begins only while no other holder's is on, with an epoch
 // that was not gone behind; it ends only while it is on. A deed without an end is a moment in which it could
@@ -104,8 +104,8 @@
 		case output.(bool): // refused: something higher was seen
 			return e.who.Epoch < is.seen.Epoch, is
 		case e.what == "end":
-			return is.held == e.who, lock{Deed{}, is.seen}
-		case back || is.held != Deed{} && is.held != e.who:
+			return is.held == e.who, lock{Operation{}, is.seen}
+		case back || is.held != Operation{} && is.held != e.who:
 			return false, is
 		case e.what == "moment":
 			return true, lock{is.held, e.who}
@@ -121,14 +121,14 @@
 // step is an event as the model takes it; who is without times.
 type step struct {
 	what string
-	who  Deed
+	who  Operation
 }
 
 // History is a task's, for porcupine.
-func (g *Guard) History(task string) (all []porcupine.Operation) {
+func (g *Checker) History(task string) (all []porcupine.Operation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	clients, last := map[string]int{}, map[Deed]int{}
+	clients, last := map[string]int{}, map[Operation]int{}
 	for _, e := range g.events {
 		if e.Task != task {
 			continue
@@ -136,16 +136,16 @@
 		if _, ok := clients[e.Member]; !ok {
 			clients[e.Member] = len(clients)
 		}
-		who := Deed{Task: task, Epoch: e.Epoch, Member: e.Member}
-		s := step{e.What, who}
-		if e.What == "begin" && !e.Refused {
+		who := Operation{Task: task, Epoch: e.Epoch, Member: e.Member}
+		s := step{e.Phase, who}
+		if e.Phase == "begin" && !e.Refused {
 			s.what = "moment" // until it ends
 		}
-		if at, begun := last[who]; e.What == "end" && !e.Refused && begun {
+		if at, begun := last[who]; e.Phase == "end" && !e.Refused && begun {
 			all[at].Input = step{"begin", who}
 			delete(last, who)
 		}
-		if e.What == "begin" && !e.Refused {
+		if e.Phase == "begin" && !e.Refused {
 			last[who] = len(all)
 		}
 		all = append(all, porcupine.Operation{ClientId: clients[e.Member], Input: s, Output: e.Refused,
@@ -154,9 +154,9 @@
 	return all
 }
 
-// Check has porcupine look at each task's history, and names those that no lock with fencing could have.
-func (g *Guard) Check(within time.Duration) (broken []string, err error) {
-	for _, task := range g.Tasks() {
+// CheckLinearizable has porcupine look at each task's history, and names those that no lock with fencing could have.
+func (g *Checker) CheckLinearizable(within time.Duration) (broken []string, err error) {
+	for _, task := range g.Resources() {
 		switch porcupine.CheckOperationsTimeout(model, g.History(task), within) {
 		case porcupine.Illegal:
 			broken = append(broken, task)
--- a/test/integration/cluster/history_test.go
+++ b/test/integration/cluster/history_test.go
@@ -52,26 +52,26 @@
 
 	// The same past, made wrong in one place: the check would have seen it.
 	last, others := lastGrant(t, views.Past())
-	for name, spoil := range map[string]func(p *leasecheck.Past){
-		"granted by an epoch that is gone by": func(p *leasecheck.Past) { p.Epoch = 1 },
-		"granted before all others":           func(p *leasecheck.Past) { p.Until = 1 },
-		"granted to another":                  func(p *leasecheck.Past) { p.Member += "'" },
+	for name, spoil := range map[string]func(p *leasecheck.OwnershipEvent){
+		"granted by an epoch that is gone by": func(p *leasecheck.OwnershipEvent) { p.Epoch = 1 },
+		"granted before all others":           func(p *leasecheck.OwnershipEvent) { p.Until = 1 },
+		"granted to another":                  func(p *leasecheck.OwnershipEvent) { p.Member += "'" },
 	} {
 		wrong := last
 		spoil(&wrong)
-		could, err := leasecheck.CheckPast(append([]leasecheck.Past{wrong}, others...), term*60)
+		could, err := leasecheck.CheckOwnership(append([]leasecheck.OwnershipEvent{wrong}, others...), term*60)
 		require.NoError(t, err)
 		assert.False(t, could, name)
 	}
 }
 
 // lastGrant is that of a home that was granted by more than one epoch, and the rest of its past.
-func lastGrant(t *testing.T, all map[cluster.Resource][]leasecheck.Past) (last leasecheck.Past, others []leasecheck.Past) {
+func lastGrant(t *testing.T, all map[cluster.Resource][]leasecheck.OwnershipEvent) (last leasecheck.OwnershipEvent, others []leasecheck.OwnershipEvent) {
 	for task, past := range all {
-		slices.SortStableFunc(past, func(a, b leasecheck.Past) int {
-			return cmp.Or(cmp.Compare(a.What, b.What), cmp.Compare(b.Epoch, a.Epoch))
+		slices.SortStableFunc(past, func(a, b leasecheck.OwnershipEvent) int {
+			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(b.Epoch, a.Epoch))
 		})
-		if strings.HasPrefix(string(task), "home/") && past[1].What == leasecheck.Granted &&
+		if strings.HasPrefix(string(task), "home/") && past[1].Kind == leasecheck.Granted &&
 			past[1].Epoch < past[0].Epoch { // not the same one twice, from before and after a renewal that came late
 			return past[0], past[1:]
 		}
--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -171,9 +171,9 @@
 				m.AwaitFrom(marks[m], "session over")
 			}
 		}
-		n := len(f.Guard.Deeds(errand))
+		n := len(f.Guard.Operations(errand))
 		some(1.5)
-		assert.Len(t, f.Guard.Deeds(errand), n, "%s: deeds without a majority", how)
+		assert.Len(t, f.Guard.Operations(errand), n, "%s: deeds without a majority", how)
 		f.Net.Heal()
 		for _, m := range gone {
 			if !m.Running() {
--- a/test/integration/cluster/proof_test.go
+++ b/test/integration/cluster/proof_test.go
@@ -89,8 +89,8 @@
 }
 
 // last is the errand's deed that began last.
-func last(f *harness.Fleet) (d leasecheck.Deed) {
-	if all := f.Guard.Deeds(errand); len(all) > 0 {
+func last(f *harness.Fleet) (d leasecheck.Operation) {
+	if all := f.Guard.Operations(errand); len(all) > 0 {
 		return all[len(all)-1]
 	}
 	return d
@@ -120,8 +120,8 @@
 
 // going waits until some more deeds have ended, by whomever.
 func going(f *harness.Fleet) {
-	n := len(f.Guard.Deeds(errand))
-	f.Soon("deeds go on", func() bool { return len(f.Guard.Deeds(errand)) > n+3 })
+	n := len(f.Guard.Operations(errand))
+	f.Soon("deeds go on", func() bool { return len(f.Guard.Operations(errand)) > n+3 })
 }
 
 // some is a part of a term, for a fault to last.
--- a/test/integration/harness/fleet.go
+++ b/test/integration/harness/fleet.go
@@ -55,7 +55,7 @@
 	Members  []*Member
 	Net      *Net
 	Platform *platform.Platform
-	Guard    *leasecheck.Guard // where Shape names tasks for it
+	Guard    *leasecheck.Checker // where Shape names tasks for it
 
 	t      testing.TB
 	shape  Shape
@@ -169,10 +169,10 @@
 	if f.Guard == nil {
 		return
 	}
-	for _, b := range f.Guard.Judge() {
+	for _, b := range f.Guard.Violations() {
 		f.t.Errorf("guard: %s", b)
 	}
-	broken, err := f.Guard.Check(time.Minute)
+	broken, err := f.Guard.CheckLinearizable(time.Minute)
 	if len(broken) > 0 || err != nil {
 		f.t.Errorf("guard: porcupine: no lock with fencing has such a history: %v %v", broken, err)
 	}
--- a/test/integration/harness/past.go
+++ b/test/integration/harness/past.go
@@ -29,13 +29,13 @@
 	all     sync.WaitGroup
 	mu      sync.Mutex
 	readers int
-	seen    map[cluster.Resource][]leasecheck.Past
+	seen    map[cluster.Resource][]leasecheck.OwnershipEvent
 }
 
 // Watch begins to follow the keepers.
 func (f *Fleet) Watch() *Views {
 	ctx, end := context.WithCancel(context.Background())
-	v := &Views{f: f, end: end, seen: map[cluster.Resource][]leasecheck.Past{}}
+	v := &Views{f: f, end: end, seen: map[cluster.Resource][]leasecheck.OwnershipEvent{}}
 	for _, m := range f.Keepers() {
 		v.all.Go(func() { v.follow(ctx, m) })
 	}
@@ -78,7 +78,7 @@
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
-				v.seen[cluster.RangeOwnerResource(r.ID)] = append(v.seen[cluster.RangeOwnerResource(r.ID)], leasecheck.Past{What: leasecheck.Seen,
+				v.seen[cluster.RangeOwnerResource(r.ID)] = append(v.seen[cluster.RangeOwnerResource(r.ID)], leasecheck.OwnershipEvent{Kind: leasecheck.Observed,
 					Member: string(r.Owner), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
@@ -93,10 +93,10 @@
 }
 
 // Past ends following and returns what befell each task, from all logs and all that was seen.
-func (v *Views) Past() map[cluster.Resource][]leasecheck.Past {
+func (v *Views) Past() map[cluster.Resource][]leasecheck.OwnershipEvent {
 	v.end()
 	v.all.Wait()
-	all := map[cluster.Resource][]leasecheck.Past{}
+	all := map[cluster.Resource][]leasecheck.OwnershipEvent{}
 	for _, m := range v.f.Members {
 		lived(m.Name, m.Log.All(0, ""), all)
 	}
@@ -108,20 +108,22 @@
 
 // unsaid leaves of the seats that may have been taken, as their member said, those that were seen and that no
 // other line tells of: their answers were lost.
-func unsaid(of, seen []leasecheck.Past) (all []leasecheck.Past) {
-	var unsure []leasecheck.Past
+func unsaid(of, seen []leasecheck.OwnershipEvent) (all []leasecheck.OwnershipEvent) {
+	var unsure []leasecheck.OwnershipEvent
 	for _, p := range of {
-		if p.What == leasecheck.Seated && p.Until == api.Never {
+		if p.Kind == leasecheck.Published && p.Until == api.Never {
 			unsure = append(unsure, p)
 		} else {
 			all = append(all, p)
 		}
 	}
 	for _, p := range unsure {
-		was := func(what leasecheck.What) func(leasecheck.Past) bool {
-			return func(o leasecheck.Past) bool { return o.What == what && o.Member == p.Member && o.Epoch == p.Epoch }
+		was := func(what leasecheck.OwnershipEventKind) func(leasecheck.OwnershipEvent) bool {
+			return func(o leasecheck.OwnershipEvent) bool {
+				return o.Kind == what && o.Member == p.Member && o.Epoch == p.Epoch
+			}
 		}
-		if slices.ContainsFunc(seen, was(leasecheck.Seen)) && !slices.ContainsFunc(all, was(leasecheck.Seated)) {
+		if slices.ContainsFunc(seen, was(leasecheck.Observed)) && !slices.ContainsFunc(all, was(leasecheck.Published)) {
 			all = append(all, p)
 		}
 	}
@@ -133,12 +135,12 @@
 	v.f.t.Helper()
 	all, seats := v.Past(), 0
 	for _, task := range slices.Sorted(maps.Keys(all)) {
-		could, err := leasecheck.CheckPast(all[task], time.Minute)
+		could, err := leasecheck.CheckOwnership(all[task], time.Minute)
 		if !could || err != nil {
 			v.f.t.Errorf("porcupine: %s has a past that it can't have (%v):\n%s", task, err, told(all[task]))
 		}
 		for _, p := range all[task] {
-			if p.What == leasecheck.Seated {
+			if p.Kind == leasecheck.Published {
 				seats++
 			}
 		}
@@ -149,10 +151,10 @@
 	v.f.t.Logf("%d tasks, %d homes seated, %d readers", len(all), seats, v.readers)
 }
 
-func told(all []leasecheck.Past) (text string) {
-	slices.SortStableFunc(all, func(a, b leasecheck.Past) int { return cmp.Compare(a.Until, b.Until) })
+func told(all []leasecheck.OwnershipEvent) (text string) {
+	slices.SortStableFunc(all, func(a, b leasecheck.OwnershipEvent) int { return cmp.Compare(a.Until, b.Until) })
 	for _, p := range all {
-		text += fmt.Sprintf("  %s %s/%d by %d: %d to %d\n", p.What, p.Member, p.Epoch, p.Reader, p.From, p.Until)
+		text += fmt.Sprintf("  %s %s/%d by %d: %d to %d\n", p.Kind, p.Member, p.Epoch, p.Reader, p.From, p.Until)
 	}
 	return text
 }
@@ -168,15 +170,15 @@
 
 // lived adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []subprocess.Line, all map[cluster.Resource][]leasecheck.Past) {
+func lived(name string, lines []subprocess.Line, all map[cluster.Resource][]leasecheck.OwnershipEvent) {
 	type grant struct {
 		epoch uint64
 		at    api.Micros
 		ended bool
 	}
 	has, over, lives := map[cluster.Resource]*grant{}, map[cluster.Resource]api.Micros{}, 0
-	add := func(task cluster.Resource, what leasecheck.What, epoch uint64, from, until api.Micros) {
-		all[task] = append(all[task], leasecheck.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
+	add := func(task cluster.Resource, what leasecheck.OwnershipEventKind, epoch uint64, from, until api.Micros) {
+		all[task] = append(all[task], leasecheck.OwnershipEvent{Kind: what, Member: name, Epoch: epoch, From: from, Until: until})
 	}
 	end := func(task cluster.Resource, until api.Micros) {
 		if g := has[task]; g != nil && !g.ended {
@@ -202,7 +204,7 @@
 		if may := unsure.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
 			if task := cluster.RangeOwnerResource(cluster.RangeID(id)); has[task] != nil {
-				add(task, leasecheck.Seated, has[task].epoch, has[task].at, api.Never)
+				add(task, leasecheck.Published, has[task].epoch, has[task].at, api.Never)
 			}
 		}
 		said := stamp.FindStringSubmatch(line.Text)
@@ -227,7 +229,7 @@
 			id, _ := strconv.ParseUint(ofRange.FindStringSubmatch(line.Text)[1], 10, 32)
 			task := cluster.RangeOwnerResource(cluster.RangeID(id))
 			if g := has[task]; g != nil {
-				add(task, leasecheck.Seated, g.epoch, g.at, at)
+				add(task, leasecheck.Published, g.epoch, g.at, at)
 			}
 		}
 	}
