--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -10,6 +10,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 )
@@ -109,7 +110,7 @@
 	}
 	some := false
 	for _, m := range members {
-		leaves := func(r rebalance.Rule) bool { return r.Kind == rebalance.Drain && r.Member == m.Member }
+		leaves := func(r planfile.Rule) bool { return r.Kind == planfile.Drain && r.Member == m.Member }
 		if !slices.ContainsFunc(f.Rules, leaves) {
 			stay, some = append(stay, m), some || alive[m.Member]
 		}
@@ -150,20 +151,20 @@
 	if number != 0 && !w.fresh {
 		return false
 	}
-	wished, err := rebalance.ParseFile(w.text, "plan")
+	wished, err := planfile.Parse(w.text, "plan")
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
 	if number != 0 && (c.stopped() == 0 || c.stopped() != w.resumes) {
-		if runs, err := rebalance.ParseFile(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
+		if runs, err := planfile.Parse(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
 			return true
 		}
 	}
 	return c.make(wished, w.text, number, chart)
 }
 
-func (c *conductor) make(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
+func (c *conductor) make(f *planfile.File, text []byte, number uint64, chart *shardmap.Map) bool {
 	p, err := rebalance.NewPlan(f, chart, nil)
 	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) { // the file is taken up once that has ended
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -20,6 +20,7 @@
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
@@ -85,7 +86,7 @@
 	if f, err = config.Read(text, m.path); err != nil {
 		return nil, f, err
 	}
-	if _, err = rebalance.ParseFile(text, m.path); err != nil {
+	if _, err = planfile.Parse(text, m.path); err != nil {
 		return nil, f, err
 	}
 	if _, ok := f.Member(m.self); !ok {
--- /dev/null
+++ b/cluster/rebalance/antiaffinity.go
@@ -0,0 +1,83 @@
+package rebalance
+
+import (
+	"fmt"
+	"slices"
+
+	"rowanlink/cluster/rebalance/planfile"
+)
+
+// checkAntiAffinity rejects a rule that can't hold: other rules bring two of its ranges together, or there are more
+// ranges than places.
+func (p *problem) checkAntiAffinity(rule int) error {
+	r := &p.file.Rules[rule]
+	placedAt := map[string]int{} // by place, the range that another rule puts there
+	for _, i := range p.selected[rule] {
+		by, place := p.forcedPlace(i, r)
+		if by == nil {
+			continue
+		}
+		other, isTaken := placedAt[place]
+		if !isTaken {
+			placedAt[place] = i
+			continue
+		}
+		otherBy := p.constraints[other].pin
+		if otherBy == nil {
+			otherBy = p.constraints[other].zone
+		}
+		return p.file.Errorf(r.Line, "apart %q: %s and %s shall both be %s, by %s %q (line %d) and %s %q (line %d)",
+			r.Name, p.describeRange(other, r, otherBy), p.describeRange(i, r, by), place,
+			otherBy.Kind, otherBy.Name, otherBy.Line, by.Kind, by.Name, by.Line)
+	}
+	return p.checkPlaceCount(rule)
+}
+
+// forcedPlace returns the rule that puts a range in one place, as an anti-affinity rule counts places, and the place.
+// The rule is nil if none does.
+func (p *problem) forcedPlace(i int, antiAffinity *planfile.Rule) (by *planfile.Rule, place string) {
+	c := p.constraints[i]
+	switch {
+	case c.pin != nil && antiAffinity.ByZone:
+		return c.pin, fmt.Sprintf("in zone %q", p.zoneOf(c.pin.Member))
+	case c.pin != nil:
+		return c.pin, fmt.Sprintf("on %q", c.pin.Member)
+	case c.zone != nil && antiAffinity.ByZone:
+		return c.zone, fmt.Sprintf("in zone %q", c.zone.Zone)
+	}
+	return nil, ""
+}
+
+// checkPlaceCount rejects more ranges than members or zones that may take one of them.
+func (p *problem) checkPlaceCount(rule int) error {
+	r, f := &p.file.Rules[rule], p.file
+	places, unit := []string{}, "members"
+	var excluded []string
+	for m, member := range p.members {
+		if !p.stays[m] {
+			excluded = append(excluded, fmt.Sprintf("%q leaves by line %d", member.ID, f.FindDrain(member.ID).Line))
+			continue
+		}
+		if dedicated := p.dedicated[m]; dedicated != nil && !p.anyPinnedBy(p.selected[rule], dedicated) {
+			excluded = append(excluded, fmt.Sprintf("%q is alone by line %d", member.ID, dedicated.Line))
+			continue
+		}
+		place := fmt.Sprintf("%q (line %d)", member.ID, member.Line)
+		if r.ByZone {
+			place = fmt.Sprintf("%q", member.Zone)
+			unit = fmt.Sprintf("zones (members from line %d on)", f.Members[0].Line)
+		}
+		if !slices.Contains(places, place) {
+			places = append(places, place)
+		}
+	}
+	if n := len(p.selected[rule]); n > len(places) {
+		return f.Errorf(r.Line, "apart %q: %d ranges for %d %s: %s", r.Name, n, len(places), unit,
+			planfile.JoinSome(append(places, excluded...)))
+	}
+	return nil
+}
+
+func (p *problem) anyPinnedBy(ranges []int, rule *planfile.Rule) bool {
+	return slices.ContainsFunc(ranges, func(i int) bool { return p.constraints[i].pin == rule })
+}
--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -9,13 +9,14 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 )
 
 // large is a fleet as a plan meets it: members of unlike weight, some leave, some are new, some ranges are
 // pinned.
-func large(b *testing.B, n, members int, room, turns bool) (*File, *shardmap.Map, func(cluster.RangeID) uint64) {
+func large(b *testing.B, n, members int, room, turns bool) (*planfile.File, *shardmap.Map, func(cluster.RangeID) uint64) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	var text strings.Builder
 	var weights []shardmap.Weight
@@ -43,7 +44,7 @@
 		text.WriteString("before \"p0\" { after = [\"p1\", \"m" + fmt.Sprint(members-1) + "\"] }\n")
 	}
 	text.WriteString("bounds {\n  moves_at_once = 16\n  per_member = 2\n}\n")
-	f, err := ParseFile([]byte(text.String()), "f.hcl")
+	f, err := planfile.Parse([]byte(text.String()), "f.hcl")
 	require.NoError(b, err)
 	m := &shardmap.Map{Version: 1}
 	m.Ranges, err = shardmap.Even(n, weights)
@@ -90,7 +91,7 @@
 	for i := range m.Ranges { // each range to the next but one member: two rings of full members
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  %s\n  to = \"m%d\"\n}\n", i, of(i, n), (i/(n/members)+2)%members)
 	}
-	f, err := ParseFile([]byte(text.String()), "f.hcl")
+	f, err := planfile.Parse([]byte(text.String()), "f.hcl")
 	require.NoError(b, err)
 	var p *Plan
 	for b.Loop() {
--- a/cluster/rebalance/choose_test.go
+++ b/cluster/rebalance/choose_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 )
 
 // wishes is a small fleet with rules of each kind.
@@ -52,7 +53,7 @@
 }
 
 // allowed tells whether ranges may be on members, read off the file rule by rule.
-func allowed(f *File, t *task, to []int) bool {
+func allowed(f *planfile.File, t *problem, to []int) bool {
 	has := make([]int, len(f.Members))
 	for _, m := range to {
 		has[m]++
@@ -64,23 +65,23 @@
 	}
 	for k := range f.Rules {
 		r := &f.Rules[k]
-		covered, err := t.covers(r)
+		covered, err := t.selectRanges(r)
 		if err != nil {
 			return false
 		}
 		for n, i := range covered {
 			m := f.Members[to[i]]
-			if (r.Kind == Pin || r.Kind == Dedicated) && m.ID != r.Member || r.Kind == ZoneAffinity && m.Zone != r.Zone {
+			if (r.Kind == planfile.Pin || r.Kind == planfile.Dedicated) && m.ID != r.Member || r.Kind == planfile.ZoneAffinity && m.Zone != r.Zone {
 				return false
 			}
 			for _, other := range covered[:n] {
-				if r.Kind == AntiAffinity && (to[other] == to[i] || r.ByZone && f.Members[to[other]].Zone == m.Zone) {
+				if r.Kind == planfile.AntiAffinity && (to[other] == to[i] || r.ByZone && f.Members[to[other]].Zone == m.Zone) {
 					return false
 				}
 			}
 		}
 		for m, v := range f.Members {
-			if v.ID == r.Member && (r.Kind == Drain && has[m] > 0 || r.Kind == Dedicated && has[m] != len(covered)) {
+			if v.ID == r.Member && (r.Kind == planfile.Drain && has[m] > 0 || r.Kind == planfile.Dedicated && has[m] != len(covered)) {
 				return false
 			}
 		}
@@ -89,7 +90,7 @@
 }
 
 // far is how far members are from their parts.
-func far(spans []span, to []int) (sum int) {
+func far(spans []quota, to []int) (sum int) {
 	has := make([]int, len(spans))
 	for _, m := range to {
 		has[m]++
@@ -107,7 +108,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 4).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "ranges")
 		text := wishes(t, members, n)
-		f, err := ParseFile([]byte(text), "f.hcl")
+		f, err := planfile.Parse([]byte(text), "f.hcl")
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 			return
@@ -121,24 +122,24 @@
 			keys[cluster.RangeID(i+1)] = uint64(rapid.IntRange(0, 5).Draw(t, "keys"))
 		}
 		told := func(id cluster.RangeID) uint64 { return keys[id] }
-		plain := newTask(f, w.m, told)
-		work := newTask(f, w.m, told)
-		err = work.resolve()
-		var got choice
+		plain := newProblem(f, w.m, told)
+		work := newProblem(f, w.m, told)
+		err = work.applyRules()
+		var got candidate
 		proven := false
 		if err == nil {
-			got, proven, err = work.choose()
+			got, proven, err = work.choosePlacement()
 		}
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 			require.Regexp(t, `line \d+`, err.Error(), "the other line")
 		} else {
 			require.True(t, proven)
-			require.True(t, allowed(f, plain, got.to), "%v in\n%s", got.to, text)
+			require.True(t, allowed(f, plain, got.target), "%v in\n%s", got.target, text)
 		}
 		cost := func(to []int) (sum uint64) {
 			for i, m := range to {
-				if m != plain.home[i] {
+				if m != plain.owner[i] {
 					sum += keys[cluster.RangeID(i+1)]
 				}
 			}
@@ -153,11 +154,11 @@
 				continue
 			}
 			require.NoError(t, err, "%v would do in\n%s", to, text)
-			spans := work.shares()
-			is, might := far(spans, got.to), far(spans, to)
-			require.LessOrEqual(t, is, might, "%v is nearer than %v in\n%s", to, got.to, text)
+			spans := work.quotas()
+			is, might := far(spans, got.target), far(spans, to)
+			require.LessOrEqual(t, is, might, "%v is nearer than %v in\n%s", to, got.target, text)
 			if is == might {
-				require.LessOrEqual(t, cost(got.to), cost(to), "%v moves less than %v in\n%s", to, got.to, text)
+				require.LessOrEqual(t, cost(got.target), cost(to), "%v moves less than %v in\n%s", to, got.target, text)
 			}
 		}
 	})
@@ -167,37 +168,37 @@
 func TestPartsAreByWeightWithinRoomAndZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want []span
+		want []quota
 	}{
 		"weights": {`member "a" { weight = 1 }
-member "b" { weight = 3 }`, []span{{2, 2}, {6, 6}}},
+member "b" { weight = 3 }`, []quota{{2, 2}, {6, 6}}},
 		"a part of a range": {`member "a" {}
 member "b" {}
-member "c" {}`, []span{{2, 3}, {2, 3}, {2, 3}}},
+member "c" {}`, []quota{{2, 3}, {2, 3}, {2, 3}}},
 		"room": {`member "a" { room = 1 }
 member "b" {}
-member "c" {}`, []span{{1, 1}, {3, 4}, {3, 4}}},
+member "c" {}`, []quota{{1, 1}, {3, 4}, {3, 4}}},
 		"leaves": {`member "a" {}
 member "b" {}
-leave "b" {}`, []span{{8, 8}, {0, 0}}},
+leave "b" {}`, []quota{{8, 8}, {0, 0}}},
 		"zone": {`member "a" { zone = "x" }
 member "b" { zone = "x" }
 member "c" { zone = "y" }
 keep "most" {
   hashes = ["0x0", "0xbfffffffffffffff"]
   zone = "x"
-}`, []span{{3, 3}, {3, 3}, {2, 2}}},
+}`, []quota{{3, 3}, {3, 3}, {2, 2}}},
 		"no weight takes what is left": {`member "a" {
   room = 3
 }
-member "b" { weight = 0 }`, []span{{3, 3}, {5, 5}}},
+member "b" { weight = 0 }`, []quota{{3, 3}, {5, 5}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, err := ParseFile([]byte(c.text), "f.hcl")
+			f, err := planfile.Parse([]byte(c.text), "f.hcl")
 			require.NoError(t, err)
-			work := newTask(f, newWorld(t, "a", "a", "a", "a", "a", "a", "a", "a").m, nil)
-			require.NoError(t, work.resolve())
-			assert.Equal(t, c.want, work.shares())
+			work := newProblem(f, newWorld(t, "a", "a", "a", "a", "a", "a", "a", "a").m, nil)
+			require.NoError(t, work.applyRules())
+			assert.Equal(t, c.want, work.quotas())
 		})
 	}
 }
@@ -207,7 +208,7 @@
 	text := "member \"a\" {}\nmember \"b\" {}\nmember \"c\" { weight = 0 }\nmember \"d\" { weight = 0 }\n" +
 		"apart \"p\" { hashes = [\"0x0\", \"0x5fffffffffffffff\"] }\n" +
 		"apart \"q\" { hashes = [\"0x6000000000000000\", \"0xbfffffffffffffff\"] }\n"
-	f, err := ParseFile([]byte(text), "f.hcl")
+	f, err := planfile.Parse([]byte(text), "f.hcl")
 	require.NoError(t, err)
 	p, err := NewPlan(f, newWorld(t, "a", "b", "c", "a", "b", "c", "a", "a").m, nil)
 	require.NoError(t, err)
--- /dev/null
+++ b/cluster/rebalance/impact.go
@@ -0,0 +1,178 @@
+package rebalance
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+)
+
+// Outcomes counts webhooks by how they ended. Rejected are those that were not accepted, or were returned by notice.
+type Outcomes struct {
+	Total        uint64 `cbor:"1,keyasint,omitempty"`
+	Rejected     uint64 `cbor:"2,keyasint,omitempty"`
+	DeadLettered uint64 `cbor:"3,keyasint,omitempty"`
+	Late         uint64 `cbor:"4,keyasint,omitempty"`
+}
+
+func (o Outcomes) add(other Outcomes) Outcomes {
+	return Outcomes{
+		Total:        o.Total + other.Total,
+		Rejected:     o.Rejected + other.Rejected,
+		DeadLettered: o.DeadLettered + other.DeadLettered,
+		Late:         o.Late + other.Late,
+	}
+}
+
+// since returns what was counted after an earlier count.
+func (o Outcomes) since(earlier Outcomes) Outcomes {
+	return Outcomes{
+		Total:        o.Total - earlier.Total,
+		Rejected:     o.Rejected - earlier.Rejected,
+		DeadLettered: o.DeadLettered - earlier.DeadLettered,
+		Late:         o.Late - earlier.Late,
+	}
+}
+
+// Impact is what was measured in the ranges that the plan moves: since their moves began, and what was usual there
+// before.
+type Impact struct {
+	During, Baseline Outcomes
+	Unhealthy        []UnhealthyDestination // those that were healthy before their move
+	Ranges           []RangeImpact          // the same by range
+}
+
+// UnhealthyDestination is a destination that is unhealthy, and its range.
+type UnhealthyDestination struct {
+	Destination api.DestinationID
+	Range       cluster.RangeID
+}
+
+// ImpactCollector adds up what members report of one plan. The last report of an incarnation of a member is retained,
+// so that no impact is forgotten because the member that measured it was killed.
+type ImpactCollector struct {
+	number  uint64 // of the plan
+	reports map[reporter]map[shardmap.MoveID]RangeImpact
+}
+
+// reporter is one incarnation of a member.
+type reporter struct {
+	member      cluster.MemberID
+	incarnation uint64
+}
+
+// AddReport adds a member's report on the plan of a number. The first report on another plan discards those on the
+// last.
+func (c *ImpactCollector) AddReport(number uint64, from cluster.MemberID, r Report) {
+	if c.number != number || c.reports == nil {
+		c.number = number
+		c.reports = map[reporter]map[shardmap.MoveID]RangeImpact{}
+	}
+	key := reporter{member: from, incarnation: r.Incarnation}
+	if c.reports[key] == nil {
+		c.reports[key] = map[shardmap.MoveID]RangeImpact{}
+	}
+	for _, impact := range r.Ranges {
+		c.reports[key][impact.Move] = impact
+	}
+}
+
+// Impact returns the sum of the reports on the plan of a number.
+func (c *ImpactCollector) Impact(number uint64) (sum Impact) {
+	if c.number != number {
+		return sum
+	}
+	byMove, unhealthyBefore := c.sumByMove()
+	for _, id := range slices.Sorted(maps.Keys(byMove)) {
+		impact := byMove[id]
+		slices.Sort(impact.Unhealthy)
+		impact.Unhealthy = slices.DeleteFunc(slices.Compact(impact.Unhealthy),
+			func(d api.DestinationID) bool { return unhealthyBefore[d] })
+		for _, d := range impact.Unhealthy {
+			sum.Unhealthy = append(sum.Unhealthy, UnhealthyDestination{Destination: d, Range: impact.Range})
+		}
+		sum.During = sum.During.add(impact.During)
+		sum.Baseline = sum.Baseline.add(impact.Baseline)
+		sum.Ranges = append(sum.Ranges, impact)
+	}
+	return sum
+}
+
+func (c *ImpactCollector) sumByMove() (map[shardmap.MoveID]RangeImpact, map[api.DestinationID]bool) {
+	byMove, unhealthyBefore := map[shardmap.MoveID]RangeImpact{}, map[api.DestinationID]bool{}
+	for _, impacts := range c.reports {
+		for id, impact := range impacts {
+			sum := byMove[id]
+			sum.Move, sum.Range = id, impact.Range
+			sum.During = sum.During.add(impact.During)
+			sum.Baseline = sum.Baseline.add(impact.Baseline)
+			sum.Unhealthy = append(slices.Clone(sum.Unhealthy), impact.Unhealthy...)
+			byMove[id] = sum
+			for _, d := range impact.UnhealthyBefore {
+				unhealthyBefore[d] = true
+			}
+		}
+	}
+	return byMove, unhealthyBefore
+}
+
+// stopMeasure is a share of webhooks that may stop a plan.
+type stopMeasure struct {
+	name  string
+	limit float64 // below 0: not checked
+	count func(Outcomes) uint64
+}
+
+func stopMeasures(c planfile.StopConditions) []stopMeasure {
+	return []stopMeasure{
+		{"rejected", c.Rejected, func(o Outcomes) uint64 { return o.Rejected }},
+		{"dead-lettered", c.DeadLettered, func(o Outcomes) uint64 { return o.DeadLettered }},
+		{"late", c.Late, func(o Outcomes) uint64 { return o.Late }},
+	}
+}
+
+// degradation tells which of the file's conditions an impact meets to stop the plan, and where most of the impact was.
+// It returns "" if it meets none.
+func degradation(c planfile.StopConditions, impact Impact) string {
+	for _, measure := range stopMeasures(c) {
+		if reason := measure.exceeded(impact, c.Line); reason != "" {
+			return reason
+		}
+	}
+	if c.Unhealthy && len(impact.Unhealthy) > 0 {
+		first := impact.Unhealthy[0]
+		return fmt.Sprintf("destination %d went sick in range %d, which moves; line %d stops at that",
+			first.Destination, first.Range, c.Line)
+	}
+	return ""
+}
+
+// exceeded tells how a share exceeds what the file allows above the baseline, or returns "". A share counts once there
+// are so many webhooks that a single one is within the limit: one rejected of three says nothing of 2 in a hundred.
+func (m stopMeasure) exceeded(impact Impact, line int) string {
+	total := impact.During.Total
+	isTooFew := total == 0 || m.limit > 0 && float64(total)*m.limit < 1
+	if m.limit < 0 || isTooFew {
+		return ""
+	}
+	share := float64(m.count(impact.During)) / float64(total)
+	baseline := float64(m.count(impact.Baseline)) / float64(max(1, impact.Baseline.Total))
+	if share-baseline <= m.limit {
+		return ""
+	}
+	where := "the ranges that move"
+	if len(impact.Ranges) > 0 {
+		worst := slices.MaxFunc(impact.Ranges, func(a, b RangeImpact) int {
+			return cmp.Compare(m.count(a.During), m.count(b.During))
+		})
+		where = fmt.Sprintf("%s, most in range %d (%d of %d)", where, worst.Range, m.count(worst.During),
+			worst.During.Total)
+	}
+	return fmt.Sprintf("%.4g of webhooks %s in %s, %.4g before; line %d stops at %g more", share, m.name, where,
+		baseline, line, m.limit)
+}
--- /dev/null
+++ b/cluster/rebalance/impactmeter.go
@@ -0,0 +1,233 @@
+package rebalance
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+)
+
+// ImpactMeter is one member's count of how webhooks ended, by destination, and the moves that it saw begin. It has no
+// clock: its callers tell the time. It is not safe for concurrent use.
+type ImpactMeter struct {
+	incarnation  uint64     // of the process
+	windowLength api.Micros // a baseline is of the last one to two windows
+	windowEnd    api.Micros
+	destinations map[api.DestinationID]*destinationCount
+	moves        map[shardmap.MoveID]*moveRecord
+	hasGroups    bool // the map has, or had, groups of destinations that are hashed as one
+}
+
+// destinationCount is the outcomes of one destination since the start of the process: now, and when the last two
+// windows began.
+type destinationCount struct {
+	hash                                  cluster.KeyHash
+	current, windowStart, lastWindowStart Outcomes
+}
+
+// moveRecord is a move that was seen to begin.
+type moveRecord struct {
+	MonitoredMove
+	number    uint64                         // of the plan that asked; 0: none yet
+	counts    map[api.DestinationID]Outcomes // when the move began
+	baseline  Outcomes
+	unhealthy []api.DestinationID // when the move began
+	lastSeen  api.Micros          // when it was open, or asked for
+}
+
+// MonitoredMove is a move whose impact a coordinator asks for: that on its range, from when the move began.
+type MonitoredMove struct {
+	Move  shardmap.MoveID `cbor:"1,keyasint"`
+	Range cluster.RangeID `cbor:"2,keyasint"`
+	From  cluster.KeyHash `cbor:"3,keyasint"` // of the range
+	To    cluster.KeyHash `cbor:"4,keyasint"`
+}
+
+// RangeImpact is what one member measured in the range of a move, since the move began and before.
+type RangeImpact struct {
+	Move            shardmap.MoveID     `cbor:"1,keyasint"`
+	Range           cluster.RangeID     `cbor:"2,keyasint"`
+	During          Outcomes            `cbor:"3,keyasint"`
+	Baseline        Outcomes            `cbor:"4,keyasint"`
+	Unhealthy       []api.DestinationID `cbor:"5,keyasint,omitempty"`
+	UnhealthyBefore []api.DestinationID `cbor:"6,keyasint,omitempty"` // when the move began
+}
+
+// Report is a member's answer to a coordinator.
+type Report struct {
+	Incarnation uint64        `cbor:"1,keyasint"`
+	Ranges      []RangeImpact `cbor:"2,keyasint,omitempty"`
+}
+
+const (
+	// baselineTTLs is the length of a window in lease TTLs: a baseline reaches back eight to sixteen of them. That is
+	// long compared to a move, so that a few webhooks a second are enough, and short compared to the changes of load in
+	// a day. A move that nobody asks for is forgotten after the same time.
+	baselineTTLs = 8
+
+	// maxMonitoredMoves bounds the moves that a coordinator asks for: those that began last.
+	maxMonitoredMoves = 64
+)
+
+// NewImpactMeter returns a meter that has counted nothing. The incarnation is a random number of this start of the
+// process.
+func NewImpactMeter(incarnation uint64, leaseTTL, now api.Micros) *ImpactMeter {
+	window := baselineTTLs * leaseTTL
+	return &ImpactMeter{
+		incarnation:  incarnation,
+		windowLength: window,
+		windowEnd:    now + window,
+		destinations: map[api.DestinationID]*destinationCount{},
+		moves:        map[shardmap.MoveID]*moveRecord{},
+	}
+}
+
+// CountOutcomes adds outcomes of a destination's webhooks.
+func (t *ImpactMeter) CountOutcomes(d api.DestinationID, o Outcomes) {
+	c := t.destinations[d]
+	if c == nil {
+		c = &destinationCount{hash: cluster.Hash(d)}
+		t.destinations[d] = c
+	}
+	c.current = c.current.add(o)
+}
+
+// UnhealthyFunc returns the destinations of a range that this member, as the range's owner, holds to be unhealthy now.
+type UnhealthyFunc func(r shardmap.Range) []api.DestinationID
+
+// UnobservedMoves returns the ranges of open moves that ObserveMap has not seen yet.
+func (t *ImpactMeter) UnobservedMoves(m *shardmap.Map) (ranges []shardmap.Range) {
+	for _, r := range m.Ranges {
+		if r.Move.Open() && t.moves[r.Move.ID] == nil {
+			ranges = append(ranges, r)
+		}
+	}
+	return ranges
+}
+
+// ObserveMap begins to monitor moves that have begun, and forgets those that ended and that nobody asks for.
+func (t *ImpactMeter) ObserveMap(m *shardmap.Map, unhealthy UnhealthyFunc, now api.Micros) {
+	t.advanceWindow(now)
+	t.updateHashes(m)
+	for _, r := range m.Ranges {
+		if r.Move.Open() {
+			t.monitor(MonitoredMove{Move: r.Move.ID, Range: r.ID, From: r.From, To: r.To}, r, unhealthy, now)
+		}
+	}
+	maps.DeleteFunc(t.moves, func(_ shardmap.MoveID, move *moveRecord) bool {
+		return now-move.lastSeen > t.windowLength
+	})
+}
+
+func (t *ImpactMeter) advanceWindow(now api.Micros) {
+	if now < t.windowEnd {
+		return
+	}
+	t.windowEnd = now + t.windowLength
+	for _, c := range t.destinations {
+		c.lastWindowStart, c.windowStart = c.windowStart, c.current
+	}
+}
+
+// updateHashes takes the hashes of destinations from the map, once it has any that are hashed as a group.
+func (t *ImpactMeter) updateHashes(m *shardmap.Map) {
+	t.hasGroups = t.hasGroups || len(m.Groups) > 0
+	if !t.hasGroups {
+		return
+	}
+	for d, c := range t.destinations {
+		c.hash = m.Key(d)
+	}
+}
+
+func (t *ImpactMeter) monitor(what MonitoredMove, r shardmap.Range, unhealthy UnhealthyFunc,
+	now api.Micros) *moveRecord {
+	move := t.moves[what.Move]
+	if move == nil {
+		move = &moveRecord{MonitoredMove: what}
+		t.moves[what.Move] = move
+		for _, c := range t.destinations {
+			if move.contains(c) {
+				move.baseline = move.baseline.add(c.current.since(c.lastWindowStart))
+			}
+		}
+		t.restart(move, r, unhealthy)
+	}
+	move.lastSeen = now
+	return move
+}
+
+// restart counts a move's impact from now on.
+func (t *ImpactMeter) restart(move *moveRecord, r shardmap.Range, unhealthy UnhealthyFunc) {
+	move.counts, move.unhealthy = map[api.DestinationID]Outcomes{}, unhealthy(r)
+	for d, c := range t.destinations {
+		if move.contains(c) {
+			move.counts[d] = c.current
+		}
+	}
+}
+
+func (m *MonitoredMove) contains(c *destinationCount) bool { return m.From <= c.hash && c.hash <= m.To }
+
+// Report answers a coordinator that runs the plan of a number. The count restarts for another plan, which is not to
+// blame for what an earlier one did; the baseline stays.
+func (t *ImpactMeter) Report(number uint64, moves []MonitoredMove, m *shardmap.Map, unhealthy UnhealthyFunc,
+	now api.Micros) Report {
+	report := Report{Incarnation: t.incarnation}
+	for _, what := range moves[:min(len(moves), maxMonitoredMoves)] { // a message may hold any number
+		r, _ := m.Get(what.Range)
+		move := t.monitor(what, r, unhealthy, now)
+		if move.number != number && move.number != 0 {
+			t.restart(move, r, unhealthy)
+		}
+		move.number = number
+		if impact := t.rangeImpact(move, unhealthy(r)); !impact.isEmpty() {
+			report.Ranges = append(report.Ranges, impact)
+		}
+	}
+	return report
+}
+
+func (t *ImpactMeter) rangeImpact(move *moveRecord, unhealthy []api.DestinationID) RangeImpact {
+	impact := RangeImpact{
+		Move:            move.Move,
+		Range:           move.Range,
+		Baseline:        move.baseline,
+		Unhealthy:       unhealthy,
+		UnhealthyBefore: move.unhealthy,
+	}
+	for d, c := range t.destinations {
+		if move.contains(c) {
+			impact.During = impact.During.add(c.current.since(move.counts[d]))
+		}
+	}
+	return impact
+}
+
+func (i RangeImpact) isEmpty() bool {
+	return i.During == (Outcomes{}) && i.Baseline == (Outcomes{}) && len(i.Unhealthy)+len(i.UnhealthyBefore) == 0
+}
+
+// MonitoredMoves returns the moves whose impact counts for the running plan: those that it has begun, also when they
+// are done, since the impact of a move shows after it. There are none once the plan is stopped or done, or if its file
+// has no stop conditions.
+func (p *Progress) MonitoredMoves(f *planfile.File, m *shardmap.Map) (moves []MonitoredMove) {
+	isDone := p.DoneSteps() == len(p.Steps)
+	if isDone || p.StopReason != "" || f.StopConditions.Line == 0 {
+		return nil
+	}
+	for k, s := range p.Steps {
+		if s.Move == 0 || s.Kind == StepRollBack || p.States[k] == Pending {
+			continue
+		}
+		if r, ok := m.Get(s.Range); ok {
+			moves = append(moves, MonitoredMove{Move: s.Move, Range: r.ID, From: r.From, To: r.To})
+		}
+	}
+	slices.SortStableFunc(moves, func(a, b MonitoredMove) int { return cmp.Compare(b.Move, a.Move) })
+	return moves[:min(len(moves), maxMonitoredMoves)]
+}
--- /dev/null
+++ b/cluster/rebalance/infeasible.go
@@ -0,0 +1,105 @@
+package rebalance
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"rowanlink/cluster/rebalance/planfile"
+)
+
+// infeasibleError tells which ranges find no place: those on the source's side of a minimum cut of the network, with
+// the members that they are bound to and the rules that bind them.
+func (a *assignment) infeasibleError() error {
+	reached := a.net.SourceSide()
+	ranges := a.reachedRanges(reached)
+	reasons := a.describeRules(ranges, nil)
+	line := 0
+	for _, i := range slices.Backward(ranges) {
+		if rules := a.constraints[i].rules; len(rules) > 0 {
+			line = a.file.Rules[rules[0]].Line
+		}
+	}
+	for k := range a.file.Rules {
+		r := &a.file.Rules[k]
+		switch r.Kind {
+		case planfile.Drain:
+			reasons = append(reasons, fmt.Sprintf("%q leaves by line %d", r.Member, r.Line))
+		case planfile.Dedicated:
+			reasons = append(reasons, fmt.Sprintf("%q is alone by line %d", r.Member, r.Line))
+		default:
+			continue
+		}
+		line = cmp.Or(line, r.Line)
+	}
+	capacity := 0
+	var fullMembers []string
+	for m, member := range a.members {
+		if !reached[a.memberNode[m]] || !a.stays[m] {
+			continue
+		}
+		capacity += member.Capacity
+		line = cmp.Or(line, member.Line)
+		fullMembers = append(fullMembers,
+			fmt.Sprintf("%q (line %d) has room for %d", member.ID, member.Line, member.Capacity))
+	}
+	if len(fullMembers) == 0 {
+		fullMembers = []string{"no member may have them"}
+	}
+	text := fmt.Sprintf("%d ranges have to share %d places: %s", len(ranges), capacity, planfile.JoinSome(fullMembers))
+	if len(reasons) > 0 {
+		text += "; " + planfile.JoinSome(reasons)
+	}
+	return a.file.Errorf(cmp.Or(line, a.members[0].Line), "%s", text)
+}
+
+// reachedRanges returns the ranges whose node is reached, sorted.
+func (a *assignment) reachedRanges(reached []bool) []int {
+	var ranges []int
+	for _, group := range a.groups {
+		if reached[group.node] {
+			ranges = append(ranges, group.ranges...)
+		}
+	}
+	for _, s := range a.singles {
+		if reached[s.node] {
+			ranges = append(ranges, s.rangeIndex)
+		}
+	}
+	slices.Sort(ranges)
+	return ranges
+}
+
+// describeRules names the rules that select some ranges, but for one. If there are none besides that one, it names
+// all that could be in its way.
+func (p *problem) describeRules(ranges []int, except *planfile.Rule) []string {
+	var rules []int
+	for _, i := range ranges {
+		rules = append(rules, p.constraints[i].rules...)
+	}
+	slices.Sort(rules)
+	var texts []string
+	for _, k := range slices.Compact(rules) {
+		if rule := &p.file.Rules[k]; rule != except {
+			texts = append(texts, describeRule(rule))
+		}
+	}
+	if texts != nil || except == nil {
+		return texts
+	}
+	for k := range p.file.Rules {
+		if rule := &p.file.Rules[k]; rule.Kind != planfile.AntiAffinity && rule != except {
+			texts = append(texts, describeRule(rule))
+		}
+	}
+	for _, member := range p.members {
+		if member.Capacity > 0 {
+			texts = append(texts, fmt.Sprintf("room of %q in line %d", member.ID, member.Line))
+		}
+	}
+	return texts
+}
+
+func describeRule(rule *planfile.Rule) string {
+	return fmt.Sprintf("%s %q in line %d", rule.Kind, rule.Name, rule.Line)
+}
--- /dev/null
+++ b/cluster/rebalance/mincostflow/network.go
@@ -0,0 +1,222 @@
+// Package mincostflow finds a maximum flow of minimum cost through a network whose arcs have integral capacities and
+// convex costs: the cost of an arc's units may rise from unit to unit, but never fall.
+//
+// The algorithm is that of successive shortest paths with node potentials (Edmonds and Karp 1972; Ahuja, Magnanti and
+// Orlin, "Network Flows", 1993, section 9.7, and 14.5 for convex costs), which is exact for such costs. Between two
+// searches for shortest paths, units go along all paths of that length, as in Dinic's algorithm. gonum has no such
+// search.
+package mincostflow
+
+import (
+	"math"
+
+	"rowanlink/internal/timerqueue"
+)
+
+// Source and Sink are the nodes that each network has from the beginning.
+const (
+	Source = 0
+	Sink   = 1
+)
+
+// Network is a network of nodes and arcs, and the flow through it.
+type Network struct {
+	arcs     []arc
+	residual [][]residualArc // by node, those that leave it
+
+	potential []int64 // by node; no residual arc has a negative reduced cost
+	distance  []int64 // by node, from the source in reduced costs
+	visited   []bool  // by node, in one search for an augmenting path
+	current   []int   // by node, the residual arc that the search goes on with
+}
+
+type arc struct {
+	from, to int32
+	flow     int
+	capacity int
+	flatCost int64
+	unitCost func(unit int) int64 // of units from 0 on; nil: flatCost
+}
+
+// residualArc is 2*arc for the way along an arc, and 2*arc+1 for the way back.
+type residualArc int32
+
+func (r residualArc) arc() int         { return int(r / 2) }
+func (r residualArc) isBackward() bool { return r%2 == 1 }
+
+// New returns a network of the source and the sink.
+func New() *Network { return &Network{residual: make([][]residualArc, 2)} }
+
+// AddNode adds a node and returns its index.
+func (n *Network) AddNode() int {
+	n.residual = append(n.residual, nil)
+	return len(n.residual) - 1
+}
+
+// AddArc adds an arc whose units cost the same each, and returns its index. The cost must not be negative.
+func (n *Network) AddArc(from, to, capacity int, cost int64) int {
+	return n.add(arc{from: int32(from), to: int32(to), capacity: capacity, flatCost: cost})
+}
+
+// AddConvexArc adds an arc whose units, counted from 0, cost what a function returns for each, and returns its index.
+// The costs must not be negative, nor fall from unit to unit.
+func (n *Network) AddConvexArc(from, to, capacity int, unitCost func(unit int) int64) int {
+	return n.add(arc{from: int32(from), to: int32(to), capacity: capacity, unitCost: unitCost})
+}
+
+func (n *Network) add(a arc) int {
+	k := len(n.arcs)
+	n.arcs = append(n.arcs, a)
+	n.residual[a.from] = append(n.residual[a.from], residualArc(2*k))
+	n.residual[a.to] = append(n.residual[a.to], residualArc(2*k+1))
+	return k
+}
+
+// Flow returns the units that go along an arc.
+func (n *Network) Flow(arc int) int { return n.arcs[arc].flow }
+
+// Cost returns the cost of the flow.
+func (n *Network) Cost() (sum int64) {
+	for k := range n.arcs {
+		a := &n.arcs[k]
+		if a.unitCost == nil {
+			sum += int64(a.flow) * a.flatCost
+			continue
+		}
+		for unit := range a.flow {
+			sum += a.unitCost(unit)
+		}
+	}
+	return sum
+}
+
+// follow returns where a residual arc leads, what the next unit along it costs, and whether there is capacity for one.
+func (n *Network) follow(r residualArc) (to int32, cost int64, hasCapacity bool) {
+	a := &n.arcs[r.arc()]
+	unit, sign := a.flow, int64(1)
+	to, hasCapacity = a.to, a.flow < a.capacity
+	if r.isBackward() {
+		unit, sign = a.flow-1, -1
+		to, hasCapacity = a.from, a.flow > 0
+	}
+	if !hasCapacity {
+		return to, 0, false
+	}
+	if a.unitCost == nil {
+		return to, sign * a.flatCost, true
+	}
+	return to, sign * a.unitCost(unit), true
+}
+
+// Solve sends as many units as possible from the source to the sink, as cheaply as possible, and returns how many.
+func (n *Network) Solve() (units int) {
+	nodes := len(n.residual)
+	n.potential, n.distance = make([]int64, nodes), make([]int64, nodes)
+	n.visited, n.current = make([]bool, nodes), make([]int, nodes)
+	for n.updatePotentials() {
+		for {
+			clear(n.visited)
+			sent := n.augment(Source, math.MaxInt)
+			if sent == 0 {
+				break
+			}
+			units += sent
+		}
+	}
+	return units
+}
+
+// updatePotentials makes the residual arcs of the shortest paths to the sink have a reduced cost of 0 (Dijkstra's
+// algorithm). It returns false if no path is left.
+func (n *Network) updatePotentials() bool {
+	for i := range n.distance {
+		n.distance[i], n.current[i] = math.MaxInt64, 0
+	}
+	n.distance[Source] = 0
+	var queue timerqueue.Times[int32]
+	queue.Add(0, Source)
+	for queue.Len() > 0 {
+		distance, _ := queue.Next()
+		node, _ := queue.Take(distance)
+		if distance > n.distance[node] || distance >= n.distance[Sink] {
+			continue
+		}
+		for _, r := range n.residual[node] {
+			to, cost, hasCapacity := n.follow(r)
+			if !hasCapacity {
+				continue
+			}
+			next := distance + cost + n.potential[node] - n.potential[to]
+			if next < n.distance[to] && next < n.distance[Sink] {
+				n.distance[to] = next
+				queue.Add(next, to)
+			}
+		}
+	}
+	if n.distance[Sink] == math.MaxInt64 {
+		return false
+	}
+	for i := range n.potential {
+		n.potential[i] += min(n.distance[i], n.distance[Sink])
+	}
+	return true
+}
+
+// augment sends at most limit units from a node to the sink along residual arcs of reduced cost 0, depth first, and
+// returns how many it sent.
+func (n *Network) augment(node int32, limit int) int {
+	if node == Sink {
+		return limit
+	}
+	n.visited[node] = true
+	for ; n.current[node] < len(n.residual[node]); n.current[node]++ {
+		r := n.residual[node][n.current[node]]
+		to, cost, hasCapacity := n.follow(r)
+		if !hasCapacity || n.visited[to] || cost+n.potential[node]-n.potential[to] != 0 {
+			continue
+		}
+		sent := n.augment(to, min(limit, n.unitsAtSameCost(r)))
+		if sent == 0 {
+			continue
+		}
+		if r.isBackward() {
+			n.arcs[r.arc()].flow -= sent
+		} else {
+			n.arcs[r.arc()].flow += sent
+		}
+		return sent
+	}
+	return 0
+}
+
+// unitsAtSameCost returns how many units can go at the next one's cost, or 1 where that is not known.
+func (n *Network) unitsAtSameCost(r residualArc) int {
+	a := &n.arcs[r.arc()]
+	switch {
+	case a.unitCost != nil:
+		return 1
+	case r.isBackward():
+		return a.flow
+	}
+	return a.capacity - a.flow
+}
+
+// SourceSide returns, by node, whether the source still reaches it by residual arcs: after Solve, its side of a
+// minimum cut, which tells why no more units can go.
+func (n *Network) SourceSide() []bool {
+	reached := make([]bool, len(n.residual))
+	reached[Source] = true
+	stack := []int32{Source}
+	for len(stack) > 0 {
+		node := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		for _, r := range n.residual[node] {
+			to, _, hasCapacity := n.follow(r)
+			if hasCapacity && !reached[to] {
+				reached[to] = true
+				stack = append(stack, to)
+			}
+		}
+	}
+	return reached
+}
--- a/cluster/rebalance/order_test.go
+++ b/cluster/rebalance/order_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 )
 
 // puzzle is a small fleet where each range is pinned, so that only the order is open.
@@ -133,7 +134,7 @@
 
 func (p puzzle) solve(t *rapid.T) {
 	w := newWorld(t, p.homes()...)
-	f, err := ParseFile([]byte(p.text()), "f.hcl")
+	f, err := planfile.Parse([]byte(p.text()), "f.hcl")
 	require.NoError(t, err)
 	made, err := NewPlan(f, w.m, nil)
 	for m, room := range p.room {
--- a/cluster/rebalance/pieces_test.go
+++ b/cluster/rebalance/pieces_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 )
@@ -50,7 +51,7 @@
 }
 
 // held tells whether the rules hold where ranges and destinations are on members, read off the file.
-func (f *File) held(whole []int, of map[api.DestinationID]int) bool {
+func satisfies(f *planfile.File, whole []int, of map[api.DestinationID]int) bool {
 	has := make([]int, len(f.Members))
 	for _, m := range whole {
 		has[m]++
@@ -65,17 +66,17 @@
 		for n, d := range r.Selector.Destinations {
 			m := f.Members[of[d]]
 			mine[d] = true
-			if (r.Kind == Pin || r.Kind == Dedicated) && m.ID != r.Member {
+			if (r.Kind == planfile.Pin || r.Kind == planfile.Dedicated) && m.ID != r.Member {
 				return false
 			}
 			for _, o := range r.Selector.Destinations[:n] {
-				if w := f.Members[of[o]]; r.Kind == AntiAffinity && (w.ID == m.ID || r.ByZone && w.Zone == m.Zone) {
+				if w := f.Members[of[o]]; r.Kind == planfile.AntiAffinity && (w.ID == m.ID || r.ByZone && w.Zone == m.Zone) {
 					return false
 				}
 			}
 		}
 		for m, v := range f.Members {
-			if v.ID != r.Member || r.Kind != Drain && r.Kind != Dedicated {
+			if v.ID != r.Member || r.Kind != planfile.Drain && r.Kind != planfile.Dedicated {
 				continue
 			}
 			for d, at := range of {
@@ -98,7 +99,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 3).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "ranges")
 		text := placed(t, members)
-		f, err := ParseFile([]byte(text), "f.hcl")
+		f, err := planfile.Parse([]byte(text), "f.hcl")
 		if err != nil {
 			return
 		}
@@ -132,7 +133,7 @@
 			}
 		}
 		least, near, found := uint64(math.MaxUint64), math.MaxInt, false
-		work := newTask(f, &before, told)
+		work := newProblem(f, &before, told)
 		spans := partsOf(f, n)
 		whole, of := make([]int, n), map[api.DestinationID]int{}
 		for k := 0; k < int(math.Pow(float64(members), float64(n+len(all)))); k++ {
@@ -143,13 +144,13 @@
 			for _, d := range all {
 				of[d], rest = rest%members, rest/members
 			}
-			if !f.held(whole, of) {
+			if !satisfies(f, whole, of) {
 				continue
 			}
 			cost := uint64(0)
 			for i, m := range whole {
 				if m != home[i] {
-					cost += work.told[i]
+					cost += work.keyCounts[i]
 				}
 			}
 			if is := far(spans, whole); is < near || is == near && cost < least {
@@ -172,17 +173,17 @@
 		require.LessOrEqual(t, p.MovedKeys, least+slack+over, "%s", text)
 		w.settle(t)
 		var ends []int
-		for i, h := range heads(w.m.Ranges) {
+		for i, h := range baseIndexes(w.m.Ranges) {
 			if h == i {
-				ends = append(ends, w.file.index(w.m.Ranges[i].Home))
+				ends = append(ends, memberIndex(w.file, w.m.Ranges[i].Home))
 			}
 		}
 		for _, d := range all {
 			r, _ := w.m.Of(cluster.Hash(d))
-			require.True(t, oneHash(r))
-			of[d] = w.file.index(r.Home)
+			require.True(t, isSingleHash(r))
+			of[d] = memberIndex(w.file, r.Home)
 		}
-		require.True(t, w.file.held(ends, of), "%v %v in\n%s", ends, of, text)
+		require.True(t, satisfies(w.file, ends, of), "%v %v in\n%s", ends, of, text)
 		require.Equal(t, near, far(spans, ends), "distance from the parts in\n%s", text)
 		again, err := NewPlan(w.file, w.m, nil)
 		require.NoError(t, err)
@@ -202,7 +203,7 @@
 	})
 }
 
-func (f *File) index(id cluster.MemberID) int {
+func memberIndex(f *planfile.File, id cluster.MemberID) int {
 	for m := range f.Members {
 		if f.Members[m].ID == id {
 			return m
@@ -212,11 +213,11 @@
 }
 
 // partsOf is the members' parts of n ranges: what rules name is no range of theirs.
-func partsOf(f *File, n int) []span {
+func partsOf(f *planfile.File, n int) []quota {
 	even, _ := shardmap.Even(n, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
-	t := newTask(f, &shardmap.Map{Ranges: even}, nil)
+	t := newProblem(f, &shardmap.Map{Ranges: even}, nil)
 	for m, v := range f.Members {
-		t.alone[m] = f.about(Dedicated, v.ID)
+		t.dedicated[m] = f.FindRule(planfile.Dedicated, v.ID)
 	}
-	return t.shares()
+	return t.quotas()
 }
--- /dev/null
+++ b/cluster/rebalance/placement.go
@@ -0,0 +1,175 @@
+package rebalance
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"rowanlink/cluster/rebalance/planfile"
+)
+
+// maxAttempts bounds the networks solved for ranges with anti-affinity by zone or by several rules. Other plans need
+// one.
+const maxAttempts = 200
+
+// candidate is a placement of all ranges that some anti-affinity rules may not allow yet.
+type candidate struct {
+	target    []int // by range
+	cost      int64
+	forbidden map[placement]bool
+}
+
+// placementSearch is a branch-and-bound search: where a solution of the network brings together two ranges with
+// anti-affinity, one or the other is forbidden its place.
+type placementSearch struct {
+	*problem
+	quotas     []quota
+	attempts   int
+	infeasible error // why there is no solution even without anti-affinity
+}
+
+func (s *placementSearch) solve(forbidden map[placement]bool) (candidate, bool) {
+	s.attempts++
+	a := s.newAssignment(s.quotas, forbidden)
+	target, cost, ok := a.solve()
+	if !ok && len(forbidden) == 0 {
+		s.infeasible = a.infeasibleError()
+	}
+	return candidate{target: target, cost: cost, forbidden: forbidden}, ok
+}
+
+// choosePlacement finds a member for each range by the rules: as near to the members' quotas as possible, and then
+// with as few keys moved as possible. isOptimal tells whether that is proven.
+func (p *problem) choosePlacement() (best candidate, isOptimal bool, err error) {
+	s := &placementSearch{problem: p, quotas: p.quotas()}
+	root, ok := s.solve(nil)
+	if !ok {
+		return root, false, s.infeasible
+	}
+	best, found := s.findFirst(root)
+	open := []candidate{root}
+	for len(open) > 0 && s.attempts < maxAttempts {
+		next := cheapest(open)
+		c := open[next]
+		open = slices.Delete(open, next, next+1)
+		if found && c.cost >= best.cost {
+			return best, true, nil
+		}
+		conflicts := s.conflicts(c.target)
+		if len(conflicts) == 0 {
+			return c, true, nil
+		}
+		first := conflicts[0]
+		for _, p := range [...]placement{first.stronger, first.weaker} {
+			if child, ok := s.solve(s.forbid(c.forbidden, first.rule, p)); ok {
+				open = append(open, child)
+			}
+		}
+	}
+	if !found {
+		return best, false, s.antiAffinityError(root, len(open) > 0)
+	}
+	return best, len(open) == 0, nil
+}
+
+// findFirst forbids the weaker placement of each conflict until there is none. What it finds bounds the search.
+func (s *placementSearch) findFirst(root candidate) (first candidate, found bool) {
+	for c, ok := root, true; ok && s.attempts < maxAttempts/2; {
+		conflicts := s.conflicts(c.target)
+		if len(conflicts) == 0 {
+			return c, true
+		}
+		forbidden := maps.Clone(c.forbidden)
+		for _, conflict := range conflicts {
+			forbidden = s.forbid(forbidden, conflict.rule, conflict.weaker)
+		}
+		c, ok = s.solve(forbidden)
+	}
+	return candidate{}, false
+}
+
+// cheapest returns the index of the first candidate of the least cost.
+func cheapest(candidates []candidate) int {
+	best := 0
+	for k := range candidates {
+		if candidates[k].cost < candidates[best].cost {
+			best = k
+		}
+	}
+	return best
+}
+
+// conflict is two ranges that an anti-affinity rule doesn't allow in one place.
+type conflict struct {
+	rule             int
+	stronger, weaker placement // by preference
+}
+
+func (p *problem) conflicts(target []int) (found []conflict) {
+	for k := range p.file.Rules {
+		rule := &p.file.Rules[k]
+		if rule.Kind != planfile.AntiAffinity {
+			continue
+		}
+		rangeIn := map[string]int{} // by place, the range that stays there
+		for _, i := range p.selected[k] {
+			place := p.antiAffinityPlace(rule, target[i])
+			other, isTaken := rangeIn[place]
+			if !isTaken {
+				rangeIn[place] = i
+				continue
+			}
+			if p.preference(i, target[i]) > p.preference(other, target[other]) {
+				rangeIn[place] = i
+				other, i = i, other
+			}
+			found = append(found, conflict{
+				rule:     k,
+				stronger: placement{other, target[other]},
+				weaker:   placement{i, target[i]},
+			})
+		}
+	}
+	return found
+}
+
+// preference ranks the reasons that a range has for staying on a member: a pin, its owner (by keys), a zone.
+func (p *problem) preference(i, member int) int64 {
+	switch c := p.constraints[i]; {
+	case c.pin != nil:
+		return 1 << 62
+	case p.owner[i] == member:
+		return 1<<60 + p.weights[i]
+	case c.zone != nil:
+		return 1 << 59
+	}
+	return 0
+}
+
+// forbid returns the forbidden placements with one more: with all of its zone, if the rule is by zone.
+func (p *problem) forbid(forbidden map[placement]bool, rule int, what placement) map[placement]bool {
+	next := maps.Clone(forbidden)
+	if next == nil {
+		next = map[placement]bool{}
+	}
+	for m := range p.members {
+		isSameZone := p.members[m].Zone == p.members[what.member].Zone
+		if m == what.member || p.file.Rules[rule].ByZone && isSameZone {
+			next[placement{what.rangeIndex, m}] = true
+		}
+	}
+	return next
+}
+
+func (p *problem) antiAffinityError(root candidate, gaveUp bool) error {
+	c := p.conflicts(root.target)[0]
+	rule := &p.file.Rules[c.rule]
+	text := "no way was found"
+	if gaveUp {
+		text = fmt.Sprintf("no way was found in %d tries", maxAttempts)
+	}
+	stronger, weaker := c.stronger.rangeIndex, c.weaker.rangeIndex
+	others := p.describeRules([]int{stronger, weaker}, rule)
+	return p.file.Errorf(rule.Line, "apart %q: %s to part %s and %s beside the other rules (%s)", rule.Name, text,
+		p.describeRange(stronger, rule), p.describeRange(weaker, rule), planfile.JoinSome(others))
+}
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -1,3 +1,8 @@
+// Package rebalance moves key ranges between the members of the cluster as a plan file states (package planfile). It
+// holds the planner, which chooses each range's member and orders the moves there; the progress of the running plan,
+// which is replicated in the raft log; the scheduler, which says what the coordinator has to do next; and the impact
+// of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/fleet.md, "The plan language",
+// has the reasons.
 package rebalance
 
 import (
@@ -5,209 +10,139 @@
 	"slices"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 )
 
-// StepKind is what a step does.
+// StepKind tells what a step does. The values are stored in the raft log.
 type StepKind uint8
 
+// The kinds of steps.
 const (
-	StepMove     StepKind = iota + 1 // a move to where the range shall be
-	StepDetour                       // a move to a free place, since all that shall change places are full
-	StepContinue                     // a move that was under way and goes on
-	StepRollBack                     // a move that was under way and goes back
-	StepSplit                        // no move: what lies from At on becomes range Other
-	StepMerge                        // no move: range Other becomes a part of Range
+	StepMove     StepKind = iota + 1 // a move to the range's target
+	StepDetour                       // a move to free capacity elsewhere, since all that exchange ranges are full
+	StepContinue                     // a move that was in flight before the plan and goes on
+	StepRollBack                     // a move that was in flight before the plan and is rolled back
+	StepSplit                        // no move: what lies from SplitKey on becomes range OtherRange
+	StepMerge                        // no move: range OtherRange becomes a part of Range
 )
 
-// Step is one move. It may start once each step of Needs is through, and each step that has a rule of After.
+// movesRange reports whether steps of a kind move a range to their target.
+func (k StepKind) movesRange() bool { return k == StepMove || k == StepDetour || k == StepContinue }
+
+// wasInFlight reports whether steps of a kind are moves that began before the plan.
+func (k StepKind) wasInFlight() bool { return k == StepContinue || k == StepRollBack }
+
+// reshapes reports whether steps of a kind split or merge ranges.
+func (k StepKind) reshapes() bool { return k == StepSplit || k == StepMerge }
+
+// Step is one move, split or merge. It may start once each step of DependsOn is done, and each step that has a rule of
+// AfterRules.
 type Step struct {
-	Range      cluster.RangeID  `cbor:"1,keyasint"`
+	Range      cluster.RangeID  `cbor:"1,keyasint"` // 0: of an owner that was lost, only to be cleared
 	From       cluster.MemberID `cbor:"2,keyasint"`
 	To         cluster.MemberID `cbor:"3,keyasint"`
 	Kind       StepKind         `cbor:"4,keyasint"`
-	Move       shardmap.MoveID  `cbor:"5,keyasint,omitempty"` // Kept and Back; of others once it has begun
+	Move       shardmap.MoveID  `cbor:"5,keyasint,omitempty"` // set for moves that have begun
 	DependsOn  []Dependency     `cbor:"6,keyasint,omitempty"`
-	Rules      []int            `cbor:"7,keyasint,omitempty"` // by which it moves: indexes of File.Rules
-	AfterRules []int            `cbor:"8,keyasint,omitempty"`
+	Rules      []int            `cbor:"7,keyasint,omitempty"` // indexes of the file's rules by which the range moves
+	AfterRules []int            `cbor:"8,keyasint,omitempty"` // indexes of rules
 	Keys       uint64           `cbor:"9,keyasint"`
 	SplitKey   cluster.KeyHash  `cbor:"10,keyasint,omitempty"`
 	OtherRange cluster.RangeID  `cbor:"11,keyasint,omitempty"`
 }
 
-// Dependency is an earlier step that has to be through, and why.
+// Dependency is an earlier step that has to be done, and why.
 type Dependency struct {
 	Step   int              `cbor:"1,keyasint"`
 	Reason DependencyReason `cbor:"2,keyasint"`
 }
 
+// DependencyReason tells why a step depends on another. The values are stored in the raft log.
 type DependencyReason uint8
 
+// The reasons for dependencies.
 const (
-	CapacityFreed DependencyReason = iota + 1 // the place at To is the one it frees
-	SameRange                                 // it moves the same range
-	RangeBoundary                             // it splits the range off, or has to be through before it is merged
+	CapacityFreed DependencyReason = iota + 1 // the earlier step frees the capacity that this one uses
+	SameRange                                 // both move one range
+	RangeBoundary                             // the range is split off by the earlier step, or merged once that is done
 )
 
-// Plan is the steps from one map to what the file states. Each needs earlier ones only.
+// Plan is the steps from one map to what the file states. Each step depends on earlier ones only.
 type Plan struct {
-	Version         cluster.Version
+	Version         cluster.Version // of the map
 	Steps           []Step
-	TotalKeys       uint64 // in all ranges; where nothing was told, parts of the hashes
-	MovedKeys       uint64 // keys moved, twice for a range that makes a stop-over
-	MinMovedKeys    uint64 // keys that have to move at the least, if each member shall be as near to its part
-	Optimal         bool   // Least is that, not only what rules send away from where it is
+	TotalKeys       uint64 // in all ranges; where the counts aren't known, parts of the hashes
+	MovedKeys       uint64 // twice for a range that makes a detour
+	MinMovedKeys    uint64 // keys that any plan moves which is as near to the members' quotas
+	Optimal         bool   // MinMovedKeys is that, and not only what rules force away from where it is
 	RangesPerMember map[cluster.MemberID]int
 }
 
-// NewPlan finds where each range shall be and orders the moves there. keys tells how many a range has; nil:
-// ranges count by their part of the hashes. An error is one line, and names both lines where two contradict
-// each other.
+// NewPlan chooses where each range shall be and orders the moves there. keys returns how many keys a range has; if it
+// is nil, ranges count by their part of the hashes. An error is one line, and names both lines where two contradict
+// each other; it is a *RangeMovingError if a range that moves has to be split first.
 //
-// What is minimised is first how far members are from their parts by weight, then the keys moved, then the
-// moves. The first two are proven to be least, unless ranges are held apart by zone or by several rules at
-// once and the search for those ends early. Stop-overs come on top: one for each ring of full members, of few
-// keys.
-func NewPlan(f *File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
+// The plan minimises first the members' distance from their quotas by weight, then the keys moved, then the moves. The
+// first two are proven to be minimal, unless ranges have anti-affinity by zone or by several rules at once and the
+// search for those ends early. Detours come on top: one, of few keys, for each set of full members that exchange
+// ranges.
+func NewPlan(f *planfile.File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
 		return nil, fmt.Errorf("%s:1: there is no map of ranges yet", f.Name)
 	}
-	cuts, after, err := f.cuts(m)
+	splits, after, err := neededSplits(f, m)
 	if err != nil {
 		return nil, err
 	}
-	keys = shared(keys, m, after, cuts)
-	m = after
-	t := newTask(f, m, keys)
-	if err := t.resolve(); err != nil {
+	p := newProblem(f, after, splitKeyCounts(keys, m, after, splits))
+	if err := p.applyRules(); err != nil {
 		return nil, err
 	}
-	c, proven, err := t.choose()
+	chosen, isOptimal, err := p.choosePlacement()
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{Version: m.Version, Optimal: proven, RangesPerMember: map[cluster.MemberID]int{}}
-	for i, to := range c.to {
-		p.TotalKeys += t.told[i]
-		if t.whole(i) {
-			p.RangesPerMember[t.members[to].ID]++
-		}
-		if _, may := t.may(i); to != t.home[i] && (proven || !slices.Contains(may, t.home[i])) {
-			p.MinMovedKeys += t.told[i]
-		}
-	}
-	o := t.order(m, c.to)
-	if err := o.run(); err != nil {
+	s := p.newSequencer(after, chosen.target)
+	if err := s.run(); err != nil {
 		return nil, err
 	}
-	p.Steps = t.reshaped(o.steps(), cuts, c.to)
-	for _, s := range p.Steps {
-		if s.Kind < StepRollBack && !(s.Kind == StepContinue && t.homeIs(s)) {
-			p.MovedKeys += s.Keys
-		}
+	plan := &Plan{
+		Version:         after.Version,
+		Steps:           p.addReshapes(s.steps(), splits, chosen.target),
+		Optimal:         isOptimal,
+		RangesPerMember: map[cluster.MemberID]int{},
 	}
-	return p, nil
-}
-
-func (t *task) homeIs(s Step) bool {
-	i, known := t.rangeAt[s.Range]
-	return known && t.ranges[i].Home == s.To
-}
-
-// move is a move on its way to become a step, by index of range and members.
-type move struct {
-	of, from, to int
-	way          StepKind
-	id           shardmap.MoveID
-	rules        []int
-	forced       bool // a rule wants it; others only balance
-}
-
-// order is the search for an order: what has to be through first, the moves to order, and places.
-type order struct {
-	*task
-	names  []cluster.MemberID // of members, those too that the file doesn't have
-	head   []move             // under way: they end by themselves
-	moves  []move
-	free   []int // places at each member once the head is through; below 0: it has more than its room
-	start  []int // the same before the head is through
-	serial []int // the order found: indexes of moves
-	to     []int // where each range shall be
-
-	goesBefore [][]int // by rule, all rules that go before it
+	p.summarize(plan, chosen.target)
+	return plan, nil
 }
 
-const unbounded = 1 << 30
-
-func (t *task) order(m *shardmap.Map, to []int) *order {
-	o := &order{task: t, to: to}
-	index := map[cluster.MemberID]int{}
-	beside := map[cluster.MemberID]int{} // of pieces, which take no room
-	at := func(id cluster.MemberID, of map[cluster.MemberID]int) int {
-		k, known := of[id]
-		if !known {
-			k = len(o.names)
-			of[id], o.names = k, append(o.names, id)
-			o.free = append(o.free, unbounded)
-			if k < len(t.members) && t.members[k].Capacity > 0 {
-				o.free[k] = t.members[k].Capacity
-			}
+// summarize counts the keys and ranges of a plan.
+func (p *problem) summarize(plan *Plan, target []int) {
+	for i, to := range target {
+		plan.TotalKeys += p.keyCounts[i]
+		if p.isBase(i) {
+			plan.RangesPerMember[p.members[to].ID]++
 		}
-		return k
-	}
-	for _, v := range t.members {
-		at(v.ID, index)
-	}
-	for i, r := range t.ranges {
-		of := index
-		if !t.whole(i) {
-			of = beside
-		}
-		home, real, goal := at(r.Home, of), at(r.Home, index), t.members[to[i]].ID
-		if o.free[home]--; r.Move.Open() {
-			o.underWay(i, r.Move, at(r.Move.From, of), at(r.Move.To, of))
+		if to != p.owner[i] && (plan.Optimal || p.isForcedAway(i, p.owner[i])) {
+			plan.MinMovedKeys += p.keyCounts[i]
 		}
-		if goal != r.Home && !(r.Move.Open() && r.Move.Step < shardmap.Switched && goal == r.Move.To) {
-			o.moves = append(o.moves, move{of: i, from: home, to: at(goal, of), way: StepMove, rules: t.by(i, real),
-				forced: t.forced(i, real)})
-		}
-	}
-	for _, v := range m.Left {
-		o.head = append(o.head, move{of: -1, from: at(v.From, index), to: at(v.To, index), way: StepContinue, id: v.ID})
-	}
-	o.start = slices.Clone(o.free)
-	for _, v := range o.head {
-		o.start[o.frees(v)]--
 	}
-	return o
-}
-
-// member is its index, or one that no member of the file has.
-func (o *order) member(id cluster.MemberID) int {
-	if k, ok := o.at[id]; ok {
-		return k
+	for _, s := range plan.Steps {
+		hasSwitched := s.Kind == StepContinue && p.isOwnedByTarget(s)
+		if s.Kind.movesRange() && !hasSwitched {
+			plan.MovedKeys += s.Keys
+		}
 	}
-	return len(o.members)
 }
 
-// underWay takes note of a move that has begun. One that can go back does so unless it goes where it should.
-func (o *order) underWay(i int, v shardmap.Move, from, to int) {
-	way, rules := StepContinue, o.by(i, o.member(v.From))
-	if v.Step < shardmap.Switched {
-		if o.members[o.to[i]].ID != v.To {
-			way, rules = StepRollBack, nil
-		} else {
-			o.free[to]--
-			o.free[from]++
-		}
-	}
-	o.head = append(o.head, move{of: i, from: from, to: to, way: way, id: v.ID, rules: rules})
+func (p *problem) isOwnedByTarget(s Step) bool {
+	i, isKnown := p.rangeIndex[s.Range]
+	return isKnown && p.ranges[i].Home == s.To
 }
 
-// frees is where a step of the head, once through, leaves a place that it holds until then.
-func (o *order) frees(v move) int {
-	if v.way == StepRollBack {
-		return v.to
-	}
-	return v.from
+// isForcedAway reports whether no rule would let a range stay on a member.
+func (p *problem) isForcedAway(i, member int) bool {
+	_, allowed := p.allowedMembers(i)
+	return !slices.Contains(allowed, member)
 }
--- /dev/null
+++ b/cluster/rebalance/planfile/file.go
@@ -0,0 +1,131 @@
+// Package planfile is the plan language: the blocks of the cluster's operator file (HCL) that state which members and
+// rules a placement of key ranges shall satisfy. It parses and validates a file without knowing the map of ranges;
+// package rebalance finds the steps. docs/fleet.md, "The plan language", has the reasons for the language.
+package planfile
+
+import (
+	"fmt"
+	"strings"
+
+	"rowanlink/cluster"
+	"rowanlink/webhook/api"
+)
+
+// File is the plan as an operator file states it. Members and limits keep the file's order; rules and precedences are
+// sorted by line.
+type File struct {
+	Name           string // names the file in errors
+	Ranges         int    // number of ranges of the first map; 0: not stated
+	Members        []Member
+	Rules          []Rule
+	Precedences    []Precedence
+	Limits         Limits
+	StopConditions StopConditions
+}
+
+// Member is one process of the cluster.
+type Member struct {
+	ID       cluster.MemberID
+	Zone     string
+	Weight   float64 // its share of the ranges, in relation to the other members' weights
+	Capacity int     // the most ranges that it may own; 0: unlimited
+	Line     int
+}
+
+// RuleKind tells what a rule requires.
+type RuleKind uint8
+
+// The kinds of rules. Their keywords in the file are the strings that String returns.
+const (
+	Drain        RuleKind = iota + 1 // Rule.Member owns no range
+	Pin                              // the selected ranges are on Rule.Member
+	AntiAffinity                     // no two of the selected ranges are on one member, or in one zone
+	ZoneAffinity                     // the selected ranges are in Rule.Zone
+	Dedicated                        // the selected ranges are on Rule.Member, and it owns nothing else
+)
+
+// String returns the keyword of the kind's block.
+func (k RuleKind) String() string {
+	return [...]string{"", "leave", "pin", "apart", "keep", "alone"}[k]
+}
+
+// Rule is one block that constrains where ranges may be. The names of all rules of a file differ.
+type Rule struct {
+	Kind     RuleKind
+	Name     string
+	Line     int
+	Selector KeySelector
+	Member   cluster.MemberID // Drain, Pin, Dedicated
+	Zone     string           // ZoneAffinity
+	ByZone   bool             // AntiAffinity: no two in one zone, rather than on one member
+}
+
+// KeySelector selects the ranges that a rule is about: those that contain one of the destinations, and those that
+// intersect the hashes.
+type KeySelector struct {
+	Destinations        []api.DestinationID
+	HasHashes           bool
+	FirstHash, LastHash cluster.KeyHash // inclusive
+}
+
+// Precedence requires that all moves by one rule are done before any move by another starts. Both are indexes of
+// File.Rules.
+type Precedence struct {
+	First, Then int
+	Line        int
+}
+
+// Limits bounds what may be in flight at once. 0 is no limit, except that ConcurrentMoves is at least 1.
+type Limits struct {
+	ConcurrentMoves int
+	MovesPerMember  int        // moves that a member is the source or the target of
+	MovesPerZone    int        // moves with their source or target in a zone
+	ValueInFlight   float64    // value of what is delivered in the ranges that move
+	Cooldown        api.Micros // between the end of a move and the next start
+	Line            int        // 0: the file states no limits
+}
+
+// StopConditions is the degradation at which the plan stops. The shares are of the webhooks that ended in the ranges
+// that move, above the shares that were usual there before; a share below 0 is not checked.
+type StopConditions struct {
+	Rejected, DeadLettered, Late float64
+	Unhealthy                    bool // stop when a destination became unhealthy
+	Line                         int  // 0: the file states no conditions
+}
+
+// FindMember returns the member of an ID, or nil.
+func (f *File) FindMember(id cluster.MemberID) *Member {
+	for i := range f.Members {
+		if f.Members[i].ID == id {
+			return &f.Members[i]
+		}
+	}
+	return nil
+}
+
+// FindDrain returns the rule by which a member is drained, or nil.
+func (f *File) FindDrain(id cluster.MemberID) *Rule { return f.FindRule(Drain, id) }
+
+// FindRule returns the first rule of a kind for a member, or nil.
+func (f *File) FindRule(kind RuleKind, id cluster.MemberID) *Rule {
+	for i := range f.Rules {
+		if r := &f.Rules[i]; r.Kind == kind && r.Member == id {
+			return r
+		}
+	}
+	return nil
+}
+
+// Errorf returns an error of one line that begins with the file's name and a line of it.
+func (f *File) Errorf(line int, format string, args ...any) error {
+	return fmt.Errorf("%s:%d: %s", f.Name, line, fmt.Sprintf(format, args...))
+}
+
+// JoinSome joins items for an error and leaves out all but the first few, so that the error stays readable.
+func JoinSome(items []string) string {
+	const limit = 8
+	if len(items) > limit {
+		return strings.Join(items[:limit], ", ") + fmt.Sprintf(" and %d more", len(items)-limit)
+	}
+	return strings.Join(items, ", ")
+}
--- /dev/null
+++ b/cluster/rebalance/precedence.go
@@ -0,0 +1,49 @@
+package rebalance
+
+import (
+	"cmp"
+	"slices"
+
+	"rowanlink/cluster/rebalance/planfile"
+)
+
+// moveRules returns the rules by which a range moves away from a member.
+func (p *problem) moveRules(i, from int) []int {
+	rules := slices.Clone(p.constraints[i].rules)
+	if from < len(p.members) && !p.stays[from] {
+		for k := range p.file.Rules {
+			rule := &p.file.Rules[k]
+			if rule.Kind == planfile.Drain && rule.Member == p.members[from].ID {
+				rules = append(rules, k)
+			}
+		}
+	}
+	return p.firstRules(rules)
+}
+
+// firstRules returns the rules that no other of them precedes: a range that is under two moves with the first.
+func (p *problem) firstRules(rules []int) []int {
+	isPreceded := func(k int) bool {
+		return slices.ContainsFunc(p.precedingRules(k), func(b int) bool { return slices.Contains(rules, b) })
+	}
+	first := slices.DeleteFunc(slices.Clone(rules), isPreceded)
+	slices.SortFunc(first, cmp.Compare)
+	return first
+}
+
+// precedingRules returns all rules that precede one, directly or by others.
+func (p *problem) precedingRules(rule int) (preceding []int) {
+	stack := []int{rule}
+	for len(stack) > 0 {
+		k := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		for _, precedence := range p.file.Precedences {
+			if precedence.Then != k || slices.Contains(preceding, precedence.First) {
+				continue
+			}
+			preceding = append(preceding, precedence.First)
+			stack = append(stack, precedence.First)
+		}
+	}
+	return preceding
+}
--- /dev/null
+++ b/cluster/rebalance/print.go
@@ -0,0 +1,178 @@
+package rebalance
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
+	"rowanlink/cluster/shardmap"
+)
+
+const defaultRanges = 64 // of a first map, where the file doesn't state how many
+
+// PrintPlan prints what a file makes of a map: the steps, why each waits at first, and the keys moved beside the
+// minimum. Without a map it uses the first one that the file's members get. keys is as for NewPlan.
+func PrintPlan(text []byte, name string, m *shardmap.Map, keys func(cluster.RangeID) uint64, out io.Writer) error {
+	f, err := planfile.Parse(text, name)
+	if err != nil {
+		return err
+	}
+	if m == nil || len(m.Ranges) == 0 {
+		m, err = firstMap(f, m)
+		if err != nil {
+			return fmt.Errorf("%s:1: %w", name, err)
+		}
+		_, _ = fmt.Fprintln(out, "there is no map yet: this is from the first one, by the members' weights")
+	}
+	plan, err := NewPlan(f, m, keys)
+	if err != nil {
+		return err
+	}
+	printer := planPrinter{file: f, ranges: m, plan: plan, hasKeyCounts: keys != nil, out: out}
+	progress := Progress{
+		Number:  1,
+		Name:    name,
+		Text:    text,
+		Version: plan.Version,
+		Steps:   plan.Steps,
+		States:  initialStates(plan.Steps),
+	}
+	decisions := progress.Schedule(f, m, Observations{SinceLastMove: f.Limits.Cooldown})
+	if err := printer.printSteps(decisions.Blocked); err != nil {
+		return err
+	}
+	printer.printTotals()
+	return printer.printMembers()
+}
+
+// firstMap returns the first map that a file's members get, with the groups of the present one, which may be nil.
+func firstMap(f *planfile.File, present *shardmap.Map) (*shardmap.Map, error) {
+	var weights []shardmap.Weight
+	for _, member := range f.Members {
+		weights = append(weights, shardmap.Weight{Member: member.ID, Weight: member.Weight})
+	}
+	ranges, err := shardmap.Even(cmp.Or(f.Ranges, defaultRanges), weights)
+	if err != nil {
+		return nil, err
+	}
+	for i := range ranges {
+		ranges[i].Standing = shardmap.Seated
+	}
+	m := &shardmap.Map{Ranges: ranges, NextID: cluster.RangeID(len(ranges) + 1)}
+	if present != nil {
+		m.Place(present.Groups)
+	}
+	return m, nil
+}
+
+type planPrinter struct {
+	file         *planfile.File
+	ranges       *shardmap.Map
+	plan         *Plan
+	hasKeyCounts bool
+	out          io.Writer
+}
+
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
+
+func (p *planPrinter) printSteps(blocked []BlockedStep) error {
+	waits := map[int]string{} // by step
+	for _, b := range blocked {
+		waits[b.Step] = "waits: " + b.Reason
+	}
+	table := newTable(p.out)
+	_, _ = fmt.Fprintln(table, "step\trange\tfrom\tto\tkeys\t")
+	for k, s := range p.plan.Steps {
+		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", k+1, formatRangeID(s.Range), s.From, s.To,
+			p.formatKeys(s.Keys), describeStep(s, waits[k]))
+	}
+	return table.Flush()
+}
+
+// describeStep tells what a step does, and what it waits for, if it waits.
+func describeStep(s Step, waits string) string {
+	switch s.Kind {
+	case StepSplit:
+		split := fmt.Sprintf("splits range %d off at %#x", s.OtherRange, uint64(s.SplitKey))
+		if waits == "" {
+			return "at once: " + split
+		}
+		return split + "; " + waits
+	case StepMerge:
+		return fmt.Sprintf("merges range %d into it; %s", s.OtherRange, cmp.Or(waits, "at once"))
+	case StepContinue:
+		return "is under way"
+	case StepRollBack:
+		return "goes back"
+	case StepDetour:
+		return cmp.Or(waits, "starts at once") + "; a stop-over"
+	}
+	return cmp.Or(waits, "starts at once")
+}
+
+// formatKeys prints a number of keys, or the share of the hashes where the counts aren't known.
+func (p *planPrinter) formatKeys(n uint64) string {
+	if p.hasKeyCounts {
+		return fmt.Sprint(n)
+	}
+	return fmt.Sprintf("%.3g%%", 100*float64(n)/float64(p.plan.TotalKeys))
+}
+
+func formatRangeID(id cluster.RangeID) string {
+	if id == 0 {
+		return "-"
+	}
+	return fmt.Sprint(id)
+}
+
+func (p *planPrinter) printTotals() {
+	moves := 0
+	for _, s := range p.plan.Steps {
+		if s.Kind == StepMove || s.Kind == StepDetour {
+			moves++
+		}
+	}
+	minimum := "the least possible is"
+	if !p.plan.Optimal {
+		minimum = "rules send away at the least"
+	}
+	_, _ = fmt.Fprintf(p.out, "%d moves, keys moved: %s; %s %s\n", moves, p.formatKeys(p.plan.MovedKeys), minimum,
+		p.formatKeys(p.plan.MinMovedKeys))
+}
+
+// printMembers prints how many ranges each member has now and after the plan.
+func (p *planPrinter) printMembers() error {
+	owned := map[cluster.MemberID]int{}
+	for i, base := range baseIndexes(p.ranges.Ranges) {
+		if base == i { // split-off parts don't count
+			owned[p.ranges.Ranges[i].Home]++
+		}
+	}
+	table := newTable(p.out)
+	_, _ = fmt.Fprintln(table, "member\tzone\tweight\troom\tranges\tthen\t")
+	for _, member := range p.file.Members {
+		capacity := "-"
+		if member.Capacity > 0 {
+			capacity = fmt.Sprint(member.Capacity)
+		}
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%g\t%s\t%d\t%d\t\n", member.ID, member.Zone, member.Weight, capacity,
+			owned[member.ID], p.plan.RangesPerMember[member.ID])
+	}
+	return table.Flush()
+}
+
+// PrintProgress prints how far the running plan is, and why it was stopped, if it was.
+func PrintProgress(p *Progress, out io.Writer) {
+	if p == nil || p.Number == 0 {
+		return
+	}
+	_, _ = fmt.Fprintf(out, "running: plan %d, %d of %d steps through, %d under way\n", p.Number, p.DoneSteps(),
+		len(p.Steps), p.countSteps(Started))
+	if p.StopReason != "" {
+		_, _ = fmt.Fprintf(out, "stopped: %s; SIGHUP takes it up again\n", p.StopReason)
+	}
+	_, _ = fmt.Fprintln(out, "this file, from where the ranges are now:")
+}
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -2,188 +2,223 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"slices"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 )
 
-// The same bytes for the same thing on each keeper, and nothing that one program reads otherwise than
-// another.
+// The encoding is deterministic, so that all raft nodes write the same bytes, and decoding is strict, so that no two
+// versions of the program read one entry differently.
 var (
 	encoding, _ = cbor.CoreDetEncOptions().EncMode()
-	decoding, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	decoding, _ = cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
+		IndefLength:       cbor.IndefLengthForbidden,
+		TagsMd:            cbor.TagsForbidden,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
+	}.DecMode()
 )
 
-// StepState is how far a step has come.
+// StepState is how far a step has come. The values are stored in the raft log.
 type StepState uint8
 
+// The states of steps.
 const (
 	Pending    StepState = iota
 	Started              // its move is in the map of ranges
 	Done                 // the range is where the step takes it, and both sides have cleared
-	RolledBack           // its move went back; it may begin again
+	RolledBack           // its move was rolled back; it may start again
 )
 
-// Progress is what the log keeps of the running plan, so that another conductor goes on. It implements
-// fleet.Part. A later plan takes its place: its steps are made from the map, so that what has switched stays.
+// Progress is the replicated state of the running plan, from which any coordinator goes on. It is a state machine of
+// the raft log (a cluster.Part). A later plan replaces it: its steps are made from the map, so that ranges that have
+// switched stay where they are.
 type Progress struct {
 	Number     uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
-	Name       string          `cbor:"2,keyasint"` // of the file, as errors call it
-	Text       []byte          `cbor:"3,keyasint"` // the file
+	Name       string          `cbor:"2,keyasint"` // names the file in errors
+	Text       []byte          `cbor:"3,keyasint"` // of the file
 	Version    cluster.Version `cbor:"4,keyasint"` // of the map that the steps start from
 	Steps      []Step          `cbor:"5,keyasint"`
-	States     []StepState     `cbor:"6,keyasint"`
-	StopReason string          `cbor:"7,keyasint"` // why it was stopped; nothing starts any more
+	States     []StepState     `cbor:"6,keyasint"` // by step
+	StopReason string          `cbor:"7,keyasint"` // not empty: the plan was stopped, and nothing starts any more
 }
 
-type op uint8
+// operation tells what a command does. The values are stored in the raft log.
+type operation uint8
 
 const (
-	opAdopt op = iota + 1
-	opNote
-	opStop
+	operationAdopt operation = iota + 1
+	operationRecordState
+	operationStop
 )
 
 type command struct {
-	Op     op              `cbor:"1,keyasint"`
-	Number uint64          `cbor:"2,keyasint"`
-	Plan   *Progress       `cbor:"3,keyasint,omitempty"`
-	Step   int             `cbor:"4,keyasint,omitempty"`
-	Stand  StepState       `cbor:"5,keyasint,omitempty"`
-	Move   shardmap.MoveID `cbor:"6,keyasint,omitempty"`
-	Why    string          `cbor:"7,keyasint,omitempty"`
+	Operation operation       `cbor:"1,keyasint"`
+	Number    uint64          `cbor:"2,keyasint"` // of the plan
+	Plan      *Progress       `cbor:"3,keyasint,omitempty"`
+	Step      int             `cbor:"4,keyasint,omitempty"`
+	State     StepState       `cbor:"5,keyasint,omitempty"`
+	Move      shardmap.MoveID `cbor:"6,keyasint,omitempty"`
+	Reason    string          `cbor:"7,keyasint,omitempty"`
 }
 
-// Coordinator writes the commands on the plan under its epoch of task fleet.Conducts.
+// Coordinator makes the commands on the plan, under its epoch of the resource cluster.Conducts.
 type Coordinator cluster.Epoch
 
-func (e Coordinator) of(c command) cluster.Command {
+func (e Coordinator) newCommand(c command) cluster.Command {
 	body, err := encoding.Marshal(c)
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // nothing in a command can fail to encode
 	}
 	return cluster.Command{Part: cluster.PlanPart, By: cluster.Conducts, Epoch: cluster.Epoch(e), Body: body}
 }
 
-// Adopt makes a plan the running one. was is the number of the plan that the conductor knows of: where
-// another came meanwhile, the log refuses with fleet.ErrStale.
-func (e Coordinator) Adopt(was uint64, name string, text []byte, p *Plan) cluster.Command {
-	next := &Progress{Number: was + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
-	return e.of(command{Op: opAdopt, Number: was + 1, Plan: next})
+// Adopt makes a plan the running one. current is the number of the plan that the coordinator knows as the running one:
+// if another was adopted since, Apply returns cluster.ErrStale.
+func (e Coordinator) Adopt(current uint64, name string, text []byte, p *Plan) cluster.Command {
+	next := &Progress{Number: current + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
+	return e.newCommand(command{Operation: operationAdopt, Number: current + 1, Plan: next})
 }
 
-// RecordState says how far a step has come, as Next asks for it.
-func (e Coordinator) RecordState(number uint64, step int, stand StepState, move shardmap.MoveID) cluster.Command {
-	return e.of(command{Op: opNote, Number: number, Step: step, Stand: stand, Move: move})
+// RecordState records how far a step has come, as Schedule asks for it.
+func (e Coordinator) RecordState(number uint64, step int, state StepState, move shardmap.MoveID) cluster.Command {
+	return e.newCommand(command{
+		Operation: operationRecordState,
+		Number:    number,
+		Step:      step,
+		State:     state,
+		Move:      move,
+	})
 }
 
-// Stop ends a plan: what is before its switch goes back, nothing starts. Only a later plan goes on.
-func (e Coordinator) Stop(number uint64, why string) cluster.Command {
-	return e.of(command{Op: opStop, Number: number, Why: why})
+// Stop stops a plan: moves that haven't switched are rolled back, and nothing starts until a later plan is adopted.
+func (e Coordinator) Stop(number uint64, reason string) cluster.Command {
+	return e.newCommand(command{Operation: operationStop, Number: number, Reason: reason})
 }
 
-// Apply takes a command of the log. What is refused changed nothing: with fleet.ErrStale where it is about
-// another plan than the running one or a step has come further, with fleet.ErrUnknown where there is no such
-// step.
+// Apply applies a command of the raft log. A command that it rejects has changed nothing: cluster.ErrStale if it is
+// about another plan than the running one, or a step has come further; cluster.ErrUnknown if there is no such step.
 func (p *Progress) Apply(_ uint64, body []byte) ([]byte, error) {
 	var c command
 	if err := decoding.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
-	if c.Op == opAdopt {
+	if c.Operation == operationAdopt {
 		return nil, p.adopt(c)
 	}
-	switch {
-	case c.Number != p.Number || p.Number == 0:
+	if c.Number != p.Number || p.Number == 0 {
 		return nil, cluster.ErrStale
-	case c.Op == opStop:
+	}
+	switch c.Operation {
+	case operationStop:
 		if p.StopReason == "" {
-			p.StopReason = cmp.Or(c.Why, "stopped")
+			p.StopReason = cmp.Or(c.Reason, "stopped")
 		}
 		return nil, nil
-	case c.Op != opNote:
-		return nil, fmt.Errorf("plan: no command has the number %d", c.Op)
-	case c.Step < 0 || c.Step >= len(p.Steps):
-		return nil, cluster.ErrUnknown
+	case operationRecordState:
+		return nil, p.recordState(c)
 	}
-	was := p.States[c.Step]
-	if c.Stand > RolledBack || c.Stand == Pending || was == Done || was == c.Stand {
-		return nil, cluster.ErrStale
+	return nil, fmt.Errorf("plan: no command has the number %d", c.Operation)
+}
+
+func (p *Progress) recordState(c command) error {
+	if c.Step < 0 || c.Step >= len(p.Steps) {
+		return cluster.ErrUnknown
 	}
-	if p.States[c.Step] = c.Stand; c.Stand == Started {
+	current := p.States[c.Step]
+	if c.State > RolledBack || c.State == Pending || current == Done || current == c.State {
+		return cluster.ErrStale
+	}
+	p.States[c.Step] = c.State
+	if c.State == Started {
 		p.Steps[c.Step].Move = c.Move
 	}
-	return nil, nil
+	return nil
 }
 
 func (p *Progress) adopt(c command) error {
 	if c.Plan == nil {
-		return fmt.Errorf("plan: none is given")
+		return errors.New("plan: none is given")
 	}
 	if c.Number != p.Number+1 {
 		return cluster.ErrStale
 	}
 	next := *c.Plan
 	next.Number, next.StopReason = c.Number, ""
-	next.States = make([]StepState, len(next.Steps))
-	for k, s := range next.Steps {
-		if s.Kind == StepContinue || s.Kind == StepRollBack {
-			next.States[k] = Started
-		}
-	}
-	if err := next.sound(); err != nil {
+	next.States = initialStates(next.Steps)
+	if err := next.validate(); err != nil {
 		return err
 	}
 	*p = next
 	return nil
 }
 
-// sound guards against a plan that no planner made: what reads it counts on each of these.
-func (p *Progress) sound() error {
-	if len(p.States) != len(p.Steps) || len(p.Text) > mostBytes {
+// initialStates returns the states of a new plan's steps: the moves in flight before it have started.
+func initialStates(steps []Step) []StepState {
+	states := make([]StepState, len(steps))
+	for k, s := range steps {
+		if s.Kind.wasInFlight() {
+			states[k] = Started
+		}
+	}
+	return states
+}
+
+// validate rejects a plan that no planner made: what reads it relies on each of these.
+func (p *Progress) validate() error {
+	if len(p.States) != len(p.Steps) || len(p.Text) > planfile.MaxBytes {
 		return fmt.Errorf("plan: %d steps, %d stands, %d bytes", len(p.Steps), len(p.States), len(p.Text))
 	}
 	for k, s := range p.Steps {
-		bad := slices.ContainsFunc(s.DependsOn, func(n Dependency) bool { return n.Step < 0 || n.Step >= k }) ||
-			slices.ContainsFunc(append(slices.Clone(s.Rules), s.AfterRules...), func(r int) bool {
-				return r < 0 ||
-					r > mostBytes
-			})
-		if bad || s.Kind < StepMove || s.Kind > StepMerge || p.States[k] > RolledBack {
+		if !s.isValid(k) || p.States[k] > RolledBack {
 			return fmt.Errorf("plan: step %d can't be", k+1)
 		}
 	}
 	return nil
 }
 
-// Snapshot is the progress as CBOR.
+func (s Step) isValid(index int) bool {
+	if s.Kind < StepMove || s.Kind > StepMerge {
+		return false
+	}
+	isLater := func(d Dependency) bool { return d.Step < 0 || d.Step >= index }
+	isNoRule := func(r int) bool { return r < 0 || r > planfile.MaxBytes } // a file has fewer rules than bytes
+	return !slices.ContainsFunc(s.DependsOn, isLater) &&
+		!slices.ContainsFunc(s.Rules, isNoRule) &&
+		!slices.ContainsFunc(s.AfterRules, isNoRule)
+}
+
+// Snapshot returns the progress in its encoded form.
 func (p *Progress) Snapshot() ([]byte, error) { return encoding.Marshal(p) }
 
-// Restore takes a snapshot. A broken one is refused, and what was stays.
+// Restore replaces the progress by a snapshot. It rejects a broken one and then changes nothing.
 func (p *Progress) Restore(snapshot []byte) error {
 	var next Progress
 	if err := decoding.Unmarshal(snapshot, &next); err != nil {
 		return fmt.Errorf("plan: %w", err)
 	}
-	if err := next.sound(); err != nil {
+	if err := next.validate(); err != nil {
 		return err
 	}
 	*p = next
 	return nil
 }
 
-// File reads the running plan's text again.
-func (p *Progress) File() (*File, error) { return ParseFile(p.Text, p.Name) }
+// File parses the running plan's text.
+func (p *Progress) File() (*planfile.File, error) { return planfile.Parse(p.Text, p.Name) }
+
+// DoneSteps counts the steps that are done.
+func (p *Progress) DoneSteps() (n int) { return p.countSteps(Done) }
 
-// DoneSteps counts the steps that are.
-func (p *Progress) DoneSteps() (n int) {
+func (p *Progress) countSteps(state StepState) (n int) {
 	for _, s := range p.States {
-		if s == Done {
+		if s == state {
 			n++
 		}
 	}
--- a/cluster/rebalance/read_test.go
+++ b/cluster/rebalance/read_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 )
 
@@ -91,7 +92,7 @@
 			`f.hcl:3: pin "p": "a" has room for 1 (line 1), and more are pinned there`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, err := ParseFile([]byte(c.text), "f.hcl")
+			f, err := planfile.Parse([]byte(c.text), "f.hcl")
 			if err == nil {
 				_, err = NewPlan(f, sixteen(t, f), nil)
 			}
@@ -106,7 +107,7 @@
 	}
 }
 
-func sixteen(t testing.TB, f *File) *shardmap.Map {
+func sixteen(t testing.TB, f *planfile.File) *shardmap.Map {
 	even, err := shardmap.Even(16, []shardmap.Weight{{Member: f.Members[0].ID, Weight: 1}})
 	require.NoError(t, err)
 	return &shardmap.Map{Version: 1, Ranges: even}
@@ -117,7 +118,7 @@
 	const members = "member \"a\" { room = 1 }\nmember \"b\" { room = 1 }\n"
 	swap := "pin \"p\" {\n " + of(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + of(1, 2) + "\n to = \"a\"\n}\n"
 	made := func(text string) (*Plan, error) {
-		f, err := ParseFile([]byte(text), "f.hcl")
+		f, err := planfile.Parse([]byte(text), "f.hcl")
 		require.NoError(t, err)
 		return NewPlan(f, newWorld(t, "a", "b").m, nil)
 	}
@@ -156,7 +157,7 @@
 		{"full", "member \"c\" { room = 1 }\n", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f, err := ParseFile([]byte(swap+c.rules+pins), "f.hcl")
+			f, err := planfile.Parse([]byte(swap+c.rules+pins), "f.hcl")
 			require.NoError(t, err)
 			p, err := NewPlan(f, newWorld(t, "a", "b", "c").m, func(id cluster.RangeID) uint64 { return uint64(10 - id) })
 			if c.over == 0 {
@@ -176,7 +177,7 @@
 	f.Add(example)
 	f.Add([]byte("member \"a\" { weight = 1e999 }\nalone \"a\" { hashes = [\"0\", \"1\"] }\nleave \"a\" {}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		file, err := ParseFile(text, "f.hcl")
+		file, err := planfile.Parse(text, "f.hcl")
 		if err == nil && len(file.Members) < 50 {
 			_, err = NewPlan(file, sixteen(t, file), nil)
 		}
@@ -189,7 +190,7 @@
 
 // Whatever a body or a snapshot holds, it is refused or can be gone on with.
 func FuzzProgress(f *testing.F) {
-	file, err := ParseFile([]byte(two+"leave \"a\" {}\n"), "f.hcl")
+	file, err := planfile.Parse([]byte(two+"leave \"a\" {}\n"), "f.hcl")
 	require.NoError(f, err)
 	p, err := NewPlan(file, newWorld(f, "a", "b").m, nil)
 	require.NoError(f, err)
--- a/cluster/rebalance/reload_test.go
+++ b/cluster/rebalance/reload_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 )
 
@@ -98,7 +99,7 @@
 func TestMovesUnderWayAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, text := newWorld(t, "a", "a", "a", "a", "a", "a"), "member \"a\" {}\nmember \"b\" {}\n"
-		w.file, _ = ParseFile([]byte(text), "f.hcl")
+		w.file, _ = planfile.Parse([]byte(text), "f.hcl")
 		under := map[cluster.RangeID]bool{}
 		for range rapid.IntRange(1, 3).Draw(t, "under way") {
 			id := cluster.RangeID(rapid.IntRange(1, 6).Draw(t, "range"))
--- a/cluster/rebalance/shapes_test.go
+++ b/cluster/rebalance/shapes_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 )
 
@@ -41,7 +42,7 @@
 func TestARangeThatMovesIsNotSplit(t *testing.T) {
 	w := newWorld(t, "a", "a", "b", "b")
 	w.must(shardmap.Conductor(1).Plan(1, "a", "b"))
-	f, err := ParseFile([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
+	f, err := planfile.Parse([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
 	_, err = NewPlan(f, w.m, nil)
 	var moving *RangeMovingError
@@ -51,7 +52,7 @@
 
 // What follows a range's beginning is weighed with it: the beginning by itself looks cheap.
 func TestPiecesAreWeighedWithTheirRange(t *testing.T) {
-	f, err := ParseFile([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
+	f, err := planfile.Parse([]byte(two+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
 	p, err := NewPlan(f, newWorld(t, "a", "a").m, func(id cluster.RangeID) uint64 { return 2000 - 500*uint64(id) })
 	require.NoError(t, err)
--- a/cluster/rebalance/steps.go
+++ b/cluster/rebalance/steps.go
@@ -2,213 +2,163 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
+
+	"rowanlink/cluster"
 )
 
-// run finds an order of the moves.
-func (o *order) run() error {
-	o.goesBefore = make([][]int, len(o.file.Rules))
-	waits, over := false, false
-	for k := range o.file.Rules {
-		o.goesBefore[k] = o.before(k)
-	}
-	for _, v := range o.moves {
-		waits = waits || slices.ContainsFunc(v.rules, func(r int) bool { return len(o.goesBefore[r]) > 0 })
-	}
-	for _, n := range o.free {
-		over = over || n < 0
-	}
-	if waits {
-		if err := o.crossed(); err != nil {
-			return err
-		}
-	}
-	if waits || over {
-		return o.search()
-	}
-	return o.trails()
+// stepBuilder makes the sequence found into steps that each depend on the earlier ones which free the capacity that
+// they use, so that each may start as soon as those are done, whatever becomes of the others.
+type stepBuilder struct {
+	*sequencer
+	steps []Step
+	moves []move // by step
+	level []int  // by step, how many steps have to be done one after the other before it
+
+	lastStep  map[int]int // by range
+	ruleLevel []int       // by rule, the level from which all its steps are done
+
+	// By slot with limited capacity: free places, each with the steps that have to be done before it is free; how far
+	// the slot is above its capacity; and the steps that brought it nearer to its capacity.
+	freePlaces [][]freePlace
+	excess     []int
+	relieving  [][]int
 }
 
-// crossed refuses turns by which two moves, each under several rules, wait for one another.
-func (o *order) crossed() error {
-	undone, gone := make([]int, len(o.file.Rules)), make([]bool, len(o.moves))
-	for _, v := range o.moves {
-		for _, r := range v.rules {
-			undone[r]++
-		}
+// freePlace is the steps that have to be done before it is free.
+type freePlace []int
+
+func (s *sequencer) steps() []Step {
+	b := &stepBuilder{
+		sequencer:  s,
+		lastStep:   map[int]int{},
+		ruleLevel:  make([]int, len(s.file.Rules)),
+		freePlaces: make([][]freePlace, len(s.slotIDs)),
+		excess:     make([]int, len(s.slotIDs)),
+		relieving:  make([][]int, len(s.slotIDs)),
 	}
-	s := &search{order: o, undone: undone}
-	for again := true; again; {
-		again = false
-		for k, v := range o.moves {
-			if gone[k] || !s.turn(k) {
-				continue
-			}
-			gone[k], again = true, true
-			for _, r := range v.rules {
-				undone[r]--
-			}
+	for slot := range s.slotIDs {
+		b.excess[slot] = max(0, -s.freeNow[slot])
+		if b.isLimited(slot) && s.freeNow[slot] > 0 {
+			b.freePlaces[slot] = make([]freePlace, s.freeNow[slot])
 		}
 	}
-	var line Precedence
-	var all []string
-	for k, v := range o.moves {
-		if !gone[k] {
-			t := s.waitsBy(k)
-			line = t
-			all = append(all, fmt.Sprintf("%s by line %d", o.what(v.of), t.Line))
-		}
+	for _, v := range s.inFlight {
+		b.addInFlight(v)
 	}
-	if all == nil {
-		return nil
+	for _, k := range s.sequence {
+		b.addMove(s.moves[k])
 	}
-	return o.file.at(line.Line, "these wait for one another: %s", some(all))
+	return b.sorted()
 }
 
-// locked says that full members can't change places.
-func (o *order) locked(ring []int) error {
-	var who, what []string
-	line := 0
-	for _, k := range ring {
-		v := o.moves[k]
-		for _, m := range []int{v.from, v.to} {
-			name := fmt.Sprintf("%q (%s)", o.names[m], o.room(m))
-			if !slices.Contains(who, name) {
-				who = append(who, name)
-			}
-			if line == 0 && m < len(o.members) {
-				line = o.members[m].Line
-			}
-		}
-		what = append(what, o.what(v.of))
-	}
-	return o.file.at(line,
-		"%s are full and shall change %s, and no other member may have one of these meanwhile: "+
-			"each is full, leaves, is alone, or out of the range's zone or rules", some(who), some(what))
+func (b *stepBuilder) isLimited(slot int) bool {
+	return slot < len(b.members) && b.members[slot].Capacity > 0
+}
+
+// release adds the place that a step frees. The first ones only bring the slot down to its capacity.
+func (b *stepBuilder) release(slot, step int) {
+	if !b.isLimited(slot) {
+		return
+	}
+	if b.excess[slot] > 0 {
+		b.excess[slot]--
+		b.relieving[slot] = append(b.relieving[slot], step)
+		return
+	}
+	place := append(slices.Clone(b.relieving[slot]), step)
+	b.freePlaces[slot] = append(b.freePlaces[slot], place)
+}
+
+func (b *stepBuilder) add(v move) int {
+	s := Step{From: b.slotIDs[v.from], To: b.slotIDs[v.to], Kind: v.kind, Move: v.id, Rules: v.rules}
+	if v.rangeIndex != noRange {
+		s.Range, s.Keys = b.ranges[v.rangeIndex].ID, b.keyCounts[v.rangeIndex]
+	}
+	b.steps = append(b.steps, s)
+	b.moves = append(b.moves, v)
+	b.level = append(b.level, 0)
+	return len(b.steps) - 1
 }
 
-func (o *order) room(m int) string {
-	if m >= len(o.members) {
-		return "not in the file"
+func (b *stepBuilder) addInFlight(v move) {
+	for _, r := range v.rules {
+		b.ruleLevel[r] = 1
+	}
+	step := b.add(v)
+	b.release(v.freedSlot(), step)
+	if v.rangeIndex != noRange {
+		b.lastStep[v.rangeIndex] = step
 	}
-	return fmt.Sprintf("line %d, room = %d", o.members[m].Line, o.members[m].Capacity)
 }
 
-// steps makes the order found into steps that each know which earlier one frees their place, so that they may
-// start as soon as it is through, whatever the others do.
-func (o *order) steps() []Step {
-	type place struct{ by []int } // steps that have to be through
-	free := make([][]place, len(o.names))
-	debt, paid := make([]int, len(o.names)), make([][]int, len(o.names))
-	bounded := func(m int) bool { return m < len(o.members) && o.members[m].Capacity > 0 }
-	for m := range o.names {
-		debt[m] = max(0, -o.start[m])
-		for range o.start[m] {
-			if !bounded(m) {
-				break
-			}
-			free[m] = append(free[m], place{})
-		}
+func (b *stepBuilder) addMove(v move) {
+	step := b.add(v)
+	s := &b.steps[step]
+	if earlier, hasMoved := b.lastStep[v.rangeIndex]; hasMoved {
+		s.DependsOn = append(s.DependsOn, Dependency{earlier, SameRange})
 	}
-	leaves := func(m, step int) {
-		if !bounded(m) {
-			return
-		}
-		if debt[m] > 0 {
-			debt[m]--
-			paid[m] = append(paid[m], step)
-			return
+	if b.isLimited(v.to) {
+		for _, earlier := range b.freePlaces[v.to][0] {
+			s.DependsOn = append(s.DependsOn, Dependency{earlier, CapacityFreed})
 		}
-		free[m] = append(free[m], place{append(slices.Clone(paid[m]), step)})
-	}
-	var all []Step
-	last, level := map[int]int{}, []int{}
-	add := func(v move) int {
-		s := Step{From: o.names[v.from], To: o.names[v.to], Kind: v.way, Move: v.id, Rules: v.rules}
-		if v.of >= 0 {
-			s.Range, s.Keys = o.ranges[v.of].ID, o.told[v.of]
-		}
-		all, level = append(all, s), append(level, 0)
-		return len(all) - 1
+		b.freePlaces[v.to] = b.freePlaces[v.to][1:]
 	}
-	rule := make([]int, len(o.file.Rules)) // the level after which all of a rule are through
-	for _, v := range o.head {
-		for _, r := range v.rules {
-			rule[r] = 1
-		}
-		k := add(v)
-		leaves(o.frees(v), k)
-		if v.of >= 0 {
-			last[v.of] = k
-		}
+	b.addRules(step)
+	for _, d := range s.DependsOn {
+		b.level[step] = max(b.level[step], b.level[d.Step]+1)
 	}
-	heads := len(all)
-	of := slices.Clone(o.head)
-	for _, k := range o.serial {
-		v := o.moves[k]
-		n := add(v)
-		of = append(of, v)
-		s := &all[n]
-		if before, moved := last[v.of]; moved {
-			s.DependsOn = append(s.DependsOn, Dependency{before, SameRange})
-		}
-		if bounded(v.to) {
-			for _, by := range free[v.to][0].by {
-				s.DependsOn = append(s.DependsOn, Dependency{by, CapacityFreed})
-			}
-			free[v.to] = free[v.to][1:]
-		}
-		for _, r := range v.rules {
-			for _, b := range o.goesBefore[r] {
-				if !slices.Contains(s.AfterRules, b) {
-					s.AfterRules = append(s.AfterRules, b)
-				}
-				level[n] = max(level[n], rule[b])
+	for _, r := range v.rules {
+		b.ruleLevel[r] = max(b.ruleLevel[r], b.level[step]+1)
+	}
+	b.lastStep[v.rangeIndex] = step
+	b.release(v.from, step)
+}
+
+// addRules makes a step wait for the rules that precede its own.
+func (b *stepBuilder) addRules(step int) {
+	s := &b.steps[step]
+	for _, r := range s.Rules {
+		for _, preceding := range b.precedingByRule[r] {
+			if !slices.Contains(s.AfterRules, preceding) {
+				s.AfterRules = append(s.AfterRules, preceding)
 			}
+			b.level[step] = max(b.level[step], b.ruleLevel[preceding])
 		}
-		slices.Sort(s.AfterRules)
-		for _, need := range s.DependsOn {
-			level[n] = max(level[n], level[need.Step]+1)
-		}
-		for _, r := range v.rules {
-			rule[r] = max(rule[r], level[n]+1)
-		}
-		last[v.of] = n
-		leaves(v.from, n)
 	}
-	return arranged(all, level, heads, of)
+	slices.Sort(s.AfterRules)
 }
 
-// arranged numbers the steps by how many have to be through before them, those that rules want first.
-func arranged(all []Step, level []int, heads int, of []move) []Step {
-	by := make([]int, len(all))
-	for n := range by {
-		by[n] = n
-	}
-	weight := func(n int) int {
+// sorted returns the steps by level, those in flight first and those that rules force first within a level.
+func (b *stepBuilder) sorted() []Step {
+	rank := func(step int) int {
 		switch {
-		case n < heads:
+		case step < len(b.inFlight):
 			return -1
-		case of[n].forced:
-			return 2 * level[n]
+		case b.moves[step].isForced:
+			return 2 * b.level[step]
 		}
-		return 2*level[n] + 1
+		return 2*b.level[step] + 1
+	}
+	rangeOf := func(step int) cluster.RangeID { return b.steps[step].Range }
+	order := make([]int, len(b.steps))
+	for step := range order {
+		order[step] = step
 	}
-	slices.SortStableFunc(by, func(a, b int) int {
-		return cmp.Or(cmp.Compare(weight(a), weight(b)), cmp.Compare(all[a].Range, all[b].Range))
+	slices.SortStableFunc(order, func(x, y int) int {
+		return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(rangeOf(x), rangeOf(y)))
 	})
-	now := make([]int, len(all))
-	for n, was := range by {
-		now[was] = n
+	newIndex := make([]int, len(b.steps))
+	for index, step := range order {
+		newIndex[step] = index
 	}
-	steps := make([]Step, len(all))
-	for n, was := range by {
-		s := all[was]
+	sorted := make([]Step, len(b.steps))
+	for index, step := range order {
+		s := b.steps[step]
 		for k := range s.DependsOn {
-			s.DependsOn[k].Step = now[s.DependsOn[k].Step]
+			s.DependsOn[k].Step = newIndex[s.DependsOn[k].Step]
 		}
-		steps[n] = s
+		sorted[index] = s
 	}
-	return steps
+	return sorted
 }
--- a/cluster/rebalance/tally_test.go
+++ b/cluster/rebalance/tally_test.go
@@ -59,10 +59,10 @@
 	assert.Equal(t, h, another.Impact(1))
 	assert.Equal(t, Outcomes{Total: 40, Late: 9}, h.During)
 	assert.Equal(t, Outcomes{Total: 100, Late: 10}, h.Baseline)
-	why := w.file.StopConditions.harm(h)
+	why := degradation(w.file.StopConditions, h)
 	assert.Contains(t, why, "0.225 of webhooks late")
 	assert.Contains(t, why, "(9 of 40), 0.1 before; line 5 stops at 0.1 more")
-	assert.Contains(t, why, "most in range "+rangeName(at))
+	assert.Contains(t, why, "most in range "+formatRangeID(at))
 
 	// The member that saw most of it is killed and comes back: what it told still counts.
 	back := NewImpactMeter(3, second, 0)
@@ -128,11 +128,11 @@
 	empty := shardmap.New(nil)
 	y.CountOutcomes(7, Outcomes{Total: 1000})
 	for n := 1; n < 4; n++ {
-		y.ObserveMap(empty, well, api.Micros(n)*usualTerms*second)
+		y.ObserveMap(empty, well, api.Micros(n)*baselineTTLs*second)
 		y.CountOutcomes(7, Outcomes{Total: 1})
 	}
-	y.ObserveMap(w.m, well, 3*usualTerms*second)
-	assert.Equal(t, uint64(2), y.moves[move].usual.Total)
-	y.ObserveMap(empty, well, 5*usualTerms*second)
+	y.ObserveMap(w.m, well, 3*baselineTTLs*second)
+	assert.Equal(t, uint64(2), y.moves[move].baseline.Total)
+	y.ObserveMap(empty, well, 5*baselineTTLs*second)
 	assert.Empty(t, y.moves)
 }
--- a/cluster/rebalance/world_test.go
+++ b/cluster/rebalance/world_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 )
 
@@ -21,7 +22,7 @@
 // world is a log with its map of ranges and its plan, and members that do as they are told.
 type world struct {
 	t     tester
-	file  *File
+	file  *planfile.File
 	m     *shardmap.Map
 	p     *Progress
 	index uint64
@@ -92,7 +93,7 @@
 }
 
 func (w *world) adopt(text string) error {
-	f, err := ParseFile([]byte(text), "f.hcl")
+	f, err := planfile.Parse([]byte(text), "f.hcl")
 	if err != nil {
 		return err
 	}
@@ -195,7 +196,7 @@
 			has[other] += counts
 			moves[v.From]++
 			moves[v.To]++
-			from, to := w.file.member(v.From).Zone, w.file.member(v.To).Zone
+			from, to := w.file.FindMember(v.From).Zone, w.file.FindMember(v.To).Zone
 			if zones[from]++; from != to {
 				zones[to]++
 			}
