--- a/cluster/rebalance/rangesplit.go
+++ b/cluster/rebalance/rangesplit.go
@@ -105,10 +105,10 @@
 				ID:       nextID,
 				From:     key,
 				To:       low.To,
-				Owner:     r.Owner,
+				Owner:    r.Owner,
 				Epoch:    r.Epoch,
-				Status: r.Status,
-				SplitOff:    true,
+				Status:   r.Status,
+				SplitOff: true,
 			}
 			nextID++
 			low.To = key - 1
