--- a/serving/operator/amendment.go
+++ b/serving/operator/amendment.go
@@ -9,31 +9,36 @@
 	"rowanlink/serving/state"
 )
 
-// Amendment is an order to change named items of the configuration.
+// Amendment is an operator's request to change named items of the configuration.
 type Amendment struct {
 	baseVersion uint64
-	digest      state.Digest // of the order: what it builds on and its body
+	digest      state.Digest // of the base version and the body; identifies the request when it is sent again
 	amendment   *routing.Amendment
 }
 
-// readAmendment reads an amendment, before the register sees it.
+// readAmendment reads and validates an amendment.
 func readAmendment(w http.ResponseWriter, r *http.Request) (Amendment, error) {
-	basedOn, body, err := readChangeRequest(w, r)
+	request, err := readChangeRequest(w, r)
 	if err != nil {
 		return Amendment{}, err
 	}
-	amendment, err := routing.ParseAmendment(body)
+	amendment, err := routing.ParseAmendment(request.body)
 	if err != nil {
 		return Amendment{}, err
 	}
-	order := binary.BigEndian.AppendUint64([]byte("amendment"), basedOn)
-	return Amendment{baseVersion: basedOn, digest: state.DigestOf(append(order, body...)), amendment: amendment}, nil
+	identity := binary.BigEndian.AppendUint64([]byte("amendment"), request.baseVersion)
+	identity = append(identity, request.body...)
+	return Amendment{
+		baseVersion: request.baseVersion,
+		digest:      state.DigestOf(identity),
+		amendment:   amendment,
+	}, nil
 }
 
-// Apply makes the configuration that comes of the amendment. Errors are those of routing.Parse and
-// errcode.RequestTooLarge.
+// Apply returns the current configuration with the amendment applied. Errors are those of routing.Parse and
+// errcode.AmendedConfigurationTooLarge.
 func (a *Amendment) Apply(current state.Configuration) (state.Configuration, error) {
-	document, err := openConfiguration(current)
+	document, err := documentOf(current)
 	if err != nil {
 		return state.Configuration{}, err
 	}
--- a/serving/operator/client/client.go
+++ b/serving/operator/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls the operator's API of the core members: it reads and replaces the configuration and evacuates
-// zones. An order goes to the members in turn until one answers clearly.
+// Package client is a client of the operators' API of the core members: it reads and changes the configuration and
+// evacuates zones. It sends a call to the members in turn until one gives a final response.
 package client
 
 import (
@@ -19,79 +19,81 @@
 )
 
 const (
-	// callTimeout bounds one call; a core answers within half of it.
+	// callTimeout bounds one attempt; a core responds within half of it.
 	callTimeout = 5 * time.Second
-	// minBackoff and maxBackoff bound the growing pause between two rounds over the addresses.
+	// minBackoff and maxBackoff bound the exponential backoff between two rounds over the addresses.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
-	// maxResponseBytes bounds what is read of an answer, in bytes.
+	// maxResponseBytes bounds what is read of a response.
 	maxResponseBytes = 16 << 20
 )
 
-// ErrNoAddress tells that there is nobody to call.
+// ErrNoAddress is returned by a Client without addresses.
 var ErrNoAddress = errors.New("no control address")
 
-// ErrInDoubt is what the errors of orders are that got no clear answer: an order may or may not be in force.
+// ErrInDoubt is returned for a change without a final response: it may or may not be in force.
 var ErrInDoubt = errors.New("no clear answer in time")
 
-// inDoubtError is such an error, with the last call's. It implements error.
+// inDoubtError is ErrInDoubt with the errors of the last round.
 type inDoubtError struct{ last error }
 
 // Error implements error.
-func (u *inDoubtError) Error() string { return ErrInDoubt.Error() + ": " + u.last.Error() }
+func (e *inDoubtError) Error() string { return ErrInDoubt.Error() + ": " + e.last.Error() }
 
-// Is tells that it is ErrInDoubt.
-func (u *inDoubtError) Is(target error) bool { return target == ErrInDoubt }
+// Is reports that the error is ErrInDoubt.
+func (e *inDoubtError) Is(target error) bool { return target == ErrInDoubt }
 
-// Unwrap returns the last call's error.
-func (u *inDoubtError) Unwrap() error { return u.last }
+// Unwrap returns the errors of the last round.
+func (e *inDoubtError) Unwrap() error { return e.last }
 
-// Client calls the operator's API. Its methods try until their context ends; sending an order twice does no harm.
-// They return errors that are ErrInDoubt, ErrNoAddress, or a *Refusal.
+// Client calls the operators' API. Its methods retry until their context ends; sending a change twice is harmless.
+// Their errors are ErrInDoubt, ErrNoAddress or a *RejectedError.
 type Client struct {
 	Addresses []string // host:port of core members
 }
 
-// RejectedError is the clear answer of a member that won't carry an order out.
+// RejectedError is the final response of a member that rejects a call.
 type RejectedError struct {
 	Address string // of the member
 	Status  int    // of HTTP
-	Text    string // what the member says is wrong, with the number of a result
+	Text    string // the member's error text, with the number of its errcode.Kind
 }
 
 // Error implements error.
-func (r *RejectedError) Error() string {
-	return "refused by " + r.Address + " with " + strconv.Itoa(r.Status) + ": " + r.Text
+func (e *RejectedError) Error() string {
+	return "refused by " + e.Address + " with " + strconv.Itoa(e.Status) + ": " + e.Text
 }
 
-// Configuration returns the newest configuration, byte for byte as it was put.
+// Configuration returns the newest configuration, byte for byte as it was sent.
 func (c *Client) Configuration(ctx context.Context) ([]byte, error) {
 	return c.send(ctx, call{method: http.MethodGet, path: readPath})
 }
 
-// ReplaceConfiguration puts a document in force that builds on the version base; 0: it is the first one.
-func (c *Client) ReplaceConfiguration(ctx context.Context, base uint64, document []byte) error {
-	return c.changeConfiguration(ctx, replacePath, base, document)
+// ReplaceConfiguration replaces the configuration of version baseVersion by a document; 0 if there is none yet.
+func (c *Client) ReplaceConfiguration(ctx context.Context, baseVersion uint64, document []byte) error {
+	return c.changeConfiguration(ctx, replacePath, baseVersion, document)
 }
 
-// AmendConfiguration changes named items of version base, as an amendment says.
-func (c *Client) AmendConfiguration(ctx context.Context, base uint64, amendment []byte) error {
-	return c.changeConfiguration(ctx, amendPath, base, amendment)
+// AmendConfiguration applies an amendment to the configuration of version baseVersion.
+func (c *Client) AmendConfiguration(ctx context.Context, baseVersion uint64, amendment []byte) error {
+	return c.changeConfiguration(ctx, amendPath, baseVersion, amendment)
 }
 
-// changeConfiguration sends an order on the configuration that builds on a version.
-func (c *Client) changeConfiguration(ctx context.Context, path string, base uint64, body []byte) error {
-	header := http.Header{contentTypeHeader: {jsonContentType}, baseVersionHeader: {strconv.FormatUint(base, 10)}}
+func (c *Client) changeConfiguration(ctx context.Context, path string, baseVersion uint64, body []byte) error {
+	header := http.Header{
+		contentTypeHeader: {jsonContentType},
+		baseVersionHeader: {strconv.FormatUint(baseVersion, 10)},
+	}
 	_, err := c.send(ctx, call{method: http.MethodPost, path: path, header: header, body: body})
 	return err
 }
 
-// Evacuate orders that nothing more go to the endpoints of a zone.
+// Evacuate starts the evacuation of a zone: its endpoints get no more requests.
 func (c *Client) Evacuate(ctx context.Context, zone string) error {
 	return c.setEvacuation(ctx, beginEvacuationPath, zone)
 }
 
-// EndEvacuation takes that order back.
+// EndEvacuation ends the evacuation of a zone.
 func (c *Client) EndEvacuation(ctx context.Context, zone string) error {
 	return c.setEvacuation(ctx, endEvacuationPath, zone)
 }
@@ -101,7 +103,7 @@
 	return err
 }
 
-// call is one call of the operator's API.
+// call is one call of the operators' API.
 type call struct {
 	method string
 	path   string
@@ -109,68 +111,69 @@
 	body   []byte
 }
 
-// send tries an order at the addresses in turn until one answers clearly or the context ends.
-func (c *Client) send(ctx context.Context, call call) ([]byte, error) {
+// send sends a call to the addresses in turn until one gives a final response or the context ends.
+func (c *Client) send(ctx context.Context, request call) ([]byte, error) {
 	if len(c.Addresses) == 0 {
 		return nil, ErrNoAddress
 	}
-	between := minBackoff
+	backoff := minBackoff
 	for {
-		var last error
+		var roundError error
 		for _, address := range c.Addresses {
-			answer, clear, err := attempt(ctx, address, call)
-			if clear {
-				return answer, err
+			body, isFinal, err := attempt(ctx, address, request)
+			if isFinal {
+				return body, err
 			}
-			last = errors.CombineErrors(last, err)
+			roundError = errors.CombineErrors(roundError, err)
 		}
-		if !ctxsleep.Sleep(ctx, between) {
-			return nil, &inDoubtError{last: last}
+		if !ctxsleep.Sleep(ctx, backoff) {
+			return nil, &inDoubtError{last: roundError}
 		}
-		between = min(2*between, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// attempt makes one call. Clear tells that the answer is final.
-func attempt(ctx context.Context, address string, call call) (answer []byte, clear bool, err error) {
+// attempt sends a call to one address. isFinal reports that the outcome is final, whether body or err.
+func attempt(ctx context.Context, address string, request call) (body []byte, isFinal bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+address+call.path, bytes.NewReader(call.body))
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, "http://"+address+request.path,
+		bytes.NewReader(request.body))
 	if err != nil {
 		return nil, true, errors.Wrap(err, "control address")
 	}
-	for name, values := range call.header {
-		request.Header[name] = values
+	for name, values := range request.header {
+		httpRequest.Header[name] = values
 	}
-	response, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(httpRequest)
 	if err != nil {
 		return nil, false, err
 	}
-	defer response.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	defer func() { _ = response.Body.Close() }() // only read from
+	body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, false, errors.Wrapf(err, "answer of %s", address)
 	}
 	if response.StatusCode/100 == 2 {
-		return answer, true, nil
+		return body, true, nil
 	}
-	refusal := &RejectedError{Address: address, Status: response.StatusCode, Text: errorText(answer)}
-	return nil, isFinal(response.StatusCode), refusal
+	rejected := &RejectedError{Address: address, Status: response.StatusCode, Text: errorText(body)}
+	return nil, isFinalStatus(response.StatusCode), rejected
 }
 
-// errorText is the text of an answer that isn't 2xx: that of the field "error" where the answer is a JSON object.
-func errorText(answer []byte) string {
-	var failure struct {
+// errorText returns the text of an unsuccessful response: the field "error" of a JSON object, else the body itself.
+func errorText(body []byte) string {
+	var decoded struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(answer, &failure) == nil && failure.Error != "" {
-		return failure.Error
+	if json.Unmarshal(body, &decoded) == nil && decoded.Error != "" {
+		return decoded.Error
 	}
-	return strings.TrimSpace(string(answer))
+	return strings.TrimSpace(string(body))
 }
 
-// isFinal tells whether a status other than 2xx settles the order.
-func isFinal(status int) bool {
-	again := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests
-	return status/100 == 4 && !again
+// isFinalStatus reports whether an unsuccessful status means that the call has no effect, now or later.
+func isFinalStatus(status int) bool {
+	isRetriable := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests
+	return status/100 == 4 && !isRetriable
 }
--- a/serving/operator/client/client_test.go
+++ b/serving/operator/client/client_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unreachableAddress is an address where nobody listens.
+// unreachableAddress is an address that nothing listens on.
 const unreachableAddress = "127.0.0.1:1"
 
-// fakeCore notes the calls that it gets and answers with a status and a body.
+// fakeCore records the calls that it gets and responds with a status and a body.
 type fakeCore struct {
 	calls  []string
 	status int
@@ -31,14 +31,15 @@
 }
 
 func startServer(t *testing.T, handler http.Handler) (address string) {
+	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
 func TestClient_Calls(t *testing.T) {
-	there := &fakeCore{status: http.StatusOK, body: "the document"}
-	client := &Client{Addresses: []string{unreachableAddress, startServer(t, there)}}
+	reachable := &fakeCore{status: http.StatusOK, body: "the document"}
+	client := &Client{Addresses: []string{unreachableAddress, startServer(t, reachable)}}
 	document, err := client.Configuration(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, "the document", string(document))
@@ -46,26 +47,26 @@
 	require.NoError(t, client.Evacuate(t.Context(), "a/b"))
 	require.NoError(t, client.EndEvacuation(t.Context(), "z"))
 	assert.Equal(t, []string{"GET /Settings.Read  ", "POST /Settings.Replace 4 new", "POST /Clearance.Begin/a%2Fb  ",
-		"POST /Clearance.Finish/z  "}, there.calls)
+		"POST /Clearance.Finish/z  "}, reachable.calls)
 }
 
-// TestClient_FinalResponses: all others go to the next member.
+// TestClient_FinalResponses: after any other response the client tries the next member.
 func TestClient_FinalResponses(t *testing.T) {
-	for status, settles := range map[int]bool{400: true, 404: true, 409: true, 412: true, 413: true, 422: true,
+	for status, isFinal := range map[int]bool{400: true, 404: true, 409: true, 412: true, 413: true, 422: true,
 		408: false, 429: false, 500: false, 503: false, 504: false} {
 		first, second := &fakeCore{status: status, body: `{"error":"R0202 why","code":202}`}, &fakeCore{status: http.StatusOK}
 		client := &Client{Addresses: []string{startServer(t, first), startServer(t, second)}}
 		err := client.Evacuate(t.Context(), "z")
-		if !settles {
+		if !isFinal {
 			assert.NoError(t, err, status)
 			assert.Len(t, second.calls, 1, status)
 			continue
 		}
 		assert.Empty(t, second.calls, status)
-		var refusal *RejectedError
-		require.True(t, errors.As(err, &refusal), status)
-		assert.Equal(t, status, refusal.Status)
-		assert.Equal(t, "R0202 why", refusal.Text)
+		var rejected *RejectedError
+		require.True(t, errors.As(err, &rejected), status)
+		assert.Equal(t, status, rejected.Status)
+		assert.Equal(t, "R0202 why", rejected.Text)
 	}
 }
 
@@ -81,5 +82,5 @@
 func TestErrorText(t *testing.T) {
 	assert.Equal(t, "plain", errorText([]byte(" plain\n")))
 	assert.Equal(t, `{"other":1}`, errorText([]byte(`{"other":1}`)))
-	assert.Equal(t, "told", errorText([]byte(`{"error":"told"}`)))
+	assert.Equal(t, "reported", errorText([]byte(`{"error":"reported"}`)))
 }
--- a/serving/operator/client/wire.go
+++ b/serving/operator/client/wire.go
@@ -1,6 +1,6 @@
 package client
 
-// What the operator's API speaks.
+// The operators' API.
 const (
 	replacePath         = "/Settings.Replace"
 	amendPath           = "/Settings.Amend"
--- a/serving/operator/configuration.go
+++ b/serving/operator/configuration.go
@@ -14,94 +14,121 @@
 	"rowanlink/serving/state"
 )
 
-// baseVersionHeader names the version that a configuration builds on.
+// baseVersionHeader names the version that a change is based on.
 const baseVersionHeader = "X-Based-On"
 
-// emptyConfiguration is what is read before the first configuration.
+// emptyConfiguration is the document before the first configuration.
 var emptyConfiguration = []byte(`{"edition":0,"routings":[],"carriers":[]}`)
 
-// ConfigurationResource is the configuration in force.
+// ConfigurationResource handles reads and changes of the configuration.
 type ConfigurationResource struct {
 	register Register
 	log      *zerolog.Logger
 }
 
-// Replace puts a configuration in force: 200 when a majority holds it, 412 when another version is current, 400 when
-// it is invalid, 503 when that is open. The work goes on when the caller leaves: the version that the order builds on
-// keeps it from being done too late.
-func (s *ConfigurationResource) Replace(w http.ResponseWriter, r *http.Request) {
-	basedOn, configuration, err := readConfiguration(w, r)
+// changeRequest is an operator's request to change the configuration.
+type changeRequest struct {
+	baseVersion uint64
+	body        []byte
+}
+
+// Replace replaces the configuration. It responds with 200 once a majority has stored it, 412 if another version is
+// current, 400 if it is invalid, 503 if the outcome is in doubt. The work goes on when the caller disconnects: the base
+// version keeps the change from being committed too late.
+func (c *ConfigurationResource) Replace(w http.ResponseWriter, r *http.Request) {
+	baseVersion, configuration, err := readConfiguration(w, r)
 	if err != nil {
-		event.ConfigurationRejected.Log(s.log).Err(err).Send()
-		writeError(w, err)
+		c.reject(w, err)
 		return
 	}
-	s.applyChange(w, r, configuration.Version, func(ctx context.Context) error {
-		return s.register.ReplaceConfiguration(ctx, basedOn, configuration)
+	c.applyChange(w, r, configuration.Version, func(ctx context.Context) error {
+		return c.register.ReplaceConfiguration(ctx, baseVersion, configuration)
 	})
 }
 
-// Amend changes named items of the configuration under the same terms as Replace. What comes of it is decided on the
-// record that the register finds.
-func (s *ConfigurationResource) Amend(w http.ResponseWriter, r *http.Request) {
-	order, err := readAmendment(w, r)
+// Amend changes named items of the configuration and responds as Replace does. The amendment is applied to the record
+// that the register holds at the commit.
+func (c *ConfigurationResource) Amend(w http.ResponseWriter, r *http.Request) {
+	amendment, err := readAmendment(w, r)
 	if err != nil {
-		event.ConfigurationRejected.Log(s.log).Err(err).Send()
-		writeError(w, err)
+		c.reject(w, err)
 		return
 	}
-	s.applyChange(w, r, order.amendment.Version, func(ctx context.Context) error {
-		return s.register.AmendConfiguration(ctx, order)
+	c.applyChange(w, r, amendment.amendment.Version, func(ctx context.Context) error {
+		return c.register.AmendConfiguration(ctx, amendment)
 	})
 }
 
-// applyChange makes a change of the register and answers with what came of it.
-func (s *ConfigurationResource) applyChange(w http.ResponseWriter, r *http.Request, version uint64,
+// Read responds with the newest configuration, byte for byte as it was sent, or 503 without a majority.
+func (c *ConfigurationResource) Read(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
+	defer cancel()
+	record, err := c.register.Read(ctx)
+	if err != nil {
+		writeError(w, errcode.NoQuorum.With("%v", err))
+		return
+	}
+	document, err := documentOf(record.Configuration)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	writeJSON(w, http.StatusOK, document)
+}
+
+// reject responds to a request that is invalid whatever the register holds.
+func (c *ConfigurationResource) reject(w http.ResponseWriter, err error) {
+	event.ConfigurationRejected.Log(c.log).Err(err).Send()
+	writeError(w, err)
+}
+
+// applyChange changes the register and responds with the outcome.
+func (c *ConfigurationResource) applyChange(w http.ResponseWriter, r *http.Request, version uint64,
 	change func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
 	if err := change(ctx); err != nil {
-		s.writeChangeError(w, changeError(err, errcode.ChangeInDoubt), version)
+		c.writeChangeError(w, changeError(err, errcode.ChangeInDoubt), version)
 		return
 	}
-	event.ConfigurationAcknowledged.Log(s.log).Uint64("version", version).Send()
+	event.ConfigurationAcknowledged.Log(c.log).Uint64("version", version).Send()
 	writeJSON(w, http.StatusOK, emptyBody)
 }
 
-func (s *ConfigurationResource) writeChangeError(w http.ResponseWriter, err error, version uint64) {
+func (c *ConfigurationResource) writeChangeError(w http.ResponseWriter, err error, version uint64) {
 	kind := event.ConfigurationRejected
 	if errcode.ChangeInDoubt.Is(err) {
 		kind = event.ChangeInDoubt
 	}
-	kind.Log(s.log).Uint64("version", version).Err(err).Send()
+	kind.Log(c.log).Uint64("version", version).Err(err).Send()
 	writeError(w, err)
 }
 
-// readConfiguration reads and checks an order, before the register sees it.
+// readConfiguration reads and validates a new configuration and its base version.
 func readConfiguration(w http.ResponseWriter, r *http.Request) (uint64, state.Configuration, error) {
-	basedOn, document, err := readChangeRequest(w, r)
+	request, err := readChangeRequest(w, r)
 	if err != nil {
 		return 0, state.Configuration{}, err
 	}
-	table, err := routing.Parse(document)
+	table, err := routing.Parse(request.body)
 	if err != nil {
 		return 0, state.Configuration{}, err
 	}
-	configuration, err := state.NewConfiguration(table.Version, document)
-	return basedOn, configuration, err
+	configuration, err := state.NewConfiguration(table.Version, request.body)
+	return request.baseVersion, configuration, err
 }
 
-// readChangeRequest reads the version that an order builds on and its body.
-func readChangeRequest(w http.ResponseWriter, r *http.Request) (basedOn uint64, body []byte, err error) {
-	basedOn, err = parseBaseVersion(r.Header.Get(baseVersionHeader))
+// readChangeRequest reads the base version and the body of a change.
+func readChangeRequest(w http.ResponseWriter, r *http.Request) (changeRequest, error) {
+	baseVersion, err := parseBaseVersion(r.Header.Get(baseVersionHeader))
 	if err != nil {
-		return 0, nil, err
+		return changeRequest{}, err
 	}
-	body, err = readBody(w, r, maxDocumentBytes)
-	return basedOn, body, err
+	body, err := readBody(w, r, maxDocumentBytes)
+	return changeRequest{baseVersion: baseVersion, body: body}, err
 }
 
-// parseBaseVersion reads a version number; quotes round it, as round entity tags, are taken too.
+// parseBaseVersion parses a version number, which may be quoted like an entity tag.
 func parseBaseVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(text), `"`), 10, 64)
 	if err != nil {
@@ -110,27 +137,10 @@
 	return version, nil
 }
 
-// openConfiguration returns the document, before the first one an empty configuration.
-func openConfiguration(configuration state.Configuration) ([]byte, error) {
+// documentOf returns a configuration's document; before the first configuration, an empty one.
+func documentOf(configuration state.Configuration) ([]byte, error) {
 	if configuration.Version == 0 {
 		return emptyConfiguration, nil
 	}
 	return configuration.Decompress()
 }
-
-// Read answers with the newest configuration, byte for byte as it was sent, or 503 without a majority.
-func (s *ConfigurationResource) Read(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
-	defer cancel()
-	record, err := s.register.Read(ctx)
-	if err != nil {
-		writeError(w, errcode.NoQuorum.With("%v", err))
-		return
-	}
-	document, err := openConfiguration(record.Configuration)
-	if err != nil {
-		writeError(w, err)
-		return
-	}
-	writeJSON(w, http.StatusOK, document)
-}
--- a/serving/operator/endpoint.go
+++ b/serving/operator/endpoint.go
@@ -14,7 +14,7 @@
 	"rowanlink/serving/state"
 )
 
-// EndpointResource takes the calls of endpoints.
+// EndpointResource handles the requests of endpoints.
 type EndpointResource struct {
 	endpoints  Endpoints
 	replicator Replicator
@@ -23,26 +23,26 @@
 	log        *zerolog.Logger
 }
 
-// heartbeatResponse is the body of the answer to a heartbeat.
+// heartbeatResponse is the body of the response to a heartbeat.
 type heartbeatResponse struct {
 	ForwardTo string `json:"forward_to,omitempty"`
 }
 
-// Heartbeat takes a heartbeat. That an endpoint is closing is acknowledged only when a majority of the voters knows it. All
-// others are acknowledged while this machine takes a majority for live: one that is cut off sends endpoints on to where
-// the dispatchers hear of them.
+// Heartbeat handles a heartbeat. The heartbeat of a closing endpoint is acknowledged only once a majority of the voters
+// has stored its state. All others are acknowledged while this member sees a majority of the voters live: a partitioned
+// member thus makes endpoints turn to members that the dispatchers hear from.
 func (e *EndpointResource) Heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	beat, err := readHeartbeat(body)
+	heartbeat, err := parseHeartbeat(body)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	endpoint, change, ok := e.endpoints.ReceiveHeartbeat(r.PathValue("id"), beat)
+	endpoint, change, ok := e.endpoints.ReceiveHeartbeat(r.PathValue("id"), heartbeat)
 	if !ok {
 		writeError(w, errcode.MemberStopping.With(""))
 		return
@@ -55,8 +55,8 @@
 	e.acknowledge(w, endpoint)
 }
 
-// Deregister takes an endpoint's last word, whether or not it said before that it was closing. The body counts for
-// nothing.
+// Deregister handles the deregistration of an endpoint, whether or not it has reported before that it is closing. The
+// body is ignored.
 func (e *EndpointResource) Deregister(w http.ResponseWriter, r *http.Request) {
 	endpoint, change, ok := e.endpoints.Deregister(r.PathValue("id"))
 	if !ok {
@@ -73,29 +73,23 @@
 	writeJSON(w, http.StatusOK, emptyBody)
 }
 
-// replicate passes on what others must know. For an endpoint that takes no new requests it returns when a majority of
-// the voters holds that: each dispatcher that is in touch hears it from one of them, and a machine that is cut off
-// acknowledges nothing. Errors are errcode.NotReplicated.
+// replicate sends a change to the other members. For an endpoint that takes no new requests it returns once a majority
+// of the voters has stored the change: each dispatcher that isn't partitioned hears it from one of them, and a
+// partitioned member acknowledges nothing. Errors are errcode.NotReplicated.
 func (e *EndpointResource) replicate(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.EndpointAccepting {
-		if change.Broadcast {
-			e.replicator.Put(endpoint)
-		}
-		if !e.quorum.HasQuorum() {
-			return errcode.NotReplicated.With("endpoint %s: too few voters are live", endpoint.ID)
-		}
-		return nil
+		return e.gossip(endpoint, change)
 	}
 	if change.Replicated {
 		return nil
 	}
-	others, copies, known := e.quorum.OtherVoters()
+	others, needed, known := e.quorum.OtherVoters()
 	if !known {
 		return errcode.NotReplicated.With("endpoint %s: the voters aren't known yet", endpoint.ID)
 	}
-	limited, cancel := context.WithTimeout(ctx, replicationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicationTimeout)
 	defer cancel()
-	if err := e.replicator.PutReplicated(limited, endpoint, others, copies); err != nil {
+	if err := e.replicator.PutReplicated(ctx, endpoint, others, needed); err != nil {
 		event.EndpointNotReplicated.Log(e.log).Str("endpoint", endpoint.ID).Err(err).Send()
 		return errcode.NotReplicated.With("endpoint %s: %v", endpoint.ID, err)
 	}
@@ -103,12 +97,23 @@
 	return nil
 }
 
+// gossip sends a change of an accepting endpoint, if there is one, and fails if this member seems partitioned.
+func (e *EndpointResource) gossip(endpoint state.Endpoint, change endpoints.Change) error {
+	if change.Broadcast {
+		e.replicator.Put(endpoint)
+	}
+	if !e.quorum.HasQuorum() {
+		return errcode.NotReplicated.With("endpoint %s: too few voters are live", endpoint.ID)
+	}
+	return nil
+}
+
 func (e *EndpointResource) acknowledge(w http.ResponseWriter, endpoint state.Endpoint) {
-	var answer heartbeatResponse
+	var response heartbeatResponse
 	if e.forwardTo != nil {
-		answer.ForwardTo = e.forwardTo(endpoint.ID, endpoint.Zone)
+		response.ForwardTo = e.forwardTo(endpoint.ID, endpoint.Zone)
 	}
-	body, err := json.Marshal(answer)
+	body, err := json.Marshal(response)
 	if err != nil {
 		body = emptyBody
 	}
@@ -118,10 +123,16 @@
 func (e *EndpointResource) logHeartbeat(endpoint state.Endpoint, change endpoints.Change) {
 	switch {
 	case change.New:
-		event.EndpointRegistered.Log(e.log).Str("endpoint", endpoint.ID).Str("service", endpoint.Service).
-			Str("address", endpoint.Address).Str("zone", endpoint.Zone).Send()
+		event.EndpointRegistered.Log(e.log).
+			Str("endpoint", endpoint.ID).
+			Str("service", endpoint.Service).
+			Str("address", endpoint.Address).
+			Str("zone", endpoint.Zone).
+			Send()
 	case change.Broadcast && endpoint.State == state.EndpointDraining:
-		event.EndpointClosing.Log(e.log).Str("endpoint", endpoint.ID).
-			Int64("remaining_ms", endpoint.RemovalInMillis).Send()
+		event.EndpointClosing.Log(e.log).
+			Str("endpoint", endpoint.ID).
+			Int64("remaining_ms", endpoint.RemovalInMillis).
+			Send()
 	}
 }
--- a/serving/operator/endpoint_test.go
+++ b/serving/operator/endpoint_test.go
@@ -22,13 +22,13 @@
 	assert.Equal(t, []state.Endpoint{want}, f.table.Live())
 
 	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 5)).Code)
-	assert.Len(t, f.replicator.put, 1, "a heartbeat that says nothing new isn't told on")
+	assert.Len(t, f.replicator.put, 1, "a heartbeat without a change isn't gossiped")
 	assert.Empty(t, f.replicator.replicated)
 }
 
 func TestClosing_IsAcknowledgedOnceReplicatedToAMajority(t *testing.T) {
 	for _, call := range []struct{ name, path, body string }{
-		{"closing", heartbeatPath, heartbeatBody("closing", 9)}, {"sign-off", deregisterPath, ""},
+		{"closing", heartbeatPath, heartbeatBody("closing", 9)}, {"deregistration", deregisterPath, ""},
 	} {
 		t.Run(call.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,51 +36,50 @@
 				f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
 				f.replicator.failures = 2
 				for range 2 {
-					begun := time.Now()
+					start := time.Now()
 					assert.Equal(t, 503, f.call("POST", call.path, call.body).Code)
-					assert.Equal(t, replicationTimeout, time.Since(begun))
+					assert.Equal(t, replicationTimeout, time.Since(start))
 				}
 				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
 				assert.Len(t, f.replicator.replicated, 3)
 				assert.Equal(t, []string{"core-2", "core-3"}, f.replicator.addresses)
 				assert.Equal(t, 1, f.replicator.copies)
 				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
-				assert.Len(t, f.replicator.replicated, 3, "the others hold it already")
+				assert.Len(t, f.replicator.replicated, 3, "the others have stored it already")
 			})
 		})
 	}
 }
 
 func TestClosing_ReplicasNeededForAMajority(t *testing.T) {
-	for _, tried := range []struct {
-		name   string
-		voters fakeVoters
-		asked  []string
-		copies int
+	for _, test := range []struct {
+		name      string
+		voters    fakeVoters
+		addresses []string
+		copies    int
 	}{
 		{"the only voter", fakeVoters{"core-1"}, nil, 0},
 		{"one of five", fakeVoters{"core-1", "a", "b", "c", "d"}, []string{"a", "b", "c", "d"}, 2},
 		{"a learner", fakeVoters{"a", "b", "c"}, []string{"a", "b", "c"}, 2},
 	} {
 		f := newFixture(t)
-		*f.voters = tried.voters
-		assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code, tried.name)
-		assert.Equal(t, tried.asked, f.replicator.addresses, tried.name)
-		assert.Equal(t, tried.copies, f.replicator.copies, tried.name)
+		*f.voters = test.voters
+		assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code, test.name)
+		assert.Equal(t, test.addresses, f.replicator.addresses, test.name)
+		assert.Equal(t, test.copies, f.replicator.copies, test.name)
 	}
 }
 
-// A machine that takes itself for alone, as one that is cut off does, is no majority: it acknowledges no end, and sends
-// all endpoints on to others.
+// A partitioned member has no majority: it acknowledges no deregistration, and all endpoints turn to other members.
 func TestPartitionedMember_AcknowledgesNothing(t *testing.T) {
 	f := newFixture(t)
-	f.replicator.dead["core-2"], f.replicator.dead["core-3"] = true, true
+	f.replicator.down["core-2"], f.replicator.down["core-3"] = true, true
 	f.replicator.failures = 2
 	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
-	assert.Len(t, f.table.Live(), 1, "what it said is known all the same")
+	assert.Len(t, f.table.Live(), 1, "its state is stored nevertheless")
 	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code)
 	assert.Equal(t, 503, f.call("POST", deregisterPath, "").Code)
-	f.replicator.dead["core-2"] = false
+	f.replicator.down["core-2"] = false
 	assert.Equal(t, 200, f.call("POST", "/Endpoints.Beat/other", heartbeatBody("accepting", 3)).Code)
 }
 
@@ -105,7 +104,7 @@
 		name, body string
 		status     int
 	}{
-		{"least", `{"carrier":"s","address":"x:1"}`, 200},
+		{"required fields", `{"carrier":"s","address":"x:1"}`, 200},
 		{"nulls", `{"carrier":"s","address":"x:1","zone":null,"models":null,"call_seq":3}`, 200},
 		{"remaining", `{"carrier":"s","address":"x:1","state":"closing","remaining_ms":1500.5,"call_seq":3}`, 200},
 		{"models of other shapes", `{"carrier":"s","address":"x:1","edition":7,"models":[{"name":"m","edition":"2",` +
@@ -113,7 +112,7 @@
 		{"unknown fields", `{"carrier":"s","address":"x:1","later":{"a":[]}}`, 200},
 		{"no address", `{"carrier":"s"}`, 400},
 		{"no service", `{"address":"x:1"}`, 400},
-		{"cut short", `{"carrier":"s","address"`, 400},
+		{"truncated", `{"carrier":"s","address"`, 400},
 		{"unknown state", `{"carrier":"s","address":"x:1","state":"tired"}`, 400},
 		{"too large", `{"carrier":"` + strings.Repeat("s", maxHeartbeatBytes) + `"}`, 413},
 	} {
@@ -144,7 +143,7 @@
 		assert.Equal(t, want, forwarder.ForwardTo("e-"+zone, zone), zone)
 	}
 	members = nil
-	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z3"), "alone")
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z3"), "no other member")
 }
 
 func TestForwarder_DistributesConsistently(t *testing.T) {
@@ -168,11 +167,11 @@
 		Members: func() []state.Member { return []state.Member{self, other} }, Clock: func() time.Time { return now }}
 	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"))
 	now = now.Add(2 * time.Second)
-	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"), "it could not reach where it was sent")
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"), "it couldn't reach the target")
 	now = now.Add(30 * time.Second)
 	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"))
 	now = now.Add(31 * time.Second)
-	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "tried again after a minute")
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "redirected again after a minute")
 	now = now.Add(11 * time.Second)
-	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "a call long after is no return")
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "a heartbeat long after the redirect is no return")
 }
--- a/serving/operator/evacuation.go
+++ b/serving/operator/evacuation.go
@@ -10,34 +10,34 @@
 	"rowanlink/serving/event"
 )
 
-// EvacuationResource holds the evacuations of zones.
+// EvacuationResource handles the evacuation of zones.
 type EvacuationResource struct {
 	register Register
-	regions  map[string]string
+	regions  map[string]string // region by zone
 	log      *zerolog.Logger
 }
 
-// Begin orders that nothing more go to the endpoints of a zone.
-func (c *EvacuationResource) Begin(w http.ResponseWriter, r *http.Request) { c.set(w, r, true) }
+// Begin starts the evacuation of a zone: its endpoints get no more requests.
+func (e *EvacuationResource) Begin(w http.ResponseWriter, r *http.Request) { e.set(w, r, true) }
 
-// End takes the order back.
-func (c *EvacuationResource) End(w http.ResponseWriter, r *http.Request) { c.set(w, r, false) }
+// End ends the evacuation of a zone.
+func (e *EvacuationResource) End(w http.ResponseWriter, r *http.Request) { e.set(w, r, false) }
 
-// set answers 200 when a majority holds the order, 404 for a zone that isn't in the settings, 503 when it is open.
-// The work ends when the caller leaves: done later, it might undo an order that followed.
-func (c *EvacuationResource) set(w http.ResponseWriter, r *http.Request, active bool) {
+// set responds with 200 once the change is committed, 404 for a zone that isn't in the settings, 503 if the outcome is
+// in doubt. The work ends when the caller disconnects: completed later, the change might undo one that followed it.
+func (e *EvacuationResource) set(w http.ResponseWriter, r *http.Request, active bool) {
 	zone := r.PathValue("zone")
-	if _, known := c.regions[zone]; !known {
+	if _, isKnown := e.regions[zone]; !isKnown {
 		writeError(w, errcode.ZoneUnknown.With("%q", zone))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
-	if err := c.register.SetEvacuation(ctx, zone, active); err != nil {
-		event.ChangeInDoubt.Log(c.log).Str("zone", zone).Bool("active", active).Err(err).Send()
+	if err := e.register.SetEvacuation(ctx, zone, active); err != nil {
+		event.ChangeInDoubt.Log(e.log).Str("zone", zone).Bool("active", active).Err(err).Send()
 		writeError(w, errcode.ChangeInDoubt.With("%v", err))
 		return
 	}
-	event.EvacuationAcknowledged.Log(c.log).Str("zone", zone).Bool("active", active).Send()
+	event.EvacuationAcknowledged.Log(e.log).Str("zone", zone).Bool("active", active).Send()
 	writeJSON(w, http.StatusOK, emptyBody)
 }
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -16,13 +16,13 @@
 	"rowanlink/serving/state"
 )
 
-// errNoMajority stands for an error of the register that says nothing of the record.
+// errNoMajority is an error of the register that says nothing about the record.
 var errNoMajority = errors.New("no majority")
 
-// fakeRegister holds a record in memory. failAt makes the call of that number fail or hang.
+// fakeRegister holds a record in memory. failAt and hangAt make the call of that number fail or hang.
 type fakeRegister struct {
 	record      state.Record
-	changeError error // given for each change
+	changeError error // returned by each change
 	calls       int
 	failAt      map[int]error
 	hangAt      map[int]bool
@@ -74,14 +74,14 @@
 	return f.record, f.enter(ctx)
 }
 
-// fakeReplicator counts what is told. Replication fails as often as failures says.
+// fakeReplicator records what is sent. The next failures calls of PutReplicated fail.
 type fakeReplicator struct {
 	put        []state.Endpoint
 	replicated []state.Endpoint
 	addresses  []string // addresses of the newest replication
 	copies     int      // of the newest replication
 	failures   int
-	dead       map[string]bool // addresses
+	down       map[string]bool // by address
 }
 
 func (f *fakeReplicator) Put(e state.Endpoint) { f.put = append(f.put, e) }
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (f *fakeReplicator) isLive(address string) bool { return !f.dead[address] }
+func (f *fakeReplicator) isLive(address string) bool { return !f.down[address] }
 
 // fakeVoters is a set of voters.
 type fakeVoters []string
@@ -109,7 +109,7 @@
 	return set
 }
 
-// fixture is a control address over fakes and a real table.
+// fixture is a control address with a fake register and replicator and a real table of endpoints.
 type fixture struct {
 	register   *fakeRegister
 	replicator *fakeReplicator
@@ -119,7 +119,7 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{register: &fakeRegister{}, replicator: &fakeReplicator{dead: map[string]bool{}},
+	f := &fixture{register: &fakeRegister{}, replicator: &fakeReplicator{down: map[string]bool{}},
 		voters: &fakeVoters{"core-1", "core-2", "core-3"}}
 	f.table = endpoints.Start(endpoints.Options{Self: "core-1", HeartbeatInterval: time.Second}, time.Now)
 	t.Cleanup(f.table.Stop)
@@ -130,7 +130,7 @@
 	return f
 }
 
-// call makes a call; headers are given as "Name: value".
+// call sends a request; headers have the form "Name: value".
 func (f *fixture) call(method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	return f.callWith(context.Background(), method, path, body, headers...)
 }
--- a/serving/operator/forwarder.go
+++ b/serving/operator/forwarder.go
@@ -8,30 +8,32 @@
 	"rowanlink/serving/state"
 )
 
-// returnRetention is how long an endpoint that has come back from where it was sent is kept here.
-const returnRetention = 60 * time.Second
-
-// returnWindow is how long it counts as a return if an endpoint calls here although it was sent elsewhere.
-const returnWindow = 10 * time.Second
+const (
+	// returnRetention is how long an endpoint that couldn't reach its redirect's target stays at this member.
+	returnRetention = 60 * time.Second
+	// returnWindow is how soon after a redirect another heartbeat at this member means that the endpoint couldn't reach
+	// the target.
+	returnWindow = 10 * time.Second
+)
 
-// Forwarder chooses where the heartbeats of endpoints go: to a core member in the endpoint's zone, else in its region,
-// so that they cross few links and always reach the same member. It is safe for use by several goroutines.
+// Forwarder chooses the core member that receives an endpoint's heartbeats: one in the endpoint's zone, else in its
+// region, so that heartbeats cross few links and always reach the same member. It is safe for concurrent use.
 type Forwarder struct {
 	Self    state.Member
 	Regions map[string]string // region by zone
-	// Members returns the members that are live and ready.
+	// Members returns the live members.
 	Members func() []state.Member
 	Clock   func() time.Time
 
 	mutex     sync.Mutex
-	redirects map[string]redirect // by endpoint
+	redirects map[string]redirect // by endpoint ID
 }
 
-// redirect is what was last done with an endpoint.
+// redirect is the last redirect of an endpoint.
 type redirect struct {
 	target   string // control address
 	at       time.Time
-	returned bool // it came back: where it was sent can't be reached from there
+	returned bool // the endpoint came back: it can't reach the target
 }
 
 // ForwardTo returns the control address for an endpoint's next heartbeats.
@@ -43,71 +45,86 @@
 	return chosen.ControlAddress
 }
 
-// hasReturned tells whether an endpoint calls here although it was just sent there, else notes that it is sent.
-func (f *Forwarder) hasReturned(id, to string) bool {
+// hasReturned reports whether an endpoint has come back from a redirect to the target, and records the redirect if it
+// is to be sent there now.
+func (f *Forwarder) hasReturned(id, target string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := f.Clock()
 	f.evictExpired(now)
-	last, known := f.redirects[id]
-	returned := known && last.target == to
+	last, found := f.redirects[id]
+	returned := found && last.target == target
 	if returned && last.returned {
 		return true
 	}
 	if f.redirects == nil {
 		f.redirects = make(map[string]redirect)
 	}
-	f.redirects[id] = redirect{target: to, at: now, returned: returned}
+	f.redirects[id] = redirect{target: target, at: now, returned: returned}
 	return returned
 }
 
-// evictExpired forgets what lies long back.
+// evictExpired removes redirects that no longer count.
 func (f *Forwarder) evictExpired(now time.Time) {
 	for id, last := range f.redirects {
-		age := now.Sub(last.at)
-		if age > returnRetention || !last.returned && age > returnWindow {
+		retention := returnWindow
+		if last.returned {
+			retention = returnRetention
+		}
+		if now.Sub(last.at) > retention {
 			delete(f.redirects, id)
 		}
 	}
 }
 
-// chooseReceiver takes the member nearest to the zone; among several alike, one that hangs on the endpoint's ID, so
-// that all members choose the same and share the work.
+// chooseReceiver returns the core member nearest to the zone; among equally near ones, by rendezvous hashing of the
+// endpoint's ID (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that all members
+// choose the same one and share the load.
 func chooseReceiver(self state.Member, members []state.Member, regions map[string]string, id, zone string) state.Member {
-	best, bestNear, bestWeight := self, proximity(self, regions, zone), rendezvousWeight(self.Name, id)
+	best := self
+	bestProximity := proximity(self, regions, zone)
+	bestWeight := rendezvousWeight(self.Name, id)
 	for _, member := range members {
 		if member.Role != state.RoleCore || member.State != state.MemberReady || member.ControlAddress == "" {
 			continue
 		}
-		near, share := proximity(member, regions, zone), rendezvousWeight(member.Name, id)
-		if near > bestNear || near == bestNear && share > bestWeight {
-			best, bestNear, bestWeight = member, near, share
+		near, weight := proximity(member, regions, zone), rendezvousWeight(member.Name, id)
+		if near > bestProximity || near == bestProximity && weight > bestWeight {
+			best, bestProximity, bestWeight = member, near, weight
 		}
 	}
 	return best
 }
 
-// proximity of a member to a zone: 2 in it, 1 in its region, else 0.
+// Proximity of a member to a zone.
+const (
+	elsewhere = iota
+	inSameRegion
+	inSameZone
+)
+
 func proximity(member state.Member, regions map[string]string, zone string) int {
 	switch {
 	case member.Zone == zone:
-		return 2
+		return inSameZone
 	case member.Region == regions[zone]:
-		return 1
+		return inSameRegion
 	default:
-		return 0
+		return elsewhere
 	}
 }
 
+// rendezvousWeight returns the pseudo-random weight of a member for an endpoint.
 func rendezvousWeight(member, id string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(member))
+	_, _ = hash.Write([]byte(member)) // a hash's Write returns no error
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(id))
 	return mixBits(hash.Sum64())
 }
 
-// mixBits spreads the bits of a hash, whose high ones differ little between similar names (splitmix64's finish).
+// mixBits is the finalizer of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators",
+// 2014). The high bits of FNV-1a differ little between similar names.
 func mixBits(bits uint64) uint64 {
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
 	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
--- a/serving/operator/fuzz_test.go
+++ b/serving/operator/fuzz_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/errcode"
 )
 
-// heartbeatDocument is a heartbeat as an endpoint writes it.
+// heartbeatDocument is the JSON form of a heartbeat.
 type heartbeatDocument struct {
 	Service         string          `json:"carrier"`
 	Address         string          `json:"address"`
@@ -30,42 +30,42 @@
 	Adapters []string `json:"adapters"`
 }
 
-// FuzzHeartbeat: no heartbeat that is taken has a negative number or lacks what nobody can do without, and what was
-// understood means the same when it is written and read again.
+// FuzzHeartbeat: no accepted heartbeat has a negative number or lacks a required field, and a parsed heartbeat survives
+// encoding and parsing.
 func FuzzHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"carrier":"huvo11a","address":"10.128.0.9:8080","zone":"z","edition":"v1","berths":128,
 		"state":"accepting","cold_left_ms":12.5,"stage":"both","models":[{"name":"m","edition":1,"adapters":["a"]}],"call_seq":4}`))
 	f.Add([]byte(`{"carrier":"s","address":"a","state":"closing","remaining_ms":1e308,"call_seq":18446744073709551615}`))
 	f.Add([]byte(`{"carrier":"s","address":"a","edition":{"x":[1]},"models":[{"edition":-9e99,"adapters":"one"}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		beat, err := readHeartbeat(body)
+		heartbeat, err := parseHeartbeat(body)
 		if err != nil {
 			assert.True(t, errcode.HeartbeatUnreadable.Is(err), "%v", err)
 			return
 		}
-		assert.NotEmpty(t, beat.Service)
-		assert.NotEmpty(t, beat.Address)
-		assert.GreaterOrEqual(t, beat.Slots, 0)
-		assert.GreaterOrEqual(t, int64(beat.WarmUpRemaining), int64(0))
-		assert.GreaterOrEqual(t, int64(beat.Remaining), int64(0))
-		document := heartbeatDocument{Service: beat.Service, Address: beat.Address, Zone: beat.Zone, Edition: beat.Edition,
-			Slots: beat.Slots, State: "accepting", ColdLeftMillis: float64(beat.WarmUpRemaining) / 1e6,
-			RemainingMillis: float64(beat.Remaining) / 1e6, Sequence: beat.Sequence}
-		if beat.Closing {
+		assert.NotEmpty(t, heartbeat.Service)
+		assert.NotEmpty(t, heartbeat.Address)
+		assert.GreaterOrEqual(t, heartbeat.Slots, 0)
+		assert.GreaterOrEqual(t, int64(heartbeat.WarmUpRemaining), int64(0))
+		assert.GreaterOrEqual(t, int64(heartbeat.Remaining), int64(0))
+		document := heartbeatDocument{Service: heartbeat.Service, Address: heartbeat.Address, Zone: heartbeat.Zone, Edition: heartbeat.Edition,
+			Slots: heartbeat.Slots, State: "accepting", ColdLeftMillis: float64(heartbeat.WarmUpRemaining) / 1e6,
+			RemainingMillis: float64(heartbeat.Remaining) / 1e6, Sequence: heartbeat.Sequence}
+		if heartbeat.Closing {
 			document.State = "closing"
 		}
-		for _, model := range beat.Models {
+		for _, model := range heartbeat.Models {
 			document.Models = append(document.Models, modelDocument{model.Name, model.Version, model.Adapters})
 		}
 		written, err := json.Marshal(document)
 		require.NoError(t, err)
-		again, err := readHeartbeat(written)
+		reparsed, err := parseHeartbeat(written)
 		require.NoError(t, err)
-		assert.InDelta(t, float64(beat.WarmUpRemaining), float64(again.WarmUpRemaining), 1)
-		assert.InDelta(t, float64(beat.Remaining), float64(again.Remaining), 1)
-		assert.Equal(t, len(beat.Models), len(again.Models))
-		assert.Equal(t, beat.Sequence, again.Sequence)
-		assert.Equal(t, beat.Slots, again.Slots)
-		assert.Equal(t, beat.Closing, again.Closing)
+		assert.InDelta(t, float64(heartbeat.WarmUpRemaining), float64(reparsed.WarmUpRemaining), 1)
+		assert.InDelta(t, float64(heartbeat.Remaining), float64(reparsed.Remaining), 1)
+		assert.Equal(t, len(heartbeat.Models), len(reparsed.Models))
+		assert.Equal(t, heartbeat.Sequence, reparsed.Sequence)
+		assert.Equal(t, heartbeat.Slots, reparsed.Slots)
+		assert.Equal(t, heartbeat.Closing, reparsed.Closing)
 	})
 }
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -11,31 +11,31 @@
 	"rowanlink/serving/state"
 )
 
-// isClosingByState says whether an endpoint that calls itself by the word takes no new requests.
+// isClosingByState says, for each state that an endpoint may report, whether it takes no new requests.
 var isClosingByState = map[string]bool{"accepting": false, "closing": true}
 
-// Settings of a heartbeat. Nothing is required that a core member can do without: an endpoint that is refused would
-// not be known at all.
+// The fields of a heartbeat. Only what a core member can't do without is required: an endpoint whose heartbeat is
+// rejected wouldn't be known at all.
 var (
 	heartbeatFields = schema.Table[endpoints.Heartbeat]{
 		{Name: "carrier", Required: true, Check: schema.NotEmpty,
-			Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Service })},
+			Type: schema.Text(func(h *endpoints.Heartbeat) *string { return &h.Service })},
 		{Name: "address", Required: true, Check: schema.NotEmpty,
-			Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Address })},
-		{Name: "zone", Type: schema.Text(func(b *endpoints.Heartbeat) *string { return &b.Zone })},
-		{Name: "edition", Type: schema.Raw(func(b *endpoints.Heartbeat, value gjson.Result) error {
-			b.Edition = value.String()
+			Type: schema.Text(func(h *endpoints.Heartbeat) *string { return &h.Address })},
+		{Name: "zone", Type: schema.Text(func(h *endpoints.Heartbeat) *string { return &h.Zone })},
+		{Name: "edition", Type: schema.Raw(func(h *endpoints.Heartbeat, value gjson.Result) error {
+			h.Edition = value.String()
 			return nil
 		})},
-		{Name: "berths", Type: schema.Whole(func(b *endpoints.Heartbeat) *int { return &b.Slots })},
-		{Name: "state", Type: schema.Word(isClosingByState, func(b *endpoints.Heartbeat) *bool { return &b.Closing })},
+		{Name: "berths", Type: schema.Whole(func(h *endpoints.Heartbeat) *int { return &h.Slots })},
+		{Name: "state", Type: schema.Word(isClosingByState, func(h *endpoints.Heartbeat) *bool { return &h.Closing })},
 		{Name: "cold_left_ms", Type: schema.Span(time.Millisecond,
-			func(b *endpoints.Heartbeat) *time.Duration { return &b.WarmUpRemaining })},
+			func(h *endpoints.Heartbeat) *time.Duration { return &h.WarmUpRemaining })},
 		{Name: "remaining_ms", Type: schema.Span(time.Millisecond,
-			func(b *endpoints.Heartbeat) *time.Duration { return &b.Remaining })},
+			func(h *endpoints.Heartbeat) *time.Duration { return &h.Remaining })},
 		{Name: "models", Type: schema.Objects(modelFields, "name",
-			func(b *endpoints.Heartbeat) *[]state.Model { return &b.Models })},
-		{Name: "call_seq", Type: schema.Counter(func(b *endpoints.Heartbeat) *uint64 { return &b.Sequence })},
+			func(h *endpoints.Heartbeat) *[]state.Model { return &h.Models })},
+		{Name: "call_seq", Type: schema.Counter(func(h *endpoints.Heartbeat) *uint64 { return &h.Sequence })},
 	}
 
 	modelFields = schema.Table[state.Model]{
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// readHeartbeat reads the body of a heartbeat. Errors are errcode.HeartbeatUnreadable.
-func readHeartbeat(body []byte) (endpoints.Heartbeat, error) {
-	var beat endpoints.Heartbeat
-	if err := heartbeatFields.Parse(body, &beat); err != nil {
-		return beat, errcode.HeartbeatUnreadable.With("%s", errcode.Of(err).Detail)
+// parseHeartbeat parses the body of a heartbeat. Errors are errcode.HeartbeatUnreadable.
+func parseHeartbeat(body []byte) (endpoints.Heartbeat, error) {
+	var heartbeat endpoints.Heartbeat
+	if err := heartbeatFields.Parse(body, &heartbeat); err != nil {
+		return heartbeat, errcode.HeartbeatUnreadable.With("%s", errcode.Of(err).Detail)
 	}
-	return beat, nil
+	return heartbeat, nil
 }
--- a/serving/operator/httpbody.go
+++ b/serving/operator/httpbody.go
@@ -12,20 +12,20 @@
 	"rowanlink/serving/errcode"
 )
 
-// errorBody is the body of an answer that is no success.
+// errorBody is the body of an unsuccessful response.
 type errorBody struct {
 	Error string       `json:"error"`
 	Code  errcode.Code `json:"code"`
 }
 
-// emptyBody is the body of a success that has nothing to say.
+// emptyBody is the body of a successful response without data.
 var emptyBody = []byte("{}")
 
-// writeError answers with the status of the error's numbered kind.
+// writeError responds with the error and the status of its numbered kind.
 func writeError(w http.ResponseWriter, err error) {
 	numbered := errcode.Of(err)
-	body, failed := json.Marshal(errorBody{Error: numbered.Error(), Code: numbered.Kind.Code})
-	if failed != nil {
+	body, marshalError := json.Marshal(errorBody{Error: numbered.Error(), Code: numbered.Kind.Code})
+	if marshalError != nil {
 		body = emptyBody
 	}
 	writeJSON(w, numbered.Kind.Status, body)
@@ -35,13 +35,13 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the caller has left if it fails; it asks again
+	_, _ = w.Write(body) // fails if the caller has disconnected; it will retry
 }
 
-// readBody reads a body of limit bytes at most. Errors are errcode.RequestTooLarge and errcode.RequestIncomplete.
+// readBody reads a body of at most limit bytes. Errors are errcode.RequestTooLarge and errcode.RequestIncomplete.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
-		return nil, errcode.RequestTooLarge.With("%d bytes, %d may come", r.ContentLength, limit)
+		return nil, errcode.RequestTooLarge.With("%d bytes, the limit is %d", r.ContentLength, limit)
 	}
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// changeError keeps an error by which the committed record refuses an order, and makes all others the given kind: the
-// caller asks again.
+// changeError returns an error by which the committed record rejects a change as it is, and any other error as one of
+// the given kind, for which the caller retries.
 func changeError(err error, otherwise errcode.Kind) error {
 	switch numbered := errcode.Of(err); numbered.Kind.Status {
 	case http.StatusBadRequest, http.StatusPreconditionFailed:
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator serves the control address of a core member: the configuration and the evacuations for operators,
-// heartbeats and sign-offs for endpoints. Each resource has a handler object of its own. Errors are answered as JSON
-// with a text and the number of a result.
+// Package operator serves the control address of a core member: the configuration and the evacuation of zones for
+// operators, heartbeats and deregistrations for endpoints. Each resource has a handler type of its own. Errors are JSON
+// objects with a text and the number of an errcode.Kind.
 package operator
 
 import (
@@ -16,83 +16,91 @@
 	"rowanlink/serving/state"
 )
 
-// Times and sizes of the control address.
+// Limits of the control address.
 const (
-	// changeTimeout bounds the work on an operator's call.
+	// changeTimeout bounds the work on an operator's request.
 	changeTimeout = 2500 * time.Millisecond
-	// replicationTimeout bounds the wait until a majority holds an endpoint's word. The endpoint waits for a second.
+	// replicationTimeout bounds the wait until a majority has stored an endpoint's state. The endpoint waits a second.
 	replicationTimeout = 300 * time.Millisecond
-	maxDocumentBytes   = 8 << 20  // bytes of a configuration
-	maxHeartbeatBytes  = 64 << 10 // bytes of a heartbeat
-	maxHeaderBytes     = 64 << 10 // bytes of the head of a call
 	readHeaderTimeout  = 3 * time.Second
-	requestTimeout     = 20 * time.Second // for a call to come and its answer to go
+	requestTimeout     = 20 * time.Second // to read a request, and to write its response
 	idleTimeout        = 60 * time.Second
+	maxDocumentBytes   = 8 << 20
+	maxHeartbeatBytes  = 64 << 10
+	maxHeaderBytes     = 64 << 10
 )
 
-// Register is the replicated record. Errors whose numbered kind has status 400 or 412 say that the record, as it
-// stands committed, refuses the change; all others leave open whether it was made.
+// Register is the replicated record. An error whose numbered kind has status 400 or 412 says that the committed record
+// rejects the change; all others leave open whether the change was committed.
 type Register interface {
-	// ReplaceConfiguration puts a configuration in force in place of the version that it builds on. It also succeeds
-	// where that very configuration was put in force before.
-	ReplaceConfiguration(ctx context.Context, basedOn uint64, configuration state.Configuration) error
-	// AmendConfiguration puts in force what an amendment makes of the version that it builds on. It also succeeds where
-	// that very order was carried out before.
-	AmendConfiguration(ctx context.Context, order Amendment) error
-	// SetEvacuation begins or ends the evacuation of a zone.
+	// ReplaceConfiguration commits a configuration in place of its base version. It also succeeds if that very
+	// configuration was committed before.
+	ReplaceConfiguration(ctx context.Context, baseVersion uint64, configuration state.Configuration) error
+	// AmendConfiguration commits the result of applying an amendment to its base version. It also succeeds if that very
+	// amendment was committed before.
+	AmendConfiguration(ctx context.Context, amendment Amendment) error
+	// SetEvacuation starts or ends the evacuation of a zone.
 	SetEvacuation(ctx context.Context, zone string, active bool) error
-	// Read returns the record as a majority holds it. It shows all that was acknowledged before.
+	// Read returns the record as a majority holds it. The read is linearizable: it includes all that was acknowledged
+	// before.
 	Read(ctx context.Context) (state.Record, error)
 }
 
-// Endpoints is the table of endpoints; endpoints.Owner is one. The last result is false once it has stopped.
+// Endpoints is the table of endpoints; endpoints.SharedTable implements it. The last result is false once the table has
+// stopped.
 type Endpoints interface {
-	ReceiveHeartbeat(id string, beat endpoints.Heartbeat) (state.Endpoint, endpoints.Change, bool)
+	ReceiveHeartbeat(id string, heartbeat endpoints.Heartbeat) (state.Endpoint, endpoints.Change, bool)
 	Deregister(id string) (state.Endpoint, endpoints.Change, bool)
-	MarkReplicated(held state.Endpoint)
+	MarkReplicated(endpoint state.Endpoint)
 }
 
-// Replicator tells the other members of endpoints.
+// Replicator sends the states of endpoints to the other members; exchange.Exchange implements it.
 type Replicator interface {
-	// Put hands an endpoint to the spread and doesn't wait.
+	// Put gossips an endpoint's state. It doesn't block.
 	Put(endpoint state.Endpoint)
-	// PutReplicated does the same and returns when so many of the members at the addresses hold it.
+	// PutReplicated does the same and returns once the given number of members at the addresses have stored it.
 	PutReplicated(ctx context.Context, endpoint state.Endpoint, addresses []string, copies int) error
 }
 
-// Options of the control address. All are needed but Forward.
+// Options of the control address. All but ForwardTo are required.
 type Options struct {
 	Register   Register
 	Endpoints  Endpoints
 	Replicator Replicator
 	Quorum     *quorum.Checker
 	Regions    map[string]string // region by zone: the zones that may be evacuated
-	// ForwardTo names the control address where the endpoint's next heartbeats are to go, empty for none; see Forwarder.
+	// ForwardTo returns the control address to which the endpoint should send its next heartbeats, empty for none; see
+	// Forwarder.
 	ForwardTo func(id, zone string) string
 	Log       *zerolog.Logger
 }
 
-// New makes the handler of the control address.
+// New returns the handler of the control address.
 func New(options Options) http.Handler {
-	settings := &ConfigurationResource{register: options.Register, log: options.Log}
-	clearance := &EvacuationResource{register: options.Register, regions: options.Regions, log: options.Log}
-	calls := &EndpointResource{endpoints: options.Endpoints, replicator: options.Replicator,
-		quorum: options.Quorum, forwardTo: options.ForwardTo, log: options.Log}
+	configuration := &ConfigurationResource{register: options.Register, log: options.Log}
+	evacuation := &EvacuationResource{register: options.Register, regions: options.Regions, log: options.Log}
+	endpoint := &EndpointResource{
+		endpoints:  options.Endpoints,
+		replicator: options.Replicator,
+		quorum:     options.Quorum,
+		forwardTo:  options.ForwardTo,
+		log:        options.Log,
+	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /Settings.Replace", settings.Replace)
-	mux.HandleFunc("POST /Settings.Amend", settings.Amend)
-	mux.HandleFunc("GET /Settings.Read", settings.Read)
-	mux.HandleFunc("POST /Clearance.Begin/{zone}", clearance.Begin)
-	mux.HandleFunc("POST /Clearance.Finish/{zone}", clearance.End)
-	mux.HandleFunc("POST /Endpoints.Beat/{id}", calls.Heartbeat)
-	mux.HandleFunc("POST /Endpoints.SignOff/{id}", calls.Deregister)
+	mux.HandleFunc("POST /Settings.Replace", configuration.Replace)
+	mux.HandleFunc("POST /Settings.Amend", configuration.Amend)
+	mux.HandleFunc("GET /Settings.Read", configuration.Read)
+	mux.HandleFunc("POST /Clearance.Begin/{zone}", evacuation.Begin)
+	mux.HandleFunc("POST /Clearance.Finish/{zone}", evacuation.End)
+	mux.HandleFunc("POST /Endpoints.Beat/{id}", endpoint.Heartbeat)
+	mux.HandleFunc("POST /Endpoints.SignOff/{id}", endpoint.Deregister)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, errcode.ResourceUnknown.With("%s %s", r.Method, r.URL.Path))
 	})
 	return mux
 }
 
-// NewServer makes a server of the handler that holds no connection for ever.
+// NewServer returns a server of the handler whose time-outs bound every connection.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -60,9 +60,9 @@
 		code               errcode.Code
 	}{
 		{"no base", validDocument, "X-Other: 1", 400, errcode.BaseVersionUnreadable.Code},
-		{"base is no number", validDocument, "X-Based-On: new", 400, errcode.BaseVersionUnreadable.Code},
+		{"base isn't a number", validDocument, "X-Based-On: new", 400, errcode.BaseVersionUnreadable.Code},
 		{"negative base", validDocument, "X-Based-On: -1", 400, errcode.BaseVersionUnreadable.Code},
-		{"cut short", validDocument[:20], basedOnZero, 400, errcode.DocumentUnreadable.Code},
+		{"truncated", validDocument[:20], basedOnZero, 400, errcode.DocumentUnreadable.Code},
 		{"empty", "", basedOnZero, 400, errcode.DocumentUnreadable.Code},
 		{"wrong type", `{"edition":7,"routings":3}`, basedOnZero, 400, errcode.FieldInvalid.Code},
 		{"too large", strings.Repeat(" ", maxDocumentBytes+1), basedOnZero, 413, errcode.RequestTooLarge.Code},
@@ -82,15 +82,15 @@
 	assert.Equal(t, 200, newFixture(t).call("POST", "/Settings.Replace", validDocument, `X-Based-On: "0"`).Code)
 }
 
-// TestReplace_StatusesOfRegisterErrors: only the committed record may refuse an order.
+// TestReplace_StatusesOfRegisterErrors: only an error of the committed record is final for the caller.
 func TestReplace_StatusesOfRegisterErrors(t *testing.T) {
-	refusal := func(status int) error { return errcode.Kind{Code: 9999, Status: status}.With("") }
+	withStatus := func(status int) error { return errcode.Kind{Code: 9999, Status: status}.With("") }
 	for _, test := range []struct {
 		err    error
 		status int
 	}{
-		{refusal(412), 412}, {refusal(400), 400}, {refusal(404), 503}, {refusal(409), 503}, {refusal(500), 503},
-		{refusal(503), 503}, {errNoMajority, 503}, {context.DeadlineExceeded, 503},
+		{withStatus(412), 412}, {withStatus(400), 400}, {withStatus(404), 503}, {withStatus(409), 503},
+		{withStatus(500), 503}, {withStatus(503), 503}, {errNoMajority, 503}, {context.DeadlineExceeded, 503},
 	} {
 		f := newFixture(t)
 		f.register.changeError = test.err
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestHangingRegister_TimesOut lets each call of the register hang in turn.
+// TestHangingRegister_TimesOut makes each call of the register hang in turn.
 func TestHangingRegister_TimesOut(t *testing.T) {
 	calls := []struct{ method, path string }{
 		{"POST", "/Settings.Replace"}, {"POST", "/Settings.Amend"}, {"GET", "/Settings.Read"}, {"POST", "/Clearance.Begin/z1"},
@@ -110,11 +110,11 @@
 			f := newFixture(t)
 			f.register.hangAt = map[int]bool{point + 1: true}
 			for index, call := range calls {
-				begun := time.Now()
+				start := time.Now()
 				answer := f.call(call.method, call.path, validDocument, basedOnZero)
 				if index == point {
 					assert.Equal(t, 503, answer.Code, call.path)
-					assert.LessOrEqual(t, time.Since(begun), 2500*time.Millisecond)
+					assert.LessOrEqual(t, time.Since(start), 2500*time.Millisecond)
 					continue
 				}
 				assert.Equal(t, 200, answer.Code, call.path)
@@ -123,37 +123,37 @@
 	}
 }
 
-// TestDisconnectedCaller: a configuration goes on, as its base guards it; an evacuation ends, as a later order might
-// have overtaken it.
+// TestDisconnectedCaller: the change of a configuration goes on, as its base version guards it; that of an evacuation
+// ends, as a later one might have overtaken it.
 func TestDisconnectedCaller(t *testing.T) {
-	left, leave := context.WithCancel(context.Background())
-	leave()
+	disconnected, disconnect := context.WithCancel(context.Background())
+	disconnect()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.register.hangAt = map[int]bool{1: true, 2: true}
-		begun := time.Now()
-		f.callWith(left, "POST", "/Settings.Replace", validDocument, basedOnZero)
-		assert.Equal(t, changeTimeout, time.Since(begun))
-		begun = time.Now()
-		f.callWith(left, "POST", "/Clearance.Begin/z1", "")
-		assert.Zero(t, time.Since(begun))
+		start := time.Now()
+		f.callWith(disconnected, "POST", "/Settings.Replace", validDocument, basedOnZero)
+		assert.Equal(t, changeTimeout, time.Since(start))
+		start = time.Now()
+		f.callWith(disconnected, "POST", "/Clearance.Begin/z1", "")
+		assert.Zero(t, time.Since(start))
 	})
 }
 
 func TestEvacuation(t *testing.T) {
 	f := newFixture(t)
-	for _, order := range []struct {
+	for _, change := range []struct {
 		path   string
 		active bool
 	}{{"/Clearance.Begin/z1", true}, {"/Clearance.Begin/z1", true}, {"/Clearance.Finish/z1", false},
 		{"/Clearance.Begin/z1", true}} {
-		assert.Equal(t, 200, f.call("POST", order.path, "ignored").Code)
-		assert.Equal(t, []state.Evacuation{{Zone: "z1", Active: order.active}}, f.register.record.Evacuations)
+		assert.Equal(t, 200, f.call("POST", change.path, "ignored").Code)
+		assert.Equal(t, []state.Evacuation{{Zone: "z1", Active: change.active}}, f.register.record.Evacuations)
 	}
 	assert.Equal(t, 404, f.call("POST", "/Clearance.Begin/z9", "").Code)
 	f.register.failAt = map[int]error{5: errNoMajority, 6: errcode.Kind{Code: 9999, Status: 400}.With("")}
 	assert.Equal(t, 503, f.call("POST", "/Clearance.Begin/z1", "").Code)
-	assert.Equal(t, 503, f.call("POST", "/Clearance.Begin/z1", "").Code, "a proper order never gets a 4xx")
+	assert.Equal(t, 503, f.call("POST", "/Clearance.Begin/z1", "").Code, "a valid change never gets a 4xx")
 }
 
 func TestUnknownResource(t *testing.T) {
@@ -166,12 +166,12 @@
 	}
 }
 
-// TestIncompleteBody_IsRetriable: the caller may send it again.
+// TestIncompleteBody_IsRetriable: a body that breaks off gets a status after which the caller retries.
 func TestIncompleteBody_IsRetriable(t *testing.T) {
 	f := newFixture(t)
 	server := httptest.NewServer(f.handler)
 	defer server.Close()
-	connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
+	connection, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", strings.TrimPrefix(server.URL, "http://"))
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
 	_, err = io.WriteString(connection, "POST /Settings.Replace HTTP/1.1\r\nHost: x\r\nX-Based-On: 0\r\n"+
--- a/serving/operator/registeradapter.go
+++ b/serving/operator/registeradapter.go
@@ -7,36 +7,41 @@
 	"rowanlink/serving/state"
 )
 
-// ReplicatedRegister is the part of register.Node that orders need.
+// ReplicatedRegister is the part of register.Node that changes use.
 type ReplicatedRegister interface {
 	Change(ctx context.Context, update register.Update) (state.Record, error)
 	Read(ctx context.Context) (state.Record, error)
 }
 
-// registerAdapter makes the register's changes of an operator's orders.
-type registerAdapter struct{ node ReplicatedRegister }
+// registerAdapter implements Register by updates of the replicated register.
+type registerAdapter struct{ replicated ReplicatedRegister }
 
-// NewRegister is the replicated register as operators' orders see it.
-func NewRegister(node ReplicatedRegister) Register { return registerAdapter{node: node} }
+// NewRegister returns the replicated register as a Register.
+func NewRegister(replicated ReplicatedRegister) Register {
+	return registerAdapter{replicated: replicated}
+}
 
 // ReplaceConfiguration implements Register.
-func (n registerAdapter) ReplaceConfiguration(ctx context.Context, basedOn uint64, c state.Configuration) error {
-	_, err := n.node.Change(ctx, register.ReplaceConfiguration(basedOn, c))
+func (a registerAdapter) ReplaceConfiguration(ctx context.Context, baseVersion uint64, c state.Configuration) error {
+	_, err := a.replicated.Change(ctx, register.ReplaceConfiguration(baseVersion, c))
 	return err
 }
 
 // AmendConfiguration implements Register.
-func (n registerAdapter) AmendConfiguration(ctx context.Context, order Amendment) error {
-	accepted := state.AppliedUpdate{Version: order.amendment.Version, Digest: order.digest}
-	_, err := n.node.Change(ctx, register.AmendConfiguration(order.baseVersion, accepted, order.Apply))
+func (a registerAdapter) AmendConfiguration(ctx context.Context, amendment Amendment) error {
+	applied := state.AppliedUpdate{Version: amendment.amendment.Version, Digest: amendment.digest}
+	update := register.AmendConfiguration(amendment.baseVersion, applied, amendment.Apply)
+	_, err := a.replicated.Change(ctx, update)
 	return err
 }
 
 // SetEvacuation implements Register.
-func (n registerAdapter) SetEvacuation(ctx context.Context, zone string, active bool) error {
-	_, err := n.node.Change(ctx, register.SetEvacuation(zone, active))
+func (a registerAdapter) SetEvacuation(ctx context.Context, zone string, active bool) error {
+	_, err := a.replicated.Change(ctx, register.SetEvacuation(zone, active))
 	return err
 }
 
 // Read implements Register.
-func (n registerAdapter) Read(ctx context.Context) (state.Record, error) { return n.node.Read(ctx) }
+func (a registerAdapter) Read(ctx context.Context) (state.Record, error) {
+	return a.replicated.Read(ctx)
+}
