--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -77,7 +77,7 @@
 func (f *File) Groups() (all []shardmap.PlacementGroup) {
 	for _, s := range f.Sites {
 		if len(s.Subscribers) > 0 {
-			all = append(all, shardmap.PlacementGroup{Key: cluster.SiteHash(s.ID), Destinations: s.Subscribers})
+			all = append(all, shardmap.PlacementGroup{Key: cluster.SiteKeyHash(s.ID), Destinations: s.Subscribers})
 		}
 	}
 	slices.SortFunc(all, func(a, b shardmap.PlacementGroup) int { return cmp.Compare(a.Key, b.Key) })
--- a/cluster/member/conduct.go
+++ b/cluster/member/conduct.go
@@ -10,6 +10,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
 	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 )
@@ -21,7 +22,7 @@
 	ownership       *Ownership
 	health          *Reporter
 	vacancies       *shardmap.FailoverPlanner
-	leases          *lease.Book
+	leases          *lease.Table
 	progress        *rebalance.Progress
 	epoch           cluster.Epoch // since when it conducts
 	openMoves       int           // moves under way when last looked
@@ -49,7 +50,7 @@
 
 // Run does what is due; it tells whether the wish has come into the log.
 func (c *Coordinator) Run(w PlanRequest, members []shardmap.Candidate, parts int, now api.Micros) (adopted bool) {
-	epoch, held := c.ownership.session.Holds(cluster.Conducts)
+	epoch, held := c.ownership.session.Holds(cluster.CoordinatorResource)
 	chart := c.ownership.Map()
 	c.leaderUnreached = false
 	if !held || c.leases == nil {
@@ -93,7 +94,7 @@
 
 // isGrantEnded is whether a stray's grant is held no more.
 func (c *Coordinator) isGrantEnded(s shardmap.MisplacedDestination) bool {
-	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(s.Grant.Range))
+	_, _, epoch, held := c.leases.Holder(cluster.RangeOwnerResource(s.Grant.Range))
 	return !held || epoch != s.Grant.Epoch
 }
 
@@ -109,7 +110,7 @@
 	}
 	some := false
 	for _, m := range members {
-		leaves := func(r rebalance.Rule) bool { return r.Kind == rebalance.Drain && r.Member == m.Member }
+		leaves := func(r planfile.Rule) bool { return r.Kind == planfile.Drain && r.Member == m.Member }
 		if !slices.ContainsFunc(f.Rules, leaves) {
 			stay, some = append(stay, m), some || alive[m.Member]
 		}
@@ -150,20 +151,20 @@
 	if number != 0 && !w.Fresh {
 		return false
 	}
-	wished, err := rebalance.ParseFile(w.Text, "plan")
+	wished, err := planfile.Parse(w.Text, "plan")
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
 	if number != 0 && (c.StoppedPlan() == 0 || c.StoppedPlan() != w.Resumes) {
-		if runs, err := rebalance.ParseFile(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
+		if runs, err := planfile.Parse(c.progress.Text, "plan"); err == nil && reflect.DeepEqual(runs, wished) {
 			return true
 		}
 	}
 	return c.makePlan(wished, w.Text, number, chart)
 }
 
-func (c *Coordinator) makePlan(f *rebalance.File, text []byte, number uint64, chart *shardmap.Map) bool {
+func (c *Coordinator) makePlan(f *planfile.File, text []byte, number uint64, chart *shardmap.Map) bool {
 	p, err := rebalance.NewPlan(f, chart, nil)
 	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) { // the file is taken up once that has ended
@@ -221,7 +222,7 @@
 	}
 	if _, err := c.ownership.Propose(command); err != nil {
 		c.leaderUnreached = IsLeaderUnreached(err)
-		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
+		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
 			slog.Warn(what+" not said", "why", err)
 		}
 		return false
--- a/cluster/member/tell.go
+++ b/cluster/member/tell.go
@@ -19,7 +19,7 @@
 			s.queueNotification(t, 0)
 		}
 	}
-	for _, t := range s.wishes.Wanted() {
+	for _, t := range s.wishes.Requested() {
 		if e, held := s.tenure.Epoch(t, now); held && s.notified[t] == 0 {
 			slog.Info("task held", "member", s.Self, "task", t, "epoch", e, "session", s.tenure.Session())
 			s.notified[t] = e
@@ -27,11 +27,11 @@
 			s.queueNotification(t, e)
 		}
 	}
-	s.setActive(s.tenure.Holds(now))
+	s.setActive(s.tenure.IsValid(now))
 }
 
 // queueNotification has Told called by a loop of its own: it may ask the session back.
-func (s *Session) queueNotification(t cluster.Task, e cluster.Epoch) {
+func (s *Session) queueNotification(t cluster.Resource, e cluster.Epoch) {
 	if s.OnChange != nil {
 		s.notifications = append(s.notifications, func() { s.OnChange(t, e) })
 		wake(s.notifyWake)
--- a/cluster/shardmap/verdicts_test.go
+++ b/cluster/shardmap/decision_test.go
@@ -56,7 +56,7 @@
 
 func TestAMemberServesByItsGrantAloneAndTellsWhatElseItDoes(t *testing.T) {
 	tenant := func(who cluster.MemberID, epoch cluster.Epoch, alone bool) LocalMember {
-		return LocalMember{who, func(cluster.Task) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
+		return LocalMember{who, func(cluster.Resource) (cluster.Epoch, bool) { return epoch, epoch > 0 }, alone}
 	}
 	for name, s := range map[string]struct {
 		step MoveStep
@@ -87,7 +87,7 @@
 }
 
 func TestAWebhookIsSentOnOnceAndByANewerMapOnly(t *testing.T) {
-	m, who := moving(StepSwitched), LocalMember{"a", func(cluster.Task) (cluster.Epoch, bool) { return 0, false }, false}
+	m, who := moving(StepSwitched), LocalMember{"a", func(cluster.Resource) (cluster.Epoch, bool) { return 0, false }, false}
 	refusal, told := m.AdmitKey(who, 7, 5)
 	require.Equal(t, AdmissionRedirected, refusal)
 	assert.Equal(t, cluster.MemberID("b"), told.Owner)
@@ -104,10 +104,10 @@
 
 func TestADoubtIsSettledAsItsEventTypeAllows(t *testing.T) {
 	const window, last = api.Micros(50), api.Micros(200)
-	once, idem := api.EventType{Repeat: api.AtMostOnce}, api.EventType{Repeat: api.Idempotent}
-	token := api.EventType{Repeat: api.Tokened, TokenWindow: window}
+	once, idem := api.EventType{Semantics: api.AtMostOnce}, api.EventType{Semantics: api.Idempotent}
+	token := api.EventType{Semantics: api.Deduplicated, DedupWindow: window}
 	zoned := token
-	zoned.TokenByZone = true
+	zoned.DedupByZone = true
 	for name, s := range map[string]struct {
 		t     api.EventType
 		reply CustodyReply
--- a/cluster/shardmap/world_test.go
+++ b/cluster/shardmap/model_test.go
@@ -150,7 +150,7 @@
 type world struct {
 	maps              *charts
 	members, webhooks int8
-	repeat            api.Repeat
+	repeat            api.Semantics
 	wrong             wrong
 	left              may
 	now               uint8
@@ -167,11 +167,11 @@
 }
 
 func (w *world) event() api.EventType {
-	return api.EventType{Repeat: w.repeat, TTL: ttl, TokenWindow: window}
+	return api.EventType{Semantics: w.repeat, TTL: ttl, DedupWindow: window}
 }
 
 // Holder is the lease as the log has it, for the one task.
-func (w *world) Holder(cluster.Task) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (w *world) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	if !w.held {
 		return 0, "", 0, false
 	}
@@ -207,7 +207,7 @@
 func (w *world) seen(i int8) *Map { return w.maps.all[w.at[i].chart] }
 
 // newWorld has a seated home at a; a webhook is its own, or is yet to come in anywhere.
-func newWorld(members, webhooks int8, r api.Repeat, left may, spoilt wrong) *world {
+func newWorld(members, webhooks int8, r api.Semantics, left may, spoilt wrong) *world {
 	w := &world{maps: &charts{ids: map[string]uint16{}}, members: members, webhooks: webhooks, repeat: r,
 		left:  left,
 		wrong: spoilt, held: true, epoch: 1}
@@ -232,8 +232,8 @@
 
 // propose gives the log a command.
 func (w *world) propose(c cluster.Command) bool {
-	if c.By == cluster.HomeOf(1) && (!w.held || c.Epoch != cluster.Epoch(w.epoch)) {
-		return false // fleet.ErrFenced
+	if c.FencedBy == cluster.RangeOwnerResource(1) && (!w.held || c.Epoch != cluster.Epoch(w.epoch)) {
+		return false // cluster.ErrFenced
 	}
 	m := *w.maps.all[w.chart]
 	m.Ranges, m.DetachedMoves, m.holders = slices.Clone(m.Ranges), slices.Clone(m.DetachedMoves), w
--- /dev/null
+++ b/serving/operator/registeradapter.go
@@ -0,0 +1,47 @@
+package operator
+
+import (
+	"context"
+
+	"rowanlink/serving/register"
+	"rowanlink/serving/state"
+)
+
+// ReplicatedRegister is the part of register.Node that changes use.
+type ReplicatedRegister interface {
+	Change(ctx context.Context, update register.Update) (state.Record, error)
+	Read(ctx context.Context) (state.Record, error)
+}
+
+// registerAdapter implements Register by updates of the replicated register.
+type registerAdapter struct{ replicated ReplicatedRegister }
+
+// NewRegister returns the replicated register as a Register.
+func NewRegister(replicated ReplicatedRegister) Register {
+	return registerAdapter{replicated: replicated}
+}
+
+// ReplaceConfiguration implements Register.
+func (a registerAdapter) ReplaceConfiguration(ctx context.Context, baseVersion uint64, c state.Configuration) error {
+	_, err := a.replicated.Change(ctx, register.ReplaceConfiguration(baseVersion, c))
+	return err
+}
+
+// AmendConfiguration implements Register.
+func (a registerAdapter) AmendConfiguration(ctx context.Context, amendment Amendment) error {
+	applied := state.AppliedUpdate{Version: amendment.amendment.Version, Digest: amendment.digest}
+	update := register.AmendConfiguration(amendment.baseVersion, applied, amendment.Apply)
+	_, err := a.replicated.Change(ctx, update)
+	return err
+}
+
+// SetEvacuation implements Register.
+func (a registerAdapter) SetEvacuation(ctx context.Context, zone string, active bool) error {
+	_, err := a.replicated.Change(ctx, register.SetEvacuation(zone, active))
+	return err
+}
+
+// Read implements Register.
+func (a registerAdapter) Read(ctx context.Context) (state.Record, error) {
+	return a.replicated.Read(ctx)
+}
--- a/test/integration/harness/past.go
+++ b/test/integration/harness/past.go
@@ -29,13 +29,13 @@
 	all     sync.WaitGroup
 	mu      sync.Mutex
 	readers int
-	seen    map[cluster.Task][]leasecheck.Past
+	seen    map[cluster.Resource][]leasecheck.OwnershipEvent
 }
 
 // Watch begins to follow the keepers.
 func (f *Fleet) Watch() *Views {
 	ctx, end := context.WithCancel(context.Background())
-	v := &Views{f: f, end: end, seen: map[cluster.Task][]leasecheck.Past{}}
+	v := &Views{f: f, end: end, seen: map[cluster.Resource][]leasecheck.OwnershipEvent{}}
 	for _, m := range f.Keepers() {
 		v.all.Go(func() { v.follow(ctx, m) })
 	}
@@ -59,7 +59,7 @@
 			clear(saw)
 		}
 		status, raw, err := asks.Call("it", transport.StatePath,
-			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.RangesPart: version}}), v.f.shape.Term)
+			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: version}}), v.f.shape.Term)
 		got := api.Micros(time.Now().UnixMicro())
 		var answer transport.StateResponse
 		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
@@ -78,7 +78,7 @@
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
-				v.seen[cluster.HomeOf(r.ID)] = append(v.seen[cluster.HomeOf(r.ID)], leasecheck.Past{What: leasecheck.Seen,
+				v.seen[cluster.RangeOwnerResource(r.ID)] = append(v.seen[cluster.RangeOwnerResource(r.ID)], leasecheck.OwnershipEvent{Kind: leasecheck.Observed,
 					Member: string(r.Owner), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
@@ -93,10 +93,10 @@
 }
 
 // Past ends following and returns what befell each task, from all logs and all that was seen.
-func (v *Views) Past() map[cluster.Task][]leasecheck.Past {
+func (v *Views) Past() map[cluster.Resource][]leasecheck.OwnershipEvent {
 	v.end()
 	v.all.Wait()
-	all := map[cluster.Task][]leasecheck.Past{}
+	all := map[cluster.Resource][]leasecheck.OwnershipEvent{}
 	for _, m := range v.f.Members {
 		lived(m.Name, m.Log.All(0, ""), all)
 	}
@@ -108,20 +108,22 @@
 
 // unsaid leaves of the seats that may have been taken, as their member said, those that were seen and that no
 // other line tells of: their answers were lost.
-func unsaid(of, seen []leasecheck.Past) (all []leasecheck.Past) {
-	var unsure []leasecheck.Past
+func unsaid(of, seen []leasecheck.OwnershipEvent) (all []leasecheck.OwnershipEvent) {
+	var unsure []leasecheck.OwnershipEvent
 	for _, p := range of {
-		if p.What == leasecheck.Seated && p.Until == api.Never {
+		if p.Kind == leasecheck.Published && p.Until == api.Never {
 			unsure = append(unsure, p)
 		} else {
 			all = append(all, p)
 		}
 	}
 	for _, p := range unsure {
-		was := func(what leasecheck.What) func(leasecheck.Past) bool {
-			return func(o leasecheck.Past) bool { return o.What == what && o.Member == p.Member && o.Epoch == p.Epoch }
+		was := func(what leasecheck.OwnershipEventKind) func(leasecheck.OwnershipEvent) bool {
+			return func(o leasecheck.OwnershipEvent) bool {
+				return o.Kind == what && o.Member == p.Member && o.Epoch == p.Epoch
+			}
 		}
-		if slices.ContainsFunc(seen, was(leasecheck.Seen)) && !slices.ContainsFunc(all, was(leasecheck.Seated)) {
+		if slices.ContainsFunc(seen, was(leasecheck.Observed)) && !slices.ContainsFunc(all, was(leasecheck.Published)) {
 			all = append(all, p)
 		}
 	}
@@ -133,12 +135,12 @@
 	v.f.t.Helper()
 	all, seats := v.Past(), 0
 	for _, task := range slices.Sorted(maps.Keys(all)) {
-		could, err := leasecheck.CheckPast(all[task], time.Minute)
+		could, err := leasecheck.CheckOwnership(all[task], time.Minute)
 		if !could || err != nil {
 			v.f.t.Errorf("porcupine: %s has a past that it can't have (%v):\n%s", task, err, told(all[task]))
 		}
 		for _, p := range all[task] {
-			if p.What == leasecheck.Seated {
+			if p.Kind == leasecheck.Published {
 				seats++
 			}
 		}
@@ -149,10 +151,10 @@
 	v.f.t.Logf("%d tasks, %d homes seated, %d readers", len(all), seats, v.readers)
 }
 
-func told(all []leasecheck.Past) (text string) {
-	slices.SortStableFunc(all, func(a, b leasecheck.Past) int { return cmp.Compare(a.Until, b.Until) })
+func told(all []leasecheck.OwnershipEvent) (text string) {
+	slices.SortStableFunc(all, func(a, b leasecheck.OwnershipEvent) int { return cmp.Compare(a.Until, b.Until) })
 	for _, p := range all {
-		text += fmt.Sprintf("  %s %s/%d by %d: %d to %d\n", p.What, p.Member, p.Epoch, p.Reader, p.From, p.Until)
+		text += fmt.Sprintf("  %s %s/%d by %d: %d to %d\n", p.Kind, p.Member, p.Epoch, p.Reader, p.From, p.Until)
 	}
 	return text
 }
@@ -168,17 +170,17 @@
 
 // lived adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []subprocess.Line, all map[cluster.Task][]leasecheck.Past) {
+func lived(name string, lines []subprocess.Line, all map[cluster.Resource][]leasecheck.OwnershipEvent) {
 	type grant struct {
 		epoch uint64
 		at    api.Micros
 		ended bool
 	}
-	has, over, lives := map[cluster.Task]*grant{}, map[cluster.Task]api.Micros{}, 0
-	add := func(task cluster.Task, what leasecheck.What, epoch uint64, from, until api.Micros) {
-		all[task] = append(all[task], leasecheck.Past{What: what, Member: name, Epoch: epoch, From: from, Until: until})
+	has, over, lives := map[cluster.Resource]*grant{}, map[cluster.Resource]api.Micros{}, 0
+	add := func(task cluster.Resource, what leasecheck.OwnershipEventKind, epoch uint64, from, until api.Micros) {
+		all[task] = append(all[task], leasecheck.OwnershipEvent{Kind: what, Member: name, Epoch: epoch, From: from, Until: until})
 	}
-	end := func(task cluster.Task, until api.Micros) {
+	end := func(task cluster.Resource, until api.Micros) {
 		if g := has[task]; g != nil && !g.ended {
 			g.ended, over[task] = true, g.at
 			add(task, leasecheck.Ended, g.epoch, g.at, until)
@@ -201,8 +203,8 @@
 		}
 		if may := unsure.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
-			if task := cluster.HomeOf(cluster.RangeID(id)); has[task] != nil {
-				add(task, leasecheck.Seated, has[task].epoch, has[task].at, api.Never)
+			if task := cluster.RangeOwnerResource(cluster.RangeID(id)); has[task] != nil {
+				add(task, leasecheck.Published, has[task].epoch, has[task].at, api.Never)
 			}
 		}
 		said := stamp.FindStringSubmatch(line.Text)
@@ -216,18 +218,18 @@
 		at := api.Micros(when.UnixMicro())
 		switch said[2] {
 		case "task held":
-			task := cluster.Task(ofTask.FindStringSubmatch(line.Text)[1])
+			task := cluster.Resource(ofTask.FindStringSubmatch(line.Text)[1])
 			epoch, _ := strconv.ParseUint(ofEpoch.FindStringSubmatch(line.Text)[1], 10, 64)
 			end(task, at)
 			has[task] = &grant{epoch: epoch, at: at}
 			add(task, leasecheck.Granted, epoch, over[task], at)
 		case "task over":
-			end(cluster.Task(ofTask.FindStringSubmatch(line.Text)[1]), at)
+			end(cluster.Resource(ofTask.FindStringSubmatch(line.Text)[1]), at)
 		default:
 			id, _ := strconv.ParseUint(ofRange.FindStringSubmatch(line.Text)[1], 10, 32)
-			task := cluster.HomeOf(cluster.RangeID(id))
+			task := cluster.RangeOwnerResource(cluster.RangeID(id))
 			if g := has[task]; g != nil {
-				add(task, leasecheck.Seated, g.epoch, g.at, at)
+				add(task, leasecheck.Published, g.epoch, g.at, at)
 			}
 		}
 	}
