--- /dev/null
+++ b/cluster/rebalance/sequencer_test.go
@@ -0,0 +1,203 @@
+package rebalance
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance/planfile"
+)
+
+// pinnedCluster is a small cluster where each range is pinned, so that only the order of the moves is open. Members and
+// ranges are numbered.
+type pinnedCluster struct {
+	capacity      []int // by member; 0: no bound
+	owner, target []int // by range
+	precedences   [][2]int
+}
+
+// drawPinnedCluster returns a random cluster, with precedences if they are wanted.
+func drawPinnedCluster(t *rapid.T, turns bool) pinnedCluster {
+	p := pinnedCluster{}
+	members := rapid.IntRange(2, 4).Draw(t, "members")
+	n := rapid.IntRange(2, 6).Draw(t, "ranges")
+	for range n {
+		p.owner = append(p.owner, rapid.IntRange(0, members-1).Draw(t, "from"))
+		p.target = append(p.target, rapid.IntRange(0, members-1).Draw(t, "to"))
+	}
+	for m := range members {
+		most := 0
+		for _, to := range p.target {
+			if to == m {
+				most++
+			}
+		}
+		room := most + rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, "more room")
+		if room == 0 || rapid.IntRange(0, 9).Draw(t, "bound") == 0 {
+			room = rapid.SampledFrom([]int{0, 1}).Draw(t, "room")
+		}
+		p.capacity = append(p.capacity, room)
+	}
+	if turns {
+		for range rapid.IntRange(1, 4).Draw(t, "turns") {
+			a := rapid.IntRange(0, n-2).Draw(t, "first")
+			p.precedences = append(p.precedences, [2]int{a, rapid.IntRange(a+1, n-1).Draw(t, "then")})
+		}
+		for again := true; again; { // a before b and b before c is a before c, even if b doesn't move
+			again = false
+			for _, a := range p.precedences {
+				for _, b := range p.precedences {
+					if c := [2]int{a[0], b[1]}; a[1] == b[0] && !slices.Contains(p.precedences, c) {
+						p.precedences, again = append(p.precedences, c), true
+					}
+				}
+			}
+		}
+	}
+	return p
+}
+
+func (p pinnedCluster) file() string {
+	var s strings.Builder
+	for m, room := range p.capacity {
+		fmt.Fprintf(&s, "member \"m%d\" {\n zone = \"z%d\"\n room = %d\n}\n", m, m%2, room)
+	}
+	for i, to := range p.target {
+		fmt.Fprintf(&s, "pin \"r%d\" {\n %s\n to = \"m%d\"\n}\n", i, hashesIn(i, len(p.target)), to)
+	}
+	for _, b := range p.precedences {
+		fmt.Fprintf(&s, "before \"r%d\" { after = [\"r%d\"] }\n", b[0], b[1])
+	}
+	return s.String()
+}
+
+func (p pinnedCluster) owners() (all []cluster.MemberID) {
+	for _, m := range p.owner {
+		all = append(all, cluster.MemberID(fmt.Sprint("m", m)))
+	}
+	return all
+}
+
+// minDetours returns the fewest detours of any order by exhaustive search, or -1 if there is no order.
+func (p pinnedCluster) minDetours() int {
+	type state string // by range its member, 'a'+member, and then '+' if it made its detour
+	at := func(i int, s state) int { return int(s[i] - 'a') }
+	start := make([]byte, 2*len(p.owner))
+	for i, m := range p.owner {
+		start[i], start[len(p.owner)+i] = byte('a'+m), '-'
+	}
+	open := []state{state(start)}
+	stops := map[state]int{open[0]: 0}
+	for len(open) > 0 { // fewest detours first (Dijkstra's algorithm)
+		best := 0
+		for k := range open {
+			if stops[open[k]] < stops[open[best]] {
+				best = k
+			}
+		}
+		s := open[best]
+		open = append(open[:best:best], open[best+1:]...)
+		through, has := true, make([]int, len(p.capacity))
+		for i := range p.owner {
+			through = through && at(i, s) == p.target[i]
+			has[at(i, s)]++
+		}
+		if through {
+			return stops[s]
+		}
+		for i := range p.owner {
+			waits := at(i, s) == p.target[i]
+			for _, b := range p.precedences {
+				waits = waits || b[1] == i && at(b[0], s) != p.target[b[0]]
+			}
+			for m, room := range p.capacity {
+				stop := m != p.target[i]
+				if waits || m == at(i, s) || room > 0 && has[m] >= room || stop && s[len(p.owner)+i] == '+' {
+					continue
+				}
+				next, cost := []byte(s), stops[s]
+				if next[i] = byte('a' + m); stop {
+					next[len(p.owner)+i], cost = '+', cost+1
+				}
+				if was, known := stops[state(next)]; !known || cost < was {
+					stops[state(next)] = cost
+					open = append(open, state(next))
+				}
+			}
+		}
+	}
+	return -1
+}
+
+// checkPlan makes a plan of the cluster, runs it to its end with moves in random order, and checks the order against an
+// exhaustive search.
+func (p pinnedCluster) checkPlan(t *rapid.T) {
+	sim := newSimulation(t, p.owners()...)
+	f, err := planfile.Parse([]byte(p.file()), "f.hcl")
+	require.NoError(t, err)
+	made, err := NewPlan(f, sim.shards, nil)
+	for m, room := range p.capacity {
+		pinned := 0
+		for _, to := range p.target {
+			if to == m {
+				pinned++
+			}
+		}
+		if room > 0 && pinned > room {
+			require.ErrorContains(t, err, "has room for")
+			return
+		}
+	}
+	least := p.minDetours()
+	if least < 0 {
+		require.Error(t, err)
+		require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
+		return
+	}
+	require.NoError(t, err)
+	stops := 0
+	for k, s := range made.Steps {
+		if s.Kind == StepDetour {
+			stops++
+		}
+		for _, n := range s.DependsOn {
+			require.Less(t, n.Step, k)
+		}
+	}
+	require.Equal(t, least, stops, "stop-overs")
+	bounds := fmt.Sprintf("bounds {\n moves_at_once = %d\n per_member = %d\n per_zone = %d\n}\n",
+		rapid.IntRange(1, 4).Draw(t, "at once"), rapid.IntRange(1, 3).Draw(t, "per member"),
+		rapid.IntRange(1, 3).Draw(t, "per zone"))
+	require.NoError(t, sim.adoptPlan(p.file()+bounds))
+	sim.runToEnd(t)
+	for i, to := range p.target {
+		require.Equal(t, cluster.MemberID(fmt.Sprint("m", to)), sim.ownerOf(i))
+	}
+	require.True(t, sim.schedule().Finished)
+	require.Equal(t, uint64(1), sim.progress.Number, "it was planned anew on the way")
+	seen := map[int]int{}
+	for n, k := range sim.startedSteps {
+		seen[int(sim.progress.Steps[k].Range)-1] = n
+	}
+	for _, b := range p.precedences {
+		first, moved := seen[b[0]]
+		if then, both := seen[b[1]]; both && moved {
+			require.Less(t, first, then, "r%d before r%d", b[0], b[1])
+		}
+	}
+}
+
+// The planner finds an order if and only if there is one, with as few detours as any, and its steps, in whatever order
+// moves end, never exceed a capacity or limit, nor violate a precedence.
+func TestNewPlan_FindsAnOrderIfThereIsOne(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { drawPinnedCluster(t, false).checkPlan(t) })
+}
+
+func TestNewPlan_FindsAnOrderWithPrecedencesIfThereIsOne(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { drawPinnedCluster(t, true).checkPlan(t) })
+}
