--- a/sim/engine/observers_test.go
+++ b/sim/engine/observers_test.go
@@ -106,6 +106,6 @@
 
 func isModule(start engine.Starter) bool {
 	f := api.Settings{EventTypes: []api.EventType{{TTL: 1, LatencyTarget: 1}}}
-	_, ok := start(f, idle{}).(*policy.Control)
+	_, ok := start(f, idle{}).(*policy.Policy)
 	return ok
 }
--- a/webhook/policy/choice.go
+++ b/webhook/policy/choice.go
@@ -6,63 +6,63 @@
 	"rowanlink/webhook/api"
 )
 
-// inZone guards against a second effect: where only a zone remembers a token, what may have run stays in it.
-func (c *Control) inZone(w *webhook, e *endpoint) bool {
-	return w.mayRun == never || w.evt.Semantics != api.Deduplicated || !w.evt.DedupByZone || w.zone == e.zone
+// allowsZone guards against a second effect: where only a zone remembers a token, what may have run stays in it.
+func (c *Policy) allowsZone(w *webhook, e *endpoint) bool {
+	return w.mayHaveRunAt == never || w.eventType.Semantics != api.Deduplicated || !w.eventType.DedupByZone || w.mayHaveRunZone == e.zone
 }
 
-// choose takes the first endpoint of the ranked order that has room.
-func (c *Control) choose(w *webhook) verdict {
-	if c.pick != nil {
-		return pass
+// selectEndpoint takes the first endpoint of the ranked order that has room.
+func (c *Policy) selectEndpoint(w *webhook) stageResult {
+	if c.selected != nil {
+		return proceed
 	}
 	each := math.Ceil(float64(c.MaxInFlight) * fullShare)
-	if n := len(w.dest.endpoints); n > 1 && !w.dest.kind.SeparateRoutes {
-		each = math.Ceil(float64(c.bound(w.dest.shared)) / float64(n))
+	if n := len(w.destination.endpoints); n > 1 && !w.destination.kind.SeparateRoutes {
+		each = math.Ceil(float64(c.concurrencyLimit(w.destination.sharedRoute)) / float64(n))
 	}
-	for _, e := range w.dest.endpoints {
-		room := float64(e.out) < min(each, math.Floor(e.limit)) && c.inZone(w, e)
+	for _, e := range w.destination.endpoints {
+		room := float64(e.inFlight) < min(each, math.Floor(e.connectionLimit)) && c.allowsZone(w, e)
 		// One endpoint is sick among well ones: a single call now and then.
-		rests := e.fails >= sickRow && !e.route.sick && (c.now < e.tryAt || e.out > 0)
-		if room && c.opens(e) && !rests {
-			c.pick = e
-			return pass
+		rests := e.consecutiveFailures >= unhealthyAfterFailures && !e.route.unhealthy && (c.now < e.nextCanaryAt || e.inFlight > 0)
+		if room && c.admits(e) && !rests {
+			c.selected = e
+			return proceed
 		}
 	}
-	return hold
+	return wait
 }
 
-func (c *Control) send(w *webhook) verdict {
-	e, r := c.pick, c.pick.route
-	if k := e.open; k == nil || k.turn != c.turn || k.left >= w.dest.kind.BatchSize {
-		if r.out == 0 {
-			r.heardAt = c.now
+func (c *Policy) send(w *webhook) stageResult {
+	e, r := c.selected, c.selected.route
+	if k := e.openCall; k == nil || k.turnNumber != c.turnNumber || k.pending >= w.destination.kind.BatchSize {
+		if r.inFlight == 0 {
+			r.lastOutcomeAt = c.now
 		}
-		c.callOut(e)
+		c.startCall(e)
 		r.tokens--
-		r.loose = r.coldSince == never && !r.sick && r.pace < loose(w.dest, r)
-		if r.sick || e.fails >= sickRow {
-			e.tryAt = c.now + c.canaryPause(r)
-			r.tryAt = max(r.tryAt, e.tryAt)
+		r.usedFallbackRate = r.slowStartSince == never && !r.unhealthy && r.rate < fallbackRate(w.destination, r)
+		if r.unhealthy || e.consecutiveFailures >= unhealthyAfterFailures {
+			e.nextCanaryAt = c.now + c.canaryInterval(r)
+			r.nextCanaryAt = max(r.nextCanaryAt, e.nextCanaryAt)
 		}
 	}
-	w.call = e.open
-	w.call.left++
+	w.call = e.openCall
+	w.call.pending++
 	w.sentAt, w.attempts = c.now, w.attempts+1
 	w.dequeue()
-	c.dues.Add(int64(c.now+w.evt.LatencyTarget), w)
-	c.host.StartAttempt(w.id, e.id, c.patience(w, e), c.lastSend(w))
-	return pass
+	c.timers.Add(int64(c.now+w.eventType.LatencyTarget), w)
+	c.host.StartAttempt(w.id, e.id, c.attemptTimeout(w, e), c.latestSend(w))
+	return proceed
 }
 
-// patience leaves a slow answer its time; a time-out makes work that may still run and cost the webhook.
+// attemptTimeout leaves a slow answer its time; a time-out makes work that may still run and cost the webhook.
 // Where answers get lost it shrinks towards the time that those which come take: lost answers, hangs of one
 // endpoint of several. Each time-out in a row doubles it, so that a destination grown slow is waited for.
-func (c *Control) patience(w *webhook, e *endpoint) api.Micros {
-	p := float64(w.evt.reach)
-	if r := e.route; r.mean > 0 && !r.sick {
-		tail := tailBy * max(1-2*c.lost, tailLeast) * r.mean * math.Exp2(float64(min(e.fails, 9)))
-		p = max(p*(1-lossBy*max(r.lost, c.lost)), min(p, tail))
+func (c *Policy) attemptTimeout(w *webhook, e *endpoint) api.Micros {
+	p := float64(w.eventType.maxTimeout)
+	if r := e.route; r.meanLatency > 0 && !r.unhealthy {
+		tail := tailLatencyFactor * max(1-2*c.timeoutRate, minTailShare) * r.meanLatency * math.Exp2(float64(min(e.consecutiveFailures, 9)))
+		p = max(p*(1-timeoutCutPerLoss*max(r.timeoutRate, c.timeoutRate)), min(p, tail))
 	}
-	return max(min(api.Micros(p), w.ttl-c.now), 1)
+	return max(min(api.Micros(p), w.deadline-c.now), 1)
 }
--- a/webhook/policy/control_test.go
+++ b/webhook/policy/control_test.go
@@ -41,7 +41,7 @@
 		}
 		s.run(6 * sec)
 		for id := range api.WebhookID(10) {
-			if w := s.held[id]; w != nil {
+			if w := s.webhooks[id]; w != nil {
 				s.came(id, api.Rejected, 0)
 			}
 		}
@@ -62,7 +62,7 @@
 	assert.Greater(t, len(s.endpoints), 20, "what may come back is known")
 	s.run(101 * sec)
 	assert.Len(t, s.endpoints, 3)
-	assert.Empty(t, s.turns)
+	assert.Empty(t, s.sequences)
 	s.take(99, 0, 0)
 	s.EndTurn()
 	assert.Equal(t, 1, s.sentOf(99))
@@ -73,12 +73,12 @@
 	s.take(1, 0, 2)
 	s.take(2, 0, 2) // the window is one: this one waits
 	s.EndTurn()
-	assert.Equal(t, []*destination{s.dests[2]}, s.busy)
+	assert.Equal(t, []*destination{s.destinations[2]}, s.backlogged)
 	s.came(1, api.Delivered, 0)
 	s.run(sec)
 	s.came(2, api.Delivered, 0)
-	assert.Empty(t, s.busy)
-	assert.Len(t, s.linked, 1)
+	assert.Empty(t, s.backlogged)
+	assert.Len(t, s.connectedEndpoints, 1)
 }
 
 // Guards against a reload that loses, repeats or re-terms what was taken on before it.
@@ -89,16 +89,16 @@
 		s.take(id, 2, api.DestinationID(id%4))
 	}
 	s.EndTurn()
-	out := s.out
+	out := s.inFlight
 	less.MaxInFlight, less.BufferSize, less.Dispatchers = 2, 5, 2
 	less.EventTypes = append(less.EventTypes[:2], less.EventTypes[0])
 	s.UpdateSettings(less)
-	assert.InDelta(t, 500, s.dests[0].shared.stated, 1, "a part of the new fleet's")
+	assert.InDelta(t, 500, s.destinations[0].sharedRoute.listedRate, 1, "a part of the new fleet's")
 	s.all(always(api.TimedOut))
 	assert.Len(t, s.h.dead, out, "taken as at-most-once, each ends so")
 	assert.Empty(t, s.h.rejected, "what is beyond the new buffer drains")
-	assert.LessOrEqual(t, s.out, 2)
+	assert.LessOrEqual(t, s.inFlight, 2)
 	s.UpdateSettings(f)
 	s.take(100, 2, 0)
-	assert.Equal(t, api.AtMostOnce, s.held[100].evt.Semantics, "the way back is the same step")
+	assert.Equal(t, api.AtMostOnce, s.webhooks[100].eventType.Semantics, "the way back is the same step")
 }
--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -48,7 +48,7 @@
 
 // story is a dispatcher on a fake host, with event types 0 idempotent, 1 tokened, 2 at-most-once, 3 ordered.
 type story struct {
-	*Control
+	*Policy
 	h *fakeHost
 }
 
@@ -106,8 +106,8 @@
 // all reports the same outcome, if there is one to report, for each attempt that is out and closes the turn.
 func (s *story) all(of func(ep api.EndpointID) api.Outcome) (n int) {
 	for _, x := range s.h.sent {
-		if w := s.held[x.id]; w != nil && w.call != nil {
-			s.report(x.id, of(w.call.ep.id), 0)
+		if w := s.webhooks[x.id]; w != nil && w.call != nil {
+			s.report(x.id, of(w.call.endpoint.id), 0)
 			n++
 		}
 	}
--- a/webhook/policy/judging_test.go
+++ b/webhook/policy/judging_test.go
@@ -22,7 +22,7 @@
 			return api.Delivered
 		})
 	}
-	assert.False(t, s.dests[0].shared.sick)
+	assert.False(t, s.destinations[0].sharedRoute.unhealthy)
 	assert.Greater(t, delivered, 50)
 }
 
@@ -42,35 +42,35 @@
 			})
 		}
 	}
-	for _, e := range s.dests[0].endpoints {
-		assert.Zero(t, e.fails)
-		assert.Less(t, e.limit, 3.0)
+	for _, e := range s.destinations[0].endpoints {
+		assert.Zero(t, e.consecutiveFailures)
+		assert.Less(t, e.connectionLimit, 3.0)
 	}
-	assert.Equal(t, never, s.dests[0].shared.coldSince)
+	assert.Equal(t, never, s.destinations[0].sharedRoute.slowStartSince)
 }
 
 // With a call every few seconds nothing was delivered of late: a connection too many passed for an outage.
 func TestAConnectionTurnedAwayIsNoOutageWhereCallsAreRare(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	r := s.dests[0].shared
+	r := s.destinations[0].sharedRoute
 	for id := api.WebhookID(1); id < 40; id += 2 {
 		s.take(id, 0, 0)
 		s.EndTurn()
-		r = s.dests[0].shared
+		r = s.destinations[0].sharedRoute
 		s.came(id, api.ConnectionLimited, 0)
-		assert.Equal(t, never, r.coldSince)
+		assert.Equal(t, never, r.slowStartSince)
 		s.run(4 * sec) // it is tried again meanwhile
 		s.came(id, api.Delivered, 0)
 		s.run(4 * sec)
 	}
-	assert.False(t, r.sick)
-	for id := range api.WebhookID(4 * fullRow) { // nothing else for long: it may be shut
+	assert.False(t, r.unhealthy)
+	for id := range api.WebhookID(4 * unhealthyAfterRejections) { // nothing else for long: it may be shut
 		s.take(100+id, 0, 0)
 		s.EndTurn()
 		s.all(always(api.ConnectionLimited))
 		s.run(2 * sec)
 	}
-	assert.True(t, r.sick)
+	assert.True(t, r.unhealthy)
 }
 
 func TestManyDispatchersHangUpAtACrowdedKind(t *testing.T) {
@@ -106,16 +106,16 @@
 			s.run(5 * sec)
 		}
 		s.now = s.h.now
-		s.judge(s.endpoints[0], api.ErrorResponse, sec/10, 0)
-		assert.EqualValues(t, never, s.dests[0].shared.coldSince, "one may be a stray")
+		s.recordOutcome(s.endpoints[0], api.ErrorResponse, sec/10, 0)
+		assert.EqualValues(t, never, s.destinations[0].sharedRoute.slowStartSince, "one may be a stray")
 		silent := crowd(200)
 		silent.take(1, 0, 0)
 		silent.run(5 * sec)
 		silent.now = silent.h.now
-		silent.judge(silent.endpoints[0], api.ConnectFailed, sec, 0)
-		assert.NotEqualValues(t, never, silent.dests[0].shared.coldSince, "who says nothing at all is out")
-		s.judge(s.endpoints[0], api.ErrorResponse, sec/10, 0)
-		assert.Equal(t, seldom, s.dests[0].shared.coldSince != never)
+		silent.recordOutcome(silent.endpoints[0], api.ConnectFailed, sec, 0)
+		assert.NotEqualValues(t, never, silent.destinations[0].sharedRoute.slowStartSince, "who says nothing at all is out")
+		s.recordOutcome(s.endpoints[0], api.ErrorResponse, sec/10, 0)
+		assert.Equal(t, seldom, s.destinations[0].sharedRoute.slowStartSince != never)
 	}
 }
 
@@ -134,12 +134,12 @@
 		call(api.Delivered)
 	}
 	call(api.ConnectFailed)
-	e := s.held[id].dest.endpoints[0]
-	assert.Less(t, e.limit, 2.0)
+	e := s.webhooks[id].destination.endpoints[0]
+	assert.Less(t, e.connectionLimit, 2.0)
 	for range 16 {
 		call(api.Delivered)
 	}
-	assert.GreaterOrEqual(t, e.limit, 3.0)
+	assert.GreaterOrEqual(t, e.connectionLimit, 3.0)
 	for range 9 {
 		for range 3 {
 			call(api.ConnectionReset)
@@ -147,7 +147,7 @@
 		}
 		call(api.Delivered)
 	}
-	assert.EqualValues(t, never, e.route.coldSince)
+	assert.EqualValues(t, never, e.route.slowStartSince)
 	assert.Empty(t, s.h.logs, "none was taken for an outage")
 }
 
@@ -162,12 +162,12 @@
 		f.ConnectionLimitsReported = c.told
 		s := begin(f, 0)
 		s.now = s.h.now
-		s.awake(s.dests[0])
-		e := s.dests[0].endpoints[0]
+		s.ensureRoute(s.destinations[0])
+		e := s.destinations[0].endpoints[0]
 		for range 3 {
-			s.judge(e, api.ConnectFailed, c.took, 0)
+			s.recordOutcome(e, api.ConnectFailed, c.took, 0)
 		}
-		assert.Equal(t, c.crowds, e.fails == 0)
-		assert.Equal(t, !c.crowds, s.dests[0].shared.coldSince != never)
+		assert.Equal(t, c.crowds, e.consecutiveFailures == 0)
+		assert.Equal(t, !c.crowds, s.destinations[0].sharedRoute.slowStartSince != never)
 	}
 }
--- a/webhook/policy/list_test.go
+++ b/webhook/policy/list_test.go
@@ -33,7 +33,7 @@
 	s.run(60 * sec)
 	assert.Nil(t, s.endpoints[0])
 	assert.NotNil(t, s.endpoints[1])
-	assert.Empty(t, s.left)
+	assert.Empty(t, s.delistedEndpoints)
 	s.take(1, 0, 0)
 	s.EndTurn()
 	assert.Equal(t, api.EndpointID(1), s.h.sent[0].ep)
@@ -42,19 +42,19 @@
 func TestADestinationAtRestHasNoRouteAndWakesWithWhatTheListSaid(t *testing.T) {
 	s := begin(plainFacts(), 0, 2) // the second one's endpoints are routes apart
 	s.run(10 * sec)
-	d := s.dests[0]
-	assert.Nil(t, d.shared)
+	d := s.destinations[0]
+	assert.Nil(t, d.sharedRoute)
 	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 1, Status: api.EndpointRemoved}, {Endpoint: 2, Rate: 40}}, false)
 	s.take(1, 0, 0)
 	s.EndTurn()
-	assert.Equal(t, 40.0, d.shared.stated)
-	assert.Equal(t, 40.0, d.shared.pace)
-	assert.Equal(t, 40*burstSpan-1, d.shared.tokens, "the bucket filled while it rested; one call is out of it")
+	assert.Equal(t, 40.0, d.sharedRoute.listedRate)
+	assert.Equal(t, 40.0, d.sharedRoute.rate)
+	assert.Equal(t, 40*burstSeconds-1, d.sharedRoute.tokens, "the bucket filled while it rested; one call is out of it")
 	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 1, Rate: 40}}, false)
 	for _, e := range d.endpoints {
-		assert.Same(t, d.shared, e.route, "endpoint %d", e.id)
+		assert.Same(t, d.sharedRoute, e.route, "endpoint %d", e.id)
 	}
-	apart := s.dests[1].endpoints
+	apart := s.destinations[1].endpoints
 	assert.NotSame(t, apart[0].route, apart[1].route)
 }
 
@@ -69,22 +69,22 @@
 	s := begin(untold(200), 0, 0, 0, 0)
 	s.take(1, 0, 0)
 	s.EndTurn()
-	r := s.dests[0].shared
-	assert.LessOrEqual(t, r.stated, 2.0, "the slots serve all destinations")
+	r := s.destinations[0].sharedRoute
+	assert.LessOrEqual(t, r.listedRate, 2.0, "the slots serve all destinations")
 	s.ReportLoad(0, 0.5, 40)
 	s.came(1, api.Delivered, 0)
-	assert.InDelta(t, 0.2, r.stated, 1e-9)
+	assert.InDelta(t, 0.2, r.listedRate, 1e-9)
 	s.ReportLoad(0, 0.5, 0)
 	s.ReportLoad(99, 0.5, 40)
-	assert.InDelta(t, 0.2, r.stated, 1e-9, "no limit, or no such endpoint, says nothing")
+	assert.InDelta(t, 0.2, r.listedRate, 1e-9, "no limit, or no such endpoint, says nothing")
 	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 0, Rate: 4}}, false)
-	assert.InDelta(t, 0.2, r.stated, 1e-9, "what the destination tells goes before a list")
+	assert.InDelta(t, 0.2, r.listedRate, 1e-9, "what the destination tells goes before a list")
 	s.ReportLoad(0, 0.5, 40)
-	before := loose(s.dests[0], r)
+	before := fallbackRate(s.destinations[0], r)
 	assert.Greater(t, before, 5.0, "a clump goes by the room told, not by the part")
 	s.now = s.h.now
-	s.judge(s.endpoints[0], api.Rejected, sec/10, 0)
-	assert.Less(t, loose(s.dests[0], r), before/8)
+	s.recordOutcome(s.endpoints[0], api.Rejected, sec/10, 0)
+	assert.Less(t, fallbackRate(s.destinations[0], r), before/8)
 }
 
 // Guards against all that waits anywhere for a destination without endpoints, sent as soon as one is listed.
@@ -96,5 +96,5 @@
 	s.EndTurn()
 	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 7}}, false)
 	s.EndTurn()
-	assert.NotEqualValues(t, never, s.dests[0].shared.coldSince)
+	assert.NotEqualValues(t, never, s.destinations[0].sharedRoute.slowStartSince)
 }
--- a/webhook/policy/pace_test.go
+++ b/webhook/policy/pace_test.go
@@ -27,8 +27,8 @@
 func TestReturningDestinationIsNotPushedOver(t *testing.T) {
 	f := plainFacts()
 	s := begin(f, 0)
-	r := s.awake(s.dests[0]).shared
-	r.stated, r.pace = 10, 10
+	r := s.ensureRoute(s.destinations[0]).sharedRoute
+	r.listedRate, r.rate = 10, 10
 	for id := range api.WebhookID(90) {
 		s.take(id, 0, 0)
 	}
@@ -50,8 +50,8 @@
 func TestPaceOutgrowsALowStatedRate(t *testing.T) {
 	pace := func(waiting api.WebhookID) float64 {
 		s := begin(plainFacts(), 0)
-		r := s.awake(s.dests[0]).shared
-		r.stated, r.pace = 2, 2
+		r := s.ensureRoute(s.destinations[0]).sharedRoute
+		r.listedRate, r.rate = 2, 2
 		for id := range waiting {
 			s.take(id, 0, 0)
 		}
@@ -59,7 +59,7 @@
 			s.run(sec / 10)
 			s.all(always(api.Delivered))
 		}
-		return r.pace
+		return r.rate
 	}
 	assert.Less(t, pace(3), 2.2)
 	assert.Greater(t, pace(60), 3.0)
@@ -86,15 +86,15 @@
 		s.all(always(api.Delivered))
 	}
 	assert.Len(t, s.h.sent, 2)
-	trickle := s.kinds[0].trickle
+	trickle := s.kinds[0].fallbackRate
 	for id := api.WebhookID(10); id < 13; id++ {
 		s.take(id, 0, 1)
 		s.run(sec / 10)
 		s.all(always(api.Rejected))
 	}
-	assert.Less(t, s.kinds[0].trickle, trickle, "refusals of what it let go lower it")
-	full := s.dests[1]
-	assert.Less(t, loose(full, full.shared), s.kinds[0].trickle, "and most at the destination that refused")
+	assert.Less(t, s.kinds[0].fallbackRate, trickle, "refusals of what it let go lower it")
+	full := s.destinations[1]
+	assert.Less(t, fallbackRate(full, full.sharedRoute), s.kinds[0].fallbackRate, "and most at the destination that refused")
 }
 
 func TestCanariesOfManyWaitForTheirPartAndPastAToldWait(t *testing.T) {
@@ -103,10 +103,10 @@
 		s.take(1, 0, 0)
 		s.EndTurn()
 		s.came(1, api.Rejected, 4*sec) // told to wait for longer than a limit's span: shut
-		r := s.awake(s.dests[0]).shared
-		assert.True(t, r.sick)
-		assert.Greater(t, r.tryAt, r.waitUntil, "all come back when it opens")
-		assert.Equal(t, fleet == 200, s.canaryPause(r) > 5*sec)
+		r := s.ensureRoute(s.destinations[0]).sharedRoute
+		assert.True(t, r.unhealthy)
+		assert.Greater(t, r.nextCanaryAt, r.retryAfterUntil, "all come back when it opens")
+		assert.Equal(t, fleet == 200, s.canaryInterval(r) > 5*sec)
 		s.run(4 * sec)
 		assert.Len(t, s.h.sent, 1)
 	}
--- a/webhook/policy/schedule_test.go
+++ b/webhook/policy/schedule_test.go
@@ -10,14 +10,14 @@
 
 func TestScheduleHasTwoBandsAndNeverOverflows(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	row := &s.events[0] // TTL 20 s: m is 5 s, early up to 2*log2(5) = 4.6
+	row := &s.eventTypes[0] // TTL 20 s: m is 5 s, early up to 2*log2(5) = 4.6
 	for range 200 {
 		for i, most := range []api.Micros{1, 2, 4, 5, 5} {
-			assert.LessOrEqual(t, Wait(row.cap, i, s.chance.Float64()), most*sec)
+			assert.LessOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), most*sec)
 		}
 		for _, i := range []int{5, 6, 100, 1 << 40} {
-			assert.GreaterOrEqual(t, Wait(row.cap, i, s.chance.Float64()), 4*sec)
-			assert.LessOrEqual(t, Wait(row.cap, i, s.chance.Float64()), 5*sec)
+			assert.GreaterOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), 4*sec)
+			assert.LessOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), 5*sec)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	s.came(1, api.ErrorResponse, 0)
 	for s.h.answers == 0 && s.h.now < first+20*sec {
 		s.run(5000)
-		if s.held[1] != nil && s.held[1].call != nil {
+		if s.webhooks[1] != nil && s.webhooks[1].call != nil {
 			s.came(1, api.ErrorResponse, 0)
 		}
 	}
@@ -69,7 +69,7 @@
 	s.run(20*sec - 5000)
 	assert.Len(t, s.h.rejected, 20)
 	assert.Equal(t, 20, s.h.answers)
-	assert.Empty(t, s.held)
+	assert.Empty(t, s.webhooks)
 }
 
 func TestOrderedWebhooksOfAKeyGoInTurn(t *testing.T) {
--- a/webhook/policy/slots_test.go
+++ b/webhook/policy/slots_test.go
@@ -20,9 +20,9 @@
 	assert.Len(t, s.h.sent, 3)
 	s.report(1, api.Delivered, 0)
 	s.came(2, api.Delivered, 0)
-	assert.Equal(t, 4.0, s.dests[0].shared.window)
+	assert.Equal(t, 4.0, s.destinations[0].sharedRoute.window)
 	s.came(3, api.Rejected, 0)
-	assert.Equal(t, 2.0, s.dests[0].shared.window)
+	assert.Equal(t, 2.0, s.destinations[0].sharedRoute.window)
 }
 
 func TestHungDestinationLeavesSlotsToTheOthers(t *testing.T) {
@@ -36,7 +36,7 @@
 		}
 	}
 	s.run(10 * sec)
-	assert.LessOrEqual(t, s.out, 6)
+	assert.LessOrEqual(t, s.inFlight, 6)
 	s.take(99, 0, 1)
 	s.EndTurn()
 	assert.Equal(t, 1, s.sentOf(99))
@@ -72,7 +72,7 @@
 		s.take(id, 1+api.EventTypeID(id/23), api.DestinationID(id%4)) // the last is at-most-once
 	}
 	s.run(2*sec - 10000)
-	assert.Equal(t, 4, s.out)
+	assert.Equal(t, 4, s.inFlight)
 	assert.Empty(t, s.h.cancelled, "not before the target latency is over")
 	s.run(sec)
 	assert.Equal(t, []api.WebhookID{20, 21, 22}, s.h.cancelled)
--- a/webhook/policy/state.go
+++ b/webhook/policy/state.go
@@ -14,211 +14,211 @@
 // Timers of an instance: one for periodic work, one for the earliest due time.
 const timerPeriod, timerDue api.TimerID = 0, 1
 
-// verdict is what a stage does with a webhook.
-type verdict bool
+// stageResult is what a stage does with a webhook.
+type stageResult bool
 
-const pass, hold verdict = true, false
+const proceed, wait stageResult = true, false
 
-// Control decides for one dispatcher.
-type Control struct {
+// Policy decides for one dispatcher.
+type Policy struct {
 	api.Settings
-	host      api.Host
-	chance    *mwcrand.Source
-	events    []eventRow
-	tenants   []tenant
-	now       api.Micros
-	turn      int
-	held      map[api.WebhookID]*webhook
-	open      int // webhooks that are owed an answer
-	drains    int // of them, held when the facts changed: they end by themselves
-	out       int // calls out
-	sickOut   int // of them, to sick routes
-	dests     map[api.DestinationID]*destination
-	order     []*destination // all of them, as first heard of
-	busy      []*destination // those with a queue
-	rested    []*endpoint    // those whose call ended in this turn
-	linked    []*endpoint    // those that may have idle connections
-	left      []*endpoint    // those off the list, not yet forgotten
-	endpoints map[api.EndpointID]*endpoint
-	turns     map[api.OrderingKey]*turn
-	dues      timerqueue.Queue[*webhook] // nil stands for a route that opens
-	armed     api.Micros
-	periodAt  api.Micros // the periodic wake is due then
-	mean      float64    // answer time in µs over all routes, smoothed
-	lost      float64    // share of late calls that timed out, over all routes, smoothed
-	shedding  bool
-	stages    []func(*webhook) verdict
-	pick      *endpoint // the endpoint stage's choice for the send stage
-	ready     []*webhook
-	kinds     []*kind
+	host               api.Host
+	random             *mwcrand.Source
+	eventTypes         []eventTypePolicy
+	quotas             []tenantQuota
+	now                api.Micros
+	turnNumber         int
+	webhooks           map[api.WebhookID]*webhook
+	unanswered         int // webhooks that are owed an answer
+	grandfathered      int // of them, held when the facts changed: they end by themselves
+	inFlight           int // calls out
+	canariesInFlight   int // of them, to sick routes
+	destinations       map[api.DestinationID]*destination
+	destinationList    []*destination // all of them, as first heard of
+	backlogged         []*destination // those with a queue
+	finishedEndpoints  []*endpoint    // those whose call ended in this turn
+	connectedEndpoints []*endpoint    // those that may have idle connections
+	delistedEndpoints  []*endpoint    // those off the list, not yet forgotten
+	endpoints          map[api.EndpointID]*endpoint
+	sequences          map[api.OrderingKey]*sequence
+	timers             timerqueue.Queue[*webhook] // nil stands for a route that opens
+	timerArmedAt       api.Micros
+	nextPeriodicAt     api.Micros // the periodic wake is due then
+	meanLatency        float64    // answer time in µs over all routes, smoothed
+	timeoutRate        float64    // share of late calls that timed out, over all routes, smoothed
+	shedding           bool
+	stages             []func(*webhook) stageResult
+	selected           *endpoint // the endpoint stage's choice for the send stage
+	ready              []*webhook
+	kinds              []*destinationKind
 }
 
-// eventRow is what the module reads of an event type: a row of the one table in which event types differ.
-type eventRow struct {
+// eventTypePolicy is what the module reads of an event type: a row of the one table in which event types differ.
+type eventTypePolicy struct {
 	api.EventType
-	cap   float64    // m, in seconds
-	reach api.Micros // longest patience
+	maxBackoff float64    // m, in seconds
+	maxTimeout api.Micros // longest patience
 }
 
 // webhook is one webhook that this dispatcher has taken and not yet forgotten.
 type webhook struct {
-	id       api.WebhookID
-	evt      *eventRow
-	dest     *destination
-	key      api.OrderingKey
-	ttl      api.Micros // last moment for the final answer
-	target   api.Micros // delivered by then it earns its full value
-	over     bool       // beyond its tenant's share
-	attempts int
-	retries  int        // waits drawn so far
-	readyAt  api.Micros // its own wait ends then
-	mayRun   api.Micros // send of the first attempt that may have run, or never
-	zone     api.ZoneID // of that attempt's endpoint
-	sentAt   api.Micros
-	call     *call // out now, or nil
-	queued   bool
-	ended    bool
+	id             api.WebhookID
+	eventType      *eventTypePolicy
+	destination    *destination
+	orderingKey    api.OrderingKey
+	deadline       api.Micros // last moment for the final answer
+	targetAt       api.Micros // delivered by then it earns its full value
+	overQuota      bool       // beyond its tenant's share
+	attempts       int
+	backoffs       int        // waits drawn so far
+	nextAttemptAt  api.Micros // its own wait ends then
+	mayHaveRunAt   api.Micros // send of the first attempt that may have run, or never
+	mayHaveRunZone api.ZoneID // of that attempt's endpoint
+	sentAt         api.Micros
+	call           *call // out now, or nil
+	queued         bool
+	finished       bool
 }
 
 // call is one call out: it holds one slot until every webhook in it has its outcome.
 type call struct {
-	ep     *endpoint
-	left   int
-	turn   int
-	judged bool // its fate has been counted once
-	sick   bool // sent as a canary to a sick route
+	endpoint   *endpoint
+	pending    int
+	turnNumber int
+	recorded   bool // its fate has been counted once
+	canary     bool // sent as a canary to a sick route
 }
 
 // endpoint is one address of a destination.
 type endpoint struct {
-	id      api.EndpointID
-	zone    api.ZoneID
-	dest    *destination
-	route   *route
-	listed  bool
-	leftAt  api.Micros // off the list since then
-	out     int        // calls out
-	linked  bool       // it may have idle connections
-	limit   float64    // calls out at most, by the cap on connections met
-	mean    float64    // answer time in µs, smoothed
-	okAt    api.Micros // last delivery
-	fails   int        // failures in a row
-	brokeAt api.Micros // last failure
-	tryAt   api.Micros // sick: not before then
-	open    *call      // call of this turn that still has room
+	id                  api.EndpointID
+	zone                api.ZoneID
+	destination         *destination
+	route               *route
+	listed              bool
+	delistedAt          api.Micros // off the list since then
+	inFlight            int        // calls out
+	connected           bool       // it may have idle connections
+	connectionLimit     float64    // calls out at most, by the cap on connections met
+	meanLatency         float64    // answer time in µs, smoothed
+	lastSuccessAt       api.Micros // last delivery
+	consecutiveFailures int        // failures in a row
+	lastFailureAt       api.Micros // last failure
+	nextCanaryAt        api.Micros // sick: not before then
+	openCall            *call      // call of this turn that still has room
 }
 
 // route is what limits, waits and outages belong to: a destination, or one endpoint where routes are apart.
 type route struct {
-	name      api.EndpointID // one endpoint of it, for the log
-	out       int            // calls out
-	window    float64        // calls out at most
-	waitUntil api.Micros
-	stated    float64 // calls a second, this dispatcher's part
-	pace      float64 // calls a second let out
-	tokens    float64
-	tokensAt  api.Micros
-	cutAt     api.Micros // last cut of the pace
-	wakeAt    api.Micros // wake already asked for
-	heardAt   api.Micros // last outcome, or first send since it was idle
-	mean      float64    // answer time in µs, smoothed; 0: none yet
-	failing   float64    // share of late calls that failed, smoothed
-	lost      float64    // share of late calls that timed out, smoothed
-	refused   int        // refusals in a row
-	okAt      api.Micros // last delivery
-	sick      bool
-	loose     bool       // the last call went by the trickle
-	room      float64    // calls a second of the limit that were left when last told
-	told      bool       // stated is from reports
-	tryAt     api.Micros // sick: next canary
-	coldSince api.Micros // first success after an outage, or never
+	logName               api.EndpointID // one endpoint of it, for the log
+	inFlight              int            // calls out
+	window                float64        // calls out at most
+	retryAfterUntil       api.Micros
+	listedRate            float64 // calls a second, this dispatcher's part
+	rate                  float64 // calls a second let out
+	tokens                float64
+	tokensAt              api.Micros
+	rateDecreasedAt       api.Micros // last cut of the pace
+	wakeUpAt              api.Micros // wake already asked for
+	lastOutcomeAt         api.Micros // last outcome, or first send since it was idle
+	meanLatency           float64    // answer time in µs, smoothed; 0: none yet
+	failureRate           float64    // share of late calls that failed, smoothed
+	timeoutRate           float64    // share of late calls that timed out, smoothed
+	consecutiveRejections int        // refusals in a row
+	lastSuccessAt         api.Micros // last delivery
+	unhealthy             bool
+	usedFallbackRate      bool       // the last call went by the trickle
+	reportedHeadroom      float64    // calls a second of the limit that were left when last told
+	rateReported          bool       // stated is from reports
+	nextCanaryAt          api.Micros // sick: next canary
+	slowStartSince        api.Micros // first success after an outage, or never
 }
 
-// kind is a row of the one table in which kinds of destination differ, with what is learned over all of it.
-type kind struct {
+// destinationKind is a row of the one table in which kinds of destination differ, with what is learned over all of it.
+type destinationKind struct {
 	api.DestinationKind
-	trickle float64    // calls a second that a route with a tiny part is let
-	crowded api.Micros // until then it counts as short of connections
+	fallbackRate           float64    // calls a second that a route with a tiny part is let
+	connectionLimitedUntil api.Micros // until then it counts as short of connections
 }
 
 // destination is where webhooks are meant for.
 type destination struct {
-	id        api.DestinationID
-	kind      *kind
-	shared    *route      // nil until its first webhook comes
-	endpoints []*endpoint // ranked
-	queue     []*webhook  // held, not out
-	stale     bool        // some of the queue is held no longer
-	busy      bool        // it stands among the busy ones
-	place     int         // in the order of first hearing
-	knownAt   api.Micros
-	stated    float64 // as route.stated, until it has one
+	id          api.DestinationID
+	kind        *destinationKind
+	sharedRoute *route      // nil until its first webhook comes
+	endpoints   []*endpoint // ranked
+	queue       []*webhook  // held, not out
+	hasDequeued bool        // some of the queue is held no longer
+	backlogged  bool        // it stands among the busy ones
+	index       int         // in the order of first hearing
+	firstSeenAt api.Micros
+	listedRate  float64 // as route.stated, until it has one
 }
 
 // destination finds one, or takes it in as just heard of, of the kind for those that no list names.
-func (c *Control) destination(id api.DestinationID) *destination {
-	if c.dests[id] == nil {
-		c.dests[id] = &destination{id: id, kind: c.kinds[len(c.kinds)-1], knownAt: c.now, place: len(c.order)}
-		c.order = append(c.order, c.dests[id])
+func (c *Policy) destination(id api.DestinationID) *destination {
+	if c.destinations[id] == nil {
+		c.destinations[id] = &destination{id: id, kind: c.kinds[len(c.kinds)-1], firstSeenAt: c.now, index: len(c.destinationList)}
+		c.destinationList = append(c.destinationList, c.destinations[id])
 	}
-	return c.dests[id]
+	return c.destinations[id]
 }
 
-// callOut counts a new call at an endpoint, open to webhooks of this turn.
-func (c *Control) callOut(e *endpoint) {
+// startCall counts a new call at an endpoint, open to webhooks of this turn.
+func (c *Policy) startCall(e *endpoint) {
 	r := e.route
-	e.open = &call{ep: e, turn: c.turn, sick: r.sick}
-	c.out, r.out, e.out = c.out+1, r.out+1, e.out+1
-	if r.sick {
-		c.sickOut++
+	e.openCall = &call{endpoint: e, turnNumber: c.turnNumber, canary: r.unhealthy}
+	c.inFlight, r.inFlight, e.inFlight = c.inFlight+1, r.inFlight+1, e.inFlight+1
+	if r.unhealthy {
+		c.canariesInFlight++
 	}
-	if !e.linked {
-		e.linked, c.linked = true, append(c.linked, e)
+	if !e.connected {
+		e.connected, c.connectedEndpoints = true, append(c.connectedEndpoints, e)
 	}
 }
 
-// callBack counts a webhook's outcome against its call, which is over with the last.
-func (c *Control) callBack(k *call) {
-	if k.left--; k.left > 0 {
+// finishCall counts a webhook's outcome against its call, which is over with the last.
+func (c *Policy) finishCall(k *call) {
+	if k.pending--; k.pending > 0 {
 		return
 	}
-	e, r := k.ep, k.ep.route
-	c.out, r.out, e.out = c.out-1, r.out-1, e.out-1
-	if k.sick {
-		c.sickOut--
+	e, r := k.endpoint, k.endpoint.route
+	c.inFlight, r.inFlight, e.inFlight = c.inFlight-1, r.inFlight-1, e.inFlight-1
+	if k.canary {
+		c.canariesInFlight--
 	}
-	c.rested = append(c.rested, e)
+	c.finishedEndpoints = append(c.finishedEndpoints, e)
 }
 
 // enqueue puts a webhook into its destination's queue.
-func (c *Control) enqueue(w *webhook) {
-	d := w.dest
+func (c *Policy) enqueue(w *webhook) {
+	d := w.destination
 	w.queued, d.queue = true, append(d.queue, w)
-	if !d.busy {
-		d.busy, c.busy = true, append(c.busy, d)
+	if !d.backlogged {
+		d.backlogged, c.backlogged = true, append(c.backlogged, d)
 	}
 }
 
 // dequeue marks it for the next prune.
-func (w *webhook) dequeue() { w.queued, w.dest.stale = false, true }
+func (w *webhook) dequeue() { w.queued, w.destination.hasDequeued = false, true }
 
-// prune drops from the queue what is no longer held there.
-func (d *destination) prune() {
-	if d.stale {
-		d.queue, d.stale = slices.DeleteFunc(d.queue, func(w *webhook) bool { return !w.queued }), false
+// removeDequeued drops from the queue what is no longer held there.
+func (d *destination) removeDequeued() {
+	if d.hasDequeued {
+		d.queue, d.hasDequeued = slices.DeleteFunc(d.queue, func(w *webhook) bool { return !w.queued }), false
 	}
 }
 
-// turn is the line of ordered webhooks that share a key.
-type turn struct {
-	line      []*webhook
-	restUntil api.Micros
+// sequence is the line of ordered webhooks that share a key.
+type sequence struct {
+	queue       []*webhook
+	pausedUntil api.Micros
 }
 
-// tenant meters what a tenant hands in against its share.
-type tenant struct {
-	perS, level float64
-	at          api.Micros
+// tenantQuota meters what a tenant hands in against its share.
+type tenantQuota struct {
+	rate, tokens float64
+	updatedAt    api.Micros
 }
 
-func (c *Control) log(format string, of ...any) { c.host.Log(fmt.Sprintf(format, of...)) }
+func (c *Policy) log(format string, of ...any) { c.host.Log(fmt.Sprintf(format, of...)) }
--- a/webhook/refresh/asking.go
+++ b/webhook/refresh/asking.go
@@ -127,7 +127,7 @@
 
 // wait is the schedule's i-th wait with an m in periods.
 func (a *Asking) wait(m float64, i int) api.Micros {
-	s := policy.Wait(m/unitBy, i, a.chance.Float64()).Seconds()
+	s := policy.Backoff(m/unitBy, i, a.chance.Float64()).Seconds()
 	return api.Micros(s * unitBy * float64(a.period))
 }
 
