--- a/sim/baseline/baseline.go
+++ b/sim/baseline/baseline.go
@@ -92,68 +92,76 @@
 	}
 }
 
-func (p *Policy) Submit(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID,
-	key api.OrderingKey, ttl api.Micros, dest api.DestinationID) {
-	p.Recover(id, evt, tenant, key, ttl, dest, 0, api.Never, 0)
-}
-
-func (p *Policy) Recover(id api.WebhookID, evt api.EventTypeID, _ api.TenantID, key api.OrderingKey,
-	ttl api.Micros, dest api.DestinationID, attempts int, mayRun api.Micros, zone api.ZoneID) {
-	w := &webhook{id: id, evt: p.f.EventTypes[min(int(evt), len(p.f.EventTypes)-1)], key: key, ttl: ttl,
-		dest: p.destination(dest), attempts: attempts, mayRun: mayRun, zone: zone}
+// Submit accepts a new webhook.
+func (p *Policy) Submit(w api.Webhook) {
+	p.Recover(w, api.PriorAttempts{MayHaveRunAt: api.Never})
+}
+
+// Recover accepts a webhook that was attempted before.
+func (p *Policy) Recover(submitted api.Webhook, prior api.PriorAttempts) {
+	w := &webhook{
+		id:       submitted.ID,
+		evt:      p.f.EventTypes[min(int(submitted.EventType), len(p.f.EventTypes)-1)],
+		key:      submitted.OrderingKey,
+		ttl:      submitted.Deadline,
+		dest:     p.destination(submitted.Destination),
+		attempts: prior.Count,
+		mayRun:   prior.MayHaveRunAt,
+		zone:     prior.Zone,
+	}
 	if !w.evt.Ordered {
 		w.key = 0
 	}
-	p.held[id] = w
+	p.held[w.id] = w
 	if w.key != 0 {
 		if p.lines[w.key] == nil {
 			p.lines[w.key] = &line{}
 		}
 		l := p.lines[w.key]
-		if l.in = append(l.in, w); mayRun != api.Never {
+		if l.in = append(l.in, w); w.mayRun != api.Never {
 			l.rest = p.host.Now() + p.f.OrderingGap
 			p.dues.Add(int64(l.rest), nil)
 		}
 	}
-	p.dues.Add(int64(ttl-2*p.f.MinTurnInterval), w)
-	if attempts > 0 {
+	p.dues.Add(int64(w.ttl-2*p.f.MinTurnInterval), w)
+	if w.attempts > 0 {
 		p.again(w)
 		return
 	}
 	p.queue = append(p.queue, w)
 }
 
-func (p *Policy) AttemptEnded(id api.WebhookID, ep api.EndpointID, what api.Outcome,
-	_ api.Micros, ended bool, wait api.Micros) {
-	w := p.held[id]
+// AttemptEnded takes the result of an attempt.
+func (p *Policy) AttemptEnded(result api.AttemptResult) {
+	w := p.held[result.Webhook]
 	if w == nil || !w.out {
 		return
 	}
 	w.out = false
 	p.out--
-	if wait > 0 {
-		w.dest.wait = max(w.dest.wait, p.host.Now()+wait)
+	if result.RetryAfter > 0 {
+		w.dest.wait = max(w.dest.wait, p.host.Now()+result.RetryAfter)
 		p.dues.Add(int64(w.dest.wait), nil)
 	}
-	if !what.NeverRan() && w.mayRun == api.Never {
+	if !result.Outcome.NeverRan() && w.mayRun == api.Never {
 		w.mayRun = w.sentAt
 	}
-	if l := p.lines[w.key]; w.key != 0 && what.MayStillRun() {
+	if l := p.lines[w.key]; w.key != 0 && result.Outcome.MayStillRun() {
 		l.rest = max(l.rest, p.host.Now()+p.f.OrderingGap)
 		p.dues.Add(int64(l.rest), nil)
 	}
-	if ended {
+	if result.Final {
 		p.forget(w)
 		return
 	}
 	p.again(w)
 }
 
-// UpdateSettings is not heeded: no baseline outlives its facts.
+// UpdateSettings does nothing: no baseline outlives its settings.
 func (p *Policy) UpdateSettings(api.Settings) {}
 
-// ReportLoad is not heeded.
-func (p *Policy) ReportLoad(api.EndpointID, float64, float64) {}
+// ReportLoad does nothing.
+func (p *Policy) ReportLoad(api.LoadReport) {}
 
 func (p *Policy) again(w *webhook) {
 	w.readyAt = p.host.Now() + p.waits(max(w.attempts-1, 0), p.chance)
--- a/sim/engine/clients.go
+++ b/sim/engine/clients.go
@@ -25,6 +25,18 @@
 	offered bool
 }
 
+// webhook is what a policy is told of it, under the id that its dispatcher gave it.
+func (o *origin) webhook(id api.WebhookID) api.Webhook {
+	return api.Webhook{
+		ID:          id,
+		EventType:   o.evt,
+		Tenant:      o.tenant,
+		OrderingKey: o.key,
+		Deadline:    o.ttl,
+		Destination: o.dest,
+	}
+}
+
 // gap draws the time to the next arrival.
 func (m *Model) gap() api.Micros {
 	c := &m.plan.Clients
--- a/sim/engine/dispatcher.go
+++ b/sim/engine/dispatcher.go
@@ -54,6 +54,10 @@
 	custody
 }
 
+func (h *held) priorAttempts() api.PriorAttempts {
+	return api.PriorAttempts{Count: h.attempts, MayHaveRunAt: h.mayRun, Zone: h.zone}
+}
+
 // links are a dispatcher's idle connections to one endpoint, the longest idle first.
 type links struct {
 	idle  []api.Micros
@@ -124,7 +128,7 @@
 			d.begins(h)
 			continue
 		}
-		d.module.Recover(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest, h.attempts, h.mayRun, h.zone)
+		d.module.Recover(o.webhook(h.id), h.priorAttempts())
 	}
 	d.wakeUp()
 }
@@ -214,7 +218,7 @@
 			d.takesOn(h, n.offer)
 			return
 		}
-		d.module.Submit(n.id, o.evt, o.tenant, o.key, o.ttl, o.dest)
+		d.module.Submit(o.webhook(n.id))
 	case newsOutcome:
 		h := d.held[n.id]
 		if h == nil {
@@ -233,7 +237,14 @@
 			h.mayRun, h.zone = h.sentAt, h.sentZone
 		}
 		ended := h.ended
-		d.module.AttemptEnded(n.id, n.ep, n.what, n.took, ended, n.wait)
+		d.module.AttemptEnded(api.AttemptResult{
+			Webhook:    n.id,
+			Endpoint:   n.ep,
+			Outcome:    n.what,
+			Latency:    n.took,
+			Final:      ended,
+			RetryAfter: n.wait,
+		})
 		if ended {
 			delete(d.held, n.id)
 		} else if d.member != nil {
--- a/sim/engine/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -86,26 +86,18 @@
 	}
 }
 
-func (m *mutant) Submit(id api.WebhookID, evt api.EventTypeID, tenant api.TenantID, key api.OrderingKey,
-	ttl api.Micros, dest api.DestinationID) {
+func (m *mutant) Submit(w api.Webhook) {
 	if m.take != nil {
-		key = m.take(key)
+		w.OrderingKey = m.take(w.OrderingKey)
 	}
-	m.Policy.Submit(id, evt, tenant, key, ttl, dest)
+	m.Policy.Submit(w)
 }
 
-func (m *mutant) AttemptEnded(
-	id api.WebhookID,
-	ep api.EndpointID,
-	what api.Outcome,
-	took api.Micros,
-	ended bool,
-	wait api.Micros,
-) {
+func (m *mutant) AttemptEnded(result api.AttemptResult) {
 	if m.outcome != nil {
-		what, wait = m.outcome(what, wait)
+		result.Outcome, result.RetryAfter = m.outcome(result.Outcome, result.RetryAfter)
 	}
-	m.Policy.AttemptEnded(id, ep, what, took, ended, wait)
+	m.Policy.AttemptEnded(result)
 }
 
 func (m *mutant) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -187,9 +187,9 @@
 func (d *dispatcher) resume(h *held) {
 	o := &d.m.origins[h.origin]
 	if h.attempts == 0 && h.mayRun == never {
-		d.module.Submit(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest)
+		d.module.Submit(o.webhook(h.id))
 	} else {
-		d.module.Recover(h.id, o.evt, o.tenant, o.key, o.ttl, o.dest, h.attempts, h.mayRun, h.zone)
+		d.module.Recover(o.webhook(h.id), h.priorAttempts())
 	}
 }
 
--- /dev/null
+++ b/webhook/api/time.go
@@ -0,0 +1,13 @@
+package api
+
+// Micros is a time or a duration in whole microseconds. Times count from an arbitrary origin and never run back.
+type Micros int64
+
+// Second is the unit of the retry schedule.
+const Second Micros = 1_000_000
+
+// Never marks a time that has not come.
+const Never Micros = -1
+
+// Seconds returns the duration in seconds.
+func (t Micros) Seconds() float64 { return float64(t) / float64(Second) }
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -167,7 +167,14 @@
 	if over {
 		d.x.Over.Add(1)
 	}
-	d.module.AttemptEnded(w.ID, ep, what, took, ended, wait)
+	d.module.AttemptEnded(api.AttemptResult{
+		Webhook:    w.ID,
+		Endpoint:   ep,
+		Outcome:    what,
+		Latency:    took,
+		Final:      ended,
+		RetryAfter: wait,
+	})
 	if d.held[w.ID] != nil && !d.mayCall(w) {
 		d.module.Withdraw(w.ID)
 		d.park(w)
--- a/webhook/dispatcher/eventloop/types.go
+++ b/webhook/dispatcher/eventloop/types.go
@@ -36,7 +36,14 @@
 	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Semantics == api.Deduplicated {
 		w.Event = unnamed
 	}
-	d.module.Recover(w.ID, w.Event, w.Tenant, w.Key, w.TTL, w.Destination, attempts, mayRun, zone)
+	d.module.Recover(api.Webhook{
+		ID:          w.ID,
+		EventType:   w.Event,
+		Tenant:      w.Tenant,
+		OrderingKey: w.Key,
+		Deadline:    w.TTL,
+		Destination: w.Destination,
+	}, api.PriorAttempts{Count: attempts, MayHaveRunAt: mayRun, Zone: zone})
 }
 
 // place is where an event type of an earlier life stands by now.
--- /dev/null
+++ b/webhook/policy/endpoint_list.go
@@ -0,0 +1,157 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"rowanlink/webhook/api"
+)
+
+// UpdateEndpoints takes an endpoint list: the complete list, or the entries that have changed.
+func (p *Policy) UpdateEndpoints(list []api.EndpointEntry, complete bool) {
+	p.now = p.host.Now()
+	if complete {
+		for _, e := range p.endpoints {
+			e.listed = false
+		}
+	}
+	for _, entry := range list {
+		p.updateEndpoint(entry)
+	}
+	for _, d := range p.destinationList {
+		p.removeDelisted(d)
+		p.rankEndpoints(d)
+	}
+}
+
+func (p *Policy) updateEndpoint(entry api.EndpointEntry) {
+	d := p.destination(entry.Destination)
+	d.kind = p.kinds[min(int(entry.Kind), len(p.kinds)-1)]
+	e := p.endpoints[entry.Endpoint]
+	if e == nil {
+		e = p.newEndpoint(entry, d)
+		p.endpoints[entry.Endpoint] = e
+	}
+	e.route = cmp.Or(e.route, d.sharedRoute)
+	e.listed = entry.Status == api.EndpointActive
+	if !slices.Contains(d.endpoints, e) {
+		if e.listed {
+			p.addListed(d, e)
+		} else {
+			p.delistedEndpoints = append(p.delistedEndpoints, e) // never listed here: forgotten like one that was
+		}
+	}
+	p.updateListedRate(d, e.route, entry.Rate)
+}
+
+func (p *Policy) newEndpoint(entry api.EndpointEntry, d *destination) *endpoint {
+	e := &endpoint{
+		id:              entry.Endpoint,
+		zone:            entry.Zone,
+		destination:     d,
+		connectionLimit: math.Inf(1),
+		delistedAt:      p.now,
+	}
+	if d.kind.SeparateRoutes {
+		e.route = p.newRoute(e.id, 0, p.now)
+	}
+	return e
+}
+
+func (p *Policy) addListed(d *destination, e *endpoint) {
+	if len(d.endpoints) == 0 && len(d.queue) > 0 {
+		p.startSlowStart(e.route) // what waited for it at all dispatchers would go at once
+	}
+	d.endpoints = append(d.endpoints, e)
+}
+
+// updateListedRate takes over this dispatcher's share of the rate in the list, unless the destination reports its own.
+func (p *Policy) updateListedRate(d *destination, r *route, total float64) {
+	share := total / float64(p.settings.Dispatchers)
+	if !p.settings.RatesListed || !isRate(share) || r != nil && r.rateReported {
+		return
+	}
+	if r == nil {
+		d.listedRate = share
+	} else if r.listedRate != share {
+		r.listedRate = share
+		r.rate = share
+	}
+}
+
+// isRate is false for NaN, too.
+func isRate(rate float64) bool { return rate > 0 && !math.IsInf(rate, 0) }
+
+func (p *Policy) removeDelisted(d *destination) {
+	d.endpoints = slices.DeleteFunc(d.endpoints, func(e *endpoint) bool {
+		if !e.listed {
+			e.delistedAt = p.now
+			p.delistedEndpoints = append(p.delistedEndpoints, e)
+		}
+		return !e.listed
+	})
+}
+
+// ReportLoad takes a destination's own limit: it stands in for a rate that no list states, or states roughly.
+func (p *Policy) ReportLoad(report api.LoadReport) {
+	e := p.endpoints[report.Endpoint]
+	share := report.Limit / float64(p.settings.Dispatchers)
+	if e == nil || e.route == nil || !isRate(share) {
+		return
+	}
+	r := e.route
+	r.reportedHeadroom = report.Headroom * report.Limit
+	if !r.rateReported {
+		r.rateReported = true
+		r.listedRate = share
+		r.rate = share
+		return
+	}
+	r.listedRate += smoothing * (share - r.listedRate)
+}
+
+// newRoute assumes, where no rate is listed (0) and until one is reported, that each slot is used once per second; where
+// lists state no rates at all, over all destinations alike.
+func (p *Policy) newRoute(logName api.EndpointID, listedRate float64, since api.Micros) *route {
+	assumed := float64(p.settings.MaxInFlight)
+	if !p.settings.RatesListed {
+		assumed /= float64(len(p.destinationList))
+	}
+	rate := cmp.Or(listedRate, assumed)
+	return &route{
+		logName:        logName,
+		window:         1,
+		listedRate:     rate,
+		rate:           rate,
+		tokens:         1,
+		tokensAt:       since,
+		slowStartSince: never,
+	}
+}
+
+// ensureRoute gives a destination its shared route when its first webhook comes. Most destinations never get one.
+func (p *Policy) ensureRoute(d *destination) *destination {
+	if d.sharedRoute == nil {
+		d.sharedRoute = p.newRoute(0, d.listedRate, d.firstSeenAt)
+		for _, e := range d.endpoints {
+			e.route = cmp.Or(e.route, d.sharedRoute)
+			d.sharedRoute.logName = e.id
+		}
+	}
+	return d
+}
+
+// rankEndpoints renews the order in which a destination's endpoints are filled: quick and near ones first.
+func (p *Policy) rankEndpoints(d *destination) {
+	if len(d.endpoints) < 2 {
+		return
+	}
+	cost := func(e *endpoint) float64 {
+		if e.zone != p.settings.Zone { // not first for being unmeasured: each call there holds its slot for longer
+			return cmp.Or(e.meanLatency, p.meanLatency) * remoteZonePenalty
+		}
+		return e.meanLatency
+	}
+	slices.SortStableFunc(d.endpoints, func(a, b *endpoint) int { return cmp.Compare(cost(a), cost(b)) })
+}
--- a/webhook/policy/list_test.go
+++ b/webhook/policy/endpoint_list_test.go
@@ -71,19 +71,19 @@
 	s.EndTurn()
 	r := s.destinations[0].sharedRoute
 	assert.LessOrEqual(t, r.listedRate, 2.0, "the slots serve all destinations")
-	s.ReportLoad(0, 0.5, 40)
+	s.ReportLoad(api.LoadReport{Endpoint: 0, Headroom: 0.5, Limit: 40})
 	s.came(1, api.Delivered, 0)
 	assert.InDelta(t, 0.2, r.listedRate, 1e-9)
-	s.ReportLoad(0, 0.5, 0)
-	s.ReportLoad(99, 0.5, 40)
+	s.ReportLoad(api.LoadReport{Endpoint: 0, Headroom: 0.5, Limit: 0})
+	s.ReportLoad(api.LoadReport{Endpoint: 99, Headroom: 0.5, Limit: 40})
 	assert.InDelta(t, 0.2, r.listedRate, 1e-9, "no limit, or no such endpoint, says nothing")
 	s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 0, Rate: 4}}, false)
 	assert.InDelta(t, 0.2, r.listedRate, 1e-9, "what the destination tells goes before a list")
-	s.ReportLoad(0, 0.5, 40)
+	s.ReportLoad(api.LoadReport{Endpoint: 0, Headroom: 0.5, Limit: 40})
 	before := fallbackRate(s.destinations[0], r)
 	assert.Greater(t, before, 5.0, "a clump goes by the room told, not by the part")
 	s.now = s.h.now
-	s.recordOutcome(s.endpoints[0], api.Rejected, sec/10, 0)
+	s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.Rejected, Latency: sec / 10})
 	assert.Less(t, fallbackRate(s.destinations[0], r), before/8)
 }
 
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -6,69 +6,48 @@
 	"rowanlink/webhook/api"
 )
 
-// latestSend is the last moment for an attempt: a tick to spare before the TTL and, where a tokened webhook may
-// have run, inside the time for which the destination remembers its token.
-func (c *Policy) latestSend(w *webhook) api.Micros {
-	last := w.deadline - 2*c.MinTurnInterval
+// latestSend is the last moment for an attempt: two turn intervals before the deadline and, where a deduplicated webhook
+// may have run, within the time for which the destination remembers its key.
+func (p *Policy) latestSend(w *webhook) api.Micros {
+	margin := 2 * p.settings.MinTurnInterval
+	latest := w.deadline - margin
 	if w.mayHaveRunAt != never && w.eventType.Semantics == api.Deduplicated {
-		last = min(last, w.mayHaveRunAt+w.eventType.DedupWindow-2*c.MinTurnInterval)
+		latest = min(latest, w.mayHaveRunAt+w.eventType.DedupWindow-margin)
 	}
-	return last
+	return latest
 }
 
-// giveUp ends it at once: rejected, with a time to come back, where none may have run, else dead-lettered.
-func (c *Policy) giveUp(w *webhook) {
+// giveUp ends a webhook at once: rejected, with a time to come back, where no attempt may have run, else dead-lettered.
+func (p *Policy) giveUp(w *webhook) {
 	if w.mayHaveRunAt != never {
-		c.host.DeadLetter(w.id)
+		p.host.DeadLetter(w.id)
 	} else {
-		c.host.Reject(w.id, min(max(w.destination.sharedRoute.retryAfterUntil-c.now, 0), c.MaxRetryAfter))
+		remaining := max(w.destination.sharedRoute.retryAfterUntil-p.now, 0)
+		p.host.Reject(w.id, min(remaining, p.settings.MaxRetryAfter))
 	}
-	c.forget(w)
+	p.forget(w)
 }
 
-// forget drops a webhook that is over; one with an attempt out is kept for the outcome.
-func (c *Policy) forget(w *webhook) {
+// forget drops a webhook that has ended; one with an attempt in flight is kept for the outcome.
+func (p *Policy) forget(w *webhook) {
 	if !w.finished {
 		w.finished = true
-		c.unanswered--
+		p.unanswered--
 	}
-	if w.dequeue(); w.call != nil {
+	w.dequeue()
+	if w.call != nil {
 		return
 	}
-	delete(c.webhooks, w.id)
-	if t := c.sequences[w.orderingKey]; t != nil && w.eventType.Ordered {
-		t.queue = slices.DeleteFunc(t.queue, func(o *webhook) bool { return o == w })
+	delete(p.webhooks, w.id)
+	if s := p.sequences[w.orderingKey]; s != nil && w.eventType.Ordered {
+		s.queue = slices.DeleteFunc(s.queue, func(other *webhook) bool { return other == w })
 	}
 }
 
-// Withdraw is told when nobody wants a webhook any more; an attempt that is out runs on.
-func (c *Policy) Withdraw(id api.WebhookID) {
-	if c.now = c.host.Now(); c.webhooks[id] != nil {
-		c.forget(c.webhooks[id])
-	}
-}
-
-// shedLoad keeps the buffer from filling up: past its share the webhooks worth least, of the destination with the
-// longest queue, are rejected, so that those for other destinations are not turned away at the door.
-func (c *Policy) shedLoad() {
-	c.grandfathered = min(c.grandfathered, c.unanswered)
-	most := max(int(maxBufferFill*float64(c.BufferSize)), c.grandfathered, 1)
-	if !c.shedding && c.unanswered > most || c.shedding && c.unanswered <= most/2 {
-		c.shedding = !c.shedding
-		c.log("shedding %v, %d held", c.shedding, c.unanswered)
-	}
-	for c.unanswered > most && len(c.backlogged) > 0 {
-		d := slices.MaxFunc(c.backlogged, func(a, b *destination) int { return len(a.queue) - len(b.queue) })
-		var victim *webhook
-		for _, w := range d.queue {
-			if w.mayHaveRunAt == never && (victim == nil || c.comparePriority(victim, w) < 0) {
-				victim = w
-			}
-		}
-		if victim == nil {
-			return
-		}
-		c.giveUp(victim)
-		d.removeDequeued()
+// Withdraw drops a webhook that nobody waits for any more; an attempt in flight runs on.
+func (p *Policy) Withdraw(id api.WebhookID) {
+	p.now = p.host.Now()
+	if w := p.webhooks[id]; w != nil {
+		p.forget(w)
 	}
 }
--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -85,7 +85,7 @@
 }
 
 func (s *story) take(id api.WebhookID, evt api.EventTypeID, dest api.DestinationID) {
-	s.Submit(id, evt, 0, 5, s.h.now+20*sec, dest)
+	s.Submit(api.Webhook{ID: id, EventType: evt, OrderingKey: 5, Deadline: s.h.now + 20*sec, Destination: dest})
 }
 
 // came reports an outcome of the webhook's attempt that is out and closes the turn.
@@ -97,7 +97,14 @@
 func (s *story) report(id api.WebhookID, what api.Outcome, wait api.Micros) {
 	for i := len(s.h.sent) - 1; i >= 0; i-- {
 		if x := s.h.sent[i]; x.id == id {
-			s.AttemptEnded(id, x.ep, what, s.h.now-x.at, what == api.Delivered, wait)
+			s.AttemptEnded(api.AttemptResult{
+				Webhook:    id,
+				Endpoint:   x.ep,
+				Outcome:    what,
+				Latency:    s.h.now - x.at,
+				Final:      what == api.Delivered,
+				RetryAfter: wait,
+			})
 			return
 		}
 	}
@@ -123,7 +130,7 @@
 func (s *story) run(span api.Micros) {
 	for until := s.h.now + span; s.h.now < until; {
 		s.h.now += 5000
-		for _, timer := range []api.TimerID{timerPeriod, timerDue} {
+		for _, timer := range []api.TimerID{timerPeriodic, timerQueue} {
 			if at, ok := s.h.wakes[timer]; ok && at <= s.h.now {
 				delete(s.h.wakes, timer)
 				s.TimerFired(timer)
--- a/webhook/policy/judging_test.go
+++ b/webhook/policy/outcome_test.go
@@ -106,15 +106,15 @@
 			s.run(5 * sec)
 		}
 		s.now = s.h.now
-		s.recordOutcome(s.endpoints[0], api.ErrorResponse, sec/10, 0)
+		s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.ErrorResponse, Latency: sec / 10})
 		assert.EqualValues(t, never, s.destinations[0].sharedRoute.slowStartSince, "one may be a stray")
 		silent := crowd(200)
 		silent.take(1, 0, 0)
 		silent.run(5 * sec)
 		silent.now = silent.h.now
-		silent.recordOutcome(silent.endpoints[0], api.ConnectFailed, sec, 0)
+		silent.recordOutcome(silent.endpoints[0], api.AttemptResult{Outcome: api.ConnectFailed, Latency: sec})
 		assert.NotEqualValues(t, never, silent.destinations[0].sharedRoute.slowStartSince, "who says nothing at all is out")
-		s.recordOutcome(s.endpoints[0], api.ErrorResponse, sec/10, 0)
+		s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.ErrorResponse, Latency: sec / 10})
 		assert.Equal(t, seldom, s.destinations[0].sharedRoute.slowStartSince != never)
 	}
 }
@@ -165,7 +165,7 @@
 		s.ensureRoute(s.destinations[0])
 		e := s.destinations[0].endpoints[0]
 		for range 3 {
-			s.recordOutcome(e, api.ConnectFailed, c.took, 0)
+			s.recordOutcome(e, api.AttemptResult{Outcome: api.ConnectFailed, Latency: c.took})
 		}
 		assert.Equal(t, c.crowds, e.consecutiveFailures == 0)
 		assert.Equal(t, !c.crowds, s.destinations[0].sharedRoute.slowStartSince != never)
--- a/webhook/policy/control_test.go
+++ b/webhook/policy/policy_test.go
@@ -37,7 +37,8 @@
 		s := begin(api.Settings{MaxInFlight: slots}, 0, 0)
 		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 50, Destination: 7, Kind: 9, Status: api.EndpointRemoved}}, false)
 		for id := range api.WebhookID(10) {
-			s.Submit(id, api.EventTypeID(id), 3, 0, s.h.now+5*sec, api.DestinationID(id))
+			s.Submit(api.Webhook{ID: id, EventType: api.EventTypeID(id), Tenant: 3, Deadline: s.h.now + 5*sec,
+				Destination: api.DestinationID(id)})
 		}
 		s.run(6 * sec)
 		for id := range api.WebhookID(10) {
@@ -53,7 +54,7 @@
 func TestThoseLongGoneAreForgotten(t *testing.T) {
 	s := begin(plainFacts(), 0)
 	for i := range api.WebhookID(20) {
-		s.Submit(i, 3, 0, api.OrderingKey(i+1), s.h.now+20*sec, 0)
+		s.Submit(api.Webhook{ID: i, EventType: 3, OrderingKey: api.OrderingKey(i + 1), Deadline: s.h.now + 20*sec})
 		s.run(sec / 2)
 		s.came(i, api.Delivered, 0)
 		ep := api.EndpointID(100 + i)
--- a/webhook/policy/schedule_test.go
+++ b/webhook/policy/retry_test.go
@@ -107,7 +107,8 @@
 		if c.mayRun != none {
 			c.mayRun = s.h.now - c.mayRun
 		}
-		s.Recover(1, c.evt, 0, 0, s.h.now+18*sec, 0, c.attempts, c.mayRun, 0)
+		s.Recover(api.Webhook{ID: 1, EventType: c.evt, Deadline: s.h.now + 18*sec},
+			api.PriorAttempts{Count: c.attempts, MayHaveRunAt: c.mayRun})
 		s.EndTurn()
 		assert.Equal(t, c.attempts == 0, s.sentOf(1) == 1, "an attempt that was out is followed by a wait")
 		s.run(6 * sec)
@@ -132,7 +133,7 @@
 	for i := range kinds {
 		s.take(api.WebhookID(100+i), 0, api.DestinationID(i))
 	}
-	s.TimerFired(timerPeriod)
+	s.TimerFired(timerPeriodic)
 	s.EndTurn()
 	assert.Less(t, len(s.h.sent)-sent, 20, "what came new where calls failed is spread, too")
 	s.run(2 * sec)
--- /dev/null
+++ b/webhook/policy/state_transfer.go
@@ -0,0 +1,43 @@
+package policy
+
+import "rowanlink/webhook/api"
+
+// ExportState returns what must hold for whoever calls the destination next; false: nothing is known, or its endpoints
+// have separate routes, whose identifiers mean nothing to another dispatcher.
+func (p *Policy) ExportState(id api.DestinationID) (api.DestinationState, bool) {
+	d := p.destinations[id]
+	if d == nil || d.sharedRoute == nil || d.kind.SeparateRoutes {
+		return api.DestinationState{}, false
+	}
+	r := d.sharedRoute
+	return api.DestinationState{
+		Destination:    id,
+		ObservedAt:     p.host.Now(),
+		Window:         r.window,
+		WaitUntil:      r.retryAfterUntil,
+		Unhealthy:      r.unhealthy,
+		NextCanaryAt:   r.nextCanaryAt,
+		SlowStartSince: r.slowStartSince,
+		MeanLatency:    r.meanLatency,
+		FailureRate:    r.failureRate,
+		TimeoutRate:    r.timeoutRate,
+	}, true
+}
+
+// ImportState takes over another dispatcher's knowledge. What is known here is kept where it is the more careful.
+func (p *Policy) ImportState(state api.DestinationState) {
+	p.now = p.host.Now()
+	r := p.ensureRoute(p.destination(state.Destination)).sharedRoute
+	r.retryAfterUntil = max(r.retryAfterUntil, state.WaitUntil)
+	if state.Unhealthy && !r.unhealthy {
+		r.unhealthy = true
+		r.nextCanaryAt = max(r.nextCanaryAt, state.NextCanaryAt)
+	}
+	r.slowStartSince = max(r.slowStartSince, state.SlowStartSince)
+	if r.meanLatency == 0 {
+		r.window = max(state.Window, 1)
+		r.meanLatency = state.MeanLatency
+		r.failureRate = state.FailureRate
+		r.timeoutRate = state.TimeoutRate
+	}
+}
--- a/webhook/refresh/hold_test.go
+++ b/webhook/refresh/hold_test.go
@@ -13,16 +13,13 @@
 	taken, over int
 }
 
-func (m *turns) Submit(api.WebhookID, api.EventTypeID, api.TenantID, api.OrderingKey, api.Micros,
-	api.DestinationID) {
-	m.taken++
-}
-func (m *turns) EndTurn() { m.over++ }
+func (m *turns) Submit(api.Webhook) { m.taken++ }
+func (m *turns) EndTurn()           { m.over++ }
 
 func TestUntilItIsOpenedWebhooksAreTakenOnAndNoTurnMakesCalls(t *testing.T) {
 	m := &turns{}
 	h := &Hold{Policy: m}
-	h.Submit(1, 0, 0, 0, 9, 3)
+	h.Submit(api.Webhook{ID: 1, Deadline: 9, Destination: 3})
 	h.EndTurn()
 	assert.Equal(t, []int{1, 0}, []int{m.taken, m.over})
 	h.Open()
--- a/webhook/simadapter/benchwire.go
+++ b/webhook/simadapter/benchwire.go
@@ -184,7 +184,9 @@
 	if in.left < 0 || in.limit < 0 || max(in.left, in.limit) >= len(values) {
 		return func() {}
 	}
-	return func() { in.module.ReportLoad(ep, values[in.left], values[in.limit]) }
+	return func() {
+		in.module.ReportLoad(api.LoadReport{Endpoint: ep, Headroom: values[in.left], Limit: values[in.limit]})
+	}
 }
 
 func (s *server) turn(in *instance) {
--- a/webhook/simadapter/benchwire_test.go
+++ b/webhook/simadapter/benchwire_test.go
@@ -140,7 +140,7 @@
 	left, limit float64
 }
 
-func (m *told) ReportLoad(_ api.EndpointID, left, limit float64) { m.left, m.limit = left, limit }
+func (m *told) ReportLoad(r api.LoadReport) { m.left, m.limit = r.Headroom, r.Limit }
 
 func TestAReportReachesTheModuleByItsNamesAndAShortOneTellsNothing(t *testing.T) {
 	m := &told{}
--- a/webhook/simadapter/decode.go
+++ b/webhook/simadapter/decode.go
@@ -35,7 +35,15 @@
 		if !f.bad && !(dest >= 0 && dest <= math.MaxUint16) {
 			return nil, fmt.Errorf("destination %v is no number of one", dest)
 		}
-		call = func() { in.module.Submit(id, evt, tenant, key, ttl, api.DestinationID(dest)) }
+		submitted := api.Webhook{
+			ID:          id,
+			EventType:   evt,
+			Tenant:      tenant,
+			OrderingKey: key,
+			Deadline:    ttl,
+			Destination: api.DestinationID(dest),
+		}
+		call = func() { in.module.Submit(submitted) }
 	case evOutcome:
 		id := api.WebhookID(f.u32())
 		f.skip(1)
@@ -51,7 +59,14 @@
 		}
 		call = func() {
 			tell()
-			in.module.AttemptEnded(id, ep, outcomes[what], took, ended, wait)
+			in.module.AttemptEnded(api.AttemptResult{
+				Webhook:    id,
+				Endpoint:   ep,
+				Outcome:    outcomes[what],
+				Latency:    took,
+				Final:      ended,
+				RetryAfter: wait,
+			})
 		}
 	case evVanished:
 		id := api.WebhookID(f.u32())
