--- a/webhook/policy/schedule_test.go
+++ b/webhook/policy/retry_test.go
@@ -10,14 +10,14 @@
 
 func TestScheduleHasTwoBandsAndNeverOverflows(t *testing.T) {
 	s := begin(plainFacts(), 0)
-	row := &s.events[0] // TTL 20 s: m is 5 s, early up to 2*log2(5) = 4.6
+	row := &s.eventTypes[0] // TTL 20 s: m is 5 s, early up to 2*log2(5) = 4.6
 	for range 200 {
 		for i, most := range []api.Micros{1, 2, 4, 5, 5} {
-			assert.LessOrEqual(t, Wait(row.cap, i, s.chance.Float64()), most*sec)
+			assert.LessOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), most*sec)
 		}
 		for _, i := range []int{5, 6, 100, 1 << 40} {
-			assert.GreaterOrEqual(t, Wait(row.cap, i, s.chance.Float64()), 4*sec)
-			assert.LessOrEqual(t, Wait(row.cap, i, s.chance.Float64()), 5*sec)
+			assert.GreaterOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), 4*sec)
+			assert.LessOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), 5*sec)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	s.came(1, api.ErrorResponse, 0)
 	for s.h.answers == 0 && s.h.now < first+20*sec {
 		s.run(5000)
-		if s.held[1] != nil && s.held[1].call != nil {
+		if s.webhooks[1] != nil && s.webhooks[1].call != nil {
 			s.came(1, api.ErrorResponse, 0)
 		}
 	}
@@ -69,7 +69,7 @@
 	s.run(20*sec - 5000)
 	assert.Len(t, s.h.rejected, 20)
 	assert.Equal(t, 20, s.h.answers)
-	assert.Empty(t, s.held)
+	assert.Empty(t, s.webhooks)
 }
 
 func TestOrderedWebhooksOfAKeyGoInTurn(t *testing.T) {
@@ -107,7 +107,8 @@
 		if c.mayRun != none {
 			c.mayRun = s.h.now - c.mayRun
 		}
-		s.Recover(1, c.evt, 0, 0, s.h.now+18*sec, 0, c.attempts, c.mayRun, 0)
+		s.Recover(api.Webhook{ID: 1, EventType: c.evt, Deadline: s.h.now + 18*sec},
+			api.PriorAttempts{Count: c.attempts, MayHaveRunAt: c.mayRun})
 		s.EndTurn()
 		assert.Equal(t, c.attempts == 0, s.sentOf(1) == 1, "an attempt that was out is followed by a wait")
 		s.run(6 * sec)
@@ -132,7 +133,7 @@
 	for i := range kinds {
 		s.take(api.WebhookID(100+i), 0, api.DestinationID(i))
 	}
-	s.TimerFired(timerPeriod)
+	s.TimerFired(timerPeriodic)
 	s.EndTurn()
 	assert.Less(t, len(s.h.sent)-sent, 20, "what came new where calls failed is spread, too")
 	s.run(2 * sec)
