--- a/serving/gossip/bench_test.go
+++ b/serving/gossip/bench_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// largeEngine knows 600 members and 600 endpoints.
-func largeEngine() *Engine {
-	e := testEngine(600)
+// newLargeEngine returns an engine with 600 members and 600 endpoints.
+func newLargeEngine() *Engine {
+	e := newTestEngine(600)
 	for i := range 600 {
-		e.PutLocal(begun, endpointEntry(fmt.Sprintf("endpoint-%d", i), 1))
-		e.PutLocal(begun, Entry{Table: TableMembers, Key: fmt.Sprintf("member-%d", i), Version: NewVersion(1, 1),
+		e.PutLocal(startTime, endpointEntry(fmt.Sprintf("endpoint-%d", i), 1))
+		e.PutLocal(startTime, Entry{Table: TableMembers, Key: fmt.Sprintf("member-%d", i), Version: NewVersion(1, 1),
 			Value: make([]byte, 120)})
 	}
-	e.TakeOutgoing(begun.Add(time.Second))
+	e.TakeOutgoing(startTime.Add(time.Second))
 	return e
 }
 
 func BenchmarkSummary(b *testing.B) {
-	e := largeEngine()
+	e := newLargeEngine()
 	for b.Loop() {
 		e.Summary()
 	}
 }
 
-func BenchmarkReceiveAndPassOn(b *testing.B) {
-	e := largeEngine()
-	now, version := begun.Add(time.Minute), uint64(1)
+func BenchmarkReceiveAndForward(b *testing.B) {
+	e := newLargeEngine()
+	now, version := startTime.Add(time.Minute), uint64(1)
 	for b.Loop() {
 		version++
 		now = now.Add(200 * time.Millisecond)
@@ -37,8 +37,8 @@
 }
 
 func BenchmarkCompareOneDifference(b *testing.B) {
-	one, other := largeEngine(), largeEngine()
-	other.PutLocal(begun, endpointEntry("endpoint-9", 2))
+	one, other := newLargeEngine(), newLargeEngine()
+	other.PutLocal(startTime, endpointEntry("endpoint-9", 2))
 	for b.Loop() {
 		one.CompareBuckets(other.ListDifferingBuckets(one.Digest(one.DifferingTables(other.Summary()))))
 	}
--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -6,97 +6,98 @@
 	"time"
 )
 
-// Peer is another live member to which messages can be sent.
+// Peer is another live member, to which messages can be sent.
 type Peer struct {
 	Name    string
-	Address string // host:port for calls between the system's processes
+	Address string // host:port for internal calls
 	Zone    string
 	Region  string
 }
 
-// Options tells an engine where it stands.
+// Options configures an Engine.
 type Options struct {
-	Name   string // of the own member
+	Name   string // of the local member
 	Zone   string
 	Region string
-	// IsTombstone tells whether an entry says that its key is gone. Such an entry expires. Nil: none does.
+	// IsTombstone reports whether an entry says that its key is deleted. Such an entry expires after TombstoneRetention.
+	// Nil: there are no tombstones.
 	IsTombstone func(Entry) bool
 	Random      *rand.Rand
 }
 
-// Engine holds the newest entry of every key and decides what is sent to whom. It is for one goroutine.
+// Engine holds the newest entry of every key and decides what is sent to whom. It is not safe for concurrent use.
 type Engine struct {
-	options     Options
-	tables      [tableCount]entryTable
-	graves      graves
-	subscribers [tableCount][]func(Entry)
-	peers       []Peer
-	byName      map[string]Peer
-	neighbours  neighbours
-	inRegion    int                  // peers of the own region
-	changes     uint64               // number of entries taken in
-	failing     map[string]time.Time // peers by name that did not answer, and until when they are avoided
-	doubtful    map[string]time.Time // zones of which no member has answered since one failed, and since when
-	pending     pending
-	requested   map[entryID]request
-	repair      repairPlan
-	sweepAt     time.Time
+	options      Options
+	tables       [tableCount]entryTable
+	expired      expiredEntries
+	subscribers  [tableCount][]func(Entry)
+	peers        []Peer
+	byName       map[string]Peer
+	ranking      peerRanking
+	regionPeers  int                  // number of peers in the local region
+	changes      uint64               // number of entries stored, without ephemeral ones
+	avoidedUntil map[string]time.Time // by peer that did not answer
+	suspectZones map[string]time.Time // by zone of which no peer has answered since one didn't: when that was
+	pending      pending
+	requested    map[entryID]outstandingRequest
+	repairs      pendingRepair
+	sweepAt      time.Time
 }
 
-// New makes an empty engine.
+// New returns an empty engine.
 func New(options Options) *Engine {
 	if options.IsTombstone == nil {
 		options.IsTombstone = func(Entry) bool { return false }
 	}
 	e := &Engine{
-		options:   options,
-		graves:    newGraves(),
-		failing:   map[string]time.Time{},
-		doubtful:  map[string]time.Time{},
-		pending:   pending{entries: map[entryID]*delivery{}},
-		requested: map[entryID]request{},
+		options:      options,
+		expired:      newExpiredEntries(),
+		avoidedUntil: map[string]time.Time{},
+		suspectZones: map[string]time.Time{},
+		pending:      pending{deliveries: map[entryID]*delivery{}},
+		requested:    map[entryID]outstandingRequest{},
 	}
 	for i := range e.tables {
-		e.tables[i].entries = map[string]*held{}
+		e.tables[i].entries = map[string]*storedEntry{}
 	}
 	return e
 }
 
-// SetPeers replaces the members to which messages are sent: all live ones but the own.
+// SetPeers replaces the members to which messages are sent: all live ones but the local one.
 func (e *Engine) SetPeers(peers []Peer) {
 	e.peers = slices.Clone(peers)
-	e.neighbours.stale = true
+	e.ranking.stale = true
 	e.byName = make(map[string]Peer, len(peers))
-	e.inRegion = 0
+	e.regionPeers = 0
 	for _, peer := range peers {
 		e.byName[peer.Name] = peer
 		if peer.Region == e.options.Region {
-			e.inRegion++
+			e.regionPeers++
 		}
 	}
-	for name := range e.failing {
+	for name := range e.avoidedUntil {
 		if _, known := e.byName[name]; !known {
-			delete(e.failing, name)
+			delete(e.avoidedUntil, name)
 		}
 	}
 }
 
-// Subscribe has the function called for every entry that the table takes in from now on.
+// Subscribe registers a function that is called, synchronously, for every entry that the table stores from now on.
 func (e *Engine) Subscribe(table TableID, call func(Entry)) {
 	e.subscribers[table] = append(e.subscribers[table], call)
 }
 
-// PutLocal takes in an entry of the own process and plans its way to all other members. It returns false where the
-// engine has an entry as new already.
+// PutLocal stores an entry of the local process and schedules its delivery to the other members. It returns false where
+// the stored entry is as new already.
 func (e *Engine) PutLocal(now time.Time, entry Entry) bool {
 	if !e.store(now, entry) {
 		return false
 	}
-	e.enqueue(now, entry, origin{own: true, fresh: true})
+	e.enqueue(now, entry, origin{local: true, fresh: true})
 	return true
 }
 
-// Receive takes in a message of another member, plans how the fresh entries go on and returns them.
+// Receive stores the entries of another member's message, schedules their further delivery and returns those that were new.
 func (e *Engine) Receive(now time.Time, message Message) (fresh []Entry) {
 	for _, entry := range message.Entries {
 		if !entry.Table.IsValid() {
@@ -116,29 +117,29 @@
 
 // Get returns the newest entry of a key.
 func (e *Engine) Get(table TableID, key string) (Entry, bool) {
-	found, ok := e.tables[table].entries[key]
+	stored, ok := e.tables[table].entries[key]
 	if !ok {
 		return Entry{}, false
 	}
-	return found.entry, true
+	return stored.entry, true
 }
 
 // All calls the function for every entry of a table, in no order, until it returns false.
 func (e *Engine) All(table TableID, call func(Entry) bool) {
-	for _, found := range e.tables[table].entries {
-		if !call(found.entry) {
+	for _, stored := range e.tables[table].entries {
+		if !call(stored.entry) {
 			return
 		}
 	}
 }
 
-// Len is the number of entries of a table.
+// Len returns the number of entries of a table.
 func (e *Engine) Len(table TableID) int { return len(e.tables[table].entries) }
 
-// store takes the entry in where it is newer than what is known and tells the subscribers.
+// store stores an entry that is newer than the known one and notifies the subscribers.
 func (e *Engine) store(now time.Time, entry Entry) bool {
 	id := entry.Header().id()
-	if e.graves.covers(id, entry.Version) {
+	if e.expired.hasExpired(id, entry.Version) {
 		return false
 	}
 	if !e.tables[entry.Table].put(now, entry, e.options.IsTombstone(entry)) {
--- a/serving/gossip/entry.go
+++ b/serving/gossip/entry.go
@@ -1,6 +1,7 @@
-// Package gossip passes updates between the members of the system by gossip. A fresh update goes at once to a few
-// members, and what was lost on the way is found by comparing digests. The package does no input or output: time
-// is passed in, and messages come out as values that the caller sends.
+// Package gossip replicates tables of versioned entries between the members of the system. A new entry is pushed at once
+// to a few peers, which push it on (rumor mongering), and what was lost is found by comparing digests (anti-entropy), as
+// in Demers et al., Epidemic Algorithms for Replicated Database Maintenance, 1987. The package does no I/O: times are
+// arguments, and messages are returned as values that the caller sends.
 package gossip
 
 import (
@@ -9,17 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TableID is a kind of entry.
+// TableID identifies a table: a kind of entry. The numbers are part of the messages.
 type TableID uint8
 
-// The tables that are spread.
+// The replicated tables.
 const (
-	TableRecord     TableID = iota + 1 // the committed record under RecordKey
+	TableRecord     TableID = iota + 1 // the committed record, under RecordKey
 	TableMembers                       // state.Member by name
 	TableEndpoints                     // state.Endpoint by ID
-	TableLoads                         // state.Load by endpoint ID; never leaves the region, not repaired
-	TableSuspicions                    // what watchers say of members that they no longer hear
-	TableRoleClaims                    // who holds which singleton duty under which epoch
+	TableLoads                         // state.Load by endpoint ID; ephemeral
+	TableSuspicions                    // membership.Suspicion by its key
+	TableRoleClaims                    // singleton.Claim by role
 
 	tableCount = int(TableRoleClaims) + 1
 )
@@ -27,23 +28,23 @@
 // RecordKey is the key of the only entry of TableRecord. Its version is the record's revision.
 const RecordKey = "record"
 
-// IsValid tells whether a table number that came from elsewhere is one of the above.
+// IsValid reports whether a number that came from another member identifies a table.
 func (t TableID) IsValid() bool { return t >= TableRecord && int(t) < tableCount }
 
-// isEphemeral tells whether entries of the table stay in the region and are neither repaired nor retried.
+// isEphemeral reports whether entries of the table stay in the region, expire soon, and are neither repaired nor retried.
 func (t TableID) isEphemeral() bool { return t == TableLoads }
 
-// Version orders the entries of one key. Entries of the same version are the same.
+// Version orders the entries of one key, by Major and then Minor. Entries of the same version are equal.
 type Version struct {
 	_     struct{} `cbor:",toarray"`
 	Major uint64
 	Minor uint64
 }
 
-// NewVersion makes a version.
+// NewVersion returns a version.
 func NewVersion(major, minor uint64) Version { return Version{Major: major, Minor: minor} }
 
-// Less tells whether the version is older than another.
+// Less reports whether the version is older than another.
 func (v Version) Less(other Version) bool {
 	if v.Major != other.Major {
 		return v.Major < other.Major
@@ -51,7 +52,7 @@
 	return v.Minor < other.Minor
 }
 
-// Entry is one update: the newest word on a key of a table.
+// Entry is one version of the value of a key in a table.
 type Entry struct {
 	_       struct{} `cbor:",toarray"`
 	Table   TableID
@@ -60,7 +61,7 @@
 	Value   []byte
 }
 
-// Header names an entry without its value.
+// Header is an entry without its value.
 type Header struct {
 	_       struct{} `cbor:",toarray"`
 	Table   TableID
@@ -68,19 +69,19 @@
 	Version Version
 }
 
-// Header returns the entry's name.
+// Header returns the entry without its value.
 func (e Entry) Header() Header { return Header{Table: e.Table, Key: e.Key, Version: e.Version} }
 
-// id returns the place of an entry without its version.
+// id returns the identity that all versions of an entry share.
 func (h Header) id() entryID { return entryID{table: h.Table, key: h.Key} }
 
-// entryID is a place that holds one entry at a time.
+// entryID identifies an entry in all its versions.
 type entryID struct {
 	table TableID
 	key   string
 }
 
-// hash is the entry's part of the digests. It depends on the table, the key and the version.
+// hash returns the entry's summand in the digests. It depends on the table, the key and the version.
 func (h Header) hash() uint64 {
 	var numbers [17]byte
 	numbers[0] = byte(h.Table)
@@ -88,10 +89,10 @@
 	binary.LittleEndian.PutUint64(numbers[9:], h.Version.Minor)
 	var digest xxhash.Digest
 	digest.Reset()
-	digest.Write(numbers[:])
-	digest.WriteString(h.Key)
+	_, _ = digest.Write(numbers[:]) // never fails
+	_, _ = digest.WriteString(h.Key)
 	return digest.Sum64()
 }
 
-// bucketOf is the digest bucket of a key.
-func bucketOf(key string) int { return int(xxhash.Sum64String(key) % BucketCount) }
+// bucketOfKey returns the number of a key's digest bucket.
+func bucketOfKey(key string) int { return int(xxhash.Sum64String(key) % BucketCount) }
--- /dev/null
+++ b/serving/gossip/expiry.go
@@ -0,0 +1,130 @@
+package gossip
+
+import "time"
+
+// Times after which entries leave their tables.
+const (
+	// TombstoneRetention is how long a tombstone is stored and repaired.
+	TombstoneRetention = 60 * time.Second
+	// ephemeralLifetime is how long an entry of an ephemeral table is stored unless a newer one comes.
+	ephemeralLifetime = 10 * time.Second
+	// expiredRetention is how long expired entries are remembered, so that they are not stored again. maxExpiredEntries
+	// bounds their number.
+	expiredRetention  = 20 * time.Minute
+	maxExpiredEntries = 4096
+	// sweepInterval is the time between two searches for expired entries.
+	sweepInterval = 5 * time.Second
+)
+
+// expiredEntry is an entry that has left its table.
+type expiredEntry struct {
+	entry     Entry
+	expiredAt time.Time
+}
+
+// expiredEntries remembers expired entries, so that a member that has missed a tombstone can't bring the key back.
+type expiredEntries struct {
+	byID map[entryID]expiredEntry
+}
+
+func newExpiredEntries() expiredEntries { return expiredEntries{byID: map[entryID]expiredEntry{}} }
+
+// hasExpired reports whether this version of an entry, or a newer one, is known to have expired.
+func (x *expiredEntries) hasExpired(id entryID, version Version) bool {
+	expired, ok := x.byID[id]
+	return ok && !expired.entry.Version.Less(version)
+}
+
+// add remembers an expired entry.
+func (x *expiredEntries) add(now time.Time, entry Entry) {
+	if len(x.byID) >= maxExpiredEntries {
+		x.removeOldest()
+	}
+	x.byID[entry.Header().id()] = expiredEntry{entry: entry, expiredAt: now}
+}
+
+func (x *expiredEntries) removeOldest() {
+	var oldestID entryID
+	var oldest time.Time
+	for id, expired := range x.byID {
+		if oldest.IsZero() || expired.expiredAt.Before(oldest) {
+			oldestID = id
+			oldest = expired.expiredAt
+		}
+	}
+	delete(x.byID, oldestID)
+}
+
+// sweep removes what has been remembered for expiredRetention.
+func (x *expiredEntries) sweep(now time.Time) {
+	for id, expired := range x.byID {
+		if now.Sub(expired.expiredAt) >= expiredRetention {
+			delete(x.byID, id)
+		}
+	}
+}
+
+// Forget removes an entry and remembers it as expired, so that only a newer one is accepted from other members.
+func (e *Engine) Forget(now time.Time, table TableID, key string) {
+	if removed, ok := e.tables[table].remove(key); ok {
+		e.expired.add(now, removed.entry)
+	}
+}
+
+// ExpiredVersion returns the version with which a key left its table, as long as that is remembered.
+func (e *Engine) ExpiredVersion(table TableID, key string) (Version, bool) {
+	expired, ok := e.expired.byID[entryID{table: table, key: key}]
+	return expired.entry.Version, ok
+}
+
+// ExpiredHeaders returns the headers of those entries that have expired here.
+func (e *Engine) ExpiredHeaders(entries []Entry) (expired []Header) {
+	for _, entry := range entries {
+		header := entry.Header()
+		if e.expired.hasExpired(header.id(), header.Version) {
+			expired = append(expired, header)
+		}
+	}
+	return expired
+}
+
+// ExpireTombstone removes a tombstone that has expired at another member, so that both have the same digests again.
+func (e *Engine) ExpireTombstone(now time.Time, header Header) {
+	if !header.Table.IsValid() {
+		return
+	}
+	stored, ok := e.tables[header.Table].entries[header.Key]
+	if ok && stored.isTombstone && !header.Version.Less(stored.entry.Version) {
+		e.Forget(now, header.Table, header.Key)
+	}
+}
+
+// sweep removes expired tombstones, ephemeral entries and outstanding requests.
+func (e *Engine) sweep(now time.Time) {
+	if now.Before(e.sweepAt) {
+		return
+	}
+	e.sweepAt = now.Add(sweepInterval)
+	for i := range e.tables {
+		e.sweepTable(now, TableID(i))
+	}
+	e.expired.sweep(now)
+	for id, outstanding := range e.requested {
+		if now.After(outstanding.deadline) {
+			delete(e.requested, id)
+		}
+	}
+}
+
+func (e *Engine) sweepTable(now time.Time, id TableID) {
+	table := &e.tables[id]
+	for key, stored := range table.entries {
+		age := now.Sub(stored.storedAt)
+		if id.isEphemeral() && age >= ephemeralLifetime {
+			table.remove(key)
+		}
+		if stored.isTombstone && age >= TombstoneRetention {
+			e.Forget(now, id, key)
+		}
+	}
+}
--- /dev/null
+++ b/serving/gossip/message.go
@@ -0,0 +1,17 @@
+package gossip
+
+// Message is what one member pushes to another.
+type Message struct {
+	From    string   `cbor:"1,keyasint"`
+	Entries []Entry  `cbor:"2,keyasint,omitempty"`
+	Offers  []Header `cbor:"3,keyasint,omitempty"` // entries without their values, which the receiver may request
+	// Relay asks the receiver to forward the entries to these zones, which the sender may not be able to reach.
+	Relay []string `cbor:"4,keyasint,omitempty"`
+}
+
+// Envelope is a message with its receiver.
+type Envelope struct {
+	To      Peer
+	Message Message
+	retries int
+}
--- /dev/null
+++ b/serving/gossip/ranking.go
@@ -0,0 +1,78 @@
+package gossip
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// candidatesPerTarget is the number of ranked peers from which one receiver is selected. They stay the same for a
+	// while, so that a member of a large system has few connections.
+	candidatesPerTarget = 3
+	// rankPeriod is how long a peer keeps its rank.
+	rankPeriod = 120 * time.Second
+	// rankInterval is the least time between two updates of the ranking, unless the peers have changed.
+	rankInterval = 10 * time.Second
+)
+
+// peerRanking orders the peers pseudorandomly, for each member in another order, which changes slowly.
+type peerRanking struct {
+	startedAt time.Time
+	updatedAt time.Time
+	stale     bool
+
+	ranked       []Peer            // all peers by rank
+	sameZone     []Peer            // those of the local zone
+	otherZones   []Peer            // those of the region's other zones
+	regions      []string          // the other regions, sorted
+	otherRegions map[string][]Peer // their peers by region
+}
+
+// update ranks the peers again where they or their ranks may have changed.
+func (r *peerRanking) update(now time.Time, options Options, peers []Peer) {
+	if !r.stale && now.Sub(r.updatedAt) < rankInterval {
+		return
+	}
+	if r.startedAt.IsZero() {
+		r.startedAt = now
+	}
+	r.updatedAt = now
+	r.stale = false
+	ranks := make(map[string]uint64, len(peers))
+	for _, peer := range peers {
+		ranks[peer.Name] = r.rank(now, options.Name, peer.Name)
+	}
+	r.ranked = slices.Clone(peers)
+	slices.SortFunc(r.ranked, func(a, b Peer) int { return cmp.Compare(ranks[a.Name], ranks[b.Name]) })
+	r.groupByLocation(options)
+}
+
+// groupByLocation divides the ranked peers by zone and region.
+func (r *peerRanking) groupByLocation(options Options) {
+	r.sameZone = nil
+	r.otherZones = nil
+	r.otherRegions = map[string][]Peer{}
+	for _, peer := range r.ranked {
+		switch {
+		case peer.Zone == options.Zone:
+			r.sameZone = append(r.sameZone, peer)
+		case peer.Region == options.Region:
+			r.otherZones = append(r.otherZones, peer)
+		default:
+			r.otherRegions[peer.Region] = append(r.otherRegions[peer.Region], peer)
+		}
+	}
+	r.regions = slices.Sorted(maps.Keys(r.otherRegions))
+}
+
+// rank returns the rank of a peer, which changes every rankPeriod. The peers change theirs at different times.
+func (r *peerRanking) rank(now time.Time, own, peer string) uint64 {
+	offset := time.Duration(xxhash.Sum64String(peer) % uint64(rankPeriod))
+	period := strconv.FormatInt(int64((now.Sub(r.startedAt)+offset)/rankPeriod), 10)
+	return xxhash.Sum64String(own + "\x00" + peer + "\x00" + period)
+}
--- /dev/null
+++ b/serving/gossip/reachability.go
@@ -0,0 +1,49 @@
+package gossip
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// avoidPeriod is how long a peer that didn't answer is avoided.
+	avoidPeriod = 2 * time.Second
+	// suspectZonePeriod is how long after such a failure the peer's zone may be unreachable, until a peer of it answers.
+	suspectZonePeriod = 3 * time.Second
+)
+
+// MarkUnresponsive records that a peer didn't answer: it is avoided for avoidPeriod, and its zone is suspect.
+func (e *Engine) MarkUnresponsive(now time.Time, name string) {
+	e.avoidedUntil[name] = now.Add(avoidPeriod)
+	if zone, ok := e.zoneOf(name); ok {
+		e.suspectZones[zone] = now
+	}
+}
+
+// MarkResponsive records that a peer has answered a call: it is no longer avoided, and its zone is reachable.
+func (e *Engine) MarkResponsive(name string) {
+	delete(e.avoidedUntil, name)
+	if zone, ok := e.zoneOf(name); ok {
+		delete(e.suspectZones, zone)
+	}
+}
+
+// IsAvoided reports whether a peer is avoided because it didn't answer lately.
+func (e *Engine) IsAvoided(now time.Time, name string) bool { return now.Before(e.avoidedUntil[name]) }
+
+// zoneOf returns the zone of a peer.
+func (e *Engine) zoneOf(name string) (zone string, known bool) {
+	peer, known := e.byName[name]
+	return peer.Zone, known
+}
+
+// currentSuspectZones returns the other zones that may be unreachable, sorted.
+func (e *Engine) currentSuspectZones(now time.Time) (zones []string) {
+	for zone, since := range e.suspectZones {
+		if now.Sub(since) < suspectZonePeriod && zone != e.options.Zone {
+			zones = append(zones, zone)
+		}
+	}
+	slices.Sort(zones)
+	return zones
+}
--- a/serving/gossip/repair.go
+++ b/serving/gossip/repair.go
@@ -1,121 +1,124 @@
 package gossip
 
-import (
-	"time"
-)
+import "time"
 
-// Times of the repair.
+// Times of the anti-entropy repair.
 const (
-	// settleSpan is how long a difference must stand without a change here before digests are compared. What is
-	// merely on its way arrives in that time.
-	settleSpan = 100 * time.Millisecond
-	// repairInterval is the least time between two comparisons.
+	// settleDelay is how long a difference must last, without a local change, before digests are compared. Entries that
+	// are still on their way arrive in that time.
+	settleDelay = 100 * time.Millisecond
+	// repairInterval is the least time between two repairs.
 	repairInterval = 300 * time.Millisecond
-	// persistSpan is how long differences may be seen while changes keep coming before digests are compared.
-	persistSpan = 300 * time.Millisecond
-	// idleRepairInterval is the time between two comparisons without a difference seen.
+	// maxSettleDelay is how long differences may last during changes before digests are compared all the same.
+	maxSettleDelay = 300 * time.Millisecond
+	// idleRepairInterval is the time between two repairs while no difference is known.
 	idleRepairInterval = 5 * time.Second
-	// remoteRepairs is about how many members of a region compare with another region after one difference.
-	remoteRepairs = 2.0
+	// remoteRepairTarget is the expected number of members of a region that repair with another region after a difference.
+	remoteRepairTarget = 2.0
 )
 
-// repairPlan holds what is known about differences.
-type repairPlan struct {
-	last    time.Time // of the last comparison
-	partner string    // a member whose sums were seen to differ; empty: none
-	tables  []TableID // that differ
-	first   time.Time // when a difference was seen first since the last comparison
-	seen    time.Time // when the partner's was seen
-	changes uint64    // own changes up to then
+// pendingRepair is the difference that is to be repaired next.
+type pendingRepair struct {
+	lastRepair time.Time // time of the last repair
+	partner    string    // a member with differing checksums; empty: none
+	tables     []TableID // that differ
+	firstSeen  time.Time // of any difference since the last repair
+	lastSeen   time.Time // of the partner's difference
+	changes    uint64    // Engine.changes at lastSeen
 }
 
-// RepairTask is a comparison of digests that is due.
+// RepairTask is a repair that is due: a comparison of digests with a peer.
 type RepairTask struct {
 	Peer   Peer
 	Tables []TableID // empty: all
 }
 
-// RecordSummary takes in the summary of a member and tells whether it differs from the own.
+// RecordSummary records another member's summary and returns the tables that differ.
 func (e *Engine) RecordSummary(now time.Time, name string, theirs Summary) (differing []TableID) {
 	differing = e.DifferingTables(theirs)
 	e.RecordDifference(now, name, differing)
 	return differing
 }
 
-// RecordDifference tells in which tables a member was seen to differ; none says that it is equal.
+// RecordDifference records in which tables another member differs; in none says that it is equal.
 func (e *Engine) RecordDifference(now time.Time, name string, tables []TableID) {
 	peer, known := e.byName[name]
 	if !known {
 		return
 	}
 	if len(tables) == 0 {
-		if e.repair.partner == name {
-			e.repair = repairPlan{last: e.repair.last}
+		if e.repairs.partner == name {
+			e.repairs = pendingRepair{lastRepair: e.repairs.lastRepair}
 		}
 		return
 	}
-	if peer.Region != e.options.Region && !e.drawsRemote() {
+	if peer.Region != e.options.Region && !e.choosesRemote() {
 		return
 	}
-	first := e.repair.first
+	first := e.repairs.firstSeen
 	if first.IsZero() {
 		first = now
 	}
-	if e.repair.partner != "" && e.repair.changes == e.changes && peer.Region == e.options.Region {
-		return // the difference noted still stands
+	if e.repairs.partner != "" && e.repairs.changes == e.changes && peer.Region == e.options.Region {
+		return // the recorded difference still applies
 	}
-	e.repair = repairPlan{
-		last: e.repair.last, partner: name, tables: tables, first: first, seen: now, changes: e.changes,
+	e.repairs = pendingRepair{
+		lastRepair: e.repairs.lastRepair,
+		partner:    name,
+		tables:     tables,
+		firstSeen:  first,
+		lastSeen:   now,
+		changes:    e.changes,
 	}
 }
 
-// drawsRemote is true for about remoteRepairs members of the region.
-func (e *Engine) drawsRemote() bool {
-	return e.options.Random.Float64()*float64(e.inRegion+1) < remoteRepairs
+// choosesRemote decides at random, so that it is true for about remoteRepairTarget members of the region.
+func (e *Engine) choosesRemote() bool {
+	return e.options.Random.Float64()*float64(e.regionPeers+1) < remoteRepairTarget
 }
 
-// NextRepairTime is when a comparison is due for a difference seen; zero where there is none.
+// NextRepairTime returns when the repair of a known difference is due; zero where there is none.
 func (e *Engine) NextRepairTime() time.Time {
-	if e.repair.partner == "" {
+	if e.repairs.partner == "" {
 		return time.Time{}
 	}
-	due := e.repair.first.Add(persistSpan)
-	if settled := e.repair.seen.Add(settleSpan); e.repair.changes == e.changes && settled.Before(due) {
+	due := e.repairs.firstSeen.Add(maxSettleDelay)
+	if settled := e.repairs.lastSeen.Add(settleDelay); e.repairs.changes == e.changes && settled.Before(due) {
 		due = settled
 	}
-	if earliest := e.repair.last.Add(repairInterval); due.Before(earliest) {
+	if earliest := e.repairs.lastRepair.Add(repairInterval); due.Before(earliest) {
 		due = earliest
 	}
 	return due
 }
 
-// TakeDueRepair returns the comparison that is due now; false where none is.
+// TakeDueRepair returns the repair that is due; false where none is. The caller carries it out.
 func (e *Engine) TakeDueRepair(now time.Time) (RepairTask, bool) {
-	noted := e.repair
+	recorded := e.repairs
 	due := e.NextRepairTime()
 	if !due.IsZero() && !now.Before(due) {
-		e.repair = repairPlan{last: now}
-		if peer, known := e.byName[noted.partner]; known {
-			return RepairTask{Peer: peer, Tables: noted.tables}, true
+		e.repairs = pendingRepair{lastRepair: now}
+		if peer, known := e.byName[recorded.partner]; known {
+			return RepairTask{Peer: peer, Tables: recorded.tables}, true
 		}
 	}
-	if now.Sub(e.repair.last) < idleRepairInterval {
+	if now.Sub(e.repairs.lastRepair) < idleRepairInterval {
 		return RepairTask{}, false
 	}
-	e.repair = repairPlan{last: now}
-	peer, found := e.drawPartner(now)
+	e.repairs = pendingRepair{lastRepair: now}
+	peer, found := e.selectRepairPartner(now)
 	return RepairTask{Peer: peer}, found
 }
 
-// partnerCount is from how many neighbours a partner without a known difference is drawn.
-const partnerCount = 8
+// partnerCandidates is the number of ranked peers from which a partner without a known difference is selected.
+const partnerCandidates = 8
 
-// drawPartner draws a peer for a comparison without a known difference, mostly of the own region.
-func (e *Engine) drawPartner(now time.Time) (Peer, bool) {
-	remote := e.drawsRemote()
+// selectRepairPartner selects a peer for a repair without a known difference, mostly of the local region.
+func (e *Engine) selectRepairPartner(now time.Time) (Peer, bool) {
+	remote := e.choosesRemote()
 	var fitting, others []Peer
-	e.neighbours.update(now, e.options, e.peers)
-	for _, peer := range e.neighbours.order {
+	e.ranking.update(now, e.options, e.peers)
+	for _, peer := range e.ranking.ranked {
 		switch {
 		case e.IsAvoided(now, peer.Name):
 		case (peer.Region != e.options.Region) == remote:
@@ -130,5 +133,5 @@
 	if len(fitting) == 0 {
 		return Peer{}, false
 	}
-	return fitting[e.options.Random.IntN(min(len(fitting), partnerCount))], true
+	return fitting[e.options.Random.IntN(min(len(fitting), partnerCandidates))], true
 }
