--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -102,7 +102,7 @@
 		compareRequest{Beat: beat, Digest: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
 		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Wanted: []gossip.Header{heading}, Heard: membership.HeartbeatAck{RefuteAbove: 9}},
 		heartbeatResponse{Heard: membership.HeartbeatAck{Unknown: true}, Differs: []gossip.TableID{0, 2, 200}},
-		compareResponse{Listings: []gossip.BucketContents{{Table: 2, Bucket: -1, Headings: []gossip.Header{heading}}}},
+		compareResponse{Listings: []gossip.BucketContents{{Table: 2, Bucket: -1, Headers: []gossip.Header{heading}}}},
 		pushResponse{Wanted: []gossip.Header{{Table: 99, Key: "x"}}},
 	} {
 		data, err := cbor.Marshal(message)
