--- /dev/null
+++ b/cluster/member/custody/store.go
@@ -0,0 +1,235 @@
+// Package custody stores which member has which webhook: for each webhook that was offered to or by another member, a
+// record in a journal of its own. What a member answers another rests on a record that was written before, so that
+// each webhook has one owner whatever messages or processes are lost. The rules are those of shardmap.Known.
+package custody
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"sync"
+
+	"github.com/cespare/xxhash/v2"
+
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
+)
+
+// Store keeps the custody records of one member, in memory and in a journal. Its methods may be called concurrently.
+type Store struct {
+	// Incarnation is the folder's: one that was lost begins as another. It is never 0.
+	Incarnation uint64
+
+	mu          sync.Mutex
+	table       *shardmap.Known
+	journal     *wal.Journal
+	entryIDs    map[shardmap.Name]api.WebhookID // the journal's entry with each record
+	lastEntryID api.WebhookID
+	retention   api.Micros // for which records outlast what they name, and the time between two expiries
+	lastExpiry  api.Micros
+}
+
+// NameOf returns the name by which all members know a webhook: a request id is never used twice.
+func NameOf(id inflight.RequestID) shardmap.Name {
+	return shardmap.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
+}
+
+// Open reads the records that an earlier process left in a folder, which is made if need be. isPending reports which
+// webhooks the dispatcher has recovered from its journal. Records outlast the TTL of what they name by retention.
+func Open(dir string, diskMB float64, retention api.Micros, isPending func(shardmap.Name) bool) (*Store, error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, err
+	}
+	incarnation, err := readIncarnation(filepath.Join(dir, incarnationFile))
+	if err != nil {
+		return nil, err
+	}
+	journal, err := wal.Open(dir, diskMB)
+	if err != nil {
+		return nil, err
+	}
+	s := &Store{
+		Incarnation: incarnation,
+		journal:     journal,
+		entryIDs:    map[shardmap.Name]api.WebhookID{},
+		retention:   retention,
+	}
+	latest, err := s.readEntries()
+	if err != nil {
+		return nil, err
+	}
+	records := make([]shardmap.Record, 0, len(latest))
+	before := make([]SavedRecord, 0, len(latest))
+	for name, record := range latest {
+		records = append(records, record)
+		before = append(before, SavedRecord{Name: name, Record: record, Known: true})
+	}
+	s.table = shardmap.NewKnown(records, isPending)
+	// What the table made of the records is written now: the next incarnation might make something else of them.
+	return s, s.writeChanges(before)
+}
+
+// readEntries returns the last record of each name in the journal.
+func (s *Store) readEntries() (map[shardmap.Name]shardmap.Record, error) {
+	latest := map[shardmap.Name]shardmap.Record{}
+	for _, entry := range s.journal.Entries() {
+		var record shardmap.Record
+		if err := transport.Decode(entry.Taken, &record); err != nil {
+			return nil, fmt.Errorf("custody records: record %d: %w", entry.ID, err)
+		}
+		if earlier, found := s.entryIDs[record.Name]; found {
+			// The process ended between the later entry and the end of the earlier one.
+			s.journal.End(earlier, nil)
+		}
+		latest[record.Name] = record
+		s.entryIDs[record.Name] = entry.ID
+		s.lastEntryID = max(s.lastEntryID, entry.ID)
+	}
+	return latest, nil
+}
+
+// SavedRecord is a name's record at some time, to which Known.Undo can go back.
+type SavedRecord struct {
+	Name   shardmap.Name
+	Record shardmap.Record
+	Known  bool // there was a record
+}
+
+// SaveRecord returns a name's record as it is now. Only functions that Update or UpdateUnsynced call may call it.
+func (s *Store) SaveRecord(name shardmap.Name) SavedRecord {
+	record, known := s.table.Record(name)
+	return SavedRecord{Name: name, Record: record, Known: known}
+}
+
+// Update calls change with the table locked, and writes the records of the names that it changed before it returns.
+// Where that fails the records are as before, and the error is returned. change may only touch records of these names.
+func (s *Store) Update(names []shardmap.Name, change func(*shardmap.Known)) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireRecords()
+	before := make([]SavedRecord, 0, len(names))
+	for _, name := range names {
+		before = append(before, s.SaveRecord(name))
+	}
+	change(s.table)
+	err := s.writeChanges(before)
+	if err != nil {
+		for _, saved := range before {
+			s.table.Undo(saved.Name, saved.Record, saved.Known)
+		}
+		slog.Error("custody records not written", "webhooks", len(names), "why", err)
+	}
+	return err
+}
+
+// UpdateUnsynced calls change with the table locked. What it changes need not be written: after a restart another
+// member's answer brings the same.
+func (s *Store) UpdateUnsynced(change func(*shardmap.Known)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	change(s.table)
+}
+
+// writeChanges writes the records that are not as they were. The caller holds the lock.
+func (s *Store) writeChanges(before []SavedRecord) error {
+	written := map[shardmap.Name]api.WebhookID{}
+	var removed []shardmap.Name
+	var err error
+	for _, saved := range before {
+		record, known := s.table.Record(saved.Name)
+		if record == saved.Record && known == saved.Known {
+			continue
+		}
+		if !known {
+			removed = append(removed, saved.Name)
+			continue
+		}
+		s.lastEntryID++
+		if err = s.journal.Accept(s.lastEntryID, transport.Encode(record)); err != nil {
+			break
+		}
+		written[saved.Name] = s.lastEntryID
+	}
+	if err == nil {
+		err = s.journal.Commit()
+	}
+	if err != nil {
+		for _, id := range written { // the earlier entries stand
+			s.journal.Forget(id)
+		}
+		return err
+	}
+	for name, id := range written {
+		s.endEntry(name) // on disk with the next commit: until then the later one of two entries counts
+		s.entryIDs[name] = id
+	}
+	for _, name := range removed {
+		s.endEntry(name)
+	}
+	return nil
+}
+
+// endEntry ends the journal's entry with a name's record. The caller holds the lock.
+func (s *Store) endEntry(name shardmap.Name) {
+	if id, found := s.entryIDs[name]; found {
+		s.journal.End(id, nil)
+		delete(s.entryIDs, name)
+	}
+}
+
+// IsInDoubt reports whether another member may have a webhook that is pending here.
+func (s *Store) IsInDoubt(id inflight.RequestID) bool {
+	_, _, offered := s.PendingOffer(NameOf(id))
+	return offered
+}
+
+// PendingOffer returns to whom a webhook was offered without an answer yet, and by which hand; false: to nobody.
+func (s *Store) PendingOffer(name shardmap.Name) (shardmap.Offer, shardmap.Hand, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.Out(name)
+}
+
+// IsArriving reports whether a webhook is being accepted from another member.
+func (s *Store) IsArriving(name shardmap.Name) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	record, _ := s.table.Record(name)
+	return record.Comes
+}
+
+// NextHand returns the hand by which a webhook is offered next.
+func (s *Store) NextHand(name shardmap.Name) shardmap.Hand {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.Next(name)
+}
+
+// PendingByMove counts the webhooks that were offered by a move without an answer yet.
+func (s *Store) PendingByMove(move shardmap.MoveID) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.By(move)
+}
+
+// expireRecords removes, now and then, records that no message can refer to any more. The caller holds the lock.
+func (s *Store) expireRecords() {
+	now := inflight.Now()
+	if now-s.lastExpiry < s.retention {
+		return
+	}
+	s.lastExpiry = now
+	s.table.Expire(now, s.retention)
+	for name := range s.entryIDs {
+		if _, known := s.table.Record(name); !known {
+			s.endEntry(name)
+		}
+	}
+}
+
+// Close closes the journal; its folder stays.
+func (s *Store) Close() error { return s.journal.Close() }
--- a/cluster/member/names_test.go
+++ b/cluster/member/custody/store_test.go
@@ -1,4 +1,4 @@
-package member
+package custody
 
 import (
 	"testing"
--- /dev/null
+++ b/cluster/member/ownership/closure.go
@@ -0,0 +1,67 @@
+package ownership
+
+import (
+	"rowanlink/cluster"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+)
+
+// closure says for which move a range is closed: nothing is admitted to it until the move has switched.
+type closure struct {
+	move  shardmap.MoveID
+	since api.Micros
+}
+
+// closureLimitDivisor is the part of a lease TTL for which a range is closed at the most before its lease is released:
+// clients must not be rejected for as long as the target of the move can't be reached.
+const closureLimitDivisor = 4
+
+// HoldAdmission keeps ranges from being closed until release is called. Whoever admits a webhook holds it from the
+// decision until the webhook is in the journal.
+func (m *Manager) HoldAdmission() (release func()) {
+	m.admissionMu.RLock()
+	return m.admissionMu.RUnlock
+}
+
+// IsClosed reports whether a webhook with this verdict has to wait for the switch of a move.
+func (m *Manager) IsClosed(v shardmap.Verdict) bool {
+	if v.Do != shardmap.Hold || !v.Passes.Open() {
+		return false
+	}
+	c, closed := m.closureOf(v.Range)
+	return closed && c.move == v.Passes.ID
+}
+
+func (m *Manager) closureOf(id cluster.RangeID) (closure, bool) {
+	value, closed := m.closures.Load(id)
+	if !closed {
+		return closure{}, false
+	}
+	return value.(closure), true
+}
+
+// closeAdmission closes a range whose move is about to switch and returns whether it was open until now. It preserves
+// the order by key: what is admitted after the last count would be handed off behind what the target admits by then.
+func (m *Manager) closeAdmission(r shardmap.Range) (wasOpen bool) {
+	if c, closed := m.closureOf(r.ID); closed && c.move == r.Move.ID {
+		return false
+	}
+	m.admissionMu.Lock()
+	m.closures.Store(r.ID, closure{move: r.Move.ID, since: m.Clock()})
+	m.admissionMu.Unlock()
+	m.OnChange()
+	return true
+}
+
+// reopenRanges opens ranges whose move has switched or was rolled back, or takes too long.
+func (m *Manager) reopenRanges(shardMap *shardmap.Map) {
+	m.closures.Range(func(id, value any) bool {
+		r, found := shardMap.Get(id.(cluster.RangeID))
+		c := value.(closure)
+		moving := found && r.Move.ID == c.move && r.Move.Step == shardmap.Passing && r.Home == m.Self
+		if !moving || m.HoldsRange(r.ID) && m.Clock()-c.since > m.LeaseTTL/closureLimitDivisor {
+			m.closures.Delete(id)
+		}
+		return true
+	})
+}
--- /dev/null
+++ b/cluster/member/ownership/manager.go
@@ -0,0 +1,130 @@
+// Package ownership keeps a member in line with the shard map: it holds the member's cached copy of the map, acquires
+// the leases of the ranges that the map gives to it, confirms the grants by which it serves, and releases ranges that
+// move elsewhere once nothing of theirs is left here. By it a member decides what to do with a webhook (Verdict).
+//
+// The rules are those of package shardmap; this package adds the session, the clock and the proposals.
+package ownership
+
+import (
+	"log/slog"
+	"sync"
+	"sync/atomic"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/member/session"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+)
+
+// LocalWork is what the member's dispatcher has of a range or destination.
+type LocalWork interface {
+	// CallsInFlight counts the calls to destinations of a range, strays from it included.
+	CallsInFlight(shardmap.Range) int
+	CallsInFlightTo([]api.DestinationID) int
+	// PendingWebhooks counts the webhooks of a range that were not handed off.
+	PendingWebhooks(shardmap.Range) int
+	// StateTransferred reports whether the target of the range's move has what was learned here of its destinations.
+	StateTransferred(shardmap.Range) bool
+	// InDoubt counts the webhooks that the other side of a move may have.
+	InDoubt(shardmap.MoveID) int
+}
+
+// Config is what a Manager is made from.
+type Config struct {
+	Self     cluster.MemberID
+	LeaseTTL api.Micros
+	Clock    func() api.Micros // monotonic
+	// HandoffBatch is how many webhooks one hand-off message carries: a range is closed for its switch once no more
+	// than that are left.
+	HandoffBatch int
+	OnChange     func() // has Reconcile called soon; must not block
+}
+
+// Manager keeps the member's ranges as the shard map has them. Its methods may be called concurrently.
+type Manager struct {
+	Config
+	session *session.Session
+	local   LocalWork
+
+	shardMap      atomic.Pointer[shardmap.Map]
+	inactiveSince atomic.Int64 // by Clock, since when no session is open; api.Never while one is
+
+	reconcileMu sync.Mutex // one Reconcile at a time
+
+	// admissionMu is held for reading from the admission of a webhook until it is in the journal, and for writing
+	// while a range is closed.
+	admissionMu sync.RWMutex
+	closures    sync.Map // cluster.RangeID to closure
+}
+
+// New returns a Manager without a map. Bind and Start come before anything else is called but Verdict.
+func New(c Config) *Manager {
+	m := &Manager{Config: c}
+	m.inactiveSince.Store(int64(c.Clock()))
+	return m
+}
+
+// Bind sets the dispatcher's work.
+func (m *Manager) Bind(local LocalWork) { m.local = local }
+
+// Start sets the session by which ranges are owned.
+func (m *Manager) Start(s *session.Session) { m.session = s }
+
+// Map returns the newest shard map that this member has; nil: none yet.
+func (m *Manager) Map() *shardmap.Map { return m.shardMap.Load() }
+
+// ApplySnapshot takes a newer shard map.
+func (m *Manager) ApplySnapshot(snapshot []byte) {
+	next := shardmap.New(nil)
+	if err := next.Restore(snapshot); err != nil {
+		slog.Error("shard map not read, the old one stays", "why", err)
+		return
+	}
+	if current := m.shardMap.Load(); current != nil && current.Version > next.Version {
+		return
+	}
+	m.shardMap.Store(next)
+	m.OnChange()
+}
+
+// TrackSession records since when no session is open. It has to be called often.
+func (m *Manager) TrackSession() {
+	if m.session.IsActive() {
+		m.inactiveSince.Store(int64(api.Never))
+	} else {
+		m.inactiveSince.CompareAndSwap(int64(api.Never), int64(m.Clock()))
+	}
+}
+
+// Claimant returns this member as the shard map's rules see it: the leases that it holds and whether it is isolated.
+func (m *Manager) Claimant() shardmap.Tenant {
+	return shardmap.Tenant{
+		Member: m.Self,
+		Epoch:  m.session.Holds,
+		Alone:  shardmap.Deserted(api.Micros(m.inactiveSince.Load()), m.Clock(), m.LeaseTTL),
+	}
+}
+
+// HoldsRange reports whether this member holds the lease of a range.
+func (m *Manager) HoldsRange(id cluster.RangeID) bool {
+	_, held := m.session.Holds(cluster.HomeOf(id))
+	return held
+}
+
+// Verdict returns what this member does now with webhooks for a destination.
+func (m *Manager) Verdict(destination api.DestinationID) shardmap.Verdict {
+	shardMap := m.shardMap.Load()
+	if shardMap == nil {
+		return shardmap.Verdict{Do: shardmap.Keep}
+	}
+	return shardMap.VerdictOf(m.Claimant(), destination)
+}
+
+// VerdictForKey is Verdict for whatever has this key in the shard map.
+func (m *Manager) VerdictForKey(key cluster.KeyHash) shardmap.Verdict {
+	shardMap := m.shardMap.Load()
+	if shardMap == nil {
+		return shardmap.Verdict{Do: shardmap.Keep}
+	}
+	return shardMap.MayServe(m.Claimant(), key)
+}
--- /dev/null
+++ b/cluster/member/ownership/reconcile_test.go
@@ -0,0 +1,92 @@
+package ownership
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/member/session"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/test/fake/raftleader"
+	"rowanlink/webhook/api"
+)
+
+const (
+	leaseTTL    = api.Second
+	longTimeout = 20 * time.Second // more than anything takes, on a busy machine too
+)
+
+// idle is LocalWork with nothing of any range.
+type idle struct{}
+
+func (idle) CallsInFlight(shardmap.Range) int        { return 0 }
+func (idle) CallsInFlightTo([]api.DestinationID) int { return 0 }
+func (idle) PendingWebhooks(shardmap.Range) int      { return 0 }
+func (idle) StateTransferred(shardmap.Range) bool    { return true }
+func (idle) InDoubt(shardmap.MoveID) int             { return 0 }
+
+// newIdleManager returns the manager of member a0, with nothing in flight or pending, its session and the fake leader.
+func newIdleManager(t *testing.T) (*Manager, *session.Session, *raftleader.Leader) {
+	t.Helper()
+	leader := raftleader.Start(t, leaseTTL, session.MaxConnections(1), raftleader.ReplyTruthfully)
+	client := transport.New("a0", map[cluster.MemberID]string{"m1": leader.Addr})
+	began := time.Now()
+	clock := func() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
+	s := session.New(session.Config{Self: "a0", Incarnation: 1, LeaseTTL: leaseTTL, MaxClockDrift: 0.05, Clock: clock,
+		Leader: session.NewLeaderClient(client, []cluster.MemberID{"m1"}, rand.Float64)})
+	t.Cleanup(func() {
+		s.Close()
+		client.Close()
+	})
+	m := New(Config{Self: "a0", LeaseTTL: leaseTTL, Clock: clock, HandoffBatch: 256, OnChange: func() {}})
+	m.inactiveSince.Store(0)
+	m.Bind(idle{})
+	m.Start(s)
+	return m, s, leader
+}
+
+func acquire(t *testing.T, s *session.Session, id cluster.RangeID) {
+	t.Helper()
+	s.Acquire(cluster.HomeOf(id))
+	require.Eventually(t, func() bool {
+		_, held := s.Holds(cluster.HomeOf(id))
+		return held
+	}, longTimeout, time.Millisecond)
+}
+
+// Guards against a Reconcile that waits for a leader once for each of a member's ranges: meanwhile it releases none.
+func TestReconcile_EndsItsProposalsAtTheFirstThatNoLeaderAnswers(t *testing.T) {
+	m, s, leader := newIdleManager(t)
+	shardMap := shardmap.New(nil)
+	var err error
+	shardMap.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
+	require.NoError(t, err)
+	for _, r := range shardMap.Ranges {
+		acquire(t, s, r.ID)
+	}
+	last := &shardMap.Ranges[3]
+	last.Home = "m2"
+	m.shardMap.Store(shardMap)
+	m.Reconcile()
+	require.Equal(t, 1, leader.MapCommands())
+	require.False(t, m.HoldsRange(last.ID))
+}
+
+// A member that had been the owner was granted the lease by an earlier request, while it released the range for another
+// member. Guards against a range without an owner for good: who is neither owner nor target has nothing to wait for.
+func TestReconcile_ReleasesRangeAcquiredByAnEarlierRequestWhileItsMovePasses(t *testing.T) {
+	m, s, _ := newIdleManager(t)
+	acquire(t, s, 1)
+	shardMap := shardmap.New(nil)
+	shardMap.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
+		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.Passing}}}
+	m.shardMap.Store(shardMap)
+	require.Eventually(t, func() bool {
+		m.Reconcile()
+		return !m.HoldsRange(1)
+	}, longTimeout/10, time.Millisecond)
+}
--- a/cluster/member/tasks.go
+++ b/cluster/member/session/acquire.go
@@ -1,4 +1,4 @@
-package member
+package session
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"rowanlink/webhook/api"
 )
 
-// acquireLoop asks for what is wanted and tells of what was let, one order at a time.
+// acquireLoop proposes grants and releases, one proposal at a time.
 func (s *Session) acquireLoop() {
 	failures := 0
 	for {
@@ -33,9 +33,10 @@
 			continue
 		}
 		wait := api.Micros(0)
-		if failures++; err == nil {
+		if err == nil {
 			failures = 0
 		} else {
+			failures++
 			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
 		}
 		if !s.sleep(wait) {
@@ -44,23 +45,24 @@
 	}
 }
 
-// nextProposal is what the keepers are to be told now, else for how long there will be nothing if nothing is heard.
+// nextProposal returns what is to be proposed now and, where that is nothing, after how long there may be something
+// though no message comes.
 func (s *Session) nextProposal() (p lease.Proposal, idle api.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, idle := s.Clock(), s.LeaseTTL
-	if at, some := s.wishes.AgainAt(); some {
+	if at, scheduled := s.wishes.AgainAt(); scheduled {
 		idle = min(idle, max(at-now, 0)+1)
 	}
 	if !s.tenure.Holds(now) {
-		idle = s.LeaseTTL // it is told when a session stands again
+		idle = s.LeaseTTL // acquireWake is sent when a session is open again
 	}
 	return s.wishes.Next(now), idle
 }
 
-// waitForWork waits until there may be something to ask for, or tells that all is over.
-func (s *Session) waitForWork(most api.Micros) bool {
-	timer := time.NewTimer(duration(most))
+// waitForWork waits until there may be something to propose, for the time named at most; false: the session is closed.
+func (s *Session) waitForWork(atMost api.Micros) bool {
+	timer := time.NewTimer(duration(atMost))
 	defer timer.Stop()
 	select {
 	case <-s.acquireWake:
@@ -72,7 +74,7 @@
 }
 
 func (s *Session) proposeRelease(p lease.Proposal) error {
-	_, _, err := s.Leader.Propose(p.Command(), duration(timing.Opening(s.LeaseTTL)))
+	_, err := s.Propose(p.Command())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Released(p, err) {
@@ -81,10 +83,10 @@
 	return err
 }
 
-// proposeGrant asks for tasks. What another holds is asked for again once a keeper tells that it is free, or after a
-// while.
+// proposeGrant requests the leases of resources. What another session holds is requested again once a raft node
+// reports that it is free, or after a while.
 func (s *Session) proposeGrant(p lease.Proposal) error {
-	raw, _, err := s.Leader.Propose(p.Command(), duration(timing.Opening(s.LeaseTTL)))
+	raw, err := s.Propose(p.Command())
 	if errors.Is(err, cluster.ErrUnknown) {
 		s.dropSession(p.Session)
 	}
@@ -98,50 +100,27 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.wishes.Granted(p.Session, answer.Granted, s.Clock()) {
-		wake(s.pollWake)
+		s.pollWake.Send()
 	}
 	s.notifyChanges()
 	return nil
 }
 
-// markFreed is a keeper's word that tasks are free.
-func (s *Session) markFreed(tasks []cluster.Task) {
+// markFreed takes a raft node's report that resources are free.
+func (s *Session) markFreed(resources []cluster.Task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Free(tasks) {
+	if s.wishes.Free(resources) {
 		s.hasFreed = true
-		wake(s.acquireWake)
+		s.acquireWake.Send()
 	}
 }
 
-// takeFreed is whether something was freed that others may want too, once.
+// takeFreed reports, once, whether a resource was freed since that others may want, too.
 func (s *Session) takeFreed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.hasFreed
+	hadFreed := s.hasFreed
 	s.hasFreed = false
-	return was
-}
-
-// Close gives everything up and has the session ended, so that nobody has to wait for its term.
-func (s *Session) Close() {
-	s.mu.Lock()
-	if s.isClosed() {
-		s.mu.Unlock()
-		return
-	}
-	session := s.tenure.End()
-	s.active.Store(0) // it is no loss
-	s.notifyChanges()
-	close(s.ended)
-	s.mu.Unlock()
-	if session != 0 {
-		s.Leader.Propose(lease.End(session), duration(timing.Answer(s.LeaseTTL)))
-	}
-	s.done.Wait()
-	s.deliverMu.Lock()
-	defer s.deliverMu.Unlock()
-	for _, f := range s.notifications {
-		f()
-	}
+	return hadFreed
 }
--- a/cluster/member/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"time"
 
 	"rowanlink/cluster"
-	"rowanlink/cluster/member"
+	"rowanlink/cluster/member/session"
 	"rowanlink/webhook/api"
 )
 
@@ -53,7 +53,7 @@
 }
 
 // BenchmarkAtRest is three keepers and so many members that hold a task each and follow the leases, all in
-// this process, for a term of 3 s each time: what it costs that nothing happens.
+// this process, for a leaseTTL of 3 s each time: what it costs that nothing happens.
 func BenchmarkAtRest(b *testing.B) {
 	for _, members := range []int{0, 300} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) { atRest(b, members) })
@@ -61,10 +61,10 @@
 }
 
 func atRest(b *testing.B, members int) {
-	const term = 3 * api.Second
-	f := begin(b, 3, term, true)
+	const leaseTTL = 3 * api.Second
+	f := begin(b, 3, leaseTTL, true)
 	f.leader()
-	var all []*member.Session
+	var all []*session.Session
 	for i := range members {
 		task := cluster.HomeOf(cluster.RangeID(i))
 		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
@@ -72,7 +72,7 @@
 		all = append(all, s)
 	}
 	for i, s := range all {
-		holds(b, s, cluster.HomeOf(cluster.RangeID(i)))
+		awaitHeld(b, s, cluster.HomeOf(cluster.RangeID(i)))
 	}
 	time.Sleep(3 * time.Second)
 	k := f.up[f.leader()]
@@ -91,7 +91,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTakeover cuts the leading keeper off, again and again: how long until another leads, by a term of
+// BenchmarkTakeover cuts the leading keeper off, again and again: how long until another leads, by a leaseTTL of
 // 3 s.
 func BenchmarkTakeover(b *testing.B) {
 	f := begin(b, 3, 3*api.Second, false)
--- a/cluster/member/fleet_test.go
+++ b/cluster/member/session/cluster_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
-	"rowanlink/cluster/member"
+	"rowanlink/cluster/member/session"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/transport"
 	"rowanlink/test/fake/portalloc"
@@ -24,8 +24,8 @@
 )
 
 const (
-	term   = api.Second
-	longer = 20 * time.Second // than anything takes, on a busy machine too
+	leaseTTL   = api.Second
+	longTimeout = 20 * time.Second // than anything takes, on a busy machine too
 )
 
 func TestMain(m *testing.M) {
@@ -42,7 +42,7 @@
 // fleetOf is some keepers, and members that reach them over links of their own.
 type fleetOf struct {
 	t          testing.TB
-	term       api.Micros
+	leaseTTL       api.Micros
 	names      []cluster.MemberID
 	says, logs map[cluster.MemberID]string
 	folders    map[cluster.MemberID]string
@@ -60,10 +60,10 @@
 	talk   *transport.Talk
 }
 
-func keepers(t testing.TB, n int, term api.Micros) *fleetOf { return begin(t, n, term, false) }
+func keepers(t testing.TB, n int, leaseTTL api.Micros) *fleetOf { return begin(t, n, leaseTTL, false) }
 
-func begin(t testing.TB, n int, term api.Micros, plain bool) *fleetOf {
-	f := &fleetOf{t: t, term: term, plain: plain, says: map[cluster.MemberID]string{},
+func begin(t testing.TB, n int, leaseTTL api.Micros, plain bool) *fleetOf {
+	f := &fleetOf{t: t, leaseTTL: leaseTTL, plain: plain, says: map[cluster.MemberID]string{},
 		logs: map[cluster.MemberID]string{}, folders: map[cluster.MemberID]string{},
 		links: map[[2]cluster.MemberID][]*link{},
 		up:    map[cluster.MemberID]*running{}}
@@ -131,7 +131,7 @@
 func (f *fleetOf) open(m cluster.MemberID, r *running) (*raftnode.Keeper, error) {
 	log, err := net.Listen("tcp", f.logs[m])
 	require.NoError(f.t, err)
-	return raftnode.Open(raftnode.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.term,
+	return raftnode.Open(raftnode.Place{Fleet: "test", Self: m, Folder: f.folders[m], Term: f.leaseTTL,
 		Logs: f.seen(m, f.logs), Talk: r.talk, Clock: clock, Book: r.book, State: fsm.New(r.book, nil)},
 		counted{log, &f.moved})
 }
@@ -154,7 +154,7 @@
 			}
 		}
 		return false
-	}, longer, 5*time.Millisecond)
+	}, longTimeout, 5*time.Millisecond)
 	return who
 }
 
@@ -167,15 +167,15 @@
 	return false
 }
 
-func (f *fleetOf) keepers(by cluster.MemberID) *member.LeaderClient {
+func (f *fleetOf) keepers(by cluster.MemberID) *session.LeaderClient {
 	t := transport.New(by, f.seen(by, f.says))
 	f.t.Cleanup(t.Close)
-	return member.NewLeaderClient(t, f.names, rand.Float64)
+	return session.NewLeaderClient(t, f.names, rand.Float64)
 }
 
-func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Task) *member.Session {
+func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Task) *session.Session {
 	f.lives++
-	s := member.NewSession(member.Config{Self: name, Incarnation: f.lives, LeaseTTL: f.term,
+	s := session.New(session.Config{Self: name, Incarnation: f.lives, LeaseTTL: f.leaseTTL,
 		MaxClockDrift: 0.05, Clock: clock, Leader: f.keepers(name)})
 	f.t.Cleanup(s.Close)
 	for _, t := range wants {
@@ -184,16 +184,16 @@
 	return s
 }
 
-func holds(t testing.TB, s *member.Session, task cluster.Task) (e cluster.Epoch) {
+func awaitHeld(t testing.TB, s *session.Session, task cluster.Task) (e cluster.Epoch) {
 	require.Eventually(t, func() (held bool) {
 		e, held = s.Holds(task)
 		return held
-	}, longer, time.Millisecond)
+	}, longTimeout, time.Millisecond)
 	return e
 }
 
 // watched looks all the time who holds a task: never two at once, never an epoch that goes back.
-func watched(t testing.TB, task cluster.Task, all ...*member.Session) {
+func watched(t testing.TB, task cluster.Task, all ...*session.Session) {
 	end, over := make(chan struct{}), make(chan string, 1)
 	go func() {
 		var last cluster.Epoch
--- /dev/null
+++ b/cluster/member/session/fakeleader_test.go
@@ -0,0 +1,102 @@
+package session_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/member/session"
+	"rowanlink/cluster/transport"
+	"rowanlink/test/fake/raftleader"
+	"rowanlink/webhook/api"
+)
+
+// startFakeLeader starts a fake leader and one session with it.
+func startFakeLeader(t *testing.T, reply raftleader.GrantReply) (*raftleader.Leader, *session.Session) {
+	t.Helper()
+	leader, sessions := startFakeLeaderOf(t, 1, leaseTTL, reply)
+	return leader, sessions[0]
+}
+
+// startFakeLeaderOf starts a fake leader and the sessions of so many members with it.
+func startFakeLeaderOf(t *testing.T, members int, leaseTTL api.Micros, reply raftleader.GrantReply) (
+	*raftleader.Leader, []*session.Session) {
+	t.Helper()
+	leader := raftleader.Start(t, leaseTTL, session.MaxConnections(members), reply)
+	var sessions []*session.Session
+	for i := range members {
+		id := cluster.MemberID(fmt.Sprint("a", i))
+		client := transport.New(id, map[cluster.MemberID]string{"m1": leader.Addr})
+		s := session.New(session.Config{Self: id, Incarnation: 1, LeaseTTL: leaseTTL, MaxClockDrift: 0.05, Clock: clock,
+			Leader: session.NewLeaderClient(client, []cluster.MemberID{"m1"}, rand.Float64)})
+		t.Cleanup(func() {
+			s.Close()
+			client.Close()
+		})
+		sessions = append(sessions, s)
+	}
+	return leader, sessions
+}
+
+// The grant's answer is lost, and the next answer is that of a leader that had been stopped and still has an older
+// state. Guards against a resource that is the member's by the log and that it never acts on.
+func TestSession_AcquiresResourceWhoseGrantWasLostAndThatAnOlderLeaderDenies(t *testing.T) {
+	_, s := startFakeLeader(t, func(no int, real transport.Proposed) (int, []byte) {
+		if no == 1 {
+			return fasthttp.StatusGatewayTimeout, nil
+		}
+		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
+		return fasthttp.StatusOK, transport.Encode(transport.Proposed{Answer: transport.Encode(older)})
+	})
+	s.Acquire("home/1")
+	awaitHeld(t, s, "home/1")
+}
+
+// Guards against a resource that nobody holds and nobody else is granted: the answer to its grant was lost, and it is
+// not wanted any more.
+func TestSession_FreesReleasedResourceWhoseGrantWasInDoubt(t *testing.T) {
+	requested := make(chan struct{}, 1000)
+	leader, s := startFakeLeader(t, func(int, transport.Proposed) (int, []byte) {
+		requested <- struct{}{}
+		return fasthttp.StatusGatewayTimeout, nil
+	})
+	s.Acquire("home/1")
+	<-requested
+	s.Release("home/1")
+	require.Eventually(t, func() bool { return leader.WasRequestedAndIsFree("home/1") }, longTimeout, time.Millisecond)
+}
+
+// Guards against raft nodes that reject the connections of a large cluster: then sessions end, one by one.
+func TestMaxConnections_SufficesForThreeHundredMembers(t *testing.T) {
+	t.Parallel()
+	_, sessions := startFakeLeaderOf(t, 300, 10*api.Second, nil)
+	for _, s := range sessions {
+		s.Watch(cluster.PlanPart, func(uint64, []byte) {})
+	}
+	time.Sleep(11 * time.Second) // each renews
+	for _, s := range sessions {
+		require.Eventually(t, s.IsActive, longTimeout, time.Millisecond)
+		require.Zero(t, s.SessionsLost.Load())
+	}
+}
+
+// Guards against a state put together from a delta to another version, or from one damaged on its way.
+func TestSession_RequestsSnapshotWhereADeltaDoesNotFit(t *testing.T) {
+	leader, s := startFakeLeader(t, nil)
+	part := func(version, since uint64, snapshot string) transport.PartState {
+		return transport.PartState{Part: cluster.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
+	}
+	leader.QueuePlanStates(part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"), part(3, 0, "three"),
+		part(7, 0, "seven"))
+	delivered := make(chan string, 9)
+	s.Watch(cluster.PlanPart, func(_ uint64, snapshot []byte) { delivered <- string(snapshot) })
+	require.Equal(t, "five", <-delivered)
+	require.Equal(t, "seven", <-delivered)
+	require.Equal(t, []uint64{0, 5, 5, 0, 3}, leader.PolledVersions())
+}
--- /dev/null
+++ b/cluster/member/session/leaderclient.go
@@ -0,0 +1,175 @@
+package session
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/transport"
+)
+
+// maxHops bounds the attempts for one node: the node itself and the leader that it names.
+const maxHops = 2
+
+// LeaderClient sends requests to the raft node that leads, which it finds by asking the nodes. Its methods may be
+// called concurrently.
+type LeaderClient struct {
+	client *transport.Talk
+	random func() float64 // from [0, 1); called by one goroutine at a time
+
+	mu           sync.Mutex
+	nodes        []cluster.MemberID
+	leader       cluster.MemberID // by the last answer; "": not known
+	unresponsive cluster.MemberID // did not answer the last request: tried last
+}
+
+// NewLeaderClient returns a client for the raft nodes named. random returns numbers from [0, 1) and is called by one
+// goroutine at a time.
+func NewLeaderClient(client *transport.Talk, nodes []cluster.MemberID, random func() float64) *LeaderClient {
+	return &LeaderClient{client: client, random: random, nodes: slices.Clone(nodes)}
+}
+
+// SetNodes replaces the raft nodes.
+func (c *LeaderClient) SetNodes(nodes []cluster.MemberID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.nodes, c.leader = slices.Clone(nodes), ""
+}
+
+// drawRandom returns a random number from [0, 1), for jitter.
+func (c *LeaderClient) drawRandom() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.random()
+}
+
+var (
+	errNoLeader       = errors.New("no raft node that leads was found in time")
+	errUnknownOutcome = errors.New("the raft node doesn't know the outcome")
+)
+
+// Request sends what only the leader answers to it and returns its answer. Errors wrap transport.ErrNotSent where the
+// request surely had no effect, and transport.ErrUnsure where it may have had one; after the latter no other node is
+// tried.
+func (c *LeaderClient) Request(path string, body []byte, within time.Duration) ([]byte, error) {
+	deadline, cause := time.Now().Add(within), errNoLeader
+	for _, node := range c.attemptOrder() {
+		for hops := 0; node != "" && hops < maxHops; hops++ {
+			status, answer, err := c.client.Say(node, path, body, time.Until(deadline))
+			next := cluster.MemberID("")
+			switch {
+			case errors.Is(err, transport.ErrUnsure), err == nil && status == fasthttp.StatusGatewayTimeout:
+				c.markUnresponsive(node)
+				if err == nil {
+					err = errUnknownOutcome
+				}
+				return nil, fmt.Errorf("%w: raft node %s: status %d: %w", transport.ErrUnsure, node, status, err)
+			case err != nil:
+				cause = err
+			case status == fasthttp.StatusOK:
+				c.setLeader(node)
+				return answer, nil
+			case status == fasthttp.StatusMisdirectedRequest:
+				next = namedLeader(answer, node)
+			default:
+				cause = fmt.Errorf("raft node %s: status %d: %.100s", node, status, answer)
+			}
+			node = next
+		}
+	}
+	c.setLeader("")
+	return nil, fmt.Errorf("%w: %w", transport.ErrNotSent, cause)
+}
+
+// namedLeader returns the leader that a node names which does not lead itself; "": none.
+func namedLeader(answer []byte, node cluster.MemberID) cluster.MemberID {
+	var elsewhere transport.Elsewhere
+	if err := transport.Decode(answer, &elsewhere); err != nil || elsewhere.Leads == node {
+		return ""
+	}
+	return elsewhere.Leads
+}
+
+// Propose has a command put into the log and returns the answer of the part that applied it and the entry's index, or
+// the error by which that part refused it; other errors are those of Request.
+func (c *LeaderClient) Propose(command cluster.Command, within time.Duration) (answer []byte, index uint64, err error) {
+	raw, err := c.Request(transport.ProposePath, transport.Encode(command), within)
+	if err != nil {
+		return nil, 0, err
+	}
+	var proposed transport.Proposed
+	if err := transport.Decode(raw, &proposed); err != nil {
+		return nil, 0, fmt.Errorf("%w: %w", transport.ErrUnsure, err)
+	}
+	return proposed.Answer, proposed.Index, fsm.Refusal(proposed.Refusal)
+}
+
+// IsLeaderUnreached reports whether an error of Request or Propose says that no leader answered.
+func IsLeaderUnreached(err error) bool {
+	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrUnsure)
+}
+
+// attemptOrder returns the nodes in the order in which they are tried: the last known leader first, one that didn't
+// answer last, the others from a random one on.
+func (c *LeaderClient) attemptOrder() []cluster.MemberID {
+	nodes := c.rotatedNodes()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	slices.SortStableFunc(nodes, func(a, b cluster.MemberID) int { return c.attemptRank(a) - c.attemptRank(b) })
+	return nodes
+}
+
+func (c *LeaderClient) attemptRank(node cluster.MemberID) int {
+	switch node {
+	case c.leader:
+		return 0
+	case c.unresponsive:
+		return 2
+	}
+	return 1
+}
+
+// rotatedNodes returns all nodes, beginning with a random one.
+func (c *LeaderClient) rotatedNodes() (nodes []cluster.MemberID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	first := int(c.random() * float64(len(c.nodes)))
+	for i := range c.nodes {
+		nodes = append(nodes, c.nodes[(first+i)%len(c.nodes)])
+	}
+	return nodes
+}
+
+// nextNode returns the node to poll: the last one while that answers with something new, else another one.
+func (c *LeaderClient) nextNode(last cluster.MemberID, failed bool) cluster.MemberID {
+	if last != "" && !failed {
+		return last
+	}
+	for _, node := range c.rotatedNodes() {
+		if node != last {
+			return node
+		}
+	}
+	return last
+}
+
+func (c *LeaderClient) markUnresponsive(node cluster.MemberID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leader, c.unresponsive = "", node
+}
+
+func (c *LeaderClient) setLeader(node cluster.MemberID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leader = node
+	if node == c.unresponsive {
+		c.unresponsive = ""
+	}
+}
--- a/cluster/member/links_test.go
+++ b/cluster/member/session/link_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"io"
--- /dev/null
+++ b/cluster/member/session/notify.go
@@ -0,0 +1,70 @@
+package session
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+
+	"rowanlink/cluster"
+)
+
+// notifyChanges compares the leases held now with those that OnChange was last called with, and queues the calls for
+// the differences. The caller holds the lock.
+func (s *Session) notifyChanges() {
+	now := s.Clock()
+	for _, resource := range slices.Sorted(maps.Keys(s.notified)) {
+		before := s.notified[resource]
+		if epoch, held := s.tenure.Epoch(resource, now); held && epoch == before {
+			continue
+		}
+		slog.Info("task over", "member", s.Self, "task", resource, "epoch", before)
+		delete(s.notified, resource)
+		s.ResourcesLost.Add(1)
+		s.queueNotification(resource, 0)
+	}
+	for _, resource := range s.wishes.Wanted() {
+		epoch, held := s.tenure.Epoch(resource, now)
+		if !held || s.notified[resource] != 0 {
+			continue
+		}
+		slog.Info("task held", "member", s.Self, "task", resource, "epoch", epoch, "session", s.tenure.Session())
+		s.notified[resource] = epoch
+		s.ResourcesAcquired.Add(1)
+		s.queueNotification(resource, epoch)
+	}
+	s.setActive(s.tenure.Holds(now))
+}
+
+// queueNotification has OnChange called by the notify loop: it may call the session, whose lock is held here.
+func (s *Session) queueNotification(resource cluster.Task, epoch cluster.Epoch) {
+	if s.OnChange == nil {
+		return
+	}
+	s.notifications = append(s.notifications, func() { s.OnChange(resource, epoch) })
+	s.notifyWake.Send()
+}
+
+func (s *Session) notifyLoop() {
+	for {
+		queued := s.takeNotifications()
+		for _, notify := range queued {
+			notify()
+		}
+		if len(queued) > 0 {
+			continue
+		}
+		select {
+		case <-s.notifyWake:
+		case <-s.ended:
+			return
+		}
+	}
+}
+
+func (s *Session) takeNotifications() []func() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	queued := s.notifications
+	s.notifications = nil
+	return queued
+}
--- a/cluster/member/keepers_test.go
+++ b/cluster/member/session/raftnodes_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"os"
@@ -16,9 +16,9 @@
 // goes: with it and another keeper gone, the rest would have no majority.
 func TestAKeeperThatLostItsFolderComesBack(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	a := f.member("a", "home/1")
-	epoch := holds(t, a, "home/1")
+	epoch := awaitHeld(t, a, "home/1")
 	lost := f.names[0] // the one that began the log
 	f.stop(lost)
 	require.NoError(t, os.RemoveAll(filepath.Join(f.folders[lost], "fleet")))
@@ -32,19 +32,19 @@
 			}
 		}
 		return servers == 3 && voters == 3 && f.up[lost].LastIndex() > 0 && f.up[lost].Voter()
-	}, longer, 10*time.Millisecond)
-	require.Equal(t, epoch, holds(t, a, "home/1"))
+	}, longTimeout, 10*time.Millisecond)
+	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 	f.stop(f.names[1])
-	holds(t, f.member("b", "home/2"), "home/2")
-	require.Equal(t, epoch, holds(t, a, "home/1"))
+	awaitHeld(t, f.member("b", "home/2"), "home/2")
+	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 }
 
 // One of three is behind, the first has lost its folder, the second is down: what the first and the second
 // had granted is nobody's to undo. It comes back with the second.
 func TestTheVoteOfALostFolderIsNotGivenAgain(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, term)
-	holds(t, f.member("x", "home/0"), "home/0")
+	f := keepers(t, 3, leaseTTL)
+	awaitHeld(t, f.member("x", "home/0"), "home/0")
 	for f.leader() == "m3" {
 		f.stop("m3")
 		f.leader("m3")
@@ -52,7 +52,7 @@
 	}
 	f.cut("m3", true, f.names...)
 	a := f.member("a", "home/1")
-	epoch := holds(t, a, "home/1") // by m1 and m2
+	epoch := awaitHeld(t, a, "home/1") // by m1 and m2
 	f.stop("m1")
 	f.stop("m2")
 	require.NoError(t, os.RemoveAll(filepath.Join(f.folders["m1"], "fleet")))
@@ -66,15 +66,15 @@
 		}
 	}
 	f.start("m2")
-	holds(t, f.member("b", "home/2"), "home/2")
-	require.GreaterOrEqual(t, holds(t, a, "home/1"), epoch)
+	awaitHeld(t, f.member("b", "home/2"), "home/2")
+	require.GreaterOrEqual(t, awaitHeld(t, a, "home/1"), epoch)
 }
 
 func TestKeepersComeAndGoByTheFile(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	a := f.member("a", "home/1")
-	epoch := holds(t, a, "home/1")
+	epoch := awaitHeld(t, a, "home/1")
 	f.place("m4")
 	gone := f.leader()
 	f.names = slices.DeleteFunc(f.names, func(m cluster.MemberID) bool { return m == gone })
@@ -89,9 +89,9 @@
 		servers := f.up[f.leader(gone)].Servers()
 		_, still := servers[gone]
 		return len(servers) == 3 && !still && servers["m4"]
-	}, longer, 10*time.Millisecond)
+	}, longTimeout, 10*time.Millisecond)
 	f.stop(gone)
 	f.stop(f.names[0])
-	require.Equal(t, epoch, holds(t, a, "home/1"))
-	holds(t, f.member("b", "home/2"), "home/2")
+	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
+	awaitHeld(t, f.member("b", "home/2"), "home/2")
 }
--- /dev/null
+++ b/cluster/member/session/renew.go
@@ -0,0 +1,112 @@
+package session
+
+import (
+	"log/slog"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+// renewLoop opens the session and renews it each time that is due.
+func (s *Session) renewLoop() {
+	failures := 0
+	for {
+		s.mu.Lock()
+		now := s.Clock()
+		s.notifyChanges()
+		wait := s.renewalWait(now)
+		if wait <= 0 && !s.isClosed() {
+			ask, session, tally := s.tenure.Asked(now), s.tenure.Session(), s.tenure.Tally()
+			s.mu.Unlock()
+			if s.requestRenewal(ask, session, tally) {
+				failures = 0
+				continue
+			}
+			failures++
+			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
+		} else {
+			s.mu.Unlock()
+		}
+		if !s.sleep(wait) {
+			return
+		}
+	}
+}
+
+// renewalWait returns the time until the next renewal, or until the session ends by the clock if that is sooner:
+// otherwise nobody would be notified of that end. The caller holds the lock.
+func (s *Session) renewalWait(now api.Micros) api.Micros {
+	wait := s.tenure.AskAgainAt() - now
+	if s.tenure.Holds(now) {
+		wait = min(wait, s.tenure.Until()-now)
+	}
+	return wait
+}
+
+// requestRenewal sends one request to the leader, to open a session where session is 0 and else to renew it, and
+// returns whether the session is open by its answer.
+func (s *Session) requestRenewal(ask lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
+	answer, err := s.exchangeRenewal(session, tally)
+	if err == nil && answer.Refusal != 0 {
+		err = fsm.Refusal(answer.Refusal)
+		s.dropSession(session)
+	}
+	if err == nil && answer.Term < s.LeaseTTL {
+		// By a longer TTL this member would act on leases that the raft nodes have granted to another.
+		slog.Error("the raft nodes count a shorter lease TTL: no session is opened", "ttl_us", s.LeaseTTL,
+			"theirs_us", answer.Term)
+		return false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.RenewalsUnanswered.Add(1)
+		slog.Debug("session not renewed", "session", session, "why", err)
+		return false
+	}
+	s.applyRenewal(ask, answer)
+	return true
+}
+
+func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Tally) (answer transport.SessionAnswer,
+	err error) {
+	within := timing.Answer(s.LeaseTTL)
+	if session == 0 {
+		within = timing.Opening(s.LeaseTTL)
+	}
+	request := transport.SessionAsk{Member: s.Self, Session: session, Incarnation: s.Incarnation, Tally: tally}
+	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
+	if err == nil {
+		err = transport.Decode(raw, &answer)
+	}
+	return answer, err
+}
+
+// applyRenewal takes the leader's positive answer. The caller holds the lock.
+func (s *Session) applyRenewal(ask lease.Ask, answer transport.SessionAnswer) {
+	before, wasActive := s.tenure.Session(), s.tenure.Holds(s.Clock())
+	if s.tenure.Answered(ask, answer.Session) && before != answer.Session {
+		s.SessionsOpened.Add(1)
+		slog.Info("session held", "member", s.Self, "session", answer.Session)
+		s.wishes.Anew()
+	}
+	if len(answer.Holds) > 0 {
+		s.wishes.Has(answer.Session, answer.Holds)
+		s.notifyChanges()
+	}
+	if !wasActive || len(answer.Holds) > 0 {
+		s.acquireWake.Send()
+	}
+}
+
+// dropSession gives up a session that a raft node has refused, with all its leases.
+func (s *Session) dropSession(session cluster.SessionID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tenure.Refused(session)
+	s.notifyChanges()
+}
--- a/cluster/member/session_test.go
+++ b/cluster/member/session/session_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"slices"
@@ -10,54 +10,54 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
-	"rowanlink/cluster/member"
+	"rowanlink/cluster/member/session"
 	"rowanlink/cluster/transport"
 )
 
 func TestATaskIsOneMembersUntilItLetsItGo(t *testing.T) {
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	a, b := f.member("a", "home/1"), f.member("b")
 	watched(t, "home/1", a, b)
-	first := holds(t, a, "home/1")
+	first := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
 	b.Acquire("home/2")
-	holds(t, b, "home/2")
+	awaitHeld(t, b, "home/2")
 	_, held := b.Holds("home/1")
 	require.False(t, held)
 	a.Release("home/1")
 	_, held = a.Holds("home/1")
 	require.False(t, held)
-	second := holds(t, b, "home/1")
+	second := awaitHeld(t, b, "home/1")
 	require.Greater(t, second, first)
 	a.Acquire("home/1")
 	b.Release("home/1")
-	require.Greater(t, holds(t, a, "home/1"), second)
+	require.Greater(t, awaitHeld(t, a, "home/1"), second)
 }
 
 // Guards against an entry in the log for each renewal, or for each ask for what another holds.
 func TestMembersAtRestWriteNothing(t *testing.T) {
-	f := keepers(t, 3, term/2)
+	f := keepers(t, 3, leaseTTL/2)
 	a := f.member("a", "home/1")
-	holds(t, a, "home/1")
+	awaitHeld(t, a, "home/1")
 	b := f.member("b", "home/1", "home/2")
-	holds(t, b, "home/2")
+	awaitHeld(t, b, "home/2")
 	leader := f.up[f.leader()]
 	renewed, entries := leader.Renewed.Load(), leader.LastIndex()
 	c := f.member("c", "home/1")
-	require.Eventually(t, func() bool { return c.IsActive() && leader.Renewed.Load() >= renewed+15 }, longer,
+	require.Eventually(t, func() bool { return c.IsActive() && leader.Renewed.Load() >= renewed+15 }, longTimeout,
 		time.Millisecond)
 	require.Equal(t, entries+1, leader.LastIndex()) // c's session
 }
 
 // A leader that hears no other keeper answers nobody that its session goes on: another may lead by then.
 func TestALeaderCutOffRenewsNothing(t *testing.T) {
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	leader := f.leader()
 	say := transport.New("a", f.says)
 	defer say.Close()
 	renew := func(session cluster.SessionID) (status int, answer transport.SessionAnswer) {
 		ask := transport.SessionAsk{Member: "a", Session: session, Incarnation: 77}
-		status, raw, err := say.Say(leader, transport.SessionPath, transport.Encode(ask), longer)
+		status, raw, err := say.Say(leader, transport.SessionPath, transport.Encode(ask), longTimeout)
 		require.NoError(t, err)
 		transport.Decode(raw, &answer)
 		return status, answer
@@ -72,66 +72,66 @@
 
 func TestGrantsOutliveTheLeader(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, 2*term)
+	f := keepers(t, 3, 2*leaseTTL)
 	a, b := f.member("a", "home/1"), f.member("b")
 	watched(t, "home/1", a, b)
-	epoch := holds(t, a, "home/1")
+	epoch := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
 	old := f.leader()
 	f.cut(old, true, append(slices.Clone(f.names), "a", "b")...)
 	f.leader(old)
-	require.Eventually(t, func() bool { return f.up[old].LeadsNoMore.Load() > 0 }, longer, time.Millisecond)
+	require.Eventually(t, func() bool { return f.up[old].LeadsNoMore.Load() > 0 }, longTimeout, time.Millisecond)
 	time.Sleep(2 * 2 * time.Second) // two terms
 	still, held := a.Holds("home/1")
 	require.True(t, held)
 	require.Equal(t, epoch, still)
 	f.cut(old, false, append(slices.Clone(f.names), "a", "b")...)
 	a.Close()
-	require.Greater(t, holds(t, b, "home/1"), epoch)
+	require.Greater(t, awaitHeld(t, b, "home/1"), epoch)
 }
 
 func TestWhoeverIsCutOffHoldsNoMoreBeforeAnotherDoes(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	a, b := f.member("a", "home/1"), f.member("b")
 	watched(t, "home/1", a, b)
-	epoch := holds(t, a, "home/1")
+	epoch := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
 	f.cut("a", true, f.names...)
-	later := holds(t, b, "home/1")
+	later := awaitHeld(t, b, "home/1")
 	require.Greater(t, later, epoch)
 	f.cut("a", false, f.names...)
 	b.Close()
-	require.Greater(t, holds(t, a, "home/1"), later)
+	require.Greater(t, awaitHeld(t, a, "home/1"), later)
 }
 
 func TestWithoutAMajorityNothingIsHeldAndItComesBackByItself(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	a := f.member("a", "home/1")
-	epoch := holds(t, a, "home/1")
+	epoch := awaitHeld(t, a, "home/1")
 	f.stop("m1")
 	f.stop("m2")
 	require.Eventually(t, func() bool {
 		_, held := a.Holds("home/1")
 		return !held && f.up["m3"].NoMajority.Load() > 0 && a.SessionsLost.Load() > 0
-	}, longer, time.Millisecond)
+	}, longTimeout, time.Millisecond)
 	b := f.member("b", "home/2")
 	time.Sleep(time.Second)
 	_, held := b.Holds("home/2")
 	require.False(t, held)
 	f.start("m1")
-	require.GreaterOrEqual(t, holds(t, a, "home/1"), epoch)
-	holds(t, b, "home/2")
+	require.GreaterOrEqual(t, awaitHeld(t, a, "home/1"), epoch)
+	awaitHeld(t, b, "home/2")
 }
 
 // All keepers end and start again from what they have on disk: the session and its grants are there.
 func TestGrantsOutliveAllKeepersEnding(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, 4*term)
+	f := keepers(t, 3, 4*leaseTTL)
 	a, b := f.member("a", "home/1", "home/2"), f.member("b")
 	watched(t, "home/1", a, b)
-	epoch := holds(t, a, "home/1")
+	epoch := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
 	f.leader()
 	for _, m := range f.names {
@@ -141,13 +141,13 @@
 		f.start(m)
 	}
 	leader := f.up[f.leader()]
-	require.Eventually(t, func() bool { return leader.Renewed.Load() > 4 }, longer, time.Millisecond)
-	require.Equal(t, epoch, holds(t, a, "home/1"))
+	require.Eventually(t, func() bool { return leader.Renewed.Load() > 4 }, longTimeout, time.Millisecond)
+	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 }
 
 func TestNewStateReachesWhoeverFollows(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	a := f.member("a")
 	var seen atomic.Pointer[lease.Book]
 	var versions []uint64
@@ -158,12 +158,12 @@
 			seen.Store(book)
 		}
 	})
-	knows := func(by *member.Session, task cluster.Task) {
-		epoch := holds(t, by, task)
+	knows := func(by *session.Session, task cluster.Task) {
+		epoch := awaitHeld(t, by, task)
 		require.Eventually(t, func() bool {
 			book := seen.Load()
 			return book != nil && book.Holds(task, epoch)
-		}, longer, time.Millisecond)
+		}, longTimeout, time.Millisecond)
 	}
 	b := f.member("b", "home/1")
 	knows(b, "home/1")
--- a/cluster/member/gap_test.go
+++ b/cluster/member/session/unfencedgap_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"encoding/json"
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/cluster"
-	"rowanlink/cluster/transport"
+	"rowanlink/test/fake/raftleader"
 )
 
 // gaps are what a holder measured between the last look at its clock and the return of the last byte's write.
 type gaps struct {
-	Deeds, Over, After int // Over: gaps with a stop in them; After: of those, the term was over by then
+	Deeds, Over, After int // Over: gaps with a stop in them; After: of those, the leaseTTL was over by then
 	Median, Worst      time.Duration
 	In, Busy           time.Duration // all gaps, all deeds
 }
@@ -30,17 +30,17 @@
 	gapStop    = "ROWANLINK_GAP_STOP"    // as time.Duration has it
 )
 
-// TestHolderOfTheGap is the process that BenchmarkUnfencedGap stops; by itself it does nothing.
-func TestHolderOfTheGap(t *testing.T) {
+// TestUnfencedGapHolder is the process that BenchmarkUnfencedGap stops; by itself it does nothing.
+func TestUnfencedGapHolder(t *testing.T) {
 	to := os.Getenv(gapPartner)
 	if to == "" {
 		t.Skip("only within BenchmarkUnfencedGap")
 	}
 	stop, err := time.ParseDuration(os.Getenv(gapStop))
 	require.NoError(t, err)
-	_, s := script(t, func(_ int, real transport.Proposed) (int, []byte) { return 200, transport.Encode(real) })
+	_, s := startFakeLeader(t, raftleader.ReplyTruthfully)
 	s.Acquire("home/1")
-	holds(t, s, "home/1")
+	awaitHeld(t, s, "home/1")
 	c, err := net.Dial("tcp", to)
 	require.NoError(t, err)
 	var all []time.Duration
@@ -81,10 +81,10 @@
 }
 
 // BenchmarkUnfencedGap has a process that holds a task write to a partner, deed after deed, and stops it with
-// SIGSTOP at drawn moments for longer than its term: how long the gap is that no fence closes, and how many
+// SIGSTOP at drawn moments for longer than its leaseTTL: how long the gap is that no fence closes, and how many
 // of the stops fall into it.
 func BenchmarkUnfencedGap(b *testing.B) {
-	for _, stop := range []time.Duration{0, time.Duration(term) * time.Microsecond * 5 / 4} {
+	for _, stop := range []time.Duration{0, time.Duration(leaseTTL) * time.Microsecond * 5 / 4} {
 		b.Run("stop="+stop.String(), func(b *testing.B) { unfenced(b, stop) })
 	}
 }
@@ -92,7 +92,7 @@
 func unfenced(b *testing.B, stop time.Duration) {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	child := exec.Command(os.Args[0], "-test.run=^TestHolderOfTheGap$")
+	child := exec.Command(os.Args[0], "-test.run=^TestUnfencedGapHolder$")
 	child.Env = append(os.Environ(), gapPartner+"="+on.Addr().String(),
 		gapStop+"="+max(stop, time.Second).String())
 	out, err := child.StdoutPipe()
--- /dev/null
+++ b/cluster/member/session/watch.go
@@ -0,0 +1,163 @@
+package session
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/timing"
+	"rowanlink/cluster/transport"
+)
+
+// watcher follows one part of the replicated state.
+type watcher struct {
+	version          uint64 // of snapshot
+	snapshot         []byte
+	deliver          func(version uint64, snapshot []byte)
+	pending          bool   // snapshot was not delivered yet
+	deliveredVersion uint64 // of the last snapshot that was
+}
+
+// Watch has newer snapshots of a part of the replicated state delivered, always the newest; those between may be left
+// out. Callbacks run one at a time. One that blocks delays those of other parts but no poll, so that a resource that
+// becomes free is still acquired meanwhile.
+func (s *Session) Watch(part byte, deliver func(version uint64, snapshot []byte)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.watchers[part] = &watcher{deliver: deliver}
+	s.pollWake.Send()
+}
+
+// watchLoop long-polls the raft nodes for newer state and freed resources. It goes to another node after each poll that
+// brought nothing: one that is partitioned from the others never has anything new.
+func (s *Session) watchLoop() {
+	node, failures := cluster.MemberID(""), 0
+	for !s.isClosed() {
+		request := s.watchRequest()
+		if len(request.Versions)+len(request.Wants) == 0 {
+			select {
+			case <-s.pollWake:
+				continue
+			case <-s.ended:
+				return
+			}
+		}
+		node = s.Leader.nextNode(node, failures > 0)
+		answer, answered := s.pollState(node, request)
+		if !answered {
+			failures++
+			if !s.sleep(timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())) {
+				return
+			}
+			continue
+		}
+		failures = 0
+		s.applyState(answer)
+		if len(answer.Parts)+len(answer.Free) == 0 {
+			node = ""
+		}
+	}
+}
+
+func (s *Session) pollState(node cluster.MemberID, request transport.StateAsk) (answer transport.StateAnswer,
+	answered bool) {
+	within := duration(timing.LongPoll(s.LeaseTTL) + timing.Answer(s.LeaseTTL))
+	status, raw, err := s.Leader.client.Say(node, transport.StatePath, transport.Encode(request), within)
+	if err == nil && status == fasthttp.StatusOK {
+		err = transport.Decode(raw, &answer)
+	}
+	if err != nil || status != fasthttp.StatusOK {
+		slog.Debug("poll of the state failed", "raft_node", node, "status", status, "why", err)
+		return answer, false
+	}
+	return answer, true
+}
+
+func (s *Session) watchRequest() transport.StateAsk {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	request := transport.StateAsk{Versions: map[byte]uint64{}, Wants: s.wishes.Waits(), Changes: true}
+	for part, w := range s.watchers {
+		request.Versions[part] = w.version
+	}
+	return request
+}
+
+func (s *Session) applyState(answer transport.StateAnswer) {
+	s.markFreed(answer.Free)
+	for _, part := range answer.Parts {
+		s.applyPart(part)
+	}
+}
+
+// applyPart takes a newer version of a part. Where a delta doesn't fit, the next poll requests the full snapshot.
+func (s *Session) applyPart(part transport.PartState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	w := s.watchers[part.Part]
+	isDelta := part.Since != 0
+	if w == nil || part.Version <= w.version || isDelta && part.Since != w.version {
+		return
+	}
+	snapshot := part.Snapshot
+	if isDelta {
+		var err error
+		snapshot, err = fsm.Changed(w.snapshot, part.Snapshot)
+		if err != nil {
+			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", part.Part, "why", err)
+			w.version = 0
+			return
+		}
+		s.DeltasApplied.Add(1)
+	}
+	w.version, w.snapshot = part.Version, snapshot
+	w.pending = part.Version > w.deliveredVersion
+	s.deliverWake.Send()
+}
+
+// deliverLoop calls the watchers' callbacks.
+func (s *Session) deliverLoop() {
+	for {
+		select {
+		case <-s.deliverWake:
+		case <-s.ended:
+			return
+		}
+		for s.deliverNext() {
+		}
+	}
+}
+
+// deliverNext delivers one pending snapshot; false: none is pending.
+func (s *Session) deliverNext() bool {
+	deliver, version, snapshot := s.nextDelivery()
+	if deliver == nil {
+		return false
+	}
+	s.deliverMu.Lock()
+	defer s.deliverMu.Unlock()
+	if !s.isClosed() {
+		s.SnapshotsDelivered.Add(1)
+		deliver(version, snapshot)
+	}
+	return true
+}
+
+// nextDelivery marks the first pending snapshot as delivered and returns it with its callback; nil: none is pending.
+func (s *Session) nextDelivery() (deliver func(uint64, []byte), version uint64, snapshot []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, part := range slices.Sorted(maps.Keys(s.watchers)) {
+		w := s.watchers[part]
+		if !w.pending {
+			continue
+		}
+		w.pending, w.deliveredVersion = false, w.version
+		return w.deliver, w.version, w.snapshot
+	}
+	return nil, 0, nil
+}
--- /dev/null
+++ b/cluster/member/session/workload.go
@@ -0,0 +1,88 @@
+package session
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"rowanlink/cluster"
+	"rowanlink/webhook/api"
+)
+
+// RunLeaseWorkload has the session acquire resources and act on them, for tests only: env names, by ROWAN_GUARD, the
+// host:port of a guard that is told when each action began and ended, by ROWAN_GUARD_TASKS the resources, separated by
+// commas, and by ROWAN_GUARD_FENCE=1 that the guard rejects actions with an epoch that has passed. Without ROWAN_GUARD
+// nothing is done.
+func (s *Session) RunLeaseWorkload(env func(string) string) {
+	guard := env("ROWAN_GUARD")
+	if guard == "" {
+		return
+	}
+	for name := range strings.SplitSeq(env("ROWAN_GUARD_TASKS"), ",") {
+		if name == "" {
+			continue
+		}
+		s.Acquire(cluster.Task(name))
+		s.done.Go(func() { s.workloadLoop(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
+	}
+}
+
+// An action lasts up to a tenth of the lease TTL, and so does the delay between two.
+const workloadDelayDivisor = 10
+
+func (s *Session) workloadLoop(guard string, resource cluster.Task, fenced bool) {
+	for s.sleep(s.workloadDelay()) {
+		s.DoWhileHeld(resource, func(epoch cluster.Epoch, stillHeld func() bool) {
+			query := url.Values{
+				"task":   {string(resource)},
+				"epoch":  {strconv.FormatUint(uint64(epoch), 10)},
+				"member": {string(s.Self)},
+			}
+			if fenced {
+				query.Set("fence", "1")
+			}
+			if s.reportToGuard(guard, "begin", query, stillHeld) && s.sleep(s.workloadDelay()) {
+				s.reportToGuard(guard, "end", query, stillHeld)
+			}
+		})
+	}
+}
+
+func (s *Session) workloadDelay() api.Micros {
+	return 1 + api.Micros(s.Leader.drawRandom()*float64(s.LeaseTTL/workloadDelayDivisor))
+}
+
+// reportToGuard sends a request to the guard and returns whether it was accepted. It writes the last byte only if the
+// resource is still held right before.
+func (s *Session) reportToGuard(guard, action string, query url.Values, stillHeld func() bool) bool {
+	dialer := net.Dialer{Timeout: duration(s.LeaseTTL)}
+	conn, err := dialer.DialContext(context.Background(), "tcp", guard)
+	if err != nil {
+		return false
+	}
+	defer func() { _ = conn.Close() }() // the answer was read or is not needed
+	request := fmt.Sprintf("POST /%s?%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+		action, query.Encode(), guard)
+	if conn.SetDeadline(time.Now().Add(duration(s.LeaseTTL))) != nil {
+		return false
+	}
+	last := len(request) - 1
+	if _, err := conn.Write([]byte(request[:last])); err != nil || !stillHeld() {
+		return false
+	}
+	if _, err := conn.Write([]byte(request[last:])); err != nil {
+		return false
+	}
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false
+	}
+	_ = response.Body.Close()
+	return response.StatusCode == http.StatusNoContent
+}
--- a/cluster/member/deeds_test.go
+++ b/cluster/member/session/workload_test.go
@@ -1,4 +1,4 @@
-package member_test
+package session_test
 
 import (
 	"net/http"
@@ -14,7 +14,7 @@
 	"rowanlink/cluster"
 )
 
-// Deeds go on from one holder to the next: none is told of after its holder's term.
+// Deeds go on from one holder to the next: none is told of after its holder's leaseTTL.
 func TestDeedsAreDoneByWhoeverHolds(t *testing.T) {
 	var mu sync.Mutex
 	var by []string
@@ -25,7 +25,7 @@
 		rw.WriteHeader(http.StatusNoContent)
 	}))
 	defer guard.Close()
-	f := keepers(t, 3, term)
+	f := keepers(t, 3, leaseTTL)
 	env := func(name string) string {
 		return map[string]string{"ROWAN_GUARD": strings.TrimPrefix(guard.URL, "http://"),
 			"ROWAN_GUARD_TASKS": "job/1"}[name]
@@ -39,11 +39,11 @@
 	}
 	a := f.member("a")
 	a.RunLeaseWorkload(env)
-	require.Eventually(t, told("/end a"), longer, time.Millisecond)
+	require.Eventually(t, told("/end a"), longTimeout, time.Millisecond)
 	b := f.member("b")
 	b.RunLeaseWorkload(env)
 	f.cut("a", true, f.names...)
-	require.Eventually(t, told("/end b"), longer, time.Millisecond)
+	require.Eventually(t, told("/end b"), longTimeout, time.Millisecond)
 	mu.Lock()
 	defer mu.Unlock()
 	first := slices.IndexFunc(by, func(s string) bool { return strings.HasSuffix(s, " b") })
--- /dev/null
+++ b/test/fake/raftleader/raftleader.go
@@ -0,0 +1,171 @@
+// Package raftleader fakes the one raft node of a cluster, for tests of what members make of answers that are lost, late
+// or of an older state. It applies commands to a lease table of its own.
+package raftleader
+
+import (
+	"context"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+// GrantReply is what the leader answers to a request for grants: no counts these requests from 1, real is what became
+// of this one.
+type GrantReply func(no int, real transport.Proposed) (status int, body []byte)
+
+// ReplyTruthfully is the GrantReply of a leader without faults.
+func ReplyTruthfully(_ int, real transport.Proposed) (status int, body []byte) {
+	return fasthttp.StatusOK, transport.Encode(real)
+}
+
+// Leader is a raft node that leads for as long as the test runs.
+type Leader struct {
+	Addr string
+
+	leaseTTL   api.Micros
+	grantReply GrantReply
+
+	mu             sync.Mutex
+	leases         *lease.Book
+	index          uint64
+	planStates     []transport.PartState
+	polledVersions []uint64
+	grantRequests  int
+	mapCommands    int
+}
+
+// Start starts a leader that accepts so many connections. It is stopped when the test ends.
+func Start(t testing.TB, leaseTTL api.Micros, maxConnections int, reply GrantReply) *Leader {
+	t.Helper()
+	l := &Leader{leases: lease.NewBook(), leaseTTL: leaseTTL, grantReply: reply}
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	l.Addr = listener.Addr().String()
+	server := transport.Hears(maxConnections, time.Second)
+	server.Handle(transport.SessionPath, l.handleSession)
+	server.Handle(transport.ProposePath, l.handlePropose)
+	server.Handle(transport.StatePath, l.handleState)
+	go func() { _ = server.Serve(listener) }() // ends by Close
+	t.Cleanup(func() { server.Close(time.Second) })
+	return l
+}
+
+// QueuePlanStates has the next polls answered with these, one each; later ones bring nothing.
+func (l *Leader) QueuePlanStates(states ...transport.PartState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.planStates = append(l.planStates, states...)
+}
+
+// PolledVersions returns the versions of the plan that the polls answered with a state named.
+func (l *Leader) PolledVersions() []uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]uint64(nil), l.polledVersions...)
+}
+
+// MapCommands counts the commands to the shard map. None is accepted.
+func (l *Leader) MapCommands() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.mapCommands
+}
+
+// WasRequestedAndIsFree reports whether grants were requested and nobody holds the resource now.
+func (l *Leader) WasRequestedAndIsFree(resource cluster.Task) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, _, _, held := l.leases.Holder(resource)
+	return l.grantRequests > 0 && !held
+}
+
+// apply applies a command. The caller holds the lock.
+func (l *Leader) apply(c cluster.Command) transport.Proposed {
+	l.index++
+	answer, err := l.leases.Apply(l.index, c.Body)
+	return transport.Proposed{Answer: answer, Refusal: fsm.Code(err), Index: l.index}
+}
+
+func (l *Leader) handleSession(ctx *fasthttp.RequestCtx) {
+	var request transport.SessionAsk
+	if err := transport.Decode(ctx.Request.Body(), &request); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	answer := transport.SessionAnswer{Session: request.Session, Term: l.leaseTTL}
+	if request.Session == 0 {
+		opened, err := lease.ReadAnswer(l.apply(lease.Open(request.Member, request.Incarnation)).Answer)
+		if err != nil {
+			ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
+			return
+		}
+		answer.Session = opened.Session
+	} else if l.leases.Tally(request.Session) != request.Tally {
+		answer.Holds = l.leases.HeldBy(request.Session)
+	}
+	ctx.SetBody(transport.Encode(answer))
+}
+
+func (l *Leader) handlePropose(ctx *fasthttp.RequestCtx) {
+	var command cluster.Command
+	if err := transport.Decode(ctx.Request.Body(), &command); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if command.Part == cluster.RangesPart {
+		l.mapCommands++
+		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
+		return
+	}
+	var order lease.Order
+	if err := transport.Decode(command.Body, &order); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	real := l.apply(command)
+	status, body := fasthttp.StatusOK, transport.Encode(real)
+	if order.Kind == lease.GrantKind {
+		l.grantRequests++
+		status, body = l.grantReply(l.grantRequests, real)
+	}
+	ctx.SetStatusCode(status)
+	ctx.SetBody(body)
+}
+
+func (l *Leader) handleState(ctx *fasthttp.RequestCtx) {
+	var request transport.StateAsk
+	if err := transport.Decode(ctx.Request.Body(), &request); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	answer := transport.StateAnswer{Parts: l.nextPlanState(request.Versions[cluster.PlanPart])}
+	if len(answer.Parts) == 0 {
+		time.Sleep(time.Duration(l.leaseTTL/3) * time.Microsecond)
+	}
+	ctx.SetBody(transport.Encode(answer))
+}
+
+func (l *Leader) nextPlanState(polled uint64) []transport.PartState {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	n := len(l.polledVersions)
+	if n >= len(l.planStates) {
+		return nil
+	}
+	l.polledVersions = append(l.polledVersions, polled)
+	return l.planStates[n : n+1]
+}
