--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -1,6 +1,6 @@
 // Package custody stores which member has which webhook: for each webhook that was offered to or by another member, a
 // record in a journal of its own. What a member answers another rests on a record that was written before, so that
-// each webhook has one owner whatever messages or processes are lost. The rules are those of shardmap.Known.
+// each webhook has one owner whatever messages or processes are lost. The rules are those of shardmap.CustodyTable.
 package custody
 
 import (
@@ -25,22 +25,22 @@
 	Incarnation uint64
 
 	mu          sync.Mutex
-	table       *shardmap.Known
+	table       *shardmap.CustodyTable
 	journal     *wal.Journal
-	entryIDs    map[shardmap.Name]api.WebhookID // the journal's entry with each record
+	entryIDs    map[shardmap.WebhookID]api.WebhookID // the journal's entry with each record
 	lastEntryID api.WebhookID
 	retention   api.Micros // for which records outlast what they name, and the time between two expiries
 	lastExpiry  api.Micros
 }
 
-// NameOf returns the name by which all members know a webhook: a request id is never used twice.
-func NameOf(id inflight.RequestID) shardmap.Name {
-	return shardmap.Name{Life: xxhash.Sum64String(string(id)), ID: xxhash.Sum64String("name " + string(id))}
+// IDOf returns the name by which all members know a webhook: a request id is never used twice.
+func IDOf(id inflight.RequestID) shardmap.WebhookID {
+	return shardmap.WebhookID{Incarnation: xxhash.Sum64String(string(id)), LocalID: xxhash.Sum64String("name " + string(id))}
 }
 
 // Open reads the records that an earlier process left in a folder, which is made if need be. isPending reports which
 // webhooks the dispatcher has recovered from its journal. Records outlast the TTL of what they name by retention.
-func Open(dir string, diskMB float64, retention api.Micros, isPending func(shardmap.Name) bool) (*Store, error) {
+func Open(dir string, diskMB float64, retention api.Micros, isPending func(shardmap.WebhookID) bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -55,59 +55,59 @@
 	s := &Store{
 		Incarnation: incarnation,
 		journal:     journal,
-		entryIDs:    map[shardmap.Name]api.WebhookID{},
+		entryIDs:    map[shardmap.WebhookID]api.WebhookID{},
 		retention:   retention,
 	}
 	latest, err := s.readEntries()
 	if err != nil {
 		return nil, err
 	}
-	records := make([]shardmap.Record, 0, len(latest))
+	records := make([]shardmap.CustodyRecord, 0, len(latest))
 	before := make([]SavedRecord, 0, len(latest))
 	for name, record := range latest {
 		records = append(records, record)
 		before = append(before, SavedRecord{Name: name, Record: record, Known: true})
 	}
-	s.table = shardmap.NewKnown(records, isPending)
+	s.table = shardmap.NewCustodyTable(records, isPending)
 	// What the table made of the records is written now: the next incarnation might make something else of them.
 	return s, s.writeChanges(before)
 }
 
 // readEntries returns the last record of each name in the journal.
-func (s *Store) readEntries() (map[shardmap.Name]shardmap.Record, error) {
-	latest := map[shardmap.Name]shardmap.Record{}
+func (s *Store) readEntries() (map[shardmap.WebhookID]shardmap.CustodyRecord, error) {
+	latest := map[shardmap.WebhookID]shardmap.CustodyRecord{}
 	for _, entry := range s.journal.Entries() {
-		var record shardmap.Record
+		var record shardmap.CustodyRecord
 		if err := transport.Decode(entry.Taken, &record); err != nil {
 			return nil, fmt.Errorf("custody records: record %d: %w", entry.ID, err)
 		}
-		if earlier, found := s.entryIDs[record.Name]; found {
+		if earlier, found := s.entryIDs[record.ID]; found {
 			// The process ended between the later entry and the end of the earlier one.
 			s.journal.End(earlier, nil)
 		}
-		latest[record.Name] = record
-		s.entryIDs[record.Name] = entry.ID
+		latest[record.ID] = record
+		s.entryIDs[record.ID] = entry.ID
 		s.lastEntryID = max(s.lastEntryID, entry.ID)
 	}
 	return latest, nil
 }
 
-// SavedRecord is a name's record at some time, to which Known.Undo can go back.
+// SavedRecord is a name's record at some time, to which CustodyTable.Rollback can go back.
 type SavedRecord struct {
-	Name   shardmap.Name
-	Record shardmap.Record
+	Name   shardmap.WebhookID
+	Record shardmap.CustodyRecord
 	Known  bool // there was a record
 }
 
 // SaveRecord returns a name's record as it is now. Only functions that Update or UpdateUnsynced call may call it.
-func (s *Store) SaveRecord(name shardmap.Name) SavedRecord {
-	record, known := s.table.Record(name)
+func (s *Store) SaveRecord(name shardmap.WebhookID) SavedRecord {
+	record, known := s.table.Lookup(name)
 	return SavedRecord{Name: name, Record: record, Known: known}
 }
 
 // Update calls change with the table locked, and writes the records of the names that it changed before it returns.
 // Where that fails the records are as before, and the error is returned. change may only touch records of these names.
-func (s *Store) Update(names []shardmap.Name, change func(*shardmap.Known)) error {
+func (s *Store) Update(names []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireRecords()
@@ -119,7 +119,7 @@
 	err := s.writeChanges(before)
 	if err != nil {
 		for _, saved := range before {
-			s.table.Undo(saved.Name, saved.Record, saved.Known)
+			s.table.Rollback(saved.Name, saved.Record, saved.Known)
 		}
 		slog.Error("custody records not written", "webhooks", len(names), "why", err)
 	}
@@ -128,7 +128,7 @@
 
 // UpdateUnsynced calls change with the table locked. What it changes need not be written: after a restart another
 // member's answer brings the same.
-func (s *Store) UpdateUnsynced(change func(*shardmap.Known)) {
+func (s *Store) UpdateUnsynced(change func(*shardmap.CustodyTable)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.table)
@@ -136,11 +136,11 @@
 
 // writeChanges writes the records that are not as they were. The caller holds the lock.
 func (s *Store) writeChanges(before []SavedRecord) error {
-	written := map[shardmap.Name]api.WebhookID{}
-	var removed []shardmap.Name
+	written := map[shardmap.WebhookID]api.WebhookID{}
+	var removed []shardmap.WebhookID
 	var err error
 	for _, saved := range before {
-		record, known := s.table.Record(saved.Name)
+		record, known := s.table.Lookup(saved.Name)
 		if record == saved.Record && known == saved.Known {
 			continue
 		}
@@ -174,7 +174,7 @@
 }
 
 // endEntry ends the journal's entry with a name's record. The caller holds the lock.
-func (s *Store) endEntry(name shardmap.Name) {
+func (s *Store) endEntry(name shardmap.WebhookID) {
 	if id, found := s.entryIDs[name]; found {
 		s.journal.End(id, nil)
 		delete(s.entryIDs, name)
@@ -183,37 +183,37 @@
 
 // IsInDoubt reports whether another member may have a webhook that is pending here.
 func (s *Store) IsInDoubt(id inflight.RequestID) bool {
-	_, _, offered := s.PendingOffer(NameOf(id))
+	_, _, offered := s.PendingOffer(IDOf(id))
 	return offered
 }
 
 // PendingOffer returns to whom a webhook was offered without an answer yet, and by which hand; false: to nobody.
-func (s *Store) PendingOffer(name shardmap.Name) (shardmap.Offer, shardmap.Hand, bool) {
+func (s *Store) PendingOffer(name shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Out(name)
+	return s.table.OutstandingOffer(name)
 }
 
 // IsArriving reports whether a webhook is being accepted from another member.
-func (s *Store) IsArriving(name shardmap.Name) bool {
+func (s *Store) IsArriving(name shardmap.WebhookID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	record, _ := s.table.Record(name)
-	return record.Comes
+	record, _ := s.table.Lookup(name)
+	return record.Arriving
 }
 
-// NextHand returns the hand by which a webhook is offered next.
-func (s *Store) NextHand(name shardmap.Name) shardmap.Hand {
+// NextHandoff returns the hand by which a webhook is offered next.
+func (s *Store) NextHandoff(name shardmap.WebhookID) shardmap.HandoffNumber {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Next(name)
+	return s.table.NextHandoff(name)
 }
 
 // PendingByMove counts the webhooks that were offered by a move without an answer yet.
 func (s *Store) PendingByMove(move shardmap.MoveID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.By(move)
+	return s.table.CountOffersOfMove(move)
 }
 
 // expireRecords removes, now and then, records that no message can refer to any more. The caller holds the lock.
@@ -225,7 +225,7 @@
 	s.lastExpiry = now
 	s.table.Expire(now, s.retention)
 	for name := range s.entryIDs {
-		if _, known := s.table.Record(name); !known {
+		if _, known := s.table.Lookup(name); !known {
 			s.endEntry(name)
 		}
 	}
--- /dev/null
+++ b/cluster/member/handoff/indoubt.go
@@ -0,0 +1,138 @@
+package handoff
+
+import (
+	"log/slog"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/member/custody"
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// queryTimeoutDivisor is the part of a lease TTL that an answer to queries may take.
+const queryTimeoutDivisor = 4
+
+// inDoubt is a webhook that another member may have, as it is when that member is asked.
+type inDoubt struct {
+	eventloop.Owed
+	id      shardmap.WebhookID
+	handoff shardmap.HandoffNumber
+	offer   shardmap.Offer
+}
+
+// queryInDoubt asks a member for webhooks that it may have, where they can't be offered to it once more: it is not the
+// owner any more, or its folder is another one.
+func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Owed) {
+	now := inflight.Now()
+	var doubts []inDoubt
+	var queries []peer.CustodyQuery
+	for _, w := range webhooks {
+		id := custody.IDOf(w.RequestID)
+		offer, handoff, offered := m.Custody.PendingOffer(id)
+		if !offered || offer.To != at {
+			continue
+		}
+		doubts = append(doubts, inDoubt{Owed: w, id: id, handoff: handoff, offer: offer})
+		queries = append(queries, peer.CustodyQuery{ID: id, Handoff: handoff, TTLLeft: w.TTL - now,
+			Incarnation: offer.Incarnation})
+	}
+	if len(queries) == 0 {
+		return
+	}
+	replies, err := m.Peers.QueryCustody(at, queries, m.Ownership.LeaseTTL/queryTimeoutDivisor)
+	if len(replies) != len(queries) {
+		slog.Debug("webhooks in doubt not resolved", "at", at, "webhooks", len(queries), "why", err)
+		replies = make([]shardmap.CustodyReply, len(queries)) // CustodyUnknown
+	}
+	for i, d := range doubts {
+		m.resolveInDoubt(d, replies[i])
+	}
+}
+
+// resolveInDoubt does what a reply says, or what the rules say where there is none.
+func (m *Manager) resolveInDoubt(d inDoubt, reply shardmap.CustodyReply) {
+	now := inflight.Now()
+	resolution := d.offer.Resolve(reply, m.isOwnerReplaced(d), m.EventType(d.Event), d.MayRun, d.TTL, now)
+	resolved := false
+	switch resolution {
+	case shardmap.StayInDoubt:
+	case shardmap.DropCopy:
+		resolved = m.dropCopy(d)
+	case shardmap.KeepCopy:
+		resolved = m.keepCopy(d)
+	case shardmap.ForkCopy, shardmap.DeadLetterCopy:
+		resolved = m.forkCopy(d, resolution)
+	}
+	if resolved {
+		slog.Info("doubt settled", "webhook", d.RequestID, "ours", resolution != shardmap.DropCopy, "at", d.offer.To,
+			"said", reply)
+		m.Wake()
+	}
+}
+
+// dropCopy ends a webhook that the other member has; false: something else has happened to it meanwhile. Its end is
+// written before its record.
+func (m *Manager) dropCopy(d inDoubt) (dropped bool) {
+	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
+		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
+		if dropped {
+			m.Decider.Passed([]api.WebhookID{d.ID})
+		}
+	})
+	return dropped
+}
+
+// keepCopy lets a webhook that the other member never took go on from here; false: not now.
+func (m *Manager) keepCopy(d inDoubt) (kept bool) {
+	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
+		kept = t.HandleReply(d.id, d.handoff, shardmap.CustodyNever) == shardmap.KeepCopy
+	})
+	if !kept || err != nil {
+		return false
+	}
+	m.Decider.Settled([]inflight.RequestID{d.RequestID})
+	return true
+}
+
+// forkCopy lets a webhook that may have run elsewhere go on from here (ForkCopy), or has it dead-lettered; false: not
+// now. That it may have run is written first, so that a restart finds it.
+func (m *Manager) forkCopy(d inDoubt, resolution shardmap.Resolution) (forked bool) {
+	mayHaveRun := &inflight.Past{Attempts: d.Attempts + 1, MayRun: d.offer.SentAt}
+	if !m.Decider.Returned(map[inflight.RequestID]*inflight.Past{d.RequestID: mayHaveRun}) {
+		return false
+	}
+	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
+		_, handoff, pending := t.OutstandingOffer(d.id)
+		forked = pending && handoff == d.handoff // else another answer came meanwhile
+		if forked {
+			t.Fork(d.id)
+		}
+	})
+	if !forked || err != nil {
+		return false
+	}
+	if resolution == shardmap.ForkCopy {
+		m.Decider.Settled([]inflight.RequestID{d.RequestID})
+	} else {
+		m.Decider.GiveUp(d.ID)
+	}
+	return true
+}
+
+// isOwnerReplaced reports whether, by the map, the member that may have a webhook can't call for it any more: the range
+// was granted to another since.
+func (m *Manager) isOwnerReplaced(d inDoubt) bool {
+	shardMap := m.Ownership.Map()
+	if shardMap == nil {
+		return false
+	}
+	r, found := shardMap.RangeOf(shardMap.KeyOf(d.Destination))
+	if !found || len(shardMap.MisplacedOf(d.Destination)) > 0 {
+		return false
+	}
+	isTarget := r.Move.IsOpen() && r.Move.To == d.offer.To
+	return r.Epoch > d.offer.Epoch && r.Owner != d.offer.To && !isTarget
+}
--- a/cluster/member/ownership/closure.go
+++ b/cluster/member/ownership/closure.go
@@ -24,12 +24,12 @@
 }
 
 // IsClosed reports whether a webhook with this verdict has to wait for the switch of a move.
-func (m *Manager) IsClosed(v shardmap.Verdict) bool {
-	if v.Do != shardmap.Hold || !v.Passes.Open() {
+func (m *Manager) IsClosed(v shardmap.Decision) bool {
+	if v.Action != shardmap.ParkOwned || !v.Move.IsOpen() {
 		return false
 	}
 	c, closed := m.closureOf(v.Range)
-	return closed && c.move == v.Passes.ID
+	return closed && c.move == v.Move.ID
 }
 
 func (m *Manager) closureOf(id cluster.RangeID) (closure, bool) {
@@ -56,9 +56,9 @@
 // reopenRanges opens ranges whose move has switched or was rolled back, or takes too long.
 func (m *Manager) reopenRanges(shardMap *shardmap.Map) {
 	m.closures.Range(func(id, value any) bool {
-		r, found := shardMap.Get(id.(cluster.RangeID))
+		r, found := shardMap.RangeByID(id.(cluster.RangeID))
 		c := value.(closure)
-		moving := found && r.Move.ID == c.move && r.Move.Step == shardmap.Passing && r.Home == m.Self
+		moving := found && r.Move.ID == c.move && r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 		if !moving || m.HoldsRange(r.ID) && m.Clock()-c.since > m.LeaseTTL/closureLimitDivisor {
 			m.closures.Delete(id)
 		}
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -1,6 +1,6 @@
 // Package ownership keeps a member in line with the shard map: it holds the member's cached copy of the map, acquires
 // the leases of the ranges that the map gives to it, confirms the grants by which it serves, and releases ranges that
-// move elsewhere once nothing of theirs is left here. By it a member decides what to do with a webhook (Verdict).
+// move elsewhere once nothing of theirs is left here. By it a member decides what to do with a webhook (Decide).
 //
 // The rules are those of package shardmap; this package adds the session, the clock and the proposals.
 package ownership
@@ -57,7 +57,7 @@
 	closures    sync.Map // cluster.RangeID to closure
 }
 
-// New returns a Manager without a map. Bind and Start come before anything else is called but Verdict.
+// New returns a Manager without a map. Bind and Start come before anything else is called but Decide.
 func New(c Config) *Manager {
 	m := &Manager{Config: c}
 	m.inactiveSince.Store(int64(c.Clock()))
@@ -96,12 +96,12 @@
 	}
 }
 
-// Claimant returns this member as the shard map's rules see it: the leases that it holds and whether it is isolated.
-func (m *Manager) Claimant() shardmap.Tenant {
-	return shardmap.Tenant{
-		Member: m.Self,
-		Epoch:  m.session.Holds,
-		Alone:  shardmap.Deserted(api.Micros(m.inactiveSince.Load()), m.Clock(), m.LeaseTTL),
+// LocalMember returns this member as the shard map's rules see it: the leases that it holds and whether it is isolated.
+func (m *Manager) LocalMember() shardmap.LocalMember {
+	return shardmap.LocalMember{
+		Member:    m.Self,
+		HeldEpoch: m.session.Holds,
+		Isolated:  shardmap.IsolationSuspected(api.Micros(m.inactiveSince.Load()), m.Clock(), m.LeaseTTL),
 	}
 }
 
@@ -111,20 +111,20 @@
 	return held
 }
 
-// Verdict returns what this member does now with webhooks for a destination.
-func (m *Manager) Verdict(destination api.DestinationID) shardmap.Verdict {
+// Decide returns what this member does now with webhooks for a destination.
+func (m *Manager) Decide(destination api.DestinationID) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
-		return shardmap.Verdict{Do: shardmap.Keep}
+		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return shardMap.VerdictOf(m.Claimant(), destination)
+	return shardMap.DecideDestination(m.LocalMember(), destination)
 }
 
-// VerdictForKey is Verdict for whatever has this key in the shard map.
-func (m *Manager) VerdictForKey(key cluster.KeyHash) shardmap.Verdict {
+// DecideForKey is Decide for whatever has this key in the shard map.
+func (m *Manager) DecideForKey(key cluster.KeyHash) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
-		return shardmap.Verdict{Do: shardmap.Keep}
+		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return shardMap.MayServe(m.Claimant(), key)
+	return shardMap.DecideKey(m.LocalMember(), key)
 }
--- a/cluster/member/ownership/reconcile.go
+++ b/cluster/member/ownership/reconcile.go
@@ -23,14 +23,14 @@
 	for _, r := range shardMap.Ranges {
 		m.reconcileRange(p, shardMap, r)
 	}
-	for under, strays := range shardMap.StrayedFrom(m.Claimant()) {
+	for under, strays := range shardMap.MisplacedByGrant(m.LocalMember()) {
 		if m.local.CallsInFlightTo(strays) == 0 {
 			p.propose("destinations let go", shardmap.Range{ID: under.Range},
-				shardmap.Seen(under.Range, under.Epoch, shardMap.Version))
+				shardmap.ConfirmPlacement(under.Range, under.Epoch, shardMap.Version))
 		}
 	}
 	m.reopenRanges(shardMap)
-	for _, move := range shardMap.Left {
+	for _, move := range shardMap.DetachedMoves {
 		m.clearMove(p, shardmap.Range{Move: move})
 	}
 }
@@ -42,37 +42,37 @@
 	switch {
 	case held && m.mayLeave(r):
 		m.releaseRange(r, resource, epoch)
-	case !held && r.Wants(m.Self):
+	case !held && r.ShouldAcquire(m.Self):
 		m.session.Acquire(resource)
 	case !held:
 		m.session.CancelAcquire(resource)
-	case r.Home == m.Self && epoch > r.Epoch && r.Move.Step != shardmap.Passing:
-		p.propose("home taken", r, shardmap.Home(r.ID, m.Self, epoch, shardMap.Version))
-	case r.Move.Step == shardmap.Passing && r.Move.To == m.Self:
-		p.propose("home switched", r, shardmap.Switch(r.Move.ID, r.ID, m.Self, epoch))
+	case r.Owner == m.Self && epoch > r.Epoch && r.Move.Step != shardmap.StepHandoff:
+		p.propose("home taken", r, shardmap.ConfirmOwner(r.ID, m.Self, epoch, shardMap.Version))
+	case r.Move.Step == shardmap.StepHandoff && r.Move.To == m.Self:
+		p.propose("home switched", r, shardmap.SwitchOwner(r.Move.ID, r.ID, m.Self, epoch))
 	}
-	if r.Move.Step == shardmap.Switched {
+	if r.Move.Step == shardmap.StepSwitched {
 		m.clearMove(p, r)
 	}
 }
 
 // mayLeave reports whether a range that is held here may be on its way elsewhere; only then its calls are counted.
 func (m *Manager) mayLeave(r shardmap.Range) bool {
-	return !r.Wants(m.Self) || r.Move.Step == shardmap.Passing && r.Home == m.Self
+	return !r.ShouldAcquire(m.Self) || r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 }
 
 // releaseRange gives up a range that goes elsewhere, as soon as it may. The range is closed first, so that what came
 // before the closure is counted by the next call.
 func (m *Manager) releaseRange(r shardmap.Range, resource cluster.Task, epoch cluster.Epoch) {
 	inFlight, pending := m.local.CallsInFlight(r), m.local.PendingWebhooks(r)
-	mayClose := m.local.StateTransferred(r) && r.Shuts(m.Self, inFlight, pending, m.HandoffBatch)
+	mayClose := m.local.StateTransferred(r) && r.ShouldCloseIntake(m.Self, inFlight, pending, m.HandoffBatch)
 	if mayClose && m.closeAdmission(r) {
 		return
 	}
 	c, closed := m.closureOf(r.ID)
 	closed = closed && c.move == r.Move.ID
-	isSource := r.Move.Step == shardmap.Passing && r.Home == m.Self
-	if r.LetsGo(m.Self, inFlight, pending) && (closed || !isSource) {
+	isSource := r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
+	if r.ShouldRelease(m.Self, inFlight, pending) && (closed || !isSource) {
 		m.session.Release(resource)
 		slog.Info("home let go", "range", r.ID, "epoch", epoch)
 	}
@@ -91,7 +91,7 @@
 		if !isRange {
 			continue
 		}
-		if _, found := shardMap.Get(id); !found {
+		if _, found := shardMap.RangeByID(id); !found {
 			m.session.Release(resource)
 			slog.Info("home merged", "task", resource)
 		}
@@ -101,9 +101,9 @@
 // clearMove reports, once this member has nothing in doubt by a move that has ended, that it has not.
 func (m *Manager) clearMove(p *proposer, r shardmap.Range) {
 	move := r.Move
-	mustClear := move.From == m.Self && !move.FromClear || move.To == m.Self && !move.ToClear
+	mustClear := move.From == m.Self && !move.SourceCleared || move.To == m.Self && !move.TargetCleared
 	if mustClear && m.local.InDoubt(move.ID) == 0 {
-		p.propose("move cleared", r, shardmap.Clear(move.ID, m.Self))
+		p.propose("move cleared", r, shardmap.ClearMove(move.ID, m.Self))
 	}
 }
 
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -33,7 +33,7 @@
 func newIdleManager(t *testing.T) (*Manager, *session.Session, *raftleader.Leader) {
 	t.Helper()
 	leader := raftleader.Start(t, leaseTTL, session.MaxConnections(1), raftleader.ReplyTruthfully)
-	client := transport.New("a0", map[cluster.MemberID]string{"m1": leader.Addr})
+	client := transport.NewClient("a0", map[cluster.MemberID]string{"m1": leader.Addr})
 	began := time.Now()
 	clock := func() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
 	s := session.New(session.Config{Self: "a0", Incarnation: 1, LeaseTTL: leaseTTL, MaxClockDrift: 0.05, Clock: clock,
@@ -63,13 +63,13 @@
 	m, s, leader := newIdleManager(t)
 	shardMap := shardmap.New(nil)
 	var err error
-	shardMap.Ranges, err = shardmap.Even(4, []shardmap.Weight{{Member: "a0", Weight: 1}})
+	shardMap.Ranges, err = shardmap.EvenRanges(4, []shardmap.MemberWeight{{Member: "a0", Weight: 1}})
 	require.NoError(t, err)
 	for _, r := range shardMap.Ranges {
 		acquire(t, s, r.ID)
 	}
 	last := &shardMap.Ranges[3]
-	last.Home = "m2"
+	last.Owner = "m2"
 	m.shardMap.Store(shardMap)
 	m.Reconcile()
 	require.Equal(t, 1, leader.MapCommands())
@@ -82,8 +82,8 @@
 	m, s, _ := newIdleManager(t)
 	acquire(t, s, 1)
 	shardMap := shardmap.New(nil)
-	shardMap.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Home: "m2", Epoch: 1, Standing: shardmap.Seated,
-		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.Passing}}}
+	shardMap.Ranges = []shardmap.Range{{ID: 1, To: ^cluster.KeyHash(0), Owner: "m2", Epoch: 1, Status: shardmap.OwnerServing,
+		Move: shardmap.Move{ID: 7, From: "m2", To: "m3", Step: shardmap.StepHandoff}}}
 	m.shardMap.Store(shardMap)
 	require.Eventually(t, func() bool {
 		m.Reconcile()
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -32,7 +32,7 @@
 	var sessions []*session.Session
 	for i := range members {
 		id := cluster.MemberID(fmt.Sprint("a", i))
-		client := transport.New(id, map[cluster.MemberID]string{"m1": leader.Addr})
+		client := transport.NewClient(id, map[cluster.MemberID]string{"m1": leader.Addr})
 		s := session.New(session.Config{Self: id, Incarnation: 1, LeaseTTL: leaseTTL, MaxClockDrift: 0.05, Clock: clock,
 			Leader: session.NewLeaderClient(client, []cluster.MemberID{"m1"}, rand.Float64)})
 		t.Cleanup(func() {
@@ -47,12 +47,12 @@
 // The grant's answer is lost, and the next answer is that of a leader that had been stopped and still has an older
 // state. Guards against a resource that is the member's by the log and that it never acts on.
 func TestSession_AcquiresResourceWhoseGrantWasLostAndThatAnOlderLeaderDenies(t *testing.T) {
-	_, s := startFakeLeader(t, func(no int, real transport.Proposed) (int, []byte) {
+	_, s := startFakeLeader(t, func(no int, real transport.ProposeResponse) (int, []byte) {
 		if no == 1 {
 			return fasthttp.StatusGatewayTimeout, nil
 		}
 		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
-		return fasthttp.StatusOK, transport.Encode(transport.Proposed{Answer: transport.Encode(older)})
+		return fasthttp.StatusOK, transport.Encode(transport.ProposeResponse{Result: transport.Encode(older)})
 	})
 	s.Acquire("home/1")
 	awaitHeld(t, s, "home/1")
@@ -62,7 +62,7 @@
 // not wanted any more.
 func TestSession_FreesReleasedResourceWhoseGrantWasInDoubt(t *testing.T) {
 	requested := make(chan struct{}, 1000)
-	leader, s := startFakeLeader(t, func(int, transport.Proposed) (int, []byte) {
+	leader, s := startFakeLeader(t, func(int, transport.ProposeResponse) (int, []byte) {
 		requested <- struct{}{}
 		return fasthttp.StatusGatewayTimeout, nil
 	})
@@ -90,7 +90,7 @@
 func TestSession_RequestsSnapshotWhereADeltaDoesNotFit(t *testing.T) {
 	leader, s := startFakeLeader(t, nil)
 	part := func(version, since uint64, snapshot string) transport.PartState {
-		return transport.PartState{Part: cluster.PlanPart, Version: version, Since: since, Snapshot: []byte(snapshot)}
+		return transport.PartState{Part: cluster.PlanPart, Version: version, BaseVersion: since, Data: []byte(snapshot)}
 	}
 	leader.QueuePlanStates(part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"), part(3, 0, "three"),
 		part(7, 0, "seven"))
--- a/cluster/member/session/leaderclient.go
+++ b/cluster/member/session/leaderclient.go
@@ -20,7 +20,7 @@
 // LeaderClient sends requests to the raft node that leads, which it finds by asking the nodes. Its methods may be
 // called concurrently.
 type LeaderClient struct {
-	client *transport.Talk
+	client *transport.Client
 	random func() float64 // from [0, 1); called by one goroutine at a time
 
 	mu           sync.Mutex
@@ -31,7 +31,7 @@
 
 // NewLeaderClient returns a client for the raft nodes named. random returns numbers from [0, 1) and is called by one
 // goroutine at a time.
-func NewLeaderClient(client *transport.Talk, nodes []cluster.MemberID, random func() float64) *LeaderClient {
+func NewLeaderClient(client *transport.Client, nodes []cluster.MemberID, random func() float64) *LeaderClient {
 	return &LeaderClient{client: client, random: random, nodes: slices.Clone(nodes)}
 }
 
@@ -55,21 +55,21 @@
 )
 
 // Request sends what only the leader answers to it and returns its answer. Errors wrap transport.ErrNotSent where the
-// request surely had no effect, and transport.ErrUnsure where it may have had one; after the latter no other node is
+// request surely had no effect, and transport.ErrOutcomeUnknown where it may have had one; after the latter no other node is
 // tried.
 func (c *LeaderClient) Request(path string, body []byte, within time.Duration) ([]byte, error) {
 	deadline, cause := time.Now().Add(within), errNoLeader
 	for _, node := range c.attemptOrder() {
 		for hops := 0; node != "" && hops < maxHops; hops++ {
-			status, answer, err := c.client.Say(node, path, body, time.Until(deadline))
+			status, answer, err := c.client.Call(node, path, body, time.Until(deadline))
 			next := cluster.MemberID("")
 			switch {
-			case errors.Is(err, transport.ErrUnsure), err == nil && status == fasthttp.StatusGatewayTimeout:
+			case errors.Is(err, transport.ErrOutcomeUnknown), err == nil && status == fasthttp.StatusGatewayTimeout:
 				c.markUnresponsive(node)
 				if err == nil {
 					err = errUnknownOutcome
 				}
-				return nil, fmt.Errorf("%w: raft node %s: status %d: %w", transport.ErrUnsure, node, status, err)
+				return nil, fmt.Errorf("%w: raft node %s: status %d: %w", transport.ErrOutcomeUnknown, node, status, err)
 			case err != nil:
 				cause = err
 			case status == fasthttp.StatusOK:
@@ -89,11 +89,11 @@
 
 // namedLeader returns the leader that a node names which does not lead itself; "": none.
 func namedLeader(answer []byte, node cluster.MemberID) cluster.MemberID {
-	var elsewhere transport.Elsewhere
-	if err := transport.Decode(answer, &elsewhere); err != nil || elsewhere.Leads == node {
+	var elsewhere transport.NotLeaderResponse
+	if err := transport.Decode(answer, &elsewhere); err != nil || elsewhere.Leader == node {
 		return ""
 	}
-	return elsewhere.Leads
+	return elsewhere.Leader
 }
 
 // Propose has a command put into the log and returns the answer of the part that applied it and the entry's index, or
@@ -103,16 +103,16 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	var proposed transport.Proposed
+	var proposed transport.ProposeResponse
 	if err := transport.Decode(raw, &proposed); err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", transport.ErrUnsure, err)
+		return nil, 0, fmt.Errorf("%w: %w", transport.ErrOutcomeUnknown, err)
 	}
-	return proposed.Answer, proposed.Index, fsm.Refusal(proposed.Refusal)
+	return proposed.Result, proposed.Index, fsm.Refusal(proposed.ErrorCode)
 }
 
 // IsLeaderUnreached reports whether an error of Request or Propose says that no leader answered.
 func IsLeaderUnreached(err error) bool {
-	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrUnsure)
+	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrOutcomeUnknown)
 }
 
 // attemptOrder returns the nodes in the order in which they are tried: the last known leader first, one that didn't
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -51,14 +51,14 @@
 // returns whether the session is open by its answer.
 func (s *Session) requestRenewal(ask lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
 	answer, err := s.exchangeRenewal(session, tally)
-	if err == nil && answer.Refusal != 0 {
-		err = fsm.Refusal(answer.Refusal)
+	if err == nil && answer.ErrorCode != 0 {
+		err = fsm.Refusal(answer.ErrorCode)
 		s.dropSession(session)
 	}
-	if err == nil && answer.Term < s.LeaseTTL {
+	if err == nil && answer.TTL < s.LeaseTTL {
 		// By a longer TTL this member would act on leases that the raft nodes have granted to another.
 		slog.Error("the raft nodes count a shorter lease TTL: no session is opened", "ttl_us", s.LeaseTTL,
-			"theirs_us", answer.Term)
+			"theirs_us", answer.TTL)
 		return false
 	}
 	s.mu.Lock()
@@ -72,13 +72,13 @@
 	return true
 }
 
-func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Tally) (answer transport.SessionAnswer,
+func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Tally) (answer transport.SessionResponse,
 	err error) {
 	within := timing.Answer(s.LeaseTTL)
 	if session == 0 {
 		within = timing.Opening(s.LeaseTTL)
 	}
-	request := transport.SessionAsk{Member: s.Self, Session: session, Incarnation: s.Incarnation, Tally: tally}
+	request := transport.SessionRequest{Member: s.Self, Session: session, Incarnation: s.Incarnation, GrantTally: tally}
 	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
 	if err == nil {
 		err = transport.Decode(raw, &answer)
@@ -87,18 +87,18 @@
 }
 
 // applyRenewal takes the leader's positive answer. The caller holds the lock.
-func (s *Session) applyRenewal(ask lease.Ask, answer transport.SessionAnswer) {
+func (s *Session) applyRenewal(ask lease.Ask, answer transport.SessionResponse) {
 	before, wasActive := s.tenure.Session(), s.tenure.Holds(s.Clock())
 	if s.tenure.Answered(ask, answer.Session) && before != answer.Session {
 		s.SessionsOpened.Add(1)
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
 		s.wishes.Anew()
 	}
-	if len(answer.Holds) > 0 {
-		s.wishes.Has(answer.Session, answer.Holds)
+	if len(answer.Grants) > 0 {
+		s.wishes.Has(answer.Session, answer.Grants)
 		s.notifyChanges()
 	}
-	if !wasActive || len(answer.Holds) > 0 {
+	if !wasActive || len(answer.Grants) > 0 {
 		s.acquireWake.Send()
 	}
 }
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -38,7 +38,7 @@
 	node, failures := cluster.MemberID(""), 0
 	for !s.isClosed() {
 		request := s.watchRequest()
-		if len(request.Versions)+len(request.Wants) == 0 {
+		if len(request.Versions)+len(request.WantedTasks) == 0 {
 			select {
 			case <-s.pollWake:
 				continue
@@ -57,16 +57,16 @@
 		}
 		failures = 0
 		s.applyState(answer)
-		if len(answer.Parts)+len(answer.Free) == 0 {
+		if len(answer.Parts)+len(answer.FreeTasks) == 0 {
 			node = ""
 		}
 	}
 }
 
-func (s *Session) pollState(node cluster.MemberID, request transport.StateAsk) (answer transport.StateAnswer,
+func (s *Session) pollState(node cluster.MemberID, request transport.StateRequest) (answer transport.StateResponse,
 	answered bool) {
 	within := duration(timing.LongPoll(s.LeaseTTL) + timing.Answer(s.LeaseTTL))
-	status, raw, err := s.Leader.client.Say(node, transport.StatePath, transport.Encode(request), within)
+	status, raw, err := s.Leader.client.Call(node, transport.StatePath, transport.Encode(request), within)
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
 	}
@@ -77,18 +77,18 @@
 	return answer, true
 }
 
-func (s *Session) watchRequest() transport.StateAsk {
+func (s *Session) watchRequest() transport.StateRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request := transport.StateAsk{Versions: map[byte]uint64{}, Wants: s.wishes.Waits(), Changes: true}
+	request := transport.StateRequest{Versions: map[byte]uint64{}, WantedTasks: s.wishes.Waits(), AcceptDeltas: true}
 	for part, w := range s.watchers {
 		request.Versions[part] = w.version
 	}
 	return request
 }
 
-func (s *Session) applyState(answer transport.StateAnswer) {
-	s.markFreed(answer.Free)
+func (s *Session) applyState(answer transport.StateResponse) {
+	s.markFreed(answer.FreeTasks)
 	for _, part := range answer.Parts {
 		s.applyPart(part)
 	}
@@ -99,14 +99,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.watchers[part.Part]
-	isDelta := part.Since != 0
-	if w == nil || part.Version <= w.version || isDelta && part.Since != w.version {
+	isDelta := part.BaseVersion != 0
+	if w == nil || part.Version <= w.version || isDelta && part.BaseVersion != w.version {
 		return
 	}
-	snapshot := part.Snapshot
+	snapshot := part.Data
 	if isDelta {
 		var err error
-		snapshot, err = fsm.Changed(w.snapshot, part.Snapshot)
+		snapshot, err = fsm.Changed(w.snapshot, part.Data)
 		if err != nil {
 			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", part.Part, "why", err)
 			w.version = 0
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -81,11 +81,11 @@
 		return err
 	}
 	defer node.Close()
-	touch := &quorum.Contact{Voters: node, Self: process.InnerAddress(), Live: joined.LiveAt}
+	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
 	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
-		InTouch: touch.InTouch, Log: options.Log})
+		InTouch: touch.HasQuorum, Log: options.Log})
 	table.Serve(inner)
-	kept := store.OpenEndpoints(process.StoreDir, options.Log)
+	kept := store.OpenEndpointStore(process.StoreDir, options.Log)
 	defer kept.Close()
 	go keepEndpoints(life, options, node, table, kept)
 	introspect.Serve(inner, (&reporter{mesh: joined, node: node, endpoints: table.Table()}).report)
@@ -97,18 +97,18 @@
 		joined.SetSeeds(process.Seeds)
 	})
 	(&keeper{mesh: joined, node: node, log: options.Log}).run(ctx)
-	event.ProgramEnding.Log(options.Log).Send()
+	event.ProgramStopping.Log(options.Log).Send()
 	end(joined, node, control)
 	return nil
 }
 
 // startRegister joins the register to the mesh: what is committed here is spread, what others tell is learned.
-func startRegister(ctx context.Context, options Options, joined *member.Mesh, storage register.Storage, client *rpc.Client,
+func startRegister(ctx context.Context, options Options, joined *member.Service, storage register.Storage, client *rpc.Client,
 	inner *http.ServeMux) (*register.Node, error) {
 	records := &records{mesh: joined, log: options.Log}
 	node, err := register.Start(ctx, register.NodeOptions{Settings: options.Settings, Storage: storage, Client: client,
 		Mux: inner, Log: options.Log, Committed: records.spread,
-		Members: func() []register.Machine { return coreMachines(joined.Members()) }})
+		Peers: func() []register.Peer { return coreMachines(joined.Members()) }})
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 
 // keepEndpoints restores the endpoints that were kept on disk and then keeps that copy up to date.
 func keepEndpoints(ctx context.Context, options Options, node *register.Node, table *exchange.Exchange,
-	kept *store.Endpoints) {
+	kept *store.EndpointStore) {
 	restoring := &restorer{self: options.Settings.NodeName, store: kept, latest: node.Latest, table: table.Table(),
 		put: table.Put, ask: newProber().confirm, log: options.Log}
 	restoring.run(ctx)
@@ -128,8 +128,8 @@
 }
 
 // controlHandler answers operators and endpoints.
-func controlHandler(options Options, joined *member.Mesh, node *register.Node, table *exchange.Exchange,
-	touch *quorum.Contact) http.Handler {
+func controlHandler(options Options, joined *member.Service, node *register.Node, table *exchange.Exchange,
+	touch *quorum.Checker) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
 	return operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: table.Table(), Spread: table, Contact: touch,
@@ -137,14 +137,14 @@
 }
 
 // end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
-func end(joined *member.Mesh, node *register.Node, control *http.Server) {
+func end(joined *member.Service, node *register.Node, control *http.Server) {
 	joined.SetState(state.MemberLeaving)
 	handedOver := make(chan struct{})
 	go func() {
 		defer close(handedOver)
 		bounded, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
-		node.HandOver(bounded)
+		node.TransferVote(bounded)
 	}()
 	finishing, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
@@ -158,7 +158,7 @@
 // self is what a core process tells the mesh of its member at first.
 func self(process *settings.Process) state.Member {
 	return state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
-		Address: process.InnerAddress(), Control: process.Bind.Control, State: state.MemberStarting}
+		Address: process.InnerAddress(), ControlAddress: process.Bind.Control, State: state.MemberStarting}
 }
 
 func listen(ctx context.Context, address string) (net.Listener, error) {
--- a/serving/core/saver.go
+++ b/serving/core/saver.go
@@ -56,10 +56,10 @@
 	if !ok || delta.Position == s.position {
 		return
 	}
-	changes := store.EndpointChanges{Forgotten: delta.Forgotten, Complete: delta.Complete}
+	changes := store.EndpointChanges{Removed: delta.Forgotten, Snapshot: delta.Complete}
 	for _, endpoint := range delta.Changed {
-		if endpoint.State == state.Gone {
-			changes.Forgotten = append(changes.Forgotten, endpoint.ID)
+		if endpoint.State == state.EndpointDeparted {
+			changes.Removed = append(changes.Removed, endpoint.ID)
 			continue
 		}
 		changes.Changed = append(changes.Changed, endpoint)
@@ -75,7 +75,7 @@
 // noteFailure logs the first failure of several in a row.
 func (s *saver) noteFailure(err error) {
 	if !s.failing {
-		event.EndpointStoreRefuses.Log(s.log).Err(err).Send()
+		event.EndpointStoreFailed.Log(s.log).Err(err).Send()
 	}
 	s.failing = true
 }
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -21,10 +21,10 @@
 
 // GrantReply is what the leader answers to a request for grants: no counts these requests from 1, real is what became
 // of this one.
-type GrantReply func(no int, real transport.Proposed) (status int, body []byte)
+type GrantReply func(no int, real transport.ProposeResponse) (status int, body []byte)
 
 // ReplyTruthfully is the GrantReply of a leader without faults.
-func ReplyTruthfully(_ int, real transport.Proposed) (status int, body []byte) {
+func ReplyTruthfully(_ int, real transport.ProposeResponse) (status int, body []byte) {
 	return fasthttp.StatusOK, transport.Encode(real)
 }
 
@@ -51,7 +51,7 @@
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l.Addr = listener.Addr().String()
-	server := transport.Hears(maxConnections, time.Second)
+	server := transport.NewServer(maxConnections, time.Second)
 	server.Handle(transport.SessionPath, l.handleSession)
 	server.Handle(transport.ProposePath, l.handlePropose)
 	server.Handle(transport.StatePath, l.handleState)
@@ -90,30 +90,30 @@
 }
 
 // apply applies a command. The caller holds the lock.
-func (l *Leader) apply(c cluster.Command) transport.Proposed {
+func (l *Leader) apply(c cluster.Command) transport.ProposeResponse {
 	l.index++
 	answer, err := l.leases.Apply(l.index, c.Body)
-	return transport.Proposed{Answer: answer, Refusal: fsm.Code(err), Index: l.index}
+	return transport.ProposeResponse{Result: answer, ErrorCode: fsm.Code(err), Index: l.index}
 }
 
 func (l *Leader) handleSession(ctx *fasthttp.RequestCtx) {
-	var request transport.SessionAsk
+	var request transport.SessionRequest
 	if err := transport.Decode(ctx.Request.Body(), &request); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := transport.SessionAnswer{Session: request.Session, Term: l.leaseTTL}
+	answer := transport.SessionResponse{Session: request.Session, TTL: l.leaseTTL}
 	if request.Session == 0 {
-		opened, err := lease.ReadAnswer(l.apply(lease.Open(request.Member, request.Incarnation)).Answer)
+		opened, err := lease.ReadAnswer(l.apply(lease.Open(request.Member, request.Incarnation)).Result)
 		if err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 			return
 		}
 		answer.Session = opened.Session
-	} else if l.leases.Tally(request.Session) != request.Tally {
-		answer.Holds = l.leases.HeldBy(request.Session)
+	} else if l.leases.Tally(request.Session) != request.GrantTally {
+		answer.Grants = l.leases.HeldBy(request.Session)
 	}
 	ctx.SetBody(transport.Encode(answer))
 }
@@ -147,12 +147,12 @@
 }
 
 func (l *Leader) handleState(ctx *fasthttp.RequestCtx) {
-	var request transport.StateAsk
+	var request transport.StateRequest
 	if err := transport.Decode(ctx.Request.Body(), &request); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	answer := transport.StateAnswer{Parts: l.nextPlanState(request.Versions[cluster.PlanPart])}
+	answer := transport.StateResponse{Parts: l.nextPlanState(request.Versions[cluster.PlanPart])}
 	if len(answer.Parts) == 0 {
 		time.Sleep(time.Duration(l.leaseTTL/3) * time.Microsecond)
 	}
