--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -15,14 +15,14 @@
 
 // Machine is all that is replicated.
 type Machine struct {
-	book     *lease.Book
-	parts    map[byte]cluster.Part
+	book     *lease.Table
+	parts    map[byte]cluster.Component
 	versions map[byte]uint64
 	fresh    map[byte][]byte // each part as it was at first: for a snapshot that lacks it
 }
 
-// format rises when an older program could no longer read a snapshot.
-const format = 1
+// snapshotFormat rises when an older program could no longer read a snapshot.
+const snapshotFormat = 1
 
 var (
 	encoding, _ = cbor.CoreDetEncOptions().EncMode()
@@ -34,13 +34,13 @@
 	}.DecMode()
 )
 
-// New joins the book with the other parts, by their letters; fleet.LeasePart is the book's.
-func New(book *lease.Book, others map[byte]cluster.Part) *Machine {
+// New joins the book with the other parts, by their letters; cluster.LeaseComponent is the book's.
+func New(book *lease.Table, others map[byte]cluster.Component) *Machine {
 	parts := maps.Clone(others)
 	if parts == nil {
-		parts = map[byte]cluster.Part{}
+		parts = map[byte]cluster.Component{}
 	}
-	parts[cluster.LeasePart] = book
+	parts[cluster.LeaseComponent] = book
 	m := &Machine{book, parts, map[byte]uint64{}, map[byte][]byte{}}
 	for letter, p := range parts {
 		m.fresh[letter], _ = p.Snapshot() // one that can't be is refused by the part in Restore
@@ -48,8 +48,8 @@
 	return m
 }
 
-// Encode is a command as it stands in the log.
-func Encode(c cluster.Command) []byte {
+// EncodeCommand is a command as it stands in the log.
+func EncodeCommand(c cluster.Command) []byte {
 	b, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // no field of a command can fail
@@ -57,32 +57,32 @@
 	return b
 }
 
-// Apply does the log's entry: fleet.ErrFenced where By is not held by that epoch, ErrUnreadable where it
+// Apply does the log's entry: cluster.ErrFenced where By is not held by that epoch, ErrUnreadable where it
 // can't be decoded or is for no part, else what the part says. With an error nothing was changed.
 func (m *Machine) Apply(index uint64, raw []byte) ([]byte, error) {
 	var c cluster.Command
 	if err := decoding.Unmarshal(raw, &c); err != nil {
 		return nil, fmt.Errorf("log's entry %d: %w: %w", index, ErrUnreadable, err)
 	}
-	part := m.parts[c.Part]
+	part := m.parts[c.Component]
 	if part == nil {
-		return nil, fmt.Errorf("log's entry %d is for part %q, not known: %w", index, c.Part, ErrUnreadable)
+		return nil, fmt.Errorf("log's entry %d is for part %q, not known: %w", index, c.Component, ErrUnreadable)
 	}
-	if c.By == "" && c.Epoch != 0 || c.By != "" && !m.book.Holds(c.By, c.Epoch) {
+	if c.FencedBy == "" && c.Epoch != 0 || c.FencedBy != "" && !m.book.IsCurrent(c.FencedBy, c.Epoch) {
 		return nil, cluster.ErrFenced
 	}
 	answer, err := part.Apply(index, c.Body)
 	if err == nil {
-		m.versions[c.Part] = index
+		m.versions[c.Component] = index
 	}
 	return answer, err
 }
 
-// Version is the index of the last entry that a part took; 0: none.
-func (m *Machine) Version(part byte) uint64 { return m.versions[part] }
+// ComponentVersion is the index of the last entry that a part took; 0: none.
+func (m *Machine) ComponentVersion(part byte) uint64 { return m.versions[part] }
 
-// Part is the snapshot of one part; ErrUnreadable where it is not known.
-func (m *Machine) Part(part byte) ([]byte, error) {
+// ComponentSnapshot is the snapshot of one part; ErrUnreadable where it is not known.
+func (m *Machine) ComponentSnapshot(part byte) ([]byte, error) {
 	p := m.parts[part]
 	if p == nil {
 		return nil, fmt.Errorf("part %q is not known: %w", part, ErrUnreadable)
@@ -90,26 +90,26 @@
 	return p.Snapshot()
 }
 
-type image struct {
-	Format int         `cbor:"1,keyasint"`
-	Parts  []partImage `cbor:"2,keyasint"`
+type machineImage struct {
+	Format     int              `cbor:"1,keyasint"`
+	Components []componentImage `cbor:"2,keyasint"`
 }
 
-type partImage struct {
-	Part    byte   `cbor:"1,keyasint"`
-	Version uint64 `cbor:"2,keyasint"`
-	Bytes   []byte `cbor:"3,keyasint"`
+type componentImage struct {
+	Component byte   `cbor:"1,keyasint"`
+	Version   uint64 `cbor:"2,keyasint"`
+	Bytes     []byte `cbor:"3,keyasint"`
 }
 
 // Snapshot is the whole machine, the same bytes on each keeper.
 func (m *Machine) Snapshot() ([]byte, error) {
-	whole := image{Format: format}
+	whole := machineImage{Format: snapshotFormat}
 	for _, letter := range slices.Sorted(maps.Keys(m.parts)) {
 		b, err := m.parts[letter].Snapshot()
 		if err != nil {
 			return nil, fmt.Errorf("part %q: %w", letter, err)
 		}
-		whole.Parts = append(whole.Parts, partImage{letter, m.versions[letter], b})
+		whole.Components = append(whole.Components, componentImage{letter, m.versions[letter], b})
 	}
 	return encoding.Marshal(whole)
 }
--- a/cluster/member/coordinate.go
+++ b/cluster/member/coordinate.go
@@ -13,7 +13,7 @@
 
 // applyLeases takes the leases as the log has them.
 func (m *Member) applyLeases(_ uint64, snapshot []byte) {
-	leases := lease.NewBook()
+	leases := lease.NewTable()
 	if err := leases.Restore(snapshot); err != nil {
 		slog.Error("leases not read", "why", err)
 		return
@@ -45,11 +45,11 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	candidates := coordinator.Candidates{Ranges: m.file.Ranges}
+	candidates := coordinator.Candidates{Ranges: m.file.InitialRanges}
 	for _, member := range m.file.Members {
 		candidates.Members = append(candidates.Members, shardmap.Candidate{
 			MemberWeight: shardmap.MemberWeight{Member: member.ID, Weight: member.Weight},
-			MaxRanges:    member.Room,
+			MaxRanges:    member.MaxRanges,
 		})
 	}
 	if m.coordinator.Run(m.planRequest, candidates, m.clock()) {
@@ -60,7 +60,7 @@
 // healthQuery returns what the members are to be asked for: nothing where this member doesn't coordinate.
 func (m *Member) healthQuery() health.Query {
 	shardMap := m.ownership.Map()
-	if _, held := m.session.Holds(cluster.Conducts); !held || shardMap == nil {
+	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || shardMap == nil {
 		return health.Query{}
 	}
 	progress := m.progress.Load()
--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -37,7 +37,7 @@
 type Coordinator struct {
 	Config
 	failover *shardmap.FailoverPlanner
-	leases   *lease.Book         // as the log has them; nil: not known yet
+	leases   *lease.Table        // as the log has them; nil: not known yet
 	progress *rebalance.Progress // of the running plan, as the log has it; nil: not known yet
 
 	epoch           cluster.Epoch // of this member's lease; 0: it doesn't coordinate
@@ -52,7 +52,7 @@
 }
 
 // SetLeases takes the leases as the log has them.
-func (c *Coordinator) SetLeases(leases *lease.Book) { c.leases = leases }
+func (c *Coordinator) SetLeases(leases *lease.Table) { c.leases = leases }
 
 // SetProgress takes the running plan as the log has it.
 func (c *Coordinator) SetProgress(p *rebalance.Progress) { c.progress = p }
@@ -123,7 +123,7 @@
 
 // coordinates records by which grant this member coordinates; false: it doesn't, or doesn't know the leases yet.
 func (c *Coordinator) coordinates(now api.Micros) bool {
-	epoch, held := c.Session.Holds(cluster.Conducts)
+	epoch, held := c.Session.Holds(cluster.CoordinatorResource)
 	c.leaderUnreached = false
 	if !held || c.leases == nil {
 		c.failover.Reset()
@@ -155,7 +155,7 @@
 
 // isGrantEnded reports whether the grant is over by which a misplaced destination was served.
 func (c *Coordinator) isGrantEnded(m shardmap.MisplacedDestination) bool {
-	_, _, epoch, held := c.leases.Holder(cluster.HomeOf(m.Grant.Range))
+	_, _, epoch, held := c.leases.Holder(cluster.RangeOwnerResource(m.Grant.Range))
 	return !held || epoch != m.Grant.Epoch
 }
 
@@ -189,7 +189,7 @@
 	}
 	if _, err := c.Session.Propose(command); err != nil {
 		c.leaderUnreached = session.IsLeaderUnreached(err)
-		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrUnknown) {
+		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
 			slog.Warn(what+" not said", "why", err)
 		}
 		return false
--- a/cluster/member/coordinator/plan.go
+++ b/cluster/member/coordinator/plan.go
@@ -9,6 +9,7 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 )
@@ -29,7 +30,7 @@
 	}
 	someAlive := false
 	for _, m := range members {
-		drains := func(r rebalance.Rule) bool { return r.Kind == rebalance.Drain && r.Member == m.Member }
+		drains := func(r planfile.Rule) bool { return r.Kind == planfile.Drain && r.Member == m.Member }
 		if slices.ContainsFunc(file.Rules, drains) {
 			continue
 		}
@@ -48,14 +49,14 @@
 	if number != 0 && !request.Fresh {
 		return false
 	}
-	requested, err := rebalance.ParseFile(request.Text, planName)
+	requested, err := planfile.Parse(request.Text, planName)
 	if err != nil {
 		slog.Error("plan not taken up", "why", err)
 		return true
 	}
 	resumes := c.StoppedPlan() != 0 && c.StoppedPlan() == request.Resumes
 	if number != 0 && !resumes {
-		running, err := rebalance.ParseFile(c.progress.Text, planName)
+		running, err := planfile.Parse(c.progress.Text, planName)
 		if err == nil && reflect.DeepEqual(running, requested) {
 			return true
 		}
@@ -64,7 +65,7 @@
 }
 
 // makePlan computes the steps and proposes them; false: a range has to end its move first, or the proposal failed.
-func (c *Coordinator) makePlan(file *rebalance.File, text []byte, number uint64, shardMap *shardmap.Map) bool {
+func (c *Coordinator) makePlan(file *planfile.File, text []byte, number uint64, shardMap *shardmap.Map) bool {
 	plan, err := rebalance.NewPlan(file, shardMap, nil)
 	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) {
@@ -103,7 +104,7 @@
 	}
 }
 
-func (c *Coordinator) perform(a rebalance.Action, by shardmap.Coordinator, file *rebalance.File,
+func (c *Coordinator) perform(a rebalance.Action, by shardmap.Coordinator, file *planfile.File,
 	shardMap *shardmap.Map) {
 	plan, number := rebalance.Coordinator(c.epoch), c.progress.Number
 	switch a.Kind {
--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -39,7 +39,7 @@
 	const node cluster.MemberID = "it"
 	client := transport.NewClient("", map[cluster.MemberID]string{node: address})
 	defer client.Close()
-	request := transport.StateRequest{Versions: map[byte]uint64{cluster.RangesPart: 0, cluster.PlanPart: 0}}
+	request := transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: 0, cluster.RebalanceComponent: 0}}
 	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), duration(fetchTimeout))
 	if err != nil {
 		return answer, status, err
@@ -55,9 +55,9 @@
 	err := errNoShardMap
 	for _, part := range answer.Parts {
 		switch part.Part {
-		case cluster.RangesPart:
+		case cluster.ShardMapComponent:
 			err = shardMap.Restore(part.Data)
-		case cluster.PlanPart:
+		case cluster.RebalanceComponent:
 			if planErr := progress.Restore(part.Data); planErr != nil {
 				return planErr
 			}
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -35,7 +35,7 @@
 	// RecordArrival records by which move a webhook came here; 0: by none, or it was not accepted.
 	RecordArrival(inflight.RequestID, shardmap.MoveID)
 	// ApplyState takes over what another member has learned; offset is by how much this clock is ahead of that one's.
-	ApplyState(learned []api.Learned, offset api.Micros)
+	ApplyState(learned []api.DestinationState, offset api.Micros)
 }
 
 // Config is what a Forwarder and a Receiver are made from.
--- a/cluster/member/handoff/state.go
+++ b/cluster/member/handoff/state.go
@@ -56,13 +56,13 @@
 
 // ApplyState has the dispatcher take over what another member has learned of destinations. offset is by how much this
 // member's clock is ahead of that one's.
-func (m *Manager) ApplyState(learned []api.Learned, offset api.Micros) {
+func (m *Manager) ApplyState(learned []api.DestinationState, offset api.Micros) {
 	if len(learned) == 0 {
 		return
 	}
 	for i := range learned {
 		l := &learned[i]
-		for _, at := range []*api.Micros{&l.At, &l.WaitUntil, &l.CanaryAt, &l.ColdSince} {
+		for _, at := range []*api.Micros{&l.ObservedAt, &l.WaitUntil, &l.NextCanaryAt, &l.SlowStartSince} {
 			if *at > 0 {
 				*at += offset
 			}
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -110,7 +110,7 @@
 	isOwnIn := func(rng shardmap.Range, d api.DestinationID) bool {
 		return isOwn(rng) && r.Maps.Map().Contains(rng, d)
 	}
-	var all []api.Learned
+	var all []api.DestinationState
 	if slices.ContainsFunc(ranges, isOwn) {
 		all = r.learned(func(d api.DestinationID) bool {
 			return slices.ContainsFunc(ranges, func(rng shardmap.Range) bool { return isOwnIn(rng, d) })
@@ -118,7 +118,7 @@
 	}
 	return func(rng shardmap.Range) (unhealthy []api.DestinationID) {
 		for _, l := range all {
-			if l.Sick && isOwnIn(rng, l.Destination) {
+			if l.Unhealthy && isOwnIn(rng, l.Destination) {
 				unhealthy = append(unhealthy, l.Destination)
 			}
 		}
@@ -127,8 +127,8 @@
 }
 
 // learned returns what the policy has learned of destinations; nothing once the event loop has ended.
-func (r *Reporter) learned(match func(api.DestinationID) bool) []api.Learned {
-	found := make(chan []api.Learned, 1)
+func (r *Reporter) learned(match func(api.DestinationID) bool) []api.DestinationState {
+	found := make(chan []api.DestinationState, 1)
 	go func() {
 		all, _ := r.Decider.Learned(match)
 		found <- all
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -24,11 +24,11 @@
 	m.session = session.New(session.Config{
 		Self:          m.self,
 		Incarnation:   lease.Incarnation(randomID()),
-		LeaseTTL:      m.file.Term,
-		MaxClockDrift: m.file.Apart,
+		LeaseTTL:      m.file.LeaseTTL,
+		MaxClockDrift: m.file.MaxClockDrift,
 		Clock:         m.clock,
 		Leader:        session.NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
-		OnChange:      func(cluster.Task, cluster.Epoch) { m.wake() },
+		OnChange:      func(cluster.Resource, cluster.Epoch) { m.wake() },
 	})
 	m.ownership.Start(m.session)
 	if err := m.sites.Serve(m.session); err != nil { // without its records a webhook might be delivered twice
@@ -39,7 +39,7 @@
 		Session:  m.session,
 		Maps:     m.ownership,
 		Impacts:  m.collector,
-		LeaseTTL: m.file.Term,
+		LeaseTTL: m.file.LeaseTTL,
 	})
 	go func() { _ = m.server.Serve(m.listener) }() // ends by Close
 	m.watchState()
@@ -51,18 +51,18 @@
 
 // watchState follows the replicated state that this member goes by.
 func (m *Member) watchState() {
-	m.session.Watch(cluster.RangesPart, func(_ uint64, snapshot []byte) { m.ownership.ApplySnapshot(snapshot) })
+	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, snapshot []byte) { m.ownership.ApplySnapshot(snapshot) })
 	if m.raft == nil {
 		return
 	}
-	m.session.Acquire(cluster.Conducts)
-	m.session.Watch(cluster.LeasePart, m.applyLeases)
-	m.session.Watch(cluster.PlanPart, m.applyProgress)
+	m.session.Acquire(cluster.CoordinatorResource)
+	m.session.Watch(cluster.LeaseComponent, m.applyLeases)
+	m.session.Watch(cluster.RebalanceComponent, m.applyProgress)
 }
 
 // runPeriodically calls do whenever it is woken, and periodically.
 func (m *Member) runPeriodically(wake wakeup.Signal, do func()) {
-	tick := time.NewTicker(duration(m.file.Term) / checksPerTTL)
+	tick := time.NewTicker(duration(m.file.LeaseTTL) / checksPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -86,7 +86,7 @@
 }
 
 // Renew takes new settings of the dispatcher and reads the operator file again. One that can't be used changes nothing.
-func (m *Member) Renew(settings api.Facts) {
+func (m *Member) Renew(settings api.Settings) {
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	file.Term, file.Apart, file.Name = m.file.Term, m.file.Apart, m.file.Name // fixed while the process runs
+	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name // fixed while the process runs
 	m.file = file
 	m.planRequest = coordinator.PlanRequest{
 		Text:    text,
@@ -121,16 +121,16 @@
 // Leave waits for one of the turns by which the operator file bounds how many members leave at once, for a lease TTL at
 // most: one that gets no turn leaves all the same, since its process was told to end.
 func (m *Member) Leave() {
-	turns := m.file.Leaving
+	turns := m.file.MaxDeparting
 	for turn := range turns {
-		m.session.Acquire(cluster.LeaveTurn(turn))
+		m.session.Acquire(cluster.DepartureSlotResource(turn))
 	}
-	deadline := time.Now().Add(leaveTimeoutTTLs * duration(m.file.Term))
+	deadline := time.Now().Add(leaveTimeoutTTLs * duration(m.file.LeaseTTL))
 	for time.Now().Before(deadline) {
 		if m.takeLeaveTurn(turns) {
 			return
 		}
-		time.Sleep(duration(m.file.Term) / (checksPerTTL * checksPerTTL))
+		time.Sleep(duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
 	}
 	slog.Warn("leaves without a turn: none was free for a term")
 }
@@ -138,13 +138,13 @@
 // takeLeaveTurn returns whether this member has a turn, and releases all others then.
 func (m *Member) takeLeaveTurn(turns int) bool {
 	for turn := range turns {
-		epoch, held := m.session.Holds(cluster.LeaveTurn(turn))
+		epoch, held := m.session.Holds(cluster.DepartureSlotResource(turn))
 		if !held {
 			continue
 		}
 		for other := range turns {
 			if other != turn {
-				m.session.Release(cluster.LeaveTurn(other))
+				m.session.Release(cluster.DepartureSlotResource(other))
 			}
 		}
 		slog.Info("leaves in turn", "turn", turn, "epoch", epoch)
@@ -165,7 +165,7 @@
 			slog.Warn("log not closed in time", "why", err)
 		}
 	}
-	_ = m.server.Close(duration(m.file.Term) / checksPerTTL) // the process ends with what is open then
+	_ = m.server.Close(duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
 	m.client.Close()
 	_ = m.custody.Close() // what was answered has been written
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -49,8 +49,8 @@
 	configPath string
 	self       cluster.MemberID
 	dispatcher *dispatcher.Dispatcher
-	settings   atomic.Pointer[api.Facts] // read last
-	clock      func() api.Micros         // monotonic, for leases
+	settings   atomic.Pointer[api.Settings] // read last
+	clock      func() api.Micros            // monotonic, for leases
 	listener   net.Listener
 	server     *transport.Server
 	client     *transport.Client
@@ -107,19 +107,19 @@
 		return err
 	}
 	own, _ := file.Member(m.self)
-	if m.listener, err = listen(own.Says); err != nil {
+	if m.listener, err = listen(own.Address); err != nil {
 		return err
 	}
 	m.client = transport.NewClient(m.self, memberAddresses(file))
 	m.server = transport.NewServer(session.MaxConnections(len(file.Members)), requestTimeout)
-	if own.Log != "" {
+	if own.RaftAddress != "" {
 		if err := m.openRaftNode(own); err != nil {
 			return err
 		}
 	}
 	m.ownership = ownership.New(ownership.Config{
 		Self:         m.self,
-		LeaseTTL:     file.Term,
+		LeaseTTL:     file.LeaseTTL,
 		Clock:        m.clock,
 		HandoffBatch: handoff.MaxBatch,
 		OnChange:     m.wake,
@@ -143,20 +143,20 @@
 }
 
 func (m *Member) openRaftNode(own config.Member) error {
-	listener, err := listen(own.Log)
+	listener, err := listen(own.RaftAddress)
 	if err != nil {
 		return err
 	}
-	leases := lease.NewBook()
-	parts := map[byte]cluster.Part{
-		cluster.RangesPart: shardmap.New(leases),
-		cluster.PlanPart:   &rebalance.Progress{},
+	leases := lease.NewTable()
+	parts := map[byte]cluster.Component{
+		cluster.ShardMapComponent:  shardmap.New(leases),
+		cluster.RebalanceComponent: &rebalance.Progress{},
 	}
 	m.raft, err = raftnode.Open(raftnode.Config{
 		ClusterName:  m.file.Name,
 		Self:         m.self,
 		StateDir:     m.dispatcher.State,
-		SessionTTL:   m.file.Term,
+		SessionTTL:   m.file.LeaseTTL,
 		Addresses:    raftAddresses(m.file),
 		Client:       m.client,
 		Clock:        m.clock,
@@ -177,7 +177,7 @@
 		pending[custody.IDOf(id)] = true
 	}
 	m.custody, err = custody.Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB,
-		custodyRetentionTTLs*m.file.Term, func(id shardmap.WebhookID) bool { return pending[id] })
+		custodyRetentionTTLs*m.file.LeaseTTL, func(id shardmap.WebhookID) bool { return pending[id] })
 	return err
 }
 
@@ -210,7 +210,7 @@
 		Exchange:      m.dispatcher.Exchange,
 		Decider:       m.dispatcher.Decider,
 		Handoffs:      m.handoff,
-		MaxClockDrift: m.file.Apart,
+		MaxClockDrift: m.file.MaxClockDrift,
 	}
 }
 
@@ -223,14 +223,14 @@
 		Maps:    m.ownership,
 		Decider: d.Decider,
 		Clock:   m.clock,
-		Meter:   rebalance.NewImpactMeter(randomID(), m.file.Term, m.clock()),
+		Meter:   rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
 		Stop:    m.ended,
 	})
 	m.collector = health.NewCollector(health.CollectorConfig{
 		Self:        m.self,
 		Reporter:    m.reporter,
 		Client:      m.client,
-		LeaseTTL:    duration(m.file.Term),
+		LeaseTTL:    duration(m.file.LeaseTTL),
 		Members:     m.members,
 		Query:       m.healthQuery,
 		OnCollected: m.wake,
--- a/cluster/member/operatorfile.go
+++ b/cluster/member/operatorfile.go
@@ -10,6 +10,7 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/rebalance/planfile"
 )
 
 // readOperatorFile reads the operator file and checks that it names this member and that its plan can be read.
@@ -20,10 +21,10 @@
 	if text, err = os.ReadFile(m.configPath); err != nil {
 		return nil, file, fmt.Errorf("operator file: %w", err)
 	}
-	if file, err = config.Read(text, m.configPath); err != nil {
+	if file, err = config.Parse(text, m.configPath); err != nil {
 		return nil, file, err
 	}
-	if _, err = rebalance.ParseFile(text, m.configPath); err != nil {
+	if _, err = planfile.Parse(text, m.configPath); err != nil {
 		return nil, file, err
 	}
 	if _, found := file.Member(m.self); !found {
@@ -43,7 +44,7 @@
 func memberAddresses(f config.File) map[cluster.MemberID]string {
 	addresses := map[cluster.MemberID]string{}
 	for _, member := range f.Members {
-		addresses[member.ID] = member.Says
+		addresses[member.ID] = member.Address
 	}
 	return addresses
 }
@@ -52,8 +53,8 @@
 func raftAddresses(f config.File) map[cluster.MemberID]string {
 	addresses := map[cluster.MemberID]string{}
 	for _, member := range f.Members {
-		if member.Log != "" {
-			addresses[member.ID] = member.Log
+		if member.RaftAddress != "" {
+			addresses[member.ID] = member.RaftAddress
 		}
 	}
 	return addresses
@@ -62,7 +63,7 @@
 // raftNodes returns the members with a raft node, in the order of the file.
 func raftNodes(f config.File) (nodes []cluster.MemberID) {
 	for _, member := range f.Members {
-		if member.Log != "" {
+		if member.RaftAddress != "" {
 			nodes = append(nodes, member.ID)
 		}
 	}
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -107,7 +107,7 @@
 
 // HoldsRange reports whether this member holds the lease of a range.
 func (m *Manager) HoldsRange(id cluster.RangeID) bool {
-	_, held := m.session.Holds(cluster.HomeOf(id))
+	_, held := m.session.Holds(cluster.RangeOwnerResource(id))
 	return held
 }
 
--- a/cluster/member/ownership/reconcile.go
+++ b/cluster/member/ownership/reconcile.go
@@ -37,7 +37,7 @@
 
 // reconcileRange acquires, confirms or releases one range.
 func (m *Manager) reconcileRange(p *proposer, shardMap *shardmap.Map, r shardmap.Range) {
-	resource := cluster.HomeOf(r.ID)
+	resource := cluster.RangeOwnerResource(r.ID)
 	epoch, held := m.session.Holds(resource)
 	switch {
 	case held && m.mayLeave(r):
@@ -63,7 +63,7 @@
 
 // releaseRange gives up a range that goes elsewhere, as soon as it may. The range is closed first, so that what came
 // before the closure is counted by the next call.
-func (m *Manager) releaseRange(r shardmap.Range, resource cluster.Task, epoch cluster.Epoch) {
+func (m *Manager) releaseRange(r shardmap.Range, resource cluster.Resource, epoch cluster.Epoch) {
 	inFlight, pending := m.local.CallsInFlight(r), m.local.PendingWebhooks(r)
 	mayClose := m.local.StateTransferred(r) && r.ShouldCloseIntake(m.Self, inFlight, pending, m.HandoffBatch)
 	if mayClose && m.closeAdmission(r) {
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, resource := range m.session.Wanted() {
-		id, isRange := resource.Home()
+		id, isRange := resource.OwnedRange()
 		if !isRange {
 			continue
 		}
@@ -121,7 +121,7 @@
 	}
 	if _, err := p.session.Propose(command); err != nil {
 		level := slog.LevelWarn
-		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrHeld) {
+		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrAlreadyHeld) {
 			level = slog.LevelDebug
 		}
 		slog.Log(context.Background(), level, what+" not said", "range", r.ID, "why", err)
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -51,9 +51,9 @@
 
 func acquire(t *testing.T, s *session.Session, id cluster.RangeID) {
 	t.Helper()
-	s.Acquire(cluster.HomeOf(id))
+	s.Acquire(cluster.RangeOwnerResource(id))
 	require.Eventually(t, func() bool {
-		_, held := s.Holds(cluster.HomeOf(id))
+		_, held := s.Holds(cluster.RangeOwnerResource(id))
 		return held
 	}, longTimeout, time.Millisecond)
 }
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -26,7 +26,7 @@
 	Incarnation uint64                        `cbor:"6,keyasint"`           // of the folder that they are meant for
 
 	// Learned is what the sender has learned of the move's destinations, once it calls none of them any more.
-	Learned []api.Learned `cbor:"5,keyasint,omitempty"`
+	Learned []api.DestinationState `cbor:"5,keyasint,omitempty"`
 }
 
 // TransferReply is the answer to a Transfer. Where the incarnation is not the one named in that, nothing was accepted
--- a/cluster/member/session/acquire.go
+++ b/cluster/member/session/acquire.go
@@ -17,14 +17,14 @@
 		next, idle := s.nextProposal()
 		var err error
 		switch {
-		case next.Let != "":
+		case next.Release != "":
 			err = s.proposeRelease(next)
-		case next.Any() && s.takeFreed():
-			if !s.sleep(timing.Spread(s.LeaseTTL, s.Leader.drawRandom())) {
+		case next.HasWork() && s.takeFreed():
+			if !s.sleep(timing.AcquireJitter(s.LeaseTTL, s.Leader.drawRandom())) {
 				return
 			}
 			continue
-		case next.Any():
+		case next.HasWork():
 			err = s.proposeGrant(next)
 		default:
 			if !s.waitForWork(idle) {
@@ -37,7 +37,7 @@
 			failures = 0
 		} else {
 			failures++
-			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
+			wait = timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())
 		}
 		if !s.sleep(wait) {
 			return
@@ -51,13 +51,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, idle := s.Clock(), s.LeaseTTL
-	if at, scheduled := s.wishes.AgainAt(); scheduled {
+	if at, scheduled := s.reconciler.NextRetryAt(); scheduled {
 		idle = min(idle, max(at-now, 0)+1)
 	}
-	if !s.tenure.Holds(now) {
+	if !s.holder.IsValid(now) {
 		idle = s.LeaseTTL // acquireWake is sent when a session is open again
 	}
-	return s.wishes.Next(now), idle
+	return s.reconciler.NextProposal(now), idle
 }
 
 // waitForWork waits until there may be something to propose, for the time named at most; false: the session is closed.
@@ -77,7 +77,7 @@
 	_, err := s.Propose(p.Command())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Released(p, err) {
+	if s.reconciler.HandleReleaseResult(p, err) {
 		return nil
 	}
 	return err
@@ -87,19 +87,19 @@
 // reports that it is free, or after a while.
 func (s *Session) proposeGrant(p lease.Proposal) error {
 	raw, err := s.Propose(p.Command())
-	if errors.Is(err, cluster.ErrUnknown) {
+	if errors.Is(err, cluster.ErrNotFound) {
 		s.dropSession(p.Session)
 	}
 	if err != nil {
 		return err
 	}
-	answer, err := lease.ReadAnswer(raw)
+	answer, err := lease.DecodeResult(raw)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Granted(p.Session, answer.Granted, s.Clock()) {
+	if s.reconciler.HandleResult(p.Session, answer.Grants, s.Clock()) {
 		s.pollWake.Send()
 	}
 	s.notifyChanges()
@@ -107,10 +107,10 @@
 }
 
 // markFreed takes a raft node's report that resources are free.
-func (s *Session) markFreed(resources []cluster.Task) {
+func (s *Session) markFreed(resources []cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Free(resources) {
+	if s.reconciler.HandleFreed(resources) {
 		s.hasFreed = true
 		s.acquireWake.Send()
 	}
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -77,7 +77,7 @@
 	t.Parallel()
 	_, sessions := startFakeLeaderOf(t, 300, 10*api.Second, nil)
 	for _, s := range sessions {
-		s.Watch(cluster.PlanPart, func(uint64, []byte) {})
+		s.Watch(cluster.RebalanceComponent, func(uint64, []byte) {})
 	}
 	time.Sleep(11 * time.Second) // each renews
 	for _, s := range sessions {
@@ -90,12 +90,12 @@
 func TestSession_RequestsSnapshotWhereADeltaDoesNotFit(t *testing.T) {
 	leader, s := startFakeLeader(t, nil)
 	part := func(version, since uint64, snapshot string) transport.PartState {
-		return transport.PartState{Part: cluster.PlanPart, Version: version, BaseVersion: since, Data: []byte(snapshot)}
+		return transport.PartState{Part: cluster.RebalanceComponent, Version: version, BaseVersion: since, Data: []byte(snapshot)}
 	}
 	leader.QueuePlanStates(part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"), part(3, 0, "three"),
 		part(7, 0, "seven"))
 	delivered := make(chan string, 9)
-	s.Watch(cluster.PlanPart, func(_ uint64, snapshot []byte) { delivered <- string(snapshot) })
+	s.Watch(cluster.RebalanceComponent, func(_ uint64, snapshot []byte) { delivered <- string(snapshot) })
 	require.Equal(t, "five", <-delivered)
 	require.Equal(t, "seven", <-delivered)
 	require.Equal(t, []uint64{0, 5, 5, 0, 3}, leader.PolledVersions())
--- a/cluster/member/session/leaderclient.go
+++ b/cluster/member/session/leaderclient.go
@@ -107,7 +107,7 @@
 	if err := transport.Decode(raw, &proposed); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", transport.ErrOutcomeUnknown, err)
 	}
-	return proposed.Result, proposed.Index, fsm.Refusal(proposed.ErrorCode)
+	return proposed.Result, proposed.Index, fsm.ErrorFromCode(proposed.ErrorCode)
 }
 
 // IsLeaderUnreached reports whether an error of Request or Propose says that no leader answered.
--- a/cluster/member/session/notify.go
+++ b/cluster/member/session/notify.go
@@ -14,7 +14,7 @@
 	now := s.Clock()
 	for _, resource := range slices.Sorted(maps.Keys(s.notified)) {
 		before := s.notified[resource]
-		if epoch, held := s.tenure.Epoch(resource, now); held && epoch == before {
+		if epoch, held := s.holder.Epoch(resource, now); held && epoch == before {
 			continue
 		}
 		slog.Info("task over", "member", s.Self, "task", resource, "epoch", before)
@@ -22,21 +22,21 @@
 		s.ResourcesLost.Add(1)
 		s.queueNotification(resource, 0)
 	}
-	for _, resource := range s.wishes.Wanted() {
-		epoch, held := s.tenure.Epoch(resource, now)
+	for _, resource := range s.reconciler.Requested() {
+		epoch, held := s.holder.Epoch(resource, now)
 		if !held || s.notified[resource] != 0 {
 			continue
 		}
-		slog.Info("task held", "member", s.Self, "task", resource, "epoch", epoch, "session", s.tenure.Session())
+		slog.Info("task held", "member", s.Self, "task", resource, "epoch", epoch, "session", s.holder.Session())
 		s.notified[resource] = epoch
 		s.ResourcesAcquired.Add(1)
 		s.queueNotification(resource, epoch)
 	}
-	s.setActive(s.tenure.Holds(now))
+	s.setActive(s.holder.IsValid(now))
 }
 
 // queueNotification has OnChange called by the notify loop: it may call the session, whose lock is held here.
-func (s *Session) queueNotification(resource cluster.Task, epoch cluster.Epoch) {
+func (s *Session) queueNotification(resource cluster.Resource, epoch cluster.Epoch) {
 	if s.OnChange == nil {
 		return
 	}
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -20,14 +20,14 @@
 		s.notifyChanges()
 		wait := s.renewalWait(now)
 		if wait <= 0 && !s.isClosed() {
-			ask, session, tally := s.tenure.Asked(now), s.tenure.Session(), s.tenure.Tally()
+			ask, session, tally := s.holder.StartRenewal(now), s.holder.Session(), s.holder.Digest()
 			s.mu.Unlock()
 			if s.requestRenewal(ask, session, tally) {
 				failures = 0
 				continue
 			}
 			failures++
-			wait = timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())
+			wait = timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())
 		} else {
 			s.mu.Unlock()
 		}
@@ -40,19 +40,19 @@
 // renewalWait returns the time until the next renewal, or until the session ends by the clock if that is sooner:
 // otherwise nobody would be notified of that end. The caller holds the lock.
 func (s *Session) renewalWait(now api.Micros) api.Micros {
-	wait := s.tenure.AskAgainAt() - now
-	if s.tenure.Holds(now) {
-		wait = min(wait, s.tenure.Until()-now)
+	wait := s.holder.NextRenewalAt() - now
+	if s.holder.IsValid(now) {
+		wait = min(wait, s.holder.Deadline()-now)
 	}
 	return wait
 }
 
 // requestRenewal sends one request to the leader, to open a session where session is 0 and else to renew it, and
 // returns whether the session is open by its answer.
-func (s *Session) requestRenewal(ask lease.Ask, session cluster.SessionID, tally lease.Tally) bool {
+func (s *Session) requestRenewal(ask lease.Renewal, session cluster.SessionID, tally lease.Digest) bool {
 	answer, err := s.exchangeRenewal(session, tally)
 	if err == nil && answer.ErrorCode != 0 {
-		err = fsm.Refusal(answer.ErrorCode)
+		err = fsm.ErrorFromCode(answer.ErrorCode)
 		s.dropSession(session)
 	}
 	if err == nil && answer.TTL < s.LeaseTTL {
@@ -72,11 +72,11 @@
 	return true
 }
 
-func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Tally) (answer transport.SessionResponse,
+func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Digest) (answer transport.SessionResponse,
 	err error) {
-	within := timing.Answer(s.LeaseTTL)
+	within := timing.RequestTimeout(s.LeaseTTL)
 	if session == 0 {
-		within = timing.Opening(s.LeaseTTL)
+		within = timing.LoggedRequestTimeout(s.LeaseTTL)
 	}
 	request := transport.SessionRequest{Member: s.Self, Session: session, Incarnation: s.Incarnation, GrantTally: tally}
 	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
@@ -87,15 +87,15 @@
 }
 
 // applyRenewal takes the leader's positive answer. The caller holds the lock.
-func (s *Session) applyRenewal(ask lease.Ask, answer transport.SessionResponse) {
-	before, wasActive := s.tenure.Session(), s.tenure.Holds(s.Clock())
-	if s.tenure.Answered(ask, answer.Session) && before != answer.Session {
+func (s *Session) applyRenewal(ask lease.Renewal, answer transport.SessionResponse) {
+	before, wasActive := s.holder.Session(), s.holder.IsValid(s.Clock())
+	if s.holder.ConfirmRenewal(ask, answer.Session) && before != answer.Session {
 		s.SessionsOpened.Add(1)
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
-		s.wishes.Anew()
+		s.reconciler.RetryAll()
 	}
 	if len(answer.Grants) > 0 {
-		s.wishes.Has(answer.Session, answer.Grants)
+		s.reconciler.ReconcileGrants(answer.Session, answer.Grants)
 		s.notifyChanges()
 	}
 	if !wasActive || len(answer.Grants) > 0 {
@@ -107,6 +107,6 @@
 func (s *Session) dropSession(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tenure.Refused(session)
+	s.holder.HandleRejection(session)
 	s.notifyChanges()
 }
--- a/cluster/member/session/session.go
+++ b/cluster/member/session/session.go
@@ -27,7 +27,7 @@
 	// OnChange is called for each resource that the session has acquired, with the epoch of the grant, and for each
 	// that it has lost or released, with epoch 0. It runs on a goroutine of the session's own, one call at a time, and
 	// may call the session. nil: not called.
-	OnChange func(resource cluster.Task, epoch cluster.Epoch)
+	OnChange func(resource cluster.Resource, epoch cluster.Epoch)
 }
 
 // Session keeps a member's session open and the leases that hang on it. All methods may be called concurrently.
@@ -35,11 +35,11 @@
 	Counters
 	Config
 
-	mu       sync.Mutex
-	tenure   *lease.Tenure
-	wishes   *lease.Wishes
-	notified map[cluster.Task]cluster.Epoch // the state that OnChange was last called with
-	watchers map[byte]*watcher              // by part of the replicated state
+	mu         sync.Mutex
+	holder     *lease.Holder
+	reconciler *lease.Reconciler
+	notified   map[cluster.Resource]cluster.Epoch // the state that OnChange was last called with
+	watchers   map[byte]*watcher                  // by part of the replicated state
 
 	// hasFreed is set when a raft node reports that a resource became free: it tells all who wait for it in one
 	// moment, so the next request for a grant is spread.
@@ -58,12 +58,12 @@
 
 // New returns a session that has begun to open itself. It has to be closed.
 func New(c Config) *Session {
-	tenure := lease.NewTenure(c.LeaseTTL, c.MaxClockDrift)
+	holder := lease.NewHolder(c.LeaseTTL, c.MaxClockDrift)
 	s := &Session{
 		Config:      c,
-		tenure:      tenure,
-		wishes:      lease.NewWishes(tenure, timing.Reask(c.LeaseTTL)),
-		notified:    map[cluster.Task]cluster.Epoch{},
+		holder:      holder,
+		reconciler:  lease.NewReconciler(holder, timing.AcquireRetryInterval(c.LeaseTTL)),
+		notified:    map[cluster.Resource]cluster.Epoch{},
 		watchers:    map[byte]*watcher{},
 		acquireWake: wakeup.New(),
 		pollWake:    wakeup.New(),
@@ -80,10 +80,10 @@
 }
 
 // Acquire has the lease of a resource requested until it is granted, and again whenever it was lost, until Release.
-func (s *Session) Acquire(resource cluster.Task) {
+func (s *Session) Acquire(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wishes.Want(resource) {
+	if s.reconciler.Request(resource) {
 		s.acquireWake.Send()
 		s.pollWake.Send()
 	}
@@ -91,39 +91,39 @@
 
 // CancelAcquire ends the requests for a resource that was not granted; one that was stays until Release. It is cheap,
 // since it is called for each range whenever ownership is reconciled.
-func (s *Session) CancelAcquire(resource cluster.Task) {
+func (s *Session) CancelAcquire(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wishes.Unwant(resource)
+	s.reconciler.CancelRequest(resource)
 }
 
 // Release gives up a resource at once and has the release proposed to the raft nodes.
-func (s *Session) Release(resource cluster.Task) {
+func (s *Session) Release(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wishes.Release(resource)
+	s.reconciler.Release(resource)
 	s.acquireWake.Send()
 	s.notifyChanges()
 }
 
 // Wanted returns the resources that are held or requested, sorted.
-func (s *Session) Wanted() []cluster.Task {
+func (s *Session) Wanted() []cluster.Resource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wishes.Wanted()
+	return s.reconciler.Requested()
 }
 
 // Holds reads the clock and returns the epoch by which the resource may be acted on now; false: it may not.
-func (s *Session) Holds(resource cluster.Task) (cluster.Epoch, bool) {
+func (s *Session) Holds(resource cluster.Resource) (cluster.Epoch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tenure.Epoch(resource, s.Clock())
+	return s.holder.Epoch(resource, s.Clock())
 }
 
 // DoWhileHeld calls do if the resource is held, and returns whether it was. do has to call stillHeld right before it
 // writes the last byte of what it sends, and must not write that where it returns false: what happens between the two
 // can't be fenced at a third party.
-func (s *Session) DoWhileHeld(resource cluster.Task, do func(epoch cluster.Epoch, stillHeld func() bool)) bool {
+func (s *Session) DoWhileHeld(resource cluster.Resource, do func(epoch cluster.Epoch, stillHeld func() bool)) bool {
 	epoch, held := s.Holds(resource)
 	if !held {
 		return false
@@ -137,7 +137,7 @@
 
 // Propose has a command put into the log, as LeaderClient.Propose does, within the time that members allow for that.
 func (s *Session) Propose(command cluster.Command) (answer []byte, err error) {
-	answer, _, err = s.Leader.Propose(command, duration(timing.Opening(s.LeaseTTL)))
+	answer, _, err = s.Leader.Propose(command, duration(timing.LoggedRequestTimeout(s.LeaseTTL)))
 	return answer, err
 }
 
@@ -145,7 +145,7 @@
 func (s *Session) IsActive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tenure.Holds(s.Clock())
+	return s.holder.IsValid(s.Clock())
 }
 
 // Close releases everything and has the session ended in the log, so that nobody has to wait for its TTL.
@@ -156,14 +156,14 @@
 		s.mu.Unlock()
 		return
 	}
-	session := s.tenure.End()
+	session := s.holder.EndSession()
 	s.active.Store(0) // a session that is closed is not counted as lost
 	s.notifyChanges()
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
 		// Where this fails the session ends by its TTL.
-		_, _, _ = s.Leader.Propose(lease.End(session), duration(timing.Answer(s.LeaseTTL)))
+		_, _, _ = s.Leader.Propose(lease.EndSession(session), duration(timing.RequestTimeout(s.LeaseTTL)))
 	}
 	s.done.Wait()
 	s.deliverMu.Lock()
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -50,7 +50,7 @@
 		answer, answered := s.pollState(node, request)
 		if !answered {
 			failures++
-			if !s.sleep(timing.Again(s.LeaseTTL, failures, s.Leader.drawRandom())) {
+			if !s.sleep(timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())) {
 				return
 			}
 			continue
@@ -65,7 +65,7 @@
 
 func (s *Session) pollState(node cluster.MemberID, request transport.StateRequest) (answer transport.StateResponse,
 	answered bool) {
-	within := duration(timing.LongPoll(s.LeaseTTL) + timing.Answer(s.LeaseTTL))
+	within := duration(timing.LongPollTimeout(s.LeaseTTL) + timing.RequestTimeout(s.LeaseTTL))
 	status, raw, err := s.Leader.client.Call(node, transport.StatePath, transport.Encode(request), within)
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
@@ -80,7 +80,7 @@
 func (s *Session) watchRequest() transport.StateRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request := transport.StateRequest{Versions: map[byte]uint64{}, WantedTasks: s.wishes.Waits(), AcceptDeltas: true}
+	request := transport.StateRequest{Versions: map[byte]uint64{}, WantedTasks: s.reconciler.Blocked(), AcceptDeltas: true}
 	for part, w := range s.watchers {
 		request.Versions[part] = w.version
 	}
@@ -106,7 +106,7 @@
 	snapshot := part.Data
 	if isDelta {
 		var err error
-		snapshot, err = fsm.Changed(w.snapshot, part.Data)
+		snapshot, err = fsm.ApplyDelta(w.snapshot, part.Data)
 		if err != nil {
 			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", part.Part, "why", err)
 			w.version = 0
--- a/cluster/member/session/workload.go
+++ b/cluster/member/session/workload.go
@@ -28,15 +28,15 @@
 		if name == "" {
 			continue
 		}
-		s.Acquire(cluster.Task(name))
-		s.done.Go(func() { s.workloadLoop(guard, cluster.Task(name), env("ROWAN_GUARD_FENCE") == "1") })
+		s.Acquire(cluster.Resource(name))
+		s.done.Go(func() { s.workloadLoop(guard, cluster.Resource(name), env("ROWAN_GUARD_FENCE") == "1") })
 	}
 }
 
 // An action lasts up to a tenth of the lease TTL, and so does the delay between two.
 const workloadDelayDivisor = 10
 
-func (s *Session) workloadLoop(guard string, resource cluster.Task, fenced bool) {
+func (s *Session) workloadLoop(guard string, resource cluster.Resource, fenced bool) {
 	for s.sleep(s.workloadDelay()) {
 		s.DoWhileHeld(resource, func(epoch cluster.Epoch, stillHeld func() bool) {
 			query := url.Values{
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -12,20 +12,20 @@
 // newSites makes what joins this member's dispatcher to the streams of sites.
 func (m *Member) newSites() *site.Sites {
 	d := m.dispatcher
-	return site.New(site.Part{
-		Self:     m.self,
-		State:    d.State,
-		DiskMB:   diskMB(d.Told),
-		Exchange: d.Exchange,
-		Decider:  d.Decider,
-		Said:     m.client,
-		Takes:    d.Life.TakesOn,
-		Nudge:    m.wake,
-		Event:    m.eventType,
-		Serves:   m.isOwnerOf,
-		Home:     m.isSiteOwner,
-		Alone:    m.isSiteIsolated,
-		Buffer:   func() int { return m.settings.Load().Buffer },
+	return site.New(site.Options{
+		Self:           m.self,
+		StateDir:       d.State,
+		DiskMB:         diskMB(d.Told),
+		Exchange:       d.Exchange,
+		Decider:        d.Decider,
+		Messenger:      m.client,
+		IsAccepting:    d.Life.TakesOn,
+		NotifyHandoff:  m.wake,
+		EventType:      m.eventType,
+		IsRangeOwner:   m.isOwnerOf,
+		IsSiteOwner:    m.isSiteOwner,
+		IsOwnerUnknown: m.isSiteIsolated,
+		BufferCapacity: func() int { return m.settings.Load().BufferSize },
 	}, m.file)
 }
 
@@ -36,12 +36,12 @@
 
 // isSiteOwner reports whether this member owns the range of a site's subscribers.
 func (m *Member) isSiteOwner(s cluster.SiteID) bool {
-	return m.ownership.DecideForKey(cluster.SiteHash(s)).Action == shardmap.Serve
+	return m.ownership.DecideForKey(cluster.SiteKeyHash(s)).Action == shardmap.Serve
 }
 
 // isSiteIsolated reports whether nobody may own that range, as no raft node is reached.
 func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
-	return m.ownership.DecideForKey(cluster.SiteHash(s)).Action == shardmap.ServeIsolated
+	return m.ownership.DecideForKey(cluster.SiteKeyHash(s)).Action == shardmap.ServeIsolated
 }
 
 // defaultDiskMB is what the dispatcher's own journal has where the settings name nothing.
--- a/cluster/raftnode/hear.go
+++ b/cluster/raftnode/hear.go
@@ -75,7 +75,7 @@
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionResponse{Session: s, TTL: k.sessionTTL, Grants: v.grants}))
 		case renewalSessionEnded:
 			ctx.SetBody(transportpkg.Encode(transportpkg.SessionResponse{Session: s, TTL: k.sessionTTL,
-				ErrorCode: fsm.Code(cluster.ErrUnknown)}))
+				ErrorCode: fsm.ErrorCode(cluster.ErrNotFound)}))
 		default:
 			k.redirectToLeader(ctx)
 		}
@@ -85,18 +85,18 @@
 }
 
 func (k *Node) openSession(ctx *fasthttp.RequestCtx, ask transportpkg.SessionRequest) {
-	did, _, ok := k.proposeCommand(ctx, lease.Open(ask.Member, ask.Incarnation))
+	did, _, ok := k.proposeCommand(ctx, lease.OpenSession(ask.Member, ask.Incarnation))
 	if !ok {
 		return
 	}
-	answer := transportpkg.SessionResponse{TTL: k.sessionTTL, ErrorCode: fsm.Code(did.err)}
+	answer := transportpkg.SessionResponse{TTL: k.sessionTTL, ErrorCode: fsm.ErrorCode(did.err)}
 	if did.err == nil {
 		if !did.sessionLive { // it is being ended: the next one asked for is another
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
-		opened, err := lease.ReadAnswer(did.response)
-		answer.Session, answer.ErrorCode = opened.Session, fsm.Code(err)
+		opened, err := lease.DecodeResult(did.response)
+		answer.Session, answer.ErrorCode = opened.Session, fsm.ErrorCode(err)
 	}
 	ctx.SetBody(transportpkg.Encode(answer))
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	if did, index, ok := k.proposeCommand(ctx, c); ok {
-		ctx.SetBody(transportpkg.Encode(transportpkg.ProposeResponse{Result: did.response, ErrorCode: fsm.Code(did.err), Index: index}))
+		ctx.SetBody(transportpkg.Encode(transportpkg.ProposeResponse{Result: did.response, ErrorCode: fsm.ErrorCode(did.err), Index: index}))
 	}
 }
 
@@ -126,7 +126,7 @@
 		return applyResult{}, 0, false
 	}
 	k.Proposals.Add(1)
-	f := k.raft.ApplyLog(newLogEntry(c), toDuration(timing.Proposing(k.sessionTTL)))
+	f := k.raft.ApplyLog(newLogEntry(c), toDuration(timing.ProposalTimeout(k.sessionTTL)))
 	switch err := f.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader):
@@ -153,7 +153,7 @@
 	if !decodeRequest(ctx, &ask) {
 		return
 	}
-	late := time.NewTimer(toDuration(timing.LongPoll(k.sessionTTL)))
+	late := time.NewTimer(toDuration(timing.LongPollTimeout(k.sessionTTL)))
 	defer late.Stop()
 	for {
 		answer, news, err := k.readNewerState(ask)
--- a/cluster/raftnode/keeper.go
+++ b/cluster/raftnode/keeper.go
@@ -34,7 +34,7 @@
 	Addresses    map[cluster.MemberID]string // of all keepers, itself among them
 	Client       *transportpkg.Client
 	Clock        func() api.Micros // never runs back
-	Leases       *lease.Book
+	Leases       *lease.Table
 	StateMachine *fsm.Machine // over the book
 }
 
@@ -56,9 +56,9 @@
 	background      sync.WaitGroup
 
 	mu           sync.Mutex
-	leases       *lease.Book
+	leases       *lease.Table
 	machine      *fsm.Machine
-	deadlines    *lease.Terms
+	deadlines    *lease.ExpiryTracker
 	leaderTerm   uint64 // the raft term that it leads in, its sessions' terms begun; 0: it does not lead
 	haltErr      error
 	restoreErr   error         // a snapshot that could not be read
@@ -66,37 +66,37 @@
 	waiters      int
 	members      []cluster.MemberID // by the operator file, sorted
 	joinRequests map[cluster.MemberID]transportpkg.JoinRequest
-	history      map[byte]*fsm.Past
+	history      map[byte]*fsm.SnapshotHistory
 }
 
 // Open starts a keeper that hears the other logs on a listener, which it closes in the end. An error is one
 // line: a folder that can't be read, or is of a newer program.
 func Open(p Config, on net.Listener) (k *Node, err error) {
 	k = &Node{self: p.Self, sessionTTL: p.SessionTTL, clock: p.Clock, client: p.Client, leases: p.Leases, machine: p.StateMachine,
-		deadlines: lease.NewTerms(p.SessionTTL), leaderChanges: make(chan bool, 16), renewals: make(chan renewal, 64),
+		deadlines: lease.NewExpiryTracker(p.SessionTTL), leaderChanges: make(chan bool, 16), renewals: make(chan renewal, 64),
 		staleLeadership: make(chan struct{}),
 		closing:         make(chan struct{}), stateChanged: make(chan struct{}), joinRequests: map[cluster.MemberID]transportpkg.JoinRequest{},
-		history: map[byte]*fsm.Past{}}
-	goes, logger := timing.OfLog(p.SessionTTL), newRaftLogger(toDuration(p.SessionTTL))
+		history: map[byte]*fsm.SnapshotHistory{}}
+	goes, logger := timing.RaftTimingFor(p.SessionTTL), newRaftLogger(toDuration(p.SessionTTL))
 	if k.storage, err = openStorage(filepath.Join(p.StateDir, "fleet"), p.Self, logger); err != nil {
 		on.Close()
 		return nil, fmt.Errorf("keeper %s: %w", p.Self, err)
 	}
-	k.streams = newStreamLayer(on, p.ClusterName, k.storage.id, toDuration(goes.Call))
+	k.streams = newStreamLayer(on, p.ClusterName, k.storage.id, toDuration(goes.RPCTimeout))
 	k.transport = newContactTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		ServerAddressProvider: k.streams, Logger: logger, Stream: k.streams, MaxPool: 2, Timeout: toDuration(goes.Call),
+		ServerAddressProvider: k.streams, Logger: logger, Stream: k.streams, MaxPool: 2, Timeout: toDuration(goes.RPCTimeout),
 		MsgpackUseNewTimeFormat: true,
 	}), p.Clock)
 	k.setMembers(p.Addresses)
 	how := raft.DefaultConfig()
 	how.LocalID, how.Logger, how.NotifyCh, how.NoLegacyTelemetry = k.storage.id, logger, k.leaderChanges, true
-	how.HeartbeatTimeout, how.ElectionTimeout = toDuration(goes.Silence), toDuration(goes.Silence)
-	how.LeaderLeaseTimeout, how.CommitTimeout = toDuration(goes.Lease), toDuration(goes.Tell)
-	how.SnapshotThreshold, how.TrailingLogs = goes.Entries, goes.Trail
-	how.SnapshotInterval = toDuration(goes.Look)
-	logs, err := raft.NewLogCache(int(goes.Trail), k.storage.log)
+	how.HeartbeatTimeout, how.ElectionTimeout = toDuration(goes.HeartbeatTimeout), toDuration(goes.HeartbeatTimeout)
+	how.LeaderLeaseTimeout, how.CommitTimeout = toDuration(goes.LeaderLeaseTimeout), toDuration(goes.CommitTimeout)
+	how.SnapshotThreshold, how.TrailingLogs = goes.SnapshotThreshold, goes.TrailingLogs
+	how.SnapshotInterval = toDuration(goes.SnapshotInterval)
+	logs, err := raft.NewLogCache(int(goes.TrailingLogs), k.storage.log)
 	if err == nil {
-		kept := retryingStableStore{k.storage.log, toDuration(goes.Call), k.closing}
+		kept := retryingStableStore{k.storage.log, toDuration(goes.RPCTimeout), k.closing}
 		k.raft, err = raft.NewRaft(how, stateMachine{k}, logs, kept, k.storage.snapshots, k.transport)
 	}
 	if err != nil {
--- a/cluster/raftnode/newer.go
+++ b/cluster/raftnode/newer.go
@@ -17,17 +17,17 @@
 	defer k.mu.Unlock()
 	answer.AppliedIndex = k.raft.AppliedIndex()
 	for _, part := range slices.Sorted(maps.Keys(ask.Versions)) {
-		version, past := k.machine.Version(part), k.history[part]
+		version, past := k.machine.ComponentVersion(part), k.history[part]
 		if past == nil {
-			past = &fsm.Past{}
+			past = &fsm.SnapshotHistory{}
 			k.history[part] = past
 		}
 		// What is the newest now is remembered, too: guards against a whole for all when it changes next.
 		if version < ask.Versions[part] || version == ask.Versions[part] && !ask.AcceptDeltas || version == 0 {
 			continue
 		}
-		if past.Newest() != version {
-			raw, err := k.machine.Part(part)
+		if past.NewestVersion() != version {
+			raw, err := k.machine.ComponentSnapshot(part)
 			if err != nil {
 				return transportpkg.StateResponse{}, nil, err
 			}
@@ -38,9 +38,9 @@
 		}
 		p := transportpkg.PartState{Part: part, Version: version}
 		if ask.AcceptDeltas {
-			p.BaseVersion, p.Data = past.Since(ask.Versions[part])
+			p.BaseVersion, p.Data = past.DeltaSince(ask.Versions[part])
 		} else {
-			_, p.Data = past.Since(0)
+			_, p.Data = past.DeltaSince(0)
 		}
 		answer.Parts = append(answer.Parts, p)
 	}
@@ -58,8 +58,8 @@
 // rejectHeldTasks answers an ask for tasks that others hold, all of them, without an entry in the log: guards against
 // one for each time that somebody asks. A yes is never given so.
 func (k *Node) rejectHeldTasks(c cluster.Command) (answer []byte, sure bool) {
-	var o lease.Order
-	if c.Part != cluster.LeasePart || c.By != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.GrantKind {
+	var o lease.Operation
+	if c.Component != cluster.LeaseComponent || c.FencedBy != "" || transportpkg.Decode(c.Body, &o) != nil || o.Kind != lease.OpAcquire {
 		return nil, false
 	}
 	k.mu.Lock()
@@ -67,12 +67,12 @@
 	if k.leaderTerm == 0 || k.leases.MemberOf(o.Session) == "" {
 		return nil, false
 	}
-	no := lease.Answer{Session: o.Session}
-	for _, t := range o.Tasks {
+	no := lease.Result{Session: o.Session}
+	for _, t := range o.Resources {
 		if s, _, _, held := k.leases.Holder(t); !held || s == o.Session {
 			return nil, false
 		}
-		no.Granted = append(no.Granted, lease.Granted{Task: t})
+		no.Grants = append(no.Grants, lease.Grant{Resource: t})
 	}
-	return transportpkg.Encode(no), len(o.Tasks) > 0
+	return transportpkg.Encode(no), len(o.Resources) > 0
 }
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -30,26 +30,26 @@
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Life{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, api.Facts{Slots: 4, Buffer: 9, MaxAttempts: 3, Tick: 1000,
-		EventTypes: []api.EventType{{Target: api.Second, TTL: 9 * api.Second}}})
+	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
+		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
 	d.Join(shut{})
 	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
-		func(f api.Facts, h api.Host) api.Module { return policy.New(f, h) })
+		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
-	item := func(id string) stream.Item { return stream.Item{Request: id, To: []api.DestinationID{7}} }
+	item := func(id string) stream.Item { return stream.Item{RequestID: id, Destinations: []api.DestinationID{7}} }
 	for _, id := range []inflight.RequestID{"a", "b"} {
 		now := inflight.Now()
 		what, _ := x.HandInHere(&inflight.Webhook{RequestID: id, Destination: 7, TTL: now + 9*api.Second,
 			CameAt: now})
 		require.Equal(t, inflight.Taken, what)
 	}
-	require.NoError(t, l.Sending([]stream.Item{item("a")}, 1, 100))
-	require.ErrorIs(t, l.Sending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
+	require.NoError(t, l.RecordSending([]stream.Item{item("a")}, 1, 100))
+	require.ErrorIs(t, l.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
 	m, marked := marks.get("a")
 	assert.True(t, marked)
 	assert.Equal(t, api.Micros(100), m.At)
--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := config.Read(text, path)
+	file, err := config.Parse(text, path)
 	if err != nil {
 		return err
 	}
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -48,7 +48,7 @@
 }
 
 // Run is the life of a core process. When the context ends it finishes the orders under way, bids the other members
-// farewell and returns. Errors are of the kind result.CoreAddressInUse or come from joining.
+// farewell and returns. Errors are of the kind errcode.CoreAddressInUse or come from joining.
 func Run(ctx context.Context, options Options) error {
 	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -82,8 +82,8 @@
 	}
 	defer node.Close()
 	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
-	table := exchange.Start(life, exchange.Options{Mesh: joined, BeatInterval: process.BeatInterval,
-		InTouch: touch.HasQuorum, Log: options.Log})
+	table := exchange.Start(life, exchange.Options{Gossip: joined, HeartbeatInterval: process.BeatInterval,
+		HasQuorum: touch.HasQuorum, Log: options.Log})
 	table.Serve(inner)
 	kept := store.OpenEndpointStore(process.StoreDir, options.Log)
 	defer kept.Close()
@@ -132,8 +132,8 @@
 	touch *quorum.Checker) http.Handler {
 	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
 		Members: joined.Members, Clock: time.Now}
-	return operator.New(operator.Options{Register: operator.RegisterOf(node), Endpoints: table.Table(), Spread: table, Contact: touch,
-		Regions: options.Settings.Regions, Forward: forwarder.Forward, Log: options.Log})
+	return operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: table.Table(), Replicator: table, Quorum: touch,
+		Regions: options.Settings.Regions, ForwardTo: forwarder.ForwardTo, Log: options.Log})
 }
 
 // end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -36,7 +36,7 @@
 	grantReply GrantReply
 
 	mu             sync.Mutex
-	leases         *lease.Book
+	leases         *lease.Table
 	index          uint64
 	planStates     []transport.PartState
 	polledVersions []uint64
@@ -47,7 +47,7 @@
 // Start starts a leader that accepts so many connections. It is stopped when the test ends.
 func Start(t testing.TB, leaseTTL api.Micros, maxConnections int, reply GrantReply) *Leader {
 	t.Helper()
-	l := &Leader{leases: lease.NewBook(), leaseTTL: leaseTTL, grantReply: reply}
+	l := &Leader{leases: lease.NewTable(), leaseTTL: leaseTTL, grantReply: reply}
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l.Addr = listener.Addr().String()
@@ -82,7 +82,7 @@
 }
 
 // WasRequestedAndIsFree reports whether grants were requested and nobody holds the resource now.
-func (l *Leader) WasRequestedAndIsFree(resource cluster.Task) bool {
+func (l *Leader) WasRequestedAndIsFree(resource cluster.Resource) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, _, _, held := l.leases.Holder(resource)
@@ -93,7 +93,7 @@
 func (l *Leader) apply(c cluster.Command) transport.ProposeResponse {
 	l.index++
 	answer, err := l.leases.Apply(l.index, c.Body)
-	return transport.ProposeResponse{Result: answer, ErrorCode: fsm.Code(err), Index: l.index}
+	return transport.ProposeResponse{Result: answer, ErrorCode: fsm.ErrorCode(err), Index: l.index}
 }
 
 func (l *Leader) handleSession(ctx *fasthttp.RequestCtx) {
@@ -106,14 +106,14 @@
 	defer l.mu.Unlock()
 	answer := transport.SessionResponse{Session: request.Session, TTL: l.leaseTTL}
 	if request.Session == 0 {
-		opened, err := lease.ReadAnswer(l.apply(lease.Open(request.Member, request.Incarnation)).Result)
+		opened, err := lease.DecodeResult(l.apply(lease.OpenSession(request.Member, request.Incarnation)).Result)
 		if err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 			return
 		}
 		answer.Session = opened.Session
-	} else if l.leases.Tally(request.Session) != request.GrantTally {
-		answer.Grants = l.leases.HeldBy(request.Session)
+	} else if l.leases.Digest(request.Session) != request.GrantTally {
+		answer.Grants = l.leases.GrantsOf(request.Session)
 	}
 	ctx.SetBody(transport.Encode(answer))
 }
@@ -126,19 +126,19 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if command.Part == cluster.RangesPart {
+	if command.Component == cluster.ShardMapComponent {
 		l.mapCommands++
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	var order lease.Order
+	var order lease.Operation
 	if err := transport.Decode(command.Body, &order); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	real := l.apply(command)
 	status, body := fasthttp.StatusOK, transport.Encode(real)
-	if order.Kind == lease.GrantKind {
+	if order.Kind == lease.OpAcquire {
 		l.grantRequests++
 		status, body = l.grantReply(l.grantRequests, real)
 	}
@@ -152,7 +152,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	answer := transport.StateResponse{Parts: l.nextPlanState(request.Versions[cluster.PlanPart])}
+	answer := transport.StateResponse{Parts: l.nextPlanState(request.Versions[cluster.RebalanceComponent])}
 	if len(answer.Parts) == 0 {
 		time.Sleep(time.Duration(l.leaseTTL/3) * time.Microsecond)
 	}
