--- a/cluster/member/admission.go
+++ b/cluster/member/admission.go
@@ -16,13 +16,13 @@
 
 // Calls reports whether a destination may be called from here now.
 func (a admission) Calls(dest api.DestinationID, ordered bool) bool {
-	may, asRelay := a.m.sites.Calls(dest)
+	may, asRelay := a.m.sites.MayCall(dest)
 	return may && (asRelay || a.m.ownership.Decide(dest).AllowsCall(ordered))
 }
 
 // Part returns the share of a destination's rate, from 0 to 1, that may be used here.
 func (a admission) Part(dest api.DestinationID) float64 {
-	return a.m.sites.Part(dest, a.m.ownership.Decide(dest).RateShare(int(a.m.memberCount.Load())))
+	return a.m.sites.RateShare(dest, a.m.ownership.Decide(dest).RateShare(int(a.m.memberCount.Load())))
 }
 
 // Doubts reports whether another member may have a webhook that was recovered from the journal.
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -45,7 +45,7 @@
 // orderingKey names webhooks that are delivered in order.
 type orderingKey struct {
 	destination api.DestinationID
-	key         api.Key
+	key         api.OrderingKey
 }
 
 // batchByPeer sorts the pending webhooks by what is to be done with them. Of one ordering key, nothing is handed off
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -31,7 +31,7 @@
 		OnChange:      func(cluster.Resource, cluster.Epoch) { m.wake() },
 	})
 	m.ownership.Start(m.session)
-	if err := m.sites.Serve(m.session); err != nil { // without its records a webhook might be delivered twice
+	if err := m.sites.Start(m.session); err != nil { // without its records a webhook might be delivered twice
 		slog.Error("what goes to relays not read", "why", err)
 		os.Exit(1)
 	}
@@ -105,7 +105,7 @@
 	}
 	m.updatePeers(file)
 	m.memberCount.Store(int64(len(file.Members)))
-	m.sites.Renew(file)
+	m.sites.ApplyConfig(file)
 	slog.Info("operator file read again", "members", len(file.Members))
 	m.wake()
 }
@@ -157,7 +157,7 @@
 // leadership on.
 func (m *Member) End() {
 	close(m.ended)
-	m.sites.End()
+	m.sites.Close()
 	m.done.Wait()
 	m.session.Close()
 	if m.raft != nil {
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -130,8 +130,8 @@
 	m.wireHandoff()
 	m.wireHealth()
 	m.sites = m.newSites()
-	m.sites.Begin()
-	m.sites.Hear(m.server)
+	m.sites.Install()
+	m.sites.RegisterHandlers(m.server)
 	d.Decider.Join(admission{m})
 	d.Calls.May = func(dest api.DestinationID) bool { return admission{m}.Calls(dest, false) }
 	return nil
@@ -254,7 +254,7 @@
 	if all := m.settings.Load().EventTypes; int(id) < len(all) {
 		return all[id]
 	}
-	return api.EventType{Repeat: api.AtMostOnce}
+	return api.EventType{Semantics: api.AtMostOnce}
 }
 
 // wake has everything reconciled soon.
--- a/cluster/member/metrics.go
+++ b/cluster/member/metrics.go
@@ -12,7 +12,7 @@
 	}
 	m.session.WriteMetrics(w)
 	m.metrics.Write(w)
-	m.sites.Print(w)
+	m.sites.WriteMetrics(w)
 	if m.raft != nil {
 		m.raft.WriteMetrics(w)
 		m.writePlanMetrics(w)
--- a/cluster/member/operatorfile.go
+++ b/cluster/member/operatorfile.go
@@ -9,7 +9,6 @@
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
-	"rowanlink/cluster/rebalance"
 	"rowanlink/cluster/rebalance/planfile"
 )
 
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -51,7 +51,7 @@
 		if no == 1 {
 			return fasthttp.StatusGatewayTimeout, nil
 		}
-		older := lease.Answer{Granted: []lease.Granted{{Task: "home/1"}}}
+		older := lease.Result{Grants: []lease.Grant{{Resource: "home/1"}}}
 		return fasthttp.StatusOK, transport.Encode(transport.ProposeResponse{Result: transport.Encode(older)})
 	})
 	s.Acquire("home/1")
