--- /dev/null
+++ b/cluster/member/handoff/localwork.go
@@ -0,0 +1,43 @@
+package handoff
+
+import (
+	"slices"
+
+	"rowanlink/cluster/member/ownership"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+var _ ownership.LocalWork = (*Manager)(nil)
+
+// CallsInFlight counts the calls in flight to destinations of a range.
+func (m *Manager) CallsInFlight(r shardmap.Range) int {
+	shardMap := m.Ownership.Map()
+	_, calls := m.Decider.Owes(func(w *inflight.Webhook) bool { return shardMap.CountsToward(r, w.Destination) })
+	return calls
+}
+
+// CallsInFlightTo counts the calls in flight to destinations.
+func (m *Manager) CallsInFlightTo(destinations []api.DestinationID) int {
+	_, calls := m.Decider.Owes(func(w *inflight.Webhook) bool { return slices.Contains(destinations, w.Destination) })
+	return calls
+}
+
+// PendingWebhooks counts the webhooks of a range that are pending here and, as far as is known, at no other member.
+func (m *Manager) PendingWebhooks(r shardmap.Range) int {
+	shardMap := m.Ownership.Map()
+	pending, _ := m.Decider.Owes(func(w *inflight.Webhook) bool { return shardMap.Contains(r, w.Destination) })
+	return len(pending)
+}
+
+// StateTransferred reports whether the target of the range's move has what was learned here: a wait that a destination
+// asked for, an outage or a slow start has to be known there before the target may call.
+func (m *Manager) StateTransferred(r shardmap.Range) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.stateSent[r.Move.ID]
+}
+
+// InDoubt counts the webhooks that were offered by a move without an answer yet.
+func (m *Manager) InDoubt(move shardmap.MoveID) int { return m.Custody.PendingByMove(move) }
