--- a/cmd/rowanctl/config.go
+++ b/cmd/rowanctl/config.go
@@ -111,7 +111,7 @@
 	difference := amendment.Changes(document)
 	lines := make([]string, 0, len(difference))
 	for _, change := range difference {
-		lines = append(lines, change.Kind+" "+change.List+" "+change.Name)
+		lines = append(lines, string(change.Kind)+" "+change.List+" "+change.Name)
 	}
 	return s.print(difference, lines, nil)
 }
--- a/serving/routing/amend_test.go
+++ b/serving/routing/amendment_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAmend runs testdata/amendments: "base" sets the document, "amend" prints what comes of an amendment, or why it is
-// refused.
-func TestAmend(t *testing.T) {
+// TestAmendment_Apply runs testdata/amendments: "base" sets the document, "amend" prints the amended document, or the
+// error.
+func TestAmendment_Apply(t *testing.T) {
 	datadriven.Walk(t, "testdata/amendments", func(t *testing.T, path string) {
 		var base string
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -34,13 +34,14 @@
 	})
 }
 
-// namedItems reads the lists of a document as an operator does who works the amendment out by itself.
+// namedItems decodes a list of a document, independently of the tested code.
 func namedItems(t *testing.T, document []byte, list string) (names []string, items map[string]any) {
-	var whole map[string]any
-	require.NoError(t, json.Unmarshal(document, &whole), "%s", document)
+	t.Helper()
+	var decoded map[string]any
+	require.NoError(t, json.Unmarshal(document, &decoded), "%s", document)
 	items = map[string]any{}
-	of, _ := whole[list].([]any)
-	for _, item := range of {
+	decodedItems, _ := decoded[list].([]any)
+	for _, item := range decodedItems {
 		name, _ := item.(map[string]any)["name"].(string)
 		names = append(names, name)
 		items[name] = item
@@ -48,7 +49,7 @@
 	return names, items
 }
 
-// FuzzAmendment: whatever is taken changes the named items alone, and the same amendment again changes nothing more.
+// FuzzAmendment: a valid amendment changes only the named items, and applying it is idempotent.
 func FuzzAmendment(f *testing.F) {
 	base := []byte(`{"mark":[1],"edition":3,"routings":[{"name":"a","station":"x","lane_prefix":"/a/","carrier":"s"},` +
 		`{"name":"b","station":"x","lane_prefix":"/b/","carrier":"s"}],"carriers":[{"name":"s"},{"name":"t"}]}`)
--- a/serving/routing/settings.go
+++ b/serving/routing/documentfields.go
@@ -6,7 +6,7 @@
 	"rowanlink/serving/schema"
 )
 
-// document is an operator's configuration as it is written.
+// document is a configuration as the operator writes it.
 type document struct {
 	version  uint64
 	routes   []routeDocument
@@ -14,23 +14,23 @@
 	limits   Limits
 }
 
-// routeDocument is a route as it is written: with one service, or split over several.
+// routeDocument is a route as the operator writes it: with one service, or split over several.
 type routeDocument struct {
 	Route
 	service string
 	split   []weightedServiceDocument
 }
 
-// weightedServiceDocument is one service of a split and its weight.
+// weightedServiceDocument is one service of a split as the operator writes it.
 type weightedServiceDocument struct {
 	service string
 	weight  float64
 }
 
-// kindNames are the words for the kinds of route.
+// kindNames maps the names of the kinds of route in documents.
 var kindNames = map[string]Kind{"once_only": KindAtMostOnce, "repeatable": KindIdempotent, "stream": KindStream}
 
-// Settings of a document and of its parts. The names are the operators' own.
+// The fields of a document and of its parts.
 var (
 	documentFields = schema.Table[document]{
 		{Name: "edition", Required: true, Type: schema.Uint64(func(d *document) *uint64 { return &d.version })},
--- a/serving/routing/fuzz_test.go
+++ b/serving/routing/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzConfiguration: what is taken is consistent, finds routes as the naive rule does, and means the same when another
-// writer has written it again.
+// FuzzConfiguration: an accepted document is consistent, matches routes as the naive rule does, and parses alike after
+// another program has encoded it.
 func FuzzConfiguration(f *testing.F) {
 	f.Add([]byte(newTestDocument([][2]string{{"x.example", "/"}, {"X.example", "/a/"}, {"y.example", "/a/b/"}})), "/a/b/c")
 	f.Add([]byte(`{"edition":7,"routings":[{"station":"x","lane_prefix":"//","line_type":"stream","timeout_ms":1e300,
@@ -28,46 +28,48 @@
 		}
 		checkTable(t, table)
 		for _, route := range table.Routes() {
-			for _, asked := range []string{path, route.Prefix, route.Prefix + path, strings.TrimSuffix(route.Prefix, "/")} {
-				want := naiveMatch(routesOfHost(table.Routes(), route.Host), route.Host, asked)
-				found, matched := table.Match(route.Host, asked)
-				require.Equal(t, want != "", matched, "%q %q", route.Host, asked)
+			for _, requested := range []string{path, route.Prefix, route.Prefix + path, strings.TrimSuffix(route.Prefix, "/")} {
+				want := naiveMatch(routesOfHost(table.Routes(), route.Host), route.Host, requested)
+				found, matched := table.Match(route.Host, requested)
+				require.Equal(t, want != "", matched, "%q %q", route.Host, requested)
 				if matched {
-					require.Equal(t, want, found.Prefix, "%q %q", route.Host, asked)
+					require.Equal(t, want, found.Prefix, "%q %q", route.Host, requested)
 				}
 			}
 		}
-		if again, same := reencode(document); same {
-			other, err := Parse(again)
+		if reencoded, equivalent := reencode(document); equivalent {
+			reparsed, err := Parse(reencoded)
 			require.NoError(t, err)
-			assert.Equal(t, table, other, "%s", again)
+			assert.Equal(t, table, reparsed, "%s", reencoded)
 		}
 	})
 }
 
-// routesOfHost leaves the naive rule only the routes of one host: it folds letters that are no ASCII otherwise.
-func routesOfHost(routes []Route, host string) (same []Route) {
+// routesOfHost returns the routes of one host. The naive rule must not compare hosts itself: it folds the case of
+// letters other than ASCII.
+func routesOfHost(routes []Route, host string) (ofHost []Route) {
 	for _, route := range routes {
 		if route.Host == host {
-			same = append(same, route)
+			ofHost = append(ofHost, route)
 		}
 	}
-	return same
+	return ofHost
 }
 
-// checkTable checks what the rest of the system takes for granted.
+// checkTable checks the invariants that the rest of the system relies on.
 func checkTable(t *testing.T, table *Table) {
+	t.Helper()
 	seen := map[[2]string]bool{}
 	for _, route := range table.Routes() {
-		place := [2]string{route.Host, route.Prefix}
-		require.False(t, seen[place], "two routes at %v", place)
-		seen[place] = true
+		key := [2]string{route.Host, route.Prefix}
+		require.False(t, seen[key], "two routes for %v", key)
+		seen[key] = true
 		assert.NotEmpty(t, route.Services)
-		for _, share := range route.Services {
-			service, known := table.Service(share.Service)
+		for _, weighted := range route.Services {
+			service, known := table.Service(weighted.Service)
 			require.True(t, known)
-			assert.Equal(t, share.Service, service.Name)
-			assert.Positive(t, share.Weight)
+			assert.Equal(t, weighted.Service, service.Name)
+			assert.Positive(t, weighted.Weight)
 		}
 		assert.Positive(t, route.Timeout)
 		assert.Positive(t, route.MaxAttempts)
@@ -85,23 +87,23 @@
 	assert.Positive(t, table.Limits.IdleTimeout)
 }
 
-// reencode is the document as another program writes it: with its fields in another order and without spaces. Where
-// programs read JSON differently (a name twice in one object, broken UTF-8, halves of pairs), there is none.
-func reencode(document []byte) (again []byte, same bool) {
+// reencode returns the document as another program writes it: with its fields in another order and without spaces;
+// false for documents that JSON parsers read differently (duplicate keys, invalid UTF-8, lone surrogates).
+func reencode(document []byte) (reencoded []byte, equivalent bool) {
 	if !utf8.Valid(document) || bytes.Contains(document, []byte(`\u`)) || hasDuplicateKeys(document) {
 		return nil, false
 	}
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
-	var whole any
-	if decoder.Decode(&whole) != nil {
+	var decoded any
+	if decoder.Decode(&decoded) != nil {
 		return nil, false
 	}
-	again, err := json.Marshal(whole)
-	return again, err == nil
+	reencoded, err := json.Marshal(decoded)
+	return reencoded, err == nil
 }
 
-// hasDuplicateKeys tells whether some object may name a field twice: whether any text stands before a colon twice in one.
+// hasDuplicateKeys reports whether an object of the document has a key twice.
 func hasDuplicateKeys(document []byte) bool {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
--- a/serving/routing/match.go
+++ b/serving/routing/match.go
@@ -9,49 +9,49 @@
 type hostRoutes struct {
 	host     string
 	routes   map[string]*Route // by prefix
-	maxDepth int               // the most slashes in a prefix
+	maxDepth int               // the largest number of slashes in a prefix
 }
 
-// add takes a route in. It returns the route that has its prefix already, else nil.
-func (p *hostRoutes) add(route *Route) (other *Route) {
-	if other := p.routes[route.Prefix]; other != nil {
-		return other
+// add adds a route, or returns the route that already has its prefix.
+func (h *hostRoutes) add(route *Route) (duplicate *Route) {
+	if existing := h.routes[route.Prefix]; existing != nil {
+		return existing
 	}
-	p.routes[route.Prefix] = route
-	p.maxDepth = max(p.maxDepth, strings.Count(route.Prefix, "/"))
+	h.routes[route.Prefix] = route
+	h.maxDepth = max(h.maxDepth, strings.Count(route.Prefix, "/"))
 	return nil
 }
 
-// Match returns the route of a request: the one of the host whose prefix is the longest that begins the path. The
+// Match returns the route of a request: of the routes of the host, the one with the longest prefix of the path. The
 // host may have a port and is compared without regard to case. The path is the request's as sent, without query.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	known, ok := t.byHost[host]
-	if !ok {
-		known, ok = t.byHost[normalizeHost(host)]
+	routes, found := t.byHost[host]
+	if !found {
+		routes, found = t.byHost[normalizeHost(host)]
 	}
-	if !ok {
+	if !found {
 		return nil, false
 	}
-	return known.longestMatch(path)
+	return routes.longestMatch(path)
 }
 
-// longestMatch looks at each part of the path that ends with a slash, as prefixes do, the shortest first.
-func (p *hostRoutes) longestMatch(path string) (found *Route, ok bool) {
+// longestMatch looks up each leading part of the path that ends with a slash, as prefixes do, the shortest first.
+func (h *hostRoutes) longestMatch(path string) (longest *Route, found bool) {
 	end := 0
-	for range p.maxDepth {
-		next := strings.IndexByte(path[end:], '/')
-		if next < 0 {
+	for range h.maxDepth {
+		slash := strings.IndexByte(path[end:], '/')
+		if slash < 0 {
 			break
 		}
-		end += next + 1
-		if route := p.routes[path[:end]]; route != nil {
-			found = route
+		end += slash + 1
+		if route := h.routes[path[:end]]; route != nil {
+			longest = route
 		}
 	}
-	return found, found != nil
+	return longest, longest != nil
 }
 
-// normalizeHost cuts the port off and turns capitals into small letters.
+// normalizeHost removes the port and lower-cases the name.
 func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
--- a/serving/routing/match_test.go
+++ b/serving/routing/match_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// naiveMatch is the rule as it is written: of the routes of the host, the longest prefix that begins the path.
+// naiveMatch is the specification of Match: of the routes of the host, the longest prefix of the path.
 func naiveMatch(routes []Route, host, path string) string {
 	best := ""
 	for _, route := range routes {
@@ -30,19 +30,19 @@
 		}
 		return "/" + strings.Join(parts, "/") + "/"
 	})
-	place := rapid.Custom(func(t *rapid.T) [2]string {
+	hostAndPrefix := rapid.Custom(func(t *rapid.T) [2]string {
 		return [2]string{rapid.SampledFrom([]string{"x.example", "Y.example"}).Draw(t, "host"), prefix.Draw(t, "prefix")}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.SliceOfNDistinct(place, 0, 12, rapid.ID[[2]string]).Draw(t, "places")
-		table, err := Parse([]byte(newTestDocument(places)))
+		routes := rapid.SliceOfNDistinct(hostAndPrefix, 0, 12, rapid.ID[[2]string]).Draw(t, "places")
+		table, err := Parse([]byte(newTestDocument(routes)))
 		require.NoError(t, err)
 		host := rapid.SampledFrom([]string{"x.example", "X.EXAMPLE", "y.example", "z.example"}).Draw(t, "host")
 		path := "/" + strings.Join(segments.Draw(t, "path"), "/")
 		want := naiveMatch(table.Routes(), host, path)
-		for _, asked := range []string{host, host + ":8080"} {
-			route, found := table.Match(asked, path)
-			assert.Equal(t, want != "", found, "%s%s", asked, path)
+		for _, requested := range []string{host, host + ":8080"} {
+			route, found := table.Match(requested, path)
+			assert.Equal(t, want != "", found, "%s%s", requested, path)
 			if found {
 				assert.Equal(t, want, route.Prefix)
 				assert.True(t, strings.EqualFold(host, route.Host))
@@ -51,16 +51,17 @@
 	})
 }
 
-func newTestDocument(places [][2]string) string {
+// newTestDocument returns a document with a route for each host and prefix.
+func newTestDocument(hostsAndPrefixes [][2]string) string {
 	var routes []string
-	for index, place := range places {
+	for index, route := range hostsAndPrefixes {
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","station":%q,"lane_prefix":%q,"carrier":"s"}`, index,
-			place[0], place[1]))
+			route[0], route[1]))
 	}
 	return `{"edition":1,"routings":[` + strings.Join(routes, ",") + `],"carriers":[{"name":"s"}]}`
 }
 
-func BenchmarkMatchAmong400Routes(b *testing.B) {
+func BenchmarkMatch_400Routes(b *testing.B) {
 	table, err := Parse(newLargeDocument(400))
 	if err != nil {
 		b.Fatal(err)
--- a/serving/routing/parse.go
+++ b/serving/routing/table.go
@@ -6,13 +6,14 @@
 	"rowanlink/serving/errcode"
 )
 
-// fractionalWeightScale turns weights with fractions into whole ones.
-const fractionalWeightScale = 1_000_000
-
-// maxWeight is where larger weights are cut.
-const maxWeight = 1_000_000_000
+const (
+	// fractionalWeightScale is the factor that makes integers of weights with fractions.
+	fractionalWeightScale = 1_000_000
+	// maxWeight is the value to which larger weights are reduced.
+	maxWeight = 1_000_000_000
+)
 
-// Table is a checked configuration. It doesn't change and is safe for use by several goroutines.
+// Table is a validated configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	Version uint64
 	Limits  Limits
@@ -23,20 +24,20 @@
 	byHost   map[string]*hostRoutes
 }
 
-// Parse reads and checks an operator's document. Errors are the numbered ones of package result from 400 to 409 and
-// say which route or service and which field is wrong.
+// Parse parses and validates a configuration document. Errors are those of package errcode with numbers 400 to 405;
+// they name the route or service and the invalid field.
 func Parse(text []byte) (*Table, error) {
-	var read document
-	if err := documentFields.Parse(text, &read); err != nil {
+	var parsed document
+	if err := documentFields.Parse(text, &parsed); err != nil {
 		return nil, err
 	}
-	table := &Table{Version: read.version, Limits: read.limits, services: read.services}
+	table := &Table{Version: parsed.version, Limits: parsed.limits, services: parsed.services}
 	if err := table.indexServices(); err != nil {
 		return nil, err
 	}
-	table.routes = make([]Route, len(read.routes))
-	for index := range read.routes {
-		route := &read.routes[index]
+	table.routes = make([]Route, len(parsed.routes))
+	for index := range parsed.routes {
+		route := &parsed.routes[index]
 		if err := table.resolveServices(route); err != nil {
 			return nil, err
 		}
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// resolveServices checks the services that a route names and sets their weights. A split goes before a single
-// service. Services with weight 0 get nothing and are left out.
+// resolveServices validates the services that a route names and sets their weights. A split takes precedence over a
+// single service. Services with weight 0 are left out.
 func (t *Table) resolveServices(route *routeDocument) error {
 	if route.service != "" || len(route.split) == 0 {
 		service := t.byName[route.service]
@@ -79,12 +80,13 @@
 func (t *Table) resolveSplit(route *routeDocument) error {
 	scale := weightScale(route.split)
 	route.Services = make([]WeightedService, 0, len(route.split))
-	for _, share := range route.split {
-		service := t.byName[share.service]
+	for _, part := range route.split {
+		service := t.byName[part.service]
 		if service == nil {
-			return errcode.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, share.service)
+			return errcode.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, part.service)
 		}
-		if weight := int(math.Round(min(share.weight, maxWeight) * scale)); weight > 0 {
+		weight := int(math.Round(min(part.weight, maxWeight) * scale))
+		if weight > 0 {
 			route.Services = append(route.Services, WeightedService{Service: service.Name, Weight: weight})
 		}
 	}
@@ -94,10 +96,10 @@
 	return nil
 }
 
-// weightScale is what weights are multiplied by to be whole: 1 unless one of them has a fraction.
+// weightScale returns the factor that makes integers of the weights: 1 unless one of them has a fraction.
 func weightScale(split []weightedServiceDocument) float64 {
-	for _, share := range split {
-		if share.weight != math.Trunc(share.weight) {
+	for _, part := range split {
+		if part.weight != math.Trunc(part.weight) {
 			return fractionalWeightScale
 		}
 	}
@@ -109,15 +111,15 @@
 	for index := range t.routes {
 		route := &t.routes[index]
 		host := normalizeHost(route.Host)
-		known := t.byHost[host]
-		if known == nil {
-			known = &hostRoutes{host: host, routes: make(map[string]*Route)}
-			t.byHost[host] = known
+		routes := t.byHost[host]
+		if routes == nil {
+			routes = &hostRoutes{host: host, routes: make(map[string]*Route)}
+			t.byHost[host] = routes
 		}
-		route.Host = known.host
-		if other := known.add(route); other != nil {
-			return errcode.DuplicateRoute.With("routings %q and %q: station %q, lane_prefix %q", other.Name, route.Name,
-				route.Host, route.Prefix)
+		route.Host = routes.host // shares the string
+		if duplicate := routes.add(route); duplicate != nil {
+			return errcode.DuplicateRoute.With("routings %q and %q: station %q, lane_prefix %q", duplicate.Name,
+				route.Name, route.Host, route.Prefix)
 		}
 	}
 	return nil
@@ -125,8 +127,8 @@
 
 // Service returns a service by name.
 func (t *Table) Service(name string) (*Service, bool) {
-	service, known := t.byName[name]
-	return service, known
+	service, found := t.byName[name]
+	return service, found
 }
 
 // Routes returns all routes in the document's order. The caller must not change them.
--- a/serving/routing/parse_test.go
+++ b/serving/routing/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestParse runs the documents of testdata/documents: "parse" prints what a document is read as, or why it is refused.
+// TestParse runs testdata/documents: "parse" prints the parsed document, or the error.
 func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata/documents", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -43,14 +43,14 @@
 	return text.String()
 }
 
-// TestParse_RejectsTruncatedDocuments cuts a document at each byte: it must never be taken for a whole one.
+// TestParse_RejectsTruncatedDocuments truncates a document at each byte.
 func TestParse_RejectsTruncatedDocuments(t *testing.T) {
-	whole := newLargeDocument(3)
-	_, err := Parse(whole)
+	document := newLargeDocument(3)
+	_, err := Parse(document)
 	require.NoError(t, err)
-	for length := range whole {
-		_, err := Parse(whole[:length])
-		assert.Error(t, err, "cut after %d bytes", length)
+	for length := range document {
+		_, err := Parse(document[:length])
+		assert.Error(t, err, "truncated after %d bytes", length)
 	}
 }
 
@@ -67,14 +67,14 @@
 func TestTable_Service(t *testing.T) {
 	table, err := Parse(newLargeDocument(1))
 	require.NoError(t, err)
-	service, known := table.Service("s")
-	require.True(t, known)
+	service, found := table.Service("s")
+	require.True(t, found)
 	assert.Equal(t, "s", service.Name)
-	_, known = table.Service("t")
-	assert.False(t, known)
+	_, found = table.Service("t")
+	assert.False(t, found)
 }
 
-// newLargeDocument is a document with so many routes of one host.
+// newLargeDocument returns a document with the given number of routes of one host.
 func newLargeDocument(count int) []byte {
 	var text strings.Builder
 	text.WriteString(`{"edition":7,"routings":[`)
@@ -90,7 +90,7 @@
 	return []byte(text.String())
 }
 
-func BenchmarkParse1400Routes(b *testing.B) {
+func BenchmarkParse_1400Routes(b *testing.B) {
 	text := newLargeDocument(1400)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/serving/routing/types.go
+++ b/serving/routing/types.go
@@ -1,60 +1,60 @@
-// Package routing reads, checks and searches an operator's configuration document.
+// Package routing parses and validates operators' configuration documents and matches requests to their routes.
 package routing
 
 import "time"
 
-// Kind says what may be repeated.
+// Kind says whether requests on a route may be repeated.
 type Kind uint8
 
 // The kinds of route.
 const (
-	KindAtMostOnce Kind = iota // runs at most once for each try of a client
-	KindIdempotent             // may run more than once
-	KindStream                 // answers with a series of events; once only unless it may be resumed
+	KindAtMostOnce Kind = iota // a request is executed at most once for each attempt of a client
+	KindIdempotent             // a request may be executed more than once
+	KindStream                 // the response is a stream of events; at most once unless Route.Resumable
 )
 
-// WeightedService is one service of a route that is split, and its weight.
+// WeightedService is a service that gets a part of a route's requests in proportion to its weight.
 type WeightedService struct {
 	Service string
-	Weight  int
+	Weight  int // above 0
 }
 
-// Route is one checked route.
+// Route is a validated route.
 type Route struct {
 	Name          string
 	Host          string
 	Prefix        string // begins and ends with a slash
 	Kind          Kind
-	Timeout       time.Duration     // the longest that the operator wants a request held
-	LatencyTarget time.Duration     // an answer within it earns its full worth
-	Precedence    int               // rank; 0 is highest
-	Services      []WeightedService // one with weight 1 where the route is not split
-	MaxAttempts   int               // endpoints that one try of a client may be sent to
-	Sticky        bool              // its requests share parts of prompts
-	Resumable     bool              // a stream may be taken up at another endpoint
-	GapTarget     time.Duration     // the longest pause between events that keeps an answer in time
-	HomeRegions   []string          // where not empty, only these may serve
+	Timeout       time.Duration // the longest that the operator wants a request held
+	LatencyTarget time.Duration // a response within it has its full value
+	Precedence    int           // rank; 0 is highest
+	Services      []WeightedService
+	MaxAttempts   int           // endpoints to which one attempt of a client may be sent
+	Sticky        bool          // its requests share prefixes of prompts
+	Resumable     bool          // a stream may be resumed at another endpoint
+	GapTarget     time.Duration // the longest gap between events with which a response is in time
+	HomeRegions   []string      // if not empty, only these regions may serve
 }
 
-// Idempotent tells whether a request on the route may run more than once.
+// Idempotent reports whether a request on the route may be executed more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Service is one checked service.
+// Service is a validated service.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int           // connections that one endpoint takes from all callers together
-	WarmUpDuration time.Duration // how long an endpoint is cold after a start during traffic
-	WarmUpRate     float64       // requests a second that a cold endpoint bears; 0: no bound
-	Engine         *Engine       // nil where the service is no language model
+	MaxConnections int           // connections that one endpoint accepts from all proxies together
+	WarmUpDuration time.Duration // how long an endpoint that starts during traffic is warming up
+	WarmUpRate     float64       // requests per second that an endpoint takes while warming up; 0: no limit
+	Engine         *Engine       // nil if the service isn't a language model
 }
 
-// Engine describes the batches of a language model's endpoints.
+// Engine describes the batching of a language model's endpoints.
 type Engine struct {
-	Slots          int
-	CacheTokens    int // tokens of memory that running requests and cached parts share
+	Slots          int // requests in a batch
+	CacheTokens    int // KV cache that running requests and cached prefixes share, in tokens
 	TokensPerEvent int // tokens in one event of a stream
 }
 
