--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"strconv"
@@ -15,12 +16,12 @@
 	"rowanlink/serving/placement"
 )
 
-func TestAnswerGoesBackUnchanged(t *testing.T) {
+func TestForward_HeadersAndBodiesUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	r := newRig(t, func(p *peer) {
-		for request := p.request(); request != nil; request = p.request() {
+	r := newTestProxy(t, func(p *endpointConn) {
+		for request := p.readRequest(); request != nil; request = p.readRequest() {
 			got <- request
-			p.say(okHead + "X-Own: 1\r\nX-Own: 2\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\nbody")
+			p.write(okHead + "X-Own: 1\r\nX-Own: 2\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\nbody")
 		}
 	})
 	request := r.request("/fetch/%2e%2e//a?x=%zz&&", "hello")
@@ -50,21 +51,21 @@
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(body))
 
-	placed := r.placer.requests[0]
+	placed := r.picker.requests[0]
 	assert.Equal(t, "m", placed.Model)
 	assert.Equal(t, 1460, placed.PromptTokens)
 	assert.Equal(t, 80, placed.MaxOutputTokens)
 	assert.Equal(t, []placement.PrefixBlock{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, placed.Blocks)
-	assert.Equal(t, []attempt.Outcome{attempt.Succeeded}, r.placer.ended())
+	assert.Equal(t, []attempt.Outcome{attempt.Succeeded}, r.picker.recordedOutcomes())
 }
 
-func TestBodyInChunksArrivesWhole(t *testing.T) {
+func TestForward_ChunkedRequestBody(t *testing.T) {
 	got := make(chan string, 1)
-	r := newRig(t, func(p *peer) {
-		request := p.request()
+	r := newTestProxy(t, func(p *endpointConn) {
+		request := p.readRequest()
 		body, _ := io.ReadAll(request.Body)
 		got <- string(body)
-		p.say(okAnswer)
+		p.write(okResponse)
 	})
 	request := r.request("/once/", "")
 	request.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", 70000)))
@@ -73,39 +74,39 @@
 	assert.Len(t, <-got, 70000)
 }
 
-// TestWhatFollowsAnAttempt: the first endpoint fails in each way in turn, the second one answers.
-func TestWhatFollowsAnAttempt(t *testing.T) {
+// TestForward_AfterFailedAttempt: the first endpoint fails in each way in turn, the second one succeeds.
+func TestForward_AfterFailedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		first      func(*peer)
+		first      func(*endpointConn)
 		repeatable int
 		once       int
 		outcome    attempt.Outcome
 	}{
-		{"full", says(fullAnswer), 200, 200, attempt.Rejected},
-		{"other incarnation", says(otherOne), 200, 200, attempt.Misdirected},
-		{"own error", says(errAnswer), 200, 500, attempt.Failed},
-		{"silent close", breaks(""), 200, 502, attempt.Broken},
-		{"reset", func(p *peer) { p.request(); p.reset() }, 200, 502, attempt.Broken},
-		{"half head", breaks(okHead[:20]), 200, 502, attempt.Broken},
-		{"half body", breaks(okAnswer[:len(okAnswer)-1]), 200, 502, attempt.Broken},
-		{"garbage", breaks("garbage\r\n\r\n"), 200, 502, attempt.Broken},
-		{"encoded", breaks(okHead + "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx"), 200, 502, attempt.Broken},
-		{"unmarked 503", says(strings.Replace(errAnswer, "500 Oops", "503 Oops", 1)), 200, 502, attempt.Failed},
-		{"unmarked 429", says(strings.Replace(errAnswer, "500 Oops", "429 Oops", 1)), 200, 502, attempt.Failed},
+		{"full", respondWith(rejectedResponse), 200, 200, attempt.Rejected},
+		{"other incarnation", respondWith(misdirectedResponse), 200, 200, attempt.Misdirected},
+		{"own error", respondWith(serverErrorResponse), 200, 500, attempt.Failed},
+		{"silent close", respondAndClose(""), 200, 502, attempt.Broken},
+		{"reset", func(p *endpointConn) { p.readRequest(); p.reset() }, 200, 502, attempt.Broken},
+		{"half head", respondAndClose(okHead[:20]), 200, 502, attempt.Broken},
+		{"half body", respondAndClose(okResponse[:len(okResponse)-1]), 200, 502, attempt.Broken},
+		{"garbage", respondAndClose("garbage\r\n\r\n"), 200, 502, attempt.Broken},
+		{"encoded", respondAndClose(okHead + "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx"), 200, 502, attempt.Broken},
+		{"unmarked 503", respondWith(strings.Replace(serverErrorResponse, "500 Oops", "503 Oops", 1)), 200, 502, attempt.Failed},
+		{"unmarked 429", respondWith(strings.Replace(serverErrorResponse, "500 Oops", "429 Oops", 1)), 200, 502, attempt.Failed},
 	} {
 		for path, want := range map[string]int{"/fetch/x": c.repeatable, "/once/x": c.once} {
 			t.Run(c.name+path, func(t *testing.T) {
-				r := newRig(t, c.first, says(okAnswer))
+				r := newTestProxy(t, c.first, respondWith(okResponse))
 				a := r.do(r.request(path, "q"))
 				assert.Equal(t, want, a.status)
-				assert.True(t, a.whole)
-				assert.Equal(t, c.outcome, r.placer.ended()[0])
+				assert.True(t, a.complete)
+				assert.Equal(t, c.outcome, r.picker.recordedOutcomes()[0])
 				if want == 200 {
 					assert.Equal(t, "body", a.body)
-					assert.Len(t, r.placer.ended(), 2)
+					assert.Len(t, r.picker.recordedOutcomes(), 2)
 				} else {
-					assert.Len(t, r.placer.ended(), 1)
+					assert.Len(t, r.picker.recordedOutcomes(), 1)
 					assert.Empty(t, a.header.Get("Retry-After"))
 				}
 			})
@@ -113,18 +114,18 @@
 	}
 }
 
-func TestOwnErrorOfTheLastEndpointGoesBack(t *testing.T) {
-	r := newRig(t, says(errAnswer), says(errAnswer))
+func TestForward_LastServerErrorIsRelayed(t *testing.T) {
+	r := newTestProxy(t, respondWith(serverErrorResponse), respondWith(serverErrorResponse))
 	a := r.do(r.request("/fetch/x", ""))
 	assert.Equal(t, 500, a.status)
 	assert.Equal(t, "err", a.body)
 	assert.Equal(t, "1", a.header.Get("X-Own"))
-	assert.Len(t, r.placer.ended(), 2)
+	assert.Len(t, r.picker.recordedOutcomes(), 2)
 }
 
-func TestRefusedByAll(t *testing.T) {
-	for _, script := range []func(*peer){says(fullAnswer), says(otherOne)} {
-		r := newRig(t, script, script)
+func TestForward_RejectedByAllEndpoints(t *testing.T) {
+	for _, script := range []func(*endpointConn){respondWith(rejectedResponse), respondWith(misdirectedResponse)} {
+		r := newTestProxy(t, script, script)
 		request := r.request("/once/x", "")
 		request.Header.Set("X-Time-Left", "150")
 		a := r.do(request)
@@ -136,44 +137,44 @@
 	}
 }
 
-func TestNoEndpoint(t *testing.T) {
-	r := newRig(t)
+func TestForward_NoEndpoint(t *testing.T) {
+	r := newTestProxy(t)
 	a := r.do(r.request("/once/x", ""))
 	assert.Equal(t, 503, a.status)
 	assert.Equal(t, "0.100", a.header.Get("Retry-After"))
 }
 
-func TestWaitForAPlace(t *testing.T) {
-	r := newRig(t, says(okAnswer))
-	r.placer.verdicts = []placement.Decision{{Kind: placement.Wait, Delay: time.Millisecond}, {Kind: placement.Wait}}
+func TestForward_WaitsForASlot(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
+	r.picker.decisions = []placement.Decision{{Kind: placement.Wait, Delay: time.Millisecond}, {Kind: placement.Wait}}
 	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
-	assert.Len(t, r.placer.requests, 3)
+	assert.Len(t, r.picker.requests, 3)
 }
 
-// TestDeadlines: a request ends with the client's time or the operator's, whichever is first.
-func TestDeadlines(t *testing.T) {
-	silent := func(p *peer) { p.awaitEnd() }
-	r := newRig(t, silent)
+// TestForward_Deadlines: the earlier one of the client's and the route's deadline ends a request.
+func TestForward_Deadlines(t *testing.T) {
+	silent := func(p *endpointConn) { p.readToEnd() }
+	r := newTestProxy(t, silent)
 	request := r.request("/once/x", "")
 	request.Header.Set("X-Time-Left", "30")
 	assert.Equal(t, 504, r.do(request).status)
 	assert.Equal(t, 504, r.do(r.request("/short/x", "")).status)
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.TimedOut}, r.placer.ended())
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.TimedOut}, r.picker.recordedOutcomes())
 
 	request = r.request("/once/x", "")
 	request.Header.Set("X-Time-Left", "0")
 	a := r.do(request)
 	assert.Equal(t, 503, a.status, "nothing was tried")
-	assert.Len(t, r.placer.ended(), 2)
+	assert.Len(t, r.picker.recordedOutcomes(), 2)
 }
 
-func TestLongAnswerIsPassedAsItComes(t *testing.T) {
+func TestForward_LongResponseIsNotBuffered(t *testing.T) {
 	long := strings.Repeat("0123456789", 30000)
 	for _, framing := range []string{"length", "chunked", "none"} {
 		for _, cut := range []bool{false, true} {
 			t.Run(framing+strconv.FormatBool(cut), func(t *testing.T) {
-				r := newRig(t, func(p *peer) {
-					p.request()
+				r := newTestProxy(t, func(p *endpointConn) {
+					p.readRequest()
 					text := map[string]string{
 						"length":  "Content-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long,
 						"chunked": "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(long)), 16) + "\r\n" + long + "\r\n0\r\n\r\n",
@@ -182,20 +183,20 @@
 					if cut {
 						text = text[:len(text)-10]
 					}
-					p.say(okHead + text)
-					if cut && framing == "none" { // a clean close would be this answer's end
+					p.write(okHead + text)
+					if cut && framing == "none" { // a clean close would be the end of this body
 						p.reset()
 					}
-				}, says(okAnswer))
+				}, respondWith(okResponse))
 				a := r.do(r.request("/fetch/x", ""))
 				if a.status == 0 && cut && framing == "none" {
-					return // the reset came before the head was passed on
+					return // the reset came before the headers were relayed
 				}
 				if cut && framing == "none" && a.body == "body" {
-					return // or it came so early that the other endpoint could be asked
+					return // or so early that the request was retried
 				}
 				assert.Equal(t, 200, a.status)
-				assert.Equal(t, !cut, a.whole)
+				assert.Equal(t, !cut, a.complete)
 				if !cut {
 					assert.Equal(t, long, a.body)
 				}
@@ -204,13 +205,13 @@
 	}
 }
 
-func TestNoBodyStatuses(t *testing.T) {
-	r := newRig(t, says("HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Postmark: s1\r\n\r\n"))
+func TestForward_ResponsesWithoutBody(t *testing.T) {
+	r := newTestProxy(t, respondWith("HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Postmark: s1\r\n\r\n"))
 	a := r.do(r.request("/fetch/x", ""))
 	assert.Equal(t, 204, a.status)
-	assert.True(t, a.whole)
+	assert.True(t, a.complete)
 
-	r = newRig(t, says(okHead+"Content-Length: 4\r\n\r\n"))
+	r = newTestProxy(t, respondWith(okHead+"Content-Length: 4\r\n\r\n"))
 	request := r.request("/fetch/x", "")
 	request.Method, request.Body, request.ContentLength = http.MethodHead, nil, 0
 	a = r.do(request)
@@ -218,20 +219,20 @@
 	assert.Equal(t, "4", a.header.Get("Content-Length"))
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestForward_ClientDisconnects(t *testing.T) {
 	for name, said := range map[string]string{"/once/x": "", "/chat/x": streamHead + chunk("id: 1\ndata: x\n\n")} {
 		t.Run(name, func(t *testing.T) {
 			reached, gone := make(chan struct{}), make(chan struct{})
-			r := newRig(t, func(p *peer) {
-				p.request()
-				p.say(said)
+			r := newTestProxy(t, func(p *endpointConn) {
+				p.readRequest()
+				p.write(said)
 				close(reached)
-				p.awaitEnd()
+				p.readToEnd()
 				close(gone)
 			})
 			done := make(chan struct{})
 			request := r.request(name, "q")
-			ctx, leave := contextWithCancel()
+			ctx, leave := context.WithCancel(t.Context())
 			go func() {
 				r.do(request.WithContext(ctx))
 				close(done)
@@ -244,19 +245,19 @@
 	}
 }
 
-func TestSilentEndpointIsGivenUp(t *testing.T) {
-	r := newRig(t, func(p *peer) { p.awaitEnd() }, says(okAnswer))
+func TestForward_UnresponsiveEndpointIsAbandoned(t *testing.T) {
+	r := newTestProxy(t, func(p *endpointConn) { p.readToEnd() }, respondWith(okResponse))
 	a := r.do(r.request("/fetch/x", ""))
 	assert.Equal(t, 200, a.status)
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.placer.ended())
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.picker.recordedOutcomes())
 }
 
-// TestTimeEndsWhileARequestWaitsToGoAgain: an earlier attempt may have run, so that no answer may promise otherwise.
-func TestTimeEndsWhileARequestWaitsToGoAgain(t *testing.T) {
-	r := newRig(t, breaks(okHead[:20]), says(okAnswer))
-	r.placer.verdicts = []placement.Decision{{Kind: placement.Picked}, {Kind: placement.Wait, Delay: time.Minute}}
+// TestForward_DeadlineDuringRetryBackoff: an earlier attempt may have run, so the response must not promise otherwise.
+func TestForward_DeadlineDuringRetryBackoff(t *testing.T) {
+	r := newTestProxy(t, respondAndClose(okHead[:20]), respondWith(okResponse))
+	r.picker.decisions = []placement.Decision{{Kind: placement.Picked}, {Kind: placement.Wait, Delay: time.Minute}}
 	request := r.request("/fetch/x", "")
 	request.Header.Set("X-Time-Left", "100")
 	assert.Equal(t, 504, r.do(request).status)
-	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.placer.ended())
+	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.picker.recordedOutcomes())
 }
--- a/serving/httpserver/drain.go
+++ b/serving/httpserver/drain.go
@@ -42,10 +42,10 @@
 
 // Drain shuts the server down gracefully: it makes clients use other proxies, then rejects new requests, then accepts
 // no more connections, and waits for the requests in flight. It returns when they have ended or shortly before the
-// grace period does.
-func (s *Server) Drain(grace time.Duration) {
+// grace period does. If the context ends earlier, it stops waiting.
+func (s *Server) Drain(ctx context.Context, grace time.Duration) {
 	plan, startedAt := planDrain(grace), time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(plan.total))
+	ctx, cancel := context.WithDeadline(ctx, startedAt.Add(plan.total))
 	defer cancel()
 	s.startDraining()
 	s.sleep(ctx, plan.serve)
@@ -71,7 +71,7 @@
 func (s *Server) rejectNewRequests() { s.rejecting.Store(true) }
 
 // stopListening accepts no more connections.
-func (s *Server) stopListening() { _ = s.listener.Listener.Close() } // the listener may have failed before
+func (s *Server) stopListening() { _ = s.listener.Close() } // the listener may have failed before
 
 // isDrained reports whether no request is in flight or has arrived unread.
 func (s *Server) isDrained() bool { return s.inFlight.Load() == 0 && s.listener.allIdle() }
--- a/serving/httpserver/drain_test.go
+++ b/serving/httpserver/drain_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -11,65 +10,64 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDrainTakesEachStepInItsTurn: the pauses of the end are where the test looks at what holds meanwhile.
-func TestDrainTakesEachStepInItsTurn(t *testing.T) {
+// TestDrain_Phases checks what holds in each phase while Drain sleeps.
+func TestDrain_Phases(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newRig(t, func(p *peer) {
-		for request := p.request(); request != nil; request = p.request() {
+	r := newTestProxy(t, func(p *endpointConn) {
+		for request := p.readRequest(); request != nil; request = p.readRequest() {
 			if request.RequestURI == "/once/long" {
 				close(reached)
 				<-release
 			}
-			p.say(okAnswer)
+			p.write(okResponse)
 		}
 	})
 	long, refused := r.dial(), r.dial()
-	long.send(get("/once/long"))
+	long.send(rawGet("/once/long"))
 	<-reached
 
 	plan := planDrain(time.Minute)
 	var pauses []time.Duration
-	r.server.sleep = func(_ context.Context, span time.Duration) bool {
+	observePhase := func(span time.Duration) {
 		pauses = append(pauses, span)
 		switch len(pauses) {
 		case 1:
 			fresh := r.dial()
-			fresh.send(get("/once/x"))
+			fresh.send(rawGet("/once/x"))
 			answer := fresh.receive()
 			assert.Equal(t, 200, answer.StatusCode, "clients learn only by and by")
 			assert.True(t, answer.Close)
 		case 2:
-			refused.send(get("/once/x"))
+			refused.send(rawGet("/once/x"))
 			assert.Equal(t, 503, refused.receive().StatusCode)
 		case 3:
 			assert.False(t, r.server.isDrained())
 			close(release)
 			assert.Equal(t, 200, long.receive().StatusCode)
 		}
+	}
+	r.server.sleep = func(_ context.Context, span time.Duration) bool {
+		observePhase(span)
 		return true
 	}
-	r.server.Drain(time.Minute)
+	r.server.Drain(t.Context(), time.Minute)
 	require.GreaterOrEqual(t, len(pauses), 3, "an answer was under way")
 	assert.Equal(t, []time.Duration{plan.serve, plan.reject, drainPollInterval}, pauses[:3])
 }
 
-// TestUnreadRequestHoldsTheEndUp: it lies in the connection, where no handler counts it.
-func TestUnreadRequestHoldsTheEndUp(t *testing.T) {
-	own, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer own.Close()
-	client, err := net.Dial("tcp", own.Addr().String())
-	require.NoError(t, err)
-	defer client.Close()
+// TestDrain_WaitsForUnreadRequest: a request that has arrived on an idle connection is not counted by any handler.
+func TestDrain_WaitsForUnreadRequest(t *testing.T) {
+	own := listen(t)
+	client := dial(t, own.Addr().String())
 	l := newListener(own, 1, func() (time.Duration, time.Duration) { return 0, 0 }, func() {})
 	s := &Server{listener: l}
 	held, err := l.Accept()
 	require.NoError(t, err)
-	defer held.Close()
+	t.Cleanup(func() { _ = held.Close() })
 	recordConnState(held, http.StateIdle)
 	assert.True(t, s.isDrained())
 
-	_, err = client.Write([]byte(get("/once/x")))
+	_, err = client.Write([]byte(rawGet("/once/x")))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return !s.isDrained() }, 10*time.Second, time.Millisecond)
 	recordConnState(held, http.StateActive)
--- a/serving/httpserver/event_reader_test.go
+++ b/serving/httpserver/event_reader_test.go
@@ -12,16 +12,16 @@
 	"pgregory.net/rapid"
 )
 
-// cutter reads from a text in drawn pieces.
-type cutter struct {
+// chunkedReader reads from a text in pieces of the given sizes.
+type chunkedReader struct {
 	text  string
 	sizes []int
-	end   error
+	err   error
 }
 
-func (c *cutter) Read(p []byte) (int, error) {
+func (c *chunkedReader) Read(p []byte) (int, error) {
 	if c.text == "" {
-		return 0, c.end
+		return 0, c.err
 	}
 	size := len(c.text)
 	if len(c.sizes) > 0 {
@@ -32,8 +32,8 @@
 	return n, nil
 }
 
-// TestEventsProperty: however the bytes come, all of them are handed out in order and cut only after blank lines.
-func TestEventsProperty(t *testing.T) {
+// TestEventReader_Property: however the bytes arrive, all are returned in order, and split only after blank lines.
+func TestEventReader_Property(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		line := rapid.SampledFrom([]string{"data: x\n", "id: 7\r\n", "\n", "\r\n", ": c\n", "versions: 3\n", "\rdata\n"})
 		text := strings.Join(rapid.SliceOf(line).Draw(draw, "lines"), "")
@@ -41,7 +41,7 @@
 		sizes := rapid.SliceOf(rapid.IntRange(1, 9)).Draw(draw, "sizes")
 		broken := errors.New("broken")
 		end := rapid.SampledFrom([]error{io.EOF, broken}).Draw(draw, "end")
-		reader := newEventReader(&cutter{text: text, sizes: sizes, end: end})
+		reader := newEventReader(&chunkedReader{text: text, sizes: sizes, err: end})
 		got := ""
 		for {
 			events, err := reader.Next()
@@ -54,7 +54,7 @@
 				draw.Fatalf("cut inside an event: %q", events)
 			}
 		}
-		if end == io.EOF {
+		if errors.Is(end, io.EOF) {
 			assert.Equal(draw, text, got)
 		} else {
 			assert.True(draw, strings.HasPrefix(text, got))
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestLongEvents(t *testing.T) {
+func TestEventReader_LongEvents(t *testing.T) {
 	event := "data: " + strings.Repeat("x", 100_000) + "\n\n"
 	reader := newEventReader(iotest.HalfReader(strings.NewReader(event + event)))
 	all := ""
--- a/serving/httpserver/finish.go
+++ b/serving/httpserver/finish.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"context"
 	"math/rand/v2"
 	"net/http"
 	"time"
@@ -14,18 +15,18 @@
 const rejectedTargetDivisor = 8
 
 // respondUnserved responds to a request that is not retried: with a rejection if nothing has run, else with a failure.
-func (f *forwarder) respondUnserved() {
+func (f *forwarder) respondUnserved(ctx context.Context) {
 	if f.mayHaveRun || f.stream.started {
-		f.respondFailed()
+		f.respondFailed(ctx)
 		return
 	}
-	f.reject(errcode.NotExecuted, 0)
+	f.reject(ctx, errcode.NotExecuted, 0)
 }
 
 // reject promises that nothing has run and says when to retry. If something may have run, it responds with a failure.
-func (f *forwarder) reject(kind errcode.Kind, wanted time.Duration) {
+func (f *forwarder) reject(ctx context.Context, kind errcode.Kind, wanted time.Duration) {
 	if f.mayHaveRun || f.stream.started {
-		f.respondFailed()
+		f.respondFailed(ctx)
 		return
 	}
 	if wanted <= 0 {
@@ -36,19 +37,19 @@
 }
 
 // respondExpired responds to a request whose deadline has passed.
-func (f *forwarder) respondExpired() {
+func (f *forwarder) respondExpired(ctx context.Context) {
 	if f.mayHaveRun || f.stream.started {
-		f.respondFailed()
+		f.respondFailed(ctx)
 		return
 	}
 	respondError(f.writer, errcode.NotExecutedInTime, 0)
 }
 
 // respondFailed responds to a request that may have run: with an endpoint's own error if there is one.
-func (f *forwarder) respondFailed() {
+func (f *forwarder) respondFailed(ctx context.Context) {
 	switch {
 	case f.stream.started:
-		f.abortConnection()
+		f.abortConnection(ctx)
 	case f.endpointError != nil:
 		f.endpointError.write(f.writer)
 	case f.lastOutcome == attempt.TimedOut || !time.Now().Before(f.deadline):
@@ -59,9 +60,9 @@
 }
 
 // abortConnection terminates the client's connection, so that what was sent does not look complete. It doesn't return.
-func (f *forwarder) abortConnection() {
+func (f *forwarder) abortConnection(ctx context.Context) {
 	if !f.httpRequest.ProtoAtLeast(1, 1) { // there the end of the connection is the end of the body
-		if client := connectionFromContext(f.httpRequest.Context()); client != nil {
+		if client := connectionFromContext(ctx); client != nil {
 			client.resetOnClose()
 		}
 	}
--- a/serving/httpserver/forward.go
+++ b/serving/httpserver/forward.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -44,22 +45,22 @@
 )
 
 // forward makes attempts until the client has its response.
-func (f *forwarder) forward() {
+func (f *forwarder) forward(ctx context.Context) {
 	for {
-		choice, picked := f.pickEndpoint()
+		choice, picked := f.pickEndpoint(ctx)
 		if !picked {
 			return
 		}
-		outcome, next := f.tryEndpoint(choice)
+		outcome, next := f.tryEndpoint(ctx, choice)
 		f.server.options.Picker.ReportOutcome(time.Now(), choice.Reservation, outcome)
 		if next == nextDone {
 			return
 		}
 		if next == nextAbort || outcome == attempt.Canceled {
-			f.abortConnection()
+			f.abortConnection(ctx)
 		}
 		f.recordAttempt(outcome)
-		if !f.waitForRetry(outcome) {
+		if !f.waitForRetry(ctx, outcome) {
 			return
 		}
 	}
@@ -67,7 +68,7 @@
 
 // pickEndpoint selects an endpoint, waiting as long as the picker says. It returns false if the request has been
 // responded to instead.
-func (f *forwarder) pickEndpoint() (placement.Choice, bool) {
+func (f *forwarder) pickEndpoint(ctx context.Context) (placement.Choice, bool) {
 	for {
 		now := time.Now()
 		f.placement.TimeLeft = f.deadline.Sub(now)
@@ -76,7 +77,7 @@
 		f.placement.TriedEndpoints = f.triedEndpoints
 		f.placement.Resumed = f.stream.started
 		if f.placement.TimeLeft <= 0 {
-			f.respondExpired()
+			f.respondExpired(ctx)
 			return placement.Choice{}, false
 		}
 		choice, decision := f.server.options.Picker.Pick(now, f.placement)
@@ -85,18 +86,18 @@
 			return choice, true
 		case placement.Wait:
 			delay := max(min(decision.Delay, f.placement.TimeLeft), minPickDelay)
-			if !ctxsleep.Sleep(f.httpRequest.Context(), delay) {
-				f.abortConnection()
+			if !ctxsleep.Sleep(ctx, delay) {
+				f.abortConnection(ctx)
 			}
 		default:
-			f.reject(errcode.NoCapacity, decision.Delay)
+			f.reject(ctx, errcode.NoCapacity, decision.Delay)
 			return placement.Choice{}, false
 		}
 	}
 }
 
 // tryEndpoint sends the request to the chosen endpoint and relays the response.
-func (f *forwarder) tryEndpoint(choice placement.Choice) (attempt.Outcome, nextStep) {
+func (f *forwarder) tryEndpoint(ctx context.Context, choice placement.Choice) (attempt.Outcome, nextStep) {
 	if f.service == "" {
 		f.server.options.RetryPolicy.CountRequest(time.Now(), choice.Endpoint.Service)
 	}
@@ -104,7 +105,7 @@
 	call := f.newCall(choice)
 	f.triedEndpoints = append(f.triedEndpoints, choice.Endpoint.ID)
 	f.grantedRetry = nil
-	response, failure := f.server.options.Pool.Do(f.httpRequest.Context(), call)
+	response, failure := f.server.options.Pool.Do(ctx, call)
 	if failure != nil {
 		return failure.Outcome, nextRetry
 	}
--- a/serving/httpserver/fuzz_test.go
+++ b/serving/httpserver/fuzz_test.go
@@ -14,8 +14,8 @@
 	"rowanlink/serving/routing"
 )
 
-// FuzzRequestHeaders: whatever a client says of its time and its prompt, the deadline lies between the arrival and the
-// operator's bound, and all numbers can be added up without becoming negative.
+// FuzzRequestHeaders: whatever a client states, the deadline lies between the arrival and the route's timeout, and
+// sums of token counts don't overflow.
 func FuzzRequestHeaders(f *testing.F) {
 	f.Add("5000", "1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
 	f.Add("-1", "-3,9223372036854775807", "a:9223372036854775807,b:9223372036854775807")
@@ -51,8 +51,8 @@
 	})
 }
 
-// FuzzTarget: what is sent on is what the client wrote after the host.
-func FuzzTarget(f *testing.F) {
+// FuzzRequestTarget: the request target sent to the endpoint is what the client wrote after the host.
+func FuzzRequestTarget(f *testing.F) {
 	for _, uri := range []string{"/a/b?c=d", "http://x.example/a?b", "http://x.example?b", "*", "http://x//a", "//a/b"} {
 		f.Add(uri)
 	}
@@ -72,8 +72,8 @@
 	})
 }
 
-// naiveEvents cuts a stream line by line: an event ends with a blank line that follows a line.
-func naiveEvents(text string) (events []string, rest string) {
+// splitEventsNaively splits a stream line by line: an event ends with a blank line that follows a line.
+func splitEventsNaively(text string) (events []string, rest string) {
 	event, started := "", false
 	for line := range strings.Lines(text) {
 		event += line
@@ -88,9 +88,9 @@
 	return events, event
 }
 
-// trimmed leaves out surplus blank lines between events: which event they go with depends on how the bytes come, and
-// they say nothing.
-func trimmed(events []string) (left []string) {
+// dropBlankLines removes surplus blank lines between events: which event they belong to depends on how the bytes
+// arrive, and they have no meaning.
+func dropBlankLines(events []string) (left []string) {
 	for _, event := range events {
 		if event = strings.TrimLeft(event, "\r\n"); event != "" {
 			left = append(left, event)
@@ -99,9 +99,9 @@
 	return left
 }
 
-// FuzzEvents: however the bytes come, none is lost, added or handed out before its event is whole, and the cuts are
-// those of the naive reading.
-func FuzzEvents(f *testing.F) {
+// FuzzEventReader: however the bytes arrive, none is lost, added or returned before its event is complete, and the
+// events are those of splitEventsNaively.
+func FuzzEventReader(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\nhalf", []byte{1, 2, 3}, true)
 	f.Add("\n\n\r\n\n: c\n\n", []byte{7}, false)
 	f.Add("\r\r\n\r\n\n\r\r\n", []byte{1}, true)
@@ -115,7 +115,7 @@
 		for _, size := range sizes {
 			pieces = append(pieces, 1+int(size))
 		}
-		reader := newEventReader(&cutter{text: text, sizes: pieces, end: end})
+		reader := newEventReader(&chunkedReader{text: text, sizes: pieces, err: end})
 		var got []string
 		rest := ""
 		for {
@@ -128,8 +128,8 @@
 			require.NotEmpty(t, events)
 			forEachEvent(events, func(event []byte) { got = append(got, string(event)) })
 		}
-		want, left := naiveEvents(text)
-		assert.Equal(t, trimmed(want), trimmed(got))
+		want, left := splitEventsNaively(text)
+		assert.Equal(t, dropBlankLines(want), dropBlankLines(got))
 		assert.True(t, strings.HasPrefix(text, strings.Join(got, "")))
 		if clean {
 			assert.Equal(t, text, strings.Join(got, "")+rest)
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -48,14 +49,14 @@
 		arrivedAt:   arrivedAt,
 		deadline:    deadline(arrivedAt, r.Header, route.Timeout),
 	}
-	if err := s.readRequest(&read, table.Limits); err != nil {
+	if err := s.readRequest(r.Context(), &read, table.Limits); err != nil {
 		s.respondReadError(w, err, time.Until(read.deadline))
 		return
 	}
 	defer s.bodyMemory.release(r.ContentLength)
 	read.placement = placementRequest(route, r.Header)
 	f := &forwarder{server: s, request: &read, writer: w}
-	f.forward()
+	f.forward(r.Context())
 }
 
 // keepAliveWriter adds to the header of each response how the client's connection continues.
@@ -79,12 +80,12 @@
 }
 
 // readRequest reads the complete request, within the operator's limits.
-func (s *Server) readRequest(to *request, limits routing.Limits) error {
+func (s *Server) readRequest(ctx context.Context, to *request, limits routing.Limits) error {
 	r := to.httpRequest
 	if limits.HeaderBytes > 0 && headSize(r) > limits.HeaderBytes {
 		return errcode.HeaderTooLarge.With("over %d bytes", limits.HeaderBytes)
 	}
-	client := connectionFromContext(r.Context())
+	client := connectionFromContext(ctx)
 	if client != nil {
 		client.startServing(bodyDeadline(r, to.deadline))
 	}
--- a/serving/httpserver/limit_test.go
+++ b/serving/httpserver/limit_test.go
@@ -11,25 +11,25 @@
 	"rowanlink/serving/routing"
 )
 
-// TestAnEndpointAtTheOwnLimitIsNotAsked: a request that may run only once goes to another endpoint where no further
-// connection may be opened, and placement hears that this says nothing of the endpoint.
-func TestAnEndpointAtTheOwnLimitIsNotAsked(t *testing.T) {
+// TestForward_EndpointAtConnectionLimitIsSkipped: a request that may run only once goes to another endpoint if no
+// connection may be opened, and the picker learns that this says nothing of the endpoint.
+func TestForward_EndpointAtConnectionLimitIsSkipped(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newRig(t, func(p *peer) {
-		p.request()
+	r := newTestProxy(t, func(p *endpointConn) {
+		p.readRequest()
 		close(reached)
 		<-release
-		p.say(okAnswer)
-	}, says(okAnswer))
-	table, err := routing.Parse([]byte(strings.ReplaceAll(document, `"conn_cap":100`, `"conn_cap":1`)))
+		p.write(okResponse)
+	}, respondWith(okResponse))
+	table, err := routing.Parse([]byte(strings.ReplaceAll(testConfiguration, `"conn_cap":100`, `"conn_cap":1`)))
 	require.NoError(t, err)
 	r.table = table
 
-	held := make(chan answer)
+	held := make(chan clientResponse)
 	go func() { held <- r.do(r.request("/once/held", "")) }()
 	<-reached
 	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
-	assert.Equal(t, []attempt.Outcome{attempt.AtLimit, attempt.Succeeded}, r.placer.ended())
+	assert.Equal(t, []attempt.Outcome{attempt.AtLimit, attempt.Succeeded}, r.picker.recordedOutcomes())
 	close(release)
 	assert.Equal(t, 200, (<-held).status)
 }
--- a/serving/httpserver/retry.go
+++ b/serving/httpserver/retry.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"context"
 	"time"
 
 	"rowanlink/internal/ctxsleep"
@@ -10,9 +11,9 @@
 
 // waitForRetry waits until the next attempt is due. It returns false if there is none and the request has been
 // responded to.
-func (f *forwarder) waitForRetry(outcome attempt.Outcome) bool {
+func (f *forwarder) waitForRetry(ctx context.Context, outcome attempt.Outcome) bool {
 	if f.mayHaveRun && !f.route.Idempotent() {
-		f.respondFailed()
+		f.respondFailed(ctx)
 		return false
 	}
 	decision := f.grantedRetry
@@ -27,11 +28,11 @@
 		decision = &decided
 	}
 	if !decision.Retry {
-		f.respondUnserved()
+		f.respondUnserved(ctx)
 		return false
 	}
-	if !ctxsleep.Sleep(f.httpRequest.Context(), decision.Backoff) {
-		f.abortConnection()
+	if !ctxsleep.Sleep(ctx, decision.Backoff) {
+		f.abortConnection(ctx)
 	}
 	return true
 }
--- a/serving/httpserver/server_test.go
+++ b/serving/httpserver/server_test.go
@@ -14,27 +14,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatNoRouteAllows(t *testing.T) {
-	r := newRig(t, says(okAnswer))
+func TestServeHTTP_NoRoute(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
 	a := r.do(r.request("/nowhere/x", "q"))
 	assert.Equal(t, 404, a.status)
 	assert.JSONEq(t, `{"error":"no route matches","code":501}`, a.body)
 	other := r.request("/fetch/x", "")
 	other.Host = "other.example"
 	assert.Equal(t, 404, r.do(other).status)
-	assert.Empty(t, r.placer.requests)
+	assert.Empty(t, r.picker.requests)
 }
 
-func TestWithoutConfiguration(t *testing.T) {
-	r := newRig(t, says(okAnswer))
+func TestServeHTTP_NoConfiguration(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
 	r.table = nil
 	a := r.do(r.request("/nowhere/x", "q"))
 	assert.Equal(t, 503, a.status)
 	assert.Equal(t, "0.250", a.header.Get("Retry-After"))
 }
 
-func TestLimitsOfRequests(t *testing.T) {
-	r := newRig(t, says(okAnswer))
+func TestServeHTTP_RequestLimits(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
 	large := strings.Repeat("x", 100_001)
 	assert.Equal(t, 413, r.do(r.request("/once/x", large)).status)
 	inChunks := r.request("/once/x", "")
@@ -47,7 +47,7 @@
 	assert.Equal(t, 431, r.do(head).status)
 }
 
-func TestBodiesTooMany(t *testing.T) {
+func TestBodyMemory(t *testing.T) {
 	memory := bodyMemory{limit: 200 << 10}
 	assert.True(t, memory.reserve(uncountedBodySize), "small ones don't count")
 	assert.True(t, memory.reserve(150<<10))
@@ -58,12 +58,14 @@
 	assert.Zero(t, memory.reserved.Load())
 }
 
-func TestReadiness(t *testing.T) {
-	r := newRig(t)
+func TestReadiness_FailsWhileDraining(t *testing.T) {
+	r := newTestProxy(t)
 	check := func() int {
-		response, err := http.Get("http://" + r.checks + "/readiness")
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.readinessAddress+"/readiness", nil)
 		require.NoError(t, err)
-		defer response.Body.Close()
+		response, err := r.client.Do(request)
+		require.NoError(t, err)
+		defer func() { _ = response.Body.Close() }()
 		return response.StatusCode
 	}
 	assert.Equal(t, 200, check())
@@ -71,64 +73,71 @@
 	assert.Equal(t, 503, check())
 }
 
-func TestNotReadyBeforeItKnowsEnough(t *testing.T) {
-	r := newRig(t)
+func TestReady_NeedsStateOfTheSystem(t *testing.T) {
+	r := newTestProxy(t)
 	r.ready = false
 	assert.False(t, r.server.Ready())
 }
 
-// raw is a client's bare connection.
-type raw struct {
+// rawClient is a client's connection without an HTTP client.
+type rawClient struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (r *rig) dial() *raw {
-	c, err := net.Dial("tcp", r.address)
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { c.Close() })
-	return &raw{t: r.t, Conn: c, reader: bufio.NewReader(c)}
+func (r *testProxy) dial() *rawClient {
+	c := dial(r.t, r.address)
+	return &rawClient{t: r.t, Conn: c, reader: bufio.NewReader(c)}
 }
 
-func (c *raw) send(text string) {
+func (c *rawClient) send(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
 }
 
-func (c *raw) receive() *http.Response {
+// rawResponse is the head of a response that was read completely.
+type rawResponse struct {
+	StatusCode int
+	Close      bool
+	Header     http.Header
+}
+
+// receive reads a response to its end.
+func (c *rawClient) receive() rawResponse {
+	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	require.NoError(c.t, err)
-	body, err := io.ReadAll(response.Body)
+	defer func() { _ = response.Body.Close() }()
+	_, err = io.ReadAll(response.Body)
 	require.NoError(c.t, err)
-	response.Body = io.NopCloser(strings.NewReader(string(body)))
-	return response
+	return rawResponse{StatusCode: response.StatusCode, Close: response.Close, Header: response.Header}
 }
 
-func get(path string) string {
+func rawGet(path string) string {
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a1\r\nX-Time-Left: 5000\r\n\r\n", path)
 }
 
-// TestEndByPlan goes through the steps of an end with a request at each of them.
-func TestEndByPlan(t *testing.T) {
+// TestDrain_RequestsInEachPhase goes through the phases of a shutdown with a request in each.
+func TestDrain_RequestsInEachPhase(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newRig(t, func(p *peer) {
-		for request := p.request(); request != nil; request = p.request() {
+	r := newTestProxy(t, func(p *endpointConn) {
+		for request := p.readRequest(); request != nil; request = p.readRequest() {
 			if strings.HasSuffix(request.RequestURI, "long") {
 				close(reached)
 				<-release
 			}
-			p.say(okAnswer)
+			p.write(okResponse)
 		}
 	})
 	long, idle, fresh := r.dial(), r.dial(), r.dial()
-	long.send(get("/once/long"))
+	long.send(rawGet("/once/long"))
 	<-reached
-	idle.send(get("/once/x"))
+	idle.send(rawGet("/once/x"))
 	assert.False(t, idle.receive().Close)
 
 	r.server.startDraining()
-	idle.send(get("/once/x"))
+	idle.send(rawGet("/once/x"))
 	answer := idle.receive()
 	assert.Equal(t, 200, answer.StatusCode)
 	assert.True(t, answer.Close)
@@ -136,36 +145,36 @@
 	assert.Equal(t, io.EOF, err)
 
 	r.server.rejectNewRequests()
-	fresh.send(get("/once/x"))
+	fresh.send(rawGet("/once/x"))
 	answer = fresh.receive()
 	assert.Equal(t, 503, answer.StatusCode)
 	assert.True(t, answer.Close)
 	assert.Equal(t, "0.020", answer.Header.Get("Retry-After"))
 
 	r.server.stopListening()
-	_, err = net.Dial("tcp", r.address)
+	_, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", r.address)
 	assert.Error(t, err)
 	assert.False(t, r.server.isDrained())
 	close(release)
 	assert.Equal(t, 200, long.receive().StatusCode)
 	_, err = long.reader.ReadByte()
 	assert.Equal(t, io.EOF, err)
-	r.server.Drain(0)
+	r.server.Drain(t.Context(), 0)
 }
 
-// TestRequestThatComesAtTheEnd: as long as it is unread, the server is not done.
-func TestRequestThatComesAtTheEnd(t *testing.T) {
-	r := newRig(t, says(okAnswer))
+// TestDrain_LateRequestIsRejected: a request that arrives at the end of a shutdown gets a response.
+func TestDrain_LateRequestIsRejected(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
 	client := r.dial()
-	client.send(get("/once/x"))
+	client.send(rawGet("/once/x"))
 	client.receive()
 	r.server.startDraining()
 	r.server.rejectNewRequests()
-	client.send(get("/once/x"))
+	client.send(rawGet("/once/x"))
 	assert.Equal(t, 503, client.receive().StatusCode)
 }
 
-func TestCourse(t *testing.T) {
+func TestPlanDrain(t *testing.T) {
 	assert.Equal(t, drainPlan{serve: 3 * time.Second, reject: 500 * time.Millisecond, total: 7500 * time.Millisecond},
 		planDrain(8*time.Second))
 	for _, grace := range []time.Duration{0, time.Second, 4 * time.Second, time.Minute} {
@@ -175,42 +184,42 @@
 	}
 }
 
-// TestLateBody: a client that doesn't send its body in time is told that nothing has run.
-func TestLateBody(t *testing.T) {
-	r := newRig(t, says(okAnswer))
+// TestServeHTTP_LateBody: a client whose body doesn't arrive in time is told that nothing has run.
+func TestServeHTTP_LateBody(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
 	client := r.dial()
 	client.send("POST /once/x HTTP/1.1\r\nHost: shop.example\r\nX-Time-Left: 20\r\nContent-Length: 5\r\n\r\nab")
 	answer := client.receive()
 	assert.Equal(t, 408, answer.StatusCode)
 	assert.True(t, answer.Close)
-	assert.Empty(t, r.placer.requests)
+	assert.Empty(t, r.picker.requests)
 }
 
-// TestLimitsOfConnections: the deadline of a read is that of the connection's phase.
-func TestLimitsOfConnections(t *testing.T) {
-	r := newRig(t)
+// TestListener_ReadDeadlines: the deadline of a read follows from the connection's state.
+func TestListener_ReadDeadlines(t *testing.T) {
+	r := newTestProxy(t)
 	l := r.server.listener
 	assert.InDelta(t, 3, time.Until(l.readDeadline(http.StateNew)).Seconds(), 1)
 	assert.InDelta(t, 17, time.Until(l.readDeadline(http.StateIdle)).Seconds(), 1)
 	assert.True(t, l.readDeadline(stateServing).IsZero())
 }
 
-func TestTooManyConnections(t *testing.T) {
-	r := newRig(t, says(okAnswer))
+func TestListener_NearLimit(t *testing.T) {
+	r := newTestProxy(t, respondWith(okResponse))
 	r.server.listener.mu.Lock()
 	r.server.listener.maxConnections = 2
 	r.server.listener.mu.Unlock()
 	first := r.dial()
-	first.send(get("/once/x"))
+	first.send(rawGet("/once/x"))
 	first.receive()
 	second := r.dial()
-	second.send(get("/once/x"))
+	second.send(rawGet("/once/x"))
 	assert.True(t, second.receive().Close, "so many that some are given back")
 	_, err := second.reader.ReadByte()
 	assert.Equal(t, io.EOF, err)
 }
 
-func TestTarget(t *testing.T) {
+func TestRequestTarget(t *testing.T) {
 	for sent, want := range map[string]string{
 		"/a/b?c": "/a/b?c", "http://h/a?b": "/a?b", "http://h": "/", "http://h?x": "/?x", "//a/b": "//a/b",
 	} {
@@ -220,7 +229,7 @@
 	}
 }
 
-func TestConnectionHeaders(t *testing.T) {
+func TestDropConnectionHeaders(t *testing.T) {
 	header := http.Header{
 		"Connection": {"close, x-own, Other"}, "Other": {"1"}, "X-Own": {"1"}, "Te": {"x"}, "Upgrade": {"h2c"},
 		"Accept-Encoding": {"identity"},
@@ -229,7 +238,7 @@
 	assert.Equal(t, http.Header{"X-Own": {"1"}, "Accept-Encoding": {"identity"}}, header)
 }
 
-func TestComeBack(t *testing.T) {
+func TestClampRetryAfter(t *testing.T) {
 	for _, c := range []struct{ wanted, left, want time.Duration }{
 		{0, time.Second, minRetryAfter}, {time.Second, 3 * time.Second, time.Second},
 		{time.Second, 300 * time.Millisecond, 100 * time.Millisecond}, {time.Second, -time.Second, 0},
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -21,16 +20,12 @@
 
 const streamHead = okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func contextWithCancel() (context.Context, context.CancelFunc) {
-	return context.WithCancel(context.Background())
-}
-
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const lastChunk = "0\r\n\r\n"
 
-// oneEvent is event number n; every third one names a version first.
-func oneEvent(n int) string {
+// testEvent returns event number n; every third one has another field before its ID.
+func testEvent(n int) string {
 	version := ""
 	if n%3 == 0 {
 		version = "versions: 2\n"
@@ -38,45 +33,45 @@
 	return fmt.Sprintf("%sid: %d\ndata: piece %d\n\n", version, n, n)
 }
 
-func eventsFrom(first, last int) (text string) {
+func testEvents(first, last int) (text string) {
 	for n := first; n <= last; n++ {
-		text += oneEvent(n)
+		text += testEvent(n)
 	}
 	return text
 }
 
-func TestStreamIsPassedEventByEvent(t *testing.T) {
+func TestStream_RelayedEventByEvent(t *testing.T) {
 	next := make(chan string)
-	r := newRig(t, func(p *peer) {
-		request := p.request()
+	r := newTestProxy(t, func(p *endpointConn) {
+		request := p.readRequest()
 		if request.Header.Get("Priority") != "2" {
 			return
 		}
-		p.say(streamHead)
+		p.write(streamHead)
 		for text := range next {
-			p.say(text)
+			p.write(text)
 		}
-		p.awaitEnd()
+		p.readToEnd()
 	})
 	go func() {
-		next <- chunk(oneEvent(1)[:5])
-		next <- chunk(oneEvent(1)[5:])
+		next <- chunk(testEvent(1)[:5])
+		next <- chunk(testEvent(1)[5:])
 	}()
 	response, err := r.client.Do(r.request("/chat/x", ""))
 	require.NoError(t, err)
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	assert.Equal(t, "text/event-stream", response.Header.Get("Content-Type"))
 	body := bufio.NewReader(response.Body)
-	for n := 1; n <= 5; n++ { // each one is had before the next one is sent
+	for n := 1; n <= 5; n++ { // each one arrives before the next one is sent
 		got := ""
 		for !strings.HasSuffix(got, "\n\n") {
 			line, err := body.ReadString('\n')
 			require.NoError(t, err)
 			got += line
 		}
-		assert.Equal(t, oneEvent(n), got)
+		assert.Equal(t, testEvent(n), got)
 		if n < 5 {
-			next <- chunk(oneEvent(n + 1))
+			next <- chunk(testEvent(n + 1))
 		}
 	}
 	next <- lastChunk
@@ -85,77 +80,78 @@
 	assert.EqualError(t, err, "EOF")
 }
 
-func TestClientsOwnPlaceInAStream(t *testing.T) {
-	r := newRig(t, func(p *peer) {
-		request := p.request()
+func TestStream_ClientsLastEventID(t *testing.T) {
+	r := newTestProxy(t, func(p *endpointConn) {
+		request := p.readRequest()
 		last, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-		p.say(streamHead + chunk(eventsFrom(last+1, 6)) + lastChunk)
+		p.write(streamHead + chunk(testEvents(last+1, 6)) + lastChunk)
 	})
 	request := r.request("/chat/x", "")
 	request.Header.Set("Last-Event-Id", "4")
-	assert.Equal(t, eventsFrom(5, 6), r.do(request).body)
+	assert.Equal(t, testEvents(5, 6), r.do(request).body)
 }
 
-func TestStreamThatMayNotBeTakenUp(t *testing.T) {
-	r := newRig(t, breaks(streamHead+chunk(oneEvent(1)+"id: 2\n")), says(okAnswer))
+func TestStream_NotResumable(t *testing.T) {
+	r := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1)+"id: 2\n")), respondWith(okResponse))
 	a := r.do(r.request("/draft/x", ""))
 	assert.Equal(t, 200, a.status)
-	assert.Equal(t, oneEvent(1), a.body)
-	assert.False(t, a.whole)
-	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.placer.ended())
+	assert.Equal(t, testEvent(1), a.body)
+	assert.False(t, a.complete)
+	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.picker.recordedOutcomes())
 
-	r = newRig(t, breaks(streamHead+chunk("id: 1\n")), says(okAnswer))
+	r = newTestProxy(t, respondAndClose(streamHead+chunk("id: 1\n")), respondWith(okResponse))
 	assert.Equal(t, 502, r.do(r.request("/draft/x", "")).status, "nothing of it was passed on")
 }
 
-func TestStreamTakenUpNowhere(t *testing.T) {
-	for name, second := range map[string]func(*peer){
-		"full": says(fullAnswer), "own error": says(errAnswer), "no stream": says(okAnswer), "break": breaks(""),
+func TestStream_NoEndpointResumes(t *testing.T) {
+	for name, second := range map[string]func(*endpointConn){
+		"full": respondWith(rejectedResponse), "own error": respondWith(serverErrorResponse), "no stream": respondWith(okResponse), "break": respondAndClose(""),
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, breaks(streamHead+chunk(oneEvent(1))), second)
+			r := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1))), second)
 			a := r.do(r.request("/chat/x", ""))
-			assert.Equal(t, oneEvent(1), a.body)
-			assert.False(t, a.whole)
+			assert.Equal(t, testEvent(1), a.body)
+			assert.False(t, a.complete)
 		})
 	}
 }
 
-func TestStreamThatPausesIsTakenUpElsewhere(t *testing.T) {
-	r := newRig(t, func(p *peer) {
-		p.request()
-		p.say(streamHead + chunk(eventsFrom(1, 2)))
-		p.awaitEnd()
-	}, resuming(t, 5))
+func TestStream_StalledStreamIsResumed(t *testing.T) {
+	r := newTestProxy(t, func(p *endpointConn) {
+		p.readRequest()
+		p.write(streamHead + chunk(testEvents(1, 2)))
+		p.readToEnd()
+	}, resumeStream(t, 5))
 	a := r.do(r.request("/chat/x", ""))
-	assert.Equal(t, eventsFrom(1, 5), a.body)
-	assert.True(t, a.whole)
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.placer.ended())
+	assert.Equal(t, testEvents(1, 5), a.body)
+	assert.True(t, a.complete)
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.picker.recordedOutcomes())
 }
 
-// TestStreamWithoutType is not held back, and its connection is kept as long as the endpoint says.
-func TestStreamWithoutType(t *testing.T) {
+// TestStream_WithoutContentType: such a stream is not buffered, and its connection is kept as long as the endpoint
+// says.
+func TestStream_WithoutContentType(t *testing.T) {
 	next := make(chan string)
-	r := newRig(t, func(p *peer) {
-		for p.request() != nil {
-			p.say(okHead + "Keep-Alive: timeout=0\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(oneEvent(1)))
-			p.say(<-next)
+	r := newTestProxy(t, func(p *endpointConn) {
+		for p.readRequest() != nil {
+			p.write(okHead + "Keep-Alive: timeout=0\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(testEvent(1)))
+			p.write(<-next)
 		}
 	})
 	response, err := r.client.Do(r.request("/draft/x", ""))
 	require.NoError(t, err)
-	defer response.Body.Close()
-	first := make([]byte, len(oneEvent(1)))
+	defer func() { _ = response.Body.Close() }()
+	first := make([]byte, len(testEvent(1)))
 	_, err = io.ReadFull(response.Body, first)
 	require.NoError(t, err)
-	assert.Equal(t, oneEvent(1), string(first))
+	assert.Equal(t, testEvent(1), string(first))
 	next <- lastChunk
 	_, err = response.Body.Read(first)
 	assert.Equal(t, io.EOF, err)
 	assert.Zero(t, r.server.options.Pool.Open())
 }
 
-func TestPatience(t *testing.T) {
+func TestTimeouts(t *testing.T) {
 	route := &routing.Route{Target: 800 * time.Millisecond, GapTarget: 400 * time.Millisecond}
 	model, plain := &routing.Service{Engine: &routing.Engine{}}, &routing.Service{}
 	assert.Equal(t, 1600*time.Millisecond, firstByteTimeout(route, model, 200*time.Millisecond))
@@ -168,77 +164,77 @@
 	assert.Equal(t, defaultStreamIdleTimeout, streamIdleTimeout(&routing.Route{Resume: true}))
 }
 
-// resuming is a script that goes on after the last event that the request names.
-func resuming(t *testing.T, last int) func(*peer) {
-	return func(p *peer) {
-		request := p.request()
+// resumeStream returns a script that continues after the last event that the request names.
+func resumeStream(t *testing.T, last int) func(*endpointConn) {
+	return func(p *endpointConn) {
+		request := p.readRequest()
 		after, err := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		assert.NoError(t, err)
-		p.say(strings.Replace(streamHead, "s1", "s2", 1) + chunk(eventsFrom(after+1, last)) + lastChunk)
+		p.write(strings.Replace(streamHead, "s1", "s2", 1) + chunk(testEvents(after+1, last)) + lastChunk)
 	}
 }
 
-// faultyRun is one endpoint's run of a stream that breaks off at a drawn byte.
-type faultyRun struct {
-	point  int // bytes of events that are sent
-	pieces int // chunks that they are sent in
-	back   int // events before the place asked for that it begins with
-	reset  bool
-	clean  bool // it doesn't break off
+// brokenStream is an endpoint's response to a stream request that breaks off at a random byte.
+type brokenStream struct {
+	breakAt  int // bytes of events that are sent
+	pieces   int // chunks that they are sent in
+	overlap  int // events before the requested position that are sent again
+	reset    bool
+	complete bool // it doesn't break off
 }
 
-// script plays the run. It must not draw anything: it runs on another goroutine.
-func (f faultyRun) script(total int) func(*peer) {
-	return func(p *peer) {
-		request := p.request()
+// script returns the endpoint's script. It must not draw random values: it runs on another goroutine.
+func (f brokenStream) script(total int) func(*endpointConn) {
+	return func(p *endpointConn) {
+		request := p.readRequest()
 		after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-		text := eventsFrom(max(after+1-f.back, 1), total)
-		if !f.clean {
-			text = text[:min(f.point, len(text))]
+		text := testEvents(max(after+1-f.overlap, 1), total)
+		if !f.complete {
+			text = text[:min(f.breakAt, len(text))]
 		}
-		p.say(streamHead)
+		p.write(streamHead)
 		for size := max(len(text)/max(f.pieces, 1), 1); len(text) > 0; {
 			cut := min(size, len(text))
-			p.say(chunk(text[:cut]))
+			p.write(chunk(text[:cut]))
 			text = text[cut:]
 		}
-		if f.clean {
-			p.say(lastChunk)
+		if f.complete {
+			p.write(lastChunk)
 		} else if f.reset {
 			p.reset()
 		}
 	}
 }
 
-// TestResumeProperty: whatever breaks off where, a client gets each event once, in order and whole; the answer looks
-// complete only if it is.
-func TestResumeProperty(t *testing.T) {
+// TestStream_ResumeProperty: wherever streams break off, the client receives each event once, in order and complete,
+// and the response looks complete only if it is.
+func TestStream_ResumeProperty(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(draw, "events")
-		var scripts []func(*peer)
+		var scripts []func(*endpointConn)
 		clean := false
 		for range rapid.IntRange(1, 6).Draw(draw, "runs") {
-			run := faultyRun{
-				point:  rapid.IntRange(0, 40*total).Draw(draw, "point"),
-				pieces: rapid.IntRange(1, 20).Draw(draw, "pieces"),
-				back:   rapid.IntRange(0, 3).Draw(draw, "back"),
-				reset:  rapid.Bool().Draw(draw, "reset"),
-				clean:  rapid.IntRange(0, 3).Draw(draw, "clean") == 0,
+			run := brokenStream{
+				breakAt:  rapid.IntRange(0, 40*total).Draw(draw, "point"),
+				pieces:   rapid.IntRange(1, 20).Draw(draw, "pieces"),
+				overlap:  rapid.IntRange(0, 3).Draw(draw, "back"),
+				reset:    rapid.Bool().Draw(draw, "reset"),
+				complete: rapid.IntRange(0, 3).Draw(draw, "clean") == 0,
 			}
-			clean = clean || run.clean
+			clean = clean || run.complete
 			scripts = append(scripts, run.script(total))
 		}
-		r := newRig(t, scripts...)
+		r := newTestProxy(t, scripts...)
 		a := r.do(r.request("/chat/x", ""))
-		whole := eventsFrom(1, total)
+		whole := testEvents(1, total)
 		if clean {
-			if a.status != http.StatusOK || a.body != whole || !a.whole {
-				draw.Fatalf("want all of %d events, got %d %t %q", total, a.status, a.whole, a.body)
+			if a.status != http.StatusOK || a.body != whole || !a.complete {
+				draw.Fatalf("want all of %d events, got %d %t %q", total, a.status, a.complete, a.body)
 			}
 			return
 		}
 		if a.status == http.StatusOK {
-			if a.whole {
+			if a.complete {
 				draw.Fatalf("looks complete: %q", a.body)
 			}
 			if !strings.HasPrefix(whole, a.body) || a.body != "" && !strings.HasSuffix(a.body, "\n\n") {
@@ -248,12 +244,12 @@
 	})
 }
 
-// TestStreamWithoutIDsIsNotTakenUp: there is no place to go on from, so that another run would join pieces of two.
-func TestStreamWithoutIDsIsNotTakenUp(t *testing.T) {
+// TestStream_WithoutEventIDsIsNotResumed: without IDs there is no position to resume from.
+func TestStream_WithoutEventIDsIsNotResumed(t *testing.T) {
 	const event = "data: piece\n\n"
-	r := newRig(t, breaks(streamHead+chunk(event)), says(streamHead+chunk(event+event)+lastChunk))
+	r := newTestProxy(t, respondAndClose(streamHead+chunk(event)), respondWith(streamHead+chunk(event+event)+lastChunk))
 	a := r.do(r.request("/chat/x", ""))
 	assert.Equal(t, event, a.body)
-	assert.False(t, a.whole)
-	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.placer.ended())
+	assert.False(t, a.complete)
+	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.picker.recordedOutcomes())
 }
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -81,7 +81,7 @@
 	go p.monitorEndpoints(running)
 	<-ctx.Done()
 	p.watcher.announceLeaving()
-	p.server.Drain(time.Duration(p.drainGrace.Load()))
+	p.server.Drain(running, time.Duration(p.drainGrace.Load()))
 	stop()
 	p.server.Close()
 	p.pool.Close()
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -92,10 +92,10 @@
 // freePort is a port that nobody listens at, nor at the one after it, where a proxy asks its agent.
 func freePort(t *testing.T) int {
 	for range 100 {
-		first, err := net.Listen("tcp", "127.0.0.1:0")
+		first, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		port := first.Addr().(*net.TCPAddr).Port
-		next, err := net.Listen("tcp", local(port+1))
+		next, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", local(port+1))
 		_ = first.Close()
 		if err == nil {
 			_ = next.Close()
@@ -117,11 +117,11 @@
 	a := &fakeAgent{news: make(chan *subscription.Response), requests: make(chan subscription.Request, 100)}
 	mux := http.NewServeMux()
 	subscription.Watch.Serve(mux, a.watch)
-	listener, err := net.Listen("tcp", address)
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 	require.NoError(t, err)
 	server := &http.Server{Handler: mux}
-	go server.Serve(listener)
-	t.Cleanup(func() { server.Close() })
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = server.Close() })
 	return a
 }
 
@@ -179,14 +179,14 @@
 }
 
 func fetch(t *testing.T, address, path string) fetched {
-	request, err := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+path, nil)
 	require.NoError(t, err)
 	request.Host, request.Close = "shop.example", true
 	request.Header.Set("X-Attempt-Id", "a1")
 	request.Header.Set("X-Time-Left", "5000")
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	return fetched{response.StatusCode, string(body)}
