--- /dev/null
+++ b/cluster/member/coordinator/plan.go
@@ -0,0 +1,128 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"reflect"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/rebalance/planfile"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+)
+
+// planName is how errors and the log name the plan's text.
+const planName = "plan"
+
+// remainingMembers returns the members that the running plan does not drain; all, where none of those is alive. Guards
+// against a range that is failed over to a member that leaves, behind steps that are done.
+func (c *Coordinator) remainingMembers(members []shardmap.Candidate,
+	alive map[cluster.MemberID]bool) (remaining []shardmap.Candidate) {
+	if c.runningPlan() == 0 {
+		return members
+	}
+	file, err := c.progress.File()
+	if err != nil {
+		return members
+	}
+	someAlive := false
+	for _, m := range members {
+		drains := func(r planfile.Rule) bool { return r.Kind == planfile.Drain && r.Member == m.Member }
+		if slices.ContainsFunc(file.Rules, drains) {
+			continue
+		}
+		remaining = append(remaining, m)
+		someAlive = someAlive || alive[m.Member]
+	}
+	if !someAlive {
+		return members
+	}
+	return remaining
+}
+
+// adopt brings the requested plan into the log, where it is another than the one that runs; false: not yet.
+func (c *Coordinator) adopt(request PlanRequest, shardMap *shardmap.Map) bool {
+	number := c.runningPlan()
+	if number != 0 && !request.Fresh {
+		return false
+	}
+	requested, err := planfile.Parse(request.Text, planName)
+	if err != nil {
+		slog.Error("plan not taken up", "why", err)
+		return true
+	}
+	resumes := c.StoppedPlan() != 0 && c.StoppedPlan() == request.Resumes
+	if number != 0 && !resumes {
+		running, err := planfile.Parse(c.progress.Text, planName)
+		if err == nil && reflect.DeepEqual(running, requested) {
+			return true
+		}
+	}
+	return c.makePlan(requested, request.Text, number, shardMap)
+}
+
+// makePlan computes the steps and proposes them; false: a range has to end its move first, or the proposal failed.
+func (c *Coordinator) makePlan(file *planfile.File, text []byte, number uint64, shardMap *shardmap.Map) bool {
+	plan, err := rebalance.NewPlan(file, shardMap, nil)
+	var moving *rebalance.RangeMovingError
+	if errors.As(err, &moving) {
+		if moving.Move.Step < shardmap.StepSwitched {
+			c.propose("move goes back", shardmap.Coordinator(c.epoch).RevertMove(moving.Move.ID),
+				"move", moving.Move.ID, "why", err)
+		}
+		return false
+	}
+	if err != nil {
+		slog.Error("plan not taken up", "why", err)
+		return true
+	}
+	return c.propose("plan taken up", rebalance.Coordinator(c.epoch).Adopt(number, planName, text, plan),
+		"steps", len(plan.Steps))
+}
+
+// runPlan does what the running plan requires now.
+func (c *Coordinator) runPlan(by shardmap.Coordinator, shardMap *shardmap.Map, alive map[cluster.MemberID]bool,
+	now api.Micros) {
+	if c.runningPlan() == 0 {
+		return
+	}
+	file, err := c.progress.File()
+	if err != nil {
+		slog.Error("running plan not read", "why", err)
+		return
+	}
+	schedule := c.progress.Schedule(file, shardMap, rebalance.Observations{
+		IsGone:        func(m cluster.MemberID) bool { return !alive[m] },
+		SinceLastMove: now - c.idleSince,
+		Impact:        c.Impacts.Impact(c.progress.Number),
+	})
+	for _, action := range schedule.Actions {
+		c.perform(action, by, file, shardMap)
+	}
+}
+
+func (c *Coordinator) perform(a rebalance.Action, by shardmap.Coordinator, file *planfile.File,
+	shardMap *shardmap.Map) {
+	plan, number := rebalance.Coordinator(c.epoch), c.progress.Number
+	switch a.Kind {
+	case rebalance.ActionStart:
+		c.propose("move planned", by.PlanMove(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
+	case rebalance.ActionRollBack:
+		c.propose("move goes back", by.RevertMove(a.Move), "move", a.Move, "why", a.Reason)
+	case rebalance.ActionRecordState:
+		c.propose("plan's step", plan.RecordState(number, a.Step, a.State, a.Move), "step", a.Step)
+	case rebalance.ActionStop:
+		c.propose("plan stopped", plan.Stop(number, a.Reason), "why", a.Reason)
+	case rebalance.ActionSplit:
+		c.propose("range split", by.Split(a.Range, a.SplitKey),
+			"range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.SplitKey)))
+	case rebalance.ActionMerge:
+		c.propose("ranges merged", by.Merge(a.Range, a.OtherRange), "range", a.Range, "other", a.OtherRange)
+	case rebalance.ActionReplan:
+		slog.Info("plan made anew", "why", a.Reason)
+		c.makePlan(file, slices.Clone(c.progress.Text), number, shardMap)
+	}
+}
--- /dev/null
+++ b/cluster/member/fetch.go
@@ -0,0 +1,67 @@
+package member
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+const fetchTimeout = 10 * api.Second
+
+var errNoShardMap = errors.New("its answer has none")
+
+// FetchState asks the raft node at an address, host:port, for the shard map and the running plan. Without an address
+// there are none.
+func FetchState(address string) (*shardmap.Map, *rebalance.Progress, error) {
+	if address == "" {
+		return nil, nil, nil
+	}
+	answer, status, err := requestState(address)
+	shardMap, progress := shardmap.New(nil), &rebalance.Progress{}
+	if err == nil {
+		err = restoreState(answer, shardMap, progress)
+	}
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s tells no map of ranges (status %d, %w): is it a keeper's address?", address,
+			status, err)
+	}
+	return shardMap, progress, nil
+}
+
+func requestState(address string) (answer transport.StateResponse, status int, err error) {
+	const node cluster.MemberID = "it"
+	client := transport.NewClient("", map[cluster.MemberID]string{node: address})
+	defer client.Close()
+	request := transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: 0, cluster.RebalanceComponent: 0}}
+	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), duration(fetchTimeout))
+	if err != nil {
+		return answer, status, err
+	}
+	if status != fasthttp.StatusOK {
+		return answer, status, errNoShardMap
+	}
+	err = transport.Decode(raw, &answer)
+	return answer, status, err
+}
+
+func restoreState(answer transport.StateResponse, shardMap *shardmap.Map, progress *rebalance.Progress) error {
+	err := errNoShardMap
+	for _, part := range answer.Parts {
+		switch part.Part {
+		case cluster.ShardMapComponent:
+			err = shardMap.Restore(part.Data)
+		case cluster.RebalanceComponent:
+			if planErr := progress.Restore(part.Data); planErr != nil {
+				return planErr
+			}
+		}
+	}
+	return err
+}
--- /dev/null
+++ b/cluster/member/handoff/batch.go
@@ -0,0 +1,121 @@
+package handoff
+
+import (
+	"rowanlink/cluster"
+	"rowanlink/cluster/member/custody"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// batch is what one peer is sent: webhooks offered, by their moves and in the order accepted, and queries for
+// webhooks in doubt.
+type batch struct {
+	moves   []shardmap.MoveID // in the order of their first offers; 0: to the owner
+	offers  map[shardmap.MoveID][]eventloop.Owed
+	queries []eventloop.Owed
+}
+
+func (b *batch) addOffer(w eventloop.Owed, move shardmap.MoveID) {
+	if b.offers[move] == nil {
+		b.moves = append(b.moves, move)
+	}
+	if len(b.offers[move]) < MaxBatch {
+		b.offers[move] = append(b.offers[move], w)
+	}
+}
+
+func (b *batch) addQuery(w eventloop.Owed) {
+	if len(b.queries) < MaxBatch {
+		b.queries = append(b.queries, w)
+	}
+}
+
+// batches are the batches by their peers.
+type batches map[cluster.MemberID]*batch
+
+func (b batches) of(to cluster.MemberID) *batch {
+	if b[to] == nil {
+		b[to] = &batch{offers: map[shardmap.MoveID][]eventloop.Owed{}}
+	}
+	return b[to]
+}
+
+// orderingKey names webhooks that are delivered in order.
+type orderingKey struct {
+	destination api.DestinationID
+	key         api.OrderingKey
+}
+
+// batchByPeer sorts the pending webhooks by what is to be done with them. Of one ordering key, nothing is handed off
+// behind a webhook that is in doubt or stays here.
+func (m *Manager) batchByPeer(shardMap *shardmap.Map, pending []eventloop.Owed) batches {
+	all, blocked := batches{}, map[orderingKey]bool{}
+	for _, w := range pending {
+		key := orderingKey{w.Destination, w.Key}
+		ordered := m.IsOrdered(w.Webhook)
+		if ordered && blocked[key] {
+			continue
+		}
+		r, leaves := m.route(shardMap, w)
+		switch {
+		case w.Doubted:
+			blocked[key] = blocked[key] || ordered
+			m.batchInDoubt(all, w, r, leaves)
+		case leaves:
+			all.of(r.to).addOffer(w, r.move)
+		default:
+			blocked[key] = blocked[key] || ordered
+		}
+	}
+	return all
+}
+
+// batchInDoubt has a webhook in doubt offered once more where that goes to the same folder, else asked for.
+func (m *Manager) batchInDoubt(all batches, w eventloop.Owed, r route, leaves bool) {
+	offer, _, offered := m.Custody.PendingOffer(custody.IDOf(w.RequestID))
+	switch {
+	case !offered:
+		m.confirmArrival(w) // it may be resolved by now
+	case leaves && r.to == offer.To && m.Peers.Incarnation(r.to) == offer.Incarnation:
+		all.of(r.to).addOffer(w, r.move)
+	default:
+		all.of(offer.To).addQuery(w)
+	}
+}
+
+// confirmArrival lets a webhook go on from here that is in the journal and whose custody record could not be written
+// when it came.
+func (m *Manager) confirmArrival(w eventloop.Owed) {
+	id := custody.IDOf(w.RequestID)
+	if !m.Custody.IsArriving(id) {
+		return
+	}
+	err := m.Custody.Update([]shardmap.WebhookID{id}, func(t *shardmap.CustodyTable) { t.ConfirmStored(id) })
+	if err == nil {
+		m.Decider.Settled([]inflight.RequestID{w.RequestID})
+	}
+}
+
+// route is where a webhook goes.
+type route struct {
+	to   cluster.MemberID
+	move shardmap.MoveID // by which it is handed off; 0: to is the owner
+}
+
+// route returns where a webhook belongs; false: it stays here for now.
+func (m *Manager) route(shardMap *shardmap.Map, w eventloop.Owed) (route, bool) {
+	m.mu.Lock()
+	_, arrivedByMove := m.arrivals[w.RequestID]
+	m.mu.Unlock()
+	d := shardMap.DecideDestination(m.Ownership.LocalMember(), w.Destination)
+	switch {
+	case arrivedByMove:
+	case d.Action == shardmap.Forward:
+		return route{to: d.Owner}, true
+	case d.Action == shardmap.ParkOwned && d.Move.IsOpen() && d.Move.From == m.Ownership.Self:
+		return route{to: d.Move.To, move: d.Move.ID}, true
+	}
+	return route{}, false
+}
--- /dev/null
+++ b/cluster/member/handoff/offer.go
@@ -0,0 +1,159 @@
+package handoff
+
+import (
+	"errors"
+	"log/slog"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/member/custody"
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// offerTimeoutDivisor is the part of a lease TTL that an answer to a transfer may take.
+const offerTimeoutDivisor = 2
+
+// offered is a webhook of a transfer that is being sent, with what became of it.
+type offered struct {
+	eventloop.Owed
+	id      shardmap.WebhookID
+	handoff shardmap.HandoffNumber
+	reply   shardmap.CustodyReply
+}
+
+// offerWebhooks offers webhooks to the owner of their range, or to the target of its move. They are parked in doubt
+// until there is an answer; one without an answer is offered again, and known there by its id.
+func (m *Manager) offerWebhooks(shardMap *shardmap.Map, to cluster.MemberID, move shardmap.MoveID,
+	webhooks []eventloop.Owed) {
+	transfer := peer.Transfer{MapVersion: shardMap.Version, SentAt: inflight.Now(), Move: move}
+	offers := m.recordOffers(shardMap, to, &transfer, webhooks)
+	if len(offers) == 0 {
+		return
+	}
+	result, err := m.Peers.Send(to, peer.TransferPath, transfer, m.Ownership.LeaseTTL/offerTimeoutDivisor, false)
+	accepted := 0
+	for i := range offers {
+		switch {
+		case errors.Is(err, transport.ErrNotSent):
+			offers[i].reply = shardmap.CustodyRejected // by nobody: this attempt had no effect
+		case err == nil:
+			offers[i].reply = result.Outcomes[i].Reply
+		}
+		if offers[i].reply == shardmap.CustodyTaken {
+			accepted++
+		}
+	}
+	m.Metrics.HandedOff.Add(int64(accepted))
+	m.applyReplies(offers)
+	if err != nil {
+		slog.Debug("owed not handed on", "to", to, "webhooks", len(offers), "why", err)
+		return
+	}
+	slog.Info("owed handed on", "to", to, "move", move, "webhooks", accepted, "of", len(offers))
+	if accepted > 0 {
+		m.Wake()
+		m.Ownership.OnChange()
+	}
+}
+
+// recordOffers adds those of the webhooks to a transfer that are still parked here, and writes to whom they are offered
+// before they are.
+func (m *Manager) recordOffers(shardMap *shardmap.Map, to cluster.MemberID, transfer *peer.Transfer,
+	webhooks []eventloop.Owed) (offers []offered) {
+	localIDs := make([]api.WebhookID, len(webhooks))
+	ids := make([]shardmap.WebhookID, len(webhooks))
+	for i, w := range webhooks {
+		localIDs[i], ids[i] = w.ID, custody.IDOf(w.RequestID)
+	}
+	marked := m.Decider.Doubt(localIDs)
+	incarnation := m.Peers.Incarnation(to)
+	var newlyMarked, resolved []inflight.RequestID
+	err := m.Custody.Update(ids, func(t *shardmap.CustodyTable) {
+		for i, w := range webhooks {
+			r, found := shardMap.RangeOf(shardMap.KeyOf(w.Destination))
+			wasNotInDoubt, parked := marked[w.ID]
+			_, _, pending := t.OutstandingOffer(ids[i])
+			switch {
+			case !parked || !found:
+				continue
+			case !pending && !wasNotInDoubt: // in doubt otherwise, or arriving
+				continue
+			case !pending && w.Doubted: // resolved meanwhile, and marked again above
+				resolved = append(resolved, w.RequestID)
+				continue
+			case !pending:
+				newlyMarked = append(newlyMarked, w.RequestID)
+			}
+			handoff, ok := t.BeginOffer(ids[i], w.TTL, shardmap.Offer{To: to, Incarnation: incarnation,
+				Move: transfer.Move, Range: r.ID, Epoch: r.Epoch, SentAt: transfer.SentAt})
+			if ok {
+				offers = append(offers, offered{Owed: w, id: ids[i], handoff: handoff})
+				transfer.Webhooks = append(transfer.Webhooks, peer.EncodeWebhook(w, ids[i], handoff))
+			}
+		}
+	})
+	if err != nil {
+		resolved, offers = append(resolved, newlyMarked...), nil
+	}
+	m.Decider.Settled(resolved)
+	return offers
+}
+
+// applyReplies does what the replies to offers say.
+func (m *Manager) applyReplies(offers []offered) {
+	var notTaken []shardmap.WebhookID
+	for _, o := range offers {
+		if o.reply != shardmap.CustodyTaken {
+			notTaken = append(notTaken, o.id)
+		}
+	}
+	if len(notTaken) < len(offers) {
+		m.dropTransferred(offers)
+	}
+	if len(notTaken) == 0 {
+		return
+	}
+	var kept []inflight.RequestID
+	err := m.Custody.Update(notTaken, func(t *shardmap.CustodyTable) {
+		for _, o := range offers {
+			if o.reply == shardmap.CustodyTaken {
+				continue
+			}
+			if t.HandleReply(o.id, o.handoff, o.reply) == shardmap.KeepCopy {
+				kept = append(kept, o.RequestID)
+			}
+		}
+	})
+	if err == nil { // else they stay in doubt
+		m.Decider.Settled(kept)
+	}
+	for _, o := range offers {
+		pending, handoff, found := m.Custody.PendingOffer(o.id)
+		if found && o.reply == shardmap.CustodyStateLost {
+			m.resolveInDoubt(inDoubt{Owed: o.Owed, id: o.id, handoff: handoff, offer: pending}, o.reply)
+		}
+	}
+}
+
+// dropTransferred ends the webhooks that another member has taken. It does so with the custody table locked: one may
+// have come back meanwhile, and none may be accepted anew before it has ended here.
+func (m *Manager) dropTransferred(offers []offered) {
+	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
+		var ids []api.WebhookID
+		for _, o := range offers {
+			if o.reply != shardmap.CustodyTaken {
+				continue
+			}
+			if t.HandleReply(o.id, o.handoff, o.reply) == shardmap.DropCopy {
+				ids = append(ids, o.ID)
+			}
+		}
+		if len(ids) > 0 {
+			m.Decider.Passed(ids)
+		}
+	})
+}
--- /dev/null
+++ b/cluster/member/session/acquire.go
@@ -0,0 +1,126 @@
+package session
+
+import (
+	"errors"
+	"time"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
+	"rowanlink/webhook/api"
+)
+
+// acquireLoop proposes grants and releases, one proposal at a time.
+func (s *Session) acquireLoop() {
+	failures := 0
+	for {
+		next, idle := s.nextProposal()
+		var err error
+		switch {
+		case next.Release != "":
+			err = s.proposeRelease(next)
+		case next.HasWork() && s.takeFreed():
+			if !s.sleep(timing.AcquireJitter(s.LeaseTTL, s.Leader.drawRandom())) {
+				return
+			}
+			continue
+		case next.HasWork():
+			err = s.proposeGrant(next)
+		default:
+			if !s.waitForWork(idle) {
+				return
+			}
+			continue
+		}
+		wait := api.Micros(0)
+		if err == nil {
+			failures = 0
+		} else {
+			failures++
+			wait = timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())
+		}
+		if !s.sleep(wait) {
+			return
+		}
+	}
+}
+
+// nextProposal returns what is to be proposed now and, where that is nothing, after how long there may be something
+// though no message comes.
+func (s *Session) nextProposal() (p lease.Proposal, idle api.Micros) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now, idle := s.Clock(), s.LeaseTTL
+	if at, scheduled := s.reconciler.NextRetryAt(); scheduled {
+		idle = min(idle, max(at-now, 0)+1)
+	}
+	if !s.holder.IsValid(now) {
+		idle = s.LeaseTTL // acquireWake is sent when a session is open again
+	}
+	return s.reconciler.NextProposal(now), idle
+}
+
+// waitForWork waits until there may be something to propose, for the time named at most; false: the session is closed.
+func (s *Session) waitForWork(atMost api.Micros) bool {
+	timer := time.NewTimer(duration(atMost))
+	defer timer.Stop()
+	select {
+	case <-s.acquireWake:
+	case <-timer.C:
+	case <-s.ended:
+		return false
+	}
+	return true
+}
+
+func (s *Session) proposeRelease(p lease.Proposal) error {
+	_, err := s.Propose(p.Command())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reconciler.HandleReleaseResult(p, err) {
+		return nil
+	}
+	return err
+}
+
+// proposeGrant requests the leases of resources. What another session holds is requested again once a raft node
+// reports that it is free, or after a while.
+func (s *Session) proposeGrant(p lease.Proposal) error {
+	raw, err := s.Propose(p.Command())
+	if errors.Is(err, cluster.ErrNotFound) {
+		s.dropSession(p.Session)
+	}
+	if err != nil {
+		return err
+	}
+	answer, err := lease.DecodeResult(raw)
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reconciler.HandleResult(p.Session, answer.Grants, s.Clock()) {
+		s.pollWake.Send()
+	}
+	s.notifyChanges()
+	return nil
+}
+
+// markFreed takes a raft node's report that resources are free.
+func (s *Session) markFreed(resources []cluster.Resource) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reconciler.HandleFreed(resources) {
+		s.hasFreed = true
+		s.acquireWake.Send()
+	}
+}
+
+// takeFreed reports, once, whether a resource was freed since that others may want, too.
+func (s *Session) takeFreed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	hadFreed := s.hasFreed
+	s.hasFreed = false
+	return hadFreed
+}
--- /dev/null
+++ b/cluster/member/session/renew.go
@@ -0,0 +1,112 @@
+package session
+
+import (
+	"log/slog"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+// renewLoop opens the session and renews it each time that is due.
+func (s *Session) renewLoop() {
+	failures := 0
+	for {
+		s.mu.Lock()
+		now := s.Clock()
+		s.notifyChanges()
+		wait := s.renewalWait(now)
+		if wait <= 0 && !s.isClosed() {
+			ask, session, tally := s.holder.StartRenewal(now), s.holder.Session(), s.holder.Digest()
+			s.mu.Unlock()
+			if s.requestRenewal(ask, session, tally) {
+				failures = 0
+				continue
+			}
+			failures++
+			wait = timing.RetryBackoff(s.LeaseTTL, failures, s.Leader.drawRandom())
+		} else {
+			s.mu.Unlock()
+		}
+		if !s.sleep(wait) {
+			return
+		}
+	}
+}
+
+// renewalWait returns the time until the next renewal, or until the session ends by the clock if that is sooner:
+// otherwise nobody would be notified of that end. The caller holds the lock.
+func (s *Session) renewalWait(now api.Micros) api.Micros {
+	wait := s.holder.NextRenewalAt() - now
+	if s.holder.IsValid(now) {
+		wait = min(wait, s.holder.Deadline()-now)
+	}
+	return wait
+}
+
+// requestRenewal sends one request to the leader, to open a session where session is 0 and else to renew it, and
+// returns whether the session is open by its answer.
+func (s *Session) requestRenewal(ask lease.Renewal, session cluster.SessionID, tally lease.Digest) bool {
+	answer, err := s.exchangeRenewal(session, tally)
+	if err == nil && answer.ErrorCode != 0 {
+		err = fsm.ErrorFromCode(answer.ErrorCode)
+		s.dropSession(session)
+	}
+	if err == nil && answer.TTL < s.LeaseTTL {
+		// By a longer TTL this member would act on leases that the raft nodes have granted to another.
+		slog.Error("the raft nodes count a shorter lease TTL: no session is opened", "ttl_us", s.LeaseTTL,
+			"theirs_us", answer.TTL)
+		return false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.RenewalsUnanswered.Add(1)
+		slog.Debug("session not renewed", "session", session, "why", err)
+		return false
+	}
+	s.applyRenewal(ask, answer)
+	return true
+}
+
+func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Digest) (answer transport.SessionResponse,
+	err error) {
+	within := timing.RequestTimeout(s.LeaseTTL)
+	if session == 0 {
+		within = timing.LoggedRequestTimeout(s.LeaseTTL)
+	}
+	request := transport.SessionRequest{Member: s.Self, Session: session, Incarnation: s.Incarnation, GrantTally: tally}
+	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
+	if err == nil {
+		err = transport.Decode(raw, &answer)
+	}
+	return answer, err
+}
+
+// applyRenewal takes the leader's positive answer. The caller holds the lock.
+func (s *Session) applyRenewal(ask lease.Renewal, answer transport.SessionResponse) {
+	before, wasActive := s.holder.Session(), s.holder.IsValid(s.Clock())
+	if s.holder.ConfirmRenewal(ask, answer.Session) && before != answer.Session {
+		s.SessionsOpened.Add(1)
+		slog.Info("session held", "member", s.Self, "session", answer.Session)
+		s.reconciler.RetryAll()
+	}
+	if len(answer.Grants) > 0 {
+		s.reconciler.ReconcileGrants(answer.Session, answer.Grants)
+		s.notifyChanges()
+	}
+	if !wasActive || len(answer.Grants) > 0 {
+		s.acquireWake.Send()
+	}
+}
+
+// dropSession gives up a session that a raft node has refused, with all its leases.
+func (s *Session) dropSession(session cluster.SessionID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.holder.HandleRejection(session)
+	s.notifyChanges()
+}
--- /dev/null
+++ b/serving/operator/endpoint_test.go
@@ -0,0 +1,177 @@
+package operator
+
+import (
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"rowanlink/serving/state"
+)
+
+func TestHeartbeat_RegistersAndForwards(t *testing.T) {
+	f := newFixture(t)
+	answer := f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
+	assert.Equal(t, 200, answer.Code)
+	assert.JSONEq(t, `{"forward_to":"z1:1"}`, answer.Body.String())
+	want := state.Endpoint{ID: "i-7f3a91c2", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "z1", SoftwareVersion: "v1",
+		Slots: 128, Sequence: 4, Receiver: "core-1", Models: []state.Model{{Name: "m", Version: 1}}}
+	assert.Equal(t, []state.Endpoint{want}, f.replicator.put)
+	assert.Equal(t, []state.Endpoint{want}, f.table.Live())
+
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 5)).Code)
+	assert.Len(t, f.replicator.put, 1, "a heartbeat without a change isn't gossiped")
+	assert.Empty(t, f.replicator.replicated)
+}
+
+func TestClosing_IsAcknowledgedOnceReplicatedToAMajority(t *testing.T) {
+	for _, call := range []struct{ name, path, body string }{
+		{"closing", heartbeatPath, heartbeatBody("closing", 9)}, {"deregistration", deregisterPath, ""},
+	} {
+		t.Run(call.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f := newFixture(t)
+				f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
+				f.replicator.failures = 2
+				for range 2 {
+					start := time.Now()
+					assert.Equal(t, 503, f.call("POST", call.path, call.body).Code)
+					assert.Equal(t, replicationTimeout, time.Since(start))
+				}
+				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
+				assert.Len(t, f.replicator.replicated, 3)
+				assert.Equal(t, []string{"core-2", "core-3"}, f.replicator.addresses)
+				assert.Equal(t, 1, f.replicator.copies)
+				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
+				assert.Len(t, f.replicator.replicated, 3, "the others have stored it already")
+			})
+		})
+	}
+}
+
+func TestClosing_ReplicasNeededForAMajority(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		voters    fakeVoters
+		addresses []string
+		copies    int
+	}{
+		{"the only voter", fakeVoters{"core-1"}, nil, 0},
+		{"one of five", fakeVoters{"core-1", "a", "b", "c", "d"}, []string{"a", "b", "c", "d"}, 2},
+		{"a learner", fakeVoters{"a", "b", "c"}, []string{"a", "b", "c"}, 2},
+	} {
+		f := newFixture(t)
+		*f.voters = test.voters
+		assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code, test.name)
+		assert.Equal(t, test.addresses, f.replicator.addresses, test.name)
+		assert.Equal(t, test.copies, f.replicator.copies, test.name)
+	}
+}
+
+// A partitioned member has no majority: it acknowledges no deregistration, and all endpoints turn to other members.
+func TestPartitionedMember_AcknowledgesNothing(t *testing.T) {
+	f := newFixture(t)
+	f.replicator.down["core-2"], f.replicator.down["core-3"] = true, true
+	f.replicator.failures = 2
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
+	assert.Len(t, f.table.Live(), 1, "its state is stored nevertheless")
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code)
+	assert.Equal(t, 503, f.call("POST", deregisterPath, "").Code)
+	f.replicator.down["core-2"] = false
+	assert.Equal(t, 200, f.call("POST", "/Endpoints.Beat/other", heartbeatBody("accepting", 3)).Code)
+}
+
+func TestClosing_FailsWhileTheVotersAreUnknown(t *testing.T) {
+	f := newFixture(t)
+	*f.voters = nil
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
+	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("closing", 4)).Code)
+	assert.Empty(t, f.replicator.replicated)
+}
+
+func TestHeartbeat_AfterDeregistrationIsIgnored(t *testing.T) {
+	f := newFixture(t)
+	f.call("POST", deregisterPath, "any body")
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 80)).Code)
+	assert.Empty(t, f.table.Live())
+	assert.Empty(t, f.replicator.put)
+}
+
+func TestHeartbeat_Bodies(t *testing.T) {
+	for _, test := range []struct {
+		name, body string
+		status     int
+	}{
+		{"required fields", `{"carrier":"s","address":"x:1"}`, 200},
+		{"nulls", `{"carrier":"s","address":"x:1","zone":null,"models":null,"call_seq":3}`, 200},
+		{"remaining", `{"carrier":"s","address":"x:1","state":"closing","remaining_ms":1500.5,"call_seq":3}`, 200},
+		{"models of other shapes", `{"carrier":"s","address":"x:1","edition":7,"models":[{"name":"m","edition":"2",` +
+			`"adapters":[{"a":1},"b"],"more":[]}]}`, 200},
+		{"unknown fields", `{"carrier":"s","address":"x:1","later":{"a":[]}}`, 200},
+		{"no address", `{"carrier":"s"}`, 400},
+		{"no service", `{"address":"x:1"}`, 400},
+		{"truncated", `{"carrier":"s","address"`, 400},
+		{"unknown state", `{"carrier":"s","address":"x:1","state":"tired"}`, 400},
+		{"too large", `{"carrier":"` + strings.Repeat("s", maxHeartbeatBytes) + `"}`, 413},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			answer := newFixture(t).call("POST", heartbeatPath, test.body)
+			assert.Equal(t, test.status, answer.Code, answer.Body.String())
+			assert.Less(t, answer.Body.Len(), 4096)
+		})
+	}
+}
+
+func newCoreMember(name, zone, region string) state.Member {
+	return state.Member{Name: name, Zone: zone, Region: region, Role: state.RoleCore, State: state.MemberReady,
+		ControlAddress: name + ":1"}
+}
+
+func TestForwarder_ChoosesTheNearestMember(t *testing.T) {
+	self := newCoreMember("a", "z1", "r1")
+	regions := map[string]string{"z1": "r1", "z2": "r1", "z3": "r2", "z4": "r2"}
+	starting := newCoreMember("s", "z4", "r2")
+	starting.State = state.MemberStarting
+	agent := newCoreMember("g", "z4", "r2")
+	agent.Role = state.RoleAgent
+	members := []state.Member{self, newCoreMember("b", "z2", "r1"), newCoreMember("c", "z3", "r2"), starting, agent}
+	forwarder := &Forwarder{Self: self, Regions: regions, Clock: time.Now,
+		Members: func() []state.Member { return members }}
+	for zone, want := range map[string]string{"z1": "a:1", "z2": "b:1", "z3": "c:1", "z4": "c:1"} {
+		assert.Equal(t, want, forwarder.ForwardTo("e-"+zone, zone), zone)
+	}
+	members = nil
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z3"), "no other member")
+}
+
+func TestForwarder_DistributesConsistently(t *testing.T) {
+	a, b := newCoreMember("a", "z1", "r1"), newCoreMember("b", "z1", "r1")
+	regions := map[string]string{"z1": "r1"}
+	counts := map[string]int{}
+	for _, id := range strings.Split("0123456789abcdefghijklmnopqrstuvwxyz", "") {
+		chosen := chooseReceiver(a, []state.Member{a, b}, regions, id, "z1")
+		assert.Equal(t, chosen, chooseReceiver(b, []state.Member{a, b}, regions, id, "z1"))
+		counts[chosen.Name]++
+	}
+	assert.Greater(t, counts["a"], 8)
+	assert.Greater(t, counts["b"], 8)
+}
+
+func TestForwarder_KeepsReturnedEndpoints(t *testing.T) {
+	now := time.Unix(0, 0)
+	self := newCoreMember("a", "z1", "r1")
+	other := newCoreMember("b", "z2", "r1")
+	forwarder := &Forwarder{Self: self, Regions: map[string]string{"z1": "r1", "z2": "r1"},
+		Members: func() []state.Member { return []state.Member{self, other} }, Clock: func() time.Time { return now }}
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"))
+	now = now.Add(2 * time.Second)
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"), "it couldn't reach the target")
+	now = now.Add(30 * time.Second)
+	assert.Equal(t, "a:1", forwarder.ForwardTo("e", "z2"))
+	now = now.Add(31 * time.Second)
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "redirected again after a minute")
+	now = now.Add(11 * time.Second)
+	assert.Equal(t, "b:1", forwarder.ForwardTo("e", "z2"), "a heartbeat long after the redirect is no return")
+}
