--- /dev/null
+++ b/cluster/member/clock.go
@@ -0,0 +1,25 @@
+package member
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"time"
+
+	"rowanlink/webhook/api"
+)
+
+// newLeaseClock returns the monotonic clock by which leases are counted. ROWAN_CLOCK_RATE makes it run faster or slower
+// than true time, for tests.
+func newLeaseClock() (func() api.Micros, error) {
+	rate, start := 1.0, time.Now()
+	if text := os.Getenv("ROWAN_CLOCK_RATE"); text != "" {
+		var err error
+		if rate, err = strconv.ParseFloat(text, 64); err != nil || !(rate > 0.5 && rate < 2) {
+			return nil, fmt.Errorf("ROWAN_CLOCK_RATE is %q: a number from 0.5 to 2", text)
+		}
+	}
+	return func() api.Micros {
+		return api.Micros(rate * float64(time.Since(start).Microseconds()))
+	}, nil
+}
--- a/cluster/member/wish_test.go
+++ b/cluster/member/coordinator/coordinator_test.go
@@ -1,4 +1,4 @@
-package member
+package coordinator
 
 import (
 	"testing"
@@ -8,11 +8,11 @@
 	"rowanlink/cluster/rebalance"
 )
 
-// Guards against a plan that harm stopped and that starts again by itself, once another keeper conducts that
-// was told of the same file before.
-func TestAStoppedPlanIsResumedOnlyByAFileReadSince(t *testing.T) {
+// Guards against a plan that was stopped for its harm and starts again by itself, once another member coordinates that
+// had read the same file before.
+func TestAdopt_ResumesStoppedPlanOnlyByAFileReadSince(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
-	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: "plan", Text: text, StopReason: "late"}}
+	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: planName, Text: text, StopReason: "late"}}
 	assert.Equal(t, uint64(3), c.StoppedPlan())
 	assert.NotPanics(t, func() {
 		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true}, nil))
--- /dev/null
+++ b/cluster/member/custody/encoded_forms_test.go
@@ -0,0 +1,18 @@
+package custody
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster/shardmap"
+	"rowanlink/internal/wireschema"
+)
+
+// TestEncodedForms guards the records under fleet/names against a renamed field.
+func TestEncodedForms(t *testing.T) {
+	want, err := os.ReadFile("testdata/encoded_forms.golden")
+	require.NoError(t, err)
+	require.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, shardmap.CustodyRecord{}))
+}
--- a/cluster/member/names_test.go
+++ b/cluster/member/custody/store_test.go
@@ -1,4 +1,4 @@
-package member
+package custody
 
 import (
 	"testing"
@@ -15,7 +15,7 @@
 func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *Store {
 	n, err := Open(dir, diskMB, api.Second, func(name shardmap.WebhookID) bool {
 		for _, id := range held {
-			if NameOf(id) == name {
+			if IDOf(id) == name {
 				return true
 			}
 		}
@@ -27,7 +27,7 @@
 }
 
 func (n *Store) does(t *testing.T, id inflight.RequestID, do func(*shardmap.CustodyTable, shardmap.WebhookID)) {
-	name := NameOf(id)
+	name := IDOf(id)
 	require.NoError(t, n.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { do(k, name) }))
 }
 
@@ -63,7 +63,7 @@
 			_, what := k.HandleOffer(name, 1, ttl, inflight.Now(), true)
 			require.Equal(t, shardmap.OfferTaken, what)
 		})
-		assert.True(t, n.IsArriving(NameOf(id)))
+		assert.True(t, n.IsArriving(IDOf(id)))
 	}
 	for range 2 { // the life after the next finds the same
 		n = life(t, dir, 1, "in")
@@ -81,7 +81,7 @@
 	n, ttl := life(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
 	for id := range 1000 {
-		name := NameOf(inflight.RequestID(rune('a' + id)))
+		name := IDOf(inflight.RequestID(rune('a' + id)))
 		err = n.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { k.HandleOffer(name, 1, ttl, inflight.Now(), true) })
 		if err != nil {
 			assert.False(t, n.IsArriving(name))
--- a/serving/httpserver/finish.go
+++ b/serving/httpserver/finish.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if wanted <= 0 {
-		base := f.route.Target / rejectedTargetDivisor
+		base := f.route.LatencyTarget / rejectedTargetDivisor
 		wanted = base + randomBelow(base)
 	}
 	respondError(f.writer, kind, clampRetryAfter(wanted, time.Until(f.deadline)))
--- a/serving/httpserver/helpers_test.go
+++ b/serving/httpserver/helpers_test.go
@@ -123,7 +123,7 @@
 	r.server = New(Options{
 		ClientListener: clients, ReadinessListener: checks, RoutingTable: func() *routing.Table { return r.table },
 		Ready:           func() bool { return r.ready },
-		ConnectionShare: func(s *routing.Service) int { return s.ConnectionCap },
+		ConnectionShare: func(s *routing.Service) int { return s.MaxConnections },
 		Picker:          r.picker, RetryPolicy: policy, Pool: pool, Log: &log,
 	})
 	r.address, r.readinessAddress = clients.Addr().String(), checks.Addr().String()
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -6,69 +6,48 @@
 	"rowanlink/webhook/api"
 )
 
-// lastSend is the last moment for an attempt: a tick to spare before the TTL and, where a tokened webhook may
-// have run, inside the time for which the destination remembers its token.
-func (c *Control) lastSend(w *webhook) api.Micros {
-	last := w.ttl - 2*c.MinTurnInterval
-	if w.mayRun != never && w.evt.Semantics == api.Deduplicated {
-		last = min(last, w.mayRun+w.evt.DedupWindow-2*c.MinTurnInterval)
-	}
-	return last
+// latestSend is the last moment for an attempt: two turn intervals before the deadline and, where a deduplicated webhook
+// may have run, within the time for which the destination remembers its key.
+func (p *Policy) latestSend(w *webhook) api.Micros {
+	margin := 2 * p.settings.MinTurnInterval
+	latest := w.deadline - margin
+	if w.mayHaveRunAt != never && w.eventType.Semantics == api.Deduplicated {
+		latest = min(latest, w.mayHaveRunAt+w.eventType.DedupWindow-margin)
+	}
+	return latest
 }
 
-// finish ends it at once: rejected, with a time to come back, where none may have run, else dead-lettered.
-func (c *Control) finish(w *webhook) {
-	if w.mayRun != never {
-		c.host.DeadLetter(w.id)
+// giveUp ends a webhook at once: rejected, with a time to come back, where no attempt may have run, else dead-lettered.
+func (p *Policy) giveUp(w *webhook) {
+	if w.mayHaveRunAt != never {
+		p.host.DeadLetter(w.id)
 	} else {
-		c.host.Reject(w.id, min(max(w.dest.shared.waitUntil-c.now, 0), c.MaxRetryAfter))
+		remaining := max(w.destination.sharedRoute.retryAfterUntil-p.now, 0)
+		p.host.Reject(w.id, min(remaining, p.settings.MaxRetryAfter))
 	}
-	c.forget(w)
+	p.forget(w)
 }
 
-// forget drops a webhook that is over; one with an attempt out is kept for the outcome.
-func (c *Control) forget(w *webhook) {
-	if !w.ended {
-		w.ended = true
-		c.open--
-	}
-	if w.dequeue(); w.call != nil {
+// forget drops a webhook that has ended; one with an attempt in flight is kept for the outcome.
+func (p *Policy) forget(w *webhook) {
+	if !w.finished {
+		w.finished = true
+		p.unanswered--
+	}
+	w.dequeue()
+	if w.call != nil {
 		return
 	}
-	delete(c.held, w.id)
-	if t := c.turns[w.key]; t != nil && w.evt.Ordered {
-		t.line = slices.DeleteFunc(t.line, func(o *webhook) bool { return o == w })
-	}
-}
-
-// Withdraw is told when nobody wants a webhook any more; an attempt that is out runs on.
-func (c *Control) Withdraw(id api.WebhookID) {
-	if c.now = c.host.Now(); c.held[id] != nil {
-		c.forget(c.held[id])
+	delete(p.webhooks, w.id)
+	if s := p.sequences[w.orderingKey]; s != nil && w.eventType.Ordered {
+		s.queue = slices.DeleteFunc(s.queue, func(other *webhook) bool { return other == w })
 	}
 }
 
-// shed keeps the buffer from filling up: past its share the webhooks worth least, of the destination with the
-// longest queue, are rejected, so that those for other destinations are not turned away at the door.
-func (c *Control) shed() {
-	c.drains = min(c.drains, c.open)
-	most := max(int(fillTo*float64(c.BufferSize)), c.drains, 1)
-	if !c.shedding && c.open > most || c.shedding && c.open <= most/2 {
-		c.shedding = !c.shedding
-		c.log("shedding %v, %d held", c.shedding, c.open)
-	}
-	for c.open > most && len(c.busy) > 0 {
-		d := slices.MaxFunc(c.busy, func(a, b *destination) int { return len(a.queue) - len(b.queue) })
-		var victim *webhook
-		for _, w := range d.queue {
-			if w.mayRun == never && (victim == nil || c.before(victim, w) < 0) {
-				victim = w
-			}
-		}
-		if victim == nil {
-			return
-		}
-		c.finish(victim)
-		d.prune()
+// Withdraw drops a webhook that nobody waits for any more; an attempt in flight runs on.
+func (p *Policy) Withdraw(id api.WebhookID) {
+	p.now = p.host.Now()
+	if w := p.webhooks[id]; w != nil {
+		p.forget(w)
 	}
 }
