--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -6,41 +6,42 @@
 	"rowanlink/cluster"
 )
 
-// Fence is kept by whoever is acted on: the highest epoch seen of each task.
+// Fence rejects requests of earlier lease holders. Whatever lease holders act on keeps one, with the highest
+// epoch seen of each resource (Kleppmann, How to do distributed locking, 2016: fencing tokens).
 type Fence struct {
 	highest map[cluster.Resource]cluster.Epoch
 }
 
 type fenceImage struct {
-	Format int                                `cbor:"1,keyasint"`
-	Seen   map[cluster.Resource]cluster.Epoch `cbor:"2,keyasint"`
+	Format  int                                `cbor:"1,keyasint"`
+	Highest map[cluster.Resource]cluster.Epoch `cbor:"2,keyasint"`
 }
 
 const fenceFormat = 1
 
-// NewFence has seen nothing: only for a folder that never had one.
+// NewFence returns a fence that has seen no epoch. It is only for a folder that never had one.
 func NewFence() *Fence { return &Fence{map[cluster.Resource]cluster.Epoch{}} }
 
-// Admit lets a deed in whose epoch is the highest seen or above it, else cluster.ErrFenced. Where risen is true
-// the caller must keep Bytes, synced to disk, before it acts: a deed done by an epoch that a restart forgets
-// would let a former holder in after it.
-func (f *Fence) Admit(t cluster.Resource, e cluster.Epoch) (risen bool, err error) {
-	if e == 0 || e < f.highest[t] {
+// Admit accepts a request whose epoch is at least the highest seen, else returns cluster.ErrFenced. If raised
+// is true, the caller must write Encode's result to disk and sync it before it acts: otherwise a restart would
+// forget the epoch and admit an earlier holder after it.
+func (f *Fence) Admit(r cluster.Resource, e cluster.Epoch) (raised bool, err error) {
+	if e == 0 || e < f.highest[r] {
 		return false, cluster.ErrFenced
 	}
-	risen = e > f.highest[t]
-	f.highest[t] = e
-	return risen, nil
+	raised = e > f.highest[r]
+	f.highest[r] = e
+	return raised, nil
 }
 
-// Encode is what DecodeFence reads.
+// Encode returns the form that DecodeFence reads.
 func (f *Fence) Encode() []byte { return encode(fenceImage{fenceFormat, f.highest}) }
 
-// DecodeFence is the fence of an earlier life; ErrUnreadable where it is damaged or of a newer program, and
-// then nothing may be admitted: the caller must not begin with an empty one.
+// DecodeFence restores the fence of an earlier process. It returns ErrUnreadable if the data is damaged or of a
+// newer format; nothing may be admitted then, and the caller must not begin with an empty fence.
 func DecodeFence(b []byte) (*Fence, error) {
 	var image fenceImage
-	if err := decoding.Unmarshal(b, &image); err != nil {
+	if err := decMode.Unmarshal(b, &image); err != nil {
 		return nil, fmt.Errorf("fence: %w: %w", ErrUnreadable, err)
 	}
 	if image.Format != fenceFormat {
@@ -48,11 +49,11 @@
 			image.Format, fenceFormat, ErrUnreadable)
 	}
 	f := NewFence()
-	for t, e := range image.Seen {
-		if t == "" || e == 0 {
-			return nil, fmt.Errorf("fence: task %q with epoch %d: %w", t, e, ErrUnreadable)
+	for resource, epoch := range image.Highest {
+		if resource == "" || epoch == 0 {
+			return nil, fmt.Errorf("fence: resource %q with epoch %d: %w", resource, epoch, ErrUnreadable)
 		}
-		f.highest[t] = e
+		f.highest[resource] = epoch
 	}
 	return f, nil
 }
--- a/cluster/lease/arrivals_test.go
+++ b/cluster/lease/model_delivery_test.go
@@ -22,7 +22,7 @@
 	case yes:
 		if m.proc >= 0 {
 			if w.wrong.answerTime {
-				m.ask.at = w.clock(m.proc)
+				m.ask.startedAt = w.clock(m.proc)
 			}
 			w.own(m.proc).ConfirmRenewal(m.ask, m.session)
 		}
@@ -80,7 +80,7 @@
 	n := w.ownKeeper(k)
 	n.believes = true
 	if w.wrong.noWholeTerm {
-		n.terms.reign = a.LeaderEpoch
+		n.terms.leaderEpoch = a.LeaderEpoch
 	} else {
 		n.terms.StartLeading(w.keeperClock(k), a.LeaderEpoch, w.book.Sessions())
 	}
@@ -121,8 +121,8 @@
 		return
 	}
 	goes := k.terms.Renew(m.session, w.keeperClock(m.keeper))
-	if _, counted := k.terms.runs[m.session]; counted && w.wrong.renewsEnding {
-		k.terms.runs[m.session], goes = run{until: w.keeperClock(m.keeper) + worldTerm}, true
+	if _, counted := k.terms.sessions[m.session]; counted && w.wrong.renewsEnding {
+		k.terms.sessions[m.session], goes = sessionExpiry{expiresAt: w.keeperClock(m.keeper) + worldTerm}, true
 	}
 	m.kind, m.at, m.keeper, m.life = no, 0, 0, 0
 	if goes {
--- a/cluster/lease/key_test.go
+++ b/cluster/lease/model_hash_test.go
@@ -23,8 +23,8 @@
 	k := coder{w, w.ids(make([]uint64, 0, 48)), make([]byte, 0, 256)}
 	k.add(byte(w.leader), byte(w.left.elections), byte(w.left.doubles), byte(w.left.assents), byte(w.left.lets),
 		byte(w.left.ends), byte(w.left.deaths), byte(w.left.deeds), byte(w.left.restarts))
-	g := w.book.tasks[worldTask]
-	k.id(uint64(w.done), uint64(w.book.reign), uint64(g.session), uint64(g.epoch),
+	g := w.book.leases[worldTask]
+	k.id(uint64(w.done), uint64(w.book.leaderEpoch), uint64(g.session), uint64(g.epoch),
 		uint64(w.fence.highest[worldTask]))
 	for _, s := range w.book.Sessions() {
 		k.id(uint64(s))
@@ -66,22 +66,22 @@
 
 // ids are all that the world still knows, in order.
 func (w *world) ids(all []uint64) []uint64 {
-	g := w.book.tasks[worldTask]
-	all = append(all, 0, uint64(w.done), uint64(w.book.reign), uint64(g.session), uint64(g.epoch),
+	g := w.book.leases[worldTask]
+	all = append(all, 0, uint64(w.done), uint64(w.book.leaderEpoch), uint64(g.session), uint64(g.epoch),
 		uint64(w.fence.highest[worldTask]))
 	for s := range w.book.sessions {
 		all = append(all, uint64(s))
 	}
 	for i := range w.keeper {
 		if w.keeper[i].terms.IsLeading() {
-			all = append(all, uint64(w.keeper[i].terms.reign))
+			all = append(all, uint64(w.keeper[i].terms.leaderEpoch))
 		}
-		for s := range w.keeper[i].terms.runs {
+		for s := range w.keeper[i].terms.sessions {
 			all = append(all, uint64(s))
 		}
 		t := w.proc[i].tenure
-		all = append(all, uint64(t.session), uint64(t.high), uint64(t.gone), uint64(t.epochs[worldTask]),
-			uint64(t.let[worldTask]))
+		all = append(all, uint64(t.session), uint64(t.newestSession), uint64(t.endedUpTo), uint64(t.epochs[worldTask]),
+			uint64(t.relinquished[worldTask]))
 	}
 	for _, m := range w.net {
 		all = append(all, uint64(m.session), uint64(m.epoch), uint64(m.reign))
@@ -112,16 +112,16 @@
 	n := &k.w.keeper[i]
 	k.add('K', byte(n.step/1000), bit(n.believes), bit(n.terms.IsLeading()))
 	if n.terms.IsLeading() {
-		k.id(uint64(n.terms.reign))
+		k.id(uint64(n.terms.leaderEpoch))
 	}
-	for _, s := range sorted(n.terms.runs) {
-		r := n.terms.runs[s]
+	for _, s := range sorted(n.terms.sessions) {
+		r := n.terms.sessions[s]
 		k.id(uint64(s))
-		k.add(bit(r.ending))
-		k.time(max(r.until-k.w.keeperClock(i), 0))
+		k.add(bit(r.expired))
+		k.time(max(r.expiresAt-k.w.keeperClock(i), 0))
 	}
-	sent, ok := n.assent.sent[third]
-	k.add(bit(ok), byte(k.w.term-n.assent.term), k.order(i, sent))
+	sent, ok := n.assent.lastContact[third]
+	k.add(bit(ok), byte(k.w.term-n.assent.raftTerm), k.order(i, sent))
 }
 
 func (k *coder) time(t api.Micros) { k.out = binary.LittleEndian.AppendUint16(k.out, uint16(t)) }
@@ -133,7 +133,7 @@
 			rank++
 		}
 	}
-	below(k.w.keeper[keeper].assent.sent[third])
+	below(k.w.keeper[keeper].assent.lastContact[third])
 	for _, m := range k.w.net {
 		if m.keeper == keeper && (m.kind == renewHeld || m.kind == assentSaid) {
 			below(m.at)
@@ -149,9 +149,9 @@
 	p := &k.w.proc[i]
 	t := p.tenure
 	k.add('P', byte(p.step/1000))
-	k.id(uint64(t.session), uint64(t.high), uint64(t.gone), uint64(t.epochs[worldTask]),
-		uint64(t.let[worldTask]))
-	k.time(max(t.until-k.w.clock(i), 0))
+	k.id(uint64(t.session), uint64(t.newestSession), uint64(t.endedUpTo), uint64(t.epochs[worldTask]),
+		uint64(t.relinquished[worldTask]))
+	k.time(max(t.deadline-k.w.clock(i), 0))
 }
 
 func (k *coder) message(m message) {
@@ -159,8 +159,8 @@
 	k.id(uint64(m.session), uint64(m.epoch), uint64(m.reign))
 	if m.kind <= yes && m.proc >= 0 { // an ask counts by its age, and by whether it was made before a refusal
 		t := k.w.proc[m.proc].tenure
-		k.add(bit(m.ask.no <= t.void))
-		k.time(min(k.w.clock(m.proc)-m.ask.at, t.use))
+		k.add(bit(m.ask.number <= t.voidUpTo))
+		k.time(min(k.w.clock(m.proc)-m.ask.startedAt, t.usableTTL))
 	}
 	if m.kind == renewHeld || m.kind == assentSaid {
 		k.add(k.order(m.keeper, m.at))
--- a/cluster/lease/world_test.go
+++ b/cluster/lease/model_test.go
@@ -141,9 +141,9 @@
 func (w *world) ownBook() *Table {
 	if b := w.book; !w.owned {
 		n := *b
-		n.opened, n.tasks, n.sessions = maps.Clone(b.opened), maps.Clone(b.tasks), map[cluster.SessionID]*session{}
+		n.openSessions, n.leases, n.sessions = maps.Clone(b.openSessions), maps.Clone(b.leases), map[cluster.SessionID]*session{}
 		for id, s := range b.sessions {
-			n.sessions[id] = &session{s.opener, maps.Clone(s.tasks)}
+			n.sessions[id] = &session{s.sessionOwner, maps.Clone(s.resources)}
 		}
 		w.book, w.owned = &n, true
 	}
@@ -154,11 +154,11 @@
 func (w *world) ownKeeper(i int) *keeper {
 	k := &w.keeper[i]
 	if t := k.terms; !k.owned {
-		k.terms = &ExpiryTracker{t.term, t.reign, maps.Clone(t.runs), timerqueue.Queue[cluster.SessionID]{}}
-		for _, s := range sorted(t.runs) {
-			k.terms.order.Add(int64(t.runs[s].until), s)
+		k.terms = &ExpiryTracker{t.ttl, t.leaderEpoch, maps.Clone(t.sessions), timerqueue.Queue[cluster.SessionID]{}}
+		for _, s := range sorted(t.sessions) {
+			k.terms.timers.Add(int64(t.sessions[s].expiresAt), s)
 		}
-		k.assent = &QuorumContact{k.assent.needed, k.assent.term, maps.Clone(k.assent.sent)}
+		k.assent = &QuorumContact{k.assent.quorumPeers, k.assent.raftTerm, maps.Clone(k.assent.lastContact)}
 		k.owned = true
 	}
 	return k
@@ -168,13 +168,13 @@
 	p := &w.proc[i]
 	if !p.owned {
 		n := *p.tenure
-		n.epochs, n.let = maps.Clone(n.epochs), maps.Clone(n.let)
+		n.epochs, n.relinquished = maps.Clone(n.epochs), maps.Clone(n.relinquished)
 		p.tenure, p.owned = &n, true
 	}
 	return p.tenure
 }
 
-func sorted(runs map[cluster.SessionID]run) (all []cluster.SessionID) {
+func sorted(runs map[cluster.SessionID]sessionExpiry) (all []cluster.SessionID) {
 	for s := range runs {
 		all = append(all, s)
 	}
--- a/cluster/lease/moves_test.go
+++ b/cluster/lease/model_transitions_test.go
@@ -101,9 +101,9 @@
 
 // someDue leaves out ends that are on their way: to find them again changes nothing.
 func (w *world) someDue(k int) bool {
-	for s, r := range w.keeper[k].terms.runs {
-		if w.keeperClock(k) >= r.until && !slices.ContainsFunc(w.net, func(m message) bool {
-			return m.kind == expireAsk && m.keeper == k && m.session == s && m.reign == w.keeper[k].terms.reign
+	for s, r := range w.keeper[k].terms.sessions {
+		if w.keeperClock(k) >= r.expiresAt && !slices.ContainsFunc(w.net, func(m message) bool {
+			return m.kind == expireAsk && m.keeper == k && m.session == s && m.reign == w.keeper[k].terms.leaderEpoch
 		}) {
 			return true
 		}
--- /dev/null
+++ b/cluster/lease/reconciler.go
@@ -0,0 +1,221 @@
+package lease
+
+import (
+	"errors"
+	"maps"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/webhook/api"
+)
+
+// Reconciler brings the leases that a member holds in line with those that it requests: it decides what to
+// propose next, and tracks what the raft nodes are known to have applied. Messages may be lost, duplicated and
+// late: what is not known to be applied is proposed again, and ReconcileGrants repairs differences between the
+// member and the log.
+type Reconciler struct {
+	holder        *Holder
+	retryInterval api.Micros
+	requested     map[cluster.Resource]request
+	releasing     map[cluster.Resource]releasedGrant // relinquished, and not known to be released in the log
+}
+
+// request is the state of one requested resource.
+type request struct {
+	blocked   bool       // another session held the lease at the last attempt
+	blockedAt api.Micros // when that was
+}
+
+type releasedGrant struct {
+	session cluster.SessionID
+	epoch   cluster.Epoch
+}
+
+// Proposal is what the member has to propose next: a release if Release is set, else the acquisition of Acquire.
+type Proposal struct {
+	Session cluster.SessionID
+	Release cluster.Resource
+	Epoch   cluster.Epoch // of the grant to release
+	Acquire []cluster.Resource
+}
+
+// HasWork reports whether there is anything to propose.
+func (p Proposal) HasWork() bool { return p.Release != "" || len(p.Acquire) > 0 }
+
+// Command returns the proposal as a command for the log.
+func (p Proposal) Command() cluster.Command {
+	if p.Release != "" {
+		return ReleaseLease(p.Session, p.Release, p.Epoch)
+	}
+	return AcquireLeases(p.Session, p.Acquire...)
+}
+
+// NewReconciler returns a reconciler without requests. A blocked request is retried after retryInterval, by the
+// member's clock, even if no raft node has reported that the lease was released.
+func NewReconciler(h *Holder, retryInterval api.Micros) *Reconciler {
+	return &Reconciler{
+		holder:        h,
+		retryInterval: retryInterval,
+		requested:     map[cluster.Resource]request{},
+		releasing:     map[cluster.Resource]releasedGrant{},
+	}
+}
+
+// Request has the lease on a resource acquired and kept until Release. It returns false if it is requested already.
+func (c *Reconciler) Request(r cluster.Resource) bool {
+	if _, known := c.requested[r]; known {
+		return false
+	}
+	c.requested[r] = request{}
+	return true
+}
+
+// Release gives a lease up at once. If it was granted, but the grant is not known here yet, HandleResult or
+// ReconcileGrants releases it later.
+func (c *Reconciler) Release(r cluster.Resource) {
+	delete(c.requested, r)
+	if epoch, held := c.holder.Relinquish(r); held {
+		c.releasing[r] = releasedGrant{c.holder.Session(), epoch}
+	}
+}
+
+// CancelRequest drops a request that was not granted. One that was granted needs Release, even if the session is
+// past its deadline: the session may become valid again, and calls under the lease may be in flight.
+func (c *Reconciler) CancelRequest(r cluster.Resource) {
+	if _, granted := c.holder.epochs[r]; !granted {
+		delete(c.requested, r)
+	}
+}
+
+// Requested returns the requested resources, sorted.
+func (c *Reconciler) Requested() []cluster.Resource { return slices.Sorted(maps.Keys(c.requested)) }
+
+// RetryAll has all requests proposed again, for a new session.
+func (c *Reconciler) RetryAll() {
+	for r := range c.requested {
+		c.requested[r] = request{}
+	}
+}
+
+// NextProposal returns what to propose now. Releases come first, since until then no other member is granted the
+// lease. There is nothing to propose without a valid session: once it is valid again, all is proposed.
+func (c *Reconciler) NextProposal(now api.Micros) Proposal {
+	if !c.holder.IsValid(now) {
+		return Proposal{}
+	}
+	if len(c.releasing) > 0 {
+		first := slices.Min(slices.Collect(maps.Keys(c.releasing)))
+		grant := c.releasing[first]
+		return Proposal{Session: grant.session, Release: first, Epoch: grant.epoch}
+	}
+	p := Proposal{Session: c.holder.Session()}
+	for _, r := range c.Requested() {
+		if c.isDue(r, now) && len(p.Acquire) < maxResources {
+			p.Acquire = append(p.Acquire, r)
+		}
+	}
+	return p
+}
+
+// isDue reports whether a requested resource is not held and may be tried again.
+func (c *Reconciler) isDue(r cluster.Resource, now api.Micros) bool {
+	if _, held := c.holder.Epoch(r, now); held {
+		return false
+	}
+	state := c.requested[r]
+	return !state.blocked || now-state.blockedAt >= c.retryInterval
+}
+
+// NextRetryAt returns when NextProposal may have work though nothing else has happened; false if never.
+func (c *Reconciler) NextRetryAt() (at api.Micros, scheduled bool) {
+	for _, state := range c.requested {
+		if !state.blocked {
+			continue
+		}
+		if retryAt := state.blockedAt + c.retryInterval; !scheduled || retryAt < at {
+			at = retryAt
+			scheduled = true
+		}
+	}
+	return at, scheduled
+}
+
+// HandleResult processes the grants in the result of an acquisition by session s. It reports whether requests
+// are blocked now; see Blocked.
+func (c *Reconciler) HandleResult(s cluster.SessionID, grants []Grant, now api.Micros) (blocked bool) {
+	for _, g := range grants {
+		if g.Err() == nil {
+			c.reconcileGrant(s, g)
+			continue
+		}
+		// The result may be of an earlier session, when the lease may have been held by that very session.
+		_, isRequested := c.requested[g.Resource]
+		_, isGranted := c.holder.epochs[g.Resource]
+		if isRequested && !isGranted && s == c.holder.Session() {
+			c.requested[g.Resource] = request{blocked: true, blockedAt: now}
+			blocked = true
+		}
+	}
+	return blocked
+}
+
+// ReconcileGrants processes the grants that session s holds according to a raft node's table. It repairs a grant
+// whose result was lost and that an older table attributed to another session, and releases a grant that was
+// applied after the member had given the lease up: nobody would use that one, and nobody else could acquire it.
+func (c *Reconciler) ReconcileGrants(s cluster.SessionID, grants []Grant) {
+	for _, g := range grants {
+		if g.Err() == nil {
+			c.reconcileGrant(s, g)
+		}
+	}
+}
+
+// reconcileGrant accepts a grant, or releases it if it is not requested or if its release was lost.
+func (c *Reconciler) reconcileGrant(s cluster.SessionID, g Grant) {
+	isOutdated := g.Epoch < max(c.holder.epochs[g.Resource], c.holder.relinquished[g.Resource])
+	if s != c.holder.Session() || isOutdated {
+		return
+	}
+	_, isRequested := c.requested[g.Resource]
+	if c.holder.AddGrant(s, g) && isRequested {
+		c.requested[g.Resource] = request{}
+		return
+	}
+	// Without this a late result would bring the grant back while its release is on the way.
+	c.holder.Relinquish(g.Resource)
+	c.releasing[g.Resource] = releasedGrant{s, g.Epoch}
+}
+
+// HandleReleaseResult processes the outcome of a proposed release. It returns false if it has to be proposed again.
+func (c *Reconciler) HandleReleaseResult(p Proposal, err error) bool {
+	if err != nil && !errors.Is(err, cluster.ErrFenced) && !errors.Is(err, cluster.ErrNotFound) {
+		return false
+	}
+	// It was applied, now or by an earlier attempt, or the session has ended and all its leases with it.
+	if c.releasing[p.Release] == (releasedGrant{p.Session, p.Epoch}) {
+		delete(c.releasing, p.Release)
+	}
+	return true
+}
+
+// Blocked returns the requested resources that other sessions held at the last attempt, sorted.
+func (c *Reconciler) Blocked() (blocked []cluster.Resource) {
+	for _, r := range c.Requested() {
+		if c.requested[r].blocked {
+			blocked = append(blocked, r)
+		}
+	}
+	return blocked
+}
+
+// HandleFreed processes a raft node's report that leases were released. It reports whether any of them is to be
+// proposed now.
+func (c *Reconciler) HandleFreed(resources []cluster.Resource) (unblocked bool) {
+	for _, r := range resources {
+		if c.requested[r].blocked {
+			c.requested[r] = request{}
+			unblocked = true
+		}
+	}
+	return unblocked
+}
--- a/cluster/lease/snapshot.go
+++ b/cluster/lease/snapshot.go
@@ -8,14 +8,14 @@
 	"rowanlink/cluster"
 )
 
-// tableFormat rises when an older program could no longer read a snapshot.
+// tableFormat is raised when an older program could no longer read a snapshot.
 const tableFormat = 1
 
 type tableImage struct {
 	Format      int            `cbor:"1,keyasint"`
-	Last        uint64         `cbor:"2,keyasint"`
+	LastID      uint64         `cbor:"2,keyasint"`
 	Sessions    []sessionImage `cbor:"3,keyasint"`
-	Resources   []leaseImage   `cbor:"4,keyasint"`
+	Leases      []leaseImage   `cbor:"4,keyasint"`
 	LeaderEpoch LeaderEpoch    `cbor:"5,keyasint"`
 }
 
@@ -31,52 +31,78 @@
 	Session  cluster.SessionID `cbor:"3,keyasint,omitempty"`
 }
 
-// Snapshot is the whole book, the same bytes on each keeper.
-func (b *Table) Snapshot() ([]byte, error) {
-	image := tableImage{Format: tableFormat, Last: b.last, LeaderEpoch: b.reign}
-	for _, s := range b.Sessions() {
-		who := b.sessions[s].opener
-		image.Sessions = append(image.Sessions, sessionImage{s, who.member, who.incarnation})
+// Snapshot encodes the table; the bytes are the same on each raft node.
+func (t *Table) Snapshot() ([]byte, error) {
+	image := tableImage{Format: tableFormat, LastID: t.lastID, LeaderEpoch: t.leaderEpoch}
+	for _, id := range t.Sessions() {
+		owner := t.sessions[id].sessionOwner
+		image.Sessions = append(image.Sessions, sessionImage{id, owner.member, owner.incarnation})
 	}
-	for _, t := range slices.Sorted(maps.Keys(b.tasks)) {
-		image.Resources = append(image.Resources, leaseImage{t, b.tasks[t].epoch, b.tasks[t].session})
+	for _, resource := range slices.Sorted(maps.Keys(t.leases)) {
+		state := t.leases[resource]
+		image.Leases = append(image.Leases, leaseImage{resource, state.epoch, state.session})
 	}
-	return encoding.Marshal(image)
+	return encMode.Marshal(image)
 }
 
-// Restore puts a snapshot in the book's place. One that can't be read, is of a newer program or contradicts
-// itself leaves the book as it was.
-func (b *Table) Restore(snapshot []byte) error {
+// Restore replaces the table by a snapshot. With ErrUnreadable, for one that can't be decoded, has a newer
+// format or contradicts itself, the table is as it was.
+func (t *Table) Restore(snapshot []byte) error {
 	var image tableImage
-	if err := decoding.Unmarshal(snapshot, &image); err != nil {
+	if err := decMode.Unmarshal(snapshot, &image); err != nil {
 		return fmt.Errorf("snapshot of leases: %w: %w", ErrUnreadable, err)
 	}
 	if image.Format != tableFormat {
 		return fmt.Errorf("snapshot of leases: format %d, this program reads %d: %w",
 			image.Format, tableFormat, ErrUnreadable)
 	}
-	n := NewTable()
-	n.last, n.reign = image.Last, image.LeaderEpoch
-	if uint64(n.reign) > n.last {
-		return fmt.Errorf("snapshot of leases: reign %d: %w", n.reign, ErrUnreadable)
+	restored := NewTable()
+	restored.lastID = image.LastID
+	restored.leaderEpoch = image.LeaderEpoch
+	if uint64(restored.leaderEpoch) > restored.lastID {
+		return fmt.Errorf("snapshot of leases: leader epoch %d: %w", restored.leaderEpoch, ErrUnreadable)
 	}
 	for _, s := range image.Sessions {
-		who := opener{s.Member, s.Incarnation}
-		if s.Session == 0 || uint64(s.Session) > n.last || s.Member == "" ||
-			n.sessions[s.Session] != nil || n.opened[who] != 0 {
+		if !restored.restoreSession(s) {
 			return fmt.Errorf("snapshot of leases: session %d of %q: %w", s.Session, s.Member, ErrUnreadable)
 		}
-		n.opened[who], n.sessions[s.Session] = s.Session, &session{who, map[cluster.Resource]struct{}{}}
 	}
-	for _, t := range image.Resources {
-		held, twice := n.sessions[t.Session], n.tasks[t.Resource].epoch != 0
-		if twice || t.Resource == "" || t.Epoch == 0 || uint64(t.Epoch) > n.last || held == nil && t.Session != 0 {
-			return fmt.Errorf("snapshot of leases: task %q: %w", t.Resource, ErrUnreadable)
-		}
-		if n.tasks[t.Resource] = (leaseState{t.Session, t.Epoch}); held != nil {
-			held.tasks[t.Resource] = struct{}{}
+	for _, l := range image.Leases {
+		if !restored.restoreLease(l) {
+			return fmt.Errorf("snapshot of leases: resource %q: %w", l.Resource, ErrUnreadable)
 		}
 	}
-	*b = *n
+	*t = *restored
 	return nil
 }
+
+// restoreSession adds a session of a snapshot and reports whether it is valid and new.
+func (t *Table) restoreSession(s sessionImage) bool {
+	owner := sessionOwner{s.Member, s.Incarnation}
+	if s.Session == 0 || uint64(s.Session) > t.lastID || s.Member == "" {
+		return false
+	}
+	if t.sessions[s.Session] != nil || t.openSessions[owner] != 0 {
+		return false
+	}
+	t.openSessions[owner] = s.Session
+	t.sessions[s.Session] = newSession(owner)
+	return true
+}
+
+// restoreLease adds a lease of a snapshot, after all sessions, and reports whether it is valid and new.
+func (t *Table) restoreLease(l leaseImage) bool {
+	holder := t.sessions[l.Session]
+	isDuplicate := t.leases[l.Resource].epoch != 0
+	if isDuplicate || l.Resource == "" || l.Epoch == 0 || uint64(l.Epoch) > t.lastID {
+		return false
+	}
+	if holder == nil && l.Session != 0 {
+		return false
+	}
+	t.leases[l.Resource] = leaseState{l.Session, l.Epoch}
+	if holder != nil {
+		holder.resources[l.Resource] = struct{}{}
+	}
+	return true
+}
--- a/cluster/lease/book_test.go
+++ b/cluster/lease/table_test.go
@@ -88,7 +88,7 @@
 			assert.False(t, b.IsCurrent(task, epoch-1))
 		}
 	}
-	for task, g := range b.tasks {
+	for task, g := range b.leases {
 		assert.Equal(t, held[task], g.session, "free for all, or held by one that knows it")
 	}
 }
@@ -157,12 +157,12 @@
 	for name, image := range map[string]tableImage{
 		"a newer format":         {Format: tableFormat + 1},
 		"above the last index":   {Format: tableFormat, Sessions: []sessionImage{one}},
-		"a session twice":        {Format: tableFormat, Last: 9, Sessions: []sessionImage{one, one}},
-		"a life twice":           {Format: tableFormat, Last: 9, Sessions: []sessionImage{one, {2, "m1", 1}}},
-		"a task of no session":   {Format: tableFormat, Last: 9, Resources: []leaseImage{{"conduct", 2, 1}}},
-		"a task without epoch":   {Format: tableFormat, Last: 9, Resources: []leaseImage{{"conduct", 0, 0}}},
-		"a task twice":           {Format: tableFormat, Last: 9, Resources: []leaseImage{{"a", 1, 0}, {"a", 2, 0}}},
-		"a reign above the last": {Format: tableFormat, Last: 9, LeaderEpoch: 10},
+		"a session twice":        {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, one}},
+		"a life twice":           {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, {2, "m1", 1}}},
+		"a task of no session":   {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 2, 1}}},
+		"a task without epoch":   {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 0, 0}}},
+		"a task twice":           {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"a", 1, 0}, {"a", 2, 0}}},
+		"a reign above the last": {Format: tableFormat, LastID: 9, LeaderEpoch: 10},
 	} {
 		assert.ErrorIs(t, b.Restore(encode(image)), ErrUnreadable, name)
 	}
