--- a/serving/member/bench_test.go
+++ b/serving/member/bench_test.go
@@ -13,7 +13,7 @@
 	const members, endpoints = 410, 600
 	s := started(b, 1, members, threeZones)
 	for i := range endpoints {
-		s.nodes[i%members].node.put(s.now, gossip.Entry{Table: gossip.TableEndpoints,
+		s.nodes[i%members].node.putLocal(s.now, gossip.Entry{Table: gossip.TableEndpoints,
 			Key: fmt.Sprintf("endpoint-%d", i), Version: gossip.NewVersion(1, 0), Value: make([]byte, 200)})
 	}
 	s.run(10 * time.Second)
@@ -37,7 +37,7 @@
 	seconds := 0
 	for b.Loop() {
 		for i := range updates {
-			s.nodes[i%3].node.put(s.now, gossip.Entry{Table: gossip.TableEndpoints,
+			s.nodes[i%3].node.putLocal(s.now, gossip.Entry{Table: gossip.TableEndpoints,
 				Key: fmt.Sprintf("endpoint-%d", i), Version: gossip.NewVersion(uint64(seconds+1), 0),
 				Value: make([]byte, 200)})
 			s.run(time.Second / updates)
--- a/serving/member/codec.go
+++ b/serving/member/codec.go
@@ -41,8 +41,8 @@
 	return value, errors.Wrapf(err, "decode entry %q", entry.Key)
 }
 
-// endpointEnd is the part of a state.Endpoint that tells whether it has ended.
-type endpointEnd struct {
+// endpointState is the part of a state.Endpoint that tells whether it has ended.
+type endpointState struct {
 	State state.EndpointState `cbor:"7,keyasint"`
 }
 
@@ -53,7 +53,7 @@
 		member, err := decode[state.Member](entry)
 		return err == nil && member.State == state.MemberLeft
 	case gossip.TableEndpoints:
-		endpoint, err := decode[endpointEnd](entry)
+		endpoint, err := decode[endpointState](entry)
 		return err == nil && endpoint.State == state.EndpointDeparted
 	case gossip.TableSuspicions:
 		word, err := decode[membership.Suspicion](entry)
--- a/serving/member/delivery.go
+++ b/serving/member/delivery.go
@@ -7,25 +7,25 @@
 	"rowanlink/serving/gossip"
 )
 
-// delivery calls subscribers one at a time outside of the node's goroutine, so that they may use the mesh.
-type delivery struct {
-	mutex   sync.Mutex
-	waiting []notice
-	wake    chan struct{}
+// notifier calls subscribers one at a time outside of the node's goroutine, so that they may use the mesh.
+type notifier struct {
+	mutex sync.Mutex
+	queue []notification
+	wake  chan struct{}
 }
 
-// notice is one call of one subscriber.
-type notice struct {
+// notification is one call of one subscriber.
+type notification struct {
 	call  func(gossip.Entry)
 	entry gossip.Entry
 }
 
-func newDelivery() *delivery { return &delivery{wake: make(chan struct{}, 1)} }
+func newNotifier() *notifier { return &notifier{wake: make(chan struct{}, 1)} }
 
 // add queues a call.
-func (d *delivery) add(call func(gossip.Entry), entry gossip.Entry) {
+func (d *notifier) add(call func(gossip.Entry), entry gossip.Entry) {
 	d.mutex.Lock()
-	d.waiting = append(d.waiting, notice{call: call, entry: entry})
+	d.queue = append(d.queue, notification{call: call, entry: entry})
 	d.mutex.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -34,7 +34,7 @@
 }
 
 // run makes the calls until ctx ends.
-func (d *delivery) run(ctx context.Context) {
+func (d *notifier) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -42,8 +42,8 @@
 		case <-d.wake:
 		}
 		d.mutex.Lock()
-		waiting := d.waiting
-		d.waiting = nil
+		waiting := d.queue
+		d.queue = nil
 		d.mutex.Unlock()
 		for _, next := range waiting {
 			next.call(next.entry)
--- a/serving/member/encoding_test.go
+++ b/serving/member/encoding_test.go
@@ -24,7 +24,7 @@
 		compareResponse{},
 		transferRequest{},
 		transferResponse{},
-		endpointEnd{},
+		endpointState{},
 	)
 	assert.Equal(t, string(golden), forms)
 }
--- a/serving/member/front.go
+++ b/serving/member/front.go
@@ -8,7 +8,7 @@
 
 // SetClientAddress changes where the own member's proxy takes clients' requests, host:port.
 func (m *Service) SetClientAddress(front string) {
-	m.do(func(now time.Time, n *node) {
+	m.run(func(now time.Time, n *node) {
 		if n.members.Self().ProxyAddress != front {
 			n.updateSelf(now, func(member *state.Member) { member.ProxyAddress = front })
 		}
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -87,7 +87,7 @@
 		}
 		_, _ = n.engine.TakeDueRepair(now)
 	}
-	n.holder(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
+	n.acquireRole(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
 }
 
 // FuzzMessages: whatever a member sends, the node answers and works on.
@@ -97,13 +97,13 @@
 	beat := membership.Heartbeat{Name: "b", Incarnation: 5, Sequence: 2}
 	heading := entry.Header()
 	for _, message := range []any{
-		heartbeatRequest{Beat: beat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
+		heartbeatRequest{Heartbeat: beat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
 		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Header{heading}, Relay: []string{"z9"}},
-		compareRequest{Beat: beat, Digest: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
-		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Wanted: []gossip.Header{heading}, Heard: membership.HeartbeatAck{RefuteAbove: 9}},
-		heartbeatResponse{Heard: membership.HeartbeatAck{Unknown: true}, Differs: []gossip.TableID{0, 2, 200}},
-		compareResponse{Listings: []gossip.BucketContents{{Table: 2, Bucket: -1, Headers: []gossip.Header{heading}}}},
-		pushResponse{Wanted: []gossip.Header{{Table: 99, Key: "x"}}},
+		compareRequest{Heartbeat: beat, Digests: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
+		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Missing: []gossip.Header{heading}, Ack: membership.HeartbeatAck{RefuteAbove: 9}},
+		heartbeatResponse{Ack: membership.HeartbeatAck{Unknown: true}, DifferingTables: []gossip.TableID{0, 2, 200}},
+		compareResponse{Buckets: []gossip.BucketContents{{Table: 2, Bucket: -1, Headers: []gossip.Header{heading}}}},
+		pushResponse{Missing: []gossip.Header{{Table: 99, Key: "x"}}},
 	} {
 		data, err := cbor.Marshal(message)
 		require.NoError(f, err)
@@ -111,14 +111,14 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		n := fuzzNode()
-		take(t, data, func(m *heartbeatRequest) { n.heartbeat(fuzzStart, m) })
-		take(t, data, func(m *gossip.Message) { n.receive(fuzzStart, *m) })
-		take(t, data, func(m *compareRequest) { n.compare(fuzzStart, m) })
-		take(t, data, func(m *transferRequest) { n.transfer(fuzzStart, m) })
-		take(t, data, func(m *heartbeatResponse) { n.beatAnswered(fuzzStart, "b", m) })
-		take(t, data, func(m *compareResponse) { n.compared(fuzzStart, "b", m) })
-		take(t, data, func(m *transferResponse) { n.transferred(fuzzStart, "b", m) })
-		take(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Wanted) })
+		take(t, data, func(m *heartbeatRequest) { n.answerHeartbeat(fuzzStart, m) })
+		take(t, data, func(m *gossip.Message) { n.answerPush(fuzzStart, *m) })
+		take(t, data, func(m *compareRequest) { n.answerCompare(fuzzStart, m) })
+		take(t, data, func(m *transferRequest) { n.answerTransfer(fuzzStart, m) })
+		take(t, data, func(m *heartbeatResponse) { n.processHeartbeatResponse(fuzzStart, "b", m) })
+		take(t, data, func(m *compareResponse) { n.processCompareResponse(fuzzStart, "b", m) })
+		take(t, data, func(m *transferResponse) { n.processTransferResponse(fuzzStart, "b", m) })
+		take(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Missing) })
 		checkNode(t, n)
 	})
 }
@@ -140,7 +140,7 @@
 	f.Fuzz(func(t *testing.T, table uint8, key string, major, minor uint64, value []byte) {
 		n := fuzzNode()
 		entry := gossip.Entry{Table: gossip.TableID(table), Key: key, Version: gossip.NewVersion(major, minor), Value: value}
-		n.receive(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
+		n.answerPush(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
 		got, known := n.engine.Get(gossip.TableMembers, "self")
 		require.True(t, known)
 		stable(t, &got)
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -20,9 +20,9 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-m.poke:
+		case <-m.wake:
 		}
-		todo, ok := actor.Call(m.owner, func(n *node) actions {
+		todo, ok := actor.Call(m.actor, func(n *node) pendingCalls {
 			now := time.Now()
 			todo := n.tick(now)
 			n.wakeAt = todo.next
@@ -31,7 +31,7 @@
 		if !ok {
 			return
 		}
-		m.calls.perform(todo)
+		m.caller.start(todo)
 		timer.Reset(time.Until(todo.next))
 	}
 }
@@ -46,11 +46,11 @@
 	return entries
 }
 
-// holder looks up a duty and spreads the own claim where one is made.
-func (n *node) holder(now time.Time, name string, scope singleton.Scope) (holding singleton.Assignment) {
+// acquireRole looks up a duty and spreads the own claim where one is made.
+func (n *node) acquireRole(now time.Time, name string, scope singleton.Scope) (holding singleton.Assignment) {
 	n.step(now, func() {
 		var claim *singleton.Claim
-		holding, claim = n.duties.Acquire(now, name, scope, n.members.LiveMembers())
+		holding, claim = n.roles.Acquire(now, name, scope, n.members.LiveMembers())
 		if claim == nil {
 			return
 		}
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -18,39 +18,39 @@
 
 // heartbeatRequest tells a watcher that the sender lives, and sums up what it knows.
 type heartbeatRequest struct {
-	Beat    membership.Heartbeat `cbor:"1,keyasint"`
-	Summary gossip.Summary       `cbor:"2,keyasint"`
+	Heartbeat membership.Heartbeat `cbor:"1,keyasint"`
+	Summary   gossip.Summary       `cbor:"2,keyasint"`
 }
 
 type heartbeatResponse struct {
-	Heard   membership.HeartbeatAck `cbor:"1,keyasint"`
-	Differs []gossip.TableID        `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
+	Ack             membership.HeartbeatAck `cbor:"1,keyasint"`
+	DifferingTables []gossip.TableID        `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
 }
 
 // pushResponse acknowledges a message: the receiver has its entries now, or newer ones.
 type pushResponse struct {
-	Wanted []gossip.Header `cbor:"1,keyasint,omitempty"` // of the entries offered
+	Missing []gossip.Header `cbor:"1,keyasint,omitempty"` // of the entries offered
 }
 
-// compareRequest begins a repair.
+// newCompareRequest begins a repair.
 type compareRequest struct {
-	Beat   membership.Heartbeat `cbor:"1,keyasint"`
-	Digest []gossip.TableDigest `cbor:"2,keyasint"`
+	Heartbeat membership.Heartbeat `cbor:"1,keyasint"`
+	Digests   []gossip.TableDigest `cbor:"2,keyasint"`
 }
 
 // compareResponse lists what the receiver has in the buckets that differ.
 type compareResponse struct {
-	Heard    membership.HeartbeatAck `cbor:"1,keyasint"`
-	Listings []gossip.BucketContents `cbor:"2,keyasint,omitempty"`
+	Ack     membership.HeartbeatAck `cbor:"1,keyasint"`
+	Buckets []gossip.BucketContents `cbor:"2,keyasint,omitempty"`
 }
 
 // transferRequest ends a repair: entries that the receiver lacks, and names of those that the sender wants.
 type transferRequest struct {
 	From    string          `cbor:"1,keyasint"`
 	Entries []gossip.Entry  `cbor:"2,keyasint,omitempty"`
-	Wanted  []gossip.Header `cbor:"3,keyasint,omitempty"`
-	// Heard tells the receiver, which has just answered, if the sender took it for dead.
-	Heard membership.HeartbeatAck `cbor:"4,keyasint"`
+	Missing []gossip.Header `cbor:"3,keyasint,omitempty"`
+	// Ack tells the receiver, which has just answered, if the sender took it for dead.
+	Ack membership.HeartbeatAck `cbor:"4,keyasint"`
 	// Expired names what has expired at the sender, but not at the receiver.
 	Expired []gossip.Header `cbor:"5,keyasint,omitempty"`
 }
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -17,33 +17,33 @@
 type node struct {
 	engine   *gossip.Engine
 	members  *membership.Table
-	duties   *singleton.Table
-	seeds    seedPlan
+	roles    *singleton.Table
+	seeds    seedSchedule
 	random   *rand.Rand
 	log      *zerolog.Logger
 	schedule schedule
 
-	current     time.Time              // of the step that is being done
-	peersStale  bool                   // members came or went since the engine was told
-	earlierLife *state.Member          // a newer word on the own member than the own
-	suspicions  []membership.Suspicion // words of an earlier life that are to be withdrawn
-	refuted     bool                   // the own word was raised and is to be spread
-	wakeAt      time.Time              // when the timer loop asks again
+	now             time.Time              // of the step that is being done
+	stalePeers      bool                   // members came or went since the engine was told
+	earlierSelf     *state.Member          // a newer word on the own member than the own
+	staleSuspicions []membership.Suspicion // words of an earlier life that are to be withdrawn
+	selfRefuted     bool                   // the own word was raised and is to be spread
+	wakeAt          time.Time              // when the timer loop asks again
 }
 
 // schedule holds the times of what a node does again and again.
 type schedule struct {
-	beat        time.Time
-	beatCount   uint64
-	remoteAgain bool // a heartbeat to another region was lost: the next ones go there too
-	probe       time.Time
-	doubt       time.Time
-	report      time.Time
-	reported    int
+	heartbeat        time.Time
+	heartbeatCount   uint64
+	retryRemote      bool // a heartbeat to another region was lost: the next ones go there too
+	downProbe        time.Time
+	suspectZoneProbe time.Time
+	sizeLog          time.Time
+	loggedSize       int
 }
 
-// incarnationSpread keeps two processes that outlive the same earlier life at once from the same incarnation.
-const incarnationSpread = 1 << 16
+// incarnationJitter keeps two processes that outlive the same earlier life at once from the same incarnation.
+const incarnationJitter = 1 << 16
 
 // nodeOptions says who the member is.
 type nodeOptions struct {
@@ -57,12 +57,12 @@
 func newNode(now time.Time, options nodeOptions) *node {
 	n := &node{
 		members:    membership.New(now, membership.Options{Self: options.self}),
-		duties:     singleton.New(options.self.Name),
-		seeds:      newSeedPlan(now, options.self.Address, options.seeds),
+		roles:      singleton.New(options.self.Name),
+		seeds:      newSeedSchedule(now, options.self.Address, options.seeds),
 		random:     options.random,
 		log:        options.log,
-		current:    now,
-		peersStale: true,
+		now:        now,
+		stalePeers: true,
 		engine: gossip.New(gossip.Options{
 			Name:        options.self.Name,
 			Zone:        options.self.Zone,
@@ -71,7 +71,7 @@
 			Random:      options.random,
 		}),
 	}
-	n.schedule = schedule{beat: now, probe: now.Add(probeInterval), report: now}
+	n.schedule = schedule{heartbeat: now, downProbe: now.Add(downProbeInterval), sizeLog: now}
 	n.members.OnChange(n.memberChanged)
 	n.engine.Subscribe(gossip.TableMembers, func(entry gossip.Entry) { n.mergeMember(entry) })
 	n.engine.Subscribe(gossip.TableSuspicions, func(entry gossip.Entry) { n.mergeSuspicion(entry) })
@@ -82,7 +82,7 @@
 
 // memberChanged notes that the engine's peers are to be set anew.
 func (n *node) memberChanged(change membership.Change) {
-	n.peersStale = true
+	n.stalePeers = true
 	kind := event.MemberUp
 	if !change.Live {
 		kind = event.MemberDown
@@ -92,39 +92,39 @@
 
 // step does one thing at a moment and then what follows from it.
 func (n *node) step(now time.Time, do func()) {
-	n.current = now
+	n.now = now
 	do()
-	n.settle()
+	n.finishStep()
 }
 
-// settle does what could not be done while the tables were changing.
-func (n *node) settle() {
-	if n.earlierLife != nil {
-		n.outliveEarlierLife(*n.earlierLife)
-		n.earlierLife = nil
+// finishStep does what could not be done while the tables were changing.
+func (n *node) finishStep() {
+	if n.earlierSelf != nil {
+		n.supersedeEarlierSelf(*n.earlierSelf)
+		n.earlierSelf = nil
 	}
-	if n.refuted {
-		n.refuted = false
-		n.schedule.beat = n.current
+	if n.selfRefuted {
+		n.selfRefuted = false
+		n.schedule.heartbeat = n.now
 		event.SuspicionRefuted.Log(n.log).Uint64("sequence", n.members.Self().Sequence).Send()
-		n.publishSelf(n.current)
+		n.publishSelf(n.now)
 	}
-	for _, word := range n.suspicions {
+	for _, word := range n.staleSuspicions {
 		n.publishSuspicion(n.members.WithdrawSuspicion(word))
 	}
-	n.suspicions = nil
-	if n.peersStale {
-		n.peersStale = false
+	n.staleSuspicions = nil
+	if n.stalePeers {
+		n.stalePeers = false
 		n.engine.SetPeers(n.peers())
 	}
 }
 
-// outliveEarlierLife raises the own incarnation above that of an earlier life.
-func (n *node) outliveEarlierLife(earlier state.Member) {
+// supersedeEarlierSelf raises the own incarnation above that of an earlier life.
+func (n *node) supersedeEarlierSelf(earlier state.Member) {
 	event.IncarnationRaised.Log(n.log).Uint64("earlier", earlier.Incarnation).Send()
-	raised := earlier.Incarnation + 1 + n.random.Uint64N(incarnationSpread)
-	n.members.UpdateSelf(n.current, func(member *state.Member) { member.Incarnation = raised })
-	n.publishSelf(n.current)
+	raised := earlier.Incarnation + 1 + n.random.Uint64N(incarnationJitter)
+	n.members.UpdateSelf(n.now, func(member *state.Member) { member.Incarnation = raised })
+	n.publishSelf(n.now)
 }
 
 // peers returns the live members but the own.
@@ -141,8 +141,8 @@
 	return gossip.Peer{Name: member.Name, Address: member.Address, Zone: member.Zone, Region: member.Region}
 }
 
-// put takes in an entry of the own process.
-func (n *node) put(now time.Time, entry gossip.Entry) (taken bool) {
+// putLocal takes in an entry of the own process.
+func (n *node) putLocal(now time.Time, entry gossip.Entry) (taken bool) {
 	n.step(now, func() { taken = n.engine.PutLocal(now, entry) })
 	return taken
 }
@@ -154,7 +154,7 @@
 		event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
 		return
 	}
-	n.engine.PutLocal(n.current, entry)
+	n.engine.PutLocal(n.now, entry)
 }
 
 // publishSelf spreads the own member's newest word.
@@ -185,11 +185,11 @@
 	self := n.members.Self()
 	if member.Name == self.Name {
 		if membership.IsNewer(member, self) {
-			n.earlierLife = &member
+			n.earlierSelf = &member
 		}
 		return
 	}
-	n.members.MergeMember(n.current, member)
+	n.members.MergeMember(n.now, member)
 }
 
 // mergeSuspicion takes in a watcher's entry.
@@ -200,7 +200,7 @@
 		return
 	}
 	if n.members.IsFromEarlierIncarnation(word) {
-		n.suspicions = append(n.suspicions, word)
+		n.staleSuspicions = append(n.staleSuspicions, word)
 		return
 	}
 	n.members.MergeSuspicion(word)
@@ -213,5 +213,5 @@
 		event.GossipEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
 	}
-	n.duties.Merge(claim)
+	n.roles.Merge(claim)
 }
--- a/serving/member/replicate.go
+++ b/serving/member/replicate.go
@@ -19,8 +19,8 @@
 // errcode.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
 // any case.
 func (m *Service) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
-	targets := ask(m, func(now time.Time, n *node) []gossip.Peer {
-		n.put(now, entry)
+	targets := query(m, func(now time.Time, n *node) []gossip.Peer {
+		n.putLocal(now, entry)
 		return n.replicaTargets(addresses)
 	})
 	if len(targets) < copies {
@@ -28,9 +28,9 @@
 	}
 	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
-	round := replication{mesh: m, entry: entry, targets: targets, answers: make(chan error, len(targets))}
+	round := replication{service: m, entry: entry, targets: targets, results: make(chan error, len(targets))}
 	for range copies {
-		round.askNext(calling)
+		round.sendToNext(calling)
 	}
 	return round.wait(calling, copies)
 }
@@ -56,7 +56,7 @@
 	for _, member := range live {
 		switch peer := peerOf(member); {
 		case member.Name == self.Name, len(addresses) > 0 && !slices.Contains(addresses, member.Address):
-		case n.engine.IsAvoided(n.current, member.Name):
+		case n.engine.IsAvoided(n.now, member.Name):
 			avoided = append(avoided, peer)
 		default:
 			targets = append(targets, peer)
@@ -67,30 +67,30 @@
 
 // replication is one entry on its way to a number of members.
 type replication struct {
-	mesh    *Service
-	entry   gossip.Entry
-	targets []gossip.Peer // not asked yet
-	answers chan error
-	waiting int
+	service  *Service
+	entry    gossip.Entry
+	targets  []gossip.Peer // not asked yet
+	results  chan error
+	inFlight int
 }
 
-// askNext sends the entry to the next member; false where none is left.
-func (r *replication) askNext(ctx context.Context) bool {
+// sendToNext sends the entry to the next member; false where none is left.
+func (r *replication) sendToNext(ctx context.Context) bool {
 	if len(r.targets) == 0 {
 		return false
 	}
 	target := r.targets[0]
 	r.targets = r.targets[1:]
-	r.waiting++
+	r.inFlight++
 	go func() {
-		message := gossip.Message{From: r.mesh.options.Self.Name, Entries: []gossip.Entry{r.entry}}
+		message := gossip.Message{From: r.service.options.Self.Name, Entries: []gossip.Entry{r.entry}}
 		bounded, cancel := context.WithTimeout(ctx, timeoutFor(message.Entries))
 		defer cancel()
-		_, err := pushMethod.Call(bounded, r.mesh.options.Client, target.Address, &message)
+		_, err := pushMethod.Call(bounded, r.service.options.Client, target.Address, &message)
 		if err != nil && ctx.Err() == nil {
-			r.mesh.calls.failed(target.Name)
+			r.service.caller.markUnresponsive(target.Name)
 		}
-		r.answers <- err
+		r.results <- err
 	}()
 	return true
 }
@@ -102,17 +102,17 @@
 	acknowledged := 0
 	for acknowledged < copies {
 		select {
-		case err := <-r.answers:
-			r.waiting--
+		case err := <-r.results:
+			r.inFlight--
 			if err == nil {
 				acknowledged++
 				continue
 			}
-			if !r.askNext(ctx) && r.waiting == 0 {
+			if !r.sendToNext(ctx) && r.inFlight == 0 {
 				return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
 			}
 		case <-hedge.C:
-			r.askNext(ctx)
+			r.sendToNext(ctx)
 		case <-ctx.Done():
 			return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
 		}
--- a/serving/member/replicate_test.go
+++ b/serving/member/replicate_test.go
@@ -48,7 +48,7 @@
 		t.Cleanup(server.Close)
 		member := state.Member{Name: fmt.Sprintf("fake%d", i), Incarnation: 1, Role: state.RoleCore, Zone: "z",
 			Region: "r", Address: strings.TrimPrefix(server.URL, "http://")}
-		ask(mesh, func(now time.Time, n *node) bool { return n.members.MergeMember(now, member) })
+		query(mesh, func(now time.Time, n *node) bool { return n.members.MergeMember(now, member) })
 	}
 	t.Cleanup(func() {
 		mesh.Close()
--- a/serving/member/seeds.go
+++ b/serving/member/seeds.go
@@ -4,50 +4,50 @@
 
 // Times of the calls to seeds.
 const (
-	firstInterval   = 30 * time.Millisecond  // between the first calls to each seed: some are far away or down
-	joinInterval    = 150 * time.Millisecond // between two calls while nobody is known
-	joinSpan        = 2 * time.Second        // how long seeds are called as often as that, also if others are known
-	reseedInterval  = 500 * time.Millisecond // between two calls to seeds that are not known as members, at first
-	reseedSlow      = 5 * time.Second        // the same later
-	reseedFastSpan  = 10 * time.Second       // how long "at first" is
-	seedCallTimeout = 600 * time.Millisecond // a call to a seed that has not ended by then is given up
+	firstSeedInterval  = 30 * time.Millisecond  // between the first calls to each seed: some are far away or down
+	joinInterval       = 150 * time.Millisecond // between two calls while nobody is known
+	joinPeriod         = 2 * time.Second        // how long seeds are called as often as that, also if others are known
+	reseedInterval     = 500 * time.Millisecond // between two calls to seeds that are not known as members, at first
+	slowReseedInterval = 5 * time.Second        // the same later
+	fastReseedPeriod   = 10 * time.Second       // how long "at first" is
+	seedCallTimeout    = 600 * time.Millisecond // a call to a seed that has not ended by then is given up
 )
 
-// seedPlan decides which seed is called when. Until a first member is known they are called in turn; after that
+// seedSchedule decides which seed is called when. Until a first member is known they are called in turn; after that
 // only seeds that are not among the members, since they may know others.
-type seedPlan struct {
+type seedSchedule struct {
 	own       string
 	addresses []string
 	next      int
 	due       time.Time
 	since     time.Time
-	tried     int                  // calls since the seeds were set
+	attempts  int                  // calls since the seeds were set
 	calling   map[string]time.Time // until when a call is under way
 }
 
-func newSeedPlan(now time.Time, own string, addresses []string) seedPlan {
-	plan := seedPlan{own: own, calling: map[string]time.Time{}}
+func newSeedSchedule(now time.Time, own string, addresses []string) seedSchedule {
+	plan := seedSchedule{own: own, calling: map[string]time.Time{}}
 	plan.set(now, addresses)
 	return plan
 }
 
 // set replaces the seeds.
-func (p *seedPlan) set(now time.Time, addresses []string) {
+func (p *seedSchedule) set(now time.Time, addresses []string) {
 	p.addresses = nil
 	for _, address := range addresses {
 		if address != p.own {
 			p.addresses = append(p.addresses, address)
 		}
 	}
-	p.due, p.since, p.tried = now, now, 0
+	p.due, p.since, p.attempts = now, now, 0
 }
 
-// take returns the seed to be called now; empty where none is due.
-func (p *seedPlan) take(now time.Time, alone bool, isMember func(address string) bool) string {
+// takeDue returns the seed to be called now; empty where none is due.
+func (p *seedSchedule) takeDue(now time.Time, alone bool, isMember func(address string) bool) string {
 	if now.Before(p.due) || len(p.addresses) == 0 {
 		return ""
 	}
-	p.tried++
+	p.attempts++
 	p.due = now.Add(p.interval(now, alone))
 	for range p.addresses {
 		p.next = (p.next + 1) % len(p.addresses)
@@ -62,18 +62,18 @@
 }
 
 // interval is the time to the next call.
-func (p *seedPlan) interval(now time.Time, alone bool) time.Duration {
+func (p *seedSchedule) interval(now time.Time, alone bool) time.Duration {
 	switch {
-	case alone && p.tried < len(p.addresses):
-		return firstInterval
-	case alone || now.Sub(p.since) < joinSpan:
+	case alone && p.attempts < len(p.addresses):
+		return firstSeedInterval
+	case alone || now.Sub(p.since) < joinPeriod:
 		return joinInterval
-	case now.Sub(p.since) < reseedFastSpan:
+	case now.Sub(p.since) < fastReseedPeriod:
 		return reseedInterval
 	default:
-		return reseedSlow
+		return slowReseedInterval
 	}
 }
 
-// ended tells that a call to a seed is over.
-func (p *seedPlan) ended(address string) { delete(p.calling, address) }
+// finish tells that a call to a seed is over.
+func (p *seedSchedule) finish(address string) { delete(p.calling, address) }
--- a/serving/member/seeds_test.go
+++ b/serving/member/seeds_test.go
@@ -12,25 +12,25 @@
 // TestSeedsAreCalledInQuickSuccessionAtFirst: the first seed in the list may be far away or down, the last one near.
 func TestSeedsAreCalledInQuickSuccessionAtFirst(t *testing.T) {
 	begun := time.Unix(1000, 0)
-	plan := newSeedPlan(begun, "own", []string{"a", "own", "b", "c"})
+	plan := newSeedSchedule(begun, "own", []string{"a", "own", "b", "c"})
 	var called []string
 	var at []time.Duration
 	for now := begun; now.Before(begun.Add(time.Second)); now = now.Add(time.Millisecond) {
-		if address := plan.take(now, true, nobody); address != "" {
+		if address := plan.takeDue(now, true, nobody); address != "" {
 			called = append(called, address)
 			at = append(at, now.Sub(begun))
-			plan.ended(address) // refused
+			plan.finish(address) // refused
 		}
 	}
 	assert.Equal(t, []string{"b", "c", "a"}, called[:3])
-	assert.Equal(t, []time.Duration{0, firstInterval, 2 * firstInterval, 2*firstInterval + joinInterval}, at[:4])
+	assert.Equal(t, []time.Duration{0, firstSeedInterval, 2 * firstSeedInterval, 2*firstSeedInterval + joinInterval}, at[:4])
 	assert.LessOrEqual(t, len(called), 3+int(time.Second/joinInterval))
 }
 
 func TestSeedsAreLeftAloneOnceTheyAreMembers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	plan := newSeedPlan(now, "own", []string{"a", "b"})
-	assert.Equal(t, "b", plan.take(now, true, nobody))
+	plan := newSeedSchedule(now, "own", []string{"a", "b"})
+	assert.Equal(t, "b", plan.takeDue(now, true, nobody))
 	everybody := func(string) bool { return true }
-	assert.Empty(t, plan.take(now.Add(time.Minute), false, everybody))
+	assert.Empty(t, plan.takeDue(now.Add(time.Minute), false, everybody))
 }
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -73,8 +73,8 @@
 }
 
 // perform plays the calls that a node asks for, as caller does on real machines.
-func (s *simulation) perform(n *simNode, life int, todo actions) {
-	for _, beat := range todo.beats {
+func (s *simulation) perform(n *simNode, life int, todo pendingCalls) {
+	for _, beat := range todo.heartbeats {
 		s.beat(n, beat)
 	}
 	for _, repair := range todo.repairs {
@@ -86,32 +86,32 @@
 }
 
 func serveHeartbeat(n *node, now time.Time, request heartbeatRequest) heartbeatResponse {
-	return n.heartbeat(now, &request)
+	return n.answerHeartbeat(now, &request)
 }
 
 func servePush(n *node, now time.Time, message gossip.Message) pushResponse {
-	return n.receive(now, message)
+	return n.answerPush(now, message)
 }
 
 func serveCompare(n *node, now time.Time, request compareRequest) compareResponse {
-	return n.compare(now, &request)
+	return n.answerCompare(now, &request)
 }
 
 func serveTransfer(n *node, now time.Time, request transferRequest) transferResponse {
-	return n.transfer(now, &request)
+	return n.answerTransfer(now, &request)
 }
 
-func (s *simulation) beat(n *simNode, beat beatCall) {
+func (s *simulation) beat(n *simNode, beat heartbeatCall) {
 	answered := func(response heartbeatResponse) {
-		own := n.node.beatAnswered(s.now, beat.to.Name, &response)
+		own := n.node.processHeartbeatResponse(s.now, beat.to.Name, &response)
 		if own == nil {
 			return
 		}
 		message := gossip.Message{From: n.member.Name, Entries: []gossip.Entry{*own}}
-		simCall(s, n, beat.to.Address, callTimeout, message, servePush, func(pushResponse) {}, func() {})
+		simCall(s, n, beat.to.Address, defaultTimeout, message, servePush, func(pushResponse) {}, func() {})
 	}
-	failed := func() { n.node.beatFailed(s.now, beat.to) }
-	simCall(s, n, beat.to.Address, callTimeout, beat.request, serveHeartbeat, answered, failed)
+	failed := func() { n.node.processHeartbeatFailure(s.now, beat.to) }
+	simCall(s, n, beat.to.Address, defaultTimeout, beat.request, serveHeartbeat, answered, failed)
 }
 
 func (s *simulation) push(n *simNode, envelope gossip.Envelope) {
@@ -123,7 +123,7 @@
 		}
 	}
 	life := n.life
-	s.at(s.now.Add(lateAfter), func() { s.whenAwake(n, life, retry) })
+	s.at(s.now.Add(pushRetryDelay), func() { s.whenAwake(n, life, retry) })
 	failed := func() {
 		n.node.engine.MarkUnresponsive(s.now, envelope.To.Name)
 		retry()
@@ -133,21 +133,21 @@
 		n.node.engine.MarkResponsive(envelope.To.Name)
 	}
 	answered := func(response pushResponse) {
-		if len(response.Wanted) == 0 {
+		if len(response.Missing) == 0 {
 			succeeded(response)
 			return
 		}
 		message := gossip.Message{From: n.member.Name, Relay: envelope.Message.Relay}
-		message.Entries = n.node.engine.CollectEntries(response.Wanted)
-		simCall(s, n, envelope.To.Address, callTimeout, message, servePush, succeeded, failed)
+		message.Entries = n.node.engine.CollectEntries(response.Missing)
+		simCall(s, n, envelope.To.Address, defaultTimeout, message, servePush, succeeded, failed)
 	}
-	simCall(s, n, envelope.To.Address, callTimeout, envelope.Message, servePush, answered, failed)
+	simCall(s, n, envelope.To.Address, defaultTimeout, envelope.Message, servePush, answered, failed)
 }
 
 func (s *simulation) repair(n *simNode, repair repairCall) {
 	ended := func() {
 		if repair.seed {
-			n.node.seeds.ended(repair.to.Address)
+			n.node.seeds.finish(repair.to.Address)
 		}
 	}
 	failed := func() {
@@ -157,16 +157,16 @@
 		}
 	}
 	answered := func(response compareResponse) {
-		request, needed := n.node.compared(s.now, repair.to.Name, &response)
+		request, needed := n.node.processCompareResponse(s.now, repair.to.Name, &response)
 		if !needed {
 			ended()
 			return
 		}
 		transferred := func(response transferResponse) {
 			ended()
-			n.node.transferred(s.now, repair.to.Name, &response)
+			n.node.processTransferResponse(s.now, repair.to.Name, &response)
 		}
 		simCall(s, n, repair.to.Address, bulkTimeout, request, serveTransfer, transferred, ended)
 	}
-	simCall(s, n, repair.to.Address, callTimeout, repair.request, serveCompare, answered, failed)
+	simCall(s, n, repair.to.Address, defaultTimeout, repair.request, serveCompare, answered, failed)
 }
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -209,7 +209,7 @@
 
 // put has a node take in a record.
 func (s *simulation) put(n *simNode, revision uint64, size int) {
-	n.node.put(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
+	n.node.putLocal(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
 		Version: gossip.NewVersion(revision, 0), Value: make([]byte, size)})
 }
 
--- a/serving/member/size_bench_test.go
+++ b/serving/member/size_bench_test.go
@@ -28,7 +28,7 @@
 	for b.Loop() {
 		seconds++
 		if record > 0 {
-			s.nodes[0].node.put(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
+			s.nodes[0].node.putLocal(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
 				Version: gossip.NewVersion(uint64(seconds), 0), Value: make([]byte, record)})
 		}
 		s.run(time.Second)
