--- /dev/null
+++ b/cluster/member/health/reporter.go
@@ -0,0 +1,170 @@
+// Package health measures whether a rebalancing plan does harm: each member counts how webhooks end in the ranges that
+// move (Reporter), and the coordinator collects these counts from all members (Collector).
+package health
+
+import (
+	"slices"
+	"sync"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// Path is the HTTP path at which a member answers a Query with a rebalance.Report.
+const Path = "/fleet/harm"
+
+// Query asks a member for the counts in ranges that a plan has moved.
+type Query struct {
+	Plan    uint64                    `cbor:"1,keyasint"` // its number
+	Watches []rebalance.MonitoredMove `cbor:"2,keyasint"`
+}
+
+// MapSource has the newest shard map; nil: none yet.
+type MapSource interface{ Map() *shardmap.Map }
+
+// ReporterConfig is what a Reporter is made from.
+type ReporterConfig struct {
+	Self    cluster.MemberID
+	Maps    MapSource
+	Decider *eventloop.Decider
+	Clock   func() api.Micros // monotonic
+	Meter   *rebalance.ImpactMeter
+	Stop    <-chan struct{} // closed once the dispatcher's event loop answers no more
+}
+
+// Reporter counts how webhooks end at this member. Its methods may be called concurrently.
+type Reporter struct {
+	ReporterConfig
+	mu sync.Mutex // guards Meter
+}
+
+// NewReporter returns a Reporter that has counted nothing.
+func NewReporter(c ReporterConfig) *Reporter { return &Reporter{ReporterConfig: c} }
+
+// CountEnd counts the end of a webhook that this member owned.
+func (r *Reporter) CountEnd(w *inflight.Webhook, end eventloop.End) {
+	counts := rebalance.Outcomes{Total: 1}
+	switch end {
+	case eventloop.InTime:
+	case eventloop.Late:
+		counts.Late = 1
+	case eventloop.HandedBack:
+		counts.Rejected = 1
+	case eventloop.DeadLettered:
+		counts.DeadLettered = 1
+	}
+	r.count(w.Destination, counts)
+}
+
+func (r *Reporter) count(d api.DestinationID, counts rebalance.Outcomes) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Meter.CountOutcomes(d, counts)
+}
+
+// AcceptFunc accepts a webhook in this process.
+type AcceptFunc = func() (inflight.Answer, api.Micros)
+
+// ForwardFunc takes a client's webhook to its owner, or accepts it here, and returns the answer to the client.
+type ForwardFunc = func(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros)
+
+// CountRejections wraps a ForwardFunc. A rejection counts at the member that tells the client, whoever rejects the
+// webhook, so that it counts once.
+func (r *Reporter) CountRejections(forward ForwardFunc) ForwardFunc {
+	return func(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
+		answer, retryAfter := forward(w, accept)
+		if answer == inflight.Rejected {
+			r.count(w.Destination, rebalance.Outcomes{Total: 1, Rejected: 1})
+		}
+		return answer, retryAfter
+	}
+}
+
+// ObserveMoves begins to count for moves that have begun.
+func (r *Reporter) ObserveMoves() {
+	shardMap := r.Maps.Map()
+	if shardMap == nil {
+		return
+	}
+	r.mu.Lock()
+	begun := r.Meter.UnobservedMoves(shardMap)
+	r.mu.Unlock()
+	unhealthy := r.findUnhealthy(begun)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Meter.ObserveMap(shardMap, unhealthy, r.Clock())
+}
+
+// findUnhealthy asks the policy which destinations of the ranges that this member owns are unhealthy; others have no
+// calls to know it by. It asks for all at once and before the lock is taken, for which the event loop waits whenever a
+// webhook ends.
+func (r *Reporter) findUnhealthy(ranges []shardmap.Range) rebalance.UnhealthyFunc {
+	isOwn := func(rng shardmap.Range) bool { return rng.Owner == r.Self }
+	isOwnIn := func(rng shardmap.Range, d api.DestinationID) bool {
+		return isOwn(rng) && r.Maps.Map().Contains(rng, d)
+	}
+	var all []api.DestinationState
+	if slices.ContainsFunc(ranges, isOwn) {
+		all = r.learned(func(d api.DestinationID) bool {
+			return slices.ContainsFunc(ranges, func(rng shardmap.Range) bool { return isOwnIn(rng, d) })
+		})
+	}
+	return func(rng shardmap.Range) (unhealthy []api.DestinationID) {
+		for _, l := range all {
+			if l.Unhealthy && isOwnIn(rng, l.Destination) {
+				unhealthy = append(unhealthy, l.Destination)
+			}
+		}
+		return unhealthy
+	}
+}
+
+// learned returns what the policy has learned of destinations; nothing once the event loop has ended.
+func (r *Reporter) learned(match func(api.DestinationID) bool) []api.DestinationState {
+	found := make(chan []api.DestinationState, 1)
+	go func() {
+		all, _ := r.Decider.Learned(match)
+		found <- all
+	}()
+	select {
+	case all := <-found:
+		return all
+	case <-r.Stop:
+		return nil
+	}
+}
+
+// Report returns this member's counts.
+func (r *Reporter) Report(q Query) rebalance.Report {
+	shardMap := r.Maps.Map()
+	if shardMap == nil {
+		return rebalance.Report{}
+	}
+	var ranges []shardmap.Range
+	for _, w := range q.Watches {
+		if rng, found := shardMap.RangeByID(w.Range); found {
+			ranges = append(ranges, rng)
+		}
+	}
+	unhealthy := r.findUnhealthy(ranges)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.Meter.Report(q.Plan, q.Watches, shardMap, unhealthy, r.Clock())
+}
+
+// HandleQuery answers the coordinator.
+func (r *Reporter) HandleQuery(ctx *fasthttp.RequestCtx) {
+	var q Query
+	if err := transport.Decode(ctx.Request.Body(), &q); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	ctx.SetBody(transport.Encode(r.Report(q)))
+}
--- a/serving/httpserver/finish.go
+++ b/serving/httpserver/finish.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if wanted <= 0 {
-		base := f.route.Target / rejectedTargetDivisor
+		base := f.route.LatencyTarget / rejectedTargetDivisor
 		wanted = base + randomBelow(base)
 	}
 	respondError(f.writer, kind, clampRetryAfter(wanted, time.Until(f.deadline)))
