--- /dev/null
+++ b/cluster/member/forwarding/intake.go
@@ -0,0 +1,164 @@
+package forwarding
+
+import (
+	"rowanlink/cluster/member/custody"
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// intake accepts the webhooks of one transfer, in their order and each once, also where a message comes twice.
+type intake struct {
+	*Receiver
+	transfer peer.Transfer
+	admit    admitFunc
+
+	ids      []shardmap.WebhookID  // of the webhooks, as all slices below one for each
+	webhooks []*inflight.Webhook   // nil: can't be accepted here
+	before   []custody.SavedRecord // their custody records before this transfer
+	outcomes []peer.Outcome
+
+	arrivals []arrival                             // webhooks that are new here
+	returned map[inflight.RequestID]*inflight.Past // those in doubt here that have come back, with what they bring
+	callable []inflight.RequestID                  // may be called from here on
+}
+
+// arrival is a webhook that is new here.
+type arrival struct {
+	webhook  *inflight.Webhook
+	position int // in the transfer
+}
+
+func newIntake(r *Receiver, t peer.Transfer, admit admitFunc) *intake {
+	in := &intake{
+		Receiver: r,
+		transfer: t,
+		admit:    admit,
+		ids:      make([]shardmap.WebhookID, len(t.Webhooks)),
+		webhooks: make([]*inflight.Webhook, len(t.Webhooks)),
+		before:   make([]custody.SavedRecord, len(t.Webhooks)),
+		outcomes: make([]peer.Outcome, len(t.Webhooks)),
+		returned: map[inflight.RequestID]*inflight.Past{},
+	}
+	for i, transferred := range t.Webhooks {
+		in.ids[i] = transferred.ID
+		if w, err := peer.DecodeWebhook(transferred); err == nil && r.Exchange.Named(transferred.Destination) {
+			in.webhooks[i] = w
+		}
+	}
+	return in
+}
+
+// run accepts what is to be accepted and sets the outcomes.
+func (in *intake) run() {
+	err := in.Custody.Update(in.ids, func(t *shardmap.CustodyTable) {
+		now := inflight.Now()
+		if !in.writeReturned(t) {
+			return
+		}
+		for i := range in.transfer.Webhooks {
+			in.decide(t, i, now)
+		}
+	})
+	if err != nil { // what was to be accepted is rejected; of the rest nothing is known
+		clear(in.outcomes)
+		for _, a := range in.arrivals {
+			in.reject(a, inflight.AnswerWithin)
+		}
+		return
+	}
+	in.submit()
+	in.recordArrivals()
+}
+
+// reject sets the outcome of an arrival that is not accepted by this transfer.
+func (in *intake) reject(a arrival, retryAfter api.Micros) {
+	in.Handoffs.RecordArrival(a.webhook.RequestID, 0)
+	in.outcomes[a.position] = peer.Outcome{Reply: shardmap.CustodyRejected, RetryAfter: retryAfter}
+}
+
+// writeReturned has what webhooks bring along that come back written before their records say that they are here;
+// false: it can't be written. The custody table is locked.
+func (in *intake) writeReturned(t *shardmap.CustodyTable) (written bool) {
+	for i, transferred := range in.transfer.Webhooks {
+		w := in.webhooks[i]
+		if w != nil && t.ReturnsCopy(transferred.ID, transferred.Handoff) && w.Past != nil {
+			in.returned[w.RequestID] = w.Past
+		}
+	}
+	return len(in.returned) == 0 || in.Decider.Returned(in.returned)
+}
+
+// decide decides on one webhook. The custody table is locked.
+func (in *intake) decide(t *shardmap.CustodyTable, i int, now api.Micros) {
+	transferred, w := in.transfer.Webhooks[i], in.webhooks[i]
+	admission, decision := in.admit(in.transfer, transferred)
+	in.before[i] = in.Custody.SaveRecord(transferred.ID)
+	admits := admission == shardmap.AdmissionAccepted && w != nil
+	reply, outcome := t.HandleOffer(transferred.ID, transferred.Handoff, transferred.TTL, now, admits)
+	in.outcomes[i].Reply = reply
+	if reply == shardmap.CustodyRejected && admission != shardmap.AdmissionAccepted {
+		in.outcomes[i].Admission, in.outcomes[i].Decision = admission, decision
+	}
+	switch outcome {
+	case shardmap.OfferTaken:
+		w.InDoubt = true // until its record says that it has arrived
+		in.arrivals = append(in.arrivals, arrival{webhook: w, position: i})
+	case shardmap.OfferReturnsCopy:
+		in.callable = append(in.callable, w.RequestID)
+	default:
+		return
+	}
+	in.Handoffs.RecordArrival(w.RequestID, in.transfer.Move)
+}
+
+// submit has the arrivals accepted by the dispatcher. What that rejects is as if it had not been offered.
+func (in *intake) submit() {
+	webhooks := make([]*inflight.Webhook, 0, len(in.arrivals))
+	for _, a := range in.arrivals {
+		webhooks = append(webhooks, a.webhook)
+	}
+	in.Exchange.HandInAll(webhooks, func(n int, answer inflight.Answer, retryAfter api.Micros) {
+		a := in.arrivals[n]
+		switch answer {
+		case inflight.Taken:
+			in.Metrics.Received.Add(1)
+			in.Exchange.Accepted.Add(1)
+		case inflight.Doubled: // it came here by another way, and is this member's already
+			in.outcomes[a.position].Duplicate = true
+		default:
+			in.reject(a, retryAfter)
+		}
+	})
+}
+
+// recordArrivals writes that the arrivals are here, before they may be called and before that is answered.
+func (in *intake) recordArrivals() {
+	ids := make([]shardmap.WebhookID, 0, len(in.arrivals))
+	for _, a := range in.arrivals {
+		ids = append(ids, in.ids[a.position])
+	}
+	if len(ids) > 0 && in.Custody.Update(ids, in.confirmArrivals) != nil {
+		clear(in.outcomes) // the hand-off's next run tries again
+	} else {
+		for _, a := range in.arrivals {
+			if in.outcomes[a.position].Reply == shardmap.CustodyTaken {
+				in.callable = append(in.callable, a.webhook.RequestID)
+			}
+		}
+	}
+	in.Decider.Settled(in.callable)
+}
+
+// confirmArrivals records which arrivals the dispatcher has accepted. The custody table is locked.
+func (in *intake) confirmArrivals(t *shardmap.CustodyTable) {
+	for _, a := range in.arrivals {
+		before := in.before[a.position]
+		if in.outcomes[a.position].Reply == shardmap.CustodyRejected {
+			t.Rollback(before.Name, before.Record, before.Known)
+		} else {
+			t.ConfirmStored(before.Name)
+		}
+	}
+}
--- /dev/null
+++ b/cluster/member/handoff/state.go
@@ -0,0 +1,72 @@
+package handoff
+
+import (
+	"log/slog"
+
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// transferState sends the target of each move what was learned here of the destinations, once no call of the range is
+// in flight any more.
+func (m *Manager) transferState(shardMap *shardmap.Map) {
+	open := map[shardmap.MoveID]bool{}
+	for _, r := range shardMap.Ranges {
+		if r.Move.Step != shardmap.StepHandoff || r.Move.From != m.Ownership.Self {
+			continue
+		}
+		open[r.Move.ID] = true
+		if !m.StateTransferred(r) && m.transferRangeState(shardMap, r) {
+			m.setStateTransferred(r.Move.ID)
+			m.Ownership.OnChange()
+		}
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for id := range m.stateSent {
+		if !open[id] {
+			delete(m.stateSent, id)
+		}
+	}
+}
+
+// transferRangeState returns whether the target of the range's move has the state.
+func (m *Manager) transferRangeState(shardMap *shardmap.Map, r shardmap.Range) bool {
+	learned, idle := m.Decider.Learned(func(d api.DestinationID) bool { return shardMap.Contains(r, d) })
+	if !idle {
+		return false
+	}
+	transfer := peer.Transfer{MapVersion: shardMap.Version, SentAt: inflight.Now(), Move: r.Move.ID, Learned: learned}
+	_, err := m.Peers.Send(r.Move.To, peer.TransferPath, transfer, m.Ownership.LeaseTTL/offerTimeoutDivisor, true)
+	if err != nil {
+		slog.Debug("learned not handed on", "to", r.Move.To, "why", err)
+		return false
+	}
+	slog.Info("learned handed on", "range", r.ID, "move", r.Move.ID, "to", r.Move.To, "destinations", len(learned))
+	return true
+}
+
+func (m *Manager) setStateTransferred(move shardmap.MoveID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stateSent[move] = true
+}
+
+// ApplyState has the dispatcher take over what another member has learned of destinations. offset is by how much this
+// member's clock is ahead of that one's.
+func (m *Manager) ApplyState(learned []api.DestinationState, offset api.Micros) {
+	if len(learned) == 0 {
+		return
+	}
+	for i := range learned {
+		l := &learned[i]
+		for _, at := range []*api.Micros{&l.ObservedAt, &l.WaitUntil, &l.NextCanaryAt, &l.SlowStartSince} {
+			if *at > 0 {
+				*at += offset
+			}
+		}
+	}
+	m.Decider.Teach(learned)
+}
--- /dev/null
+++ b/cluster/member/lifecycle.go
@@ -0,0 +1,171 @@
+package member
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"time"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/config"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/member/coordinator"
+	"rowanlink/cluster/member/session"
+	"rowanlink/internal/wakeup"
+	"rowanlink/webhook/api"
+)
+
+// leaveTimeoutTTLs is how many lease TTLs a planned end waits for its turn.
+const leaveTimeoutTTLs = 1
+
+// Serve opens the session and starts what the member does by itself. Clients are not let in yet.
+func (m *Member) Serve() {
+	slog.Info("member", "fleet", m.file.Name, "name", m.self, "members", len(m.file.Members))
+	m.session = session.New(session.Config{
+		Self:          m.self,
+		Incarnation:   lease.Incarnation(randomID()),
+		LeaseTTL:      m.file.LeaseTTL,
+		MaxClockDrift: m.file.MaxClockDrift,
+		Clock:         m.clock,
+		Leader:        session.NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
+		OnChange:      func(cluster.Resource, cluster.Epoch) { m.wake() },
+	})
+	m.ownership.Start(m.session)
+	if err := m.sites.Start(m.session); err != nil { // without its records a webhook might be delivered twice
+		slog.Error("what goes to relays not read", "why", err)
+		os.Exit(1)
+	}
+	m.coordinator = coordinator.New(coordinator.Config{
+		Session:  m.session,
+		Maps:     m.ownership,
+		Impacts:  m.collector,
+		LeaseTTL: m.file.LeaseTTL,
+	})
+	go func() { _ = m.server.Serve(m.listener) }() // ends by Close
+	m.watchState()
+	go m.collector.Run(m.ended) // End doesn't wait for a poll in flight
+	m.done.Go(func() { m.runPeriodically(m.ownershipWake, m.reconcile) })
+	m.done.Go(func() { m.runPeriodically(m.handoffWake, m.handoff.Run) })
+	m.session.RunLeaseWorkload(os.Getenv)
+}
+
+// watchState follows the replicated state that this member goes by.
+func (m *Member) watchState() {
+	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, snapshot []byte) { m.ownership.ApplySnapshot(snapshot) })
+	if m.raft == nil {
+		return
+	}
+	m.session.Acquire(cluster.CoordinatorResource)
+	m.session.Watch(cluster.LeaseComponent, m.applyLeases)
+	m.session.Watch(cluster.RebalanceComponent, m.applyProgress)
+}
+
+// runPeriodically calls do whenever it is woken, and periodically.
+func (m *Member) runPeriodically(wake wakeup.Signal, do func()) {
+	tick := time.NewTicker(duration(m.file.LeaseTTL) / checksPerTTL)
+	defer tick.Stop()
+	for {
+		select {
+		case <-m.ended:
+			return
+		case <-wake:
+		case <-tick.C:
+		}
+		do()
+	}
+}
+
+// reconcile does what the shard map, the leases and the plan require now.
+func (m *Member) reconcile() {
+	m.ownership.TrackSession()
+	m.ownership.Reconcile()
+	m.ownership.ReleaseMergedRanges()
+	m.dispatcher.Decider.Regate()
+	m.reporter.ObserveMoves()
+	m.coordinate()
+}
+
+// Renew takes new settings of the dispatcher and reads the operator file again. One that can't be used changes nothing.
+func (m *Member) Renew(settings api.Settings) {
+	m.settings.Store(&settings)
+	text, file, err := m.readOperatorFile()
+	if err != nil {
+		slog.Error("operator file not read again, the old one stays", "why", err)
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name // fixed while the process runs
+	m.file = file
+	m.planRequest = coordinator.PlanRequest{
+		Text:    text,
+		Groups:  file.Groups(),
+		Fresh:   true,
+		Resumes: m.coordinator.StoppedPlan(),
+	}
+	m.updatePeers(file)
+	m.memberCount.Store(int64(len(file.Members)))
+	m.sites.ApplyConfig(file)
+	slog.Info("operator file read again", "members", len(file.Members))
+	m.wake()
+}
+
+func (m *Member) updatePeers(file config.File) {
+	m.client.SetAddresses(memberAddresses(file))
+	m.session.Leader.SetNodes(raftNodes(file))
+	if m.raft != nil {
+		m.raft.SetAddresses(raftAddresses(file))
+	}
+}
+
+// Leave waits for one of the turns by which the operator file bounds how many members leave at once, for a lease TTL at
+// most: one that gets no turn leaves all the same, since its process was told to end.
+func (m *Member) Leave() {
+	turns := m.file.MaxDeparting
+	for turn := range turns {
+		m.session.Acquire(cluster.DepartureSlotResource(turn))
+	}
+	deadline := time.Now().Add(leaveTimeoutTTLs * duration(m.file.LeaseTTL))
+	for time.Now().Before(deadline) {
+		if m.takeLeaveTurn(turns) {
+			return
+		}
+		time.Sleep(duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
+	}
+	slog.Warn("leaves without a turn: none was free for a term")
+}
+
+// takeLeaveTurn returns whether this member has a turn, and releases all others then.
+func (m *Member) takeLeaveTurn(turns int) bool {
+	for turn := range turns {
+		epoch, held := m.session.Holds(cluster.DepartureSlotResource(turn))
+		if !held {
+			continue
+		}
+		for other := range turns {
+			if other != turn {
+				m.session.Release(cluster.DepartureSlotResource(other))
+			}
+		}
+		slog.Info("leaves in turn", "turn", turn, "epoch", epoch)
+		return true
+	}
+	return false
+}
+
+// End stops everything and gives all leases up, so that nobody waits for this member's lease TTL, and hands raft's
+// leadership on.
+func (m *Member) End() {
+	close(m.ended)
+	m.sites.Close()
+	m.done.Wait()
+	m.session.Close()
+	if m.raft != nil {
+		if err := m.raft.Close(); err != nil {
+			slog.Warn("log not closed in time", "why", err)
+		}
+	}
+	_ = m.server.Close(duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
+	m.client.Close()
+	_ = m.custody.Close() // what was answered has been written
+}
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -82,7 +82,7 @@
 	}
 	defer node.Close()
 	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
-	table := exchange.Start(life, exchange.Options{Gossip: joined, HeartbeatInterval: process.BeatInterval,
+	table := exchange.Start(life, exchange.Options{Gossip: joined, HeartbeatInterval: process.HeartbeatInterval,
 		HasQuorum: touch.HasQuorum, Log: options.Log})
 	table.Serve(inner)
 	kept := store.OpenEndpointStore(process.StoreDir, options.Log)
@@ -112,8 +112,8 @@
 	if err != nil {
 		return nil, err
 	}
-	gone := &absences{mesh: joined, started: time.Now(), now: time.Now}
-	node.SetAbsence(gone.absent, gone.forgotten)
+	detector := &failureDetector{members: joined, started: time.Now(), now: time.Now}
+	node.SetFailureDetector(detector)
 	records.subscribe(node)
 	return node, nil
 }
