--- a/serving/schema/checks.go
+++ b/serving/schema/checks.go
@@ -6,24 +6,28 @@
 	"github.com/tidwall/gjson"
 )
 
-// NotEmpty wants a string of one byte or more.
-func NotEmpty(value gjson.Result) string {
+// Check validates a value before it is parsed as the field's type. It returns what is wrong, empty if nothing is.
+// Values of other JSON types pass: the field's type rejects them.
+type Check func(value gjson.Result) (problem string)
+
+// NotEmpty is a Check for a non-empty string.
+func NotEmpty(value gjson.Result) (problem string) {
 	if value.Type == gjson.String && value.Str == "" {
 		return "must not be empty"
 	}
 	return ""
 }
 
-// Positive wants a number above 0.
-func Positive(value gjson.Result) string {
+// Positive is a Check for a number above 0.
+func Positive(value gjson.Result) (problem string) {
 	if value.Type == gjson.Number && !(value.Num > 0) {
 		return "must be above 0"
 	}
 	return ""
 }
 
-// SlashDelimited wants a string that begins and ends with a slash.
-func SlashDelimited(value gjson.Result) string {
+// SlashDelimited is a Check for a string that begins and ends with a slash.
+func SlashDelimited(value gjson.Result) (problem string) {
 	if value.Type != gjson.String {
 		return ""
 	}
--- a/serving/schema/schema.go
+++ b/serving/schema/schema.go
@@ -1,69 +1,71 @@
-// Package schema reads JSON objects into typed values by tables of settings. Each line of a table names a field,
-// its type, the value that stands for it where it is missing, and a check.
+// Package schema parses JSON objects into Go values by tables of fields. An entry of a table has a field's name, its
+// type with the place to store the value, the default for a missing field, and a check. Unlike encoding/json it
+// supports defaults and required fields, and names the invalid field in errors.
 package schema
 
 import (
 	"strings"
 
+	"github.com/cockroachdb/errors"
 	"github.com/tidwall/gjson"
 
 	"rowanlink/serving/errcode"
 )
 
-// maxFields is the most settings that a table may have.
-const maxFields = 64
-
-// maxDepth is how deep lists and objects may be nested.
-const maxDepth = 1000
+const (
+	// maxFields is the size of the bit set of the fields that an object has.
+	maxFields = 64
+	// maxDepth is the deepest nesting of lists and objects that is accepted.
+	maxDepth = 1000
+)
 
-// Field is one line of a table: a field of a JSON object and where its value goes.
-type Field[Into any] struct {
-	Name     string     // of the field, as outside callers write it
-	Type     Type[Into] // what it holds and where that goes
-	Required bool       // a document without it is invalid
-	Default  string     // JSON that stands for a missing field; empty: the zero value stays
+// Field is an entry of a table: a field of a JSON object and where its value is stored.
+type Field[Target any] struct {
+	Name     string       // in the document
+	Type     Type[Target] // of the value
+	Required bool         // a document without the field is invalid
+	Default  string       // JSON that stands for a missing field; empty: the zero value stays
 	// ZeroMeansDefault treats a zero as a missing field.
 	ZeroMeansDefault bool
-	Check            Check // nil: each value of the type is right
+	Check            Check // may be nil
 }
 
-// Type is what a field holds. Its store function puts a value in its place and returns what is wrong with it, an
-// empty problem if nothing is.
-type Type[Into any] struct {
-	Name  string
-	store func(into *Into, value gjson.Result) error
+// Type is the type of a field's value. Its store function converts a value and stores it in the target, or returns an
+// error that says what is wrong with it.
+type Type[Target any] struct {
+	store func(target *Target, value gjson.Result) error
 }
 
-// Table holds the settings of one kind of object. Fields that it doesn't name are ignored; a null counts as missing.
-type Table[Into any] []Field[Into]
+// Table holds the fields of one kind of object, at most 64. Unknown fields are ignored; a null counts as missing.
+type Table[Target any] []Field[Target]
 
-// Parse reads a document that must be one JSON object and nothing else. Errors are errcode.DocumentUnreadable and
+// Parse parses a document that must be one JSON object and nothing else. Errors are errcode.DocumentUnreadable and
 // errcode.FieldInvalid.
-func (t Table[Into]) Parse(document []byte, into *Into) error {
+func (t Table[Target]) Parse(document []byte, target *Target) error {
 	if exceedsMaxDepth(document) || !gjson.ValidBytes(document) {
-		return errcode.DocumentUnreadable.With("it is cut short, has bytes after its end or is no JSON")
+		return errcode.DocumentUnreadable.With("it is truncated, has bytes after its end or isn't JSON")
 	}
 	value := gjson.ParseBytes(document)
 	if !value.IsObject() {
-		return errcode.DocumentUnreadable.With("it is no object")
+		return errcode.DocumentUnreadable.With("it isn't an object")
 	}
-	if err := t.parseObject(value, into); err != nil {
+	if err := t.parseObject(value, target); err != nil {
 		return errcode.FieldInvalid.With("%s", err.Error())
 	}
 	return nil
 }
 
-// exceedsMaxDepth tells whether lists and objects are nested beyond maxDepth; gjson would take a stack as deep. Of bytes
-// that are no JSON it says nothing of use.
+// exceedsMaxDepth reports whether lists and objects are nested deeper than maxDepth: gjson recurses as deep. The result
+// is meaningless for bytes that aren't JSON.
 func exceedsMaxDepth(document []byte) bool {
-	depth, inText := 0, false
+	depth, inString := 0, false
 	for index := 0; index < len(document); index++ {
 		switch character := document[index]; {
 		case character == '"':
-			inText = !inText
-		case inText && character == '\\':
+			inString = !inString
+		case inString && character == '\\':
 			index++
-		case inText:
+		case inString:
 		case character == '{' || character == '[':
 			depth++
 		case character == '}' || character == ']':
@@ -76,29 +78,25 @@
 	return false
 }
 
-// parseObject fills into from an object. Errors are fieldErrors.
-func (t Table[Into]) parseObject(object gjson.Result, into *Into) error {
-	var seen uint64
-	var failed error
+// parseObject stores the fields of an object in target. Errors are *fieldError.
+func (t Table[Target]) parseObject(object gjson.Result, target *Target) (err error) {
+	var present uint64 // bit set by the index of the field
 	object.ForEach(func(key, value gjson.Result) bool {
 		index := t.fieldIndex(key.Str)
-		if index < 0 || value.Type == gjson.Null {
-			return true
-		}
-		if t[index].ZeroMeansDefault && value.Type == gjson.Number && value.Num == 0 {
+		if index < 0 || t[index].isMissing(value) {
 			return true
 		}
-		seen |= 1 << index
-		failed = t[index].parseValue(into, value)
-		return failed == nil
+		present |= 1 << index
+		err = t[index].parseValue(target, value)
+		return err == nil
 	})
-	if failed != nil {
-		return failed
+	if err != nil {
+		return err
 	}
-	return t.applyDefaults(seen, into)
+	return t.applyDefaults(present, target)
 }
 
-func (t Table[Into]) fieldIndex(name string) int {
+func (t Table[Target]) fieldIndex(name string) int {
 	for index := range t {
 		if t[index].Name == name {
 			return index
@@ -107,70 +105,76 @@
 	return -1
 }
 
-func (t Table[Into]) applyDefaults(seen uint64, into *Into) error {
+// applyDefaults stores the defaults of the fields that aren't present, and fails if one of them is required.
+func (t Table[Target]) applyDefaults(present uint64, target *Target) error {
 	for index := range t {
-		setting := &t[index]
-		if seen&(1<<index) != 0 {
+		field := &t[index]
+		if present&(1<<index) != 0 {
 			continue
 		}
-		if setting.Required {
-			return &fieldError{path: setting.Name, problem: "is missing"}
+		if field.Required {
+			return &fieldError{path: field.Name, problem: "is missing"}
 		}
-		if setting.Default == "" {
+		if field.Default == "" {
 			continue
 		}
-		if err := setting.Type.store(into, gjson.Parse(setting.Default)); err != nil {
-			return wrapFieldError(setting.Name, err)
+		if err := field.Type.store(target, gjson.Parse(field.Default)); err != nil {
+			return wrapFieldError(field.Name, err)
 		}
 	}
 	return nil
 }
 
+// isMissing reports whether the value stands for a missing field.
+func (f *Field[Target]) isMissing(value gjson.Result) bool {
+	if value.Type == gjson.Null {
+		return true
+	}
+	return f.ZeroMeansDefault && value.Type == gjson.Number && value.Num == 0
+}
+
 // parseValue checks a value and stores it.
-func (s *Field[Into]) parseValue(into *Into, value gjson.Result) error {
-	if s.Check != nil {
-		if problem := s.Check(value); problem != "" {
-			return &fieldError{path: s.Name, problem: problem + ", found " + excerpt(value.Raw)}
+func (f *Field[Target]) parseValue(target *Target, value gjson.Result) error {
+	if f.Check != nil {
+		if problem := f.Check(value); problem != "" {
+			return &fieldError{path: f.Name, problem: problem + ", found " + excerpt(value.Raw)}
 		}
 	}
-	if err := s.Type.store(into, value); err != nil {
-		return wrapFieldError(s.Name, err)
+	if err := f.Type.store(target, value); err != nil {
+		return wrapFieldError(f.Name, err)
 	}
 	return nil
 }
 
-// Check returns what is wrong with a value, empty if nothing is. It runs before the type's own check.
-type Check func(value gjson.Result) string
-
-// excerptLength is the most bytes of a wrong value that an error shows.
-const excerptLength = 40
+// maxExcerptBytes is the length of an invalid value to which an error shortens it.
+const maxExcerptBytes = 40
 
 func excerpt(raw string) string {
-	if len(raw) > excerptLength {
-		return strings.ToValidUTF8(raw[:excerptLength], "") + "..."
+	if len(raw) > maxExcerptBytes {
+		return strings.ToValidUTF8(raw[:maxExcerptBytes], "") + "..."
 	}
 	return raw
 }
 
 // fieldError says what is wrong with which field.
 type fieldError struct {
-	path    string
+	path    string // such as `routings[3] "name".timeout_ms`; empty: the value itself
 	problem string
 }
 
-// Error names the field, then the problem.
+// Error implements error.
 func (e *fieldError) Error() string { return e.path + " " + e.problem }
 
-// wrapFieldError puts the name of the object round a field's error.
+// wrapFieldError prefixes the path of a field's error with the name of the enclosing field.
 func wrapFieldError(name string, err error) error {
-	inner, ok := err.(*fieldError)
-	if !ok {
+	var inner *fieldError
+	if !errors.As(err, &inner) {
 		return &fieldError{path: name, problem: err.Error()}
 	}
 	if inner.path == "" {
 		return &fieldError{path: name, problem: inner.problem}
 	}
-	if strings.HasPrefix(inner.path, "[") { // an object of a list
+	if strings.HasPrefix(inner.path, "[") { // an element of a list
 		return &fieldError{path: name + inner.path, problem: inner.problem}
 	}
 	return &fieldError{path: name + "." + inner.path, problem: inner.problem}
--- a/serving/schema/types.go
+++ b/serving/schema/types.go
@@ -10,187 +10,185 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxExactInteger is the largest integer that JSON numbers hold exactly everywhere.
-const maxExactInteger = 1 << 53
-
-// initialListCapacity is the length that a list of objects is first made for.
-const initialListCapacity = 4
-
-// maxDuration is the longest time that a field may name; longer ones are cut to it.
-const maxDuration = 1000 * time.Hour
+const (
+	// maxExactInteger is the largest integer up to which a float64 holds every integer exactly.
+	maxExactInteger = 1 << 53
+	// initialListCapacity is the capacity with which a list of objects is allocated.
+	initialListCapacity = 4
+	// maxDuration is the value to which longer durations are reduced.
+	maxDuration = 1000 * time.Hour
+)
 
-// typeError says that a value is not of the type that a field needs.
+// typeError says that a value isn't of the field's type.
 func typeError(wanted string, value gjson.Result) error {
 	return &fieldError{problem: "must be " + wanted + ", found " + excerpt(value.Raw)}
 }
 
-// String is a string.
-func String[Into any](place func(*Into) *string) Type[Into] {
-	return Type[Into]{Name: "text", store: func(into *Into, value gjson.Result) error {
+// String is the type of a string.
+func String[Target any](field func(*Target) *string) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if value.Type != gjson.String {
-			return typeError("a text", value)
+			return typeError("a string", value)
 		}
-		*place(into) = strings.Clone(value.Str)
+		*field(target) = strings.Clone(value.Str) // don't retain the document
 		return nil
 	}}
 }
 
-// Strings is a list of strings.
-func Strings[Into any](place func(*Into) *[]string) Type[Into] {
-	return Type[Into]{Name: "list of texts", store: func(into *Into, value gjson.Result) error {
+// Strings is the type of a list of strings.
+func Strings[Target any](field func(*Target) *[]string) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if !value.IsArray() {
-			return typeError("a list of texts", value)
+			return typeError("a list of strings", value)
 		}
-		var texts []string
+		var list []string
 		for _, item := range value.Array() {
 			if item.Type != gjson.String {
-				return typeError("a list of texts", value)
+				return typeError("a list of strings", value)
 			}
-			texts = append(texts, strings.Clone(item.Str))
+			list = append(list, strings.Clone(item.Str))
 		}
-		*place(into) = texts
+		*field(target) = list
 		return nil
 	}}
 }
 
-// Enum is one of a few strings that stand for values.
-func Enum[Into, Value any](words map[string]Value, place func(*Into) *Value) Type[Into] {
-	return Type[Into]{Name: "word", store: func(into *Into, value gjson.Result) error {
-		meaning, known := words[value.Str]
-		if value.Type != gjson.String || !known {
-			return typeError("a word that is known here", value)
+// Enum is the type of a string that names one of the values.
+func Enum[Target, Value any](values map[string]Value, field func(*Target) *Value) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
+		named, isKnown := values[value.Str]
+		if value.Type != gjson.String || !isKnown {
+			return typeError("a known value", value)
 		}
-		*place(into) = meaning
+		*field(target) = named
 		return nil
 	}}
 }
 
-// Bool is true or false.
-func Bool[Into any](place func(*Into) *bool) Type[Into] {
-	return Type[Into]{Name: "flag", store: func(into *Into, value gjson.Result) error {
+// Bool is the type of true or false.
+func Bool[Target any](field func(*Target) *bool) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if !value.IsBool() {
 			return typeError("true or false", value)
 		}
-		*place(into) = value.Bool()
+		*field(target) = value.Bool()
 		return nil
 	}}
 }
 
-// Int is an integer of 0 or more.
-func Int[Into any](place func(*Into) *int) Type[Into] {
-	return Type[Into]{Name: "whole number", store: func(into *Into, value gjson.Result) error {
-		if !isNonNegative(value) || value.Num != math.Trunc(value.Num) || value.Num > maxExactInteger {
-			return typeError("a whole number of 0 or more", value)
+// Int is the type of a non-negative integer up to 2^53.
+func Int[Target any](field func(*Target) *int) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
+		if !isExactInteger(value) {
+			return typeError("a non-negative integer", value)
 		}
-		*place(into) = int(value.Num)
+		*field(target) = int(value.Num)
 		return nil
 	}}
 }
 
-// Uint64 is an integer of 0 or more with all 64 bits.
-func Uint64[Into any](place func(*Into) *uint64) Type[Into] {
-	return Type[Into]{Name: "whole number", store: func(into *Into, value gjson.Result) error {
+// Uint64 is the type of a non-negative integer of up to 64 bits. An integer in floating-point notation, such as 1e3, is
+// accepted up to 2^53.
+func Uint64[Target any](field func(*Target) *uint64) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if value.Type != gjson.Number {
-			return typeError("a whole number of 0 or more", value)
+			return typeError("a non-negative integer", value)
 		}
 		number, err := strconv.ParseUint(value.Raw, 10, 64)
 		if err == nil {
-			*place(into) = number
+			*field(target) = number
 			return nil
 		}
-		if !isNonNegative(value) || value.Num != math.Trunc(value.Num) || value.Num > maxExactInteger {
-			return typeError("a whole number of 0 or more", value)
+		if !isExactInteger(value) {
+			return typeError("a non-negative integer", value)
 		}
-		*place(into) = uint64(value.Num)
+		*field(target) = uint64(value.Num)
 		return nil
 	}}
 }
 
-// Float64 is a number of 0 or more.
-func Float64[Into any](place func(*Into) *float64) Type[Into] {
-	return Type[Into]{Name: "number", store: func(into *Into, value gjson.Result) error {
+// Float64 is the type of a non-negative number.
+func Float64[Target any](field func(*Target) *float64) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if !isNonNegative(value) {
-			return typeError("a number of 0 or more", value)
+			return typeError("a non-negative number", value)
 		}
-		*place(into) = value.Num
+		*field(target) = value.Num
 		return nil
 	}}
 }
 
-// Duration is a time of 0 or more, written as a number of units.
-func Duration[Into any](unit time.Duration, place func(*Into) *time.Duration) Type[Into] {
-	return Type[Into]{Name: "time", store: func(into *Into, value gjson.Result) error {
+// Duration is the type of a non-negative duration as a number of units. Durations above 1000 hours are reduced to that.
+func Duration[Target any](unit time.Duration, field func(*Target) *time.Duration) Type[Target] {
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if !isNonNegative(value) {
-			return typeError("a number of 0 or more", value)
+			return typeError("a non-negative number", value)
 		}
-		*place(into) = time.Duration(min(value.Num*float64(unit), float64(maxDuration)))
+		*field(target) = time.Duration(min(value.Num*float64(unit), float64(maxDuration)))
 		return nil
 	}}
 }
 
-// Object is an object with a table of its own.
-func Object[Into, Inner any](table Table[Inner], place func(*Into) *Inner) Type[Into] {
-	checkSize(table)
-	return Type[Into]{Name: "object", store: func(into *Into, value gjson.Result) error {
-		if !value.IsObject() {
-			return typeError("an object", value)
-		}
-		return table.parseObject(value, place(into))
+// Object is the type of an object with a table of its own.
+func Object[Target, Inner any](table Table[Inner], field func(*Target) *Inner) Type[Target] {
+	requireSize(table)
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
+		return parseInner(table, value, field(target))
 	}}
 }
 
-// OptionalObject is an object with a table of its own that may be missing.
-func OptionalObject[Into, Inner any](table Table[Inner], place func(*Into) **Inner) Type[Into] {
-	checkSize(table)
-	return Type[Into]{Name: "object", store: func(into *Into, value gjson.Result) error {
+// OptionalObject is the type of an object with a table of its own; the pointer stays nil if the field is missing.
+func OptionalObject[Target, Inner any](table Table[Inner], field func(*Target) **Inner) Type[Target] {
+	requireSize(table)
+	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if !value.IsObject() {
 			return typeError("an object", value)
 		}
 		inner := new(Inner)
-		*place(into) = inner
+		*field(target) = inner
 		return table.parseObject(value, inner)
 	}}
 }
 
-// ObjectList is a list of objects with a table of their own. Errors name an object by its place in the list and, where
-// it has one, by its field label.
-func ObjectList[Into, Inner any](table Table[Inner], label string, place func(*Into) *[]Inner) Type[Into] {
-	checkSize(table)
-	return Type[Into]{Name: "list of objects", store: func(into *Into, value gjson.Result) error {
+// ObjectList is the type of a list of objects with a table of their own. Errors name an object by its index and, if it
+// has one, by its field label.
+func ObjectList[Target, Inner any](table Table[Inner], label string, field func(*Target) *[]Inner) Type[Target] {
+	requireSize(table)
+	return Type[Target]{store: func(target *Target, value gjson.Result) (err error) {
 		if !value.IsArray() {
 			return typeError("a list of objects", value)
 		}
-		var failed error
 		list := make([]Inner, 0, initialListCapacity)
 		value.ForEach(func(_, item gjson.Result) bool {
 			var inner Inner
-			if failed = parseItem(table, item, &inner); failed != nil {
-				failed = wrapFieldError(itemName(len(list), item, label), failed)
+			if err = parseInner(table, item, &inner); err != nil {
+				err = wrapFieldError(elementPath(len(list), item, label), err)
 				return false
 			}
 			list = append(list, inner)
 			return true
 		})
-		*place(into) = list
-		return failed
+		*field(target) = list
+		return err
 	}}
 }
 
-func parseItem[Inner any](table Table[Inner], item gjson.Result, inner *Inner) error {
-	if !item.IsObject() {
-		return typeError("an object", item)
+func parseInner[Inner any](table Table[Inner], value gjson.Result, inner *Inner) error {
+	if !value.IsObject() {
+		return typeError("an object", value)
 	}
-	return table.parseObject(item, inner)
+	return table.parseObject(value, inner)
 }
 
-// Raw is any JSON; the function stores it and returns what is wrong with it.
-func Raw[Into any](store func(into *Into, value gjson.Result) error) Type[Into] {
-	return Type[Into]{Name: "JSON", store: store}
+// Raw is the type of any JSON value. The function stores it or returns what is wrong with it.
+func Raw[Target any](store func(target *Target, value gjson.Result) error) Type[Target] {
+	return Type[Target]{store: store}
 }
 
-func checkSize[Into any](table Table[Into]) {
+// requireSize panics if a table has too many fields.
+func requireSize[Target any](table Table[Target]) {
 	if len(table) > maxFields {
-		panic("table with too many settings")
+		panic("table with too many fields")
 	}
 }
 
@@ -198,7 +196,12 @@
 	return value.Type == gjson.Number && value.Num >= 0 && !math.IsInf(value.Num, 0)
 }
 
-func itemName(index int, item gjson.Result, label string) string {
+func isExactInteger(value gjson.Result) bool {
+	return isNonNegative(value) && value.Num == math.Trunc(value.Num) && value.Num <= maxExactInteger
+}
+
+// elementPath returns the path of an element of a list in errors.
+func elementPath(index int, item gjson.Result, label string) string {
 	if label == "" || !item.IsObject() {
 		return fmt.Sprintf("[%d]", index)
 	}
