--- a/webhook/config/facts_test.go
+++ b/webhook/config/config_test.go
@@ -36,13 +36,13 @@
 }
 
 func TestNamesKeepTheirPlacesInARunningDispatcher(t *testing.T) {
-	was := Names{EventTypes: []string{"a", "b"}, Kinds: []string{"k"}}
+	was := Catalog{EventTypes: []string{"a", "b"}, Kinds: []string{"k"}}
 	facts := api.Settings{DestinationKinds: []api.DestinationKind{{BatchSize: 1}}}
-	assert.NoError(t, Fits(facts, facts, was, was))
-	assert.NoError(t, Fits(facts, facts, was, Names{EventTypes: []string{"a"}, Kinds: []string{"k", "l"}}))
-	assert.ErrorContains(t, Fits(facts, facts, was, Names{EventTypes: []string{"b", "a"}}), `classes.0: "b"`)
+	assert.NoError(t, CheckReload(facts, facts, was, was))
+	assert.NoError(t, CheckReload(facts, facts, was, Catalog{EventTypes: []string{"a"}, Kinds: []string{"k", "l"}}))
+	assert.ErrorContains(t, CheckReload(facts, facts, was, Catalog{EventTypes: []string{"b", "a"}}), `classes.0: "b"`)
 	apart := api.Settings{DestinationKinds: []api.DestinationKind{{BatchSize: 1, SeparateRoutes: true}}}
-	assert.ErrorContains(t, Fits(facts, apart, was, was), "kindApart.0")
+	assert.ErrorContains(t, CheckReload(facts, apart, was, was), "kindApart.0")
 }
 
 func TestABadValueIsNamedWithItsKey(t *testing.T) {
@@ -51,8 +51,8 @@
 }
 
 func TestPlacesInReportsFollowTheirNames(t *testing.T) {
-	left, limit := Reports("reporting.names=backlog,x1,x0\n")
+	left, limit := ReportPositions("reporting.names=backlog,x1,x0\n")
 	assert.Equal(t, []int{2, 1}, []int{left, limit})
-	left, _ = Reports("reporting.names=\n")
+	left, _ = ReportPositions("reporting.names=\n")
 	assert.Equal(t, -1, left)
 }
--- a/webhook/dispatcher/discovery/registry.go
+++ b/webhook/dispatcher/discovery/registry.go
@@ -27,9 +27,9 @@
 // Asks decides when each ask begins and what it may take, is told of each sign of life of a watch, and says
 // for how long the first one is waited for, in µs.
 type Asks interface {
-	Next(why refresh.End, pushed bool) refresh.Ask
-	Heard()
-	Hold(pushed bool) api.Micros
+	Next(why refresh.Reason, pushed bool) refresh.Request
+	RecordActivity()
+	StartupDelay(pushed bool) api.Micros
 }
 
 // Registry is one dispatcher's watch.
@@ -44,7 +44,7 @@
 	last       api.EndpointID
 
 	mu      sync.Mutex
-	names   config.Names
+	names   config.Catalog
 	keepFor time.Duration // the name of an endpoint that is gone is kept so long
 	addr    string
 	moved   chan struct{} // closed when the address is another one
@@ -59,7 +59,7 @@
 // New makes a watch of the registry at an address; an object has most bytes. broken is called for each that
 // can't be read; begun once, when the first ask has its answer, has failed, or was waited for long enough. A
 // gone endpoint's name is kept for as long as anything of it may still be out or waited for.
-func New(addr string, names config.Names, asks Asks, most int, keepFor api.Micros, listed Listed,
+func New(addr string, names config.Catalog, asks Asks, most int, keepFor api.Micros, listed Listed,
 	broken, begun func()) *Registry {
 	return &Registry{addr: addr, names: names, asks: asks, most: most, listed: listed, broken: broken,
 		begun: sync.OnceFunc(begun), keepFor: inflight.Span(keepFor), ids: map[string]*named{},
@@ -78,14 +78,14 @@
 }
 
 // Renew has lists that come from now on read by other names; kinds and zones are as the last entries said.
-func (r *Registry) Renew(names config.Names, keepFor api.Micros) {
+func (r *Registry) Renew(names config.Catalog, keepFor api.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.names, r.keepFor = names, inflight.Span(keepFor)
 }
 
 // by tells what lists are read by now.
-func (r *Registry) by() (config.Names, time.Duration) {
+func (r *Registry) by() (config.Catalog, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.names, r.keepFor
--- a/webhook/dispatcher/discovery/registry_test.go
+++ b/webhook/dispatcher/discovery/registry_test.go
@@ -72,7 +72,7 @@
 // follow starts one whose lists are pushed.
 func follow(addr string, period api.Micros) *follower {
 	f := &follower{}
-	f.Registry = New(addr, config.Names{Pushed: true}, refresh.New(1, period), 1000, api.Second,
+	f.Registry = New(addr, config.Catalog{PushedLists: true}, refresh.New(1, period), 1000, api.Second,
 		func(entries []api.EndpointEntry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -107,17 +107,17 @@
 // counted waits next to nothing and counts what it was asked.
 type counted struct {
 	waits atomic.Int64
-	*refresh.Asking
+	*refresh.Scheduler
 }
 
-func (c *counted) Next(refresh.End, bool) refresh.Ask {
+func (c *counted) Next(refresh.Reason, bool) refresh.Request {
 	c.waits.Add(1)
-	return refresh.Ask{After: 1000, Connect: api.Second, Answer: api.Second, Silence: api.Second}
+	return refresh.Request{Delay: 1000, ConnectTimeout: api.Second, ResponseTimeout: api.Second, IdleTimeout: api.Second}
 }
 
 // Without a decision before each, also the first one, a fleet that starts or is moved asks in one moment.
 func TestBeforeEachAskItIsDecidedWhen(t *testing.T) {
-	waits := &counted{Asking: refresh.New(1, api.Second)}
+	waits := &counted{Scheduler: refresh.New(1, api.Second)}
 	var asks, hasty atomic.Int64
 	d := discover(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
 		if asks.Add(1) > waits.waits.Load() {
@@ -125,7 +125,7 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	r := New("127.0.0.1:1", config.Names{}, waits, 1000, api.Second,
+	r := New("127.0.0.1:1", config.Catalog{}, waits, 1000, api.Second,
 		func([]api.EndpointEntry, []string, bool) {}, func() {}, func() {})
 	r.Move(d.addr)
 	go r.Follow()
--- a/webhook/dispatcher/discovery/watch.go
+++ b/webhook/dispatcher/discovery/watch.go
@@ -24,16 +24,16 @@
 // than it may, or the address is another one; when the next one begins is decided elsewhere.
 func (r *Registry) Follow() {
 	names, _ := r.by()
-	time.AfterFunc(inflight.Span(r.asks.Hold(names.Pushed)), r.begun)
+	time.AfterFunc(inflight.Span(r.asks.StartupDelay(names.PushedLists)), r.begun)
 	for why := refresh.Started; ; {
 		addr, moved := r.place()
 		names, _ := r.by()
-		ask := r.asks.Next(why, names.Pushed)
+		ask := r.asks.Next(why, names.PushedLists)
 		select {
 		case <-moved: // it was the old address that failed
-			why = refresh.Moved
+			why = refresh.AddressChanged
 			continue
-		case <-time.After(inflight.Span(ask.After)):
+		case <-time.After(inflight.Span(ask.Delay)):
 		}
 		ctx, end := context.WithCancel(context.Background())
 		go func() {
@@ -55,22 +55,22 @@
 var errBroken = errors.New("list not read")
 
 // ended tells for what reason a watch is over.
-func ended(ctx context.Context, err error) refresh.End {
+func ended(ctx context.Context, err error) refresh.Reason {
 	var limited interface{ Timeout() bool }
 	switch {
 	case ctx.Err() != nil:
-		return refresh.Moved
+		return refresh.AddressChanged
 	case errors.As(err, &limited) && limited.Timeout():
-		return refresh.Silent
+		return refresh.TimedOut
 	case errors.Is(err, errBroken):
-		return refresh.Broken
+		return refresh.Malformed
 	}
-	return refresh.Ended
+	return refresh.Closed
 }
 
-func (r *Registry) watch(ctx context.Context, addr string, ask refresh.Ask) error {
-	until := time.Now().Add(inflight.Span(ask.Answer))
-	c, err := (&net.Dialer{Timeout: inflight.Span(ask.Connect)}).DialContext(ctx, "tcp", addr)
+func (r *Registry) watch(ctx context.Context, addr string, ask refresh.Request) error {
+	until := time.Now().Add(inflight.Span(ask.ResponseTimeout))
+	c, err := (&net.Dialer{Timeout: inflight.Span(ask.ConnectTimeout)}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetHost(addr)
 	req.SetRequestURI("/registry/instances?follow=1&since=" + strconv.FormatInt(r.generation, 10))
-	live := &alive{Conn: c, until: until, silence: inflight.Span(ask.Silence)}
+	live := &alive{Conn: c, until: until, silence: inflight.Span(ask.IdleTimeout)}
 	in, out := bufio.NewReader(live), bufio.NewWriter(c)
 	if err := req.Write(out); err != nil {
 		return err
@@ -130,7 +130,7 @@
 
 // heard notes a sign of life.
 func (r *Registry) heard() {
-	r.asks.Heard()
+	r.asks.RecordActivity()
 	r.begun()
 }
 
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -45,7 +45,7 @@
 	Told     gjson.Result // the configuration
 	State    string       // the folder that outlasts the process
 	Facts    api.Settings
-	Names    config.Names
+	Names    config.Catalog
 	Life     *lifecycle.Life
 	Exchange *inflight.Exchange
 	Decider  *eventloop.Decider
@@ -106,7 +106,7 @@
 		}
 	}
 	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.Heard)
-	held := &refresh.Hold{}
+	held := &refresh.StartupGate{}
 	list := discovery.New(told.Get("discovery").String(), t.names,
 		refresh.New(t.facts.Seed, api.Micros(discovery.LinePeriod.Microseconds())), int(listPart*memory),
 		t.keepNames(), d.Listed, func() { x.ListsBroken.Add(1) }, func() { x.Tell(held.Open) })
--- a/webhook/dispatcher/e2e/gone_test.go
+++ b/webhook/dispatcher/e2e/gone_test.go
@@ -118,7 +118,7 @@
 			w.types(`"third","repeat":"pure"`)
 			require.NoError(t, w.process.Process.Signal(syscall.SIGHUP))
 			w.soon("refused", func() bool {
-				return strings.Contains(w.out.String(), `\"third\" stands where \"later\" stood`)
+				return strings.Contains(w.out.String(), `\"third\" replaces \"later\"`)
 			})
 			assert.Equal(t, 400, w.hand("new", "x", "Request-Class", "later").StatusCode)
 			w.soon("once more by its own terms", w.called(2))
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -41,17 +41,17 @@
 
 // terms are what webhooks are read by.
 type terms struct {
-	config.Names
+	config.Catalog
 	types []api.EventType
 }
 
 // Renew has webhooks that come from now on read by other settings.
-func (s *Clients) Renew(f api.Settings, names config.Names) {
+func (s *Clients) Renew(f api.Settings, names config.Catalog) {
 	s.terms.Store(&terms{names, f.EventTypes})
 }
 
 // New makes a server that holds at most mostOpen connections, mostIdle of them idle.
-func New(x *inflight.Exchange, life *lifecycle.Life, f api.Settings, names config.Names,
+func New(x *inflight.Exchange, life *lifecycle.Life, f api.Settings, names config.Catalog,
 	mostOpen, mostIdle int) *Clients {
 	s := &Clients{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
 	s.Renew(f, names)
--- a/webhook/dispatcher/server/clients_test.go
+++ b/webhook/dispatcher/server/clients_test.go
@@ -63,7 +63,7 @@
 	life.Enter(lifecycle.Ended)
 	x.Name(3)
 	s := New(x, life, api.Settings{EventTypes: []api.EventType{{TTL: 9 * api.Second}}},
-		config.Names{EventTypes: []string{"status"}}, 2, 1)
+		config.Catalog{EventTypes: []string{"status"}}, 2, 1)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go s.Serve(on)
--- a/webhook/dispatcher/told.go
+++ b/webhook/dispatcher/told.go
@@ -18,7 +18,7 @@
 type terms struct {
 	told      gjson.Result
 	facts     api.Settings
-	names     config.Names
+	names     config.Catalog
 	idleLimit api.Micros // after which an idle connection to an endpoint is closed
 }
 
@@ -99,7 +99,7 @@
 	if err != nil {
 		return terms{}, err
 	}
-	return now, config.Fits(was.facts, now.facts, was.names, now.names)
+	return now, config.CheckReload(was.facts, now.facts, was.names, now.names)
 }
 
 // configuration reads the file that tells a dispatcher all it is told, and says in one line what is wrong.
--- a/webhook/refresh/asking_test.go
+++ b/webhook/refresh/scheduler_test.go
@@ -15,11 +15,11 @@
 // discovery comes to.
 func TestAFleetThatLostItsListsHasThemAgainFromADiscoveryThatAsksKeepBusy(t *testing.T) {
 	const fleet, serving, refusing, until = 80, api.Second / 10, api.Second / 40, 60 * api.Second
-	var asks []*Asking
+	var asks []*Scheduler
 	next := make([]api.Micros, fleet)
 	for i := range next {
 		asks = append(asks, New(uint64(i), period))
-		next[i] = asks[i].Next(Started, false).After
+		next[i] = asks[i].Next(Started, false).Delay
 	}
 	busy, waiting := api.Micros(0), fleet
 	for now := api.Micros(0); now < until && waiting > 0; now += api.Second / 1000 {
@@ -30,7 +30,7 @@
 				next[i], busy = api.Never, now+serving
 				waiting--
 			default:
-				next[i], busy = now+asks[i].Next(Ended, false).After, busy+refusing
+				next[i], busy = now+asks[i].Next(Closed, false).Delay, busy+refusing
 			}
 		}
 	}
@@ -40,13 +40,13 @@
 func TestWaitsStayWithinTheLongestAndBeginAnewOnceAListCame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, pushed := New(rapid.Uint64().Draw(t, "seed"), period), rapid.Bool().Draw(t, "pushed")
-		for _, why := range rapid.SliceOf(rapid.SampledFrom([]End{Started, Moved, Silent, Ended, Broken})).
+		for _, why := range rapid.SliceOf(rapid.SampledFrom([]Reason{Started, AddressChanged, TimedOut, Closed, Malformed})).
 			Draw(t, "ends") {
-			wait := a.Next(why, pushed).After
-			assert.True(t, wait >= 0 && wait <= longestBy*period, "%d µs", wait)
+			wait := a.Next(why, pushed).Delay
+			assert.True(t, wait >= 0 && wait <= maxBackoffPeriods*period, "%d µs", wait)
 		}
-		a.Heard()
-		assert.LessOrEqual(t, a.Next(Ended, pushed).After, period/2)
+		a.RecordActivity()
+		assert.LessOrEqual(t, a.Next(Closed, pushed).Delay, period/2)
 	})
 }
 
@@ -55,39 +55,39 @@
 // answer that brings the list a quarter.
 func TestEachPathToTheListIsInsideTheClock(t *testing.T) {
 	for what, path := range map[string]struct {
-		ends  []End
+		ends  []Reason
 		clock api.Micros
 	}{
-		"silent watch":                         {[]End{Silent}, 3 * period},
-		"silent watch, silent connect or head": {[]End{Silent, Silent}, 3 * period},
-		"silent watch, refused":                {[]End{Silent, Ended}, 3 * period},
-		"ended watch, silent connect or head":  {[]End{Ended, Silent}, 3 * period},
-		"ended watch, refused":                 {[]End{Ended, Ended}, 3 * period},
-		"first ask, silent connect or head":    {[]End{Started, Silent}, 3 * period},
-		"first ask, refused":                   {[]End{Started, Ended}, 3 * period},
-		"move, silent connect or head":         {[]End{Moved, Silent}, 2 * period},
-		"move, refused":                        {[]End{Moved, Ended}, 2 * period},
-		"move amid refusals, silent head":      {[]End{Ended, Ended, Ended, Moved, Silent}, 2 * period},
+		"silent watch":                         {[]Reason{TimedOut}, 3 * period},
+		"silent watch, silent connect or head": {[]Reason{TimedOut, TimedOut}, 3 * period},
+		"silent watch, refused":                {[]Reason{TimedOut, Closed}, 3 * period},
+		"ended watch, silent connect or head":  {[]Reason{Closed, TimedOut}, 3 * period},
+		"ended watch, refused":                 {[]Reason{Closed, Closed}, 3 * period},
+		"first ask, silent connect or head":    {[]Reason{Started, TimedOut}, 3 * period},
+		"first ask, refused":                   {[]Reason{Started, Closed}, 3 * period},
+		"move, silent connect or head":         {[]Reason{AddressChanged, TimedOut}, 2 * period},
+		"move, refused":                        {[]Reason{AddressChanged, Closed}, 2 * period},
+		"move amid refusals, silent head":      {[]Reason{Closed, Closed, Closed, AddressChanged, TimedOut}, 2 * period},
 	} {
 		for seed := range uint64(500) {
 			for _, pushed := range []bool{false, true} {
 				a, took := New(seed, period), api.Micros(0)
-				a.Heard()
+				a.RecordActivity()
 				ask := a.Next(Started, pushed)
-				a.Heard()
+				a.RecordActivity()
 				for i, why := range path.ends {
 					switch {
-					case why == Silent && i == 0:
-						took += ask.Silence
-					case why == Silent:
-						took += max(ask.Connect, ask.Answer)
-					case i > 0 && why == Ended:
+					case why == TimedOut && i == 0:
+						took += ask.IdleTimeout
+					case why == TimedOut:
+						took += max(ask.ConnectTimeout, ask.ResponseTimeout)
+					case i > 0 && why == Closed:
 						took += period / 8
-					case why == Moved:
+					case why == AddressChanged:
 						took = 0 // the clock starts
 					}
 					ask = a.Next(why, pushed)
-					took += ask.After
+					took += ask.Delay
 				}
 				assert.LessOrEqual(t, took+period/4, path.clock, "%s, pushed: %v, seed %d", what, pushed, seed)
 			}
@@ -99,8 +99,8 @@
 	for seed := range uint64(500) {
 		a := New(seed, period)
 		for range 20 {
-			hung := a.Next(Silent, false)
-			assert.LessOrEqual(t, hung.Answer+a.Next(Silent, false).After+period/4, 3*period)
+			hung := a.Next(TimedOut, false)
+			assert.LessOrEqual(t, hung.ResponseTimeout+a.Next(TimedOut, false).Delay+period/4, 3*period)
 		}
 	}
 }
@@ -111,25 +111,25 @@
 	const grace = period / 4
 	for seed := range uint64(100) {
 		a := New(seed, period)
-		assert.Zero(t, a.Next(Started, true).After)
-		a.Heard()
-		assert.Zero(t, a.Next(Silent, true).After)
-		a.Heard()
-		assert.Zero(t, a.Next(Moved, true).After)
+		assert.Zero(t, a.Next(Started, true).Delay)
+		a.RecordActivity()
+		assert.Zero(t, a.Next(TimedOut, true).Delay)
+		a.RecordActivity()
+		assert.Zero(t, a.Next(AddressChanged, true).Delay)
 		patient := 0
-		for i := range 10 * patience {
-			ask := a.Next(Silent, true)
-			assert.Zero(t, ask.After)
-			assert.GreaterOrEqual(t, max(ask.Connect, ask.Answer), period/16, "one that hangs is the pace")
-			if ask.Answer > grace {
+		for i := range 10 * patientInterval {
+			ask := a.Next(TimedOut, true)
+			assert.Zero(t, ask.Delay)
+			assert.GreaterOrEqual(t, max(ask.ConnectTimeout, ask.ResponseTimeout), period/16, "one that hangs is the pace")
+			if ask.ResponseTimeout > grace {
 				patient++
-				assert.Greater(t, ask.Answer, period, "an agent that answers with its first line")
-				assert.GreaterOrEqual(t, i, patience/2)
+				assert.Greater(t, ask.ResponseTimeout, period, "an agent that answers with its first line")
+				assert.GreaterOrEqual(t, i, patientInterval/2)
 			}
 		}
 		assert.Equal(t, 10, patient)
 		for range 100 {
-			wait := a.Next(Ended, true).After
+			wait := a.Next(Closed, true).Delay
 			assert.True(t, wait >= period/32 && wait <= grace/2, "a refusal answered at once must not spin: %d", wait)
 		}
 	}
@@ -140,16 +140,16 @@
 	for _, pushed := range []bool{false, true} {
 		a := New(1, period)
 		for range 9 {
-			a.Next(Broken, pushed)
-			a.Heard() // each watch began with one that could be read
+			a.Next(Malformed, pushed)
+			a.RecordActivity() // each watch began with one that could be read
 		}
-		assert.GreaterOrEqual(t, a.Next(Broken, pushed).After, period)
-		assert.LessOrEqual(t, a.Next(Ended, pushed).After, period/2)
+		assert.GreaterOrEqual(t, a.Next(Malformed, pushed).Delay, period)
+		assert.LessOrEqual(t, a.Next(Closed, pushed).Delay, period/2)
 	}
 }
 
 func TestOnlyWhereListsArePushedCallsWaitForTheFirstAndShorterThanAClient(t *testing.T) {
 	a := New(1, period)
-	assert.Zero(t, a.Hold(false))
-	assert.True(t, a.Hold(true) > 0 && a.Hold(true) < period/5)
+	assert.Zero(t, a.StartupDelay(false))
+	assert.True(t, a.StartupDelay(true) > 0 && a.StartupDelay(true) < period/5)
 }
--- /dev/null
+++ b/webhook/refresh/startup_gate.go
@@ -0,0 +1,23 @@
+package refresh
+
+import "rowanlink/webhook/api"
+
+// StartupGate is a Policy that starts no calls until it is opened: the endpoint list that a new process stored may be
+// old. Webhooks are accepted and answered meanwhile.
+type StartupGate struct {
+	api.Policy
+	open bool
+}
+
+// Open lets calls start from the next turn on.
+func (g *StartupGate) Open() { g.open = true }
+
+// EndTurn closes a turn; a Policy starts calls only here.
+func (g *StartupGate) EndTurn() {
+	if g.open {
+		g.Policy.EndTurn()
+	}
+}
+
+// Unwrap returns the Policy behind the gate.
+func (g *StartupGate) Unwrap() api.Policy { return g.Policy }
--- a/webhook/refresh/hold_test.go
+++ b/webhook/refresh/startup_gate_test.go
@@ -18,7 +18,7 @@
 
 func TestUntilItIsOpenedWebhooksAreTakenOnAndNoTurnMakesCalls(t *testing.T) {
 	m := &turns{}
-	h := &Hold{Policy: m}
+	h := &StartupGate{Policy: m}
 	h.Submit(api.Webhook{ID: 1, Deadline: 9, Destination: 3})
 	h.EndTurn()
 	assert.Equal(t, []int{1, 0}, []int{m.taken, m.over})
--- a/webhook/simadapter/decode.go
+++ b/webhook/simadapter/decode.go
@@ -1,156 +1,157 @@
 package simadapter
 
 import (
-	"encoding/binary"
-	"errors"
 	"fmt"
 	"math"
 
 	"rowanlink/webhook/api"
 )
 
-// decode reads an event's fields and returns the call that they make, or nil where there is none to make.
+// decode reads an event's fields and returns the call that it makes on the instance's policy, or nil where it makes none.
 func (s *server) decode(in *instance, code byte, f *fields) (call func(), err error) {
 	switch code {
-	case evTopology:
-		f.skip(8)
-		ref, form := f.u16(), f.u8()
-		const delta, whole, cached, failed = 0, 1, 2, 3
-		switch {
-		case f.bad || form == failed:
-		case form > failed:
-			return nil, fmt.Errorf("list form %d is unknown", form)
-		case int(ref) >= listNumbers || !s.defined[ref]:
-			return nil, fmt.Errorf("list %d was never defined", ref)
-		default:
-			list := s.lists[ref]
-			call = func() { in.module.UpdateEndpoints(list, form == whole || form == cached) }
-		}
-	case evNew:
-		id, evt, tenant := api.WebhookID(f.u32()), api.EventTypeID(f.u8()), api.TenantID(f.u32())
-		key, ttl := api.OrderingKey(f.u64()), micros(f.u64())
-		f.skip(8)
-		dest := f.f32()
-		f.skip(1)
-		if !f.bad && !(dest >= 0 && dest <= math.MaxUint16) {
-			return nil, fmt.Errorf("destination %v is no number of one", dest)
-		}
-		submitted := api.Webhook{
-			ID:          id,
-			EventType:   evt,
-			Tenant:      tenant,
-			OrderingKey: key,
-			Deadline:    ttl,
-			Destination: api.DestinationID(dest),
-		}
-		call = func() { in.module.Submit(submitted) }
-	case evOutcome:
-		id := api.WebhookID(f.u32())
-		f.skip(1)
-		ep, what, took := api.EndpointID(f.u32()), f.u16(), micros(f.u64())
-		ended, note := f.u8() != 0, f.u32()
-		tell := in.report(f, ep)
-		if !f.bad && int(what) >= len(outcomes) {
-			return nil, fmt.Errorf("outcome %d is unknown", what)
-		}
-		wait := api.Micros(0)
-		if !f.bad && outcomes[what] == api.Rejected {
-			wait = api.Micros(note) * 1000
-		}
-		call = func() {
-			tell()
-			in.module.AttemptEnded(api.AttemptResult{
-				Webhook:    id,
-				Endpoint:   ep,
-				Outcome:    outcomes[what],
-				Latency:    took,
-				Final:      ended,
-				RetryAfter: wait,
-			})
-		}
-	case evVanished:
+	case eventTopology:
+		call, err = s.decodeTopology(in, f)
+	case eventNew:
+		call, err = decodeNew(in, f)
+	case eventOutcome:
+		call, err = decodeOutcome(in, f)
+	case eventVanished:
 		id := api.WebhookID(f.u32())
-		call = func() { in.module.Withdraw(id) }
-	case evWakeup:
+		call = func() { in.policy.Withdraw(id) }
+	case eventWakeup:
 		timer := api.TimerID(f.u32())
-		call = func() { in.module.TimerFired(timer) }
-	case evEcho: // the module sends no probes
+		call = func() { in.policy.TimerFired(timer) }
+	case eventEcho:
 		f.skip(14)
 		f.skip(4 * int(f.u8()))
-	case evFirst: // streams: no deployment has them
+	case eventFirst:
 		f.skip(17)
-	case evPeer: // messages between dispatchers: none are sent, none are read
+	case eventPeer:
 		f.skip(2)
 		f.text(uint32(f.u16()))
 	}
-	if f.bad {
+	if err != nil {
+		return nil, err
+	}
+	if f.truncated {
 		return nil, errShort
 	}
 	return call, nil
 }
 
-// define keeps a list under its number until another takes it.
-func (s *server) define(f *fields) error {
-	ref, n := f.u16(), f.u32()
-	if f.bad || uint64(n)*entryLen > uint64(len(f.left)) {
-		return errShort
+func (s *server) decodeTopology(in *instance, f *fields) (func(), error) {
+	f.skip(8)
+	number, form := f.u16(), f.u8()
+	switch {
+	case f.truncated || form == listFailed:
+		return nil, nil
+	case form > listFailed:
+		return nil, fmt.Errorf("list form %d is unknown", form)
+	case int(number) >= listNumbers || !s.defined[number]:
+		return nil, fmt.Errorf("list %d was never defined", number)
 	}
-	if ref >= listNumbers {
-		return fmt.Errorf("list number %d is over %d", ref, listNumbers-1)
+	list := s.lists[number]
+	complete := form == listComplete || form == listCached
+	return func() { in.policy.UpdateEndpoints(list, complete) }, nil
+}
+
+func decodeNew(in *instance, f *fields) (func(), error) {
+	w := api.Webhook{
+		ID:          api.WebhookID(f.u32()),
+		EventType:   api.EventTypeID(f.u8()),
+		Tenant:      api.TenantID(f.u32()),
+		OrderingKey: api.OrderingKey(f.u64()),
+		Deadline:    micros(f.u64()),
 	}
-	list := make([]api.EndpointEntry, n)
-	standings := [...]api.EndpointStatus{api.EndpointActive, api.EndpointRemoved, api.EndpointDraining}
-	for i := range list {
-		e := &list[i]
-		e.Endpoint, e.Zone, e.Kind = api.EndpointID(f.u32()), api.ZoneID(f.u16()), api.DestinationKindID(f.u16())
-		e.Destination = api.DestinationID(f.u16())
-		state := f.u8()
-		if int(state) >= len(standings) {
-			return fmt.Errorf("state %d of an endpoint is unknown", state)
-		}
-		e.Status, e.Rate = standings[state], float64(f.f32())
-		f.skip(8)
+	f.skip(8)
+	destination := f.f32()
+	f.skip(1)
+	if !f.truncated && !(destination >= 0 && destination <= math.MaxUint16) {
+		return nil, fmt.Errorf("destination %v is no valid number", destination)
 	}
-	s.lists[ref], s.defined[ref] = list, true
-	return nil
+	w.Destination = api.DestinationID(destination)
+	return func() { in.policy.Submit(w) }, nil
 }
 
-var errShort = errors.New("the record is shorter than its fields")
-
-// fields reads a record's fields in order; past the end it yields zeros and remembers that it was.
-type fields struct {
-	left []byte
-	bad  bool
+func decodeOutcome(in *instance, f *fields) (func(), error) {
+	result := api.AttemptResult{Webhook: api.WebhookID(f.u32())}
+	f.skip(1)
+	result.Endpoint = api.EndpointID(f.u32())
+	outcome := f.u16()
+	result.Latency = micros(f.u64())
+	result.Final = f.u8() != 0
+	retryAfterMillis := f.u32()
+	report := decodeReport(in, f, result.Endpoint)
+	if f.truncated {
+		return nil, errShort
+	}
+	if int(outcome) >= len(outcomes) {
+		return nil, fmt.Errorf("outcome %d is unknown", outcome)
+	}
+	result.Outcome = outcomes[outcome]
+	if result.Outcome == api.Rejected {
+		result.RetryAfter = api.Micros(retryAfterMillis) * microsPerMillisecond
+	}
+	return func() {
+		if report != nil {
+			in.policy.ReportLoad(*report)
+		}
+		in.policy.AttemptEnded(result)
+	}, nil
 }
 
-func (f *fields) take(n int) []byte {
-	if n < 0 || n > len(f.left) {
-		f.bad, f.left = true, nil
-		return make([]byte, 8)
-	}
-	b := f.left[:n]
-	f.left = f.left[n:]
-	return b
+// decodeReport reads a load report; it returns nil where there is none, or where it lacks the fields that are used.
+func decodeReport(in *instance, f *fields, endpoint api.EndpointID) *api.LoadReport {
+	values := make([]float64, f.u8())
+	for i := range values {
+		values[i] = float64(f.f32())
+	}
+	if in.headroomIndex < 0 || in.limitIndex < 0 || max(in.headroomIndex, in.limitIndex) >= len(values) {
+		return nil
+	}
+	return &api.LoadReport{
+		Endpoint: endpoint,
+		Headroom: values[in.headroomIndex],
+		Limit:    values[in.limitIndex],
+	}
 }
 
-func (f *fields) skip(n int) {
-	if n < 0 || n > len(f.left) {
-		f.bad, f.left = true, nil
-		return
+// define stores a list under its number until another list takes it.
+func (s *server) define(f *fields) error {
+	number, n := f.u16(), f.u32()
+	if f.truncated || uint64(n)*entryLen > uint64(len(f.rest)) {
+		return errShort
 	}
-	f.left = f.left[n:]
+	if number >= listNumbers {
+		return fmt.Errorf("list number %d is over %d", number, listNumbers-1)
+	}
+	list := make([]api.EndpointEntry, n)
+	for i := range list {
+		entry, err := decodeEntry(f)
+		if err != nil {
+			return err
+		}
+		list[i] = entry
+	}
+	s.lists[number] = list
+	s.defined[number] = true
+	return nil
 }
 
-func (f *fields) text(n uint32) []byte {
-	if uint64(n) > uint64(len(f.left)) {
-		f.bad, f.left = true, nil
-		return nil
+func decodeEntry(f *fields) (api.EndpointEntry, error) {
+	entry := api.EndpointEntry{
+		Endpoint:    api.EndpointID(f.u32()),
+		Zone:        api.ZoneID(f.u16()),
+		Kind:        api.DestinationKindID(f.u16()),
+		Destination: api.DestinationID(f.u16()),
 	}
-	return f.take(int(n))
+	status := f.u8()
+	if int(status) >= len(endpointStatuses) {
+		return entry, fmt.Errorf("state %d of an endpoint is unknown", status)
+	}
+	entry.Status = endpointStatuses[status]
+	entry.Rate = float64(f.f32())
+	f.skip(8)
+	return entry, nil
 }
-
-func (f *fields) u8() byte     { return f.take(1)[0] }
-func (f *fields) u16() uint16  { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *fields) u32() uint32  { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *fields) u64() uint64  { return binary.LittleEndian.Uint64(f.take(8)) }
-func (f *fields) f32() float32 { return math.Float32frombits(f.u32()) }
--- /dev/null
+++ b/webhook/simadapter/instance.go
@@ -0,0 +1,114 @@
+package simadapter
+
+import (
+	"encoding/binary"
+	"fmt"
+	"runtime/debug"
+
+	"rowanlink/webhook/api"
+)
+
+// instance is one dispatcher: its policy and the api.Host that the policy acts through.
+type instance struct {
+	server *server
+	id     uint16
+	policy api.Policy
+
+	inTurn bool // it had an event in this batch
+	dead   bool // killed, or its policy has panicked
+	killed bool // its actions of this batch must not reach its next incarnation
+
+	headroomIndex int // positions in a load report, or -1
+	limitIndex    int
+
+	actions     []byte // of this batch, encoded
+	actionCount uint32
+}
+
+// recoverPanic makes a panic in the policy this instance's last action instead of the end of the process.
+func (in *instance) recoverPanic(call func()) {
+	if in.dead {
+		return
+	}
+	defer func() {
+		if p := recover(); p != nil {
+			in.dead = true
+			in.appendText(actionCrash, fmt.Sprintf("%v\n%s", p, debug.Stack()))
+		}
+	}()
+	call()
+}
+
+// appendAction writes an action's header and instance; size is that of the fields after these.
+func (in *instance) appendAction(code byte, size int) {
+	in.actionCount++
+	in.actions = append(in.actions, code)
+	in.actions = binary.LittleEndian.AppendUint32(in.actions, uint32(2+size))
+	in.actions = binary.LittleEndian.AppendUint16(in.actions, in.id)
+}
+
+func (in *instance) appendUint32(v uint32) {
+	in.actions = binary.LittleEndian.AppendUint32(in.actions, v)
+}
+
+func (in *instance) appendUint64(v uint64) {
+	in.actions = binary.LittleEndian.AppendUint64(in.actions, v)
+}
+
+func (in *instance) appendText(code byte, text string) {
+	text = text[:min(len(text), maxText)]
+	in.appendAction(code, 2+len(text))
+	in.actions = binary.LittleEndian.AppendUint16(in.actions, uint16(len(text)))
+	in.actions = append(in.actions, text...)
+}
+
+// Now returns the batch's time.
+func (in *instance) Now() api.Micros { return micros(in.server.clock) }
+
+// StartAttempt sends an attempt. The simulator has no latest time for its beginning.
+func (in *instance) StartAttempt(id api.WebhookID, endpoint api.EndpointID, timeout, _ api.Micros) {
+	in.appendAction(actionAttempt, 16)
+	in.appendUint32(uint32(id))
+	in.appendUint32(uint32(endpoint))
+	in.appendUint64(nanoseconds(timeout))
+}
+
+// CancelAttempt cancels an attempt.
+func (in *instance) CancelAttempt(id api.WebhookID, attempt int) {
+	in.appendAction(actionRevoke, 5)
+	in.appendUint32(uint32(id))
+	in.actions = append(in.actions, byte(attempt))
+}
+
+// Reject rejects a webhook.
+func (in *instance) Reject(id api.WebhookID, retryAfter api.Micros) {
+	in.appendAction(actionBounce, 12)
+	in.appendUint32(uint32(id))
+	in.appendUint64(nanoseconds(retryAfter))
+}
+
+// DeadLetter gives a webhook up.
+func (in *instance) DeadLetter(id api.WebhookID) {
+	in.appendAction(actionSurrender, 4)
+	in.appendUint32(uint32(id))
+}
+
+// SetTimer sets a timer.
+func (in *instance) SetTimer(after api.Micros, timer api.TimerID) {
+	in.appendAction(actionTimer, 12)
+	in.appendUint64(nanoseconds(after))
+	in.appendUint32(uint32(timer))
+}
+
+// CloseIdleConnections closes the idle connections to an endpoint.
+func (in *instance) CloseIdleConnections(endpoint api.EndpointID) {
+	in.appendAction(actionClose, 4)
+	in.appendUint32(uint32(endpoint))
+}
+
+// Log writes a line into the simulator's record.
+func (in *instance) Log(text string) { in.appendText(actionRecord, text) }
+
+func micros(nanoseconds uint64) api.Micros { return api.Micros(nanoseconds / nanosecondsPerMicro) }
+
+func nanoseconds(t api.Micros) uint64 { return uint64(max(t, 0)) * nanosecondsPerMicro }
