--- a/cluster/member/fleet_test.go
+++ b/cluster/member/fleet_test.go
@@ -85,7 +85,7 @@
 func (f *fleetOf) place(m cluster.MemberID) {
 	f.names = append(f.names, m)
 	for _, to := range []map[cluster.MemberID]string{f.says, f.logs} {
-		kept, err := portalloc.Keep()
+		kept, err := portalloc.Reserve()
 		require.NoError(f.t, err)
 		f.t.Cleanup(func() { kept.Close() })
 		to[m] = kept.Addr
--- a/test/checker/deliverycheck/counts.go
+++ b/test/checker/deliverycheck/counts.go
@@ -1,12 +1,12 @@
 package deliverycheck
 
-// Open is how many webhooks were taken on and have no end yet.
-func (l *Ledger) Open() (n int) {
+// Outstanding is how many webhooks were taken on and have no end yet.
+func (l *Checker) Outstanding() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ends := l.ends()
-	for _, w := range l.order {
-		if w.taken() && !l.forgiven[w.ID] && len(w.missing(ends)) > 0 {
+	ends := l.deliveries()
+	for _, w := range l.submissions {
+		if w.accepted() && !l.forgiven[w.ID] && len(w.missing(ends)) > 0 {
 			n++
 		}
 	}
@@ -15,30 +15,30 @@
 
 // Counts says what came of all.
 type Counts struct {
-	HandedIn, Taken, Refused, Unanswered int
-	Delivered, Told                      int // by destination
-	Calls, OverRate, Effects             int
+	Submitted, Accepted, Rejected, Unanswered int
+	Delivered, Notices                        int // by destination
+	Calls, RateExceeded, Effects              int
 }
 
 // Counts counts up to now.
-func (l *Ledger) Counts() (c Counts) {
+func (l *Checker) Counts() (c Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.HandedIn, c.Calls, c.OverRate = len(l.order), len(l.calls), l.over
-	for _, w := range l.order {
+	c.Submitted, c.Calls, c.RateExceeded = len(l.submissions), len(l.calls), l.rateExceeded
+	for _, w := range l.submissions {
 		switch {
-		case w.taken():
-			c.Taken++
-		case w.code == 429 || w.code == 503:
-			c.Refused++
-		case w.code == 0:
+		case w.accepted():
+			c.Accepted++
+		case w.status == 429 || w.status == 503:
+			c.Rejected++
+		case w.status == 0:
 			c.Unanswered++
 		}
-		c.Told += len(w.notices)
+		c.Notices += len(w.notices)
 	}
-	c.Delivered = len(l.ends())
+	c.Delivered = len(l.deliveries())
 	for _, call := range l.calls {
-		c.Effects += len(call.ran)
+		c.Effects += len(call.effects)
 	}
 	return c
 }
--- a/test/checker/deliverycheck/ledger_test.go
+++ b/test/checker/deliverycheck/ledger_test.go
@@ -19,7 +19,7 @@
 		want string
 	}{
 		{"delivered", func(s story) { s.hand(0, "a", "status", 202); s.call(1, 2, "m1", "a") }, "[]"},
-		{"told", func(s story) { s.hand(0, "a", "status", 202); s.Noticed(9, "m2", "a", "given_up") }, "[]"},
+		{"told", func(s story) { s.hand(0, "a", "status", 202); s.RecordNotice(9, "m2", "a", "given_up") }, "[]"},
 		{"neither", func(s story) {
 			s.hand(0, "a", "status", 202)
 			s.call(1, 2, "m1", "a", "turned away")
@@ -28,35 +28,35 @@
 		{"no answer", func(s story) { s.hand(0, "a", "status", 0) }, "[]"},
 		{"not yet due", func(s story) { s.hand(15000, "a", "status", 202) }, "[]"},
 		{"one subscriber of two", func(s story) {
-			s.HandedIn(deliverycheck.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
-			s.Answered(1, "a", 202)
+			s.RecordSubmission(deliverycheck.Submission{ID: "a", Member: "m1", Destinations: []api.DestinationID{3, 4}, Type: "status"})
+			s.RecordResponse(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 		}, "[lost]"},
 		{"the other is told of", func(s story) {
-			s.HandedIn(deliverycheck.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{3, 4}, Type: "status"})
-			s.Answered(1, "a", 202)
+			s.RecordSubmission(deliverycheck.Submission{ID: "a", Member: "m1", Destinations: []api.DestinationID{3, 4}, Type: "status"})
+			s.RecordResponse(1, "a", 202)
 			s.call(1, 2, "m1", "a")
-			s.Noticed(9, "m2", "a", "given_up", 4)
+			s.RecordNotice(9, "m2", "a", "given_up", 4)
 		}, "[]"},
 		{"on a folder whose member is down", func(s story) {
 			s.hand(0, "a", "status", 202)
-			s.Down(1, "m2", true)
+			s.RecordMemberDown(1, "m2", true)
 		}, "[]"},
 		{"taken on after it went down", func(s story) {
-			s.Down(1, "m2", true)
+			s.RecordMemberDown(1, "m2", true)
 			s.hand(2, "a", "status", 202)
 		}, "[lost]"},
 		{"back for long", func(s story) {
 			s.hand(0, "a", "status", 202)
-			s.Down(1, "m2", true)
-			s.Up(9000*ms, "m2")
+			s.RecordMemberDown(1, "m2", true)
+			s.RecordMemberUp(9000*ms, "m2")
 		}, "[lost]"},
 		{"just back", func(s story) {
 			s.hand(0, "a", "status", 202)
-			s.Down(1, "m2", true)
-			s.Up(19800*ms, "m2")
+			s.RecordMemberDown(1, "m2", true)
+			s.RecordMemberUp(19800*ms, "m2")
 		}, "[]"},
-		{"folder lost", func(s story) { s.hand(0, "a", "status", 202); s.FolderLost(5) }, "[]"},
+		{"folder lost", func(s story) { s.hand(0, "a", "status", 202); s.ForgiveOutstanding(5) }, "[]"},
 		{"idempotent twice", func(s story) {
 			s.hand(0, "a", "status", 202)
 			s.call(1, 2, "m1", "a", "ran")
@@ -84,12 +84,12 @@
 		{"handed back, yet it ran", func(s story) {
 			s.hand(0, "a", "charge", 202)
 			s.call(1, 2, "m1", "a", "ran")
-			s.Noticed(9*ms, "m1", "a", "handed_back")
+			s.RecordNotice(9*ms, "m1", "a", "handed_back")
 		}, "[second effect]"},
 		{"again after a refusal, both ran", func(s story) {
 			s.hand(0, "a", "charge", 202)
 			s.call(1, 2, "m1", "a", "ran")
-			s.Noticed(9*ms, "m1", "a", "handed_back")
+			s.RecordNotice(9*ms, "m1", "a", "handed_back")
 			s.hand(10, "b", "charge", 202, "", "a")
 			s.call(11, 12, "m1", "b")
 		}, "[second effect second effect]"},
@@ -124,7 +124,7 @@
 			s.call(8, 9, "m2", "b")
 		}, "[order]"},
 		{"handed in at two members", func(s story) { s.across() }, "[]"},
-		{"where that counts, too", func(s story) { s.Terms.OrderAcross = true; s.across() }, "[order]"},
+		{"where that counts, too", func(s story) { s.Requirements.OrderAcross = true; s.across() }, "[order]"},
 		{"other keys", func(s story) {
 			s.hand(0, "a", "ride", 202, "k")
 			s.hand(5, "b", "ride", 202, "l")
@@ -147,7 +147,7 @@
 			s.call(900, 901, "m2", "a")
 		}, "[]"},
 		{"by another member, and waits go along", func(s story) {
-			s.Terms.WaitsBindAll = true
+			s.Requirements.WaitsBindAll = true
 			s.hand(0, "a", "status", 202)
 			s.call(1, 2, "m1", "a", "wait")
 			s.call(900, 901, "m2", "a")
@@ -155,49 +155,49 @@
 		{"a stop ends no wait", func(s story) {
 			s.hand(0, "a", "status", 202)
 			s.call(1, 2, "m1", "a", "wait")
-			s.Down(3*ms, "m1", false)
-			s.Up(500*ms, "m1")
+			s.RecordMemberDown(3*ms, "m1", false)
+			s.RecordMemberUp(500*ms, "m1")
 			s.call(900, 901, "m1", "a")
 		}, "[wait]"},
 		{"a kill does", func(s story) {
 			s.hand(0, "a", "status", 202)
 			s.call(1, 2, "m1", "a", "wait")
-			s.Down(3*ms, "m1", true)
-			s.Up(500*ms, "m1")
+			s.RecordMemberDown(3*ms, "m1", true)
+			s.RecordMemberUp(500*ms, "m1")
 			s.call(900, 901, "m1", "a")
 		}, "[]"},
 		{"long after a drain was told", func(s story) {
 			s.hand(0, "a", "status", 202)
-			s.Drained(0, "e")
-			s.Told(100*ms, "m1", "e")
+			s.RecordDraining(0, "e")
+			s.RecordNotified(100*ms, "m1", "e")
 			s.call(660, 661, "m1", "a")
 		}, "[drain]"},
 		{"soon after it, or not told yet", func(s story) {
 			s.hand(0, "a", "status", 202)
 			s.hand(0, "b", "status", 202)
-			s.Drained(0, "e")
-			s.Told(100*ms, "m1", "e")
+			s.RecordDraining(0, "e")
+			s.RecordNotified(100*ms, "m1", "e")
 			s.call(640, 641, "m1", "a")
 			s.call(6500, 6501, "m2", "b")
 		}, "[]"},
 		{"it never came, and counts as told", func(s story) {
 			s.hand(0, "a", "status", 202)
-			s.Drained(0, "e")
+			s.RecordDraining(0, "e")
 			s.call(6600, 6601, "m1", "a")
 		}, "[drain]"},
 		{"a returned destination pushed over by several", func(s story) { s.returns(14) }, "[cold budget]"},
 		{"and not", func(s story) { s.returns(12) }, "[]"}, // 2 * 20 * (0.2 + 0.8/4/2) a second
 		{"never handed in", func(s story) { s.call(1, 2, "m1", "x") }, "[astray]"},
-		{"a notice of nothing", func(s story) { s.Noticed(1, "m1", "x", "given_up") }, "[astray]"},
+		{"a notice of nothing", func(s story) { s.RecordNotice(1, "m1", "x", "given_up") }, "[astray]"},
 		{"for another destination", func(s story) {
-			s.HandedIn(deliverycheck.HandIn{ID: "a", Member: "m1", Dests: []api.DestinationID{4}, Type: "status"})
+			s.RecordSubmission(deliverycheck.Submission{ID: "a", Member: "m1", Destinations: []api.DestinationID{4}, Type: "status"})
 			s.call(1, 2, "m1", "a")
 		}, "[astray]"},
 	} {
 		s := story{deliverycheck.New(terms())}
 		c.tell(s)
 		rules := []deliverycheck.Rule{}
-		for _, b := range s.Judge(20000 * ms) {
+		for _, b := range s.Check(20000 * ms) {
 			rules = append(rules, b.Rule)
 		}
 		assert.Equal(t, c.want, fmt.Sprint(rules), c.name)
@@ -211,10 +211,10 @@
 	s.hand(0, "c", "status", 503)
 	s.hand(0, "d", "status", 0)
 	s.call(1, 2, "m1", "a")
-	s.OverRate()
-	assert.Equal(t, 1, s.Open())
-	assert.Equal(t, deliverycheck.Counts{HandedIn: 4, Taken: 2, Refused: 1, Unanswered: 1, Delivered: 1, Calls: 1,
-		OverRate: 1,
-		Effects:  1},
+	s.RecordRateExceeded()
+	assert.Equal(t, 1, s.Outstanding())
+	assert.Equal(t, deliverycheck.Counts{Submitted: 4, Accepted: 2, Rejected: 1, Unanswered: 1, Delivered: 1, Calls: 1,
+		RateExceeded: 1,
+		Effects:      1},
 		s.Counts())
 }
--- a/test/checker/deliverycheck/members.go
+++ b/test/checker/deliverycheck/members.go
@@ -7,37 +7,37 @@
 	"rowanlink/webhook/api"
 )
 
-// Down notes that a member stands still, leaves or has ended (died): nothing it may have is overdue until Up.
-func (l *Ledger) Down(at api.Micros, member string, died bool) {
+// RecordMemberDown notes that a member stands still, leaves or has ended (died): nothing it may have is overdue until Up.
+func (l *Checker) RecordMemberDown(at api.Micros, member string, died bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := l.down[member]
+	all := l.downtimes[member]
 	if len(all) == 0 || all[len(all)-1].until != api.Never {
-		all = append(all, span{from: at, until: api.Never})
+		all = append(all, period{from: at, until: api.Never})
 	}
-	all[len(all)-1].died = all[len(all)-1].died || died
-	l.down[member] = all
+	all[len(all)-1].processEnded = all[len(all)-1].processEnded || died
+	l.downtimes[member] = all
 }
 
-func (l *Ledger) Up(at api.Micros, member string) {
+func (l *Checker) RecordMemberUp(at api.Micros, member string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	closeLast(l.down[member], at)
+	endLastPeriod(l.downtimes[member], at)
 }
 
-func closeLast(all []span, at api.Micros) {
+func endLastPeriod(all []period, at api.Micros) {
 	if len(all) > 0 && all[len(all)-1].until == api.Never {
 		all[len(all)-1].until = at
 	}
 }
 
-// FolderLost forgives what has not ended: its home's folder may be the one that is gone. It returns how many.
-func (l *Ledger) FolderLost(at api.Micros) (n int) {
+// ForgiveOutstanding forgives what has not ended: its home's folder may be the one that is gone. It returns how many.
+func (l *Checker) ForgiveOutstanding(at api.Micros) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ends := l.ends()
-	for _, w := range l.order {
-		if w.taken() && len(w.missing(ends)) > 0 && !l.forgiven[w.ID] {
+	ends := l.deliveries()
+	for _, w := range l.submissions {
+		if w.accepted() && len(w.missing(ends)) > 0 && !l.forgiven[w.ID] {
 			l.forgiven[w.ID] = true
 			n++
 		}
@@ -45,5 +45,5 @@
 	return n
 }
 
-// members are those that were ever down, in order.
-func (l *Ledger) members() []string { return slices.Sorted(maps.Keys(l.down)) }
+// downMembers are those that were ever down, in order.
+func (l *Checker) downMembers() []string { return slices.Sorted(maps.Keys(l.downtimes)) }
--- a/test/checker/leasecheck/guard.go
+++ b/test/checker/leasecheck/guard.go
@@ -57,7 +57,7 @@
 
 // Open listens on a free port and goes on with the history in a file, or begins one.
 func Open(path string) (*Checker, error) {
-	at, err := portalloc.Keep()
+	at, err := portalloc.Reserve()
 	if err != nil {
 		return nil, err
 	}
--- a/test/fake/platform/destination.go
+++ b/test/fake/platform/destination.go
@@ -11,86 +11,86 @@
 
 // Behaviour is how a destination takes calls. Zero: it delivers at once.
 type Behaviour struct {
-	Code       int           // other than 200: turned away or failed, and not run
-	Ran        bool          // whatever the answer, it took effect
-	RetryAfter time.Duration // told with a Code
-	Took       time.Duration // before the answer
-	Hang       bool          // never answers
-	Close      bool          // the connection ends in place of the answer
-	Refuse     bool          // connections are refused
-	Vanish     bool          // connections never come up
-	PerSecond  int           // more calls in one second than these are turned away with 429
-	AskWait    bool          // those are told to wait for the second's end
+	Status            int           // other than 200: turned away or failed, and not run
+	TakesEffect       bool          // whatever the answer, it took effect
+	RetryAfter        time.Duration // told with a Code
+	Delay             time.Duration // before the answer
+	NeverAnswers      bool          // never answers
+	CloseConnection   bool          // the connection ends in place of the answer
+	RefuseConnections bool          // connections are refused
+	HangConnections   bool          // connections never come up
+	PerSecond         int           // more calls in one second than these are turned away with 429
+	TellsRetryAfter   bool          // those are told to wait for the second's end
 }
 
 // What destinations do, by name.
 var (
-	Delivers   = Behaviour{}
-	Fails      = Behaviour{Code: 500}
-	Shut       = Behaviour{Code: 503}
-	Hangs      = Behaviour{Hang: true}
-	Closes     = Behaviour{Close: true}
-	AnswerLost = Behaviour{Close: true, Ran: true}
-	Refuses    = Behaviour{Refuse: true}
-	Vanishes   = Behaviour{Vanish: true}
+	Delivers     = Behaviour{}
+	Fails        = Behaviour{Status: 500}
+	Unavailable  = Behaviour{Status: 503}
+	Hangs        = Behaviour{NeverAnswers: true}
+	Closes       = Behaviour{CloseConnection: true}
+	ResponseLost = Behaviour{CloseConnection: true, TakesEffect: true}
+	Refuses      = Behaviour{RefuseConnections: true}
+	Unreachable  = Behaviour{HangConnections: true}
 )
 
-// Full turns calls away and tells how long to wait.
-func Full(wait time.Duration) Behaviour { return Behaviour{Code: 429, RetryAfter: wait} }
+// RateLimited turns calls away and tells how long to wait.
+func RateLimited(wait time.Duration) Behaviour { return Behaviour{Status: 429, RetryAfter: wait} }
 
 // Slow delivers after a while.
-func Slow(took time.Duration) Behaviour { return Behaviour{Took: took} }
+func Slow(took time.Duration) Behaviour { return Behaviour{Delay: took} }
 
 // Destination has one endpoint or several; they share what it remembers.
 type Destination struct {
-	ID     api.DestinationID
-	Kind   string  // the list's machineType
-	Weight float64 // the list's weight: calls a second that it takes
-	p      *Platform
-
-	mu     sync.Mutex
-	is     Behaviour
-	next   []Behaviour
-	tokens map[string]api.Micros
-	second int64
-	inThis int
-	failed bool
+	ID       api.DestinationID
+	Kind     string  // the list's machineType
+	Weight   float64 // the list's weight: calls a second that it takes
+	platform *Platform
+
+	mu            sync.Mutex
+	behaviour     Behaviour
+	queued        []Behaviour
+	tokens        map[string]api.Micros
+	second        int64
+	callsInSecond int
+	failed        bool
 }
 
 // Endpoint is one address of a destination, as the list has it.
 type Endpoint struct {
-	Name      string
-	dest      *Destination
-	zone      string
-	lifecycle string
-	changed   int // generation
-	doors     []*door
+	Name        string
+	destination *Destination
+	zone        string
+	lifecycle   string
+	generation  int // generation
+	listeners   []*endpointListener
 }
 
 // Destination is one that New or Add made, or nil.
 func (p *Platform) Destination(id api.DestinationID) *Destination {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dests[id]
+	return p.destinations[id]
 }
 
-// Add lists one more endpoint of a destination, which is made at the first.
-func (p *Platform) Add(id api.DestinationID) (*Endpoint, error) {
+// AddEndpoint lists one more endpoint of a destination, which is made at the first.
+func (p *Platform) AddEndpoint(id api.DestinationID) (*Endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := p.dests[id]
+	d := p.destinations[id]
 	if d == nil {
-		d = &Destination{ID: id, Kind: "bulk", Weight: 200, p: p, tokens: map[string]api.Micros{}}
-		p.dests[id] = d
+		d = &Destination{ID: id, Kind: "bulk", Weight: 200, platform: p, tokens: map[string]api.Micros{}}
+		p.destinations[id] = d
 	}
-	e := &Endpoint{Name: fmt.Sprintf("e%d-%d", id, len(p.all)), dest: d, zone: "a"}
-	p.all = append(p.all, e)
-	for _, s := range p.seats {
-		if err := s.open(e); err != nil {
+	e := &Endpoint{Name: fmt.Sprintf("e%d-%d", id, len(p.endpoints)), destination: d, zone: "a"}
+	p.endpoints = append(p.endpoints, e)
+	for _, s := range p.views {
+		if err := s.addEndpoint(e); err != nil {
 			return nil, err
 		}
 	}
-	p.list(e, "SERVING")
+	p.setLifecycle(e, "SERVING")
 	return e, nil
 }
 
@@ -98,28 +98,28 @@
 func (p *Platform) Endpoints(id api.DestinationID) (all []*Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, e := range p.all {
-		if e.dest.ID == id && e.lifecycle != "DELETED" {
+	for _, e := range p.endpoints {
+		if e.destination.ID == id && e.lifecycle != "DELETED" {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// list changes what the list says of an endpoint, and tells it.
-func (p *Platform) list(e *Endpoint, lifecycle string) {
-	if len(p.seats) > 0 || e.changed > 0 {
-		p.gen++
+// setLifecycle changes what the list says of an endpoint, and tells it.
+func (p *Platform) setLifecycle(e *Endpoint, lifecycle string) {
+	if len(p.views) > 0 || e.generation > 0 {
+		p.generation++
 	}
 	switch was := e.lifecycle; {
 	case lifecycle == "SERVING" && was != "" && was != "SERVING":
-		p.Ledger.Relisted(p.Now(), e.Name)
+		p.Checker.RecordServing(p.Now(), e.Name)
 	case lifecycle != "SERVING" && (was == "SERVING" || was == ""):
-		p.Ledger.Drained(p.Now(), e.Name)
+		p.Checker.RecordDraining(p.Now(), e.Name)
 	}
-	e.lifecycle, e.changed = lifecycle, p.gen
-	close(p.news)
-	p.news = make(chan struct{})
+	e.lifecycle, e.generation = lifecycle, p.generation
+	close(p.listChanged)
+	p.listChanged = make(chan struct{})
 }
 
 // Drain, Remove and Relist change the list. Whoever's discovery is mute hears it later.
@@ -130,32 +130,32 @@
 func (p *Platform) relist(e *Endpoint, lifecycle string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list(e, lifecycle)
+	p.setLifecycle(e, lifecycle)
 }
 
-// Set has the destination behave so from now on.
-func (d *Destination) Set(b Behaviour) error {
+// SetBehaviour has the destination behave so from now on.
+func (d *Destination) SetBehaviour(b Behaviour) error {
 	d.mu.Lock()
-	was := d.is
-	d.is, d.next = b, nil
+	was := d.behaviour
+	d.behaviour, d.queued = b, nil
 	d.mu.Unlock()
-	if was.Refuse == b.Refuse && was.Vanish == b.Vanish {
+	if was.RefuseConnections == b.RefuseConnections && was.HangConnections == b.HangConnections {
 		return nil
 	}
-	d.p.mu.Lock()
-	defer d.p.mu.Unlock()
+	d.platform.mu.Lock()
+	defer d.platform.mu.Unlock()
 	var err error
-	for _, e := range d.p.all {
-		if e.dest != d {
+	for _, e := range d.platform.endpoints {
+		if e.destination != d {
 			continue
 		}
-		for _, door := range e.doors {
+		for _, door := range e.listeners {
 			switch {
-			case b.Refuse:
-				door.port.Free()
-				err = errors.Join(err, door.shut())
-			case b.Vanish:
-				err = errors.Join(err, door.vanish())
+			case b.RefuseConnections:
+				door.port.Refuse()
+				err = errors.Join(err, door.refuse())
+			case b.HangConnections:
+				err = errors.Join(err, door.hang())
 			default:
 				err = errors.Join(err, door.open())
 			}
@@ -164,45 +164,45 @@
 	return err
 }
 
-// Next has the calls that come next taken so, one each, before Set's behaviour goes on.
-func (d *Destination) Next(b ...Behaviour) {
+// QueueBehaviours has the calls that come next taken so, one each, before Set's behaviour goes on.
+func (d *Destination) QueueBehaviours(b ...Behaviour) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.next = append(d.next, b...)
+	d.queued = append(d.queued, b...)
 }
 
-// Fail begins an outage, which the ledger counts as one; Return ends it: cold, it takes so many calls a
+// BeginOutage begins an outage, which the ledger counts as one; Return ends it: cold, it takes so many calls a
 // second once it is warm.
-func (d *Destination) Fail(b Behaviour) error {
-	d.p.Ledger.Failed(d.p.Now(), d.ID)
-	return d.Set(b)
+func (d *Destination) BeginOutage(b Behaviour) error {
+	d.platform.Checker.RecordOutage(d.platform.Now(), d.ID)
+	return d.SetBehaviour(b)
 }
 
-func (d *Destination) Return(perSecond float64) error {
-	d.p.Ledger.Back(d.p.Now(), d.ID, perSecond)
-	return d.Set(Delivers)
+func (d *Destination) EndOutage(perSecond float64) error {
+	d.platform.Checker.RecordRecovery(d.platform.Now(), d.ID, perSecond)
+	return d.SetBehaviour(Delivers)
 }
 
-// takes is the behaviour for one call.
-func (d *Destination) takes(now api.Micros) Behaviour {
+// nextBehaviour is the behaviour for one call.
+func (d *Destination) nextBehaviour(now api.Micros) Behaviour {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.is
-	if len(d.next) > 0 {
-		b, d.next = d.next[0], d.next[1:]
+	b := d.behaviour
+	if len(d.queued) > 0 {
+		b, d.queued = d.queued[0], d.queued[1:]
 	}
 	if b.PerSecond == 0 {
 		return b
 	}
 	if second := int64(now / api.Second); second != d.second {
-		d.second, d.inThis = second, 0
+		d.second, d.callsInSecond = second, 0
 	}
-	if d.inThis++; d.inThis <= b.PerSecond {
+	if d.callsInSecond++; d.callsInSecond <= b.PerSecond {
 		return b
 	}
-	d.p.Ledger.OverRate()
-	full := Behaviour{Code: 429}
-	if b.AskWait {
+	d.platform.Checker.RecordRateExceeded()
+	full := Behaviour{Status: 429}
+	if b.TellsRetryAfter {
 		full.RetryAfter = time.Duration(api.Second-now%api.Second) * time.Microsecond
 	}
 	return full
--- a/test/fake/platform/door.go
+++ b/test/fake/platform/door.go
@@ -9,28 +9,28 @@
 	"rowanlink/test/fake/portalloc"
 )
 
-// door is one address of an endpoint, which can refuse connections for a while.
-type door struct {
-	port    *portalloc.Port
-	handler http.HandlerFunc
-	mu      sync.Mutex
-	server  *http.Server
-	on      net.Listener
+// endpointListener is one address of an endpoint, which can refuse connections for a while.
+type endpointListener struct {
+	port     *portalloc.Port
+	handler  http.HandlerFunc
+	mu       sync.Mutex
+	server   *http.Server
+	listener net.Listener
 }
 
-func newDoor(h http.HandlerFunc) (*door, error) {
-	p, err := portalloc.Keep()
+func newEndpointListener(h http.HandlerFunc) (*endpointListener, error) {
+	p, err := portalloc.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	d := &door{port: p, handler: h}
+	d := &endpointListener{port: p, handler: h}
 	return d, d.open()
 }
 
-func (d *door) open() error {
+func (d *endpointListener) open() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.port.Free()
+	d.port.Refuse()
 	if d.server != nil {
 		return nil
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// shut resets what is open and refuses what comes.
-func (d *door) shut() error {
+// refuse resets what is open and refuses what comes.
+func (d *endpointListener) refuse() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.server == nil {
@@ -55,5 +55,5 @@
 	return err
 }
 
-// vanish says nothing any more to whoever connects.
-func (d *door) vanish() error { return errors.Join(d.shut(), d.port.Hang()) }
+// hang says nothing any more to whoever connects.
+func (d *endpointListener) hang() error { return errors.Join(d.refuse(), d.port.Hang()) }
--- a/test/fake/platform/notices.go
+++ b/test/fake/platform/notices.go
@@ -17,12 +17,12 @@
 	retryIn time.Duration
 }
 
-// Deaf has no notice heard until it is told otherwise.
-func (p *Platform) Deaf(is bool) { p.deaf.Store(is) }
+// RejectNotices has no notice heard until it is told otherwise.
+func (p *Platform) RejectNotices(is bool) { p.rejectNotices.Store(is) }
 
-// finals takes notices, one a line. What can't be read is answered 400, and none of it counts.
-func (s *Seat) finals(rw http.ResponseWriter, r *http.Request) {
-	if s.p.deaf.Load() {
+// serveFinals takes notices, one a line. What can't be read is answered 400, and none of it counts.
+func (s *MemberView) serveFinals(rw http.ResponseWriter, r *http.Request) {
+	if s.platform.rejectNotices.Load() {
 		http.Error(rw, "come again", http.StatusServiceUnavailable)
 		return
 	}
@@ -38,17 +38,17 @@
 	}
 	for _, line := range lines {
 		told, n := gjson.Parse(line), notice{}
-		id := root(told.Get("message").String())
+		id := submissionID(told.Get("message").String())
 		n.outcome, n.retryIn = told.Get("outcome").String(),
 			time.Duration(told.Get("retry_in_ms").Int())*time.Millisecond
 		var of []api.DestinationID
 		if d := told.Get("dest"); d.Exists() {
 			of = append(of, api.DestinationID(d.Uint()))
 		}
-		s.p.Ledger.Noticed(s.p.Now(), s.Name, id, n.outcome, of...)
-		s.p.mu.Lock()
-		heard := s.p.drive[id]
-		s.p.mu.Unlock()
+		s.platform.Checker.RecordNotice(s.platform.Now(), s.Name, id, n.outcome, of...)
+		s.platform.mu.Lock()
+		heard := s.platform.noticeHandlers[id]
+		s.platform.mu.Unlock()
 		if heard != nil && len(of) == 0 {
 			heard(n)
 		}
@@ -56,8 +56,8 @@
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// root is the id that a webhook was handed in with.
-func root(id string) string {
+// submissionID is the id that a webhook was handed in with.
+func submissionID(id string) string {
 	id, _, _ = strings.Cut(id, ".")
 	return id
 }
--- a/test/fake/platform/platform.go
+++ b/test/fake/platform/platform.go
@@ -24,41 +24,41 @@
 
 // Platform is safe for use by several goroutines.
 type Platform struct {
-	Ledger *deliverycheck.Ledger
-	Lists  map[string][]api.DestinationID // subscribers by list; set before the first webhook
-
-	began time.Time
-	mu    sync.Mutex
-	seats map[string]*Seat
-	dests map[api.DestinationID]*Destination
-	all   []*Endpoint
-	gen   int
-	news  chan struct{} // closed when the list changes
-	ports []*portalloc.Port
-	drive map[string]func(notice) // by id: who has it, for notices
-	front map[string]string       // members' client addresses
-	serve []func() error
-	ids   int
-	deaf  atomic.Bool // hears no notice
+	Checker         *deliverycheck.Checker
+	SubscriberLists map[string][]api.DestinationID // subscribers by list; set before the first webhook
+
+	startedAt      time.Time
+	mu             sync.Mutex
+	views          map[string]*MemberView
+	destinations   map[api.DestinationID]*Destination
+	endpoints      []*Endpoint
+	generation     int
+	listChanged    chan struct{} // closed when the list changes
+	ports          []*portalloc.Port
+	noticeHandlers map[string]func(notice) // by id: who has it, for notices
+	clientAddrs    map[string]string       // members' client addresses
+	closers        []func() error
+	lastID         int
+	rejectNotices  atomic.Bool // hears no notice
 }
 
-// Seat is what one member sees.
-type Seat struct {
-	Name  string
-	Agent string // LB_DISCOVERY
-	p     *Platform
-	addrs map[*Endpoint]string
-	mute  bool // discovery is down, as seen from here
-	still chan struct{}
+// MemberView is what one member sees.
+type MemberView struct {
+	Name           string
+	AgentAddr      string // LB_DISCOVERY
+	platform       *Platform
+	endpointAddrs  map[*Endpoint]string
+	discoveryMuted bool // discovery is down, as seen from here
+	muteChanged    chan struct{}
 }
 
 // New makes a platform for destinations, with an endpoint each.
-func New(by deliverycheck.Terms, dests ...api.DestinationID) (*Platform, error) {
-	p := &Platform{Ledger: deliverycheck.New(by), Lists: map[string][]api.DestinationID{}, began: time.Now(),
-		seats: map[string]*Seat{}, dests: map[api.DestinationID]*Destination{}, gen: 1,
-		news: make(chan struct{}), drive: map[string]func(notice){}, front: map[string]string{}}
+func New(by deliverycheck.Requirements, dests ...api.DestinationID) (*Platform, error) {
+	p := &Platform{Checker: deliverycheck.New(by), SubscriberLists: map[string][]api.DestinationID{}, startedAt: time.Now(),
+		views: map[string]*MemberView{}, destinations: map[api.DestinationID]*Destination{}, generation: 1,
+		listChanged: make(chan struct{}), noticeHandlers: map[string]func(notice){}, clientAddrs: map[string]string{}}
 	for _, d := range dests {
-		if _, err := p.Add(d); err != nil {
+		if _, err := p.AddEndpoint(d); err != nil {
 			return nil, err
 		}
 	}
@@ -66,15 +66,15 @@
 }
 
 // Now is the ledger's time.
-func (p *Platform) Now() api.Micros { return api.Micros(time.Since(p.began).Microseconds()) }
+func (p *Platform) Now() api.Micros { return api.Micros(time.Since(p.startedAt).Microseconds()) }
 
-// Judge judges all up to now.
-func (p *Platform) Judge() []deliverycheck.Breach { return p.Ledger.Judge(p.Now()) }
+// Check judges all up to now.
+func (p *Platform) Check() []deliverycheck.Violation { return p.Checker.Check(p.Now()) }
 
 // Close ends all that listens.
 func (p *Platform) Close() error {
 	p.mu.Lock()
-	serve, ports := p.serve, p.ports
+	serve, ports := p.closers, p.ports
 	p.mu.Unlock()
 	var err error
 	for _, end := range serve {
@@ -86,46 +86,46 @@
 	return err
 }
 
-// Seat is a member's, made at the first call.
-func (p *Platform) Seat(member string) (*Seat, error) {
+// View is a member's, made at the first call.
+func (p *Platform) View(member string) (*MemberView, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.seats[member]; s != nil {
+	if s := p.views[member]; s != nil {
 		return s, nil
 	}
-	s := &Seat{Name: member, p: p, addrs: map[*Endpoint]string{}, still: make(chan struct{})}
+	s := &MemberView{Name: member, platform: p, endpointAddrs: map[*Endpoint]string{}, muteChanged: make(chan struct{})}
 	agent := http.NewServeMux()
-	agent.HandleFunc("GET /registry/instances", s.instances)
-	agent.HandleFunc("POST /v2/finals", s.finals)
+	agent.HandleFunc("GET /registry/instances", s.serveInstances)
+	agent.HandleFunc("POST /v2/finals", s.serveFinals)
 	at, err := p.listen(agent)
 	if err != nil {
 		return nil, err
 	}
-	s.Agent = at.Addr
-	for _, e := range p.all {
-		if err := s.open(e); err != nil {
+	s.AgentAddr = at.Addr
+	for _, e := range p.endpoints {
+		if err := s.addEndpoint(e); err != nil {
 			return nil, err
 		}
 	}
-	p.seats[member] = s
+	p.views[member] = s
 	return s, nil
 }
 
-// open has an endpoint reached from a seat.
-func (s *Seat) open(e *Endpoint) error {
-	d, err := newDoor(func(rw http.ResponseWriter, r *http.Request) { e.called(s, rw, r) })
+// addEndpoint has an endpoint reached from a seat.
+func (s *MemberView) addEndpoint(e *Endpoint) error {
+	d, err := newEndpointListener(func(rw http.ResponseWriter, r *http.Request) { e.serveCall(s, rw, r) })
 	if err != nil {
 		return err
 	}
-	s.p.ports, s.p.serve = append(s.p.ports, d.port), append(s.p.serve, d.shut)
-	s.addrs[e] = d.port.Addr
-	e.doors = append(e.doors, d)
+	s.platform.ports, s.platform.closers = append(s.platform.ports, d.port), append(s.platform.closers, d.refuse)
+	s.endpointAddrs[e] = d.port.Addr
+	e.listeners = append(e.listeners, d)
 	return nil
 }
 
 // listen serves on a port of its own until Close.
 func (p *Platform) listen(h http.Handler) (*portalloc.Port, error) {
-	at, err := portalloc.Keep()
+	at, err := portalloc.Reserve()
 	if err != nil {
 		return nil, err
 	}
@@ -135,42 +135,42 @@
 	}
 	s := &http.Server{Handler: h}
 	go s.Serve(on)
-	p.ports, p.serve = append(p.ports, at), append(p.serve, s.Close)
+	p.ports, p.closers = append(p.ports, at), append(p.closers, s.Close)
 	return at, nil
 }
 
-// List is the whole list as a seat sees it: `known` of LB_CONFIG.
-func (s *Seat) List() string {
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
-	text, _ := s.since(0)
+// EndpointList is the whole list as a seat sees it: `known` of LB_CONFIG.
+func (s *MemberView) EndpointList() string {
+	s.platform.mu.Lock()
+	defer s.platform.mu.Unlock()
+	text, _ := s.changesSince(0)
 	return text
 }
 
-// since is the list object of what changed after a generation, and the drains in it.
-func (s *Seat) since(gen int) (text string, drains []*Endpoint) {
+// changesSince is the list object of what changed after a generation, and the drains in it.
+func (s *MemberView) changesSince(gen int) (text string, drains []*Endpoint) {
 	var lines []string
-	for _, e := range s.p.all {
-		if e.changed <= gen || gen == 0 && e.lifecycle == "DELETED" {
+	for _, e := range s.platform.endpoints {
+		if e.generation <= gen || gen == 0 && e.lifecycle == "DELETED" {
 			continue
 		}
 		lines = append(lines, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":%q,"machineType":%q,"cell":%d,`+
-			`"lifecycle":%q,"weight":%g,"startedAtMs":0}`, e.Name, s.addrs[e], e.zone, e.dest.Kind, e.dest.ID,
+			`"lifecycle":%q,"weight":%g,"startedAtMs":0}`, e.Name, s.endpointAddrs[e], e.zone, e.destination.Kind, e.destination.ID,
 			e.lifecycle,
-			e.dest.Weight))
+			e.destination.Weight))
 		if e.lifecycle != "SERVING" {
 			drains = append(drains, e)
 		}
 	}
-	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, s.p.gen, gen == 0, strings.Join(lines,
+	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, s.platform.generation, gen == 0, strings.Join(lines,
 			",")),
 		drains
 }
 
-// linePeriod is the protocol's: an empty line so often while nothing changes.
-const linePeriod = 2 * time.Second
+// keepAlivePeriod is the protocol's: an empty line so often while nothing changes.
+const keepAlivePeriod = 2 * time.Second
 
-func (s *Seat) instances(rw http.ResponseWriter, r *http.Request) {
+func (s *MemberView) serveInstances(rw http.ResponseWriter, r *http.Request) {
 	gen, follow := 0, r.URL.Query().Get("follow") == "1"
 	if text := r.URL.Query().Get("since"); text != "" {
 		if _, err := fmt.Sscan(text, &gen); err != nil {
@@ -178,18 +178,18 @@
 			return
 		}
 	}
-	line := time.NewTicker(linePeriod)
+	line := time.NewTicker(keepAlivePeriod)
 	defer line.Stop()
 	for {
-		s.p.mu.Lock()
-		news, still, mute, now := s.p.news, s.still, s.mute, s.p.gen
-		text, drains := s.since(gen)
-		s.p.mu.Unlock()
+		s.platform.mu.Lock()
+		news, still, mute, now := s.platform.listChanged, s.muteChanged, s.discoveryMuted, s.platform.generation
+		text, drains := s.changesSince(gen)
+		s.platform.mu.Unlock()
 		if !mute && (now != gen || !follow) {
 			fmt.Fprintln(rw, text)
 			rw.(http.Flusher).Flush()
 			for _, e := range drains {
-				s.p.Ledger.Told(s.p.Now(), s.Name, e.Name)
+				s.platform.Checker.RecordNotified(s.platform.Now(), s.Name, e.Name)
 			}
 			if gen = now; !follow {
 				return
@@ -209,22 +209,22 @@
 	}
 }
 
-// Mute takes discovery away from a seat: its watch stays open and silent. Notices are heard as before.
-func (s *Seat) Mute(mute bool) {
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
-	s.mute = mute
-	close(s.still)
-	s.still = make(chan struct{})
+// MuteDiscovery takes discovery away from a seat: its watch stays open and silent. Notices are heard as before.
+func (s *MemberView) MuteDiscovery(mute bool) {
+	s.platform.mu.Lock()
+	defer s.platform.mu.Unlock()
+	s.discoveryMuted = mute
+	close(s.muteChanged)
+	s.muteChanged = make(chan struct{})
 }
 
-// Front says where clients reach a member.
-func (p *Platform) Front(member, addr string) error {
+// SetClientAddr says where clients reach a member.
+func (p *Platform) SetClientAddr(member, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.front[member] = addr
+	p.clientAddrs[member] = addr
 	return nil
 }
--- a/test/fake/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -20,10 +20,10 @@
 )
 
 func begin(t *testing.T) *platform.Platform {
-	p, err := platform.New(deliverycheck.Terms{Types: map[string]api.EventType{
+	p, err := platform.New(deliverycheck.Requirements{EventTypes: map[string]api.EventType{
 		"status": {TTL: 9 * api.Second},
 		"paid":   {TTL: 9 * api.Second, Semantics: api.Deduplicated, DedupWindow: 8 * api.Second},
-	}, DrainGrace: api.Second, ToldWithin: 6 * api.Second}, 3)
+	}, DrainGrace: api.Second, NotifiedWithin: 6 * api.Second}, 3)
 	require.NoError(t, err)
 	t.Cleanup(func() { p.Close() })
 	return p
@@ -39,7 +39,7 @@
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
-	require.NoError(t, p.Front("m1", l.Addr().String()))
+	require.NoError(t, p.SetClientAddr("m1", l.Addr().String()))
 	return l.Addr().String()
 }
 
@@ -68,13 +68,13 @@
 func TestDestinationBehavesAsToldAndTheLedgerSeesIt(t *testing.T) {
 	p := begin(t)
 	member(t, p, 202)
-	seat, err := p.Seat("m1")
+	seat, err := p.View("m1")
 	require.NoError(t, err)
-	addr, d := at(seat.List()), p.Destination(3)
-	a, code := p.HandIn("m1", platform.Webhook{Type: "status", Dest: 3})
+	addr, d := at(seat.EndpointList()), p.Destination(3)
+	a, code := p.Submit("m1", platform.Webhook{Type: "status", Destination: 3})
 	require.Equal(t, 202, code)
-	assert.Equal(t, 1, p.Ledger.Open())
-	d.Next(platform.Fails, platform.Full(800*time.Millisecond), platform.Closes, platform.AnswerLost)
+	assert.Equal(t, 1, p.Checker.Outstanding())
+	d.QueueBehaviours(platform.Fails, platform.RateLimited(800*time.Millisecond), platform.Closes, platform.ResponseLost)
 	for _, want := range []string{"500", "429", "EOF", "EOF"} {
 		resp, text := call(t, addr, "/events", a, "x")
 		if resp != nil {
@@ -83,57 +83,57 @@
 		}
 		assert.Contains(t, text, want)
 	}
-	require.NoError(t, d.Set(platform.Refuses))
+	require.NoError(t, d.SetBehaviour(platform.Refuses))
 	_, text := call(t, addr, "/events", a, "x")
 	assert.Contains(t, text, "refused")
-	require.NoError(t, d.Set(platform.Behaviour{PerSecond: 1, AskWait: true}))
-	assert.Equal(t, 1, p.Ledger.Open())
+	require.NoError(t, d.SetBehaviour(platform.Behaviour{PerSecond: 1, TellsRetryAfter: true}))
+	assert.Equal(t, 1, p.Checker.Outstanding())
 	_, text = call(t, addr, "/events/bundle", "", a+" k 2\r\nhi\r\n")
 	assert.Equal(t, a+" delivered\r\n", text)
-	assert.Zero(t, p.Ledger.Open())
+	assert.Zero(t, p.Checker.Outstanding())
 	for range 3 {
 		call(t, addr, "/events", a, "x")
 	}
-	assert.Positive(t, p.Ledger.Counts().OverRate)
+	assert.Positive(t, p.Checker.Counts().RateExceeded)
 	resp, _ := call(t, addr, "/events/bundle", "", "odd")
 	assert.Equal(t, 400, resp.StatusCode)
 	call(t, addr, "/events", "w99", "x")
-	assert.Contains(t, fmt.Sprint(p.Judge()), "w99 at destination 3 by m1")
+	assert.Contains(t, fmt.Sprint(p.Check()), "w99 at destination 3 by m1")
 }
 
 func TestTokenIsRememberedAndItsEffectCountsOnce(t *testing.T) {
 	p := begin(t)
 	member(t, p, 202)
-	seat, err := p.Seat("m2")
+	seat, err := p.View("m2")
 	require.NoError(t, err)
-	a, _ := p.HandIn("m1", platform.Webhook{Type: "paid", Dest: 3})
-	p.Destination(3).Next(platform.AnswerLost, platform.Slow(30*time.Millisecond))
-	call(t, at(seat.List()), "/events", a, "x")
-	assert.Equal(t, 1, p.Ledger.Open(), "its answer was lost")
-	call(t, at(seat.List()), "/events", a, "x")
-	assert.Zero(t, p.Ledger.Open())
-	assert.Empty(t, p.Judge())
-	assert.Equal(t, 1, p.Ledger.Counts().Effects)
+	a, _ := p.Submit("m1", platform.Webhook{Type: "paid", Destination: 3})
+	p.Destination(3).QueueBehaviours(platform.ResponseLost, platform.Slow(30*time.Millisecond))
+	call(t, at(seat.EndpointList()), "/events", a, "x")
+	assert.Equal(t, 1, p.Checker.Outstanding(), "its answer was lost")
+	call(t, at(seat.EndpointList()), "/events", a, "x")
+	assert.Zero(t, p.Checker.Outstanding())
+	assert.Empty(t, p.Check())
+	assert.Equal(t, 1, p.Checker.Counts().Effects)
 }
 
 func TestClientsComeAgainAfterARefusalAndHeedItsWait(t *testing.T) {
 	p := begin(t)
 	member(t, p, 503)
-	p.Drive(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Lines: 2, Most: 4,
-		Tries: 3,
-		Next:  func(int) platform.Webhook { return platform.Webhook{Type: "paid", Dest: 3} }})()
-	assert.Equal(t, deliverycheck.Counts{HandedIn: 12, Refused: 12}, p.Ledger.Counts())
-	require.NoError(t, p.Front("m1", "127.0.0.1:1"))
-	p.Drive(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Most: 4, Tries: 3,
-		Next: func(int) platform.Webhook { return platform.Webhook{Type: "paid", Dest: 3} }})()
-	assert.Equal(t, 4, p.Ledger.Counts().Unanswered, "a token is not handed in again unanswered")
+	p.StartLoad(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Clients: 2, MaxWebhooks: 4,
+		MaxAttempts: 3,
+		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} }})()
+	assert.Equal(t, deliverycheck.Counts{Submitted: 12, Rejected: 12}, p.Checker.Counts())
+	require.NoError(t, p.SetClientAddr("m1", "127.0.0.1:1"))
+	p.StartLoad(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, MaxWebhooks: 4, MaxAttempts: 3,
+		Next: func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} }})()
+	assert.Equal(t, 4, p.Checker.Counts().Unanswered, "a token is not handed in again unanswered")
 }
 
 func TestWatchTellsDrainsAndIsSilentWhileMute(t *testing.T) {
 	p := begin(t)
-	seat, err := p.Seat("m1")
+	seat, err := p.View("m1")
 	require.NoError(t, err)
-	resp, err := http.Get("http://" + seat.Agent + "/registry/instances?follow=1&since=1")
+	resp, err := http.Get("http://" + seat.AgentAddr + "/registry/instances?follow=1&since=1")
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	lines := make(chan string, 99)
@@ -147,7 +147,7 @@
 	e := p.Endpoints(3)[0]
 	p.Drain(e)
 	assert.Contains(t, <-lines, `"lifecycle":"DRAINING"`)
-	seat.Mute(true)
+	seat.MuteDiscovery(true)
 	p.Relist(e)
 	p.Drain(e)
 	select {
@@ -155,27 +155,27 @@
 		assert.Fail(t, "told while mute", line)
 	case <-time.After(100 * time.Millisecond):
 	}
-	seat.Mute(false)
+	seat.MuteDiscovery(false)
 	assert.Contains(t, <-lines, `"generation":4`)
-	other, err := p.Seat("m2")
+	other, err := p.View("m2")
 	require.NoError(t, err)
-	assert.NotEqual(t, at(seat.List()), at(other.List()), "each member is known by where it calls")
+	assert.NotEqual(t, at(seat.EndpointList()), at(other.EndpointList()), "each member is known by where it calls")
 }
 
 func TestNoticesEndWebhooksAndOddOnesAreNotRead(t *testing.T) {
 	p := begin(t)
 	member(t, p, 202)
-	p.Lists["l"] = []api.DestinationID{3, 4}
-	seat, err := p.Seat("m1")
+	p.SubscriberLists["l"] = []api.DestinationID{3, 4}
+	seat, err := p.View("m1")
 	require.NoError(t, err)
-	a, _ := p.HandIn("m1", platform.Webhook{Type: "status", List: "l"})
+	a, _ := p.Submit("m1", platform.Webhook{Type: "status", List: "l"})
 	tell := func(text string) int {
-		resp, _ := call(t, seat.Agent, "/v2/finals", "", text)
+		resp, _ := call(t, seat.AgentAddr, "/v2/finals", "", text)
 		return resp.StatusCode
 	}
 	assert.Equal(t, 400, tell(`{"message":"`+a+`","outcome":"given_up"}`+"\nodd"))
 	assert.Equal(t, 204, tell(`{"message":"`+a+`","outcome":"given_up","dest":4}`+"\n"))
-	assert.Equal(t, 1, p.Ledger.Open(), "the other subscriber's end is owed")
+	assert.Equal(t, 1, p.Checker.Outstanding(), "the other subscriber's end is owed")
 	assert.Equal(t, 204, tell(`{"message":"`+a+`.3","outcome":"given_up"}`+"\n"))
-	assert.Zero(t, p.Ledger.Open())
+	assert.Zero(t, p.Checker.Outstanding())
 }
--- a/test/fake/portalloc/port.go
+++ b/test/fake/portalloc/port.go
@@ -20,14 +20,14 @@
 type Port struct {
 	Addr string
 
-	mu   sync.Mutex
-	kept int
-	hung *hung
+	mu      sync.Mutex
+	fd      int
+	hanging *hangingListener
 }
 
-// Keep binds a free loopback port.
-func Keep() (*Port, error) {
-	fd, err := bound(0)
+// Reserve binds a free loopback port.
+func Reserve() (*Port, error) {
+	fd, err := bindSocket(0)
 	if err != nil {
 		return nil, err
 	}
@@ -35,11 +35,11 @@
 	if err != nil {
 		return nil, errors.Join(err, unix.Close(fd))
 	}
-	return &Port{Addr: fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), kept: fd}, nil
+	return &Port{Addr: fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), fd: fd}, nil
 }
 
-// bound is a socket that is bound and doesn't listen.
-func bound(number int) (int, error) {
+// bindSocket is a socket that is bound and doesn't listen.
+func bindSocket(number int) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, err
@@ -55,16 +55,16 @@
 
 // Listen takes connections. While one listener is open, a second is an error.
 func (p *Port) Listen() (on net.Listener, err error) {
-	err = patient(func() error {
+	err = retryWhileInUse(func() error {
 		on, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.Addr)
 		return err
 	})
 	return on, err
 }
 
-// patient tries again for a while where a listener seems to stand there: one that was closed lives on in a
+// retryWhileInUse tries again for a while where a listener seems to stand there: one that was closed lives on in a
 // process that is just being started, until that has begun its own program.
-func patient(try func() error) (err error) {
+func retryWhileInUse(try func() error) (err error) {
 	for range 100 {
 		if err = try(); !errors.Is(err, unix.EADDRINUSE) {
 			return err
@@ -74,9 +74,9 @@
 	return err
 }
 
-// hung is a listener whose queue is full: what connects gets no answer at all, as where a machine is cut off.
-type hung struct {
-	on     *os.File
+// hangingListener is a listener whose queue is full: what connects gets no answer at all, as where a machine is cut off.
+type hangingListener struct {
+	file   *os.File
 	filler net.Conn
 }
 
@@ -84,7 +84,7 @@
 func (p *Port) Hang() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.hung != nil {
+	if p.hanging != nil {
 		return nil
 	}
 	_, text, err := net.SplitHostPort(p.Addr)
@@ -95,49 +95,49 @@
 	if err != nil {
 		return err
 	}
-	return patient(func() error {
-		fd, err := bound(number)
+	return retryWhileInUse(func() error {
+		fd, err := bindSocket(number)
 		if err != nil {
 			return err
 		}
-		p.hung = &hung{on: os.NewFile(uintptr(fd), "hung")}
+		p.hanging = &hangingListener{file: os.NewFile(uintptr(fd), "hung")}
 		if err = unix.Listen(fd, 0); err == nil {
-			p.hung.filler, err = net.Dial("tcp", p.Addr)
+			p.hanging.filler, err = net.Dial("tcp", p.Addr)
 		}
 		if err != nil {
-			p.free()
+			p.stopHanging()
 		}
 		return err
 	})
 }
 
-// Free ends Hang: what connects is refused again.
-func (p *Port) Free() {
+// Refuse ends Hang: what connects is refused again.
+func (p *Port) Refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.free()
+	p.stopHanging()
 }
 
-func (p *Port) free() {
-	if p.hung == nil {
+func (p *Port) stopHanging() {
+	if p.hanging == nil {
 		return
 	}
-	p.hung.on.Close()
-	if p.hung.filler != nil {
-		p.hung.filler.Close()
+	p.hanging.file.Close()
+	if p.hanging.filler != nil {
+		p.hanging.filler.Close()
 	}
-	p.hung = nil
+	p.hanging = nil
 }
 
 // Close gives the port up.
 func (p *Port) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.free()
-	if p.kept < 0 {
+	p.stopHanging()
+	if p.fd < 0 {
 		return nil
 	}
-	fd := p.kept
-	p.kept = -1
+	fd := p.fd
+	p.fd = -1
 	return unix.Close(fd)
 }
--- a/test/fake/portalloc/port_test.go
+++ b/test/fake/portalloc/port_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a port that another process gets between two listeners, and against a cut that is a refusal.
 func TestPortRefusesHangsAndListensInTurn(t *testing.T) {
-	p, err := portalloc.Keep()
+	p, err := portalloc.Reserve()
 	require.NoError(t, err)
 	defer p.Close()
 	for range 3 {
@@ -32,6 +32,6 @@
 		require.NoError(t, p.Hang())
 		_, err = net.DialTimeout("tcp", p.Addr, 200*time.Millisecond)
 		assert.True(t, os.IsTimeout(err), err)
-		p.Free()
+		p.Refuse()
 	}
 }
--- a/test/integration/chaos/faults.go
+++ b/test/integration/chaos/faults.go
@@ -21,71 +21,71 @@
 
 // faults are all there are. A line added here is drawn from then on.
 var faults = []fault{
-	{"kill", func(w *world) func() { m := w.one(); m.Kill(); return m.Launch }},
-	{"kill the leader", func(w *world) func() { m := w.leader(); m.Kill(); return m.Launch }},
-	{"kill, folder gone", func(w *world) func() { m := w.one(); m.Kill(); m.Wipe(); return m.Launch }},
-	{"planned restart", func(w *world) func() { m := w.one(); m.End(); return m.Launch }},
-	{"stop", func(w *world) func() { m := w.one(); m.Stop(); return m.Continue }},
-	{"stop the leader", func(w *world) func() { m := w.leader(); m.Stop(); return m.Continue }},
-	{"hang up", func(w *world) func() { w.one().HangUp(); return nil }},
+	{"kill", func(w *world) func() { m := w.one(); m.Kill(); return m.StartAsync }},
+	{"kill the leader", func(w *world) func() { m := w.leader(); m.Kill(); return m.StartAsync }},
+	{"kill, folder gone", func(w *world) func() { m := w.one(); m.Kill(); m.DeleteState(); return m.StartAsync }},
+	{"planned restart", func(w *world) func() { m := w.one(); m.Terminate(); return m.StartAsync }},
+	{"stop", func(w *world) func() { m := w.one(); m.Pause(); return m.Resume }},
+	{"stop the leader", func(w *world) func() { m := w.leader(); m.Pause(); return m.Resume }},
+	{"hang up", func(w *world) func() { w.one().SendHangup(); return nil }},
 	{"folder full", func(w *world) func() {
 		m := w.one()
-		m.LimitFiles(uint64(m.Largest()))
-		return func() { m.LimitFiles(0) }
+		m.LimitFileSize(uint64(m.LargestFile()))
+		return func() { m.LimitFileSize(0) }
 	}},
 	{"a member leaves by the plan", func(w *world) func() {
-		w.Reload(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", w.one().Name, 1+w.IntN(4)))
-		return func() { w.Reload("") }
+		w.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", w.one().Name, 1+w.IntN(4)))
+		return func() { w.ReloadOperatorFiles("") }
 	}},
 	{"a pin and a leave", func(w *world) func() {
 		a, b := w.two()
-		w.Reload(fmt.Sprintf("pin \"first\" {\n  destinations = [%d]\n  to = %q\n}\nleave %q {}\n", w.dest(),
+		w.ReloadOperatorFiles(fmt.Sprintf("pin \"first\" {\n  destinations = [%d]\n  to = %q\n}\nleave %q {}\n", w.dest(),
 			a.Name, b.Name))
-		return func() { w.Reload("") }
+		return func() { w.ReloadOperatorFiles("") }
 	}},
-	{"cut off", func(w *world) func() { w.Net.Apart(harness.Cut, w.one().Name); return w.Net.Heal }},
-	{"leader cut off", func(w *world) func() { w.Net.Apart(harness.Cut, w.leader().Name); return w.Net.Heal }},
+	{"cut off", func(w *world) func() { w.Network.Isolate(harness.Partition, w.one().Name); return w.Network.Heal }},
+	{"leader cut off", func(w *world) func() { w.Network.Isolate(harness.Partition, w.leader().Name); return w.Network.Heal }},
 	{"keepers' majority gone", func(w *world) func() {
-		for _, m := range w.Keepers()[1:] {
-			w.Net.Apart(harness.Cut, m.Name)
+		for _, m := range w.RaftNodes()[1:] {
+			w.Network.Isolate(harness.Partition, m.Name)
 		}
-		return w.Net.Heal
+		return w.Network.Heal
 	}},
 	{"one way", func(w *world) func() {
 		a, b := w.two()
-		w.Net.Set(a.Name, b.Name,
-			harness.OneWay)
-		return w.Net.Heal
+		w.Network.SetFault(a.Name, b.Name,
+			harness.OneWayPartition)
+		return w.Network.Heal
 	}},
 	{"refused", func(w *world) func() {
 		a, b := w.two()
-		w.Net.Between(a.Name, b.Name, harness.Refuse)
-		return w.Net.Heal
+		w.Network.SetFaultBetween(a.Name, b.Name, harness.Refused)
+		return w.Network.Heal
 	}},
 	{"late", func(w *world) func() {
-		w.Net.Apart(harness.Late(time.Duration(w.IntN(int(w.term)))), w.one().Name)
-		return w.Net.Heal
+		w.Network.Isolate(harness.Delayed(time.Duration(w.IntN(int(w.term)))), w.one().Name)
+		return w.Network.Heal
 	}},
 	{"slow", func(w *world) func() {
-		w.Net.Apart(harness.Slow(200+w.IntN(20000)),
+		w.Network.Isolate(harness.Throttled(200+w.IntN(20000)),
 			w.one().Name)
-		return w.Net.Heal
+		return w.Network.Heal
 	}},
 	{"reset half-way", func(w *world) func() {
 		a, b := w.two()
-		w.Net.Between(a.Name, b.Name, harness.HalfWay(1+w.IntN(4000)))
-		return w.Net.Heal
+		w.Network.SetFaultBetween(a.Name, b.Name, harness.ResetAfterBytes(1+w.IntN(4000)))
+		return w.Network.Heal
 	}},
 	{"destination hangs", behave(platform.Hangs)},
 	{"destination refuses", behave(platform.Refuses)},
-	{"destination vanishes", behave(platform.Vanishes)},
-	{"destination's answers are lost", behave(platform.AnswerLost)},
-	{"destination asks to wait", behave(platform.Full(1200 * time.Millisecond))},
+	{"destination vanishes", behave(platform.Unreachable)},
+	{"destination's answers are lost", behave(platform.ResponseLost)},
+	{"destination asks to wait", behave(platform.RateLimited(1200 * time.Millisecond))},
 	{"destination is slow", behave(platform.Slow(700 * time.Millisecond))},
 	{"destination fails over", func(w *world) func() {
 		d := w.Platform.Destination(w.dest())
-		w.check(d.Fail(platform.Shut))
-		return func() { w.check(d.Return(100)) }
+		w.check(d.BeginOutage(platform.Unavailable))
+		return func() { w.check(d.EndOutage(100)) }
 	}},
 	{"endpoint drains", func(w *world) func() {
 		e := w.Platform.Endpoints(w.dest())[0]
@@ -93,18 +93,18 @@
 		return func() { w.Platform.Relist(e) }
 	}},
 	{"discovery is silent", func(w *world) func() {
-		s, err := w.Platform.Seat(w.one().Name)
+		s, err := w.Platform.View(w.one().Name)
 		w.check(err)
-		s.Mute(true)
-		return func() { s.Mute(false) }
+		s.MuteDiscovery(true)
+		return func() { s.MuteDiscovery(false) }
 	}},
 }
 
 func behave(b platform.Behaviour) func(w *world) func() {
 	return func(w *world) func() {
 		d := w.Platform.Destination(w.dest())
-		w.check(d.Set(b))
-		return func() { w.check(d.Set(platform.Delivers)) }
+		w.check(d.SetBehaviour(b))
+		return func() { w.check(d.SetBehaviour(platform.Delivers)) }
 	}
 }
 
@@ -122,7 +122,7 @@
 
 // world is a fleet with what was drawn for it.
 type world struct {
-	*harness.Fleet
+	*harness.Cluster
 	*rand.Rand
 	term  time.Duration
 	busy  map[*harness.Member]bool // something befalls it already in this round
--- a/test/integration/chaos/hunt_test.go
+++ b/test/integration/chaos/hunt_test.go
@@ -39,54 +39,54 @@
 // play plays one seed.
 func play(t *testing.T, binary string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	shape := harness.Shape{Binary: binary, Members: 3 + r.IntN(4), Rates: map[string]float64{},
-		Term: time.Second + time.Duration(r.IntN(3))*time.Second, Slack: 10 * api.Second, WaitsBind: false,
-		Guarded: []string{"errand/1", "errand/2"}, Env: []string{harness.Stamped}}
+	shape := harness.Options{Binary: binary, Members: 3 + r.IntN(4), ClockRates: map[string]float64{},
+		LeaseTTL: time.Second + time.Duration(r.IntN(3))*time.Second, Slack: 10 * api.Second, WaitsBindAll: false,
+		CheckedResources: []string{"errand/1", "errand/2"}, Env: []string{harness.DebugLog}}
 	for i := range shape.Members {
-		shape.Rates[fmt.Sprintf("m%d", i+1)] = 1 + (r.Float64()-0.5)*0.05
+		shape.ClockRates[fmt.Sprintf("m%d", i+1)] = 1 + (r.Float64()-0.5)*0.05
 	}
-	t.Logf("seed %d: %d members, term %s", seed, shape.Members, shape.Term)
-	w := &world{Fleet: harness.Start(t, shape), Rand: r, term: shape.Term,
+	t.Logf("seed %d: %d members, term %s", seed, shape.Members, shape.LeaseTTL)
+	w := &world{Cluster: harness.Start(t, shape), Rand: r, term: shape.LeaseTTL,
 		check: func(err error) { require.NoError(t, err) }}
-	views := w.Watch()
-	defer views.Judge() // of what did not settle, too
+	views := w.WatchOwnership()
+	defer views.Check() // of what did not settle, too
 	ctx, stop := context.WithCancel(context.Background())
-	done := w.Platform.Drive(ctx, w.load())
+	done := w.Platform.StartLoad(ctx, w.load())
 	for range 2 + r.IntN(4) {
 		if w.IntN(2) == 0 { // moves go on beside what the round has
 			w.busy = map[*harness.Member]bool{}
-			w.Reload(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = 2 }\n", w.one().Name))
+			w.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = 2 }\n", w.one().Name))
 		}
 		w.round(t)
 	}
 	w.pause(2 * w.term)
 	stop()
 	done()
-	w.Settled()
-	w.Judge()
-	t.Logf("%+v", w.Platform.Ledger.Counts())
+	w.AwaitOutcomes()
+	w.Check()
+	t.Logf("%+v", w.Platform.Checker.Counts())
 }
 
 // load is drawn: event types in turn, some destinations more than others.
 func (w *world) load() platform.Load {
 	types, names, dests := []string{"status", "paid", "charge"}, w.Names(), w.dests()
 	hot := w.IntN(len(dests))
-	return platform.Load{Members: names, PerSecond: 40 + 100*w.Float64(), Lines: 6,
+	return platform.Load{Members: names, PerSecond: 40 + 100*w.Float64(), Clients: 6,
 		Next: func(n int) platform.Webhook {
 			d := dests[n/3%len(dests)]
 			if n%2 == 0 {
 				d = dests[hot]
 			}
-			return platform.Webhook{Type: types[n%len(types)], Dest: d, Body: "a webhook's body"}
+			return platform.Webhook{Type: types[n%len(types)], Destination: d, Body: "a webhook's body"}
 		}}
 }
 
 // round has one fault or two at once, at a drawn moment.
 func (w *world) round(t *testing.T) {
-	moment, marks := moments[w.IntN(len(moments))], w.Marks()
+	moment, marks := moments[w.IntN(len(moments))], w.LogOffsets()
 	w.busy = map[*harness.Member]bool{}
 	for until := time.Now().Add(w.span()); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if moment != "" && w.Said(marks, moment) != nil {
+		if moment != "" && w.FindLog(marks, moment) != nil {
 			break
 		}
 	}
@@ -103,7 +103,7 @@
 		end()
 	}
 	for _, m := range w.Members {
-		m.Ready()
+		m.AwaitReady()
 	}
 }
 
--- a/test/integration/cluster/bench_test.go
+++ b/test/integration/cluster/bench_test.go
@@ -21,7 +21,7 @@
 const benched = api.DestinationID(1)
 
 // drive hands in webhooks for one destination at some members, at the most so many a second, for a span.
-func drive(f *harness.Fleet, perSecond float64, span time.Duration,
+func drive(f *harness.Cluster, perSecond float64, span time.Duration,
 	members ...string) (from, until api.Micros) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
@@ -29,22 +29,22 @@
 	const streams = 8 // a single one loses ticks where all cores are busy
 	var done []func()
 	for range streams {
-		done = append(done, f.Platform.Drive(ctx, platform.Load{Members: members, PerSecond: perSecond / streams,
-			Lines: 8, Next: func(int) platform.Webhook {
-				return platform.Webhook{Type: "status", Dest: benched, TTL: 8 * time.Second, Body: "a webhook's body"}
+		done = append(done, f.Platform.StartLoad(ctx, platform.Load{Members: members, PerSecond: perSecond / streams,
+			Clients: 8, Next: func(int) platform.Webhook {
+				return platform.Webhook{Type: "status", Destination: benched, TTL: 8 * time.Second, Body: "a webhook's body"}
 			}}))
 	}
 	for _, wait := range done {
 		wait()
 	}
 	until = f.Platform.Now()
-	f.Settled()
+	f.AwaitOutcomes()
 	return from, until
 }
 
-func used(f *harness.Fleet) (sum time.Duration) {
+func used(f *harness.Cluster) (sum time.Duration) {
 	for _, m := range f.Members {
-		sum += m.CPU()
+		sum += m.CPUTime()
 	}
 	return sum
 }
@@ -60,8 +60,8 @@
 }
 
 func forwarded(b *testing.B, perSecond float64) {
-	f := harness.Start(b, harness.Shape{Binary: binary, Ranges: 8, Weight: 20000})
-	f.Homed()
+	f := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 20000})
+	f.AwaitStable()
 	some(3)
 	before := used(f)
 	some(5)
@@ -72,7 +72,7 @@
 	}
 	var local, away sum
 	for b.Loop() {
-		home := f.Home(benched)
+		home := f.Owner(benched)
 		require.NotNil(b, home)
 		other := f.Members[0]
 		if other == home {
@@ -82,10 +82,10 @@
 			before, since := used(f), f.Platform.Now()
 			from, until := drive(f, perSecond, 4*time.Second, at.Name)
 			spent := (f.Platform.Now() - since).Seconds()
-			w := f.Platform.Ledger.Window(benched, from, until)
-			s.n, s.spent = s.n+float64(len(w.Delays)), s.spent+(until-from).Seconds()
+			w := f.Platform.Checker.Window(benched, from, until)
+			s.n, s.spent = s.n+float64(len(w.DeliveryDelays)), s.spent+(until-from).Seconds()
 			s.cpu += (used(f) - before).Seconds() - spent*rest
-			s.answered, s.delay = append(s.answered, w.Answers...), append(s.delay, w.Delays...)
+			s.answered, s.delay = append(s.answered, w.ResponseTimes...), append(s.delay, w.DeliveryDelays...)
 		}
 	}
 	for name, s := range map[string]*sum{"local": &local, "forwarded": &away} {
@@ -102,12 +102,12 @@
 
 // BenchmarkMove moves a destination's range under load by the plan, then ends its home and starts it again.
 func BenchmarkMove(b *testing.B) {
-	f := harness.Start(b, harness.Shape{Binary: binary, Ranges: 8, Weight: 2000})
-	f.Homed()
+	f := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 2000})
+	f.AwaitStable()
 	ctx, cancel := context.WithCancel(context.Background())
-	done := f.Platform.Drive(ctx, platform.Load{Members: f.Names(), PerSecond: 400, Lines: 32,
+	done := f.Platform.StartLoad(ctx, platform.Load{Members: f.Names(), PerSecond: 400, Clients: 32,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Dest: benched,
+			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Destination: benched,
 				TTL: 8 * time.Second, Body: "a webhook's body"}
 		}})
 	var gaps [3][]api.Micros // nothing happens, a move, stop and restart
@@ -116,14 +116,14 @@
 		from := f.Platform.Now()
 		what()
 		some(1)
-		w := f.Platform.Ledger.Window(benched, from, f.Platform.Now())
+		w := f.Platform.Checker.Window(benched, from, f.Platform.Now())
 		gaps[kind], bad[kind] = append(gaps[kind], w.LongestGap), append(bad[kind], w)
 	}
 	some(3)
 	n := 0
 	for b.Loop() {
 		look(0, func() { some(1) })
-		home := f.Home(benched)
+		home := f.Owner(benched)
 		require.NotNil(b, home)
 		n++
 		to := f.Members[n%len(f.Members)]
@@ -131,11 +131,11 @@
 			to = f.Members[(n+1)%len(f.Members)]
 		}
 		look(1, func() {
-			f.Reload(fmt.Sprintf("pin \"%d\" {\n  destinations = [%d]\n  to = %q\n}\n", n, benched, to.Name))
-			f.Soon("it has moved", func() bool { return f.Home(benched) == to })
-			f.Homed()
+			f.ReloadOperatorFiles(fmt.Sprintf("pin \"%d\" {\n  destinations = [%d]\n  to = %q\n}\n", n, benched, to.Name))
+			f.Eventually("it has moved", func() bool { return f.Owner(benched) == to })
+			f.AwaitStable()
 		})
-		look(2, func() { to.End(); to.Start(); f.Homed() })
+		look(2, func() { to.Terminate(); to.Start(); f.AwaitStable() })
 	}
 	cancel()
 	done()
@@ -144,7 +144,7 @@
 		b.ReportMetric(ms(slices.Max(gaps[kind])), name+"-gap-worst-ms")
 		refused, unanswered := 0, 0
 		for _, w := range bad[kind] {
-			refused, unanswered = refused+w.Refused, unanswered+w.Unanswered
+			refused, unanswered = refused+w.Rejected, unanswered+w.Unanswered
 		}
 		b.ReportMetric(float64(refused)/float64(n), name+"-rejected")
 		b.ReportMetric(float64(unanswered)/float64(n), name+"-unanswered")
@@ -159,7 +159,7 @@
 	require.NoError(b, err)
 	defer remove()
 	for b.Loop() {
-		for name, shape := range map[string]harness.Shape{"link": {Binary: alone, Plain: true, Members: 4},
+		for name, shape := range map[string]harness.Options{"link": {Binary: alone, Standalone: true, Members: 4},
 			"fleet": {Binary: binary, Members: 4}} {
 			shape.Weight = 2000
 			f := harness.Start(b, shape)
@@ -175,7 +175,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func resident(b *testing.B, f *harness.Fleet, name string) {
-	b.ReportMetric(float64(f.Members[0].Resident())/(1<<20), name+"-m1-MB")
-	b.ReportMetric(float64(f.Members[3].Resident())/(1<<20), name+"-m4-MB")
+func resident(b *testing.B, f *harness.Cluster, name string) {
+	b.ReportMetric(float64(f.Members[0].ResidentMemory())/(1<<20), name+"-m1-MB")
+	b.ReportMetric(float64(f.Members[3].ResidentMemory())/(1<<20), name+"-m4-MB")
 }
--- a/test/integration/cluster/faults_test.go
+++ b/test/integration/cluster/faults_test.go
@@ -19,37 +19,37 @@
 		for _, how := range []string{"stopped", "cut off"} {
 			t.Run(step+", "+how, func(t *testing.T) {
 				t.Parallel()
-				f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8,
-					Rates: map[string]float64{"m1": 1.024, "m2": 0.976}})
+				f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8,
+					ClockRates: map[string]float64{"m1": 1.024, "m2": 0.976}})
 				slowly(t, f)
 				stop := load(f)
 				for _, role := range []string{"source", "target", "conductor"} {
-					leaver, marks := busiest(f), f.Marks()
-					f.Reload(fmt.Sprintf("leave %q {}\n", leaver.Name))
+					leaver, marks := busiest(f), f.LogOffsets()
+					f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
 					who := part(f, role, step, leaver, marks)
 					t.Logf("%s leaves, %s, %s, is %s", leaver.Name, role, who.Name, how)
 					if how == "stopped" {
-						who.Stop()
+						who.Pause()
 						some(1.6)
-						who.Continue()
+						who.Resume()
 					} else {
-						f.Net.Apart(harness.Cut, who.Name)
+						f.Network.Isolate(harness.Partition, who.Name)
 						some(1.6)
-						f.Net.Heal()
+						f.Network.Heal()
 					}
-					f.Homed(leaver)
+					f.AwaitStable(leaver)
 				}
 				stop()
-				f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+				f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 			})
 		}
 	}
 }
 
 // part waits for a step of a move and returns who plays a role in it.
-func part(f *harness.Fleet, role, step string, leaver *harness.Member,
+func part(f *harness.Cluster, role, step string, leaver *harness.Member,
 	marks map[*harness.Member]int) *harness.Member {
-	said := f.AwaitAny(marks, "INFO "+step+" ")
+	said := f.AwaitLog(marks, "INFO "+step+" ")
 	switch role {
 	case "target":
 		if line, ok := said.Log.Find(marks[said], "INFO "+step+" ", " to="); ok {
@@ -57,7 +57,7 @@
 		}
 		return said
 	case "conductor":
-		return f.AwaitAny(marks, "INFO move planned ")
+		return f.AwaitLog(marks, "INFO move planned ")
 	}
 	return leaver
 }
@@ -65,45 +65,45 @@
 // Guards against a task that two do, and webhooks that two call with, over links that are only bad.
 func TestLinksThatAreLateSlowOrResetHalfWay(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Guarded: []string{errand}, Rates: apart})
+	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{errand}, ClockRates: apart})
 	slowly(t, f)
 	stop := load(f)
-	for name, fault := range map[string]harness.Fault{"late": harness.Late(term / 4), "slow": harness.Slow(4000),
-		"half-way": harness.HalfWay(900)} {
+	for name, fault := range map[string]harness.Fault{"late": harness.Delayed(term / 4), "slow": harness.Throttled(4000),
+		"half-way": harness.ResetAfterBytes(900)} {
 		who, _ := holder(f)
-		for _, m := range []*harness.Member{who, f.Leader()} {
-			f.Net.Apart(fault, m.Name)
+		for _, m := range []*harness.Member{who, f.AwaitLeader()} {
+			f.Network.Isolate(fault, m.Name)
 			some(1.5)
-			f.Net.Heal()
+			f.Network.Heal()
 			going(f)
 		}
-		f.Judge(deliverycheck.Order)
+		f.Check(deliverycheck.Order)
 		require.False(t, t.Failed(), name)
 	}
 	stop()
-	f.Judge(deliverycheck.Order)
+	f.Check(deliverycheck.Order)
 }
 
 // Guards against a keeper that comes back with nothing and votes, or is never counted again: without it there
 // is no majority afterwards.
 func TestAKeeperThatComesBackWithoutItsFolder(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Guarded: []string{errand}})
+	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{errand}})
 	stop := load(f)
-	was, marks := f.Leader(), f.Marks()
+	was, marks := f.AwaitLeader(), f.LogOffsets()
 	was.Kill()
-	was.Wipe()
+	was.DeleteState()
 	was.Start()
-	f.AwaitAny(marks, "keeper has its vote")
-	for _, other := range f.Keepers() {
+	f.AwaitLog(marks, "keeper has its vote")
+	for _, other := range f.RaftNodes() {
 		if other != was {
 			other.Kill()
-			f.Leader()
+			f.AwaitLeader()
 			going(f)
 			other.Start()
 			break
 		}
 	}
 	stop()
-	f.Judge(deliverycheck.Order)
+	f.Check(deliverycheck.Order)
 }
--- a/test/integration/cluster/harm_test.go
+++ b/test/integration/cluster/harm_test.go
@@ -17,8 +17,8 @@
 )
 
 // calmly starts a fleet with terms long enough that none ends by itself on a machine with much else to do.
-func calmly(t *testing.T, s harness.Shape) *harness.Fleet {
-	s.Term = 3 * term
+func calmly(t *testing.T, s harness.Options) *harness.Cluster {
+	s.LeaseTTL = 3 * term
 	return begin(t, s)
 }
 
@@ -27,25 +27,25 @@
 
 // entering hands webhooks for some destinations in at one member, until stop: none crosses a link that is
 // cut. They have the whole TTL of their type: a shorter one would stand for one that was handed in before.
-func entering(f *harness.Fleet, at *harness.Member, perSecond float64,
+func entering(f *harness.Cluster, at *harness.Member, perSecond float64,
 	dests ...api.DestinationID) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
-	wait := f.Platform.Drive(ctx, platform.Load{Members: []string{at.Name}, PerSecond: perSecond, Lines: 6,
+	wait := f.Platform.StartLoad(ctx, platform.Load{Members: []string{at.Name}, PerSecond: perSecond, Clients: 6,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%3], Dest: dests[n/3%len(dests)], TTL: 20 * time.Second, Body: "x"}
+			return platform.Webhook{Type: types[n%3], Destination: dests[n/3%len(dests)], TTL: 20 * time.Second, Body: "x"}
 		}})
 	return func() {
 		cancel()
 		wait()
-		f.Settled()
+		f.AwaitOutcomes()
 	}
 }
 
 // midst is a plan in the midst: the range of one destination has passed its switch, that of another can't, as
 // its home doesn't reach the target.
 type midst struct {
-	f                   *harness.Fleet
+	f                   *harness.Cluster
 	through, held       api.DestinationID
 	target, home, other *harness.Member // of through; of held, now and by the plan
 	marks               map[*harness.Member]int
@@ -64,13 +64,13 @@
 }
 
 func inTheMidst(t *testing.T, blocks string) *midst {
-	f := calmly(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8})
+	f := calmly(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 	m := &midst{f: f, other: f.Members[3]} // no keeper: a cut link costs the log nothing
-	f.Soon("two homes", func() bool {
-		leader, chart := f.LeaderNow(), f.Map()
+	f.Eventually("two homes", func() bool {
+		leader, chart := f.LeaderNow(), f.ShardMap()
 		m.held, m.through = 0, 0
 		for d := range api.DestinationID(4) {
-			switch home := f.Home(d + 1); {
+			switch home := f.Owner(d + 1); {
 			case home == nil || leader == nil || home == m.other:
 			case m.held == 0 && home != leader:
 				m.held, m.home = d+1, home
@@ -85,20 +85,20 @@
 				m.through = d + 1
 			}
 		}
-		home := f.Home(m.through)
-		for _, k := range f.Keepers() {
+		home := f.Owner(m.through)
+		for _, k := range f.RaftNodes() {
 			if k != home {
 				m.target = k
 			}
 		}
 		return m.through != 0 && home != nil
 	})
-	f.Net.Between(m.home.Name, m.other.Name, harness.Cut)
-	m.marks = f.Marks()
-	f.Reload(m.rules(true, blocks))
-	f.Soon("one has moved, the other can't", func() bool {
-		chart := f.Map()
-		if chart == nil || f.Home(m.through) != m.target {
+	f.Network.SetFaultBetween(m.home.Name, m.other.Name, harness.Partition)
+	m.marks = f.LogOffsets()
+	f.ReloadOperatorFiles(m.rules(true, blocks))
+	f.Eventually("one has moved, the other can't", func() bool {
+		chart := f.ShardMap()
+		if chart == nil || f.Owner(m.through) != m.target {
 			return false
 		}
 		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.held))
@@ -111,23 +111,23 @@
 
 // goneBack waits until the held move went back, and sees that what passed the switch stayed.
 func (m *midst) goneBack(t *testing.T) {
-	m.f.Soon("the held move went back", func() bool {
-		chart := m.f.Map()
+	m.f.Eventually("the held move went back", func() bool {
+		chart := m.f.ShardMap()
 		if chart == nil {
 			return false
 		}
 		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.held))
 		return !r.Move.IsOpen()
 	})
-	assert.Equal(t, m.home, m.f.Home(m.held))
-	assert.Equal(t, m.target, m.f.Home(m.through))
+	assert.Equal(t, m.home, m.f.Owner(m.held))
+	assert.Equal(t, m.target, m.f.Owner(m.through))
 }
 
 func (m *midst) end() {
-	m.f.Net.Heal()
-	m.f.Homed()
+	m.f.Network.Heal()
+	m.f.AwaitStable()
 	m.stop()
-	m.f.Judge(deliverycheck.Order)
+	m.f.Check(deliverycheck.Order)
 }
 
 // Guards against a plan that goes on while it does harm: a destination goes sick or late at its new home.
@@ -145,16 +145,16 @@
 			t.Parallel()
 			rules := "stop_when { " + c.stop + " }\n"
 			m := inTheMidst(t, rules)
-			require.NoError(t, m.f.Platform.Destination(m.through).Fail(c.does))
-			who := m.f.AwaitAny(m.marks, "plan stopped", c.why)
+			require.NoError(t, m.f.Platform.Destination(m.through).BeginOutage(c.does))
+			who := m.f.AwaitLog(m.marks, "plan stopped", c.why)
 			m.goneBack(t)
-			m.f.Soon("/metrics shows it", func() bool { v, _ := who.Metric("plan_stopped"); return v == "1" })
-			require.NoError(t, m.f.Platform.Destination(m.through).Set(platform.Delivers))
-			m.f.Net.Heal()
+			m.f.Eventually("/metrics shows it", func() bool { v, _ := who.Metric("plan_stopped"); return v == "1" })
+			require.NoError(t, m.f.Platform.Destination(m.through).SetBehaviour(platform.Delivers))
+			m.f.Network.Heal()
 			some(3) // it stays stopped, whatever gets well
-			assert.Equal(t, m.home, m.f.Home(m.held))
-			m.f.Reload(m.rules(true, rules))
-			m.f.Soon("it goes on", func() bool { return m.f.Home(m.held) == m.other })
+			assert.Equal(t, m.home, m.f.Owner(m.held))
+			m.f.ReloadOperatorFiles(m.rules(true, rules))
+			m.f.Eventually("it goes on", func() bool { return m.f.Owner(m.held) == m.other })
 			m.end()
 		})
 	}
@@ -165,12 +165,12 @@
 func TestAFileReadInTheMidstOfAPlanKeepsWhatHasSwitched(t *testing.T) {
 	t.Parallel()
 	m := inTheMidst(t, "")
-	before := m.f.Map()
-	m.f.Reload(m.rules(false, ""))
+	before := m.f.ShardMap()
+	m.f.ReloadOperatorFiles(m.rules(false, ""))
 	m.goneBack(t)
-	m.f.Homed()
+	m.f.AwaitStable()
 	was, _ := before.RangeOf(cluster.DestinationKeyHash(m.through))
-	is, _ := m.f.Map().RangeOf(cluster.DestinationKeyHash(m.through))
+	is, _ := m.f.ShardMap().RangeOf(cluster.DestinationKeyHash(m.through))
 	assert.Equal(t, was.Epoch, is.Epoch, "it was let go of meanwhile")
 	m.end()
 }
@@ -179,28 +179,28 @@
 // no step done twice and no plan made anew. The keepers are no homes here, so nothing else is lost.
 func TestAConductorKilledInTheMidstOfAPlan(t *testing.T) {
 	t.Parallel()
-	f := calmly(t, harness.Shape{Members: 5, Keepers: 3, Ranges: 8, Extra: func(m string) string {
+	f := calmly(t, harness.Options{Members: 5, RaftNodes: 3, Ranges: 8, MemberSettings: func(m string) string {
 		if m == "m4" || m == "m5" {
 			return ""
 		}
 		return "  weight = 0\n"
 	}})
-	stop, marks, leaver := entering(f, f.Members[4], few, 1, 2, 3, 4), f.Marks(), f.Members[3]
-	f.Reload("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
-	conductor := f.AwaitAny(marks, "INFO move planned ")
-	f.AwaitAny(marks, "INFO move cleared ")
+	stop, marks, leaver := entering(f, f.Members[4], few, 1, 2, 3, 4), f.LogOffsets(), f.Members[3]
+	f.ReloadOperatorFiles("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
+	conductor := f.AwaitLog(marks, "INFO move planned ")
+	f.AwaitLog(marks, "INFO move cleared ")
 	conductor.Kill()
-	next := f.Marks()
-	another := f.AwaitAny(next, "INFO move planned ")
+	next := f.LogOffsets()
+	another := f.AwaitLog(next, "INFO move planned ")
 	assert.NotEqual(t, conductor, another)
 	conductor.Start()
-	f.Homed(leaver)
+	f.AwaitStable(leaver)
 	for _, m := range f.Members {
 		_, anew := m.Log.Find(next[m], "plan taken up")
 		assert.False(t, anew, "%s made the plan anew", m.Name)
 	}
 	stop()
-	f.Judge(deliverycheck.Order)
+	f.Check(deliverycheck.Order)
 }
 
 // Guards against a pin that takes along what lies in the same range, or can't be taken back: the destination
@@ -208,27 +208,27 @@
 // still moves: nobody holds on to what was merged.
 func TestADestinationIsSplitOffAndMergedAgain(t *testing.T) {
 	t.Parallel()
-	f := calmly(t, harness.Shape{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
+	f := calmly(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
 	var home, target *harness.Member
-	f.Soon("homes", func() bool { home = f.Home(2); return home != nil && f.Home(4) == home })
+	f.Eventually("homes", func() bool { home = f.Owner(2); return home != nil && f.Owner(4) == home })
 	for _, m := range f.Members {
 		if m != home {
 			target = m
 		}
 	}
 	stop := entering(f, target, few, 2, 4)
-	before := len(f.Map().Ranges)
-	f.Reload(fmt.Sprintf("pin \"p\" {\n  destinations = [2]\n  to = %q\n}\n", target.Name))
-	f.Soon("it goes alone", func() bool { return f.Home(2) == target })
-	f.Homed()
-	assert.Equal(t, home, f.Home(4))
-	assert.Len(t, f.Map().Ranges, before+2)
-	f.Reload("")
-	f.Soon("it is merged", func() bool { chart := f.Map(); return chart != nil && len(chart.Ranges) == before })
-	f.Homed()
-	assert.Equal(t, home, f.Home(2))
-	f.Reload(fmt.Sprintf("leave %q {}\n", home.Name))
-	f.Homed(home)
+	before := len(f.ShardMap().Ranges)
+	f.ReloadOperatorFiles(fmt.Sprintf("pin \"p\" {\n  destinations = [2]\n  to = %q\n}\n", target.Name))
+	f.Eventually("it goes alone", func() bool { return f.Owner(2) == target })
+	f.AwaitStable()
+	assert.Equal(t, home, f.Owner(4))
+	assert.Len(t, f.ShardMap().Ranges, before+2)
+	f.ReloadOperatorFiles("")
+	f.Eventually("it is merged", func() bool { chart := f.ShardMap(); return chart != nil && len(chart.Ranges) == before })
+	f.AwaitStable()
+	assert.Equal(t, home, f.Owner(2))
+	f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", home.Name))
+	f.AwaitStable(home)
 	stop()
-	f.Judge(deliverycheck.Order)
+	f.Check(deliverycheck.Order)
 }
--- a/test/integration/cluster/history_test.go
+++ b/test/integration/cluster/history_test.go
@@ -20,38 +20,42 @@
 // that one lock and one map could have.
 func TestTheHomesOfARunHaveAPastThatOneMapCouldHave(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8, Rates: apart, Guarded: []string{errand},
-		Env: []string{harness.Stamped}})
-	views := f.Watch()
+	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: apart, CheckedResources: []string{errand},
+		Env: []string{harness.DebugLog}})
+	views := f.WatchOwnership()
 	faults := []func(m *harness.Member) func(){
 		func(m *harness.Member) func() { m.Kill(); some(1.5); return m.Start },
-		func(m *harness.Member) func() { m.Stop(); some(0.5); return m.Continue },
-		func(m *harness.Member) func() { m.Stop(); some(1.5); return m.Continue },
-		func(m *harness.Member) func() { f.Net.Apart(harness.Cut, m.Name); some(1.5); return f.Net.Heal },
+		func(m *harness.Member) func() { m.Pause(); some(0.5); return m.Resume },
+		func(m *harness.Member) func() { m.Pause(); some(1.5); return m.Resume },
+		func(m *harness.Member) func() {
+			f.Network.Isolate(harness.Partition, m.Name)
+			some(1.5)
+			return f.Network.Heal
+		},
 	}
 	round := 0
 	for _, fault := range faults {
 		for _, who := range []func(leaver *harness.Member) *harness.Member{
 			func(leaver *harness.Member) *harness.Member { return leaver },
-			func(*harness.Member) *harness.Member { return f.Leader() },
+			func(*harness.Member) *harness.Member { return f.AwaitLeader() },
 		} {
-			leaver, marks := busiest(f), f.Marks()
+			leaver, marks := busiest(f), f.LogOffsets()
 			round++ // a plan that is the running one changes nothing
-			f.Reload(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", leaver.Name, 2+round))
-			f.Soon("a move is under way", func() bool {
-				return f.Said(marks, "INFO move passes ") != nil || f.Said(marks, "INFO plan taken up ") != nil
+			f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", leaver.Name, 2+round))
+			f.Eventually("a move is under way", func() bool {
+				return f.FindLog(marks, "INFO move passes ") != nil || f.FindLog(marks, "INFO plan taken up ") != nil
 			})
 			fault(who(leaver))()
-			f.Homed(leaver)
+			f.AwaitStable(leaver)
 			going(f)
 		}
 	}
-	f.Judge()
-	views.Judge()
+	f.Check()
+	views.Check()
 	require.False(t, t.Failed())
 
 	// The same past, made wrong in one place: the check would have seen it.
-	last, others := lastGrant(t, views.Past())
+	last, others := lastGrant(t, views.Events())
 	for name, spoil := range map[string]func(p *leasecheck.OwnershipEvent){
 		"granted by an epoch that is gone by": func(p *leasecheck.OwnershipEvent) { p.Epoch = 1 },
 		"granted before all others":           func(p *leasecheck.OwnershipEvent) { p.Until = 1 },
--- a/test/integration/cluster/keepers_test.go
+++ b/test/integration/cluster/keepers_test.go
@@ -10,8 +10,8 @@
 )
 
 // loaded is a fleet under load in which all members want the errand, by clocks as far apart as may be.
-func loaded(t *testing.T) (f *harness.Fleet, stop func()) {
-	f = begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8, Rates: apart, Guarded: []string{errand}})
+func loaded(t *testing.T) (f *harness.Cluster, stop func()) {
+	f = begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: apart, CheckedResources: []string{errand}})
 	slowly(t, f)
 	going(f)
 	return f, load(f)
@@ -20,27 +20,27 @@
 // Guards against a folder that is full and takes more than its own member with it: tasks go to others, what
 // can't be written is not taken on, and once there is room all goes on, with nobody's help.
 func TestAFolderThatIsFullForAWhile(t *testing.T) {
-	for name, who := range map[string]func(f *harness.Fleet) *harness.Member{
-		"of the leading keeper": (*harness.Fleet).Leader,
-		"of a home":             func(f *harness.Fleet) *harness.Member { m, _ := homes(f); return m },
+	for name, who := range map[string]func(f *harness.Cluster) *harness.Member{
+		"of the leading keeper": (*harness.Cluster).AwaitLeader,
+		"of a home":             func(f *harness.Cluster) *harness.Member { m, _ := homes(f); return m },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, stop := loaded(t)
 			m := who(f)
-			mark := m.Log.Mark()
-			m.LimitFiles(1)
+			mark := m.Log.Offset()
+			m.LimitFileSize(1)
 			if m == f.LeaderNow() { // at rest the log is not written
 				f.Member("m4").Restart()
 			}
-			m.AwaitFrom(mark, "file too large")
+			m.AwaitLogFrom(mark, "file too large")
 			some(2)
 			assert.True(t, m.Running())
-			m.LimitFiles(0)
-			f.Homed()
+			m.LimitFileSize(0)
+			f.AwaitStable()
 			going(f)
 			stop()
-			f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+			f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 		})
 	}
 }
@@ -50,29 +50,29 @@
 	t.Parallel()
 	f, stop := loaded(t)
 	for _, first := range []int{0, 1} {
-		gone, marks := f.Keepers()[first:first+2], f.Marks()
+		gone, marks := f.RaftNodes()[first:first+2], f.LogOffsets()
 		for _, m := range gone {
 			m.Kill()
 		}
 		for _, m := range f.Members {
 			if m.Running() {
-				m.AwaitFrom(marks[m], "session over")
+				m.AwaitLogFrom(marks[m], "session over")
 			}
 		}
-		taken := f.Platform.Ledger.Counts().Taken
+		taken := f.Platform.Checker.Counts().Accepted
 		some(1.5)
-		assert.Greater(t, f.Platform.Ledger.Counts().Taken, taken, "nothing is taken on without a majority")
+		assert.Greater(t, f.Platform.Checker.Counts().Accepted, taken, "nothing is taken on without a majority")
 		for _, m := range gone {
-			m.Launch()
+			m.StartAsync()
 		}
 		for _, m := range gone {
-			m.Ready()
+			m.AwaitReady()
 		}
-		f.Homed()
+		f.AwaitStable()
 		going(f)
 	}
 	stop()
-	f.Judge(deliverycheck.Order)
+	f.Check(deliverycheck.Order)
 }
 
 // Guards against two that act at once where clocks run apart and members stand still for half a term to
@@ -84,12 +84,12 @@
 	stop := load(f)
 	for _, terms := range []float64{0.5, 1, 1.5, 3} {
 		who, _ := holder(f)
-		who.Stop()
+		who.Pause()
 		some(terms)
-		who.Continue()
+		who.Resume()
 		going(f)
 	}
-	f.Homed()
+	f.AwaitStable()
 	stop()
-	f.Judge(deliverycheck.Order)
+	f.Check(deliverycheck.Order)
 }
--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -10,8 +10,8 @@
 )
 
 // guarded is a fleet in which all members want the errand.
-func guarded(t *testing.T, rates map[string]float64) *harness.Fleet {
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Rates: rates, Guarded: []string{errand}})
+func guarded(t *testing.T, rates map[string]float64) *harness.Cluster {
+	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, ClockRates: rates, CheckedResources: []string{errand}})
 	going(f)
 	return f
 }
@@ -29,15 +29,15 @@
 		begin   func(m *harness.Member) (end func())
 	}{
 		{"killed", true, func(m *harness.Member) func() { m.Kill(); return m.Start }},
-		{"stopped for long", true, func(m *harness.Member) func() { m.Stop(); return m.Continue }},
-		{"cut off", true, func(m *harness.Member) func() { f.Net.Apart(harness.Cut, m.Name); return f.Net.Heal }},
+		{"stopped for long", true, func(m *harness.Member) func() { m.Pause(); return m.Resume }},
+		{"cut off", true, func(m *harness.Member) func() { f.Network.Isolate(harness.Partition, m.Name); return f.Network.Heal }},
 		{"refused by all", true, func(m *harness.Member) func() {
-			f.Net.Apart(harness.Refuse, m.Name)
-			return f.Net.Heal
+			f.Network.Isolate(harness.Refused, m.Name)
+			return f.Network.Heal
 		}},
-		{"unheard", true, func(m *harness.Member) func() { oneWay(f, m, true); return f.Net.Heal }},
-		{"deaf", false, func(m *harness.Member) func() { oneWay(f, m, false); return f.Net.Heal }},
-		{"told to end", true, func(m *harness.Member) func() { m.End(); return m.Start }},
+		{"unheard", true, func(m *harness.Member) func() { oneWay(f, m, true); return f.Network.Heal }},
+		{"deaf", false, func(m *harness.Member) func() { oneWay(f, m, false); return f.Network.Heal }},
+		{"told to end", true, func(m *harness.Member) func() { m.Terminate(); return m.Start }},
 	} {
 		who, epoch := holder(f)
 		t.Logf("%s: %s with %d", c.name, who.Name, epoch)
@@ -48,22 +48,22 @@
 			some(2.5)
 		}
 		end()
-		who.Ready()
+		who.AwaitReady()
 		going(f)
-		f.Judge()
+		f.Check()
 		require.False(t, t.Failed(), c.name)
 	}
 }
 
 // oneWay has nothing of what a member says arrive, or nothing of what it is told.
-func oneWay(f *harness.Fleet, m *harness.Member, says bool) {
+func oneWay(f *harness.Cluster, m *harness.Member, says bool) {
 	for _, other := range f.Members {
 		switch {
 		case other == m:
 		case says:
-			f.Net.Set(m.Name, other.Name, harness.OneWay)
+			f.Network.SetFault(m.Name, other.Name, harness.OneWayPartition)
 		default:
-			f.Net.Set(other.Name, m.Name, harness.OneWay)
+			f.Network.SetFault(other.Name, m.Name, harness.OneWayPartition)
 		}
 	}
 }
@@ -74,11 +74,11 @@
 	f := guarded(t, nil)
 	for _, terms := range []float64{0.5, 0.9, 1.1, 2, 3} {
 		who, _ := holder(f)
-		who.Stop()
+		who.Pause()
 		some(terms)
-		who.Continue()
+		who.Resume()
 		going(f)
-		f.Judge()
+		f.Check()
 		require.False(t, t.Failed(), "%g terms", terms)
 	}
 }
@@ -92,26 +92,26 @@
 		who := away(f, slow)
 		for _, other := range f.Members {
 			if other != who {
-				f.Net.Set(other.Name, who.Name, harness.Late(term/10)) // less than an ask is waited for
+				f.Network.SetFault(other.Name, who.Name, harness.Delayed(term/10)) // less than an ask is waited for
 			}
 		}
 		some(1.5)
 		_, epoch := holder(f)
-		f.Net.Apart(harness.Cut, who.Name)
+		f.Network.Isolate(harness.Partition, who.Name)
 		taken(f, epoch)
-		f.Net.Heal()
+		f.Network.Heal()
 		going(f)
-		f.Judge()
+		f.Check()
 		require.False(t, t.Failed())
 	}
 }
 
 // away has the errand held by one of some who does not lead the keepers.
-func away(f *harness.Fleet, some []*harness.Member) (who *harness.Member) {
+func away(f *harness.Cluster, some []*harness.Member) (who *harness.Member) {
 	for {
 		who, epoch := holder(f)
 		for _, m := range some {
-			if m == who && f.Leader() != who {
+			if m == who && f.AwaitLeader() != who {
 				return who
 			}
 		}
@@ -127,21 +127,21 @@
 	f := guarded(t, apart)
 	for _, fault := range []func(m *harness.Member) func(){
 		func(m *harness.Member) func() { m.Kill(); return m.Start },
-		func(m *harness.Member) func() { m.Stop(); return m.Continue },
-		func(m *harness.Member) func() { f.Net.Apart(harness.Cut, m.Name); return f.Net.Heal },
+		func(m *harness.Member) func() { m.Pause(); return m.Resume },
+		func(m *harness.Member) func() { f.Network.Isolate(harness.Partition, m.Name); return f.Network.Heal },
 	} {
-		leader := f.Leader()
+		leader := f.AwaitLeader()
 		who, epoch := holder(f)
 		end := fault(leader)
 		if who == leader {
 			taken(f, epoch)
 		}
-		f.Soon("another one leads", func() bool { m := f.LeaderNow(); return m != nil && m != leader })
+		f.Eventually("another one leads", func() bool { m := f.LeaderNow(); return m != nil && m != leader })
 		going(f)
 		end()
-		leader.Ready()
+		leader.AwaitReady()
 		going(f)
-		f.Judge()
+		f.Check()
 		require.False(t, t.Failed())
 	}
 }
@@ -152,14 +152,14 @@
 	f := guarded(t, apart)
 	for _, how := range []string{"cut", "killed"} {
 		holder(f)
-		marks := f.Marks()
-		gone := f.Keepers()[:2]
+		marks := f.LogOffsets()
+		gone := f.RaftNodes()[:2]
 		for _, m := range gone {
 			if how == "cut" {
-				f.Net.Apart(harness.Cut, m.Name)
+				f.Network.Isolate(harness.Partition, m.Name)
 				for _, other := range gone {
 					if other != m {
-						f.Net.Between(m.Name, other.Name, harness.Cut)
+						f.Network.SetFaultBetween(m.Name, other.Name, harness.Partition)
 					}
 				}
 			} else {
@@ -168,20 +168,20 @@
 		}
 		for _, m := range f.Members {
 			if m.Running() {
-				m.AwaitFrom(marks[m], "session over")
+				m.AwaitLogFrom(marks[m], "session over")
 			}
 		}
-		n := len(f.Guard.Operations(errand))
+		n := len(f.LeaseChecker.Operations(errand))
 		some(1.5)
-		assert.Len(t, f.Guard.Operations(errand), n, "%s: deeds without a majority", how)
-		f.Net.Heal()
+		assert.Len(t, f.LeaseChecker.Operations(errand), n, "%s: deeds without a majority", how)
+		f.Network.Heal()
 		for _, m := range gone {
 			if !m.Running() {
 				m.Start()
 			}
 		}
 		going(f)
-		f.Judge()
+		f.Check()
 		require.False(t, t.Failed(), how)
 	}
 }
--- a/test/integration/cluster/places_test.go
+++ b/test/integration/cluster/places_test.go
@@ -18,44 +18,44 @@
 // by a grant that still stands. Guards against two that call it at once: whoever conducts has read the file
 // and the others have not, and the next home waits until the one before is heard of.
 func TestADestinationThatJoinsASiteWhileItsHomeIsCutOffIsCalledFromOnePlace(t *testing.T) {
-	story(t, func(f *harness.Fleet) {
+	story(t, func(f *harness.Cluster) {
 		conducts, joins := conductor(f), direct[0]
-		if f.Home(joins) == conducts {
+		if f.Owner(joins) == conducts {
 			joins = direct[2]
 		}
-		was := f.Home(joins)
+		was := f.Owner(joins)
 		ctx, cancel := context.WithCancel(context.Background())
-		wait := f.Platform.Drive(ctx, platform.Load{Members: []string{"m1", "m2", "m3"}, PerSecond: 60, Lines: 9,
+		wait := f.Platform.StartLoad(ctx, platform.Load{Members: []string{"m1", "m2", "m3"}, PerSecond: 60, Clients: 9,
 			Next: func(int) platform.Webhook {
-				return platform.Webhook{Type: "charge", Dest: joins, TTL: 20 * time.Second, Body: "one"}
+				return platform.Webhook{Type: "charge", Destination: joins, TTL: 20 * time.Second, Body: "one"}
 			}})
 		lasts(0.2)
-		marks := f.Marks()
-		f.Net.Apart(harness.Cut, was.Name)
-		f.Write(strings.Replace(twoSites, "31, 32, 33", fmt.Sprintf("31, 32, 33, %d", joins), 1))
-		conducts.HangUp()
-		f.AwaitAny(marks, "INFO destinations placed")
+		marks := f.LogOffsets()
+		f.Network.Isolate(harness.Partition, was.Name)
+		f.WriteOperatorFiles(strings.Replace(twoSites, "31, 32, 33", fmt.Sprintf("31, 32, 33, %d", joins), 1))
+		conducts.SendHangup()
+		f.AwaitLog(marks, "INFO destinations placed")
 		lasts(0.25)
-		f.Net.Heal()
-		was.AwaitFrom(marks[was], "INFO destinations let go")
+		f.Network.Heal()
+		was.AwaitLogFrom(marks[was], "INFO destinations let go")
 		lasts(0.1)
 		until := f.Platform.Now()
 		for _, m := range f.Members { // the other members read the file one by one
 			lasts(0.1)
-			m.HangUp()
+			m.SendHangup()
 		}
 		lasts(0.3)
 		cancel()
 		wait()
-		assert.Empty(t, f.Platform.Ledger.Beside(joins, until), "%s conducts, %s was home", conducts.Name, was.Name)
+		assert.Empty(t, f.Platform.Checker.ConcurrentCalls(joins, until), "%s conducts, %s was home", conducts.Name, was.Name)
 	}, deliverycheck.Order, deliverycheck.Overlap) // a relay may be cut off from its sender, too
 }
 
 // conductor is who said last that it conducts.
-func conductor(f *harness.Fleet) (who *harness.Member) {
+func conductor(f *harness.Cluster) (who *harness.Member) {
 	var at time.Time
-	for _, m := range f.Keepers() {
-		for _, line := range m.Log.All(0, "INFO conducts ") {
+	for _, m := range f.RaftNodes() {
+		for _, line := range m.Log.FindAll(0, "INFO conducts ") {
 			if line.At.After(at) {
 				who, at = m, line.At
 			}
--- a/test/integration/cluster/plan_test.go
+++ b/test/integration/cluster/plan_test.go
@@ -22,15 +22,15 @@
 	for _, step := range []string{"move planned", "move warms", "move passes", "home switched", "move cleared"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8})
+			f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 			slowly(t, f)
 			stop := load(f)
 			for _, role := range []string{"source", "target", "conductor"} {
 				leaver := busiest(f)
-				marks := f.Marks()
+				marks := f.LogOffsets()
 				t.Logf("%s leaves, %s killed", leaver.Name, role)
-				f.Reload(fmt.Sprintf("leave %q {}\n", leaver.Name))
-				said := f.AwaitAny(marks, "INFO "+step+" ")
+				f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
+				said := f.AwaitLog(marks, "INFO "+step+" ")
 				who := leaver
 				switch role {
 				case "target":
@@ -39,28 +39,28 @@
 						who = f.Member(to.FindStringSubmatch(line.Text)[1])
 					}
 				case "conductor":
-					who = f.AwaitAny(marks, "INFO move planned ")
+					who = f.AwaitLog(marks, "INFO move planned ")
 				}
 				who.Kill()
-				f.Served()
+				f.AwaitServed()
 				who.Start()
-				f.Homed(leaver)
+				f.AwaitStable(leaver)
 			}
 			stop()
-			f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+			f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 			for d := range api.DestinationID(4) {
 				t.Logf("destination %d: longest gap %s", d+1,
-					time.Duration(f.Platform.Ledger.LongestGap(d+1))*time.Microsecond)
+					time.Duration(f.Platform.Checker.LongestGap(d+1))*time.Microsecond)
 			}
 		})
 	}
 }
 
 // busiest is the home of the most ranges.
-func busiest(f *harness.Fleet) *harness.Member {
+func busiest(f *harness.Cluster) *harness.Member {
 	n, most := map[string]int{}, ""
-	f.Soon("a map", func() bool {
-		chart := f.Map()
+	f.Eventually("a map", func() bool {
+		chart := f.ShardMap()
 		if chart == nil {
 			return false
 		}
@@ -77,17 +77,17 @@
 // Guards against webhooks lost, doubled or overtaken in moves in which nothing fails.
 func TestMovesUnderLoadLoseNothingAndDoNothingTwice(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8})
+	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 	for d := range api.DestinationID(4) {
-		require.NoError(t, f.Platform.Destination(d+1).Set(platform.Slow(term/5)))
+		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(term/5)))
 	}
 	stop := load(f)
 	for range 3 {
 		some(0.5)
 		leaver := busiest(f)
-		f.Reload(fmt.Sprintf("leave %q {}\n", leaver.Name))
-		f.Homed(leaver)
+		f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
+		f.AwaitStable(leaver)
 	}
 	stop()
-	f.Judge()
+	f.Check()
 }
--- a/test/integration/cluster/proof_test.go
+++ b/test/integration/cluster/proof_test.go
@@ -41,31 +41,31 @@
 var fleets = make(chan bool, max(2, runtime.NumCPU()/2))
 
 // begin starts a fleet with short terms, and waits until all ranges are homed.
-func begin(t *testing.T, s harness.Shape) *harness.Fleet {
+func begin(t *testing.T, s harness.Options) *harness.Cluster {
 	t.Helper()
 	fleets <- true
 	t.Cleanup(func() { <-fleets })
-	if s.Binary = binary; s.Term == 0 {
-		s.Term = term
+	if s.Binary = binary; s.LeaseTTL == 0 {
+		s.LeaseTTL = term
 	}
 	f := harness.Start(t, s)
-	f.Homed()
+	f.AwaitStable()
 	return f
 }
 
 // load hands in at every member, webhooks of each rule, until stop, which waits for all ends. A key's order
 // is the one in which one member takes them, so each key is handed in at one.
-func load(f *harness.Fleet) (stop func()) {
+func load(f *harness.Cluster) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
 	next := func(n int) platform.Webhook {
-		return platform.Webhook{Type: types[n%3], Dest: api.DestinationID(1 + n/3%4), TTL: 8 * time.Second,
+		return platform.Webhook{Type: types[n%3], Destination: api.DestinationID(1 + n/3%4), TTL: 8 * time.Second,
 			Body: "a webhook's body"}
 	}
-	waits := []func(){f.Platform.Drive(ctx, platform.Load{Members: f.Names(), PerSecond: 90, Lines: 12,
+	waits := []func(){f.Platform.StartLoad(ctx, platform.Load{Members: f.Names(), PerSecond: 90, Clients: 12,
 		Next: next})}
 	for _, name := range f.Names() {
-		waits = append(waits, f.Platform.Drive(ctx, platform.Load{Members: []string{name}, PerSecond: 40, Lines: 2,
+		waits = append(waits, f.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 40, Clients: 2,
 			Next: func(n int) platform.Webhook {
 				w := next(3 * n)
 				w.Type, w.Key = "ride", name
@@ -77,20 +77,20 @@
 		for _, wait := range waits {
 			wait()
 		}
-		f.Settled()
+		f.AwaitOutcomes()
 	}
 }
 
 // slowly has all destinations take a while, so that calls are out when something happens.
-func slowly(t *testing.T, f *harness.Fleet) {
+func slowly(t *testing.T, f *harness.Cluster) {
 	for d := range api.DestinationID(4) {
-		require.NoError(t, f.Platform.Destination(d+1).Set(platform.Slow(60*time.Millisecond)))
+		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(60*time.Millisecond)))
 	}
 }
 
 // last is the errand's deed that began last.
-func last(f *harness.Fleet) (d leasecheck.Operation) {
-	if all := f.Guard.Operations(errand); len(all) > 0 {
+func last(f *harness.Cluster) (d leasecheck.Operation) {
+	if all := f.LeaseChecker.Operations(errand); len(all) > 0 {
 		return all[len(all)-1]
 	}
 	return d
@@ -98,8 +98,8 @@
 
 // holder waits until the errand's holder, one that is in `of` where that is not empty, is in the midst of a
 // deed.
-func holder(f *harness.Fleet, of ...*harness.Member) (who *harness.Member, epoch uint64) {
-	f.Soon("a deed is under way", func() bool {
+func holder(f *harness.Cluster, of ...*harness.Member) (who *harness.Member, epoch uint64) {
+	f.Eventually("a deed is under way", func() bool {
 		d := last(f)
 		if d.Epoch == 0 || d.Until != api.Never {
 			return false
@@ -111,17 +111,17 @@
 }
 
 // taken waits until a deed by a later epoch has ended.
-func taken(f *harness.Fleet, epoch uint64) {
-	f.Soon("the errand is taken up anew", func() bool {
+func taken(f *harness.Cluster, epoch uint64) {
+	f.Eventually("the errand is taken up anew", func() bool {
 		d := last(f)
 		return d.Epoch > epoch && d.Until != api.Never
 	})
 }
 
 // going waits until some more deeds have ended, by whomever.
-func going(f *harness.Fleet) {
-	n := len(f.Guard.Operations(errand))
-	f.Soon("deeds go on", func() bool { return len(f.Guard.Operations(errand)) > n+3 })
+func going(f *harness.Cluster) {
+	n := len(f.LeaseChecker.Operations(errand))
+	f.Eventually("deeds go on", func() bool { return len(f.LeaseChecker.Operations(errand)) > n+3 })
 }
 
 // some is a part of a term, for a fault to last.
--- a/test/integration/cluster/ranges_test.go
+++ b/test/integration/cluster/ranges_test.go
@@ -13,11 +13,11 @@
 
 // homes are a home of some destination and another member; neither leads the keepers, so that a broken link
 // between them ends no session.
-func homes(f *harness.Fleet) (home, entry *harness.Member) {
-	f.Soon("a destination's home does not lead", func() bool {
+func homes(f *harness.Cluster) (home, entry *harness.Member) {
+	f.Eventually("a destination's home does not lead", func() bool {
 		leader := f.LeaderNow()
 		for d := range api.DestinationID(4) {
-			if m := f.Home(d + 1); leader != nil && m != nil && m != leader {
+			if m := f.Owner(d + 1); leader != nil && m != nil && m != leader {
 				home = m
 			}
 		}
@@ -32,7 +32,7 @@
 }
 
 // told tells whether some member counts more than none of something.
-func told(f *harness.Fleet, metric string) bool {
+func told(f *harness.Cluster, metric string) bool {
 	for _, m := range f.Members {
 		if v, ok := m.Metric(metric); ok && v != "0" {
 			return true
@@ -44,10 +44,10 @@
 // over plays a fault under load at a fleet of its own; no rule may break, but for those named. Where a home
 // is lost for longer than a term, what lies in its journal comes after what the next home takes meanwhile,
 // whatever its key.
-func over(t *testing.T, fault func(f *harness.Fleet, home, entry *harness.Member),
+func over(t *testing.T, fault func(f *harness.Cluster, home, entry *harness.Member),
 	but ...deliverycheck.Rule) {
 	t.Parallel()
-	f := begin(t, harness.Shape{Ranges: 8})
+	f := begin(t, harness.Options{Ranges: 8})
 	slowly(t, f)
 	stop := load(f)
 	some(0.5)
@@ -56,32 +56,32 @@
 	some(0.5)
 	assert.True(t, told(f, "member_forwarded_total"), "nothing was forwarded: the story tells nothing")
 	stop()
-	f.Homed()
-	f.Judge(but...)
-	t.Logf("%+v", f.Platform.Ledger.Counts())
+	f.AwaitStable()
+	f.Check(but...)
+	t.Logf("%+v", f.Platform.Checker.Counts())
 }
 
 func TestAHomeThatIsKilledAndComesBackWithItsFolder(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, _ *harness.Member) {
+	over(t, func(f *harness.Cluster, home, _ *harness.Member) {
 		home.Kill()
-		f.Served()
+		f.AwaitServed()
 		home.Start()
 	}, deliverycheck.Order)
 }
 
 func TestAHomeThatIsKilledAndComesBackAtOnce(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, _ *harness.Member) {
+	over(t, func(f *harness.Cluster, home, _ *harness.Member) {
 		home.Restart()
 		home.Restart()
 	}, deliverycheck.Order)
 }
 
 func TestAHomeThatStandsStill(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, _ *harness.Member) {
+	over(t, func(f *harness.Cluster, home, _ *harness.Member) {
 		for _, terms := range []float64{0.5, 1.2, 3} {
-			home.Stop()
+			home.Pause()
 			some(terms)
-			home.Continue()
+			home.Resume()
 			some(0.5)
 			home, _ = homes(f)
 		}
@@ -89,39 +89,39 @@
 }
 
 func TestAHomeThatIsCutOffFromOneEntry(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, entry *harness.Member) {
-		f.Net.Between(home.Name, entry.Name, harness.Cut)
+	over(t, func(f *harness.Cluster, home, entry *harness.Member) {
+		f.Network.SetFaultBetween(home.Name, entry.Name, harness.Partition)
 		some(2)
-		f.Net.Heal()
+		f.Network.Heal()
 		assert.True(t, told(f, "member_doubts_total"), "no forward was in doubt")
 	})
 }
 
 func TestAHomeThatIsCutOffFromAll(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, _ *harness.Member) {
-		f.Net.Apart(harness.Cut, home.Name)
+	over(t, func(f *harness.Cluster, home, _ *harness.Member) {
+		f.Network.Isolate(harness.Partition, home.Name)
 		some(2.5)
-		f.Net.Heal()
+		f.Network.Heal()
 	}, deliverycheck.Order)
 }
 
 func TestAnswersOfAHomeThatAreLostHalfWay(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, entry *harness.Member) {
+	over(t, func(f *harness.Cluster, home, entry *harness.Member) {
 		for _, after := range []int{1, 90, 400} {
-			f.Net.Set(home.Name, entry.Name, harness.HalfWay(after))
+			f.Network.SetFault(home.Name, entry.Name, harness.ResetAfterBytes(after))
 			some(0.7)
 		}
 		assert.True(t, told(f, "member_doubts_total"), "no forward was in doubt")
-		f.Net.Heal()
+		f.Network.Heal()
 	})
 }
 
 func TestEntriesThatAreKilledWhileTheyForward(t *testing.T) {
-	over(t, func(f *harness.Fleet, home, entry *harness.Member) {
-		f.Net.Set(home.Name, entry.Name, harness.HalfWay(1))
+	over(t, func(f *harness.Cluster, home, entry *harness.Member) {
+		f.Network.SetFault(home.Name, entry.Name, harness.ResetAfterBytes(1))
 		some(0.5)
 		entry.Kill()
-		f.Net.Heal()
+		f.Network.Heal()
 		entry.Start()
 		require.True(t, entry.Running())
 	})
--- a/test/integration/cluster/session_test.go
+++ b/test/integration/cluster/session_test.go
@@ -22,17 +22,17 @@
 		span, err = time.ParseDuration(told)
 		require.NoError(b, err)
 	}
-	f := harness.Start(b, harness.Shape{Binary: binary, Term: span, Members: 4, Keepers: 3,
-		Guarded: []string{errand}})
-	f.Homed()
+	f := harness.Start(b, harness.Options{Binary: binary, LeaseTTL: span, Members: 4, RaftNodes: 3,
+		CheckedResources: []string{errand}})
+	f.AwaitStable()
 	var led, all []float64
-	who := f.AwaitAny(map[*harness.Member]int{}, "INFO task held", "task="+errand+" ")
+	who := f.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+errand+" ")
 	for b.Loop() {
 		time.Sleep(time.Duration(float64(span) * float64(len(all)%10) / 30)) // anywhere between two renewals
-		marks, leads := f.Marks(), f.LeaderNow() == who
+		marks, leads := f.LogOffsets(), f.LeaderNow() == who
 		since := time.Now()
 		who.Kill()
-		next := f.AwaitAny(marks, "INFO task held", "task="+errand+" ")
+		next := f.AwaitLog(marks, "INFO task held", "task="+errand+" ")
 		line, _ := next.Log.Find(marks[next], "INFO task held", "task="+errand+" ")
 		terms := line.At.Sub(since).Seconds() / span.Seconds()
 		if leads {
@@ -41,8 +41,8 @@
 			all = append(all, terms)
 		}
 		who.Start()
-		who.Ready()
-		f.Leader()
+		who.AwaitReady()
+		f.AwaitLeader()
 		who = next
 	}
 	report := func(of []float64, what string) {
--- a/test/integration/cluster/site_test.go
+++ b/test/integration/cluster/site_test.go
@@ -41,39 +41,39 @@
 `
 
 // sited is a fleet of three keepers and two relays.
-func sited(t *testing.T) *harness.Fleet {
+func sited(t *testing.T) *harness.Cluster {
 	all := slices.Concat(depot, harbor, direct)
-	f := begin(t, harness.Shape{Term: siteTerm, Members: 5, Ranges: 9, Dests: all, Blocks: twoSites,
-		WaitsBind: true,
-		Lists:     map[string][]api.DestinationID{"prices": all},
-		Extra: func(m string) string {
+	f := begin(t, harness.Options{LeaseTTL: siteTerm, Members: 5, Ranges: 9, Destinations: all, ConfigBlocks: twoSites,
+		WaitsBindAll:    true,
+		SubscriberLists: map[string][]api.DestinationID{"prices": all},
+		MemberSettings: func(m string) string {
 			if m == "m4" || m == "m5" {
 				return "  weight = 0\n"
 			}
 			return ""
 		}})
-	f.Homed()
+	f.AwaitStable()
 	for _, d := range all {
-		require.NoError(t, f.Platform.Destination(d).Set(platform.Slow(60*time.Millisecond)))
+		require.NoError(t, f.Platform.Destination(d).SetBehaviour(platform.Slow(60*time.Millisecond)))
 	}
 	return f
 }
 
 // announce hands announcements of each rule in, and single webhooks to subscribers behind relays beside them.
-func announce(f *harness.Fleet, at ...string) (stop func()) {
+func announce(f *harness.Cluster, at ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types, both := []string{"status", "paid", "charge", "ride"}, slices.Concat(depot, harbor)
-	waits := []func(){f.Platform.Drive(ctx, platform.Load{Members: at, PerSecond: 8, Lines: 4,
+	waits := []func(){f.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 8, Clients: 4,
 		Next: func(n int) platform.Webhook {
 			return platform.Webhook{Type: types[n%4], List: "prices", TTL: 20 * time.Second, Body: "prices of today"}
-		}}), f.Platform.Drive(ctx, platform.Load{Members: at, PerSecond: 100, Lines: 8,
+		}}), f.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 100, Clients: 8,
 		Next: func(n int) platform.Webhook { // most of which may take effect once only
-			return platform.Webhook{Type: types[min(n%5, 2)], Dest: both[n%12], TTL: 20 * time.Second, Body: "one"}
+			return platform.Webhook{Type: types[min(n%5, 2)], Destination: both[n%12], TTL: 20 * time.Second, Body: "one"}
 		}})}
 	for _, name := range at { // a key's order is the one in which one member takes them
-		waits = append(waits, f.Platform.Drive(ctx, platform.Load{Members: []string{name}, PerSecond: 15, Lines: 1,
+		waits = append(waits, f.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 15, Clients: 1,
 			Next: func(n int) platform.Webhook {
-				return platform.Webhook{Type: "ride", Key: name, Dest: both[n%12], TTL: 20 * time.Second, Body: "one"}
+				return platform.Webhook{Type: "ride", Key: name, Destination: both[n%12], TTL: 20 * time.Second, Body: "one"}
 			}}))
 	}
 	return func() {
@@ -81,12 +81,12 @@
 		for _, wait := range waits {
 			wait()
 		}
-		f.Settled()
+		f.AwaitOutcomes()
 	}
 }
 
 // ends counts those that relays told, at the members that are owed them.
-func ends(f *harness.Fleet) (n int) {
+func ends(f *harness.Cluster) (n int) {
 	for _, m := range f.Members {
 		v, _ := m.Metric("site_ends_total")
 		each, _ := strconv.Atoi(v)
@@ -96,9 +96,9 @@
 }
 
 // sender is who sends to a site: the home of its subscribers.
-func sender(f *harness.Fleet, of api.DestinationID) (m *harness.Member) {
-	f.Soon("a site has its sender", func() bool {
-		m = f.Home(of)
+func sender(f *harness.Cluster, of api.DestinationID) (m *harness.Member) {
+	f.Eventually("a site has its sender", func() bool {
+		m = f.Owner(of)
 		return m != nil
 	})
 	return m
@@ -107,41 +107,41 @@
 // story plays faults at such a fleet under load, at which no rule may break. Where a home is lost for
 // longer than a term, what lies in its journal comes after what the next home takes meanwhile, whatever its
 // key.
-func story(t *testing.T, faults func(f *harness.Fleet), but ...deliverycheck.Rule) (notices int) {
+func story(t *testing.T, faults func(f *harness.Cluster), but ...deliverycheck.Rule) (notices int) {
 	t.Parallel()
 	f := sited(t)
 	stop := announce(f, "m1", "m2", "m3")
-	f.Soon("something goes by the streams", func() bool { return told(f, "site_ends_total") })
+	f.Eventually("something goes by the streams", func() bool { return told(f, "site_ends_total") })
 	lasts(0.5)
 	faults(f)
 	lasts(0.5)
 	stop()
-	f.Judge(but...)
-	t.Logf("%+v", f.Platform.Ledger.Counts())
-	return f.Platform.Ledger.Counts().Told
+	f.Check(but...)
+	t.Logf("%+v", f.Platform.Checker.Counts())
+	return f.Platform.Checker.Counts().Notices
 }
 
 // Guards against two ends: what the relay has is dead-lettered by nobody meanwhile, as it comes back in time.
 func TestASenderAndItsRelayThatDoNotHearEachOtherForAWhile(t *testing.T) {
-	assert.Zero(t, story(t, func(f *harness.Fleet) {
+	assert.Zero(t, story(t, func(f *harness.Cluster) {
 		waits := f.Platform.Destination(harbor[4])
-		waits.Next(platform.Full(3 * time.Second))
+		waits.QueueBehaviours(platform.RateLimited(3 * time.Second))
 		lasts(0.4) // what it told the relay binds the sender, too
-		for _, fault := range []harness.Fault{harness.Cut, harness.OneWay, harness.HalfWay(2000)} {
+		for _, fault := range []harness.Fault{harness.Partition, harness.OneWayPartition, harness.ResetAfterBytes(2000)} {
 			who := sender(f, harbor[0])
-			f.Net.Set("m5", who.Name, fault)
-			f.Net.Set(who.Name, "m5", harness.Fault{})
+			f.Network.SetFault("m5", who.Name, fault)
+			f.Network.SetFault(who.Name, "m5", harness.Fault{})
 			lasts(1)
-			f.Net.Heal()
+			f.Network.Heal()
 			lasts(0.5)
 		}
 	}, deliverycheck.Overlap), "no webhook ends but by being delivered")
 }
 
 func TestAnAnnouncementEndsOnceAtEachSubscriberWhateverBecomesOfItsRelayAndSender(t *testing.T) {
-	story(t, func(f *harness.Fleet) {
+	story(t, func(f *harness.Cluster) {
 		f.Member("m4").Kill()
-		f.Soon("what was there or would go there is seen to", func() bool {
+		f.Eventually("what was there or would go there is seen to", func() bool {
 			return told(f, "site_beside_total") || told(f, "site_unsure_total")
 		})
 		lasts(0.5)
@@ -149,25 +149,25 @@
 		lasts(0.5)
 
 		who := sender(f, harbor[0])
-		f.Net.Between(who.Name, "m5", harness.Cut)
-		who.Await("called directly", "site=harbor", "directly=true")
-		f.Net.Heal()
+		f.Network.SetFaultBetween(who.Name, "m5", harness.Partition)
+		who.AwaitLog("called directly", "site=harbor", "directly=true")
+		f.Network.Heal()
 		lasts(0.5)
 
 		who = sender(f, depot[0])
 		who.Kill()
-		f.Served()
+		f.AwaitServed()
 		who.Start()
 	}, deliverycheck.Order, deliverycheck.Overlap) // while a relay is cut off, what may run twice may run at both
 }
 
 func TestARelayThatStandsStillHoldsUpNoOtherSite(t *testing.T) {
-	story(t, func(f *harness.Fleet) {
+	story(t, func(f *harness.Cluster) {
 		for range 2 {
-			f.Member("m5").Stop()
+			f.Member("m5").Pause()
 			n := ends(f)
-			f.Soon("the other site's subscribers go on", func() bool { return ends(f) > n+50 })
-			f.Member("m5").Continue()
+			f.Eventually("the other site's subscribers go on", func() bool { return ends(f) > n+50 })
+			f.Member("m5").Resume()
 			lasts(0.5)
 		}
 	}, deliverycheck.Order)
@@ -176,19 +176,19 @@
 func TestSubscribersThatLeaveMoveAndComeBackAndRelaysThatChangeSitesUnderLoad(t *testing.T) {
 	moved := strings.NewReplacer("24, 25, 26", "24, 25", "31, 32, 33", "26, 32, 33").Replace(twoSites)
 	swapped := strings.NewReplacer("m4", "m5", "m5", "m4").Replace(twoSites)
-	assert.Zero(t, story(t, func(f *harness.Fleet) {
+	assert.Zero(t, story(t, func(f *harness.Cluster) {
 		for _, blocks := range []string{moved, swapped, twoSites} {
-			f.Reload(blocks)
+			f.ReloadOperatorFiles(blocks)
 			lasts(1)
 		}
 	}, deliverycheck.Order), "no webhook ends but by being delivered")
 }
 
 func TestRelaysAndSendersThatAreToldToEndAndComeBack(t *testing.T) {
-	story(t, func(f *harness.Fleet) {
+	story(t, func(f *harness.Cluster) {
 		for _, m := range []*harness.Member{f.Member("m4"), sender(f, harbor[0])} {
-			m.End()
-			f.Served()
+			m.Terminate()
+			f.AwaitServed()
 			m.Start()
 			lasts(0.5)
 		}
@@ -198,20 +198,20 @@
 // A subscriber behind one relay is sick while that is lost, one behind the other has an endpoint that drains
 // while that is cut off: whoever calls, what returns is not pushed over and the drain is kept.
 func TestASickSubscriberAndADrainBehindRelaysThatAreMissed(t *testing.T) {
-	story(t, func(f *harness.Fleet) {
+	story(t, func(f *harness.Cluster) {
 		sick := f.Platform.Destination(depot[1])
-		require.NoError(t, sick.Fail(platform.Shut))
+		require.NoError(t, sick.BeginOutage(platform.Unavailable))
 		first := f.Platform.Endpoints(harbor[2])[0]
-		_, err := f.Platform.Add(harbor[2])
+		_, err := f.Platform.AddEndpoint(harbor[2])
 		require.NoError(t, err)
 		lasts(0.5)
 		f.Member("m4").Kill()
 		f.Platform.Drain(first)
-		f.Net.Between(sender(f, harbor[0]).Name, "m5", harness.Cut)
+		f.Network.SetFaultBetween(sender(f, harbor[0]).Name, "m5", harness.Partition)
 		lasts(0.7)
-		require.NoError(t, sick.Return(100))
+		require.NoError(t, sick.EndOutage(100))
 		f.Member("m4").Start()
-		f.Net.Heal()
+		f.Network.Heal()
 		lasts(1)
 	}, deliverycheck.Order, deliverycheck.Overlap) // as above
 }
--- a/test/integration/harness/fleet.go
+++ b/test/integration/harness/fleet.go
@@ -25,44 +25,44 @@
 	"rowanlink/webhook/api"
 )
 
-// Shape is what a fleet is started as. Zero values stand for the usual.
-type Shape struct {
-	Binary      string                     // Build's
-	Members     int                        // 3 to 12; 0: 3
-	Keepers     int                        // the first so many; 0: 3, or 5 from 8 members on
-	Term        time.Duration              // 0: 3 s
-	ClocksApart float64                    // told in the operator file; 0: 0.05
-	Rates       map[string]float64         // members' clocks; left out: 1
-	Ranges      int                        // 0: 16
-	Spare       int                        // of the members, the last so many are in no operator file yet
-	Extra       func(member string) string // further lines of a member's block
-	Blocks      string                     // further blocks of the operator file
-	Dests       []api.DestinationID        // 0: 1 to 4, an endpoint each
-	Weight      float64                    // calls a second that the list says of each; 0: 200
-	Lists       map[string][]api.DestinationID
-	DiskMB      float64    // limits.disk_mb; 0: 64
-	Settings    string     // in place of the usual
-	Slack       api.Micros // of the ledger; 0: 5 s
-	WaitsBind   bool       // a wait told to one member binds all
-	Guarded     []string   // tasks: members that hold them do deeds at the guard
-	Env         []string
-	Plain       bool // bin/rowanlink: no fleet
-	Idle        bool // no member is started
+// Options is what a fleet is started as. Zero values stand for the usual.
+type Options struct {
+	Binary           string                     // Build's
+	Members          int                        // 3 to 12; 0: 3
+	RaftNodes        int                        // the first so many; 0: 3, or 5 from 8 members on
+	LeaseTTL         time.Duration              // 0: 3 s
+	ClockDrift       float64                    // told in the operator file; 0: 0.05
+	ClockRates       map[string]float64         // members' clocks; left out: 1
+	Ranges           int                        // 0: 16
+	SpareMembers     int                        // of the members, the last so many are in no operator file yet
+	MemberSettings   func(member string) string // further lines of a member's block
+	ConfigBlocks     string                     // further blocks of the operator file
+	Destinations     []api.DestinationID        // 0: 1 to 4, an endpoint each
+	Weight           float64                    // calls a second that the list says of each; 0: 200
+	SubscriberLists  map[string][]api.DestinationID
+	DiskMB           float64    // limits.disk_mb; 0: 64
+	Settings         string     // in place of the usual
+	Slack            api.Micros // of the ledger; 0: 5 s
+	WaitsBindAll     bool       // a wait told to one member binds all
+	CheckedResources []string   // tasks: members that hold them do deeds at the guard
+	Env              []string
+	Standalone       bool // bin/rowanlink: no fleet
+	NotStarted       bool // no member is started
 }
 
-// Fleet is one that runs.
-type Fleet struct {
-	Members  []*Member
-	Net      *Net
-	Platform *platform.Platform
-	Guard    *leasecheck.Checker // where Shape names tasks for it
+// Cluster is one that runs.
+type Cluster struct {
+	Members      []*Member
+	Network      *Network
+	Platform     *platform.Platform
+	LeaseChecker *leasecheck.Checker // where Shape names tasks for it
 
-	t      testing.TB
-	shape  Shape
-	http   *http.Client
-	mu     sync.Mutex
-	links  map[pair][2]string // says and log of the second as the first has them
-	ending bool
+	t       testing.TB
+	options Options
+	client  *http.Client
+	mu      sync.Mutex
+	links   map[memberPair][2]string // says and log of the second as the first has them
+	ending  bool
 }
 
 // Build builds a command of the repository for a test's TestMain and returns its path and what removes it. root is
@@ -74,133 +74,133 @@
 
 // Start starts a fleet and waits until all are ready. At the test's end all is ended, and the logs' tails are
 // shown where it failed.
-func Start(t testing.TB, shape Shape) *Fleet {
+func Start(t testing.TB, shape Options) *Cluster {
 	t.Helper()
-	f := &Fleet{Net: newNet(), t: t, shape: shape.usual(), links: map[pair][2]string{},
-		http: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	by, err := f.terms()
+	f := &Cluster{Network: newNetwork(), t: t, options: shape.withDefaults(), links: map[memberPair][2]string{},
+		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	by, err := f.requirements()
 	require.NoError(t, err)
-	f.Platform, err = platform.New(by, f.shape.Dests...)
+	f.Platform, err = platform.New(by, f.options.Destinations...)
 	require.NoError(t, err)
-	f.Platform.Lists = f.shape.Lists
-	for _, d := range f.shape.Dests {
-		f.Platform.Destination(d).Weight = f.shape.Weight
+	f.Platform.SubscriberLists = f.options.SubscriberLists
+	for _, d := range f.options.Destinations {
+		f.Platform.Destination(d).Weight = f.options.Weight
 	}
-	t.Cleanup(f.end)
+	t.Cleanup(f.shutDown)
 	dir := t.TempDir()
-	if len(f.shape.Guarded) > 0 {
-		f.Guard, err = leasecheck.Open(filepath.Join(dir, "deeds"))
+	if len(f.options.CheckedResources) > 0 {
+		f.LeaseChecker, err = leasecheck.Open(filepath.Join(dir, "deeds"))
 		require.NoError(t, err)
-		t.Cleanup(func() { f.Guard.Close() })
-		f.shape.Env = append(f.shape.Env, "ROWAN_GUARD="+f.Guard.Addr,
-			"ROWAN_GUARD_TASKS="+strings.Join(f.shape.Guarded, ","))
+		t.Cleanup(func() { f.LeaseChecker.Close() })
+		f.options.Env = append(f.options.Env, "ROWAN_GUARD="+f.LeaseChecker.Addr,
+			"ROWAN_GUARD_TASKS="+strings.Join(f.options.CheckedResources, ","))
 	}
-	for i := range f.shape.Members {
-		f.Members = append(f.Members, f.member(dir, fmt.Sprintf("m%d", i+1)))
+	for i := range f.options.Members {
+		f.Members = append(f.Members, f.newMember(dir, fmt.Sprintf("m%d", i+1)))
 	}
-	f.wire()
+	f.createLinks()
 	for _, m := range f.Members {
-		f.configure(m)
+		f.writeConfig(m)
 	}
-	f.Write(f.shape.Blocks)
-	if f.shape.Idle {
+	f.WriteOperatorFiles(f.options.ConfigBlocks)
+	if f.options.NotStarted {
 		return f
 	}
-	for _, m := range f.Members[:f.shape.Members-f.shape.Spare] {
-		m.Launch()
+	for _, m := range f.Members[:f.options.Members-f.options.SpareMembers] {
+		m.StartAsync()
 	}
-	for _, m := range f.Members[:f.shape.Members-f.shape.Spare] {
-		m.Ready()
+	for _, m := range f.Members[:f.options.Members-f.options.SpareMembers] {
+		m.AwaitReady()
 	}
 	return f
 }
 
-func (f *Fleet) keep() *portalloc.Port {
-	p, err := portalloc.Keep()
+func (f *Cluster) reservePort() *portalloc.Port {
+	p, err := portalloc.Reserve()
 	require.NoError(f.t, err)
 	f.t.Cleanup(func() { p.Close() })
 	return p
 }
 
 // Member is one by its name.
-func (f *Fleet) Member(name string) *Member {
+func (f *Cluster) Member(name string) *Member {
 	i := slices.IndexFunc(f.Members, func(m *Member) bool { return m.Name == name })
 	require.GreaterOrEqual(f.t, i, 0, "no member %s", name)
 	return f.Members[i]
 }
 
 // Names are all members'.
-func (f *Fleet) Names() (all []string) {
+func (f *Cluster) Names() (all []string) {
 	for _, m := range f.Members {
 		all = append(all, m.Name)
 	}
 	return all
 }
 
-// Keepers are those that keep the log.
-func (f *Fleet) Keepers() []*Member { return f.Members[:f.shape.Keepers] }
+// RaftNodes are those that keep the log.
+func (f *Cluster) RaftNodes() []*Member { return f.Members[:f.options.RaftNodes] }
 
-// Settled waits until each webhook that was taken on has its end.
-func (f *Fleet) Settled() {
+// AwaitOutcomes waits until each webhook that was taken on has its end.
+func (f *Cluster) AwaitOutcomes() {
 	f.t.Helper()
 	defer func() {
 		if f.t.Failed() {
-			f.courses()
+			f.logWebhookTraces()
 		}
 	}()
-	f.Soon("each webhook has its end", func() bool { return f.Platform.Ledger.Open() == 0 })
+	f.Eventually("each webhook has its end", func() bool { return f.Platform.Checker.Outstanding() == 0 })
 }
 
-// Judge fails the test for each breach, but for those of rules that it names, and for what the guard saw.
-func (f *Fleet) Judge(but ...deliverycheck.Rule) {
+// Check fails the test for each breach, but for those of rules that it names, and for what the guard saw.
+func (f *Cluster) Check(but ...deliverycheck.Rule) {
 	f.t.Helper()
 	n := 0
-	for _, b := range f.Platform.Judge() {
+	for _, b := range f.Platform.Check() {
 		if slices.Contains(but, b.Rule) {
 			continue
 		}
-		if n++; n <= mostTold {
-			f.t.Errorf("%s\n%s", b, f.Platform.Ledger.Story(b.ID))
+		if n++; n <= maxReportedViolations {
+			f.t.Errorf("%s\n%s", b, f.Platform.Checker.Describe(b.ID))
 		}
 	}
-	if n > mostTold {
-		f.t.Errorf("%d breaches more", n-mostTold)
+	if n > maxReportedViolations {
+		f.t.Errorf("%d breaches more", n-maxReportedViolations)
 	}
-	if f.Guard == nil {
+	if f.LeaseChecker == nil {
 		return
 	}
-	for _, b := range f.Guard.Violations() {
+	for _, b := range f.LeaseChecker.Violations() {
 		f.t.Errorf("guard: %s", b)
 	}
-	broken, err := f.Guard.CheckLinearizable(time.Minute)
+	broken, err := f.LeaseChecker.CheckLinearizable(time.Minute)
 	if len(broken) > 0 || err != nil {
 		f.t.Errorf("guard: porcupine: no lock with fencing has such a history: %v %v", broken, err)
 	}
 }
 
-// began has links to a member's new life stand until it is over; whoever ends by itself is refused, too.
-func (f *Fleet) began(m *Member, p *subprocess.Process) {
+// processStarted has links to a member's new life stand until it is over; whoever ends by itself is refused, too.
+func (f *Cluster) processStarted(m *Member, p *subprocess.Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.is = p
-	f.Net.gone(m.Name, false)
+	m.process = p
+	f.Network.setDown(m.Name, false)
 	go func() {
-		<-p.Over()
+		<-p.Done()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if m.Log.Note("%s has ended: %s", m.Name, p.End()); !f.ending && m.is == p {
-			f.Platform.Ledger.Down(f.Platform.Now(), m.Name, true)
-			f.Net.gone(m.Name, true)
+		if m.Log.Annotate("%s has ended: %s", m.Name, p.ExitStatus()); !f.ending && m.process == p {
+			f.Platform.Checker.RecordMemberDown(f.Platform.Now(), m.Name, true)
+			f.Network.setDown(m.Name, true)
 		}
 	}()
 }
 
-// mostTold bounds what a failure says: one cause has many breaches.
-const mostTold = 10
+// maxReportedViolations bounds what a failure says: one cause has many breaches.
+const maxReportedViolations = 10
 
-// keepLog leaves the whole log of a member of a fleet that failed in the folder ROWAN_LOGS, where that is
+// saveLog leaves the whole log of a member of a fleet that failed in the folder ROWAN_LOGS, where that is
 // set.
-func (f *Fleet) keepLog(m *Member) {
+func (f *Cluster) saveLog(m *Member) {
 	dir := os.Getenv("ROWAN_LOGS")
 	if dir == "" {
 		return
@@ -217,15 +217,15 @@
 	f.t.Log(os.WriteFile(filepath.Join(dir, m.Name+".log"), []byte(m.Log.Tail(1<<30)), 0o600))
 }
 
-// end kills all by their process ids, and shows what was said.
-func (f *Fleet) end() {
+// shutDown kills all by their process ids, and shows what was said.
+func (f *Cluster) shutDown() {
 	f.mu.Lock()
 	f.ending = true
 	f.mu.Unlock()
 	for _, m := range f.Members {
-		if m.is.Running() {
-			m.is.Signal(syscall.SIGKILL)
-			m.is.Ended(endWithin)
+		if m.process.IsRunning() {
+			m.process.Signal(syscall.SIGKILL)
+			m.process.AwaitExit(exitTimeout)
 		}
 		for _, bad := range []string{"DATA RACE", "panic:", "fatal error:"} {
 			if line, ok := m.Log.Find(0, bad); ok {
@@ -233,24 +233,24 @@
 			}
 		}
 	}
-	f.Net.close()
+	f.Network.close()
 	if err := f.Platform.Close(); err != nil {
 		f.t.Errorf("platform: %s", err)
 	}
 	if f.t.Failed() {
 		for _, m := range f.Members {
 			f.t.Logf("%s, the last it said:\n%s", m.Name, m.Log.Tail(120))
-			f.keepLog(m)
+			f.saveLog(m)
 		}
 	}
 }
 
-// courses logs what every member said of webhooks that broke a rule: with ROWANLINK_LOG=debug, each step.
-func (f *Fleet) courses() {
-	for _, b := range f.Platform.Judge()[:min(len(f.Platform.Judge()), 3)] {
+// logWebhookTraces logs what every member said of webhooks that broke a rule: with ROWANLINK_LOG=debug, each step.
+func (f *Cluster) logWebhookTraces() {
+	for _, b := range f.Platform.Check()[:min(len(f.Platform.Check()), 3)] {
 		f.t.Logf("%s", b)
 		for _, m := range f.Members {
-			for _, line := range m.Log.All(0, "webhook="+b.ID+" ") {
+			for _, line := range m.Log.FindAll(0, "webhook="+b.ID+" ") {
 				f.t.Logf("  %s %s", m.Name, line.Text)
 			}
 		}
--- a/test/integration/harness/flow.go
+++ b/test/integration/harness/flow.go
@@ -7,139 +7,141 @@
 
 // Fault is what befalls the bytes on their way from one member to another. Zero: none.
 type Fault struct {
-	Hold       bool          // they stay where they are, and come once it is healed
-	Hang       bool          // connections don't come up either
-	Refuse     bool          // connections are reset, new ones refused
-	Late       time.Duration // they come so much later
-	PerSecond  int           // bytes
-	ResetAfter int           // bytes more on each connection, then it is reset, half-way
+	HoldData          bool          // they stay where they are, and come once it is healed
+	HangConnections   bool          // connections don't come up either
+	RefuseConnections bool          // connections are reset, new ones refused
+	Delay             time.Duration // they come so much later
+	BytesPerSecond    int           // bytes
+	ResetAfterBytes   int           // bytes more on each connection, then it is reset, half-way
 }
 
-// The faults by name; Late, Slow and HalfWay make those with a figure.
+// The faults by name; Late, Slow and ResetAfterBytes make those with a figure.
 var (
-	Cut    = Fault{Hold: true, Hang: true}
-	OneWay = Fault{Hold: true} // connections come up, what is asked arrives, its answer doesn't
-	Refuse = Fault{Refuse: true}
+	Partition       = Fault{HoldData: true, HangConnections: true}
+	OneWayPartition = Fault{HoldData: true} // connections come up, what is asked arrives, its answer doesn't
+	Refused         = Fault{RefuseConnections: true}
 )
 
-func Late(by time.Duration) Fault { return Fault{Late: by} }
-func Slow(perSecond int) Fault    { return Fault{PerSecond: perSecond} }
-func HalfWay(after int) Fault     { return Fault{ResetAfter: after} }
+func Delayed(by time.Duration) Fault  { return Fault{Delay: by} }
+func Throttled(perSecond int) Fault   { return Fault{BytesPerSecond: perSecond} }
+func ResetAfterBytes(after int) Fault { return Fault{ResetAfterBytes: after} }
 
-// pair is an ordered pair of members.
-type pair struct{ from, to string }
+// memberPair is an ordered pair of members.
+type memberPair struct{ from, to string }
 
-// flow is the way from one member to another, whoever opened the connection.
-type flow struct {
-	mu      sync.Mutex
-	fault   Fault
-	turn    int           // counts the changes
-	changed chan struct{} // closed at the next
+// dataPath is the way from one member to another, whoever opened the connection.
+type dataPath struct {
+	mu         sync.Mutex
+	fault      Fault
+	generation int           // counts the changes
+	changed    chan struct{} // closed at the next
 }
 
-func (f *flow) set(fault Fault) {
+func (f *dataPath) set(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
-	f.turn++
+	f.generation++
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *flow) now() (Fault, int, <-chan struct{}) {
+func (f *dataPath) current() (Fault, int, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fault, f.turn, f.changed
+	return f.fault, f.generation, f.changed
 }
 
-// Net is the network between members: a link for each ordered pair and each address that one has for the
+// Network is the network between members: a link for each ordered pair and each address that one has for the
 // other.
-type Net struct {
+type Network struct {
 	mu    sync.Mutex
-	flows map[pair]*flow
+	paths map[memberPair]*dataPath
 	links []*link
 	down  map[string]bool
 }
 
-func newNet() *Net { return &Net{flows: map[pair]*flow{}, down: map[string]bool{}} }
+func newNetwork() *Network {
+	return &Network{paths: map[memberPair]*dataPath{}, down: map[string]bool{}}
+}
 
-func (n *Net) flow(from, to string) *flow {
-	k := pair{from, to}
-	if n.flows[k] == nil {
-		n.flows[k] = &flow{changed: make(chan struct{})}
+func (n *Network) pathBetween(from, to string) *dataPath {
+	k := memberPair{from, to}
+	if n.paths[k] == nil {
+		n.paths[k] = &dataPath{changed: make(chan struct{})}
 	}
-	return n.flows[k]
+	return n.paths[k]
 }
 
-// Set has a fault befall what one member sends another, in place of the one before.
-func (n *Net) Set(from, to string, fault Fault) {
+// SetFault has a fault befall what one member sends another, in place of the one before.
+func (n *Network) SetFault(from, to string, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.flow(from, to).set(fault)
-	n.apply()
+	n.pathBetween(from, to).set(fault)
+	n.updateLinks()
 }
 
-// Between sets it both ways.
-func (n *Net) Between(a, b string, fault Fault) {
-	n.Set(a, b, fault)
-	n.Set(b, a, fault)
+// SetFaultBetween sets it both ways.
+func (n *Network) SetFaultBetween(a, b string, fault Fault) {
+	n.SetFault(a, b, fault)
+	n.SetFault(b, a, fault)
 }
 
-// Apart sets it both ways between each of some members and all others that have links.
-func (n *Net) Apart(fault Fault, some ...string) {
+// Isolate sets it both ways between each of some members and all others that have links.
+func (n *Network) Isolate(fault Fault, some ...string) {
 	in := map[string]bool{}
 	for _, m := range some {
 		in[m] = true
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for k, f := range n.flows {
+	for k, f := range n.paths {
 		if in[k.from] != in[k.to] {
 			f.set(fault)
 		}
 	}
-	n.apply()
+	n.updateLinks()
 }
 
 // Heal ends all faults.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, f := range n.flows {
+	for _, f := range n.paths {
 		f.set(Fault{})
 	}
-	n.apply()
+	n.updateLinks()
 }
 
-// gone has links to a member whose process has ended refuse, as its own address would.
-func (n *Net) gone(member string, is bool) {
+// setDown has links to a member whose process has ended refuse, as its own address would.
+func (n *Network) setDown(member string, is bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.down[member] = is
-	n.apply()
+	n.updateLinks()
 }
 
-func (n *Net) apply() {
+func (n *Network) updateLinks() {
 	for _, l := range n.links {
-		there, _, _ := l.there.now()
-		back, _, _ := l.back.now()
+		there, _, _ := l.forward.current()
+		back, _, _ := l.backward.current()
 		switch {
-		case there.Refuse || n.down[l.to] && !there.Hold:
-			l.enter(refusing)
-		case there.Hold && there.Hang || back.Hold && back.Hang:
-			l.enter(hanging)
+		case there.RefuseConnections || n.down[l.to] && !there.HoldData:
+			l.setMode(refusing)
+		case there.HoldData && there.HangConnections || back.HoldData && back.HangConnections:
+			l.setMode(hanging)
 		default:
-			l.enter(open)
+			l.setMode(open)
 		}
 	}
 }
 
 // close ends all links.
-func (n *Net) close() {
+func (n *Network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
-		l.enter(refusing)
-		l.at.Close()
+		l.setMode(refusing)
+		l.port.Close()
 	}
 }
--- a/test/integration/harness/harness_test.go
+++ b/test/integration/harness/harness_test.go
@@ -40,57 +40,57 @@
 }
 
 // plain is a fleet of dispatchers that know nothing of each other.
-func plain(t *testing.T) *harness.Fleet {
-	return harness.Start(t, harness.Shape{Binary: alone, Plain: true})
+func plain(t *testing.T) *harness.Cluster {
+	return harness.Start(t, harness.Options{Binary: alone, Standalone: true})
 }
 
 func some(p *platform.Platform, most int, names ...string) {
 	types := []string{"status", "paid", "charge"}
-	p.Drive(context.Background(), platform.Load{Members: names, PerSecond: 200, Lines: 4, Most: most,
+	p.StartLoad(context.Background(), platform.Load{Members: names, PerSecond: 200, Clients: 4, MaxWebhooks: most,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%3], Dest: api.DestinationID(1 + n%4), Body: "x"}
+			return platform.Webhook{Type: types[n%3], Destination: api.DestinationID(1 + n%4), Body: "x"}
 		}})()
 }
 
 func TestAFleetStartsDeliversAndLosesNothingOverAKillAndAStop(t *testing.T) {
 	f := plain(t)
 	m1, m2 := f.Members[0], f.Members[1]
-	m1.Await("phase now=serving")
-	require.NoError(t, f.Platform.Destination(1).Set(platform.Fails))
+	m1.AwaitLog("phase now=serving")
+	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Fails))
 	some(f.Platform, 60, f.Names()...)
 	m1.Kill()
 	_, code := m1.Get("/health/live")
 	assert.Zero(t, code)
-	m2.Stop()
-	require.NoError(t, f.Platform.Destination(1).Set(platform.Delivers))
-	mark := m1.Log.Mark()
+	m2.Pause()
+	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Delivers))
+	mark := m1.Log.Offset()
 	m1.Start()
-	m1.AwaitFrom(mark, "phase now=serving")
-	m2.Continue()
+	m1.AwaitLogFrom(mark, "phase now=serving")
+	m2.Resume()
 	some(f.Platform, 30, f.Names()...)
-	f.Settled()
-	f.Judge()
-	assert.Positive(t, f.Platform.Ledger.Counts().Delivered)
+	f.AwaitOutcomes()
+	f.Check()
+	assert.Positive(t, f.Platform.Checker.Counts().Delivered)
 }
 
 func TestEndHangUpAndAFolderThatIsTaken(t *testing.T) {
 	f := plain(t)
 	m := f.Members[0]
-	require.NoError(t, f.Platform.Destination(2).Set(platform.Vanishes))
+	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Unreachable))
 	some(f.Platform, 20, "m1")
-	m.HangUp()
-	m.Await("configuration read again")
-	m.End()
+	m.SendHangup()
+	m.AwaitLog("configuration read again")
+	m.Terminate()
 	assert.False(t, m.Running())
-	m.Await("phase now=ended")
-	require.Positive(t, f.Platform.Ledger.Open(), "destination 2 has had nothing")
-	m.Wipe()
-	assert.Zero(t, f.Platform.Ledger.Open(), "forgiven")
+	m.AwaitLog("phase now=ended")
+	require.Positive(t, f.Platform.Checker.Outstanding(), "destination 2 has had nothing")
+	m.DeleteState()
+	assert.Zero(t, f.Platform.Checker.Outstanding(), "forgiven")
 	m.Start()
 	value, ok := m.Metric("webhooks_resumed_total")
 	assert.Equal(t, "0", value)
 	assert.True(t, ok)
-	f.Judge()
+	f.Check()
 }
 
 // TestCutOff is the other half of the next test: a test that is killed while its fleet runs.
@@ -98,7 +98,7 @@
 	if os.Getenv("ROWAN_CUT_OFF") == "" {
 		t.Skip("only within another test")
 	}
-	f := harness.Start(t, harness.Shape{Binary: os.Getenv("ROWAN_CUT_OFF"), Plain: true})
+	f := harness.Start(t, harness.Options{Binary: os.Getenv("ROWAN_CUT_OFF"), Standalone: true})
 	for _, m := range f.Members {
 		fmt.Println("pid", m.PID())
 	}
@@ -130,45 +130,45 @@
 
 // What is lost is seen: the folder is taken behind the harness's back.
 func TestALossIsCaught(t *testing.T) {
-	f := harness.Start(t, harness.Shape{Binary: alone, Plain: true, Slack: 1})
-	require.NoError(t, f.Platform.Destination(2).Set(platform.Vanishes))
-	_, code := f.Platform.HandIn("m1", platform.Webhook{Type: "status", Dest: 2, TTL: time.Second})
+	f := harness.Start(t, harness.Options{Binary: alone, Standalone: true, Slack: 1})
+	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Unreachable))
+	_, code := f.Platform.Submit("m1", platform.Webhook{Type: "status", Destination: 2, TTL: time.Second})
 	require.Equal(t, 202, code)
 	f.Members[0].Kill()
-	require.NoError(t, os.RemoveAll(f.Members[0].Folder))
+	require.NoError(t, os.RemoveAll(f.Members[0].StateDir))
 	f.Members[0].Start()
-	f.Soon("the loss", func() bool { return len(f.Platform.Judge()) == 1 })
-	assert.Contains(t, f.Platform.Judge()[0].String(), "lost: ")
+	f.Eventually("the loss", func() bool { return len(f.Platform.Check()) == 1 })
+	assert.Contains(t, f.Platform.Check()[0].String(), "lost: ")
 }
 
 func TestAFolderThatIsFull(t *testing.T) {
 	f := plain(t)
 	m := f.Members[0]
-	require.NoError(t, f.Platform.Destination(1).Set(platform.Hangs))
-	m.LimitFiles(4096)
+	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Hangs))
+	m.LimitFileSize(4096)
 	for range 4 {
-		f.Platform.HandIn("m1", platform.Webhook{Type: "paid", Dest: 1, Body: strings.Repeat("x", 3000)})
+		f.Platform.Submit("m1", platform.Webhook{Type: "paid", Destination: 1, Body: strings.Repeat("x", 3000)})
 	}
-	assert.LessOrEqual(t, m.Largest(), int64(4096))
-	m.Await("file too large")
-	assert.Positive(t, f.Platform.Ledger.Counts().Refused, "nobody is told that it was taken on")
-	f.Judge()
+	assert.LessOrEqual(t, m.LargestFile(), int64(4096))
+	m.AwaitLog("file too large")
+	assert.Positive(t, f.Platform.Checker.Counts().Rejected, "nobody is told that it was taken on")
+	f.Check()
 }
 
 func TestMembersReadTheirFilesAndReadThemAgain(t *testing.T) {
-	f := harness.Start(t, harness.Shape{Binary: binary, Members: 4, Spare: 1, Term: 2 * time.Second,
-		Blocks: "list \"prices\" { subscribers = [1, 2] }\n"})
+	f := harness.Start(t, harness.Options{Binary: binary, Members: 4, SpareMembers: 1, LeaseTTL: 2 * time.Second,
+		ConfigBlocks: "list \"prices\" { subscribers = [1, 2] }\n"})
 	for _, m := range f.Members[:3] {
-		m.Await("INFO member", "members=3")
+		m.AwaitLog("INFO member", "members=3")
 	}
-	f.Reload("", f.Names()...)
+	f.ReloadOperatorFiles("", f.Names()...)
 	for _, m := range f.Members[:3] {
-		m.Await("operator file read again", "members=4")
+		m.AwaitLog("operator file read again", "members=4")
 	}
 	f.Members[3].Start()
 	some(f.Platform, 30, f.Names()...)
-	f.Settled()
-	f.Judge()
-	text := f.Operator(f.Members[3], "")
+	f.AwaitOutcomes()
+	f.Check()
+	text := f.OperatorFile(f.Members[3], "")
 	assert.Equal(t, 3, strings.Count(text, "log = "), "the first three keep the log")
 }
--- a/test/integration/harness/kills_test.go
+++ b/test/integration/harness/kills_test.go
@@ -18,20 +18,20 @@
 // and notices are heard now and then.
 func TestKillsByTheHundredUnderLoadLoseNothingAndDoubleNothing(t *testing.T) {
 	f := plain(t)
-	require.NoError(t, f.Platform.Destination(1).Set(platform.Slow(20*time.Millisecond)))
-	require.NoError(t, f.Platform.Destination(2).Set(platform.Fails))
-	require.NoError(t, f.Platform.Destination(3).Set(platform.Hangs))
+	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Slow(20*time.Millisecond)))
+	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Fails))
+	require.NoError(t, f.Platform.Destination(3).SetBehaviour(platform.Hangs))
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
-	wait := f.Platform.Drive(ctx, platform.Load{Members: f.Names(), PerSecond: 300, Lines: 24,
+	wait := f.Platform.StartLoad(ctx, platform.Load{Members: f.Names(), PerSecond: 300, Clients: 24,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%3], Dest: api.DestinationID(1 + n/3%4), Body: "a webhook's body",
+			return platform.Webhook{Type: types[n%3], Destination: api.DestinationID(1 + n/3%4), Body: "a webhook's body",
 				TTL: 3 * time.Second}
 		}})
 	for n := range 100 {
-		f.Platform.Deaf(n%10 > 0 && n < 90)
+		f.Platform.RejectNotices(n%10 > 0 && n < 90)
 		if n == 70 { // what was hung is delivered, what failed is not
-			require.NoError(t, f.Platform.Destination(3).Set(platform.Delivers))
+			require.NoError(t, f.Platform.Destination(3).SetBehaviour(platform.Delivers))
 		}
 		m := f.Members[n%len(f.Members)]
 		time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
@@ -40,9 +40,9 @@
 	}
 	cancel()
 	wait()
-	f.Settled()
-	f.Judge()
-	c := f.Platform.Ledger.Counts()
+	f.AwaitOutcomes()
+	f.Check()
+	c := f.Platform.Checker.Counts()
 	t.Logf("%+v", c)
 	assert.Positive(t, c.Delivered)
 }
--- a/test/integration/harness/link.go
+++ b/test/integration/harness/link.go
@@ -11,64 +11,64 @@
 	"rowanlink/test/fake/portalloc"
 )
 
-// mode is what a link does with connections.
-type mode int
+// linkMode is what a link does with connections.
+type linkMode int
 
 const (
-	open     mode = iota
-	hanging       // new ones never come up, old ones stay
-	refusing      // new ones are refused, old ones reset
+	open     linkMode = iota
+	hanging           // new ones never come up, old ones stay
+	refusing          // new ones are refused, old ones reset
 )
 
 // link is one address that a member has for another: what connects there goes on to the real one.
 type link struct {
-	at          *portalloc.Port
-	from, to    string
-	real        string
-	there, back *flow
-
-	mu    sync.Mutex
-	is    mode
-	on    net.Listener
-	pairs map[*twin]bool
+	port              *portalloc.Port
+	from, to          string
+	target            string
+	forward, backward *dataPath
+
+	mu          sync.Mutex
+	mode        linkMode
+	listener    net.Listener
+	connections map[*proxiedConnection]bool
 }
 
-// link makes one, open, and returns its address.
-func (n *Net) link(from, to, real string) (string, error) {
-	at, err := portalloc.Keep()
+// addLink makes one, open, and returns its address.
+func (n *Network) addLink(from, to, real string) (string, error) {
+	at, err := portalloc.Reserve()
 	if err != nil {
 		return "", err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &link{at: at, from: from, to: to, real: real, there: n.flow(from, to), back: n.flow(to, from),
-		is: refusing, pairs: map[*twin]bool{}}
+	l := &link{port: at, from: from, to: to, target: real, forward: n.pathBetween(from, to), backward: n.pathBetween(to, from),
+		mode: refusing, connections: map[*proxiedConnection]bool{}}
 	n.links = append(n.links, l)
-	l.enter(open)
+	l.setMode(open)
 	return at.Addr, nil
 }
 
-// enter goes over to a mode. A port that can't be listened on would make a test mean nothing.
-func (l *link) enter(m mode) {
+// setMode goes over to a mode. A port that can't be listened on would make a test mean nothing.
+func (l *link) setMode(m linkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.is == m {
+	if l.mode == m {
 		return
 	}
-	if l.is == open {
-		l.on.Close()
+	if l.mode == open {
+		l.listener.Close()
 	}
-	l.at.Free()
+	l.port.Refuse()
 	var err error
-	switch l.is = m; m {
+	switch l.mode = m; m {
 	case open:
-		if l.on, err = l.at.Listen(); err == nil {
-			go l.accept(l.on)
+		if l.listener, err = l.port.Listen(); err == nil {
+			go l.accept(l.listener)
 		}
 	case hanging:
-		err = l.at.Hang()
+		err = l.port.Hang()
 	case refusing:
-		for p := range l.pairs {
+		for p := range l.connections {
 			p.reset()
 		}
 	}
@@ -83,81 +83,81 @@
 		if err != nil {
 			return
 		}
-		go l.join(c)
+		go l.proxyConnection(c)
 	}
 }
 
-// join connects on. Where the real address refuses, so does the link, as far as it can any more.
-func (l *link) join(c net.Conn) {
-	far, err := net.DialTimeout("tcp", l.real, 2*time.Second)
+// proxyConnection connects on. Where the real address refuses, so does the link, as far as it can any more.
+func (l *link) proxyConnection(c net.Conn) {
+	far, err := net.DialTimeout("tcp", l.target, 2*time.Second)
 	if err != nil {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 		return
 	}
-	p := &twin{near: c.(*net.TCPConn), far: far.(*net.TCPConn), dead: make(chan struct{})}
+	p := &proxiedConnection{client: c.(*net.TCPConn), server: far.(*net.TCPConn), closed: make(chan struct{})}
 	l.mu.Lock()
-	l.pairs[p] = true
-	if l.is == refusing {
+	l.connections[p] = true
+	if l.mode == refusing {
 		p.reset()
 	}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(p.near, p.far, l.there) })
-	both.Go(func() { p.pump(p.far, p.near, l.back) })
+	both.Go(func() { p.copyData(p.client, p.server, l.forward) })
+	both.Go(func() { p.copyData(p.server, p.client, l.backward) })
 	both.Wait()
-	p.end()
+	p.close()
 	l.mu.Lock()
-	delete(l.pairs, p)
+	delete(l.connections, p)
 	l.mu.Unlock()
 }
 
-// twin is one connection's two halves.
-type twin struct {
-	near, far *net.TCPConn
-	once      sync.Once
-	dead      chan struct{}
+// proxiedConnection is one connection's two halves.
+type proxiedConnection struct {
+	client, server *net.TCPConn
+	once           sync.Once
+	closed         chan struct{}
 }
 
 // reset ends both halves so that whoever uses them sees a reset.
-func (p *twin) reset() {
+func (p *proxiedConnection) reset() {
 	p.once.Do(func() {
-		p.near.SetLinger(0)
-		p.far.SetLinger(0)
-		close(p.dead)
+		p.client.SetLinger(0)
+		p.server.SetLinger(0)
+		close(p.closed)
 	})
-	p.near.Close()
-	p.far.Close()
+	p.client.Close()
+	p.server.Close()
 }
 
-func (p *twin) end() {
-	p.once.Do(func() { close(p.dead) })
-	p.near.Close()
-	p.far.Close()
+func (p *proxiedConnection) close() {
+	p.once.Do(func() { close(p.closed) })
+	p.client.Close()
+	p.server.Close()
 }
 
 // chunk is what came at one time, or how it ended.
 type chunk struct {
-	at   time.Time
-	data []byte
-	err  error
+	receivedAt time.Time
+	data       []byte
+	err        error
 }
 
 const (
-	mostChunk = 16 << 10
-	slowParts = 50 // of a second's bytes, each written at once
+	maxChunkBytes          = 16 << 10
+	throttleStepsPerSecond = 50 // of a second's bytes, each written at once
 )
 
-// pump carries what one half sends to the other, as the flow's faults have it.
-func (p *twin) pump(from, to *net.TCPConn, f *flow) {
+// copyData carries what one half sends to the other, as the flow's faults have it.
+func (p *proxiedConnection) copyData(from, to *net.TCPConn, f *dataPath) {
 	chunks := make(chan chunk, 16) // bounded: behind it the sender's own buffers fill
 	go func() {
 		for {
-			b := make([]byte, mostChunk)
+			b := make([]byte, maxChunkBytes)
 			n, err := from.Read(b)
 			select {
 			case chunks <- chunk{time.Now(), b[:n], err}:
-			case <-p.dead:
+			case <-p.closed:
 				return
 			}
 			if err != nil {
@@ -170,11 +170,11 @@
 		var c chunk
 		select {
 		case c = <-chunks:
-		case <-p.dead:
+		case <-p.closed:
 			return
 		}
 		for first := true; first || len(c.data) > 0; first = false {
-			fault, now, ok := p.wait(f, c.at)
+			fault, now, ok := p.awaitDelivery(f, c.receivedAt)
 			if !ok {
 				return
 			}
@@ -182,11 +182,11 @@
 				turn, sent = now, 0
 			}
 			piece := len(c.data)
-			if fault.PerSecond > 0 {
-				piece = min(piece, max(1, fault.PerSecond/slowParts))
+			if fault.BytesPerSecond > 0 {
+				piece = min(piece, max(1, fault.BytesPerSecond/throttleStepsPerSecond))
 			}
-			if fault.ResetAfter > 0 {
-				piece = min(piece, fault.ResetAfter-sent)
+			if fault.ResetAfterBytes > 0 {
+				piece = min(piece, fault.ResetAfterBytes-sent)
 			}
 			if piece > 0 {
 				if _, err := to.Write(c.data[:piece]); err != nil {
@@ -195,11 +195,11 @@
 				}
 			}
 			c.data, sent = c.data[piece:], sent+piece
-			if fault.ResetAfter > 0 && sent >= fault.ResetAfter {
+			if fault.ResetAfterBytes > 0 && sent >= fault.ResetAfterBytes {
 				p.reset()
 				return
 			}
-			if fault.PerSecond > 0 && !p.sleep(time.Duration(piece)*time.Second/time.Duration(fault.PerSecond), nil) {
+			if fault.BytesPerSecond > 0 && !p.sleep(time.Duration(piece)*time.Second/time.Duration(fault.BytesPerSecond), nil) {
 				return
 			}
 		}
@@ -214,18 +214,18 @@
 	}
 }
 
-// wait waits until what came at a time may go on.
-func (p *twin) wait(f *flow, at time.Time) (Fault, int, bool) {
+// awaitDelivery waits until what came at a time may go on.
+func (p *proxiedConnection) awaitDelivery(f *dataPath, at time.Time) (Fault, int, bool) {
 	for {
-		fault, turn, changed := f.now()
-		switch left := time.Until(at.Add(fault.Late)); {
-		case fault.Hold:
+		fault, turn, changed := f.current()
+		switch left := time.Until(at.Add(fault.Delay)); {
+		case fault.HoldData:
 			select {
 			case <-changed:
-			case <-p.dead:
+			case <-p.closed:
 				return fault, turn, false
 			}
-		case fault.Late > 0 && left > 0:
+		case fault.Delay > 0 && left > 0:
 			if !p.sleep(left, changed) {
 				return fault, turn, false
 			}
@@ -236,13 +236,13 @@
 }
 
 // sleep waits, and tells whether the connection still stands.
-func (p *twin) sleep(span time.Duration, changed <-chan struct{}) bool {
+func (p *proxiedConnection) sleep(span time.Duration, changed <-chan struct{}) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-changed:
-	case <-p.dead:
+	case <-p.closed:
 		return false
 	}
 	return true
--- a/test/integration/harness/link_test.go
+++ b/test/integration/harness/link_test.go
@@ -17,7 +17,7 @@
 )
 
 // echo is a member that answers each line with itself, and a link that another has to it.
-func echo(t *testing.T) (n *Net, addr string, heard chan string) {
+func echo(t *testing.T) (n *Network, addr string, heard chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -37,9 +37,9 @@
 			}()
 		}
 	}()
-	n = newNet()
+	n = newNetwork()
 	t.Cleanup(n.close)
-	addr, err = n.link("a", "b", l.Addr().String())
+	addr, err = n.addLink("a", "b", l.Addr().String())
 	require.NoError(t, err)
 	return n, addr, heard
 }
@@ -71,7 +71,7 @@
 	said, err := back(c, 4, long)
 	require.NoError(t, err)
 	assert.Equal(t, "one\n", said)
-	n.Between("a", "b", Cut)
+	n.SetFaultBetween("a", "b", Partition)
 	fmt.Fprintln(c, "two")
 	_, err = back(c, 1, short)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "silence, no end")
@@ -86,7 +86,7 @@
 
 func TestOneWayArrivesAndIsNotAnswered(t *testing.T) {
 	n, addr, heard := echo(t)
-	n.Set("b", "a", OneWay)
+	n.SetFault("b", "a", OneWayPartition)
 	c := dial(t, addr)
 	fmt.Fprintln(c, "one")
 	assert.Equal(t, "one", <-heard)
@@ -95,7 +95,7 @@
 	n.Heal()
 	said, _ := back(c, 4, long)
 	assert.Equal(t, "one\n", said)
-	n.Set("a", "b", OneWay)
+	n.SetFault("a", "b", OneWayPartition)
 	fmt.Fprintln(c, "two")
 	select {
 	case what := <-heard:
@@ -110,20 +110,20 @@
 	fmt.Fprintln(c, "one")
 	_, err := back(c, 4, long)
 	require.NoError(t, err)
-	n.Set("a", "b", Refuse)
+	n.SetFault("a", "b", Refused)
 	_, err = back(c, 1, long)
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
 	_, err = net.Dial("tcp", addr)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 	n.Heal()
 	dial(t, addr)
-	n.gone("b", true)
+	n.setDown("b", true)
 	_, err = net.Dial("tcp", addr)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-	n.Between("a", "b", Cut)
+	n.SetFaultBetween("a", "b", Partition)
 	_, err = net.DialTimeout("tcp", addr, short)
 	assert.True(t, os.IsTimeout(err), "who is gone behind a cut says nothing")
-	n.gone("b", false)
+	n.setDown("b", false)
 	n.Heal()
 	dial(t, addr)
 }
@@ -133,25 +133,25 @@
 	n, addr, heard := echo(t)
 	c := dial(t, addr)
 	began := time.Now()
-	n.Set("a", "b", Late(2*short))
+	n.SetFault("a", "b", Delayed(2*short))
 	fmt.Fprintln(c, "late")
 	assert.Equal(t, "late", <-heard)
 	assert.GreaterOrEqual(t, time.Since(began), 2*short)
-	n.Set("a", "b", Slow(500))
+	n.SetFault("a", "b", Throttled(500))
 	began = time.Now()
 	fmt.Fprintln(c, strings.Repeat("x", 99))
 	<-heard
 	assert.GreaterOrEqual(t, time.Since(began), short)
 	_, err := back(c, 5+100, long)
 	require.NoError(t, err)
-	n.Set("b", "a", HalfWay(7))
-	n.Set("a", "b", Fault{})
+	n.SetFault("b", "a", ResetAfterBytes(7))
+	n.SetFault("a", "b", Fault{})
 	fmt.Fprintln(c, "halfway")
 	assert.Equal(t, "halfway", <-heard, "it arrived")
 	said, err := back(c, 8, long)
 	assert.LessOrEqual(t, len(said), 7)
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
-	n.Apart(Cut, "a")
+	n.Isolate(Partition, "a")
 	_, err = net.DialTimeout("tcp", addr, short)
 	assert.True(t, os.IsTimeout(err), err)
 }
--- a/test/integration/harness/map.go
+++ b/test/integration/harness/map.go
@@ -12,13 +12,13 @@
 	"rowanlink/webhook/api"
 )
 
-// Map is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
-func (f *Fleet) Map() (newest *shardmap.Map) {
+// ShardMap is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
+func (f *Cluster) ShardMap() (newest *shardmap.Map) {
 	f.t.Helper()
 	says := map[cluster.MemberID]string{}
-	for _, m := range f.Keepers() {
-		if m.Running() && !m.stopped {
-			says[cluster.MemberID(m.Name)] = m.says.Addr
+	for _, m := range f.RaftNodes() {
+		if m.Running() && !m.paused {
+			says[cluster.MemberID(m.Name)] = m.peerPort.Addr
 		}
 	}
 	asks := transport.NewClient("proof", says)
@@ -39,9 +39,9 @@
 	return newest
 }
 
-// Home is who is home of a destination and serves, or nil.
-func (f *Fleet) Home(dest api.DestinationID) *Member {
-	if chart := f.Map(); chart != nil {
+// Owner is who is home of a destination and serves, or nil.
+func (f *Cluster) Owner(dest api.DestinationID) *Member {
+	if chart := f.ShardMap(); chart != nil {
 		if r, ok := chart.RangeOf(chart.KeyOf(dest)); ok && r.Status == shardmap.OwnerServing {
 			return f.Member(string(r.Owner))
 		}
@@ -49,22 +49,22 @@
 	return nil
 }
 
-// Homed waits until each range has a home that serves, and nothing of a move is left; none is a member of
+// AwaitStable waits until each range has a home that serves, and nothing of a move is left; none is a member of
 // but.
-func (f *Fleet) Homed(but ...*Member) {
+func (f *Cluster) AwaitStable(but ...*Member) {
 	f.t.Helper()
-	f.Soon("all ranges are homed", func() bool { return f.homed(true, but) })
+	f.Eventually("all ranges are homed", func() bool { return f.isServed(true, but) })
 }
 
-// Served waits until each range has a home that runs and serves. A move may be left for a member that doesn't
+// AwaitServed waits until each range has a home that runs and serves. A move may be left for a member that doesn't
 // run.
-func (f *Fleet) Served() {
+func (f *Cluster) AwaitServed() {
 	f.t.Helper()
-	f.Soon("all ranges are served", func() bool { return f.homed(false, nil) })
+	f.Eventually("all ranges are served", func() bool { return f.isServed(false, nil) })
 }
 
-func (f *Fleet) homed(settled bool, but []*Member) bool {
-	chart := f.Map()
+func (f *Cluster) isServed(settled bool, but []*Member) bool {
+	chart := f.ShardMap()
 	if chart == nil || len(chart.Ranges) == 0 || settled && len(chart.DetachedMoves) > 0 {
 		return false
 	}
--- a/test/integration/harness/past.go
+++ b/test/integration/harness/past.go
@@ -19,39 +19,39 @@
 	"rowanlink/webhook/api"
 )
 
-// Stamped has members write the microseconds of each line: without it a log is no history.
-const Stamped = "ROWANLINK_LOG=debug"
+// DebugLog has members write the microseconds of each line: without it a log is no history.
+const DebugLog = "ROWANLINK_LOG=debug"
 
-// Views follows the map as each keeper tells it, as members do, until Past.
-type Views struct {
-	f       *Fleet
-	end     func()
-	all     sync.WaitGroup
-	mu      sync.Mutex
-	readers int
-	seen    map[cluster.Resource][]leasecheck.OwnershipEvent
+// OwnershipWatcher follows the map as each keeper tells it, as members do, until Past.
+type OwnershipWatcher struct {
+	cluster     *Cluster
+	cancel      func()
+	readersDone sync.WaitGroup
+	mu          sync.Mutex
+	readers     int
+	observed    map[cluster.Resource][]leasecheck.OwnershipEvent
 }
 
-// Watch begins to follow the keepers.
-func (f *Fleet) Watch() *Views {
+// WatchOwnership begins to follow the keepers.
+func (f *Cluster) WatchOwnership() *OwnershipWatcher {
 	ctx, end := context.WithCancel(context.Background())
-	v := &Views{f: f, end: end, seen: map[cluster.Resource][]leasecheck.OwnershipEvent{}}
-	for _, m := range f.Keepers() {
-		v.all.Go(func() { v.follow(ctx, m) })
+	v := &OwnershipWatcher{cluster: f, cancel: end, observed: map[cluster.Resource][]leasecheck.OwnershipEvent{}}
+	for _, m := range f.RaftNodes() {
+		v.readersDone.Go(func() { v.followNode(ctx, m) })
 	}
 	return v
 }
 
-// follow is one reader for each life of a keeper: another life may know less.
-func (v *Views) follow(ctx context.Context, m *Member) {
-	asks := transport.NewClient("proof", map[cluster.MemberID]string{"it": m.says.Addr})
+// followNode is one reader for each life of a keeper: another life may know less.
+func (v *OwnershipWatcher) followNode(ctx context.Context, m *Member) {
+	asks := transport.NewClient("proof", map[cluster.MemberID]string{"it": m.peerPort.Addr})
 	defer asks.Close()
 	var life *subprocess.Process
 	var reader int
 	var version uint64
 	saw := map[cluster.RangeID]cluster.Epoch{}
 	for ctx.Err() == nil {
-		if now := v.f.life(m); now != life {
+		if now := v.cluster.process(m); now != life {
 			v.mu.Lock()
 			life, reader, version = now, v.readers, 0
 			v.readers++
@@ -59,10 +59,10 @@
 			clear(saw)
 		}
 		status, raw, err := asks.Call("it", transport.StatePath,
-			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: version}}), v.f.shape.Term)
+			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: version}}), v.cluster.options.LeaseTTL)
 		got := api.Micros(time.Now().UnixMicro())
 		var answer transport.StateResponse
-		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.f.life(m) != life {
+		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || v.cluster.process(m) != life {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -78,7 +78,7 @@
 				}
 				saw[r.ID] = r.Epoch
 				v.mu.Lock()
-				v.seen[cluster.RangeOwnerResource(r.ID)] = append(v.seen[cluster.RangeOwnerResource(r.ID)], leasecheck.OwnershipEvent{Kind: leasecheck.Observed,
+				v.observed[cluster.RangeOwnerResource(r.ID)] = append(v.observed[cluster.RangeOwnerResource(r.ID)], leasecheck.OwnershipEvent{Kind: leasecheck.Observed,
 					Member: string(r.Owner), Epoch: uint64(r.Epoch), Reader: reader, Until: got})
 				v.mu.Unlock()
 			}
@@ -86,29 +86,29 @@
 	}
 }
 
-func (f *Fleet) life(m *Member) *subprocess.Process {
+func (f *Cluster) process(m *Member) *subprocess.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return m.is
+	return m.process
 }
 
-// Past ends following and returns what befell each task, from all logs and all that was seen.
-func (v *Views) Past() map[cluster.Resource][]leasecheck.OwnershipEvent {
-	v.end()
-	v.all.Wait()
+// Events ends following and returns what befell each task, from all logs and all that was seen.
+func (v *OwnershipWatcher) Events() map[cluster.Resource][]leasecheck.OwnershipEvent {
+	v.cancel()
+	v.readersDone.Wait()
 	all := map[cluster.Resource][]leasecheck.OwnershipEvent{}
-	for _, m := range v.f.Members {
-		lived(m.Name, m.Log.All(0, ""), all)
+	for _, m := range v.cluster.Members {
+		addLogEvents(m.Name, m.Log.FindAll(0, ""), all)
 	}
-	for task, seen := range v.seen {
-		all[task] = append(unsaid(all[task], seen), seen...)
+	for task, seen := range v.observed {
+		all[task] = append(dropUnconfirmed(all[task], seen), seen...)
 	}
 	return all
 }
 
-// unsaid leaves of the seats that may have been taken, as their member said, those that were seen and that no
+// dropUnconfirmed leaves of the seats that may have been taken, as their member said, those that were seen and that no
 // other line tells of: their answers were lost.
-func unsaid(of, seen []leasecheck.OwnershipEvent) (all []leasecheck.OwnershipEvent) {
+func dropUnconfirmed(of, seen []leasecheck.OwnershipEvent) (all []leasecheck.OwnershipEvent) {
 	var unsure []leasecheck.OwnershipEvent
 	for _, p := range of {
 		if p.Kind == leasecheck.Published && p.Until == api.Never {
@@ -130,14 +130,14 @@
 	return all
 }
 
-// Judge fails the test for each task whose past no lock and no map could have.
-func (v *Views) Judge() {
-	v.f.t.Helper()
-	all, seats := v.Past(), 0
+// Check fails the test for each task whose past no lock and no map could have.
+func (v *OwnershipWatcher) Check() {
+	v.cluster.t.Helper()
+	all, seats := v.Events(), 0
 	for _, task := range slices.Sorted(maps.Keys(all)) {
 		could, err := leasecheck.CheckOwnership(all[task], time.Minute)
 		if !could || err != nil {
-			v.f.t.Errorf("porcupine: %s has a past that it can't have (%v):\n%s", task, err, told(all[task]))
+			v.cluster.t.Errorf("porcupine: %s has a past that it can't have (%v):\n%s", task, err, formatEvents(all[task]))
 		}
 		for _, p := range all[task] {
 			if p.Kind == leasecheck.Published {
@@ -146,12 +146,12 @@
 		}
 	}
 	if seats == 0 {
-		v.f.t.Errorf("no home was seated: the history tells nothing")
+		v.cluster.t.Errorf("no home was seated: the history tells nothing")
 	}
-	v.f.t.Logf("%d tasks, %d homes seated, %d readers", len(all), seats, v.readers)
+	v.cluster.t.Logf("%d tasks, %d homes seated, %d readers", len(all), seats, v.readers)
 }
 
-func told(all []leasecheck.OwnershipEvent) (text string) {
+func formatEvents(all []leasecheck.OwnershipEvent) (text string) {
 	slices.SortStableFunc(all, func(a, b leasecheck.OwnershipEvent) int { return cmp.Compare(a.Until, b.Until) })
 	for _, p := range all {
 		text += fmt.Sprintf("  %s %s/%d by %d: %d to %d\n", p.Kind, p.Member, p.Epoch, p.Reader, p.From, p.Until)
@@ -160,17 +160,17 @@
 }
 
 var (
-	stamp = regexp.MustCompile(`^(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}) INFO ` +
+	ownershipLine = regexp.MustCompile(`^(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}) INFO ` +
 		`(task held|task over|home taken|home switched) `)
-	unsure  = regexp.MustCompile(` WARN home (taken|switched) not said range=(\d+) .*it may have arrived`)
-	ofTask  = regexp.MustCompile(` task=(\S+)`)
-	ofRange = regexp.MustCompile(` range=(\d+)`)
-	ofEpoch = regexp.MustCompile(` epoch=(\d+)`)
+	unconfirmedLine = regexp.MustCompile(` WARN home (taken|switched) not said range=(\d+) .*it may have arrived`)
+	resourceField   = regexp.MustCompile(` task=(\S+)`)
+	rangeField      = regexp.MustCompile(` range=(\d+)`)
+	epochField      = regexp.MustCompile(` epoch=(\d+)`)
 )
 
-// lived adds what one member's log says. A grant came before its line, and after the end of the one before;
+// addLogEvents adds what one member's log says. A grant came before its line, and after the end of the one before;
 // an end between both lines, or before the process ended; a seat after the grant's line and before its own.
-func lived(name string, lines []subprocess.Line, all map[cluster.Resource][]leasecheck.OwnershipEvent) {
+func addLogEvents(name string, lines []subprocess.Line, all map[cluster.Resource][]leasecheck.OwnershipEvent) {
 	type grant struct {
 		epoch uint64
 		at    api.Micros
@@ -193,21 +193,21 @@
 	}
 	for _, line := range lines {
 		switch at := api.Micros(line.At.UnixMicro()); {
-		case line.Has("# start " + name):
+		case line.ContainsAll("# start " + name):
 			endAll(at)
 			lives++
-		case line.Has("# " + name + " has ended"):
+		case line.ContainsAll("# " + name + " has ended"):
 			if lives--; lives == 0 { // else the next life has begun already
 				endAll(at)
 			}
 		}
-		if may := unsure.FindStringSubmatch(line.Text); may != nil {
+		if may := unconfirmedLine.FindStringSubmatch(line.Text); may != nil {
 			id, _ := strconv.ParseUint(may[2], 10, 32)
 			if task := cluster.RangeOwnerResource(cluster.RangeID(id)); has[task] != nil {
 				add(task, leasecheck.Published, has[task].epoch, has[task].at, api.Never)
 			}
 		}
-		said := stamp.FindStringSubmatch(line.Text)
+		said := ownershipLine.FindStringSubmatch(line.Text)
 		if said == nil {
 			continue
 		}
@@ -218,15 +218,15 @@
 		at := api.Micros(when.UnixMicro())
 		switch said[2] {
 		case "task held":
-			task := cluster.Resource(ofTask.FindStringSubmatch(line.Text)[1])
-			epoch, _ := strconv.ParseUint(ofEpoch.FindStringSubmatch(line.Text)[1], 10, 64)
+			task := cluster.Resource(resourceField.FindStringSubmatch(line.Text)[1])
+			epoch, _ := strconv.ParseUint(epochField.FindStringSubmatch(line.Text)[1], 10, 64)
 			end(task, at)
 			has[task] = &grant{epoch: epoch, at: at}
 			add(task, leasecheck.Granted, epoch, over[task], at)
 		case "task over":
-			end(cluster.Resource(ofTask.FindStringSubmatch(line.Text)[1]), at)
+			end(cluster.Resource(resourceField.FindStringSubmatch(line.Text)[1]), at)
 		default:
-			id, _ := strconv.ParseUint(ofRange.FindStringSubmatch(line.Text)[1], 10, 32)
+			id, _ := strconv.ParseUint(rangeField.FindStringSubmatch(line.Text)[1], 10, 32)
 			task := cluster.RangeOwnerResource(cluster.RangeID(id))
 			if g := has[task]; g != nil {
 				add(task, leasecheck.Published, g.epoch, g.at, at)
--- a/test/integration/harness/watch.go
+++ b/test/integration/harness/watch.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Leader waits until one keeper alone says that it leads, and returns it.
-func (f *Fleet) Leader() (leader *Member) {
+// AwaitLeader waits until one keeper alone says that it leads, and returns it.
+func (f *Cluster) AwaitLeader() (leader *Member) {
 	f.t.Helper()
-	f.Soon("one keeper leads", func() bool { leader = f.LeaderNow(); return leader != nil })
+	f.Eventually("one keeper leads", func() bool { leader = f.LeaderNow(); return leader != nil })
 	return leader
 }
 
 // LeaderNow is the one keeper that says so now, or nil.
-func (f *Fleet) LeaderNow() (leader *Member) {
-	for _, m := range f.Keepers() {
-		if m.Running() && !m.stopped && leads(m) {
+func (f *Cluster) LeaderNow() (leader *Member) {
+	for _, m := range f.RaftNodes() {
+		if m.Running() && !m.paused && reportsLeading(m) {
 			if leader != nil {
 				return nil
 			}
@@ -27,31 +27,31 @@
 	return leader
 }
 
-// leads asks a keeper whether it leads: the one place that knows how it says so.
-func leads(m *Member) bool {
+// reportsLeading asks a keeper whether it leads: the one place that knows how it says so.
+func reportsLeading(m *Member) bool {
 	value, ok := m.Metric("keeper_leading")
 	return ok && value == "1"
 }
 
-// Soon waits for something, for long.
-func (f *Fleet) Soon(what string, is func() bool) {
+// Eventually waits for something, for long.
+func (f *Cluster) Eventually(what string, is func() bool) {
 	f.t.Helper()
-	for until := time.Now().Add(readyWithin); !is(); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(readyTimeout); !is(); time.Sleep(2 * time.Millisecond) {
 		require.True(f.t, time.Now().Before(until), "never: %s", what)
 	}
 }
 
-// Marks are where each member's log stands now.
-func (f *Fleet) Marks() map[*Member]int {
+// LogOffsets are where each member's log stands now.
+func (f *Cluster) LogOffsets() map[*Member]int {
 	marks := map[*Member]int{}
 	for _, m := range f.Members {
-		marks[m] = m.Log.Mark()
+		marks[m] = m.Log.Offset()
 	}
 	return marks
 }
 
-// Said is a member that has said all parts in one line since the marks, or nil.
-func (f *Fleet) Said(marks map[*Member]int, parts ...string) *Member {
+// FindLog is a member that has said all parts in one line since the marks, or nil.
+func (f *Cluster) FindLog(marks map[*Member]int, parts ...string) *Member {
 	for _, m := range f.Members {
 		if _, ok := m.Log.Find(marks[m], parts...); ok {
 			return m
@@ -60,11 +60,11 @@
 	return nil
 }
 
-// AwaitAny waits for a member that says so: whichever a task falls to.
-func (f *Fleet) AwaitAny(marks map[*Member]int, parts ...string) (who *Member) {
+// AwaitLog waits for a member that says so: whichever a task falls to.
+func (f *Cluster) AwaitLog(marks map[*Member]int, parts ...string) (who *Member) {
 	f.t.Helper()
-	f.Soon("a member says "+strings.Join(parts, " "), func() bool {
-		who = f.Said(marks,
+	f.Eventually("a member says "+strings.Join(parts, " "), func() bool {
+		who = f.FindLog(marks,
 			parts...)
 		return who != nil
 	})
--- a/test/integration/serving/cluster_test.go
+++ b/test/integration/serving/cluster_test.go
@@ -137,7 +137,7 @@
 		e.Close()
 	}
 	for _, n := range c.nodes() {
-		if n.process.Running() {
+		if n.process.IsRunning() {
 			n.kill()
 		}
 		if c.t.Failed() {
--- a/test/integration/serving/cut_test.go
+++ b/test/integration/serving/cut_test.go
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 	path := filepath.Join(work, "overlay.json")
 	require.NoError(t, os.WriteFile(path, overlay, 0o600))
-	folder, remove, err := subprocess.BuildOverlaid("../../..", path, programCore, programAgent, programProxy)
+	folder, remove, err := subprocess.BuildWithOverlay("../../..", path, programCore, programAgent, programProxy)
 	require.NoError(t, err)
 	t.Cleanup(remove)
 	return folder
--- a/test/integration/serving/hunt_test.go
+++ b/test/integration/serving/hunt_test.go
@@ -122,7 +122,7 @@
 
 // stopped has a process stand still for a while.
 func (h *hunt) stopped(n *node) {
-	n.log.Note("stop")
+	n.log.Annotate("stop")
 	require.NoError(h.t, n.process.Signal(syscall.SIGSTOP))
 	time.Sleep(time.Duration(h.Int64N(int64(stoppedMost))))
 	require.NoError(h.t, n.process.Signal(syscall.SIGCONT))
--- a/test/integration/serving/node_test.go
+++ b/test/integration/serving/node_test.go
@@ -68,12 +68,12 @@
 // start starts a life. The file says that it is the first one of the system where it is.
 func (n *node) start() {
 	n.t.Helper()
-	require.False(n.t, n.process.Running(), "%s runs", n.name)
+	require.False(n.t, n.process.IsRunning(), "%s runs", n.name)
 	n.write()
 	if n.store != "" {
 		require.NoError(n.t, os.MkdirAll(n.store, 0o700))
 	}
-	n.log.Note("start")
+	n.log.Annotate("start")
 	folder, environment := programs, []string(nil)
 	if n.programs != "" {
 		folder, environment = n.programs, []string{"ROWAN_CUT=" + n.cut}
@@ -86,23 +86,23 @@
 // kill ends it at once.
 func (n *node) kill() {
 	n.t.Helper()
-	n.log.Note("kill")
+	n.log.Annotate("kill")
 	require.NoError(n.t, n.process.Signal(syscall.SIGKILL))
-	require.True(n.t, n.process.Ended(endWithin), "%s can't be killed", n.name)
+	require.True(n.t, n.process.AwaitExit(endWithin), "%s can't be killed", n.name)
 }
 
 // terminate tells it to end and waits until it has.
 func (n *node) terminate() {
 	n.t.Helper()
-	n.log.Note("terminate")
+	n.log.Annotate("terminate")
 	require.NoError(n.t, n.process.Signal(syscall.SIGTERM))
-	require.True(n.t, n.process.Ended(endWithin), "%s does not end", n.name)
+	require.True(n.t, n.process.AwaitExit(endWithin), "%s does not end", n.name)
 }
 
 // reload tells it that its settings file has changed.
 func (n *node) reload() {
 	n.t.Helper()
-	n.log.Note("reload")
+	n.log.Annotate("reload")
 	n.write()
 	require.NoError(n.t, n.process.Signal(syscall.SIGHUP))
 }
@@ -110,7 +110,7 @@
 // wipe loses the disk. The process must not run.
 func (n *node) wipe() {
 	n.t.Helper()
-	n.log.Note("wipe")
+	n.log.Annotate("wipe")
 	require.NoError(n.t, os.RemoveAll(n.store))
 }
 
--- a/test/integration/serving/planned_test.go
+++ b/test/integration/serving/planned_test.go
@@ -52,7 +52,7 @@
 	}
 	load.end()
 	for _, n := range c.nodes() {
-		require.True(c.t, n.process.Running(), "%s on %s", n.program, n.name)
+		require.True(c.t, n.process.IsRunning(), "%s on %s", n.program, n.name)
 	}
 }
 
@@ -100,7 +100,7 @@
 	by := newHTTP()
 	defer by.CloseIdleConnections()
 	agent.kill()
-	mark := proxy.log.Mark()
+	mark := proxy.log.Offset()
 	_, told := proxy.log.Await(0, within, []string{`"event":510`})
 	assert.True(t, told, "the proxy misses its agent")
 	for _, k := range append(kinds, kinds...) {
--- a/test/integration/subprocess/log.go
+++ b/test/integration/subprocess/log.go
@@ -16,32 +16,32 @@
 
 // Log is all that a program wrote, over all its lives.
 type Log struct {
-	mu    sync.Mutex
-	rest  []byte
-	lines []Line
-	more  chan struct{} // closed at the next line
+	mu      sync.Mutex
+	partial []byte
+	lines   []Line
+	changed chan struct{} // closed at the next line
 }
 
 // NewLog returns an empty one.
-func NewLog() *Log { return &Log{more: make(chan struct{})} }
+func NewLog() *Log { return &Log{changed: make(chan struct{})} }
 
 // Write takes what the process writes.
 func (l *Log) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rest = append(l.rest, b...)
+	l.partial = append(l.partial, b...)
 	for {
-		i := bytes.IndexByte(l.rest, '\n')
+		i := bytes.IndexByte(l.partial, '\n')
 		if i < 0 {
 			return len(b), nil
 		}
-		l.add(string(l.rest[:i]))
-		l.rest = l.rest[i+1:]
+		l.add(string(l.partial[:i]))
+		l.partial = l.partial[i+1:]
 	}
 }
 
-// Note adds a line of the harness's own, so that faults stand among what they cause.
-func (l *Log) Note(format string, args ...any) {
+// Annotate adds a line of the harness's own, so that faults stand among what they cause.
+func (l *Log) Annotate(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.add("# " + fmt.Sprintf(format, args...))
@@ -49,12 +49,12 @@
 
 func (l *Log) add(text string) {
 	l.lines = append(l.lines, Line{time.Now(), text})
-	close(l.more)
-	l.more = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Mark is where the next line will stand: Find and Await can start there.
-func (l *Log) Mark() int {
+// Offset is where the next line will stand: Find and Await can start there.
+func (l *Log) Offset() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.lines)
@@ -70,15 +70,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := from; i < len(l.lines); i++ {
-		if l.lines[i].Has(parts...) {
-			return l.lines[i], len(l.lines), l.more
+		if l.lines[i].ContainsAll(parts...) {
+			return l.lines[i], len(l.lines), l.changed
 		}
 	}
-	return Line{}, len(l.lines), l.more
+	return Line{}, len(l.lines), l.changed
 }
 
-// Has tells whether the line has all parts in it.
-func (l Line) Has(parts ...string) bool {
+// ContainsAll tells whether the line has all parts in it.
+func (l Line) ContainsAll(parts ...string) bool {
 	for _, p := range parts {
 		if !strings.Contains(l.Text, p) {
 			return false
@@ -87,12 +87,12 @@
 	return l.Text != ""
 }
 
-// All are the lines from a mark on that have all parts in them.
-func (l *Log) All(from int, parts ...string) (all []Line) {
+// FindAll are the lines from a mark on that have all parts in them.
+func (l *Log) FindAll(from int, parts ...string) (all []Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range l.lines[min(from, len(l.lines)):] {
-		if line.Has(parts...) {
+		if line.ContainsAll(parts...) {
 			all = append(all, line)
 		}
 	}
--- a/test/integration/subprocess/process.go
+++ b/test/integration/subprocess/process.go
@@ -16,17 +16,17 @@
 // Build builds commands of the repository for a test's TestMain, as the deploy files do, and returns the folder that
 // they are in and what removes it. root is where go.mod is, as seen from the test.
 func Build(root string, commands ...string) (folder string, remove func(), err error) {
-	return BuildOverlaid(root, "", commands...)
+	return BuildWithOverlay(root, "", commands...)
 }
 
-// BuildOverlaid does the same with files replaced or added by an overlay file of the go command; empty: none.
-func BuildOverlaid(root, overlay string, commands ...string) (folder string, remove func(), err error) {
+// BuildWithOverlay does the same with files replaced or added by an overlay file of the go command; empty: none.
+func BuildWithOverlay(root, overlay string, commands ...string) (folder string, remove func(), err error) {
 	folder, err = os.MkdirTemp("", "harness")
 	if err != nil {
 		return "", nil, err
 	}
 	args := append([]string{"build", "-ldflags=-linkmode=external", "-o", folder + string(filepath.Separator)},
-		buildArgs()...)
+		raceFlags()...)
 	if overlay != "" {
 		args = append(args, "-overlay", overlay)
 	}
@@ -43,8 +43,8 @@
 	return folder, func() { os.RemoveAll(folder) }, nil
 }
 
-// buildArgs: ROWAN_RACE=1 has members tell of data races, at ten times the cost.
-func buildArgs() []string {
+// raceFlags: ROWAN_RACE=1 has members tell of data races, at ten times the cost.
+func raceFlags() []string {
 	if os.Getenv("ROWAN_RACE") != "" {
 		return []string{"-race"}
 	}
@@ -54,17 +54,17 @@
 // Process is one life of a program.
 type Process struct {
 	cmd  *exec.Cmd
-	over chan struct{} // closed when it has ended and its output is read
+	done chan struct{} // closed when it has ended and its output is read
 }
 
-// starts are done by one thread that never ends: a child is killed when the thread that started it ends, and
+// startRequests are done by one thread that never ends: a child is killed when the thread that started it ends, and
 // so none outlives a test that is cut off.
-var starts = make(chan func())
+var startRequests = make(chan func())
 
 func init() {
 	go func() {
 		runtime.LockOSThread()
-		for start := range starts {
+		for start := range startRequests {
 			start()
 		}
 	}()
@@ -73,15 +73,15 @@
 // Start starts a program with arguments. Its environment is the given one alone, its output goes to out. It is
 // killed when the test's own process ends.
 func Start(path string, arguments, env []string, out io.Writer) (*Process, error) {
-	p := &Process{cmd: exec.Command(path, arguments...), over: make(chan struct{})}
+	p := &Process{cmd: exec.Command(path, arguments...), done: make(chan struct{})}
 	p.cmd.Env, p.cmd.Stdout, p.cmd.Stderr = env, out, out
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan error)
-	starts <- func() { done <- p.cmd.Start() }
+	startRequests <- func() { done <- p.cmd.Start() }
 	if err := <-done; err != nil {
 		return nil, err
 	}
-	go func() { p.cmd.Wait(); close(p.over) }()
+	go func() { p.cmd.Wait(); close(p.done) }()
 	return p, nil
 }
 
@@ -91,29 +91,29 @@
 // Signal sends a signal.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Over is closed when the process has ended and its output is read.
-func (p *Process) Over() <-chan struct{} { return p.over }
+// Done is closed when the process has ended and its output is read.
+func (p *Process) Done() <-chan struct{} { return p.done }
 
-// End says how the process has ended; it is for after Over.
-func (p *Process) End() string { return p.cmd.ProcessState.String() }
+// ExitStatus says how the process has ended; it is for after Over.
+func (p *Process) ExitStatus() string { return p.cmd.ProcessState.String() }
 
-// Running tells whether it has not ended. A nil process never ran.
-func (p *Process) Running() bool {
+// IsRunning tells whether it has not ended. A nil process never ran.
+func (p *Process) IsRunning() bool {
 	if p == nil {
 		return false
 	}
 	select {
-	case <-p.over:
+	case <-p.done:
 		return false
 	default:
 		return true
 	}
 }
 
-// Ended waits until it has ended; false: not within that time.
-func (p *Process) Ended(within time.Duration) bool {
+// AwaitExit waits until it has ended; false: not within that time.
+func (p *Process) AwaitExit(within time.Duration) bool {
 	select {
-	case <-p.over:
+	case <-p.done:
 		return true
 	case <-time.After(within):
 		return false
--- a/test/procstate/halted.go
+++ b/test/procstate/halted.go
@@ -8,10 +8,10 @@
 	"path/filepath"
 )
 
-// All tells whether each thread of a process stands still. Guards against a test that takes a process as
+// AllThreadsStopped tells whether each thread of a process stands still. Guards against a test that takes a process as
 // stopped once the signal was sent: its other threads run on until one of them has taken the signal, which
 // can be milliseconds on a machine with other work.
-func All(pid int) bool {
+func AllThreadsStopped(pid int) bool {
 	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, path := range all {
 		stat, err := os.ReadFile(path)
--- a/webhook/dispatcher/e2e/helpers_test.go
+++ b/webhook/dispatcher/e2e/helpers_test.go
@@ -161,7 +161,7 @@
 // stop has the process stand still, and waits until it does.
 func (w *world) stop() {
 	require.NoError(w.t, w.process.Process.Signal(syscall.SIGSTOP))
-	w.soon("the process stands still", func() bool { return procstate.All(w.process.Process.Pid) })
+	w.soon("the process stands still", func() bool { return procstate.AllThreadsStopped(w.process.Process.Pid) })
 }
 
 func (w *world) kill() {
