--- /dev/null
+++ b/cluster/member/coordinate.go
@@ -0,0 +1,75 @@
+package member
+
+import (
+	"log/slog"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/member/coordinator"
+	"rowanlink/cluster/member/health"
+	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/shardmap"
+)
+
+// applyLeases takes the leases as the log has them.
+func (m *Member) applyLeases(_ uint64, snapshot []byte) {
+	leases := lease.NewTable()
+	if err := leases.Restore(snapshot); err != nil {
+		slog.Error("leases not read", "why", err)
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.coordinator.SetLeases(leases)
+	m.wake()
+}
+
+// applyProgress takes the running plan as the log has it.
+func (m *Member) applyProgress(_ uint64, snapshot []byte) {
+	progress := &rebalance.Progress{}
+	if err := progress.Restore(snapshot); err != nil {
+		slog.Error("plan's progress not read", "why", err)
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.coordinator.SetProgress(progress)
+	m.progress.Store(progress)
+	m.wake()
+}
+
+// coordinate runs the coordinator, which does something only while this member holds the lease for that.
+func (m *Member) coordinate() {
+	if m.raft == nil {
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	candidates := coordinator.Candidates{Ranges: m.file.InitialRanges}
+	for _, member := range m.file.Members {
+		candidates.Members = append(candidates.Members, shardmap.Candidate{
+			MemberWeight: shardmap.MemberWeight{Member: member.ID, Weight: member.Weight},
+			MaxRanges:    member.MaxRanges,
+		})
+	}
+	if m.coordinator.Run(m.planRequest, candidates, m.clock()) {
+		m.planRequest.Fresh = false
+	}
+}
+
+// healthQuery returns what the members are to be asked for: nothing where this member doesn't coordinate.
+func (m *Member) healthQuery() health.Query {
+	shardMap := m.ownership.Map()
+	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || shardMap == nil {
+		return health.Query{}
+	}
+	progress := m.progress.Load()
+	if progress == nil || progress.Number == 0 {
+		return health.Query{}
+	}
+	file, err := progress.File()
+	if err != nil {
+		return health.Query{} // the coordinator logs why
+	}
+	return health.Query{Plan: progress.Number, Watches: progress.MonitoredMoves(file, shardMap)}
+}
