--- a/cluster/member/settings_test.go
+++ b/cluster/member/member_test.go
@@ -9,8 +9,9 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against a second effect: a copy lost with a relay goes once more by settings that no longer hold.
-func TestWhatIsLostWithARelayGoesByTheSettingsReadLast(t *testing.T) {
+// Guards against a webhook that is delivered twice: a copy that was lost with a relay is sent once more by settings that
+// don't hold any more.
+func TestEventType_IsThatOfTheSettingsReadLast(t *testing.T) {
 	m := New("")
 	m.settings.Store(&api.Settings{EventTypes: []api.EventType{{Semantics: api.Idempotent}}})
 	lost := func() stream.Resolution {
--- a/serving/httpserver/timeouts.go
+++ b/serving/httpserver/timeouts.go
@@ -23,9 +23,9 @@
 
 // firstByteTimeout returns how long an attempt at an endpoint of the service may be without a first byte.
 func firstByteTimeout(route *routing.Route, service *routing.Service, expected time.Duration) time.Duration {
-	least := route.Target / targetDivisor
+	least := route.LatencyTarget / targetDivisor
 	if service != nil && service.Engine != nil {
-		least = route.Target * llmTargetFactor
+		least = route.LatencyTarget * llmTargetFactor
 	}
 	return max(least, expectedFactor*expected, minFirstByteTimeout)
 }
@@ -40,7 +40,7 @@
 // streamIdleTimeout returns after how long without an event a stream is resumed at another endpoint; zero: never.
 func streamIdleTimeout(route *routing.Route) time.Duration {
 	switch {
-	case !route.Resume:
+	case !route.Resumable:
 		return 0
 	case route.GapTarget <= 0:
 		return defaultStreamIdleTimeout
