--- a/serving/settings/load.go
+++ b/serving/settings/load.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/errcode"
 )
 
-// EnvironmentVariable holds the path of the settings file.
+// EnvironmentVariable is the name of the environment variable with the path of the settings file.
 const EnvironmentVariable = "ROWANLINK_SETTINGS"
 
 // FromEnvironment loads the file that EnvironmentVariable names.
@@ -22,8 +22,8 @@
 	return Load(path)
 }
 
-// Load reads and checks a settings file. The error is of the kind errcode.SettingsUnreadable, or of the kind
-// errcode.SettingsInvalid and then names everything that is wrong with the file.
+// Load reads and validates a settings file. Errors are errcode.SettingsUnreadable, or errcode.SettingsInvalid with all
+// that is wrong with the file.
 func Load(path string) (*Process, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return Parse(content)
 }
 
-// Parse reads and checks the content of a settings file. Its errors are those of Load.
+// Parse parses and validates the content of a settings file. Its errors are those of Load.
 func Parse(content []byte) (*Process, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadBytes(content)
@@ -40,28 +40,28 @@
 		return nil, errcode.SettingsUnreadable.With("%v", err)
 	}
 	process := &Process{Regions: map[string]string{}}
-	var faults []string
+	var problems []string
 	for _, setting := range Table() {
-		faults = append(faults, setting.apply(process, file)...)
+		problems = append(problems, setting.apply(process, file)...)
 	}
-	if len(faults) > 0 {
-		return nil, errcode.SettingsInvalid.With("%s", strings.Join(faults, "; "))
+	if len(problems) > 0 {
+		return nil, errcode.SettingsInvalid.With("%s", strings.Join(problems, "; "))
 	}
-	if _, named := process.Regions[process.Zone]; !named {
+	if _, isNamed := process.Regions[process.Zone]; !isNamed {
 		process.Regions[process.Zone] = process.Region
 	}
 	return process, nil
 }
 
-// apply stores the setting's values and returns what is wrong with them.
-func (s Setting) apply(process *Process, file *properties.Properties) (faults []string) {
+// apply stores the setting's value and returns what is wrong with it.
+func (s Setting) apply(process *Process, file *properties.Properties) (problems []string) {
 	if s.Pattern {
 		return s.applyPattern(process, file)
 	}
 	value, _ := file.Get(s.Key)
 	value = strings.TrimSpace(value)
 	if value == "" && s.Required {
-		return []string{fmt.Sprintf("%s is missing: wanted is %s", s.Key, s.Type)}
+		return []string{fmt.Sprintf("%s is missing: expected %s", s.Key, s.Type)}
 	}
 	if value == "" {
 		value = s.Default
@@ -72,21 +72,22 @@
 	return s.storeValue(process, s.Key, "", value)
 }
 
-func (s Setting) applyPattern(process *Process, file *properties.Properties) (faults []string) {
+// applyPattern stores the values of all keys that match the pattern.
+func (s Setting) applyPattern(process *Process, file *properties.Properties) (problems []string) {
 	for _, key := range file.Keys() {
 		name, matches := strings.CutPrefix(key, s.Key)
 		if !matches {
 			continue
 		}
 		value, _ := file.Get(key)
-		faults = append(faults, s.storeValue(process, key, name, strings.TrimSpace(value))...)
+		problems = append(problems, s.storeValue(process, key, name, strings.TrimSpace(value))...)
 	}
-	return faults
+	return problems
 }
 
-func (s Setting) storeValue(process *Process, key, name, value string) (faults []string) {
+func (s Setting) storeValue(process *Process, key, name, value string) (problems []string) {
 	if err := s.store(process, name, value); err != nil {
-		return []string{fmt.Sprintf("%s=%q: wanted is %s (%v)", key, value, s.Type, err)}
+		return []string{fmt.Sprintf("%s=%q: expected %s (%v)", key, value, s.Type, err)}
 	}
 	return nil
 }
--- a/serving/settings/load_test.go
+++ b/serving/settings/load_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/errcode"
 )
 
-// TestParse prints what a file comes to, or everything that is wrong with it.
+// TestParse prints the parsed settings, or all that is wrong with the file.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, d *datadriven.TestData) string {
 		process, err := Parse([]byte(d.Input))
@@ -50,7 +50,7 @@
 
 const minimalSettings = "node_name=n\nip_addr=10.0.0.1\nzone=z\nregion=r\nport_range=7000,7001\n"
 
-// TestFeedAddress_MachinesOnOneHost: their agents would meet at one loopback address otherwise.
+// TestFeedAddress_MachinesOnOneHost: with the common loopback address their agents would clash.
 func TestFeedAddress_MachinesOnOneHost(t *testing.T) {
 	process, err := Parse([]byte("node_name=n\nip_addr=127.0.1.5\nzone=z\nregion=r\nport_range=7000,7001\n"))
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	assert.Equal(t, 250*time.Microsecond, process.Bounds.Drain)
 }
 
-// TestParse_AnyInput: whatever the bytes, there are settings or a numbered error, and never a panic.
+// TestParse_AnyInput: any input gives settings or a numbered error, and never a panic.
 func TestParse_AnyInput(t *testing.T) {
 	var keys []string
 	for _, setting := range Table() {
--- a/serving/settings/process.go
+++ b/serving/settings/process.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings parses and validates the settings file of a process, and watches it for changes.
 package settings
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// loopback is the address at which processes of one machine reach each other.
+// loopback is the address by which processes on one machine reach each other.
 const loopback = "127.0.0.1"
 
-// Process holds the settings of one process, checked.
+// Process holds the validated settings of one process.
 type Process struct {
 	NodeName string
 	Zone     string
@@ -20,11 +20,11 @@
 	Regions  map[string]string // region by zone
 
 	Bind       Bind
-	FirstPort  int // ports from FirstPort to LastPort are for calls between the system's processes
+	FirstPort  int // the ports from FirstPort to LastPort are for calls among the system's processes
 	LastPort   int
-	Seeds      []string // control addresses of a few machines, as the operator's list stood
+	Seeds      []string // control addresses of a few machines, possibly outdated
 	FirstRun   bool     // the very first start of the whole system
-	CountsLoss bool     // this machine's loss counts toward what must be withstood
+	CountsLoss bool     // this machine's loss counts toward FaultTolerance.MachineLosses
 	StoreDir   string   // empty on a machine without a disk
 
 	Limits            Limits
@@ -33,7 +33,7 @@
 	Bounds            Bounds
 }
 
-// Bind holds the addresses, host:port, that outside callers use; empty where the process serves none.
+// Bind holds the addresses, host:port, for outside callers; empty for interfaces that the process doesn't serve.
 type Bind struct {
 	Front     string // clients' requests
 	Ready     string // the platform's readiness checks
@@ -51,14 +51,14 @@
 	DiskMB      int
 }
 
-// FaultTolerance says what may be lost at the same time while everything promised still holds.
+// FaultTolerance says what may be lost at the same time while all bounds still hold.
 type FaultTolerance struct {
 	MachineLosses int
 	Zones         int
 	Regions       int
 }
 
-// Bounds are the times and shares that operators hold the system to.
+// Bounds are the service levels that operators require; docs/settings.md explains each.
 type Bounds struct {
 	SeedLag          time.Duration
 	AddressReuse     time.Duration
@@ -82,11 +82,11 @@
 	MaxTTL           time.Duration
 }
 
-// InnerAddress is where the other processes of the system call this machine.
+// InnerAddress returns the address at which the other processes of the system call this machine.
 func (p *Process) InnerAddress() string { return net.JoinHostPort(p.IP, strconv.Itoa(p.FirstPort)) }
 
-// FeedAddress is where the proxy of this machine asks its agent, over loopback. Machines that are played on one
-// host by loopback addresses of their own ask there, as they would meet at the common one.
+// FeedAddress returns the loopback address at which the proxy of this machine polls its agent. Simulated machines that
+// share one host have loopback addresses of their own and use these, as the common one would clash.
 func (p *Process) FeedAddress() string {
 	host := loopback
 	if ip := net.ParseIP(p.IP); ip != nil && ip.IsLoopback() {
@@ -95,8 +95,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(p.FirstPort+1))
 }
 
-// InnerAddressOf is where the machine of a control address takes calls of the system's processes: ports are
-// alike on all machines.
+// InnerAddressOf returns the inner address of the machine with a control address. The ports are the same on all machines.
 func (p *Process) InnerAddressOf(control string) (string, error) {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
--- a/serving/settings/setting.go
+++ b/serving/settings/setting.go
@@ -9,84 +9,85 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Setting is one line of the table that drives the reading and checking of a settings file.
+// Setting is an entry of the table by which a settings file is parsed and documented.
 type Setting struct {
-	Key      string // as it stands in the file; Pattern tells that it is only a beginning
-	Type     string // what a value looks like, for people
-	Default  string // used where the file lacks the key
+	Key      string // in the file; for a Pattern, the prefix of the keys
+	Type     string // describes the values
+	Default  string // used if the file lacks the key
 	Required bool   // the file must have the key, with a value
-	Pattern  bool   // every key that begins with Key belongs to it
-	Doc      string // one sentence
+	Pattern  bool   // all keys with the prefix Key belong to the setting
+	Doc      string // one sentence for the docs
 
-	// store checks a value and stores it. The error says what is wanted. For a pattern, name is the key's rest.
+	// store validates a value and stores it. For a pattern, name is the key without its prefix.
 	store func(p *Process, name, value string) error
 }
 
-// The types of values, as the docs and errors name them.
+// The types of values, as named in the docs and in errors.
 const (
 	typeText         = "text"
 	typeBool         = "true or false"
-	typeInteger      = "whole number, 0 or more"
+	typeInteger      = "integer, 0 or more"
 	typeNumber       = "number, 0 or more"
 	typeMilliseconds = "milliseconds, 0 or more"
 	typeSeconds      = "seconds, 0 or more"
-	typeIP           = "IP number"
-	typeAddress      = "IP number:port"
-	typeWords        = "words, joined by commas"
-	typePorts        = "first and last port, joined by a comma"
-	typeSeedList     = "IP number:port, joined by commas"
+	typeIP           = "IP address"
+	typeAddress      = "IP address:port"
+	typeWords        = "words, separated by commas"
+	typePorts        = "first and last port, separated by a comma"
+	typeSeedList     = "IP address:port, separated by commas"
 )
 
-// maxDuration keeps a number of milliseconds or seconds within a time.Duration.
+// maxDuration is the longest duration that is accepted; it is well within the range of time.Duration.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
 func textSetting(key, doc string, field func(*Process) *string) Setting {
-	read := func(p *Process, _, value string) error {
+	store := func(p *Process, _, value string) error {
 		*field(p) = value
 		return nil
 	}
-	return Setting{Key: key, Type: typeText, Doc: doc, store: read}
+	return Setting{Key: key, Type: typeText, Doc: doc, store: store}
 }
 
 func boolSetting(key, doc string, field func(*Process) *bool) Setting {
-	read := func(p *Process, _, value string) error {
+	store := func(p *Process, _, value string) error {
 		parsed, err := strconv.ParseBool(strings.ToLower(value))
 		*field(p) = parsed
 		return err
 	}
-	return Setting{Key: key, Type: typeBool, Default: "false", Doc: doc, store: read}
+	return Setting{Key: key, Type: typeBool, Default: "false", Doc: doc, store: store}
 }
 
-func integerSetting(key, fallback, doc string, field func(*Process) *int) Setting {
-	read := func(p *Process, _, value string) error {
+func integerSetting(key, defaultValue, doc string, field func(*Process) *int) Setting {
+	store := func(p *Process, _, value string) error {
 		parsed, err := parseNumber(value)
 		if err == nil && parsed != float64(int(parsed)) {
-			return errors.New("not whole")
+			return errors.New("not an integer")
 		}
 		*field(p) = int(parsed)
 		return err
 	}
-	return Setting{Key: key, Type: typeInteger, Default: fallback, Doc: doc, store: read}
+	return Setting{Key: key, Type: typeInteger, Default: defaultValue, Doc: doc, store: store}
 }
 
-func numberSetting(key, fallback, doc string, field func(*Process) *float64) Setting {
-	read := func(p *Process, _, value string) (err error) {
+func numberSetting(key, defaultValue, doc string, field func(*Process) *float64) Setting {
+	store := func(p *Process, _, value string) (err error) {
 		*field(p), err = parseNumber(value)
 		return err
 	}
-	return Setting{Key: key, Type: typeNumber, Default: fallback, Doc: doc, store: read}
+	return Setting{Key: key, Type: typeNumber, Default: defaultValue, Doc: doc, store: store}
 }
 
-func millisecondsSetting(key, fallback, doc string, field func(*Process) *time.Duration) Setting {
-	return durationSetting(key, typeMilliseconds, fallback, doc, time.Millisecond, field)
+func millisecondsSetting(key, defaultValue, doc string, field func(*Process) *time.Duration) Setting {
+	return durationSetting(key, typeMilliseconds, defaultValue, doc, time.Millisecond, field)
 }
 
-func secondsSetting(key, fallback, doc string, field func(*Process) *time.Duration) Setting {
-	return durationSetting(key, typeSeconds, fallback, doc, time.Second, field)
+func secondsSetting(key, defaultValue, doc string, field func(*Process) *time.Duration) Setting {
+	return durationSetting(key, typeSeconds, defaultValue, doc, time.Second, field)
 }
 
-func durationSetting(key, kind, fallback, doc string, unit time.Duration, field func(*Process) *time.Duration) Setting {
-	read := func(p *Process, _, value string) error {
+func durationSetting(key, valueType, defaultValue, doc string, unit time.Duration,
+	field func(*Process) *time.Duration) Setting {
+	store := func(p *Process, _, value string) error {
 		parsed, err := parseNumber(value)
 		if err == nil && parsed > float64(maxDuration/unit) {
 			return errors.New("too long")
@@ -94,31 +95,31 @@
 		*field(p) = time.Duration(parsed * float64(unit))
 		return err
 	}
-	return Setting{Key: key, Type: kind, Default: fallback, Doc: doc, store: read}
+	return Setting{Key: key, Type: valueType, Default: defaultValue, Doc: doc, store: store}
 }
 
 func addressSetting(key, doc string, field func(*Process) *string) Setting {
-	read := func(p *Process, _, value string) error {
+	store := func(p *Process, _, value string) error {
 		*field(p) = value
 		return checkAddress(value)
 	}
-	return Setting{Key: key, Type: typeAddress, Doc: doc, store: read}
+	return Setting{Key: key, Type: typeAddress, Doc: doc, store: store}
 }
 
-// required marks a setting without which a process can't work.
+// required returns the setting as a required one.
 func required(s Setting) Setting {
 	s.Required = true
 	return s
 }
 
-// parseNumber reads a finite number that isn't negative.
+// parseNumber parses a finite non-negative number.
 func parseNumber(value string) (float64, error) {
 	parsed, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return 0, err
 	}
-	const most = 1e15 // exact as float64, and far above every setting; not a number fails the comparison
-	if !(parsed >= 0 && parsed <= most) {
+	const maxNumber = 1e15                     // exact as a float64, and far above every setting
+	if !(parsed >= 0 && parsed <= maxNumber) { // also false for NaN
 		return 0, errors.New("out of range")
 	}
 	return parsed, nil
@@ -130,7 +131,7 @@
 		return err
 	}
 	if net.ParseIP(host) == nil {
-		return errors.New("no IP number")
+		return errors.New("not an IP address")
 	}
 	return checkPort(port)
 }
@@ -148,7 +149,7 @@
 	return int(port), err
 }
 
-// splitList reads words joined by commas; an empty value is no word.
+// splitList splits comma-separated words and drops empty ones.
 func splitList(value string) []string {
 	var words []string
 	for word := range strings.SplitSeq(value, ",") {
--- a/serving/settings/table.go
+++ b/serving/settings/table.go
@@ -2,22 +2,26 @@
 
 import (
 	"net"
+	"slices"
 	"time"
 
 	"github.com/cockroachdb/errors"
 )
 
-// innerPorts is the number of ports that the system's processes on one machine need.
+// innerPorts is the number of ports that the processes on one machine need for calls among themselves.
 const innerPorts = 2
 
-// Table returns the settings that the system's programs read, in the order of the docs. All other keys of a file
-// are ignored: operators may add fields at any time.
+// Table returns all settings, in the order of the docs. Unknown keys of a file are ignored: operators may add keys at any
+// time.
 func Table() []Setting {
-	var all []Setting
-	for _, part := range [][]Setting{identitySettings(), bindSettings(), clusterSettings(), limitSettings(), faultToleranceSettings(), boundSettings()} {
-		all = append(all, part...)
-	}
-	return all
+	return slices.Concat(
+		identitySettings(),
+		bindSettings(),
+		clusterSettings(),
+		limitSettings(),
+		faultToleranceSettings(),
+		boundSettings(),
+	)
 }
 
 func identitySettings() []Setting {
@@ -26,30 +30,30 @@
 		required(Setting{Key: "ip_addr", Type: typeIP, Doc: "The machine's own address.", store: storeIP}),
 		required(textSetting("zone", "Zone of the machine.", func(p *Process) *string { return &p.Zone })),
 		required(textSetting("region", "Region of the machine.", func(p *Process) *string { return &p.Region })),
-		{Key: "serves", Type: typeWords, Doc: "What outside callers may ask of this process.", store: storeServes},
-		{Key: "zones.", Pattern: true, Type: typeText, Doc: "Region of the zone that the key's rest names.", store: storeZone},
+		{Key: "serves", Type: typeWords, Doc: "Interfaces that this process serves to outside callers.", store: storeServes},
+		{Key: "zones.", Pattern: true, Type: typeText, Doc: "Region of the zone NAME.", store: storeZone},
 	}
 }
 
 func bindSettings() []Setting {
 	return []Setting{
-		addressSetting("bind.front_door", "Where clients' requests are taken.", func(p *Process) *string { return &p.Bind.Front }),
-		addressSetting("bind.ready_addr", "Where the platform asks for readiness.", func(p *Process) *string { return &p.Bind.Ready }),
-		addressSetting("bind.control_addr", "Where operators and endpoints call.", func(p *Process) *string { return &p.Bind.Control }),
-		addressSetting("bind.directory_addr", "Where clients look up where to go.", func(p *Process) *string { return &p.Bind.Directory }),
+		addressSetting("bind.front_door", "Address for clients' requests.", func(p *Process) *string { return &p.Bind.Front }),
+		addressSetting("bind.ready_addr", "Address for the platform's readiness checks.", func(p *Process) *string { return &p.Bind.Ready }),
+		addressSetting("bind.control_addr", "Address for operators and endpoints.", func(p *Process) *string { return &p.Bind.Control }),
+		addressSetting("bind.directory_addr", "Address for clients' look-ups of proxies.", func(p *Process) *string { return &p.Bind.Directory }),
 	}
 }
 
 func clusterSettings() []Setting {
 	return []Setting{
 		required(Setting{Key: "port_range", Type: typePorts, store: storePorts,
-			Doc: "Ports for calls between the system's own processes, alike on all machines; two at least."}),
+			Doc: "Ports for calls among the system's own processes, the same on all machines; at least two."}),
 		{Key: "seed_nodes", Type: typeSeedList, Doc: "Control addresses of a few machines to join through.", store: storeSeeds},
 		boolSetting("first_run", "The very first start of the whole system, with empty disks.",
 			func(p *Process) *bool { return &p.FirstRun }),
-		boolSetting("counts_loss", "The loss of this machine counts among those to be withstood.",
+		boolSetting("counts_loss", "The loss of this machine counts toward `withstand.machine_losses`.",
 			func(p *Process) *bool { return &p.CountsLoss }),
-		textSetting("store_dir", "Folder for data that must outlast the process; empty on a machine without a disk.",
+		textSetting("store_dir", "Folder for persistent data; empty on a machine without a disk.",
 			func(p *Process) *string { return &p.StoreDir }),
 		millisecondsSetting("beat_ms", "1000", "Time between two heartbeats of an endpoint.",
 			func(p *Process) *time.Duration { return &p.HeartbeatInterval }),
@@ -58,15 +62,15 @@
 
 func limitSettings() []Setting {
 	return []Setting{
-		numberSetting("limits.cpu_fraction", "1", "Share of a core that the process may use.",
+		numberSetting("limits.cpu_fraction", "1", "Fraction of a core that the process may use.",
 			func(p *Process) *float64 { return &p.Limits.CPUFraction }),
-		numberSetting("limits.cpu_cores", "1", "Speed of that core against an ordinary one.",
+		numberSetting("limits.cpu_cores", "1", "Speed of that core relative to an ordinary one.",
 			func(p *Process) *float64 { return &p.Limits.CPUCores }),
 		integerSetting("limits.ram_mb", "256", "Memory that the process may use, in megabytes.",
 			func(p *Process) *int { return &p.Limits.MemoryMB }),
-		integerSetting("limits.file_limit", "1024", "Descriptors that the process may hold.",
+		integerSetting("limits.file_limit", "1024", "File descriptors that the process may have open.",
 			func(p *Process) *int { return &p.Limits.FileLimit }),
-		numberSetting("limits.link_mbps", "1000", "Bandwidth of the machine's link, in megabits a second.",
+		numberSetting("limits.link_mbps", "1000", "Bandwidth of the machine's link, in megabits per second.",
 			func(p *Process) *float64 { return &p.Limits.LinkMbps }),
 		integerSetting("limits.disk_mb", "0", "Size of the disk, in megabytes.",
 			func(p *Process) *int { return &p.Limits.DiskMB }),
@@ -86,7 +90,7 @@
 func storeIP(p *Process, _, value string) error {
 	p.IP = value
 	if net.ParseIP(value) == nil {
-		return errors.New("no IP number")
+		return errors.New("not an IP address")
 	}
 	return nil
 }
@@ -98,7 +102,7 @@
 
 func storeZone(p *Process, zone, region string) error {
 	if zone == "" || region == "" {
-		return errors.New("a zone and a region must be named")
+		return errors.New("a zone and a region are required")
 	}
 	p.Regions[zone] = region
 	return nil
@@ -116,7 +120,7 @@
 		return err
 	}
 	if p.LastPort-p.FirstPort < innerPorts-1 {
-		return errors.Newf("%d ports are needed", innerPorts)
+		return errors.Newf("at least %d ports are required", innerPorts)
 	}
 	return nil
 }
--- a/serving/settings/watch.go
+++ b/serving/settings/watch.go
@@ -13,18 +13,18 @@
 	"rowanlink/serving/event"
 )
 
-// WatchInterval is how often programs look whether their settings file has changed.
+// WatchInterval is the interval at which programs check whether their settings file has changed.
 const WatchInterval = 2 * time.Second
 
-// Watch calls apply with the settings once at its start and after each change of the file, until the context ends.
-// It looks at the file every interval and on SIGHUP: a file may change with no signal. A file that can't be used is
-// logged to the context's zerolog logger and ignored.
+// Watch calls apply with the settings at its start and after each change of the file, until the context ends. It reads
+// the file every interval and on SIGHUP, as a file may change without a signal. An invalid file is logged to the
+// context's zerolog logger and ignored.
 func Watch(ctx context.Context, path string, interval time.Duration, apply func(*Process)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticks := time.NewTicker(interval)
-	defer ticks.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	w := watcher{path: path, apply: apply, log: zerolog.Ctx(ctx)}
 	for {
 		w.reload()
@@ -32,21 +32,22 @@
 		case <-ctx.Done():
 			return
 		case <-hangups:
-		case <-ticks.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// watcher knows the last content of a settings file. It compares contents, not times: the time of day jumps.
+// watcher holds the last content of a settings file. It compares contents rather than modification times, since the
+// wall clock may jump.
 type watcher struct {
 	path       string
 	apply      func(*Process)
 	log        *zerolog.Logger
 	content    []byte
-	unreadable bool // the file couldn't be read at the last look
+	unreadable bool // the file couldn't be read the last time
 }
 
-// reload reads the file and applies what is new in it.
+// reload reads the file and applies it if it has changed.
 func (w *watcher) reload() {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
@@ -60,14 +61,14 @@
 	if w.content != nil && bytes.Equal(content, w.content) {
 		return
 	}
-	first := w.content == nil
+	isFirst := w.content == nil
 	w.content = content
 	process, err := Parse(content)
 	if err != nil {
 		event.SettingsRejected.Log(w.log).Err(err).Send()
 		return
 	}
-	if !first {
+	if !isFirst {
 		event.SettingsChanged.Log(w.log).Strs("seeds", process.Seeds).Send()
 	}
 	w.apply(process)
--- a/serving/settings/watch_test.go
+++ b/serving/settings/watch_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fileChange is what happens to the file before a look.
+// fileChange is a change of the file before a reload.
 type fileChange struct {
 	name    string
 	content string // empty: the file is removed
-	applied int    // calls of apply after the look, from the start
-	logged  string // what the log then holds; empty: nothing new
+	applied int    // calls of apply so far
+	logged  string // what the reload logs; empty: nothing
 }
 
 func TestWatcher_FollowsTheFile(t *testing.T) {
@@ -27,13 +27,13 @@
 	w := watcher{path: path, log: &logger, apply: func(p *Process) { applied = append(applied, p) }}
 	for _, step := range []fileChange{
 		{"first", minimalSettings, 1, ""},
-		{"the same again", minimalSettings, 1, ""},
+		{"unchanged", minimalSettings, 1, ""},
 		{"new seeds", minimalSettings + "seed_nodes=10.0.0.2:80\n", 2, `"event":100`},
-		{"wrong", minimalSettings + "seed_nodes=elsewhere\n", 2, `"event":101`},
-		{"wrong and not told again", minimalSettings + "seed_nodes=elsewhere\n", 2, ""},
-		{"gone", "", 2, `"event":101`},
-		{"still gone", "", 2, ""},
-		{"back", minimalSettings, 3, `"event":100`},
+		{"invalid", minimalSettings + "seed_nodes=elsewhere\n", 2, `"event":101`},
+		{"invalid and unchanged", minimalSettings + "seed_nodes=elsewhere\n", 2, ""},
+		{"removed", "", 2, `"event":101`},
+		{"still removed", "", 2, ""},
+		{"restored", minimalSettings, 3, `"event":100`},
 	} {
 		if step.content == "" {
 			_ = os.Remove(path)
