--- a/serving/attempt/attempt.go
+++ b/serving/attempt/attempt.go
@@ -1,4 +1,4 @@
-// Package attempt names what can come of sending a request to an endpoint once.
+// Package attempt names the outcomes of sending a request to an endpoint once.
 package attempt
 
 // Outcome is how an attempt ended.
@@ -6,24 +6,44 @@
 
 // The outcomes.
 const (
-	Succeeded     Outcome = iota // an answer below 500, whole
-	Failed                       // the endpoint's own error (5xx without the mark "not delivered"): it ran
-	Rejected                     // 503, 429 or 400 marked "not delivered": the endpoint is full or the deadline passed in its queue
-	Misdirected                  // 421: another incarnation has the address, or other weights; says nothing of its health
-	ConnectFailed                // no connection came up; nothing was sent
-	Broken                       // the connection broke after something was sent, or the answer was no answer
-	TimedOut                     // no answer, or no further part of it, in time
-	Canceled                     // the client left
-	AtLimit                      // this process may open no connection: the endpoint was not asked, and it says nothing of it
+	// Succeeded: a complete response with a status below 500.
+	Succeeded Outcome = iota
+	// Failed: the endpoint's own error, a 5xx status without the header that marks it as not delivered. The request ran.
+	Failed
+	// Rejected: 503, 429 or 400, marked as not delivered. The endpoint is full, or the deadline passed in its queue.
+	Rejected
+	// Misdirected: 421. The address belongs to another incarnation or serves other weights; it says nothing of the
+	// endpoint's health.
+	Misdirected
+	// ConnectFailed: no connection was established, so nothing was sent.
+	ConnectFailed
+	// Broken: the connection broke after something was sent, or the response was invalid.
+	Broken
+	// TimedOut: no response, or no further part of it, arrived in time.
+	TimedOut
+	// Canceled: the client disconnected.
+	Canceled
+	// AtLimit: this process may open no further connection. Nothing was sent, and it says nothing of the endpoint.
+	AtLimit
 )
 
-// NeverRan tells whether the outcome proves that the endpoint did not and will not run the request.
+// outcomeNames are the names in logs, by Outcome.
+var outcomeNames = [...]string{
+	Succeeded:     "succeeded",
+	Failed:        "failed",
+	Rejected:      "refused",
+	Misdirected:   "misdirected",
+	ConnectFailed: "connect_failed",
+	Broken:        "broken",
+	TimedOut:      "timed_out",
+	Canceled:      "canceled",
+	AtLimit:       "at_limit",
+}
+
+// NeverRan reports whether the outcome proves that the endpoint has not run the request and never will.
 func (o Outcome) NeverRan() bool {
 	return o == Rejected || o == Misdirected || o == ConnectFailed || o == AtLimit
 }
 
-// String names the outcome in logs.
-func (o Outcome) String() string {
-	return [...]string{"succeeded", "failed", "refused", "misdirected", "connect_failed", "broken", "timed_out",
-		"canceled", "at_limit"}[o]
-}
+// String returns the outcome's name in logs.
+func (o Outcome) String() string { return outcomeNames[o] }
--- a/serving/proxy/monitor.go
+++ b/serving/proxy/monitor.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// monitorInterval is the time between two looks for endpoints that don't acknowledge what is sent.
+	// monitorInterval is the time between two checks for endpoints that don't acknowledge what is sent.
 	monitorInterval = 250 * time.Millisecond
-	// minReportInterval is the least time between two words on failed calls alone.
+	// minReportInterval is the least time between two reports of failed calls alone.
 	minReportInterval = time.Second
 )
 
-// monitorEndpoints has what was seen of endpoints told until the context ends.
+// monitorEndpoints reports observations of endpoints until the context ends.
 func (p *proxy) monitorEndpoints(ctx context.Context) {
 	ticks := time.NewTicker(monitorInterval)
 	defer ticks.Stop()
-	var told time.Time
+	var reportedAt time.Time
 	for {
 		select {
 		case now := <-ticks.C:
-			told = p.checkEndpoints(now, told)
+			reportedAt = p.checkEndpoints(now, reportedAt)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// checkEndpoints has the agent told where there is something to tell, and returns when it was told last.
-func (p *proxy) checkEndpoints(now, told time.Time) time.Time {
-	if stuck := p.pool.UnacknowledgedEndpoints(now); len(stuck) > 0 {
-		p.picker.ReportUnacknowledged(now, stuck)
+// checkEndpoints reports observations if there are any to report, and returns when they were last reported.
+func (p *proxy) checkEndpoints(now, reportedAt time.Time) time.Time {
+	if ids := p.pool.UnacknowledgedEndpoints(now); len(ids) > 0 {
+		p.picker.ReportUnacknowledged(now, ids)
 	}
 	p.picker.SetRoundTrips(p.pool.RoundTrips())
-	some, urgent := p.picker.PendingObservations()
-	if !some || !urgent && now.Sub(told) < minReportInterval {
-		return told
+	pending, urgent := p.picker.PendingObservations()
+	due := urgent || now.Sub(reportedAt) >= minReportInterval
+	if !pending || !due {
+		return reportedAt
 	}
-	p.watcher.reportNow()
+	p.agent.reportNow()
 	return now
 }
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy is the process that carries clients' requests: it learns from the agent beside it what the system
-// is, places and sends requests by that, and goes on with what it last knew when the agent is gone.
+// Package proxy runs the data plane process: it gets the state of the cluster from the agent on the same machine,
+// serves clients' requests by it (packages httpserver, placement, retry and upstream), and continues with the last
+// known state if the agent is unreachable.
 package proxy
 
 import (
@@ -28,15 +29,15 @@
 
 // Shares of the machine's limits.
 const (
-	reservedFiles = 200 // descriptors kept for files
-	clientShare   = 0.6 // of the others, for clients' connections
-	endpointShare = 0.35
+	reservedFiles = 200  // descriptors kept for other files
+	clientShare   = 0.6  // of the remaining descriptors, for clients' connections
+	endpointShare = 0.35 // of the remaining descriptors, for connections to endpoints
 	bodyShare     = 0.25 // of memory, for large bodies
 	megabyte      = 1 << 20
 	sweepInterval = 2 * time.Second
-	// settingsInterval is the time between two looks at the settings file without SIGHUP.
+	// settingsInterval is the time between two checks of the settings file without SIGHUP.
 	settingsInterval = 10 * time.Second
-	leastFileLimit   = 256 // where the settings state less, or nothing
+	minFileLimit     = 256 // if the settings state less or nothing
 )
 
 // proxy is the running process.
@@ -47,25 +48,26 @@
 	retry    *retry.Policy
 	pool     *upstream.Pool
 	server   *httpserver.Server
-	watcher  *watcher
+	agent    *agentPoller
 
-	view       *systemView // belongs to the watcher's goroutine
+	view       *systemView // used by the agent poller's goroutine only
 	table      atomic.Pointer[routing.Table]
-	ready      atomic.Bool
-	drainGrace atomic.Int64 // the platform's patience after SIGTERM, a time.Duration
-	proxyCount atomic.Int64 // the most that may run
+	ready      atomic.Bool  // the process has known enough to serve
+	drainGrace atomic.Int64 // a time.Duration: the platform kills the process so long after SIGTERM
+	proxyCount atomic.Int64 // the largest number of proxies that may run
 }
 
-// Run serves until the context ends, then ends by plan: it returns when all answers are done, or shortly before the
-// platform would kill the process.
+// Run serves until the context ends, then shuts down gracefully. It returns when all requests have ended, or shortly
+// before the platform would kill the process.
 //
-// The settings file, where a path is given, is watched: bounds that change in it are in use from then on, and nothing
-// is cut.
+// If path names a settings file, the file is watched: changed limits apply from then on, without interrupting
+// anything.
 func Run(ctx context.Context, process *settings.Process, path string, log *zerolog.Logger) error {
 	if process.Bind.Front == "" {
 		return errors.New("the settings name no address for clients")
 	}
 	runtime.GOMAXPROCS(max(int(math.Ceil(process.Limits.CPUCores)), 1))
+
 	p := newProxy(process, log)
 	if err := p.listen(ctx); err != nil {
 		return err
@@ -73,14 +75,14 @@
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	p.server.Start()
-	go p.watcher.run(running)
+	go p.agent.run(running)
 	go p.sweepConnections(running)
 	if path != "" {
 		go settings.Watch(running, path, settingsInterval, p.applySettings)
 	}
 	go p.monitorEndpoints(running)
 	<-ctx.Done()
-	p.watcher.announceLeaving()
+	p.agent.announceLeaving()
 	p.server.Drain(running, time.Duration(p.drainGrace.Load()))
 	stop()
 	p.server.Close()
@@ -88,27 +90,36 @@
 	return nil
 }
 
-// newProxy makes all parts that need no address.
+// newProxy makes all parts that don't listen.
 func newProxy(process *settings.Process, log *zerolog.Logger) *proxy {
 	now := time.Now()
 	bounds := process.Bounds
 	client := rpc.NewClient()
 	p := &proxy{settings: process, log: log, view: newSystemView()}
 	p.picker = placement.New(placement.Options{
-		Name: process.NodeName, Zone: process.Zone, Region: process.Region, Regions: process.Regions,
-		Bounds: bounds, Seed: rand.Uint64(), StartedAt: now,
+		Name:      process.NodeName,
+		Zone:      process.Zone,
+		Region:    process.Region,
+		Regions:   process.Regions,
+		Bounds:    bounds,
+		Seed:      rand.Uint64(),
+		StartedAt: now,
 	})
 	p.retry = retry.New(now, retryLimits(bounds), rand.Uint64())
 	p.drainGrace.Store(int64(bounds.Grace))
 	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(process, endpointShare)})
-	p.watcher = &watcher{
-		client: client, address: process.FeedAddress(), front: process.Bind.Front, log: log,
-		apply: p.applyResponse, takeObservations: p.picker.TakeObservations,
+	p.agent = &agentPoller{
+		client:           client,
+		address:          process.FeedAddress(),
+		clientAddress:    process.Bind.Front,
+		log:              log,
+		apply:            p.applyResponse,
+		takeObservations: p.picker.TakeObservations,
 	}
 	return p
 }
 
-// applySettings takes in what may change of the settings while the process runs. All else waits for its next start.
+// applySettings applies the settings that may change while the process runs. All others need a restart.
 func (p *proxy) applySettings(process *settings.Process) {
 	p.retry.SetLimits(retryLimits(process.Bounds))
 	p.picker.SetBounds(process.Bounds)
@@ -119,34 +130,40 @@
 	return retry.Limits{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow}
 }
 
-// fileShare is a share of the descriptors that the process may have.
+// fileShare returns a share of the file descriptors that the process may open.
 func fileShare(process *settings.Process, share float64) int {
-	return int(share * float64(max(process.Limits.FileLimit, leastFileLimit)-reservedFiles))
+	return int(share * float64(max(process.Limits.FileLimit, minFileLimit)-reservedFiles))
 }
 
-// listen opens the addresses for clients and for the platform.
+// listen opens the listeners for clients and for readiness checks.
 func (p *proxy) listen(ctx context.Context) error {
 	clients, err := process.Listen(ctx, p.settings.Bind.Front)
 	if err != nil {
-		return errors.Wrap(err, "listen to clients")
+		return errors.Wrap(err, "listen for clients")
 	}
 	options := httpserver.Options{
-		ClientListener: clients, RoutingTable: p.table.Load, Ready: p.ready.Load, ConnectionShare: p.connectionShare,
-		Picker: p.picker, RetryPolicy: p.retry, Pool: p.pool, Log: p.log,
-		MaxConnections: fileShare(p.settings, clientShare),
-		MaxBodyMemory:  int64(bodyShare * float64(p.settings.Limits.MemoryMB) * megabyte),
+		ClientListener:  clients,
+		RoutingTable:    p.table.Load,
+		Ready:           p.ready.Load,
+		ConnectionShare: p.connectionShare,
+		Picker:          p.picker,
+		RetryPolicy:     p.retry,
+		Pool:            p.pool,
+		Log:             p.log,
+		MaxConnections:  fileShare(p.settings, clientShare),
+		MaxBodyMemory:   int64(bodyShare * float64(p.settings.Limits.MemoryMB) * megabyte),
 	}
 	if p.settings.Bind.Ready != "" {
 		options.ReadinessListener, err = process.Listen(ctx, p.settings.Bind.Ready)
 		if err != nil {
-			return errors.Wrap(err, "listen to readiness checks")
+			return errors.Wrap(err, "listen for readiness checks")
 		}
 	}
 	p.server = httpserver.New(options)
 	return nil
 }
 
-// applyResponse applies an answer of the agent. It returns the cursor for the next poll and what to tell of this process.
+// applyResponse applies a response of the agent. It returns the cursor for the next poll and the state to report.
 func (p *proxy) applyResponse(response *subscription.Response) (subscription.Cursor, state.MemberState) {
 	before := p.view.table
 	if err := p.view.apply(response); err != nil {
@@ -162,18 +179,18 @@
 	if !p.ready.Load() && !p.view.canServe() {
 		return p.view.cursor, state.MemberStarting
 	}
-	if p.ready.CompareAndSwap(false, true) { // and it stays: losing endpoints is no reason to lose clients too
+	if p.ready.CompareAndSwap(false, true) { // it stays ready: to lose endpoints is no reason to lose clients too
 		event.ProxyReady.Log(p.log).Uint64("version", p.view.table.Version).Send()
 	}
 	return p.view.cursor, state.MemberReady
 }
 
-// connectionShare is how many connections this process may have to one endpoint of a service.
+// connectionShare returns how many connections this process may have to one endpoint of a service.
 func (p *proxy) connectionShare(service *routing.Service) int {
 	return placement.ConnectionShare(service, int(p.proxyCount.Load()))
 }
 
-// sweepConnections closes connections that rest too long.
+// sweepConnections closes connections that have been idle too long, until the context ends.
 func (p *proxy) sweepConnections(ctx context.Context) {
 	ticks := time.NewTicker(sweepInterval)
 	defer ticks.Stop()
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -23,7 +23,7 @@
 	"rowanlink/serving/subscription"
 )
 
-const document = `{"edition":3,"routings":[{"name":"fetch","station":"shop.example","lane_prefix":"/fetch/",
+const testConfiguration = `{"edition":3,"routings":[{"name":"fetch","station":"shop.example","lane_prefix":"/fetch/",
  "line_type":"repeatable","timeout_ms":5000,"target_ms":300,"precedence":1,"carrier":"plain","tries":2}],
  "carriers":[{"name":"plain","health_path":"/h","conn_cap":100}],
  "limits":{"header_bytes":4096,"body_bytes":100000,"header_wait_ms":3000,"idle_ms":15000}}`
@@ -35,11 +35,11 @@
 }
 
 func record(t *testing.T, revision, version uint64) *state.Record {
-	text := strings.Replace(document, `"edition":3`, `"edition":`+strconv.FormatUint(version, 10), 1)
+	text := strings.Replace(testConfiguration, `"edition":3`, `"edition":`+strconv.FormatUint(version, 10), 1)
 	return &state.Record{Revision: revision, Configuration: configuration(t, version, text)}
 }
 
-func TestKnowledge(t *testing.T) {
+func TestSystemView(t *testing.T) {
 	k := newSystemView()
 	one := state.Endpoint{ID: "i-1", Service: "plain"}
 	two := state.Endpoint{ID: "i-2", Service: "plain", State: state.EndpointDraining}
@@ -73,29 +73,29 @@
 	assert.Len(t, k.endpoints, 1)
 }
 
-// fakeAgent answers polls from a queue and notes what the proxy says of itself.
+// fakeAgent responds to polls from a queue and records the requests.
 type fakeAgent struct {
-	news     chan *subscription.Response
-	requests chan subscription.Request
+	responses chan *subscription.Response
+	requests  chan subscription.Request
 }
 
 func (a *fakeAgent) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
 	a.requests <- *request
 	select {
-	case response := <-a.news:
+	case response := <-a.responses:
 		return response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// freePort is a port that nobody listens at, nor at the one after it, where a proxy asks its agent.
+// freePort returns a free port whose next port, at which a proxy polls its agent, is free too.
 func freePort(t *testing.T) int {
 	for range 100 {
 		first, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		port := first.Addr().(*net.TCPAddr).Port
-		next, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", local(port+1))
+		next, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", loopbackAddress(port+1))
 		_ = first.Close()
 		if err == nil {
 			_ = next.Close()
@@ -106,15 +106,17 @@
 	return 0
 }
 
-func local(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
+func loopbackAddress(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// ownHost is a loopback address that no other test uses, by chance: the feed's port follows from another one, and next
-// to a free port there may be one that isn't.
-func ownHost() string { return fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(180), 1+rand.IntN(250)) }
+// uniqueLoopbackHost returns a loopback address that, very probably, no other test uses: the agent's port follows from
+// another one, and the port next to a free one may be in use.
+func uniqueLoopbackHost() string {
+	return fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(180), 1+rand.IntN(250))
+}
 
-// startAgent listens where the proxy asks its agent.
+// startAgent listens where the proxy polls its agent.
 func startAgent(t *testing.T, address string) *fakeAgent {
-	a := &fakeAgent{news: make(chan *subscription.Response), requests: make(chan subscription.Request, 100)}
+	a := &fakeAgent{responses: make(chan *subscription.Response), requests: make(chan subscription.Request, 100)}
 	mux := http.NewServeMux()
 	subscription.Watch.Serve(mux, a.watch)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
@@ -125,15 +127,15 @@
 	return a
 }
 
-// TestProxyFromStartToEnd starts a proxy beside an agent, has it serve, and ends it by plan.
-func TestProxyFromStartToEnd(t *testing.T) {
+// TestRun_FromStartToGracefulShutdown starts a proxy with an agent, has it serve, and shuts it down.
+func TestRun_FromStartToGracefulShutdown(t *testing.T) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Postmark", "s")
 		_, _ = io.WriteString(w, "body "+r.Header.Get("X-Deliver-To"))
 	}))
 	defer endpoint.Close()
-	host := ownHost()
+	host := uniqueLoopbackHost()
 	process := &settings.Process{
 		NodeName: "n", IP: host, Zone: "z", Region: "r", Regions: map[string]string{"z": "r"}, FirstPort: 17160,
 		Bind:   settings.Bind{Front: net.JoinHostPort(host, "17144"), Ready: net.JoinHostPort(host, "17140")},
@@ -152,7 +154,7 @@
 	assert.NotZero(t, first.Incarnation)
 	assert.Equal(t, 503, fetch(t, process.Bind.Front, "/fetch/x").status)
 	assert.Equal(t, 503, fetch(t, process.Bind.Ready, "/readiness").status)
-	agent.news <- &subscription.Response{
+	agent.responses <- &subscription.Response{
 		Cursor: subscription.Cursor{Incarnation: 7, Position: 1}, Complete: true, Record: record(t, 1, 3),
 		Endpoints: []state.Endpoint{{ID: "i-1", Service: "plain", Zone: "z", Slots: 6, Sequence: 1,
 			Address: endpoint.Listener.Addr().String()}},
@@ -173,12 +175,12 @@
 	assert.NoError(t, <-ended)
 }
 
-type fetched struct {
+type fetchResult struct {
 	status int
 	body   string
 }
 
-func fetch(t *testing.T, address, path string) fetched {
+func fetch(t *testing.T, address, path string) fetchResult {
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+path, nil)
 	require.NoError(t, err)
 	request.Host, request.Close = "shop.example", true
@@ -189,16 +191,17 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	return fetched{response.StatusCode, string(body)}
+	return fetchResult{response.StatusCode, string(body)}
 }
 
-// TestAgentThatGoes: the watcher asks again, with what it knew, until an agent answers.
-func TestAgentThatGoes(t *testing.T) {
-	address := local(freePort(t))
+// TestAgentPoller_ReconnectsWithItsState: the poller polls again, with its pending observations, until the agent
+// responds.
+func TestAgentPoller_ReconnectsWithItsState(t *testing.T) {
+	address := loopbackAddress(freePort(t))
 	log := zerolog.Nop()
 	taken := make(chan *subscription.Response, 10)
-	w := &watcher{
-		client: rpc.NewClient(), address: address, front: "f", log: &log,
+	w := &agentPoller{
+		client: rpc.NewClient(), address: address, clientAddress: "f", log: &log,
 		apply: func(r *subscription.Response) (subscription.Cursor, state.MemberState) {
 			taken <- r
 			return r.Cursor, state.MemberReady
@@ -221,24 +224,23 @@
 	}()
 	first := <-agent.requests
 	assert.Equal(t, observed, first.Observations)
-	agent.news <- &subscription.Response{Cursor: subscription.Cursor{Incarnation: 1, Position: 2}}
+	agent.responses <- &subscription.Response{Cursor: subscription.Cursor{Incarnation: 1, Position: 2}}
 	<-taken
 	next := <-agent.requests
 	assert.Empty(t, next.Observations)
 	assert.Equal(t, state.MemberReady, next.State)
 	w.announceLeaving()
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State)
-	agent.news <- &subscription.Response{}
+	agent.responses <- &subscription.Response{}
 	<-taken
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "it never goes back")
 	stop()
 	<-done
 }
 
-// TestPauseAfterNews: the more there is to take in the rarer it is asked for, but never too rare for what must be in
-// force soon.
-func TestPauseAfterNews(t *testing.T) {
-	assert.Equal(t, minPollPause, pauseAfter(0))
-	assert.Equal(t, 100*time.Millisecond, pauseAfter(2*time.Millisecond))
-	assert.Equal(t, maxPollPause, pauseAfter(time.Second))
+// TestPollPause: the longer an update takes to apply, the longer the pause, up to a limit.
+func TestPollPause(t *testing.T) {
+	assert.Equal(t, minPollPause, pollPause(0))
+	assert.Equal(t, 100*time.Millisecond, pollPause(2*time.Millisecond))
+	assert.Equal(t, maxPollPause, pollPause(time.Second))
 }
--- a/serving/proxy/settings_test.go
+++ b/serving/proxy/settings_test.go
@@ -13,9 +13,8 @@
 	"rowanlink/serving/settings"
 )
 
-// TestChangedBoundsAreInUse: bounds that change in the settings file count from then on, and a request that is under way
-// goes on.
-func TestChangedBoundsAreInUse(t *testing.T) {
+// TestApplySettings_ChangedBounds: limits that change in the settings file apply from then on.
+func TestApplySettings_ChangedBounds(t *testing.T) {
 	log := zerolog.Nop()
 	bounds := settings.Bounds{Grace: time.Second, RetryWindow: time.Second}
 	p := newProxy(&settings.Process{NodeName: "n", Zone: "z", Region: "r", Bounds: bounds}, &log)
--- a/serving/proxy/system_view.go
+++ b/serving/proxy/system_view.go
@@ -11,10 +11,10 @@
 	"rowanlink/serving/subscription"
 )
 
-// systemView is what a proxy has been told of the system. It does no I/O.
+// systemView is the state of the cluster as the agent has reported it. It performs no I/O.
 type systemView struct {
 	record    *state.Record
-	table     *routing.Table // of the newest configuration that could be read; nil: none yet
+	table     *routing.Table // of the newest configuration that is valid; nil: none yet
 	endpoints map[string]state.Endpoint
 	proxies   subscription.ProxyCounts
 	cursor    subscription.Cursor
@@ -22,32 +22,32 @@
 
 func newSystemView() *systemView { return &systemView{endpoints: map[string]state.Endpoint{}} }
 
-// apply applies an answer of the agent. The error tells that its configuration can't be read; all else is applied.
-func (k *systemView) apply(response *subscription.Response) error {
+// apply applies a response of the agent. The error says that its configuration is invalid; everything else is applied.
+func (v *systemView) apply(response *subscription.Response) error {
 	if response.Complete {
-		clear(k.endpoints)
+		clear(v.endpoints)
 	}
 	for _, endpoint := range response.Endpoints {
-		k.endpoints[endpoint.ID] = endpoint
+		v.endpoints[endpoint.ID] = endpoint
 	}
 	for _, id := range response.Removed {
-		delete(k.endpoints, id)
+		delete(v.endpoints, id)
 	}
-	k.proxies = response.Proxies
-	k.cursor = response.Cursor
-	return k.applyRecord(response.Record)
+	v.proxies = response.Proxies
+	v.cursor = response.Cursor
+	return v.applyRecord(response.Record)
 }
 
-// applyRecord takes a record in, unless it is older than the one known: within a process's life nothing goes back.
-func (k *systemView) applyRecord(record *state.Record) error {
-	if record == nil || k.record != nil && record.Revision <= k.record.Revision {
+// applyRecord applies a record unless it is older than the current one.
+func (v *systemView) applyRecord(record *state.Record) error {
+	if record == nil || v.record != nil && record.Revision <= v.record.Revision {
 		return nil
 	}
 	before := state.Configuration{}
-	if k.record != nil {
-		before = k.record.Configuration
+	if v.record != nil {
+		before = v.record.Configuration
 	}
-	k.record = record
+	v.record = record
 	now := record.Configuration
 	if now.Version == 0 || now.Version == before.Version && now.Digest == before.Digest {
 		return nil
@@ -60,27 +60,31 @@
 	if err != nil {
 		return errors.Wrapf(err, "configuration %d", now.Version)
 	}
-	k.table = table
+	v.table = table
 	return nil
 }
 
-// snapshot puts what is known into placement's words. Loads are those of the last answer.
-func (k *systemView) snapshot(loads []state.Load) placement.Snapshot {
-	endpoints := make([]state.Endpoint, 0, len(k.endpoints))
-	for _, endpoint := range k.endpoints {
+// snapshot returns the state for the picker. The load reports are those of the last response.
+func (v *systemView) snapshot(loads []state.Load) placement.Snapshot {
+	endpoints := make([]state.Endpoint, 0, len(v.endpoints))
+	for _, endpoint := range v.endpoints {
 		endpoints = append(endpoints, endpoint)
 	}
 	return placement.Snapshot{
-		Routing: k.table, Endpoints: endpoints, Loads: loads, Record: k.record, Proxies: k.proxies,
+		Routing:   v.table,
+		Endpoints: endpoints,
+		Loads:     loads,
+		Record:    v.record,
+		Proxies:   v.proxies,
 	}
 }
 
-// canServe tells whether the process knows enough to serve: a configuration and some endpoint.
-func (k *systemView) canServe() bool {
-	if k.table == nil {
+// canServe reports whether the process knows enough to serve: a configuration and an endpoint that accepts requests.
+func (v *systemView) canServe() bool {
+	if v.table == nil {
 		return false
 	}
-	for _, endpoint := range k.endpoints {
+	for _, endpoint := range v.endpoints {
 		if endpoint.State == state.EndpointAccepting {
 			return true
 		}
@@ -88,5 +92,5 @@
 	return false
 }
 
-// pollTimeout is how long a poll may take altogether.
+// pollTimeout returns how long a poll may take altogether.
 func pollTimeout(wait time.Duration) time.Duration { return wait + pollSlack }
--- a/serving/retry/budget.go
+++ b/serving/retry/budget.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Shares of the common bounds that all proxies together aim at; the rest is for windows that lie across two of ours.
 const (
+	// ratioShare and slackShare are the parts of the operator's limits that all proxies together use. The rest is for
+	// spans that lie across two of a proxy's windows.
 	ratioShare = 0.8
 	slackShare = 0.8
-	// uncountedProxies is how many proxies more than are known may run: replacements that nobody has heard of yet.
+	// uncountedProxies is the number of proxies that may run beyond those that are known: replacements that nobody has
+	// heard of yet.
 	uncountedProxies = 2
-	// bucketCount is how many parts a window is counted in. The window in use is one slice longer than the bound's for
-	// repeats, and one shorter for requests, so that no part is counted on the wrong side.
+	// bucketCount is the number of buckets that a window is divided into. Retries are counted over one bucket more than
+	// the operator's window and requests over one less, so that no bucket is counted on the wrong side.
 	bucketCount = 20
 )
 
-// Limits are the operator's bounds on the sends beyond the first of each request, over all proxies together.
+// Limits are the operator's limits on retries, over all proxies together.
 type Limits struct {
 	Ratio  float64       // of the requests in the window
-	Slack  float64       // sends more than that
-	Window time.Duration // every span of that length counts
+	Slack  float64       // retries beyond that
+	Window time.Duration // the limits hold in every span of that length
 }
 
-// budget counts one service's requests and repeats in a sliding window.
+// budget counts a service's requests and retries in a sliding window.
 type budget struct {
 	bucketWidth  time.Duration
-	newestBucket int64 // number of the newest slice
+	newestBucket int64 // number of the newest bucket since the process started
 	requests     [bucketCount + 1]int
 	retries      [bucketCount + 1]int
 }
 
-// advance drops the slices that have left the window.
-func (b *budget) advance(since time.Duration) {
-	newest := int64(since / b.bucketWidth)
+// advance drops the buckets that have left the window. age is the time since the process started.
+func (b *budget) advance(age time.Duration) {
+	newest := int64(age / b.bucketWidth)
 	if newest-b.newestBucket > bucketCount {
 		b.requests, b.retries, b.newestBucket = [bucketCount + 1]int{}, [bucketCount + 1]int{}, newest
 		return
@@ -45,23 +47,23 @@
 func (b *budget) countRequest() { b.requests[b.newestBucket%(bucketCount+1)]++ }
 func (b *budget) countRetry()   { b.retries[b.newestBucket%(bucketCount+1)]++ }
 
-// totals returns the repeats of the last slices+1 slices and the requests of all of them but the oldest two.
-func (b *budget) totals() (requests, repeats int) {
+// totals returns the retries in all buckets and the requests in all but the oldest two.
+func (b *budget) totals() (requests, retries int) {
 	for age := range int64(bucketCount + 1) {
 		at := ((b.newestBucket-age)%(bucketCount+1) + bucketCount + 1) % (bucketCount + 1)
-		repeats += b.retries[at]
+		retries += b.retries[at]
 		if age < bucketCount-1 {
 			requests += b.requests[at]
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
 
-// allowsRetry tells whether one more repeat keeps within this proxy's share. The part of the slack grows from nothing
-// over the process's first window, as an earlier life of the process may have used its own.
+// allowsRetry reports whether one more retry is within this proxy's share of the limits. Its share of the slack grows
+// from zero during the process's first window, since an earlier incarnation of the process may have used it.
 func (b *budget) allowsRetry(limits Limits, age time.Duration, proxies int) bool {
-	requests, repeats := b.totals()
+	requests, retries := b.totals()
 	grown := min(float64(age)/float64(limits.Window), 1)
 	slack := limits.Slack * slackShare * grown / float64(max(proxies, 1)+uncountedProxies)
-	return float64(repeats+1) <= limits.Ratio*ratioShare*float64(requests)+slack
+	return float64(retries+1) <= limits.Ratio*ratioShare*float64(requests)+slack
 }
--- a/serving/retry/policy.go
+++ b/serving/retry/policy.go
@@ -1,8 +1,8 @@
-// Package retry decides whether a request goes again after an attempt has ended, and when. It does no I/O; the
-// caller passes the time of the steady clock. It is the only layer that repeats: connections to endpoints don't.
+// Package retry decides whether and when a request is retried after a failed attempt. It performs no I/O; the caller
+// passes the monotonic time. It is the only layer that retries: connections to endpoints don't.
 //
-// The waits follow the design's schedule (package backoff). What all proxies together repeat stays under the
-// operator's bound without their talking: each has a share of it that can't add up to more.
+// The backoff follows the schedule of package backoff. A retry budget bounds the retries of all proxies together
+// without coordination: each proxy has a share of the operator's limits, and the shares can't add up to more.
 package retry
 
 import (
@@ -15,9 +15,9 @@
 	"rowanlink/serving/routing"
 )
 
-// The schedule's free values. Objectives are some hundred milliseconds: with a unit of 20 ms the first wait is 10 ms
-// on average, so that a request whose endpoint has gone still meets its objective, and the sixth has reached the cap.
-// The cap of 400 ms keeps repeats of a service that stays away under three a second for each request.
+// Parameters of the backoff. Latency targets are some hundred milliseconds: with a unit of 20 ms the first backoff is
+// 10 ms on average, so that a request whose endpoint has failed still meets its target, and the sixth reaches the cap.
+// The cap of 400 ms keeps the retries of each request below three a second if a service stays unavailable.
 const (
 	backoffUnit = 20 * time.Millisecond
 	maxBackoff  = 400 * time.Millisecond
@@ -25,64 +25,72 @@
 	maxUndeliveredAttempts = 4
 )
 
-// End is how a request ends that isn't tried again.
+// End is how a request ends that isn't retried.
 type End uint8
 
 // The ends.
 const (
-	EndNone     End = iota
-	EndRejected     // no attempt may have run: the client is told to come again
-	EndFailed       // an attempt may have run
+	EndNone     End = iota // the request is retried
+	EndRejected            // no attempt may have run: the client may retry
+	EndFailed              // an attempt may have run
 )
 
-// FailedAttempt describes a request after an attempt of it has ended without success.
+// FailedAttempt describes a request after an attempt that has not succeeded.
 type FailedAttempt struct {
 	Route   *routing.Route
-	Service string          // that the attempt went to
-	Number  int             // number of the attempt that ended, from zero
-	Outcome attempt.Outcome // of that attempt
-	// CountedAttempts counts the attempts, this one included, that count toward the route's tries: not those that failed to
-	// connect, were at the own limit on connections or were misdirected, as nothing that could have run the request got it.
+	Service string          // of the attempt's endpoint
+	Number  int             // of the attempt, from zero
+	Outcome attempt.Outcome // of the attempt
+	// CountedAttempts is the number of attempts, including this one, that count toward the route's limit: all but those
+	// that failed to connect, were at this process's connection limit or were misdirected, since they reached no
+	// endpoint that could have run the request.
 	CountedAttempts int
-	// SentAttempts counts the attempts, this one included, that arrived at some endpoint or may have: all but those that
-	// failed to connect or were at the own limit. After none, the next one is no repeat for the common budget.
+	// SentAttempts is the number of attempts, including this one, that reached some endpoint or may have: all but those
+	// that failed to connect or were at the connection limit. After none, the next attempt needs no budget.
 	SentAttempts int
 	// MayHaveRun: this or an earlier attempt may have run.
 	MayHaveRun bool
-	TimeLeft   time.Duration
+	TimeLeft   time.Duration // until the request's deadline
 }
 
-// Decision is what follows. Wait holds where Again is set, End where it isn't.
+// Decision says what follows a failed attempt. Backoff is valid if Retry is set, End if it isn't.
 type Decision struct {
 	Retry   bool
 	Backoff time.Duration
 	End     End
 }
 
-// Policy decides for one proxy. It is safe for use by several goroutines.
+// Policy decides on the retries of one proxy. It is safe for concurrent use.
 type Policy struct {
-	mutex   sync.Mutex
-	limits  Limits
-	started time.Time
-	proxies int
-	random  *mwcrand.Source
-	budgets map[string]*budget // by service
+	mutex     sync.Mutex
+	limits    Limits
+	startedAt time.Time
+	proxies   int
+	random    *mwcrand.Source
+	budgets   map[string]*budget // by service
 }
 
-// New starts a policy with an empty budget.
+// New returns a policy with an empty budget.
 func New(now time.Time, limits Limits, seed uint64) *Policy {
-	return &Policy{limits: limits, started: now, proxies: 1, random: mwcrand.New(seed), budgets: map[string]*budget{}}
+	return &Policy{
+		limits:    limits,
+		startedAt: now,
+		proxies:   1,
+		random:    mwcrand.New(seed),
+		budgets:   map[string]*budget{},
+	}
 }
 
-// SetProxies tells the most proxies that may run. The number in use never falls: what was seen once may run again.
-func (p *Policy) SetProxies(most int) {
+// SetProxies sets the largest number of proxies that may run. The number in use never decreases, since proxies that
+// were seen once may run again.
+func (p *Policy) SetProxies(proxies int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.proxies = max(p.proxies, most)
+	p.proxies = max(p.proxies, proxies)
 }
 
-// SetLimits takes in the operator's bounds, which may change in a process's life. The window stays as it was at the
-// start: what was counted in it can't be counted anew.
+// SetLimits replaces the operator's limits, which may change while the process runs. The window stays the same, since
+// what was counted in it can't be counted again.
 func (p *Policy) SetLimits(limits Limits) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -90,66 +98,68 @@
 	p.limits = limits
 }
 
-// CountRequest counts a client's request for a service. Call it once a request, before its first attempt.
+// CountRequest counts a client's request for a service. It must be called once per request, before the first attempt.
 func (p *Policy) CountRequest(now time.Time, service string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.budget(now, service).countRequest()
+	p.currentBudget(now, service).countRequest()
 }
 
-// Decide decides what follows an attempt that has not succeeded. A repeat that it grants is counted at once.
-func (p *Policy) Decide(now time.Time, try FailedAttempt) Decision {
+// Decide decides what follows an attempt that has not succeeded. A retry that it grants is counted at once.
+func (p *Policy) Decide(now time.Time, failed FailedAttempt) Decision {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !isRetryable(try) {
-		return finalDecision(try)
+	if !isRetryable(failed) {
+		return finalDecision(failed)
 	}
-	wait := Backoff(try.Number, p.random.Float64())
-	if wait >= try.TimeLeft {
-		return finalDecision(try)
+	wait := Backoff(failed.Number, p.random.Float64())
+	if wait >= failed.TimeLeft {
+		return finalDecision(failed)
 	}
-	if try.SentAttempts > 0 {
-		budget := p.budget(now, try.Service)
-		if !budget.allowsRetry(p.limits, now.Sub(p.started), p.proxies) {
-			return finalDecision(try)
+	if failed.SentAttempts > 0 {
+		budget := p.currentBudget(now, failed.Service)
+		if !budget.allowsRetry(p.limits, now.Sub(p.startedAt), p.proxies) {
+			return finalDecision(failed)
 		}
 		budget.countRetry()
 	}
 	return Decision{Retry: true, Backoff: wait}
 }
 
-// Backoff is the schedule's wait before retry number i, from zero, for a random draw x from [0, 1).
-func Backoff(i int, x float64) time.Duration {
-	m := float64(maxBackoff) / float64(backoffUnit)
-	return time.Duration(backoff.Delay(m, i, x, float64(backoffUnit)))
+// Backoff returns the backoff before a retry, numbered from zero. random is a draw from [0, 1).
+func Backoff(retry int, random float64) time.Duration {
+	units := float64(maxBackoff) / float64(backoffUnit)
+	return time.Duration(backoff.Delay(units, retry, random, float64(backoffUnit)))
 }
 
-// isRetryable applies what the kind of request, the outcome and the route's tries allow.
-func isRetryable(try FailedAttempt) bool {
-	if try.Outcome == attempt.Succeeded || try.Outcome == attempt.Canceled {
+// isRetryable reports whether the kind of request, the outcome and the number of attempts allow a retry.
+func isRetryable(failed FailedAttempt) bool {
+	if failed.Outcome == attempt.Succeeded || failed.Outcome == attempt.Canceled {
 		return false
 	}
-	unsafe := try.MayHaveRun || !try.Outcome.NeverRan()
-	if unsafe && !try.Route.Idempotent() {
+	mayHaveRun := failed.MayHaveRun || !failed.Outcome.NeverRan()
+	if mayHaveRun && !failed.Route.Idempotent() {
 		return false
 	}
-	return try.CountedAttempts < try.Route.MaxAttempts && try.Number+1-try.CountedAttempts < maxUndeliveredAttempts
+	undelivered := failed.Number + 1 - failed.CountedAttempts
+	return failed.CountedAttempts < failed.Route.MaxAttempts && undelivered < maxUndeliveredAttempts
 }
 
-func finalDecision(try FailedAttempt) Decision {
-	if try.MayHaveRun || !try.Outcome.NeverRan() {
+// finalDecision returns the decision for a request that isn't retried.
+func finalDecision(failed FailedAttempt) Decision {
+	if failed.MayHaveRun || !failed.Outcome.NeverRan() {
 		return Decision{End: EndFailed}
 	}
 	return Decision{End: EndRejected}
 }
 
-// budget returns a service's counts, brought up to now.
-func (p *Policy) budget(now time.Time, service string) *budget {
+// currentBudget returns a service's budget, advanced to the current time.
+func (p *Policy) currentBudget(now time.Time, service string) *budget {
 	known := p.budgets[service]
 	if known == nil {
 		known = &budget{bucketWidth: max(p.limits.Window/bucketCount, time.Millisecond)}
 		p.budgets[service] = known
 	}
-	known.advance(now.Sub(p.started))
+	known.advance(now.Sub(p.startedAt))
 	return known
 }
--- a/serving/retry/policy_test.go
+++ b/serving/retry/policy_test.go
@@ -19,8 +19,8 @@
 	start  = time.Unix(1000, 0)
 )
 
-// seasoned is a policy whose service has had many requests, so that the budget is no limit.
-func seasoned(now time.Time) *Policy {
+// newPolicyWithBudget returns a policy whose service has had so many requests that the budget doesn't limit retries.
+func newPolicyWithBudget(now time.Time) *Policy {
 	p := New(start, limits, 1)
 	for range 1000 {
 		p.CountRequest(now, "s")
@@ -28,7 +28,7 @@
 	return p
 }
 
-func TestWhatMayGoAgainAfterWhat(t *testing.T) {
+func TestDecide_ByRouteAndOutcome(t *testing.T) {
 	once := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 3}
 	again := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 3}
 	stream := &routing.Route{Kind: routing.KindStream, MaxAttempts: 3}
@@ -56,32 +56,32 @@
 		{"after the client left", again, attempt.Canceled, true, false, EndFailed},
 	} {
 		now := start.Add(20 * time.Second)
-		got := seasoned(now).Decide(now, FailedAttempt{Route: c.route, Service: "s", Outcome: c.outcome, CountedAttempts: 1, SentAttempts: 1,
+		got := newPolicyWithBudget(now).Decide(now, FailedAttempt{Route: c.route, Service: "s", Outcome: c.outcome, CountedAttempts: 1, SentAttempts: 1,
 			MayHaveRun: c.ran, TimeLeft: time.Second})
 		assert.Equal(t, c.again, got.Retry, c.name)
 		assert.Equal(t, c.end, got.End, c.name)
 	}
 }
 
-func TestTriesCountWhatWasReached(t *testing.T) {
+func TestDecide_CountsAttemptsThatReachedAnEndpoint(t *testing.T) {
 	route := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 2}
 	now := start.Add(20 * time.Second)
-	p := seasoned(now)
-	ask := func(attempts, reached int) bool {
+	p := newPolicyWithBudget(now)
+	retries := func(attempts, reached int) bool {
 		return p.Decide(now, FailedAttempt{Route: route, Service: "s", Number: attempts, Outcome: attempt.ConnectFailed,
 			CountedAttempts: reached, SentAttempts: reached, TimeLeft: time.Minute}).Retry
 	}
-	assert.True(t, ask(0, 0))
-	assert.True(t, ask(0, 1))
-	assert.False(t, ask(1, 2), "the tries are used")
-	assert.True(t, ask(3, 1), "three failed connections")
-	assert.False(t, ask(4, 1), "a fourth one")
+	assert.True(t, retries(0, 0))
+	assert.True(t, retries(0, 1))
+	assert.False(t, retries(1, 2), "the tries are used")
+	assert.True(t, retries(3, 1), "three failed connections")
+	assert.False(t, retries(4, 1), "a fourth one")
 }
 
-func TestAWaitThatOutlastsTheTimeLeftEndsAtOnce(t *testing.T) {
+func TestDecide_BackoffBeyondDeadline(t *testing.T) {
 	now := start.Add(20 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
-		p := seasoned(now)
+		p := newPolicyWithBudget(now)
 		left := time.Duration(rapid.IntRange(-5, 500).Draw(t, "left")) * time.Millisecond
 		ran := rapid.Bool().Draw(t, "ran")
 		route := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 99}
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestWaitsHaveTwoBands(t *testing.T) {
+func TestBackoff_Bands(t *testing.T) {
 	for i := range 5 {
 		assert.LessOrEqual(t, Backoff(i, 0.999), backoffUnit<<i)
 	}
@@ -107,22 +107,22 @@
 	assert.LessOrEqual(t, Backoff(9, 0.999), maxBackoff)
 }
 
-func TestFailedConnectionsTakeNoBudget(t *testing.T) {
+func TestDecide_UnsentAttemptsUseNoBudget(t *testing.T) {
 	p := New(start, limits, 1) // no budget at all
 	route := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 2}
-	try := FailedAttempt{Route: route, Service: "s", Outcome: attempt.ConnectFailed, TimeLeft: time.Second}
-	assert.True(t, p.Decide(start, try).Retry)
-	try.SentAttempts = 1
-	assert.False(t, p.Decide(start, try).Retry)
+	failed := FailedAttempt{Route: route, Service: "s", Outcome: attempt.ConnectFailed, TimeLeft: time.Second}
+	assert.True(t, p.Decide(start, failed).Retry)
+	failed.SentAttempts = 1
+	assert.False(t, p.Decide(start, failed).Retry)
 }
 
-// simulation plays several proxies that repeat whenever they may and checks the bound in every window.
+// simulation runs several proxies that retry whenever they may.
 type simulation struct {
 	requests []time.Duration
-	repeats  []time.Duration
+	retries  []time.Duration
 }
 
-func (s *simulation) play(t *rapid.T, proxies, known int, random *mwcrand.Source) {
+func (s *simulation) run(t *rapid.T, proxies, known int, random *mwcrand.Source) {
 	policies := make([]*Policy, proxies)
 	for index := range policies {
 		policies[index] = New(start, limits, uint64(index))
@@ -136,21 +136,21 @@
 		at += time.Duration(-math.Log(1-random.Float64()) / per * float64(time.Second))
 		index := int(random.Float64() * float64(proxies))
 		if random.Float64() < 0.02 {
-			policies[index] = New(start.Add(at), limits, uint64(at)) // a new life knows nothing of the last
+			policies[index] = New(start.Add(at), limits, uint64(at)) // a new incarnation doesn't know the last one's retries
 			policies[index].SetProxies(known)
 		}
 		s.requests = append(s.requests, at)
 		policies[index].CountRequest(start.Add(at), "s")
 		for range 3 {
-			try := FailedAttempt{Route: route, Service: "s", Outcome: attempt.Failed, CountedAttempts: 1, SentAttempts: 1, TimeLeft: time.Hour}
-			if policies[index].Decide(start.Add(at), try).Retry {
-				s.repeats = append(s.repeats, at)
+			failed := FailedAttempt{Route: route, Service: "s", Outcome: attempt.Failed, CountedAttempts: 1, SentAttempts: 1, TimeLeft: time.Hour}
+			if policies[index].Decide(start.Add(at), failed).Retry {
+				s.retries = append(s.retries, at)
 			}
 		}
 	}
 }
 
-func within(times []time.Duration, from, to time.Duration) (count int) {
+func countWithin(times []time.Duration, from, to time.Duration) (count int) {
 	for _, at := range times {
 		if at >= from && at < to {
 			count++
@@ -159,29 +159,29 @@
 	return count
 }
 
-func TestAllProxiesTogetherKeepTheBudgetInEveryWindow(t *testing.T) {
+func TestBudget_AllProxiesTogetherKeepTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 30).Draw(t, "proxies")
 		var s simulation
-		s.play(t, proxies, proxies, mwcrand.New(rapid.Uint64().Draw(t, "seed")))
+		s.run(t, proxies, proxies, mwcrand.New(rapid.Uint64().Draw(t, "seed")))
 		for from := time.Duration(0); from < 50*time.Second; from += 250 * time.Millisecond {
 			most := 0
 			for _, back := range []time.Duration{0, limits.Window / 2, limits.Window} {
-				most = max(most, within(s.requests, from-back, from-back+limits.Window))
+				most = max(most, countWithin(s.requests, from-back, from-back+limits.Window))
 			}
-			repeats := within(s.repeats, from, from+limits.Window)
+			repeats := countWithin(s.retries, from, from+limits.Window)
 			assert.LessOrEqual(t, float64(repeats), limits.Ratio*float64(most)+limits.Slack,
 				strconv.Itoa(proxies)+" proxies, window from "+from.String())
 		}
 	})
 }
 
-func TestBudgetForgetsWhatHasLeftTheWindow(t *testing.T) {
+func TestBudget_ForgetsOldRetries(t *testing.T) {
 	p := New(start, limits, 1)
 	route := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 10}
-	try := FailedAttempt{Route: route, Service: "s", Outcome: attempt.Failed, CountedAttempts: 1, SentAttempts: 1, TimeLeft: time.Hour}
+	failed := FailedAttempt{Route: route, Service: "s", Outcome: attempt.Failed, CountedAttempts: 1, SentAttempts: 1, TimeLeft: time.Hour}
 	granted := func(now time.Time) (count int) {
-		for p.Decide(now, try).Retry {
+		for p.Decide(now, failed).Retry {
 			count++
 		}
 		return count
