--- a/test/fake/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -19,7 +19,7 @@
 	"rowanlink/webhook/api"
 )
 
-func begin(t *testing.T) *platform.Platform {
+func newPlatform(t *testing.T) *platform.Platform {
 	p, err := platform.New(deliverycheck.Requirements{EventTypes: map[string]api.EventType{
 		"status": {TTL: 9 * api.Second},
 		"paid":   {TTL: 9 * api.Second, Semantics: api.Deduplicated, DedupWindow: 8 * api.Second},
@@ -29,8 +29,8 @@
 	return p
 }
 
-// member answers clients 202 and calls destination 3 as told, once.
-func member(t *testing.T, p *platform.Platform, code int) (addr string) {
+// startMember answers clients 202 and calls destination 3 as told, once.
+func startMember(t *testing.T, p *platform.Platform, code int) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -43,8 +43,8 @@
 	return l.Addr().String()
 }
 
-// at is the address of destination 3 in a list.
-func at(list string) string {
+// endpointAddr is the address of destination 3 in a list.
+func endpointAddr(list string) string {
 	_, rest, _ := strings.Cut(list, `"hostPort":"`)
 	addr, _, _ := strings.Cut(rest, `"`)
 	return addr
@@ -65,12 +65,12 @@
 	return resp, string(text)
 }
 
-func TestDestinationBehavesAsToldAndTheLedgerSeesIt(t *testing.T) {
-	p := begin(t)
-	member(t, p, 202)
+func TestDestination_BehavesAsSet(t *testing.T) {
+	p := newPlatform(t)
+	startMember(t, p, 202)
 	seat, err := p.View("m1")
 	require.NoError(t, err)
-	addr, d := at(seat.EndpointList()), p.Destination(3)
+	addr, d := endpointAddr(seat.EndpointList()), p.Destination(3)
 	a, code := p.Submit("m1", platform.Webhook{Type: "status", Destination: 3})
 	require.Equal(t, 202, code)
 	assert.Equal(t, 1, p.Checker.Outstanding())
@@ -101,24 +101,24 @@
 	assert.Contains(t, fmt.Sprint(p.Check()), "w99 at destination 3 by m1")
 }
 
-func TestTokenIsRememberedAndItsEffectCountsOnce(t *testing.T) {
-	p := begin(t)
-	member(t, p, 202)
+func TestDestination_DeduplicatesByToken(t *testing.T) {
+	p := newPlatform(t)
+	startMember(t, p, 202)
 	seat, err := p.View("m2")
 	require.NoError(t, err)
 	a, _ := p.Submit("m1", platform.Webhook{Type: "paid", Destination: 3})
 	p.Destination(3).QueueBehaviours(platform.ResponseLost, platform.Slow(30*time.Millisecond))
-	call(t, at(seat.EndpointList()), "/events", a, "x")
+	call(t, endpointAddr(seat.EndpointList()), "/events", a, "x")
 	assert.Equal(t, 1, p.Checker.Outstanding(), "its answer was lost")
-	call(t, at(seat.EndpointList()), "/events", a, "x")
+	call(t, endpointAddr(seat.EndpointList()), "/events", a, "x")
 	assert.Zero(t, p.Checker.Outstanding())
 	assert.Empty(t, p.Check())
 	assert.Equal(t, 1, p.Checker.Counts().Effects)
 }
 
-func TestClientsComeAgainAfterARefusalAndHeedItsWait(t *testing.T) {
-	p := begin(t)
-	member(t, p, 503)
+func TestLoad_RetriesAfterRejection(t *testing.T) {
+	p := newPlatform(t)
+	startMember(t, p, 503)
 	p.StartLoad(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Clients: 2, MaxWebhooks: 4,
 		MaxAttempts: 3,
 		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} }})()
@@ -129,8 +129,8 @@
 	assert.Equal(t, 4, p.Checker.Counts().Unanswered, "a token is not handed in again unanswered")
 }
 
-func TestWatchTellsDrainsAndIsSilentWhileMute(t *testing.T) {
-	p := begin(t)
+func TestMemberView_WatchAndMutedDiscovery(t *testing.T) {
+	p := newPlatform(t)
 	seat, err := p.View("m1")
 	require.NoError(t, err)
 	resp, err := http.Get("http://" + seat.AgentAddr + "/registry/instances?follow=1&since=1")
@@ -159,12 +159,12 @@
 	assert.Contains(t, <-lines, `"generation":4`)
 	other, err := p.View("m2")
 	require.NoError(t, err)
-	assert.NotEqual(t, at(seat.EndpointList()), at(other.EndpointList()), "each member is known by where it calls")
+	assert.NotEqual(t, endpointAddr(seat.EndpointList()), endpointAddr(other.EndpointList()), "each member is known by where it calls")
 }
 
-func TestNoticesEndWebhooksAndOddOnesAreNotRead(t *testing.T) {
-	p := begin(t)
-	member(t, p, 202)
+func TestMemberView_Notices(t *testing.T) {
+	p := newPlatform(t)
+	startMember(t, p, 202)
 	p.SubscriberLists["l"] = []api.DestinationID{3, 4}
 	seat, err := p.View("m1")
 	require.NoError(t, err)
--- a/test/fake/portalloc/port_test.go
+++ b/test/fake/portalloc/portalloc_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against a port that another process gets between two listeners, and against a cut that is a refusal.
-func TestPortRefusesHangsAndListensInTurn(t *testing.T) {
+func TestPort_RefusesHangsAndListens(t *testing.T) {
 	p, err := portalloc.Reserve()
 	require.NoError(t, err)
 	defer p.Close()
--- a/test/integration/chaos/hunt_test.go
+++ b/test/integration/chaos/chaos_test.go
@@ -32,12 +32,12 @@
 	require.NoError(t, err)
 	defer remove()
 	for i := range uint64(n) {
-		t.Run(fmt.Sprint("seed ", first+i), func(t *testing.T) { play(t, binary, first+i) })
+		t.Run(fmt.Sprint("seed ", first+i), func(t *testing.T) { runSeed(t, binary, first+i) })
 	}
 }
 
-// play plays one seed.
-func play(t *testing.T, binary string, seed uint64) {
+// runSeed plays one seed.
+func runSeed(t *testing.T, binary string, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	shape := harness.Options{Binary: binary, Members: 3 + r.IntN(4), ClockRates: map[string]float64{},
 		LeaseTTL: time.Second + time.Duration(r.IntN(3))*time.Second, Slack: 10 * api.Second, WaitsBindAll: false,
@@ -46,20 +46,20 @@
 		shape.ClockRates[fmt.Sprintf("m%d", i+1)] = 1 + (r.Float64()-0.5)*0.05
 	}
 	t.Logf("seed %d: %d members, term %s", seed, shape.Members, shape.LeaseTTL)
-	w := &world{Cluster: harness.Start(t, shape), Rand: r, term: shape.LeaseTTL,
-		check: func(err error) { require.NoError(t, err) }}
+	w := &scenario{Cluster: harness.Start(t, shape), Rand: r, leaseTTL: shape.LeaseTTL,
+		requireNoError: func(err error) { require.NoError(t, err) }}
 	views := w.WatchOwnership()
 	defer views.Check() // of what did not settle, too
 	ctx, stop := context.WithCancel(context.Background())
-	done := w.Platform.StartLoad(ctx, w.load())
+	done := w.Platform.StartLoad(ctx, w.randomLoad())
 	for range 2 + r.IntN(4) {
 		if w.IntN(2) == 0 { // moves go on beside what the round has
-			w.busy = map[*harness.Member]bool{}
-			w.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = 2 }\n", w.one().Name))
+			w.affected = map[*harness.Member]bool{}
+			w.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = 2 }\n", w.randomMember().Name))
 		}
-		w.round(t)
+		w.runRound(t)
 	}
-	w.pause(2 * w.term)
+	w.sleep(2 * w.leaseTTL)
 	stop()
 	done()
 	w.AwaitOutcomes()
@@ -67,9 +67,9 @@
 	t.Logf("%+v", w.Platform.Checker.Counts())
 }
 
-// load is drawn: event types in turn, some destinations more than others.
-func (w *world) load() platform.Load {
-	types, names, dests := []string{"status", "paid", "charge"}, w.Names(), w.dests()
+// randomLoad is drawn: event types in turn, some destinations more than others.
+func (w *scenario) randomLoad() platform.Load {
+	types, names, dests := []string{"status", "paid", "charge"}, w.Names(), w.destinations()
 	hot := w.IntN(len(dests))
 	return platform.Load{Members: names, PerSecond: 40 + 100*w.Float64(), Clients: 6,
 		Next: func(n int) platform.Webhook {
@@ -81,11 +81,11 @@
 		}}
 }
 
-// round has one fault or two at once, at a drawn moment.
-func (w *world) round(t *testing.T) {
-	moment, marks := moments[w.IntN(len(moments))], w.LogOffsets()
-	w.busy = map[*harness.Member]bool{}
-	for until := time.Now().Add(w.span()); time.Now().Before(until); time.Sleep(time.Millisecond) {
+// runRound has one fault or two at once, at a drawn moment.
+func (w *scenario) runRound(t *testing.T) {
+	moment, marks := logTriggers[w.IntN(len(logTriggers))], w.LogOffsets()
+	w.affected = map[*harness.Member]bool{}
+	for until := time.Now().Add(w.randomDuration()); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if moment != "" && w.FindLog(marks, moment) != nil {
 			break
 		}
@@ -94,11 +94,11 @@
 	for range 1 + w.IntN(2) {
 		f := faults[w.IntN(len(faults))]
 		t.Logf("%s: %s (%s)", time.Now().Format("05.000"), f.name, moment)
-		if end := f.begin(w); end != nil {
+		if end := f.start(w); end != nil {
 			ends = append(ends, end)
 		}
 	}
-	w.pause(w.span())
+	w.sleep(w.randomDuration())
 	for _, end := range ends {
 		end()
 	}
@@ -107,4 +107,4 @@
 	}
 }
 
-func (w *world) pause(span time.Duration) { time.Sleep(span) }
+func (w *scenario) sleep(span time.Duration) { time.Sleep(span) }
--- a/test/integration/cluster/proof_test.go
+++ b/test/integration/cluster/cluster_test.go
@@ -18,10 +18,10 @@
 	"rowanlink/webhook/api"
 )
 
-const term = time.Second
+const leaseTTL = time.Second
 
-// errand is a task of tests only: whoever has it tells the guard of each deed.
-const errand = "errand"
+// checkedResource is a task of tests only: whoever has it tells the guard of each deed.
+const checkedResource = "errand"
 
 var binary string
 
@@ -36,26 +36,26 @@
 	os.Exit(code)
 }
 
-// fleets bounds how many play at once: each is some processes whose terms are short, and where the machine is
+// runningClusters bounds how many play at once: each is some processes whose terms are short, and where the machine is
 // too busy for them sessions end that no fault ended.
-var fleets = make(chan bool, max(2, runtime.NumCPU()/2))
+var runningClusters = make(chan bool, max(2, runtime.NumCPU()/2))
 
-// begin starts a fleet with short terms, and waits until all ranges are homed.
-func begin(t *testing.T, s harness.Options) *harness.Cluster {
+// startCluster starts a fleet with short terms, and waits until all ranges are homed.
+func startCluster(t *testing.T, s harness.Options) *harness.Cluster {
 	t.Helper()
-	fleets <- true
-	t.Cleanup(func() { <-fleets })
+	runningClusters <- true
+	t.Cleanup(func() { <-runningClusters })
 	if s.Binary = binary; s.LeaseTTL == 0 {
-		s.LeaseTTL = term
+		s.LeaseTTL = leaseTTL
 	}
 	f := harness.Start(t, s)
 	f.AwaitStable()
 	return f
 }
 
-// load hands in at every member, webhooks of each rule, until stop, which waits for all ends. A key's order
+// startLoad hands in at every member, webhooks of each rule, until stop, which waits for all ends. A key's order
 // is the one in which one member takes them, so each key is handed in at one.
-func load(f *harness.Cluster) (stop func()) {
+func startLoad(f *harness.Cluster) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
 	next := func(n int) platform.Webhook {
@@ -81,26 +81,26 @@
 	}
 }
 
-// slowly has all destinations take a while, so that calls are out when something happens.
-func slowly(t *testing.T, f *harness.Cluster) {
+// slowDestinations has all destinations take a while, so that calls are out when something happens.
+func slowDestinations(t *testing.T, f *harness.Cluster) {
 	for d := range api.DestinationID(4) {
 		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(60*time.Millisecond)))
 	}
 }
 
-// last is the errand's deed that began last.
-func last(f *harness.Cluster) (d leasecheck.Operation) {
-	if all := f.LeaseChecker.Operations(errand); len(all) > 0 {
+// lastOperation is the errand's deed that began last.
+func lastOperation(f *harness.Cluster) (d leasecheck.Operation) {
+	if all := f.LeaseChecker.Operations(checkedResource); len(all) > 0 {
 		return all[len(all)-1]
 	}
 	return d
 }
 
-// holder waits until the errand's holder, one that is in `of` where that is not empty, is in the midst of a
+// awaitOperation waits until the errand's holder, one that is in `of` where that is not empty, is in the midst of a
 // deed.
-func holder(f *harness.Cluster, of ...*harness.Member) (who *harness.Member, epoch uint64) {
+func awaitOperation(f *harness.Cluster, of ...*harness.Member) (who *harness.Member, epoch uint64) {
 	f.Eventually("a deed is under way", func() bool {
-		d := last(f)
+		d := lastOperation(f)
 		if d.Epoch == 0 || d.Until != api.Never {
 			return false
 		}
@@ -110,19 +110,19 @@
 	return who, epoch
 }
 
-// taken waits until a deed by a later epoch has ended.
-func taken(f *harness.Cluster, epoch uint64) {
+// awaitNewHolder waits until a deed by a later epoch has ended.
+func awaitNewHolder(f *harness.Cluster, epoch uint64) {
 	f.Eventually("the errand is taken up anew", func() bool {
-		d := last(f)
+		d := lastOperation(f)
 		return d.Epoch > epoch && d.Until != api.Never
 	})
 }
 
-// going waits until some more deeds have ended, by whomever.
-func going(f *harness.Cluster) {
-	n := len(f.LeaseChecker.Operations(errand))
-	f.Eventually("deeds go on", func() bool { return len(f.LeaseChecker.Operations(errand)) > n+3 })
+// awaitOperations waits until some more deeds have ended, by whomever.
+func awaitOperations(f *harness.Cluster) {
+	n := len(f.LeaseChecker.Operations(checkedResource))
+	f.Eventually("deeds go on", func() bool { return len(f.LeaseChecker.Operations(checkedResource)) > n+3 })
 }
 
-// some is a part of a term, for a fault to last.
-func some(terms float64) { time.Sleep(time.Duration(terms * float64(term))) }
+// sleepTTLs is a part of a term, for a fault to last.
+func sleepTTLs(terms float64) { time.Sleep(time.Duration(terms * float64(leaseTTL))) }
--- a/test/integration/cluster/session_test.go
+++ b/test/integration/cluster/failover_bench_test.go
@@ -12,28 +12,28 @@
 	"rowanlink/test/integration/harness"
 )
 
-// BenchmarkTakeoverAfterAKill kills the holder of a task with SIGKILL, again and again: how long until
+// BenchmarkFailover kills the holder of a task with SIGKILL, again and again: how long until
 // another member holds it, in terms. ROWAN_TERM is the term (1s). A holder that leads the keepers, too, is
 // counted by itself: whoever leads next gives each session a whole term anew.
-func BenchmarkTakeoverAfterAKill(b *testing.B) {
-	span := term
+func BenchmarkFailover(b *testing.B) {
+	span := leaseTTL
 	if told := os.Getenv("ROWAN_TERM"); told != "" {
 		var err error
 		span, err = time.ParseDuration(told)
 		require.NoError(b, err)
 	}
 	f := harness.Start(b, harness.Options{Binary: binary, LeaseTTL: span, Members: 4, RaftNodes: 3,
-		CheckedResources: []string{errand}})
+		CheckedResources: []string{checkedResource}})
 	f.AwaitStable()
 	var led, all []float64
-	who := f.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+errand+" ")
+	who := f.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+checkedResource+" ")
 	for b.Loop() {
 		time.Sleep(time.Duration(float64(span) * float64(len(all)%10) / 30)) // anywhere between two renewals
-		marks, leads := f.LogOffsets(), f.LeaderNow() == who
+		marks, leads := f.LogOffsets(), f.Leader() == who
 		since := time.Now()
 		who.Kill()
-		next := f.AwaitLog(marks, "INFO task held", "task="+errand+" ")
-		line, _ := next.Log.Find(marks[next], "INFO task held", "task="+errand+" ")
+		next := f.AwaitLog(marks, "INFO task held", "task="+checkedResource+" ")
+		line, _ := next.Log.Find(marks[next], "INFO task held", "task="+checkedResource+" ")
 		terms := line.At.Sub(since).Seconds() / span.Seconds()
 		if leads {
 			led = append(led, terms)
--- a/test/integration/cluster/doubt_test.go
+++ b/test/integration/cluster/forward_test.go
@@ -10,27 +10,27 @@
 	"rowanlink/test/integration/harness"
 )
 
-// answerless plays a webhook that may take effect once only, that its home takes on and calls for while no
+// runInDoubtScenario plays a webhook that may take effect once only, that its home takes on and calls for while no
 // answer of it reaches the entry. Then the home stands still for longer than its term, so that the entry is
 // home while it is in doubt, and calls for what is its own. offer has the webhook go to its home, by links
 // over which no answer comes back; meanwhile is what befalls the entry once it is home.
-func answerless(t *testing.T, offer func(f *harness.Cluster, home, entry *harness.Member) (id string),
+func runInDoubtScenario(t *testing.T, offer func(f *harness.Cluster, home, entry *harness.Member) (id string),
 	meanwhile func(entry *harness.Member)) {
 	t.Parallel()
-	f := begin(t, harness.Options{RaftNodes: 1, Ranges: 1, MemberSettings: func(m string) string {
+	f := startCluster(t, harness.Options{RaftNodes: 1, Ranges: 1, MemberSettings: func(m string) string {
 		if m == "m1" { // keeps the log, and no range goes to it
 			return "  weight = 0\n"
 		}
 		return ""
 	}})
-	home, entry := homes(f)
+	home, entry := awaitOwner(f)
 	delivered := func(by *harness.Member, atLeast string) { // and the answer is heard
 		f.Eventually(by.Name+" has delivered", func() bool {
 			n, _ := by.Metric("attempts_delivered_total")
 			return n >= atLeast
 		})
 	}
-	f.Platform.Submit(entry.Name, webhookOf("status")) // the home's folder is known from here on
+	f.Platform.Submit(entry.Name, newWebhook("status")) // the home's folder is known from here on
 	delivered(home, "1")
 
 	id := offer(f, home, entry)
@@ -38,9 +38,9 @@
 	home.Pause()
 	f.Eventually("the entry is home", func() bool { return f.Owner(1) == entry })
 	meanwhile(entry)
-	f.Platform.Submit(entry.Name, webhookOf("status"))
+	f.Platform.Submit(entry.Name, newWebhook("status"))
 	delivered(entry, "1")
-	some(0.5) // what is parked there has had its turn by now
+	sleepTTLs(0.5) // what is parked there has had its turn by now
 	f.Check()
 	require.False(t, t.Failed())
 
@@ -51,16 +51,16 @@
 	f.Check()
 }
 
-func webhookOf(kind string) platform.Webhook {
+func newWebhook(kind string) platform.Webhook {
 	return platform.Webhook{Type: kind, Destination: 1, TTL: 20 * time.Second, Body: "once"}
 }
 
 // Guards against a webhook that is called for here while it is offered to another member: what was parked
 // because its home could not be reached is in doubt from its first offer on.
-func TestAWebhookThatIsOfferedIsCalledForByNobodyElse(t *testing.T) {
-	answerless(t, func(f *harness.Cluster, home, entry *harness.Member) string {
+func TestForward_OfferedWebhookIsDeliveredByNobodyElse(t *testing.T) {
+	runInDoubtScenario(t, func(f *harness.Cluster, home, entry *harness.Member) string {
 		f.Network.SetFault(entry.Name, home.Name, harness.Refused)
-		id, _ := f.Platform.Submit(entry.Name, webhookOf("charge"))
+		id, _ := f.Platform.Submit(entry.Name, newWebhook("charge"))
 		f.Network.SetFault(home.Name, entry.Name, harness.OneWayPartition)
 		f.Network.SetFault(entry.Name, home.Name, harness.Fault{})
 		return id
@@ -68,10 +68,10 @@
 }
 
 // Guards against doubts that end with the process that had them.
-func TestADoubtOutlastsARestart(t *testing.T) {
-	answerless(t, func(f *harness.Cluster, home, entry *harness.Member) string {
+func TestForward_InDoubtSurvivesRestart(t *testing.T) {
+	runInDoubtScenario(t, func(f *harness.Cluster, home, entry *harness.Member) string {
 		f.Network.SetFault(home.Name, entry.Name, harness.OneWayPartition)
-		id, _ := f.Platform.Submit(entry.Name, webhookOf("charge"))
+		id, _ := f.Platform.Submit(entry.Name, newWebhook("charge"))
 		return id
 	}, (*harness.Member).Restart)
 }
--- a/test/integration/cluster/harm_test.go
+++ b/test/integration/cluster/interruptedplan_test.go
@@ -16,18 +16,18 @@
 	"rowanlink/webhook/api"
 )
 
-// calmly starts a fleet with terms long enough that none ends by itself on a machine with much else to do.
-func calmly(t *testing.T, s harness.Options) *harness.Cluster {
-	s.LeaseTTL = 3 * term
-	return begin(t, s)
+// startLongTTLCluster starts a fleet with terms long enough that none ends by itself on a machine with much else to do.
+func startLongTTLCluster(t *testing.T, s harness.Options) *harness.Cluster {
+	s.LeaseTTL = 3 * leaseTTL
+	return startCluster(t, s)
 }
 
-// few a second: between two looks at a home there is often nothing new for what moves, and the move can end.
-const few = 4
+// lowRate a second: between two looks at a home there is often nothing new for what moves, and the move can end.
+const lowRate = 4
 
-// entering hands webhooks for some destinations in at one member, until stop: none crosses a link that is
+// startLoadAt hands webhooks for some destinations in at one member, until stop: none crosses a link that is
 // cut. They have the whole TTL of their type: a shorter one would stand for one that was handed in before.
-func entering(f *harness.Cluster, at *harness.Member, perSecond float64,
+func startLoadAt(f *harness.Cluster, at *harness.Member, perSecond float64,
 	dests ...api.DestinationID) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
@@ -42,98 +42,98 @@
 	}
 }
 
-// midst is a plan in the midst: the range of one destination has passed its switch, that of another can't, as
+// interruptedPlan is a plan in the midst: the range of one destination has passed its switch, that of another can't, as
 // its home doesn't reach the target.
-type midst struct {
-	f                   *harness.Cluster
-	through, held       api.DestinationID
-	target, home, other *harness.Member // of through; of held, now and by the plan
-	marks               map[*harness.Member]int
-	stop                func()
+type interruptedPlan struct {
+	cluster                       *harness.Cluster
+	moved, blocked                api.DestinationID
+	target, source, blockedTarget *harness.Member // of through; of held, now and by the plan
+	marks                         map[*harness.Member]int
+	stop                          func()
 }
 
-// rules are the plan's, with further blocks.
-func (m *midst) rules(held bool, blocks string) string {
+// operatorBlocks are the plan's, with further blocks.
+func (m *interruptedPlan) operatorBlocks(held bool, blocks string) string {
 	text := fmt.Sprintf("pin \"p\" {\n  destinations = [%d]\n  to = %q\n}\nbounds { moves_at_once = 2 }\n",
-		m.through,
+		m.moved,
 		m.target.Name)
 	if held {
-		text += fmt.Sprintf("pin \"q\" {\n  destinations = [%d]\n  to = %q\n}\n", m.held, m.other.Name)
+		text += fmt.Sprintf("pin \"q\" {\n  destinations = [%d]\n  to = %q\n}\n", m.blocked, m.blockedTarget.Name)
 	}
 	return text + blocks
 }
 
-func inTheMidst(t *testing.T, blocks string) *midst {
-	f := calmly(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
-	m := &midst{f: f, other: f.Members[3]} // no keeper: a cut link costs the log nothing
+func startInterruptedPlan(t *testing.T, blocks string) *interruptedPlan {
+	f := startLongTTLCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+	m := &interruptedPlan{cluster: f, blockedTarget: f.Members[3]} // no keeper: a cut link costs the log nothing
 	f.Eventually("two homes", func() bool {
-		leader, chart := f.LeaderNow(), f.ShardMap()
-		m.held, m.through = 0, 0
+		leader, chart := f.Leader(), f.ShardMap()
+		m.blocked, m.moved = 0, 0
 		for d := range api.DestinationID(4) {
 			switch home := f.Owner(d + 1); {
-			case home == nil || leader == nil || home == m.other:
-			case m.held == 0 && home != leader:
-				m.held, m.home = d+1, home
+			case home == nil || leader == nil || home == m.blockedTarget:
+			case m.blocked == 0 && home != leader:
+				m.blocked, m.source = d+1, home
 			}
 		}
-		if m.held == 0 {
+		if m.blocked == 0 {
 			return false
 		}
-		of, _ := chart.RangeOf(cluster.DestinationKeyHash(m.held))
+		of, _ := chart.RangeOf(cluster.DestinationKeyHash(m.blocked))
 		for d := range api.DestinationID(4) {
 			if r, ok := chart.RangeOf(cluster.DestinationKeyHash(d + 1)); ok && r.ID != of.ID {
-				m.through = d + 1
+				m.moved = d + 1
 			}
 		}
-		home := f.Owner(m.through)
+		home := f.Owner(m.moved)
 		for _, k := range f.RaftNodes() {
 			if k != home {
 				m.target = k
 			}
 		}
-		return m.through != 0 && home != nil
+		return m.moved != 0 && home != nil
 	})
-	f.Network.SetFaultBetween(m.home.Name, m.other.Name, harness.Partition)
+	f.Network.SetFaultBetween(m.source.Name, m.blockedTarget.Name, harness.Partition)
 	m.marks = f.LogOffsets()
-	f.ReloadOperatorFiles(m.rules(true, blocks))
+	f.ReloadOperatorFiles(m.operatorBlocks(true, blocks))
 	f.Eventually("one has moved, the other can't", func() bool {
 		chart := f.ShardMap()
-		if chart == nil || f.Owner(m.through) != m.target {
+		if chart == nil || f.Owner(m.moved) != m.target {
 			return false
 		}
-		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.held))
-		through, _ := chart.RangeOf(cluster.DestinationKeyHash(m.through))
-		return r.Move.IsOpen() && !through.Move.IsOpen() && f.Member(string(r.Owner)) == m.home
+		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.blocked))
+		through, _ := chart.RangeOf(cluster.DestinationKeyHash(m.moved))
+		return r.Move.IsOpen() && !through.Move.IsOpen() && f.Member(string(r.Owner)) == m.source
 	})
-	m.stop = entering(f, m.target, 60, m.through)
+	m.stop = startLoadAt(f, m.target, 60, m.moved)
 	return m
 }
 
-// goneBack waits until the held move went back, and sees that what passed the switch stayed.
-func (m *midst) goneBack(t *testing.T) {
-	m.f.Eventually("the held move went back", func() bool {
-		chart := m.f.ShardMap()
+// awaitRollBack waits until the held move went back, and sees that what passed the switch stayed.
+func (m *interruptedPlan) awaitRollBack(t *testing.T) {
+	m.cluster.Eventually("the held move went back", func() bool {
+		chart := m.cluster.ShardMap()
 		if chart == nil {
 			return false
 		}
-		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.held))
+		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.blocked))
 		return !r.Move.IsOpen()
 	})
-	assert.Equal(t, m.home, m.f.Owner(m.held))
-	assert.Equal(t, m.target, m.f.Owner(m.through))
+	assert.Equal(t, m.source, m.cluster.Owner(m.blocked))
+	assert.Equal(t, m.target, m.cluster.Owner(m.moved))
 }
 
-func (m *midst) end() {
-	m.f.Network.Heal()
-	m.f.AwaitStable()
+func (m *interruptedPlan) finish() {
+	m.cluster.Network.Heal()
+	m.cluster.AwaitStable()
 	m.stop()
-	m.f.Check(deliverycheck.Order)
+	m.cluster.Check(deliverycheck.Order)
 }
 
 // Guards against a plan that goes on while it does harm: a destination goes sick or late at its new home.
 // What has not switched goes back, what has stays, nothing starts, and the log says why; the file read again,
 // once that is mended, goes on.
-func TestAPlanStopsForHarm(t *testing.T) {
+func TestPlan_StopsOnDegradation(t *testing.T) {
 	for name, c := range map[string]struct {
 		stop, why string
 		does      platform.Behaviour
@@ -144,48 +144,48 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rules := "stop_when { " + c.stop + " }\n"
-			m := inTheMidst(t, rules)
-			require.NoError(t, m.f.Platform.Destination(m.through).BeginOutage(c.does))
-			who := m.f.AwaitLog(m.marks, "plan stopped", c.why)
-			m.goneBack(t)
-			m.f.Eventually("/metrics shows it", func() bool { v, _ := who.Metric("plan_stopped"); return v == "1" })
-			require.NoError(t, m.f.Platform.Destination(m.through).SetBehaviour(platform.Delivers))
-			m.f.Network.Heal()
-			some(3) // it stays stopped, whatever gets well
-			assert.Equal(t, m.home, m.f.Owner(m.held))
-			m.f.ReloadOperatorFiles(m.rules(true, rules))
-			m.f.Eventually("it goes on", func() bool { return m.f.Owner(m.held) == m.other })
-			m.end()
+			m := startInterruptedPlan(t, rules)
+			require.NoError(t, m.cluster.Platform.Destination(m.moved).BeginOutage(c.does))
+			who := m.cluster.AwaitLog(m.marks, "plan stopped", c.why)
+			m.awaitRollBack(t)
+			m.cluster.Eventually("/metrics shows it", func() bool { v, _ := who.Metric("plan_stopped"); return v == "1" })
+			require.NoError(t, m.cluster.Platform.Destination(m.moved).SetBehaviour(platform.Delivers))
+			m.cluster.Network.Heal()
+			sleepTTLs(3) // it stays stopped, whatever gets well
+			assert.Equal(t, m.source, m.cluster.Owner(m.blocked))
+			m.cluster.ReloadOperatorFiles(m.operatorBlocks(true, rules))
+			m.cluster.Eventually("it goes on", func() bool { return m.cluster.Owner(m.blocked) == m.blockedTarget })
+			m.finish()
 		})
 	}
 }
 
 // Guards against work undone by a file read in the midst of a plan: what has passed the switch stays where
 // the new file has it too, what has not goes back.
-func TestAFileReadInTheMidstOfAPlanKeepsWhatHasSwitched(t *testing.T) {
+func TestPlan_ReloadKeepsSwitchedRanges(t *testing.T) {
 	t.Parallel()
-	m := inTheMidst(t, "")
-	before := m.f.ShardMap()
-	m.f.ReloadOperatorFiles(m.rules(false, ""))
-	m.goneBack(t)
-	m.f.AwaitStable()
-	was, _ := before.RangeOf(cluster.DestinationKeyHash(m.through))
-	is, _ := m.f.ShardMap().RangeOf(cluster.DestinationKeyHash(m.through))
+	m := startInterruptedPlan(t, "")
+	before := m.cluster.ShardMap()
+	m.cluster.ReloadOperatorFiles(m.operatorBlocks(false, ""))
+	m.awaitRollBack(t)
+	m.cluster.AwaitStable()
+	was, _ := before.RangeOf(cluster.DestinationKeyHash(m.moved))
+	is, _ := m.cluster.ShardMap().RangeOf(cluster.DestinationKeyHash(m.moved))
 	assert.Equal(t, was.Epoch, is.Epoch, "it was let go of meanwhile")
-	m.end()
+	m.finish()
 }
 
 // Guards against a plan that dies with the one who ran it: another keeper goes on by what the log holds, with
 // no step done twice and no plan made anew. The keepers are no homes here, so nothing else is lost.
-func TestAConductorKilledInTheMidstOfAPlan(t *testing.T) {
+func TestPlan_CoordinatorKilled(t *testing.T) {
 	t.Parallel()
-	f := calmly(t, harness.Options{Members: 5, RaftNodes: 3, Ranges: 8, MemberSettings: func(m string) string {
+	f := startLongTTLCluster(t, harness.Options{Members: 5, RaftNodes: 3, Ranges: 8, MemberSettings: func(m string) string {
 		if m == "m4" || m == "m5" {
 			return ""
 		}
 		return "  weight = 0\n"
 	}})
-	stop, marks, leaver := entering(f, f.Members[4], few, 1, 2, 3, 4), f.LogOffsets(), f.Members[3]
+	stop, marks, leaver := startLoadAt(f, f.Members[4], lowRate, 1, 2, 3, 4), f.LogOffsets(), f.Members[3]
 	f.ReloadOperatorFiles("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
 	conductor := f.AwaitLog(marks, "INFO move planned ")
 	f.AwaitLog(marks, "INFO move cleared ")
@@ -206,9 +206,9 @@
 // Guards against a pin that takes along what lies in the same range, or can't be taken back: the destination
 // is split off under load, goes alone, and once nothing asks for that the map is as it was. Then the range
 // still moves: nobody holds on to what was merged.
-func TestADestinationIsSplitOffAndMergedAgain(t *testing.T) {
+func TestPlan_SplitsOffAndMergesADestination(t *testing.T) {
 	t.Parallel()
-	f := calmly(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
+	f := startLongTTLCluster(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
 	var home, target *harness.Member
 	f.Eventually("homes", func() bool { home = f.Owner(2); return home != nil && f.Owner(4) == home })
 	for _, m := range f.Members {
@@ -216,7 +216,7 @@
 			target = m
 		}
 	}
-	stop := entering(f, target, few, 2, 4)
+	stop := startLoadAt(f, target, lowRate, 2, 4)
 	before := len(f.ShardMap().Ranges)
 	f.ReloadOperatorFiles(fmt.Sprintf("pin \"p\" {\n  destinations = [2]\n  to = %q\n}\n", target.Name))
 	f.Eventually("it goes alone", func() bool { return f.Owner(2) == target })
--- a/test/integration/cluster/faults_test.go
+++ b/test/integration/cluster/linkfault_test.go
@@ -13,28 +13,28 @@
 // Guards against a step of a move that can't be the last one before a stop of more than a term, or before a
 // cut: what stood still or was cut off goes on afterwards with what it had, and what was on its way comes
 // late.
-func TestAStopOrACutAfterEachStepOfAMove(t *testing.T) {
+func TestMove_PauseOrPartitionAfterEachStep(t *testing.T) {
 	steps := []string{"move planned", "move warms", "move passes", "home switched", "move cleared"}
 	for _, step := range steps {
 		for _, how := range []string{"stopped", "cut off"} {
 			t.Run(step+", "+how, func(t *testing.T) {
 				t.Parallel()
-				f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8,
+				f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8,
 					ClockRates: map[string]float64{"m1": 1.024, "m2": 0.976}})
-				slowly(t, f)
-				stop := load(f)
+				slowDestinations(t, f)
+				stop := startLoad(f)
 				for _, role := range []string{"source", "target", "conductor"} {
-					leaver, marks := busiest(f), f.LogOffsets()
+					leaver, marks := ownerOfMostRanges(f), f.LogOffsets()
 					f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
-					who := part(f, role, step, leaver, marks)
+					who := awaitRole(f, role, step, leaver, marks)
 					t.Logf("%s leaves, %s, %s, is %s", leaver.Name, role, who.Name, how)
 					if how == "stopped" {
 						who.Pause()
-						some(1.6)
+						sleepTTLs(1.6)
 						who.Resume()
 					} else {
 						f.Network.Isolate(harness.Partition, who.Name)
-						some(1.6)
+						sleepTTLs(1.6)
 						f.Network.Heal()
 					}
 					f.AwaitStable(leaver)
@@ -46,14 +46,14 @@
 	}
 }
 
-// part waits for a step of a move and returns who plays a role in it.
-func part(f *harness.Cluster, role, step string, leaver *harness.Member,
+// awaitRole waits for a step of a move and returns who plays a role in it.
+func awaitRole(f *harness.Cluster, role, step string, leaver *harness.Member,
 	marks map[*harness.Member]int) *harness.Member {
 	said := f.AwaitLog(marks, "INFO "+step+" ")
 	switch role {
 	case "target":
 		if line, ok := said.Log.Find(marks[said], "INFO "+step+" ", " to="); ok {
-			return f.Member(to.FindStringSubmatch(line.Text)[1])
+			return f.Member(targetField.FindStringSubmatch(line.Text)[1])
 		}
 		return said
 	case "conductor":
@@ -63,19 +63,19 @@
 }
 
 // Guards against a task that two do, and webhooks that two call with, over links that are only bad.
-func TestLinksThatAreLateSlowOrResetHalfWay(t *testing.T) {
+func TestLease_DelayedThrottledAndResetLinks(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{errand}, ClockRates: apart})
-	slowly(t, f)
-	stop := load(f)
-	for name, fault := range map[string]harness.Fault{"late": harness.Delayed(term / 4), "slow": harness.Throttled(4000),
+	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}, ClockRates: driftingClocks})
+	slowDestinations(t, f)
+	stop := startLoad(f)
+	for name, fault := range map[string]harness.Fault{"late": harness.Delayed(leaseTTL / 4), "slow": harness.Throttled(4000),
 		"half-way": harness.ResetAfterBytes(900)} {
-		who, _ := holder(f)
+		who, _ := awaitOperation(f)
 		for _, m := range []*harness.Member{who, f.AwaitLeader()} {
 			f.Network.Isolate(fault, m.Name)
-			some(1.5)
+			sleepTTLs(1.5)
 			f.Network.Heal()
-			going(f)
+			awaitOperations(f)
 		}
 		f.Check(deliverycheck.Order)
 		require.False(t, t.Failed(), name)
@@ -86,10 +86,10 @@
 
 // Guards against a keeper that comes back with nothing and votes, or is never counted again: without it there
 // is no majority afterwards.
-func TestAKeeperThatComesBackWithoutItsFolder(t *testing.T) {
+func TestRaft_NodeRestartsWithoutItsState(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{errand}})
-	stop := load(f)
+	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}})
+	stop := startLoad(f)
 	was, marks := f.AwaitLeader(), f.LogOffsets()
 	was.Kill()
 	was.DeleteState()
@@ -99,7 +99,7 @@
 		if other != was {
 			other.Kill()
 			f.AwaitLeader()
-			going(f)
+			awaitOperations(f)
 			other.Start()
 			break
 		}
--- a/test/integration/cluster/bench_test.go
+++ b/test/integration/cluster/load_bench_test.go
@@ -18,10 +18,10 @@
 // Each benchmark plays what it compares in one run, on the same processes where it can: only the ratios say
 // something on a machine with other work.
 
-const benched = api.DestinationID(1)
+const benchmarkDestination = api.DestinationID(1)
 
-// drive hands in webhooks for one destination at some members, at the most so many a second, for a span.
-func drive(f *harness.Cluster, perSecond float64, span time.Duration,
+// runLoad hands in webhooks for one destination at some members, at the most so many a second, for a span.
+func runLoad(f *harness.Cluster, perSecond float64, span time.Duration,
 	members ...string) (from, until api.Micros) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
@@ -31,7 +31,7 @@
 	for range streams {
 		done = append(done, f.Platform.StartLoad(ctx, platform.Load{Members: members, PerSecond: perSecond / streams,
 			Clients: 8, Next: func(int) platform.Webhook {
-				return platform.Webhook{Type: "status", Destination: benched, TTL: 8 * time.Second, Body: "a webhook's body"}
+				return platform.Webhook{Type: "status", Destination: benchmarkDestination, TTL: 8 * time.Second, Body: "a webhook's body"}
 			}}))
 	}
 	for _, wait := range done {
@@ -42,57 +42,57 @@
 	return from, until
 }
 
-func used(f *harness.Cluster) (sum time.Duration) {
+func totalCPUTime(f *harness.Cluster) (sum time.Duration) {
 	for _, m := range f.Members {
 		sum += m.CPUTime()
 	}
 	return sum
 }
 
-func ms(t api.Micros) float64 { return t.Seconds() * 1e3 }
+func milliseconds(t api.Micros) float64 { return t.Seconds() * 1e3 }
 
 // BenchmarkForwarded hands webhooks in at their home, then at another member, in turn. CPU is all members',
 // less what they use at rest.
 func BenchmarkForwarded(b *testing.B) {
 	for _, perSecond := range []float64{1000, 3000} {
-		b.Run(fmt.Sprint(perSecond), func(b *testing.B) { forwarded(b, perSecond) })
+		b.Run(fmt.Sprint(perSecond), func(b *testing.B) { benchmarkForwarded(b, perSecond) })
 	}
 }
 
-func forwarded(b *testing.B, perSecond float64) {
+func benchmarkForwarded(b *testing.B, perSecond float64) {
 	f := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 20000})
 	f.AwaitStable()
-	some(3)
-	before := used(f)
-	some(5)
-	rest := (used(f) - before).Seconds() / 5
+	sleepTTLs(3)
+	before := totalCPUTime(f)
+	sleepTTLs(5)
+	rest := (totalCPUTime(f) - before).Seconds() / 5
 	type sum struct {
 		n, cpu, spent   float64
 		answered, delay []api.Micros
 	}
 	var local, away sum
 	for b.Loop() {
-		home := f.Owner(benched)
+		home := f.Owner(benchmarkDestination)
 		require.NotNil(b, home)
 		other := f.Members[0]
 		if other == home {
 			other = f.Members[1]
 		}
 		for at, s := range map[*harness.Member]*sum{home: &local, other: &away} {
-			before, since := used(f), f.Platform.Now()
-			from, until := drive(f, perSecond, 4*time.Second, at.Name)
+			before, since := totalCPUTime(f), f.Platform.Now()
+			from, until := runLoad(f, perSecond, 4*time.Second, at.Name)
 			spent := (f.Platform.Now() - since).Seconds()
-			w := f.Platform.Checker.Window(benched, from, until)
+			w := f.Platform.Checker.Window(benchmarkDestination, from, until)
 			s.n, s.spent = s.n+float64(len(w.DeliveryDelays)), s.spent+(until-from).Seconds()
-			s.cpu += (used(f) - before).Seconds() - spent*rest
+			s.cpu += (totalCPUTime(f) - before).Seconds() - spent*rest
 			s.answered, s.delay = append(s.answered, w.ResponseTimes...), append(s.delay, w.DeliveryDelays...)
 		}
 	}
 	for name, s := range map[string]*sum{"local": &local, "forwarded": &away} {
 		b.ReportMetric(s.n/s.spent, name+"/s")
 		b.ReportMetric(1e6*s.cpu/s.n, name+"-cpu-us")
-		b.ReportMetric(ms(deliverycheck.Median(s.answered)), name+"-answer-ms")
-		b.ReportMetric(ms(deliverycheck.Median(s.delay)), name+"-delay-ms")
+		b.ReportMetric(milliseconds(deliverycheck.Median(s.answered)), name+"-answer-ms")
+		b.ReportMetric(milliseconds(deliverycheck.Median(s.delay)), name+"-delay-ms")
 	}
 	b.ReportMetric((away.cpu/away.n)/(local.cpu/local.n), "cpu-ratio")
 	b.ReportMetric(float64(deliverycheck.Median(away.delay))/float64(deliverycheck.Median(local.delay)), "delay-ratio")
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := f.Platform.StartLoad(ctx, platform.Load{Members: f.Names(), PerSecond: 400, Clients: 32,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Destination: benched,
+			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Destination: benchmarkDestination,
 				TTL: 8 * time.Second, Body: "a webhook's body"}
 		}})
 	var gaps [3][]api.Micros // nothing happens, a move, stop and restart
@@ -115,15 +115,15 @@
 	look := func(kind int, what func()) {
 		from := f.Platform.Now()
 		what()
-		some(1)
-		w := f.Platform.Checker.Window(benched, from, f.Platform.Now())
+		sleepTTLs(1)
+		w := f.Platform.Checker.Window(benchmarkDestination, from, f.Platform.Now())
 		gaps[kind], bad[kind] = append(gaps[kind], w.LongestGap), append(bad[kind], w)
 	}
-	some(3)
+	sleepTTLs(3)
 	n := 0
 	for b.Loop() {
-		look(0, func() { some(1) })
-		home := f.Owner(benched)
+		look(0, func() { sleepTTLs(1) })
+		home := f.Owner(benchmarkDestination)
 		require.NotNil(b, home)
 		n++
 		to := f.Members[n%len(f.Members)]
@@ -131,8 +131,8 @@
 			to = f.Members[(n+1)%len(f.Members)]
 		}
 		look(1, func() {
-			f.ReloadOperatorFiles(fmt.Sprintf("pin \"%d\" {\n  destinations = [%d]\n  to = %q\n}\n", n, benched, to.Name))
-			f.Eventually("it has moved", func() bool { return f.Owner(benched) == to })
+			f.ReloadOperatorFiles(fmt.Sprintf("pin \"%d\" {\n  destinations = [%d]\n  to = %q\n}\n", n, benchmarkDestination, to.Name))
+			f.Eventually("it has moved", func() bool { return f.Owner(benchmarkDestination) == to })
 			f.AwaitStable()
 		})
 		look(2, func() { to.Terminate(); to.Start(); f.AwaitStable() })
@@ -140,8 +140,8 @@
 	cancel()
 	done()
 	for kind, name := range []string{"still", "move", "restart"} {
-		b.ReportMetric(ms(deliverycheck.Median(gaps[kind])), name+"-gap-ms")
-		b.ReportMetric(ms(slices.Max(gaps[kind])), name+"-gap-worst-ms")
+		b.ReportMetric(milliseconds(deliverycheck.Median(gaps[kind])), name+"-gap-ms")
+		b.ReportMetric(milliseconds(slices.Max(gaps[kind])), name+"-gap-worst-ms")
 		refused, unanswered := 0, 0
 		for _, w := range bad[kind] {
 			refused, unanswered = refused+w.Rejected, unanswered+w.Unanswered
@@ -163,10 +163,10 @@
 			"fleet": {Binary: binary, Members: 4}} {
 			shape.Weight = 2000
 			f := harness.Start(b, shape)
-			some(5)
-			resident(b, f, name+"-rest")
-			drive(f, 400, 5*time.Second, f.Names()...)
-			resident(b, f, name+"-loaded")
+			sleepTTLs(5)
+			reportMemory(b, f, name+"-rest")
+			runLoad(f, 400, 5*time.Second, f.Names()...)
+			reportMemory(b, f, name+"-loaded")
 			for _, m := range f.Members {
 				m.Kill()
 			}
@@ -175,7 +175,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func resident(b *testing.B, f *harness.Cluster, name string) {
+func reportMemory(b *testing.B, f *harness.Cluster, name string) {
 	b.ReportMetric(float64(f.Members[0].ResidentMemory())/(1<<20), name+"-m1-MB")
 	b.ReportMetric(float64(f.Members[3].ResidentMemory())/(1<<20), name+"-m4-MB")
 }
--- a/test/integration/cluster/plan_test.go
+++ b/test/integration/cluster/move_test.go
@@ -14,19 +14,19 @@
 	"rowanlink/webhook/api"
 )
 
-var to = regexp.MustCompile(` to=(\w+)`)
+var targetField = regexp.MustCompile(` to=(\w+)`)
 
 // Guards against a step of a move that can't be the last one before a kill: of the member that leaves, of the
 // one that gets the range, of the one that conducts.
-func TestAKillAfterEachStepOfAMove(t *testing.T) {
+func TestMove_KillAfterEachStep(t *testing.T) {
 	for _, step := range []string{"move planned", "move warms", "move passes", "home switched", "move cleared"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
-			slowly(t, f)
-			stop := load(f)
+			f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+			slowDestinations(t, f)
+			stop := startLoad(f)
 			for _, role := range []string{"source", "target", "conductor"} {
-				leaver := busiest(f)
+				leaver := ownerOfMostRanges(f)
 				marks := f.LogOffsets()
 				t.Logf("%s leaves, %s killed", leaver.Name, role)
 				f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
@@ -36,7 +36,7 @@
 				case "target":
 					who = said
 					if line, ok := said.Log.Find(marks[said], "INFO "+step+" ", " to="); ok {
-						who = f.Member(to.FindStringSubmatch(line.Text)[1])
+						who = f.Member(targetField.FindStringSubmatch(line.Text)[1])
 					}
 				case "conductor":
 					who = f.AwaitLog(marks, "INFO move planned ")
@@ -56,8 +56,8 @@
 	}
 }
 
-// busiest is the home of the most ranges.
-func busiest(f *harness.Cluster) *harness.Member {
+// ownerOfMostRanges is the home of the most ranges.
+func ownerOfMostRanges(f *harness.Cluster) *harness.Member {
 	n, most := map[string]int{}, ""
 	f.Eventually("a map", func() bool {
 		chart := f.ShardMap()
@@ -75,16 +75,16 @@
 }
 
 // Guards against webhooks lost, doubled or overtaken in moves in which nothing fails.
-func TestMovesUnderLoadLoseNothingAndDoNothingTwice(t *testing.T) {
+func TestMove_UnderLoadWithoutFaults(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 	for d := range api.DestinationID(4) {
-		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(term/5)))
+		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(leaseTTL/5)))
 	}
-	stop := load(f)
+	stop := startLoad(f)
 	for range 3 {
-		some(0.5)
-		leaver := busiest(f)
+		sleepTTLs(0.5)
+		leaver := ownerOfMostRanges(f)
 		f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
 		f.AwaitStable(leaver)
 	}
--- a/test/integration/cluster/history_test.go
+++ b/test/integration/cluster/ownership_test.go
@@ -18,18 +18,18 @@
 // Guards against a home that two have, a map that goes back or names who never had it: what all logs say and
 // what each keeper tells of the map, over moves with a kill, a stop and a cut in the midst of them, is a past
 // that one lock and one map could have.
-func TestTheHomesOfARunHaveAPastThatOneMapCouldHave(t *testing.T) {
+func TestOwnership_HistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: apart, CheckedResources: []string{errand},
+	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource},
 		Env: []string{harness.DebugLog}})
 	views := f.WatchOwnership()
 	faults := []func(m *harness.Member) func(){
-		func(m *harness.Member) func() { m.Kill(); some(1.5); return m.Start },
-		func(m *harness.Member) func() { m.Pause(); some(0.5); return m.Resume },
-		func(m *harness.Member) func() { m.Pause(); some(1.5); return m.Resume },
+		func(m *harness.Member) func() { m.Kill(); sleepTTLs(1.5); return m.Start },
+		func(m *harness.Member) func() { m.Pause(); sleepTTLs(0.5); return m.Resume },
+		func(m *harness.Member) func() { m.Pause(); sleepTTLs(1.5); return m.Resume },
 		func(m *harness.Member) func() {
 			f.Network.Isolate(harness.Partition, m.Name)
-			some(1.5)
+			sleepTTLs(1.5)
 			return f.Network.Heal
 		},
 	}
@@ -39,7 +39,7 @@
 			func(leaver *harness.Member) *harness.Member { return leaver },
 			func(*harness.Member) *harness.Member { return f.AwaitLeader() },
 		} {
-			leaver, marks := busiest(f), f.LogOffsets()
+			leaver, marks := ownerOfMostRanges(f), f.LogOffsets()
 			round++ // a plan that is the running one changes nothing
 			f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", leaver.Name, 2+round))
 			f.Eventually("a move is under way", func() bool {
@@ -47,7 +47,7 @@
 			})
 			fault(who(leaver))()
 			f.AwaitStable(leaver)
-			going(f)
+			awaitOperations(f)
 		}
 	}
 	f.Check()
@@ -55,7 +55,7 @@
 	require.False(t, t.Failed())
 
 	// The same past, made wrong in one place: the check would have seen it.
-	last, others := lastGrant(t, views.Events())
+	last, others := lastOwnerGrant(t, views.Events())
 	for name, spoil := range map[string]func(p *leasecheck.OwnershipEvent){
 		"granted by an epoch that is gone by": func(p *leasecheck.OwnershipEvent) { p.Epoch = 1 },
 		"granted before all others":           func(p *leasecheck.OwnershipEvent) { p.Until = 1 },
@@ -63,14 +63,14 @@
 	} {
 		wrong := last
 		spoil(&wrong)
-		could, err := leasecheck.CheckOwnership(append([]leasecheck.OwnershipEvent{wrong}, others...), term*60)
+		could, err := leasecheck.CheckOwnership(append([]leasecheck.OwnershipEvent{wrong}, others...), leaseTTL*60)
 		require.NoError(t, err)
 		assert.False(t, could, name)
 	}
 }
 
-// lastGrant is that of a home that was granted by more than one epoch, and the rest of its past.
-func lastGrant(t *testing.T, all map[cluster.Resource][]leasecheck.OwnershipEvent) (last leasecheck.OwnershipEvent, others []leasecheck.OwnershipEvent) {
+// lastOwnerGrant is that of a home that was granted by more than one epoch, and the rest of its past.
+func lastOwnerGrant(t *testing.T, all map[cluster.Resource][]leasecheck.OwnershipEvent) (last leasecheck.OwnershipEvent, others []leasecheck.OwnershipEvent) {
 	for task, past := range all {
 		slices.SortStableFunc(past, func(a, b leasecheck.OwnershipEvent) int {
 			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(b.Epoch, a.Epoch))
--- a/test/integration/cluster/site_test.go
+++ b/test/integration/cluster/site_test.go
@@ -23,11 +23,11 @@
 	direct = []api.DestinationID{41, 42, 43, 44}
 )
 
-// siteTerm is long: five members with all their webhooks keep their sessions on a machine that is busy.
-const siteTerm = 3 * term
+// siteLeaseTTL is long: five members with all their webhooks keep their sessions on a machine that is busy.
+const siteLeaseTTL = 3 * leaseTTL
 
-// lasts waits a part of it, for a fault to last.
-func lasts(terms float64) { time.Sleep(time.Duration(terms * float64(siteTerm))) }
+// sleepSiteTTLs waits a part of it, for a fault to last.
+func sleepSiteTTLs(terms float64) { time.Sleep(time.Duration(terms * float64(siteLeaseTTL))) }
 
 const twoSites = `
 site "depot" {
@@ -40,10 +40,10 @@
 }
 `
 
-// sited is a fleet of three keepers and two relays.
-func sited(t *testing.T) *harness.Cluster {
+// startSites is a fleet of three keepers and two relays.
+func startSites(t *testing.T) *harness.Cluster {
 	all := slices.Concat(depot, harbor, direct)
-	f := begin(t, harness.Options{LeaseTTL: siteTerm, Members: 5, Ranges: 9, Destinations: all, ConfigBlocks: twoSites,
+	f := startCluster(t, harness.Options{LeaseTTL: siteLeaseTTL, Members: 5, Ranges: 9, Destinations: all, ConfigBlocks: twoSites,
 		WaitsBindAll:    true,
 		SubscriberLists: map[string][]api.DestinationID{"prices": all},
 		MemberSettings: func(m string) string {
@@ -59,8 +59,8 @@
 	return f
 }
 
-// announce hands announcements of each rule in, and single webhooks to subscribers behind relays beside them.
-func announce(f *harness.Cluster, at ...string) (stop func()) {
+// startAnnouncements hands announcements of each rule in, and single webhooks to subscribers behind relays beside them.
+func startAnnouncements(f *harness.Cluster, at ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types, both := []string{"status", "paid", "charge", "ride"}, slices.Concat(depot, harbor)
 	waits := []func(){f.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 8, Clients: 4,
@@ -85,8 +85,8 @@
 	}
 }
 
-// ends counts those that relays told, at the members that are owed them.
-func ends(f *harness.Cluster) (n int) {
+// relayResults counts those that relays told, at the members that are owed them.
+func relayResults(f *harness.Cluster) (n int) {
 	for _, m := range f.Members {
 		v, _ := m.Metric("site_ends_total")
 		each, _ := strconv.Atoi(v)
@@ -95,8 +95,8 @@
 	return n
 }
 
-// sender is who sends to a site: the home of its subscribers.
-func sender(f *harness.Cluster, of api.DestinationID) (m *harness.Member) {
+// awaitSender is who sends to a site: the home of its subscribers.
+func awaitSender(f *harness.Cluster, of api.DestinationID) (m *harness.Member) {
 	f.Eventually("a site has its sender", func() bool {
 		m = f.Owner(of)
 		return m != nil
@@ -104,17 +104,17 @@
 	return m
 }
 
-// story plays faults at such a fleet under load, at which no rule may break. Where a home is lost for
+// runSiteScenario plays faults at such a fleet under load, at which no rule may break. Where a home is lost for
 // longer than a term, what lies in its journal comes after what the next home takes meanwhile, whatever its
 // key.
-func story(t *testing.T, faults func(f *harness.Cluster), but ...deliverycheck.Rule) (notices int) {
+func runSiteScenario(t *testing.T, faults func(f *harness.Cluster), but ...deliverycheck.Rule) (notices int) {
 	t.Parallel()
-	f := sited(t)
-	stop := announce(f, "m1", "m2", "m3")
-	f.Eventually("something goes by the streams", func() bool { return told(f, "site_ends_total") })
-	lasts(0.5)
+	f := startSites(t)
+	stop := startAnnouncements(f, "m1", "m2", "m3")
+	f.Eventually("something goes by the streams", func() bool { return anyMetricPositive(f, "site_ends_total") })
+	sleepSiteTTLs(0.5)
 	faults(f)
-	lasts(0.5)
+	sleepSiteTTLs(0.5)
 	stop()
 	f.Check(but...)
 	t.Logf("%+v", f.Platform.Checker.Counts())
@@ -122,96 +122,96 @@
 }
 
 // Guards against two ends: what the relay has is dead-lettered by nobody meanwhile, as it comes back in time.
-func TestASenderAndItsRelayThatDoNotHearEachOtherForAWhile(t *testing.T) {
-	assert.Zero(t, story(t, func(f *harness.Cluster) {
+func TestSite_PartitionBetweenSenderAndRelay(t *testing.T) {
+	assert.Zero(t, runSiteScenario(t, func(f *harness.Cluster) {
 		waits := f.Platform.Destination(harbor[4])
 		waits.QueueBehaviours(platform.RateLimited(3 * time.Second))
-		lasts(0.4) // what it told the relay binds the sender, too
+		sleepSiteTTLs(0.4) // what it told the relay binds the sender, too
 		for _, fault := range []harness.Fault{harness.Partition, harness.OneWayPartition, harness.ResetAfterBytes(2000)} {
-			who := sender(f, harbor[0])
+			who := awaitSender(f, harbor[0])
 			f.Network.SetFault("m5", who.Name, fault)
 			f.Network.SetFault(who.Name, "m5", harness.Fault{})
-			lasts(1)
+			sleepSiteTTLs(1)
 			f.Network.Heal()
-			lasts(0.5)
+			sleepSiteTTLs(0.5)
 		}
 	}, deliverycheck.Overlap), "no webhook ends but by being delivered")
 }
 
-func TestAnAnnouncementEndsOnceAtEachSubscriberWhateverBecomesOfItsRelayAndSender(t *testing.T) {
-	story(t, func(f *harness.Cluster) {
+func TestSite_AnnouncementEndsOnceAtEachSubscriber(t *testing.T) {
+	runSiteScenario(t, func(f *harness.Cluster) {
 		f.Member("m4").Kill()
 		f.Eventually("what was there or would go there is seen to", func() bool {
-			return told(f, "site_beside_total") || told(f, "site_unsure_total")
+			return anyMetricPositive(f, "site_beside_total") || anyMetricPositive(f, "site_unsure_total")
 		})
-		lasts(0.5)
+		sleepSiteTTLs(0.5)
 		f.Member("m4").Start()
-		lasts(0.5)
+		sleepSiteTTLs(0.5)
 
-		who := sender(f, harbor[0])
+		who := awaitSender(f, harbor[0])
 		f.Network.SetFaultBetween(who.Name, "m5", harness.Partition)
 		who.AwaitLog("called directly", "site=harbor", "directly=true")
 		f.Network.Heal()
-		lasts(0.5)
+		sleepSiteTTLs(0.5)
 
-		who = sender(f, depot[0])
+		who = awaitSender(f, depot[0])
 		who.Kill()
 		f.AwaitServed()
 		who.Start()
 	}, deliverycheck.Order, deliverycheck.Overlap) // while a relay is cut off, what may run twice may run at both
 }
 
-func TestARelayThatStandsStillHoldsUpNoOtherSite(t *testing.T) {
-	story(t, func(f *harness.Cluster) {
+func TestSite_PausedRelayBlocksNoOtherSite(t *testing.T) {
+	runSiteScenario(t, func(f *harness.Cluster) {
 		for range 2 {
 			f.Member("m5").Pause()
-			n := ends(f)
-			f.Eventually("the other site's subscribers go on", func() bool { return ends(f) > n+50 })
+			n := relayResults(f)
+			f.Eventually("the other site's subscribers go on", func() bool { return relayResults(f) > n+50 })
 			f.Member("m5").Resume()
-			lasts(0.5)
+			sleepSiteTTLs(0.5)
 		}
 	}, deliverycheck.Order)
 }
 
-func TestSubscribersThatLeaveMoveAndComeBackAndRelaysThatChangeSitesUnderLoad(t *testing.T) {
+func TestSite_SubscribersAndRelaysChangeSites(t *testing.T) {
 	moved := strings.NewReplacer("24, 25, 26", "24, 25", "31, 32, 33", "26, 32, 33").Replace(twoSites)
 	swapped := strings.NewReplacer("m4", "m5", "m5", "m4").Replace(twoSites)
-	assert.Zero(t, story(t, func(f *harness.Cluster) {
+	assert.Zero(t, runSiteScenario(t, func(f *harness.Cluster) {
 		for _, blocks := range []string{moved, swapped, twoSites} {
 			f.ReloadOperatorFiles(blocks)
-			lasts(1)
+			sleepSiteTTLs(1)
 		}
 	}, deliverycheck.Order), "no webhook ends but by being delivered")
 }
 
-func TestRelaysAndSendersThatAreToldToEndAndComeBack(t *testing.T) {
-	story(t, func(f *harness.Cluster) {
-		for _, m := range []*harness.Member{f.Member("m4"), sender(f, harbor[0])} {
+func TestSite_RelaysAndSendersRestart(t *testing.T) {
+	runSiteScenario(t, func(f *harness.Cluster) {
+		for _, m := range []*harness.Member{f.Member("m4"), awaitSender(f, harbor[0])} {
 			m.Terminate()
 			f.AwaitServed()
 			m.Start()
-			lasts(0.5)
+			sleepSiteTTLs(0.5)
 		}
 	}, deliverycheck.Order)
 }
 
 // A subscriber behind one relay is sick while that is lost, one behind the other has an endpoint that drains
 // while that is cut off: whoever calls, what returns is not pushed over and the drain is kept.
-func TestASickSubscriberAndADrainBehindRelaysThatAreMissed(t *testing.T) {
-	story(t, func(f *harness.Cluster) {
+func TestSite_UnhealthySubscriberAndDrainDuringFaults(t *testing.T) {
+	runSiteScenario(t, func(f *harness.Cluster) {
 		sick := f.Platform.Destination(depot[1])
 		require.NoError(t, sick.BeginOutage(platform.Unavailable))
 		first := f.Platform.Endpoints(harbor[2])[0]
 		_, err := f.Platform.AddEndpoint(harbor[2])
 		require.NoError(t, err)
-		lasts(0.5)
+		sleepSiteTTLs(0.5)
 		f.Member("m4").Kill()
 		f.Platform.Drain(first)
-		f.Network.SetFaultBetween(sender(f, harbor[0]).Name, "m5", harness.Partition)
-		lasts(0.7)
+		f.Network.SetFaultBetween(awaitSender(f, harbor[0]).Name, "m5", harness.Partition)
+		sleepSiteTTLs(0.7)
 		require.NoError(t, sick.EndOutage(100))
 		f.Member("m4").Start()
 		f.Network.Heal()
-		lasts(1)
+		sleepSiteTTLs(1)
 	}, deliverycheck.Order, deliverycheck.Overlap) // as above
 }
--- a/test/integration/harness/watch.go
+++ b/test/integration/harness/await.go
@@ -10,12 +10,12 @@
 // AwaitLeader waits until one keeper alone says that it leads, and returns it.
 func (f *Cluster) AwaitLeader() (leader *Member) {
 	f.t.Helper()
-	f.Eventually("one keeper leads", func() bool { leader = f.LeaderNow(); return leader != nil })
+	f.Eventually("one keeper leads", func() bool { leader = f.Leader(); return leader != nil })
 	return leader
 }
 
-// LeaderNow is the one keeper that says so now, or nil.
-func (f *Cluster) LeaderNow() (leader *Member) {
+// Leader is the one keeper that says so now, or nil.
+func (f *Cluster) Leader() (leader *Member) {
 	for _, m := range f.RaftNodes() {
 		if m.Running() && !m.paused && reportsLeading(m) {
 			if leader != nil {
--- a/test/integration/harness/harness_test.go
+++ b/test/integration/harness/cluster_test.go
@@ -39,12 +39,12 @@
 	os.Exit(code)
 }
 
-// plain is a fleet of dispatchers that know nothing of each other.
-func plain(t *testing.T) *harness.Cluster {
+// startStandalone is a fleet of dispatchers that know nothing of each other.
+func startStandalone(t *testing.T) *harness.Cluster {
 	return harness.Start(t, harness.Options{Binary: alone, Standalone: true})
 }
 
-func some(p *platform.Platform, most int, names ...string) {
+func runLoad(p *platform.Platform, most int, names ...string) {
 	types := []string{"status", "paid", "charge"}
 	p.StartLoad(context.Background(), platform.Load{Members: names, PerSecond: 200, Clients: 4, MaxWebhooks: most,
 		Next: func(n int) platform.Webhook {
@@ -52,12 +52,12 @@
 		}})()
 }
 
-func TestAFleetStartsDeliversAndLosesNothingOverAKillAndAStop(t *testing.T) {
-	f := plain(t)
+func TestCluster_LosesNothingOverKillAndPause(t *testing.T) {
+	f := startStandalone(t)
 	m1, m2 := f.Members[0], f.Members[1]
 	m1.AwaitLog("phase now=serving")
 	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Fails))
-	some(f.Platform, 60, f.Names()...)
+	runLoad(f.Platform, 60, f.Names()...)
 	m1.Kill()
 	_, code := m1.Get("/health/live")
 	assert.Zero(t, code)
@@ -67,17 +67,17 @@
 	m1.Start()
 	m1.AwaitLogFrom(mark, "phase now=serving")
 	m2.Resume()
-	some(f.Platform, 30, f.Names()...)
+	runLoad(f.Platform, 30, f.Names()...)
 	f.AwaitOutcomes()
 	f.Check()
 	assert.Positive(t, f.Platform.Checker.Counts().Delivered)
 }
 
-func TestEndHangUpAndAFolderThatIsTaken(t *testing.T) {
-	f := plain(t)
+func TestMember_TerminateHangupAndDeleteState(t *testing.T) {
+	f := startStandalone(t)
 	m := f.Members[0]
 	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Unreachable))
-	some(f.Platform, 20, "m1")
+	runLoad(f.Platform, 20, "m1")
 	m.SendHangup()
 	m.AwaitLog("configuration read again")
 	m.Terminate()
@@ -93,8 +93,8 @@
 	f.Check()
 }
 
-// TestCutOff is the other half of the next test: a test that is killed while its fleet runs.
-func TestCutOff(t *testing.T) {
+// TestHelperProcess is the other half of the next test: a test that is killed while its fleet runs.
+func TestHelperProcess(t *testing.T) {
 	if os.Getenv("ROWAN_CUT_OFF") == "" {
 		t.Skip("only within another test")
 	}
@@ -105,8 +105,8 @@
 	time.Sleep(time.Minute)
 }
 
-func TestNothingOutlivesATestThatIsCutOff(t *testing.T) {
-	other := exec.Command(os.Args[0], "-test.run=^TestCutOff$", "-test.v")
+func TestCluster_ProcessesEndWithTheTest(t *testing.T) {
+	other := exec.Command(os.Args[0], "-test.run=^TestHelperProcess$", "-test.v")
 	other.Env = append(os.Environ(), "ROWAN_CUT_OFF="+alone)
 	out, err := other.StdoutPipe()
 	require.NoError(t, err)
@@ -129,7 +129,7 @@
 }
 
 // What is lost is seen: the folder is taken behind the harness's back.
-func TestALossIsCaught(t *testing.T) {
+func TestCluster_CheckFindsALoss(t *testing.T) {
 	f := harness.Start(t, harness.Options{Binary: alone, Standalone: true, Slack: 1})
 	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Unreachable))
 	_, code := f.Platform.Submit("m1", platform.Webhook{Type: "status", Destination: 2, TTL: time.Second})
@@ -141,8 +141,8 @@
 	assert.Contains(t, f.Platform.Check()[0].String(), "lost: ")
 }
 
-func TestAFolderThatIsFull(t *testing.T) {
-	f := plain(t)
+func TestMember_LimitFileSize(t *testing.T) {
+	f := startStandalone(t)
 	m := f.Members[0]
 	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Hangs))
 	m.LimitFileSize(4096)
@@ -155,7 +155,7 @@
 	f.Check()
 }
 
-func TestMembersReadTheirFilesAndReadThemAgain(t *testing.T) {
+func TestCluster_ReloadOperatorFiles(t *testing.T) {
 	f := harness.Start(t, harness.Options{Binary: binary, Members: 4, SpareMembers: 1, LeaseTTL: 2 * time.Second,
 		ConfigBlocks: "list \"prices\" { subscribers = [1, 2] }\n"})
 	for _, m := range f.Members[:3] {
@@ -166,7 +166,7 @@
 		m.AwaitLog("operator file read again", "members=4")
 	}
 	f.Members[3].Start()
-	some(f.Platform, 30, f.Names()...)
+	runLoad(f.Platform, 30, f.Names()...)
 	f.AwaitOutcomes()
 	f.Check()
 	text := f.OperatorFile(f.Members[3], "")
--- a/test/integration/harness/kills_test.go
+++ b/test/integration/harness/kills_test.go
@@ -16,8 +16,8 @@
 // Guards each point between a request's last byte and its told end: kills land on all of them where many
 // webhooks are under way, some of them at destinations that are slow, fail or leave calls without an answer,
 // and notices are heard now and then.
-func TestKillsByTheHundredUnderLoadLoseNothingAndDoubleNothing(t *testing.T) {
-	f := plain(t)
+func TestCluster_HundredKillsUnderLoad(t *testing.T) {
+	f := startStandalone(t)
 	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Slow(20*time.Millisecond)))
 	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Fails))
 	require.NoError(t, f.Platform.Destination(3).SetBehaviour(platform.Hangs))
