--- a/serving/settings/process.go
+++ b/serving/settings/process.go
@@ -10,76 +10,77 @@
 // loopback is the address by which processes on one machine reach each other.
 const loopback = "127.0.0.1"
 
-// Process holds the validated settings of one process.
+// Process holds the validated settings of one process. The JSON names are those that `rowanctl settings check --json`
+// prints; durations are in nanoseconds there.
 type Process struct {
-	NodeName string
-	Zone     string
-	Region   string
-	IP       string
-	Serves   []string
-	Regions  map[string]string // region by zone
+	NodeName string            `json:"NodeName"`
+	Zone     string            `json:"Zone"`
+	Region   string            `json:"Region"`
+	IP       string            `json:"IP"`
+	Serves   []string          `json:"Serves"`  // interfaces for outside callers
+	Regions  map[string]string `json:"Regions"` // region by zone
 
-	Bind       Bind
-	FirstPort  int // the ports from FirstPort to LastPort are for calls among the system's processes
-	LastPort   int
-	Seeds      []string // control addresses of a few machines, possibly outdated
-	FirstRun   bool     // the very first start of the whole system
-	CountsLoss bool     // this machine's loss counts toward FaultTolerance.MachineLosses
-	StoreDir   string   // empty on a machine without a disk
+	Bind       Bind     `json:"Bind"`
+	FirstPort  int      `json:"FirstPort"` // FirstPort to LastPort are for calls among the system's processes
+	LastPort   int      `json:"LastPort"`
+	Seeds      []string `json:"Seeds"`    // control addresses of a few machines, possibly outdated
+	FirstRun   bool     `json:"FirstRun"` // the very first start of the whole system
+	CountsLoss bool     `json:"Counts"`   // this machine's loss counts toward FaultTolerance.MachineLosses
+	StoreDir   string   `json:"StoreDir"` // empty on a machine without a disk
 
-	Limits            Limits
-	HeartbeatInterval time.Duration // between two heartbeats of an endpoint
-	FaultTolerance    FaultTolerance
-	Bounds            Bounds
+	Limits            Limits         `json:"Limits"`
+	HeartbeatInterval time.Duration  `json:"BeatInterval"` // between two heartbeats of an endpoint
+	FaultTolerance    FaultTolerance `json:"Withstand"`
+	Bounds            Bounds         `json:"Bounds"`
 }
 
 // Bind holds the addresses, host:port, for outside callers; empty for interfaces that the process doesn't serve.
 type Bind struct {
-	Front     string // clients' requests
-	Ready     string // the platform's readiness checks
-	Control   string // operators and endpoints
-	Directory string // clients' look-ups
+	Front     string `json:"Front"`     // clients' requests
+	Ready     string `json:"Ready"`     // the platform's readiness checks
+	Control   string `json:"Control"`   // operators and endpoints
+	Directory string `json:"Directory"` // clients' look-ups
 }
 
 // Limits of the machine that one process may use.
 type Limits struct {
-	CPUFraction float64
-	CPUCores    float64
-	MemoryMB    int
-	FileLimit   int
-	LinkMbps    float64
-	DiskMB      int
+	CPUFraction float64 `json:"CPUFraction"` // of a core
+	CPUCores    float64 `json:"CPUCores"`    // speed of that core relative to an ordinary one
+	MemoryMB    int     `json:"MemoryMB"`
+	FileLimit   int     `json:"FileLimit"` // open file descriptors
+	LinkMbps    float64 `json:"LinkMbps"`
+	DiskMB      int     `json:"DiskMB"`
 }
 
 // FaultTolerance says what may be lost at the same time while all bounds still hold.
 type FaultTolerance struct {
-	MachineLosses int
-	Zones         int
-	Regions       int
+	MachineLosses int `json:"MachineLosses"`
+	Zones         int `json:"Zones"`
+	Regions       int `json:"Regions"`
 }
 
 // Bounds are the service levels that operators require; docs/settings.md explains each.
 type Bounds struct {
-	SeedLag          time.Duration
-	AddressReuse     time.Duration
-	QuorumContact    time.Duration
-	Acknowledgement  time.Duration
-	CatchUp          time.Duration
-	Drain            time.Duration
-	Grace            time.Duration
-	LossSlack        time.Duration
-	Activation       time.Duration
-	RevertSlack      time.Duration
-	Stretch          time.Duration
-	RetryRatio       float64
-	RetryWindow      time.Duration
-	RetrySlack       float64
-	WarmUpExcess     float64
-	WarmUpSlack      float64
-	Evacuation       time.Duration
-	Recovery         time.Duration
-	StreamForwarding time.Duration
-	MaxTTL           time.Duration
+	SeedLag          time.Duration `json:"SeedLag"`
+	AddressReuse     time.Duration `json:"AddressReuse"`
+	QuorumContact    time.Duration `json:"Contact"`
+	Acknowledgement  time.Duration `json:"Acknowledge"`
+	CatchUp          time.Duration `json:"CatchUp"`
+	Drain            time.Duration `json:"Drain"`
+	Grace            time.Duration `json:"Grace"`
+	LossSlack        time.Duration `json:"LossSlack"`
+	Activation       time.Duration `json:"Apply"`
+	RevertSlack      time.Duration `json:"RevertSlack"`
+	Stretch          time.Duration `json:"Stretch"`
+	RetryRatio       float64       `json:"RetryRatio"`
+	RetryWindow      time.Duration `json:"RetryWindow"`
+	RetrySlack       float64       `json:"RetrySlack"`
+	WarmUpExcess     float64       `json:"ColdExcess"`
+	WarmUpSlack      float64       `json:"ColdSlack"`
+	Evacuation       time.Duration `json:"Evacuate"`
+	Recovery         time.Duration `json:"Recovery"`
+	StreamForwarding time.Duration `json:"Pass"`
+	MaxTTL           time.Duration `json:"TTLMost"`
 }
 
 // InnerAddress returns the address at which the other processes of the system call this machine.
