--- a/cluster/lease/holder_test.go
+++ b/cluster/lease/holder_test.go
@@ -10,107 +10,107 @@
 	"rowanlink/webhook/api"
 )
 
-const conduct = cluster.CoordinatorResource
+const coordinator = cluster.CoordinatorResource
 
-// begun holds session 2 and, by epoch 3, one task, from an ask at 0.
-func begun(t *testing.T) (*Holder, Renewal) {
-	tenure := NewHolder(term, 0.05)
-	ask := tenure.StartRenewal(0)
-	require.True(t, tenure.ConfirmRenewal(ask, 2))
-	require.True(t, tenure.AddGrant(2, Grant{conduct, 3}))
-	return tenure, ask
+// newTestHolder holds session 2 and, with epoch 3, one lease, by a renewal started at 0.
+func newTestHolder(t *testing.T) (*Holder, Renewal) {
+	holder := NewHolder(testTTL, 0.05)
+	ask := holder.StartRenewal(0)
+	require.True(t, holder.ConfirmRenewal(ask, 2))
+	require.True(t, holder.AddGrant(2, Grant{coordinator, 3}))
+	return holder, ask
 }
 
-func acts(tenure *Holder, now api.Micros) bool {
-	_, ok := tenure.Epoch(conduct, now)
+func mayAct(holder *Holder, now api.Micros) bool {
+	_, ok := holder.Epoch(coordinator, now)
 	return ok
 }
 
-func TestLateOrDoubledAnswerGivesNoMoreThanItsAsk(t *testing.T) {
-	tenure, first := begun(t)
-	until := tenure.Deadline()
-	assert.Less(t, until, term)
-	second := tenure.StartRenewal(api.Second)
-	third := tenure.StartRenewal(2 * api.Second)
-	require.True(t, tenure.ConfirmRenewal(third, 2))
-	require.True(t, tenure.ConfirmRenewal(second, 2))
-	require.True(t, tenure.ConfirmRenewal(first, 2))
-	assert.Equal(t, until+2*api.Second, tenure.Deadline())
-	assert.True(t, acts(tenure, tenure.Deadline()-1))
-	assert.False(t, acts(tenure, tenure.Deadline()))
+func TestHolder_LateOrDuplicateConfirmationDoesNotExtend(t *testing.T) {
+	holder, first := newTestHolder(t)
+	until := holder.Deadline()
+	assert.Less(t, until, testTTL)
+	second := holder.StartRenewal(api.Second)
+	third := holder.StartRenewal(2 * api.Second)
+	require.True(t, holder.ConfirmRenewal(third, 2))
+	require.True(t, holder.ConfirmRenewal(second, 2))
+	require.True(t, holder.ConfirmRenewal(first, 2))
+	assert.Equal(t, until+2*api.Second, holder.Deadline())
+	assert.True(t, mayAct(holder, holder.Deadline()-1))
+	assert.False(t, mayAct(holder, holder.Deadline()))
 }
 
-func TestAnswerFromBeforeARefusalGivesNothingBack(t *testing.T) {
-	tenure, _ := begun(t)
-	late := tenure.StartRenewal(1)
-	tenure.HandleRejection(2)
-	assert.False(t, acts(tenure, 2))
-	assert.False(t, tenure.ConfirmRenewal(late, 2))
-	assert.Zero(t, tenure.Session())
+func TestHolder_ConfirmationFromBeforeRejectionIsVoid(t *testing.T) {
+	holder, _ := newTestHolder(t)
+	late := holder.StartRenewal(1)
+	holder.HandleRejection(2)
+	assert.False(t, mayAct(holder, 2))
+	assert.False(t, holder.ConfirmRenewal(late, 2))
+	assert.Zero(t, holder.Session())
 }
 
-// A new leader gives the session a whole term again although one before it refused it: a fresh ask has it
-// back, but not what the member itself gave up in it.
-func TestSessionMayComeBackAfterARefusalButNotWhatWasLet(t *testing.T) {
-	tenure, _ := begun(t)
-	require.True(t, tenure.AddGrant(2, Grant{"other", 4}))
-	e, ok := tenure.Relinquish(conduct)
+// A new leader gives the session a whole TTL again although one before it rejected it: a new renewal confirms it, but
+// not the grants that the member relinquished.
+func TestHolder_SessionReturnsAfterRejectionWithoutRelinquishedGrants(t *testing.T) {
+	holder, _ := newTestHolder(t)
+	require.True(t, holder.AddGrant(2, Grant{"other", 4}))
+	e, ok := holder.Relinquish(coordinator)
 	require.True(t, ok)
-	tenure.HandleRejection(2)
-	require.True(t, tenure.ConfirmRenewal(tenure.StartRenewal(1), 2))
-	_, ok = tenure.Epoch("other", 1)
-	assert.False(t, ok, "what was held before the refusal is to be asked for again")
-	assert.False(t, tenure.AddGrant(2, Grant{conduct, e}), "doubled on its way")
-	assert.True(t, tenure.AddGrant(2, Grant{conduct, e + 4}))
-	assert.True(t, acts(tenure, 2))
+	holder.HandleRejection(2)
+	require.True(t, holder.ConfirmRenewal(holder.StartRenewal(1), 2))
+	_, ok = holder.Epoch("other", 1)
+	assert.False(t, ok, "grants from before the rejection have to be requested again")
+	assert.False(t, holder.AddGrant(2, Grant{coordinator, e}), "a duplicate")
+	assert.True(t, holder.AddGrant(2, Grant{coordinator, e + 4}))
+	assert.True(t, mayAct(holder, 2))
 }
 
-// The end may come after an open that was answered with the same session.
-func TestSessionThatTheMemberEndedIsNotHeededAgain(t *testing.T) {
-	tenure, _ := begun(t)
-	assert.Equal(t, cluster.SessionID(2), tenure.EndSession())
-	assert.False(t, tenure.ConfirmRenewal(tenure.StartRenewal(1), 2))
-	assert.True(t, tenure.ConfirmRenewal(tenure.StartRenewal(2), 9))
-	assert.False(t, acts(tenure, 3), "another session holds nothing yet")
+// The end may be applied after an open that returned the same session.
+func TestHolder_EndedSessionIsNotConfirmedAgain(t *testing.T) {
+	holder, _ := newTestHolder(t)
+	assert.Equal(t, cluster.SessionID(2), holder.EndSession())
+	assert.False(t, holder.ConfirmRenewal(holder.StartRenewal(1), 2))
+	assert.True(t, holder.ConfirmRenewal(holder.StartRenewal(2), 9))
+	assert.False(t, mayAct(holder, 3), "the new session has no grants yet")
 }
 
-func TestAnotherSessionHoldsNothingOfTheOneBefore(t *testing.T) {
-	tenure, _ := begun(t)
-	early, until := tenure.StartRenewal(1), tenure.Deadline()
-	require.True(t, tenure.ConfirmRenewal(tenure.StartRenewal(2), 2))
-	require.True(t, tenure.ConfirmRenewal(early, 9))
-	assert.Equal(t, until+1, tenure.Deadline(), "from its own ask, whatever the one before had")
-	assert.False(t, acts(tenure, 2))
-	assert.False(t, tenure.ConfirmRenewal(tenure.StartRenewal(2), 2), "late, for the one before")
-	assert.False(t, tenure.AddGrant(2, Grant{conduct, 12}), "granted to the one before after this one was opened")
-	tenure.HandleRejection(2)
-	assert.Equal(t, cluster.SessionID(9), tenure.Session())
-	assert.False(t, tenure.AddGrant(9, Grant{Resource: conduct}), "held by another")
-	assert.True(t, tenure.AddGrant(9, Grant{conduct, 13}))
+func TestHolder_NewSessionHasNoGrantsOfPrevious(t *testing.T) {
+	holder, _ := newTestHolder(t)
+	early, until := holder.StartRenewal(1), holder.Deadline()
+	require.True(t, holder.ConfirmRenewal(holder.StartRenewal(2), 2))
+	require.True(t, holder.ConfirmRenewal(early, 9))
+	assert.Equal(t, until+1, holder.Deadline(), "from its own renewal, whatever the previous session had")
+	assert.False(t, mayAct(holder, 2))
+	assert.False(t, holder.ConfirmRenewal(holder.StartRenewal(2), 2), "late, for the previous session")
+	assert.False(t, holder.AddGrant(2, Grant{coordinator, 12}), "granted to the previous session after this one was opened")
+	holder.HandleRejection(2)
+	assert.Equal(t, cluster.SessionID(9), holder.Session())
+	assert.False(t, holder.AddGrant(9, Grant{Resource: coordinator}), "held by another session")
+	assert.True(t, holder.AddGrant(9, Grant{coordinator, 13}))
 }
 
-func TestThreeAnswersMayBeLostInATerm(t *testing.T) {
-	tenure := NewHolder(term, 0.05)
-	assert.Zero(t, tenure.NextRenewalAt())
-	require.True(t, tenure.ConfirmRenewal(tenure.StartRenewal(0), 2))
+func TestHolder_SurvivesThreeLostConfirmations(t *testing.T) {
+	holder := NewHolder(testTTL, 0.05)
+	assert.Zero(t, holder.NextRenewalAt())
+	require.True(t, holder.ConfirmRenewal(holder.StartRenewal(0), 2))
 	lost := 0
-	for at := tenure.NextRenewalAt(); tenure.IsValid(at + term/20); at = tenure.NextRenewalAt() {
-		tenure.StartRenewal(at)
+	for at := holder.NextRenewalAt(); holder.IsValid(at + testTTL/20); at = holder.NextRenewalAt() {
+		holder.StartRenewal(at)
 		lost++
 	}
-	assert.GreaterOrEqual(t, lost, 4, "three and one that is answered")
+	assert.GreaterOrEqual(t, lost, 4, "three and one that is confirmed")
 }
 
-func TestFenceHoldsThroughARestart(t *testing.T) {
+func TestFence_SurvivesRestart(t *testing.T) {
 	fence := NewFence()
-	risen, err := fence.Admit(conduct, 7)
+	risen, err := fence.Admit(coordinator, 7)
 	require.NoError(t, err)
-	assert.True(t, risen, "to be kept before acting")
+	assert.True(t, risen, "to be stored before acting")
 	fence, err = DecodeFence(fence.Encode())
 	require.NoError(t, err)
-	_, err = fence.Admit(conduct, 6)
+	_, err = fence.Admit(coordinator, 6)
 	assert.ErrorIs(t, err, cluster.ErrFenced)
-	risen, err = fence.Admit(conduct, 7)
+	risen, err = fence.Admit(coordinator, 7)
 	assert.NoError(t, err)
 	assert.False(t, risen)
 	_, err = fence.Admit("other", 6)
--- a/cluster/lease/model_delivery_test.go
+++ b/cluster/lease/model_delivery_test.go
@@ -8,63 +8,63 @@
 	"rowanlink/webhook/api"
 )
 
-// deliver lets a message arrive: what the keeper and the member do with the real objects.
-func (w *world) deliver(i int, again bool) {
-	m := w.net[i]
+// deliver lets a message arrive and does with the real objects what its recipient would.
+func (md *model) deliver(i int, again bool) {
+	m := md.messages[i]
 	if !again {
-		w.net = slices.Delete(w.net, i, i+1)
+		md.messages = slices.Delete(md.messages, i, i+1)
 	}
 	switch m.kind {
-	case openAsk:
-		w.open(m)
-	case renewHeld:
-		w.renew(m)
-	case yes:
-		if m.proc >= 0 {
-			if w.wrong.answerTime {
-				m.ask.startedAt = w.clock(m.proc)
+	case openRequest:
+		md.handleOpen(m)
+	case renewRequest:
+		md.handleRenewal(m)
+	case confirmation:
+		if m.process >= 0 {
+			if md.mutation.countFromResponse {
+				m.renewal.startedAt = md.processClock(m.process)
 			}
-			w.own(m.proc).ConfirmRenewal(m.ask, m.session)
+			md.mutableHolder(m.process).ConfirmRenewal(m.renewal, m.session)
 		}
-	case no:
-		w.own(m.proc).HandleRejection(m.session)
-	case grantAsk:
-		a, err := w.apply(AcquireLeases(m.session, worldTask))
-		if m.proc < 0 {
+	case rejection:
+		md.mutableHolder(m.process).HandleRejection(m.session)
+	case acquireRequest:
+		a, err := md.apply(AcquireLeases(m.session, modelResource))
+		if m.process < 0 {
 			return
 		}
 		if errors.Is(err, cluster.ErrNotFound) {
-			w.send(message{kind: no, proc: m.proc, session: m.session})
+			md.send(message{kind: rejection, process: m.process, session: m.session})
 		} else if a.Grants[0].Err() == nil {
-			w.send(message{kind: granted, proc: m.proc, session: a.Session, epoch: a.Grants[0].Epoch})
+			md.send(message{kind: grantResponse, process: m.process, session: a.Session, epoch: a.Grants[0].Epoch})
 		}
-	case granted:
-		w.own(m.proc).AddGrant(m.session, Grant{worldTask, m.epoch})
-	case releaseAsk:
-		_, _ = w.apply(ReleaseLease(m.session, worldTask, m.epoch))
-	case endAsk:
-		w.end(EndSession(m.session), m.session)
-	case expireAsk:
-		w.expire(m)
-	case assentSaid:
-		if w.wrong.verifiedLate {
-			m.at = w.keeperClock(m.keeper)
+	case grantResponse:
+		md.mutableHolder(m.process).AddGrant(m.session, Grant{modelResource, m.epoch})
+	case releaseRequest:
+		_, _ = md.apply(ReleaseLease(m.session, modelResource, m.epoch))
+	case endRequest:
+		md.endSession(EndSession(m.session), m.session)
+	case expireRequest:
+		md.handleExpire(m)
+	case peerContact:
+		if md.mutation.countContactFromArrival {
+			m.at = md.nodeClock(m.node)
 		}
-		w.heard(m.keeper, m.term, m.at)
-	case deed:
-		w.acted(m.epoch)
+		md.recordContact(m.node, m.raftTerm, m.at)
+	case action:
+		md.handleAction(m.epoch)
 	}
 }
 
-func (w *world) apply(c cluster.Command) (a Result, err error) {
-	w.index++
-	before := w.book.LastEpoch(worldTask)
-	raw, err := w.ownBook().Apply(w.index, c.Body)
+func (md *model) apply(c cluster.Command) (a Result, err error) {
+	md.index++
+	before := md.table.LastEpoch(modelResource)
+	raw, err := md.mutableTable().Apply(md.index, c.Body)
 	if err != nil {
 		return Result{}, err
 	}
-	if w.book.LastEpoch(worldTask) < before {
-		w.broken = "an epoch fell"
+	if md.table.LastEpoch(modelResource) < before {
+		md.violation = "an epoch fell"
 	}
 	if a, err = DecodeResult(raw); err != nil {
 		panic(err)
@@ -72,103 +72,105 @@
 	return a, nil
 }
 
-// elect lets a keeper lead; the one that led before may go on believing that it does.
-func (w *world) elect(k int) {
-	w.term++
-	w.leader = k
-	a, _ := w.apply(BeginLeaderEpoch())
-	n := w.ownKeeper(k)
-	n.believes = true
-	if w.wrong.noWholeTerm {
-		n.terms.leaderEpoch = a.LeaderEpoch
+// elect makes a raft node the leader; the previous one may go on believing that it leads.
+func (md *model) elect(k int) {
+	md.raftTerm++
+	md.leader = k
+	a, _ := md.apply(BeginLeaderEpoch())
+	n := md.mutableNode(k)
+	n.believesLeading = true
+	if md.mutation.keepOldExpiry {
+		n.tracker.leaderEpoch = a.LeaderEpoch
 	} else {
-		n.terms.StartLeading(w.keeperClock(k), a.LeaderEpoch, w.book.Sessions())
+		n.tracker.StartLeading(md.nodeClock(k), a.LeaderEpoch, md.table.Sessions())
 	}
 }
 
-func (w *world) heard(k int, term uint64, sent api.Micros) {
-	w.ownKeeper(k).assent.RecordContact(term, third, sent)
+func (md *model) recordContact(k int, term uint64, sent api.Micros) {
+	md.mutableNode(k).contact.RecordContact(term, thirdNode, sent)
 }
 
-// open goes through the log, which proves the lead by itself. A process from before a death is nobody's: -1.
-func (w *world) open(m message) {
-	a, err := w.apply(OpenSession("m", m.life))
+// handleOpen needs no proof of leadership, as it goes through the log. A request of a process that has been
+// restarted since has process -1.
+func (md *model) handleOpen(m message) {
+	a, err := md.apply(OpenSession("m", m.incarnation))
 	if err != nil {
 		panic(err)
 	}
-	goes := w.ownKeeper(w.leader).terms.AddOrRenew(a.Session, w.keeperClock(w.leader))
-	if other := 1 - w.leader; w.wrong.noWholeTerm {
-		w.ownKeeper(other).terms.AddOrRenew(a.Session, w.keeperClock(other))
+	goes := md.mutableNode(md.leader).tracker.AddOrRenew(a.Session, md.nodeClock(md.leader))
+	if other := 1 - md.leader; md.mutation.keepOldExpiry {
+		md.mutableNode(other).tracker.AddOrRenew(a.Session, md.nodeClock(other))
 	}
-	m.kind, m.session, m.keeper, m.life = no, a.Session, 0, 0
+	m.kind, m.session, m.node, m.incarnation = rejection, a.Session, 0, 0
 	if goes {
-		m.kind = yes
+		m.kind = confirmation
 	}
-	if m.proc >= 0 {
-		w.send(m)
+	if m.process >= 0 {
+		md.send(m)
 	}
 }
 
-// answers is whether a keeper would answer a renewal now: it believes that it leads and knows so.
-func (w *world) answers(m message) bool {
-	k := &w.keeper[m.keeper]
-	return !k.believes || w.wrong.unverified || k.assent.HasQuorumSince(m.at)
+// canAnswer reports whether a raft node would process a renewal now: it believes that it leads and has a quorum's
+// contact, or it doesn't believe so and drops it.
+func (md *model) canAnswer(m message) bool {
+	k := &md.nodes[m.node]
+	return !k.believesLeading || md.mutation.skipQuorumCheck || k.contact.HasQuorumSince(m.at)
 }
 
-func (w *world) renew(m message) {
-	k := w.ownKeeper(m.keeper)
-	if !k.believes {
+func (md *model) handleRenewal(m message) {
+	k := md.mutableNode(m.node)
+	if !k.believesLeading {
 		return
 	}
-	goes := k.terms.Renew(m.session, w.keeperClock(m.keeper))
-	if _, counted := k.terms.sessions[m.session]; counted && w.wrong.renewsEnding {
-		k.terms.sessions[m.session], goes = sessionExpiry{expiresAt: w.keeperClock(m.keeper) + worldTerm}, true
+	goes := k.tracker.Renew(m.session, md.nodeClock(m.node))
+	if _, counted := k.tracker.sessions[m.session]; counted && md.mutation.renewExpired {
+		k.tracker.sessions[m.session], goes = sessionExpiry{expiresAt: md.nodeClock(m.node) + modelTTL}, true
 	}
-	m.kind, m.at, m.keeper, m.life = no, 0, 0, 0
+	m.kind, m.at, m.node, m.incarnation = rejection, 0, 0, 0
 	if goes {
-		m.kind = yes
+		m.kind = confirmation
 	}
-	w.send(m)
+	md.send(m)
 }
 
-func (w *world) end(c cluster.Command, s cluster.SessionID) {
-	if _, err := w.apply(c); !errors.Is(err, cluster.ErrStale) {
-		w.ownKeeper(w.leader).terms.Remove(s)
-		if w.wrong.noWholeTerm {
-			w.ownKeeper(1 - w.leader).terms.Remove(s)
+func (md *model) endSession(c cluster.Command, s cluster.SessionID) {
+	if _, err := md.apply(c); !errors.Is(err, cluster.ErrStale) {
+		md.mutableNode(md.leader).tracker.Remove(s)
+		if md.mutation.keepOldExpiry {
+			md.mutableNode(1 - md.leader).tracker.Remove(s)
 		}
 	}
 }
 
-// expire is proposed by a keeper that found it, perhaps long after, in a later leading of its own.
-func (w *world) expire(m message) {
-	if m.keeper != w.leader {
+// handleExpire proposes an expiry that the node found, perhaps long before, in an earlier leadership of its own.
+func (md *model) handleExpire(m message) {
+	if m.node != md.leader {
 		return
 	}
-	o := ExpiredSession{m.session, m.reign}
-	if w.wrong.anyReign {
-		o.LeaderEpoch = w.book.LeaderEpoch()
+	o := ExpiredSession{m.session, m.leaderEpoch}
+	if md.mutation.ignoreLeaderEpoch {
+		o.LeaderEpoch = md.table.LeaderEpoch()
 	}
-	w.end(ExpireSession(o), m.session)
+	md.endSession(ExpireSession(o), m.session)
 }
 
-// broke tells what must never be, or "": two holders, and, before it comes to that, one whose task the log
-// has freed already.
-func (w *world) broke() string {
-	holders, astray := 0, ""
-	for p := range w.proc {
-		if e, ok := w.proc[p].tenure.Epoch(worldTask, w.clock(p)); ok {
+// checkInvariants returns the violated invariant or "": there are never two holders, nor, which precedes that, a
+// holder whose lease the log has released.
+func (md *model) checkInvariants() string {
+	holders, released := 0, ""
+	for p := range md.processes {
+		if e, ok := md.processes[p].holder.Epoch(modelResource, md.processClock(p)); ok {
 			holders++
-			if !w.book.IsCurrent(worldTask, e) {
-				astray = "a member holds what the log has freed"
+			if !md.table.IsCurrent(modelResource, e) {
+				released = "a member holds a lease that the log has released"
 			}
 		}
 	}
 	if holders > 1 {
-		return "two members hold the task"
+		return "two members hold the lease"
 	}
-	if w.wrong.patient {
-		astray = ""
+	if md.mutation.untilTwoHolders {
+		released = ""
 	}
-	return max(w.broken, astray)
+	return max(md.violation, released)
 }
--- a/cluster/lease/model_mutations_test.go
+++ b/cluster/lease/model_mutations_test.go
@@ -10,64 +10,64 @@
 	"rowanlink/webhook/api"
 )
 
-// Each world is spoilt in one way, outside the objects; the search must find where it breaks, and nothing
-// where it is not spoilt. Those that are patient look on until two members hold the task at one moment; the
-// others, with ROWAN_SEARCH_DEEPER too.
-func TestSpoiltWorldsAreFoundOut(t *testing.T) {
-	const two, freed, deeds = "two members hold the task", "a member holds what the log has freed",
-		"a deed came in after one of a later epoch"
+// Each model has one fault, outside the real objects; the search must find a violation, and none without the fault.
+// Mutations with untilTwoHolders continue until two members hold the lease at once; the others do so with
+// ROWAN_SEARCH_DEEPER.
+func TestModel_MutationsAreDetected(t *testing.T) {
+	const twoHolders, released, lateAction = "two members hold the lease", "a member holds a lease that the log has released",
+		"a late action was admitted after one of a later epoch"
 	for name, m := range map[string]struct {
-		wrong wrong
-		left  may
+		wrong mutation
+		left  faultBudget
 		finds string
 	}{
-		"term counted from the answer":          {wrong{answerTime: true, patient: true}, may{}, two},
-		"no whole term at a new leader":         {wrong{noWholeTerm: true}, may{elections: 1}, freed},
-		"fence not kept over a restart":         {wrong{fenceLost: true}, may{deeds: 2, restarts: 1}, deeds},
-		"renewal accepted after Due":            {wrong{renewsEnding: true, patient: true}, may{}, two},
-		"answers without knowing that it leads": {wrong{unverified: true}, may{elections: 1}, freed},
-		"assent counted from when it is read":   {wrong{verifiedLate: true}, may{elections: 1, assents: 1}, freed},
-		"drift ignored":                         {wrong{noDrift: true, patient: true}, may{}, two},
-		"an end of an earlier reign":            {wrong{anyReign: true}, may{elections: 1}, freed},
+		"TTL counted from the response":         {mutation{countFromResponse: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
+		"no whole TTL at a new leader":          {mutation{keepOldExpiry: true}, faultBudget{elections: 1}, released},
+		"fence lost at a restart":               {mutation{loseFence: true}, faultBudget{actions: 2, fenceRestarts: 1}, lateAction},
+		"renewal accepted after TakeExpired":    {mutation{renewExpired: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
+		"leader answers without quorum contact": {mutation{skipQuorumCheck: true}, faultBudget{elections: 1}, released},
+		"contact counted from when it is read":  {mutation{countContactFromArrival: true}, faultBudget{elections: 1, lateContacts: 1}, released},
+		"drift ignored":                         {mutation{ignoreDrift: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
+		"expiry of an earlier leader epoch":     {mutation{ignoreLeaderEpoch: true}, faultBudget{elections: 1}, released},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if deeper > 0 && m.finds == freed {
-				m.wrong.patient, m.finds = true, two
+			if extraDepth > 0 && m.finds == released {
+				m.wrong.untilTwoHolders, m.finds = true, twoHolders
 			}
-			start := worst(m.wrong, m.left)
-			if m.wrong.verifiedLate { // the long way there is cut: another's assent is out, then a keeper elected
-				start.assentOut(0)
-				start.left.assents, start.left.elections = 0, 0
+			start := worstClocks(m.wrong, m.left)
+			if m.wrong.countContactFromArrival { // shortcut: a peer's response is in flight, then another node is elected
+				start.sendLateContact(0)
+				start.budget.lateContacts, start.budget.elections = 0, 0
 				start.elect(1)
 			}
-			f := search([]*world{start}, 16)
-			require.Equal(t, m.finds, f.broken)
-			t.Logf("after %d states, %d moves:\n%s", f.states, f.depth+1, f.story)
-			sound := search([]*world{worst(wrong{}, m.left)}, min(f.depth+1, 7+deeper))
-			assert.Empty(t, sound.broken, sound.story)
+			f := search([]*model{start}, 16)
+			require.Equal(t, m.finds, f.violation)
+			t.Logf("after %d states, %d transitions:\n%s", f.states, f.depth+1, f.trace)
+			sound := search([]*model{worstClocks(mutation{}, m.left)}, min(f.depth+1, 7+extraDepth))
+			assert.Empty(t, sound.violation, sound.trace)
 		})
 	}
 }
 
-// Beyond the reach of the search: long walks with every fault, chosen by chance.
-func TestNoTwoHoldersOnLongWalks(t *testing.T) {
+// Long random walks with every fault reach states beyond those of the search.
+func TestModel_NoTwoHoldersOnRandomWalks(t *testing.T) {
 	chance, taken, steps := rand.New(rand.NewPCG(35, 1)), 0, 0
-	rates := []api.Micros{stepSlow, stepFast}
-	for range 10_000 * (1 + deeper) {
+	rates := []api.Micros{slowStep, fastStep}
+	for range 10_000 * (1 + extraDepth) {
 		rate := func() api.Micros { return rates[chance.IntN(2)] }
-		w := rested(wrong{}, may{true, 4, 6, 4, 3, 2, 3, 6, 2},
+		md := steadyModel(mutation{}, faultBudget{true, 4, 6, 4, 3, 2, 3, 6, 2},
 			[2]api.Micros{rate(), rate()}, [2]api.Micros{rate(), rate()})
 		for range 80 {
-			moves := w.moves(nil)
+			moves := md.transitions(nil)
 			m := moves[chance.IntN(len(moves))]
-			m.do(w, m.i)
-			require.Empty(t, w.broke())
+			m.apply(md, m.subject)
+			require.Empty(t, md.checkInvariants())
 			steps++
-			if _, ok := w.proc[1].tenure.Epoch(worldTask, w.clock(1)); ok {
+			if _, ok := md.processes[1].holder.Epoch(modelResource, md.processClock(1)); ok {
 				taken++
 			}
 		}
 	}
 	assert.Positive(t, taken)
-	t.Logf("%d moves; after %d the second member held the task", steps, taken)
+	t.Logf("%d transitions; after %d the second member held the lease", steps, taken)
 }
--- a/cluster/lease/model_search_test.go
+++ b/cluster/lease/model_search_test.go
@@ -13,80 +13,80 @@
 	"rowanlink/webhook/api"
 )
 
-// deeper is by how many moves more than in CI, and the walks by so many times: ROWAN_SEARCH_DEEPER=2 takes
-// minutes.
-var deeper, _ = strconv.Atoi(os.Getenv("ROWAN_SEARCH_DEEPER"))
+// extraDepth is the number of transitions more than in CI, and the factor of further random walks:
+// ROWAN_SEARCH_DEEPER=2 takes minutes.
+var extraDepth, _ = strconv.Atoi(os.Getenv("ROWAN_SEARCH_DEEPER"))
 
-// node is how a state was first reached: by which of the moves.
-type node struct {
-	from *node
-	move int
+// searchNode records by which transition a state was first reached.
+type searchNode struct {
+	parent     *searchNode
+	transition int
 }
 
-// story is what happened from the start on.
-func (n *node) story(starts []*world) string {
+// trace lists the transitions from the start.
+func (n *searchNode) trace(starts []*model) string {
 	var path []int
-	for ; n != nil; n = n.from {
-		path = append(path, n.move)
+	for ; n != nil; n = n.parent {
+		path = append(path, n.transition)
 	}
 	slices.Reverse(path)
-	w, told := starts[path[0]].clone(), []string{fmt.Sprintf("start %d", path[0])}
+	md, told := starts[path[0]].clone(), []string{fmt.Sprintf("start %d", path[0])}
 	for _, i := range path[1:] {
-		m := w.moves(nil)[i]
-		line := fmt.Sprintf("at %d: %s: %d", w.now, m.name, m.i)
+		m := md.transitions(nil)[i]
+		line := fmt.Sprintf("at %d: %s: %d", md.now, m.name, m.subject)
 		if strings.HasPrefix(m.name, "arrives") || m.name == "is lost" {
-			line += fmt.Sprintf(" %+v", w.net[m.i])
+			line += fmt.Sprintf(" %+v", md.messages[m.subject])
 		}
 		told = append(told, line)
-		m.do(w, m.i)
+		m.apply(md, m.subject)
 	}
-	return strings.Join(append(told, w.broke()), "\n")
+	return strings.Join(append(told, md.checkInvariants()), "\n")
 }
 
-type found struct {
-	states, depth int
-	taken         int // states in which the second member holds what the first began with
-	broken, story string
+type searchResult struct {
+	states, depth    int
+	handovers        int // states in which the second member holds the lease that the first began with
+	violation, trace string
 }
 
-// search goes through every state within so many moves, breadth first, and stops at the first that breaks.
-func search(starts []*world, depth int) (f found) {
+// search visits every state within depth transitions, breadth first, and stops at the first violation.
+func search(starts []*model, depth int) (f searchResult) {
 	type reached struct {
-		*world
-		node *node
+		*model
+		node *searchNode
 	}
 	seen := map[uint64]struct{}{}
-	isNew := func(w *world) bool {
+	isNew := func(md *model) bool {
 		n := len(seen)
-		seen[w.key()] = struct{}{}
+		seen[md.hash()] = struct{}{}
 		return len(seen) > n
 	}
 	var level []reached
-	for i, w := range starts {
-		if isNew(w) {
-			level = append(level, reached{w, &node{nil, i}})
+	for i, md := range starts {
+		if isNew(md) {
+			level = append(level, reached{md, &searchNode{nil, i}})
 		}
 	}
-	var moves []move
+	var moves []transition
 	for ; f.depth < depth && len(level) > 0; f.depth++ {
 		var next []reached
 		for i, at := range level {
 			level[i] = reached{}
-			moves = at.moves(moves[:0])
+			moves = at.transitions(moves[:0])
 			for j, m := range moves {
-				w := at.clone()
-				if m.do(w, m.i); !isNew(w) {
+				md := at.clone()
+				if m.apply(md, m.subject); !isNew(md) {
 					continue
 				}
-				n := &node{at.node, j}
-				if f.broken = w.broke(); f.broken != "" {
-					f.states, f.story = len(seen), n.story(starts)
+				n := &searchNode{at.node, j}
+				if f.violation = md.checkInvariants(); f.violation != "" {
+					f.states, f.trace = len(seen), n.trace(starts)
 					return f
 				}
-				if _, ok := w.proc[1].tenure.Epoch(worldTask, w.clock(1)); ok {
-					f.taken++
+				if _, ok := md.processes[1].holder.Epoch(modelResource, md.processClock(1)); ok {
+					f.handovers++
 				}
-				next = append(next, reached{w, n})
+				next = append(next, reached{md, n})
 			}
 		}
 		level = next
@@ -95,56 +95,56 @@
 	return f
 }
 
-// rested is a fleet in which both members have a session and the first has the task.
-func rested(w wrong, left may, keepers, members [2]api.Micros) *world {
-	n := newWorld(w, left, keepers, members)
-	n.left.late = false
+// steadyModel is a cluster in which both members have a session and the first holds the lease.
+func steadyModel(md mutation, left faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
+	n := newModel(md, left, nodeSteps, memberSteps)
+	n.budget.asyncRequests = false
 	for _, ask := range []struct {
 		what string
 		who  int
-	}{{"a member asks to open", 0}, {"a member asks to open", 1}, {"a member asks for the task", 0}} {
-		all := n.moves(nil)
-		i := slices.IndexFunc(all, func(m move) bool { return m.name == ask.what && m.i == ask.who })
-		all[i].do(n, ask.who)
+	}{{"a member opens a session", 0}, {"a member opens a session", 1}, {"a member acquires the lease", 0}} {
+		all := n.transitions(nil)
+		i := slices.IndexFunc(all, func(m transition) bool { return m.name == ask.what && m.subject == ask.who })
+		all[i].apply(n, ask.who)
 	}
-	n.left.late = left.late
+	n.budget.asyncRequests = left.asyncRequests
 	return n
 }
 
-// worst are clocks by which a holder counts longest and a keeper shortest.
-func worst(w wrong, left may) *world {
-	return rested(w, left, [2]api.Micros{stepFast, stepFast}, [2]api.Micros{stepSlow, stepSlow})
+// worstClocks has slow clocks at the members and fast ones at the raft nodes.
+func worstClocks(md mutation, left faultBudget) *model {
+	return steadyModel(md, left, [2]api.Micros{fastStep, fastStep}, [2]api.Micros{slowStep, slowStep})
 }
 
-func anyRates(left may) (all []*world) {
-	rates := []api.Micros{stepSlow, stepFast}
+func allClockRates(left faultBudget) (all []*model) {
+	rates := []api.Micros{slowStep, fastStep}
 	for i := range 16 {
-		keepers := [2]api.Micros{rates[i&1], rates[i>>1&1]}
-		all = append(all, rested(wrong{}, left, keepers, [2]api.Micros{rates[i>>2&1], rates[i>>3]}))
+		nodeSteps := [2]api.Micros{rates[i&1], rates[i>>1&1]}
+		all = append(all, steadyModel(mutation{}, left, nodeSteps, [2]api.Micros{rates[i>>2&1], rates[i>>3]}))
 	}
 	return all
 }
 
-// Every state within so many moves: never do two members hold the task at one moment, nor one after the log
-// has freed it; epochs rise; no deed comes in after one of a later epoch.
-func TestNoTwoHoldersInAnyStateWithinReach(t *testing.T) {
+// In every state within reach at most one member holds the lease, and none after the log has released it; epochs
+// rise; no action is admitted after one of a later epoch.
+func TestModel_NoTwoHoldersInReachableStates(t *testing.T) {
 	for _, s := range []struct {
 		name   string
-		starts []*world
+		starts []*model
 		depth  int
 	}{
-		{"leaders change, the old one knows late", []*world{worst(wrong{}, may{elections: 1, assents: 1})}, 9},
-		{"leaders change twice", []*world{worst(wrong{}, may{elections: 2, assents: 1})}, 7},
-		{"any pair of clocks", anyRates(may{elections: 1}), 6},
-		{"late and doubled messages", []*world{worst(wrong{}, may{late: true, doubles: 1, lets: 1, ends: 1})}, 9},
-		{"further lives", []*world{worst(wrong{}, may{late: true, doubles: 1, deaths: 1})}, 11},
-		{"deeds come late", []*world{worst(wrong{}, may{deeds: 2, restarts: 1, deaths: 1})}, 11},
-		{"all at once", []*world{worst(wrong{}, may{true, 1, 1, 1, 1, 1, 1, 1, 1})}, 6},
+		{"leader changes, the old one notices late", []*model{worstClocks(mutation{}, faultBudget{elections: 1, lateContacts: 1})}, 9},
+		{"leader changes twice", []*model{worstClocks(mutation{}, faultBudget{elections: 2, lateContacts: 1})}, 7},
+		{"any pair of clocks", allClockRates(faultBudget{elections: 1}), 6},
+		{"late and duplicated messages", []*model{worstClocks(mutation{}, faultBudget{asyncRequests: true, duplicates: 1, releases: 1, sessionEnds: 1})}, 9},
+		{"further incarnations", []*model{worstClocks(mutation{}, faultBudget{asyncRequests: true, duplicates: 1, memberRestarts: 1})}, 11},
+		{"late actions", []*model{worstClocks(mutation{}, faultBudget{actions: 2, fenceRestarts: 1, memberRestarts: 1})}, 11},
+		{"all at once", []*model{worstClocks(mutation{}, faultBudget{true, 1, 1, 1, 1, 1, 1, 1, 1})}, 6},
 	} {
 		t.Run(s.name, func(t *testing.T) {
-			f := search(s.starts, s.depth+deeper)
-			require.Empty(t, f.broken, f.story)
-			t.Logf("%d states within %d moves; in %d the task had changed hands", f.states, f.depth, f.taken)
+			f := search(s.starts, s.depth+extraDepth)
+			require.Empty(t, f.violation, f.trace)
+			t.Logf("%d states within %d transitions; in %d the lease had changed hands", f.states, f.depth, f.handovers)
 		})
 	}
 }
--- a/cluster/lease/model_transitions_test.go
+++ b/cluster/lease/model_transitions_test.go
@@ -6,104 +6,104 @@
 	"rowanlink/cluster"
 )
 
-// move is one thing that may happen next: i is whose, or which message's.
-type move struct {
-	name string
-	i    int
-	do   func(w *world, i int)
+// transition is one thing that may happen next to subject: the index of a message, raft node or member.
+type transition struct {
+	name    string
+	subject int
+	apply   func(md *model, i int)
 }
 
-const mostInFlight = 3
+const maxInFlight = 3
 
-var asksToRenew = [2]string{"a member asks keeper 0 to renew", "a member asks keeper 1 to renew"}
+var renewalNames = [2]string{"a member renews at node 0", "a member renews at node 1"}
 
-func (w *world) send(m message) { w.net = append(w.net, m) }
+func (md *model) send(m message) { md.messages = append(md.messages, m) }
 
-func (w *world) inFlight(proc int, kinds ...kind) (n int) {
-	for _, m := range w.net {
-		if m.proc == proc && slices.Contains(kinds, m.kind) {
+func (md *model) countInFlight(proc int, kinds ...messageKind) (n int) {
+	for _, m := range md.messages {
+		if m.process == proc && slices.Contains(kinds, m.kind) {
 			n++
 		}
 	}
 	return n
 }
 
-// moves are all that may happen in this state.
-func (w *world) moves(all []move) []move {
-	all = append(all, move{"time goes on", 0, func(w *world, _ int) { w.now++ }})
-	for i, m := range w.net {
-		if m.kind != renewHeld || w.answers(m) {
-			all = append(all, move{"arrives", i, func(w *world, i int) { w.deliver(i, false) }})
+// transitions appends all that may happen in this state.
+func (md *model) transitions(all []transition) []transition {
+	all = append(all, transition{"time advances", 0, func(md *model, _ int) { md.now++ }})
+	for i, m := range md.messages {
+		if m.kind != renewRequest || md.canAnswer(m) {
+			all = append(all, transition{"arrives", i, func(md *model, i int) { md.deliver(i, false) }})
 		}
-		if m.kind == yes || m.kind == no || m.kind == granted { // to lose an ask is not to have asked
-			all = append(all, move{"is lost", i, func(w *world, i int) { w.net = slices.Delete(w.net, i, i+1) }})
+		if m.kind == confirmation || m.kind == rejection || m.kind == grantResponse { // losing a request is the same as not sending it
+			all = append(all, transition{"is lost", i, func(md *model, i int) { md.messages = slices.Delete(md.messages, i, i+1) }})
 		}
-		if w.left.doubles > 0 && m.kind != renewHeld && m.kind < expireAsk {
-			all = append(all, move{"arrives, and will again", i, func(w *world, i int) {
-				w.left.doubles--
-				w.deliver(i, true)
+		if md.budget.duplicates > 0 && m.kind != renewRequest && m.kind < expireRequest {
+			all = append(all, transition{"arrives, and is duplicated", i, func(md *model, i int) {
+				md.budget.duplicates--
+				md.deliver(i, true)
 			}})
 		}
 	}
-	if w.left.restarts > 0 && w.done > 0 {
-		all = append(all, move{"who is acted on restarts", 0, (*world).restart})
+	if md.budget.fenceRestarts > 0 && md.highestAdmitted > 0 {
+		all = append(all, transition{"the fence restarts", 0, (*model).restartFence})
 	}
-	for k := range w.keeper {
-		all = w.keeperMoves(k, all)
+	for k := range md.nodes {
+		all = md.nodeTransitions(k, all)
 	}
-	if len(w.net) < mostInFlight {
-		for p := range w.proc {
-			all = w.memberMoves(p, all)
+	if len(md.messages) < maxInFlight {
+		for p := range md.processes {
+			all = md.memberTransitions(p, all)
 		}
 	}
 	return all
 }
 
-func (w *world) keeperMoves(k int, all []move) []move {
-	n := &w.keeper[k]
-	if w.left.elections > 0 {
-		all = append(all, move{"a keeper is elected", k, func(w *world, k int) {
-			w.left.elections--
-			w.elect(k)
+func (md *model) nodeTransitions(k int, all []transition) []transition {
+	n := &md.nodes[k]
+	if md.budget.elections > 0 {
+		all = append(all, transition{"a node is elected", k, func(md *model, k int) {
+			md.budget.elections--
+			md.elect(k)
 		}})
 	}
-	if k == w.leader && slices.ContainsFunc(w.net, func(m message) bool {
-		return m.kind == renewHeld && m.keeper == k && !n.assent.HasQuorumSince(m.at)
+	if k == md.leader && slices.ContainsFunc(md.messages, func(m message) bool {
+		return m.kind == renewRequest && m.node == k && !n.contact.HasQuorumSince(m.at)
 	}) {
-		all = append(all, move{"a keeper hears another's assent", k, func(w *world, k int) {
-			w.heard(k, w.term, w.keeperClock(k))
+		all = append(all, transition{"a node gets a peer's response", k, func(md *model, k int) {
+			md.recordContact(k, md.raftTerm, md.nodeClock(k))
 		}})
 	}
-	if k == w.leader && w.left.assents > 0 {
-		all = append(all, move{"a keeper is sent another's assent", k, (*world).assentOut})
+	if k == md.leader && md.budget.lateContacts > 0 {
+		all = append(all, transition{"a node is sent a peer's response", k, (*model).sendLateContact})
 	}
-	if n.believes && k != w.leader {
-		all = append(all, move{"a keeper follows", k, func(w *world, k int) {
-			n := w.ownKeeper(k)
-			n.believes = false
-			n.terms.StopLeading()
+	if n.believesLeading && k != md.leader {
+		all = append(all, transition{"a node steps down", k, func(md *model, k int) {
+			n := md.mutableNode(k)
+			n.believesLeading = false
+			n.tracker.StopLeading()
 		}})
 	}
-	if n.believes && w.someDue(k) {
-		all = append(all, move{"a keeper looks at what is due", k, func(w *world, k int) {
-			for _, o := range w.ownKeeper(k).terms.TakeExpired(w.keeperClock(k)) {
-				w.send(message{kind: expireAsk, proc: -1, keeper: k, session: o.Session, reign: o.LeaderEpoch})
+	if n.believesLeading && md.hasExpired(k) {
+		all = append(all, transition{"a node checks for expired sessions", k, func(md *model, k int) {
+			for _, o := range md.mutableNode(k).tracker.TakeExpired(md.nodeClock(k)) {
+				md.send(message{kind: expireRequest, process: -1, node: k, session: o.Session, leaderEpoch: o.LeaderEpoch})
 			}
 		}})
 	}
 	return all
 }
 
-func (w *world) assentOut(k int) {
-	w.left.assents--
-	w.send(message{kind: assentSaid, proc: -1, keeper: k, term: w.term, at: w.keeperClock(k)})
+func (md *model) sendLateContact(k int) {
+	md.budget.lateContacts--
+	md.send(message{kind: peerContact, process: -1, node: k, raftTerm: md.raftTerm, at: md.nodeClock(k)})
 }
 
-// someDue leaves out ends that are on their way: to find them again changes nothing.
-func (w *world) someDue(k int) bool {
-	for s, r := range w.keeper[k].terms.sessions {
-		if w.keeperClock(k) >= r.expiresAt && !slices.ContainsFunc(w.net, func(m message) bool {
-			return m.kind == expireAsk && m.keeper == k && m.session == s && m.reign == w.keeper[k].terms.leaderEpoch
+// hasExpired ignores expiries that are in flight: finding them again changes nothing.
+func (md *model) hasExpired(k int) bool {
+	for s, r := range md.nodes[k].tracker.sessions {
+		if md.nodeClock(k) >= r.expiresAt && !slices.ContainsFunc(md.messages, func(m message) bool {
+			return m.kind == expireRequest && m.node == k && m.session == s && m.leaderEpoch == md.nodes[k].tracker.leaderEpoch
 		}) {
 			return true
 		}
@@ -111,112 +111,112 @@
 	return false
 }
 
-func (w *world) memberMoves(p int, all []move) []move {
-	t := w.proc[p].tenure
+func (md *model) memberTransitions(p int, all []transition) []transition {
+	t := md.processes[p].holder
 	s := t.Session()
-	asking := w.inFlight(p, openAsk, renewHeld, yes) > 0
-	if s == 0 && !asking {
-		all = append(all, move{"a member asks to open", p, func(w *world, p int) {
-			w.ask(p, openAsk, w.leader)
-			if !w.left.late {
-				w.deliver(len(w.net)-1, false)
-				w.deliver(len(w.net)-1, false)
+	renewing := md.countInFlight(p, openRequest, renewRequest, confirmation) > 0
+	if s == 0 && !renewing {
+		all = append(all, transition{"a member opens a session", p, func(md *model, p int) {
+			md.startRenewal(p, openRequest, md.leader)
+			if !md.budget.asyncRequests {
+				md.deliver(len(md.messages)-1, false)
+				md.deliver(len(md.messages)-1, false)
 			}
 		}})
 	}
-	for k := range w.keeper {
-		if s != 0 && !asking && w.keeper[k].believes {
-			all = append(all, move{asksToRenew[k], p, func(w *world, p int) { w.ask(p, renewHeld, k) }})
+	for k := range md.nodes {
+		if s != 0 && !renewing && md.nodes[k].believesLeading {
+			all = append(all, transition{renewalNames[k], p, func(md *model, p int) { md.startRenewal(p, renewRequest, k) }})
 		}
 	}
-	if s != 0 && t.epochs[worldTask] == 0 && w.inFlight(p, grantAsk, granted) == 0 {
-		all = append(all, move{"a member asks for the task", p, func(w *world, p int) {
-			before := len(w.net)
-			w.send(message{kind: grantAsk, proc: p, session: w.proc[p].tenure.Session()})
-			for !w.left.late && len(w.net) > before {
-				w.deliver(before, false)
+	if s != 0 && t.epochs[modelResource] == 0 && md.countInFlight(p, acquireRequest, grantResponse) == 0 {
+		all = append(all, transition{"a member acquires the lease", p, func(md *model, p int) {
+			before := len(md.messages)
+			md.send(message{kind: acquireRequest, process: p, session: md.processes[p].holder.Session()})
+			for !md.budget.asyncRequests && len(md.messages) > before {
+				md.deliver(before, false)
 			}
 		}})
 	}
-	if _, acts := t.Epoch(worldTask, w.clock(p)); acts && w.left.deeds > 0 {
-		all = append(all, move{"a member acts", p, func(w *world, p int) {
-			w.left.deeds--
-			e, _ := w.proc[p].tenure.Epoch(worldTask, w.clock(p))
-			w.send(message{kind: deed, proc: -1, epoch: e})
+	if _, acts := t.Epoch(modelResource, md.processClock(p)); acts && md.budget.actions > 0 {
+		all = append(all, transition{"a member acts", p, func(md *model, p int) {
+			md.budget.actions--
+			e, _ := md.processes[p].holder.Epoch(modelResource, md.processClock(p))
+			md.send(message{kind: action, process: -1, epoch: e})
 		}})
 	}
-	if t.epochs[worldTask] != 0 && w.left.lets > 0 {
-		all = append(all, move{"a member lets the task go", p, func(w *world, p int) {
-			w.left.lets--
-			e, _ := w.own(p).Relinquish(worldTask)
-			w.send(message{kind: releaseAsk, proc: p, session: w.proc[p].tenure.Session(), epoch: e})
+	if t.epochs[modelResource] != 0 && md.budget.releases > 0 {
+		all = append(all, transition{"a member releases the lease", p, func(md *model, p int) {
+			md.budget.releases--
+			e, _ := md.mutableHolder(p).Relinquish(modelResource)
+			md.send(message{kind: releaseRequest, process: p, session: md.processes[p].holder.Session(), epoch: e})
 		}})
 	}
-	if s != 0 && w.left.ends > 0 {
-		all = append(all, move{"a member ends its session", p, func(w *world, p int) {
-			w.left.ends--
-			w.send(message{kind: endAsk, proc: p, session: w.own(p).EndSession()})
-			w.proc[p].life += 2
+	if s != 0 && md.budget.sessionEnds > 0 {
+		all = append(all, transition{"a member ends its session", p, func(md *model, p int) {
+			md.budget.sessionEnds--
+			md.send(message{kind: endRequest, process: p, session: md.mutableHolder(p).EndSession()})
+			md.processes[p].incarnation += 2
 		}})
 	}
-	if w.left.deaths > 0 {
-		all = append(all, move{"a member dies and begins another life", p, (*world).reborn})
+	if md.budget.memberRestarts > 0 {
+		all = append(all, transition{"a member restarts", p, (*model).restartMember})
 	}
 	return all
 }
 
-// ask goes to the leader's log or, for a renewal, to a keeper at once: on the way it could only become harder
-// to assent to.
-func (w *world) ask(p int, what kind, k int) {
-	t := w.own(p)
-	m := message{kind: what, proc: p, keeper: k, session: t.Session()}
-	m.ask, m.life = t.StartRenewal(w.clock(p)), w.proc[p].life
-	if what == renewHeld {
-		m.at = w.keeperClock(k)
+// startRenewal sends a request to the leader's log or, for a renewal, at once to a raft node: a delay could only make
+// it harder to confirm.
+func (md *model) startRenewal(p int, what messageKind, k int) {
+	t := md.mutableHolder(p)
+	m := message{kind: what, process: p, node: k, session: t.Session()}
+	m.renewal, m.incarnation = t.StartRenewal(md.processClock(p)), md.processes[p].incarnation
+	if what == renewRequest {
+		m.at = md.nodeClock(k)
 	}
-	w.send(m)
+	md.send(m)
 }
 
-// reborn: what was asked may still arrive, answers don't.
-func (w *world) reborn(p int) {
-	w.left.deaths--
-	w.proc[p].tenure, w.proc[p].owned = w.newTenure(), true
-	w.proc[p].life += 2
-	w.net = slices.DeleteFunc(w.net, func(m message) bool {
-		return m.proc == p && (m.kind == yes || m.kind == no || m.kind == granted || m.kind == renewHeld)
+// restartMember keeps requests in flight, but drops responses.
+func (md *model) restartMember(p int) {
+	md.budget.memberRestarts--
+	md.processes[p].holder, md.processes[p].owned = md.newHolder(), true
+	md.processes[p].incarnation += 2
+	md.messages = slices.DeleteFunc(md.messages, func(m message) bool {
+		return m.process == p && (m.kind == confirmation || m.kind == rejection || m.kind == grantResponse || m.kind == renewRequest)
 	})
-	for i := range w.net {
-		if w.net[i].proc == p {
-			w.net[i].proc = -1
+	for i := range md.messages {
+		if md.messages[i].process == p {
+			md.messages[i].process = -1
 		}
 	}
 }
 
-func (w *world) restart(int) {
-	w.left.restarts--
+func (md *model) restartFence(int) {
+	md.budget.fenceRestarts--
 	var err error
-	if w.fence, err = DecodeFence(w.kept); err != nil {
+	if md.fence, err = DecodeFence(md.storedFence); err != nil {
 		panic(err)
 	}
-	if w.wrong.fenceLost {
-		w.fence = NewFence()
+	if md.mutation.loseFence {
+		md.fence = NewFence()
 	}
 }
 
-func (w *world) acted(e cluster.Epoch) {
-	f, err := DecodeFence(w.fence.Encode())
+func (md *model) handleAction(e cluster.Epoch) {
+	f, err := DecodeFence(md.fence.Encode())
 	if err != nil {
 		panic(err)
 	}
-	w.fence = f
-	risen, err := f.Admit(worldTask, e)
+	md.fence = f
+	risen, err := f.Admit(modelResource, e)
 	if risen {
-		w.kept = f.Encode()
+		md.storedFence = f.Encode()
 	}
-	if err == nil && e < w.done {
-		w.broken = "a deed came in after one of a later epoch"
+	if err == nil && e < md.highestAdmitted {
+		md.violation = "a late action was admitted after one of a later epoch"
 	}
 	if err == nil {
-		w.done = max(w.done, e)
+		md.highestAdmitted = max(md.highestAdmitted, e)
 	}
 }
--- a/cluster/lease/reconciler_test.go
+++ b/cluster/lease/reconciler_test.go
@@ -9,62 +9,62 @@
 	"rowanlink/webhook/api"
 )
 
-// held is wishes over a session that has a task by an epoch.
-func held(s cluster.SessionID, task cluster.Resource, e cluster.Epoch) (*Holder, *Reconciler) {
-	t := NewHolder(hallTerm, 0)
-	w := NewReconciler(t, hallTerm)
-	t.ConfirmRenewal(t.StartRenewal(0), s)
-	w.Request(task)
-	w.HandleResult(s, []Grant{{task, e}}, 0)
-	return t, w
+// holderWithGrant returns a holder in session 5 and its reconciler, with a granted and requested lease.
+func holderWithGrant(r cluster.Resource, e cluster.Epoch) (*Holder, *Reconciler) {
+	holder := NewHolder(simulationTTL, 0)
+	reconciler := NewReconciler(holder, simulationTTL)
+	holder.ConfirmRenewal(holder.StartRenewal(0), 5)
+	reconciler.Request(r)
+	reconciler.HandleResult(5, []Grant{{r, e}}, 0)
+	return holder, reconciler
 }
 
-// Guards against a home that is given up since an answer of before it was had comes late.
-func TestWhatASessionHeldBeforeTakesNothingFromIt(t *testing.T) {
-	tenure, wishes := held(5, "home/1", 9)
-	wishes.ReconcileGrants(5, []Grant{{"home/1", 7}})
-	e, ok := tenure.Epoch("home/1", 1)
+// Guards against giving a lease up because a result from before its grant comes late.
+func TestReconciler_IgnoresOutdatedGrants(t *testing.T) {
+	holder, reconciler := holderWithGrant("home/1", 9)
+	reconciler.ReconcileGrants(5, []Grant{{"home/1", 7}})
+	e, ok := holder.Epoch("home/1", 1)
 	require.True(t, ok)
 	require.EqualValues(t, 9, e)
-	require.False(t, wishes.NextProposal(1).HasWork())
+	require.False(t, reconciler.NextProposal(1).HasWork())
 }
 
-// Guards against a task that is not asked for by a session since another held it when the one before asked.
-func TestANoToAnEarlierSessionDoesNotCountForTheNext(t *testing.T) {
-	tenure, wishes := held(5, "home/1", 9)
-	wishes.Request("home/2")
-	tenure.ConfirmRenewal(tenure.StartRenewal(1), 20)
-	wishes.RetryAll()
-	wishes.HandleResult(5, []Grant{{Resource: "home/1"}, {Resource: "home/2"}}, 2)
-	require.Equal(t, Proposal{Session: 20, Acquire: []cluster.Resource{"home/1", "home/2"}}, wishes.NextProposal(2))
+// Guards against a session that does not request a lease because it was held when the previous session did.
+func TestReconciler_IgnoresBlockedOfEarlierSession(t *testing.T) {
+	holder, reconciler := holderWithGrant("home/1", 9)
+	reconciler.Request("home/2")
+	holder.ConfirmRenewal(holder.StartRenewal(1), 20)
+	reconciler.RetryAll()
+	reconciler.HandleResult(5, []Grant{{Resource: "home/1"}, {Resource: "home/2"}}, 2)
+	require.Equal(t, Proposal{Session: 20, Acquire: []cluster.Resource{"home/1", "home/2"}}, reconciler.NextProposal(2))
 }
 
-// Guards against asking all the time for what another has, and against never asking again.
-func TestWhatAnotherHoldsIsAskedForWhenItIsFreeOrAfterAWhile(t *testing.T) {
-	_, wishes := held(5, "home/1", 9)
-	wishes.Request("home/2")
-	require.True(t, wishes.HandleResult(5, []Grant{{Resource: "home/2"}}, 10))
-	require.Equal(t, []cluster.Resource{"home/2"}, wishes.Blocked())
-	at, some := wishes.NextRetryAt()
+// Guards against requesting a blocked lease all the time, and against never requesting it again.
+func TestReconciler_RetriesBlockedWhenFreedOrDue(t *testing.T) {
+	_, reconciler := holderWithGrant("home/1", 9)
+	reconciler.Request("home/2")
+	require.True(t, reconciler.HandleResult(5, []Grant{{Resource: "home/2"}}, 10))
+	require.Equal(t, []cluster.Resource{"home/2"}, reconciler.Blocked())
+	at, some := reconciler.NextRetryAt()
 	require.True(t, some)
-	require.Equal(t, api.Micros(10+hallTerm), at)
-	require.False(t, wishes.NextProposal(20).HasWork())
-	require.False(t, wishes.HandleFreed([]cluster.Resource{"home/1", "home/3"}))
-	require.True(t, wishes.HandleFreed([]cluster.Resource{"home/2"}))
-	require.Equal(t, []cluster.Resource{"home/2"}, wishes.NextProposal(20).Acquire)
+	require.Equal(t, api.Micros(10+simulationTTL), at)
+	require.False(t, reconciler.NextProposal(20).HasWork())
+	require.False(t, reconciler.HandleFreed([]cluster.Resource{"home/1", "home/3"}))
+	require.True(t, reconciler.HandleFreed([]cluster.Resource{"home/2"}))
+	require.Equal(t, []cluster.Resource{"home/2"}, reconciler.NextProposal(20).Acquire)
 }
 
-// Guards against a home given up unheard, with calls out, by a member that only was late to renew.
-func TestAWishIsDroppedWhereNothingWasGranted(t *testing.T) {
-	tenure, wishes := held(5, "home/1", 9)
-	wishes.Request("home/2")
-	wishes.CancelRequest("home/1")
-	wishes.CancelRequest("home/2")
-	require.Equal(t, []cluster.Resource{"home/1"}, wishes.Requested())
-	require.False(t, tenure.IsValid(2*hallTerm))
-	tenure.ConfirmRenewal(tenure.StartRenewal(2*hallTerm), 5)
-	_, ok := tenure.Epoch("home/1", 2*hallTerm)
+// Guards against dropping a granted lease, with calls in flight, because a member was only late to renew.
+func TestReconciler_CancelsRequestWithoutGrant(t *testing.T) {
+	holder, reconciler := holderWithGrant("home/1", 9)
+	reconciler.Request("home/2")
+	reconciler.CancelRequest("home/1")
+	reconciler.CancelRequest("home/2")
+	require.Equal(t, []cluster.Resource{"home/1"}, reconciler.Requested())
+	require.False(t, holder.IsValid(2*simulationTTL))
+	holder.ConfirmRenewal(holder.StartRenewal(2*simulationTTL), 5)
+	_, ok := holder.Epoch("home/1", 2*simulationTTL)
 	require.True(t, ok)
-	wishes.ReconcileGrants(5, []Grant{{"home/2", 12}}) // its grant was on the way
-	require.Equal(t, Proposal{Session: 5, Release: "home/2", Epoch: 12}, wishes.NextProposal(2*hallTerm))
+	reconciler.ReconcileGrants(5, []Grant{{"home/2", 12}}) // its grant was in flight
+	require.Equal(t, Proposal{Session: 5, Release: "home/2", Epoch: 12}, reconciler.NextProposal(2*simulationTTL))
 }
--- a/cluster/lease/simulation_member_test.go
+++ b/cluster/lease/simulation_member_test.go
@@ -12,195 +12,197 @@
 	"rowanlink/webhook/api"
 )
 
-func (g *guest) begin(wants []cluster.Resource) {
-	g.life++
-	g.tenure, g.proposes, g.polls, g.stopped = NewHolder(hallTerm, 0), 0, 0, 0
-	again := timing.AcquireRetryInterval(hallTerm)
-	if g.spoilt.neverAgain {
+func (sm *simulatedMember) start(wants []cluster.Resource) {
+	sm.incarnation++
+	sm.holder, sm.proposalUntil, sm.pollUntil, sm.stoppedUntil = NewHolder(simulationTTL, 0), 0, 0, 0
+	again := timing.AcquireRetryInterval(simulationTTL)
+	if sm.mutation.neverRetry {
 		again = api.Second << 40
 	}
-	g.wishes = NewReconciler(g.tenure, again)
+	sm.reconciler = NewReconciler(sm.holder, again)
 	for _, t := range wants {
-		g.wishes.Request(t)
+		sm.reconciler.Request(t)
 	}
 }
 
-// hears has a member act on a message, once it no longer stands still, if it is still the same life.
-func (g *guest) hears(life Incarnation, f func()) {
+// deliver has a member process a message once it is no longer stopped, if it is still the same incarnation.
+func (sm *simulatedMember) deliver(incarnation Incarnation, f func()) {
 	switch {
-	case g.life != life:
-	case g.now < g.stopped:
-		g.at(g.stopped-g.now, func() { g.hears(life, f) })
+	case sm.incarnation != incarnation:
+	case sm.now < sm.stoppedUntil:
+		sm.after(sm.stoppedUntil-sm.now, func() { sm.deliver(incarnation, f) })
 	default:
 		f()
 	}
 }
 
-func (g *guest) reply(life Incarnation, f func()) { g.send(func() { g.hears(life, f) }) }
+func (sm *simulatedMember) reply(incarnation Incarnation, f func()) {
+	sm.send(func() { sm.deliver(incarnation, f) })
+}
 
-// beat does what a member's three loops do.
-func (g *guest) beat() {
-	g.at(beat, g.beat)
-	if g.now < g.stopped {
+// tick does what a member's three loops do.
+func (sm *simulatedMember) tick() {
+	sm.after(tickInterval, sm.tick)
+	if sm.now < sm.stoppedUntil {
 		return
 	}
-	if g.now >= g.tenure.NextRenewalAt() {
-		g.renew(g.life, g.tenure.StartRenewal(g.now), g.tenure.Session(), g.tenure.Digest())
+	if sm.now >= sm.holder.NextRenewalAt() {
+		sm.renew(sm.incarnation, sm.holder.StartRenewal(sm.now), sm.holder.Session(), sm.holder.Digest())
 	}
-	if p := g.wishes.NextProposal(g.now); p.HasWork() && g.now >= g.proposes {
-		g.proposes = g.now + timing.LoggedRequestTimeout(hallTerm)
-		g.propose(g.life, p, g.proposes)
+	if p := sm.reconciler.NextProposal(sm.now); p.HasWork() && sm.now >= sm.proposalUntil {
+		sm.proposalUntil = sm.now + timing.LoggedRequestTimeout(simulationTTL)
+		sm.propose(sm.incarnation, p, sm.proposalUntil)
 	}
-	if tasks := g.wishes.Blocked(); len(tasks) > 0 && g.now >= g.polls && !g.deaf {
-		g.polls = g.now + timing.LongPollTimeout(hallTerm) + timing.RequestTimeout(hallTerm)
-		g.poll(g.life, tasks, g.polls)
+	if resources := sm.reconciler.Blocked(); len(resources) > 0 && sm.now >= sm.pollUntil && !sm.noNotifications {
+		sm.pollUntil = sm.now + timing.LongPollTimeout(simulationTTL) + timing.RequestTimeout(simulationTTL)
+		sm.poll(sm.incarnation, resources, sm.pollUntil)
 	}
 }
 
-func (g *guest) renew(life Incarnation, ask Renewal, s cluster.SessionID, tally Digest) {
-	k := g.asked()
-	g.send(func() {
+func (sm *simulatedMember) renew(incarnation Incarnation, renewal Renewal, s cluster.SessionID, digest Digest) {
+	k := sm.pickNode()
+	sm.send(func() {
 		switch {
-		case !g.leads(k):
+		case !sm.isLeading(k):
 		case s == 0:
-			a, err := g.apply(OpenSession(g.id, life))
-			if err == nil && g.terms.AddOrRenew(a.Session, g.now) {
-				g.reply(life, func() { g.answered(ask, a.Session) })
+			a, err := sm.apply(OpenSession(sm.id, incarnation))
+			if err == nil && sm.tracker.AddOrRenew(a.Session, sm.now) {
+				sm.reply(incarnation, func() { sm.handleConfirmation(renewal, a.Session) })
 			}
-		case g.terms.Renew(s, g.now):
-			var holds []Grant
-			if book := g.desks[k].book; book.Digest(s) != tally && !g.spoilt.holdsUntold {
-				holds = book.GrantsOf(s)
+		case sm.tracker.Renew(s, sm.now):
+			var grants []Grant
+			if table := sm.nodes[k].table; table.Digest(s) != digest && !sm.mutation.omitGrants {
+				grants = table.GrantsOf(s)
 			}
-			g.reply(life, func() { g.answered(ask, s); g.wishes.ReconcileGrants(s, holds) })
+			sm.reply(incarnation, func() { sm.handleConfirmation(renewal, s); sm.reconciler.ReconcileGrants(s, grants) })
 		default:
-			g.reply(life, func() { g.tenure.HandleRejection(s) })
+			sm.reply(incarnation, func() { sm.holder.HandleRejection(s) })
 		}
 	})
 }
 
-func (g *guest) answered(ask Renewal, s cluster.SessionID) {
-	if before := g.tenure.Session(); g.tenure.ConfirmRenewal(ask, s) && before != s {
-		g.wishes.RetryAll()
+func (sm *simulatedMember) handleConfirmation(renewal Renewal, s cluster.SessionID) {
+	if before := sm.holder.Session(); sm.holder.ConfirmRenewal(renewal, s) && before != s {
+		sm.reconciler.RetryAll()
 	}
 }
 
-// propose is heeded by the member only before its time is over.
-func (g *guest) propose(life Incarnation, p Proposal, until api.Micros) {
-	k := g.asked()
-	g.send(func() {
+// propose sends a proposal; the member ignores a result that comes after until.
+func (sm *simulatedMember) propose(incarnation Incarnation, p Proposal, until api.Micros) {
+	k := sm.pickNode()
+	sm.send(func() {
 		var a Result
 		var err error
-		taken := g.taken(k, p)
+		rejected := sm.rejectWithoutEntry(k, p)
 		switch {
-		case len(taken) > 0:
-			a.Grants = taken
-		case g.leads(k):
-			a, err = g.apply(p.Command())
+		case len(rejected) > 0:
+			a.Grants = rejected
+		case sm.isLeading(k):
+			a, err = sm.apply(p.Command())
 		default:
 			return
 		}
-		g.reply(life, func() {
-			if g.now >= until || g.proposes != until {
+		sm.reply(incarnation, func() {
+			if sm.now >= until || sm.proposalUntil != until {
 				return
 			}
-			switch g.proposes = g.now; {
+			switch sm.proposalUntil = sm.now; {
 			case p.Release != "":
-				g.wishes.HandleReleaseResult(p, err)
+				sm.reconciler.HandleReleaseResult(p, err)
 			case err != nil:
-				g.tenure.HandleRejection(p.Session)
+				sm.holder.HandleRejection(p.Session)
 			default:
-				g.wishes.HandleResult(p.Session, a.Grants, g.now)
+				sm.reconciler.HandleResult(p.Session, a.Grants, sm.now)
 			}
 		})
 	})
 }
 
-// taken is the no that a keeper which leads, or still believes so, gives without an entry.
-func (g *guest) taken(k int, p Proposal) (no []Grant) {
-	d := g.desks[k]
-	if p.Release != "" || !g.leads(k) && d.lags <= g.now || d.book.MemberOf(p.Session) == "" {
+// rejectWithoutEntry is the rejection that a raft node which leads, or believes so, gives without a log entry.
+func (sm *simulatedMember) rejectWithoutEntry(k int, p Proposal) (rejected []Grant) {
+	d := sm.nodes[k]
+	if p.Release != "" || !sm.isLeading(k) && d.stalledUntil <= sm.now || d.table.MemberOf(p.Session) == "" {
 		return nil
 	}
 	for _, t := range p.Acquire {
-		if s, _, _, held := d.book.Holder(t); !held || s == p.Session {
+		if s, _, _, held := d.table.Holder(t); !held || s == p.Session {
 			return nil
 		}
-		no = append(no, Grant{Resource: t})
+		rejected = append(rejected, Grant{Resource: t})
 	}
-	return no
+	return rejected
 }
 
-func (g *guest) poll(life Incarnation, tasks []cluster.Resource, until api.Micros) {
-	k := g.asks % len(g.desks)
-	var look func()
-	look = func() {
-		book, free := g.caught(k), []cluster.Resource(nil)
-		for _, t := range tasks {
-			if _, _, _, held := book.Holder(t); !held {
+func (sm *simulatedMember) poll(incarnation Incarnation, resources []cluster.Resource, until api.Micros) {
+	k := sm.nextNode % len(sm.nodes)
+	var poll func()
+	poll = func() {
+		table, free := sm.catchUp(k), []cluster.Resource(nil)
+		for _, t := range resources {
+			if _, _, _, held := table.Holder(t); !held {
 				free = append(free, t)
 			}
 		}
-		if len(free) == 0 && g.now < until {
-			g.at(beat, look)
+		if len(free) == 0 && sm.now < until {
+			sm.after(tickInterval, poll)
 			return
 		}
-		g.reply(life, func() {
-			if g.polls != until {
+		sm.reply(incarnation, func() {
+			if sm.pollUntil != until {
 				return
 			}
-			if g.polls = g.now; !g.wishes.HandleFreed(free) {
-				g.asks++
+			if sm.pollUntil = sm.now; !sm.reconciler.HandleFreed(free) {
+				sm.nextNode++
 			}
 		})
 	}
-	g.asks++
-	g.send(look)
+	sm.nextNode++
+	sm.send(poll)
 }
 
-// play tells what is wrong with a hall a while after its faults have ended.
-func (h *hall) play() string {
-	h.run(20 * hallTerm)
-	for i := range h.desks {
-		h.desks[i].lags = 0
-	}
-	h.faulty, h.idle = false, 0
-	for _, g := range h.members {
-		g.stopped = 0
-	}
-	h.run(h.now + hallTerm + takenBy*hallTerm) // the latest message, and then the bound
-	for _, t := range hallTasks {
-		wants := func(g *guest) bool { return slices.Contains(g.wishes.Requested(), t) }
-		wanted := slices.ContainsFunc(h.members, wants)
-		_, who, epoch, held := h.desks[h.lead].book.Holder(t)
-		switch all := h.holders(t); {
-		case h.broken != "":
-		case wanted && len(all) == 0:
-			h.broken = string(t) + " is wanted and nobody's; by the log it is " + string(who) + "'s"
-		case !wanted && held:
-			h.broken = string(t) + " is wanted by nobody, and by the log " + string(who) + "'s"
-		case wanted && (!held || all[0].id != who || !wants(all[0])):
-			h.broken = string(t) + " is held by one who wants it not, or whom the log does not name"
-		case wanted && epoch != all[0].tenure.epochs[t]:
-			h.broken = string(t) + " is held by another epoch than the log's"
+// check runs the simulation and returns what is wrong some time after its faults have ended, or "".
+func (si *simulation) check() string {
+	si.run(20 * simulationTTL)
+	for i := range si.nodes {
+		si.nodes[i].stalledUntil = 0
+	}
+	si.faulty, si.electionUntil = false, 0
+	for _, sm := range si.members {
+		sm.stoppedUntil = 0
+	}
+	si.run(si.now + simulationTTL + acquiredWithin*simulationTTL) // the latest message, and then the bound
+	for _, t := range simulationResources {
+		requests := func(sm *simulatedMember) bool { return slices.Contains(sm.reconciler.Requested(), t) }
+		requested := slices.ContainsFunc(si.members, requests)
+		_, who, epoch, held := si.nodes[si.leader].table.Holder(t)
+		switch all := si.holders(t); {
+		case si.violation != "":
+		case requested && len(all) == 0:
+			si.violation = string(t) + " is requested and not held; by the log it is held by " + string(who)
+		case !requested && held:
+			si.violation = string(t) + " is requested by nobody, and by the log held by " + string(who)
+		case requested && (!held || all[0].id != who || !requests(all[0])):
+			si.violation = string(t) + " is held by a member that does not request it, or that the log does not name"
+		case requested && epoch != all[0].holder.epochs[t]:
+			si.violation = string(t) + " is held with another epoch than the log's"
 		}
 	}
-	return h.broken
+	return si.violation
 }
 
-// takenBy is in how many terms after the last message that came late a wanted, free task is taken.
-const takenBy = 2
+// acquiredWithin is the number of TTLs after the last late message in which a requested, free lease is acquired.
+const acquiredWithin = 2
 
-// Guards against a task that stays nobody's, or is held by one that does not want it, after whatever befell
-// messages, members and keepers; and against two holders at any moment.
-func TestAWantedTaskIsTakenWhateverWentBefore(t *testing.T) {
-	for seed := range uint64(300 * (1 + deeper)) {
-		require.Empty(t, newHall(seed, spoilt{}).play(), "seed %d", seed)
+// Whatever faults befell messages, members and raft nodes, no lease stays free although it is requested, is held by a
+// member that does not request it, or has two holders at any time.
+func TestSimulation_RequestedLeaseIsAcquired(t *testing.T) {
+	for seed := range uint64(300 * (1 + extraDepth)) {
+		require.Empty(t, newSimulation(seed, simulationMutation{}).check(), "seed %d", seed)
 	}
-	for name, s := range map[string]spoilt{"what a session holds is not told": {holdsUntold: true},
-		"what another held is not asked for again": {neverAgain: true}} {
+	for name, s := range map[string]simulationMutation{"grants of a session are not reported": {omitGrants: true},
+		"blocked requests are not retried": {neverRetry: true}} {
 		assert.True(t, slices.ContainsFunc(seeds(100), func(seed uint64) bool {
-			return newHall(seed, s).play() != ""
+			return newSimulation(seed, s).check() != ""
 		}), name)
 	}
 }
--- a/cluster/lease/simulation_test.go
+++ b/cluster/lease/simulation_test.go
@@ -9,192 +9,192 @@
 	"rowanlink/webhook/api"
 )
 
-// hall is members and keepers that talk by messages: while it is faulty they are lost, doubled and late,
-// members stop, start anew and wish for something else, and the lead changes. It is played by a seed.
-type hall struct {
-	rng     *rand.Rand
-	now     api.Micros
-	queue   timerqueue.Queue[func()]
-	faulty  bool
-	spoilt  spoilt
-	entries [][]byte
-	desks   [3]*desk
-	lead    int
-	idle    api.Micros // until then nobody leads
-	terms   *ExpiryTracker
-	members []*guest
-	broken  string
+// simulation runs members and raft nodes that exchange messages. While it is faulty, messages are lost, duplicated
+// and late, members stop, restart and change their requests, and the leader changes. It is determined by a seed.
+type simulation struct {
+	rng           *rand.Rand
+	now           api.Micros
+	queue         timerqueue.Queue[func()]
+	faulty        bool
+	mutation      simulationMutation
+	entries       [][]byte
+	nodes         [3]*simulatedNode
+	leader        int
+	electionUntil api.Micros // until then nobody leads
+	tracker       *ExpiryTracker
+	members       []*simulatedMember
+	violation     string
 }
 
-// spoilt is what a hall leaves out.
-type spoilt struct{ holdsUntold, neverAgain bool }
+// simulationMutation is a step of the protocol that a simulation omits.
+type simulationMutation struct{ omitGrants, neverRetry bool }
 
-// desk is one keeper: a copy of the log's book, as far as it has come.
-type desk struct {
-	book *Table
-	at   int
-	lags api.Micros // until then it takes no entries
+// simulatedNode is one raft node with its replica of the table.
+type simulatedNode struct {
+	table        *Table
+	applied      int
+	stalledUntil api.Micros // until then it applies no entries
 }
 
-// guest is one member, as cluster/member goes about it.
-type guest struct {
-	*hall
-	id       cluster.MemberID
-	life     Incarnation
-	tenure   *Holder
-	wishes   *Reconciler
-	stopped  api.Micros
-	deaf     bool // no keeper's word of free tasks reaches it
-	proposes api.Micros
-	polls    api.Micros
-	asks     int // keeper
+// simulatedMember is one member, driven as cluster/member drives it.
+type simulatedMember struct {
+	*simulation
+	id              cluster.MemberID
+	incarnation     Incarnation
+	holder          *Holder
+	reconciler      *Reconciler
+	stoppedUntil    api.Micros
+	noNotifications bool // it gets no reports of released leases
+	proposalUntil   api.Micros
+	pollUntil       api.Micros
+	nextNode        int // index of the raft node to poll next
 }
 
 const (
-	hallTerm = 3 * api.Second
-	beat     = hallTerm / 40
+	simulationTTL = 3 * api.Second
+	tickInterval  = simulationTTL / 40
 )
 
-var hallTasks = []cluster.Resource{"conduct", "home/1", "home/2"}
+var simulationResources = []cluster.Resource{"conduct", "home/1", "home/2"}
 
-func newHall(seed uint64, s spoilt) *hall {
-	h := &hall{rng: rand.New(rand.NewPCG(seed, 35)), faulty: true, spoilt: s, terms: NewExpiryTracker(hallTerm)}
-	for i := range h.desks {
-		h.desks[i] = &desk{book: NewTable()}
+func newSimulation(seed uint64, s simulationMutation) *simulation {
+	si := &simulation{rng: rand.New(rand.NewPCG(seed, 35)), faulty: true, mutation: s, tracker: NewExpiryTracker(simulationTTL)}
+	for i := range si.nodes {
+		si.nodes[i] = &simulatedNode{table: NewTable()}
 	}
-	h.elect()
+	si.elect()
 	for i := range 3 {
-		g := &guest{hall: h, id: cluster.MemberID(fmt.Sprint("m", i)), deaf: s.neverAgain && i == 0}
-		g.begin(nil)
-		h.members = append(h.members, g)
-		h.at(0, g.beat)
+		sm := &simulatedMember{simulation: si, id: cluster.MemberID(fmt.Sprint("m", i)), noNotifications: s.neverRetry && i == 0}
+		sm.start(nil)
+		si.members = append(si.members, sm)
+		si.after(0, sm.tick)
 	}
-	h.at(0, h.beat)
-	return h
+	si.after(0, si.tick)
+	return si
 }
 
-func (h *hall) at(wait api.Micros, f func()) { h.queue.Add(int64(h.now+wait), f) }
+func (si *simulation) after(wait api.Micros, f func()) { si.queue.Add(int64(si.now+wait), f) }
 
-func (h *hall) upTo(most api.Micros) api.Micros {
-	return 1 + api.Micros(h.rng.Int64N(int64(most)))
+func (si *simulation) randomDelay(most api.Micros) api.Micros {
+	return 1 + api.Micros(si.rng.Int64N(int64(most)))
 }
 
-// send has a message arrive, or not, or late, or twice.
-func (h *hall) send(f func()) {
-	wait := h.upTo(hallTerm / 60)
-	if h.faulty {
-		switch h.rng.IntN(10) {
+// send delivers a message, possibly late, twice or not at all.
+func (si *simulation) send(f func()) {
+	wait := si.randomDelay(simulationTTL / 60)
+	if si.faulty {
+		switch si.rng.IntN(10) {
 		case 0, 1:
 			return
 		case 2:
-			wait = h.upTo(hallTerm)
+			wait = si.randomDelay(simulationTTL)
 		case 3:
-			h.at(h.upTo(hallTerm), f)
+			si.after(si.randomDelay(simulationTTL), f)
 		}
 	}
-	h.at(wait, f)
+	si.after(wait, f)
 }
 
-// run plays until a moment, and looks at each step that no two hold one task.
-func (h *hall) run(until api.Micros) {
-	for h.broken == "" {
-		at, _ := h.queue.Next()
+// run advances until a time, and checks at each step that no lease has two holders.
+func (si *simulation) run(until api.Micros) {
+	for si.violation == "" {
+		at, _ := si.queue.Next()
 		if api.Micros(at) >= until {
 			return
 		}
-		f, _ := h.queue.PopDue(at)
-		h.now = api.Micros(at)
+		f, _ := si.queue.PopDue(at)
+		si.now = api.Micros(at)
 		f()
-		for _, t := range hallTasks {
-			if all := h.holders(t); len(all) > 1 {
-				h.broken = fmt.Sprintf("%d us: %s held by %s and %s", h.now, t, all[0].id, all[1].id)
+		for _, t := range simulationResources {
+			if all := si.holders(t); len(all) > 1 {
+				si.violation = fmt.Sprintf("%d us: %s held by %s and %s", si.now, t, all[0].id, all[1].id)
 			}
 		}
 	}
 }
 
-func (h *hall) holders(t cluster.Resource) (all []*guest) {
-	for _, g := range h.members {
-		if _, held := g.tenure.Epoch(t, h.now); held {
-			all = append(all, g)
+func (si *simulation) holders(t cluster.Resource) (all []*simulatedMember) {
+	for _, sm := range si.members {
+		if _, held := sm.holder.Epoch(t, si.now); held {
+			all = append(all, sm)
 		}
 	}
 	return all
 }
 
-// apply commits an order, by the keeper that leads.
-func (h *hall) apply(c cluster.Command) (a Result, err error) {
-	h.entries = append(h.entries, c.Body)
-	raw, err := h.caught(h.lead).Apply(uint64(len(h.entries)), c.Body)
-	if h.desks[h.lead].at++; err == nil {
+// apply commits a command at the leader.
+func (si *simulation) apply(c cluster.Command) (a Result, err error) {
+	si.entries = append(si.entries, c.Body)
+	raw, err := si.catchUp(si.leader).Apply(uint64(len(si.entries)), c.Body)
+	if si.nodes[si.leader].applied++; err == nil {
 		a, err = DecodeResult(raw)
 	}
 	return a, err
 }
 
-// caught is a keeper's book, as far as it can have it.
-func (h *hall) caught(k int) *Table {
-	d := h.desks[k]
-	most := len(h.entries)
-	if k == h.lead {
-		most, d.lags = most-1, 0 // the last is being applied
+// catchUp applies the entries that a raft node can have, and returns its table.
+func (si *simulation) catchUp(k int) *Table {
+	d := si.nodes[k]
+	most := len(si.entries)
+	if k == si.leader {
+		most, d.stalledUntil = most-1, 0 // the last one is being applied
 	}
-	for ; d.at < most && d.lags <= h.now; d.at++ {
-		d.book.Apply(uint64(d.at+1), h.entries[d.at])
+	for ; d.applied < most && d.stalledUntil <= si.now; d.applied++ {
+		_, _ = d.table.Apply(uint64(d.applied+1), si.entries[d.applied]) // a rejected entry counts as applied
 	}
-	return d.book
+	return d.table
 }
 
-// elect has another keeper lead; the former does not know it for a while.
-func (h *hall) elect() {
-	h.desks[h.lead].lags = h.now + h.upTo(hallTerm)
-	if h.lead = h.rng.IntN(len(h.desks)); h.faulty {
-		h.idle = h.now + h.upTo(hallTerm/2)
+// elect changes the leader; the former one does not notice for a while.
+func (si *simulation) elect() {
+	si.nodes[si.leader].stalledUntil = si.now + si.randomDelay(simulationTTL)
+	if si.leader = si.rng.IntN(len(si.nodes)); si.faulty {
+		si.electionUntil = si.now + si.randomDelay(simulationTTL/2)
 	}
-	a, _ := h.apply(BeginLeaderEpoch())
-	h.terms.StartLeading(h.now, a.LeaderEpoch, h.desks[h.lead].book.Sessions())
+	a, _ := si.apply(BeginLeaderEpoch())
+	si.tracker.StartLeading(si.now, a.LeaderEpoch, si.nodes[si.leader].table.Sessions())
 }
 
-// beat ends what is due and has faults befall the hall.
-func (h *hall) beat() {
-	h.at(beat, h.beat)
-	for _, o := range h.terms.TakeExpired(h.now) {
-		if _, err := h.apply(ExpireSession(o)); err == nil {
-			h.terms.Remove(o.Session)
+// tick expires sessions and injects faults.
+func (si *simulation) tick() {
+	si.after(tickInterval, si.tick)
+	for _, o := range si.tracker.TakeExpired(si.now) {
+		if _, err := si.apply(ExpireSession(o)); err == nil {
+			si.tracker.Remove(o.Session)
 		}
 	}
-	if !h.faulty {
+	if !si.faulty {
 		return
 	}
-	if h.rng.IntN(200) == 0 {
-		h.elect()
+	if si.rng.IntN(200) == 0 {
+		si.elect()
 	}
-	for i := range h.desks {
-		if i != h.lead && h.rng.IntN(80) == 0 {
-			h.desks[i].lags = h.now + h.upTo(2*hallTerm)
+	for i := range si.nodes {
+		if i != si.leader && si.rng.IntN(80) == 0 {
+			si.nodes[i].stalledUntil = si.now + si.randomDelay(2*simulationTTL)
 		}
 	}
-	for _, g := range h.members {
-		switch task := hallTasks[h.rng.IntN(len(hallTasks))]; h.rng.IntN(150) {
+	for _, sm := range si.members {
+		switch resource := simulationResources[si.rng.IntN(len(simulationResources))]; si.rng.IntN(150) {
 		case 0:
-			g.stopped = h.now + hallTerm/2 + h.upTo(5*hallTerm/2)
+			sm.stoppedUntil = si.now + simulationTTL/2 + si.randomDelay(5*simulationTTL/2)
 		case 1:
-			g.begin(g.wishes.Requested())
+			sm.start(sm.reconciler.Requested())
 		case 2, 3, 4, 5, 6:
-			g.wishes.Request(task)
+			sm.reconciler.Request(resource)
 		case 7, 8, 9, 10, 11:
-			g.wishes.Release(task)
+			sm.reconciler.Release(resource)
 		}
 	}
 }
 
-// leads is whether a keeper can have something put in the log.
-func (h *hall) leads(k int) bool { return k == h.lead && h.idle <= h.now }
+// isLeading reports whether a raft node can commit entries.
+func (si *simulation) isLeading(k int) bool { return k == si.leader && si.electionUntil <= si.now }
 
-// asked is whom a member takes for the leader: mostly the one that is.
-func (h *hall) asked() int {
-	if h.faulty && h.rng.IntN(3) == 0 {
-		return h.rng.IntN(len(h.desks))
+// pickNode returns the raft node that a member takes for the leader, mostly the right one.
+func (si *simulation) pickNode() int {
+	if si.faulty && si.rng.IntN(3) == 0 {
+		return si.rng.IntN(len(si.nodes))
 	}
-	return h.lead
+	return si.leader
 }
--- a/cluster/lease/table_test.go
+++ b/cluster/lease/table_test.go
@@ -10,14 +10,14 @@
 	"rowanlink/cluster"
 )
 
-// orders draws commands that are mostly about what there is.
-func orders(t *rapid.T, b *Table) cluster.Command {
+// randomCommand generates commands, mostly about sessions and leases that exist.
+func randomCommand(t *rapid.T, b *Table) cluster.Command {
 	session := rapid.SampledFrom(append(b.Sessions(), 7777)).Draw(t, "session")
-	task := rapid.SampledFrom([]cluster.Resource{"conduct", "home/1", "home/2", "site/depot"})
-	switch rapid.IntRange(0, 9).Draw(t, "what") {
+	resource := rapid.SampledFrom([]cluster.Resource{"conduct", "home/1", "home/2", "site/depot"})
+	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0, 1:
 		return OpenSession(rapid.SampledFrom([]cluster.MemberID{"m1", "m2"}).Draw(t, "member"),
-			Incarnation(rapid.IntRange(0, 1).Draw(t, "life")))
+			Incarnation(rapid.IntRange(0, 1).Draw(t, "incarnation")))
 	case 2:
 		return EndSession(session)
 	case 3:
@@ -25,23 +25,23 @@
 	case 4:
 		return BeginLeaderEpoch()
 	case 5, 6:
-		one := task.Draw(t, "task")
+		one := resource.Draw(t, "resource")
 		return ReleaseLease(session, one, max(b.LastEpoch(one), 1))
 	default:
-		return AcquireLeases(session, rapid.SliceOfNDistinct(task, 1, 4, rapid.ID).Draw(t, "tasks")...)
+		return AcquireLeases(session, rapid.SliceOfNDistinct(resource, 1, 4, rapid.ID).Draw(t, "resources")...)
 	}
 }
 
-// One holder for each task, its epoch above all before; what is refused changes nothing; and a book restored
-// at any point goes on exactly as the one it was taken from.
-func TestBookThroughAnyOrders(t *testing.T) {
+// Each lease has one holder, with an epoch above all before; a rejected operation changes nothing; and a table
+// restored at any point continues exactly as the original.
+func TestTable_RandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, twin, highest, index := NewTable(), NewTable(), map[cluster.Resource]cluster.Epoch{}, uint64(0)
-		for range rapid.IntRange(1, 60).Draw(t, "orders") {
+		for range rapid.IntRange(1, 60).Draw(t, "operations") {
 			index += rapid.Uint64Range(1, 3).Draw(t, "index")
 			before, err := b.Snapshot()
 			require.NoError(t, err)
-			c := orders(t, b)
+			c := randomCommand(t, b)
 			raw, err := b.Apply(index, c.Body)
 			after, _ := b.Snapshot()
 			if err != nil {
@@ -52,21 +52,21 @@
 			twinAfter, _ := twin.Snapshot()
 			assert.Equal(t, []any{raw, err, after}, []any{twinRaw, twinErr, twinAfter})
 			if err == nil {
-				checkAnswer(t, b, raw, highest)
+				checkResult(t, b, raw, highest)
 			}
-			checkBook(t, b)
+			checkTable(t, b)
 		}
 	})
 }
 
-func checkAnswer(t *rapid.T, b *Table, raw []byte, highest map[cluster.Resource]cluster.Epoch) {
+func checkResult(t *rapid.T, b *Table, raw []byte, highest map[cluster.Resource]cluster.Epoch) {
 	a, err := DecodeResult(raw)
 	require.NoError(t, err)
 	for _, g := range a.Grants {
 		holder, _, epoch, held := b.Holder(g.Resource)
 		require.True(t, held)
 		if g.Err() != nil {
-			assert.NotEqual(t, a.Session, holder, "refused although its own")
+			assert.NotEqual(t, a.Session, holder, "rejected although its own")
 			continue
 		}
 		assert.Equal(t, []any{a.Session, epoch}, []any{holder, g.Epoch})
@@ -75,25 +75,25 @@
 	}
 }
 
-func checkBook(t *rapid.T, b *Table) {
+func checkTable(t *rapid.T, b *Table) {
 	held := map[cluster.Resource]cluster.SessionID{}
 	for _, s := range b.Sessions() {
 		assert.NotEmpty(t, b.MemberOf(s))
-		for _, task := range b.ResourcesOf(s) {
-			assert.Zero(t, held[task], "two sessions with one task")
-			held[task] = s
-			holder, member, epoch, ok := b.Holder(task)
+		for _, resource := range b.ResourcesOf(s) {
+			assert.Zero(t, held[resource], "two sessions with one lease")
+			held[resource] = s
+			holder, member, epoch, ok := b.Holder(resource)
 			assert.Equal(t, []any{s, b.MemberOf(s), true}, []any{holder, member, ok})
-			assert.True(t, b.IsCurrent(task, epoch))
-			assert.False(t, b.IsCurrent(task, epoch-1))
+			assert.True(t, b.IsCurrent(resource, epoch))
+			assert.False(t, b.IsCurrent(resource, epoch-1))
 		}
 	}
-	for task, g := range b.leases {
-		assert.Equal(t, held[task], g.session, "free for all, or held by one that knows it")
+	for resource, g := range b.leases {
+		assert.Equal(t, held[resource], g.session, "free, or held by a session that has it")
 	}
 }
 
-func do(t *testing.T, b *Table, index uint64, c cluster.Command) Result {
+func mustApply(t *testing.T, b *Table, index uint64, c cluster.Command) Result {
 	raw, err := b.Apply(index, c.Body)
 	require.NoError(t, err)
 	a, err := DecodeResult(raw)
@@ -101,68 +101,68 @@
 	return a
 }
 
-// An earlier life may be stopped, not gone: its session goes on until its term is over.
-func TestSecondLifeHasASessionBesideTheFirst(t *testing.T) {
+// An earlier incarnation may be stopped, not gone: its session lasts until its TTL is over.
+func TestTable_SecondIncarnationHasOwnSession(t *testing.T) {
 	b := NewTable()
-	first := do(t, b, 1, OpenSession("m1", 1)).Session
-	assert.Equal(t, first, do(t, b, 2, OpenSession("m1", 1)).Session, "an open that was sent twice")
-	do(t, b, 3, AcquireLeases(first, "conduct"))
-	second := do(t, b, 4, OpenSession("m1", 2)).Session
+	first := mustApply(t, b, 1, OpenSession("m1", 1)).Session
+	assert.Equal(t, first, mustApply(t, b, 2, OpenSession("m1", 1)).Session, "a duplicated open")
+	mustApply(t, b, 3, AcquireLeases(first, "conduct"))
+	second := mustApply(t, b, 4, OpenSession("m1", 2)).Session
 	assert.Equal(t, []cluster.SessionID{first, second}, b.Sessions())
-	assert.ErrorIs(t, do(t, b, 5, AcquireLeases(second, "conduct")).Grants[0].Err(), cluster.ErrAlreadyHeld)
-	do(t, b, 6, EndSession(first))
-	assert.Equal(t, []Grant{{"conduct", 7}}, do(t, b, 7, AcquireLeases(second, "conduct")).Grants)
+	assert.ErrorIs(t, mustApply(t, b, 5, AcquireLeases(second, "conduct")).Grants[0].Err(), cluster.ErrAlreadyHeld)
+	mustApply(t, b, 6, EndSession(first))
+	assert.Equal(t, []Grant{{"conduct", 7}}, mustApply(t, b, 7, AcquireLeases(second, "conduct")).Grants)
 }
 
-// A log that was lost and begun anew must not give out an epoch again.
-func TestEpochsRiseEvenWhereTheIndexFalls(t *testing.T) {
+// A log that was lost and begun anew must not assign an epoch again.
+func TestTable_EpochsRiseWhenIndexFalls(t *testing.T) {
 	b := NewTable()
-	s := do(t, b, 900, OpenSession("m1", 1)).Session
-	e := do(t, b, 901, AcquireLeases(s, "conduct")).Grants[0].Epoch
-	do(t, b, 2, ReleaseLease(s, "conduct", e))
-	assert.Greater(t, do(t, b, 3, AcquireLeases(s, "conduct")).Grants[0].Epoch, e)
-	assert.Greater(t, do(t, b, 4, OpenSession("m2", 1)).Session, s)
+	s := mustApply(t, b, 900, OpenSession("m1", 1)).Session
+	e := mustApply(t, b, 901, AcquireLeases(s, "conduct")).Grants[0].Epoch
+	mustApply(t, b, 2, ReleaseLease(s, "conduct", e))
+	assert.Greater(t, mustApply(t, b, 3, AcquireLeases(s, "conduct")).Grants[0].Epoch, e)
+	assert.Greater(t, mustApply(t, b, 4, OpenSession("m2", 1)).Session, s)
 }
 
-// Another reign has given the session a whole term again: what an earlier one found is void.
-func TestEndFoundInAnEarlierReignIsRefused(t *testing.T) {
+// A later leader epoch has given the session a whole TTL again: an expiry found in an earlier one is void.
+func TestTable_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
 	b := NewTable()
-	earlier := do(t, b, 1, BeginLeaderEpoch()).LeaderEpoch
-	s := do(t, b, 2, OpenSession("m1", 1)).Session
-	now := do(t, b, 3, BeginLeaderEpoch()).LeaderEpoch
+	earlier := mustApply(t, b, 1, BeginLeaderEpoch()).LeaderEpoch
+	s := mustApply(t, b, 2, OpenSession("m1", 1)).Session
+	now := mustApply(t, b, 3, BeginLeaderEpoch()).LeaderEpoch
 	_, err := b.Apply(4, ExpireSession(ExpiredSession{s, earlier}).Body)
 	assert.ErrorIs(t, err, cluster.ErrStale)
-	do(t, b, 5, ExpireSession(ExpiredSession{s, now}))
+	mustApply(t, b, 5, ExpireSession(ExpiredSession{s, now}))
 	_, err = b.Apply(6, ExpireSession(ExpiredSession{s, now}).Body)
 	assert.ErrorIs(t, err, cluster.ErrNotFound)
 }
 
-func TestReleaseByAnEarlierEpochIsRefused(t *testing.T) {
+func TestTable_RejectsReleaseOfEarlierEpoch(t *testing.T) {
 	b := NewTable()
-	s := do(t, b, 1, OpenSession("m1", 1)).Session
-	e := do(t, b, 2, AcquireLeases(s, "conduct")).Grants[0].Epoch
-	do(t, b, 3, ReleaseLease(s, "conduct", e))
+	s := mustApply(t, b, 1, OpenSession("m1", 1)).Session
+	e := mustApply(t, b, 2, AcquireLeases(s, "conduct")).Grants[0].Epoch
+	mustApply(t, b, 3, ReleaseLease(s, "conduct", e))
 	assert.Equal(t, e, b.LastEpoch("conduct"))
-	do(t, b, 4, AcquireLeases(s, "conduct"))
-	_, err := b.Apply(5, ReleaseLease(s, "conduct", e).Body) // doubled on its way
+	mustApply(t, b, 4, AcquireLeases(s, "conduct"))
+	_, err := b.Apply(5, ReleaseLease(s, "conduct", e).Body) // a duplicate
 	assert.ErrorIs(t, err, cluster.ErrFenced)
 	assert.Equal(t, []cluster.Resource{"conduct"}, b.ResourcesOf(s))
 }
 
-func TestSnapshotThatContradictsItselfLeavesTheBook(t *testing.T) {
+func TestTable_RejectsInconsistentSnapshot(t *testing.T) {
 	b := NewTable()
-	do(t, b, 1, OpenSession("m1", 1))
+	mustApply(t, b, 1, OpenSession("m1", 1))
 	before, _ := b.Snapshot()
 	one := sessionImage{1, "m1", 1}
 	for name, image := range map[string]tableImage{
-		"a newer format":         {Format: tableFormat + 1},
-		"above the last index":   {Format: tableFormat, Sessions: []sessionImage{one}},
-		"a session twice":        {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, one}},
-		"a life twice":           {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, {2, "m1", 1}}},
-		"a task of no session":   {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 2, 1}}},
-		"a task without epoch":   {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 0, 0}}},
-		"a task twice":           {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"a", 1, 0}, {"a", 2, 0}}},
-		"a reign above the last": {Format: tableFormat, LastID: 9, LeaderEpoch: 10},
+		"a newer format":                   {Format: tableFormat + 1},
+		"above the last id":                {Format: tableFormat, Sessions: []sessionImage{one}},
+		"a duplicate session":              {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, one}},
+		"a duplicate incarnation":          {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, {2, "m1", 1}}},
+		"a lease of no session":            {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 2, 1}}},
+		"a lease without epoch":            {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 0, 0}}},
+		"a duplicate lease":                {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"a", 1, 0}, {"a", 2, 0}}},
+		"a leader epoch above the last id": {Format: tableFormat, LastID: 9, LeaderEpoch: 10},
 	} {
 		assert.ErrorIs(t, b.Restore(encode(image)), ErrUnreadable, name)
 	}
@@ -178,9 +178,9 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		b := NewTable()
-		do(t, b, 1, BeginLeaderEpoch())
-		do(t, b, 2, OpenSession("m0", 9))
-		do(t, b, 3, AcquireLeases(2, "conduct"))
+		mustApply(t, b, 1, BeginLeaderEpoch())
+		mustApply(t, b, 2, OpenSession("m0", 9))
+		mustApply(t, b, 3, AcquireLeases(2, "conduct"))
 		before, _ := b.Snapshot()
 		raw, err := b.Apply(4, body)
 		after, _ := b.Snapshot()
@@ -191,7 +191,7 @@
 		_, err = DecodeResult(raw)
 		require.NoError(t, err)
 		require.NoError(t, NewTable().Restore(after))
-		_ = b.Restore(body) // whatever it is: refused, or a book that can be told again
+		_ = b.Restore(body) // rejected, or a table that can be encoded again
 		again, err := b.Snapshot()
 		require.NoError(t, err)
 		require.NoError(t, NewTable().Restore(again))
