--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestWaitFollowsTheTwoBands(t *testing.T) {
+func TestDelay_EarlyAndLateBand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := rapid.Float64Range(0.1, 100).Draw(t, "m")
 		i := rapid.IntRange(0, 1<<40).Draw(t, "i")
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestWindowStaysWithinItsShareAndAtOne(t *testing.T) {
+func TestWindow_StaysWithinItsShareAndAtLeastOne(t *testing.T) {
 	window := 1.0
 	for range 200 {
 		window = Grow(window, 1, 128)
--- a/internal/backoff/doc.go
+++ b/internal/backoff/doc.go
@@ -1,5 +1,7 @@
-// Package backoff holds the design's rules for retries: the schedule of waits and the window of calls in
-// flight. The decision module of the dispatcher in service and the serving system's policies both use it.
+// Package backoff holds the design's rules for retries and concurrency: the schedule of retry delays and the window of
+// calls in flight. The webhook dispatcher's policy and the serving system both use it.
 //
-// Source: the schedule is the one of botocore's retries with an early and a late band.
+// Source: the schedule is the one of botocore's retries (exponential backoff with full jitter, capped), with
+// separate jitter for early and late retries; the window is additive increase, multiplicative decrease (Chiu and
+// Jain, "Analysis of the increase and decrease algorithms for congestion avoidance", 1989).
 package backoff
--- a/internal/ctxsleep/sleep.go
+++ b/internal/ctxsleep/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxsleep waits under a context.
+// Package ctxsleep is time.Sleep with a context.
 package ctxsleep
 
 import (
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Sleep waits for a span. It returns false as soon as the context ends, also where it had ended before.
-func Sleep(ctx context.Context, span time.Duration) bool {
-	if span <= 0 || ctx.Err() != nil {
+// Sleep sleeps for a duration. It returns false as soon as the context ends, also if it ended before the call.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/ctxsleep/sleep_test.go
+++ b/internal/ctxsleep/sleep_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestFor(t *testing.T) {
+func TestSleep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at a connection without taking anything from it.
+// Package socket inspects TCP connections without consuming data from them.
 package socket
 
 import (
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Inspect tells whether nothing waits to be read on a connection that is still up, and whether the other side
-// has ended it.
+// Inspect reports, without waiting, whether the connection is open with nothing to read, and whether the other side
+// has closed or reset it.
 func Inspect(c net.Conn) (quiet, ended bool) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -32,8 +32,8 @@
 	return quiet, !quiet && n <= 0
 }
 
-// WaitReadable waits until something can be read, or the other side has ended the connection, and leaves it there.
-// It fails as a read would: when the read deadline has passed, or the connection is closed on this side.
+// WaitReadable waits until data can be read or the other side has closed the connection, and consumes nothing. It
+// fails as a read would: if the read deadline has passed or the connection is closed on this side.
 func WaitReadable(c syscall.Conn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -45,22 +45,23 @@
 	})
 }
 
-// HasUnread tells whether bytes have come that were not read, also while another goroutine waits in a read and
-// when the read deadline has passed.
+// HasUnread reports whether data has arrived that was not read, also while another goroutine waits in a read and after
+// the read deadline.
 func HasUnread(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	n := 0
 	return err == nil && raw.Control(func(fd uintptr) { n, _ = peek(fd) }) == nil && n > 0
 }
 
+// peek reads a byte without consuming it or waiting.
 func peek(fd uintptr) (int, error) {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// HasUnacknowledged tells whether bytes that were sent have not been acknowledged by the other side's machine, also while
-// other goroutines read and write. Bytes that wait here because the other side does not read don't count.
+// HasUnacknowledged reports whether data that was sent has not been acknowledged by the other side's machine, also
+// while other goroutines read and write. Data that waits because the other side does not read doesn't count.
 func HasUnacknowledged(c net.Conn) bool {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnacknowledged: what a peer does not read still reaches its machine, which acknowledges it.
-func TestUnacknowledged(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+// TestHasUnacknowledged: data that a peer does not read still reaches its machine, which acknowledges it.
+func TestHasUnacknowledged(t *testing.T) {
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer listener.Close()
-	c, err := net.Dial("tcp", listener.Addr().String())
+	t.Cleanup(func() { _ = listener.Close() })
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	require.NoError(t, err)
 	assert.False(t, HasUnacknowledged(c), "nothing was sent")
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
@@ -24,7 +24,9 @@
 	require.NoError(t, c.Close())
 	assert.False(t, HasUnacknowledged(c), "closed")
 	one, other := net.Pipe()
-	defer one.Close()
-	defer other.Close()
+	t.Cleanup(func() {
+		_ = one.Close()
+		_ = other.Close()
+	})
 	assert.False(t, HasUnacknowledged(one), "no socket")
 }
