--- /dev/null
+++ b/cluster/raftnode/leadership.go
@@ -0,0 +1,237 @@
+package raftnode
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
+	"rowanlink/webhook/api"
+)
+
+// renewal is a request to renew a session. It waits until a quorum is known to have followed this leader at or after
+// receivedAt.
+type renewal struct {
+	session    cluster.SessionID
+	grantTally lease.Digest // of the grants that the member knows of
+	receivedAt api.Micros
+	result     chan<- renewalResult
+}
+
+// renewalResult is the answer to a renewal. grants are all that the session holds, if the member does not know them.
+type renewalResult struct {
+	outcome renewalOutcome
+	grants  []lease.Grant
+}
+
+type renewalOutcome byte
+
+const (
+	renewalAccepted renewalOutcome = iota
+	renewalSessionEnded
+	renewalNotLeader // this node does not lead, or does not know whether it does
+)
+
+// leadership identifies a time as leader: by raft's term, and by the epoch in the lease table.
+type leadership struct {
+	term  uint64
+	epoch lease.LeaderEpoch
+}
+
+// timerSlack is added to the timer of runLeadership, so that a deadline is over when it fires.
+const timerSlack = time.Millisecond / 2
+
+// runLeadership is the loop that gains and loses the leadership, answers renewals and expires sessions, until the node
+// closes.
+func (n *Node) runLeadership() {
+	defer n.background.Done()
+	var waiting []renewal
+	timer := time.NewTimer(time.Hour)
+	begun := make(chan leadership, 1)
+	leaderSeenAt := n.clock()
+	for {
+		timer.Reset(n.untilNextDeadline())
+		select {
+		case isLeader := <-n.leaderChanges:
+			n.resignLeadership()
+			if isLeader {
+				go n.beginLeadership(begun)
+			}
+		case <-n.staleLeadership:
+			go n.beginLeadership(begun)
+		case l := <-begun:
+			n.assumeLeadership(l)
+		case r := <-n.renewals:
+			waiting = append(waiting, r)
+		case <-n.transport.contacted:
+		case <-timer.C:
+		case <-n.closing:
+			n.resignLeadership()
+			answerAll(waiting, renewalNotLeader)
+			return
+		}
+		waiting = n.answerRenewals(waiting)
+		n.expireSessions()
+		leaderSeenAt = n.monitorLeader(leaderSeenAt)
+	}
+}
+
+// beginLeadership proposes the begin of a leader epoch. Once that entry is applied, so are all that were committed before
+// it.
+func (n *Node) beginLeadership(begun chan<- leadership) {
+	term := n.raft.CurrentTerm()
+	future := n.raft.ApplyLog(newLogEntry(lease.BeginLeaderEpoch()), 0)
+	if future.Error() != nil {
+		return
+	}
+	result, err := lease.DecodeResult(resultOf(future).response)
+	if err != nil {
+		return
+	}
+	select {
+	case begun <- leadership{term, result.LeaderEpoch}:
+	case <-n.closing:
+	}
+}
+
+// assumeLeadership sets each session's deadline and has the node answer requests as leader, unless the leadership ended
+// meanwhile, or ended and began again.
+func (n *Node) assumeLeadership(l leadership) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.raft.CurrentTerm() != l.term || n.raft.State() != raft.Leader || n.haltErr != nil {
+		return
+	}
+	wasLeader := n.leaderTerm != 0
+	n.leaderTerm = l.term
+	sessions := n.leases.Sessions()
+	n.deadlines.StartLeading(n.clock(), l.epoch, sessions)
+	if wasLeader {
+		return
+	}
+	n.LeadershipsGained.Add(1)
+	n.isLeader.Store(1)
+	slog.Info("raft leadership gained", "member", n.self, "leader_epoch", l.epoch,
+		"sessions", len(sessions), "log", n.raft.LastIndex())
+}
+
+func (n *Node) resignLeadership() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.leaderTerm == 0 {
+		return
+	}
+	slog.Info("raft leadership lost", "member", n.self, "term", n.leaderTerm)
+	n.deadlines.StopLeading()
+	n.leaderTerm = 0
+	n.LeadershipsLost.Add(1)
+	n.isLeader.Store(0)
+}
+
+// answerRenewals answers those renewals for which a quorum is known to have followed since they were received, and
+// returns the others.
+func (n *Node) answerRenewals(waiting []renewal) []renewal {
+	if len(waiting) == 0 {
+		return nil
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.leaderTerm == 0 {
+		answerAll(waiting, renewalNotLeader)
+		return nil
+	}
+	contact := n.transport.quorumContact(n.leaderTerm, n.servers(), n.storage.id)
+	stillWaiting, now := waiting[:0], n.clock()
+	for _, r := range waiting {
+		if !contact.HasQuorumSince(r.receivedAt) {
+			stillWaiting = append(stillWaiting, r)
+			continue
+		}
+		r.result <- n.renew(r, now)
+	}
+	return stillWaiting
+}
+
+// renew renews a session that has not expired. The caller holds the lock.
+func (n *Node) renew(r renewal, now api.Micros) renewalResult {
+	if !n.deadlines.Renew(r.session, now) {
+		n.RenewalsRejected.Add(1)
+		return renewalResult{outcome: renewalSessionEnded}
+	}
+	n.RenewalsAccepted.Add(1)
+	result := renewalResult{outcome: renewalAccepted}
+	if n.leases.Digest(r.session) != r.grantTally {
+		result.grants = n.leases.GrantsOf(r.session)
+	}
+	return result
+}
+
+func answerAll(waiting []renewal, outcome renewalOutcome) {
+	for _, r := range waiting {
+		r.result <- renewalResult{outcome: outcome}
+	}
+}
+
+// expireSessions proposes the end of the sessions whose deadline is over.
+func (n *Node) expireSessions() {
+	n.mu.Lock()
+	var expired []lease.ExpiredSession
+	if n.leaderTerm != 0 {
+		expired = n.deadlines.TakeExpired(n.clock())
+	}
+	n.mu.Unlock()
+	if len(expired) > 0 {
+		go n.proposeExpiries(expired) // so that renewals don't wait for the disk
+	}
+}
+
+// proposeExpiries proposes the end of sessions. If it is rejected as stale, the leader begins a new leader epoch.
+func (n *Node) proposeExpiries(expired []lease.ExpiredSession) {
+	var futures []raft.ApplyFuture
+	for _, session := range expired {
+		futures = append(futures, n.raft.ApplyLog(newLogEntry(lease.ExpireSession(session)), n.requestTimeout()))
+	}
+	for _, future := range futures {
+		if future.Error() != nil || !errors.Is(resultOf(future).err, cluster.ErrStale) {
+			continue
+		}
+		select {
+		case n.staleLeadership <- struct{}{}:
+		case <-n.closing:
+		}
+		return
+	}
+}
+
+// monitorLeader reports a quorum loss, once when no leader was known for QuorumLossTimeout and once when one is known
+// again. It returns when a leader was known last.
+func (n *Node) monitorLeader(leaderSeenAt api.Micros) api.Micros {
+	now := n.clock()
+	if _, id := n.raft.LeaderWithID(); id != "" {
+		if n.quorumLost.Swap(0) == 1 {
+			slog.Info("raft quorum restored", "member", n.self, "leader", memberOf(id))
+		}
+		return now
+	}
+	if now-leaderSeenAt > timing.QuorumLossTimeout(n.sessionTTL) && n.quorumLost.Swap(1) == 0 {
+		n.QuorumLosses.Add(1)
+		slog.Warn("raft quorum lost: no lease is granted until a majority of the raft nodes are in contact",
+			"member", n.self)
+	}
+	return leaderSeenAt
+}
+
+// untilNextDeadline returns for how long runLeadership has nothing to do.
+func (n *Node) untilNextDeadline() time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	wait := timing.ReconfigureInterval(n.sessionTTL)
+	if at, isSet := n.deadlines.NextCheckAt(); isSet && n.leaderTerm != 0 {
+		wait = min(wait, max(at-n.clock(), 0))
+	}
+	return toDuration(wait) + timerSlack
+}
--- /dev/null
+++ b/cluster/raftnode/leadership_test.go
@@ -0,0 +1,31 @@
+package raftnode
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/lease"
+)
+
+// A session's end that was decided on in one leader epoch may reach the log in a later one.
+func TestNode_ExpiryOfAnEarlierLeaderEpochChangesNothing(t *testing.T) {
+	n := startLeader(t, t.TempDir())
+	defer func() { _ = n.Close() }()
+	opened, err := lease.DecodeResult(n.apply(t, newLogEntry(lease.OpenSession("a", 7))).response)
+	require.NoError(t, err)
+	// As if another node had begun to lead.
+	begun, err := lease.DecodeResult(n.apply(t, newLogEntry(lease.BeginLeaderEpoch())).response)
+	require.NoError(t, err)
+	expired := lease.ExpiredSession{Session: opened.Session, LeaderEpoch: begun.LeaderEpoch - 1}
+	require.ErrorIs(t, n.apply(t, newLogEntry(lease.ExpireSession(expired))).err, cluster.ErrStale)
+	n.requireSessionEnded(t)
+}
+
+func TestNode_SessionsWithoutRenewalEnd(t *testing.T) {
+	n := startLeader(t, t.TempDir())
+	defer func() { _ = n.Close() }()
+	n.apply(t, newLogEntry(lease.OpenSession("a", 7)))
+	n.requireSessionEnded(t)
+}
--- /dev/null
+++ b/cluster/raftnode/metrics.go
@@ -0,0 +1,77 @@
+package raftnode
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"sync/atomic"
+)
+
+// Metrics count what a node did since its start.
+type Metrics struct {
+	LeadershipsGained atomic.Int64
+	LeadershipsLost   atomic.Int64
+	QuorumLosses      atomic.Int64
+
+	SessionsOpened   atomic.Int64
+	SessionsEnded    atomic.Int64
+	RenewalsAccepted atomic.Int64
+	RenewalsRejected atomic.Int64 // they came after the session had ended
+
+	LeasesGranted  atomic.Int64
+	LeasesReleased atomic.Int64
+
+	Proposals               atomic.Int64
+	ProposalsRejected       atomic.Int64
+	ProposalsOutcomeUnknown atomic.Int64
+
+	Redirects         atomic.Int64 // requests answered with who leads
+	MembershipChanges atomic.Int64
+	Removed           atomic.Int64
+	PartsServed       atomic.Int64
+
+	isLeader   atomic.Int64 // 1 or 0
+	quorumLost atomic.Int64 // 1 or 0
+}
+
+// WriteMetrics writes the metrics in the Prometheus text format. The names are part of the operators' interface. An
+// error of the writer is ignored: it is an HTTP response or a buffer.
+func (n *Node) WriteMetrics(to io.Writer) {
+	for _, metric := range []struct {
+		name  string
+		value int64
+	}{
+		{"keeper_leads_total", n.LeadershipsGained.Load()},
+		{"keeper_leads_no_more_total", n.LeadershipsLost.Load()},
+		{"keeper_no_majority_total", n.QuorumLosses.Load()},
+		{"keeper_leading", n.isLeader.Load()},
+		{"keeper_no_majority", n.quorumLost.Load()},
+		{"sessions_opened_total", n.SessionsOpened.Load()},
+		{"sessions_ended_total", n.SessionsEnded.Load()},
+		{"sessions_renewed_total", n.RenewalsAccepted.Load()},
+		{"sessions_refused_total", n.RenewalsRejected.Load()},
+		{"tasks_granted_total", n.LeasesGranted.Load()},
+		{"tasks_released_total", n.LeasesReleased.Load()},
+		{"proposals_total", n.Proposals.Load()},
+		{"proposals_refused_total", n.ProposalsRejected.Load()},
+		{"proposals_unsure_total", n.ProposalsOutcomeUnknown.Load()},
+		{"keeper_asked_elsewhere_total", n.Redirects.Load()},
+		{"keeper_states_total", n.PartsServed.Load()},
+		{"keeper_joined_total", n.MembershipChanges.Load()},
+		{"keeper_removed_total", n.Removed.Load()},
+		{"keeper_log_index", int64(n.raft.LastIndex())},
+		{"keeper_log_applied", int64(n.raft.AppliedIndex())},
+	} {
+		_, _ = fmt.Fprintf(to, "rowanlink_%s %d\n", metric.name, metric.value)
+	}
+}
+
+// reportEvent counts and logs a change of the leases, at the leader only: all nodes apply the same changes. The caller
+// holds the lock.
+func (n *Node) reportEvent(counter *atomic.Int64, message string, attrs ...any) {
+	if n.leaderTerm == 0 {
+		return
+	}
+	counter.Add(1)
+	slog.Info(message, attrs...)
+}
--- /dev/null
+++ b/cluster/raftnode/node.go
@@ -0,0 +1,230 @@
+// Package raftnode runs one node of the raft group that replicates the cluster's leases, shard map and plans, over
+// github.com/hashicorp/raft. A node stores the log and snapshots, applies entries to the state machine of package fsm,
+// and answers the members' requests: sessions and their renewals, proposals, and polls for newer state. As leader it
+// also expires sessions and keeps the raft configuration at the configured members.
+//
+// docs/cluster.md, "Leases", has the safety argument of renewals.
+package raftnode
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"net"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/timing"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+// Config is what a node needs to start. Addresses are as this member reaches the others.
+type Config struct {
+	ClusterName  string
+	Self         cluster.MemberID
+	StateDir     string                      // LB_STATE: the node uses the folder fleet in it
+	SessionTTL   api.Micros                  // time-outs and intervals derive from it, see package timing
+	Addresses    map[cluster.MemberID]string // raft addresses of all nodes, this one included
+	Client       *transport.Client
+	Clock        func() api.Micros // monotonic
+	Leases       *lease.Table
+	StateMachine *fsm.Machine // replicates Leases and the other components
+}
+
+// Node is one member of the raft group.
+type Node struct {
+	Metrics
+	self            cluster.MemberID
+	sessionTTL      api.Micros
+	clock           func() api.Micros
+	client          *transport.Client
+	storage         *storage
+	streams         *streamLayer
+	transport       *contactTransport
+	raft            *raft.Raft
+	leaderChanges   chan bool
+	renewals        chan renewal
+	closing         chan struct{}
+	staleLeadership chan struct{} // the lease table is at another leader epoch than this leader
+	background      sync.WaitGroup
+
+	mu           sync.Mutex
+	leases       *lease.Table
+	machine      *fsm.Machine
+	deadlines    *lease.ExpiryTracker
+	leaderTerm   uint64             // raft term in which it leads, with all sessions' deadlines set; 0: it does not lead
+	haltErr      error              // why no entry is applied any more
+	restoreErr   error              // why a snapshot could not be restored
+	stateChanged chan struct{}      // closed when a component is newer
+	waiters      int                // on stateChanged
+	members      []cluster.MemberID // configured nodes, sorted
+	joinRequests map[cluster.MemberID]transport.JoinRequest
+	history      map[byte]*fsm.SnapshotHistory // by component
+}
+
+const (
+	leaderChangeBacklog = 16
+	renewalBacklog      = 64
+
+	stateFolder = "fleet"
+)
+
+// Open starts a node that accepts raft connections on a listener, which it closes in the end. An error is one line: a
+// folder that can't be read, or that a newer version of the program has written.
+func Open(config Config, listener net.Listener) (*Node, error) {
+	n := newNode(config)
+	logger := newRaftLogger(toDuration(config.SessionTTL))
+	var err error
+	n.storage, err = openStorage(filepath.Join(config.StateDir, stateFolder), config.Self, logger)
+	if err != nil {
+		_ = listener.Close()
+		return nil, fmt.Errorf("raft node %s: %w", config.Self, err)
+	}
+	rpcTimeout := toDuration(timing.RaftTimingFor(config.SessionTTL).RPCTimeout)
+	n.streams = newStreamLayer(listener, config.ClusterName, n.storage.id, rpcTimeout)
+	n.transport = newContactTransport(newNetworkTransport(n.streams, logger, rpcTimeout), config.Clock)
+	n.setMembers(config.Addresses)
+	if err := n.startRaft(logger); err != nil {
+		err = fmt.Errorf("raft node %s can't start from its folder: %w", config.Self, cmp.Or(n.restoreErr, err))
+		return nil, errors.Join(err, n.transport.Close(), n.storage.log.Close())
+	}
+	slog.Info("raft node started", "server", n.storage.id, "empty", n.storage.empty, "log", n.raft.LastIndex())
+	n.background.Add(2)
+	go n.runLeadership()
+	go n.maintainMembership()
+	return n, nil
+}
+
+func newNode(config Config) *Node {
+	return &Node{
+		self:            config.Self,
+		sessionTTL:      config.SessionTTL,
+		clock:           config.Clock,
+		client:          config.Client,
+		leases:          config.Leases,
+		machine:         config.StateMachine,
+		deadlines:       lease.NewExpiryTracker(config.SessionTTL),
+		leaderChanges:   make(chan bool, leaderChangeBacklog),
+		renewals:        make(chan renewal, renewalBacklog),
+		staleLeadership: make(chan struct{}),
+		closing:         make(chan struct{}),
+		stateChanged:    make(chan struct{}),
+		joinRequests:    map[cluster.MemberID]transport.JoinRequest{},
+		history:         map[byte]*fsm.SnapshotHistory{},
+	}
+}
+
+func newNetworkTransport(streams *streamLayer, logger *raftLogger, timeout time.Duration) *raft.NetworkTransport {
+	return raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		ServerAddressProvider:   streams,
+		Logger:                  logger,
+		Stream:                  streams,
+		MaxPool:                 2,
+		Timeout:                 timeout,
+		MsgpackUseNewTimeFormat: true,
+	})
+}
+
+func (n *Node) startRaft(logger *raftLogger) error {
+	raftTiming := timing.RaftTimingFor(n.sessionTTL)
+	logs, err := raft.NewLogCache(int(raftTiming.TrailingLogs), n.storage.log)
+	if err != nil {
+		return err
+	}
+	stable := retryingStableStore{n.storage.log, toDuration(raftTiming.RPCTimeout), n.closing}
+	config := n.raftConfig(raftTiming, logger)
+	n.raft, err = raft.NewRaft(config, stateMachine{n}, logs, stable, n.storage.snapshots, n.transport)
+	return err
+}
+
+func (n *Node) raftConfig(raftTiming timing.RaftTiming, logger *raftLogger) *raft.Config {
+	config := raft.DefaultConfig()
+	config.LocalID = n.storage.id
+	config.Logger = logger
+	config.NotifyCh = n.leaderChanges
+	config.NoLegacyTelemetry = true
+	config.HeartbeatTimeout = toDuration(raftTiming.HeartbeatTimeout)
+	config.ElectionTimeout = toDuration(raftTiming.HeartbeatTimeout)
+	config.LeaderLeaseTimeout = toDuration(raftTiming.LeaderLeaseTimeout)
+	config.CommitTimeout = toDuration(raftTiming.CommitTimeout)
+	config.SnapshotThreshold = raftTiming.SnapshotThreshold
+	config.TrailingLogs = raftTiming.TrailingLogs
+	config.SnapshotInterval = toDuration(raftTiming.SnapshotInterval)
+	return config
+}
+
+func toDuration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+
+// SetAddresses replaces the raft addresses of all nodes, and with them the members of the group.
+func (n *Node) SetAddresses(addresses map[cluster.MemberID]string) {
+	n.setMembers(addresses)
+	n.transport.CloseStreams() // an address may have been another node's
+}
+
+func (n *Node) setMembers(addresses map[cluster.MemberID]string) {
+	n.streams.setAddresses(maps.Clone(addresses))
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.members = slices.Sorted(maps.Keys(addresses))
+}
+
+// Close transfers the leadership if the node has it, writes a snapshot, and stops the node. It takes no longer than a
+// session TTL.
+func (n *Node) Close() error {
+	third := toDuration(n.sessionTTL / 3)
+	if n.raft.State() == raft.Leader {
+		runWithin(third, func() { _ = n.raft.LeadershipTransfer().Error() }) // raft logs why not
+	}
+	close(n.closing)
+	runWithin(third, func() { _ = n.raft.Snapshot().Error() }) // raft logs why not; the log has the entries
+	shutdown := n.raft.Shutdown()
+	isDone := runWithin(third, func() {
+		_ = shutdown.Error() // it returns none
+		n.background.Wait()
+	})
+	if !isDone {
+		return fmt.Errorf("raft node %s: the log is still in use", n.self) // and stays open
+	}
+	return errors.Join(n.transport.Close(), n.storage.log.Close())
+}
+
+// runWithin runs f in a goroutine and waits for it. It returns false when f takes longer than the time-out; f continues.
+func runWithin(timeout time.Duration, f func()) bool {
+	done := make(chan struct{})
+	go func() {
+		f()
+		close(done)
+	}()
+	select {
+	case <-done:
+		return true
+	case <-time.After(timeout):
+		return false
+	}
+}
+
+// Leader returns the raft leader as far as it is known (else empty), and whether it is this node and it can answer
+// requests.
+func (n *Node) Leader() (leader cluster.MemberID, isSelf bool) {
+	n.mu.Lock()
+	isSelf = n.leaderTerm != 0
+	n.mu.Unlock()
+	if isSelf {
+		return n.self, true
+	}
+	_, id := n.raft.LeaderWithID()
+	return memberOf(id), false
+}
+
+// LastIndex returns the index of the last entry in this node's log.
+func (n *Node) LastIndex() uint64 { return n.raft.LastIndex() }
--- /dev/null
+++ b/cluster/raftnode/state_machine.go
@@ -0,0 +1,205 @@
+package raftnode
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+
+	"github.com/hashicorp/raft"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/fsm"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/transport"
+)
+
+// entryFormat is the version of the log entries. It rises when an older version of the program could not apply an entry.
+// Version 2 added destinations that are placed together.
+const entryFormat = 2
+
+// entryHeader is stored with each entry, beside its command.
+type entryHeader struct {
+	Format int `cbor:"1,keyasint"`
+}
+
+// newLogEntry returns the log entry of a command.
+func newLogEntry(command cluster.Command) raft.Log {
+	return raft.Log{Data: fsm.EncodeCommand(command), Extensions: transport.Encode(entryHeader{entryFormat})}
+}
+
+// applyResult is the result of an entry, at the node that proposed it.
+type applyResult struct {
+	response    []byte
+	err         error
+	sessionLive bool // of OpOpenSession: the session has a deadline
+}
+
+// resultOf returns the result of an entry that was applied. It panics on another type, which Apply never returns.
+func resultOf(future raft.ApplyFuture) applyResult { return future.Response().(applyResult) }
+
+// stateMachine implements raft.FSM: the cluster's replicated state and, beside it, this node's session deadlines.
+type stateMachine struct{ *Node }
+
+var _ raft.FSM = stateMachine{}
+
+var errNewerFormat = errors.New("the log has entries of a newer version of the program")
+
+// Apply applies one entry.
+func (m stateMachine) Apply(entry *raft.Log) any {
+	n := m.Node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var header entryHeader
+	err := transport.Decode(entry.Extensions, &header)
+	if err != nil || header.Format > entryFormat {
+		n.halt(entry.Index, header.Format)
+	}
+	if n.haltErr != nil {
+		return applyResult{err: n.haltErr}
+	}
+	var result applyResult
+	operation := n.captureOperation(entry.Data)
+	result.response, result.err = n.machine.Apply(entry.Index, entry.Data)
+	if result.err == nil {
+		result.sessionLive = n.trackLeases(operation, result.response)
+		n.notifyStateChange()
+	}
+	return result
+}
+
+// halt stops the node from applying entries and writing snapshots, so that a version of the program that can read the
+// entry continues from there. The caller holds the lock.
+func (n *Node) halt(index uint64, format int) {
+	if n.haltErr != nil {
+		return
+	}
+	n.haltErr, n.leaderTerm = errNewerFormat, 0
+	n.deadlines.StopLeading()
+	slog.Error("raft node halted: a log entry is of a newer version of the program",
+		"index", index, "format", format, "supported", entryFormat)
+}
+
+// haltCause returns why the node has halted, or nil.
+func (n *Node) haltCause() error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.haltErr
+}
+
+// leaseOperation is an operation on the leases, with what it is about as it was before.
+type leaseOperation struct {
+	lease.Operation
+	member    cluster.MemberID                   // of the session
+	resources []cluster.Resource                 // held by a session that ends
+	epochs    map[cluster.Resource]cluster.Epoch // last epochs of resources to acquire
+}
+
+// captureOperation decodes a command. For other components than the leases it returns the zero value.
+func (n *Node) captureOperation(raw []byte) leaseOperation {
+	var command cluster.Command
+	var operation leaseOperation
+	if transport.Decode(raw, &command) != nil || command.Component != cluster.LeaseComponent {
+		return leaseOperation{}
+	}
+	if transport.Decode(command.Body, &operation.Operation) != nil {
+		return leaseOperation{}
+	}
+	operation.member = n.leases.MemberOf(operation.Session)
+	operation.epochs = map[cluster.Resource]cluster.Epoch{}
+	switch operation.Kind {
+	case lease.OpEndSession, lease.OpExpireSession:
+		operation.resources = n.leases.ResourcesOf(operation.Session)
+	case lease.OpAcquire:
+		for _, resource := range operation.Resources {
+			operation.epochs[resource] = n.leases.LastEpoch(resource)
+		}
+	}
+	return operation
+}
+
+// trackLeases updates the session deadlines after an operation and reports the change. It returns whether a session that
+// was opened has a deadline.
+func (n *Node) trackLeases(operation leaseOperation, response []byte) (sessionLive bool) {
+	result, err := lease.DecodeResult(response)
+	if operation.Kind == 0 || err != nil {
+		return false
+	}
+	switch operation.Kind {
+	case lease.OpOpenSession:
+		sessionLive = n.deadlines.AddOrRenew(result.Session, n.clock())
+		n.reportEvent(&n.SessionsOpened, "session opened", "member", operation.Member, "session", result.Session)
+	case lease.OpEndSession, lease.OpExpireSession:
+		n.deadlines.Remove(operation.Session)
+		n.reportSessionEnd(operation)
+	case lease.OpAcquire:
+		n.reportGrants(operation, result.Grants)
+	case lease.OpRelease:
+		n.reportEvent(&n.LeasesReleased, "lease released",
+			"task", operation.Resources[0], "epoch", operation.Epoch, "member", operation.member)
+	}
+	return sessionLive
+}
+
+func (n *Node) reportSessionEnd(operation leaseOperation) {
+	n.reportEvent(&n.SessionsEnded, "session ended",
+		"member", operation.member, "session", operation.Session, "tasks", len(operation.resources))
+	for _, resource := range operation.resources {
+		n.reportEvent(&n.LeasesReleased, "lease ended",
+			"task", resource, "epoch", n.leases.LastEpoch(resource), "member", operation.member)
+	}
+}
+
+func (n *Node) reportGrants(operation leaseOperation, grants []lease.Grant) {
+	for _, grant := range grants {
+		if grant.Epoch > operation.epochs[grant.Resource] {
+			n.reportEvent(&n.LeasesGranted, "lease granted", "task", grant.Resource,
+				"epoch", grant.Epoch, "member", operation.member, "session", operation.Session)
+		}
+	}
+}
+
+// Snapshot returns the complete state at this entry.
+func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.haltErr != nil {
+		return nil, m.haltErr
+	}
+	raw, err := m.machine.Snapshot()
+	return encodedSnapshot(raw), err
+}
+
+// maxSnapshotSize bounds a snapshot, in bytes.
+const maxSnapshotSize = 1 << 30
+
+// Restore replaces the state by a snapshot.
+func (m stateMachine) Restore(from io.ReadCloser) error {
+	defer func() { _ = from.Close() }() // it was read completely, or its error counts
+	raw, err := io.ReadAll(io.LimitReader(from, maxSnapshotSize))
+	if err != nil {
+		return err
+	}
+	n := m.Node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if err := n.machine.Restore(raw); err != nil {
+		n.restoreErr = err
+		return err
+	}
+	n.notifyStateChange()
+	return nil
+}
+
+// encodedSnapshot implements raft.FSMSnapshot.
+type encodedSnapshot []byte
+
+// Persist writes the snapshot to disk.
+func (s encodedSnapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		return errors.Join(err, sink.Cancel())
+	}
+	return sink.Close()
+}
+
+// Release does nothing.
+func (s encodedSnapshot) Release() {}
--- /dev/null
+++ b/cluster/raftnode/state_machine_test.go
@@ -0,0 +1,32 @@
+package raftnode
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/transport"
+)
+
+// An entry of a newer version of the program is neither skipped nor covered by a snapshot.
+func TestStateMachine_EntryOfANewerVersionHaltsTheNode(t *testing.T) {
+	stateDir := t.TempDir()
+	n := startLeader(t, stateDir)
+	n.apply(t, newLogEntry(lease.OpenSession("a", 7)))
+	newer := newLogEntry(lease.OpenSession("b", 8))
+	newer.Extensions = transport.Encode(entryHeader{Format: entryFormat + 1})
+	require.ErrorIs(t, n.apply(t, newer).err, errNewerFormat)
+	require.ErrorIs(t, n.apply(t, newLogEntry(lease.OpenSession("c", 9))).err, errNewerFormat)
+	require.Error(t, n.raft.Snapshot().Error())
+	require.NoError(t, n.Close())
+
+	restarted, err := Open(singleNode(t, stateDir))
+	require.NoError(t, err)
+	defer func() { _ = restarted.Close() }()
+	isHalted := func() bool { return restarted.haltCause() != nil }
+	require.Eventually(t, isHalted, waitTimeout, checkInterval)
+	require.Len(t, restarted.leases.Sessions(), 1)
+	_, isSelf := restarted.Leader()
+	require.False(t, isSelf)
+}
--- a/test/integration/chaos/faults.go
+++ b/test/integration/chaos/faults.go
@@ -110,7 +110,7 @@
 
 // moments are what any member's log may say when a fault begins: each step of a lease, a move and a stream.
 // Where it is not said in time, the fault begins all the same.
-var moments = []string{"", "", "keeper leads", "session held", "session over", "lease granted", "task over",
+var moments = []string{"", "", "raft leadership gained", "session held", "session over", "lease granted", "task over",
 	"move planned", "move warms", "move passes", "home let go", "home switched", "move cleared",
 	"homes given anew",
 	"owed handed on", "webhook in doubt", "doubt settled", "stream"}
--- a/test/integration/cluster/faults_test.go
+++ b/test/integration/cluster/faults_test.go
@@ -94,7 +94,7 @@
 	was.Kill()
 	was.Wipe()
 	was.Start()
-	f.AwaitAny(marks, "keeper has its vote")
+	f.AwaitAny(marks, "raft voter added")
 	for _, other := range f.Keepers() {
 		if other != was {
 			other.Kill()
