--- a/serving/member/bench_test.go
+++ b/serving/member/bench_test.go
@@ -8,10 +8,10 @@
 	"rowanlink/serving/gossip"
 )
 
-// BenchmarkQuietSecond plays a quiet second of a large system and reports what one member sends in it.
+// BenchmarkQuietSecond simulates a quiet second of a large system and reports what one member sends in it.
 func BenchmarkQuietSecond(b *testing.B) {
 	const members, endpoints = 410, 600
-	s := started(b, 1, members, threeZones)
+	s := newConvergedSimulation(b, 1, members, threeZones)
 	for i := range endpoints {
 		s.nodes[i%members].node.putLocal(s.now, gossip.Entry{Table: gossip.TableEndpoints,
 			Key: fmt.Sprintf("endpoint-%d", i), Version: gossip.NewVersion(1, 0), Value: make([]byte, 200)})
@@ -32,7 +32,7 @@
 // BenchmarkBusySecond is the same with twenty updates of endpoints a second.
 func BenchmarkBusySecond(b *testing.B) {
 	const members, updates = 410, 20
-	s := started(b, 1, members, threeZones)
+	s := newConvergedSimulation(b, 1, members, threeZones)
 	s.countBytes, s.bytes, s.remoteBytes, s.calls = true, 0, 0, 0
 	seconds := 0
 	for b.Loop() {
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -8,131 +8,129 @@
 	"rowanlink/serving/rpc"
 )
 
-// Bounds of the calls to other members.
+// Limits of the calls to other members.
 const (
 	defaultTimeout  = 400 * time.Millisecond
-	bulkTimeout     = 2 * time.Second // for a call that carries many or long entries
-	bulkThreshold   = 64 << 10
-	maxRoutineCalls = 12 // heartbeats and repairs under way at once
-	maxPushCalls    = 24 // pushes under way at once
-	// pushRetryDelay is when a push that has no answer yet is taken for lost and its entries go another way as well.
+	bulkTimeout     = 2 * time.Second // for a call that carries more than bulkThreshold
+	bulkThreshold   = 64 << 10        // bytes
+	maxRoutineCalls = 12              // concurrent heartbeats and repairs
+	maxPushCalls    = 24              // concurrent pushes
+	// pushRetryDelay is how long a push may have no answer before its entries are sent by another path as well.
 	pushRetryDelay = 200 * time.Millisecond
 )
 
-// caller makes the calls that a node asks for, a bounded number at once.
+// caller makes the calls that the node requests, a bounded number at once. Contexts of its methods end with the service.
 type caller struct {
-	ctx          context.Context
 	client       *rpc.Client
 	service      *Service
 	routineSlots chan struct{}
 	pushSlots    chan struct{}
 }
 
-func newCaller(ctx context.Context, client *rpc.Client, mesh *Service) *caller {
+func newCaller(client *rpc.Client, service *Service) *caller {
 	return &caller{
-		ctx:          ctx,
 		client:       client,
-		service:      mesh,
+		service:      service,
 		routineSlots: make(chan struct{}, maxRoutineCalls),
 		pushSlots:    make(chan struct{}, maxPushCalls),
 	}
 }
 
-// start starts all calls. What finds no free place is given up: heartbeats and repairs come again, and the
-// entries of a push go another way.
-func (c *caller) start(todo pendingCalls) {
-	for _, call := range todo.heartbeats {
-		startIfFree(c.routineSlots, func() { c.sendHeartbeat(call) })
-	}
-	for _, call := range todo.repairs {
-		started := startIfFree(c.routineSlots, func() { c.repair(call) })
+// start starts all calls. A call without a free slot is dropped: heartbeats and repairs recur, and the entries of a push
+// are retried by another path.
+func (c *caller) start(ctx context.Context, calls pendingCalls) {
+	for _, call := range calls.heartbeats {
+		startIfFree(c.routineSlots, func() { c.sendHeartbeat(ctx, call) })
+	}
+	for _, call := range calls.repairs {
+		started := startIfFree(c.routineSlots, func() { c.repair(ctx, call) })
 		if !started && call.seed {
 			c.finishSeedCall(call)
 		}
 	}
-	for _, envelope := range todo.pushes {
-		if !startIfFree(c.pushSlots, func() { c.sendPush(envelope) }) {
+	for _, envelope := range calls.pushes {
+		if !startIfFree(c.pushSlots, func() { c.sendPush(ctx, envelope) }) {
 			c.service.run(func(now time.Time, n *node) { n.engine.Retry(now, envelope) })
 		}
 	}
 }
 
-// startIfFree runs the function in a goroutine if a place is free.
-func startIfFree(places chan struct{}, run func()) bool {
+// startIfFree runs the function in a goroutine if a slot is free, and reports whether one was.
+func startIfFree(slots chan struct{}, run func()) bool {
 	select {
-	case places <- struct{}{}:
+	case slots <- struct{}{}:
 	default:
 		return false
 	}
 	go func() {
-		defer func() { <-places }()
+		defer func() { <-slots }()
 		run()
 	}()
 	return true
 }
 
-// call makes one call with its time-out.
-func call[Request, Response any](c *caller, timeout time.Duration, method rpc.Method[Request, Response],
-	address string, request *Request) (*Response, error) {
-	ctx, cancel := context.WithTimeout(c.ctx, timeout)
+// call makes a call with a time-out.
+func call[Request, Response any](ctx context.Context, c *caller, timeout time.Duration,
+	method rpc.Method[Request, Response], address string, request *Request) (*Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return method.Call(ctx, c.client, address, request)
 }
 
-// sendHeartbeat sends a heartbeat and, where the watcher lacks it, the own entry.
-func (c *caller) sendHeartbeat(beat heartbeatCall) {
-	response, err := call(c, defaultTimeout, heartbeatMethod, beat.to.Address, &beat.request)
+// sendHeartbeat sends a heartbeat and, where the watcher lacks it, the local member's entry.
+func (c *caller) sendHeartbeat(ctx context.Context, heartbeat heartbeatCall) {
+	response, err := call(ctx, c, defaultTimeout, heartbeatMethod, heartbeat.to.Address, &heartbeat.request)
 	if err != nil {
-		if c.ctx.Err() == nil {
-			c.service.run(func(now time.Time, n *node) { n.processHeartbeatFailure(now, beat.to) })
+		if ctx.Err() == nil {
+			c.service.run(func(now time.Time, n *node) { n.processHeartbeatFailure(now, heartbeat.to) })
 		}
 		return
 	}
 	own := query(c.service, func(now time.Time, n *node) *gossip.Entry {
-		return n.processHeartbeatResponse(now, beat.to.Name, response)
+		return n.processHeartbeatResponse(now, heartbeat.to.Name, response)
 	})
 	if own != nil {
 		message := gossip.Message{From: c.service.options.Self.Name, Entries: []gossip.Entry{*own}}
-		_, _ = call(c, defaultTimeout, pushMethod, beat.to.Address, &message) // the next heartbeat tries again
+		_, _ = call(ctx, c, defaultTimeout, pushMethod, heartbeat.to.Address, &message) // repeated after the next heartbeat
 	}
 }
 
-// markUnresponsive has a peer avoided for a while.
-func (c *caller) markUnresponsive(name string) {
-	if c.ctx.Err() != nil || name == "" {
+// markUnresponsive records that a peer didn't answer. A seed, of which only the address is known, has no name.
+func (c *caller) markUnresponsive(ctx context.Context, name string) {
+	if ctx.Err() != nil || name == "" {
 		return
 	}
-	c.service.run(func(now time.Time, n *node) { n.engine.MarkUnresponsive(now, name) })
+	c.service.markUnresponsive(name)
 }
 
-// sendPush sends a message and then those entries that the receiver wants of the ones offered.
-func (c *caller) sendPush(envelope gossip.Envelope) {
+// sendPush sends a message and then those of the offered entries that the receiver requests.
+func (c *caller) sendPush(ctx context.Context, envelope gossip.Envelope) {
 	retry := func() { c.service.run(func(now time.Time, n *node) { n.engine.Retry(now, envelope) }) }
-	late := time.AfterFunc(pushRetryDelay, retry)
-	response, err := call(c, timeoutFor(envelope.Message.Entries), pushMethod, envelope.To.Address, &envelope.Message)
-	early := late.Stop()
+	retryTimer := time.AfterFunc(pushRetryDelay, retry)
+	response, err := call(ctx, c, timeoutFor(envelope.Message.Entries), pushMethod, envelope.To.Address, &envelope.Message)
+	notRetried := retryTimer.Stop()
 	if err == nil && len(response.Missing) > 0 {
-		err = c.sendWanted(envelope, response.Missing)
+		err = c.sendRequested(ctx, envelope, response.Missing)
 	}
 	if err == nil {
 		c.service.run(func(now time.Time, n *node) { n.step(now, func() { n.recordContact(envelope.To.Name) }) })
 		return
 	}
-	c.markUnresponsive(envelope.To.Name)
-	if early && c.ctx.Err() == nil {
+	c.markUnresponsive(ctx, envelope.To.Name)
+	if notRetried && ctx.Err() == nil {
 		retry()
 	}
 }
 
-// sendWanted sends the entries that a receiver wants.
-func (c *caller) sendWanted(envelope gossip.Envelope, wanted []gossip.Header) error {
+// sendRequested sends the entries that a receiver requests.
+func (c *caller) sendRequested(ctx context.Context, envelope gossip.Envelope, requested []gossip.Header) error {
 	message := gossip.Message{From: envelope.Message.From, Relay: envelope.Message.Relay}
-	message.Entries = query(c.service, func(_ time.Time, n *node) []gossip.Entry { return n.engine.CollectEntries(wanted) })
-	_, err := call(c, timeoutFor(message.Entries), pushMethod, envelope.To.Address, &message)
+	message.Entries = query(c.service, func(_ time.Time, n *node) []gossip.Entry { return n.engine.CollectEntries(requested) })
+	_, err := call(ctx, c, timeoutFor(message.Entries), pushMethod, envelope.To.Address, &message)
 	return err
 }
 
-// timeoutFor gives more time to a call that carries much.
+// timeoutFor returns the time-out of a call that carries the entries.
 func timeoutFor(entries []gossip.Entry) time.Duration {
 	bytes := 0
 	for _, entry := range entries {
@@ -144,33 +142,33 @@
 	return defaultTimeout
 }
 
-// repair compares digests with a peer and exchanges what one of both lacks.
-func (c *caller) repair(repair repairCall) {
+// repair compares digests with a peer and exchanges the entries that one of the two lacks.
+func (c *caller) repair(ctx context.Context, repair repairCall) {
 	defer c.finishSeedCall(repair)
-	compared, err := call(c, defaultTimeout, compareMethod, repair.to.Address, &repair.request)
+	compared, err := call(ctx, c, defaultTimeout, compareMethod, repair.to.Address, &repair.request)
 	if err != nil {
-		c.markUnresponsive(repair.to.Name)
+		c.markUnresponsive(ctx, repair.to.Name)
 		return
 	}
-	type second struct {
+	type transfer struct {
 		request transferRequest
 		needed  bool
 	}
-	next := query(c.service, func(now time.Time, n *node) (next second) {
+	next := query(c.service, func(now time.Time, n *node) (next transfer) {
 		next.request, next.needed = n.processCompareResponse(now, repair.to.Name, compared)
 		return next
 	})
 	if !next.needed {
 		return
 	}
-	transferred, err := call(c, bulkTimeout, transferMethod, repair.to.Address, &next.request)
+	transferred, err := call(ctx, c, bulkTimeout, transferMethod, repair.to.Address, &next.request)
 	if err != nil {
 		return
 	}
 	c.service.run(func(now time.Time, n *node) { n.processTransferResponse(now, repair.to.Name, transferred) })
 }
 
-// finishSeedCall tells that a call to a seed is over.
+// finishSeedCall records that a call to a seed has ended.
 func (c *caller) finishSeedCall(repair repairCall) {
 	if repair.seed {
 		c.service.run(func(_ time.Time, n *node) { n.seeds.finish(repair.to.Address) })
--- a/serving/member/codec.go
+++ b/serving/member/entries.go
@@ -10,19 +10,19 @@
 	"rowanlink/serving/state"
 )
 
-// memberEntry is a member's word on itself as it is spread.
+// memberEntry returns a member as a gossip entry.
 func memberEntry(member state.Member) (gossip.Entry, error) {
 	version := gossip.NewVersion(member.Incarnation, member.Sequence)
 	return encode(gossip.TableMembers, member.Name, version, member)
 }
 
-// suspicionEntry is a watcher's word as it is spread.
-func suspicionEntry(word membership.Suspicion) (gossip.Entry, error) {
-	version := gossip.NewVersion(word.WatcherIncarnation, word.Revision)
-	return encode(gossip.TableSuspicions, word.Key(), version, word)
+// suspicionEntry returns a suspicion as a gossip entry.
+func suspicionEntry(suspicion membership.Suspicion) (gossip.Entry, error) {
+	version := gossip.NewVersion(suspicion.WatcherIncarnation, suspicion.Revision)
+	return encode(gossip.TableSuspicions, suspicion.Key(), version, suspicion)
 }
 
-// claimEntry is the word of a duty's holder as it is spread.
+// claimEntry returns a claim of a singleton role as a gossip entry.
 func claimEntry(claim singleton.Claim) (gossip.Entry, error) {
 	return encode(gossip.TableRoleClaims, claim.Role, gossip.NewVersion(claim.Epoch, 0), claim)
 }
@@ -35,18 +35,18 @@
 	return gossip.Entry{Table: table, Key: key, Version: version, Value: data}, nil
 }
 
-// decode reads the value of an entry.
+// decode decodes the value of an entry.
 func decode[Value any](entry gossip.Entry) (value Value, err error) {
 	err = cbor.Unmarshal(entry.Value, &value)
 	return value, errors.Wrapf(err, "decode entry %q", entry.Key)
 }
 
-// endpointState is the part of a state.Endpoint that tells whether it has ended.
+// endpointState is the part of an encoded state.Endpoint that says whether it is gone.
 type endpointState struct {
 	State state.EndpointState `cbor:"7,keyasint"`
 }
 
-// isTombstone tells whether an entry says that its key is gone.
+// isTombstone reports whether an entry says that its key is deleted.
 func isTombstone(entry gossip.Entry) bool {
 	switch entry.Table {
 	case gossip.TableMembers:
@@ -56,8 +56,8 @@
 		endpoint, err := decode[endpointState](entry)
 		return err == nil && endpoint.State == state.EndpointDeparted
 	case gossip.TableSuspicions:
-		word, err := decode[membership.Suspicion](entry)
-		return err == nil && word.Withdrawn
+		suspicion, err := decode[membership.Suspicion](entry)
+		return err == nil && suspicion.Withdrawn
 	default:
 		return false
 	}
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -18,18 +18,18 @@
 
 var fuzzStart = time.Unix(1_000_000, 0)
 
-// fuzzMember is a member's word on itself.
-func fuzzMember(name, zone string) state.Member {
+// newFuzzMember returns a member.
+func newFuzzMember(name, zone string) state.Member {
 	return state.Member{Name: name, Incarnation: 5, Sequence: 1, Role: state.RoleCore, Zone: zone, Region: "r",
 		Address: name + ":1", State: state.MemberReady}
 }
 
-// fuzzNode is a member that knows three others.
-func fuzzNode() *node {
+// newFuzzNode returns the node of a member that knows three others.
+func newFuzzNode() *node {
 	log := zerolog.Nop()
-	n := newNode(fuzzStart, nodeOptions{self: fuzzMember("self", "z1"), random: rand.New(rand.NewPCG(1, 1)), log: &log})
+	n := newNode(fuzzStart, nodeOptions{self: newFuzzMember("self", "z1"), random: rand.New(rand.NewPCG(1, 1)), log: &log})
 	n.step(fuzzStart, func() {
-		for _, member := range []state.Member{fuzzMember("b", "z1"), fuzzMember("c", "z2"), fuzzMember("d", "z3")} {
+		for _, member := range []state.Member{newFuzzMember("b", "z1"), newFuzzMember("c", "z2"), newFuzzMember("d", "z3")} {
 			entry, err := memberEntry(member)
 			if err != nil {
 				panic(err)
@@ -40,31 +40,31 @@
 	return n
 }
 
-// stable checks that a message that was read means the same when it is written and read again.
-func stable[Message any](t *testing.T, read *Message) {
+// requireStableEncoding checks that a decoded message stays the same when it is encoded and decoded decoded.
+func requireStableEncoding[Message any](t *testing.T, message *Message) {
 	t.Helper()
-	written, err := cbor.Marshal(read)
+	written, err := cbor.Marshal(message)
 	require.NoError(t, err)
-	var again Message
-	require.NoError(t, cbor.Unmarshal(written, &again))
-	rewritten, err := cbor.Marshal(again)
+	var decoded Message
+	require.NoError(t, cbor.Unmarshal(written, &decoded))
+	rewritten, err := cbor.Marshal(decoded)
 	require.NoError(t, err)
 	assert.Equal(t, written, rewritten)
 }
 
-// take reads a message of the type and, where that works, has the node answer it.
-func take[Message any](t *testing.T, data []byte, answer func(*Message)) {
+// answerDecoded decodes a message of the type and, where that works, lets the node answer it.
+func answerDecoded[Message any](t *testing.T, data []byte, answer func(*Message)) {
 	var message Message
 	if cbor.Unmarshal(data, &message) != nil {
 		return
 	}
-	stable(t, &message)
+	requireStableEncoding(t, &message)
 	answer(&message)
 }
 
-// checkNode checks that the node works on: it knows itself, its timer runs, and its table's sums are those of what is
-// in them, so that a member to which all is repaired agrees with it.
-func checkNode(t *testing.T, n *node) {
+// requireWorkingNode checks that the node still works: it knows itself, its timer runs, and the checksums of its tables are
+// those of their entries, so that a member that has received all of them agrees with it.
+func requireWorkingNode(t *testing.T, n *node) {
 	self := n.members.Self()
 	assert.Equal(t, "self", self.Name)
 	assert.Equal(t, "z1", self.Zone)
@@ -90,16 +90,16 @@
 	n.acquireRole(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
 }
 
-// FuzzMessages: whatever a member sends, the node answers and works on.
+// FuzzMessages checks that the node answers and still works, whatever a member sends.
 func FuzzMessages(f *testing.F) {
-	entry, err := memberEntry(fuzzMember("e", "z2"))
+	entry, err := memberEntry(newFuzzMember("e", "z2"))
 	require.NoError(f, err)
-	beat := membership.Heartbeat{Name: "b", Incarnation: 5, Sequence: 2}
+	heartbeat := membership.Heartbeat{Name: "b", Incarnation: 5, Sequence: 2}
 	heading := entry.Header()
 	for _, message := range []any{
-		heartbeatRequest{Heartbeat: beat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
+		heartbeatRequest{Heartbeat: heartbeat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
 		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Header{heading}, Relay: []string{"z9"}},
-		compareRequest{Heartbeat: beat, Digests: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
+		compareRequest{Heartbeat: heartbeat, Digests: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
 		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Missing: []gossip.Header{heading}, Ack: membership.HeartbeatAck{RefuteAbove: 9}},
 		heartbeatResponse{Ack: membership.HeartbeatAck{Unknown: true}, DifferingTables: []gossip.TableID{0, 2, 200}},
 		compareResponse{Buckets: []gossip.BucketContents{{Table: 2, Bucket: -1, Headers: []gossip.Header{heading}}}},
@@ -110,24 +110,24 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n := fuzzNode()
-		take(t, data, func(m *heartbeatRequest) { n.answerHeartbeat(fuzzStart, m) })
-		take(t, data, func(m *gossip.Message) { n.answerPush(fuzzStart, *m) })
-		take(t, data, func(m *compareRequest) { n.answerCompare(fuzzStart, m) })
-		take(t, data, func(m *transferRequest) { n.answerTransfer(fuzzStart, m) })
-		take(t, data, func(m *heartbeatResponse) { n.processHeartbeatResponse(fuzzStart, "b", m) })
-		take(t, data, func(m *compareResponse) { n.processCompareResponse(fuzzStart, "b", m) })
-		take(t, data, func(m *transferResponse) { n.processTransferResponse(fuzzStart, "b", m) })
-		take(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Missing) })
-		checkNode(t, n)
+		n := newFuzzNode()
+		answerDecoded(t, data, func(m *heartbeatRequest) { n.answerHeartbeat(fuzzStart, m) })
+		answerDecoded(t, data, func(m *gossip.Message) { n.answerPush(fuzzStart, *m) })
+		answerDecoded(t, data, func(m *compareRequest) { n.answerCompare(fuzzStart, m) })
+		answerDecoded(t, data, func(m *transferRequest) { n.answerTransfer(fuzzStart, m) })
+		answerDecoded(t, data, func(m *heartbeatResponse) { n.processHeartbeatResponse(fuzzStart, "b", m) })
+		answerDecoded(t, data, func(m *compareResponse) { n.processCompareResponse(fuzzStart, "b", m) })
+		answerDecoded(t, data, func(m *transferResponse) { n.processTransferResponse(fuzzStart, "b", m) })
+		answerDecoded(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Missing) })
+		requireWorkingNode(t, n)
 	})
 }
 
-// FuzzEntries: whatever stands in an entry of any table, the node works on.
+// FuzzEntries checks that the node still works, whatever the entries of any table contain.
 func FuzzEntries(f *testing.F) {
-	member, err := memberEntry(fuzzMember("e", "z2"))
+	member, err := memberEntry(newFuzzMember("e", "z2"))
 	require.NoError(f, err)
-	self, err := memberEntry(fuzzMember("self", "z9"))
+	self, err := memberEntry(newFuzzMember("self", "z9"))
 	require.NoError(f, err)
 	word, err := suspicionEntry(membership.Suspicion{Member: "c", Watcher: "self", Revision: 3})
 	require.NoError(f, err)
@@ -138,12 +138,12 @@
 	}
 	f.Add(uint8(gossip.TableEndpoints), "e", uint64(1), uint64(8), []byte{0xa1, 7, 2})
 	f.Fuzz(func(t *testing.T, table uint8, key string, major, minor uint64, value []byte) {
-		n := fuzzNode()
+		n := newFuzzNode()
 		entry := gossip.Entry{Table: gossip.TableID(table), Key: key, Version: gossip.NewVersion(major, minor), Value: value}
 		n.answerPush(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
 		got, known := n.engine.Get(gossip.TableMembers, "self")
 		require.True(t, known)
-		stable(t, &got)
-		checkNode(t, n)
+		requireStableEncoding(t, &got)
+		requireWorkingNode(t, n)
 	})
 }
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -5,14 +5,12 @@
 	"time"
 
 	"rowanlink/serving/actor"
-	"rowanlink/serving/event"
 	"rowanlink/serving/gossip"
-	"rowanlink/serving/singleton"
 )
 
-// loop asks the node what is due whenever its timer or a poke says so.
-func (m *Service) loop(ctx context.Context) {
-	defer close(m.done)
+// loop ticks the node when its timer fires or wakeIfDue wakes it, and starts the calls that are due.
+func (s *Service) loop(ctx context.Context) {
+	defer close(s.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -20,23 +18,22 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-m.wake:
+		case <-s.wake:
 		}
-		todo, ok := actor.Call(m.actor, func(n *node) pendingCalls {
-			now := time.Now()
-			todo := n.tick(now)
-			n.wakeAt = todo.next
-			return todo
+		calls, ok := actor.Call(s.actor, func(n *node) pendingCalls {
+			due := n.tick(time.Now())
+			n.wakeAt = due.next
+			return due
 		})
 		if !ok {
 			return
 		}
-		m.caller.start(todo)
-		timer.Reset(time.Until(todo.next))
+		s.caller.start(ctx, calls)
+		timer.Reset(time.Until(calls.next))
 	}
 }
 
-// all returns the entries of a table.
+// all returns the entries of a table, in no order.
 func (n *node) all(table gossip.TableID) []gossip.Entry {
 	entries := make([]gossip.Entry, 0, n.engine.Len(table))
 	n.engine.All(table, func(entry gossip.Entry) bool {
@@ -45,22 +42,3 @@
 	})
 	return entries
 }
-
-// acquireRole looks up a duty and spreads the own claim where one is made.
-func (n *node) acquireRole(now time.Time, name string, scope singleton.Scope) (holding singleton.Assignment) {
-	n.step(now, func() {
-		var claim *singleton.Claim
-		holding, claim = n.roles.Acquire(now, name, scope, n.members.LiveMembers())
-		if claim == nil {
-			return
-		}
-		entry, err := claimEntry(*claim)
-		if err != nil {
-			event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
-			return
-		}
-		n.engine.PutLocal(now, entry)
-		event.SingletonRoleTaken.Log(n.log).Str("duty", name).Uint64("epoch", claim.Epoch).Send()
-	})
-	return holding
-}
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -1,5 +1,5 @@
-// Package member runs the spread of updates, the membership and the singleton duties of one process: it makes the
-// calls that their engines ask for, answers those of other members and keeps the timer.
+// Package member runs the gossip, the membership and the singleton roles of one process, which makes it a member of the
+// system: it makes the calls that these state machines request, answers those of other members and runs the timer.
 package member
 
 import (
@@ -8,7 +8,7 @@
 	"rowanlink/serving/rpc"
 )
 
-// The calls between members.
+// The calls between members. The procedures have the former name of the package.
 var (
 	heartbeatMethod = rpc.Method[heartbeatRequest, heartbeatResponse]{Procedure: "/rowanlink.mesh.v1/Heartbeat"}
 	pushMethod      = rpc.Method[gossip.Message, pushResponse]{Procedure: "/rowanlink.mesh.v1/Push"}
@@ -16,46 +16,48 @@
 	transferMethod  = rpc.Method[transferRequest, transferResponse]{Procedure: "/rowanlink.mesh.v1/Transfer"}
 )
 
-// heartbeatRequest tells a watcher that the sender lives, and sums up what it knows.
+// heartbeatRequest shows a watcher that the sender is alive, and carries the checksums of its tables.
 type heartbeatRequest struct {
 	Heartbeat membership.Heartbeat `cbor:"1,keyasint"`
 	Summary   gossip.Summary       `cbor:"2,keyasint"`
 }
 
+// heartbeatResponse acknowledges a heartbeat.
 type heartbeatResponse struct {
 	Ack             membership.HeartbeatAck `cbor:"1,keyasint"`
-	DifferingTables []gossip.TableID        `cbor:"2,keyasint,omitempty"` // tables in which the receiver knows other things
+	DifferingTables []gossip.TableID        `cbor:"2,keyasint,omitempty"` // with other checksums at the receiver
 }
 
-// pushResponse acknowledges a message: the receiver has its entries now, or newer ones.
+// pushResponse acknowledges a message: the receiver has stored its entries or has newer ones.
 type pushResponse struct {
-	Missing []gossip.Header `cbor:"1,keyasint,omitempty"` // of the entries offered
+	Missing []gossip.Header `cbor:"1,keyasint,omitempty"` // the offered entries that the receiver requests
 }
 
-// newCompareRequest begins a repair.
+// compareRequest is the first call of a repair.
 type compareRequest struct {
 	Heartbeat membership.Heartbeat `cbor:"1,keyasint"`
 	Digests   []gossip.TableDigest `cbor:"2,keyasint"`
 }
 
-// compareResponse lists what the receiver has in the buckets that differ.
+// compareResponse lists the receiver's entries in the buckets that differ.
 type compareResponse struct {
 	Ack     membership.HeartbeatAck `cbor:"1,keyasint"`
 	Buckets []gossip.BucketContents `cbor:"2,keyasint,omitempty"`
 }
 
-// transferRequest ends a repair: entries that the receiver lacks, and names of those that the sender wants.
+// transferRequest is the second call of a repair. It carries the entries that the receiver lacks and requests those that
+// the sender lacks.
 type transferRequest struct {
 	From    string          `cbor:"1,keyasint"`
 	Entries []gossip.Entry  `cbor:"2,keyasint,omitempty"`
 	Missing []gossip.Header `cbor:"3,keyasint,omitempty"`
-	// Ack tells the receiver, which has just answered, if the sender took it for dead.
+	// Ack tells the receiver, which has just answered, whether it has to refute that it is down.
 	Ack membership.HeartbeatAck `cbor:"4,keyasint"`
-	// Expired names what has expired at the sender, but not at the receiver.
+	// Expired names the entries that have expired at the sender, but not at the receiver.
 	Expired []gossip.Header `cbor:"5,keyasint,omitempty"`
 }
 
-// transferResponse carries what was wanted, and names what has expired at the receiver, but not at the sender.
+// transferResponse carries the requested entries and names those that have expired at the receiver, but not at the sender.
 type transferResponse struct {
 	Entries []gossip.Entry  `cbor:"1,keyasint,omitempty"`
 	Expired []gossip.Header `cbor:"2,keyasint,omitempty"`
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -13,7 +13,7 @@
 	"rowanlink/serving/state"
 )
 
-// node is all that one member knows and decides, without input or output. It belongs to one goroutine.
+// node is the state machine of one member: all that it knows and decides, without I/O. It is not safe for concurrent use.
 type node struct {
 	engine   *gossip.Engine
 	members  *membership.Table
@@ -23,37 +23,37 @@
 	log      *zerolog.Logger
 	schedule schedule
 
-	now             time.Time              // of the step that is being done
-	stalePeers      bool                   // members came or went since the engine was told
-	earlierSelf     *state.Member          // a newer word on the own member than the own
-	staleSuspicions []membership.Suspicion // words of an earlier life that are to be withdrawn
-	selfRefuted     bool                   // the own word was raised and is to be spread
-	wakeAt          time.Time              // when the timer loop asks again
+	now             time.Time              // time of the current step
+	stalePeers      bool                   // the live members have changed since SetPeers
+	earlierSelf     *state.Member          // a newer version of the local member, of an earlier process
+	staleSuspicions []membership.Suspicion // of an earlier incarnation, to be withdrawn
+	selfRefuted     bool                   // the local member's sequence was raised, to be gossiped
+	wakeAt          time.Time              // when the timer loop ticks next
 }
 
-// schedule holds the times of what a node does again and again.
+// schedule holds the due times of a node's periodic actions.
 type schedule struct {
 	heartbeat        time.Time
 	heartbeatCount   uint64
-	retryRemote      bool // a heartbeat to another region was lost: the next ones go there too
+	retryRemote      bool // a heartbeat to another region was lost: the next ones go there without delay
 	downProbe        time.Time
 	suspectZoneProbe time.Time
 	sizeLog          time.Time
 	loggedSize       int
 }
 
-// incarnationJitter keeps two processes that outlive the same earlier life at once from the same incarnation.
+// incarnationJitter keeps two processes that supersede the same earlier incarnation at once from choosing the same one.
 const incarnationJitter = 1 << 16
 
-// nodeOptions says who the member is.
+// nodeOptions configures a node.
 type nodeOptions struct {
 	self   state.Member
-	seeds  []string // addresses for calls between the system's processes
+	seeds  []string // addresses for internal calls
 	random *rand.Rand
 	log    *zerolog.Logger
 }
 
-// newNode makes the node of a member that knows nobody yet.
+// newNode returns the node of a member that knows no other member yet.
 func newNode(now time.Time, options nodeOptions) *node {
 	n := &node{
 		members:    membership.New(now, membership.Options{Self: options.self}),
@@ -80,7 +80,7 @@
 	return n
 }
 
-// memberChanged notes that the engine's peers are to be set anew.
+// memberChanged logs a change of a member and schedules an update of the engine's peers.
 func (n *node) memberChanged(change membership.Change) {
 	n.stalePeers = true
 	kind := event.MemberUp
@@ -90,14 +90,14 @@
 	kind.Log(n.log).Str("member", change.Member.Name).Uint64("incarnation", change.Member.Incarnation).Send()
 }
 
-// step does one thing at a moment and then what follows from it.
-func (n *node) step(now time.Time, do func()) {
+// step executes one action and then finishStep.
+func (n *node) step(now time.Time, action func()) {
 	n.now = now
-	do()
+	action()
 	n.finishStep()
 }
 
-// finishStep does what could not be done while the tables were changing.
+// finishStep does what the tables' listeners have deferred, since the tables must not change while they call.
 func (n *node) finishStep() {
 	if n.earlierSelf != nil {
 		n.supersedeEarlierSelf(*n.earlierSelf)
@@ -109,8 +109,8 @@
 		event.SuspicionRefuted.Log(n.log).Uint64("sequence", n.members.Self().Sequence).Send()
 		n.publishSelf(n.now)
 	}
-	for _, word := range n.staleSuspicions {
-		n.publishSuspicion(n.members.WithdrawSuspicion(word))
+	for _, suspicion := range n.staleSuspicions {
+		n.publishSuspicion(n.members.WithdrawSuspicion(suspicion))
 	}
 	n.staleSuspicions = nil
 	if n.stalePeers {
@@ -119,7 +119,7 @@
 	}
 }
 
-// supersedeEarlierSelf raises the own incarnation above that of an earlier life.
+// supersedeEarlierSelf raises the local incarnation above that of an earlier process with the same name.
 func (n *node) supersedeEarlierSelf(earlier state.Member) {
 	event.IncarnationRaised.Log(n.log).Uint64("earlier", earlier.Incarnation).Send()
 	raised := earlier.Incarnation + 1 + n.random.Uint64N(incarnationJitter)
@@ -127,7 +127,7 @@
 	n.publishSelf(n.now)
 }
 
-// peers returns the live members but the own.
+// peers returns the live members without the local one.
 func (n *node) peers() (peers []gossip.Peer) {
 	for _, member := range n.members.LiveMembers() {
 		if member.Name != n.members.Self().Name {
@@ -141,15 +141,14 @@
 	return gossip.Peer{Name: member.Name, Address: member.Address, Zone: member.Zone, Region: member.Region}
 }
 
-// putLocal takes in an entry of the own process.
-func (n *node) putLocal(now time.Time, entry gossip.Entry) (taken bool) {
-	n.step(now, func() { taken = n.engine.PutLocal(now, entry) })
-	return taken
+// putLocal stores and gossips an entry of the local process.
+func (n *node) putLocal(now time.Time, entry gossip.Entry) {
+	n.step(now, func() { n.engine.PutLocal(now, entry) })
 }
 
-// publishSuspicion spreads an own word as a watcher.
-func (n *node) publishSuspicion(word membership.Suspicion) {
-	entry, err := suspicionEntry(word)
+// publishSuspicion gossips a suspicion or withdrawal of the local member.
+func (n *node) publishSuspicion(suspicion membership.Suspicion) {
+	entry, err := suspicionEntry(suspicion)
 	if err != nil {
 		event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
 		return
@@ -157,7 +156,7 @@
 	n.engine.PutLocal(n.now, entry)
 }
 
-// publishSelf spreads the own member's newest word.
+// publishSelf gossips the newest version of the local member.
 func (n *node) publishSelf(now time.Time) {
 	entry, err := memberEntry(n.members.Self())
 	if err != nil {
@@ -167,7 +166,7 @@
 	n.engine.PutLocal(now, entry)
 }
 
-// updateSelf changes the own member's word and spreads it.
+// updateSelf changes the local member and gossips the new version.
 func (n *node) updateSelf(now time.Time, change func(*state.Member)) {
 	n.step(now, func() {
 		n.members.UpdateSelf(now, change)
@@ -175,7 +174,7 @@
 	})
 }
 
-// mergeMember takes in a member's entry.
+// mergeMember applies a member's entry.
 func (n *node) mergeMember(entry gossip.Entry) {
 	member, err := decode[state.Member](entry)
 	if err != nil || member.Name != entry.Key {
@@ -192,21 +191,21 @@
 	n.members.MergeMember(n.now, member)
 }
 
-// mergeSuspicion takes in a watcher's entry.
+// mergeSuspicion applies a suspicion's entry.
 func (n *node) mergeSuspicion(entry gossip.Entry) {
-	word, err := decode[membership.Suspicion](entry)
+	suspicion, err := decode[membership.Suspicion](entry)
 	if err != nil {
 		event.GossipEntryUnreadable.Log(n.log).Err(err).Str("key", entry.Key).Send()
 		return
 	}
-	if n.members.IsFromEarlierIncarnation(word) {
-		n.staleSuspicions = append(n.staleSuspicions, word)
+	if n.members.IsFromEarlierIncarnation(suspicion) {
+		n.staleSuspicions = append(n.staleSuspicions, suspicion)
 		return
 	}
-	n.members.MergeSuspicion(word)
+	n.members.MergeSuspicion(suspicion)
 }
 
-// mergeClaim takes in the word of a duty's holder.
+// mergeClaim applies the entry of a claim of a singleton role.
 func (n *node) mergeClaim(entry gossip.Entry) {
 	claim, err := decode[singleton.Claim](entry)
 	if err != nil {
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -13,11 +13,11 @@
 	"rowanlink/serving/state"
 )
 
-// sizes are the numbers of members that the simulations are played with.
+// sizes are the numbers of members of the simulations.
 var sizes = []int{10, 60}
 
-// forSizes plays a story with each size and a few seeds.
-func forSizes(t *testing.T, story func(t *testing.T, size int, seed uint64)) {
+// runForSizes runs a scenario with each size and a few seeds.
+func runForSizes(t *testing.T, scenario func(t *testing.T, size int, seed uint64)) {
 	for _, size := range sizes {
 		seeds := uint64(4)
 		if size > 100 {
@@ -26,197 +26,197 @@
 		for seed := range seeds {
 			t.Run(fmt.Sprintf("%d members seed %d", size, seed), func(t *testing.T) {
 				t.Parallel()
-				story(t, size, seed)
+				scenario(t, size, seed)
 			})
 		}
 	}
 }
 
-func TestAllMeetWithinASecond(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
+func TestNode_AllJoinWithinASecond(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newSimulation(t, seed, size, threeZones)
 		s.startAll()
-		took := s.runUntil(time.Second, "the members meet", s.settled)
+		took := s.runUntil(time.Second, "the members meet", s.hasConverged)
 		t.Log("met after", took)
 	})
 }
 
-func TestRecordReachesAllWithinASecond(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
-		s.lost = 0.05
+func TestNode_RecordReachesAllWithinASecond(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
+		s.lossRate = 0.05
 		for revision := uint64(1); revision <= 5; revision++ {
-			s.put(s.nodes[s.random.IntN(size)], revision, 300)
-			took := s.runUntil(time.Second, "the record reaches all", s.allKnow(revision))
+			s.putRecord(s.nodes[s.random.IntN(size)], revision, 300)
+			took := s.runUntil(time.Second, "the record reaches all", s.hasRevisionEverywhere(revision))
 			t.Log("reached all after", took)
 		}
 	})
 }
 
-func TestLongRecordReachesAll(t *testing.T) {
-	s := started(t, 7, 60, threeZones)
+func TestNode_LongRecordReachesAll(t *testing.T) {
+	s := newConvergedSimulation(t, 7, 60, threeZones)
 	s.countBytes = true
 	const size = 100_000
-	s.put(s.nodes[5], 1, size)
-	s.runUntil(time.Second, "the record reaches all", s.allKnow(1))
+	s.putRecord(s.nodes[5], 1, size)
+	s.runUntil(time.Second, "the record reaches all", s.hasRevisionEverywhere(1))
 	assert.Less(t, s.bytes, 2*60*size, "most members get a long value once")
 	assert.Less(t, s.remoteBytes, 5*size, "few copies go to the other region")
 }
 
-// cutBetween blocks all between two zones.
-func cutBetween(one, other string) func(from, to *simNode) bool {
+// partitionBetween blocks all messages between two zones.
+func partitionBetween(one, other string) func(from, to *simNode) bool {
 	return func(from, to *simNode) bool {
 		return from.member.Zone == one && to.member.Zone == other ||
 			from.member.Zone == other && to.member.Zone == one
 	}
 }
 
-func TestThirdZoneBridgesCut(t *testing.T) {
-	for _, cut := range [][2]string{{"a", "b"}, {"a", "c"}, {"b", "c"}} {
-		forSizes(t, func(t *testing.T, size int, seed uint64) {
-			s := started(t, seed, size, threeZones)
-			s.blocked = cutBetween(cut[0], cut[1])
+func TestNode_ThirdZoneBridgesPartition(t *testing.T) {
+	for _, partition := range [][2]string{{"a", "b"}, {"a", "c"}, {"b", "c"}} {
+		runForSizes(t, func(t *testing.T, size int, seed uint64) {
+			s := newConvergedSimulation(t, seed, size, threeZones)
+			s.blocked = partitionBetween(partition[0], partition[1])
 			for revision := uint64(1); revision <= 6; revision++ {
-				origin := s.inZone(cut[0])[int(revision)%3]
-				s.put(origin, revision, 300)
-				took := s.runUntil(time.Second, "the record gets round the cut", s.allKnow(revision))
-				t.Log(cut, "got round after", took)
+				origin := s.inZone(partition[0])[int(revision)%3]
+				s.putRecord(origin, revision, 300)
+				took := s.runUntil(time.Second, "the record is relayed round the partition", s.hasRevisionEverywhere(revision))
+				t.Log(partition, "relayed after", took)
 				s.run(time.Second)
-				assert.True(t, s.settled(), "nobody is down")
+				assert.True(t, s.hasConverged(), "nobody is down")
 			}
 		})
 	}
 }
 
-func TestDeadMembersAreSeenEverywhere(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
+func TestNode_DeadMembersAreDetectedEverywhere(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
 		s.powerOff(s.nodes[4])
-		took := s.runUntil(3*time.Second, "one member is down", s.settled)
+		took := s.runUntil(3*time.Second, "one member is down", s.hasConverged)
 		t.Log("one seen after", took)
 		for _, n := range s.inZone("b") {
 			s.powerOff(n)
 		}
-		took = s.runUntil(4*time.Second, "a zone is down", s.settled)
+		took = s.runUntil(4*time.Second, "a zone is down", s.hasConverged)
 		t.Log("zone seen after", took)
 		for _, n := range s.inZone("a") {
 			s.powerOff(n)
 		}
-		took = s.runUntil(5*time.Second, "the other region is down", s.settled)
+		took = s.runUntil(5*time.Second, "the other region is down", s.hasConverged)
 		t.Log("region seen after", took)
 		for _, n := range s.nodes {
 			if !n.running {
 				s.start(n)
 			}
 		}
-		took = s.runUntil(2*time.Second, "all are back", s.settled)
+		took = s.runUntil(2*time.Second, "all are back", s.hasConverged)
 		t.Log("back after", took)
 	})
 }
 
-// TestZoneCutOffSeesTheOthersDown: both sides of a cut see each other down, the smaller one too.
-func TestZoneCutOffSeesTheOthersDown(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
+// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other as down, the smaller one too.
+func TestNode_PartitionedZoneMarksOthersDown(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
 		s.blocked = func(from, to *simNode) bool {
 			return (from.member.Zone == "b") != (to.member.Zone == "b")
 		}
 		inside, outside := s.inZone("b")[0], s.inZone("a")[0]
-		s.runUntil(4*time.Second, "both sides see the other down", func() bool {
-			return !sees(inside, outside) && !sees(outside, inside)
+		s.runUntil(4*time.Second, "both sides mark the other as down", func() bool {
+			return !isSeenLive(inside, outside) && !isSeenLive(outside, inside)
 		})
 	})
 }
 
-func TestZoneCutOffComesBack(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
+func TestNode_PartitionedZoneRejoins(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
 		s.blocked = func(from, to *simNode) bool {
 			return (from.member.Zone == "b") != (to.member.Zone == "b")
 		}
 		inside, outside := s.inZone("b")[0], s.inZone("a")[0]
-		s.runUntil(4*time.Second, "the majority sees the zone down", func() bool {
-			return !slices.ContainsFunc(s.inZone("b"), func(n *simNode) bool { return sees(outside, n) })
+		s.runUntil(4*time.Second, "the majority marks the zone as down", func() bool {
+			return !slices.ContainsFunc(s.inZone("b"), func(n *simNode) bool { return isSeenLive(outside, n) })
 		})
 		s.run(10 * time.Second)
-		assert.True(t, sees(inside, s.inZone("b")[1]), "inside the zone the members see each other")
-		s.put(outside, 5, 300)
+		assert.True(t, isSeenLive(inside, s.inZone("b")[1]), "inside the zone the members see each other")
+		s.putRecord(outside, 5, 300)
 		s.run(time.Second)
 		s.blocked = func(_, _ *simNode) bool { return false }
-		took := s.runUntil(2*time.Second, "the record crosses the healed cut", s.allKnow(5))
+		took := s.runUntil(2*time.Second, "the record crosses the healed partition", s.hasRevisionEverywhere(5))
 		t.Log("record crossed after", took)
-		took = s.runUntil(3*time.Second, "all see all", s.settled)
+		took = s.runUntil(3*time.Second, "all see all", s.hasConverged)
 		t.Log("settled after further", took)
 	})
 }
 
-func TestLongCutComesBack(t *testing.T) {
-	s := started(t, 3, 10, threeZones)
+func TestNode_RejoinsAfterLongPartition(t *testing.T) {
+	s := newConvergedSimulation(t, 3, 10, threeZones)
 	s.blocked = func(from, to *simNode) bool { return from.member.Region != to.member.Region }
 	s.run(membership.RetentionPeriod + gossip.TombstoneRetention + 10*time.Second)
 	_, known := s.inZone("a")[0].node.members.Member(s.inZone("c")[0].member.Name)
-	assert.False(t, known, "a member that is long down is forgotten")
+	assert.False(t, known, "a member that has long been down is removed")
 	s.blocked = func(_, _ *simNode) bool { return false }
-	s.runUntil(8*time.Second, "all see all", s.settled)
+	s.runUntil(8*time.Second, "all see all", s.hasConverged)
 }
 
-func TestOneWayCut(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
+func TestNode_OneWayPartition(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
 		mute := s.nodes[5]
 		s.blocked = func(from, _ *simNode) bool { return from == mute }
-		s.runUntil(3*time.Second, "a member that can't be heard is down", func() bool {
+		s.runUntil(3*time.Second, "a member that can't send is down", func() bool {
 			for _, n := range s.nodes {
-				if n != mute && sees(n, mute) {
+				if n != mute && isSeenLive(n, mute) {
 					return false
 				}
 			}
 			return true
 		})
 		s.blocked = func(_, _ *simNode) bool { return false }
-		s.runUntil(3*time.Second, "it comes back", s.settled)
+		s.runUntil(3*time.Second, "it comes back", s.hasConverged)
 	})
 }
 
-func TestFrozenMemberComesBack(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
+func TestNode_FrozenMemberRejoins(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
 		frozen := s.nodes[4]
 		s.freeze(frozen, 4*time.Second)
-		s.runUntil(3*time.Second, "it is down", func() bool { return !sees(s.nodes[0], frozen) })
+		s.runUntil(3*time.Second, "it is down", func() bool { return !isSeenLive(s.nodes[0], frozen) })
 		s.run(frozen.frozenUntil.Sub(s.now))
-		took := s.runUntil(3*time.Second, "it is back", s.settled)
+		took := s.runUntil(3*time.Second, "it is back", s.hasConverged)
 		t.Log("back after", took)
 		for range 40 {
 			s.run(50 * time.Millisecond)
-			assert.True(t, s.settled(), "its standstill makes it suspect nobody")
+			assert.True(t, s.hasConverged(), "it suspects nobody after its pause")
 		}
 	})
 }
 
-func TestAllKilledAtOnceMeetAgain(t *testing.T) {
-	forSizes(t, func(t *testing.T, size int, seed uint64) {
-		s := started(t, seed, size, threeZones)
+func TestNode_AllKilledAtOnceRejoin(t *testing.T) {
+	runForSizes(t, func(t *testing.T, size int, seed uint64) {
+		s := newConvergedSimulation(t, seed, size, threeZones)
 		for _, n := range s.nodes {
 			s.kill(n)
 		}
 		s.run(500 * time.Millisecond)
 		s.startAll()
-		took := s.runUntil(time.Second, "all meet again", s.settled)
+		took := s.runUntil(time.Second, "all meet again", s.hasConverged)
 		t.Log("met after", took)
 	})
 }
 
-func TestRestartWithClockThatJumpedBack(t *testing.T) {
-	s := started(t, 1, 10, threeZones)
+func TestNode_RestartAfterClockJumpedBack(t *testing.T) {
+	s := newConvergedSimulation(t, 1, 10, threeZones)
 	n := s.nodes[6]
 	s.kill(n)
 	s.run(100 * time.Millisecond)
 	s.startAs(n, 17)
-	s.runUntil(time.Second, "the new life is known to all", func() bool {
+	s.runUntil(time.Second, "the new incarnation is known to all", func() bool {
 		self := n.node.members.Self()
 		for _, other := range s.nodes {
-			if known, ok := other.node.members.Member(self.Name); !ok || known != self || !sees(other, n) {
+			if known, ok := other.node.members.Member(self.Name); !ok || known != self || !isSeenLive(other, n) {
 				return false
 			}
 		}
@@ -224,8 +224,8 @@
 	})
 }
 
-func TestQuickRestartIsNeverDown(t *testing.T) {
-	s := started(t, 2, 60, threeZones)
+func TestNode_QuickRestartIsNeverDown(t *testing.T) {
+	s := newConvergedSimulation(t, 2, 60, threeZones)
 	n := s.nodes[9]
 	s.kill(n)
 	s.run(500 * time.Millisecond)
@@ -238,16 +238,16 @@
 			}
 		}
 	}
-	assert.True(t, s.settled())
+	assert.True(t, s.hasConverged())
 }
 
-func TestLeavingIsFinal(t *testing.T) {
-	s := started(t, 2, 10, threeZones)
+func TestNode_LeavingIsFinal(t *testing.T) {
+	s := newConvergedSimulation(t, 2, 10, threeZones)
 	n := s.nodes[7]
 	n.node.updateSelf(s.now, func(member *state.Member) { member.State = state.MemberLeft })
 	s.run(time.Second)
 	s.kill(n)
-	assert.True(t, s.settled())
+	assert.True(t, s.hasConverged())
 	assert.Equal(t, 7, s.nodes[0].node.members.CountRecentlyLive(s.now, state.RoleAgent, time.Minute))
 	s.run(2 * time.Minute)
 	assert.Equal(t, 6, s.nodes[0].node.members.CountRecentlyLive(s.now, state.RoleAgent, time.Minute))
@@ -257,29 +257,29 @@
 		assert.Equal(t, s.nodes[0].node.engine.Summary(), other.node.engine.Summary())
 	}
 	s.start(n)
-	s.runUntil(time.Second, "a new life is taken in", s.settled)
+	s.runUntil(time.Second, "a new incarnation is accepted", s.hasConverged)
 }
 
-func TestEachLostWayInTurn(t *testing.T) {
-	base := started(t, 11, 6, threeZones)
-	first := base.callNumber
-	base.put(base.nodes[4], 1, 300)
+func TestNode_EachMessageLostInTurn(t *testing.T) {
+	base := newConvergedSimulation(t, 11, 6, threeZones)
+	first := base.messageNumber
+	base.putRecord(base.nodes[4], 1, 300)
 	base.run(time.Second)
-	last := base.callNumber
+	last := base.messageNumber
 	for lost := first + 1; lost <= last; lost++ {
-		s := started(t, 11, 6, threeZones)
-		s.loseNumber = lost
-		s.put(s.nodes[4], 1, 300)
-		s.runUntil(time.Second, fmt.Sprintf("the record reaches all though way %d is lost", lost), s.allKnow(1))
+		s := newConvergedSimulation(t, 11, 6, threeZones)
+		s.lostMessage = lost
+		s.putRecord(s.nodes[4], 1, 300)
+		s.runUntil(time.Second, fmt.Sprintf("the record reaches all though message %d is lost", lost), s.hasRevisionEverywhere(1))
 		s.run(3 * time.Second)
-		assert.True(t, s.settled(), "one lost way makes nobody down: %d", lost)
+		assert.True(t, s.hasConverged(), "a lost message marks nobody as down: %d", lost)
 	}
 }
 
-// TestAMemberThatCameLateForgetsWithTheOthers: it learned of an end later than they did. They must not find a
-// difference at each heartbeat until it has waited as long as they have.
-func TestAMemberThatCameLateForgetsWithTheOthers(t *testing.T) {
-	s := started(t, 5, 10, threeZones)
+// TestNode_LateMemberExpiresWithOthers checks a member that learns of a departure later than the others. They must not
+// find a difference at each heartbeat until it has retained the departed member as long as they have.
+func TestNode_LateMemberExpiresWithOthers(t *testing.T) {
+	s := newConvergedSimulation(t, 5, 10, threeZones)
 	gone, left, late := s.nodes[8], s.nodes[7], s.nodes[5]
 	s.kill(late)
 	s.powerOff(gone)
--- a/serving/member/delivery.go
+++ b/serving/member/notifier.go
@@ -7,14 +7,14 @@
 	"rowanlink/serving/gossip"
 )
 
-// notifier calls subscribers one at a time outside of the node's goroutine, so that they may use the mesh.
+// notifier calls subscribers one at a time outside of the node's goroutine, so that they may use the service.
 type notifier struct {
 	mutex sync.Mutex
 	queue []notification
 	wake  chan struct{}
 }
 
-// notification is one call of one subscriber.
+// notification is one pending call of a subscriber.
 type notification struct {
 	call  func(gossip.Entry)
 	entry gossip.Entry
@@ -23,29 +23,29 @@
 func newNotifier() *notifier { return &notifier{wake: make(chan struct{}, 1)} }
 
 // add queues a call.
-func (d *notifier) add(call func(gossip.Entry), entry gossip.Entry) {
-	d.mutex.Lock()
-	d.queue = append(d.queue, notification{call: call, entry: entry})
-	d.mutex.Unlock()
+func (n *notifier) add(call func(gossip.Entry), entry gossip.Entry) {
+	n.mutex.Lock()
+	n.queue = append(n.queue, notification{call: call, entry: entry})
+	n.mutex.Unlock()
 	select {
-	case d.wake <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run makes the calls until ctx ends.
-func (d *notifier) run(ctx context.Context) {
+// run calls the subscribers until ctx ends.
+func (n *notifier) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wake:
+		case <-n.wake:
 		}
-		d.mutex.Lock()
-		waiting := d.queue
-		d.queue = nil
-		d.mutex.Unlock()
-		for _, next := range waiting {
+		n.mutex.Lock()
+		pending := n.queue
+		n.queue = nil
+		n.mutex.Unlock()
+		for _, next := range pending {
 			next.call(next.entry)
 		}
 	}
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -10,126 +10,133 @@
 	"rowanlink/serving/membership"
 )
 
-// calmSpan is how long a member and its ways must have been free of trouble for a judgement on it to be checked. It
-// is longer than any patience, so that whatever a trouble hid has been heard again.
-const calmSpan = 6 * time.Second
+// settlePeriod is how long a member and its paths must have been free of faults before a decision about it is checked. It
+// is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
+const settlePeriod = 6 * time.Second
 
-// way is a direction between two zones.
-type way struct{ from, to string }
+// path is one direction between two zones.
+type path struct{ from, to string }
 
-// troubles plays drawn troubles on a simulation and remembers where and when they were.
-type troubles struct {
+// faultRun injects generated faults into a simulation and records where and when they happened.
+type faultRun struct {
 	*simulation
-	draw        *rapid.T
-	revision    uint64
-	cut         map[way]bool
-	nodeTrouble map[*simNode]time.Time
-	wayTrouble  map[way]time.Time
-	lossTrouble time.Time
+	rt            *rapid.T
+	revision      uint64
+	blockedPaths  map[path]bool
+	nodeFaultAt   map[*simNode]time.Time
+	pathFaultAt   map[path]time.Time
+	lossChangedAt time.Time
 }
 
-// newTroubles starts members that all know each other.
-func newTroubles(draw *rapid.T, size int) *troubles {
-	s := started(draw, rapid.Uint64().Draw(draw, "seed"), size, threeZones)
-	p := &troubles{simulation: s, draw: draw, cut: map[way]bool{},
-		nodeTrouble: map[*simNode]time.Time{}, wayTrouble: map[way]time.Time{}}
-	s.blocked = func(from, to *simNode) bool { return p.cut[way{from.member.Zone, to.member.Zone}] }
-	return p
+// newFaultRun returns a run with members that all know each other.
+func newFaultRun(rt *rapid.T, size int) *faultRun {
+	s := newConvergedSimulation(rt, rapid.Uint64().Draw(rt, "seed"), size, threeZones)
+	r := &faultRun{
+		simulation:   s,
+		rt:           rt,
+		blockedPaths: map[path]bool{},
+		nodeFaultAt:  map[*simNode]time.Time{},
+		pathFaultAt:  map[path]time.Time{},
+	}
+	s.blocked = func(from, to *simNode) bool { return r.blockedPaths[path{from.member.Zone, to.member.Zone}] }
+	return r
 }
 
-// pick draws a machine.
-func (p *troubles) pick(label string) *simNode { return rapid.SampledFrom(p.nodes).Draw(p.draw, label) }
+// pickNode generates a machine.
+func (r *faultRun) pickNode(label string) *simNode {
+	return rapid.SampledFrom(r.nodes).Draw(r.rt, label)
+}
 
-// pickWay draws two zones.
-func (p *troubles) pickWay() way {
+// pickPath generates a path.
+func (r *faultRun) pickPath() path {
 	zones := []string{"a", "b", "c"}
-	from := rapid.IntRange(0, 2).Draw(p.draw, "zone")
-	return way{zones[from], zones[(from+rapid.IntRange(1, 2).Draw(p.draw, "other"))%3]}
+	from := rapid.IntRange(0, 2).Draw(r.rt, "zone")
+	return path{zones[from], zones[(from+rapid.IntRange(1, 2).Draw(r.rt, "other"))%3]}
 }
 
-// one plays one drawn trouble.
-func (p *troubles) one() {
-	switch kind := rapid.IntRange(0, 7).Draw(p.draw, "trouble"); kind {
+// injectFault injects one generated fault.
+func (r *faultRun) injectFault() {
+	switch kind := rapid.IntRange(0, 7).Draw(r.rt, "trouble"); kind {
 	case 0:
-		n := p.pick("kill")
-		p.kill(n)
-		p.nodeTrouble[n] = p.now
+		n := r.pickNode("kill")
+		r.kill(n)
+		r.nodeFaultAt[n] = r.now
 	case 1:
-		n := p.pick("power off")
-		p.powerOff(n)
-		p.nodeTrouble[n] = p.now
+		n := r.pickNode("power off")
+		r.powerOff(n)
+		r.nodeFaultAt[n] = r.now
 	case 2:
-		p.restart(p.pick("start"))
+		r.restart(r.pickNode("start"))
 	case 3:
-		n := p.pick("freeze")
-		span := time.Duration(rapid.IntRange(100, 5000).Draw(p.draw, "ms")) * time.Millisecond
-		p.freeze(n, span)
-		p.nodeTrouble[n] = p.now.Add(span)
+		n := r.pickNode("freeze")
+		span := time.Duration(rapid.IntRange(100, 5000).Draw(r.rt, "ms")) * time.Millisecond
+		r.freeze(n, span)
+		r.nodeFaultAt[n] = r.now.Add(span)
 	case 4:
-		w := p.pickWay()
-		p.setCut(w, true)
-		if rapid.Bool().Draw(p.draw, "both ways") {
-			p.setCut(way{w.to, w.from}, true)
+		w := r.pickPath()
+		r.setBlocked(w, true)
+		if rapid.Bool().Draw(r.rt, "both ways") {
+			r.setBlocked(path{w.to, w.from}, true)
 		}
 	case 5:
-		w := p.pickWay()
-		p.setCut(w, false)
-		p.setCut(way{w.to, w.from}, false)
+		w := r.pickPath()
+		r.setBlocked(w, false)
+		r.setBlocked(path{w.to, w.from}, false)
 	case 6:
-		p.putNewest()
+		r.putNewest()
 	case 7:
-		p.lost = rapid.Float64Range(0, 0.1).Draw(p.draw, "lost")
-		p.lossTrouble = p.now
+		r.lossRate = rapid.Float64Range(0, 0.1).Draw(r.rt, "lost")
+		r.lossChangedAt = r.now
 	}
 }
 
-func (p *troubles) setCut(w way, cut bool) {
-	p.cut[w] = cut
-	p.wayTrouble[w] = p.now
+func (r *faultRun) setBlocked(w path, cut bool) {
+	r.blockedPaths[w] = cut
+	r.pathFaultAt[w] = r.now
 }
 
-func (p *troubles) restart(n *simNode) {
+func (r *faultRun) restart(n *simNode) {
 	if !n.running {
-		p.start(n)
-		p.nodeTrouble[n] = p.now
+		r.start(n)
+		r.nodeFaultAt[n] = r.now
 	}
 }
 
-// putNewest has a running machine take in a newer record.
-func (p *troubles) putNewest() {
-	if running := p.runningNodes(); len(running) > 0 {
-		p.revision++
-		p.put(running[p.random.IntN(len(running))], p.revision, 200)
+// putNewest puts a newer record into a running machine.
+func (r *faultRun) putNewest() {
+	if running := r.runningNodes(); len(running) > 0 {
+		r.revision++
+		r.putRecord(running[r.random.IntN(len(running))], r.revision, 200)
 	}
 }
 
-// endAll ends all troubles.
-func (p *troubles) endAll() {
-	p.lost = 0
-	clear(p.cut)
-	for _, n := range p.nodes {
-		p.restart(n)
+// repairAll ends all faults.
+func (r *faultRun) repairAll() {
+	r.lossRate = 0
+	clear(r.blockedPaths)
+	for _, n := range r.nodes {
+		r.restart(n)
 	}
-	p.putNewest()
+	r.putNewest()
 }
 
-// calm tells whether two machines have long been able to reach each other.
-func (p *troubles) calm(x, y *simNode) bool {
+// isHealthyBetween reports whether two machines have been able to reach each other for settlePeriod.
+func (r *faultRun) isHealthyBetween(x, y *simNode) bool {
 	for _, n := range []*simNode{x, y} {
-		if !n.running || p.now.Sub(p.nodeTrouble[n]) < calmSpan {
+		if !n.running || r.now.Sub(r.nodeFaultAt[n]) < settlePeriod {
 			return false
 		}
 	}
-	for _, w := range []way{{x.member.Zone, y.member.Zone}, {y.member.Zone, x.member.Zone}} {
-		if p.cut[w] || p.now.Sub(p.wayTrouble[w]) < calmSpan {
+	for _, w := range []path{{x.member.Zone, y.member.Zone}, {y.member.Zone, x.member.Zone}} {
+		if r.blockedPaths[w] || r.now.Sub(r.pathFaultAt[w]) < settlePeriod {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *troubles) byName(name string) *simNode {
-	for _, n := range p.nodes {
+func (r *faultRun) byName(name string) *simNode {
+	for _, n := range r.nodes {
 		if n.member.Name == name {
 			return n
 		}
@@ -137,35 +144,35 @@
 	return nil
 }
 
-// checkNoneWronglyDown looks for members that are held down though most watchers, whoever they are in anybody's
-// view, can hear them and the holder can hear those.
-func (p *troubles) checkNoneWronglyDown() {
-	if p.lost > 0 || p.now.Sub(p.lossTrouble) < calmSpan {
+// checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's watchers
+// receive its heartbeats and the observer receives the watchers' messages.
+func (r *faultRun) checkNoneWronglyDown() {
+	if r.lossRate > 0 || r.now.Sub(r.lossChangedAt) < settlePeriod {
 		return
 	}
-	for _, holder := range p.nodes {
-		if !holder.running || p.now.Sub(p.nodeTrouble[holder]) < calmSpan {
+	for _, observer := range r.nodes {
+		if !observer.running || r.now.Sub(r.nodeFaultAt[observer]) < settlePeriod {
 			continue
 		}
-		for _, member := range holder.node.members.DownMembers() {
-			x := p.byName(member.Name)
-			hearing, watchers := 0, holder.node.members.Watchers(member.Name)
+		for _, member := range observer.node.members.DownMembers() {
+			x := r.byName(member.Name)
+			receiving, watchers := 0, observer.node.members.Watchers(member.Name)
 			for _, watcher := range watchers {
-				w := p.byName(watcher.Name)
-				if p.calm(x, w) && (w == holder || p.calm(w, holder)) {
-					hearing++
+				w := r.byName(watcher.Name)
+				if r.isHealthyBetween(x, w) && (w == observer || r.isHealthyBetween(w, observer)) {
+					receiving++
 				}
 			}
-			if 2*hearing > len(watchers) {
-				p.draw.Fatalf("%s holds %s down though %d watchers hear it", holder.member.Name, member.Name, hearing)
+			if 2*receiving > len(watchers) {
+				r.rt.Fatalf("%s has %s marked as down though %d watchers receive its heartbeats", observer.member.Name, member.Name, receiving)
 			}
 		}
 	}
 }
 
-// equal tells whether all running members know the same.
-func (p *troubles) equal() bool {
-	running := p.runningNodes()
+// hasEqualTables reports whether all running members have equal tables.
+func (r *faultRun) hasEqualTables() bool {
+	running := r.runningNodes()
 	for _, n := range running {
 		if !equalSummaries(n.node.engine.Summary(), running[0].node.engine.Summary()) {
 			return false
@@ -183,27 +190,29 @@
 	return true
 }
 
-func TestTroublesEnd(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) {
-		p := newTroubles(draw, rapid.IntRange(2, 14).Draw(draw, "size"))
-		for range rapid.IntRange(1, 12).Draw(draw, "troubles") {
-			p.one()
-			pause := time.Duration(rapid.IntRange(0, 4000).Draw(draw, "pause ms")) * time.Millisecond
-			for end := p.now.Add(pause); p.now.Before(end); {
-				p.run(min(200*time.Millisecond, end.Sub(p.now)))
-				p.checkNoneWronglyDown()
+// TestMembers_RecoverFromFaults injects generated faults. None lets a healthy member be marked as down, and once all are
+// over, all members converge.
+func TestMembers_RecoverFromFaults(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		r := newFaultRun(rt, rapid.IntRange(2, 14).Draw(rt, "size"))
+		for range rapid.IntRange(1, 12).Draw(rt, "troubles") {
+			r.injectFault()
+			pause := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause ms")) * time.Millisecond
+			for end := r.now.Add(pause); r.now.Before(end); {
+				r.run(min(200*time.Millisecond, end.Sub(r.now)))
+				r.checkNoneWronglyDown()
 			}
 		}
-		p.endAll()
+		r.repairAll()
 		frozen := time.Duration(0)
-		for _, n := range p.nodes {
-			frozen = max(frozen, n.frozenUntil.Sub(p.now))
+		for _, n := range r.nodes {
+			frozen = max(frozen, n.frozenUntil.Sub(r.now))
 		}
-		p.run(frozen)
-		p.runUntil(5*time.Second, "all see all", p.settled)
-		p.runUntil(2*time.Second, "the newest record is everywhere", p.allKnow(p.revision))
-		p.runUntil(3*time.Second, "all know the same", p.equal)
-		p.run(2 * membership.SuspicionTimeout)
-		require.True(draw, p.settled(), "calm lasts")
+		r.run(frozen)
+		r.runUntil(5*time.Second, "all see all", r.hasConverged)
+		r.runUntil(2*time.Second, "the newest record is everywhere", r.hasRevisionEverywhere(r.revision))
+		r.runUntil(3*time.Second, "all know the same", r.hasEqualTables)
+		r.run(2 * membership.SuspicionTimeout)
+		require.True(rt, r.hasConverged(), "converged for good")
 	})
 }
--- a/serving/member/replicate.go
+++ b/serving/member/replication.go
@@ -11,15 +11,15 @@
 	"rowanlink/serving/state"
 )
 
-// hedgeDelay is how long a copy may be under way before one more member is asked.
+// hedgeDelay is how long replication waits for acknowledgements before it sends the entry to one more member.
 const hedgeDelay = 120 * time.Millisecond
 
-// PutReplicated takes in an entry, spreads it and returns once so many other members, of those at the addresses where
-// any are given, have acknowledged that they have it; core members are asked first. It fails with errcode.TooFewMembers where not so many are live, and with
-// errcode.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
-// any case.
-func (m *Service) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
-	targets := query(m, func(now time.Time, n *node) []gossip.Peer {
+// PutReplicated stores and gossips an entry, sends it to other live members at once, to core members first, and returns
+// when as many as copies have acknowledged that they have stored it. Only members at the addresses count, where any are
+// given. It fails with errcode.TooFewMembers where fewer are live, and with errcode.NotAcknowledged where too few have
+// acknowledged before ctx ended or all have been tried. The entry is gossiped in any case.
+func (s *Service) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
+	targets := query(s, func(now time.Time, n *node) []gossip.Peer {
 		n.putLocal(now, entry)
 		return n.replicaTargets(addresses)
 	})
@@ -28,15 +28,15 @@
 	}
 	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
-	round := replication{service: m, entry: entry, targets: targets, results: make(chan error, len(targets))}
+	pending := replication{service: s, entry: entry, targets: targets, results: make(chan error, len(targets))}
 	for range copies {
-		round.sendToNext(calling)
+		pending.sendToNext(calling)
 	}
-	return round.wait(calling, copies)
+	return pending.wait(calling, copies)
 }
 
-// replicaTargets returns the other live members, of those at the addresses where any are given: core members before
-// others, those of the own region first.
+// replicaTargets returns the other live members, only those at the addresses where any are given: core members before
+// others, and those of the local region first. Members that are avoided come last.
 func (n *node) replicaTargets(addresses []string) []gossip.Peer {
 	self := n.members.Self()
 	live := slices.Clone(n.members.LiveMembers())
@@ -65,16 +65,16 @@
 	return append(targets, avoided...)
 }
 
-// replication is one entry on its way to a number of members.
+// replication sends one entry to a number of members.
 type replication struct {
 	service  *Service
 	entry    gossip.Entry
-	targets  []gossip.Peer // not asked yet
+	targets  []gossip.Peer // not sent to yet
 	results  chan error
 	inFlight int
 }
 
-// sendToNext sends the entry to the next member; false where none is left.
+// sendToNext sends the entry to the next target; false where none is left.
 func (r *replication) sendToNext(ctx context.Context) bool {
 	if len(r.targets) == 0 {
 		return false
@@ -88,14 +88,14 @@
 		defer cancel()
 		_, err := pushMethod.Call(bounded, r.service.options.Client, target.Address, &message)
 		if err != nil && ctx.Err() == nil {
-			r.service.caller.markUnresponsive(target.Name)
+			r.service.markUnresponsive(target.Name)
 		}
 		r.results <- err
 	}()
 	return true
 }
 
-// wait counts acknowledgements and asks more members for those that fail or are late.
+// wait waits for the acknowledgements and sends the entry to a further target for each one that fails or is late.
 func (r *replication) wait(ctx context.Context, copies int) error {
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
--- a/serving/member/replicate_test.go
+++ b/serving/member/replication_test.go
@@ -21,7 +21,7 @@
 	"rowanlink/serving/state"
 )
 
-// fault is what a fake member does with a push.
+// fault is how a fake member answers a push.
 type fault int
 
 const (
@@ -30,34 +30,34 @@
 	hangs
 )
 
-// fakeMembers are members that only take pushes.
-type fakeMembers struct{ mesh *Service }
+// fakeMembers are members that answer pushes alone, and a service that knows them.
+type fakeMembers struct{ service *Service }
 
-// newFakeMembers makes a mesh that knows one core member for each fault. Their ranks are drawn.
+// newFakeMembers starts a service that knows one core member for each fault, in random order.
 func newFakeMembers(t *testing.T, faults ...fault) *fakeMembers {
 	t.Helper()
 	log := zerolog.Nop()
 	client := rpc.NewClient()
 	options := Options{Settings: &settings.Process{IP: "127.0.0.1", FirstPort: 1}, Client: client, Log: &log,
 		Self: state.Member{Name: "self", Role: state.RoleAgent, Zone: "z", Region: "r"}, Mux: http.NewServeMux()}
-	mesh, err := Start(context.Background(), options)
+	service, err := Start(context.Background(), options)
 	require.NoError(t, err)
-	fakes := &fakeMembers{mesh: mesh}
+	fakes := &fakeMembers{service: service}
 	for i, kind := range faults {
 		server := httptest.NewServer(servePushes(kind))
 		t.Cleanup(server.Close)
 		member := state.Member{Name: fmt.Sprintf("fake%d", i), Incarnation: 1, Role: state.RoleCore, Zone: "z",
 			Region: "r", Address: strings.TrimPrefix(server.URL, "http://")}
-		query(mesh, func(now time.Time, n *node) bool { return n.members.MergeMember(now, member) })
+		query(service, func(now time.Time, n *node) bool { return n.members.MergeMember(now, member) })
 	}
 	t.Cleanup(func() {
-		mesh.Close()
+		service.Close()
 		client.Close()
 	})
 	return fakes
 }
 
-// servePushes answers pushes.
+// servePushes returns a handler of pushes with the fault.
 func servePushes(kind fault) http.Handler {
 	mux := http.NewServeMux()
 	pushMethod.Serve(mux, func(ctx context.Context, _ *gossip.Message) (*pushResponse, error) {
@@ -76,8 +76,8 @@
 
 var replicated = gossip.Entry{Table: gossip.TableEndpoints, Key: "e", Version: gossip.NewVersion(1, 0)}
 
-// TestReplicationGetsRoundEachFault puts each fault at each of four members in turn, and at two at a time.
-func TestReplicationGetsRoundEachFault(t *testing.T) {
+// TestPutReplicated_WithFaultyMembers injects each fault into each of four members in turn, and into two at a time.
+func TestPutReplicated_WithFaultyMembers(t *testing.T) {
 	for _, kind := range []fault{fails, hangs} {
 		for first := range 4 {
 			for second := first; second < 4; second++ {
@@ -87,62 +87,62 @@
 					fakes := newFakeMembers(t, faults...)
 					ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 					defer cancel()
-					require.NoError(t, fakes.mesh.PutReplicated(ctx, replicated, nil, 2))
+					require.NoError(t, fakes.service.PutReplicated(ctx, replicated, nil, 2))
 				})
 			}
 		}
 	}
 }
 
-func TestReplicationTellsWhenTooFewAcknowledge(t *testing.T) {
+func TestPutReplicated_TooFewAcknowledgements(t *testing.T) {
 	fakes := newFakeMembers(t, acknowledges, fails, fails)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	assert.True(t, errcode.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 2)))
-	assert.True(t, errcode.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 4)))
-	_, found := fakes.mesh.Get(gossip.TableEndpoints, "e")
-	assert.True(t, found, "it is spread all the same")
+	assert.True(t, errcode.NotAcknowledged.Is(fakes.service.PutReplicated(ctx, replicated, nil, 2)))
+	assert.True(t, errcode.TooFewMembers.Is(fakes.service.PutReplicated(ctx, replicated, nil, 4)))
+	_, found := fakes.service.Get(gossip.TableEndpoints, "e")
+	assert.True(t, found, "it is gossiped all the same")
 }
 
-// Copies count at the members that were named alone.
-func TestReplicationAsksTheNamedMembers(t *testing.T) {
+// TestPutReplicated_ToNamedMembers checks that only acknowledgements of the named members count.
+func TestPutReplicated_ToNamedMembers(t *testing.T) {
 	fakes := newFakeMembers(t, acknowledges, fails, acknowledges)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	addresses := map[string]string{}
-	for _, member := range fakes.mesh.Members() {
+	for _, member := range fakes.service.Members() {
 		addresses[member.Name] = member.Address
 	}
 	var others []string
 	for name, address := range addresses {
-		if name != fakes.mesh.Self().Name {
+		if name != fakes.service.Self().Name {
 			others = append(others, address)
 		}
 	}
 	require.Len(t, others, 3)
-	require.NoError(t, fakes.mesh.PutReplicated(ctx, replicated, others, 2))
+	require.NoError(t, fakes.service.PutReplicated(ctx, replicated, others, 2))
 	for _, address := range others {
 		only := []string{address}
-		assert.True(t, errcode.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, only, 2)))
+		assert.True(t, errcode.TooFewMembers.Is(fakes.service.PutReplicated(ctx, replicated, only, 2)))
 	}
-	assert.True(t, errcode.TooFewMembers.Is(fakes.mesh.PutReplicated(ctx, replicated, []string{"elsewhere:1"}, 1)))
+	assert.True(t, errcode.TooFewMembers.Is(fakes.service.PutReplicated(ctx, replicated, []string{"elsewhere:1"}, 1)))
 }
 
-func TestReplicationEndsWithItsContext(t *testing.T) {
+func TestPutReplicated_EndsWithContext(t *testing.T) {
 	fakes := newFakeMembers(t, hangs, hangs)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.True(t, errcode.NotAcknowledged.Is(fakes.mesh.PutReplicated(ctx, replicated, nil, 1)))
+	assert.True(t, errcode.NotAcknowledged.Is(fakes.service.PutReplicated(ctx, replicated, nil, 1)))
 }
 
-func TestNothingHangsAfterClose(t *testing.T) {
+func TestService_DoesNotBlockAfterClose(t *testing.T) {
 	fakes := newFakeMembers(t, acknowledges)
-	fakes.mesh.Close()
-	fakes.mesh.Put(replicated)
-	assert.Empty(t, fakes.mesh.Members())
-	_, found := fakes.mesh.Get(gossip.TableEndpoints, "e")
+	fakes.service.Close()
+	fakes.service.Put(replicated)
+	assert.Empty(t, fakes.service.Members())
+	_, found := fakes.service.Get(gossip.TableEndpoints, "e")
 	assert.False(t, found)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	assert.Error(t, fakes.mesh.PutReplicated(ctx, replicated, nil, 1))
+	assert.Error(t, fakes.service.PutReplicated(ctx, replicated, nil, 1))
 }
--- /dev/null
+++ b/serving/member/responses.go
@@ -0,0 +1,73 @@
+package member
+
+import (
+	"time"
+
+	"rowanlink/serving/gossip"
+	"rowanlink/serving/membership"
+)
+
+// processAck applies the answer to a heartbeat, or to what stands for one. It returns the local member's entry where
+// the other member lacks it.
+func (n *node) processAck(now time.Time, ack membership.HeartbeatAck) (own *gossip.Entry) {
+	n.step(now, func() {
+		if ack.RefuteAbove == 0 {
+			return
+		}
+		if _, refuted := n.members.Refute(now, ack.RefuteAbove); refuted {
+			n.selfRefuted = true
+		}
+	})
+	if !ack.Unknown && ack.RefuteAbove == 0 {
+		return nil
+	}
+	entry, err := memberEntry(n.members.Self())
+	if err != nil {
+		return nil
+	}
+	return &entry
+}
+
+// processHeartbeatResponse applies a watcher's answer to a heartbeat. It returns the local member's entry where the
+// watcher lacks it.
+func (n *node) processHeartbeatResponse(now time.Time, from string, response *heartbeatResponse) (own *gossip.Entry) {
+	n.step(now, func() { n.recordContact(from) })
+	n.engine.RecordDifference(now, from, response.DifferingTables)
+	return n.processAck(now, response.Ack)
+}
+
+// processHeartbeatFailure records that a heartbeat had no answer.
+func (n *node) processHeartbeatFailure(now time.Time, to gossip.Peer) {
+	n.engine.MarkUnresponsive(now, to.Name)
+	if to.Region != n.members.Self().Region {
+		n.schedule.retryRemote = true
+	}
+}
+
+// processCompareResponse applies the answer to the first call of a repair and returns the second call, if one is needed.
+func (n *node) processCompareResponse(now time.Time, from string,
+	response *compareResponse) (request transferRequest, needed bool) {
+	n.step(now, func() { n.recordContact(from) })
+	own := n.processAck(now, response.Ack)
+	comparison := n.engine.CompareBuckets(response.Buckets)
+	request = transferRequest{
+		From:    n.members.Self().Name,
+		Entries: comparison.Send,
+		Missing: comparison.Missing,
+		Ack:     n.members.DownNotice(from),
+		Expired: comparison.Expired,
+	}
+	if own != nil && len(response.Buckets) == 0 {
+		request.Entries = append(request.Entries, *own)
+	}
+	transfers := len(request.Entries) + len(request.Missing) + len(request.Expired)
+	return request, transfers > 0 || request.Ack.RefuteAbove > 0
+}
+
+// processTransferResponse applies the answer to the second call of a repair.
+func (n *node) processTransferResponse(now time.Time, from string, response *transferResponse) {
+	n.step(now, func() {
+		n.engine.Receive(now, gossip.Message{From: from, Entries: response.Entries})
+		n.expireEntries(response.Expired)
+	})
+}
--- /dev/null
+++ b/serving/member/roles.go
@@ -0,0 +1,27 @@
+package member
+
+import (
+	"time"
+
+	"rowanlink/serving/event"
+	"rowanlink/serving/singleton"
+)
+
+// acquireRole returns who holds a singleton role, and gossips the local member's claim where it takes the role.
+func (n *node) acquireRole(now time.Time, role string, scope singleton.Scope) (assignment singleton.Assignment) {
+	n.step(now, func() {
+		var claim *singleton.Claim
+		assignment, claim = n.roles.Acquire(now, role, scope, n.members.LiveMembers())
+		if claim == nil {
+			return
+		}
+		entry, err := claimEntry(*claim)
+		if err != nil {
+			event.GossipEntryUnreadable.Log(n.log).Err(err).Send()
+			return
+		}
+		n.engine.PutLocal(now, entry)
+		event.SingletonRoleTaken.Log(n.log).Str("duty", role).Uint64("epoch", claim.Epoch).Send()
+	})
+	return assignment
+}
--- a/serving/member/seeds_test.go
+++ b/serving/member/seeds_test.go
@@ -7,19 +7,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func nobody(string) bool { return false }
+func neverMember(string) bool { return false }
 
-// TestSeedsAreCalledInQuickSuccessionAtFirst: the first seed in the list may be far away or down, the last one near.
-func TestSeedsAreCalledInQuickSuccessionAtFirst(t *testing.T) {
-	begun := time.Unix(1000, 0)
-	plan := newSeedSchedule(begun, "own", []string{"a", "own", "b", "c"})
+// TestSeedSchedule_FirstCalls checks that all seeds are called in quick succession at first: the first seed in the list may
+// be far away or down, the last one near.
+func TestSeedSchedule_FirstCalls(t *testing.T) {
+	start := time.Unix(1000, 0)
+	schedule := newSeedSchedule(start, "own", []string{"a", "own", "b", "c"})
 	var called []string
 	var at []time.Duration
-	for now := begun; now.Before(begun.Add(time.Second)); now = now.Add(time.Millisecond) {
-		if address := plan.takeDue(now, true, nobody); address != "" {
+	for now := start; now.Before(start.Add(time.Second)); now = now.Add(time.Millisecond) {
+		if address := schedule.takeDue(now, true, neverMember); address != "" {
 			called = append(called, address)
-			at = append(at, now.Sub(begun))
-			plan.finish(address) // refused
+			at = append(at, now.Sub(start))
+			schedule.finish(address) // refused
 		}
 	}
 	assert.Equal(t, []string{"b", "c", "a"}, called[:3])
@@ -27,10 +28,10 @@
 	assert.LessOrEqual(t, len(called), 3+int(time.Second/joinInterval))
 }
 
-func TestSeedsAreLeftAloneOnceTheyAreMembers(t *testing.T) {
+func TestSeedSchedule_SkipsMembers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	plan := newSeedSchedule(now, "own", []string{"a", "b"})
-	assert.Equal(t, "b", plan.takeDue(now, true, nobody))
-	everybody := func(string) bool { return true }
-	assert.Empty(t, plan.takeDue(now.Add(time.Minute), false, everybody))
+	schedule := newSeedSchedule(now, "own", []string{"a", "b"})
+	assert.Equal(t, "b", schedule.takeDue(now, true, neverMember))
+	allMembers := func(string) bool { return true }
+	assert.Empty(t, schedule.takeDue(now.Add(time.Minute), false, allMembers))
 }
--- a/serving/member/mesh_test.go
+++ b/serving/member/service_test.go
@@ -21,31 +21,32 @@
 	"rowanlink/serving/state"
 )
 
-// testLimit bounds the waits of the tests that use sockets. A test that passes does not come near it.
+// testLimit bounds the waits of the tests that use sockets. A test that passes doesn't come near it.
 const testLimit = 20 * time.Second
 
-// process is a member with a server of its own on loopback.
-type process struct {
-	mesh   *Service
-	server *http.Server
-	client *rpc.Client
+// testProcess is a member with a server of its own on a loopback address.
+type testProcess struct {
+	service *Service
+	server  *http.Server
+	client  *rpc.Client
 }
 
-// freePort finds a port that is free on all loopback addresses at the moment.
+// freePort returns a port that is free on all loopback addresses at the moment.
 func freePort(t *testing.T) int {
-	listener, err := net.Listen("tcp", "0.0.0.0:0")
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "0.0.0.0:0")
 	require.NoError(t, err)
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
 // startProcess starts member number i. Members 1 and 2 are the seeds.
-func startProcess(t *testing.T, port, i int, role state.Role) *process {
+func startProcess(t *testing.T, port, i int, role state.Role) *testProcess {
 	t.Helper()
 	ip := fmt.Sprintf("127.0.3.%d", i)
 	seeds := []string{"127.0.3.1:" + strconv.Itoa(port+1), "127.0.3.2:" + strconv.Itoa(port+1)}
 	process := &settings.Process{IP: ip, FirstPort: port, Seeds: seeds}
-	listener, err := net.Listen("tcp", process.InnerAddress())
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InnerAddress())
 	require.NoError(t, err)
 	mux := http.NewServeMux()
 	server := &http.Server{Handler: mux}
@@ -62,19 +63,19 @@
 	return started
 }
 
-func processOf(mesh *Service, server *http.Server, client *rpc.Client) *process {
-	return &process{mesh: mesh, server: server, client: client}
+func processOf(mesh *Service, server *http.Server, client *rpc.Client) *testProcess {
+	return &testProcess{service: mesh, server: server, client: client}
 }
 
-// stop ends a member without a word to the others.
-func (p *process) stop() {
+// stop ends a member without notifying the others.
+func (p *testProcess) stop() {
 	_ = p.server.Close()
-	p.mesh.Close()
+	p.service.Close()
 	p.client.Close()
 }
 
-// waitFor waits until the members' table of a mesh fulfils a condition. It looks at each change.
-func waitFor(t *testing.T, m *Service, table gossip.TableID, condition func() bool) {
+// waitForEntries waits until a condition holds. It checks the condition at each change of the table.
+func waitForEntries(t *testing.T, m *Service, table gossip.TableID, condition func() bool) {
 	t.Helper()
 	changed := make(chan struct{}, 1)
 	m.Subscribe(table, func(gossip.Entry) {
@@ -93,9 +94,9 @@
 	}
 }
 
-func TestMembersMeetOverLoopback(t *testing.T) {
+func TestService_MembersOverLoopback(t *testing.T) {
 	port := freePort(t)
-	var all []*process
+	var all []*testProcess
 	for i := 5; i >= 1; i-- { // the seeds come last
 		role := state.RoleAgent
 		if i <= 2 {
@@ -104,17 +105,17 @@
 		all = append(all, startProcess(t, port, i, role))
 	}
 	for _, process := range all {
-		waitFor(t, process.mesh, gossip.TableMembers, func() bool { return len(process.mesh.Members()) == 5 })
-		assert.Equal(t, 3, process.mesh.CountProxies().Live)
-		assert.Equal(t, 3, process.mesh.CountProxies().MaxRunning)
+		waitForEntries(t, process.service, gossip.TableMembers, func() bool { return len(process.service.Members()) == 5 })
+		assert.Equal(t, 3, process.service.CountProxies().Live)
+		assert.Equal(t, 3, process.service.CountProxies().MaxRunning)
 	}
 
 	entry := gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey, Version: gossip.NewVersion(3, 0),
 		Value: make([]byte, 100_000)}
-	all[0].mesh.Put(entry)
+	all[0].service.Put(entry)
 	for _, process := range all {
-		waitFor(t, process.mesh, gossip.TableRecord, func() bool {
-			got, ok := process.mesh.Get(gossip.TableRecord, gossip.RecordKey)
+		waitForEntries(t, process.service, gossip.TableRecord, func() bool {
+			got, ok := process.service.Get(gossip.TableRecord, gossip.RecordKey)
 			return ok && got.Version == entry.Version
 		})
 	}
@@ -122,21 +123,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	entry = gossip.Entry{Table: gossip.TableEndpoints, Key: "e", Version: gossip.NewVersion(1, 0), Value: []byte{1}}
-	require.NoError(t, all[0].mesh.PutReplicated(ctx, entry, nil, 2))
-	got, ok := all[4].mesh.Get(gossip.TableEndpoints, "e")
-	assert.True(t, ok, "a core member was asked first")
+	require.NoError(t, all[0].service.PutReplicated(ctx, entry, nil, 2))
+	got, ok := all[4].service.Get(gossip.TableEndpoints, "e")
+	assert.True(t, ok, "core members come first")
 	assert.Equal(t, entry.Value, got.Value)
-	err := all[0].mesh.PutReplicated(ctx, entry, nil, 9)
+	err := all[0].service.PutReplicated(ctx, entry, nil, 9)
 	assert.True(t, errcode.TooFewMembers.Is(err))
 
-	holding := singleton.Assignment{}
+	assignment := singleton.Assignment{}
 	for _, process := range all {
-		if found := process.mesh.AcquireRole("repair", singleton.Scope{Role: state.RoleCore}); found.Local {
-			holding = found
+		if found := process.service.AcquireRole("repair", singleton.Scope{Role: state.RoleCore}); found.Local {
+			assignment = found
 		}
 	}
-	assert.NotEmpty(t, holding.Holder)
+	assert.NotEmpty(t, assignment.Holder)
 
-	require.NoError(t, all[0].mesh.Leave(ctx))
-	waitFor(t, all[4].mesh, gossip.TableMembers, func() bool { return len(all[4].mesh.Members()) == 4 })
+	require.NoError(t, all[0].service.Leave(ctx))
+	waitForEntries(t, all[4].service, gossip.TableMembers, func() bool { return len(all[4].service.Members()) == 4 })
 }
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/gossip"
 )
 
-// delayBetween is the time that one way takes.
+// delayBetween returns the latency of one message.
 func delayBetween(from, to *simNode) time.Duration {
 	switch {
 	case from.member.Region != to.member.Region:
@@ -22,11 +22,11 @@
 	}
 }
 
-// way plays one way of a call; it returns false where the way is lost.
-func (s *simulation) way(from, to *simNode, message any) bool {
-	s.callNumber++
+// transmit counts a request or a response; it returns false where the message is lost.
+func (s *simulation) transmit(from, to *simNode, message any) bool {
+	s.messageNumber++
 	if s.countBytes {
-		const overhead = 250 // HTTP's head
+		const overhead = 250 // of the HTTP header
 		data, err := cbor.Marshal(message)
 		require.NoError(s.t, err)
 		s.bytes += len(data) + overhead
@@ -34,18 +34,18 @@
 			s.remoteBytes += len(data) + overhead
 		}
 	}
-	return s.callNumber != s.loseNumber && !s.blocked(from, to) && s.random.Float64() >= s.lost
+	return s.messageNumber != s.lostMessage && !s.blocked(from, to) && s.random.Float64() >= s.lossRate
 }
 
-// simCall plays a call. Either answered or failed is called on the caller, at the latest after the time-out.
+// simCall simulates a call. Either answered or failed runs at the caller, at the latest after the time-out.
 func simCall[Request, Response any](s *simulation, from *simNode, address string, timeout time.Duration,
 	request Request, serve func(*node, time.Time, Request) Response, answered func(Response), failed func()) {
 	index := slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.member.Address == address })
-	to, life, done := s.nodes[index], from.life, false
+	to, incarnation, done := s.nodes[index], from.incarnations, false
 	s.calls++
 	finish := func(run func()) func() {
 		return func() {
-			s.whenAwake(from, life, func() {
+			s.whenAwake(from, incarnation, func() {
 				if !done {
 					done = true
 					run()
@@ -53,35 +53,35 @@
 			})
 		}
 	}
-	s.at(s.now.Add(timeout), finish(failed))
-	if !s.way(from, to, request) || !to.powered {
+	s.schedule(s.now.Add(timeout), finish(failed))
+	if !s.transmit(from, to, request) || !to.powered {
 		return
 	}
 	delay := delayBetween(from, to)
-	s.at(s.now.Add(delay), func() {
+	s.schedule(s.now.Add(delay), func() {
 		if !to.running {
-			s.at(s.now.Add(delay), finish(failed))
+			s.schedule(s.now.Add(delay), finish(failed))
 			return
 		}
-		s.whenAwake(to, to.life, func() {
+		s.whenAwake(to, to.incarnations, func() {
 			response := serve(to.node, s.now, request)
-			if s.way(to, from, response) {
-				s.at(s.now.Add(delay), finish(func() { answered(response) }))
+			if s.transmit(to, from, response) {
+				s.schedule(s.now.Add(delay), finish(func() { answered(response) }))
 			}
 		})
 	})
 }
 
-// perform plays the calls that a node asks for, as caller does on real machines.
-func (s *simulation) perform(n *simNode, life int, todo pendingCalls) {
-	for _, beat := range todo.heartbeats {
-		s.beat(n, beat)
+// startCalls simulates the calls that a node requests, as caller makes them on real machines.
+func (s *simulation) startCalls(n *simNode, calls pendingCalls) {
+	for _, heartbeat := range calls.heartbeats {
+		s.sendHeartbeat(n, heartbeat)
 	}
-	for _, repair := range todo.repairs {
+	for _, repair := range calls.repairs {
 		s.repair(n, repair)
 	}
-	for _, envelope := range todo.pushes {
-		s.push(n, envelope)
+	for _, envelope := range calls.pushes {
+		s.sendPush(n, envelope)
 	}
 }
 
@@ -101,20 +101,20 @@
 	return n.answerTransfer(now, &request)
 }
 
-func (s *simulation) beat(n *simNode, beat heartbeatCall) {
+func (s *simulation) sendHeartbeat(n *simNode, heartbeat heartbeatCall) {
 	answered := func(response heartbeatResponse) {
-		own := n.node.processHeartbeatResponse(s.now, beat.to.Name, &response)
+		own := n.node.processHeartbeatResponse(s.now, heartbeat.to.Name, &response)
 		if own == nil {
 			return
 		}
 		message := gossip.Message{From: n.member.Name, Entries: []gossip.Entry{*own}}
-		simCall(s, n, beat.to.Address, defaultTimeout, message, servePush, func(pushResponse) {}, func() {})
+		simCall(s, n, heartbeat.to.Address, defaultTimeout, message, servePush, func(pushResponse) {}, func() {})
 	}
-	failed := func() { n.node.processHeartbeatFailure(s.now, beat.to) }
-	simCall(s, n, beat.to.Address, defaultTimeout, beat.request, serveHeartbeat, answered, failed)
+	failed := func() { n.node.processHeartbeatFailure(s.now, heartbeat.to) }
+	simCall(s, n, heartbeat.to.Address, defaultTimeout, heartbeat.request, serveHeartbeat, answered, failed)
 }
 
-func (s *simulation) push(n *simNode, envelope gossip.Envelope) {
+func (s *simulation) sendPush(n *simNode, envelope gossip.Envelope) {
 	retried, done := false, false
 	retry := func() {
 		if !retried && !done {
@@ -122,8 +122,8 @@
 			n.node.engine.Retry(s.now, envelope)
 		}
 	}
-	life := n.life
-	s.at(s.now.Add(pushRetryDelay), func() { s.whenAwake(n, life, retry) })
+	incarnation := n.incarnations
+	s.schedule(s.now.Add(pushRetryDelay), func() { s.whenAwake(n, incarnation, retry) })
 	failed := func() {
 		n.node.engine.MarkUnresponsive(s.now, envelope.To.Name)
 		retry()
@@ -145,13 +145,13 @@
 }
 
 func (s *simulation) repair(n *simNode, repair repairCall) {
-	ended := func() {
+	finished := func() {
 		if repair.seed {
 			n.node.seeds.finish(repair.to.Address)
 		}
 	}
 	failed := func() {
-		ended()
+		finished()
 		if repair.to.Name != "" {
 			n.node.engine.MarkUnresponsive(s.now, repair.to.Name)
 		}
@@ -159,14 +159,14 @@
 	answered := func(response compareResponse) {
 		request, needed := n.node.processCompareResponse(s.now, repair.to.Name, &response)
 		if !needed {
-			ended()
+			finished()
 			return
 		}
 		transferred := func(response transferResponse) {
-			ended()
+			finished()
 			n.node.processTransferResponse(s.now, repair.to.Name, &response)
 		}
-		simCall(s, n, repair.to.Address, bulkTimeout, request, serveTransfer, transferred, ended)
+		simCall(s, n, repair.to.Address, bulkTimeout, request, serveTransfer, transferred, finished)
 	}
 	simCall(s, n, repair.to.Address, defaultTimeout, repair.request, serveCompare, answered, failed)
 }
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -21,7 +21,7 @@
 	Helper()
 }
 
-// simulation plays nodes on a simulated network. Time is a number; whatever the seed draws comes again.
+// simulation runs nodes on a simulated network with a simulated clock. It is determined by its seed.
 type simulation struct {
 	t      reporter
 	now    time.Time
@@ -31,25 +31,25 @@
 	nodes  []*simNode
 	log    zerolog.Logger
 
-	// blocked tells whether nothing gets from one node to another.
-	blocked func(from, to *simNode) bool
-	lost    float64 // share of the ways that are lost
-	// callNumber counts the ways of calls. loseNumber, when not zero, is the one that is lost.
-	callNumber, loseNumber int
-	countBytes             bool
-	bytes, remoteBytes     int
-	calls                  int
+	// blocked reports whether no message gets from one node to another.
+	blocked  func(from, to *simNode) bool
+	lossRate float64 // share of the messages that are lost
+	// messageNumber counts requests and responses. lostMessage, when not zero, is the one that is lost.
+	messageNumber, lostMessage int
+	countBytes                 bool
+	bytes, remoteBytes         int
+	calls                      int
 }
 
 // simNode is one machine of the simulation.
 type simNode struct {
-	node        *node
-	member      state.Member
-	running     bool
-	powered     bool // without power nothing answers; else calls to a process that does not run fail at once
-	frozenUntil time.Time
-	life        int
-	newest      uint64 // revision of the record seen in this life
+	node           *node
+	member         state.Member
+	running        bool
+	powered        bool // without power calls time out; with power calls to a process that doesn't run fail at once
+	frozenUntil    time.Time
+	incarnations   int
+	newestRevision uint64 // of the record in this incarnation
 }
 
 type simEvent struct {
@@ -74,14 +74,14 @@
 	return popped
 }
 
-// place is where a simulated machine stands.
-type place struct{ zone, region string }
+// location is where a simulated machine is.
+type location struct{ zone, region string }
 
 // threeZones has two zones in one region and one in another.
-var threeZones = []place{{"a", "west"}, {"b", "west"}, {"c", "east"}}
+var threeZones = []location{{"a", "west"}, {"b", "west"}, {"c", "east"}}
 
-// newSimulation makes machines that don't run yet, dealt out to the places in turn. The first three are seeds.
-func newSimulation(t reporter, seed uint64, count int, places []place) *simulation {
+// newSimulation returns machines that don't run yet, spread round-robin over the locations. The first three are seeds.
+func newSimulation(t reporter, seed uint64, count int, locations []location) *simulation {
 	s := &simulation{
 		t:       t,
 		now:     time.Unix(1_000_000, 0),
@@ -90,7 +90,7 @@
 		blocked: func(_, _ *simNode) bool { return false },
 	}
 	for i := range count {
-		at := places[i%len(places)]
+		at := locations[i%len(locations)]
 		role := state.RoleAgent
 		if i < 3 {
 			role = state.RoleCore
@@ -102,13 +102,13 @@
 	return s
 }
 
-// at plans something.
-func (s *simulation) at(moment time.Time, run func()) {
+// schedule schedules an event.
+func (s *simulation) schedule(moment time.Time, run func()) {
 	s.order++
 	heap.Push(&s.queue, simEvent{at: moment, order: s.order, run: run})
 }
 
-// run plays for a while.
+// run advances the simulation.
 func (s *simulation) run(span time.Duration) {
 	end := s.now.Add(span)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
@@ -119,7 +119,7 @@
 	s.now = end
 }
 
-// runUntil plays until a condition holds and returns how long that took. It looks every 10 ms.
+// runUntil advances the simulation until a condition, checked every 10 ms, holds, and returns how long that took.
 func (s *simulation) runUntil(limit time.Duration, what string, condition func() bool) time.Duration {
 	s.t.Helper()
 	start := s.now
@@ -130,12 +130,15 @@
 	return s.now.Sub(start)
 }
 
-// start starts a process under an incarnation that the clock of the machine gives.
+// start starts a process with an incarnation from the simulated clock.
 func (s *simulation) start(n *simNode) { s.startAs(n, uint64(s.now.UnixNano())) }
 
 func (s *simulation) startAs(n *simNode, incarnation uint64) {
-	n.life++
-	n.running, n.powered, n.frozenUntil, n.newest = true, true, time.Time{}, 0
+	n.incarnations++
+	n.running = true
+	n.powered = true
+	n.frozenUntil = time.Time{}
+	n.newestRevision = 0
 	self := n.member
 	self.Incarnation = incarnation
 	var seeds []string
@@ -145,75 +148,81 @@
 	random := rand.New(rand.NewPCG(s.random.Uint64(), 2))
 	n.node = newNode(s.now, nodeOptions{self: self, seeds: seeds, random: random, log: &s.log})
 	n.node.engine.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
-		require.Greater(s.t, entry.Version.Major, n.newest, "the record went back")
-		n.newest = entry.Version.Major
+		require.Greater(s.t, entry.Version.Major, n.newestRevision, "the record's revision decreased")
+		n.newestRevision = entry.Version.Major
 	})
-	s.loop(n, n.life)
+	s.loop(n, n.incarnations)
 }
 
 // startAll starts all machines within 0.3 s.
 func (s *simulation) startAll() {
 	for _, n := range s.nodes {
-		s.at(s.now.Add(time.Duration(s.random.IntN(300))*time.Millisecond), func() { s.start(n) })
+		s.schedule(s.now.Add(time.Duration(s.random.IntN(300))*time.Millisecond), func() { s.start(n) })
 	}
 	s.run(300 * time.Millisecond)
 }
 
-func (s *simulation) kill(n *simNode) { n.running = false; n.life++ }
+func (s *simulation) kill(n *simNode) {
+	n.running = false
+	n.incarnations++
+}
 
-func (s *simulation) powerOff(n *simNode) { s.kill(n); n.powered = false }
+func (s *simulation) powerOff(n *simNode) {
+	s.kill(n)
+	n.powered = false
+}
 
-// freeze has a machine stand still; an earlier standstill that lasts longer goes on.
+// freeze pauses a machine; an earlier pause that lasts longer goes on.
 func (s *simulation) freeze(n *simNode, span time.Duration) {
 	if until := s.now.Add(span); until.After(n.frozenUntil) {
 		n.frozenUntil = until
 	}
 }
 
-// whenAwake runs something on a machine as soon as it isn't frozen, if it still lives the same life.
-func (s *simulation) whenAwake(n *simNode, life int, run func()) {
-	if n.life != life {
+// whenAwake runs an event on a machine as soon as it isn't frozen, unless its process has been restarted or killed.
+func (s *simulation) whenAwake(n *simNode, incarnation int, run func()) {
+	if n.incarnations != incarnation {
 		return
 	}
 	if s.now.Before(n.frozenUntil) {
-		s.at(n.frozenUntil.Add(time.Millisecond), func() { s.whenAwake(n, life, run) })
+		s.schedule(n.frozenUntil.Add(time.Millisecond), func() { s.whenAwake(n, incarnation, run) })
 		return
 	}
 	run()
 }
 
-// loop is a process's timer loop. Commands from elsewhere may make something due earlier, which it sees in time
-// because the simulation looks every 10 ms.
-func (s *simulation) loop(n *simNode, life int) {
-	s.whenAwake(n, life, func() {
-		todo := n.node.tick(s.now)
-		n.node.wakeAt = todo.next
-		s.perform(n, life, todo)
-		s.poll(n, life)
+// loop is a process's timer loop. Messages may make something due earlier, which the simulation notices in time because
+// it polls every 10 ms.
+func (s *simulation) loop(n *simNode, incarnation int) {
+	s.whenAwake(n, incarnation, func() {
+		calls := n.node.tick(s.now)
+		n.node.wakeAt = calls.next
+		s.startCalls(n, calls)
+		s.poll(n, incarnation)
 	})
 }
 
-func (s *simulation) poll(n *simNode, life int) {
+func (s *simulation) poll(n *simNode, incarnation int) {
 	next := s.now.Add(10 * time.Millisecond)
-	s.at(next, func() {
-		if n.life != life {
+	s.schedule(next, func() {
+		if n.incarnations != incarnation {
 			return
 		}
 		if n.node.nextTick().After(s.now) && n.node.wakeAt.After(s.now) {
-			s.poll(n, life)
+			s.poll(n, incarnation)
 			return
 		}
-		s.loop(n, life)
+		s.loop(n, incarnation)
 	})
 }
 
-// put has a node take in a record.
-func (s *simulation) put(n *simNode, revision uint64, size int) {
+// putRecord puts a record into a node.
+func (s *simulation) putRecord(n *simNode, revision uint64, size int) {
 	n.node.putLocal(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
 		Version: gossip.NewVersion(revision, 0), Value: make([]byte, size)})
 }
 
-// running returns the machines whose processes run.
+// runningNodes returns the machines whose processes run.
 func (s *simulation) runningNodes() (running []*simNode) {
 	for _, n := range s.nodes {
 		if n.running {
@@ -223,11 +232,11 @@
 	return running
 }
 
-// allKnow tells whether every running node has the record's revision.
-func (s *simulation) allKnow(revision uint64) func() bool {
+// hasRevisionEverywhere returns a condition that holds when every running node has the record's revision.
+func (s *simulation) hasRevisionEverywhere(revision uint64) func() bool {
 	return func() bool {
 		for _, n := range s.runningNodes() {
-			if n.newest != revision {
+			if n.newestRevision != revision {
 				return false
 			}
 		}
@@ -235,8 +244,8 @@
 	}
 }
 
-// settled tells whether every running node takes exactly the running ones for live.
-func (s *simulation) settled() bool {
+// hasConverged reports whether for every running node exactly the running ones are live.
+func (s *simulation) hasConverged() bool {
 	running := s.runningNodes()
 	for _, n := range running {
 		live := n.node.members.LiveMembers()
@@ -252,8 +261,8 @@
 	return true
 }
 
-// sees tells whether a node takes another for live.
-func sees(n, other *simNode) bool {
+// isSeenLive reports whether for a node another one is live.
+func isSeenLive(n, other *simNode) bool {
 	return slices.ContainsFunc(n.node.members.LiveMembers(), func(member state.Member) bool {
 		return member.Name == other.member.Name
 	})
@@ -269,11 +278,11 @@
 	return nodes
 }
 
-// started makes a simulation in which all know each other.
-func started(t reporter, seed uint64, count int, places []place) *simulation {
-	s := newSimulation(t, seed, count, places)
+// newConvergedSimulation returns a simulation in which all members know each other.
+func newConvergedSimulation(t reporter, seed uint64, count int, locations []location) *simulation {
+	s := newSimulation(t, seed, count, locations)
 	s.startAll()
-	s.runUntil(5*time.Second, "the members meet", s.settled)
+	s.runUntil(5*time.Second, "the members meet", s.hasConverged)
 	s.run(3 * membership.SuspicionTimeout)
 	return s
 }
--- a/serving/member/size_bench_test.go
+++ b/serving/member/size_bench_test.go
@@ -8,8 +8,8 @@
 	"rowanlink/serving/gossip"
 )
 
-// BenchmarkBySize plays quiet seconds, and seconds with one change of a record of 8 KB, in systems of several sizes.
-// What one member sends and takes must not grow with the size.
+// BenchmarkBySize simulates quiet seconds, and seconds with one change of a record of 8 KB, in systems of several sizes.
+// The traffic of one member must not grow with the size.
 func BenchmarkBySize(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 410} {
 		for _, record := range []int{0, 8 << 10} {
@@ -21,7 +21,7 @@
 }
 
 func benchmarkSize(b *testing.B, members, record int) {
-	s := started(b, 1, members, threeZones)
+	s := newConvergedSimulation(b, 1, members, threeZones)
 	s.run(10 * time.Second)
 	s.countBytes, s.bytes, s.remoteBytes, s.calls = true, 0, 0, 0
 	seconds := 0
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -9,89 +9,90 @@
 	"rowanlink/serving/state"
 )
 
-// Times of a node's routine.
+// Intervals of a node's periodic actions.
 const (
-	downProbeInterval        = time.Second            // between two attempts to reach a member that is down
-	suspectZoneProbeInterval = 250 * time.Millisecond // between two attempts to reach zones that are in doubt
-	sizeLogInterval          = time.Second            // least time between two log lines on the number of members
+	downProbeInterval        = time.Second            // between two calls to members that are down
+	suspectZoneProbeInterval = 250 * time.Millisecond // between two calls to members of suspect zones
+	sizeLogInterval          = time.Second            // least time between two log lines about the number of members
 	maxTickInterval          = membership.HeartbeatInterval
 )
 
-// heartbeatCall is a heartbeat that is to be sent.
+// heartbeatCall is a heartbeat to be sent.
 type heartbeatCall struct {
 	to      gossip.Peer
 	request heartbeatRequest
 }
 
-// repairCall is a comparison of digests that is to be made.
+// repairCall is a repair to be made.
 type repairCall struct {
 	to      gossip.Peer // of a seed only the address is known
 	request compareRequest
 	seed    bool
 }
 
-// pendingCalls is what a node wants done now.
+// pendingCalls are the calls that a node requests.
 type pendingCalls struct {
 	heartbeats []heartbeatCall
 	repairs    []repairCall
 	pushes     []gossip.Envelope
-	next       time.Time // when the node is to be asked again
+	next       time.Time // time of the next tick
 }
 
-// tick returns what is due.
-func (n *node) tick(now time.Time) (todo pendingCalls) {
+// tick executes the periodic actions that are due and returns the calls to make.
+func (n *node) tick(now time.Time) (calls pendingCalls) {
 	n.step(now, func() {
 		n.tickMembership()
 		if !now.Before(n.schedule.heartbeat) {
-			n.planHeartbeats(&todo)
+			n.planHeartbeats(&calls)
 		}
-		n.planRepair(&todo)
-		n.planDownProbe(&todo)
-		n.planSuspectZoneProbes(&todo)
-		n.planSeed(&todo)
+		n.planRepair(&calls)
+		n.planDownProbe(&calls)
+		n.planSuspectZoneProbes(&calls)
+		n.planSeed(&calls)
 		n.finishStep()
-		todo.pushes = n.engine.TakeOutgoing(now)
+		calls.pushes = n.engine.TakeOutgoing(now)
 	})
 	n.logSize()
-	todo.next = n.nextTick()
-	return todo
+	calls.next = n.nextTick()
+	return calls
 }
 
-// tickMembership looks at the members that the own one watches and spreads what it finds.
+// tickMembership runs the failure detector and gossips its suspicions.
 func (n *node) tickMembership() {
-	words, forgotten := n.members.Tick(n.now)
-	for _, word := range words {
-		n.publishSuspicion(word)
+	suspicions, removed := n.members.Tick(n.now)
+	for _, suspicion := range suspicions {
+		n.publishSuspicion(suspicion)
 	}
-	for _, name := range forgotten {
+	for _, name := range removed {
 		n.forgetMember(name)
 	}
 	n.finishStep()
 }
 
-// planHeartbeats does what each heartbeat interval brings.
-func (n *node) planHeartbeats(todo *pendingCalls) {
+// planHeartbeats requests the heartbeats of an interval and schedules the next interval.
+func (n *node) planHeartbeats(calls *pendingCalls) {
 	n.members.RecordDelay(n.now.Sub(n.schedule.heartbeat))
 	n.schedule.heartbeat = n.now.Add(membership.HeartbeatInterval)
 	n.schedule.heartbeatCount++
 	if n.members.Self().State == state.MemberLeft {
 		return
 	}
-	todo.heartbeats = n.heartbeatCalls()
+	calls.heartbeats = n.heartbeatCalls()
 }
 
-// planRepair compares digests with a member where a difference was seen.
-func (n *node) planRepair(todo *pendingCalls) {
+// planRepair requests a repair that is due.
+func (n *node) planRepair(calls *pendingCalls) {
 	if n.members.Self().State == state.MemberLeft {
 		return
 	}
-	if appointment, due := n.engine.TakeDueRepair(n.now); due {
-		call := repairCall{to: appointment.Peer, request: n.newCompareRequest(appointment.Tables)}
-		todo.repairs = append(todo.repairs, call)
+	if task, due := n.engine.TakeDueRepair(n.now); due {
+		call := repairCall{to: task.Peer, request: n.newCompareRequest(task.Tables)}
+		calls.repairs = append(calls.repairs, call)
 	}
 }
 
-// heartbeatCalls returns the heartbeats that are due: to watchers in other regions only every few intervals.
+// heartbeatCalls returns the heartbeats to the watchers; to those in other regions only every RemoteIntervalFactor-th
+// interval.
 func (n *node) heartbeatCalls() (calls []heartbeatCall) {
 	self := n.members.Self()
 	request := heartbeatRequest{Heartbeat: n.ownHeartbeat(), Summary: n.engine.Summary()}
@@ -105,19 +106,19 @@
 	return calls
 }
 
-// ownHeartbeat names the own member and its newest word.
+// ownHeartbeat returns the local member's heartbeat.
 func (n *node) ownHeartbeat() membership.Heartbeat {
 	self := n.members.Self()
 	return membership.Heartbeat{Name: self.Name, Incarnation: self.Incarnation, Sequence: self.Sequence}
 }
 
-// newCompareRequest asks for a comparison of some tables, or of all where none is named.
+// newCompareRequest returns the first call of a repair of the tables, or of all tables where none is named.
 func (n *node) newCompareRequest(tables []gossip.TableID) compareRequest {
 	return compareRequest{Heartbeat: n.ownHeartbeat(), Digests: n.engine.Digest(tables)}
 }
 
-// planDownProbe tries now and then to reach a member that is down, so that the two sides of a cut meet again.
-func (n *node) planDownProbe(todo *pendingCalls) {
+// planDownProbe requests a repair with a random member that is down, so that the sides of a healed partition merge.
+func (n *node) planDownProbe(calls *pendingCalls) {
 	if n.now.Before(n.schedule.downProbe) {
 		return
 	}
@@ -127,28 +128,28 @@
 		return
 	}
 	target := peerOf(down[n.random.IntN(len(down))])
-	todo.repairs = append(todo.repairs, repairCall{to: target, request: n.newCompareRequest(nil)})
+	calls.repairs = append(calls.repairs, repairCall{to: target, request: n.newCompareRequest(nil)})
 }
 
-// planSuspectZoneProbes tries to reach members of zones that seem to be out of reach, one of each zone at a time.
-func (n *node) planSuspectZoneProbes(todo *pendingCalls) {
+// planSuspectZoneProbes requests a repair with one random member of each suspect zone.
+func (n *node) planSuspectZoneProbes(calls *pendingCalls) {
 	if n.now.Before(n.schedule.suspectZoneProbe) || n.members.Self().State == state.MemberLeft {
 		return
 	}
 	n.schedule.suspectZoneProbe = n.now.Add(suspectZoneProbeInterval)
-	doubted := n.members.SuspectZoneMembers()
-	n.random.Shuffle(len(doubted), func(i, j int) { doubted[i], doubted[j] = doubted[j], doubted[i] })
-	tried := map[string]bool{}
-	for _, member := range doubted {
-		if !tried[member.Zone] {
-			tried[member.Zone] = true
-			todo.repairs = append(todo.repairs, repairCall{to: peerOf(member), request: n.newCompareRequest(nil)})
+	suspects := n.members.SuspectZoneMembers()
+	n.random.Shuffle(len(suspects), func(i, j int) { suspects[i], suspects[j] = suspects[j], suspects[i] })
+	probed := map[string]bool{}
+	for _, member := range suspects {
+		if !probed[member.Zone] {
+			probed[member.Zone] = true
+			calls.repairs = append(calls.repairs, repairCall{to: peerOf(member), request: n.newCompareRequest(nil)})
 		}
 	}
 }
 
-// planSeed calls a seed while nobody is known, or one that is not known as a member.
-func (n *node) planSeed(todo *pendingCalls) {
+// planSeed requests a repair with a seed that is due, see seedSchedule.
+func (n *node) planSeed(calls *pendingCalls) {
 	if n.members.Self().State == state.MemberLeft || n.now.Before(n.seeds.due) {
 		return
 	}
@@ -166,21 +167,21 @@
 		return
 	}
 	call := repairCall{to: gossip.Peer{Address: address}, request: n.newCompareRequest(nil), seed: true}
-	todo.repairs = append(todo.repairs, call)
+	calls.repairs = append(calls.repairs, call)
 }
 
-// forgetMember drops all entries of a member that went long ago.
+// forgetMember removes the entry of a member that was removed, and all suspicions about or of it.
 func (n *node) forgetMember(name string) {
 	n.engine.Forget(n.now, gossip.TableMembers, name)
-	for _, word := range n.members.Suspicions() {
-		if word.Member == name || word.Watcher == name {
-			n.members.ForgetSuspicion(word)
-			n.engine.Forget(n.now, gossip.TableSuspicions, word.Key())
+	for _, suspicion := range n.members.Suspicions() {
+		if suspicion.Member == name || suspicion.Watcher == name {
+			n.members.ForgetSuspicion(suspicion)
+			n.engine.Forget(n.now, gossip.TableSuspicions, suspicion.Key())
 		}
 	}
 }
 
-// logSize logs how many members are live, if that has changed.
+// logSize logs the number of live members if it has changed.
 func (n *node) logSize() {
 	if n.now.Before(n.schedule.sizeLog) {
 		return
@@ -197,11 +198,16 @@
 	n.schedule.loggedSize = live
 }
 
-// nextTick is the earliest time at which something is due.
+// nextTick returns the earliest time at which something is due.
 func (n *node) nextTick() time.Time {
 	next := n.now.Add(maxTickInterval)
-	for _, due := range []time.Time{n.schedule.heartbeat, n.engine.NextSendTime(), n.engine.NextRepairTime(),
-		n.members.NextTimeout()} {
+	dueTimes := []time.Time{
+		n.schedule.heartbeat,
+		n.engine.NextSendTime(),
+		n.engine.NextRepairTime(),
+		n.members.NextTimeout(),
+	}
+	for _, due := range dueTimes {
 		if !due.IsZero() && due.Before(next) {
 			next = due
 		}
