--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -9,157 +9,157 @@
 	"rowanlink/test/integration/harness"
 )
 
-// guarded is a fleet in which all members want the errand.
-func guarded(t *testing.T, rates map[string]float64) *harness.Fleet {
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Rates: rates, Guarded: []string{errand}})
-	going(f)
+// startLeaseChecked is a fleet in which all members want the errand.
+func startLeaseChecked(t *testing.T, rates map[string]float64) *harness.Cluster {
+	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, ClockRates: rates, CheckedResources: []string{checkedResource}})
+	awaitOperations(f)
 	return f
 }
 
-// apart are clocks as far off as the operator file allows: a slow holder's before a fast keeper's.
-var apart = map[string]float64{"m1": 1.05, "m2": 1.05, "m3": 0.95, "m4": 0.95}
+// driftingClocks are clocks as far off as the operator file allows: a slow holder's before a fast keeper's.
+var driftingClocks = map[string]float64{"m1": 1.05, "m2": 1.05, "m3": 0.95, "m4": 0.95}
 
 // Guards against two holders at once after each thing that may befall the one.
-func TestAHolderThatIsKilledStoppedOrCutOffIsFollowedByOneAlone(t *testing.T) {
+func TestLease_OneHolderAfterEachFault(t *testing.T) {
 	t.Parallel()
-	f := guarded(t, apart)
+	f := startLeaseChecked(t, driftingClocks)
 	for _, c := range []struct {
 		name    string
 		follows bool // another one takes it while the fault lasts
 		begin   func(m *harness.Member) (end func())
 	}{
 		{"killed", true, func(m *harness.Member) func() { m.Kill(); return m.Start }},
-		{"stopped for long", true, func(m *harness.Member) func() { m.Stop(); return m.Continue }},
-		{"cut off", true, func(m *harness.Member) func() { f.Net.Apart(harness.Cut, m.Name); return f.Net.Heal }},
+		{"stopped for long", true, func(m *harness.Member) func() { m.Pause(); return m.Resume }},
+		{"cut off", true, func(m *harness.Member) func() { f.Network.Isolate(harness.Partition, m.Name); return f.Network.Heal }},
 		{"refused by all", true, func(m *harness.Member) func() {
-			f.Net.Apart(harness.Refuse, m.Name)
-			return f.Net.Heal
+			f.Network.Isolate(harness.Refused, m.Name)
+			return f.Network.Heal
 		}},
-		{"unheard", true, func(m *harness.Member) func() { oneWay(f, m, true); return f.Net.Heal }},
-		{"deaf", false, func(m *harness.Member) func() { oneWay(f, m, false); return f.Net.Heal }},
-		{"told to end", true, func(m *harness.Member) func() { m.End(); return m.Start }},
+		{"unheard", true, func(m *harness.Member) func() { partitionOneWay(f, m, true); return f.Network.Heal }},
+		{"deaf", false, func(m *harness.Member) func() { partitionOneWay(f, m, false); return f.Network.Heal }},
+		{"told to end", true, func(m *harness.Member) func() { m.Terminate(); return m.Start }},
 	} {
-		who, epoch := holder(f)
+		who, epoch := awaitOperation(f)
 		t.Logf("%s: %s with %d", c.name, who.Name, epoch)
 		end := c.begin(who)
 		if c.follows {
-			taken(f, epoch)
+			awaitNewHolder(f, epoch)
 		} else {
-			some(2.5)
+			sleepTTLs(2.5)
 		}
 		end()
-		who.Ready()
-		going(f)
-		f.Judge()
+		who.AwaitReady()
+		awaitOperations(f)
+		f.Check()
 		require.False(t, t.Failed(), c.name)
 	}
 }
 
-// oneWay has nothing of what a member says arrive, or nothing of what it is told.
-func oneWay(f *harness.Fleet, m *harness.Member, says bool) {
+// partitionOneWay has nothing of what a member says arrive, or nothing of what it is told.
+func partitionOneWay(f *harness.Cluster, m *harness.Member, says bool) {
 	for _, other := range f.Members {
 		switch {
 		case other == m:
 		case says:
-			f.Net.Set(m.Name, other.Name, harness.OneWay)
+			f.Network.SetFault(m.Name, other.Name, harness.OneWayPartition)
 		default:
-			f.Net.Set(other.Name, m.Name, harness.OneWay)
+			f.Network.SetFault(other.Name, m.Name, harness.OneWayPartition)
 		}
 	}
 }
 
 // Guards against a deed that ends after a stop by a clock that was not looked at again.
-func TestAHolderThatStandsStillForAWhileDoesNothingAfterItsTerm(t *testing.T) {
+func TestLease_PausedHolderDoesNothingAfterExpiry(t *testing.T) {
 	t.Parallel()
-	f := guarded(t, nil)
+	f := startLeaseChecked(t, nil)
 	for _, terms := range []float64{0.5, 0.9, 1.1, 2, 3} {
-		who, _ := holder(f)
-		who.Stop()
-		some(terms)
-		who.Continue()
-		going(f)
-		f.Judge()
+		who, _ := awaitOperation(f)
+		who.Pause()
+		sleepTTLs(terms)
+		who.Resume()
+		awaitOperations(f)
+		f.Check()
 		require.False(t, t.Failed(), "%g terms", terms)
 	}
 }
 
 // Guards against a term that is counted from the answer: it comes late, and then none comes.
-func TestATermCountsFromTheAskHoweverLateTheAnswer(t *testing.T) {
+func TestLease_TTLCountsFromTheRequest(t *testing.T) {
 	t.Parallel()
-	f := guarded(t, apart)
+	f := startLeaseChecked(t, driftingClocks)
 	slow := []*harness.Member{f.Member("m3"), f.Member("m4")}
 	for range 3 {
-		who := away(f, slow)
+		who := awaitFollowerHolder(f, slow)
 		for _, other := range f.Members {
 			if other != who {
-				f.Net.Set(other.Name, who.Name, harness.Late(term/10)) // less than an ask is waited for
+				f.Network.SetFault(other.Name, who.Name, harness.Delayed(leaseTTL/10)) // less than an ask is waited for
 			}
 		}
-		some(1.5)
-		_, epoch := holder(f)
-		f.Net.Apart(harness.Cut, who.Name)
-		taken(f, epoch)
-		f.Net.Heal()
-		going(f)
-		f.Judge()
+		sleepTTLs(1.5)
+		_, epoch := awaitOperation(f)
+		f.Network.Isolate(harness.Partition, who.Name)
+		awaitNewHolder(f, epoch)
+		f.Network.Heal()
+		awaitOperations(f)
+		f.Check()
 		require.False(t, t.Failed())
 	}
 }
 
-// away has the errand held by one of some who does not lead the keepers.
-func away(f *harness.Fleet, some []*harness.Member) (who *harness.Member) {
+// awaitFollowerHolder has the errand held by one of some who does not lead the keepers.
+func awaitFollowerHolder(f *harness.Cluster, some []*harness.Member) (who *harness.Member) {
 	for {
-		who, epoch := holder(f)
+		who, epoch := awaitOperation(f)
 		for _, m := range some {
-			if m == who && f.Leader() != who {
+			if m == who && f.AwaitLeader() != who {
 				return who
 			}
 		}
 		who.Kill()
-		taken(f, epoch)
+		awaitNewHolder(f, epoch)
 		who.Start()
 	}
 }
 
 // Guards against a new leader that knows of no session, or lets one end early.
-func TestALeaderThatIsLostTakesNoTaskWithIt(t *testing.T) {
+func TestLease_SurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
-	f := guarded(t, apart)
+	f := startLeaseChecked(t, driftingClocks)
 	for _, fault := range []func(m *harness.Member) func(){
 		func(m *harness.Member) func() { m.Kill(); return m.Start },
-		func(m *harness.Member) func() { m.Stop(); return m.Continue },
-		func(m *harness.Member) func() { f.Net.Apart(harness.Cut, m.Name); return f.Net.Heal },
+		func(m *harness.Member) func() { m.Pause(); return m.Resume },
+		func(m *harness.Member) func() { f.Network.Isolate(harness.Partition, m.Name); return f.Network.Heal },
 	} {
-		leader := f.Leader()
-		who, epoch := holder(f)
+		leader := f.AwaitLeader()
+		who, epoch := awaitOperation(f)
 		end := fault(leader)
 		if who == leader {
-			taken(f, epoch)
+			awaitNewHolder(f, epoch)
 		}
-		f.Soon("another one leads", func() bool { m := f.LeaderNow(); return m != nil && m != leader })
-		going(f)
+		f.Eventually("another one leads", func() bool { m := f.Leader(); return m != nil && m != leader })
+		awaitOperations(f)
 		end()
-		leader.Ready()
-		going(f)
-		f.Judge()
+		leader.AwaitReady()
+		awaitOperations(f)
+		f.Check()
 		require.False(t, t.Failed())
 	}
 }
 
 // Guards against a task that is held or given without the keepers' majority, and not given once it is back.
-func TestWithoutTheKeepersMajorityNobodyHoldsATask(t *testing.T) {
+func TestLease_NoHolderWithoutMajority(t *testing.T) {
 	t.Parallel()
-	f := guarded(t, apart)
+	f := startLeaseChecked(t, driftingClocks)
 	for _, how := range []string{"cut", "killed"} {
-		holder(f)
-		marks := f.Marks()
-		gone := f.Keepers()[:2]
+		awaitOperation(f)
+		marks := f.LogOffsets()
+		gone := f.RaftNodes()[:2]
 		for _, m := range gone {
 			if how == "cut" {
-				f.Net.Apart(harness.Cut, m.Name)
+				f.Network.Isolate(harness.Partition, m.Name)
 				for _, other := range gone {
 					if other != m {
-						f.Net.Between(m.Name, other.Name, harness.Cut)
+						f.Network.SetFaultBetween(m.Name, other.Name, harness.Partition)
 					}
 				}
 			} else {
@@ -168,20 +168,20 @@
 		}
 		for _, m := range f.Members {
 			if m.Running() {
-				m.AwaitFrom(marks[m], "session over")
+				m.AwaitLogFrom(marks[m], "session over")
 			}
 		}
-		n := len(f.Guard.Operations(errand))
-		some(1.5)
-		assert.Len(t, f.Guard.Operations(errand), n, "%s: deeds without a majority", how)
-		f.Net.Heal()
+		n := len(f.LeaseChecker.Operations(checkedResource))
+		sleepTTLs(1.5)
+		assert.Len(t, f.LeaseChecker.Operations(checkedResource), n, "%s: deeds without a majority", how)
+		f.Network.Heal()
 		for _, m := range gone {
 			if !m.Running() {
 				m.Start()
 			}
 		}
-		going(f)
-		f.Judge()
+		awaitOperations(f)
+		f.Check()
 		require.False(t, t.Failed(), how)
 	}
 }
