--- /dev/null
+++ b/cluster/lease/model_test.go
@@ -0,0 +1,183 @@
+package lease
+
+import (
+	"maps"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/internal/timerqueue"
+	"rowanlink/webhook/api"
+)
+
+// The model that the search explores consists of two members, each with several incarnations; two raft nodes of
+// three that lead in turn, of which one may be deposed without knowing it; the messages in flight between them; and
+// a fence. The real objects make all decisions. True time advances in steps; clocks are fast or slow. A process that
+// takes no transition for a while is stopped, and continues as if nothing had happened.
+const (
+	slowStep, fastStep api.Micros       = 3000, 5000 // what a clock advances in one step of true time: 4000 +- 25%
+	modelDrift                          = 0.25
+	modelTTL           api.Micros       = 15000 // 3 steps of a fast clock, 5 of a slow one; usable: 3 of a slow one
+	modelResource      cluster.Resource = "resource"
+	thirdNode          cluster.MemberID = "the third node"
+)
+
+// mutation introduces a fault into a model, to show that the search detects it.
+type mutation struct {
+	countFromResponse       bool // the TTL is counted from the response
+	keepOldExpiry           bool // a new leader continues with the expiry times that it knows
+	loseFence               bool // a restart begins with an empty fence
+	renewExpired            bool // a renewal is accepted after TakeExpired
+	skipQuorumCheck         bool // a leader answers without a quorum's contact
+	countContactFromArrival bool // a peer's contact counts from when its response is read, as in raft's VerifyLeader
+	ignoreDrift             bool // clocks are assumed to have the same rate
+	ignoreLeaderEpoch       bool // a session is ended in whatever leader epoch the proposal is applied
+	untilTwoHolders         bool // not a fault: continue until two members hold the lease
+}
+
+// faultBudget limits what can happen besides time, requests, renewals and expiries: how often each may.
+type faultBudget struct {
+	asyncRequests bool // opens and acquisitions take time; else they are done at once
+
+	elections, duplicates, lateContacts, releases, sessionEnds, memberRestarts, actions, fenceRestarts int8
+}
+
+type messageKind uint8
+
+const (
+	openRequest  messageKind = iota
+	renewRequest             // at a raft node that does not know yet whether it leads
+	confirmation
+	rejection
+	acquireRequest
+	grantResponse
+	releaseRequest
+	endRequest
+	expireRequest
+	peerContact
+	action
+)
+
+// message is anything in flight; fields that its kind has no use for are zero.
+type message struct {
+	kind          messageKind
+	process, node int
+	renewal       Renewal
+	incarnation   Incarnation
+	session       cluster.SessionID
+	epoch         cluster.Epoch
+	leaderEpoch   LeaderEpoch
+	raftTerm      uint64
+	at            api.Micros // of the raft node's clock
+}
+
+type raftNode struct {
+	clockStep       api.Micros
+	believesLeading bool // that it leads
+	tracker         *ExpiryTracker
+	contact         *QuorumContact
+	owned           bool // by this model alone; else shared with the model that it was cloned from
+}
+
+type process struct {
+	clockStep   api.Micros
+	incarnation Incarnation
+	holder      *Holder
+	owned       bool
+}
+
+type model struct {
+	mutation        mutation
+	budget          faultBudget
+	now             api.Micros // true steps
+	index           uint64
+	raftTerm        uint64 // raft's
+	leader          int
+	table           *Table
+	owned           bool // the table
+	nodes           [2]raftNode
+	processes       [2]process
+	messages        []message
+	fence           *Fence
+	storedFence     []byte        // on disk
+	highestAdmitted cluster.Epoch // the highest epoch ever admitted
+	violation       string
+}
+
+func newModel(md mutation, left faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
+	n := &model{mutation: md, budget: left, table: NewTable(), owned: true, fence: NewFence()}
+	n.storedFence = n.fence.Encode()
+	for i := range n.nodes {
+		n.nodes[i] = raftNode{nodeSteps[i], false, NewExpiryTracker(modelTTL), NewQuorumContact(3), true}
+		if md.keepOldExpiry {
+			n.nodes[i].tracker.StartLeading(0, 0, nil)
+		}
+		n.processes[i] = process{memberSteps[i], Incarnation(i), n.newHolder(), true}
+	}
+	n.elect(0)
+	return n
+}
+
+func (md *model) newHolder() *Holder {
+	if md.mutation.ignoreDrift {
+		return NewHolder(modelTTL, 0)
+	}
+	return NewHolder(modelTTL, modelDrift)
+}
+
+func (md *model) nodeClock(k int) api.Micros    { return md.now * md.nodes[k].clockStep }
+func (md *model) processClock(p int) api.Micros { return md.now * md.processes[p].clockStep }
+
+// clone shares what was not changed; whoever changes something takes it by mutableTable, own or mutableNode.
+func (md *model) clone() *model {
+	n := *md
+	n.messages = slices.Clone(md.messages)
+	n.owned = false
+	for i := range n.nodes {
+		n.nodes[i].owned, n.processes[i].owned = false, false
+	}
+	return &n
+}
+
+func (md *model) mutableTable() *Table {
+	if b := md.table; !md.owned {
+		n := *b
+		n.openSessions, n.leases, n.sessions = maps.Clone(b.openSessions), maps.Clone(b.leases), map[cluster.SessionID]*session{}
+		for id, s := range b.sessions {
+			n.sessions[id] = &session{s.sessionOwner, maps.Clone(s.resources)}
+		}
+		md.table, md.owned = &n, true
+	}
+	return md.table
+}
+
+// mutableNode rebuilds the tracker's timers: what TakeExpired returns depends on its sessions alone.
+func (md *model) mutableNode(i int) *raftNode {
+	k := &md.nodes[i]
+	if t := k.tracker; !k.owned {
+		k.tracker = &ExpiryTracker{t.ttl, t.leaderEpoch, maps.Clone(t.sessions), timerqueue.Queue[cluster.SessionID]{}}
+		for _, s := range sortedSessions(t.sessions) {
+			k.tracker.timers.Add(int64(t.sessions[s].expiresAt), s)
+		}
+		k.contact = &QuorumContact{k.contact.quorumPeers, k.contact.raftTerm, maps.Clone(k.contact.lastContact)}
+		k.owned = true
+	}
+	return k
+}
+
+func (md *model) mutableHolder(i int) *Holder {
+	p := &md.processes[i]
+	if !p.owned {
+		n := *p.holder
+		n.epochs, n.relinquished = maps.Clone(n.epochs), maps.Clone(n.relinquished)
+		p.holder, p.owned = &n, true
+	}
+	return p.holder
+}
+
+func sortedSessions(runs map[cluster.SessionID]sessionExpiry) (all []cluster.SessionID) {
+	for s := range runs {
+		all = append(all, s)
+	}
+	slices.Sort(all)
+	return all
+}
--- /dev/null
+++ b/cluster/lease/simulation_member_test.go
@@ -0,0 +1,215 @@
+package lease
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/timing"
+	"rowanlink/webhook/api"
+)
+
+func (sm *simulatedMember) start(wants []cluster.Resource) {
+	sm.incarnation++
+	sm.holder, sm.proposalUntil, sm.pollUntil, sm.stoppedUntil = NewHolder(simulationTTL, 0), 0, 0, 0
+	again := timing.AcquireRetryInterval(simulationTTL)
+	if sm.mutation.neverRetry {
+		again = api.Second << 40
+	}
+	sm.reconciler = NewReconciler(sm.holder, again)
+	for _, t := range wants {
+		sm.reconciler.Request(t)
+	}
+}
+
+// deliver has a member process a message once it is no longer stopped, if it is still the same incarnation.
+func (sm *simulatedMember) deliver(incarnation Incarnation, f func()) {
+	switch {
+	case sm.incarnation != incarnation:
+	case sm.now < sm.stoppedUntil:
+		sm.after(sm.stoppedUntil-sm.now, func() { sm.deliver(incarnation, f) })
+	default:
+		f()
+	}
+}
+
+func (sm *simulatedMember) reply(incarnation Incarnation, f func()) {
+	sm.send(func() { sm.deliver(incarnation, f) })
+}
+
+// tick does what a member's three loops do.
+func (sm *simulatedMember) tick() {
+	sm.after(tickInterval, sm.tick)
+	if sm.now < sm.stoppedUntil {
+		return
+	}
+	if sm.now >= sm.holder.NextRenewalAt() {
+		sm.renew(sm.incarnation, sm.holder.StartRenewal(sm.now), sm.holder.Session(), sm.holder.Digest())
+	}
+	if p := sm.reconciler.NextProposal(sm.now); p.HasWork() && sm.now >= sm.proposalUntil {
+		sm.proposalUntil = sm.now + timing.LoggedRequestTimeout(simulationTTL)
+		sm.propose(sm.incarnation, p, sm.proposalUntil)
+	}
+	if resources := sm.reconciler.Blocked(); len(resources) > 0 && sm.now >= sm.pollUntil && !sm.noNotifications {
+		sm.pollUntil = sm.now + timing.LongPollTimeout(simulationTTL) + timing.RequestTimeout(simulationTTL)
+		sm.poll(sm.incarnation, resources, sm.pollUntil)
+	}
+}
+
+func (sm *simulatedMember) renew(incarnation Incarnation, renewal Renewal, s cluster.SessionID, digest Digest) {
+	k := sm.pickNode()
+	sm.send(func() {
+		switch {
+		case !sm.isLeading(k):
+		case s == 0:
+			a, err := sm.apply(OpenSession(sm.id, incarnation))
+			if err == nil && sm.tracker.AddOrRenew(a.Session, sm.now) {
+				sm.reply(incarnation, func() { sm.handleConfirmation(renewal, a.Session) })
+			}
+		case sm.tracker.Renew(s, sm.now):
+			var grants []Grant
+			if table := sm.nodes[k].table; table.Digest(s) != digest && !sm.mutation.omitGrants {
+				grants = table.GrantsOf(s)
+			}
+			sm.reply(incarnation, func() { sm.handleConfirmation(renewal, s); sm.reconciler.ReconcileGrants(s, grants) })
+		default:
+			sm.reply(incarnation, func() { sm.holder.HandleRejection(s) })
+		}
+	})
+}
+
+func (sm *simulatedMember) handleConfirmation(renewal Renewal, s cluster.SessionID) {
+	if before := sm.holder.Session(); sm.holder.ConfirmRenewal(renewal, s) && before != s {
+		sm.reconciler.RetryAll()
+	}
+}
+
+// propose sends a proposal; the member ignores a result that comes after until.
+func (sm *simulatedMember) propose(incarnation Incarnation, p Proposal, until api.Micros) {
+	k := sm.pickNode()
+	sm.send(func() {
+		var a Result
+		var err error
+		rejected := sm.rejectWithoutEntry(k, p)
+		switch {
+		case len(rejected) > 0:
+			a.Grants = rejected
+		case sm.isLeading(k):
+			a, err = sm.apply(p.Command())
+		default:
+			return
+		}
+		sm.reply(incarnation, func() {
+			if sm.now >= until || sm.proposalUntil != until {
+				return
+			}
+			switch sm.proposalUntil = sm.now; {
+			case p.Release != "":
+				sm.reconciler.HandleReleaseResult(p, err)
+			case err != nil:
+				sm.holder.HandleRejection(p.Session)
+			default:
+				sm.reconciler.HandleResult(p.Session, a.Grants, sm.now)
+			}
+		})
+	})
+}
+
+// rejectWithoutEntry is the rejection that a raft node which leads, or believes so, gives without a log entry.
+func (sm *simulatedMember) rejectWithoutEntry(k int, p Proposal) (rejected []Grant) {
+	d := sm.nodes[k]
+	if p.Release != "" || !sm.isLeading(k) && d.stalledUntil <= sm.now || d.table.MemberOf(p.Session) == "" {
+		return nil
+	}
+	for _, t := range p.Acquire {
+		if s, _, _, held := d.table.Holder(t); !held || s == p.Session {
+			return nil
+		}
+		rejected = append(rejected, Grant{Resource: t})
+	}
+	return rejected
+}
+
+func (sm *simulatedMember) poll(incarnation Incarnation, resources []cluster.Resource, until api.Micros) {
+	k := sm.nextNode % len(sm.nodes)
+	var poll func()
+	poll = func() {
+		table, free := sm.catchUp(k), []cluster.Resource(nil)
+		for _, t := range resources {
+			if _, _, _, held := table.Holder(t); !held {
+				free = append(free, t)
+			}
+		}
+		if len(free) == 0 && sm.now < until {
+			sm.after(tickInterval, poll)
+			return
+		}
+		sm.reply(incarnation, func() {
+			if sm.pollUntil != until {
+				return
+			}
+			if sm.pollUntil = sm.now; !sm.reconciler.HandleFreed(free) {
+				sm.nextNode++
+			}
+		})
+	}
+	sm.nextNode++
+	sm.send(poll)
+}
+
+// check runs the simulation and returns what is wrong some time after its faults have ended, or "".
+func (si *simulation) check() string {
+	si.run(20 * simulationTTL)
+	for i := range si.nodes {
+		si.nodes[i].stalledUntil = 0
+	}
+	si.faulty, si.electionUntil = false, 0
+	for _, sm := range si.members {
+		sm.stoppedUntil = 0
+	}
+	si.run(si.now + simulationTTL + acquiredWithin*simulationTTL) // the latest message, and then the bound
+	for _, t := range simulationResources {
+		requests := func(sm *simulatedMember) bool { return slices.Contains(sm.reconciler.Requested(), t) }
+		requested := slices.ContainsFunc(si.members, requests)
+		_, who, epoch, held := si.nodes[si.leader].table.Holder(t)
+		switch all := si.holders(t); {
+		case si.violation != "":
+		case requested && len(all) == 0:
+			si.violation = string(t) + " is requested and not held; by the log it is held by " + string(who)
+		case !requested && held:
+			si.violation = string(t) + " is requested by nobody, and by the log held by " + string(who)
+		case requested && (!held || all[0].id != who || !requests(all[0])):
+			si.violation = string(t) + " is held by a member that does not request it, or that the log does not name"
+		case requested && epoch != all[0].holder.epochs[t]:
+			si.violation = string(t) + " is held with another epoch than the log's"
+		}
+	}
+	return si.violation
+}
+
+// acquiredWithin is the number of TTLs after the last late message in which a requested, free lease is acquired.
+const acquiredWithin = 2
+
+// Whatever faults befell messages, members and raft nodes, no lease stays free although it is requested, is held by a
+// member that does not request it, or has two holders at any time.
+func TestSimulation_RequestedLeaseIsAcquired(t *testing.T) {
+	for seed := range uint64(300 * (1 + extraDepth)) {
+		require.Empty(t, newSimulation(seed, simulationMutation{}).check(), "seed %d", seed)
+	}
+	for name, s := range map[string]simulationMutation{"grants of a session are not reported": {omitGrants: true},
+		"blocked requests are not retried": {neverRetry: true}} {
+		assert.True(t, slices.ContainsFunc(seeds(100), func(seed uint64) bool {
+			return newSimulation(seed, s).check() != ""
+		}), name)
+	}
+}
+
+func seeds(n uint64) (all []uint64) {
+	for seed := range n {
+		all = append(all, seed)
+	}
+	return all
+}
--- /dev/null
+++ b/cluster/member/coordinator/coordinator.go
@@ -0,0 +1,199 @@
+// Package coordinator runs the rebalancing plan, at the member that holds the coordinator's lease: it initializes the
+// shard map, fails ranges over whose owner is gone, advances moves, adopts the operators' plan and follows it.
+package coordinator
+
+import (
+	"errors"
+	"log/slog"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/lease"
+	"rowanlink/cluster/member/session"
+	"rowanlink/cluster/rebalance"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+)
+
+// MapSource has the newest shard map; nil: none yet.
+type MapSource interface{ Map() *shardmap.Map }
+
+// ImpactSource has what was collected of the health of a plan.
+type ImpactSource interface {
+	Impact(plan uint64) rebalance.Impact
+}
+
+// Config is what a Coordinator is made from.
+type Config struct {
+	Session  *session.Session
+	Maps     MapSource
+	Impacts  ImpactSource
+	LeaseTTL api.Micros
+}
+
+// Coordinator runs the plan while this member holds the lease for that. All that it goes by is in the log, but for how
+// long a range has been without its owner and since when no move has ended: the next coordinator begins to count anew,
+// which only makes it later. It is not safe for concurrent use.
+type Coordinator struct {
+	Config
+	failover *shardmap.FailoverPlanner
+	leases   *lease.Table        // as the log has them; nil: not known yet
+	progress *rebalance.Progress // of the running plan, as the log has it; nil: not known yet
+
+	epoch           cluster.Epoch // of this member's lease; 0: it doesn't coordinate
+	openMoves       int           // at the last Run
+	idleSince       api.Micros    // since when no move has ended
+	leaderUnreached bool          // no leader answered in this Run: nothing more is proposed until the next
+}
+
+// New returns a Coordinator that knows neither leases nor progress.
+func New(c Config) *Coordinator {
+	return &Coordinator{Config: c, failover: shardmap.NewFailoverPlanner(c.LeaseTTL)}
+}
+
+// SetLeases takes the leases as the log has them.
+func (c *Coordinator) SetLeases(leases *lease.Table) { c.leases = leases }
+
+// SetProgress takes the running plan as the log has it.
+func (c *Coordinator) SetProgress(p *rebalance.Progress) { c.progress = p }
+
+// PlanRequest is what the operator file asks for.
+type PlanRequest struct {
+	Text   []byte
+	Groups []shardmap.PlacementGroup // the sites' subscribers
+	Fresh  bool                      // the file was read anew: it goes before the plan that runs
+	// Resumes is the number of the plan that stood stopped when the file was read; 0: none did. That plan is resumed by
+	// the same file, too, but only by one that was read after the stop, whoever coordinates.
+	Resumes uint64
+}
+
+// Candidates are the members by the operator file, and into how many ranges the first map is split.
+type Candidates struct {
+	Members []shardmap.Candidate
+	Ranges  int
+}
+
+// StoppedPlan returns the number of the plan that stands stopped; 0: none does.
+func (c *Coordinator) StoppedPlan() uint64 {
+	if c.progress == nil || c.progress.StopReason == "" {
+		return 0
+	}
+	return c.progress.Number
+}
+
+// runningPlan returns the number of the plan that the log has; 0: none.
+func (c *Coordinator) runningPlan() uint64 {
+	if c.progress == nil {
+		return 0
+	}
+	return c.progress.Number
+}
+
+// Run does what is due now, by the member's monotonic clock, and returns whether the request was adopted or needs no
+// adoption. Where the shard map has to change first, the next Run, by the next map, does the rest.
+func (c *Coordinator) Run(request PlanRequest, candidates Candidates, now api.Micros) (adopted bool) {
+	if !c.coordinates(now) {
+		return false
+	}
+	by := shardmap.Coordinator(c.epoch)
+	shardMap := c.Maps.Map()
+	if shardMap == nil || len(shardMap.Ranges) == 0 {
+		c.propose("first map", by.Initialize(candidates.Ranges, weightsOf(candidates.Members)))
+		return false
+	}
+	alive := c.aliveMembers()
+	remaining := c.remainingMembers(candidates.Members, alive)
+	if takeovers := c.failover.PlanTakeovers(shardMap, c.leases, alive, remaining, now); len(takeovers) > 0 {
+		c.propose("homes given anew", by.FailOver(takeovers), "ranges", len(takeovers))
+		return false
+	}
+	mayPlace := request.Fresh || len(shardMap.Groups) == 0
+	if mayPlace && !shardmap.EqualPlacements(request.Groups, shardMap.Groups) {
+		c.propose("destinations placed", by.Place(request.Groups), "sites", len(request.Groups))
+		return false
+	}
+	if slices.ContainsFunc(shardMap.Misplaced, c.isGrantEnded) {
+		c.propose("grants over that destinations strayed from", by.SweepMisplaced())
+	}
+	c.advanceMoves(by, shardMap, now)
+	adopted = c.adopt(request, shardMap)
+	c.runPlan(by, shardMap, alive, now)
+	return adopted
+}
+
+// coordinates records by which grant this member coordinates; false: it doesn't, or doesn't know the leases yet.
+func (c *Coordinator) coordinates(now api.Micros) bool {
+	epoch, held := c.Session.Holds(cluster.CoordinatorResource)
+	c.leaderUnreached = false
+	if !held || c.leases == nil {
+		c.failover.Reset()
+		c.epoch = 0
+		return false
+	}
+	if epoch != c.epoch {
+		c.epoch, c.idleSince = epoch, now
+		slog.Info("conducts", "epoch", epoch)
+	}
+	return true
+}
+
+func weightsOf(members []shardmap.Candidate) (weights []shardmap.MemberWeight) {
+	for _, m := range members {
+		weights = append(weights, m.MemberWeight)
+	}
+	return weights
+}
+
+// aliveMembers returns the members with a session.
+func (c *Coordinator) aliveMembers() map[cluster.MemberID]bool {
+	alive := map[cluster.MemberID]bool{}
+	for _, s := range c.leases.Sessions() {
+		alive[c.leases.MemberOf(s)] = true
+	}
+	return alive
+}
+
+// isGrantEnded reports whether the grant is over by which a misplaced destination was served.
+func (c *Coordinator) isGrantEnded(m shardmap.MisplacedDestination) bool {
+	_, _, epoch, held := c.leases.Holder(cluster.RangeOwnerResource(m.Grant.Range))
+	return !held || epoch != m.Grant.Epoch
+}
+
+// advanceMoves takes moves to the step from which on the target and the source do the rest.
+func (c *Coordinator) advanceMoves(by shardmap.Coordinator, shardMap *shardmap.Map, now api.Micros) {
+	open := 0
+	for _, r := range shardMap.Ranges {
+		if !r.Move.IsOpen() {
+			continue
+		}
+		open++
+		fields := []any{"range", r.ID, "move", r.Move.ID, "to", r.Move.To}
+		switch r.Move.Step {
+		case shardmap.StepPlanned:
+			c.propose("move warms", by.AdvanceMove(r.Move.ID, shardmap.StepWarming), fields...)
+		case shardmap.StepWarming:
+			c.propose("move passes", by.AdvanceMove(r.Move.ID, shardmap.StepHandoff), fields...)
+		}
+	}
+	if open < c.openMoves {
+		c.idleSince = now
+	}
+	c.openMoves = open
+}
+
+// propose proposes a command; false: it was refused or may not be in the log. A refusal means that the log went on, and
+// the next Run is by what it has then.
+func (c *Coordinator) propose(what string, command cluster.Command, fields ...any) bool {
+	if c.leaderUnreached {
+		return false
+	}
+	if _, err := c.Session.Propose(command); err != nil {
+		c.leaderUnreached = session.IsLeaderUnreached(err)
+		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
+			slog.Warn(what+" not said", "why", err)
+		}
+		return false
+	}
+	slog.Info(what, fields...)
+	return true
+}
--- /dev/null
+++ b/cluster/member/forwarding/forwarder.go
@@ -0,0 +1,185 @@
+// Package forwarding takes webhooks to the owner of their range: a Forwarder offers those that clients send to this
+// member, a Receiver accepts those that other members send.
+package forwarding
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"rowanlink/cluster/member/custody"
+	"rowanlink/cluster/member/ownership"
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+const (
+	// hopDivisor is the part of the time that a client waits for its answer which one hop may take: the rest is for
+	// accepting the webhook here.
+	hopDivisor = 3
+	// retryInterval is the time between two attempts while a range is closed or its owner has an older map.
+	retryInterval = inflight.AnswerWithin / hopDivisor / hopDivisor / hopDivisor
+)
+
+// AcceptFunc accepts a webhook in this process. With inflight.Rejected it returns after how long the client may retry.
+type AcceptFunc = func() (inflight.Answer, api.Micros)
+
+// Handoffs is what this package needs of the hand-off of pending webhooks.
+type Handoffs interface {
+	// IsOrdered reports whether a webhook has to be delivered in the order of its key.
+	IsOrdered(*inflight.Webhook) bool
+	// RecordArrival records by which move a webhook came here; 0: by none, or it was not accepted.
+	RecordArrival(inflight.RequestID, shardmap.MoveID)
+	// ApplyState takes over what another member has learned; offset is by how much this clock is ahead of that one's.
+	ApplyState(learned []api.DestinationState, offset api.Micros)
+}
+
+// Config is what a Forwarder and a Receiver are made from.
+type Config struct {
+	Ownership     *ownership.Manager
+	Custody       *custody.Store
+	Metrics       *custody.Metrics
+	Peers         *peer.Client
+	Exchange      *inflight.Exchange
+	Decider       *eventloop.Decider
+	Handoffs      Handoffs
+	MaxClockDrift float64 // the most by which the rates of two clocks differ, as a fraction
+}
+
+// Forwarder takes clients' webhooks to the owners of their ranges. Its methods may be called concurrently.
+type Forwarder struct{ Config }
+
+// NewForwarder returns a Forwarder.
+func NewForwarder(c Config) *Forwarder { return &Forwarder{c} }
+
+// forwardOutcome is how far a client's webhook came on its way to the owner.
+type forwardOutcome uint8
+
+const (
+	// keptHere is a webhook that is accepted here, in doubt or not.
+	keptHere forwardOutcome = iota
+	// answeredByOwner is one that the owner has answered.
+	answeredByOwner
+	// retryLater is one that the owner can't accept yet.
+	retryLater
+)
+
+// forwardResult is an outcome with the answer to the client, which counts where the owner has answered.
+type forwardResult struct {
+	outcome    forwardOutcome
+	answer     inflight.Answer
+	retryAfter api.Micros
+}
+
+// Forward takes a client's webhook to the owner of its range and returns that member's answer. What the owner can't
+// accept is accepted here and parked until it can be handed off: the webhook belongs to the member whose journal has
+// it, and never to two.
+func (f *Forwarder) Forward(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
+	deadline := inflight.Now() + inflight.AnswerWithin - inflight.AnswerWithin/hopDivisor
+	for {
+		here := f.acceptHere(w, accept)
+		if here.accepted {
+			return here.answer, here.retryAfter
+		}
+		result := forwardResult{outcome: retryLater}
+		forwarded := here.decision.Action == shardmap.Forward
+		if forwarded {
+			result = f.offerToOwner(w, here.decision)
+		}
+		switch {
+		case result.outcome == answeredByOwner:
+			return result.answer, result.retryAfter
+		case result.outcome == keptHere, forwarded && !f.Handoffs.IsOrdered(w):
+			return accept()
+		case inflight.Now() > deadline: // by the time named the move should have switched
+			return inflight.Rejected, inflight.AnswerWithin
+		}
+		time.Sleep(inflight.Span(retryInterval))
+	}
+}
+
+// localAcceptance is whether a webhook was accepted here, with the answer to its client, or what is to be done instead.
+type localAcceptance struct {
+	accepted   bool
+	answer     inflight.Answer
+	retryAfter api.Micros
+	decision   shardmap.Decision
+}
+
+// acceptHere accepts what belongs here, and what has to wait here for an earlier webhook of its key. While the range is
+// closed it accepts nothing: what comes after the last count before a switch would be out of order.
+func (f *Forwarder) acceptHere(w *inflight.Webhook, accept AcceptFunc) localAcceptance {
+	release := f.Ownership.HoldAdmission()
+	defer release()
+	decision := f.Ownership.Decide(w.Destination)
+	if f.Ownership.IsClosed(decision) || decision.Action == shardmap.Forward && !f.Decider.Follows(w) {
+		return localAcceptance{decision: decision}
+	}
+	answer, retryAfter := accept()
+	return localAcceptance{accepted: true, answer: answer, retryAfter: retryAfter, decision: decision}
+}
+
+// offerToOwner offers a client's webhook to the owner, and where that names another one by a newer map, to that.
+func (f *Forwarder) offerToOwner(w *inflight.Webhook, decision shardmap.Decision) forwardResult {
+	id := custody.IDOf(w.RequestID)
+	handoff := f.Custody.NextHandoff(id)
+	for hops := 0; ; hops++ {
+		sentAt := inflight.Now()
+		webhook := peer.EncodeWebhook(eventloop.Owed{Webhook: w, MayRun: api.Never}, id, handoff)
+		sent, err := f.Peers.Send(decision.Owner, peer.WebhookPath, peer.Transfer{
+			MapVersion: decision.Version,
+			SentAt:     sentAt,
+			Webhooks:   []shardmap.TransferredWebhook{webhook},
+		}, inflight.AnswerWithin/hopDivisor, true)
+		var reply peer.Outcome
+		if err == nil {
+			reply = sent.Outcomes[0]
+		}
+		switch {
+		case errors.Is(err, transport.ErrNotSent):
+			return forwardResult{outcome: keptHere}
+		case err != nil || reply.Reply == shardmap.CustodyUnknown || reply.Reply == shardmap.CustodyStateLost:
+			return f.keepInDoubt(w, handoff, shardmap.Offer{To: decision.Owner, Incarnation: sent.Incarnation,
+				Range: decision.Range, Epoch: decision.Epoch, SentAt: sentAt})
+		case reply.Duplicate:
+			return forwardResult{outcome: answeredByOwner, answer: inflight.Doubled}
+		case reply.Reply == shardmap.CustodyTaken:
+			f.Metrics.Forwarded.Add(1)
+			return forwardResult{outcome: answeredByOwner, answer: inflight.Taken}
+		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
+			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
+		case reply.Reply == shardmap.CustodyNever: // its TTL is over: it ends here
+			return forwardResult{outcome: keptHere}
+		case !shardmap.ShouldFollowRedirect(decision, reply.Decision, reply.Admission, hops):
+			return forwardResult{outcome: retryLater}
+		}
+		decision = reply.Decision
+		decision.Action = shardmap.Forward
+	}
+}
+
+// keepInDoubt has a webhook kept here that its owner may have: nobody here calls for it before that is resolved, after
+// a restart either. Where its record can't be written, the restart finds that it may have run.
+func (f *Forwarder) keepInDoubt(w *inflight.Webhook, handoff shardmap.HandoffNumber,
+	offer shardmap.Offer) forwardResult {
+	slog.Warn("webhook in doubt: its home gave no answer", "webhook", w.RequestID, "home", offer.To)
+	f.Metrics.InDoubt.Add(1)
+	id := custody.IDOf(w.RequestID)
+	recorded := false
+	err := f.Custody.Update([]shardmap.WebhookID{id}, func(t *shardmap.CustodyTable) {
+		recorded = t.RecordUnansweredForward(id, handoff, w.TTL, offer)
+	})
+	w.InDoubt, w.Keep = true, true
+	if err != nil {
+		w.Past = &inflight.Past{Attempts: 1, MayRun: offer.SentAt}
+		return forwardResult{outcome: keptHere}
+	}
+	if !recorded { // it has come back here by now, and is pending
+		return forwardResult{outcome: answeredByOwner, answer: inflight.Taken}
+	}
+	return forwardResult{outcome: keptHere}
+}
--- /dev/null
+++ b/cluster/member/forwarding/receiver.go
@@ -0,0 +1,134 @@
+package forwarding
+
+import (
+	"log/slog"
+	"sync"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/shardmap"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// Receiver accepts webhooks that other members send, and answers their queries for custody. Its methods may be called
+// concurrently.
+type Receiver struct {
+	Config
+
+	mu           sync.Mutex
+	clockOffsets map[cluster.MemberID]*shardmap.ClockOffset
+}
+
+// NewReceiver returns a Receiver that knows no other member's clock yet.
+func NewReceiver(c Config) *Receiver {
+	return &Receiver{Config: c, clockOffsets: map[cluster.MemberID]*shardmap.ClockOffset{}}
+}
+
+// admitFunc decides whether a webhook of a transfer is to be accepted here, with what the map says of it.
+type admitFunc func(peer.Transfer, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)
+
+// HandleWebhook accepts a webhook that another member's client has sent, or names its owner.
+func (r *Receiver) HandleWebhook(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitByMap) }
+
+// HandleTransfer accepts webhooks that were pending at another member and are handed off, by a move or since this
+// member is their owner.
+func (r *Receiver) HandleTransfer(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitHandoff) }
+
+// admitByMap admits what this member owns by its map. It rejects what the source of a move gets once it has released
+// the range, or is about to: the next webhook of the key, sent to the target, would overtake it. Its sender keeps it.
+func (r *Receiver) admitByMap(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
+	shardMap := r.Ownership.Map()
+	if shardMap == nil {
+		return shardmap.AdmissionMapStale, shardmap.Decision{}
+	}
+	admission, decision := shardMap.AdmitDestination(r.Ownership.LocalMember(), w.Destination, t.MapVersion)
+	held := r.Ownership.HoldsRange(decision.Range)
+	if admission == shardmap.AdmissionAccepted && decision.Move.IsOpen() && (!held || r.Ownership.IsClosed(decision)) {
+		admission = shardmap.AdmissionMapStale
+	}
+	return admission, decision
+}
+
+// admitHandoff admits what is handed off by a move to this member, and without a move what admitByMap does.
+func (r *Receiver) admitHandoff(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission,
+	shardmap.Decision) {
+	shardMap := r.Ownership.Map()
+	if shardMap == nil || t.Move == 0 {
+		return r.admitByMap(t, w)
+	}
+	return shardMap.AdmitTransfer(t.Move, r.Ownership.Self), shardmap.Decision{}
+}
+
+func (r *Receiver) receive(ctx *fasthttp.RequestCtx, admit admitFunc) {
+	var transfer peer.Transfer
+	if err := transport.Decode(ctx.Request.Body(), &transfer); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	reply := peer.TransferReply{Incarnation: r.Custody.Incarnation}
+	if transfer.Incarnation != reply.Incarnation {
+		// The answer must not be taken for one of the folder that the transfer was meant for, which was lost.
+		ctx.SetBody(transport.Encode(reply))
+		return
+	}
+	offset := r.observeClock(transport.Sender(ctx), transfer.SentAt)
+	r.Handoffs.ApplyState(transfer.Learned, offset)
+	for i, w := range transfer.Webhooks {
+		transfer.Webhooks[i] = w.WithClockShift(offset)
+	}
+	release := r.Ownership.HoldAdmission()
+	defer release()
+	in := newIntake(r, transfer, admit)
+	in.run()
+	reply.Outcomes = in.outcomes
+	ctx.SetBody(transport.Encode(reply))
+}
+
+// observeClock takes a time that another member has sent and returns by how much this member's clock is ahead.
+func (r *Receiver) observeClock(sender cluster.MemberID, sentAt api.Micros) api.Micros {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.clockOffsets[sender] == nil {
+		r.clockOffsets[sender] = &shardmap.ClockOffset{}
+	}
+	return r.clockOffsets[sender].Observe(sentAt, inflight.Now(), r.MaxClockDrift)
+}
+
+// HandleQuery answers a member with webhooks in doubt. That one was never accepted is recorded before it is answered:
+// what is still on its way is rejected from then on.
+func (r *Receiver) HandleQuery(ctx *fasthttp.RequestCtx) {
+	var queries []peer.CustodyQuery
+	if err := transport.Decode(ctx.Request.Body(), &queries); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	replies := make([]shardmap.CustodyReply, len(queries))
+	ids := make([]shardmap.WebhookID, len(queries))
+	now := inflight.Now()
+	for i, q := range queries {
+		ids[i] = q.ID
+		switch {
+		case q.Incarnation == 0: // offered before any incarnation was known: no folder accepts that
+			replies[i] = shardmap.CustodyNever
+		case q.Incarnation != r.Custody.Incarnation:
+			replies[i] = shardmap.CustodyStateLost
+		}
+	}
+	err := r.Custody.Update(ids, func(t *shardmap.CustodyTable) {
+		for i, q := range queries {
+			if replies[i] == shardmap.CustodyUnknown {
+				replies[i], _ = t.HandleQuery(q.ID, q.Handoff, now+q.TTLLeft)
+			}
+		}
+	})
+	if err != nil {
+		ctx.Error("names not written", fasthttp.StatusServiceUnavailable)
+		return
+	}
+	slog.Debug("custody of webhooks queried", "by", transport.Sender(ctx), "webhooks", len(queries))
+	ctx.SetBody(transport.Encode(replies))
+}
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -1,14 +1,15 @@
+// Package member makes a webhook dispatcher a member of a cluster. It wires the parts to the dispatcher and runs them:
+// a raft node where the operator file names one here (raftnode), the session with its leases (session), the ranges that
+// this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the rebalancing
+// plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
 package member
 
 import (
+	"context"
 	crand "crypto/rand"
 	"encoding/binary"
 	"fmt"
-	"io"
-	"log/slog"
-	"math/rand/v2"
 	"net"
-	"os"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
@@ -18,141 +19,150 @@
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/fsm"
 	"rowanlink/cluster/lease"
+	"rowanlink/cluster/member/coordinator"
+	"rowanlink/cluster/member/custody"
+	"rowanlink/cluster/member/forwarding"
+	"rowanlink/cluster/member/handoff"
+	"rowanlink/cluster/member/health"
+	"rowanlink/cluster/member/ownership"
+	"rowanlink/cluster/member/peer"
+	"rowanlink/cluster/member/session"
 	"rowanlink/cluster/raftnode"
 	"rowanlink/cluster/rebalance"
-	"rowanlink/cluster/rebalance/planfile"
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/site"
 	"rowanlink/cluster/transport"
+	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher"
-	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const (
-	requestTimeout       = 5 * time.Second // a message that has begun
-	checksPerTTL         = 8               // looks in a term
-	custodyDiskMB        = 32              // of the disk for names
-	leaveTimeoutTTLs     = 1               // terms that a planned end waits for its turn
-	custodyRetentionTTLs = 2               // terms by which names outlast what they name
+	requestTimeout       = 5 * time.Second // for a request of another member that has begun
+	checksPerTTL         = 8               // reconciliations in a lease TTL, beside those that a change causes
+	custodyDiskMB        = 32              // of the disk for custody records
+	custodyRetentionTTLs = 2               // lease TTLs by which custody records outlast what they name
 )
 
-// Member is one, beside its dispatcher.
+// Member is one member of the cluster, beside its dispatcher, whose Beside it is.
 type Member struct {
 	configPath string
 	self       cluster.MemberID
-	configText []byte
-	file       config.File
 	dispatcher *dispatcher.Dispatcher
-	settings   atomic.Pointer[api.Settings] // by the settings read last
-	clock      func() api.Micros
+	settings   atomic.Pointer[api.Settings] // read last
+	clock      func() api.Micros            // monotonic, for leases
 	listener   net.Listener
 	server     *transport.Server
 	client     *transport.Client
-	raft       *raftnode.Node // nil where it keeps no log
-	session    *Session
-	ownership  *Ownership
-	handoff    *Handoff
-	custody    *Store
-	health     *Reporter
-	// The running plan as the log has it; nil where no log is kept.
-	progress    atomic.Pointer[rebalance.Progress]
-	sites       *site.Sites
-	memberCount atomic.Int64 // members by the file, for the decider's goroutine
-
-	mu            sync.Mutex
-	request       PlanRequest
-	coordinator   *Coordinator
-	ownershipWake chan struct{} // something is to be looked at
-	handoffWake   chan struct{} // the same, of what is owed
+	raft       *raftnode.Node // nil: the operator file names no raft node here
+	session    *session.Session
+	ownership  *ownership.Manager
+	custody    *custody.Store
+	metrics    custody.Metrics
+	peers      *peer.Client
+	handoff    *handoff.Manager
+	reporter   *health.Reporter
+	collector  *health.Collector
+	sites      *site.Sites
+
+	progress    atomic.Pointer[rebalance.Progress] // of the running plan; nil without a raft node
+	memberCount atomic.Int64                       // by the operator file, for the event loop's goroutine
+
+	mu          sync.Mutex
+	file        config.File // the operator file read last; the lease TTL, clock drift and name are those read first
+	planRequest coordinator.PlanRequest
+	coordinator *coordinator.Coordinator
+
+	ownershipWake wakeup.Signal // ranges, moves or the plan are to be looked at
+	handoffWake   wakeup.Signal // pending webhooks are to be looked at
 	ended         chan struct{}
 	done          sync.WaitGroup
 }
 
-// New makes a member by the operator file at a path.
-func New(path string) *Member {
-	return &Member{configPath: path, ownershipWake: make(chan struct{}, 1), handoffWake: make(chan struct{}, 1),
-		ended: make(chan struct{})}
-}
+var _ dispatcher.Beside = (*Member)(nil)
 
-// readConfig reads the operator file and checks that this member stands in it and that its plan can be read.
-func (m *Member) readConfig() (text []byte, f config.File, err error) {
-	if m.configPath == "" {
-		return nil, f, fmt.Errorf("ROWAN_FLEET names no operator file")
-	}
-	if text, err = os.ReadFile(m.configPath); err != nil {
-		return nil, f, fmt.Errorf("operator file: %w", err)
-	}
-	if f, err = config.Parse(text, m.configPath); err != nil {
-		return nil, f, err
-	}
-	if _, err = planfile.Parse(text, m.configPath); err != nil {
-		return nil, f, err
-	}
-	if _, ok := f.Member(m.self); !ok {
-		return nil, f, fmt.Errorf("%s: no member is called %q, the name in LB_CONFIG", m.configPath, m.self)
+// New returns a member by the operator file at a path. The dispatcher calls its methods.
+func New(path string) *Member {
+	return &Member{
+		configPath:    path,
+		ownershipWake: wakeup.New(),
+		handoffWake:   wakeup.New(),
+		ended:         make(chan struct{}),
 	}
-	return text, f, nil
 }
 
-// Begin reads the file, opens the log where it is kept here, and joins the decider; nothing runs yet.
-func (m *Member) Begin(d *dispatcher.Dispatcher) (err error) {
+// Begin reads the operator file, opens the raft node's log where there is one, and joins the dispatcher's event loop.
+// Nothing runs yet.
+func (m *Member) Begin(d *dispatcher.Dispatcher) error {
 	m.settings.Store(&d.Facts)
 	m.dispatcher, m.self = d, cluster.MemberID(d.Told.Get("name").String())
-	if m.configText, m.file, err = m.readConfig(); err != nil {
+	text, file, err := m.readOperatorFile()
+	if err != nil {
 		return err
 	}
+	m.file = file
+	m.planRequest = coordinator.PlanRequest{Text: text, Groups: file.Groups()}
+	m.memberCount.Store(int64(len(file.Members)))
 	if m.clock, err = newLeaseClock(); err != nil {
 		return err
 	}
-	own, _ := m.file.Member(m.self)
-	if m.listener, err = net.Listen("tcp", own.Address); err != nil {
+	own, _ := file.Member(m.self)
+	if m.listener, err = listen(own.Address); err != nil {
 		return err
 	}
-	m.request = PlanRequest{Text: m.configText, Groups: m.file.Groups()}
-	m.client, m.server = transport.NewClient(m.self, memberAddresses(m.file)), transport.NewServer(MaxConnections(len(m.file.Members)), requestTimeout)
+	m.client = transport.NewClient(m.self, memberAddresses(file))
+	m.server = transport.NewServer(session.MaxConnections(len(file.Members)), requestTimeout)
 	if own.RaftAddress != "" {
 		if err := m.openRaftNode(own); err != nil {
 			return err
 		}
 	}
-	m.ownership = &Ownership{self: m.self, leaseTTL: m.file.LeaseTTL, now: m.clock, onChange: m.wake}
-	m.ownership.inactiveSince.Store(int64(m.clock()))
-	if err := m.openCustody(); err != nil { // guards against a second effect: without them nothing is taken over
+	m.ownership = ownership.New(ownership.Config{
+		Self:         m.self,
+		LeaseTTL:     file.LeaseTTL,
+		Clock:        m.clock,
+		HandoffBatch: handoff.MaxBatch,
+		OnChange:     m.wake,
+	})
+	if err := m.openCustody(); err != nil { // without the records a webhook might be delivered twice
 		return fmt.Errorf("names of webhooks: %w", err)
 	}
-	f := &forwarder{ownership: m.ownership, exchange: d.Exchange, client: m.client, custody: m.custody, maxClockDrift: m.file.MaxClockDrift,
-		clockOffsets: map[cluster.MemberID]*shardmap.ClockOffset{}, incarnations: map[cluster.MemberID]uint64{}}
-	m.handoff = &Handoff{forwarding: f, decider: d.Decider, arrivals: map[inflight.RequestID]shardmap.MoveID{},
-		stateSent: map[shardmap.MoveID]bool{}, inProgress: map[cluster.MemberID]bool{}, eventType: m.eventType,
-		wake: func() { wake(m.handoffWake) }}
-	f.handoff, m.ownership.local = m.handoff, m.handoff
-	m.health = &Reporter{self: m.self, ownership: m.ownership, decider: d.Decider, now: m.clock, stop: m.ended,
-		tally: rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock())}
-	d.Exchange.Away, d.Exchange.More = m.health.CountRejections(f.Forward), m.Print
-	m.memberCount.Store(int64(len(m.file.Members)))
+	m.wireHandoff()
+	m.wireHealth()
 	m.sites = m.newSites()
 	m.sites.Install()
 	m.sites.RegisterHandlers(m.server)
 	d.Decider.Join(admission{m})
 	d.Calls.May = func(dest api.DestinationID) bool { return admission{m}.Calls(dest, false) }
-	m.server.Handle(WebhookPath, f.HandleWebhook)
-	m.server.Handle(TransferPath, f.HandleTransfer)
-	m.server.Handle(QueryPath, f.HandleQuery)
-	m.server.Handle(Path, m.health.HandleQuery)
 	return nil
 }
 
+// listen listens for as long as the process runs.
+func listen(address string) (net.Listener, error) {
+	return (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
+}
+
 func (m *Member) openRaftNode(own config.Member) error {
-	on, err := net.Listen("tcp", own.RaftAddress)
+	listener, err := listen(own.RaftAddress)
 	if err != nil {
 		return err
 	}
-	book := lease.NewTable()
-	m.raft, err = raftnode.Open(raftnode.Config{ClusterName: m.file.Name, Self: m.self, StateDir: m.dispatcher.State,
-		SessionTTL: m.file.LeaseTTL, Addresses: raftAddresses(m.file), Client: m.client, Clock: m.clock, Leases: book,
-		StateMachine: fsm.New(book, map[byte]cluster.Component{cluster.ShardMapComponent: shardmap.New(book),
-			cluster.RebalanceComponent: &rebalance.Progress{}})}, on)
+	leases := lease.NewTable()
+	parts := map[byte]cluster.Component{
+		cluster.ShardMapComponent:  shardmap.New(leases),
+		cluster.RebalanceComponent: &rebalance.Progress{},
+	}
+	m.raft, err = raftnode.Open(raftnode.Config{
+		ClusterName:  m.file.Name,
+		Self:         m.self,
+		StateDir:     m.dispatcher.State,
+		SessionTTL:   m.file.LeaseTTL,
+		Addresses:    raftAddresses(m.file),
+		Client:       m.client,
+		Clock:        m.clock,
+		Leases:       leases,
+		StateMachine: fsm.New(leases, parts),
+	}, listener)
 	if err != nil {
 		return err
 	}
@@ -160,80 +170,97 @@
 	return nil
 }
 
-// randomID is a number that no other start of a process has.
-func randomID() uint64 {
-	var draw [8]byte
-	crand.Read(draw[:])
-	return binary.LittleEndian.Uint64(draw[:])
-}
-
-// eventType is what the settings say of an event type by now.
-func (m *Member) eventType(t api.EventTypeID) api.EventType {
-	if all := m.settings.Load().EventTypes; int(t) < len(all) {
-		return all[t]
-	}
-	return api.EventType{Semantics: api.AtMostOnce}
-}
-
-// openCustody opens the names of webhooks, beside what the journal still owes.
+// openCustody opens the custody records, beside the webhooks that the dispatcher has recovered from its journal.
 func (m *Member) openCustody() (err error) {
-	held := map[shardmap.WebhookID]bool{}
+	pending := map[shardmap.WebhookID]bool{}
 	for _, id := range m.dispatcher.Decider.Earlier() {
-		held[NameOf(id)] = true
+		pending[custody.IDOf(id)] = true
 	}
-	m.custody, err = Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB, custodyRetentionTTLs*m.file.LeaseTTL,
-		func(n shardmap.WebhookID) bool { return held[n] })
+	m.custody, err = custody.Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB,
+		custodyRetentionTTLs*m.file.LeaseTTL, func(id shardmap.WebhookID) bool { return pending[id] })
 	return err
 }
 
-func (m *Member) wake() {
-	wake(m.ownershipWake)
-	wake(m.handoffWake)
+// wireHandoff makes what takes webhooks to other members and accepts theirs.
+func (m *Member) wireHandoff() {
+	d := m.dispatcher
+	m.peers = peer.NewClient(m.client)
+	m.handoff = handoff.New(handoff.Config{
+		Ownership: m.ownership,
+		Custody:   m.custody,
+		Metrics:   &m.metrics,
+		Peers:     m.peers,
+		Decider:   d.Decider,
+		EventType: m.eventType,
+		Wake:      m.handoffWake.Send,
+	})
+	m.ownership.Bind(m.handoff)
+	receiver := forwarding.NewReceiver(m.forwardingConfig())
+	m.server.Handle(peer.WebhookPath, receiver.HandleWebhook)
+	m.server.Handle(peer.TransferPath, receiver.HandleTransfer)
+	m.server.Handle(peer.QueryPath, receiver.HandleQuery)
 }
 
-// Serve starts what the member does by itself.
-func (m *Member) Serve() {
-	slog.Info("member", "fleet", m.file.Name, "name", m.self, "members", len(m.file.Members))
-	m.session = NewSession(Config{Self: m.self, Incarnation: lease.Incarnation(randomID()),
-		LeaseTTL: m.file.LeaseTTL, MaxClockDrift: m.file.MaxClockDrift, Clock: m.clock,
-		Leader:   NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
-		OnChange: func(cluster.Resource, cluster.Epoch) { m.wake() }})
-	m.ownership.session = m.session
-	if err := m.sites.Start(m.session); err != nil { // guards against a second effect, as above
-		slog.Error("what goes to relays not read", "why", err)
-		os.Exit(1)
+func (m *Member) forwardingConfig() forwarding.Config {
+	return forwarding.Config{
+		Ownership:     m.ownership,
+		Custody:       m.custody,
+		Metrics:       &m.metrics,
+		Peers:         m.peers,
+		Exchange:      m.dispatcher.Exchange,
+		Decider:       m.dispatcher.Decider,
+		Handoffs:      m.handoff,
+		MaxClockDrift: m.file.MaxClockDrift,
 	}
-	m.coordinator = &Coordinator{ownership: m.ownership, health: m.health, vacancies: shardmap.NewFailoverPlanner(m.file.LeaseTTL)}
-	go m.server.Serve(m.listener)
-	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, s []byte) { m.ownership.ApplySnapshot(s) })
-	if m.raft != nil {
-		m.session.Acquire(cluster.CoordinatorResource)
-		m.session.Watch(cluster.LeaseComponent, m.applyLeases)
-		m.session.Watch(cluster.RebalanceComponent, m.applyProgress)
-	}
-	m.done.Add(2)
-	go m.pollHealth()
-	go m.runPeriodically(m.ownershipWake, func() {
-		m.ownership.TrackSession()
-		m.ownership.Reconcile()
-		m.ownership.ReleaseMergedRanges()
-		m.dispatcher.Decider.Regate()
-		m.health.NoteMoves()
-		m.coordinate()
+}
+
+// wireHealth makes what counts how webhooks end and, at the coordinator, collects these counts. Clients' webhooks go
+// through it on their way to the forwarder.
+func (m *Member) wireHealth() {
+	d := m.dispatcher
+	m.reporter = health.NewReporter(health.ReporterConfig{
+		Self:    m.self,
+		Maps:    m.ownership,
+		Decider: d.Decider,
+		Clock:   m.clock,
+		Meter:   rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
+		Stop:    m.ended,
+	})
+	m.collector = health.NewCollector(health.CollectorConfig{
+		Self:        m.self,
+		Reporter:    m.reporter,
+		Client:      m.client,
+		LeaseTTL:    duration(m.file.LeaseTTL),
+		Members:     m.members,
+		Query:       m.healthQuery,
+		OnCollected: m.wake,
 	})
-	go m.runPeriodically(m.handoffWake, m.handoff.Run)
-	m.session.RunLeaseWorkload(os.Getenv)
+	m.server.Handle(health.Path, m.reporter.HandleQuery)
+	forwarder := forwarding.NewForwarder(m.forwardingConfig())
+	d.Exchange.Away = m.reporter.CountRejections(forwarder.Forward)
+	d.Exchange.More = m.Print
 }
 
-// Print writes the fleet's counters.
-func (m *Member) Print(to io.Writer) {
-	if m.session == nil {
-		return
-	}
-	m.session.WriteMetrics(to)
-	m.sites.WriteMetrics(to)
-	if m.raft != nil {
-		m.raft.WriteMetrics(to)
-		m.writePlanMetrics(to)
+// randomID returns a number that no other start of a process has.
+func randomID() uint64 {
+	var id [8]byte
+	_, _ = crand.Read(id[:]) // never fails
+	return binary.LittleEndian.Uint64(id[:])
+}
+
+// eventType returns an event type by the settings read last. One that they don't have any more is at-most-once, so
+// that nothing is repeated.
+func (m *Member) eventType(id api.EventTypeID) api.EventType {
+	if all := m.settings.Load().EventTypes; int(id) < len(all) {
+		return all[id]
 	}
+	return api.EventType{Semantics: api.AtMostOnce}
 }
+
+// wake has everything reconciled soon.
+func (m *Member) wake() {
+	m.ownershipWake.Send()
+	m.handoffWake.Send()
+}
+
+func duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -9,36 +9,47 @@
 	"rowanlink/webhook/api"
 )
 
-// newSites makes what joins this member's dispatcher to site streams.
+// newSites makes what joins this member's dispatcher to the streams of sites.
 func (m *Member) newSites() *site.Sites {
 	d := m.dispatcher
-	return site.New(site.Options{Self: m.self, StateDir: d.State, DiskMB: diskMB(d.Told), Exchange: d.Exchange,
-		Decider: d.Decider, Messenger: m.client, IsAccepting: d.Life.TakesOn, NotifyHandoff: m.wake, EventType: m.eventType,
-		IsRangeOwner: m.isOwnerOf, IsSiteOwner: m.isSiteOwner, IsOwnerUnknown: m.isSiteIsolated,
-		BufferCapacity: func() int { return m.settings.Load().BufferSize }}, m.file)
+	return site.New(site.Options{
+		Self:           m.self,
+		StateDir:       d.State,
+		DiskMB:         diskMB(d.Told),
+		Exchange:       d.Exchange,
+		Decider:        d.Decider,
+		Messenger:      m.client,
+		IsAccepting:    d.Life.TakesOn,
+		NotifyHandoff:  m.wake,
+		EventType:      m.eventType,
+		IsRangeOwner:   m.isOwnerOf,
+		IsSiteOwner:    m.isSiteOwner,
+		IsOwnerUnknown: m.isSiteIsolated,
+		BufferCapacity: func() int { return m.settings.Load().BufferSize },
+	}, m.file)
 }
 
-// isOwnerOf is whether this member is home of a destination, by the grant that it holds.
+// isOwnerOf reports whether this member owns a destination's range, by the lease that it holds.
 func (m *Member) isOwnerOf(d api.DestinationID) bool {
-	return m.ownership.Verdict(d).Action == shardmap.Serve
+	return m.ownership.Decide(d).Action == shardmap.Serve
 }
 
-// isSiteOwner is whether it is home of where a site's subscribers stand.
+// isSiteOwner reports whether this member owns the range of a site's subscribers.
 func (m *Member) isSiteOwner(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteKeyHash(s)).Action == shardmap.Serve
+	return m.ownership.DecideForKey(cluster.SiteKeyHash(s)).Action == shardmap.Serve
 }
 
-// isSiteIsolated is whether nobody may be home there, as no keeper is reached.
+// isSiteIsolated reports whether nobody may own that range, as no raft node is reached.
 func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
-	return m.ownership.VerdictForKey(cluster.SiteKeyHash(s)).Action == shardmap.ServeIsolated
+	return m.ownership.DecideForKey(cluster.SiteKeyHash(s)).Action == shardmap.ServeIsolated
 }
 
-// defaultDiskMB is what the dispatcher's own journal has where nothing is told.
+// defaultDiskMB is what the dispatcher's own journal has where the settings name nothing.
 const defaultDiskMB = 3
 
-// diskMB is for a relay's journal, beside the dispatcher's own: as much again.
-func diskMB(told gjson.Result) float64 {
-	if mb := told.Get("limits.disk_mb").Float(); mb > 0 {
+// diskMB returns the disk space for a relay's journal: as much again as the dispatcher's own has.
+func diskMB(settings gjson.Result) float64 {
+	if mb := settings.Get("limits.disk_mb").Float(); mb > 0 {
 		return mb
 	}
 	return defaultDiskMB
--- a/serving/member/replicate.go
+++ b/serving/member/replication.go
@@ -11,16 +11,16 @@
 	"rowanlink/serving/state"
 )
 
-// hedgeDelay is how long a copy may be under way before one more member is asked.
+// hedgeDelay is how long replication waits for acknowledgements before it sends the entry to one more member.
 const hedgeDelay = 120 * time.Millisecond
 
-// PutReplicated takes in an entry, spreads it and returns once so many other members, of those at the addresses where
-// any are given, have acknowledged that they have it; core members are asked first. It fails with errcode.TooFewMembers where not so many are live, and with
-// errcode.NotAcknowledged where they did not answer before ctx ended or all have failed. The entry is spread in
-// any case.
-func (m *Service) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
-	targets := ask(m, func(now time.Time, n *node) []gossip.Peer {
-		n.put(now, entry)
+// PutReplicated stores and gossips an entry, sends it to other live members at once, to core members first, and returns
+// when as many as copies have acknowledged that they have stored it. Only members at the addresses count, where any are
+// given. It fails with errcode.TooFewMembers where fewer are live, and with errcode.NotAcknowledged where too few have
+// acknowledged before ctx ended or all have been tried. The entry is gossiped in any case.
+func (s *Service) PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error {
+	targets := query(s, func(now time.Time, n *node) []gossip.Peer {
+		n.putLocal(now, entry)
 		return n.replicaTargets(addresses)
 	})
 	if len(targets) < copies {
@@ -28,15 +28,15 @@
 	}
 	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
-	round := replication{mesh: m, entry: entry, targets: targets, answers: make(chan error, len(targets))}
+	pending := replication{service: s, entry: entry, targets: targets, results: make(chan error, len(targets))}
 	for range copies {
-		round.askNext(calling)
+		pending.sendToNext(calling)
 	}
-	return round.wait(calling, copies)
+	return pending.wait(calling, copies)
 }
 
-// replicaTargets returns the other live members, of those at the addresses where any are given: core members before
-// others, those of the own region first.
+// replicaTargets returns the other live members, only those at the addresses where any are given: core members before
+// others, and those of the local region first. Members that are avoided come last.
 func (n *node) replicaTargets(addresses []string) []gossip.Peer {
 	self := n.members.Self()
 	live := slices.Clone(n.members.LiveMembers())
@@ -56,7 +56,7 @@
 	for _, member := range live {
 		switch peer := peerOf(member); {
 		case member.Name == self.Name, len(addresses) > 0 && !slices.Contains(addresses, member.Address):
-		case n.engine.IsAvoided(n.current, member.Name):
+		case n.engine.IsAvoided(n.now, member.Name):
 			avoided = append(avoided, peer)
 		default:
 			targets = append(targets, peer)
@@ -65,54 +65,54 @@
 	return append(targets, avoided...)
 }
 
-// replication is one entry on its way to a number of members.
+// replication sends one entry to a number of members.
 type replication struct {
-	mesh    *Service
-	entry   gossip.Entry
-	targets []gossip.Peer // not asked yet
-	answers chan error
-	waiting int
+	service  *Service
+	entry    gossip.Entry
+	targets  []gossip.Peer // not sent to yet
+	results  chan error
+	inFlight int
 }
 
-// askNext sends the entry to the next member; false where none is left.
-func (r *replication) askNext(ctx context.Context) bool {
+// sendToNext sends the entry to the next target; false where none is left.
+func (r *replication) sendToNext(ctx context.Context) bool {
 	if len(r.targets) == 0 {
 		return false
 	}
 	target := r.targets[0]
 	r.targets = r.targets[1:]
-	r.waiting++
+	r.inFlight++
 	go func() {
-		message := gossip.Message{From: r.mesh.options.Self.Name, Entries: []gossip.Entry{r.entry}}
+		message := gossip.Message{From: r.service.options.Self.Name, Entries: []gossip.Entry{r.entry}}
 		bounded, cancel := context.WithTimeout(ctx, timeoutFor(message.Entries))
 		defer cancel()
-		_, err := pushMethod.Call(bounded, r.mesh.options.Client, target.Address, &message)
+		_, err := pushMethod.Call(bounded, r.service.options.Client, target.Address, &message)
 		if err != nil && ctx.Err() == nil {
-			r.mesh.calls.failed(target.Name)
+			r.service.markUnresponsive(target.Name)
 		}
-		r.answers <- err
+		r.results <- err
 	}()
 	return true
 }
 
-// wait counts acknowledgements and asks more members for those that fail or are late.
+// wait waits for the acknowledgements and sends the entry to a further target for each one that fails or is late.
 func (r *replication) wait(ctx context.Context, copies int) error {
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
 	acknowledged := 0
 	for acknowledged < copies {
 		select {
-		case err := <-r.answers:
-			r.waiting--
+		case err := <-r.results:
+			r.inFlight--
 			if err == nil {
 				acknowledged++
 				continue
 			}
-			if !r.askNext(ctx) && r.waiting == 0 {
+			if !r.sendToNext(ctx) && r.inFlight == 0 {
 				return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
 			}
 		case <-hedge.C:
-			r.askNext(ctx)
+			r.sendToNext(ctx)
 		case <-ctx.Done():
 			return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
 		}
--- a/serving/routing/parse_test.go
+++ b/serving/routing/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestParse runs the documents of testdata/documents: "parse" prints what a document is read as, or why it is refused.
+// TestParse runs testdata/documents: "parse" prints the parsed document, or the error.
 func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata/documents", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -43,39 +43,39 @@
 	return text.String()
 }
 
-// TestEachCutOfADocumentIsRefused cuts a document at each byte: it must never be taken for a whole one.
-func TestEachCutOfADocumentIsRefused(t *testing.T) {
-	whole := manyRoutes(3)
-	_, err := Parse(whole)
+// TestParse_RejectsTruncatedDocuments truncates a document at each byte.
+func TestParse_RejectsTruncatedDocuments(t *testing.T) {
+	document := newLargeDocument(3)
+	_, err := Parse(document)
 	require.NoError(t, err)
-	for length := range whole {
-		_, err := Parse(whole[:length])
-		assert.Error(t, err, "cut after %d bytes", length)
+	for length := range document {
+		_, err := Parse(document[:length])
+		assert.Error(t, err, "truncated after %d bytes", length)
 	}
 }
 
-func TestDeepNestingIsRefusedAndEndsNothing(t *testing.T) {
+func TestParse_RejectsDeepNesting(t *testing.T) {
 	_, err := Parse([]byte(strings.Repeat("[", 4<<20)))
 	assert.Error(t, err)
 }
 
-func TestBracketsInATextAreNoNesting(t *testing.T) {
+func TestParse_IgnoresBracketsInStrings(t *testing.T) {
 	_, err := Parse([]byte(`{"edition":1,"mark":"\\\"` + strings.Repeat("[", 5000) + `"}`))
 	assert.NoError(t, err)
 }
 
-func TestServiceByName(t *testing.T) {
-	table, err := Parse(manyRoutes(1))
+func TestTable_Service(t *testing.T) {
+	table, err := Parse(newLargeDocument(1))
 	require.NoError(t, err)
-	service, known := table.Service("s")
-	require.True(t, known)
+	service, found := table.Service("s")
+	require.True(t, found)
 	assert.Equal(t, "s", service.Name)
-	_, known = table.Service("t")
-	assert.False(t, known)
+	_, found = table.Service("t")
+	assert.False(t, found)
 }
 
-// manyRoutes is a document with so many routes of one host.
-func manyRoutes(count int) []byte {
+// newLargeDocument returns a document with the given number of routes of one host.
+func newLargeDocument(count int) []byte {
 	var text strings.Builder
 	text.WriteString(`{"edition":7,"routings":[`)
 	for index := range count {
@@ -90,8 +90,8 @@
 	return []byte(text.String())
 }
 
-func BenchmarkParse1400Routes(b *testing.B) {
-	text := manyRoutes(1400)
+func BenchmarkParse_1400Routes(b *testing.B) {
+	text := newLargeDocument(1400)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Parse(text); err != nil {
--- a/test/integration/cluster/plan_test.go
+++ b/test/integration/cluster/move_test.go
@@ -14,53 +14,53 @@
 	"rowanlink/webhook/api"
 )
 
-var to = regexp.MustCompile(` to=(\w+)`)
+var targetField = regexp.MustCompile(` to=(\w+)`)
 
 // Guards against a step of a move that can't be the last one before a kill: of the member that leaves, of the
 // one that gets the range, of the one that conducts.
-func TestAKillAfterEachStepOfAMove(t *testing.T) {
+func TestMove_KillAfterEachStep(t *testing.T) {
 	for _, step := range []string{"move planned", "move warms", "move passes", "home switched", "move cleared"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8})
-			slowly(t, f)
-			stop := load(f)
+			f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+			slowDestinations(t, f)
+			stop := startLoad(f)
 			for _, role := range []string{"source", "target", "conductor"} {
-				leaver := busiest(f)
-				marks := f.Marks()
+				leaver := ownerOfMostRanges(f)
+				marks := f.LogOffsets()
 				t.Logf("%s leaves, %s killed", leaver.Name, role)
-				f.Reload(fmt.Sprintf("leave %q {}\n", leaver.Name))
-				said := f.AwaitAny(marks, "INFO "+step+" ")
+				f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
+				said := f.AwaitLog(marks, "INFO "+step+" ")
 				who := leaver
 				switch role {
 				case "target":
 					who = said
 					if line, ok := said.Log.Find(marks[said], "INFO "+step+" ", " to="); ok {
-						who = f.Member(to.FindStringSubmatch(line.Text)[1])
+						who = f.Member(targetField.FindStringSubmatch(line.Text)[1])
 					}
 				case "conductor":
-					who = f.AwaitAny(marks, "INFO move planned ")
+					who = f.AwaitLog(marks, "INFO move planned ")
 				}
 				who.Kill()
-				f.Served()
+				f.AwaitServed()
 				who.Start()
-				f.Homed(leaver)
+				f.AwaitStable(leaver)
 			}
 			stop()
-			f.Judge(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+			f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
 			for d := range api.DestinationID(4) {
 				t.Logf("destination %d: longest gap %s", d+1,
-					time.Duration(f.Platform.Ledger.LongestGap(d+1))*time.Microsecond)
+					time.Duration(f.Platform.Checker.LongestGap(d+1))*time.Microsecond)
 			}
 		})
 	}
 }
 
-// busiest is the home of the most ranges.
-func busiest(f *harness.Fleet) *harness.Member {
+// ownerOfMostRanges is the home of the most ranges.
+func ownerOfMostRanges(f *harness.Cluster) *harness.Member {
 	n, most := map[string]int{}, ""
-	f.Soon("a map", func() bool {
-		chart := f.Map()
+	f.Eventually("a map", func() bool {
+		chart := f.ShardMap()
 		if chart == nil {
 			return false
 		}
@@ -75,19 +75,19 @@
 }
 
 // Guards against webhooks lost, doubled or overtaken in moves in which nothing fails.
-func TestMovesUnderLoadLoseNothingAndDoNothingTwice(t *testing.T) {
+func TestMove_UnderLoadWithoutFaults(t *testing.T) {
 	t.Parallel()
-	f := begin(t, harness.Shape{Members: 4, Keepers: 3, Ranges: 8})
+	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 	for d := range api.DestinationID(4) {
-		require.NoError(t, f.Platform.Destination(d+1).Set(platform.Slow(term/5)))
+		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(leaseTTL/5)))
 	}
-	stop := load(f)
+	stop := startLoad(f)
 	for range 3 {
-		some(0.5)
-		leaver := busiest(f)
-		f.Reload(fmt.Sprintf("leave %q {}\n", leaver.Name))
-		f.Homed(leaver)
+		sleepTTLs(0.5)
+		leaver := ownerOfMostRanges(f)
+		f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
+		f.AwaitStable(leaver)
 	}
 	stop()
-	f.Judge()
+	f.Check()
 }
