--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -14,12 +14,12 @@
 	"rowanlink/serving/attempt"
 )
 
-func TestRequestArrivesUnchanged(t *testing.T) {
+func TestDo_RequestArrivesUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	e := newEndpoint(t, func(p *peer) {
-		for r := p.request(); r != nil; r = p.request() {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		for r := p.readRequest(); r != nil; r = p.readRequest() {
 			got <- r
-			p.say(okAnswer)
+			p.write(okResponse)
 		}
 	})
 	call := e.call()
@@ -28,10 +28,10 @@
 	call.Header.Set("Last-Event-Id", "1")
 	call.Header.Set("X-Time-Left", "99999999")
 	call.Header.Set("X-Deliver-To", "another")
-	answer, body, failure := outcome(t, New(patient), call)
+	response, body, failure := doCall(t, New(testOptions), call)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
-	assert.Equal(t, "s", answer.Header.Get("X-Postmark"))
+	assert.Equal(t, "s", response.Header.Get("X-Postmark"))
 
 	r := <-got
 	assert.Equal(t, call.RequestTarget, r.RequestURI)
@@ -49,15 +49,15 @@
 	assert.Equal(t, "9", call.Header.Get("Priority"), "the caller's headers stay as they are")
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
-	e := newEndpoint(t, func(p *peer) {
-		for p.request() != nil {
-			p.say(okAnswer)
+func TestPool_ReusesConnections(t *testing.T) {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		for p.readRequest() != nil {
+			p.write(okResponse)
 		}
 	})
-	pool := New(patient)
+	pool := New(testOptions)
 	for range 5 {
-		_, body, failure := outcome(t, pool, e.call())
+		_, body, failure := doCall(t, pool, e.call())
 		require.Nil(t, failure)
 		assert.Equal(t, "body", body)
 	}
@@ -69,34 +69,34 @@
 	assert.Zero(t, pool.Open())
 }
 
-// TestConnectionIsNotUsedAgain: after each of these the next request travels on a connection of its own.
-func TestConnectionIsNotUsedAgain(t *testing.T) {
+// TestPool_DoesNotReuseAfter: after each of these responses the next request uses another connection.
+func TestPool_DoesNotReuseAfter(t *testing.T) {
 	surplus := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a0\r\nX-Postmark: s\r\nContent-Length: 3\r\n\r\nold"
-	for name, said := range map[string]string{
-		"close":           strings.Replace(okAnswer, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
-		"keep-alive 0":    strings.Replace(okAnswer, "\r\n\r\n", "\r\nKeep-Alive: timeout=0\r\n\r\n", 1),
-		"http 1.0":        strings.Replace(okAnswer, "HTTP/1.1", "HTTP/1.0", 1),
-		"surplus after":   okAnswer + surplus,
-		"garbage after":   okAnswer + "x",
-		"surplus before":  surplus + okAnswer,
-		"two before":      surplus + surplus + okAnswer,
-		"surplus refusal": "HTTP/1.1 503 No\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a0\r\nContent-Length: 0\r\n\r\n" + okAnswer,
+	for name, sent := range map[string]string{
+		"close":           strings.Replace(okResponse, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
+		"keep-alive 0":    strings.Replace(okResponse, "\r\n\r\n", "\r\nKeep-Alive: timeout=0\r\n\r\n", 1),
+		"http 1.0":        strings.Replace(okResponse, "HTTP/1.1", "HTTP/1.0", 1),
+		"surplus after":   okResponse + surplus,
+		"garbage after":   okResponse + "x",
+		"surplus before":  surplus + okResponse,
+		"two before":      surplus + surplus + okResponse,
+		"surplus refusal": "HTTP/1.1 503 No\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a0\r\nContent-Length: 0\r\n\r\n" + okResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(p *peer) {
-				if p.request() == nil {
+			e := newTestEndpoint(t, func(p *endpointConn) {
+				if p.readRequest() == nil {
 					return
 				}
 				if p.number == 0 {
-					p.say(said)
+					p.write(sent)
 				} else {
-					p.say(okAnswer)
+					p.write(okResponse)
 				}
-				p.awaitEnd()
+				p.readToEnd()
 			})
-			pool := New(patient)
+			pool := New(testOptions)
 			for range 2 {
-				_, body, failure := outcome(t, pool, e.call())
+				_, body, failure := doCall(t, pool, e.call())
 				require.Nil(t, failure)
 				assert.Equal(t, "body", body)
 			}
@@ -105,84 +105,85 @@
 	}
 }
 
-// TestSurplusThatComesLate: it is there when the connection is taken again, or comes after the next request went out.
-func TestSurplusThatComesLate(t *testing.T) {
+// TestPool_LateForeignResponse: a foreign response arrives before the connection is reused, or after the next request
+// was sent.
+func TestPool_LateForeignResponse(t *testing.T) {
 	late := make(chan struct{})
-	e := newEndpoint(t, func(p *peer) {
-		p.request()
-		p.say(okAnswer)
-		if p.request() == nil {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		p.readRequest()
+		p.write(okResponse)
+		if p.readRequest() == nil {
 			return
 		}
 		close(late)
-		p.say(okAnswer + strings.ReplaceAll(strings.ReplaceAll(okAnswer, "a1", "a2"), "body", "next"))
-		p.awaitEnd()
+		p.write(okResponse + strings.ReplaceAll(strings.ReplaceAll(okResponse, "a1", "a2"), "body", "next"))
+		p.readToEnd()
 	})
-	pool := New(patient)
-	_, _, failure := outcome(t, pool, e.call())
+	pool := New(testOptions)
+	_, _, failure := doCall(t, pool, e.call())
 	require.Nil(t, failure)
 	second := e.call()
 	second.Header.Set("X-Attempt-Id", "a2")
-	_, body, failure := outcome(t, pool, second)
+	_, body, failure := doCall(t, pool, second)
 	<-late
 	require.Nil(t, failure)
 	assert.Equal(t, "next", body)
 	assert.Zero(t, pool.Open())
 }
 
-// TestRequestComesBackToAnEndpoint: an endpoint that refused it may repeat its refusal late, while it runs the request
-// that came again. Taken for the answer to that one, the refusal would promise what isn't so.
-func TestRequestComesBackToAnEndpoint(t *testing.T) {
+// TestDo_ResentRequestUsesNewConnection: an endpoint that rejected a request may repeat the rejection late, while it
+// runs the resent request. Taken for the response to that one, the rejection would promise what isn't so.
+func TestDo_ResentRequestUsesNewConnection(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n"
-	e := newEndpoint(t, func(p *peer) {
-		for p.request() != nil {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		for p.readRequest() != nil {
 			if p.number == 0 {
-				p.say(refusal)
+				p.write(refusal)
 			} else {
-				p.say(okAnswer)
+				p.write(okResponse)
 			}
 		}
 	})
-	pool := New(patient)
-	_, _, failure := outcome(t, pool, e.call())
+	pool := New(testOptions)
+	_, _, failure := doCall(t, pool, e.call())
 	require.NotNil(t, failure)
 	require.Equal(t, attempt.Rejected, failure.Outcome)
 
 	again := e.call()
 	again.Resent, again.MaxConnections = true, 1
-	_, body, failure := outcome(t, pool, again)
+	_, body, failure := doCall(t, pool, again)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.EqualValues(t, 2, e.connections.Load())
 	assert.Equal(t, 1, pool.Open(), "the connection of the first time makes room")
 }
 
-func TestConnectionEndedWhileIdle(t *testing.T) {
-	for name, end := range map[string]func(*peer){
-		"closed":  func(p *peer) { _ = p.Close() },
-		"reset":   func(p *peer) { p.reset() },
-		"unasked": func(p *peer) { p.say("HTTP/1.1 200 OK\r\n\r\n") },
+func TestPool_ConnectionClosedWhileIdle(t *testing.T) {
+	for name, end := range map[string]func(*endpointConn){
+		"closed":  func(p *endpointConn) { _ = p.Close() },
+		"reset":   func(p *endpointConn) { p.reset() },
+		"unasked": func(p *endpointConn) { p.write("HTTP/1.1 200 OK\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered, ended := make(chan struct{}), make(chan struct{})
-			e := newEndpoint(t, func(p *peer) {
-				if p.request() == nil {
+			e := newTestEndpoint(t, func(p *endpointConn) {
+				if p.readRequest() == nil {
 					return
 				}
-				p.say(okAnswer)
+				p.write(okResponse)
 				if p.number == 0 {
 					<-answered
 					end(p)
 					close(ended)
 				}
-				p.awaitEnd()
+				p.readToEnd()
 			})
-			pool := New(patient)
-			_, _, failure := outcome(t, pool, e.call())
+			pool := New(testOptions)
+			_, _, failure := doCall(t, pool, e.call())
 			require.Nil(t, failure)
 			close(answered)
 			<-ended
-			_, body, failure := outcome(t, pool, e.call())
+			_, body, failure := doCall(t, pool, e.call())
 			require.Nil(t, failure)
 			assert.Equal(t, "body", body)
 			assert.EqualValues(t, 2, e.connections.Load())
@@ -190,27 +191,27 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
-	for said, want := range map[string]attempt.Outcome{
+func TestDo_Rejections(t *testing.T) {
+	for sent, want := range map[string]attempt.Outcome{
 		"HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nContent-Length: 0\r\n\r\n":                     attempt.Rejected,
 		"HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n": attempt.Rejected,
 		"HTTP/1.1 429 Full\r\nX-Not-Delivered: 1\r\nContent-Length: 0\r\n\r\n":                     attempt.Rejected,
 		"HTTP/1.1 400 What\r\nX-Not-Delivered: 1\r\nContent-Length: 0\r\n\r\n":                     attempt.Rejected,
 		"HTTP/1.1 421 Other\r\nX-Endpoint-Id: i-2\r\nContent-Length: 0\r\n\r\n":                    attempt.Misdirected,
 	} {
-		e := newEndpoint(t, func(p *peer) {
-			for p.request() != nil {
-				p.say(said)
+		e := newTestEndpoint(t, func(p *endpointConn) {
+			for p.readRequest() != nil {
+				p.write(sent)
 			}
 		})
-		pool := New(patient)
+		pool := New(testOptions)
 		for range 2 {
-			_, _, failure := outcome(t, pool, e.call())
+			_, _, failure := doCall(t, pool, e.call())
 			require.NotNil(t, failure)
 			assert.Equal(t, want, failure.Outcome)
 			assert.NoError(t, failure.Cause)
 		}
-		if strings.Contains(said, "a1") {
+		if strings.Contains(sent, "a1") {
 			assert.EqualValues(t, 1, e.connections.Load(), "a refusal with an id leaves its connection usable")
 		} else {
 			assert.EqualValues(t, 2, e.connections.Load())
@@ -218,71 +219,73 @@
 	}
 }
 
-// TestEarlyAnswer: the endpoint answers before it has read a long body. The connection must not carry anything else.
-func TestEarlyAnswer(t *testing.T) {
+// TestDo_ResponseBeforeBodyIsSent: the endpoint responds before it has read a long body. The connection must not be
+// reused.
+func TestDo_ResponseBeforeBodyIsSent(t *testing.T) {
 	rest := make(chan int64, 1)
 	answered := make(chan struct{})
-	e := newEndpoint(t, func(p *peer) {
+	e := newTestEndpoint(t, func(p *endpointConn) {
 		if p.number > 0 {
-			p.request()
-			p.say(okAnswer)
+			p.readRequest()
+			p.write(okResponse)
 			return
 		}
 		_, err := http.ReadRequest(p.reader)
 		if err != nil {
 			return
 		}
-		p.say(okAnswer)
+		p.write(okResponse)
 		<-answered
 		n, _ := io.Copy(io.Discard, p.reader)
 		rest <- n
 	})
-	pool := New(patient)
+	pool := New(testOptions)
 	call := e.call()
 	call.Body = make([]byte, 32<<20) // more than the sockets' buffers take
-	_, body, failure := outcome(t, pool, call)
+	_, body, failure := doCall(t, pool, call)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.Zero(t, pool.Open())
 	close(answered)
 	assert.Less(t, <-rest, int64(len(call.Body)))
-	_, _, failure = outcome(t, pool, e.call())
+	_, _, failure = doCall(t, pool, e.call())
 	require.Nil(t, failure)
 }
 
-func TestLongBodyIsSentWhole(t *testing.T) {
+func TestDo_LongBody(t *testing.T) {
 	got := make(chan int, 2)
-	e := newEndpoint(t, func(p *peer) {
-		for r := p.request(); r != nil; r = p.request() {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		for r := p.readRequest(); r != nil; r = p.readRequest() {
 			body, _ := io.ReadAll(r.Body)
 			got <- len(body)
-			p.say(okAnswer)
+			p.write(okResponse)
 		}
 	})
-	pool := New(patient)
+	pool := New(testOptions)
 	for range 2 {
 		call := e.call()
 		call.Body = make([]byte, 4<<20)
-		_, _, failure := outcome(t, pool, call)
+		_, _, failure := doCall(t, pool, call)
 		require.Nil(t, failure)
 		assert.Equal(t, 4<<20, <-got)
 	}
 	assert.EqualValues(t, 1, e.connections.Load())
 }
 
-// TestEndpointIsToldWhatIsLeft: not what the client said when it asked, and never more than until the deadline.
-func TestEndpointIsToldWhatIsLeft(t *testing.T) {
+// TestDo_SendsTimeLeft: the endpoint is told the time left now, not what the client stated, and never more than until
+// the deadline.
+func TestDo_SendsTimeLeft(t *testing.T) {
 	told := make(chan []string, 1)
-	e := newEndpoint(t, func(p *peer) {
-		if request := p.request(); request != nil {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		if request := p.readRequest(); request != nil {
 			told <- request.Header.Values("X-Time-Left")
-			p.say(okAnswer)
+			p.write(okResponse)
 		}
 	})
 	call := e.call()
 	call.Header.Set("X-Time-Left", "60000")
 	call.Deadline = time.Now().Add(20 * time.Second)
-	_, _, failure := outcome(t, New(Options{}), call)
+	_, _, failure := doCall(t, New(Options{}), call)
 	require.Nil(t, failure)
 	values := <-told
 	require.Len(t, values, 1)
@@ -292,8 +295,8 @@
 	assert.Positive(t, left)
 }
 
-// TestRoundTripIsTheLeastOfLate: a connection that came up late says little of the way.
-func TestRoundTripIsTheLeastOfLate(t *testing.T) {
+// TestDialer_MinRoundTrip: a connection that took long to establish says little of the path.
+func TestDialer_MinRoundTrip(t *testing.T) {
 	d := newDialer(defaultConnectTimeout, defaultAckTimeout)
 	for _, took := range []time.Duration{80, 75, 900, 70, 76} {
 		d.recordRoundTrip("z", took*time.Millisecond)
--- a/serving/upstream/classify.go
+++ b/serving/upstream/classify.go
@@ -7,21 +7,21 @@
 	"rowanlink/serving/attempt"
 )
 
-// responseKind is what the head of an answer says.
+// responseKind says what to do with a response.
 type responseKind uint8
 
 const (
-	responseMatches responseKind = iota // the answer to this request
-	responseForeign                     // an answer to some other request: to be skipped
-	responseInvalid                     // no answer that can be attributed or passed on
+	responseMatches responseKind = iota // it responds to this request
+	responseForeign                     // it responds to another request and is skipped
+	responseInvalid                     // it can't be attributed to a request or not be relayed
 )
 
-// classify reads the head of an answer to the request with the given id.
+// classify classifies a response to the request with the attempt ID by its status and headers.
 func classify(status int, header http.Header, id string) (attempt.Outcome, responseKind) {
 	outcome := outcomeOf(status, header)
 	got := header.Get(headerAttempt)
 	switch {
-	case got == "" && outcome.NeverRan(): // refusals may come from before the request was read
+	case got == "" && outcome.NeverRan(): // an endpoint may reject a request before it has read its ID
 	case got != id:
 		if got == "" {
 			return attempt.Broken, responseInvalid
@@ -34,12 +34,13 @@
 	return outcome, responseMatches
 }
 
+// outcomeOf returns the outcome that a response's status and headers mean.
 func outcomeOf(status int, header http.Header) attempt.Outcome {
-	refused := header.Get(headerNotDelivered) != ""
+	notDelivered := header.Get(headerNotDelivered) != ""
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		return attempt.Misdirected
-	case refused && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
+	case notDelivered && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusBadRequest):
 		return attempt.Rejected
 	case status < http.StatusOK || status > 599:
@@ -54,12 +55,12 @@
 	return attempt.Succeeded
 }
 
-// isIdentity tells whether a body with that encoding is the endpoint's own.
+// isIdentity reports whether a content encoding leaves the body as it is.
 func isIdentity(encoding string) bool {
 	return encoding == "" || strings.EqualFold(encoding, "identity")
 }
 
-// ImpliesNotRun tells whether callers take a status for a promise that the request has not run and never will.
+// ImpliesNotRun reports whether callers conclude from a status that the request has not run and never will.
 func ImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
--- a/serving/upstream/classify_test.go
+++ b/serving/upstream/classify_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestIdleTime(t *testing.T) {
+func TestParseIdleTimeout(t *testing.T) {
 	for value, millis := range map[string]int64{
 		"": 2000, "timeout=5": 4000, "max=3, Timeout=10": 8000, "timeout=x": 2000, "timeout=0": 0, "timeout=-1": 2000,
 	} {
--- a/serving/upstream/failure.go
+++ b/serving/upstream/failure.go
@@ -6,15 +6,15 @@
 	"rowanlink/serving/attempt"
 )
 
-// Failure tells why a request got no answer that could be passed on.
+// Failure says why a request got no response that could be relayed.
 type Failure struct {
 	Outcome attempt.Outcome
-	// Abandoned: the caller's patience ended the attempt before its deadline.
+	// Abandoned: the progress timeout ended the attempt before its deadline.
 	Abandoned bool
-	Cause     error // nil where the endpoint's answer says it all
+	Cause     error // nil if the endpoint's response says it all
 }
 
-// Error is the text for people.
+// Error returns the outcome and its cause.
 func (f *Failure) Error() string {
 	if f.Cause == nil {
 		return f.Outcome.String()
@@ -22,5 +22,5 @@
 	return fmt.Sprintf("%s: %v", f.Outcome, f.Cause)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -16,33 +16,33 @@
 	"rowanlink/serving/attempt"
 )
 
-// spoken is a connection on which an endpoint has said something and then ended it.
-type spoken struct {
+// scriptedConn is a connection on which an endpoint has sent data and then closed it.
+type scriptedConn struct {
 	net.Conn
-	said *bytes.Reader
+	data *bytes.Reader
 }
 
-func (s *spoken) Read(p []byte) (int, error) { return s.said.Read(p) }
-func (s *spoken) Close() error               { return nil }
+func (s *scriptedConn) Read(p []byte) (int, error) { return s.data.Read(p) }
+func (s *scriptedConn) Close() error               { return nil }
 
-// heardOf reads an answer to the attempt a1 as a call does. whole tells whether its body came to its end.
-func heardOf(t *testing.T, said []byte) (answer *Response, body []byte, whole bool) {
+// readScriptedResponse reads a response to the attempt a1 as a call does. It reports whether the body was complete.
+func readScriptedResponse(t *testing.T, sent []byte) (response *Response, body []byte, whole bool) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	call := &Call{EndpointID: "e", Method: http.MethodPost, Header: http.Header{headerAttempt: {"a1"}}}
-	own := newConnection(&spoken{said: bytes.NewReader(said)})
-	answer = &Response{pool: New(patient), call: call, connection: own, ctx: ctx, cancel: cancel, requestWritten: true,
+	own := newConnection(&scriptedConn{data: bytes.NewReader(sent)})
+	response = &Response{pool: New(testOptions), call: call, connection: own, ctx: ctx, cancel: cancel, requestWritten: true,
 		watchdog: watchdog{abandon: own.closeOnce}, stopCancelHook: func() bool { return true }}
-	if failure := answer.receiveHead(); failure != nil {
+	if failure := response.receiveHead(); failure != nil {
 		return nil, nil, false
 	}
-	body, err := io.ReadAll(answer)
-	return answer, body, err == nil
+	body, err := io.ReadAll(response)
+	return response, body, err == nil
 }
 
-// FuzzAnswer: a success is the endpoint's own answer to this request, plain and stamped; and what looks whole when it
-// is cut looks the same when it isn't.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse: a success is the endpoint's own response to this request, unencoded and stamped, and data that looks
+// complete when it is truncated looks the same when it isn't.
+func FuzzResponse(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n"
 	f.Add([]byte(head+"Keep-Alive: timeout=5\r\nContent-Length: 4\r\n\r\nbody"), uint16(3))
 	f.Add([]byte(head+"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Attempt-Id: a2\r\n\r\n"), uint16(90))
@@ -50,52 +50,52 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Full\r\nX-Not-Delivered: full\r\nContent-Length: 0\r\n\r\n"), uint16(30))
 	f.Add([]byte("HTTP/1.0 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nuntil the end"), uint16(60))
 	f.Add([]byte(head+"Content-Length: 4\r\nContent-Length: 5\r\n\r\nbodyb"), uint16(0))
-	f.Fuzz(func(t *testing.T, said []byte, cut uint16) {
-		answer, body, whole := heardOf(t, said)
-		if answer != nil {
-			checkAnswer(t, answer, body, whole)
+	f.Fuzz(func(t *testing.T, sent []byte, cut uint16) {
+		response, body, whole := readScriptedResponse(t, sent)
+		if response != nil {
+			checkResponse(t, response, body, whole)
 		}
-		if int(cut) >= len(said) {
+		if int(cut) >= len(sent) {
 			return
 		}
-		early, part, looksWhole := heardOf(t, said[:cut])
+		early, part, looksWhole := readScriptedResponse(t, sent[:cut])
 		if early == nil || !looksWhole || early.Length < 0 && len(early.httpResponse.TransferEncoding) == 0 {
 			return // a body that only the end of the connection ends can't be told from one that was cut
 		}
-		require.NotNil(t, answer, "whole when it is cut, no answer when it is not")
-		assert.Equal(t, early.Status, answer.Status)
+		require.NotNil(t, response, "whole when it is cut, no response when it is not")
+		assert.Equal(t, early.Status, response.Status)
 		assert.Equal(t, part, body)
 		assert.True(t, whole)
 	})
 }
 
-func checkAnswer(t *testing.T, answer *Response, body []byte, whole bool) {
-	assert.GreaterOrEqual(t, answer.Status, 200)
-	assert.LessOrEqual(t, answer.Status, 599)
-	assert.GreaterOrEqual(t, int64(answer.idleTimeout), int64(0))
-	assert.LessOrEqual(t, answer.idleTimeout, 24*time.Hour, "longer than any process keeps a connection")
-	if answer.Outcome != attempt.Succeeded {
+func checkResponse(t *testing.T, response *Response, body []byte, whole bool) {
+	assert.GreaterOrEqual(t, response.Status, 200)
+	assert.LessOrEqual(t, response.Status, 599)
+	assert.GreaterOrEqual(t, int64(response.idleTimeout), int64(0))
+	assert.LessOrEqual(t, response.idleTimeout, 24*time.Hour, "longer than any process keeps a connection")
+	if response.Outcome != attempt.Succeeded {
 		return
 	}
-	assert.Equal(t, "a1", answer.Header.Get(headerAttempt))
-	assert.False(t, ImpliesNotRun(answer.Status))
-	assert.True(t, isIdentity(answer.Header.Get("Content-Encoding")))
-	if answer.Status < 300 {
-		assert.NotEmpty(t, answer.Header.Get(headerStamp))
+	assert.Equal(t, "a1", response.Header.Get(headerAttempt))
+	assert.False(t, ImpliesNotRun(response.Status))
+	assert.True(t, isIdentity(response.Header.Get("Content-Encoding")))
+	if response.Status < 300 {
+		assert.NotEmpty(t, response.Header.Get(headerStamp))
 	}
-	if whole && answer.Length >= 0 {
-		assert.Len(t, body, int(answer.Length))
+	if whole && response.Length >= 0 {
+		assert.Len(t, body, int(response.Length))
 	}
 }
 
-// FuzzIdleTime: however long an endpoint says that it keeps a connection, the time is none that can't be added.
-func FuzzIdleTime(f *testing.F) {
-	for _, said := range []string{"timeout=5", "timeout=5, max=3", "max=1,TIMEOUT=0", "timeout=-1", "timeout=9223372036854775807",
+// FuzzParseIdleTimeout: whatever an endpoint states, the time-out doesn't overflow.
+func FuzzParseIdleTimeout(f *testing.F) {
+	for _, sent := range []string{"timeout=5", "timeout=5, max=3", "max=1,TIMEOUT=0", "timeout=-1", "timeout=9223372036854775807",
 		"timeout=99999999999", "timeout="} {
-		f.Add(said)
+		f.Add(sent)
 	}
-	f.Fuzz(func(t *testing.T, said string) {
-		idle := parseIdleTimeout(http.Header{"Keep-Alive": {said}})
+	f.Fuzz(func(t *testing.T, sent string) {
+		idle := parseIdleTimeout(http.Header{"Keep-Alive": {sent}})
 		assert.GreaterOrEqual(t, int64(idle), int64(0))
 		assert.LessOrEqual(t, idle, 24*time.Hour)
 	})
--- a/serving/upstream/headers.go
+++ b/serving/upstream/headers.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Header names that the system and its endpoints speak.
+// Names of the headers exchanged with endpoints.
 const (
 	headerAttempt      = "X-Attempt-Id"
 	headerTimeLeft     = "X-Time-Left"
--- a/serving/upstream/helpers_test.go
+++ b/serving/upstream/helpers_test.go
@@ -14,26 +14,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// endpoint is a server whose every connection follows a script.
-type endpoint struct {
+// testEndpoint is a server whose connections follow a script.
+type testEndpoint struct {
 	t           *testing.T
 	listener    net.Listener
 	connections atomic.Int64
 }
 
-// peer is one connection as the endpoint sees it.
-type peer struct {
+// endpointConn is the endpoint's side of a connection.
+type endpointConn struct {
 	*net.TCPConn
 	number int // of the connection, from zero
 	reader *bufio.Reader
 }
 
-// newEndpoint starts an endpoint. A connection is closed when its script ends.
-func newEndpoint(t *testing.T, script func(*peer)) *endpoint {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+// newTestEndpoint starts an endpoint. A connection is closed when its script ends.
+func newTestEndpoint(t *testing.T, script func(*endpointConn)) *testEndpoint {
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	e := &endpoint{t: t, listener: listener}
-	t.Cleanup(func() { listener.Close() })
+	e := &testEndpoint{t: t, listener: listener}
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
 			raw, err := listener.Accept()
@@ -41,9 +41,9 @@
 				return
 			}
 			number := int(e.connections.Add(1)) - 1
-			c := &peer{TCPConn: raw.(*net.TCPConn), number: number, reader: bufio.NewReader(raw)}
+			c := &endpointConn{TCPConn: raw.(*net.TCPConn), number: number, reader: bufio.NewReader(raw)}
 			go func() {
-				defer raw.Close()
+				defer func() { _ = raw.Close() }()
 				script(c)
 			}()
 		}
@@ -51,8 +51,8 @@
 	return e
 }
 
-// request reads one request with its body; nil at the connection's end.
-func (p *peer) request() *http.Request {
+// readRequest reads a request with its body; nil at the end of the connection.
+func (p *endpointConn) readRequest() *http.Request {
 	r, err := http.ReadRequest(p.reader)
 	if err != nil {
 		return nil
@@ -65,22 +65,22 @@
 	return r
 }
 
-// say writes bytes; a peer that has gone is no fault of the script.
-func (p *peer) say(text string) { _, _ = io.WriteString(p.TCPConn, text) }
+// write writes a text. The client may have closed the connection.
+func (p *endpointConn) write(text string) { _, _ = io.WriteString(p.TCPConn, text) }
 
-// reset makes the close of the connection a reset.
-func (p *peer) reset() {
+// reset resets the connection.
+func (p *endpointConn) reset() {
 	_ = p.SetLinger(0)
 	_ = p.Close()
 }
 
-// awaitEnd waits until the other side has closed.
-func (p *peer) awaitEnd() { _, _ = io.Copy(io.Discard, p.reader) }
+// readToEnd waits until the client has closed the connection.
+func (p *endpointConn) readToEnd() { _, _ = io.Copy(io.Discard, p.reader) }
 
-func (e *endpoint) address() string { return e.listener.Addr().String() }
+func (e *testEndpoint) address() string { return e.listener.Addr().String() }
 
-// call is a request to the endpoint with id "a1" and plenty of time.
-func (e *endpoint) call() *Call {
+// call returns a call to the endpoint with attempt ID "a1" and a minute left.
+func (e *testEndpoint) call() *Call {
 	return &Call{
 		EndpointID:    "i-1",
 		Address:       e.address(),
@@ -94,24 +94,24 @@
 	}
 }
 
-// outcome makes a call and reads its answer whole.
-func outcome(t *testing.T, pool *Pool, call *Call) (*Response, string, *Failure) {
+// doCall makes a call and reads the response to its end.
+func doCall(t *testing.T, pool *Pool, call *Call) (*Response, string, *Failure) {
 	t.Helper()
-	answer, failure := pool.Do(context.Background(), call)
+	response, failure := pool.Do(context.Background(), call)
 	if failure != nil {
 		return nil, "", failure
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	if err != nil {
 		var failure *Failure
 		require.ErrorAs(t, err, &failure)
-		return answer, string(body), failure
+		return response, string(body), failure
 	}
-	return answer, string(body), nil
+	return response, string(body), nil
 }
 
-// patient gives a connection of a busy test machine time to come up: no test of answers is one of connecting.
-var patient = Options{ConnectTimeout: 10 * time.Second}
+// testOptions leaves time for connecting on a busy test machine; tests of responses aren't about connecting.
+var testOptions = Options{ConnectTimeout: 10 * time.Second}
 
-const okAnswer = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nContent-Length: 4\r\n\r\nbody"
+const okResponse = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nContent-Length: 4\r\n\r\nbody"
--- a/serving/upstream/pool.go
+++ b/serving/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream carries requests to endpoints: one request at a time on a connection, connections kept and
-// used again, and nothing ever sent twice by itself. What came of a request is told in the words of
-// serving/attempt; whether it may go again is not decided here.
+// Package upstream sends requests to endpoints over HTTP/1.1: one request at a time on a connection, with idle
+// connections reused, and no request ever sent twice by itself. The outcomes are those of package attempt; whether a
+// request is retried is not decided here.
 package upstream
 
 import (
@@ -15,38 +15,39 @@
 	defaultMaxOpen        = 1024
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultAckTimeout     = 1500 * time.Millisecond
-	// defaultIdleTimeout is how long a connection is kept whose endpoint does not say when it closes idle ones.
+	// defaultIdleTimeout is how long an idle connection is kept whose endpoint doesn't say when it closes them.
 	defaultIdleTimeout = 2 * time.Second
-	// idleTimeoutPercent of the idle time that an endpoint states is used; the rest is room for a request on its way.
+	// idleTimeoutPercent of the idle time that an endpoint states is used; the rest is margin for a request on its
+	// way.
 	idleTimeoutPercent = 80
 )
 
-// Options of a pool. Zero values stand for defaults.
+// Options are the parameters of a pool. Zero values stand for defaults.
 type Options struct {
 	MaxOpen        int           // connections to all endpoints together
-	ConnectTimeout time.Duration // for a new connection, added to the known round trip
-	AckTimeout     time.Duration // a connection whose bytes stay unacknowledged that long is broken
+	ConnectTimeout time.Duration // of a new connection, added to the measured round trip
+	AckTimeout     time.Duration // after which a connection with unacknowledged data is broken
 }
 
-// Pool holds the connections to all endpoints. It is safe for use by several goroutines.
+// Pool holds the connections to all endpoints. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  dialer
 
 	mu         sync.Mutex
 	byEndpoint map[string]*endpointConnections // by endpoint ID
-	open       int
+	open       int                             // connections that are idle, in use or being established
 	closed     bool
 }
 
 // endpointConnections holds the connections to one endpoint.
 type endpointConnections struct {
-	idle []*connection // the one used last is last
+	idle []*connection // the last used one is the last
 	busy []*connection // in use, in no order
 	open int           // idle, in use or being made
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(options Options) *Pool {
 	if options.MaxOpen <= 0 {
 		options.MaxOpen = defaultMaxOpen
@@ -64,29 +65,29 @@
 	}
 }
 
-// Sweep closes idle connections that have rested too long or whose endpoint has ended them. It is to be called
-// every few seconds.
+// Sweep closes idle connections that have expired or that their endpoint has closed. It is to be called every few
+// seconds.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, at := range p.byEndpoint {
-		kept := at.idle[:0]
+		usable := at.idle[:0]
 		for _, c := range at.idle {
 			if c.isUsable(now) {
-				kept = append(kept, c)
+				usable = append(usable, c)
 			} else {
 				p.closeConnection(at, c)
 			}
 		}
-		clear(at.idle[len(kept):])
-		at.idle = kept
+		clear(at.idle[len(usable):])
+		at.idle = usable
 		if at.open == 0 {
 			delete(p.byEndpoint, id)
 		}
 	}
 }
 
-// Close closes the idle connections, and those in use as their requests end.
+// Close closes the idle connections, and those in use when their requests end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,15 +100,16 @@
 	}
 }
 
-// Open tells how many connections there are, idle or in use.
+// Open returns the number of connections, idle or in use.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// acquire returns an idle connection that can be used, or room for a new one, which counts as open from now on. With
-// fresh it returns room only. It returns false where the endpoint's or the pool's limit is reached.
+// acquire returns an idle connection that can be used or, without one, room for a new connection, which counts as open
+// from now on. If fresh is set, it returns no idle connection. It returns false if the limit of the endpoint or the
+// pool is reached.
 func (p *Pool) acquire(endpointID string, limit int, fresh bool, now time.Time) (c *connection, room bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,8 +135,8 @@
 	return nil, true
 }
 
-// popIdle returns the idle connection to an endpoint that was used last and can be used again; nil: there is none.
-// The caller holds the lock.
+// popIdle returns the last used idle connection to an endpoint that can be used; nil if there is none. The caller
+// holds the lock.
 func (p *Pool) popIdle(at *endpointConnections, now time.Time) *connection {
 	for n := len(at.idle); n > 0; n = len(at.idle) {
 		c := at.idle[n-1]
@@ -159,7 +161,7 @@
 	return true
 }
 
-// putIdle puts a connection back whose request has ended cleanly.
+// putIdle returns a connection whose request has ended cleanly to the pool.
 func (p *Pool) putIdle(endpointID string, c *connection, idle time.Duration) {
 	now := time.Now()
 	c.idleSince, c.idleUntil = now, now.Add(idle)
@@ -177,7 +179,7 @@
 	at.idle = append(at.idle, c)
 }
 
-// discard closes a connection in use and gives its place back. A nil connection stands for one that never came up.
+// discard closes a connection in use and frees its place. A nil connection stands for one that was not established.
 func (p *Pool) discard(endpointID string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +189,7 @@
 	}
 }
 
-// addBusy notes a connection that has come up and is in use.
+// addBusy records a connection that has been established and is in use.
 func (p *Pool) addBusy(endpointID string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,7 +198,7 @@
 	}
 }
 
-// removeBusy takes a connection off the list of those in use, if it is there.
+// removeBusy removes a connection from those in use, if it is one of them.
 func (s *endpointConnections) removeBusy(c *connection) {
 	if index := slices.Index(s.busy, c); index >= 0 {
 		last := len(s.busy) - 1
@@ -228,5 +230,5 @@
 	return oldest != nil && p.closeOldestIdle(oldest)
 }
 
-// closeQuietly closes a connection of which nothing more is wanted, so that an error of closing tells nothing.
+// closeQuietly closes a connection of which nothing more is needed, so an error has no meaning.
 func closeQuietly(c net.Conn) { _ = c.Close() }
--- a/serving/upstream/receive.go
+++ b/serving/upstream/receive.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	// maxSkippedResponses bounds the surplus and interim answers that are skipped before the one that is waited for.
+	// maxSkippedResponses bounds the foreign and interim responses that are skipped.
 	maxSkippedResponses = 16
-	// maxForeignBody bounds the body of a surplus answer, in bytes.
+	// maxForeignBody bounds the body of a foreign response, in bytes.
 	maxForeignBody = 1 << 20
 )
 
-// receiveHead reads the head of the answer to this request and skips what comes before it.
-func (a *Response) receiveHead() *Failure {
+// receiveHead reads the status and headers of the response to this request. It skips responses before it.
+func (r *Response) receiveHead() *Failure {
 	for range maxSkippedResponses {
-		response, err := a.readHead()
+		response, err := r.readHead() //nolint:bodyclose // the body is read by Response.Read and ends with its connection
 		if err != nil {
-			return a.fail(err, attempt.Broken)
+			return r.fail(err, attempt.Broken)
 		}
 		if response.StatusCode < http.StatusOK && response.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		outcome, what := classify(response.StatusCode, response.Header, a.call.Header.Get(headerAttempt))
+		outcome, what := classify(response.StatusCode, response.Header, r.call.Header.Get(headerAttempt))
 		switch what {
 		case responseForeign:
-			if err := a.skipForeign(response); err != nil {
-				return a.fail(err, attempt.Broken)
+			if err := r.skipForeign(response); err != nil {
+				return r.fail(err, attempt.Broken)
 			}
 			continue
 		case responseInvalid:
-			return a.fail(errors.Newf("status %d is no answer to this request", response.StatusCode), attempt.Broken)
+			return r.fail(errors.Newf("status %d is no response to this request", response.StatusCode), attempt.Broken)
 		}
-		a.accept(response, outcome)
+		r.accept(response, outcome)
 		if outcome.NeverRan() {
-			a.Close()
+			r.Close()
 			return &Failure{Outcome: outcome}
 		}
 		return nil
 	}
-	return a.fail(errors.New("too many answers that nobody asked for"), attempt.Broken)
+	return r.fail(errors.New("too many foreign responses"), attempt.Broken)
 }
 
-// readHead reads one head within the bound on heads.
-func (a *Response) readHead() (*http.Response, error) {
-	a.connection.headBytesLeft = maxHeadSize
-	response, err := http.ReadResponse(a.connection.reader, &http.Request{Method: a.call.Method})
-	a.connection.headBytesLeft = -1
-	a.connection.markAnswered()
-	return response, errors.Wrap(err, "read head of answer")
+// readHead reads one response's status and headers, within the limit on their size.
+func (r *Response) readHead() (*http.Response, error) {
+	r.connection.headBytesLeft = maxHeadSize
+	response, err := http.ReadResponse(r.connection.reader, &http.Request{Method: r.call.Method})
+	r.connection.headBytesLeft = -1
+	r.connection.markAnswered()
+	return response, errors.Wrap(err, "read response headers")
 }
 
-// skipForeign reads a surplus answer to its end. Its connection is not used again.
-func (a *Response) skipForeign(response *http.Response) error {
-	a.notReusable = true
+// skipForeign reads a foreign response to its end. Its connection is not reused.
+func (r *Response) skipForeign(response *http.Response) error {
+	r.notReusable = true
 	if response.Close {
-		return errors.New("the connection ends with an answer that nobody asked for")
+		return errors.New("the connection ends with a foreign response")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBody))
 	if err == nil && n == maxForeignBody {
-		err = errors.New("an answer that nobody asked for is too long")
+		err = errors.New("foreign response too long")
 	}
-	return errors.Wrap(err, "skip surplus answer")
+	return errors.Wrap(err, "skip foreign response")
 }
 
-// accept makes the response the answer of this call.
-func (a *Response) accept(response *http.Response, outcome attempt.Outcome) {
-	a.Outcome = outcome
-	a.httpResponse = response
-	a.Status = response.StatusCode
-	a.Header = response.Header
-	a.Length = response.ContentLength
-	a.idleTimeout = parseIdleTimeout(response.Header)
-	// An answer without an id could be mistaken for the next one's if it came twice.
-	unnamed := response.Header.Get(headerAttempt) == ""
-	a.notReusable = a.notReusable || response.Close || unnamed
+// accept makes an HTTP response the response of this call.
+func (r *Response) accept(response *http.Response, outcome attempt.Outcome) {
+	r.Outcome = outcome
+	r.httpResponse = response
+	r.Status = response.StatusCode
+	r.Header = response.Header
+	r.Length = response.ContentLength
+	r.idleTimeout = parseIdleTimeout(response.Header)
+	// If a response without an attempt ID came twice, it could be taken for the response to the next request.
+	unidentified := response.Header.Get(headerAttempt) == ""
+	r.notReusable = r.notReusable || response.Close || unidentified
 }
--- a/serving/upstream/response.go
+++ b/serving/upstream/response.go
@@ -13,12 +13,12 @@
 	"rowanlink/serving/attempt"
 )
 
-// Response is an endpoint's answer to a request. Its body is read with Read. It is for one goroutine.
+// Response is an endpoint's response to a call. Its body is read with Read. It is for use by one goroutine.
 type Response struct {
-	Outcome attempt.Outcome // Succeeded, or Failed where the endpoint reports an error of its own
+	Outcome attempt.Outcome // Succeeded, or Failed if the endpoint reports an error of its own
 	Status  int
-	Header  http.Header // the caller's to change
-	Length  int64       // of the body; -1: not known before its end
+	Header  http.Header // may be modified by the caller
+	Length  int64       // of the body; -1: unknown
 
 	pool           *Pool
 	call           *Call
@@ -29,80 +29,81 @@
 	stopCancelHook func() bool
 
 	httpResponse   *http.Response
-	bodyWritten    chan error // of the body's own goroutine; nil: none, or it has ended
-	requestWritten bool       // the whole request
-	notReusable    bool       // the connection can't be used again
-	idleTimeout    time.Duration
-	bodyRead       bool // the body was read to its end
+	bodyWritten    chan error    // result of the goroutine that writes the body; nil: there is none or it has ended
+	requestWritten bool          // completely
+	notReusable    bool          // the connection can't carry another request
+	idleTimeout    time.Duration // of the connection after this response
+	bodyRead       bool          // to its end
 	closed         bool
 }
 
-// Read reads from the body. It returns io.EOF only after the whole body, and a *Failure where that can't be had.
-func (a *Response) Read(p []byte) (int, error) {
-	if a.bodyRead {
+// Read reads from the body. It returns io.EOF only after the complete body, and a *Failure if that can't be had.
+func (r *Response) Read(p []byte) (int, error) {
+	if r.bodyRead {
 		return 0, io.EOF
 	}
-	n, err := a.httpResponse.Body.Read(p)
+	n, err := r.httpResponse.Body.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		a.bodyRead = true
+		r.bodyRead = true
 		return n, io.EOF
 	}
-	failure := a.fail(err, attempt.Broken)
-	a.cancel()
+	failure := r.fail(err, attempt.Broken)
+	r.cancel()
 	return n, failure
 }
 
-// SetProgressTimeout starts the patience of the call anew with another length; zero stops it.
-func (a *Response) SetProgressTimeout(patience time.Duration) { a.watchdog.arm(patience) }
+// SetProgressTimeout restarts the call's progress timeout with another length; zero stops it.
+func (r *Response) SetProgressTimeout(timeout time.Duration) { r.watchdog.arm(timeout) }
 
-// Close ends the call. The connection is kept where the answer was read whole and nothing else came.
-func (a *Response) Close() {
-	if a.closed {
+// Close ends the call. The connection is reused if the response was read completely and nothing else has arrived.
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	a.drainBuffered()
-	alive := a.watchdog.arm(0)
-	alive = a.stopCancelHook() && alive
-	a.cancel()
-	reusable := alive && a.bodyRead && a.isRequestWritten() && !a.notReusable && a.connection.reader.Buffered() == 0
+	r.closed = true
+	r.drainBuffered()
+	alive := r.watchdog.arm(0)
+	alive = r.stopCancelHook() && alive
+	r.cancel()
+	reusable := alive && r.bodyRead && r.isRequestWritten() && !r.notReusable && r.connection.reader.Buffered() == 0
 	if reusable {
-		a.pool.putIdle(a.call.EndpointID, a.connection, a.idleTimeout)
+		r.pool.putIdle(r.call.EndpointID, r.connection, r.idleTimeout)
 		return
 	}
-	a.pool.discard(a.call.EndpointID, a.connection)
+	r.pool.discard(r.call.EndpointID, r.connection)
 }
 
-// drainBuffered reads the rest of a short body that is there already, to save the connection.
-func (a *Response) drainBuffered() {
-	if a.bodyRead || a.httpResponse == nil || a.Length < 0 || a.Length > int64(a.connection.reader.Buffered()) {
+// drainBuffered reads the rest of a short body that has been received, so that the connection can be reused.
+func (r *Response) drainBuffered() {
+	if r.bodyRead || r.httpResponse == nil || r.Length < 0 || r.Length > int64(r.connection.reader.Buffered()) {
 		return
 	}
-	_, err := io.Copy(io.Discard, a.httpResponse.Body)
-	a.bodyRead = err == nil
+	_, err := io.Copy(io.Discard, r.httpResponse.Body)
+	r.bodyRead = err == nil
 }
 
-// fail ends the call with a failure. What the deadline, the client or the caller's patience has ended is told as such.
-func (a *Response) fail(cause error, outcome attempt.Outcome) *Failure {
+// fail ends the call with a failure. The deadline, the client and the progress timeout take precedence over the given
+// outcome.
+func (r *Response) fail(cause error, outcome attempt.Outcome) *Failure {
 	failure := &Failure{Outcome: outcome, Cause: cause}
 	switch {
-	case errors.Is(a.ctx.Err(), context.Canceled) && !a.closed:
+	case errors.Is(r.ctx.Err(), context.Canceled) && !r.closed:
 		failure.Outcome = attempt.Canceled
 	case outcome == attempt.ConnectFailed:
-	case a.watchdog.hasFired():
+	case r.watchdog.hasFired():
 		failure.Outcome, failure.Abandoned = attempt.TimedOut, true
-	case a.ctx.Err() != nil:
+	case r.ctx.Err() != nil:
 		failure.Outcome = attempt.TimedOut
 	}
-	a.notReusable = true
-	if !a.closed {
-		a.closed = true
-		a.watchdog.arm(0)
-		a.stopCancelHook()
-		a.pool.discard(a.call.EndpointID, a.connection)
+	r.notReusable = true
+	if !r.closed {
+		r.closed = true
+		r.watchdog.arm(0)
+		r.stopCancelHook()
+		r.pool.discard(r.call.EndpointID, r.connection)
 	}
 	return failure
 }
@@ -110,7 +111,7 @@
 // maxIdleSeconds bounds how long an idle connection is kept, whatever the endpoint says.
 const maxIdleSeconds = 3600
 
-// parseIdleTimeout is how long a connection is kept after an answer with these headers.
+// parseIdleTimeout returns how long a connection is kept after a response with these headers.
 func parseIdleTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/serving/upstream/response_test.go
+++ b/serving/upstream/response_test.go
@@ -12,21 +12,22 @@
 	"rowanlink/serving/attempt"
 )
 
-// TestBreakAfterEachByte breaks an answer off after each of its bytes in turn: only a whole one counts.
-func TestBreakAfterEachByte(t *testing.T) {
+// TestResponse_BrokenAfterEachByte breaks a response off after each of its bytes in turn: only the complete one
+// counts.
+func TestResponse_BrokenAfterEachByte(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"3\r\nabc\r\n1\r\nd\r\n0\r\n\r\n"
-	for name, text := range map[string]string{"length": okAnswer, "chunked": chunked} {
+	for name, text := range map[string]string{"length": okResponse, "chunked": chunked} {
 		for point := range len(text) {
 			for _, reset := range []bool{false, true} {
-				e := newEndpoint(t, func(p *peer) {
-					p.request()
-					p.say(text[:point])
+				e := newTestEndpoint(t, func(p *endpointConn) {
+					p.readRequest()
+					p.write(text[:point])
 					if reset {
 						p.reset()
 					}
 				})
-				_, _, failure := outcome(t, New(patient), e.call())
+				_, _, failure := doCall(t, New(testOptions), e.call())
 				if assert.NotNil(t, failure, "%s, %d bytes", name, point) {
 					assert.Equal(t, attempt.Broken, failure.Outcome, "%s, %d bytes", name, point)
 				}
@@ -35,9 +36,9 @@
 	}
 }
 
-func TestAnswerThatIsNone(t *testing.T) {
+func TestResponse_Invalid(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n"
-	for name, said := range map[string]string{
+	for name, sent := range map[string]string{
 		"garbage":           "\x00\x01garbage\r\n\r\n",
 		"endless head":      head + strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 100),
 		"two lengths":       head + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbodyb",
@@ -50,12 +51,12 @@
 		"interim only":      strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(p *peer) {
-				p.request()
-				p.say(said)
+			e := newTestEndpoint(t, func(p *endpointConn) {
+				p.readRequest()
+				p.write(sent)
 			})
-			pool := New(patient)
-			_, _, failure := outcome(t, pool, e.call())
+			pool := New(testOptions)
+			_, _, failure := doCall(t, pool, e.call())
 			require.NotNil(t, failure)
 			assert.Equal(t, attempt.Broken, failure.Outcome)
 			assert.Zero(t, pool.Open())
@@ -63,42 +64,43 @@
 	}
 }
 
-func TestInterimAnswerIsSkipped(t *testing.T) {
-	e := newEndpoint(t, func(p *peer) {
-		for p.request() != nil {
-			p.say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + okAnswer)
+func TestResponse_InterimIsSkipped(t *testing.T) {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		for p.readRequest() != nil {
+			p.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + okResponse)
 		}
 	})
-	_, body, failure := outcome(t, New(patient), e.call())
+	_, body, failure := doCall(t, New(testOptions), e.call())
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 }
 
-// TestAnswerWithoutLength ends with its connection: whole where that was closed, broken where it was reset.
-func TestAnswerWithoutLength(t *testing.T) {
+// TestResponse_WithoutLength: such a response ends with its connection. It is complete if that was closed, and broken
+// if it was reset.
+func TestResponse_WithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		read := make(chan struct{})
-		e := newEndpoint(t, func(p *peer) {
-			p.request()
-			p.say("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nbody")
+		e := newTestEndpoint(t, func(p *endpointConn) {
+			p.readRequest()
+			p.write("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nbody")
 			if reset {
 				<-read // a reset may overtake what was not read
 				p.reset()
 			}
 		})
-		answer, failure := New(patient).Do(context.Background(), e.call())
+		response, failure := New(testOptions).Do(context.Background(), e.call())
 		require.Nil(t, failure)
 		first := make([]byte, 4)
-		_, err := io.ReadFull(answer, first)
+		_, err := io.ReadFull(response, first)
 		require.NoError(t, err)
 		close(read)
-		_, err = answer.Read(first)
+		_, err = response.Read(first)
 		if reset {
 			require.ErrorAs(t, err, &failure)
 			assert.Equal(t, attempt.Broken, failure.Outcome)
 		} else {
 			assert.ErrorIs(t, err, io.EOF)
 		}
-		answer.Close()
+		response.Close()
 	}
 }
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -13,25 +13,25 @@
 	"rowanlink/serving/attempt"
 )
 
-func TestNobodyListens(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+func TestDo_NobodyListens(t *testing.T) {
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	call := (&endpoint{listener: listener}).call()
+	call := (&testEndpoint{listener: listener}).call()
 	call.Address = address
-	pool := New(patient)
+	pool := New(testOptions)
 	_, failure := pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
 	assert.Equal(t, attempt.ConnectFailed, failure.Outcome)
 	assert.Zero(t, pool.Open())
 }
 
-func TestLimits(t *testing.T) {
-	e := newEndpoint(t, func(p *peer) {
-		p.request()
-		p.say(okAnswer)
-		p.awaitEnd()
+func TestDo_ConnectionLimits(t *testing.T) {
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		p.readRequest()
+		p.write(okResponse)
+		p.readToEnd()
 	})
 	pool := New(Options{MaxOpen: 2})
 	call := e.call()
@@ -45,62 +45,62 @@
 
 	other := e.call()
 	other.EndpointID = "i-2"
-	_, _, failure = outcome(t, pool, other)
+	_, _, failure = doCall(t, pool, other)
 	require.Nil(t, failure, "another endpoint has a limit of its own")
 	third := e.call()
 	third.EndpointID = "i-3"
-	_, _, failure = outcome(t, pool, third)
+	_, _, failure = doCall(t, pool, third)
 	require.Nil(t, failure, "an idle connection gives way")
 	assert.Equal(t, 2, pool.Open())
 	held.Close()
 }
 
-func TestClientLeaves(t *testing.T) {
-	for name, said := range map[string]string{"before the head": "", "in the body": okAnswer[:len(okAnswer)-1]} {
+func TestDo_ClientDisconnects(t *testing.T) {
+	for name, sent := range map[string]string{"before the head": "", "in the body": okResponse[:len(okResponse)-1]} {
 		t.Run(name, func(t *testing.T) {
-			ctx, leave := context.WithCancel(context.Background())
-			gone := make(chan struct{})
-			e := newEndpoint(t, func(p *peer) {
-				p.request()
-				p.say(said)
-				if said == "" {
-					leave()
+			ctx, cancel := context.WithCancel(context.Background())
+			closed := make(chan struct{})
+			e := newTestEndpoint(t, func(p *endpointConn) {
+				p.readRequest()
+				p.write(sent)
+				if sent == "" {
+					cancel()
 				}
-				p.awaitEnd()
-				close(gone)
+				p.readToEnd()
+				close(closed)
 			})
-			pool := New(patient)
-			answer, failure := pool.Do(ctx, e.call())
-			if said != "" {
+			pool := New(testOptions)
+			response, failure := pool.Do(ctx, e.call())
+			if sent != "" {
 				require.Nil(t, failure)
-				leave()
-				_, err := io.ReadAll(answer)
+				cancel()
+				_, err := io.ReadAll(response)
 				require.ErrorAs(t, err, &failure)
 			}
 			assert.Equal(t, attempt.Canceled, failure.Outcome)
-			<-gone
+			<-closed
 			assert.Zero(t, pool.Open())
 		})
 	}
 }
 
-func TestDeadline(t *testing.T) {
-	e := newEndpoint(t, func(p *peer) { p.awaitEnd() })
+func TestDo_Deadline(t *testing.T) {
+	e := newTestEndpoint(t, func(p *endpointConn) { p.readToEnd() })
 	call := e.call()
 	call.Deadline = time.Now().Add(20 * time.Millisecond)
-	_, failure := New(patient).Do(context.Background(), call)
+	_, failure := New(testOptions).Do(context.Background(), call)
 	require.NotNil(t, failure)
 	assert.Equal(t, attempt.TimedOut, failure.Outcome)
 	assert.False(t, failure.Abandoned)
 }
 
-func TestPatience(t *testing.T) {
+func TestDo_ProgressTimeout(t *testing.T) {
 	release := make(chan struct{})
-	e := newEndpoint(t, func(p *peer) {
-		p.request()
+	e := newTestEndpoint(t, func(p *endpointConn) {
+		p.readRequest()
 		<-release
-		p.say(okAnswer)
-		p.awaitEnd()
+		p.write(okResponse)
+		p.readToEnd()
 	})
 	call := e.call()
 	call.ProgressTimeout = time.Millisecond
@@ -108,15 +108,15 @@
 		close(release)
 		return false
 	}
-	_, body, failure := outcome(t, New(patient), call)
+	_, body, failure := doCall(t, New(testOptions), call)
 	require.Nil(t, failure, "the caller wants to wait on")
 	assert.Equal(t, "body", body)
 
-	silent := newEndpoint(t, func(p *peer) { p.awaitEnd() })
+	silent := newTestEndpoint(t, func(p *endpointConn) { p.readToEnd() })
 	call = silent.call()
 	call.ProgressTimeout = time.Millisecond
 	call.MayAbandon = func() bool { return true }
-	pool := New(patient)
+	pool := New(testOptions)
 	_, failure = pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
 	assert.Equal(t, attempt.TimedOut, failure.Outcome)
--- a/serving/upstream/unacknowledged.go
+++ b/serving/upstream/unacknowledged.go
@@ -6,12 +6,12 @@
 	"rowanlink/internal/socket"
 )
 
-// unacknowledgedAfter and two round trips is how long sent bytes may stay unacknowledged before their endpoint is in
-// doubt. The network's own acknowledgements come at once, however busy the endpoint is.
+// unacknowledgedAfter plus two round trips is how long sent data may stay unacknowledged before the endpoint is
+// suspected. The network's own acknowledgements come at once, however busy the endpoint is.
 const unacknowledgedAfter = 250 * time.Millisecond
 
-// UnacknowledgedEndpoints returns the IDs of the endpoints that have not acknowledged what was sent to them on some connection.
-// Their calls go on: they may have arrived.
+// UnacknowledgedEndpoints returns the IDs of the endpoints that have not acknowledged what was sent on some
+// connection. Their calls continue, since the data may have arrived.
 func (p *Pool) UnacknowledgedEndpoints(now time.Time) (ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -26,7 +26,7 @@
 	return ids
 }
 
-// isUnacknowledged tells whether what was sent on a connection is unacknowledged for long.
+// isUnacknowledged reports whether data sent on a connection has been unacknowledged for too long.
 func (p *Pool) isUnacknowledged(now time.Time, c *connection) bool {
 	if c.unansweredFor(now) < unacknowledgedAfter+2*p.dialer.meanRoundTrip(c.zone) {
 		return false
--- a/serving/upstream/watchdog.go
+++ b/serving/upstream/watchdog.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// watchdog ends an attempt that shows nothing for longer than its caller's patience, if the caller agrees then.
+// watchdog ends an attempt that makes no progress for a time, if its caller agrees then.
 type watchdog struct {
 	mayAbandon func() bool
 	abandon    func()
 
 	mu        sync.Mutex
 	timer     *time.Timer
-	expiresAt time.Time // when the patience ends; zero: it is stopped
+	expiresAt time.Time // zero: the timeout is stopped
 	fired     bool
 }
 
-// arm starts the patience anew; zero stops it. It returns false where the attempt has been given up already.
-func (w *watchdog) arm(patience time.Duration) bool {
+// arm restarts the timeout; zero stops it. It returns false if the attempt has been abandoned already.
+func (w *watchdog) arm(timeout time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.fired || w.mayAbandon == nil {
 		return !w.fired
 	}
-	if patience <= 0 {
+	if timeout <= 0 {
 		w.expiresAt = time.Time{}
 		if w.timer != nil {
 			w.timer.Stop()
 		}
 		return true
 	}
-	w.expiresAt = time.Now().Add(patience)
+	w.expiresAt = time.Now().Add(timeout)
 	if w.timer == nil {
-		w.timer = time.AfterFunc(patience, w.expire)
+		w.timer = time.AfterFunc(timeout, w.expire)
 	} else {
-		w.timer.Reset(patience)
+		w.timer.Reset(timeout)
 	}
 	return true
 }
 
-// expire asks the caller and ends the attempt if it agrees. It may come late, when the patience has begun anew.
+// expire abandons the attempt if the caller agrees. The timer may fire late, after the timeout has been restarted.
 func (w *watchdog) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,7 +50,7 @@
 	w.abandon()
 }
 
-// hasFired tells whether the attempt was ended here.
+// hasFired reports whether the watchdog has abandoned the attempt.
 func (w *watchdog) hasFired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
