--- a/cluster/member/admission.go
+++ b/cluster/member/admission.go
@@ -10,23 +10,25 @@
 type admission struct{ m *Member }
 
 var (
-	_ eventloop.Fleet   = admission{}
-	_ eventloop.Witness = admission{}
+	_ eventloop.Cluster     = admission{}
+	_ eventloop.EndObserver = admission{}
 )
 
-// Calls reports whether a destination may be called from here now.
-func (a admission) Calls(dest api.DestinationID, ordered bool) bool {
+// MayCall reports whether a destination may be called from here now.
+func (a admission) MayCall(dest api.DestinationID, ordered bool) bool {
 	may, asRelay := a.m.sites.MayCall(dest)
 	return may && (asRelay || a.m.ownership.Decide(dest).AllowsCall(ordered))
 }
 
-// Part returns the share of a destination's rate, from 0 to 1, that may be used here.
-func (a admission) Part(dest api.DestinationID) float64 {
+// RateShare returns the share of a destination's rate, from 0 to 1, that may be used here.
+func (a admission) RateShare(dest api.DestinationID) float64 {
 	return a.m.sites.RateShare(dest, a.m.ownership.Decide(dest).RateShare(int(a.m.memberCount.Load())))
 }
 
-// Doubts reports whether another member may have a webhook that was recovered from the journal.
-func (a admission) Doubts(of inflight.RequestID) bool { return a.m.custody.IsInDoubt(of) }
+// IsInDoubt reports whether another member may have a webhook that was recovered from the journal.
+func (a admission) IsInDoubt(of inflight.RequestID) bool { return a.m.custody.IsInDoubt(of) }
 
-// Ended counts the end of a webhook.
-func (a admission) Ended(w *inflight.Webhook, how eventloop.End) { a.m.reporter.CountEnd(w, how) }
+// WebhookEnded counts the end of a webhook.
+func (a admission) WebhookEnded(w *inflight.Webhook, how eventloop.Ending) {
+	a.m.reporter.CountEnd(w, how)
+}
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -26,7 +26,7 @@
 
 	mu          sync.Mutex
 	table       *shardmap.CustodyTable
-	journal     *wal.Journal
+	journal     *wal.Log
 	entryIDs    map[shardmap.WebhookID]api.WebhookID // the journal's entry with each record
 	lastEntryID api.WebhookID
 	retention   api.Micros // for which records outlast what they name, and the time between two expiries
@@ -78,12 +78,12 @@
 	latest := map[shardmap.WebhookID]shardmap.CustodyRecord{}
 	for _, entry := range s.journal.Entries() {
 		var record shardmap.CustodyRecord
-		if err := transport.Decode(entry.Taken, &record); err != nil {
+		if err := transport.Decode(entry.Payload, &record); err != nil {
 			return nil, fmt.Errorf("custody records: record %d: %w", entry.ID, err)
 		}
 		if earlier, found := s.entryIDs[record.ID]; found {
 			// The process ended between the later entry and the end of the earlier one.
-			s.journal.End(earlier, nil)
+			s.journal.Finish(earlier, nil)
 		}
 		latest[record.ID] = record
 		s.entryIDs[record.ID] = entry.ID
@@ -159,7 +159,7 @@
 	}
 	if err != nil {
 		for _, id := range written { // the earlier entries stand
-			s.journal.Forget(id)
+			s.journal.Undo(id)
 		}
 		return err
 	}
@@ -176,7 +176,7 @@
 // endEntry ends the journal's entry with a name's record. The caller holds the lock.
 func (s *Store) endEntry(name shardmap.WebhookID) {
 	if id, found := s.entryIDs[name]; found {
-		s.journal.End(id, nil)
+		s.journal.Finish(id, nil)
 		delete(s.entryIDs, name)
 	}
 }
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -22,7 +22,7 @@
 	// accepting the webhook here.
 	hopDivisor = 3
 	// retryInterval is the time between two attempts while a range is closed or its owner has an older map.
-	retryInterval = inflight.AnswerWithin / hopDivisor / hopDivisor / hopDivisor
+	retryInterval = inflight.AnswerTimeout / hopDivisor / hopDivisor / hopDivisor
 )
 
 // AcceptFunc accepts a webhook in this process. With inflight.Rejected it returns after how long the client may retry.
@@ -44,8 +44,8 @@
 	Custody       *custody.Store
 	Metrics       *custody.Metrics
 	Peers         *peer.Client
-	Exchange      *inflight.Exchange
-	Decider       *eventloop.Decider
+	Exchange      *inflight.Inbox
+	Decider       *eventloop.Loop
 	Handoffs      Handoffs
 	MaxClockDrift float64 // the most by which the rates of two clocks differ, as a fraction
 }
@@ -79,7 +79,7 @@
 // accept is accepted here and parked until it can be handed off: the webhook belongs to the member whose journal has
 // it, and never to two.
 func (f *Forwarder) Forward(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
-	deadline := inflight.Now() + inflight.AnswerWithin - inflight.AnswerWithin/hopDivisor
+	deadline := inflight.Now() + inflight.AnswerTimeout - inflight.AnswerTimeout/hopDivisor
 	for {
 		here := f.acceptHere(w, accept)
 		if here.accepted {
@@ -96,9 +96,9 @@
 		case result.outcome == keptHere, forwarded && !f.Handoffs.IsOrdered(w):
 			return accept()
 		case inflight.Now() > deadline: // by the time named the move should have switched
-			return inflight.Rejected, inflight.AnswerWithin
+			return inflight.Rejected, inflight.AnswerTimeout
 		}
-		time.Sleep(inflight.Span(retryInterval))
+		time.Sleep(inflight.Duration(retryInterval))
 	}
 }
 
@@ -116,7 +116,7 @@
 	release := f.Ownership.HoldAdmission()
 	defer release()
 	decision := f.Ownership.Decide(w.Destination)
-	if f.Ownership.IsClosed(decision) || decision.Action == shardmap.Forward && !f.Decider.Follows(w) {
+	if f.Ownership.IsClosed(decision) || decision.Action == shardmap.Forward && !f.Decider.WaitsForEarlier(w) {
 		return localAcceptance{decision: decision}
 	}
 	answer, retryAfter := accept()
@@ -129,12 +129,12 @@
 	handoff := f.Custody.NextHandoff(id)
 	for hops := 0; ; hops++ {
 		sentAt := inflight.Now()
-		webhook := peer.EncodeWebhook(eventloop.Owed{Webhook: w, MayRun: api.Never}, id, handoff)
+		webhook := peer.EncodeWebhook(eventloop.Parked{Webhook: w, MayHaveRunAt: api.Never}, id, handoff)
 		sent, err := f.Peers.Send(decision.Owner, peer.WebhookPath, peer.Transfer{
 			MapVersion: decision.Version,
 			SentAt:     sentAt,
 			Webhooks:   []shardmap.TransferredWebhook{webhook},
-		}, inflight.AnswerWithin/hopDivisor, true)
+		}, inflight.AnswerTimeout/hopDivisor, true)
 		var reply peer.Outcome
 		if err == nil {
 			reply = sent.Outcomes[0]
@@ -146,10 +146,10 @@
 			return f.keepInDoubt(w, handoff, shardmap.Offer{To: decision.Owner, Incarnation: sent.Incarnation,
 				Range: decision.Range, Epoch: decision.Epoch, SentAt: sentAt})
 		case reply.Duplicate:
-			return forwardResult{outcome: answeredByOwner, answer: inflight.Doubled}
+			return forwardResult{outcome: answeredByOwner, answer: inflight.Duplicate}
 		case reply.Reply == shardmap.CustodyTaken:
 			f.Metrics.Forwarded.Add(1)
-			return forwardResult{outcome: answeredByOwner, answer: inflight.Taken}
+			return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
 		case reply.Reply == shardmap.CustodyNever: // its TTL is over: it ends here
@@ -171,15 +171,15 @@
 	id := custody.IDOf(w.RequestID)
 	recorded := false
 	err := f.Custody.Update([]shardmap.WebhookID{id}, func(t *shardmap.CustodyTable) {
-		recorded = t.RecordUnansweredForward(id, handoff, w.TTL, offer)
+		recorded = t.RecordUnansweredForward(id, handoff, w.Deadline, offer)
 	})
-	w.InDoubt, w.Keep = true, true
+	w.InDoubt, w.MustKeep = true, true
 	if err != nil {
-		w.Past = &inflight.Past{Attempts: 1, MayRun: offer.SentAt}
+		w.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: offer.SentAt}
 		return forwardResult{outcome: keptHere}
 	}
 	if !recorded { // it has come back here by now, and is pending
-		return forwardResult{outcome: answeredByOwner, answer: inflight.Taken}
+		return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 	}
 	return forwardResult{outcome: keptHere}
 }
--- a/cluster/member/forwarding/intake.go
+++ b/cluster/member/forwarding/intake.go
@@ -19,9 +19,9 @@
 	before   []custody.SavedRecord // their custody records before this transfer
 	outcomes []peer.Outcome
 
-	arrivals []arrival                             // webhooks that are new here
-	returned map[inflight.RequestID]*inflight.Past // those in doubt here that have come back, with what they bring
-	callable []inflight.RequestID                  // may be called from here on
+	arrivals []arrival                                      // webhooks that are new here
+	returned map[inflight.RequestID]*inflight.PriorAttempts // those in doubt here that have come back, with what they bring
+	callable []inflight.RequestID                           // may be called from here on
 }
 
 // arrival is a webhook that is new here.
@@ -39,11 +39,11 @@
 		webhooks: make([]*inflight.Webhook, len(t.Webhooks)),
 		before:   make([]custody.SavedRecord, len(t.Webhooks)),
 		outcomes: make([]peer.Outcome, len(t.Webhooks)),
-		returned: map[inflight.RequestID]*inflight.Past{},
+		returned: map[inflight.RequestID]*inflight.PriorAttempts{},
 	}
 	for i, transferred := range t.Webhooks {
 		in.ids[i] = transferred.ID
-		if w, err := peer.DecodeWebhook(transferred); err == nil && r.Exchange.Named(transferred.Destination) {
+		if w, err := peer.DecodeWebhook(transferred); err == nil && r.Exchange.HasDestination(transferred.Destination) {
 			in.webhooks[i] = w
 		}
 	}
@@ -64,7 +64,7 @@
 	if err != nil { // what was to be accepted is rejected; of the rest nothing is known
 		clear(in.outcomes)
 		for _, a := range in.arrivals {
-			in.reject(a, inflight.AnswerWithin)
+			in.reject(a, inflight.AnswerTimeout)
 		}
 		return
 	}
@@ -83,11 +83,11 @@
 func (in *intake) writeReturned(t *shardmap.CustodyTable) (written bool) {
 	for i, transferred := range in.transfer.Webhooks {
 		w := in.webhooks[i]
-		if w != nil && t.ReturnsCopy(transferred.ID, transferred.Handoff) && w.Past != nil {
-			in.returned[w.RequestID] = w.Past
+		if w != nil && t.ReturnsCopy(transferred.ID, transferred.Handoff) && w.Prior != nil {
+			in.returned[w.RequestID] = w.Prior
 		}
 	}
-	return len(in.returned) == 0 || in.Decider.Returned(in.returned)
+	return len(in.returned) == 0 || in.Decider.MergePriorAttempts(in.returned)
 }
 
 // decide decides on one webhook. The custody table is locked.
@@ -119,13 +119,13 @@
 	for _, a := range in.arrivals {
 		webhooks = append(webhooks, a.webhook)
 	}
-	in.Exchange.HandInAll(webhooks, func(n int, answer inflight.Answer, retryAfter api.Micros) {
+	in.Exchange.SubmitAll(webhooks, func(n int, answer inflight.Answer, retryAfter api.Micros) {
 		a := in.arrivals[n]
 		switch answer {
-		case inflight.Taken:
+		case inflight.Accepted:
 			in.Metrics.Received.Add(1)
 			in.Exchange.Accepted.Add(1)
-		case inflight.Doubled: // it came here by another way, and is this member's already
+		case inflight.Duplicate: // it came here by another way, and is this member's already
 			in.outcomes[a.position].Duplicate = true
 		default:
 			in.reject(a, retryAfter)
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	in.Decider.Settled(in.callable)
+	in.Decider.ResolveInDoubt(in.callable)
 }
 
 // confirmArrivals records which arrivals the dispatcher has accepted. The custody table is locked.
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -13,11 +13,11 @@
 // webhooks in doubt.
 type batch struct {
 	moves   []shardmap.MoveID // in the order of their first offers; 0: to the owner
-	offers  map[shardmap.MoveID][]eventloop.Owed
-	queries []eventloop.Owed
+	offers  map[shardmap.MoveID][]eventloop.Parked
+	queries []eventloop.Parked
 }
 
-func (b *batch) addOffer(w eventloop.Owed, move shardmap.MoveID) {
+func (b *batch) addOffer(w eventloop.Parked, move shardmap.MoveID) {
 	if b.offers[move] == nil {
 		b.moves = append(b.moves, move)
 	}
@@ -26,7 +26,7 @@
 	}
 }
 
-func (b *batch) addQuery(w eventloop.Owed) {
+func (b *batch) addQuery(w eventloop.Parked) {
 	if len(b.queries) < MaxBatch {
 		b.queries = append(b.queries, w)
 	}
@@ -37,7 +37,7 @@
 
 func (b batches) of(to cluster.MemberID) *batch {
 	if b[to] == nil {
-		b[to] = &batch{offers: map[shardmap.MoveID][]eventloop.Owed{}}
+		b[to] = &batch{offers: map[shardmap.MoveID][]eventloop.Parked{}}
 	}
 	return b[to]
 }
@@ -50,17 +50,17 @@
 
 // batchByPeer sorts the pending webhooks by what is to be done with them. Of one ordering key, nothing is handed off
 // behind a webhook that is in doubt or stays here.
-func (m *Manager) batchByPeer(shardMap *shardmap.Map, pending []eventloop.Owed) batches {
+func (m *Manager) batchByPeer(shardMap *shardmap.Map, pending []eventloop.Parked) batches {
 	all, blocked := batches{}, map[orderingKey]bool{}
 	for _, w := range pending {
-		key := orderingKey{w.Destination, w.Key}
+		key := orderingKey{w.Destination, w.OrderingKey}
 		ordered := m.IsOrdered(w.Webhook)
 		if ordered && blocked[key] {
 			continue
 		}
 		r, leaves := m.route(shardMap, w)
 		switch {
-		case w.Doubted:
+		case w.MayBeElsewhere:
 			blocked[key] = blocked[key] || ordered
 			m.batchInDoubt(all, w, r, leaves)
 		case leaves:
@@ -73,7 +73,7 @@
 }
 
 // batchInDoubt has a webhook in doubt offered once more where that goes to the same folder, else asked for.
-func (m *Manager) batchInDoubt(all batches, w eventloop.Owed, r route, leaves bool) {
+func (m *Manager) batchInDoubt(all batches, w eventloop.Parked, r route, leaves bool) {
 	offer, _, offered := m.Custody.PendingOffer(custody.IDOf(w.RequestID))
 	switch {
 	case !offered:
@@ -87,14 +87,14 @@
 
 // confirmArrival lets a webhook go on from here that is in the journal and whose custody record could not be written
 // when it came.
-func (m *Manager) confirmArrival(w eventloop.Owed) {
+func (m *Manager) confirmArrival(w eventloop.Parked) {
 	id := custody.IDOf(w.RequestID)
 	if !m.Custody.IsArriving(id) {
 		return
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{id}, func(t *shardmap.CustodyTable) { t.ConfirmStored(id) })
 	if err == nil {
-		m.Decider.Settled([]inflight.RequestID{w.RequestID})
+		m.Decider.ResolveInDoubt([]inflight.RequestID{w.RequestID})
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // route returns where a webhook belongs; false: it stays here for now.
-func (m *Manager) route(shardMap *shardmap.Map, w eventloop.Owed) (route, bool) {
+func (m *Manager) route(shardMap *shardmap.Map, w eventloop.Parked) (route, bool) {
 	m.mu.Lock()
 	_, arrivedByMove := m.arrivals[w.RequestID]
 	m.mu.Unlock()
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -17,7 +17,7 @@
 
 // inDoubt is a webhook that another member may have, as it is when that member is asked.
 type inDoubt struct {
-	eventloop.Owed
+	eventloop.Parked
 	id      shardmap.WebhookID
 	handoff shardmap.HandoffNumber
 	offer   shardmap.Offer
@@ -25,7 +25,7 @@
 
 // queryInDoubt asks a member for webhooks that it may have, where they can't be offered to it once more: it is not the
 // owner any more, or its folder is another one.
-func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Owed) {
+func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Parked) {
 	now := inflight.Now()
 	var doubts []inDoubt
 	var queries []peer.CustodyQuery
@@ -35,8 +35,8 @@
 		if !offered || offer.To != at {
 			continue
 		}
-		doubts = append(doubts, inDoubt{Owed: w, id: id, handoff: handoff, offer: offer})
-		queries = append(queries, peer.CustodyQuery{ID: id, Handoff: handoff, TTLLeft: w.TTL - now,
+		doubts = append(doubts, inDoubt{Parked: w, id: id, handoff: handoff, offer: offer})
+		queries = append(queries, peer.CustodyQuery{ID: id, Handoff: handoff, TTLLeft: w.Deadline - now,
 			Incarnation: offer.Incarnation})
 	}
 	if len(queries) == 0 {
@@ -55,7 +55,7 @@
 // resolveInDoubt does what a reply says, or what the rules say where there is none.
 func (m *Manager) resolveInDoubt(d inDoubt, reply shardmap.CustodyReply) {
 	now := inflight.Now()
-	resolution := d.offer.Resolve(reply, m.isOwnerReplaced(d), m.EventType(d.Event), d.MayRun, d.TTL, now)
+	resolution := d.offer.Resolve(reply, m.isOwnerReplaced(d), m.EventType(d.EventType), d.MayHaveRunAt, d.Deadline, now)
 	resolved := false
 	switch resolution {
 	case shardmap.StayInDoubt:
@@ -79,7 +79,7 @@
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
 		if dropped {
-			m.Decider.Passed([]api.WebhookID{d.ID})
+			m.Decider.FinishTransferred([]api.WebhookID{d.ID})
 		}
 	})
 	return dropped
@@ -93,15 +93,15 @@
 	if !kept || err != nil {
 		return false
 	}
-	m.Decider.Settled([]inflight.RequestID{d.RequestID})
+	m.Decider.ResolveInDoubt([]inflight.RequestID{d.RequestID})
 	return true
 }
 
 // forkCopy lets a webhook that may have run elsewhere go on from here (ForkCopy), or has it dead-lettered; false: not
 // now. That it may have run is written first, so that a restart finds it.
 func (m *Manager) forkCopy(d inDoubt, resolution shardmap.Resolution) (forked bool) {
-	mayHaveRun := &inflight.Past{Attempts: d.Attempts + 1, MayRun: d.offer.SentAt}
-	if !m.Decider.Returned(map[inflight.RequestID]*inflight.Past{d.RequestID: mayHaveRun}) {
+	mayHaveRun := &inflight.PriorAttempts{Attempts: d.Attempts + 1, MayHaveRunAt: d.offer.SentAt}
+	if !m.Decider.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
 		return false
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
@@ -115,9 +115,9 @@
 		return false
 	}
 	if resolution == shardmap.ForkCopy {
-		m.Decider.Settled([]inflight.RequestID{d.RequestID})
+		m.Decider.ResolveInDoubt([]inflight.RequestID{d.RequestID})
 	} else {
-		m.Decider.GiveUp(d.ID)
+		m.Decider.DeadLetterInDoubt(d.ID)
 	}
 	return true
 }
--- a/cluster/member/handoff/manager.go
+++ b/cluster/member/handoff/manager.go
@@ -24,7 +24,7 @@
 	Custody   *custody.Store
 	Metrics   *custody.Metrics
 	Peers     *peer.Client
-	Decider   *eventloop.Decider
+	Decider   *eventloop.Loop
 	EventType func(api.EventTypeID) api.EventType // by the settings read last
 	Wake      func()                              // has Run called soon; must not block
 }
@@ -62,7 +62,7 @@
 
 // IsOrdered reports whether a webhook has to be delivered in the order of its key.
 func (m *Manager) IsOrdered(w *inflight.Webhook) bool {
-	return w.Key != 0 && m.EventType(w.Event).Ordered
+	return w.OrderingKey != 0 && m.EventType(w.EventType).Ordered
 }
 
 // Run begins to hand off what belongs elsewhere and to resolve what is in doubt. Each peer has a goroutine of its own,
@@ -72,7 +72,7 @@
 	if shardMap == nil {
 		return
 	}
-	pending, _ := m.Decider.Owes(func(*inflight.Webhook) bool { return true })
+	pending, _ := m.Decider.ParkedWebhooks(func(*inflight.Webhook) bool { return true })
 	m.forgetEndedMoves(shardMap)
 	started := map[cluster.MemberID]*batch{}
 	for to, b := range m.batchByPeer(shardMap, pending) {
--- a/cluster/member/handoff/offer.go
+++ b/cluster/member/handoff/offer.go
@@ -19,7 +19,7 @@
 
 // offered is a webhook of a transfer that is being sent, with what became of it.
 type offered struct {
-	eventloop.Owed
+	eventloop.Parked
 	id      shardmap.WebhookID
 	handoff shardmap.HandoffNumber
 	reply   shardmap.CustodyReply
@@ -28,7 +28,7 @@
 // offerWebhooks offers webhooks to the owner of their range, or to the target of its move. They are parked in doubt
 // until there is an answer; one without an answer is offered again, and known there by its id.
 func (m *Manager) offerWebhooks(shardMap *shardmap.Map, to cluster.MemberID, move shardmap.MoveID,
-	webhooks []eventloop.Owed) {
+	webhooks []eventloop.Parked) {
 	transfer := peer.Transfer{MapVersion: shardMap.Version, SentAt: inflight.Now(), Move: move}
 	offers := m.recordOffers(shardMap, to, &transfer, webhooks)
 	if len(offers) == 0 {
@@ -63,13 +63,13 @@
 // recordOffers adds those of the webhooks to a transfer that are still parked here, and writes to whom they are offered
 // before they are.
 func (m *Manager) recordOffers(shardMap *shardmap.Map, to cluster.MemberID, transfer *peer.Transfer,
-	webhooks []eventloop.Owed) (offers []offered) {
+	webhooks []eventloop.Parked) (offers []offered) {
 	localIDs := make([]api.WebhookID, len(webhooks))
 	ids := make([]shardmap.WebhookID, len(webhooks))
 	for i, w := range webhooks {
 		localIDs[i], ids[i] = w.ID, custody.IDOf(w.RequestID)
 	}
-	marked := m.Decider.Doubt(localIDs)
+	marked := m.Decider.MarkInDoubt(localIDs)
 	incarnation := m.Peers.Incarnation(to)
 	var newlyMarked, resolved []inflight.RequestID
 	err := m.Custody.Update(ids, func(t *shardmap.CustodyTable) {
@@ -82,16 +82,16 @@
 				continue
 			case !pending && !wasNotInDoubt: // in doubt otherwise, or arriving
 				continue
-			case !pending && w.Doubted: // resolved meanwhile, and marked again above
+			case !pending && w.MayBeElsewhere: // resolved meanwhile, and marked again above
 				resolved = append(resolved, w.RequestID)
 				continue
 			case !pending:
 				newlyMarked = append(newlyMarked, w.RequestID)
 			}
-			handoff, ok := t.BeginOffer(ids[i], w.TTL, shardmap.Offer{To: to, Incarnation: incarnation,
+			handoff, ok := t.BeginOffer(ids[i], w.Deadline, shardmap.Offer{To: to, Incarnation: incarnation,
 				Move: transfer.Move, Range: r.ID, Epoch: r.Epoch, SentAt: transfer.SentAt})
 			if ok {
-				offers = append(offers, offered{Owed: w, id: ids[i], handoff: handoff})
+				offers = append(offers, offered{Parked: w, id: ids[i], handoff: handoff})
 				transfer.Webhooks = append(transfer.Webhooks, peer.EncodeWebhook(w, ids[i], handoff))
 			}
 		}
@@ -99,7 +99,7 @@
 	if err != nil {
 		resolved, offers = append(resolved, newlyMarked...), nil
 	}
-	m.Decider.Settled(resolved)
+	m.Decider.ResolveInDoubt(resolved)
 	return offers
 }
 
@@ -129,12 +129,12 @@
 		}
 	})
 	if err == nil { // else they stay in doubt
-		m.Decider.Settled(kept)
+		m.Decider.ResolveInDoubt(kept)
 	}
 	for _, o := range offers {
 		pending, handoff, found := m.Custody.PendingOffer(o.id)
 		if found && o.reply == shardmap.CustodyStateLost {
-			m.resolveInDoubt(inDoubt{Owed: o.Owed, id: o.id, handoff: handoff, offer: pending}, o.reply)
+			m.resolveInDoubt(inDoubt{Parked: o.Parked, id: o.id, handoff: handoff, offer: pending}, o.reply)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 			}
 		}
 		if len(ids) > 0 {
-			m.Decider.Passed(ids)
+			m.Decider.FinishTransferred(ids)
 		}
 	})
 }
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -33,7 +33,7 @@
 type ReporterConfig struct {
 	Self    cluster.MemberID
 	Maps    MapSource
-	Decider *eventloop.Decider
+	Decider *eventloop.Loop
 	Clock   func() api.Micros // monotonic
 	Meter   *rebalance.ImpactMeter
 	Stop    <-chan struct{} // closed once the dispatcher's event loop answers no more
@@ -49,13 +49,13 @@
 func NewReporter(c ReporterConfig) *Reporter { return &Reporter{ReporterConfig: c} }
 
 // CountEnd counts the end of a webhook that this member owned.
-func (r *Reporter) CountEnd(w *inflight.Webhook, end eventloop.End) {
+func (r *Reporter) CountEnd(w *inflight.Webhook, end eventloop.Ending) {
 	counts := rebalance.Outcomes{Total: 1}
 	switch end {
-	case eventloop.InTime:
+	case eventloop.OnTime:
 	case eventloop.Late:
 		counts.Late = 1
-	case eventloop.HandedBack:
+	case eventloop.Rejected:
 		counts.Rejected = 1
 	case eventloop.DeadLettered:
 		counts.DeadLettered = 1
@@ -130,7 +130,7 @@
 func (r *Reporter) learned(match func(api.DestinationID) bool) []api.DestinationState {
 	found := make(chan []api.DestinationState, 1)
 	go func() {
-		all, _ := r.Decider.Learned(match)
+		all, _ := r.Decider.ExportState(match)
 		found <- all
 	}()
 	select {
--- a/cluster/member/health/reporter_test.go
+++ b/cluster/member/health/reporter_test.go
@@ -37,7 +37,7 @@
 	r := newTestReporter(ranges)
 	r.ObserveMoves()
 	w := &inflight.Webhook{Destination: 7}
-	for _, end := range []eventloop.End{eventloop.InTime, eventloop.Late, eventloop.Late, eventloop.HandedBack,
+	for _, end := range []eventloop.Ending{eventloop.OnTime, eventloop.Late, eventloop.Late, eventloop.Rejected,
 		eventloop.DeadLettered, eventloop.DeadLettered, eventloop.DeadLettered} {
 		r.CountEnd(w, end)
 	}
@@ -52,9 +52,9 @@
 	for _, c := range []struct {
 		owner, here inflight.Answer
 		answered    bool // by the owner
-	}{{inflight.Rejected, inflight.Taken, true}, {inflight.Taken, inflight.Rejected, false},
-		{inflight.Taken, inflight.Rejected, true}, {inflight.Rejected, inflight.Taken, false},
-		{inflight.Doubled, inflight.Rejected, true}} {
+	}{{inflight.Rejected, inflight.Accepted, true}, {inflight.Accepted, inflight.Rejected, false},
+		{inflight.Accepted, inflight.Rejected, true}, {inflight.Rejected, inflight.Accepted, false},
+		{inflight.Duplicate, inflight.Rejected, true}} {
 		accept := func() (inflight.Answer, api.Micros) { return c.here, 4 }
 		answer, retryAfter := r.CountRejections(forwardTo(c.owner, c.answered))(w, accept)
 		wantAnswer, wantRetryAfter := c.owner, api.Micros(3)
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -18,8 +18,8 @@
 // leaveTimeoutTTLs is how many lease TTLs a planned end waits for its turn.
 const leaveTimeoutTTLs = 1
 
-// Serve opens the session and starts what the member does by itself. Clients are not let in yet.
-func (m *Member) Serve() {
+// Start opens the session and starts what the member does by itself. Clients are not let in yet.
+func (m *Member) Start() {
 	slog.Info("member", "fleet", m.file.Name, "name", m.self, "members", len(m.file.Members))
 	m.session = session.New(session.Config{
 		Self:          m.self,
@@ -80,13 +80,13 @@
 	m.ownership.TrackSession()
 	m.ownership.Reconcile()
 	m.ownership.ReleaseMergedRanges()
-	m.dispatcher.Decider.Regate()
+	m.dispatcher.Loop.Reevaluate()
 	m.reporter.ObserveMoves()
 	m.coordinate()
 }
 
-// Renew takes new settings of the dispatcher and reads the operator file again. One that can't be used changes nothing.
-func (m *Member) Renew(settings api.Settings) {
+// UpdateSettings takes new settings of the dispatcher and reads the operator file again. One that can't be used changes nothing.
+func (m *Member) UpdateSettings(settings api.Settings) {
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
 	if err != nil {
@@ -118,9 +118,9 @@
 	}
 }
 
-// Leave waits for one of the turns by which the operator file bounds how many members leave at once, for a lease TTL at
+// Drain waits for one of the turns by which the operator file bounds how many members leave at once, for a lease TTL at
 // most: one that gets no turn leaves all the same, since its process was told to end.
-func (m *Member) Leave() {
+func (m *Member) Drain() {
 	turns := m.file.MaxDeparting
 	for turn := range turns {
 		m.session.Acquire(cluster.DepartureSlotResource(turn))
@@ -153,9 +153,9 @@
 	return false
 }
 
-// End stops everything and gives all leases up, so that nobody waits for this member's lease TTL, and hands raft's
+// Stop stops everything and gives all leases up, so that nobody waits for this member's lease TTL, and hands raft's
 // leadership on.
-func (m *Member) End() {
+func (m *Member) Stop() {
 	close(m.ended)
 	m.sites.Close()
 	m.done.Wait()
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -79,7 +79,7 @@
 	done          sync.WaitGroup
 }
 
-var _ dispatcher.Beside = (*Member)(nil)
+var _ dispatcher.Extension = (*Member)(nil)
 
 // New returns a member by the operator file at a path. The dispatcher calls its methods.
 func New(path string) *Member {
@@ -94,8 +94,8 @@
 // Begin reads the operator file, opens the raft node's log where there is one, and joins the dispatcher's event loop.
 // Nothing runs yet.
 func (m *Member) Begin(d *dispatcher.Dispatcher) error {
-	m.settings.Store(&d.Facts)
-	m.dispatcher, m.self = d, cluster.MemberID(d.Told.Get("name").String())
+	m.settings.Store(&d.Settings)
+	m.dispatcher, m.self = d, cluster.MemberID(d.Configuration.Get("name").String())
 	text, file, err := m.readOperatorFile()
 	if err != nil {
 		return err
@@ -132,8 +132,8 @@
 	m.sites = m.newSites()
 	m.sites.Install()
 	m.sites.RegisterHandlers(m.server)
-	d.Decider.Join(admission{m})
-	d.Calls.May = func(dest api.DestinationID) bool { return admission{m}.Calls(dest, false) }
+	d.Loop.JoinCluster(admission{m})
+	d.Upstream.May = func(dest api.DestinationID) bool { return admission{m}.MayCall(dest, false) }
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	m.raft, err = raftnode.Open(raftnode.Config{
 		ClusterName:  m.file.Name,
 		Self:         m.self,
-		StateDir:     m.dispatcher.State,
+		StateDir:     m.dispatcher.StateDir,
 		SessionTTL:   m.file.LeaseTTL,
 		Addresses:    raftAddresses(m.file),
 		Client:       m.client,
@@ -173,10 +173,10 @@
 // openCustody opens the custody records, beside the webhooks that the dispatcher has recovered from its journal.
 func (m *Member) openCustody() (err error) {
 	pending := map[shardmap.WebhookID]bool{}
-	for _, id := range m.dispatcher.Decider.Earlier() {
+	for _, id := range m.dispatcher.Loop.RecoveredIDs() {
 		pending[custody.IDOf(id)] = true
 	}
-	m.custody, err = custody.Open(filepath.Join(m.dispatcher.State, "fleet", "names"), custodyDiskMB,
+	m.custody, err = custody.Open(filepath.Join(m.dispatcher.StateDir, "fleet", "names"), custodyDiskMB,
 		custodyRetentionTTLs*m.file.LeaseTTL, func(id shardmap.WebhookID) bool { return pending[id] })
 	return err
 }
@@ -190,7 +190,7 @@
 		Custody:   m.custody,
 		Metrics:   &m.metrics,
 		Peers:     m.peers,
-		Decider:   d.Decider,
+		Decider:   d.Loop,
 		EventType: m.eventType,
 		Wake:      m.handoffWake.Send,
 	})
@@ -207,8 +207,8 @@
 		Custody:       m.custody,
 		Metrics:       &m.metrics,
 		Peers:         m.peers,
-		Exchange:      m.dispatcher.Exchange,
-		Decider:       m.dispatcher.Decider,
+		Exchange:      m.dispatcher.Inbox,
+		Decider:       m.dispatcher.Loop,
 		Handoffs:      m.handoff,
 		MaxClockDrift: m.file.MaxClockDrift,
 	}
@@ -221,7 +221,7 @@
 	m.reporter = health.NewReporter(health.ReporterConfig{
 		Self:    m.self,
 		Maps:    m.ownership,
-		Decider: d.Decider,
+		Decider: d.Loop,
 		Clock:   m.clock,
 		Meter:   rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
 		Stop:    m.ended,
@@ -237,8 +237,8 @@
 	})
 	m.server.Handle(health.Path, m.reporter.HandleQuery)
 	forwarder := forwarding.NewForwarder(m.forwardingConfig())
-	d.Exchange.Away = m.reporter.CountRejections(forwarder.Forward)
-	d.Exchange.More = m.Print
+	d.Inbox.Forward = m.reporter.CountRejections(forwarder.Forward)
+	d.Inbox.ExtraMetrics = m.WriteMetrics
 }
 
 // randomID returns a number that no other start of a process has.
--- a/cluster/member/member_test.go
+++ b/cluster/member/member_test.go
@@ -18,8 +18,8 @@
 		return stream.Resolve(&stream.Item{FirstAttemptAt: api.Never}, 1, m.eventType(0), true, 9, 2)
 	}
 	assert.Equal(t, stream.ResolveRetry, lost())
-	m.Renew(api.Settings{EventTypes: []api.EventType{{Semantics: api.AtMostOnce}}})
+	m.UpdateSettings(api.Settings{EventTypes: []api.EventType{{Semantics: api.AtMostOnce}}})
 	assert.Equal(t, stream.ResolveDeadLetter, lost())
-	m.Renew(api.Settings{})
+	m.UpdateSettings(api.Settings{})
 	assert.Equal(t, stream.ResolveDeadLetter, lost(), "its event type has gone")
 }
--- a/cluster/member/metrics.go
+++ b/cluster/member/metrics.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// Print writes the cluster's counters, one a line, in the Prometheus text format; nothing before Serve.
-func (m *Member) Print(w io.Writer) {
+// WriteMetrics writes the cluster's counters, one a line, in the Prometheus text format; nothing before Serve.
+func (m *Member) WriteMetrics(w io.Writer) {
 	if m.session == nil {
 		return
 	}
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -54,32 +54,32 @@
 }
 
 // EncodeWebhook returns a webhook as it is handed over with this id and handoff number.
-func EncodeWebhook(w eventloop.Owed, id shardmap.WebhookID, handoff shardmap.HandoffNumber) shardmap.TransferredWebhook {
+func EncodeWebhook(w eventloop.Parked, id shardmap.WebhookID, handoff shardmap.HandoffNumber) shardmap.TransferredWebhook {
 	return shardmap.TransferredWebhook{
 		ID:           id,
 		Handoff:      handoff,
-		EventType:    w.Event,
+		EventType:    w.EventType,
 		Tenant:       w.Tenant,
-		Key:          w.Key,
+		Key:          w.OrderingKey,
 		Destination:  w.Destination,
-		TTL:          w.TTL,
+		TTL:          w.Deadline,
 		Attempts:     w.Attempts,
-		FirstRunAt:   w.MayRun,
+		FirstRunAt:   w.MayHaveRunAt,
 		Zone:         w.Zone,
 		AcceptOrder:  uint64(w.ID),
-		JournalEntry: w.Bytes(),
+		JournalEntry: w.Encode(),
 	}
 }
 
 // DecodeWebhook returns the webhook that was handed over. Its times have to be by this member's clock already.
 func DecodeWebhook(t shardmap.TransferredWebhook) (*inflight.Webhook, error) {
-	w, err := inflight.FromBytes(0, t.JournalEntry)
+	w, err := inflight.DecodeWebhook(0, t.JournalEntry)
 	if err != nil {
 		return nil, err
 	}
-	w.CameAt, w.TTL = inflight.Now(), t.TTL
+	w.ReceivedAt, w.Deadline = inflight.Now(), t.TTL
 	if t.Attempts > 0 || t.FirstRunAt != api.Never {
-		w.Past = &inflight.Past{Attempts: t.Attempts, MayRun: t.FirstRunAt, Zone: t.Zone}
+		w.Prior = &inflight.PriorAttempts{Attempts: t.Attempts, MayHaveRunAt: t.FirstRunAt, Zone: t.Zone}
 	}
 	return w, nil
 }
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -14,12 +14,12 @@
 	d := m.dispatcher
 	return site.New(site.Options{
 		Self:           m.self,
-		StateDir:       d.State,
-		DiskMB:         diskMB(d.Told),
-		Exchange:       d.Exchange,
-		Decider:        d.Decider,
+		StateDir:       d.StateDir,
+		DiskMB:         diskMB(d.Configuration),
+		Exchange:       d.Inbox,
+		Decider:        d.Loop,
 		Messenger:      m.client,
-		IsAccepting:    d.Life.TakesOn,
+		IsAccepting:    d.Lifecycle.AcceptsWebhooks,
 		NotifyHandoff:  m.wake,
 		EventType:      m.eventType,
 		IsRangeOwner:   m.isOwnerOf,
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -36,9 +36,9 @@
 
 type open struct{ s *Sites }
 
-func (o open) Calls(d api.DestinationID, _ bool) bool { may, _ := o.s.MayCall(d); return may }
-func (open) Doubts(inflight.RequestID) bool           { return false }
-func (o open) Part(api.DestinationID) float64         { return 1 }
+func (o open) MayCall(d api.DestinationID, _ bool) bool { may, _ := o.s.MayCall(d); return may }
+func (open) IsInDoubt(inflight.RequestID) bool          { return false }
+func (o open) RateShare(api.DestinationID) float64      { return 1 }
 
 // BenchmarkAnnouncement is one for 10,000 subscribers at 40 sites, at the member that owns them all: from
 // when it is handed in until each has its end in the journal. calls and bytes go over its connections,
@@ -79,7 +79,7 @@
 	f.Lists = []config.List{{ID: "all", Subscribers: all}}
 	kept, err := wal.Open(b.TempDir(), 200)
 	require.NoError(b, err)
-	x, life := inflight.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	evt := api.EventType{LatencyTarget: 5 * api.Second, TTL: 600 * api.Second}
 	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
@@ -90,12 +90,12 @@
 		IsRangeOwner: func(api.DestinationID) bool { return true }, IsSiteOwner: func(cluster.SiteID) bool { return true },
 		IsOwnerUnknown: func(cluster.SiteID) bool { return false }, BufferCapacity: func() int { return 2 * len(all) }}, f)
 	sites.Install()
-	d.Join(open{sites})
+	d.JoinCluster(open{sites})
 	server := transport.NewServer(256, 5*time.Second)
 	sites.RegisterHandlers(server)
 	go server.Serve(hear)
-	calls := upstream.New(&x.Counters, d.Came, api.Second, api.Second, 400)
-	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.Heard),
+	calls := upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 400)
+	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	require.NoError(b, sites.Start(holder{}))
@@ -105,18 +105,18 @@
 		list = append(list, api.EndpointEntry{Endpoint: api.EndpointID(dest), Destination: dest, Rate: 50})
 		to = append(to, addrs[0])
 	}
-	d.Listed(list, to, true)
-	b.Cleanup(func() { life.Enter(lifecycle.Ended); server.Close(time.Second) })
+	d.UpdateEndpoints(list, to, true)
+	b.Cleanup(func() { life.Enter(lifecycle.Stopped); server.Close(time.Second) })
 	time.Sleep(time.Second) // streams are open
 	callsWere, bytesWere := tally(b, addrs[0])
 	was, n := cpu(), 0
 	for b.Loop() {
 		n++
 		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: body(),
-			TTL: inflight.Now() + evt.TTL, CameAt: inflight.Now()}
+			Deadline: inflight.Now() + evt.TTL, ReceivedAt: inflight.Now()}
 		w.List = "all"
 		what, _ := sites.away(w, nil)
-		require.Equal(b, inflight.Taken, what)
+		require.Equal(b, inflight.Accepted, what)
 		for !d.Empty() {
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -37,7 +37,7 @@
 	if err := l.of.marks.put(all); err != nil { // first: a mark too many is settled by the relay's word
 		return err
 	}
-	if !l.of.decider.Sends(given, at) {
+	if !l.of.decider.HandToRelay(given, at) {
 		// Guards what was sent before and may be at the relay: without its mark nobody would ask for it, and it
 		// would hold up what comes behind it of its key until its time is up.
 		l.of.marks.drop(fresh...)
@@ -61,14 +61,14 @@
 
 // frees takes deliveries back. never: the relay never had them.
 func (l *lane) frees(all []stream.Delivery, never bool) {
-	back := map[inflight.RequestID]eventloop.Back{}
+	back := map[inflight.RequestID]eventloop.TakenBack{}
 	for _, d := range all {
 		if g := l.get(d); g != nil {
 			m, _ := l.of.marks.get(g.id)
-			back[g.id] = eventloop.Back{Never: never, Ran: m.Ran}
+			back[g.id] = eventloop.TakenBack{NeverReceived: never, MayHaveRun: m.Ran}
 		}
 	}
-	l.of.decider.Frees(back)
+	l.of.decider.TakeBack(back)
 	for id := range back {
 		l.of.marks.drop(id)
 	}
@@ -126,7 +126,7 @@
 		}
 	}
 	var goes []stream.Delivery
-	var ends []inflight.End
+	var ends []inflight.Result
 	for i, s := range of {
 		switch g := l.get(s.Delivery); {
 		case courses[i] == stream.ResolveWait:
@@ -135,14 +135,14 @@
 		case courses[i] == stream.ResolveRetry:
 			goes = append(goes, s.Delivery)
 		default:
-			ends = append(ends, inflight.End{RequestID: g.id, How: inflight.EndDeadLettered, MayRun: true})
+			ends = append(ends, inflight.Result{RequestID: g.id, Status: inflight.StatusDeadLettered, MayHaveRun: true})
 		}
 		forget = append(forget, s.Delivery)
 	}
 	if len(goes) > 0 {
 		l.frees(goes, false)
 	}
-	if len(ends) > 0 && l.of.decider.Over(ends) {
+	if len(ends) > 0 && l.of.decider.FinishByRelay(ends) {
 		l.drop(ends)
 	}
 	if len(forget) > 0 {
@@ -155,7 +155,7 @@
 }
 
 // ends guards against one put into the stream again by a list from before it ended.
-func (l *lane) ends(all []inflight.End) {
+func (l *lane) ends(all []inflight.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range all {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (l *lane) drop(ends []inflight.End) {
+func (l *lane) drop(ends []inflight.Result) {
 	for _, e := range ends {
 		l.of.marks.drop(e.RequestID)
 	}
@@ -175,7 +175,7 @@
 // process.
 func (l *lane) RecordResults(ends []stream.Result) (heard []stream.Delivery) {
 	var byName map[stream.Delivery]inflight.RequestID
-	var all []inflight.End
+	var all []inflight.Result
 	for _, e := range ends {
 		heard = append(heard, e.Delivery)
 		var id inflight.RequestID
@@ -190,13 +190,13 @@
 		if id == "" {
 			continue // it has ended
 		}
-		end := inflight.End{RequestID: id, How: inflight.How(e.Outcome), RetryIn: e.RetryAfter}
-		if m, sent := l.of.marks.get(id); sent && m.Ran && end.How == inflight.EndRejected {
-			end.How = inflight.EndDeadLettered // it never ran there, but may have run before
+		end := inflight.Result{RequestID: id, Status: inflight.Status(e.Outcome), RetryAfter: e.RetryAfter}
+		if m, sent := l.of.marks.get(id); sent && m.Ran && end.Status == inflight.StatusRejected {
+			end.Status = inflight.StatusDeadLettered // it never ran there, but may have run before
 		}
 		all = append(all, end)
 	}
-	if len(all) > 0 && !l.of.decider.Over(all) {
+	if len(all) > 0 && !l.of.decider.FinishByRelay(all) {
 		return nil
 	}
 	l.drop(all)
@@ -213,7 +213,7 @@
 		want[e.Delivery] = true
 	}
 	all := map[stream.Delivery]inflight.RequestID{}
-	for _, id := range l.of.decider.Held() {
+	for _, id := range l.of.decider.PendingIDs() {
 		of, _, _ := id.Subscriber()
 		name := l.nameOf(string(of))
 		for d := range want {
@@ -232,13 +232,13 @@
 	if !l.direct.Load() {
 		return nil
 	}
-	all, _ := l.of.decider.Learned(func(d api.DestinationID) bool { return l.of.lane(d) == l })
+	all, _ := l.of.decider.ExportState(func(d api.DestinationID) bool { return l.of.lane(d) == l })
 	return all
 }
 
 // ApplyLearned is for the time when the relay is gone.
 func (l *lane) ApplyLearned(all []api.DestinationState) {
 	if !l.direct.Load() { // else what is known here is newer
-		l.of.decider.Teach(all)
+		l.of.decider.ImportState(all)
 	}
 }
--- a/cluster/site/desk.go
+++ b/cluster/site/desk.go
@@ -40,7 +40,7 @@
 	relay *relay.Receiver
 
 	mu     sync.Mutex
-	kept   *wal.Journal
+	kept   *wal.Log
 	last   api.WebhookID
 	marked api.WebhookID // the mark's record
 	of     map[stream.Delivery]api.WebhookID
@@ -54,8 +54,8 @@
 
 // dispatcher is the relay's own.
 type dispatcher struct {
-	decider *eventloop.Decider
-	x       *inflight.Exchange
+	decider *eventloop.Loop
+	x       *inflight.Inbox
 	room    func() int  // deliveries that may be held at once
 	takes   func() bool // this member takes webhooks on
 }
@@ -77,7 +77,7 @@
 	last, all := map[stream.Delivery]*record{}, []stream.Delivery{}
 	for _, e := range kept.Entries() {
 		var r record
-		if err := transport.Decode(e.Taken, &r); err != nil {
+		if err := transport.Decode(e.Payload, &r); err != nil {
 			return nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
 		}
 		k.last = max(k.last, e.ID)
@@ -92,7 +92,7 @@
 			last[r.Delivery] = &r
 		}
 		if known { // guards against a second effect: a record stands until the next write after its successor's
-			kept.End(was, nil)
+			kept.Finish(was, nil)
 		}
 	}
 	var held []stream.Delivery
@@ -118,7 +118,7 @@
 		k.marked = k.last
 	}
 	k.relay = relay.NewReceiver(stream.NewReceiver(m, held, owed), k, said, p, inflight.Now)
-	ended, there := of.decider.Relays(ids, k.ends)
+	ended, there := of.decider.NotifyInsteadOfPlatform(ids, k.ends)
 	for id, e := range ended {
 		k.ends(id, e)
 		there[e.RequestID] = true
@@ -158,7 +158,7 @@
 	}
 	if err != nil {
 		for id := began + 1; id <= k.last; id++ {
-			k.kept.Forget(id)
+			k.kept.Undo(id)
 		}
 	}
 	return err
@@ -173,9 +173,9 @@
 	for _, i := range fresh {
 		for _, to := range i.Destinations {
 			w := inflight.Webhook{RequestID: inflight.RequestID(i.RequestIDFor(to)), Token: inflight.Token(i.Token),
-				Event: i.EventType, Tenant: i.Tenant, Key: i.Key, Destination: to, TTL: i.TTL, Body: i.Body}
+				EventType: i.EventType, Tenant: i.Tenant, OrderingKey: i.Key, Destination: to, Deadline: i.TTL, Body: i.Body}
 			all = append(all, &record{Delivery: stream.Delivery{Message: i.ID, Destination: to}, Request: w.RequestID,
-				Whole: w.Bytes(), Attempts: i.Attempts, MayRun: i.FirstAttemptAt, Zone: i.Zone})
+				Whole: w.Encode(), Attempts: i.Attempts, MayRun: i.FirstAttemptAt, Zone: i.Zone})
 		}
 	}
 	k.mu.Lock()
@@ -184,7 +184,7 @@
 	if err := k.write(all); err != nil {
 		return err
 	}
-	k.kept.End(k.marked, nil)
+	k.kept.Finish(k.marked, nil)
 	k.marked = began + 1
 	for n, r := range all[1:] {
 		k.of[r.Delivery] = began + 2 + api.WebhookID(n)
@@ -212,7 +212,7 @@
 	defer k.mu.Unlock()
 	for _, d := range heard {
 		if at, known := k.of[d]; known {
-			k.kept.End(at, nil)
+			k.kept.Finish(at, nil)
 			delete(k.of, d)
 		}
 	}
--- a/cluster/site/desk_test.go
+++ b/cluster/site/desk_test.go
@@ -25,22 +25,22 @@
 // ends but by its time.
 type bed struct {
 	*desk
-	kept *wal.Journal
-	life *lifecycle.Life
+	kept *wal.Log
+	life *lifecycle.Lifecycle
 }
 
 func relayIn(t *testing.T, dir string, ttl api.Micros) *bed {
 	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := inflight.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
 		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
-	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
-		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
+	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
-	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.TakesOn},
+	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.AcceptsWebhooks},
 		transport.NewClient("r", map[cluster.MemberID]string{}), relay.TimingFor(api.Second))
 	require.NoError(t, err)
 	return &bed{k, kept, life}
@@ -48,7 +48,7 @@
 
 // ends stops the member; its folder stays.
 func (b *bed) stop() {
-	b.life.Enter(lifecycle.Ended)
+	b.life.Enter(lifecycle.Stopped)
 	b.desk.close()
 	time.Sleep(20 * time.Millisecond) // its last turn
 	b.kept.Close()
@@ -60,7 +60,7 @@
 	var all []stream.Result
 	for _, e := range b.desk.kept.Entries() {
 		var r record
-		if transport.Decode(e.Taken, &r) == nil && r.End != nil {
+		if transport.Decode(e.Payload, &r) == nil && r.End != nil {
 			all = append(all, *r.End)
 		}
 	}
@@ -99,11 +99,11 @@
 	b.desk.ended = make(chan struct{})
 	b.stop()
 	b = relayIn(t, dir, ttl)
-	require.Eventually(t, func() bool { return len(b.decider.Held()) == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(b.decider.PendingIDs()) == 2 }, 10*time.Second, time.Millisecond)
 	b.stop()
 	b = relayIn(t, dir, ttl)
 	defer b.stop()
-	assert.Len(t, b.decider.Held(), 2)
+	assert.Len(t, b.decider.PendingIDs(), 2)
 	assert.Len(t, b.ids, 2, "once each")
 	assert.True(t, b.holds(4))
 }
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -12,15 +12,15 @@
 
 // owed lists what is parked here by site, in the order taken: all sites in one turn, since each turn looks at
 // all that is held.
-func (s *Sites) owed(of *ways) map[*lane][]eventloop.Owed {
+func (s *Sites) owed(of *ways) map[*lane][]eventloop.Parked {
 	for _, l := range of.lanes {
 		l.lists()
 	}
-	all, _ := s.decider.Owes(func(w *inflight.Webhook) bool {
+	all, _ := s.decider.ParkedWebhooks(func(w *inflight.Webhook) bool {
 		l := s.laneOf(w, of)
 		return l != nil && l.site.Relay != s.self
 	})
-	by := map[*lane][]eventloop.Owed{}
+	by := map[*lane][]eventloop.Parked{}
 	for _, w := range all {
 		if l := s.laneOf(w.Webhook, of); l != nil {
 			by[l] = append(by[l], w)
@@ -41,14 +41,14 @@
 }
 
 // item is a webhook as it goes over.
-func (l *lane) item(w eventloop.Owed) *stream.Item {
+func (l *lane) item(w eventloop.Parked) *stream.Item {
 	of, _, many := w.RequestID.Subscriber()
-	i := &stream.Item{ID: l.nameOf(string(of)), RequestID: string(of), IsAnnouncement: many, EventType: w.Event,
-		Tenant: w.Tenant, Token: string(w.Token), TTL: w.TTL, Attempts: w.Attempts, FirstAttemptAt: w.MayRun,
+	i := &stream.Item{ID: l.nameOf(string(of)), RequestID: string(of), IsAnnouncement: many, EventType: w.EventType,
+		Tenant: w.Tenant, Token: string(w.Token), TTL: w.Deadline, Attempts: w.Attempts, FirstAttemptAt: w.MayHaveRunAt,
 		Zone: w.Zone, Body: w.Body, Destinations: []api.DestinationID{w.Destination}}
-	t := l.of.event(w.Event)
+	t := l.of.event(w.EventType)
 	if t.Ordered {
-		i.Key = w.Key
+		i.Key = w.OrderingKey
 	}
 	if t.Semantics == api.Deduplicated {
 		i.TokenWindow = t.DedupWindow
@@ -56,7 +56,7 @@
 	return i
 }
 
-func (l *lane) adds(i *stream.Item, w eventloop.Owed) {
+func (l *lane) adds(i *stream.Item, w eventloop.Parked) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.delivery(w.RequestID, w.Destination)
@@ -78,7 +78,7 @@
 }
 
 // feed hands the stream what is owed and not in it yet: subscribers of one announcement together.
-func (l *lane) feed(s *relay.Sender, all []eventloop.Owed) {
+func (l *lane) feed(s *relay.Sender, all []eventloop.Parked) {
 	type turn struct {
 		to  api.DestinationID
 		key api.OrderingKey
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -13,11 +13,11 @@
 // over is an end as the decider told it.
 type over struct {
 	id api.WebhookID // in the decider's journal; 0: it was never there
-	inflight.End
+	inflight.Result
 }
 
 // ends is called in the decider's turn, once its journal has the end.
-func (k *desk) ends(id api.WebhookID, e inflight.End) {
+func (k *desk) ends(id api.WebhookID, e inflight.Result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.over = append(k.over, over{id, e})
@@ -26,7 +26,7 @@
 
 // run hands in and tells ends until close.
 func (k *desk) run() {
-	again := time.NewTicker(inflight.Span(inflight.AnswerWithin / 4)) // what could not be written or handed in
+	again := time.NewTicker(inflight.Duration(inflight.AnswerTimeout / 4)) // what could not be written or handed in
 	defer again.Stop()
 	for {
 		select {
@@ -49,24 +49,24 @@
 	var ws []*inflight.Webhook
 	var of []*record
 	for _, r := range all {
-		w, err := inflight.FromBytes(0, r.Whole)
+		w, err := inflight.DecodeWebhook(0, r.Whole)
 		if err != nil {
 			slog.Error("relay: webhook not read", "webhook", r.Request, "why", err)
-			k.ends(0, inflight.End{RequestID: r.Request, How: inflight.EndRejected})
+			k.ends(0, inflight.Result{RequestID: r.Request, Status: inflight.StatusRejected})
 			continue
 		}
-		w.CameAt, w.Ends = inflight.Now(), k.ends
+		w.ReceivedAt, w.OnFinished = inflight.Now(), k.ends
 		if r.Attempts > 0 || r.MayRun != api.Never {
-			w.Past = &inflight.Past{Attempts: r.Attempts, MayRun: r.MayRun, Zone: r.Zone}
+			w.Prior = &inflight.PriorAttempts{Attempts: r.Attempts, MayHaveRunAt: r.MayRun, Zone: r.Zone}
 		}
 		ws, of = append(ws, w), append(of, r)
 	}
-	k.x.HandInAll(ws, func(i int, what inflight.Answer, retryIn api.Micros) {
+	k.x.SubmitAll(ws, func(i int, what inflight.Answer, retryIn api.Micros) {
 		switch {
 		case what == inflight.Rejected && !k.takes(): // told to end: it is handed in by the next life
 		case what == inflight.Rejected:
-			k.ends(0, inflight.End{RequestID: of[i].Request, How: inflight.EndRejected, RetryIn: retryIn})
-		case what == inflight.Doubled: // this member has it by another way, which is settled first
+			k.ends(0, inflight.Result{RequestID: of[i].Request, Status: inflight.StatusRejected, RetryAfter: retryIn})
+		case what == inflight.Duplicate: // this member has it by another way, which is settled first
 			k.mu.Lock()
 			k.fresh = append(k.fresh, of[i])
 			k.mu.Unlock()
@@ -85,7 +85,7 @@
 	for _, e := range all {
 		if r := k.ids[e.RequestID]; r != nil {
 			records = append(records, &record{Delivery: r.Delivery, End: &stream.Result{Delivery: r.Delivery,
-				Outcome: stream.Outcome(e.How), RetryAfter: e.RetryIn, Attempts: e.Attempts, MayHaveRun: e.MayRun}})
+				Outcome: stream.Outcome(e.Status), RetryAfter: e.RetryAfter, Attempts: e.Attempts, MayHaveRun: e.MayHaveRun}})
 		}
 		if e.id != 0 {
 			heard = append(heard, e.id)
@@ -101,7 +101,7 @@
 	}
 	for n, r := range records {
 		if was, known := k.of[r.Delivery]; known {
-			k.kept.End(was, nil)
+			k.kept.Finish(was, nil)
 		}
 		k.of[r.Delivery] = began + 1 + api.WebhookID(n)
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	k.mu.Unlock()
-	k.decider.Heard(heard)
+	k.decider.CallbacksDelivered(heard)
 	for _, r := range records {
 		k.relay.RecordResult(*r.End)
 	}
@@ -132,7 +132,7 @@
 		want[d] = true
 	}
 	k.mu.Unlock()
-	all, _ := k.decider.Learned(func(d api.DestinationID) bool { return want[d] })
+	all, _ := k.decider.ExportState(func(d api.DestinationID) bool { return want[d] })
 	return all
 }
 
@@ -142,5 +142,5 @@
 	k.mu.Lock()
 	all = slices.DeleteFunc(all, func(l api.DestinationState) bool { return k.tos[l.Destination] > 0 })
 	k.mu.Unlock()
-	k.decider.Teach(all)
+	k.decider.ImportState(all)
 }
--- a/cluster/site/lane.go
+++ b/cluster/site/lane.go
@@ -61,7 +61,7 @@
 }
 
 // look does what the grants, the map and the journals ask for now.
-func (l *lane) look(owed []eventloop.Owed) {
+func (l *lane) look(owed []eventloop.Parked) {
 	epoch, held := l.holds()
 	sent := l.of.marks.all(l.site)
 	now := l.stream.Load()
@@ -120,7 +120,7 @@
 func (l *lane) opens(direct bool) {
 	if l.direct.Swap(direct) != direct {
 		slog.Info("site's subscribers are called directly", "site", l.site.ID, "directly", direct)
-		l.of.decider.Regate()
+		l.of.decider.Reevaluate()
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // begin makes the stream by what the journals say: what was sent is asked about first.
-func (l *lane) begin(epoch cluster.Epoch, sent []mark, all []eventloop.Owed) {
+func (l *lane) begin(epoch cluster.Epoch, sent []mark, all []eventloop.Parked) {
 	l.end()
 	l.anew.Store(false)
 	l.epoch = epoch
@@ -170,7 +170,7 @@
 		delete(of, w.RequestID)
 		n++
 	}
-	held := l.of.decider.Held()
+	held := l.of.decider.PendingIDs()
 	for id := range of {
 		if !slices.Contains(held, id) { // ended meanwhile
 			l.of.marks.drop(id)
--- a/cluster/site/lane_test.go
+++ b/cluster/site/lane_test.go
@@ -21,32 +21,32 @@
 // shut is a member that may call for nothing: all is parked.
 type shut struct{ open }
 
-func (shut) Calls(api.DestinationID, bool) bool { return false }
+func (shut) MayCall(api.DestinationID, bool) bool { return false }
 
 // Guards against a webhook that may be at its relay and that nobody asks for any more: it goes out once more
 // in a frame that is not sent, as the frame has what has gone already.
 func TestWhatWasSentStaysMarkedThoughAFrameWithItIsNotSent(t *testing.T) {
 	kept, err := wal.Open(t.TempDir(), 1)
 	require.NoError(t, err)
-	x, life := inflight.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
 		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
-	d.Join(shut{})
-	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
-		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
+	d.JoinCluster(shut{})
+	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
-	t.Cleanup(func() { life.Enter(lifecycle.Ended) })
+	t.Cleanup(func() { life.Enter(lifecycle.Stopped) })
 	marks, err := openMarks(t.TempDir(), 1)
 	require.NoError(t, err)
 	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
 	item := func(id string) stream.Item { return stream.Item{RequestID: id, Destinations: []api.DestinationID{7}} }
 	for _, id := range []inflight.RequestID{"a", "b"} {
 		now := inflight.Now()
-		what, _ := x.HandInHere(&inflight.Webhook{RequestID: id, Destination: 7, TTL: now + 9*api.Second,
-			CameAt: now})
-		require.Equal(t, inflight.Taken, what)
+		what, _ := x.SubmitLocal(&inflight.Webhook{RequestID: id, Destination: 7, Deadline: now + 9*api.Second,
+			ReceivedAt: now})
+		require.Equal(t, inflight.Accepted, what)
 	}
 	require.NoError(t, l.RecordSending([]stream.Item{item("a")}, 1, 100))
 	require.ErrorIs(t, l.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
--- a/cluster/site/marks.go
+++ b/cluster/site/marks.go
@@ -29,7 +29,7 @@
 
 type marks struct {
 	mu   sync.Mutex
-	kept *wal.Journal
+	kept *wal.Log
 	of   map[inflight.RequestID]mark
 	at   map[inflight.RequestID]api.WebhookID // the record of each
 	last api.WebhookID
@@ -44,18 +44,18 @@
 	m := &marks{kept: kept, of: map[inflight.RequestID]mark{}, at: map[inflight.RequestID]api.WebhookID{}}
 	for _, e := range kept.Entries() {
 		var one mark
-		if err := transport.Decode(e.Taken, &one); err != nil {
+		if err := transport.Decode(e.Payload, &one); err != nil {
 			return nil, fmt.Errorf("what was sent to relays: record %d: %w", e.ID, err)
 		}
 		if was, known := m.at[one.ID]; known { // its successor was written, and it was not ended yet
-			kept.End(was, nil)
+			kept.Finish(was, nil)
 		}
 		m.of[one.ID], m.at[one.ID], m.last = one, e.ID, max(m.last, e.ID)
 	}
 	return m, nil
 }
 
-func openJournal(dir string, diskMB float64) (*wal.Journal, error) {
+func openJournal(dir string, diskMB float64) (*wal.Log, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -78,13 +78,13 @@
 	}
 	if err != nil {
 		for id := began + 1; id <= m.last; id++ {
-			m.kept.Forget(id)
+			m.kept.Undo(id)
 		}
 		return err
 	}
 	for i, one := range all {
 		if was, known := m.at[one.ID]; known {
-			m.kept.End(was, nil)
+			m.kept.Finish(was, nil)
 		}
 		m.of[one.ID], m.at[one.ID] = one, began+1+api.WebhookID(i)
 	}
@@ -98,7 +98,7 @@
 	defer m.mu.Unlock()
 	for _, id := range ids {
 		if at, known := m.at[id]; known {
-			m.kept.End(at, nil)
+			m.kept.Finish(at, nil)
 			delete(m.at, id)
 			delete(m.of, id)
 		}
--- a/cluster/site/site.go
+++ b/cluster/site/site.go
@@ -36,8 +36,8 @@
 	Self           cluster.MemberID
 	StateDir       string  // the folder that outlasts the process
 	DiskMB         float64 // for a relay's own journal
-	Exchange       *inflight.Exchange
-	Decider        *eventloop.Decider
+	Exchange       *inflight.Inbox
+	Decider        *eventloop.Loop
 	Messenger      relay.Messenger
 	IsAccepting    func() bool // webhooks, from whomever
 	NotifyHandoff  func()      // something is to be handed on; does not wait
@@ -56,7 +56,7 @@
 	p       Options
 	pace    relay.Timing
 	apart   float64
-	decider *eventloop.Decider
+	decider *eventloop.Loop
 	said    relay.Messenger
 	session Session
 	event   func(api.EventTypeID) api.EventType
@@ -119,9 +119,9 @@
 
 // Install joins the exchange; before clients are let in.
 func (s *Sites) Install() {
-	s.next = s.p.Exchange.Away
-	s.p.Exchange.Away = s.away
-	s.p.Exchange.Listed = func(name string) bool { return s.plan.Load().lists[name] != nil }
+	s.next = s.p.Exchange.Forward
+	s.p.Exchange.Forward = s.away
+	s.p.Exchange.HasList = func(name string) bool { return s.plan.Load().lists[name] != nil }
 }
 
 // Start starts what goes on by itself. Guards against a second effect: what was given to a relay before is
@@ -135,7 +135,7 @@
 	for id := range s.marks.of {
 		sent = append(sent, id)
 	}
-	s.decider.GivenAway(sent)
+	s.decider.RestoreAtRelay(sent)
 	if err := s.serveRelay(); err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 		return err
 	}
 	s.desk.Store(k)
-	s.decider.Regate()
+	s.decider.Reevaluate()
 	slog.Info("serves as relay", "member", s.self, "room", k.Capacity())
 	return nil
 }
@@ -177,7 +177,7 @@
 	if err := s.serveRelay(); err != nil {
 		slog.Error("does not serve as relay", "why", err)
 	}
-	s.decider.Regate()
+	s.decider.Reevaluate()
 }
 
 func (s *Sites) run() {
@@ -191,7 +191,7 @@
 		}
 		s.mu.Lock()
 		now := s.plan.Load()
-		var owed map[*lane][]eventloop.Owed
+		var owed map[*lane][]eventloop.Parked
 		if slices.ContainsFunc(now.lanes, (*lane).sends) {
 			owed = s.owed(now)
 		}
--- a/cluster/site/ways.go
+++ b/cluster/site/ways.go
@@ -118,13 +118,13 @@
 		one.RequestID, one.Destination, one.List = inflight.ForSubscriber(w.RequestID, to), to, ""
 		all = append(all, &one)
 	}
-	if what = s.decider.Announce(all); what == inflight.Taken {
+	if what = s.decider.SubmitBroadcast(all); what == inflight.Accepted {
 		s.Announcements.Add(1)
 		s.p.NotifyHandoff()
 		return what, 0
 	}
 	if what == inflight.Rejected {
-		retryIn = inflight.AnswerWithin
+		retryIn = inflight.AnswerTimeout
 	}
 	return what, retryIn
 }
--- a/webhook/dispatcher/callback/notices.go
+++ b/webhook/dispatcher/callback/notices.go
@@ -19,8 +19,8 @@
 	mostOnce = 256                    // notices in one call
 )
 
-// Notices holds what is not yet heard.
-type Notices struct {
+// Sender holds what is not yet heard.
+type Sender struct {
 	counts *inflight.Counters
 	heard  func([]api.WebhookID)
 	mu     sync.Mutex
@@ -32,8 +32,8 @@
 }
 
 // New makes the sender; heard is told which notices were answered.
-func New(addr string, counts *inflight.Counters, heard func([]api.WebhookID)) *Notices {
-	return &Notices{counts: counts, heard: heard, most: mostOnce, bell: make(chan struct{}, 1),
+func New(addr string, counts *inflight.Counters, heard func([]api.WebhookID)) *Sender {
+	return &Sender{counts: counts, heard: heard, most: mostOnce, bell: make(chan struct{}, 1),
 		client: client(addr)}
 }
 
@@ -42,21 +42,21 @@
 	return &fasthttp.HostClient{Addr: addr, MaxConns: 1, ReadTimeout: within, WriteTimeout: within}
 }
 
-// Move sends from now on to the platform at another address.
-func (n *Notices) Move(addr string) {
+// SetAddress sends from now on to the platform at another address.
+func (n *Sender) SetAddress(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.client.CloseIdleConnections()
 	n.client = client(addr)
 }
 
-// GivenUp is the notice of a dead-lettered webhook.
-func GivenUp(requestID inflight.RequestID) []byte {
+// DeadLettered is the notice of a dead-lettered webhook.
+func DeadLettered(requestID inflight.RequestID) []byte {
 	return []byte(`{"message":` + strconv.Quote(string(requestID)) + `,"outcome":"given_up"}` + "\n")
 }
 
-// HandedBack is the notice of a rejected webhook, with the time after which to come again, if any.
-func HandedBack(requestID inflight.RequestID, retryIn api.Micros) []byte {
+// Rejected is the notice of a rejected webhook, with the time after which to come again, if any.
+func Rejected(requestID inflight.RequestID, retryIn api.Micros) []byte {
 	line := `{"message":` + strconv.Quote(string(requestID)) + `,"outcome":"handed_back"`
 	if retryIn > 0 {
 		line += `,"retry_in_ms":` + strconv.FormatInt(int64((retryIn+999)/1000), 10)
@@ -64,8 +64,8 @@
 	return []byte(line + "}\n")
 }
 
-// Owe puts a notice in.
-func (n *Notices) Owe(id api.WebhookID, line []byte) {
+// Enqueue puts a notice in.
+func (n *Sender) Enqueue(id api.WebhookID, line []byte) {
 	n.mu.Lock()
 	n.ids, n.lines = append(n.ids, id), append(n.lines, line)
 	n.mu.Unlock()
@@ -76,7 +76,7 @@
 }
 
 // Run sends until the process ends.
-func (n *Notices) Run() {
+func (n *Sender) Run() {
 	for range n.bell {
 		for n.once() {
 		}
@@ -84,7 +84,7 @@
 }
 
 // once sends what waits, and tells whether more does.
-func (n *Notices) once() bool {
+func (n *Sender) once() bool {
 	n.mu.Lock()
 	count := min(len(n.ids), n.most)
 	ids, lines, platform := n.ids[:count], n.lines[:count], n.client
--- a/webhook/dispatcher/discovery/registry.go
+++ b/webhook/dispatcher/discovery/registry.go
@@ -24,20 +24,20 @@
 // Listed is told a list, with the address of each of its entries; whole: what is not in it is gone.
 type Listed func(entries []api.EndpointEntry, addrs []string, whole bool)
 
-// Asks decides when each ask begins and what it may take, is told of each sign of life of a watch, and says
+// Scheduler decides when each ask begins and what it may take, is told of each sign of life of a watch, and says
 // for how long the first one is waited for, in µs.
-type Asks interface {
+type Scheduler interface {
 	Next(why refresh.Reason, pushed bool) refresh.Request
 	RecordActivity()
 	StartupDelay(pushed bool) api.Micros
 }
 
-// Registry is one dispatcher's watch.
-type Registry struct {
+// Client is one dispatcher's watch.
+type Client struct {
 	listed     Listed
 	broken     func()
 	begun      func()
-	asks       Asks
+	asks       Scheduler
 	most       int // bytes of one object
 	generation int64
 	ids        map[string]*named
@@ -59,15 +59,15 @@
 // New makes a watch of the registry at an address; an object has most bytes. broken is called for each that
 // can't be read; begun once, when the first ask has its answer, has failed, or was waited for long enough. A
 // gone endpoint's name is kept for as long as anything of it may still be out or waited for.
-func New(addr string, names config.Catalog, asks Asks, most int, keepFor api.Micros, listed Listed,
-	broken, begun func()) *Registry {
-	return &Registry{addr: addr, names: names, asks: asks, most: most, listed: listed, broken: broken,
-		begun: sync.OnceFunc(begun), keepFor: inflight.Span(keepFor), ids: map[string]*named{},
+func New(addr string, names config.Catalog, asks Scheduler, most int, keepFor api.Micros, listed Listed,
+	broken, begun func()) *Client {
+	return &Client{addr: addr, names: names, asks: asks, most: most, listed: listed, broken: broken,
+		begun: sync.OnceFunc(begun), keepFor: inflight.Duration(keepFor), ids: map[string]*named{},
 		moved: make(chan struct{})}
 }
 
-// Move ends the watch, also one that still connects; the next one is at another address.
-func (r *Registry) Move(addr string) {
+// SetAddress ends the watch, also one that still connects; the next one is at another address.
+func (r *Client) SetAddress(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if addr != r.addr {
@@ -77,29 +77,29 @@
 	}
 }
 
-// Renew has lists that come from now on read by other names; kinds and zones are as the last entries said.
-func (r *Registry) Renew(names config.Catalog, keepFor api.Micros) {
+// UpdateSettings has lists that come from now on read by other names; kinds and zones are as the last entries said.
+func (r *Client) UpdateSettings(names config.Catalog, keepFor api.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.names, r.keepFor = names, inflight.Span(keepFor)
+	r.names, r.keepFor = names, inflight.Duration(keepFor)
 }
 
 // by tells what lists are read by now.
-func (r *Registry) by() (config.Catalog, time.Duration) {
+func (r *Client) by() (config.Catalog, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.names, r.keepFor
 }
 
 // place tells where the registry is, and what is closed when that is over.
-func (r *Registry) place() (addr string, moved <-chan struct{}) {
+func (r *Client) place() (addr string, moved <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addr, r.moved
 }
 
-// Take reads one list object and tells what stands in it.
-func (r *Registry) Take(object gjson.Result) error {
+// LoadStored reads one list object and tells what stands in it.
+func (r *Client) LoadStored(object gjson.Result) error {
 	generation, list := object.Get("generation"), object.Get("instances")
 	if generation.Type != gjson.Number || !list.IsArray() {
 		return fmt.Errorf("a list without generation or instances: %.80s", object.Raw)
@@ -144,7 +144,7 @@
 
 // forget notes which endpoints are gone and drops the names of those long gone: with endpoints replaced
 // all day long they would pile up.
-func (r *Registry) forget(here map[string]bool, whole bool) {
+func (r *Client) forget(here map[string]bool, whole bool) {
 	now := time.Now()
 	_, keepFor := r.by()
 	for id, n := range r.ids {
--- a/webhook/dispatcher/discovery/registry_test.go
+++ b/webhook/dispatcher/discovery/registry_test.go
@@ -62,7 +62,7 @@
 
 // follower follows and keeps which lists it heard.
 type follower struct {
-	*Registry
+	*Client
 	mu     sync.Mutex
 	lists  []int
 	broken atomic.Int64
@@ -72,7 +72,7 @@
 // follow starts one whose lists are pushed.
 func follow(addr string, period api.Micros) *follower {
 	f := &follower{}
-	f.Registry = New(addr, config.Catalog{PushedLists: true}, refresh.New(1, period), 1000, api.Second,
+	f.Client = New(addr, config.Catalog{PushedLists: true}, refresh.New(1, period), 1000, api.Second,
 		func(entries []api.EndpointEntry, _ []string, _ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 			defer f.mu.Unlock()
 			f.begun = append(f.begun, append([]int{}, f.lists...))
 		})
-	go f.Follow()
+	go f.Run()
 	return f
 }
 
@@ -127,8 +127,8 @@
 	})
 	r := New("127.0.0.1:1", config.Catalog{}, waits, 1000, api.Second,
 		func([]api.EndpointEntry, []string, bool) {}, func() {}, func() {})
-	r.Move(d.addr)
-	go r.Follow()
+	r.SetAddress(d.addr)
+	go r.Run()
 	require.Eventually(t, func() bool { return asks.Load() >= 5 }, 10*time.Second, time.Millisecond)
 	assert.Zero(t, hasty.Load())
 }
--- a/webhook/dispatcher/discovery/watch.go
+++ b/webhook/dispatcher/discovery/watch.go
@@ -20,11 +20,11 @@
 	"rowanlink/webhook/refresh"
 )
 
-// Follow watches until the process ends. A watch lasts until its connection ends, it says nothing for longer
+// Run watches until the process ends. A watch lasts until its connection ends, it says nothing for longer
 // than it may, or the address is another one; when the next one begins is decided elsewhere.
-func (r *Registry) Follow() {
+func (r *Client) Run() {
 	names, _ := r.by()
-	time.AfterFunc(inflight.Span(r.asks.StartupDelay(names.PushedLists)), r.begun)
+	time.AfterFunc(inflight.Duration(r.asks.StartupDelay(names.PushedLists)), r.begun)
 	for why := refresh.Started; ; {
 		addr, moved := r.place()
 		names, _ := r.by()
@@ -33,7 +33,7 @@
 		case <-moved: // it was the old address that failed
 			why = refresh.AddressChanged
 			continue
-		case <-time.After(inflight.Span(ask.Delay)):
+		case <-time.After(inflight.Duration(ask.Delay)):
 		}
 		ctx, end := context.WithCancel(context.Background())
 		go func() {
@@ -68,9 +68,9 @@
 	return refresh.Closed
 }
 
-func (r *Registry) watch(ctx context.Context, addr string, ask refresh.Request) error {
-	until := time.Now().Add(inflight.Span(ask.ResponseTimeout))
-	c, err := (&net.Dialer{Timeout: inflight.Span(ask.ConnectTimeout)}).DialContext(ctx, "tcp", addr)
+func (r *Client) watch(ctx context.Context, addr string, ask refresh.Request) error {
+	until := time.Now().Add(inflight.Duration(ask.ResponseTimeout))
+	c, err := (&net.Dialer{Timeout: inflight.Duration(ask.ConnectTimeout)}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetHost(addr)
 	req.SetRequestURI("/registry/instances?follow=1&since=" + strconv.FormatInt(r.generation, 10))
-	live := &alive{Conn: c, until: until, silence: inflight.Span(ask.IdleTimeout)}
+	live := &alive{Conn: c, until: until, silence: inflight.Duration(ask.IdleTimeout)}
 	in, out := bufio.NewReader(live), bufio.NewWriter(c)
 	if err := req.Write(out); err != nil {
 		return err
@@ -101,7 +101,7 @@
 
 // read takes object after object, however they are laid out, until one can't be read or the stream ends. A
 // change may be missed with it: the next watch starts from the last one that was read.
-func (r *Registry) read(ctx context.Context, body io.Reader) error {
+func (r *Client) read(ctx context.Context, body io.Reader) error {
 	for {
 		in := &one{in: body, most: r.most, blank: r.heard}
 		// One for each object: it keeps room for the largest it has read.
@@ -117,7 +117,7 @@
 			body = io.MultiReader(bytes.NewReader(rest), body)
 		}
 		if err == nil {
-			err = r.Take(list.Result)
+			err = r.LoadStored(list.Result)
 		}
 		if err != nil {
 			r.broken()
@@ -129,7 +129,7 @@
 }
 
 // heard notes a sign of life.
-func (r *Registry) heard() {
+func (r *Client) heard() {
 	r.asks.RecordActivity()
 	r.begun()
 }
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -42,30 +42,30 @@
 
 // Dispatcher is one, wired, as what stands beside it sees it.
 type Dispatcher struct {
-	Told     gjson.Result // the configuration
-	State    string       // the folder that outlasts the process
-	Facts    api.Settings
-	Names    config.Catalog
-	Life     *lifecycle.Life
-	Exchange *inflight.Exchange
-	Decider  *eventloop.Decider
-	Calls    *upstream.Endpoints
-	Clients  *serverpkg.Clients
+	Configuration gjson.Result // the configuration
+	StateDir      string       // the folder that outlasts the process
+	Settings      api.Settings
+	Catalog       config.Catalog
+	Lifecycle     *lifecycle.Lifecycle
+	Inbox         *inflight.Inbox
+	Loop          *eventloop.Loop
+	Upstream      *upstream.Client
+	Server        *serverpkg.Server
 }
 
-// Beside is what a fleet adds to a dispatcher in the same process. It is called in this order, Renew any
+// Extension is what a fleet adds to a dispatcher in the same process. It is called in this order, Renew any
 // number of times, each time after the dispatcher itself took its configuration anew.
-type Beside interface {
+type Extension interface {
 	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
-	Serve()                  // all runs, but clients are not let in yet
-	Renew(api.Settings)
-	Leave() // told to end: before the dispatcher leaves; may take as long as it needs a turn to leave
-	End()   // nothing runs any more
-	Print(io.Writer)
+	Start()                  // all runs, but clients are not let in yet
+	UpdateSettings(api.Settings)
+	Drain() // told to end: before the dispatcher leaves; may take as long as it needs a turn to leave
+	Stop()  // nothing runs any more
+	WriteMetrics(io.Writer)
 }
 
 // Run is one dispatcher's life; beside may be nil.
-func Run(beside Beside) error {
+func Run(beside Extension) error {
 	if os.Getenv("ROWANLINK_LOG") == "debug" { // each webhook's course
 		slog.SetLogLoggerLevel(slog.LevelDebug)
 		log.SetFlags(log.LstdFlags | log.Lmicroseconds)
@@ -84,7 +84,7 @@
 	debug.SetMemoryLimit(int64(heapPart * memory))
 	sockets := t.limit("sockets", 1024)
 
-	life, x := &lifecycle.Life{}, inflight.New()
+	life, x := &lifecycle.Lifecycle{}, inflight.New()
 	life.Enter(lifecycle.Starting)
 	// First: guards the folder against a second start beside a dispatcher that runs, which ends here.
 	on, err := net.Listen("tcp", told.Get("listen").String())
@@ -97,20 +97,20 @@
 		return err
 	}
 	d := eventloop.New(x, life, kept, t.facts)
-	d.Types(t.names.EventTypes)
-	calls := upstream.New(&x.Counters, d.Came, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
+	d.SetEventTypes(t.names.EventTypes)
+	calls := upstream.New(&x.Counters, d.CallFinished, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
 	server := serverpkg.New(x, life, t.facts, t.names, int(clientPart*sockets), int(idlePart*sockets))
 	if beside != nil {
 		if err := beside.Begin(&Dispatcher{told, state, t.facts, t.names, life, x, d, calls, server}); err != nil {
 			return err
 		}
 	}
-	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.Heard)
+	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.CallbacksDelivered)
 	held := &refresh.StartupGate{}
 	list := discovery.New(told.Get("discovery").String(), t.names,
 		refresh.New(t.facts.Seed, api.Micros(discovery.LinePeriod.Microseconds())), int(listPart*memory),
-		t.keepNames(), d.Listed, func() { x.ListsBroken.Add(1) }, func() { x.Tell(held.Open) })
-	if err := list.Take(told.Get("known")); err != nil {
+		t.keepNames(), d.UpdateEndpoints, func() { x.ListsBroken.Add(1) }, func() { x.Post(held.Open) })
+	if err := list.LoadStored(told.Get("known")); err != nil {
 		slog.Warn("no known list", "why", err)
 	}
 	d.Begin(calls, finals, func(f api.Settings, h api.Host) api.Policy {
@@ -121,20 +121,20 @@
 	decided, served := make(chan struct{}), make(chan error, 1)
 	go func() { d.Run(); close(decided) }()
 	go finals.Run()
-	go list.Follow()
+	go list.Run()
 	if beside != nil {
-		beside.Serve()
+		beside.Start()
 	}
 	go func() { served <- server.Serve(on) }()
 	go reload(hangups, os.Getenv("LB_CONFIG"), t, func(t terms) {
 		// First, so that it knows what webhooks and lists may name next.
-		d.Renew(t.facts, t.names.EventTypes, t.idleLimit)
+		d.UpdateSettings(t.facts, t.names.EventTypes, t.idleLimit)
 		server.Renew(t.facts, t.names)
-		list.Renew(t.names, t.keepNames())
-		list.Move(t.told.Get("discovery").String())
-		finals.Move(t.told.Get("discovery").String())
+		list.UpdateSettings(t.names, t.keepNames())
+		list.SetAddress(t.told.Get("discovery").String())
+		finals.SetAddress(t.told.Get("discovery").String())
 		if beside != nil {
-			beside.Renew(t.facts)
+			beside.UpdateSettings(t.facts)
 		}
 	})
 
@@ -146,17 +146,17 @@
 		return fmt.Errorf("the clients' server ended: %w", err)
 	}
 	if beside != nil {
-		beside.Leave()
+		beside.Drain()
 	}
-	life.Leave(d.Empty, calls.Out, server.Gone)
+	life.Shutdown(d.Empty, calls.Out, server.Gone)
 	if err := server.Close(time.Second / 5); err != nil {
 		slog.Warn("some connections of clients were still open", "why", err)
 	}
-	life.Enter(lifecycle.Ended)
+	life.Enter(lifecycle.Stopped)
 	<-decided
 	calls.End()
 	if beside != nil {
-		beside.End()
+		beside.Stop()
 	}
 	x.Counters.Log()
 	return kept.Close()
--- a/webhook/dispatcher/eventloop/announced.go
+++ b/webhook/dispatcher/eventloop/announced.go
@@ -8,29 +8,29 @@
 )
 
 // inTurn has something done in the next turn and waits for it.
-func (d *Decider) inTurn(do func()) {
+func (d *Loop) inTurn(do func()) {
 	done := make(chan struct{})
-	d.x.Tell(func() {
+	d.x.Post(func() {
 		defer close(done)
 		do()
 	})
 	d.awaits(done)
 }
 
-// Announce takes all webhooks of an announcement on or none, in one write.
-func (d *Decider) Announce(all []*inflight.Webhook) (what inflight.Answer) {
+// SubmitBroadcast takes all webhooks of an announcement on or none, in one write.
+func (d *Loop) SubmitBroadcast(all []*inflight.Webhook) (what inflight.Answer) {
 	d.inTurn(func() { what = d.announce(all) })
 	return what
 }
 
-func (d *Decider) announce(all []*inflight.Webhook) inflight.Answer {
-	if !d.life.TakesOn() || len(all) == 0 || d.now-all[0].CameAt > inflight.AnswerWithin ||
+func (d *Loop) announce(all []*inflight.Webhook) inflight.Answer {
+	if !d.life.AcceptsWebhooks() || len(all) == 0 || d.now-all[0].ReceivedAt > inflight.AnswerTimeout ||
 		len(d.held)+len(all) > d.facts.BufferSize {
 		return inflight.Rejected
 	}
 	for _, w := range all {
 		if _, held := d.ids[w.RequestID]; held {
-			return inflight.Doubled
+			return inflight.Duplicate
 		}
 	}
 	n := 0
@@ -47,7 +47,7 @@
 		slog.Error("announcement not written", "webhooks", len(all), "err", err)
 		d.x.JournalErrors.Add(1)
 		for _, w := range all[:n] {
-			d.journal.Forget(w.ID)
+			d.journal.Undo(w.ID)
 		}
 		return inflight.Rejected
 	}
@@ -57,24 +57,24 @@
 	for _, w := range all {
 		d.begins(w, 0, api.Never, 0)
 	}
-	return inflight.Taken
+	return inflight.Accepted
 }
 
-// Relays has somebody told of the ends of webhooks of an earlier life, in place of the platform. It tells
+// NotifyInsteadOfPlatform has somebody told of the ends of webhooks of an earlier life, in place of the platform. It tells
 // what those have ended with by now, and of the others which are held.
-func (d *Decider) Relays(ids []inflight.RequestID, ends func(api.WebhookID,
-	inflight.End)) (over map[api.WebhookID]inflight.End, held map[inflight.RequestID]bool) {
+func (d *Loop) NotifyInsteadOfPlatform(ids []inflight.RequestID, ends func(api.WebhookID,
+	inflight.Result)) (over map[api.WebhookID]inflight.Result, held map[inflight.RequestID]bool) {
 	want := setOf(ids)
-	over, held = map[api.WebhookID]inflight.End{}, map[inflight.RequestID]bool{}
+	over, held = map[api.WebhookID]inflight.Result{}, map[inflight.RequestID]bool{}
 	d.inTurn(func() {
 		for id, w := range byID(d, want) {
-			w.Ends, held[id] = ends, true
+			w.OnFinished, held[id] = ends, true
 		}
 		for id, e := range d.told {
 			if want[id] {
-				over[e.id] = e.End
+				over[e.id] = e.Result
 			} else { // its owner has heard it
-				d.journal.Told(e.id)
+				d.journal.CallbackDelivered(e.id)
 			}
 		}
 		d.told = nil
--- a/webhook/dispatcher/eventloop/announced_test.go
+++ b/webhook/dispatcher/eventloop/announced_test.go
@@ -29,7 +29,7 @@
 func announcement(n int) (all []*inflight.Webhook) {
 	for to := range api.DestinationID(n) {
 		all = append(all, &inflight.Webhook{RequestID: inflight.ForSubscriber("a", to), Destination: to,
-			Body: make([]byte, 1000), TTL: inflight.Now() + 9*api.Second, CameAt: inflight.Now()})
+			Body: make([]byte, 1000), Deadline: inflight.Now() + 9*api.Second, ReceivedAt: inflight.Now()})
 	}
 	return all
 }
@@ -37,12 +37,12 @@
 func TestAnAnnouncementIsTakenOnAsAWholeOrNotAtAll(t *testing.T) {
 	s := stands(t, t.TempDir(), api.Second)
 	var what inflight.Answer
-	s.whole(func() { what = s.Announce(announcement(10)) })
+	s.whole(func() { what = s.SubmitBroadcast(announcement(10)) })
 	assert.Equal(t, inflight.Rejected, what, "ten where nine are held")
 	assert.Empty(t, s.owes())
-	s.whole(func() { what = s.Announce(announcement(9)) })
-	assert.Equal(t, inflight.Taken, what)
-	s.whole(func() { what = s.Announce(announcement(1)) })
+	s.whole(func() { what = s.SubmitBroadcast(announcement(9)) })
+	assert.Equal(t, inflight.Accepted, what)
+	s.whole(func() { what = s.SubmitBroadcast(announcement(1)) })
 	assert.Equal(t, inflight.Rejected, what, "nothing is held beyond the buffer")
 	assert.Len(t, s.owes(), 9)
 }
@@ -50,27 +50,27 @@
 func TestWhatIsGivenAwayIsCalledByNobodyHereUntilItIsBack(t *testing.T) {
 	dir := t.TempDir()
 	s := stands(t, dir, 9*api.Second)
-	require.Equal(t, inflight.Taken, s.hand(inflight.Webhook{RequestID: "w", Destination: 3,
-		TTL: inflight.Now() + 9*api.Second, CameAt: inflight.Now()}))
+	require.Equal(t, inflight.Accepted, s.hand(inflight.Webhook{RequestID: "w", Destination: 3,
+		Deadline: inflight.Now() + 9*api.Second, ReceivedAt: inflight.Now()}))
 	ok := false
-	s.whole(func() { ok = s.Sends(map[inflight.RequestID]int{"w": 1}, 7) })
+	s.whole(func() { ok = s.HandToRelay(map[inflight.RequestID]int{"w": 1}, 7) })
 	assert.False(t, ok, "it was called for here meanwhile, as far as the one who sends knows")
-	s.whole(func() { ok = s.Sends(map[inflight.RequestID]int{"w": 0}, 7) })
+	s.whole(func() { ok = s.HandToRelay(map[inflight.RequestID]int{"w": 0}, 7) })
 	require.True(t, ok)
 	s.all.home = true
-	s.whole(s.Decider.regateNow)
+	s.whole(s.Loop.regateNow)
 	require.Len(t, s.owes(), 1, "it stays parked though it may be called from here")
-	assert.EqualValues(t, 7, s.owes()[0].MayRun, "in the journal before it is sent")
+	assert.EqualValues(t, 7, s.owes()[0].MayHaveRunAt, "in the journal before it is sent")
 	for _, never := range []bool{true, false} {
 		t.Run("comes back", func(t *testing.T) { comesBack(t, never) })
 	}
 
 	s = stands(t, dir, 9*api.Second)
-	s.whole(func() { s.GivenAway([]inflight.RequestID{"w"}) })
+	s.whole(func() { s.RestoreAtRelay([]inflight.RequestID{"w"}) })
 	s.all.home = true
-	s.whole(s.Decider.regateNow)
+	s.whole(s.Loop.regateNow)
 	require.Len(t, s.owes(), 1, "also in the next life")
-	s.whole(func() { ok = s.Over([]inflight.End{{RequestID: "w", How: inflight.EndDelivered}}) })
+	s.whole(func() { ok = s.FinishByRelay([]inflight.Result{{RequestID: "w", Status: inflight.StatusDelivered}}) })
 	assert.True(t, ok)
 	assert.Empty(t, s.owes())
 	assert.Empty(t, stands(t, dir, 9*api.Second).owes())
@@ -84,41 +84,41 @@
 }
 
 func TestAnEndThatAnotherIsOwedOutlastsTheProcessAndIsNoNotice(t *testing.T) {
-	end := inflight.End{RequestID: "w.dest=4", How: inflight.EndRejected, RetryIn: 5, Attempts: 2, MayRun: true}
-	again, is := inflight.EndFrom(end.Bytes())
+	end := inflight.Result{RequestID: "w.dest=4", Status: inflight.StatusRejected, RetryAfter: 5, Attempts: 2, MayHaveRun: true}
+	again, is := inflight.DecodeResult(end.Encode())
 	assert.True(t, is)
 	assert.Equal(t, end, again)
-	_, is = inflight.EndFrom([]byte(`{"message":"w","outcome":"given_up"}`))
+	_, is = inflight.DecodeResult([]byte(`{"message":"w","outcome":"given_up"}`))
 	assert.False(t, is)
 }
 
-func (d *Decider) regateNow() { d.inTurn(d.regate) }
+func (d *Loop) regateNow() { d.inTurn(d.regate) }
 
 // comesBack guards against a second effect: what may have run elsewhere may run once only, and is over here.
 func comesBack(t *testing.T, never bool) {
 	s := stands(t, t.TempDir(), 9*api.Second)
-	require.Equal(t, inflight.Taken, s.hand(webhook("w", 9*api.Second)))
-	s.whole(func() { s.Sends(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
-	s.whole(func() { s.Frees(map[inflight.RequestID]Back{"w": {Never: never}}) })
+	require.Equal(t, inflight.Accepted, s.hand(webhook("w", 9*api.Second)))
+	s.whole(func() { s.HandToRelay(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
+	s.whole(func() { s.TakeBack(map[inflight.RequestID]TakenBack{"w": {NeverReceived: never}}) })
 	s.all.home = true
-	s.whole(s.Decider.regateNow)
+	s.whole(s.Loop.regateNow)
 	assert.EqualValues(t, map[bool]int{true: 0, false: 1}[never], s.x.GivenUp.Load())
 }
 
 func TestWhatIsGivenAwayHasAWhileForItsEndToBeHeard(t *testing.T) {
 	s := stands(t, t.TempDir(), api.Second/5)
-	require.Equal(t, inflight.Taken, s.hand(webhook("w", api.Second/5)))
-	s.whole(func() { s.Sends(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
+	require.Equal(t, inflight.Accepted, s.hand(webhook("w", api.Second/5)))
+	s.whole(func() { s.HandToRelay(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
 	for until := inflight.Now() + api.Second/4; inflight.Now() < until; {
 		s.turn()
 	}
 	require.Len(t, s.owes(), 1, "its time is over, and whoever has it may have delivered it just before")
-	s.whole(func() { s.Over([]inflight.End{{RequestID: "w", How: inflight.EndDelivered}}) })
+	s.whole(func() { s.FinishByRelay([]inflight.Result{{RequestID: "w", Status: inflight.StatusDelivered}}) })
 	assert.Zero(t, s.x.GivenUp.Load())
 	assert.Empty(t, s.owes())
 
-	require.Equal(t, inflight.Taken, s.hand(webhook("v", api.Second/5)))
-	s.whole(func() { s.Sends(map[inflight.RequestID]int{"v": 0}, inflight.Now()) })
+	require.Equal(t, inflight.Accepted, s.hand(webhook("v", api.Second/5)))
+	s.whole(func() { s.HandToRelay(map[inflight.RequestID]int{"v": 0}, inflight.Now()) })
 	over := func() bool { s.turn(); return s.x.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
 }
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -17,13 +17,13 @@
 // sweepTicks is how many ticks lie between two looks at idle connections.
 const sweepTicks = 20
 
-// Decider owns the module and what it holds.
-type Decider struct {
-	x       *inflight.Exchange
-	life    *lifecycle.Life
-	journal *wal.Journal
-	calls   *upstream.Endpoints
-	finals  *callback.Notices
+// Loop owns the module and what it holds.
+type Loop struct {
+	x       *inflight.Inbox
+	life    *lifecycle.Lifecycle
+	journal *wal.Log
+	calls   *upstream.Client
+	finals  *callback.Sender
 	facts   api.Settings
 	types   []string // the names of event types
 	module  api.Policy
@@ -39,7 +39,7 @@
 	over   chan struct{}          // closed after the last turn
 
 	// Where a fleet acts as one; else nil.
-	fleet  Fleet
+	fleet  Cluster
 	parked map[api.WebhookID]*inflight.Webhook
 	turns  map[turnOf][]api.WebhookID           // what of each key is parked, in the order taken
 	listed map[api.EndpointID]api.EndpointEntry // as discovery has it
@@ -58,13 +58,13 @@
 
 type attempt struct {
 	ep api.EndpointID
-	upstream.Try
+	upstream.Attempt
 }
 
 // New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *inflight.Exchange, life *lifecycle.Life, j *wal.Journal, f api.Settings) *Decider {
+func New(x *inflight.Inbox, life *lifecycle.Lifecycle, j *wal.Log, f api.Settings) *Loop {
 	f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
-	d := &Decider{x: x, life: life, journal: j, facts: f, now: inflight.Now(), nextID: 1,
+	d := &Loop{x: x, life: life, journal: j, facts: f, now: inflight.Now(), nextID: 1,
 		held: map[api.WebhookID]*inflight.Webhook{}, ids: map[inflight.RequestID]api.WebhookID{},
 		fresh: map[api.WebhookID]*inflight.Webhook{}, out: map[api.WebhookID]bool{},
 		over: make(chan struct{})}
@@ -73,61 +73,61 @@
 }
 
 // Begin starts the module and hands it the webhooks of an earlier life.
-func (d *Decider) Begin(calls *upstream.Endpoints, finals *callback.Notices,
+func (d *Loop) Begin(calls *upstream.Client, finals *callback.Sender,
 	start func(api.Settings, api.Host) api.Policy) {
 	d.calls, d.finals = calls, finals
 	d.module = start(d.facts, d)
 	d.sweep()
 	for _, e := range d.journal.Entries() {
 		d.nextID = max(d.nextID, e.ID+1)
-		if e.Ended && d.endedBefore(e) {
+		if e.Finished && d.endedBefore(e) {
 			continue
 		}
-		if e.Ended {
-			d.finals.Owe(e.ID, e.Notice)
+		if e.Finished {
+			d.finals.Enqueue(e.ID, e.Callback)
 			continue
 		}
-		w, err := inflight.FromBytes(e.ID, e.Taken)
+		w, err := inflight.DecodeWebhook(e.ID, e.Payload)
 		if err != nil {
 			slog.Error("webhook of an earlier life not read", "id", e.ID, "err", err)
 			continue
 		}
-		if e.Event != "" { // an earlier release wrote none
-			w.Event = d.place(e.Event)
+		if e.EventType != "" { // an earlier release wrote none
+			w.EventType = d.place(e.EventType)
 		}
 		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
-		w.InDoubt = d.fleet != nil && d.fleet.Doubts(w.RequestID)
+		w.InDoubt = d.fleet != nil && d.fleet.IsInDoubt(w.RequestID)
 		d.x.Resumed.Add(1)
-		w.Step("resumed", 0, api.Micros(e.Attempts))
-		d.x.Tell(func() { d.begins(w, e.Attempts, e.MayRun, e.Zone) })
+		w.Trace("resumed", 0, api.Micros(e.Attempts))
+		d.x.Post(func() { d.begins(w, e.Attempts, e.MayHaveRunAt, e.Zone) })
 	}
 }
 
 // Empty tells whether nothing is held and no call is out.
-func (d *Decider) Empty() bool {
+func (d *Loop) Empty() bool {
 	empty := make(chan bool, 1)
-	d.x.Tell(func() { empty <- len(d.held) == 0 })
+	d.x.Post(func() { empty <- len(d.held) == 0 })
 	return <-empty && d.calls.Out() == 0
 }
 
-// Renew has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
-func (d *Decider) Renew(f api.Settings, types []string, idleLimit api.Micros) {
-	d.x.Tell(func() {
+// UpdateSettings has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
+func (d *Loop) UpdateSettings(f api.Settings, types []string, idleLimit api.Micros) {
+	d.x.Post(func() {
 		f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
 		d.facts = f
-		d.Types(types)
+		d.SetEventTypes(types)
 		d.calls.Renew(f.ConnectTimeout, idleLimit, f.DestinationKinds)
 		d.module.UpdateSettings(f)
 	})
 }
 
-// Listed takes a list; addrs are its entries' addresses.
-func (d *Decider) Listed(entries []api.EndpointEntry, addrs []string, whole bool) {
+// UpdateEndpoints takes a list; addrs are its entries' addresses.
+func (d *Loop) UpdateEndpoints(entries []api.EndpointEntry, addrs []string, whole bool) {
 	d.x.Lists.Add(1)
 	for _, l := range entries {
-		d.x.Name(l.Destination)
+		d.x.AddDestination(l.Destination)
 	}
-	d.x.Tell(func() {
+	d.x.Post(func() {
 		named := map[api.EndpointID]bool{}
 		for i, l := range entries {
 			kind := api.DestinationKind{}
@@ -144,25 +144,25 @@
 	})
 }
 
-// Came takes what came of a webhook's part in a call, from the call's own goroutine.
-func (d *Decider) Came(w *inflight.Webhook, ep api.EndpointID, what api.Outcome, took api.Micros,
+// CallFinished takes what came of a webhook's part in a call, from the call's own goroutine.
+func (d *Loop) CallFinished(w *inflight.Webhook, ep api.EndpointID, what api.Outcome, took api.Micros,
 	over bool, wait api.Micros) {
-	d.x.Tell(func() { d.Outcome(w, ep, what, took, over, wait) })
+	d.x.Post(func() { d.HandleOutcome(w, ep, what, took, over, wait) })
 }
 
-// Outcome notes it and hands it to the module.
-func (d *Decider) Outcome(w *inflight.Webhook, ep api.EndpointID, what api.Outcome,
+// HandleOutcome notes it and hands it to the module.
+func (d *Loop) HandleOutcome(w *inflight.Webhook, ep api.EndpointID, what api.Outcome,
 	took api.Micros, over bool, wait api.Micros) {
 	delete(d.out, w.ID)
 	ended := what == api.Delivered || over
 	if ended {
 		d.witness(w, d.delivered(w, over))
-		if !d.relayed(w, inflight.EndDelivered, 0) {
-			d.journal.End(w.ID, nil)
+		if !d.relayed(w, inflight.StatusDelivered, 0) {
+			d.journal.Finish(w.ID, nil)
 			d.drop(w)
 		}
 	} else if what.NeverRan() {
-		d.journal.NeverRan(w.ID)
+		d.journal.RecordNeverRan(w.ID)
 	}
 	if over {
 		d.x.Over.Add(1)
@@ -181,23 +181,23 @@
 	}
 }
 
-// Heard takes which notices were heard.
-func (d *Decider) Heard(ids []api.WebhookID) {
-	d.x.Tell(func() {
+// CallbacksDelivered takes which notices were heard.
+func (d *Loop) CallbacksDelivered(ids []api.WebhookID) {
+	d.x.Post(func() {
 		for _, id := range ids {
-			d.journal.Told(id)
+			d.journal.CallbackDelivered(id)
 		}
 	})
 }
 
-func (d *Decider) drop(w *inflight.Webhook) {
+func (d *Loop) drop(w *inflight.Webhook) {
 	delete(d.out, w.ID)
 	delete(d.held, w.ID)
 	delete(d.ids, w.RequestID)
 }
 
 // sweep has idle connections looked at now and then.
-func (d *Decider) sweep() {
+func (d *Loop) sweep() {
 	d.dues.Add(int64(d.now+sweepTicks*d.facts.MinTurnInterval), func() {
 		d.calls.Sweep()
 		d.sweep()
--- a/webhook/dispatcher/eventloop/decider_test.go
+++ b/webhook/dispatcher/eventloop/decider_test.go
@@ -20,21 +20,21 @@
 	dir := t.TempDir()
 	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := inflight.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	d := New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000, RatesListed: true,
 		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
-	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
-		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
+	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
-	d.Listed([]api.EndpointEntry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
+	d.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	hand := func(id inflight.RequestID) inflight.Answer {
 		said := make(chan inflight.Answer, 1)
 		go func() {
 			now := inflight.Now()
-			w := inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + 9*api.Second}
-			what, _ := x.HandIn(&w)
+			w := inflight.Webhook{RequestID: id, Destination: 3, ReceivedAt: now, Deadline: now + 9*api.Second}
+			what, _ := x.Submit(&w)
 			said <- what
 		}()
 		for len(said) == 0 {
@@ -47,7 +47,7 @@
 	assert.Equal(t, inflight.Rejected, hand("a1"))
 	assert.Zero(t, x.Calls.Load(), "nothing goes out that would not survive")
 	assert.Empty(t, d.held)
-	assert.Equal(t, inflight.Taken, hand("a2"), "the next one is written anew")
+	assert.Equal(t, inflight.Accepted, hand("a2"), "the next one is written anew")
 	assert.EqualValues(t, 1, x.Calls.Load())
 	next, err := wal.Open(dir, 1)
 	require.NoError(t, err)
--- a/webhook/dispatcher/eventloop/ends.go
+++ b/webhook/dispatcher/eventloop/ends.go
@@ -2,37 +2,37 @@
 
 import "rowanlink/webhook/dispatcher/inflight"
 
-// End is how a webhook that was taken on ended.
-type End uint8
+// Ending is how a webhook that was taken on ended.
+type Ending uint8
 
 const (
-	InTime       End = iota // delivered within its target latency
-	Late                    // delivered after it, or over by an endpoint's word
-	HandedBack              // by notice
-	DeadLettered            // by notice
+	OnTime       Ending = iota // delivered within its target latency
+	Late                       // delivered after it, or over by an endpoint's word
+	Rejected                   // by notice
+	DeadLettered               // by notice
 )
 
-// Witness is a Fleet that is told of each end, in the decider's own goroutine.
-type Witness interface {
-	Ended(w *inflight.Webhook, how End)
+// EndObserver is a Fleet that is told of each end, in the decider's own goroutine.
+type EndObserver interface {
+	WebhookEnded(w *inflight.Webhook, how Ending)
 }
 
-func (d *Decider) witness(w *inflight.Webhook, how End) {
-	if who, ok := d.fleet.(Witness); ok {
-		who.Ended(w, how)
+func (d *Loop) witness(w *inflight.Webhook, how Ending) {
+	if who, ok := d.fleet.(EndObserver); ok {
+		who.WebhookEnded(w, how)
 	}
 }
 
-// delivered is InTime or Late: the target latency counts from when the webhook was first handed in, wherever
+// delivered is OnTime or Late: the target latency counts from when the webhook was first handed in, wherever
 // that was.
-func (d *Decider) delivered(w *inflight.Webhook, over bool) End {
-	if int(w.Event) < len(d.facts.EventTypes) {
-		if e := d.facts.EventTypes[w.Event]; d.now > w.TTL-e.TTL+e.LatencyTarget {
+func (d *Loop) delivered(w *inflight.Webhook, over bool) Ending {
+	if int(w.EventType) < len(d.facts.EventTypes) {
+		if e := d.facts.EventTypes[w.EventType]; d.now > w.Deadline-e.TTL+e.LatencyTarget {
 			return Late
 		}
 	}
 	if over {
 		return Late
 	}
-	return InTime
+	return OnTime
 }
--- a/webhook/dispatcher/eventloop/fleet_test.go
+++ b/webhook/dispatcher/eventloop/fleet_test.go
@@ -19,14 +19,14 @@
 // elsewhere is a fleet of which this dispatcher may call nobody, until it is home.
 type elsewhere struct{ home, doubts bool }
 
-func (e *elsewhere) Calls(api.DestinationID, bool) bool { return e.home }
-func (e *elsewhere) Part(api.DestinationID) float64     { return 1 }
-func (e *elsewhere) Doubts(inflight.RequestID) bool     { return e.doubts }
+func (e *elsewhere) MayCall(api.DestinationID, bool) bool { return e.home }
+func (e *elsewhere) RateShare(api.DestinationID) float64  { return 1 }
+func (e *elsewhere) IsInDoubt(inflight.RequestID) bool    { return e.doubts }
 
 // side is a dispatcher without its sockets' other ends.
 type side struct {
-	*Decider
-	kept *wal.Journal
+	*Loop
+	kept *wal.Log
 	all  *elsewhere
 }
 
@@ -37,15 +37,15 @@
 func standsBeside(t *testing.T, dir string, ttl api.Micros, all *elsewhere) *side {
 	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := inflight.New(), &lifecycle.Life{}
+	x, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	d := New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000, RatesListed: true,
 		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
-	d.Join(all)
-	d.Begin(upstream.New(&x.Counters, d.Came, api.Second, api.Second, 4),
-		callback.New("127.0.0.1:1", &x.Counters, d.Heard),
+	d.JoinCluster(all)
+	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
-	d.Listed([]api.EndpointEntry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
+	d.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 1, Destination: 3, Rate: 500}}, []string{"127.0.0.1:1"}, true)
 	d.turn()
 	return &side{d, kept, all}
 }
@@ -53,7 +53,7 @@
 func (s *side) hand(w inflight.Webhook) inflight.Answer {
 	said := make(chan inflight.Answer, 1)
 	go func() {
-		what, _ := s.x.HandInHere(&w)
+		what, _ := s.x.SubmitLocal(&w)
 		said <- what
 	}()
 	for len(said) == 0 {
@@ -77,14 +77,14 @@
 	}
 }
 
-func (s *side) owes() (all []Owed) {
-	s.during(func() { all, _ = s.Owes(func(*inflight.Webhook) bool { return true }) })
+func (s *side) owes() (all []Parked) {
+	s.during(func() { all, _ = s.ParkedWebhooks(func(*inflight.Webhook) bool { return true }) })
 	return all
 }
 
 func webhook(id inflight.RequestID, ttl api.Micros) inflight.Webhook {
 	now := inflight.Now()
-	return inflight.Webhook{RequestID: id, Destination: 3, CameAt: now, TTL: now + ttl}
+	return inflight.Webhook{RequestID: id, Destination: 3, ReceivedAt: now, Deadline: now + ttl}
 }
 
 // Guards against two callers: what belongs to another home is taken on, owed over a restart and called by
@@ -92,15 +92,15 @@
 func TestWhatMayNotBeCalledFromHereIsParkedOverARestartAndPassedOn(t *testing.T) {
 	dir, ttl := t.TempDir(), 90*api.Second
 	s := stands(t, dir, ttl)
-	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", ttl)))
+	assert.Equal(t, inflight.Accepted, s.hand(webhook("a1", ttl)))
 	assert.Zero(t, s.x.Calls.Load())
 	require.NoError(t, s.kept.Close())
 	s = stands(t, dir, ttl)
 	all := s.owes()
 	require.Len(t, all, 1)
-	s.during(func() { s.Passed([]api.WebhookID{all[0].ID}) })
+	s.during(func() { s.FinishTransferred([]api.WebhookID{all[0].ID}) })
 	s.all.home = true
-	s.Regate()
+	s.Reevaluate()
 	assert.Empty(t, s.owes())
 	assert.Zero(t, s.x.Calls.Load())
 	require.NoError(t, s.kept.Close())
@@ -113,11 +113,11 @@
 	s := stands(t, t.TempDir(), ttl)
 	s.all.home = true
 	clean, ran := webhook("a1", ttl), webhook("a2", ttl)
-	clean.Past = &inflight.Past{Attempts: 1, MayRun: api.Never}
-	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now() - api.Second}
-	assert.Equal(t, inflight.Taken, s.hand(ran))
+	clean.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: api.Never}
+	ran.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: inflight.Now() - api.Second}
+	assert.Equal(t, inflight.Accepted, s.hand(ran))
 	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "told at once")
-	assert.Equal(t, inflight.Taken, s.hand(clean))
+	assert.Equal(t, inflight.Accepted, s.hand(clean))
 	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "it never ran, and is tried again")
 }
 
@@ -131,19 +131,19 @@
 		s.all.home = true
 		w := webhook("a1", ttl)
 		w.InDoubt = true
-		assert.Equal(t, inflight.Taken, s.hand(w))
+		assert.Equal(t, inflight.Accepted, s.hand(w))
 		require.NoError(t, s.kept.Close())
 		earlier := &elsewhere{home: true, doubts: true}
 		s = standsBeside(t, dir, ttl, earlier)
 		all := s.owes()
 		require.Len(t, all, 1)
-		assert.True(t, all[0].Doubted)
+		assert.True(t, all[0].MayBeElsewhere)
 		if ran {
 			s.during(func() {
-				s.Returned(map[inflight.RequestID]*inflight.Past{"a1": {Attempts: 1, MayRun: inflight.Now()}})
+				s.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{"a1": {Attempts: 1, MayHaveRunAt: inflight.Now()}})
 			})
 		}
-		s.Settled([]inflight.RequestID{"a1"})
+		s.ResolveInDoubt([]inflight.RequestID{"a1"})
 		s.owes()
 		assert.EqualValues(t, map[bool]int{false: 0, true: 1}[ran], s.x.GivenUp.Load())
 	}
@@ -154,15 +154,15 @@
 func TestWhatIsOfferedIsNotCalledMeanwhile(t *testing.T) {
 	ttl := 90 * api.Second
 	s := stands(t, t.TempDir(), ttl)
-	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", ttl)))
+	assert.Equal(t, inflight.Accepted, s.hand(webhook("a1", ttl)))
 	id := s.owes()[0].ID
 	var marked map[api.WebhookID]bool
-	s.during(func() { marked = s.Doubt([]api.WebhookID{id, id + 1}) })
+	s.during(func() { marked = s.MarkInDoubt([]api.WebhookID{id, id + 1}) })
 	assert.Equal(t, map[api.WebhookID]bool{id: true}, marked)
 	s.all.home = true
-	s.Regate()
+	s.Reevaluate()
 	assert.Len(t, s.owes(), 1, "still parked")
-	s.GiveUp(id)
+	s.DeadLetterInDoubt(id)
 	assert.Empty(t, s.owes())
 	assert.EqualValues(t, 1, s.x.GivenUp.Load())
 }
@@ -170,10 +170,10 @@
 // Guards against a webhook lost while its home is gone: it ends in time.
 func TestWhatIsParkedEndsWithItsTTL(t *testing.T) {
 	s := stands(t, t.TempDir(), api.Second/5)
-	assert.Equal(t, inflight.Taken, s.hand(webhook("a1", api.Second/5)))
+	assert.Equal(t, inflight.Accepted, s.hand(webhook("a1", api.Second/5)))
 	ran := webhook("a2", api.Second/5)
-	ran.Past = &inflight.Past{Attempts: 1, MayRun: inflight.Now()}
-	assert.Equal(t, inflight.Taken, s.hand(ran))
+	ran.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: inflight.Now()}
+	assert.Equal(t, inflight.Accepted, s.hand(ran))
 	over := func() bool { s.turn(); return s.x.HandedBack.Load() == 1 && s.x.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
 	assert.Empty(t, s.owes())
--- a/webhook/dispatcher/eventloop/given.go
+++ b/webhook/dispatcher/eventloop/given.go
@@ -8,7 +8,7 @@
 )
 
 // byID lists what is held of those named.
-func byID[V any](d *Decider, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
+func byID[V any](d *Loop, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
 	all := map[inflight.RequestID]*inflight.Webhook{}
 	for of := range named {
 		if w := d.held[d.ids[of]]; w != nil {
@@ -18,10 +18,10 @@
 	return all
 }
 
-// Sends gives webhooks that are parked here away: until Frees or Over nobody here calls for them, and from
+// HandToRelay gives webhooks that are parked here away: until Frees or Over nobody here calls for them, and from
 // at on each may have run. Each comes with the attempts that it is given away with. False: nothing was done,
 // as one is parked here no more, was called for here meanwhile, or it can't be written.
-func (d *Decider) Sends(all map[inflight.RequestID]int, at api.Micros) (ok bool) {
+func (d *Loop) HandToRelay(all map[inflight.RequestID]int, at api.Micros) (ok bool) {
 	d.inTurn(func() {
 		of := byID(d, all)
 		if len(of) < len(all) {
@@ -29,25 +29,25 @@
 		}
 		ran := map[inflight.RequestID]bool{}
 		for id, w := range of {
-			e := d.journal.Entry(w.ID)
+			e := d.journal.Pending(w.ID)
 			if e == nil || d.parked[w.ID] == nil || w.InDoubt || e.Attempts != all[id] {
 				return
 			}
-			ran[id] = e.MayRun != api.Never
+			ran[id] = e.MayHaveRunAt != api.Never
 		}
 		for id, w := range of {
-			w.InDoubt, w.Given = true, true
-			e, since := d.journal.Entry(w.ID), at
+			w.InDoubt, w.AtRelay = true, true
+			e, since := d.journal.Pending(w.ID), at
 			if ran[id] {
-				since = e.MayRun
+				since = e.MayHaveRunAt
 			}
 			// It counts as an attempt: without one the module does not ask whether it may have run.
-			d.journal.Past(w.ID, e.Attempts+1, since, e.Zone)
+			d.journal.SetPriorAttempts(w.ID, e.Attempts+1, since, e.Zone)
 		}
 		if err := d.journal.Commit(); err != nil {
 			slog.Error("journal not written", "err", err)
 			for id, w := range of {
-				d.free(w, Back{Never: true, Ran: ran[id]})
+				d.free(w, TakenBack{NeverReceived: true, MayHaveRun: ran[id]})
 			}
 			return
 		}
@@ -56,27 +56,27 @@
 	return ok
 }
 
-// Back is what is known of a webhook that was given away and comes back.
-type Back struct {
-	Never bool // it was never taken there, and never will be
-	Ran   bool // it may have run before it was given away
+// TakenBack is what is known of a webhook that was given away and comes back.
+type TakenBack struct {
+	NeverReceived bool // it was never taken there, and never will be
+	MayHaveRun    bool // it may have run before it was given away
 }
 
-func (d *Decider) free(w *inflight.Webhook, b Back) {
-	w.InDoubt, w.Given = false, false
-	e := d.journal.Entry(w.ID)
-	if e == nil || !b.Never || e.MayRun == api.Never {
+func (d *Loop) free(w *inflight.Webhook, b TakenBack) {
+	w.InDoubt, w.AtRelay = false, false
+	e := d.journal.Pending(w.ID)
+	if e == nil || !b.NeverReceived || e.MayHaveRunAt == api.Never {
 		return
 	}
-	if b.Ran {
-		d.journal.Past(w.ID, e.Attempts-1, e.MayRun, e.Zone)
+	if b.MayHaveRun {
+		d.journal.SetPriorAttempts(w.ID, e.Attempts-1, e.MayHaveRunAt, e.Zone)
 	} else {
-		d.journal.Past(w.ID, e.Attempts-1, api.Never, 0)
+		d.journal.SetPriorAttempts(w.ID, e.Attempts-1, api.Never, 0)
 	}
 }
 
-// Frees takes webhooks back that were given away.
-func (d *Decider) Frees(all map[inflight.RequestID]Back) {
+// TakeBack takes webhooks back that were given away.
+func (d *Loop) TakeBack(all map[inflight.RequestID]TakenBack) {
 	d.inTurn(func() {
 		for id, w := range byID(d, all) {
 			if w.InDoubt && d.parked[w.ID] != nil {
@@ -89,21 +89,21 @@
 
 // lastWord guards against two ends: what was given away has a while after its time for the word of whoever
 // has it, who ends it in time. It tells whether that is still to come.
-func (d *Decider) lastWord(w *inflight.Webhook) bool {
-	until := w.TTL + inflight.AnswerWithin
-	if !w.Given || d.now >= until {
+func (d *Loop) lastWord(w *inflight.Webhook) bool {
+	until := w.Deadline + inflight.AnswerTimeout
+	if !w.AtRelay || d.now >= until {
 		return false
 	}
 	d.dues.Add(int64(until), func() { d.expire(w.ID) })
 	return true
 }
 
-// GivenAway is for webhooks of an earlier life that were given away then, before anybody here calls for them.
-func (d *Decider) GivenAway(ids []inflight.RequestID) {
+// RestoreAtRelay is for webhooks of an earlier life that were given away then, before anybody here calls for them.
+func (d *Loop) RestoreAtRelay(ids []inflight.RequestID) {
 	want := setOf(ids)
 	d.inTurn(func() {
 		for _, w := range byID(d, want) {
-			w.InDoubt, w.Given = true, true
+			w.InDoubt, w.AtRelay = true, true
 			if d.parked[w.ID] == nil {
 				d.module.Withdraw(w.ID)
 				d.park(w)
@@ -112,31 +112,31 @@
 	})
 }
 
-// Over ends webhooks by the word of whoever they were given to, and tells whether that is written. What is
+// FinishByRelay ends webhooks by the word of whoever they were given to, and tells whether that is written. What is
 // not held any more is over. What is called for here, since that one was out of reach, ends so only by a
 // success.
-func (d *Decider) Over(all []inflight.End) (written bool) {
-	how := map[inflight.RequestID]inflight.End{}
+func (d *Loop) FinishByRelay(all []inflight.Result) (written bool) {
+	how := map[inflight.RequestID]inflight.Result{}
 	for _, e := range all {
 		how[e.RequestID] = e
 	}
 	d.inTurn(func() {
 		for id, w := range byID(d, how) {
 			e := how[id]
-			if d.out[w.ID] || !w.InDoubt && e.How != inflight.EndDelivered {
+			if d.out[w.ID] || !w.InDoubt && e.Status != inflight.StatusDelivered {
 				continue
 			}
 			if d.parked[w.ID] == nil {
 				d.module.Withdraw(w.ID)
 			}
 			d.unpark(w.ID)
-			w.Step("over_elsewhere", 0, api.Micros(e.How))
-			switch e.How {
-			case inflight.EndDelivered:
-				d.journal.End(w.ID, nil)
+			w.Trace("over_elsewhere", 0, api.Micros(e.Status))
+			switch e.Status {
+			case inflight.StatusDelivered:
+				d.journal.Finish(w.ID, nil)
 				d.drop(w)
-			case inflight.EndRejected:
-				d.Reject(w.ID, e.RetryIn)
+			case inflight.StatusRejected:
+				d.Reject(w.ID, e.RetryAfter)
 			default:
 				d.DeadLetter(w.ID)
 			}
--- a/webhook/dispatcher/eventloop/parked.go
+++ b/webhook/dispatcher/eventloop/parked.go
@@ -13,22 +13,22 @@
 	key  api.OrderingKey
 }
 
-func (d *Decider) park(w *inflight.Webhook) {
-	if d.parked[w.ID] = w; w.Key != 0 {
-		of := turnOf{w.Destination, w.Key}
+func (d *Loop) park(w *inflight.Webhook) {
+	if d.parked[w.ID] = w; w.OrderingKey != 0 {
+		of := turnOf{w.Destination, w.OrderingKey}
 		at, _ := slices.BinarySearch(d.turns[of], w.ID)
 		d.turns[of] = slices.Insert(d.turns[of], at, w.ID)
 	}
-	w.Step("parked", 0, 0)
-	d.dues.Add(int64(w.TTL-2*d.facts.MinTurnInterval), func() { d.expire(w.ID) })
+	w.Trace("parked", 0, 0)
+	d.dues.Add(int64(w.Deadline-2*d.facts.MinTurnInterval), func() { d.expire(w.ID) })
 }
 
-func (d *Decider) unpark(id api.WebhookID) {
+func (d *Loop) unpark(id api.WebhookID) {
 	w := d.parked[id]
-	if delete(d.parked, id); w == nil || w.Key == 0 {
+	if delete(d.parked, id); w == nil || w.OrderingKey == 0 {
 		return
 	}
-	of := turnOf{w.Destination, w.Key}
+	of := turnOf{w.Destination, w.OrderingKey}
 	d.turns[of] = slices.DeleteFunc(d.turns[of], func(other api.WebhookID) bool { return other == id })
 	if len(d.turns[of]) == 0 {
 		delete(d.turns, of)
@@ -36,15 +36,15 @@
 }
 
 // frees hands to the module what may be called by now, and then what waited behind it.
-func (d *Decider) frees(id api.WebhookID) bool {
-	w, e := d.parked[id], d.journal.Entry(id)
+func (d *Loop) frees(id api.WebhookID) bool {
+	w, e := d.parked[id], d.journal.Pending(id)
 	if w == nil || e == nil || !d.mayCall(w) {
 		return false
 	}
 	d.unpark(id)
-	w.Step("unparked", 0, 0)
-	d.resume(w, e.Attempts, e.MayRun, e.Zone)
-	for _, next := range slices.Clone(d.turns[turnOf{w.Destination, w.Key}]) {
+	w.Trace("unparked", 0, 0)
+	d.resume(w, e.Attempts, e.MayHaveRunAt, e.Zone)
+	for _, next := range slices.Clone(d.turns[turnOf{w.Destination, w.OrderingKey}]) {
 		if !d.frees(next) {
 			break
 		}
@@ -53,8 +53,8 @@
 }
 
 // behind is whether an earlier one of a webhook's key is parked here; 0 as id: it has yet to be taken.
-func (d *Decider) behind(w *inflight.Webhook) bool {
-	for _, id := range d.turns[turnOf{w.Destination, w.Key}] {
+func (d *Loop) behind(w *inflight.Webhook) bool {
+	for _, id := range d.turns[turnOf{w.Destination, w.OrderingKey}] {
 		if w.ID != 0 && id >= w.ID {
 			return false
 		}
@@ -66,10 +66,10 @@
 }
 
 // expire guards against a webhook lost while it is parked: it ends in time, as the module ends those it has.
-func (d *Decider) expire(id api.WebhookID) {
-	e := d.journal.Entry(id)
+func (d *Loop) expire(id api.WebhookID) {
+	e := d.journal.Pending(id)
 	if w := d.parked[id]; w != nil && e != nil && !d.lastWord(w) {
-		if d.unpark(id); e.MayRun != api.Never || w.InDoubt {
+		if d.unpark(id); e.MayHaveRunAt != api.Never || w.InDoubt {
 			d.DeadLetter(id)
 		} else {
 			d.Reject(id, 0)
--- a/webhook/dispatcher/eventloop/relayed.go
+++ b/webhook/dispatcher/eventloop/relayed.go
@@ -12,27 +12,27 @@
 // ended is what the journal of an earlier life says of a webhook whose end another member is owed.
 type ended struct {
 	id api.WebhookID
-	inflight.End
+	inflight.Result
 }
 
 // relayed ends a webhook of which others than the platform are told, and whether it is one.
-func (d *Decider) relayed(w *inflight.Webhook, how inflight.How, retryIn api.Micros) bool {
-	if w.Ends == nil || d.held[w.ID] != w {
+func (d *Loop) relayed(w *inflight.Webhook, how inflight.Status, retryIn api.Micros) bool {
+	if w.OnFinished == nil || d.held[w.ID] != w {
 		return false
 	}
-	end := inflight.End{RequestID: w.RequestID, How: how, RetryIn: retryIn}
-	if e := d.journal.Entry(w.ID); e != nil {
-		end.Attempts, end.MayRun = e.Attempts, e.MayRun != api.Never
+	end := inflight.Result{RequestID: w.RequestID, Status: how, RetryAfter: retryIn}
+	if e := d.journal.Pending(w.ID); e != nil {
+		end.Attempts, end.MayHaveRun = e.Attempts, e.MayHaveRunAt != api.Never
 	}
-	d.journal.End(w.ID, end.Bytes())
+	d.journal.Finish(w.ID, end.Encode())
 	d.drop(w)
-	d.ends = append(d.ends, func() { w.Ends(w.ID, end) })
+	d.ends = append(d.ends, func() { w.OnFinished(w.ID, end) })
 	return true
 }
 
 // endedBefore guards against the platform being told of an end that is another member's to hear.
-func (d *Decider) endedBefore(e *wal.Entry) bool {
-	end, is := inflight.EndFrom(e.Notice)
+func (d *Loop) endedBefore(e *wal.Entry) bool {
+	end, is := inflight.DecodeResult(e.Callback)
 	if is {
 		if d.told == nil {
 			d.told = map[inflight.RequestID]ended{}
@@ -43,7 +43,7 @@
 }
 
 // named has a notice of an announcement name the announcement and the subscriber.
-func (d *Decider) named(w *inflight.Webhook, notice []byte) []byte {
+func (d *Loop) named(w *inflight.Webhook, notice []byte) []byte {
 	of, to, is := w.RequestID.Subscriber()
 	if d.fleet == nil || !is {
 		return notice
--- a/webhook/dispatcher/eventloop/taught.go
+++ b/webhook/dispatcher/eventloop/taught.go
@@ -2,11 +2,11 @@
 
 import "rowanlink/webhook/api"
 
-// Learned lists what the module knows of destinations that match; it waits for the turn. idle: no call to
+// ExportState lists what the module knows of destinations that match; it waits for the turn. idle: no call to
 // them is out, so that nothing can be added to it any more.
-func (d *Decider) Learned(match func(api.DestinationID) bool) (all []api.DestinationState, idle bool) {
+func (d *Loop) ExportState(match func(api.DestinationID) bool) (all []api.DestinationState, idle bool) {
 	done := make(chan struct{})
-	d.x.Tell(func() {
+	d.x.Post(func() {
 		defer close(done)
 		idle = true
 		dests := map[api.DestinationID]bool{}
@@ -26,16 +26,16 @@
 	return all, idle
 }
 
-// Teach has the module take over what another one knew, with times of this clock.
-func (d *Decider) Teach(all []api.DestinationState) {
-	d.x.Tell(func() {
+// ImportState has the module take over what another one knew, with times of this clock.
+func (d *Loop) ImportState(all []api.DestinationState) {
+	d.x.Post(func() {
 		for _, l := range all {
 			d.teacher().ImportState(l)
 		}
 	})
 }
 
-func (d *Decider) teacher() api.StateTransferer {
+func (d *Loop) teacher() api.StateTransferer {
 	m := d.module
 	if held, ok := m.(interface{ Unwrap() api.Policy }); ok {
 		m = held.Unwrap()
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -12,20 +12,20 @@
 )
 
 // Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
-func (d *Decider) Run() {
+func (d *Loop) Run() {
 	timer := time.NewTimer(0)
-	for d.life.Phase() < lifecycle.Ended {
+	for d.life.Phase() < lifecycle.Stopped {
 		next := d.turned + api.Second
 		if at, ok := d.dues.Next(); ok {
 			next = min(next, api.Micros(at))
 		}
-		timer.Reset(inflight.Span(max(next-inflight.Now(), 0)))
+		timer.Reset(inflight.Duration(max(next-inflight.Now(), 0)))
 		select {
-		case <-d.x.Bell():
+		case <-d.x.Ready():
 		case <-timer.C:
 		}
 		if rest := d.turned + d.facts.MinTurnInterval - inflight.Now(); rest > 0 {
-			time.Sleep(inflight.Span(rest))
+			time.Sleep(inflight.Duration(rest))
 		}
 		d.turn()
 	}
@@ -34,15 +34,15 @@
 }
 
 // awaits waits for what was told to be done in a turn, unless there are no more turns.
-func (d *Decider) awaits(done <-chan struct{}) {
+func (d *Loop) awaits(done <-chan struct{}) {
 	select {
 	case <-done:
 	case <-d.over:
 	}
 }
 
-func (d *Decider) turn() {
-	arrivals, news := d.x.All()
+func (d *Loop) turn() {
+	arrivals, news := d.x.TakeAll()
 	d.now = inflight.Now()
 	d.turned = d.now
 	d.x.Turns.Add(1)
@@ -56,16 +56,16 @@
 	for call, ok := d.dues.PopDue(int64(d.now)); ok; call, ok = d.dues.PopDue(int64(d.now)) {
 		call()
 	}
-	if d.life.Sends() {
+	if d.life.StartsCalls() {
 		d.module.EndTurn()
 	}
 	d.act()
 }
 
 // refuse answers for what is not taken on. What another member may have is neither rejected nor taken.
-func (d *Decider) refuse(w *inflight.Webhook) {
-	if w.Keep {
-		w.Answer(inflight.Unsaid, 0)
+func (d *Loop) refuse(w *inflight.Webhook) {
+	if w.MustKeep {
+		w.Answer(inflight.Undetermined, 0)
 	} else {
 		w.Answer(inflight.Rejected, 0)
 	}
@@ -73,11 +73,11 @@
 
 // inTime ends what its client no longer waits for, and what comes when nothing is taken on any more. What
 // another member may have is kept all the same: nobody else would settle that.
-func (d *Decider) inTime(w *inflight.Webhook) bool {
-	if w.Keep {
+func (d *Loop) inTime(w *inflight.Webhook) bool {
+	if w.MustKeep {
 		return true
 	}
-	if !d.life.TakesOn() || d.now-w.CameAt > inflight.AnswerWithin {
+	if !d.life.AcceptsWebhooks() || d.now-w.ReceivedAt > inflight.AnswerTimeout {
 		w.Answer(inflight.Rejected, 0)
 		return false
 	}
@@ -85,8 +85,8 @@
 }
 
 // room ends what is beyond the buffer.
-func (d *Decider) room(w *inflight.Webhook) bool {
-	if len(d.held) >= d.facts.BufferSize && !w.Keep { // of those there are no more than clients' connections
+func (d *Loop) room(w *inflight.Webhook) bool {
+	if len(d.held) >= d.facts.BufferSize && !w.MustKeep { // of those there are no more than clients' connections
 		w.Answer(inflight.Rejected, 0)
 		return false
 	}
@@ -94,16 +94,16 @@
 }
 
 // once keeps a request id from being held twice.
-func (d *Decider) once(w *inflight.Webhook) bool {
+func (d *Loop) once(w *inflight.Webhook) bool {
 	if _, held := d.ids[w.RequestID]; held {
-		w.Answer(inflight.Doubled, 0)
+		w.Answer(inflight.Duplicate, 0)
 		return false
 	}
 	return true
 }
 
 // take notes the webhook and hands it to the module.
-func (d *Decider) take(w *inflight.Webhook) bool {
+func (d *Loop) take(w *inflight.Webhook) bool {
 	w.ID = d.nextID
 	if err := d.accept(w); err != nil {
 		d.x.JournalErrors.Add(1)
@@ -119,16 +119,16 @@
 }
 
 // act writes down what was decided, then answers, calls and tells.
-func (d *Decider) act() {
+func (d *Loop) act() {
 	d.attempts = slices.DeleteFunc(d.attempts, func(a attempt) bool {
 		if d.mayCall(a.Webhook) {
 			return false
 		}
-		d.Outcome(a.Webhook, a.ep, api.NotSent, 0, false, 0) // the grant is over since the turn began
+		d.HandleOutcome(a.Webhook, a.ep, api.NotSent, 0, false, 0) // the grant is over since the turn began
 		return true
 	})
 	for _, a := range d.attempts {
-		d.journal.Call(a.Webhook.ID, d.now, d.calls.Zone(a.ep))
+		d.journal.RecordCall(a.Webhook.ID, d.now, d.calls.Zone(a.ep))
 	}
 	err := d.journal.Commit()
 	if d.lost = err != nil; d.lost {
@@ -136,7 +136,7 @@
 	}
 	for _, id := range d.order {
 		if w := d.fresh[id]; w != nil {
-			w.Answer(inflight.Taken, 0)
+			w.Answer(inflight.Accepted, 0)
 			delete(d.fresh, id)
 		}
 	}
@@ -156,12 +156,12 @@
 
 // unwritten guards against acting on what would not survive: a disk that is full or gone. What came in this
 // turn is rejected, and no call of this turn is made.
-func (d *Decider) unwritten(err error) {
+func (d *Loop) unwritten(err error) {
 	slog.Error("journal not written", "err", err)
 	d.x.JournalErrors.Add(1)
 	for _, id := range d.order {
 		if w := d.fresh[id]; w != nil {
-			d.journal.Forget(id)
+			d.journal.Undo(id)
 			d.module.Withdraw(id)
 			d.unpark(id)
 			d.drop(w)
@@ -170,20 +170,20 @@
 		}
 	}
 	for _, a := range d.attempts {
-		d.Outcome(a.Webhook, a.ep, api.NotSent, 0, false, 0)
+		d.HandleOutcome(a.Webhook, a.ep, api.NotSent, 0, false, 0)
 	}
 	d.attempts = d.attempts[:0]
 }
 
 // send makes the calls of this turn, those to one endpoint together, in the order decided.
-func (d *Decider) send() {
+func (d *Loop) send() {
 	var eps []api.EndpointID
-	tries := map[api.EndpointID][]upstream.Try{}
+	tries := map[api.EndpointID][]upstream.Attempt{}
 	for _, a := range d.attempts {
 		if tries[a.ep] == nil {
 			eps = append(eps, a.ep)
 		}
-		tries[a.ep] = append(tries[a.ep], a.Try)
+		tries[a.ep] = append(tries[a.ep], a.Attempt)
 	}
 	for _, ep := range eps {
 		d.calls.Send(ep, tries[ep])
--- a/webhook/dispatcher/eventloop/types.go
+++ b/webhook/dispatcher/eventloop/types.go
@@ -11,9 +11,9 @@
 // unnamed is an event type that no settings name: what is of it is not repeated.
 const unnamed = math.MaxUint8
 
-// Types tells the names of event types by their places; before Begin, or in a turn. Those beyond the last
+// SetEventTypes tells the names of event types by their places; before Begin, or in a turn. Those beyond the last
 // keep theirs: webhooks of them may be held, or come from a client that was let in before.
-func (d *Decider) Types(names []string) {
+func (d *Loop) SetEventTypes(names []string) {
 	if len(names) > len(d.types) {
 		d.types = names
 	}
@@ -21,33 +21,33 @@
 
 // accept journals a webhook with its event type's name: guards against the place alone being read by the next
 // life, whose settings may have another one there, of which an attempt may be repeated.
-func (d *Decider) accept(w *inflight.Webhook) error {
-	err := d.journal.Accept(w.ID, w.Bytes())
-	if err == nil && int(w.Event) < len(d.types) {
-		d.journal.Named(w.ID, d.types[w.Event])
+func (d *Loop) accept(w *inflight.Webhook) error {
+	err := d.journal.Accept(w.ID, w.Encode())
+	if err == nil && int(w.EventType) < len(d.types) {
+		d.journal.SetEventType(w.ID, d.types[w.EventType])
 	}
 	return err
 }
 
 // resume hands a webhook to the module. Guards against a second effect: one that was taken on without a token
 // is not repeated by settings that ask for one, since nobody would know the repeat.
-func (d *Decider) resume(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
+func (d *Loop) resume(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
 	all := d.facts.EventTypes
-	if w.Token == "" && int(w.Event) < len(all) && all[w.Event].Semantics == api.Deduplicated {
-		w.Event = unnamed
+	if w.Token == "" && int(w.EventType) < len(all) && all[w.EventType].Semantics == api.Deduplicated {
+		w.EventType = unnamed
 	}
 	d.module.Recover(api.Webhook{
 		ID:          w.ID,
-		EventType:   w.Event,
+		EventType:   w.EventType,
 		Tenant:      w.Tenant,
-		OrderingKey: w.Key,
-		Deadline:    w.TTL,
+		OrderingKey: w.OrderingKey,
+		Deadline:    w.Deadline,
 		Destination: w.Destination,
 	}, api.PriorAttempts{Count: attempts, MayHaveRunAt: mayRun, Zone: zone})
 }
 
 // place is where an event type of an earlier life stands by now.
-func (d *Decider) place(name string) api.EventTypeID {
+func (d *Loop) place(name string) api.EventTypeID {
 	if at := slices.Index(d.types, name); at >= 0 {
 		return api.EventTypeID(at)
 	}
--- a/webhook/dispatcher/inflight/announced_test.go
+++ b/webhook/dispatcher/inflight/announced_test.go
@@ -9,11 +9,11 @@
 )
 
 func FuzzEndFrom(f *testing.F) {
-	f.Add(End{RequestID: "a.dest=3", How: EndRejected, RetryIn: 5, Attempts: 2, MayRun: true}.Bytes())
+	f.Add(Result{RequestID: "a.dest=3", Status: StatusRejected, RetryAfter: 5, Attempts: 2, MayHaveRun: true}.Encode())
 	f.Add([]byte(`{"message":"w","outcome":"given_up"}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if e, is := EndFrom(raw); is {
-			again, _ := EndFrom(e.Bytes())
+		if e, is := DecodeResult(raw); is {
+			again, _ := DecodeResult(e.Encode())
 			assert.Equal(t, e, again)
 		} else if len(raw) >= endFixed {
 			assert.NotEqual(t, byte(endMark), raw[0])
@@ -34,15 +34,15 @@
 
 func TestOnlyAFleetsListsAreReadFromARoute(t *testing.T) {
 	x := New()
-	_, ok := x.ListIn("list=prices")
+	_, ok := x.ListInRoute("list=prices")
 	assert.False(t, ok, "off on the platform")
-	assert.False(t, x.Reserved("a.dest=3"))
-	x.Listed = func(name string) bool { return name == "prices" }
-	name, ok := x.ListIn("zone=a;list=prices")
+	assert.False(t, x.IsReserved("a.dest=3"))
+	x.HasList = func(name string) bool { return name == "prices" }
+	name, ok := x.ListInRoute("zone=a;list=prices")
 	assert.True(t, ok)
 	assert.Equal(t, "prices", name)
-	_, ok = x.ListIn("list=others")
+	_, ok = x.ListInRoute("list=others")
 	assert.False(t, ok)
-	assert.True(t, x.Reserved("a.dest=3"), "else it would be taken for a subscriber's")
-	assert.False(t, x.Reserved("a.dest=b"))
+	assert.True(t, x.IsReserved("a.dest=3"), "else it would be taken for a subscriber's")
+	assert.False(t, x.IsReserved("a.dest=b"))
 }
--- a/webhook/dispatcher/inflight/counters.go
+++ b/webhook/dispatcher/inflight/counters.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Print writes the counters, one a line, in the text form that monitoring systems read.
-func (c *Counters) Print(to io.Writer) {
+// WriteMetrics writes the counters, one a line, in the text form that monitoring systems read.
+func (c *Counters) WriteMetrics(to io.Writer) {
 	c.each(func(name string, n int64) { fmt.Fprintf(to, "rowanlink_%s_total %d\n", name, n) })
 }
 
--- a/webhook/dispatcher/inflight/exchange_test.go
+++ b/webhook/dispatcher/inflight/exchange_test.go
@@ -13,16 +13,16 @@
 func TestAWebhookKeptInEitherFormComesBackWhole(t *testing.T) {
 	w := &Webhook{
 		ID:          9,
-		Event:       2,
+		EventType:   2,
 		Tenant:      3,
-		Key:         4,
+		OrderingKey: 4,
 		Destination: 100_000,
-		TTL:         77,
+		Deadline:    77,
 		RequestID:   "r",
 		Token:       "tok",
 		Body:        []byte("body"),
 	}
-	again, err := FromBytes(9, w.Bytes())
+	again, err := DecodeWebhook(9, w.Encode())
 	require.NoError(t, err)
 	assert.Equal(t, w, again)
 
@@ -31,12 +31,12 @@
 		"0100" + "72" + "0300" + "746f6b" + "626f6479")
 	require.NoError(t, err)
 	w.Destination = 1234
-	again, err = FromBytes(9, old)
+	again, err = DecodeWebhook(9, old)
 	require.NoError(t, err)
 	assert.Equal(t, w, again)
 
-	for n := range w.Bytes()[:30] {
-		_, err := FromBytes(api.WebhookID(n), w.Bytes()[:n])
+	for n := range w.Encode()[:30] {
+		_, err := DecodeWebhook(api.WebhookID(n), w.Encode()[:n])
 		assert.Error(t, err, "cut at %d", n)
 	}
 }
--- a/webhook/dispatcher/inflight/kept.go
+++ b/webhook/dispatcher/inflight/kept.go
@@ -11,14 +11,14 @@
 // event type, of which none has this number: no settings name so many.
 const wide = 0xff
 
-// Bytes is the form in which a webhook outlasts the process.
-func (w *Webhook) Bytes() []byte {
+// Encode is the form in which a webhook outlasts the process.
+func (w *Webhook) Encode() []byte {
 	b := make([]byte, 0, 36+len(w.RequestID)+len(w.Token)+len(w.Body))
-	b = append(b, wide, byte(w.Event))
+	b = append(b, wide, byte(w.EventType))
 	b = binary.LittleEndian.AppendUint32(b, uint32(w.Tenant))
-	b = binary.LittleEndian.AppendUint64(b, uint64(w.Key))
+	b = binary.LittleEndian.AppendUint64(b, uint64(w.OrderingKey))
 	b = binary.LittleEndian.AppendUint32(b, uint32(w.Destination))
-	b = binary.LittleEndian.AppendUint64(b, uint64(w.TTL))
+	b = binary.LittleEndian.AppendUint64(b, uint64(w.Deadline))
 	for _, text := range []string{string(w.RequestID), string(w.Token)} {
 		b = binary.LittleEndian.AppendUint16(b, uint16(len(text)))
 		b = append(b, text...)
@@ -26,8 +26,8 @@
 	return append(b, w.Body...)
 }
 
-// FromBytes reads that form again, and the one before it.
-func FromBytes(id api.WebhookID, b []byte) (*Webhook, error) {
+// DecodeWebhook reads that form again, and the one before it.
+func DecodeWebhook(id api.WebhookID, b []byte) (*Webhook, error) {
 	const fixed, destAt = 1 + 4 + 8 + 4 + 8, 13
 	if len(b) > 0 && b[0] == wide {
 		b = b[1:]
@@ -37,11 +37,11 @@
 	if len(b) < fixed {
 		return nil, errBroken
 	}
-	w := &Webhook{ID: id, Event: api.EventTypeID(b[0]),
+	w := &Webhook{ID: id, EventType: api.EventTypeID(b[0]),
 		Tenant:      api.TenantID(binary.LittleEndian.Uint32(b[1:])),
-		Key:         api.OrderingKey(binary.LittleEndian.Uint64(b[5:])),
+		OrderingKey: api.OrderingKey(binary.LittleEndian.Uint64(b[5:])),
 		Destination: api.DestinationID(binary.LittleEndian.Uint32(b[destAt:])),
-		TTL:         api.Micros(binary.LittleEndian.Uint64(b[destAt+4:]))}
+		Deadline:    api.Micros(binary.LittleEndian.Uint64(b[destAt+4:]))}
 	b = b[fixed:]
 	texts := [2]string{}
 	for i := range texts {
--- a/webhook/dispatcher/lifecycle/lifecycle.go
+++ b/webhook/dispatcher/lifecycle/lifecycle.go
@@ -17,53 +17,53 @@
 type Phase int32
 
 const (
-	Starting Phase = iota // reads what it is told and what an earlier life left
-	Serving               // takes webhooks on and delivers them
-	Leaving               // told to end: still takes on what comes, asks clients to go elsewhere
-	Refusing              // takes nothing on any more, still delivers
-	Settling              // starts no calls, waits for those out and for clients to go
-	Ended                 // nothing runs any more; what is owed is in the journal
+	Starting  Phase = iota // reads what it is told and what an earlier life left
+	Serving                // takes webhooks on and delivers them
+	Draining               // told to end: still takes on what comes, asks clients to go elsewhere
+	Rejecting              // takes nothing on any more, still delivers
+	Finishing              // starts no calls, waits for those out and for clients to go
+	Stopped                // nothing runs any more; what is owed is in the journal
 )
 
 func (p Phase) String() string {
 	return [...]string{"starting", "serving", "leaving", "refusing", "settling", "ended"}[p]
 }
 
-// Life is the one object that says where the program stands.
-type Life struct{ phase atomic.Int32 }
+// Lifecycle is the one object that says where the program stands.
+type Lifecycle struct{ phase atomic.Int32 }
 
 // Phase tells where it stands.
-func (l *Life) Phase() Phase { return Phase(l.phase.Load()) }
+func (l *Lifecycle) Phase() Phase { return Phase(l.phase.Load()) }
 
 // Enter moves on to a phase.
-func (l *Life) Enter(p Phase) {
+func (l *Lifecycle) Enter(p Phase) {
 	l.phase.Store(int32(p))
 	slog.Info("phase", "now", p.String())
 }
 
 // Ready tells whether clients may be sent here.
-func (l *Life) Ready() bool { return l.Phase() == Serving }
+func (l *Lifecycle) Ready() bool { return l.Phase() == Serving }
 
-// TakesOn tells whether webhooks are taken on.
-func (l *Life) TakesOn() bool { p := l.Phase(); return p == Serving || p == Leaving }
+// AcceptsWebhooks tells whether webhooks are taken on.
+func (l *Lifecycle) AcceptsWebhooks() bool { p := l.Phase(); return p == Serving || p == Draining }
 
-// Sends tells whether calls are started.
-func (l *Life) Sends() bool { p := l.Phase(); return p >= Serving && p < Settling }
+// StartsCalls tells whether calls are started.
+func (l *Lifecycle) StartsCalls() bool { p := l.Phase(); return p >= Serving && p < Finishing }
 
-// Leave goes from serving to settled: what comes is taken on until no more connections come, calls are
+// Shutdown goes from serving to settled: what comes is taken on until no more connections come, calls are
 // started for as long as their answers can still be in time, and those out are waited for. The rest stays.
 // Clients are refused until they have gone: guards against an end that cuts connections on which they send.
-func (l *Life) Leave(empty func() bool, callsOut func() int, clientsGone func() bool) {
+func (l *Lifecycle) Shutdown(empty func() bool, callsOut func() int, clientsGone func() bool) {
 	told := time.Now()
 	until := func(span time.Duration, done func() bool) {
 		for time.Since(told) < span && !done() {
 			time.Sleep(killAfter / 100)
 		}
 	}
-	l.Enter(Leaving)
+	l.Enter(Draining)
 	until(connectionsCome*5/4, func() bool { return false })
-	l.Enter(Refusing)
+	l.Enter(Rejecting)
 	until(killAfter*6/10, empty)
-	l.Enter(Settling)
+	l.Enter(Finishing)
 	until(killAfter*9/10, func() bool { return callsOut() == 0 && clientsGone() })
 }
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -25,14 +25,14 @@
 const (
 	mostBody = 64 << 10
 	mostID   = 128
-	within   = 5 * time.Microsecond * time.Duration(inflight.AnswerWithin) / 2
+	within   = 5 * time.Microsecond * time.Duration(inflight.AnswerTimeout) / 2
 	idleFor  = 2 * time.Second
 )
 
-// Clients is the server that clients connect to.
-type Clients struct {
-	x      *inflight.Exchange
-	life   *lifecycle.Life
+// Server is the server that clients connect to.
+type Server struct {
+	x      *inflight.Inbox
+	life   *lifecycle.Lifecycle
 	terms  atomic.Pointer[terms]
 	server fasthttp.Server
 	door   *door
@@ -46,14 +46,14 @@
 }
 
 // Renew has webhooks that come from now on read by other settings.
-func (s *Clients) Renew(f api.Settings, names config.Catalog) {
+func (s *Server) Renew(f api.Settings, names config.Catalog) {
 	s.terms.Store(&terms{names, f.EventTypes})
 }
 
 // New makes a server that holds at most mostOpen connections, mostIdle of them idle.
-func New(x *inflight.Exchange, life *lifecycle.Life, f api.Settings, names config.Catalog,
-	mostOpen, mostIdle int) *Clients {
-	s := &Clients{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
+func New(x *inflight.Inbox, life *lifecycle.Lifecycle, f api.Settings, names config.Catalog,
+	mostOpen, mostIdle int) *Server {
+	s := &Server{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
 	s.Renew(f, names)
 	s.server = fasthttp.Server{
 		Handler: s.handle, Name: "rowanlink", MaxRequestBodySize: mostBody,
@@ -79,7 +79,7 @@
 }
 
 // misunderstood counts what can't be used, and logs one of a second: guards the log against a flood.
-func (s *Clients) misunderstood(why string) {
+func (s *Server) misunderstood(why string) {
 	s.x.Malformed.Add(1)
 	if now := time.Now().Unix(); s.told.Swap(now) != now {
 		slog.Info("webhook not understood, others of this second are only counted", "why", why)
@@ -94,22 +94,22 @@
 }
 
 // Serve takes connections until Close.
-func (s *Clients) Serve(on net.Listener) error {
+func (s *Server) Serve(on net.Listener) error {
 	s.door.Listener = on
 	return s.server.Serve(s.door)
 }
 
 // Gone tells whether no client has a connection here any more, nor comes again for an answer that it missed.
-func (s *Clients) Gone() bool { return s.door.deserted() }
+func (s *Server) Gone() bool { return s.door.deserted() }
 
 // Close stops listening and waits for what is being answered, until the time is up.
-func (s *Clients) Close(within time.Duration) error {
+func (s *Server) Close(within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	return s.server.ShutdownWithContext(ctx)
 }
 
-func (s *Clients) handle(ctx *fasthttp.RequestCtx) {
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	defer func() { // last, since an error resets the answer
 		if !s.life.Ready() { // whoever still has a connection here is to go elsewhere
 			ctx.SetConnectionClose()
@@ -126,14 +126,14 @@
 		ctx.Error(s.life.Phase().String(), fasthttp.StatusServiceUnavailable)
 	case path == "/metrics":
 		ctx.SetContentType("text/plain; version=0.0.4")
-		s.x.Print(ctx)
+		s.x.WriteMetrics(ctx)
 	default:
 		ctx.Error("no such path", fasthttp.StatusNotFound)
 	}
 }
 
 // api takes one webhook in. It is answered when it was decided whether it is taken on.
-func (s *Clients) api(ctx *fasthttp.RequestCtx) {
+func (s *Server) api(ctx *fasthttp.RequestCtx) {
 	g := ctx.Conn().(*guest)
 	w, why := s.webhook(ctx, g)
 	quiet, gone := socket.Inspect(g)
@@ -148,27 +148,27 @@
 	}
 	// Guards against a destination that is none: it would wait out its TTL in the buffer. One that a list has
 	// not named yet may come: trying again is harmless.
-	if w.List == "" && !s.x.Named(w.Destination) {
+	if w.List == "" && !s.x.HasDestination(w.Destination) {
 		s.misunderstood("dest is on no list")
 		ctx.Error("dest is on no list", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	// Guards against a webhook that its client has handed in elsewhere meanwhile: this process stood still; and
 	// against one that waits for a decider that has ended.
-	if gone || !g.asks() || !s.life.TakesOn() {
+	if gone || !g.asks() || !s.life.AcceptsWebhooks() {
 		s.x.Rejected.Add(1)
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	what, retryIn := s.x.HandIn(w)
+	what, retryIn := s.x.Submit(w)
 	switch what {
-	case inflight.Taken:
+	case inflight.Accepted:
 		s.x.Accepted.Add(1)
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
-	case inflight.Doubled:
+	case inflight.Duplicate:
 		s.misunderstood("Request-Id is held already")
 		ctx.Error("this Request-Id is held already", fasthttp.StatusConflict)
-	case inflight.Unsaid: // its client comes again by its own rules, and is known by its name
+	case inflight.Undetermined: // its client comes again by its own rules, and is known by its name
 		ctx.SetConnectionClose()
 		ctx.Conn().Close()
 	default:
--- a/webhook/dispatcher/server/clients_test.go
+++ b/webhook/dispatcher/server/clients_test.go
@@ -45,7 +45,7 @@
 		fmt.Fprint(asking, "POST") // its next request begins
 		require.Eventually(t, func() bool { return socket.HasUnread(first.TCPConn) }, time.Second, time.Millisecond)
 		if second.answered(); full {
-			time.Sleep(inflight.Span(mayBeMute * 3 / 2)) // this process gets to read nothing
+			time.Sleep(inflight.Duration(mayBeMute * 3 / 2)) // this process gets to read nothing
 			dial()
 			enter()
 		}
@@ -59,9 +59,9 @@
 
 // Guards against a request that waits for an answer from a decider that has ended or is about to.
 func TestWhenNothingIsTakenOnTheAnswerWaitsForNobody(t *testing.T) {
-	life, x := &lifecycle.Life{}, inflight.New()
-	life.Enter(lifecycle.Ended)
-	x.Name(3)
+	life, x := &lifecycle.Lifecycle{}, inflight.New()
+	life.Enter(lifecycle.Stopped)
+	x.AddDestination(3)
 	s := New(x, life, api.Settings{EventTypes: []api.EventType{{TTL: 9 * api.Second}}},
 		config.Catalog{EventTypes: []string{"status"}}, 2, 1)
 	on, err := net.Listen("tcp", "127.0.0.1:0")
--- a/webhook/dispatcher/server/door.go
+++ b/webhook/dispatcher/server/door.go
@@ -43,7 +43,7 @@
 }
 
 // mayBeMute is how long a new connection keeps its place whatever comes: a usual client's request is with it.
-const mayBeMute = inflight.AnswerWithin / 2
+const mayBeMute = inflight.AnswerTimeout / 2
 
 // newDoor makes a door that has yet to be given its listener.
 func newDoor(most, spare int) *door {
@@ -127,7 +127,7 @@
 func (d *door) deserted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.in == 0 && inflight.Now()-d.left > inflight.AnswerWithin
+	return d.in == 0 && inflight.Now()-d.left > inflight.AnswerTimeout
 }
 
 // move puts a guest where it stands now; the caller holds the lock.
--- a/webhook/dispatcher/server/webhook.go
+++ b/webhook/dispatcher/server/webhook.go
@@ -15,7 +15,7 @@
 )
 
 // webhook takes the few fields out that are decided on; body, id and token stay as they came.
-func (s *Clients) webhook(ctx *fasthttp.RequestCtx, g *guest) (w *inflight.Webhook, why string) {
+func (s *Server) webhook(ctx *fasthttp.RequestCtx, g *guest) (w *inflight.Webhook, why string) {
 	now := inflight.Now() // its time counts from before
 	h := &ctx.Request.Header
 	length, coding := times(h, "Content-Length"), times(h, "Transfer-Encoding")
@@ -29,7 +29,7 @@
 		return nil, "a header is doubled"
 	}
 	id, token := string(h.Peek("Request-Id")), string(h.Peek("Idempotency-Key"))
-	if !plain(id) || s.x.Reserved(id) {
+	if !plain(id) || s.x.IsReserved(id) {
 		return nil, "Request-Id is missing or not plain text"
 	}
 	class, by := string(h.Peek("Request-Class")), s.terms.Load()
@@ -47,14 +47,14 @@
 	}
 	list, dest, ok := "", api.DestinationID(0), false
 	if dest, ok = destination(string(h.Peek("X-Route-To"))); !ok {
-		list, ok = s.x.ListIn(string(h.Peek("X-Route-To")))
+		list, ok = s.x.ListInRoute(string(h.Peek("X-Route-To")))
 	}
 	if !ok {
 		return nil, "X-Route-To names no dest"
 	}
 	w = &inflight.Webhook{RequestID: inflight.RequestID(id), Token: inflight.Token(token),
 		Body: bytes.Clone(ctx.PostBody()), Destination: dest,
-		Event: api.EventTypeID(evt), Tenant: math.MaxUint32, TTL: now + min(ttl, longest), CameAt: now}
+		EventType: api.EventTypeID(evt), Tenant: math.MaxUint32, Deadline: now + min(ttl, longest), ReceivedAt: now}
 	w.List = list
 	if i := slices.Index(by.Tenants, string(h.Peek("Tenant"))); i >= 0 {
 		w.Tenant = api.TenantID(i)
@@ -62,7 +62,7 @@
 	if key := h.Peek("Affinity-Key"); len(key) > 0 {
 		sum := fnv.New64a()
 		sum.Write(key)
-		w.Key = api.OrderingKey(max(sum.Sum64(), 1))
+		w.OrderingKey = api.OrderingKey(max(sum.Sum64(), 1))
 	}
 	return w, ""
 }
--- a/webhook/dispatcher/upstream/answer.go
+++ b/webhook/dispatcher/upstream/answer.go
@@ -16,7 +16,7 @@
 
 // answer reads what comes back. Where something came, the call has reached the endpoint: what can't be read
 // then may have run, however it begins, and frees its slot soon, whatever it claims still to come.
-func (s *Endpoints) answer(l *link, k *call, until time.Time) fate {
+func (s *Client) answer(l *link, k *call, until time.Time) fate {
 	head, err := l.head(until, api.Micros(s.restWithin.Load()))
 	if len(head) == 0 {
 		if !time.Now().Before(until) { // by the clock: not each error tells a deadline from a broken connection
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -36,7 +36,7 @@
 }
 
 // run makes one call from connect to answer.
-func (s *Endpoints) run(k *call, at api.Micros) {
+func (s *Client) run(k *call, at api.Micros) {
 	f, l := s.connectAndCall(k, at)
 	if l != nil && f.keep {
 		s.keep(k.ep, l)
@@ -63,7 +63,7 @@
 			what, over = f.each[w.RequestID].what, f.each[w.RequestID].over
 		}
 		s.counts.Outcomes[what].Add(1)
-		w.Step(inflight.OutcomeName(what), k.ep.id, took)
+		w.Trace(inflight.OutcomeName(what), k.ep.id, took)
 		s.came(w, k.ep.id, what, took, over, f.wait)
 	}
 }
@@ -71,7 +71,7 @@
 // connectAndCall calls on an idle link, or else on a new one. A link that says or ends something before the
 // last byte of the call is written is no longer of use, and the call has not been made: another link is
 // taken.
-func (s *Endpoints) connectAndCall(k *call, at api.Micros) (fate, *link) {
+func (s *Client) connectAndCall(k *call, at api.Micros) (fate, *link) {
 	for {
 		l, room := s.take(k.ep)
 		if !room {
@@ -83,7 +83,7 @@
 			s.counts.Connections.Add(1)
 			now := inflight.Now()
 			within := max(min(api.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
-			if l, err = dial(k.ep.addr, inflight.Span(within)); err != nil {
+			if l, err = dial(k.ep.addr, inflight.Duration(within)); err != nil {
 				s.mu.Lock()
 				s.open--
 				s.mu.Unlock()
@@ -105,11 +105,11 @@
 			return fate{what: api.ConnectFailed}, l
 		}
 		left := k.patience - (inflight.Now() - at) // connecting took its part
-		until := time.Now().Add(inflight.Span(left))
+		until := time.Now().Add(inflight.Duration(left))
 		switch written := l.write(request(k, left), until, func() bool { return s.may(k) }); {
 		case written:
 			for _, w := range k.webhooks {
-				w.Step("written", k.ep.id, inflight.Now()-at)
+				w.Trace("written", k.ep.id, inflight.Now()-at)
 			}
 			f := s.answer(l, k, until)
 			if f.tooMany && !used {
--- a/webhook/dispatcher/upstream/conn.go
+++ b/webhook/dispatcher/upstream/conn.go
@@ -61,7 +61,7 @@
 		if _, err := l.in.Peek(1); err != nil {
 			return nil, err
 		}
-		if soon := time.Now().Add(inflight.Span(rest)); soon.Before(until) {
+		if soon := time.Now().Add(inflight.Duration(rest)); soon.Before(until) {
 			if err := l.SetReadDeadline(soon); err != nil {
 				return nil, err
 			}
@@ -94,7 +94,7 @@
 var interim = regexp.MustCompile(`^HTTP/1\.1 1(0[02-9]|[1-9]\d)[ \r]`)
 
 // keep returns a link whose call is over to the idle ones of its endpoint.
-func (s *Endpoints) keep(e *endpoint, l *link) {
+func (s *Client) keep(e *endpoint, l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// Guards against a look at an idle link that fails at its last call's deadline, as if it had ended.
@@ -107,13 +107,13 @@
 }
 
 // close ends a link; the caller holds the lock.
-func (s *Endpoints) close(l *link) {
+func (s *Client) close(l *link) {
 	l.Conn.Close()
 	s.open--
 }
 
 // take finds a live idle link, the one used last, or makes room for a new one.
-func (s *Endpoints) take(e *endpoint) (l *link, room bool) {
+func (s *Client) take(e *endpoint) (l *link, room bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := len(e.idle); n > 0; n = len(e.idle) {
@@ -130,7 +130,7 @@
 	return nil, true
 }
 
-func (s *Endpoints) closeOldest() bool {
+func (s *Client) closeOldest() bool {
 	var at *endpoint
 	for _, e := range s.all {
 		if len(e.idle) > 0 && (at == nil || e.idle[0].idleAt < at.idle[0].idleAt) {
@@ -147,7 +147,7 @@
 
 // Sweep closes what has been idle for long, before the other side does, and what that has ended. It forgets
 // endpoints that are gone once nothing is out there.
-func (s *Endpoints) Sweep() {
+func (s *Client) Sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := inflight.Now()
@@ -168,7 +168,7 @@
 }
 
 // CloseIdle closes all idle links to an endpoint.
-func (s *Endpoints) CloseIdle(id api.EndpointID) {
+func (s *Client) CloseIdle(id api.EndpointID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.all[id]; e != nil {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (s *Endpoints) closeIdle(e *endpoint) {
+func (s *Client) closeIdle(e *endpoint) {
 	for _, l := range e.idle {
 		s.close(l)
 	}
--- a/webhook/dispatcher/upstream/connections_test.go
+++ b/webhook/dispatcher/upstream/connections_test.go
@@ -125,7 +125,7 @@
 	}
 	s, send, ends := at(script(t, counted, counted))
 	late := func() api.Outcome {
-		s.Send(1, []Try{{&inflight.Webhook{ID: 7, RequestID: "b"}, api.Second, inflight.Now() - 1}})
+		s.Send(1, []Attempt{{&inflight.Webhook{ID: 7, RequestID: "b"}, api.Second, inflight.Now() - 1}})
 		return (<-ends).what
 	}
 	assert.True(t, late().NeverRan(), "on a new connection")
--- a/webhook/dispatcher/upstream/endpoints.go
+++ b/webhook/dispatcher/upstream/endpoints.go
@@ -16,8 +16,8 @@
 type Came func(w *inflight.Webhook, ep api.EndpointID, what api.Outcome, took api.Micros,
 	over bool, wait api.Micros)
 
-// Endpoints holds the connections and the calls out.
-type Endpoints struct {
+// Client holds the connections and the calls out.
+type Client struct {
 	counts         *inflight.Counters
 	came           Came
 	connectTimeout atomic.Int64 // µs
@@ -37,7 +37,7 @@
 	May func(api.DestinationID) bool
 }
 
-func (s *Endpoints) may(k *call) bool { return s.May == nil || s.May(k.ep.route.dest) }
+func (s *Client) may(k *call) bool { return s.May == nil || s.May(k.ep.route.dest) }
 
 // route is what a told wait binds: a destination, or one endpoint where its kind's endpoints are apart.
 type route struct {
@@ -62,8 +62,8 @@
 // New makes a pool of at most mostOpen connections. Those idle are closed well inside the time after which
 // the other side does so: a call that crosses its close would end as a reset.
 func New(counts *inflight.Counters, came Came, connectTimeout, idleLimit api.Micros,
-	mostOpen int) *Endpoints {
-	s := &Endpoints{counts: counts, came: came, mostOpen: max(mostOpen, 1),
+	mostOpen int) *Client {
+	s := &Client{counts: counts, came: came, mostOpen: max(mostOpen, 1),
 		all: map[api.EndpointID]*endpoint{}, waits: map[route]api.Micros{},
 		out: map[api.WebhookID]*call{}}
 	s.Renew(connectTimeout, idleLimit, nil)
@@ -71,7 +71,7 @@
 }
 
 // Renew takes the settings that calls from now on are made by; those out end under the old ones.
-func (s *Endpoints) Renew(connectTimeout, idleLimit api.Micros, kinds []api.DestinationKind) {
+func (s *Client) Renew(connectTimeout, idleLimit api.Micros, kinds []api.DestinationKind) {
 	if connectTimeout <= 0 { // none is stated: patience alone ends a connect
 		connectTimeout = math.MaxInt64
 	}
@@ -92,7 +92,7 @@
 }
 
 // Place notes what the list says of an endpoint.
-func (s *Endpoints) Place(l api.EndpointEntry, addr string, of api.DestinationKind) {
+func (s *Client) Place(l api.EndpointEntry, addr string, of api.DestinationKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[l.Endpoint]
@@ -114,7 +114,7 @@
 }
 
 // Drop notes that a whole list came without these.
-func (s *Endpoints) Drop(but map[api.EndpointID]bool) {
+func (s *Client) Drop(but map[api.EndpointID]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.all {
@@ -126,7 +126,7 @@
 }
 
 // Zone tells where an endpoint is.
-func (s *Endpoints) Zone(id api.EndpointID) (zone api.ZoneID) {
+func (s *Client) Zone(id api.EndpointID) (zone api.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.all[id]; e != nil {
@@ -135,14 +135,14 @@
 	return zone
 }
 
-// Try is one webhook's part in a call: how long its answer is waited for, and the latest that it may begin.
-type Try struct {
-	Webhook          *inflight.Webhook
-	Patience, Latest api.Micros
+// Attempt is one webhook's part in a call: how long its answer is waited for, and the latest that it may begin.
+type Attempt struct {
+	Webhook         *inflight.Webhook
+	Timeout, Latest api.Micros
 }
 
 // Send makes the calls for webhooks that one turn sends to one endpoint: as few as its bundles allow.
-func (s *Endpoints) Send(id api.EndpointID, tries []Try) {
+func (s *Client) Send(id api.EndpointID, tries []Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.all[id]
@@ -159,7 +159,7 @@
 		for _, t := range tries[:n] {
 			s.out[t.Webhook.ID] = k
 			k.webhooks = append(k.webhooks, t.Webhook)
-			k.patience, k.latest = min(k.patience, t.Patience), min(k.latest, t.Latest)
+			k.patience, k.latest = min(k.patience, t.Timeout), min(k.latest, t.Latest)
 		}
 		tries = tries[n:]
 		e.out++
@@ -172,14 +172,14 @@
 }
 
 // Out tells how many webhooks are out.
-func (s *Endpoints) Out() int {
+func (s *Client) Out() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.out)
 }
 
 // Cancel calls off the call that a webhook is in.
-func (s *Endpoints) Cancel(id api.WebhookID) {
+func (s *Client) Cancel(id api.WebhookID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if k := s.out[id]; k != nil {
@@ -191,7 +191,7 @@
 }
 
 // End closes every idle connection, and those of calls out as they come back.
-func (s *Endpoints) End() {
+func (s *Client) End() {
 	s.mu.Lock()
 	s.ended = true
 	s.mu.Unlock()
--- a/webhook/dispatcher/upstream/endpoints_test.go
+++ b/webhook/dispatcher/upstream/endpoints_test.go
@@ -86,7 +86,7 @@
 		s, _, ends := at(script(t, says(text)))
 		s.Place(api.EndpointEntry{Endpoint: 2, Destination: 3}, s.all[1].addr, api.DestinationKind{BatchSize: 2})
 		soon := inflight.Now() + api.Second
-		s.Send(2, []Try{{&inflight.Webhook{ID: 1, RequestID: "a"}, api.Second, soon},
+		s.Send(2, []Attempt{{&inflight.Webhook{ID: 1, RequestID: "a"}, api.Second, soon},
 			{&inflight.Webhook{ID: 2, RequestID: "b"}, api.Second, soon}})
 		got := map[api.Outcome]int{}
 		for range 2 {
--- a/webhook/dispatcher/upstream/helpers_test.go
+++ b/webhook/dispatcher/upstream/helpers_test.go
@@ -21,7 +21,7 @@
 }
 
 // at starts a pool with endpoint 1 at an address, and calls it once with each webhook that is sent on.
-func at(addr string) (s *Endpoints, send func(patience api.Micros), ends chan end) {
+func at(addr string) (s *Client, send func(patience api.Micros), ends chan end) {
 	ends = make(chan end, 9)
 	s = New(&inflight.Counters{}, func(_ *inflight.Webhook, _ api.EndpointID, what api.Outcome,
 		_ api.Micros, over bool, wait api.Micros) {
@@ -31,7 +31,7 @@
 	id := api.WebhookID(0)
 	return s, func(patience api.Micros) {
 		id++
-		s.Send(1, []Try{{&inflight.Webhook{ID: id, RequestID: "a"}, patience, inflight.Now() + patience}})
+		s.Send(1, []Attempt{{&inflight.Webhook{ID: id, RequestID: "a"}, patience, inflight.Now() + patience}})
 	}, ends
 }
 
--- a/webhook/dispatcher/wal/entry.go
+++ b/webhook/dispatcher/wal/entry.go
@@ -26,54 +26,54 @@
 
 // Entry is what the journal knows of one webhook.
 type Entry struct {
-	ID       api.WebhookID
-	Taken    []byte // as handed to Accept
-	Event    string // the name of its event type, where it was told
-	Attempts int
-	MayRun   api.Micros // first attempt that may have run, or Never
-	Zone     api.ZoneID // of that attempt's endpoint
-	Ended    bool
-	Notice   []byte // owed since it ended
+	ID           api.WebhookID
+	Payload      []byte // as handed to Accept
+	EventType    string // the name of its event type, where it was told
+	Attempts     int
+	MayHaveRunAt api.Micros // first attempt that may have run, or Never
+	Zone         api.ZoneID // of that attempt's endpoint
+	Finished     bool
+	Callback     []byte // owed since it ended
 
-	firstOut bool // the last call is the first that may have run
+	lastCallIsFirst bool // the last call is the first that may have run
 }
 
 func (e *Entry) size() int {
-	size := recordHead + stateLen + len(e.Taken) + len(e.Notice)
-	if e.Event != "" {
-		size += recordHead + len(e.Event)
+	size := recordHead + stateLen + len(e.Payload) + len(e.Callback)
+	if e.EventType != "" {
+		size += recordHead + len(e.EventType)
 	}
 	return size
 }
 
 func (e *Entry) call(at api.Micros, zone api.ZoneID) {
 	e.Attempts++
-	if e.firstOut = e.MayRun == api.Never; e.firstOut {
-		e.MayRun, e.Zone = at, zone
+	if e.lastCallIsFirst = e.MayHaveRunAt == api.Never; e.lastCallIsFirst {
+		e.MayHaveRunAt, e.Zone = at, zone
 	}
 }
 
 func (e *Entry) neverRan() {
-	if e.firstOut {
-		e.MayRun, e.firstOut = api.Never, false
+	if e.lastCallIsFirst {
+		e.MayHaveRunAt, e.lastCallIsFirst = api.Never, false
 	}
 }
 
 func (e *Entry) record(to []byte) []byte {
-	if e.Ended {
-		return record(to, ended, e.ID, e.Notice)
+	if e.Finished {
+		return record(to, ended, e.ID, e.Callback)
 	}
-	rest := make([]byte, 0, stateLen+len(e.Taken))
+	rest := make([]byte, 0, stateLen+len(e.Payload))
 	rest = binary.LittleEndian.AppendUint16(rest, uint16(e.Attempts))
-	rest = binary.LittleEndian.AppendUint64(rest, uint64(e.MayRun))
+	rest = binary.LittleEndian.AppendUint64(rest, uint64(e.MayHaveRunAt))
 	rest = binary.LittleEndian.AppendUint16(rest, uint16(e.Zone))
 	first := byte(0)
-	if e.firstOut {
+	if e.lastCallIsFirst {
 		first = 1
 	}
-	to = record(to, accepted, e.ID, append(append(rest, first), e.Taken...))
-	if e.Event != "" { // a record of its own, which earlier releases pass over
-		to = record(to, named, e.ID, []byte(e.Event))
+	to = record(to, accepted, e.ID, append(append(rest, first), e.Payload...))
+	if e.EventType != "" { // a record of its own, which earlier releases pass over
+		to = record(to, named, e.ID, []byte(e.EventType))
 	}
 	return to
 }
--- a/webhook/dispatcher/wal/journal.go
+++ b/webhook/dispatcher/wal/journal.go
@@ -19,24 +19,24 @@
 // ErrFull is answered when no room is left for another webhook.
 var ErrFull = errors.New("the journal is full")
 
-// Journal is the file and what stands in it. It belongs to one goroutine.
-type Journal struct {
-	dir     string
-	file    *os.File
-	size    int // of the file
-	limit   int
-	live    int // what the file would hold if written anew
-	entries map[api.WebhookID]*Entry
-	pending []byte
-	anew    bool // the file may lack what was noted: write it anew
+// Log is the file and what stands in it. It belongs to one goroutine.
+type Log struct {
+	dir             string
+	file            *os.File
+	size            int // of the file
+	maxSize         int
+	liveSize        int // what the file would hold if written anew
+	entries         map[api.WebhookID]*Entry
+	pending         []byte
+	needsCompaction bool // the file may lack what was noted: write it anew
 }
 
 // Open reads what an earlier life left in the folder, which is never filled beyond diskMB.
-func Open(dir string, diskMB float64) (*Journal, error) {
+func Open(dir string, diskMB float64) (*Log, error) {
 	if dir == "" {
 		return nil, errors.New("journal: no folder is named")
 	}
-	j := &Journal{dir: dir, limit: int(diskMB * mega), entries: map[api.WebhookID]*Entry{}}
+	j := &Log{dir: dir, maxSize: int(diskMB * mega), entries: map[api.WebhookID]*Entry{}}
 	if err := os.Remove(j.path("new")); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -53,24 +53,24 @@
 		j.replay(old[8], api.WebhookID(binary.LittleEndian.Uint32(old[9:])), old[recordHead:8+n])
 		old = old[8+n:]
 	}
-	if err := j.writeAnew(); err != nil {
+	if err := j.compact(); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	return j, nil
 }
 
-func (j *Journal) path(ending string) string { return filepath.Join(j.dir, "webhooks."+ending) }
+func (j *Log) path(ending string) string { return filepath.Join(j.dir, "webhooks."+ending) }
 
-func (j *Journal) replay(kind byte, id api.WebhookID, rest []byte) {
+func (j *Log) replay(kind byte, id api.WebhookID, rest []byte) {
 	e := j.entries[id]
 	switch {
 	case kind == accepted && len(rest) >= stateLen:
 		j.put(&Entry{ID: id, Attempts: int(binary.LittleEndian.Uint16(rest)),
-			MayRun:   api.Micros(binary.LittleEndian.Uint64(rest[2:])),
-			Zone:     api.ZoneID(binary.LittleEndian.Uint16(rest[10:])),
-			firstOut: rest[12] != 0, Taken: slices.Clone(rest[stateLen:])})
+			MayHaveRunAt:    api.Micros(binary.LittleEndian.Uint64(rest[2:])),
+			Zone:            api.ZoneID(binary.LittleEndian.Uint16(rest[10:])),
+			lastCallIsFirst: rest[12] != 0, Payload: slices.Clone(rest[stateLen:])})
 	case kind == ended:
-		j.put(&Entry{ID: id, Ended: true, Notice: slices.Clone(rest)})
+		j.put(&Entry{ID: id, Finished: true, Callback: slices.Clone(rest)})
 		if len(rest) == 0 {
 			j.drop(id)
 		}
@@ -87,21 +87,21 @@
 	}
 }
 
-func (j *Journal) put(e *Entry) {
+func (j *Log) put(e *Entry) {
 	j.drop(e.ID)
 	j.entries[e.ID] = e
-	j.live += e.size()
+	j.liveSize += e.size()
 }
 
-func (j *Journal) drop(id api.WebhookID) {
+func (j *Log) drop(id api.WebhookID) {
 	if e := j.entries[id]; e != nil {
-		j.live -= e.size()
+		j.liveSize -= e.size()
 		delete(j.entries, id)
 	}
 }
 
 // Entries lists what is held or owed, in the order taken.
-func (j *Journal) Entries() []*Entry {
+func (j *Log) Entries() []*Entry {
 	all := make([]*Entry, 0, len(j.entries))
 	for _, e := range j.entries {
 		all = append(all, e)
@@ -111,9 +111,9 @@
 }
 
 // Accept notes a webhook. It fails with ErrFull where what is owed could not be written anew beside the file.
-func (j *Journal) Accept(id api.WebhookID, taken []byte) error {
-	e := &Entry{ID: id, Taken: taken, MayRun: api.Never}
-	if 2*(j.live+e.size())+j.limit/spare > j.limit {
+func (j *Log) Accept(id api.WebhookID, taken []byte) error {
+	e := &Entry{ID: id, Payload: taken, MayHaveRunAt: api.Never}
+	if 2*(j.liveSize+e.size())+j.maxSize/spare > j.maxSize {
 		return ErrFull
 	}
 	j.put(e)
@@ -121,38 +121,38 @@
 	return nil
 }
 
-// Named notes the name of the event type of a webhook just accepted.
-func (j *Journal) Named(id api.WebhookID, event string) {
-	if e := j.Entry(id); e != nil && event != "" {
+// SetEventType notes the name of the event type of a webhook just accepted.
+func (j *Log) SetEventType(id api.WebhookID, event string) {
+	if e := j.Pending(id); e != nil && event != "" {
 		j.name(e, event)
 		j.pending = record(j.pending, named, id, []byte(event))
 	}
 }
 
-func (j *Journal) name(e *Entry, event string) {
-	j.live -= e.size()
-	e.Event = event
-	j.live += e.size()
+func (j *Log) name(e *Entry, event string) {
+	j.liveSize -= e.size()
+	e.EventType = event
+	j.liveSize += e.size()
 }
 
-// Entry is what is known of a webhook that is held; nil if it is not. It is the journal's own: to be read.
-func (j *Journal) Entry(id api.WebhookID) *Entry {
-	if e := j.entries[id]; e != nil && !e.Ended {
+// Pending is what is known of a webhook that is held; nil if it is not. It is the journal's own: to be read.
+func (j *Log) Pending(id api.WebhookID) *Entry {
+	if e := j.entries[id]; e != nil && !e.Finished {
 		return e
 	}
 	return nil
 }
 
-// Past notes what a webhook just accepted brings along: attempts used, and the first that may have run.
-func (j *Journal) Past(id api.WebhookID, attempts int, mayRun api.Micros, zone api.ZoneID) {
-	if e := j.Entry(id); e != nil {
-		e.Attempts, e.MayRun, e.Zone, e.firstOut = attempts, mayRun, zone, false
+// SetPriorAttempts notes what a webhook just accepted brings along: attempts used, and the first that may have run.
+func (j *Log) SetPriorAttempts(id api.WebhookID, attempts int, mayRun api.Micros, zone api.ZoneID) {
+	if e := j.Pending(id); e != nil {
+		e.Attempts, e.MayHaveRunAt, e.Zone, e.lastCallIsFirst = attempts, mayRun, zone, false
 		j.pending = e.record(j.pending)
 	}
 }
 
-// Call notes a delivery attempt before its first byte.
-func (j *Journal) Call(id api.WebhookID, at api.Micros, zone api.ZoneID) {
+// RecordCall notes a delivery attempt before its first byte.
+func (j *Log) RecordCall(id api.WebhookID, at api.Micros, zone api.ZoneID) {
 	if e := j.entries[id]; e != nil {
 		e.call(at, zone)
 		rest := binary.LittleEndian.AppendUint64(nil, uint64(at))
@@ -160,62 +160,62 @@
 	}
 }
 
-// NeverRan notes that the last attempt is known not to have run.
-func (j *Journal) NeverRan(id api.WebhookID) {
+// RecordNeverRan notes that the last attempt is known not to have run.
+func (j *Log) RecordNeverRan(id api.WebhookID) {
 	if e := j.entries[id]; e != nil {
 		e.neverRan()
 		j.pending = record(j.pending, neverRan, id, nil)
 	}
 }
 
-// End notes that a webhook is over, and the notice that is owed from now on, if any.
-func (j *Journal) End(id api.WebhookID, notice []byte) {
+// Finish notes that a webhook is over, and the notice that is owed from now on, if any.
+func (j *Log) Finish(id api.WebhookID, notice []byte) {
 	if j.entries[id] == nil {
 		return
 	}
-	j.put(&Entry{ID: id, Ended: true, Notice: notice})
+	j.put(&Entry{ID: id, Finished: true, Callback: notice})
 	if len(notice) == 0 {
 		j.drop(id)
 	}
 	j.pending = record(j.pending, ended, id, notice)
 }
 
-// Told notes that a notice was heard: nothing is owed any more.
-func (j *Journal) Told(id api.WebhookID) {
+// CallbackDelivered notes that a notice was heard: nothing is owed any more.
+func (j *Log) CallbackDelivered(id api.WebhookID) {
 	j.drop(id)
 	j.pending = record(j.pending, told, id, nil)
 }
 
-// Forget takes back an Accept whose Commit failed.
-func (j *Journal) Forget(id api.WebhookID) {
+// Undo takes back an Accept whose Commit failed.
+func (j *Log) Undo(id api.WebhookID) {
 	j.drop(id)
-	j.anew = true
+	j.needsCompaction = true
 }
 
 // Commit writes all that was noted since the last one. Only then may it be acted on. After an error nothing
 // of it counts as written; the next Commit writes all that is known anew.
-func (j *Journal) Commit() error {
-	if len(j.pending) == 0 && !j.anew {
+func (j *Log) Commit() error {
+	if len(j.pending) == 0 && !j.needsCompaction {
 		return nil
 	}
-	if j.anew || j.size+len(j.pending)+j.live > j.limit {
-		return j.writeAnew()
+	if j.needsCompaction || j.size+len(j.pending)+j.liveSize > j.maxSize {
+		return j.compact()
 	}
 	n, err := j.file.Write(j.pending)
 	j.pending = j.pending[:0]
 	if err != nil {
 		// Guards against a kill before the next Commit: what a disk took half of before it was full was refused,
 		// and its client has it delivered elsewhere.
-		j.anew = true
+		j.needsCompaction = true
 		return fmt.Errorf("journal: %w", errors.Join(err, j.file.Truncate(int64(j.size))))
 	}
 	j.size += n
 	return nil
 }
 
-// writeAnew replaces the file by one with only what is owed. A kill leaves either the old one or the new one.
-func (j *Journal) writeAnew() error {
-	j.anew = true
+// compact replaces the file by one with only what is owed. A kill leaves either the old one or the new one.
+func (j *Log) compact() error {
+	j.needsCompaction = true
 	var all []byte
 	for _, e := range j.Entries() {
 		all = e.record(all)
@@ -233,9 +233,9 @@
 	if j.file != nil {
 		j.file.Close()
 	}
-	j.file, j.size, j.pending, j.anew = f, len(all), j.pending[:0], false
+	j.file, j.size, j.pending, j.needsCompaction = f, len(all), j.pending[:0], false
 	return nil
 }
 
 // Close ends the journal; its file stays.
-func (j *Journal) Close() error { return j.file.Close() }
+func (j *Log) Close() error { return j.file.Close() }
--- a/webhook/dispatcher/wal/journal_test.go
+++ b/webhook/dispatcher/wal/journal_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/webhook/api"
 )
 
-func open(t *testing.T, dir string) *Journal {
+func open(t *testing.T, dir string) *Log {
 	j, err := Open(dir, 0.1)
 	require.NoError(t, err)
 	t.Cleanup(func() { j.Close() })
@@ -26,15 +26,15 @@
 	dir := t.TempDir()
 	j := open(t, dir)
 	require.NoError(t, j.Accept(7, []byte("taken")))
-	j.Named(7, "status")
-	j.Call(7, 100, 0) // refused: it never ran
-	j.NeverRan(7)
-	j.Call(7, 200, 1) // errored: it may have
-	j.Call(7, 300, 0) // refused again, which proves nothing of the one before
-	j.NeverRan(7)
+	j.SetEventType(7, "status")
+	j.RecordCall(7, 100, 0) // refused: it never ran
+	j.RecordNeverRan(7)
+	j.RecordCall(7, 200, 1) // errored: it may have
+	j.RecordCall(7, 300, 0) // refused again, which proves nothing of the one before
+	j.RecordNeverRan(7)
 	require.NoError(t, j.Commit())
 	for range 2 { // read from the records, then from the file written anew
-		want := Entry{ID: 7, Taken: []byte("taken"), Event: "status", Attempts: 3, MayRun: 200, Zone: 1}
+		want := Entry{ID: 7, Payload: []byte("taken"), EventType: "status", Attempts: 3, MayHaveRunAt: 200, Zone: 1}
 		assert.Equal(t, []*Entry{&want}, entries(t, dir))
 	}
 }
@@ -43,13 +43,13 @@
 	dir := t.TempDir()
 	j := open(t, dir)
 	require.NoError(t, j.Accept(1, nil))
-	j.Call(1, 100, 0)
+	j.RecordCall(1, 100, 0)
 	require.NoError(t, j.Commit())
 	next := open(t, dir)
-	assert.Equal(t, api.Micros(100), next.Entries()[0].MayRun)
-	next.NeverRan(1)
+	assert.Equal(t, api.Micros(100), next.Entries()[0].MayHaveRunAt)
+	next.RecordNeverRan(1)
 	require.NoError(t, next.Commit())
-	assert.Equal(t, api.Never, entries(t, dir)[0].MayRun)
+	assert.Equal(t, api.Never, entries(t, dir)[0].MayHaveRunAt)
 }
 
 func TestTornTailIsLeftOutAndWrittenOver(t *testing.T) {
@@ -81,19 +81,19 @@
 	j := open(t, dir)
 	require.NoError(t, j.Accept(1, []byte("held all along")))
 	require.NoError(t, j.Accept(2, []byte("ends with a notice")))
-	j.End(2, []byte("owed"))
+	j.Finish(2, []byte("owed"))
 	body := []byte(strings.Repeat("x", 2000))
 	for id := api.WebhookID(3); id < 300; id++ {
 		require.NoError(t, j.Accept(id, body))
-		j.Call(id, 5, 0)
-		j.End(id, nil)
+		j.RecordCall(id, 5, 0)
+		j.Finish(id, nil)
 		require.NoError(t, j.Commit())
-		require.LessOrEqual(t, j.size+j.live, 100_000)
+		require.LessOrEqual(t, j.size+j.liveSize, 100_000)
 	}
 	left := entries(t, dir)
 	require.Len(t, left, 2)
-	assert.Equal(t, "held all along", string(left[0].Taken))
-	assert.Equal(t, "owed", string(left[1].Notice))
+	assert.Equal(t, "held all along", string(left[0].Payload))
+	assert.Equal(t, "owed", string(left[1].Callback))
 }
 
 func TestWhatCouldNotBeWrittenIsWrittenNextTime(t *testing.T) {
@@ -103,13 +103,13 @@
 	require.NoError(t, j.Commit())
 	require.NoError(t, j.file.Close()) // the disk refuses
 	require.NoError(t, j.Accept(2, []byte("refused")))
-	j.End(1, []byte("owed"))
+	j.Finish(1, []byte("owed"))
 	require.Error(t, j.Commit())
-	j.Forget(2)
+	j.Undo(2)
 	require.NoError(t, j.Commit())
 	left := entries(t, dir)
 	require.Len(t, left, 1)
-	assert.Equal(t, "owed", string(left[0].Notice))
+	assert.Equal(t, "owed", string(left[0].Callback))
 }
 
 func TestWhatTheDiskTookHalfOfIsNotOwedAfterAKill(t *testing.T) {
@@ -127,5 +127,5 @@
 	require.Error(t, j.Commit())
 	left := entries(t, dir)
 	require.Len(t, left, 1)
-	assert.Equal(t, "held", string(left[0].Taken))
+	assert.Equal(t, "held", string(left[0].Payload))
 }
