--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -53,8 +53,8 @@
 
 func restoreState(answer transport.StateResponse, shardMap *shardmap.Map, progress *rebalance.Progress) error {
 	err := errNoShardMap
-	for _, part := range answer.Parts {
-		switch part.Part {
+	for _, part := range answer.Components {
+		switch part.Component {
 		case cluster.ShardMapComponent:
 			err = shardMap.Restore(part.Data)
 		case cluster.RebalanceComponent:
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -78,7 +78,7 @@
 	if session == 0 {
 		within = timing.LoggedRequestTimeout(s.LeaseTTL)
 	}
-	request := transport.SessionRequest{Member: s.Self, Session: session, Incarnation: s.Incarnation, GrantTally: tally}
+	request := transport.SessionRequest{Member: s.Self, Session: session, Incarnation: s.Incarnation, GrantDigest: tally}
 	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
 	if err == nil {
 		err = transport.Decode(raw, &answer)
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -38,7 +38,7 @@
 	node, failures := cluster.MemberID(""), 0
 	for !s.isClosed() {
 		request := s.watchRequest()
-		if len(request.Versions)+len(request.WantedTasks) == 0 {
+		if len(request.Versions)+len(request.WantedResources) == 0 {
 			select {
 			case <-s.pollWake:
 				continue
@@ -57,7 +57,7 @@
 		}
 		failures = 0
 		s.applyState(answer)
-		if len(answer.Parts)+len(answer.FreeTasks) == 0 {
+		if len(answer.Components)+len(answer.FreeResources) == 0 {
 			node = ""
 		}
 	}
@@ -80,7 +80,7 @@
 func (s *Session) watchRequest() transport.StateRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request := transport.StateRequest{Versions: map[byte]uint64{}, WantedTasks: s.reconciler.Blocked(), AcceptDeltas: true}
+	request := transport.StateRequest{Versions: map[byte]uint64{}, WantedResources: s.reconciler.Blocked(), AcceptDeltas: true}
 	for part, w := range s.watchers {
 		request.Versions[part] = w.version
 	}
@@ -88,17 +88,17 @@
 }
 
 func (s *Session) applyState(answer transport.StateResponse) {
-	s.markFreed(answer.FreeTasks)
-	for _, part := range answer.Parts {
+	s.markFreed(answer.FreeResources)
+	for _, part := range answer.Components {
 		s.applyPart(part)
 	}
 }
 
 // applyPart takes a newer version of a part. Where a delta doesn't fit, the next poll requests the full snapshot.
-func (s *Session) applyPart(part transport.PartState) {
+func (s *Session) applyPart(part transport.ComponentState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.watchers[part.Part]
+	w := s.watchers[part.Component]
 	isDelta := part.BaseVersion != 0
 	if w == nil || part.Version <= w.version || isDelta && part.BaseVersion != w.version {
 		return
@@ -108,7 +108,7 @@
 		var err error
 		snapshot, err = fsm.ApplyDelta(w.snapshot, part.Data)
 		if err != nil {
-			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", part.Part, "why", err)
+			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", part.Component, "why", err)
 			w.version = 0
 			return
 		}
--- a/cluster/raftnode/handlers.go
+++ b/cluster/raftnode/handlers.go
@@ -65,10 +65,10 @@
 func (n *Node) renewSession(ctx *fasthttp.RequestCtx, request transport.SessionRequest, receivedAt api.Micros) {
 	results := make(chan renewalResult, 1)
 	r := renewal{
-		session:    request.Session,
-		grantTally: request.GrantTally,
-		receivedAt: receivedAt,
-		result:     results,
+		session:     request.Session,
+		grantDigest: request.GrantDigest,
+		receivedAt:  receivedAt,
+		result:      results,
 	}
 	select {
 	case n.renewals <- r:
--- a/cluster/raftnode/leadership.go
+++ b/cluster/raftnode/leadership.go
@@ -16,10 +16,10 @@
 // renewal is a request to renew a session. It waits until a quorum is known to have followed this leader at or after
 // receivedAt.
 type renewal struct {
-	session    cluster.SessionID
-	grantTally lease.Digest // of the grants that the member knows of
-	receivedAt api.Micros
-	result     chan<- renewalResult
+	session     cluster.SessionID
+	grantDigest lease.Digest // of the grants that the member knows of
+	receivedAt  api.Micros
+	result      chan<- renewalResult
 }
 
 // renewalResult is the answer to a renewal. grants are all that the session holds, if the member does not know them.
@@ -164,7 +164,7 @@
 	}
 	n.RenewalsAccepted.Add(1)
 	result := renewalResult{outcome: renewalAccepted}
-	if n.leases.Digest(r.session) != r.grantTally {
+	if n.leases.Digest(r.session) != r.grantDigest {
 		result.grants = n.leases.GrantsOf(r.session)
 	}
 	return result
--- a/cluster/raftnode/metrics.go
+++ b/cluster/raftnode/metrics.go
@@ -28,7 +28,7 @@
 	Redirects         atomic.Int64 // requests answered with who leads
 	MembershipChanges atomic.Int64
 	Removed           atomic.Int64
-	PartsServed       atomic.Int64
+	ComponentsServed  atomic.Int64
 
 	isLeader   atomic.Int64 // 1 or 0
 	quorumLost atomic.Int64 // 1 or 0
@@ -56,7 +56,7 @@
 		{"proposals_refused_total", n.ProposalsRejected.Load()},
 		{"proposals_unsure_total", n.ProposalsOutcomeUnknown.Load()},
 		{"keeper_asked_elsewhere_total", n.Redirects.Load()},
-		{"keeper_states_total", n.PartsServed.Load()},
+		{"keeper_states_total", n.ComponentsServed.Load()},
 		{"keeper_joined_total", n.MembershipChanges.Load()},
 		{"keeper_removed_total", n.Removed.Load()},
 		{"keeper_log_index", int64(n.raft.LastIndex())},
--- a/cluster/raftnode/state_reads.go
+++ b/cluster/raftnode/state_reads.go
@@ -37,14 +37,14 @@
 			case <-n.closing:
 			}
 		}
-		n.PartsServed.Add(int64(len(response.Parts)))
+		n.ComponentsServed.Add(int64(len(response.Components)))
 		ctx.SetBody(transport.Encode(response))
 		return
 	}
 }
 
 func isEmptyResponse(response transport.StateResponse) bool {
-	return len(response.Parts)+len(response.FreeTasks) == 0
+	return len(response.Components)+len(response.FreeResources) == 0
 }
 
 // readNewerState reads at one point of the log what handleState answers with. If that is nothing, stateChanged is closed
@@ -61,12 +61,12 @@
 			return transport.StateResponse{}, nil, err
 		}
 		if isNewer {
-			response.Parts = append(response.Parts, part)
+			response.Components = append(response.Components, part)
 		}
 	}
-	for _, resource := range request.WantedTasks {
+	for _, resource := range request.WantedResources {
 		if _, _, _, held := n.leases.Holder(resource); !held {
-			response.FreeTasks = append(response.FreeTasks, resource)
+			response.FreeResources = append(response.FreeResources, resource)
 		}
 	}
 	if isEmptyResponse(response) {
@@ -79,7 +79,7 @@
 // and known. The caller holds the lock.
 func (n *Node) readComponent(
 	component byte, requesterVersion uint64, acceptDeltas bool,
-) (part transport.PartState, isNewer bool, err error) {
+) (part transport.ComponentState, isNewer bool, err error) {
 	version, history := n.machine.ComponentVersion(component), n.history[component]
 	if history == nil {
 		history = &fsm.SnapshotHistory{}
@@ -101,7 +101,7 @@
 	if isCurrent {
 		return part, false, nil
 	}
-	part = transport.PartState{Part: component, Version: version}
+	part = transport.ComponentState{Component: component, Version: version}
 	if acceptDeltas {
 		part.BaseVersion, part.Data = history.DeltaSince(requesterVersion)
 	} else {
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -21,7 +21,7 @@
 	Member      cluster.MemberID  `cbor:"1,keyasint"`
 	Session     cluster.SessionID `cbor:"2,keyasint,omitempty"`
 	Incarnation lease.Incarnation `cbor:"3,keyasint,omitempty"`
-	GrantTally  lease.Digest      `cbor:"4,keyasint,omitempty"`
+	GrantDigest lease.Digest      `cbor:"4,keyasint,omitempty"`
 }
 
 // SessionResponse is a keeper's yes, or which refusal (state.Code). Term is the one that the keeper counts.
@@ -43,21 +43,21 @@
 // StateRequest asks for each part that is newer than the version named, and which of the tasks are free.
 // Changes is whether a part may come as what changed since that version.
 type StateRequest struct {
-	Versions     map[byte]uint64    `cbor:"1,keyasint,omitempty"`
-	WantedTasks  []cluster.Resource `cbor:"2,keyasint,omitempty"`
-	AcceptDeltas bool               `cbor:"3,keyasint,omitempty"`
+	Versions        map[byte]uint64    `cbor:"1,keyasint,omitempty"`
+	WantedResources []cluster.Resource `cbor:"2,keyasint,omitempty"`
+	AcceptDeltas    bool               `cbor:"3,keyasint,omitempty"`
 }
 
 // StateResponse holds those that are; Index is how far the log's entries were applied where it was read.
 type StateResponse struct {
-	AppliedIndex uint64             `cbor:"1,keyasint"`
-	Parts        []PartState        `cbor:"2,keyasint,omitempty"`
-	FreeTasks    []cluster.Resource `cbor:"3,keyasint,omitempty"`
+	AppliedIndex  uint64             `cbor:"1,keyasint"`
+	Components    []ComponentState   `cbor:"2,keyasint,omitempty"`
+	FreeResources []cluster.Resource `cbor:"3,keyasint,omitempty"`
 }
 
-// PartState is one part as it was at a version: whole, or by state.Changed from what it was at Since.
-type PartState struct {
-	Part        byte   `cbor:"1,keyasint"`
+// ComponentState is one part as it was at a version: whole, or by state.Changed from what it was at Since.
+type ComponentState struct {
+	Component   byte   `cbor:"1,keyasint"`
 	Version     uint64 `cbor:"2,keyasint"`
 	Data        []byte `cbor:"3,keyasint"`
 	BaseVersion uint64 `cbor:"4,keyasint,omitempty"`
--- a/cluster/transport/talk.go
+++ b/cluster/transport/talk.go
@@ -113,13 +113,13 @@
 	for {
 		err = p.http.DoTimeout(req, resp, time.Until(until))
 		// A connection that had ended while it was idle took no byte of it: another one may.
-		if err == nil || !errors.Is(err, errIdleConnClosed) || !time.Now().Before(until) {
+		if err == nil || !errors.Is(err, errConnWasClosed) || !time.Now().Before(until) {
 			break
 		}
 	}
 	if err != nil {
 		why := ErrOutcomeUnknown
-		if l, written := resp.LocalAddr().(*trackedConn); !written || l.incompleteWrite {
+		if l, written := resp.LocalAddr().(*trackedConn); !written || l.isIncomplete {
 			why = ErrNotSent
 		}
 		return 0, nil, fmt.Errorf("%w: %w", why, err)
@@ -131,14 +131,14 @@
 	return resp.StatusCode(), append([]byte(nil), answer...), nil
 }
 
-var errIdleConnClosed = errors.New("the connection had ended")
+var errConnWasClosed = errors.New("the connection had ended")
 
 // trackedConn is one connection. It has one message at a time and knows whether the last one was written as a whole;
 // it stands for its own address, since that is what an answer is told of the connection that it came on.
 type trackedConn struct {
 	net.Conn
-	writeStarted    bool // a byte of the message was written, and nothing read since
-	incompleteWrite bool // not written as a whole
+	isStarted    bool // a byte of the message was written, and nothing read since
+	isIncomplete bool // not written as a whole
 }
 
 func (l *trackedConn) LocalAddr() net.Addr { return l }
@@ -149,18 +149,18 @@
 // connection that is gone, which could then not be told from one that arrived.
 func (l *trackedConn) Write(p []byte) (n int, err error) {
 	if quiet, _ := socket.Inspect(l.Conn); !quiet {
-		l.incompleteWrite = true
-		if l.writeStarted {
+		l.isIncomplete = true
+		if l.isStarted {
 			return 0, net.ErrClosed
 		}
-		return 0, errIdleConnClosed
+		return 0, errConnWasClosed
 	}
 	n, err = l.Conn.Write(p)
-	l.incompleteWrite, l.writeStarted = n < len(p), true
+	l.isIncomplete, l.isStarted = n < len(p), true
 	return n, err
 }
 
 func (l *trackedConn) Read(p []byte) (int, error) {
-	l.writeStarted = false
+	l.isStarted = false
 	return l.Conn.Read(p)
 }
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -38,7 +38,7 @@
 	mu             sync.Mutex
 	leases         *lease.Table
 	index          uint64
-	planStates     []transport.PartState
+	planStates     []transport.ComponentState
 	polledVersions []uint64
 	grantRequests  int
 	mapCommands    int
@@ -61,7 +61,7 @@
 }
 
 // QueuePlanStates has the next polls answered with these, one each; later ones bring nothing.
-func (l *Leader) QueuePlanStates(states ...transport.PartState) {
+func (l *Leader) QueuePlanStates(states ...transport.ComponentState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.planStates = append(l.planStates, states...)
@@ -112,7 +112,7 @@
 			return
 		}
 		answer.Session = opened.Session
-	} else if l.leases.Digest(request.Session) != request.GrantTally {
+	} else if l.leases.Digest(request.Session) != request.GrantDigest {
 		answer.Grants = l.leases.GrantsOf(request.Session)
 	}
 	ctx.SetBody(transport.Encode(answer))
@@ -152,14 +152,14 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	answer := transport.StateResponse{Parts: l.nextPlanState(request.Versions[cluster.RebalanceComponent])}
-	if len(answer.Parts) == 0 {
+	answer := transport.StateResponse{Components: l.nextPlanState(request.Versions[cluster.RebalanceComponent])}
+	if len(answer.Components) == 0 {
 		time.Sleep(time.Duration(l.leaseTTL/3) * time.Microsecond)
 	}
 	ctx.SetBody(transport.Encode(answer))
 }
 
-func (l *Leader) nextPlanState(polled uint64) []transport.PartState {
+func (l *Leader) nextPlanState(polled uint64) []transport.ComponentState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.polledVersions)
--- a/test/integration/harness/ownership.go
+++ b/test/integration/harness/ownership.go
@@ -66,7 +66,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		for _, part := range answer.Parts {
+		for _, part := range answer.Components {
 			version = part.Version
 			chart := shardmap.New(nil)
 			if chart.Restore(part.Data) != nil {
--- a/test/integration/harness/shardmap.go
+++ b/test/integration/harness/shardmap.go
@@ -27,11 +27,11 @@
 		status, raw, err := asks.Call(keeper, transport.StatePath,
 			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: 0}}), 2*time.Second)
 		var answer transport.StateResponse
-		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
+		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Components) == 0 {
 			continue
 		}
 		chart := shardmap.New(nil)
-		require.NoError(f.t, chart.Restore(answer.Parts[0].Data))
+		require.NoError(f.t, chart.Restore(answer.Components[0].Data))
 		if newest == nil || chart.Version > newest.Version {
 			newest = chart
 		}
