--- a/serving/actor/actor.go
+++ b/serving/actor/actor.go
@@ -1,55 +1,60 @@
-// Package actor gives a table one goroutine that alone touches it and works through a queue of commands.
+// Package actor implements actors: each owns a state that only its goroutine accesses, and executes commands on it one
+// after the other.
 package actor
 
 import "sync"
 
-// queueLength is how many commands may wait before those who give them wait too.
+// queueLength is the number of queued commands beyond which Send blocks.
 const queueLength = 256
 
-// Actor runs commands on a table, one after the other in the order given.
-type Actor[Table any] struct {
-	commands chan func(*Table)
+// Actor executes commands on a state in the order in which they are sent. It is safe for concurrent use.
+type Actor[State any] struct {
+	commands chan func(*State)
 	stopped  chan struct{}
-	stop     sync.Once
+	stopOnce sync.Once
 }
 
-// Start hands the table to a goroutine of its own. The caller must not touch it again.
-func Start[Table any](table *Table) *Actor[Table] {
-	o := &Actor[Table]{commands: make(chan func(*Table), queueLength), stopped: make(chan struct{})}
-	go o.run(table)
-	return o
+// Start starts an actor that owns the state. The caller must not access the state again. Stop ends its goroutine.
+func Start[State any](state *State) *Actor[State] {
+	a := &Actor[State]{
+		commands: make(chan func(*State), queueLength),
+		stopped:  make(chan struct{}),
+	}
+	go a.run(state)
+	return a
 }
 
-func (o *Actor[Table]) run(table *Table) {
+func (a *Actor[State]) run(state *State) {
 	for {
 		select {
-		case command := <-o.commands:
-			command(table)
-		case <-o.stopped:
+		case command := <-a.commands:
+			command(state)
+		case <-a.stopped:
 			return
 		}
 	}
 }
 
-// Stop ends the goroutine. Commands that have not begun are dropped.
-func (o *Actor[Table]) Stop() { o.stop.Do(func() { close(o.stopped) }) }
+// Stop ends the actor without waiting for the present command. Queued commands are dropped.
+func (a *Actor[State]) Stop() { a.stopOnce.Do(func() { close(a.stopped) }) }
 
-// Send queues a command and does not wait for its end.
-func (o *Actor[Table]) Send(command func(*Table)) {
+// Send queues a command and returns without waiting for its execution. After Stop the command is dropped.
+func (a *Actor[State]) Send(command func(*State)) {
 	select {
-	case o.commands <- command:
-	case <-o.stopped:
+	case a.commands <- command:
+	case <-a.stopped:
 	}
 }
 
-// Call runs a command and returns its result; after Stop, false.
-func Call[Table, Result any](o *Actor[Table], command func(*Table) Result) (result Result, ok bool) {
-	answer := make(chan Result, 1)
-	o.Send(func(table *Table) { answer <- command(table) })
+// Call executes a command and returns its result, or false if the actor was stopped. It must not be used from within a
+// command of the same actor.
+func Call[State, Result any](a *Actor[State], command func(*State) Result) (result Result, ok bool) {
+	results := make(chan Result, 1)
+	a.Send(func(state *State) { results <- command(state) })
 	select {
-	case result = <-answer:
+	case result = <-results:
 		return result, true
-	case <-o.stopped:
+	case <-a.stopped:
 		return result, false
 	}
 }
--- a/serving/actor/actor_test.go
+++ b/serving/actor/actor_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCommandsRunOneAfterTheOther(t *testing.T) {
+func TestActor_ExecutesCommandsSequentially(t *testing.T) {
 	count := 0
-	table := Start(&count)
-	defer table.Stop()
-	var all sync.WaitGroup
+	counter := Start(&count)
+	t.Cleanup(counter.Stop)
+	var senders sync.WaitGroup
 	for range 50 {
-		all.Go(func() { table.Send(func(n *int) { *n++ }) })
+		senders.Go(func() { counter.Send(func(n *int) { *n++ }) })
 	}
-	all.Wait()
-	got, ok := Call(table, func(n *int) int { return *n })
+	senders.Wait()
+	got, ok := Call(counter, func(n *int) int { return *n })
 	assert.True(t, ok)
 	assert.Equal(t, 50, got)
 }
 
-func TestNothingHangsAfterStop(t *testing.T) {
-	table := Start(new(int))
-	table.Stop()
-	_, ok := Call(table, func(n *int) int { return *n })
+func TestCall_ReturnsAfterStop(t *testing.T) {
+	counter := Start(new(int))
+	counter.Stop()
+	_, ok := Call(counter, func(n *int) int { return *n })
 	assert.False(t, ok)
 }
--- a/serving/introspect/introspect.go
+++ b/serving/introspect/introspect.go
@@ -1,5 +1,5 @@
-// Package introspect lets operators look into a running agent or core: what it knows of members, endpoints, the record
-// and singleton duties. It changes nothing.
+// Package introspect lets operators inspect a running agent or core: the members, endpoints, record and singleton roles
+// that it knows. It is read-only.
 package introspect
 
 import (
@@ -11,27 +11,27 @@
 	"rowanlink/serving/state"
 )
 
-// method is the call. Agents and cores serve it where the system's processes call them.
-var method = rpc.Method[Request, Report]{Procedure: "/rowanlink.inspect.v1/Inspect"}
+// inspectMethod is served by agents and cores at the address for calls between the system's processes.
+var inspectMethod = rpc.Method[Request, Report]{Procedure: "/rowanlink.inspect.v1/Inspect"}
 
-// Request asks for a report.
+// Request asks a process for a report.
 type Request struct {
-	// IncludeTables asks for the members and endpoints too, not only for what the process itself is and has in force.
+	// IncludeTables asks also for the members, endpoints and singleton roles.
 	IncludeTables bool `cbor:"1,keyasint,omitempty"`
 }
 
 // Report is what a process knows.
 type Report struct {
 	Self            state.Member      `cbor:"1,keyasint"`
-	Revision        uint64            `cbor:"2,keyasint"` // of the newest record; 0: none known
-	Version         uint64            `cbor:"3,keyasint"` // of its configuration
-	Digest          state.Digest      `cbor:"4,keyasint"`
+	Revision        uint64            `cbor:"2,keyasint"`           // of the newest committed record; 0: none known
+	Version         uint64            `cbor:"3,keyasint"`           // of its configuration
+	Digest          state.Digest      `cbor:"4,keyasint"`           // of its configuration
 	Evacuated       []string          `cbor:"5,keyasint,omitempty"` // zones
 	Voters          state.ReplicaSet  `cbor:"6,keyasint"`
 	Members         []Member          `cbor:"7,keyasint,omitempty"`
 	Endpoints       []state.Endpoint  `cbor:"8,keyasint,omitempty"`
 	SingletonClaims []singleton.Claim `cbor:"9,keyasint,omitempty"`
-	// Learner tells that the process keeps the committed record, has caught up and may be given a vote.
+	// Learner means that the process's replica is a learner that has caught up and may become a voter.
 	Learner bool `cbor:"10,keyasint,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	Down   bool         `cbor:"2,keyasint,omitempty"`
 }
 
-// SetRecord fills in what a report says of the record. A nil record is none.
+// SetRecord fills in the fields about the record. A nil record leaves them empty.
 func (r *Report) SetRecord(record *state.Record) {
 	if record == nil {
 		return
@@ -67,15 +67,15 @@
 	}
 }
 
-// Serve registers a process's answer.
+// Serve adds the handler of the call to the mux. It answers with the result of report.
 func Serve(mux *http.ServeMux, report func(Request) Report) {
-	method.Serve(mux, func(_ context.Context, request *Request) (*Report, error) {
-		answer := report(*request)
-		return &answer, nil
+	inspectMethod.Serve(mux, func(_ context.Context, request *Request) (*Report, error) {
+		result := report(*request)
+		return &result, nil
 	})
 }
 
-// Fetch returns the report of the process at host:port. The context bounds the call.
+// Fetch returns the report of the process at an address (host:port). The context bounds the call.
 func Fetch(ctx context.Context, client *rpc.Client, address string, request Request) (*Report, error) {
-	return method.Call(ctx, client, address, &request)
+	return inspectMethod.Call(ctx, client, address, &request)
 }
--- a/serving/quorum/checker.go
+++ b/serving/quorum/checker.go
@@ -1,39 +1,40 @@
-// Package quorum tells whether a process is in touch with a majority of the register's voters, by what the failure
-// detector says: a hint that costs no call. What must hold for certain asks the voters themselves.
+// Package quorum checks by the failure detector whether a process is connected to a majority of the register's voters.
+// That costs no call and is only a hint: what has to be certain needs answers of the voters themselves.
 package quorum
 
 import "rowanlink/serving/state"
 
-// VoterSource names the replicas that vote on the record; register.Node is one. The set is empty before it is known.
+// VoterSource returns the replicas that vote on the record, an empty set before they are known. register.Node implements
+// it.
 type VoterSource interface {
 	Voters() state.ReplicaSet
 }
 
-// Checker is what a process with a replica knows of the voters.
+// Checker checks for one process with a replica whether it is connected to a majority of the voters.
 type Checker struct {
 	Voters VoterSource
-	Self   string // address for calls between the system's processes
-	// IsLive tells whether the member at an address is known to be live.
+	Self   string // the process's own address for calls between the system's processes
+	// IsLive reports whether the member at an address is known to be live.
 	IsLive func(address string) bool
 }
 
-// OtherVoters returns the addresses of the other voters, and how many of them this process needs for a majority. It returns
-// false while the voters are unknown.
+// OtherVoters returns the addresses of the voters except this process, and how many of them it needs for a majority. It
+// returns false before the voters are known.
 func (c *Checker) OtherVoters() (addresses []string, needed int, known bool) {
-	set := c.Voters.Voters()
-	needed = set.Quorum()
-	for _, voter := range set.Replicas {
+	voters := c.Voters.Voters()
+	needed = voters.Quorum()
+	for _, voter := range voters.Replicas {
 		if voter.Address == c.Self {
 			needed--
 			continue
 		}
 		addresses = append(addresses, voter.Address)
 	}
-	return addresses, needed, len(set.Replicas) > 0
+	return addresses, needed, len(voters.Replicas) > 0
 }
 
-// HasQuorum tells whether enough voters are live to make a majority with this process; true while the voters are unknown,
-// as at a start.
+// HasQuorum reports whether enough voters are live for a majority. It returns true before the voters are known, as after
+// a start.
 func (c *Checker) HasQuorum() bool {
 	others, needed, known := c.OtherVoters()
 	live := 0
--- a/serving/state/endpoint.go
+++ b/serving/state/endpoint.go
@@ -1,12 +1,12 @@
 package state
 
-// EndpointState is where an endpoint stands in its life.
+// EndpointState is the state of an endpoint in its life cycle.
 type EndpointState uint8
 
-// The states, in the order in which an endpoint passes through them.
+// The states of an endpoint, in the order in which it passes through them.
 const (
 	EndpointAccepting EndpointState = iota // takes requests
-	EndpointDraining                       // finishes what it has; no new request may be sent
+	EndpointDraining                       // finishes its requests and must not get new ones
 	EndpointDeparted                       // has signed off or is known to have ended
 )
 
@@ -17,39 +17,40 @@
 	Adapters []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Endpoint is what one incarnation of a server of requests has said of itself, as it is passed between the
-// system's processes. A new incarnation has a new ID.
+// Endpoint is what one incarnation of an endpoint has reported about itself, as the system's processes exchange it. Each
+// incarnation has an ID of its own.
 type Endpoint struct {
 	ID              string        `cbor:"1,keyasint"`
 	Service         string        `cbor:"2,keyasint"`
 	Address         string        `cbor:"3,keyasint"` // host:port for requests
 	Zone            string        `cbor:"4,keyasint"`
-	SoftwareVersion string        `cbor:"5,keyasint,omitempty"` // of its software
-	Slots           int           `cbor:"6,keyasint"`           // requests that it works on at once
+	SoftwareVersion string        `cbor:"5,keyasint,omitempty"`
+	Slots           int           `cbor:"6,keyasint"` // concurrent requests
 	State           EndpointState `cbor:"7,keyasint"`
 
-	// Sequence is the endpoint's own count of its calls; a lower one is older news.
+	// Sequence counts the endpoint's own reports; an entry with a lower one is older.
 	Sequence uint64 `cbor:"8,keyasint"`
-	// Silent: the process that receives its heartbeats has had none for several intervals. A hint, not a death.
+	// Unresponsive means that several heartbeats in a row are missing at the receiver. It is a hint: the endpoint may
+	// still be running.
 	Unresponsive bool `cbor:"9,keyasint,omitempty"`
-	// Failing: several proxies have told the receiver that calls of the endpoint fail, more than those of others.
+	// Failing means that several proxies have reported failed calls to the receiver, more than for other endpoints.
 	Failing bool `cbor:"14,keyasint,omitempty"`
-	// WarmupLeftMillis is how much longer it was slow from its start when Sequence was sent. Whoever receives the
-	// entry counts from then: a delay on the way makes the span too long, never too short.
+	// WarmupLeftMillis is how much longer the endpoint needed to warm up when Sequence was sent. Each process that
+	// receives the entry counts from the receipt, so that delays make the time too long, never too short.
 	WarmupLeftMillis int64 `cbor:"10,keyasint,omitempty"`
-	// RemovalInMillis, when not zero: it is taken away that long after Sequence was sent.
+	// RemovalInMillis, if not zero, is the time from the sending of Sequence until the endpoint is removed.
 	RemovalInMillis int64 `cbor:"11,keyasint,omitempty"`
-	// Receiver is the name of the member that receives its heartbeats and judges its silence.
+	// Receiver is the name of the member that receives the heartbeats and decides on Unresponsive.
 	Receiver string  `cbor:"12,keyasint,omitempty"`
 	Models   []Model `cbor:"13,keyasint,omitempty"`
 }
 
-// Load is an endpoint's report on itself, some hundred milliseconds old when it is read.
+// Load is an endpoint's own report of its load, some hundred milliseconds old when it is read.
 type Load struct {
 	EndpointID  string `cbor:"1,keyasint"`
-	Queued      int    `cbor:"2,keyasint,omitempty"`
-	Running     int    `cbor:"3,keyasint,omitempty"`
-	CacheUsed   int    `cbor:"4,keyasint,omitempty"` // tokens of memory that can't give way
-	CacheTotal  int    `cbor:"5,keyasint,omitempty"` // tokens of memory
-	Measurement uint64 `cbor:"6,keyasint"`           // rises with each reading under one reader's epoch
+	Queued      int    `cbor:"2,keyasint,omitempty"` // requests
+	Running     int    `cbor:"3,keyasint,omitempty"` // requests
+	CacheUsed   int    `cbor:"4,keyasint,omitempty"` // tokens of the KV cache that can't be evicted
+	CacheTotal  int    `cbor:"5,keyasint,omitempty"` // tokens of the KV cache
+	Measurement uint64 `cbor:"6,keyasint"`           // increases with each measurement under one reader's epoch
 }
--- a/serving/state/observation.go
+++ b/serving/state/observation.go
@@ -1,11 +1,11 @@
 package state
 
-// Observation is what one proxy has seen of an endpoint since it last told.
+// Observation is what one proxy has observed of an endpoint since its last report.
 type Observation struct {
 	EndpointID string `cbor:"1,keyasint"`
-	// Failures counts the calls that failed: no connection, an answer that broke off, an error of the endpoint, or
-	// none in time. Refusals and what the client ended are not among them.
+	// Failures counts the failed calls: no connection, an interrupted response, an error of the endpoint, or a time-out.
+	// Requests that the endpoint rejected or the client cancelled are not included.
 	Failures int `cbor:"2,keyasint,omitempty"`
-	// Unacknowledged: not even the endpoint's machine acknowledges what is sent.
+	// Unacknowledged means that not even the endpoint's machine acknowledges the packets that are sent.
 	Unacknowledged bool `cbor:"3,keyasint,omitempty"`
 }
