--- a/serving/agent/publisher.go
+++ b/serving/agent/publisher.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"rowanlink/serving/endpoints"
 	"rowanlink/serving/state"
 	"rowanlink/serving/subscription"
 )
@@ -15,8 +16,8 @@
 type endpointTable interface {
 	// Merge applies an entry and reports whether it changed the table.
 	Merge(now time.Time, endpoint state.Endpoint) bool
-	// ChangesSince returns what has changed since a position; complete: what it returns is the whole table.
-	ChangesSince(now time.Time, since uint64) (changed []state.Endpoint, forgotten []string, position uint64, complete bool)
+	// ChangesSince returns what has changed since a position.
+	ChangesSince(now time.Time, since uint64) endpoints.Delta
 	// Get returns an endpoint.
 	Get(now time.Time, id string) (state.Endpoint, bool)
 	// Sweep removes endpoints that have been gone for long.
@@ -113,13 +114,13 @@
 	if !found || base.partial && p.synced {
 		return p.snapshot(now), true
 	}
-	changed, forgotten, endpointsPosition, complete := p.endpoints.ChangesSince(now, base.endpointsPosition)
-	if complete && base.endpointsPosition != 0 { // at position 0 the table was empty: the whole table is the delta
+	delta := p.endpoints.ChangesSince(now, base.endpointsPosition)
+	if delta.Complete && base.endpointsPosition != 0 { // at position 0 the table was empty: the whole table is the delta
 		return p.snapshot(now), true
 	}
 	response := &subscription.Response{
-		Endpoints: changed,
-		Removed:   forgotten,
+		Endpoints: delta.Changed,
+		Removed:   delta.Removed,
 		Loads:     p.loads.changesSince(base.loadsPosition),
 		Proxies:   p.proxies,
 	}
@@ -129,7 +130,7 @@
 	if p.proxies == base.proxies && isEmpty(response) {
 		return nil, false
 	}
-	response.Cursor = p.addCheckpoint(endpointsPosition, base.partial)
+	response.Cursor = p.addCheckpoint(delta.Position, base.partial)
 	return response, true
 }
 
@@ -144,12 +145,12 @@
 // snapshot returns all data. A proxy drops what isn't in a complete snapshot; an agent that isn't synced may not have
 // met a member that knows more, and so leaves the proxy what it has.
 func (p *publisher) snapshot(now time.Time) *subscription.Response {
-	endpoints, _, endpointsPosition, _ := p.endpoints.ChangesSince(now, 0)
+	all := p.endpoints.ChangesSince(now, 0)
 	return &subscription.Response{
-		Cursor:    p.addCheckpoint(endpointsPosition, !p.synced),
+		Cursor:    p.addCheckpoint(all.Position, !p.synced),
 		Complete:  p.synced,
 		Record:    p.record,
-		Endpoints: endpoints,
+		Endpoints: all.Changed,
 		Loads:     p.loads.changesSince(0),
 		Proxies:   p.proxies,
 	}
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -18,8 +18,7 @@
 }
 
 func listEndpoints(s *agentState) []state.Endpoint {
-	endpoints, _, _, _ := s.updates.endpoints.ChangesSince(time.Now(), 0)
-	return endpoints
+	return s.updates.endpoints.ChangesSince(time.Now(), 0).Changed
 }
 
 // reportData is the part of a report that comes from the agent's state.
--- a/serving/core/restore_test.go
+++ b/serving/core/restore_test.go
@@ -148,7 +148,7 @@
 		s := &saver{table: table, store: saved, log: &log}
 		beat := func(id string, sequence uint64, closing bool) {
 			table.ReceiveHeartbeat(id, endpoints.Heartbeat{Service: "plain", Address: id + ":80", Zone: "z", Sequence: sequence,
-				Closing: closing})
+				Draining: closing})
 		}
 		beat("a", 1, false)
 		s.save()
--- a/serving/endpoints/changes.go
+++ b/serving/endpoints/changes.go
@@ -8,13 +8,13 @@
 	"rowanlink/serving/state"
 )
 
-// maxRemovals is how many endpoints that have left the table are remembered for those who follow its changes.
+// maxRemovals bounds the number of removed endpoints that are remembered for ChangesSince.
 const maxRemovals = 256
 
-// removalLog holds the endpoints that have left the table, the newest last.
+// removalLog lists the endpoints that were removed from the table, the newest last.
 type removalLog struct {
 	entries       []removal
-	completeAfter uint64 // nothing is missing after this position
+	completeAfter uint64 // all removals after this position are listed
 }
 
 type removal struct {
@@ -22,35 +22,51 @@
 	id       string
 }
 
-func (f *removalLog) add(position uint64, id string) {
-	if len(f.entries) == maxRemovals {
-		f.completeAfter = f.entries[0].position
-		f.entries = slices.Delete(f.entries, 0, 1)
+func (l *removalLog) add(position uint64, id string) {
+	if len(l.entries) == maxRemovals {
+		l.completeAfter = l.entries[0].position
+		l.entries = slices.Delete(l.entries, 0, 1)
 	}
-	f.entries = append(f.entries, removal{position: position, id: id})
+	l.entries = append(l.entries, removal{position: position, id: id})
 }
 
-// Position is the place of the newest change.
+// Position returns the position of the newest change.
 func (t *Table) Position() uint64 { return t.position }
 
-// ChangesSince returns what has changed since a position: endpoints as they are now, ordered by ID, and the IDs of those
-// forgotten. Complete: it is everything, and whatever else the caller knew is to be forgotten. That is so for
-// position 0 and for one that the table doesn't reach back to.
-func (t *Table) ChangesSince(now time.Time, since uint64) (changed []state.Endpoint, forgotten []string, position uint64,
-	complete bool) {
+// Delta is what has changed in a table since a position.
+type Delta struct {
+	Changed  []state.Endpoint // as they are now, ordered by ID
+	Removed  []string         // by ID
+	Position uint64           // of the newest change
+	Complete bool             // Changed is the whole table; endpoints that aren't listed have been removed
+}
+
+// ChangesSince returns what has changed since a position. The delta is complete for position 0 and for a position of
+// which the removals are no longer known.
+func (t *Table) ChangesSince(now time.Time, since uint64) Delta {
 	if since == 0 || since > t.position || since < t.removals.completeAfter {
-		return t.All(now), nil, t.position, true
+		return Delta{
+			Changed:  t.All(now),
+			Position: t.position,
+			Complete: true,
+		}
 	}
+	delta := Delta{Position: t.position}
 	for _, e := range t.entries {
 		if e.changePosition > since {
-			changed = append(changed, e.snapshotAt(now))
+			delta.Changed = append(delta.Changed, e.snapshotAt(now))
 		}
 	}
-	slices.SortFunc(changed, func(a, b state.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	for _, departure := range t.removals.entries {
-		if _, back := t.entries[departure.id]; departure.position > since && !back {
-			forgotten = append(forgotten, departure.id)
+	sortByID(delta.Changed)
+	for _, removed := range t.removals.entries {
+		_, isBack := t.entries[removed.id]
+		if removed.position > since && !isBack {
+			delta.Removed = append(delta.Removed, removed.id)
 		}
 	}
-	return changed, forgotten, t.position, false
+	return delta
+}
+
+func sortByID(list []state.Endpoint) {
+	slices.SortFunc(list, func(a, b state.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 }
--- a/serving/endpoints/fuzz_test.go
+++ b/serving/endpoints/fuzz_test.go
@@ -10,33 +10,33 @@
 	"rowanlink/serving/state"
 )
 
-// FuzzEntry: whatever another member tells of an endpoint, the table stays consistent: none that is gone
-// counts as live, spans aren't negative, and what was read means the same when it is written again.
+// FuzzEntry checks that the table stays consistent whatever another member gossips about an endpoint: none that has
+// departed is live, remaining times aren't negative, and a decoded endpoint stays the same when it is encoded decoded.
 func FuzzEntry(f *testing.F) {
-	for _, told := range []state.Endpoint{
+	for _, update := range []state.Endpoint{
 		{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 3, WarmupLeftMillis: 500, Models: []state.Model{{Name: "m"}}},
-		{ID: "b", State: state.EndpointDeparted, Sequence: signedOffSequence},
+		{ID: "b", State: state.EndpointDeparted, Sequence: deregisteredSequence},
 		{ID: "c", Service: "s", Address: "x:1", State: 9, WarmupLeftMillis: 1 << 62, RemovalInMillis: -5, Slots: -1},
 	} {
-		value, err := Encode(told)
+		value, err := Encode(update)
 		require.NoError(f, err)
 		f.Add(value)
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
-		told, err := Decode(value)
+		update, err := Decode(value)
 		if err != nil {
 			assert.False(t, IsTombstone(value))
 			return
 		}
-		written, err := Encode(told)
+		written, err := Encode(update)
 		require.NoError(t, err)
-		again, err := Decode(written)
+		decoded, err := Decode(written)
 		require.NoError(t, err)
-		assert.Equal(t, told, again)
+		assert.Equal(t, update, decoded)
 		s := newScript()
 		s.table.ReceiveHeartbeat(s.now, "own", Heartbeat{Service: "s", Address: "x:1", Sequence: 1, Slots: 1})
-		s.table.Merge(s.now, told)
-		assert.False(t, s.table.Merge(s.now, told), "news twice")
+		s.table.Merge(s.now, update)
+		assert.False(t, s.table.Merge(s.now, update), "applied twice")
 		for range 4 {
 			s.now = s.now.Add(time.Second)
 			s.table.Sweep(s.now)
--- /dev/null
+++ b/serving/endpoints/heartbeat.go
@@ -0,0 +1,177 @@
+package endpoints
+
+import (
+	"slices"
+	"time"
+
+	"rowanlink/serving/state"
+)
+
+// Heartbeat is what an endpoint reports about itself with each heartbeat.
+type Heartbeat struct {
+	Service         string
+	Address         string
+	Zone            string
+	SoftwareVersion string
+	Slots           int
+	Draining        bool
+	Sequence        uint64        // the endpoint's count of its calls
+	WarmupLeft      time.Duration // until it is warmed up
+	RemovalIn       time.Duration // until it is taken away; 0: not reported
+	Models          []state.Model
+}
+
+// Change is the effect of a call of an endpoint.
+type Change struct {
+	New       bool // the endpoint wasn't known
+	Stale     bool // a newer call was processed already: nothing has changed
+	Broadcast bool // the change has to be gossiped
+	// Replicated: another member is known to have stored this version of the endpoint.
+	Replicated bool
+}
+
+// ReceiveHeartbeat processes a heartbeat and returns the endpoint's new state.
+func (t *Table) ReceiveHeartbeat(now time.Time, id string, heartbeat Heartbeat) (state.Endpoint, Change) {
+	e, known := t.entries[id]
+	if known && heartbeat.Sequence <= e.endpoint.Sequence {
+		return e.snapshotAt(now), Change{Stale: true, Replicated: e.broadcast.replicated}
+	}
+	if !known {
+		e = t.addEntry(id)
+	}
+	before := e.endpoint
+	t.applyHeartbeat(now, e, heartbeat)
+	change := Change{
+		New:       !known,
+		Broadcast: e.needsBroadcast(before) || heartbeat.Draining && !e.broadcast.replicated,
+	}
+	if before.Address != heartbeat.Address {
+		t.markOthersUnresponsive(e)
+	}
+	if change.Broadcast {
+		t.recordChange(e)
+		t.recordBroadcast(e)
+	}
+	change.Replicated = e.broadcast.replicated
+	return e.snapshotAt(now), change
+}
+
+// applyHeartbeat copies a heartbeat into an entry.
+func (t *Table) applyHeartbeat(now time.Time, e *entry, heartbeat Heartbeat) {
+	endpoint := &e.endpoint
+	endpoint.Service = heartbeat.Service
+	endpoint.Address = heartbeat.Address
+	endpoint.Zone = heartbeat.Zone
+	endpoint.SoftwareVersion = heartbeat.SoftwareVersion
+	endpoint.Slots = heartbeat.Slots
+	endpoint.Models = heartbeat.Models
+	endpoint.State = state.EndpointAccepting
+	if heartbeat.Draining {
+		endpoint.State = state.EndpointDraining
+	}
+	endpoint.Sequence = heartbeat.Sequence
+	endpoint.Unresponsive = false
+	e.outlier.resetAfterAbsence(now.Sub(e.lastHeartbeat), t.options.HeartbeatInterval)
+	endpoint.Failing = e.outlier.isEjected(now)
+	endpoint.Receiver = t.options.Self
+	e.warmupEnds = deadline(now, heartbeat.WarmupLeft)
+	e.removalDue = deadline(now, heartbeat.RemovalIn)
+	e.lastHeartbeat = now
+	e.responsible = true
+	e.departedAt = time.Time{}
+}
+
+// needsBroadcast reports whether the other members need the entry's state, given the endpoint before the change.
+func (e *entry) needsBroadcast(before state.Endpoint) bool {
+	if !e.broadcast.exists || !isEquivalent(before, e.endpoint) {
+		return true
+	}
+	warmupExtended := e.warmupEnds.After(e.broadcast.warmupEnds.Add(timeTolerance))
+	warmedUp := e.warmupEnds.IsZero() && !e.broadcast.warmupEnds.IsZero()
+	removalAdvanced := !e.removalDue.IsZero() &&
+		(e.broadcast.removalDue.IsZero() || e.removalDue.Before(e.broadcast.removalDue.Add(-timeTolerance)))
+	return warmupExtended || warmedUp || removalAdvanced
+}
+
+// isEquivalent reports whether two states of an endpoint make no difference to proxies and to members responsible for it.
+func isEquivalent(a, b state.Endpoint) bool {
+	return a.Service == b.Service &&
+		a.Address == b.Address &&
+		a.Zone == b.Zone &&
+		a.SoftwareVersion == b.SoftwareVersion &&
+		a.Slots == b.Slots &&
+		a.State == b.State &&
+		a.Unresponsive == b.Unresponsive &&
+		a.Failing == b.Failing &&
+		a.Receiver == b.Receiver &&
+		slices.EqualFunc(a.Models, b.Models, isSameModel)
+}
+
+func isSameModel(a, b state.Model) bool {
+	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
+}
+
+// Deregister processes the deregistration of an endpoint. The endpoint may still finish its requests; it never comes back.
+func (t *Table) Deregister(now time.Time, id string) (state.Endpoint, Change) {
+	e, known := t.entries[id]
+	if known && e.endpoint.Sequence == deregisteredSequence {
+		return e.snapshotAt(now), Change{Stale: true, Replicated: e.broadcast.replicated}
+	}
+	if !known {
+		e = t.addEntry(id)
+	}
+	e.endpoint.Sequence = deregisteredSequence
+	e.endpoint.Receiver = t.options.Self
+	t.markDeparted(now, e)
+	t.recordBroadcast(e)
+	return e.snapshotAt(now), Change{New: !known, Broadcast: true}
+}
+
+// addEntry adds the entry of an unknown endpoint.
+func (t *Table) addEntry(id string) *entry {
+	e := &entry{endpoint: state.Endpoint{ID: id}}
+	t.entries[id] = e
+	return e
+}
+
+// markDeparted marks an endpoint as departed.
+func (t *Table) markDeparted(now time.Time, e *entry) {
+	e.endpoint.State = state.EndpointDeparted
+	e.endpoint.Unresponsive = false
+	e.endpoint.Failing = false
+	e.departedAt = now
+	e.warmupEnds = time.Time{}
+	e.removalDue = time.Time{}
+	t.recordChange(e)
+}
+
+// markOthersUnresponsive marks the other endpoints at the address of one as unresponsive. They may have crashed, or may
+// have moved to another address.
+func (t *Table) markOthersUnresponsive(current *entry) {
+	for _, other := range t.entries {
+		if other == current || other.endpoint.Address != current.endpoint.Address {
+			continue
+		}
+		if other.endpoint.State != state.EndpointDeparted && !other.endpoint.Unresponsive {
+			t.markUnresponsive(other)
+		}
+	}
+}
+
+// markUnresponsive marks an endpoint as unresponsive, which the next sweep broadcasts.
+func (t *Table) markUnresponsive(e *entry) {
+	e.endpoint.Unresponsive = true
+	t.recordChange(e)
+	t.pending[e.endpoint.ID] = e
+}
+
+// MarkReplicated records that another member has stored a version of an endpoint. Only the last broadcast one counts.
+func (t *Table) MarkReplicated(stored state.Endpoint) {
+	e, known := t.entries[stored.ID]
+	if !known {
+		return
+	}
+	if major, minor := Version(stored); major == e.broadcast.major && minor == e.broadcast.minor {
+		e.broadcast.replicated = true
+	}
+}
--- a/serving/endpoints/merge.go
+++ b/serving/endpoints/merge.go
@@ -6,64 +6,71 @@
 	"rowanlink/serving/state"
 )
 
-// Merge takes in what the spread has brought of an endpoint. It tells whether that was news. Where this member knows
-// better, because it receives the endpoint's heartbeats, the next sweep says so.
-func (t *Table) Merge(now time.Time, told state.Endpoint) bool {
-	if told.ID == "" {
+// Merge applies an endpoint that another member has gossiped, and reports whether it was newer than the known state. Where
+// this member has a newer state, because it receives the endpoint's heartbeats, the next sweep broadcasts that.
+func (t *Table) Merge(now time.Time, update state.Endpoint) bool {
+	if update.ID == "" {
 		return false
 	}
-	e, known := t.entries[told.ID]
-	if known && !isNewer(told, e.endpoint) {
-		t.correctStaleUpdate(e, told)
+	e, known := t.entries[update.ID]
+	if known && !isNewer(update, e.endpoint) {
+		t.correctStaleUpdate(e, update)
 		return false
 	}
 	if !known {
 		e = &entry{}
-		t.entries[told.ID] = e
+		t.entries[update.ID] = e
 	}
-	moved := e.endpoint.Address != told.Address
-	t.adoptUpdate(now, e, told)
-	if moved && told.State != state.EndpointDeparted && !told.Unresponsive {
-		t.markPredecessorsSilent(e)
+	moved := e.endpoint.Address != update.Address
+	t.adoptUpdate(now, e, update)
+	if moved && update.State != state.EndpointDeparted && !update.Unresponsive {
+		t.markPredecessorsUnresponsive(e)
 	}
 	return true
 }
 
-// adoptUpdate makes what another member has told what this one knows.
-func (t *Table) adoptUpdate(now time.Time, e *entry, told state.Endpoint) {
-	if told.Service == "" { // signed off where nothing was known of it
-		told.Service, told.Address, told.Zone = e.endpoint.Service, e.endpoint.Address, e.endpoint.Zone
-		told.SoftwareVersion, told.Slots, told.Models = e.endpoint.SoftwareVersion, e.endpoint.Slots, e.endpoint.Models
+// adoptUpdate replaces the state of an entry by another member's.
+func (t *Table) adoptUpdate(now time.Time, e *entry, update state.Endpoint) {
+	if update.Service == "" { // deregistered at a member that didn't know the endpoint
+		update.Service = e.endpoint.Service
+		update.Address = e.endpoint.Address
+		update.Zone = e.endpoint.Zone
+		update.SoftwareVersion = e.endpoint.SoftwareVersion
+		update.Slots = e.endpoint.Slots
+		update.Models = e.endpoint.Models
 	}
-	if told.State == state.EndpointDeparted && e.endpoint.State != state.EndpointDeparted {
-		e.goneSince = now
+	if update.State == state.EndpointDeparted && e.endpoint.State != state.EndpointDeparted {
+		e.departedAt = now
 	}
-	e.warmUpEnds = deadline(now, time.Duration(told.WarmupLeftMillis)*time.Millisecond)
-	e.removalDue = deadline(now, time.Duration(told.RemovalInMillis)*time.Millisecond)
-	e.endpoint = told
-	e.lastHeartbeat, e.responsible = now, false
+	e.warmupEnds = deadline(now, time.Duration(update.WarmupLeftMillis)*time.Millisecond)
+	e.removalDue = deadline(now, time.Duration(update.RemovalInMillis)*time.Millisecond)
+	e.endpoint = update
+	e.lastHeartbeat = now
+	e.responsible = false
 	t.recordChange(e)
 	t.recordBroadcast(e)
 	e.broadcast.replicated = true
 }
 
-// correctStaleUpdate has the others told again where they hold old news that says something else. News of the same version
-// changes nothing: it may be this member's own word, come back from its spread.
-func (t *Table) correctStaleUpdate(e *entry, told state.Endpoint) {
-	if isNewer(e.endpoint, told) && e.endpoint.Receiver == t.options.Self && !isEquivalent(e.endpoint, told) {
+// correctStaleUpdate has the next sweep broadcast an entry of which another member has an older, different state. An
+// update of the same version changes nothing: it may be this member's own broadcast that has come back.
+func (t *Table) correctStaleUpdate(e *entry, update state.Endpoint) {
+	isReceiver := e.endpoint.Receiver == t.options.Self
+	if isReceiver && isNewer(e.endpoint, update) && !isEquivalent(e.endpoint, update) {
 		t.pending[e.endpoint.ID] = e
 	}
 }
 
-// markPredecessorsSilent marks those endpoints as silent that had the address before and are judged here. The members that
-// judge others do the same.
-func (t *Table) markPredecessorsSilent(owner *entry) {
+// markPredecessorsUnresponsive marks the other endpoints at the address of one as unresponsive, as far as this member is
+// responsible for them. The members that are responsible for the rest do the same.
+func (t *Table) markPredecessorsUnresponsive(current *entry) {
 	for _, other := range t.entries {
-		if other == owner || other.endpoint.Address != owner.endpoint.Address || other.endpoint.State == state.EndpointDeparted {
-			continue
-		}
-		if !other.endpoint.Unresponsive && t.options.IsResponsibleFor(other.endpoint.Receiver) {
-			t.markSilent(other)
+		endpoint := &other.endpoint
+		isPredecessor := other != current &&
+			endpoint.Address == current.endpoint.Address &&
+			endpoint.State != state.EndpointDeparted
+		if isPredecessor && !endpoint.Unresponsive && t.options.IsResponsibleFor(endpoint.Receiver) {
+			t.markUnresponsive(other)
 		}
 	}
 }
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -6,85 +6,96 @@
 	"rowanlink/serving/state"
 )
 
-// Detection of endpoints whose calls fail while their heartbeats come. One proxy of many sends an endpoint too few
-// calls to judge it, so that each would have to lose some of its own.
+// Outlier detection: ejection of endpoints that send heartbeats but fail calls, as in Envoy's outlier detection, from the
+// observations of all proxies. One proxy of many sends an endpoint too few calls to decide by itself.
 const (
 	// reportLifetime is how long an observation counts.
 	reportLifetime = 3 * time.Second
-	// minReporters is how many proxies must agree: the trouble of one may be its own.
+	// minReporters is the number of proxies that must agree: the fault that a single one sees may be its own.
 	minReporters = 2
-	// minFailures is how many failed calls count, and outlierFactor how many times those of the service's other
-	// endpoints on average they must be: where all fail the cause is elsewhere, such as too much traffic.
+	// minFailures is the least number of failed calls, and outlierFactor the least ratio of them to the average of the
+	// service's other endpoints. Where all fail, the cause is elsewhere, such as overload.
 	minFailures   = 3
 	outlierFactor = 4
-	// maxEjectedShare is the share of a service's endpoints that may be marked at once; the others must not take all.
+	// maxEjectedShare is the share of a service's endpoints that may be ejected at once; the others have to take their load.
 	maxEjectedShare = 0.5
-	// baseEjectionTime is how long an endpoint stays marked, twice as long each time that it is marked again within
-	// ejectionMemory of the mark's end, up to maxEjectionTime.
+	// baseEjectionTime is how long an endpoint is ejected. The time doubles, up to maxEjectionTime, each time that the
+	// endpoint is ejected again within ejectionMemory after the end of an ejection.
 	baseEjectionTime = 2 * time.Second
 	maxEjectionTime  = 16 * time.Second
 	ejectionMemory   = 10 * time.Second
-	// resetAfterIntervals without a heartbeat say that an endpoint was gone; when it beats again it is as good as new.
+	// resetAfterIntervals is the number of heartbeat intervals without a heartbeat after which an endpoint counts as
+	// restarted and loses its ejection.
 	resetAfterIntervals = 2
 )
 
-// outlierState is what proxies have told of one endpoint. The zero value is of one without fault.
+// outlierState is the outlier detection's state of one endpoint. The zero value is that of one without failures.
 type outlierState struct {
 	reports      map[string]proxyReport // by observer
-	ejectedUntil time.Time              // end of the mark
-	ejectionTime time.Duration          // of the last mark
+	ejectedUntil time.Time
+	ejectionTime time.Duration // of the last ejection
 }
 
-// proxyReport is what one proxy has told lately.
+// proxyReport sums up the recent observations of one proxy.
 type proxyReport struct {
-	at             time.Time
+	at             time.Time // of the last observation
 	failures       int
 	unacknowledged bool
 }
 
-// isEjected tells whether a mark outlives a heartbeat that comes now after the last one.
-func (o *outlierState) isEjected(now time.Time, interval time.Duration, last time.Time) bool {
-	if now.Sub(last) > resetAfterIntervals*interval {
-		o.ejectedUntil, o.reports = time.Time{}, nil
+// reportSummary sums up the recent reports of all proxies about one endpoint.
+type reportSummary struct {
+	reporters      int
+	failures       int
+	unacknowledged int // number of proxies
+}
+
+// resetAfterAbsence ends the ejection of an endpoint whose heartbeats have been absent for so long that it has restarted.
+func (o *outlierState) resetAfterAbsence(absence, heartbeatInterval time.Duration) {
+	if absence > resetAfterIntervals*heartbeatInterval {
+		o.ejectedUntil = time.Time{}
+		o.reports = nil
 	}
-	return now.Before(o.ejectedUntil)
 }
 
-// addReport takes in an observation.
-func (o *outlierState) addReport(now time.Time, observer string, told state.Observation) {
+// isEjected reports whether the endpoint is ejected now.
+func (o *outlierState) isEjected(now time.Time) bool { return now.Before(o.ejectedUntil) }
+
+// addReport adds an observation.
+func (o *outlierState) addReport(now time.Time, observer string, observation state.Observation) {
 	if o.reports == nil {
 		o.reports = map[string]proxyReport{}
 	}
-	known := o.reports[observer]
-	if now.Sub(known.at) > reportLifetime {
-		known = proxyReport{}
+	report := o.reports[observer]
+	if now.Sub(report.at) > reportLifetime {
+		report = proxyReport{}
 	}
-	known.at = now
-	known.failures += max(told.Failures, 0)
-	known.unacknowledged = known.unacknowledged || told.Unacknowledged
-	o.reports[observer] = known
+	report.at = now
+	report.failures += max(observation.Failures, 0)
+	report.unacknowledged = report.unacknowledged || observation.Unacknowledged
+	o.reports[observer] = report
 }
 
-// countReports counts what was told lately and drops what is older.
-func (o *outlierState) countReports(now time.Time) (observers, failures, unacknowledged int) {
-	for name, known := range o.reports {
-		if now.Sub(known.at) > reportLifetime {
-			delete(o.reports, name)
+// summarize sums up the recent reports and removes older ones.
+func (o *outlierState) summarize(now time.Time) (summary reportSummary) {
+	for observer, report := range o.reports {
+		if now.Sub(report.at) > reportLifetime {
+			delete(o.reports, observer)
 			continue
 		}
-		observers++
-		failures += known.failures
-		if known.unacknowledged {
-			unacknowledged++
+		summary.reporters++
+		summary.failures += report.failures
+		if report.unacknowledged {
+			summary.unacknowledged++
 		}
 	}
-	return observers, failures, unacknowledged
+	return summary
 }
 
-// eject begins the next mark.
+// eject begins an ejection.
 func (o *outlierState) eject(now time.Time) {
-	again := o.ejectionTime > 0 && now.Sub(o.ejectedUntil) < ejectionMemory
-	if !again {
+	isRepeated := o.ejectionTime > 0 && now.Sub(o.ejectedUntil) < ejectionMemory
+	if !isRepeated {
 		o.ejectionTime = baseEjectionTime / 2
 	}
 	o.ejectionTime = min(2*o.ejectionTime, maxEjectionTime)
@@ -92,14 +103,15 @@
 	o.reports = nil
 }
 
-// RecordObservation takes in what a proxy has seen of an endpoint that is judged here. It tells whether the other members must
-// hear of the endpoint, and returns it.
-func (t *Table) RecordObservation(now time.Time, observer string, told state.Observation) (state.Endpoint, bool) {
-	e, known := t.entries[told.EndpointID]
+// RecordObservation records what a proxy has observed of an endpoint for which this member is responsible. If that ejects
+// the endpoint, it returns its new state, to be gossiped, and true.
+func (t *Table) RecordObservation(now time.Time, observer string,
+	observation state.Observation) (state.Endpoint, bool) {
+	e, known := t.entries[observation.EndpointID]
 	if !known || e.endpoint.State == state.EndpointDeparted || !t.options.IsResponsibleFor(e.endpoint.Receiver) {
 		return state.Endpoint{}, false
 	}
-	e.outlier.addReport(now, observer, told)
+	e.outlier.addReport(now, observer, observation)
 	if e.endpoint.Failing || !t.isOutlier(now, e) {
 		return state.Endpoint{}, false
 	}
@@ -110,30 +122,32 @@
 	return e.snapshotAt(now), true
 }
 
-// isOutlier tells whether an endpoint fails more than the others of its service.
+// isOutlier reports whether an endpoint fails so much more often than the others of its service that it is to be ejected.
 func (t *Table) isOutlier(now time.Time, suspect *entry) bool {
-	observers, failures, unacknowledged := suspect.outlier.countReports(now)
-	if observers < minReporters {
+	summary := suspect.outlier.summarize(now)
+	if summary.reporters < minReporters {
 		return false
 	}
-	others, othersFailures, marked := 0, 0, 0
+	others, ejected, othersFailures := 0, 0, 0
 	for _, e := range t.entries {
-		if e == suspect || e.endpoint.Service != suspect.endpoint.Service || e.endpoint.State != state.EndpointAccepting {
+		isPeer := e != suspect &&
+			e.endpoint.Service == suspect.endpoint.Service &&
+			e.endpoint.State == state.EndpointAccepting
+		if !isPeer {
 			continue
 		}
 		others++
 		if e.endpoint.Failing {
-			marked++
+			ejected++
 			continue
 		}
-		_, count, _ := e.outlier.countReports(now)
-		othersFailures += count
+		othersFailures += e.outlier.summarize(now).failures
 	}
-	if float64(marked+1) > maxEjectedShare*float64(others+1) {
+	if float64(ejected+1) > maxEjectedShare*float64(others+1) {
 		return false
 	}
-	if unacknowledged >= minReporters {
+	if summary.unacknowledged >= minReporters {
 		return true
 	}
-	return failures >= minFailures && failures*others >= outlierFactor*othersFailures
+	return summary.failures >= minFailures && summary.failures*others >= outlierFactor*othersFailures
 }
--- a/serving/endpoints/outlier_test.go
+++ b/serving/endpoints/outlier_test.go
@@ -10,8 +10,8 @@
 	"rowanlink/serving/state"
 )
 
-// outliers is a table of ten endpoints of one service, e0 to e9, that have just sent a heartbeat.
-type outliers struct {
+// outlierFixture is a table of ten endpoints of one service, e0 to e9, that have just sent a heartbeat.
+type outlierFixture struct {
 	*Table
 	now      time.Time
 	sequence uint64
@@ -19,133 +19,133 @@
 
 const outlierEndpoints = 10
 
-func newOutliers() *outliers {
-	o := &outliers{Table: NewTable(Options{Self: "self", HeartbeatInterval: testInterval}), now: epoch}
-	o.beat()
+func newOutlierFixture() *outlierFixture {
+	o := &outlierFixture{Table: NewTable(Options{Self: "self", HeartbeatInterval: testInterval}), now: epoch}
+	o.sendHeartbeats()
 	return o
 }
 
-// beat has all endpoints send a heartbeat and tells what is known of e0.
-func (o *outliers) beat() (first state.Endpoint, spread bool) {
+// sendHeartbeats lets all endpoints send a heartbeat and returns the state of e0.
+func (o *outlierFixture) sendHeartbeats() (first state.Endpoint, broadcast bool) {
 	o.sequence++
 	for index := range outlierEndpoints {
 		id := fmt.Sprintf("e%d", index)
 		known, change := o.ReceiveHeartbeat(o.now, id, Heartbeat{Service: "s", Address: id + ":80", Sequence: o.sequence})
 		if index == 0 {
-			first, spread = known, change.Broadcast
+			first, broadcast = known, change.Broadcast
 		}
 	}
-	return first, spread
+	return first, broadcast
 }
 
-// observe tells of an endpoint through so many proxies.
-func (o *outliers) observe(id string, observers, failures int, unacknowledged bool) (marked bool) {
+// observe records an observation of an endpoint by each of so many proxies.
+func (o *outlierFixture) observe(id string, observers, failures int, unacknowledged bool) (ejected bool) {
 	for index := range observers {
-		_, news := o.RecordObservation(o.now, fmt.Sprintf("proxy-%d", index),
+		_, isEjected := o.RecordObservation(o.now, fmt.Sprintf("proxy-%d", index),
 			state.Observation{EndpointID: id, Failures: failures, Unacknowledged: unacknowledged})
-		marked = marked || news
+		ejected = ejected || isEjected
 	}
-	return marked
+	return ejected
 }
 
-func TestAnEndpointThatFailsAtSeveralProxiesIsMarked(t *testing.T) {
-	for _, point := range []struct {
+func TestRecordObservation_EjectsByAgreementOfProxies(t *testing.T) {
+	for _, test := range []struct {
 		name           string
 		observers      int
 		failures       int
 		unacknowledged bool
-		marked         bool
+		ejected        bool
 	}{
-		{"one proxy's trouble is its own", 1, 20, true, false},
+		{"one proxy is not enough", 1, 20, true, false},
 		{"two that agree", 2, 2, false, true},
 		{"too few failures", 2, 1, false, false},
-		{"silence needs no failure", 2, 0, true, true},
+		{"missing acknowledgements need no failure", 2, 0, true, true},
 	} {
-		t.Run(point.name, func(t *testing.T) {
-			o := newOutliers()
+		t.Run(test.name, func(t *testing.T) {
+			o := newOutlierFixture()
 			before, _ := o.Get(o.now, "e0")
-			assert.Equal(t, point.marked, o.observe("e0", point.observers, point.failures, point.unacknowledged))
+			assert.Equal(t, test.ejected, o.observe("e0", test.observers, test.failures, test.unacknowledged))
 			after, _ := o.Get(o.now, "e0")
-			assert.Equal(t, point.marked, after.Failing)
-			assert.Equal(t, point.marked, isNewer(after, before), "others take it for news")
+			assert.Equal(t, test.ejected, after.Failing)
+			assert.Equal(t, test.ejected, isNewer(after, before), "it is a newer version")
 		})
 	}
 }
 
-func TestOldObservationsDontCount(t *testing.T) {
-	o := newOutliers()
+func TestRecordObservation_IgnoresOldReports(t *testing.T) {
+	o := newOutlierFixture()
 	assert.False(t, o.observe("e0", 1, 5, false))
 	o.now = o.now.Add(reportLifetime + time.Millisecond)
-	_, news := o.RecordObservation(o.now, "proxy-9", state.Observation{EndpointID: "e0", Failures: 5})
-	assert.False(t, news)
+	_, isEjected := o.RecordObservation(o.now, "proxy-9", state.Observation{EndpointID: "e0", Failures: 5})
+	assert.False(t, isEjected)
 }
 
-// TestWhereAllFailNoneIsMarked: too much traffic makes calls fail everywhere.
-func TestWhereAllFailNoneIsMarked(t *testing.T) {
-	o := newOutliers()
+// TestRecordObservation_EjectsNoneWhereAllFail covers overload, which makes calls fail everywhere.
+func TestRecordObservation_EjectsNoneWhereAllFail(t *testing.T) {
+	o := newOutlierFixture()
 	for round := range 4 {
 		for index := outlierEndpoints - 1; index >= 0; index-- {
-			marked := o.observe(fmt.Sprintf("e%d", index), 1, 1, false)
-			assert.False(t, marked && round > 0, "round %d, endpoint %d", round, index)
+			ejected := o.observe(fmt.Sprintf("e%d", index), 1, 1, false)
+			assert.False(t, ejected && round > 0, "round %d, endpoint %d", round, index)
 		}
 	}
 }
 
-// TestNotTooManyAreMarked: those that are left must bear the load.
-func TestNotTooManyAreMarked(t *testing.T) {
-	o := newOutliers()
-	marked := 0
+// TestRecordObservation_EjectsHalfAtMost covers the load of the endpoints that are left.
+func TestRecordObservation_EjectsHalfAtMost(t *testing.T) {
+	o := newOutlierFixture()
+	ejected := 0
 	for index := range outlierEndpoints {
 		if o.observe(fmt.Sprintf("e%d", index), 2, 1, true) {
-			marked++
+			ejected++
 		}
 	}
-	assert.Equal(t, outlierEndpoints/2, marked)
+	assert.Equal(t, outlierEndpoints/2, ejected)
 }
 
-func TestAMarkOutlivesHeartbeatsAndEnds(t *testing.T) {
-	o := newOutliers()
+func TestEjection_OutlastsHeartbeatsAndEnds(t *testing.T) {
+	o := newOutlierFixture()
 	assert.True(t, o.observe("e0", 2, 3, false))
 	o.now = o.now.Add(baseEjectionTime - time.Millisecond)
-	first, _ := o.beat()
+	first, _ := o.sendHeartbeats()
 	assert.True(t, first.Failing)
 	o.now = o.now.Add(time.Second)
-	first, spread := o.beat()
+	first, broadcast := o.sendHeartbeats()
 	assert.False(t, first.Failing)
-	assert.True(t, spread, "others hear of the mark's end")
+	assert.True(t, broadcast, "the end of the ejection is broadcast")
 }
 
-// TestMarksThatReturnLastLonger: an endpoint that fails again and again is held off longer, up to a bound.
-func TestMarksThatReturnLastLonger(t *testing.T) {
-	o := newOutliers()
+// TestEjection_RepeatedLastsLonger checks that the time doubles with each repeated ejection, up to a bound.
+func TestEjection_RepeatedLastsLonger(t *testing.T) {
+	o := newOutlierFixture()
 	for _, want := range []time.Duration{baseEjectionTime, 2 * baseEjectionTime, 4 * baseEjectionTime, maxEjectionTime, maxEjectionTime} {
 		assert.True(t, o.observe("e0", 2, 3, false))
-		marked := o.now
-		for first, _ := o.beat(); first.Failing; first, _ = o.beat() {
+		ejected := o.now
+		for first, _ := o.sendHeartbeats(); first.Failing; first, _ = o.sendHeartbeats() {
 			o.now = o.now.Add(time.Second)
 		}
-		assert.Equal(t, want, o.now.Sub(marked))
+		assert.Equal(t, want, o.now.Sub(ejected))
 	}
 	o.now = o.now.Add(ejectionMemory)
-	o.beat()
+	o.sendHeartbeats()
 	assert.True(t, o.observe("e0", 2, 3, false))
-	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil, "long ago is forgotten")
+	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil, "an ejection of long ago doesn't count")
 }
 
-// TestAnEndpointThatWasGoneIsUnmarked: its mark spoke of the life before.
-func TestAnEndpointThatWasGoneIsUnmarked(t *testing.T) {
-	o := newOutliers()
-	for range 4 { // so that the mark is long
+// TestEjection_EndsWithRestart checks that an endpoint that has restarted isn't ejected for its earlier process's faults.
+func TestEjection_EndsWithRestart(t *testing.T) {
+	o := newOutlierFixture()
+	for range 4 { // so that the ejection is long
 		assert.True(t, o.observe("e0", 2, 3, false))
 		o.entries["e0"].endpoint.Failing = false
 	}
 	o.now = o.now.Add(resetAfterIntervals*testInterval + time.Millisecond)
-	first, _ := o.beat()
+	first, _ := o.sendHeartbeats()
 	assert.False(t, first.Failing)
 }
 
-func TestObservationsOfWhatIsNotJudgedHere(t *testing.T) {
-	o := newOutliers()
+func TestRecordObservation_OfEndpointsOfOthers(t *testing.T) {
+	o := newOutlierFixture()
 	o.Merge(o.now, state.Endpoint{ID: "far", Service: "s", Address: "far:80", Receiver: "other", Sequence: 1})
 	o.Deregister(o.now, "e1")
 	for _, id := range []string{"far", "e1", "unknown"} {
--- a/serving/endpoints/restore.go
+++ b/serving/endpoints/restore.go
@@ -6,16 +6,16 @@
 	"rowanlink/serving/state"
 )
 
-// Restore takes in an endpoint as an earlier life of this process knew it, unless something is known of it already. It
-// tells whether it was taken in. Times left count from now: they become too long, never too short. Until its next
-// heartbeat comes its silence is judged as if one had come now.
-func (t *Table) Restore(now time.Time, kept state.Endpoint) bool {
-	if _, known := t.entries[kept.ID]; known || kept.ID == "" || kept.State == state.EndpointDeparted {
+// Restore adds an endpoint that an earlier process of this member has saved, unless the endpoint is known or departed, and
+// reports whether it did. Remaining times count from now: they become too long, never too short. The time without a
+// heartbeat counts from now too.
+func (t *Table) Restore(now time.Time, saved state.Endpoint) bool {
+	if _, known := t.entries[saved.ID]; known || saved.ID == "" || saved.State == state.EndpointDeparted {
 		return false
 	}
 	e := &entry{}
-	t.entries[kept.ID] = e
-	t.adoptUpdate(now, e, kept)
-	e.broadcast.replicated = false // the others may have lost their memory too
+	t.entries[saved.ID] = e
+	t.adoptUpdate(now, e, saved)
+	e.broadcast.replicated = false // the other members may have lost their state too
 	return true
 }
--- a/serving/endpoints/restore_test.go
+++ b/serving/endpoints/restore_test.go
@@ -9,23 +9,23 @@
 	"rowanlink/serving/state"
 )
 
-func TestRestoredEndpointGivesWayToWhatIsKnown(t *testing.T) {
+func TestRestore_KeepsNewerState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Options{Self: "m", HeartbeatInterval: time.Second})
-	kept := state.Endpoint{ID: "i", Service: "s", Address: "a:1", Zone: "z", Sequence: 7, Receiver: "m",
+	saved := state.Endpoint{ID: "i", Service: "s", Address: "a:1", Zone: "z", Sequence: 7, Receiver: "m",
 		WarmupLeftMillis: 2000}
-	assert.True(t, table.Restore(now, kept))
-	assert.False(t, table.Restore(now, kept), "once")
+	assert.True(t, table.Restore(now, saved))
+	assert.False(t, table.Restore(now, saved), "it is known now")
 	got, _ := table.Get(now.Add(time.Second), "i")
 	assert.EqualValues(t, 1000, got.WarmupLeftMillis)
 
-	_, change := table.ReceiveHeartbeat(now.Add(time.Second), "i", Heartbeat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Closing: true})
-	assert.Equal(t, Change{Broadcast: true}, change, "its closing isn't known to be held by another member")
-	assert.False(t, table.Restore(now, kept))
+	_, change := table.ReceiveHeartbeat(now.Add(time.Second), "i", Heartbeat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Draining: true})
+	assert.Equal(t, Change{Broadcast: true}, change, "no other member is known to have stored that it drains")
+	assert.False(t, table.Restore(now, saved))
 	assert.False(t, table.Restore(now, state.Endpoint{ID: "gone", State: state.EndpointDeparted}))
 }
 
-func TestRestoredEndpointThatSaysNothingIsSilentAndThenGone(t *testing.T) {
+func TestRestore_WithoutHeartbeatUnresponsiveThenDeparted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Options{Self: "m", HeartbeatInterval: time.Second})
 	table.Sweep(now)
--- /dev/null
+++ b/serving/endpoints/shared.go
@@ -0,0 +1,103 @@
+package endpoints
+
+import (
+	"time"
+
+	"rowanlink/serving/actor"
+	"rowanlink/serving/state"
+)
+
+// SharedTable is a table that is safe for concurrent use: it runs in a goroutine of its own and reads the clock. After
+// Stop all calls return zero values and false.
+type SharedTable struct {
+	table *actor.Actor[Table]
+	clock func() time.Time
+}
+
+// Start returns a running table. The clock is time.Now outside tests.
+func Start(options Options, clock func() time.Time) *SharedTable {
+	return &SharedTable{
+		table: actor.Start(NewTable(options)),
+		clock: clock,
+	}
+}
+
+// Stop ends the goroutine.
+func (s *SharedTable) Stop() { s.table.Stop() }
+
+// callResult is the result of a call of an endpoint.
+type callResult struct {
+	endpoint state.Endpoint
+	change   Change
+}
+
+// ReceiveHeartbeat is Table.ReceiveHeartbeat.
+func (s *SharedTable) ReceiveHeartbeat(id string, heartbeat Heartbeat) (state.Endpoint, Change, bool) {
+	result, ok := actor.Call(s.table, func(t *Table) callResult {
+		endpoint, change := t.ReceiveHeartbeat(s.clock(), id, heartbeat)
+		return callResult{endpoint: endpoint, change: change}
+	})
+	return result.endpoint, result.change, ok
+}
+
+// Deregister is Table.Deregister.
+func (s *SharedTable) Deregister(id string) (state.Endpoint, Change, bool) {
+	result, ok := actor.Call(s.table, func(t *Table) callResult {
+		endpoint, change := t.Deregister(s.clock(), id)
+		return callResult{endpoint: endpoint, change: change}
+	})
+	return result.endpoint, result.change, ok
+}
+
+// observationResult is the result of an observation.
+type observationResult struct {
+	endpoint state.Endpoint
+	ejected  bool
+}
+
+// RecordObservation is Table.RecordObservation.
+func (s *SharedTable) RecordObservation(observer string,
+	observation state.Observation) (endpoint state.Endpoint, ejected, ok bool) {
+	result, ok := actor.Call(s.table, func(t *Table) observationResult {
+		endpoint, ejected := t.RecordObservation(s.clock(), observer, observation)
+		return observationResult{endpoint: endpoint, ejected: ejected}
+	})
+	return result.endpoint, result.ejected, ok
+}
+
+// MarkReplicated is Table.MarkReplicated. It doesn't wait.
+func (s *SharedTable) MarkReplicated(stored state.Endpoint) {
+	s.table.Send(func(t *Table) { t.MarkReplicated(stored) })
+}
+
+// Merge is Table.Merge. It doesn't wait; onNewer, unless nil, is called by the table's goroutine if the update was newer.
+func (s *SharedTable) Merge(update state.Endpoint, onNewer func()) {
+	s.table.Send(func(t *Table) {
+		if t.Merge(s.clock(), update) && onNewer != nil {
+			onNewer()
+		}
+	})
+}
+
+// Restore is Table.Restore.
+func (s *SharedTable) Restore(saved state.Endpoint) bool {
+	restored, _ := actor.Call(s.table, func(t *Table) bool { return t.Restore(s.clock(), saved) })
+	return restored
+}
+
+// Sweep is Table.Sweep.
+func (s *SharedTable) Sweep() []state.Endpoint {
+	list, _ := actor.Call(s.table, func(t *Table) []state.Endpoint { return t.Sweep(s.clock()) })
+	return list
+}
+
+// Live is Table.Live.
+func (s *SharedTable) Live() []state.Endpoint {
+	list, _ := actor.Call(s.table, func(t *Table) []state.Endpoint { return t.Live(s.clock()) })
+	return list
+}
+
+// ChangesSince is Table.ChangesSince.
+func (s *SharedTable) ChangesSince(since uint64) (Delta, bool) {
+	return actor.Call(s.table, func(t *Table) Delta { return t.ChangesSince(s.clock(), since) })
+}
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -1,60 +1,61 @@
 package endpoints
 
 import (
-	"slices"
-	"strings"
 	"time"
 
 	"rowanlink/serving/state"
 )
 
-// Sweep judges the endpoints by the time since their last calls and forgets those long gone. It returns the
-// endpoints that the other members must be told of. It is to be called every half second or so: a pause of more than
-// two seconds counts as a standstill of this process, and all silence is counted anew from its end.
+// Sweep marks endpoints as unresponsive or departed by the time since their last heartbeats, and removes those that
+// departed long ago. It returns the endpoints that have to be gossiped. The caller sweeps about every half second: after a
+// pause of more than maxSweepPause, in which this process didn't run, all times count from the end of the pause.
 func (t *Table) Sweep(now time.Time) []state.Endpoint {
 	pause := now.Sub(t.lastSweep)
-	stoodStill := pause > maxSweepPause && !t.lastSweep.IsZero()
+	wasPaused := pause > maxSweepPause && !t.lastSweep.IsZero()
 	t.lastSweep = now
-	judges := make(map[string]bool) // by receiver: there are few
+	responsibleFor := make(map[string]bool) // by receiver: there are few
 	for _, e := range t.entries {
-		if stoodStill {
+		if wasPaused {
 			e.lastHeartbeat = now
 		}
-		judged, asked := judges[e.endpoint.Receiver]
-		if !asked {
-			judged = t.options.IsResponsibleFor(e.endpoint.Receiver)
-			judges[e.endpoint.Receiver] = judged
+		responsible, known := responsibleFor[e.endpoint.Receiver]
+		if !known {
+			responsible = t.options.IsResponsibleFor(e.endpoint.Receiver)
+			responsibleFor[e.endpoint.Receiver] = responsible
 		}
-		t.checkLiveness(now, e, judged)
+		t.checkLiveness(now, e, responsible)
 	}
 	return t.takePending(now)
 }
 
-// checkLiveness looks at one endpoint. Judged: its silence is this member's to judge.
-func (t *Table) checkLiveness(now time.Time, e *entry, judged bool) {
+// checkLiveness checks one endpoint. Only the responsible member marks it as unresponsive or departed.
+func (t *Table) checkLiveness(now time.Time, e *entry, responsible bool) {
 	if e.endpoint.State == state.EndpointDeparted {
-		if now.Sub(e.goneSince) > tombstoneRetention {
+		if now.Sub(e.departedAt) > tombstoneRetention {
 			t.remove(e)
 		}
 		return
 	}
-	if judged && !e.responsible {
-		e.lastHeartbeat = now // this member has listened only since now
+	if responsible && !e.responsible {
+		e.lastHeartbeat = now // from now on
 	}
-	e.responsible = judged
-	if !judged {
+	e.responsible = responsible
+	if !responsible {
 		return
 	}
 	silence := now.Sub(e.lastHeartbeat)
+	isRemoved := !e.removalDue.IsZero() && now.Sub(e.removalDue) > removalSlack
+	unresponsiveTimeout := unresponsiveIntervals*t.options.HeartbeatInterval + unresponsiveSlack
 	switch {
-	case silence > goneTimeout, !e.removalDue.IsZero() && now.Sub(e.removalDue) > removalSlack:
-		t.markGone(now, e)
+	case silence > departedTimeout, isRemoved:
+		t.markDeparted(now, e)
 		t.pending[e.endpoint.ID] = e
-	case silence > silentIntervals*t.options.HeartbeatInterval+silentSlack && !e.endpoint.Unresponsive:
-		t.markSilent(e)
+	case silence > unresponsiveTimeout && !e.endpoint.Unresponsive:
+		t.markUnresponsive(e)
 	}
 }
 
+// takePending returns the pending broadcasts, ordered by ID.
 func (t *Table) takePending(now time.Time) []state.Endpoint {
 	if len(t.pending) == 0 {
 		return nil
@@ -64,10 +65,11 @@
 		t.recordBroadcast(e)
 		list = append(list, e.snapshotAt(now))
 	}
-	slices.SortFunc(list, func(a, b state.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	sortByID(list)
 	return list
 }
 
+// remove removes an endpoint from the table.
 func (t *Table) remove(e *entry) {
 	t.position++
 	t.removals.add(t.position, e.endpoint.ID)
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -1,87 +1,91 @@
-// Package endpoints keeps the table of all endpoints: what each has said of itself, whether it is silent and whether
-// it is gone. It does no I/O; the time is an argument, of the steady clock of one process. A core member feeds a table
-// with heartbeats and judges silence, an agent only merges what the spread brings; both are the same code.
+// Package endpoints holds the table of all endpoints: what each reports about itself, and whether it is unresponsive,
+// failing or departed. A core member feeds its table with heartbeats and detects unresponsive endpoints; an agent only
+// merges what is gossiped. Table does no I/O: times are arguments, of one process's monotonic clock. SharedTable runs a
+// Table for several goroutines.
 package endpoints
 
 import (
-	"slices"
-	"strings"
 	"time"
 
 	"rowanlink/serving/state"
 )
 
-// Times of the table.
+// Time-outs of the table.
 const (
-	// silentIntervals and silentSlack: an endpoint is silent after so many intervals without a heartbeat and the slack.
-	silentIntervals = 3
-	silentSlack     = 500 * time.Millisecond
-	// goneTimeout is how long an endpoint may be silent before it counts as gone.
-	goneTimeout = 30 * time.Second
-	// removalSlack is how long after the time that it named itself a closing endpoint counts as gone.
+	// unresponsiveIntervals is the number of heartbeat intervals which, with unresponsiveSlack added, may pass without a
+	// heartbeat before an endpoint is unresponsive.
+	unresponsiveIntervals = 3
+	unresponsiveSlack     = 500 * time.Millisecond
+	// departedTimeout is how long an endpoint may send no heartbeat before it counts as departed.
+	departedTimeout = 30 * time.Second
+	// removalSlack is how long after its announced removal a draining endpoint counts as departed.
 	removalSlack = time.Second
-	// tombstoneRetention is how long a gone endpoint is remembered, so that old news doesn't bring it back.
+	// tombstoneRetention is how long a departed endpoint is retained, so that an old update doesn't bring it back.
 	tombstoneRetention = 60 * time.Second
-	// standstill: a longer pause between two sweeps means that this process stood still, not the endpoints.
+	// maxSweepPause is the longest pause between two sweeps after which missing heartbeats count against the endpoints.
 	maxSweepPause = 2 * time.Second
-	// timeTolerance is by how much a told time may differ from the one before and still be the same.
+	// timeTolerance is the difference up to which a broadcast time counts as unchanged.
 	timeTolerance = 500 * time.Millisecond
 )
 
-// Options of a table.
+// Options configures a Table.
 type Options struct {
-	Self              string        // name of the member that owns the table
+	Self              string        // name of the local member
 	HeartbeatInterval time.Duration // between two heartbeats of an endpoint
-	// IsResponsibleFor tells whether this member judges the silence of the endpoints whose heartbeats the named member
-	// receives: itself, and others while they are down and this member holds that duty. It is called once a sweep
-	// for each receiver. Nil: only itself.
+	// IsResponsibleFor reports whether this member decides on the liveness of the endpoints whose heartbeats the named
+	// member receives: itself, and others while they are down and this member holds the singleton role for that. It is
+	// called once a sweep for each receiver. Nil: only itself.
 	IsResponsibleFor func(receiver string) bool
 }
 
-// Table holds endpoints by ID. It must be used by one goroutine at a time.
+// Table holds endpoints by ID. It is not safe for concurrent use.
 type Table struct {
 	options   Options
 	entries   map[string]*entry
 	position  uint64            // of the newest change
-	removals  removalLog        // endpoints that have left the table
-	pending   map[string]*entry // others must hear of them with the next sweep
+	removals  removalLog        // of endpoints
+	pending   map[string]*entry // to be broadcast by the next sweep, by ID
 	lastSweep time.Time
 }
 
-// entry is what is known of one endpoint. The times left in known are not kept up; the deadlines beside it stand
-// for them.
+// entry is an endpoint with its state in the table. The remaining times in endpoint are not updated; the deadlines beside
+// it replace them.
 type entry struct {
 	endpoint       state.Endpoint
-	warmUpEnds     time.Time // zero: not cold
-	removalDue     time.Time // when it is taken away; zero: not told
-	lastHeartbeat  time.Time // when its last call came, or when this member began to judge it
-	responsible    bool      // by this member, at the last sweep
-	goneSince      time.Time // when it was found gone
-	changePosition uint64    // in the table's changes
+	warmupEnds     time.Time // zero: warmed up
+	removalDue     time.Time // zero: not announced
+	lastHeartbeat  time.Time // or when this member became responsible
+	responsible    bool      // whether this member was responsible at the last sweep
+	departedAt     time.Time
+	changePosition uint64 // of its newest change
 	broadcast      broadcastState
 	outlier        outlierState
 }
 
-// broadcastState is what the other members were last told of an endpoint, or told us.
+// broadcastState is the last state of an endpoint that was exchanged with the other members.
 type broadcastState struct {
 	exists     bool
 	major      uint64
 	minor      uint64
-	warmUpEnds time.Time
+	warmupEnds time.Time
 	removalDue time.Time
-	replicated bool // another member is known to hold this version
+	replicated bool // another member is known to have stored it
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable(options Options) *Table {
 	if options.IsResponsibleFor == nil {
 		self := options.Self
 		options.IsResponsibleFor = func(receiver string) bool { return receiver == self }
 	}
-	return &Table{options: options, entries: make(map[string]*entry), pending: make(map[string]*entry)}
+	return &Table{
+		options: options,
+		entries: make(map[string]*entry),
+		pending: make(map[string]*entry),
+	}
 }
 
-// Get returns an endpoint as it is known now.
+// Get returns the present state of an endpoint.
 func (t *Table) Get(now time.Time, id string) (state.Endpoint, bool) {
 	found, ok := t.entries[id]
 	if !ok {
@@ -90,31 +94,32 @@
 	return found.snapshotAt(now), true
 }
 
-// All returns all endpoints, also those that are gone and not forgotten yet, ordered by ID.
+// All returns all endpoints, also those that have departed and are not removed yet, ordered by ID.
 func (t *Table) All(now time.Time) []state.Endpoint {
 	return t.listWhere(now, func(*entry) bool { return true })
 }
 
-// Live returns the endpoints that are not gone, ordered by ID.
+// Live returns the endpoints that have not departed, ordered by ID.
 func (t *Table) Live(now time.Time) []state.Endpoint {
 	return t.listWhere(now, func(e *entry) bool { return e.endpoint.State != state.EndpointDeparted })
 }
 
-func (t *Table) listWhere(now time.Time, wanted func(*entry) bool) []state.Endpoint {
+// listWhere returns the matching endpoints, ordered by ID.
+func (t *Table) listWhere(now time.Time, matches func(*entry) bool) []state.Endpoint {
 	list := make([]state.Endpoint, 0, len(t.entries))
 	for _, e := range t.entries {
-		if wanted(e) {
+		if matches(e) {
 			list = append(list, e.snapshotAt(now))
 		}
 	}
-	slices.SortFunc(list, func(a, b state.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	sortByID(list)
 	return list
 }
 
-// snapshotAt returns the endpoint with the times that are left now.
+// snapshotAt returns the endpoint with the times that remain at now.
 func (e *entry) snapshotAt(now time.Time) state.Endpoint {
 	endpoint := e.endpoint
-	endpoint.WarmupLeftMillis = millisLeft(now, e.warmUpEnds)
+	endpoint.WarmupLeftMillis = millisLeft(now, e.warmupEnds)
 	endpoint.RemovalInMillis = 0
 	if !e.removalDue.IsZero() {
 		endpoint.RemovalInMillis = max(1, millisLeft(now, e.removalDue))
@@ -122,7 +127,7 @@
 	return endpoint
 }
 
-// millisLeft rounds up, so that a span passed on is never too short.
+// millisLeft returns the milliseconds until the deadline, rounded up, so that they are never too few; 0 after it.
 func millisLeft(now, deadline time.Time) int64 {
 	if !deadline.After(now) {
 		return 0
@@ -130,7 +135,7 @@
 	return int64((deadline.Sub(now) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// deadline turns a time left into a time of the steady clock.
+// deadline returns the time at which a remaining time is over; zero where none remains.
 func deadline(now time.Time, left time.Duration) time.Time {
 	if left <= 0 {
 		return time.Time{}
@@ -138,15 +143,21 @@
 	return now.Add(left)
 }
 
-// recordChange makes an entry the newest change.
+// recordChange gives an entry the position of the newest change.
 func (t *Table) recordChange(e *entry) {
 	t.position++
 	e.changePosition = t.position
 }
 
-// recordBroadcast notes that the other members are told of an entry as it is.
+// recordBroadcast notes that the present state of an entry is exchanged with the other members.
 func (t *Table) recordBroadcast(e *entry) {
 	major, minor := Version(e.endpoint)
-	e.broadcast = broadcastState{exists: true, major: major, minor: minor, warmUpEnds: e.warmUpEnds, removalDue: e.removalDue}
+	e.broadcast = broadcastState{
+		exists:     true,
+		major:      major,
+		minor:      minor,
+		warmupEnds: e.warmupEnds,
+		removalDue: e.removalDue,
+	}
 	delete(t.pending, e.endpoint.ID)
 }
--- a/serving/operator/fuzz_test.go
+++ b/serving/operator/fuzz_test.go
@@ -46,12 +46,12 @@
 		assert.NotEmpty(t, heartbeat.Service)
 		assert.NotEmpty(t, heartbeat.Address)
 		assert.GreaterOrEqual(t, heartbeat.Slots, 0)
-		assert.GreaterOrEqual(t, int64(heartbeat.WarmUpRemaining), int64(0))
-		assert.GreaterOrEqual(t, int64(heartbeat.Remaining), int64(0))
-		document := heartbeatDocument{Service: heartbeat.Service, Address: heartbeat.Address, Zone: heartbeat.Zone, Edition: heartbeat.Edition,
-			Slots: heartbeat.Slots, State: "accepting", ColdLeftMillis: float64(heartbeat.WarmUpRemaining) / 1e6,
-			RemainingMillis: float64(heartbeat.Remaining) / 1e6, Sequence: heartbeat.Sequence}
-		if heartbeat.Closing {
+		assert.GreaterOrEqual(t, int64(heartbeat.WarmupLeft), int64(0))
+		assert.GreaterOrEqual(t, int64(heartbeat.RemovalIn), int64(0))
+		document := heartbeatDocument{Service: heartbeat.Service, Address: heartbeat.Address, Zone: heartbeat.Zone, Edition: heartbeat.SoftwareVersion,
+			Slots: heartbeat.Slots, State: "accepting", ColdLeftMillis: float64(heartbeat.WarmupLeft) / 1e6,
+			RemainingMillis: float64(heartbeat.RemovalIn) / 1e6, Sequence: heartbeat.Sequence}
+		if heartbeat.Draining {
 			document.State = "closing"
 		}
 		for _, model := range heartbeat.Models {
@@ -61,11 +61,11 @@
 		require.NoError(t, err)
 		reparsed, err := parseHeartbeat(written)
 		require.NoError(t, err)
-		assert.InDelta(t, float64(heartbeat.WarmUpRemaining), float64(reparsed.WarmUpRemaining), 1)
-		assert.InDelta(t, float64(heartbeat.Remaining), float64(reparsed.Remaining), 1)
+		assert.InDelta(t, float64(heartbeat.WarmupLeft), float64(reparsed.WarmupLeft), 1)
+		assert.InDelta(t, float64(heartbeat.RemovalIn), float64(reparsed.RemovalIn), 1)
 		assert.Equal(t, len(heartbeat.Models), len(reparsed.Models))
 		assert.Equal(t, heartbeat.Sequence, reparsed.Sequence)
 		assert.Equal(t, heartbeat.Slots, reparsed.Slots)
-		assert.Equal(t, heartbeat.Closing, reparsed.Closing)
+		assert.Equal(t, heartbeat.Draining, reparsed.Draining)
 	})
 }
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -24,15 +24,15 @@
 			Type: schema.String(func(h *endpoints.Heartbeat) *string { return &h.Address })},
 		{Name: "zone", Type: schema.String(func(h *endpoints.Heartbeat) *string { return &h.Zone })},
 		{Name: "edition", Type: schema.Raw(func(h *endpoints.Heartbeat, value gjson.Result) error {
-			h.Edition = value.String()
+			h.SoftwareVersion = value.String()
 			return nil
 		})},
 		{Name: "berths", Type: schema.Int(func(h *endpoints.Heartbeat) *int { return &h.Slots })},
-		{Name: "state", Type: schema.Enum(isClosingByState, func(h *endpoints.Heartbeat) *bool { return &h.Closing })},
+		{Name: "state", Type: schema.Enum(isClosingByState, func(h *endpoints.Heartbeat) *bool { return &h.Draining })},
 		{Name: "cold_left_ms", Type: schema.Duration(time.Millisecond,
-			func(h *endpoints.Heartbeat) *time.Duration { return &h.WarmUpRemaining })},
+			func(h *endpoints.Heartbeat) *time.Duration { return &h.WarmupLeft })},
 		{Name: "remaining_ms", Type: schema.Duration(time.Millisecond,
-			func(h *endpoints.Heartbeat) *time.Duration { return &h.Remaining })},
+			func(h *endpoints.Heartbeat) *time.Duration { return &h.RemovalIn })},
 		{Name: "models", Type: schema.ObjectList(modelFields, "name",
 			func(h *endpoints.Heartbeat) *[]state.Model { return &h.Models })},
 		{Name: "call_seq", Type: schema.Uint64(func(h *endpoints.Heartbeat) *uint64 { return &h.Sequence })},
