--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -1,6 +1,7 @@
 package custody
 
 import (
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -11,80 +12,84 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// life is one of a folder's: names as a process finds them that still holds some webhooks.
-func life(t *testing.T, dir string, diskMB float64, held ...inflight.RequestID) *Store {
-	n, err := Open(dir, diskMB, api.Second, func(name shardmap.WebhookID) bool {
-		for _, id := range held {
-			if IDOf(id) == name {
-				return true
-			}
-		}
-		return false
+// openStore opens a store as a process does whose dispatcher has recovered some webhooks.
+func openStore(t *testing.T, dir string, diskMB float64, recovered ...inflight.RequestID) *Store {
+	t.Helper()
+	s, err := Open(dir, diskMB, api.Second, func(id shardmap.WebhookID) bool {
+		return slices.ContainsFunc(recovered, func(r inflight.RequestID) bool { return IDOf(r) == id })
 	})
 	require.NoError(t, err)
-	t.Cleanup(func() { n.Close() })
-	return n
+	t.Cleanup(func() { _ = s.Close() }) // a later store has opened the same folder by then
+	return s
 }
 
-func (n *Store) does(t *testing.T, id inflight.RequestID, do func(*shardmap.CustodyTable, shardmap.WebhookID)) {
-	name := IDOf(id)
-	require.NoError(t, n.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { do(k, name) }))
+func update(t *testing.T, s *Store, requestID inflight.RequestID,
+	change func(*shardmap.CustodyTable, shardmap.WebhookID)) {
+	t.Helper()
+	id := IDOf(requestID)
+	err := s.Update([]shardmap.WebhookID{id}, func(table *shardmap.CustodyTable) { change(table, id) })
+	require.NoError(t, err)
 }
 
-// Guards against a webhook called by two: that it may be with another member outlasts the process, unless it
+// Guards against a webhook that two members call for: that another member may have it outlasts the process, unless it
 // has ended here meanwhile; and so does what was answered of it.
-func TestWhatIsKnownOfNamesOutlastsTheProcess(t *testing.T) {
+func TestStore_RecordsOutlastTheProcess(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
-	n := life(t, dir, 1)
-	for _, id := range []inflight.RequestID{"held", "ended"} {
-		n.does(t, id, func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
-			k.BeginOffer(name, ttl, shardmap.Offer{To: "b", Incarnation: 3})
+	s := openStore(t, dir, 1)
+	for _, requestID := range []inflight.RequestID{"pending", "ended"} {
+		update(t, s, requestID, func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
+			table.BeginOffer(id, ttl, shardmap.Offer{To: "b", Incarnation: 3})
 		})
 	}
-	n.does(t, "asked", func(k *shardmap.CustodyTable, name shardmap.WebhookID) { k.HandleQuery(name, 4, ttl) })
-	next := life(t, dir, 1, "held")
-	assert.Equal(t, n.Incarnation, next.Incarnation)
-	assert.True(t, next.IsInDoubt("held"))
+	update(t, s, "queried", func(table *shardmap.CustodyTable, id shardmap.WebhookID) { table.HandleQuery(id, 4, ttl) })
+	next := openStore(t, dir, 1, "pending")
+	assert.Equal(t, s.Incarnation, next.Incarnation)
+	assert.True(t, next.IsInDoubt("pending"))
 	assert.False(t, next.IsInDoubt("ended"))
-	next.does(t, "asked", func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
-		reply, _ := k.HandleOffer(name, 4, ttl, inflight.Now(), true)
-		assert.Equal(t, shardmap.CustodyNever, reply, "a no is bound to last")
+	update(t, next, "queried", func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
+		reply, _ := table.HandleOffer(id, 4, ttl, inflight.Now(), true)
+		assert.Equal(t, shardmap.CustodyNever, reply, "that it was never taken has to stay true")
 	})
-	assert.NotEqual(t, n.Incarnation, life(t, t.TempDir(), 1).Incarnation, "a folder that was lost is another life's")
+	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a lost folder's successor is another")
 }
 
-// Guards against a webhook that its sender waits for in vain, and against one told to be here that is not:
-// the process ended between its record and its journal, before or after the webhook was in it.
-func TestAProcessThatEndsWhileItTakesOn(t *testing.T) {
+// Guards against a webhook that its sender waits for in vain, and against one that is answered to be here and is not:
+// the process ended between its record and its journal, before or after the webhook was in that.
+func TestStore_ProcessThatEndsWhileItAcceptsWebhooks(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
-	n := life(t, dir, 1)
-	for _, id := range []inflight.RequestID{"in", "lost"} {
-		n.does(t, id, func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
-			_, what := k.HandleOffer(name, 1, ttl, inflight.Now(), true)
-			require.Equal(t, shardmap.OfferTaken, what)
+	s := openStore(t, dir, 1)
+	for _, requestID := range []inflight.RequestID{"stored", "lost"} {
+		update(t, s, requestID, func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
+			_, outcome := table.HandleOffer(id, 1, ttl, inflight.Now(), true)
+			require.Equal(t, shardmap.OfferTaken, outcome)
 		})
-		assert.True(t, n.IsArriving(IDOf(id)))
+		assert.True(t, s.IsArriving(IDOf(requestID)))
 	}
-	for range 2 { // the life after the next finds the same
-		n = life(t, dir, 1, "in")
-		for id, want := range map[inflight.RequestID]shardmap.CustodyReply{"in": shardmap.CustodyTaken, "lost": shardmap.CustodyNever} {
-			n.does(t, id, func(k *shardmap.CustodyTable, name shardmap.WebhookID) {
-				reply, _ := k.HandleQuery(name, 1, ttl)
-				assert.Equal(t, want, reply, id)
+	for range 2 { // the incarnation after the next finds the same
+		s = openStore(t, dir, 1, "stored")
+		for requestID, want := range map[inflight.RequestID]shardmap.CustodyReply{
+			"stored": shardmap.CustodyTaken,
+			"lost":   shardmap.CustodyNever,
+		} {
+			update(t, s, requestID, func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
+				reply, _ := table.HandleQuery(id, 1, ttl)
+				assert.Equal(t, want, reply, requestID)
 			})
 		}
 	}
 }
 
-// Guards against an answer that no record stands for: what can't be written did not happen.
-func TestWhatCanNotBeWrittenIsAsBefore(t *testing.T) {
-	n, ttl := life(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
+// Guards against an answer that no record stands for: what can't be written has not happened.
+func TestStore_UpdateThatCannotBeWrittenChangesNothing(t *testing.T) {
+	s, ttl := openStore(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
-	for id := range 1000 {
-		name := IDOf(inflight.RequestID(rune('a' + id)))
-		err = n.Update([]shardmap.WebhookID{name}, func(k *shardmap.CustodyTable) { k.HandleOffer(name, 1, ttl, inflight.Now(), true) })
+	for n := range 1000 {
+		id := IDOf(inflight.RequestID(rune('a' + n)))
+		err = s.Update([]shardmap.WebhookID{id}, func(table *shardmap.CustodyTable) {
+			table.HandleOffer(id, 1, ttl, inflight.Now(), true)
+		})
 		if err != nil {
-			assert.False(t, n.IsArriving(name))
+			assert.False(t, s.IsArriving(id))
 			break
 		}
 	}
--- a/cluster/member/session/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -10,20 +10,22 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"rowanlink/cluster"
 	"rowanlink/cluster/member/session"
 	"rowanlink/webhook/api"
 )
 
-// counted is a listener whose bytes are counted, in and out.
+// counted is a listener that counts the bytes of its connections, both ways.
 type counted struct {
 	net.Listener
-	n *atomic.Int64
+	bytes *atomic.Int64
 }
 
 type countedConn struct {
 	net.Conn
-	n *atomic.Int64
+	bytes *atomic.Int64
 }
 
 func (c counted) Accept() (net.Conn, error) {
@@ -31,78 +33,82 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c.n}, nil
+	return countedConn{conn, c.bytes}, nil
 }
 
 func (c countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.n.Add(int64(n))
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
 func (c countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.n.Add(int64(n))
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func cpu() time.Duration {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
+	b.Helper()
+	var usage syscall.Rusage
+	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkAtRest is three keepers and so many members that hold a task each and follow the leases, all in
-// this process, for a leaseTTL of 3 s each time: what it costs that nothing happens.
+const benchLeaseTTL = 3 * api.Second
+
+// BenchmarkAtRest is what it costs that nothing happens, for a lease TTL each time: three raft nodes and so many
+// members that hold a lease each and watch the leases, all in this process.
 func BenchmarkAtRest(b *testing.B) {
 	for _, members := range []int{0, 300} {
-		b.Run(fmt.Sprint(members), func(b *testing.B) { atRest(b, members) })
+		b.Run(fmt.Sprint(members), func(b *testing.B) { benchmarkAtRest(b, members) })
 	}
 }
 
-func atRest(b *testing.B, members int) {
-	const leaseTTL = 3 * api.Second
-	f := begin(b, 3, leaseTTL, true)
-	f.leader()
-	var all []*session.Session
+func benchmarkAtRest(b *testing.B, members int) {
+	c := startClusterWith(b, benchLeaseTTL, true)
+	c.awaitLeader()
+	var sessions []*session.Session
 	for i := range members {
-		task := cluster.RangeOwnerResource(cluster.RangeID(i))
-		s := f.member(cluster.MemberID(fmt.Sprint("d", i)), task)
+		resource := cluster.RangeOwnerResource(cluster.RangeID(i))
+		s := c.startSession(cluster.MemberID(fmt.Sprint("d", i)), resource)
 		s.Watch(cluster.LeaseComponent, func(uint64, []byte) {})
-		all = append(all, s)
+		sessions = append(sessions, s)
 	}
-	for i, s := range all {
+	for i, s := range sessions {
 		awaitHeld(b, s, cluster.RangeOwnerResource(cluster.RangeID(i)))
 	}
 	time.Sleep(3 * time.Second)
-	k := f.up[f.leader()]
-	entries, renewed, moved, used, since := k.LastIndex(), k.RenewalsAccepted.Load(), f.moved.Load(), cpu(), time.Now()
+	leader := c.running[c.awaitLeader()]
+	entries, renewals, bytes := leader.LastIndex(), leader.RenewalsAccepted.Load(), c.nodeBytes.Load()
+	used, begun := cpuTime(b), time.Now()
 	for b.Loop() {
 		time.Sleep(3 * time.Second)
 	}
-	spent := time.Since(since).Seconds()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	b.ReportMetric(float64(k.LastIndex()-entries)/spent, "entries/s")
-	b.ReportMetric(float64(k.RenewalsAccepted.Load()-renewed)/spent, "renewed/s")
-	b.ReportMetric(float64(f.moved.Load()-moved)/spent, "B/s")
-	b.ReportMetric(100*(cpu()-used).Seconds()/spent, "%cpu")
-	b.ReportMetric(float64(m.Sys)/1e6, "MB")
+	seconds := time.Since(begun).Seconds()
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	b.ReportMetric(float64(leader.LastIndex()-entries)/seconds, "entries/s")
+	b.ReportMetric(float64(leader.RenewalsAccepted.Load()-renewals)/seconds, "renewed/s")
+	b.ReportMetric(float64(c.nodeBytes.Load()-bytes)/seconds, "B/s")
+	b.ReportMetric(100*(cpuTime(b)-used).Seconds()/seconds, "%cpu")
+	b.ReportMetric(float64(memory.Sys)/1e6, "MB")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTakeover cuts the leading keeper off, again and again: how long until another leads, by a leaseTTL of
-// 3 s.
+// BenchmarkTakeover partitions the leading raft node, again and again, and measures how long it takes until another
+// leads.
 func BenchmarkTakeover(b *testing.B) {
-	f := begin(b, 3, 3*api.Second, false)
+	c := startClusterWith(b, benchLeaseTTL, false)
 	var all []float64
 	for b.Loop() {
-		old := f.leader()
-		f.cut(old, true, f.names...)
-		since := time.Now()
-		f.leader(old)
-		all = append(all, time.Since(since).Seconds())
-		f.cut(old, false, f.names...)
+		old := c.awaitLeader()
+		c.partition(old, c.names...)
+		begun := time.Now()
+		c.awaitLeader(old)
+		all = append(all, time.Since(begun).Seconds())
+		c.heal(old, c.names...)
 		time.Sleep(2 * time.Second)
 	}
 	slices.Sort(all)
--- a/cluster/member/session/cluster_test.go
+++ b/cluster/member/session/cluster_test.go
@@ -1,12 +1,14 @@
 package session_test
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
+	"slices"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -25,7 +27,13 @@
 
 const (
 	leaseTTL    = api.Second
-	longTimeout = 20 * time.Second // than anything takes, on a busy machine too
+	longTimeout = 20 * time.Second // more than anything takes, on a busy machine too
+
+	nodeCount          = 3
+	nodeMaxConnections = 1000
+
+	// exclusiveResource is the resource that requireExclusive watches.
+	exclusiveResource cluster.Resource = "home/1"
 )
 
 func TestMain(m *testing.M) {
@@ -35,193 +43,237 @@
 	os.Exit(m.Run())
 }
 
-var began = time.Now()
+var startedAt = time.Now()
+
+func clock() api.Micros { return api.Micros(time.Since(startedAt).Microseconds()) }
 
-func clock() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
+// linkEnds are who dials and who accepts on a link.
+type linkEnds struct{ from, to cluster.MemberID }
 
-// fleetOf is some keepers, and members that reach them over links of their own.
-type fleetOf struct {
-	t          testing.TB
-	leaseTTL   api.Micros
-	names      []cluster.MemberID
-	says, logs map[cluster.MemberID]string
-	folders    map[cluster.MemberID]string
-	links      map[[2]cluster.MemberID][]*link
-	up         map[cluster.MemberID]*running
-	lives      lease.Incarnation
-	moved      atomic.Int64 // bytes that keepers heard and said, both kinds
-	plain      bool         // without links
+// testCluster is some raft nodes, and sessions that reach them over links of their own.
+type testCluster struct {
+	t             testing.TB
+	leaseTTL      api.Micros
+	names         []cluster.MemberID // of the raft nodes
+	addresses     map[cluster.MemberID]string
+	raftAddresses map[cluster.MemberID]string
+	folders       map[cluster.MemberID]string
+	links         map[linkEnds][]*link
+	running       map[cluster.MemberID]*runningNode
+	incarnations  lease.Incarnation
+	nodeBytes     atomic.Int64 // that nodes received and sent, from members and each other
+	withoutLinks  bool
 }
 
-type running struct {
+type runningNode struct {
 	*raftnode.Node
-	book   *lease.Table
 	server *transport.Server
-	talk   *transport.Client
+	client *transport.Client
 }
 
-func keepers(t testing.TB, n int, leaseTTL api.Micros) *fleetOf { return begin(t, n, leaseTTL, false) }
+func startCluster(t testing.TB, leaseTTL api.Micros) *testCluster {
+	t.Helper()
+	return startClusterWith(t, leaseTTL, false)
+}
 
-func begin(t testing.TB, n int, leaseTTL api.Micros, plain bool) *fleetOf {
-	f := &fleetOf{t: t, leaseTTL: leaseTTL, plain: plain, says: map[cluster.MemberID]string{},
-		logs: map[cluster.MemberID]string{}, folders: map[cluster.MemberID]string{},
-		links: map[[2]cluster.MemberID][]*link{},
-		up:    map[cluster.MemberID]*running{}}
-	for i := range n {
-		f.place(cluster.MemberID(fmt.Sprintf("m%d", i+1)))
+func startClusterWith(t testing.TB, leaseTTL api.Micros, withoutLinks bool) *testCluster {
+	t.Helper()
+	c := &testCluster{
+		t:             t,
+		leaseTTL:      leaseTTL,
+		addresses:     map[cluster.MemberID]string{},
+		raftAddresses: map[cluster.MemberID]string{},
+		folders:       map[cluster.MemberID]string{},
+		links:         map[linkEnds][]*link{},
+		running:       map[cluster.MemberID]*runningNode{},
+		withoutLinks:  withoutLinks,
+	}
+	for i := range nodeCount {
+		c.addNode(cluster.MemberID(fmt.Sprintf("m%d", i+1)))
 	}
-	for _, m := range f.names {
-		f.start(m)
+	for _, m := range c.names {
+		c.startNode(m)
 	}
 	t.Cleanup(func() {
-		for m := range f.up {
-			f.stop(m)
+		for m := range c.running {
+			c.stopNode(m)
 		}
 	})
-	return f
+	return c
 }
 
-// place gives a keeper its addresses and its folder.
-func (f *fleetOf) place(m cluster.MemberID) {
-	f.names = append(f.names, m)
-	for _, to := range []map[cluster.MemberID]string{f.says, f.logs} {
-		kept, err := portalloc.Keep()
-		require.NoError(f.t, err)
-		f.t.Cleanup(func() { kept.Close() })
-		to[m] = kept.Addr
+// addNode gives a raft node its addresses and its folder.
+func (c *testCluster) addNode(m cluster.MemberID) {
+	c.t.Helper()
+	c.names = append(c.names, m)
+	for _, addresses := range []map[cluster.MemberID]string{c.addresses, c.raftAddresses} {
+		port, err := portalloc.Keep()
+		require.NoError(c.t, err)
+		c.t.Cleanup(func() { _ = port.Close() }) // the port is free then, at the latest with the process
+		addresses[m] = port.Addr
 	}
-	f.folders[m] = f.t.TempDir()
+	c.folders[m] = c.t.TempDir()
 }
 
-// seen is the table of addresses as somebody has it.
-func (f *fleetOf) seen(by cluster.MemberID, real map[cluster.MemberID]string) map[cluster.MemberID]string {
-	if f.plain {
+// addressesFor returns the addresses as one of them has them, each that of a link to the real one.
+func (c *testCluster) addressesFor(by cluster.MemberID,
+	real map[cluster.MemberID]string) map[cluster.MemberID]string {
+	c.t.Helper()
+	if c.withoutLinks {
 		return real
 	}
-	table := map[cluster.MemberID]string{}
-	for m, addr := range real {
-		l := newLink(f.t, addr)
-		f.links[[2]cluster.MemberID{by, m}] = append(f.links[[2]cluster.MemberID{by, m}], l)
-		table[m] = l.on.Addr().String()
+	addresses := map[cluster.MemberID]string{}
+	for m, address := range real {
+		l := newLink(c.t, address)
+		c.links[linkEnds{by, m}] = append(c.links[linkEnds{by, m}], l)
+		addresses[m] = l.listener.Addr().String()
 	}
-	return table
+	return addresses
 }
 
-// cut cuts one off from some others, or joins it to them again.
-func (f *fleetOf) cut(one cluster.MemberID, cut bool, others ...cluster.MemberID) {
+// partition cuts one off from some others.
+func (c *testCluster) partition(one cluster.MemberID, others ...cluster.MemberID) {
+	c.setLinks(true, one, others)
+}
+
+// heal joins one to some others again.
+func (c *testCluster) heal(one cluster.MemberID, others ...cluster.MemberID) {
+	c.setLinks(false, one, others)
+}
+
+func (c *testCluster) setLinks(cut bool, one cluster.MemberID, others []cluster.MemberID) {
 	for _, m := range others {
-		for _, l := range append(f.links[[2]cluster.MemberID{one, m}], f.links[[2]cluster.MemberID{m, one}]...) {
-			l.set(cut)
+		for _, l := range slices.Concat(c.links[linkEnds{one, m}], c.links[linkEnds{m, one}]) {
+			l.setCut(cut)
 		}
 	}
 }
 
-func (f *fleetOf) start(m cluster.MemberID) {
-	says, err := net.Listen("tcp", f.says[m])
-	require.NoError(f.t, err)
-	r := &running{server: transport.NewServer(1000, time.Second), talk: transport.NewClient(m, f.seen(m, f.says)),
-		book: lease.NewTable()}
-	r.Node, err = f.open(m, r)
-	require.NoError(f.t, err)
-	r.RegisterHandlers(r.server)
-	go r.server.Serve(counted{says, &f.moved})
-	f.up[m] = r
-}
-
-func (f *fleetOf) open(m cluster.MemberID, r *running) (*raftnode.Node, error) {
-	log, err := net.Listen("tcp", f.logs[m])
-	require.NoError(f.t, err)
-	return raftnode.Open(raftnode.Config{ClusterName: "test", Self: m, StateDir: f.folders[m], SessionTTL: f.leaseTTL,
-		Addresses: f.seen(m, f.logs), Client: r.talk, Clock: clock, Leases: r.book, StateMachine: fsm.New(r.book, nil)},
-		counted{log, &f.moved})
-}
-
-func (f *fleetOf) stop(m cluster.MemberID) {
-	r := f.up[m]
-	delete(f.up, m)
-	r.Close()
-	r.server.Close(time.Second)
-	r.talk.Close()
-}
-
-// leader waits for one, other than those named.
-func (f *fleetOf) leader(but ...cluster.MemberID) (who cluster.MemberID) {
-	require.Eventually(f.t, func() bool {
-		for m, r := range f.up {
-			if _, self := r.Leader(); self && !contains(but, m) {
-				who = m
+func (c *testCluster) startNode(m cluster.MemberID) {
+	c.t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", c.addresses[m])
+	require.NoError(c.t, err)
+	raftListener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", c.raftAddresses[m])
+	require.NoError(c.t, err)
+	n := &runningNode{
+		server: transport.NewServer(nodeMaxConnections, time.Second),
+		client: transport.NewClient(m, c.addressesFor(m, c.addresses)),
+	}
+	leases := lease.NewTable()
+	n.Node, err = raftnode.Open(raftnode.Config{
+		ClusterName:  "test",
+		Self:         m,
+		StateDir:     c.folders[m],
+		SessionTTL:   c.leaseTTL,
+		Addresses:    c.addressesFor(m, c.raftAddresses),
+		Client:       n.client,
+		Clock:        clock,
+		Leases:       leases,
+		StateMachine: fsm.New(leases, nil),
+	}, counted{raftListener, &c.nodeBytes})
+	require.NoError(c.t, err)
+	n.RegisterHandlers(n.server)
+	go func() { _ = n.server.Serve(counted{listener, &c.nodeBytes}) }() // ends by Close
+	c.running[m] = n
+}
+
+func (c *testCluster) stopNode(m cluster.MemberID) {
+	n := c.running[m]
+	delete(c.running, m)
+	_ = n.Close() // some are stopped without a majority, which hands no leadership on
+	_ = n.server.Close(time.Second)
+	n.client.Close()
+}
+
+// awaitLeader waits for a leader other than those named.
+func (c *testCluster) awaitLeader(except ...cluster.MemberID) (leader cluster.MemberID) {
+	c.t.Helper()
+	require.Eventually(c.t, func() bool {
+		for m, n := range c.running {
+			if _, leads := n.Leader(); leads && !slices.Contains(except, m) {
+				leader = m
 				return true
 			}
 		}
 		return false
 	}, longTimeout, 5*time.Millisecond)
-	return who
-}
-
-func contains(all []cluster.MemberID, m cluster.MemberID) bool {
-	for _, other := range all {
-		if other == m {
-			return true
-		}
-	}
-	return false
-}
-
-func (f *fleetOf) keepers(by cluster.MemberID) *session.LeaderClient {
-	t := transport.NewClient(by, f.seen(by, f.says))
-	f.t.Cleanup(t.Close)
-	return session.NewLeaderClient(t, f.names, rand.Float64)
+	return leader
 }
 
-func (f *fleetOf) member(name cluster.MemberID, wants ...cluster.Resource) *session.Session {
-	f.lives++
-	s := session.New(session.Config{Self: name, Incarnation: f.lives, LeaseTTL: f.leaseTTL,
-		MaxClockDrift: 0.05, Clock: clock, Leader: f.keepers(name)})
-	f.t.Cleanup(s.Close)
-	for _, t := range wants {
-		s.Acquire(t)
+// startSession starts the session of a member that wants resources.
+func (c *testCluster) startSession(name cluster.MemberID, resources ...cluster.Resource) *session.Session {
+	c.t.Helper()
+	client := transport.NewClient(name, c.addressesFor(name, c.addresses))
+	c.t.Cleanup(client.Close)
+	c.incarnations++
+	s := session.New(session.Config{
+		Self:          name,
+		Incarnation:   c.incarnations,
+		LeaseTTL:      c.leaseTTL,
+		MaxClockDrift: 0.05,
+		Clock:         clock,
+		Leader:        session.NewLeaderClient(client, c.names, rand.Float64),
+	})
+	c.t.Cleanup(s.Close)
+	for _, resource := range resources {
+		s.Acquire(resource)
 	}
 	return s
 }
 
-func awaitHeld(t testing.TB, s *session.Session, task cluster.Resource) (e cluster.Epoch) {
+func awaitHeld(t testing.TB, s *session.Session, resource cluster.Resource) (epoch cluster.Epoch) {
+	t.Helper()
 	require.Eventually(t, func() (held bool) {
-		e, held = s.Holds(task)
+		epoch, held = s.Holds(resource)
 		return held
 	}, longTimeout, time.Millisecond)
-	return e
-}
-
-// watched looks all the time who holds a task: never two at once, never an epoch that goes back.
-func watched(t testing.TB, task cluster.Resource, all ...*session.Session) {
-	end, over := make(chan struct{}), make(chan string, 1)
-	go func() {
-		var last cluster.Epoch
-		for {
-			select {
-			case <-end:
-				over <- ""
-				return
-			default:
+	return epoch
+}
+
+// requireExclusive looks until the test ends that never two sessions hold exclusiveResource at once, and that its epoch
+// never goes back.
+func requireExclusive(t testing.TB, sessions ...*session.Session) {
+	t.Helper()
+	end, violation := make(chan struct{}), make(chan string, 1)
+	go func() { violation <- watchExclusive(end, sessions) }()
+	t.Cleanup(func() {
+		close(end)
+		require.Empty(t, <-violation)
+	})
+}
+
+// watchExclusive returns how exclusiveResource was held wrongly; "": it was not.
+func watchExclusive(end <-chan struct{}, sessions []*session.Session) (violation string) {
+	var last cluster.Epoch
+	for {
+		select {
+		case <-end:
+			return ""
+		default:
+		}
+		for i, s := range sessions {
+			epoch, held := s.Holds(exclusiveResource)
+			if held && isHeldByAnother(s, sessions[i+1:]) {
+				return "two held it at once"
 			}
-			for i, s := range all {
-				e, held := s.Holds(task)
-				for _, other := range all[i+1:] {
-					if _, also := other.Holds(task); held && also {
-						if _, still := s.Holds(task); still {
-							over <- "two held it at once"
-							return
-						}
-					}
-				}
-				if held && e < last {
-					over <- "an epoch went back"
-					return
-				}
-				last = max(last, e)
+			if held && epoch < last {
+				return "an epoch went back"
 			}
-			time.Sleep(100 * time.Microsecond)
+			last = max(last, epoch)
+		}
+		time.Sleep(100 * time.Microsecond)
+	}
+}
+
+// isHeldByAnother reports whether a session that held exclusiveResource before another did still holds it after.
+func isHeldByAnother(s *session.Session, others []*session.Session) bool {
+	for _, other := range others {
+		if _, alsoHeld := other.Holds(exclusiveResource); !alsoHeld {
+			continue
 		}
-	}()
-	t.Cleanup(func() { close(end); require.Empty(t, <-over) })
+		if _, stillHeld := s.Holds(exclusiveResource); stillHeld {
+			return true
+		}
+	}
+	return false
 }
--- a/cluster/member/session/link_test.go
+++ b/cluster/member/session/link_test.go
@@ -1,6 +1,7 @@
 package session_test
 
 import (
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -9,71 +10,79 @@
 	"github.com/stretchr/testify/require"
 )
 
-// link is one address that somebody has for another: cut, it refuses and resets.
+// link forwards the connections from one member to another. While it is cut it refuses and resets them.
 type link struct {
-	to  string
-	on  net.Listener
-	mu  sync.Mutex
-	cut bool
-	all map[net.Conn]bool
+	to       string
+	listener net.Listener
+
+	mu    sync.Mutex
+	cut   bool
+	conns map[net.Conn]bool
 }
 
 func newLink(t testing.TB, to string) *link {
-	on, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := &link{to: to, on: on, all: map[net.Conn]bool{}}
-	t.Cleanup(func() { on.Close(); l.set(true) })
+	l := &link{to: to, listener: listener, conns: map[net.Conn]bool{}}
+	t.Cleanup(func() {
+		_ = listener.Close()
+		l.setCut(true)
+	})
 	go func() {
 		for {
-			c, err := on.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.join(c)
+			go l.forward(conn)
 		}
 	}()
 	return l
 }
 
-func (l *link) join(c net.Conn) {
-	far, err := net.Dial("tcp", l.to)
-	if err != nil || !l.add(c, far) {
-		c.Close()
+// forward copies both ways until one end is closed. It may do so until all cleanups of the test have run.
+func (l *link) forward(near net.Conn) {
+	far, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", l.to)
+	if err != nil || !l.add(near, far) {
+		_ = near.Close()
 		return
 	}
-	var both sync.WaitGroup
-	for _, pair := range [][2]net.Conn{{c, far}, {far, c}} {
-		both.Go(func() {
-			io.Copy(pair[0], pair[1])
-			c.Close()
-			far.Close()
+	var copies sync.WaitGroup
+	for _, pair := range [][2]net.Conn{{near, far}, {far, near}} {
+		copies.Go(func() {
+			_, _ = io.Copy(pair[0], pair[1]) // ends where either end is closed
+			_ = near.Close()
+			_ = far.Close()
 		})
 	}
-	both.Wait()
+	copies.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.all, c)
-	delete(l.all, far)
+	delete(l.conns, near)
+	delete(l.conns, far)
 }
 
-func (l *link) add(all ...net.Conn) bool {
+// add takes note of connections; false: the link is cut, and they are closed.
+func (l *link) add(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, c := range all {
-		if l.all[c] = true; l.cut {
-			c.Close()
+	for _, conn := range conns {
+		l.conns[conn] = true
+		if l.cut {
+			_ = conn.Close()
 		}
 	}
 	return !l.cut
 }
 
-func (l *link) set(cut bool) {
+func (l *link) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
-	for c := range l.all {
+	for conn := range l.conns {
 		if cut {
-			c.Close()
+			_ = conn.Close()
 		}
 	}
 }
--- a/cluster/member/session/raftnodes_test.go
+++ b/cluster/member/session/raftnodes_test.go
@@ -12,86 +12,86 @@
 	"rowanlink/cluster"
 )
 
-// A keeper that lost its folder comes in as another server; what was granted stands, and the lost one's vote
-// goes: with it and another keeper gone, the rest would have no majority.
-func TestAKeeperThatLostItsFolderComesBack(t *testing.T) {
+// A raft node that lost its folder joins as another server; what was granted stands, and the lost server's vote goes:
+// with it and another node gone, the rest would have no majority.
+func TestRaftNode_JoinsAnewAfterItLostItsFolder(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, leaseTTL)
-	a := f.member("a", "home/1")
+	c := startCluster(t, leaseTTL)
+	a := c.startSession("a", "home/1")
 	epoch := awaitHeld(t, a, "home/1")
-	lost := f.names[0] // the one that began the log
-	f.stop(lost)
-	require.NoError(t, os.RemoveAll(filepath.Join(f.folders[lost], "fleet")))
-	f.start(lost)
+	lost := c.names[0] // the one that began the log
+	c.stopNode(lost)
+	require.NoError(t, os.RemoveAll(filepath.Join(c.folders[lost], "fleet")))
+	c.startNode(lost)
 	require.Eventually(t, func() bool {
 		servers, voters := 0, 0
-		for _, v := range f.up[f.leader()].Membership() {
+		for _, v := range c.running[c.awaitLeader()].Membership() {
 			servers++
 			if v {
 				voters++
 			}
 		}
-		return servers == 3 && voters == 3 && f.up[lost].LastIndex() > 0 && f.up[lost].IsVoter()
+		return servers == 3 && voters == 3 && c.running[lost].LastIndex() > 0 && c.running[lost].IsVoter()
 	}, longTimeout, 10*time.Millisecond)
 	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
-	f.stop(f.names[1])
-	awaitHeld(t, f.member("b", "home/2"), "home/2")
+	c.stopNode(c.names[1])
+	awaitHeld(t, c.startSession("b", "home/2"), "home/2")
 	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 }
 
-// One of three is behind, the first has lost its folder, the second is down: what the first and the second
-// had granted is nobody's to undo. It comes back with the second.
-func TestTheVoteOfALostFolderIsNotGivenAgain(t *testing.T) {
+// One of three is behind, the first has lost its folder, the second is down: what the first and the second had granted
+// must not be undone. It is there again once the second is.
+func TestRaftNode_DoesNotVoteTwiceAfterItLostItsFolder(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, leaseTTL)
-	awaitHeld(t, f.member("x", "home/0"), "home/0")
-	for f.leader() == "m3" {
-		f.stop("m3")
-		f.leader("m3")
-		f.start("m3")
+	c := startCluster(t, leaseTTL)
+	awaitHeld(t, c.startSession("x", "home/0"), "home/0")
+	for c.awaitLeader() == "m3" {
+		c.stopNode("m3")
+		c.awaitLeader("m3")
+		c.startNode("m3")
 	}
-	f.cut("m3", true, f.names...)
-	a := f.member("a", "home/1")
+	c.partition("m3", c.names...)
+	a := c.startSession("a", "home/1")
 	epoch := awaitHeld(t, a, "home/1") // by m1 and m2
-	f.stop("m1")
-	f.stop("m2")
-	require.NoError(t, os.RemoveAll(filepath.Join(f.folders["m1"], "fleet")))
-	f.start("m1")
-	for _, cut := range []bool{true, false} {
-		f.cut("m3", cut, f.names...)
+	c.stopNode("m1")
+	c.stopNode("m2")
+	require.NoError(t, os.RemoveAll(filepath.Join(c.folders["m1"], "fleet")))
+	c.startNode("m1")
+	for _, setLinks := range []func(cluster.MemberID, ...cluster.MemberID){c.partition, c.heal} {
+		setLinks("m3", c.names...)
 		time.Sleep(2 * time.Second)
 		for _, m := range []cluster.MemberID{"m1", "m3"} {
-			_, self := f.up[m].Leader()
-			require.False(t, self)
+			_, leads := c.running[m].Leader()
+			require.False(t, leads)
 		}
 	}
-	f.start("m2")
-	awaitHeld(t, f.member("b", "home/2"), "home/2")
+	c.startNode("m2")
+	awaitHeld(t, c.startSession("b", "home/2"), "home/2")
 	require.GreaterOrEqual(t, awaitHeld(t, a, "home/1"), epoch)
 }
 
-func TestKeepersComeAndGoByTheFile(t *testing.T) {
+func TestRaftNode_MembershipFollowsTheOperatorFile(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, leaseTTL)
-	a := f.member("a", "home/1")
+	c := startCluster(t, leaseTTL)
+	a := c.startSession("a", "home/1")
 	epoch := awaitHeld(t, a, "home/1")
-	f.place("m4")
-	gone := f.leader()
-	f.names = slices.DeleteFunc(f.names, func(m cluster.MemberID) bool { return m == gone })
-	delete(f.logs, gone)
-	f.start("m4")
-	for m, r := range f.up {
-		r.talk.SetAddresses(f.seen(m, f.says))
-		r.SetAddresses(f.seen(m, f.logs))
+	c.addNode("m4")
+	gone := c.awaitLeader()
+	c.names = slices.DeleteFunc(c.names, func(m cluster.MemberID) bool { return m == gone })
+	delete(c.raftAddresses, gone)
+	c.startNode("m4")
+	for m, r := range c.running {
+		r.client.SetAddresses(c.addressesFor(m, c.addresses))
+		r.SetAddresses(c.addressesFor(m, c.raftAddresses))
 	}
-	a.Leader.SetNodes(f.names)
+	a.Leader.SetNodes(c.names)
 	require.Eventually(t, func() bool {
-		servers := f.up[f.leader(gone)].Membership()
+		servers := c.running[c.awaitLeader(gone)].Membership()
 		_, still := servers[gone]
 		return len(servers) == 3 && !still && servers["m4"]
 	}, longTimeout, 10*time.Millisecond)
-	f.stop(gone)
-	f.stop(f.names[0])
+	c.stopNode(gone)
+	c.stopNode(c.names[0])
 	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
-	awaitHeld(t, f.member("b", "home/2"), "home/2")
+	awaitHeld(t, c.startSession("b", "home/2"), "home/2")
 }
--- a/cluster/member/session/session_test.go
+++ b/cluster/member/session/session_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+	"github.com/valyala/fasthttp"
 
 	"rowanlink/cluster"
 	"rowanlink/cluster/lease"
@@ -14,10 +15,10 @@
 	"rowanlink/cluster/transport"
 )
 
-func TestATaskIsOneMembersUntilItLetsItGo(t *testing.T) {
-	f := keepers(t, 3, leaseTTL)
-	a, b := f.member("a", "home/1"), f.member("b")
-	watched(t, "home/1", a, b)
+func TestSession_ResourceIsExclusiveUntilReleased(t *testing.T) {
+	c := startCluster(t, leaseTTL)
+	a, b := c.startSession("a", "home/1"), c.startSession("b")
+	requireExclusive(t, a, b)
 	first := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
 	b.Acquire("home/2")
@@ -34,156 +35,160 @@
 	require.Greater(t, awaitHeld(t, a, "home/1"), second)
 }
 
-// Guards against an entry in the log for each renewal, or for each ask for what another holds.
-func TestMembersAtRestWriteNothing(t *testing.T) {
-	f := keepers(t, 3, leaseTTL/2)
-	a := f.member("a", "home/1")
+// Guards against an entry in the log for each renewal, or for each request for what another holds.
+func TestSession_IdleSessionsWriteNoLogEntries(t *testing.T) {
+	c := startCluster(t, leaseTTL/2)
+	a := c.startSession("a", "home/1")
 	awaitHeld(t, a, "home/1")
-	b := f.member("b", "home/1", "home/2")
+	b := c.startSession("b", "home/1", "home/2")
 	awaitHeld(t, b, "home/2")
-	leader := f.up[f.leader()]
+	leader := c.running[c.awaitLeader()]
 	renewed, entries := leader.RenewalsAccepted.Load(), leader.LastIndex()
-	c := f.member("c", "home/1")
-	require.Eventually(t, func() bool { return c.IsActive() && leader.RenewalsAccepted.Load() >= renewed+15 }, longTimeout,
-		time.Millisecond)
-	require.Equal(t, entries+1, leader.LastIndex()) // c's session
+	late := c.startSession("c", "home/1")
+	require.Eventually(t, func() bool {
+		return late.IsActive() && leader.RenewalsAccepted.Load() >= renewed+15
+	}, longTimeout, time.Millisecond)
+	require.Equal(t, entries+1, leader.LastIndex()) // the opening of the late one's session
 }
 
-// A leader that hears no other keeper answers nobody that its session goes on: another may lead by then.
-func TestALeaderCutOffRenewsNothing(t *testing.T) {
-	f := keepers(t, 3, leaseTTL)
-	leader := f.leader()
-	say := transport.NewClient("a", f.says)
-	defer say.Close()
+// A leader that is partitioned from the other raft nodes renews no session: another may lead by then.
+func TestRaftNode_PartitionedLeaderRenewsNoSession(t *testing.T) {
+	c := startCluster(t, leaseTTL)
+	leader := c.awaitLeader()
+	client := transport.NewClient("a", c.addresses)
+	defer client.Close()
 	renew := func(session cluster.SessionID) (status int, answer transport.SessionResponse) {
-		ask := transport.SessionRequest{Member: "a", Session: session, Incarnation: 77}
-		status, raw, err := say.Call(leader, transport.SessionPath, transport.Encode(ask), longTimeout)
+		request := transport.SessionRequest{Member: "a", Session: session, Incarnation: 77}
+		status, raw, err := client.Call(leader, transport.SessionPath, transport.Encode(request), longTimeout)
 		require.NoError(t, err)
-		transport.Decode(raw, &answer)
+		if status == fasthttp.StatusOK {
+			require.NoError(t, transport.Decode(raw, &answer))
+		}
 		return status, answer
 	}
 	_, opened := renew(0)
 	status, _ := renew(opened.Session)
-	require.Equal(t, 200, status)
-	f.cut(leader, true, f.names...)
+	require.Equal(t, fasthttp.StatusOK, status)
+	c.partition(leader, c.names...)
 	status, _ = renew(opened.Session)
-	require.Equal(t, 421, status)
+	require.Equal(t, fasthttp.StatusMisdirectedRequest, status)
 }
 
-func TestGrantsOutliveTheLeader(t *testing.T) {
+func TestSession_LeasesOutliveTheLeader(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, 2*leaseTTL)
-	a, b := f.member("a", "home/1"), f.member("b")
-	watched(t, "home/1", a, b)
+	c := startCluster(t, 2*leaseTTL)
+	a, b := c.startSession("a", "home/1"), c.startSession("b")
+	requireExclusive(t, a, b)
 	epoch := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
-	old := f.leader()
-	f.cut(old, true, append(slices.Clone(f.names), "a", "b")...)
-	f.leader(old)
-	require.Eventually(t, func() bool { return f.up[old].LeadershipsLost.Load() > 0 }, longTimeout, time.Millisecond)
-	time.Sleep(2 * 2 * time.Second) // two terms
+	old := c.awaitLeader()
+	c.partition(old, append(slices.Clone(c.names), "a", "b")...)
+	c.awaitLeader(old)
+	require.Eventually(t, func() bool { return c.running[old].LeadershipsLost.Load() > 0 }, longTimeout, time.Millisecond)
+	time.Sleep(2 * 2 * time.Second) // two lease TTLs
 	still, held := a.Holds("home/1")
 	require.True(t, held)
 	require.Equal(t, epoch, still)
-	f.cut(old, false, append(slices.Clone(f.names), "a", "b")...)
+	c.heal(old, append(slices.Clone(c.names), "a", "b")...)
 	a.Close()
 	require.Greater(t, awaitHeld(t, b, "home/1"), epoch)
 }
 
-func TestWhoeverIsCutOffHoldsNoMoreBeforeAnotherDoes(t *testing.T) {
+func TestSession_PartitionedSessionHoldsNothingBeforeAnotherDoes(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, leaseTTL)
-	a, b := f.member("a", "home/1"), f.member("b")
-	watched(t, "home/1", a, b)
+	c := startCluster(t, leaseTTL)
+	a, b := c.startSession("a", "home/1"), c.startSession("b")
+	requireExclusive(t, a, b)
 	epoch := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
-	f.cut("a", true, f.names...)
+	c.partition("a", c.names...)
 	later := awaitHeld(t, b, "home/1")
 	require.Greater(t, later, epoch)
-	f.cut("a", false, f.names...)
+	c.heal("a", c.names...)
 	b.Close()
 	require.Greater(t, awaitHeld(t, a, "home/1"), later)
 }
 
-func TestWithoutAMajorityNothingIsHeldAndItComesBackByItself(t *testing.T) {
+func TestSession_WithoutAMajorityNothingIsHeldUntilItIsBack(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, leaseTTL)
-	a := f.member("a", "home/1")
+	c := startCluster(t, leaseTTL)
+	a := c.startSession("a", "home/1")
 	epoch := awaitHeld(t, a, "home/1")
-	f.stop("m1")
-	f.stop("m2")
+	c.stopNode("m1")
+	c.stopNode("m2")
 	require.Eventually(t, func() bool {
 		_, held := a.Holds("home/1")
-		return !held && f.up["m3"].QuorumLosses.Load() > 0 && a.SessionsLost.Load() > 0
+		return !held && c.running["m3"].QuorumLosses.Load() > 0 && a.SessionsLost.Load() > 0
 	}, longTimeout, time.Millisecond)
-	b := f.member("b", "home/2")
+	b := c.startSession("b", "home/2")
 	time.Sleep(time.Second)
 	_, held := b.Holds("home/2")
 	require.False(t, held)
-	f.start("m1")
+	c.startNode("m1")
 	require.GreaterOrEqual(t, awaitHeld(t, a, "home/1"), epoch)
 	awaitHeld(t, b, "home/2")
 }
 
-// All keepers end and start again from what they have on disk: the session and its grants are there.
-func TestGrantsOutliveAllKeepersEnding(t *testing.T) {
+// All raft nodes end and start again from what they have on disk: the session and its leases are there.
+func TestSession_LeasesOutliveARestartOfAllRaftNodes(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, 4*leaseTTL)
-	a, b := f.member("a", "home/1", "home/2"), f.member("b")
-	watched(t, "home/1", a, b)
+	c := startCluster(t, 4*leaseTTL)
+	a, b := c.startSession("a", "home/1", "home/2"), c.startSession("b")
+	requireExclusive(t, a, b)
 	epoch := awaitHeld(t, a, "home/1")
 	b.Acquire("home/1")
-	f.leader()
-	for _, m := range f.names {
-		f.stop(m)
+	c.awaitLeader()
+	for _, m := range c.names {
+		c.stopNode(m)
 	}
-	for _, m := range f.names {
-		f.start(m)
+	for _, m := range c.names {
+		c.startNode(m)
 	}
-	leader := f.up[f.leader()]
+	leader := c.running[c.awaitLeader()]
 	require.Eventually(t, func() bool { return leader.RenewalsAccepted.Load() > 4 }, longTimeout, time.Millisecond)
 	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 }
 
-func TestNewStateReachesWhoeverFollows(t *testing.T) {
+func TestSession_WatchersAreDeliveredNewState(t *testing.T) {
 	t.Parallel()
-	f := keepers(t, 3, leaseTTL)
-	a := f.member("a")
-	var seen atomic.Pointer[lease.Table]
+	c := startCluster(t, leaseTTL)
+	a := c.startSession("a")
+	var delivered atomic.Pointer[lease.Table]
 	var versions []uint64
 	a.Watch(cluster.LeaseComponent, func(version uint64, snapshot []byte) {
 		versions = append(versions, version)
-		book := lease.NewTable()
-		if book.Restore(snapshot) == nil {
-			seen.Store(book)
+		leases := lease.NewTable()
+		if leases.Restore(snapshot) == nil {
+			delivered.Store(leases)
 		}
 	})
-	knows := func(by *session.Session, task cluster.Resource) {
-		epoch := awaitHeld(t, by, task)
+	awaitDelivered := func(holder *session.Session, resource cluster.Resource) {
+		t.Helper()
+		epoch := awaitHeld(t, holder, resource)
 		require.Eventually(t, func() bool {
-			book := seen.Load()
-			return book != nil && book.IsCurrent(task, epoch)
+			leases := delivered.Load()
+			return leases != nil && leases.IsCurrent(resource, epoch)
 		}, longTimeout, time.Millisecond)
 	}
-	b := f.member("b", "home/1")
-	knows(b, "home/1")
-	for i, m := range f.names { // one that is cut off has nothing new
-		f.cut(m, true, f.names...)
-		task := cluster.RangeOwnerResource(cluster.RangeID(10 + i))
-		b.Acquire(task)
-		knows(b, task)
-		f.cut(m, false, f.names...)
+	b := c.startSession("b", "home/1")
+	awaitDelivered(b, "home/1")
+	for i, m := range c.names { // a node that is partitioned has nothing new
+		c.partition(m, c.names...)
+		resource := cluster.RangeOwnerResource(cluster.RangeID(10 + i))
+		b.Acquire(resource)
+		awaitDelivered(b, resource)
+		c.heal(m, c.names...)
 	}
 	many := make([]cluster.Resource, 0, 200)
 	for i := range cap(many) {
 		many = append(many, cluster.RangeOwnerResource(cluster.RangeID(100+i)))
 		b.Acquire(many[i])
 	}
-	for i, task := range append(many, "home/13", "home/14") { // guards against the whole at each step
+	for i, resource := range append(many, "home/13", "home/14") { // guards against a full snapshot at each step
 		if i >= len(many) {
-			b.Acquire(task)
+			b.Acquire(resource)
 		}
-		knows(b, task)
+		awaitDelivered(b, resource)
 	}
 	require.Positive(t, a.DeltasApplied.Load())
 	a.Close()
--- a/cluster/member/session/unfencedgap_test.go
+++ b/cluster/member/session/unfencedgap_test.go
@@ -1,6 +1,7 @@
 package session_test
 
 import (
+	"context"
 	"encoding/json"
 	"io"
 	"math/rand/v2"
@@ -18,11 +19,15 @@
 	"rowanlink/test/fake/raftleader"
 )
 
-// gaps are what a holder measured between the last look at its clock and the return of the last byte's write.
+// gaps are what a lease holder measured between its last look at the clock and the return of the last byte's write.
 type gaps struct {
-	Deeds, Over, After int // Over: gaps with a stop in them; After: of those, the leaseTTL was over by then
-	Median, Worst      time.Duration
-	In, Busy           time.Duration // all gaps, all deeds
+	Actions    int
+	WithStop   int // gaps in which the process was stopped
+	AfterLease int // of those, gaps by whose end the lease was over
+	Median     time.Duration
+	Worst      time.Duration
+	Sum        time.Duration // of all gaps
+	Busy       time.Duration // of all actions
 }
 
 const (
@@ -41,66 +46,69 @@
 	_, s := startFakeLeader(t, raftleader.ReplyTruthfully)
 	s.Acquire("home/1")
 	awaitHeld(t, s, "home/1")
-	c, err := net.Dial("tcp", to)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", to)
 	require.NoError(t, err)
 	var all []time.Duration
-	said, n := make([]byte, 900), gaps{}
-	over := make(chan struct{})
-	go func() { io.Copy(io.Discard, c); close(over) }() // the partner's end ends it
+	message, measured := make([]byte, 900), gaps{}
+	partnerGone := make(chan struct{})
+	go func() {
+		_, _ = io.Copy(io.Discard, conn) // until the partner closes
+		close(partnerGone)
+	}()
 	for {
 		select {
-		case <-over:
-			n.Deeds = len(all)
+		case <-partnerGone:
+			measured.Actions = len(all)
 			slices.Sort(all)
-			n.Median, n.Worst = all[len(all)/2], all[len(all)-1]
-			json.NewEncoder(os.Stdout).Encode(n)
+			measured.Median, measured.Worst = all[len(all)/2], all[len(all)-1]
+			require.NoError(t, json.NewEncoder(os.Stdout).Encode(measured))
 			return
 		default:
 		}
-		from := time.Now()
-		s.DoWhileHeld("home/1", func(_ cluster.Epoch, still func() bool) {
-			if _, err := c.Write(said[:len(said)-1]); err != nil || !still() {
+		begun := time.Now()
+		s.DoWhileHeld("home/1", func(_ cluster.Epoch, stillHeld func() bool) {
+			if _, err := conn.Write(message[:len(message)-1]); err != nil || !stillHeld() {
 				return
 			}
-			looked := time.Now()
-			if _, err := c.Write(said[len(said)-1:]); err != nil {
+			checked := time.Now()
+			if _, err := conn.Write(message[len(message)-1:]); err != nil {
 				return
 			}
-			gap := time.Since(looked)
+			gap := time.Since(checked)
 			all = append(all, gap)
-			n.In += gap
+			measured.Sum += gap
 			if gap > stop/2 {
-				n.Over++
+				measured.WithStop++
 				if _, held := s.Holds("home/1"); !held {
-					n.After++
+					measured.AfterLease++
 				}
 			}
 		})
-		n.Busy += time.Since(from)
+		measured.Busy += time.Since(begun)
 	}
 }
 
-// BenchmarkUnfencedGap has a process that holds a task write to a partner, deed after deed, and stops it with
-// SIGSTOP at drawn moments for longer than its leaseTTL: how long the gap is that no fence closes, and how many
-// of the stops fall into it.
+// BenchmarkUnfencedGap has a process that holds a lease write to a partner, action after action, and stops it with
+// SIGSTOP at random moments for longer than its lease TTL: how long the gap is that no fence closes, and how many of the
+// stops fall into it.
 func BenchmarkUnfencedGap(b *testing.B) {
 	for _, stop := range []time.Duration{0, time.Duration(leaseTTL) * time.Microsecond * 5 / 4} {
-		b.Run("stop="+stop.String(), func(b *testing.B) { unfenced(b, stop) })
+		b.Run("stop="+stop.String(), func(b *testing.B) { benchmarkUnfencedGap(b, stop) })
 	}
 }
 
-func unfenced(b *testing.B, stop time.Duration) {
-	on, err := net.Listen("tcp", "127.0.0.1:0")
+func benchmarkUnfencedGap(b *testing.B, stop time.Duration) {
+	listener, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	child := exec.Command(os.Args[0], "-test.run=^TestUnfencedGapHolder$")
-	child.Env = append(os.Environ(), gapPartner+"="+on.Addr().String(),
+	child := exec.CommandContext(context.Background(), os.Args[0], "-test.run=^TestUnfencedGapHolder$")
+	child.Env = append(os.Environ(), gapPartner+"="+listener.Addr().String(),
 		gapStop+"="+max(stop, time.Second).String())
 	out, err := child.StdoutPipe()
 	require.NoError(b, err)
 	require.NoError(b, child.Start())
-	c, err := on.Accept()
+	conn, err := listener.Accept()
 	require.NoError(b, err)
-	go io.Copy(io.Discard, c)
+	go func() { _, _ = io.Copy(io.Discard, conn) }() // until it is closed below
 	for b.Loop() {
 		time.Sleep(50*time.Millisecond + time.Duration(rand.Int64N(int64(50*time.Millisecond))))
 		if stop > 0 {
@@ -109,16 +117,16 @@
 			require.NoError(b, child.Process.Signal(syscall.SIGCONT))
 		}
 	}
-	c.Close()
-	var n gaps
-	require.NoError(b, json.NewDecoder(out).Decode(&n))
-	io.Copy(io.Discard, out)
+	require.NoError(b, conn.Close())
+	var measured gaps
+	require.NoError(b, json.NewDecoder(out).Decode(&measured))
+	_, _ = io.Copy(io.Discard, out) // what the test prints besides
 	require.NoError(b, child.Wait())
-	b.ReportMetric(float64(n.Deeds), "deeds")
-	b.ReportMetric(float64(n.Median)/1e3, "us-median")
-	b.ReportMetric(float64(n.Worst)/1e3, "us-worst")
-	b.ReportMetric(100*float64(n.In)/float64(n.Busy), "%-of-a-deed")
-	b.ReportMetric(float64(n.Over), "stops-in-gap")
-	b.ReportMetric(float64(n.After), "past-the-term")
+	b.ReportMetric(float64(measured.Actions), "deeds")
+	b.ReportMetric(float64(measured.Median)/1e3, "us-median")
+	b.ReportMetric(float64(measured.Worst)/1e3, "us-worst")
+	b.ReportMetric(100*float64(measured.Sum)/float64(measured.Busy), "%-of-a-deed")
+	b.ReportMetric(float64(measured.WithStop), "stops-in-gap")
+	b.ReportMetric(float64(measured.AfterLease), "past-the-term")
 	b.ReportMetric(0, "ns/op")
 }
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -55,8 +55,8 @@
 	server.Handle(transport.SessionPath, l.handleSession)
 	server.Handle(transport.ProposePath, l.handlePropose)
 	server.Handle(transport.StatePath, l.handleState)
-	go func() { _ = server.Serve(listener) }() // ends by Close
-	t.Cleanup(func() { server.Close(time.Second) })
+	go func() { _ = server.Serve(listener) }()          // ends by Close
+	t.Cleanup(func() { _ = server.Close(time.Second) }) // connections that are still open end with the process
 	return l
 }
 
