--- /dev/null
+++ b/cluster/lease/model_delivery_test.go
@@ -0,0 +1,176 @@
+package lease
+
+import (
+	"errors"
+	"slices"
+
+	"rowanlink/cluster"
+	"rowanlink/webhook/api"
+)
+
+// deliver lets a message arrive and does with the real objects what its recipient would.
+func (md *model) deliver(i int, again bool) {
+	m := md.messages[i]
+	if !again {
+		md.messages = slices.Delete(md.messages, i, i+1)
+	}
+	switch m.kind {
+	case openRequest:
+		md.handleOpen(m)
+	case renewRequest:
+		md.handleRenewal(m)
+	case confirmation:
+		if m.process >= 0 {
+			if md.mutation.countFromResponse {
+				m.renewal.startedAt = md.processClock(m.process)
+			}
+			md.mutableHolder(m.process).ConfirmRenewal(m.renewal, m.session)
+		}
+	case rejection:
+		md.mutableHolder(m.process).HandleRejection(m.session)
+	case acquireRequest:
+		a, err := md.apply(AcquireLeases(m.session, modelResource))
+		if m.process < 0 {
+			return
+		}
+		if errors.Is(err, cluster.ErrNotFound) {
+			md.send(message{kind: rejection, process: m.process, session: m.session})
+		} else if a.Grants[0].Err() == nil {
+			md.send(message{kind: grantResponse, process: m.process, session: a.Session, epoch: a.Grants[0].Epoch})
+		}
+	case grantResponse:
+		md.mutableHolder(m.process).AddGrant(m.session, Grant{modelResource, m.epoch})
+	case releaseRequest:
+		_, _ = md.apply(ReleaseLease(m.session, modelResource, m.epoch))
+	case endRequest:
+		md.endSession(EndSession(m.session), m.session)
+	case expireRequest:
+		md.handleExpire(m)
+	case peerContact:
+		if md.mutation.countContactFromArrival {
+			m.at = md.nodeClock(m.node)
+		}
+		md.recordContact(m.node, m.raftTerm, m.at)
+	case action:
+		md.handleAction(m.epoch)
+	}
+}
+
+func (md *model) apply(c cluster.Command) (a Result, err error) {
+	md.index++
+	before := md.table.LastEpoch(modelResource)
+	raw, err := md.mutableTable().Apply(md.index, c.Body)
+	if err != nil {
+		return Result{}, err
+	}
+	if md.table.LastEpoch(modelResource) < before {
+		md.violation = "an epoch fell"
+	}
+	if a, err = DecodeResult(raw); err != nil {
+		panic(err)
+	}
+	return a, nil
+}
+
+// elect makes a raft node the leader; the previous one may go on believing that it leads.
+func (md *model) elect(k int) {
+	md.raftTerm++
+	md.leader = k
+	a, _ := md.apply(BeginLeaderEpoch())
+	n := md.mutableNode(k)
+	n.believesLeading = true
+	if md.mutation.keepOldExpiry {
+		n.tracker.leaderEpoch = a.LeaderEpoch
+	} else {
+		n.tracker.StartLeading(md.nodeClock(k), a.LeaderEpoch, md.table.Sessions())
+	}
+}
+
+func (md *model) recordContact(k int, term uint64, sent api.Micros) {
+	md.mutableNode(k).contact.RecordContact(term, thirdNode, sent)
+}
+
+// handleOpen needs no proof of leadership, as it goes through the log. A request of a process that has been
+// restarted since has process -1.
+func (md *model) handleOpen(m message) {
+	a, err := md.apply(OpenSession("m", m.incarnation))
+	if err != nil {
+		panic(err)
+	}
+	goes := md.mutableNode(md.leader).tracker.AddOrRenew(a.Session, md.nodeClock(md.leader))
+	if other := 1 - md.leader; md.mutation.keepOldExpiry {
+		md.mutableNode(other).tracker.AddOrRenew(a.Session, md.nodeClock(other))
+	}
+	m.kind, m.session, m.node, m.incarnation = rejection, a.Session, 0, 0
+	if goes {
+		m.kind = confirmation
+	}
+	if m.process >= 0 {
+		md.send(m)
+	}
+}
+
+// canAnswer reports whether a raft node would process a renewal now: it believes that it leads and has a quorum's
+// contact, or it doesn't believe so and drops it.
+func (md *model) canAnswer(m message) bool {
+	k := &md.nodes[m.node]
+	return !k.believesLeading || md.mutation.skipQuorumCheck || k.contact.HasQuorumSince(m.at)
+}
+
+func (md *model) handleRenewal(m message) {
+	k := md.mutableNode(m.node)
+	if !k.believesLeading {
+		return
+	}
+	goes := k.tracker.Renew(m.session, md.nodeClock(m.node))
+	if _, counted := k.tracker.sessions[m.session]; counted && md.mutation.renewExpired {
+		k.tracker.sessions[m.session], goes = sessionExpiry{expiresAt: md.nodeClock(m.node) + modelTTL}, true
+	}
+	m.kind, m.at, m.node, m.incarnation = rejection, 0, 0, 0
+	if goes {
+		m.kind = confirmation
+	}
+	md.send(m)
+}
+
+func (md *model) endSession(c cluster.Command, s cluster.SessionID) {
+	if _, err := md.apply(c); !errors.Is(err, cluster.ErrStale) {
+		md.mutableNode(md.leader).tracker.Remove(s)
+		if md.mutation.keepOldExpiry {
+			md.mutableNode(1 - md.leader).tracker.Remove(s)
+		}
+	}
+}
+
+// handleExpire proposes an expiry that the node found, perhaps long before, in an earlier leadership of its own.
+func (md *model) handleExpire(m message) {
+	if m.node != md.leader {
+		return
+	}
+	o := ExpiredSession{m.session, m.leaderEpoch}
+	if md.mutation.ignoreLeaderEpoch {
+		o.LeaderEpoch = md.table.LeaderEpoch()
+	}
+	md.endSession(ExpireSession(o), m.session)
+}
+
+// checkInvariants returns the violated invariant or "": there are never two holders, nor, which precedes that, a
+// holder whose lease the log has released.
+func (md *model) checkInvariants() string {
+	holders, released := 0, ""
+	for p := range md.processes {
+		if e, ok := md.processes[p].holder.Epoch(modelResource, md.processClock(p)); ok {
+			holders++
+			if !md.table.IsCurrent(modelResource, e) {
+				released = "a member holds a lease that the log has released"
+			}
+		}
+	}
+	if holders > 1 {
+		return "two members hold the lease"
+	}
+	if md.mutation.untilTwoHolders {
+		released = ""
+	}
+	return max(md.violation, released)
+}
--- /dev/null
+++ b/cluster/lease/model_mutations_test.go
@@ -0,0 +1,73 @@
+package lease
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/webhook/api"
+)
+
+// Each model has one fault, outside the real objects; the search must find a violation, and none without the fault.
+// Mutations with untilTwoHolders continue until two members hold the lease at once; the others do so with
+// ROWAN_SEARCH_DEEPER.
+func TestModel_MutationsAreDetected(t *testing.T) {
+	const twoHolders, released, lateAction = "two members hold the lease", "a member holds a lease that the log has released",
+		"a late action was admitted after one of a later epoch"
+	for name, m := range map[string]struct {
+		wrong mutation
+		left  faultBudget
+		finds string
+	}{
+		"TTL counted from the response":         {mutation{countFromResponse: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
+		"no whole TTL at a new leader":          {mutation{keepOldExpiry: true}, faultBudget{elections: 1}, released},
+		"fence lost at a restart":               {mutation{loseFence: true}, faultBudget{actions: 2, fenceRestarts: 1}, lateAction},
+		"renewal accepted after TakeExpired":    {mutation{renewExpired: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
+		"leader answers without quorum contact": {mutation{skipQuorumCheck: true}, faultBudget{elections: 1}, released},
+		"contact counted from when it is read":  {mutation{countContactFromArrival: true}, faultBudget{elections: 1, lateContacts: 1}, released},
+		"drift ignored":                         {mutation{ignoreDrift: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
+		"expiry of an earlier leader epoch":     {mutation{ignoreLeaderEpoch: true}, faultBudget{elections: 1}, released},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if extraDepth > 0 && m.finds == released {
+				m.wrong.untilTwoHolders, m.finds = true, twoHolders
+			}
+			start := worstClocks(m.wrong, m.left)
+			if m.wrong.countContactFromArrival { // shortcut: a peer's response is in flight, then another node is elected
+				start.sendLateContact(0)
+				start.budget.lateContacts, start.budget.elections = 0, 0
+				start.elect(1)
+			}
+			f := search([]*model{start}, 16)
+			require.Equal(t, m.finds, f.violation)
+			t.Logf("after %d states, %d transitions:\n%s", f.states, f.depth+1, f.trace)
+			sound := search([]*model{worstClocks(mutation{}, m.left)}, min(f.depth+1, 7+extraDepth))
+			assert.Empty(t, sound.violation, sound.trace)
+		})
+	}
+}
+
+// Long random walks with every fault reach states beyond those of the search.
+func TestModel_NoTwoHoldersOnRandomWalks(t *testing.T) {
+	chance, taken, steps := rand.New(rand.NewPCG(35, 1)), 0, 0
+	rates := []api.Micros{slowStep, fastStep}
+	for range 10_000 * (1 + extraDepth) {
+		rate := func() api.Micros { return rates[chance.IntN(2)] }
+		md := steadyModel(mutation{}, faultBudget{true, 4, 6, 4, 3, 2, 3, 6, 2},
+			[2]api.Micros{rate(), rate()}, [2]api.Micros{rate(), rate()})
+		for range 80 {
+			moves := md.transitions(nil)
+			m := moves[chance.IntN(len(moves))]
+			m.apply(md, m.subject)
+			require.Empty(t, md.checkInvariants())
+			steps++
+			if _, ok := md.processes[1].holder.Epoch(modelResource, md.processClock(1)); ok {
+				taken++
+			}
+		}
+	}
+	assert.Positive(t, taken)
+	t.Logf("%d transitions; after %d the second member held the lease", steps, taken)
+}
--- /dev/null
+++ b/cluster/lease/model_search_test.go
@@ -0,0 +1,150 @@
+package lease
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/webhook/api"
+)
+
+// extraDepth is the number of transitions more than in CI, and the factor of further random walks:
+// ROWAN_SEARCH_DEEPER=2 takes minutes.
+var extraDepth, _ = strconv.Atoi(os.Getenv("ROWAN_SEARCH_DEEPER"))
+
+// searchNode records by which transition a state was first reached.
+type searchNode struct {
+	parent     *searchNode
+	transition int
+}
+
+// trace lists the transitions from the start.
+func (n *searchNode) trace(starts []*model) string {
+	var path []int
+	for ; n != nil; n = n.parent {
+		path = append(path, n.transition)
+	}
+	slices.Reverse(path)
+	md, told := starts[path[0]].clone(), []string{fmt.Sprintf("start %d", path[0])}
+	for _, i := range path[1:] {
+		m := md.transitions(nil)[i]
+		line := fmt.Sprintf("at %d: %s: %d", md.now, m.name, m.subject)
+		if strings.HasPrefix(m.name, "arrives") || m.name == "is lost" {
+			line += fmt.Sprintf(" %+v", md.messages[m.subject])
+		}
+		told = append(told, line)
+		m.apply(md, m.subject)
+	}
+	return strings.Join(append(told, md.checkInvariants()), "\n")
+}
+
+type searchResult struct {
+	states, depth    int
+	handovers        int // states in which the second member holds the lease that the first began with
+	violation, trace string
+}
+
+// search visits every state within depth transitions, breadth first, and stops at the first violation.
+func search(starts []*model, depth int) (f searchResult) {
+	type reached struct {
+		*model
+		node *searchNode
+	}
+	seen := map[uint64]struct{}{}
+	isNew := func(md *model) bool {
+		n := len(seen)
+		seen[md.hash()] = struct{}{}
+		return len(seen) > n
+	}
+	var level []reached
+	for i, md := range starts {
+		if isNew(md) {
+			level = append(level, reached{md, &searchNode{nil, i}})
+		}
+	}
+	var moves []transition
+	for ; f.depth < depth && len(level) > 0; f.depth++ {
+		var next []reached
+		for i, at := range level {
+			level[i] = reached{}
+			moves = at.transitions(moves[:0])
+			for j, m := range moves {
+				md := at.clone()
+				if m.apply(md, m.subject); !isNew(md) {
+					continue
+				}
+				n := &searchNode{at.node, j}
+				if f.violation = md.checkInvariants(); f.violation != "" {
+					f.states, f.trace = len(seen), n.trace(starts)
+					return f
+				}
+				if _, ok := md.processes[1].holder.Epoch(modelResource, md.processClock(1)); ok {
+					f.handovers++
+				}
+				next = append(next, reached{md, n})
+			}
+		}
+		level = next
+	}
+	f.states = len(seen)
+	return f
+}
+
+// steadyModel is a cluster in which both members have a session and the first holds the lease.
+func steadyModel(md mutation, left faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
+	n := newModel(md, left, nodeSteps, memberSteps)
+	n.budget.asyncRequests = false
+	for _, ask := range []struct {
+		what string
+		who  int
+	}{{"a member opens a session", 0}, {"a member opens a session", 1}, {"a member acquires the lease", 0}} {
+		all := n.transitions(nil)
+		i := slices.IndexFunc(all, func(m transition) bool { return m.name == ask.what && m.subject == ask.who })
+		all[i].apply(n, ask.who)
+	}
+	n.budget.asyncRequests = left.asyncRequests
+	return n
+}
+
+// worstClocks has slow clocks at the members and fast ones at the raft nodes.
+func worstClocks(md mutation, left faultBudget) *model {
+	return steadyModel(md, left, [2]api.Micros{fastStep, fastStep}, [2]api.Micros{slowStep, slowStep})
+}
+
+func allClockRates(left faultBudget) (all []*model) {
+	rates := []api.Micros{slowStep, fastStep}
+	for i := range 16 {
+		nodeSteps := [2]api.Micros{rates[i&1], rates[i>>1&1]}
+		all = append(all, steadyModel(mutation{}, left, nodeSteps, [2]api.Micros{rates[i>>2&1], rates[i>>3]}))
+	}
+	return all
+}
+
+// In every state within reach at most one member holds the lease, and none after the log has released it; epochs
+// rise; no action is admitted after one of a later epoch.
+func TestModel_NoTwoHoldersInReachableStates(t *testing.T) {
+	for _, s := range []struct {
+		name   string
+		starts []*model
+		depth  int
+	}{
+		{"leader changes, the old one notices late", []*model{worstClocks(mutation{}, faultBudget{elections: 1, lateContacts: 1})}, 9},
+		{"leader changes twice", []*model{worstClocks(mutation{}, faultBudget{elections: 2, lateContacts: 1})}, 7},
+		{"any pair of clocks", allClockRates(faultBudget{elections: 1}), 6},
+		{"late and duplicated messages", []*model{worstClocks(mutation{}, faultBudget{asyncRequests: true, duplicates: 1, releases: 1, sessionEnds: 1})}, 9},
+		{"further incarnations", []*model{worstClocks(mutation{}, faultBudget{asyncRequests: true, duplicates: 1, memberRestarts: 1})}, 11},
+		{"late actions", []*model{worstClocks(mutation{}, faultBudget{actions: 2, fenceRestarts: 1, memberRestarts: 1})}, 11},
+		{"all at once", []*model{worstClocks(mutation{}, faultBudget{true, 1, 1, 1, 1, 1, 1, 1, 1})}, 6},
+	} {
+		t.Run(s.name, func(t *testing.T) {
+			f := search(s.starts, s.depth+extraDepth)
+			require.Empty(t, f.violation, f.trace)
+			t.Logf("%d states within %d transitions; in %d the lease had changed hands", f.states, f.depth, f.handovers)
+		})
+	}
+}
--- /dev/null
+++ b/cluster/lease/table_test.go
@@ -0,0 +1,199 @@
+package lease
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"rowanlink/cluster"
+)
+
+// randomCommand generates commands, mostly about sessions and leases that exist.
+func randomCommand(t *rapid.T, b *Table) cluster.Command {
+	session := rapid.SampledFrom(append(b.Sessions(), 7777)).Draw(t, "session")
+	resource := rapid.SampledFrom([]cluster.Resource{"conduct", "home/1", "home/2", "site/depot"})
+	switch rapid.IntRange(0, 9).Draw(t, "kind") {
+	case 0, 1:
+		return OpenSession(rapid.SampledFrom([]cluster.MemberID{"m1", "m2"}).Draw(t, "member"),
+			Incarnation(rapid.IntRange(0, 1).Draw(t, "incarnation")))
+	case 2:
+		return EndSession(session)
+	case 3:
+		return ExpireSession(ExpiredSession{session, max(b.LeaderEpoch()-LeaderEpoch(rapid.IntRange(0, 1).Draw(t, "before")), 1)})
+	case 4:
+		return BeginLeaderEpoch()
+	case 5, 6:
+		one := resource.Draw(t, "resource")
+		return ReleaseLease(session, one, max(b.LastEpoch(one), 1))
+	default:
+		return AcquireLeases(session, rapid.SliceOfNDistinct(resource, 1, 4, rapid.ID).Draw(t, "resources")...)
+	}
+}
+
+// Each lease has one holder, with an epoch above all before; a rejected operation changes nothing; and a table
+// restored at any point continues exactly as the original.
+func TestTable_RandomOperations(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		b, twin, highest, index := NewTable(), NewTable(), map[cluster.Resource]cluster.Epoch{}, uint64(0)
+		for range rapid.IntRange(1, 60).Draw(t, "operations") {
+			index += rapid.Uint64Range(1, 3).Draw(t, "index")
+			before, err := b.Snapshot()
+			require.NoError(t, err)
+			c := randomCommand(t, b)
+			raw, err := b.Apply(index, c.Body)
+			after, _ := b.Snapshot()
+			if err != nil {
+				assert.Equal(t, before, after)
+			}
+			require.NoError(t, twin.Restore(before))
+			twinRaw, twinErr := twin.Apply(index, c.Body)
+			twinAfter, _ := twin.Snapshot()
+			assert.Equal(t, []any{raw, err, after}, []any{twinRaw, twinErr, twinAfter})
+			if err == nil {
+				checkResult(t, b, raw, highest)
+			}
+			checkTable(t, b)
+		}
+	})
+}
+
+func checkResult(t *rapid.T, b *Table, raw []byte, highest map[cluster.Resource]cluster.Epoch) {
+	a, err := DecodeResult(raw)
+	require.NoError(t, err)
+	for _, g := range a.Grants {
+		holder, _, epoch, held := b.Holder(g.Resource)
+		require.True(t, held)
+		if g.Err() != nil {
+			assert.NotEqual(t, a.Session, holder, "rejected although its own")
+			continue
+		}
+		assert.Equal(t, []any{a.Session, epoch}, []any{holder, g.Epoch})
+		assert.GreaterOrEqual(t, g.Epoch, highest[g.Resource])
+		highest[g.Resource] = g.Epoch
+	}
+}
+
+func checkTable(t *rapid.T, b *Table) {
+	held := map[cluster.Resource]cluster.SessionID{}
+	for _, s := range b.Sessions() {
+		assert.NotEmpty(t, b.MemberOf(s))
+		for _, resource := range b.ResourcesOf(s) {
+			assert.Zero(t, held[resource], "two sessions with one lease")
+			held[resource] = s
+			holder, member, epoch, ok := b.Holder(resource)
+			assert.Equal(t, []any{s, b.MemberOf(s), true}, []any{holder, member, ok})
+			assert.True(t, b.IsCurrent(resource, epoch))
+			assert.False(t, b.IsCurrent(resource, epoch-1))
+		}
+	}
+	for resource, g := range b.leases {
+		assert.Equal(t, held[resource], g.session, "free, or held by a session that has it")
+	}
+}
+
+func mustApply(t *testing.T, b *Table, index uint64, c cluster.Command) Result {
+	raw, err := b.Apply(index, c.Body)
+	require.NoError(t, err)
+	a, err := DecodeResult(raw)
+	require.NoError(t, err)
+	return a
+}
+
+// An earlier incarnation may be stopped, not gone: its session lasts until its TTL is over.
+func TestTable_SecondIncarnationHasOwnSession(t *testing.T) {
+	b := NewTable()
+	first := mustApply(t, b, 1, OpenSession("m1", 1)).Session
+	assert.Equal(t, first, mustApply(t, b, 2, OpenSession("m1", 1)).Session, "a duplicated open")
+	mustApply(t, b, 3, AcquireLeases(first, "conduct"))
+	second := mustApply(t, b, 4, OpenSession("m1", 2)).Session
+	assert.Equal(t, []cluster.SessionID{first, second}, b.Sessions())
+	assert.ErrorIs(t, mustApply(t, b, 5, AcquireLeases(second, "conduct")).Grants[0].Err(), cluster.ErrAlreadyHeld)
+	mustApply(t, b, 6, EndSession(first))
+	assert.Equal(t, []Grant{{"conduct", 7}}, mustApply(t, b, 7, AcquireLeases(second, "conduct")).Grants)
+}
+
+// A log that was lost and begun anew must not assign an epoch again.
+func TestTable_EpochsRiseWhenIndexFalls(t *testing.T) {
+	b := NewTable()
+	s := mustApply(t, b, 900, OpenSession("m1", 1)).Session
+	e := mustApply(t, b, 901, AcquireLeases(s, "conduct")).Grants[0].Epoch
+	mustApply(t, b, 2, ReleaseLease(s, "conduct", e))
+	assert.Greater(t, mustApply(t, b, 3, AcquireLeases(s, "conduct")).Grants[0].Epoch, e)
+	assert.Greater(t, mustApply(t, b, 4, OpenSession("m2", 1)).Session, s)
+}
+
+// A later leader epoch has given the session a whole TTL again: an expiry found in an earlier one is void.
+func TestTable_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
+	b := NewTable()
+	earlier := mustApply(t, b, 1, BeginLeaderEpoch()).LeaderEpoch
+	s := mustApply(t, b, 2, OpenSession("m1", 1)).Session
+	now := mustApply(t, b, 3, BeginLeaderEpoch()).LeaderEpoch
+	_, err := b.Apply(4, ExpireSession(ExpiredSession{s, earlier}).Body)
+	assert.ErrorIs(t, err, cluster.ErrStale)
+	mustApply(t, b, 5, ExpireSession(ExpiredSession{s, now}))
+	_, err = b.Apply(6, ExpireSession(ExpiredSession{s, now}).Body)
+	assert.ErrorIs(t, err, cluster.ErrNotFound)
+}
+
+func TestTable_RejectsReleaseOfEarlierEpoch(t *testing.T) {
+	b := NewTable()
+	s := mustApply(t, b, 1, OpenSession("m1", 1)).Session
+	e := mustApply(t, b, 2, AcquireLeases(s, "conduct")).Grants[0].Epoch
+	mustApply(t, b, 3, ReleaseLease(s, "conduct", e))
+	assert.Equal(t, e, b.LastEpoch("conduct"))
+	mustApply(t, b, 4, AcquireLeases(s, "conduct"))
+	_, err := b.Apply(5, ReleaseLease(s, "conduct", e).Body) // a duplicate
+	assert.ErrorIs(t, err, cluster.ErrFenced)
+	assert.Equal(t, []cluster.Resource{"conduct"}, b.ResourcesOf(s))
+}
+
+func TestTable_RejectsInconsistentSnapshot(t *testing.T) {
+	b := NewTable()
+	mustApply(t, b, 1, OpenSession("m1", 1))
+	before, _ := b.Snapshot()
+	one := sessionImage{1, "m1", 1}
+	for name, image := range map[string]tableImage{
+		"a newer format":                   {Format: tableFormat + 1},
+		"above the last id":                {Format: tableFormat, Sessions: []sessionImage{one}},
+		"a duplicate session":              {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, one}},
+		"a duplicate incarnation":          {Format: tableFormat, LastID: 9, Sessions: []sessionImage{one, {2, "m1", 1}}},
+		"a lease of no session":            {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 2, 1}}},
+		"a lease without epoch":            {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"conduct", 0, 0}}},
+		"a duplicate lease":                {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"a", 1, 0}, {"a", 2, 0}}},
+		"a leader epoch above the last id": {Format: tableFormat, LastID: 9, LeaderEpoch: 10},
+	} {
+		assert.ErrorIs(t, b.Restore(encode(image)), ErrUnreadable, name)
+	}
+	assert.ErrorIs(t, b.Restore([]byte("half")), ErrUnreadable)
+	after, _ := b.Snapshot()
+	assert.Equal(t, before, after)
+}
+
+func FuzzApply(f *testing.F) {
+	for _, c := range []cluster.Command{OpenSession("m1", 1), EndSession(2), AcquireLeases(2, "conduct", "home/1"),
+		ReleaseLease(2, "conduct", 3), BeginLeaderEpoch(), ExpireSession(ExpiredSession{2, 1})} {
+		f.Add(c.Body)
+	}
+	f.Fuzz(func(t *testing.T, body []byte) {
+		b := NewTable()
+		mustApply(t, b, 1, BeginLeaderEpoch())
+		mustApply(t, b, 2, OpenSession("m0", 9))
+		mustApply(t, b, 3, AcquireLeases(2, "conduct"))
+		before, _ := b.Snapshot()
+		raw, err := b.Apply(4, body)
+		after, _ := b.Snapshot()
+		if err != nil {
+			require.Equal(t, before, after)
+			return
+		}
+		_, err = DecodeResult(raw)
+		require.NoError(t, err)
+		require.NoError(t, NewTable().Restore(after))
+		_ = b.Restore(body) // rejected, or a table that can be encoded again
+		again, err := b.Snapshot()
+		require.NoError(t, err)
+		require.NoError(t, NewTable().Restore(again))
+	})
+}
--- a/cluster/member/session/cluster_test.go
+++ b/cluster/member/session/cluster_test.go
@@ -107,7 +107,7 @@
 	c.t.Helper()
 	c.names = append(c.names, m)
 	for _, addresses := range []map[cluster.MemberID]string{c.addresses, c.raftAddresses} {
-		port, err := portalloc.Keep()
+		port, err := portalloc.Reserve()
 		require.NoError(c.t, err)
 		c.t.Cleanup(func() { _ = port.Close() }) // the port is free then, at the latest with the process
 		addresses[m] = port.Addr
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -28,7 +28,7 @@
 	if response.Status != http.StatusOK {
 		return false
 	}
-	if route.Kind == routing.Stream && response.Length < 0 {
+	if route.Kind == routing.KindStream && response.Length < 0 {
 		return true
 	}
 	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
@@ -90,7 +90,7 @@
 	if errors.As(err, &failure) {
 		outcome = failure.Outcome
 	}
-	resumable := f.route.Resume && f.stream.lastEventID != ""
+	resumable := f.route.Resumable && f.stream.lastEventID != ""
 	if f.stream.started && !resumable {
 		return outcome, nextAbort
 	}
--- a/serving/register/voterplacement.go
+++ b/serving/register/voterplacement.go
@@ -14,7 +14,7 @@
 // desiredVoterCount returns how many voters the register should have: the smallest odd number, at least minVoters, that
 // tolerates the losses of machines and of zones in the settings. Every other core member is a learner.
 func desiredVoterCount(process *settings.Process) int {
-	tolerated := max(process.Withstand.MachineLosses, process.Withstand.Zones)
+	tolerated := max(process.FaultTolerance.MachineLosses, process.FaultTolerance.Zones)
 	return max(minVoters, 2*tolerated+1)
 }
 
--- /dev/null
+++ b/serving/routing/table.go
@@ -0,0 +1,138 @@
+package routing
+
+import (
+	"math"
+
+	"rowanlink/serving/errcode"
+)
+
+const (
+	// fractionalWeightScale is the factor that makes integers of weights with fractions.
+	fractionalWeightScale = 1_000_000
+	// maxWeight is the value to which larger weights are reduced.
+	maxWeight = 1_000_000_000
+)
+
+// Table is a validated configuration. It is immutable and safe for concurrent use.
+type Table struct {
+	Version uint64
+	Limits  Limits
+
+	routes   []Route
+	services []Service
+	byName   map[string]*Service
+	byHost   map[string]*hostRoutes
+}
+
+// Parse parses and validates a configuration document. Errors are those of package errcode with numbers 400 to 405;
+// they name the route or service and the invalid field.
+func Parse(text []byte) (*Table, error) {
+	var parsed document
+	if err := documentFields.Parse(text, &parsed); err != nil {
+		return nil, err
+	}
+	table := &Table{Version: parsed.version, Limits: parsed.limits, services: parsed.services}
+	if err := table.indexServices(); err != nil {
+		return nil, err
+	}
+	table.routes = make([]Route, len(parsed.routes))
+	for index := range parsed.routes {
+		route := &parsed.routes[index]
+		if err := table.resolveServices(route); err != nil {
+			return nil, err
+		}
+		table.routes[index] = route.Route
+	}
+	if err := table.indexRoutes(); err != nil {
+		return nil, err
+	}
+	return table, nil
+}
+
+func (t *Table) indexServices() error {
+	t.byName = make(map[string]*Service, len(t.services))
+	for index := range t.services {
+		service := &t.services[index]
+		if t.byName[service.Name] != nil {
+			return errcode.DuplicateService.With("carrier %q", service.Name)
+		}
+		t.byName[service.Name] = service
+	}
+	return nil
+}
+
+// resolveServices validates the services that a route names and sets their weights. A split takes precedence over a
+// single service. Services with weight 0 are left out.
+func (t *Table) resolveServices(route *routeDocument) error {
+	if route.service != "" || len(route.split) == 0 {
+		service := t.byName[route.service]
+		if service == nil {
+			return errcode.ServiceUnknown.With("routing %q: carrier %q", route.Name, route.service)
+		}
+		route.Services = []WeightedService{{Service: service.Name, Weight: 1}}
+	}
+	if len(route.split) == 0 {
+		return nil
+	}
+	return t.resolveSplit(route)
+}
+
+func (t *Table) resolveSplit(route *routeDocument) error {
+	scale := weightScale(route.split)
+	route.Services = make([]WeightedService, 0, len(route.split))
+	for _, part := range route.split {
+		service := t.byName[part.service]
+		if service == nil {
+			return errcode.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, part.service)
+		}
+		weight := int(math.Round(min(part.weight, maxWeight) * scale))
+		if weight > 0 {
+			route.Services = append(route.Services, WeightedService{Service: service.Name, Weight: weight})
+		}
+	}
+	if len(route.Services) == 0 {
+		return errcode.RouteWithoutWeight.With("routing %q: split", route.Name)
+	}
+	return nil
+}
+
+// weightScale returns the factor that makes integers of the weights: 1 unless one of them has a fraction.
+func weightScale(split []weightedServiceDocument) float64 {
+	for _, part := range split {
+		if part.weight != math.Trunc(part.weight) {
+			return fractionalWeightScale
+		}
+	}
+	return 1
+}
+
+func (t *Table) indexRoutes() error {
+	t.byHost = make(map[string]*hostRoutes)
+	for index := range t.routes {
+		route := &t.routes[index]
+		host := normalizeHost(route.Host)
+		routes := t.byHost[host]
+		if routes == nil {
+			routes = &hostRoutes{host: host, routes: make(map[string]*Route)}
+			t.byHost[host] = routes
+		}
+		route.Host = routes.host // shares the string
+		if duplicate := routes.add(route); duplicate != nil {
+			return errcode.DuplicateRoute.With("routings %q and %q: station %q, lane_prefix %q", duplicate.Name,
+				route.Name, route.Host, route.Prefix)
+		}
+	}
+	return nil
+}
+
+// Service returns a service by name.
+func (t *Table) Service(name string) (*Service, bool) {
+	service, found := t.byName[name]
+	return service, found
+}
+
+// Routes returns all routes in the document's order. The caller must not change them.
+func (t *Table) Routes() []Route { return t.routes }
+
+// Services returns all services in the document's order. The caller must not change them.
+func (t *Table) Services() []Service { return t.services }
