--- a/cmd/rowan-agent/main.go
+++ b/cmd/rowan-agent/main.go
@@ -1,5 +1,5 @@
-// Command rowan-agent stands beside each proxy: it keeps the proxy in touch with the rest of the system and answers
-// clients that ask where to go.
+// Command rowan-agent is the node agent beside each proxy: it connects the proxy with the control plane and answers the
+// directory look-ups of clients.
 package main
 
 import (
@@ -9,20 +9,24 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/agent"
-	processpkg "rowanlink/serving/process"
+	"rowanlink/serving/process"
 	"rowanlink/serving/settings"
 )
 
-// further are the flags that only agents have.
-var further struct {
-	PollLoads bool `help:"Take part in reading the loads of the zone's language-model endpoints."`
+// agentFlags are the flags that only agents have.
+var agentFlags struct {
+	PollLoads bool `help:"Take part in polling the loads of the zone's language-model endpoints."`
 }
 
 func main() {
-	processpkg.Main("rowan-agent", "Keep a proxy in touch with the serving system.", run, kong.Embed(&further))
+	process.Main("rowan-agent", "Connect a proxy with the control plane and answer look-ups of proxies.", run, kong.Embed(&agentFlags))
 }
 
-func run(ctx context.Context, flags processpkg.Flags, process *settings.Process, log *zerolog.Logger) error {
-	return agent.Run(ctx, agent.Options{Settings: process, SettingsPath: flags.Settings, Log: log,
-		PollLoads: further.PollLoads})
+func run(ctx context.Context, flags process.Flags, processSettings *settings.Process, log *zerolog.Logger) error {
+	return agent.Run(ctx, agent.Options{
+		Settings:     processSettings,
+		SettingsPath: flags.Settings,
+		Log:          log,
+		PollLoads:    agentFlags.PollLoads,
+	})
 }
--- a/cmd/rowan-core/main.go
+++ b/cmd/rowan-core/main.go
@@ -1,4 +1,5 @@
-// Command rowan-core holds a replica of the record and serves operators and the endpoints' heartbeats.
+// Command rowan-core is the control plane: it holds a replica of the record and serves operators and the heartbeats of
+// endpoints.
 package main
 
 import (
@@ -7,14 +8,14 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/core"
-	processpkg "rowanlink/serving/process"
+	"rowanlink/serving/process"
 	"rowanlink/serving/settings"
 )
 
 func main() {
-	processpkg.Main("rowan-core", "Hold a replica of the record and serve operators and endpoints.", run)
+	process.Main("rowan-core", "Hold a replica of the record and serve operators and endpoints.", run)
 }
 
-func run(ctx context.Context, flags processpkg.Flags, process *settings.Process, log *zerolog.Logger) error {
-	return core.Run(ctx, core.Options{Settings: process, SettingsPath: flags.Settings, Log: log})
+func run(ctx context.Context, flags process.Flags, processSettings *settings.Process, log *zerolog.Logger) error {
+	return core.Run(ctx, core.Options{Settings: processSettings, SettingsPath: flags.Settings, Log: log})
 }
--- a/cmd/rowan-proxy/main.go
+++ b/cmd/rowan-proxy/main.go
@@ -1,4 +1,4 @@
-// Command rowan-proxy carries clients' requests to the endpoints that serve them.
+// Command rowan-proxy is the data plane: it forwards clients' requests to the endpoints of their services.
 package main
 
 import (
@@ -6,15 +6,15 @@
 
 	"github.com/rs/zerolog"
 
-	processpkg "rowanlink/serving/process"
+	"rowanlink/serving/process"
 	"rowanlink/serving/proxy"
 	"rowanlink/serving/settings"
 )
 
 func main() {
-	processpkg.Main("rowan-proxy", "Carry clients' requests to the endpoints that serve them.", run)
+	process.Main("rowan-proxy", "Forward clients' requests to the endpoints of their services.", run)
 }
 
-func run(ctx context.Context, flags processpkg.Flags, process *settings.Process, log *zerolog.Logger) error {
-	return proxy.Run(ctx, process, flags.Settings, log)
+func run(ctx context.Context, flags process.Flags, processSettings *settings.Process, log *zerolog.Logger) error {
+	return proxy.Run(ctx, processSettings, flags.Settings, log)
 }
--- a/serving/process/hangup_test.go
+++ b/serving/process/hangup_test.go
@@ -11,31 +11,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hangupVariable makes the test binary the process that gets the signals.
+// hangupVariable makes the test binary the subprocess that gets the signals.
 const hangupVariable = "ROWANLINK_TEST_HANGUP"
 
-// TestHangupEndsNoProgram: SIGHUP at each of three points, before anybody else listens to it, while somebody does, and
-// after.
-func TestHangupEndsNoProgram(t *testing.T) {
+// TestMain_SurvivesHangup sends SIGHUP before another handler is registered for it, while one is, and afterwards.
+func TestMain_SurvivesHangup(t *testing.T) {
 	if os.Getenv(hangupVariable) != "" {
-		hangUpThreeTimes(t)
+		raiseHangups(t)
 		return
 	}
-	command := exec.Command(os.Args[0], "-test.run=^TestHangupEndsNoProgram$")
+	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestMain_SurvivesHangup$")
 	command.Env = append(os.Environ(), hangupVariable+"=1")
 	output, err := command.CombinedOutput()
 	assert.NoError(t, err, string(output))
 }
 
-func hangUpThreeTimes(t *testing.T) {
-	stayOnHangup()
-	witness := make(chan os.Signal, 1)
+func raiseHangups(t *testing.T) {
+	t.Helper()
+	ignoreHangup()
+	received := make(chan os.Signal, 1)
 	for range 3 {
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		signal.Notify(witness, syscall.SIGHUP)
+		signal.Notify(received, syscall.SIGHUP)
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		<-witness
-		signal.Stop(witness)
+		<-received
+		signal.Stop(received)
 	}
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 }
--- a/serving/process/listen.go
+++ b/serving/process/listen.go
@@ -6,29 +6,28 @@
 	"time"
 )
 
-// How a process listens.
 const (
-	// listenRetry and listenTries bound how long a process that was just started waits for an address that the
-	// process before it may still hold.
-	listenRetry = 100 * time.Millisecond
-	listenTries = 30
-	// A caller that has lost power or is cut off says nothing. Its connection ends after probeAfter and probeCount
-	// probes without an answer.
-	probeAfter    = 10 * time.Second
-	probeInterval = 3 * time.Second
-	probeCount    = 3
+	// listenRetryInterval and maxListenAttempts bound how long a starting process waits for an address that the previous
+	// process may still have open.
+	listenRetryInterval = 100 * time.Millisecond
+	maxListenAttempts   = 30
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes end a connection whose peer has lost power or is partitioned,
+	// and so doesn't close it.
+	keepAliveIdle     = 10 * time.Second
+	keepAliveInterval = 3 * time.Second
+	keepAliveProbes   = 3
 )
 
-// Listen listens at a TCP address. It tries for about three seconds: the process before this one may still hold it.
-// Connections are plain TCP, never multipath, and are probed while they rest.
+// Listen listens on a TCP address. It retries for about three seconds, as the previous process may still have the
+// address open. Connections are plain TCP, never multipath, with keep-alive probes.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := listenConfig()
-	for tried := 1; ; tried++ {
+	config := newListenConfig()
+	for attempt := 1; ; attempt++ {
 		listener, err := config.Listen(ctx, "tcp", address)
-		if err == nil || tried == listenTries || ctx.Err() != nil {
+		if err == nil || attempt == maxListenAttempts || ctx.Err() != nil {
 			return listener, err
 		}
-		retry := time.NewTimer(listenRetry)
+		retry := time.NewTimer(listenRetryInterval)
 		select {
 		case <-retry.C:
 		case <-ctx.Done():
@@ -37,9 +36,12 @@
 	}
 }
 
-func listenConfig() *net.ListenConfig {
+func newListenConfig() *net.ListenConfig {
 	config := &net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeAfter, Interval: probeInterval, Count: probeCount,
+		Enable:   true,
+		Idle:     keepAliveIdle,
+		Interval: keepAliveInterval,
+		Count:    keepAliveProbes,
 	}}
 	config.SetMultipathTCP(false)
 	return config
--- a/serving/process/listen_test.go
+++ b/serving/process/listen_test.go
@@ -10,16 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestListenersAreProbedAndPlain(t *testing.T) {
+func TestListen_KeepAliveWithoutMultipath(t *testing.T) {
 	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
-	defer listener.Close()
-	client, err := net.Dial("tcp", listener.Addr().String())
+	defer func() { _ = listener.Close() }()
+	client, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	require.NoError(t, err)
-	defer client.Close()
+	defer func() { _ = client.Close() }()
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	defer accepted.Close()
+	defer func() { _ = accepted.Close() }()
 	connection := accepted.(*net.TCPConn)
 	multipath, err := connection.MultipathTCP()
 	require.NoError(t, err)
@@ -33,9 +33,9 @@
 			return value
 		}
 		assert.NotZero(t, option(unix.SOL_SOCKET, unix.SO_KEEPALIVE))
-		assert.Equal(t, int(probeAfter.Seconds()), option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE))
-		assert.Equal(t, int(probeInterval.Seconds()), option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL))
-		assert.Equal(t, probeCount, option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT))
+		assert.Equal(t, int(keepAliveIdle.Seconds()), option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE))
+		assert.Equal(t, int(keepAliveInterval.Seconds()), option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL))
+		assert.Equal(t, keepAliveProbes, option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT))
 		protocol := option(unix.SOL_SOCKET, unix.SO_PROTOCOL)
 		assert.Equal(t, syscall.IPPROTO_TCP, protocol, "the listener's own protocol")
 	}))
--- a/serving/process/memory_test.go
+++ b/serving/process/memory_test.go
@@ -9,18 +9,18 @@
 	"rowanlink/serving/settings"
 )
 
-func TestCollectorFollowsLimitAndOperator(t *testing.T) {
-	before := debug.SetGCPercent(100)
-	limit := debug.SetMemoryLimit(-1)
-	defer debug.SetGCPercent(before)
-	defer debug.SetMemoryLimit(limit)
+func TestLimitMemory(t *testing.T) {
+	previousPercent := debug.SetGCPercent(100)
+	previousLimit := debug.SetMemoryLimit(-1)
+	defer debug.SetGCPercent(previousPercent)
+	defer debug.SetMemoryLimit(previousLimit)
 
-	t.Setenv(collectSetting, "")
+	t.Setenv(gcPercentVariable, "")
 	LimitMemory(settings.Limits{MemoryMB: 200})
 	assert.EqualValues(t, 140*megabyte, debug.SetMemoryLimit(-1))
-	assert.Equal(t, collectPercent, debug.SetGCPercent(77))
+	assert.Equal(t, gcPercent, debug.SetGCPercent(77))
 
-	t.Setenv(collectSetting, "77")
+	t.Setenv(gcPercentVariable, "77")
 	LimitMemory(settings.Limits{MemoryMB: 200})
-	assert.Equal(t, 77, debug.SetGCPercent(100), "as the operator has set it")
+	assert.Equal(t, 77, debug.SetGCPercent(100), "as set by the operator")
 }
