--- a/cluster/lease/reconciler_test.go
+++ b/cluster/lease/reconciler_test.go
@@ -9,19 +9,19 @@
 	"rowanlink/webhook/api"
 )
 
-// holderWithGrant returns a holder in session 5 and its reconciler, with a granted and requested lease.
-func holderWithGrant(r cluster.Resource, e cluster.Epoch) (*Holder, *Reconciler) {
+// holderWithGrant returns a holder in session 5 and its reconciler, with home/1 requested and granted by epoch 9.
+func holderWithGrant() (*Holder, *Reconciler) {
 	holder := NewHolder(simulationTTL, 0)
 	reconciler := NewReconciler(holder, simulationTTL)
 	holder.ConfirmRenewal(holder.StartRenewal(0), 5)
-	reconciler.Request(r)
-	reconciler.HandleResult(5, []Grant{{r, e}}, 0)
+	reconciler.Request("home/1")
+	reconciler.HandleResult(5, []Grant{{"home/1", 9}}, 0)
 	return holder, reconciler
 }
 
 // Guards against giving a lease up because a result from before its grant comes late.
 func TestReconciler_IgnoresOutdatedGrants(t *testing.T) {
-	holder, reconciler := holderWithGrant("home/1", 9)
+	holder, reconciler := holderWithGrant()
 	reconciler.ReconcileGrants(5, []Grant{{"home/1", 7}})
 	e, ok := holder.Epoch("home/1", 1)
 	require.True(t, ok)
@@ -31,7 +31,7 @@
 
 // Guards against a session that does not request a lease because it was held when the previous session did.
 func TestReconciler_IgnoresBlockedOfEarlierSession(t *testing.T) {
-	holder, reconciler := holderWithGrant("home/1", 9)
+	holder, reconciler := holderWithGrant()
 	reconciler.Request("home/2")
 	holder.ConfirmRenewal(holder.StartRenewal(1), 20)
 	reconciler.RetryAll()
@@ -41,7 +41,7 @@
 
 // Guards against requesting a blocked lease all the time, and against never requesting it again.
 func TestReconciler_RetriesBlockedWhenFreedOrDue(t *testing.T) {
-	_, reconciler := holderWithGrant("home/1", 9)
+	_, reconciler := holderWithGrant()
 	reconciler.Request("home/2")
 	require.True(t, reconciler.HandleResult(5, []Grant{{Resource: "home/2"}}, 10))
 	require.Equal(t, []cluster.Resource{"home/2"}, reconciler.Blocked())
@@ -56,7 +56,7 @@
 
 // Guards against dropping a granted lease, with calls in flight, because a member was only late to renew.
 func TestReconciler_CancelsRequestWithoutGrant(t *testing.T) {
-	holder, reconciler := holderWithGrant("home/1", 9)
+	holder, reconciler := holderWithGrant()
 	reconciler.Request("home/2")
 	reconciler.CancelRequest("home/1")
 	reconciler.CancelRequest("home/2")
