--- a/serving/core/saver.go
+++ b/serving/core/endpointsaver.go
@@ -12,46 +12,46 @@
 	"rowanlink/serving/store"
 )
 
-// saveInterval is the time between two looks at what has changed of the endpoints. What came since the last is lost
-// with the machine's power.
+// saveInterval is the time between two saves. Changes since the last one are lost in a power failure.
 const saveInterval = time.Second
 
-// endpointStore is a copy of the endpoints on disk; store.Endpoints is one.
+// endpointStore is a copy of the endpoints on disk; store.EndpointStore implements it.
 type endpointStore interface {
 	Load() ([]state.Endpoint, error)
 	Save(changes store.EndpointChanges) error
 }
 
-// endpointSource is a table of endpoints whose changes can be followed; endpoints.Owner is one.
+// endpointSource is a table of endpoints whose changes can be read; endpoints.SharedTable implements it.
 type endpointSource interface {
 	ChangesSince(since uint64) (endpoints.Delta, bool)
 }
 
-// saver keeps the copy of the endpoints on disk up to date, without haste: only the process's next start needs it.
-type saver struct {
+// endpointSaver keeps the copy of the endpoints on disk up to date. The copy is used only by the next start of the
+// process.
+type endpointSaver struct {
 	table    endpointSource
 	store    endpointStore
 	log      *zerolog.Logger
-	position uint64 // of the table, as it was saved last; zero: the copy is to be made anew
-	failing  bool
+	position uint64 // of the table at the last save; zero: the next save is a snapshot
+	failing  bool   // the last save failed
 }
 
-// run saves until the context ends.
-func (s *saver) run(ctx context.Context) {
-	ticks := time.NewTicker(saveInterval)
-	defer ticks.Stop()
+// run saves periodically until the context ends.
+func (s *endpointSaver) run(ctx context.Context) {
+	ticker := time.NewTicker(saveInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ticks.C:
+		case <-ticker.C:
 			s.save()
 		}
 	}
 }
 
-// save saves what has changed since the last time.
-func (s *saver) save() {
+// save saves the changes since the last save.
+func (s *endpointSaver) save() {
 	delta, ok := s.table.ChangesSince(s.position)
 	if !ok || delta.Position == s.position {
 		return
@@ -66,14 +66,15 @@
 	}
 	if err := s.store.Save(changes); err != nil {
 		s.position = 0
-		s.noteFailure(err)
+		s.logFailure(err)
 		return
 	}
-	s.position, s.failing = delta.Position, false
+	s.position = delta.Position
+	s.failing = false
 }
 
-// noteFailure logs the first failure of several in a row.
-func (s *saver) noteFailure(err error) {
+// logFailure logs the first of several consecutive failures.
+func (s *endpointSaver) logFailure(err error) {
 	if !s.failing {
 		event.EndpointStoreFailed.Log(s.log).Err(err).Send()
 	}
--- /dev/null
+++ b/serving/core/recordreplicator.go
@@ -0,0 +1,50 @@
+package core
+
+import (
+	"github.com/fxamacker/cbor/v2"
+	"github.com/rs/zerolog"
+
+	"rowanlink/serving/event"
+	"rowanlink/serving/gossip"
+	"rowanlink/serving/register"
+	"rowanlink/serving/state"
+)
+
+// recordGossip is the part of member.Service that replicates records.
+type recordGossip interface {
+	Put(entry gossip.Entry)
+	Subscribe(table gossip.TableID, call func(gossip.Entry))
+}
+
+// recordReplicator passes committed records from the register to the other members, and theirs to the register.
+type recordReplicator struct {
+	gossip recordGossip
+	log    *zerolog.Logger
+}
+
+// publish sends a record that was found to be committed here to the other members.
+func (r *recordReplicator) publish(record state.Record) {
+	value, err := cbor.Marshal(record)
+	if err != nil {
+		event.RecordUnreadable.Log(r.log).Err(err).Send()
+		return
+	}
+	r.gossip.Put(gossip.Entry{
+		Table:   gossip.TableRecord,
+		Key:     gossip.RecordKey,
+		Version: gossip.NewVersion(record.Revision, 0),
+		Value:   value,
+	})
+}
+
+// subscribe passes the records of other members to the node.
+func (r *recordReplicator) subscribe(node *register.Node) {
+	r.gossip.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
+		var record state.Record
+		if err := cbor.Unmarshal(entry.Value, &record); err != nil {
+			event.RecordUnreadable.Log(r.log).Err(err).Send()
+			return
+		}
+		node.Learn(record)
+	})
+}
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -1,11 +1,9 @@
-// Package core is the program of a machine with a disk: a replica of the register, the operator's API, the
-// endpoints' heartbeats and the repair of the replica set.
+// Package core is the program of a machine with a disk: a replica of the register, the operators' API, the receiver of
+// the endpoints' heartbeats, and the repair of the register's voters.
 package core
 
 import (
 	"context"
-	"io"
-	stdlog "log"
 	"net"
 	"net/http"
 	"time"
@@ -13,12 +11,10 @@
 	"github.com/rs/zerolog"
 
 	"rowanlink/serving/endpoints/exchange"
-	"rowanlink/serving/errcode"
 	"rowanlink/serving/event"
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
-	"rowanlink/serving/process"
 	"rowanlink/serving/quorum"
 	"rowanlink/serving/register"
 	"rowanlink/serving/rpc"
@@ -27,151 +23,220 @@
 	"rowanlink/serving/store"
 )
 
+// Bounds of the shutdown. The requests in flight and the vote transfer are awaited concurrently.
 const (
-	// headWait bounds the time for the head of a call.
-	headWait = 3 * time.Second
-	// innerIdle is longer than members keep connections, so that they end them.
-	innerIdle = time.Minute
-	// leaveTimeout bounds the farewell to other members.
-	leaveTimeout = 250 * time.Millisecond
-	// finishTimeout bounds the orders that are under way when the process is told to end.
-	finishTimeout = 1500 * time.Millisecond
-	// handOverTimeout bounds the hand-over of the vote, which begins at the same time.
-	handOverTimeout = 2500 * time.Millisecond
+	requestTimeout      = 1500 * time.Millisecond
+	voteTransferTimeout = 2500 * time.Millisecond
+	leaveTimeout        = 250 * time.Millisecond
 )
 
-// Options of Run.
+// Options configures Run.
 type Options struct {
 	Settings     *settings.Process
 	SettingsPath string // watched for changes
 	Log          *zerolog.Logger
 }
 
-// Run is the life of a core process. When the context ends it finishes the orders under way, bids the other members
-// farewell and returns. Errors are of the kind errcode.CoreAddressInUse or come from joining.
+// Run runs a core process until the context ends. It then finishes the requests in flight, transfers the vote, leaves the
+// membership and returns. Errors are errcode.CoreAddressInUse or those of joining the membership.
 func Run(ctx context.Context, options Options) error {
-	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	lifetime, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	process := options.Settings
-	innerListener, err := listen(ctx, process.InnerAddress())
+	listeners, err := listenAll(ctx, options.Settings)
 	if err != nil {
 		return err
 	}
-	controlListener, err := listen(ctx, process.Bind.Control)
-	if err != nil {
-		_ = innerListener.Close()
+	c := &coreProcess{options: options}
+	defer c.close()
+	if err := c.start(lifetime, listeners); err != nil {
+		_ = listeners.control.Close()
 		return err
 	}
+	reconciler := &reconciler{members: c.members, node: c.node, log: options.Log}
+	reconciler.run(ctx)
+	event.ProgramStopping.Log(options.Log).Send()
+	c.shutDown(lifetime)
+	return nil
+}
 
-	inner := http.NewServeMux()
-	defer serve(innerListener, &http.Server{Handler: inner, ReadHeaderTimeout: headWait, IdleTimeout: innerIdle}).Close()
-	client := rpc.NewClient()
-	defer client.Close()
-	joined, err := member.Start(life, member.Options{Settings: process, Self: self(process), Client: client, Mux: inner,
-		Log: options.Log})
-	if err != nil {
-		_ = controlListener.Close()
+// coreProcess has the running parts of a core process.
+type coreProcess struct {
+	options   Options
+	inner     *http.ServeMux // for calls between the system's processes
+	client    *rpc.Client
+	members   *member.Service
+	node      *register.Node
+	quorum    *quorum.Checker
+	endpoints *exchange.Exchange
+	control   *http.Server
+	closers   []func() // of the parts, in the order of their start
+}
+
+// start starts all parts. They run until close, or until the lifetime ends.
+func (c *coreProcess) start(lifetime context.Context, listeners listeners) error {
+	c.serveInner(listeners.inner)
+	c.client = rpc.NewClient()
+	c.onClose(c.client.Close)
+	if err := c.startMember(lifetime); err != nil {
 		return err
 	}
-	storage := store.Open(process.StoreDir, options.Log)
-	defer storage.Close()
-	node, err := startRegister(life, options, joined, storage, client, inner)
-	if err != nil {
-		_ = controlListener.Close()
+	if err := c.startRegister(lifetime); err != nil {
 		return err
 	}
-	defer node.Close()
-	touch := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: joined.IsLiveAt}
-	table := exchange.Start(life, exchange.Options{Gossip: joined, HeartbeatInterval: process.HeartbeatInterval,
-		HasQuorum: touch.HasQuorum, Log: options.Log})
-	table.Serve(inner)
-	kept := store.OpenEndpointStore(process.StoreDir, options.Log)
-	defer kept.Close()
-	go keepEndpoints(life, options, node, table, kept)
-	introspect.Serve(inner, (&reporter{mesh: joined, node: node, endpoints: table.Table()}).report)
-
-	control := serve(controlListener, operator.NewServer(controlHandler(options, joined, node, table, touch)))
-	defer control.Close()
-	joined.SetState(state.MemberReady)
-	go settings.Watch(life, options.SettingsPath, settings.WatchInterval, func(process *settings.Process) {
-		joined.SetSeeds(process.Seeds)
+	c.startEndpoints(lifetime)
+	introspector := &introspector{members: c.members, node: c.node, endpoints: c.endpoints.Table()}
+	introspect.Serve(c.inner, introspector.report)
+	c.control = serve(listeners.control, operator.NewServer(c.controlHandler()))
+	c.onClose(func() { _ = c.control.Close() }) // nothing is left to do with the connections
+	c.members.SetState(state.MemberReady)
+	go settings.Watch(lifetime, c.options.SettingsPath, settings.WatchInterval, func(process *settings.Process) {
+		c.members.SetSeeds(process.Seeds)
 	})
-	(&keeper{mesh: joined, node: node, log: options.Log}).run(ctx)
-	event.ProgramStopping.Log(options.Log).Send()
-	end(joined, node, control)
 	return nil
 }
 
-// startRegister joins the register to the mesh: what is committed here is spread, what others tell is learned.
-func startRegister(ctx context.Context, options Options, joined *member.Service, storage register.Storage, client *rpc.Client,
-	inner *http.ServeMux) (*register.Node, error) {
-	records := &records{mesh: joined, log: options.Log}
-	node, err := register.Start(ctx, register.NodeOptions{Settings: options.Settings, Storage: storage, Client: client,
-		Mux: inner, Log: options.Log, Committed: records.spread,
-		Peers: func() []register.Peer { return coreMachines(joined.Members()) }})
+// onClose adds a closer. Closers run in reverse order.
+func (c *coreProcess) onClose(closer func()) { c.closers = append(c.closers, closer) }
+
+func (c *coreProcess) close() {
+	for i := len(c.closers) - 1; i >= 0; i-- {
+		c.closers[i]()
+	}
+}
+
+// serveInner serves the calls between the system's processes. Handlers are added while it runs.
+func (c *coreProcess) serveInner(listener net.Listener) {
+	c.inner = http.NewServeMux()
+	server := serve(listener, newInnerServer(c.inner))
+	c.onClose(func() { _ = server.Close() }) // nothing is left to do with the connections
+}
+
+// startMember joins the membership.
+func (c *coreProcess) startMember(lifetime context.Context) (err error) {
+	c.members, err = member.Start(lifetime, member.Options{
+		Settings: c.options.Settings,
+		Self:     initialSelf(c.options.Settings),
+		Client:   c.client,
+		Mux:      c.inner,
+		Log:      c.options.Log,
+	})
+	return err
+}
+
+// startRegister starts the replica and connects it to the gossip of records and to the membership.
+func (c *coreProcess) startRegister(lifetime context.Context) error {
+	storage := store.Open(c.options.Settings.StoreDir, c.options.Log)
+	c.onClose(storage.Close)
+	replicator := &recordReplicator{gossip: c.members, log: c.options.Log}
+	node, err := register.Start(lifetime, register.NodeOptions{
+		Settings:  c.options.Settings,
+		Storage:   storage,
+		Client:    c.client,
+		Mux:       c.inner,
+		Log:       c.options.Log,
+		Committed: replicator.publish,
+		Peers:     func() []register.Peer { return corePeers(c.members.Members()) },
+	})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	detector := &failureDetector{members: joined, started: time.Now(), now: time.Now}
-	node.SetFailureDetector(detector)
-	records.subscribe(node)
-	return node, nil
+	c.node = node
+	c.onClose(node.Close)
+	node.SetFailureDetector(&failureDetector{members: c.members, started: time.Now(), now: time.Now})
+	replicator.subscribe(node)
+	return nil
+}
+
+// startEndpoints starts the table of endpoints and its copy on disk.
+func (c *coreProcess) startEndpoints(lifetime context.Context) {
+	process := c.options.Settings
+	c.quorum = &quorum.Checker{Voters: c.node, Self: process.InnerAddress(), IsLive: c.members.IsLiveAt}
+	c.endpoints = exchange.Start(lifetime, exchange.Options{
+		Gossip:            c.members,
+		HeartbeatInterval: process.HeartbeatInterval,
+		HasQuorum:         c.quorum.HasQuorum,
+		Log:               c.options.Log,
+	})
+	c.endpoints.Serve(c.inner)
+	endpointStore := store.OpenEndpointStore(process.StoreDir, c.options.Log)
+	c.onClose(endpointStore.Close)
+	go c.persistEndpoints(lifetime, endpointStore)
 }
 
-// keepEndpoints restores the endpoints that were kept on disk and then keeps that copy up to date.
-func keepEndpoints(ctx context.Context, options Options, node *register.Node, table *exchange.Exchange,
-	kept *store.EndpointStore) {
-	restoring := &restorer{self: options.Settings.NodeName, store: kept, latest: node.Latest, table: table.Table(),
-		put: table.Put, ask: newProber().confirm, log: options.Log}
-	restoring.run(ctx)
-	(&saver{table: table.Table(), store: kept, log: options.Log}).run(ctx)
+// persistEndpoints restores the endpoints that were saved, and then saves the changes.
+func (c *coreProcess) persistEndpoints(ctx context.Context, endpointStore *store.EndpointStore) {
+	restorer := &endpointRestorer{
+		self:    c.options.Settings.NodeName,
+		store:   endpointStore,
+		latest:  c.node.Latest,
+		table:   c.endpoints.Table(),
+		publish: c.endpoints.Put,
+		check:   newHealthChecker().check,
+		log:     c.options.Log,
+	}
+	restorer.run(ctx)
+	saver := &endpointSaver{table: c.endpoints.Table(), store: endpointStore, log: c.options.Log}
+	saver.run(ctx)
 }
 
-// controlHandler answers operators and endpoints.
-func controlHandler(options Options, joined *member.Service, node *register.Node, table *exchange.Exchange,
-	touch *quorum.Checker) http.Handler {
-	forwarder := &operator.Forwarder{Self: self(options.Settings), Regions: options.Settings.Regions,
-		Members: joined.Members, Clock: time.Now}
-	return operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: table.Table(), Replicator: table, Quorum: touch,
-		Regions: options.Settings.Regions, ForwardTo: forwarder.ForwardTo, Log: options.Log})
+// controlHandler returns the handler of calls of operators and endpoints.
+func (c *coreProcess) controlHandler() http.Handler {
+	process := c.options.Settings
+	forwarder := &operator.Forwarder{
+		Self:    initialSelf(process),
+		Regions: process.Regions,
+		Members: c.members.Members,
+		Clock:   time.Now,
+	}
+	return operator.New(operator.Options{
+		Register:   operator.NewRegister(c.node),
+		Endpoints:  c.endpoints.Table(),
+		Replicator: c.endpoints,
+		Quorum:     c.quorum,
+		Regions:    process.Regions,
+		ForwardTo:  forwarder.ForwardTo,
+		Log:        c.options.Log,
+	})
 }
 
-// end finishes the orders under way, gives the vote to a learner and bids the other members farewell.
-func end(joined *member.Service, node *register.Node, control *http.Server) {
-	joined.SetState(state.MemberLeaving)
-	handedOver := make(chan struct{})
+// shutDown finishes the requests in flight, transfers the vote to a learner, and leaves the membership.
+func (c *coreProcess) shutDown(ctx context.Context) {
+	c.members.SetState(state.MemberLeaving)
+	transferred := make(chan struct{})
 	go func() {
-		defer close(handedOver)
-		bounded, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+		defer close(transferred)
+		ctx, cancel := context.WithTimeout(ctx, voteTransferTimeout)
 		defer cancel()
-		node.TransferVote(bounded)
+		c.node.TransferVote(ctx)
 	}()
-	finishing, cancel := context.WithTimeout(context.Background(), finishTimeout)
-	defer cancel()
-	_ = control.Shutdown(finishing) // what is not finished by then ends unanswered, and is sent again elsewhere
-	<-handedOver
-	leaving, stop := context.WithTimeout(context.Background(), leaveTimeout)
-	defer stop()
-	_ = joined.Leave(leaving) // others miss the heartbeats otherwise
+	requestContext, cancelRequests := context.WithTimeout(ctx, requestTimeout)
+	defer cancelRequests()
+	_ = c.control.Shutdown(requestContext) // unfinished requests get no answer, and are retried at another core
+	<-transferred
+	leaveContext, cancelLeave := context.WithTimeout(ctx, leaveTimeout)
+	defer cancelLeave()
+	_ = c.members.Leave(leaveContext) // on an error the others detect the end by the missing heartbeats
 }
 
-// self is what a core process tells the mesh of its member at first.
-func self(process *settings.Process) state.Member {
-	return state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
-		Address: process.InnerAddress(), ControlAddress: process.Bind.Control, State: state.MemberStarting}
-}
-
-func listen(ctx context.Context, address string) (net.Listener, error) {
-	listener, err := process.Listen(ctx, address)
-	if err != nil {
-		return nil, errcode.CoreAddressInUse.With("%s: %v", address, err)
+// initialSelf returns how the process describes itself to the other members at its start.
+func initialSelf(process *settings.Process) state.Member {
+	return state.Member{
+		Name:           process.NodeName,
+		Role:           state.RoleCore,
+		Zone:           process.Zone,
+		Region:         process.Region,
+		Address:        process.InnerAddress(),
+		ControlAddress: process.Bind.Control,
+		State:          state.MemberStarting,
 	}
-	return listener, nil
 }
 
-// serve runs a server until it is closed.
-func serve(listener net.Listener, server *http.Server) *http.Server {
-	server.ErrorLog = stdlog.New(io.Discard, "", 0) // what callers do wrong isn't for the log
-	go func() { _ = server.Serve(listener) }()
-	return server
+// corePeers returns the members that may have replicas.
+func corePeers(members []state.Member) (peers []register.Peer) {
+	for _, member := range members {
+		if member.Role == state.RoleCore {
+			peers = append(peers, register.Peer{Address: member.Address, Zone: member.Zone})
+		}
+	}
+	return peers
 }
