--- /dev/null
+++ b/cluster/transport/client.go
@@ -0,0 +1,166 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+)
+
+// The errors of Client.Call, which wraps them.
+var (
+	// ErrNotSent means that the request did not arrive completely, so that the other member did not act on it.
+	ErrNotSent = errors.New("message not sent")
+	// ErrOutcomeUnknown means that there was no response and the request may have arrived.
+	ErrOutcomeUnknown = errors.New("no response: the message may have arrived")
+)
+
+const (
+	maxConnsPerPeer = 64               // a request that finds none free waits for one
+	maxIdleDuration = 10 * time.Second // the server's is longer, so that the client closes first
+
+	// maxConnWait is longer than any time-out: requests wait for a connection as long as they may.
+	maxConnWait = time.Hour
+	// dialShare is the part of a request's time-out in which a connection must be made. If it isn't, there is time left
+	// to try another member.
+	dialShare = 3
+)
+
+// Client sends requests to other members. It never retries one. It is safe for concurrent use.
+type Client struct {
+	self cluster.MemberID
+
+	mu    sync.Mutex
+	peers map[cluster.MemberID]*peer
+}
+
+// peer is another member's address with the connections to it.
+type peer struct {
+	address string
+	http    *fasthttp.HostClient
+}
+
+// NewClient returns a client of the member self. The addresses are as this member reaches the others.
+func NewClient(self cluster.MemberID, addresses map[cluster.MemberID]string) *Client {
+	c := &Client{self: self, peers: map[cluster.MemberID]*peer{}}
+	c.SetAddresses(addresses)
+	return c
+}
+
+// SetAddresses replaces the addresses. Requests that are in flight to a former address are still answered.
+func (c *Client) SetAddresses(addresses map[cluster.MemberID]string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, p := range c.peers {
+		if addresses[id] != p.address {
+			p.http.CloseIdleConnections()
+			delete(c.peers, id)
+		}
+	}
+	for id, address := range addresses {
+		if c.peers[id] == nil {
+			c.peers[id] = &peer{address: address, http: newHostClient(address)}
+		}
+	}
+}
+
+// Close closes the idle connections.
+func (c *Client) Close() { c.SetAddresses(nil) }
+
+func newHostClient(address string) *fasthttp.HostClient {
+	return &fasthttp.HostClient{
+		Addr:                      address,
+		MaxConns:                  maxConnsPerPeer,
+		MaxIdleConnDuration:       maxIdleDuration,
+		MaxConnWaitTimeout:        maxConnWait,
+		MaxIdemponentCallAttempts: 1,
+		RetryIfErr:                neverRetry,
+		ConnPoolStrategy:          fasthttp.LIFO,
+		MaxResponseBodySize:       MaxMessageSize,
+		NoDefaultUserAgentHeader:  true,
+		DisablePathNormalizing:    true,
+		DialTimeout:               dialTracked,
+	}
+}
+
+func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
+
+// dialTracked makes a connection for a request with a time-out. fasthttp passes no context.
+func dialTracked(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout / dialShare, KeepAlive: -1}
+	conn, err := dialer.DialContext(context.Background(), "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return &trackedConn{Conn: conn}, nil
+}
+
+// Call sends a request to a member and returns the status and the body of its response. An error wraps ErrNotSent or
+// ErrOutcomeUnknown. A time-out that is not positive is an error.
+func (c *Client) Call(
+	to cluster.MemberID, path string, body []byte, timeout time.Duration,
+) (status int, responseBody []byte, err error) {
+	c.mu.Lock()
+	p := c.peers[to]
+	c.mu.Unlock()
+	switch {
+	case p == nil:
+		return 0, nil, fmt.Errorf("%w: no address of member %s", ErrNotSent, to)
+	case len(body) > MaxMessageSize:
+		return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, errMessageTooLarge)
+	case timeout <= 0:
+		return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, fasthttp.ErrTimeout)
+	}
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	c.fillRequest(request, "http://"+p.address+path, body)
+	if err := p.do(request, response, timeout); err != nil {
+		return 0, nil, fmt.Errorf("%w: %w", outcomeOf(response), err)
+	}
+	responseBody, err = decompress(response.Body(), string(response.Header.Peek(compressionHeader)))
+	if err != nil {
+		return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	}
+	return response.StatusCode(), append([]byte(nil), responseBody...), nil
+}
+
+// fillRequest sets a request's method, URL, headers and body, compressed if that pays.
+func (c *Client) fillRequest(request *fasthttp.Request, url string, body []byte) {
+	request.Header.SetMethod(fasthttp.MethodPost)
+	request.SetRequestURI(url)
+	request.Header.Set(senderHeader, string(c.self))
+	if compressed, isSmaller := compress(body); isSmaller {
+		request.Header.Set(compressionHeader, compressionS2)
+		body = compressed
+	}
+	request.SetBodyRaw(body)
+}
+
+// do sends a request. If the server closed an idle connection before the request was written to it, no byte of it was
+// sent, and another connection is used: this is not a retry.
+func (p *peer) do(request *fasthttp.Request, response *fasthttp.Response, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for {
+		err := p.http.DoTimeout(request, response, time.Until(deadline))
+		if err == nil || !errors.Is(err, errConnWasClosed) || !time.Now().Before(deadline) {
+			return err
+		}
+	}
+}
+
+// outcomeOf returns ErrNotSent if the request without a response was not written completely, or to no connection at all,
+// and else ErrOutcomeUnknown.
+func outcomeOf(response *fasthttp.Response) error {
+	conn, hasConn := response.LocalAddr().(*trackedConn)
+	if !hasConn || conn.isIncomplete {
+		return ErrNotSent
+	}
+	return ErrOutcomeUnknown
+}
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -6,17 +6,16 @@
 	"rowanlink/webhook/api"
 )
 
-// The paths that keepers hear on.
+// The paths that raft nodes serve.
 const (
-	SessionPath  = "/fleet/session"
-	ProposePath  = "/fleet/propose"
-	StatePath    = "/fleet/state"
-	IdentifyPath = "/fleet/keeper/who"
-	JoinPath     = "/fleet/keeper/join"
+	SessionPath  = "/fleet/session"     // SessionRequest, SessionResponse
+	ProposePath  = "/fleet/propose"     // cluster.Command, ProposeResponse
+	StatePath    = "/fleet/state"       // StateRequest, StateResponse
+	IdentifyPath = "/fleet/keeper/who"  // NodeIdentity, NodeIdentity
+	JoinPath     = "/fleet/keeper/join" // JoinRequest, no response
 )
 
-// SessionRequest asks for a session to go on; with session 0, for one to be opened. Tally is of the grants that
-// the member knows of.
+// SessionRequest renews a session or, with session 0, opens one. GrantDigest is of the grants that the member knows of.
 type SessionRequest struct {
 	Member      cluster.MemberID  `cbor:"1,keyasint"`
 	Session     cluster.SessionID `cbor:"2,keyasint,omitempty"`
@@ -24,8 +23,8 @@
 	GrantDigest lease.Digest      `cbor:"4,keyasint,omitempty"`
 }
 
-// SessionResponse is a keeper's yes, or which refusal (state.Code). Term is the one that the keeper counts.
-// Holds is all that the session holds by the log, where its tally is another than the member's.
+// SessionResponse is the leader's answer to a SessionRequest. ErrorCode is as by fsm.ErrorCode, TTL the one that the
+// leader uses. Grants are all that the session holds by the log, if the request's digest is not theirs.
 type SessionResponse struct {
 	Session   cluster.SessionID `cbor:"1,keyasint,omitempty"`
 	TTL       api.Micros        `cbor:"2,keyasint"`
@@ -33,29 +32,32 @@
 	Grants    []lease.Grant     `cbor:"4,keyasint,omitempty"`
 }
 
-// ProposeResponse is what became of a fleet.Command: the part's answer, or which refusal (state.Code).
+// ProposeResponse is the leader's answer to a cluster.Command: the component's result, or an error code as by
+// fsm.ErrorCode.
 type ProposeResponse struct {
 	Result    []byte `cbor:"1,keyasint,omitempty"`
 	ErrorCode uint16 `cbor:"2,keyasint,omitempty"`
-	Index     uint64 `cbor:"3,keyasint"` // of its entry in the log
+	Index     uint64 `cbor:"3,keyasint"` // of the command's log entry
 }
 
-// StateRequest asks for each part that is newer than the version named, and which of the tasks are free.
-// Changes is whether a part may come as what changed since that version.
+// StateRequest polls for the state of each component in Versions that is newer than that version, and for the wanted
+// resources that nobody holds. With AcceptDeltas a component's state may come as a delta from that version.
 type StateRequest struct {
 	Versions        map[byte]uint64    `cbor:"1,keyasint,omitempty"`
 	WantedResources []cluster.Resource `cbor:"2,keyasint,omitempty"`
 	AcceptDeltas    bool               `cbor:"3,keyasint,omitempty"`
 }
 
-// StateResponse holds those that are; Index is how far the log's entries were applied where it was read.
+// StateResponse is the answer to a StateRequest. AppliedIndex is the index of the last entry that was applied when the
+// state was read.
 type StateResponse struct {
 	AppliedIndex  uint64             `cbor:"1,keyasint"`
 	Components    []ComponentState   `cbor:"2,keyasint,omitempty"`
 	FreeResources []cluster.Resource `cbor:"3,keyasint,omitempty"`
 }
 
-// ComponentState is one part as it was at a version: whole, or by state.Changed from what it was at Since.
+// ComponentState is the state of a component at a version. Data is a complete snapshot if BaseVersion is 0, and else a
+// delta from that version, see fsm.ApplyDelta.
 type ComponentState struct {
 	Component   byte   `cbor:"1,keyasint"`
 	Version     uint64 `cbor:"2,keyasint"`
@@ -63,20 +65,20 @@
 	BaseVersion uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// NotLeaderResponse goes with status 421: who leads, as far as is known.
+// NotLeaderResponse comes with status 421. Leader is empty if it is not known.
 type NotLeaderResponse struct {
 	Leader cluster.MemberID `cbor:"1,keyasint,omitempty"`
 }
 
-// NodeIdentity is what a keeper says of itself: the name of its folder, whether the folder holds nothing yet, and who
-// the keepers are by its file.
+// NodeIdentity is a raft node's server id, whether its folder is empty, and the members that it is configured with.
 type NodeIdentity struct {
 	ServerID string             `cbor:"1,keyasint"`
 	Empty    bool               `cbor:"2,keyasint,omitempty"`
 	Members  []cluster.MemberID `cbor:"3,keyasint"`
 }
 
-// JoinRequest asks the leader to take a keeper's folder into its midst; Applied is how far it has come.
+// JoinRequest asks the leader to add a raft node's server to the configuration. AppliedIndex is the index of the last
+// entry that the server has applied.
 type JoinRequest struct {
 	Member       cluster.MemberID `cbor:"1,keyasint"`
 	ServerID     string           `cbor:"2,keyasint"`
--- a/cluster/transport/server.go
+++ b/cluster/transport/server.go
@@ -11,72 +11,97 @@
 	"rowanlink/cluster"
 )
 
+// senderHeader holds the id of the member that sends a request.
 const senderHeader = "Said-By"
 
-// Server hears what other members say.
+// serverName is the value of the Server header.
+const serverName = "rowanfleet"
+
+// Server serves the requests of other members.
 type Server struct {
 	http     fasthttp.Server
-	handlers map[string]func(*fasthttp.RequestCtx)
+	handlers map[string]fasthttp.RequestHandler
 }
 
-// NewServer makes a Server for so many connections at most. A message that has begun must be whole within the
-// span, and its answer read.
-func NewServer(most int, within time.Duration) *Server {
-	s := &Server{handlers: map[string]func(*fasthttp.RequestCtx){}}
+// NewServer returns a server for at most maxConns connections. A request that has begun must be received completely
+// within the time-out, and its response be read within it.
+func NewServer(maxConns int, timeout time.Duration) *Server {
+	s := &Server{handlers: map[string]fasthttp.RequestHandler{}}
 	s.http = fasthttp.Server{
-		Handler: s.serve, Name: "rowanfleet", MaxRequestBodySize: MaxMessageSize, Concurrency: most,
-		ReadTimeout: within, WriteTimeout: within, IdleTimeout: 3 * maxIdleDuration / 2, ReduceMemoryUsage: true,
-		DisablePreParseMultipartForm: true, NoDefaultContentType: true, NoDefaultDate: true,
-		CloseOnShutdown: true, Logger: discardLogger{}, SecureErrorLogMessage: true,
+		Handler:                      s.serve,
+		Name:                         serverName,
+		MaxRequestBodySize:           MaxMessageSize,
+		Concurrency:                  maxConns,
+		ReadTimeout:                  timeout,
+		WriteTimeout:                 timeout,
+		IdleTimeout:                  3 * maxIdleDuration / 2, // the client closes idle connections first
+		ReduceMemoryUsage:            true,
+		DisablePreParseMultipartForm: true,
+		NoDefaultContentType:         true,
+		NoDefaultDate:                true,
+		CloseOnShutdown:              true,
+		Logger:                       discardLogger{},
+		SecureErrorLogMessage:        true,
 	}
 	return s
 }
 
-// Handle has a path's messages answered by h; before Serve only.
-func (s *Server) Handle(path string, h func(ctx *fasthttp.RequestCtx)) { s.handlers[path] = h }
+// Handle registers the handler of a path. It must not be called after Serve.
+func (s *Server) Handle(path string, handler fasthttp.RequestHandler) { s.handlers[path] = handler }
 
-// Serve hears until Close.
-func (s *Server) Serve(on net.Listener) error { return s.http.Serve(on) }
+// Serve accepts connections until Close.
+func (s *Server) Serve(listener net.Listener) error { return s.http.Serve(listener) }
 
-// Close ends it; those that are heard now are answered, if that takes no longer.
-func (s *Server) Close(within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Close stops the server. Requests that are being handled are answered, up to the time-out.
+func (s *Server) Close(timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// Sender is who said a message, by its own word.
+// Sender returns the member that sent a request, by its own statement.
 func Sender(ctx *fasthttp.RequestCtx) cluster.MemberID {
 	return cluster.MemberID(ctx.Request.Header.Peek(senderHeader))
 }
 
+// serve decompresses a request, has it handled and compresses the response.
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
-	h := s.handlers[string(ctx.Path())]
-	if h == nil {
+	handler := s.handlers[string(ctx.Path())]
+	if handler == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	body, err := decompress(ctx.Request.Body(), string(ctx.Request.Header.Peek(compressionHeader)))
-	if err != nil {
-		code := fasthttp.StatusBadRequest
+	if err := decompressRequest(&ctx.Request); err != nil {
+		status := fasthttp.StatusBadRequest
 		if errors.Is(err, errMessageTooLarge) {
-			code = fasthttp.StatusRequestEntityTooLarge
+			status = fasthttp.StatusRequestEntityTooLarge
 		}
-		ctx.Error(err.Error(), code)
+		ctx.Error(err.Error(), status)
 		return
 	}
-	if len(ctx.Request.Header.Peek(compressionHeader)) > 0 {
-		ctx.Request.Header.Del(compressionHeader)
-		ctx.Request.SetBodyRaw(body) // never its own body: that goes back to the pool while it is read
-	}
-	h(ctx)
-	if packed, smaller := compress(ctx.Response.Body()); smaller {
+	handler(ctx)
+	if compressed, isSmaller := compress(ctx.Response.Body()); isSmaller {
 		ctx.Response.Header.Set(compressionHeader, compressionS2)
-		ctx.Response.SetBodyRaw(packed)
+		ctx.Response.SetBodyRaw(compressed)
+	}
+}
+
+func decompressRequest(request *fasthttp.Request) error {
+	compression := string(request.Header.Peek(compressionHeader))
+	body, err := decompress(request.Body(), compression)
+	if err != nil {
+		return err
+	}
+	if compression != "" {
+		request.Header.Del(compressionHeader)
+		// Only a new body: SetBodyRaw returns the request's own one to the pool, while it would still be read.
+		request.SetBodyRaw(body)
 	}
+	return nil
 }
 
-// discardLogger guards against a log line for each connection that ends.
+// discardLogger drops fasthttp's messages, of which there is one for each connection that fails.
 type discardLogger struct{}
 
+// Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
