--- /dev/null
+++ b/cluster/fsm/history.go
@@ -0,0 +1,73 @@
+package fsm
+
+// SnapshotHistory retains recent snapshots of one component, so that a member that has an earlier one gets the
+// difference instead of the whole. It is not safe for concurrent use.
+type SnapshotHistory struct {
+	snapshots []retainedSnapshot // by rising version
+	bytes     int                // of all snapshots
+}
+
+type retainedSnapshot struct {
+	version uint64
+	data    []byte
+	delta   []byte // from here to the newest snapshot; nil: not computed yet
+}
+
+const (
+	maxSnapshots     = 16
+	maxRetainedBytes = 32 << 20 // of all snapshots but the newest
+)
+
+// NewestVersion returns the version of the newest snapshot; 0: none.
+func (h *SnapshotHistory) NewestVersion() uint64 {
+	if len(h.snapshots) == 0 {
+		return 0
+	}
+	return h.snapshots[len(h.snapshots)-1].version
+}
+
+// Add makes a snapshot the newest. A version below the newest means that the log was begun anew: the history is
+// dropped then.
+func (h *SnapshotHistory) Add(version uint64, data []byte) {
+	switch {
+	case version < h.NewestVersion():
+		*h = SnapshotHistory{}
+	case version == h.NewestVersion():
+		return
+	}
+	for i := range h.snapshots {
+		h.snapshots[i].delta = nil
+	}
+	h.snapshots = append(h.snapshots, retainedSnapshot{version: version, data: data})
+	h.bytes += len(data)
+	h.evict()
+}
+
+func (h *SnapshotHistory) evict() {
+	newest := h.snapshots[len(h.snapshots)-1].data
+	for len(h.snapshots) > maxSnapshots || len(h.snapshots) > 1 && h.bytes-len(newest) > maxRetainedBytes {
+		h.bytes -= len(h.snapshots[0].data)
+		h.snapshots = append([]retainedSnapshot(nil), h.snapshots[1:]...) // copied to release the first's memory
+	}
+}
+
+// DeltaSince returns what a member with the snapshot of a version needs for the newest one: base is that version
+// and data the delta for ApplyDelta, or base is 0 and data the whole snapshot if the version is not retained or
+// the delta would not be much smaller. There must be a snapshot.
+func (h *SnapshotHistory) DeltaSince(version uint64) (base uint64, data []byte) {
+	last := len(h.snapshots) - 1
+	newest := h.snapshots[last].data
+	for i := range h.snapshots[:last] {
+		s := &h.snapshots[i]
+		if s.version != version {
+			continue
+		}
+		if s.delta == nil {
+			s.delta = encodeDelta(s.data, newest)
+		}
+		if len(s.delta) < len(newest)/2 {
+			return version, s.delta
+		}
+	}
+	return 0, newest
+}
--- a/cluster/fsm/past_test.go
+++ b/cluster/fsm/history_test.go
@@ -13,22 +13,22 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Whoever has any snapshot of before has the newest by what it is told, and by a change of another one never.
-func TestPastLeadsToTheNewest(t *testing.T) {
+// From any earlier snapshot DeltaSince leads to the newest one.
+func TestSnapshotHistory_LeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, had, raw := SnapshotHistory{}, map[uint64][]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "first")
+		history, earlier, raw := SnapshotHistory{}, map[uint64][]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "first")
 		for v := range rapid.Uint64Range(1, 20).Draw(t, "versions") {
-			p.Add(2*v+1, raw)
-			had[2*v+1] = raw
+			history.Add(2*v+1, raw)
+			earlier[2*v+1] = raw
 			for range 2 {
 				at := rapid.Uint64Range(0, 2*v+2).Draw(t, "asked")
-				from, bytes := p.DeltaSince(at)
+				from, bytes := history.DeltaSince(at)
 				if from != 0 {
 					require.Equal(t, at, from)
 					require.Less(t, len(bytes), len(raw))
-					changed, err := ApplyDelta(had[at], bytes)
+					applied, err := ApplyDelta(earlier[at], bytes)
 					require.NoError(t, err)
-					bytes = changed
+					bytes = applied
 				}
 				require.Equal(t, raw, bytes)
 			}
@@ -39,29 +39,29 @@
 	})
 }
 
-func TestAChangeOfAnotherSnapshotIsNotTaken(t *testing.T) {
-	draw := rand.New(rand.NewPCG(1, 2))
+func TestApplyDelta_RejectsOtherBase(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
 	raw := make([]byte, 4000)
 	for i := range raw {
-		raw[i] = byte(draw.Uint32())
+		raw[i] = byte(random.Uint32())
 	}
 	next := append(append([]byte(nil), raw[:2000]...), raw[2003:]...)
-	c := encodeDelta(raw, next)
-	got, err := ApplyDelta(raw, c)
+	delta := encodeDelta(raw, next)
+	got, err := ApplyDelta(raw, delta)
 	require.NoError(t, err)
 	assert.Equal(t, next, got)
 	other := append([]byte(nil), raw...)
 	other[100]++
 	for _, from := range [][]byte{other, raw[:3000], nil} {
-		_, err = ApplyDelta(from, c)
+		_, err = ApplyDelta(from, delta)
 		assert.ErrorIs(t, err, ErrUnreadable)
 	}
-	_, err = ApplyDelta(raw, c[:len(c)-1])
+	_, err = ApplyDelta(raw, delta[:len(delta)-1])
 	assert.ErrorIs(t, err, ErrUnreadable)
 }
 
-// BenchmarkChange is one step of one move among 4,096 ranges: bytes to each member beside the whole.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkDelta is one step of one move among 4,096 ranges: the size and cost of the delta beside the whole snapshot.
+func BenchmarkDelta(b *testing.B) {
 	m := shardmap.New(nil)
 	all := []shardmap.MemberWeight{}
 	for i := range 300 {
@@ -76,22 +76,22 @@
 	m.Version++
 	m.Ranges[1234].Move = shardmap.Move{ID: 70_001, From: m.Ranges[1234].Owner, To: "m17", Step: shardmap.StepPlanned}
 	after, _ := m.Snapshot()
-	var c []byte
-	b.Run("made", func(b *testing.B) {
+	var delta []byte
+	b.Run("encode", func(b *testing.B) {
 		for b.Loop() {
-			c = encodeDelta(before, after)
+			delta = encodeDelta(before, after)
 		}
-		b.ReportMetric(float64(len(c)), "B")
+		b.ReportMetric(float64(len(delta)), "B")
 		b.ReportMetric(float64(len(after)), "B-whole")
 	})
-	b.Run("taken", func(b *testing.B) {
+	b.Run("apply", func(b *testing.B) {
 		for b.Loop() {
-			ApplyDelta(before, c)
+			_, _ = ApplyDelta(before, delta)
 		}
 	})
 	b.Run("whole", func(b *testing.B) {
 		for b.Loop() {
-			m.Snapshot()
+			_, _ = m.Snapshot()
 		}
 	})
 }
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -1,11 +1,11 @@
-// Package fsm is the replicated state machine over the fleet's parts: it checks who orders, passes commands
-// to the part they are for and joins the parts' snapshots. The keeper locks it.
+// Package fsm is the replicated state machine (Schneider, Implementing fault-tolerant services using the state
+// machine approach, 1990). It consists of components: it checks the fencing of commands, passes each to its
+// component, and joins the components' snapshots.
 package fsm
 
 import (
 	"fmt"
 	"maps"
-	"slices"
 
 	"github.com/fxamacker/cbor/v2"
 
@@ -13,20 +13,17 @@
 	"rowanlink/cluster/lease"
 )
 
-// Machine is all that is replicated.
+// Machine is the replicated state. It is not safe for concurrent use: the raft node locks it.
 type Machine struct {
-	book     *lease.Table
-	parts    map[byte]cluster.Component
-	versions map[byte]uint64
-	fresh    map[byte][]byte // each part as it was at first: for a snapshot that lacks it
+	leases     *lease.Table
+	components map[byte]cluster.Component
+	versions   map[byte]uint64 // see ComponentVersion
+	initial    map[byte][]byte // each component's first state, for a snapshot that lacks it
 }
 
-// snapshotFormat rises when an older program could no longer read a snapshot.
-const snapshotFormat = 1
-
 var (
-	encoding, _ = cbor.CoreDetEncOptions().EncMode()
-	decoding, _ = cbor.DecOptions{
+	encMode, _ = cbor.CoreDetEncOptions().EncMode()
+	decMode, _ = cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
@@ -34,82 +31,69 @@
 	}.DecMode()
 )
 
-// New joins the book with the other parts, by their letters; cluster.LeaseComponent is the book's.
-func New(book *lease.Table, others map[byte]cluster.Component) *Machine {
-	parts := maps.Clone(others)
-	if parts == nil {
-		parts = map[byte]cluster.Component{}
+// New joins the lease table, as cluster.LeaseComponent, with other components.
+func New(leases *lease.Table, others map[byte]cluster.Component) *Machine {
+	m := &Machine{
+		leases:     leases,
+		components: map[byte]cluster.Component{},
+		versions:   map[byte]uint64{},
+		initial:    map[byte][]byte{},
 	}
-	parts[cluster.LeaseComponent] = book
-	m := &Machine{book, parts, map[byte]uint64{}, map[byte][]byte{}}
-	for letter, p := range parts {
-		m.fresh[letter], _ = p.Snapshot() // one that can't be is refused by the part in Restore
+	maps.Copy(m.components, others)
+	m.components[cluster.LeaseComponent] = leases
+	for id, component := range m.components {
+		// A component that can't be encoded rejects the missing snapshot in Restore.
+		m.initial[id], _ = component.Snapshot()
 	}
 	return m
 }
 
-// EncodeCommand is a command as it stands in the log.
+// EncodeCommand returns a command as it stands in the log.
 func EncodeCommand(c cluster.Command) []byte {
-	b, err := encoding.Marshal(c)
+	b, err := encMode.Marshal(c)
 	if err != nil {
 		panic(err) // no field of a command can fail
 	}
 	return b
 }
 
-// Apply does the log's entry: cluster.ErrFenced where By is not held by that epoch, ErrUnreadable where it
-// can't be decoded or is for no part, else what the part says. With an error nothing was changed.
-func (m *Machine) Apply(index uint64, raw []byte) ([]byte, error) {
+// Apply executes the log entry with an index and returns the component's result. Errors, each of which changes
+// nothing: cluster.ErrFenced if the lease on FencedBy is not held with that epoch; ErrUnreadable if the entry
+// can't be decoded or its component is unknown; else the component's own.
+func (m *Machine) Apply(index uint64, entry []byte) ([]byte, error) {
 	var c cluster.Command
-	if err := decoding.Unmarshal(raw, &c); err != nil {
-		return nil, fmt.Errorf("log's entry %d: %w: %w", index, ErrUnreadable, err)
+	if err := decMode.Unmarshal(entry, &c); err != nil {
+		return nil, fmt.Errorf("log entry %d: %w: %w", index, ErrUnreadable, err)
 	}
-	part := m.parts[c.Component]
-	if part == nil {
-		return nil, fmt.Errorf("log's entry %d is for part %q, not known: %w", index, c.Component, ErrUnreadable)
+	component := m.components[c.Component]
+	if component == nil {
+		return nil, fmt.Errorf("log entry %d: unknown component %q: %w", index, c.Component, ErrUnreadable)
 	}
-	if c.FencedBy == "" && c.Epoch != 0 || c.FencedBy != "" && !m.book.IsCurrent(c.FencedBy, c.Epoch) {
+	if !m.passesFence(c) {
 		return nil, cluster.ErrFenced
 	}
-	answer, err := part.Apply(index, c.Body)
+	result, err := component.Apply(index, c.Body)
 	if err == nil {
 		m.versions[c.Component] = index
 	}
-	return answer, err
+	return result, err
 }
 
-// ComponentVersion is the index of the last entry that a part took; 0: none.
-func (m *Machine) ComponentVersion(part byte) uint64 { return m.versions[part] }
-
-// ComponentSnapshot is the snapshot of one part; ErrUnreadable where it is not known.
-func (m *Machine) ComponentSnapshot(part byte) ([]byte, error) {
-	p := m.parts[part]
-	if p == nil {
-		return nil, fmt.Errorf("part %q is not known: %w", part, ErrUnreadable)
+func (m *Machine) passesFence(c cluster.Command) bool {
+	if c.FencedBy == "" {
+		return c.Epoch == 0
 	}
-	return p.Snapshot()
+	return m.leases.IsCurrent(c.FencedBy, c.Epoch)
 }
 
-type machineImage struct {
-	Format     int              `cbor:"1,keyasint"`
-	Components []componentImage `cbor:"2,keyasint"`
-}
-
-type componentImage struct {
-	Component byte   `cbor:"1,keyasint"`
-	Version   uint64 `cbor:"2,keyasint"`
-	Bytes     []byte `cbor:"3,keyasint"`
-}
+// ComponentVersion returns the index of the last entry that a component executed without error; 0: none.
+func (m *Machine) ComponentVersion(id byte) uint64 { return m.versions[id] }
 
-// Snapshot is the whole machine, the same bytes on each keeper.
-func (m *Machine) Snapshot() ([]byte, error) {
-	whole := machineImage{Format: snapshotFormat}
-	for _, letter := range slices.Sorted(maps.Keys(m.parts)) {
-		b, err := m.parts[letter].Snapshot()
-		if err != nil {
-			return nil, fmt.Errorf("part %q: %w", letter, err)
-		}
-		whole.Components = append(whole.Components, componentImage{letter, m.versions[letter], b})
+// ComponentSnapshot returns the snapshot of one component; ErrUnreadable if it is unknown.
+func (m *Machine) ComponentSnapshot(id byte) ([]byte, error) {
+	component := m.components[id]
+	if component == nil {
+		return nil, fmt.Errorf("unknown component %q: %w", id, ErrUnreadable)
 	}
-	return encoding.Marshal(whole)
+	return component.Snapshot()
 }
--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -12,37 +12,38 @@
 	"rowanlink/cluster/lease"
 )
 
-// notes is a part that keeps the last thing it was told.
-type notes struct{ last []byte }
+// stubComponent keeps the last command that it executed.
+type stubComponent struct{ last []byte }
 
-func (n *notes) Apply(_ uint64, body []byte) ([]byte, error) {
+func (c *stubComponent) Apply(_ uint64, body []byte) ([]byte, error) {
 	if string(body) == "stale" {
 		return nil, fmt.Errorf("step 3: %w", cluster.ErrStale)
 	}
-	n.last = body
-	return append([]byte("took "), body...), nil
+	c.last = body
+	return append([]byte("applied "), body...), nil
 }
 
-func (n *notes) Snapshot() ([]byte, error) { return n.last, nil }
+func (c *stubComponent) Snapshot() ([]byte, error) { return c.last, nil }
 
-func (n *notes) Restore(b []byte) error {
+func (c *stubComponent) Restore(b []byte) error {
 	if string(b) == "half" {
 		return errors.New("cut off")
 	}
-	n.last = b
+	c.last = b
 	return nil
 }
 
-const notesPart = cluster.RebalanceComponent
+const stubID = cluster.RebalanceComponent
 
-func machine() (*Machine, *notes) {
-	n := &notes{}
-	return New(lease.NewTable(), map[byte]cluster.Component{notesPart: n}), n
+func newMachine() (*Machine, *stubComponent) {
+	n := &stubComponent{}
+	return New(lease.NewTable(), map[byte]cluster.Component{stubID: n}), n
 }
 
-// held is a machine in which session 1 has the task that the conductor acts by.
-func held(t *testing.T) (*Machine, *notes, cluster.Epoch) {
-	m, n := machine()
+// machineWithLease is a machine in which session 1 holds the coordinator's lease with the epoch returned.
+func machineWithLease(t *testing.T) (*Machine, *stubComponent, cluster.Epoch) {
+	t.Helper()
+	m, n := newMachine()
 	_, err := m.Apply(1, EncodeCommand(lease.OpenSession("m1", 1)))
 	require.NoError(t, err)
 	_, err = m.Apply(2, EncodeCommand(lease.AcquireLeases(1, cluster.CoordinatorResource)))
@@ -50,60 +51,60 @@
 	return m, n, 2
 }
 
-func TestFormerHolderChangesNothing(t *testing.T) {
-	m, n, epoch := held(t)
-	by := func(e cluster.Epoch, body string) []byte {
-		return EncodeCommand(cluster.Command{Component: notesPart, FencedBy: cluster.CoordinatorResource, Epoch: e, Body: []byte(body)})
+func TestMachine_FencesFormerHolder(t *testing.T) {
+	m, n, epoch := machineWithLease(t)
+	fenced := func(e cluster.Epoch, body string) []byte {
+		return EncodeCommand(cluster.Command{Component: stubID, FencedBy: cluster.CoordinatorResource, Epoch: e, Body: []byte(body)})
 	}
-	raw, err := m.Apply(3, by(epoch, "a"))
+	raw, err := m.Apply(3, fenced(epoch, "a"))
 	require.NoError(t, err)
-	assert.Equal(t, "took a", string(raw))
+	assert.Equal(t, "applied a", string(raw))
 	_, err = m.Apply(4, EncodeCommand(lease.EndSession(1)))
 	require.NoError(t, err)
 	for _, e := range []cluster.Epoch{0, epoch, epoch + 1} {
-		_, err = m.Apply(5, by(e, "b"))
+		_, err = m.Apply(5, fenced(e, "b"))
 		assert.ErrorIs(t, err, cluster.ErrFenced)
 	}
-	_, err = m.Apply(6, EncodeCommand(cluster.Command{Component: notesPart, Epoch: epoch, Body: []byte("c")}))
-	assert.ErrorIs(t, err, cluster.ErrFenced, "an epoch of no task")
+	_, err = m.Apply(6, EncodeCommand(cluster.Command{Component: stubID, Epoch: epoch, Body: []byte("c")}))
+	assert.ErrorIs(t, err, cluster.ErrFenced, "an epoch of no resource")
 	assert.Equal(t, "a", string(n.last))
 }
 
-func TestVersionIsOfTheLastEntryThatWasTaken(t *testing.T) {
-	m, _, _ := held(t)
-	assert.Equal(t, []uint64{2, 0}, []uint64{m.ComponentVersion(cluster.LeaseComponent), m.ComponentVersion(notesPart)})
+func TestMachine_VersionIsOfTheLastAppliedEntry(t *testing.T) {
+	m, _, _ := machineWithLease(t)
+	assert.Equal(t, []uint64{2, 0}, []uint64{m.ComponentVersion(cluster.LeaseComponent), m.ComponentVersion(stubID)})
 	for i, raw := range [][]byte{{0xff}, nil, EncodeCommand(cluster.Command{Component: '?'}),
-		EncodeCommand(cluster.Command{Component: notesPart, Body: []byte("stale")})} {
+		EncodeCommand(cluster.Command{Component: stubID, Body: []byte("stale")})} {
 		_, err := m.Apply(uint64(3+i), raw)
 		assert.Error(t, err)
 	}
-	assert.Zero(t, m.ComponentVersion(notesPart))
-	_, err := m.Apply(9, EncodeCommand(cluster.Command{Component: notesPart, Body: []byte("a")}))
+	assert.Zero(t, m.ComponentVersion(stubID))
+	_, err := m.Apply(9, EncodeCommand(cluster.Command{Component: stubID, Body: []byte("a")}))
 	require.NoError(t, err)
-	assert.Equal(t, []uint64{2, 9}, []uint64{m.ComponentVersion(cluster.LeaseComponent), m.ComponentVersion(notesPart)})
+	assert.Equal(t, []uint64{2, 9}, []uint64{m.ComponentVersion(cluster.LeaseComponent), m.ComponentVersion(stubID)})
 }
 
-func TestRestoredMachineGoesOn(t *testing.T) {
-	m, n, epoch := held(t)
+func TestMachine_RestoredMachineContinues(t *testing.T) {
+	m, n, epoch := machineWithLease(t)
 	n.last = []byte("a")
-	whole, err := m.Snapshot()
+	snapshot, err := m.Snapshot()
 	require.NoError(t, err)
-	other, kept := machine()
-	require.NoError(t, other.Restore(whole))
-	assert.Equal(t, "a", string(kept.last))
+	other, stub := newMachine()
+	require.NoError(t, other.Restore(snapshot))
+	assert.Equal(t, "a", string(stub.last))
 	assert.Equal(t, uint64(2), other.ComponentVersion(cluster.LeaseComponent))
-	_, err = other.Apply(3, EncodeCommand(cluster.Command{Component: notesPart, FencedBy: cluster.CoordinatorResource, Epoch: epoch}))
+	_, err = other.Apply(3, EncodeCommand(cluster.Command{Component: stubID, FencedBy: cluster.CoordinatorResource, Epoch: epoch}))
 	assert.NoError(t, err)
-	again, err := other.ComponentSnapshot(cluster.LeaseComponent)
+	leases, err := other.ComponentSnapshot(cluster.LeaseComponent)
 	require.NoError(t, err)
-	assert.NoError(t, lease.NewTable().Restore(again))
+	assert.NoError(t, lease.NewTable().Restore(leases))
 	_, err = other.ComponentSnapshot('?')
 	assert.ErrorIs(t, err, ErrUnreadable)
 }
 
-// Nothing of the state before may shine through: a part that the snapshot lacks is as at first.
-func TestPartThatASnapshotLacksBeginsAnew(t *testing.T) {
-	m, n, _ := held(t)
+// Nothing of the previous state may survive: a component that the snapshot lacks gets its initial state.
+func TestMachine_ComponentMissingInSnapshotIsReset(t *testing.T) {
+	m, n, _ := machineWithLease(t)
 	n.last = []byte("a")
 	before, err := New(lease.NewTable(), nil).Snapshot()
 	require.NoError(t, err)
@@ -114,20 +115,20 @@
 	assert.ErrorIs(t, err, cluster.ErrNotFound)
 }
 
-func TestSnapshotThatCantBeTakenLeavesTheMachine(t *testing.T) {
-	m, n, _ := held(t)
+func TestMachine_RejectedSnapshotChangesNothing(t *testing.T) {
+	m, n, _ := machineWithLease(t)
 	n.last = []byte("a")
 	before, err := m.Snapshot()
 	require.NoError(t, err)
-	book, err := lease.NewTable().Snapshot()
+	leases, err := lease.NewTable().Snapshot()
 	require.NoError(t, err)
 	for name, bad := range map[string]machineImage{
-		"a newer format":      {Format: snapshotFormat + 1},
-		"a part not known":    {Format: snapshotFormat, Components: []componentImage{{'?', 1, nil}}},
-		"a part twice":        {Format: snapshotFormat, Components: []componentImage{{notesPart, 1, nil}, {notesPart, 1, nil}}},
-		"a part that refuses": {Format: snapshotFormat, Components: []componentImage{{'L', 9, book}, {notesPart, 9, []byte("half")}}},
+		"a newer format":                    {Format: snapshotFormat + 1},
+		"an unknown component":              {Format: snapshotFormat, Components: []componentImage{{'?', 1, nil}}},
+		"a duplicate component":             {Format: snapshotFormat, Components: []componentImage{{stubID, 1, nil}, {stubID, 1, nil}}},
+		"a component that rejects its part": {Format: snapshotFormat, Components: []componentImage{{'L', 9, leases}, {stubID, 9, []byte("half")}}},
 	} {
-		raw, err := encoding.Marshal(bad)
+		raw, err := encMode.Marshal(bad)
 		require.NoError(t, err)
 		assert.Error(t, m.Restore(raw), name)
 	}
@@ -137,30 +138,30 @@
 	assert.Equal(t, before, after)
 }
 
-func TestRefusalsCrossTheWire(t *testing.T) {
+func TestErrorCode_RoundTrip(t *testing.T) {
 	for _, want := range codedErrors {
 		assert.ErrorIs(t, ErrorFromCode(ErrorCode(fmt.Errorf("range 4: %w", want))), want)
 	}
 	assert.NoError(t, ErrorFromCode(ErrorCode(nil)))
-	assert.ErrorIs(t, ErrorFromCode(ErrorCode(errors.New("a part's own"))), ErrUnreadable)
+	assert.ErrorIs(t, ErrorFromCode(ErrorCode(errors.New("a component's own"))), ErrUnreadable)
 	assert.ErrorIs(t, ErrorFromCode(999), ErrUnreadable, "of a newer program")
 }
 
 func FuzzApply(f *testing.F) {
 	f.Add(EncodeCommand(lease.OpenSession("m2", 1)))
 	f.Add(EncodeCommand(lease.ReleaseLease(1, cluster.CoordinatorResource, 2)))
-	f.Add(EncodeCommand(cluster.Command{Component: notesPart, FencedBy: cluster.CoordinatorResource, Epoch: 2, Body: []byte("a")}))
+	f.Add(EncodeCommand(cluster.Command{Component: stubID, FencedBy: cluster.CoordinatorResource, Epoch: 2, Body: []byte("a")}))
 	f.Add([]byte{0xa1, 0x01, 0x18})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, _, _ := held(t)
+		m, _, _ := machineWithLease(t)
 		before, err := m.Snapshot()
 		require.NoError(t, err)
-		_, refused := m.Apply(3, raw)
+		_, applyErr := m.Apply(3, raw)
 		after, err := m.Snapshot()
 		require.NoError(t, err)
-		if refused != nil {
+		if applyErr != nil {
 			require.Equal(t, before, after)
-			require.Error(t, ErrorFromCode(ErrorCode(refused)))
+			require.Error(t, ErrorFromCode(ErrorCode(applyErr)))
 		}
 		if m.Restore(raw) != nil {
 			again, err := m.Snapshot()
