--- a/cluster/raftnode/raft_logger.go
+++ b/cluster/raftnode/raft_logger.go
@@ -35,17 +35,38 @@
 	}
 }
 
-func (l *raftLogger) Trace(string, ...any)              {}
-func (l *raftLogger) Debug(string, ...any)              {}
-func (l *raftLogger) Info(message string, args ...any)  { l.write(slog.LevelDebug, message, args) }
-func (l *raftLogger) Warn(message string, args ...any)  { l.write(slog.LevelInfo, message, args) }
+// Trace drops a message.
+func (l *raftLogger) Trace(string, ...any) {}
+
+// Debug drops a message.
+func (l *raftLogger) Debug(string, ...any) {}
+
+// Info writes a message at debug level.
+func (l *raftLogger) Info(message string, args ...any) { l.write(slog.LevelDebug, message, args) }
+
+// Warn writes a message at info level.
+func (l *raftLogger) Warn(message string, args ...any) { l.write(slog.LevelInfo, message, args) }
+
+// Error writes a message at warning level.
 func (l *raftLogger) Error(message string, args ...any) { l.write(slog.LevelWarn, message, args) }
-func (l *raftLogger) Named(string) hclog.Logger         { return l }
-func (l *raftLogger) ResetNamed(string) hclog.Logger    { return l }
-func (l *raftLogger) With(...any) hclog.Logger          { return l }
-func (l *raftLogger) IsInfo() bool                      { return true }
-func (l *raftLogger) IsWarn() bool                      { return true }
-func (l *raftLogger) IsError() bool                     { return true }
+
+// Named returns the same logger.
+func (l *raftLogger) Named(string) hclog.Logger { return l }
+
+// ResetNamed returns the same logger.
+func (l *raftLogger) ResetNamed(string) hclog.Logger { return l }
+
+// With returns the same logger.
+func (l *raftLogger) With(...any) hclog.Logger { return l }
+
+// IsInfo reports that messages of that level are written.
+func (l *raftLogger) IsInfo() bool { return true }
+
+// IsWarn reports that messages of that level are written.
+func (l *raftLogger) IsWarn() bool { return true }
+
+// IsError reports that messages of that level are written.
+func (l *raftLogger) IsError() bool { return true }
 
 // Log writes a message of a level.
 func (l *raftLogger) Log(level hclog.Level, message string, args ...any) {
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -68,7 +68,8 @@
 	Groups    []PlacementGroup `cbor:"14,keyasint,omitempty"`
 }
 
-// encode returns the command as a log entry that is fenced by the epoch of a lease on a resource. With an empty one it isn't fenced.
+// encode returns the command as a log entry that is fenced by the epoch of a lease on a resource. With an empty resource
+// it is not fenced.
 func (c command) encode(resource cluster.Resource, epoch cluster.Epoch) cluster.Command {
 	body, err := encMode.Marshal(c)
 	if err != nil {
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -19,9 +19,13 @@
 
 // The outcomes.
 const (
-	OfferNotTaken    OfferOutcome = iota // nothing: the reply says why
-	OfferTaken                           // journal record and webhook before CustodyTaken is sent; then ConfirmStored, or Rollback
-	OfferReturnsCopy                     // the webhook was here in doubt and has come back: custody is this member's again
+	// OfferNotTaken: nothing, the reply says why.
+	OfferNotTaken OfferOutcome = iota
+	// OfferTaken: it journals the record and the webhook before it sends CustodyTaken, and calls ConfirmStored, or
+	// Rollback if that fails.
+	OfferTaken
+	// OfferReturnsCopy: the webhook was here in doubt and has come back; custody is this member's again.
+	OfferReturnsCopy
 )
 
 // HandleOffer decides about a webhook that another member offers. admitted is whether it is this member's to take by
--- a/cluster/shardmap/decision.go
+++ b/cluster/shardmap/decision.go
@@ -10,11 +10,18 @@
 
 // The actions. The numbers are encoded.
 const (
-	ParkUnmapped  Action = iota // no owner is known: accepted, parked
-	Serve                       // this member owns the range and may use the destination's full rate
-	Forward                     // another member owns the range
-	ParkOwned                   // this member owns the range but has no lease that the map names, or hands the range off: accepted, parked
-	ServeIsolated               // see IsolationSuspected: a webhook whose owner is unknown or unreachable is served at an even share of the rate
+	// ParkUnmapped: no owner is known; the webhook is accepted and parked.
+	ParkUnmapped Action = iota
+	// Serve: this member owns the range and may use the destination's full rate.
+	Serve
+	// Forward: another member owns the range.
+	Forward
+	// ParkOwned: this member owns the range, but does not hold the lease that the map names, or hands the range off; the
+	// webhook is accepted and parked.
+	ParkOwned
+	// ServeIsolated: see IsolationSuspected; a webhook whose owner is unknown or unreachable is called at an even share of
+	// the destination's rate.
+	ServeIsolated
 )
 
 // Decision is what a member does with webhooks of a key hash, by which version of the map, and with whom.
@@ -29,9 +36,11 @@
 
 // LocalMember is what a member knows of its own right to call.
 type LocalMember struct {
-	Member    cluster.MemberID
-	HeldEpoch func(cluster.Resource) (cluster.Epoch, bool) // epoch of the lease that it holds on a resource now, by its own clock
-	Isolated  bool                                         // see IsolationSuspected
+	Member cluster.MemberID
+	// HeldEpoch returns the epoch of the lease that the member holds on a resource now, by its own clock.
+	HeldEpoch func(cluster.Resource) (cluster.Epoch, bool)
+	// Isolated is the member's result of IsolationSuspected.
+	Isolated bool
 }
 
 // holdsGrant reports whether the member holds the lease on a range by the given epoch.
--- a/cluster/shardmap/failover_test.go
+++ b/cluster/shardmap/failover_test.go
@@ -40,7 +40,9 @@
 			first[r.ID] = true
 		}
 		for _, r := range all {
-			if _, held := l.holders[cluster.RangeOwnerResource(r.ID)]; !held && !alive[r.Owner] && r.Status == OwnerServing && hasCapacity {
+			_, held := l.holders[cluster.RangeOwnerResource(r.ID)]
+			hasServed := r.Status == OwnerServing
+			if !held && !alive[r.Owner] && hasServed && hasCapacity {
 				require.True(t, first[r.ID], "an owner that served had its whole TTL")
 			}
 		}
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -18,9 +18,11 @@
 
 // Map assigns each range of key hashes to its owner. Its ranges are in order and cover each key hash exactly once.
 type Map struct {
-	Version       cluster.Version        `cbor:"1,keyasint"` // log index of the last command that changed the map; 0: none yet
-	Ranges        []Range                `cbor:"2,keyasint"`
-	DetachedMoves []Move                 `cbor:"3,keyasint,omitempty"` // switched moves of ranges that went on before both sides had cleared
+	// Version is the log index of the last command that changed the map; 0: none yet.
+	Version cluster.Version `cbor:"1,keyasint"`
+	Ranges  []Range         `cbor:"2,keyasint"`
+	// DetachedMoves are the switched moves that both sides had not cleared when their range failed over.
+	DetachedMoves []Move                 `cbor:"3,keyasint,omitempty"`
 	NextID        cluster.RangeID        `cbor:"4,keyasint"`           // the lowest id that was never used
 	Groups        []PlacementGroup       `cbor:"5,keyasint,omitempty"` // by key
 	Misplaced     []MisplacedDestination `cbor:"6,keyasint,omitempty"` // sorted
--- a/cluster/shardmap/model_actions_test.go
+++ b/cluster/shardmap/model_actions_test.go
@@ -14,126 +14,139 @@
 	name            string
 	target, webhook int8
 	faultFree       bool
-	apply           func(w *model, i, n int8)
+	apply           func(md *model, i, n int8)
 }
 
 func (m transition) String() string { return fmt.Sprintf("%s: %d %d", m.name, m.target, m.webhook) }
 
 // transitions appends all that may happen in this state.
-func (w *model) transitions(all []transition) []transition {
+func (md *model) transitions(all []transition) []transition {
 	add := func(enabled bool, name string, target int8, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
 			all = append(all, transition{name, target, 0, faultFree, apply})
 		}
 	}
-	for i := range w.members {
-		add(w.processes[i].isBusy(), "performs its next step", i, true, func(w *model, i, _ int8) { w.runSteps(i) })
+	for i := range md.members {
+		add(md.processes[i].isBusy(), "performs its next step", i, true, func(md *model, i, _ int8) { md.runSteps(i) })
 	}
-	for i, m := range w.network {
-		to := &w.processes[m.to]
-		if m.kind == noMessage || to.isBusy() && (m.kind == answerMessage || !to.memory[m.webhook].arriving) {
-			continue
-		}
-		add(true, "is delivered", int8(i), true, func(w *model, i, _ int8) { w.receiveMessage(i, false, false) })
-		again := w.budget.duplicates > 0 && w.hasRoom() && (m.kind == queryMessage || m.isRetry)
-		add(again, "is delivered and duplicated", int8(i), false,
-			func(w *model, i, _ int8) {
-				w.budget.duplicates--
-				w.receiveMessage(i, true, false)
-			})
-		add(w.budget.rejections > 0 && m.kind == offerMessage && !to.isBusy(), "is delivered and can't be stored", int8(i), false,
-			func(w *model, i, _ int8) {
-				w.budget.rejections--
-				w.receiveMessage(i, false, true)
-			})
-	}
-	for i := range w.network {
-		add(w.network[i].kind != noMessage, "is lost", int8(i), false, func(w *model, i, _ int8) { w.dropMessage(i) })
-	}
-	for i := range w.members {
-		add(w.processes[i].mapID != w.mapID, "receives the map", i, true, func(w *model, i, _ int8) {
-			w.processes[i].mapID = w.mapID
+	all = md.networkTransitions(all)
+	for i := range md.members {
+		add(md.processes[i].mapID != md.mapID, "receives the map", i, true, func(md *model, i, _ int8) {
+			md.processes[i].mapID = md.mapID
 		})
 	}
-	all = w.ownerTransitions(all)
-	for i := range w.members {
-		for n := range w.webhooks {
-			all = w.webhookTransitions(i, n, all)
+	all = md.ownerTransitions(all)
+	for i := range md.members {
+		for n := range md.webhooks {
+			all = md.webhookTransitions(i, n, all)
 		}
 	}
-	for i := range w.members {
-		add(w.budget.crashes > 0, "crashes and restarts", i, false, func(w *model, i, _ int8) {
-			w.budget.crashes--
-			w.crash(i)
+	for i := range md.members {
+		add(md.budget.crashes > 0, "crashes and restarts", i, false, func(md *model, i, _ int8) {
+			md.budget.crashes--
+			md.crash(i)
 		})
-		add(w.budget.folderLosses > 0, "crashes and loses its folder", i, false, func(w *model, i, _ int8) {
-			w.budget.folderLosses--
-			w.loseFolder(i)
+		add(md.budget.folderLosses > 0, "crashes and loses its folder", i, false, func(md *model, i, _ int8) {
+			md.budget.folderLosses--
+			md.loseFolder(i)
 		})
 	}
-	add(w.budget.clockTicks > 0 && !w.callIsPending(), "the clock advances", 0, false, func(w *model, _, _ int8) {
-		w.budget.clockTicks--
-		w.now++
+	add(md.budget.clockTicks > 0 && !md.callIsPending(), "the clock advances", 0, false, func(md *model, _, _ int8) {
+		md.budget.clockTicks--
+		md.now++
 	})
 	return all
 }
 
+// networkTransitions appends what may happen to the messages in flight.
+func (md *model) networkTransitions(all []transition) []transition {
+	add := func(enabled bool, name string, target int, faultFree bool, apply func(*model, int8, int8)) {
+		if enabled {
+			all = append(all, transition{name, int8(target), 0, faultFree, apply})
+		}
+	}
+	for i, m := range md.network {
+		to := &md.processes[m.to]
+		if m.kind == noMessage || to.isBusy() && (m.kind == answerMessage || !to.memory[m.webhook].arriving) {
+			continue
+		}
+		add(true, "is delivered", i, true, func(md *model, i, _ int8) { md.receiveMessage(i, false, false) })
+		again := md.budget.duplicates > 0 && md.hasRoom() && (m.kind == queryMessage || m.isRetry)
+		add(again, "is delivered and duplicated", i, false,
+			func(md *model, i, _ int8) {
+				md.budget.duplicates--
+				md.receiveMessage(i, true, false)
+			})
+		mayFail := md.budget.rejections > 0 && m.kind == offerMessage && !to.isBusy()
+		add(mayFail, "is delivered and can't be stored", i, false,
+			func(md *model, i, _ int8) {
+				md.budget.rejections--
+				md.receiveMessage(i, false, true)
+			})
+	}
+	for i := range md.network {
+		isInFlight := md.network[i].kind != noMessage
+		add(isInFlight, "is lost", i, false, func(md *model, i, _ int8) { md.dropMessage(i) })
+	}
+	return all
+}
+
 // callIsPending reports whether a member is about to call: in the model no time passes between the last check and the
 // call. docs/cluster.md treats that gap.
-func (w *model) callIsPending() bool {
-	return slices.ContainsFunc(w.processes[:], func(p processState) bool { return slices.Contains(p.steps[:], stepCall) })
+func (md *model) callIsPending() bool {
+	return slices.ContainsFunc(md.processes[:], func(p processState) bool { return slices.Contains(p.steps[:], stepCall) })
 }
 
-func (w *model) dropMessage(i int8) {
-	copy(w.network[i:], w.network[i+1:])
-	w.network[maxMessages-1] = message{}
+func (md *model) dropMessage(i int8) {
+	copy(md.network[i:], md.network[i+1:])
+	md.network[maxMessages-1] = message{}
 }
 
-func (w *model) receiveMessage(i int8, again, full bool) {
-	m := w.network[i]
+func (md *model) receiveMessage(i int8, again, full bool) {
+	m := md.network[i]
 	if !again {
-		w.dropMessage(i)
+		md.dropMessage(i)
 	}
 	switch m.kind {
 	case offerMessage:
-		w.receiveOffer(m, full)
+		md.receiveOffer(m, full)
 	case queryMessage:
-		w.receiveQuery(m)
+		md.receiveQuery(m)
 	case answerMessage:
-		w.receiveAnswer(m)
+		md.receiveAnswer(m)
 	}
 }
 
-func (w *model) receiveAnswer(m message) {
-	p := &w.processes[m.to]
+func (md *model) receiveAnswer(m message) {
+	p := &md.processes[m.to]
 	asked := p.awaiting[m.webhook]
 	mine := asked.kind == m.answerTo && asked.to == m.from && asked.handoff == m.handoff
 	switch {
 	case p.fromClient[m.webhook] && !mine: // nobody waits for it
 	case p.fromClient[m.webhook] && m.reply == CustodyUnknown:
-		w.timeOut(m.to, m.webhook)
+		md.timeOut(m.to, m.webhook)
 	case p.fromClient[m.webhook] && m.reply == CustodyTaken:
-		p.fromClient[m.webhook], p.awaiting[m.webhook], w.promised[m.webhook] = false, message{}, true
+		p.fromClient[m.webhook], p.awaiting[m.webhook], md.promised[m.webhook] = false, message{}, true
 	case p.fromClient[m.webhook]:
 		p.awaiting[m.webhook] = message{}
-		w.acceptFromClient(m.to, m.webhook)
+		md.acceptFromClient(m.to, m.webhook)
 	default:
 		if mine {
 			p.awaiting[m.webhook] = message{}
 		}
-		w.resolveReply(m.to, m.webhook, m.handoff, m.reply, m.answerTo)
+		md.resolveReply(m.to, m.webhook, m.handoff, m.reply, m.answerTo)
 	}
 }
 
 // acceptFromClient has the member that a client submitted a webhook to accept it itself.
-func (w *model) acceptFromClient(i, n int8) {
-	p := &w.processes[i]
+func (md *model) acceptFromClient(i, n int8) {
+	p := &md.processes[i]
 	p.fromClient[n], p.outgoing = false, message{firstRunAt: -1}
 	p.setSteps(n, stepJournalWebhook, stepAcceptToClient)
 }
 
-func (w *model) webhookTransitions(i, n int8, all []transition) []transition {
-	p := &w.processes[i]
+func (md *model) webhookTransitions(i, n int8, all []transition) []transition {
+	p := &md.processes[i]
 	add := func(enabled bool, name string, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
 			all = append(all, transition{name, i, n, faultFree, apply})
@@ -142,48 +155,49 @@
 	if p.isBusy() {
 		return all
 	}
-	decision, c := w.decision(i), p.copies[n]
+	decision, c := md.decision(i), p.copies[n]
 	waits := p.awaiting[n].kind != noMessage
-	add(w.budget.clients&(1<<n) != 0, "a client submits", true, func(w *model, i, n int8) {
-		w.budget.clients &^= 1 << n
-		w.processes[i].fromClient[n] = true
-		if w.decision(i).Action != Forward {
-			w.acceptFromClient(i, n)
+	add(md.budget.clients&(1<<n) != 0, "a client submits", true, func(md *model, i, n int8) {
+		md.budget.clients &^= 1 << n
+		md.processes[i].fromClient[n] = true
+		if md.decision(i).Action != Forward {
+			md.acceptFromClient(i, n)
 			return
 		}
-		w.sendOffer(i, n, 0, w.decision(i).Owner)
+		md.sendOffer(i, n, 0, md.decision(i).Owner)
 	})
-	add(waits && !slices.ContainsFunc(w.network[:], func(m message) bool {
+	add(waits && !slices.ContainsFunc(md.network[:], func(m message) bool {
 		return m.kind != noMessage && m.webhook == n && (m.from == i || m.to == i)
 	}), "gets no reply", true, (*model).timeOut)
 	add(waits, "times out", false, (*model).timeOut)
-	if !c.present || waits && !w.mutation.callsInDoubt {
+	if !c.present || waits && !md.mutation.callsInDoubt {
 		return all
 	}
 	inDoubt := p.memory[n].to > 0
-	parked := c.move != 0 && w.mapOf(i).OwnerByMove(MoveID(c.move)) == OwnerUndecided
-	if !inDoubt || w.mutation.callsInDoubt {
-		add(c.calling, "its call completes", true, func(w *model, i, n int8) { w.endWebhook(i, n) })
-		add(c.calling && w.budget.unknownOutcomes > 0, "its call ends with an unknown outcome", false, func(w *model, i, n int8) {
-			w.budget.unknownOutcomes--
-			w.processes[i].copies[n].calling = false
+	parked := c.move != 0 && md.mapOf(i).OwnerByMove(MoveID(c.move)) == OwnerUndecided
+	if !inDoubt || md.mutation.callsInDoubt {
+		add(c.calling, "its call completes", true, func(md *model, i, n int8) { md.endWebhook(i, n) })
+		add(c.calling && md.budget.unknownOutcomes > 0, "its call ends with an unknown outcome", false, func(md *model, i, n int8) {
+			md.budget.unknownOutcomes--
+			md.processes[i].copies[n].calling = false
 		})
-		transfer := w.transferred(i, n).DecideTransfer(w.eventType(), 0, 9, api.Micros(w.now))
+		transfer := md.transferred(i, n).DecideTransfer(md.eventType(), 0, 9, api.Micros(md.now))
 		add(!c.calling && transfer != TransferWebhook, "ends the webhook", true, (*model).endWebhook)
-		add(!c.calling && transfer == TransferWebhook && !parked && decision.AllowsCall(false), "begins a call", true, (*model).beginCall)
+		isReady := !c.calling && transfer == TransferWebhook && !parked
+		add(isReady && decision.AllowsCall(false), "begins a call", true, (*model).beginCall)
 		to, id := decision.Owner, MoveID(0)
 		if decision.Action == ParkOwned && decision.Move.From == memberIDs[i] {
 			to, id = decision.Move.To, decision.Move.ID
 		}
 		away := decision.Action == Forward || id != 0
-		add(!inDoubt && !c.calling && transfer == TransferWebhook && !parked && away && w.hasRoom(), "offers the webhook", true,
-			func(w *model, i, n int8) { w.sendOffer(i, n, id, to) })
+		add(isReady && !inDoubt && away && md.hasRoom(), "offers the webhook", true,
+			func(md *model, i, n int8) { md.sendOffer(i, n, id, to) })
 		return all
 	}
 	o := p.memory[n].record(webhookID(n)).Offer
-	add(w.hasRoom(), "queries", true, func(w *model, i, n int8) {
-		e := w.processes[i].memory[n]
-		w.processes[i].awaiting[n] = message{
+	add(md.hasRoom(), "queries", true, func(md *model, i, n int8) {
+		e := md.processes[i].memory[n]
+		md.processes[i].awaiting[n] = message{
 			kind:        queryMessage,
 			from:        i,
 			to:          e.to - 1,
@@ -191,37 +205,37 @@
 			handoff:     e.handoff,
 			incarnation: e.incarnation,
 		}
-		w.send(w.processes[i].awaiting[n])
+		md.send(md.processes[i].awaiting[n])
 	})
-	add(w.hasRoom(), "repeats the offer", false, func(w *model, i, n int8) { w.sendOffer(i, n, o.Move, o.To) })
+	add(md.hasRoom(), "repeats the offer", false, func(md *model, i, n int8) { md.sendOffer(i, n, o.Move, o.To) })
 	return all
 }
 
-func (w *model) beginCall(i, n int8) {
-	p := &w.processes[i]
-	p.outgoing.firstRunAt = earliest(p.copies[n].firstRunAt, int8(w.now))
-	if p.disk[n].arriving && !w.mutation.storedNotJournalled {
+func (md *model) beginCall(i, n int8) {
+	p := &md.processes[i]
+	p.outgoing.firstRunAt = earliest(p.copies[n].firstRunAt, int8(md.now))
+	if p.disk[n].arriving && !md.mutation.storedNotJournalled {
 		p.setSteps(n, stepWriteRecord, stepNoteRun, stepCall)
 		return
 	}
 	p.setSteps(n, stepNoteRun, stepCall)
 }
 
-func (w *model) endWebhook(i, n int8) {
-	if p := &w.processes[i]; p.disk[n].arriving && !w.mutation.storedNotJournalled {
+func (md *model) endWebhook(i, n int8) {
+	if p := &md.processes[i]; p.disk[n].arriving && !md.mutation.storedNotJournalled {
 		p.setSteps(n, stepWriteRecord, stepEndWebhook)
 		return
 	}
-	w.processes[i].setSteps(n, stepEndWebhook)
+	md.processes[i].setSteps(n, stepEndWebhook)
 }
 
-func (w *model) transferred(i, n int8) TransferredWebhook {
-	return TransferredWebhook{ID: webhookID(n), TTL: ttl, FirstRunAt: api.Micros(w.processes[i].copies[n].firstRunAt)}
+func (md *model) transferred(i, n int8) TransferredWebhook {
+	return TransferredWebhook{ID: webhookID(n), TTL: ttl, FirstRunAt: api.Micros(md.processes[i].copies[n].firstRunAt)}
 }
 
 // sendOffer offers a webhook to another member. One that a client is submitting has no record yet.
-func (w *model) sendOffer(i, n int8, id MoveID, to cluster.MemberID) {
-	p, shards := &w.processes[i], w.mapOf(i)
+func (md *model) sendOffer(i, n int8, id MoveID, to cluster.MemberID) {
+	p, shards := &md.processes[i], md.mapOf(i)
 	m := message{
 		kind:        offerMessage,
 		from:        i,
@@ -231,16 +245,16 @@
 		move:        uint8(id),
 		version:     uint8(shards.Version),
 		epoch:       uint8(shards.Ranges[0].Epoch),
-		sentAt:      w.now,
-		incarnation: w.processes[memberIndex(to)].incarnation,
+		sentAt:      md.now,
+		incarnation: md.processes[memberIndex(to)].incarnation,
 	}
 	if p.fromClient[n] {
 		p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) { m.handoff = k.NextHandoff(name) })
 		p.awaiting[n] = m
-		w.send(m)
+		md.send(m)
 		return
 	}
-	if c := p.copies[n]; !w.mutation.forgetsFirstRun {
+	if c := p.copies[n]; !md.mutation.forgetsFirstRun {
 		m.firstRunAt = c.firstRunAt
 	}
 	ok, isRetry := false, p.memory[n].to > 0
@@ -255,9 +269,9 @@
 			Move:        id,
 			Range:       1,
 			Epoch:       cluster.Epoch(m.epoch),
-			SentAt:      api.Micros(w.now),
+			SentAt:      api.Micros(md.now),
 		})
-		if w.mutation.handoffNotRaised && !isRetry && next > 1 {
+		if md.mutation.handoffNotRaised && !isRetry && next > 1 {
 			m.handoff = next - 1
 			k.records[name].Handoff = m.handoff
 		}
@@ -267,7 +281,7 @@
 	if ok && isRetry {
 		p.webhook = n
 		p.setSteps(n, stepSend)
-		w.runSteps(i)
+		md.runSteps(i)
 	} else if ok {
 		p.setSteps(n, stepWriteRecord, stepSend)
 	}
--- a/cluster/shardmap/model_member_test.go
+++ b/cluster/shardmap/model_member_test.go
@@ -9,16 +9,16 @@
 
 // What a member does with messages, as cluster/member must: each webhook under its own lock, one durable write at a time.
 
-func (w *model) send(m message) {
-	i := slices.IndexFunc(w.network[:], func(m message) bool { return m.kind == noMessage })
+func (md *model) send(m message) {
+	i := slices.IndexFunc(md.network[:], func(m message) bool { return m.kind == noMessage })
 	if i < 0 {
 		return // lost
 	}
-	w.network[i] = m
-	slices.SortFunc(w.network[:], func(a, b message) int { return b.compare(a) })
+	md.network[i] = m
+	slices.SortFunc(md.network[:], func(a, b message) int { return b.compare(a) })
 }
 
-func (w *model) hasRoom() bool { return w.network[maxMessages-1].kind == noMessage }
+func (md *model) hasRoom() bool { return md.network[maxMessages-1].kind == noMessage }
 
 func (p *processState) setSteps(webhook int8, steps ...step) {
 	p.steps, p.webhook = [maxSteps]step{}, webhook
@@ -26,8 +26,8 @@
 }
 
 // runSteps does a member's next step, and those that follow it up to the next durable write.
-func (w *model) runSteps(i int8) {
-	p := &w.processes[i]
+func (md *model) runSteps(i int8) {
+	p := &md.processes[i]
 	for first := true; p.isBusy() && (first || p.steps[0] >= stepSend && p.steps[0] != stepCall); first = false {
 		next, n := p.steps[0], p.webhook
 		copy(p.steps[:], p.steps[1:])
@@ -43,18 +43,18 @@
 		case stepDropWebhook:
 			*c = webhookCopy{}
 		case stepEndWebhook:
-			*c, w.completed[n] = webhookCopy{}, true
+			*c, md.completed[n] = webhookCopy{}, true
 		case stepConfirmStoredAndSend:
 			p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) { k.ConfirmStored(name) })
-			w.sendPending(i)
+			md.sendPending(i)
 		case stepSend:
-			w.sendPending(i)
+			md.sendPending(i)
 		case stepAcceptToClient:
-			w.promised[n] = true
+			md.promised[n] = true
 		case stepRollback:
 			p.memory[n] = p.rolledBack(n)
 		case stepCall:
-			w.callLands(i, n)
+			md.callLands(i, n)
 		}
 	}
 	if !p.isBusy() {
@@ -68,33 +68,33 @@
 	return e
 }
 
-func (w *model) sendPending(i int8) {
-	p := &w.processes[i]
-	w.send(p.outgoing)
+func (md *model) sendPending(i int8) {
+	p := &md.processes[i]
+	md.send(p.outgoing)
 	if p.outgoing.kind != answerMessage {
 		p.awaiting[p.webhook] = p.outgoing
 	}
 }
 
-func (w *model) callLands(i, n int8) {
-	p := &w.processes[i]
-	w.effects[n]++
-	if w.effects[n] == 1 {
-		w.firstEffectAt[n] = int8(w.now)
+func (md *model) callLands(i, n int8) {
+	p := &md.processes[i]
+	md.effects[n]++
+	if md.effects[n] == 1 {
+		md.firstEffectAt[n] = int8(md.now)
 	}
-	switch again := w.effects[n] > 1; {
-	case again && w.semantics == api.AtMostOnce:
-		w.violation = "an at-most-once webhook was called twice"
-	case again && w.semantics == api.Deduplicated && api.Micros(w.now) >= api.Micros(w.firstEffectAt[n])+window:
-		w.violation = "a deduplicated webhook was called again after its window"
+	switch again := md.effects[n] > 1; {
+	case again && md.semantics == api.AtMostOnce:
+		md.violation = "an at-most-once webhook was called twice"
+	case again && md.semantics == api.Deduplicated && api.Micros(md.now) >= api.Micros(md.firstEffectAt[n])+window:
+		md.violation = "a deduplicated webhook was called again after its window"
 	}
-	w.effects[n] = min(w.effects[n], 2)
+	md.effects[n] = min(md.effects[n], 2)
 	p.copies[n].calling = true
 }
 
 // receiveOffer handles an offer. With full, the webhook can't be stored.
-func (w *model) receiveOffer(m message, full bool) {
-	p := &w.processes[m.to]
+func (md *model) receiveOffer(m message, full bool) {
+	p := &md.processes[m.to]
 	r := message{
 		kind:       answerMessage,
 		answerTo:   m.kind,
@@ -109,33 +109,33 @@
 		p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
 			r.reply, _ = k.HandleOffer(n, m.handoff, ttl, 0, true)
 		})
-		w.replyWhileArriving(r)
+		md.replyWhileArriving(r)
 		return
 	}
 	p.outgoing, p.before, p.webhook = r, p.memory[m.webhook], m.webhook
-	if m.incarnation != p.incarnation && !w.mutation.ignoresIncarnation {
-		w.sendReply(m.to, CustodyRejected)
+	if m.incarnation != p.incarnation && !md.mutation.ignoresIncarnation {
+		md.sendReply(m.to, CustodyRejected)
 		return
 	}
 	var admits bool
 	if m.move != 0 {
-		admits = w.mapOf(m.to).AdmitTransfer(MoveID(m.move), memberIDs[m.to]) == AdmissionAccepted
+		admits = md.mapOf(m.to).AdmitTransfer(MoveID(m.move), memberIDs[m.to]) == AdmissionAccepted
 	} else {
-		a, _ := w.mapOf(m.to).AdmitKey(w.localMember(m.to), 0, cluster.Version(m.version))
+		a, _ := md.mapOf(m.to).AdmitKey(md.localMember(m.to), 0, cluster.Version(m.version))
 		admits = a == AdmissionAccepted
 	}
 	var outcome OfferOutcome
 	p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
-		r.reply, outcome = k.HandleOffer(n, m.handoff, ttl, api.Micros(w.now), admits)
+		r.reply, outcome = k.HandleOffer(n, m.handoff, ttl, api.Micros(md.now), admits)
 	})
 	p.outgoing.reply = r.reply
 	switch c := p.copies[m.webhook]; {
 	case outcome == OfferTaken && full:
 		p.outgoing.reply = CustodyRejected
 		p.setSteps(m.webhook, stepWriteRecord, stepRollback, stepWriteRecord, stepSend)
-	case outcome == OfferTaken && w.mutation.takenBeforeRecord:
+	case outcome == OfferTaken && md.mutation.takenBeforeRecord:
 		p.setSteps(m.webhook, stepSend, stepWriteRecord, stepJournalWebhook)
-		w.runSteps(m.to)
+		md.runSteps(m.to)
 	case outcome == OfferTaken:
 		p.setSteps(m.webhook, stepWriteRecord, stepJournalWebhook, stepConfirmStoredAndSend)
 	case outcome == OfferReturnsCopy:
@@ -145,7 +145,7 @@
 	case p.memory[m.webhook] != p.before:
 		p.setSteps(m.webhook, stepWriteRecord, stepSend)
 	default:
-		w.sendReply(m.to, r.reply)
+		md.sendReply(m.to, r.reply)
 	}
 }
 
@@ -157,25 +157,25 @@
 	return min(a, b)
 }
 
-func (w *model) sendReply(i int8, r CustodyReply) {
-	p := &w.processes[i]
+func (md *model) sendReply(i int8, r CustodyReply) {
+	p := &md.processes[i]
 	p.outgoing.reply = r
 	p.setSteps(p.webhook, stepSend)
-	w.runSteps(i)
+	md.runSteps(i)
 }
 
 // replyWhileArriving answers a message about a webhook between the write of its record and that of the webhook.
-func (w *model) replyWhileArriving(r message) {
+func (md *model) replyWhileArriving(r message) {
 	r.firstRunAt, r.move = -1, 0
-	if w.mutation.takenWhileArriving && r.reply == CustodyUnknown {
+	if md.mutation.takenWhileArriving && r.reply == CustodyUnknown {
 		r.reply = CustodyTaken
 	}
-	w.send(r)
+	md.send(r)
 }
 
 // receiveQuery answers whether this member has a webhook.
-func (w *model) receiveQuery(m message) {
-	p := &w.processes[m.to]
+func (md *model) receiveQuery(m message) {
+	p := &md.processes[m.to]
 	r := message{
 		kind:       answerMessage,
 		answerTo:   queryMessage,
@@ -189,12 +189,12 @@
 		p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
 			r.reply, _ = k.HandleQuery(n, m.handoff, ttl)
 		})
-		w.replyWhileArriving(r)
+		md.replyWhileArriving(r)
 		return
 	}
 	p.outgoing, p.webhook = r, m.webhook
-	if m.incarnation != p.incarnation && !w.mutation.ignoresIncarnation {
-		w.sendReply(m.to, CustodyStateLost)
+	if m.incarnation != p.incarnation && !md.mutation.ignoresIncarnation {
+		md.sendReply(m.to, CustodyStateLost)
 		return
 	}
 	mustJournal := false
@@ -202,16 +202,16 @@
 		r.reply, mustJournal = k.HandleQuery(n, m.handoff, ttl)
 	})
 	p.outgoing.reply = r.reply
-	if mustJournal && !w.mutation.neverNotJournalled {
+	if mustJournal && !md.mutation.neverNotJournalled {
 		p.setSteps(m.webhook, stepWriteRecord, stepSend)
 		return
 	}
-	w.sendReply(m.to, r.reply)
+	md.sendReply(m.to, r.reply)
 }
 
 // timeOut is what follows when an offer or a query got no reply in time.
-func (w *model) timeOut(i, n int8) {
-	p := &w.processes[i]
+func (md *model) timeOut(i, n int8) {
+	p := &md.processes[i]
 	m := p.awaiting[n]
 	p.awaiting[n] = message{}
 	if p.fromClient[n] {
@@ -227,21 +227,21 @@
 			})
 		})
 		p.fromClient[n], p.outgoing = false, message{firstRunAt: -1}
-		w.promised[n] = w.promised[n] || !kept
+		md.promised[n] = md.promised[n] || !kept
 		if kept {
 			p.setSteps(n, stepWriteRecord, stepJournalWebhook, stepAcceptToClient)
 		}
 		return
 	}
-	w.resolveReply(i, n, m.handoff, CustodyUnknown, m.kind)
+	md.resolveReply(i, n, m.handoff, CustodyUnknown, m.kind)
 }
 
 // resolveReply applies a reply at the member that queried or offered.
-func (w *model) resolveReply(i, n int8, handoff HandoffNumber, r CustodyReply, of messageKind) {
-	p := &w.processes[i]
+func (md *model) resolveReply(i, n int8, handoff HandoffNumber, r CustodyReply, of messageKind) {
+	p := &md.processes[i]
 	s, o, out := StayInDoubt, Offer{}, false
 	p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) {
-		if w.mutation.rejectionFinal && k.records[name] != nil && r == CustodyRejected {
+		if md.mutation.rejectionFinal && k.records[name] != nil && r == CustodyRejected {
 			k.records[name].Offer.Uncertain = false
 		}
 		s = k.HandleReply(name, handoff, r)
@@ -250,7 +250,7 @@
 		out = out && h == handoff
 	})
 	if ran := api.Micros(p.copies[n].firstRunAt); s == StayInDoubt && out && of == queryMessage {
-		s = o.Resolve(r, w.rightEnded(i, o), w.eventType(), ran, ttl, api.Micros(w.now))
+		s = o.Resolve(r, md.rightEnded(i, o), md.eventType(), ran, ttl, api.Micros(md.now))
 	}
 	p.outgoing = message{firstRunAt: earliest(p.copies[n].firstRunAt, int8(o.SentAt))}
 	switch s {
@@ -266,11 +266,11 @@
 	case ForkCopy:
 		p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) {
 			k.Fork(name)
-			if w.mutation.forkNotRaised {
+			if md.mutation.forkNotRaised {
 				k.records[name].Handoff = handoff
 			}
 		})
-		w.forked[n] = true
+		md.forked[n] = true
 		p.setSteps(n, stepNoteRun, stepWriteRecord)
 	}
 }
--- a/cluster/shardmap/model_mutants_test.go
+++ b/cluster/shardmap/model_mutants_test.go
@@ -17,33 +17,63 @@
 }
 
 // replay applies transitions to a state.
-func (w *model) replay(all ...transitionRef) *model {
+func (md *model) replay(all ...transitionRef) *model {
 	for _, d := range all {
-		all := w.transitions(nil)
+		all := md.transitions(nil)
 		i := slices.IndexFunc(all, func(m transition) bool { return m.name == d.name && m.target == d.target })
 		if i < 0 {
 			panic("a start state has no such transition: " + d.name)
 		}
-		all[i].apply(w, d.target, all[i].webhook)
+		all[i].apply(md, d.target, all[i].webhook)
 	}
-	return w
+	return md
 }
 
 // Start states. moveInHandoff: the range moves from a to b, both know it, and the webhook is still at a.
 var (
-	moveInHandoff = []transitionRef{{"a move is planned to", 1}, {"the move begins its hand-off", 0}, {"receives the map", 0},
-		{"receives the map", 1}}
-	offerSent            = append(slices.Clone(moveInHandoff), transitionRef{"offers the webhook", 0}, transitionRef{"performs its next step", 0})
-	offerTaken           = append(slices.Clone(offerSent), transitionRef{"is delivered", 0}, transitionRef{"performs its next step", 1}, transitionRef{"performs its next step", 1})
-	callBegun            = []transitionRef{{"begins a call", 0}, {"performs its next step", 0}, {"performs its next step", 0}}
-	callDuringHandoff    = append(slices.Clone(callBegun), moveInHandoff...)
-	transferredAfterRun  = append(append(slices.Clone(callBegun), transitionRef{"its call ends with an unknown outcome", 0}), offerSent...)
-	queriedAfterFailover = append(slices.Clone(forwardedToOwner), transitionRef{"times out", 1}, transitionRef{"performs its next step", 1}, transitionRef{"performs its next step", 1},
-		transitionRef{"its session expires", 0}, transitionRef{"the log ends the lease", 0}, transitionRef{"the range fails over to", 1},
-		transitionRef{"receives the map", 1}, transitionRef{"queries", 1}, transitionRef{"times out", 1})
-	forwardedToOwner = []transitionRef{{"a client submits", 1}, {"is delivered", 0}, {"performs its next step", 0}, {"performs its next step", 0}}
+	moveInHandoff = []transitionRef{
+		{"a move is planned to", 1},
+		{"the move begins its hand-off", 0},
+		{"receives the map", 0},
+		{"receives the map", 1},
+	}
+	offerSent = after(moveInHandoff,
+		transitionRef{"offers the webhook", 0},
+		transitionRef{"performs its next step", 0})
+	offerTaken = after(offerSent,
+		transitionRef{"is delivered", 0},
+		transitionRef{"performs its next step", 1},
+		transitionRef{"performs its next step", 1})
+	callBegun = []transitionRef{
+		{"begins a call", 0},
+		{"performs its next step", 0},
+		{"performs its next step", 0},
+	}
+	callDuringHandoff   = after(callBegun, moveInHandoff...)
+	transferredAfterRun = after(after(callBegun, transitionRef{"its call ends with an unknown outcome", 0}), offerSent...)
+	forwardedToOwner    = []transitionRef{
+		{"a client submits", 1},
+		{"is delivered", 0},
+		{"performs its next step", 0},
+		{"performs its next step", 0},
+	}
+	queriedAfterFailover = after(forwardedToOwner,
+		transitionRef{"times out", 1},
+		transitionRef{"performs its next step", 1},
+		transitionRef{"performs its next step", 1},
+		transitionRef{"its session expires", 0},
+		transitionRef{"the log ends the lease", 0},
+		transitionRef{"the range fails over to", 1},
+		transitionRef{"receives the map", 1},
+		transitionRef{"queries", 1},
+		transitionRef{"times out", 1})
 )
 
+// after returns a past with further transitions.
+func after(past []transitionRef, next ...transitionRef) []transitionRef {
+	return append(slices.Clone(past), next...)
+}
+
 // Each model has one mutation, outside the code under test. The search must find a violation, and none without it.
 func TestModelSearch_FindsMutations(t *testing.T) {
 	const two, lost, inFlight = "two members have custody of a webhook", "a webhook is lost",
@@ -58,18 +88,39 @@
 		start     []transitionRef
 		finds     string
 	}{
-		"taken is answered before the record": {mutation{takenBeforeRecord: true}, once, moved, offerSent, lost},
-		"taken is answered while arriving":    {mutation{takenWhileArriving: true}, once, moved, offerSent, lost},
-		"never is not journalled":             {mutation{neverNotJournalled: true}, once, moved, offerSent, two},
-		"rejection is final after a retry":    {mutation{rejectionFinal: true}, once, faultBudget{moves: 1, rejections: 1}, offerSent, two},
-		"hand-off number is not raised":       {mutation{handoffNotRaised: true}, once, faultBudget{moves: 1, reverts: 1}, offerTaken, lost},
-		"doubt is forgotten by a restart":     {mutation{doubtNotRecovered: true}, once, moved, offerSent, two},
-		"incarnation is ignored":              {mutation{ignoresIncarnation: true}, once, faultBudget{moves: 1, folderLosses: 1}, offerSent, two},
-		"called while in doubt":               {mutation{callsInDoubt: true}, once, entered, forwardedToOwner, unaware},
-		"switch before the hand-off is over":  {mutation{releasesEarly: true}, once, moved, callDuringHandoff, inFlight},
-		"first run is lost in the transfer": {mutation{forgetsFirstRun: true}, api.Deduplicated, faultBudget{moves: 1, unknownOutcomes: 1}, transferredAfterRun,
-			unaware},
-		"stored is journalled late": {mutation{storedNotJournalled: true}, once, entered, forwardedToOwner, unaware},
+		"taken is answered before the record": {
+			mutation{takenBeforeRecord: true}, once, moved, offerSent, lost,
+		},
+		"taken is answered while arriving": {
+			mutation{takenWhileArriving: true}, once, moved, offerSent, lost,
+		},
+		"never is not journalled": {
+			mutation{neverNotJournalled: true}, once, moved, offerSent, two,
+		},
+		"rejection is final after a retry": {
+			mutation{rejectionFinal: true}, once, faultBudget{moves: 1, rejections: 1}, offerSent, two,
+		},
+		"hand-off number is not raised": {
+			mutation{handoffNotRaised: true}, once, faultBudget{moves: 1, reverts: 1}, offerTaken, lost,
+		},
+		"doubt is forgotten by a restart": {
+			mutation{doubtNotRecovered: true}, once, moved, offerSent, two,
+		},
+		"incarnation is ignored": {
+			mutation{ignoresIncarnation: true}, once, faultBudget{moves: 1, folderLosses: 1}, offerSent, two,
+		},
+		"called while in doubt": {
+			mutation{callsInDoubt: true}, once, entered, forwardedToOwner, unaware,
+		},
+		"switch before the hand-off is over": {
+			mutation{releasesEarly: true}, once, moved, callDuringHandoff, inFlight,
+		},
+		"first run is lost in the transfer": {
+			mutation{forgetsFirstRun: true}, api.Deduplicated, faultBudget{moves: 1, unknownOutcomes: 1}, transferredAfterRun, unaware,
+		},
+		"stored is journalled late": {
+			mutation{storedNotJournalled: true}, once, entered, forwardedToOwner, unaware,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cluster/shardmap/model_search_test.go
+++ b/cluster/shardmap/model_search_test.go
@@ -33,19 +33,19 @@
 		path = append(path, n.transition)
 	}
 	slices.Reverse(path)
-	w, lines := start, []string{}
+	md, lines := start, []string{}
 	for _, i := range path {
-		m := w.transitions(nil)[i]
-		lines = append(lines, w.describe(m))
-		m.apply(&w, m.target, m.webhook)
+		m := md.transitions(nil)[i]
+		lines = append(lines, md.describe(m))
+		m.apply(&md, m.target, m.webhook)
 	}
-	return strings.Join(append(lines, w.findViolation()), "\n")
+	return strings.Join(append(lines, md.findViolation()), "\n")
 }
 
-func (w *model) describe(m transition) string {
+func (md *model) describe(m transition) string {
 	line := m.String()
 	if strings.HasPrefix(m.name, "is delivered") || m.name == "is lost" {
-		line += fmt.Sprintf(" %+v", w.network[m.target])
+		line += fmt.Sprintf(" %+v", md.network[m.target])
 	}
 	return line
 }
@@ -74,24 +74,24 @@
 			at := &level[l]
 			moves = at.transitions(moves[:0])
 			for j, m := range moves {
-				w := at.model
-				m.apply(&w, m.target, m.webhook)
-				key := maphash.Comparable(hashSeed, w)
+				md := at.model
+				m.apply(&md, m.target, m.webhook)
+				key := maphash.Comparable(hashSeed, md)
 				if _, known := seen[key]; known {
 					continue
 				}
 				seen[key] = struct{}{}
 				n := &searchNode{at.node, j}
-				if f.violation = w.findViolation(); f.violation == "" && sampleInterval > 0 && len(seen)%sampleInterval == 0 {
+				if f.violation = md.findViolation(); f.violation == "" && sampleInterval > 0 && len(seen)%sampleInterval == 0 {
 					f.quiesced++
-					f.violation = w.quiesce(nil)
+					f.violation = md.quiesce(nil)
 				}
 				if f.violation != "" {
-					w.quiesce(&f.trace)
+					md.quiesce(&f.trace)
 					f.states, f.trace = len(seen), n.trace(*start)+"\n"+f.trace
 					return f
 				}
-				next = append(next, reached{w, n})
+				next = append(next, reached{md, n})
 			}
 		}
 		level = next
@@ -101,26 +101,26 @@
 }
 
 // quiesce continues without faults and returns what is not resolved by then. It appends how to trace, if not nil.
-func (w model) quiesce(trace *string) (violation string) {
-	w.budget.grants, w.budget.clients = 100, 0 // what was never submitted isn't now
+func (md model) quiesce(trace *string) (violation string) {
+	md.budget.grants, md.budget.clients = 100, 0 // what was never submitted isn't now
 	var moves []transition
 	for n := range 150 {
-		moves = w.transitions(moves[:0])
+		moves = md.transitions(moves[:0])
 		i := slices.IndexFunc(moves, func(m transition) bool { return m.faultFree })
 		if i < 0 {
 			break
 		}
 		if trace != nil && n < 30 {
-			*trace += "then " + w.describe(moves[i]) + "\n"
+			*trace += "then " + md.describe(moves[i]) + "\n"
 		}
-		moves[i].apply(&w, moves[i].target, moves[i].webhook)
-		if found := w.findViolation(); found != "" {
+		moves[i].apply(&md, moves[i].target, moves[i].webhook)
+		if found := md.findViolation(); found != "" {
 			return found
 		}
 	}
-	for i := range w.members {
-		for n := range w.webhooks {
-			if w.processes[i].copies[n].present {
+	for i := range md.members {
+		for n := range md.webhooks {
+			if md.processes[i].copies[n].present {
 				return "a webhook stays unresolved"
 			}
 		}
@@ -140,23 +140,71 @@
 		start             []transitionRef
 		depth             int
 	}{
-		{"a move", 2, 1, once, faultBudget{moves: 1, crashes: 1, grants: 2, reverts: 1}, nil, 17},
-		{"a move of two webhooks", 2, 2, once, faultBudget{moves: 1, crashes: 1, grants: 2}, moveInHandoff, 12},
-		{"offer in flight", 2, 1, once, faultBudget{moves: 1, crashes: 2, reverts: 1, rejections: 1, grants: 2}, offerSent, 11},
-		{"offer in flight, late and duplicated", 2, 1, once, faultBudget{moves: 1, duplicates: 2, reverts: 1, grants: 2}, offerSent, 12},
-		{"offer in flight, folder lost", 2, 1, once, faultBudget{moves: 1, folderLosses: 1, duplicates: 1, reverts: 1}, offerSent, 12},
-		{"taken, owner lost", 2, 1, tokened,
-			faultBudget{moves: 1, unknownOutcomes: 1, expiries: 2, failovers: 2, grants: 3, clockTicks: 2, isolations: 1}, transferredAfterRun, 10},
-		{"in doubt, owner lost", 2, 1, tokened,
-			faultBudget{clients: 1, expiries: 1, failovers: 2, grants: 2, clockTicks: 1, isolations: 1}, queriedAfterFailover, 9},
-		{"called during the hand-off", 2, 1, once,
-			faultBudget{moves: 1, unknownOutcomes: 1, crashes: 1, reverts: 1, grants: 2}, callDuringHandoff, 22},
-		{"submitted", 2, 1, once, faultBudget{clients: 1, duplicates: 1, crashes: 1, rejections: 1}, nil, 16},
-		{"submitted, folder lost", 2, 1, once, faultBudget{clients: 1, duplicates: 1, folderLosses: 1}, nil, 16},
-		{"submitted, owner lost", 2, 1, tokened,
-			faultBudget{clients: 1, expiries: 1, failovers: 1, grants: 1, clockTicks: 1}, nil, 16},
-		{"owner lost twice", 2, 1, idempotent, faultBudget{clients: 1, expiries: 1, failovers: 2, grants: 3}, nil, 17},
-		{"three members", 3, 1, idempotent, faultBudget{clients: 1, expiries: 1, failovers: 2, grants: 2}, nil, 13},
+		{
+			"a move", 2, 1, once,
+			faultBudget{moves: 1, crashes: 1, grants: 2, reverts: 1},
+			nil, 17,
+		},
+		{
+			"a move of two webhooks", 2, 2, once,
+			faultBudget{moves: 1, crashes: 1, grants: 2},
+			moveInHandoff, 12,
+		},
+		{
+			"offer in flight", 2, 1, once,
+			faultBudget{moves: 1, crashes: 2, reverts: 1, rejections: 1, grants: 2},
+			offerSent, 11,
+		},
+		{
+			"offer in flight, late and duplicated", 2, 1, once,
+			faultBudget{moves: 1, duplicates: 2, reverts: 1, grants: 2},
+			offerSent, 12,
+		},
+		{
+			"offer in flight, folder lost", 2, 1, once,
+			faultBudget{moves: 1, folderLosses: 1, duplicates: 1, reverts: 1},
+			offerSent, 12,
+		},
+		{
+			"taken, owner lost", 2, 1, tokened,
+			faultBudget{moves: 1, unknownOutcomes: 1, expiries: 2, failovers: 2, grants: 3, clockTicks: 2, isolations: 1},
+			transferredAfterRun, 10,
+		},
+		{
+			"in doubt, owner lost", 2, 1, tokened,
+			faultBudget{clients: 1, expiries: 1, failovers: 2, grants: 2, clockTicks: 1, isolations: 1},
+			queriedAfterFailover, 9,
+		},
+		{
+			"called during the hand-off", 2, 1, once,
+			faultBudget{moves: 1, unknownOutcomes: 1, crashes: 1, reverts: 1, grants: 2},
+			callDuringHandoff, 22,
+		},
+		{
+			"submitted", 2, 1, once,
+			faultBudget{clients: 1, duplicates: 1, crashes: 1, rejections: 1},
+			nil, 16,
+		},
+		{
+			"submitted, folder lost", 2, 1, once,
+			faultBudget{clients: 1, duplicates: 1, folderLosses: 1},
+			nil, 16,
+		},
+		{
+			"submitted, owner lost", 2, 1, tokened,
+			faultBudget{clients: 1, expiries: 1, failovers: 1, grants: 1, clockTicks: 1},
+			nil, 16,
+		},
+		{
+			"owner lost twice", 2, 1, idempotent,
+			faultBudget{clients: 1, expiries: 1, failovers: 2, grants: 3},
+			nil, 17,
+		},
+		{
+			"three members", 3, 1, idempotent,
+			faultBudget{clients: 1, expiries: 1, failovers: 2, grants: 2},
+			nil, 13,
+		},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
@@ -171,20 +219,20 @@
 // newForkedModel returns a state after both members ended a doubt without knowing who has the webhook; each takes the
 // other for the range's owner.
 func newForkedModel(m mutation) *model {
-	w := newModel(2, 1, api.Idempotent, faultBudget{grants: 3, failovers: 1, crashes: 1}, m)
-	w.leaseHeld, w.processes[0].epoch = false, 0
-	w.propose(Coordinator(1).FailOver([]Takeover{{1, memberIDs[0], memberIDs[1]}}))
-	w.processes[0].mapID = w.mapID
-	for i := range w.members {
-		p := &w.processes[i]
+	md := newModel(2, 1, api.Idempotent, faultBudget{grants: 3, failovers: 1, crashes: 1}, m)
+	md.leaseHeld, md.processes[0].epoch = false, 0
+	md.propose(Coordinator(1).FailOver([]Takeover{{1, memberIDs[0], memberIDs[1]}}))
+	md.processes[0].mapID = md.mapID
+	for i := range md.members {
+		p := &md.processes[i]
 		p.memory[0].withTable(0, func(k *CustodyTable, n WebhookID) {
 			k.BeginOffer(n, ttl, Offer{To: memberIDs[1-i]})
 			k.Fork(n)
 		})
 		p.disk, p.copies[0] = p.memory, webhookCopy{present: true, firstRunAt: 0}
 	}
-	w.forked[0], w.promised[0] = true, true
-	return w
+	md.forked[0], md.promised[0] = true, true
+	return md
 }
 
 func TestModelSearch_OneBranchOfAForkRemains(t *testing.T) {
--- a/cluster/shardmap/model_test.go
+++ b/cluster/shardmap/model_test.go
@@ -219,16 +219,16 @@
 	violation              string
 }
 
-func (w *model) eventType() api.EventType {
-	return api.EventType{Semantics: w.semantics, TTL: ttl, DedupWindow: window}
+func (md *model) eventType() api.EventType {
+	return api.EventType{Semantics: md.semantics, TTL: ttl, DedupWindow: window}
 }
 
 // Holder implements LeaseHolders for the lease on the one range.
-func (w *model) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
-	if !w.leaseHeld {
+func (md *model) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+	if !md.leaseHeld {
 		return 0, "", 0, false
 	}
-	return 1, memberIDs[w.holder], cluster.Epoch(w.epoch), true
+	return 1, memberIDs[md.holder], cluster.Epoch(md.epoch), true
 }
 
 // mapStore numbers all maps of one search by their encoding.
@@ -257,13 +257,13 @@
 	return id
 }
 
-func (w *model) loggedRange() Range { return w.maps.all[w.mapID].Ranges[0] }
-func (w *model) mapOf(i int8) *Map  { return w.maps.all[w.processes[i].mapID] }
+func (md *model) loggedRange() Range { return md.maps.all[md.mapID].Ranges[0] }
+func (md *model) mapOf(i int8) *Map  { return md.maps.all[md.processes[i].mapID] }
 
 // newModel returns a state in which member a serves the range. It has the webhooks, or else clients are yet to submit
 // them, anywhere.
 func newModel(members, webhooks int8, semantics api.Semantics, budget faultBudget, m mutation) *model {
-	w := &model{
+	md := &model{
 		maps:      &mapStore{ids: map[string]uint16{}},
 		members:   members,
 		webhooks:  webhooks,
@@ -273,7 +273,7 @@
 		leaseHeld: true,
 		epoch:     1,
 	}
-	shards := New(w)
+	shards := New(md)
 	commands := []cluster.Command{
 		Coordinator(1).Initialize(1, []MemberWeight{{memberIDs[0], 1}}),
 		ConfirmOwner(1, memberIDs[0], 1, 1),
@@ -283,29 +283,29 @@
 			panic(err)
 		}
 	}
-	w.mapID = w.maps.id(shards)
-	for i := range w.processes {
-		w.processes[i].incarnation, w.processes[i].mapID = 1, w.mapID
+	md.mapID = md.maps.id(shards)
+	for i := range md.processes {
+		md.processes[i].incarnation, md.processes[i].mapID = 1, md.mapID
 	}
-	w.processes[0].epoch = 1
+	md.processes[0].epoch = 1
 	for i := range webhooks {
 		if budget.clients == 0 {
-			w.processes[0].copies[i], w.promised[i] = webhookCopy{present: true, firstRunAt: -1}, true
+			md.processes[0].copies[i], md.promised[i] = webhookCopy{present: true, firstRunAt: -1}, true
 		}
 	}
-	return w
+	return md
 }
 
 // propose applies a command to the map in the log, and reports whether it was accepted.
-func (w *model) propose(c cluster.Command) bool {
-	if c.FencedBy == cluster.RangeOwnerResource(1) && (!w.leaseHeld || c.Epoch != cluster.Epoch(w.epoch)) {
+func (md *model) propose(c cluster.Command) bool {
+	if c.FencedBy == cluster.RangeOwnerResource(1) && (!md.leaseHeld || c.Epoch != cluster.Epoch(md.epoch)) {
 		return false // cluster.ErrFenced
 	}
-	m := *w.maps.all[w.mapID]
-	m.Ranges, m.DetachedMoves, m.holders = slices.Clone(m.Ranges), slices.Clone(m.DetachedMoves), w
+	m := *md.maps.all[md.mapID]
+	m.Ranges, m.DetachedMoves, m.holders = slices.Clone(m.Ranges), slices.Clone(m.DetachedMoves), md
 	if _, err := m.Apply(uint64(m.Version)+1, c.Body); err != nil {
 		return false
 	}
-	w.mapID = w.maps.id(&m)
+	md.mapID = md.maps.id(&m)
 	return true
 }
--- a/cluster/shardmap/model_walk_test.go
+++ b/cluster/shardmap/model_walk_test.go
@@ -32,27 +32,27 @@
 			clockTicks:      int8(n % 2 * 2),
 			clients:         int8(n / 2 % 2 * 3),
 		}
-		w := newModel(int8(2+n%2), int8(1+n/4%2), semantics[n%3], budget, mutation{})
+		md := newModel(int8(2+n%2), int8(1+n/4%2), semantics[n%3], budget, mutation{})
 		var lines []string
 		for range 100 {
-			moves := w.transitions(nil)
+			moves := md.transitions(nil)
 			if len(moves) == 0 {
 				break
 			}
 			m := moves[random.IntN(len(moves))]
-			lines = append(lines, w.describe(m))
-			m.apply(w, m.target, m.webhook)
-			require.Empty(t, w.findViolation(), strings.Join(lines, "\n"))
+			lines = append(lines, md.describe(m))
+			m.apply(md, m.target, m.webhook)
+			require.Empty(t, md.findViolation(), strings.Join(lines, "\n"))
 			steps++
 		}
 		trace := strings.Join(lines, "\n") + "\n"
-		require.Empty(t, w.quiesce(&trace), trace)
-		for i := range w.webhooks {
-			if w.forked[i] {
+		require.Empty(t, md.quiesce(&trace), trace)
+		for i := range md.webhooks {
+			if md.forked[i] {
 				forked++
 			}
 		}
-		if w.loggedRange().Owner != memberIDs[0] {
+		if md.loggedRange().Owner != memberIDs[0] {
 			moved++
 		}
 	}
--- a/cluster/shardmap/range.go
+++ b/cluster/shardmap/range.go
@@ -13,15 +13,16 @@
 
 // Range is an interval of key hashes. From and To both belong to it.
 type Range struct {
-	ID          cluster.RangeID  `cbor:"1,keyasint"`
-	From        cluster.KeyHash  `cbor:"2,keyasint"`
-	To          cluster.KeyHash  `cbor:"3,keyasint"`
-	Owner       cluster.MemberID `cbor:"4,keyasint"`
-	Epoch       cluster.Epoch    `cbor:"5,keyasint"` // of the lease on cluster.RangeOwnerResource(ID) by which Owner serves; 0: never yet
-	Status      OwnerStatus      `cbor:"6,keyasint"`
-	Move        Move             `cbor:"7,keyasint"`
-	PriorGrants []PriorGrant     `cbor:"8,keyasint,omitempty"`
-	SplitOff    bool             `cbor:"9,keyasint,omitempty"` // split off the range below it
+	ID    cluster.RangeID  `cbor:"1,keyasint"`
+	From  cluster.KeyHash  `cbor:"2,keyasint"`
+	To    cluster.KeyHash  `cbor:"3,keyasint"`
+	Owner cluster.MemberID `cbor:"4,keyasint"`
+	// Epoch is that of the lease on cluster.RangeOwnerResource(ID) by which Owner serves; 0: it never served.
+	Epoch       cluster.Epoch `cbor:"5,keyasint"`
+	Status      OwnerStatus   `cbor:"6,keyasint"`
+	Move        Move          `cbor:"7,keyasint"`
+	PriorGrants []PriorGrant  `cbor:"8,keyasint,omitempty"`
+	SplitOff    bool          `cbor:"9,keyasint,omitempty"` // split off the range below it
 }
 
 // PriorGrant is a lease on another range by which an owner with a map older than Since may still serve a part of this
--- a/cluster/transport/encoded_forms_test.go
+++ b/cluster/transport/encoded_forms_test.go
@@ -13,7 +13,7 @@
 func TestEncodedForms(t *testing.T) {
 	golden, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	got := wireschema.Describe(wireschema.CBOR, SessionRequest{}, SessionResponse{}, ProposeResponse{}, StateRequest{}, StateResponse{},
-		NotLeaderResponse{}, NodeIdentity{}, JoinRequest{})
+	got := wireschema.Describe(wireschema.CBOR, SessionRequest{}, SessionResponse{}, ProposeResponse{}, StateRequest{},
+		StateResponse{}, NotLeaderResponse{}, NodeIdentity{}, JoinRequest{})
 	require.Equal(t, string(golden), got)
 }
