--- /dev/null
+++ b/webhook/dispatcher/discovery/stream.go
@@ -0,0 +1,73 @@
+package discovery
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"github.com/tidwall/gjson"
+)
+
+// readObjects reads object after object, however they are laid out, until one can't be read or the stream ends. A change
+// may be missed with it: the next watch starts from the last one that was read.
+func (c *Client) readObjects(ctx context.Context, body io.Reader) error {
+	for {
+		in := &objectReader{in: body, maxSize: c.maxObject, onBlank: c.recordActivity}
+		// One decoder for each object: it keeps the memory of the largest one that it has read.
+		decoder := json.NewDecoder(in)
+		var list rawObject
+		err := decoder.Decode(&list)
+		if err != nil && (in.size == 0 || ctx.Err() != nil) {
+			return err
+		}
+		if err == nil {
+			var rest []byte
+			rest, err = io.ReadAll(decoder.Buffered())
+			body = io.MultiReader(bytes.NewReader(rest), body)
+		}
+		if err == nil {
+			err = c.handleList(list.Result)
+		}
+		if err != nil {
+			c.reject(in.size, err)
+			return fmt.Errorf("%w: %w", errMalformed, err)
+		}
+		c.recordActivity()
+	}
+}
+
+// rawObject is a JSON value as it came, copied once.
+type rawObject struct{ gjson.Result }
+
+// UnmarshalJSON implements json.Unmarshaler.
+func (o *rawObject) UnmarshalJSON(raw []byte) error {
+	o.Result = gjson.ParseBytes(raw)
+	return nil
+}
+
+// objectReader reads as far as one object needs, without the blanks before it: they come all day, and would pile up in
+// the decoder.
+type objectReader struct {
+	in            io.Reader
+	size, maxSize int
+	onBlank       func()
+}
+
+// Read implements io.Reader.
+func (r *objectReader) Read(p []byte) (int, error) {
+	if r.size >= r.maxSize {
+		return 0, fmt.Errorf("a list of over %d bytes", r.maxSize)
+	}
+	n, err := r.in.Read(p[:min(len(p), r.maxSize-r.size)])
+	if r.size == 0 {
+		received := n
+		n = copy(p, bytes.TrimLeft(p[:n], " \t\r\n"))
+		if n < received {
+			r.onBlank()
+		}
+	}
+	r.size += n
+	return n, err
+}
--- a/webhook/dispatcher/discovery/stream_test.go
+++ b/webhook/dispatcher/discovery/stream_test.go
@@ -21,7 +21,7 @@
 	return out.String()
 }
 
-func TestListsAreReadHoweverTheyAreLaidOut(t *testing.T) {
+func TestListsAreReadInAnyLayout(t *testing.T) {
 	for what, parts := range map[string][]string{
 		"a line each":          {list(1) + "\n", list(2) + "\n", list(3) + "\n"},
 		"indented":             {indented(t, list(1)) + "\n", indented(t, list(2)) + "\r\n", indented(t, list(3))},
@@ -30,19 +30,19 @@
 		"cut anywhere":         strings.Split(indented(t, list(1))+list(2)+"\n"+indented(t, list(3)), ""),
 		"with the next's head": {list(1) + list(2)[:9], list(2)[9:] + "\n" + list(3)[:1], list(3)[1:]},
 	} {
-		d := discover(t, func(n int, w http.ResponseWriter, r *http.Request) {
-			say(w, parts...)
+		d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
+			writeChunks(w, parts...)
 			<-r.Context().Done()
 		})
 		f := follow(d.addr, 20*api.Second)
-		f.soon(t, 1, 2, 3)
-		assert.Len(t, d.asked(), 1, what)
-		assert.Zero(t, f.broken.Load(), what)
+		f.requireLists(t, 1, 2, 3)
+		assert.Len(t, d.recorded(), 1, what)
+		assert.Zero(t, f.malformed.Load(), what)
 	}
 }
 
 // What can't be read is told in one line, is missed by nobody, and takes nothing away.
-func TestAfterAListThatCantBeReadTheLastOneHoldsAndIsAskedFrom(t *testing.T) {
+func TestMalformedListKeepsTheLastOneInForce(t *testing.T) {
 	log := slog.Default()
 	defer slog.SetDefault(log)
 	for what, bad := range map[string]string{
@@ -55,34 +55,34 @@
 	} {
 		said := &bytes.Buffer{}
 		slog.SetDefault(slog.New(slog.NewTextHandler(said, nil)))
-		d := discover(t, func(n int, w http.ResponseWriter, r *http.Request) {
+		d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
 			if n == 1 {
-				say(w, list(1)+"\n", bad)
+				writeChunks(w, list(1)+"\n", bad)
 				return
 			}
-			say(w, list(4))
+			writeChunks(w, list(4))
 			<-r.Context().Done()
 		})
 		f := follow(d.addr, 2*api.Second)
-		f.soon(t, 1, 4)
-		assert.Equal(t, []string{"0", "1"}, d.asked(), what)
-		assert.EqualValues(t, 1, f.broken.Load(), what)
+		f.requireLists(t, 1, 4)
+		assert.Equal(t, []string{"0", "1"}, d.recorded(), what)
+		assert.EqualValues(t, 1, f.malformed.Load(), what)
 		assert.Equal(t, 1, strings.Count(said.String(), "\n"), "%s: %s", what, said)
 	}
 }
 
 // Blank lines come all day: they are life, and no part of an object that could grow over the bound.
-func TestBlankLinesKeepAWatchAliveAndCountForNothing(t *testing.T) {
-	d := discover(t, func(n int, w http.ResponseWriter, r *http.Request) {
-		say(w, list(n)+"\n", strings.Repeat("\n", 5000))
+func TestBlankLinesKeepAWatchAlive(t *testing.T) {
+	d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
+		writeChunks(w, list(n)+"\n", strings.Repeat("\n", 5000))
 		for range 12 { // longer than the watch may be silent
 			time.Sleep(time.Second / 4)
-			say(w, "\n")
+			writeChunks(w, "\n")
 		}
-		say(w, list(9))
+		writeChunks(w, list(9))
 		<-r.Context().Done()
 	})
 	f := follow(d.addr, 2*api.Second)
-	f.soon(t, 1, 9)
-	assert.Zero(t, f.broken.Load())
+	f.requireLists(t, 1, 9)
+	assert.Zero(t, f.malformed.Load())
 }
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -1,7 +1,8 @@
-// Package dispatcher wires one real dispatcher and goes through its phases.
+// Package dispatcher wires one real dispatcher and takes it through its phases, from start to exit.
 package dispatcher
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"log"
@@ -22,142 +23,240 @@
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/dispatcher/lifecycle"
-	serverpkg "rowanlink/webhook/dispatcher/server"
+	"rowanlink/webhook/dispatcher/server"
 	"rowanlink/webhook/dispatcher/upstream"
 	"rowanlink/webhook/dispatcher/wal"
 	"rowanlink/webhook/policy"
 	"rowanlink/webhook/refresh"
 )
 
-// Parts of the limits: of the memory, for the heap and for one list as it comes; of the descriptors, for
-// clients, of which the usual ones open a third at most, for half of that third idle, and for connections to
+// Environment variables. The first two are the platform's.
+const (
+	configVariable = "LB_CONFIG" // path of the configuration file
+	stateVariable  = "LB_STATE"  // folder that survives the process
+	logVariable    = "ROWANLINK_LOG"
+)
+
+// Limits where the configuration gives none.
+const (
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	defaultDiskMB   = 3
+)
+
+// Shares of the limits: of the memory for the heap and for one endpoint list as it comes; of the file descriptors for
+// clients (of which well-behaved ones open a third at most, and leave half of that third idle) and for connections to
 // endpoints.
 const (
-	heapPart   = 0.6
-	listPart   = 1.0 / 8
-	clientPart = 0.5
-	idlePart   = 1.0 / 6
-	connPart   = 0.4
+	heapShare       = 0.6
+	listShare       = 1.0 / 8
+	clientShare     = 0.5
+	idleClientShare = 1.0 / 6
+	upstreamShare   = 0.4
+
+	bytesPerMB = 1e6
 )
 
-// Dispatcher is one, wired, as what stands beside it sees it.
+// closeTimeout bounds the wait for clients' connections at the end.
+const closeTimeout = time.Second / 5
+
+// Dispatcher gives an Extension access to the parts of a dispatcher.
 type Dispatcher struct {
-	Configuration gjson.Result // the configuration
-	StateDir      string       // the folder that outlasts the process
+	Configuration gjson.Result // the document
+	StateDir      string       // the folder that survives the process
 	Settings      api.Settings
 	Catalog       config.Catalog
 	Lifecycle     *lifecycle.Lifecycle
 	Inbox         *inflight.Inbox
 	Loop          *eventloop.Loop
 	Upstream      *upstream.Client
-	Server        *serverpkg.Server
+	Server        *server.Server
 }
 
-// Extension is what a fleet adds to a dispatcher in the same process. It is called in this order, Renew any
-// number of times, each time after the dispatcher itself took its configuration anew.
+// Extension is what a cluster adds to a dispatcher in the same process. Its methods are called in this order;
+// UpdateSettings any number of times, each time after the dispatcher itself has taken a new configuration.
 type Extension interface {
 	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
-	Start()                  // all runs, but clients are not let in yet
+	Start()                  // everything runs, but clients are not let in yet
 	UpdateSettings(api.Settings)
-	Drain() // told to end: before the dispatcher leaves; may take as long as it needs a turn to leave
+	Drain() // told to end, before the dispatcher drains; may take as long as it needs
 	Stop()  // nothing runs any more
 	WriteMetrics(io.Writer)
 }
 
-// Run is one dispatcher's life; beside may be nil.
-func Run(beside Extension) error {
-	if os.Getenv("ROWANLINK_LOG") == "debug" { // each webhook's course
+// Run runs a dispatcher until it is told to end (SIGTERM, SIGINT). The extension may be nil.
+func Run(extension Extension) error {
+	if os.Getenv(logVariable) == "debug" { // traces each webhook
 		slog.SetLogLoggerLevel(slog.LevelDebug)
 		log.SetFlags(log.LstdFlags | log.Lmicroseconds)
 	}
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // from the first: uncaught, it would end the process
-	told, err := configuration(os.Getenv("LB_CONFIG"))
+	signal.Notify(hangups, syscall.SIGHUP) // from the first moment: uncaught, it would end the process
+	path := os.Getenv(configVariable)
+	c, err := loadConfiguration(path)
 	if err != nil {
 		return err
 	}
-	t, err := settings(told)
+	p, err := newProcess(c, extension)
 	if err != nil {
 		return err
 	}
-	memory := t.limit("memory_mb", 192) * 1e6
-	debug.SetMemoryLimit(int64(heapPart * memory))
-	sockets := t.limit("sockets", 1024)
-
-	life, x := &lifecycle.Lifecycle{}, inflight.New()
-	life.Enter(lifecycle.Starting)
-	// First: guards the folder against a second start beside a dispatcher that runs, which ends here.
-	on, err := net.Listen("tcp", told.Get("listen").String())
-	if err != nil {
+	p.start()
+	go reloadOnSignal(hangups, path, c, p.updateSettings)
+	if err := p.waitForEnd(); err != nil {
 		return err
 	}
-	state := os.Getenv("LB_STATE")
-	kept, err := wal.Open(state, t.limit("disk_mb", 3))
+	return p.shutdown()
+}
+
+// process is a wired dispatcher.
+type process struct {
+	extension Extension
+	lifecycle *lifecycle.Lifecycle
+	inbox     *inflight.Inbox
+	log       *wal.Log
+	loop      *eventloop.Loop
+	upstream  *upstream.Client
+	callbacks *callback.Sender
+	discovery *discovery.Client
+	server    *server.Server
+	listener  net.Listener
+
+	loopDone chan struct{} // closed after the last turn
+	served   chan error    // the server's end
+}
+
+// newProcess wires a dispatcher and recovers what an earlier incarnation left; nothing runs yet.
+func newProcess(c configuration, extension Extension) (*process, error) {
+	memory := c.limit("memory_mb", defaultMemoryMB) * bytesPerMB
+	debug.SetMemoryLimit(int64(heapShare * memory))
+	sockets := c.limit("sockets", defaultSockets)
+	p := &process{
+		extension: extension,
+		lifecycle: &lifecycle.Lifecycle{},
+		inbox:     inflight.New(),
+		loopDone:  make(chan struct{}),
+		served:    make(chan error, 1),
+	}
+	p.lifecycle.Enter(lifecycle.Starting)
+	var err error
+	// First: a second start beside a dispatcher that runs ends here, before it touches the folder.
+	p.listener, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", c.document.Get("listen").String())
 	if err != nil {
-		return err
+		return nil, err
 	}
-	d := eventloop.New(x, life, kept, t.facts)
-	d.SetEventTypes(t.names.EventTypes)
-	calls := upstream.New(&x.Counters, d.CallFinished, t.facts.ConnectTimeout, t.idleLimit, int(connPart*sockets))
-	server := serverpkg.New(x, life, t.facts, t.names, int(clientPart*sockets), int(idlePart*sockets))
-	if beside != nil {
-		if err := beside.Begin(&Dispatcher{told, state, t.facts, t.names, life, x, d, calls, server}); err != nil {
-			return err
+	stateDir := os.Getenv(stateVariable)
+	if p.log, err = wal.Open(stateDir, c.limit("disk_mb", defaultDiskMB)); err != nil {
+		return nil, err
+	}
+	p.loop = eventloop.New(p.inbox, p.lifecycle, p.log, c.settings)
+	p.loop.SetEventTypes(c.catalog.EventTypes)
+	p.upstream = upstream.New(&p.inbox.Counters, p.loop.CallFinished, c.settings.ConnectTimeout, c.idleTimeout,
+		int(upstreamShare*sockets))
+	p.server = server.New(p.inbox, p.lifecycle, c.settings, c.catalog, int(clientShare*sockets),
+		int(idleClientShare*sockets))
+	if extension != nil {
+		if err := extension.Begin(p.dispatcher(c, stateDir)); err != nil {
+			return nil, err
 		}
 	}
-	finals := callback.New(told.Get("discovery").String(), &x.Counters, d.CallbacksDelivered)
-	held := &refresh.StartupGate{}
-	list := discovery.New(told.Get("discovery").String(), t.names,
-		refresh.New(t.facts.Seed, api.Micros(discovery.LinePeriod.Microseconds())), int(listPart*memory),
-		t.keepNames(), d.UpdateEndpoints, func() { x.ListsBroken.Add(1) }, func() { x.Post(held.Open) })
-	if err := list.LoadStored(told.Get("known")); err != nil {
-		slog.Warn("no known list", "why", err)
-	}
-	d.Begin(calls, finals, func(f api.Settings, h api.Host) api.Policy {
-		held.Policy = policy.New(f, h)
-		return held
+	p.callbacks = callback.New(c.discoveryAddress(), &p.inbox.Counters, p.loop.CallbacksDelivered)
+	p.beginLoop(c, int(listShare*memory))
+	return p, nil
+}
+
+func (p *process) dispatcher(c configuration, stateDir string) *Dispatcher {
+	return &Dispatcher{
+		Configuration: c.document,
+		StateDir:      stateDir,
+		Settings:      c.settings,
+		Catalog:       c.catalog,
+		Lifecycle:     p.lifecycle,
+		Inbox:         p.inbox,
+		Loop:          p.loop,
+		Upstream:      p.upstream,
+		Server:        p.server,
+	}
+}
+
+// beginLoop starts the policy behind a gate that opens with the first endpoint list, and takes the stored list.
+func (p *process) beginLoop(c configuration, maxList int) {
+	gate := &refresh.StartupGate{}
+	linePeriod := api.Micros(discovery.LinePeriod.Microseconds())
+	p.discovery = discovery.New(discovery.Options{
+		Address:     c.discoveryAddress(),
+		Catalog:     c.catalog,
+		Scheduler:   refresh.New(c.settings.Seed, linePeriod),
+		MaxObject:   maxList,
+		RetainNames: c.retainNames(),
+		Update:      p.loop.UpdateEndpoints,
+		Malformed:   func() { p.inbox.ListsBroken.Add(1) },
+		Ready:       func() { p.inbox.Post(gate.Open) },
 	})
-	life.Enter(lifecycle.Serving)
-	decided, served := make(chan struct{}), make(chan error, 1)
-	go func() { d.Run(); close(decided) }()
-	go finals.Run()
-	go list.Run()
-	if beside != nil {
-		beside.Start()
-	}
-	go func() { served <- server.Serve(on) }()
-	go reload(hangups, os.Getenv("LB_CONFIG"), t, func(t terms) {
-		// First, so that it knows what webhooks and lists may name next.
-		d.UpdateSettings(t.facts, t.names.EventTypes, t.idleLimit)
-		server.Renew(t.facts, t.names)
-		list.UpdateSettings(t.names, t.keepNames())
-		list.SetAddress(t.told.Get("discovery").String())
-		finals.SetAddress(t.told.Get("discovery").String())
-		if beside != nil {
-			beside.UpdateSettings(t.facts)
-		}
+	if err := p.discovery.LoadStored(c.document.Get("known")); err != nil {
+		slog.Warn("no stored endpoint list", "reason", err)
+	}
+	p.loop.Begin(p.upstream, p.callbacks, func(s api.Settings, h api.Host) api.Policy {
+		gate.Policy = policy.New(s, h)
+		return gate
 	})
+}
 
+// start lets everything run, clients last.
+func (p *process) start() {
+	p.lifecycle.Enter(lifecycle.Serving)
+	go func() {
+		p.loop.Run()
+		close(p.loopDone)
+	}()
+	go p.callbacks.Run()
+	go p.discovery.Run()
+	if p.extension != nil {
+		p.extension.Start()
+	}
+	go func() { p.served <- p.server.Serve(p.listener) }()
+}
+
+// updateSettings applies a reloaded configuration: to the loop first, so that it knows what webhooks and lists may name
+// next.
+func (p *process) updateSettings(c configuration) {
+	p.loop.UpdateSettings(c.settings, c.catalog.EventTypes, c.idleTimeout)
+	p.server.UpdateSettings(c.settings, c.catalog)
+	p.discovery.UpdateSettings(c.catalog, c.retainNames())
+	p.discovery.SetAddress(c.discoveryAddress())
+	p.callbacks.SetAddress(c.discoveryAddress())
+	if p.extension != nil {
+		p.extension.UpdateSettings(c.settings)
+	}
+}
+
+// waitForEnd returns when the process is told to end; an error where the clients' server has ended by itself.
+func (p *process) waitForEnd() error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	select {
 	case <-stop:
-	case err := <-served:
+		return nil
+	case err := <-p.served:
 		return fmt.Errorf("the clients' server ended: %w", err)
 	}
-	if beside != nil {
-		beside.Drain()
+}
+
+// shutdown drains the dispatcher and ends all parts.
+func (p *process) shutdown() error {
+	if p.extension != nil {
+		p.extension.Drain()
 	}
-	life.Shutdown(d.Empty, calls.Out, server.Gone)
-	if err := server.Close(time.Second / 5); err != nil {
-		slog.Warn("some connections of clients were still open", "why", err)
+	p.lifecycle.Shutdown(p.loop.Empty, p.upstream.Out, p.server.Gone)
+	if err := p.server.Close(closeTimeout); err != nil {
+		slog.Warn("some connections of clients were still open", "reason", err)
 	}
-	life.Enter(lifecycle.Stopped)
-	<-decided
-	calls.End()
-	if beside != nil {
-		beside.Stop()
+	p.lifecycle.Enter(lifecycle.Stopped)
+	<-p.loopDone
+	p.upstream.End()
+	if p.extension != nil {
+		p.extension.Stop()
 	}
-	x.Counters.Log()
-	return kept.Close()
+	p.inbox.Log()
+	return p.log.Close()
 }
--- a/webhook/dispatcher/e2e/gone_test.go
+++ b/webhook/dispatcher/e2e/gone_test.go
@@ -30,7 +30,7 @@
 
 // hangUp has the process read its configuration again, and waits until it goes by so many event types.
 func (w *world) hangUp(types int) {
-	read := func() int { return strings.Count(w.out.String(), "configuration read again") }
+	read := func() int { return strings.Count(w.out.String(), "configuration reloaded") }
 	before := read()
 	require.NoError(w.t, w.process.Process.Signal(syscall.SIGHUP))
 	w.soon("read again", func() bool { return read() > before })
--- a/webhook/dispatcher/lifecycle/lifecycle.go
+++ b/webhook/dispatcher/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package lifecycle holds the phases of the program, from start to exit, as named states of one object.
+// Package lifecycle holds the phases of the dispatcher's process, from start to exit.
 package lifecycle
 
 import (
@@ -7,32 +7,42 @@
 	"time"
 )
 
-// The protocol's figures of a planned restart, from SIGTERM on.
+// The platform's schedule of a planned restart, counted from SIGTERM.
 const (
-	connectionsCome = 400 * time.Millisecond  // new connections keep coming so long
-	killAfter       = 3700 * time.Millisecond // no SIGKILL before
+	newConnectionsFor = 400 * time.Millisecond  // clients may still open connections
+	killAfter         = 3700 * time.Millisecond // SIGKILL comes no earlier
 )
 
-// Phase is one of the program's states; it only moves on.
+// The graceful shutdown, as parts of that schedule.
+const (
+	drainFor     = newConnectionsFor * 5 / 4
+	deliverUntil = killAfter * 6 / 10
+	finishUntil  = killAfter * 9 / 10
+	pollInterval = killAfter / 100
+)
+
+// Phase is a phase of the process. Phases only move forward.
 type Phase int32
 
+// Phases in their order.
 const (
-	Starting  Phase = iota // reads what it is told and what an earlier life left
-	Serving                // takes webhooks on and delivers them
-	Draining               // told to end: still takes on what comes, asks clients to go elsewhere
-	Rejecting              // takes nothing on any more, still delivers
-	Finishing              // starts no calls, waits for those out and for clients to go
-	Stopped                // nothing runs any more; what is owed is in the journal
+	Starting  Phase = iota // reads the configuration and recovers the write-ahead log
+	Serving                // accepts webhooks and delivers them
+	Draining               // told to end: still accepts webhooks, asks clients to go elsewhere
+	Rejecting              // accepts no webhooks, still delivers
+	Finishing              // starts no calls, waits for those in flight and for clients to leave
+	Stopped                // nothing runs; what is pending is in the write-ahead log
 )
 
+// String returns the phase's name for logs and readiness checks.
 func (p Phase) String() string {
-	return [...]string{"starting", "serving", "leaving", "refusing", "settling", "ended"}[p]
+	return [...]string{"starting", "serving", "draining", "rejecting", "finishing", "stopped"}[p]
 }
 
-// Lifecycle is the one object that says where the program stands.
+// Lifecycle holds the process's phase. It is safe for concurrent use.
 type Lifecycle struct{ phase atomic.Int32 }
 
-// Phase tells where it stands.
+// Phase returns the present phase.
 func (l *Lifecycle) Phase() Phase { return Phase(l.phase.Load()) }
 
 // Enter moves on to a phase.
@@ -41,29 +51,36 @@
 	slog.Info("phase", "now", p.String())
 }
 
-// Ready tells whether clients may be sent here.
+// Ready reports whether clients may be sent here.
 func (l *Lifecycle) Ready() bool { return l.Phase() == Serving }
 
-// AcceptsWebhooks tells whether webhooks are taken on.
-func (l *Lifecycle) AcceptsWebhooks() bool { p := l.Phase(); return p == Serving || p == Draining }
+// AcceptsWebhooks reports whether new webhooks are accepted.
+func (l *Lifecycle) AcceptsWebhooks() bool {
+	p := l.Phase()
+	return p == Serving || p == Draining
+}
 
-// StartsCalls tells whether calls are started.
-func (l *Lifecycle) StartsCalls() bool { p := l.Phase(); return p >= Serving && p < Finishing }
+// StartsCalls reports whether calls are started.
+func (l *Lifecycle) StartsCalls() bool {
+	p := l.Phase()
+	return p >= Serving && p < Finishing
+}
 
-// Shutdown goes from serving to settled: what comes is taken on until no more connections come, calls are
-// started for as long as their answers can still be in time, and those out are waited for. The rest stays.
-// Clients are refused until they have gone: guards against an end that cuts connections on which they send.
-func (l *Lifecycle) Shutdown(empty func() bool, callsOut func() int, clientsGone func() bool) {
-	told := time.Now()
-	until := func(span time.Duration, done func() bool) {
-		for time.Since(told) < span && !done() {
-			time.Sleep(killAfter / 100)
+// Shutdown goes from Serving to Finishing and returns when the process may stop. New webhooks are accepted until no more
+// connections come; calls are started for as long as their answers can still be in time, and those in flight are waited
+// for. What remains stays in the write-ahead log. Clients are answered with a rejection until they have left: an earlier
+// end would cut connections on which they send.
+func (l *Lifecycle) Shutdown(isEmpty func() bool, callsInFlight func() int, clientsGone func() bool) {
+	begun := time.Now()
+	waitUntil := func(limit time.Duration, done func() bool) {
+		for time.Since(begun) < limit && !done() {
+			time.Sleep(pollInterval)
 		}
 	}
 	l.Enter(Draining)
-	until(connectionsCome*5/4, func() bool { return false })
+	waitUntil(drainFor, func() bool { return false })
 	l.Enter(Rejecting)
-	until(killAfter*6/10, empty)
+	waitUntil(deliverUntil, isEmpty)
 	l.Enter(Finishing)
-	until(killAfter*9/10, func() bool { return callsOut() == 0 && clientsGone() })
+	waitUntil(finishUntil, func() bool { return callsInFlight() == 0 && clientsGone() })
 }
--- a/webhook/dispatcher/server/clients.go
+++ b/webhook/dispatcher/server/clients.go
@@ -45,8 +45,8 @@
 	types []api.EventType
 }
 
-// Renew has webhooks that come from now on read by other settings.
-func (s *Server) Renew(f api.Settings, names config.Catalog) {
+// UpdateSettings has webhooks that come from now on read by other settings.
+func (s *Server) UpdateSettings(f api.Settings, names config.Catalog) {
 	s.terms.Store(&terms{names, f.EventTypes})
 }
 
@@ -54,7 +54,7 @@
 func New(x *inflight.Inbox, life *lifecycle.Lifecycle, f api.Settings, names config.Catalog,
 	mostOpen, mostIdle int) *Server {
 	s := &Server{x: x, life: life, door: newDoor(mostOpen, mostIdle)}
-	s.Renew(f, names)
+	s.UpdateSettings(f, names)
 	s.server = fasthttp.Server{
 		Handler: s.handle, Name: "rowanlink", MaxRequestBodySize: mostBody,
 		Concurrency: 2 * mostOpen, // the door holds the limit; those that it closed are still winding up
