--- a/cmd/rowanctl/config.go
+++ b/cmd/rowanctl/config.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 
@@ -16,19 +17,19 @@
 	Get   configGetCommand   `cmd:"" help:"Print the configuration in force, as it was put."`
 	Put   configPutCommand   `cmd:"" help:"Replace the configuration."`
 	Amend configAmendCommand `cmd:"" help:"Add, replace or remove named routes and services."`
-	Check configCheckCommand `cmd:"" help:"Tell whether a document would be taken, without calling anybody."`
+	Check configCheckCommand `cmd:"" help:"Validate a document without calling the system."`
 }
 
 // configGetCommand prints the configuration in force, byte for byte as it was put.
 type configGetCommand struct{}
 
 // Run implements the command.
-func (c *configGetCommand) Run(s *session) error {
-	operator, err := s.operator()
+func (c *configGetCommand) Run(ctx context.Context, s *session) error {
+	operator, err := s.operatorClient()
 	if err != nil {
 		return err
 	}
-	document, err := operator.Configuration(s.ctx)
+	document, err := operator.Configuration(ctx)
 	if err != nil {
 		return err
 	}
@@ -43,19 +44,19 @@
 }
 
 // Run implements the command.
-func (c *configPutCommand) Run(s *session) error {
+func (c *configPutCommand) Run(ctx context.Context, s *session) error {
 	document, err := os.ReadFile(c.File)
 	if err != nil {
 		return errors.Wrap(err, "read configuration")
 	}
-	operator, err := s.operator()
+	operator, err := s.operatorClient()
 	if err != nil {
 		return err
 	}
-	if err := operator.ReplaceConfiguration(s.ctx, c.Base, document); err != nil {
+	if err := operator.ReplaceConfiguration(ctx, c.Base, document); err != nil {
 		return err
 	}
-	return s.done("in force")
+	return s.printAcknowledgement("in force")
 }
 
 // configAmendCommand changes named items of the configuration.
@@ -66,7 +67,7 @@
 }
 
 // Run implements the command.
-func (c *configAmendCommand) Run(s *session) error {
+func (c *configAmendCommand) Run(ctx context.Context, s *session) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return errors.Wrap(err, "read amendment")
@@ -75,112 +76,76 @@
 	if err != nil {
 		return err
 	}
-	operator, err := s.operator()
+	operator, err := s.operatorClient()
 	if err != nil {
 		return err
 	}
 	if c.DryRun {
-		return c.show(s, operator, amendment)
+		return c.printChanges(ctx, s, operator, amendment)
 	}
-	if err := operator.AmendConfiguration(s.ctx, c.Base, text); err != nil {
+	if err := operator.AmendConfiguration(ctx, c.Base, text); err != nil {
 		return err
 	}
-	return s.done("in force")
+	return s.printAcknowledgement("in force")
 }
 
-// show prints what the amendment would change in the configuration in force. The errors are those that the order
-// would be refused with.
-func (c *configAmendCommand) show(s *session, operator *client.Client, amendment *routing.Amendment) error {
-	document, err := operator.Configuration(s.ctx)
+// printChanges prints what the amendment would change in the configuration in force. Its errors are those with which the
+// amendment would be rejected.
+func (c *configAmendCommand) printChanges(ctx context.Context, s *session, operator *client.Client,
+	amendment *routing.Amendment) error {
+	document, err := operator.Configuration(ctx)
 	if err != nil {
 		return err
 	}
-	before, err := routing.Parse(document)
+	current, err := routing.Parse(document)
 	if err != nil {
 		return err
 	}
-	if before.Version != c.Base {
-		return errcode.VersionConflict.With("version %d is current, not %d", before.Version, c.Base)
+	if current.Version != c.Base {
+		return errcode.VersionConflict.With("version %d is current, not %d", current.Version, c.Base)
 	}
-	if amendment.Version <= before.Version {
-		return errcode.VersionNotAbove.With("%d is not above %d", amendment.Version, before.Version)
+	if amendment.Version <= current.Version {
+		return errcode.VersionNotAbove.With("%d is not above %d", amendment.Version, current.Version)
 	}
 	if _, err := routing.Parse(amendment.Apply(document)); err != nil {
 		return err
 	}
-	difference := amendment.Changes(document)
-	lines := make([]string, 0, len(difference))
-	for _, change := range difference {
-		lines = append(lines, string(change.Kind)+" "+change.List+" "+change.Name)
+	changes := amendment.Changes(document)
+	texts := make([]string, 0, len(changes))
+	for _, change := range changes {
+		texts = append(texts, string(change.Kind)+" "+change.List+" "+change.Name)
 	}
-	return s.print(difference, lines, nil)
+	return s.print(changes, texts, nil)
 }
 
-// configCheckCommand checks a configuration document without calling anybody.
+// configCheckCommand validates a configuration document without calling the system.
 type configCheckCommand struct {
 	File string `arg:"" type:"existingfile" help:"Configuration document."`
 }
 
-// Run implements the command.
-func (c *configCheckCommand) Run(s *session) error {
-	document, err := os.ReadFile(c.File)
-	if err != nil {
-		return errors.Wrap(err, "read configuration")
-	}
-	table, err := routing.Parse(document)
-	if err != nil {
-		return err
-	}
-	checked := checkedDocument{Version: table.Version, Routes: len(table.Routes()), Services: len(table.Services())}
-	line := fmt.Sprintf("the document is in order: version %d, %d routes, %d services",
-		checked.Version, checked.Routes, checked.Services)
-	return s.print(checked, []string{line}, nil)
-}
-
-// checkedDocument sums up a document that is in order.
-type checkedDocument struct {
+// documentSummary sums up a valid document.
+type documentSummary struct {
 	Version  uint64 `json:"version"`
 	Routes   int    `json:"routes"`
 	Services int    `json:"services"`
 }
 
-// evacuateCommand evacuates a zone or takes that back.
-type evacuateCommand struct {
-	Zone string `arg:"" help:"Zone whose endpoints are to get nothing more."`
-	End  bool   `help:"Take the evacuation back."`
-}
-
 // Run implements the command.
-func (c *evacuateCommand) Run(s *session) error {
-	operator, err := s.operator()
+func (c *configCheckCommand) Run(s *session) error {
+	document, err := os.ReadFile(c.File)
 	if err != nil {
-		return err
-	}
-	change, outcome := operator.Evacuate, "evacuated"
-	if c.End {
-		change, outcome = operator.EndEvacuation, "back in use"
+		return errors.Wrap(err, "read configuration")
 	}
-	if err := change(s.ctx, c.Zone); err != nil {
+	table, err := routing.Parse(document)
+	if err != nil {
 		return err
 	}
-	return s.done(outcome)
-}
-
-// operator is where the session's orders go. The error is errNoControl.
-func (s *session) operator() (*client.Client, error) {
-	if len(s.where.control) == 0 {
-		return nil, errNoControl
+	summary := documentSummary{
+		Version:  table.Version,
+		Routes:   len(table.Routes()),
+		Services: len(table.Services()),
 	}
-	return &client.Client{Addresses: s.where.control}, nil
-}
-
-// acknowledged is the answer to an order that was carried out.
-type acknowledged struct {
-	Acknowledged bool   `json:"acknowledged"`
-	Outcome      string `json:"outcome"`
-}
-
-// done prints that an order was carried out.
-func (s *session) done(outcome string) error {
-	return s.print(acknowledged{Acknowledged: true, Outcome: outcome}, []string{"acknowledged: " + outcome}, nil)
+	line := fmt.Sprintf("the document is in order: version %d, %d routes, %d services",
+		summary.Version, summary.Routes, summary.Services)
+	return s.print(summary, []string{line}, nil)
 }
--- a/cmd/rowanctl/config_test.go
+++ b/cmd/rowanctl/config_test.go
@@ -22,21 +22,21 @@
 // fakeRegister holds a record without replicas. It implements operator.Register.
 type fakeRegister struct {
 	record state.Record
-	fails  error
+	err    error // returned by each call
 }
 
-func (f *fakeRegister) ReplaceConfiguration(_ context.Context, basedOn uint64, c state.Configuration) error {
-	if f.fails == nil && basedOn == f.record.Configuration.Version {
+func (f *fakeRegister) ReplaceConfiguration(_ context.Context, baseVersion uint64, c state.Configuration) error {
+	if f.err == nil && baseVersion == f.record.Configuration.Version {
 		f.record.Configuration = c
 	}
-	return f.fails
+	return f.err
 }
 
-func (f *fakeRegister) AmendConfiguration(_ context.Context, order operator.Amendment) error {
-	if f.fails != nil {
-		return f.fails
+func (f *fakeRegister) AmendConfiguration(_ context.Context, amendment operator.Amendment) error {
+	if f.err != nil {
+		return f.err
 	}
-	amended, err := order.Apply(f.record.Configuration)
+	amended, err := amendment.Apply(f.record.Configuration)
 	if err == nil {
 		f.record.Configuration = amended
 	}
@@ -45,152 +45,155 @@
 
 func (f *fakeRegister) SetEvacuation(_ context.Context, zone string, active bool) error {
 	f.record.Evacuations = []state.Evacuation{{Zone: zone, Active: active}}
-	return f.fails
+	return f.err
 }
 
-func (f *fakeRegister) Read(context.Context) (state.Record, error) { return f.record, f.fails }
+func (f *fakeRegister) Read(context.Context) (state.Record, error) { return f.record, f.err }
 
-// core serves the real operator's API over a register.
-func core(t *testing.T, register *fakeRegister) (address string) {
+// startCore serves the operators' API with a fake register and returns its address.
+func startCore(t *testing.T, register *fakeRegister) (address string) {
+	t.Helper()
 	log := zerolog.Nop()
 	handler := operator.New(operator.Options{Register: register, Regions: map[string]string{"n1": "north"}, Log: &log})
-	return serve(t, handler)
+	return startServer(t, handler)
 }
 
-// serve runs a handler and returns its address.
-func serve(t *testing.T, handler http.Handler) (address string) {
+// startServer serves a handler and returns its address.
+func startServer(t *testing.T, handler http.Handler) (address string) {
+	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// at makes a session that calls the control addresses and prints into the buffer.
-func at(t *testing.T, control ...string) (*session, *bytes.Buffer) {
+// newSession returns a session that calls the control addresses and prints into the buffer.
+func newSession(control ...string) (*session, *bytes.Buffer) {
 	var out bytes.Buffer
-	return &session{ctx: t.Context(), where: targets{control: control}, out: &out}, &out
+	return &session{targets: targets{control: control}, out: &out}, &out
 }
 
-const someDocument = `{"edition":3,"routings":[],"carriers":[]}`
+const testDocument = `{"edition":3,"routings":[],"carriers":[]}`
 
-func documentFile(t *testing.T) string {
+func writeDocument(t *testing.T) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
-	require.NoError(t, os.WriteFile(path, []byte(someDocument), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(testDocument), 0o600))
 	return path
 }
 
-func TestConfigurationIsPutAndReadBack(t *testing.T) {
+func TestConfig_PutAndGet(t *testing.T) {
 	register := &fakeRegister{}
-	s, out := at(t, core(t, register))
-	require.NoError(t, (&configPutCommand{File: documentFile(t)}).Run(s))
+	s, out := newSession(startCore(t, register))
+	require.NoError(t, (&configPutCommand{File: writeDocument(t)}).Run(t.Context(), s))
 	assert.Equal(t, uint64(3), register.record.Configuration.Version)
 	assert.Equal(t, "acknowledged: in force\n", out.String())
 	out.Reset()
-	require.NoError(t, (&configGetCommand{}).Run(s))
-	assert.Equal(t, someDocument+"\n", out.String())
+	require.NoError(t, (&configGetCommand{}).Run(t.Context(), s))
+	assert.Equal(t, testDocument+"\n", out.String())
 }
 
-func amendmentFile(t *testing.T, amendment string) string {
+func writeAmendment(t *testing.T, amendment string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "amendment.json")
 	require.NoError(t, os.WriteFile(path, []byte(amendment), 0o600))
 	return path
 }
 
-func TestConfigurationIsAmended(t *testing.T) {
+func TestConfig_Amend(t *testing.T) {
 	register := &fakeRegister{}
-	s, out := at(t, core(t, register))
-	require.NoError(t, (&configPutCommand{File: documentFile(t)}).Run(s))
-	file := amendmentFile(t, `{"edition":4,"upsert":{"carriers":[{"name":"s"}]},"remove":{"routings":["gone"]}}`)
+	s, out := newSession(startCore(t, register))
+	require.NoError(t, (&configPutCommand{File: writeDocument(t)}).Run(t.Context(), s))
+	file := writeAmendment(t, `{"edition":4,"upsert":{"carriers":[{"name":"s"}]},"remove":{"routings":["gone"]}}`)
 	out.Reset()
-	require.NoError(t, (&configAmendCommand{File: file, Base: 3, DryRun: true}).Run(s))
+	require.NoError(t, (&configAmendCommand{File: file, Base: 3, DryRun: true}).Run(t.Context(), s))
 	assert.Equal(t, "add carriers s\n", out.String())
 	assert.Equal(t, uint64(3), register.record.Configuration.Version, "a dry run changes nothing")
-	require.NoError(t, (&configAmendCommand{File: file, Base: 3}).Run(s))
+	require.NoError(t, (&configAmendCommand{File: file, Base: 3}).Run(t.Context(), s))
 	document, err := register.record.Configuration.Decompress()
 	require.NoError(t, err)
 	assert.Equal(t, `{"edition":4,"routings":[],"carriers":[{"name":"s"}]}`, string(document))
-	assert.ErrorContains(t, (&configAmendCommand{File: file, Base: 3, DryRun: true}).Run(s), "version 4 is current")
-	assert.ErrorContains(t, (&configAmendCommand{File: file, Base: 4, DryRun: true}).Run(s), "not above")
-	assert.ErrorContains(t, (&configAmendCommand{File: amendmentFile(t, `{"edition":5,"upsert":{"routes":[]}}`)}).Run(s), "routes")
+	assert.ErrorContains(t, (&configAmendCommand{File: file, Base: 3, DryRun: true}).Run(t.Context(), s), "version 4 is current")
+	assert.ErrorContains(t, (&configAmendCommand{File: file, Base: 4, DryRun: true}).Run(t.Context(), s), "not above")
+	assert.ErrorContains(t, (&configAmendCommand{File: writeAmendment(t, `{"edition":5,"upsert":{"routes":[]}}`)}).Run(t.Context(), s), "routes")
 }
 
-func TestZoneIsEvacuatedAndTakenBack(t *testing.T) {
+func TestEvacuate_BeginAndEnd(t *testing.T) {
 	register := &fakeRegister{}
-	s, _ := at(t, core(t, register))
-	require.NoError(t, (&evacuateCommand{Zone: "n1"}).Run(s))
+	s, _ := newSession(startCore(t, register))
+	require.NoError(t, (&evacuateCommand{Zone: "n1"}).Run(t.Context(), s))
 	assert.True(t, register.record.Evacuated("n1"))
-	require.NoError(t, (&evacuateCommand{Zone: "n1", End: true}).Run(s))
+	require.NoError(t, (&evacuateCommand{Zone: "n1", End: true}).Run(t.Context(), s))
 	assert.False(t, register.record.Evacuated("n1"))
 }
 
-func TestClearRefusalEndsAtOnce(t *testing.T) {
-	register := &fakeRegister{fails: &errcode.Error{Kind: errcode.Kind{Code: 999, Status: 412, Message: "other base"}}}
+func TestRejection_IsFinal(t *testing.T) {
+	register := &fakeRegister{err: &errcode.Error{Kind: errcode.Kind{Code: 999, Status: 412, Message: "other base"}}}
 	calls := 0
-	other := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls++ }))
-	s, _ := at(t, core(t, register), other)
-	err := (&configPutCommand{File: documentFile(t)}).Run(s)
+	other := startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls++ }))
+	s, _ := newSession(startCore(t, register), other)
+	err := (&configPutCommand{File: writeDocument(t)}).Run(t.Context(), s)
 	assert.ErrorContains(t, err, "other base")
-	assert.Equal(t, exitRefused, exitCode(err))
+	assert.Equal(t, exitRejected, exitCode(err))
 	assert.Zero(t, calls)
 }
 
-// TestUnclearAnswersGoToTheNextCore breaks the first core at each point in turn.
-func TestUnclearAnswersGoToTheNextCore(t *testing.T) {
+// TestFailover makes the first core fail in different ways.
+func TestFailover(t *testing.T) {
 	faults := map[string]http.HandlerFunc{
 		"unavailable":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"too many":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
 		"connection":    func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"half a body":   halfABody,
-		"no such thing": nil,
+		"partial body":  writePartialBody,
+		"not listening": nil,
 	}
 	for name, fault := range faults {
-		first := "127.0.0.1:1" // nobody listens there
+		first := "127.0.0.1:1" // nothing listens there
 		if fault != nil {
-			first = serve(t, fault)
+			first = startServer(t, fault)
 		}
 		register := &fakeRegister{}
-		s, _ := at(t, first, core(t, register))
-		require.NoError(t, (&evacuateCommand{Zone: "n1"}).Run(s), name)
+		s, _ := newSession(first, startCore(t, register))
+		require.NoError(t, (&evacuateCommand{Zone: "n1"}).Run(t.Context(), s), name)
 		assert.True(t, register.record.Evacuated("n1"), name)
 	}
 }
 
-func halfABody(w http.ResponseWriter, _ *http.Request) {
+func writePartialBody(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	_, _ = w.Write([]byte("{"))
 }
 
-func TestRedirectIsFollowedWithTheBody(t *testing.T) {
+func TestRedirect_IsFollowedWithTheBody(t *testing.T) {
 	register := &fakeRegister{}
-	second := core(t, register)
-	first := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	second := startCore(t, register)
+	first := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, "http://"+second+r.URL.Path, http.StatusTemporaryRedirect)
 	}))
-	s, _ := at(t, first)
-	require.NoError(t, (&configPutCommand{File: documentFile(t)}).Run(s))
+	s, _ := newSession(first)
+	require.NoError(t, (&configPutCommand{File: writeDocument(t)}).Run(t.Context(), s))
 	assert.Equal(t, uint64(3), register.record.Configuration.Version)
 }
 
-func TestOrderEndsWithTheTime(t *testing.T) {
-	s, _ := at(t, serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func TestTimeout_IsInDoubt(t *testing.T) {
+	s, _ := newSession(startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})))
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	s.ctx = ended
-	err := (&evacuateCommand{Zone: "n1"}).Run(s)
+	err := (&evacuateCommand{Zone: "n1"}).Run(ended, s)
 	assert.ErrorContains(t, err, "no clear answer")
-	assert.Equal(t, exitUnclear, exitCode(err))
-	s.where = targets{}
-	assert.ErrorIs(t, (&configGetCommand{}).Run(s), errNoControl)
+	assert.Equal(t, exitInDoubt, exitCode(err))
+	s.targets = targets{}
+	assert.ErrorIs(t, (&configGetCommand{}).Run(ended, s), errNoControlAddress)
 }
 
-func TestDocumentIsCheckedWithoutACall(t *testing.T) {
-	s, out := at(t)
-	require.NoError(t, (&configCheckCommand{File: documentFile(t)}).Run(s))
+func TestConfig_CheckCallsNobody(t *testing.T) {
+	s, out := newSession()
+	require.NoError(t, (&configCheckCommand{File: writeDocument(t)}).Run(s))
 	assert.Equal(t, "the document is in order: version 3, 0 routes, 0 services\n", out.String())
-	wrong := filepath.Join(t.TempDir(), "wrong.json")
-	require.NoError(t, os.WriteFile(wrong, []byte(`{"edition":3,"routings":[{"carrier":"absent"}]}`), 0o600))
-	err := (&configCheckCommand{File: wrong}).Run(s)
+	invalid := filepath.Join(t.TempDir(), "invalid.json")
+	require.NoError(t, os.WriteFile(invalid, []byte(`{"edition":3,"routings":[{"carrier":"absent"}]}`), 0o600))
+	err := (&configCheckCommand{File: invalid}).Run(s)
 	assert.ErrorContains(t, err, "station")
 	assert.Equal(t, exitFailed, exitCode(err))
 }
--- /dev/null
+++ b/cmd/rowanctl/duties.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"context"
+	"strconv"
+
+	"rowanlink/serving/introspect"
+)
+
+// dutiesCommand lists the singleton roles.
+type dutiesCommand struct{}
+
+// dutyRow describes a singleton role.
+type dutyRow struct {
+	Role   string `json:"duty"`
+	Holder string `json:"holder,omitempty"`
+	Epoch  uint64 `json:"epoch"`
+}
+
+func (r dutyRow) cells() []string {
+	return []string{r.Role, orNoValue(r.Holder), strconv.FormatUint(r.Epoch, 10)}
+}
+
+// Run implements the command.
+func (c *dutiesCommand) Run(ctx context.Context, s *session) error {
+	report, err := s.firstReport(ctx, introspect.Request{IncludeTables: true})
+	if err != nil {
+		return err
+	}
+	rows := make([]dutyRow, 0, len(report.SingletonClaims))
+	for _, claim := range report.SingletonClaims {
+		rows = append(rows, dutyRow{Role: claim.Role, Holder: claim.Holder, Epoch: claim.Epoch})
+	}
+	return printTable(s, []string{"DUTY", "HOLDER", "EPOCH"}, rows)
+}
--- a/cmd/rowanctl/main.go
+++ b/cmd/rowanctl/main.go
@@ -1,5 +1,5 @@
-// Command rowanctl is the operators' command line: it reads and changes the configuration, evacuates zones, and
-// shows what the members of the system know.
+// Command rowanctl is the operators' command line: it reads and changes the configuration, evacuates zones, and shows
+// what the members of the system know.
 package main
 
 import (
@@ -18,8 +18,8 @@
 	"rowanlink/serving/process"
 )
 
-// grammar is the command line.
-type grammar struct {
+// commandLine holds the flags and commands.
+type commandLine struct {
 	Control  []string         `help:"Control addresses (host:port) of the system; more than one are tried in turn." env:"ROWANLINK_CONTROL" placeholder:"ADDRESS"`
 	Inner    []string         `help:"Addresses (host:port) at which a member takes other members' calls; needed where --settings is not given." env:"ROWANLINK_INNER" placeholder:"ADDRESS"`
 	Settings string           `help:"Settings file of a process: its seeds stand in for --control and --inner." env:"ROWANLINK_SETTINGS" type:"path"`
@@ -32,31 +32,30 @@
 	Members       membersCommand   `cmd:"" help:"List the members of the system."`
 	Endpoints     endpointsCommand `cmd:"" help:"List the endpoints."`
 	Replicas      replicasCommand  `cmd:"" help:"List the replicas of the configuration and evacuations."`
-	Duties        dutiesCommand    `cmd:"" help:"List the singleton duties and who does them."`
+	Duties        dutiesCommand    `cmd:"" help:"List the singleton roles and the members that hold them."`
 	Versions      versionsCommand  `cmd:"" help:"List which record and configuration each member has."`
 	CheckSettings settingsCommand  `cmd:"" name:"settings" help:"Check the settings file of a process."`
 }
 
-// offlineCommands begin with these words: they call nobody, and a settings file that is wrong doesn't keep them from
-// saying so.
+// offlineCommands are the prefixes of commands that call nobody. They must work without a valid settings file: one of
+// them checks such files.
 var offlineCommands = []string{"settings check", "config check"}
 
-// session is what each command gets: where to call, how long, and where to print.
+// session holds what commands use: the addresses to call and the form of the output.
 type session struct {
-	ctx   context.Context
-	where targets
-	out   io.Writer
-	json  bool
+	targets targets
+	out     io.Writer
+	json    bool
 }
 
-// description stands at the top of the help.
+// description is the head of the help text.
 const description = `Operate a rowanlink serving system.
 
 Exit codes: 0 done; 1 failed, nothing was changed; 3 refused, nothing was changed; 4 no clear answer in time, the order
 may or may not be in force: send it again unchanged; 80 the command line is wrong.`
 
 func main() {
-	var line grammar
+	var line commandLine
 	parsed := kong.Parse(&line, kong.Name("rowanctl"), kong.Description(description),
 		kong.Vars{"version": process.Version()}, kong.ShortUsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, NoExpandSubcommands: false}))
@@ -66,38 +65,39 @@
 	}
 }
 
-// run carries the command out.
-func run(line *grammar, parsed *kong.Context) error {
-	offline := slices.ContainsFunc(offlineCommands, func(command string) bool {
-		return strings.HasPrefix(parsed.Command(), command)
+// run runs the parsed command.
+func run(line *commandLine, parsed *kong.Context) error {
+	isOffline := slices.ContainsFunc(offlineCommands, func(prefix string) bool {
+		return strings.HasPrefix(parsed.Command(), prefix)
 	})
-	var where targets
-	if !offline {
+	s := &session{out: os.Stdout, json: line.JSON}
+	if !isOffline {
 		var err error
-		if where, err = line.targets(); err != nil {
+		if s.targets, err = line.targets(); err != nil {
 			return err
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), line.Timeout)
 	defer cancel()
-	return parsed.Run(&session{ctx: ctx, where: where, out: os.Stdout, json: line.JSON})
+	parsed.BindTo(ctx, (*context.Context)(nil))
+	return parsed.Run(s)
 }
 
-// Exit codes; kong's own is 80, for a command line that is wrong.
+// Exit codes. kong's own is 80, for an invalid command line.
 const (
-	exitFailed  = 1
-	exitRefused = 3
-	exitUnclear = 4
+	exitFailed   = 1
+	exitRejected = 3
+	exitInDoubt  = 4
 )
 
-// exitCode is the code with which the command ends over an error.
+// exitCode returns the exit code for an error of a command.
 func exitCode(err error) int {
-	var refusal *client.RejectedError
+	var rejected *client.RejectedError
 	switch {
 	case errors.Is(err, client.ErrInDoubt):
-		return exitUnclear
-	case errors.As(err, &refusal):
-		return exitRefused
+		return exitInDoubt
+	case errors.As(err, &rejected):
+		return exitRejected
 	default:
 		return exitFailed
 	}
--- a/cmd/rowanctl/tables_test.go
+++ b/cmd/rowanctl/members_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -14,8 +15,8 @@
 	"rowanlink/serving/state"
 )
 
-// someReport is what the member at an address reports.
-func someReport(address string) introspect.Report {
+// newTestReport returns the report of the member at an address.
+func newTestReport(address string) introspect.Report {
 	report := introspect.Report{Self: state.Member{Name: "a", Address: address}}
 	report.SetRecord(&state.Record{Revision: 5, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}},
@@ -35,21 +36,24 @@
 	return report
 }
 
-// member serves a report and returns a session that asks it, after an address where nobody listens.
-func member(t *testing.T) (*session, func() string) {
+// startMember serves a report and returns a session that calls an address where nothing listens, then the member.
+func startMember(t *testing.T) (*session, func() string) {
+	t.Helper()
 	mux := http.NewServeMux()
-	address := serve(t, mux)
-	introspect.Serve(mux, func(request introspect.Request) introspect.Report { return someReport(address) })
-	s, out := at(t)
-	s.where.inner = []string{"127.0.0.1:1", address}
+	address := startServer(t, mux)
+	introspect.Serve(mux, func(request introspect.Request) introspect.Report { return newTestReport(address) })
+	s, out := newSession()
+	s.targets.inner = []string{"127.0.0.1:1", address}
 	return s, out.String
 }
 
 func TestTables(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		command interface{ Run(*session) error }
-		want    []string
+		command interface {
+			Run(ctx context.Context, s *session) error
+		}
+		want []string
 	}{
 		{"members", &membersCommand{}, []string{"ready  n1", "down   n2", "10.0.0.1:80", "core   learner  ready",
 			"core   voter    down"}},
@@ -59,44 +63,44 @@
 		{"duties", &dutiesCommand{}, []string{"loads  a       7"}},
 		{"versions", &versionsCommand{}, []string{"a       5         9", "n1", "c       -", "no answer"}},
 	} {
-		s, printed := member(t)
-		require.NoError(t, test.command.Run(s), test.name)
+		s, printed := startMember(t)
+		require.NoError(t, test.command.Run(t.Context(), s), test.name)
 		for _, want := range test.want {
 			assert.Contains(t, printed(), want, test.name)
 		}
 	}
 }
 
-func TestEndpointsOfOneService(t *testing.T) {
-	s, printed := member(t)
+func TestEndpoints_OfOneService(t *testing.T) {
+	s, printed := startMember(t)
 	s.json = true
-	require.NoError(t, (&endpointsCommand{Service: "other"}).Run(s))
+	require.NoError(t, (&endpointsCommand{Service: "other"}).Run(t.Context(), s))
 	assert.Contains(t, printed(), `"id": "e2"`)
 	assert.Contains(t, printed(), `"state": "closing"`)
 	assert.NotContains(t, printed(), `"e1"`)
 }
 
-func TestAddressesComeFromASettingsFile(t *testing.T) {
+func TestTargets_FromASettingsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.conf")
 	content := "node_name=n\nip_addr=10.0.0.1\nzone=z\nregion=r\nport_range=7000,7001\nseed_nodes=10.0.0.2:80\n"
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
-	where, err := (&grammar{Settings: path}).targets()
+	addresses, err := (&commandLine{Settings: path}).targets()
 	require.NoError(t, err)
-	assert.Equal(t, targets{control: []string{"10.0.0.2:80"}, inner: []string{"10.0.0.1:7000", "10.0.0.2:7000"}}, where)
+	assert.Equal(t, targets{control: []string{"10.0.0.2:80"}, inner: []string{"10.0.0.1:7000", "10.0.0.2:7000"}}, addresses)
 
-	where, err = (&grammar{Settings: path, Control: []string{"c:1"}, Inner: []string{"i:1"}}).targets()
+	addresses, err = (&commandLine{Settings: path, Control: []string{"c:1"}, Inner: []string{"i:1"}}).targets()
 	require.NoError(t, err)
-	assert.Equal(t, targets{control: []string{"c:1"}, inner: []string{"i:1"}}, where)
+	assert.Equal(t, targets{control: []string{"c:1"}, inner: []string{"i:1"}}, addresses)
 
-	_, err = (&grammar{Settings: filepath.Join(t.TempDir(), "absent")}).targets()
+	_, err = (&commandLine{Settings: filepath.Join(t.TempDir(), "absent")}).targets()
 	assert.Error(t, err)
-	s, _ := at(t)
-	assert.ErrorIs(t, (&membersCommand{}).Run(s), errNoInner)
+	s, _ := newSession()
+	assert.ErrorIs(t, (&membersCommand{}).Run(t.Context(), s), errNoInnerAddress)
 }
 
-func TestSettingsCheckTellsWhatIsWrong(t *testing.T) {
+func TestSettings_CheckReportsErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.conf")
 	require.NoError(t, os.WriteFile(path, []byte("zone=z\n"), 0o600))
-	s, _ := at(t)
+	s, _ := newSession()
 	assert.ErrorContains(t, (&settingsCheckCommand{File: path}).Run(s), "port_range is missing")
 }
--- a/cmd/rowanctl/names.go
+++ b/cmd/rowanctl/names.go
@@ -7,7 +7,7 @@
 
 var roleNames = map[state.Role]string{state.RoleAgent: "agent", state.RoleCore: "core"}
 
-var stateNames = map[state.MemberState]string{
+var memberStateNames = map[state.MemberState]string{
 	state.MemberStarting: "starting",
 	state.MemberReady:    "ready",
 	state.MemberLeaving:  "leaving",
@@ -20,22 +20,22 @@
 	state.EndpointDeparted:  "gone",
 }
 
-// Words for the states of members that these don't tell themselves.
+// Names for states of members that the members don't report themselves.
 const (
-	downState    = "down"
-	unknownState = "unknown"
+	stateDown    = "down"
+	stateUnknown = "unknown"
 )
 
-// stateOf names the state of a member.
-func stateOf(known introspect.Member) string {
-	if known.Down {
-		return downState
+// memberStateName returns the name of a member's state.
+func memberStateName(member introspect.Member) string {
+	if member.Down {
+		return stateDown
 	}
-	return stateNames[known.Member.State]
+	return memberStateNames[member.Member.State]
 }
 
-// lifeOf names the state of an endpoint.
-func lifeOf(endpoint state.Endpoint) string {
+// endpointStateName returns the name of an endpoint's state.
+func endpointStateName(endpoint state.Endpoint) string {
 	name := endpointStateNames[endpoint.State]
 	if endpoint.Unresponsive {
 		return name + ", silent"
--- a/cmd/rowanctl/replicas.go
+++ b/cmd/rowanctl/replicas.go
@@ -1,77 +1,101 @@
 package main
 
 import (
+	"context"
 	"strconv"
 
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/state"
 )
 
-// Words for what a replica does in the register.
+// The parts that replicas have in the register.
 const (
-	voterPart   = "voter"
-	learnerPart = "learner"
+	partVoter   = "voter"
+	partLearner = "learner"
 )
 
 // replicasCommand lists the replicas of the register: the voters, and the core members that are learners.
 type replicasCommand struct{}
 
-// replicaLine is one replica's line.
-type replicaLine struct {
+// replicaRow describes a replica.
+type replicaRow struct {
 	ID      string `json:"id,omitempty"` // of a voter
-	Part    string `json:"part"`
-	Address string `json:"address"` // for calls between the system's processes
+	Part    string `json:"part"`         // voter or learner
+	Address string `json:"address"`      // for calls between the system's processes
 	Member  string `json:"member,omitempty"`
 	State   string `json:"state"` // of the member
 	Epoch   uint64 `json:"epoch"` // of the set of voters
 }
 
+func (r replicaRow) cells() []string {
+	epoch := strconv.FormatUint(r.Epoch, 10)
+	return []string{orNoValue(r.ID), r.Part, r.Address, orNoValue(r.Member), r.State, epoch}
+}
+
 // Run implements the command.
-func (c *replicasCommand) Run(s *session) error {
-	report, err := s.report(introspect.Request{IncludeTables: true})
+func (c *replicasCommand) Run(ctx context.Context, s *session) error {
+	report, err := s.firstReport(ctx, introspect.Request{IncludeTables: true})
 	if err != nil {
 		return err
 	}
-	lines := make([]replicaLine, 0, len(report.Voters.Replicas))
-	var rows [][]string
-	for _, replica := range report.Voters.Replicas {
-		line := replicaLine{ID: replica.ID, Part: voterPart, Address: replica.Address, State: unknownState, Epoch: report.Voters.Epoch}
-		if known, found := memberAt(report, replica.Address); found {
-			line.Member, line.State = known.Member.Name, stateOf(known)
+	rows := append(voterRows(report), learnerRows(report)...)
+	return printTable(s, []string{"ID", "PART", "ADDRESS", "MEMBER", "STATE", "EPOCH"}, rows)
+}
+
+func voterRows(report *introspect.Report) []replicaRow {
+	rows := make([]replicaRow, 0, len(report.Voters.Replicas))
+	for _, voter := range report.Voters.Replicas {
+		row := replicaRow{
+			ID:      voter.ID,
+			Part:    partVoter,
+			Address: voter.Address,
+			State:   stateUnknown,
+			Epoch:   report.Voters.Epoch,
 		}
-		lines = append(lines, line)
-	}
-	for _, known := range report.Members {
-		if partOf(report, known.Member) == learnerPart {
-			lines = append(lines, replicaLine{Part: learnerPart, Address: known.Member.Address, Member: known.Member.Name,
-				State: stateOf(known), Epoch: report.Voters.Epoch})
+		if member, found := memberAt(report, voter.Address); found {
+			row.Member = member.Member.Name
+			row.State = memberStateName(member)
 		}
+		rows = append(rows, row)
 	}
-	for _, line := range lines {
-		rows = append(rows, []string{orUnknown(line.ID), line.Part, line.Address, orUnknown(line.Member), line.State,
-			strconv.FormatUint(line.Epoch, 10)})
+	return rows
+}
+
+func learnerRows(report *introspect.Report) (rows []replicaRow) {
+	for _, member := range report.Members {
+		if registerPart(report, member.Member) != partLearner {
+			continue
+		}
+		rows = append(rows, replicaRow{
+			Part:    partLearner,
+			Address: member.Member.Address,
+			Member:  member.Member.Name,
+			State:   memberStateName(member),
+			Epoch:   report.Voters.Epoch,
+		})
 	}
-	return s.print(lines, []string{"ID", "PART", "ADDRESS", "MEMBER", "STATE", "EPOCH"}, rows)
+	return rows
 }
 
-// partOf names what a member does in the register; empty for one that has no replica, and while no voters are known.
-func partOf(report *introspect.Report, member state.Member) string {
+// registerPart returns the part that a member has in the register; empty for one without a replica, and while the voters
+// are unknown.
+func registerPart(report *introspect.Report, member state.Member) string {
 	if member.Role != state.RoleCore || len(report.Voters.Replicas) == 0 {
 		return ""
 	}
 	for _, voter := range report.Voters.Replicas {
 		if voter.Address == member.Address {
-			return voterPart
+			return partVoter
 		}
 	}
-	return learnerPart
+	return partLearner
 }
 
-// memberAt finds the member that takes calls at an address.
+// memberAt returns the member with an address.
 func memberAt(report *introspect.Report, address string) (introspect.Member, bool) {
-	for _, known := range report.Members {
-		if known.Member.Address == address {
-			return known, true
+	for _, member := range report.Members {
+		if member.Member.Address == address {
+			return member, true
 		}
 	}
 	return introspect.Member{}, false
--- a/cmd/rowanctl/targets.go
+++ b/cmd/rowanctl/targets.go
@@ -3,44 +3,53 @@
 import (
 	"github.com/cockroachdb/errors"
 
+	"rowanlink/serving/operator/client"
 	"rowanlink/serving/settings"
 )
 
+// Errors of commands without an address to call.
+var (
+	errNoControlAddress = errors.New("no control address: give --control or --settings")
+	errNoInnerAddress   = errors.New("no member address: give --inner or --settings")
+)
+
 // targets are the addresses that a command may call, host:port.
 type targets struct {
-	control []string // of the operator's API
+	control []string // of the operators' API
 	inner   []string // for calls between the system's processes
 }
 
-// targets takes the addresses from the flags, and what they lack from a settings file.
-func (g *grammar) targets() (targets, error) {
-	where := targets{control: g.Control, inner: g.Inner}
-	if g.Settings == "" {
-		return where, nil
+// targets returns the addresses in the flags and, for a flag that isn't set, those in the settings file.
+func (l *commandLine) targets() (targets, error) {
+	addresses := targets{control: l.Control, inner: l.Inner}
+	if l.Settings == "" {
+		return addresses, nil
 	}
-	process, err := settings.Load(g.Settings)
+	processSettings, err := settings.Load(l.Settings)
 	if err != nil {
-		return where, err
+		return addresses, err
 	}
-	if len(where.control) == 0 {
-		where.control = process.Seeds
+	if len(addresses.control) == 0 {
+		addresses.control = processSettings.Seeds
 	}
-	if len(where.inner) > 0 {
-		return where, nil
+	if len(addresses.inner) > 0 {
+		return addresses, nil
 	}
-	where.inner = []string{process.InnerAddress()}
-	for _, seed := range process.Seeds {
-		address, err := process.InnerAddressOf(seed)
+	addresses.inner = []string{processSettings.InnerAddress()}
+	for _, seed := range processSettings.Seeds {
+		address, err := processSettings.InnerAddressOf(seed)
 		if err != nil {
-			return where, errors.Wrap(err, "seed")
+			return addresses, errors.Wrap(err, "seed")
 		}
-		where.inner = append(where.inner, address)
+		addresses.inner = append(addresses.inner, address)
 	}
-	return where, nil
+	return addresses, nil
 }
 
-// errNoControl and errNoInner tell which flag is missing.
-var (
-	errNoControl = errors.New("no control address: give --control or --settings")
-	errNoInner   = errors.New("no member address: give --inner or --settings")
-)
+// operatorClient returns a client of the operators' API. The error is errNoControlAddress.
+func (s *session) operatorClient() (*client.Client, error) {
+	if len(s.targets.control) == 0 {
+		return nil, errNoControlAddress
+	}
+	return &client.Client{Addresses: s.targets.control}, nil
+}
