--- a/test/fake/portalloc/portalloc.go
+++ b/test/fake/portalloc/portalloc.go
@@ -1,6 +1,5 @@
-// Package portalloc keeps loopback ports for stand-ins, for tests only. A port that was asked for stays bound as
-// long as it is kept, so that no other process gets it while nobody listens: whoever connects then is
-// refused, as on a machine whose process has ended.
+// Package portalloc reserves loopback ports for tests. A reserved port stays bound until it is closed, so that no other
+// process gets it while nobody listens: connections are refused then, as on a machine whose process has ended.
 package portalloc
 
 import (
@@ -16,12 +15,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Port is one kept port. A process that binds with SO_REUSEADDR, as Go's listeners do, may listen on it.
+const closed = -1 // in place of a file descriptor
+
+// Port is a reserved port. A process that binds with SO_REUSEADDR, as Go's listeners do, may listen on it.
 type Port struct {
 	Addr string
 
 	mu      sync.Mutex
-	fd      int
+	fd      int // of the socket that reserves the port
 	hanging *hangingListener
 }
 
@@ -38,49 +39,59 @@
 	return &Port{Addr: fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), fd: fd}, nil
 }
 
-// bindSocket is a socket that is bound and doesn't listen.
-func bindSocket(number int) (int, error) {
+// bindSocket returns a socket that is bound to a loopback port and doesn't listen. Port 0 is any free one.
+func bindSocket(port int) (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, err
+		return closed, err
 	}
-	if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err == nil {
-		err = unix.Bind(fd, &unix.SockaddrInet4{Port: number, Addr: [4]byte{127, 0, 0, 1}})
+	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	if err == nil {
+		err = unix.Bind(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err != nil {
-		return -1, errors.Join(err, unix.Close(fd))
+		return closed, errors.Join(err, unix.Close(fd))
 	}
 	return fd, nil
 }
 
-// Listen takes connections. While one listener is open, a second is an error.
-func (p *Port) Listen() (on net.Listener, err error) {
+// Listen returns a listener on the port. A second one, while the first is open, is an error.
+func (p *Port) Listen() (listener net.Listener, err error) {
 	err = retryWhileInUse(func() error {
-		on, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.Addr)
+		listener, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.Addr)
 		return err
 	})
-	return on, err
+	return listener, err
 }
 
-// retryWhileInUse tries again for a while where a listener seems to stand there: one that was closed lives on in a
-// process that is just being started, until that has begun its own program.
+// retryWhileInUse retries for a while if the address is in use: the descriptor of a listener that was closed lives on
+// in a process that is being started, until that has executed its own program.
 func retryWhileInUse(try func() error) (err error) {
-	for range 100 {
+	const attempts, delay = 100, 5 * time.Millisecond
+	for range attempts {
 		if err = try(); !errors.Is(err, unix.EADDRINUSE) {
 			return err
 		}
-		time.Sleep(5 * time.Millisecond)
+		time.Sleep(delay)
 	}
 	return err
 }
 
-// hangingListener is a listener whose queue is full: what connects gets no answer at all, as where a machine is cut off.
+// hangingListener is a listener whose queue is full: a connection to it gets no answer at all, as to a machine behind a
+// partition.
 type hangingListener struct {
 	file   *os.File
-	filler net.Conn
+	filler net.Conn // fills the queue
 }
 
-// Hang has those who connect wait for nothing, until Free. Nobody may listen meanwhile.
+func (h *hangingListener) close() {
+	_ = h.file.Close()
+	if h.filler != nil {
+		_ = h.filler.Close()
+	}
+}
+
+// Hang leaves connections to the port without an answer, until Refuse. Nobody may listen on it meanwhile.
 func (p *Port) Hang() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,18 +102,18 @@
 	if err != nil {
 		return err
 	}
-	number, err := strconv.Atoi(text)
+	port, err := strconv.Atoi(text)
 	if err != nil {
 		return err
 	}
 	return retryWhileInUse(func() error {
-		fd, err := bindSocket(number)
+		fd, err := bindSocket(port)
 		if err != nil {
 			return err
 		}
 		p.hanging = &hangingListener{file: os.NewFile(uintptr(fd), "hung")}
 		if err = unix.Listen(fd, 0); err == nil {
-			p.hanging.filler, err = net.Dial("tcp", p.Addr)
+			p.hanging.filler, err = (&net.Dialer{}).DialContext(context.Background(), "tcp", p.Addr)
 		}
 		if err != nil {
 			p.stopHanging()
@@ -111,7 +122,7 @@
 	})
 }
 
-// Refuse ends Hang: what connects is refused again.
+// Refuse ends Hang: connections are refused again.
 func (p *Port) Refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,10 +133,7 @@
 	if p.hanging == nil {
 		return
 	}
-	p.hanging.file.Close()
-	if p.hanging.filler != nil {
-		p.hanging.filler.Close()
-	}
+	p.hanging.close()
 	p.hanging = nil
 }
 
@@ -134,10 +142,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopHanging()
-	if p.fd < 0 {
+	if p.fd == closed {
 		return nil
 	}
 	fd := p.fd
-	p.fd = -1
+	p.fd = closed
 	return unix.Close(fd)
 }
--- a/test/fake/portalloc/portalloc_test.go
+++ b/test/fake/portalloc/portalloc_test.go
@@ -13,24 +13,30 @@
 	"rowanlink/test/fake/portalloc"
 )
 
-// Guards against a port that another process gets between two listeners, and against a cut that is a refusal.
+// dial connects to an address, and returns the error of it within a time.
+func dial(t *testing.T, addr string, timeout time.Duration) error {
+	t.Helper()
+	conn, err := (&net.Dialer{Timeout: timeout}).DialContext(t.Context(), "tcp", addr)
+	if err == nil {
+		_ = conn.Close()
+	}
+	return err
+}
+
 func TestPort_RefusesHangsAndListens(t *testing.T) {
 	p, err := portalloc.Reserve()
 	require.NoError(t, err)
-	defer p.Close()
+	defer func() { assert.NoError(t, p.Close()) }()
 	for range 3 {
-		_, err = net.Dial("tcp", p.Addr)
-		assert.ErrorIs(t, err, syscall.ECONNREFUSED)
+		assert.ErrorIs(t, dial(t, p.Addr, 0), syscall.ECONNREFUSED)
 		l, err := p.Listen()
 		require.NoError(t, err)
-		c, err := net.Dial("tcp", p.Addr)
-		require.NoError(t, err)
-		c.Close()
+		require.NoError(t, dial(t, p.Addr, 0))
 		_, err = p.Listen()
-		assert.Error(t, err, "another listener stands there")
-		l.Close()
+		assert.Error(t, err, "there is a listener already")
+		require.NoError(t, l.Close())
 		require.NoError(t, p.Hang())
-		_, err = net.DialTimeout("tcp", p.Addr, 200*time.Millisecond)
+		err = dial(t, p.Addr, 200*time.Millisecond)
 		assert.True(t, os.IsTimeout(err), err)
 		p.Refuse()
 	}
--- a/test/integration/subprocess/log.go
+++ b/test/integration/subprocess/log.go
@@ -8,39 +8,49 @@
 	"time"
 )
 
-// Line is one that a program wrote, and when it came.
+// Line is a line that a program wrote.
 type Line struct {
-	At   time.Time
+	At   time.Time // when it was read
 	Text string
 }
 
-// Log is all that a program wrote, over all its lives.
+// ContainsAll reports whether the line contains all the parts.
+func (l Line) ContainsAll(parts ...string) bool {
+	for _, p := range parts {
+		if !strings.Contains(l.Text, p) {
+			return false
+		}
+	}
+	return l.Text != ""
+}
+
+// Log is the output of a program, over all its runs. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
-	partial []byte
+	partial []byte // of a line that isn't complete yet
 	lines   []Line
 	changed chan struct{} // closed at the next line
 }
 
-// NewLog returns an empty one.
+// NewLog returns an empty log.
 func NewLog() *Log { return &Log{changed: make(chan struct{})} }
 
-// Write takes what the process writes.
+// Write adds what a process writes.
 func (l *Log) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.partial = append(l.partial, b...)
 	for {
-		i := bytes.IndexByte(l.partial, '\n')
-		if i < 0 {
+		end := bytes.IndexByte(l.partial, '\n')
+		if end < 0 {
 			return len(b), nil
 		}
-		l.add(string(l.partial[:i]))
-		l.partial = l.partial[i+1:]
+		l.add(string(l.partial[:end]))
+		l.partial = l.partial[end+1:]
 	}
 }
 
-// Annotate adds a line of the harness's own, so that faults stand among what they cause.
+// Annotate adds a line of the test's own, so that faults appear beside what they cause.
 func (l *Log) Annotate(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,19 +63,20 @@
 	l.changed = make(chan struct{})
 }
 
-// Offset is where the next line will stand: Find and Await can start there.
+// Offset returns the offset of the next line, for Find, FindAll and Await.
 func (l *Log) Offset() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.lines)
 }
 
-// Find is the first line from a mark on that has all parts in it.
+// Find returns the first line from an offset on that contains all the parts.
 func (l *Log) Find(from int, parts ...string) (Line, bool) {
 	line, _, _ := l.find(from, parts)
 	return line, line.Text != ""
 }
 
+// find also returns the offset of the next line, and a channel that is closed once there is one.
 func (l *Log) find(from int, parts []string) (Line, int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,52 +88,43 @@
 	return Line{}, len(l.lines), l.changed
 }
 
-// ContainsAll tells whether the line has all parts in it.
-func (l Line) ContainsAll(parts ...string) bool {
-	for _, p := range parts {
-		if !strings.Contains(l.Text, p) {
-			return false
-		}
-	}
-	return l.Text != ""
-}
-
-// FindAll are the lines from a mark on that have all parts in them.
-func (l *Log) FindAll(from int, parts ...string) (all []Line) {
+// FindAll returns the lines from an offset on that contain all the parts.
+func (l *Log) FindAll(from int, parts ...string) (found []Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range l.lines[min(from, len(l.lines)):] {
 		if line.ContainsAll(parts...) {
-			all = append(all, line)
+			found = append(found, line)
 		}
 	}
-	return all
+	return found
 }
 
-// Await waits for a line from a mark on that has all parts in it; false: none came within that time.
-func (l *Log) Await(from int, within time.Duration, parts []string) (Line, bool) {
-	timer := time.NewTimer(within)
+// Await waits for a line from an offset on that contains all the parts, and returns false if there is none within a
+// time.
+func (l *Log) Await(from int, timeout time.Duration, parts []string) (Line, bool) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		line, seen, more := l.find(from, parts)
+		line, next, changed := l.find(from, parts)
 		if line.Text != "" {
 			return line, true
 		}
-		from = max(from, seen)
+		from = max(from, next)
 		select {
-		case <-more:
+		case <-changed:
 		case <-timer.C:
 			return Line{}, false
 		}
 	}
 }
 
-// Tail is the last lines, for whoever reads a failure.
-func (l *Log) Tail(most int) string {
+// Tail returns the last lines, for a reader of a failure.
+func (l *Log) Tail(limit int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := &strings.Builder{}
-	for _, line := range l.lines[max(0, len(l.lines)-most):] {
+	for _, line := range l.lines[max(0, len(l.lines)-limit):] {
 		fmt.Fprintf(out, "  %s %s\n", line.At.Format("05.000"), line.Text)
 	}
 	return out.String()
--- a/test/procstate/procstate.go
+++ b/test/procstate/procstate.go
@@ -1,4 +1,4 @@
-// Package procstate tells, for tests, when a process that was sent SIGSTOP stands still.
+// Package procstate tells, for tests, whether a process that was sent SIGSTOP has stopped.
 package procstate
 
 import (
@@ -8,20 +8,19 @@
 	"path/filepath"
 )
 
-// AllThreadsStopped tells whether each thread of a process stands still. Guards against a test that takes a process as
-// stopped once the signal was sent: its other threads run on until one of them has taken the signal, which
-// can be milliseconds on a machine with other work.
+// AllThreadsStopped reports whether every thread of a process is stopped. A process is not stopped once the signal is
+// sent: its other threads run on until one of them has taken the signal, which can be milliseconds on a busy machine.
 func AllThreadsStopped(pid int) bool {
-	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
-	for _, path := range all {
+	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
+	for _, path := range paths {
 		stat, err := os.ReadFile(path)
 		if os.IsNotExist(err) {
 			continue // a thread that has ended meanwhile
 		}
-		name := bytes.LastIndexByte(stat, ')')
-		if err != nil || name < 0 || !bytes.HasPrefix(stat[name:], []byte(") T")) {
+		nameEnd := bytes.LastIndexByte(stat, ')') // the name may contain anything
+		if err != nil || nameEnd < 0 || !bytes.HasPrefix(stat[nameEnd:], []byte(") T")) {
 			return false
 		}
 	}
-	return err == nil && len(all) > 0
+	return err == nil && len(paths) > 0
 }
