--- a/test/integration/cluster/diskfull_test.go
+++ b/test/integration/cluster/diskfull_test.go
@@ -35,7 +35,7 @@
 			}
 			m.AwaitLogFrom(mark, "file too large")
 			sleepTTLs(2)
-			assert.True(t, m.Running())
+			assert.True(t, m.IsRunning())
 			m.LimitFileSize(0)
 			f.AwaitStable()
 			awaitOperations(f)
@@ -55,7 +55,7 @@
 			m.Kill()
 		}
 		for _, m := range f.Members {
-			if m.Running() {
+			if m.IsRunning() {
 				m.AwaitLogFrom(marks[m], "session over")
 			}
 		}
--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -167,7 +167,7 @@
 			}
 		}
 		for _, m := range f.Members {
-			if m.Running() {
+			if m.IsRunning() {
 				m.AwaitLogFrom(marks[m], "session over")
 			}
 		}
@@ -176,7 +176,7 @@
 		assert.Len(t, f.LeaseChecker.Operations(checkedResource), n, "%s: deeds without a majority", how)
 		f.Network.Heal()
 		for _, m := range gone {
-			if !m.Running() {
+			if !m.IsRunning() {
 				m.Start()
 			}
 		}
--- a/test/integration/cluster/owner_test.go
+++ b/test/integration/cluster/owner_test.go
@@ -123,6 +123,6 @@
 		entry.Kill()
 		f.Network.Heal()
 		entry.Start()
-		require.True(t, entry.Running())
+		require.True(t, entry.IsRunning())
 	})
 }
--- a/test/integration/harness/await.go
+++ b/test/integration/harness/await.go
@@ -7,66 +7,80 @@
 	"github.com/stretchr/testify/require"
 )
 
-// AwaitLeader waits until one keeper alone says that it leads, and returns it.
-func (f *Cluster) AwaitLeader() (leader *Member) {
-	f.t.Helper()
-	f.Eventually("one keeper leads", func() bool { leader = f.Leader(); return leader != nil })
+// Time-outs of waits: generous, for a machine with other work. No test asserts them.
+const (
+	readyTimeout = 30 * time.Second
+	logTimeout   = 30 * time.Second
+	exitTimeout  = 10 * time.Second
+
+	pollInterval = 2 * time.Millisecond
+)
+
+// Eventually waits until a condition holds, and fails the test if it doesn't in readyTimeout.
+func (c *Cluster) Eventually(what string, condition func() bool) {
+	c.t.Helper()
+	deadline := time.Now().Add(readyTimeout)
+	for !condition() {
+		require.True(c.t, time.Now().Before(deadline), "never: %s", what)
+		time.Sleep(pollInterval)
+	}
+}
+
+// AwaitLeader waits until exactly one raft node reports that it leads, and returns it.
+func (c *Cluster) AwaitLeader() (leader *Member) {
+	c.t.Helper()
+	c.Eventually("one keeper leads", func() bool {
+		leader = c.Leader()
+		return leader != nil
+	})
 	return leader
 }
 
-// Leader is the one keeper that says so now, or nil.
-func (f *Cluster) Leader() (leader *Member) {
-	for _, m := range f.RaftNodes() {
-		if m.Running() && !m.paused && reportsLeading(m) {
-			if leader != nil {
-				return nil
-			}
-			leader = m
+// Leader returns the raft node that reports that it leads, or nil if there is none or more than one.
+func (c *Cluster) Leader() (leader *Member) {
+	for _, m := range c.RaftNodes() {
+		if !m.IsRunning() || m.paused || !m.reportsLeading() {
+			continue
+		}
+		if leader != nil {
+			return nil
 		}
+		leader = m
 	}
 	return leader
 }
 
-// reportsLeading asks a keeper whether it leads: the one place that knows how it says so.
-func reportsLeading(m *Member) bool {
+// reportsLeading asks a raft node whether it leads.
+func (m *Member) reportsLeading() bool {
 	value, ok := m.Metric("keeper_leading")
 	return ok && value == "1"
 }
 
-// Eventually waits for something, for long.
-func (f *Cluster) Eventually(what string, is func() bool) {
-	f.t.Helper()
-	for until := time.Now().Add(readyTimeout); !is(); time.Sleep(2 * time.Millisecond) {
-		require.True(f.t, time.Now().Before(until), "never: %s", what)
-	}
-}
-
-// LogOffsets are where each member's log stands now.
-func (f *Cluster) LogOffsets() map[*Member]int {
-	marks := map[*Member]int{}
-	for _, m := range f.Members {
-		marks[m] = m.Log.Offset()
+// LogOffsets returns each member's log offset, for FindLog and AwaitLog.
+func (c *Cluster) LogOffsets() map[*Member]int {
+	offsets := map[*Member]int{}
+	for _, m := range c.Members {
+		offsets[m] = m.Log.Offset()
 	}
-	return marks
+	return offsets
 }
 
-// FindLog is a member that has said all parts in one line since the marks, or nil.
-func (f *Cluster) FindLog(marks map[*Member]int, parts ...string) *Member {
-	for _, m := range f.Members {
-		if _, ok := m.Log.Find(marks[m], parts...); ok {
+// FindLog returns a member that has logged a line with all the parts since the offsets, or nil.
+func (c *Cluster) FindLog(offsets map[*Member]int, parts ...string) *Member {
+	for _, m := range c.Members {
+		if _, ok := m.Log.Find(offsets[m], parts...); ok {
 			return m
 		}
 	}
 	return nil
 }
 
-// AwaitLog waits for a member that says so: whichever a task falls to.
-func (f *Cluster) AwaitLog(marks map[*Member]int, parts ...string) (who *Member) {
-	f.t.Helper()
-	f.Eventually("a member says "+strings.Join(parts, " "), func() bool {
-		who = f.FindLog(marks,
-			parts...)
-		return who != nil
+// AwaitLog waits until any member logs a line with all the parts, and returns it.
+func (c *Cluster) AwaitLog(offsets map[*Member]int, parts ...string) (found *Member) {
+	c.t.Helper()
+	c.Eventually("a member says "+strings.Join(parts, " "), func() bool {
+		found = c.FindLog(offsets, parts...)
+		return found != nil
 	})
-	return who
+	return found
 }
--- a/test/integration/harness/cluster_test.go
+++ b/test/integration/harness/cluster_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -18,96 +17,114 @@
 	"rowanlink/webhook/api"
 )
 
-var binary, alone string
+// The programs that TestMain builds.
+var clusteredBinary, standaloneBinary string
+
+// helperBinary names the program that TestHelperProcess starts. It is set only in the process of that test.
+const helperBinary = "ROWAN_CUT_OFF"
 
 func TestMain(m *testing.M) {
-	if os.Getenv("ROWAN_CUT_OFF") != "" {
+	if os.Getenv(helperBinary) != "" {
 		os.Exit(m.Run())
 	}
-	var ends []func()
-	for command, path := range map[string]*string{"rowan-clustered": &binary, "rowanlink": &alone} {
+	var removals []func()
+	for command, path := range map[string]*string{
+		"rowan-clustered": &clusteredBinary,
+		"rowanlink":       &standaloneBinary,
+	} {
 		built, remove, err := harness.Build("../../..", command)
 		if err != nil {
 			panic(err)
 		}
-		*path, ends = built, append(ends, remove)
+		*path = built
+		removals = append(removals, remove)
 	}
 	code := m.Run()
-	for _, remove := range ends {
+	for _, remove := range removals {
 		remove()
 	}
 	os.Exit(code)
 }
 
-// startStandalone is a fleet of dispatchers that know nothing of each other.
+// startStandalone starts dispatchers that know nothing of each other.
 func startStandalone(t *testing.T) *harness.Cluster {
-	return harness.Start(t, harness.Options{Binary: alone, Standalone: true})
+	t.Helper()
+	return harness.Start(t, harness.Options{Binary: standaloneBinary, Standalone: true})
 }
 
-func runLoad(p *platform.Platform, most int, names ...string) {
+// runLoad submits some webhooks at members and waits until each is answered.
+func runLoad(t *testing.T, p *platform.Platform, count int, members ...string) {
+	t.Helper()
 	types := []string{"status", "paid", "charge"}
-	p.StartLoad(context.Background(), platform.Load{Members: names, PerSecond: 200, Clients: 4, MaxWebhooks: most,
+	wait := p.StartLoad(t.Context(), platform.Load{
+		Members:     members,
+		PerSecond:   200,
+		Clients:     4,
+		MaxWebhooks: count,
 		Next: func(n int) platform.Webhook {
 			return platform.Webhook{Type: types[n%3], Destination: api.DestinationID(1 + n%4), Body: "x"}
-		}})()
+		},
+	})
+	wait()
 }
 
 func TestCluster_LosesNothingOverKillAndPause(t *testing.T) {
-	f := startStandalone(t)
-	m1, m2 := f.Members[0], f.Members[1]
+	c := startStandalone(t)
+	m1, m2 := c.Members[0], c.Members[1]
 	m1.AwaitLog("phase now=serving")
-	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Fails))
-	runLoad(f.Platform, 60, f.Names()...)
+	require.NoError(t, c.Platform.Destination(1).SetBehaviour(platform.Fails))
+	runLoad(t, c.Platform, 60, c.Names()...)
 	m1.Kill()
 	_, code := m1.Get("/health/live")
 	assert.Zero(t, code)
 	m2.Pause()
-	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Delivers))
-	mark := m1.Log.Offset()
+	require.NoError(t, c.Platform.Destination(1).SetBehaviour(platform.Delivers))
+	offset := m1.Log.Offset()
 	m1.Start()
-	m1.AwaitLogFrom(mark, "phase now=serving")
+	m1.AwaitLogFrom(offset, "phase now=serving")
 	m2.Resume()
-	runLoad(f.Platform, 30, f.Names()...)
-	f.AwaitOutcomes()
-	f.Check()
-	assert.Positive(t, f.Platform.Checker.Counts().Delivered)
+	runLoad(t, c.Platform, 30, c.Names()...)
+	c.AwaitOutcomes()
+	c.Check()
+	assert.Positive(t, c.Platform.Checker.Counts().Delivered)
 }
 
 func TestMember_TerminateHangupAndDeleteState(t *testing.T) {
-	f := startStandalone(t)
-	m := f.Members[0]
-	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Unreachable))
-	runLoad(f.Platform, 20, "m1")
+	c := startStandalone(t)
+	m := c.Members[0]
+	require.NoError(t, c.Platform.Destination(2).SetBehaviour(platform.Unreachable))
+	runLoad(t, c.Platform, 20, "m1")
 	m.SendHangup()
 	m.AwaitLog("configuration read again")
 	m.Terminate()
-	assert.False(t, m.Running())
+	assert.False(t, m.IsRunning())
 	m.AwaitLog("phase now=ended")
-	require.Positive(t, f.Platform.Checker.Outstanding(), "destination 2 has had nothing")
+	require.Positive(t, c.Platform.Checker.Outstanding(), "destination 2 has had nothing")
 	m.DeleteState()
-	assert.Zero(t, f.Platform.Checker.Outstanding(), "forgiven")
+	assert.Zero(t, c.Platform.Checker.Outstanding(), "forgiven")
 	m.Start()
 	value, ok := m.Metric("webhooks_resumed_total")
 	assert.Equal(t, "0", value)
 	assert.True(t, ok)
-	f.Check()
+	c.Check()
 }
 
-// TestHelperProcess is the other half of the next test: a test that is killed while its fleet runs.
+// TestHelperProcess is the other half of TestCluster_ProcessesEndWithTheTest: a test that is killed while its cluster
+// runs.
 func TestHelperProcess(t *testing.T) {
-	if os.Getenv("ROWAN_CUT_OFF") == "" {
+	if os.Getenv(helperBinary) == "" {
 		t.Skip("only within another test")
 	}
-	f := harness.Start(t, harness.Options{Binary: os.Getenv("ROWAN_CUT_OFF"), Standalone: true})
-	for _, m := range f.Members {
+	c := harness.Start(t, harness.Options{Binary: os.Getenv(helperBinary), Standalone: true})
+	for _, m := range c.Members {
 		fmt.Println("pid", m.PID())
 	}
 	time.Sleep(time.Minute)
 }
 
 func TestCluster_ProcessesEndWithTheTest(t *testing.T) {
-	other := exec.Command(os.Args[0], "-test.run=^TestHelperProcess$", "-test.v")
-	other.Env = append(os.Environ(), "ROWAN_CUT_OFF="+alone)
+	other := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestHelperProcess$", "-test.v")
+	other.Env = append(os.Environ(), helperBinary+"="+standaloneBinary)
 	out, err := other.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, other.Start())
@@ -118,8 +135,8 @@
 		}
 	}
 	require.Len(t, pids, 3)
-	other.Process.Kill()
-	other.Wait()
+	require.NoError(t, other.Process.Kill())
+	_ = other.Wait() // it was killed
 	for _, pid := range pids {
 		require.Eventually(t, func() bool {
 			stat, err := os.ReadFile("/proc/" + pid + "/stat")
@@ -128,47 +145,47 @@
 	}
 }
 
-// What is lost is seen: the folder is taken behind the harness's back.
+// The state is deleted without the checker knowing of it.
 func TestCluster_CheckFindsALoss(t *testing.T) {
-	f := harness.Start(t, harness.Options{Binary: alone, Standalone: true, Slack: 1})
-	require.NoError(t, f.Platform.Destination(2).SetBehaviour(platform.Unreachable))
-	_, code := f.Platform.Submit("m1", platform.Webhook{Type: "status", Destination: 2, TTL: time.Second})
+	c := harness.Start(t, harness.Options{Binary: standaloneBinary, Standalone: true, Slack: 1})
+	require.NoError(t, c.Platform.Destination(2).SetBehaviour(platform.Unreachable))
+	_, code := c.Platform.Submit("m1", platform.Webhook{Type: "status", Destination: 2, TTL: time.Second})
 	require.Equal(t, 202, code)
-	f.Members[0].Kill()
-	require.NoError(t, os.RemoveAll(f.Members[0].StateDir))
-	f.Members[0].Start()
-	f.Eventually("the loss", func() bool { return len(f.Platform.Check()) == 1 })
-	assert.Contains(t, f.Platform.Check()[0].String(), "lost: ")
+	c.Members[0].Kill()
+	require.NoError(t, os.RemoveAll(c.Members[0].StateDir))
+	c.Members[0].Start()
+	c.Eventually("the loss", func() bool { return len(c.Platform.Check()) == 1 })
+	assert.Contains(t, c.Platform.Check()[0].String(), "lost: ")
 }
 
 func TestMember_LimitFileSize(t *testing.T) {
-	f := startStandalone(t)
-	m := f.Members[0]
-	require.NoError(t, f.Platform.Destination(1).SetBehaviour(platform.Hangs))
+	c := startStandalone(t)
+	m := c.Members[0]
+	require.NoError(t, c.Platform.Destination(1).SetBehaviour(platform.Hangs))
 	m.LimitFileSize(4096)
 	for range 4 {
-		f.Platform.Submit("m1", platform.Webhook{Type: "paid", Destination: 1, Body: strings.Repeat("x", 3000)})
+		c.Platform.Submit("m1", platform.Webhook{Type: "paid", Destination: 1, Body: strings.Repeat("x", 3000)})
 	}
 	assert.LessOrEqual(t, m.LargestFile(), int64(4096))
 	m.AwaitLog("file too large")
-	assert.Positive(t, f.Platform.Checker.Counts().Rejected, "nobody is told that it was taken on")
-	f.Check()
+	assert.Positive(t, c.Platform.Checker.Counts().Rejected, "nobody is told that it was taken on")
+	c.Check()
 }
 
 func TestCluster_ReloadOperatorFiles(t *testing.T) {
-	f := harness.Start(t, harness.Options{Binary: binary, Members: 4, SpareMembers: 1, LeaseTTL: 2 * time.Second,
+	c := harness.Start(t, harness.Options{Binary: clusteredBinary, Members: 4, SpareMembers: 1, LeaseTTL: 2 * time.Second,
 		ConfigBlocks: "list \"prices\" { subscribers = [1, 2] }\n"})
-	for _, m := range f.Members[:3] {
+	for _, m := range c.Members[:3] {
 		m.AwaitLog("INFO member", "members=3")
 	}
-	f.ReloadOperatorFiles("", f.Names()...)
-	for _, m := range f.Members[:3] {
+	c.ReloadOperatorFiles("", c.Names()...)
+	for _, m := range c.Members[:3] {
 		m.AwaitLog("operator file read again", "members=4")
 	}
-	f.Members[3].Start()
-	runLoad(f.Platform, 30, f.Names()...)
-	f.AwaitOutcomes()
-	f.Check()
-	text := f.OperatorFile(f.Members[3], "")
+	c.Members[3].Start()
+	runLoad(t, c.Platform, 30, c.Names()...)
+	c.AwaitOutcomes()
+	c.Check()
+	text := c.OperatorFile(c.Members[3], "")
 	assert.Equal(t, 3, strings.Count(text, "log = "), "the first three keep the log")
 }
--- a/test/integration/harness/link.go
+++ b/test/integration/harness/link.go
@@ -1,6 +1,7 @@
 package harness
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -16,15 +17,15 @@
 
 const (
 	open     linkMode = iota
-	hanging           // new ones never come up, old ones stay
+	hanging           // new ones are never established, old ones stay
 	refusing          // new ones are refused, old ones reset
 )
 
-// link is one address that a member has for another: what connects there goes on to the real one.
+// link is a proxy: an address that a member has for another, which forwards connections to the real one.
 type link struct {
 	port              *portalloc.Port
 	from, to          string
-	target            string
+	target            string // the real address
 	forward, backward *dataPath
 
 	mu          sync.Mutex
@@ -33,34 +34,43 @@
 	connections map[*proxiedConnection]bool
 }
 
-// addLink makes one, open, and returns its address.
-func (n *Network) addLink(from, to, real string) (string, error) {
-	at, err := portalloc.Reserve()
+// addLink adds an open link and returns its address.
+func (n *Network) addLink(from, to, target string) (string, error) {
+	port, err := portalloc.Reserve()
 	if err != nil {
 		return "", err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &link{port: at, from: from, to: to, target: real, forward: n.pathBetween(from, to), backward: n.pathBetween(to, from),
-		mode: refusing, connections: map[*proxiedConnection]bool{}}
+	l := &link{
+		port:        port,
+		from:        from,
+		to:          to,
+		target:      target,
+		forward:     n.pathBetween(from, to),
+		backward:    n.pathBetween(to, from),
+		mode:        refusing,
+		connections: map[*proxiedConnection]bool{},
+	}
 	n.links = append(n.links, l)
 	l.setMode(open)
-	return at.Addr, nil
+	return port.Addr, nil
 }
 
-// setMode goes over to a mode. A port that can't be listened on would make a test mean nothing.
-func (l *link) setMode(m linkMode) {
+// setMode changes the mode. It panics if it can't listen on the port, since the test would mean nothing then.
+func (l *link) setMode(mode linkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.mode == m {
+	if l.mode == mode {
 		return
 	}
 	if l.mode == open {
-		l.listener.Close()
+		_ = l.listener.Close()
 	}
 	l.port.Refuse()
+	l.mode = mode
 	var err error
-	switch l.mode = m; m {
+	switch mode {
 	case open:
 		if l.listener, err = l.port.Listen(); err == nil {
 			go l.accept(l.listener)
@@ -68,8 +78,8 @@
 	case hanging:
 		err = l.port.Hang()
 	case refusing:
-		for p := range l.connections {
-			p.reset()
+		for c := range l.connections {
+			c.reset()
 		}
 	}
 	if err != nil {
@@ -77,9 +87,9 @@
 	}
 }
 
-func (l *link) accept(on net.Listener) {
+func (l *link) accept(listener net.Listener) {
 	for {
-		c, err := on.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -87,56 +97,62 @@
 	}
 }
 
-// proxyConnection connects on. Where the real address refuses, so does the link, as far as it can any more.
-func (l *link) proxyConnection(c net.Conn) {
-	far, err := net.DialTimeout("tcp", l.target, 2*time.Second)
+// proxyConnection connects a client to the real address until either ends. If that refuses, so does the link, as far
+// as it still can.
+func (l *link) proxyConnection(client net.Conn) {
+	dialer := &net.Dialer{Timeout: 2 * time.Second}
+	server, err := dialer.DialContext(context.Background(), "tcp", l.target)
 	if err != nil {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+		_ = client.(*net.TCPConn).SetLinger(0)
+		_ = client.Close()
 		return
 	}
-	p := &proxiedConnection{client: c.(*net.TCPConn), server: far.(*net.TCPConn), closed: make(chan struct{})}
+	c := &proxiedConnection{
+		client: client.(*net.TCPConn),
+		server: server.(*net.TCPConn),
+		closed: make(chan struct{}),
+	}
 	l.mu.Lock()
-	l.connections[p] = true
+	l.connections[c] = true
 	if l.mode == refusing {
-		p.reset()
+		c.reset()
 	}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copyData(p.client, p.server, l.forward) })
-	both.Go(func() { p.copyData(p.server, p.client, l.backward) })
+	both.Go(func() { c.copyData(c.client, c.server, l.forward) })
+	both.Go(func() { c.copyData(c.server, c.client, l.backward) })
 	both.Wait()
-	p.close()
+	c.close()
 	l.mu.Lock()
-	delete(l.connections, p)
+	delete(l.connections, c)
 	l.mu.Unlock()
 }
 
-// proxiedConnection is one connection's two halves.
+// proxiedConnection is a connection of a client to the link and the one of the link to the server.
 type proxiedConnection struct {
 	client, server *net.TCPConn
 	once           sync.Once
 	closed         chan struct{}
 }
 
-// reset ends both halves so that whoever uses them sees a reset.
-func (p *proxiedConnection) reset() {
-	p.once.Do(func() {
-		p.client.SetLinger(0)
-		p.server.SetLinger(0)
-		close(p.closed)
+// reset ends the connection so that both sides see a reset.
+func (c *proxiedConnection) reset() {
+	c.once.Do(func() {
+		_ = c.client.SetLinger(0) // fails only if it is closed already, as do the others
+		_ = c.server.SetLinger(0)
+		close(c.closed)
 	})
-	p.client.Close()
-	p.server.Close()
+	_ = c.client.Close()
+	_ = c.server.Close()
 }
 
-func (p *proxiedConnection) close() {
-	p.once.Do(func() { close(p.closed) })
-	p.client.Close()
-	p.server.Close()
+func (c *proxiedConnection) close() {
+	c.once.Do(func() { close(c.closed) })
+	_ = c.client.Close()
+	_ = c.server.Close()
 }
 
-// chunk is what came at one time, or how it ended.
+// chunk is data that was received at once, or how the stream ended.
 type chunk struct {
 	receivedAt time.Time
 	data       []byte
@@ -145,104 +161,136 @@
 
 const (
 	maxChunkBytes          = 16 << 10
-	throttleStepsPerSecond = 50 // of a second's bytes, each written at once
+	maxBufferedChunks      = 16 // beyond these, the sender's own buffers fill
+	throttleStepsPerSecond = 50
 )
 
-// copyData carries what one half sends to the other, as the flow's faults have it.
-func (p *proxiedConnection) copyData(from, to *net.TCPConn, f *dataPath) {
-	chunks := make(chan chunk, 16) // bounded: behind it the sender's own buffers fill
-	go func() {
-		for {
-			b := make([]byte, maxChunkBytes)
-			n, err := from.Read(b)
-			select {
-			case chunks <- chunk{time.Now(), b[:n], err}:
-			case <-p.closed:
-				return
-			}
-			if err != nil {
-				return
-			}
+// receive sends what arrives on a connection to a channel, until it ends or the proxied connection is closed.
+func (c *proxiedConnection) receive(from *net.TCPConn, chunks chan<- chunk) {
+	for {
+		buffer := make([]byte, maxChunkBytes)
+		n, err := from.Read(buffer)
+		select {
+		case chunks <- chunk{time.Now(), buffer[:n], err}:
+		case <-c.closed:
+			return
+		}
+		if err != nil {
+			return
 		}
-	}()
-	turn, sent := -1, 0
+	}
+}
+
+// copyData sends what one side sends to the other, with the faults of the path.
+func (c *proxiedConnection) copyData(from, to *net.TCPConn, path *dataPath) {
+	chunks := make(chan chunk, maxBufferedChunks)
+	go c.receive(from, chunks)
+	s := &faultySender{connection: c, to: to, path: path, generation: -1}
 	for {
-		var c chunk
+		var next chunk
 		select {
-		case c = <-chunks:
-		case <-p.closed:
+		case next = <-chunks:
+		case <-c.closed:
 			return
 		}
-		for first := true; first || len(c.data) > 0; first = false {
-			fault, now, ok := p.awaitDelivery(f, c.receivedAt)
-			if !ok {
-				return
-			}
-			if now != turn {
-				turn, sent = now, 0
-			}
-			piece := len(c.data)
-			if fault.BytesPerSecond > 0 {
-				piece = min(piece, max(1, fault.BytesPerSecond/throttleStepsPerSecond))
-			}
-			if fault.ResetAfterBytes > 0 {
-				piece = min(piece, fault.ResetAfterBytes-sent)
-			}
-			if piece > 0 {
-				if _, err := to.Write(c.data[:piece]); err != nil {
-					p.reset()
-					return
-				}
-			}
-			c.data, sent = c.data[piece:], sent+piece
-			if fault.ResetAfterBytes > 0 && sent >= fault.ResetAfterBytes {
-				p.reset()
-				return
-			}
-			if fault.BytesPerSecond > 0 && !p.sleep(time.Duration(piece)*time.Second/time.Duration(fault.BytesPerSecond), nil) {
-				return
-			}
+		if !s.send(next) {
+			return
 		}
 		switch {
-		case errors.Is(c.err, io.EOF):
-			to.CloseWrite()
+		case errors.Is(next.err, io.EOF):
+			_ = to.CloseWrite()
 			return
-		case c.err != nil:
-			p.reset()
+		case next.err != nil:
+			c.reset()
 			return
 		}
 	}
 }
 
-// awaitDelivery waits until what came at a time may go on.
-func (p *proxiedConnection) awaitDelivery(f *dataPath, at time.Time) (Fault, int, bool) {
+// faultySender sends data to one side of a connection with the faults of a path.
+type faultySender struct {
+	connection *proxiedConnection
+	to         *net.TCPConn
+	path       *dataPath
+	generation int // of the path's fault
+	sent       int // bytes since that fault began
+}
+
+// send sends a chunk, which may be empty, and returns false if the connection has ended.
+func (s *faultySender) send(c chunk) bool {
+	for isFirst := true; isFirst || len(c.data) > 0; isFirst = false {
+		fault, generation, ok := s.connection.awaitDelivery(s.path, c.receivedAt)
+		if !ok {
+			return false
+		}
+		if generation != s.generation {
+			s.generation, s.sent = generation, 0
+		}
+		n := s.allowedBytes(fault, len(c.data))
+		if n > 0 {
+			if _, err := s.to.Write(c.data[:n]); err != nil {
+				s.connection.reset()
+				return false
+			}
+		}
+		c.data = c.data[n:]
+		s.sent += n
+		if fault.ResetAfterBytes > 0 && s.sent >= fault.ResetAfterBytes {
+			s.connection.reset()
+			return false
+		}
+		if fault.BytesPerSecond > 0 {
+			took := time.Duration(n) * time.Second / time.Duration(fault.BytesPerSecond)
+			if !s.connection.sleep(took, nil) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// allowedBytes returns how many bytes a fault lets through at once.
+func (s *faultySender) allowedBytes(fault Fault, n int) int {
+	if fault.BytesPerSecond > 0 {
+		n = min(n, max(1, fault.BytesPerSecond/throttleStepsPerSecond))
+	}
+	if fault.ResetAfterBytes > 0 {
+		n = min(n, fault.ResetAfterBytes-s.sent)
+	}
+	return n
+}
+
+// awaitDelivery waits until data that was received at a time may be delivered. It returns the fault and its
+// generation, and false if the connection has ended.
+func (c *proxiedConnection) awaitDelivery(path *dataPath, receivedAt time.Time) (Fault, int, bool) {
 	for {
-		fault, turn, changed := f.current()
-		switch left := time.Until(at.Add(fault.Delay)); {
+		fault, generation, changed := path.current()
+		remaining := time.Until(receivedAt.Add(fault.Delay))
+		switch {
 		case fault.HoldData:
 			select {
 			case <-changed:
-			case <-p.closed:
-				return fault, turn, false
+			case <-c.closed:
+				return fault, generation, false
 			}
-		case fault.Delay > 0 && left > 0:
-			if !p.sleep(left, changed) {
-				return fault, turn, false
+		case fault.Delay > 0 && remaining > 0:
+			if !c.sleep(remaining, changed) {
+				return fault, generation, false
 			}
 		default:
-			return fault, turn, true
+			return fault, generation, true
 		}
 	}
 }
 
-// sleep waits, and tells whether the connection still stands.
-func (p *proxiedConnection) sleep(span time.Duration, changed <-chan struct{}) bool {
-	timer := time.NewTimer(span)
+// sleep waits for a time or until the fault changes, and returns false if the connection has ended.
+func (c *proxiedConnection) sleep(duration time.Duration, changed <-chan struct{}) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-changed:
-	case <-p.closed:
+	case <-c.closed:
 		return false
 	}
 	return true
--- a/test/integration/harness/network.go
+++ b/test/integration/harness/network.go
@@ -5,75 +5,81 @@
 	"time"
 )
 
-// Fault is what befalls the bytes on their way from one member to another. Zero: none.
+// Fault is what happens to the data on its way from one member to another. The zero value is no fault.
 type Fault struct {
-	HoldData          bool          // they stay where they are, and come once it is healed
-	HangConnections   bool          // connections don't come up either
+	HoldData          bool          // it is held back, and arrives once the fault is over
+	HangConnections   bool          // new connections aren't established
 	RefuseConnections bool          // connections are reset, new ones refused
-	Delay             time.Duration // they come so much later
-	BytesPerSecond    int           // bytes
-	ResetAfterBytes   int           // bytes more on each connection, then it is reset, half-way
+	Delay             time.Duration // it arrives so much later
+	BytesPerSecond    int           // 0: unlimited
+	ResetAfterBytes   int           // each connection is reset after so many more bytes; 0: never
 }
 
-// The faults by name; Late, Slow and ResetAfterBytes make those with a figure.
+// The faults without a parameter.
 var (
 	Partition       = Fault{HoldData: true, HangConnections: true}
-	OneWayPartition = Fault{HoldData: true} // connections come up, what is asked arrives, its answer doesn't
+	OneWayPartition = Fault{HoldData: true} // connections are established, requests arrive, responses don't
 	Refused         = Fault{RefuseConnections: true}
 )
 
-func Delayed(by time.Duration) Fault  { return Fault{Delay: by} }
-func Throttled(perSecond int) Fault   { return Fault{BytesPerSecond: perSecond} }
-func ResetAfterBytes(after int) Fault { return Fault{ResetAfterBytes: after} }
+// Delayed returns a fault that delays data.
+func Delayed(by time.Duration) Fault { return Fault{Delay: by} }
+
+// Throttled returns a fault that limits the rate of data.
+func Throttled(bytesPerSecond int) Fault { return Fault{BytesPerSecond: bytesPerSecond} }
+
+// ResetAfterBytes returns a fault that resets each connection after some bytes, in the midst of a message.
+func ResetAfterBytes(bytes int) Fault { return Fault{ResetAfterBytes: bytes} }
 
 // memberPair is an ordered pair of members.
 type memberPair struct{ from, to string }
 
-// dataPath is the way from one member to another, whoever opened the connection.
+// dataPath is the path of data from one member to another, whichever of them opened the connection.
 type dataPath struct {
 	mu         sync.Mutex
 	fault      Fault
-	generation int           // counts the changes
-	changed    chan struct{} // closed at the next
+	generation int           // number of changes of the fault
+	changed    chan struct{} // closed at the next change
 }
 
-func (f *dataPath) set(fault Fault) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.fault = fault
-	f.generation++
-	close(f.changed)
-	f.changed = make(chan struct{})
+func (p *dataPath) set(fault Fault) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fault = fault
+	p.generation++
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (f *dataPath) current() (Fault, int, <-chan struct{}) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.fault, f.generation, f.changed
+func (p *dataPath) current() (fault Fault, generation int, changed <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.fault, p.generation, p.changed
 }
 
-// Network is the network between members: a link for each ordered pair and each address that one has for the
-// other.
+// Network is the network between members: a link for each ordered pair of members and each address that one has for
+// the other.
 type Network struct {
 	mu    sync.Mutex
 	paths map[memberPair]*dataPath
 	links []*link
-	down  map[string]bool
+	down  map[string]bool // members whose process has ended
 }
 
 func newNetwork() *Network {
 	return &Network{paths: map[memberPair]*dataPath{}, down: map[string]bool{}}
 }
 
+// pathBetween returns the path between two members, which it adds if it is new.
 func (n *Network) pathBetween(from, to string) *dataPath {
-	k := memberPair{from, to}
-	if n.paths[k] == nil {
-		n.paths[k] = &dataPath{changed: make(chan struct{})}
+	pair := memberPair{from, to}
+	if n.paths[pair] == nil {
+		n.paths[pair] = &dataPath{changed: make(chan struct{})}
 	}
-	return n.paths[k]
+	return n.paths[pair]
 }
 
-// SetFault has a fault befall what one member sends another, in place of the one before.
+// SetFault replaces the fault of what one member sends to another.
 func (n *Network) SetFault(from, to string, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,23 +87,23 @@
 	n.updateLinks()
 }
 
-// SetFaultBetween sets it both ways.
+// SetFaultBetween replaces the fault in both directions.
 func (n *Network) SetFaultBetween(a, b string, fault Fault) {
 	n.SetFault(a, b, fault)
 	n.SetFault(b, a, fault)
 }
 
-// Isolate sets it both ways between each of some members and all others that have links.
-func (n *Network) Isolate(fault Fault, some ...string) {
-	in := map[string]bool{}
-	for _, m := range some {
-		in[m] = true
+// Isolate sets a fault, in both directions, between some members and all others that they have links with.
+func (n *Network) Isolate(fault Fault, members ...string) {
+	isolated := map[string]bool{}
+	for _, m := range members {
+		isolated[m] = true
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for k, f := range n.paths {
-		if in[k.from] != in[k.to] {
-			f.set(fault)
+	for pair, path := range n.paths {
+		if isolated[pair.from] != isolated[pair.to] {
+			path.set(fault)
 		}
 	}
 	n.updateLinks()
@@ -107,28 +113,28 @@
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, f := range n.paths {
-		f.set(Fault{})
+	for _, path := range n.paths {
+		path.set(Fault{})
 	}
 	n.updateLinks()
 }
 
-// setDown has links to a member whose process has ended refuse, as its own address would.
-func (n *Network) setDown(member string, is bool) {
+// setDown has links to a member whose process has ended refuse connections, as its own address would.
+func (n *Network) setDown(member string, isDown bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.down[member] = is
+	n.down[member] = isDown
 	n.updateLinks()
 }
 
 func (n *Network) updateLinks() {
 	for _, l := range n.links {
-		there, _, _ := l.forward.current()
-		back, _, _ := l.backward.current()
+		forward, _, _ := l.forward.current()
+		backward, _, _ := l.backward.current()
 		switch {
-		case there.RefuseConnections || n.down[l.to] && !there.HoldData:
+		case forward.RefuseConnections || n.down[l.to] && !forward.HoldData:
 			l.setMode(refusing)
-		case there.HoldData && there.HangConnections || back.HoldData && back.HangConnections:
+		case forward.HoldData && forward.HangConnections || backward.HoldData && backward.HangConnections:
 			l.setMode(hanging)
 		default:
 			l.setMode(open)
@@ -142,6 +148,6 @@
 	defer n.mu.Unlock()
 	for _, l := range n.links {
 		l.setMode(refusing)
-		l.port.Close()
+		_ = l.port.Close() // nothing more can be done about it
 	}
 }
--- a/test/integration/harness/shardmap.go
+++ b/test/integration/harness/shardmap.go
@@ -1,6 +1,7 @@
 package harness
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -12,65 +13,86 @@
 	"rowanlink/webhook/api"
 )
 
-// ShardMap is the newest map of ranges that a keeper has, asked for as members do; nil: none can tell.
-func (f *Cluster) ShardMap() (newest *shardmap.Map) {
-	f.t.Helper()
-	says := map[cluster.MemberID]string{}
-	for _, m := range f.RaftNodes() {
-		if m.Running() && !m.paused {
-			says[cluster.MemberID(m.Name)] = m.peerPort.Addr
+// ShardMap returns the newest shard map that a raft node has, requested as members do, or nil if none responds.
+func (c *Cluster) ShardMap() (newest *shardmap.Map) {
+	c.t.Helper()
+	addrs := map[cluster.MemberID]string{}
+	for _, m := range c.RaftNodes() {
+		if m.IsRunning() && !m.paused {
+			addrs[cluster.MemberID(m.Name)] = m.peerPort.Addr
 		}
 	}
-	asks := transport.NewClient("proof", says)
-	defer asks.Close()
-	for keeper := range says {
-		status, raw, err := asks.Call(keeper, transport.StatePath,
-			transport.Encode(transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: 0}}), 2*time.Second)
-		var answer transport.StateResponse
-		if err != nil || status != 200 || transport.Decode(raw, &answer) != nil || len(answer.Parts) == 0 {
+	client := transport.NewClient("proof", addrs)
+	defer client.Close()
+	for node := range addrs {
+		response, ok := requestShardMap(client, node, 0, 2*time.Second)
+		if !ok || len(response.Parts) == 0 {
 			continue
 		}
-		chart := shardmap.New(nil)
-		require.NoError(f.t, chart.Restore(answer.Parts[0].Data))
-		if newest == nil || chart.Version > newest.Version {
-			newest = chart
+		m := shardmap.New(nil)
+		require.NoError(c.t, m.Restore(response.Parts[0].Data))
+		if newest == nil || m.Version > newest.Version {
+			newest = m
 		}
 	}
 	return newest
 }
 
-// Owner is who is home of a destination and serves, or nil.
-func (f *Cluster) Owner(dest api.DestinationID) *Member {
-	if chart := f.ShardMap(); chart != nil {
-		if r, ok := chart.RangeOf(chart.KeyOf(dest)); ok && r.Status == shardmap.OwnerServing {
-			return f.Member(string(r.Owner))
-		}
+// requestShardMap requests the shard map of a raft node if it is newer than a version.
+func requestShardMap(client *transport.Client, node cluster.MemberID, version uint64,
+	timeout time.Duration) (response transport.StateResponse, ok bool) {
+	request := transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: version}}
+	status, body, err := client.Call(node, transport.StatePath, transport.Encode(request), timeout)
+	if err != nil || status != http.StatusOK {
+		return response, false
 	}
-	return nil
+	return response, transport.Decode(body, &response) == nil
 }
 
-// AwaitStable waits until each range has a home that serves, and nothing of a move is left; none is a member of
-// but.
-func (f *Cluster) AwaitStable(but ...*Member) {
-	f.t.Helper()
-	f.Eventually("all ranges are homed", func() bool { return f.isServed(true, but) })
+// Owner returns the member that owns and serves a destination's range, or nil.
+func (c *Cluster) Owner(destination api.DestinationID) *Member {
+	m := c.ShardMap()
+	if m == nil {
+		return nil
+	}
+	r, ok := m.RangeOf(m.KeyOf(destination))
+	if !ok || r.Status != shardmap.OwnerServing {
+		return nil
+	}
+	return c.Member(string(r.Owner))
 }
 
-// AwaitServed waits until each range has a home that runs and serves. A move may be left for a member that doesn't
-// run.
-func (f *Cluster) AwaitServed() {
-	f.t.Helper()
-	f.Eventually("all ranges are served", func() bool { return f.isServed(false, nil) })
+// AwaitStable waits until each range has an owner that serves it, nothing of a move is left, and none of some members
+// owns a range.
+func (c *Cluster) AwaitStable(except ...*Member) {
+	c.t.Helper()
+	c.Eventually("all ranges are homed", func() bool {
+		m := c.ShardMap()
+		return m != nil && c.isServed(m, except) && !hasOpenMoves(m)
+	})
 }
 
-func (f *Cluster) isServed(settled bool, but []*Member) bool {
-	chart := f.ShardMap()
-	if chart == nil || len(chart.Ranges) == 0 || settled && len(chart.DetachedMoves) > 0 {
+// AwaitServed waits until each range has an owner that runs and serves it. Moves with members that don't run may be
+// open.
+func (c *Cluster) AwaitServed() {
+	c.t.Helper()
+	c.Eventually("all ranges are served", func() bool {
+		m := c.ShardMap()
+		return m != nil && c.isServed(m, nil)
+	})
+}
+
+func (c *Cluster) isServed(m *shardmap.Map, except []*Member) bool {
+	if len(m.Ranges) == 0 {
 		return false
 	}
-	return !slices.ContainsFunc(chart.Ranges, func(r shardmap.Range) bool {
-		home := f.Member(string(r.Owner))
-		return r.Status != shardmap.OwnerServing || settled && r.Move.IsOpen() || !home.Running() || slices.Contains(but,
-			home)
+	return !slices.ContainsFunc(m.Ranges, func(r shardmap.Range) bool {
+		owner := c.Member(string(r.Owner))
+		return r.Status != shardmap.OwnerServing || !owner.IsRunning() || slices.Contains(except, owner)
 	})
 }
+
+func hasOpenMoves(m *shardmap.Map) bool {
+	return len(m.DetachedMoves) > 0 ||
+		slices.ContainsFunc(m.Ranges, func(r shardmap.Range) bool { return r.Move.IsOpen() })
+}
--- a/test/integration/harness/usage.go
+++ b/test/integration/harness/usage.go
@@ -6,42 +6,37 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
-// CPUTime is what a member's process has used of the cores, in this life.
+// CPUTime returns the processor time that the member's current process has used.
 func (m *Member) CPUTime() time.Duration {
 	m.cluster.t.Helper()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.PID()))
-	if err != nil {
-		m.cluster.t.Fatal(err)
-	}
-	const user, perSecond = 11, 100 // of what follows the name; Linux counts hundredths for programs
-	f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
+	// Of the fields of proc(5) after the name, utime and stime; Linux reports hundredths of a second to programs.
+	const userTime, systemTime, ticksPerSecond = 11, 12, 100
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.PID()))
+	require.NoError(m.cluster.t, err)
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	var ticks int64
-	for _, field := range f[user : user+2] {
+	for _, field := range []string{fields[userTime], fields[systemTime]} {
 		n, err := strconv.ParseInt(field, 10, 64)
-		if err != nil {
-			m.cluster.t.Fatal(err)
-		}
+		require.NoError(m.cluster.t, err)
 		ticks += n
 	}
-	return time.Duration(ticks) * time.Second / perSecond
+	return time.Duration(ticks) * time.Second / ticksPerSecond
 }
 
-// ResidentMemory is how much memory its process holds now, in bytes.
+// ResidentMemory returns the memory that the member's current process holds, in bytes.
 func (m *Member) ResidentMemory() int64 {
 	m.cluster.t.Helper()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.PID()))
-	if err != nil {
-		m.cluster.t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
-		if f := strings.Fields(line); len(f) == 3 && f[0] == "VmRSS:" {
-			kb, err := strconv.ParseInt(f[1], 10, 64)
-			if err != nil {
-				m.cluster.t.Fatal(err)
-			}
-			return kb << 10
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.PID()))
+	require.NoError(m.cluster.t, err)
+	for line := range strings.Lines(string(status)) {
+		if fields := strings.Fields(line); len(fields) == 3 && fields[0] == "VmRSS:" {
+			kib, err := strconv.ParseInt(fields[1], 10, 64)
+			require.NoError(m.cluster.t, err)
+			return kib << 10
 		}
 	}
 	m.cluster.t.Fatalf("%s tells no VmRSS", m.Name)
