--- a/test/integration/chaos/fault.go
+++ b/test/integration/chaos/fault.go
@@ -116,7 +116,7 @@
 
 // logTriggers are what any member's log may say when a fault begins: each step of a lease, a move and a stream.
 // Where it is not said in time, the fault begins all the same.
-var logTriggers = []string{"", "", "keeper leads", "session held", "session over", "lease granted", "task over",
+var logTriggers = []string{"", "", "raft leadership gained", "session held", "session over", "lease granted", "task over",
 	"move planned", "move warms", "move passes", "home let go", "home switched", "move cleared",
 	"homes given anew",
 	"owed handed on", "webhook in doubt", "doubt settled", "stream"}
--- a/test/integration/harness/ownership.go
+++ b/test/integration/harness/ownership.go
@@ -75,7 +75,7 @@
 			time.Sleep(retryDelay)
 			continue
 		}
-		for _, part := range response.Parts {
+		for _, part := range response.Components {
 			reader.version = part.Version
 			shards := shardmap.New(nil)
 			if shards.Restore(part.Data) != nil {
--- a/test/integration/harness/shardmap.go
+++ b/test/integration/harness/shardmap.go
@@ -26,11 +26,11 @@
 	defer client.Close()
 	for node := range addrs {
 		response, ok := requestShardMap(client, node, 0, 2*time.Second)
-		if !ok || len(response.Parts) == 0 {
+		if !ok || len(response.Components) == 0 {
 			continue
 		}
 		m := shardmap.New(nil)
-		require.NoError(c.t, m.Restore(response.Parts[0].Data))
+		require.NoError(c.t, m.Restore(response.Components[0].Data))
 		if newest == nil || m.Version > newest.Version {
 			newest = m
 		}
