--- a/serving/agent/frontselection.go
+++ b/serving/agent/addressselection.go
@@ -34,10 +34,10 @@
 	return clientLocation{}
 }
 
-// chooseFronts selects the addresses of the proxies that a client should use: those of its zone if there are at least
+// chooseAddresses selects the addresses of the proxies that a client should use: those of its zone if there are at least
 // minZoneProxies, else those of its region, else all. The region takes precedence over the number of proxies because
 // the client's own region may always serve it, while another may be barred. The order is random.
-func chooseFronts(members []state.Member, client clientLocation, random *rand.Rand) []string {
+func chooseAddresses(members []state.Member, client clientLocation, random *rand.Rand) []string {
 	var inZone, inRegion, anywhere []string
 	for _, member := range members {
 		if !isReadyProxy(member) {
--- a/serving/agent/frontselection_test.go
+++ b/serving/agent/addressselection_test.go
@@ -20,14 +20,14 @@
 		Region: testRegions[zone], ProxyAddress: fmt.Sprintf("%s-%d:80", zone, number), State: memberState}
 }
 
-func sortedFronts(live []state.Member, zone, region string) []string {
+func sortedAddresses(live []state.Member, zone, region string) []string {
 	client := clientLocation{Zone: zone, Region: region}.resolve(testRegions)
-	fronts := chooseFronts(live, client, rand.New(rand.NewPCG(1, 2)))
-	slices.Sort(fronts)
-	return fronts
+	addresses := chooseAddresses(live, client, rand.New(rand.NewPCG(1, 2)))
+	slices.Sort(addresses)
+	return addresses
 }
 
-func TestChooseFronts_PrefersTheClientsZoneAndRegion(t *testing.T) {
+func TestChooseAddresses_PrefersTheClientsZoneAndRegion(t *testing.T) {
 	ready := state.MemberReady
 	two := []state.Member{newProxyMember("n1", 1, ready), newProxyMember("n1", 2, ready), newProxyMember("n2", 1, ready),
 		newProxyMember("s1", 1, ready)}
@@ -47,23 +47,23 @@
 		{"the zone's region precedes the region given", "s1", "north", two, all[3:]},
 		{"no members", "n1", "north", nil, nil},
 	} {
-		assert.ElementsMatch(t, test.want, sortedFronts(test.live, test.zone, test.region), test.name)
+		assert.ElementsMatch(t, test.want, sortedAddresses(test.live, test.zone, test.region), test.name)
 	}
 }
 
-func TestChooseFronts_OmitsMembersThatAreNotReady(t *testing.T) {
+func TestChooseAddresses_OmitsMembersThatAreNotReady(t *testing.T) {
 	core := newProxyMember("n1", 5, state.MemberReady)
 	core.Role = state.RoleCore
-	unknownFront := newProxyMember("n1", 6, state.MemberReady)
-	unknownFront.ProxyAddress = ""
+	withoutAddress := newProxyMember("n1", 6, state.MemberReady)
+	withoutAddress.ProxyAddress = ""
 	live := []state.Member{newProxyMember("n1", 1, state.MemberStarting), newProxyMember("n1", 2, state.MemberLeaving),
-		newProxyMember("n1", 3, state.MemberLeft), newProxyMember("n1", 4, state.MemberReady), core, unknownFront}
-	assert.Equal(t, []string{"n1-4:80"}, sortedFronts(live, "n1", "north"))
+		newProxyMember("n1", 3, state.MemberLeft), newProxyMember("n1", 4, state.MemberReady), core, withoutAddress}
+	assert.Equal(t, []string{"n1-4:80"}, sortedAddresses(live, "n1", "north"))
 }
 
-// TestChooseFronts_Invariants: no address twice, at most maxAddresses, none of a member that isn't ready, and none of
+// TestChooseAddresses_Invariants: no address twice, at most maxAddresses, none of a member that isn't ready, and none of
 // another region while the client's own has one.
-func TestChooseFronts_Invariants(t *testing.T) {
+func TestChooseAddresses_Invariants(t *testing.T) {
 	zones := []string{"n1", "n2", "s1"}
 	rapid.Check(t, func(t *rapid.T) {
 		ready := map[string]state.Member{}
@@ -77,17 +77,17 @@
 			}
 		}
 		zone := rapid.SampledFrom(zones).Draw(t, "client")
-		fronts := sortedFronts(live, zone, "")
-		assert.Len(t, slices.Compact(slices.Clone(fronts)), len(fronts))
-		assert.LessOrEqual(t, len(fronts), maxAddresses)
+		addresses := sortedAddresses(live, zone, "")
+		assert.Len(t, slices.Compact(slices.Clone(addresses)), len(addresses))
+		assert.LessOrEqual(t, len(addresses), maxAddresses)
 		regionHasProxy := slices.ContainsFunc(live, func(m state.Member) bool {
 			return m.State == state.MemberReady && m.Region == testRegions[zone]
 		})
-		for _, front := range fronts {
-			member, found := ready[front]
+		for _, address := range addresses {
+			member, found := ready[address]
 			assert.True(t, found)
 			assert.True(t, !regionHasProxy || member.Region == testRegions[zone])
 		}
-		assert.Equal(t, len(ready) == 0, len(fronts) == 0)
+		assert.Equal(t, len(ready) == 0, len(addresses) == 0)
 	})
 }
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -59,14 +59,14 @@
 
 // announcement is what the agent has last announced of its proxy in the mesh.
 type announcement struct {
-	state state.MemberState
-	front string
+	state         state.MemberState
+	clientAddress string
 }
 
-func newAgent(process *settings.Process, log *zerolog.Logger, mesh memberMesh, table endpointTable) *agent {
+func newAgent(processSettings *settings.Process, log *zerolog.Logger, mesh memberMesh, table endpointTable) *agent {
 	now := time.Now()
 	incarnation := rand.Uint64() | 1 // never zero: a zero cursor belongs to no agent
-	a := &agent{settings: process, log: log, mesh: mesh, started: now}
+	a := &agent{settings: processSettings, log: log, mesh: mesh, started: now}
 	a.stateOwner = actor.Start(&agentState{
 		updates: newPublisher(incarnation, table),
 		started: now,
@@ -110,12 +110,12 @@
 	return stopped
 }
 
-// announceProxy announces the proxy's state and front in the mesh if they have changed.
+// announceProxy announces the proxy's state and client address in the mesh if they have changed.
 func (a *agent) announceProxy() {
 	a.announceMutex.Lock()
 	defer a.announceMutex.Unlock()
 	current, ok := actor.Call(a.stateOwner, func(s *agentState) announcement {
-		return announcement{state: s.proxyState(time.Now()), front: s.proxy.front}
+		return announcement{state: s.proxyState(time.Now()), clientAddress: s.proxy.clientAddress}
 	})
 	if !ok || current == a.announced {
 		return
@@ -123,10 +123,10 @@
 	event.ProxyStateChanged.Log(a.log).
 		Uint8("from", uint8(a.announced.state)).
 		Uint8("to", uint8(current.state)).
-		Str("front", current.front).
+		Str("front", current.clientAddress).
 		Send()
-	if current.front != a.announced.front {
-		a.mesh.SetClientAddress(current.front)
+	if current.clientAddress != a.announced.clientAddress {
+		a.mesh.SetClientAddress(current.clientAddress)
 	}
 	if current.state != a.announced.state {
 		a.mesh.SetState(current.state)
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -18,22 +18,22 @@
 
 func TestPoll_WaitsForAnUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestAgent(8 * time.Second)
-		defer s.stateOwner.Stop()
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
-		first := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+		a := newTestAgent(8 * time.Second)
+		defer a.stateOwner.Stop()
+		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
+		first := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, first.err)
 		assert.Equal(t, uint64(2), first.response.Record.Revision)
 		assert.Zero(t, first.elapsed)
 
-		second := s.poll(t.Context(), newWaitingRequest(first.response.Cursor, state.MemberReady))
+		second := a.poll(t.Context(), newWaitingRequest(first.response.Cursor, state.MemberReady))
 		synctest.Wait()
-		assert.Equal(t, []state.MemberState{state.MemberReady}, s.mesh.announced())
-		assert.Equal(t, "10.0.0.1:80", s.mesh.Self().ProxyAddress)
+		assert.Equal(t, []state.MemberState{state.MemberReady}, a.mesh.announced())
+		assert.Equal(t, "10.0.0.1:80", a.mesh.Self().ProxyAddress)
 		for sequence := range uint64(3) {
-			s.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", sequence+1))
+			a.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", sequence+1))
 		}
-		s.mesh.deliver(t, gossip.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
+		a.mesh.deliver(t, gossip.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
 		got := <-second
 		require.NoError(t, got.err)
 		assert.Equal(t, coalesceDelay, got.elapsed, "changes are batched")
@@ -41,7 +41,7 @@
 		assert.Len(t, got.response.Loads, 1)
 		assert.Nil(t, got.response.Record)
 
-		third := <-s.poll(t.Context(), newWaitingRequest(got.response.Cursor, state.MemberReady))
+		third := <-a.poll(t.Context(), newWaitingRequest(got.response.Cursor, state.MemberReady))
 		assert.Equal(t, 5*time.Second, third.elapsed, "no change: the wait has timed out")
 		assert.Equal(t, got.response.Cursor, third.response.Cursor)
 	})
@@ -49,14 +49,14 @@
 
 func TestApplyEntry_IgnoresUnreadableEntriesAndOldRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestAgent(8 * time.Second)
-		defer s.stateOwner.Stop()
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5})
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4})
-		for table := range s.mesh.subscribers {
-			s.mesh.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: []byte{0xff}})
+		a := newTestAgent(8 * time.Second)
+		defer a.stateOwner.Stop()
+		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5})
+		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4})
+		for table := range a.mesh.subscribers {
+			a.mesh.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: []byte{0xff}})
 		}
-		got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
+		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
 		assert.Equal(t, uint64(5), got.response.Record.Revision)
 		assert.Empty(t, got.response.Endpoints)
@@ -65,11 +65,11 @@
 
 func TestPoll_OfAStartingAgentWaitsForARecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestAgent(8 * time.Second)
+		a := newTestAgent(8 * time.Second)
 		ctx, stop := context.WithCancel(t.Context())
-		go s.run(ctx)
-		s.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
-		got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
+		go a.run(ctx)
+		a.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
+		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
 		assert.Equal(t, firstRecordTimeout+coalesceDelay, got.elapsed)
 		assert.Len(t, got.response.Endpoints, 1)
@@ -77,29 +77,29 @@
 		stop()
 		synctest.Wait()
 		time.Sleep(time.Minute) // of the bubble's clock
-		s.stateOwner.Stop()
+		a.stateOwner.Stop()
 	})
 }
 
 func TestAgent_AnnouncesAProxyWithoutPollsAsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestAgent(8 * time.Second)
+		a := newTestAgent(8 * time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go s.run(ctx)
+		go a.run(ctx)
 		connection, disconnect := context.WithCancel(t.Context())
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
-		first := <-s.poll(connection, newWaitingRequest(subscription.Cursor{}, state.MemberReady))
-		open := s.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberReady))
+		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
+		first := <-a.poll(connection, newWaitingRequest(subscription.Cursor{}, state.MemberReady))
+		open := a.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberReady))
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, []state.MemberState{state.MemberReady}, s.mesh.announced(), "an open poll is enough")
+		assert.Equal(t, []state.MemberState{state.MemberReady}, a.mesh.announced(), "an open poll is enough")
 		disconnect() // the proxy was killed
 		assert.Error(t, (<-open).err)
 		time.Sleep(pollTimeout + 2*tickInterval)
-		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberStarting}, s.mesh.announced())
+		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberStarting}, a.mesh.announced())
 		stop()
 		time.Sleep(time.Minute)
-		s.stateOwner.Stop()
+		a.stateOwner.Stop()
 	})
 }
 
@@ -118,16 +118,16 @@
 		{"proxy never exits", time.Hour, grace - shutdownReserve, grace - shutdownReserve + 2*shutdownTickInterval},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newTestAgent(grace)
+			a := newTestAgent(grace)
 			ctx, terminate := context.WithCancel(t.Context())
 			connection, disconnect := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() {
-				s.run(ctx)
+				a.run(ctx)
 				close(ended)
 			}()
 			if test.proxyExit > 0 {
-				go s.keepPolling(connection)
+				go a.keepPolling(connection)
 				time.Sleep(time.Second)
 			}
 			start := time.Now()
@@ -137,19 +137,19 @@
 			elapsed := time.Since(start)
 			assert.GreaterOrEqual(t, elapsed, test.min, test.name)
 			assert.LessOrEqual(t, elapsed, test.max, test.name)
-			assert.Equal(t, state.MemberLeaving, s.mesh.announced()[len(s.mesh.announced())-1], test.name)
+			assert.Equal(t, state.MemberLeaving, a.mesh.announced()[len(a.mesh.announced())-1], test.name)
 			disconnect()
 			time.Sleep(time.Minute)
-			s.stateOwner.Stop()
+			a.stateOwner.Stop()
 		})
 	}
 }
 
 // keepPolling polls as a proxy does until its connection is closed.
-func (s *testAgent) keepPolling(connection context.Context) {
+func (a *testAgent) keepPolling(connection context.Context) {
 	var cursor subscription.Cursor
 	for connection.Err() == nil {
-		got := <-s.poll(connection, newWaitingRequest(cursor, state.MemberReady))
+		got := <-a.poll(connection, newWaitingRequest(cursor, state.MemberReady))
 		if got.err == nil {
 			cursor = got.response.Cursor
 		}
@@ -158,46 +158,46 @@
 
 func TestAgent_AnnouncesALeavingProxyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestAgent(8 * time.Second)
-		defer s.stateOwner.Stop()
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
-		first := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
+		a := newTestAgent(8 * time.Second)
+		defer a.stateOwner.Stop()
+		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
+		first := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		connection, disconnect := context.WithCancel(t.Context())
-		ended := s.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberLeaving))
+		ended := a.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberLeaving))
 		synctest.Wait()
-		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberLeaving}, s.mesh.announced())
+		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberLeaving}, a.mesh.announced())
 		disconnect()
 		<-ended
 	})
 }
 
 func TestAnnounceLeave_IgnoresUnreachableMembers(t *testing.T) {
-	s := newTestAgent(time.Second)
-	defer s.stateOwner.Stop()
-	s.mesh.leaveError = errors.New("unreachable")
-	s.announceLeave(t.Context())
-	assert.True(t, s.mesh.left)
+	a := newTestAgent(time.Second)
+	defer a.stateOwner.Stop()
+	a.mesh.leaveError = errors.New("unreachable")
+	a.announceLeave(t.Context())
+	assert.True(t, a.mesh.left)
 }
 
 func TestPoll_FailsOnceTheAgentHasStopped(t *testing.T) {
-	s := newTestAgent(time.Second)
-	s.stateOwner.Stop()
-	_, err := s.server.watch(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
+	a := newTestAgent(time.Second)
+	a.stateOwner.Stop()
+	_, err := a.server.watch(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 	assert.ErrorContains(t, err, "R0800")
 }
 
 func TestReport_HasTheActiveConfiguration(t *testing.T) {
-	s := newTestAgent(time.Second)
-	defer s.stateOwner.Stop()
-	s.mesh.setPeers(newProxyMember("n2", 1, state.MemberReady))
-	s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
+	a := newTestAgent(time.Second)
+	defer a.stateOwner.Stop()
+	a.mesh.setPeers(newProxyMember("n2", 1, state.MemberReady))
+	a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}, {Zone: "n2"}}})
-	s.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
-	report := s.report(introspect.Request{IncludeTables: true})
+	a.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
+	report := a.report(introspect.Request{IncludeTables: true})
 	assert.Equal(t, uint64(4), report.Revision)
 	assert.Equal(t, uint64(9), report.Version)
 	assert.Equal(t, []string{"n1"}, report.Evacuated)
 	assert.Len(t, report.Members, 2)
 	assert.Len(t, report.Endpoints, 1)
-	assert.Empty(t, s.report(introspect.Request{}).Endpoints)
+	assert.Empty(t, a.report(introspect.Request{}).Endpoints)
 }
--- a/serving/agent/agentstate_test.go
+++ b/serving/agent/agentstate_test.go
@@ -11,37 +11,37 @@
 
 // newStoppingState returns the state of an agent that shuts down while its leaving proxy still runs.
 func newStoppingState() *agentState {
-	b := &agentState{}
-	b.proxy.pollOpened(timeAfter(0), newPollRequest(1, state.MemberReady))
-	b.proxy.pollOpened(timeAfter(time.Second), newPollRequest(1, state.MemberLeaving))
-	b.proxy.pollClosed(timeAfter(time.Second), 1, true)
-	b.beginShutdown(timeAfter(time.Second), 8*time.Second)
-	return b
+	s := &agentState{}
+	s.proxy.pollOpened(timeAfter(0), newPollRequest(1, state.MemberReady))
+	s.proxy.pollOpened(timeAfter(time.Second), newPollRequest(1, state.MemberLeaving))
+	s.proxy.pollClosed(timeAfter(time.Second), 1, true)
+	s.beginShutdown(timeAfter(time.Second), 8*time.Second)
+	return s
 }
 
 func TestAgentState_StopsAfterItsProxy(t *testing.T) {
-	b := newStoppingState()
-	assert.False(t, b.canStop(timeAfter(2*time.Second)), "the proxy is draining")
-	b.proxy.pollClosed(timeAfter(4*time.Second), 1, true)
-	assert.True(t, b.canStop(timeAfter(4*time.Second)))
+	s := newStoppingState()
+	assert.False(t, s.canStop(timeAfter(2*time.Second)), "the proxy is draining")
+	s.proxy.pollClosed(timeAfter(4*time.Second), 1, true)
+	assert.True(t, s.canStop(timeAfter(4*time.Second)))
 }
 
 // A proxy that restarts before its agent has stopped must not delay the agent's shutdown.
 func TestAgentState_DoesNotWaitForARestartedProxy(t *testing.T) {
-	b := newStoppingState()
-	b.proxy.pollOpened(timeAfter(4*time.Second), newPollRequest(2, state.MemberStarting))
-	assert.True(t, b.canStop(timeAfter(4*time.Second)))
-	assert.Equal(t, state.MemberLeaving, b.proxyState(timeAfter(4*time.Second)))
+	s := newStoppingState()
+	s.proxy.pollOpened(timeAfter(4*time.Second), newPollRequest(2, state.MemberStarting))
+	assert.True(t, s.canStop(timeAfter(4*time.Second)))
+	assert.Equal(t, state.MemberLeaving, s.proxyState(timeAfter(4*time.Second)))
 }
 
 func TestAgentState_StopsAtTheShutdownDeadline(t *testing.T) {
-	b := newStoppingState()
-	assert.False(t, b.canStop(timeAfter(9*time.Second-shutdownReserve-1)))
-	assert.True(t, b.canStop(timeAfter(9*time.Second-shutdownReserve)))
+	s := newStoppingState()
+	assert.False(t, s.canStop(timeAfter(9*time.Second-shutdownReserve-1)))
+	assert.True(t, s.canStop(timeAfter(9*time.Second-shutdownReserve)))
 }
 
 func TestAgentState_StopsAtOnceWithoutAProxy(t *testing.T) {
-	b := &agentState{}
-	b.beginShutdown(timeAfter(0), 8*time.Second)
-	assert.True(t, b.canStop(timeAfter(0)))
+	s := &agentState{}
+	s.beginShutdown(timeAfter(0), 8*time.Second)
+	assert.True(t, s.canStop(timeAfter(0)))
 }
--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -46,9 +46,9 @@
 
 // newUnconfirmedAgent returns an agent that has just started.
 func newUnconfirmedAgent() *testAgent {
-	s := newTestAgent(8 * time.Second)
-	s.stateOwner.Send(func(s *agentState) { s.confirmed = false })
-	return s
+	a := newTestAgent(8 * time.Second)
+	a.stateOwner.Send(func(s *agentState) { s.confirmed = false })
+	return a
 }
 
 // An agent restarts, and the first member that it reaches is a partitioned core that transfers an outdated record. The
@@ -69,15 +69,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newUnconfirmedAgent()
-				defer s.stateOwner.Stop()
-				go s.confirmRecord(t.Context(), test.voters.query)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
-				poll := s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+				a := newUnconfirmedAgent()
+				defer a.stateOwner.Stop()
+				go a.confirmRecord(t.Context(), test.voters.query)
+				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+				poll := a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-poll
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(7), got.response.Record.Revision)
@@ -95,11 +95,11 @@
 // A record that is the newest already is published as soon as a majority has confirmed it.
 func TestConfirmRecord_ReleasesTheNewestRecordAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newUnconfirmedAgent()
-		defer s.stateOwner.Stop()
-		s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
-		go s.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
-		got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+		a := newUnconfirmedAgent()
+		defer a.stateOwner.Stop()
+		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+		go a.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
+		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
 		assert.Less(t, got.elapsed, 20*time.Millisecond)
 	})
@@ -110,21 +110,21 @@
 	for alone := range 2 {
 		t.Run(fmt.Sprint(alone, " voters"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newUnconfirmedAgent()
+				a := newUnconfirmedAgent()
 				ctx, stop := context.WithCancel(t.Context())
-				go s.run(ctx)
+				go a.run(ctx)
 				defer func() {
 					stop()
 					time.Sleep(time.Minute)
-					s.stateOwner.Stop()
+					a.stateOwner.Stop()
 				}()
 				voters := fakeVoters{}
 				if alone == 1 {
 					voters["a"] = newGrantedVote(9)
 				}
-				go s.confirmRecord(t.Context(), voters.query)
-				s.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
-				got := <-s.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
+				go a.confirmRecord(t.Context(), voters.query)
+				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+				got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
 				assert.InDelta(t, confirmationTimeout.Seconds(), got.elapsed.Seconds(), tickInterval.Seconds())
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -63,10 +63,10 @@
 	f.states = append(f.states, announced)
 }
 
-func (f *fakeMesh) SetClientAddress(front string) {
+func (f *fakeMesh) SetClientAddress(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.self.ProxyAddress = front
+	f.self.ProxyAddress = address
 }
 
 func (f *fakeMesh) announced() []state.MemberState {
@@ -135,11 +135,11 @@
 }
 
 // poll starts a poll and returns the channel for its outcome.
-func (s *testAgent) poll(ctx context.Context, request *subscription.Request) <-chan pollOutcome {
+func (a *testAgent) poll(ctx context.Context, request *subscription.Request) <-chan pollOutcome {
 	outcome := make(chan pollOutcome, 1)
 	start := time.Now()
 	go func() {
-		response, err := s.server.watch(ctx, request)
+		response, err := a.server.watch(ctx, request)
 		outcome <- pollOutcome{response, err, time.Since(start)}
 	}()
 	return outcome
--- a/serving/agent/lookuphandler.go
+++ b/serving/agent/lookuphandler.go
@@ -46,7 +46,7 @@
 	}
 	query := r.URL.Query()
 	client := clientLocation{Zone: query.Get(queryZone), Region: query.Get(queryRegion)}.resolve(h.regions)
-	addresses := h.chooseFronts(client)
+	addresses := h.chooseAddresses(client)
 	if len(addresses) == 0 {
 		writeError(w, errcode.DirectoryEmpty)
 		return
@@ -58,11 +58,11 @@
 	writeJSON(w, http.StatusOK, lookupAnswer{Addresses: addresses, TTLSeconds: ttl.Seconds()})
 }
 
-func (h *lookupHandler) chooseFronts(client clientLocation) []string {
+func (h *lookupHandler) chooseAddresses(client clientLocation) []string {
 	members := h.members()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return chooseFronts(members, client, h.random)
+	return chooseAddresses(members, client, h.random)
 }
 
 func writeError(w http.ResponseWriter, kind errcode.Kind) {
--- a/serving/agent/lookuphandler_test.go
+++ b/serving/agent/lookuphandler_test.go
@@ -59,13 +59,13 @@
 }
 
 func TestIsDirectoryReady_OncePeersAreKnownOrTheDelayIsOver(t *testing.T) {
-	s := newTestAgent(time.Second)
-	defer s.stateOwner.Stop()
-	assert.False(t, s.isDirectoryReady(), "just started and without peers")
-	s.mesh.setPeers(newProxyMember("n2", 1, state.MemberReady))
-	assert.True(t, s.isDirectoryReady())
-	s.mesh.setPeers()
-	s.started = time.Now().Add(-directoryStartDelay)
-	assert.True(t, s.isDirectoryReady(), "without peers, but the delay is over")
-	assert.False(t, s.isSynced())
+	a := newTestAgent(time.Second)
+	defer a.stateOwner.Stop()
+	assert.False(t, a.isDirectoryReady(), "just started and without peers")
+	a.mesh.setPeers(newProxyMember("n2", 1, state.MemberReady))
+	assert.True(t, a.isDirectoryReady())
+	a.mesh.setPeers()
+	a.started = time.Now().Add(-directoryStartDelay)
+	assert.True(t, a.isDirectoryReady(), "without peers, but the delay is over")
+	assert.False(t, a.isSynced())
 }
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -56,15 +56,15 @@
 
 func TestPoll_ForwardsObservations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestAgent(time.Second)
-		defer s.stateOwner.Stop()
+		a := newTestAgent(time.Second)
+		defer a.stateOwner.Stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		request := newWaitingRequest(subscription.Cursor{}, state.MemberReady)
 		request.Observations = []state.Observation{{EndpointID: "e", Failures: 1}}
-		ended := s.poll(ctx, request)
+		ended := a.poll(ctx, request)
 		synctest.Wait()
-		require.Len(t, s.observations, 1)
-		assert.Equal(t, request.Observations, <-s.observations)
+		require.Len(t, a.observations, 1)
+		assert.Equal(t, request.Observations, <-a.observations)
 		cancel()
 		<-ended
 	})
--- a/serving/agent/proxymonitor.go
+++ b/serving/agent/proxymonitor.go
@@ -17,7 +17,7 @@
 	openPolls     int    // polls of that process that wait at the agent
 	lastPoll      time.Time
 	reportedState state.MemberState // by the proxy itself
-	front         string            // address where the proxy takes clients' requests, host:port
+	clientAddress string            // address where the proxy takes clients' requests, host:port
 	disconnected  bool              // the proxy reported that it leaves, and its last poll broke off
 }
 
@@ -32,7 +32,7 @@
 	m.reportedState = request.State
 	m.disconnected = false
 	if request.ClientAddress != "" {
-		m.front = request.ClientAddress
+		m.clientAddress = request.ClientAddress
 	}
 }
 
--- a/serving/agent/proxymonitor_test.go
+++ b/serving/agent/proxymonitor_test.go
@@ -43,11 +43,11 @@
 	assert.False(t, p.isAlive(timeAfter(time.Minute+pollTimeout)))
 }
 
-func TestProxyMonitor_KeepsTheFrontIfAPollHasNone(t *testing.T) {
+func TestProxyMonitor_KeepsTheClientAddressIfAPollHasNone(t *testing.T) {
 	var p proxyMonitor
 	p.pollOpened(timeAfter(0), newPollRequest(1, state.MemberReady))
 	p.pollOpened(timeAfter(0), &subscription.Request{Incarnation: 1})
-	assert.Equal(t, "10.0.0.1:80", p.front)
+	assert.Equal(t, "10.0.0.1:80", p.clientAddress)
 }
 
 func TestProxyMonitor_LeavingProxyIsGoneOnceItDisconnects(t *testing.T) {
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -87,10 +87,10 @@
 	return nil
 }
 
-func newEndpointTable(process *settings.Process) *endpoints.Table {
+func newEndpointTable(processSettings *settings.Process) *endpoints.Table {
 	return endpoints.NewTable(endpoints.Options{
-		Self:              process.NodeName,
-		HeartbeatInterval: process.HeartbeatInterval,
+		Self:              processSettings.NodeName,
+		HeartbeatInterval: processSettings.HeartbeatInterval,
 	})
 }
 
@@ -105,13 +105,13 @@
 }
 
 // initialMember is the agent's member entry until its proxy polls for the first time.
-func initialMember(process *settings.Process) state.Member {
+func initialMember(processSettings *settings.Process) state.Member {
 	return state.Member{
-		Name:    process.NodeName,
+		Name:    processSettings.NodeName,
 		Role:    state.RoleAgent,
-		Zone:    process.Zone,
-		Region:  process.Region,
-		Address: process.InnerAddress(),
+		Zone:    processSettings.Zone,
+		Region:  processSettings.Region,
+		Address: processSettings.InnerAddress(),
 		State:   state.MemberStarting,
 	}
 }
