--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -11,6 +11,7 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const fetchTimeout = 10 * api.Second
@@ -40,7 +41,7 @@
 	client := transport.NewClient("", map[cluster.MemberID]string{node: address})
 	defer client.Close()
 	request := transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: 0, cluster.RebalanceComponent: 0}}
-	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), duration(fetchTimeout))
+	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), inflight.Duration(fetchTimeout))
 	if err != nil {
 		return answer, status, err
 	}
@@ -53,12 +54,12 @@
 
 func restoreState(answer transport.StateResponse, shardMap *shardmap.Map, progress *rebalance.Progress) error {
 	err := errNoShardMap
-	for _, part := range answer.Components {
-		switch part.Component {
+	for _, state := range answer.Components {
+		switch state.Component {
 		case cluster.ShardMapComponent:
-			err = shardMap.Restore(part.Data)
+			err = shardMap.Restore(state.Data)
 		case cluster.RebalanceComponent:
-			if planErr := progress.Restore(part.Data); planErr != nil {
+			if planErr := progress.Restore(state.Data); planErr != nil {
 				return planErr
 			}
 		}
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -113,8 +113,8 @@
 // acceptHere accepts what belongs here, and what has to wait here for an earlier webhook of its key. While the range is
 // closed it accepts nothing: what comes after the last count before a switch would be out of order.
 func (f *Forwarder) acceptHere(w *inflight.Webhook, accept AcceptFunc) localAcceptance {
-	release := f.Ownership.HoldAdmission()
-	defer release()
+	end := f.Ownership.BeginAdmission()
+	defer end()
 	decision := f.Ownership.Decide(w.Destination)
 	if f.Ownership.IsClosed(decision) || decision.Action == shardmap.Forward && !f.Decider.WaitsForEarlier(w) {
 		return localAcceptance{decision: decision}
--- a/cluster/member/forwarding/receiver.go
+++ b/cluster/member/forwarding/receiver.go
@@ -80,8 +80,8 @@
 	for i, w := range transfer.Webhooks {
 		transfer.Webhooks[i] = w.WithClockShift(offset)
 	}
-	release := r.Ownership.HoldAdmission()
-	defer release()
+	end := r.Ownership.BeginAdmission()
+	defer end()
 	in := newIntake(r, transfer, admit)
 	in.run()
 	reply.Outcomes = in.outcomes
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -58,12 +58,12 @@
 		if ordered && blocked[key] {
 			continue
 		}
-		r, leaves := m.route(shardMap, w)
+		r, routed := m.route(shardMap, w)
 		switch {
 		case w.MayBeElsewhere:
 			blocked[key] = blocked[key] || ordered
-			m.batchInDoubt(all, w, r, leaves)
-		case leaves:
+			m.batchInDoubt(all, w, r, routed)
+		case routed:
 			all.of(r.to).addOffer(w, r.move)
 		default:
 			blocked[key] = blocked[key] || ordered
@@ -73,12 +73,12 @@
 }
 
 // batchInDoubt has a webhook in doubt offered once more where that goes to the same folder, else asked for.
-func (m *Manager) batchInDoubt(all batches, w eventloop.Parked, r route, leaves bool) {
+func (m *Manager) batchInDoubt(all batches, w eventloop.Parked, r route, routed bool) {
 	offer, _, offered := m.Custody.PendingOffer(custody.IDOf(w.RequestID))
 	switch {
 	case !offered:
 		m.confirmArrival(w) // it may be resolved by now
-	case leaves && r.to == offer.To && m.Peers.Incarnation(r.to) == offer.Incarnation:
+	case routed && r.to == offer.To && m.Peers.Incarnation(r.to) == offer.Incarnation:
 		all.of(r.to).addOffer(w, r.move)
 	default:
 		all.of(offer.To).addQuery(w)
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -27,7 +27,7 @@
 // owner any more, or its folder is another one.
 func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Parked) {
 	now := inflight.Now()
-	var doubts []inDoubt
+	var queried []inDoubt
 	var queries []peer.CustodyQuery
 	for _, w := range webhooks {
 		id := custody.IDOf(w.RequestID)
@@ -35,7 +35,7 @@
 		if !offered || offer.To != at {
 			continue
 		}
-		doubts = append(doubts, inDoubt{Parked: w, id: id, handoff: handoff, offer: offer})
+		queried = append(queried, inDoubt{Parked: w, id: id, handoff: handoff, offer: offer})
 		queries = append(queries, peer.CustodyQuery{ID: id, Handoff: handoff, TTLLeft: w.Deadline - now,
 			Incarnation: offer.Incarnation})
 	}
@@ -47,7 +47,7 @@
 		slog.Debug("webhooks in doubt not resolved", "at", at, "webhooks", len(queries), "why", err)
 		replies = make([]shardmap.CustodyReply, len(queries)) // CustodyUnknown
 	}
-	for i, d := range doubts {
+	for i, d := range queried {
 		m.resolveInDoubt(d, replies[i])
 	}
 }
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -13,6 +13,7 @@
 	"rowanlink/cluster/member/session"
 	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // leaveTimeoutTTLs is how many lease TTLs a planned end waits for its turn.
@@ -62,7 +63,7 @@
 
 // runPeriodically calls do whenever it is woken, and periodically.
 func (m *Member) runPeriodically(wake wakeup.Signal, do func()) {
-	tick := time.NewTicker(duration(m.file.LeaseTTL) / checksPerTTL)
+	tick := time.NewTicker(inflight.Duration(m.file.LeaseTTL) / checksPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -125,12 +126,12 @@
 	for turn := range turns {
 		m.session.Acquire(cluster.DepartureSlotResource(turn))
 	}
-	deadline := time.Now().Add(leaveTimeoutTTLs * duration(m.file.LeaseTTL))
+	deadline := time.Now().Add(leaveTimeoutTTLs * inflight.Duration(m.file.LeaseTTL))
 	for time.Now().Before(deadline) {
 		if m.takeLeaveTurn(turns) {
 			return
 		}
-		time.Sleep(duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
+		time.Sleep(inflight.Duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
 	}
 	slog.Warn("leaves without a turn: none was free for a term")
 }
@@ -165,7 +166,7 @@
 			slog.Warn("log not closed in time", "why", err)
 		}
 	}
-	_ = m.server.Close(duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
+	_ = m.server.Close(inflight.Duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
 	m.client.Close()
 	_ = m.custody.Close() // what was answered has been written
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -1,7 +1,7 @@
-// Package member makes a webhook dispatcher a member of a cluster. It wires the parts to the dispatcher and runs them:
-// a raft node where the operator file names one here (raftnode), the session with its leases (session), the ranges that
-// this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the rebalancing
-// plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
+// Package member makes a webhook dispatcher a member of a cluster. It wires the following to the dispatcher and runs
+// them: a raft node where the operator file names one here (raftnode), the session with its leases (session), the ranges
+// that this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the
+// rebalancing plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
 package member
 
 import (
@@ -35,6 +35,7 @@
 	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const (
@@ -148,7 +149,7 @@
 		return err
 	}
 	leases := lease.NewTable()
-	parts := map[byte]cluster.Component{
+	components := map[byte]cluster.Component{
 		cluster.ShardMapComponent:  shardmap.New(leases),
 		cluster.RebalanceComponent: &rebalance.Progress{},
 	}
@@ -161,7 +162,7 @@
 		Client:       m.client,
 		Clock:        m.clock,
 		Leases:       leases,
-		StateMachine: fsm.New(leases, parts),
+		StateMachine: fsm.New(leases, components),
 	}, listener)
 	if err != nil {
 		return err
@@ -230,7 +231,7 @@
 		Self:        m.self,
 		Reporter:    m.reporter,
 		Client:      m.client,
-		LeaseTTL:    duration(m.file.LeaseTTL),
+		LeaseTTL:    inflight.Duration(m.file.LeaseTTL),
 		Members:     m.members,
 		Query:       m.healthQuery,
 		OnCollected: m.wake,
@@ -262,5 +263,3 @@
 	m.ownershipWake.Send()
 	m.handoffWake.Send()
 }
-
-func duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/cluster/member/ownership/closure.go
+++ b/cluster/member/ownership/closure.go
@@ -16,20 +16,20 @@
 // clients must not be rejected for as long as the target of the move can't be reached.
 const closureLimitDivisor = 4
 
-// HoldAdmission keeps ranges from being closed until release is called. Whoever admits a webhook holds it from the
-// decision until the webhook is in the journal.
-func (m *Manager) HoldAdmission() (release func()) {
+// BeginAdmission keeps ranges from being closed until end is called. Whoever admits a webhook calls it before
+// the decision, and end once the webhook is in the journal.
+func (m *Manager) BeginAdmission() (end func()) {
 	m.admissionMu.RLock()
 	return m.admissionMu.RUnlock
 }
 
-// IsClosed reports whether a webhook with this verdict has to wait for the switch of a move.
-func (m *Manager) IsClosed(v shardmap.Decision) bool {
-	if v.Action != shardmap.ParkOwned || !v.Move.IsOpen() {
+// IsClosed reports whether a webhook with this decision has to wait for the switch of a move.
+func (m *Manager) IsClosed(d shardmap.Decision) bool {
+	if d.Action != shardmap.ParkOwned || !d.Move.IsOpen() {
 		return false
 	}
-	c, closed := m.closureOf(v.Range)
-	return closed && c.move == v.Move.ID
+	c, closed := m.closureOf(d.Range)
+	return closed && c.move == d.Move.ID
 }
 
 func (m *Manager) closureOf(id cluster.RangeID) (closure, bool) {
--- a/cluster/member/session/metrics.go
+++ b/cluster/member/session/metrics.go
@@ -15,7 +15,7 @@
 	ResourcesAcquired  atomic.Int64
 	ResourcesLost      atomic.Int64 // released ones, too
 	SnapshotsDelivered atomic.Int64
-	DeltasApplied      atomic.Int64 // parts of the state that came as a delta
+	DeltasApplied      atomic.Int64 // components of the state that came as a delta
 	active             atomic.Int64 // 1 while a session is open
 }
 
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -20,9 +20,9 @@
 		s.notifyChanges()
 		wait := s.renewalWait(now)
 		if wait <= 0 && !s.isClosed() {
-			ask, session, tally := s.holder.StartRenewal(now), s.holder.Session(), s.holder.Digest()
+			renewal, session, digest := s.holder.StartRenewal(now), s.holder.Session(), s.holder.Digest()
 			s.mu.Unlock()
-			if s.requestRenewal(ask, session, tally) {
+			if s.requestRenewal(renewal, session, digest) {
 				failures = 0
 				continue
 			}
@@ -49,8 +49,8 @@
 
 // requestRenewal sends one request to the leader, to open a session where session is 0 and else to renew it, and
 // returns whether the session is open by its answer.
-func (s *Session) requestRenewal(ask lease.Renewal, session cluster.SessionID, tally lease.Digest) bool {
-	answer, err := s.exchangeRenewal(session, tally)
+func (s *Session) requestRenewal(renewal lease.Renewal, session cluster.SessionID, digest lease.Digest) bool {
+	answer, err := s.exchangeRenewal(session, digest)
 	if err == nil && answer.ErrorCode != 0 {
 		err = fsm.ErrorFromCode(answer.ErrorCode)
 		s.dropSession(session)
@@ -68,17 +68,22 @@
 		slog.Debug("session not renewed", "session", session, "why", err)
 		return false
 	}
-	s.applyRenewal(ask, answer)
+	s.applyRenewal(renewal, answer)
 	return true
 }
 
-func (s *Session) exchangeRenewal(session cluster.SessionID, tally lease.Digest) (answer transport.SessionResponse,
+func (s *Session) exchangeRenewal(session cluster.SessionID, digest lease.Digest) (answer transport.SessionResponse,
 	err error) {
 	within := timing.RequestTimeout(s.LeaseTTL)
 	if session == 0 {
 		within = timing.LoggedRequestTimeout(s.LeaseTTL)
 	}
-	request := transport.SessionRequest{Member: s.Self, Session: session, Incarnation: s.Incarnation, GrantDigest: tally}
+	request := transport.SessionRequest{
+		Member:      s.Self,
+		Session:     session,
+		Incarnation: s.Incarnation,
+		GrantDigest: digest,
+	}
 	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
 	if err == nil {
 		err = transport.Decode(raw, &answer)
@@ -87,9 +92,9 @@
 }
 
 // applyRenewal takes the leader's positive answer. The caller holds the lock.
-func (s *Session) applyRenewal(ask lease.Renewal, answer transport.SessionResponse) {
+func (s *Session) applyRenewal(renewal lease.Renewal, answer transport.SessionResponse) {
 	before, wasActive := s.holder.Session(), s.holder.IsValid(s.Clock())
-	if s.holder.ConfirmRenewal(ask, answer.Session) && before != answer.Session {
+	if s.holder.ConfirmRenewal(renewal, answer.Session) && before != answer.Session {
 		s.SessionsOpened.Add(1)
 		slog.Info("session held", "member", s.Self, "session", answer.Session)
 		s.reconciler.RetryAll()
--- a/cluster/member/session/session.go
+++ b/cluster/member/session/session.go
@@ -1,5 +1,5 @@
 // Package session is the client side of leases: it keeps a member's session with the leading raft node open, acquires
-// and releases the leases of resources by it, and follows parts of the replicated state.
+// and releases the leases of resources by it, and follows components of the replicated state.
 //
 // The rules for when a lease may be acted on are those of package lease; this package adds goroutines, the clock and
 // requests to the raft nodes.
@@ -39,7 +39,7 @@
 	holder     *lease.Holder
 	reconciler *lease.Reconciler
 	notified   map[cluster.Resource]cluster.Epoch // the state that OnChange was last called with
-	watchers   map[byte]*watcher                  // by part of the replicated state
+	watchers   map[byte]*watcher                  // by component of the replicated state
 
 	// hasFreed is set when a raft node reports that a resource became free: it tells all who wait for it in one
 	// moment, so the next request for a grant is spread.
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -13,7 +13,7 @@
 	"rowanlink/cluster/transport"
 )
 
-// watcher follows one part of the replicated state.
+// watcher follows one component of the replicated state.
 type watcher struct {
 	version          uint64 // of snapshot
 	snapshot         []byte
@@ -22,13 +22,13 @@
 	deliveredVersion uint64 // of the last snapshot that was
 }
 
-// Watch has newer snapshots of a part of the replicated state delivered, always the newest; those between may be left
-// out. Callbacks run one at a time. One that blocks delays those of other parts but no poll, so that a resource that
-// becomes free is still acquired meanwhile.
-func (s *Session) Watch(part byte, deliver func(version uint64, snapshot []byte)) {
+// Watch has newer snapshots of a component of the replicated state delivered, always the newest; those between may be
+// left out. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a resource
+// that becomes free is still acquired meanwhile.
+func (s *Session) Watch(component byte, deliver func(version uint64, snapshot []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchers[part] = &watcher{deliver: deliver}
+	s.watchers[component] = &watcher{deliver: deliver}
 	s.pollWake.Send()
 }
 
@@ -80,42 +80,47 @@
 func (s *Session) watchRequest() transport.StateRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	request := transport.StateRequest{Versions: map[byte]uint64{}, WantedResources: s.reconciler.Blocked(), AcceptDeltas: true}
-	for part, w := range s.watchers {
-		request.Versions[part] = w.version
+	request := transport.StateRequest{
+		Versions:        map[byte]uint64{},
+		WantedResources: s.reconciler.Blocked(),
+		AcceptDeltas:    true,
+	}
+	for component, w := range s.watchers {
+		request.Versions[component] = w.version
 	}
 	return request
 }
 
 func (s *Session) applyState(answer transport.StateResponse) {
 	s.markFreed(answer.FreeResources)
-	for _, part := range answer.Components {
-		s.applyPart(part)
+	for _, state := range answer.Components {
+		s.applyComponent(state)
 	}
 }
 
-// applyPart takes a newer version of a part. Where a delta doesn't fit, the next poll requests the full snapshot.
-func (s *Session) applyPart(part transport.ComponentState) {
+// applyComponent takes a newer version of a component. Where a delta doesn't fit, the next poll requests the full
+// snapshot.
+func (s *Session) applyComponent(state transport.ComponentState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.watchers[part.Component]
-	isDelta := part.BaseVersion != 0
-	if w == nil || part.Version <= w.version || isDelta && part.BaseVersion != w.version {
+	w := s.watchers[state.Component]
+	isDelta := state.BaseVersion != 0
+	if w == nil || state.Version <= w.version || isDelta && state.BaseVersion != w.version {
 		return
 	}
-	snapshot := part.Data
+	snapshot := state.Data
 	if isDelta {
 		var err error
-		snapshot, err = fsm.ApplyDelta(w.snapshot, part.Data)
+		snapshot, err = fsm.ApplyDelta(w.snapshot, state.Data)
 		if err != nil {
-			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", part.Component, "why", err)
+			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", state.Component, "why", err)
 			w.version = 0
 			return
 		}
 		s.DeltasApplied.Add(1)
 	}
-	w.version, w.snapshot = part.Version, snapshot
-	w.pending = part.Version > w.deliveredVersion
+	w.version, w.snapshot = state.Version, snapshot
+	w.pending = state.Version > w.deliveredVersion
 	s.deliverWake.Send()
 }
 
@@ -151,8 +156,8 @@
 func (s *Session) nextDelivery() (deliver func(uint64, []byte), version uint64, snapshot []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, part := range slices.Sorted(maps.Keys(s.watchers)) {
-		w := s.watchers[part]
+	for _, component := range slices.Sorted(maps.Keys(s.watchers)) {
+		w := s.watchers[component]
 		if !w.pending {
 			continue
 		}
