--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -35,7 +35,10 @@
 
 // IDOf returns the name by which all members know a webhook: a request id is never used twice.
 func IDOf(id inflight.RequestID) shardmap.WebhookID {
-	return shardmap.WebhookID{Incarnation: xxhash.Sum64String(string(id)), LocalID: xxhash.Sum64String("name " + string(id))}
+	return shardmap.WebhookID{
+		Incarnation: xxhash.Sum64String(string(id)),
+		LocalID:     xxhash.Sum64String("name " + string(id)),
+	}
 }
 
 // Open reads the records that an earlier process left in a folder, which is made if need be. isPending reports which
--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -40,7 +40,10 @@
 	const node cluster.MemberID = "it"
 	client := transport.NewClient("", map[cluster.MemberID]string{node: address})
 	defer client.Close()
-	request := transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: 0, cluster.RebalanceComponent: 0}}
+	request := transport.StateRequest{Versions: map[byte]uint64{
+		cluster.ShardMapComponent:  0,
+		cluster.RebalanceComponent: 0,
+	}}
 	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), inflight.Duration(fetchTimeout))
 	if err != nil {
 		return answer, status, err
--- a/cluster/member/handoff/localwork.go
+++ b/cluster/member/handoff/localwork.go
@@ -20,7 +20,9 @@
 
 // CallsInFlightTo counts the calls in flight to destinations.
 func (m *Manager) CallsInFlightTo(destinations []api.DestinationID) int {
-	_, calls := m.Decider.ParkedWebhooks(func(w *inflight.Webhook) bool { return slices.Contains(destinations, w.Destination) })
+	_, calls := m.Decider.ParkedWebhooks(func(w *inflight.Webhook) bool {
+		return slices.Contains(destinations, w.Destination)
+	})
 	return calls
 }
 
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -86,7 +86,8 @@
 	m.coordinate()
 }
 
-// UpdateSettings takes new settings of the dispatcher and reads the operator file again. One that can't be used changes nothing.
+// UpdateSettings takes new settings of the dispatcher and reads the operator file again. One that can't be used changes
+// nothing.
 func (m *Member) UpdateSettings(settings api.Settings) {
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
@@ -96,7 +97,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name // fixed while the process runs
+	// These are fixed while the process runs.
+	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name
 	m.file = file
 	m.planRequest = coordinator.PlanRequest{
 		Text:    text,
--- a/cluster/member/peer/encoded_forms_test.go
+++ b/cluster/member/peer/encoded_forms_test.go
@@ -14,5 +14,6 @@
 func TestEncodedForms(t *testing.T) {
 	want, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	require.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Transfer{}, TransferReply{}, []CustodyQuery{}, []shardmap.CustodyReply{}))
+	got := wireschema.Describe(wireschema.CBOR, Transfer{}, TransferReply{}, []CustodyQuery{}, []shardmap.CustodyReply{})
+	require.Equal(t, string(want), got)
 }
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -54,7 +54,8 @@
 }
 
 // EncodeWebhook returns a webhook as it is handed over with this id and handoff number.
-func EncodeWebhook(w eventloop.Parked, id shardmap.WebhookID, handoff shardmap.HandoffNumber) shardmap.TransferredWebhook {
+func EncodeWebhook(w eventloop.Parked, id shardmap.WebhookID,
+	handoff shardmap.HandoffNumber) shardmap.TransferredWebhook {
 	return shardmap.TransferredWebhook{
 		ID:           id,
 		Handoff:      handoff,
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -90,7 +90,8 @@
 func TestSession_RequestsSnapshotWhereADeltaDoesNotFit(t *testing.T) {
 	leader, s := startFakeLeader(t, nil)
 	part := func(version, since uint64, snapshot string) transport.ComponentState {
-		return transport.ComponentState{Component: cluster.RebalanceComponent, Version: version, BaseVersion: since, Data: []byte(snapshot)}
+		return transport.ComponentState{Component: cluster.RebalanceComponent, Version: version, BaseVersion: since,
+			Data: []byte(snapshot)}
 	}
 	leader.QueuePlanStates(part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"), part(3, 0, "three"),
 		part(7, 0, "seven"))
