--- a/cmd/rowan-endpointsim/file.go
+++ b/cmd/rowan-endpointsim/file.go
@@ -14,7 +14,7 @@
 // file is what a TOML file says. Times are in milliseconds.
 type file struct {
 	Control       []string  `toml:"control"`       // control addresses of the system
-	Configuration string    `toml:"configuration"` // document to put in force first, beside this file; empty: none
+	Configuration string    `toml:"configuration"` // file of the first configuration, relative to this file; empty: none
 	Services      []service `toml:"service"`
 }
 
@@ -68,7 +68,7 @@
 	for _, s := range f.Services {
 		for _, e := range s.Endpoints {
 			options := s.options()
-			options.Control, options.Zone, options.Listen = f.Control, e.Zone, e.Listen
+			options.Control, options.Zone, options.ListenAddress = f.Control, e.Zone, e.Listen
 			all = append(all, options)
 		}
 	}
@@ -78,11 +78,11 @@
 // options are what a service's endpoints have in common.
 func (s *service) options() endpoint.Options {
 	options := endpoint.Options{Service: s.Name, HealthPath: s.HealthPath, Edition: s.Edition, Slots: s.Slots,
-		Connections: s.Connections, BeatInterval: millis(float64(s.BeatMillis)), Drain: millis(float64(s.DrainMillis)),
-		Work: millis(s.WorkMillis), Cold: endpoint.Cold{Span: millis(float64(s.ColdMillis)), Rate: s.ColdRate}}
+		MaxConnections: s.Connections, HeartbeatInterval: millis(float64(s.BeatMillis)), DrainTime: millis(float64(s.DrainMillis)),
+		ProcessingTime: millis(s.WorkMillis), Warmup: endpoint.Warmup{Span: millis(float64(s.ColdMillis)), MaxRate: s.ColdRate}}
 	if s.Engine != nil {
-		options.Engine = &endpoint.Engine{Model: s.Engine.Model, Step: millis(s.Engine.StepMillis),
-			ReadRate: s.Engine.ReadRate, CacheTokens: s.Engine.CacheTokens, Stride: s.Engine.Stride}
+		options.Engine = &endpoint.Engine{Model: s.Engine.Model, DecodeStep: millis(s.Engine.StepMillis),
+			PrefillRate: s.Engine.ReadRate, CacheTokens: s.Engine.CacheTokens, TokensPerEvent: s.Engine.Stride}
 	}
 	return options
 }
--- a/cmd/rowan-endpointsim/file_test.go
+++ b/cmd/rowan-endpointsim/file_test.go
@@ -22,8 +22,8 @@
 	require.Len(t, all, 5)
 	writer := all[0]
 	assert.Equal(t, "writer", writer.Service)
-	assert.Equal(t, 3*time.Second, writer.Cold.Span)
-	assert.Equal(t, 6*time.Millisecond, writer.Engine.Step)
+	assert.Equal(t, 3*time.Second, writer.Warmup.Span)
+	assert.Equal(t, 6*time.Millisecond, writer.Engine.DecodeStep)
 	assert.Equal(t, read.Control, writer.Control)
 
 	document, err := os.ReadFile(filepath.Join(example, read.Configuration))
--- a/cmd/rowan-endpointsim/main.go
+++ b/cmd/rowan-endpointsim/main.go
@@ -1,5 +1,6 @@
-// Command rowan-endpointsim plays the endpoints of a serving system on one machine, so that the system can be tried: it
-// starts the endpoints that a file names, puts the first configuration in force, and shows what comes to them.
+// Command rowan-endpointsim simulates the endpoints of a serving system on one machine, so that the system can be tried
+// out: it starts the endpoints that a file describes, submits the first configuration, and prints the requests that
+// reach the endpoints.
 package main
 
 import (
@@ -21,14 +22,14 @@
 )
 
 const (
-	// configureWithin bounds the wait until the first configuration is in force.
-	configureWithin = time.Minute
-	// leaveWithin bounds the planned end of the endpoints.
-	leaveWithin = 10 * time.Second
+	// configureTimeout bounds the time until the first configuration is in force.
+	configureTimeout = time.Minute
+	// shutdownTimeout bounds the graceful shutdown of the endpoints.
+	shutdownTimeout = 10 * time.Second
 )
 
-// grammar is the command line.
-type grammar struct {
+// commandLine is the command line.
+type commandLine struct {
 	File    string           `arg:"" type:"existingfile" help:"TOML file of services and their endpoints."`
 	Quiet   bool             `help:"Don't show each request."`
 	Crash   bool             `help:"End without a word to the system, as by a crash."`
@@ -36,7 +37,7 @@
 }
 
 func main() {
-	var line grammar
+	var line commandLine
 	parsed := kong.Parse(&line, kong.Name("rowan-endpointsim"), kong.Description("Play the endpoints of a serving system."),
 		kong.Vars{"version": process.Version()}, kong.ShortUsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -44,50 +45,53 @@
 	parsed.FatalIfErrorf(run(ctx, &line))
 }
 
-// run plays the endpoints until the context ends.
-func run(ctx context.Context, line *grammar) error {
-	file, err := load(line.File)
+// run runs the endpoints until the context ends.
+func run(ctx context.Context, line *commandLine) error {
+	file, err := loadFile(line.File)
 	if err != nil {
 		return err
 	}
-	endpoints, err := start(file, notes(line.Quiet))
+	running := context.WithoutCancel(ctx) // the endpoints are ended below, not by the signal
+	endpoints, err := startEndpoints(running, file, requestPrinter(line.Quiet))
 	if err != nil {
 		return err
 	}
-	if err := configure(ctx, file, filepath.Dir(line.File)); err != nil {
+	if err := submitConfiguration(ctx, file, filepath.Dir(line.File)); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	if !line.Crash {
-		leave(endpoints)
+		shutDownEndpoints(running, endpoints)
 	}
 	return nil
 }
 
-// notes shows what becomes of requests.
-func notes(quiet bool) func(endpoint.Note) {
+// requestPrinter returns a function that prints each phase of a request; nil if nothing is to be printed.
+func requestPrinter(quiet bool) func(endpoint.RequestEvent) {
 	if quiet {
 		return nil
 	}
-	return func(n endpoint.Note) { fmt.Fprintf(os.Stdout, "%s %s\n", n.At.Format("15:04:05.000"), n) }
+	return func(e endpoint.RequestEvent) { fmt.Printf("%s %s\n", e.At.Format("15:04:05.000"), e) }
 }
 
-// start starts all endpoints.
-func start(file *file, note func(endpoint.Note)) (started []*endpoint.Endpoint, err error) {
+// startEndpoints starts all endpoints of the file.
+func startEndpoints(
+	ctx context.Context, file *simulationFile, onRequest func(endpoint.RequestEvent),
+) (started []*endpoint.Endpoint, err error) {
 	for _, options := range file.endpoints() {
-		options.Note = note
-		e, err := endpoint.Start(options)
+		options.OnRequest = onRequest
+		e, err := endpoint.Start(ctx, options)
 		if err != nil {
 			return nil, errors.Wrapf(err, "service %s", options.Service)
 		}
-		fmt.Fprintf(os.Stdout, "%s of %s in %s at %s\n", e.ID, options.Service, options.Zone, e.Address())
+		fmt.Printf("%s of %s in %s at %s\n", e.ID, options.Service, options.Zone, e.Address())
 		started = append(started, e)
 	}
 	return started, nil
 }
 
-// configure puts the first configuration in force, unless there is one already.
-func configure(ctx context.Context, file *file, folder string) error {
+// submitConfiguration submits the first configuration. The system keeps the one that it has, if any.
+func submitConfiguration(ctx context.Context, file *simulationFile, folder string) error {
 	if file.Configuration == "" {
 		return nil
 	}
@@ -95,32 +99,32 @@
 	if err != nil {
 		return errors.Wrap(err, "configuration")
 	}
-	ctx, cancel := context.WithTimeout(ctx, configureWithin)
+	ctx, cancel := context.WithTimeout(ctx, configureTimeout)
 	defer cancel()
 	operator := &client.Client{Addresses: file.Control}
 	err = operator.ReplaceConfiguration(ctx, 0, document)
-	var refusal *client.RejectedError
-	if errors.As(err, &refusal) {
-		fmt.Fprintln(os.Stdout, "the system keeps the configuration that it has:", refusal.Text)
+	var rejection *client.RejectedError
+	if errors.As(err, &rejection) {
+		fmt.Println("the system keeps the configuration that it has:", rejection.Text)
 		return nil
 	}
 	if err == nil {
-		fmt.Fprintln(os.Stdout, "the first configuration is in force")
+		fmt.Println("the first configuration is in force")
 	}
 	return errors.Wrap(err, "configuration")
 }
 
-// leave ends all endpoints by plan.
-func leave(endpoints []*endpoint.Endpoint) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+// shutDownEndpoints shuts all endpoints down gracefully.
+func shutDownEndpoints(ctx context.Context, endpoints []*endpoint.Endpoint) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	var all sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, e := range endpoints {
-		all.Go(func() {
-			if err := e.Leave(ctx); err != nil {
-				fmt.Fprintln(os.Stderr, e.ID, err)
+		shutdowns.Go(func() {
+			if err := e.Shutdown(ctx); err != nil {
+				_, _ = fmt.Fprintln(os.Stderr, e.ID, err)
 			}
 		})
 	}
-	all.Wait()
+	shutdowns.Wait()
 }
--- a/test/fake/endpoint/endpoint.go
+++ b/test/fake/endpoint/endpoint.go
@@ -1,9 +1,9 @@
-// Package endpoint stands in for the endpoints that a serving system sends requests to: language models and plain
-// services, over loopback. An endpoint registers by heartbeats, answers requests, health checks and asks for its
-// load, turns away what it can't take, is slow while cold, and ends by plan or as by a crash. It is written from the
-// protocol that endpoints speak and is for tests and trials only.
+// Package endpoint is a fake of the endpoints that a serving system sends requests to: language models and plain
+// services on the loopback interface. An endpoint registers by heartbeats, serves requests, health checks and load
+// reports, rejects what exceeds its capacity, is slow while it warms up, and shuts down gracefully or crashes. It is
+// written from the protocol that endpoints speak, for tests and trials only.
 //
-// What it doesn't play: preemption of running requests, changes of weights in an answer, broken answers.
+// It does not simulate preemption of running requests, changes of weights during a response, or broken responses.
 package endpoint
 
 import (
@@ -21,103 +21,113 @@
 )
 
 const (
-	// headWait bounds the time for the head of a call.
-	headWait = 3 * time.Second
-	// idleTime is how long a connection may rest.
-	idleTime = 20 * time.Second
-	// idLength is the number of random bytes in the id of an incarnation.
+	// headerTimeout bounds the time to receive a request's headers.
+	headerTimeout = 3 * time.Second
+	// idleTimeout is how long a connection may be idle.
+	idleTimeout = 20 * time.Second
+	// idLength is the number of random bytes in an incarnation's ID.
 	idLength = 4
 )
 
-// Endpoint is one incarnation.
+// Endpoint is one incarnation of an endpoint.
 type Endpoint struct {
-	ID      string
-	options Options
-	beats   *heartbeats
-	slots   *slots
-	memory  *memory
-	cold    *cold
-	server  *http.Server
-	address string
+	ID         string
+	options    Options
+	heartbeats *heartbeatSender
+	slots      *slots
+	kvCache    *kvCache
+	warmup     *warmupState
+	server     *http.Server
+	address    string
 
-	stop   context.CancelFunc // of the heartbeats
-	beaten chan struct{}      // closed when they have ended
-	close  sync.Once
+	stopHeartbeats context.CancelFunc // ends the heartbeats
+	heartbeatsDone chan struct{}      // closed when the heartbeats have ended
+	closeOnce      sync.Once
 }
 
-// Start starts an endpoint, which registers at once and then at intervals. The error tells that it can't listen.
-func Start(options Options) (*Endpoint, error) {
-	options = options.usual()
-	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", options.Listen)
+// Start starts an endpoint, which registers at once and sends heartbeats until Shutdown or Close. It fails if it can't
+// listen. The context bounds the start only.
+func Start(ctx context.Context, options Options) (*Endpoint, error) {
+	options = options.withDefaults()
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", options.ListenAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "endpoint")
 	}
 	started := time.Now()
-	e := &Endpoint{ID: newID(), options: options, address: listener.Addr().String(),
-		cold: newCold(started, options.Cold), beaten: make(chan struct{})}
-	e.slots = &slots{places: options.Slots, queue: options.Queue}
+	e := &Endpoint{
+		ID:             newID(),
+		options:        options,
+		address:        listener.Addr().String(),
+		warmup:         newWarmupState(started, options.Warmup),
+		heartbeatsDone: make(chan struct{}),
+	}
+	e.slots = &slots{capacity: options.Slots, queueLimit: options.QueueLimit}
 	if options.Engine != nil {
-		e.memory = newMemory(options.Engine.CacheTokens)
-		e.slots.memory = e.memory
+		e.kvCache = newKVCache(options.Engine.CacheTokens)
+		e.slots.kvCache = e.kvCache
+	}
+	e.server = &http.Server{
+		Handler:           e.handler(),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		ErrorLog:          log.New(io.Discard, "", 0),
 	}
-	e.server = &http.Server{Handler: e.handler(), ReadHeaderTimeout: headWait, IdleTimeout: idleTime,
-		ErrorLog: log.New(io.Discard, "", 0)}
-	go func() { _ = e.server.Serve(limit(listener, options.Connections)) }()
-	e.beats = newHeartbeats(e)
-	ctx, stop := context.WithCancel(context.Background())
-	e.stop = stop
+	go func() { _ = e.server.Serve(limitConnections(listener, options.MaxConnections)) }()
+	e.heartbeats = newHeartbeatSender(e)
+	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	e.stopHeartbeats = stop
 	go func() {
-		defer close(e.beaten)
-		e.beats.run(ctx)
+		defer close(e.heartbeatsDone)
+		e.heartbeats.run(running)
 	}()
 	return e, nil
 }
 
-// Address is host:port for requests.
+// Address returns host:port for requests.
 func (e *Endpoint) Address() string { return e.address }
 
-// Closing has the endpoint say from now on that it is closing; it serves on. The channel is closed when somebody has
-// acknowledged that.
-func (e *Endpoint) Closing() <-chan struct{} { return e.beats.closing() }
+// AnnounceDraining has the heartbeats report from now on that the endpoint is closing; it continues to serve. The
+// channel is closed when that has been acknowledged.
+func (e *Endpoint) AnnounceDraining() <-chan struct{} { return e.heartbeats.announceDraining() }
 
-// Leave ends the endpoint by plan: it says that it is closing until that is acknowledged, serves on for its drain,
-// signs off and ends. When the context ends before, it ends at once without a further word. The error tells that
-// nobody has acknowledged.
-func (e *Endpoint) Leave(ctx context.Context) error {
+// Shutdown ends the endpoint gracefully: it reports that it is closing until that is acknowledged, serves for its
+// drain time, deregisters and closes. If the context ends earlier, it closes at once. The error says that the report
+// was not acknowledged.
+func (e *Endpoint) Shutdown(ctx context.Context) error {
 	defer e.Close()
-	acknowledged := e.Closing()
+	acknowledged := e.AnnounceDraining()
 	select {
 	case <-acknowledged:
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "closing was not acknowledged")
 	}
-	drained := time.NewTimer(e.options.Drain)
+	drained := time.NewTimer(e.options.DrainTime)
 	defer drained.Stop()
 	select {
 	case <-drained.C:
 	case <-ctx.Done():
 	}
-	e.endBeats()
-	e.beats.signOff(ctx)
+	e.endHeartbeats()
+	e.heartbeats.deregister(ctx)
 	return nil
 }
 
-// Close ends the endpoint as a crash would: without a word, and whatever runs breaks off.
+// Close ends the endpoint like a crash: it reports nothing, and running requests break off.
 func (e *Endpoint) Close() {
-	e.close.Do(func() {
-		e.endBeats()
+	e.closeOnce.Do(func() {
+		e.endHeartbeats()
 		_ = e.server.Close()
 	})
 }
 
-func (e *Endpoint) endBeats() {
-	e.stop()
-	<-e.beaten
+func (e *Endpoint) endHeartbeats() {
+	e.stopHeartbeats()
+	<-e.heartbeatsDone
 }
 
-// newID names an incarnation.
+// newID returns the ID of a new incarnation.
 func newID() string {
 	id := make([]byte, idLength)
-	_, _ = rand.Read(id) // never fails
+	_, _ = rand.Read(id) // crypto/rand.Read never fails
 	return "i-" + hex.EncodeToString(id)
 }
--- a/test/fake/endpoint/handler.go
+++ b/test/fake/endpoint/handler.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// bodyMost bounds a request's body, in bytes.
-	bodyMost = 8 << 20
-	// middlePriority is that of requests that state none.
-	middlePriority = 5
-	// lastPriority is the least urgent.
-	lastPriority = 9
+	// maxBodySize bounds a request's body, in bytes.
+	maxBodySize = 8 << 20
+	// defaultPriority is the priority of requests that state none.
+	defaultPriority = 5
+	// lowestPriority is the lowest priority; 0 is the highest.
+	lowestPriority = 9
 )
 
-// handler answers all calls of the endpoint.
+// handler serves all requests to the endpoint.
 func (e *Endpoint) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+reportPath, e.serveReport)
+	mux.HandleFunc("GET "+reportPath, e.serveLoadReport)
 	if path := e.options.HealthPath; path != "" && path != "/" {
 		mux.HandleFunc("GET "+path, e.serveHealth)
 	}
@@ -33,153 +33,154 @@
 	return mux
 }
 
-// serveReport tells of the load.
-func (e *Endpoint) serveReport(w http.ResponseWriter, _ *http.Request) {
+// serveLoadReport responds with the endpoint's load.
+func (e *Endpoint) serveLoadReport(w http.ResponseWriter, _ *http.Request) {
 	running, waiting := e.slots.counts()
-	answer := report{Stage: stageBoth, Models: e.models(), Queued: waiting, Running: running}
-	if e.memory != nil {
-		answer.CacheUsed, answer.CacheTotal = e.memory.usedNow(), e.memory.total
+	answer := loadReport{Stage: stageBoth, Models: e.models(), Queued: waiting, Running: running}
+	if e.kvCache != nil {
+		answer.CacheUsed, answer.CacheTotal = e.kvCache.reservedTokens(), e.kvCache.total
 	}
 	w.Header().Set(headerContentType, typeJSON)
-	_ = json.NewEncoder(w).Encode(answer) // the caller has left if it fails
+	_ = json.NewEncoder(w).Encode(answer) // it fails only if the caller has disconnected
 }
 
-// serveHealth waits for a place like a request.
+// serveHealth responds to a health check, which waits for a slot like a request.
 func (e *Endpoint) serveHealth(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerEndpoint, e.ID)
-	if left := e.cold.left(time.Now()); left > 0 {
+	if left := e.warmup.remaining(time.Now()); left > 0 {
 		w.Header().Set(headerColdLeft, strconv.FormatInt(left.Milliseconds(), 10))
 	}
-	if !e.slots.enter(r.Context(), middlePriority, 0) {
-		notDelivered(w, http.StatusServiceUnavailable)
+	if !e.slots.acquire(r.Context(), defaultPriority, 0) {
+		respondNotDelivered(w, http.StatusServiceUnavailable)
 		return
 	}
-	e.slots.leave(0)
-	if e.beats.isLeaving() {
+	e.slots.release(0)
+	if e.heartbeats.isDraining() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (h *heartbeats) isLeaving() bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.leaving
-}
-
-// call is one request under way.
+// call is a request in progress.
 type call struct {
 	endpoint *Endpoint
 	writer   http.ResponseWriter
 	request  *http.Request
 	attempt  string
 	body     []byte
-	prompt   []part
-	tokens   int // out, at the most; 0: no language model is asked
+	prompt   []promptBlock
+	tokens   int // maximum number of output tokens; 0: not for a language model
 }
 
-// serveRequest takes a request, runs it and answers.
+// serveRequest reads a request, runs it and responds.
 func (e *Endpoint) serveRequest(w http.ResponseWriter, r *http.Request) {
 	c := &call{endpoint: e, writer: w, request: r, attempt: r.Header.Get(headerAttempt)}
 	if c.attempt == "" {
-		notDelivered(w, http.StatusBadRequest)
+		respondNotDelivered(w, http.StatusBadRequest)
 		return
 	}
 	w.Header().Set(headerAttempt, c.attempt)
 	if wanted := r.Header.Get(headerDeliverTo); wanted != "" && wanted != e.ID {
 		w.Header().Set(headerEndpoint, e.ID)
-		c.note(Misdirected, 0)
-		notDelivered(w, http.StatusMisdirectedRequest)
+		c.report(Misdirected, 0)
+		respondNotDelivered(w, http.StatusMisdirectedRequest)
 		return
 	}
 	var err error
-	if c.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost)); err != nil {
-		notDelivered(w, http.StatusBadRequest)
+	if c.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodySize)); err != nil {
+		respondNotDelivered(w, http.StatusBadRequest)
 		return
 	}
-	if !e.cold.arrive(time.Now()) {
-		panic(http.ErrAbortHandler) // it has fallen over
+	if !e.warmup.admitArrival(time.Now()) {
+		panic(http.ErrAbortHandler) // the endpoint is overloaded
 	}
-	ctx, cancel := withTimeLeft(r)
+	ctx, cancel := withDeadline(r.Context(), r.Header)
 	defer cancel()
-	c.admit(ctx)
+	c.waitForSlot(ctx)
 }
 
-// admit waits for a place and runs the request.
-func (c *call) admit(ctx context.Context) {
+// waitForSlot waits for a slot and runs the request.
+func (c *call) waitForSlot(ctx context.Context) {
 	needed := 0
-	if c.endpoint.memory != nil {
+	if c.endpoint.kvCache != nil {
 		var in int
-		in, c.tokens = readTokens(c.request.Header.Get(headerTokens))
-		c.prompt = readPrompt(c.request.Header.Get(headerPrompt))
+		in, c.tokens = parseTokenCounts(c.request.Header.Get(headerTokens))
+		c.prompt = parsePrompt(c.request.Header.Get(headerPrompt))
 		needed = in + c.tokens
 	}
-	if !c.endpoint.slots.enter(ctx, priorityOf(c.request), needed) {
-		c.note(Refused, 0)
-		notDelivered(c.writer, http.StatusServiceUnavailable)
+	if !c.endpoint.slots.acquire(ctx, priorityOf(c.request), needed) {
+		c.report(Rejected, 0)
+		respondNotDelivered(c.writer, http.StatusServiceUnavailable)
 		return
 	}
-	defer c.endpoint.slots.leave(needed)
+	defer c.endpoint.slots.release(needed)
 	if c.tokens > 0 {
-		c.stream(ctx)
+		c.respondStream(ctx)
 		return
 	}
-	c.plain(ctx)
+	c.respondPlain(ctx)
 }
 
-// plain answers with one body.
-func (c *call) plain(ctx context.Context) {
-	c.note(Began, 0)
-	work := float64(c.endpoint.options.Work) * c.endpoint.cold.slowness(time.Now())
+// respondPlain responds with a single body.
+func (c *call) respondPlain(ctx context.Context) {
+	c.report(Started, 0)
+	work := float64(c.endpoint.options.ProcessingTime) * c.endpoint.warmup.slowdown(time.Now())
 	if !ctxsleep.Sleep(ctx, time.Duration(work)) {
-		c.breakOff()
+		c.abandon()
 		return
 	}
-	c.stamp()
+	c.setStamp()
 	_, err := fmt.Fprintf(c.writer, "%s answers %s %s, body %x\n", c.endpoint.options.Service, c.request.Method,
 		c.request.URL.RequestURI(), sha256.Sum256(c.body))
 	if err != nil {
-		c.note(Abandoned, 0)
+		c.report(Abandoned, 0)
 		return
 	}
-	c.note(Done, 0)
+	c.report(Completed, 0)
 }
 
-// breakOff ends a request that ran but whose caller has left or whose time is over.
-func (c *call) breakOff() {
-	c.note(Abandoned, 0)
-	c.writer.WriteHeader(http.StatusGatewayTimeout) // nobody hears it where the caller has left
+// abandon ends a request that ran but whose caller has disconnected or whose deadline has passed.
+func (c *call) abandon() {
+	c.report(Abandoned, 0)
+	c.writer.WriteHeader(http.StatusGatewayTimeout) // has no effect if the caller has disconnected
 }
 
-// stamp marks an answer as the endpoint's own.
-func (c *call) stamp() {
+// setStamp marks a response as the endpoint's own.
+func (c *call) setStamp() {
 	c.writer.Header().Set(headerStamp, c.endpoint.ID+"."+c.attempt)
 }
 
-func (c *call) note(fate Fate, read int) {
-	c.endpoint.options.Note(Note{At: time.Now(), Endpoint: c.endpoint.ID, Attempt: c.attempt,
-		Path: c.request.URL.Path, Fate: fate, Read: read})
+// report reports a phase of the request.
+func (c *call) report(phase RequestPhase, uncachedTokens int) {
+	c.endpoint.options.OnRequest(RequestEvent{
+		At:             time.Now(),
+		Endpoint:       c.endpoint.ID,
+		Attempt:        c.attempt,
+		Path:           c.request.URL.Path,
+		Phase:          phase,
+		UncachedTokens: uncachedTokens,
+	})
 }
 
-// notDelivered promises that the request has not run and never will.
-func notDelivered(w http.ResponseWriter, status int) {
+// respondNotDelivered promises that the request has not run and never will.
+func respondNotDelivered(w http.ResponseWriter, status int) {
 	w.Header().Set(headerNotDelivered, "1")
 	w.WriteHeader(status)
 }
 
-// withTimeLeft ends work at the time that the caller will wait.
-func withTimeLeft(r *http.Request) (context.Context, context.CancelFunc) {
-	left, err := strconv.ParseFloat(r.Header.Get(headerTimeLeft), 64)
+// withDeadline bounds the work by the time that the caller waits.
+func withDeadline(ctx context.Context, header http.Header) (context.Context, context.CancelFunc) {
+	millis, err := strconv.ParseFloat(header.Get(headerTimeLeft), 64)
 	if err != nil {
-		return context.WithCancel(r.Context())
+		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(r.Context(), time.Duration(left*float64(time.Millisecond)))
+	return context.WithTimeout(ctx, time.Duration(millis*float64(time.Millisecond)))
 }
 
-// priorityOf is the rank of a request, 0 first.
+// priorityOf returns the priority of a request; 0 is the highest.
 func priorityOf(r *http.Request) int {
 	priority, err := strconv.Atoi(r.Header.Get(headerPriority))
 	if err != nil {
-		return middlePriority
+		return defaultPriority
 	}
-	return min(max(priority, 0), lastPriority)
+	return min(max(priority, 0), lowestPriority)
 }
--- a/test/fake/endpoint/heartbeat.go
+++ b/test/fake/endpoint/heartbeat.go
@@ -13,38 +13,42 @@
 )
 
 const (
-	// callTimeout bounds one call of a control address.
+	// callTimeout bounds one call to a control address.
 	callTimeout = time.Second
-	// acknowledgementMost bounds the answer to a heartbeat, in bytes.
-	acknowledgementMost = 4 << 10
-	// hurriedInterval is between heartbeats of an endpoint whose closing nobody has acknowledged.
-	hurriedInterval = 200 * time.Millisecond
+	// maxAcknowledgementSize bounds the response to a heartbeat, in bytes.
+	maxAcknowledgementSize = 4 << 10
+	// drainRetryInterval is the time between heartbeats that report a closing endpoint until one is acknowledged.
+	drainRetryInterval = 200 * time.Millisecond
 )
 
-// heartbeats keeps the endpoint registered.
-type heartbeats struct {
+// heartbeatSender keeps the endpoint registered.
+type heartbeatSender struct {
 	endpoint *Endpoint
 	client   *http.Client
 	wake     chan struct{}
 
-	mutex        sync.Mutex
-	leaving      bool
-	acknowledged chan struct{} // closed when the closing was acknowledged
-	sequence     uint64
-	forward      string // where later heartbeats go; empty: no wish was told
-	next         int    // of the control addresses
+	mutex            sync.Mutex
+	draining         bool
+	acknowledged     chan struct{} // closed when the report of draining was acknowledged
+	sequence         uint64
+	preferredAddress string // where further heartbeats go first; empty: none was requested
+	nextControl      int    // index of the control address to try first
 }
 
-func newHeartbeats(e *Endpoint) *heartbeats {
-	return &heartbeats{endpoint: e, client: &http.Client{Timeout: callTimeout}, wake: make(chan struct{}, 1),
-		acknowledged: make(chan struct{})}
+func newHeartbeatSender(e *Endpoint) *heartbeatSender {
+	return &heartbeatSender{
+		endpoint:     e,
+		client:       &http.Client{Timeout: callTimeout},
+		wake:         make(chan struct{}, 1),
+		acknowledged: make(chan struct{}),
+	}
 }
 
-// closing has the heartbeats say from now on that the endpoint is closing. The channel is closed when somebody has
-// acknowledged that.
-func (h *heartbeats) closing() <-chan struct{} {
+// announceDraining has the heartbeats report from now on that the endpoint is closing. The channel is closed when that
+// has been acknowledged.
+func (h *heartbeatSender) announceDraining() <-chan struct{} {
 	h.mutex.Lock()
-	h.leaving = true
+	h.draining = true
 	h.mutex.Unlock()
 	select {
 	case h.wake <- struct{}{}:
@@ -53,25 +57,33 @@
 	return h.acknowledged
 }
 
+// isDraining reports whether draining has been announced.
+func (h *heartbeatSender) isDraining() bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.draining
+}
+
 // run sends heartbeats until the context ends.
-func (h *heartbeats) run(ctx context.Context) {
+func (h *heartbeatSender) run(ctx context.Context) {
 	defer h.client.CloseIdleConnections()
-	told := false // that the endpoint is closing
+	acknowledged := false // that the endpoint is closing
 	for ctx.Err() == nil {
-		leaving, err := h.beat(ctx)
-		if leaving && err == nil && !told {
-			told = true
+		draining, err := h.sendHeartbeat(ctx)
+		if draining && err == nil && !acknowledged {
+			acknowledged = true
 			close(h.acknowledged)
 		}
-		pause := h.endpoint.options.BeatInterval
-		if err != nil || leaving && !told {
-			pause = min(pause, hurriedInterval)
+		pause := h.endpoint.options.HeartbeatInterval
+		if err != nil || draining && !acknowledged {
+			pause = min(pause, drainRetryInterval)
 		}
-		h.rest(ctx, pause)
+		h.sleep(ctx, pause)
 	}
 }
 
-func (h *heartbeats) rest(ctx context.Context, span time.Duration) {
+// sleep waits for a time, until it is woken or until the context ends.
+func (h *heartbeatSender) sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -81,82 +93,82 @@
 	}
 }
 
-// beat sends one heartbeat and tells whether it said that the endpoint is closing.
-func (h *heartbeats) beat(ctx context.Context) (leaving bool, err error) {
+// sendHeartbeat sends one heartbeat and returns whether it reported that the endpoint is closing.
+func (h *heartbeatSender) sendHeartbeat(ctx context.Context) (draining bool, err error) {
 	h.mutex.Lock()
-	leaving = h.leaving
+	draining = h.draining
 	h.mutex.Unlock()
-	answer, err := h.call(ctx, beatPath, func(sequence uint64) ([]byte, error) {
-		return json.Marshal(h.endpoint.heartbeat(leaving, sequence))
+	answer, err := h.callControl(ctx, heartbeatPath, func(sequence uint64) ([]byte, error) {
+		return json.Marshal(h.endpoint.currentHeartbeat(draining, sequence))
 	})
 	if err != nil {
-		return leaving, err
+		return draining, err
 	}
-	var told heartbeatAnswer
-	if json.Unmarshal(answer, &told) == nil {
+	var response heartbeatResponse
+	if json.Unmarshal(answer, &response) == nil {
 		h.mutex.Lock()
-		h.forward = told.ForwardTo
+		h.preferredAddress = response.ForwardTo
 		h.mutex.Unlock()
 	}
-	return leaving, nil
+	return draining, nil
 }
 
-// signOff says the last word, once.
-func (h *heartbeats) signOff(ctx context.Context) {
-	_, _ = h.call(ctx, signOffPath, func(uint64) ([]byte, error) { return nil, nil })
+// deregister reports, once, that the endpoint has ended.
+func (h *heartbeatSender) deregister(ctx context.Context) {
+	_, _ = h.callControl(ctx, deregisterPath, func(uint64) ([]byte, error) { return nil, nil })
 }
 
-// call goes to the address that was told, then to each control address in turn, until one answers with 2xx.
-func (h *heartbeats) call(ctx context.Context, path string, body func(sequence uint64) ([]byte, error)) (answer []byte,
+// callControl calls the preferred address, then each control address in turn, until one responds with 2xx.
+func (h *heartbeatSender) callControl(ctx context.Context, path string, body func(sequence uint64) ([]byte, error)) (answer []byte,
 	err error) {
 	err = errors.New("no control address")
-	for _, address := range h.targets() {
-		sent, failed := body(h.count())
+	for _, address := range h.controlTargets() {
+		sent, failed := body(h.nextSequence())
 		if failed != nil {
 			return nil, failed
 		}
 		if answer, err = h.post(ctx, "http://"+address+path+h.endpoint.ID, sent); err == nil {
 			return answer, nil
 		}
-		h.failed(address)
+		h.recordFailure(address)
 	}
 	return nil, err
 }
 
-// targets are the addresses to call, the best first.
-func (h *heartbeats) targets() []string {
+// controlTargets returns the addresses to call, the best first.
+func (h *heartbeatSender) controlTargets() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var targets []string
-	if h.forward != "" {
-		targets = append(targets, h.forward)
+	if h.preferredAddress != "" {
+		targets = append(targets, h.preferredAddress)
 	}
 	control := h.endpoint.options.Control
 	for i := range control {
-		targets = append(targets, control[(h.next+i)%len(control)])
+		targets = append(targets, control[(h.nextControl+i)%len(control)])
 	}
 	return targets
 }
 
-// failed notes that an address did not answer.
-func (h *heartbeats) failed(address string) {
+// recordFailure records that an address has not responded.
+func (h *heartbeatSender) recordFailure(address string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if address == h.forward {
-		h.forward = ""
+	if address == h.preferredAddress {
+		h.preferredAddress = ""
 		return
 	}
-	h.next++
+	h.nextControl++
 }
 
-func (h *heartbeats) count() uint64 {
+func (h *heartbeatSender) nextSequence() uint64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.sequence++
 	return h.sequence
 }
 
-func (h *heartbeats) post(ctx context.Context, url string, body []byte) ([]byte, error) {
+func (h *heartbeatSender) post(ctx context.Context, url string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "control address")
@@ -166,23 +178,31 @@
 	if err != nil {
 		return nil, err
 	}
-	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, acknowledgementMost+1))
+	defer func() { _ = response.Body.Close() }()
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAcknowledgementSize+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case response.StatusCode/100 != 2 || len(answer) > acknowledgementMost:
+	case response.StatusCode/100 != 2 || len(answer) > maxAcknowledgementSize:
 		return nil, errors.Newf("%s: %s", url, response.Status)
 	}
 	return answer, nil
 }
 
-// heartbeat is what the endpoint says of itself.
-func (e *Endpoint) heartbeat(leaving bool, sequence uint64) heartbeat {
-	beat := heartbeat{Service: e.options.Service, Address: e.address, Zone: e.options.Zone, Edition: e.options.Edition,
-		Slots: e.options.Slots, State: stateAccepting, ColdMillis: e.cold.left(time.Now()).Milliseconds(),
-		Sequence: sequence, Models: e.models()}
-	if leaving {
+// currentHeartbeat returns the endpoint's heartbeat.
+func (e *Endpoint) currentHeartbeat(draining bool, sequence uint64) heartbeat {
+	beat := heartbeat{
+		Service:    e.options.Service,
+		Address:    e.address,
+		Zone:       e.options.Zone,
+		Edition:    e.options.Edition,
+		Slots:      e.options.Slots,
+		State:      stateAccepting,
+		ColdMillis: e.warmup.remaining(time.Now()).Milliseconds(),
+		Sequence:   sequence,
+		Models:     e.models(),
+	}
+	if draining {
 		beat.State = stateClosing
 	}
 	if e.options.Engine != nil {
@@ -191,7 +211,7 @@
 	return beat
 }
 
-// models are those that the endpoint serves.
+// models returns the models that the endpoint serves.
 func (e *Endpoint) models() []model {
 	if e.options.Engine == nil {
 		return nil
--- a/test/fake/endpoint/options.go
+++ b/test/fake/endpoint/options.go
@@ -2,84 +2,84 @@
 
 import "time"
 
-// Options of an endpoint. The zero values of those that say so stand for the usual.
+// Options are the parameters of an endpoint. Some zero values stand for defaults, as noted.
 type Options struct {
-	Service string
-	Zone    string
-	Edition string   // of its software
-	Listen  string   // host:port; port 0: any free one
-	Control []string // control addresses for heartbeats, tried in turn; none: no heartbeats
+	Service       string
+	Zone          string
+	Edition       string   // of the endpoint's software
+	ListenAddress string   // host:port; port 0: any free one
+	Control       []string // control addresses for heartbeats, tried in turn; none: no heartbeats
 
-	HealthPath   string        // empty: none
-	BeatInterval time.Duration // 0: 1 s
-	Drain        time.Duration // how long it serves on after its closing was acknowledged
-	Slots        int           // requests at once; 0: 8
-	Queue        int           // requests that may wait; 0: half of the slots, two at least
-	Connections  int           // from all callers together; 0: no bound
-	Work         time.Duration // of a request without a model
-	Cold         Cold
-	Engine       *Engine // nil: no language model
+	HealthPath        string        // empty: none
+	HeartbeatInterval time.Duration // 0: 1 s
+	DrainTime         time.Duration // how long it serves after its draining was acknowledged
+	Slots             int           // concurrent requests; 0: 8
+	QueueLimit        int           // waiting requests; 0: half of the slots, at least two
+	MaxConnections    int           // from all callers together; 0: no limit
+	ProcessingTime    time.Duration // of a request without a language model
+	Warmup            Warmup
+	Engine            *Engine // nil: no language model
 
-	// Note hears of each request; nil: nobody does. It is called from many goroutines and must not block.
-	Note func(Note)
+	// OnRequest is called for each phase of a request; nil: not. It is called from many goroutines and must not block.
+	OnRequest func(RequestEvent)
 }
 
-// Cold says what an endpoint bears after its start.
-type Cold struct {
-	Span time.Duration // 0: it starts warm
-	Rate float64       // requests a second that it bears meanwhile
+// Warmup describes how an endpoint behaves after its start.
+type Warmup struct {
+	Span    time.Duration // 0: it needs no warm-up
+	MaxRate float64       // requests a second that it accepts meanwhile
 }
 
-// Engine describes the batches of a language model. Times grow with the requests that run beside.
+// Engine describes a language model's engine. Times grow with the number of running requests.
 type Engine struct {
-	Model       string        // 0: "m"
-	Step        time.Duration // of a token while nothing else runs
-	ReadRate    float64       // tokens of a prompt read in a millisecond; 0: 30
-	CacheTokens int           // of memory, for running requests and cached parts; 0: 100,000
-	Stride      int           // tokens in an event; 0: 1
+	Model          string        // empty: "m"
+	DecodeStep     time.Duration // of a token while nothing else runs
+	PrefillRate    float64       // prompt tokens a millisecond; 0: 30
+	CacheTokens    int           // capacity of the KV cache; 0: 100,000
+	TokensPerEvent int           // 0: 1
 }
 
-// The usual.
+// Defaults of the options.
 const (
-	usualBeat        = time.Second
-	usualSlots       = 8
-	leastQueue       = 2
-	usualModel       = "m"
-	usualReadRate    = 30
-	usualCacheTokens = 100_000
+	defaultHeartbeatInterval = time.Second
+	defaultSlots             = 8
+	minQueueLimit            = 2
+	defaultModel             = "m"
+	defaultPrefillRate       = 30
+	defaultCacheTokens       = 100_000
 )
 
-// usual fills in what the options leave open.
-func (o Options) usual() Options {
-	if o.BeatInterval == 0 {
-		o.BeatInterval = usualBeat
+// withDefaults replaces zero values by defaults.
+func (o Options) withDefaults() Options {
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	if o.Slots == 0 {
-		o.Slots = usualSlots
+		o.Slots = defaultSlots
 	}
-	if o.Queue == 0 {
-		o.Queue = max(o.Slots/2, leastQueue)
+	if o.QueueLimit == 0 {
+		o.QueueLimit = max(o.Slots/2, minQueueLimit)
 	}
-	if o.Note == nil {
-		o.Note = func(Note) {}
+	if o.OnRequest == nil {
+		o.OnRequest = func(RequestEvent) {}
 	}
 	if o.Engine != nil {
-		engine := o.Engine.usual()
+		engine := o.Engine.withDefaults()
 		o.Engine = &engine
 	}
 	return o
 }
 
-func (e Engine) usual() Engine {
+func (e Engine) withDefaults() Engine {
 	if e.Model == "" {
-		e.Model = usualModel
+		e.Model = defaultModel
 	}
-	if e.ReadRate == 0 {
-		e.ReadRate = usualReadRate
+	if e.PrefillRate == 0 {
+		e.PrefillRate = defaultPrefillRate
 	}
 	if e.CacheTokens == 0 {
-		e.CacheTokens = usualCacheTokens
+		e.CacheTokens = defaultCacheTokens
 	}
-	e.Stride = max(e.Stride, 1)
+	e.TokensPerEvent = max(e.TokensPerEvent, 1)
 	return e
 }
--- a/test/fake/endpoint/slots.go
+++ b/test/fake/endpoint/slots.go
@@ -6,28 +6,28 @@
 	"sync"
 )
 
-// slots holds the places of running requests and the queue of those that wait, the most urgent first. Requests of a
-// language model also need memory, which they share with the cache of prompts.
+// slots holds the running requests and the queue of the waiting ones, ordered by priority. Requests to a language
+// model also need room in the KV cache.
 type slots struct {
-	mutex   sync.Mutex
-	places  int
-	queue   int
-	memory  *memory // nil: requests need none
-	running int
-	waiting []*waiter
+	mutex      sync.Mutex
+	capacity   int
+	queueLimit int
+	kvCache    *kvCache // nil: requests need none
+	running    int
+	waiting    []*waiter
 }
 
-// waiter is a request that waits.
+// waiter is a waiting request.
 type waiter struct {
 	priority int
 	tokens   int
 	admitted chan struct{} // closed when it may run
 }
 
-// enter waits for a place and for memory for some tokens. False: the queue is full, the request is larger than the
-// memory, or the context ended first. Who has entered must leave.
-func (s *slots) enter(ctx context.Context, priority, tokens int) bool {
-	w := s.join(priority, tokens)
+// acquire waits for a slot and for room for some tokens. It returns false if the queue is full, the request is larger
+// than the KV cache, or the context ended first. What is acquired must be released.
+func (s *slots) acquire(ctx context.Context, priority, tokens int) bool {
+	w := s.enqueue(priority, tokens)
 	if w == nil {
 		return false
 	}
@@ -40,19 +40,19 @@
 	defer s.mutex.Unlock()
 	at := slices.Index(s.waiting, w)
 	if at < 0 { // it was admitted at the same moment
-		s.release(tokens)
+		s.releaseLocked(tokens)
 		return false
 	}
 	s.waiting = slices.Delete(s.waiting, at, at+1)
-	s.admit()
+	s.admitWaiting()
 	return false
 }
 
-// join queues a request up; nil: it is turned away.
-func (s *slots) join(priority, tokens int) *waiter {
+// enqueue queues a request; nil: it is rejected.
+func (s *slots) enqueue(priority, tokens int) *waiter {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.memory != nil && tokens > s.memory.total {
+	if s.kvCache != nil && tokens > s.kvCache.total {
 		return nil
 	}
 	w := &waiter{priority: priority, tokens: tokens, admitted: make(chan struct{})}
@@ -60,34 +60,35 @@
 		return other.priority - priority
 	})
 	s.waiting = slices.Insert(s.waiting, at, w)
-	s.admit()
-	if len(s.waiting) > s.queue && slices.Contains(s.waiting, w) {
+	s.admitWaiting()
+	if len(s.waiting) > s.queueLimit && slices.Contains(s.waiting, w) {
 		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
 		return nil
 	}
 	return w
 }
 
-// leave gives the place and the memory back.
-func (s *slots) leave(tokens int) {
+// release frees the slot and the room.
+func (s *slots) release(tokens int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.release(tokens)
+	s.releaseLocked(tokens)
 }
 
-func (s *slots) release(tokens int) {
+// releaseLocked is release for a caller that holds the mutex.
+func (s *slots) releaseLocked(tokens int) {
 	s.running--
-	if s.memory != nil {
-		s.memory.give(tokens)
+	if s.kvCache != nil {
+		s.kvCache.release(tokens)
 	}
-	s.admit()
+	s.admitWaiting()
 }
 
-// admit lets in whoever may run now.
-func (s *slots) admit() {
-	for len(s.waiting) > 0 && s.running < s.places {
+// admitWaiting admits the requests that can run now. The caller holds the mutex.
+func (s *slots) admitWaiting() {
+	for len(s.waiting) > 0 && s.running < s.capacity {
 		first := s.waiting[0]
-		if s.memory != nil && !s.memory.take(first.tokens) {
+		if s.kvCache != nil && !s.kvCache.reserve(first.tokens) {
 			return
 		}
 		s.running++
@@ -96,7 +97,7 @@
 	}
 }
 
-// counts are the requests that run and that wait.
+// counts returns the numbers of running and waiting requests.
 func (s *slots) counts() (running, waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/test/fake/endpoint/stream.go
+++ b/test/fake/endpoint/stream.go
@@ -10,31 +10,31 @@
 	"rowanlink/internal/ctxsleep"
 )
 
-// stream answers with a series of events whose ids rise from 1, or from the one after that at which the client takes
-// it up. Each holds some tokens.
-func (c *call) stream(ctx context.Context) {
+// respondStream responds with a stream of events, whose IDs rise from 1 or from the one after the client's last one.
+// Each holds some tokens.
+func (c *call) respondStream(ctx context.Context) {
 	engine := c.endpoint.options.Engine
-	missing := c.endpoint.memory.read(c.request.Header.Get(headerModel), c.prompt)
-	c.note(Began, missing)
-	reading := time.Duration(float64(missing) / engine.ReadRate * float64(time.Millisecond))
-	if !c.work(ctx, reading) {
-		c.breakOff()
+	missing := c.endpoint.kvCache.prefill(c.request.Header.Get(headerModel), c.prompt)
+	c.report(Started, missing)
+	reading := time.Duration(float64(missing) / engine.PrefillRate * float64(time.Millisecond))
+	if !c.simulateWork(ctx, reading) {
+		c.abandon()
 		return
 	}
 	c.writer.Header().Set(headerContentType, typeStream)
-	c.stamp()
-	events := (c.tokens + engine.Stride - 1) / engine.Stride
-	for id := c.firstEvent(); id <= events; id++ {
-		if !c.work(ctx, engine.Step*time.Duration(engine.Stride)) || !c.send(id) {
-			c.note(Abandoned, 0)
-			panic(http.ErrAbortHandler) // what breaks off must not look complete
+	c.setStamp()
+	events := (c.tokens + engine.TokensPerEvent - 1) / engine.TokensPerEvent
+	for id := c.firstEventID(); id <= events; id++ {
+		if !c.simulateWork(ctx, engine.DecodeStep*time.Duration(engine.TokensPerEvent)) || !c.sendEvent(id) {
+			c.report(Abandoned, 0)
+			panic(http.ErrAbortHandler) // a broken stream must not look complete
 		}
 	}
-	c.note(Done, 0)
+	c.report(Completed, 0)
 }
 
-// firstEvent is the id with which the answer begins.
-func (c *call) firstEvent() int {
+// firstEventID returns the ID of the first event.
+func (c *call) firstEventID() int {
 	last, err := strconv.Atoi(c.request.Header.Get(headerLastEvent))
 	if err != nil {
 		return 1
@@ -42,16 +42,16 @@
 	return last + 1
 }
 
-// work takes as long as some work does beside the requests that run now.
-func (c *call) work(ctx context.Context, alone time.Duration) bool {
+// simulateWork sleeps as long as some work takes beside the requests that run now.
+func (c *call) simulateWork(ctx context.Context, alone time.Duration) bool {
 	running, _ := c.endpoint.slots.counts()
 	share := 1 + float64(running)/float64(c.endpoint.options.Slots)
-	slowness := c.endpoint.cold.slowness(time.Now())
+	slowness := c.endpoint.warmup.slowdown(time.Now())
 	return ctxsleep.Sleep(ctx, time.Duration(float64(alone)*share*slowness))
 }
 
-// send sends one event; false: the caller has left.
-func (c *call) send(id int) bool {
+// sendEvent sends one event. It returns false if the caller has disconnected.
+func (c *call) sendEvent(id int) bool {
 	if _, err := fmt.Fprintf(c.writer, "id: %d\ndata: piece %d\n\n", id, id); err != nil {
 		return false
 	}
--- a/test/fake/endpoint/wire.go
+++ b/test/fake/endpoint/wire.go
@@ -1,6 +1,6 @@
 package endpoint
 
-// Header names that endpoints speak with their callers.
+// Names of the headers exchanged with callers.
 const (
 	headerAttempt      = "X-Attempt-Id"
 	headerTimeLeft     = "X-Time-Left"
@@ -25,9 +25,9 @@
 
 // Paths at the endpoint and at the control addresses.
 const (
-	reportPath  = "/report"
-	beatPath    = "/Endpoints.Beat/"
-	signOffPath = "/Endpoints.SignOff/"
+	reportPath     = "/report"
+	heartbeatPath  = "/Endpoints.Beat/"
+	deregisterPath = "/Endpoints.SignOff/"
 )
 
 // The words for what an endpoint says of itself.
@@ -59,13 +59,13 @@
 	Adapters []string `json:"adapters"`
 }
 
-// heartbeatAnswer is the body of the answer to a heartbeat.
-type heartbeatAnswer struct {
+// heartbeatResponse is the body of the response to a heartbeat.
+type heartbeatResponse struct {
 	ForwardTo string `json:"forward_to"`
 }
 
-// report is what the endpoint answers about its load.
-type report struct {
+// loadReport is the body of the response to a request for the endpoint's load.
+type loadReport struct {
 	Stage      string  `json:"stage"`
 	Models     []model `json:"models"`
 	Busy       bool    `json:"busy"`
--- a/test/integration/serving/endpoints_test.go
+++ b/test/integration/serving/endpoints_test.go
@@ -25,21 +25,21 @@
 // writerOptions describe a language model.
 func writerOptions() endpoint.Options {
 	return endpoint.Options{Service: serviceWriter, Slots: endpointSlots,
-		Engine: &endpoint.Engine{Step: 2 * time.Millisecond, Stride: 4}}
+		Engine: &endpoint.Engine{DecodeStep: 2 * time.Millisecond, TokensPerEvent: 4}}
 }
 
 // stockOptions describe a plain service.
 func stockOptions() endpoint.Options {
-	return endpoint.Options{Service: serviceStock, Slots: endpointSlots, Work: 10 * time.Millisecond}
+	return endpoint.Options{Service: serviceStock, Slots: endpointSlots, ProcessingTime: 10 * time.Millisecond}
 }
 
 // startEndpoint starts an endpoint whose requests the ledger notes.
 func (c *cluster) startEndpoint(options endpoint.Options, number int, p place) *endpoint.Endpoint {
 	options.Zone, options.Edition, options.HealthPath = p.zone, "v1", healthPath
-	options.Listen, options.Control = c.address(number, portEndpoint), c.control()
-	options.BeatInterval, options.Drain, options.Connections = 500*time.Millisecond, drain, connections
-	options.Note = c.ledger.note
-	e, err := endpoint.Start(options)
+	options.ListenAddress, options.Control = c.address(number, portEndpoint), c.control()
+	options.HeartbeatInterval, options.DrainTime, options.MaxConnections = 500*time.Millisecond, drain, connections
+	options.OnRequest = c.ledger.note
+	e, err := endpoint.Start(c.t.Context(), options)
 	require.NoError(c.t, err)
 	return e
 }
--- a/test/integration/serving/ledger_test.go
+++ b/test/integration/serving/ledger_test.go
@@ -28,7 +28,7 @@
 	kind   kind
 	ending ending
 	status int
-	began  []endpoint.Note // runs at endpoints
+	began  []endpoint.RequestEvent // runs at endpoints
 	proxy  string
 	killed bool // its proxy was killed meanwhile
 }
@@ -37,8 +37,8 @@
 type ledger struct {
 	mutex   sync.Mutex
 	tries   map[string]*try
-	strange []endpoint.Note // runs of tries that no client made
-	ended   []endpoint.Note // abandoned runs
+	strange []endpoint.RequestEvent // runs of tries that no client made
+	ended   []endpoint.RequestEvent // abandoned runs
 	killing string          // the proxy that is being killed
 }
 
@@ -73,13 +73,13 @@
 }
 
 // note takes what an endpoint tells.
-func (l *ledger) note(n endpoint.Note) {
+func (l *ledger) note(n endpoint.RequestEvent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch known := l.tries[n.Attempt]; {
-	case n.Fate == endpoint.Abandoned:
+	case n.Phase == endpoint.Abandoned:
 		l.ended = append(l.ended, n)
-	case n.Fate != endpoint.Began:
+	case n.Phase != endpoint.Started:
 	case known == nil:
 		l.strange = append(l.strange, n)
 	default:
@@ -100,7 +100,7 @@
 }
 
 // runsAfter are the runs that some endpoints began after a moment.
-func (l *ledger) runsAfter(moment time.Time, ids ...string) (runs []endpoint.Note) {
+func (l *ledger) runsAfter(moment time.Time, ids ...string) (runs []endpoint.RequestEvent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, each := range l.tries {
@@ -186,7 +186,7 @@
 
 // TestLedgerSeesBreaches: each kind of breach alone.
 func TestLedgerSeesBreaches(t *testing.T) {
-	run := func(l *ledger) { l.note(endpoint.Note{Attempt: "t", Fate: endpoint.Began}) }
+	run := func(l *ledger) { l.note(endpoint.RequestEvent{Attempt: "t", Phase: endpoint.Started}) }
 	for _, each := range []struct {
 		breach string
 		kind   kind
@@ -227,7 +227,7 @@
 // twice.
 func TestLedgerOfKilledProxy(t *testing.T) {
 	l := newLedger()
-	note := func(attempt string) { l.note(endpoint.Note{Attempt: attempt, Fate: endpoint.Began}) }
+	note := func(attempt string) { l.note(endpoint.RequestEvent{Attempt: attempt, Phase: endpoint.Started}) }
 	l.open("in hand", kindOrder, "p")
 	l.kill("p", func() { l.open("meanwhile", kindOrder, "p") })
 	l.open("after", kindOrder, "p")
--- a/test/integration/serving/planned_test.go
+++ b/test/integration/serving/planned_test.go
@@ -122,7 +122,7 @@
 	leaving := c.stocks[0]
 	assert.NotEmpty(t, c.ledger.runsAfter(time.Time{}, leaving.ID))
 	select {
-	case <-leaving.Closing():
+	case <-leaving.AnnounceDraining():
 	case <-time.After(within):
 		require.Fail(t, "the closing was not acknowledged")
 	}
@@ -133,7 +133,7 @@
 	assert.Empty(t, c.ledger.runsAfter(late, leaving.ID), "sent to an endpoint that has left")
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
-	require.NoError(t, leaving.Leave(ctx))
+	require.NoError(t, leaving.Shutdown(ctx))
 	c.stocks[0] = c.startEndpoint(stockOptions(), stockNumber, places[0])
 	c.soon("its successor is known everywhere", func() bool { return c.known(c.stocks[0].ID) })
 }
