--- a/test/integration/serving/ledger_test.go
+++ b/test/integration/serving/ledger_test.go
@@ -39,7 +39,7 @@
 	tries   map[string]*try
 	strange []endpoint.RequestEvent // runs of tries that no client made
 	ended   []endpoint.RequestEvent // abandoned runs
-	killing string          // the proxy that is being killed
+	killing string                  // the proxy that is being killed
 }
 
 func newLedger() *ledger { return &ledger{tries: map[string]*try{}} }
