--- a/test/integration/chaos/chaos_test.go
+++ b/test/integration/chaos/chaos_test.go
@@ -11,13 +11,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/test/fake/platform"
 	"rowanlink/test/integration/harness"
 	"rowanlink/webhook/api"
 )
 
-// TestHunt plays ROWAN_HUNT seeds, from ROWAN_SEED on or from one that is new each time. Without the first it
-// is left out: what a seed does depends on the machine.
+// TestHunt runs ROWAN_HUNT seeds, from ROWAN_SEED on or from one that differs each time. It is skipped without the
+// first, since what a seed does depends on the machine.
 func TestHunt(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("ROWAN_HUNT"))
 	if err != nil {
@@ -36,75 +35,81 @@
 	}
 }
 
-// runSeed plays one seed.
 func runSeed(t *testing.T, binary string, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, 1))
-	shape := harness.Options{Binary: binary, Members: 3 + r.IntN(4), ClockRates: map[string]float64{},
-		LeaseTTL: time.Second + time.Duration(r.IntN(3))*time.Second, Slack: 10 * api.Second, WaitsBindAll: false,
-		CheckedResources: []string{"errand/1", "errand/2"}, Env: []string{harness.DebugLog}}
-	for i := range shape.Members {
-		shape.ClockRates[fmt.Sprintf("m%d", i+1)] = 1 + (r.Float64()-0.5)*0.05
+	random := rand.New(rand.NewPCG(seed, 1))
+	options := randomOptions(random, binary)
+	t.Logf("seed %d: %d members, term %s", seed, options.Members, options.LeaseTTL)
+	s := &scenario{
+		Cluster:        harness.Start(t, options),
+		Rand:           random,
+		leaseTTL:       options.LeaseTTL,
+		requireNoError: func(err error) { require.NoError(t, err) },
 	}
-	t.Logf("seed %d: %d members, term %s", seed, shape.Members, shape.LeaseTTL)
-	w := &scenario{Cluster: harness.Start(t, shape), Rand: r, leaseTTL: shape.LeaseTTL,
-		requireNoError: func(err error) { require.NoError(t, err) }}
-	views := w.WatchOwnership()
-	defer views.Check() // of what did not settle, too
+	ownership := s.WatchOwnership()
+	defer ownership.Check() // also if the webhooks' outcomes are missing
 	ctx, stop := context.WithCancel(context.Background())
-	done := w.Platform.StartLoad(ctx, w.randomLoad())
-	for range 2 + r.IntN(4) {
-		if w.IntN(2) == 0 { // moves go on beside what the round has
-			w.affected = map[*harness.Member]bool{}
-			w.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = 2 }\n", w.randomMember().Name))
+	wait := s.Platform.StartLoad(ctx, s.randomLoad())
+	for range 2 + random.IntN(4) {
+		if s.IntN(2) == 0 { // moves go on during the round's faults
+			s.affected = map[*harness.Member]bool{}
+			drained := s.randomMember().Name
+			s.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = 2 }\n", drained))
 		}
-		w.runRound(t)
+		s.runRound(t)
 	}
-	w.sleep(2 * w.leaseTTL)
+	time.Sleep(2 * s.leaseTTL)
 	stop()
-	done()
-	w.AwaitOutcomes()
-	w.Check()
-	t.Logf("%+v", w.Platform.Checker.Counts())
+	wait()
+	s.AwaitOutcomes()
+	s.Check()
+	t.Logf("%+v", s.Platform.Checker.Counts())
 }
 
-// randomLoad is drawn: event types in turn, some destinations more than others.
-func (w *scenario) randomLoad() platform.Load {
-	types, names, dests := []string{"status", "paid", "charge"}, w.Names(), w.destinations()
-	hot := w.IntN(len(dests))
-	return platform.Load{Members: names, PerSecond: 40 + 100*w.Float64(), Clients: 6,
-		Next: func(n int) platform.Webhook {
-			d := dests[n/3%len(dests)]
-			if n%2 == 0 {
-				d = dests[hot]
-			}
-			return platform.Webhook{Type: types[n%len(types)], Destination: d, Body: "a webhook's body"}
-		}}
+func randomOptions(random *rand.Rand, binary string) harness.Options {
+	options := harness.Options{
+		Binary:           binary,
+		Members:          3 + random.IntN(4),
+		ClockRates:       map[string]float64{},
+		LeaseTTL:         time.Second + time.Duration(random.IntN(3))*time.Second,
+		Slack:            10 * api.Second,
+		CheckedResources: []string{"errand/1", "errand/2"},
+		Env:              []string{harness.DebugLog},
+	}
+	for i := range options.Members {
+		options.ClockRates[fmt.Sprintf("m%d", i+1)] = 1 + (random.Float64()-0.5)*0.05
+	}
+	return options
 }
 
-// runRound has one fault or two at once, at a drawn moment.
-func (w *scenario) runRound(t *testing.T) {
-	moment, marks := logTriggers[w.IntN(len(logTriggers))], w.LogOffsets()
-	w.affected = map[*harness.Member]bool{}
-	for until := time.Now().Add(w.randomDuration()); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		if moment != "" && w.FindLog(marks, moment) != nil {
-			break
-		}
-	}
+// runRound has one fault or two at once, started by a random trigger.
+func (s *scenario) runRound(t *testing.T) {
+	trigger, offsets := logTriggers[s.IntN(len(logTriggers))], s.LogOffsets()
+	s.affected = map[*harness.Member]bool{}
+	s.awaitTrigger(trigger, offsets)
 	var ends []func()
-	for range 1 + w.IntN(2) {
-		f := faults[w.IntN(len(faults))]
-		t.Logf("%s: %s (%s)", time.Now().Format("05.000"), f.name, moment)
-		if end := f.start(w); end != nil {
+	for range 1 + s.IntN(2) {
+		f := faults[s.IntN(len(faults))]
+		t.Logf("%s: %s (%s)", time.Now().Format("05.000"), f.name, trigger)
+		if end := f.start(s); end != nil {
 			ends = append(ends, end)
 		}
 	}
-	w.sleep(w.randomDuration())
+	time.Sleep(s.randomDuration())
 	for _, end := range ends {
 		end()
 	}
-	for _, m := range w.Members {
+	for _, m := range s.Members {
 		m.AwaitReady()
 	}
 }
 
-func (w *scenario) sleep(span time.Duration) { time.Sleep(span) }
+// awaitTrigger waits until a member logs a trigger, for a random time at most.
+func (s *scenario) awaitTrigger(trigger string, offsets map[*harness.Member]int) {
+	deadline := time.Now().Add(s.randomDuration())
+	for time.Now().Before(deadline) {
+		if trigger != "" && s.FindLog(offsets, trigger) != nil {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
