--- a/cmd/rowan-endpointsim/file.go
+++ b/cmd/rowan-endpointsim/file.go
@@ -11,31 +11,31 @@
 	"rowanlink/test/fake/endpoint"
 )
 
-// file is what a TOML file says. Times are in milliseconds.
-type file struct {
-	Control       []string  `toml:"control"`       // control addresses of the system
-	Configuration string    `toml:"configuration"` // file of the first configuration, relative to this file; empty: none
-	Services      []service `toml:"service"`
+// simulationFile is the TOML file that describes the endpoints. Times are in milliseconds.
+type simulationFile struct {
+	Control       []string       `toml:"control"`       // control addresses of the system
+	Configuration string         `toml:"configuration"` // file of the first configuration, relative to this file; empty: none
+	Services      []serviceEntry `toml:"service"`
 }
 
-// service is one service and its endpoints.
-type service struct {
-	Name        string        `toml:"name"`
-	HealthPath  string        `toml:"health_path"`
-	Edition     string        `toml:"edition"`
-	Slots       int           `toml:"slots"`
-	Connections int           `toml:"connections"`
-	BeatMillis  int           `toml:"beat_ms"`
-	DrainMillis int           `toml:"drain_ms"`
-	WorkMillis  float64       `toml:"work_ms"`
-	ColdMillis  int           `toml:"cold_ms"`
-	ColdRate    float64       `toml:"cold_rate_s"`
-	Engine      *engine       `toml:"engine"`
-	Endpoints   []oneEndpoint `toml:"endpoint"`
+// serviceEntry describes a service and its endpoints.
+type serviceEntry struct {
+	Name        string          `toml:"name"`
+	HealthPath  string          `toml:"health_path"`
+	Edition     string          `toml:"edition"`
+	Slots       int             `toml:"slots"`
+	Connections int             `toml:"connections"`
+	BeatMillis  int             `toml:"beat_ms"`
+	DrainMillis int             `toml:"drain_ms"`
+	WorkMillis  float64         `toml:"work_ms"`
+	ColdMillis  int             `toml:"cold_ms"`
+	ColdRate    float64         `toml:"cold_rate_s"`
+	Engine      *engineEntry    `toml:"engine"`
+	Endpoints   []endpointEntry `toml:"endpoint"`
 }
 
-// engine describes a language model.
-type engine struct {
+// engineEntry describes a language model's engine.
+type engineEntry struct {
 	Model       string  `toml:"model"`
 	StepMillis  float64 `toml:"step_ms"`
 	ReadRate    float64 `toml:"tokens_read_ms"`
@@ -43,19 +43,19 @@
 	Stride      int     `toml:"stride"`
 }
 
-// oneEndpoint is where one endpoint stands.
-type oneEndpoint struct {
+// endpointEntry describes one endpoint of a service.
+type endpointEntry struct {
 	Zone   string `toml:"zone"`
 	Listen string `toml:"listen"`
 }
 
-// load reads a file. Fields that it doesn't know are errors.
-func load(path string) (*file, error) {
+// loadFile reads a file. Unknown fields are errors.
+func loadFile(path string) (*simulationFile, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "file")
 	}
-	read := &file{}
+	read := &simulationFile{}
 	decoder := toml.NewDecoder(bytes.NewReader(content)).DisallowUnknownFields()
 	if err := decoder.Decode(read); err != nil {
 		return nil, errors.Wrapf(err, "%s", path)
@@ -63,8 +63,8 @@
 	return read, nil
 }
 
-// endpoints are the options of all endpoints.
-func (f *file) endpoints() (all []endpoint.Options) {
+// endpoints returns the options of all endpoints.
+func (f *simulationFile) endpoints() (all []endpoint.Options) {
 	for _, s := range f.Services {
 		for _, e := range s.Endpoints {
 			options := s.options()
@@ -75,16 +75,34 @@
 	return all
 }
 
-// options are what a service's endpoints have in common.
-func (s *service) options() endpoint.Options {
-	options := endpoint.Options{Service: s.Name, HealthPath: s.HealthPath, Edition: s.Edition, Slots: s.Slots,
-		MaxConnections: s.Connections, HeartbeatInterval: millis(float64(s.BeatMillis)), DrainTime: millis(float64(s.DrainMillis)),
-		ProcessingTime: millis(s.WorkMillis), Warmup: endpoint.Warmup{Span: millis(float64(s.ColdMillis)), MaxRate: s.ColdRate}}
+// options returns the options that a service's endpoints have in common.
+func (s *serviceEntry) options() endpoint.Options {
+	options := endpoint.Options{
+		Service:           s.Name,
+		HealthPath:        s.HealthPath,
+		Edition:           s.Edition,
+		Slots:             s.Slots,
+		MaxConnections:    s.Connections,
+		HeartbeatInterval: milliseconds(float64(s.BeatMillis)),
+		DrainTime:         milliseconds(float64(s.DrainMillis)),
+		ProcessingTime:    milliseconds(s.WorkMillis),
+		Warmup: endpoint.Warmup{
+			Span:    milliseconds(float64(s.ColdMillis)),
+			MaxRate: s.ColdRate,
+		},
+	}
 	if s.Engine != nil {
-		options.Engine = &endpoint.Engine{Model: s.Engine.Model, DecodeStep: millis(s.Engine.StepMillis),
-			PrefillRate: s.Engine.ReadRate, CacheTokens: s.Engine.CacheTokens, TokensPerEvent: s.Engine.Stride}
+		options.Engine = &endpoint.Engine{
+			Model:          s.Engine.Model,
+			DecodeStep:     milliseconds(s.Engine.StepMillis),
+			PrefillRate:    s.Engine.ReadRate,
+			CacheTokens:    s.Engine.CacheTokens,
+			TokensPerEvent: s.Engine.Stride,
+		}
 	}
 	return options
 }
 
-func millis(number float64) time.Duration { return time.Duration(number * float64(time.Millisecond)) }
+func milliseconds(number float64) time.Duration {
+	return time.Duration(number * float64(time.Millisecond))
+}
--- a/cmd/rowan-endpointsim/file_test.go
+++ b/cmd/rowan-endpointsim/file_test.go
@@ -15,8 +15,8 @@
 
 const example = "../../examples/system"
 
-func TestExampleIsInOrder(t *testing.T) {
-	read, err := load(filepath.Join(example, "endpoints.toml"))
+func TestLoadFile_Example(t *testing.T) {
+	read, err := loadFile(filepath.Join(example, "endpoints.toml"))
 	require.NoError(t, err)
 	all := read.endpoints()
 	require.Len(t, all, 5)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestExampleSettingsAreInOrder(t *testing.T) {
+func TestExampleSettings_AreValid(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(example, "settings", "*.conf"))
 	require.NoError(t, err)
 	require.Len(t, files, 9)
@@ -48,11 +48,11 @@
 	}
 }
 
-func TestUnknownFieldsAreNamed(t *testing.T) {
+func TestLoadFile_UnknownFields(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "wrong.toml")
 	require.NoError(t, os.WriteFile(path, []byte("[[service]]\nnome = \"x\"\n"), 0o600))
-	_, err := load(path)
+	_, err := loadFile(path)
 	assert.ErrorContains(t, err, "wrong.toml")
-	_, err = load("absent")
+	_, err = loadFile("absent")
 	assert.Error(t, err)
 }
