--- a/test/integration/chaos/scenario.go
+++ b/test/integration/chaos/scenario.go
@@ -21,7 +21,7 @@
 // logged in time, or for "", the fault starts all the same.
 var logTriggers = []string{
 	"", "",
-	"keeper leads", "session held", "session over", "lease granted", "task over",
+	"raft leadership gained", "session held", "session over", "lease granted", "task over",
 	"move planned", "move warms", "move passes", "home let go", "home switched", "move cleared",
 	"homes given anew", "owed handed on", "webhook in doubt", "doubt settled", "stream",
 }
