--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange joins a core member's table of endpoints to the other members: what they tell is merged, what is
-// found here is told, and silence is judged, also for members that are down.
+// Package exchange connects a core member's table of endpoints with the other members: it merges what they gossip, gossips
+// what the table detects, and decides on the liveness of endpoints, also for members that are down.
 package exchange
 
 import (
@@ -16,13 +16,14 @@
 	"rowanlink/serving/state"
 )
 
-// sweepInterval is the time between two looks for silent endpoints.
+// sweepInterval is the time between two sweeps of the table.
 const sweepInterval = 500 * time.Millisecond
 
-// JudgeRole is the duty of judging the silence of endpoints whose receiver is not live.
-const JudgeRole = "judge-endpoints"
+// LivenessRole is the singleton role of deciding on the liveness of endpoints whose receiver is not live. Its holder is
+// shown to operators under this name.
+const LivenessRole = "judge-endpoints"
 
-// Gossip is what is needed of the members' mesh; mesh.Mesh is one.
+// Gossip is the part of member.Service that an exchange uses.
 type Gossip interface {
 	Put(entry gossip.Entry)
 	PutReplicated(ctx context.Context, entry gossip.Entry, addresses []string, copies int) error
@@ -32,34 +33,34 @@
 	AcquireRole(name string, scope singleton.Scope) singleton.Assignment
 }
 
-// Exchange is a table of endpoints and its link to the mesh. It is safe for use by several goroutines.
+// Exchange is a table of endpoints that is connected with the other members. It is safe for concurrent use.
 type Exchange struct {
 	gossip Gossip
 	table  *endpoints.SharedTable
 	log    *zerolog.Logger
 }
 
-// Options of an exchange.
+// Options configures an Exchange.
 type Options struct {
 	Gossip            Gossip
 	HeartbeatInterval time.Duration // between two heartbeats of an endpoint
-	// HasQuorum tells whether this member is in touch with a majority of the voters.
+	// HasQuorum reports whether this member has contact with a majority of the voters.
 	HasQuorum func() bool
 	Log       *zerolog.Logger
 }
 
-// Start makes a table and keeps it in touch with the mesh until ctx ends.
+// Start returns an exchange that runs until ctx ends.
 func Start(ctx context.Context, options Options) *Exchange {
-	mesh := options.Gossip
-	table := endpoints.Options{Self: mesh.Self().Name, HeartbeatInterval: options.HeartbeatInterval,
-		IsResponsibleFor: newResponsibility(mesh, options.HasQuorum)}
-	x := &Exchange{gossip: mesh, table: endpoints.Start(table, time.Now), log: options.Log}
-	mesh.Subscribe(gossip.TableEndpoints, x.merge)
+	members := options.Gossip
+	table := endpoints.Options{Self: members.Self().Name, HeartbeatInterval: options.HeartbeatInterval,
+		IsResponsibleFor: newResponsibility(members, options.HasQuorum)}
+	x := &Exchange{gossip: members, table: endpoints.Start(table, time.Now), log: options.Log}
+	members.Subscribe(gossip.TableEndpoints, x.merge)
 	go x.run(ctx)
 	return x
 }
 
-// Table returns the table. It ends with the context that Start was given.
+// Table returns the table. It stops with the context that Start was given.
 func (x *Exchange) Table() *endpoints.SharedTable { return x.table }
 
 func (x *Exchange) run(ctx context.Context) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// merge merges an entry that the mesh has taken in.
+// merge merges a gossip entry into the table.
 func (x *Exchange) merge(entry gossip.Entry) {
 	endpoint, err := endpoints.Decode(entry.Value)
 	if err != nil {
@@ -98,7 +99,7 @@
 	x.table.Merge(endpoint, nil)
 }
 
-// Put tells the other members of an endpoint and doesn't wait.
+// Put gossips an endpoint and doesn't wait.
 func (x *Exchange) Put(endpoint state.Endpoint) {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
@@ -108,8 +109,8 @@
 	x.gossip.Put(entry)
 }
 
-// PutReplicated tells the other members and returns when so many of those at the addresses hold the endpoint. Errors are
-// the mesh's.
+// PutReplicated gossips an endpoint and returns when as many of the members at the addresses as copies have stored it. The
+// errors are those of member.Service.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, addresses []string, copies int) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
@@ -118,26 +119,31 @@
 	return x.gossip.PutReplicated(ctx, entry, addresses, copies)
 }
 
+// encodeEntry returns an endpoint as a gossip entry.
 func encodeEntry(endpoint state.Endpoint) (gossip.Entry, error) {
 	value, err := endpoints.Encode(endpoint)
 	if err != nil {
 		return gossip.Entry{}, err
 	}
 	major, minor := endpoints.Version(endpoint)
-	return gossip.Entry{Table: gossip.TableEndpoints, Key: endpoint.ID, Version: gossip.NewVersion(major, minor),
-		Value: value}, nil
+	return gossip.Entry{
+		Table:   gossip.TableEndpoints,
+		Key:     endpoint.ID,
+		Version: gossip.NewVersion(major, minor),
+		Value:   value,
+	}, nil
 }
 
-// newResponsibility tells whether this member judges the endpoints of a receiver: its own, and as the holder of the duty those
-// of a receiver that isn't live. A member that is cut off from the voters takes the others for dead and the duty for
-// its own; the endpoints that it doesn't hear may be well.
-func newResponsibility(mesh Gossip, inTouch func() bool) func(receiver string) bool {
-	self := mesh.Self().Name
+// newResponsibility returns a function that reports whether this member decides on the liveness of a receiver's endpoints:
+// of its own, and as the holder of LivenessRole of those of a receiver that isn't live. A member that is partitioned from
+// the voters has the others as down and the role as its own, but the endpoints that it doesn't hear from may be healthy.
+func newResponsibility(members Gossip, inTouch func() bool) func(receiver string) bool {
+	self := members.Self().Name
 	return func(receiver string) bool {
 		if receiver == self {
 			return true
 		}
-		live := slices.ContainsFunc(mesh.Members(), func(member state.Member) bool { return member.Name == receiver })
-		return !live && inTouch() && mesh.AcquireRole(JudgeRole, singleton.Scope{Role: state.RoleCore}).Local
+		live := slices.ContainsFunc(members.Members(), func(member state.Member) bool { return member.Name == receiver })
+		return !live && inTouch() && members.AcquireRole(LivenessRole, singleton.Scope{Role: state.RoleCore}).Local
 	}
 }
--- a/serving/endpoints/exchange/observations.go
+++ b/serving/endpoints/exchange/observations.go
@@ -9,24 +9,24 @@
 	"rowanlink/serving/state"
 )
 
-// ObserveMethod is the call by which an agent tells a core member what its proxy has seen of endpoints.
+// ObserveMethod is the call by which an agent reports its proxy's observations of endpoints to a core member.
 var ObserveMethod = rpc.Method[ObserveRequest, ObserveResponse]{Procedure: "/rowanlink.endpoints.v1/Observe"}
 
-// ObserveRequest is what one proxy has seen.
+// ObserveRequest carries the observations of one proxy.
 type ObserveRequest struct {
-	Observer     string              `cbor:"1,keyasint"` // the member that stands beside the proxy
+	Observer     string              `cbor:"1,keyasint"` // the member on the proxy's machine
 	Observations []state.Observation `cbor:"2,keyasint"`
 }
 
-// ObserveResponse acknowledges.
+// ObserveResponse acknowledges the observations.
 type ObserveResponse struct{}
 
-// Serve registers the answer to Observe.
+// Serve registers the handler of ObserveMethod.
 func (x *Exchange) Serve(mux *http.ServeMux) {
 	ObserveMethod.Serve(mux, func(_ context.Context, request *ObserveRequest) (*ObserveResponse, error) {
-		for _, told := range request.Observations {
-			endpoint, marked, ok := x.table.RecordObservation(request.Observer, told)
-			if ok && marked {
+		for _, observation := range request.Observations {
+			endpoint, ejected, ok := x.table.RecordObservation(request.Observer, observation)
+			if ok && ejected {
 				event.EndpointFailing.Log(x.log).Str("endpoint", endpoint.ID).Send()
 				x.Put(endpoint)
 			}
--- a/serving/loadreport/fuzz_test.go
+++ b/serving/loadreport/fuzz_test.go
@@ -10,7 +10,7 @@
 
 // FuzzReport: whatever an endpoint says of itself, what is spread has no negative numbers and can be added up.
 func FuzzReport(f *testing.F) {
-	f.Add([]byte(someReport))
+	f.Add([]byte(reportBody))
 	f.Add([]byte(`{"queued":-1,"in_flight":9223372036854775807,"cache_used":9223372036854775807,"cache_total":-3}`))
 	f.Add([]byte(`{"queued":1.0,"in_flight":null}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -16,52 +16,52 @@
 	"rowanlink/serving/state"
 )
 
-// fakeMesh gives the duty as the test says and notes what is spread.
-type fakeMesh struct {
-	holding singleton.Assignment
-	asked   string
+// fakeGossip gives the duty as the test says and notes what is spread.
+type fakeGossip struct {
+	assignment singleton.Assignment
+	role   string
 	scope   singleton.Scope
-	spread  []gossip.Entry
+	entries  []gossip.Entry
 }
 
-func (f *fakeMesh) AcquireRole(name string, scope singleton.Scope) singleton.Assignment {
-	f.asked, f.scope = name, scope
-	return f.holding
+func (f *fakeGossip) AcquireRole(name string, scope singleton.Scope) singleton.Assignment {
+	f.role, f.scope = name, scope
+	return f.assignment
 }
 
-func (f *fakeMesh) Put(entry gossip.Entry) { f.spread = append(f.spread, entry) }
+func (f *fakeGossip) Put(entry gossip.Entry) { f.entries = append(f.entries, entry) }
 
-const someReport = `{"stage":"both","queued":1,"in_flight":12,"cache_used":41000,"cache_total":90000,"new":[]}`
+const reportBody = `{"stage":"both","queued":1,"in_flight":12,"cache_used":41000,"cache_total":90000,"new":[]}`
 
-// answering runs an endpoint that answers so.
-func answering(t *testing.T, handler http.HandlerFunc) state.Endpoint {
+// startEndpoint runs an endpoint that answers so.
+func startEndpoint(t *testing.T, handler http.HandlerFunc) state.Endpoint {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	return state.Endpoint{ID: address, Zone: "n1", Address: address, Slots: 64, Models: []state.Model{{Name: "m"}}}
 }
 
-func reporting(w http.ResponseWriter, r *http.Request) {
+func serveReport(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/report" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	_, _ = w.Write([]byte(someReport))
+	_, _ = w.Write([]byte(reportBody))
 }
 
-func poller(mesh *fakeMesh, all ...state.Endpoint) *Poller {
+func newPoller(mesh *fakeGossip, all ...state.Endpoint) *Poller {
 	log := zerolog.Nop()
 	return New(Options{Zone: "n1", Gossip: mesh, Log: &log, Endpoints: func() []state.Endpoint { return all }})
 }
 
 func TestHolderSpreadsLoads(t *testing.T) {
-	mesh := &fakeMesh{holding: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
-	endpoint := answering(t, reporting)
-	poller(mesh, endpoint).pollOnce(t.Context())
-	assert.Equal(t, "loads/n1", mesh.asked)
+	mesh := &fakeGossip{assignment: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
+	endpoint := startEndpoint(t, serveReport)
+	newPoller(mesh, endpoint).pollOnce(t.Context())
+	assert.Equal(t, "loads/n1", mesh.role)
 	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, mesh.scope)
-	require.Len(t, mesh.spread, 1)
-	entry := mesh.spread[0]
+	require.Len(t, mesh.entries, 1)
+	entry := mesh.entries[0]
 	assert.Equal(t, gossip.NewVersion(7, 1), entry.Version)
 	var load state.Load
 	require.NoError(t, cbor.Unmarshal(entry.Value, &load))
@@ -71,18 +71,18 @@
 
 func TestOthersAskNobody(t *testing.T) {
 	calls := 0
-	mesh := &fakeMesh{holding: singleton.Assignment{Holder: "b", Epoch: 7}}
-	endpoint := answering(t, func(http.ResponseWriter, *http.Request) { calls++ })
-	poller(mesh, endpoint).pollOnce(t.Context())
+	mesh := &fakeGossip{assignment: singleton.Assignment{Holder: "b", Epoch: 7}}
+	endpoint := startEndpoint(t, func(http.ResponseWriter, *http.Request) { calls++ })
+	newPoller(mesh, endpoint).pollOnce(t.Context())
 	assert.Zero(t, calls)
 }
 
 func TestOnlyModelsOfTheZoneThatTakeRequestsAreAsked(t *testing.T) {
-	mesh := &fakeMesh{}
+	mesh := &fakeGossip{}
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
 	elsewhere, plain, closing, silent := good, good, good, good
 	elsewhere.Zone, plain.Models, closing.State, silent.Unresponsive = "n2", nil, state.EndpointDraining, true
-	chosen := poller(mesh, elsewhere, plain, good, closing, silent).selectEndpoints()
+	chosen := newPoller(mesh, elsewhere, plain, good, closing, silent).selectEndpoints()
 	assert.Equal(t, []state.Endpoint{good}, chosen)
 }
 
@@ -95,11 +95,11 @@
 		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxReportBytes+1)) },
 	}
 	for name, fault := range faults {
-		mesh := &fakeMesh{holding: singleton.Assignment{Epoch: 7, Local: true}}
-		good := answering(t, reporting)
-		poller(mesh, answering(t, fault), good).pollOnce(t.Context())
-		require.Len(t, mesh.spread, 1, name)
-		assert.Equal(t, good.ID, mesh.spread[0].Key, name)
+		mesh := &fakeGossip{assignment: singleton.Assignment{Epoch: 7, Local: true}}
+		good := startEndpoint(t, serveReport)
+		newPoller(mesh, startEndpoint(t, fault), good).pollOnce(t.Context())
+		require.Len(t, mesh.entries, 1, name)
+		assert.Equal(t, good.ID, mesh.entries[0].Key, name)
 	}
 }
 
