--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// pollInterval is the time between two readings. A report is some hundred milliseconds old itself.
+	// pollInterval is the time between two polls. A report is some hundred milliseconds old itself.
 	pollInterval = 500 * time.Millisecond
-	// requestTimeout bounds one call.
+	// requestTimeout bounds one request.
 	requestTimeout = 300 * time.Millisecond
-	// maxConcurrentRequests bounds the calls under way.
+	// maxConcurrentRequests bounds the requests in flight.
 	maxConcurrentRequests = 16
-	// idleConnTimeout is shorter than endpoints keep idle connections.
+	// idleConnTimeout is shorter than endpoints keep idle connections open.
 	idleConnTimeout = 2 * time.Second
-	// rolePrefix and the zone name the duty.
+	// rolePrefix is followed by the zone in the name of the singleton role.
 	rolePrefix = "loads/"
 )
 
-// Gossip is what a poller needs of the mesh.
+// Gossip is the part of member.Service that a poller uses.
 type Gossip interface {
 	AcquireRole(name string, scope singleton.Scope) singleton.Assignment
 	Put(gossip.Entry)
 }
 
-// Options of a poller.
+// Options configures a Poller.
 type Options struct {
 	Zone      string
 	Gossip    Gossip
-	Endpoints func() []state.Endpoint // all that are known
+	Endpoints func() []state.Endpoint // returns all known endpoints
 	Log       *zerolog.Logger
 }
 
-// Poller reads the loads of its zone's language-model endpoints while it holds the duty.
+// Poller polls the loads of its zone's language-model endpoints while it holds the zone's singleton role.
 type Poller struct {
 	options Options
 	client  *http.Client
@@ -50,91 +50,103 @@
 	hasRole bool
 }
 
-// New makes a poller.
+// New returns a poller.
 func New(options Options) *Poller {
-	transport := &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 1, IdleConnTimeout: idleConnTimeout,
-		DisableCompression: true}
-	return &Poller{options: options, client: &http.Client{Transport: transport}}
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: 1,
+		MaxConnsPerHost:     1,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
+	}
+	return &Poller{
+		options: options,
+		client:  &http.Client{Transport: transport},
+	}
 }
 
-// Run reads until the context ends.
+// Run polls until the context ends.
 func (p *Poller) Run(ctx context.Context) {
-	ticks := time.NewTicker(pollInterval)
-	defer ticks.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	defer p.client.CloseIdleConnections()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ticks.C:
+		case <-ticker.C:
 			p.pollOnce(ctx)
 		}
 	}
 }
 
-// pollOnce reads once if the duty is this member's.
+// pollOnce polls the endpoints once if this member holds the role.
 func (p *Poller) pollOnce(ctx context.Context) {
 	scope := singleton.Scope{Role: state.RoleAgent, Zone: p.options.Zone}
-	holding := p.options.Gossip.AcquireRole(rolePrefix+p.options.Zone, scope)
-	if holding.Local != p.hasRole {
-		p.hasRole = holding.Local
-		event.LoadPollerRoleChanged.Log(p.options.Log).Bool("mine", p.hasRole).Uint64("epoch", holding.Epoch).Send()
+	assignment := p.options.Gossip.AcquireRole(rolePrefix+p.options.Zone, scope)
+	if assignment.Local != p.hasRole {
+		p.hasRole = assignment.Local
+		event.LoadPollerRoleChanged.Log(p.options.Log).Bool("mine", p.hasRole).Uint64("epoch", assignment.Epoch).Send()
 	}
-	if !holding.Local {
+	if !assignment.Local {
 		return
 	}
-	chosen := p.selectEndpoints()
-	reports := p.fetchReports(ctx, chosen)
-	p.filter.beginRound(holding.Epoch)
-	p.filter.retain(chosen)
-	for i, endpoint := range chosen {
+	polled := p.selectEndpoints()
+	reports := p.fetchReports(ctx, polled)
+	p.filter.beginRound(assignment.Epoch)
+	p.filter.retain(polled)
+	for i, endpoint := range polled {
 		if reports[i] == nil {
 			continue
 		}
-		if load, tell := p.filter.accept(endpoint, *reports[i]); tell {
-			p.publishLoad(holding.Epoch, load)
+		if load, changed := p.filter.accept(endpoint, *reports[i]); changed {
+			p.publishLoad(assignment.Epoch, load)
 		}
 	}
 }
 
-// selectEndpoints returns the zone's endpoints that serve models and take requests.
-func (p *Poller) selectEndpoints() (chosen []state.Endpoint) {
+// selectEndpoints returns the zone's endpoints that serve models and accept requests.
+func (p *Poller) selectEndpoints() (selected []state.Endpoint) {
 	for _, endpoint := range p.options.Endpoints() {
-		if endpoint.Zone == p.options.Zone && endpoint.State == state.EndpointAccepting && !endpoint.Unresponsive &&
-			len(endpoint.Models) > 0 {
-			chosen = append(chosen, endpoint)
+		isAccepting := endpoint.State == state.EndpointAccepting && !endpoint.Unresponsive
+		if endpoint.Zone == p.options.Zone && isAccepting && len(endpoint.Models) > 0 {
+			selected = append(selected, endpoint)
 		}
 	}
-	return chosen
+	return selected
 }
 
-// fetchReports asks endpoints for their reports; nil stands for no answer. An endpoint that doesn't answer says nothing of
-// its load, and its health is judged elsewhere.
-func (p *Poller) fetchReports(ctx context.Context, chosen []state.Endpoint) []*report {
-	reports := make([]*report, len(chosen))
-	places := make(chan struct{}, maxConcurrentRequests)
-	var all sync.WaitGroup
-	for i, endpoint := range chosen {
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
+// fetchReports requests the endpoints' reports; nil stands for no response, which says nothing about the load. Health
+// checks are made elsewhere.
+func (p *Poller) fetchReports(ctx context.Context, polled []state.Endpoint) []*report {
+	reports := make([]*report, len(polled))
+	slots := make(chan struct{}, maxConcurrentRequests)
+	var requests sync.WaitGroup
+	for i, endpoint := range polled {
+		slots <- struct{}{}
+		requests.Go(func() {
+			defer func() { <-slots }()
 			limited, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
-			if said, err := fetchReport(limited, p.client, endpoint.Address); err == nil {
-				reports[i] = &said
+			if fetched, err := fetchReport(limited, p.client, endpoint.Address); err == nil {
+				reports[i] = &fetched
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	return reports
 }
 
-// publishLoad spreads a load. The duty's epoch goes first in its version: a holder of the past can't overrule a later one.
+// publishLoad gossips a load. The role's epoch is the major part of the version, so that a former holder of the role can't
+// overrule a later one.
 func (p *Poller) publishLoad(epoch uint64, load state.Load) {
 	value, err := cbor.Marshal(load)
 	if err != nil {
 		return
 	}
-	p.options.Gossip.Put(gossip.Entry{Table: gossip.TableLoads, Key: load.EndpointID,
-		Version: gossip.NewVersion(epoch, load.Measurement), Value: value})
+	p.options.Gossip.Put(gossip.Entry{
+		Table:   gossip.TableLoads,
+		Key:     load.EndpointID,
+		Version: gossip.NewVersion(epoch, load.Measurement),
+		Value:   value,
+	})
 }
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -16,12 +16,12 @@
 	"rowanlink/serving/state"
 )
 
-// fakeGossip gives the duty as the test says and notes what is spread.
+// fakeGossip returns the test's assignment and records what is gossiped.
 type fakeGossip struct {
 	assignment singleton.Assignment
-	role   string
-	scope   singleton.Scope
-	entries  []gossip.Entry
+	role       string
+	scope      singleton.Scope
+	entries    []gossip.Entry
 }
 
 func (f *fakeGossip) AcquireRole(name string, scope singleton.Scope) singleton.Assignment {
@@ -33,7 +33,7 @@
 
 const reportBody = `{"stage":"both","queued":1,"in_flight":12,"cache_used":41000,"cache_total":90000,"new":[]}`
 
-// startEndpoint runs an endpoint that answers so.
+// startEndpoint starts an endpoint with the handler.
 func startEndpoint(t *testing.T, handler http.HandlerFunc) state.Endpoint {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -49,19 +49,19 @@
 	_, _ = w.Write([]byte(reportBody))
 }
 
-func newPoller(mesh *fakeGossip, all ...state.Endpoint) *Poller {
+func newPoller(members *fakeGossip, all ...state.Endpoint) *Poller {
 	log := zerolog.Nop()
-	return New(Options{Zone: "n1", Gossip: mesh, Log: &log, Endpoints: func() []state.Endpoint { return all }})
+	return New(Options{Zone: "n1", Gossip: members, Log: &log, Endpoints: func() []state.Endpoint { return all }})
 }
 
-func TestHolderSpreadsLoads(t *testing.T) {
-	mesh := &fakeGossip{assignment: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
+func TestPollOnce_HolderPublishesLoads(t *testing.T) {
+	members := &fakeGossip{assignment: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
 	endpoint := startEndpoint(t, serveReport)
-	newPoller(mesh, endpoint).pollOnce(t.Context())
-	assert.Equal(t, "loads/n1", mesh.role)
-	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, mesh.scope)
-	require.Len(t, mesh.entries, 1)
-	entry := mesh.entries[0]
+	newPoller(members, endpoint).pollOnce(t.Context())
+	assert.Equal(t, "loads/n1", members.role)
+	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, members.scope)
+	require.Len(t, members.entries, 1)
+	entry := members.entries[0]
 	assert.Equal(t, gossip.NewVersion(7, 1), entry.Version)
 	var load state.Load
 	require.NoError(t, cbor.Unmarshal(entry.Value, &load))
@@ -69,25 +69,25 @@
 		Measurement: 1}, load)
 }
 
-func TestOthersAskNobody(t *testing.T) {
+func TestPollOnce_OthersPollNobody(t *testing.T) {
 	calls := 0
-	mesh := &fakeGossip{assignment: singleton.Assignment{Holder: "b", Epoch: 7}}
+	members := &fakeGossip{assignment: singleton.Assignment{Holder: "b", Epoch: 7}}
 	endpoint := startEndpoint(t, func(http.ResponseWriter, *http.Request) { calls++ })
-	newPoller(mesh, endpoint).pollOnce(t.Context())
+	newPoller(members, endpoint).pollOnce(t.Context())
 	assert.Zero(t, calls)
 }
 
-func TestOnlyModelsOfTheZoneThatTakeRequestsAreAsked(t *testing.T) {
-	mesh := &fakeGossip{}
+func TestSelectEndpoints_AcceptingModelsOfTheZone(t *testing.T) {
+	members := &fakeGossip{}
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
 	elsewhere, plain, closing, silent := good, good, good, good
 	elsewhere.Zone, plain.Models, closing.State, silent.Unresponsive = "n2", nil, state.EndpointDraining, true
-	chosen := newPoller(mesh, elsewhere, plain, good, closing, silent).selectEndpoints()
+	chosen := newPoller(members, elsewhere, plain, good, closing, silent).selectEndpoints()
 	assert.Equal(t, []state.Endpoint{good}, chosen)
 }
 
-// TestBadAnswersAreNoLoads breaks the answer at each point in turn; a good endpoint beside it is read all the same.
-func TestBadAnswersAreNoLoads(t *testing.T) {
+// TestPollOnce_IgnoresFaultyResponses injects each fault in turn; a healthy endpoint is polled all the same.
+func TestPollOnce_IgnoresFaultyResponses(t *testing.T) {
 	faults := map[string]http.HandlerFunc{
 		"status":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"no json":  func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) },
@@ -95,36 +95,36 @@
 		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxReportBytes+1)) },
 	}
 	for name, fault := range faults {
-		mesh := &fakeGossip{assignment: singleton.Assignment{Epoch: 7, Local: true}}
+		members := &fakeGossip{assignment: singleton.Assignment{Epoch: 7, Local: true}}
 		good := startEndpoint(t, serveReport)
-		newPoller(mesh, startEndpoint(t, fault), good).pollOnce(t.Context())
-		require.Len(t, mesh.entries, 1, name)
-		assert.Equal(t, good.ID, mesh.entries[0].Key, name)
+		newPoller(members, startEndpoint(t, fault), good).pollOnce(t.Context())
+		require.Len(t, members.entries, 1, name)
+		assert.Equal(t, good.ID, members.entries[0].Key, name)
 	}
 }
 
-func TestSmallChangesAreNotTold(t *testing.T) {
-	var r changeFilter
+func TestChangeFilter_SuppressesSmallChanges(t *testing.T) {
+	var filter changeFilter
 	endpoint := state.Endpoint{ID: "e", Slots: 64}
-	tell := func(said report) bool {
-		r.beginRound(7)
-		_, told := r.accept(endpoint, said)
-		return told
+	publishes := func(reported report) bool {
+		filter.beginRound(7)
+		_, published := filter.accept(endpoint, reported)
+		return published
 	}
 	base := report{Running: 12, CacheUsed: 41000, CacheTotal: 90000}
-	assert.True(t, tell(base))
+	assert.True(t, publishes(base))
 	small, much := base, base
 	small.Running, much.Running = 14, 30
-	assert.False(t, tell(small))
-	assert.True(t, tell(much))
+	assert.False(t, publishes(small))
+	assert.True(t, publishes(much))
 	for range republishRounds - 1 {
-		assert.False(t, tell(much))
+		assert.False(t, publishes(much))
 	}
-	assert.True(t, tell(much), "told again before it expires")
-	r.retain(nil)
-	assert.True(t, tell(much), "an endpoint that had gone")
-	r.beginRound(8)
-	_, told := r.accept(endpoint, much)
-	assert.True(t, told, "a new epoch begins anew")
-	assert.Equal(t, uint64(1), r.round)
+	assert.True(t, publishes(much), "published again before it expires")
+	filter.retain(nil)
+	assert.True(t, publishes(much), "an endpoint that had been removed")
+	filter.beginRound(8)
+	_, published := filter.accept(endpoint, much)
+	assert.True(t, published, "a new epoch resets the filter")
+	assert.Equal(t, uint64(1), filter.round)
 }
--- a/serving/loadreport/report.go
+++ b/serving/loadreport/report.go
@@ -1,5 +1,5 @@
-// Package loadreport asks the language-model endpoints of a zone for their reports on themselves and spreads what they
-// say. One member of each zone does it, as a singleton duty.
+// Package loadreport polls the language-model endpoints of a zone for their loads and gossips those that have changed. One
+// member of each zone does it, as a singleton role.
 package loadreport
 
 import (
@@ -12,13 +12,15 @@
 )
 
 const (
-	// reportPath is where an endpoint reports on itself.
+	// reportPath is the path of an endpoint's report on itself.
 	reportPath = "/report"
-	// maxReportBytes bounds a report, in bytes.
+	// maxReportBytes bounds the body of a report.
 	maxReportBytes = 64 << 10
+	// maxValue is the greatest number in a report. Sums of such numbers don't overflow.
+	maxValue = 1 << 40
 )
 
-// report is what an endpoint says of itself. Other fields are ignored.
+// report is the part that is used here of an endpoint's report on itself. Other fields are ignored.
 type report struct {
 	Queued     int `json:"queued"`
 	Running    int `json:"in_flight"`
@@ -26,39 +28,37 @@
 	CacheTotal int `json:"cache_total"`
 }
 
-// fetchReport fetches the report of the endpoint at host:port. The context bounds the call.
-func fetchReport(ctx context.Context, client *http.Client, address string) (answer report, err error) {
+// fetchReport requests the report of the endpoint at host:port.
+func fetchReport(ctx context.Context, client *http.Client, address string) (report, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+reportPath, nil)
 	if err != nil {
-		return answer, errors.Wrap(err, "ask for a report")
+		return report{}, errors.Wrap(err, "request report")
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return answer, errors.Wrap(err, "ask for a report")
+		return report{}, errors.Wrap(err, "request report")
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // read-only
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
-		return answer, errors.Wrap(err, "read report")
+		return report{}, errors.Wrap(err, "read report")
 	}
 	if response.StatusCode != http.StatusOK {
-		return answer, errors.Newf("report of %s: %s", address, response.Status)
+		return report{}, errors.Newf("report of %s: %s", address, response.Status)
 	}
 	return parseReport(body)
 }
 
-// maxValue is the largest number that a report may hold: sums of such numbers don't overflow.
-const maxValue = 1 << 40
-
-// parseReport reads the body of a report. One with a number that can't be is no report.
-func parseReport(body []byte) (said report, err error) {
-	if err := json.Unmarshal(body, &said); err != nil {
-		return report{}, errors.Wrap(err, "read report")
+// parseReport parses the body of a report. A report with a number out of range is invalid.
+func parseReport(body []byte) (report, error) {
+	var parsed report
+	if err := json.Unmarshal(body, &parsed); err != nil {
+		return report{}, errors.Wrap(err, "parse report")
 	}
-	for _, number := range []int{said.Queued, said.Running, said.CacheUsed, said.CacheTotal} {
+	for _, number := range []int{parsed.Queued, parsed.Running, parsed.CacheUsed, parsed.CacheTotal} {
 		if number < 0 || number > maxValue {
-			return report{}, errors.Newf("read report: %d is out of range", number)
+			return report{}, errors.Newf("parse report: %d is out of range", number)
 		}
 	}
-	return said, nil
+	return parsed, nil
 }
--- a/serving/loadreport/fuzz_test.go
+++ b/serving/loadreport/report_fuzz_test.go
@@ -8,20 +8,20 @@
 	"rowanlink/serving/state"
 )
 
-// FuzzReport: whatever an endpoint says of itself, what is spread has no negative numbers and can be added up.
+// FuzzReport checks that whatever an endpoint reports, the published load has no negative numbers and can be added up.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(reportBody))
 	f.Add([]byte(`{"queued":-1,"in_flight":9223372036854775807,"cache_used":9223372036854775807,"cache_total":-3}`))
 	f.Add([]byte(`{"queued":1.0,"in_flight":null}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		said, err := parseReport(body)
+		reported, err := parseReport(body)
 		if err != nil {
 			return
 		}
-		var r changeFilter
-		r.beginRound(1)
-		load, tell := r.accept(state.Endpoint{ID: "e", Slots: 16}, said)
-		assert.True(t, tell)
+		var filter changeFilter
+		filter.beginRound(1)
+		load, changed := filter.accept(state.Endpoint{ID: "e", Slots: 16}, reported)
+		assert.True(t, changed)
 		for _, number := range []int{load.Queued, load.Running, load.CacheUsed, load.CacheTotal, load.Queued + load.Running} {
 			assert.GreaterOrEqual(t, number, 0)
 		}
