--- a/serving/rpc/repeat_test.go
+++ b/serving/rpc/retry_test.go
@@ -20,9 +20,10 @@
 
 var measure = Method[state.Endpoint, state.Load]{Procedure: "/rowanlink.test.v1/Measure"}
 
-// breakingServer reads requests and breaks each connection off in place of the answer of the given number.
+// breakingServer starts a server that closes each connection instead of sending the response of the given number.
 func breakingServer(t *testing.T, breakAt int32, reset bool) (address string, requests *atomic.Int32) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	requests = &atomic.Int32{}
@@ -39,7 +40,7 @@
 }
 
 func serveUntilBroken(connection *net.TCPConn, breakAt int32, reset bool, requests *atomic.Int32) {
-	defer connection.Close()
+	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -53,21 +54,21 @@
 			}
 			return
 		}
-		// An empty CBOR map is a whole answer.
+		// An empty CBOR map is a complete response.
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Type: application/cbor\r\nContent-Length: 1\r\n\r\n\xa0")
 	}
 }
 
-// A call whose answer doesn't come is not made again by the client, neither on a new connection nor on one that was
-// kept: whoever called decides.
-func TestNothingIsSentTwice(t *testing.T) {
+// TestCall_IsNotRetried checks that the client doesn't retry a call without a response, neither on a new connection nor on a
+// reused one: the caller decides.
+func TestCall_IsNotRetried(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		breakAt int32
 		reset   bool
 	}{
 		{"closed on a new connection", 1, false}, {"reset on a new connection", 1, true},
-		{"closed on a kept connection", 2, false}, {"reset on a kept connection", 2, true},
+		{"closed on a reused connection", 2, false}, {"reset on a reused connection", 2, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			address, requests := breakingServer(t, test.breakAt, test.reset)
@@ -82,8 +83,8 @@
 	}
 }
 
-// A call that was given up has its answer late; the next call gets its own.
-func TestLateAnswerMeetsNoOtherCall(t *testing.T) {
+// TestCall_LateResponseReachesNoOtherCall checks that after a call that has timed out, the next call gets its own response.
+func TestCall_LateResponseReachesNoOtherCall(t *testing.T) {
 	mux := http.NewServeMux()
 	release := make(chan struct{})
 	measure.Serve(mux, func(_ context.Context, endpoint *state.Endpoint) (*state.Load, error) {
@@ -98,7 +99,7 @@
 	client := NewClient()
 	defer client.Close()
 	_, err := measure.Call(t.Context(), client, address, &state.Endpoint{ID: "before"})
-	require.NoError(t, err, "a connection is kept")
+	require.NoError(t, err, "the connection is reused")
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err = measure.Call(ctx, client, address, &state.Endpoint{ID: "late"})
--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -1,4 +1,5 @@
-// Package rpc carries typed calls between the system's own processes: connect over HTTP/1.1, messages in CBOR.
+// Package rpc makes and serves typed calls between the system's processes, by the Connect protocol over HTTP/1.1 with
+// messages in CBOR. It retries no call that it has begun to send.
 package rpc
 
 import (
@@ -20,24 +21,25 @@
 	dialTimeout     = 400 * time.Millisecond
 	idleTimeout     = 30 * time.Second
 	idleConnections = 2 // per peer
-	// userTimeout ends a connection whose peer has lost power or is cut off.
+	// userTimeout is how long sent data may remain unacknowledged before the connection is closed, such as when the peer
+	// has lost power (TCP_USER_TIMEOUT, RFC 5482).
 	userTimeout = time.Second
 )
 
-// codec writes messages as CBOR. It implements connect.Codec.
+// codec encodes messages as CBOR. It implements connect.Codec.
 type codec struct{}
 
 func (codec) Name() string                          { return "cbor" }
 func (codec) Marshal(message any) ([]byte, error)   { return cbor.Marshal(message) }
 func (codec) Unmarshal(data []byte, into any) error { return cbor.Unmarshal(data, into) }
 
-// Client calls other processes over kept connections. It is safe for use by several goroutines.
+// Client calls other processes over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	methods *xsync.Map[string, any] // *connect.Client[Request, Response] by address and procedure
 }
 
-// NewClient makes a client with a connection pool of its own.
+// NewClient returns a client with a connection pool of its own.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	transport := &http.Transport{
@@ -46,42 +48,46 @@
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: transport}, methods: xsync.NewMap[string, any]()}
+	return &Client{
+		http:    &http.Client{Transport: transport},
+		methods: xsync.NewMap[string, any](),
+	}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
+// setUserTimeout sets userTimeout on a new socket.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		limit := int(userTimeout / time.Millisecond)
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, limit)
+		milliseconds := int(userTimeout / time.Millisecond)
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 	})
-	return errors.CombineErrors(err, failed)
+	return errors.CombineErrors(err, optionErr)
 }
 
-// Method is one typed call. Procedure is its path, such as "/rowanlink.register.v1/Prepare".
+// Method is the type of a call. Procedure is its path, such as "/rowanlink.register.v1/Prepare".
 type Method[Request, Response any] struct{ Procedure string }
 
-// Call makes the call at host:port. The context bounds it.
+// Call calls the process at host:port. The context bounds the call.
 func (m Method[Request, Response]) Call(ctx context.Context, c *Client, address string,
 	request *Request) (*Response, error) {
 	key := address + m.Procedure
-	kept, ok := c.methods.Load(key)
+	cached, ok := c.methods.Load(key)
 	if !ok {
-		made := connect.NewClient[Request, Response](c.http, "http://"+key, connect.WithCodec(codec{}),
+		created := connect.NewClient[Request, Response](c.http, "http://"+key, connect.WithCodec(codec{}),
 			connect.WithAcceptCompression("gzip", nil, nil))
-		kept, _ = c.methods.LoadOrStore(key, made)
+		cached, _ = c.methods.LoadOrStore(key, created)
 	}
-	response, err := kept.(*connect.Client[Request, Response]).CallUnary(ctx, connect.NewRequest(request))
+	response, err := cached.(*connect.Client[Request, Response]).CallUnary(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, errors.Wrapf(err, "call %s at %s", m.Procedure, address)
 	}
 	return response.Msg, nil
 }
 
-// Serve registers the function that answers the call.
+// Serve registers the handler of the call. Its errors reach the caller with the code "unavailable".
 func (m Method[Request, Response]) Serve(mux *http.ServeMux,
 	answer func(context.Context, *Request) (*Response, error)) {
 	handler := connect.NewUnaryHandler(m.Procedure,
--- a/serving/rpc/rpc_test.go
+++ b/serving/rpc/rpc_test.go
@@ -14,7 +14,7 @@
 	"rowanlink/serving/state"
 )
 
-func TestCallCarriesTypedMessages(t *testing.T) {
+func TestCall_CarriesTypedMessages(t *testing.T) {
 	method := Method[state.Endpoint, state.Load]{Procedure: "/rowanlink.test.v1/Measure"}
 	mux := http.NewServeMux()
 	method.Serve(mux, func(_ context.Context, endpoint *state.Endpoint) (*state.Load, error) {
@@ -29,10 +29,10 @@
 	defer client.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 
-	load, err := method.Call(context.Background(), client, address, &state.Endpoint{ID: "e", Slots: 3})
+	load, err := method.Call(t.Context(), client, address, &state.Endpoint{ID: "e", Slots: 3})
 	require.NoError(t, err)
 	assert.Equal(t, state.Load{EndpointID: "e", Running: 3}, *load)
 
-	_, err = method.Call(context.Background(), client, address, &state.Endpoint{})
+	_, err = method.Call(t.Context(), client, address, &state.Endpoint{})
 	assert.ErrorContains(t, err, "no id")
 }
--- a/serving/subscription/feed.go
+++ b/serving/subscription/subscription.go
@@ -1,5 +1,5 @@
-// Package subscription holds what an agent tells the proxy on its machine and what the proxy says of itself, in one
-// call that waits at the agent until something has changed.
+// Package subscription defines the call by which a proxy subscribes to the agent on its machine: a long poll that reports the
+// proxy's state and returns what has changed.
 package subscription
 
 import (
@@ -7,32 +7,32 @@
 	"rowanlink/serving/state"
 )
 
-// Watch is the proxy's call over loopback. The agent answers at once where it has news since the cursor, else
-// when news comes or the wait is over.
+// Watch is the proxy's call, over loopback. The agent responds at once if something has changed since the cursor, and
+// otherwise when something changes or the wait is over.
 var Watch = rpc.Method[Request, Response]{Procedure: "/rowanlink.feed.v1/Watch"}
 
-// Cursor is a place in an agent's changes. The zero value asks for everything.
+// Cursor is a position in an agent's changes. The zero value requests a snapshot.
 type Cursor struct {
 	Incarnation uint64 `cbor:"1,keyasint"` // of the agent's process
 	Position    uint64 `cbor:"2,keyasint"`
 }
 
-// Request is what a proxy asks and what it says of itself.
+// Request is a poll with a report of the proxy's state.
 type Request struct {
 	Since       Cursor            `cbor:"1,keyasint"`
 	WaitMillis  int64             `cbor:"2,keyasint"`
 	Incarnation uint64            `cbor:"3,keyasint"` // of the proxy's process
 	State       state.MemberState `cbor:"4,keyasint"`
-	// Observations are what the proxy has seen of endpoints since its last request that was answered.
+	// Observations are the proxy's observations of endpoints since its last request that was answered.
 	Observations []state.Observation `cbor:"5,keyasint,omitempty"`
-	// ClientAddress is where the proxy takes clients' requests, host:port. The agent's own settings don't name it.
+	// ClientAddress is where the proxy accepts clients' requests, host:port. The agent's own settings don't name it.
 	ClientAddress string `cbor:"6,keyasint,omitempty"`
 }
 
-// Response is what has changed since the cursor.
+// Response is a delta since the cursor, or a snapshot.
 type Response struct {
 	Cursor Cursor `cbor:"1,keyasint"`
-	// Complete: what follows is everything; whatever else the proxy knew is to be forgotten.
+	// Complete says that this is a snapshot: the proxy drops what isn't in it.
 	Complete  bool             `cbor:"2,keyasint,omitempty"`
 	Record    *state.Record    `cbor:"3,keyasint,omitempty"` // nil: unchanged, or none known yet
 	Endpoints []state.Endpoint `cbor:"4,keyasint,omitempty"`
@@ -41,10 +41,10 @@
 	Proxies   ProxyCounts      `cbor:"7,keyasint"`
 }
 
-// ProxyCounts counts the proxies of the whole system, for shares of common budgets.
+// ProxyCounts counts the proxies of the system, for the proxy's share of common limits.
 type ProxyCounts struct {
-	Live       int `cbor:"1,keyasint"` // known to run now
-	MaxRunning int `cbor:"2,keyasint"` // the most that may run: live ones and all that were live in the last minute
-	// LiveInRegion counts those live in this proxy's region.
+	Live       int `cbor:"1,keyasint"` // known to be live now
+	MaxRunning int `cbor:"2,keyasint"` // at most as many run: all that were live at some time of the last minute
+	// LiveInRegion counts the live ones in this proxy's region.
 	LiveInRegion int `cbor:"3,keyasint"`
 }
