--- a/test/integration/cluster/cluster_test.go
+++ b/test/integration/cluster/cluster_test.go
@@ -1,12 +1,11 @@
-// Package cluster has the stories of a fleet of real members: what befalls them, and what must hold all the
-// same. The guard sees every deed of a task, the ledger every webhook and call; no time is asserted.
+// Package cluster has scenarios of a cluster of real members: faults, and what must hold all the same. The lease checker
+// sees each operation on the checked resource, the delivery checker each webhook and call; no time is asserted.
 package cluster
 
 import (
 	"context"
 	"os"
 	"runtime"
-	"slices"
 	"testing"
 	"time"
 
@@ -18,9 +17,10 @@
 	"rowanlink/webhook/api"
 )
 
+// leaseTTL is short, so that leases expire while a fault lasts.
 const leaseTTL = time.Second
 
-// checkedResource is a task of tests only: whoever has it tells the guard of each deed.
+// checkedResource is a resource of tests only: its holder reports each operation to the lease checker.
 const checkedResource = "errand"
 
 var binary string
@@ -36,11 +36,11 @@
 	os.Exit(code)
 }
 
-// runningClusters bounds how many play at once: each is some processes whose terms are short, and where the machine is
-// too busy for them sessions end that no fault ended.
+// runningClusters limits how many clusters run at once: each is several processes with short lease TTLs, and on a
+// machine that is too busy for them sessions expire without a fault.
 var runningClusters = make(chan bool, max(2, runtime.NumCPU()/2))
 
-// startCluster starts a fleet with short terms, and waits until all ranges are homed.
+// startCluster starts a cluster with a short lease TTL and waits until all ranges have an owner.
 func startCluster(t *testing.T, s harness.Options) *harness.Cluster {
 	t.Helper()
 	runningClusters <- true
@@ -48,24 +48,24 @@
 	if s.Binary = binary; s.LeaseTTL == 0 {
 		s.LeaseTTL = leaseTTL
 	}
-	f := harness.Start(t, s)
-	f.AwaitStable()
-	return f
+	c := harness.Start(t, s)
+	c.AwaitStable()
+	return c
 }
 
-// startLoad hands in at every member, webhooks of each rule, until stop, which waits for all ends. A key's order
-// is the one in which one member takes them, so each key is handed in at one.
-func startLoad(f *harness.Cluster) (stop func()) {
+// startLoad submits webhooks of each rule at every member, until stop, which waits for all outcomes. The order of a key
+// is that in which one member accepts them, so each key is submitted at one member.
+func startLoad(c *harness.Cluster) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
 	next := func(n int) platform.Webhook {
 		return platform.Webhook{Type: types[n%3], Destination: api.DestinationID(1 + n/3%4), TTL: 8 * time.Second,
 			Body: "a webhook's body"}
 	}
-	waits := []func(){f.Platform.StartLoad(ctx, platform.Load{Members: f.Names(), PerSecond: 90, Clients: 12,
+	waits := []func(){c.Platform.StartLoad(ctx, platform.Load{Members: c.Names(), PerSecond: 90, Clients: 12,
 		Next: next})}
-	for _, name := range f.Names() {
-		waits = append(waits, f.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 40, Clients: 2,
+	for _, name := range c.Names() {
+		waits = append(waits, c.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 40, Clients: 2,
 			Next: func(n int) platform.Webhook {
 				w := next(3 * n)
 				w.Type, w.Key = "ride", name
@@ -77,52 +77,52 @@
 		for _, wait := range waits {
 			wait()
 		}
-		f.AwaitOutcomes()
+		c.AwaitOutcomes()
 	}
 }
 
-// slowDestinations has all destinations take a while, so that calls are out when something happens.
-func slowDestinations(t *testing.T, f *harness.Cluster) {
+// slowDestinations has all destinations take a while, so that calls are in flight when something happens.
+func slowDestinations(t *testing.T, c *harness.Cluster) {
 	for d := range api.DestinationID(4) {
-		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(60*time.Millisecond)))
+		require.NoError(t, c.Platform.Destination(d+1).SetBehaviour(platform.Slow(60*time.Millisecond)))
 	}
 }
 
-// lastOperation is the errand's deed that began last.
-func lastOperation(f *harness.Cluster) (d leasecheck.Operation) {
-	if all := f.LeaseChecker.Operations(checkedResource); len(all) > 0 {
+// lastOperation returns the operation on the checked resource that began last.
+func lastOperation(c *harness.Cluster) (d leasecheck.Operation) {
+	if all := c.LeaseChecker.Operations(checkedResource); len(all) > 0 {
 		return all[len(all)-1]
 	}
 	return d
 }
 
-// awaitOperation waits until the errand's holder, one that is in `of` where that is not empty, is in the midst of a
-// deed.
-func awaitOperation(f *harness.Cluster, of ...*harness.Member) (who *harness.Member, epoch uint64) {
-	f.Eventually("a deed is under way", func() bool {
-		d := lastOperation(f)
-		if d.Epoch == 0 || d.Until != api.Never {
+// awaitOperation waits until the holder of the checked resource is in the midst of an operation, and returns the holder
+// and its epoch. If members are given, it has to be one of them.
+func awaitOperation(c *harness.Cluster) (holder *harness.Member, epoch uint64) {
+	c.Eventually("a deed is under way", func() bool {
+		operation := lastOperation(c)
+		if operation.Epoch == 0 || operation.Until != api.Never {
 			return false
 		}
-		who, epoch = f.Member(d.Member), d.Epoch
-		return len(of) == 0 || slices.Contains(of, who)
+		holder, epoch = c.Member(operation.Member), operation.Epoch
+		return true
 	})
-	return who, epoch
+	return holder, epoch
 }
 
-// awaitNewHolder waits until a deed by a later epoch has ended.
-func awaitNewHolder(f *harness.Cluster, epoch uint64) {
-	f.Eventually("the errand is taken up anew", func() bool {
-		d := lastOperation(f)
+// awaitNewHolder waits until an operation of a later epoch has ended.
+func awaitNewHolder(c *harness.Cluster, epoch uint64) {
+	c.Eventually("the errand is taken up anew", func() bool {
+		d := lastOperation(c)
 		return d.Epoch > epoch && d.Until != api.Never
 	})
 }
 
-// awaitOperations waits until some more deeds have ended, by whomever.
-func awaitOperations(f *harness.Cluster) {
-	n := len(f.LeaseChecker.Operations(checkedResource))
-	f.Eventually("deeds go on", func() bool { return len(f.LeaseChecker.Operations(checkedResource)) > n+3 })
+// awaitOperations waits until some more operations have ended, of any holder.
+func awaitOperations(c *harness.Cluster) {
+	n := len(c.LeaseChecker.Operations(checkedResource))
+	c.Eventually("deeds go on", func() bool { return len(c.LeaseChecker.Operations(checkedResource)) > n+3 })
 }
 
-// sleepTTLs is a part of a term, for a fault to last.
-func sleepTTLs(terms float64) { time.Sleep(time.Duration(terms * float64(leaseTTL))) }
+// sleepTTLs sleeps for a number of lease TTLs.
+func sleepTTLs(ttls float64) { time.Sleep(time.Duration(ttls * float64(leaseTTL))) }
--- a/test/integration/cluster/diskfull_test.go
+++ b/test/integration/cluster/diskfull_test.go
@@ -9,87 +9,86 @@
 	"rowanlink/test/integration/harness"
 )
 
-// startLoaded is a fleet under load in which all members want the errand, by clocks as far apart as may be.
-func startLoaded(t *testing.T) (f *harness.Cluster, stop func()) {
-	f = startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource}})
-	slowDestinations(t, f)
-	awaitOperations(f)
-	return f, startLoad(f)
+// startLoaded starts a cluster under load in which all members want the checked resource, with drifting clocks.
+func startLoaded(t *testing.T) (c *harness.Cluster, stop func()) {
+	c = startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource}})
+	slowDestinations(t, c)
+	awaitOperations(c)
+	return c, startLoad(c)
 }
 
-// Guards against a folder that is full and takes more than its own member with it: tasks go to others, what
-// can't be written is not taken on, and once there is room all goes on, with nobody's help.
+// A full disk affects its own member only: leases go to others, what can't be written is not accepted, and once there
+// is space again all goes on without help.
 func TestDiskFull_RecoversByItself(t *testing.T) {
-	for name, who := range map[string]func(f *harness.Cluster) *harness.Member{
+	for name, who := range map[string]func(c *harness.Cluster) *harness.Member{
 		"of the leading keeper": (*harness.Cluster).AwaitLeader,
-		"of a home":             func(f *harness.Cluster) *harness.Member { m, _ := awaitOwner(f); return m },
+		"of a home":             func(c *harness.Cluster) *harness.Member { m, _ := awaitOwner(c); return m },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, stop := startLoaded(t)
-			m := who(f)
+			c, stop := startLoaded(t)
+			m := who(c)
 			mark := m.Log.Offset()
 			m.LimitFileSize(1)
-			if m == f.Leader() { // at rest the log is not written
-				f.Member("m4").Restart()
+			if m == c.Leader() { // the raft log is not written while the cluster is idle
+				c.Member("m4").Restart()
 			}
 			m.AwaitLogFrom(mark, "file too large")
 			sleepTTLs(2)
 			assert.True(t, m.IsRunning())
 			m.LimitFileSize(0)
-			f.AwaitStable()
-			awaitOperations(f)
+			c.AwaitStable()
+			awaitOperations(c)
 			stop()
-			f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+			c.Check(deliverycheck.Order) // an owner that is lost keeps its webhooks to itself for a while
 		})
 	}
 }
 
-// Guards against webhooks that are lost, or called with twice, where the log stands still and comes back.
+// No webhook is lost, nor called twice, while the raft log stands still and after it resumes.
 func TestRaft_MajorityKilledUnderLoad(t *testing.T) {
 	t.Parallel()
-	f, stop := startLoaded(t)
+	c, stop := startLoaded(t)
 	for _, first := range []int{0, 1} {
-		gone, marks := f.RaftNodes()[first:first+2], f.LogOffsets()
+		gone, offsets := c.RaftNodes()[first:first+2], c.LogOffsets()
 		for _, m := range gone {
 			m.Kill()
 		}
-		for _, m := range f.Members {
+		for _, m := range c.Members {
 			if m.IsRunning() {
-				m.AwaitLogFrom(marks[m], "session over")
+				m.AwaitLogFrom(offsets[m], "session over")
 			}
 		}
-		taken := f.Platform.Checker.Counts().Accepted
+		taken := c.Platform.Checker.Counts().Accepted
 		sleepTTLs(1.5)
-		assert.Greater(t, f.Platform.Checker.Counts().Accepted, taken, "nothing is taken on without a majority")
+		assert.Greater(t, c.Platform.Checker.Counts().Accepted, taken, "nothing is taken on without a majority")
 		for _, m := range gone {
 			m.StartAsync()
 		}
 		for _, m := range gone {
 			m.AwaitReady()
 		}
-		f.AwaitStable()
-		awaitOperations(f)
+		c.AwaitStable()
+		awaitOperations(c)
 	}
 	stop()
-	f.Check(deliverycheck.Order)
+	c.Check(deliverycheck.Order)
 }
 
-// Guards against two that act at once where clocks run apart and members stand still for half a term to
-// three, each that holds the errand in turn.
+// There are never two holders with drifting clocks, where each holder in turn is paused for half a lease TTL to three.
 func TestLease_PausedHoldersWithDriftingClocks(t *testing.T) {
 	t.Parallel()
-	f := startLeaseChecked(t, driftingClocks)
-	slowDestinations(t, f)
-	stop := startLoad(f)
-	for _, terms := range []float64{0.5, 1, 1.5, 3} {
-		who, _ := awaitOperation(f)
+	c := startLeaseChecked(t, driftingClocks)
+	slowDestinations(t, c)
+	stop := startLoad(c)
+	for _, ttls := range []float64{0.5, 1, 1.5, 3} {
+		who, _ := awaitOperation(c)
 		who.Pause()
-		sleepTTLs(terms)
+		sleepTTLs(ttls)
 		who.Resume()
-		awaitOperations(f)
+		awaitOperations(c)
 	}
-	f.AwaitStable()
+	c.AwaitStable()
 	stop()
-	f.Check(deliverycheck.Order)
+	c.Check(deliverycheck.Order)
 }
--- a/test/integration/cluster/failover_bench_test.go
+++ b/test/integration/cluster/failover_bench_test.go
@@ -12,9 +12,9 @@
 	"rowanlink/test/integration/harness"
 )
 
-// BenchmarkFailover kills the holder of a task with SIGKILL, again and again: how long until
-// another member holds it, in terms. ROWAN_TERM is the term (1s). A holder that leads the keepers, too, is
-// counted by itself: whoever leads next gives each session a whole term anew.
+// BenchmarkFailover kills the holder of a lease by SIGKILL, again and again, and measures the time until another member
+// holds it, in lease TTLs. ROWAN_TERM is the TTL (1s). Holders that are also the raft leader count separately: the next
+// leader renews each session for a whole TTL.
 func BenchmarkFailover(b *testing.B) {
 	span := leaseTTL
 	if told := os.Getenv("ROWAN_TERM"); told != "" {
@@ -22,27 +22,27 @@
 		span, err = time.ParseDuration(told)
 		require.NoError(b, err)
 	}
-	f := harness.Start(b, harness.Options{Binary: binary, LeaseTTL: span, Members: 4, RaftNodes: 3,
+	c := harness.Start(b, harness.Options{Binary: binary, LeaseTTL: span, Members: 4, RaftNodes: 3,
 		CheckedResources: []string{checkedResource}})
-	f.AwaitStable()
+	c.AwaitStable()
 	var led, all []float64
-	who := f.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+checkedResource+" ")
+	who := c.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+checkedResource+" ")
 	for b.Loop() {
 		time.Sleep(time.Duration(float64(span) * float64(len(all)%10) / 30)) // anywhere between two renewals
-		marks, leads := f.LogOffsets(), f.Leader() == who
+		offsets, leads := c.LogOffsets(), c.Leader() == who
 		since := time.Now()
 		who.Kill()
-		next := f.AwaitLog(marks, "INFO task held", "task="+checkedResource+" ")
-		line, _ := next.Log.Find(marks[next], "INFO task held", "task="+checkedResource+" ")
-		terms := line.At.Sub(since).Seconds() / span.Seconds()
+		next := c.AwaitLog(offsets, "INFO task held", "task="+checkedResource+" ")
+		line, _ := next.Log.Find(offsets[next], "INFO task held", "task="+checkedResource+" ")
+		ttls := line.At.Sub(since).Seconds() / span.Seconds()
 		if leads {
-			led = append(led, terms)
+			led = append(led, ttls)
 		} else {
-			all = append(all, terms)
+			all = append(all, ttls)
 		}
 		who.Start()
 		who.AwaitReady()
-		f.AwaitLeader()
+		c.AwaitLeader()
 		who = next
 	}
 	report := func(of []float64, what string) {
--- a/test/integration/cluster/forward_test.go
+++ b/test/integration/cluster/forward_test.go
@@ -10,68 +10,69 @@
 	"rowanlink/test/integration/harness"
 )
 
-// runInDoubtScenario plays a webhook that may take effect once only, that its home takes on and calls for while no
-// answer of it reaches the entry. Then the home stands still for longer than its term, so that the entry is
-// home while it is in doubt, and calls for what is its own. offer has the webhook go to its home, by links
-// over which no answer comes back; meanwhile is what befalls the entry once it is home.
-func runInDoubtScenario(t *testing.T, offer func(f *harness.Cluster, home, entry *harness.Member) (id string),
+// runInDoubtScenario forwards a webhook with at-most-once semantics to its owner, which accepts and delivers it while
+// no response reaches the forwarding member. Then the owner is paused for longer than its lease TTL, so that the
+// forwarding member becomes the owner while the webhook is in doubt, and delivers its own webhooks. offer forwards the
+// webhook over links on which no response arrives; meanwhile is what happens to the forwarding member once it is the
+// owner.
+func runInDoubtScenario(t *testing.T, offer func(c *harness.Cluster, owner, entry *harness.Member) (id string),
 	meanwhile func(entry *harness.Member)) {
 	t.Parallel()
-	f := startCluster(t, harness.Options{RaftNodes: 1, Ranges: 1, MemberSettings: func(m string) string {
+	c := startCluster(t, harness.Options{RaftNodes: 1, Ranges: 1, MemberSettings: func(m string) string {
 		if m == "m1" { // keeps the log, and no range goes to it
 			return "  weight = 0\n"
 		}
 		return ""
 	}})
-	home, entry := awaitOwner(f)
+	owner, entry := awaitOwner(c)
 	delivered := func(by *harness.Member, atLeast string) { // and the answer is heard
-		f.Eventually(by.Name+" has delivered", func() bool {
+		c.Eventually(by.Name+" has delivered", func() bool {
 			n, _ := by.Metric("attempts_delivered_total")
 			return n >= atLeast
 		})
 	}
-	f.Platform.Submit(entry.Name, newWebhook("status")) // the home's folder is known from here on
-	delivered(home, "1")
+	c.Platform.Submit(entry.Name, newWebhook("status")) // the owner's folder is known from here on
+	delivered(owner, "1")
 
-	id := offer(f, home, entry)
-	delivered(home, "2")
-	home.Pause()
-	f.Eventually("the entry is home", func() bool { return f.Owner(1) == entry })
+	id := offer(c, owner, entry)
+	delivered(owner, "2")
+	owner.Pause()
+	c.Eventually("the entry is home", func() bool { return c.Owner(1) == entry })
 	meanwhile(entry)
-	f.Platform.Submit(entry.Name, newWebhook("status"))
+	c.Platform.Submit(entry.Name, newWebhook("status"))
 	delivered(entry, "1")
 	sleepTTLs(0.5) // what is parked there has had its turn by now
-	f.Check()
+	c.Check()
 	require.False(t, t.Failed())
 
-	f.Network.Heal()
-	home.Resume()
+	c.Network.Heal()
+	owner.Resume()
 	entry.AwaitLog("doubt settled", "webhook="+id, "ours=false")
-	f.AwaitOutcomes()
-	f.Check()
+	c.AwaitOutcomes()
+	c.Check()
 }
 
 func newWebhook(kind string) platform.Webhook {
 	return platform.Webhook{Type: kind, Destination: 1, TTL: 20 * time.Second, Body: "once"}
 }
 
-// Guards against a webhook that is called for here while it is offered to another member: what was parked
-// because its home could not be reached is in doubt from its first offer on.
+// A webhook that was parked because its owner could not be reached is in doubt from its first offer on: nobody else
+// delivers it.
 func TestForward_OfferedWebhookIsDeliveredByNobodyElse(t *testing.T) {
-	runInDoubtScenario(t, func(f *harness.Cluster, home, entry *harness.Member) string {
-		f.Network.SetFault(entry.Name, home.Name, harness.Refused)
-		id, _ := f.Platform.Submit(entry.Name, newWebhook("charge"))
-		f.Network.SetFault(home.Name, entry.Name, harness.OneWayPartition)
-		f.Network.SetFault(entry.Name, home.Name, harness.Fault{})
+	runInDoubtScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) string {
+		c.Network.SetFault(entry.Name, owner.Name, harness.Refused)
+		id, _ := c.Platform.Submit(entry.Name, newWebhook("charge"))
+		c.Network.SetFault(owner.Name, entry.Name, harness.OneWayPartition)
+		c.Network.SetFault(entry.Name, owner.Name, harness.Fault{})
 		return id
 	}, func(*harness.Member) {})
 }
 
-// Guards against doubts that end with the process that had them.
+// A webhook stays in doubt over a restart of the forwarding member.
 func TestForward_InDoubtSurvivesRestart(t *testing.T) {
-	runInDoubtScenario(t, func(f *harness.Cluster, home, entry *harness.Member) string {
-		f.Network.SetFault(home.Name, entry.Name, harness.OneWayPartition)
-		id, _ := f.Platform.Submit(entry.Name, newWebhook("charge"))
+	runInDoubtScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) string {
+		c.Network.SetFault(owner.Name, entry.Name, harness.OneWayPartition)
+		id, _ := c.Platform.Submit(entry.Name, newWebhook("charge"))
 		return id
 	}, (*harness.Member).Restart)
 }
--- a/test/integration/cluster/interruptedplan_test.go
+++ b/test/integration/cluster/interruptedplan_test.go
@@ -16,43 +16,46 @@
 	"rowanlink/webhook/api"
 )
 
-// startLongTTLCluster starts a fleet with terms long enough that none ends by itself on a machine with much else to do.
+// startLongTTLCluster starts a cluster with a lease TTL that is long enough for no lease to expire by itself on a busy
+// machine.
 func startLongTTLCluster(t *testing.T, s harness.Options) *harness.Cluster {
 	s.LeaseTTL = 3 * leaseTTL
 	return startCluster(t, s)
 }
 
-// lowRate a second: between two looks at a home there is often nothing new for what moves, and the move can end.
+// lowRate is so low, in webhooks a second, that an owner often has nothing new for a range that moves, so that the move
+// can end.
 const lowRate = 4
 
-// startLoadAt hands webhooks for some destinations in at one member, until stop: none crosses a link that is
-// cut. They have the whole TTL of their type: a shorter one would stand for one that was handed in before.
-func startLoadAt(f *harness.Cluster, at *harness.Member, perSecond float64,
+// startLoadAt submits webhooks for some destinations at one member, until stop, so that none crosses a link that is
+// partitioned. They have the whole TTL of their type: a shorter one would be taken for the rest of an earlier
+// submission's.
+func startLoadAt(c *harness.Cluster, at *harness.Member, perSecond float64,
 	dests ...api.DestinationID) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
-	wait := f.Platform.StartLoad(ctx, platform.Load{Members: []string{at.Name}, PerSecond: perSecond, Clients: 6,
+	wait := c.Platform.StartLoad(ctx, platform.Load{Members: []string{at.Name}, PerSecond: perSecond, Clients: 6,
 		Next: func(n int) platform.Webhook {
 			return platform.Webhook{Type: types[n%3], Destination: dests[n/3%len(dests)], TTL: 20 * time.Second, Body: "x"}
 		}})
 	return func() {
 		cancel()
 		wait()
-		f.AwaitOutcomes()
+		c.AwaitOutcomes()
 	}
 }
 
-// interruptedPlan is a plan in the midst: the range of one destination has passed its switch, that of another can't, as
-// its home doesn't reach the target.
+// interruptedPlan is a running plan: the range of one destination has switched, that of another can't, since its owner
+// doesn't reach the target.
 type interruptedPlan struct {
 	cluster                       *harness.Cluster
 	moved, blocked                api.DestinationID
 	target, source, blockedTarget *harness.Member // of through; of held, now and by the plan
-	marks                         map[*harness.Member]int
+	offsets                       map[*harness.Member]int
 	stop                          func()
 }
 
-// operatorBlocks are the plan's, with further blocks.
+// operatorBlocks returns the blocks of the plan, with further blocks.
 func (m *interruptedPlan) operatorBlocks(held bool, blocks string) string {
 	text := fmt.Sprintf("pin \"p\" {\n  destinations = [%d]\n  to = %q\n}\nbounds { moves_at_once = 2 }\n",
 		m.moved,
@@ -63,66 +66,68 @@
 	return text + blocks
 }
 
+// startInterruptedPlan starts a cluster with a plan, and waits until one range has moved and the other can't.
 func startInterruptedPlan(t *testing.T, blocks string) *interruptedPlan {
-	f := startLongTTLCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
-	m := &interruptedPlan{cluster: f, blockedTarget: f.Members[3]} // no keeper: a cut link costs the log nothing
-	f.Eventually("two homes", func() bool {
-		leader, chart := f.Leader(), f.ShardMap()
+	c := startLongTTLCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+	m := &interruptedPlan{cluster: c, blockedTarget: c.Members[3]} // no raft node, so that a partition doesn't affect the raft log
+	c.Eventually("two homes", func() bool {
+		leader, shards := c.Leader(), c.ShardMap()
 		m.blocked, m.moved = 0, 0
 		for d := range api.DestinationID(4) {
-			switch home := f.Owner(d + 1); {
-			case home == nil || leader == nil || home == m.blockedTarget:
-			case m.blocked == 0 && home != leader:
-				m.blocked, m.source = d+1, home
+			switch owner := c.Owner(d + 1); {
+			case owner == nil || leader == nil || owner == m.blockedTarget:
+			case m.blocked == 0 && owner != leader:
+				m.blocked, m.source = d+1, owner
 			}
 		}
 		if m.blocked == 0 {
 			return false
 		}
-		of, _ := chart.RangeOf(cluster.DestinationKeyHash(m.blocked))
+		of, _ := shards.RangeOf(cluster.DestinationKeyHash(m.blocked))
 		for d := range api.DestinationID(4) {
-			if r, ok := chart.RangeOf(cluster.DestinationKeyHash(d + 1)); ok && r.ID != of.ID {
+			if r, ok := shards.RangeOf(cluster.DestinationKeyHash(d + 1)); ok && r.ID != of.ID {
 				m.moved = d + 1
 			}
 		}
-		home := f.Owner(m.moved)
-		for _, k := range f.RaftNodes() {
-			if k != home {
+		owner := c.Owner(m.moved)
+		for _, k := range c.RaftNodes() {
+			if k != owner {
 				m.target = k
 			}
 		}
-		return m.moved != 0 && home != nil
+		return m.moved != 0 && owner != nil
 	})
-	f.Network.SetFaultBetween(m.source.Name, m.blockedTarget.Name, harness.Partition)
-	m.marks = f.LogOffsets()
-	f.ReloadOperatorFiles(m.operatorBlocks(true, blocks))
-	f.Eventually("one has moved, the other can't", func() bool {
-		chart := f.ShardMap()
-		if chart == nil || f.Owner(m.moved) != m.target {
+	c.Network.SetFaultBetween(m.source.Name, m.blockedTarget.Name, harness.Partition)
+	m.offsets = c.LogOffsets()
+	c.ReloadOperatorFiles(m.operatorBlocks(true, blocks))
+	c.Eventually("one has moved, the other can't", func() bool {
+		shards := c.ShardMap()
+		if shards == nil || c.Owner(m.moved) != m.target {
 			return false
 		}
-		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.blocked))
-		through, _ := chart.RangeOf(cluster.DestinationKeyHash(m.moved))
-		return r.Move.IsOpen() && !through.Move.IsOpen() && f.Member(string(r.Owner)) == m.source
+		r, _ := shards.RangeOf(cluster.DestinationKeyHash(m.blocked))
+		through, _ := shards.RangeOf(cluster.DestinationKeyHash(m.moved))
+		return r.Move.IsOpen() && !through.Move.IsOpen() && c.Member(string(r.Owner)) == m.source
 	})
-	m.stop = startLoadAt(f, m.target, 60, m.moved)
+	m.stop = startLoadAt(c, m.target, 60, m.moved)
 	return m
 }
 
-// awaitRollBack waits until the held move went back, and sees that what passed the switch stayed.
+// awaitRollBack waits until the blocked move was rolled back, and checks that the range that had switched stays.
 func (m *interruptedPlan) awaitRollBack(t *testing.T) {
 	m.cluster.Eventually("the held move went back", func() bool {
-		chart := m.cluster.ShardMap()
-		if chart == nil {
+		shards := m.cluster.ShardMap()
+		if shards == nil {
 			return false
 		}
-		r, _ := chart.RangeOf(cluster.DestinationKeyHash(m.blocked))
+		r, _ := shards.RangeOf(cluster.DestinationKeyHash(m.blocked))
 		return !r.Move.IsOpen()
 	})
 	assert.Equal(t, m.source, m.cluster.Owner(m.blocked))
 	assert.Equal(t, m.target, m.cluster.Owner(m.moved))
 }
 
+// finish heals the network and checks the outcomes.
 func (m *interruptedPlan) finish() {
 	m.cluster.Network.Heal()
 	m.cluster.AwaitStable()
@@ -130,11 +135,11 @@
 	m.cluster.Check(deliverycheck.Order)
 }
 
-// Guards against a plan that goes on while it does harm: a destination goes sick or late at its new home.
-// What has not switched goes back, what has stays, nothing starts, and the log says why; the file read again,
-// once that is mended, goes on.
+// A plan stops when a destination becomes unhealthy or late at its new owner: moves that haven't switched are rolled
+// back, the others stay, nothing starts, and the log tells why. Once the destination has recovered, a reload resumes
+// the plan.
 func TestPlan_StopsOnDegradation(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		stop, why string
 		does      platform.Behaviour
 	}{
@@ -143,15 +148,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			rules := "stop_when { " + c.stop + " }\n"
+			rules := "stop_when { " + test.stop + " }\n"
 			m := startInterruptedPlan(t, rules)
-			require.NoError(t, m.cluster.Platform.Destination(m.moved).BeginOutage(c.does))
-			who := m.cluster.AwaitLog(m.marks, "plan stopped", c.why)
+			require.NoError(t, m.cluster.Platform.Destination(m.moved).BeginOutage(test.does))
+			who := m.cluster.AwaitLog(m.offsets, "plan stopped", test.why)
 			m.awaitRollBack(t)
 			m.cluster.Eventually("/metrics shows it", func() bool { v, _ := who.Metric("plan_stopped"); return v == "1" })
 			require.NoError(t, m.cluster.Platform.Destination(m.moved).SetBehaviour(platform.Delivers))
 			m.cluster.Network.Heal()
-			sleepTTLs(3) // it stays stopped, whatever gets well
+			sleepTTLs(3) // it stays stopped, whatever recovers
 			assert.Equal(t, m.source, m.cluster.Owner(m.blocked))
 			m.cluster.ReloadOperatorFiles(m.operatorBlocks(true, rules))
 			m.cluster.Eventually("it goes on", func() bool { return m.cluster.Owner(m.blocked) == m.blockedTarget })
@@ -160,8 +165,8 @@
 	}
 }
 
-// Guards against work undone by a file read in the midst of a plan: what has passed the switch stays where
-// the new file has it too, what has not goes back.
+// A reload during a plan undoes no work: ranges that have switched stay where the new file has them too, the other
+// moves are rolled back.
 func TestPlan_ReloadKeepsSwitchedRanges(t *testing.T) {
 	t.Parallel()
 	m := startInterruptedPlan(t, "")
@@ -175,60 +180,59 @@
 	m.finish()
 }
 
-// Guards against a plan that dies with the one who ran it: another keeper goes on by what the log holds, with
-// no step done twice and no plan made anew. The keepers are no homes here, so nothing else is lost.
+// When the coordinator is killed, another raft node resumes the plan from the raft log, without repeating a step or
+// making a new plan. The raft nodes own no ranges here, so that nothing else is lost.
 func TestPlan_CoordinatorKilled(t *testing.T) {
 	t.Parallel()
-	f := startLongTTLCluster(t, harness.Options{Members: 5, RaftNodes: 3, Ranges: 8, MemberSettings: func(m string) string {
+	c := startLongTTLCluster(t, harness.Options{Members: 5, RaftNodes: 3, Ranges: 8, MemberSettings: func(m string) string {
 		if m == "m4" || m == "m5" {
 			return ""
 		}
 		return "  weight = 0\n"
 	}})
-	stop, marks, leaver := startLoadAt(f, f.Members[4], lowRate, 1, 2, 3, 4), f.LogOffsets(), f.Members[3]
-	f.ReloadOperatorFiles("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
-	conductor := f.AwaitLog(marks, "INFO move planned ")
-	f.AwaitLog(marks, "INFO move cleared ")
+	stop, offsets, drained := startLoadAt(c, c.Members[4], lowRate, 1, 2, 3, 4), c.LogOffsets(), c.Members[3]
+	c.ReloadOperatorFiles("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
+	conductor := c.AwaitLog(offsets, "INFO move planned ")
+	c.AwaitLog(offsets, "INFO move cleared ")
 	conductor.Kill()
-	next := f.LogOffsets()
-	another := f.AwaitLog(next, "INFO move planned ")
+	next := c.LogOffsets()
+	another := c.AwaitLog(next, "INFO move planned ")
 	assert.NotEqual(t, conductor, another)
 	conductor.Start()
-	f.AwaitStable(leaver)
-	for _, m := range f.Members {
+	c.AwaitStable(drained)
+	for _, m := range c.Members {
 		_, anew := m.Log.Find(next[m], "plan taken up")
 		assert.False(t, anew, "%s made the plan anew", m.Name)
 	}
 	stop()
-	f.Check(deliverycheck.Order)
+	c.Check(deliverycheck.Order)
 }
 
-// Guards against a pin that takes along what lies in the same range, or can't be taken back: the destination
-// is split off under load, goes alone, and once nothing asks for that the map is as it was. Then the range
-// still moves: nobody holds on to what was merged.
+// A pinned destination is split off under load and moves alone; once no rule needs that, the ranges are merged again.
+// Then the range can still move: nobody holds on to what was merged.
 func TestPlan_SplitsOffAndMergesADestination(t *testing.T) {
 	t.Parallel()
-	f := startLongTTLCluster(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
-	var home, target *harness.Member
-	f.Eventually("homes", func() bool { home = f.Owner(2); return home != nil && f.Owner(4) == home })
-	for _, m := range f.Members {
-		if m != home {
+	c := startLongTTLCluster(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
+	var owner, target *harness.Member
+	c.Eventually("homes", func() bool { owner = c.Owner(2); return owner != nil && c.Owner(4) == owner })
+	for _, m := range c.Members {
+		if m != owner {
 			target = m
 		}
 	}
-	stop := startLoadAt(f, target, lowRate, 2, 4)
-	before := len(f.ShardMap().Ranges)
-	f.ReloadOperatorFiles(fmt.Sprintf("pin \"p\" {\n  destinations = [2]\n  to = %q\n}\n", target.Name))
-	f.Eventually("it goes alone", func() bool { return f.Owner(2) == target })
-	f.AwaitStable()
-	assert.Equal(t, home, f.Owner(4))
-	assert.Len(t, f.ShardMap().Ranges, before+2)
-	f.ReloadOperatorFiles("")
-	f.Eventually("it is merged", func() bool { chart := f.ShardMap(); return chart != nil && len(chart.Ranges) == before })
-	f.AwaitStable()
-	assert.Equal(t, home, f.Owner(2))
-	f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", home.Name))
-	f.AwaitStable(home)
+	stop := startLoadAt(c, target, lowRate, 2, 4)
+	before := len(c.ShardMap().Ranges)
+	c.ReloadOperatorFiles(fmt.Sprintf("pin \"p\" {\n  destinations = [2]\n  to = %q\n}\n", target.Name))
+	c.Eventually("it goes alone", func() bool { return c.Owner(2) == target })
+	c.AwaitStable()
+	assert.Equal(t, owner, c.Owner(4))
+	assert.Len(t, c.ShardMap().Ranges, before+2)
+	c.ReloadOperatorFiles("")
+	c.Eventually("it is merged", func() bool { shards := c.ShardMap(); return shards != nil && len(shards.Ranges) == before })
+	c.AwaitStable()
+	assert.Equal(t, owner, c.Owner(2))
+	c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", owner.Name))
+	c.AwaitStable(owner)
 	stop()
-	f.Check(deliverycheck.Order)
+	c.Check(deliverycheck.Order)
 }
--- a/test/integration/cluster/linkfault_test.go
+++ b/test/integration/cluster/linkfault_test.go
@@ -10,100 +10,99 @@
 	"rowanlink/test/integration/harness"
 )
 
-// Guards against a step of a move that can't be the last one before a stop of more than a term, or before a
-// cut: what stood still or was cut off goes on afterwards with what it had, and what was on its way comes
-// late.
+// After each step of a move, its source, its target and the coordinator may be paused for more than a lease TTL, or
+// partitioned: they go on afterwards with the state that they had, and what was in flight arrives late.
 func TestMove_PauseOrPartitionAfterEachStep(t *testing.T) {
 	steps := []string{"move planned", "move warms", "move passes", "home switched", "move cleared"}
 	for _, step := range steps {
 		for _, how := range []string{"stopped", "cut off"} {
 			t.Run(step+", "+how, func(t *testing.T) {
 				t.Parallel()
-				f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8,
+				c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8,
 					ClockRates: map[string]float64{"m1": 1.024, "m2": 0.976}})
-				slowDestinations(t, f)
-				stop := startLoad(f)
+				slowDestinations(t, c)
+				stop := startLoad(c)
 				for _, role := range []string{"source", "target", "conductor"} {
-					leaver, marks := ownerOfMostRanges(f), f.LogOffsets()
-					f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
-					who := awaitRole(f, role, step, leaver, marks)
-					t.Logf("%s leaves, %s, %s, is %s", leaver.Name, role, who.Name, how)
+					drained, offsets := ownerOfMostRanges(c), c.LogOffsets()
+					c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", drained.Name))
+					who := awaitRole(c, role, step, drained, offsets)
+					t.Logf("%s leaves, %s, %s, is %s", drained.Name, role, who.Name, how)
 					if how == "stopped" {
 						who.Pause()
 						sleepTTLs(1.6)
 						who.Resume()
 					} else {
-						f.Network.Isolate(harness.Partition, who.Name)
+						c.Network.Isolate(harness.Partition, who.Name)
 						sleepTTLs(1.6)
-						f.Network.Heal()
+						c.Network.Heal()
 					}
-					f.AwaitStable(leaver)
+					c.AwaitStable(drained)
 				}
 				stop()
-				f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+				c.Check(deliverycheck.Order) // an owner that is lost keeps its webhooks to itself for a while
 			})
 		}
 	}
 }
 
-// awaitRole waits for a step of a move and returns who plays a role in it.
-func awaitRole(f *harness.Cluster, role, step string, leaver *harness.Member,
-	marks map[*harness.Member]int) *harness.Member {
-	said := f.AwaitLog(marks, "INFO "+step+" ")
+// awaitRole waits for a step of a move and returns the member that has a role in it.
+func awaitRole(c *harness.Cluster, role, step string, drained *harness.Member,
+	offsets map[*harness.Member]int) *harness.Member {
+	said := c.AwaitLog(offsets, "INFO "+step+" ")
 	switch role {
 	case "target":
-		if line, ok := said.Log.Find(marks[said], "INFO "+step+" ", " to="); ok {
-			return f.Member(targetField.FindStringSubmatch(line.Text)[1])
+		if line, ok := said.Log.Find(offsets[said], "INFO "+step+" ", " to="); ok {
+			return c.Member(targetField.FindStringSubmatch(line.Text)[1])
 		}
 		return said
 	case "conductor":
-		return f.AwaitLog(marks, "INFO move planned ")
+		return c.AwaitLog(offsets, "INFO move planned ")
 	}
-	return leaver
+	return drained
 }
 
-// Guards against a task that two do, and webhooks that two call with, over links that are only bad.
+// Links that are only bad lead to no second holder, and to no second call with a webhook.
 func TestLease_DelayedThrottledAndResetLinks(t *testing.T) {
 	t.Parallel()
-	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}, ClockRates: driftingClocks})
-	slowDestinations(t, f)
-	stop := startLoad(f)
+	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}, ClockRates: driftingClocks})
+	slowDestinations(t, c)
+	stop := startLoad(c)
 	for name, fault := range map[string]harness.Fault{"late": harness.Delayed(leaseTTL / 4), "slow": harness.Throttled(4000),
 		"half-way": harness.ResetAfterBytes(900)} {
-		who, _ := awaitOperation(f)
-		for _, m := range []*harness.Member{who, f.AwaitLeader()} {
-			f.Network.Isolate(fault, m.Name)
+		who, _ := awaitOperation(c)
+		for _, m := range []*harness.Member{who, c.AwaitLeader()} {
+			c.Network.Isolate(fault, m.Name)
 			sleepTTLs(1.5)
-			f.Network.Heal()
-			awaitOperations(f)
+			c.Network.Heal()
+			awaitOperations(c)
 		}
-		f.Check(deliverycheck.Order)
+		c.Check(deliverycheck.Order)
 		require.False(t, t.Failed(), name)
 	}
 	stop()
-	f.Check(deliverycheck.Order)
+	c.Check(deliverycheck.Order)
 }
 
-// Guards against a keeper that comes back with nothing and votes, or is never counted again: without it there
-// is no majority afterwards.
+// A raft node that restarts without its state doesn't vote until it is a voter again, and then counts for the majority:
+// the test needs it for one.
 func TestRaft_NodeRestartsWithoutItsState(t *testing.T) {
 	t.Parallel()
-	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}})
-	stop := startLoad(f)
-	was, marks := f.AwaitLeader(), f.LogOffsets()
+	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}})
+	stop := startLoad(c)
+	was, offsets := c.AwaitLeader(), c.LogOffsets()
 	was.Kill()
 	was.DeleteState()
 	was.Start()
-	f.AwaitLog(marks, "raft voter added")
-	for _, other := range f.RaftNodes() {
+	c.AwaitLog(offsets, "raft voter added")
+	for _, other := range c.RaftNodes() {
 		if other != was {
 			other.Kill()
-			f.AwaitLeader()
-			awaitOperations(f)
+			c.AwaitLeader()
+			awaitOperations(c)
 			other.Start()
 			break
 		}
 	}
 	stop()
-	f.Check(deliverycheck.Order)
+	c.Check(deliverycheck.Order)
 }
--- a/test/integration/cluster/load_bench_test.go
+++ b/test/integration/cluster/load_bench_test.go
@@ -20,16 +20,16 @@
 
 const benchmarkDestination = api.DestinationID(1)
 
-// runLoad hands in webhooks for one destination at some members, at the most so many a second, for a span.
-func runLoad(f *harness.Cluster, perSecond float64, span time.Duration,
+// runLoad submits webhooks for one destination at some members, at a limited rate, for a time.
+func runLoad(c *harness.Cluster, perSecond float64, span time.Duration,
 	members ...string) (from, until api.Micros) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
-	from = f.Platform.Now()
+	from = c.Platform.Now()
 	const streams = 8 // a single one loses ticks where all cores are busy
 	var done []func()
 	for range streams {
-		done = append(done, f.Platform.StartLoad(ctx, platform.Load{Members: members, PerSecond: perSecond / streams,
+		done = append(done, c.Platform.StartLoad(ctx, platform.Load{Members: members, PerSecond: perSecond / streams,
 			Clients: 8, Next: func(int) platform.Webhook {
 				return platform.Webhook{Type: "status", Destination: benchmarkDestination, TTL: 8 * time.Second, Body: "a webhook's body"}
 			}}))
@@ -37,13 +37,13 @@
 	for _, wait := range done {
 		wait()
 	}
-	until = f.Platform.Now()
-	f.AwaitOutcomes()
+	until = c.Platform.Now()
+	c.AwaitOutcomes()
 	return from, until
 }
 
-func totalCPUTime(f *harness.Cluster) (sum time.Duration) {
-	for _, m := range f.Members {
+func totalCPUTime(c *harness.Cluster) (sum time.Duration) {
+	for _, m := range c.Members {
 		sum += m.CPUTime()
 	}
 	return sum
@@ -51,8 +51,8 @@
 
 func milliseconds(t api.Micros) float64 { return t.Seconds() * 1e3 }
 
-// BenchmarkForwarded hands webhooks in at their home, then at another member, in turn. CPU is all members',
-// less what they use at rest.
+// BenchmarkForwarded submits webhooks at their owner and at another member, in turn. CPU time is that of all members,
+// without what they use when idle.
 func BenchmarkForwarded(b *testing.B) {
 	for _, perSecond := range []float64{1000, 3000} {
 		b.Run(fmt.Sprint(perSecond), func(b *testing.B) { benchmarkForwarded(b, perSecond) })
@@ -60,31 +60,31 @@
 }
 
 func benchmarkForwarded(b *testing.B, perSecond float64) {
-	f := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 20000})
-	f.AwaitStable()
+	c := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 20000})
+	c.AwaitStable()
 	sleepTTLs(3)
-	before := totalCPUTime(f)
+	before := totalCPUTime(c)
 	sleepTTLs(5)
-	rest := (totalCPUTime(f) - before).Seconds() / 5
+	rest := (totalCPUTime(c) - before).Seconds() / 5
 	type sum struct {
 		n, cpu, spent   float64
 		answered, delay []api.Micros
 	}
 	var local, away sum
 	for b.Loop() {
-		home := f.Owner(benchmarkDestination)
-		require.NotNil(b, home)
-		other := f.Members[0]
-		if other == home {
-			other = f.Members[1]
+		owner := c.Owner(benchmarkDestination)
+		require.NotNil(b, owner)
+		other := c.Members[0]
+		if other == owner {
+			other = c.Members[1]
 		}
-		for at, s := range map[*harness.Member]*sum{home: &local, other: &away} {
-			before, since := totalCPUTime(f), f.Platform.Now()
-			from, until := runLoad(f, perSecond, 4*time.Second, at.Name)
-			spent := (f.Platform.Now() - since).Seconds()
-			w := f.Platform.Checker.Window(benchmarkDestination, from, until)
+		for at, s := range map[*harness.Member]*sum{owner: &local, other: &away} {
+			before, since := totalCPUTime(c), c.Platform.Now()
+			from, until := runLoad(c, perSecond, 4*time.Second, at.Name)
+			spent := (c.Platform.Now() - since).Seconds()
+			w := c.Platform.Checker.Window(benchmarkDestination, from, until)
 			s.n, s.spent = s.n+float64(len(w.DeliveryDelays)), s.spent+(until-from).Seconds()
-			s.cpu += (totalCPUTime(f) - before).Seconds() - spent*rest
+			s.cpu += (totalCPUTime(c) - before).Seconds() - spent*rest
 			s.answered, s.delay = append(s.answered, w.ResponseTimes...), append(s.delay, w.DeliveryDelays...)
 		}
 	}
@@ -100,12 +100,12 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkMove moves a destination's range under load by the plan, then ends its home and starts it again.
+// BenchmarkMove moves a destination's range under load by the plan, then terminates its owner and starts it again.
 func BenchmarkMove(b *testing.B) {
-	f := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 2000})
-	f.AwaitStable()
+	c := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 2000})
+	c.AwaitStable()
 	ctx, cancel := context.WithCancel(context.Background())
-	done := f.Platform.StartLoad(ctx, platform.Load{Members: f.Names(), PerSecond: 400, Clients: 32,
+	done := c.Platform.StartLoad(ctx, platform.Load{Members: c.Names(), PerSecond: 400, Clients: 32,
 		Next: func(n int) platform.Webhook {
 			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Destination: benchmarkDestination,
 				TTL: 8 * time.Second, Body: "a webhook's body"}
@@ -113,29 +113,29 @@
 	var gaps [3][]api.Micros // nothing happens, a move, stop and restart
 	var bad [3][]deliverycheck.Window
 	look := func(kind int, what func()) {
-		from := f.Platform.Now()
+		from := c.Platform.Now()
 		what()
 		sleepTTLs(1)
-		w := f.Platform.Checker.Window(benchmarkDestination, from, f.Platform.Now())
+		w := c.Platform.Checker.Window(benchmarkDestination, from, c.Platform.Now())
 		gaps[kind], bad[kind] = append(gaps[kind], w.LongestGap), append(bad[kind], w)
 	}
 	sleepTTLs(3)
 	n := 0
 	for b.Loop() {
 		look(0, func() { sleepTTLs(1) })
-		home := f.Owner(benchmarkDestination)
-		require.NotNil(b, home)
+		owner := c.Owner(benchmarkDestination)
+		require.NotNil(b, owner)
 		n++
-		to := f.Members[n%len(f.Members)]
-		if to == home {
-			to = f.Members[(n+1)%len(f.Members)]
+		to := c.Members[n%len(c.Members)]
+		if to == owner {
+			to = c.Members[(n+1)%len(c.Members)]
 		}
 		look(1, func() {
-			f.ReloadOperatorFiles(fmt.Sprintf("pin \"%d\" {\n  destinations = [%d]\n  to = %q\n}\n", n, benchmarkDestination, to.Name))
-			f.Eventually("it has moved", func() bool { return f.Owner(benchmarkDestination) == to })
-			f.AwaitStable()
+			c.ReloadOperatorFiles(fmt.Sprintf("pin \"%d\" {\n  destinations = [%d]\n  to = %q\n}\n", n, benchmarkDestination, to.Name))
+			c.Eventually("it has moved", func() bool { return c.Owner(benchmarkDestination) == to })
+			c.AwaitStable()
 		})
-		look(2, func() { to.Terminate(); to.Start(); f.AwaitStable() })
+		look(2, func() { to.Terminate(); to.Start(); c.AwaitStable() })
 	}
 	cancel()
 	done()
@@ -152,22 +152,22 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkMemory is what a process holds of memory beside its like of the other program, at rest and after
-// the same load. m1 to m3 keep the log.
+// BenchmarkMemory compares the resident memory of a member with that of a standalone dispatcher, idle and after the
+// same load. m1 to m3 are raft nodes.
 func BenchmarkMemory(b *testing.B) {
-	alone, remove, err := harness.Build("..", "rowanlink")
+	alone, remove, err := harness.Build("../../..", "rowanlink")
 	require.NoError(b, err)
 	defer remove()
 	for b.Loop() {
 		for name, shape := range map[string]harness.Options{"link": {Binary: alone, Standalone: true, Members: 4},
 			"fleet": {Binary: binary, Members: 4}} {
 			shape.Weight = 2000
-			f := harness.Start(b, shape)
+			c := harness.Start(b, shape)
 			sleepTTLs(5)
-			reportMemory(b, f, name+"-rest")
-			runLoad(f, 400, 5*time.Second, f.Names()...)
-			reportMemory(b, f, name+"-loaded")
-			for _, m := range f.Members {
+			reportMemory(b, c, name+"-rest")
+			runLoad(c, 400, 5*time.Second, c.Names()...)
+			reportMemory(b, c, name+"-loaded")
+			for _, m := range c.Members {
 				m.Kill()
 			}
 		}
@@ -175,7 +175,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func reportMemory(b *testing.B, f *harness.Cluster, name string) {
-	b.ReportMetric(float64(f.Members[0].ResidentMemory())/(1<<20), name+"-m1-MB")
-	b.ReportMetric(float64(f.Members[3].ResidentMemory())/(1<<20), name+"-m4-MB")
+func reportMemory(b *testing.B, c *harness.Cluster, name string) {
+	b.ReportMetric(float64(c.Members[0].ResidentMemory())/(1<<20), name+"-m1-MB")
+	b.ReportMetric(float64(c.Members[3].ResidentMemory())/(1<<20), name+"-m4-MB")
 }
--- a/test/integration/cluster/move_test.go
+++ b/test/integration/cluster/move_test.go
@@ -14,80 +14,80 @@
 	"rowanlink/webhook/api"
 )
 
+// targetField is the field of a log line that names the target of a move.
 var targetField = regexp.MustCompile(` to=(\w+)`)
 
-// Guards against a step of a move that can't be the last one before a kill: of the member that leaves, of the
-// one that gets the range, of the one that conducts.
+// After each step of a move, its source, its target and the coordinator may be killed.
 func TestMove_KillAfterEachStep(t *testing.T) {
 	for _, step := range []string{"move planned", "move warms", "move passes", "home switched", "move cleared"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
-			slowDestinations(t, f)
-			stop := startLoad(f)
+			c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+			slowDestinations(t, c)
+			stop := startLoad(c)
 			for _, role := range []string{"source", "target", "conductor"} {
-				leaver := ownerOfMostRanges(f)
-				marks := f.LogOffsets()
-				t.Logf("%s leaves, %s killed", leaver.Name, role)
-				f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
-				said := f.AwaitLog(marks, "INFO "+step+" ")
-				who := leaver
+				drained := ownerOfMostRanges(c)
+				offsets := c.LogOffsets()
+				t.Logf("%s leaves, %s killed", drained.Name, role)
+				c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", drained.Name))
+				said := c.AwaitLog(offsets, "INFO "+step+" ")
+				who := drained
 				switch role {
 				case "target":
 					who = said
-					if line, ok := said.Log.Find(marks[said], "INFO "+step+" ", " to="); ok {
-						who = f.Member(targetField.FindStringSubmatch(line.Text)[1])
+					if line, ok := said.Log.Find(offsets[said], "INFO "+step+" ", " to="); ok {
+						who = c.Member(targetField.FindStringSubmatch(line.Text)[1])
 					}
 				case "conductor":
-					who = f.AwaitLog(marks, "INFO move planned ")
+					who = c.AwaitLog(offsets, "INFO move planned ")
 				}
 				who.Kill()
-				f.AwaitServed()
+				c.AwaitServed()
 				who.Start()
-				f.AwaitStable(leaver)
+				c.AwaitStable(drained)
 			}
 			stop()
-			f.Check(deliverycheck.Order) // a home that is lost keeps what it had to itself for a while
+			c.Check(deliverycheck.Order) // an owner that is lost keeps its webhooks to itself for a while
 			for d := range api.DestinationID(4) {
 				t.Logf("destination %d: longest gap %s", d+1,
-					time.Duration(f.Platform.Checker.LongestGap(d+1))*time.Microsecond)
+					time.Duration(c.Platform.Checker.LongestGap(d+1))*time.Microsecond)
 			}
 		})
 	}
 }
 
-// ownerOfMostRanges is the home of the most ranges.
-func ownerOfMostRanges(f *harness.Cluster) *harness.Member {
+// ownerOfMostRanges returns the member that owns the most ranges.
+func ownerOfMostRanges(c *harness.Cluster) *harness.Member {
 	n, most := map[string]int{}, ""
-	f.Eventually("a map", func() bool {
-		chart := f.ShardMap()
-		if chart == nil {
+	c.Eventually("a map", func() bool {
+		shards := c.ShardMap()
+		if shards == nil {
 			return false
 		}
-		for _, r := range chart.Ranges {
+		for _, r := range shards.Ranges {
 			if n[string(r.Owner)]++; most == "" || n[string(r.Owner)] > n[most] {
 				most = string(r.Owner)
 			}
 		}
 		return true
 	})
-	return f.Member(most)
+	return c.Member(most)
 }
 
-// Guards against webhooks lost, doubled or overtaken in moves in which nothing fails.
+// Moves without a fault lose, duplicate and reorder no webhooks.
 func TestMove_UnderLoadWithoutFaults(t *testing.T) {
 	t.Parallel()
-	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
+	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 	for d := range api.DestinationID(4) {
-		require.NoError(t, f.Platform.Destination(d+1).SetBehaviour(platform.Slow(leaseTTL/5)))
+		require.NoError(t, c.Platform.Destination(d+1).SetBehaviour(platform.Slow(leaseTTL/5)))
 	}
-	stop := startLoad(f)
+	stop := startLoad(c)
 	for range 3 {
 		sleepTTLs(0.5)
-		leaver := ownerOfMostRanges(f)
-		f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", leaver.Name))
-		f.AwaitStable(leaver)
+		drained := ownerOfMostRanges(c)
+		c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", drained.Name))
+		c.AwaitStable(drained)
 	}
 	stop()
-	f.Check()
+	c.Check()
 }
--- a/test/integration/cluster/owner_test.go
+++ b/test/integration/cluster/owner_test.go
@@ -11,29 +11,29 @@
 	"rowanlink/webhook/api"
 )
 
-// awaitOwner are a home of some destination and another member; neither leads the keepers, so that a broken link
+// awaitOwner returns the owner of some destination and another member. Neither is the raft leader, so that a fault
 // between them ends no session.
-func awaitOwner(f *harness.Cluster) (home, entry *harness.Member) {
-	f.Eventually("a destination's home does not lead", func() bool {
-		leader := f.Leader()
+func awaitOwner(c *harness.Cluster) (owner, entry *harness.Member) {
+	c.Eventually("a destination's home does not lead", func() bool {
+		leader := c.Leader()
 		for d := range api.DestinationID(4) {
-			if m := f.Owner(d + 1); leader != nil && m != nil && m != leader {
-				home = m
+			if m := c.Owner(d + 1); leader != nil && m != nil && m != leader {
+				owner = m
 			}
 		}
-		for _, m := range f.Members {
-			if home != nil && m != home && m != leader {
+		for _, m := range c.Members {
+			if owner != nil && m != owner && m != leader {
 				entry = m
 			}
 		}
-		return home != nil
+		return owner != nil
 	})
-	return home, entry
+	return owner, entry
 }
 
-// anyMetricPositive tells whether some member counts more than none of something.
-func anyMetricPositive(f *harness.Cluster, metric string) bool {
-	for _, m := range f.Members {
+// anyMetricPositive reports whether some member's counter is above zero.
+func anyMetricPositive(c *harness.Cluster, metric string) bool {
+	for _, m := range c.Members {
 		if v, ok := m.Metric(metric); ok && v != "0" {
 			return true
 		}
@@ -41,87 +41,87 @@
 	return false
 }
 
-// runScenario plays a fault under load at a fleet of its own; no rule may break, but for those named. Where a home
-// is lost for longer than a term, what lies in its journal comes after what the next home takes meanwhile,
-// whatever its key.
-func runScenario(t *testing.T, fault func(f *harness.Cluster, home, entry *harness.Member),
+// runScenario runs a fault under load in a cluster of its own, and checks all rules except the given ones. Where an
+// owner is lost for longer than a lease TTL, the webhooks in its journal come after those that the next owner accepts
+// meanwhile, so that the order of keys doesn't hold.
+func runScenario(t *testing.T, fault func(c *harness.Cluster, owner, entry *harness.Member),
 	but ...deliverycheck.Rule) {
 	t.Parallel()
-	f := startCluster(t, harness.Options{Ranges: 8})
-	slowDestinations(t, f)
-	stop := startLoad(f)
+	c := startCluster(t, harness.Options{Ranges: 8})
+	slowDestinations(t, c)
+	stop := startLoad(c)
 	sleepTTLs(0.5)
-	home, entry := awaitOwner(f)
-	fault(f, home, entry)
+	owner, entry := awaitOwner(c)
+	fault(c, owner, entry)
 	sleepTTLs(0.5)
-	assert.True(t, anyMetricPositive(f, "member_forwarded_total"), "nothing was forwarded: the story tells nothing")
+	assert.True(t, anyMetricPositive(c, "member_forwarded_total"), "nothing was forwarded: the story tells nothing")
 	stop()
-	f.AwaitStable()
-	f.Check(but...)
-	t.Logf("%+v", f.Platform.Checker.Counts())
+	c.AwaitStable()
+	c.Check(but...)
+	t.Logf("%+v", c.Platform.Checker.Counts())
 }
 
 func TestOwner_KilledAndRestartedAfterFailover(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, _ *harness.Member) {
-		home.Kill()
-		f.AwaitServed()
-		home.Start()
+	runScenario(t, func(c *harness.Cluster, owner, _ *harness.Member) {
+		owner.Kill()
+		c.AwaitServed()
+		owner.Start()
 	}, deliverycheck.Order)
 }
 
 func TestOwner_KilledAndRestartedAtOnce(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, _ *harness.Member) {
-		home.Restart()
-		home.Restart()
+	runScenario(t, func(c *harness.Cluster, owner, _ *harness.Member) {
+		owner.Restart()
+		owner.Restart()
 	}, deliverycheck.Order)
 }
 
 func TestOwner_Paused(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, _ *harness.Member) {
-		for _, terms := range []float64{0.5, 1.2, 3} {
-			home.Pause()
-			sleepTTLs(terms)
-			home.Resume()
+	runScenario(t, func(c *harness.Cluster, owner, _ *harness.Member) {
+		for _, ttls := range []float64{0.5, 1.2, 3} {
+			owner.Pause()
+			sleepTTLs(ttls)
+			owner.Resume()
 			sleepTTLs(0.5)
-			home, _ = awaitOwner(f)
+			owner, _ = awaitOwner(c)
 		}
 	}, deliverycheck.Order)
 }
 
 func TestOwner_PartitionedFromOneMember(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, entry *harness.Member) {
-		f.Network.SetFaultBetween(home.Name, entry.Name, harness.Partition)
+	runScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) {
+		c.Network.SetFaultBetween(owner.Name, entry.Name, harness.Partition)
 		sleepTTLs(2)
-		f.Network.Heal()
-		assert.True(t, anyMetricPositive(f, "member_doubts_total"), "no forward was in doubt")
+		c.Network.Heal()
+		assert.True(t, anyMetricPositive(c, "member_doubts_total"), "no forward was in doubt")
 	})
 }
 
 func TestOwner_PartitionedFromAll(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, _ *harness.Member) {
-		f.Network.Isolate(harness.Partition, home.Name)
+	runScenario(t, func(c *harness.Cluster, owner, _ *harness.Member) {
+		c.Network.Isolate(harness.Partition, owner.Name)
 		sleepTTLs(2.5)
-		f.Network.Heal()
+		c.Network.Heal()
 	}, deliverycheck.Order)
 }
 
 func TestOwner_ResponsesLostHalfway(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, entry *harness.Member) {
+	runScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) {
 		for _, after := range []int{1, 90, 400} {
-			f.Network.SetFault(home.Name, entry.Name, harness.ResetAfterBytes(after))
+			c.Network.SetFault(owner.Name, entry.Name, harness.ResetAfterBytes(after))
 			sleepTTLs(0.7)
 		}
-		assert.True(t, anyMetricPositive(f, "member_doubts_total"), "no forward was in doubt")
-		f.Network.Heal()
+		assert.True(t, anyMetricPositive(c, "member_doubts_total"), "no forward was in doubt")
+		c.Network.Heal()
 	})
 }
 
 func TestForward_ForwardingMemberKilled(t *testing.T) {
-	runScenario(t, func(f *harness.Cluster, home, entry *harness.Member) {
-		f.Network.SetFault(home.Name, entry.Name, harness.ResetAfterBytes(1))
+	runScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) {
+		c.Network.SetFault(owner.Name, entry.Name, harness.ResetAfterBytes(1))
 		sleepTTLs(0.5)
 		entry.Kill()
-		f.Network.Heal()
+		c.Network.Heal()
 		entry.Start()
 		require.True(t, entry.IsRunning())
 	})
--- a/test/integration/cluster/ownership_test.go
+++ b/test/integration/cluster/ownership_test.go
@@ -15,42 +15,42 @@
 	"rowanlink/test/integration/harness"
 )
 
-// Guards against a home that two have, a map that goes back or names who never had it: what all logs say and
-// what each keeper tells of the map, over moves with a kill, a stop and a cut in the midst of them, is a past
-// that one lock and one map could have.
+// No range has two owners, and the map neither goes back nor names a member that wasn't an owner: the logs of all
+// members and the maps of each raft node, over moves with a kill, a pause and a partition, are a history that one lock
+// and one map could have.
 func TestOwnership_HistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
-	f := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource},
+	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource},
 		Env: []string{harness.DebugLog}})
-	views := f.WatchOwnership()
+	views := c.WatchOwnership()
 	faults := []func(m *harness.Member) func(){
 		func(m *harness.Member) func() { m.Kill(); sleepTTLs(1.5); return m.Start },
 		func(m *harness.Member) func() { m.Pause(); sleepTTLs(0.5); return m.Resume },
 		func(m *harness.Member) func() { m.Pause(); sleepTTLs(1.5); return m.Resume },
 		func(m *harness.Member) func() {
-			f.Network.Isolate(harness.Partition, m.Name)
+			c.Network.Isolate(harness.Partition, m.Name)
 			sleepTTLs(1.5)
-			return f.Network.Heal
+			return c.Network.Heal
 		},
 	}
 	round := 0
 	for _, fault := range faults {
-		for _, who := range []func(leaver *harness.Member) *harness.Member{
-			func(leaver *harness.Member) *harness.Member { return leaver },
-			func(*harness.Member) *harness.Member { return f.AwaitLeader() },
+		for _, who := range []func(drained *harness.Member) *harness.Member{
+			func(drained *harness.Member) *harness.Member { return drained },
+			func(*harness.Member) *harness.Member { return c.AwaitLeader() },
 		} {
-			leaver, marks := ownerOfMostRanges(f), f.LogOffsets()
+			drained, offsets := ownerOfMostRanges(c), c.LogOffsets()
 			round++ // a plan that is the running one changes nothing
-			f.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", leaver.Name, 2+round))
-			f.Eventually("a move is under way", func() bool {
-				return f.FindLog(marks, "INFO move passes ") != nil || f.FindLog(marks, "INFO plan taken up ") != nil
+			c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", drained.Name, 2+round))
+			c.Eventually("a move is under way", func() bool {
+				return c.FindLog(offsets, "INFO move passes ") != nil || c.FindLog(offsets, "INFO plan taken up ") != nil
 			})
-			fault(who(leaver))()
-			f.AwaitStable(leaver)
-			awaitOperations(f)
+			fault(who(drained))()
+			c.AwaitStable(drained)
+			awaitOperations(c)
 		}
 	}
-	f.Check()
+	c.Check()
 	views.Check()
 	require.False(t, t.Failed())
 
@@ -69,7 +69,8 @@
 	}
 }
 
-// lastOwnerGrant is that of a home that was granted by more than one epoch, and the rest of its past.
+// lastOwnerGrant returns the last grant of a range's ownership that was granted by more than one epoch, and the other
+// events.
 func lastOwnerGrant(t *testing.T, all map[cluster.Resource][]leasecheck.OwnershipEvent) (last leasecheck.OwnershipEvent, others []leasecheck.OwnershipEvent) {
 	for task, past := range all {
 		slices.SortStableFunc(past, func(a, b leasecheck.OwnershipEvent) int {
--- a/test/integration/cluster/site_test.go
+++ b/test/integration/cluster/site_test.go
@@ -23,11 +23,11 @@
 	direct = []api.DestinationID{41, 42, 43, 44}
 )
 
-// siteLeaseTTL is long: five members with all their webhooks keep their sessions on a machine that is busy.
+// siteLeaseTTL is long: five members with all their webhooks keep their sessions on a busy machine.
 const siteLeaseTTL = 3 * leaseTTL
 
-// sleepSiteTTLs waits a part of it, for a fault to last.
-func sleepSiteTTLs(terms float64) { time.Sleep(time.Duration(terms * float64(siteLeaseTTL))) }
+// sleepSiteTTLs sleeps for a number of site lease TTLs.
+func sleepSiteTTLs(ttls float64) { time.Sleep(time.Duration(ttls * float64(siteLeaseTTL))) }
 
 const twoSites = `
 site "depot" {
@@ -40,10 +40,10 @@
 }
 `
 
-// startSites is a fleet of three keepers and two relays.
+// startSites starts a cluster of three raft nodes and two relays.
 func startSites(t *testing.T) *harness.Cluster {
 	all := slices.Concat(depot, harbor, direct)
-	f := startCluster(t, harness.Options{LeaseTTL: siteLeaseTTL, Members: 5, Ranges: 9, Destinations: all, ConfigBlocks: twoSites,
+	c := startCluster(t, harness.Options{LeaseTTL: siteLeaseTTL, Members: 5, Ranges: 9, Destinations: all, ConfigBlocks: twoSites,
 		WaitsBindAll:    true,
 		SubscriberLists: map[string][]api.DestinationID{"prices": all},
 		MemberSettings: func(m string) string {
@@ -52,26 +52,26 @@
 			}
 			return ""
 		}})
-	f.AwaitStable()
+	c.AwaitStable()
 	for _, d := range all {
-		require.NoError(t, f.Platform.Destination(d).SetBehaviour(platform.Slow(60*time.Millisecond)))
+		require.NoError(t, c.Platform.Destination(d).SetBehaviour(platform.Slow(60*time.Millisecond)))
 	}
-	return f
+	return c
 }
 
-// startAnnouncements hands announcements of each rule in, and single webhooks to subscribers behind relays beside them.
-func startAnnouncements(f *harness.Cluster, at ...string) (stop func()) {
+// startAnnouncements submits announcements of each rule, and single webhooks to subscribers behind relays.
+func startAnnouncements(c *harness.Cluster, at ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types, both := []string{"status", "paid", "charge", "ride"}, slices.Concat(depot, harbor)
-	waits := []func(){f.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 8, Clients: 4,
+	waits := []func(){c.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 8, Clients: 4,
 		Next: func(n int) platform.Webhook {
 			return platform.Webhook{Type: types[n%4], List: "prices", TTL: 20 * time.Second, Body: "prices of today"}
-		}}), f.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 100, Clients: 8,
+		}}), c.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 100, Clients: 8,
 		Next: func(n int) platform.Webhook { // most of which may take effect once only
 			return platform.Webhook{Type: types[min(n%5, 2)], Destination: both[n%12], TTL: 20 * time.Second, Body: "one"}
 		}})}
 	for _, name := range at { // a key's order is the one in which one member takes them
-		waits = append(waits, f.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 15, Clients: 1,
+		waits = append(waits, c.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 15, Clients: 1,
 			Next: func(n int) platform.Webhook {
 				return platform.Webhook{Type: "ride", Key: name, Destination: both[n%12], TTL: 20 * time.Second, Body: "one"}
 			}}))
@@ -81,13 +81,13 @@
 		for _, wait := range waits {
 			wait()
 		}
-		f.AwaitOutcomes()
+		c.AwaitOutcomes()
 	}
 }
 
-// relayResults counts those that relays told, at the members that are owed them.
-func relayResults(f *harness.Cluster) (n int) {
-	for _, m := range f.Members {
+// relayResults counts the results that relays reported, at the members that wait for them.
+func relayResults(c *harness.Cluster) (n int) {
+	for _, m := range c.Members {
 		v, _ := m.Metric("site_ends_total")
 		each, _ := strconv.Atoi(v)
 		n += each
@@ -95,79 +95,80 @@
 	return n
 }
 
-// awaitSender is who sends to a site: the home of its subscribers.
-func awaitSender(f *harness.Cluster, of api.DestinationID) (m *harness.Member) {
-	f.Eventually("a site has its sender", func() bool {
-		m = f.Owner(of)
+// awaitSender returns the sender of a site: the owner of its subscribers.
+func awaitSender(c *harness.Cluster, of api.DestinationID) (m *harness.Member) {
+	c.Eventually("a site has its sender", func() bool {
+		m = c.Owner(of)
 		return m != nil
 	})
 	return m
 }
 
-// runSiteScenario plays faults at such a fleet under load, at which no rule may break. Where a home is lost for
-// longer than a term, what lies in its journal comes after what the next home takes meanwhile, whatever its
-// key.
-func runSiteScenario(t *testing.T, faults func(f *harness.Cluster), but ...deliverycheck.Rule) (notices int) {
+// runSiteScenario runs faults in a cluster with sites under load, checks all rules except the given ones, and returns
+// the number of notices. Where an owner is lost for longer than a lease TTL, the webhooks in its journal come after
+// those that the next owner accepts meanwhile, so that the order of keys doesn't hold.
+func runSiteScenario(t *testing.T, faults func(c *harness.Cluster), but ...deliverycheck.Rule) (notices int) {
 	t.Parallel()
-	f := startSites(t)
-	stop := startAnnouncements(f, "m1", "m2", "m3")
-	f.Eventually("something goes by the streams", func() bool { return anyMetricPositive(f, "site_ends_total") })
+	c := startSites(t)
+	stop := startAnnouncements(c, "m1", "m2", "m3")
+	c.Eventually("something goes by the streams", func() bool { return anyMetricPositive(c, "site_ends_total") })
 	sleepSiteTTLs(0.5)
-	faults(f)
+	faults(c)
 	sleepSiteTTLs(0.5)
 	stop()
-	f.Check(but...)
-	t.Logf("%+v", f.Platform.Checker.Counts())
-	return f.Platform.Checker.Counts().Notices
+	c.Check(but...)
+	t.Logf("%+v", c.Platform.Checker.Counts())
+	return c.Platform.Checker.Counts().Notices
 }
 
-// Guards against two ends: what the relay has is dead-lettered by nobody meanwhile, as it comes back in time.
+// No webhook has two outcomes: what the relay has is dead-lettered by nobody during the partition, since the relay is
+// back in time.
 func TestSite_PartitionBetweenSenderAndRelay(t *testing.T) {
-	assert.Zero(t, runSiteScenario(t, func(f *harness.Cluster) {
-		waits := f.Platform.Destination(harbor[4])
+	assert.Zero(t, runSiteScenario(t, func(c *harness.Cluster) {
+		waits := c.Platform.Destination(harbor[4])
 		waits.QueueBehaviours(platform.RateLimited(3 * time.Second))
 		sleepSiteTTLs(0.4) // what it told the relay binds the sender, too
 		for _, fault := range []harness.Fault{harness.Partition, harness.OneWayPartition, harness.ResetAfterBytes(2000)} {
-			who := awaitSender(f, harbor[0])
-			f.Network.SetFault("m5", who.Name, fault)
-			f.Network.SetFault(who.Name, "m5", harness.Fault{})
+			who := awaitSender(c, harbor[0])
+			c.Network.SetFault("m5", who.Name, fault)
+			c.Network.SetFault(who.Name, "m5", harness.Fault{})
 			sleepSiteTTLs(1)
-			f.Network.Heal()
+			c.Network.Heal()
 			sleepSiteTTLs(0.5)
 		}
 	}, deliverycheck.Overlap), "no webhook ends but by being delivered")
 }
 
 func TestSite_AnnouncementEndsOnceAtEachSubscriber(t *testing.T) {
-	runSiteScenario(t, func(f *harness.Cluster) {
-		f.Member("m4").Kill()
-		f.Eventually("what was there or would go there is seen to", func() bool {
-			return anyMetricPositive(f, "site_beside_total") || anyMetricPositive(f, "site_unsure_total")
+	runSiteScenario(t, func(c *harness.Cluster) {
+		c.Member("m4").Kill()
+		c.Eventually("what was there or would go there is seen to", func() bool {
+			return anyMetricPositive(c, "site_beside_total") || anyMetricPositive(c, "site_unsure_total")
 		})
 		sleepSiteTTLs(0.5)
-		f.Member("m4").Start()
+		c.Member("m4").Start()
 		sleepSiteTTLs(0.5)
 
-		who := awaitSender(f, harbor[0])
-		f.Network.SetFaultBetween(who.Name, "m5", harness.Partition)
+		who := awaitSender(c, harbor[0])
+		c.Network.SetFaultBetween(who.Name, "m5", harness.Partition)
 		who.AwaitLog("called directly", "site=harbor", "directly=true")
-		f.Network.Heal()
+		c.Network.Heal()
 		sleepSiteTTLs(0.5)
 
-		who = awaitSender(f, depot[0])
+		who = awaitSender(c, depot[0])
 		who.Kill()
-		f.AwaitServed()
+		c.AwaitServed()
 		who.Start()
 	}, deliverycheck.Order, deliverycheck.Overlap) // while a relay is cut off, what may run twice may run at both
 }
 
 func TestSite_PausedRelayBlocksNoOtherSite(t *testing.T) {
-	runSiteScenario(t, func(f *harness.Cluster) {
+	runSiteScenario(t, func(c *harness.Cluster) {
 		for range 2 {
-			f.Member("m5").Pause()
-			n := relayResults(f)
-			f.Eventually("the other site's subscribers go on", func() bool { return relayResults(f) > n+50 })
-			f.Member("m5").Resume()
+			c.Member("m5").Pause()
+			n := relayResults(c)
+			c.Eventually("the other site's subscribers go on", func() bool { return relayResults(c) > n+50 })
+			c.Member("m5").Resume()
 			sleepSiteTTLs(0.5)
 		}
 	}, deliverycheck.Order)
@@ -176,42 +177,42 @@
 func TestSite_SubscribersAndRelaysChangeSites(t *testing.T) {
 	moved := strings.NewReplacer("24, 25, 26", "24, 25", "31, 32, 33", "26, 32, 33").Replace(twoSites)
 	swapped := strings.NewReplacer("m4", "m5", "m5", "m4").Replace(twoSites)
-	assert.Zero(t, runSiteScenario(t, func(f *harness.Cluster) {
+	assert.Zero(t, runSiteScenario(t, func(c *harness.Cluster) {
 		for _, blocks := range []string{moved, swapped, twoSites} {
-			f.ReloadOperatorFiles(blocks)
+			c.ReloadOperatorFiles(blocks)
 			sleepSiteTTLs(1)
 		}
 	}, deliverycheck.Order), "no webhook ends but by being delivered")
 }
 
 func TestSite_RelaysAndSendersRestart(t *testing.T) {
-	runSiteScenario(t, func(f *harness.Cluster) {
-		for _, m := range []*harness.Member{f.Member("m4"), awaitSender(f, harbor[0])} {
+	runSiteScenario(t, func(c *harness.Cluster) {
+		for _, m := range []*harness.Member{c.Member("m4"), awaitSender(c, harbor[0])} {
 			m.Terminate()
-			f.AwaitServed()
+			c.AwaitServed()
 			m.Start()
 			sleepSiteTTLs(0.5)
 		}
 	}, deliverycheck.Order)
 }
 
-// A subscriber behind one relay is sick while that is lost, one behind the other has an endpoint that drains
-// while that is cut off: whoever calls, what returns is not pushed over and the drain is kept.
+// A subscriber behind one relay is unhealthy while that is down, one behind the other has an endpoint that drains while
+// that is partitioned: whoever calls, the recovered destination is not overloaded and the drain is observed.
 func TestSite_UnhealthySubscriberAndDrainDuringFaults(t *testing.T) {
-	runSiteScenario(t, func(f *harness.Cluster) {
-		sick := f.Platform.Destination(depot[1])
+	runSiteScenario(t, func(c *harness.Cluster) {
+		sick := c.Platform.Destination(depot[1])
 		require.NoError(t, sick.BeginOutage(platform.Unavailable))
-		first := f.Platform.Endpoints(harbor[2])[0]
-		_, err := f.Platform.AddEndpoint(harbor[2])
+		first := c.Platform.Endpoints(harbor[2])[0]
+		_, err := c.Platform.AddEndpoint(harbor[2])
 		require.NoError(t, err)
 		sleepSiteTTLs(0.5)
-		f.Member("m4").Kill()
-		f.Platform.Drain(first)
-		f.Network.SetFaultBetween(awaitSender(f, harbor[0]).Name, "m5", harness.Partition)
+		c.Member("m4").Kill()
+		c.Platform.Drain(first)
+		c.Network.SetFaultBetween(awaitSender(c, harbor[0]).Name, "m5", harness.Partition)
 		sleepSiteTTLs(0.7)
 		require.NoError(t, sick.EndOutage(100))
-		f.Member("m4").Start()
-		f.Network.Heal()
+		c.Member("m4").Start()
+		c.Network.Heal()
 		sleepSiteTTLs(1)
 	}, deliverycheck.Order, deliverycheck.Overlap) // as above
 }
