--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -13,6 +13,7 @@
 	"rowanlink/cluster/member/session"
 	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // leaveTimeoutTTLs is how many lease TTLs a planned end waits for its turn.
@@ -62,7 +63,7 @@
 
 // runPeriodically calls do whenever it is woken, and periodically.
 func (m *Member) runPeriodically(wake wakeup.Signal, do func()) {
-	tick := time.NewTicker(duration(m.file.LeaseTTL) / checksPerTTL)
+	tick := time.NewTicker(inflight.Duration(m.file.LeaseTTL) / checksPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -85,7 +86,8 @@
 	m.coordinate()
 }
 
-// UpdateSettings takes new settings of the dispatcher and reads the operator file again. One that can't be used changes nothing.
+// UpdateSettings takes new settings of the dispatcher and reads the operator file again. One that can't be used changes
+// nothing.
 func (m *Member) UpdateSettings(settings api.Settings) {
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
@@ -95,7 +97,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name // fixed while the process runs
+	// These are fixed while the process runs.
+	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name
 	m.file = file
 	m.planRequest = coordinator.PlanRequest{
 		Text:    text,
@@ -125,12 +128,12 @@
 	for turn := range turns {
 		m.session.Acquire(cluster.DepartureSlotResource(turn))
 	}
-	deadline := time.Now().Add(leaveTimeoutTTLs * duration(m.file.LeaseTTL))
+	deadline := time.Now().Add(leaveTimeoutTTLs * inflight.Duration(m.file.LeaseTTL))
 	for time.Now().Before(deadline) {
 		if m.takeLeaveTurn(turns) {
 			return
 		}
-		time.Sleep(duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
+		time.Sleep(inflight.Duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
 	}
 	slog.Warn("leaves without a turn: none was free for a term")
 }
@@ -165,7 +168,7 @@
 			slog.Warn("log not closed in time", "why", err)
 		}
 	}
-	_ = m.server.Close(duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
+	_ = m.server.Close(inflight.Duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
 	m.client.Close()
 	_ = m.custody.Close() // what was answered has been written
 }
