--- a/serving/register/explore_invariants_test.go
+++ b/serving/register/explore_invariants_test.go
@@ -41,24 +41,24 @@
 
 // acknowledge records and checks that a change of the configuration was acknowledged.
 func (w *exploredState) acknowledge(p *exploredProposer, proposal *Proposal) {
-	made := versionOf(p.change.update)
-	if made.configuration.Version == 0 {
+	update := sentUpdateOf(p.change.update)
+	if update.configuration.Version == 0 {
 		return
 	}
 	for _, other := range w.acknowledged {
-		if other.basedOn == made.basedOn && other.configuration.Version != made.configuration.Version {
-			w.fail("versions %d and %d were acknowledged on base %d", other.configuration.Version, made.configuration.Version,
-				made.basedOn)
+		if other.basedOn == update.basedOn && other.configuration.Version != update.configuration.Version {
+			w.fail("versions %d and %d were acknowledged on base %d", other.configuration.Version,
+				update.configuration.Version, update.basedOn)
 		}
 	}
-	w.acknowledged = append(w.acknowledged, made)
+	w.acknowledged = append(w.acknowledged, update)
 	w.acknowledgedAt = append(w.acknowledgedAt, proposal.Record.Revision)
 	w.checkAcknowledged(&proposal.Record, false)
 }
 
-// versionOf returns the configuration that an update sets, by applying it to the possible bases. It returns the zero
+// sentUpdateOf returns the base and the configuration that an update sets, by applying it to the possible bases. It returns the zero
 // value for other updates.
-func versionOf(update Update) sentUpdate {
+func sentUpdateOf(update Update) sentUpdate {
 	for _, base := range []uint64{0, 1, 2} {
 		record := state.Record{Configuration: state.Configuration{Version: base}}
 		if next, err := update(record); err == nil && next.Configuration.Version != base {
@@ -69,12 +69,12 @@
 }
 
 // checkReads checks a read at every majority of a set by a reader that takes the set to be committed.
-func (w *exploredState) checkReads(established state.ReplicaSet) {
+func (w *exploredState) checkReads(voters state.ReplicaSet) {
 	for mask := range 1 << len(exploredIDs) {
-		if bits.OnesCount(uint(mask)) < established.Quorum() {
+		if bits.OnesCount(uint(mask)) < voters.Quorum() {
 			continue
 		}
-		votes := newPrepareTally(established, AcceptedProposal{})
+		votes := newPrepareTally(voters, AcceptedProposal{})
 		for index, id := range exploredIDs {
 			own := w.replicas[id]
 			if mask&(1<<index) == 0 || own.ReplicaID == "" {
@@ -86,7 +86,7 @@
 		if w.evacuationEnded && votes.hasQuorum() && votes.highestAccepted.Proposal.Record.Evacuated(exploredZone) {
 			w.fail("the evacuation is begun again after its end was acknowledged")
 		}
-		empty := votes.highestAccepted.Ballot.IsZero() && established.Epoch > 0
+		empty := votes.highestAccepted.Ballot.IsZero() && voters.Epoch > 0
 		if votes.hasQuorum() && votes.isCommitted() && !votes.highestAccepted.Proposal.isJoint() && !empty {
 			w.observeCommitted(&votes.highestAccepted.Proposal)
 			w.checkAcknowledged(&votes.highestAccepted.Proposal.Record, true)
@@ -96,11 +96,11 @@
 
 // checkAllReads checks the reads by all sets that a reader may take to be committed.
 func (w *exploredState) checkAllReads() {
-	epochs := uint64(0)
+	highestEpoch := uint64(0)
 	w.checkReads(exploredGenesis())
 	for index := range w.proposers {
-		if set := w.proposers[index].known.committedVoters; set.Epoch > epochs {
-			epochs = set.Epoch
+		if set := w.proposers[index].known.committedVoters; set.Epoch > highestEpoch {
+			highestEpoch = set.Epoch
 			w.checkReads(set)
 		}
 	}
@@ -110,18 +110,18 @@
 // interchangeable.
 func (w *exploredState) key(s *scenario) string {
 	text := make([]byte, 0, 256)
-	alike := make([]string, 0, len(exploredIDs))
+	interchangeable := make([]string, 0, len(exploredIDs))
 	for _, id := range exploredIDs {
-		seen := string(w.replicaKey(id))
+		encoded := string(w.replicaKey(id))
 		if slices.Contains(s.distinguished, id) {
-			text = append(append(text, seen...), '/')
+			text = append(append(text, encoded...), '/')
 		} else {
-			alike = append(alike, seen)
+			interchangeable = append(interchangeable, encoded)
 		}
 	}
-	slices.Sort(alike)
-	for _, seen := range alike {
-		text = append(append(text, seen...), '/')
+	slices.Sort(interchangeable)
+	for _, encoded := range interchangeable {
+		text = append(append(text, encoded...), '/')
 	}
 	for index := range w.proposers {
 		text = append(text, w.proposers[index].key(w)...)
@@ -139,8 +139,8 @@
 			text = append(text, 'c', byte(revision), byte(fact.version), byte(fact.epoch))
 		}
 	}
-	for _, made := range w.acknowledged {
-		text = append(text, 'a', byte(made.configuration.Version))
+	for _, update := range w.acknowledged {
+		text = append(text, 'a', byte(update.configuration.Version))
 	}
 	if w.diskLost {
 		text = append(text, 'w')
@@ -180,12 +180,19 @@
 	if p.finished {
 		return []byte{'-'}
 	}
-	text := []byte{byte(p.scriptPosition), byte(p.change.attempts), byte(p.change.highestRevision), byte(p.outcomeOnAccept), byte(p.known.highestBallotNumber),
-		byte(p.known.committedVoters.Epoch), ballotKey(p.known.highestAccepted.Ballot)}
+	text := []byte{
+		byte(p.scriptPosition),
+		byte(p.change.attempts),
+		byte(p.change.highestRevision),
+		byte(p.outcomeOnAccept),
+		byte(p.known.highestBallotNumber),
+		byte(p.known.committedVoters.Epoch),
+		ballotKey(p.known.highestAccepted.Ballot),
+	}
 	if p.round >= 0 {
 		text = append(text, w.rounds[p.round].name...)
 	}
-	if p.refused {
+	if p.rejected {
 		text = append(text, 'r')
 	}
 	return text
@@ -194,13 +201,24 @@
 // nameOf identifies a round.
 func nameOf(r *exploredRound) string {
 	if !r.accepting {
-		return string([]byte{'P', ballotKey(r.ballot), ballotKey(r.known.highestAccepted.Ballot), byte(r.known.committedVoters.Epoch)})
+		return string([]byte{
+			'P',
+			ballotKey(r.ballot),
+			ballotKey(r.known.highestAccepted.Ballot),
+			byte(r.known.committedVoters.Epoch),
+		})
 	}
 	p := &r.proposal
-	text := []byte{'A', ballotKey(r.ballot), byte(p.Record.Revision), byte(p.Record.Configuration.Version),
-		byte(p.Record.Voters.Epoch), byte(len(p.OutgoingVoters.Replicas))}
-	for _, made := range p.Changes {
-		text = append(text, made.Proposer[0], byte(made.Sequence))
+	text := []byte{
+		'A',
+		ballotKey(r.ballot),
+		byte(p.Record.Revision),
+		byte(p.Record.Configuration.Version),
+		byte(p.Record.Voters.Epoch),
+		byte(len(p.OutgoingVoters.Replicas)),
+	}
+	for _, change := range p.Changes {
+		text = append(text, change.Proposer[0], byte(change.Sequence))
 	}
 	return string(text)
 }
--- a/serving/register/explore_progress_test.go
+++ b/serving/register/explore_progress_test.go
@@ -33,20 +33,24 @@
 
 func newFairSchedule(w *exploredState, s *scenario, rules *exploredRules) *fairSchedule {
 	f := &fairSchedule{rules: rules, replicas: map[string]AcceptorState{}}
-	for id, held := range w.replicas {
+	for id, replica := range w.replicas {
 		hasDeparted := w.departed && id == s.departing
-		if held.ReplicaID != "" && !hasDeparted {
-			f.replicas[id] = held
+		if replica.ReplicaID != "" && !hasDeparted {
+			f.replicas[id] = replica
 		}
 	}
 	if w.diskLost { // the replica rejoins at its address under a new ID
 		f.replicas[s.losesDisk+"'"] = AcceptorState{ReplicaID: s.losesDisk + "'"}
 	}
 	f.known.observeVoters(exploredGenesis())
-	f.placement = &voterPlacement{desiredVoters: minVoters, zoneOf: func(string) string { return "" }, isExpired: func(string) bool { return false },
-		isDown: func(address string) bool { return w.departed && address == s.departing }}
-	for id, held := range f.replicas {
-		f.known.observeVote(&Vote{Promised: held.Promised, Accepted: held.Accepted, Proposal: &held.Proposal})
+	f.placement = &voterPlacement{
+		desiredVoters: minVoters,
+		isDown:        func(address string) bool { return w.departed && address == s.departing },
+		isExpired:     func(string) bool { return false },
+		zoneOf:        func(string) string { return "" },
+	}
+	for id, replica := range f.replicas {
+		f.known.observeVote(&Vote{Promised: replica.Promised, Accepted: replica.Accepted, Proposal: &replica.Proposal})
 		f.placement.learners = append(f.placement.learners, state.Replica{ID: id, Address: id[:2]})
 	}
 	return f
@@ -68,28 +72,29 @@
 			return ""
 		}
 	}
-	return "no end"
+	return "too many attempts"
 }
 
 // prepare runs a Prepare round with all replicas that the votes bring into it.
 func (f *fairSchedule) prepare(ballot Ballot) (*prepareTally, bool) {
 	votes := newPrepareTally(f.known.committedVoters, f.known.highestAccepted)
-	asked := map[string]bool{}
-	for news := true; news; {
-		news = false
-		for _, replica := range votes.config().replicas() {
-			if asked[replica.ID] {
+	requested := map[string]bool{}
+	for progressed := true; progressed; {
+		progressed = false
+		for _, voter := range votes.config().replicas() {
+			if requested[voter.ID] {
 				continue
 			}
-			asked[replica.ID], news = true, true
-			held, there := f.replicas[replica.ID]
-			if !there {
-				votes.add(replica.ID, nil)
+			requested[voter.ID] = true
+			progressed = true
+			replica, present := f.replicas[voter.ID]
+			if !present {
+				votes.add(voter.ID, nil)
 				continue
 			}
-			decided := held.prepare(&PrepareRequest{ReplicaID: replica.ID, Ballot: ballot})
-			f.apply(replica.ID, &decided)
-			votes.add(replica.ID, &decided.vote)
+			result := replica.prepare(&PrepareRequest{ReplicaID: voter.ID, Ballot: ballot})
+			f.apply(voter.ID, &result)
+			votes.add(voter.ID, &result.vote)
 		}
 	}
 	return votes, votes.hasQuorum()
@@ -97,12 +102,12 @@
 
 // decide returns the next proposal, in the order of Proposer.runAttempt. The last one is the change itself.
 func (f *fairSchedule) decide(votes *prepareTally) (next Proposal, last bool) {
-	established := f.known.committedVoters
+	committedVoters := f.known.committedVoters
 	if votes.isCommitted() {
-		established = votes.highestAccepted.Proposal.Record.Voters
-		f.known.observeVoters(established)
+		committedVoters = votes.highestAccepted.Proposal.Record.Voters
+		f.known.observeVoters(committedVoters)
 	}
-	newest := votes.highestAccepted.Proposal.leaveJoint(established)
+	newest := votes.highestAccepted.Proposal.leaveJoint(committedVoters)
 	if newest.isJoint() {
 		return newest, false
 	}
@@ -116,14 +121,14 @@
 
 func (f *fairSchedule) accept(ballot Ballot, proposal *Proposal) bool {
 	votes := newAcceptTally(f.rules.agreementOf(proposal))
-	for _, replica := range votes.config().replicas() {
-		held, there := f.replicas[replica.ID]
-		if !there {
+	for _, voter := range votes.config().replicas() {
+		replica, present := f.replicas[voter.ID]
+		if !present {
 			continue
 		}
-		decided := f.rules.accept(held, &AcceptRequest{ReplicaID: replica.ID, Ballot: ballot, Proposal: *proposal})
-		f.apply(replica.ID, &decided)
-		votes.add(replica.ID, &decided.vote)
+		result := f.rules.accept(replica, &AcceptRequest{ReplicaID: voter.ID, Ballot: ballot, Proposal: *proposal})
+		f.apply(voter.ID, &result)
+		votes.add(voter.ID, &result.vote)
 	}
 	if !votes.hasQuorum() {
 		return false
@@ -132,8 +137,8 @@
 	return true
 }
 
-func (f *fairSchedule) apply(id string, decided *transition) {
-	if decided.save {
-		f.replicas[id] = decided.next
+func (f *fairSchedule) apply(id string, result *transition) {
+	if result.save {
+		f.replicas[id] = result.next
 	}
 }
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -12,7 +12,7 @@
 type exploredRules struct {
 	accept       func(AcceptorState, *AcceptRequest) transition
 	agreementOf  func(*Proposal) jointConfig
-	wipedKeepsID bool
+	wipedKeepsID bool // a replica that has lost its disk restarts as one of the first voters
 }
 
 var actualRules = exploredRules{
@@ -31,7 +31,9 @@
 	scripts   [2][]Update // of the proposers
 	attempts  int         // of each change
 	losesDisk string      // the replica whose disk may be lost once; empty: none
-	departing string      // the replica that may leave for good once; empty: none. Both only after a voter was replaced.
+	departing string      // the replica that may leave for good once; empty: none
+	// A loss and a departure may both happen only if a voter was replaced between them.
+
 	// progress requires that a fair schedule can commit a change from every state.
 	progress bool
 	// ignoresOutgoing is a mutant: a voter counts as replaced while the change of the voters is still joint.
@@ -55,31 +57,111 @@
 func replicaNamed(id string) state.Replica { return state.Replica{ID: id, Address: id} }
 
 var (
-	raceScenario = scenario{name: "two changes on one base", attempts: 2, distinguished: []string{"r4"},
-		scripts: [2][]Update{{configured(1)}, {configured(2)}}}
-	replacementScenario = scenario{name: "a change beside a swap of replicas", attempts: 2, distinguished: []string{"r3", "r4"},
-		scripts: [2][]Update{{configured(1)}, {swap("r3"), confirmOnly}}}
-	diskLossScenario = scenario{name: "a change beside the loss of a disk and the join of its successor", attempts: 2, losesDisk: "r3",
+	raceScenario = scenario{
+		name:          "two changes on one base",
+		attempts:      2,
+		distinguished: []string{"r4"},
+		scripts: [2][]Update{
+			{configured(1)},
+			{configured(2)},
+		},
+	}
+	replacementScenario = scenario{
+		name:          "a change beside a swap of replicas",
+		attempts:      2,
+		distinguished: []string{"r3", "r4"},
+		scripts: [2][]Update{
+			{configured(1)},
+			{swap("r3"), confirmOnly},
+		},
+	}
+	diskLossScenario = scenario{
+		name:          "a change beside the loss of a disk and the join of its successor",
+		attempts:      2,
 		distinguished: []string{"r3", "r4"},
-		scripts:       [2][]Update{{configured(1)}, {swap("r3")}}}
-	resendScenario = scenario{name: "an order sent again elsewhere, and another on the same base", attempts: 2, distinguished: []string{"r4"},
-		scripts: [2][]Update{{configured(1)}, {configured(1), configured(2)}}}
-	successiveScenario = scenario{name: "two changes of the voters in a row beside a change", attempts: 1, distinguished: []string{"r1", "r2", "r4", "r5"},
-		scripts: [2][]Update{{swap("r1"), ReplaceReplica("r2", replicaNamed("r5"))}, {configured(1)}}}
-	growthScenario = scenario{name: "two learners become voters beside a change", attempts: 1, distinguished: []string{"r4", "r5"},
-		scripts: [2][]Update{{addBoth}, {configured(1)}}}
+		losesDisk:     "r3",
+		scripts: [2][]Update{
+			{configured(1)},
+			{swap("r3")},
+		},
+	}
+	resendScenario = scenario{
+		name:          "an order sent again elsewhere, and another on the same base",
+		attempts:      2,
+		distinguished: []string{"r4"},
+		scripts: [2][]Update{
+			{configured(1)},
+			{configured(1), configured(2)},
+		},
+	}
+	successiveScenario = scenario{
+		name:          "two changes of the voters in a row beside a change",
+		attempts:      1,
+		distinguished: []string{"r1", "r2", "r4", "r5"},
+		scripts: [2][]Update{
+			{swap("r1"), ReplaceReplica("r2", replicaNamed("r5"))},
+			{configured(1)},
+		},
+	}
+	growthScenario = scenario{
+		name:          "two learners become voters beside a change",
+		attempts:      1,
+		distinguished: []string{"r4", "r5"},
+		scripts: [2][]Update{
+			{addBoth},
+			{configured(1)},
+		},
+	}
 	// transferScenario is a planned shutdown: r1 transfers its vote to r4 and leaves for good, at any moment. After the
 	// transfer, or instead of it, r2 loses its disk.
-	transferScenario = scenario{name: "an end by plan and a lost disk", attempts: 2, distinguished: []string{"r1", "r2", "r4"}, departing: "r1", losesDisk: "r2",
-		progress: true, scripts: [2][]Update{{swap("r1"), confirmOnly}, {configured(1)}}}
-	transferAloneScenario = scenario{name: "an end by plan and a lost disk, without another change", attempts: 2, distinguished: []string{"r1", "r2", "r4"},
-		departing: "r1", losesDisk: "r2", progress: true, scripts: [2][]Update{{swap("r1"), confirmOnly}, {}}}
+	transferScenario = scenario{
+		name:          "an end by plan and a lost disk",
+		attempts:      2,
+		distinguished: []string{"r1", "r2", "r4"},
+		departing:     "r1",
+		losesDisk:     "r2",
+		progress:      true,
+		scripts: [2][]Update{
+			{swap("r1"), confirmOnly},
+			{configured(1)},
+		},
+	}
+	transferAloneScenario = scenario{
+		name:          "an end by plan and a lost disk, without another change",
+		attempts:      2,
+		distinguished: []string{"r1", "r2", "r4"},
+		departing:     "r1",
+		losesDisk:     "r2",
+		progress:      true,
+		scripts: [2][]Update{
+			{swap("r1"), confirmOnly},
+			{},
+		},
+	}
 	// evacuationScenario is one operator who begins an evacuation, possibly gives up, and ends it through another machine.
-	evacuationScenario = scenario{name: "an evacuation's begin that may be given up, then its end", attempts: 2, distinguished: []string{"r4"}, sequential: true,
-		scripts: [2][]Update{{SetEvacuation(exploredZone, true)}, {SetEvacuation(exploredZone, false)}}}
+	evacuationScenario = scenario{
+		name:          "an evacuation's begin that may be given up, then its end",
+		attempts:      2,
+		distinguished: []string{"r4"},
+		sequential:    true,
+		scripts: [2][]Update{
+			{SetEvacuation(exploredZone, true)},
+			{SetEvacuation(exploredZone, false)},
+		},
+	}
 	// joinScenario is a mutant, a former rule: the successor of r1 is added to the set, which then has four voters.
-	joinScenario = scenario{name: "a join before an end by plan, and a lost disk", attempts: 2, distinguished: []string{"r1", "r2", "r4"}, departing: "r1",
-		losesDisk: "r2", progress: true, scripts: [2][]Update{{AddReplica(replicaNamed("r4")), confirmOnly}, {}}}
+	joinScenario = scenario{
+		name:          "a join before an end by plan, and a lost disk",
+		attempts:      2,
+		distinguished: []string{"r1", "r2", "r4"},
+		departing:     "r1",
+		losesDisk:     "r2",
+		progress:      true,
+		scripts: [2][]Update{
+			{AddReplica(replicaNamed("r4")), confirmOnly},
+			{},
+		},
+	}
 )
 
 // addBoth adds two voters in one change.
--- a/serving/register/explore_state_test.go
+++ b/serving/register/explore_state_test.go
@@ -19,10 +19,10 @@
 type exploredRound struct {
 	proposer  int
 	ballot    Ballot
-	accepting bool
-	proposal  Proposal // accepting
-	known     learnedState
-	name      string
+	accepting bool         // an Accept round, else Prepare
+	proposal  Proposal     // of an Accept round
+	known     learnedState // of a Prepare round's proposer when it began
+	name      string       // identifies the round
 }
 
 // exploredProposer is a proposer that executes its script.
@@ -34,7 +34,7 @@
 	granted        map[string]Vote
 	// outcomeOnAccept is the outcome of the attempt once its Accept round has a quorum.
 	outcomeOnAccept attemptOutcome
-	refused         bool // the change is rejected once the proposal that it was resolved on is committed
+	rejected        bool // the change is rejected once the proposal that it was resolved on is committed
 	finished        bool // it has executed its script or given up
 }
 
@@ -48,8 +48,8 @@
 	replicas  map[string]AcceptorState // by ID
 	rounds    []exploredRound
 	proposers [2]exploredProposer
-	diskLost  bool
-	departed  bool
+	diskLost  bool // scenario.losesDisk has lost its disk
+	departed  bool // scenario.departing has left
 	// voterReplaced means that some proposer has found a change of the voters to be committed and no longer joint. The
 	// replaced voter isn't needed any more, so that another loss has to be tolerated.
 	voterReplaced bool
@@ -59,18 +59,23 @@
 	acknowledged    []sentUpdate             // changes of the configuration
 	acknowledgedAt  []uint64                 // the revisions of acknowledged
 	changed         bool                     // a replica has changed since the state was cloned
-	problem         string
+	problem         string                   // the first violation; empty: none
 }
 
 func exploredGenesis() state.ReplicaSet {
 	return state.ReplicaSet{Replicas: []state.Replica{replicaNamed("r1"), replicaNamed("r2"), replicaNamed("r3")}}
 }
 
+// genesisState returns the initial state of one of the first voters.
+func genesisState(id string) AcceptorState {
+	record := state.Record{Voters: exploredGenesis()}
+	return AcceptorState{ReplicaID: id, Proposal: Proposal{Record: record}}
+}
+
 func newExploredState(s *scenario) *exploredState {
 	w := &exploredState{replicas: map[string]AcceptorState{}, committed: map[uint64]committedFact{}}
 	for _, replica := range exploredGenesis().Replicas {
-		w.replicas[replica.ID] = AcceptorState{ReplicaID: replica.ID,
-			Proposal: Proposal{Record: state.Record{Voters: exploredGenesis()}}}
+		w.replicas[replica.ID] = genesisState(replica.ID)
 	}
 	for _, id := range []string{"r4", "r5"} {
 		w.replicas[id] = AcceptorState{ReplicaID: id}
@@ -89,7 +94,8 @@
 	next.replicas = maps.Clone(w.replicas)
 	next.rounds = slices.Clone(w.rounds)
 	next.committed = maps.Clone(w.committed)
-	next.acknowledged, next.acknowledgedAt = slices.Clone(w.acknowledged), slices.Clone(w.acknowledgedAt)
+	next.acknowledged = slices.Clone(w.acknowledged)
+	next.acknowledgedAt = slices.Clone(w.acknowledgedAt)
 	next.changed = false
 	for index := range next.proposers {
 		p := &next.proposers[index]
@@ -111,7 +117,10 @@
 	if s.sequential && index > 0 && !w.proposers[index-1].finished {
 		return
 	}
-	p.change = change{id: ChangeID{Proposer: proposerName(index), Sequence: uint64(p.scriptPosition + 1)}, update: s.scripts[index][p.scriptPosition]}
+	p.change = change{
+		id:     ChangeID{Proposer: proposerName(index), Sequence: uint64(p.scriptPosition + 1)},
+		update: s.scripts[index][p.scriptPosition],
+	}
 	w.beginAttempt(index)
 }
 
@@ -136,7 +145,8 @@
 
 // finishProposer ends a proposer's script. In a sequential scenario the next one's begins.
 func (w *exploredState) finishProposer(s *scenario, index int) {
-	w.proposers[index].finished, w.proposers[index].round = true, -1
+	w.proposers[index].finished = true
+	w.proposers[index].round = -1
 	if s.sequential && index+1 < len(w.proposers) {
 		w.beginChange(s, index+1)
 	}
@@ -168,27 +178,20 @@
 // deliver delivers a round's request to a replica. If arrives is set, the vote reaches the proposer.
 func (w *exploredState) deliver(s *scenario, rules *exploredRules, number int, id string, arrives bool) {
 	round := &w.rounds[number]
-	own, decided := w.replicas[id], transition{}
-	if round.accepting {
-		decided = rules.accept(own, &AcceptRequest{ReplicaID: id, Ballot: round.ballot, Proposal: round.proposal})
-	} else {
-		decided = own.prepare(&PrepareRequest{ReplicaID: id, Ballot: round.ballot, KnownBallot: round.known.highestAccepted.Ballot})
-	}
-	if own.ReplicaID == "" { // the disk is lost, and with it the ID
-		decided = transition{vote: Vote{Result: WrongReplica}}
-	}
-	if decided.save {
-		w.replicas[id], w.changed = decided.next, true
+	result := w.handle(rules, round, id)
+	if result.save {
+		w.replicas[id] = result.next
+		w.changed = true
 	}
 	if !arrives {
 		return
 	}
 	p := &w.proposers[round.proposer]
-	p.known.observeVote(&decided.vote)
-	if p.round != number || decided.vote.Result != Granted {
+	p.known.observeVote(&result.vote)
+	if p.round != number || result.vote.Result != Granted {
 		return
 	}
-	p.granted[id] = decided.vote
+	p.granted[id] = result.vote
 	if round.accepting {
 		w.accepted(s, rules, round.proposer)
 	} else {
@@ -196,6 +199,23 @@
 	}
 }
 
+// handle returns the transition of a replica on a round's request.
+func (w *exploredState) handle(rules *exploredRules, round *exploredRound, id string) transition {
+	replica := w.replicas[id]
+	switch {
+	case replica.ReplicaID == "": // the disk is lost, and with it the ID
+		return transition{vote: Vote{Result: WrongReplica}}
+	case round.accepting:
+		return rules.accept(replica, &AcceptRequest{ReplicaID: id, Ballot: round.ballot, Proposal: round.proposal})
+	default:
+		return replica.prepare(&PrepareRequest{
+			ReplicaID:   id,
+			Ballot:      round.ballot,
+			KnownBallot: round.known.highestAccepted.Ballot,
+		})
+	}
+}
+
 // prepared goes on if the Prepare round has a quorum, in the order of Proposer.runAttempt.
 func (w *exploredState) prepared(s *scenario, index int) {
 	p := &w.proposers[index]
@@ -207,24 +227,24 @@
 		w.abandonAttempt(s, index)
 		return
 	}
-	established, committed := round.known.committedVoters, votes.isCommitted()
+	committedVoters, committed := round.known.committedVoters, votes.isCommitted()
 	if committed {
 		w.commit(s, p, votes.highestAccepted)
-		established = votes.highestAccepted.Proposal.Record.Voters
+		committedVoters = votes.highestAccepted.Proposal.Record.Voters
 	}
-	newest := votes.highestAccepted.Proposal.leaveJoint(established)
+	newest := votes.highestAccepted.Proposal.leaveJoint(committedVoters)
 	if newest.isJoint() {
 		w.propose(index, round.ballot, newest, attemptFinishedOther)
 		return
 	}
-	verdict := p.change.resolve(&newest)
-	if verdict.write {
-		p.change.recordProposal(&verdict.proposal)
-		w.propose(index, round.ballot, verdict.proposal, attemptDecided)
+	resolved := p.change.resolve(&newest)
+	if resolved.write {
+		p.change.recordProposal(&resolved.proposal)
+		w.propose(index, round.ballot, resolved.proposal, attemptDecided)
 		return
 	}
-	p.refused = verdict.rejection != nil
-	if committed && !votes.highestAccepted.Proposal.isJoint() && (!verdict.fence || s.withoutFence) {
+	p.rejected = resolved.rejection != nil
+	if committed && !votes.highestAccepted.Proposal.isJoint() && (!resolved.fence || s.withoutFence) {
 		w.completeChange(s, index, &newest)
 		return
 	}
@@ -232,9 +252,10 @@
 }
 
 // propose begins the Accept round of an attempt.
-func (w *exploredState) propose(index int, ballot Ballot, proposal Proposal, then attemptOutcome) {
+func (w *exploredState) propose(index int, ballot Ballot, proposal Proposal, outcome attemptOutcome) {
 	p := &w.proposers[index]
-	p.granted, p.outcomeOnAccept = map[string]Vote{}, then
+	p.granted = map[string]Vote{}
+	p.outcomeOnAccept = outcome
 	p.round = len(w.rounds)
 	w.send(exploredRound{proposer: index, ballot: ballot, accepting: true, proposal: proposal})
 }
@@ -268,20 +289,21 @@
 // completeChange ends a change, acknowledged or rejected.
 func (w *exploredState) completeChange(s *scenario, index int, proposal *Proposal) {
 	p := &w.proposers[index]
-	if !p.refused && !p.change.changesVoters && proposal.containsChange(p.change.id) {
+	if !p.rejected && !p.change.changesVoters && proposal.containsChange(p.change.id) {
 		w.acknowledge(p, proposal)
 	}
 	w.evacuationEnded = w.evacuationEnded || s.sequential && index == len(w.proposers)-1
-	p.refused = false
+	p.rejected = false
 	p.scriptPosition++
 	w.beginChange(s, index)
 }
 
 // commit records that a proposer has found a proposal to be committed.
-func (w *exploredState) commit(s *scenario, p *exploredProposer, candidate AcceptedProposal) {
-	p.known.observeCommitted(candidate)
-	if epoch := candidate.Proposal.Record.Voters.Epoch; epoch > 0 && (s.ignoresOutgoing || !candidate.Proposal.isJoint()) {
+func (w *exploredState) commit(s *scenario, p *exploredProposer, committed AcceptedProposal) {
+	p.known.observeCommitted(committed)
+	changesVoters := committed.Proposal.Record.Voters.Epoch > 0
+	if changesVoters && (s.ignoresOutgoing || !committed.Proposal.isJoint()) {
 		w.voterReplaced = true
 	}
-	w.observeCommitted(&candidate.Proposal)
+	w.observeCommitted(&committed.Proposal)
 }
--- a/serving/register/explore_test.go
+++ b/serving/register/explore_test.go
@@ -5,8 +5,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"rowanlink/serving/state"
 )
 
 // maxExploredStates bounds one search.
@@ -14,6 +12,13 @@
 
 // successors calls visit with every state that one event leads to.
 func (w *exploredState) successors(s *scenario, rules *exploredRules, visit func(exploredEvent, *exploredState)) {
+	w.deliveries(s, rules, visit)
+	w.abandonments(s, visit)
+	w.losses(s, rules, visit)
+}
+
+// deliveries visits the states after a request has reached a replica and its vote the proposer, or only the replica.
+func (w *exploredState) deliveries(s *scenario, rules *exploredRules, visit func(exploredEvent, *exploredState)) {
 	for number := range w.rounds {
 		round := &w.rounds[number]
 		current := w.proposers[round.proposer].round == number
@@ -24,18 +29,31 @@
 			if w.departed && replica.ID == s.departing {
 				continue
 			}
-			for _, arrives := range []bool{true, false} {
-				if arrives && !current || !arrives && !round.accepting {
-					continue
-				}
-				next := w.clone()
-				next.deliver(s, rules, number, replica.ID, arrives)
-				if next.changed || arrives { // else nothing has changed
-					visit(exploredEvent{round: number, replica: replica.ID, arrives: arrives}, next)
-				}
+			if current {
+				visit(w.afterDelivery(s, rules, exploredEvent{round: number, replica: replica.ID, arrives: true}))
+			}
+			if !round.accepting {
+				continue
+			}
+			event, next := w.afterDelivery(s, rules, exploredEvent{round: number, replica: replica.ID, arrives: false})
+			if next.changed {
+				visit(event, next)
 			}
 		}
 	}
+}
+
+// afterDelivery returns the event and a copy of the state after the delivery that it describes.
+func (w *exploredState) afterDelivery(
+	s *scenario, rules *exploredRules, event exploredEvent,
+) (exploredEvent, *exploredState) {
+	next := w.clone()
+	next.deliver(s, rules, event.round, event.replica, event.arrives)
+	return event, next
+}
+
+// abandonments visits the states in which a proposer gives up its present attempt.
+func (w *exploredState) abandonments(s *scenario, visit func(exploredEvent, *exploredState)) {
 	for index := range w.proposers {
 		if !w.proposers[index].finished && w.proposers[index].round >= 0 {
 			next := w.clone()
@@ -43,17 +61,23 @@
 			visit(exploredEvent{round: -1, replica: proposerName(index)}, next)
 		}
 	}
+}
+
+// losses visits the states after a replica has left or has lost its disk.
+func (w *exploredState) losses(s *scenario, rules *exploredRules, visit func(exploredEvent, *exploredState)) {
 	if s.departing != "" && !w.departed && (!w.diskLost || w.voterReplaced) {
 		next := w.clone()
-		next.departed, next.changed = true, true
+		next.departed = true
+		next.changed = true
 		visit(exploredEvent{round: -1, replica: s.departing}, next)
 	}
 	if s.losesDisk != "" && !w.diskLost && (!w.departed || w.voterReplaced) {
 		next := w.clone()
-		next.diskLost, next.changed = true, true
+		next.diskLost = true
+		next.changed = true
 		next.replicas[s.losesDisk] = AcceptorState{}
 		if rules.wipedKeepsID {
-			next.replicas[s.losesDisk] = AcceptorState{ReplicaID: s.losesDisk, Proposal: Proposal{Record: state.Record{Voters: exploredGenesis()}}}
+			next.replicas[s.losesDisk] = genesisState(s.losesDisk)
 		}
 		visit(exploredEvent{round: -1, replica: s.losesDisk}, next)
 	}
@@ -77,7 +101,7 @@
 
 func (e exploredEvent) text(w *exploredState) string {
 	if e.round < 0 {
-		return e.replica + " gives up, its disk, or goes for good"
+		return e.replica + " gives up, loses its disk, or leaves"
 	}
 	round := &w.rounds[e.round]
 	return fmt.Sprintf("ballot %v (accept: %t, %+v) reaches %s, vote arrives: %t", round.ballot, round.accepting,
@@ -86,32 +110,32 @@
 
 // exploredNode is a state in the search tree.
 type exploredNode struct {
-	world *exploredState
-	from  *exploredNode
-	event exploredEvent
-	depth int
+	state  *exploredState
+	parent *exploredNode
+	event  exploredEvent // that led here from the parent
+	depth  int
 }
 
 // events describes the events that led to the state, in order.
 func (n *exploredNode) events() (all []string) {
-	if n.from == nil {
+	if n.parent == nil {
 		return nil
 	}
-	return append(n.from.events(), n.event.text(n.from.world))
+	return append(n.parent.events(), n.event.text(n.parent.state))
 }
 
 // explore searches breadth first, until a state violates an invariant or the bound is reached.
-func explore(s scenario, rules exploredRules, most int) (result searchResult) {
-	first := &exploredNode{world: newExploredState(&s)}
-	known := map[string]struct{}{first.world.key(&s): {}}
+func explore(s scenario, rules exploredRules, maxStates int) (result searchResult) {
+	first := &exploredNode{state: newExploredState(&s)}
+	known := map[string]struct{}{first.state.key(&s): {}}
 	for queue := []*exploredNode{first}; len(queue) > 0; queue = queue[1:] {
-		at := queue[0]
+		node := queue[0]
 		queue[0] = nil
-		result.states, result.depth = len(known), at.depth
-		if len(known) >= most {
+		result.states, result.depth = len(known), node.depth
+		if len(known) >= maxStates {
 			return result
 		}
-		at.world.successors(&s, &rules, func(happened exploredEvent, next *exploredState) {
+		node.state.successors(&s, &rules, func(event exploredEvent, next *exploredState) {
 			key := next.key(&s)
 			if _, ok := known[key]; ok && next.problem == "" {
 				return
@@ -121,7 +145,7 @@
 				next.checkAllReads()
 				next.checkProgress(&s, &rules)
 			}
-			reached := &exploredNode{world: next, from: at, event: happened, depth: at.depth + 1}
+			reached := &exploredNode{state: next, parent: node, event: event, depth: node.depth + 1}
 			if next.problem != "" && result.problem == "" {
 				result.problem, result.events = next.problem, reached.events()
 			}
@@ -137,19 +161,29 @@
 
 // TestExploreRegister searches all orders of events in small scenarios.
 func TestExploreRegister(t *testing.T) {
-	all := []scenario{raceScenario, replacementScenario, diskLossScenario, resendScenario, successiveScenario, growthScenario, transferScenario, transferAloneScenario, evacuationScenario}
+	all := []scenario{
+		raceScenario,
+		replacementScenario,
+		diskLossScenario,
+		resendScenario,
+		successiveScenario,
+		growthScenario,
+		transferScenario,
+		transferAloneScenario,
+		evacuationScenario,
+	}
 	for _, s := range all[:len(all):len(all)] {
 		if s.attempts == 1 {
 			continue
 		}
-		s.name, s.attempts = s.name+", one try each", 1
+		s.name, s.attempts = s.name+", one attempt each", 1
 		all = append(all, s)
 	}
 	for _, s := range all {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			result := explore(s, actualRules, maxExploredStates)
-			t.Logf("%d states, to the end: %t, all up to %d events", result.states, result.isComplete, result.depth)
+			t.Logf("%d states, complete: %t, all up to %d events", result.states, result.isComplete, result.depth)
 			assert.Empty(t, result.problem, "%v", result.events)
 		})
 	}
