--- /dev/null
+++ b/cluster/stream/codec.go
@@ -0,0 +1,89 @@
+package stream
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"rowanlink/webhook/api"
+)
+
+// maxDeliveries limits the deliveries of one frame when it is decoded: encoded lists are small, what they expand
+// to is not.
+const maxDeliveries = 1 << 18
+
+// The limits of decoding, against a short message that asks for a large table.
+const (
+	maxNestedLevels = 16
+	maxMapPairs     = 64
+)
+
+var encMode, decMode = cborModes()
+
+func cborModes() (cbor.EncMode, cbor.DecMode) {
+	enc, err := cbor.CoreDetEncOptions().EncMode()
+	if err != nil {
+		panic(err)
+	}
+	dec, err := cbor.DecOptions{
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxDeliveries,
+		MaxMapPairs:      maxMapPairs,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		IndefLength:      cbor.IndefLengthForbidden,
+		TagsMd:           cbor.TagsForbidden,
+	}.DecMode()
+	if err != nil {
+		panic(err)
+	}
+	return enc, dec
+}
+
+// Encode returns the deterministic encoding of a Frame, OpenRequest, Ack, Result or list of results.
+func Encode(v any) []byte {
+	raw, err := encMode.Marshal(v)
+	if err != nil {
+		panic(err) // all types of this package can be encoded
+	}
+	return raw
+}
+
+// Decode decodes one message with nothing after it, else returns ErrMalformed. The content is checked by whoever
+// processes it.
+func Decode(raw []byte, v any) error {
+	if err := decMode.Unmarshal(raw, v); err != nil {
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	return nil
+}
+
+// encodeDestinations appends ascending destinations as varints of the differences: most take one byte.
+func encodeDestinations(to []byte, destinations []api.DestinationID) []byte {
+	previous := api.DestinationID(0)
+	for _, d := range destinations {
+		to = binary.AppendUvarint(to, uint64(d-previous))
+		previous = d
+	}
+	return to
+}
+
+// decodeDestinations reverses encodeDestinations. A list that is empty, truncated or not ascending is ErrMalformed.
+func decodeDestinations(b []byte) (destinations []api.DestinationID, err error) {
+	previous := uint64(0)
+	for i := 0; len(b) > 0; i++ {
+		difference, n := binary.Uvarint(b)
+		isDuplicate := difference == 0 && i > 0
+		if n <= 0 || difference > math.MaxUint32-previous || isDuplicate || i >= maxDeliveries {
+			return nil, fmt.Errorf("%w: list of subscribers", ErrMalformed)
+		}
+		previous += difference
+		b = b[n:]
+		destinations = append(destinations, api.DestinationID(previous))
+	}
+	if len(destinations) == 0 {
+		return nil, fmt.Errorf("%w: list without a subscriber", ErrMalformed)
+	}
+	return destinations, nil
+}
--- a/cluster/stream/form_test.go
+++ b/cluster/stream/codec_test.go
@@ -9,15 +9,15 @@
 	"rowanlink/webhook/api"
 )
 
-func TestAListOfSubscribersIsReadAsItWasWritten(t *testing.T) {
+func TestFrame_DestinationListsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		numbers := rapid.SliceOfNDistinct(rapid.Uint32(), 1, 40, rapid.ID).Draw(t, "subscribers")
-		e := &entry{item: &Item{}}
-		p := packing{of: map[*entry]int{}}
+		e := &queuedItem{item: &Item{}}
+		p := frameBuilder{index: map[*queuedItem]int{}}
 		for _, n := range numbers {
 			p.add(e, api.DestinationID(n))
 		}
-		f := p.frame(Generation{Epoch: 1, Number: 1}, 1, 0)
+		f := p.build(Generation{Epoch: 1, Number: 1}, 1, 0)
 		f.Items[0].ID.Origin = "m"
 		items, n, err := f.Unpack()
 		assert.NoError(t, err)
@@ -29,7 +29,7 @@
 	})
 }
 
-// Whatever comes over the wire is refused whole or taken whole, and means the same when it is said again.
+// Any input is rejected or accepted as a whole, and has no further effect when it is received again.
 func FuzzFrame(f *testing.F) {
 	s := NewSender(1, 0)
 	s.HandleOpened(s.OpenRequest(), Ack{Incarnation: 9, Generation: Generation{Epoch: 1, Number: 1}, Credit: 9, DestinationLimit: 9}, false, 0)
@@ -57,14 +57,14 @@
 		fresh, err := r.Receive(got)
 		if err != nil {
 			assert.Equal(t, before, r.Checkpoint())
-			assert.Zero(t, r.held)
+			assert.Zero(t, r.pending)
 			return
 		}
 		n := 0
 		for _, i := range fresh {
 			n += len(i.Destinations)
 		}
-		assert.Equal(t, r.held, n)
+		assert.Equal(t, r.pending, n)
 		var again Frame
 		assert.NoError(t, Decode(Encode(got), &again))
 		more, err := r.Receive(again)
@@ -73,7 +73,7 @@
 	})
 }
 
-func FuzzOthers(f *testing.F) {
+func FuzzMessages(f *testing.F) {
 	f.Add(Encode(OpenRequest{Generation: Generation{Epoch: 1, Number: 1}, Sent: []Delivery{{Destination: 1}}}))
 	f.Add(Encode(Ack{Incarnation: 1, Pending: []Delivery{{Destination: 1}}}))
 	f.Add(Encode([]Result{{Outcome: Delivered}}))
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -10,231 +10,237 @@
 	"rowanlink/webhook/api"
 )
 
-// The world of the model: one owner, who is the sender too, a relay, links that lose, double and delay, and
-// what either has on disk. What is unsure comes out of it by chance; what must hold is checked at every step.
+// The model consists of one origin, which is also the sender, a relay, connections that lose, duplicate and delay
+// messages, and what both have on disk. Faults are random; the invariants are checked at every step.
 const (
-	room   = 6
-	skew   = 7 * api.Second // by so much the relay's clock shows more
-	ttl    = 40 * api.Second
-	window = 15 * api.Second
+	relayCapacity  = 6
+	relayClockLead = 7 * api.Second // outcome much the relay's clock is ahead
+	ttl            = 40 * api.Second
+	dedupWindow    = 15 * api.Second
 )
 
-var types = []api.EventType{{TTL: ttl}, {TTL: ttl, Semantics: api.Deduplicated, DedupWindow: window},
+var eventTypes = []api.EventType{{TTL: ttl}, {TTL: ttl, Semantics: api.Deduplicated, DedupWindow: dedupWindow},
 	{TTL: ttl, Semantics: api.AtMostOnce}}
 
-// owned is a delivery in its owner's journal.
-type owned struct {
+// ownedDelivery is a delivery in its origin's journal.
+type ownedDelivery struct {
 	Item
-	no     int    // as taken on
-	life   uint64 // of the relay's folder that it was sent to; 0: never
-	sentAt api.Micros
-	beside bool
-	late   bool // dead-lettered here, after it may have run at the relay
+	number              int    // in the order of acceptance
+	relayIncarnation    uint64 // of the relay's folder that it was sent to; 0: never sent
+	sentAt              api.Micros
+	bypassing           bool
+	deadLetteredInDoubt bool // dead-lettered here, though it may have run at the relay
 }
 
-// atRelay is one in the relay's journal.
-type atRelay struct {
+// relayDelivery is a delivery in the relay's journal.
+type relayDelivery struct {
 	Item
 	called bool
 }
 
-type world struct {
+type model struct {
 	*rapid.T
-	now   api.Micros
-	epoch cluster.Epoch
-	s     *Sender
-	open  map[Delivery]*owned
-	ends  map[Delivery]Outcome
-	all   []*owned
-
-	life  uint64
-	r     *Receiver
-	mark  Checkpoint
-	held  []*atRelay
-	owed  []Result
-	fails bool // the relay's next write
-
-	up, down []func()
-
-	ran   map[Delivery][]api.Micros
-	trace map[keyed][]int // what ran, by order taken
+	now        api.Micros
+	epoch      cluster.Epoch
+	sender     *Sender
+	open       map[Delivery]*ownedDelivery
+	outcomes   map[Delivery]Outcome
+	deliveries []*ownedDelivery
+
+	relayIncarnation uint64
+	receiver         *Receiver
+	checkpoint       Checkpoint
+	relayDeliveries  []*relayDelivery
+	unacknowledged   []Result
+	failNextWrite    bool // the relay's next write fails
+
+	toRelay, toOwner []func()
+
+	attempts map[Delivery][]api.Micros
+	trace    map[orderingScope][]int // the numbers of the deliveries that ran, in order
 }
 
-func (o *owned) is() Delivery   { return Delivery{Message: o.ID, Destination: o.Destinations[0]} }
-func (h *atRelay) is() Delivery { return Delivery{Message: h.ID, Destination: h.Destinations[0]} }
+func (o *ownedDelivery) delivery() Delivery {
+	return Delivery{Message: o.ID, Destination: o.Destinations[0]}
+}
+func (h *relayDelivery) delivery() Delivery {
+	return Delivery{Message: h.ID, Destination: h.Destinations[0]}
+}
 
 func single(i Item, to api.DestinationID) Item {
 	i.Destinations = []api.DestinationID{to}
 	return i
 }
 
-func (w *world) add() {
-	id := uint64(len(w.all))
-	kind := rapid.IntRange(0, 2).Draw(w.T, "type")
-	i := Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: id}, EventType: api.EventTypeID(kind), TTL: w.now + ttl,
-		Key: api.OrderingKey(rapid.IntRange(0, 1).Draw(w.T, "key")), FirstAttemptAt: api.Never, Body: []byte("b"),
-		IsAnnouncement: true, TokenWindow: types[kind].DedupWindow}
-	i.Destinations = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(w.T, "to")]
+func (m *model) addItem() {
+	id := uint64(len(m.deliveries))
+	kind := rapid.IntRange(0, 2).Draw(m.T, "type")
+	i := Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: id}, EventType: api.EventTypeID(kind), TTL: m.now + ttl,
+		Key: api.OrderingKey(rapid.IntRange(0, 1).Draw(m.T, "key")), FirstAttemptAt: api.Never, Body: []byte("b"),
+		IsAnnouncement: true, TokenWindow: eventTypes[kind].DedupWindow}
+	i.Destinations = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(m.T, "to")]
 	for _, to := range i.Destinations {
-		o := &owned{Item: single(i, to), no: len(w.all)}
-		w.open[o.is()] = o
-		w.all = append(w.all, o)
+		o := &ownedDelivery{Item: single(i, to), number: len(m.deliveries)}
+		m.open[o.delivery()] = o
+		m.deliveries = append(m.deliveries, o)
 	}
-	w.s.Add(i, api.Second, w.now)
-	w.free()
+	m.sender.Add(i, api.Second, m.now)
+	m.takeBypassing()
 }
 
-// free gives this dispatcher's module what goes beside the stream.
-func (w *world) free() {
-	for _, d := range w.s.TakeBypassing() {
-		if o := w.open[d]; o.life != 0 && o.Repeats() {
-			w.Fatalf("%v goes beside, was sent and may not run twice", d)
+// takeBypassing hands the deliveries that bypass the relay to the origin's policy.
+func (m *model) takeBypassing() {
+	for _, d := range m.sender.TakeBypassing() {
+		if o := m.open[d]; o.relayIncarnation != 0 && o.isAtMostOnce() {
+			m.Fatalf("%v bypasses the relay, was sent and may not run twice", d)
 		}
-		w.open[d].beside = true
+		m.open[d].bypassing = true
 	}
 }
 
-func (o *owned) Repeats() bool { return types[o.EventType].Semantics == api.AtMostOnce }
+func (o *ownedDelivery) isAtMostOnce() bool {
+	return eventTypes[o.EventType].Semantics == api.AtMostOnce
+}
 
-func (w *world) end(d Delivery, how Outcome) {
-	if was, over := w.ends[d]; over {
-		w.Fatalf("%v ended as %d and again as %d", d, was, how)
+func (m *model) recordOutcome(d Delivery, outcome Outcome) {
+	if was, over := m.outcomes[d]; over {
+		m.Fatalf("%v ended as %d and again as %d", d, was, outcome)
 	}
-	w.ends[d] = how
-	delete(w.open, d)
-	w.s.Complete(d)
-	w.free()
+	m.outcomes[d] = outcome
+	delete(m.open, d)
+	m.sender.Complete(d)
+	m.takeBypassing()
 }
 
-func (w *world) rule(of []InDoubt, lost bool) {
-	rule := func(u InDoubt) Resolution {
-		o := w.open[u.Delivery]
-		return Resolve(&o.Item, u.SentAt, types[o.EventType], lost, o.TTL, w.now)
+func (m *model) resolveInDoubt(of []InDoubt, lost bool) {
+	resolve := func(u InDoubt) Resolution {
+		o := m.open[u.Delivery]
+		return Resolve(&o.Item, u.SentAt, eventTypes[o.EventType], lost, o.TTL, m.now)
 	}
-	courses := ResolveLost(of, rule)
+	resolutions := ResolveLost(of, resolve)
 	for i, u := range of {
-		o := w.open[u.Delivery]
+		o := m.open[u.Delivery]
 		if !lost {
-			courses[i] = rule(u)
+			resolutions[i] = resolve(u)
 		}
-		switch courses[i] {
+		switch resolutions[i] {
 		case ResolveRetry:
-			o.beside, o.FirstAttemptAt = true, u.SentAt
-			if o.Key == 0 || !lost { // an ordered one is beside in the sender's eyes till it ends
-				w.s.Complete(u.Delivery)
+			o.bypassing, o.FirstAttemptAt = true, u.SentAt
+			if o.Key == 0 || !lost { // the sender counts an ordered one as bypassing until it has its result
+				m.sender.Complete(u.Delivery)
 			}
 		case ResolveDeadLetter:
-			o.late = !lost
-			w.end(u.Delivery, DeadLettered)
+			o.deadLetteredInDoubt = !lost
+			m.recordOutcome(u.Delivery, DeadLettered)
 		}
 	}
-	w.free()
+	m.takeBypassing()
 }
 
-func (w *world) gone() { w.rule(w.s.MarkUnreachable(), false) }
+func (m *model) handleUnreachable() { m.resolveInDoubt(m.sender.MarkUnreachable(), false) }
 
-func (w *world) answered(a Ack) {
-	if !w.s.HandleAck(a, w.now) {
-		w.gone()
+func (m *model) handleAck(a Ack) {
+	if !m.sender.HandleAck(a, m.now) {
+		m.handleUnreachable()
 	}
 }
 
-// send sends a frame, noted first.
-func (w *world) send() {
-	f, ok := w.s.NextFrame(w.now)
+// sendFrame records the next frame and sends it.
+func (m *model) sendFrame() {
+	f, ok := m.sender.NextFrame(m.now)
 	if !ok {
 		return
 	}
 	items, _, err := f.Unpack()
 	if err != nil {
-		w.Fatal(err)
+		m.Fatal(err)
 	}
 	for _, i := range items {
 		for _, to := range i.Destinations {
-			if o := w.open[Delivery{Message: i.ID, Destination: to}]; o != nil && o.life == 0 {
-				o.life, o.sentAt = w.s.life, w.now
+			if o := m.open[Delivery{Message: i.ID, Destination: to}]; o != nil && o.relayIncarnation == 0 {
+				o.relayIncarnation, o.sentAt = m.sender.receiverIncarnation, m.now
 			}
 		}
 	}
 	raw := Encode(f)
-	w.up = append(w.up, func() { w.frame(raw) })
+	m.toRelay = append(m.toRelay, func() { m.receiveFrame(raw) })
 }
 
-func (w *world) frame(raw []byte) {
+func (m *model) receiveFrame(raw []byte) {
 	var f Frame
 	if err := Decode(raw, &f); err != nil {
-		w.Fatal(err)
+		m.Fatal(err)
 	}
-	fresh, err := w.r.Receive(f)
+	fresh, err := m.receiver.Receive(f)
 	if err != nil {
-		w.down = append(w.down, func() {
-			if f.Generation == w.s.run {
-				w.gone()
+		m.toOwner = append(m.toOwner, func() {
+			if f.Generation == m.sender.generation {
+				m.handleUnreachable()
 			}
 		})
 		return
 	}
-	if w.fails {
-		w.r.Rollback()
-		w.fails = false
+	if m.failNextWrite {
+		m.receiver.Rollback()
+		m.failNextWrite = false
 		return
 	}
-	w.mark = w.r.Checkpoint()
+	m.checkpoint = m.receiver.Checkpoint()
 	for _, i := range fresh {
 		for _, to := range i.Destinations {
-			w.held = append(w.held, &atRelay{single(i, to), i.FirstAttemptAt != api.Never})
+			m.relayDeliveries = append(m.relayDeliveries, &relayDelivery{single(i, to), i.FirstAttemptAt != api.Never})
 		}
 	}
-	if len(w.held) > room {
-		w.Fatalf("%d held, room for %d", len(w.held), room)
+	if len(m.relayDeliveries) > relayCapacity {
+		m.Fatalf("%d pending, capacity %d", len(m.relayDeliveries), relayCapacity)
 	}
-	a := w.r.Ack(room, w.now+skew)
-	w.down = append(w.down, func() { w.answered(a) })
+	a := m.receiver.Ack(relayCapacity, m.now+relayClockLead)
+	m.toOwner = append(m.toOwner, func() { m.handleAck(a) })
 }
 
-func (w *world) ask() {
-	ask := w.s.OpenRequest()
-	w.up = append(w.up, func() {
-		held, err := w.r.Open(ask)
-		w.mark = w.r.Checkpoint()
-		a := w.r.Ack(room, w.now+skew)
+func (m *model) sendOpenRequest() {
+	request := m.sender.OpenRequest()
+	m.toRelay = append(m.toRelay, func() {
+		held, err := m.receiver.Open(request)
+		m.checkpoint = m.receiver.Checkpoint()
+		a := m.receiver.Ack(relayCapacity, m.now+relayClockLead)
 		a.Pending = held
-		w.down = append(w.down, func() {
-			w.answered(a)
-			again, lost := w.s.HandleOpened(ask, a, err != nil, w.now)
+		m.toOwner = append(m.toOwner, func() {
+			m.handleAck(a)
+			again, lost := m.sender.HandleOpened(request, a, err != nil, m.now)
 			for _, d := range again {
-				w.open[d].life = 0
+				m.open[d].relayIncarnation = 0
 			}
-			w.rule(lost, true)
+			m.resolveInDoubt(lost, true)
 		})
 	})
 }
 
-// tell tells the owner of ends; it says which it has in its journal.
-func (w *world) tell() {
-	ends, a, r := w.r.UnacknowledgedResults("m1", rapid.IntRange(1, 4).Draw(w.T, "ends")), w.r.Ack(room, w.now+skew), w.r
-	w.down = append(w.down, func() {
-		w.answered(a)
-		var heard []Delivery
-		for _, e := range ends {
-			at, o := Location(0), w.open[e.Delivery]
-			if o != nil && o.beside {
+// sendResults reports results to the origin, which acknowledges those that its journal has.
+func (m *model) sendResults() {
+	results, a, r := m.receiver.UnacknowledgedResults("m1", rapid.IntRange(1, 4).Draw(m.T, "ends")), m.receiver.Ack(relayCapacity, m.now+relayClockLead), m.receiver
+	m.toOwner = append(m.toOwner, func() {
+		m.handleAck(a)
+		var acknowledged []Delivery
+		for _, e := range results {
+			at, o := Location(0), m.open[e.Delivery]
+			if o != nil && o.bypassing {
 				at = LocationLocal
 			} else if o != nil {
 				at = LocationRelay
 			}
 			if ActionForResult(e, at, o != nil && o.Key != 0) != IgnoreResult {
-				w.end(e.Delivery, e.Outcome)
+				m.recordOutcome(e.Delivery, e.Outcome)
 			}
-			heard = append(heard, e.Delivery)
+			acknowledged = append(acknowledged, e.Delivery)
 		}
-		w.up = append(w.up, func() {
-			if w.r == r || w.r.mark.Incarnation == r.mark.Incarnation {
-				w.r.AcknowledgeResults(heard)
-				w.owed = slices.DeleteFunc(w.owed, func(e Result) bool { return slices.Contains(heard, e.Delivery) })
+		m.toRelay = append(m.toRelay, func() {
+			if m.receiver == r || m.receiver.checkpoint.Incarnation == r.checkpoint.Incarnation {
+				m.receiver.AcknowledgeResults(acknowledged)
+				m.unacknowledged = slices.DeleteFunc(m.unacknowledged, func(e Result) bool { return slices.Contains(acknowledged, e.Delivery) })
 			}
 		})
 	})
 }
 
-func TestEveryDeliveryEndsOnceUnderAnyFault(t *testing.T) { rapid.Check(t, play) }
+func TestModel_EveryDeliveryEndsOnce(t *testing.T) { rapid.Check(t, checkModel) }
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -9,179 +9,213 @@
 	"rowanlink/webhook/api"
 )
 
-// freePart is how much of the room that is free one subscriber may have: one that is sick ends up with a
-// third of it all, any number of them leave some (Choudhury and Hahne, Dynamic queue length thresholds,
-// 1998).
-const freePart = 0.5
-
-// Checkpoint is what a relay must keep in one write with what a frame brought, before it answers. Were it kept by
-// itself, a frame could be taken again whose deliveries had ended and been heard.
+// destinationShare is the share of the free capacity that one subscriber may have: an unhealthy one gets a third of
+// it all, and any number of them leave some free (Choudhury and Hahne, Dynamic Queue Length Thresholds for
+// Shared-Memory Packet Switches, 1998).
+const destinationShare = 0.5
+
+// Checkpoint is what a relay has to store in one write with what a frame brought, before it acknowledges the frame.
+// If it were stored separately, a frame could be accepted again after its deliveries had their results and were
+// forgotten.
 type Checkpoint struct {
-	Incarnation  uint64     `cbor:"1,keyasint"` // random, drawn with the folder, never 0
+	Incarnation  uint64     `cbor:"1,keyasint"` // random, drawn when the folder is created, never 0
 	Generation   Generation `cbor:"2,keyasint"`
 	LastSequence Sequence   `cbor:"3,keyasint"`
-	Received     uint64     `cbor:"4,keyasint"` // deliveries of the run
+	Received     uint64     `cbor:"4,keyasint"` // deliveries of the generation
 }
 
-// Receiver is a relay's side of its site's stream.
+// Receiver is the relay's side of its site's stream.
 type Receiver struct {
-	mark  Checkpoint
-	limit uint64
-	of    map[Delivery]*Result // nil: held; else owed to its owner
-	held  int
-	owed  []Delivery // in the order in which they ended; some may have been heard
-	undo  func()
+	checkpoint     Checkpoint
+	credit         uint64               // as granted in acks
+	deliveries     map[Delivery]*Result // nil: pending; else not acknowledged by its origin
+	pending        int
+	unacknowledged []Delivery // in the order of their results; some may have been acknowledged
+	rollback       func()     // nil: nothing to roll back
 }
 
-// NewReceiver begins with what the journal knows: what it holds, and the ends that it owes, in order.
-func NewReceiver(m Checkpoint, held []Delivery, owed []Result) *Receiver {
-	r := &Receiver{mark: m, of: map[Delivery]*Result{}}
-	for _, d := range held {
-		r.of[d] = nil
+// NewReceiver returns a receiver with what the journal has: the pending deliveries, and the unacknowledged results in
+// order.
+func NewReceiver(c Checkpoint, pending []Delivery, unacknowledged []Result) *Receiver {
+	r := &Receiver{checkpoint: c, deliveries: map[Delivery]*Result{}}
+	for _, d := range pending {
+		r.deliveries[d] = nil
 	}
-	r.held = len(r.of)
-	for _, e := range owed {
-		r.of[e.Delivery] = &e
-		r.owed = append(r.owed, e.Delivery)
+	r.pending = len(r.deliveries)
+	for _, result := range unacknowledged {
+		r.deliveries[result.Delivery] = &result
+		r.unacknowledged = append(r.unacknowledged, result.Delivery)
 	}
 	return r
 }
 
-// Checkpoint is what to keep.
-func (r *Receiver) Checkpoint() Checkpoint { return r.mark }
+// Checkpoint returns the checkpoint to store.
+func (r *Receiver) Checkpoint() Checkpoint { return r.checkpoint }
 
-// Credit is how many deliveries a relay still takes, in all and of one subscriber.
-func Credit(held, buffer int) (all, each int) {
-	all = max(buffer-held, 0)
-	return all, max(1, int(freePart*float64(all)))
+// Credit returns how many further deliveries a relay accepts, in all and in flight to one subscriber.
+func Credit(pending, capacity int) (total, perDestination int) {
+	total = max(capacity-pending, 0)
+	return total, max(1, int(destinationShare*float64(total)))
 }
 
-// Ack tells where the run stands; buffer: deliveries that may be held at once. What was promised stays so.
-func (r *Receiver) Ack(buffer int, now api.Micros) Ack {
-	all, each := Credit(r.held, buffer)
-	r.limit = max(r.limit, r.mark.Received+uint64(all))
-	return Ack{Incarnation: r.mark.Incarnation, Generation: r.mark.Generation, LastSequence: r.mark.LastSequence, Credit: r.limit, DestinationLimit: each, ReceiverTime: now}
+// Ack returns the state of the generation; capacity is how many deliveries may be pending at once. Credit that was
+// granted is never withdrawn.
+func (r *Receiver) Ack(capacity int, now api.Micros) Ack {
+	total, perDestination := Credit(r.pending, capacity)
+	r.credit = max(r.credit, r.checkpoint.Received+uint64(total))
+	return Ack{
+		Incarnation:      r.checkpoint.Incarnation,
+		Generation:       r.checkpoint.Generation,
+		LastSequence:     r.checkpoint.LastSequence,
+		Credit:           r.credit,
+		DestinationLimit: perDestination,
+		ReceiverTime:     now,
+	}
 }
 
-// ReservedCredit is what is promised to the sender and has not come: whatever else the relay takes must leave it.
-func (r *Receiver) ReservedCredit() int { return int(r.limit - min(r.mark.Received, r.limit)) }
-
-// Open begins a run, which ends all before it; the mark must be kept before Answer is said. Of what was
-// asked, held is here or owed; of the rest, what was sent to this life was never taken and never will be.
-// That holds with cluster.ErrFenced too, as a run that is refused is over.
-func (r *Receiver) Open(a OpenRequest) (held []Delivery, err error) {
-	r.undo = nil
-	if a.Generation.Epoch == 0 || a.Generation.Number == 0 {
-		return nil, fmt.Errorf("%w: run %v", ErrMalformed, a.Generation)
-	}
-	for _, d := range a.Sent {
-		if _, ok := r.of[d]; ok {
-			held = append(held, d)
+// ReservedCredit returns how many deliveries the sender may still send: the relay must keep that capacity free.
+func (r *Receiver) ReservedCredit() int { return int(r.credit - min(r.checkpoint.Received, r.credit)) }
+
+// Open begins a generation, which ends all earlier ones; the checkpoint has to be stored before the ack is sent.
+// Of the deliveries asked about, it returns those that are pending or have an unacknowledged result. The others,
+// as far as they were sent to this incarnation, were never received and never will be. That also holds with
+// cluster.ErrFenced, as a generation that is rejected has ended.
+func (r *Receiver) Open(request OpenRequest) (known []Delivery, err error) {
+	r.rollback = nil
+	generation := request.Generation
+	if generation.Epoch == 0 || generation.Number == 0 {
+		return nil, fmt.Errorf("%w: run %v", ErrMalformed, generation)
+	}
+	for _, d := range request.Sent {
+		if _, ok := r.deliveries[d]; ok {
+			known = append(known, d)
 		}
 	}
-	if a.Generation.precedes(r.mark.Generation) {
-		return held, cluster.ErrFenced
+	if generation.precedes(r.checkpoint.Generation) {
+		return known, cluster.ErrFenced
+	}
+	checkpoint, credit := r.checkpoint, r.credit
+	r.rollback = func() {
+		r.checkpoint = checkpoint
+		r.credit = credit
 	}
-	was, limit := r.mark, r.limit
-	r.undo = func() { r.mark, r.limit = was, limit }
-	if r.mark.Generation != a.Generation { // else it is asked again
-		r.mark.Generation, r.mark.LastSequence, r.mark.Received, r.limit = a.Generation, 0, 0, 0
+	if r.checkpoint.Generation != generation { // else the request is repeated
+		r.checkpoint.Generation = generation
+		r.checkpoint.LastSequence = 0
+		r.checkpoint.Received = 0
+		r.credit = 0
 	}
-	return held, nil
+	return known, nil
 }
 
-// Receive takes a frame. Fresh is what is to be journalled now, in one write with the mark, by this clock; where
-// that fails, Undo. A frame seen before, and one behind a gap, bring nothing: the answer tells from where on.
+// Receive accepts a frame. It returns the items to be journalled now, in one write with the checkpoint, with times
+// of this clock; if the write fails, call Rollback. A frame that was received before, or that is behind a gap, has no
+// effect: the ack says which is expected.
 func (r *Receiver) Receive(f Frame) (fresh []Item, err error) {
-	r.undo = nil
+	r.rollback = nil
 	switch {
-	case f.Generation.precedes(r.mark.Generation):
+	case f.Generation.precedes(r.checkpoint.Generation):
 		return nil, cluster.ErrFenced
-	case f.Generation != r.mark.Generation || f.Generation.Epoch == 0 || f.ReceiverIncarnation != r.mark.Incarnation:
+	case f.Generation != r.checkpoint.Generation || f.Generation.Epoch == 0:
+		return nil, ErrNotOpen
+	case f.ReceiverIncarnation != r.checkpoint.Incarnation:
 		return nil, ErrNotOpen
 	}
-	items, n, err := f.Unpack()
+	items, count, err := f.Unpack()
 	if err != nil {
 		return nil, err
 	}
-	if f.Sequence != r.mark.LastSequence+1 {
+	if f.Sequence != r.checkpoint.LastSequence+1 {
 		return nil, nil
 	}
-	was, took := r.mark, []Delivery{}
+	checkpoint := r.checkpoint
+	var added []Delivery
 	for _, i := range items {
-		// Fresh by subscriber: an announcement may be half here, of an earlier life of its sender.
-		all := i.Destinations
-		i.Destinations = nil
-		for _, to := range all {
-			d := Delivery{Message: i.ID, Destination: to}
-			if _, ok := r.of[d]; ok {
-				continue
-			}
-			r.of[d] = nil
-			took = append(took, d)
-			i.Destinations = append(i.Destinations, to)
-		}
-		if i.TTL += f.ClockOffset; i.FirstAttemptAt != api.Never {
+		addedOfItem := r.addPending(&i)
+		added = append(added, addedOfItem...)
+		i.TTL += f.ClockOffset
+		if i.FirstAttemptAt != api.Never {
 			i.FirstAttemptAt += f.ClockOffset
 		}
-		if len(i.Destinations) > 0 {
+		if len(addedOfItem) > 0 {
 			fresh = append(fresh, i)
 		}
 	}
-	r.held += len(took)
-	r.mark.LastSequence, r.mark.Received = f.Sequence, r.mark.Received+uint64(n)
-	r.undo = func() {
-		r.mark, r.held = was, r.held-len(took)
-		for _, d := range took {
-			delete(r.of, d)
+	r.pending += len(added)
+	r.checkpoint.LastSequence = f.Sequence
+	r.checkpoint.Received += uint64(count)
+	r.rollback = func() {
+		r.checkpoint = checkpoint
+		r.pending -= len(added)
+		for _, d := range added {
+			delete(r.deliveries, d)
 		}
 	}
 	return fresh, nil
 }
 
-// Rollback takes back the last Take or Open, whose write failed: at once, and nothing of it was said.
+// addPending adds the deliveries of an item that are not known yet, and reduces the item to them: some of an
+// announcement may be here already, sent by an earlier incarnation of the sender.
+func (r *Receiver) addPending(i *Item) (added []Delivery) {
+	destinations := i.Destinations
+	i.Destinations = nil // not truncated: items share the list
+	for _, destination := range destinations {
+		d := Delivery{Message: i.ID, Destination: destination}
+		if _, known := r.deliveries[d]; known {
+			continue
+		}
+		r.deliveries[d] = nil
+		added = append(added, d)
+		i.Destinations = append(i.Destinations, destination)
+	}
+	return added
+}
+
+// Rollback reverts the last Receive or Open after its write has failed. It has to be called at once, before anything
+// is sent.
 func (r *Receiver) Rollback() {
-	if r.undo != nil {
-		r.undo()
-		r.undo = nil
+	if r.rollback != nil {
+		r.rollback()
+		r.rollback = nil
 	}
 }
 
-// RecordResult takes a delivery's end, which is owed to its owner from now on: kept before it is told.
-func (r *Receiver) RecordResult(e Result) {
-	if was, ok := r.of[e.Delivery]; !ok || was != nil {
+// RecordResult records the result of a pending delivery, which has to be stored before it is reported to the origin.
+func (r *Receiver) RecordResult(result Result) {
+	if earlier, known := r.deliveries[result.Delivery]; !known || earlier != nil {
 		return
 	}
-	r.of[e.Delivery] = &e
-	r.held--
-	r.owed = append(r.owed, e.Delivery)
+	r.deliveries[result.Delivery] = &result
+	r.pending--
+	r.unacknowledged = append(r.unacknowledged, result.Delivery)
 }
 
-// UnacknowledgedResults lists up to most ends that an owner has not heard, first ended first.
-func (r *Receiver) UnacknowledgedResults(owner cluster.MemberID, most int) (ends []Result) {
-	for _, d := range r.owed {
-		if e := r.of[d]; e != nil && d.Message.Origin == owner && len(ends) < most {
-			ends = append(ends, *e)
+// UnacknowledgedResults returns up to limit results that an origin has not acknowledged, oldest first.
+func (r *Receiver) UnacknowledgedResults(origin cluster.MemberID, limit int) (results []Result) {
+	for _, d := range r.unacknowledged {
+		result := r.deliveries[d]
+		if result != nil && d.Message.Origin == origin && len(results) < limit {
+			results = append(results, *result)
 		}
 	}
-	return ends
+	return results
 }
 
-// OriginsAwaitingResults are those that are owed ends.
+// OriginsAwaitingResults returns the members that have not acknowledged all their results.
 func (r *Receiver) OriginsAwaitingResults() []cluster.MemberID {
-	owners := map[cluster.MemberID]bool{}
-	for _, d := range r.owed {
-		owners[d.Message.Origin] = true
+	origins := map[cluster.MemberID]bool{}
+	for _, d := range r.unacknowledged {
+		origins[d.Message.Origin] = true
 	}
-	return slices.Sorted(maps.Keys(owners))
+	return slices.Sorted(maps.Keys(origins))
 }
 
-// AcknowledgeResults forgets ends that their owner has in its own journal.
-func (r *Receiver) AcknowledgeResults(heard []Delivery) {
-	for _, d := range heard {
-		if e, ok := r.of[d]; ok && e != nil {
-			delete(r.of, d)
+// AcknowledgeResults forgets results that their origin has in its own journal.
+func (r *Receiver) AcknowledgeResults(acknowledged []Delivery) {
+	for _, d := range acknowledged {
+		if result := r.deliveries[d]; result != nil {
+			delete(r.deliveries, d)
 		}
 	}
-	r.owed = slices.DeleteFunc(r.owed, func(d Delivery) bool { return r.of[d] == nil })
+	r.unacknowledged = slices.DeleteFunc(r.unacknowledged, func(d Delivery) bool { return r.deliveries[d] == nil })
 }
--- /dev/null
+++ b/cluster/stream/resolve_test.go
@@ -0,0 +1,60 @@
+package stream
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"rowanlink/webhook/api"
+)
+
+func TestResolve(t *testing.T) {
+	const last, at = 100 * api.Second, api.Second
+	idempotent, once := api.EventType{}, api.EventType{Semantics: api.AtMostOnce}
+	tokened := api.EventType{Semantics: api.Deduplicated, DedupWindow: 10 * api.Second}
+	zoned := tokened
+	zoned.DedupByZone = true
+	plain, ordered, ran := newItem(1, 0, 3), newItem(1, 7, 3), newItem(1, 0, 3)
+	ran.FirstAttemptAt = 0
+	for _, c := range []struct {
+		i    *Item
+		t    api.EventType
+		lost bool
+		now  api.Micros
+		want Resolution
+		why  string
+	}{
+		{&plain, idempotent, false, 2 * at, ResolveRetry, "may run again"},
+		{&plain, idempotent, false, last, ResolveDeadLetter, "late"},
+		{&ordered, idempotent, false, 2 * at, ResolveWait, "it could run there after later ones of its key"},
+		{&ordered, idempotent, true, 2 * at, ResolveRetry, "it no longer runs there"},
+		{&plain, once, false, 2 * at, ResolveWait, "may have run"},
+		{&plain, once, true, 2 * at, ResolveDeadLetter, "its result is lost"},
+		{&plain, tokened, false, 2 * at, ResolveRetry, "inside its window"},
+		{&plain, tokened, false, 11 * at, ResolveWait, "outside"},
+		{&plain, tokened, true, 11 * at, ResolveDeadLetter, "outside, and its result is lost"},
+		{&ran, tokened, false, 10 * at, ResolveWait, "the window begins with the first attempt"},
+		{&plain, zoned, false, 2 * at, ResolveWait, "it is unknown which zone remembers it"},
+	} {
+		assert.Equal(t, c.want, Resolve(c.i, at, c.t, c.lost, last, c.now), c.why)
+	}
+}
+
+func TestResolveLost_OrderedRetriesOnlyIfLaterOnesDo(t *testing.T) {
+	lost := []InDoubt{{deliveryTo(1, 3), 0, 7}, {deliveryTo(2, 3), 0, 7}, {deliveryTo(3, 3), 0, 0}, {deliveryTo(4, 4), 0, 7}, {deliveryTo(5, 3), 0, 7}}
+	got := ResolveLost(lost, func(u InDoubt) Resolution {
+		if u.Message.Number == 2 {
+			return ResolveDeadLetter
+		}
+		return ResolveRetry
+	})
+	assert.Equal(t, []Resolution{ResolveDeadLetter, ResolveDeadLetter, ResolveRetry, ResolveRetry, ResolveRetry}, got)
+}
+
+func TestActionForResult(t *testing.T) {
+	assert.Equal(t, FinishDelivery, ActionForResult(Result{Outcome: Rejected}, LocationRelay, false))
+	assert.Equal(t, IgnoreResult, ActionForResult(Result{Outcome: Rejected}, LocationLocal, false))
+	assert.Equal(t, WithdrawDelivery, ActionForResult(Result{Outcome: Delivered}, LocationLocal, false))
+	assert.Equal(t, IgnoreResult, ActionForResult(Result{Outcome: Delivered}, 0, true))
+	assert.Equal(t, WithdrawDelivery, ActionForResult(Result{Outcome: DeadLettered}, LocationLocal, true), "later ones of its key may have run since")
+}
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -1,227 +1,324 @@
 package stream
 
 import (
+	"cmp"
+
 	"rowanlink/cluster"
 	"rowanlink/webhook/api"
 )
 
-// Ratios, and the bounds of a frame.
 const (
-	gatherPart  = 1.0 / 50 // of its target latency: so long an item waits for company
-	startPart   = 1.0 / 16 // of the relay's room: all that is out at first when it is back
-	frameBytes  = 1 << 20  // a frame is said, read and journalled as a whole, and others wait meanwhile
-	frameMost   = 1 << 12  // deliveries, since each is journalled by itself
-	perDelivery = 4        // bytes in a list at the most, but for rare steps
+	gatherShare  = 1.0 / 50 // of the latency target: how long an item waits for others to share its frame
+	restartShare = 1.0 / 16 // of the relay's credit: the limit of deliveries in flight when it has returned
 )
 
-// Sender is a site's. All its deliveries are in one of three places: queued, out (sent, or maybe sent in an
-// earlier life, and not ended) or beside the stream, by which those that must stay behind them go as well.
+// Sender is the sending side of a site's stream. Each delivery is in one of three states: queued; sent (perhaps by
+// an earlier incarnation) and without a result; or bypassing the relay, and then later deliveries of the same
+// ordering key have to bypass it as well.
 type Sender struct {
-	run    Generation
-	life   uint64 // of the relay's folder as last heard; 0: never
-	opened bool
-	gone   bool
-	order  uint64
-
-	lines map[api.DestinationID]*line
-	all   []*line // in the order in which they came up: a map's is not the same each time
-	ready []*line // with something queued and room, each once, whose turn it is first
-	dueAt api.Micros
-	fresh int // bytes added since the last frame
+	generation          Generation
+	receiverIncarnation uint64 // of the relay's folder, as last reported; 0: never
+	opened              bool
+	unreachable         bool
+	lastOrder           uint64 // of the items added so far
+
+	queues      map[api.DestinationID]*destinationQueue
+	allQueues   []*destinationQueue // by first use: the iteration order of a map would not be deterministic
+	readyQueues []*destinationQueue // round-robin order of those with items and below their limit, each once
+	frameDueAt  api.Micros          // api.Never: nothing to send
+	bytesAdded  int                 // since the last frame
 
-	out  map[Delivery]*sent
-	outs int // of out, those not beside
-	keys map[keyed]*ways
+	sent       map[Delivery]*sentDelivery // sent or bypassing
+	inFlight   int                        // of sent, those not bypassing
+	pathsByKey map[orderingScope]*pathCounts
 
-	kept   []keptFrame // sent and not answered
-	again  int         // of kept, the next to be sent
-	seq    Sequence
-	count  uint64 // deliveries sent in this run
-	limit  uint64
-	each   int
-	window int // 0: open; else out at the most
+	unacked          []unackedFrame
+	nextRetransmit   int // index in unacked of the next frame to send; its length: none
+	sequence         Sequence
+	sentCount        uint64 // deliveries sent in this generation
+	credit           uint64 // see Ack.Credit
+	destinationLimit int
+	window           int // limit of deliveries in flight; 0: none
 
-	apart float64
-	lead  api.Micros // the relay's clock shows at least so much more, as it was seen; Never: not seen
-	seen  api.Micros
+	clockDrift     float64
+	clockLead      api.Micros // how much the relay's clock is ahead at the least, as last measured
+	leadMeasuredAt api.Micros // api.Never: not measured
 }
 
-type entry struct {
+type queuedItem struct {
 	item  *Item
 	order uint64
-	due   api.Micros
+	dueAt api.Micros
 }
 
-func (e *entry) size() int { return len(e.item.Body) + len(e.item.RequestID) + len(e.item.Token) + 64 }
+func (q *queuedItem) size() int {
+	return len(q.item.Body) + len(q.item.RequestID) + len(q.item.Token) + itemOverheadBytes
+}
 
-// line is one subscriber's.
-type line struct {
-	to     api.DestinationID
-	queue  []*entry
-	out    int
-	ready  bool
-	leaves bool // goes by another way from now on
+func compareOrder(a, b *queuedItem) int { return cmp.Compare(a.order, b.order) }
+
+// destinationQueue has the queued items of one subscriber.
+type destinationQueue struct {
+	destination api.DestinationID
+	items       []*queuedItem
+	inFlight    int
+	ready       bool // in readyQueues
+	detached    bool // nothing more is sent to the relay
 }
 
-type sent struct {
-	*entry
-	life   uint64 // of the relay's folder that it was sent to
-	at     api.Micros
-	beside bool
+type sentDelivery struct {
+	*queuedItem
+	receiverIncarnation uint64 // of the relay's folder that it was sent to
+	sentAt              api.Micros
+	bypassing           bool
 }
 
-type keyed struct {
-	to  api.DestinationID
-	key api.OrderingKey
+// orderingScope is what deliveries are ordered within: a key of one destination.
+type orderingScope struct {
+	destination api.DestinationID
+	key         api.OrderingKey
 }
 
-type ways struct{ out, beside int }
+// pathCounts counts the unfinished deliveries of an ordering scope on each path.
+type pathCounts struct{ atRelay, bypassing int }
 
-type keptFrame struct {
+type unackedFrame struct {
 	Frame
-	count uint64 // of the run, this frame's too
+	count uint64 // deliveries of the generation up to and including this frame
 }
 
-// InDoubt is a delivery that may be at the relay, for the rule on it.
+// InDoubt is a delivery that the relay may have.
 type InDoubt struct {
 	Delivery
 	SentAt api.Micros // just before it was first sent
 	Key    api.OrderingKey
 }
 
-// NewSender begins with the epoch of the grant. apart: two clocks differ in rate by so much at the most.
-func NewSender(epoch cluster.Epoch, apart float64) *Sender {
-	return &Sender{run: Generation{Epoch: epoch, Number: 1}, lines: map[api.DestinationID]*line{}, dueAt: api.Never,
-		out: map[Delivery]*sent{}, keys: map[keyed]*ways{}, apart: apart, seen: api.Never}
+// NewSender returns a sender with the epoch of the lease that it holds. clockDrift is the maximal difference
+// between the rates of two clocks, as a share.
+func NewSender(epoch cluster.Epoch, clockDrift float64) *Sender {
+	return &Sender{
+		generation:     Generation{Epoch: epoch, Number: 1},
+		queues:         map[api.DestinationID]*destinationQueue{},
+		frameDueAt:     api.Never,
+		sent:           map[Delivery]*sentDelivery{},
+		pathsByKey:     map[orderingScope]*pathCounts{},
+		clockDrift:     clockDrift,
+		leadMeasuredAt: api.Never,
+	}
 }
 
-func (s *Sender) line(to api.DestinationID) *line {
-	l := s.lines[to]
-	if l == nil {
-		l = &line{to: to}
-		s.lines[to] = l
-		s.all = append(s.all, l)
+// SetGeneration sets the number of the first generation, at least 1. A sender that replaces another one of the
+// same epoch, such as one of an earlier process, needs a number above all of that one's.
+func (s *Sender) SetGeneration(number uint64) { s.generation.Number = number }
+
+// InFlight returns how many deliveries the relay may have.
+func (s *Sender) InFlight() int { return s.inFlight }
+
+// IsUnreachable reports whether the relay counts as unreachable.
+func (s *Sender) IsUnreachable() bool { return s.unreachable }
+
+func (s *Sender) queueFor(destination api.DestinationID) *destinationQueue {
+	q := s.queues[destination]
+	if q == nil {
+		q = &destinationQueue{destination: destination}
+		s.queues[destination] = q
+		s.allQueues = append(s.allQueues, q)
 	}
-	return l
+	return q
 }
 
-func (s *Sender) ways(to api.DestinationID, key api.OrderingKey) *ways {
+// pathsOf returns the counts of an ordering scope to be changed; key 0 has none that matter.
+func (s *Sender) pathsOf(destination api.DestinationID, key api.OrderingKey) *pathCounts {
 	if key == 0 {
-		return &ways{}
+		return &pathCounts{}
 	}
-	w := s.keys[keyed{to, key}]
-	if w == nil {
-		w = &ways{}
-		s.keys[keyed{to, key}] = w
+	scope := orderingScope{destination, key}
+	counts := s.pathsByKey[scope]
+	if counts == nil {
+		counts = &pathCounts{}
+		s.pathsByKey[scope] = counts
 	}
-	return w
+	return counts
 }
 
-// Add queues an item; target: its event type's target latency. The caller changes nothing of it afterwards.
-func (s *Sender) Add(i Item, target, now api.Micros) {
-	e := s.entry(i, now+api.Micros(gatherPart*float64(target)))
-	for _, to := range i.Destinations {
-		l := s.line(to)
-		l.queue = append(l.queue, e)
-		s.wake(l)
+// Add queues an item; latencyTarget is that of its event type. The caller must not change the item afterwards.
+func (s *Sender) Add(i Item, latencyTarget, now api.Micros) {
+	item := s.newQueuedItem(i, now+api.Micros(gatherShare*float64(latencyTarget)))
+	for _, destination := range i.Destinations {
+		q := s.queueFor(destination)
+		q.items = append(q.items, item)
+		s.markReady(q)
 	}
-	if s.fresh += e.size(); s.fresh >= frameBytes { // company enough
-		s.soon(now)
+	s.bytesAdded += item.size()
+	if s.bytesAdded >= maxFrameBytes {
+		s.scheduleFrame(now)
 	}
 }
 
-func (s *Sender) entry(i Item, due api.Micros) *entry {
-	s.order++
-	return &entry{&i, s.order, due}
+func (s *Sender) newQueuedItem(i Item, dueAt api.Micros) *queuedItem {
+	s.lastOrder++
+	return &queuedItem{&i, s.lastOrder, dueAt}
 }
 
-// wake lets a line take part if it has something and room.
-func (s *Sender) wake(l *line) {
-	if len(l.queue) == 0 || l.out >= s.each || l.leaves || s.behind(l) {
+// markReady has a queue take part in the next frame if it can.
+func (s *Sender) markReady(q *destinationQueue) {
+	if !s.canSend(q) {
 		return
 	}
-	if !l.ready {
-		l.ready = true
-		s.ready = append(s.ready, l)
+	if !q.ready {
+		q.ready = true
+		s.readyQueues = append(s.readyQueues, q)
 	}
-	s.soon(l.queue[0].due)
+	s.scheduleFrame(q.items[0].dueAt)
 }
 
-// behind tells whether the next of a line must not overtake one of its key that goes beside the stream. What
-// is behind it goes that way as well: see Free.
-func (s *Sender) behind(l *line) bool {
-	e := l.queue[0]
-	w := s.keys[keyed{l.to, e.item.Key}]
-	return e.item.Key != 0 && w != nil && w.beside > 0
+func (s *Sender) markAllReady() {
+	for _, q := range s.allQueues {
+		s.markReady(q)
+	}
 }
 
-func (s *Sender) soon(at api.Micros) {
-	if s.dueAt == api.Never || at < s.dueAt {
-		s.dueAt = at
+func (s *Sender) canSend(q *destinationQueue) bool {
+	return len(q.items) > 0 && q.inFlight < s.destinationLimit && !q.detached && !s.isBehindBypassing(q)
+}
+
+// isBehindBypassing reports whether the first item of a queue must not overtake one of its key that bypasses the
+// relay. It has to bypass the relay as well: see TakeBypassing.
+func (s *Sender) isBehindBypassing(q *destinationQueue) bool {
+	key := q.items[0].item.Key
+	counts := s.pathsByKey[orderingScope{q.destination, key}]
+	return key != 0 && counts != nil && counts.bypassing > 0
+}
+
+func (s *Sender) scheduleFrame(at api.Micros) {
+	if s.frameDueAt == api.Never || at < s.frameDueAt {
+		s.frameDueAt = at
 	}
 }
 
-// room is how many deliveries may go out now.
-func (s *Sender) room() int {
-	n := int(s.limit - min(s.count, s.limit))
+// availableCredit returns how many deliveries may be sent now.
+func (s *Sender) availableCredit() int {
+	n := int(s.credit - min(s.sentCount, s.credit))
 	if s.window > 0 {
-		n = min(n, s.window-s.outs)
+		n = min(n, s.window-s.inFlight)
 	}
 	return max(n, 0)
 }
 
-// NextFrameAt tells when Next has a frame, if nothing happens before.
+// NextFrameAt returns when NextFrame has a frame, if nothing happens before; false: not without an event.
 func (s *Sender) NextFrameAt() (at api.Micros, ok bool) {
 	switch {
 	case !s.opened:
 		return 0, false
-	case s.again < len(s.kept):
+	case s.nextRetransmit < len(s.unacked):
 		return 0, true
 	}
-	return s.dueAt, len(s.ready) > 0 && s.room() > 0
+	return s.frameDueAt, len(s.readyQueues) > 0 && s.availableCredit() > 0
 }
 
-// NextFrame is the next frame to send. What is in it counts as sent from now on: the caller notes it before the
-// first byte leaves. A sick subscriber holds none of the others, and its own stay behind one another.
+// NextFrame returns the next frame to send. Its deliveries count as sent from now on: the caller has to record them
+// before the first byte is sent. Queues take turns, so that an unhealthy subscriber does not block others.
 func (s *Sender) NextFrame(now api.Micros) (f Frame, ok bool) {
 	if at, due := s.NextFrameAt(); !due || now < at {
 		return Frame{}, false
 	}
-	if s.again < len(s.kept) {
-		f = s.kept[s.again].Frame
-		s.again++
-		f.ClockOffset = s.lag(now)
+	if s.nextRetransmit < len(s.unacked) {
+		f = s.unacked[s.nextRetransmit].Frame
+		s.nextRetransmit++
+		f.ClockOffset = s.clockOffset(now)
 		return f, true
 	}
-	p := packing{of: map[*entry]int{}}
-	for room := s.room(); len(s.ready) > 0 && room > 0; {
-		l := s.ready[0]
-		if l.ready = len(l.queue) > 0 && l.out < s.each && !l.leaves && !s.behind(l); l.ready {
-			e := l.queue[0]
-			if !p.takes(e) {
-				break
+	b := s.gather(now)
+	s.bytesAdded = 0
+	s.frameDueAt = api.Never
+	if len(s.readyQueues) > 0 {
+		s.frameDueAt = now
+	}
+	if b.deliveries == 0 {
+		return Frame{}, false
+	}
+	s.sequence++
+	s.sentCount += uint64(b.deliveries)
+	f = b.build(s.generation, s.sequence, now)
+	f.ReceiverIncarnation = s.receiverIncarnation
+	s.unacked = append(s.unacked, unackedFrame{f, s.sentCount})
+	s.nextRetransmit = len(s.unacked)
+	f.ClockOffset = s.clockOffset(now)
+	return f, true
+}
+
+// gather moves deliveries from the ready queues, one of each in turn, into a frame.
+func (s *Sender) gather(now api.Micros) frameBuilder {
+	b := frameBuilder{index: map[*queuedItem]int{}}
+	credit := s.availableCredit()
+	for len(s.readyQueues) > 0 && credit > 0 {
+		q := s.readyQueues[0]
+		q.ready = s.canSend(q)
+		if q.ready {
+			item := q.items[0]
+			if !b.fits(item) {
+				return b
 			}
-			l.queue[0], l.queue = nil, l.queue[1:]
-			p.add(e, l.to)
-			s.hold(l, e, &sent{e, s.life, now, false})
-			room--
-			if l.ready = len(l.queue) > 0; l.ready {
-				s.ready = append(s.ready, l)
+			q.items[0] = nil
+			q.items = q.items[1:]
+			b.add(item, q.destination)
+			s.recordSent(q, item, &sentDelivery{item, s.receiverIncarnation, now, false})
+			credit--
+			q.ready = len(q.items) > 0
+			if q.ready {
+				s.readyQueues = append(s.readyQueues, q)
 			}
 		}
-		s.ready = s.ready[1:]
+		s.readyQueues = s.readyQueues[1:]
 	}
-	if s.dueAt, s.fresh = api.Never, 0; len(s.ready) > 0 {
-		s.dueAt = now
+	return b
+}
+
+// recordSent records a delivery as sent or bypassing. It replaces an earlier record: a delivery may bypass the relay
+// twice, if its origin listed it before it learned of the first time, and the counts of its key would never fall
+// to zero.
+func (s *Sender) recordSent(q *destinationQueue, item *queuedItem, record *sentDelivery) {
+	d := Delivery{Message: item.item.ID, Destination: q.destination}
+	if earlier := s.sent[d]; earlier != nil {
+		s.forgetSent(d, earlier)
 	}
-	if p.deliveries == 0 {
-		return Frame{}, false
+	s.sent[d] = record
+	counts := s.pathsOf(q.destination, item.item.Key)
+	if record.bypassing {
+		counts.bypassing++
+		return
 	}
-	s.seq++
-	s.count += uint64(p.deliveries)
-	f = p.frame(s.run, s.seq, now)
-	f.ReceiverIncarnation = s.life
-	s.kept, s.again = append(s.kept, keptFrame{f, s.count}), len(s.kept)+1
-	f.ClockOffset = s.lag(now)
-	return f, true
+	q.inFlight++
+	s.inFlight++
+	counts.atRelay++
+}
+
+func (s *Sender) forgetSent(d Delivery, record *sentDelivery) {
+	delete(s.sent, d)
+	key := record.item.Key
+	counts := s.pathsOf(d.Destination, key)
+	if record.bypassing {
+		counts.bypassing--
+	} else {
+		counts.atRelay--
+		s.inFlight--
+		s.queueFor(d.Destination).inFlight--
+	}
+	if *counts == (pathCounts{}) {
+		delete(s.pathsByKey, orderingScope{d.Destination, key})
+	}
+}
+
+// Complete records that a delivery has its result, or bypasses the relay after it was in doubt.
+func (s *Sender) Complete(d Delivery) {
+	record := s.sent[d]
+	if record == nil {
+		return
+	}
+	s.forgetSent(d, record)
+	if s.opened && s.window > 0 && !record.bypassing {
+		s.window++ // it doubles with each round trip, as in slow start, until only the credit matters
+	}
+	s.markReady(s.queueFor(d.Destination))
 }
--- /dev/null
+++ b/cluster/stream/sender_bypass.go
@@ -0,0 +1,76 @@
+package stream
+
+import (
+	"slices"
+
+	"rowanlink/webhook/api"
+)
+
+// DropExpired removes queued deliveries that are past their TTL, in no particular order. They never ran.
+func (s *Sender) DropExpired(now api.Micros) (expired []Delivery) {
+	for _, q := range s.allQueues {
+		q.items = slices.DeleteFunc(q.items, func(item *queuedItem) bool {
+			isExpired := item.item.TTL <= now
+			if isExpired {
+				expired = append(expired, Delivery{Message: item.item.ID, Destination: q.destination})
+			}
+			return isExpired
+		})
+		s.markReady(q)
+	}
+	return expired
+}
+
+// DetachDestination records that a subscriber is no longer reached through this relay. What was sent ends there.
+func (s *Sender) DetachDestination(d api.DestinationID) { s.queueFor(d).detached = true }
+
+// AttachDestination reverses DetachDestination.
+func (s *Sender) AttachDestination(d api.DestinationID) {
+	q := s.queueFor(d)
+	q.detached = false
+	s.markReady(q)
+}
+
+// TakeBypassing removes the queued deliveries that may bypass the relay now, in order; none was ever sent. These are
+// all while the relay is unreachable or the destination detached, and those behind one of their key that bypassed
+// it before. Those behind one that the relay may have wait until that has its result. The caller has to call
+// Complete for each of them.
+func (s *Sender) TakeBypassing() (deliveries []Delivery) {
+	type taken struct {
+		Delivery
+		order uint64
+	}
+	var all []taken
+	for _, q := range s.allQueues {
+		q.items = slices.DeleteFunc(q.items, func(item *queuedItem) bool {
+			if !s.mayBypass(q, item) {
+				return false
+			}
+			if item.item.Key != 0 {
+				s.recordSent(q, item, &sentDelivery{queuedItem: item, bypassing: true})
+			}
+			d := Delivery{Message: item.item.ID, Destination: q.destination}
+			all = append(all, taken{d, item.order})
+			return true
+		})
+		s.markReady(q)
+	}
+	slices.SortStableFunc(all, func(a, b taken) int { return int(int64(a.order) - int64(b.order)) })
+	for _, t := range all {
+		deliveries = append(deliveries, t.Delivery)
+	}
+	return deliveries
+}
+
+func (s *Sender) mayBypass(q *destinationQueue, item *queuedItem) bool {
+	counts := pathCounts{}
+	if key := item.item.Key; key != 0 {
+		if known := s.pathsByKey[orderingScope{q.destination, key}]; known != nil {
+			counts = *known
+		}
+	}
+	if counts.atRelay > 0 {
+		return false
+	}
+	return s.unreachable || q.detached || counts.bypassing > 0
+}
--- /dev/null
+++ b/cluster/stream/sender_open.go
@@ -0,0 +1,137 @@
+package stream
+
+import (
+	"cmp"
+	"slices"
+
+	"rowanlink/webhook/api"
+)
+
+// RestoreSent adds an item that, according to the origin's journal, was sent in an earlier incarnation or epoch and
+// has no result, in the original order among what is added, before anything is opened. receiverIncarnation is that
+// of the relay's folder then.
+func (s *Sender) RestoreSent(i Item, receiverIncarnation uint64, sentAt api.Micros) {
+	item := s.newQueuedItem(i, 0)
+	for _, destination := range i.Destinations {
+		s.recordSent(s.queueFor(destination), item, &sentDelivery{item, receiverIncarnation, sentAt, false})
+	}
+}
+
+// RestoreBypassing adds an item that bypassed the relay in an earlier incarnation and has no result, as RestoreSent.
+func (s *Sender) RestoreBypassing(i Item) {
+	item := s.newQueuedItem(i, 0)
+	if i.Key == 0 {
+		return
+	}
+	for _, destination := range i.Destinations {
+		s.recordSent(s.queueFor(destination), item, &sentDelivery{queuedItem: item, bypassing: true})
+	}
+}
+
+// OpenRequest returns the request to open the generation, to be sent first and repeated until HandleOpened. While
+// the stream is open it can be sent to ask for the relay's credit.
+func (s *Sender) OpenRequest() OpenRequest {
+	request := OpenRequest{Generation: s.generation}
+	if !s.opened {
+		request.Sent = s.sentDeliveries()
+	}
+	return request
+}
+
+// sentDeliveries returns the deliveries that the relay may have, in the order of their items.
+func (s *Sender) sentDeliveries() (deliveries []Delivery) {
+	for d, record := range s.sent {
+		if !record.bypassing {
+			deliveries = append(deliveries, d)
+		}
+	}
+	slices.SortFunc(deliveries, func(a, b Delivery) int {
+		return cmp.Or(compareOrder(s.sent[a].queuedItem, s.sent[b].queuedItem), cmp.Compare(a.Destination, b.Destination))
+	})
+	return deliveries
+}
+
+// HandleOpened processes the ack of a request to open. requeued were never received and never will be: they are
+// queued again at their place. lost were sent to a folder that no longer exists, so that their state can't be found
+// out: ResolveLost decides, and the sender forgets them. fenced: the relay has seen a later epoch; the result is the
+// same, and everything else goes to the lease's holder.
+func (s *Sender) HandleOpened(request OpenRequest, a Ack, fenced bool, now api.Micros) (requeued []Delivery, lost []InDoubt) {
+	if s.opened || request.Generation != s.generation || !fenced && a.Generation != s.generation {
+		return nil, nil
+	}
+	requeued, lost = s.reconcileSent(request.Sent, a)
+	s.receiverIncarnation = a.Incarnation
+	s.leadMeasuredAt = api.Never
+	s.measureClock(a, now)
+	if fenced {
+		s.unreachable = true
+		return requeued, lost
+	}
+	s.opened = true
+	s.credit = a.Credit
+	s.destinationLimit = max(a.DestinationLimit, 1)
+	if s.unreachable {
+		s.window = max(1, int(restartShare*float64(s.credit)))
+	}
+	s.unreachable = false
+	s.markAllReady()
+	return requeued, lost
+}
+
+// reconcileSent compares the deliveries sent with those that the relay has.
+func (s *Sender) reconcileSent(sent []Delivery, a Ack) (requeued []Delivery, lost []InDoubt) {
+	pending := make(map[Delivery]bool, len(a.Pending))
+	for _, d := range a.Pending {
+		pending[d] = true
+	}
+	requeuedItems := map[*destinationQueue][]*queuedItem{}
+	for _, d := range sent {
+		record := s.sent[d]
+		if record == nil || record.bypassing || pending[d] {
+			continue
+		}
+		q := s.queueFor(d.Destination)
+		if record.receiverIncarnation != a.Incarnation {
+			lost = append(lost, InDoubt{d, record.sentAt, record.item.Key})
+			s.forgetSent(d, record)
+			if record.item.Key != 0 { // later ones of its key have to follow it
+				s.recordSent(q, record.queuedItem, &sentDelivery{queuedItem: record.queuedItem, bypassing: true})
+			}
+			continue
+		}
+		requeued = append(requeued, d)
+		s.forgetSent(d, record)
+		requeuedItems[q] = append(requeuedItems[q], record.queuedItem)
+	}
+	for q, first := range requeuedItems {
+		q.items = append(first, q.items...)
+	}
+	return requeued, lost
+}
+
+// MarkUnreachable records that the relay can't be reached: nothing is sent until the stream is opened again. It
+// returns what the relay may have, for Resolve; TakeBypassing returns what was never sent.
+func (s *Sender) MarkUnreachable() (inDoubt []InDoubt) {
+	if !s.unreachable {
+		s.unreachable = true
+		s.closeGeneration()
+	}
+	for _, d := range s.sentDeliveries() {
+		record := s.sent[d]
+		inDoubt = append(inDoubt, InDoubt{d, record.sentAt, record.item.Key})
+	}
+	return inDoubt
+}
+
+func (s *Sender) closeGeneration() {
+	if s.opened {
+		s.generation.Number++
+	}
+	s.opened = false
+	s.unacked = nil
+	s.nextRetransmit = 0
+	s.sequence = 0
+	s.sentCount = 0
+	s.credit = 0
+	s.window = 0
+}
