--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -134,7 +134,7 @@
 	m.sites.Install()
 	m.sites.RegisterHandlers(m.server)
 	d.Loop.JoinCluster(admission{m})
-	d.Upstream.May = func(dest api.DestinationID) bool { return admission{m}.MayCall(dest, false) }
+	d.Upstream.MayCall = func(dest api.DestinationID) bool { return admission{m}.MayCall(dest, false) }
 	return nil
 }
 
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -247,13 +247,13 @@
 	if p.extension != nil {
 		p.extension.Drain()
 	}
-	p.lifecycle.Shutdown(p.loop.Empty, p.upstream.Out, p.server.Gone)
+	p.lifecycle.Shutdown(p.loop.Empty, p.upstream.InFlight, p.server.Gone)
 	if err := p.server.Close(closeTimeout); err != nil {
 		slog.Warn("some connections of clients were still open", "reason", err)
 	}
 	p.lifecycle.Enter(lifecycle.Stopped)
 	<-p.loopDone
-	p.upstream.End()
+	p.upstream.Close()
 	if p.extension != nil {
 		p.extension.Stop()
 	}
--- a/webhook/dispatcher/eventloop/decider.go
+++ b/webhook/dispatcher/eventloop/decider.go
@@ -107,7 +107,7 @@
 func (d *Loop) Empty() bool {
 	empty := make(chan bool, 1)
 	d.x.Post(func() { empty <- len(d.held) == 0 })
-	return <-empty && d.calls.Out() == 0
+	return <-empty && d.calls.InFlight() == 0
 }
 
 // UpdateSettings has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
@@ -116,7 +116,7 @@
 		f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
 		d.facts = f
 		d.SetEventTypes(types)
-		d.calls.Renew(f.ConnectTimeout, idleLimit, f.DestinationKinds)
+		d.calls.UpdateSettings(f.ConnectTimeout, idleLimit, f.DestinationKinds)
 		d.module.UpdateSettings(f)
 	})
 }
@@ -134,53 +134,52 @@
 			if int(l.Kind) < len(d.facts.DestinationKinds) {
 				kind = d.facts.DestinationKinds[l.Kind]
 			}
-			d.calls.Place(l, addrs[i], kind)
+			d.calls.UpdateEndpoint(l, addrs[i], kind)
 			named[l.Endpoint] = true
 		}
 		if whole {
-			d.calls.Drop(named)
+			d.calls.RemoveOthers(named)
 		}
 		d.module.UpdateEndpoints(d.shared(entries, whole), whole)
 	})
 }
 
-// CallFinished takes what came of a webhook's part in a call, from the call's own goroutine.
-func (d *Loop) CallFinished(w *inflight.Webhook, ep api.EndpointID, what api.Outcome, took api.Micros,
-	over bool, wait api.Micros) {
-	d.x.Post(func() { d.HandleOutcome(w, ep, what, took, over, wait) })
+// CallFinished takes the result of a webhook's part in a call, from the call's own goroutine.
+func (d *Loop) CallFinished(w *inflight.Webhook, result api.AttemptResult) {
+	d.x.Post(func() { d.handleResult(w, result) })
 }
 
-// HandleOutcome notes it and hands it to the module.
-func (d *Loop) HandleOutcome(w *inflight.Webhook, ep api.EndpointID, what api.Outcome,
-	took api.Micros, over bool, wait api.Micros) {
+// handleResult records the result of an attempt and passes it to the policy.
+func (d *Loop) handleResult(w *inflight.Webhook, result api.AttemptResult) {
 	delete(d.out, w.ID)
-	ended := what == api.Delivered || over
-	if ended {
-		d.witness(w, d.delivered(w, over))
+	discarded := result.Final // by the endpoint: no answer is needed any more
+	delivered := result.Outcome == api.Delivered
+	switch {
+	case delivered || discarded:
+		d.witness(w, d.delivered(w, discarded))
 		if !d.relayed(w, inflight.StatusDelivered, 0) {
 			d.journal.Finish(w.ID, nil)
 			d.drop(w)
 		}
-	} else if what.NeverRan() {
+	case result.Outcome.NeverRan():
 		d.journal.RecordNeverRan(w.ID)
 	}
-	if over {
+	if discarded {
 		d.x.Over.Add(1)
 	}
-	d.module.AttemptEnded(api.AttemptResult{
-		Webhook:    w.ID,
-		Endpoint:   ep,
-		Outcome:    what,
-		Latency:    took,
-		Final:      ended,
-		RetryAfter: wait,
-	})
+	result.Final = delivered || discarded
+	d.module.AttemptEnded(result)
 	if d.held[w.ID] != nil && !d.mayCall(w) {
 		d.module.Withdraw(w.ID)
 		d.park(w)
 	}
 }
 
+// handleNotSent is the result of an attempt that was not made after all.
+func (d *Loop) handleNotSent(a attempt) {
+	d.handleResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: a.ep, Outcome: api.NotSent})
+}
+
 // CallbacksDelivered takes which notices were heard.
 func (d *Loop) CallbacksDelivered(ids []api.WebhookID) {
 	d.x.Post(func() {
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -124,7 +124,7 @@
 		if d.mayCall(a.Webhook) {
 			return false
 		}
-		d.HandleOutcome(a.Webhook, a.ep, api.NotSent, 0, false, 0) // the grant is over since the turn began
+		d.handleNotSent(a) // the grant is over since the turn began
 		return true
 	})
 	for _, a := range d.attempts {
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, a := range d.attempts {
-		d.HandleOutcome(a.Webhook, a.ep, api.NotSent, 0, false, 0)
+		d.handleNotSent(a)
 	}
 	d.attempts = d.attempts[:0]
 }
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -1,171 +1,208 @@
 package upstream
 
 import (
-	"bytes"
-	"log/slog"
-	"strconv"
+	"math"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// call is one call out.
+// Attempt is one webhook's part in a call: how long its answer is waited for, and the latest time to begin.
+type Attempt struct {
+	Webhook         *inflight.Webhook
+	Timeout, Latest api.Micros
+}
+
+// call is one call in flight.
 type call struct {
-	ep       *endpoint
-	webhooks []*inflight.Webhook
-	patience api.Micros
-	latest   api.Micros // it does not begin after that
-	link     *link
-	called   bool // called off
+	endpoint   *endpoint
+	webhooks   []*inflight.Webhook
+	startedAt  api.Micros
+	timeout    api.Micros
+	latest     api.Micros // it does not begin after that
+	connection *connection
+	cancelled  bool
 }
 
-// fate is what came of a call as a whole.
-type fate struct {
-	what api.Outcome
-	over bool
-	wait api.Micros
-	each map[inflight.RequestID]share // by id, where the webhooks of a bundle fared differently
-	keep bool                         // the connection may be used again
+// callResult is the result of a call as a whole.
+type callResult struct {
+	outcome    api.Outcome
+	final      bool
+	retryAfter api.Micros
+	perWebhook map[inflight.RequestID]itemResult // of a bundle whose webhooks fared differently
+	reusable   bool                              // the connection may be used again
 
-	// Turned away without a wait, and the connection with it: on its first call that is said of the connection,
-	// one too many, and not of the destination's limit.
-	tooMany bool
+	// connectionRefused is set where the call was rejected without a wait, and the connection with it: on the first call
+	// of a connection that concerns the connection, one too many, and not the destination's limit.
+	connectionRefused bool
 }
 
-// run makes one call from connect to answer.
-func (s *Client) run(k *call, at api.Micros) {
-	f, l := s.connectAndCall(k, at)
-	if l != nil && f.keep {
-		s.keep(k.ep, l)
+// Send makes the calls for webhooks that one turn sends to one endpoint: as few as its batch size allows.
+func (c *Client) Send(id api.EndpointID, attempts []Attempt) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.endpoints[id]
+	if e == nil { // gone and forgotten: without a result the webhook would wait for ever
+		for _, a := range attempts {
+			c.onResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: id, Outcome: api.NotSent})
+		}
+		return
+	}
+	for len(attempts) > 0 {
+		n := min(e.batchSize, len(attempts))
+		k := c.newCall(e, attempts[:n])
+		attempts = attempts[n:]
+		c.counters.Calls.Add(1)
+		if n > 1 {
+			c.counters.Bundled.Add(int64(n))
+		}
+		go c.run(k)
 	}
-	s.mu.Lock()
-	if l != nil && !f.keep {
-		s.close(l)
+}
+
+// newCall counts a call; the caller holds the lock. The shortest time-out applies to all its webhooks: none may go on
+// after its webhook was reported as timed out.
+func (c *Client) newCall(e *endpoint, attempts []Attempt) *call {
+	k := &call{endpoint: e, startedAt: inflight.Now(), timeout: math.MaxInt64, latest: math.MaxInt64}
+	for _, a := range attempts {
+		c.inFlight[a.Webhook.ID] = k
+		k.webhooks = append(k.webhooks, a.Webhook)
+		k.timeout = min(k.timeout, a.Timeout)
+		k.latest = min(k.latest, a.Latest)
 	}
-	if f.wait > 0 {
-		s.waits[k.ep.route] = max(s.waits[k.ep.route], inflight.Now()+f.wait)
+	e.inFlight++
+	return k
+}
+
+// run makes one call from connect to answer and reports its results.
+func (c *Client) run(k *call) {
+	result, connection := c.connectAndCall(k)
+	if connection != nil && result.reusable {
+		c.release(k.endpoint, connection)
 	}
+	c.finish(k, &result, connection)
+	latency := inflight.Now() - k.startedAt
 	for _, w := range k.webhooks {
-		delete(s.out, w.ID)
+		item := itemResult{outcome: result.outcome, final: result.final}
+		if result.perWebhook != nil {
+			item = result.perWebhook[w.RequestID]
+		}
+		c.counters.Outcomes[item.outcome].Add(1)
+		w.Trace(inflight.OutcomeName(item.outcome), k.endpoint.id, latency)
+		c.onResult(w, api.AttemptResult{
+			Webhook:    w.ID,
+			Endpoint:   k.endpoint.id,
+			Outcome:    item.outcome,
+			Latency:    latency,
+			Final:      item.final,
+			RetryAfter: result.retryAfter,
+		})
 	}
-	k.ep.out--
-	if k.called && f.what != api.Delivered && f.what != api.ConnectFailed {
-		f.what = api.Cancelled
+}
+
+// finish ends the bookkeeping of a call.
+func (c *Client) finish(k *call, result *callResult, connection *connection) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if connection != nil && !result.reusable {
+		c.discard(connection)
+	}
+	if result.retryAfter > 0 {
+		r := k.endpoint.route
+		c.retryAfterUntil[r] = max(c.retryAfterUntil[r], inflight.Now()+result.retryAfter)
 	}
-	s.mu.Unlock()
-	took := inflight.Now() - at
 	for _, w := range k.webhooks {
-		what, over := f.what, f.over
-		if f.each != nil {
-			what, over = f.each[w.RequestID].what, f.each[w.RequestID].over
-		}
-		s.counts.Outcomes[what].Add(1)
-		w.Trace(inflight.OutcomeName(what), k.ep.id, took)
-		s.came(w, k.ep.id, what, took, over, f.wait)
+		delete(c.inFlight, w.ID)
+	}
+	k.endpoint.inFlight--
+	if k.cancelled && result.outcome != api.Delivered && result.outcome != api.ConnectFailed {
+		result.outcome = api.Cancelled
 	}
 }
 
-// connectAndCall calls on an idle link, or else on a new one. A link that says or ends something before the
-// last byte of the call is written is no longer of use, and the call has not been made: another link is
-// taken.
-func (s *Client) connectAndCall(k *call, at api.Micros) (fate, *link) {
+// connectAndCall calls on an idle connection, or else on a new one. An idle connection that says or ends something before
+// the last byte of the call is written is of no use, and the call has not been made: another connection is taken.
+func (c *Client) connectAndCall(k *call) (callResult, *connection) {
 	for {
-		l, room := s.take(k.ep)
-		if !room {
-			return fate{what: api.NotSent}, nil
-		}
-		used := l != nil
-		if !used {
-			var err error
-			s.counts.Connections.Add(1)
-			now := inflight.Now()
-			within := max(min(api.Micros(s.connectTimeout.Load()), k.patience-(now-at), k.latest-now), 1)
-			if l, err = dial(k.ep.addr, inflight.Duration(within)); err != nil {
-				s.mu.Lock()
-				s.open--
-				s.mu.Unlock()
-				return fate{what: api.ConnectFailed}, nil
-			}
-		}
-		// Guards the rules on drains, waits and effects: what was told while this call connected, and the time for
-		// which a token is remembered, hold for its first byte.
-		s.mu.Lock()
-		now := inflight.Now()
-		late := !k.ep.listed || now < s.waits[k.ep.route] || now > k.latest || s.ended
-		k.link = l
-		called := k.called
-		s.mu.Unlock()
-		if late || !s.may(k) {
-			return fate{what: api.NotSent, keep: true}, l
-		}
-		if called {
-			return fate{what: api.ConnectFailed}, l
+		connection, isNew, err := c.connect(k)
+		switch {
+		case err != nil:
+			return callResult{outcome: api.ConnectFailed}, nil
+		case connection == nil:
+			return callResult{outcome: api.NotSent}, nil
 		}
-		left := k.patience - (inflight.Now() - at) // connecting took its part
-		until := time.Now().Add(inflight.Duration(left))
-		switch written := l.write(request(k, left), until, func() bool { return s.may(k) }); {
-		case written:
-			for _, w := range k.webhooks {
-				w.Trace("written", k.ep.id, inflight.Now()-at)
-			}
-			f := s.answer(l, k, until)
-			if f.tooMany && !used {
-				f.what = api.ConnectionLimited
-			}
-			return f, l
-		case !s.may(k): // the grant ended between first and last byte: it never ran
-			return fate{what: api.NotSent}, l
-		case !used || !time.Now().Before(until):
-			return fate{what: api.ConnectFailed}, l
+		result, made := c.callOn(connection, k, isNew)
+		if made {
+			return result, connection
 		}
-		s.mu.Lock()
-		k.link = nil
-		s.close(l)
-		s.mu.Unlock()
+		c.mu.Lock()
+		k.connection = nil
+		c.discard(connection)
+		c.mu.Unlock()
 	}
 }
 
-// request is a call as it goes out.
-func request(k *call, left api.Micros) []byte {
-	req := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(req)
-	fill(req, k, left)
-	var out bytes.Buffer
-	if _, err := req.WriteTo(&out); err != nil {
-		slog.Error("call not written", "err", err) // never: what was handed in is plain
-	}
-	return out.Bytes()
+// connect returns an idle connection or opens one; nil: there is no space for one.
+func (c *Client) connect(k *call) (connection *connection, isNew bool, err error) {
+	connection, hasSpace := c.acquire(k.endpoint)
+	if connection != nil || !hasSpace {
+		return connection, false, nil
+	}
+	c.counters.Connections.Add(1)
+	now := inflight.Now()
+	remaining := k.timeout - (now - k.startedAt)
+	timeout := max(min(api.Micros(c.connectTimeout.Load()), remaining, k.latest-now), 1)
+	connection, err = dial(k.endpoint.addr, inflight.Duration(timeout))
+	if err != nil {
+		c.mu.Lock()
+		c.open--
+		c.mu.Unlock()
+	}
+	return connection, true, err
 }
 
-func fill(req *fasthttp.Request, k *call, left api.Micros) {
-	req.Header.SetMethod(fasthttp.MethodPost)
-	req.Header.SetHost(k.ep.addr)
-	req.Header.SetUserAgent("rowanlink")
-	req.Header.SetContentType("application/octet-stream")
-	req.Header.Set("Request-Timeout-Ms", strconv.FormatInt(max(int64(left/1000), 1), 10))
-	if len(k.webhooks) == 1 {
-		w := k.webhooks[0]
-		req.SetRequestURI("/events")
-		req.Header.Set("Request-Id", string(w.RequestID))
-		if w.Token != "" {
-			req.Header.Set("Idempotency-Key", string(w.Token))
-		}
-		req.SetBodyRaw(w.Body)
-		return
+// callOn makes the call on a connection. made is false where nothing was sent and another connection may be tried.
+func (c *Client) callOn(connection *connection, k *call, isNew bool) (result callResult, made bool) {
+	mayBegin, cancelled := c.begin(connection, k)
+	if !mayBegin || !c.mayCall(k) {
+		return callResult{outcome: api.NotSent, reusable: true}, true
 	}
-	req.SetRequestURI("/events/bundle")
-	var body bytes.Buffer
+	if cancelled {
+		return callResult{outcome: api.ConnectFailed}, true
+	}
+	remaining := k.timeout - (inflight.Now() - k.startedAt) // connecting took its part
+	until := time.Now().Add(inflight.Duration(remaining))
+	stillAllowed := func() bool { return c.mayCall(k) }
+	switch written := connection.write(encodeRequest(k, remaining), until, stillAllowed); {
+	case written:
+		return c.receive(connection, k, until, isNew), true
+	case !stillAllowed(): // the lease ended between the first and the last byte: it never ran
+		return callResult{outcome: api.NotSent}, true
+	case isNew || !time.Now().Before(until):
+		return callResult{outcome: api.ConnectFailed}, true
+	}
+	return callResult{}, false
+}
+
+// begin gives the call its connection, and checks again what may have changed while it connected: drains, requested
+// waits, and the time for which the destination remembers a key, apply to the first byte.
+func (c *Client) begin(connection *connection, k *call) (mayBegin, cancelled bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := inflight.Now()
+	mayBegin = k.endpoint.listed && now >= c.retryAfterUntil[k.endpoint.route] && now <= k.latest && !c.closed
+	k.connection = connection
+	return mayBegin, k.cancelled
+}
+
+func (c *Client) receive(connection *connection, k *call, until time.Time, isNew bool) callResult {
 	for _, w := range k.webhooks {
-		token := w.Token
-		if token == "" {
-			token = "-"
-		}
-		body.WriteString(string(w.RequestID+" ") + string(token) + " " + strconv.Itoa(len(w.Body)) + "\r\n")
-		body.Write(w.Body)
-		body.WriteString("\r\n")
+		w.Trace("written", k.endpoint.id, inflight.Now()-k.startedAt)
+	}
+	result := c.readAnswer(connection, k, until)
+	if result.connectionRefused && isNew {
+		result.outcome = api.ConnectionLimited
 	}
-	req.SetBodyRaw(body.Bytes())
+	return result
 }
--- a/webhook/dispatcher/upstream/endpoints_test.go
+++ b/webhook/dispatcher/upstream/client_test.go
@@ -17,7 +17,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-func TestEachAnswerHasItsOutcome(t *testing.T) {
+func TestOutcomeOfEachAnswer(t *testing.T) {
 	for text, want := range map[string]end{
 		"200 OK":                                  {api.Delivered, false, 0},
 		"500 Oh":                                  {api.ErrorResponse, false, 0},
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against a spoilt answer that is trusted, holds its slot for the whole patience, or leaves a wait.
-func TestSpoiltAnswerMayHaveRunAndFreesItsSlotSoon(t *testing.T) {
+// Guards against a unreadable answer that is trusted, holds its slot for the whole time-out, or leaves a wait.
+func TestUnreadableAnswerMayHaveRunAndFreesItsSlotSoon(t *testing.T) {
 	const whole = "HTTP/1.1 503 Shut\r\nContent-Length: 0\r\n\r\n"
 	for text, want := range map[string]api.Outcome{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf":                     api.Delivered,
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against a bundle's spoilt answer that is believed in part: it may have run as a whole.
-func TestBundleAnswerHoldsOnlyAsAWhole(t *testing.T) {
+// Guards against a bundle's unreadable answer that is believed in part: it may have run as a whole.
+func TestBundleAnswerIsAcceptedOnlyIfComplete(t *testing.T) {
 	for body, want := range map[string]map[api.Outcome]int{
 		"a delivered\r\nb refused\r\n":              {api.Delivered: 1, api.Rejected: 1},
 		"a delivered\r\nb refuse":                   {api.ErrorResponse: 2},
@@ -84,7 +84,7 @@
 	} {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		s, _, ends := at(script(t, says(text)))
-		s.Place(api.EndpointEntry{Endpoint: 2, Destination: 3}, s.all[1].addr, api.DestinationKind{BatchSize: 2})
+		s.UpdateEndpoint(api.EndpointEntry{Endpoint: 2, Destination: 3}, s.endpoints[1].addr, api.DestinationKind{BatchSize: 2})
 		soon := inflight.Now() + api.Second
 		s.Send(2, []Attempt{{&inflight.Webhook{ID: 1, RequestID: "a"}, api.Second, soon},
 			{&inflight.Webhook{ID: 2, RequestID: "b"}, api.Second, soon}})
@@ -97,24 +97,24 @@
 }
 
 // Guards against what follows an answer being read as the next call's, also where it comes late.
-func TestWhatFollowsAnAnswerIsNeverTheNextOnes(t *testing.T) {
+func TestSurplusOfAnAnswerIsNeverTheNextAnswer(t *testing.T) {
 	late := func(c net.Conn, in *bufio.Reader) {
-		http.ReadRequest(in)
-		c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		in.Peek(1) // the next call has begun
-		c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		io.Copy(io.Discard, in)
+		_, _ = http.ReadRequest(in)
+		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		_, _ = in.Peek(1) // the next call has begun
+		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		_, _ = io.Copy(io.Discard, in)
 	}
 	s, send, ends := at(script(t, late, answer("503 Shut")))
 	send(api.Second)
 	assert.Equal(t, api.Delivered, (<-ends).what)
-	l, _ := s.take(s.all[1])
-	_, err := l.Conn.Write([]byte("P"))
+	l, _ := s.acquire(s.endpoints[1])
+	_, err := l.Write([]byte("P"))
 	require.NoError(t, err)
 	time.Sleep(20 * time.Millisecond)
 	always := func() bool { return true }
 	assert.False(t, l.write([]byte("call"), time.Now().Add(time.Second), always), "something came too early")
-	s.close(l)
+	s.discard(l)
 	send(api.Second)
 	assert.Equal(t, api.Rejected, (<-ends).what)
 }
--- a/webhook/dispatcher/upstream/connections_test.go
+++ b/webhook/dispatcher/upstream/connections_test.go
@@ -14,20 +14,20 @@
 )
 
 // Guards against everyone who ever was piling up, and against a webhook sent to one that is forgotten.
-func TestGoneEndpointIsForgottenOnceNothingIsOut(t *testing.T) {
+func TestRemovedEndpointIsForgottenOnceNothingIsInFlight(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK")))
 	send(api.Second)
 	<-ends
-	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointRemoved}, "", api.DestinationKind{})
+	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointRemoved}, "", api.DestinationKind{})
 	assert.Zero(t, s.open, "its idle links are closed at once")
 	s.Sweep()
-	assert.Empty(t, s.all)
+	assert.Empty(t, s.endpoints)
 	send(api.Second)
 	assert.Equal(t, api.NotSent, (<-ends).what)
 }
 
 // Guards against a connection too many that is taken for the destination's limit: window and pace would fall.
-func TestConnectionTurnedAwayIsToldFromADestinationsLimit(t *testing.T) {
+func TestRefusedConnectionIsDistinguishedFromTheDestinationsLimit(t *testing.T) {
 	shut := "503 Shut\r\nConnection: close"
 	for text, want := range map[string]end{shut: {api.ConnectionLimited, false, 0},
 		shut + "\r\nRetry-After: 1":          {api.Rejected, false, api.Second},
@@ -40,8 +40,8 @@
 	}
 	later := func(c net.Conn, in *bufio.Reader) {
 		for _, text := range []string{"200 OK", shut} {
-			http.ReadRequest(in)
-			c.Write([]byte("HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = http.ReadRequest(in)
+			_, _ = c.Write([]byte("HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"))
 		}
 	}
 	_, send, ends := at(script(t, later))
@@ -51,7 +51,7 @@
 	assert.Equal(t, api.Rejected, (<-ends).what, "a connection that served is not one too many")
 }
 
-func TestWhatEndsBeforeTheLastByteNeverRan(t *testing.T) {
+func TestCallThatEndsBeforeTheLastByteNeverRan(t *testing.T) {
 	_, send, ends := at("127.0.0.1:1") // nobody listens
 	send(api.Second)
 	assert.Equal(t, api.ConnectFailed, (<-ends).what)
@@ -63,12 +63,12 @@
 	assert.Equal(t, api.TimedOut, (<-ends).what)
 }
 
-func TestConnectionThatEndedWhileIdleIsNotWrittenTo(t *testing.T) {
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	once := func(c net.Conn, in *bufio.Reader) {
-		http.ReadRequest(in)
-		c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		_, _ = http.ReadRequest(in)
+		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		time.Sleep(20 * time.Millisecond)
-		c.Close()
+		_ = c.Close()
 	}
 	s, send, ends := at(script(t, once, answer("200 OK")))
 	for range 2 {
@@ -76,10 +76,10 @@
 		assert.Equal(t, api.Delivered, (<-ends).what)
 		time.Sleep(60 * time.Millisecond)
 	}
-	assert.EqualValues(t, 2, s.counts.Connections.Load())
+	assert.EqualValues(t, 2, s.counters.Connections.Load())
 }
 
-func TestIdleConnectionsAreUsedAgainThenClosedInTime(t *testing.T) {
+func TestIdleConnectionsAreReusedThenClosedInTime(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK"), answer("200 OK")))
 	for range 3 {
 		send(api.Second)
@@ -88,7 +88,7 @@
 	time.Sleep(200 * time.Millisecond) // past the deadline of the last answer's rest
 	send(api.Second)
 	<-ends
-	assert.EqualValues(t, 1, s.counts.Connections.Load())
+	assert.EqualValues(t, 1, s.counters.Connections.Load())
 	time.Sleep(850 * time.Millisecond) // the other side would close after 1 s
 	s.Sweep()
 	assert.Zero(t, s.open)
@@ -99,14 +99,14 @@
 	assert.Zero(t, s.open)
 }
 
-func TestWaitOrDrainToldWhileConnectingHoldsTheFirstByte(t *testing.T) {
+func TestWaitOrDrainWhileConnectingStopsTheCall(t *testing.T) {
 	s, send, ends := at(script(t, answer("429 Slow\r\nRetry-After: 0.3"), answer("200 OK"), answer("200 OK")))
 	send(api.Second)
 	assert.Equal(t, api.Rejected, (<-ends).what)
 	send(api.Second)
 	assert.Equal(t, api.NotSent, (<-ends).what, "told to wait")
 	time.Sleep(300 * time.Millisecond)
-	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointDraining}, "", api.DestinationKind{})
+	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointDraining}, "", api.DestinationKind{})
 	send(api.Second)
 	assert.Equal(t, api.NotSent, (<-ends).what, "draining")
 }
@@ -120,7 +120,7 @@
 				return
 			}
 			calls <- true
-			c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
 	}
 	s, send, ends := at(script(t, counted, counted))
@@ -137,11 +137,11 @@
 	assert.Len(t, calls, 2)
 }
 
-func TestEndpointThatMovedIsCalledAtItsNewAddress(t *testing.T) {
+func TestChangedAddressIsCalled(t *testing.T) {
 	s, send, ends := at(script(t, answer("200 OK")))
 	send(api.Second)
 	assert.Equal(t, api.Delivered, (<-ends).what)
-	s.Place(api.EndpointEntry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), api.DestinationKind{BatchSize: 1})
+	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), api.DestinationKind{BatchSize: 1})
 	send(api.Second)
 	assert.Equal(t, api.Rejected, (<-ends).what)
 }
@@ -154,5 +154,5 @@
 	s.Cancel(1)
 	assert.Equal(t, api.Cancelled, (<-ends).what)
 	assert.True(t, <-ended)
-	assert.Zero(t, s.Out())
+	assert.Zero(t, s.InFlight())
 }
