--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -31,8 +31,8 @@
 	syncDelay = 5 * time.Second
 )
 
-// memberMesh is the part of member.Service that the agent uses.
-type memberMesh interface {
+// memberService is the part of member.Service that the agent uses.
+type memberService interface {
 	Self() state.Member
 	// Members returns the live members, this one included.
 	Members() []state.Member
@@ -45,11 +45,11 @@
 	Leave(context.Context) error
 }
 
-// agent connects its state with the mesh of members and with the proxy.
+// agent connects its state with the other members and with the proxy.
 type agent struct {
 	settings   *settings.Process
 	log        *zerolog.Logger
-	mesh       memberMesh
+	members    memberService
 	stateOwner *actor.Actor[agentState]
 	started    time.Time
 
@@ -57,25 +57,25 @@
 	announced     announcement
 }
 
-// announcement is what the agent has last announced of its proxy in the mesh.
+// announcement is what the agent has last announced of its proxy to other members.
 type announcement struct {
 	state         state.MemberState
 	clientAddress string
 }
 
-func newAgent(processSettings *settings.Process, log *zerolog.Logger, mesh memberMesh, table endpointTable) *agent {
+func newAgent(processSettings *settings.Process, log *zerolog.Logger, members memberService, table endpointTable) *agent {
 	now := time.Now()
 	incarnation := rand.Uint64() | 1 // never zero: a zero cursor belongs to no agent
-	a := &agent{settings: processSettings, log: log, mesh: mesh, started: now}
+	a := &agent{settings: processSettings, log: log, members: members, started: now}
 	a.stateOwner = actor.Start(&agentState{
 		updates: newPublisher(incarnation, table),
 		started: now,
 	})
-	a.subscribeToMesh()
+	a.subscribeToGossip()
 	return a
 }
 
-// run keeps the mesh and the agent's state up to date until the context ends and the proxy has exited or the time for
+// run keeps the announcements and the agent's state up to date until the context ends and the proxy has exited or the time for
 // that is over.
 func (a *agent) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
@@ -98,7 +98,7 @@
 
 // tick applies what depends on time and reports whether the agent may stop.
 func (a *agent) tick() (stopped bool) {
-	proxies, synced := a.mesh.CountProxies(), a.isSynced()
+	proxies, synced := a.members.CountProxies(), a.isSynced()
 	stopped, _ = actor.Call(a.stateOwner, func(s *agentState) bool {
 		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
@@ -110,7 +110,7 @@
 	return stopped
 }
 
-// announceProxy announces the proxy's state and client address in the mesh if they have changed.
+// announceProxy announces the proxy's state and client address to other members if they have changed.
 func (a *agent) announceProxy() {
 	a.announceMutex.Lock()
 	defer a.announceMutex.Unlock()
@@ -126,10 +126,10 @@
 		Str("front", current.clientAddress).
 		Send()
 	if current.clientAddress != a.announced.clientAddress {
-		a.mesh.SetClientAddress(current.clientAddress)
+		a.members.SetClientAddress(current.clientAddress)
 	}
 	if current.state != a.announced.state {
-		a.mesh.SetState(current.state)
+		a.members.SetState(current.state)
 	}
 	a.announced = current
 }
@@ -138,13 +138,13 @@
 func (a *agent) announceLeave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if err := a.mesh.Leave(ctx); err != nil {
+	if err := a.members.Leave(ctx); err != nil {
 		event.LeaveUnacknowledged.Log(a.log).Err(err).Send()
 	}
 }
 
 // hasPeers reports whether another member is known. The first peer transfers all that it knows.
-func (a *agent) hasPeers() bool { return len(a.mesh.Members()) > 1 }
+func (a *agent) hasPeers() bool { return len(a.members.Members()) > 1 }
 
 // isDirectoryReady reports whether the directory may give addresses: the agent knows peers or has waited for them for
 // directoryStartDelay.
@@ -158,7 +158,7 @@
 // lookupHandler returns the HTTP handler of clients' look-ups.
 func (a *agent) lookupHandler() *lookupHandler {
 	return &lookupHandler{
-		members: a.mesh.Members,
+		members: a.members.Members,
 		isReady: a.isDirectoryReady,
 		regions: a.settings.Regions,
 		maxTTL:  a.settings.Bounds.MaxTTL,
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
 		defer a.stateOwner.Stop()
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
 		first := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, first.err)
 		assert.Equal(t, uint64(2), first.response.Record.Revision)
@@ -28,12 +28,12 @@
 
 		second := a.poll(t.Context(), newWaitingRequest(first.response.Cursor, state.MemberReady))
 		synctest.Wait()
-		assert.Equal(t, []state.MemberState{state.MemberReady}, a.mesh.announced())
-		assert.Equal(t, "10.0.0.1:80", a.mesh.Self().ProxyAddress)
+		assert.Equal(t, []state.MemberState{state.MemberReady}, a.members.announced())
+		assert.Equal(t, "10.0.0.1:80", a.members.Self().ProxyAddress)
 		for sequence := range uint64(3) {
-			a.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", sequence+1))
+			a.members.deliver(t, gossip.TableEndpoints, newEndpoint("e", sequence+1))
 		}
-		a.mesh.deliver(t, gossip.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
+		a.members.deliver(t, gossip.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
 		got := <-second
 		require.NoError(t, got.err)
 		assert.Equal(t, coalesceDelay, got.elapsed, "changes are batched")
@@ -51,10 +51,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
 		defer a.stateOwner.Stop()
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5})
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4})
-		for table := range a.mesh.subscribers {
-			a.mesh.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: []byte{0xff}})
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5})
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 4})
+		for table := range a.members.subscribers {
+			a.members.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: []byte{0xff}})
 		}
 		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
@@ -68,7 +68,7 @@
 		a := newTestAgent(8 * time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		go a.run(ctx)
-		a.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
+		a.members.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
 		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		require.NoError(t, got.err)
 		assert.Equal(t, firstRecordTimeout+coalesceDelay, got.elapsed)
@@ -88,15 +88,15 @@
 		defer stop()
 		go a.run(ctx)
 		connection, disconnect := context.WithCancel(t.Context())
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
 		first := <-a.poll(connection, newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		open := a.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberReady))
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, []state.MemberState{state.MemberReady}, a.mesh.announced(), "an open poll is enough")
+		assert.Equal(t, []state.MemberState{state.MemberReady}, a.members.announced(), "an open poll is enough")
 		disconnect() // the proxy was killed
 		assert.Error(t, (<-open).err)
 		time.Sleep(pollTimeout + 2*tickInterval)
-		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberStarting}, a.mesh.announced())
+		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberStarting}, a.members.announced())
 		stop()
 		time.Sleep(time.Minute)
 		a.stateOwner.Stop()
@@ -137,7 +137,7 @@
 			elapsed := time.Since(start)
 			assert.GreaterOrEqual(t, elapsed, test.min, test.name)
 			assert.LessOrEqual(t, elapsed, test.max, test.name)
-			assert.Equal(t, state.MemberLeaving, a.mesh.announced()[len(a.mesh.announced())-1], test.name)
+			assert.Equal(t, state.MemberLeaving, a.members.announced()[len(a.members.announced())-1], test.name)
 			disconnect()
 			time.Sleep(time.Minute)
 			a.stateOwner.Stop()
@@ -160,12 +160,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
 		defer a.stateOwner.Stop()
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
 		first := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		connection, disconnect := context.WithCancel(t.Context())
 		ended := a.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberLeaving))
 		synctest.Wait()
-		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberLeaving}, a.mesh.announced())
+		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberLeaving}, a.members.announced())
 		disconnect()
 		<-ended
 	})
@@ -174,9 +174,9 @@
 func TestAnnounceLeave_IgnoresUnreachableMembers(t *testing.T) {
 	a := newTestAgent(time.Second)
 	defer a.stateOwner.Stop()
-	a.mesh.leaveError = errors.New("unreachable")
+	a.members.leaveError = errors.New("unreachable")
 	a.announceLeave(t.Context())
-	assert.True(t, a.mesh.left)
+	assert.True(t, a.members.left)
 }
 
 func TestPoll_FailsOnceTheAgentHasStopped(t *testing.T) {
@@ -189,10 +189,10 @@
 func TestReport_HasTheActiveConfiguration(t *testing.T) {
 	a := newTestAgent(time.Second)
 	defer a.stateOwner.Stop()
-	a.mesh.setPeers(newProxyMember("n2", 1, state.MemberReady))
-	a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
+	a.members.setPeers(newProxyMember("n2", 1, state.MemberReady))
+	a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}, {Zone: "n2"}}})
-	a.mesh.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
+	a.members.deliver(t, gossip.TableEndpoints, newEndpoint("e", 1))
 	report := a.report(introspect.Request{IncludeTables: true})
 	assert.Equal(t, uint64(4), report.Revision)
 	assert.Equal(t, uint64(9), report.Version)
--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -72,12 +72,12 @@
 				a := newUnconfirmedAgent()
 				defer a.stateOwner.Stop()
 				go a.confirmRecord(t.Context(), test.voters.query)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				poll := a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-poll
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(7), got.response.Record.Revision)
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := newUnconfirmedAgent()
 		defer a.stateOwner.Stop()
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 		go a.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
 		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
@@ -123,7 +123,7 @@
 					voters["a"] = newGrantedVote(9)
 				}
 				go a.confirmRecord(t.Context(), voters.query)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -19,8 +19,8 @@
 	"rowanlink/serving/subscription"
 )
 
-// fakeMesh is a mesh whose members the test sets. It records what the agent announces.
-type fakeMesh struct {
+// fakeMembers is a memberService whose members the test sets. It records what the agent announces.
+type fakeMembers struct {
 	mutex       sync.Mutex
 	self        state.Member
 	others      []state.Member
@@ -31,83 +31,83 @@
 	leaveError  error
 }
 
-func newFakeMesh() *fakeMesh {
-	return &fakeMesh{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.TableID]func(gossip.Entry){}}
+func newFakeMembers() *fakeMembers {
+	return &fakeMembers{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.TableID]func(gossip.Entry){}}
 }
 
-func (f *fakeMesh) Self() state.Member {
+func (f *fakeMembers) Self() state.Member {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.self
 }
 
-func (f *fakeMesh) Members() []state.Member {
+func (f *fakeMembers) Members() []state.Member {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]state.Member{f.self}, f.others...)
 }
 
-func (f *fakeMesh) DownMembers() []state.Member   { return nil }
-func (f *fakeMesh) RoleClaims() []singleton.Claim { return nil }
+func (f *fakeMembers) DownMembers() []state.Member   { return nil }
+func (f *fakeMembers) RoleClaims() []singleton.Claim { return nil }
 
-func (f *fakeMesh) CountProxies() subscription.ProxyCounts {
+func (f *fakeMembers) CountProxies() subscription.ProxyCounts {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.proxies
 }
 
-func (f *fakeMesh) SetState(announced state.MemberState) {
+func (f *fakeMembers) SetState(announced state.MemberState) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.self.State = announced
 	f.states = append(f.states, announced)
 }
 
-func (f *fakeMesh) SetClientAddress(address string) {
+func (f *fakeMembers) SetClientAddress(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.self.ProxyAddress = address
 }
 
-func (f *fakeMesh) announced() []state.MemberState {
+func (f *fakeMembers) announced() []state.MemberState {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return slices.Clone(f.states)
 }
 
-func (f *fakeMesh) Subscribe(table gossip.TableID, take func(gossip.Entry)) {
+func (f *fakeMembers) Subscribe(table gossip.TableID, take func(gossip.Entry)) {
 	f.subscribers[table] = take
 }
 
-func (f *fakeMesh) Leave(context.Context) error {
+func (f *fakeMembers) Leave(context.Context) error {
 	f.left = true
 	return f.leaveError
 }
 
-func (f *fakeMesh) setPeers(others ...state.Member) {
+func (f *fakeMembers) setPeers(others ...state.Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.others = others
 }
 
-// deliver passes an entry to the agent's subscriber, as the mesh does.
-func (f *fakeMesh) deliver(t *testing.T, table gossip.TableID, value any) {
+// deliver passes an entry to the agent's subscriber, as gossip does.
+func (f *fakeMembers) deliver(t *testing.T, table gossip.TableID, value any) {
 	t.Helper()
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	f.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: encoded})
 }
 
-// testAgent is an agent on a fake mesh, with the server that its proxy polls.
+// testAgent is an agent with fake members, with the server that its proxy polls.
 type testAgent struct {
 	*agent
-	mesh         *fakeMesh
+	members      *fakeMembers
 	server       *subscriptionServer
 	observations chan []state.Observation // forwarded from the proxy's polls
 }
 
 func newTestAgent(grace time.Duration) *testAgent {
-	fake := newFakeMesh()
+	fake := newFakeMembers()
 	log := zerolog.Nop()
 	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
 	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", HeartbeatInterval: time.Second})
@@ -116,7 +116,7 @@
 	forwarded := make(chan []state.Observation, 100)
 	return &testAgent{
 		agent:        a,
-		mesh:         fake,
+		members:      fake,
 		observations: forwarded,
 		server: &subscriptionServer{
 			stateOwner:          a.stateOwner,
--- a/serving/agent/meshentries.go
+++ b/serving/agent/gossipentries.go
@@ -10,9 +10,9 @@
 	"rowanlink/serving/state"
 )
 
-// subscribeToMesh applies the gossiped records, endpoints and loads to the agent's state.
-func (a *agent) subscribeToMesh() {
-	a.mesh.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
+// subscribeToGossip applies the gossiped records, endpoints and loads to the agent's state.
+func (a *agent) subscribeToGossip() {
+	a.members.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
 		applyEntry(a, entry, func(s *agentState, _ time.Time, record state.Record) {
 			if s.updates.setRecord(&record) {
 				event.RecordUpdated.Log(a.log).
@@ -22,12 +22,12 @@
 			}
 		})
 	})
-	a.mesh.Subscribe(gossip.TableEndpoints, func(entry gossip.Entry) {
+	a.members.Subscribe(gossip.TableEndpoints, func(entry gossip.Entry) {
 		applyEntry(a, entry, func(s *agentState, now time.Time, endpoint state.Endpoint) {
 			s.updates.mergeEndpoint(now, endpoint)
 		})
 	})
-	a.mesh.Subscribe(gossip.TableLoads, func(entry gossip.Entry) {
+	a.members.Subscribe(gossip.TableLoads, func(entry gossip.Entry) {
 		applyEntry(a, entry, func(s *agentState, _ time.Time, load state.Load) { s.updates.setLoad(load) })
 	})
 }
--- a/serving/agent/loadtable.go
+++ b/serving/agent/loadtable.go
@@ -18,7 +18,7 @@
 
 func newLoadTable() loadTable { return loadTable{entries: map[string]loadEntry{}} }
 
-// update stores a load and reports whether it differs from the stored one. The mesh delivers only loads that are newer
+// update stores a load and reports whether it differs from the stored one. Gossip delivers only loads that are newer
 // than those it has delivered before.
 func (t *loadTable) update(load state.Load) bool {
 	current, found := t.entries[load.EndpointID]
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -29,7 +29,7 @@
 
 // report returns the agent's report for operators.
 func (a *agent) report(request introspect.Request) introspect.Report {
-	report := introspect.Report{Self: a.mesh.Self()}
+	report := introspect.Report{Self: a.members.Self()}
 	data, _ := actor.Call(a.stateOwner, func(s *agentState) (data reportData) {
 		data.record = s.updates.record
 		if request.IncludeTables {
@@ -42,7 +42,7 @@
 		return report
 	}
 	report.Endpoints = data.endpoints
-	report.SetMembers(a.mesh.Members(), a.mesh.DownMembers())
-	report.SingletonClaims = a.mesh.RoleClaims()
+	report.SetMembers(a.members.Members(), a.members.DownMembers())
+	report.SingletonClaims = a.members.RoleClaims()
 	return report
 }
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -27,7 +27,7 @@
 // seedIP is the address of the member through which the agent joins. All of 127/8 is this machine.
 const seedIP = "127.0.0.2"
 
-// startSeed starts a member of the mesh as the agent's seed.
+// startSeed starts a member as the agent's seed.
 func startSeed(t *testing.T, agentSettings *settings.Process) *member.Service {
 	t.Helper()
 	process := *agentSettings
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -27,8 +27,8 @@
 }
 
 // Run runs an agent until the context ends. It then announces that its proxy is leaving, waits for the proxy to exit
-// within the grace period of the settings, leaves the mesh and returns. Errors are errcode.AgentAddressInUse or come
-// from joining the mesh.
+// within the grace period of the settings, leaves the membership and returns. Errors are errcode.AgentAddressInUse or come
+// from joining the membership.
 func Run(ctx context.Context, options Options) error {
 	runContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // lasts through the shutdown
 	defer cancel()
@@ -43,7 +43,7 @@
 	defer func() { _ = innerServer.Close() }()
 	client := rpc.NewClient()
 	defer client.Close()
-	mesh, err := member.Start(runContext, member.Options{
+	members, err := member.Start(runContext, member.Options{
 		Settings: options.Settings,
 		Self:     initialMember(options.Settings),
 		Client:   client,
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	a := newAgent(options.Settings, options.Log, mesh, newEndpointTable(options.Settings))
+	a := newAgent(options.Settings, options.Log, members, newEndpointTable(options.Settings))
 	go a.confirmRecord(runContext, register.QueryOverRPC(client))
 	introspect.Serve(innerMux, a.report)
 
@@ -72,14 +72,14 @@
 	if options.PollLoads {
 		poller := loadreport.New(loadreport.Options{
 			Zone:      options.Settings.Zone,
-			Gossip:    mesh,
+			Gossip:    members,
 			Endpoints: a.knownEndpoints,
 			Log:       options.Log,
 		})
 		go poller.Run(ctx) // ends with ctx: an agent that shuts down leaves the role to others at once
 	}
 	go settings.Watch(runContext, options.SettingsPath, settings.WatchInterval, func(changed *settings.Process) {
-		mesh.SetSeeds(changed.Seeds)
+		members.SetSeeds(changed.Seeds)
 	})
 	a.run(ctx)
 	a.announceLeave(runContext)
@@ -98,7 +98,7 @@
 	return &observationForwarder{
 		observer:    a.settings.NodeName,
 		client:      client,
-		members:     a.mesh.Members,
+		members:     a.members.Members,
 		receiversOf: a.receivers,
 		callSlots:   make(chan struct{}, maxForwardCalls),
 	}
--- a/serving/agent/subscriptionserver.go
+++ b/serving/agent/subscriptionserver.go
@@ -22,7 +22,7 @@
 type subscriptionServer struct {
 	stateOwner *actor.Actor[agentState]
 	now        func() time.Time
-	// announceProxy announces changes of the proxy's state in the mesh.
+	// announceProxy announces changes of the proxy's state to other members.
 	announceProxy func()
 	// forwardObservations takes the proxy's observations of endpoints. It doesn't block.
 	forwardObservations func([]state.Observation)
--- a/serving/errcode/gossip.go
+++ b/serving/errcode/gossip.go
@@ -4,7 +4,7 @@
 
 // Errors of replication by gossip (300 to 399).
 var (
-	TooFewMembers   = define(300, http.StatusServiceUnavailable, "too few other members are live")
-	NotAcknowledged = define(301, http.StatusServiceUnavailable, "too few other members acknowledged in time")
-	MeshClosed      = define(302, http.StatusServiceUnavailable, "this member has left the mesh")
+	TooFewMembers    = define(300, http.StatusServiceUnavailable, "too few other members are live")
+	NotAcknowledged  = define(301, http.StatusServiceUnavailable, "too few other members acknowledged in time")
+	MembershipClosed = define(302, http.StatusServiceUnavailable, "this member has left the membership")
 )
--- a/serving/event/member.go
+++ b/serving/event/member.go
@@ -4,7 +4,7 @@
 
 // Events of the membership and of gossip (300 to 399).
 var (
-	MeshJoined            = define(300, zerolog.InfoLevel, "joined the mesh")
+	MembershipJoined      = define(300, zerolog.InfoLevel, "joined the other members")
 	MembersChanged        = define(301, zerolog.InfoLevel, "the live members changed")
 	MemberDown            = define(302, zerolog.DebugLevel, "a member is down")
 	MemberUp              = define(303, zerolog.DebugLevel, "a member is live")
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -34,7 +34,7 @@
 		return response
 	})
 	if !ok {
-		return nil, errcode.MeshClosed.With("%s", s.options.Self.Name)
+		return nil, errcode.MembershipClosed.With("%s", s.options.Self.Name)
 	}
 	return &response, nil
 }
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -191,7 +191,7 @@
 		return
 	}
 	if n.schedule.loggedSize <= 1 && live > 1 {
-		event.MeshJoined.Log(n.log).Uint64("incarnation", n.members.Self().Incarnation).Send()
+		event.MembershipJoined.Log(n.log).Uint64("incarnation", n.members.Self().Incarnation).Send()
 	}
 	n.schedule.sizeLog = n.now.Add(sizeLogInterval)
 	event.MembersChanged.Log(n.log).Int("live", live).Int("before", n.schedule.loggedSize).Send()
--- a/serving/operator/threecores_test.go
+++ b/serving/operator/threecores_test.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// core is the control address of a core member with a real register, mesh and table of endpoints.
+// core is the control address of a core member with a real register, membership and table of endpoints.
 type core struct {
 	name     string
 	handler  http.Handler
@@ -99,15 +99,15 @@
 	inner.Start()
 	self := state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
 		Address: process.InnerAddress(), ControlAddress: process.IP + ":1", State: state.MemberReady}
-	mesh, err := member.Start(ctx, member.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
+	members, err := member.Start(ctx, member.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
 	require.NoError(t, err)
 	node, err := register.Start(ctx, register.NodeOptions{Settings: process, Storage: &memoryStorage{}, Client: client,
 		Mux: mux, Log: &log, Committed: func(state.Record) {}, Peers: func() []register.Peer { return nil }})
 	require.NoError(t, err)
-	quorumChecker := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: mesh.IsLiveAt}
-	endpointExchange := exchange.Start(ctx, exchange.Options{Gossip: mesh, HeartbeatInterval: process.HeartbeatInterval,
+	quorumChecker := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: members.IsLiveAt}
+	endpointExchange := exchange.Start(ctx, exchange.Options{Gossip: members, HeartbeatInterval: process.HeartbeatInterval,
 		HasQuorum: quorumChecker.HasQuorum, Log: &log})
-	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: mesh.Members, Clock: time.Now}
+	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: members.Members, Clock: time.Now}
 	handler := operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: endpointExchange.Table(),
 		Replicator: endpointExchange, Quorum: quorumChecker, Regions: process.Regions, ForwardTo: forwarder.ForwardTo, Log: &log})
 	c := &core{name: process.NodeName, handler: handler, exchange: endpointExchange, inner: inner}
