--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -44,8 +44,8 @@
 	Custody       *custody.Store
 	Metrics       *custody.Metrics
 	Peers         *peer.Client
-	Exchange      *inflight.Inbox
-	Decider       *eventloop.Loop
+	Inbox         *inflight.Inbox
+	Loop          *eventloop.Loop
 	Handoffs      Handoffs
 	MaxClockDrift float64 // the most by which the rates of two clocks differ, as a fraction
 }
@@ -116,7 +116,7 @@
 	end := f.Ownership.BeginAdmission()
 	defer end()
 	decision := f.Ownership.Decide(w.Destination)
-	if f.Ownership.IsClosed(decision) || decision.Action == shardmap.Forward && !f.Decider.WaitsForEarlier(w) {
+	if f.Ownership.IsClosed(decision) || decision.Action == shardmap.Forward && !f.Loop.WaitsForEarlier(w) {
 		return localAcceptance{decision: decision}
 	}
 	answer, retryAfter := accept()
--- a/cluster/member/forwarding/intake.go
+++ b/cluster/member/forwarding/intake.go
@@ -43,7 +43,7 @@
 	}
 	for i, transferred := range t.Webhooks {
 		in.ids[i] = transferred.ID
-		if w, err := peer.DecodeWebhook(transferred); err == nil && r.Exchange.HasDestination(transferred.Destination) {
+		if w, err := peer.DecodeWebhook(transferred); err == nil && r.Inbox.HasDestination(transferred.Destination) {
 			in.webhooks[i] = w
 		}
 	}
@@ -87,7 +87,7 @@
 			in.returned[w.RequestID] = w.Prior
 		}
 	}
-	return len(in.returned) == 0 || in.Decider.MergePriorAttempts(in.returned)
+	return len(in.returned) == 0 || in.Loop.MergePriorAttempts(in.returned)
 }
 
 // decide decides on one webhook. The custody table is locked.
@@ -119,12 +119,12 @@
 	for _, a := range in.arrivals {
 		webhooks = append(webhooks, a.webhook)
 	}
-	in.Exchange.SubmitAll(webhooks, func(n int, answer inflight.Answer, retryAfter api.Micros) {
+	in.Inbox.SubmitAll(webhooks, func(n int, answer inflight.Answer, retryAfter api.Micros) {
 		a := in.arrivals[n]
 		switch answer {
 		case inflight.Accepted:
 			in.Metrics.Received.Add(1)
-			in.Exchange.Accepted.Add(1)
+			in.Inbox.Accepted.Add(1)
 		case inflight.Duplicate: // it came here by another way, and is this member's already
 			in.outcomes[a.position].Duplicate = true
 		default:
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	in.Decider.ResolveInDoubt(in.callable)
+	in.Loop.ResolveInDoubt(in.callable)
 }
 
 // confirmArrivals records which arrivals the dispatcher has accepted. The custody table is locked.
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -94,7 +94,7 @@
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{id}, func(t *shardmap.CustodyTable) { t.ConfirmStored(id) })
 	if err == nil {
-		m.Decider.ResolveInDoubt([]inflight.RequestID{w.RequestID})
+		m.Loop.ResolveInDoubt([]inflight.RequestID{w.RequestID})
 	}
 }
 
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -79,7 +79,7 @@
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
 		if dropped {
-			m.Decider.FinishTransferred([]api.WebhookID{d.ID})
+			m.Loop.FinishTransferred([]api.WebhookID{d.ID})
 		}
 	})
 	return dropped
@@ -93,7 +93,7 @@
 	if !kept || err != nil {
 		return false
 	}
-	m.Decider.ResolveInDoubt([]inflight.RequestID{d.RequestID})
+	m.Loop.ResolveInDoubt([]inflight.RequestID{d.RequestID})
 	return true
 }
 
@@ -101,7 +101,7 @@
 // now. That it may have run is written first, so that a restart finds it.
 func (m *Manager) forkCopy(d inDoubt, resolution shardmap.Resolution) (forked bool) {
 	mayHaveRun := &inflight.PriorAttempts{Attempts: d.Attempts + 1, MayHaveRunAt: d.offer.SentAt}
-	if !m.Decider.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
+	if !m.Loop.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
 		return false
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
@@ -115,9 +115,9 @@
 		return false
 	}
 	if resolution == shardmap.ForkCopy {
-		m.Decider.ResolveInDoubt([]inflight.RequestID{d.RequestID})
+		m.Loop.ResolveInDoubt([]inflight.RequestID{d.RequestID})
 	} else {
-		m.Decider.DeadLetterInDoubt(d.ID)
+		m.Loop.DeadLetterInDoubt(d.ID)
 	}
 	return true
 }
--- a/cluster/member/handoff/localwork.go
+++ b/cluster/member/handoff/localwork.go
@@ -14,13 +14,13 @@
 // CallsInFlight counts the calls in flight to destinations of a range.
 func (m *Manager) CallsInFlight(r shardmap.Range) int {
 	shardMap := m.Ownership.Map()
-	_, calls := m.Decider.ParkedWebhooks(func(w *inflight.Webhook) bool { return shardMap.CountsToward(r, w.Destination) })
+	_, calls := m.Loop.ParkedWebhooks(func(w *inflight.Webhook) bool { return shardMap.CountsToward(r, w.Destination) })
 	return calls
 }
 
 // CallsInFlightTo counts the calls in flight to destinations.
 func (m *Manager) CallsInFlightTo(destinations []api.DestinationID) int {
-	_, calls := m.Decider.ParkedWebhooks(func(w *inflight.Webhook) bool {
+	_, calls := m.Loop.ParkedWebhooks(func(w *inflight.Webhook) bool {
 		return slices.Contains(destinations, w.Destination)
 	})
 	return calls
@@ -29,7 +29,7 @@
 // PendingWebhooks counts the webhooks of a range that are pending here and, as far as is known, at no other member.
 func (m *Manager) PendingWebhooks(r shardmap.Range) int {
 	shardMap := m.Ownership.Map()
-	pending, _ := m.Decider.ParkedWebhooks(func(w *inflight.Webhook) bool { return shardMap.Contains(r, w.Destination) })
+	pending, _ := m.Loop.ParkedWebhooks(func(w *inflight.Webhook) bool { return shardMap.Contains(r, w.Destination) })
 	return len(pending)
 }
 
--- a/cluster/member/handoff/manager.go
+++ b/cluster/member/handoff/manager.go
@@ -24,7 +24,7 @@
 	Custody   *custody.Store
 	Metrics   *custody.Metrics
 	Peers     *peer.Client
-	Decider   *eventloop.Loop
+	Loop      *eventloop.Loop
 	EventType func(api.EventTypeID) api.EventType // by the settings read last
 	Wake      func()                              // has Run called soon; must not block
 }
@@ -72,7 +72,7 @@
 	if shardMap == nil {
 		return
 	}
-	pending, _ := m.Decider.ParkedWebhooks(func(*inflight.Webhook) bool { return true })
+	pending, _ := m.Loop.ParkedWebhooks(func(*inflight.Webhook) bool { return true })
 	m.forgetEndedMoves(shardMap)
 	started := map[cluster.MemberID]*batch{}
 	for to, b := range m.batchByPeer(shardMap, pending) {
--- a/cluster/member/handoff/offer.go
+++ b/cluster/member/handoff/offer.go
@@ -69,7 +69,7 @@
 	for i, w := range webhooks {
 		localIDs[i], ids[i] = w.ID, custody.IDOf(w.RequestID)
 	}
-	marked := m.Decider.MarkInDoubt(localIDs)
+	marked := m.Loop.MarkInDoubt(localIDs)
 	incarnation := m.Peers.Incarnation(to)
 	var newlyMarked, resolved []inflight.RequestID
 	err := m.Custody.Update(ids, func(t *shardmap.CustodyTable) {
@@ -99,7 +99,7 @@
 	if err != nil {
 		resolved, offers = append(resolved, newlyMarked...), nil
 	}
-	m.Decider.ResolveInDoubt(resolved)
+	m.Loop.ResolveInDoubt(resolved)
 	return offers
 }
 
@@ -129,7 +129,7 @@
 		}
 	})
 	if err == nil { // else they stay in doubt
-		m.Decider.ResolveInDoubt(kept)
+		m.Loop.ResolveInDoubt(kept)
 	}
 	for _, o := range offers {
 		pending, handoff, found := m.Custody.PendingOffer(o.id)
@@ -153,7 +153,7 @@
 			}
 		}
 		if len(ids) > 0 {
-			m.Decider.FinishTransferred(ids)
+			m.Loop.FinishTransferred(ids)
 		}
 	})
 }
--- a/cluster/member/handoff/state.go
+++ b/cluster/member/handoff/state.go
@@ -34,7 +34,7 @@
 
 // transferRangeState returns whether the target of the range's move has the state.
 func (m *Manager) transferRangeState(shardMap *shardmap.Map, r shardmap.Range) bool {
-	learned, idle := m.Decider.ExportState(func(d api.DestinationID) bool { return shardMap.Contains(r, d) })
+	learned, idle := m.Loop.ExportState(func(d api.DestinationID) bool { return shardMap.Contains(r, d) })
 	if !idle {
 		return false
 	}
@@ -68,5 +68,5 @@
 			}
 		}
 	}
-	m.Decider.ImportState(learned)
+	m.Loop.ImportState(learned)
 }
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -31,12 +31,12 @@
 
 // ReporterConfig is what a Reporter is made from.
 type ReporterConfig struct {
-	Self    cluster.MemberID
-	Maps    MapSource
-	Decider *eventloop.Loop
-	Clock   func() api.Micros // monotonic
-	Meter   *rebalance.ImpactMeter
-	Stop    <-chan struct{} // closed once the dispatcher's event loop answers no more
+	Self  cluster.MemberID
+	Maps  MapSource
+	Loop  *eventloop.Loop
+	Clock func() api.Micros // monotonic
+	Meter *rebalance.ImpactMeter
+	Stop  <-chan struct{} // closed once the dispatcher's event loop answers no more
 }
 
 // Reporter counts how webhooks end at this member. Its methods may be called concurrently.
@@ -130,7 +130,7 @@
 func (r *Reporter) learned(match func(api.DestinationID) bool) []api.DestinationState {
 	found := make(chan []api.DestinationState, 1)
 	go func() {
-		all, _ := r.Decider.ExportState(match)
+		all, _ := r.Loop.ExportState(match)
 		found <- all
 	}()
 	select {
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -44,7 +44,7 @@
 	})
 	go func() { _ = m.server.Serve(m.listener) }() // ends by Close
 	m.watchState()
-	go m.collector.Run(m.ended) // End doesn't wait for a poll in flight
+	go m.collector.Run(m.ended) // Stop doesn't wait for a poll in flight
 	m.done.Go(func() { m.runPeriodically(m.ownershipWake, m.reconcile) })
 	m.done.Go(func() { m.runPeriodically(m.handoffWake, m.handoff.Run) })
 	m.session.RunLeaseWorkload(os.Getenv)
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -45,7 +45,7 @@
 	custodyRetentionTTLs = 2               // lease TTLs by which custody records outlast what they name
 )
 
-// Member is one member of the cluster, beside its dispatcher, whose Beside it is.
+// Member is one member of the cluster: the extension of its dispatcher by which that joins it.
 type Member struct {
 	configPath string
 	self       cluster.MemberID
@@ -191,7 +191,7 @@
 		Custody:   m.custody,
 		Metrics:   &m.metrics,
 		Peers:     m.peers,
-		Decider:   d.Loop,
+		Loop:      d.Loop,
 		EventType: m.eventType,
 		Wake:      m.handoffWake.Send,
 	})
@@ -208,8 +208,8 @@
 		Custody:       m.custody,
 		Metrics:       &m.metrics,
 		Peers:         m.peers,
-		Exchange:      m.dispatcher.Inbox,
-		Decider:       m.dispatcher.Loop,
+		Inbox:         m.dispatcher.Inbox,
+		Loop:          m.dispatcher.Loop,
 		Handoffs:      m.handoff,
 		MaxClockDrift: m.file.MaxClockDrift,
 	}
@@ -220,12 +220,12 @@
 func (m *Member) wireHealth() {
 	d := m.dispatcher
 	m.reporter = health.NewReporter(health.ReporterConfig{
-		Self:    m.self,
-		Maps:    m.ownership,
-		Decider: d.Loop,
-		Clock:   m.clock,
-		Meter:   rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
-		Stop:    m.ended,
+		Self:  m.self,
+		Maps:  m.ownership,
+		Loop:  d.Loop,
+		Clock: m.clock,
+		Meter: rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
+		Stop:  m.ended,
 	})
 	m.collector = health.NewCollector(health.CollectorConfig{
 		Self:        m.self,
