--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -50,7 +50,7 @@
 	settings   *settings.Process
 	log        *zerolog.Logger
 	members    memberService
-	stateOwner *actor.Actor[agentState]
+	stateActor *actor.Actor[agentState]
 	started    time.Time
 
 	announceMutex sync.Mutex
@@ -67,7 +67,7 @@
 	now := time.Now()
 	incarnation := rand.Uint64() | 1 // never zero: a zero cursor belongs to no agent
 	a := &agent{settings: processSettings, log: log, members: members, started: now}
-	a.stateOwner = actor.Start(&agentState{
+	a.stateActor = actor.Start(&agentState{
 		updates: newPublisher(incarnation, table),
 		started: now,
 	})
@@ -87,7 +87,7 @@
 			stopping = nil
 			ticker.Reset(shutdownTickInterval)
 			event.ProgramStopping.Log(a.log).Send()
-			a.stateOwner.Send(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
+			a.stateActor.Send(func(s *agentState) { s.beginShutdown(time.Now(), a.settings.Bounds.Grace) })
 		case <-ticker.C:
 		}
 		if a.tick() {
@@ -99,7 +99,7 @@
 // tick applies what depends on time and reports whether the agent may stop.
 func (a *agent) tick() (stopped bool) {
 	proxies, synced := a.members.CountProxies(), a.isSynced()
-	stopped, _ = actor.Call(a.stateOwner, func(s *agentState) bool {
+	stopped, _ = actor.Call(a.stateActor, func(s *agentState) bool {
 		if synced && !s.updates.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
@@ -114,7 +114,7 @@
 func (a *agent) announceProxy() {
 	a.announceMutex.Lock()
 	defer a.announceMutex.Unlock()
-	current, ok := actor.Call(a.stateOwner, func(s *agentState) announcement {
+	current, ok := actor.Call(a.stateActor, func(s *agentState) announcement {
 		return announcement{state: s.proxyState(time.Now()), clientAddress: s.proxy.clientAddress}
 	})
 	if !ok || current == a.announced {
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -19,7 +19,7 @@
 func TestPoll_WaitsForAnUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
-		defer a.stateOwner.Stop()
+		defer a.stateActor.Stop()
 		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 2})
 		first := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, first.err)
@@ -50,7 +50,7 @@
 func TestApplyEntry_IgnoresUnreadableEntriesAndOldRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
-		defer a.stateOwner.Stop()
+		defer a.stateActor.Stop()
 		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5})
 		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 4})
 		for table := range a.members.subscribers {
@@ -77,7 +77,7 @@
 		stop()
 		synctest.Wait()
 		time.Sleep(time.Minute) // of the bubble's clock
-		a.stateOwner.Stop()
+		a.stateActor.Stop()
 	})
 }
 
@@ -99,7 +99,7 @@
 		assert.Equal(t, []state.MemberState{state.MemberReady, state.MemberStarting}, a.members.announced())
 		stop()
 		time.Sleep(time.Minute)
-		a.stateOwner.Stop()
+		a.stateActor.Stop()
 	})
 }
 
@@ -140,7 +140,7 @@
 			assert.Equal(t, state.MemberLeaving, a.members.announced()[len(a.members.announced())-1], test.name)
 			disconnect()
 			time.Sleep(time.Minute)
-			a.stateOwner.Stop()
+			a.stateActor.Stop()
 		})
 	}
 }
@@ -159,7 +159,7 @@
 func TestAgent_AnnouncesALeavingProxyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
-		defer a.stateOwner.Stop()
+		defer a.stateActor.Stop()
 		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 1})
 		first := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		connection, disconnect := context.WithCancel(t.Context())
@@ -173,7 +173,7 @@
 
 func TestAnnounceLeave_IgnoresUnreachableMembers(t *testing.T) {
 	a := newTestAgent(time.Second)
-	defer a.stateOwner.Stop()
+	defer a.stateActor.Stop()
 	a.members.leaveError = errors.New("unreachable")
 	a.announceLeave(t.Context())
 	assert.True(t, a.members.left)
@@ -181,14 +181,14 @@
 
 func TestPoll_FailsOnceTheAgentHasStopped(t *testing.T) {
 	a := newTestAgent(time.Second)
-	a.stateOwner.Stop()
+	a.stateActor.Stop()
 	_, err := a.server.watch(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 	assert.ErrorContains(t, err, "R0800")
 }
 
 func TestReport_HasTheActiveConfiguration(t *testing.T) {
 	a := newTestAgent(time.Second)
-	defer a.stateOwner.Stop()
+	defer a.stateActor.Stop()
 	a.members.setPeers(newProxyMember("n2", 1, state.MemberReady))
 	a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 4, Configuration: state.Configuration{Version: 9},
 		Evacuations: []state.Evacuation{{Zone: "n1", Active: true}, {Zone: "n2"}}})
--- a/serving/agent/confirmation.go
+++ b/serving/agent/confirmation.go
@@ -27,7 +27,7 @@
 		}
 		revision, confirmed := register.MajorityRevision(ctx, query, voters)
 		if confirmed {
-			a.stateOwner.Send(func(s *agentState) { s.confirmRevision(revision) })
+			a.stateActor.Send(func(s *agentState) { s.confirmRevision(revision) })
 			return
 		}
 	}
@@ -36,7 +36,7 @@
 
 // voters returns the replicas of the register that the current record names; false once the agent has stopped.
 func (a *agent) voters() (state.ReplicaSet, bool) {
-	return actor.Call(a.stateOwner, func(s *agentState) state.ReplicaSet {
+	return actor.Call(a.stateActor, func(s *agentState) state.ReplicaSet {
 		if s.updates.record == nil {
 			return state.ReplicaSet{}
 		}
--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -47,7 +47,7 @@
 // newUnconfirmedAgent returns an agent that has just started.
 func newUnconfirmedAgent() *testAgent {
 	a := newTestAgent(8 * time.Second)
-	a.stateOwner.Send(func(s *agentState) { s.confirmed = false })
+	a.stateActor.Send(func(s *agentState) { s.confirmed = false })
 	return a
 }
 
@@ -70,7 +70,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newUnconfirmedAgent()
-				defer a.stateOwner.Stop()
+				defer a.stateActor.Stop()
 				go a.confirmRecord(t.Context(), test.voters.query)
 				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				poll := a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
@@ -96,7 +96,7 @@
 func TestConfirmRecord_ReleasesTheNewestRecordAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newUnconfirmedAgent()
-		defer a.stateOwner.Stop()
+		defer a.stateActor.Stop()
 		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 		go a.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
 		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
@@ -116,7 +116,7 @@
 				defer func() {
 					stop()
 					time.Sleep(time.Minute)
-					a.stateOwner.Stop()
+					a.stateActor.Stop()
 				}()
 				voters := fakeVoters{}
 				if alone == 1 {
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -112,14 +112,14 @@
 	process := &settings.Process{NodeName: "n1-1", Regions: testRegions, Bounds: settings.Bounds{Grace: grace}}
 	table := endpoints.NewTable(endpoints.Options{Self: "n1-1", HeartbeatInterval: time.Second})
 	a := newAgent(process, &log, fake, table)
-	a.stateOwner.Send(func(s *agentState) { s.confirmRevision(0) })
+	a.stateActor.Send(func(s *agentState) { s.confirmRevision(0) })
 	forwarded := make(chan []state.Observation, 100)
 	return &testAgent{
 		agent:        a,
 		members:      fake,
 		observations: forwarded,
 		server: &subscriptionServer{
-			stateOwner:          a.stateOwner,
+			stateActor:          a.stateActor,
 			now:                 time.Now,
 			announceProxy:       a.announceProxy,
 			forwardObservations: func(observations []state.Observation) { forwarded <- observations },
--- a/serving/agent/gossipentries.go
+++ b/serving/agent/gossipentries.go
@@ -45,5 +45,5 @@
 		return
 	}
 	now := time.Now()
-	a.stateOwner.Send(func(s *agentState) { apply(s, now, value) })
+	a.stateActor.Send(func(s *agentState) { apply(s, now, value) })
 }
--- a/serving/agent/lookuphandler_test.go
+++ b/serving/agent/lookuphandler_test.go
@@ -60,7 +60,7 @@
 
 func TestIsDirectoryReady_OncePeersAreKnownOrTheDelayIsOver(t *testing.T) {
 	a := newTestAgent(time.Second)
-	defer a.stateOwner.Stop()
+	defer a.stateActor.Stop()
 	assert.False(t, a.isDirectoryReady(), "just started and without peers")
 	a.members.setPeers(newProxyMember("n2", 1, state.MemberReady))
 	assert.True(t, a.isDirectoryReady())
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -28,7 +28,7 @@
 
 // receivers returns, by endpoint ID, the member that receives the endpoint's heartbeats.
 func (a *agent) receivers(ids []string) map[string]string {
-	receivers, _ := actor.Call(a.stateOwner, func(s *agentState) map[string]string {
+	receivers, _ := actor.Call(a.stateActor, func(s *agentState) map[string]string {
 		byID := make(map[string]string, len(ids))
 		for _, id := range ids {
 			if endpoint, found := s.updates.endpoints.Get(time.Now(), id); found {
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -57,7 +57,7 @@
 func TestPoll_ForwardsObservations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(time.Second)
-		defer a.stateOwner.Stop()
+		defer a.stateActor.Stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		request := newWaitingRequest(subscription.Cursor{}, state.MemberReady)
 		request.Observations = []state.Observation{{EndpointID: "e", Failures: 1}}
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -13,7 +13,7 @@
 
 // knownEndpoints returns all endpoints in the agent's table.
 func (a *agent) knownEndpoints() []state.Endpoint {
-	endpoints, _ := actor.Call(a.stateOwner, listEndpoints)
+	endpoints, _ := actor.Call(a.stateActor, listEndpoints)
 	return endpoints
 }
 
@@ -30,7 +30,7 @@
 // report returns the agent's report for operators.
 func (a *agent) report(request introspect.Request) introspect.Report {
 	report := introspect.Report{Self: a.members.Self()}
-	data, _ := actor.Call(a.stateOwner, func(s *agentState) (data reportData) {
+	data, _ := actor.Call(a.stateActor, func(s *agentState) (data reportData) {
 		data.record = s.updates.record
 		if request.IncludeTables {
 			data.endpoints = listEndpoints(s)
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -59,34 +59,48 @@
 
 	forwarder := a.newObservationForwarder(client)
 	forward := func(observations []state.Observation) { forwarder.forward(runContext, observations) }
-	feedServer := serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
-	defer func() { _ = feedServer.Close() }()
-	if listeners.directory != nil {
-		directoryServer := serve(listeners.directory, &http.Server{
-			Handler:        a.lookupHandler(),
-			IdleTimeout:    lookupIdleTimeout,
-			MaxHeaderBytes: maxLookupHeaderBytes,
-		})
-		defer func() { _ = directoryServer.Close() }()
-	}
+	closeServers := a.serveProxyAndClients(listeners, forward)
+	defer closeServers()
 	if options.PollLoads {
-		poller := loadreport.New(loadreport.Options{
-			Zone:      options.Settings.Zone,
-			Gossip:    members,
-			Endpoints: a.knownEndpoints,
-			Log:       options.Log,
-		})
-		go poller.Run(ctx) // ends with ctx: an agent that shuts down leaves the role to others at once
+		go newLoadPoller(a, members).Run(ctx) // ends with ctx: an agent that shuts down leaves the role to others at once
 	}
 	go settings.Watch(runContext, options.SettingsPath, settings.WatchInterval, func(changed *settings.Process) {
 		members.SetSeeds(changed.Seeds)
 	})
 	a.run(ctx)
 	a.announceLeave(runContext)
-	a.stateOwner.Stop()
+	a.stateActor.Stop()
 	return nil
 }
 
+// serveProxyAndClients serves the proxy's polls and, if there is a listener for it, the directory until the returned
+// function is called.
+func (a *agent) serveProxyAndClients(listeners listeners, forward func([]state.Observation)) (closeServers func()) {
+	feedServer := serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
+	if listeners.directory == nil {
+		return func() { _ = feedServer.Close() }
+	}
+	directoryServer := serve(listeners.directory, &http.Server{
+		Handler:        a.lookupHandler(),
+		IdleTimeout:    lookupIdleTimeout,
+		MaxHeaderBytes: maxLookupHeaderBytes,
+	})
+	return func() {
+		_ = directoryServer.Close()
+		_ = feedServer.Close()
+	}
+}
+
+// newLoadPoller returns the agent's candidate for polling the loads of the zone's endpoints.
+func newLoadPoller(a *agent, members *member.Service) *loadreport.Poller {
+	return loadreport.New(loadreport.Options{
+		Zone:      a.settings.Zone,
+		Gossip:    members,
+		Endpoints: a.knownEndpoints,
+		Log:       a.log,
+	})
+}
+
 func newEndpointTable(processSettings *settings.Process) *endpoints.Table {
 	return endpoints.NewTable(endpoints.Options{
 		Self:              processSettings.NodeName,
@@ -120,7 +134,7 @@
 func (a *agent) subscriptionHandler(forwardObservations func([]state.Observation)) http.Handler {
 	mux := http.NewServeMux()
 	server := &subscriptionServer{
-		stateOwner:          a.stateOwner,
+		stateActor:          a.stateActor,
 		now:                 time.Now,
 		announceProxy:       a.announceProxy,
 		forwardObservations: forwardObservations,
--- a/serving/agent/subscriptionserver.go
+++ b/serving/agent/subscriptionserver.go
@@ -20,7 +20,7 @@
 
 // subscriptionServer answers the long polls of the proxy (subscription.Watch).
 type subscriptionServer struct {
-	stateOwner *actor.Actor[agentState]
+	stateActor *actor.Actor[agentState]
 	now        func() time.Time
 	// announceProxy announces changes of the proxy's state to other members.
 	announceProxy func()
@@ -37,12 +37,12 @@
 
 // watch implements subscription.Watch.
 func (s *subscriptionServer) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
-	s.stateOwner.Send(func(owned *agentState) { owned.proxy.pollOpened(s.now(), request) })
+	s.stateActor.Send(func(owned *agentState) { owned.proxy.pollOpened(s.now(), request) })
 	s.announceProxy()
 	s.forwardObservations(request.Observations)
 	defer func() {
 		broken := ctx.Err() != nil
-		s.stateOwner.Send(func(owned *agentState) { owned.proxy.pollClosed(s.now(), request.Incarnation, broken) })
+		s.stateActor.Send(func(owned *agentState) { owned.proxy.pollClosed(s.now(), request.Incarnation, broken) })
 	}()
 	return s.awaitUpdate(ctx, request)
 }
@@ -74,7 +74,7 @@
 
 // readUpdate returns the update since the cursor or the channel to wait on; false once the agent has stopped.
 func (s *subscriptionServer) readUpdate(since subscription.Cursor) (pollResult, bool) {
-	return actor.Call(s.stateOwner, func(owned *agentState) pollResult {
+	return actor.Call(s.stateActor, func(owned *agentState) pollResult {
 		if owned.withholdsUpdates(s.now()) {
 			return pollResult{changed: owned.updates.changed}
 		}
@@ -85,7 +85,7 @@
 
 // timeoutResponse returns the response to a poll whose wait is over.
 func (s *subscriptionServer) timeoutResponse(since subscription.Cursor) (*subscription.Response, error) {
-	response, ok := actor.Call(s.stateOwner, func(owned *agentState) *subscription.Response {
+	response, ok := actor.Call(s.stateActor, func(owned *agentState) *subscription.Response {
 		update, hasUpdate := owned.updates.updateSince(s.now(), since)
 		if hasUpdate && !owned.withholdsUpdates(s.now()) {
 			return update
