--- a/cluster/shardmap/custody_table_test.go
+++ b/cluster/shardmap/custody_table_test.go
@@ -76,46 +76,52 @@
 }
 
 func TestNewCustodyTable_RecoversDoubtOfOutstandingWebhooks(t *testing.T) {
-	out := CustodyRecord{ID: webhookID(0), Handoff: 2, Present: true, TTL: ttl, Offer: Offer{To: "b", Move: 7}}
-	table := NewCustodyTable([]CustodyRecord{out}, func(WebhookID) bool { return true })
-	o, _, _ := table.OutstandingOffer(out.ID)
-	assert.True(t, o.Uncertain)
+	offered := CustodyRecord{ID: webhookID(0), Handoff: 2, Present: true, TTL: ttl, Offer: Offer{To: "b", Move: 7}}
+	table := NewCustodyTable([]CustodyRecord{offered}, func(WebhookID) bool { return true })
+	offer, _, _ := table.OutstandingOffer(offered.ID)
+	assert.True(t, offer.Uncertain)
 	assert.Equal(t, 1, table.CountOffersOfMove(7))
-	assert.Equal(t, StayInDoubt, table.HandleReply(out.ID, 2, CustodyRejected))
-	assert.Equal(t, KeepCopy, table.HandleReply(out.ID, 2, CustodyNever))
-	table = NewCustodyTable([]CustodyRecord{out}, nothingOutstanding)
-	_, _, inDoubt := table.OutstandingOffer(out.ID)
+	assert.Equal(t, StayInDoubt, table.HandleReply(offered.ID, 2, CustodyRejected))
+	assert.Equal(t, KeepCopy, table.HandleReply(offered.ID, 2, CustodyNever))
+	table = NewCustodyTable([]CustodyRecord{offered}, nothingOutstanding)
+	_, _, inDoubt := table.OutstandingOffer(offered.ID)
 	assert.False(t, inDoubt)
 }
 
 // FuzzCustodyEncoding: what members send to each other and journal is the same when it is decoded, encoded and decoded
 // again.
 func FuzzCustodyEncoding(f *testing.F) {
-	for _, v := range []any{TransferredWebhook{ID: webhookID(0), TTL: 5, FirstRunAt: api.Never, JournalEntry: []byte("x")},
-		CustodyRecord{ID: webhookID(1), Handoff: 7, Present: true, Offer: Offer{To: "b", Move: 3, Uncertain: true}}} {
-		b, err := cbor.Marshal(v)
+	for _, v := range []any{
+		TransferredWebhook{ID: webhookID(0), TTL: 5, FirstRunAt: api.Never, JournalEntry: []byte("x")},
+		CustodyRecord{ID: webhookID(1), Handoff: 7, Present: true, Offer: Offer{To: "b", Move: 3, Uncertain: true}},
+	} {
+		raw, err := cbor.Marshal(v)
 		require.NoError(f, err)
-		f.Add(b)
+		f.Add(raw)
 	}
-	f.Fuzz(func(t *testing.T, b []byte) {
-		var c, c2 TransferredWebhook
-		if decMode.Unmarshal(b, &c) == nil {
-			raw, err := encMode.Marshal(c)
-			require.NoError(t, err)
-			require.NoError(t, decMode.Unmarshal(raw, &c2))
-			assert.Equal(t, c, c2)
-		}
-		var r, r2 CustodyRecord
-		if decMode.Unmarshal(b, &r) == nil {
-			raw, err := encMode.Marshal(r)
-			require.NoError(t, err)
-			require.NoError(t, decMode.Unmarshal(raw, &r2))
-			assert.Equal(t, r, r2)
-			NewCustodyTable([]CustodyRecord{r}, nothingOutstanding).HandleOffer(r.ID, r.Handoff, r.TTL, 0, true)
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		requireStableEncoding[TransferredWebhook](t, raw)
+		if record, ok := requireStableEncoding[CustodyRecord](t, raw); ok {
+			table := NewCustodyTable([]CustodyRecord{record}, nothingOutstanding)
+			table.HandleOffer(record.ID, record.Handoff, record.TTL, 0, true)
 		}
 	})
 }
 
+// requireStableEncoding returns the decoded value, or false if the bytes are none.
+func requireStableEncoding[T any](t *testing.T, raw []byte) (T, bool) {
+	t.Helper()
+	var value, again T
+	if decMode.Unmarshal(raw, &value) != nil {
+		return value, false
+	}
+	encoded, err := encMode.Marshal(value)
+	require.NoError(t, err)
+	require.NoError(t, decMode.Unmarshal(encoded, &again))
+	assert.Equal(t, value, again)
+	return value, true
+}
+
 func TestCustodyTable_OfferInDoubtGoesToNobodyElse(t *testing.T) {
 	id, table := webhookID(0), NewCustodyTable(nil, nothingOutstanding)
 	number, ok := table.BeginOffer(id, ttl, Offer{To: "b", Incarnation: 1})
--- a/cluster/shardmap/failover_test.go
+++ b/cluster/shardmap/failover_test.go
@@ -14,64 +14,79 @@
 func TestFailoverPlanner_ChoosesLiveMembersBelowTheirBound(t *testing.T) {
 	const ttl = api.Micros(1000)
 	rapid.Check(t, func(t *rapid.T) {
-		n, members, alive := rapid.IntRange(1, 12).Draw(t, "ranges"), []Candidate{}, map[cluster.MemberID]bool{}
-		hasCapacity := false
-		for _, m := range []cluster.MemberID{"a", "b", "c", "d"} {
-			alive[m] = rapid.Bool().Draw(t, "alive")
-			members = append(members, Candidate{MemberWeight{m, float64(rapid.IntRange(0, 3).Draw(t, "weight"))},
-				rapid.IntRange(0, 6).Draw(t, "max ranges")})
-			last := members[len(members)-1]
-			hasCapacity = hasCapacity || alive[m] && last.MaxRanges == 0 && last.Weight > 0
-		}
-		all, err := EvenRanges(n, []MemberWeight{{"a", 1}, {"b", 1}})
+		n := rapid.IntRange(1, 12).Draw(t, "ranges")
+		candidates, alive, hasCapacity := drawCandidates(t)
+		ranges, err := EvenRanges(n, []MemberWeight{{"a", 1}, {"b", 1}})
 		require.NoError(t, err)
-		l, m := fakeLeases{map[cluster.Resource]cluster.MemberID{}, nil}, &Map{Ranges: all}
-		has := map[cluster.MemberID]int{}
-		for i := range all {
-			if has[all[i].Owner]++; rapid.Bool().Draw(t, "held") {
-				l.holders[cluster.RangeOwnerResource(all[i].ID)] = all[i].Owner
+		leases, m := newFakeLeases(), &Map{Ranges: ranges}
+		owned := map[cluster.MemberID]int{}
+		for i := range ranges {
+			owned[ranges[i].Owner]++
+			if rapid.Bool().Draw(t, "held") {
+				leases.grant(ranges[i].ID, ranges[i].Owner)
 			}
-			all[i].Status = OwnerStatus(rapid.IntRange(0, 1).Draw(t, "standing"))
+			ranges[i].Status = OwnerStatus(rapid.IntRange(0, 1).Draw(t, "status"))
+		}
+		isHeld := func(id cluster.RangeID) bool {
+			_, _, _, held := leases.Holder(cluster.RangeOwnerResource(id))
+			return held
 		}
-		v, first := NewFailoverPlanner(ttl), map[cluster.RangeID]bool{}
-		for _, take := range v.PlanTakeovers(m, l, alive, members, 1) {
-			r, _ := m.RangeByID(take.Range)
+
+		planner, takenAtOnce := NewFailoverPlanner(ttl), map[cluster.RangeID]bool{}
+		for _, takeover := range planner.PlanTakeovers(m, leases, alive, candidates, 1) {
+			r, _ := m.RangeByID(takeover.Range)
 			require.Equal(t, OwnerServing, r.Status, "an owner that never served is waited for")
-			first[r.ID] = true
+			takenAtOnce[r.ID] = true
 		}
-		for _, r := range all {
-			_, held := l.holders[cluster.RangeOwnerResource(r.ID)]
-			hasServed := r.Status == OwnerServing
-			if !held && !alive[r.Owner] && hasServed && hasCapacity {
-				require.True(t, first[r.ID], "an owner that served had its whole TTL")
+		for _, r := range ranges {
+			if !isHeld(r.ID) && !alive[r.Owner] && r.Status == OwnerServing && hasCapacity {
+				require.True(t, takenAtOnce[r.ID], "an owner that served had its whole TTL")
 			}
 		}
+
 		taken := map[cluster.RangeID]bool{}
-		for _, take := range v.PlanTakeovers(m, l, alive, members, 1+initialOwnerGrace*ttl) {
-			_, held := l.holders[cluster.RangeOwnerResource(take.Range)]
-			require.False(t, held || alive[take.PreviousOwner] || taken[take.Range])
-			require.True(t, alive[take.NewOwner])
-			taken[take.Range] = true
-			has[take.PreviousOwner]--
-			has[take.NewOwner]++
+		for _, takeover := range planner.PlanTakeovers(m, leases, alive, candidates, 1+initialOwnerGrace*ttl) {
+			require.False(t, isHeld(takeover.Range) || alive[takeover.PreviousOwner] || taken[takeover.Range])
+			require.True(t, alive[takeover.NewOwner])
+			taken[takeover.Range] = true
+			owned[takeover.PreviousOwner]--
+			owned[takeover.NewOwner]++
 		}
-		for _, a := range members {
-			if a.Weight == 0 && a.Member > "b" {
-				require.Zero(t, has[a.Member])
+		for _, candidate := range candidates {
+			if candidate.Member <= "b" { // the first owners
+				continue
 			}
-			if a.MaxRanges > 0 && a.Member > "b" {
-				require.LessOrEqual(t, has[a.Member], a.MaxRanges)
+			if candidate.Weight == 0 {
+				require.Zero(t, owned[candidate.Member])
+			}
+			if candidate.MaxRanges > 0 {
+				require.LessOrEqual(t, owned[candidate.Member], candidate.MaxRanges)
 			}
 		}
 	})
 }
 
+// drawCandidates draws four candidates, which of them are alive, and whether one of these has no bound.
+func drawCandidates(t *rapid.T) (candidates []Candidate, alive map[cluster.MemberID]bool, hasCapacity bool) {
+	alive = map[cluster.MemberID]bool{}
+	for _, member := range []cluster.MemberID{"a", "b", "c", "d"} {
+		alive[member] = rapid.Bool().Draw(t, "alive")
+		weight := float64(rapid.IntRange(0, 3).Draw(t, "weight"))
+		candidate := Candidate{MemberWeight{member, weight}, rapid.IntRange(0, 6).Draw(t, "max ranges")}
+		candidates = append(candidates, candidate)
+		hasCapacity = hasCapacity || alive[member] && candidate.MaxRanges == 0 && weight > 0
+	}
+	return candidates, alive, hasCapacity
+}
+
 const day api.Micros = 86_400_000_000
 
 func drawMicros(t *rapid.T, name string) api.Micros {
+	t.Helper()
 	return api.Micros(rapid.Int64Range(1, int64(day)).Draw(t, name))
 }
 
+// noLeases implements LeaseHolders without any lease.
 type noLeases struct{}
 
 func (noLeases) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
@@ -89,8 +104,8 @@
 		{ID: 5, From: 30, To: 30, Owner: "b", Status: OwnerServing, SplitOff: true},
 		{ID: 6, From: 31, To: ^cluster.KeyHash(0), Owner: "b", Status: OwnerServing, SplitOff: true},
 	}}
-	members := []Candidate{{MemberWeight{"a", 1}, 2}, {MemberWeight{"b", 1}, 2}, {MemberWeight{"c", 0.1}, 1}}
+	candidates := []Candidate{{MemberWeight{"a", 1}, 2}, {MemberWeight{"b", 1}, 2}, {MemberWeight{"c", 0.1}, 1}}
 	alive := map[cluster.MemberID]bool{"b": true, "c": true}
 	assert.Equal(t, []Takeover{{1, "a", "b"}, {2, "a", "b"}, {3, "a", "b"}},
-		NewFailoverPlanner(1).PlanTakeovers(m, noLeases{}, alive, members, 5))
+		NewFailoverPlanner(1).PlanTakeovers(m, noLeases{}, alive, candidates, 5))
 }
--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -17,31 +17,34 @@
 
 func TestEvenRanges_CoverEachKeyOnceAndFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, members, total := rapid.IntRange(1, 300).Draw(t, "n"), []MemberWeight{}, 0.0
-		for i, w := range rapid.SliceOfN(rapid.Float64Range(0, 10), 1, 6).Draw(t, "weights") {
-			w = math.Round(w)
-			members, total = append(members, MemberWeight{cluster.MemberID(rune('a' + i)), w}), total+w
+		n := rapid.IntRange(1, 300).Draw(t, "n")
+		var members []MemberWeight
+		total := 0.0
+		for i, weight := range rapid.SliceOfN(rapid.Float64Range(0, 10), 1, 6).Draw(t, "weights") {
+			weight = math.Round(weight)
+			members = append(members, MemberWeight{cluster.MemberID(rune('a' + i)), weight})
+			total += weight
 		}
-		all, err := EvenRanges(n, members)
+		ranges, err := EvenRanges(n, members)
 		if total == 0 {
 			require.Error(t, err)
 			return
 		}
 		require.NoError(t, err)
-		m := Map{Ranges: all, NextID: cluster.RangeID(n + 1)}
+		m := Map{Ranges: ranges, NextID: cluster.RangeID(n + 1)}
 		require.NoError(t, m.validate())
-		has, changes := map[cluster.MemberID]int{}, 0
-		for i, r := range all {
-			has[r.Owner]++
-			assert.InDelta(t, float64(all[0].To-all[0].From), float64(r.To-r.From), float64(n)*2+1e6)
-			if i > 0 && all[i-1].Owner != r.Owner {
-				changes++
+		owned, ownerChanges := map[cluster.MemberID]int{}, 0
+		for i, r := range ranges {
+			owned[r.Owner]++
+			assert.InDelta(t, float64(ranges[0].To-ranges[0].From), float64(r.To-r.From), float64(n)*2+1e6)
+			if i > 0 && ranges[i-1].Owner != r.Owner {
+				ownerChanges++
 			}
 		}
-		for _, w := range members {
-			assert.InDelta(t, w.Weight/total*float64(n), has[w.Member], 1)
+		for _, member := range members {
+			assert.InDelta(t, member.Weight/total*float64(n), owned[member.Member], 1)
 		}
-		assert.Equal(t, len(has)-1, changes, "the ranges of a member are adjacent")
+		assert.Equal(t, len(owned)-1, ownerChanges, "the ranges of a member are adjacent")
 	})
 }
 
@@ -51,6 +54,21 @@
 	epochs  map[cluster.Resource]cluster.Epoch
 }
 
+func newFakeLeases() fakeLeases {
+	return fakeLeases{
+		holders: map[cluster.Resource]cluster.MemberID{},
+		epochs:  map[cluster.Resource]cluster.Epoch{},
+	}
+}
+
+// grant grants the lease on a range to a member, by the next epoch.
+func (l fakeLeases) grant(id cluster.RangeID, member cluster.MemberID) {
+	resource := cluster.RangeOwnerResource(id)
+	l.holders[resource] = member
+	l.epochs[resource]++
+}
+
+// Holder implements LeaseHolders.
 func (l fakeLeases) Holder(t cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
 	member, held := l.holders[t]
 	return 1, member, l.epochs[t], held
@@ -98,7 +116,7 @@
 			member = r.Owner
 		}
 		if _, held := l.holders[lease]; !held {
-			l.holders[lease], l.epochs[lease] = member, l.epochs[lease]+1
+			l.grant(r.ID, member)
 		}
 	case n < 5 && !r.Move.IsOpen():
 		return coordinator.FailOver([]Takeover{{r.ID, r.Owner, member}}), false
@@ -122,71 +140,101 @@
 	return c, false
 }
 
+// mapVersions is a map with all of its versions that members may still have.
+type mapVersions struct {
+	*Map
+	leases fakeLeases
+	old    []*Map
+	// oldest is the least version that each member may serve by: that which it confirmed ownership by.
+	oldest map[cluster.MemberID]cluster.Version
+}
+
+func newMapVersions(t *testing.T) *mapVersions {
+	t.Helper()
+	leases := newFakeLeases()
+	v := &mapVersions{Map: New(leases), leases: leases, oldest: map[cluster.MemberID]cluster.Version{}}
+	_, err := v.Apply(1, Coordinator(1).Initialize(1, []MemberWeight{{"a", 1}}).Body)
+	require.NoError(t, err)
+	v.old = append(v.old, copyOf(t, v.Map))
+	return v
+}
+
+// applyRandom applies a random command, if the log would accept it. It returns false if it is rejected or fenced.
+func (v *mapVersions) applyRandom(t *testing.T, random *rand.Rand) bool {
+	t.Helper()
+	r := v.Ranges[random.IntN(len(v.Ranges))]
+	seen := v.old[max(0, len(v.old)-1-random.IntN(6))]
+	command, ofOwner := randomCommand(random, v.Map, v.leases, r, seen)
+	resource := cluster.RangeOwnerResource(r.ID)
+	holder, held := v.leases.holders[resource]
+	if command.FencedBy == resource && !held {
+		return false // cluster.ErrFenced
+	}
+	isOutdated := ofOwner && seen.Version < v.oldest[holder]
+	if command.Body == nil || isOutdated {
+		return true
+	}
+	if _, err := v.Apply(uint64(v.Version)+1, command.Body); err != nil {
+		require.Equal(t, v.old[len(v.old)-1], copyOf(t, v.Map), "a rejected command changes nothing")
+		return false
+	}
+	require.NoError(t, v.validate())
+	v.old = append(v.old, copyOf(t, v.Map))
+	if ofOwner {
+		v.oldest[holder] = max(v.oldest[holder], seen.Version)
+	}
+	return true
+}
+
+// servers returns the members that serve by any version that they may still have.
+func (v *mapVersions) servers(decide func(*Map, LocalMember) Decision) map[cluster.MemberID]bool {
+	servers := map[cluster.MemberID]bool{}
+	for _, version := range v.old {
+		for _, member := range []cluster.MemberID{"a", "b", "c"} {
+			maySee := version.Version >= v.oldest[member]
+			if maySee && decide(version, v.leases.localMember(member)).Action == Serve {
+				servers[member] = true
+			}
+		}
+	}
+	return servers
+}
+
 // Random commands, on a log whose leases are held by one member at a time. Each member serves by any map that is as new as
 // the one it confirmed ownership by. Then no two members serve a key, whatever is split, merged, moved and lost.
 func TestMap_NoTwoMembersServeAKeyByAnyVersions(t *testing.T) {
-	random, who := rand.New(rand.NewPCG(35, 3)), []cluster.MemberID{"a", "b", "c"}
-	served, done := 0, map[string]int{}
+	random := rand.New(rand.NewPCG(35, 3))
+	served, seen := 0, map[string]int{}
 	for range 1500 {
-		l := fakeLeases{map[cluster.Resource]cluster.MemberID{}, map[cluster.Resource]cluster.Epoch{}}
-		m := New(l)
-		_, err := m.Apply(1, Coordinator(1).Initialize(1, []MemberWeight{{"a", 1}}).Body)
-		require.NoError(t, err)
-		old, least := []*Map{copyOf(t, m)}, map[cluster.MemberID]cluster.Version{}
+		v := newMapVersions(t)
 		for range 70 {
-			r, seen := m.Ranges[random.IntN(len(m.Ranges))], old[max(0, len(old)-1-random.IntN(6))]
-			c, home := randomCommand(random, m, l, r, seen)
-			holder, held := l.holders[cluster.RangeOwnerResource(r.ID)]
-			if c.FencedBy == cluster.RangeOwnerResource(r.ID) && !held {
-				continue // cluster.ErrFenced
-			}
-			isOutdated := home && seen.Version < least[holder]
-			if c.Body != nil && !isOutdated {
-				if _, err := m.Apply(uint64(m.Version)+1, c.Body); err != nil {
-					require.Equal(t, old[len(old)-1], copyOf(t, m), "a rejected command changes nothing")
-					continue
-				}
-				require.NoError(t, m.validate())
-				if old = append(old, copyOf(t, m)); home {
-					least[holder] = max(least[holder], seen.Version)
-				}
+			if !v.applyRandom(t, random) {
+				continue
 			}
-			for _, r := range m.Ranges {
-				serves := map[cluster.MemberID]bool{}
-				for _, by := range old {
-					for _, w := range who {
-						if by.Version >= least[w] && by.DecideKey(l.localMember(w), r.From).Action == Serve {
-							serves[w] = true
-						}
-					}
-				}
-				require.LessOrEqual(t, len(serves), 1, "of %+v", r)
-				served += len(serves)
-				done[fmt.Sprint("step ", r.Move.Step)]++
+			for _, r := range v.Ranges {
+				servers := v.servers(func(m *Map, member LocalMember) Decision { return m.DecideKey(member, r.From) })
+				require.LessOrEqual(t, len(servers), 1, "of %+v", r)
+				served += len(servers)
+				seen[fmt.Sprint("step ", r.Move.Step)]++
 			}
-			for d := range api.DestinationID(3) {
-				serves := map[cluster.MemberID]bool{}
-				for _, by := range old {
-					for _, w := range who {
-						if by.Version >= least[w] && by.DecideDestination(l.localMember(w), d+1).Action == Serve {
-							serves[w] = true
-						}
-					}
-				}
-				require.LessOrEqual(t, len(serves), 1, "of destination %d, misplaced %+v", d+1, m.Misplaced)
-				done["misplaced"] += len(m.MisplacedOf(d + 1))
+			for destination := api.DestinationID(1); destination <= 3; destination++ {
+				servers := v.servers(func(m *Map, member LocalMember) Decision {
+					return m.DecideDestination(member, destination)
+				})
+				require.LessOrEqual(t, len(servers), 1, "of destination %d, misplaced %+v", destination, v.Misplaced)
+				seen["misplaced"] += len(v.MisplacedOf(destination))
 			}
 		}
 	}
-	t.Logf("served %d times, seen at %v", served, done)
+	t.Logf("served %d times, seen at %v", served, seen)
 	assert.Positive(t, served)
 }
 
 func TestMap_SplitAndMergeRestoreTheRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		home := cluster.RangeOwnerResource(1)
-		l := fakeLeases{map[cluster.Resource]cluster.MemberID{home: "a"}, map[cluster.Resource]cluster.Epoch{home: 1}}
-		m := New(l)
+		leases := newFakeLeases()
+		leases.grant(1, "a")
+		m := New(leases)
 		at := cluster.KeyHash(rapid.Uint64Min(1).Draw(t, "at"))
 		apply := func(index uint64, c cluster.Command) {
 			_, err := m.Apply(index, c.Body)
@@ -199,7 +247,7 @@
 		r, ok := m.RangeOf(key)
 		require.True(t, ok)
 		assert.Equal(t, key >= at, r.ID == 2)
-		l.holders[cluster.RangeOwnerResource(2)], l.epochs[cluster.RangeOwnerResource(2)] = "a", 1
+		leases.grant(2, "a")
 		apply(4, ConfirmOwner(2, "a", 1, 3))
 		apply(5, Coordinator(1).Merge(1, 2))
 		require.Len(t, m.Ranges, 1)
--- a/cluster/shardmap/move_test.go
+++ b/cluster/shardmap/move_test.go
@@ -10,13 +10,20 @@
 
 // mapWithMove returns a map whose only range moves from a to b; the move has the id 3.
 func mapWithMove(step MoveStep) *Map {
-	home, m := cluster.MemberID("a"), New(nil)
+	owner := cluster.MemberID("a")
 	if step == StepSwitched {
-		home = "b"
+		owner = "b"
 	}
+	m := New(nil)
 	m.Version = 9
-	m.Ranges = []Range{{ID: 1, To: ^cluster.KeyHash(0), Owner: home, Epoch: 4, Status: OwnerServing,
-		Move: Move{ID: 3, From: "a", To: "b", Step: step}}}
+	m.Ranges = []Range{{
+		ID:     1,
+		To:     maxKeyHash,
+		Owner:  owner,
+		Epoch:  4,
+		Status: OwnerServing,
+		Move:   Move{ID: 3, From: "a", To: "b", Step: step},
+	}}
 	return m
 }
 
--- a/cluster/shardmap/snapshot_test.go
+++ b/cluster/shardmap/snapshot_test.go
@@ -11,19 +11,26 @@
 
 // FuzzMap: arbitrary bytes are rejected, or are a consistent map, which stays consistent under any command.
 func FuzzMap(f *testing.F) {
-	m := New(fakeLeases{map[cluster.Resource]cluster.MemberID{}, map[cluster.Resource]cluster.Epoch{}})
-	commands := [][]byte{Coordinator(1).Initialize(3, []MemberWeight{{"a", 1}, {"b", 1}}).Body, Coordinator(1).Split(1, 9).Body,
-		ConfirmOwner(1, "a", 1, 1).Body, Coordinator(1).PlanMove(1, "a", "b").Body, SwitchOwner(4, 1, "b", 2).Body,
-		ClearMove(4, "a").Body}
-	for i, c := range commands {
-		_, _ = m.Apply(uint64(i+1), c)
-		b, err := m.Snapshot()
+	m := New(newFakeLeases())
+	commands := []cluster.Command{
+		Coordinator(1).Initialize(3, []MemberWeight{{"a", 1}, {"b", 1}}),
+		Coordinator(1).Split(1, 9),
+		ConfirmOwner(1, "a", 1, 1),
+		Coordinator(1).PlanMove(1, "a", "b"),
+		SwitchOwner(4, 1, "b", 2),
+		ClearMove(4, "a"),
+	}
+	for i, command := range commands {
+		_, _ = m.Apply(uint64(i+1), command.Body) // some are rejected
+		snapshot, err := m.Snapshot()
 		require.NoError(f, err)
-		f.Add(b, c)
+		f.Add(snapshot, command.Body)
 	}
 	f.Fuzz(func(t *testing.T, snapshot, command []byte) {
-		home := cluster.RangeOwnerResource(1)
-		m := New(fakeLeases{map[cluster.Resource]cluster.MemberID{home: "b"}, map[cluster.Resource]cluster.Epoch{home: 2}})
+		leases := newFakeLeases()
+		leases.grant(1, "a")
+		leases.grant(1, "b")
+		m := New(leases)
 		if m.Restore(snapshot) != nil {
 			require.Empty(t, m.Ranges)
 		}
@@ -41,22 +48,24 @@
 }
 
 func TestMap_RestoreRejectsInconsistentMoves(t *testing.T) {
-	sound := Map{Version: 9, NextID: 2, Ranges: []Range{{ID: 1, To: ^cluster.KeyHash(0), Owner: "a"}}}
-	for name, spoil := range map[string]func(m *Map){
-		"left and not switched": func(m *Map) { m.DetachedMoves = []Move{{ID: 4, From: "a", To: "b", Step: StepHandoff}} },
-		"one id twice": func(m *Map) {
+	valid := Map{Version: 9, NextID: 2, Ranges: []Range{{ID: 1, To: ^cluster.KeyHash(0), Owner: "a"}}}
+	for name, damage := range map[string]func(m *Map){
+		"detached and not switched": func(m *Map) {
+			m.DetachedMoves = []Move{{ID: 4, From: "a", To: "b", Step: StepHandoff}}
+		},
+		"duplicate id": func(m *Map) {
 			m.Ranges[0].Move = Move{ID: 4, From: "a", To: "b", Step: StepHandoff}
 			m.DetachedMoves = []Move{{ID: 4, From: "a", To: "b", Step: StepSwitched}}
 		},
 		"no id": func(m *Map) { m.Ranges[0].Move = Move{From: "a", To: "b", Step: StepHandoff} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := Map{Version: 9, NextID: 2, Ranges: []Range{sound.Ranges[0]}}
-			spoil(&m)
-			b, err := m.Snapshot()
+			m := Map{Version: 9, NextID: 2, Ranges: []Range{valid.Ranges[0]}}
+			damage(&m)
+			snapshot, err := m.Snapshot()
 			require.NoError(t, err)
 			other := New(fakeLeases{})
-			assert.Error(t, other.Restore(b))
+			assert.Error(t, other.Restore(snapshot))
 			assert.NotPanics(t, func() { _, _ = other.Apply(10, SwitchOwner(4, 1, "b", 1).Body) })
 		})
 	}
