--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -86,9 +86,9 @@
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		require.Len(t, f.entries(), 3)
-		told, err := endpoints.Decode(f.entries()[2].Value)
+		gossiped, err := endpoints.Decode(f.entries()[2].Value)
 		require.NoError(t, err)
-		assert.Equal(t, state.EndpointDeparted, told.State)
+		assert.Equal(t, state.EndpointDeparted, gossiped.State)
 		assert.True(t, endpoints.IsTombstone(f.entries()[2].Value))
 	})
 }
--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -30,18 +30,18 @@
 type world struct {
 	now     time.Time
 	tables  map[string]*Table
-	spread  map[string]map[string]state.Endpoint // newest stored version, by member and endpoint
+	stored  map[string]map[string]state.Endpoint // newest stored version, by member and endpoint
 	message int
 	faultAt func(message int) fault
 	inDelay map[int][]func()
 }
 
 func newWorld(faultAt func(int) fault) *world {
-	w := &world{now: epoch, tables: map[string]*Table{}, spread: map[string]map[string]state.Endpoint{},
+	w := &world{now: epoch, tables: map[string]*Table{}, stored: map[string]map[string]state.Endpoint{},
 		faultAt: faultAt, inDelay: map[int][]func(){}}
 	for _, name := range []string{"core-1", "core-2", "agent"} {
 		w.tables[name] = NewTable(Options{Self: name, HeartbeatInterval: testInterval})
-		w.spread[name] = map[string]state.Endpoint{}
+		w.stored[name] = map[string]state.Endpoint{}
 	}
 	return w
 }
@@ -95,11 +95,11 @@
 
 // put is a member's gossip, which applies only newer versions to the table.
 func (w *world) put(member string, endpoint state.Endpoint) {
-	stored, known := w.spread[member][endpoint.ID]
+	stored, known := w.stored[member][endpoint.ID]
 	if known && !isNewer(endpoint, stored) {
 		return
 	}
-	w.spread[member][endpoint.ID] = endpoint
+	w.stored[member][endpoint.ID] = endpoint
 	w.tables[member].Merge(w.now, endpoint)
 }
 
@@ -127,7 +127,7 @@
 
 // isStoredElsewhere reports whether another member knows that the endpoint accepts no more requests.
 func (w *world) isStoredElsewhere(member string, endpoint state.Endpoint) bool {
-	for other, stored := range w.spread {
+	for other, stored := range w.stored {
 		if other != member && stored[endpoint.ID].State >= endpoint.State {
 			return true
 		}
@@ -143,9 +143,9 @@
 				w.put(name, endpoint)
 			}
 		}
-		for _, from := range w.spread {
+		for _, from := range w.stored {
 			for _, endpoint := range from {
-				for to := range w.spread {
+				for to := range w.stored {
 					w.put(to, endpoint)
 				}
 			}
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -17,7 +17,7 @@
 	Draining        bool
 	Sequence        uint64        // the endpoint's count of its calls
 	WarmupLeft      time.Duration // until it is warmed up
-	RemovalIn       time.Duration // until it is taken away; 0: not reported
+	RemovalIn       time.Duration // until its announced removal; 0: none announced
 	Models          []state.Model
 }
 
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -149,7 +149,7 @@
 	e.changePosition = t.position
 }
 
-// recordBroadcast notes that the present state of an entry is exchanged with the other members.
+// recordBroadcast records that the present state of an entry is exchanged with the other members.
 func (t *Table) recordBroadcast(e *entry) {
 	major, minor := Version(e.endpoint)
 	e.broadcast = broadcastState{
--- a/serving/gossip/engine_test.go
+++ b/serving/gossip/engine_test.go
@@ -14,7 +14,7 @@
 var startTime = time.Unix(1000, 0)
 
 // tombstoneValue is the value of tombstones.
-var tombstoneValue = []byte("gone")
+var tombstoneValue = []byte("deleted")
 
 // newTestEngine returns an engine of member 0 in zone z0 with peers spread over the zones z0 and z1 of its region and y0
 // of another.
@@ -134,7 +134,7 @@
 	end.Value = tombstoneValue
 	e.PutLocal(startTime, end)
 	e.TakeOutgoing(startTime.Add(TombstoneRetention - time.Second))
-	assert.Equal(t, 1, e.Len(TableEndpoints), "kept for repairs")
+	assert.Equal(t, 1, e.Len(TableEndpoints), "retained for repairs")
 	after := startTime.Add(TombstoneRetention + sweepInterval)
 	e.TakeOutgoing(after)
 	assert.Zero(t, e.Len(TableEndpoints))
--- a/serving/loadreport/encoding_test.go
+++ b/serving/loadreport/encoding_test.go
@@ -1,23 +1,16 @@
 package loadreport
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms compares the encoding of the package's messages with the golden file, so that a rename in Go can't
 // change how reports of endpoints are read.
 func TestEncodedForms(t *testing.T) {
-	golden, err := os.ReadFile(filepath.Join("testdata", "encoded_forms.golden"))
-	require.NoError(t, err)
-	forms := wireschema.Describe(wireschema.JSON,
+	encodedforms.AssertGolden(t, wireschema.JSON,
 		report{},
 	)
-	assert.Equal(t, string(golden), forms)
 }
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -80,10 +80,10 @@
 func TestSelectEndpoints_AcceptingModelsOfTheZone(t *testing.T) {
 	members := &fakeGossip{}
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
-	elsewhere, plain, closing, silent := good, good, good, good
-	elsewhere.Zone, plain.Models, closing.State, silent.Unresponsive = "n2", nil, state.EndpointDraining, true
-	chosen := newPoller(members, elsewhere, plain, good, closing, silent).selectEndpoints()
-	assert.Equal(t, []state.Endpoint{good}, chosen)
+	otherZone, withoutModel, draining, unresponsive := good, good, good, good
+	otherZone.Zone, withoutModel.Models, draining.State, unresponsive.Unresponsive = "n2", nil, state.EndpointDraining, true
+	selected := newPoller(members, otherZone, withoutModel, good, draining, unresponsive).selectEndpoints()
+	assert.Equal(t, []state.Endpoint{good}, selected)
 }
 
 // TestPollOnce_IgnoresFaultyResponses injects each fault in turn; a healthy endpoint is polled all the same.
--- a/serving/member/entries.go
+++ b/serving/member/entries.go
@@ -41,7 +41,7 @@
 	return value, errors.Wrapf(err, "decode entry %q", entry.Key)
 }
 
-// endpointState is the part of an encoded state.Endpoint that says whether it is gone.
+// endpointState is the part of an encoded state.Endpoint that says whether it has departed.
 type endpointState struct {
 	State state.EndpointState `cbor:"7,keyasint"`
 }
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -129,11 +129,11 @@
 	require.NoError(f, err)
 	self, err := memberEntry(newFuzzMember("self", "z9"))
 	require.NoError(f, err)
-	word, err := suspicionEntry(membership.Suspicion{Member: "c", Watcher: "self", Revision: 3})
+	suspicion, err := suspicionEntry(membership.Suspicion{Member: "c", Watcher: "self", Revision: 3})
 	require.NoError(f, err)
 	claim, err := claimEntry(singleton.Claim{Role: "repair", Holder: "nobody", Epoch: 1 << 40})
 	require.NoError(f, err)
-	for _, entry := range []gossip.Entry{member, self, word, claim} {
+	for _, entry := range []gossip.Entry{member, self, suspicion, claim} {
 		f.Add(uint8(entry.Table), entry.Key, entry.Version.Major, entry.Version.Minor, entry.Value)
 	}
 	f.Add(uint8(gossip.TableEndpoints), "e", uint64(1), uint64(8), []byte{0xa1, 7, 2})
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -280,9 +280,9 @@
 // find a difference at each heartbeat until it has retained the departed member as long as they have.
 func TestNode_LateMemberExpiresWithOthers(t *testing.T) {
 	s := newConvergedSimulation(t, 5, 10, threeZones)
-	gone, left, late := s.nodes[8], s.nodes[7], s.nodes[5]
+	dead, left, late := s.nodes[8], s.nodes[7], s.nodes[5]
 	s.kill(late)
-	s.powerOff(gone)
+	s.powerOff(dead)
 	left.node.updateSelf(s.now, func(member *state.Member) { member.State = state.MemberLeft })
 	s.run(time.Second)
 	s.kill(left)
@@ -290,7 +290,7 @@
 	s.start(late)
 	s.run(13 * time.Second)
 	for _, n := range s.runningNodes() {
-		for _, name := range []string{gone.member.Name, left.member.Name} {
+		for _, name := range []string{dead.member.Name, left.member.Name} {
 			_, known := n.node.members.Member(name)
 			assert.False(t, known, "%s still knows %s", n.member.Name, name)
 		}
--- a/serving/member/service_test.go
+++ b/serving/member/service_test.go
@@ -55,18 +55,14 @@
 	client := rpc.NewClient()
 	self := state.Member{Name: fmt.Sprintf("member-%d", i), Role: role, Zone: fmt.Sprintf("z%d", i%2),
 		Region: "r", Address: process.InnerAddress(), State: state.MemberReady}
-	mesh, err := Start(context.Background(),
+	service, err := Start(context.Background(),
 		Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
 	require.NoError(t, err)
-	started := processOf(mesh, server, client)
+	started := &testProcess{service: service, server: server, client: client}
 	t.Cleanup(started.stop)
 	return started
 }
 
-func processOf(mesh *Service, server *http.Server, client *rpc.Client) *testProcess {
-	return &testProcess{service: mesh, server: server, client: client}
-}
-
 // stop ends a member without notifying the others.
 func (p *testProcess) stop() {
 	_ = p.server.Close()
--- a/serving/membership/heartbeat.go
+++ b/serving/membership/heartbeat.go
@@ -14,7 +14,7 @@
 type HeartbeatAck struct {
 	// Unknown says that the watcher lacks this version of the member, which is to send its own entry.
 	Unknown bool `cbor:"1,keyasint,omitempty"`
-	// RefuteAbove is the highest Sequence under which the member was suspected or taken for down. The member refutes
+	// RefuteAbove is the highest Sequence under which the member was suspected or marked as down. The member refutes
 	// that with a higher one, see Table.Refute. Zero: there is nothing to refute.
 	RefuteAbove uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -57,7 +57,8 @@
 	return HeartbeatAck{Unknown: heartbeat.Sequence > tracked.member.Sequence}
 }
 
-// DownNotice returns what a member that has just answered a call has to be told: to refute, if it was taken for down.
+// DownNotice returns the acknowledgement for a member that has just answered a call: it asks the member to refute that it is
+// down, if it is marked so.
 func (t *Table) DownNotice(name string) HeartbeatAck {
 	tracked, ok := t.members[name]
 	if !ok || tracked.downSince.IsZero() {
--- a/serving/membership/partition.go
+++ b/serving/membership/partition.go
@@ -10,7 +10,7 @@
 // zoneProbePeriod is how long a zone is probed before it counts as unreachable.
 const zoneProbePeriod = 900 * time.Millisecond
 
-// evaluateZones marks all members of zones as down that the local zone can't reach any more. In a zone that is cut off,
+// evaluateZones marks all members of zones as down that the local zone can't reach any more. In a partitioned zone,
 // members elsewhere have watchers whose suspicions don't arrive there, and which count as voters all the same; some
 // members are watched by such watchers alone. So evaluateZones looks for a set of other zones from which nobody outside
 // the set receives anything. The few members of a zone that are watched from outside may have died by themselves: the
--- a/serving/membership/ring.go
+++ b/serving/membership/ring.go
@@ -72,7 +72,7 @@
 type zoneLocation struct{ zone, region string }
 
 // remoteZone returns the zone of another region in which a member prefers a watcher; empty where there is none. The
-// members of a zone have different ones, so that each zone that isn't cut off receives heartbeats of some of them.
+// members of a zone have different ones, so that each zone that isn't partitioned receives heartbeats of some of them.
 func (t *Table) remoteZone(watched *trackedMember) string {
 	var otherRegions []string
 	for _, location := range t.zones {
@@ -96,7 +96,7 @@
 	}
 }
 
-// invalidateRing discards what was derived from the ring after a member has come, gone or changed its state.
+// invalidateRing discards what was derived from the ring after a member was added, removed or has changed its state.
 func (t *Table) invalidateRing() {
 	t.ringMembers = nil
 	t.watchedStale = true
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -1,6 +1,6 @@
 // Package membership is the system's failure detector: it knows which members are alive, down or have left. Every
 // member sends heartbeats to a few watchers, which its position on a hash ring determines; a member that the majority
-// of its watchers suspects is down. Versions of members and suspicions are spread by gossip and refuted by a higher
+// of its watchers suspects is down. Versions of members and suspicions are gossiped; a suspicion is refuted by a higher
 // sequence, as in SWIM (Das, Gupta and Motivala, 2002, section 4.2). The package does no I/O: times are arguments.
 package membership
 
--- a/serving/singleton/encoding_test.go
+++ b/serving/singleton/encoding_test.go
@@ -1,23 +1,16 @@
 package singleton
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms compares the encoding of the package's messages with the golden file, so that a rename in Go can't
 // change what members of different versions send each other.
 func TestEncodedForms(t *testing.T) {
-	golden, err := os.ReadFile(filepath.Join("testdata", "encoded_forms.golden"))
-	require.NoError(t, err)
-	forms := wireschema.Describe(wireschema.CBOR,
+	encodedforms.AssertGolden(t, wireschema.CBOR,
 		Claim{},
 	)
-	assert.Equal(t, string(golden), forms)
 }
--- a/serving/singleton/singleton_test.go
+++ b/serving/singleton/singleton_test.go
@@ -121,8 +121,8 @@
 		acquire := func(self string, live []state.Member) Assignment {
 			assignment, claim := tables[self].Acquire(now, testRole, cores, live)
 			if claim != nil {
-				other, taken := claimed[claim.Epoch]
-				require.False(rt, taken && other != self, fmt.Sprint(other, self))
+				other, isClaimed := claimed[claim.Epoch]
+				require.False(rt, isClaimed && other != self, fmt.Sprint(other, self))
 				claimed[claim.Epoch] = self
 				all = append(all, *claim)
 			}
--- a/serving/singleton/statespace_test.go
+++ b/serving/singleton/statespace_test.go
@@ -100,8 +100,8 @@
 		at.successors(func(next *world, index int, assignment Assignment) {
 			holders := map[uint64]string{}
 			for _, claim := range next.claims {
-				other, taken := holders[claim.Epoch]
-				require.False(t, taken && other != claim.Holder, "two holders in one epoch: %v", next.claims)
+				other, isClaimed := holders[claim.Epoch]
+				require.False(t, isClaimed && other != claim.Holder, "two holders in one epoch: %v", next.claims)
 				holders[claim.Epoch] = claim.Holder
 			}
 			if assignment.Local {
