--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -27,7 +27,7 @@
 // owner any more, or its folder is another one.
 func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Parked) {
 	now := inflight.Now()
-	var doubts []inDoubt
+	var queried []inDoubt
 	var queries []peer.CustodyQuery
 	for _, w := range webhooks {
 		id := custody.IDOf(w.RequestID)
@@ -35,7 +35,7 @@
 		if !offered || offer.To != at {
 			continue
 		}
-		doubts = append(doubts, inDoubt{Parked: w, id: id, handoff: handoff, offer: offer})
+		queried = append(queried, inDoubt{Parked: w, id: id, handoff: handoff, offer: offer})
 		queries = append(queries, peer.CustodyQuery{ID: id, Handoff: handoff, TTLLeft: w.Deadline - now,
 			Incarnation: offer.Incarnation})
 	}
@@ -47,7 +47,7 @@
 		slog.Debug("webhooks in doubt not resolved", "at", at, "webhooks", len(queries), "why", err)
 		replies = make([]shardmap.CustodyReply, len(queries)) // CustodyUnknown
 	}
-	for i, d := range doubts {
+	for i, d := range queried {
 		m.resolveInDoubt(d, replies[i])
 	}
 }
@@ -79,7 +79,7 @@
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
 		if dropped {
-			m.Decider.FinishTransferred([]api.WebhookID{d.ID})
+			m.Loop.FinishTransferred([]api.WebhookID{d.ID})
 		}
 	})
 	return dropped
@@ -93,7 +93,7 @@
 	if !kept || err != nil {
 		return false
 	}
-	m.Decider.ResolveInDoubt([]inflight.RequestID{d.RequestID})
+	m.Loop.ResolveInDoubt([]inflight.RequestID{d.RequestID})
 	return true
 }
 
@@ -101,7 +101,7 @@
 // now. That it may have run is written first, so that a restart finds it.
 func (m *Manager) forkCopy(d inDoubt, resolution shardmap.Resolution) (forked bool) {
 	mayHaveRun := &inflight.PriorAttempts{Attempts: d.Attempts + 1, MayHaveRunAt: d.offer.SentAt}
-	if !m.Decider.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
+	if !m.Loop.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
 		return false
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
@@ -115,9 +115,9 @@
 		return false
 	}
 	if resolution == shardmap.ForkCopy {
-		m.Decider.ResolveInDoubt([]inflight.RequestID{d.RequestID})
+		m.Loop.ResolveInDoubt([]inflight.RequestID{d.RequestID})
 	} else {
-		m.Decider.DeadLetterInDoubt(d.ID)
+		m.Loop.DeadLetterInDoubt(d.ID)
 	}
 	return true
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -1,7 +1,7 @@
-// Package member makes a webhook dispatcher a member of a cluster. It wires the parts to the dispatcher and runs them:
-// a raft node where the operator file names one here (raftnode), the session with its leases (session), the ranges that
-// this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the rebalancing
-// plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
+// Package member makes a webhook dispatcher a member of a cluster. It wires the following to the dispatcher and runs
+// them: a raft node where the operator file names one here (raftnode), the session with its leases (session), the ranges
+// that this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the
+// rebalancing plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
 package member
 
 import (
@@ -35,6 +35,7 @@
 	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher"
+	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const (
@@ -44,7 +45,7 @@
 	custodyRetentionTTLs = 2               // lease TTLs by which custody records outlast what they name
 )
 
-// Member is one member of the cluster, beside its dispatcher, whose Beside it is.
+// Member is one member of the cluster: the extension of its dispatcher by which that joins it.
 type Member struct {
 	configPath string
 	self       cluster.MemberID
@@ -133,7 +134,7 @@
 	m.sites.Install()
 	m.sites.RegisterHandlers(m.server)
 	d.Loop.JoinCluster(admission{m})
-	d.Upstream.May = func(dest api.DestinationID) bool { return admission{m}.MayCall(dest, false) }
+	d.Upstream.MayCall = func(dest api.DestinationID) bool { return admission{m}.MayCall(dest, false) }
 	return nil
 }
 
@@ -148,7 +149,7 @@
 		return err
 	}
 	leases := lease.NewTable()
-	parts := map[byte]cluster.Component{
+	components := map[byte]cluster.Component{
 		cluster.ShardMapComponent:  shardmap.New(leases),
 		cluster.RebalanceComponent: &rebalance.Progress{},
 	}
@@ -161,7 +162,7 @@
 		Client:       m.client,
 		Clock:        m.clock,
 		Leases:       leases,
-		StateMachine: fsm.New(leases, parts),
+		StateMachine: fsm.New(leases, components),
 	}, listener)
 	if err != nil {
 		return err
@@ -190,7 +191,7 @@
 		Custody:   m.custody,
 		Metrics:   &m.metrics,
 		Peers:     m.peers,
-		Decider:   d.Loop,
+		Loop:      d.Loop,
 		EventType: m.eventType,
 		Wake:      m.handoffWake.Send,
 	})
@@ -207,8 +208,8 @@
 		Custody:       m.custody,
 		Metrics:       &m.metrics,
 		Peers:         m.peers,
-		Exchange:      m.dispatcher.Inbox,
-		Decider:       m.dispatcher.Loop,
+		Inbox:         m.dispatcher.Inbox,
+		Loop:          m.dispatcher.Loop,
 		Handoffs:      m.handoff,
 		MaxClockDrift: m.file.MaxClockDrift,
 	}
@@ -219,18 +220,18 @@
 func (m *Member) wireHealth() {
 	d := m.dispatcher
 	m.reporter = health.NewReporter(health.ReporterConfig{
-		Self:    m.self,
-		Maps:    m.ownership,
-		Decider: d.Loop,
-		Clock:   m.clock,
-		Meter:   rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
-		Stop:    m.ended,
+		Self:  m.self,
+		Maps:  m.ownership,
+		Loop:  d.Loop,
+		Clock: m.clock,
+		Meter: rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
+		Stop:  m.ended,
 	})
 	m.collector = health.NewCollector(health.CollectorConfig{
 		Self:        m.self,
 		Reporter:    m.reporter,
 		Client:      m.client,
-		LeaseTTL:    duration(m.file.LeaseTTL),
+		LeaseTTL:    inflight.Duration(m.file.LeaseTTL),
 		Members:     m.members,
 		Query:       m.healthQuery,
 		OnCollected: m.wake,
@@ -262,5 +263,3 @@
 	m.ownershipWake.Send()
 	m.handoffWake.Send()
 }
-
-func duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
