--- /dev/null
+++ b/cluster/relay/result_reporter.go
@@ -0,0 +1,103 @@
+package relay
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/stream"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+// maxResultsPerMessage limits a ResultsMessage.
+const maxResultsPerMessage = 256
+
+// notify has results reported to their origin. Each origin has its own goroutine, so that an unreachable one does not
+// block others. The caller holds the lock.
+func (r *Receiver) notify(origin cluster.MemberID) {
+	notifier := r.notifiers[origin]
+	if notifier == nil {
+		notifier = make(chan struct{}, 1)
+		r.notifiers[origin] = notifier
+		r.running.Add(1)
+		go r.reportResults(origin, notifier)
+	}
+	select {
+	case notifier <- struct{}{}:
+	default:
+	}
+}
+
+// reportResults reports an origin's results until Close.
+func (r *Receiver) reportResults(origin cluster.MemberID, notifier chan struct{}) {
+	defer r.running.Done()
+	for {
+		select {
+		case <-notifier:
+		case <-r.closed:
+			return
+		}
+		if !r.reportUntilAcknowledged(origin) {
+			return
+		}
+	}
+}
+
+// reportUntilAcknowledged repeats the report with a growing backoff. It returns false after Close.
+func (r *Receiver) reportUntilAcknowledged(origin cluster.MemberID) bool {
+	for backoff := r.timing.PollInterval; ; {
+		hasMore, acknowledged := r.sendResults(origin)
+		if !hasMore {
+			return true
+		}
+		if acknowledged {
+			if backoff > r.timing.PollInterval {
+				slog.Info("relay: ends heard again", "owner", origin)
+			}
+			backoff = r.timing.PollInterval
+			continue
+		}
+		if backoff == r.timing.PollInterval {
+			slog.Warn("relay: ends not heard, they are told until they are", "owner", origin)
+		}
+		select {
+		case <-time.After(backoff):
+		case <-r.closed:
+			return false
+		}
+		backoff = min(2*backoff, r.timing.UnreachableTimeout)
+	}
+}
+
+// sendResults sends one message. It returns whether there may be more to send, and whether this one was acknowledged.
+func (r *Receiver) sendResults(origin cluster.MemberID) (hasMore, acknowledged bool) {
+	r.mu.Lock()
+	message := ResultsMessage{Results: r.state.UnacknowledgedResults(origin, maxResultsPerMessage)}
+	message.Ack = r.state.Ack(r.store.Capacity(), r.now())
+	r.mu.Unlock()
+	if len(message.Results) == 0 {
+		return false, false
+	}
+	message.DestinationStates = r.store.DestinationStates(destinationsOf(message.Results))
+	code, raw, err := r.messenger.Call(origin, ResultsPath, transport.Encode(message), r.timing.RequestTimeout)
+	var recorded []stream.Delivery
+	if err != nil || code != fasthttp.StatusOK || transport.Decode(raw, &recorded) != nil || len(recorded) == 0 {
+		slog.Debug("relay: ends not heard", "owner", origin, "count", len(message.Results), "status", code, "err", err)
+		return true, false
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.store.ForgetResults(recorded) // first: a result that only the store still has is reported again, which does no harm
+	r.state.AcknowledgeResults(recorded)
+	return true, true
+}
+
+func destinationsOf(results []stream.Result) (destinations []api.DestinationID) {
+	for _, result := range results {
+		destinations = append(destinations, result.Delivery.Destination)
+	}
+	return destinations
+}
--- /dev/null
+++ b/cluster/relay/sender_loop.go
@@ -0,0 +1,202 @@
+package relay
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster/stream"
+	"rowanlink/cluster/transport"
+)
+
+// Run sends until Close.
+func (s *Sender) Run() {
+	defer close(s.done)
+	s.lastContact = time.Now()
+	for {
+		wait := s.step()
+		timer := time.NewTimer(wait)
+		select {
+		case <-s.closed:
+			timer.Stop()
+			return
+		case <-timer.C:
+		case <-s.wakeupUnlessBackingOff(wait):
+			timer.Stop()
+		}
+	}
+}
+
+// wakeupUnlessBackingOff returns the wakeup channel, or nil after an attempt that failed.
+func (s *Sender) wakeupUnlessBackingOff(wait time.Duration) <-chan struct{} {
+	if !s.opened && wait > 0 {
+		return nil
+	}
+	return s.wakeup
+}
+
+// step sends at most one message and returns how long to wait before the next step.
+func (s *Sender) step() time.Duration {
+	if time.Since(s.lastExpiryCheck) > s.timing.PollInterval {
+		s.lastExpiryCheck = time.Now()
+		s.update(func() { s.store.DropExpired(s.state.DropExpired(s.now())) })
+	}
+	if !s.holdsLease() {
+		return s.inquire()
+	}
+	if !s.opened {
+		return s.openStream()
+	}
+	s.mu.Lock()
+	f, ok := s.state.NextFrame(s.now())
+	at, due := s.state.NextFrameAt()
+	s.mu.Unlock()
+	switch {
+	case ok:
+		return s.sendFrame(f)
+	case due:
+		return max(time.Duration(at-s.now())*time.Microsecond, 0)
+	default:
+		return s.pollCredit()
+	}
+}
+
+func (s *Sender) sendFrame(f stream.Frame) time.Duration {
+	if err := s.record(f); err != nil { // it was not sent, and is retransmitted unchanged
+		slog.Error("stream: not noted", "relay", s.relay, "why", err)
+		s.update(s.state.Retransmit)
+		return s.timing.PollInterval
+	}
+	return s.send(FramePath, transport.Encode(f), func(a stream.Ack) {
+		isBehindGap := a.Generation == f.Generation && a.LastSequence < f.Sequence
+		if isBehindGap {
+			s.state.Retransmit()
+		}
+	})
+}
+
+// record has a frame recorded before it is first sent. A retransmitted frame must not be recorded again: some of its
+// deliveries may have their results.
+func (s *Sender) record(f stream.Frame) error {
+	if f.Generation == s.recordedGeneration && f.Sequence <= s.recordedSequence {
+		return nil
+	}
+	items, _, err := f.Unpack()
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	err = s.store.RecordSending(items, f.ReceiverIncarnation, s.now())
+	s.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	s.recordedGeneration = f.Generation
+	s.recordedSequence = f.Sequence
+	return nil
+}
+
+// inquire is the step of a sender that no longer holds the lease: it still needs the results of what it sent.
+func (s *Sender) inquire() time.Duration {
+	s.markUnreachable()
+	s.mu.Lock()
+	inFlight := s.state.InFlight()
+	s.mu.Unlock()
+	if inFlight > 0 && time.Since(s.lastInquiry) > s.timing.UnreachableTimeout {
+		s.lastInquiry = time.Now()
+		s.openStream()
+	}
+	return s.timing.PollInterval
+}
+
+// pollCredit asks for the relay's credit from time to time, as a full relay's report of it may have been lost.
+func (s *Sender) pollCredit() time.Duration {
+	interval := s.timing.UnreachableTimeout / 2
+	if rest := interval - time.Since(s.lastContact); rest > 0 {
+		return min(rest, interval)
+	}
+	s.mu.Lock()
+	request := s.state.OpenRequest()
+	s.mu.Unlock()
+	message := OpenMessage{OpenRequest: request, SentAt: s.now()}
+	return s.send(OpenPath, transport.Encode(message), func(stream.Ack) {})
+}
+
+// send sends a request while the stream is open. If the relay's ack is valid, it calls onAck with the lock held.
+func (s *Sender) send(path string, body []byte, onAck func(stream.Ack)) time.Duration {
+	code, raw, err := s.messenger.Call(s.relay, path, body, s.timing.RequestTimeout)
+	var a stream.Ack
+	switch {
+	case err != nil || code == statusNotStored:
+		s.update(s.state.Retransmit)
+		s.checkReachable()
+		return s.timing.PollInterval
+	case code != fasthttp.StatusOK || transport.Decode(raw, &a) != nil:
+		slog.Warn("stream: to be opened anew", "relay", s.relay, "status", code)
+		s.markUnreachable()
+		return 0
+	}
+	s.lastContact = time.Now()
+	isSameFolder := true
+	s.update(func() {
+		isSameFolder = s.state.HandleAck(a, s.now())
+		if isSameFolder {
+			onAck(a)
+		}
+	})
+	if !isSameFolder {
+		s.markUnreachable()
+	}
+	return 0
+}
+
+// checkReachable marks the relay as unreachable after a time without contact.
+func (s *Sender) checkReachable() {
+	if time.Since(s.lastContact) > s.timing.UnreachableTimeout {
+		s.markUnreachable()
+	}
+}
+
+// markUnreachable has the deliveries in doubt resolved. It does so at each call, as the resolution changes with time.
+func (s *Sender) markUnreachable() {
+	s.opened = false
+	s.update(func() {
+		for _, d := range s.store.ResolveInDoubt(s.state.MarkUnreachable(), false) {
+			s.state.Complete(d)
+		}
+	})
+}
+
+func (s *Sender) openStream() time.Duration {
+	s.mu.Lock()
+	request := s.state.OpenRequest()
+	s.mu.Unlock()
+	message := OpenMessage{
+		OpenRequest:       request,
+		DestinationStates: s.store.DestinationStates(),
+		SentAt:            s.now(),
+	}
+	code, raw, err := s.messenger.Call(s.relay, OpenPath, transport.Encode(message), s.timing.RequestTimeout)
+	var a stream.Ack
+	isAnswered := err == nil && (code == fasthttp.StatusOK || code == statusFenced)
+	if !isAnswered || transport.Decode(raw, &a) != nil {
+		s.checkReachable()
+		return s.timing.PollInterval
+	}
+	s.lastContact = time.Now()
+	s.update(func() {
+		requeued, lost := s.state.HandleOpened(request, a, code == statusFenced, s.now())
+		s.store.Requeue(requeued)
+		for _, d := range s.store.ResolveInDoubt(lost, true) {
+			s.state.Complete(d)
+		}
+	})
+	s.opened = code == fasthttp.StatusOK
+	s.fenced.Store(!s.opened && s.holdsLease())
+	slog.Info("stream opened", "relay", s.relay, "run", a.Generation, "fenced", !s.opened, "held", len(a.Pending))
+	if s.opened {
+		return 0
+	}
+	return s.timing.UnreachableTimeout
+}
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -1,249 +1,141 @@
 package relay
 
 import (
-	"errors"
-	"math/rand/v2"
-	"net"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"rowanlink/cluster"
 	"rowanlink/cluster/stream"
-	"rowanlink/cluster/transport"
 	"rowanlink/webhook/api"
 )
 
-const term = 300_000 // microseconds: all else follows from it
-
-var began = time.Now()
-
-func clock() api.Micros { return api.Micros(time.Since(began).Microseconds()) }
-
-// faults loses messages and answers, and says some twice.
-type faults struct {
-	*transport.Client
-	mu  sync.Mutex
-	r   *rand.Rand
-	cut bool
-	one int // in so many messages has a fault
-	few int // frames that are lost next
-}
-
-func (f *faults) Call(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
-	f.mu.Lock()
-	what, cut := f.r.IntN(3*f.one), f.cut
-	if path == FramePath && f.few > 0 {
-		f.few--
-		what = 0
-	}
-	f.mu.Unlock()
-	if cut || what == 0 {
-		return 0, nil, transport.ErrOutcomeUnknown
-	}
-	if what == 1 {
-		f.Client.Call(to, path, body, in)
-	}
-	code, raw, err := f.Client.Call(to, path, body, in)
-	if what == 2 {
-		return 0, nil, transport.ErrOutcomeUnknown
+func (s *testSite) add(id uint64, to ...api.DestinationID) {
+	i := stream.Item{ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: id}, RequestID: "a", IsAnnouncement: true, TTL: 1 << 60,
+		FirstAttemptAt: api.Never, Body: []byte("b"), Destinations: to}
+	s.mu.Lock()
+	for _, d := range to {
+		s.unfinished[stream.Delivery{Message: i.ID, Destination: d}] = stream.LocationRelay
 	}
-	return code, raw, err
-}
-
-func (f *faults) set(cut bool, one int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.cut, f.one = cut, one
-}
-
-// site is an owner with a stream and a relay, each with a journal in memory.
-type site struct {
-	t      *testing.T
-	toward *faults
-	back   *faults
-	stream *Sender
-	relay  *Receiver
-	mu     sync.Mutex
-	mark   stream.Checkpoint
-	held   map[stream.Delivery]bool
-	owed   []stream.Result
-	full   bool
-	slow   map[api.DestinationID]bool // its deliveries don't end
-
-	open   map[stream.Delivery]stream.Location // the owner's
-	once   bool                                // all are at-most-once
-	ends   map[stream.Delivery]int
-	ran    map[stream.Delivery]int
-	beside int
-	taught atomic.Int64
-	server *transport.Server
-	addr   string
+	s.mu.Unlock()
+	s.sender.Add(i, 10_000)
 }
 
-// book is a site as its owner's journal and module, shelf as its relay's.
-type book struct{ *site }
-type shelf struct{ *site }
-
-func (b book) RecordSending([]stream.Item, uint64, api.Micros) error { return nil }
-func (b book) Requeue([]stream.Delivery)                             {}
-func (b book) DropExpired([]stream.Delivery)                         {}
-
-func (b book) Bypass(never []stream.Delivery) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, d := range never {
-		b.beside++
-		b.ran[d]++
-		b.ends[d]++
-		delete(b.open, d)
+// waitForResults waits until n deliveries have a result, and counts results and attempts beyond the first.
+func (s *testSite) waitForResults(n int) (extraResults, extraAttempts int) {
+	require.Eventually(s.t, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return len(s.results) == n && len(s.unfinished) == 0
+	}, 20*time.Second, 5*time.Millisecond)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for d, times := range s.results {
+		extraResults += times - 1
+		extraAttempts += max(s.attempts[d]-1, 0)
 	}
+	return extraResults, extraAttempts
 }
 
-func (b book) ResolveInDoubt(of []stream.InDoubt, lost bool) (forget []stream.Delivery) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	i, t := stream.Item{FirstAttemptAt: api.Never}, api.EventType{}
-	if b.once {
-		t.Semantics = api.AtMostOnce
+func destinations(n int) (all []api.DestinationID) {
+	for d := range n {
+		all = append(all, api.DestinationID(d+1))
 	}
-	for _, u := range of {
-		if c := stream.Resolve(&i, u.SentAt, t, lost, 1<<60, clock()); c != stream.ResolveWait {
-			forget = append(forget, u.Delivery)
-			if c == stream.ResolveRetry {
-				b.ran[u.Delivery]++
-			}
-			b.ends[u.Delivery]++
-			delete(b.open, u.Delivery)
-		}
-	}
-	return forget
+	return all
 }
 
-func (b book) RecordResults(ends []stream.Result) (heard []stream.Delivery) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, e := range ends {
-		if stream.ActionForResult(e, b.open[e.Delivery], false) != stream.IgnoreResult {
-			b.ends[e.Delivery]++
-			delete(b.open, e.Delivery)
-		}
-		heard = append(heard, e.Delivery)
+func TestSite_ResultsOnceDespiteLossAndDuplication(t *testing.T) {
+	s := newTestSite(t)
+	s.toRelay.set(false, 2)
+	s.toOrigin.set(false, 2)
+	for id := range uint64(20) {
+		s.add(id, destinations(20)...)
 	}
-	return heard
+	extraResults, extraAttempts := s.waitForResults(400)
+	assert.Zero(t, extraResults)
+	assert.Zero(t, extraAttempts)
 }
 
-func (b book) Learned() []api.DestinationState {
-	return []api.DestinationState{{Destination: 1, WaitUntil: clock()}}
+func TestSender_RetransmitsLastFrame(t *testing.T) {
+	s := newTestSite(t)
+	s.toRelay.mu.Lock()
+	s.toRelay.lostFrames = 1
+	s.toRelay.mu.Unlock()
+	s.add(1, 1, 2)
+	extraResults, extraAttempts := s.waitForResults(2)
+	assert.Zero(t, extraResults)
+	assert.Zero(t, extraAttempts)
+	require.Eventually(t, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return len(s.unacknowledged) == 0
+	}, 10*time.Second, time.Millisecond, "acknowledged results are forgotten")
 }
-func (b book) ApplyLearned([]api.DestinationState) {}
 
-func (s shelf) Learned([]api.DestinationID) []api.DestinationState { return nil }
-func (s shelf) ApplyLearned(all []api.DestinationState)            { s.taught.Add(int64(len(all))) }
-
-func (s shelf) Capacity() int { return 64 }
-
-func (s shelf) ForgetResults(heard []stream.Delivery) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	gone := map[stream.Delivery]bool{}
-	for _, d := range heard {
-		gone[d] = true
-	}
-	var left []stream.Result
-	for _, e := range s.owed {
-		if !gone[e.Delivery] {
-			left = append(left, e)
-		}
+func TestReceiver_RestartLosesAndRepeatsNothing(t *testing.T) {
+	s := newTestSite(t)
+	s.blocked[3] = true // unhealthy, which does not block the others
+	for id := range uint64(10) {
+		s.add(id, destinations(5)...)
 	}
-	s.owed = left
-}
-
-func (s shelf) Persist(m stream.Checkpoint, fresh []stream.Item) error {
+	require.Eventually(t, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return len(s.results) == 40
+	}, 10*time.Second, 5*time.Millisecond)
+	_ = s.server.Close(time.Second)
+	s.receiver.Close()
+	s.add(10, destinations(5)...)
+	s.startRelay()
 	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.full {
-		return errors.New("full")
-	}
-	s.mark = m
-	for _, i := range fresh {
-		for _, to := range i.Destinations {
-			s.held[stream.Delivery{Message: i.ID, Destination: to}] = true
-		}
-	}
-	return nil
+	s.blocked[3] = false
+	s.mu.Unlock()
+	extraResults, extraAttempts := s.waitForResults(55)
+	assert.Zero(t, extraResults)
+	assert.Zero(t, extraAttempts)
 }
 
-// work is the relay's module: what is held runs and ends.
-func (s *site) work(stop chan struct{}) {
-	for {
-		select {
-		case <-stop:
-			return
-		case <-time.After(2 * time.Millisecond):
-		}
+func TestSender_PartitionBypassesOnlyWhatWasNotSent(t *testing.T) {
+	s := newTestSite(t)
+	s.blocked[1] = true
+	s.add(1, 1)
+	require.Eventually(t, func() bool {
 		s.mu.Lock()
-		var ends []stream.Result
-		for d := range s.held {
-			if !s.slow[d.Destination] {
-				s.ran[d]++
-				ends = append(ends, stream.Result{Delivery: d, Outcome: stream.Delivered, Attempts: 1, MayHaveRun: true})
-				delete(s.held, d)
-			}
-		}
-		s.owed = append(s.owed, ends...)
-		r := s.relay
-		s.mu.Unlock()
-		for _, e := range ends {
-			r.RecordResult(e)
-		}
-	}
-}
-
-func (s *site) start() {
+		defer s.mu.Unlock()
+		return len(s.pending) == 1
+	}, 10*time.Second, time.Millisecond)
+	s.toRelay.set(true, 1)
+	s.toOrigin.set(true, 1)
+	require.Eventually(t, func() bool { return s.sender.IsUnreachable() }, 10*time.Second, 5*time.Millisecond)
+	s.add(2, 1, 2)
+	require.Eventually(t, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.bypassed == 2
+	}, 10*time.Second, 5*time.Millisecond)
 	s.mu.Lock()
-	var held []stream.Delivery
-	for d := range s.held {
-		held = append(held, d)
-	}
-	s.relay = NewReceiver(stream.NewReceiver(s.mark, held, s.owed), shelf{s}, s.back, TimingFor(term), clock)
+	assert.Len(t, s.unfinished, 1, "it may have run")
+	s.blocked[1] = false
 	s.mu.Unlock()
-	s.server = transport.NewServer(50, time.Second)
-	s.relay.RegisterHandlers(s.server)
-	on, err := net.Listen("tcp", s.addr)
-	require.NoError(s.t, err)
-	s.addr = on.Addr().String()
-	go s.server.Serve(on)
+	s.toRelay.set(false, 1<<20)
+	s.toOrigin.set(false, 1<<20)
+	extraResults, extraAttempts := s.waitForResults(3)
+	assert.Zero(t, extraResults)
+	assert.Zero(t, extraAttempts)
 }
 
-func begin(t *testing.T, once bool) *site {
-	s := &site{t: t, held: map[stream.Delivery]bool{}, open: map[stream.Delivery]stream.Location{},
-		once: once, ends: map[stream.Delivery]int{}, ran: map[stream.Delivery]int{}, mark: stream.Checkpoint{Incarnation: 9},
-		slow: map[api.DestinationID]bool{}, addr: "127.0.0.1:0"}
-	owner := transport.NewServer(50, time.Second)
-	on, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	s.back = &faults{Client: transport.NewClient("r", map[cluster.MemberID]string{"m": on.Addr().String()}),
-		r: rand.New(rand.NewPCG(1, 2)), one: 1 << 20}
-	s.start()
-	s.toward = &faults{Client: transport.NewClient("m", map[cluster.MemberID]string{"r": s.addr}),
-		r: rand.New(rand.NewPCG(3, 4)), one: 1 << 20}
-	s.stream = NewSender("r", stream.NewSender(1, 0.05), book{s}, s.toward, TimingFor(term), clock,
-		func() bool { return true })
-	owner.Handle(ResultsPath, s.stream.HandleResults)
-	go owner.Serve(on)
-	go s.stream.Run()
-	stop := make(chan struct{})
-	go s.work(stop)
-	t.Cleanup(func() {
-		s.stream.Close()
-		close(stop)
-		s.server.Close(time.Second)
-		s.relay.Close()
-		owner.Close(time.Second)
-	})
-	return s
+func TestReceiver_FullDiskRejectsWholeFrame(t *testing.T) {
+	s := newTestSite(t)
+	s.mu.Lock()
+	s.diskFull = true
+	s.mu.Unlock()
+	s.add(1, 1, 2)
+	time.Sleep(TimingFor(leaseTTL).PollInterval * 4)
+	s.mu.Lock()
+	s.diskFull = false
+	s.mu.Unlock()
+	extraResults, extraAttempts := s.waitForResults(2)
+	assert.Zero(t, extraResults)
+	assert.Zero(t, extraAttempts)
 }
--- /dev/null
+++ b/cluster/relay/testsite_test.go
@@ -0,0 +1,261 @@
+package relay
+
+import (
+	"errors"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/stream"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+)
+
+const leaseTTL = 300_000 // microseconds; all other times follow from it
+
+var clockStart = time.Now()
+
+func clock() api.Micros { return api.Micros(time.Since(clockStart).Microseconds()) }
+
+// faultyClient loses requests and responses, and duplicates some requests.
+type faultyClient struct {
+	*transport.Client
+	mu          sync.Mutex
+	random      *rand.Rand
+	partitioned bool
+	faultEvery  int // one in so many messages has each kind of fault
+	lostFrames  int // how many of the next frames are lost
+}
+
+func (f *faultyClient) Call(to cluster.MemberID, path string, body []byte, timeout time.Duration) (int, []byte, error) {
+	f.mu.Lock()
+	fault, partitioned := f.random.IntN(3*f.faultEvery), f.partitioned
+	if path == FramePath && f.lostFrames > 0 {
+		f.lostFrames--
+		fault = loseRequest
+	}
+	f.mu.Unlock()
+	if partitioned || fault == loseRequest {
+		return 0, nil, transport.ErrOutcomeUnknown
+	}
+	if fault == duplicateRequest {
+		_, _, _ = f.Client.Call(to, path, body, timeout) // its response is lost
+	}
+	code, raw, err := f.Client.Call(to, path, body, timeout)
+	if fault == loseResponse {
+		return 0, nil, transport.ErrOutcomeUnknown
+	}
+	return code, raw, err
+}
+
+func (f *faultyClient) set(partitioned bool, faultEvery int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.partitioned, f.faultEvery = partitioned, faultEvery
+}
+
+// testSite is an origin with a sender and a relay with a receiver, each with a journal in memory.
+type testSite struct {
+	t              *testing.T
+	toRelay        *faultyClient
+	toOrigin       *faultyClient
+	sender         *Sender
+	receiver       *Receiver
+	mu             sync.Mutex
+	checkpoint     stream.Checkpoint
+	pending        map[stream.Delivery]bool
+	unacknowledged []stream.Result
+	diskFull       bool
+	blocked        map[api.DestinationID]bool // deliveries to them don't end
+
+	unfinished    map[stream.Delivery]stream.Location // at the origin
+	results       map[stream.Delivery]int
+	attempts      map[stream.Delivery]int
+	bypassed      int
+	appliedStates atomic.Int64
+	server        *transport.Server
+	addr          string
+}
+
+// originStore is the SenderStore of a testSite, relayStore its ReceiverStore.
+// The faults of a message.
+const (
+	loseRequest = iota
+	duplicateRequest
+	loseResponse
+)
+
+// serve serves in the background until the server is closed.
+func serve(server *transport.Server, listener net.Listener) {
+	go func() { _ = server.Serve(listener) }()
+}
+
+type originStore struct{ *testSite }
+type relayStore struct{ *testSite }
+
+func (b originStore) RecordSending([]stream.Item, uint64, api.Micros) error { return nil }
+func (b originStore) Requeue([]stream.Delivery)                             {}
+func (b originStore) DropExpired([]stream.Delivery)                         {}
+
+func (b originStore) Bypass(deliveries []stream.Delivery) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, d := range deliveries {
+		b.bypassed++
+		b.attempts[d]++
+		b.results[d]++
+		delete(b.unfinished, d)
+	}
+}
+
+func (b originStore) ResolveInDoubt(inDoubt []stream.InDoubt, lost bool) (forget []stream.Delivery) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	i := stream.Item{FirstAttemptAt: api.Never}
+	eventType := api.EventType{Semantics: api.AtMostOnce}
+	for _, u := range inDoubt {
+		if c := stream.Resolve(&i, u.SentAt, eventType, lost, 1<<60, clock()); c != stream.ResolveWait {
+			forget = append(forget, u.Delivery)
+			if c == stream.ResolveRetry {
+				b.attempts[u.Delivery]++
+			}
+			b.results[u.Delivery]++
+			delete(b.unfinished, u.Delivery)
+		}
+	}
+	return forget
+}
+
+func (b originStore) RecordResults(results []stream.Result) (recorded []stream.Delivery) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, e := range results {
+		if stream.ActionForResult(e, b.unfinished[e.Delivery], false) != stream.IgnoreResult {
+			b.results[e.Delivery]++
+			delete(b.unfinished, e.Delivery)
+		}
+		recorded = append(recorded, e.Delivery)
+	}
+	return recorded
+}
+
+func (b originStore) DestinationStates() []api.DestinationState {
+	return []api.DestinationState{{Destination: 1, WaitUntil: clock()}}
+}
+func (b originStore) ApplyDestinationStates([]api.DestinationState) {}
+
+func (s relayStore) DestinationStates([]api.DestinationID) []api.DestinationState { return nil }
+func (s relayStore) ApplyDestinationStates(all []api.DestinationState) {
+	s.appliedStates.Add(int64(len(all)))
+}
+
+func (s relayStore) Capacity() int { return 64 }
+
+func (s relayStore) ForgetResults(recorded []stream.Delivery) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	forgotten := map[stream.Delivery]bool{}
+	for _, d := range recorded {
+		forgotten[d] = true
+	}
+	var remaining []stream.Result
+	for _, e := range s.unacknowledged {
+		if !forgotten[e.Delivery] {
+			remaining = append(remaining, e)
+		}
+	}
+	s.unacknowledged = remaining
+}
+
+func (s relayStore) Persist(m stream.Checkpoint, fresh []stream.Item) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.diskFull {
+		return errors.New("full")
+	}
+	s.checkpoint = m
+	for _, i := range fresh {
+		for _, to := range i.Destinations {
+			s.pending[stream.Delivery{Message: i.ID, Destination: to}] = true
+		}
+	}
+	return nil
+}
+
+// runRelay runs the pending deliveries of the relay until stop is closed.
+func (s *testSite) runRelay(stop chan struct{}) {
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(2 * time.Millisecond):
+		}
+		s.mu.Lock()
+		var results []stream.Result
+		for d := range s.pending {
+			if !s.blocked[d.Destination] {
+				s.attempts[d]++
+				results = append(results, stream.Result{Delivery: d, Outcome: stream.Delivered, Attempts: 1, MayHaveRun: true})
+				delete(s.pending, d)
+			}
+		}
+		s.unacknowledged = append(s.unacknowledged, results...)
+		r := s.receiver
+		s.mu.Unlock()
+		for _, e := range results {
+			r.RecordResult(e)
+		}
+	}
+}
+
+func (s *testSite) startRelay() {
+	s.mu.Lock()
+	var held []stream.Delivery
+	for d := range s.pending {
+		held = append(held, d)
+	}
+	s.receiver = NewReceiver(stream.NewReceiver(s.checkpoint, held, s.unacknowledged), relayStore{s}, s.toOrigin, TimingFor(leaseTTL), clock)
+	s.mu.Unlock()
+	s.server = transport.NewServer(50, time.Second)
+	s.receiver.RegisterHandlers(s.server)
+	listener, err := (&net.ListenConfig{}).Listen(s.t.Context(), "tcp", s.addr)
+	require.NoError(s.t, err)
+	s.addr = listener.Addr().String()
+	serve(s.server, listener)
+}
+
+func newTestSite(t *testing.T) *testSite {
+	t.Helper()
+	s := &testSite{t: t, pending: map[stream.Delivery]bool{}, unfinished: map[stream.Delivery]stream.Location{},
+		results: map[stream.Delivery]int{}, attempts: map[stream.Delivery]int{}, checkpoint: stream.Checkpoint{Incarnation: 9},
+		blocked: map[api.DestinationID]bool{}, addr: "127.0.0.1:0"}
+	origin := transport.NewServer(50, time.Second)
+	listener, err := (&net.ListenConfig{}).Listen(s.t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	s.toOrigin = &faultyClient{Client: transport.NewClient("r", map[cluster.MemberID]string{"m": listener.Addr().String()}),
+		random: rand.New(rand.NewPCG(1, 2)), faultEvery: 1 << 20}
+	s.startRelay()
+	s.toRelay = &faultyClient{Client: transport.NewClient("m", map[cluster.MemberID]string{"r": s.addr}),
+		random: rand.New(rand.NewPCG(3, 4)), faultEvery: 1 << 20}
+	s.sender = NewSender("r", stream.NewSender(1, 0.05), originStore{s}, s.toRelay, TimingFor(leaseTTL), clock,
+		func() bool { return true })
+	origin.Handle(ResultsPath, s.sender.HandleResults)
+	serve(origin, listener)
+	go s.sender.Run()
+	stop := make(chan struct{})
+	go s.runRelay(stop)
+	t.Cleanup(func() {
+		s.sender.Close()
+		close(stop)
+		_ = s.server.Close(time.Second)
+		s.receiver.Close()
+		_ = origin.Close(time.Second)
+	})
+	return s
+}
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/bench_far_test.go
@@ -78,8 +78,8 @@
 func (a *atOnce) Capacity() int                   { return 2 * benchEach }
 func (a *atOnce) ForgetResults([]stream.Delivery) {}
 
-func (a *atOnce) Learned([]api.DestinationID) []api.DestinationState { return nil }
-func (a *atOnce) ApplyLearned([]api.DestinationState)                {}
+func (a *atOnce) DestinationStates([]api.DestinationID) []api.DestinationState { return nil }
+func (a *atOnce) ApplyDestinationStates([]api.DestinationState)                {}
 
 func listen(c *counts) net.Listener {
 	on, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cluster/site/books.go
+++ b/cluster/site/books.go
@@ -226,9 +226,9 @@
 	return all
 }
 
-// Learned is what this dispatcher learned of the site's subscribers as it called for them itself: a wait
+// DestinationStates is what this dispatcher learned of the site's subscribers as it called for them itself: a wait
 // that it was told holds at the relay, too.
-func (l *lane) Learned() []api.DestinationState {
+func (l *lane) DestinationStates() []api.DestinationState {
 	if !l.direct.Load() {
 		return nil
 	}
@@ -236,8 +236,8 @@
 	return all
 }
 
-// ApplyLearned is for the time when the relay is gone.
-func (l *lane) ApplyLearned(all []api.DestinationState) {
+// ApplyDestinationStates is for the time when the relay is gone.
+func (l *lane) ApplyDestinationStates(all []api.DestinationState) {
 	if !l.direct.Load() { // else what is known here is newer
 		l.of.decider.ImportState(all)
 	}
--- a/cluster/site/handin.go
+++ b/cluster/site/handin.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// Learned is what the relay's module knows of destinations, and of all others for which something is held: a
+// DestinationStates is what the relay's module knows of destinations, and of all others for which something is held: a
 // wait that one tells brings no end.
-func (k *desk) Learned(of []api.DestinationID) []api.DestinationState {
+func (k *desk) DestinationStates(of []api.DestinationID) []api.DestinationState {
 	want := map[api.DestinationID]bool{}
 	for _, d := range of {
 		want[d] = true
@@ -136,9 +136,9 @@
 	return all
 }
 
-// ApplyLearned takes over what the owner knows, but of destinations that are called for here now: what is known of
+// ApplyDestinationStates takes over what the owner knows, but of destinations that are called for here now: what is known of
 // those here is newer, and the module was not made to be told of an outage that it has webhooks for.
-func (k *desk) ApplyLearned(all []api.DestinationState) {
+func (k *desk) ApplyDestinationStates(all []api.DestinationState) {
 	k.mu.Lock()
 	all = slices.DeleteFunc(all, func(l api.DestinationState) bool { return k.tos[l.Destination] > 0 })
 	k.mu.Unlock()
