--- a/test/checker/deliverycheck/check.go
+++ b/test/checker/deliverycheck/check.go
@@ -8,21 +8,22 @@
 	"rowanlink/webhook/api"
 )
 
-// Rule is one of those that are judged by.
+// Rule is a rule that webhooks are checked by.
 type Rule string
 
+// The rules, by what violates them.
 const (
-	Lost            Rule = "lost"          // taken on, and neither delivered nor told to have ended
-	DuplicateEffect Rule = "second effect" // more effects than the event type allows, or said to be harmless after one
-	Overlap         Rule = "overlap"       // called again while a call with it is out
-	Order           Rule = "order"         // webhooks of one key, out of turn
-	RetryAfter      Rule = "wait"          // called while a told wait binds
-	Draining        Rule = "drain"         // called after it was told that the endpoint drains
-	SlowStart       Rule = "cold budget"   // a returned destination was pushed over
-	Misrouted       Rule = "astray"        // never handed in, or not for this destination
+	Lost            Rule = "lost"          // accepted, and neither delivered nor reported to have ended
+	DuplicateEffect Rule = "second effect" // more effects than the event type allows, or one after it was reported to have none
+	Overlap         Rule = "overlap"       // called while another call with it is in flight
+	Order           Rule = "order"         // webhooks of one key out of order
+	RetryAfter      Rule = "wait"          // called before a Retry-After has passed
+	Draining        Rule = "drain"         // called after the notification that the endpoint drains
+	SlowStart       Rule = "cold budget"   // a recovered destination was overloaded
+	Misrouted       Rule = "astray"        // never submitted, or not for this destination
 )
 
-// Violation is one case of a broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule        Rule
 	At          api.Micros
@@ -32,178 +33,190 @@
 	Reason      string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%s: %s at destination %d by %s, %.3f s: %s", b.Rule, b.ID, b.Destination, b.Member,
-		b.At.Seconds(), b.Reason)
+func (v Violation) String() string {
+	return fmt.Sprintf("%s: %s at destination %d by %s, %.3f s: %s", v.Rule, v.ID, v.Destination, v.Member,
+		v.At.Seconds(), v.Reason)
 }
 
-// Check returns what broke a rule up to a time, in the order of time.
-func (l *Checker) Check(at api.Micros) []Violation {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	all := slices.Clone(l.immediate)
-	for _, rule := range []func(api.Micros) []Violation{l.checkLost, l.checkEffects, l.checkOverlaps, l.checkOrder, l.checkRetryAfter,
-		l.checkDraining,
-		l.checkSlowStart} {
-		all = append(all, rule(at)...)
-	}
-	slices.SortStableFunc(all, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return all
+// violation returns a violation by the begin of a call.
+func (c *Call) violation(rule Rule, id, reason string) Violation {
+	return Violation{Rule: rule, At: c.At, ID: id, Destination: c.Destination, Member: c.Member, Reason: reason}
 }
 
-func (w *webhook) accepted() bool { return w.status == 200 || w.status == 202 }
-
-// harmless tells whether the member said that the webhook may be handed in again.
-func (w *webhook) harmless() bool {
-	return w.status == 429 || w.status == 503 ||
-		slices.ContainsFunc(w.notices, func(n notice) bool { return n.outcome == "handed_back" })
+// Check returns the violations up to a time, in the order of time.
+func (c *Checker) Check(at api.Micros) []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	violations := slices.Clone(c.immediate)
+	violations = append(violations, c.checkLost(at)...)
+	violations = append(violations, c.checkEffects()...)
+	violations = append(violations, c.checkOverlaps()...)
+	violations = append(violations, c.checkOrder()...)
+	violations = append(violations, c.checkRetryAfter()...)
+	violations = append(violations, c.checkDraining()...)
+	violations = append(violations, c.checkSlowStart()...)
+	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return violations
 }
 
+// delivery is a webhook at a destination.
 type delivery struct {
 	id          string
 	destination api.DestinationID
 }
 
-// deliveries are the deliveries, by webhook and destination.
-func (l *Checker) deliveries() map[delivery]bool {
-	ends := map[delivery]bool{}
-	for _, c := range l.calls {
-		for id := range c.delivered {
-			ends[delivery{id, c.Destination}] = true
+// deliveries returns what was delivered.
+func (c *Checker) deliveries() map[delivery]bool {
+	delivered := map[delivery]bool{}
+	for _, call := range c.calls {
+		for id := range call.delivered {
+			delivered[delivery{id, call.Destination}] = true
 		}
 	}
-	return ends
+	return delivered
 }
 
-// missing are the destinations at which the webhook has no end yet.
-func (w *webhook) missing(ends map[delivery]bool) (left []api.DestinationID) {
+// missing returns the destinations at which the webhook has no outcome yet.
+func (w *webhook) missing(delivered map[delivery]bool) (missing []api.DestinationID) {
 	for _, d := range w.Destinations {
-		told := slices.ContainsFunc(w.notices, func(n notice) bool { return n.all || n.dest == d })
-		if !told && !ends[delivery{w.ID, d}] {
-			left = append(left, d)
+		isReported := slices.ContainsFunc(w.notices, func(n notice) bool { return n.isOf(d) })
+		if !isReported && !delivered[delivery{w.ID, d}] {
+			missing = append(missing, d)
 		}
 	}
-	return left
+	return missing
 }
 
-func (l *Checker) checkLost(now api.Micros) (all []Violation) {
-	ends := l.deliveries()
-	for _, w := range l.submissions {
-		if !w.accepted() || l.forgiven[w.ID] {
+func (c *Checker) checkLost(now api.Micros) (violations []Violation) {
+	delivered := c.deliveries()
+	for _, w := range c.submissions {
+		if !w.accepted() || c.forgiven[w.ID] {
 			continue
 		}
-		left := w.missing(ends)
-		if due, known := l.deadline(w); len(left) > 0 && known && now > due {
-			for _, d := range left {
-				all = append(all, Violation{Lost, due, w.ID, d, w.Member, "taken on, neither delivered nor told"})
-			}
+		missing := w.missing(delivered)
+		if len(missing) == 0 {
+			continue
+		}
+		deadline, isKnown := c.deadline(w)
+		if !isKnown || now <= deadline {
+			continue
+		}
+		for _, d := range missing {
+			violations = append(violations, Violation{
+				Rule:        Lost,
+				At:          deadline,
+				ID:          w.ID,
+				Destination: d,
+				Member:      w.Member,
+				Reason:      "taken on, neither delivered nor told",
+			})
 		}
 	}
-	return all
+	return violations
 }
 
-// deadline is when a webhook's end is overdue. Each member that was down meanwhile may be the one that has it.
-func (l *Checker) deadline(w *webhook) (by api.Micros, known bool) {
-	by = w.At + w.TTL + l.Requirements.Slack
-	for again := true; again; {
-		again = false
-		for _, m := range l.downMembers() {
-			for _, s := range l.downtimes[m] {
-				if s.from < w.At || s.from > by {
+// deadline returns when a webhook's outcome is overdue. It is later if a member was down meanwhile, since that may be
+// the one that has the webhook; it is not known while one is down.
+func (c *Checker) deadline(w *webhook) (deadline api.Micros, isKnown bool) {
+	deadline = w.At + w.TTL + c.Requirements.Slack
+	for hasChanged := true; hasChanged; {
+		hasChanged = false
+		for _, m := range c.downMembers() {
+			for _, down := range c.downtimes[m] {
+				if down.from < w.At || down.from > deadline {
 					continue
 				}
-				if s.until == api.Never {
+				if down.until == api.Never {
 					return 0, false
 				}
-				if later := s.until + l.Requirements.Slack; later > by {
-					by, again = later, true
+				if later := down.until + c.Requirements.Slack; later > deadline {
+					deadline, hasChanged = later, true
 				}
 			}
 		}
 	}
-	return by, true
+	return deadline, true
 }
 
-// effects: those of one webhook count together with those of the ones that it was handed in again after.
-func (l *Checker) checkEffects(api.Micros) (all []Violation) {
-	type run struct {
-		at api.Micros
-		id string
-		c  *Call
-	}
-	var runs []run
-	first := map[delivery]run{}
-	for _, c := range l.calls {
-		for id, t := range c.effects {
-			runs = append(runs, run{t, id, c})
+// effect is a webhook that took effect by a call.
+type effect struct {
+	at   api.Micros
+	id   string
+	call *Call
+}
+
+// effects returns all effects in the order of time.
+func (c *Checker) effects() (effects []effect) {
+	for _, call := range c.calls {
+		for id, at := range call.effects {
+			effects = append(effects, effect{at, id, call})
 		}
 	}
-	slices.SortFunc(runs, func(a, b run) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), a.c.sequence-b.c.sequence,
-			cmp.Compare(a.id, b.id))
+	slices.SortFunc(effects, func(a, b effect) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), a.call.sequence-b.call.sequence, cmp.Compare(a.id, b.id))
 	})
-	for _, r := range runs {
-		w := l.webhooks[r.id]
-		if w == nil {
-			continue
-		}
-		t := l.Requirements.EventTypes[w.Type]
-		if t.Semantics == api.Idempotent {
+	return effects
+}
+
+// checkEffects counts the effects of a webhook together with those of the submissions that it was a retry of.
+func (c *Checker) checkEffects() (violations []Violation) {
+	first := map[delivery]effect{}
+	for _, e := range c.effects() {
+		w := c.webhooks[e.id]
+		if w == nil || c.Requirements.EventTypes[w.Type].Semantics == api.Idempotent {
 			continue
 		}
-		breach := func(why string) {
-			all = append(all, Violation{DuplicateEffect, r.at, r.id, r.c.Destination, r.c.Member, why})
+		reasons := w.reportedWithoutEffect(e.call.Destination)
+		key := delivery{c.firstSubmission(w), e.call.Destination}
+		earlier, hasEarlier := first[key]
+		if !hasEarlier {
+			first[key] = e
+		} else if reason := c.duplicateEffect(w, earlier, e); reason != "" {
+			reasons = append(reasons, reason)
 		}
-		if w.status == 429 || w.status == 503 {
-			breach("took effect though it was refused")
-		}
-		for _, n := range w.notices {
-			if n.outcome == "handed_back" && (n.all || n.dest == r.c.Destination) {
-				breach("handed back as harmless, and it took effect")
-				break
-			}
-		}
-		k := delivery{l.firstSubmission(w), r.c.Destination}
-		was, before := first[k]
-		switch {
-		case !before:
-			first[k] = r
-		case t.Semantics == api.AtMostOnce:
-			breach(fmt.Sprintf("at-most-once, took effect %.3f s before by %s", (r.at - was.at).Seconds(),
-				was.c.Member))
-		case r.at > was.at+t.DedupWindow:
-			breach(fmt.Sprintf("tokened, took effect %.3f s before by %s, outside its window",
-				(r.at - was.at).Seconds(), was.c.Member))
+		for _, reason := range reasons {
+			v := e.call.violation(DuplicateEffect, e.id, reason)
+			v.At = e.at
+			violations = append(violations, v)
 		}
 	}
-	return all
+	return violations
+}
+
+// reportedWithoutEffect tells how a webhook that took effect was reported to have none, if it was.
+func (w *webhook) reportedWithoutEffect(destination api.DestinationID) (reasons []string) {
+	if w.rejected() {
+		reasons = append(reasons, "took effect though it was refused")
+	}
+	isHandedBack := func(n notice) bool { return n.outcome == outcomeHandedBack && n.isOf(destination) }
+	if slices.ContainsFunc(w.notices, isHandedBack) {
+		reasons = append(reasons, "handed back as harmless, and it took effect")
+	}
+	return reasons
+}
+
+// duplicateEffect tells why the event type doesn't allow an effect after an earlier one, or returns "".
+func (c *Checker) duplicateEffect(w *webhook, earlier, e effect) string {
+	eventType := c.Requirements.EventTypes[w.Type]
+	seconds := (e.at - earlier.at).Seconds()
+	switch {
+	case eventType.Semantics == api.AtMostOnce:
+		return fmt.Sprintf("at-most-once, took effect %.3f s before by %s", seconds, earlier.call.Member)
+	case e.at > earlier.at+eventType.DedupWindow:
+		return fmt.Sprintf("tokened, took effect %.3f s before by %s, outside its window", seconds, earlier.call.Member)
+	}
+	return ""
 }
 
-// firstSubmission is the first id of those that were said to be harmless to hand in again.
-func (l *Checker) firstSubmission(w *webhook) string {
+// firstSubmission returns the ID of the first submission that a webhook is a retry of: as long as the one before was
+// reported to have had no effect.
+func (c *Checker) firstSubmission(w *webhook) string {
 	for w.RetryOf != "" {
-		before := l.webhooks[w.RetryOf]
-		if before == nil || !before.harmless() {
+		before := c.webhooks[w.RetryOf]
+		if before == nil || !before.mayBeRetried() {
 			break
 		}
 		w = before
 	}
 	return w.ID
 }
-
-// LongestGap is the longest time between two deliveries at a destination that follow each other.
-func (l *Checker) LongestGap(dest api.DestinationID) (longest api.Micros) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var ends []api.Micros
-	for _, c := range l.calls {
-		if c.Destination == dest && len(c.delivered) > 0 {
-			ends = append(ends, c.endedAt)
-		}
-	}
-	slices.Sort(ends)
-	for i := 1; i < len(ends); i++ {
-		longest = max(longest, ends[i]-ends[i-1])
-	}
-	return longest
-}
--- a/test/checker/deliverycheck/checker.go
+++ b/test/checker/deliverycheck/checker.go
@@ -1,8 +1,8 @@
-// Package deliverycheck counts, for tests, what becomes of every webhook at every destination that it is for, and
-// judges by the rules. It does no I/O and has no clock: whoever sees something happen says when, in
-// microseconds from any origin. A webhook is known by the request id that it was handed in with. One that was
-// refused, or handed back, and is handed in again has a new id and names the one before: what may not take
-// effect twice may not over both.
+// Package deliverycheck checks, for tests, what becomes of every webhook at every destination that it is for. It does no
+// I/O and has no clock: whoever observes something tells the time, in microseconds from any origin.
+//
+// A webhook is known by the request ID that it was submitted with. One that was rejected, or handed back, and is
+// submitted again has a new ID and names the one before: what may take effect once only may do so once over both.
 package deliverycheck
 
 import (
@@ -12,32 +12,32 @@
 	"rowanlink/webhook/api"
 )
 
-// Requirements are what is judged by.
+// Requirements is what webhooks are checked against.
 type Requirements struct {
 	EventTypes map[string]api.EventType
-	Settings   api.Settings // returns, the longest wait, the gap of a key's turn
+	Settings   api.Settings
 
-	Slack          api.Micros // a webhook's end is overdue so long after its TTL
-	DrainGrace     api.Micros // calls to a drained endpoint are let through for so long after it was told
-	NotifiedWithin api.Micros // what changed counts as told so long after, even where it never came
-	WaitGrace      api.Micros // calls that cross a wait on their way are let through
-	WaitsBindAll   bool       // a wait binds all members, not only the one that was told
-	OrderAcross    bool       // order by key also holds between webhooks handed in at different members
+	Slack          api.Micros // a webhook's outcome is overdue so long after its TTL
+	DrainGrace     api.Micros // calls to a draining endpoint are allowed for so long after the notification
+	NotifiedWithin api.Micros // a change counts as notified so long after, also if the notification never came
+	WaitGrace      api.Micros // calls that cross a Retry-After on their way are allowed
+	WaitsBindAll   bool       // a Retry-After binds all members, not only the one that received it
+	OrderAcross    bool       // the order of a key also holds between webhooks submitted at different members
 }
 
-// Submission is one try to hand a webhook in.
+// Submission is an attempt to submit a webhook.
 type Submission struct {
 	At           api.Micros
 	ID           string
-	RetryOf      string // the id under which it was refused or handed back before, if any
+	RetryOf      string // the ID under which it was rejected or handed back before; "": none
 	Member       string
-	Destinations []api.DestinationID // several: an announcement's subscribers
+	Destinations []api.DestinationID // several are the subscribers of an announcement
 	Type         string
 	Key          string
 	TTL          api.Micros
 }
 
-// Call is one call at an endpoint, with one webhook or several.
+// Call is a call at an endpoint, with one webhook or several.
 type Call struct {
 	At          api.Micros
 	Member      string
@@ -46,186 +46,239 @@
 	IDs         []string
 
 	sequence   int
-	endedAt    api.Micros // Never: still out
+	endedAt    api.Micros // api.Never: it is in flight
 	effects    map[string]api.Micros
 	delivered  map[string]bool
 	retryAfter api.Micros
 }
 
-// webhook is one handed in, with what became of it.
+// isInFlight reports whether the call has not ended at a time.
+func (c *Call) isInFlight(at api.Micros) bool { return c.endedAt == api.Never || c.endedAt > at }
+
+// webhook is a submission and what became of it.
 type webhook struct {
 	Submission
 	respondedAt api.Micros
-	status      int // 0: no answer
+	status      int // of the response to the client; 0: there was none
 	notices     []notice
 }
 
+// notice is an outcome that was reported to the platform.
 type notice struct {
-	at      api.Micros
-	outcome string
-	all     bool
-	dest    api.DestinationID
+	at          api.Micros
+	outcome     string
+	all         bool // it is of all destinations that have no outcome yet
+	destination api.DestinationID
+}
+
+func (n notice) isOf(destination api.DestinationID) bool {
+	return n.all || n.destination == destination
+}
+
+// The values of the protocol that the rules depend on.
+const (
+	statusOK              = 200
+	statusAccepted        = 202
+	statusTooManyRequests = 429
+	statusUnavailable     = 503
+
+	outcomeHandedBack = "handed_back"
+)
+
+func (w *webhook) accepted() bool { return w.status == statusOK || w.status == statusAccepted }
+
+func (w *webhook) rejected() bool {
+	return w.status == statusTooManyRequests || w.status == statusUnavailable
+}
+
+// mayBeRetried reports whether the member said that the webhook has had no effect and may be submitted again.
+func (w *webhook) mayBeRetried() bool {
+	return w.rejected() ||
+		slices.ContainsFunc(w.notices, func(n notice) bool { return n.outcome == outcomeHandedBack })
 }
 
-// period is a time in which something held; until is Never while it lasts.
+// period is a time in which something held; until is api.Never while it lasts.
 type period struct {
 	from, until  api.Micros
-	processEnded bool // of a member: its process ended, it didn't only stand still
+	processEnded bool // of a member that is down: its process ended, rather than being paused
 }
 
-// outage is one of a destination, and the calls a second that it takes when it is back and warm.
+// outage is an outage of a destination, and the calls a second that it takes once it is back and warm.
 type outage struct {
 	period
 	rate float64
 }
 
-// Checker is safe for use by several goroutines.
+// Checker records what happens to webhooks and checks it. It is safe for concurrent use.
 type Checker struct {
 	Requirements Requirements
 
 	mu           sync.Mutex
 	webhooks     map[string]*webhook
-	submissions  []*webhook // as handed in
+	submissions  []*webhook // in order
 	calls        []*Call
-	downtimes    map[string][]period // members
-	forgiven     map[string]bool
-	drains       map[string][]period // endpoints
+	downtimes    map[string][]period // by member
+	forgiven     map[string]bool     // webhooks that may be lost
+	drains       map[string][]period // by endpoint
 	notified     map[notification][]api.Micros
 	outages      map[api.DestinationID][]outage
-	immediate    []Violation
-	rateExceeded int // calls above a stated rate
+	immediate    []Violation // that were found when they were recorded
+	rateExceeded int
 }
 
+// notification is of the state of an endpoint to a member.
 type notification struct{ member, endpoint string }
 
-// New makes an empty ledger.
-func New(by Requirements) *Checker {
-	return &Checker{Requirements: by, webhooks: map[string]*webhook{}, downtimes: map[string][]period{},
-		forgiven: map[string]bool{}, drains: map[string][]period{}, notified: map[notification][]api.Micros{},
-		outages: map[api.DestinationID][]outage{}}
+// New returns a checker that has recorded nothing.
+func New(required Requirements) *Checker {
+	return &Checker{
+		Requirements: required,
+		webhooks:     map[string]*webhook{},
+		downtimes:    map[string][]period{},
+		forgiven:     map[string]bool{},
+		drains:       map[string][]period{},
+		notified:     map[notification][]api.Micros{},
+		outages:      map[api.DestinationID][]outage{},
+	}
 }
 
-// Submitted notes a try, before its first byte is sent.
-func (l *Checker) RecordSubmission(h Submission) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := &webhook{Submission: h}
-	l.webhooks[h.ID] = w
-	l.submissions = append(l.submissions, w)
+// RecordSubmission records a submission, before its first byte is sent.
+func (c *Checker) RecordSubmission(s Submission) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := &webhook{Submission: s}
+	c.webhooks[s.ID] = w
+	c.submissions = append(c.submissions, w)
 }
 
-// RecordResponse notes what a client was answered; code 0: nothing in time, or the connection broke.
-func (l *Checker) RecordResponse(at api.Micros, id string, code int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if w := l.webhooks[id]; w != nil {
-		w.respondedAt, w.status = at, code
+// RecordResponse records the status that a client received; 0: none in time, or the connection ended.
+func (c *Checker) RecordResponse(at api.Micros, id string, status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w := c.webhooks[id]; w != nil {
+		w.respondedAt, w.status = at, status
 	}
 }
 
-// RecordCall notes a call as it begins. It is out until Returned.
-func (l *Checker) RecordCall(c Call) *Call {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.sequence, c.endedAt, c.effects, c.delivered = len(l.calls), api.Never, map[string]api.Micros{}, map[string]bool{}
-	l.calls = append(l.calls, &c)
-	for _, id := range c.IDs {
-		switch w := l.webhooks[id]; {
+// RecordCall records that a call begins. It is in flight until RecordCallEnd.
+func (c *Checker) RecordCall(call Call) *Call {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	call.sequence = len(c.calls)
+	call.endedAt = api.Never
+	call.effects = map[string]api.Micros{}
+	call.delivered = map[string]bool{}
+	c.calls = append(c.calls, &call)
+	for _, id := range call.IDs {
+		switch w := c.webhooks[id]; {
 		case w == nil:
-			l.addViolation(Violation{Misrouted, c.At, id, c.Destination, c.Member, "was never handed in"})
-		case !slices.Contains(w.Destinations, c.Destination):
-			l.addViolation(Violation{Misrouted, c.At, id, c.Destination, c.Member, "is not for this destination"})
+			c.addViolation(call.violation(Misrouted, id, "was never handed in"))
+		case !slices.Contains(w.Destinations, call.Destination):
+			c.addViolation(call.violation(Misrouted, id, "is not for this destination"))
 		}
 	}
-	return &c
+	return &call
 }
 
-// RecordEffect notes that a webhook of a call took effect.
-func (l *Checker) RecordEffect(at api.Micros, c *Call, id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.effects[id] = at
+// RecordEffect records that a webhook of a call took effect.
+func (c *Checker) RecordEffect(at api.Micros, call *Call, id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	call.effects[id] = at
 }
 
-// RecordCallEnd notes that a call's answer was written, or its connection ended (delivered: none), and what wait
-// it told.
-func (l *Checker) RecordCallEnd(at api.Micros, c *Call, wait api.Micros, delivered ...string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.endedAt, c.retryAfter = at, wait
+// RecordCallEnd records that a call's response was written, with the Retry-After in it, or that its connection ended
+// (with nothing delivered).
+func (c *Checker) RecordCallEnd(at api.Micros, call *Call, retryAfter api.Micros, delivered ...string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	call.endedAt, call.retryAfter = at, retryAfter
 	for _, id := range delivered {
-		c.delivered[id] = true
+		call.delivered[id] = true
 	}
 }
 
-// RateExceeded notes a call that was turned away above a stated rate.
-func (l *Checker) RecordRateExceeded() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.rateExceeded++
+// RecordRateExceeded records a call that was rejected above a stated rate.
+func (c *Checker) RecordRateExceeded() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rateExceeded++
 }
 
-// RecordNotice notes an end told to the platform: of all destinations that are left, or of one.
-func (l *Checker) RecordNotice(at api.Micros, member, id, outcome string, of ...api.DestinationID) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := l.webhooks[id]
+// RecordNotice records an outcome that a member reported to the platform: of all destinations that have none yet, or of
+// one.
+func (c *Checker) RecordNotice(at api.Micros, member, id, outcome string, destination ...api.DestinationID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := c.webhooks[id]
 	if w == nil {
-		l.addViolation(Violation{Misrouted, at, id, 0, member, "a notice of a webhook that was never handed in"})
+		c.addViolation(Violation{
+			Rule:   Misrouted,
+			At:     at,
+			ID:     id,
+			Member: member,
+			Reason: "a notice of a webhook that was never handed in",
+		})
 		return
 	}
-	n := notice{at: at, outcome: outcome, all: len(of) == 0}
+	n := notice{at: at, outcome: outcome, all: len(destination) == 0}
 	if !n.all {
-		n.dest = of[0]
+		n.destination = destination[0]
 	}
 	w.notices = append(w.notices, n)
 }
 
-// RecordDraining notes that an endpoint is to get nothing new, Relisted that it is again; Told is when a member was
-// told.
-func (l *Checker) RecordDraining(at api.Micros, endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.drains[endpoint] = append(l.drains[endpoint], period{from: at, until: api.Never})
+// RecordDraining records that an endpoint drains: it is to get nothing new.
+func (c *Checker) RecordDraining(at api.Micros, endpoint string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drains[endpoint] = append(c.drains[endpoint], period{from: at, until: api.Never})
 }
 
-func (l *Checker) RecordServing(at api.Micros, endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	endLastPeriod(l.drains[endpoint], at)
+// RecordServing records that an endpoint that drained serves again.
+func (c *Checker) RecordServing(at api.Micros, endpoint string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	endLastPeriod(c.drains[endpoint], at)
 }
 
-func (l *Checker) RecordNotified(at api.Micros, member, endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	k := notification{member, endpoint}
-	l.notified[k] = append(l.notified[k], at)
+// RecordNotified records that a member was notified that an endpoint drains.
+func (c *Checker) RecordNotified(at api.Micros, member, endpoint string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := notification{member, endpoint}
+	c.notified[key] = append(c.notified[key], at)
 }
 
-// RecordOutage notes that a destination's outage began, Back that it takes calls again, cold: so many a second once
-// warm.
-func (l *Checker) RecordOutage(at api.Micros, dest api.DestinationID) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.outages[dest] = append(l.outages[dest], outage{period: period{from: at, until: api.Never}})
+// RecordOutage records that a destination's outage begins.
+func (c *Checker) RecordOutage(at api.Micros, destination api.DestinationID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outages[destination] = append(c.outages[destination], outage{period: period{from: at, until: api.Never}})
 }
 
-func (l *Checker) RecordRecovery(at api.Micros, dest api.DestinationID, rate float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if all := l.outages[dest]; len(all) > 0 && all[len(all)-1].until == api.Never {
-		all[len(all)-1].until, all[len(all)-1].rate = at, rate
+// RecordRecovery records that a destination's outage ends. It starts cold, and takes so many calls a second once it is
+// warm.
+func (c *Checker) RecordRecovery(at api.Micros, destination api.DestinationID, rate float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	outages := c.outages[destination]
+	if len(outages) == 0 {
+		return
+	}
+	if last := &outages[len(outages)-1]; last.until == api.Never {
+		last.until, last.rate = at, rate
 	}
 }
 
-func (l *Checker) addViolation(b Violation) { l.immediate = append(l.immediate, b) }
+func (c *Checker) addViolation(v Violation) { c.immediate = append(c.immediate, v) }
 
-// EventTypeOf is the event type of a webhook that was handed in.
-func (l *Checker) EventTypeOf(id string) api.EventType {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if w := l.webhooks[id]; w != nil {
-		return l.Requirements.EventTypes[w.Type]
+// EventTypeOf returns the event type of a webhook, by its ID.
+func (c *Checker) EventTypeOf(id string) api.EventType {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w := c.webhooks[id]; w != nil {
+		return c.Requirements.EventTypes[w.Type]
 	}
 	return api.EventType{}
 }
--- a/test/checker/deliverycheck/checker_test.go
+++ b/test/checker/deliverycheck/checker_test.go
@@ -10,12 +10,11 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against a judge that can't fail: beside each story that breaks a rule stands one that only just
-// doesn't.
+// Beside each scenario that violates a rule is one that only just doesn't.
 func TestChecker_FindsEachViolationAndAcceptsItsEdge(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(s scenario)
+		record func(s scenario)
 		want string
 	}{
 		{"delivered", func(s scenario) { s.submit(0, "a", "status", 202); s.call(1, 2, "m1", "a") }, "[]"},
@@ -195,10 +194,10 @@
 		}, "[astray]"},
 	} {
 		s := scenario{deliverycheck.New(requirements())}
-		c.tell(s)
+		c.record(s)
 		rules := []deliverycheck.Rule{}
-		for _, b := range s.Check(20000 * millisecond) {
-			rules = append(rules, b.Rule)
+		for _, violation := range s.Check(20000 * millisecond) {
+			rules = append(rules, violation.Rule)
 		}
 		assert.Equal(t, c.want, fmt.Sprint(rules), c.name)
 	}
--- a/test/checker/deliverycheck/counts.go
+++ b/test/checker/deliverycheck/counts.go
@@ -1,44 +1,50 @@
 package deliverycheck
 
-// Outstanding is how many webhooks were taken on and have no end yet.
-func (l *Checker) Outstanding() (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ends := l.deliveries()
-	for _, w := range l.submissions {
-		if w.accepted() && !l.forgiven[w.ID] && len(w.missing(ends)) > 0 {
+// Outstanding returns how many webhooks were accepted and have no outcome yet.
+func (c *Checker) Outstanding() (n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delivered := c.deliveries()
+	for _, w := range c.submissions {
+		if c.isOutstanding(w, delivered) {
 			n++
 		}
 	}
 	return n
 }
 
-// Counts says what came of all.
+func (c *Checker) isOutstanding(w *webhook, delivered map[delivery]bool) bool {
+	return w.accepted() && !c.forgiven[w.ID] && len(w.missing(delivered)) > 0
+}
+
+// Counts is what became of all webhooks.
 type Counts struct {
 	Submitted, Accepted, Rejected, Unanswered int
 	Delivered, Notices                        int // by destination
 	Calls, RateExceeded, Effects              int
 }
 
-// Counts counts up to now.
-func (l *Checker) Counts() (c Counts) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.Submitted, c.Calls, c.RateExceeded = len(l.submissions), len(l.calls), l.rateExceeded
-	for _, w := range l.submissions {
+// Counts returns the counts up to now.
+func (c *Checker) Counts() (counts Counts) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	counts.Submitted = len(c.submissions)
+	counts.Calls = len(c.calls)
+	counts.RateExceeded = c.rateExceeded
+	for _, w := range c.submissions {
 		switch {
 		case w.accepted():
-			c.Accepted++
-		case w.status == 429 || w.status == 503:
-			c.Rejected++
+			counts.Accepted++
+		case w.rejected():
+			counts.Rejected++
 		case w.status == 0:
-			c.Unanswered++
+			counts.Unanswered++
 		}
-		c.Notices += len(w.notices)
+		counts.Notices += len(w.notices)
 	}
-	c.Delivered = len(l.deliveries())
-	for _, call := range l.calls {
-		c.Effects += len(call.effects)
+	counts.Delivered = len(c.deliveries())
+	for _, call := range c.calls {
+		counts.Effects += len(call.effects)
 	}
-	return c
+	return counts
 }
--- a/test/checker/deliverycheck/members.go
+++ b/test/checker/deliverycheck/members.go
@@ -7,43 +7,50 @@
 	"rowanlink/webhook/api"
 )
 
-// RecordMemberDown notes that a member stands still, leaves or has ended (died): nothing it may have is overdue until Up.
-func (l *Checker) RecordMemberDown(at api.Micros, member string, died bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	all := l.downtimes[member]
-	if len(all) == 0 || all[len(all)-1].until != api.Never {
-		all = append(all, period{from: at, until: api.Never})
+// RecordMemberDown records that a member is paused, terminates or that its process has ended: webhooks that it may have
+// are not overdue until RecordMemberUp.
+func (c *Checker) RecordMemberDown(at api.Micros, member string, processEnded bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	periods := c.downtimes[member]
+	if len(periods) == 0 || periods[len(periods)-1].until != api.Never {
+		periods = append(periods, period{from: at, until: api.Never})
 	}
-	all[len(all)-1].processEnded = all[len(all)-1].processEnded || died
-	l.downtimes[member] = all
+	last := &periods[len(periods)-1]
+	last.processEnded = last.processEnded || processEnded
+	c.downtimes[member] = periods
 }
 
-func (l *Checker) RecordMemberUp(at api.Micros, member string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	endLastPeriod(l.downtimes[member], at)
+// RecordMemberUp records that a member runs again.
+func (c *Checker) RecordMemberUp(at api.Micros, member string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	endLastPeriod(c.downtimes[member], at)
 }
 
-func endLastPeriod(all []period, at api.Micros) {
-	if len(all) > 0 && all[len(all)-1].until == api.Never {
-		all[len(all)-1].until = at
+func endLastPeriod(periods []period, at api.Micros) {
+	if len(periods) == 0 {
+		return
+	}
+	if last := &periods[len(periods)-1]; last.until == api.Never {
+		last.until = at
 	}
 }
 
-// ForgiveOutstanding forgives what has not ended: its home's folder may be the one that is gone. It returns how many.
-func (l *Checker) ForgiveOutstanding(at api.Micros) (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ends := l.deliveries()
-	for _, w := range l.submissions {
-		if w.accepted() && len(w.missing(ends)) > 0 && !l.forgiven[w.ID] {
-			l.forgiven[w.ID] = true
+// ForgiveOutstanding forgives webhooks that have no outcome yet, since their member's state may be the one that was
+// deleted. It returns how many.
+func (c *Checker) ForgiveOutstanding(_ api.Micros) (n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delivered := c.deliveries()
+	for _, w := range c.submissions {
+		if c.isOutstanding(w, delivered) {
+			c.forgiven[w.ID] = true
 			n++
 		}
 	}
 	return n
 }
 
-// downMembers are those that were ever down, in order.
-func (l *Checker) downMembers() []string { return slices.Sorted(maps.Keys(l.downtimes)) }
+// downMembers returns the members that were ever down, sorted.
+func (c *Checker) downMembers() []string { return slices.Sorted(maps.Keys(c.downtimes)) }
--- a/test/checker/deliverycheck/scenario_test.go
+++ b/test/checker/deliverycheck/scenario_test.go
@@ -23,9 +23,10 @@
 	}
 }
 
-// scenario is what a ledger is told, in milliseconds.
+// scenario records events in a checker, in milliseconds.
 type scenario struct{ *deliverycheck.Checker }
 
+// submit records a submission and its response. more is the key, and the ID that it is a retry of.
 func (s scenario) submit(at api.Micros, id, class string, code int, more ...string) {
 	h := deliverycheck.Submission{At: at * millisecond, ID: id, Member: "m1", Destinations: []api.DestinationID{3}, Type: class,
 		TTL: 9000 * millisecond}
@@ -39,6 +40,7 @@
 	s.RecordResponse(at*millisecond+1, id, code)
 }
 
+// call records a call with a webhook. how tells what becomes of it; delivered if it is missing.
 func (s scenario) call(from, to api.Micros, member, id string, how ...string) {
 	c := s.RecordCall(deliverycheck.Call{At: from * millisecond, Member: member, Endpoint: "e", Destination: 3, IDs: []string{id}})
 	switch fmt.Sprint(how) {
@@ -56,7 +58,7 @@
 	}
 }
 
-// recover has so many calls come, by two members in turn, in the first second after a return.
+// recover has calls come, by two members in turn, in the first second after an outage.
 func (s scenario) recover(n int) {
 	s.RecordOutage(0, 3)
 	s.RecordRecovery(1000*millisecond, 3, 20)
@@ -68,7 +70,7 @@
 	}
 }
 
-// submitAtTwoMembers has two webhooks of a key handed in at two members, and the second called first.
+// submitAtTwoMembers submits two webhooks of a key at two members, and calls with the second first.
 func (s scenario) submitAtTwoMembers() {
 	s.submit(0, "a", "ride", 202, "k")
 	s.RecordSubmission(deliverycheck.Submission{At: 5 * millisecond, ID: "b", Member: "m2", Destinations: []api.DestinationID{3},
--- a/test/checker/deliverycheck/window.go
+++ b/test/checker/deliverycheck/window.go
@@ -7,75 +7,108 @@
 	"rowanlink/webhook/api"
 )
 
-// Window is what befell a destination's webhooks in a span of time: for benchmarks.
+// Window is what became of a destination's webhooks in a window of time, for benchmarks.
 type Window struct {
-	ResponseTimes  []api.Micros // from handed in to taken on
-	DeliveryDelays []api.Micros // from handed in to the first effect
-	LongestGap     api.Micros   // between two deliveries that follow each other, or the span's ends
-	Rejected       int          // with a time to come again
+	ResponseTimes  []api.Micros // from the submission to the response, of accepted webhooks
+	DeliveryDelays []api.Micros // from the submission to the first effect
+	LongestGap     api.Micros   // between two successive deliveries, or the window's ends
+	Rejected       int
 	Unanswered     int
 }
 
-// Median is the middle one; 0: there is none.
-func Median(all []api.Micros) api.Micros {
-	if len(all) == 0 {
+// Median returns the median of times; 0: there are none.
+func Median(times []api.Micros) api.Micros {
+	if len(times) == 0 {
 		return 0
 	}
-	return slices.Sorted(slices.Values(all))[len(all)/2]
+	return slices.Sorted(slices.Values(times))[len(times)/2]
 }
 
-// Window looks at what was handed in, and what was delivered, from one time to another.
-func (l *Checker) Window(dest api.DestinationID, from, until api.Micros) (w Window) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	first := map[string]api.Micros{}
-	ends := []api.Micros{from, until}
-	for _, c := range l.calls {
-		if c.Destination != dest {
+// Window returns what became of the webhooks that were submitted between two times, and the deliveries between them.
+func (c *Checker) Window(destination api.DestinationID, from, until api.Micros) (w Window) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	times := slices.DeleteFunc(c.deliveryTimes(destination), func(at api.Micros) bool { return at < from || at > until })
+	w.LongestGap = longestGap(append(times, from, until))
+	firstEffect := c.firstEffects(destination)
+	for _, submitted := range c.submissions {
+		isInWindow := submitted.At >= from && submitted.At <= until
+		if !isInWindow || !slices.Contains(submitted.Destinations, destination) {
 			continue
 		}
-		if len(c.delivered) > 0 && c.endedAt >= from && c.endedAt <= until {
-			ends = append(ends, c.endedAt)
+		switch {
+		case submitted.accepted():
+			w.ResponseTimes = append(w.ResponseTimes, submitted.respondedAt-submitted.At)
+		case submitted.status == 0 && submitted.respondedAt > 0:
+			w.Unanswered++
+		case submitted.status != 0:
+			w.Rejected++
 		}
-		for id, at := range c.effects {
-			if was, ran := first[id]; !ran || at < was {
-				first[id] = at
-			}
+		if at, hasEffect := firstEffect[submitted.ID]; hasEffect {
+			w.DeliveryDelays = append(w.DeliveryDelays, at-submitted.At)
 		}
 	}
-	slices.Sort(ends)
-	for i := 1; i < len(ends); i++ {
-		w.LongestGap = max(w.LongestGap, ends[i]-ends[i-1])
+	return w
+}
+
+// deliveryTimes returns when the calls of a destination that delivered something ended.
+func (c *Checker) deliveryTimes(destination api.DestinationID) (times []api.Micros) {
+	for _, call := range c.calls {
+		if call.Destination == destination && len(call.delivered) > 0 {
+			times = append(times, call.endedAt)
+		}
 	}
-	for _, one := range l.submissions {
-		if one.At < from || one.At > until || !slices.Contains(one.Destinations, dest) {
+	return times
+}
+
+// firstEffects returns the time of each webhook's first effect at a destination.
+func (c *Checker) firstEffects(destination api.DestinationID) map[string]api.Micros {
+	first := map[string]api.Micros{}
+	for _, call := range c.calls {
+		if call.Destination != destination {
 			continue
 		}
-		switch {
-		case one.accepted():
-			w.ResponseTimes = append(w.ResponseTimes, one.respondedAt-one.At)
-		case one.status == 0 && one.respondedAt > 0:
-			w.Unanswered++
-		case one.status != 0:
-			w.Rejected++
-		}
-		if at, ran := first[one.ID]; ran {
-			w.DeliveryDelays = append(w.DeliveryDelays, at-one.At)
+		for id, at := range call.effects {
+			if earlier, hasEarlier := first[id]; !hasEarlier || at < earlier {
+				first[id] = at
+			}
 		}
 	}
-	return w
+	return first
 }
 
-// ConcurrentCalls lists the calls of a destination that a member began up to a time while another's was out.
-func (l *Checker) ConcurrentCalls(dest api.DestinationID, until api.Micros) (all []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i, c := range l.calls {
-		for _, p := range l.calls[:i] {
-			if c.Destination == dest && c.At < until && p.Destination == dest && p.Member != c.Member && p.endedAt > c.At {
-				all = append(all, fmt.Sprintf("by %s at %d, one by %s from %d is out", c.Member, c.At, p.Member, p.At))
+// longestGap returns the longest time between successive times. It sorts them in place.
+func longestGap(times []api.Micros) (longest api.Micros) {
+	slices.Sort(times)
+	for i := 1; i < len(times); i++ {
+		longest = max(longest, times[i]-times[i-1])
+	}
+	return longest
+}
+
+// LongestGap returns the longest time between two successive deliveries at a destination.
+func (c *Checker) LongestGap(destination api.DestinationID) api.Micros {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return longestGap(c.deliveryTimes(destination))
+}
+
+// ConcurrentCalls describes the calls of a destination that a member began, before a time, while a call of another
+// member was in flight.
+func (c *Checker) ConcurrentCalls(destination api.DestinationID, until api.Micros) (texts []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i, call := range c.calls {
+		if call.Destination != destination || call.At >= until {
+			continue
+		}
+		for _, earlier := range c.calls[:i] {
+			isOfOther := earlier.Destination == destination && earlier.Member != call.Member
+			if isOfOther && earlier.endedAt > call.At {
+				texts = append(texts, fmt.Sprintf("by %s at %d, one by %s from %d is out", call.Member, call.At,
+					earlier.Member, earlier.At))
 			}
 		}
 	}
-	return all
+	return texts
 }
