--- a/test/checker/deliverycheck/checker_test.go
+++ b/test/checker/deliverycheck/checker_test.go
@@ -13,9 +13,9 @@
 // Beside each scenario that violates a rule is one that only just doesn't.
 func TestChecker_FindsEachViolationAndAcceptsItsEdge(t *testing.T) {
 	for _, c := range []struct {
-		name string
+		name   string
 		record func(s scenario)
-		want string
+		want   string
 	}{
 		{"delivered", func(s scenario) { s.submit(0, "a", "status", 202); s.call(1, 2, "m1", "a") }, "[]"},
 		{"told", func(s scenario) { s.submit(0, "a", "status", 202); s.RecordNotice(9, "m2", "a", "given_up") }, "[]"},
