--- a/test/fake/platform/call.go
+++ b/test/fake/platform/call.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -13,114 +14,142 @@
 	"rowanlink/webhook/api"
 )
 
+const (
+	singlePath = "/events"
+	bundlePath = "/events/bundle"
+
+	noToken = "-" // in a bundle
+)
+
 // callItem is one webhook of a call.
 type callItem struct{ id, token string }
 
-// parseCall reads a call, in either form.
-func parseCall(r *http.Request) (all []callItem, err error) {
-	if r.URL.Path == "/events" {
+// parseCall reads the webhooks of a call of either form.
+func parseCall(r *http.Request) (items []callItem, err error) {
+	if r.URL.Path == singlePath {
 		_, err = io.Copy(io.Discard, r.Body)
 		return []callItem{{r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key")}}, err
 	}
-	for in := bufio.NewReader(r.Body); ; {
-		line, err := in.ReadString('\n')
-		if err == io.EOF && line == "" && len(all) > 0 {
-			return all, nil
+	for reader := bufio.NewReader(r.Body); ; {
+		line, err := reader.ReadString('\n')
+		if errors.Is(err, io.EOF) && line == "" && len(items) > 0 {
+			return items, nil
 		}
-		f := strings.Fields(line)
-		if err != nil || len(f) != 3 {
+		fields := strings.Fields(line)
+		if err != nil || len(fields) != 3 {
 			return nil, fmt.Errorf("bundle: %q", line)
 		}
-		n, err := strconv.Atoi(f[2])
-		if err != nil || n < 0 {
+		length, err := strconv.Atoi(fields[2])
+		if err != nil || length < 0 {
 			return nil, fmt.Errorf("bundle: %q", line)
 		}
-		if _, err := io.CopyN(io.Discard, in, int64(n)+2); err != nil {
+		if _, err := io.CopyN(io.Discard, reader, int64(length)+int64(len("\r\n"))); err != nil {
 			return nil, err
 		}
-		all = append(all, callItem{f[0], f[1]})
+		items = append(items, callItem{id: fields[0], token: fields[1]})
 	}
 }
 
-// serveCall takes one call by a member.
-func (e *Endpoint) serveCall(s *MemberView, rw http.ResponseWriter, r *http.Request) {
-	at := s.platform.Now()
-	if r.Method != http.MethodPost || r.URL.Path != "/events" && r.URL.Path != "/events/bundle" {
+// serveCall serves a call by a member, by the destination's behaviour.
+func (e *Endpoint) serveCall(v *MemberView, rw http.ResponseWriter, r *http.Request) {
+	at := v.platform.Now()
+	if r.Method != http.MethodPost || r.URL.Path != singlePath && r.URL.Path != bundlePath {
 		http.NotFound(rw, r)
 		return
 	}
-	all, err := parseCall(r)
+	items, err := parseCall(r)
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ids := make([]string, len(all))
-	for i, one := range all {
-		ids[i] = submissionID(one.id)
+	ids := make([]string, len(items))
+	for i, item := range items {
+		ids[i] = submissionID(item.id)
 	}
-	log := s.platform.Checker
-	c := log.RecordCall(deliverycheck.Call{At: at, Member: s.Name, Endpoint: e.Name, Destination: e.destination.ID, IDs: ids})
+	checker := v.platform.Checker
+	call := checker.RecordCall(deliverycheck.Call{
+		At:          at,
+		Member:      v.Name,
+		Endpoint:    e.Name,
+		Destination: e.destination.ID,
+		IDs:         ids,
+	})
 	b := e.destination.nextBehaviour(at)
-	if b.Delay > 0 || b.NeverAnswers {
-		var took <-chan time.Time
-		if !b.NeverAnswers {
-			timer := time.NewTimer(b.Delay)
-			defer timer.Stop()
-			took = timer.C
-		}
-		select {
-		case <-took:
-		case <-r.Context().Done(): // given up: what is begun runs on
-			log.RecordCallEnd(s.platform.Now(), c, 0)
-			if !b.NeverAnswers {
-				<-took
-				e.takeEffect(c, all, b)
-			}
-			return
-		}
+	if !e.delayCall(r, call, items, b) {
+		return
 	}
-	e.takeEffect(c, all, b)
-	if b.CloseConnection {
-		log.RecordCallEnd(s.platform.Now(), c, 0)
+	e.takeEffect(call, items, b)
+	switch {
+	case b.CloseConnection:
+		checker.RecordCallEnd(v.platform.Now(), call, 0)
 		if conn, _, err := rw.(http.Hijacker).Hijack(); err == nil {
-			conn.Close()
+			_ = conn.Close()
 		}
-		return
-	}
-	if b.Status != 0 && b.Status != http.StatusOK {
+	case !b.succeeds():
 		if b.RetryAfter > 0 {
 			rw.Header().Set("Retry-After", strconv.FormatFloat(b.RetryAfter.Seconds(), 'f', 3, 64))
 		}
-		log.RecordCallEnd(s.platform.Now(), c, api.Micros(b.RetryAfter.Microseconds()))
+		checker.RecordCallEnd(v.platform.Now(), call, api.Micros(b.RetryAfter.Microseconds()))
 		rw.WriteHeader(b.Status)
-		return
+	default:
+		checker.RecordCallEnd(v.platform.Now(), call, 0, ids...)
+		if r.URL.Path == bundlePath {
+			writeBundleResponse(rw, items)
+		}
 	}
-	log.RecordCallEnd(s.platform.Now(), c, 0, ids...)
-	if r.URL.Path == "/events" {
-		return
+}
+
+func writeBundleResponse(rw http.ResponseWriter, items []callItem) {
+	for _, item := range items {
+		_, _ = fmt.Fprintf(rw, "%s delivered\r\n", item.id) // a client that is gone gets nothing
+	}
+}
+
+// delayCall waits as long as a behaviour has it, and returns false if the caller gives up meanwhile: the call then takes
+// effect all the same.
+func (e *Endpoint) delayCall(r *http.Request, call *deliverycheck.Call, items []callItem, b Behaviour) bool {
+	if b.Delay <= 0 && !b.NeverAnswers {
+		return true
+	}
+	var delayed <-chan time.Time // nil: never
+	if !b.NeverAnswers {
+		timer := time.NewTimer(b.Delay)
+		defer timer.Stop()
+		delayed = timer.C
+	}
+	select {
+	case <-delayed:
+		return true
+	case <-r.Context().Done():
 	}
-	for _, one := range all {
-		fmt.Fprintf(rw, "%s delivered\r\n", one.id)
+	p := e.destination.platform
+	p.Checker.RecordCallEnd(p.Now(), call, 0)
+	if !b.NeverAnswers {
+		<-delayed
+		e.takeEffect(call, items, b)
 	}
+	return false
 }
 
-// takeEffect has a call take effect, if the behaviour lets it: a token that is remembered takes effect once.
-func (e *Endpoint) takeEffect(c *deliverycheck.Call, all []callItem, b Behaviour) {
-	if !b.TakesEffect && (b.NeverAnswers || b.CloseConnection || b.Status != 0 && b.Status != http.StatusOK) {
+// takeEffect has a call take effect if the behaviour lets it. A webhook whose token is remembered takes effect once.
+func (e *Endpoint) takeEffect(call *deliverycheck.Call, items []callItem, b Behaviour) {
+	if !b.hasEffect() {
 		return
 	}
-	d, log := e.destination, e.destination.platform.Checker
+	d := e.destination
+	checker := d.platform.Checker
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, one := range all {
-		now, id := d.platform.Now(), submissionID(one.id)
-		evt := log.EventTypeOf(id)
-		if evt.Semantics == api.Deduplicated && one.token != "" && one.token != "-" {
-			if first, known := d.tokens[one.token]; known && now <= first+evt.DedupWindow {
+	for _, item := range items {
+		now, id := d.platform.Now(), submissionID(item.id)
+		eventType := checker.EventTypeOf(id)
+		if eventType.Semantics == api.Deduplicated && item.token != "" && item.token != noToken {
+			first, isKnown := d.tokens[item.token]
+			if isKnown && now <= first+eventType.DedupWindow {
 				continue
 			}
-			d.tokens[one.token] = now
+			d.tokens[item.token] = now
 		}
-		log.RecordEffect(now, c, id)
+		checker.RecordEffect(now, call, id)
 	}
 }
--- a/test/fake/platform/destination.go
+++ b/test/fake/platform/destination.go
@@ -3,31 +3,32 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"sync"
 	"time"
 
 	"rowanlink/webhook/api"
 )
 
-// Behaviour is how a destination takes calls. Zero: it delivers at once.
+// Behaviour is how a destination responds to calls. The zero value delivers at once.
 type Behaviour struct {
-	Status            int           // other than 200: turned away or failed, and not run
-	TakesEffect       bool          // whatever the answer, it took effect
-	RetryAfter        time.Duration // told with a Code
-	Delay             time.Duration // before the answer
-	NeverAnswers      bool          // never answers
-	CloseConnection   bool          // the connection ends in place of the answer
-	RefuseConnections bool          // connections are refused
-	HangConnections   bool          // connections never come up
-	PerSecond         int           // more calls in one second than these are turned away with 429
-	TellsRetryAfter   bool          // those are told to wait for the second's end
-}
-
-// What destinations do, by name.
+	Status            int           // other than 0 and 200: rejected or failed, without an effect
+	TakesEffect       bool          // it has an effect, whatever the response
+	RetryAfter        time.Duration // in the response, with a Status
+	Delay             time.Duration // before the response
+	NeverAnswers      bool
+	CloseConnection   bool // in place of the response
+	RefuseConnections bool
+	HangConnections   bool // new connections aren't established
+	PerSecond         int  // more calls in a second are rejected with 429; 0: unlimited
+	TellsRetryAfter   bool // the rejected ones are told to wait for the end of the second
+}
+
+// The behaviours without a parameter.
 var (
 	Delivers     = Behaviour{}
-	Fails        = Behaviour{Status: 500}
-	Unavailable  = Behaviour{Status: 503}
+	Fails        = Behaviour{Status: http.StatusInternalServerError}
+	Unavailable  = Behaviour{Status: http.StatusServiceUnavailable}
 	Hangs        = Behaviour{NeverAnswers: true}
 	Closes       = Behaviour{CloseConnection: true}
 	ResponseLost = Behaviour{CloseConnection: true, TakesEffect: true}
@@ -35,111 +36,52 @@
 	Unreachable  = Behaviour{HangConnections: true}
 )
 
-// RateLimited turns calls away and tells how long to wait.
-func RateLimited(wait time.Duration) Behaviour { return Behaviour{Status: 429, RetryAfter: wait} }
+// RateLimited returns a behaviour that rejects calls with a Retry-After.
+func RateLimited(wait time.Duration) Behaviour {
+	return Behaviour{Status: http.StatusTooManyRequests, RetryAfter: wait}
+}
+
+// Slow returns a behaviour that delivers after a delay.
+func Slow(delay time.Duration) Behaviour { return Behaviour{Delay: delay} }
 
-// Slow delivers after a while.
-func Slow(took time.Duration) Behaviour { return Behaviour{Delay: took} }
+// succeeds reports whether the response is that of a delivery.
+func (b Behaviour) succeeds() bool { return b.Status == 0 || b.Status == http.StatusOK }
 
-// Destination has one endpoint or several; they share what it remembers.
+// hasEffect reports whether a call takes effect.
+func (b Behaviour) hasEffect() bool {
+	return b.TakesEffect || !b.NeverAnswers && !b.CloseConnection && b.succeeds()
+}
+
+// Destination has one endpoint or several, which share its state.
 type Destination struct {
-	ID       api.DestinationID
-	Kind     string  // the list's machineType
-	Weight   float64 // the list's weight: calls a second that it takes
+	ID     api.DestinationID
+	Kind   string  // the list's machineType
+	Weight float64 // the list's weight: calls a second that it takes
+
 	platform *Platform
 
 	mu            sync.Mutex
 	behaviour     Behaviour
-	queued        []Behaviour
-	tokens        map[string]api.Micros
-	second        int64
+	queued        []Behaviour           // for the next calls, one each
+	tokens        map[string]api.Micros // first effect by idempotency key
+	second        int64                 // that callsInSecond counts
 	callsInSecond int
-	failed        bool
-}
-
-// Endpoint is one address of a destination, as the list has it.
-type Endpoint struct {
-	Name        string
-	destination *Destination
-	zone        string
-	lifecycle   string
-	generation  int // generation
-	listeners   []*endpointListener
 }
 
-// Destination is one that New or Add made, or nil.
+// Destination returns a destination, or nil if it has no endpoint.
 func (p *Platform) Destination(id api.DestinationID) *Destination {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.destinations[id]
 }
 
-// AddEndpoint lists one more endpoint of a destination, which is made at the first.
-func (p *Platform) AddEndpoint(id api.DestinationID) (*Endpoint, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	d := p.destinations[id]
-	if d == nil {
-		d = &Destination{ID: id, Kind: "bulk", Weight: 200, platform: p, tokens: map[string]api.Micros{}}
-		p.destinations[id] = d
-	}
-	e := &Endpoint{Name: fmt.Sprintf("e%d-%d", id, len(p.endpoints)), destination: d, zone: "a"}
-	p.endpoints = append(p.endpoints, e)
-	for _, s := range p.views {
-		if err := s.addEndpoint(e); err != nil {
-			return nil, err
-		}
-	}
-	p.setLifecycle(e, "SERVING")
-	return e, nil
-}
-
-// Endpoints are those of a destination that are listed.
-func (p *Platform) Endpoints(id api.DestinationID) (all []*Endpoint) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, e := range p.endpoints {
-		if e.destination.ID == id && e.lifecycle != "DELETED" {
-			all = append(all, e)
-		}
-	}
-	return all
-}
-
-// setLifecycle changes what the list says of an endpoint, and tells it.
-func (p *Platform) setLifecycle(e *Endpoint, lifecycle string) {
-	if len(p.views) > 0 || e.generation > 0 {
-		p.generation++
-	}
-	switch was := e.lifecycle; {
-	case lifecycle == "SERVING" && was != "" && was != "SERVING":
-		p.Checker.RecordServing(p.Now(), e.Name)
-	case lifecycle != "SERVING" && (was == "SERVING" || was == ""):
-		p.Checker.RecordDraining(p.Now(), e.Name)
-	}
-	e.lifecycle, e.generation = lifecycle, p.generation
-	close(p.listChanged)
-	p.listChanged = make(chan struct{})
-}
-
-// Drain, Remove and Relist change the list. Whoever's discovery is mute hears it later.
-func (p *Platform) Drain(e *Endpoint)  { p.relist(e, "DRAINING") }
-func (p *Platform) Remove(e *Endpoint) { p.relist(e, "DELETED") }
-func (p *Platform) Relist(e *Endpoint) { p.relist(e, "SERVING") }
-
-func (p *Platform) relist(e *Endpoint, lifecycle string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.setLifecycle(e, lifecycle)
-}
-
-// SetBehaviour has the destination behave so from now on.
+// SetBehaviour replaces the destination's behaviour and drops the queued ones.
 func (d *Destination) SetBehaviour(b Behaviour) error {
 	d.mu.Lock()
-	was := d.behaviour
+	before := d.behaviour
 	d.behaviour, d.queued = b, nil
 	d.mu.Unlock()
-	if was.RefuseConnections == b.RefuseConnections && was.HangConnections == b.HangConnections {
+	if before.RefuseConnections == b.RefuseConnections && before.HangConnections == b.HangConnections {
 		return nil
 	}
 	d.platform.mu.Lock()
@@ -149,41 +91,45 @@
 		if e.destination != d {
 			continue
 		}
-		for _, door := range e.listeners {
-			switch {
-			case b.RefuseConnections:
-				door.port.Refuse()
-				err = errors.Join(err, door.refuse())
-			case b.HangConnections:
-				err = errors.Join(err, door.hang())
-			default:
-				err = errors.Join(err, door.open())
-			}
+		for _, listener := range e.listeners {
+			err = errors.Join(err, listener.apply(b))
 		}
 	}
 	return err
 }
 
-// QueueBehaviours has the calls that come next taken so, one each, before Set's behaviour goes on.
-func (d *Destination) QueueBehaviours(b ...Behaviour) {
+// apply has the listener treat connections by a behaviour.
+func (l *endpointListener) apply(b Behaviour) error {
+	switch {
+	case b.RefuseConnections:
+		l.port.Refuse()
+		return l.refuse()
+	case b.HangConnections:
+		return l.hang()
+	}
+	return l.open()
+}
+
+// QueueBehaviours sets the behaviours of the next calls, one each, before that of SetBehaviour goes on.
+func (d *Destination) QueueBehaviours(behaviours ...Behaviour) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queued = append(d.queued, b...)
+	d.queued = append(d.queued, behaviours...)
 }
 
-// BeginOutage begins an outage, which the ledger counts as one; Return ends it: cold, it takes so many calls a
-// second once it is warm.
+// BeginOutage sets a behaviour that the checker knows as an outage.
 func (d *Destination) BeginOutage(b Behaviour) error {
 	d.platform.Checker.RecordOutage(d.platform.Now(), d.ID)
 	return d.SetBehaviour(b)
 }
 
-func (d *Destination) EndOutage(perSecond float64) error {
-	d.platform.Checker.RecordRecovery(d.platform.Now(), d.ID, perSecond)
+// EndOutage ends an outage. The destination starts cold, and takes so many calls a second once it is warm.
+func (d *Destination) EndOutage(callsPerSecond float64) error {
+	d.platform.Checker.RecordRecovery(d.platform.Now(), d.ID, callsPerSecond)
 	return d.SetBehaviour(Delivers)
 }
 
-// nextBehaviour is the behaviour for one call.
+// nextBehaviour returns the behaviour for one call.
 func (d *Destination) nextBehaviour(now api.Micros) Behaviour {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,13 +143,96 @@
 	if second := int64(now / api.Second); second != d.second {
 		d.second, d.callsInSecond = second, 0
 	}
-	if d.callsInSecond++; d.callsInSecond <= b.PerSecond {
+	d.callsInSecond++
+	if d.callsInSecond <= b.PerSecond {
 		return b
 	}
 	d.platform.Checker.RecordRateExceeded()
-	full := Behaviour{Status: 429}
+	rejected := Behaviour{Status: http.StatusTooManyRequests}
 	if b.TellsRetryAfter {
-		full.RetryAfter = time.Duration(api.Second-now%api.Second) * time.Microsecond
+		rejected.RetryAfter = time.Duration(api.Second-now%api.Second) * time.Microsecond
+	}
+	return rejected
+}
+
+// The lifecycles of endpoints, as the list has them.
+const (
+	serving  = "SERVING"
+	draining = "DRAINING"
+	deleted  = "DELETED"
+)
+
+// Endpoint is one endpoint of a destination, as the list has it.
+type Endpoint struct {
+	Name        string
+	destination *Destination
+	zone        string
+	lifecycle   string
+	generation  int                 // of the list, at its last change
+	listeners   []*endpointListener // one for each member
+}
+
+// AddEndpoint adds an endpoint to the list, and its destination if it is new.
+func (p *Platform) AddEndpoint(id api.DestinationID) (*Endpoint, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	d := p.destinations[id]
+	if d == nil {
+		d = &Destination{ID: id, Kind: "bulk", Weight: 200, platform: p, tokens: map[string]api.Micros{}}
+		p.destinations[id] = d
 	}
-	return full
+	e := &Endpoint{Name: fmt.Sprintf("e%d-%d", id, len(p.endpoints)), destination: d, zone: "a"}
+	p.endpoints = append(p.endpoints, e)
+	for _, v := range p.views {
+		if err := v.addEndpoint(e); err != nil {
+			return nil, err
+		}
+	}
+	p.setLifecycle(e, serving)
+	return e, nil
+}
+
+// Endpoints returns the endpoints of a destination that are listed.
+func (p *Platform) Endpoints(id api.DestinationID) (listed []*Endpoint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range p.endpoints {
+		if e.destination.ID == id && e.lifecycle != deleted {
+			listed = append(listed, e)
+		}
+	}
+	return listed
+}
+
+// Drain lists an endpoint as draining.
+func (p *Platform) Drain(e *Endpoint) { p.changeLifecycle(e, draining) }
+
+// Remove removes an endpoint from the list.
+func (p *Platform) Remove(e *Endpoint) { p.changeLifecycle(e, deleted) }
+
+// Relist lists an endpoint as serving again.
+func (p *Platform) Relist(e *Endpoint) { p.changeLifecycle(e, serving) }
+
+func (p *Platform) changeLifecycle(e *Endpoint, lifecycle string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.setLifecycle(e, lifecycle)
+}
+
+// setLifecycle changes the list, records it and notifies the members whose discovery isn't muted.
+func (p *Platform) setLifecycle(e *Endpoint, lifecycle string) {
+	if len(p.views) > 0 || e.generation > 0 {
+		p.generation++
+	}
+	before := e.lifecycle
+	isServing, wasServing := lifecycle == serving, before == "" || before == serving
+	switch {
+	case isServing && !wasServing:
+		p.Checker.RecordServing(p.Now(), e.Name)
+	case !isServing && wasServing:
+		p.Checker.RecordDraining(p.Now(), e.Name)
+	}
+	e.lifecycle, e.generation = lifecycle, p.generation
+	close(p.listChanged)
+	p.listChanged = make(chan struct{})
 }
--- a/test/fake/platform/listener.go
+++ b/test/fake/platform/listener.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"net"
 	"net/http"
 	"sync"
 
@@ -11,49 +10,51 @@
 
 // endpointListener is one address of an endpoint, which can refuse connections for a while.
 type endpointListener struct {
-	port     *portalloc.Port
-	handler  http.HandlerFunc
-	mu       sync.Mutex
-	server   *http.Server
-	listener net.Listener
+	port    *portalloc.Port
+	handler http.HandlerFunc
+
+	mu     sync.Mutex
+	server *http.Server // nil while it doesn't accept connections
 }
 
-func newEndpointListener(h http.HandlerFunc) (*endpointListener, error) {
-	p, err := portalloc.Reserve()
+func newEndpointListener(handler http.HandlerFunc) (*endpointListener, error) {
+	port, err := portalloc.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	d := &endpointListener{port: p, handler: h}
-	return d, d.open()
+	l := &endpointListener{port: port, handler: handler}
+	return l, l.open()
 }
 
-func (d *endpointListener) open() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.port.Refuse()
-	if d.server != nil {
+// open accepts connections.
+func (l *endpointListener) open() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.port.Refuse()
+	if l.server != nil {
 		return nil
 	}
-	on, err := d.port.Listen()
+	listener, err := l.port.Listen()
 	if err != nil {
 		return err
 	}
-	d.server = &http.Server{Handler: d.handler}
-	go d.server.Serve(on)
+	server := &http.Server{Handler: l.handler}
+	l.server = server
+	go func() { _ = server.Serve(listener) }() // returns once it is closed
 	return nil
 }
 
-// refuse resets what is open and refuses what comes.
-func (d *endpointListener) refuse() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.server == nil {
+// refuse resets the open connections and refuses new ones.
+func (l *endpointListener) refuse() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.server == nil {
 		return nil
 	}
-	err := d.server.Close()
-	d.server = nil
+	err := l.server.Close()
+	l.server = nil
 	return err
 }
 
-// hang says nothing any more to whoever connects.
-func (d *endpointListener) hang() error { return errors.Join(d.refuse(), d.port.Hang()) }
+// hang resets the open connections and leaves new ones without an answer.
+func (l *endpointListener) hang() error { return errors.Join(l.refuse(), l.port.Hang()) }
--- a/test/fake/platform/load.go
+++ b/test/fake/platform/load.go
@@ -1,20 +1,12 @@
 package platform
 
 import (
-	"bufio"
-	"bytes"
 	"cmp"
 	"context"
-	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
-	"rowanlink/internal/socket"
-	"rowanlink/test/checker/deliverycheck"
 	"rowanlink/webhook/api"
 )
 
@@ -22,123 +14,113 @@
 type Webhook struct {
 	Type        string
 	Destination api.DestinationID
-	List        string // in place of Dest: an announcement
-	Key         string // of its order
+	List        string // in place of Destination: an announcement to its subscribers
+	Key         string // of the order
 	TTL         time.Duration
 	Body        string
 
-	token   string
-	retryOf string // the id under which it was refused or handed back
+	token   string // the idempotency key
+	retryOf string // the ID under which it was rejected or handed back
 }
 
-// Load is a stream of webhooks at a bounded rate. Each line takes the next one when its last is answered,
-// over a connection to each member that it keeps; one refused is handed in again by the same line once its
-// wait is over.
+// Load is a stream of webhooks at a limited rate. Each client submits the next one when its last is answered, over a
+// connection to each member that it keeps open; it submits a rejected one again once its wait is over.
 type Load struct {
 	Members     []string            // in turn
-	PerSecond   float64             // at the most, all lines together
-	Clients     int                 // 1 keeps the order in which webhooks are handed in
-	MaxAttempts int                 // at the most for each, 0: 4
-	Next        func(n int) Webhook // the n-th
-	MaxWebhooks int                 // ends by itself after so many; 0: when ctx is done
+	PerSecond   float64             // at most, of all clients together
+	Clients     int                 // 1 keeps the order in which webhooks are submitted
+	MaxAttempts int                 // for each webhook; 0: 4
+	Next        func(n int) Webhook // returns the n-th webhook
+	MaxWebhooks int                 // the load ends by itself after so many; 0: when its context ends
 }
 
-// responseTimeout is the protocol's: then the client closes its connection.
-const responseTimeout = 400 * time.Millisecond
+const (
+	defaultMaxAttempts = 4
+	minRetryDelay      = 20 * time.Millisecond
+)
 
-// Submit hands one webhook in at a member, and returns its id and what was answered; 0: nothing in time.
-func (p *Platform) Submit(member string, w Webhook) (id string, code int) {
-	l := &client{platform: p, connections: map[string]*clientConn{}}
-	defer l.close()
-	id, code, _ = l.submitOnce(member, w)
-	return id, code
+// Submit submits a webhook at a member, once. It returns the webhook's ID and the status of the response; 0: there was
+// none in time.
+func (p *Platform) Submit(member string, w Webhook) (id string, status int) {
+	c := newClient(p)
+	defer c.close()
+	id, status, _ = c.submitOnce(context.Background(), member, w)
+	return id, status
 }
 
-// StartLoad hands in until the load has ended; wait returns when all lines have.
+// StartLoad starts a load. wait returns when all clients have ended.
 func (p *Platform) StartLoad(ctx context.Context, load Load) (wait func()) {
-	tick := time.NewTicker(time.Duration(float64(time.Second) / load.PerSecond))
-	var group sync.WaitGroup
-	var mu sync.Mutex
-	n := 0
-	next := func() (Webhook, int, bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		if load.MaxWebhooks > 0 && n >= load.MaxWebhooks {
-			return Webhook{}, 0, false
-		}
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return Webhook{}, 0, false
-		}
-		n++
-		return load.Next(n - 1), n - 1, true
+	source := &webhookSource{
+		load:   load,
+		ticker: time.NewTicker(time.Duration(float64(time.Second) / load.PerSecond)),
 	}
+	var clients sync.WaitGroup
 	for range max(1, load.Clients) {
-		group.Go(func() {
-			l := &client{platform: p, connections: map[string]*clientConn{}}
-			defer l.close()
-			for w, n, more := next(); more; w, n, more = next() {
-				l.submitUntilAccepted(ctx, load, n, w)
+		clients.Go(func() {
+			c := newClient(p)
+			defer c.close()
+			for w, n, ok := source.next(ctx); ok; w, n, ok = source.next(ctx) {
+				c.submitUntilAccepted(ctx, load, n, w)
 			}
 		})
 	}
-	return func() { group.Wait(); tick.Stop() }
+	return func() {
+		clients.Wait()
+		source.ticker.Stop()
+	}
 }
 
-// client is a client's connections, one to each member.
-type client struct {
-	platform    *Platform
-	connections map[string]*clientConn
-}
+// webhookSource hands out the webhooks of a load at its rate.
+type webhookSource struct {
+	load   Load
+	ticker *time.Ticker
 
-type clientConn struct {
-	net.Conn
-	reader *bufio.Reader
+	mu    sync.Mutex
+	count int
 }
 
-func (l *client) close() {
-	for _, c := range l.connections {
-		c.Close()
-	}
+// next returns the next webhook and its number, or false if the load has ended.
+func (s *webhookSource) next(ctx context.Context) (w Webhook, n int, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.load.MaxWebhooks > 0 && s.count >= s.load.MaxWebhooks {
+		return Webhook{}, 0, false
+	}
+	select {
+	case <-s.ticker.C:
+	case <-ctx.Done():
+		return Webhook{}, 0, false
+	}
+	n = s.count
+	s.count++
+	return s.load.Next(n), n, true
 }
 
-// submitUntilAccepted hands one webhook in until it is taken on, out of time or out of tries. What got no answer is handed
-// in again, as another one, only where a second effect does no harm.
-func (l *client) submitUntilAccepted(ctx context.Context, load Load, n int, w Webhook) {
-	tries := load.MaxAttempts
-	if tries == 0 {
-		tries = 4
-	}
-	began := time.Now()
-	for try := range tries {
-		id, code, wait := l.submitOnce(load.Members[(n+try)%len(load.Members)], w)
+// submitUntilAccepted submits a webhook until it is accepted, or out of time or attempts. Without a response it is
+// submitted again, as another one, only if a second effect does no harm.
+func (c *client) submitUntilAccepted(ctx context.Context, load Load, n int, w Webhook) {
+	load.MaxAttempts = cmp.Or(load.MaxAttempts, defaultMaxAttempts)
+	startedAt := time.Now()
+	for attempt := range load.MaxAttempts {
+		member := load.Members[(n+attempt)%len(load.Members)]
+		id, status, wait := c.submitOnce(context.WithoutCancel(ctx), member, w) // what is begun goes on
 		switch {
-		case code == 200 || code == 202:
-			l.platform.onNotice(id, func(told notice) {
-				if told.outcome == "handed_back" && w.Key == "" && try+1 < tries {
-					time.AfterFunc(told.retryIn, func() {
-						if ctx.Err() != nil {
-							return
-						}
-						again := &client{platform: l.platform, connections: map[string]*clientConn{}}
-						defer again.close()
-						w.retryOf, w.token = id, cmp.Or(w.token, "k"+id)
-						again.submitUntilAccepted(ctx, Load{Members: load.Members, MaxAttempts: tries - try - 1}, n+1, w)
-					})
+		case status == http.StatusOK || status == http.StatusAccepted:
+			c.platform.onNotice(id, func(reported notice) {
+				if reported.outcome == handedBack && w.Key == "" && attempt+1 < load.MaxAttempts {
+					c.platform.resubmit(ctx, load, n+1, w.asRetryOf(id), load.MaxAttempts-attempt-1, reported.retryIn)
 				}
 			})
 			return
-		case code == 429 || code == 503:
-			w.retryOf = id
-			w.token = cmp.Or(w.token, "k"+id)
-		case code == 0 && l.platform.Checker.Requirements.EventTypes[w.Type].Semantics == api.Idempotent:
+		case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
+			w = w.asRetryOf(id)
+		case status == 0 && c.platform.Checker.Requirements.EventTypes[w.Type].Semantics == api.Idempotent:
 			w.retryOf = ""
 		default:
 			return
 		}
-		wait = max(wait, 20*time.Millisecond)
-		if w.TTL > 0 && time.Since(began)+wait > w.TTL {
+		wait = max(wait, minRetryDelay)
+		if w.TTL > 0 && time.Since(startedAt)+wait > w.TTL {
 			return
 		}
 		select {
@@ -149,93 +131,24 @@
 	}
 }
 
-func (p *Platform) onNotice(id string, heard func(notice)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.noticeHandlers[id] = heard
+// asRetryOf returns the webhook as a retry of a submission.
+func (w Webhook) asRetryOf(id string) Webhook {
+	w.retryOf = id
+	w.token = cmp.Or(w.token, defaultToken(id))
+	return w
 }
 
-// submitOnce hands a webhook in at one member. code 0: no answer.
-func (l *client) submitOnce(member string, w Webhook) (id string, code int, wait time.Duration) {
-	p := l.platform
-	p.mu.Lock()
-	p.lastID++
-	id = "w" + strconv.Itoa(p.lastID)
-	addr := p.clientAddrs[member]
-	dests, to := []api.DestinationID{w.Destination}, fmt.Sprintf("dest=%d", w.Destination)
-	if w.List != "" {
-		dests, to = p.SubscriberLists[w.List], "list="+w.List
-	}
-	p.mu.Unlock()
-	if w.token == "" {
-		w.token = "k" + id
-	}
-	if w.TTL == 0 {
-		w.TTL = time.Duration(p.Checker.Requirements.EventTypes[w.Type].TTL) * time.Microsecond
-	}
-	text := &bytes.Buffer{}
-	fmt.Fprintf(text, "POST /api HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nRequest-Class: %s\r\n"+
-		"Request-Timeout-Ms: %d\r\nX-Route-To: %s\r\nIdempotency-Key: %s\r\nContent-Length: %d\r\n", addr, id,
-		w.Type,
-		w.TTL.Milliseconds(), to, w.token, len(w.Body))
-	if w.Key != "" {
-		fmt.Fprintf(text, "Affinity-Key: %s\r\n", w.Key)
-	}
-	if w.retryOf != "" {
-		text.WriteString("Client-Retry: 1\r\n")
-	}
-	text.WriteString("\r\n" + w.Body)
-	p.Checker.RecordSubmission(deliverycheck.Submission{At: p.Now(), ID: id, RetryOf: w.retryOf, Member: member, Destinations: dests,
-		Type: w.Type,
-		Key:  w.Key, TTL: api.Micros(w.TTL.Microseconds())})
-	resp, err := l.roundTrip(addr, text.Bytes())
-	if err == nil {
-		code = resp.StatusCode
-		if after, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); bad == nil {
-			wait = time.Duration(after * float64(time.Second))
-		}
-	}
-	p.Checker.RecordResponse(p.Now(), id, code)
-	return id, code, wait
-}
+// defaultToken returns the idempotency key of a webhook by the ID of its first submission.
+func defaultToken(id string) string { return "k" + id }
 
-// roundTrip sends a request over the kept connection, or a new one where that has been closed between requests.
-func (l *client) roundTrip(addr string, text []byte) (*http.Response, error) {
-	c := l.connections[addr]
-	if c != nil {
-		if quiet, _ := socket.Inspect(c.Conn); !quiet { // a member has ended it meanwhile
-			c.Close()
-			c = nil
-		}
-	}
-	delete(l.connections, addr)
-	if c == nil {
-		conn, err := net.DialTimeout("tcp", addr, responseTimeout)
-		if err != nil {
-			return nil, err
+// resubmit submits a webhook that was handed back again after a delay, unless the load has ended.
+func (p *Platform) resubmit(ctx context.Context, load Load, n int, w Webhook, attempts int, delay time.Duration) {
+	time.AfterFunc(delay, func() {
+		if ctx.Err() != nil {
+			return
 		}
-		c = &clientConn{conn, bufio.NewReader(conn)}
-	}
-	resp, err := c.roundTrip(text)
-	if err != nil || resp.Close {
-		c.Close()
-		return resp, err
-	}
-	l.connections[addr] = c
-	return resp, nil
-}
-
-func (c *clientConn) roundTrip(text []byte) (*http.Response, error) {
-	if err := c.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
-		return nil, err
-	}
-	if _, err := c.Write(text); err != nil {
-		return nil, err
-	}
-	resp, err := http.ReadResponse(c.reader, nil)
-	if err != nil {
-		return nil, err
-	}
-	_, err = io.Copy(io.Discard, resp.Body)
-	return resp, err
+		c := newClient(p)
+		defer c.close()
+		c.submitUntilAccepted(ctx, Load{Members: load.Members, MaxAttempts: attempts}, n, w)
+	})
 }
--- a/test/fake/platform/notice.go
+++ b/test/fake/platform/notice.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strings"
@@ -11,52 +12,85 @@
 	"rowanlink/webhook/api"
 )
 
-// notice is one end as the platform was told of it.
+// The outcomes that notices may report.
+const (
+	givenUp    = "given_up"
+	handedBack = "handed_back"
+)
+
+// notice is an outcome that a member reports to the platform.
 type notice struct {
-	outcome string
-	retryIn time.Duration
+	webhookID    string
+	outcome      string
+	retryIn      time.Duration
+	destinations []api.DestinationID // empty: all that have no outcome yet
 }
 
-// RejectNotices has no notice heard until it is told otherwise.
-func (p *Platform) RejectNotices(is bool) { p.rejectNotices.Store(is) }
+// RejectNotices has notices answered with 503 until it is called with false.
+func (p *Platform) RejectNotices(reject bool) { p.rejectNotices.Store(reject) }
 
-// serveFinals takes notices, one a line. What can't be read is answered 400, and none of it counts.
-func (s *MemberView) serveFinals(rw http.ResponseWriter, r *http.Request) {
-	if s.platform.rejectNotices.Load() {
+// serveFinals accepts notices, one a line. If one can't be parsed the response is 400, and none counts.
+func (v *MemberView) serveFinals(rw http.ResponseWriter, r *http.Request) {
+	if v.platform.rejectNotices.Load() {
 		http.Error(rw, "come again", http.StatusServiceUnavailable)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
-	lines := strings.Split(strings.TrimSpace(string(body)), "\n")
-	for _, line := range lines {
-		outcome := gjson.Get(line, "outcome").String()
-		if err != nil || !gjson.Valid(line) || gjson.Get(line, "message").String() == "" ||
-			outcome != "given_up" && outcome != "handed_back" {
+	if err != nil {
+		http.Error(rw, "no notice", http.StatusBadRequest)
+		return
+	}
+	var notices []notice
+	for _, line := range strings.Split(strings.TrimSpace(string(body)), "\n") {
+		n, err := parseNotice(line)
+		if err != nil {
 			http.Error(rw, "no notice", http.StatusBadRequest)
 			return
 		}
+		notices = append(notices, n)
 	}
-	for _, line := range lines {
-		told, n := gjson.Parse(line), notice{}
-		id := submissionID(told.Get("message").String())
-		n.outcome, n.retryIn = told.Get("outcome").String(),
-			time.Duration(told.Get("retry_in_ms").Int())*time.Millisecond
-		var of []api.DestinationID
-		if d := told.Get("dest"); d.Exists() {
-			of = append(of, api.DestinationID(d.Uint()))
-		}
-		s.platform.Checker.RecordNotice(s.platform.Now(), s.Name, id, n.outcome, of...)
-		s.platform.mu.Lock()
-		heard := s.platform.noticeHandlers[id]
-		s.platform.mu.Unlock()
-		if heard != nil && len(of) == 0 {
-			heard(n)
-		}
+	for _, n := range notices {
+		v.platform.handleNotice(v.Name, n)
 	}
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// submissionID is the id that a webhook was handed in with.
+func parseNotice(line string) (n notice, err error) {
+	fields := gjson.Parse(line)
+	message, outcome := fields.Get("message").String(), fields.Get("outcome").String()
+	if !gjson.Valid(line) || message == "" || outcome != givenUp && outcome != handedBack {
+		return n, errors.New("no notice")
+	}
+	n = notice{
+		webhookID: submissionID(message),
+		outcome:   outcome,
+		retryIn:   time.Duration(fields.Get("retry_in_ms").Int()) * time.Millisecond,
+	}
+	if d := fields.Get("dest"); d.Exists() {
+		n.destinations = append(n.destinations, api.DestinationID(d.Uint()))
+	}
+	return n, nil
+}
+
+// handleNotice records a notice, and tells the client of a webhook if it is of all destinations.
+func (p *Platform) handleNotice(member string, n notice) {
+	p.Checker.RecordNotice(p.Now(), member, n.webhookID, n.outcome, n.destinations...)
+	p.mu.Lock()
+	handle := p.noticeHandlers[n.webhookID]
+	p.mu.Unlock()
+	if handle != nil && len(n.destinations) == 0 {
+		handle(n)
+	}
+}
+
+// onNotice sets the handler of notices of a webhook.
+func (p *Platform) onNotice(id string, handle func(notice)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.noticeHandlers[id] = handle
+}
+
+// submissionID returns the ID that a webhook was submitted with: that before a dot.
 func submissionID(id string) string {
 	id, _, _ = strings.Cut(id, ".")
 	return id
--- a/test/fake/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -20,97 +20,112 @@
 )
 
 func newPlatform(t *testing.T) *platform.Platform {
-	p, err := platform.New(deliverycheck.Requirements{EventTypes: map[string]api.EventType{
-		"status": {TTL: 9 * api.Second},
-		"paid":   {TTL: 9 * api.Second, Semantics: api.Deduplicated, DedupWindow: 8 * api.Second},
-	}, DrainGrace: api.Second, NotifiedWithin: 6 * api.Second}, 3)
+	t.Helper()
+	p, err := platform.New(deliverycheck.Requirements{
+		EventTypes: map[string]api.EventType{
+			"status": {TTL: 9 * api.Second},
+			"paid":   {TTL: 9 * api.Second, Semantics: api.Deduplicated, DedupWindow: 8 * api.Second},
+		},
+		DrainGrace:     api.Second,
+		NotifiedWithin: 6 * api.Second,
+	}, 3)
 	require.NoError(t, err)
-	t.Cleanup(func() { p.Close() })
+	t.Cleanup(func() { assert.NoError(t, p.Close()) })
 	return p
 }
 
-// startMember answers clients 202 and calls destination 3 as told, once.
-func startMember(t *testing.T, p *platform.Platform, code int) (addr string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startMember starts a member "m1" that answers clients with a status.
+func startMember(t *testing.T, p *platform.Platform, status int) {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Retry-After", "0.01")
-		rw.WriteHeader(code)
+		rw.WriteHeader(status)
 	})}
-	go s.Serve(l)
-	t.Cleanup(func() { s.Close() })
-	require.NoError(t, p.SetClientAddr("m1", l.Addr().String()))
-	return l.Addr().String()
+	go func() { _ = server.Serve(listener) }() // returns once it is closed
+	t.Cleanup(func() { _ = server.Close() })
+	require.NoError(t, p.SetClientAddr("m1", listener.Addr().String()))
 }
 
-// endpointAddr is the address of destination 3 in a list.
+// endpointAddr returns the address of the first endpoint of a list.
 func endpointAddr(list string) string {
 	_, rest, _ := strings.Cut(list, `"hostPort":"`)
 	addr, _, _ := strings.Cut(rest, `"`)
 	return addr
 }
 
-func call(t *testing.T, addr, path, id, body string) (*http.Response, string) {
-	r, err := http.NewRequest("POST", "http://"+addr+path, strings.NewReader(body))
+// response is the response to a call, or the text of the error in place of it.
+type response struct {
+	status     int // 0: there was none
+	retryAfter string
+	text       string
+}
+
+func call(t *testing.T, addr, path, id, body string) response {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+path, strings.NewReader(body))
 	require.NoError(t, err)
-	r.Header.Set("Request-Id", id)
-	r.Header.Set("Idempotency-Key", "k")
-	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
+	request.Header.Set("Request-Id", id)
+	request.Header.Set("Idempotency-Key", "k")
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	received, err := client.Do(request)
 	if err != nil {
-		return nil, err.Error()
+		return response{text: err.Error()}
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	defer func() { _ = received.Body.Close() }()
+	text, err := io.ReadAll(received.Body)
 	require.NoError(t, err)
-	return resp, string(text)
+	return response{
+		status:     received.StatusCode,
+		retryAfter: received.Header.Get("Retry-After"),
+		text:       string(text),
+	}
 }
 
 func TestDestination_BehavesAsSet(t *testing.T) {
 	p := newPlatform(t)
-	startMember(t, p, 202)
-	seat, err := p.View("m1")
+	startMember(t, p, http.StatusAccepted)
+	view, err := p.View("m1")
 	require.NoError(t, err)
-	addr, d := endpointAddr(seat.EndpointList()), p.Destination(3)
-	a, code := p.Submit("m1", platform.Webhook{Type: "status", Destination: 3})
-	require.Equal(t, 202, code)
+	addr, d := endpointAddr(view.EndpointList()), p.Destination(3)
+	id, status := p.Submit("m1", platform.Webhook{Type: "status", Destination: 3})
+	require.Equal(t, http.StatusAccepted, status)
 	assert.Equal(t, 1, p.Checker.Outstanding())
 	d.QueueBehaviours(platform.Fails, platform.RateLimited(800*time.Millisecond), platform.Closes, platform.ResponseLost)
-	for _, want := range []string{"500", "429", "EOF", "EOF"} {
-		resp, text := call(t, addr, "/events", a, "x")
-		if resp != nil {
-			text = resp.Status
-			assert.Equal(t, want == "429", resp.Header.Get("Retry-After") == "0.800")
-		}
-		assert.Contains(t, text, want)
+	for _, want := range []response{{status: 500}, {status: 429, retryAfter: "0.800"}} {
+		assert.Equal(t, want, call(t, addr, "/events", id, "x"))
+	}
+	for range 2 {
+		closed := call(t, addr, "/events", id, "x")
+		assert.Zero(t, closed.status)
+		assert.Contains(t, closed.text, "EOF")
 	}
 	require.NoError(t, d.SetBehaviour(platform.Refuses))
-	_, text := call(t, addr, "/events", a, "x")
-	assert.Contains(t, text, "refused")
+	assert.Contains(t, call(t, addr, "/events", id, "x").text, "refused")
 	require.NoError(t, d.SetBehaviour(platform.Behaviour{PerSecond: 1, TellsRetryAfter: true}))
 	assert.Equal(t, 1, p.Checker.Outstanding())
-	_, text = call(t, addr, "/events/bundle", "", a+" k 2\r\nhi\r\n")
-	assert.Equal(t, a+" delivered\r\n", text)
+	assert.Equal(t, id+" delivered\r\n", call(t, addr, "/events/bundle", "", id+" k 2\r\nhi\r\n").text)
 	assert.Zero(t, p.Checker.Outstanding())
 	for range 3 {
-		call(t, addr, "/events", a, "x")
+		call(t, addr, "/events", id, "x")
 	}
 	assert.Positive(t, p.Checker.Counts().RateExceeded)
-	resp, _ := call(t, addr, "/events/bundle", "", "odd")
-	assert.Equal(t, 400, resp.StatusCode)
+	assert.Equal(t, http.StatusBadRequest, call(t, addr, "/events/bundle", "", "odd").status)
 	call(t, addr, "/events", "w99", "x")
 	assert.Contains(t, fmt.Sprint(p.Check()), "w99 at destination 3 by m1")
 }
 
 func TestDestination_DeduplicatesByToken(t *testing.T) {
 	p := newPlatform(t)
-	startMember(t, p, 202)
-	seat, err := p.View("m2")
+	startMember(t, p, http.StatusAccepted)
+	view, err := p.View("m2")
 	require.NoError(t, err)
 	a, _ := p.Submit("m1", platform.Webhook{Type: "paid", Destination: 3})
 	p.Destination(3).QueueBehaviours(platform.ResponseLost, platform.Slow(30*time.Millisecond))
-	call(t, endpointAddr(seat.EndpointList()), "/events", a, "x")
+	call(t, endpointAddr(view.EndpointList()), "/events", a, "x")
 	assert.Equal(t, 1, p.Checker.Outstanding(), "its answer was lost")
-	call(t, endpointAddr(seat.EndpointList()), "/events", a, "x")
+	call(t, endpointAddr(view.EndpointList()), "/events", a, "x")
 	assert.Zero(t, p.Checker.Outstanding())
 	assert.Empty(t, p.Check())
 	assert.Equal(t, 1, p.Checker.Counts().Effects)
@@ -118,7 +133,7 @@
 
 func TestLoad_RetriesAfterRejection(t *testing.T) {
 	p := newPlatform(t)
-	startMember(t, p, 503)
+	startMember(t, p, http.StatusServiceUnavailable)
 	p.StartLoad(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Clients: 2, MaxWebhooks: 4,
 		MaxAttempts: 3,
 		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} }})()
@@ -131,14 +146,17 @@
 
 func TestMemberView_WatchAndMutedDiscovery(t *testing.T) {
 	p := newPlatform(t)
-	seat, err := p.View("m1")
+	view, err := p.View("m1")
+	require.NoError(t, err)
+	url := "http://" + view.AgentAddr + "/registry/instances?follow=1&since=1"
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	require.NoError(t, err)
-	resp, err := http.Get("http://" + seat.AgentAddr + "/registry/instances?follow=1&since=1")
+	watch, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
-	defer resp.Body.Close()
+	defer func() { _ = watch.Body.Close() }()
 	lines := make(chan string, 99)
 	go func() {
-		for in := bufio.NewScanner(resp.Body); in.Scan(); {
+		for in := bufio.NewScanner(watch.Body); in.Scan(); {
 			if in.Text() != "" {
 				lines <- in.Text()
 			}
@@ -147,7 +165,7 @@
 	e := p.Endpoints(3)[0]
 	p.Drain(e)
 	assert.Contains(t, <-lines, `"lifecycle":"DRAINING"`)
-	seat.MuteDiscovery(true)
+	view.MuteDiscovery(true)
 	p.Relist(e)
 	p.Drain(e)
 	select {
@@ -155,27 +173,24 @@
 		assert.Fail(t, "told while mute", line)
 	case <-time.After(100 * time.Millisecond):
 	}
-	seat.MuteDiscovery(false)
+	view.MuteDiscovery(false)
 	assert.Contains(t, <-lines, `"generation":4`)
 	other, err := p.View("m2")
 	require.NoError(t, err)
-	assert.NotEqual(t, endpointAddr(seat.EndpointList()), endpointAddr(other.EndpointList()), "each member is known by where it calls")
+	assert.NotEqual(t, endpointAddr(view.EndpointList()), endpointAddr(other.EndpointList()), "each member is known by where it calls")
 }
 
 func TestMemberView_Notices(t *testing.T) {
 	p := newPlatform(t)
-	startMember(t, p, 202)
+	startMember(t, p, http.StatusAccepted)
 	p.SubscriberLists["l"] = []api.DestinationID{3, 4}
-	seat, err := p.View("m1")
+	view, err := p.View("m1")
 	require.NoError(t, err)
 	a, _ := p.Submit("m1", platform.Webhook{Type: "status", List: "l"})
-	tell := func(text string) int {
-		resp, _ := call(t, seat.AgentAddr, "/v2/finals", "", text)
-		return resp.StatusCode
-	}
-	assert.Equal(t, 400, tell(`{"message":"`+a+`","outcome":"given_up"}`+"\nodd"))
-	assert.Equal(t, 204, tell(`{"message":"`+a+`","outcome":"given_up","dest":4}`+"\n"))
+	notify := func(text string) int { return call(t, view.AgentAddr, "/v2/finals", "", text).status }
+	assert.Equal(t, 400, notify(`{"message":"`+a+`","outcome":"given_up"}`+"\nodd"))
+	assert.Equal(t, 204, notify(`{"message":"`+a+`","outcome":"given_up","dest":4}`+"\n"))
 	assert.Equal(t, 1, p.Checker.Outstanding(), "the other subscriber's end is owed")
-	assert.Equal(t, 204, tell(`{"message":"`+a+`.3","outcome":"given_up"}`+"\n"))
+	assert.Equal(t, 204, notify(`{"message":"`+a+`.3","outcome":"given_up"}`+"\n"))
 	assert.Zero(t, p.Checker.Outstanding())
 }
