--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -247,7 +247,7 @@
 	if p.extension != nil {
 		p.extension.Drain()
 	}
-	p.lifecycle.Shutdown(p.loop.Empty, p.upstream.InFlight, p.server.Gone)
+	p.lifecycle.Shutdown(p.loop.Empty, p.upstream.InFlight, p.server.ClientsGone)
 	if err := p.server.Close(closeTimeout); err != nil {
 		slog.Warn("some connections of clients were still open", "reason", err)
 	}
--- /dev/null
+++ b/webhook/dispatcher/server/client_conn.go
@@ -0,0 +1,159 @@
+package server
+
+import (
+	"container/list"
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"rowanlink/internal/socket"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// headEnd ends the head of an HTTP request.
+const headEnd = "\r\n\r\n"
+
+// clientConn is one client's connection. It counts the bytes of each request: a stated length that is less than what has
+// come would cut the webhook, and its rest would be read as another request.
+type clientConn struct {
+	*net.TCPConn
+	listener *limitListener
+	since    api.Micros // in its list since then
+	list     *list.List // pending or idle; nil while the webhook that it carries is decided on
+	element  *list.Element
+	closed   bool
+	webhooks int // carried so far, up to the last class of idle connections
+
+	received   int // bytes of this request
+	headLength int // of this request, once its head is complete
+	matched    int // bytes of headEnd that came last
+}
+
+// moveTo puts the connection into a list, nil for none; the caller holds the listener's lock.
+func (c *clientConn) moveTo(to *list.List) {
+	if c.list != nil {
+		c.list.Remove(c.element)
+	}
+	c.list = to
+	if to != nil && !c.closed {
+		c.since = inflight.Now()
+		c.element = to.PushBack(c)
+		c.listener.freed.Signal()
+	}
+}
+
+// evict closes the connection, once; the caller holds the listener's lock.
+func (c *clientConn) evict() {
+	if c.closed {
+		return
+	}
+	c.moveTo(nil)
+	c.closed = true
+	c.listener.open--
+	c.listener.lastClosed = inflight.Now()
+	c.listener.freed.Signal()
+	_ = c.TCPConn.Close() // nobody reads from it or writes to it any more
+}
+
+// beginWebhook notes that the connection's webhook is decided on from now on, and reports whether it is still open.
+func (c *clientConn) beginWebhook() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.webhooks = min(c.webhooks+1, idleClasses-1)
+	if !c.closed {
+		c.moveTo(nil)
+	}
+	return !c.closed
+}
+
+// finishRequest notes that the answer is written.
+func (c *clientConn) finishRequest() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.received = 0
+	c.headLength = 0
+	c.matched = 0
+	if c.closed {
+		return
+	}
+	c.moveTo(&c.listener.idle[c.webhooks])
+	if !c.listener.hasTooManyIdle() {
+		return
+	}
+	// Looking for the victim moves connections whose next request has come out of the idle ones.
+	if victim := c.listener.longestIdle(); c.listener.hasTooManyIdle() {
+		victim.evict()
+	}
+}
+
+// beginRequest notes that an idle connection has a request, and reports whether it is still open. Until then nothing of
+// the request is read, so that none is read half and then dropped.
+func (c *clientConn) beginRequest() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if !c.closed && c.list == &c.listener.idle[c.webhooks] {
+		c.moveTo(&c.listener.pending)
+	}
+	return !c.closed
+}
+
+// Close closes the connection.
+func (c *clientConn) Close() error {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.evict()
+	return nil
+}
+
+// Read reads and notes where the head of the request ends.
+func (c *clientConn) Read(p []byte) (int, error) {
+	if c.received == 0 {
+		if err := c.waitForRequest(); err != nil {
+			return 0, err
+		}
+	}
+	n, err := c.TCPConn.Read(p)
+	c.findHeadEnd(p[:n])
+	c.received += n
+	return n, err
+}
+
+// waitForRequest waits for the first byte of a request, then gives the rest its time.
+func (c *clientConn) waitForRequest() error {
+	err := socket.WaitReadable(c.TCPConn)
+	// A deadline that ends at the moment in which a request has come must not lose it.
+	cameInTime := errors.Is(err, os.ErrDeadlineExceeded) && socket.HasUnread(c.TCPConn)
+	if err != nil && !cameInTime {
+		return err
+	}
+	if err := c.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
+		return err
+	}
+	if !c.beginRequest() {
+		return net.ErrClosed
+	}
+	return nil
+}
+
+func (c *clientConn) findHeadEnd(p []byte) {
+	for i := 0; i < len(p) && c.headLength == 0; i++ {
+		switch p[i] {
+		case headEnd[c.matched]:
+			c.matched++
+		case headEnd[0]:
+			c.matched = 1
+		default:
+			c.matched = 0
+		}
+		if c.matched == len(headEnd) {
+			c.headLength = c.received + i + 1
+		}
+	}
+}
+
+// hasExactly reports whether just one request with so many bytes of body has come.
+func (c *clientConn) hasExactly(body int) bool {
+	return c.headLength > 0 && c.received == c.headLength+body
+}
--- /dev/null
+++ b/webhook/dispatcher/server/listener.go
@@ -0,0 +1,117 @@
+package server
+
+import (
+	"container/list"
+	"net"
+	"sync"
+
+	"rowanlink/internal/socket"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// pendingGrace is how long a new connection is kept whatever comes: a well-behaved client's request comes with it.
+const pendingGrace = inflight.AnswerTimeout / 2
+
+// idleClasses are the classes of idle connections, by how many webhooks they have carried: none, one, more.
+const idleClasses = 3
+
+// limitListener accepts a limited number of connections at once. When all are taken, a connection that waits for nothing
+// is closed: silent clients, half-sent requests and idle connections can't keep well-behaved clients out.
+type limitListener struct {
+	net.Listener
+	maxOpen int
+	// maxIdle bounds idle connections: clients open no more than a part of the descriptors, and idle ones would fill it.
+	maxIdle int
+
+	mu         sync.Mutex
+	freed      *sync.Cond
+	open       int
+	lastClosed api.Micros
+	pending    list.List              // connections whose request has not come completely, the longest waiting first
+	idle       [idleClasses]list.List // connections that were answered, the longest idle first
+}
+
+// newLimitListener returns a listener that has yet to be given the one that it wraps.
+func newLimitListener(maxOpen, maxIdle int) *limitListener {
+	l := &limitListener{maxOpen: max(maxOpen, 1), maxIdle: max(maxIdle, 1)}
+	l.freed = sync.NewCond(&l.mu)
+	return l
+}
+
+// Accept waits for a connection, then until fewer than maxOpen are open. Each submitted webhook is answered within a turn
+// or so, and its connection may then be closed for another one.
+func (l *limitListener) Accept() (net.Conn, error) {
+	accepted, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.open >= l.maxOpen {
+		if victim := l.evictable(); victim != nil {
+			victim.evict()
+		} else {
+			l.freed.Wait()
+		}
+	}
+	l.open++
+	c := &clientConn{TCPConn: accepted.(*net.TCPConn), listener: l}
+	c.moveTo(&l.pending)
+	return c, nil
+}
+
+// evictable returns the connection to close first: one that has been pending for long, then of the idle ones those that
+// carried no webhook, then one webhook, then more. Crowds that ask once and stay go before clients that use their
+// connections again and again.
+func (l *limitListener) evictable() *clientConn {
+	pending := l.longestPending()
+	if pending != nil && inflight.Now()-pending.since > pendingGrace {
+		return pending
+	}
+	if idle := l.longestIdle(); idle != nil {
+		return idle
+	}
+	return pending
+}
+
+// longestPending returns the connection that is pending for longest, without those of which something is yet to be read.
+func (l *limitListener) longestPending() *clientConn {
+	for e := l.pending.Front(); e != nil; e = e.Next() {
+		if c := e.Value.(*clientConn); !socket.HasUnread(c.TCPConn) {
+			return c
+		}
+	}
+	return nil
+}
+
+// longestIdle returns the idle connection to close first. One whose next request has come is idle no longer: it would be
+// lost with its connection before this process got to read it.
+func (l *limitListener) longestIdle() *clientConn {
+	for i := range l.idle {
+		for e := l.idle[i].Front(); e != nil; e = l.idle[i].Front() {
+			c := e.Value.(*clientConn)
+			if !socket.HasUnread(c.TCPConn) {
+				return c
+			}
+			c.moveTo(&l.pending)
+		}
+	}
+	return nil
+}
+
+func (l *limitListener) hasTooManyIdle() bool {
+	n := 0
+	for i := range l.idle {
+		n += l.idle[i].Len()
+	}
+	return n > l.maxIdle
+}
+
+// isDeserted reports whether no connection is open, nor has been for so long that a client whose connection was closed
+// during its request would have come again.
+func (l *limitListener) isDeserted() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open == 0 && inflight.Now()-l.lastClosed > inflight.AnswerTimeout
+}
