--- a/Makefile
+++ b/Makefile
@@ -22,7 +22,7 @@
 
 # The same at a whole serving system of real processes.
 chaos-serving:
-	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/serving
+	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestChaos ./test/integration/serving
 
 # Drawn histories of the register: N of three machines and N of five.
 random-register:
--- a/test/integration/serving/cluster_test.go
+++ b/test/integration/serving/cluster_test.go
@@ -20,119 +20,134 @@
 )
 
 const (
-	// within bounds all waits: generous, for a machine with other work. None is asserted.
-	within = time.Minute
-	// look is the time between two looks at what is waited for.
-	look = 20 * time.Millisecond
-	// tail is how many lines of each log a failure shows.
-	tail = 25
+	// waitTimeout bounds all waits: generous, for busy machines. No test asserts on it.
+	waitTimeout = time.Minute
+	// pollInterval is the time between two checks of what is waited for.
+	pollInterval = 20 * time.Millisecond
+	// failureLogLines is how many lines of each log a failed test shows.
+	failureLogLines = 25
 )
 
-// places of the machines: one core machine and one that clients reach in each zone.
-var places = []place{{"z1", "north"}, {"z2", "north"}, {"z3", "south"}}
+// locations of the machines: each zone has a core machine and one with an agent and a proxy.
+var locations = []location{{"z1", "north"}, {"z2", "north"}, {"z3", "south"}}
 
 // The addresses of machines and endpoints end in these numbers plus the number of their place.
 const (
-	coreNumber     = 1
-	frontNumber    = 11
-	writerNumber   = 31
-	stockNumber    = 41
-	machinesOfKind = 3
+	firstCoreNumber   = 1
+	firstProxyNumber  = 11
+	firstWriterNumber = 31
+	firstStockNumber  = 41
+	machinesPerRole   = 3
 )
 
-// cluster is a whole system, its endpoints and its operator.
+// cluster is a complete serving system with its endpoints and its operator.
 type cluster struct {
 	t        *testing.T
-	programs string // folder of the programs; empty: the ordinary ones
+	programs string // folder of the programs; empty: those built by TestMain
 	folder   string // of settings and disks
 	network  string // the first three numbers of all addresses
 	cores    []*node
 	agents   []*node
 	proxies  []*node
-	ledger   *ledger
+	ledger   *requestLedger
 	writers  []*endpoint.Endpoint
 	stocks   []*endpoint.Endpoint
 	rpc      *rpc.Client
-	version  uint64 // of the newest configuration that was acknowledged
+	version  uint64 // of the newest acknowledged configuration
 }
 
-// begin starts a system for the first time and waits until all of it serves.
-func begin(t *testing.T) *cluster {
+// startCluster starts a new system and waits until all of it serves.
+func startCluster(t *testing.T) *cluster {
 	t.Helper()
-	return beginWith(t, "")
+	return startClusterWithPrograms(t, "")
 }
 
-// beginWith does the same with the programs of a folder; empty: the ordinary ones.
-func beginWith(t *testing.T, programs string) *cluster {
+// startClusterWithPrograms is startCluster with the programs of a folder; empty: those built by TestMain.
+func startClusterWithPrograms(t *testing.T, programs string) *cluster {
 	t.Helper()
-	c := &cluster{programs: programs, t: t, network: freshNetwork(), ledger: newLedger(), rpc: rpc.NewClient()}
-	t.Cleanup(c.end)
+	c := &cluster{
+		t:        t,
+		programs: programs,
+		network:  uniqueLoopbackNetwork(),
+		ledger:   newLedger(),
+		rpc:      rpc.NewClient(),
+	}
+	t.Cleanup(c.stopAll)
 	c.folder = t.TempDir()
-	for i, p := range places {
-		c.cores = append(c.cores, c.newNode(programCore, coreNumber+i, p))
-		c.agents = append(c.agents, c.newNode(programAgent, frontNumber+i, p))
-		c.proxies = append(c.proxies, c.newNode(programProxy, frontNumber+i, p))
+	for i, p := range locations {
+		c.cores = append(c.cores, c.newNode(programCore, firstCoreNumber+i, p))
+		c.agents = append(c.agents, c.newNode(programAgent, firstProxyNumber+i, p))
+		c.proxies = append(c.proxies, c.newNode(programProxy, firstProxyNumber+i, p))
 	}
 	for _, n := range c.nodes() {
 		n.start()
 	}
-	for i, p := range places {
-		c.writers = append(c.writers, c.startEndpoint(writerOptions(), writerNumber+i, p))
-		c.stocks = append(c.stocks, c.startEndpoint(stockOptions(), stockNumber+i, p))
+	for i, p := range locations {
+		c.writers = append(c.writers, c.startEndpoint(writerOptions(), firstWriterNumber+i, p))
+		c.stocks = append(c.stocks, c.startEndpoint(stockOptions(), firstStockNumber+i, p))
 	}
 	c.configure(1)
-	c.allReady()
+	c.awaitReady()
 	return c
 }
 
-// freshNetwork is the beginning of loopback addresses that no other test uses, by chance.
-func freshNetwork() string { return fmt.Sprintf("127.%d.%d", 64+rand.IntN(180), 1+rand.IntN(250)) }
+// uniqueLoopbackNetwork returns the prefix of loopback addresses that, very probably, no other test uses.
+func uniqueLoopbackNetwork() string {
+	return fmt.Sprintf("127.%d.%d", 64+rand.IntN(180), 1+rand.IntN(250))
+}
 
 func (c *cluster) address(number, port int) string {
 	return fmt.Sprintf("%s.%d:%d", c.network, number, port)
 }
 
-// newNode describes a process. Its settings are those that the platform would write.
-func (c *cluster) newNode(program string, number int, p place) *node {
-	n := &node{t: c.t, program: program, name: fmt.Sprintf("machine-%d", number), log: subprocess.NewLog(), firstRun: true,
-		ip: fmt.Sprintf("%s.%d", c.network, number)}
-	n.settings = filepath.Join(c.folder, fmt.Sprintf("%s-%d.conf", program, number))
-	n.programs, n.cut = c.programs, filepath.Join(c.folder, fmt.Sprintf("%s-%d.cut", program, number))
-	n.lines = []string{"node_name=" + n.name, "ip_addr=" + n.ip, "zone=" + p.zone, "region=" + p.region,
-		fmt.Sprintf("port_range=%d,%d", portInner, portLast), "seed_nodes=" + strings.Join(c.control(), ","),
+// newNode returns a process with the settings that the platform would write.
+func (c *cluster) newNode(program string, number int, p location) *node {
+	n := &node{
+		t:               c.t,
+		program:         program,
+		name:            fmt.Sprintf("machine-%d", number),
+		ip:              fmt.Sprintf("%s.%d", c.network, number),
+		log:             subprocess.NewLog(),
+		firstRun:        true,
+		programs:        c.programs,
+		settingsFile:    filepath.Join(c.folder, fmt.Sprintf("%s-%d.conf", program, number)),
+		unreachableFile: filepath.Join(c.folder, fmt.Sprintf("%s-%d.cut", program, number)),
+	}
+	n.settingsLines = []string{"node_name=" + n.name, "ip_addr=" + n.ip, "zone=" + p.zone, "region=" + p.region,
+		fmt.Sprintf("port_range=%d,%d", portMembers, portLast), "seed_nodes=" + strings.Join(c.controlAddresses(), ","),
 		"beat_ms=500", "limits.ram_mb=280", "limits.file_limit=4096", "withstand.machine_losses=1", "withstand.zones=1"}
-	for _, each := range places {
-		n.lines = append(n.lines, "zones."+each.zone+"="+each.region)
+	for _, each := range locations {
+		n.settingsLines = append(n.settingsLines, "zones."+each.zone+"="+each.region)
 	}
 	switch program {
 	case programCore:
 		n.store = filepath.Join(c.folder, fmt.Sprintf("store-%d", number))
-		n.lines = append(n.lines, "store_dir="+n.store, "counts_loss=true", "bind.control_addr="+n.at(portControl))
+		n.settingsLines = append(n.settingsLines, "store_dir="+n.store, "counts_loss=true", "bind.control_addr="+n.address(portControl))
 	case programAgent:
-		n.lines = append(n.lines, "bind.directory_addr="+n.at(portDirectory))
+		n.settingsLines = append(n.settingsLines, "bind.directory_addr="+n.address(portDirectory))
 	case programProxy:
-		n.lines = append(n.lines, "bind.front_door="+n.at(portFront), "bind.ready_addr="+n.at(portReady))
+		n.settingsLines = append(n.settingsLines, "bind.front_door="+n.address(portClients), "bind.ready_addr="+n.address(portReady))
 	}
 	return n
 }
 
-// control are the control addresses of all cores.
-func (c *cluster) control() (all []string) {
-	for i := range machinesOfKind {
-		all = append(all, c.address(coreNumber+i, portControl))
+// controlAddresses returns the control addresses of all cores.
+func (c *cluster) controlAddresses() (all []string) {
+	for i := range machinesPerRole {
+		all = append(all, c.address(firstCoreNumber+i, portControl))
 	}
 	return all
 }
 
-// nodes are all processes.
+// nodes returns all processes.
 func (c *cluster) nodes() (all []*node) {
 	all = append(all, c.cores...)
 	all = append(all, c.agents...)
 	return append(all, c.proxies...)
 }
 
-// end kills all processes by their ids and shows their logs where the test failed.
-func (c *cluster) end() {
+// stopAll kills all processes by their IDs, and shows their logs if the test has failed.
+func (c *cluster) stopAll() {
 	for _, e := range append(c.writers, c.stocks...) {
 		e.Close()
 	}
@@ -141,7 +156,7 @@
 			n.kill()
 		}
 		if c.t.Failed() {
-			c.t.Logf("%s on %s:\n%s", n.program, n.name, n.log.Tail(tail))
+			c.t.Logf("%s on %s:\n%s", n.program, n.name, n.log.Tail(failureLogLines))
 		}
 		for _, bad := range []string{"panic:", "fatal error:", "DATA RACE"} {
 			if line, found := n.log.Find(0, bad); found {
@@ -152,55 +167,55 @@
 	c.rpc.Close()
 }
 
-// soon waits for something.
-func (c *cluster) soon(what string, is func() bool) {
+// eventually waits until a condition holds.
+func (c *cluster) eventually(what string, is func() bool) {
 	c.t.Helper()
-	for until := time.Now().Add(within); !is(); time.Sleep(look) {
+	for until := time.Now().Add(waitTimeout); !is(); time.Sleep(pollInterval) {
 		require.True(c.t, time.Now().Before(until), "never: %s", what)
 	}
 }
 
-// allReady waits until every proxy is ready and every directory names some.
-func (c *cluster) allReady() {
+// awaitReady waits until every proxy is ready and every directory names some.
+func (c *cluster) awaitReady() {
 	c.t.Helper()
 	for _, n := range c.proxies {
-		c.soon(n.name+" is ready", func() bool { return c.ready(n) })
+		c.eventually(n.name+" is ready", func() bool { return c.isReady(n) })
 	}
 	for _, n := range c.agents {
-		c.soon("the directory of "+n.name+" names proxies", func() bool {
-			return len(lookup(n.at(portDirectory), places[0])) > 0
+		c.eventually("the directory of "+n.name+" names proxies", func() bool {
+			return len(lookup(c.t.Context(), n.address(portDirectory), locations[0])) > 0
 		})
 	}
 }
 
-// ready asks a proxy as the platform does.
-func (c *cluster) ready(n *node) bool {
-	request, err := http.NewRequestWithContext(c.t.Context(), http.MethodGet, "http://"+n.at(portReady)+"/readiness", nil)
+// isReady sends a readiness check to a proxy, as the platform does.
+func (c *cluster) isReady(n *node) bool {
+	request, err := http.NewRequestWithContext(c.t.Context(), http.MethodGet, "http://"+n.address(portReady)+"/readiness", nil)
 	require.NoError(c.t, err)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return false
 	}
-	response.Body.Close()
+	_ = response.Body.Close()
 	return response.StatusCode == http.StatusOK
 }
 
-// operator calls the cores. The context ends with the wait.
+// operator returns a client of the cores, with a context that bounds its calls.
 func (c *cluster) operator() (*client.Client, context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
-	return &client.Client{Addresses: c.control()}, ctx, cancel
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+	return &client.Client{Addresses: c.controlAddresses()}, ctx, cancel
 }
 
-// configure puts the next configuration in force.
+// configure replaces the configuration.
 func (c *cluster) configure(version uint64, extra ...string) {
 	c.t.Helper()
 	operator, ctx, cancel := c.operator()
 	defer cancel()
-	require.NoError(c.t, operator.ReplaceConfiguration(ctx, c.version, document(version, extra...)))
+	require.NoError(c.t, operator.ReplaceConfiguration(ctx, c.version, configurationWith(version, extra...)))
 	c.version = version
 }
 
-// evacuate orders that nothing more go to the endpoints of a zone.
+// evacuate begins the evacuation of a zone.
 func (c *cluster) evacuate(zone string) {
 	c.t.Helper()
 	operator, ctx, cancel := c.operator()
@@ -208,18 +223,18 @@
 	require.NoError(c.t, operator.Evacuate(ctx, zone))
 }
 
-// report asks a core or an agent what it knows; false: it doesn't answer.
+// report returns what a core or an agent knows; false if it doesn't respond.
 func (c *cluster) report(n *node) (*introspect.Report, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	report, err := introspect.Fetch(ctx, c.rpc, n.at(portInner), introspect.Request{IncludeTables: true})
+	report, err := introspect.Fetch(ctx, c.rpc, n.address(portMembers), introspect.Request{IncludeTables: true})
 	return report, err == nil
 }
 
-// hasVersion waits until a core or an agent has the newest configuration.
-func (c *cluster) hasVersion(n *node) {
+// awaitVersion waits until a core or an agent has the newest configuration.
+func (c *cluster) awaitVersion(n *node) {
 	c.t.Helper()
-	c.soon(fmt.Sprintf("%s has version %d", n.name, c.version), func() bool {
+	c.eventually(fmt.Sprintf("%s has version %d", n.name, c.version), func() bool {
 		report, answered := c.report(n)
 		return answered && report.Version == c.version
 	})
--- a/test/integration/serving/control_test.go
+++ b/test/integration/serving/control_test.go
@@ -21,35 +21,35 @@
 // right after an acknowledgement, and a process that was away through a thousand changes.
 
 const (
-	// operatorPatience is how long an operator waits for one answer, as the protocol says.
-	operatorPatience = time.Second
-	// standstillReads is how often a core that has just woken is read.
+	// operatorTimeout is how long an operator waits for a response, according to the protocol.
+	operatorTimeout = time.Second
+	// standstillReads is how often a core is read that has just resumed.
 	standstillReads = 200
 )
 
-// order is one call of an operator to one core.
-type order struct {
-	method, path, basedOn string
-	body                  []byte
+// operatorRequest is a request of an operator to one core.
+type operatorRequest struct {
+	method, path, baseVersion string
+	body                      []byte
 }
 
-// call makes a call and returns the status and the answer; zero: no answer in time.
-func (n *node) call(o order) (status int, answer string) {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorPatience)
+// call sends a request and returns the status and the body; zero if there was no response in time.
+func (n *node) call(o operatorRequest) (status int, answer string) {
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, o.method, "http://"+n.at(portControl)+o.path, bytes.NewReader(o.body))
+	request, err := http.NewRequestWithContext(ctx, o.method, "http://"+n.address(portControl)+o.path, bytes.NewReader(o.body))
 	if err != nil {
 		return 0, ""
 	}
-	if o.basedOn != "" {
-		request.Header.Set("X-Based-On", o.basedOn)
+	if o.baseVersion != "" {
+		request.Header.Set("X-Based-On", o.baseVersion)
 	}
 	once := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := once.Do(request)
 	if err != nil {
 		return 0, ""
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	read, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, ""
@@ -57,22 +57,23 @@
 	return response.StatusCode, string(read)
 }
 
-func replacement(basedOn, version uint64, extra ...string) order {
-	return order{method: http.MethodPost, path: "/Settings.Replace", basedOn: strconv.FormatUint(basedOn, 10),
-		body: document(version, extra...)}
+func replaceRequest(basedOn, version uint64, extra ...string) operatorRequest {
+	return operatorRequest{method: http.MethodPost, path: "/Settings.Replace", baseVersion: strconv.FormatUint(basedOn, 10),
+		body: configurationWith(version, extra...)}
 }
 
-// TestCoreThatStoodStill: a core stops in the middle of its work, orders lie unread in its sockets, and the others go
-// on without it. When it wakes it hands out nothing from before, and carries out nothing that was given up.
-func TestCoreThatStoodStill(t *testing.T) {
-	c := begin(t)
+// TestSuspendedCore: a core is suspended in the middle of its work, requests lie unread in its sockets, and the others
+// continue without it. When it resumes, it returns nothing outdated, and executes no request whose operator has given
+// up.
+func TestSuspendedCore(t *testing.T) {
+	c := startCluster(t)
 	still := c.cores[0]
 	for round := range 3 {
 		require.NoError(t, still.process.Signal(syscall.SIGSTOP))
-		zone := places[1].zone
-		lying := []order{
+		zone := locations[1].zone
+		lying := []operatorRequest{
 			{method: http.MethodPost, path: "/Clearance.Begin/" + zone},
-			replacement(c.version, c.version+5, "given up"),
+			replaceRequest(c.version, c.version+5, "given up"),
 			{method: http.MethodGet, path: "/Settings.Read"},
 		}
 		var given sync.WaitGroup
@@ -86,36 +87,36 @@
 		c.configure(c.version+2, fmt.Sprint("round", round))
 		c.evacuate(zone)
 		c.endEvacuation(zone)
-		c.soon("the others see it down", func() bool { return !c.knows(c.cores[1], still) })
+		c.eventually("the others see it down", func() bool { return !c.knowsMember(c.cores[1], still) })
 		require.NoError(t, still.process.Signal(syscall.SIGCONT))
-		c.readsTheNewest(still)
-		c.hasVersion(still)
-		c.soon("no evacuation is in force", func() bool {
+		c.assertReadsNewest(still)
+		c.awaitVersion(still)
+		c.eventually("no evacuation is in force", func() bool {
 			report, answered := c.report(still)
 			return answered && len(report.Evacuated) == 0
 		})
 		for _, n := range c.cores {
-			status, read := n.call(order{method: http.MethodGet, path: "/Settings.Read"})
+			status, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 			assert.Equal(t, http.StatusOK, status)
-			assert.Equal(t, string(document(c.version, fmt.Sprint("round", round))), read)
+			assert.Equal(t, string(configurationWith(c.version, fmt.Sprint("round", round))), read)
 		}
 	}
 }
 
-// readsTheNewest reads at a core again and again: it answers with the newest configuration or not at all.
-func (c *cluster) readsTheNewest(n *node) {
+// assertReadsNewest reads from a core many times: it returns the newest configuration or no response.
+func (c *cluster) assertReadsNewest(n *node) {
 	c.t.Helper()
 	newest := fmt.Sprintf(`"edition":%d,`, c.version)
 	answered := 0
 	for range standstillReads {
-		status, read := n.call(order{method: http.MethodGet, path: "/Settings.Read"})
+		status, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 		if status == http.StatusOK {
 			answered++
 			assert.Contains(c.t, read, newest)
 		}
 	}
-	c.soon(n.name+" answers a read", func() bool {
-		status, read := n.call(order{method: http.MethodGet, path: "/Settings.Read"})
+	c.eventually(n.name+" answers a read", func() bool {
+		status, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 		return status == http.StatusOK && strings.Contains(read, newest)
 	})
 	c.t.Logf("%d of %d reads answered right after it woke", answered, standstillReads)
@@ -128,32 +129,33 @@
 	require.NoError(c.t, operator.EndEvacuation(ctx, zone))
 }
 
-// TestTwoOperatorsWhoseAnswersAreLost send under the same numbers on the same versions, through all cores, each order
-// again and again as if no answer had come: of each pair one is in force, and it alone is ever acknowledged.
-func TestTwoOperatorsWhoseAnswersAreLost(t *testing.T) {
-	c := begin(t)
+// TestRacingReplacements: two operators send configurations with the same version and base version through all cores,
+// each many times as if no response had arrived. One of each pair is committed, and only that one is ever
+// acknowledged.
+func TestRacingReplacements(t *testing.T) {
+	c := startCluster(t)
 	for round := range 10 {
 		c.raceReplacements(c.version + 1 + uint64(round%3))
 	}
 }
 
-// raceReplacements has two whole configurations race under the same number.
+// raceReplacements races two complete configurations with the same version.
 func (c *cluster) raceReplacements(version uint64) {
 	c.t.Helper()
-	c.race(version, replacement(c.version, version, "side0"), replacement(c.version, version, "side1"))
+	c.raceChanges(version, replaceRequest(c.version, version, "side0"), replaceRequest(c.version, version, "side1"))
 }
 
-// TestAmendmentAgainstReplacement is the same with an amendment on one side. What is in force is what the winner asked
-// for, on every core and at every agent.
-func TestAmendmentAgainstReplacement(t *testing.T) {
-	c := begin(t)
+// TestRacingAmendmentAndReplacement is the same with an amendment on one side. The winner's configuration is in force
+// on every core and at every agent.
+func TestRacingAmendmentAndReplacement(t *testing.T) {
+	c := startCluster(t)
 	for round := range 10 {
 		version := c.version + 1 + uint64(round%3)
 		mark := fmt.Sprint("amended", round)
-		c.race(version, replacement(c.version, version, "whole"), amendment(c.version, version, mark))
+		c.raceChanges(version, replaceRequest(c.version, version, "whole"), amendRequest(c.version, version, mark))
 		var first string
 		for _, n := range c.cores {
-			_, read := n.call(order{method: http.MethodGet, path: "/Settings.Read"})
+			_, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 			if first == "" {
 				first = read
 			}
@@ -163,21 +165,21 @@
 		t.Logf("round %d: the amendment won: %t", round, strings.Contains(first, mark))
 	}
 	for _, n := range c.agents {
-		c.hasVersion(n)
+		c.awaitVersion(n)
 	}
 }
 
-// amendment adds a service that no route uses.
-func amendment(basedOn, version uint64, service string) order {
-	return order{method: http.MethodPost, path: "/Settings.Amend", basedOn: strconv.FormatUint(basedOn, 10),
+// amendRequest returns a request that adds a service that no route uses.
+func amendRequest(basedOn, version uint64, service string) operatorRequest {
+	return operatorRequest{method: http.MethodPost, path: "/Settings.Amend", baseVersion: strconv.FormatUint(basedOn, 10),
 		body: fmt.Appendf(nil, `{"edition":%d,"upsert":{"carriers":[{"name":%q}]}}`, version, service)}
 }
 
-// race has two operators change the configuration under the same number on the same version, through all cores. Each
-// order is sent again and again as if no answer had come.
-func (c *cluster) race(version uint64, one, other order) {
+// raceChanges has two operators send changes with the same version and base version through all cores. Each change is
+// sent many times as if no response had arrived.
+func (c *cluster) raceChanges(version uint64, one, other operatorRequest) {
 	c.t.Helper()
-	orders := []order{one, other}
+	orders := []operatorRequest{one, other}
 	var both sync.WaitGroup
 	acknowledged := make([]int, 2)
 	refused := make([]int, 2)
@@ -203,12 +205,13 @@
 	c.version = version
 }
 
-// TestAllPowerIsLostRightAfterAnAcknowledgement, and one disk with it, at each core in turn.
-func TestAllPowerIsLostRightAfterAnAcknowledgement(t *testing.T) {
-	c := begin(t)
+// TestPowerLossAfterAcknowledgement: all processes lose power right after an acknowledgement and one core, each in
+// turn, loses its disk.
+func TestPowerLossAfterAcknowledgement(t *testing.T) {
+	c := startCluster(t)
 	for number, loser := range append(c.cores, c.cores...) {
 		mark := fmt.Sprint("power", number)
-		lost := c.replicaOf(loser, loser.at(portInner))
+		lost := c.replicaOf(loser, loser.address(portMembers))
 		c.configure(c.version+1, mark)
 		for _, n := range c.nodes() {
 			n.kill()
@@ -221,33 +224,33 @@
 		read, err := operator.Configuration(ctx)
 		cancel()
 		require.NoError(t, err)
-		assert.Equal(t, string(document(c.version, mark)), string(read))
-		c.soon("all cores know that it votes under a new ID", func() bool {
+		assert.Equal(t, string(configurationWith(c.version, mark)), string(read))
+		c.eventually("all cores know that it votes under a new ID", func() bool {
 			for _, n := range c.cores {
-				if now := c.replicaOf(n, loser.at(portInner)); now == "" || now == lost {
+				if now := c.replicaOf(n, loser.address(portMembers)); now == "" || now == lost {
 					return false
 				}
 			}
 			return true
 		})
-		c.replicasAre(machinesOfKind)
+		c.awaitReplicas()
 	}
 }
 
 const (
-	// manyChanges is more than the history of the record holds.
-	manyChanges = 1000
-	// largeRoutes makes a document of some 60 KB.
+	// changesWhileAway is more than the history in the record holds.
+	changesWhileAway = 1000
+	// largeRoutes is the number of routes of a document of some 60 KB.
 	largeRoutes = 450
-	// mostMemory bounds what a process may come to through them, in kilobytes: a machine grants 184 MB and more.
-	mostMemory = 150_000
+	// maxMemoryKB bounds the resident memory of a process: a machine has 184 MB and more.
+	maxMemoryKB = 150_000
 )
 
-// TestAwayThroughAThousandChanges: a core and an agent are away through more changes than the history holds, and come
-// back to the newest one; what was acknowledged first is not refused. Memory and disk stay bounded.
-func TestAwayThroughAThousandChanges(t *testing.T) {
-	c := begin(t)
-	first := replacement(c.version, c.version+1)
+// TestMissedThousandChanges: a core and an agent are away through more changes than the history holds, and return to
+// the newest one. A change acknowledged first is not rejected. Memory and disk stay bounded.
+func TestMissedThousandChanges(t *testing.T) {
+	c := startCluster(t)
+	first := replaceRequest(c.version, c.version+1)
 	status, _ := c.cores[0].call(first)
 	require.Equal(t, http.StatusOK, status)
 	c.version++
@@ -259,23 +262,23 @@
 	for number := range routes {
 		routes[number] = fmt.Sprintf("route%d", number)
 	}
-	for range manyChanges {
+	for range changesWhileAway {
 		c.configure(c.version+1, routes...)
 	}
 	for _, n := range away {
 		n.start()
-		c.hasVersion(n)
+		c.awaitVersion(n)
 	}
-	c.soon("it votes", func() bool { return c.replicaOf(c.cores[2], c.cores[2].at(portInner)) != "" })
+	c.eventually("it votes", func() bool { return c.replicaOf(c.cores[2], c.cores[2].address(portMembers)) != "" })
 	for _, n := range c.cores {
 		status, _ := n.call(first)
 		assert.Contains(t, []int{http.StatusOK, http.StatusServiceUnavailable}, status, "acknowledged long ago")
-		status, _ = n.call(replacement(c.version-1, c.version, routes...))
+		status, _ = n.call(replaceRequest(c.version-1, c.version, routes...))
 		assert.Equal(t, http.StatusOK, status, "acknowledged just now")
 	}
 	for _, n := range c.nodes() {
-		used := n.peakMemory()
-		t.Logf("%s on %s: %d KB at its peak, %d KB on disk", n.program, n.name, used, n.diskUsed())
-		assert.Less(t, used, mostMemory)
+		used := n.peakMemoryKB()
+		t.Logf("%s on %s: %d KB at its peak, %d KB on disk", n.program, n.name, used, n.diskUsedKB())
+		assert.Less(t, used, maxMemoryKB)
 	}
 }
--- a/test/integration/serving/endpoints_test.go
+++ b/test/integration/serving/endpoints_test.go
@@ -16,29 +16,29 @@
 	serviceStock  = "stock"
 	healthPath    = "/condition"
 	host          = "shop.example"
-	drain         = 3 * time.Second
+	drainTime     = 3 * time.Second
 	endpointSlots = 16
-	// connections of all proxies to an endpoint.
-	connections = 100
+	// maxConnections bounds the connections of all proxies to an endpoint.
+	maxConnections = 100
 )
 
-// writerOptions describe a language model.
+// writerOptions returns the options of a language model's endpoint.
 func writerOptions() endpoint.Options {
 	return endpoint.Options{Service: serviceWriter, Slots: endpointSlots,
 		Engine: &endpoint.Engine{DecodeStep: 2 * time.Millisecond, TokensPerEvent: 4}}
 }
 
-// stockOptions describe a plain service.
+// stockOptions returns the options of a plain service's endpoint.
 func stockOptions() endpoint.Options {
 	return endpoint.Options{Service: serviceStock, Slots: endpointSlots, ProcessingTime: 10 * time.Millisecond}
 }
 
-// startEndpoint starts an endpoint whose requests the ledger notes.
-func (c *cluster) startEndpoint(options endpoint.Options, number int, p place) *endpoint.Endpoint {
+// startEndpoint starts an endpoint whose requests the ledger records.
+func (c *cluster) startEndpoint(options endpoint.Options, number int, p location) *endpoint.Endpoint {
 	options.Zone, options.Edition, options.HealthPath = p.zone, "v1", healthPath
-	options.ListenAddress, options.Control = c.address(number, portEndpoint), c.control()
-	options.HeartbeatInterval, options.DrainTime, options.MaxConnections = 500*time.Millisecond, drain, connections
-	options.OnRequest = c.ledger.note
+	options.ListenAddress, options.Control = c.address(number, portEndpoint), c.controlAddresses()
+	options.HeartbeatInterval, options.DrainTime, options.MaxConnections = 500*time.Millisecond, drainTime, maxConnections
+	options.OnRequest = c.ledger.recordEvent
 	e, err := endpoint.Start(c.t.Context(), options)
 	require.NoError(c.t, err)
 	return e
@@ -77,47 +77,47 @@
 	Services []serviceDocument `json:"carriers"`
 }
 
-// document is a configuration with the usual routes and some to the plain service besides.
-func document(version uint64, extra ...string) []byte {
-	whole := configurationDocument{Version: version, Routes: []routeDocument{
+// configurationWith returns a configuration with the usual routes, and with extra routes to the plain service.
+func configurationWith(version uint64, extra ...string) []byte {
+	configuration := configurationDocument{Version: version, Routes: []routeDocument{
 		route(kindChat), route(kindStock), route(kindOrder),
 	}, Services: []serviceDocument{
-		{Name: serviceWriter, HealthPath: healthPath, Connections: connections,
+		{Name: serviceWriter, HealthPath: healthPath, Connections: maxConnections,
 			Engine: &engineDocument{Slots: endpointSlots, CacheTokens: 100_000, Stride: 4}},
-		{Name: serviceStock, HealthPath: healthPath, Connections: connections},
+		{Name: serviceStock, HealthPath: healthPath, Connections: maxConnections},
 	}}
 	for _, name := range extra {
 		more := route(kindStock)
 		more.Name, more.Prefix = name, "/"+name+"/"
-		whole.Routes = append(whole.Routes, more)
+		configuration.Routes = append(configuration.Routes, more)
 	}
-	text, err := json.Marshal(whole)
+	text, err := json.Marshal(configuration)
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-func route(k kind) routeDocument {
-	return routeDocument{Name: k.name, Host: host, Prefix: "/" + k.name + "/", Kind: k.word, Service: k.service,
-		TimeoutMillis: int(patience.Milliseconds()), TargetMillis: 1000, Tries: 3, Sticky: k.stream, GapMillis: 1000}
+func route(k requestKind) routeDocument {
+	return routeDocument{Name: k.name, Host: host, Prefix: "/" + k.name + "/", Kind: k.routeKind, Service: k.service,
+		TimeoutMillis: int(clientTimeout.Milliseconds()), TargetMillis: 1000, Tries: 3, Sticky: k.stream, GapMillis: 1000}
 }
 
-// kind is a kind of request.
-type kind struct {
+// requestKind is a kind of request.
+type requestKind struct {
 	name       string
-	word       string // of its route
+	routeKind  string // in the configuration
 	service    string
-	repeatable bool
+	idempotent bool
 	stream     bool
 }
 
 // The kinds.
 var (
-	kindChat  = kind{name: "chat", word: "stream", service: serviceWriter, stream: true}
-	kindStock = kind{name: "stock", word: "repeatable", service: serviceStock, repeatable: true}
-	kindOrder = kind{name: "order", word: "once_only", service: serviceStock}
-	kinds     = []kind{kindChat, kindStock, kindOrder}
+	kindChat     = requestKind{name: "chat", routeKind: "stream", service: serviceWriter, stream: true}
+	kindStock    = requestKind{name: "stock", routeKind: "repeatable", service: serviceStock, idempotent: true}
+	kindOrder    = requestKind{name: "order", routeKind: "once_only", service: serviceStock}
+	requestKinds = []requestKind{kindChat, kindStock, kindOrder}
 )
 
 // promptTokens and answerTokens are those of each stream; it has so many events.
--- a/test/integration/serving/ledger_test.go
+++ b/test/integration/serving/ledger_test.go
@@ -11,87 +11,87 @@
 	"rowanlink/test/fake/endpoint"
 )
 
-// ending is how one try of a client ended.
-type ending uint8
+// attemptResult is how a client's attempt ended.
+type attemptResult uint8
 
 const (
-	pending  ending = iota
-	served          // a whole answer of an endpoint
-	promised        // refused: it has not run and never will
-	unsent          // there was no connection
-	cut             // no whole answer came, and nothing was promised
-	failed          // an answer that promises nothing
+	pending      attemptResult = iota
+	served                     // an endpoint's complete response
+	rejected                   // with the promise that it has not run and never will
+	notConnected               // there was no connection
+	broken                     // no complete response and no promise
+	failed                     // a response without a promise
 )
 
-// try is one try of a client.
-type try struct {
-	kind   kind
-	ending ending
-	status int
-	began  []endpoint.RequestEvent // runs at endpoints
-	proxy  string
-	killed bool // its proxy was killed meanwhile
+// clientAttempt is one attempt of a client.
+type clientAttempt struct {
+	kind        requestKind
+	result      attemptResult
+	status      int
+	runs        []endpoint.RequestEvent // at endpoints
+	proxy       string
+	proxyKilled bool // during the attempt
 }
 
-// ledger has all tries and what became of them, at the clients and at the endpoints.
-type ledger struct {
-	mutex   sync.Mutex
-	tries   map[string]*try
-	strange []endpoint.RequestEvent // runs of tries that no client made
-	ended   []endpoint.RequestEvent // abandoned runs
-	killing string                  // the proxy that is being killed
+// requestLedger records all attempts and what became of them, at the clients and at the endpoints.
+type requestLedger struct {
+	mutex            sync.Mutex
+	attempts         map[string]*clientAttempt
+	unknownRuns      []endpoint.RequestEvent // of attempts that no client made
+	abandonedRuns    []endpoint.RequestEvent // abandoned runs
+	proxyBeingKilled string                  // empty: none
 }
 
-func newLedger() *ledger { return &ledger{tries: map[string]*try{}} }
+func newLedger() *requestLedger { return &requestLedger{attempts: map[string]*clientAttempt{}} }
 
-// open notes a try before it is sent.
-func (l *ledger) open(attempt string, k kind, proxy string) {
+// startAttempt records an attempt before it is sent.
+func (l *requestLedger) startAttempt(attempt string, k requestKind, proxy string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.tries[attempt] = &try{kind: k, proxy: proxy, killed: proxy == l.killing && proxy != ""}
+	l.attempts[attempt] = &clientAttempt{kind: k, proxy: proxy, proxyKilled: proxy == l.proxyBeingKilled && proxy != ""}
 }
 
-// kill kills a proxy: the tries that it has in hand may get lost.
-func (l *ledger) kill(proxy string, kill func()) {
+// killProxy kills a proxy: the attempts in flight there may be lost.
+func (l *requestLedger) killProxy(proxy string, kill func()) {
 	l.mutex.Lock()
-	l.killing = proxy
-	for _, each := range l.tries {
-		each.killed = each.killed || each.proxy == proxy && each.ending == pending
+	l.proxyBeingKilled = proxy
+	for _, each := range l.attempts {
+		each.proxyKilled = each.proxyKilled || each.proxy == proxy && each.result == pending
 	}
 	l.mutex.Unlock()
 	kill()
 	l.mutex.Lock()
-	l.killing = ""
+	l.proxyBeingKilled = ""
 	l.mutex.Unlock()
 }
 
-// close notes how it ended.
-func (l *ledger) close(attempt string, how ending, status int) {
+// finishAttempt records how an attempt ended.
+func (l *requestLedger) finishAttempt(attempt string, how attemptResult, status int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.tries[attempt].ending, l.tries[attempt].status = how, status
+	l.attempts[attempt].result, l.attempts[attempt].status = how, status
 }
 
-// note takes what an endpoint tells.
-func (l *ledger) note(n endpoint.RequestEvent) {
+// recordEvent records an endpoint's event.
+func (l *requestLedger) recordEvent(n endpoint.RequestEvent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	switch known := l.tries[n.Attempt]; {
+	switch known := l.attempts[n.Attempt]; {
 	case n.Phase == endpoint.Abandoned:
-		l.ended = append(l.ended, n)
+		l.abandonedRuns = append(l.abandonedRuns, n)
 	case n.Phase != endpoint.Started:
 	case known == nil:
-		l.strange = append(l.strange, n)
+		l.unknownRuns = append(l.unknownRuns, n)
 	default:
-		known.began = append(known.began, n)
+		known.runs = append(known.runs, n)
 	}
 }
 
-// abandoned tells whether an endpoint has ended its work on a try before it was done.
-func (l *ledger) abandoned(attempt string) bool {
+// wasAbandoned reports whether an endpoint has abandoned an attempt.
+func (l *requestLedger) wasAbandoned(attempt string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, n := range l.ended {
+	for _, n := range l.abandonedRuns {
 		if n.Attempt == attempt {
 			return true
 		}
@@ -99,12 +99,12 @@
 	return false
 }
 
-// runsAfter are the runs that some endpoints began after a moment.
-func (l *ledger) runsAfter(moment time.Time, ids ...string) (runs []endpoint.RequestEvent) {
+// runsAfter returns the runs that some endpoints started after a time.
+func (l *requestLedger) runsAfter(moment time.Time, ids ...string) (runs []endpoint.RequestEvent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, each := range l.tries {
-		for _, n := range each.began {
+	for _, each := range l.attempts {
+		for _, n := range each.runs {
 			for _, id := range ids {
 				if n.Endpoint == id && n.At.After(moment) {
 					runs = append(runs, n)
@@ -115,128 +115,128 @@
 	return runs
 }
 
-// count are the tries that ended so.
-func (l *ledger) count(how ending) (n int) {
+// countResult returns the number of attempts with a result.
+func (l *requestLedger) countResult(how attemptResult) (n int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, each := range l.tries {
-		if each.ending == how {
+	for _, each := range l.attempts {
+		if each.result == how {
 			n++
 		}
 	}
 	return n
 }
 
-// servedBy are the tries that a proxy has served.
-func (l *ledger) servedBy(proxy string) (n int) {
+// countServedBy returns the number of attempts that a proxy has served.
+func (l *requestLedger) countServedBy(proxy string) (n int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, each := range l.tries {
-		if each.ending == served && each.proxy == proxy {
+	for _, each := range l.attempts {
+		if each.result == served && each.proxy == proxy {
 			n++
 		}
 	}
 	return n
 }
 
-// breaches are what must not be, whatever happens to the system.
-func (l *ledger) breaches() (all []string) {
+// violations returns what must not happen, whatever happens to the system.
+func (l *requestLedger) violations() (all []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, n := range l.strange {
+	for _, n := range l.unknownRuns {
 		all = append(all, "no client asked: "+n.String())
 	}
-	for attempt, each := range l.tries {
-		for _, wrong := range each.breaches() {
+	for attempt, each := range l.attempts {
+		for _, wrong := range each.violations() {
 			all = append(all, fmt.Sprintf("%s %s by %q, status %d, runs %v: %s", each.kind.name, attempt, each.proxy,
-				each.status, each.began, wrong))
+				each.status, each.runs, wrong))
 		}
 	}
 	return all
 }
 
-// breaches of one try. Requests may only get lost where a proxy is killed.
-func (t *try) breaches() (all []string) {
-	ran := len(t.began) > 0
-	if len(t.began) > 1 && !t.kind.repeatable {
+// violations returns those of one attempt. Requests may only be lost if their proxy is killed.
+func (t *clientAttempt) violations() (all []string) {
+	ran := len(t.runs) > 0
+	if len(t.runs) > 1 && !t.kind.idempotent {
 		all = append(all, "ran twice")
 	}
-	if ran && t.ending == promised && !t.kind.repeatable {
+	if ran && t.result == rejected && !t.kind.idempotent {
 		all = append(all, "refused, but it ran")
 	}
-	if ran && !t.killed && (t.ending == cut || t.ending == failed) {
+	if ran && !t.proxyKilled && (t.result == broken || t.result == failed) {
 		all = append(all, "lost")
 	}
-	if !ran && t.ending == served {
+	if !ran && t.result == served {
 		all = append(all, "answered, but it did not run")
 	}
-	if t.status/100 == 4 && t.ending == failed {
+	if t.status/100 == 4 && t.result == failed {
 		all = append(all, "denied")
 	}
 	return all
 }
 
-// judge fails the test for each breach.
-func (l *ledger) judge(t *testing.T) {
+// check fails the test if there are violations.
+func (l *requestLedger) check(t *testing.T) {
 	t.Helper()
-	assert.Empty(t, l.breaches())
-	t.Logf("served %d, refused %d, not connected %d, closed before it ran %d", l.count(served), l.count(promised),
-		l.count(unsent), l.count(cut))
+	assert.Empty(t, l.violations())
+	t.Logf("served %d, refused %d, not connected %d, closed before it ran %d", l.countResult(served), l.countResult(rejected),
+		l.countResult(notConnected), l.countResult(broken))
 }
 
-// TestLedgerSeesBreaches: each kind of breach alone.
-func TestLedgerSeesBreaches(t *testing.T) {
-	run := func(l *ledger) { l.note(endpoint.RequestEvent{Attempt: "t", Phase: endpoint.Started}) }
+// TestRequestLedger_Violations: each kind of violation alone.
+func TestRequestLedger_Violations(t *testing.T) {
+	run := func(l *requestLedger) { l.recordEvent(endpoint.RequestEvent{Attempt: "t", Phase: endpoint.Started}) }
 	for _, each := range []struct {
 		breach string
-		kind   kind
+		kind   requestKind
 		runs   int
-		ending ending
+		ending attemptResult
 		status int
 	}{
 		{"", kindOrder, 1, served, 200},
 		{"", kindStock, 2, served, 200},
-		{"", kindOrder, 0, promised, 503},
-		{"", kindOrder, 0, cut, 0},
+		{"", kindOrder, 0, rejected, 503},
+		{"", kindOrder, 0, broken, 0},
 		{"ran twice", kindChat, 2, served, 200},
-		{"refused, but it ran", kindOrder, 1, promised, 503},
-		{"lost", kindStock, 1, cut, 0},
+		{"refused, but it ran", kindOrder, 1, rejected, 503},
+		{"lost", kindStock, 1, broken, 0},
 		{"answered, but it did not run", kindStock, 0, served, 200},
 		{"denied", kindStock, 0, failed, 404},
 	} {
 		l := newLedger()
-		l.open("t", each.kind, "")
+		l.startAttempt("t", each.kind, "")
 		for range each.runs {
 			run(l)
 		}
-		l.close("t", each.ending, each.status)
+		l.finishAttempt("t", each.ending, each.status)
 		if each.breach == "" {
-			assert.Empty(t, l.breaches())
+			assert.Empty(t, l.violations())
 			continue
 		}
-		if assert.Len(t, l.breaches(), 1, each.breach) {
-			assert.Contains(t, l.breaches()[0], each.breach)
+		if assert.Len(t, l.violations(), 1, each.breach) {
+			assert.Contains(t, l.violations()[0], each.breach)
 		}
 	}
 	unknown := newLedger()
 	run(unknown)
-	assert.Len(t, unknown.breaches(), 1)
+	assert.Len(t, unknown.violations(), 1)
 }
 
-// TestLedgerOfKilledProxy: what a killed proxy had in hand may get lost, nothing before or after it, and none may run
-// twice.
-func TestLedgerOfKilledProxy(t *testing.T) {
+// TestRequestLedger_KilledProxy: requests in flight at a killed proxy may be lost, none before or after, and none may
+// run twice.
+func TestRequestLedger_KilledProxy(t *testing.T) {
 	l := newLedger()
-	note := func(attempt string) { l.note(endpoint.RequestEvent{Attempt: attempt, Phase: endpoint.Started}) }
-	l.open("in hand", kindOrder, "p")
-	l.kill("p", func() { l.open("meanwhile", kindOrder, "p") })
-	l.open("after", kindOrder, "p")
-	l.open("elsewhere", kindOrder, "q")
+	note := func(attempt string) { l.recordEvent(endpoint.RequestEvent{Attempt: attempt, Phase: endpoint.Started}) }
+	l.startAttempt("in hand", kindOrder, "p")
+	l.killProxy("p", func() { l.startAttempt("meanwhile", kindOrder, "p") })
+	l.startAttempt("after", kindOrder, "p")
+	l.startAttempt("elsewhere", kindOrder, "q")
 	for _, attempt := range []string{"in hand", "meanwhile", "after", "elsewhere"} {
 		note(attempt)
-		l.close(attempt, cut, 0)
+		l.finishAttempt(attempt, broken, 0)
 	}
-	assert.Len(t, l.breaches(), 2)
+	assert.Len(t, l.violations(), 2)
 	note("in hand")
-	assert.Len(t, l.breaches(), 3)
+	assert.Len(t, l.violations(), 3)
 }
--- a/test/integration/serving/losses_test.go
+++ b/test/integration/serving/losses_test.go
@@ -13,9 +13,10 @@
 	"rowanlink/serving/state"
 )
 
-// TestLossesOfCores kills cores and disks, one after the other as much as must be borne, then all processes at once.
-func TestLossesOfCores(t *testing.T) {
-	c := begin(t)
+// TestCoreLosses kills cores and disks, one after another up to what the system must survive, then all processes at
+// once.
+func TestCoreLosses(t *testing.T) {
+	c := startCluster(t)
 	for _, story := range []struct {
 		name string
 		play func(*cluster, *testing.T)
@@ -26,7 +27,7 @@
 		{"all are killed and what was acknowledged is there", killAll},
 	} {
 		t.Run(story.name, func(t *testing.T) { story.play(c, t) })
-		c.ledger.judge(t)
+		c.ledger.check(t)
 		if t.Failed() {
 			return
 		}
@@ -34,41 +35,41 @@
 }
 
 func killCore(c *cluster, _ *testing.T) {
-	load := c.send()
-	load.more(30)
+	load := c.startTraffic()
+	load.awaitServed(30)
 	killed := c.cores[0]
 	killed.kill()
-	load.more(30)
+	load.awaitServed(30)
 	c.configure(c.version+1, "one")
 	for _, n := range c.agents {
-		c.hasVersion(n)
+		c.awaitVersion(n)
 	}
 	killed.start()
-	c.hasVersion(killed)
-	load.end()
+	c.awaitVersion(killed)
+	load.stopAndCheck()
 }
 
 func wipeCore(c *cluster, t *testing.T) {
-	before := c.replicaOf(c.cores[2], c.cores[1].at(portInner))
+	before := c.replicaOf(c.cores[2], c.cores[1].address(portMembers))
 	c.cores[1].kill()
 	c.cores[1].wipe()
 	c.cores[1].start()
-	c.soon("the core is a replica under a new ID", func() bool {
-		now := c.replicaOf(c.cores[2], c.cores[1].at(portInner))
+	c.eventually("the core is a replica under a new ID", func() bool {
+		now := c.replicaOf(c.cores[2], c.cores[1].address(portMembers))
 		return now != "" && now != before
 	})
-	c.hasVersion(c.cores[1])
+	c.awaitVersion(c.cores[1])
 	c.cores[0].kill() // the new replica is needed for a majority now
 	c.configure(c.version+1, "two")
 	c.cores[0].start()
-	c.hasVersion(c.cores[0])
-	c.hasVersion(c.cores[1])
+	c.awaitVersion(c.cores[0])
+	c.awaitVersion(c.cores[1])
 	report, answered := c.report(c.cores[0])
 	require.True(t, answered)
-	assert.Len(t, report.Voters.Replicas, machinesOfKind)
+	assert.Len(t, report.Voters.Replicas, machinesPerRole)
 }
 
-// replicaOf is the ID of the replica at an address, as a member knows it; empty: none.
+// replicaOf returns the ID of the replica at an address, as a member knows it; empty: none.
 func (c *cluster) replicaOf(asked *node, address string) string {
 	report, answered := c.report(asked)
 	if !answered {
@@ -82,66 +83,66 @@
 	return ""
 }
 
-// replaceCore ends a core machine for good, with a farewell, before its successor starts, and then another one after
-// its successor has started: that one hands its vote over, and at once another core loses its disk. Successors have
-// other names, addresses and disks.
+// replaceCore shuts a core machine down for good before its successor starts, and then another one after its successor
+// has started: that one transfers its vote, and at once another core loses its disk. Successors have other names,
+// addresses and disks.
 func replaceCore(c *cluster, t *testing.T) {
 	gone := c.cores[2]
 	gone.terminate()
-	c.cores[2] = c.startCore(coreNumber + machinesOfKind)
-	c.isVoter(c.cores[2])
-	c.replicasAre(machinesOfKind)
-	assert.Empty(t, c.replicaOf(c.cores[0], gone.at(portInner)))
+	c.cores[2] = c.startCore(firstCoreNumber + machinesPerRole)
+	c.awaitVoter(c.cores[2])
+	c.awaitReplicas()
+	assert.Empty(t, c.replicaOf(c.cores[0], gone.address(portMembers)))
 
 	gone = c.cores[2]
-	c.cores[2] = c.startCore(coreNumber + machinesOfKind + 1)
-	c.soon("the successor is a learner, and known", func() bool {
+	c.cores[2] = c.startCore(firstCoreNumber + machinesPerRole + 1)
+	c.eventually("the successor is a learner, and known", func() bool {
 		report, answered := c.report(c.cores[2])
-		return answered && report.Learner && c.knows(gone, c.cores[2])
+		return answered && report.Learner && c.knowsMember(gone, c.cores[2])
 	})
-	c.replicasAre(machinesOfKind)
+	c.awaitReplicas()
 	gone.terminate()
 	_, handedOver := gone.log.Find(0, `"event":213`)
 	assert.True(t, handedOver, "the vote was handed over before the end")
-	c.isVoter(c.cores[2])
-	c.replicasAre(machinesOfKind)
-	assert.Empty(t, c.replicaOf(c.cores[0], gone.at(portInner)))
+	c.awaitVoter(c.cores[2])
+	c.awaitReplicas()
+	assert.Empty(t, c.replicaOf(c.cores[0], gone.address(portMembers)))
 	wipeCore(c, t)
 }
 
 // startCore starts a core on a new machine.
 func (c *cluster) startCore(number int) *node {
-	successor := c.newNode(programCore, number, places[2])
+	successor := c.newNode(programCore, number, locations[2])
 	successor.firstRun = false
 	successor.start()
 	return successor
 }
 
-// knows tells whether a member knows another as live.
-func (c *cluster) knows(asked, other *node) bool {
+// knowsMember reports whether a member knows another one as live.
+func (c *cluster) knowsMember(asked, other *node) bool {
 	report, answered := c.report(asked)
 	return answered && slices.ContainsFunc(report.Members, func(m introspect.Member) bool {
 		return m.Member.Name == other.name && !m.Down
 	})
 }
 
-// isVoter waits until a core has a vote.
-func (c *cluster) isVoter(n *node) {
+// awaitVoter waits until a core is a voter.
+func (c *cluster) awaitVoter(n *node) {
 	c.t.Helper()
-	c.soon(n.name+" is a voter", func() bool { return c.replicaOf(c.cores[0], n.at(portInner)) != "" })
+	c.eventually(n.name+" is a voter", func() bool { return c.replicaOf(c.cores[0], n.address(portMembers)) != "" })
 }
 
-// replicasAre waits until there are so many.
-func (c *cluster) replicasAre(n int) {
+// awaitReplicas waits until there is a replica for each core machine.
+func (c *cluster) awaitReplicas() {
 	c.t.Helper()
-	c.soon(fmt.Sprintf("%d replicas", n), func() bool {
+	c.eventually(fmt.Sprintf("%d replicas", machinesPerRole), func() bool {
 		report, answered := c.report(c.cores[0])
-		return answered && len(report.Voters.Replicas) == n
+		return answered && len(report.Voters.Replicas) == machinesPerRole
 	})
 }
 
 func killAll(c *cluster, t *testing.T) {
-	evacuated := places[2].zone
+	evacuated := locations[2].zone
 	inZone := c.endpointsOf(evacuated)
 	assert.Len(t, inZone, 2)
 	assert.NotEmpty(t, c.ledger.runsAfter(time.Time{}, inZone...))
@@ -158,22 +159,22 @@
 	defer cancel()
 	read, err := operator.Configuration(ctx)
 	require.NoError(t, err)
-	assert.Equal(t, string(document(c.version, "three")), string(read))
-	c.allReady()
+	assert.Equal(t, string(configurationWith(c.version, "three")), string(read))
+	c.awaitReady()
 	for _, n := range append(c.cores, c.agents...) {
-		c.hasVersion(n)
-		c.soon(n.name+" knows of the evacuation", func() bool {
+		c.awaitVersion(n)
+		c.eventually(n.name+" knows of the evacuation", func() bool {
 			report, answered := c.report(n)
 			return answered && len(report.Evacuated) == 1 && report.Evacuated[0] == evacuated
 		})
 	}
-	load := c.send()
-	load.more(60)
-	load.end()
+	load := c.startTraffic()
+	load.awaitServed(60)
+	load.stopAndCheck()
 	assert.Empty(t, c.ledger.runsAfter(restarted, inZone...), "sent into an evacuated zone")
 }
 
-// endpointsOf are the IDs of a zone's endpoints that an agent knows.
+// endpointsOf returns the IDs of a zone's endpoints that an agent knows.
 func (c *cluster) endpointsOf(zone string) (ids []string) {
 	report, answered := c.report(c.agents[0])
 	require.True(c.t, answered)
--- a/test/integration/serving/main_test.go
+++ b/test/integration/serving/main_test.go
@@ -1,6 +1,7 @@
-// Package serving has the stories of whole serving systems: real cores, agents and proxies on loopback addresses, with
-// endpoints that the test plays and clients that keep to the protocol. Processes are killed, ended and started again;
-// what was acknowledged must stay, and no request may run twice, be mixed up or get lost over planned work.
+// Package serving holds the integration tests of complete serving systems: real cores, agents and proxies on loopback
+// addresses, with fake endpoints and clients that keep to the protocol. Processes are killed, shut down and restarted;
+// what was acknowledged must stay, and no request may run twice, get another one's response or be lost during planned
+// work.
 package serving
 
 import (
@@ -10,7 +11,7 @@
 	"rowanlink/test/integration/subprocess"
 )
 
-// programs is the folder of the programs, built for these stories.
+// programs is the folder of the programs built for these tests.
 var programs string
 
 func TestMain(m *testing.M) {
--- a/test/integration/serving/node_test.go
+++ b/test/integration/serving/node_test.go
@@ -25,20 +25,20 @@
 const (
 	portReady     = 17140
 	portDirectory = 17143
-	portFront     = 17144
+	portClients   = 17144
 	portControl   = 17146
-	portInner     = 17160
+	portMembers   = 17160
 	portLast      = 17161
 	portEndpoint  = 18080
 )
 
-// endWithin bounds the end of a process that was told to end: the grace and what a busy machine adds.
-const endWithin = 30 * time.Second
+// exitTimeout bounds the shutdown of a process: the grace period and margin for a busy machine.
+const exitTimeout = 30 * time.Second
 
-// place is where a machine stands.
-type place struct{ zone, region string }
+// location is where a machine is.
+type location struct{ zone, region string }
 
-// node is one process of the system over all its lives.
+// node is a process of the system over all its incarnations.
 type node struct {
 	t       *testing.T
 	program string
@@ -47,63 +47,63 @@
 	store   string // empty: no disk
 	log     *subprocess.Log
 
-	programs string // folder of the programs; empty: the ordinary ones
-	cut      string // path of the file that names the hosts that it can't reach; empty: it reaches all
+	programs        string // folder of the programs; empty: those built by TestMain
+	unreachableFile string // names the hosts that it can't reach; empty: it reaches all
 
-	settings string // path
-	lines    []string
-	firstRun bool
-	process  *subprocess.Process
+	settingsFile  string // path
+	settingsLines []string
+	firstRun      bool
+	process       *subprocess.Process
 }
 
-// at is host:port on the node's machine.
-func (n *node) at(port int) string { return fmt.Sprintf("%s:%d", n.ip, port) }
+// address returns host:port on the node's machine.
+func (n *node) address(port int) string { return fmt.Sprintf("%s:%d", n.ip, port) }
 
-// write writes the settings file.
-func (n *node) write() {
-	lines := append([]string{fmt.Sprintf("first_run=%t", n.firstRun)}, n.lines...)
-	require.NoError(n.t, os.WriteFile(n.settings, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
+// writeSettings writes the settings file.
+func (n *node) writeSettings() {
+	lines := append([]string{fmt.Sprintf("first_run=%t", n.firstRun)}, n.settingsLines...)
+	require.NoError(n.t, os.WriteFile(n.settingsFile, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
 }
 
-// start starts a life. The file says that it is the first one of the system where it is.
+// start starts an incarnation. The settings say whether it is the first one of the system.
 func (n *node) start() {
 	n.t.Helper()
 	require.False(n.t, n.process.IsRunning(), "%s runs", n.name)
-	n.write()
+	n.writeSettings()
 	if n.store != "" {
 		require.NoError(n.t, os.MkdirAll(n.store, 0o700))
 	}
 	n.log.Annotate("start")
 	folder, environment := programs, []string(nil)
 	if n.programs != "" {
-		folder, environment = n.programs, []string{"ROWAN_CUT=" + n.cut}
+		folder, environment = n.programs, []string{"ROWAN_CUT=" + n.unreachableFile}
 	}
-	process, err := subprocess.Start(filepath.Join(folder, n.program), []string{"--settings", n.settings}, environment, n.log)
+	process, err := subprocess.Start(filepath.Join(folder, n.program), []string{"--settings", n.settingsFile}, environment, n.log)
 	require.NoError(n.t, err)
 	n.process, n.firstRun = process, false
 }
 
-// kill ends it at once.
+// kill kills the process.
 func (n *node) kill() {
 	n.t.Helper()
 	n.log.Annotate("kill")
 	require.NoError(n.t, n.process.Signal(syscall.SIGKILL))
-	require.True(n.t, n.process.AwaitExit(endWithin), "%s can't be killed", n.name)
+	require.True(n.t, n.process.AwaitExit(exitTimeout), "%s can't be killed", n.name)
 }
 
-// terminate tells it to end and waits until it has.
+// terminate tells the process to shut down and waits until it has.
 func (n *node) terminate() {
 	n.t.Helper()
 	n.log.Annotate("terminate")
 	require.NoError(n.t, n.process.Signal(syscall.SIGTERM))
-	require.True(n.t, n.process.AwaitExit(endWithin), "%s does not end", n.name)
+	require.True(n.t, n.process.AwaitExit(exitTimeout), "%s does not end", n.name)
 }
 
-// reload tells it that its settings file has changed.
+// reload tells the process that its settings file has changed.
 func (n *node) reload() {
 	n.t.Helper()
 	n.log.Annotate("reload")
-	n.write()
+	n.writeSettings()
 	require.NoError(n.t, n.process.Signal(syscall.SIGHUP))
 }
 
@@ -114,8 +114,8 @@
 	require.NoError(n.t, os.RemoveAll(n.store))
 }
 
-// peakMemory is the most memory that the process has had resident, in kilobytes.
-func (n *node) peakMemory() (kilobytes int) {
+// peakMemoryKB returns the largest resident memory that the process has had.
+func (n *node) peakMemoryKB() (kilobytes int) {
 	n.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.process.PID()))
 	require.NoError(n.t, err)
@@ -128,8 +128,8 @@
 	return kilobytes
 }
 
-// diskUsed is the size of the files on the node's disk, in kilobytes.
-func (n *node) diskUsed() (kilobytes int) {
+// diskUsedKB returns the size of the files on the node's disk.
+func (n *node) diskUsedKB() (kilobytes int) {
 	if n.store == "" {
 		return 0
 	}
--- a/test/integration/serving/cut_test.go
+++ b/test/integration/serving/partition_test.go
@@ -17,7 +17,7 @@
 	"rowanlink/test/integration/subprocess"
 )
 
-// buildCuttable builds the programs with links that can be cut: their calls to each other go through
+// buildCuttable builds the programs so that their connections can be partitioned: their calls to each other go through
 // testdata/cut.go.txt. No file of the repository is changed.
 func buildCuttable(t *testing.T) (folder string) {
 	t.Helper()
@@ -46,19 +46,19 @@
 	return folder
 }
 
-// cannotReach names the machines that a node's calls don't reach from now on, in place of those before.
-func (n *node) cannotReach(machines ...*node) {
+// setUnreachable sets the machines that a node's calls can't reach, in place of those set before.
+func (n *node) setUnreachable(machines ...*node) {
 	n.t.Helper()
 	var hosts strings.Builder
 	for _, each := range machines {
 		hosts.WriteString(each.ip + "\n")
 	}
-	require.NoError(n.t, os.WriteFile(n.cut+".new", []byte(hosts.String()), 0o600))
-	require.NoError(n.t, os.Rename(n.cut+".new", n.cut))
+	require.NoError(n.t, os.WriteFile(n.unreachableFile+".new", []byte(hosts.String()), 0o600))
+	require.NoError(n.t, os.Rename(n.unreachableFile+".new", n.unreachableFile))
 }
 
-// others are all cores and agents but one.
-func (c *cluster) others(one *node) (others []*node) {
+// othersThan returns all cores and agents but one.
+func (c *cluster) othersThan(one *node) (others []*node) {
 	for _, n := range append(append([]*node(nil), c.cores...), c.agents...) {
 		if n != one {
 			others = append(others, n)
@@ -67,13 +67,13 @@
 	return others
 }
 
-// cutSpan is how long a core is cut off.
-const cutSpan = 20 * time.Second
+// partitionSpan is how long a core is partitioned.
+const partitionSpan = 20 * time.Second
 
-// TestCoreThatIsCutOff cuts a core off from all other machines, both ways and each way alone, while operators and
-// clients reach all. Two operators go on ordering through all cores, and the core that is cut off is read all the time:
-// it answers with the newest configuration or not at all.
-func TestCoreThatIsCutOff(t *testing.T) {
+// TestPartitionedCore partitions a core from all other machines, in both directions and in each one, while operators
+// and clients reach all. Two operators continue to send changes through all cores, and the partitioned core is read
+// continuously: it returns the newest configuration or no response.
+func TestPartitionedCore(t *testing.T) {
 	folder := buildCuttable(t)
 	for _, way := range []struct {
 		name           string
@@ -81,60 +81,60 @@
 	}{{"both ways", true, true}, {"it reaches nobody", true, false}, {"nobody reaches it", false, true}} {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
-			c := beginWith(t, folder)
+			c := startClusterWithPrograms(t, folder)
 			off := c.cores[0]
 			if way.mute {
-				off.cannotReach(c.others(off)...)
+				off.setUnreachable(c.othersThan(off)...)
 			}
 			if way.deafened {
-				for _, other := range c.others(off) {
-					other.cannotReach(off)
+				for _, other := range c.othersThan(off) {
+					other.setUnreachable(off)
 				}
 			}
 			var acknowledged atomic.Uint64
 			acknowledged.Store(c.version)
-			read := readAllTheTime(t, off, &acknowledged)
-			for until := time.Now().Add(cutSpan); time.Now().Before(until); {
+			read := startReading(t, off, &acknowledged)
+			for until := time.Now().Add(partitionSpan); time.Now().Before(until); {
 				c.raceReplacements(c.version + 2)
 				acknowledged.Store(c.version)
 			}
-			off.cannotReach()
-			for _, other := range c.others(off) {
-				other.cannotReach()
+			off.setUnreachable()
+			for _, other := range c.othersThan(off) {
+				other.setUnreachable()
 			}
 			c.raceReplacements(c.version + 2)
 			acknowledged.Store(c.version)
-			c.readsTheNewest(off)
+			c.assertReadsNewest(off)
 			t.Logf("%d reads, %d answered, version %d", read.stop(), read.answered.Load(), c.version)
 			for _, n := range append(append([]*node(nil), c.cores...), c.agents...) {
-				c.hasVersion(n)
+				c.awaitVersion(n)
 			}
 		})
 	}
 }
 
-// reading reads a core's configuration again and again.
-type reading struct {
-	answered atomic.Int64
-	reads    int
-	end      chan struct{}
-	ended    chan struct{}
+// continuousRead reads a core's configuration continuously.
+type continuousRead struct {
+	answered      atomic.Int64
+	reads         int
+	stopRequested chan struct{}
+	stopped       chan struct{}
 }
 
-// readAllTheTime begins to read: no answer may be older than what was acknowledged before it was asked for.
-func readAllTheTime(t *testing.T, n *node, acknowledged *atomic.Uint64) *reading {
-	r := &reading{end: make(chan struct{}), ended: make(chan struct{})}
+// startReading starts to read: no configuration may be older than the one acknowledged before the read.
+func startReading(t *testing.T, n *node, acknowledged *atomic.Uint64) *continuousRead {
+	r := &continuousRead{stopRequested: make(chan struct{}), stopped: make(chan struct{})}
 	go func() {
-		defer close(r.ended)
+		defer close(r.stopped)
 		for {
 			select {
-			case <-r.end:
+			case <-r.stopRequested:
 				return
-			case <-time.After(look):
+			case <-time.After(pollInterval):
 			}
 			r.reads++
 			newest := acknowledged.Load()
-			status, answer := n.call(order{method: http.MethodGet, path: "/Settings.Read"})
+			status, answer := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 			if status != http.StatusOK {
 				continue
 			}
@@ -150,9 +150,9 @@
 	return r
 }
 
-// stop ends it and returns how many reads there were.
-func (r *reading) stop() int {
-	close(r.end)
-	<-r.ended
+// stop ends the reads and returns their number.
+func (r *continuousRead) stop() int {
+	close(r.stopRequested)
+	<-r.stopped
 	return r.reads
 }
--- a/test/integration/serving/traffic_test.go
+++ b/test/integration/serving/traffic_test.go
@@ -21,63 +21,63 @@
 )
 
 const (
-	// patience is how long a client waits for one request, over all tries.
-	patience = 30 * time.Second
-	// pace is between two requests of one client.
-	pace = 20 * time.Millisecond
-	// lookupWithin bounds a look-up.
-	lookupWithin = time.Second
-	clients      = 6
+	// clientTimeout is how long a client waits for one request, over all attempts.
+	clientTimeout = 30 * time.Second
+	// requestInterval is the time between two requests of a client.
+	requestInterval = 20 * time.Millisecond
+	// lookupTimeout bounds a directory look-up.
+	lookupTimeout = time.Second
+	clients       = 6
 )
 
-// attempts counts all tries of this process; their ids come of it.
-var attempts atomic.Uint64
+// attemptCounter counts all attempts of this process; it gives their IDs.
+var attemptCounter atomic.Uint64
 
-// traffic is some clients that send requests one after the other.
+// traffic is a set of clients that send one request after another.
 type traffic struct {
-	c      *cluster
-	stop   context.CancelFunc
-	all    sync.WaitGroup
-	done   atomic.Int64
-	unmet  atomic.Int64
-	client *http.Client
+	c       *cluster
+	stop    context.CancelFunc
+	clients sync.WaitGroup
+	done    atomic.Int64
+	failed  atomic.Int64
+	client  *http.Client
 }
 
-// send starts traffic. Which proxies it goes to, the directories say.
-func (c *cluster) send() *traffic {
+// startTraffic starts traffic, to the proxies that the directories name.
+func (c *cluster) startTraffic() *traffic {
 	ctx, stop := context.WithCancel(context.Background())
-	tr := &traffic{c: c, stop: stop, client: newHTTP()}
+	tr := &traffic{c: c, stop: stop, client: newHTTPClient()}
 	for i := range clients {
-		tr.all.Go(func() { tr.run(ctx, i) })
+		tr.clients.Go(func() { tr.runClient(ctx, i) })
 	}
 	return tr
 }
 
-func newHTTP() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: clients,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 }
 
-// end stops the clients after the requests that they are at. Each must have been served.
-func (tr *traffic) end() {
+// stopAndCheck stops the clients after their current requests. Each request must have been served.
+func (tr *traffic) stopAndCheck() {
 	tr.c.t.Helper()
 	tr.stop()
-	tr.all.Wait()
+	tr.clients.Wait()
 	tr.client.CloseIdleConnections()
-	assert.Zero(tr.c.t, tr.unmet.Load(), "requests without an answer; tries cut: %d, failed: %d",
-		tr.c.ledger.count(cut), tr.c.ledger.count(failed))
+	assert.Zero(tr.c.t, tr.failed.Load(), "requests without an answer; tries cut: %d, failed: %d",
+		tr.c.ledger.countResult(broken), tr.c.ledger.countResult(failed))
 }
 
-// more waits until so many requests more are served.
-func (tr *traffic) more(n int64) {
+// awaitServed waits until so many more requests are served.
+func (tr *traffic) awaitServed(n int64) {
 	tr.c.t.Helper()
 	target := tr.done.Load() + n
-	tr.c.soon(fmt.Sprintf("%d requests more are served", n), func() bool { return tr.done.Load() >= target })
+	tr.c.eventually(fmt.Sprintf("%d requests more are served", n), func() bool { return tr.done.Load() >= target })
 }
 
-// run is one client.
-func (tr *traffic) run(ctx context.Context, number int) {
-	ticker := time.NewTicker(pace)
+// runClient runs one client.
+func (tr *traffic) runClient(ctx context.Context, number int) {
+	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	for i := number; ; i++ {
 		select {
@@ -85,80 +85,81 @@
 		case <-ctx.Done():
 			return
 		}
-		if tr.ask(kinds[i%len(kinds)], number) {
+		// The end of the traffic doesn't interrupt a request.
+		if tr.serve(context.WithoutCancel(ctx), requestKinds[i%len(requestKinds)], number) {
 			tr.done.Add(1)
 		} else {
-			tr.unmet.Add(1)
+			tr.failed.Add(1)
 		}
 	}
 }
 
-// ask sends a request, again where the protocol allows, until it is served or its time is over.
-func (tr *traffic) ask(k kind, number int) bool {
-	over := time.Now().Add(patience)
+// serve sends a request, and retries it as the protocol allows, until it is served or times out.
+func (tr *traffic) serve(ctx context.Context, k requestKind, number int) bool {
+	over := time.Now().Add(clientTimeout)
 	for round := 0; time.Now().Before(over); round++ {
-		addresses := lookup(tr.c.agents[(number+round)%len(tr.c.agents)].at(portDirectory), places[number%len(places)])
+		addresses := lookup(ctx, tr.c.agents[(number+round)%len(tr.c.agents)].address(portDirectory), locations[number%len(locations)])
 		if len(addresses) == 0 {
-			time.Sleep(pace)
+			time.Sleep(requestInterval)
 			continue
 		}
-		how := tr.c.ask(tr.client, k, "/"+k.name+"/x", addresses[(number+round)%len(addresses)])
+		how := tr.c.sendAttempt(ctx, tr.client, k, "/"+k.name+"/x", addresses[(number+round)%len(addresses)])
 		switch {
 		case how == served:
 			return true
-		case how == promised, how == unsent, k.repeatable:
-			time.Sleep(pace)
-		default: // it may not be sent again; whether it was lost, the ledger judges
-			return how == cut
+		case how == rejected, how == notConnected, k.idempotent:
+			time.Sleep(requestInterval)
+		default: // it may not be retried; the ledger decides whether it was lost
+			return how == broken
 		}
 	}
 	return false
 }
 
-// newAttempt is the id of a new try.
-func newAttempt() string { return fmt.Sprintf("t%x", attempts.Add(1)) }
+// newAttemptID returns the ID of a new attempt.
+func newAttemptID() string { return fmt.Sprintf("t%x", attemptCounter.Add(1)) }
 
-// ask makes one try at a proxy, notes it and says how it ended.
-func (c *cluster) ask(by *http.Client, k kind, path, proxy string) ending {
-	attempt := newAttempt()
-	c.ledger.open(attempt, k, proxy)
-	how, status := c.try(by, k, path, proxy, attempt)
-	c.ledger.close(attempt, how, status)
+// sendAttempt makes one attempt at a proxy, records it and returns how it ended.
+func (c *cluster) sendAttempt(ctx context.Context, by *http.Client, k requestKind, path, proxy string) attemptResult {
+	attempt := newAttemptID()
+	c.ledger.startAttempt(attempt, k, proxy)
+	how, status := c.sendRequest(ctx, by, k, path, proxy, attempt)
+	c.ledger.finishAttempt(attempt, how, status)
 	return how
 }
 
-func (c *cluster) try(by *http.Client, k kind, path, proxy, attempt string) (ending, int) {
+func (c *cluster) sendRequest(ctx context.Context, by *http.Client, k requestKind, path, proxy, attempt string) (attemptResult, int) {
 	body := "body of " + attempt
-	request := newRequest(context.Background(), k, path, proxy, attempt, body)
+	request := newRequest(ctx, k, path, proxy, attempt, body)
 	response, err := by.Do(request)
 	if err != nil {
-		return endingOf(err), 0
+		return resultOfError(err), 0
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
 	switch status := response.StatusCode; {
 	case err != nil:
-		return cut, status
+		return broken, status
 	case status == http.StatusOK:
-		c.check(k, path, attempt, body, response, string(answer))
+		c.checkResponse(k, path, attempt, body, response, string(answer))
 		return served, status
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests,
 		status == http.StatusRequestTimeout, status == http.StatusMisdirectedRequest:
-		return promised, status
+		return rejected, status
 	default:
 		return failed, status
 	}
 }
 
-// newRequest makes a client's request.
-func newRequest(ctx context.Context, k kind, path, proxy, attempt, body string) *http.Request {
+// newRequest returns a client's request.
+func newRequest(ctx context.Context, k requestKind, path, proxy, attempt, body string) *http.Request {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+proxy+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
 	request.Host = host
 	request.Header.Set("X-Attempt-Id", attempt)
-	request.Header.Set("X-Time-Left", strconv.FormatInt(patience.Milliseconds(), 10))
+	request.Header.Set("X-Time-Left", strconv.FormatInt(clientTimeout.Milliseconds(), 10))
 	if k.stream {
 		request.Header.Set("X-Model", "m")
 		request.Header.Set("X-Token-Count", tokenCount)
@@ -167,17 +168,17 @@
 	return request
 }
 
-// endingOf tells a connection that never stood from one that broke.
-func endingOf(err error) ending {
+// resultOfError distinguishes a connection that was not established from one that broke.
+func resultOfError(err error) attemptResult {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return unsent
+		return notConnected
 	}
-	return cut
+	return broken
 }
 
-// check fails the test where an answer is not the endpoint's own to this request.
-func (c *cluster) check(k kind, path, attempt, body string, response *http.Response, answer string) {
+// checkResponse fails the test if a response is not the endpoint's own one to this request.
+func (c *cluster) checkResponse(k requestKind, path, attempt, body string, response *http.Response, answer string) {
 	header := response.Header
 	assert.Equal(c.t, attempt, header.Get("X-Attempt-Id"))
 	assert.True(c.t, strings.HasSuffix(header.Get("X-Postmark"), "."+attempt), header.Get("X-Postmark"))
@@ -189,7 +190,7 @@
 	assert.Equal(c.t, want, answer)
 }
 
-// checkEvents fails the test unless all events came once and in order.
+// checkEvents fails the test unless all events arrived once and in order.
 func checkEvents(t *testing.T, answer string) {
 	next := 1
 	for lines := bufio.NewScanner(strings.NewReader(answer)); lines.Scan(); {
@@ -201,9 +202,9 @@
 	assert.Equal(t, answerEvents+1, next)
 }
 
-// lookup asks a directory where a client at a place should go; nil: it doesn't know.
-func lookup(directory string, at place) []string {
-	ctx, cancel := context.WithTimeout(context.Background(), lookupWithin)
+// lookup returns where a directory sends a client at a location; nil: it doesn't know.
+func lookup(ctx context.Context, directory string, at location) []string {
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet,
 		"http://"+directory+"/lookup?name="+host+"&region="+at.region+"&zone="+at.zone, nil)
@@ -214,7 +215,7 @@
 	if err != nil {
 		return nil
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	var answer struct {
 		Addresses []string `json:"addresses"`
 	}
