--- a/cmd/rowan-compare/rowantrial_test.go
+++ b/cmd/rowan-compare/compare_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// repository makes a repository with one commit.
-func repository(t *testing.T) string {
+// newTestRepository makes a repository with one commit.
+func newTestRepository(t *testing.T) string {
 	folder := t.TempDir()
 	require.NoError(t, os.MkdirAll(filepath.Join(folder, "journal"), 0o755))
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "value"), []byte("1\n"), 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "journal", "old"), []byte("{}"), 0o600))
 	for _, arguments := range [][]string{{"init", "-q"}, {"add", "-A"},
 		{"-c", "user.name=t", "-c", "user.email=t@example", "commit", "-q", "-m", "first"}} {
-		run := exec.Command("git", arguments...)
+		run := exec.CommandContext(t.Context(), "git", arguments...)
 		run.Dir = folder
 		printed, err := run.CombinedOutput()
 		require.NoError(t, err, "%s", printed)
@@ -29,9 +29,9 @@
 	return folder
 }
 
-// bench is a program that stands for the bench: it writes a report with the value that the clone holds, and an entry
-// of the journal.
-func bench(t *testing.T) string {
+// newTestBench makes a program in place of the bench: it writes a report with the value in the clone, and a journal
+// entry.
+func newTestBench(t *testing.T) string {
 	file := filepath.Join(t.TempDir(), "bench")
 	script := `#!/bin/sh
 while [ $# -gt 0 ]; do case "$1" in --report) report="$2";; --seed) seed="$2";; esac; shift; done
@@ -44,16 +44,16 @@
 	return file
 }
 
-func TestVariantsAreComparedByPairs(t *testing.T) {
-	top := repository(t)
+func TestRunAll_ComparesVariantsByPairs(t *testing.T) {
+	top := newTestRepository(t)
 	scratch := t.TempDir()
 	patch := filepath.Join(scratch, "two.patch")
 	require.NoError(t, os.WriteFile(patch, []byte("--- a/value\n+++ b/value\n@@ -1 +1 @@\n-1\n+2\n"), 0o600))
 	variants, err := parseVariants(t.Context(), top, []string{"base=HEAD", "two=HEAD+" + patch})
 	require.NoError(t, err)
-	command := &trialCommand{Bench: bench(t), Site: []string{"s.toml"}, Day: []string{"quiet"}, Seed: []int{1, 2}, Jobs: 2,
+	command := &compareCommand{Bench: newTestBench(t), Site: []string{"s.toml"}, Day: []string{"quiet"}, Seed: []int{1, 2}, Jobs: 2,
 		Scratch: scratch, Why: "test"}
-	results := command.playAll(t.Context(), top, command.plays(variants))
+	results := command.runAll(t.Context(), top, command.listRuns(variants))
 	require.Len(t, results, 4)
 	var out strings.Builder
 	writeTables(&out, variants, results)
@@ -66,9 +66,9 @@
 	assert.Equal(t, "1\n", string(unchanged))
 }
 
-// TestPlayThatFailsIsTold: it has no report, and the others are played.
-func TestPlayThatFailsIsTold(t *testing.T) {
-	top := repository(t)
+// TestRunAll_FailedRunIsReported: it has no report, and the other runs are made.
+func TestRunAll_FailedRunIsReported(t *testing.T) {
+	top := newTestRepository(t)
 	require.NoError(t, os.WriteFile(filepath.Join(top, "value"), []byte("9\n"), 0o600))
 	stash := func(ctx context.Context) []*variant {
 		run := exec.CommandContext(ctx, "git", "config", "user.email", "t@example")
@@ -82,9 +82,9 @@
 		return variants
 	}
 	variants := stash(t.Context())
-	command := &trialCommand{Bench: bench(t), Site: []string{"s.toml"}, Day: []string{"quiet"}, Seed: []int{1}, Jobs: 1,
+	command := &compareCommand{Bench: newTestBench(t), Site: []string{"s.toml"}, Day: []string{"quiet"}, Seed: []int{1}, Jobs: 1,
 		Scratch: t.TempDir(), Why: "test"}
-	results := command.playAll(t.Context(), top, command.plays(variants))
+	results := command.runAll(t.Context(), top, command.listRuns(variants))
 	require.NoError(t, results[0].err)
 	require.Error(t, results[1].err)
 	var out strings.Builder
@@ -92,21 +92,21 @@
 	assert.Contains(t, out.String(), "not played: s.toml-quiet-1-nine")
 }
 
-func TestVariantsThatCannotBe(t *testing.T) {
-	top := repository(t)
+func TestParseVariants_Invalid(t *testing.T) {
+	top := newTestRepository(t)
 	for _, text := range []string{"HEAD", "=HEAD", "name=no-such-revision"} {
 		_, err := parseVariants(t.Context(), top, []string{text})
 		assert.Error(t, err, text)
 	}
 }
 
-func TestStandardErrorOfOnePairIsUnknown(t *testing.T) {
+func TestStandardError_OfOneValueIsUnknown(t *testing.T) {
 	assert.True(t, math.IsNaN(standardError([]float64{1})))
 	assert.InDelta(t, 1, standardError([]float64{1, 3}), 1e-9)
 }
 
-func TestBrokenRuleIsTold(t *testing.T) {
-	broken := &report{Breaks: map[string]any{"TWICE": 1}}
-	assert.Contains(t, broken.trouble(), "TWICE")
-	assert.Empty(t, (&report{}).trouble())
+func TestBenchReport_BrokenRule(t *testing.T) {
+	broken := &benchReport{Breaks: map[string]any{"TWICE": 1}}
+	assert.Contains(t, broken.failureText(), "TWICE")
+	assert.Empty(t, (&benchReport{}).failureText())
 }
--- a/test/faultschedule/harddays_test.go
+++ b/test/faultschedule/harddays_test.go
@@ -19,21 +19,21 @@
 ]
 `
 
-func TestDaysAreTheSameForASeed(t *testing.T) {
+func TestRandomDays_SameForASeed(t *testing.T) {
 	from, err := parseSite([]byte(exampleSite))
 	require.NoError(t, err)
-	given := &arguments{Seed: 5, Days: 40, Least: 3, Most: 8}
-	first := drawDays(from, given)
-	require.Equal(t, first, drawDays(from, given))
+	given := &commandLine{Seed: 5, Days: 40, Least: 3, Most: 8}
+	first := randomDays(from, given)
+	require.Equal(t, first, randomDays(from, given))
 	given.Seed = 6
-	require.NotEqual(t, first, drawDays(from, given))
+	require.NotEqual(t, first, randomDays(from, given))
 }
 
-func TestDaysCanBeParsedAndStayInTheirTime(t *testing.T) {
+func TestRandomDays_ParseAndStayInTime(t *testing.T) {
 	from, err := parseSite([]byte(exampleSite))
 	require.NoError(t, err)
 	for _, control := range []bool{false, true} {
-		text := from.deployment + drawDays(from, &arguments{Seed: 1, Days: 200, Least: 3, Most: 8, Control: control})
+		text := from.deployment + randomDays(from, &commandLine{Seed: 1, Days: 200, Least: 3, Most: 8, Control: control})
 		requireDaysInTheirTime(t, from, text)
 	}
 }
@@ -65,7 +65,7 @@
 	require.GreaterOrEqual(t, len(seen), 20)
 }
 
-func TestSiteWithoutDaysIsRefused(t *testing.T) {
+func TestParseSite_WithoutDays(t *testing.T) {
 	_, err := parseSite([]byte("name = \"x\"\n"))
 	require.Error(t, err)
 }
--- a/test/faultschedule/main.go
+++ b/test/faultschedule/main.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// arguments are the command line.
-type arguments struct {
+// commandLine are the command line.
+type commandLine struct {
 	Site    string  `help:"Site file whose deployment is taken." required:""`
 	Out     string  `help:"File to write; the files beside the site file that it needs are copied next to it." required:""`
 	Seed    int64   `help:"The same seed draws the same days." default:"1"`
@@ -28,13 +28,13 @@
 }
 
 func main() {
-	var given arguments
+	var given commandLine
 	parser := kong.Parse(&given)
-	parser.FatalIfErrorf(write(&given))
+	parser.FatalIfErrorf(writeDeployment(&given))
 }
 
-// write draws the days and puts them behind the deployment's own part of the site file.
-func write(given *arguments) error {
+// writeDeployment draws the days and puts them behind the deployment's own part of the site file.
+func writeDeployment(given *commandLine) error {
 	text, err := os.ReadFile(given.Site)
 	if err != nil {
 		return errors.Wrap(err, "reading the site file")
@@ -46,18 +46,18 @@
 	if err := os.MkdirAll(filepath.Dir(given.Out), 0o755); err != nil {
 		return errors.Wrap(err, "making the folder of the file to write")
 	}
-	if err := copyWire(given); err != nil {
+	if err := copyWireNames(given); err != nil {
 		return err
 	}
 	if given.Long > 0 {
-		site.lengthen(given.Long)
+		site.setLength(given.Long)
 	}
-	days := drawDays(site, given)
+	days := randomDays(site, given)
 	return errors.Wrap(os.WriteFile(given.Out, []byte(site.deployment+days), 0o644), "writing the days")
 }
 
-// copyWire copies the table of wire names that the site file refers to.
-func copyWire(given *arguments) error {
+// copyWireNames copies the table of wire names that the site file refers to.
+func copyWireNames(given *commandLine) error {
 	const wireNames = "wire.json"
 	table, err := os.ReadFile(filepath.Join(filepath.Dir(given.Site), wireNames))
 	if err != nil {
--- a/test/faultschedule/site.go
+++ b/test/faultschedule/site.go
@@ -11,8 +11,8 @@
 // dayHeader begins each day of a site file.
 const dayHeader = "[[day]]"
 
-// named is a table of which only the name matters here.
-type named struct {
+// namedEntry is a table of which only the name matters here.
+type namedEntry struct {
 	Name  string `toml:"name"`
 	Model string `toml:"model"`
 }
@@ -21,9 +21,9 @@
 type site struct {
 	deployment string // the text before the first day
 	Length     float64
-	Zones      []named
-	Services   []named
-	Classes    []named
+	Zones      []namedEntry
+	Services   []namedEntry
+	Classes    []namedEntry
 	traffic    []string // the traffic blocks of the file's own days, as text
 }
 
@@ -35,9 +35,9 @@
 	}
 	var read struct {
 		Length   float64 `toml:"length_s"`
-		Zones    []named `toml:"zones"`
-		Services []named `toml:"services"`
-		Classes  []named `toml:"classes"`
+		Zones    []namedEntry `toml:"zones"`
+		Services []namedEntry `toml:"services"`
+		Classes  []namedEntry `toml:"classes"`
 	}
 	if err := toml.Unmarshal([]byte(deployment), &read); err != nil {
 		return nil, errors.Wrap(err, "parsing the site file")
@@ -63,8 +63,8 @@
 	return blocks
 }
 
-// lengthen gives the days another length in seconds.
-func (s *site) lengthen(seconds float64) {
+// setLength gives the days another length in seconds.
+func (s *site) setLength(seconds float64) {
 	lines := strings.Split(s.deployment, "\n")
 	for index, line := range lines {
 		if strings.HasPrefix(line, "length_s = ") {
