--- a/cmd/rowan-compare/tables.go
+++ b/cmd/rowan-compare/tables.go
@@ -60,7 +60,7 @@
 // differenceTable holds the differences of each figure for each group of pairs.
 type differenceTable struct {
 	groups []string
-	names  map[string][]string // figures in order, by group
+	names  map[string][]string             // figures in order, by group
 	values map[string]map[string][]float64 // by group and figure
 }
 
--- a/test/faultschedule/main.go
+++ b/test/faultschedule/main.go
@@ -1,5 +1,6 @@
-// Command harddays writes a deployment file whose days are harder than the standard ones: each holds many troubles at
-// once, drawn by a seed, with every variant that the bench knows. The deployment itself is that of a given site file.
+// Command faultschedule writes a deployment file whose days are harder than the standard ones: each has many faults at
+// once, drawn at random by a seed, in every variant that the bench knows. The deployment itself is that of a given
+// site file.
 //
 // Example:
 //
@@ -14,28 +15,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// commandLine are the command line.
+// commandLine is the command line.
 type commandLine struct {
 	Site    string  `help:"Site file whose deployment is taken." required:""`
 	Out     string  `help:"File to write; the files beside the site file that it needs are copied next to it." required:""`
 	Seed    int64   `help:"The same seed draws the same days." default:"1"`
 	Days    int     `help:"How many days." default:"30"`
-	Least   int     `help:"Fewest troubles in a day." default:"5"`
-	Most    int     `help:"Most troubles in a day." default:"10"`
+	Least   int     `help:"Fewest faults in a day." default:"5"`
+	Most    int     `help:"Most faults in a day." default:"10"`
 	Calm    bool    `help:"Leave the core and the links in peace: rules with a time bound then hold throughout."`
-	Control bool    `help:"Draw the troubles of the control side alone, each in all its variants."`
+	Control bool    `help:"Draw the faults of the control side alone, each in all its variants."`
 	Long    float64 `help:"Seconds of traffic, in place of the file's own." default:"0"`
 }
 
 func main() {
-	var given commandLine
-	parser := kong.Parse(&given)
-	parser.FatalIfErrorf(writeDeployment(&given))
+	var options commandLine
+	parser := kong.Parse(&options)
+	parser.FatalIfErrorf(writeDeployment(&options))
 }
 
-// writeDeployment draws the days and puts them behind the deployment's own part of the site file.
-func writeDeployment(given *commandLine) error {
-	text, err := os.ReadFile(given.Site)
+// writeDeployment writes the deployment's own part of the site file, followed by random days.
+func writeDeployment(options *commandLine) error {
+	text, err := os.ReadFile(options.Site)
 	if err != nil {
 		return errors.Wrap(err, "reading the site file")
 	}
@@ -43,25 +44,25 @@
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(filepath.Dir(given.Out), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(options.Out), 0o755); err != nil {
 		return errors.Wrap(err, "making the folder of the file to write")
 	}
-	if err := copyWireNames(given); err != nil {
+	if err := copyWireNames(options); err != nil {
 		return err
 	}
-	if given.Long > 0 {
-		site.setLength(given.Long)
+	if options.Long > 0 {
+		site.setLength(options.Long)
 	}
-	days := randomDays(site, given)
-	return errors.Wrap(os.WriteFile(given.Out, []byte(site.deployment+days), 0o644), "writing the days")
+	days := randomDays(site, options)
+	return errors.Wrap(os.WriteFile(options.Out, []byte(site.deployment+days), 0o644), "writing the days")
 }
 
 // copyWireNames copies the table of wire names that the site file refers to.
-func copyWireNames(given *commandLine) error {
+func copyWireNames(options *commandLine) error {
 	const wireNames = "wire.json"
-	table, err := os.ReadFile(filepath.Join(filepath.Dir(given.Site), wireNames))
+	table, err := os.ReadFile(filepath.Join(filepath.Dir(options.Site), wireNames))
 	if err != nil {
 		return errors.Wrap(err, "reading the wire names")
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(filepath.Dir(given.Out), wireNames), table, 0o644), "copying the wire names")
+	return errors.Wrap(os.WriteFile(filepath.Join(filepath.Dir(options.Out), wireNames), table, 0o644), "copying the wire names")
 }
--- a/test/faultschedule/harddays_test.go
+++ b/test/faultschedule/random_days_test.go
@@ -22,11 +22,11 @@
 func TestRandomDays_SameForASeed(t *testing.T) {
 	from, err := parseSite([]byte(exampleSite))
 	require.NoError(t, err)
-	given := &commandLine{Seed: 5, Days: 40, Least: 3, Most: 8}
-	first := randomDays(from, given)
-	require.Equal(t, first, randomDays(from, given))
-	given.Seed = 6
-	require.NotEqual(t, first, randomDays(from, given))
+	options := &commandLine{Seed: 5, Days: 40, Least: 3, Most: 8}
+	first := randomDays(from, options)
+	require.Equal(t, first, randomDays(from, options))
+	options.Seed = 6
+	require.NotEqual(t, first, randomDays(from, options))
 }
 
 func TestRandomDays_ParseAndStayInTime(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// requireDaysInTheirTime parses the days and looks at when their troubles come and at how many kinds there are.
+// requireDaysInTheirTime parses the days, and checks the times of their faults and the number of their kinds.
 func requireDaysInTheirTime(t *testing.T, from *site, text string) {
 	t.Helper()
 	type entry struct {
@@ -56,10 +56,10 @@
 	seen := map[string]bool{}
 	for _, day := range read.Day {
 		require.Len(t, day.Traffic, 1)
-		for _, trouble := range append(day.Plan, day.Faults...) {
-			require.NotEmpty(t, trouble.Kind)
-			require.Less(t, trouble.At, from.Length)
-			seen[trouble.Kind] = true
+		for _, fault := range append(day.Plan, day.Faults...) {
+			require.NotEmpty(t, fault.Kind)
+			require.Less(t, fault.At, from.Length)
+			seen[fault.Kind] = true
 		}
 	}
 	require.GreaterOrEqual(t, len(seen), 20)
--- a/test/faultschedule/site.go
+++ b/test/faultschedule/site.go
@@ -11,13 +11,13 @@
 // dayHeader begins each day of a site file.
 const dayHeader = "[[day]]"
 
-// namedEntry is a table of which only the name matters here.
+// namedEntry is a table of which only the name is needed.
 type namedEntry struct {
 	Name  string `toml:"name"`
 	Model string `toml:"model"`
 }
 
-// site is what the draw needs of a site file.
+// site is what is needed of a site file.
 type site struct {
 	deployment string // the text before the first day
 	Length     float64
@@ -27,14 +27,14 @@
 	traffic    []string // the traffic blocks of the file's own days, as text
 }
 
-// parseSite reads a site file.
+// parseSite parses a site file.
 func parseSite(text []byte) (*site, error) {
 	deployment, days, found := strings.Cut(string(text), dayHeader)
 	if !found {
 		return nil, errors.New("the site file has no day")
 	}
 	var read struct {
-		Length   float64 `toml:"length_s"`
+		Length   float64      `toml:"length_s"`
 		Zones    []namedEntry `toml:"zones"`
 		Services []namedEntry `toml:"services"`
 		Classes  []namedEntry `toml:"classes"`
@@ -50,7 +50,7 @@
 	return drawn, nil
 }
 
-// trafficBlocks cuts the traffic of each day out of the text.
+// trafficBlocks returns the traffic block of each day.
 func trafficBlocks(days string) []string {
 	const begin, end = "\ntraffic = [", "\n]"
 	var blocks []string
@@ -63,7 +63,7 @@
 	return blocks
 }
 
-// setLength gives the days another length in seconds.
+// setLength sets the length of the days in seconds.
 func (s *site) setLength(seconds float64) {
 	lines := strings.Split(s.deployment, "\n")
 	for index, line := range lines {
