--- a/cmd/rowan-compare/report.go
+++ b/cmd/rowan-compare/report.go
@@ -22,16 +22,16 @@
 
 // benchReport is the bench's report of a run.
 type benchReport struct {
-	Value   float64          `json:"G"` // less prices
-	Served  float64          `json:"served"`
-	Refused float64          `json:"refused"`
-	Failed  float64          `json:"failed"`
-	Fault   any              `json:"fault"`
-	Breaks  map[string]any   `json:"breaks"`
-	Missed  []any            `json:"missed"`
-	Parts   []weightedFigure `json:"parts"`  // weight, share
-	Prices  []weightedFigure `json:"prices"` // quantity, price
-	Classes []struct {
+	Value         float64          `json:"G"` // less prices
+	Served        float64          `json:"served"`
+	Refused       float64          `json:"refused"`
+	Failed        float64          `json:"failed"`
+	Fault         any              `json:"fault"`
+	Breaks        map[string]any   `json:"breaks"`
+	Missed        []any            `json:"missed"`
+	WeightedParts []weightedFigure `json:"parts"`  // weight, share
+	Prices        []weightedFigure `json:"prices"` // quantity, price
+	Classes       []struct {
 		Name  string  `json:"name"`
 		Worth float64 `json:"worth"`
 	} `json:"classes"`
@@ -58,7 +58,7 @@
 // figures returns the numbers that variants are compared by, in the order in which they are shown.
 func (r *benchReport) figures() (figures []figure) {
 	figures = append(figures, figure{"worth less prices", r.Value})
-	for _, part := range r.Parts {
+	for _, part := range r.WeightedParts {
 		figures = append(figures, figure{part.name, part.second})
 	}
 	for _, class := range r.Classes {
--- a/test/faultschedule/random_days.go
+++ b/test/faultschedule/random_days.go
@@ -27,11 +27,11 @@
 func writeDay(text *strings.Builder, from *site, random *rand.Rand, options *commandLine, number int) {
 	fmt.Fprintf(text, "%s\nname = \"hard-%d-%d\"\nslot = \"trouble\"\nseed = %d\n", dayHeader, options.Seed, number, random.Int63n(1e9))
 	fmt.Fprintf(text, "one = 0.9\nzero = 0.0\ngoal = { floor = 0.05 }\nlabels = []\nwall = 20.0\nlight = true\n")
-	closing := randomEnding
+	generateEnding := randomEnding
 	if options.Control {
-		closing = randomControlEnding
+		generateEnding = randomControlEnding
 	}
-	fmt.Fprintf(text, "closing = %s\n", closing(random))
+	fmt.Fprintf(text, "closing = %s\n", generateEnding(random))
 	plan, faults := randomFaults(from, random, options)
 	writeList(text, "plan", plan)
 	writeList(text, "faults", faults)
@@ -41,12 +41,12 @@
 // randomFaults returns the faults of a day. On a third of the days all begin in one cluster, on a third in two, on the
 // others they are spread out.
 func randomFaults(from *site, random *rand.Rand, options *commandLine) (plan, faults []string) {
-	moments := randomTimes(from, random)
-	many := options.Least + random.Intn(options.Most-options.Least+1)
-	choice := allowedFaultKinds(options)
-	for range many {
-		at := moments[random.Intn(len(moments))] + random.Float64()*clusterSpan
-		kind := pickOne(random, choice)
+	times := randomTimes(from, random)
+	count := options.Least + random.Intn(options.Most-options.Least+1)
+	kinds := allowedFaultKinds(options)
+	for range count {
+		at := times[random.Intn(len(times))] + random.Float64()*clusterSpan
+		kind := pickOne(random, kinds)
 		entry := fmt.Sprintf("{ at = %.2f, %s }", at, kind.generate(from, random))
 		if kind.planned {
 			plan = append(plan, entry)
@@ -60,12 +60,12 @@
 // randomTimes returns the times at which faults begin.
 func randomTimes(from *site, random *rand.Rand) []float64 {
 	last := from.Length - quietSpan
-	many := []int{1, 2, 12}[random.Intn(3)]
-	moments := make([]float64, many)
-	for index := range moments {
-		moments[index] = firstFaultTime + random.Float64()*(last-firstFaultTime)
+	count := []int{1, 2, 12}[random.Intn(3)]
+	times := make([]float64, count)
+	for index := range times {
+		times[index] = firstFaultTime + random.Float64()*(last-firstFaultTime)
 	}
-	return moments
+	return times
 }
 
 // writeList writes the entries as a list with the name.
