--- a/cluster/raftnode/bootstrap.go
+++ b/cluster/raftnode/bootstrap.go
@@ -12,9 +12,10 @@
 )
 
 // bootstrap creates the raft group if this is the first of the configured nodes and the folders of all are empty. It
-// returns false if the group exists elsewhere. It requires an answer from every node: otherwise one that lost its folder
-// could create a second group while the others can't be reached.
-func (n *Node) bootstrap() (mayBootstrap bool) {
+// returns false if the group exists elsewhere or this node is not configured: then the node requests to join. It requires
+// an answer from every node: otherwise one that lost its folder could create a second group while the others can't be
+// reached.
+func (n *Node) bootstrap() bool {
 	members := n.configuredMembers()
 	if len(members) == 0 || !slices.Contains(members, n.self) {
 		return false
--- a/cluster/raftnode/metrics.go
+++ b/cluster/raftnode/metrics.go
@@ -26,8 +26,8 @@
 	ProposalsOutcomeUnknown atomic.Int64
 
 	Redirects         atomic.Int64 // requests answered with who leads
-	MembershipChanges atomic.Int64
-	Removed           atomic.Int64
+	MembershipChanges atomic.Int64 // servers added, given a vote or removed
+	ServersRemoved    atomic.Int64 // not counted: MembershipChanges has the removals
 	ComponentsServed  atomic.Int64
 
 	isLeader   atomic.Int64 // 1 or 0
@@ -58,7 +58,7 @@
 		{"keeper_asked_elsewhere_total", n.Redirects.Load()},
 		{"keeper_states_total", n.ComponentsServed.Load()},
 		{"keeper_joined_total", n.MembershipChanges.Load()},
-		{"keeper_removed_total", n.Removed.Load()},
+		{"keeper_removed_total", n.ServersRemoved.Load()},
 		{"keeper_log_index", int64(n.raft.LastIndex())},
 		{"keeper_log_applied", int64(n.raft.AppliedIndex())},
 	} {
