--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange connects a core member's table of endpoints with the other members: it merges what they gossip, gossips
-// what the table detects, and decides on the liveness of endpoints, also for members that are down.
+// Package exchange connects a core member's table of endpoints with the other members: it merges what they gossip,
+// gossips what the table detects, and decides on the liveness of endpoints, also for members that are down.
 package exchange
 
 import (
@@ -109,8 +109,8 @@
 	x.gossip.Put(entry)
 }
 
-// PutReplicated gossips an endpoint and returns when as many of the members at the addresses as copies have stored it. The
-// errors are those of member.Service.
+// PutReplicated gossips an endpoint and returns when as many of the members at the addresses as copies have stored it.
+// The errors are those of member.Service.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, addresses []string, copies int) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
@@ -134,9 +134,10 @@
 	}, nil
 }
 
-// newResponsibility returns a function that reports whether this member decides on the liveness of a receiver's endpoints:
-// of its own, and as the holder of LivenessRole of those of a receiver that isn't live. A member that is partitioned from
-// the voters has the others as down and the role as its own, but the endpoints that it doesn't hear from may be healthy.
+// newResponsibility returns a function that reports whether this member decides on the liveness of a receiver's
+// endpoints: of its own, and as the holder of LivenessRole of those of a receiver that isn't live. A member that is
+// partitioned from the voters has the others as down and the role as its own, but the endpoints that it doesn't hear
+// from may be healthy.
 func newResponsibility(members Gossip, inTouch func() bool) func(receiver string) bool {
 	self := members.Self().Name
 	return func(receiver string) bool {
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -67,10 +67,16 @@
 }
 
 func startExchange(t *testing.T, f *fakeGossip) *Exchange {
+	t.Helper()
 	log := zerolog.Nop()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	return Start(ctx, Options{Gossip: f, HeartbeatInterval: time.Second, HasQuorum: func() bool { return !f.partitioned }, Log: &log})
+	return Start(ctx, Options{
+		Gossip:            f,
+		HeartbeatInterval: time.Second,
+		HasQuorum:         func() bool { return !f.partitioned },
+		Log:               &log,
+	})
 }
 
 func TestSweep_GossipsUnresponsiveAndDepartedEndpoints(t *testing.T) {
--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -25,8 +25,8 @@
 // delayedBy is the number of further messages after which a delayed one arrives.
 const delayedBy = 4
 
-// world is a system of two core members and an agent that exchange what their tables broadcast. Each message has a number,
-// and faultAt returns its fault.
+// world is a system of two core members and an agent that exchange what their tables broadcast. Each message has a
+// number, and faultAt returns its fault.
 type world struct {
 	now     time.Time
 	tables  map[string]*Table
@@ -37,8 +37,13 @@
 }
 
 func newWorld(faultAt func(int) fault) *world {
-	w := &world{now: epoch, tables: map[string]*Table{}, stored: map[string]map[string]state.Endpoint{},
-		faultAt: faultAt, inDelay: map[int][]func(){}}
+	w := &world{
+		now:     epoch,
+		tables:  map[string]*Table{},
+		stored:  map[string]map[string]state.Endpoint{},
+		faultAt: faultAt,
+		inDelay: map[int][]func(){},
+	}
 	for _, name := range []string{"core-1", "core-2", "agent"} {
 		w.tables[name] = NewTable(Options{Self: name, HeartbeatInterval: testInterval})
 		w.stored[name] = map[string]state.Endpoint{}
@@ -103,9 +108,10 @@
 	w.tables[member].Merge(w.now, endpoint)
 }
 
-// call is a call of an endpoint at a member; it reports whether it was acknowledged. That an endpoint drains or has departed
-// must not be acknowledged before another member has stored it.
-func (w *world) call(t require.TestingT, member string, handle func(*Table) (state.Endpoint, Change)) (acknowledged bool) {
+// call is a call of an endpoint at a member; it reports whether it was acknowledged. That an endpoint drains or has
+// departed must not be acknowledged before another member has stored it.
+func (w *world) call(t require.TestingT, member string,
+	handle func(*Table) (state.Endpoint, Change)) (acknowledged bool) {
 	w.send(func() {
 		endpoint, change := handle(w.tables[member])
 		acknowledged = true
@@ -165,8 +171,8 @@
 	return first
 }
 
-// runLifecycle runs an endpoint from its start to its deregistration. Each call is repeated at the members in turn until
-// one acknowledges it.
+// runLifecycle runs an endpoint from its start to its deregistration. Each call is repeated at the members in turn
+// until one acknowledges it.
 func (w *world) runLifecycle(t require.TestingT) {
 	sequence := uint64(0)
 	call := func(draining bool) {
@@ -175,7 +181,10 @@
 			sequence++
 			heartbeat := Heartbeat{Service: "s", Address: "x:1", Sequence: sequence, Draining: draining}
 			member := []string{"core-1", "core-2"}[attempt%2]
-			if w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.ReceiveHeartbeat(w.now, "e", heartbeat) }) {
+			handle := func(table *Table) (state.Endpoint, Change) {
+				return table.ReceiveHeartbeat(w.now, "e", heartbeat)
+			}
+			if w.call(t, member, handle) {
 				return
 			}
 		}
@@ -221,11 +230,12 @@
 	}
 }
 
-// TestTable_AgreesAfterRepair lets endpoints call members at random with many faults. Once the members have exchanged their
-// versions, all tables agree, and no deregistered endpoint is back.
+// TestTable_AgreesAfterRepair lets endpoints call members at random with many faults. Once the members have exchanged
+// their versions, all tables agree, and no deregistered endpoint is back.
 func TestTable_AgreesAfterRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SliceOfN(rapid.SampledFrom([]fault{delivered, delivered, lost, duplicated, delayed}), 1, 60).Draw(t, "faults")
+		anyFault := rapid.SampledFrom([]fault{delivered, delivered, lost, duplicated, delayed})
+		faults := rapid.SliceOfN(anyFault, 1, 60).Draw(t, "faults")
 		w := newWorld(func(message int) fault { return faults[message%len(faults)] })
 		sequences := map[string]uint64{}
 		deregistered, draining := map[string]bool{}, map[string]bool{}
--- a/serving/endpoints/fuzz_test.go
+++ b/serving/endpoints/fuzz_test.go
@@ -14,7 +14,8 @@
 // departed is live, remaining times aren't negative, and a decoded endpoint stays the same when it is encoded decoded.
 func FuzzEntry(f *testing.F) {
 	for _, update := range []state.Endpoint{
-		{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 3, WarmupLeftMillis: 500, Models: []state.Model{{Name: "m"}}},
+		{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 3, WarmupLeftMillis: 500,
+			Models: []state.Model{{Name: "m"}}},
 		{ID: "b", State: state.EndpointDeparted, Sequence: deregisteredSequence},
 		{ID: "c", Service: "s", Address: "x:1", State: 9, WarmupLeftMillis: 1 << 62, RemovalInMillis: -5, Slots: -1},
 	} {
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -93,7 +93,8 @@
 	return warmupExtended || warmedUp || removalAdvanced
 }
 
-// isEquivalent reports whether two states of an endpoint make no difference to proxies and to members responsible for it.
+// isEquivalent reports whether two states of an endpoint make no difference to proxies and to members responsible for
+// it.
 func isEquivalent(a, b state.Endpoint) bool {
 	return a.Service == b.Service &&
 		a.Address == b.Address &&
@@ -111,7 +112,8 @@
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// Deregister processes the deregistration of an endpoint. The endpoint may still finish its requests; it never comes back.
+// Deregister processes the deregistration of an endpoint. The endpoint may still finish its requests; it never comes
+// back.
 func (t *Table) Deregister(now time.Time, id string) (state.Endpoint, Change) {
 	e, known := t.entries[id]
 	if known && e.endpoint.Sequence == deregisteredSequence {
--- a/serving/endpoints/merge.go
+++ b/serving/endpoints/merge.go
@@ -6,8 +6,8 @@
 	"rowanlink/serving/state"
 )
 
-// Merge applies an endpoint that another member has gossiped, and reports whether it was newer than the known state. Where
-// this member has a newer state, because it receives the endpoint's heartbeats, the next sweep broadcasts that.
+// Merge applies an endpoint that another member has gossiped, and reports whether it was newer than the known state.
+// Where this member has a newer state, because it receives the endpoint's heartbeats, the next sweep broadcasts that.
 func (t *Table) Merge(now time.Time, update state.Endpoint) bool {
 	if update.ID == "" {
 		return false
@@ -61,8 +61,8 @@
 	}
 }
 
-// markPredecessorsUnresponsive marks the other endpoints at the address of one as unresponsive, as far as this member is
-// responsible for them. The members that are responsible for the rest do the same.
+// markPredecessorsUnresponsive marks the other endpoints at the address of one as unresponsive, as far as this member
+// is responsible for them. The members that are responsible for the rest do the same.
 func (t *Table) markPredecessorsUnresponsive(current *entry) {
 	for _, other := range t.entries {
 		endpoint := &other.endpoint
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -6,8 +6,8 @@
 	"rowanlink/serving/state"
 )
 
-// Outlier detection: ejection of endpoints that send heartbeats but fail calls, as in Envoy's outlier detection, from the
-// observations of all proxies. One proxy of many sends an endpoint too few calls to decide by itself.
+// Outlier detection: ejection of endpoints that send heartbeats but fail calls, as in Envoy's outlier detection, from
+// the observations of all proxies. One proxy of many sends an endpoint too few calls to decide by itself.
 const (
 	// reportLifetime is how long an observation counts.
 	reportLifetime = 3 * time.Second
@@ -17,7 +17,8 @@
 	// service's other endpoints. Where all fail, the cause is elsewhere, such as overload.
 	minFailures   = 3
 	outlierFactor = 4
-	// maxEjectedShare is the share of a service's endpoints that may be ejected at once; the others have to take their load.
+	// maxEjectedShare is the share of a service's endpoints that may be ejected at once; the others have to take their
+	// load.
 	maxEjectedShare = 0.5
 	// baseEjectionTime is how long an endpoint is ejected. The time doubles, up to maxEjectionTime, each time that the
 	// endpoint is ejected again within ejectionMemory after the end of an ejection.
@@ -50,7 +51,8 @@
 	unacknowledged int // number of proxies
 }
 
-// resetAfterAbsence ends the ejection of an endpoint whose heartbeats have been absent for so long that it has restarted.
+// resetAfterAbsence ends the ejection of an endpoint whose heartbeats have been absent for so long that it has
+// restarted.
 func (o *outlierState) resetAfterAbsence(absence, heartbeatInterval time.Duration) {
 	if absence > resetAfterIntervals*heartbeatInterval {
 		o.ejectedUntil = time.Time{}
@@ -103,8 +105,8 @@
 	o.reports = nil
 }
 
-// RecordObservation records what a proxy has observed of an endpoint for which this member is responsible. If that ejects
-// the endpoint, it returns its new state, to be gossiped, and true.
+// RecordObservation records what a proxy has observed of an endpoint for which this member is responsible. If that
+// ejects the endpoint, it returns its new state, to be gossiped, and true.
 func (t *Table) RecordObservation(now time.Time, observer string,
 	observation state.Observation) (state.Endpoint, bool) {
 	e, known := t.entries[observation.EndpointID]
@@ -122,7 +124,8 @@
 	return e.snapshotAt(now), true
 }
 
-// isOutlier reports whether an endpoint fails so much more often than the others of its service that it is to be ejected.
+// isOutlier reports whether an endpoint fails so much more often than the others of its service that it is to be
+// ejected.
 func (t *Table) isOutlier(now time.Time, suspect *entry) bool {
 	summary := suspect.outlier.summarize(now)
 	if summary.reporters < minReporters {
--- a/serving/endpoints/outlier_test.go
+++ b/serving/endpoints/outlier_test.go
@@ -118,7 +118,10 @@
 // TestEjection_RepeatedLastsLonger checks that the time doubles with each repeated ejection, up to a bound.
 func TestEjection_RepeatedLastsLonger(t *testing.T) {
 	o := newOutlierFixture()
-	for _, want := range []time.Duration{baseEjectionTime, 2 * baseEjectionTime, 4 * baseEjectionTime, maxEjectionTime, maxEjectionTime} {
+	wantTimes := []time.Duration{
+		baseEjectionTime, 2 * baseEjectionTime, 4 * baseEjectionTime, maxEjectionTime, maxEjectionTime,
+	}
+	for _, want := range wantTimes {
 		assert.True(t, o.observe("e0", 2, 3, false))
 		ejected := o.now
 		for first, _ := o.sendHeartbeats(); first.Failing; first, _ = o.sendHeartbeats() {
@@ -129,10 +132,12 @@
 	o.now = o.now.Add(ejectionMemory)
 	o.sendHeartbeats()
 	assert.True(t, o.observe("e0", 2, 3, false))
-	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil, "an ejection of long ago doesn't count")
+	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil,
+		"an ejection of long ago doesn't count")
 }
 
-// TestEjection_EndsWithRestart checks that an endpoint that has restarted isn't ejected for its earlier process's faults.
+// TestEjection_EndsWithRestart checks that an endpoint that has restarted isn't ejected for its earlier process's
+// faults.
 func TestEjection_EndsWithRestart(t *testing.T) {
 	o := newOutlierFixture()
 	for range 4 { // so that the ejection is long
--- a/serving/endpoints/restore_test.go
+++ b/serving/endpoints/restore_test.go
@@ -19,7 +19,8 @@
 	got, _ := table.Get(now.Add(time.Second), "i")
 	assert.EqualValues(t, 1000, got.WarmupLeftMillis)
 
-	_, change := table.ReceiveHeartbeat(now.Add(time.Second), "i", Heartbeat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Draining: true})
+	draining := Heartbeat{Service: "s", Address: "a:1", Zone: "z", Sequence: 8, Draining: true}
+	_, change := table.ReceiveHeartbeat(now.Add(time.Second), "i", draining)
 	assert.Equal(t, Change{Broadcast: true}, change, "no other member is known to have stored that it drains")
 	assert.False(t, table.Restore(now, saved))
 	assert.False(t, table.Restore(now, state.Endpoint{ID: "gone", State: state.EndpointDeparted}))
--- a/serving/endpoints/shared.go
+++ b/serving/endpoints/shared.go
@@ -70,7 +70,8 @@
 	s.table.Send(func(t *Table) { t.MarkReplicated(stored) })
 }
 
-// Merge is Table.Merge. It doesn't wait; onNewer, unless nil, is called by the table's goroutine if the update was newer.
+// Merge is Table.Merge. It doesn't wait; onNewer, unless nil, is called by the table's goroutine if the update was
+// newer.
 func (s *SharedTable) Merge(update state.Endpoint, onNewer func()) {
 	s.table.Send(func(t *Table) {
 		if t.Merge(s.clock(), update) && onNewer != nil {
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -7,8 +7,9 @@
 )
 
 // Sweep marks endpoints as unresponsive or departed by the time since their last heartbeats, and removes those that
-// departed long ago. It returns the endpoints that have to be gossiped. The caller sweeps about every half second: after a
-// pause of more than maxSweepPause, in which this process didn't run, all times count from the end of the pause.
+// departed long ago. It returns the endpoints that have to be gossiped. The caller sweeps about every half second:
+// after a pause of more than maxSweepPause, in which this process didn't run, all times count from the end of the
+// pause.
 func (t *Table) Sweep(now time.Time) []state.Endpoint {
 	pause := now.Sub(t.lastSweep)
 	wasPaused := pause > maxSweepPause && !t.lastSweep.IsZero()
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -12,8 +12,8 @@
 
 // Time-outs of the table.
 const (
-	// unresponsiveIntervals is the number of heartbeat intervals which, with unresponsiveSlack added, may pass without a
-	// heartbeat before an endpoint is unresponsive.
+	// unresponsiveIntervals is the number of heartbeat intervals which, with unresponsiveSlack added, may pass without
+	// a heartbeat before an endpoint is unresponsive.
 	unresponsiveIntervals = 3
 	unresponsiveSlack     = 500 * time.Millisecond
 	// departedTimeout is how long an endpoint may send no heartbeat before it counts as departed.
@@ -48,8 +48,8 @@
 	lastSweep time.Time
 }
 
-// entry is an endpoint with its state in the table. The remaining times in endpoint are not updated; the deadlines beside
-// it replace them.
+// entry is an endpoint with its state in the table. The remaining times in endpoint are not updated; the deadlines
+// beside it replace them.
 type entry struct {
 	endpoint       state.Endpoint
 	warmupEnds     time.Time // zero: warmed up
--- a/serving/endpoints/version.go
+++ b/serving/endpoints/version.go
@@ -9,12 +9,12 @@
 	"rowanlink/serving/state"
 )
 
-// deregisteredSequence is the sequence of an endpoint that has deregistered. No delayed call of it is newer, since it never
-// comes back.
+// deregisteredSequence is the sequence of an endpoint that has deregistered. No delayed call of it is newer, since it
+// never comes back.
 const deregisteredSequence = math.MaxUint64
 
-// Version returns the version of an endpoint's state in gossip: first by the endpoint's count of its calls, then departed
-// over draining over accepting, then failing over not failing, then unresponsive over responsive.
+// Version returns the version of an endpoint's state in gossip: first by the endpoint's count of its calls, then
+// departed over draining over accepting, then failing over not failing, then unresponsive over responsive.
 func Version(e state.Endpoint) (major, minor uint64) {
 	const unresponsiveBit, failingBit, stateShift = 1, 2, 2
 	minor = uint64(e.State) << stateShift
--- a/serving/gossip/batch.go
+++ b/serving/gossip/batch.go
@@ -52,8 +52,8 @@
 	return Peer{}, false
 }
 
-// selectRegionTargets selects a few of the region's peers: most of the local zone, since traffic between zones costs, and
-// none of a suspect zone.
+// selectRegionTargets selects a few of the region's peers: most of the local zone, since traffic between zones costs,
+// and none of a suspect zone.
 func (b *batch) selectRegionTargets() []Peer {
 	const fanout = zoneFanout + regionFanout
 	otherZones := b.engine.ranking.otherZones
--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -14,14 +14,14 @@
 	maxCoalesceDelay = 100 * time.Millisecond
 	// rateWindow is the time constant of the average rate of sending.
 	rateWindow = time.Second
-	// zoneFanout and regionFanout are the numbers of members of the same zone and of the region's other zones to which a
-	// member pushes an entry.
+	// zoneFanout and regionFanout are the numbers of members of the same zone and of the region's other zones to which
+	// a member pushes an entry.
 	zoneFanout   = 2
 	regionFanout = 1
 	// maxPushedValue is the size, in bytes, up to which a value is pushed. A longer one is offered and sent on request.
 	maxPushedValue = 2048
-	// maxPushedEntries is the number of entries up to which a message carries them. Where there are more at once, all are
-	// offered.
+	// maxPushedEntries is the number of entries up to which a message carries them. Where there are more at once, all
+	// are offered.
 	maxPushedEntries = 32
 	// maxDeliveryRetries bounds the retries of one delivery.
 	maxDeliveryRetries = 2
--- a/serving/gossip/digest.go
+++ b/serving/gossip/digest.go
@@ -115,8 +115,8 @@
 	return comparison
 }
 
-// entriesNewerThan returns the entries of a bucket that a member lacks or has older versions of, given the versions that
-// it has. Among them are expired tombstones of which the member has an older version.
+// entriesNewerThan returns the entries of a bucket that a member lacks or has older versions of, given the versions
+// that it has. Among them are expired tombstones of which the member has an older version.
 func (e *Engine) entriesNewerThan(table TableID, bucket int, known map[string]Version) (entries []Entry) {
 	for key, stored := range e.tables[table].entries {
 		if bucketOfKey(key) != bucket {
--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -19,8 +19,8 @@
 	Name   string // of the local member
 	Zone   string
 	Region string
-	// IsTombstone reports whether an entry says that its key is deleted. Such an entry expires after TombstoneRetention.
-	// Nil: there are no tombstones.
+	// IsTombstone reports whether an entry says that its key is deleted. Such an entry expires after
+	// TombstoneRetention. Nil: there are no tombstones.
 	IsTombstone func(Entry) bool
 	Random      *rand.Rand
 }
@@ -97,7 +97,8 @@
 	return true
 }
 
-// Receive stores the entries of another member's message, schedules their further delivery and returns those that were new.
+// Receive stores the entries of another member's message, schedules their further delivery and returns those that were
+// new.
 func (e *Engine) Receive(now time.Time, message Message) (fresh []Entry) {
 	for _, entry := range message.Entries {
 		if !entry.Table.IsValid() {
--- a/serving/gossip/engine_test.go
+++ b/serving/gossip/engine_test.go
@@ -16,8 +16,8 @@
 // tombstoneValue is the value of tombstones.
 var tombstoneValue = []byte("deleted")
 
-// newTestEngine returns an engine of member 0 in zone z0 with peers spread over the zones z0 and z1 of its region and y0
-// of another.
+// newTestEngine returns an engine of member 0 in zone z0 with peers spread over the zones z0 and z1 of its region and
+// y0 of another.
 func newTestEngine(peers int) *Engine {
 	e := New(Options{Name: "m0", Zone: "z0", Region: "z", Random: rand.New(rand.NewPCG(1, 1)),
 		IsTombstone: func(entry Entry) bool { return string(entry.Value) == string(tombstoneValue) }})
@@ -145,7 +145,8 @@
 	stale.PutLocal(startTime, endpointEntry("k", 1))
 	found := e.CompareBuckets(stale.ListDifferingBuckets(e.Digest(nil)))
 	assert.Equal(t, []Entry{end}, found.Send, "a member that has missed the tombstone gets it")
-	assert.Len(t, e.Receive(after, Message{From: "m1", Entries: []Entry{endpointEntry("k", 3)}}), 1, "a newer version of the key")
+	newer := Message{From: "m1", Entries: []Entry{endpointEntry("k", 3)}}
+	assert.Len(t, e.Receive(after, newer), 1, "a newer version of the key")
 }
 
 func TestExpiredEntries_AreBounded(t *testing.T) {
--- a/serving/gossip/entry.go
+++ b/serving/gossip/entry.go
@@ -1,7 +1,7 @@
-// Package gossip replicates tables of versioned entries between the members of the system. A new entry is pushed at once
-// to a few peers, which push it on (rumor mongering), and what was lost is found by comparing digests (anti-entropy), as
-// in Demers et al., Epidemic Algorithms for Replicated Database Maintenance, 1987. The package does no I/O: times are
-// arguments, and messages are returned as values that the caller sends.
+// Package gossip replicates tables of versioned entries between the members of the system. A new entry is pushed at
+// once to a few peers, which push it on (rumor mongering), and what was lost is found by comparing digests
+// (anti-entropy), as in Demers et al., Epidemic Algorithms for Replicated Database Maintenance, 1987. The package does
+// no I/O: times are arguments, and messages are returned as values that the caller sends.
 package gossip
 
 import (
@@ -31,7 +31,8 @@
 // IsValid reports whether a number that came from another member identifies a table.
 func (t TableID) IsValid() bool { return t >= TableRecord && int(t) < tableCount }
 
-// isEphemeral reports whether entries of the table stay in the region, expire soon, and are neither repaired nor retried.
+// isEphemeral reports whether entries of the table stay in the region, expire soon, and are neither repaired nor
+// retried.
 func (t TableID) isEphemeral() bool { return t == TableLoads }
 
 // Version orders the entries of one key, by Major and then Minor. Entries of the same version are equal.
--- a/serving/gossip/reachability.go
+++ b/serving/gossip/reachability.go
@@ -8,7 +8,8 @@
 const (
 	// avoidPeriod is how long a peer that didn't answer is avoided.
 	avoidPeriod = 2 * time.Second
-	// suspectZonePeriod is how long after such a failure the peer's zone may be unreachable, until a peer of it answers.
+	// suspectZonePeriod is how long after such a failure the peer's zone may be unreachable, until a peer of it
+	// answers.
 	suspectZonePeriod = 3 * time.Second
 )
 
--- a/serving/gossip/repair.go
+++ b/serving/gossip/repair.go
@@ -13,7 +13,8 @@
 	maxSettleDelay = 300 * time.Millisecond
 	// idleRepairInterval is the time between two repairs while no difference is known.
 	idleRepairInterval = 5 * time.Second
-	// remoteRepairTarget is the expected number of members of a region that repair with another region after a difference.
+	// remoteRepairTarget is the expected number of members of a region that repair with another region after a
+	// difference.
 	remoteRepairTarget = 2.0
 )
 
--- a/serving/loadreport/filter.go
+++ b/serving/loadreport/filter.go
@@ -3,11 +3,12 @@
 import "rowanlink/serving/state"
 
 const (
-	// runningSteps and cacheSteps determine the changes that are published: those by more than one part in runningSteps of
-	// the endpoint's slots, or by more than one part in cacheSteps of its cache.
+	// runningSteps and cacheSteps determine the changes that are published: those by more than one part in runningSteps
+	// of the endpoint's slots, or by more than one part in cacheSteps of its cache.
 	runningSteps = 16
 	cacheSteps   = 16
-	// republishRounds is the number of rounds after which an unchanged load is published again, since gossiped loads expire.
+	// republishRounds is the number of rounds after which an unchanged load is published again, since gossiped loads
+	// expire.
 	republishRounds = 8
 )
 
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -136,8 +136,8 @@
 	return reports
 }
 
-// publishLoad gossips a load. The role's epoch is the major part of the version, so that a former holder of the role can't
-// overrule a later one.
+// publishLoad gossips a load. The role's epoch is the major part of the version, so that a former holder of the role
+// can't overrule a later one.
 func (p *Poller) publishLoad(epoch uint64, load state.Load) {
 	value, err := cbor.Marshal(load)
 	if err != nil {
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -81,7 +81,10 @@
 	members := &fakeGossip{}
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
 	otherZone, withoutModel, draining, unresponsive := good, good, good, good
-	otherZone.Zone, withoutModel.Models, draining.State, unresponsive.Unresponsive = "n2", nil, state.EndpointDraining, true
+	otherZone.Zone = "n2"
+	withoutModel.Models = nil
+	draining.State = state.EndpointDraining
+	unresponsive.Unresponsive = true
 	selected := newPoller(members, otherZone, withoutModel, good, draining, unresponsive).selectEndpoints()
 	assert.Equal(t, []state.Endpoint{good}, selected)
 }
--- a/serving/loadreport/report.go
+++ b/serving/loadreport/report.go
@@ -1,5 +1,5 @@
-// Package loadreport polls the language-model endpoints of a zone for their loads and gossips those that have changed. One
-// member of each zone does it, as a singleton role.
+// Package loadreport polls the language-model endpoints of a zone for their loads and gossips those that have changed.
+// One member of each zone does it, as a singleton role.
 package loadreport
 
 import (
--- a/serving/member/answers.go
+++ b/serving/member/answers.go
@@ -23,8 +23,8 @@
 	n.members.RecordContact(n.now, name)
 }
 
-// acknowledge records a heartbeat and returns its answer. A member whose tombstone or entry has expired here is asked for
-// a version that is newer than the expired one.
+// acknowledge records a heartbeat and returns its answer. A member whose tombstone or entry has expired here is asked
+// for a version that is newer than the expired one.
 func (n *node) acknowledge(heartbeat membership.Heartbeat) membership.HeartbeatAck {
 	ack := n.members.ReceiveHeartbeat(n.now, heartbeat)
 	expired, ok := n.engine.ExpiredVersion(gossip.TableMembers, heartbeat.Name)
@@ -67,8 +67,9 @@
 	return response
 }
 
-// expireEntries removes entries that have expired at another member: those that are about to expire here too, only later,
-// such as after a restart in between. Otherwise the two members would find a difference at each heartbeat until then.
+// expireEntries removes entries that have expired at another member: those that are about to expire here too, only
+// later, such as after a restart in between. Otherwise the two members would find a difference at each heartbeat until
+// then.
 func (n *node) expireEntries(headers []gossip.Header) {
 	for _, header := range headers {
 		switch {
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -19,7 +19,8 @@
 	pushRetryDelay = 200 * time.Millisecond
 )
 
-// caller makes the calls that the node requests, a bounded number at once. Contexts of its methods end with the service.
+// caller makes the calls that the node requests, a bounded number at once. Contexts of its methods end with the
+// service.
 type caller struct {
 	client       *rpc.Client
 	service      *Service
@@ -36,8 +37,8 @@
 	}
 }
 
-// start starts all calls. A call without a free slot is dropped: heartbeats and repairs recur, and the entries of a push
-// are retried by another path.
+// start starts all calls. A call without a free slot is dropped: heartbeats and repairs recur, and the entries of a
+// push are retried by another path.
 func (c *caller) start(ctx context.Context, calls pendingCalls) {
 	for _, call := range calls.heartbeats {
 		startIfFree(c.routineSlots, func() { c.sendHeartbeat(ctx, call) })
@@ -124,8 +125,14 @@
 
 // sendRequested sends the entries that a receiver requests.
 func (c *caller) sendRequested(ctx context.Context, envelope gossip.Envelope, requested []gossip.Header) error {
-	message := gossip.Message{From: envelope.Message.From, Relay: envelope.Message.Relay}
-	message.Entries = query(c.service, func(_ time.Time, n *node) []gossip.Entry { return n.engine.CollectEntries(requested) })
+	entries := query(c.service, func(_ time.Time, n *node) []gossip.Entry {
+		return n.engine.CollectEntries(requested)
+	})
+	message := gossip.Message{
+		From:    envelope.Message.From,
+		Entries: entries,
+		Relay:   envelope.Message.Relay,
+	}
 	_, err := call(ctx, c, timeoutFor(message.Entries), pushMethod, envelope.To.Address, &message)
 	return err
 }
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -62,8 +62,8 @@
 	answer(&message)
 }
 
-// requireWorkingNode checks that the node still works: it knows itself, its timer runs, and the checksums of its tables are
-// those of their entries, so that a member that has received all of them agrees with it.
+// requireWorkingNode checks that the node still works: it knows itself, its timer runs, and the checksums of its tables
+// are those of their entries, so that a member that has received all of them agrees with it.
 func requireWorkingNode(t *testing.T, n *node) {
 	self := n.members.Self()
 	assert.Equal(t, "self", self.Name)
@@ -95,14 +95,20 @@
 	entry, err := memberEntry(newFuzzMember("e", "z2"))
 	require.NoError(f, err)
 	heartbeat := membership.Heartbeat{Name: "b", Incarnation: 5, Sequence: 2}
-	heading := entry.Header()
+	header := entry.Header()
+	digest := gossip.TableDigest{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}
 	for _, message := range []any{
 		heartbeatRequest{Heartbeat: heartbeat, Summary: gossip.Summary{1, 2, 3, 4, 5}},
-		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Header{heading}, Relay: []string{"z9"}},
-		compareRequest{Heartbeat: heartbeat, Digests: []gossip.TableDigest{{Table: gossip.TableMembers, Sums: make([]uint32, gossip.BucketCount)}}},
-		transferRequest{From: "b", Entries: []gossip.Entry{entry}, Missing: []gossip.Header{heading}, Ack: membership.HeartbeatAck{RefuteAbove: 9}},
+		gossip.Message{From: "b", Entries: []gossip.Entry{entry}, Offers: []gossip.Header{header}, Relay: []string{"z9"}},
+		compareRequest{Heartbeat: heartbeat, Digests: []gossip.TableDigest{digest}},
+		transferRequest{
+			From:    "b",
+			Entries: []gossip.Entry{entry},
+			Missing: []gossip.Header{header},
+			Ack:     membership.HeartbeatAck{RefuteAbove: 9},
+		},
 		heartbeatResponse{Ack: membership.HeartbeatAck{Unknown: true}, DifferingTables: []gossip.TableID{0, 2, 200}},
-		compareResponse{Buckets: []gossip.BucketContents{{Table: 2, Bucket: -1, Headers: []gossip.Header{heading}}}},
+		compareResponse{Buckets: []gossip.BucketContents{{Table: 2, Bucket: -1, Headers: []gossip.Header{header}}}},
 		pushResponse{Missing: []gossip.Header{{Table: 99, Key: "x"}}},
 	} {
 		data, err := cbor.Marshal(message)
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -45,8 +45,8 @@
 	Buckets []gossip.BucketContents `cbor:"2,keyasint,omitempty"`
 }
 
-// transferRequest is the second call of a repair. It carries the entries that the receiver lacks and requests those that
-// the sender lacks.
+// transferRequest is the second call of a repair. It carries the entries that the receiver lacks and requests those
+// that the sender lacks.
 type transferRequest struct {
 	From    string          `cbor:"1,keyasint"`
 	Entries []gossip.Entry  `cbor:"2,keyasint,omitempty"`
@@ -57,7 +57,8 @@
 	Expired []gossip.Header `cbor:"5,keyasint,omitempty"`
 }
 
-// transferResponse carries the requested entries and names those that have expired at the receiver, but not at the sender.
+// transferResponse carries the requested entries and names those that have expired at the receiver, but not at the
+// sender.
 type transferResponse struct {
 	Entries []gossip.Entry  `cbor:"1,keyasint,omitempty"`
 	Expired []gossip.Header `cbor:"2,keyasint,omitempty"`
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -13,7 +13,8 @@
 	"rowanlink/serving/state"
 )
 
-// node is the state machine of one member: all that it knows and decides, without I/O. It is not safe for concurrent use.
+// node is the state machine of one member: all that it knows and decides, without I/O. It is not safe for concurrent
+// use.
 type node struct {
 	engine   *gossip.Engine
 	members  *membership.Table
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -114,7 +114,8 @@
 	})
 }
 
-// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other as down, the smaller one too.
+// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other as down, the smaller
+// one too.
 func TestNode_PartitionedZoneMarksOthersDown(t *testing.T) {
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newConvergedSimulation(t, seed, size, threeZones)
@@ -270,7 +271,8 @@
 		s := newConvergedSimulation(t, 11, 6, threeZones)
 		s.lostMessage = lost
 		s.putRecord(s.nodes[4], 1, 300)
-		s.runUntil(time.Second, fmt.Sprintf("the record reaches all though message %d is lost", lost), s.hasRevisionEverywhere(1))
+		what := fmt.Sprintf("the record reaches all though message %d is lost", lost)
+		s.runUntil(time.Second, what, s.hasRevisionEverywhere(1))
 		s.run(3 * time.Second)
 		assert.True(t, s.hasConverged(), "a lost message marks nobody as down: %d", lost)
 	}
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -10,8 +10,8 @@
 	"rowanlink/serving/membership"
 )
 
-// settlePeriod is how long a member and its paths must have been free of faults before a decision about it is checked. It
-// is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
+// settlePeriod is how long a member and its paths must have been free of faults before a decision about it is checked.
+// It is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
 const settlePeriod = 6 * time.Second
 
 // path is one direction between two zones.
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's watchers
-// receive its heartbeats and the observer receives the watchers' messages.
+// checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's
+// watchers receive its heartbeats and the observer receives the watchers' messages.
 func (r *faultRun) checkNoneWronglyDown() {
 	if r.lossRate > 0 || r.now.Sub(r.lossChangedAt) < settlePeriod {
 		return
@@ -164,7 +164,8 @@
 				}
 			}
 			if 2*receiving > len(watchers) {
-				r.rt.Fatalf("%s has %s marked as down though %d watchers receive its heartbeats", observer.member.Name, member.Name, receiving)
+				r.rt.Fatalf("%s has %s marked as down though %d watchers receive its heartbeats",
+					observer.member.Name, member.Name, receiving)
 			}
 		}
 	}
@@ -190,8 +191,8 @@
 	return true
 }
 
-// TestMembers_RecoverFromFaults injects generated faults. None lets a healthy member be marked as down, and once all are
-// over, all members converge.
+// TestMembers_RecoverFromFaults injects generated faults. None lets a healthy member be marked as down, and once all
+// are over, all members converge.
 func TestMembers_RecoverFromFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newFaultRun(rt, rapid.IntRange(2, 14).Draw(rt, "size"))
--- a/serving/member/responses.go
+++ b/serving/member/responses.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// processCompareResponse applies the answer to the first call of a repair and returns the second call, if one is needed.
+// processCompareResponse applies the answer to the first call of a repair and returns the second call, if one is
+// needed.
 func (n *node) processCompareResponse(now time.Time, from string,
 	response *compareResponse) (request transferRequest, needed bool) {
 	n.step(now, func() { n.recordContact(from) })
--- a/serving/member/seeds.go
+++ b/serving/member/seeds.go
@@ -13,8 +13,8 @@
 	seedCallTimeout    = 600 * time.Millisecond // after which a seed may be called again
 )
 
-// seedSchedule decides which seed is called when: round-robin until another member is known, and then only seeds that are
-// not among the members, since they may know other members.
+// seedSchedule decides which seed is called when: round-robin until another member is known, and then only seeds that
+// are not among the members, since they may know other members.
 type seedSchedule struct {
 	own       string
 	addresses []string
--- a/serving/member/seeds_test.go
+++ b/serving/member/seeds_test.go
@@ -9,8 +9,8 @@
 
 func neverMember(string) bool { return false }
 
-// TestSeedSchedule_FirstCalls checks that all seeds are called in quick succession at first: the first seed in the list may
-// be far away or down, the last one near.
+// TestSeedSchedule_FirstCalls checks that all seeds are called in quick succession at first: the first seed in the list
+// may be far away or down, the last one near.
 func TestSeedSchedule_FirstCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
 	schedule := newSeedSchedule(start, "own", []string{"a", "own", "b", "c"})
@@ -24,7 +24,8 @@
 		}
 	}
 	assert.Equal(t, []string{"b", "c", "a"}, called[:3])
-	assert.Equal(t, []time.Duration{0, firstSeedInterval, 2 * firstSeedInterval, 2*firstSeedInterval + joinInterval}, at[:4])
+	wantTimes := []time.Duration{0, firstSeedInterval, 2 * firstSeedInterval, 2*firstSeedInterval + joinInterval}
+	assert.Equal(t, wantTimes, at[:4])
 	assert.LessOrEqual(t, len(called), 3+int(time.Second/joinInterval))
 }
 
--- a/serving/member/service.go
+++ b/serving/member/service.go
@@ -42,9 +42,9 @@
 	cancel   context.CancelFunc
 }
 
-// Start joins the other members in the background, until ctx ends or Close is called. The incarnation is the wall clock;
-// where the clock has jumped back since an earlier incarnation, the first member that is contacted knows that one, and
-// the local member raises its incarnation above it.
+// Start joins the other members in the background, until ctx ends or Close is called. The incarnation is the wall
+// clock; where the clock has jumped back since an earlier incarnation, the first member that is contacted knows that
+// one, and the local member raises its incarnation above it.
 func Start(ctx context.Context, options Options) (*Service, error) {
 	running, cancel := context.WithCancel(ctx)
 	s := &Service{
@@ -141,7 +141,8 @@
 }
 
 // Subscribe registers a function that is called for every entry of the table: first for those stored now, then for each
-// that is stored later, in this order. Calls come one at a time from a goroutine of the service and may use the service.
+// that is stored later, in this order. Calls come one at a time from a goroutine of the service and may use the
+// service.
 func (s *Service) Subscribe(table gossip.TableID, call func(gossip.Entry)) {
 	s.run(func(_ time.Time, n *node) {
 		for _, entry := range n.all(table) {
--- a/serving/member/size_bench_test.go
+++ b/serving/member/size_bench_test.go
@@ -8,8 +8,8 @@
 	"rowanlink/serving/gossip"
 )
 
-// BenchmarkBySize simulates quiet seconds, and seconds with one change of a record of 8 KB, in systems of several sizes.
-// The traffic of one member must not grow with the size.
+// BenchmarkBySize simulates quiet seconds, and seconds with one change of a record of 8 KB, in systems of several
+// sizes. The traffic of one member must not grow with the size.
 func BenchmarkBySize(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 410} {
 		for _, record := range []int{0, 8 << 10} {
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -212,7 +212,8 @@
 			next = due
 		}
 	}
-	if n.members.HasSuspectZones() && n.members.Self().State != state.MemberLeft && n.schedule.suspectZoneProbe.Before(next) {
+	probesZones := n.members.HasSuspectZones() && n.members.Self().State != state.MemberLeft
+	if probesZones && n.schedule.suspectZoneProbe.Before(next) {
 		next = n.schedule.suspectZoneProbe
 	}
 	joining := len(n.members.LiveMembers()) == 1 || n.now.Sub(n.seeds.since) < joinPeriod
--- a/serving/membership/heartbeat.go
+++ b/serving/membership/heartbeat.go
@@ -57,8 +57,8 @@
 	return HeartbeatAck{Unknown: heartbeat.Sequence > tracked.member.Sequence}
 }
 
-// DownNotice returns the acknowledgement for a member that has just answered a call: it asks the member to refute that it is
-// down, if it is marked so.
+// DownNotice returns the acknowledgement for a member that has just answered a call: it asks the member to refute that
+// it is down, if it is marked so.
 func (t *Table) DownNotice(name string) HeartbeatAck {
 	tracked, ok := t.members[name]
 	if !ok || tracked.downSince.IsZero() {
--- a/serving/membership/lateness_test.go
+++ b/serving/membership/lateness_test.go
@@ -9,8 +9,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestSuspicionTimeout_ExtendsWithLocalLateness checks that a late watcher waits longer by a multiple of its lateness, up
-// to a bound, and soon as long as others once it is in time again.
+// TestSuspicionTimeout_ExtendsWithLocalLateness checks that a late watcher waits longer by a multiple of its lateness,
+// up to a bound, and soon as long as others once it is in time again.
 func TestSuspicionTimeout_ExtendsWithLocalLateness(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestSuspicionTimeout_ExtendsWithHeartbeatLateness checks that a member that is short of processor time isn't suspected
-// at each late heartbeat.
+// TestSuspicionTimeout_ExtendsWithHeartbeatLateness checks that a member that is short of processor time isn't
+// suspected at each late heartbeat.
 func TestSuspicionTimeout_ExtendsWithHeartbeatLateness(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/serving/membership/suspicion.go
+++ b/serving/membership/suspicion.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"strings"
 	"time"
 
 	"rowanlink/serving/state"
@@ -25,12 +24,6 @@
 // Key returns the suspicion's key in the gossip table.
 func (s Suspicion) Key() string { return s.Member + keySeparator + s.Watcher }
 
-// WatcherOfKey returns the watcher's name from a suspicion's key.
-func WatcherOfKey(key string) string {
-	_, watcher, _ := strings.Cut(key, keySeparator)
-	return watcher
-}
-
 // suspicionID identifies the suspicions of one watcher about one member, of which only the newest counts.
 type suspicionID struct{ member, watcher string }
 
@@ -49,8 +42,8 @@
 	return refuted, true
 }
 
-// MergeSuspicion applies a watcher's suspicion or withdrawal. One about the local member is stored like any other:
-// the members that receive its heartbeats ask it to refute, see HeartbeatAck.RefuteAbove. Tick evaluates what has changed.
+// MergeSuspicion applies a watcher's suspicion or withdrawal. One about the local member is stored like any other: the
+// members that receive its heartbeats ask it to refute, see HeartbeatAck.RefuteAbove. Tick evaluates what has changed.
 func (t *Table) MergeSuspicion(suspicion Suspicion) {
 	id := suspicion.id()
 	if stored, ok := t.suspicions[id]; ok && !isNewerSuspicion(suspicion, stored) {
--- a/serving/membership/suspicion_test.go
+++ b/serving/membership/suspicion_test.go
@@ -109,7 +109,11 @@
 	}
 	table.Tick(startTime)
 	require.True(t, table.IsDown(member.Name))
-	ack := table.ReceiveHeartbeat(startTime, Heartbeat{Name: member.Name, Incarnation: member.Incarnation, Sequence: member.Sequence})
+	ack := table.ReceiveHeartbeat(startTime, Heartbeat{
+		Name:        member.Name,
+		Incarnation: member.Incarnation,
+		Sequence:    member.Sequence,
+	})
 	assert.Equal(t, HeartbeatAck{RefuteAbove: member.Sequence}, ack)
 	assert.Equal(t, ack, table.DownNotice(member.Name))
 	assert.True(t, table.IsDown(member.Name), "its entry still has to be gossiped")
@@ -168,7 +172,8 @@
 	assert.True(t, table.ReceiveHeartbeat(startTime, Heartbeat{Name: "new", Incarnation: 1, Sequence: 1}).Unknown)
 	assert.True(t, table.ReceiveHeartbeat(startTime, Heartbeat{Name: "other", Incarnation: 2, Sequence: 1}).Unknown)
 	assert.True(t, table.ReceiveHeartbeat(startTime, Heartbeat{Name: "other", Incarnation: 1, Sequence: 2}).Unknown)
-	assert.Equal(t, HeartbeatAck{}, table.ReceiveHeartbeat(startTime, Heartbeat{Name: "other", Incarnation: 0, Sequence: 9}), "an earlier incarnation")
+	earlier := Heartbeat{Name: "other", Incarnation: 0, Sequence: 9}
+	assert.Equal(t, HeartbeatAck{}, table.ReceiveHeartbeat(startTime, earlier), "an earlier incarnation")
 }
 
 func TestTick_RemovesMembersAfterRetention(t *testing.T) {
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -34,8 +34,8 @@
 	maxTimeoutExtension = 3 * time.Second
 	latenessThreshold   = 50 * time.Millisecond
 	latenessDecay       = 8
-	// heartbeatLatenessFactor is the multiple of the lateness of a member's heartbeats, of maxHeartbeatLateness at most,
-	// by which its suspicion timeout is extended.
+	// heartbeatLatenessFactor is the multiple of the lateness of a member's heartbeats, of maxHeartbeatLateness at
+	// most, by which its suspicion timeout is extended.
 	heartbeatLatenessFactor = 2
 	maxHeartbeatLateness    = SuspicionTimeout
 	// maxTickPause is the longest normal pause between two ticks. After a longer one, in which this process didn't run,
@@ -201,7 +201,9 @@
 
 // DownMembers returns the members that are down and not removed yet, by name.
 func (t *Table) DownMembers() []state.Member {
-	return t.membersWhere(func(tracked *trackedMember) bool { return !tracked.downSince.IsZero() && !isDeparted(tracked.member) })
+	return t.membersWhere(func(tracked *trackedMember) bool {
+		return !tracked.downSince.IsZero() && !isDeparted(tracked.member)
+	})
 }
 
 // LeftMembers returns the members that have left by a graceful shutdown and are not removed yet, by name.
@@ -272,7 +274,8 @@
 	t.forgotten[name] = forgottenMember{role: tracked.member.Role, lastLiveAt: tracked.lastLiveAt}
 }
 
-// removeExpired removes the members that have been down or departed for RetentionPeriod and returns their names, sorted.
+// removeExpired removes the members that have been down or departed for RetentionPeriod and returns their names,
+// sorted.
 func (t *Table) removeExpired(now time.Time) (names []string) {
 	for name, tracked := range t.members {
 		if name == t.self || tracked.isLive() || now.Sub(tracked.lastLiveAt) < RetentionPeriod {
--- a/serving/rpc/retry_test.go
+++ b/serving/rpc/retry_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestCall_IsNotRetried checks that the client doesn't retry a call without a response, neither on a new connection nor on a
-// reused one: the caller decides.
+// TestCall_IsNotRetried checks that the client doesn't retry a call without a response, neither on a new connection nor
+// on a reused one: the caller decides.
 func TestCall_IsNotRetried(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestCall_LateResponseReachesNoOtherCall checks that after a call that has timed out, the next call gets its own response.
+// TestCall_LateResponseReachesNoOtherCall checks that after a call that has timed out, the next call gets its own
+// response.
 func TestCall_LateResponseReachesNoOtherCall(t *testing.T) {
 	mux := http.NewServeMux()
 	release := make(chan struct{})
--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -21,8 +21,8 @@
 	dialTimeout     = 400 * time.Millisecond
 	idleTimeout     = 30 * time.Second
 	idleConnections = 2 // per peer
-	// userTimeout is how long sent data may remain unacknowledged before the connection is closed, such as when the peer
-	// has lost power (TCP_USER_TIMEOUT, RFC 5482).
+	// userTimeout is how long sent data may remain unacknowledged before the connection is closed, such as when the
+	// peer has lost power (TCP_USER_TIMEOUT, RFC 5482).
 	userTimeout = time.Second
 )
 
--- a/serving/singleton/singleton.go
+++ b/serving/singleton/singleton.go
@@ -1,8 +1,8 @@
-// Package singleton assigns singleton roles: jobs that one member at a time does, such as polling the loads of a zone. The
-// first live member by rendezvous hashing (Thaler and Ravishankar, 1998) claims the role under an epoch above all known
-// ones, and the claims are gossiped. Two members may believe for a moment that they hold a role; the epoch is a fencing
-// token, and those who take orders from the holder reject epochs below the highest one that they know. The package does no
-// I/O: times are arguments.
+// Package singleton assigns singleton roles: jobs that one member at a time does, such as polling the loads of a zone.
+// The first live member by rendezvous hashing (Thaler and Ravishankar, 1998) claims the role under an epoch above all
+// known ones, and the claims are gossiped. Two members may believe for a moment that they hold a role; the epoch is a
+// fencing token, and those who take orders from the holder reject epochs below the highest one that they know. The
+// package does no I/O: times are arguments.
 package singleton
 
 import (
--- a/serving/singleton/singleton_test.go
+++ b/serving/singleton/singleton_test.go
@@ -108,8 +108,8 @@
 	assert.Empty(t, firstOf(leaving))
 }
 
-// TestAcquire_ConvergesToOneHolder generates changes of the live members. Once all know the same members and claims, one
-// member holds the role under an epoch that all admit, and no two members ever claimed under the same epoch.
+// TestAcquire_ConvergesToOneHolder generates changes of the live members. Once all know the same members and claims,
+// one member holds the role under an epoch that all admit, and no two members ever claimed under the same epoch.
 func TestAcquire_ConvergesToOneHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e"}
--- a/serving/singleton/statespace_test.go
+++ b/serving/singleton/statespace_test.go
@@ -36,7 +36,11 @@
 	next := *w
 	next.claims = slices.Clone(w.claims)
 	for index, table := range w.tables {
-		next.tables[index] = &Table{self: table.self, claimByRole: maps.Clone(table.claimByRole), firstSince: maps.Clone(table.firstSince)}
+		next.tables[index] = &Table{
+			self:        table.self,
+			claimByRole: maps.Clone(table.claimByRole),
+			firstSince:  maps.Clone(table.firstSince),
+		}
 	}
 	return &next
 }
@@ -86,8 +90,9 @@
 	}
 }
 
-// TestStateSpace explores every order of acquisitions, late and lost claims and restarts: no epoch has two holders, nobody
-// holds the role under an epoch that its own table doesn't admit, and a table's epoch decreases only with a restart.
+// TestStateSpace explores every order of acquisitions, late and lost claims and restarts: no epoch has two holders,
+// nobody holds the role under an epoch that its own table doesn't admit, and a table's epoch decreases only with a
+// restart.
 func TestStateSpace(t *testing.T) {
 	first := &world{}
 	for index := range first.tables {
@@ -121,8 +126,8 @@
 	assert.Equal(t, exploredClaims, made)
 }
 
-// TestNextEpoch_DiffersBetweenMembers checks that of as many members as a system may have, no two claim a role under one
-// epoch at once.
+// TestNextEpoch_DiffersBetweenMembers checks that of as many members as a system may have, no two claim a role under
+// one epoch at once.
 func TestNextEpoch_DiffersBetweenMembers(t *testing.T) {
 	holders := map[uint64]string{}
 	for number := range 5000 {
--- a/serving/subscription/subscription.go
+++ b/serving/subscription/subscription.go
@@ -1,5 +1,5 @@
-// Package subscription defines the call by which a proxy subscribes to the agent on its machine: a long poll that reports the
-// proxy's state and returns what has changed.
+// Package subscription defines the call by which a proxy subscribes to the agent on its machine: a long poll that
+// reports the proxy's state and returns what has changed.
 package subscription
 
 import (
