--- a/cmd/rowan-compare/main.go
+++ b/cmd/rowan-compare/main.go
@@ -1,6 +1,6 @@
-// Command rowan-compare compares variants of the serving system, paired by day and seed, on the users' bench. Each variant
-// is a revision of this repository, with a patch if wanted, in scratch clones; the bench's entries of the trials are
-// copied into the journal.
+// Command rowan-compare compares variants of the serving system on the users' bench, in pairs with the same day and
+// seed. Each variant is a revision of this repository, optionally with a patch, in clones in a scratch folder; the
+// bench's journal entries are copied into this repository's journal.
 package main
 
 import (
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	var line trialCommand
+	var line compareCommand
 	parsed := kong.Parse(&line, kong.Name("rowan-compare"), kong.UsageOnError(),
 		kong.Description("Compare variants of the serving system by pairs on the same days and seeds. Each VARIANT is "+
 			"NAME=REVISION or NAME=REVISION+PATCHFILE; REVISION may be WORKTREE. All are compared with the first one."),
