--- a/test/faultschedule/harddays_test.go
+++ b/test/faultschedule/random_days_test.go
@@ -19,26 +19,26 @@
 ]
 `
 
-func TestDaysAreTheSameForASeed(t *testing.T) {
+func TestRandomDays_SameForASeed(t *testing.T) {
 	from, err := parseSite([]byte(exampleSite))
 	require.NoError(t, err)
-	given := &arguments{Seed: 5, Days: 40, Least: 3, Most: 8}
-	first := drawDays(from, given)
-	require.Equal(t, first, drawDays(from, given))
-	given.Seed = 6
-	require.NotEqual(t, first, drawDays(from, given))
+	options := &commandLine{Seed: 5, Days: 40, Least: 3, Most: 8}
+	first := randomDays(from, options)
+	require.Equal(t, first, randomDays(from, options))
+	options.Seed = 6
+	require.NotEqual(t, first, randomDays(from, options))
 }
 
-func TestDaysCanBeParsedAndStayInTheirTime(t *testing.T) {
+func TestRandomDays_ParseAndStayInTime(t *testing.T) {
 	from, err := parseSite([]byte(exampleSite))
 	require.NoError(t, err)
 	for _, control := range []bool{false, true} {
-		text := from.deployment + drawDays(from, &arguments{Seed: 1, Days: 200, Least: 3, Most: 8, Control: control})
+		text := from.deployment + randomDays(from, &commandLine{Seed: 1, Days: 200, Least: 3, Most: 8, Control: control})
 		requireDaysInTheirTime(t, from, text)
 	}
 }
 
-// requireDaysInTheirTime parses the days and looks at when their troubles come and at how many kinds there are.
+// requireDaysInTheirTime parses the days, and checks the times of their faults and the number of their kinds.
 func requireDaysInTheirTime(t *testing.T, from *site, text string) {
 	t.Helper()
 	type entry struct {
@@ -56,16 +56,16 @@
 	seen := map[string]bool{}
 	for _, day := range read.Day {
 		require.Len(t, day.Traffic, 1)
-		for _, trouble := range append(day.Plan, day.Faults...) {
-			require.NotEmpty(t, trouble.Kind)
-			require.Less(t, trouble.At, from.Length)
-			seen[trouble.Kind] = true
+		for _, fault := range append(day.Plan, day.Faults...) {
+			require.NotEmpty(t, fault.Kind)
+			require.Less(t, fault.At, from.Length)
+			seen[fault.Kind] = true
 		}
 	}
 	require.GreaterOrEqual(t, len(seen), 20)
 }
 
-func TestSiteWithoutDaysIsRefused(t *testing.T) {
+func TestParseSite_WithoutDays(t *testing.T) {
 	_, err := parseSite([]byte("name = \"x\"\n"))
 	require.Error(t, err)
 }
