--- a/cmd/rowan-compare/trial.go
+++ b/cmd/rowan-compare/compare.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// trialCommand is the command line.
-type trialCommand struct {
+// compareCommand is the command line.
+type compareCommand struct {
 	Version  kong.VersionFlag `help:"Print the version and end."`
 	Bench    string           `required:"" type:"existingfile" env:"ROWANTRIAL_BENCH" help:"The bench's program."`
 	Site     []string         `required:"" type:"existingfile" sep:"," help:"Site files."`
@@ -27,27 +27,27 @@
 	Variants []string         `arg:"" name:"variant" help:"NAME=REVISION or NAME=REVISION+PATCHFILE."`
 }
 
-// play is one day of one site with one seed, played by one variant.
-type play struct {
+// benchRun is a run of the bench: one day of one site with one seed and one variant.
+type benchRun struct {
 	site, day string
 	seed      int
 	variant   *variant
 }
 
-// played is a play and what came of it.
-type played struct {
-	play
-	report *report
+// benchResult is a run with its result.
+type benchResult struct {
+	benchRun
+	report *benchReport
 	err    error
 }
 
-// name tells plays apart in file names and progress.
-func (p *play) name() string {
+// name identifies a run in file names and progress messages.
+func (p *benchRun) name() string {
 	return filepath.Base(p.site) + "-" + filepath.Base(p.day) + "-" + strconv.Itoa(p.seed) + "-" + p.variant.name
 }
 
-// Run implements the command.
-func (c *trialCommand) Run(ctx context.Context, out io.Writer) error {
+// Run runs the command.
+func (c *compareCommand) Run(ctx context.Context, out io.Writer) error {
 	top, err := repositoryTop(ctx)
 	if err != nil {
 		return err
@@ -59,18 +59,18 @@
 	if err := os.MkdirAll(c.Scratch, 0o755); err != nil {
 		return errors.Wrap(err, "scratch folder")
 	}
-	results := c.playAll(ctx, top, c.plays(variants))
+	results := c.runAll(ctx, top, c.listRuns(variants))
 	writeTables(out, variants, results)
 	return nil
 }
 
-// plays lists all plays so that those that are compared run near each other in time.
-func (c *trialCommand) plays(variants []*variant) (plays []play) {
+// listRuns lists all runs. Those that are compared with each other are near each other in time.
+func (c *compareCommand) listRuns(variants []*variant) (plays []benchRun) {
 	for _, seed := range c.Seed {
 		for _, site := range c.Site {
 			for _, day := range c.Day {
 				for _, variant := range variants {
-					plays = append(plays, play{site: site, day: day, seed: seed, variant: variant})
+					plays = append(plays, benchRun{site: site, day: day, seed: seed, variant: variant})
 				}
 			}
 		}
@@ -78,17 +78,17 @@
 	return plays
 }
 
-// playAll plays with as many workers as there are jobs; each has a clone of its own for each variant.
-func (c *trialCommand) playAll(ctx context.Context, top string, plays []play) []played {
-	results := make([]played, len(plays))
+// runAll makes the runs with as many workers as there are jobs. Each worker has a clone of its own of each variant.
+func (c *compareCommand) runAll(ctx context.Context, top string, plays []benchRun) []benchResult {
+	results := make([]benchResult, len(plays))
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for number := range c.Jobs {
 		workers.Go(func() {
-			worker := &worker{command: c, top: top, number: number, clones: map[string]string{}}
+			worker := &worker{options: c, top: top, number: number, clones: map[string]string{}}
 			for index := range next {
-				report, err := worker.play(ctx, &plays[index])
-				results[index] = played{play: plays[index], report: report, err: err}
+				report, err := worker.run(ctx, &plays[index])
+				results[index] = benchResult{benchRun: plays[index], report: report, err: err}
 				printProgress(&results[index])
 			}
 		})
@@ -101,10 +101,10 @@
 	return results
 }
 
-func printProgress(result *played) {
+func printProgress(result *benchResult) {
 	if result.err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", result.name(), result.err)
 		return
 	}
-	fmt.Fprintf(os.Stderr, "%s: %.4f %s\n", result.name(), result.report.Worth, result.report.trouble())
+	fmt.Fprintf(os.Stderr, "%s: %.4f %s\n", result.name(), result.report.Value, result.report.failureText())
 }
