--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -47,7 +47,7 @@
 // newUnconfirmedAgent returns an agent that has just started.
 func newUnconfirmedAgent() *testAgent {
 	a := newTestAgent(8 * time.Second)
-	a.stateOwner.Send(func(s *agentState) { s.confirmed = false })
+	a.stateActor.Send(func(s *agentState) { s.confirmed = false })
 	return a
 }
 
@@ -70,14 +70,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newUnconfirmedAgent()
-				defer a.stateOwner.Stop()
+				defer a.stateActor.Stop()
 				go a.confirmRecord(t.Context(), test.voters.query)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				poll := a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				time.Sleep(500 * time.Millisecond)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 6, Voters: newReplicaSet(1, "a", "b", "c")})
 				time.Sleep(500 * time.Millisecond)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 7, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-poll
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(7), got.response.Record.Revision)
@@ -96,8 +96,8 @@
 func TestConfirmRecord_ReleasesTheNewestRecordAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newUnconfirmedAgent()
-		defer a.stateOwner.Stop()
-		a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+		defer a.stateActor.Stop()
+		a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 		go a.confirmRecord(t.Context(), fakeVoters{"a": newGrantedVote(5), "c": newGrantedVote(5)}.query)
 		got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 		require.NoError(t, got.err)
@@ -116,14 +116,14 @@
 				defer func() {
 					stop()
 					time.Sleep(time.Minute)
-					a.stateOwner.Stop()
+					a.stateActor.Stop()
 				}()
 				voters := fakeVoters{}
 				if alone == 1 {
 					voters["a"] = newGrantedVote(9)
 				}
 				go a.confirmRecord(t.Context(), voters.query)
-				a.mesh.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
+				a.members.deliver(t, gossip.TableRecord, state.Record{Revision: 5, Voters: newReplicaSet(1, "a", "b", "c")})
 				got := <-a.poll(t.Context(), newWaitingRequest(subscription.Cursor{}, state.MemberStarting))
 				require.NoError(t, got.err)
 				assert.Equal(t, uint64(5), got.response.Record.Revision)
--- a/serving/agent/lookuphandler_test.go
+++ b/serving/agent/lookuphandler_test.go
@@ -60,11 +60,11 @@
 
 func TestIsDirectoryReady_OncePeersAreKnownOrTheDelayIsOver(t *testing.T) {
 	a := newTestAgent(time.Second)
-	defer a.stateOwner.Stop()
+	defer a.stateActor.Stop()
 	assert.False(t, a.isDirectoryReady(), "just started and without peers")
-	a.mesh.setPeers(newProxyMember("n2", 1, state.MemberReady))
+	a.members.setPeers(newProxyMember("n2", 1, state.MemberReady))
 	assert.True(t, a.isDirectoryReady())
-	a.mesh.setPeers()
+	a.members.setPeers()
 	a.started = time.Now().Add(-directoryStartDelay)
 	assert.True(t, a.isDirectoryReady(), "without peers, but the delay is over")
 	assert.False(t, a.isSynced())
--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -67,10 +67,16 @@
 }
 
 func startExchange(t *testing.T, f *fakeGossip) *Exchange {
+	t.Helper()
 	log := zerolog.Nop()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	return Start(ctx, Options{Gossip: f, HeartbeatInterval: time.Second, HasQuorum: func() bool { return !f.partitioned }, Log: &log})
+	return Start(ctx, Options{
+		Gossip:            f,
+		HeartbeatInterval: time.Second,
+		HasQuorum:         func() bool { return !f.partitioned },
+		Log:               &log,
+	})
 }
 
 func TestSweep_GossipsUnresponsiveAndDepartedEndpoints(t *testing.T) {
@@ -86,9 +92,9 @@
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		require.Len(t, f.entries(), 3)
-		told, err := endpoints.Decode(f.entries()[2].Value)
+		gossiped, err := endpoints.Decode(f.entries()[2].Value)
 		require.NoError(t, err)
-		assert.Equal(t, state.EndpointDeparted, told.State)
+		assert.Equal(t, state.EndpointDeparted, gossiped.State)
 		assert.True(t, endpoints.IsTombstone(f.entries()[2].Value))
 	})
 }
--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -25,23 +25,28 @@
 // delayedBy is the number of further messages after which a delayed one arrives.
 const delayedBy = 4
 
-// world is a system of two core members and an agent that exchange what their tables broadcast. Each message has a number,
-// and faultAt returns its fault.
+// world is a system of two core members and an agent that exchange what their tables broadcast. Each message has a
+// number, and faultAt returns its fault.
 type world struct {
 	now     time.Time
 	tables  map[string]*Table
-	spread  map[string]map[string]state.Endpoint // newest stored version, by member and endpoint
+	stored  map[string]map[string]state.Endpoint // newest stored version, by member and endpoint
 	message int
 	faultAt func(message int) fault
 	inDelay map[int][]func()
 }
 
 func newWorld(faultAt func(int) fault) *world {
-	w := &world{now: epoch, tables: map[string]*Table{}, spread: map[string]map[string]state.Endpoint{},
-		faultAt: faultAt, inDelay: map[int][]func(){}}
+	w := &world{
+		now:     epoch,
+		tables:  map[string]*Table{},
+		stored:  map[string]map[string]state.Endpoint{},
+		faultAt: faultAt,
+		inDelay: map[int][]func(){},
+	}
 	for _, name := range []string{"core-1", "core-2", "agent"} {
 		w.tables[name] = NewTable(Options{Self: name, HeartbeatInterval: testInterval})
-		w.spread[name] = map[string]state.Endpoint{}
+		w.stored[name] = map[string]state.Endpoint{}
 	}
 	return w
 }
@@ -95,17 +100,18 @@
 
 // put is a member's gossip, which applies only newer versions to the table.
 func (w *world) put(member string, endpoint state.Endpoint) {
-	stored, known := w.spread[member][endpoint.ID]
+	stored, known := w.stored[member][endpoint.ID]
 	if known && !isNewer(endpoint, stored) {
 		return
 	}
-	w.spread[member][endpoint.ID] = endpoint
+	w.stored[member][endpoint.ID] = endpoint
 	w.tables[member].Merge(w.now, endpoint)
 }
 
-// call is a call of an endpoint at a member; it reports whether it was acknowledged. That an endpoint drains or has departed
-// must not be acknowledged before another member has stored it.
-func (w *world) call(t require.TestingT, member string, handle func(*Table) (state.Endpoint, Change)) (acknowledged bool) {
+// call is a call of an endpoint at a member; it reports whether it was acknowledged. That an endpoint drains or has
+// departed must not be acknowledged before another member has stored it.
+func (w *world) call(t require.TestingT, member string,
+	handle func(*Table) (state.Endpoint, Change)) (acknowledged bool) {
 	w.send(func() {
 		endpoint, change := handle(w.tables[member])
 		acknowledged = true
@@ -127,7 +133,7 @@
 
 // isStoredElsewhere reports whether another member knows that the endpoint accepts no more requests.
 func (w *world) isStoredElsewhere(member string, endpoint state.Endpoint) bool {
-	for other, stored := range w.spread {
+	for other, stored := range w.stored {
 		if other != member && stored[endpoint.ID].State >= endpoint.State {
 			return true
 		}
@@ -143,9 +149,9 @@
 				w.put(name, endpoint)
 			}
 		}
-		for _, from := range w.spread {
+		for _, from := range w.stored {
 			for _, endpoint := range from {
-				for to := range w.spread {
+				for to := range w.stored {
 					w.put(to, endpoint)
 				}
 			}
@@ -165,8 +171,8 @@
 	return first
 }
 
-// runLifecycle runs an endpoint from its start to its deregistration. Each call is repeated at the members in turn until
-// one acknowledges it.
+// runLifecycle runs an endpoint from its start to its deregistration. Each call is repeated at the members in turn
+// until one acknowledges it.
 func (w *world) runLifecycle(t require.TestingT) {
 	sequence := uint64(0)
 	call := func(draining bool) {
@@ -175,7 +181,10 @@
 			sequence++
 			heartbeat := Heartbeat{Service: "s", Address: "x:1", Sequence: sequence, Draining: draining}
 			member := []string{"core-1", "core-2"}[attempt%2]
-			if w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.ReceiveHeartbeat(w.now, "e", heartbeat) }) {
+			handle := func(table *Table) (state.Endpoint, Change) {
+				return table.ReceiveHeartbeat(w.now, "e", heartbeat)
+			}
+			if w.call(t, member, handle) {
 				return
 			}
 		}
@@ -221,11 +230,12 @@
 	}
 }
 
-// TestTable_AgreesAfterRepair lets endpoints call members at random with many faults. Once the members have exchanged their
-// versions, all tables agree, and no deregistered endpoint is back.
+// TestTable_AgreesAfterRepair lets endpoints call members at random with many faults. Once the members have exchanged
+// their versions, all tables agree, and no deregistered endpoint is back.
 func TestTable_AgreesAfterRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SliceOfN(rapid.SampledFrom([]fault{delivered, delivered, lost, duplicated, delayed}), 1, 60).Draw(t, "faults")
+		anyFault := rapid.SampledFrom([]fault{delivered, delivered, lost, duplicated, delayed})
+		faults := rapid.SliceOfN(anyFault, 1, 60).Draw(t, "faults")
 		w := newWorld(func(message int) fault { return faults[message%len(faults)] })
 		sequences := map[string]uint64{}
 		deregistered, draining := map[string]bool{}, map[string]bool{}
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -114,7 +114,8 @@
 	})
 }
 
-// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other as down, the smaller one too.
+// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other as down, the smaller
+// one too.
 func TestNode_PartitionedZoneMarksOthersDown(t *testing.T) {
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newConvergedSimulation(t, seed, size, threeZones)
@@ -270,7 +271,8 @@
 		s := newConvergedSimulation(t, 11, 6, threeZones)
 		s.lostMessage = lost
 		s.putRecord(s.nodes[4], 1, 300)
-		s.runUntil(time.Second, fmt.Sprintf("the record reaches all though message %d is lost", lost), s.hasRevisionEverywhere(1))
+		what := fmt.Sprintf("the record reaches all though message %d is lost", lost)
+		s.runUntil(time.Second, what, s.hasRevisionEverywhere(1))
 		s.run(3 * time.Second)
 		assert.True(t, s.hasConverged(), "a lost message marks nobody as down: %d", lost)
 	}
@@ -280,9 +282,9 @@
 // find a difference at each heartbeat until it has retained the departed member as long as they have.
 func TestNode_LateMemberExpiresWithOthers(t *testing.T) {
 	s := newConvergedSimulation(t, 5, 10, threeZones)
-	gone, left, late := s.nodes[8], s.nodes[7], s.nodes[5]
+	dead, left, late := s.nodes[8], s.nodes[7], s.nodes[5]
 	s.kill(late)
-	s.powerOff(gone)
+	s.powerOff(dead)
 	left.node.updateSelf(s.now, func(member *state.Member) { member.State = state.MemberLeft })
 	s.run(time.Second)
 	s.kill(left)
@@ -290,7 +292,7 @@
 	s.start(late)
 	s.run(13 * time.Second)
 	for _, n := range s.runningNodes() {
-		for _, name := range []string{gone.member.Name, left.member.Name} {
+		for _, name := range []string{dead.member.Name, left.member.Name} {
 			_, known := n.node.members.Member(name)
 			assert.False(t, known, "%s still knows %s", n.member.Name, name)
 		}
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -191,7 +191,7 @@
 		return
 	}
 	if n.schedule.loggedSize <= 1 && live > 1 {
-		event.MeshJoined.Log(n.log).Uint64("incarnation", n.members.Self().Incarnation).Send()
+		event.MembershipJoined.Log(n.log).Uint64("incarnation", n.members.Self().Incarnation).Send()
 	}
 	n.schedule.sizeLog = n.now.Add(sizeLogInterval)
 	event.MembersChanged.Log(n.log).Int("live", live).Int("before", n.schedule.loggedSize).Send()
@@ -212,7 +212,8 @@
 			next = due
 		}
 	}
-	if n.members.HasSuspectZones() && n.members.Self().State != state.MemberLeft && n.schedule.suspectZoneProbe.Before(next) {
+	probesZones := n.members.HasSuspectZones() && n.members.Self().State != state.MemberLeft
+	if probesZones && n.schedule.suspectZoneProbe.Before(next) {
 		next = n.schedule.suspectZoneProbe
 	}
 	joining := len(n.members.LiveMembers()) == 1 || n.now.Sub(n.seeds.since) < joinPeriod
