--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -28,32 +28,35 @@
 
 const benchSites, benchEach = 40, 250
 
-type holder struct{}
+type stubSession struct{}
 
-func (holder) Acquire(cluster.Resource)                     {}
-func (holder) Release(cluster.Resource)                     {}
-func (holder) Holds(cluster.Resource) (cluster.Epoch, bool) { return 1, true }
+func (stubSession) Acquire(cluster.Resource)                     {}
+func (stubSession) Release(cluster.Resource)                     {}
+func (stubSession) Holds(cluster.Resource) (cluster.Epoch, bool) { return 1, true }
 
-type open struct{ s *Sites }
+type openAdmission struct{ sites *Sites }
 
-func (o open) MayCall(d api.DestinationID, _ bool) bool { may, _ := o.s.MayCall(d); return may }
-func (open) IsInDoubt(inflight.RequestID) bool          { return false }
-func (o open) RateShare(api.DestinationID) float64      { return 1 }
+func (o openAdmission) MayCall(d api.DestinationID, _ bool) bool {
+	may, _ := o.sites.MayCall(d)
+	return may
+}
+func (openAdmission) IsInDoubt(inflight.RequestID) bool     { return false }
+func (o openAdmission) RateShare(api.DestinationID) float64 { return 1 }
 
 // BenchmarkAnnouncement is one for 10,000 subscribers at 40 sites, at the member that owns them all: from
 // when it is handed in until each has its end in the journal. calls and bytes go over its connections,
 // CPU is its own.
 func BenchmarkAnnouncement(b *testing.B) {
 	for _, way := range []string{"direct", "streams"} {
-		b.Run(way, func(b *testing.B) { announces(b, way == "streams") })
+		b.Run(way, func(b *testing.B) { benchmarkAnnouncement(b, way == "streams") })
 	}
 }
 
-func announces(b *testing.B, by bool) {
+func benchmarkAnnouncement(b *testing.B, by bool) {
 	hear, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	far := exec.Command(os.Args[0])
-	far.Env = append(os.Environ(), other+"="+hear.Addr().String())
+	far.Env = append(os.Environ(), farSideEnv+"="+hear.Addr().String())
 	out, err := far.StdoutPipe()
 	require.NoError(b, err)
 	in, err := far.StdinPipe()
@@ -85,12 +88,12 @@
 	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
 		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, DestinationKinds: []api.DestinationKind{{BatchSize: 1}}})
 	said := transport.NewClient("m", says)
-	sites := New(Options{Self: "m", StateDir: b.TempDir(), Exchange: x, Decider: d, Messenger: said, NotifyHandoff: func() {},
+	sites := New(Options{Self: "m", StateDir: b.TempDir(), Inbox: x, Loop: d, Messenger: said, NotifyHandoff: func() {},
 		EventType:    func(api.EventTypeID) api.EventType { return evt },
 		IsRangeOwner: func(api.DestinationID) bool { return true }, IsSiteOwner: func(cluster.SiteID) bool { return true },
 		IsOwnerUnknown: func(cluster.SiteID) bool { return false }, BufferCapacity: func() int { return 2 * len(all) }}, f)
 	sites.Install()
-	d.JoinCluster(open{sites})
+	d.JoinCluster(openAdmission{sites})
 	server := transport.NewServer(256, 5*time.Second)
 	sites.RegisterHandlers(server)
 	go server.Serve(hear)
@@ -98,7 +101,7 @@
 	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
-	require.NoError(b, sites.Start(holder{}))
+	require.NoError(b, sites.Start(stubSession{}))
 	var list []api.EndpointEntry
 	var to []string
 	for _, dest := range all {
@@ -108,28 +111,28 @@
 	d.UpdateEndpoints(list, to, true)
 	b.Cleanup(func() { life.Enter(lifecycle.Stopped); server.Close(time.Second) })
 	time.Sleep(time.Second) // streams are open
-	callsWere, bytesWere := tally(b, addrs[0])
-	was, n := cpu(), 0
+	callsWere, bytesWere := readCounts(b, addrs[0])
+	was, n := cpuTime(), 0
 	for b.Loop() {
 		n++
-		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: body(),
+		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: compressibleBody(),
 			Deadline: inflight.Now() + evt.TTL, ReceivedAt: inflight.Now()}
 		w.List = "all"
-		what, _ := sites.away(w, nil)
+		what, _ := sites.submit(w, nil)
 		require.Equal(b, inflight.Accepted, what)
 		for !d.Empty() {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	b.ReportMetric(float64((cpu()-was).Milliseconds())/float64(n), "cpu-ms/op")
-	callsAre, bytesAre := tally(b, addrs[0])
+	b.ReportMetric(float64((cpuTime()-was).Milliseconds())/float64(n), "cpu-ms/op")
+	callsAre, bytesAre := readCounts(b, addrs[0])
 	b.ReportMetric(float64(callsAre-callsWere)/float64(n), "calls/op")
 	b.ReportMetric(float64(bytesAre-bytesWere)/float64(n), "wire-bytes/op")
 	b.ReportMetric(float64(x.HandedBack.Load()+x.GivenUp.Load()), "undelivered")
 }
 
-// body is a kilobyte that can't be packed well.
-func body() []byte {
+// compressibleBody is a kilobyte that can't be packed well.
+func compressibleBody() []byte {
 	b := &strings.Builder{}
 	for n := range 40 {
 		fmt.Fprintf(b, `{"article":%d,"price":%d},`, n*7919, n*n*104729)
@@ -137,7 +140,7 @@
 	return []byte(b.String())
 }
 
-func tally(b *testing.B, addr string) (calls, bytes int64) {
+func readCounts(b *testing.B, addr string) (calls, bytes int64) {
 	resp, err := http.Get("http://" + addr + "/counts")
 	require.NoError(b, err)
 	defer resp.Body.Close()
@@ -146,7 +149,7 @@
 	return calls, bytes
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/cluster/site/encoded_forms_test.go
+++ b/cluster/site/encoded_forms_test.go
@@ -14,5 +14,5 @@
 func TestEncodedForms(t *testing.T) {
 	want, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, record{}, mark{}))
+	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, relayRecord{}, sentRecord{}))
 }
--- a/cluster/site/desk_test.go
+++ b/cluster/site/relay_receiver_test.go
@@ -21,15 +21,15 @@
 	"rowanlink/webhook/policy"
 )
 
-// bed is a relay's member without the other members. Its destination has no endpoint, so that nothing
+// testRelay is a relay's member without the other members. Its destination has no endpoint, so that nothing
 // ends but by its time.
-type bed struct {
-	*desk
-	kept *wal.Log
-	life *lifecycle.Lifecycle
+type testRelay struct {
+	*relayReceiver
+	dispatcherJournal *wal.Log
+	lifecycle         *lifecycle.Lifecycle
 }
 
-func relayIn(t *testing.T, dir string, ttl api.Micros) *bed {
+func startTestRelay(t *testing.T, dir string, ttl api.Micros) *testRelay {
 	kept, err := wal.Open(dir, 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Lifecycle{}
@@ -40,34 +40,34 @@
 		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
-	k, err := openDesk(dir+"/relay", 1, dispatcher{d, x, func() int { return 9 }, life.AcceptsWebhooks},
+	k, err := openRelayReceiver(dir+"/relay", 1, localDispatcher{d, x, func() int { return 9 }, life.AcceptsWebhooks},
 		transport.NewClient("r", map[cluster.MemberID]string{}), relay.TimingFor(api.Second))
 	require.NoError(t, err)
-	return &bed{k, kept, life}
+	return &testRelay{k, kept, life}
 }
 
 // ends stops the member; its folder stays.
-func (b *bed) stop() {
-	b.life.Enter(lifecycle.Stopped)
-	b.desk.close()
+func (b *testRelay) stop() {
+	b.lifecycle.Enter(lifecycle.Stopped)
+	b.relayReceiver.close()
 	time.Sleep(20 * time.Millisecond) // its last turn
-	b.kept.Close()
+	b.dispatcherJournal.Close()
 }
 
-func (b *bed) owed() []stream.Result {
+func (b *testRelay) storedResults() []stream.Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []stream.Result
-	for _, e := range b.desk.kept.Entries() {
-		var r record
-		if transport.Decode(e.Payload, &r) == nil && r.End != nil {
-			all = append(all, *r.End)
+	for _, e := range b.relayReceiver.journal.Entries() {
+		var r relayRecord
+		if transport.Decode(e.Payload, &r) == nil && r.Result != nil {
+			all = append(all, *r.Result)
 		}
 	}
 	return all
 }
 
-func brought(ttl api.Micros) (stream.Checkpoint, []stream.Item) {
+func newFrame(ttl api.Micros) (stream.Checkpoint, []stream.Item) {
 	return stream.Checkpoint{Incarnation: 3, Generation: stream.Generation{Epoch: 1, Number: 1}, LastSequence: 1, Received: 2}, []stream.Item{{
 		ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: 1}, RequestID: "a", IsAnnouncement: true, FirstAttemptAt: api.Never,
 		TTL: inflight.Now() + ttl, Body: []byte("b"), Destinations: []api.DestinationID{4, 5}}}
@@ -75,35 +75,35 @@
 
 // Guards against a second effect: a record whose end is written outlasts that write, as it is taken out
 // with the next one only.
-func TestAnEndWrittenJustBeforeAKillIsNotHandedInAgain(t *testing.T) {
+func TestRelayReceiver_StoredResultIsNotSubmittedAgain(t *testing.T) {
 	dir, ttl := t.TempDir(), api.Second/4
-	b := relayIn(t, dir, ttl)
-	require.NoError(t, b.Persist(brought(ttl)))
-	require.Eventually(t, func() bool { return len(b.owed()) == 2 }, 10*time.Second, time.Millisecond)
-	for _, e := range b.owed() {
+	b := startTestRelay(t, dir, ttl)
+	require.NoError(t, b.Persist(newFrame(ttl)))
+	require.Eventually(t, func() bool { return len(b.storedResults()) == 2 }, 10*time.Second, time.Millisecond)
+	for _, e := range b.storedResults() {
 		assert.Equal(t, stream.Rejected, e.Outcome, "it never ran, and its time is over")
 	}
 	b.stop()
-	b = relayIn(t, dir, ttl)
+	b = startTestRelay(t, dir, ttl)
 	defer b.stop()
-	assert.Empty(t, b.ids, "nothing is held")
-	assert.Len(t, b.owed(), 2)
+	assert.Empty(t, b.pending, "nothing is held")
+	assert.Len(t, b.storedResults(), 2)
 }
 
-func TestWhatAFrameBroughtOutlastsTheProcessWhetherItWasHandedInOrNot(t *testing.T) {
+func TestRelayReceiver_FrameSurvivesRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), 90*api.Second
-	b := relayIn(t, dir, ttl)
-	close(b.desk.ended) // nothing is handed in any more
+	b := startTestRelay(t, dir, ttl)
+	close(b.relayReceiver.closed) // nothing is handed in any more
 	time.Sleep(20 * time.Millisecond)
-	require.NoError(t, b.Persist(brought(ttl)))
-	b.desk.ended = make(chan struct{})
+	require.NoError(t, b.Persist(newFrame(ttl)))
+	b.relayReceiver.closed = make(chan struct{})
 	b.stop()
-	b = relayIn(t, dir, ttl)
-	require.Eventually(t, func() bool { return len(b.decider.PendingIDs()) == 2 }, 10*time.Second, time.Millisecond)
+	b = startTestRelay(t, dir, ttl)
+	require.Eventually(t, func() bool { return len(b.loop.PendingIDs()) == 2 }, 10*time.Second, time.Millisecond)
 	b.stop()
-	b = relayIn(t, dir, ttl)
+	b = startTestRelay(t, dir, ttl)
 	defer b.stop()
-	assert.Len(t, b.decider.PendingIDs(), 2)
-	assert.Len(t, b.ids, 2, "once each")
-	assert.True(t, b.holds(4))
+	assert.Len(t, b.loop.PendingIDs(), 2)
+	assert.Len(t, b.pending, 2, "once each")
+	assert.True(t, b.hasPending(4))
 }
--- a/cluster/site/lane_test.go
+++ b/cluster/site/site_sender_test.go
@@ -18,29 +18,29 @@
 	"rowanlink/webhook/policy"
 )
 
-// shut is a member that may call for nothing: all is parked.
-type shut struct{ open }
+// closedAdmission is a member that may call for nothing: all is parked.
+type closedAdmission struct{ openAdmission }
 
-func (shut) MayCall(api.DestinationID, bool) bool { return false }
+func (closedAdmission) MayCall(api.DestinationID, bool) bool { return false }
 
 // Guards against a webhook that may be at its relay and that nobody asks for any more: it goes out once more
 // in a frame that is not sent, as the frame has what has gone already.
-func TestWhatWasSentStaysMarkedThoughAFrameWithItIsNotSent(t *testing.T) {
+func TestSiteSender_KeepsSentRecordOfUnsentFrame(t *testing.T) {
 	kept, err := wal.Open(t.TempDir(), 1)
 	require.NoError(t, err)
 	x, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
 		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
-	d.JoinCluster(shut{})
+	d.JoinCluster(closedAdmission{})
 	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go d.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Stopped) })
-	marks, err := openMarks(t.TempDir(), 1)
+	marks, err := openSentLog(t.TempDir(), 1)
 	require.NoError(t, err)
-	l := newLane(&Sites{marks: marks, decider: d}, config.Site{ID: "harbor", Relay: "r"})
+	l := newSiteSender(&Sites{sentLog: marks, loop: d}, config.Site{ID: "harbor", Relay: "r"})
 	item := func(id string) stream.Item { return stream.Item{RequestID: id, Destinations: []api.DestinationID{7}} }
 	for _, id := range []inflight.RequestID{"a", "b"} {
 		now := inflight.Now()
@@ -49,10 +49,10 @@
 		require.Equal(t, inflight.Accepted, what)
 	}
 	require.NoError(t, l.RecordSending([]stream.Item{item("a")}, 1, 100))
-	require.ErrorIs(t, l.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errMoved)
+	require.ErrorIs(t, l.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errNotParked)
 	m, marked := marks.get("a")
 	assert.True(t, marked)
-	assert.Equal(t, api.Micros(100), m.At)
+	assert.Equal(t, api.Micros(100), m.SentAt)
 	_, marked = marks.get("b")
 	assert.False(t, marked)
 }
--- a/cluster/site/site.go
+++ b/cluster/site/sites.go
@@ -21,8 +21,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// marksMB of the disk are for what is noted of deliveries on their way.
-const marksMB = 8
+// sentLogMB of the disk are for what is noted of deliveries on their way.
+const sentLogMB = 8
 
 // Session is what a member holds.
 type Session interface {
@@ -36,8 +36,8 @@
 	Self           cluster.MemberID
 	StateDir       string  // the folder that outlasts the process
 	DiskMB         float64 // for a relay's own journal
-	Exchange       *inflight.Inbox
-	Decider        *eventloop.Loop
+	Inbox          *inflight.Inbox
+	Loop           *eventloop.Loop
 	Messenger      relay.Messenger
 	IsAccepting    func() bool // webhooks, from whomever
 	NotifyHandoff  func()      // something is to be handed on; does not wait
@@ -52,31 +52,31 @@
 type Sites struct {
 	Sent, Requeued, Bypassed, InDoubt, Results, Announcements atomic.Int64 // deliveries, but for the last
 
-	self    cluster.MemberID
-	p       Options
-	pace    relay.Timing
-	apart   float64
-	decider *eventloop.Loop
-	said    relay.Messenger
-	session Session
-	event   func(api.EventTypeID) api.EventType
-	serves  func(api.DestinationID) bool
-	home    func(cluster.SiteID) bool
-	alone   func(cluster.SiteID) bool
-	marks   *marks
-	desk    atomic.Pointer[desk]
-	plan    atomic.Pointer[ways]
-	next    func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
-
-	mu    sync.Mutex // one renewal at a time
-	ended chan struct{}
+	self           cluster.MemberID
+	options        Options
+	timing         relay.Timing
+	clockDrift     float64
+	loop           *eventloop.Loop
+	messenger      relay.Messenger
+	session        Session
+	eventType      func(api.EventTypeID) api.EventType
+	isRangeOwner   func(api.DestinationID) bool
+	isSiteOwner    func(cluster.SiteID) bool
+	isOwnerUnknown func(cluster.SiteID) bool
+	sentLog        *sentLog
+	relay          atomic.Pointer[relayReceiver]
+	routes         atomic.Pointer[routes]
+	submitNext     func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
+
+	mu     sync.Mutex // one renewal at a time
+	closed chan struct{}
 }
 
 // New makes them by the operator file; nothing runs yet.
 func New(p Options, f config.File) *Sites {
-	s := &Sites{self: p.Self, p: p, pace: relay.TimingFor(f.LeaseTTL), apart: f.MaxClockDrift, decider: p.Decider, said: p.Messenger,
-		event: p.EventType, serves: p.IsRangeOwner, home: p.IsSiteOwner, alone: p.IsOwnerUnknown, ended: make(chan struct{})}
-	s.plan.Store(s.ways(f, nil))
+	s := &Sites{self: p.Self, options: p, timing: relay.TimingFor(f.LeaseTTL), clockDrift: f.MaxClockDrift, loop: p.Loop, messenger: p.Messenger,
+		eventType: p.EventType, isRangeOwner: p.IsRangeOwner, isSiteOwner: p.IsSiteOwner, isOwnerUnknown: p.IsOwnerUnknown, closed: make(chan struct{})}
+	s.routes.Store(s.newRoutes(f, nil))
 	return s
 }
 
@@ -84,8 +84,8 @@
 func (s *Sites) RegisterHandlers(server *transport.Server) {
 	heard := func(by func(*relay.Receiver, *fasthttp.RequestCtx)) func(*fasthttp.RequestCtx) {
 		return func(ctx *fasthttp.RequestCtx) {
-			if k := s.desk.Load(); k != nil {
-				by(k.relay, ctx)
+			if k := s.relay.Load(); k != nil {
+				by(k.receiver, ctx)
 				return
 			}
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -93,17 +93,17 @@
 	}
 	server.Handle(relay.OpenPath, heard((*relay.Receiver).HandleOpen))
 	server.Handle(relay.FramePath, heard((*relay.Receiver).HandleFrame))
-	server.Handle(relay.ResultsPath, s.answers)
+	server.Handle(relay.ResultsPath, s.handleResults)
 }
 
-// answers hears a relay. Without a stream, what was sent by an earlier life of this process, or to a
+// handleResults hears a relay. Without a stream, what was sent by an earlier life of this process, or to a
 // relay that is no site's any more, ends all the same.
-func (s *Sites) answers(ctx *fasthttp.RequestCtx) {
-	l := &lane{of: s}
-	for _, one := range s.plan.Load().lanes {
+func (s *Sites) handleResults(ctx *fasthttp.RequestCtx) {
+	l := &siteSender{sites: s}
+	for _, one := range s.routes.Load().senders {
 		if one.site.Relay == transport.Sender(ctx) {
 			l = one
-			if stream := l.stream.Load(); stream != nil {
+			if stream := l.sender.Load(); stream != nil {
 				stream.HandleResults(ctx)
 				return
 			}
@@ -119,44 +119,44 @@
 
 // Install joins the exchange; before clients are let in.
 func (s *Sites) Install() {
-	s.next = s.p.Exchange.Forward
-	s.p.Exchange.Forward = s.away
-	s.p.Exchange.HasList = func(name string) bool { return s.plan.Load().lists[name] != nil }
+	s.submitNext = s.options.Inbox.Forward
+	s.options.Inbox.Forward = s.submit
+	s.options.Inbox.HasList = func(name string) bool { return s.routes.Load().lists[name] != nil }
 }
 
 // Start starts what goes on by itself. Guards against a second effect: what was given to a relay before is
 // known to be so before anything else is done with it.
 func (s *Sites) Start(session Session) (err error) {
 	s.session = session
-	if s.marks, err = openMarks(filepath.Join(s.p.StateDir, "fleet", "sent"), marksMB); err != nil {
+	if s.sentLog, err = openSentLog(filepath.Join(s.options.StateDir, "fleet", "sent"), sentLogMB); err != nil {
 		return err
 	}
 	var sent []inflight.RequestID
-	for id := range s.marks.of {
+	for id := range s.sentLog.records {
 		sent = append(sent, id)
 	}
-	s.decider.RestoreAtRelay(sent)
-	if err := s.serveRelay(); err != nil {
+	s.loop.RestoreAtRelay(sent)
+	if err := s.startRelay(); err != nil {
 		return err
 	}
 	go s.run()
 	return nil
 }
 
-// serveRelay begins as a relay, if this member is one and is none yet.
-func (s *Sites) serveRelay() error {
-	if now := s.plan.Load(); s.desk.Load() != nil ||
-		!slices.ContainsFunc(now.lanes, func(l *lane) bool { return l.site.Relay == s.self }) {
+// startRelay begins as a relay, if this member is one and is none yet.
+func (s *Sites) startRelay() error {
+	if now := s.routes.Load(); s.relay.Load() != nil ||
+		!slices.ContainsFunc(now.senders, func(l *siteSender) bool { return l.site.Relay == s.self }) {
 		return nil
 	}
-	room := func() int { return int(roomPart * float64(s.p.BufferCapacity())) }
-	of := dispatcher{s.decider, s.p.Exchange, room, s.p.IsAccepting}
-	k, err := openDesk(filepath.Join(s.p.StateDir, "fleet", "relay"), s.p.DiskMB, of, s.said, s.pace)
+	room := func() int { return int(relayCapacityShare * float64(s.options.BufferCapacity())) }
+	of := localDispatcher{s.loop, s.options.Inbox, room, s.options.IsAccepting}
+	k, err := openRelayReceiver(filepath.Join(s.options.StateDir, "fleet", "relay"), s.options.DiskMB, of, s.messenger, s.timing)
 	if err != nil {
 		return err
 	}
-	s.desk.Store(k)
-	s.decider.Reevaluate()
+	s.relay.Store(k)
+	s.loop.Reevaluate()
 	slog.Info("serves as relay", "member", s.self, "room", k.Capacity())
 	return nil
 }
@@ -165,56 +165,56 @@
 func (s *Sites) ApplyConfig(f config.File) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.plan.Load()
-	now := s.ways(f, was)
-	s.plan.Store(now)
-	for _, l := range was.lanes {
-		if l.closing.Load() || !slices.Contains(now.lanes, l) {
-			l.end()
+	was := s.routes.Load()
+	now := s.newRoutes(f, was)
+	s.routes.Store(now)
+	for _, l := range was.senders {
+		if l.closing.Load() || !slices.Contains(now.senders, l) {
+			l.stopStream()
 			l.direct.Store(false)
 		}
 	}
-	if err := s.serveRelay(); err != nil {
+	if err := s.startRelay(); err != nil {
 		slog.Error("does not serve as relay", "why", err)
 	}
-	s.decider.Reevaluate()
+	s.loop.Reevaluate()
 }
 
 func (s *Sites) run() {
-	tick := time.NewTicker(s.pace.PollInterval)
+	tick := time.NewTicker(s.timing.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-s.ended:
+		case <-s.closed:
 			return
 		case <-tick.C:
 		}
 		s.mu.Lock()
-		now := s.plan.Load()
-		var owed map[*lane][]eventloop.Parked
-		if slices.ContainsFunc(now.lanes, (*lane).sends) {
-			owed = s.owed(now)
+		now := s.routes.Load()
+		var owed map[*siteSender][]eventloop.Parked
+		if slices.ContainsFunc(now.senders, (*siteSender).hasWork) {
+			owed = s.parkedBySender(now)
 		}
-		for _, l := range now.lanes {
+		for _, l := range now.senders {
 			if l.site.Relay != s.self {
-				l.look(owed[l])
+				l.reconcile(owed[l])
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (s *Sites) lane(d api.DestinationID) *lane { return s.plan.Load().of[d] }
+func (s *Sites) senderFor(d api.DestinationID) *siteSender { return s.routes.Load().senderOf[d] }
 
 // Close leaves all as it is on disk.
 func (s *Sites) Close() {
-	close(s.ended)
-	if k := s.desk.Load(); k != nil {
+	close(s.closed)
+	if k := s.relay.Load(); k != nil {
 		if err := k.close(); err != nil {
 			slog.Warn("relay's journal not closed", "why", err)
 		}
 	}
-	if s.marks != nil {
-		s.marks.close()
+	if s.sentLog != nil {
+		s.sentLog.close()
 	}
 }
