--- a/cluster/rebalance/rangesplit_test.go
+++ b/cluster/rebalance/rangesplit_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
@@ -92,114 +93,151 @@
 	return true
 }
 
+// splitCase is a random plan file, map and key counts, with rules that name destinations.
+type splitCase struct {
+	file     *planfile.File
+	text     string
+	owners   []int // by range
+	before   shardmap.Map
+	keyCount func(cluster.RangeID) uint64
+	named    []api.DestinationID // by rules
+	quotas   []quota
+}
+
+// drawSplitCase returns a case and its simulation, or false if the file contradicts itself.
+func drawSplitCase(t *rapid.T) (*splitCase, *simulation, bool) {
+	members, n := rapid.IntRange(1, 3).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "ranges")
+	c := &splitCase{text: drawDestinationRules(t, members)}
+	var err error
+	c.file, err = planfile.Parse([]byte(c.text), "f.hcl")
+	if err != nil {
+		return nil, nil, false
+	}
+	var owners []cluster.MemberID
+	for range n {
+		owner := rapid.IntRange(0, members-1).Draw(t, "home")
+		c.owners = append(c.owners, owner)
+		owners = append(owners, c.file.Members[owner].ID)
+	}
+	sim := newSimulation(t, owners...)
+	c.before = shardmap.Map{Ranges: slices.Clone(sim.shards.Ranges)}
+	keys := map[cluster.RangeID]uint64{}
+	for i := range n {
+		keys[cluster.RangeID(i+1)] = 1000 * uint64(rapid.IntRange(1, 5).Draw(t, "keys"))
+	}
+	c.keyCount = func(id cluster.RangeID) uint64 { return keys[id] }
+	for _, d := range destinations {
+		if c.isNamed(d) {
+			c.named = append(c.named, d)
+		}
+	}
+	c.quotas = quotasOf(c.file, n)
+	return c, sim, true
+}
+
+func (c *splitCase) isNamed(d api.DestinationID) bool {
+	return slices.ContainsFunc(c.file.Rules, func(r planfile.Rule) bool {
+		return slices.Contains(r.Selector.Destinations, d)
+	})
+}
+
+// search tries every placement of the ranges and the named destinations one by one. It returns the least distance from
+// the quotas that the rules allow and the fewest keys moved at that, or false if they allow none.
+func (c *splitCase) search() (distance int, movedKeys uint64, found bool) {
+	distance, movedKeys = math.MaxInt, math.MaxUint64
+	members, n := len(c.file.Members), len(c.owners)
+	ranges, byDestination := make([]int, n), map[api.DestinationID]int{}
+	for k := range int(math.Pow(float64(members), float64(n+len(c.named)))) {
+		rest := k
+		for i := range ranges {
+			ranges[i], rest = rest%members, rest/members
+		}
+		for _, d := range c.named {
+			byDestination[d], rest = rest%members, rest/members
+		}
+		if !satisfiesByDestination(c.file, ranges, byDestination) {
+			continue
+		}
+		cost := uint64(0)
+		for i, m := range ranges {
+			if m != c.owners[i] {
+				cost += c.keyCount(c.before.Ranges[i].ID)
+			}
+		}
+		is := quotaDistance(c.quotas, ranges)
+		if is < distance || is == distance && cost < movedKeys {
+			distance, movedKeys, found = is, cost, true
+		}
+	}
+	return distance, movedKeys, found
+}
+
+// requireResult checks where the ranges and the named destinations are in the end.
+func (c *splitCase) requireResult(t *rapid.T, sim *simulation, distance int) {
+	var ranges []int
+	for i, base := range baseIndexes(sim.shards.Ranges) {
+		if base == i {
+			ranges = append(ranges, memberIndex(sim.file, sim.shards.Ranges[i].Owner))
+		}
+	}
+	byDestination := map[api.DestinationID]int{}
+	for _, d := range c.named {
+		r, _ := sim.shards.RangeOf(cluster.DestinationKeyHash(d))
+		require.True(t, isSingleHash(r))
+		byDestination[d] = memberIndex(sim.file, r.Owner)
+	}
+	require.True(t, satisfiesByDestination(sim.file, ranges, byDestination), "%v %v in\n%s", ranges, byDestination,
+		c.text)
+	require.Equal(t, distance, quotaDistance(c.quotas, ranges), "distance from the parts in\n%s", c.text)
+	again, err := NewPlan(sim.file, sim.shards, nil)
+	require.NoError(t, err)
+	require.Empty(t, again.Steps)
+}
+
+// requireMerged checks that all is merged once no rule names a destination: the map has the ranges that it had.
+func (c *splitCase) requireMerged(t *rapid.T, sim *simulation) {
+	bare := c.text[:strings.LastIndex(c.text, "member")]
+	bare = c.text[:len(bare)+strings.Index(c.text[len(bare):], "}\n")+2]
+	if sim.adoptPlan(bare) != nil { // the members' capacities may need a rule
+		return
+	}
+	sim.runToEnd(t)
+	require.Len(t, sim.shards.Ranges, len(c.owners), "%s", bare)
+	for i, r := range sim.shards.Ranges {
+		require.Equal(t, c.before.Ranges[i].To, r.To)
+	}
+}
+
 // Destinations that rules name are split off, so that the rules hold, no member exceeds its capacity meanwhile, and as
 // few keys move as by any placement of the ranges and the named destinations; there is an error if and only if there is
 // no such placement; and the result is stable.
 func TestNewPlan_SplitsOffNamedDestinationsOptimally(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members, n := rapid.IntRange(1, 3).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "ranges")
-		text := drawDestinationRules(t, members)
-		f, err := planfile.Parse([]byte(text), "f.hcl")
-		if err != nil {
+		c, sim, ok := drawSplitCase(t)
+		if !ok {
 			return
 		}
-		var owners []cluster.MemberID
-		var home []int
-		for range n {
-			home = append(home, rapid.IntRange(0, members-1).Draw(t, "home"))
-			owners = append(owners, f.Members[home[len(home)-1]].ID)
-		}
-		sim := newSimulation(t, owners...)
-		before := shardmap.Map{Ranges: slices.Clone(sim.shards.Ranges)}
-		keys := map[cluster.RangeID]uint64{}
-		for i := range n {
-			keys[cluster.RangeID(i+1)] = 1000 * uint64(rapid.IntRange(1, 5).Draw(t, "keys"))
-		}
-		keyCount := func(id cluster.RangeID) uint64 { return keys[id] }
-		p, err := NewPlan(f, sim.shards, keyCount)
+		plan, err := NewPlan(c.file, sim.shards, c.keyCount)
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 		}
-		named, in := map[api.DestinationID]bool{}, map[api.DestinationID]int{}
-		for _, r := range f.Rules {
-			for _, d := range r.Selector.Destinations {
-				named[d] = true
-			}
-		}
-		var all []api.DestinationID
-		for _, d := range destinations {
-			if r, _ := before.RangeOf(cluster.DestinationKeyHash(d)); named[d] {
-				all, in[d] = append(all, d), int(r.ID)-1
-			}
-		}
-		least, near, found := uint64(math.MaxUint64), math.MaxInt, false
-		work := newProblem(f, &before, keyCount)
-		spans := quotasOf(f, n)
-		whole, of := make([]int, n), map[api.DestinationID]int{}
-		for k := 0; k < int(math.Pow(float64(members), float64(n+len(all)))); k++ {
-			rest := k
-			for i := range whole {
-				whole[i], rest = rest%members, rest/members
-			}
-			for _, d := range all {
-				of[d], rest = rest%members, rest/members
-			}
-			if !satisfiesByDestination(f, whole, of) {
-				continue
-			}
-			cost := uint64(0)
-			for i, m := range whole {
-				if m != home[i] {
-					cost += work.keyCounts[i]
-				}
-			}
-			if is := quotaDistance(spans, whole); is < near || is == near && cost < least {
-				least, near, found = cost, is, true
-			}
-		}
-		require.Equal(t, found, err == nil, "%v in\n%s", err, text)
+		distance, movedKeys, found := c.search()
+		require.Equal(t, found, err == nil, "%v in\n%s", err, c.text)
 		if !found {
 			return
 		}
-		slack := uint64(4 * (len(all) + 1)) // a destination's own key, and rounding
-		require.NoError(t, sim.adoptPlan(text+fmt.Sprintf("bounds {\n moves_at_once = %d\n}\n",
-			rapid.IntRange(1, 3).Draw(t, "at once"))))
-		over := uint64(0)
-		for _, s := range p.Steps {
+		tolerance := uint64(4 * (len(c.named) + 1)) // a destination's own key, and rounding
+		for _, s := range plan.Steps {
 			if s.Kind == StepDetour {
-				over += 2 * s.Keys
+				tolerance += 2 * s.Keys
 			}
 		}
-		require.LessOrEqual(t, p.MovedKeys, least+slack+over, "%s", text)
+		require.LessOrEqual(t, plan.MovedKeys, movedKeys+tolerance, "%s", c.text)
+		limits := fmt.Sprintf("bounds {\n moves_at_once = %d\n}\n", rapid.IntRange(1, 3).Draw(t, "at once"))
+		require.NoError(t, sim.adoptPlan(c.text+limits))
 		sim.runToEnd(t)
-		var ends []int
-		for i, h := range baseIndexes(sim.shards.Ranges) {
-			if h == i {
-				ends = append(ends, memberIndex(sim.file, sim.shards.Ranges[i].Owner))
-			}
-		}
-		for _, d := range all {
-			r, _ := sim.shards.RangeOf(cluster.DestinationKeyHash(d))
-			require.True(t, isSingleHash(r))
-			of[d] = memberIndex(sim.file, r.Owner)
-		}
-		require.True(t, satisfiesByDestination(sim.file, ends, of), "%v %v in\n%s", ends, of, text)
-		require.Equal(t, near, quotaDistance(spans, ends), "distance from the parts in\n%s", text)
-		again, err := NewPlan(sim.file, sim.shards, nil)
-		require.NoError(t, err)
-		require.Empty(t, again.Steps)
-
-		// Once nothing asks for it, all is merged again: the map has the ranges that it had.
-		bare := text[:strings.LastIndex(text, "member")]
-		bare = text[:len(bare)+strings.Index(text[len(bare):], "}\n")+2]
-		if sim.adoptPlan(bare) != nil { // the members' room may not do without a rule that held
-			return
-		}
-		sim.runToEnd(t)
-		require.Len(t, sim.shards.Ranges, n, "%s", bare)
-		for i, r := range sim.shards.Ranges {
-			require.Equal(t, before.Ranges[i].To, r.To)
-		}
+		c.requireResult(t, sim, distance)
+		c.requireMerged(t, sim)
 	})
 }
 
@@ -221,3 +259,24 @@
 	}
 	return t.quotas()
 }
+
+// A range that moves can't be split: the error names it, so that the coordinator can end the move first.
+func TestNewPlan_DoesNotSplitAMovingRange(t *testing.T) {
+	sim := newSimulation(t, "a", "a", "b", "b")
+	sim.mustPropose(shardmap.Coordinator(1).PlanMove(1, "a", "b"))
+	f, err := planfile.Parse([]byte(twoMembers+"pin \"p\" {\n destinations = [2]\n to = \"b\"\n}\n"), "f.hcl")
+	require.NoError(t, err)
+	_, err = NewPlan(f, sim.shards, nil)
+	var moving *RangeMovingError
+	require.ErrorAs(t, err, &moving)
+	assert.Equal(t, cluster.RangeID(1), moving.Range)
+}
+
+// Split-off ranges that follow their base range are weighed with it: the base range alone looks cheap.
+func TestNewPlan_WeighsSplitOffRangesWithTheirBase(t *testing.T) {
+	f, err := planfile.Parse([]byte(twoMembers+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
+	require.NoError(t, err)
+	p, err := NewPlan(f, newSimulation(t, "a", "a").shards, func(id cluster.RangeID) uint64 { return 2000 - 500*uint64(id) })
+	require.NoError(t, err)
+	assert.Equal(t, uint64(1000), p.MovedKeys)
+}
