--- a/webhook/dispatcher/eventloop/announced_test.go
+++ b/webhook/dispatcher/eventloop/announced_test.go
@@ -80,7 +80,7 @@
 	s := stands(t, t.TempDir(), api.Second)
 	w := announcement(8)[7]
 	assert.Equal(t, `{"message":"a","dest":7,"outcome":"given_up"}`,
-		string(s.named(w, []byte(`{"message":"a.dest=7","outcome":"given_up"}`))))
+		string(s.nameSubscriber(w, []byte(`{"message":"a.dest=7","outcome":"given_up"}`))))
 }
 
 func TestAnEndThatAnotherIsOwedOutlastsTheProcessAndIsNoNotice(t *testing.T) {
@@ -92,7 +92,7 @@
 	assert.False(t, is)
 }
 
-func (d *Loop) regateNow() { d.inTurn(d.regate) }
+func (d *Loop) regateNow() { d.runInTurn(d.reevaluate) }
 
 // comesBack guards against a second effect: what may have run elsewhere may run once only, and is over here.
 func comesBack(t *testing.T, never bool) {
@@ -102,7 +102,7 @@
 	s.whole(func() { s.TakeBack(map[inflight.RequestID]TakenBack{"w": {NeverReceived: never}}) })
 	s.all.home = true
 	s.whole(s.Loop.regateNow)
-	assert.EqualValues(t, map[bool]int{true: 0, false: 1}[never], s.x.GivenUp.Load())
+	assert.EqualValues(t, map[bool]int{true: 0, false: 1}[never], s.inbox.GivenUp.Load())
 }
 
 func TestWhatIsGivenAwayHasAWhileForItsEndToBeHeard(t *testing.T) {
@@ -114,11 +114,11 @@
 	}
 	require.Len(t, s.owes(), 1, "its time is over, and whoever has it may have delivered it just before")
 	s.whole(func() { s.FinishByRelay([]inflight.Result{{RequestID: "w", Status: inflight.StatusDelivered}}) })
-	assert.Zero(t, s.x.GivenUp.Load())
+	assert.Zero(t, s.inbox.GivenUp.Load())
 	assert.Empty(t, s.owes())
 
 	require.Equal(t, inflight.Accepted, s.hand(webhook("v", api.Second/5)))
 	s.whole(func() { s.HandToRelay(map[inflight.RequestID]int{"v": 0}, inflight.Now()) })
-	over := func() bool { s.turn(); return s.x.GivenUp.Load() == 1 }
+	over := func() bool { s.turn(); return s.inbox.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
 }
--- a/webhook/dispatcher/eventloop/announced.go
+++ b/webhook/dispatcher/eventloop/broadcast.go
@@ -7,29 +7,29 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// inTurn has something done in the next turn and waits for it.
-func (d *Loop) inTurn(do func()) {
+// runInTurn has something done in the next turn and waits for it.
+func (d *Loop) runInTurn(do func()) {
 	done := make(chan struct{})
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		defer close(done)
 		do()
 	})
-	d.awaits(done)
+	d.wait(done)
 }
 
 // SubmitBroadcast takes all webhooks of an announcement on or none, in one write.
 func (d *Loop) SubmitBroadcast(all []*inflight.Webhook) (what inflight.Answer) {
-	d.inTurn(func() { what = d.announce(all) })
+	d.runInTurn(func() { what = d.submitBroadcast(all) })
 	return what
 }
 
-func (d *Loop) announce(all []*inflight.Webhook) inflight.Answer {
-	if !d.life.AcceptsWebhooks() || len(all) == 0 || d.now-all[0].ReceivedAt > inflight.AnswerTimeout ||
-		len(d.held)+len(all) > d.facts.BufferSize {
+func (d *Loop) submitBroadcast(all []*inflight.Webhook) inflight.Answer {
+	if !d.lifecycle.AcceptsWebhooks() || len(all) == 0 || d.now-all[0].ReceivedAt > inflight.AnswerTimeout ||
+		len(d.webhooks)+len(all) > d.settings.BufferSize {
 		return inflight.Rejected
 	}
 	for _, w := range all {
-		if _, held := d.ids[w.RequestID]; held {
+		if _, held := d.idOf[w.RequestID]; held {
 			return inflight.Duplicate
 		}
 	}
@@ -38,24 +38,24 @@
 	for ; n < len(all) && err == nil; n++ {
 		all[n].ID = d.nextID
 		d.nextID++
-		err = d.accept(all[n])
+		err = d.logAccepted(all[n])
 	}
 	if err == nil {
-		err = d.journal.Commit()
+		err = d.log.Commit()
 	}
 	if err != nil {
 		slog.Error("announcement not written", "webhooks", len(all), "err", err)
-		d.x.JournalErrors.Add(1)
+		d.inbox.JournalErrors.Add(1)
 		for _, w := range all[:n] {
-			d.journal.Undo(w.ID)
+			d.log.Undo(w.ID)
 		}
 		return inflight.Rejected
 	}
 	for _, w := range all {
-		d.held[w.ID], d.ids[w.RequestID] = w, w.ID
+		d.webhooks[w.ID], d.idOf[w.RequestID] = w, w.ID
 	}
 	for _, w := range all {
-		d.begins(w, 0, api.Never, 0)
+		d.begin(w, 0, api.Never, 0)
 	}
 	return inflight.Accepted
 }
@@ -64,21 +64,21 @@
 // what those have ended with by now, and of the others which are held.
 func (d *Loop) NotifyInsteadOfPlatform(ids []inflight.RequestID, ends func(api.WebhookID,
 	inflight.Result)) (over map[api.WebhookID]inflight.Result, held map[inflight.RequestID]bool) {
-	want := setOf(ids)
+	want := toSet(ids)
 	over, held = map[api.WebhookID]inflight.Result{}, map[inflight.RequestID]bool{}
-	d.inTurn(func() {
-		for id, w := range byID(d, want) {
+	d.runInTurn(func() {
+		for id, w := range selectPending(d, want) {
 			w.OnFinished, held[id] = ends, true
 		}
-		for id, e := range d.told {
+		for id, e := range d.recoveredResults {
 			if want[id] {
 				over[e.id] = e.Result
 			} else { // its owner has heard it
-				d.journal.CallbackDelivered(e.id)
+				d.log.CallbackDelivered(e.id)
 			}
 		}
-		d.told = nil
-		d.regate()
+		d.recoveredResults = nil
+		d.reevaluate()
 	})
 	return over, held
 }
--- a/webhook/dispatcher/eventloop/decider_test.go
+++ b/webhook/dispatcher/eventloop/decider_test.go
@@ -46,7 +46,7 @@
 	require.NoError(t, kept.Close()) // the next write fails
 	assert.Equal(t, inflight.Rejected, hand("a1"))
 	assert.Zero(t, x.Calls.Load(), "nothing goes out that would not survive")
-	assert.Empty(t, d.held)
+	assert.Empty(t, d.webhooks)
 	assert.Equal(t, inflight.Accepted, hand("a2"), "the next one is written anew")
 	assert.EqualValues(t, 1, x.Calls.Load())
 	next, err := wal.Open(dir, 1)
--- a/webhook/dispatcher/eventloop/ends.go
+++ b/webhook/dispatcher/eventloop/ending.go
@@ -17,17 +17,17 @@
 	WebhookEnded(w *inflight.Webhook, how Ending)
 }
 
-func (d *Loop) witness(w *inflight.Webhook, how Ending) {
-	if who, ok := d.fleet.(EndObserver); ok {
+func (d *Loop) notifyEnded(w *inflight.Webhook, how Ending) {
+	if who, ok := d.cluster.(EndObserver); ok {
 		who.WebhookEnded(w, how)
 	}
 }
 
-// delivered is OnTime or Late: the target latency counts from when the webhook was first handed in, wherever
+// endingOf is OnTime or Late: the target latency counts from when the webhook was first handed in, wherever
 // that was.
-func (d *Loop) delivered(w *inflight.Webhook, over bool) Ending {
-	if int(w.EventType) < len(d.facts.EventTypes) {
-		if e := d.facts.EventTypes[w.EventType]; d.now > w.Deadline-e.TTL+e.LatencyTarget {
+func (d *Loop) endingOf(w *inflight.Webhook, over bool) Ending {
+	if int(w.EventType) < len(d.settings.EventTypes) {
+		if e := d.settings.EventTypes[w.EventType]; d.now > w.Deadline-e.TTL+e.LatencyTarget {
 			return Late
 		}
 	}
--- a/webhook/dispatcher/eventloop/fleet_test.go
+++ b/webhook/dispatcher/eventloop/fleet_test.go
@@ -53,7 +53,7 @@
 func (s *side) hand(w inflight.Webhook) inflight.Answer {
 	said := make(chan inflight.Answer, 1)
 	go func() {
-		what, _ := s.x.SubmitLocal(&w)
+		what, _ := s.inbox.SubmitLocal(&w)
 		said <- what
 	}()
 	for len(said) == 0 {
@@ -93,7 +93,7 @@
 	dir, ttl := t.TempDir(), 90*api.Second
 	s := stands(t, dir, ttl)
 	assert.Equal(t, inflight.Accepted, s.hand(webhook("a1", ttl)))
-	assert.Zero(t, s.x.Calls.Load())
+	assert.Zero(t, s.inbox.Calls.Load())
 	require.NoError(t, s.kept.Close())
 	s = stands(t, dir, ttl)
 	all := s.owes()
@@ -102,7 +102,7 @@
 	s.all.home = true
 	s.Reevaluate()
 	assert.Empty(t, s.owes())
-	assert.Zero(t, s.x.Calls.Load())
+	assert.Zero(t, s.inbox.Calls.Load())
 	require.NoError(t, s.kept.Close())
 	assert.Empty(t, stands(t, dir, ttl).owes(), "nor does a restart bring it back")
 }
@@ -116,9 +116,9 @@
 	clean.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: api.Never}
 	ran.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: inflight.Now() - api.Second}
 	assert.Equal(t, inflight.Accepted, s.hand(ran))
-	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "told at once")
+	assert.EqualValues(t, 1, s.inbox.GivenUp.Load(), "told at once")
 	assert.Equal(t, inflight.Accepted, s.hand(clean))
-	assert.EqualValues(t, 1, s.x.GivenUp.Load(), "it never ran, and is tried again")
+	assert.EqualValues(t, 1, s.inbox.GivenUp.Load(), "it never ran, and is tried again")
 }
 
 // Guards against a webhook called by two: in doubt it waits, though this is its home, until that is settled,
@@ -145,7 +145,7 @@
 		}
 		s.ResolveInDoubt([]inflight.RequestID{"a1"})
 		s.owes()
-		assert.EqualValues(t, map[bool]int{false: 0, true: 1}[ran], s.x.GivenUp.Load())
+		assert.EqualValues(t, map[bool]int{false: 0, true: 1}[ran], s.inbox.GivenUp.Load())
 	}
 }
 
@@ -164,7 +164,7 @@
 	assert.Len(t, s.owes(), 1, "still parked")
 	s.DeadLetterInDoubt(id)
 	assert.Empty(t, s.owes())
-	assert.EqualValues(t, 1, s.x.GivenUp.Load())
+	assert.EqualValues(t, 1, s.inbox.GivenUp.Load())
 }
 
 // Guards against a webhook lost while its home is gone: it ends in time.
@@ -174,7 +174,7 @@
 	ran := webhook("a2", api.Second/5)
 	ran.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: inflight.Now()}
 	assert.Equal(t, inflight.Accepted, s.hand(ran))
-	over := func() bool { s.turn(); return s.x.HandedBack.Load() == 1 && s.x.GivenUp.Load() == 1 }
+	over := func() bool { s.turn(); return s.inbox.HandedBack.Load() == 1 && s.inbox.GivenUp.Load() == 1 }
 	assert.Eventually(t, over, 5*time.Second, time.Millisecond)
 	assert.Empty(t, s.owes())
 }
--- a/webhook/dispatcher/eventloop/parked.go
+++ b/webhook/dispatcher/eventloop/parked.go
@@ -7,20 +7,20 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// turnOf is what order is kept by.
-type turnOf struct {
+// orderingGroup is what order is kept by.
+type orderingGroup struct {
 	dest api.DestinationID
 	key  api.OrderingKey
 }
 
 func (d *Loop) park(w *inflight.Webhook) {
 	if d.parked[w.ID] = w; w.OrderingKey != 0 {
-		of := turnOf{w.Destination, w.OrderingKey}
-		at, _ := slices.BinarySearch(d.turns[of], w.ID)
-		d.turns[of] = slices.Insert(d.turns[of], at, w.ID)
+		of := orderingGroup{w.Destination, w.OrderingKey}
+		at, _ := slices.BinarySearch(d.parkedByKey[of], w.ID)
+		d.parkedByKey[of] = slices.Insert(d.parkedByKey[of], at, w.ID)
 	}
 	w.Trace("parked", 0, 0)
-	d.dues.Add(int64(w.Deadline-2*d.facts.MinTurnInterval), func() { d.expire(w.ID) })
+	d.timers.Add(int64(w.Deadline-2*d.settings.MinTurnInterval), func() { d.expire(w.ID) })
 }
 
 func (d *Loop) unpark(id api.WebhookID) {
@@ -28,37 +28,37 @@
 	if delete(d.parked, id); w == nil || w.OrderingKey == 0 {
 		return
 	}
-	of := turnOf{w.Destination, w.OrderingKey}
-	d.turns[of] = slices.DeleteFunc(d.turns[of], func(other api.WebhookID) bool { return other == id })
-	if len(d.turns[of]) == 0 {
-		delete(d.turns, of)
+	of := orderingGroup{w.Destination, w.OrderingKey}
+	d.parkedByKey[of] = slices.DeleteFunc(d.parkedByKey[of], func(other api.WebhookID) bool { return other == id })
+	if len(d.parkedByKey[of]) == 0 {
+		delete(d.parkedByKey, of)
 	}
 }
 
-// frees hands to the module what may be called by now, and then what waited behind it.
-func (d *Loop) frees(id api.WebhookID) bool {
-	w, e := d.parked[id], d.journal.Pending(id)
+// resumeParked hands to the module what may be called by now, and then what waited behind it.
+func (d *Loop) resumeParked(id api.WebhookID) bool {
+	w, e := d.parked[id], d.log.Pending(id)
 	if w == nil || e == nil || !d.mayCall(w) {
 		return false
 	}
 	d.unpark(id)
 	w.Trace("unparked", 0, 0)
-	d.resume(w, e.Attempts, e.MayHaveRunAt, e.Zone)
-	for _, next := range slices.Clone(d.turns[turnOf{w.Destination, w.OrderingKey}]) {
-		if !d.frees(next) {
+	d.recoverWebhook(w, e.Attempts, e.MayHaveRunAt, e.Zone)
+	for _, next := range slices.Clone(d.parkedByKey[orderingGroup{w.Destination, w.OrderingKey}]) {
+		if !d.resumeParked(next) {
 			break
 		}
 	}
 	return true
 }
 
-// behind is whether an earlier one of a webhook's key is parked here; 0 as id: it has yet to be taken.
-func (d *Loop) behind(w *inflight.Webhook) bool {
-	for _, id := range d.turns[turnOf{w.Destination, w.OrderingKey}] {
+// hasEarlierParked is whether an earlier one of a webhook's key is parked here; 0 as id: it has yet to be taken.
+func (d *Loop) hasEarlierParked(w *inflight.Webhook) bool {
+	for _, id := range d.parkedByKey[orderingGroup{w.Destination, w.OrderingKey}] {
 		if w.ID != 0 && id >= w.ID {
 			return false
 		}
-		if d.ordered(d.parked[id]) {
+		if d.isOrdered(d.parked[id]) {
 			return true
 		}
 	}
@@ -67,8 +67,8 @@
 
 // expire guards against a webhook lost while it is parked: it ends in time, as the module ends those it has.
 func (d *Loop) expire(id api.WebhookID) {
-	e := d.journal.Pending(id)
-	if w := d.parked[id]; w != nil && e != nil && !d.lastWord(w) {
+	e := d.log.Pending(id)
+	if w := d.parked[id]; w != nil && e != nil && !d.awaitsRelay(w) {
 		if d.unpark(id); e.MayHaveRunAt != api.Never || w.InDoubt {
 			d.DeadLetter(id)
 		} else {
--- a/webhook/dispatcher/eventloop/owes.go
+++ b/webhook/dispatcher/eventloop/parked_list.go
@@ -7,17 +7,17 @@
 // key that is out counts as out: guards against a webhook handed on before an earlier one of its key.
 func (d *Loop) ParkedWebhooks(match func(*inflight.Webhook) bool) (all []Parked, out int) {
 	done := make(chan struct{})
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		defer close(done)
-		d.regate()
-		stays := map[turnOf]bool{}
-		for _, id := range d.sorted() {
-			w, e := d.held[id], d.journal.Pending(id)
+		d.reevaluate()
+		stays := map[orderingGroup]bool{}
+		for _, id := range d.sortedIDs() {
+			w, e := d.webhooks[id], d.log.Pending(id)
 			if e == nil || !match(w) {
 				continue
 			}
-			of := turnOf{w.Destination, w.OrderingKey}
-			if ordered := d.ordered(w); d.parked[id] != nil && d.fresh[id] == nil && !(ordered && stays[of]) {
+			of := orderingGroup{w.Destination, w.OrderingKey}
+			if ordered := d.isOrdered(w); d.parked[id] != nil && d.unanswered[id] == nil && !(ordered && stays[of]) {
 				one := *w // as it is in this turn: what it says of doubt changes in others
 				all = append(all, Parked{&one, w.InDoubt, e.Attempts, e.MayHaveRunAt, e.Zone})
 			} else {
@@ -26,6 +26,6 @@
 			}
 		}
 	})
-	d.awaits(done)
+	d.wait(done)
 	return all, out
 }
--- a/webhook/dispatcher/eventloop/given.go
+++ b/webhook/dispatcher/eventloop/relay.go
@@ -7,11 +7,11 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// byID lists what is held of those named.
-func byID[V any](d *Loop, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
+// selectPending lists what is held of those named.
+func selectPending[V any](d *Loop, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
 	all := map[inflight.RequestID]*inflight.Webhook{}
 	for of := range named {
-		if w := d.held[d.ids[of]]; w != nil {
+		if w := d.webhooks[d.idOf[of]]; w != nil {
 			all[of] = w
 		}
 	}
@@ -22,14 +22,14 @@
 // at on each may have run. Each comes with the attempts that it is given away with. False: nothing was done,
 // as one is parked here no more, was called for here meanwhile, or it can't be written.
 func (d *Loop) HandToRelay(all map[inflight.RequestID]int, at api.Micros) (ok bool) {
-	d.inTurn(func() {
-		of := byID(d, all)
+	d.runInTurn(func() {
+		of := selectPending(d, all)
 		if len(of) < len(all) {
 			return
 		}
 		ran := map[inflight.RequestID]bool{}
 		for id, w := range of {
-			e := d.journal.Pending(w.ID)
+			e := d.log.Pending(w.ID)
 			if e == nil || d.parked[w.ID] == nil || w.InDoubt || e.Attempts != all[id] {
 				return
 			}
@@ -37,17 +37,17 @@
 		}
 		for id, w := range of {
 			w.InDoubt, w.AtRelay = true, true
-			e, since := d.journal.Pending(w.ID), at
+			e, since := d.log.Pending(w.ID), at
 			if ran[id] {
 				since = e.MayHaveRunAt
 			}
 			// It counts as an attempt: without one the module does not ask whether it may have run.
-			d.journal.SetPriorAttempts(w.ID, e.Attempts+1, since, e.Zone)
+			d.log.SetPriorAttempts(w.ID, e.Attempts+1, since, e.Zone)
 		}
-		if err := d.journal.Commit(); err != nil {
+		if err := d.log.Commit(); err != nil {
 			slog.Error("journal not written", "err", err)
 			for id, w := range of {
-				d.free(w, TakenBack{NeverReceived: true, MayHaveRun: ran[id]})
+				d.clearInDoubt(w, TakenBack{NeverReceived: true, MayHaveRun: ran[id]})
 			}
 			return
 		}
@@ -62,50 +62,50 @@
 	MayHaveRun    bool // it may have run before it was given away
 }
 
-func (d *Loop) free(w *inflight.Webhook, b TakenBack) {
+func (d *Loop) clearInDoubt(w *inflight.Webhook, b TakenBack) {
 	w.InDoubt, w.AtRelay = false, false
-	e := d.journal.Pending(w.ID)
+	e := d.log.Pending(w.ID)
 	if e == nil || !b.NeverReceived || e.MayHaveRunAt == api.Never {
 		return
 	}
 	if b.MayHaveRun {
-		d.journal.SetPriorAttempts(w.ID, e.Attempts-1, e.MayHaveRunAt, e.Zone)
+		d.log.SetPriorAttempts(w.ID, e.Attempts-1, e.MayHaveRunAt, e.Zone)
 	} else {
-		d.journal.SetPriorAttempts(w.ID, e.Attempts-1, api.Never, 0)
+		d.log.SetPriorAttempts(w.ID, e.Attempts-1, api.Never, 0)
 	}
 }
 
 // TakeBack takes webhooks back that were given away.
 func (d *Loop) TakeBack(all map[inflight.RequestID]TakenBack) {
-	d.inTurn(func() {
-		for id, w := range byID(d, all) {
+	d.runInTurn(func() {
+		for id, w := range selectPending(d, all) {
 			if w.InDoubt && d.parked[w.ID] != nil {
-				d.free(w, all[id])
+				d.clearInDoubt(w, all[id])
 			}
 		}
-		d.regate()
+		d.reevaluate()
 	})
 }
 
-// lastWord guards against two ends: what was given away has a while after its time for the word of whoever
+// awaitsRelay guards against two ends: what was given away has a while after its time for the word of whoever
 // has it, who ends it in time. It tells whether that is still to come.
-func (d *Loop) lastWord(w *inflight.Webhook) bool {
+func (d *Loop) awaitsRelay(w *inflight.Webhook) bool {
 	until := w.Deadline + inflight.AnswerTimeout
 	if !w.AtRelay || d.now >= until {
 		return false
 	}
-	d.dues.Add(int64(until), func() { d.expire(w.ID) })
+	d.timers.Add(int64(until), func() { d.expire(w.ID) })
 	return true
 }
 
 // RestoreAtRelay is for webhooks of an earlier life that were given away then, before anybody here calls for them.
 func (d *Loop) RestoreAtRelay(ids []inflight.RequestID) {
-	want := setOf(ids)
-	d.inTurn(func() {
-		for _, w := range byID(d, want) {
+	want := toSet(ids)
+	d.runInTurn(func() {
+		for _, w := range selectPending(d, want) {
 			w.InDoubt, w.AtRelay = true, true
 			if d.parked[w.ID] == nil {
-				d.module.Withdraw(w.ID)
+				d.policy.Withdraw(w.ID)
 				d.park(w)
 			}
 		}
@@ -120,37 +120,37 @@
 	for _, e := range all {
 		how[e.RequestID] = e
 	}
-	d.inTurn(func() {
-		for id, w := range byID(d, how) {
+	d.runInTurn(func() {
+		for id, w := range selectPending(d, how) {
 			e := how[id]
-			if d.out[w.ID] || !w.InDoubt && e.Status != inflight.StatusDelivered {
+			if d.inFlight[w.ID] || !w.InDoubt && e.Status != inflight.StatusDelivered {
 				continue
 			}
 			if d.parked[w.ID] == nil {
-				d.module.Withdraw(w.ID)
+				d.policy.Withdraw(w.ID)
 			}
 			d.unpark(w.ID)
 			w.Trace("over_elsewhere", 0, api.Micros(e.Status))
 			switch e.Status {
 			case inflight.StatusDelivered:
-				d.journal.Finish(w.ID, nil)
-				d.drop(w)
+				d.log.Finish(w.ID, nil)
+				d.remove(w)
 			case inflight.StatusRejected:
 				d.Reject(w.ID, e.RetryAfter)
 			default:
 				d.DeadLetter(w.ID)
 			}
 		}
-		err := d.journal.Commit()
+		err := d.log.Commit()
 		if written = err == nil; err != nil {
 			slog.Error("journal not written", "err", err)
 		}
-		d.regate()
+		d.reevaluate()
 	})
 	return written
 }
 
-func setOf(ids []inflight.RequestID) map[inflight.RequestID]bool {
+func toSet(ids []inflight.RequestID) map[inflight.RequestID]bool {
 	all := map[inflight.RequestID]bool{}
 	for _, id := range ids {
 		all[id] = true
--- a/webhook/dispatcher/eventloop/custody.go
+++ b/webhook/dispatcher/eventloop/transfer.go
@@ -8,7 +8,7 @@
 
 // RecoveredIDs lists the request ids of what an earlier life still owes; before Begin only.
 func (d *Loop) RecoveredIDs() (all []inflight.RequestID) {
-	for _, e := range d.journal.Entries() {
+	for _, e := range d.log.Entries() {
 		if w, err := inflight.DecodeWebhook(e.ID, e.Payload); err == nil && !e.Finished {
 			all = append(all, w.RequestID)
 		}
@@ -19,13 +19,13 @@
 // PendingIDs lists the request ids of all that is held; it waits for the turn.
 func (d *Loop) PendingIDs() (all []inflight.RequestID) {
 	done := make(chan struct{})
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		defer close(done)
-		for _, w := range d.held {
+		for _, w := range d.webhooks {
 			all = append(all, w.RequestID)
 		}
 	})
-	d.awaits(done)
+	d.wait(done)
 	return all
 }
 
@@ -33,15 +33,15 @@
 // nobody here calls for it before that is settled. true: it was in no doubt before. It waits for the turn.
 func (d *Loop) MarkInDoubt(ids []api.WebhookID) map[api.WebhookID]bool {
 	fresh, done := map[api.WebhookID]bool{}, make(chan struct{})
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		defer close(done)
 		for _, id := range ids {
-			if w := d.parked[id]; w != nil && d.fresh[id] == nil {
+			if w := d.parked[id]; w != nil && d.unanswered[id] == nil {
 				fresh[id], w.InDoubt = !w.InDoubt, true
 			}
 		}
 	})
-	d.awaits(done)
+	d.wait(done)
 	return fresh
 }
 
@@ -49,18 +49,18 @@
 // owed for them here any more.
 func (d *Loop) FinishTransferred(ids []api.WebhookID) {
 	done := make(chan struct{})
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		for _, id := range ids {
 			if w := d.parked[id]; w != nil {
 				d.unpark(id)
 				w.Trace("passed", 0, 0)
-				d.journal.Finish(id, nil)
-				d.drop(w)
+				d.log.Finish(id, nil)
+				d.remove(w)
 			}
 		}
-		d.ends = append(d.ends, func() { close(done) })
+		d.afterCommit = append(d.afterCommit, func() { close(done) })
 	})
-	d.awaits(done)
+	d.wait(done)
 }
 
 // ResolveInDoubt ends the doubt whether another member has webhooks: they are this one's.
@@ -68,11 +68,11 @@
 	if len(all) == 0 {
 		return
 	}
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		for _, of := range all {
-			if w := d.parked[d.ids[of]]; w != nil && w.InDoubt {
+			if w := d.parked[d.idOf[of]]; w != nil && w.InDoubt {
 				w.InDoubt = false
-				d.frees(w.ID)
+				d.resumeParked(w.ID)
 			}
 		}
 	})
@@ -80,7 +80,7 @@
 
 // DeadLetterInDoubt ends what is in doubt and will not be settled: it may have run.
 func (d *Loop) DeadLetterInDoubt(id api.WebhookID) {
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		if w := d.parked[id]; w != nil && w.InDoubt {
 			d.unpark(id)
 			d.DeadLetter(id)
@@ -93,28 +93,28 @@
 // ended.
 func (d *Loop) MergePriorAttempts(all map[inflight.RequestID]*inflight.PriorAttempts) (written bool) {
 	done := make(chan struct{})
-	d.x.Post(func() {
+	d.inbox.Post(func() {
 		for of, p := range all {
-			id := d.ids[of]
-			if e := d.journal.Pending(id); e != nil && d.parked[id] != nil {
+			id := d.idOf[of]
+			if e := d.log.Pending(id); e != nil && d.parked[id] != nil {
 				ran, zone := p.MayHaveRunAt, p.Zone
 				if ran == api.Never || e.MayHaveRunAt != api.Never && e.MayHaveRunAt < ran {
 					ran, zone = e.MayHaveRunAt, e.Zone
 				}
-				d.journal.SetPriorAttempts(id, max(p.Attempts, e.Attempts), ran, zone)
+				d.log.SetPriorAttempts(id, max(p.Attempts, e.Attempts), ran, zone)
 			}
 		}
-		d.ends = append(d.ends, func() {
-			written = !d.lost
+		d.afterCommit = append(d.afterCommit, func() {
+			written = !d.commitFailed
 			close(done)
 		})
 	})
-	d.awaits(done)
+	d.wait(done)
 	return written
 }
 
-// past journals what a webhook brings along from another member, beside what was taken.
-func past(j *wal.Log, w *inflight.Webhook) (attempts int, mayRun api.Micros,
+// logPriorAttempts journals what a webhook brings along from another member, beside what was taken.
+func logPriorAttempts(j *wal.Log, w *inflight.Webhook) (attempts int, mayRun api.Micros,
 	zone api.ZoneID) {
 	if p := w.Prior; p != nil {
 		j.SetPriorAttempts(w.ID, p.Attempts, p.MayHaveRunAt, p.Zone)
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -14,56 +14,56 @@
 // Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
 func (d *Loop) Run() {
 	timer := time.NewTimer(0)
-	for d.life.Phase() < lifecycle.Stopped {
-		next := d.turned + api.Second
-		if at, ok := d.dues.Next(); ok {
+	for d.lifecycle.Phase() < lifecycle.Stopped {
+		next := d.lastTurnAt + api.Second
+		if at, ok := d.timers.Next(); ok {
 			next = min(next, api.Micros(at))
 		}
 		timer.Reset(inflight.Duration(max(next-inflight.Now(), 0)))
 		select {
-		case <-d.x.Ready():
+		case <-d.inbox.Ready():
 		case <-timer.C:
 		}
-		if rest := d.turned + d.facts.MinTurnInterval - inflight.Now(); rest > 0 {
+		if rest := d.lastTurnAt + d.settings.MinTurnInterval - inflight.Now(); rest > 0 {
 			time.Sleep(inflight.Duration(rest))
 		}
 		d.turn()
 	}
 	d.turn() // what came back last is written down
-	close(d.over)
+	close(d.stopped)
 }
 
-// awaits waits for what was told to be done in a turn, unless there are no more turns.
-func (d *Loop) awaits(done <-chan struct{}) {
+// wait waits for what was told to be done in a turn, unless there are no more turns.
+func (d *Loop) wait(done <-chan struct{}) {
 	select {
 	case <-done:
-	case <-d.over:
+	case <-d.stopped:
 	}
 }
 
 func (d *Loop) turn() {
-	arrivals, news := d.x.TakeAll()
+	arrivals, news := d.inbox.TakeAll()
 	d.now = inflight.Now()
-	d.turned = d.now
-	d.x.Turns.Add(1)
+	d.lastTurnAt = d.now
+	d.inbox.Turns.Add(1)
 	for _, call := range news {
 		call()
 	}
 	for _, w := range arrivals {
-		for i := 0; i < len(d.stages) && d.stages[i](w); i++ {
+		for i := 0; i < len(d.admission) && d.admission[i](w); i++ {
 		}
 	}
-	for call, ok := d.dues.PopDue(int64(d.now)); ok; call, ok = d.dues.PopDue(int64(d.now)) {
+	for call, ok := d.timers.PopDue(int64(d.now)); ok; call, ok = d.timers.PopDue(int64(d.now)) {
 		call()
 	}
-	if d.life.StartsCalls() {
-		d.module.EndTurn()
+	if d.lifecycle.StartsCalls() {
+		d.policy.EndTurn()
 	}
-	d.act()
+	d.actOnTurn()
 }
 
-// refuse answers for what is not taken on. What another member may have is neither rejected nor taken.
-func (d *Loop) refuse(w *inflight.Webhook) {
+// reject answers for what is not taken on. What another member may have is neither rejected nor taken.
+func (d *Loop) reject(w *inflight.Webhook) {
 	if w.MustKeep {
 		w.Answer(inflight.Undetermined, 0)
 	} else {
@@ -71,55 +71,55 @@
 	}
 }
 
-// inTime ends what its client no longer waits for, and what comes when nothing is taken on any more. What
+// admitInTime ends what its client no longer waits for, and what comes when nothing is taken on any more. What
 // another member may have is kept all the same: nobody else would settle that.
-func (d *Loop) inTime(w *inflight.Webhook) bool {
+func (d *Loop) admitInTime(w *inflight.Webhook) bool {
 	if w.MustKeep {
 		return true
 	}
-	if !d.life.AcceptsWebhooks() || d.now-w.ReceivedAt > inflight.AnswerTimeout {
+	if !d.lifecycle.AcceptsWebhooks() || d.now-w.ReceivedAt > inflight.AnswerTimeout {
 		w.Answer(inflight.Rejected, 0)
 		return false
 	}
 	return true
 }
 
-// room ends what is beyond the buffer.
-func (d *Loop) room(w *inflight.Webhook) bool {
-	if len(d.held) >= d.facts.BufferSize && !w.MustKeep { // of those there are no more than clients' connections
+// admitWithinBuffer ends what is beyond the buffer.
+func (d *Loop) admitWithinBuffer(w *inflight.Webhook) bool {
+	if len(d.webhooks) >= d.settings.BufferSize && !w.MustKeep { // of those there are no more than clients' connections
 		w.Answer(inflight.Rejected, 0)
 		return false
 	}
 	return true
 }
 
-// once keeps a request id from being held twice.
-func (d *Loop) once(w *inflight.Webhook) bool {
-	if _, held := d.ids[w.RequestID]; held {
+// admitOnce keeps a request id from being held twice.
+func (d *Loop) admitOnce(w *inflight.Webhook) bool {
+	if _, held := d.idOf[w.RequestID]; held {
 		w.Answer(inflight.Duplicate, 0)
 		return false
 	}
 	return true
 }
 
-// take notes the webhook and hands it to the module.
-func (d *Loop) take(w *inflight.Webhook) bool {
+// acceptWebhook notes the webhook and hands it to the module.
+func (d *Loop) acceptWebhook(w *inflight.Webhook) bool {
 	w.ID = d.nextID
-	if err := d.accept(w); err != nil {
-		d.x.JournalErrors.Add(1)
-		d.refuse(w)
+	if err := d.logAccepted(w); err != nil {
+		d.inbox.JournalErrors.Add(1)
+		d.reject(w)
 		return false
 	}
 	d.nextID++
-	d.held[w.ID], d.ids[w.RequestID], d.fresh[w.ID] = w, w.ID, w
-	d.order = append(d.order, w.ID)
-	attempts, mayRun, zone := past(d.journal, w)
-	d.begins(w, attempts, mayRun, zone)
+	d.webhooks[w.ID], d.idOf[w.RequestID], d.unanswered[w.ID] = w, w.ID, w
+	d.accepted = append(d.accepted, w.ID)
+	attempts, mayRun, zone := logPriorAttempts(d.log, w)
+	d.begin(w, attempts, mayRun, zone)
 	return true
 }
 
-// act writes down what was decided, then answers, calls and tells.
-func (d *Loop) act() {
+// actOnTurn writes down what was decided, then answers, calls and tells.
+func (d *Loop) actOnTurn() {
 	d.attempts = slices.DeleteFunc(d.attempts, func(a attempt) bool {
 		if d.mayCall(a.Webhook) {
 			return false
@@ -128,45 +128,45 @@
 		return true
 	})
 	for _, a := range d.attempts {
-		d.journal.RecordCall(a.Webhook.ID, d.now, d.calls.Zone(a.ep))
+		d.log.RecordCall(a.Webhook.ID, d.now, d.upstream.Zone(a.endpoint))
 	}
-	err := d.journal.Commit()
-	if d.lost = err != nil; d.lost {
-		d.unwritten(err)
+	err := d.log.Commit()
+	if d.commitFailed = err != nil; d.commitFailed {
+		d.handleCommitFailure(err)
 	}
-	for _, id := range d.order {
-		if w := d.fresh[id]; w != nil {
+	for _, id := range d.accepted {
+		if w := d.unanswered[id]; w != nil {
 			w.Answer(inflight.Accepted, 0)
-			delete(d.fresh, id)
+			delete(d.unanswered, id)
 		}
 	}
 	for _, id := range d.cancels {
-		d.calls.Cancel(id)
+		d.upstream.Cancel(id)
 	}
-	d.send()
-	for _, end := range d.ends {
+	d.startCalls()
+	for _, end := range d.afterCommit {
 		end()
 	}
-	for _, ep := range d.hangUps {
-		d.calls.CloseIdle(ep)
+	for _, ep := range d.idleToClose {
+		d.upstream.CloseIdle(ep)
 	}
-	d.order, d.attempts, d.ends = d.order[:0], d.attempts[:0], d.ends[:0]
-	d.cancels, d.hangUps = d.cancels[:0], d.hangUps[:0]
+	d.accepted, d.attempts, d.afterCommit = d.accepted[:0], d.attempts[:0], d.afterCommit[:0]
+	d.cancels, d.idleToClose = d.cancels[:0], d.idleToClose[:0]
 }
 
-// unwritten guards against acting on what would not survive: a disk that is full or gone. What came in this
+// handleCommitFailure guards against acting on what would not survive: a disk that is full or gone. What came in this
 // turn is rejected, and no call of this turn is made.
-func (d *Loop) unwritten(err error) {
+func (d *Loop) handleCommitFailure(err error) {
 	slog.Error("journal not written", "err", err)
-	d.x.JournalErrors.Add(1)
-	for _, id := range d.order {
-		if w := d.fresh[id]; w != nil {
-			d.journal.Undo(id)
-			d.module.Withdraw(id)
+	d.inbox.JournalErrors.Add(1)
+	for _, id := range d.accepted {
+		if w := d.unanswered[id]; w != nil {
+			d.log.Undo(id)
+			d.policy.Withdraw(id)
 			d.unpark(id)
-			d.drop(w)
-			d.refuse(w)
-			delete(d.fresh, id)
+			d.remove(w)
+			d.reject(w)
+			delete(d.unanswered, id)
 		}
 	}
 	for _, a := range d.attempts {
@@ -175,17 +175,17 @@
 	d.attempts = d.attempts[:0]
 }
 
-// send makes the calls of this turn, those to one endpoint together, in the order decided.
-func (d *Loop) send() {
+// startCalls makes the calls of this turn, those to one endpoint together, in the order decided.
+func (d *Loop) startCalls() {
 	var eps []api.EndpointID
 	tries := map[api.EndpointID][]upstream.Attempt{}
 	for _, a := range d.attempts {
-		if tries[a.ep] == nil {
-			eps = append(eps, a.ep)
+		if tries[a.endpoint] == nil {
+			eps = append(eps, a.endpoint)
 		}
-		tries[a.ep] = append(tries[a.ep], a.Attempt)
+		tries[a.endpoint] = append(tries[a.endpoint], a.Attempt)
 	}
 	for _, ep := range eps {
-		d.calls.Send(ep, tries[ep])
+		d.upstream.Send(ep, tries[ep])
 	}
 }
--- a/webhook/dispatcher/inflight/announced_test.go
+++ b/webhook/dispatcher/inflight/announced_test.go
@@ -15,8 +15,8 @@
 		if e, is := DecodeResult(raw); is {
 			again, _ := DecodeResult(e.Encode())
 			assert.Equal(t, e, again)
-		} else if len(raw) >= endFixed {
-			assert.NotEqual(t, byte(endMark), raw[0])
+		} else if len(raw) >= resultFixedLen {
+			assert.NotEqual(t, byte(resultTag), raw[0])
 		}
 	})
 }
--- a/webhook/dispatcher/inflight/announced.go
+++ b/webhook/dispatcher/inflight/broadcast.go
@@ -9,7 +9,7 @@
 	"rowanlink/webhook/api"
 )
 
-var errBroken = errors.New("a webhook's kept form is broken")
+var errMalformed = errors.New("a webhook's kept form is broken")
 
 // Broadcast is what a webhook has besides where lists and site streams are on.
 type Broadcast struct {
@@ -23,21 +23,21 @@
 	HasList func(name string) bool // whether there is such a list
 }
 
-// ofSubscriber stands between an announcement's request id and a subscriber's number.
-const ofSubscriber = ".dest="
+// subscriberSeparator stands between an announcement's request id and a subscriber's number.
+const subscriberSeparator = ".dest="
 
 // ForSubscriber is the request id of an announcement's delivery to one subscriber.
 func ForSubscriber(of RequestID, to api.DestinationID) RequestID {
-	return of + ofSubscriber + RequestID(strconv.FormatUint(uint64(to), 10))
+	return of + subscriberSeparator + RequestID(strconv.FormatUint(uint64(to), 10))
 }
 
 // Subscriber takes such an id apart.
 func (id RequestID) Subscriber() (of RequestID, to api.DestinationID, is bool) {
-	at := strings.LastIndex(string(id), ofSubscriber)
+	at := strings.LastIndex(string(id), subscriberSeparator)
 	if at < 0 {
 		return id, 0, false
 	}
-	n, err := strconv.ParseUint(string(id[at+len(ofSubscriber):]), 10, 32)
+	n, err := strconv.ParseUint(string(id[at+len(subscriberSeparator):]), 10, 32)
 	return id[:at], api.DestinationID(n), err == nil
 }
 
@@ -79,14 +79,14 @@
 	MayHaveRun bool
 }
 
-// endMark begins an end's kept form: a notice for the platform begins otherwise.
-const endMark = 'R'
+// resultTag begins an end's kept form: a notice for the platform begins otherwise.
+const resultTag = 'R'
 
-const endFixed = 1 + 1 + 8 + 2 + 1
+const resultFixedLen = 1 + 1 + 8 + 2 + 1
 
 // Encode is the form in which an end outlasts the process.
 func (e Result) Encode() []byte {
-	b := binary.LittleEndian.AppendUint64([]byte{endMark, byte(e.Status)}, uint64(e.RetryAfter))
+	b := binary.LittleEndian.AppendUint64([]byte{resultTag, byte(e.Status)}, uint64(e.RetryAfter))
 	b = binary.LittleEndian.AppendUint16(b, uint16(e.Attempts))
 	ran := byte(0)
 	if e.MayHaveRun {
@@ -97,10 +97,10 @@
 
 // DecodeResult reads that form again; false: it is a notice for the platform.
 func DecodeResult(b []byte) (e Result, is bool) {
-	if len(b) < endFixed || b[0] != endMark {
+	if len(b) < resultFixedLen || b[0] != resultTag {
 		return Result{}, false
 	}
 	return Result{Status: Status(b[1]), RetryAfter: api.Micros(binary.LittleEndian.Uint64(b[2:])),
 		Attempts: int(binary.LittleEndian.Uint16(b[10:])), MayHaveRun: b[12] != 0,
-		RequestID: RequestID(b[endFixed:])}, true
+		RequestID: RequestID(b[resultFixedLen:])}, true
 }
--- a/webhook/dispatcher/inflight/exchange.go
+++ b/webhook/dispatcher/inflight/inbox.go
@@ -45,7 +45,7 @@
 	Deadline    api.Micros
 
 	ReceivedAt api.Micros
-	answer     chan answer
+	answer     chan submissionAnswer
 
 	// In a fleet that acts as one: what it brings along from another member, nil if nothing; whether another
 	// member may have it: then nobody here calls before that is settled; and whether nobody else would settle
@@ -83,7 +83,7 @@
 
 var answerNames = [...]string{"taken", "rejected", "doubled", "unsaid"}
 
-type answer struct {
+type submissionAnswer struct {
 	what    Answer
 	retryIn api.Micros
 }
@@ -92,11 +92,11 @@
 // a time, a slot one call, and the list is read line by line.
 type Inbox struct {
 	Counters
-	mu       sync.Mutex
-	arrivals []*Webhook
-	news     []func()
-	bell     chan struct{}
-	named    map[api.DestinationID]bool
+	mu           sync.Mutex
+	arrivals     []*Webhook
+	posted       []func()
+	ready        chan struct{}
+	destinations map[api.DestinationID]bool
 
 	// What a fleet adds, before the clients' server runs; nil in a dispatcher that is none of one. Away takes a
 	// webhook to its home and answers for it; here takes it on in this process. More prints further counters.
@@ -107,21 +107,21 @@
 
 // New makes an exchange in which nothing waits.
 func New() *Inbox {
-	return &Inbox{bell: make(chan struct{}, 1), named: map[api.DestinationID]bool{}}
+	return &Inbox{ready: make(chan struct{}, 1), destinations: map[api.DestinationID]bool{}}
 }
 
 // AddDestination notes that a list has named a destination; that holds also when it has no endpoint any more.
 func (x *Inbox) AddDestination(dest api.DestinationID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.named[dest] = true
+	x.destinations[dest] = true
 }
 
 // HasDestination tells whether any list has named a destination.
 func (x *Inbox) HasDestination(dest api.DestinationID) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.named[dest]
+	return x.destinations[dest]
 }
 
 // Submit takes a client's webhook to where it is decided on, and waits for its answer; one rejected may be
@@ -153,12 +153,12 @@
 		return
 	}
 	for _, w := range all {
-		w.answer = make(chan answer, 1)
+		w.answer = make(chan submissionAnswer, 1)
 	}
 	x.mu.Lock()
 	x.arrivals = append(x.arrivals, all...)
 	x.mu.Unlock()
-	x.ring()
+	x.signal()
 	for i, w := range all {
 		a := <-w.answer
 		answered(i, a.what, a.retryIn)
@@ -168,7 +168,7 @@
 // Answer answers the client that handed the webhook in.
 func (w *Webhook) Answer(what Answer, retryIn api.Micros) {
 	w.Trace(answerNames[what], 0, Now()-w.ReceivedAt)
-	w.answer <- answer{what, retryIn}
+	w.answer <- submissionAnswer{what, retryIn}
 }
 
 // WriteMetrics writes the counters, one a line, in the text form that monitoring systems read.
@@ -182,26 +182,26 @@
 // Post puts a call in that the decider makes in its next turn.
 func (x *Inbox) Post(call func()) {
 	x.mu.Lock()
-	x.news = append(x.news, call)
+	x.posted = append(x.posted, call)
 	x.mu.Unlock()
-	x.ring()
+	x.signal()
 }
 
-func (x *Inbox) ring() {
+func (x *Inbox) signal() {
 	select {
-	case x.bell <- struct{}{}:
+	case x.ready <- struct{}{}:
 	default:
 	}
 }
 
 // Ready rings when something waits.
-func (x *Inbox) Ready() <-chan struct{} { return x.bell }
+func (x *Inbox) Ready() <-chan struct{} { return x.ready }
 
 // TakeAll takes all that waits.
 func (x *Inbox) TakeAll() (arrivals []*Webhook, news []func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	arrivals, news = x.arrivals, x.news
-	x.arrivals, x.news = nil, nil
+	arrivals, news = x.arrivals, x.posted
+	x.arrivals, x.posted = nil, nil
 	return arrivals, news
 }
