--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -14,14 +14,15 @@
 
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/placement"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 func TestForward_HeadersAndBodiesUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	r := newTestProxy(t, func(p *endpointConn) {
-		for request := p.readRequest(); request != nil; request = p.readRequest() {
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		for request := p.ReadRequest(); request != nil; request = p.ReadRequest() {
 			got <- request
-			p.write(okHead + "X-Own: 1\r\nX-Own: 2\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\nbody")
+			p.WriteText(okHead + "X-Own: 1\r\nX-Own: 2\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\nbody")
 		}
 	})
 	request := r.request("/fetch/%2e%2e//a?x=%zz&&", "hello")
@@ -61,11 +62,11 @@
 
 func TestForward_ChunkedRequestBody(t *testing.T) {
 	got := make(chan string, 1)
-	r := newTestProxy(t, func(p *endpointConn) {
-		request := p.readRequest()
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		request := p.ReadRequest()
 		body, _ := io.ReadAll(request.Body)
 		got <- string(body)
-		p.write(okResponse)
+		p.WriteText(okResponse)
 	})
 	request := r.request("/once/", "")
 	request.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", 70000)))
@@ -78,7 +79,7 @@
 func TestForward_AfterFailedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		first      func(*endpointConn)
+		first      func(*scriptedendpoint.Conn)
 		repeatable int
 		once       int
 		outcome    attempt.Outcome
@@ -87,7 +88,7 @@
 		{"other incarnation", respondWith(misdirectedResponse), 200, 200, attempt.Misdirected},
 		{"own error", respondWith(serverErrorResponse), 200, 500, attempt.Failed},
 		{"silent close", respondAndClose(""), 200, 502, attempt.Broken},
-		{"reset", func(p *endpointConn) { p.readRequest(); p.reset() }, 200, 502, attempt.Broken},
+		{"reset", func(p *scriptedendpoint.Conn) { p.ReadRequest(); p.Reset() }, 200, 502, attempt.Broken},
 		{"half head", respondAndClose(okHead[:20]), 200, 502, attempt.Broken},
 		{"half body", respondAndClose(okResponse[:len(okResponse)-1]), 200, 502, attempt.Broken},
 		{"garbage", respondAndClose("garbage\r\n\r\n"), 200, 502, attempt.Broken},
@@ -124,7 +125,7 @@
 }
 
 func TestForward_RejectedByAllEndpoints(t *testing.T) {
-	for _, script := range []func(*endpointConn){respondWith(rejectedResponse), respondWith(misdirectedResponse)} {
+	for _, script := range []func(*scriptedendpoint.Conn){respondWith(rejectedResponse), respondWith(misdirectedResponse)} {
 		r := newTestProxy(t, script, script)
 		request := r.request("/once/x", "")
 		request.Header.Set("X-Time-Left", "150")
@@ -153,7 +154,7 @@
 
 // TestForward_Deadlines: the earlier one of the client's and the route's deadline ends a request.
 func TestForward_Deadlines(t *testing.T) {
-	silent := func(p *endpointConn) { p.readToEnd() }
+	silent := func(p *scriptedendpoint.Conn) { p.ReadToEnd() }
 	r := newTestProxy(t, silent)
 	request := r.request("/once/x", "")
 	request.Header.Set("X-Time-Left", "30")
@@ -173,8 +174,8 @@
 	for _, framing := range []string{"length", "chunked", "none"} {
 		for _, cut := range []bool{false, true} {
 			t.Run(framing+strconv.FormatBool(cut), func(t *testing.T) {
-				r := newTestProxy(t, func(p *endpointConn) {
-					p.readRequest()
+				r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+					p.ReadRequest()
 					text := map[string]string{
 						"length":  "Content-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long,
 						"chunked": "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(long)), 16) + "\r\n" + long + "\r\n0\r\n\r\n",
@@ -183,9 +184,9 @@
 					if cut {
 						text = text[:len(text)-10]
 					}
-					p.write(okHead + text)
+					p.WriteText(okHead + text)
 					if cut && framing == "none" { // a clean close would be the end of this body
-						p.reset()
+						p.Reset()
 					}
 				}, respondWith(okResponse))
 				a := r.do(r.request("/fetch/x", ""))
@@ -223,11 +224,11 @@
 	for name, said := range map[string]string{"/once/x": "", "/chat/x": streamHead + chunk("id: 1\ndata: x\n\n")} {
 		t.Run(name, func(t *testing.T) {
 			reached, gone := make(chan struct{}), make(chan struct{})
-			r := newTestProxy(t, func(p *endpointConn) {
-				p.readRequest()
-				p.write(said)
+			r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+				p.ReadRequest()
+				p.WriteText(said)
 				close(reached)
-				p.readToEnd()
+				p.ReadToEnd()
 				close(gone)
 			})
 			done := make(chan struct{})
@@ -246,7 +247,7 @@
 }
 
 func TestForward_UnresponsiveEndpointIsAbandoned(t *testing.T) {
-	r := newTestProxy(t, func(p *endpointConn) { p.readToEnd() }, respondWith(okResponse))
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() }, respondWith(okResponse))
 	a := r.do(r.request("/fetch/x", ""))
 	assert.Equal(t, 200, a.status)
 	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.picker.recordedOutcomes())
--- a/serving/httpserver/drain_test.go
+++ b/serving/httpserver/drain_test.go
@@ -8,18 +8,20 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 // TestDrain_Phases checks what holds in each phase while Drain sleeps.
 func TestDrain_Phases(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newTestProxy(t, func(p *endpointConn) {
-		for request := p.readRequest(); request != nil; request = p.readRequest() {
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		for request := p.ReadRequest(); request != nil; request = p.ReadRequest() {
 			if request.RequestURI == "/once/long" {
 				close(reached)
 				<-release
 			}
-			p.write(okResponse)
+			p.WriteText(okResponse)
 		}
 	})
 	long, refused := r.dial(), r.dial()
--- a/serving/httpserver/helpers_test.go
+++ b/serving/httpserver/helpers_test.go
@@ -1,8 +1,6 @@
 package httpserver
 
 import (
-	"bufio"
-	"bytes"
 	"io"
 	"net"
 	"net/http"
@@ -21,6 +19,7 @@
 	"rowanlink/serving/routing"
 	"rowanlink/serving/state"
 	"rowanlink/serving/upstream"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 // testConfiguration is the configuration of most tests.
@@ -103,13 +102,13 @@
 const testConnectTimeout = 10 * time.Second
 
 // newTestProxy starts a server with one endpoint for each script. Retries have no backoff and no budget.
-func newTestProxy(t *testing.T, scripts ...func(*endpointConn)) *testProxy {
+func newTestProxy(t *testing.T, scripts ...func(*scriptedendpoint.Conn)) *testProxy {
 	table, err := routing.Parse([]byte(testConfiguration))
 	require.NoError(t, err)
 	r := &testProxy{t: t, table: table, ready: true, picker: &fakePicker{}}
 	for number, script := range scripts {
 		id := "i-" + string(rune('a'+number))
-		r.picker.endpoints = append(r.picker.endpoints, state.Endpoint{ID: id, Address: startEndpoint(t, script)})
+		r.picker.endpoints = append(r.picker.endpoints, state.Endpoint{ID: id, Address: scriptedendpoint.Start(t, script).Address()})
 	}
 	r.start()
 	return r
@@ -165,12 +164,6 @@
 	return clientResponse{status: response.StatusCode, header: response.Header, body: string(body), complete: err == nil}
 }
 
-// endpointConn is an endpoint's side of a connection.
-type endpointConn struct {
-	*net.TCPConn
-	reader *bufio.Reader
-}
-
 // listen opens a listener on a free port. The test closes it at its end.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -189,61 +182,20 @@
 	return client
 }
 
-// startEndpoint starts an endpoint that follows the script on each connection.
-func startEndpoint(t *testing.T, script func(*endpointConn)) string {
-	listener := listen(t)
-	go func() {
-		for {
-			raw, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer func() { _ = raw.Close() }()
-				script(&endpointConn{TCPConn: raw.(*net.TCPConn), reader: bufio.NewReader(raw)})
-			}()
-		}
-	}()
-	return listener.Addr().String()
-}
-
-// readRequest reads a request with its body; nil at the end of the connection.
-func (p *endpointConn) readRequest() *http.Request {
-	r, err := http.ReadRequest(p.reader)
-	if err != nil {
-		return nil
-	}
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		return nil
-	}
-	r.Body = io.NopCloser(bytes.NewReader(body))
-	return r
-}
-
-func (p *endpointConn) write(text string) { _, _ = io.WriteString(p.TCPConn, text) }
-
-func (p *endpointConn) reset() {
-	_ = p.SetLinger(0)
-	_ = p.Close()
-}
-
-func (p *endpointConn) readToEnd() { _, _ = io.Copy(io.Discard, p.reader) }
-
 // respondWith returns a script that gives the same response to each request.
-func respondWith(text string) func(*endpointConn) {
-	return func(p *endpointConn) {
-		for p.readRequest() != nil {
-			p.write(text)
+func respondWith(text string) func(*scriptedendpoint.Conn) {
+	return func(p *scriptedendpoint.Conn) {
+		for p.ReadRequest() != nil {
+			p.WriteText(text)
 		}
 	}
 }
 
 // respondAndClose returns a script that closes the connection after part of a response.
-func respondAndClose(text string) func(*endpointConn) {
-	return func(p *endpointConn) {
-		p.readRequest()
-		p.write(text)
+func respondAndClose(text string) func(*scriptedendpoint.Conn) {
+	return func(p *scriptedendpoint.Conn) {
+		p.ReadRequest()
+		p.WriteText(text)
 	}
 }
 
--- a/serving/httpserver/limit_test.go
+++ b/serving/httpserver/limit_test.go
@@ -9,17 +9,18 @@
 
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/routing"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 // TestForward_EndpointAtConnectionLimitIsSkipped: a request that may run only once goes to another endpoint if no
 // connection may be opened, and the picker learns that this says nothing of the endpoint.
 func TestForward_EndpointAtConnectionLimitIsSkipped(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newTestProxy(t, func(p *endpointConn) {
-		p.readRequest()
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		p.ReadRequest()
 		close(reached)
 		<-release
-		p.write(okResponse)
+		p.WriteText(okResponse)
 	}, respondWith(okResponse))
 	table, err := routing.Parse([]byte(strings.ReplaceAll(testConfiguration, `"conn_cap":100`, `"conn_cap":1`)))
 	require.NoError(t, err)
--- a/serving/httpserver/retry_test.go
+++ b/serving/httpserver/retry_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 // TestForward_ResendUsesNewConnection: the endpoint's rejection arrives a second time, late, on the connection of the
@@ -13,13 +15,13 @@
 func TestForward_ResendUsesNewConnection(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n"
 	var connections atomic.Int64
-	r := newTestProxy(t, func(p *endpointConn) {
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
 		first := connections.Add(1) == 1
-		for p.readRequest() != nil {
+		for p.ReadRequest() != nil {
 			if first {
-				p.write(refusal)
+				p.WriteText(refusal)
 			} else {
-				p.write("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nContent-Length: 2\r\n\r\nok")
+				p.WriteText("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nContent-Length: 2\r\n\r\nok")
 			}
 		}
 	})
--- a/serving/httpserver/server_test.go
+++ b/serving/httpserver/server_test.go
@@ -12,6 +12,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 func TestServeHTTP_NoRoute(t *testing.T) {
@@ -121,13 +123,13 @@
 // TestDrain_RequestsInEachPhase goes through the phases of a shutdown with a request in each.
 func TestDrain_RequestsInEachPhase(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newTestProxy(t, func(p *endpointConn) {
-		for request := p.readRequest(); request != nil; request = p.readRequest() {
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		for request := p.ReadRequest(); request != nil; request = p.ReadRequest() {
 			if strings.HasSuffix(request.RequestURI, "long") {
 				close(reached)
 				<-release
 			}
-			p.write(okResponse)
+			p.WriteText(okResponse)
 		}
 	})
 	long, idle, fresh := r.dial(), r.dial(), r.dial()
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -16,6 +16,7 @@
 
 	"rowanlink/serving/attempt"
 	"rowanlink/serving/routing"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 const streamHead = okHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -42,16 +43,16 @@
 
 func TestStream_RelayedEventByEvent(t *testing.T) {
 	next := make(chan string)
-	r := newTestProxy(t, func(p *endpointConn) {
-		request := p.readRequest()
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		request := p.ReadRequest()
 		if request.Header.Get("Priority") != "2" {
 			return
 		}
-		p.write(streamHead)
+		p.WriteText(streamHead)
 		for text := range next {
-			p.write(text)
+			p.WriteText(text)
 		}
-		p.readToEnd()
+		p.ReadToEnd()
 	})
 	go func() {
 		next <- chunk(testEvent(1)[:5])
@@ -81,10 +82,10 @@
 }
 
 func TestStream_ClientsLastEventID(t *testing.T) {
-	r := newTestProxy(t, func(p *endpointConn) {
-		request := p.readRequest()
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		request := p.ReadRequest()
 		last, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-		p.write(streamHead + chunk(testEvents(last+1, 6)) + lastChunk)
+		p.WriteText(streamHead + chunk(testEvents(last+1, 6)) + lastChunk)
 	})
 	request := r.request("/chat/x", "")
 	request.Header.Set("Last-Event-Id", "4")
@@ -104,7 +105,7 @@
 }
 
 func TestStream_NoEndpointResumes(t *testing.T) {
-	for name, second := range map[string]func(*endpointConn){
+	for name, second := range map[string]func(*scriptedendpoint.Conn){
 		"full": respondWith(rejectedResponse), "own error": respondWith(serverErrorResponse), "no stream": respondWith(okResponse), "break": respondAndClose(""),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -117,10 +118,10 @@
 }
 
 func TestStream_StalledStreamIsResumed(t *testing.T) {
-	r := newTestProxy(t, func(p *endpointConn) {
-		p.readRequest()
-		p.write(streamHead + chunk(testEvents(1, 2)))
-		p.readToEnd()
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		p.ReadRequest()
+		p.WriteText(streamHead + chunk(testEvents(1, 2)))
+		p.ReadToEnd()
 	}, resumeStream(t, 5))
 	a := r.do(r.request("/chat/x", ""))
 	assert.Equal(t, testEvents(1, 5), a.body)
@@ -132,10 +133,10 @@
 // says.
 func TestStream_WithoutContentType(t *testing.T) {
 	next := make(chan string)
-	r := newTestProxy(t, func(p *endpointConn) {
-		for p.readRequest() != nil {
-			p.write(okHead + "Keep-Alive: timeout=0\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(testEvent(1)))
-			p.write(<-next)
+	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
+		for p.ReadRequest() != nil {
+			p.WriteText(okHead + "Keep-Alive: timeout=0\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(testEvent(1)))
+			p.WriteText(<-next)
 		}
 	})
 	response, err := r.client.Do(r.request("/draft/x", ""))
@@ -165,12 +166,12 @@
 }
 
 // resumeStream returns a script that continues after the last event that the request names.
-func resumeStream(t *testing.T, last int) func(*endpointConn) {
-	return func(p *endpointConn) {
-		request := p.readRequest()
+func resumeStream(t *testing.T, last int) func(*scriptedendpoint.Conn) {
+	return func(p *scriptedendpoint.Conn) {
+		request := p.ReadRequest()
 		after, err := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		assert.NoError(t, err)
-		p.write(strings.Replace(streamHead, "s1", "s2", 1) + chunk(testEvents(after+1, last)) + lastChunk)
+		p.WriteText(strings.Replace(streamHead, "s1", "s2", 1) + chunk(testEvents(after+1, last)) + lastChunk)
 	}
 }
 
@@ -184,24 +185,24 @@
 }
 
 // script returns the endpoint's script. It must not draw random values: it runs on another goroutine.
-func (f brokenStream) script(total int) func(*endpointConn) {
-	return func(p *endpointConn) {
-		request := p.readRequest()
+func (f brokenStream) script(total int) func(*scriptedendpoint.Conn) {
+	return func(p *scriptedendpoint.Conn) {
+		request := p.ReadRequest()
 		after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		text := testEvents(max(after+1-f.overlap, 1), total)
 		if !f.complete {
 			text = text[:min(f.breakAt, len(text))]
 		}
-		p.write(streamHead)
+		p.WriteText(streamHead)
 		for size := max(len(text)/max(f.pieces, 1), 1); len(text) > 0; {
 			cut := min(size, len(text))
-			p.write(chunk(text[:cut]))
+			p.WriteText(chunk(text[:cut]))
 			text = text[cut:]
 		}
 		if f.complete {
-			p.write(lastChunk)
+			p.WriteText(lastChunk)
 		} else if f.reset {
-			p.reset()
+			p.Reset()
 		}
 	}
 }
@@ -211,7 +212,7 @@
 func TestStream_ResumeProperty(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(draw, "events")
-		var scripts []func(*endpointConn)
+		var scripts []func(*scriptedendpoint.Conn)
 		clean := false
 		for range rapid.IntRange(1, 6).Draw(draw, "runs") {
 			run := brokenStream{
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -12,17 +12,18 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/attempt"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 func TestDo_RequestArrivesUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		for r := p.readRequest(); r != nil; r = p.readRequest() {
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		for r := p.ReadRequest(); r != nil; r = p.ReadRequest() {
 			got <- r
-			p.write(okResponse)
+			p.WriteText(okResponse)
 		}
 	})
-	call := e.call()
+	call := newCall(e.Address())
 	call.Priority, call.LastEventID = "3", "17"
 	call.Header.Set("Priority", "9")
 	call.Header.Set("Last-Event-Id", "1")
@@ -50,18 +51,18 @@
 }
 
 func TestPool_ReusesConnections(t *testing.T) {
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		for p.readRequest() != nil {
-			p.write(okResponse)
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		for p.ReadRequest() != nil {
+			p.WriteText(okResponse)
 		}
 	})
 	pool := New(testOptions)
 	for range 5 {
-		_, body, failure := doCall(t, pool, e.call())
+		_, body, failure := doCall(t, pool, newCall(e.Address()))
 		require.Nil(t, failure)
 		assert.Equal(t, "body", body)
 	}
-	assert.EqualValues(t, 1, e.connections.Load())
+	assert.EqualValues(t, 1, e.Connections())
 	assert.Equal(t, 1, pool.Open())
 	pool.Sweep(time.Now())
 	assert.Equal(t, 1, pool.Open())
@@ -83,24 +84,24 @@
 		"surplus refusal": "HTTP/1.1 503 No\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a0\r\nContent-Length: 0\r\n\r\n" + okResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newTestEndpoint(t, func(p *endpointConn) {
-				if p.readRequest() == nil {
+			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+				if p.ReadRequest() == nil {
 					return
 				}
-				if p.number == 0 {
-					p.write(sent)
+				if p.Number == 0 {
+					p.WriteText(sent)
 				} else {
-					p.write(okResponse)
+					p.WriteText(okResponse)
 				}
-				p.readToEnd()
+				p.ReadToEnd()
 			})
 			pool := New(testOptions)
 			for range 2 {
-				_, body, failure := doCall(t, pool, e.call())
+				_, body, failure := doCall(t, pool, newCall(e.Address()))
 				require.Nil(t, failure)
 				assert.Equal(t, "body", body)
 			}
-			assert.EqualValues(t, 2, e.connections.Load())
+			assert.EqualValues(t, 2, e.Connections())
 		})
 	}
 }
@@ -109,20 +110,20 @@
 // was sent.
 func TestPool_LateForeignResponse(t *testing.T) {
 	late := make(chan struct{})
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		p.readRequest()
-		p.write(okResponse)
-		if p.readRequest() == nil {
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		p.ReadRequest()
+		p.WriteText(okResponse)
+		if p.ReadRequest() == nil {
 			return
 		}
 		close(late)
-		p.write(okResponse + strings.ReplaceAll(strings.ReplaceAll(okResponse, "a1", "a2"), "body", "next"))
-		p.readToEnd()
+		p.WriteText(okResponse + strings.ReplaceAll(strings.ReplaceAll(okResponse, "a1", "a2"), "body", "next"))
+		p.ReadToEnd()
 	})
 	pool := New(testOptions)
-	_, _, failure := doCall(t, pool, e.call())
+	_, _, failure := doCall(t, pool, newCall(e.Address()))
 	require.Nil(t, failure)
-	second := e.call()
+	second := newCall(e.Address())
 	second.Header.Set("X-Attempt-Id", "a2")
 	_, body, failure := doCall(t, pool, second)
 	<-late
@@ -135,58 +136,58 @@
 // runs the resent request. Taken for the response to that one, the rejection would promise what isn't so.
 func TestDo_ResentRequestUsesNewConnection(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n"
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		for p.readRequest() != nil {
-			if p.number == 0 {
-				p.write(refusal)
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		for p.ReadRequest() != nil {
+			if p.Number == 0 {
+				p.WriteText(refusal)
 			} else {
-				p.write(okResponse)
+				p.WriteText(okResponse)
 			}
 		}
 	})
 	pool := New(testOptions)
-	_, _, failure := doCall(t, pool, e.call())
+	_, _, failure := doCall(t, pool, newCall(e.Address()))
 	require.NotNil(t, failure)
 	require.Equal(t, attempt.Rejected, failure.Outcome)
 
-	again := e.call()
+	again := newCall(e.Address())
 	again.Resent, again.MaxConnections = true, 1
 	_, body, failure := doCall(t, pool, again)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
-	assert.EqualValues(t, 2, e.connections.Load())
+	assert.EqualValues(t, 2, e.Connections())
 	assert.Equal(t, 1, pool.Open(), "the connection of the first time makes room")
 }
 
 func TestPool_ConnectionClosedWhileIdle(t *testing.T) {
-	for name, end := range map[string]func(*endpointConn){
-		"closed":  func(p *endpointConn) { _ = p.Close() },
-		"reset":   func(p *endpointConn) { p.reset() },
-		"unasked": func(p *endpointConn) { p.write("HTTP/1.1 200 OK\r\n\r\n") },
+	for name, end := range map[string]func(*scriptedendpoint.Conn){
+		"closed":  func(p *scriptedendpoint.Conn) { _ = p.Close() },
+		"reset":   func(p *scriptedendpoint.Conn) { p.Reset() },
+		"unasked": func(p *scriptedendpoint.Conn) { p.WriteText("HTTP/1.1 200 OK\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered, ended := make(chan struct{}), make(chan struct{})
-			e := newTestEndpoint(t, func(p *endpointConn) {
-				if p.readRequest() == nil {
+			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+				if p.ReadRequest() == nil {
 					return
 				}
-				p.write(okResponse)
-				if p.number == 0 {
+				p.WriteText(okResponse)
+				if p.Number == 0 {
 					<-answered
 					end(p)
 					close(ended)
 				}
-				p.readToEnd()
+				p.ReadToEnd()
 			})
 			pool := New(testOptions)
-			_, _, failure := doCall(t, pool, e.call())
+			_, _, failure := doCall(t, pool, newCall(e.Address()))
 			require.Nil(t, failure)
 			close(answered)
 			<-ended
-			_, body, failure := doCall(t, pool, e.call())
+			_, body, failure := doCall(t, pool, newCall(e.Address()))
 			require.Nil(t, failure)
 			assert.Equal(t, "body", body)
-			assert.EqualValues(t, 2, e.connections.Load())
+			assert.EqualValues(t, 2, e.Connections())
 		})
 	}
 }
@@ -199,22 +200,22 @@
 		"HTTP/1.1 400 What\r\nX-Not-Delivered: 1\r\nContent-Length: 0\r\n\r\n":                     attempt.Rejected,
 		"HTTP/1.1 421 Other\r\nX-Endpoint-Id: i-2\r\nContent-Length: 0\r\n\r\n":                    attempt.Misdirected,
 	} {
-		e := newTestEndpoint(t, func(p *endpointConn) {
-			for p.readRequest() != nil {
-				p.write(sent)
+		e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+			for p.ReadRequest() != nil {
+				p.WriteText(sent)
 			}
 		})
 		pool := New(testOptions)
 		for range 2 {
-			_, _, failure := doCall(t, pool, e.call())
+			_, _, failure := doCall(t, pool, newCall(e.Address()))
 			require.NotNil(t, failure)
 			assert.Equal(t, want, failure.Outcome)
 			assert.NoError(t, failure.Cause)
 		}
 		if strings.Contains(sent, "a1") {
-			assert.EqualValues(t, 1, e.connections.Load(), "a refusal with an id leaves its connection usable")
+			assert.EqualValues(t, 1, e.Connections(), "a refusal with an id leaves its connection usable")
 		} else {
-			assert.EqualValues(t, 2, e.connections.Load())
+			assert.EqualValues(t, 2, e.Connections())
 		}
 	}
 }
@@ -224,23 +225,23 @@
 func TestDo_ResponseBeforeBodyIsSent(t *testing.T) {
 	rest := make(chan int64, 1)
 	answered := make(chan struct{})
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		if p.number > 0 {
-			p.readRequest()
-			p.write(okResponse)
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		if p.Number > 0 {
+			p.ReadRequest()
+			p.WriteText(okResponse)
 			return
 		}
-		_, err := http.ReadRequest(p.reader)
+		_, err := http.ReadRequest(p.Reader)
 		if err != nil {
 			return
 		}
-		p.write(okResponse)
+		p.WriteText(okResponse)
 		<-answered
-		n, _ := io.Copy(io.Discard, p.reader)
+		n, _ := io.Copy(io.Discard, p.Reader)
 		rest <- n
 	})
 	pool := New(testOptions)
-	call := e.call()
+	call := newCall(e.Address())
 	call.Body = make([]byte, 32<<20) // more than the sockets' buffers take
 	_, body, failure := doCall(t, pool, call)
 	require.Nil(t, failure)
@@ -248,41 +249,41 @@
 	assert.Zero(t, pool.Open())
 	close(answered)
 	assert.Less(t, <-rest, int64(len(call.Body)))
-	_, _, failure = doCall(t, pool, e.call())
+	_, _, failure = doCall(t, pool, newCall(e.Address()))
 	require.Nil(t, failure)
 }
 
 func TestDo_LongBody(t *testing.T) {
 	got := make(chan int, 2)
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		for r := p.readRequest(); r != nil; r = p.readRequest() {
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		for r := p.ReadRequest(); r != nil; r = p.ReadRequest() {
 			body, _ := io.ReadAll(r.Body)
 			got <- len(body)
-			p.write(okResponse)
+			p.WriteText(okResponse)
 		}
 	})
 	pool := New(testOptions)
 	for range 2 {
-		call := e.call()
+		call := newCall(e.Address())
 		call.Body = make([]byte, 4<<20)
 		_, _, failure := doCall(t, pool, call)
 		require.Nil(t, failure)
 		assert.Equal(t, 4<<20, <-got)
 	}
-	assert.EqualValues(t, 1, e.connections.Load())
+	assert.EqualValues(t, 1, e.Connections())
 }
 
 // TestDo_SendsTimeLeft: the endpoint is told the time left now, not what the client stated, and never more than until
 // the deadline.
 func TestDo_SendsTimeLeft(t *testing.T) {
 	told := make(chan []string, 1)
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		if request := p.readRequest(); request != nil {
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		if request := p.ReadRequest(); request != nil {
 			told <- request.Header.Values("X-Time-Left")
-			p.write(okResponse)
+			p.WriteText(okResponse)
 		}
 	})
-	call := e.call()
+	call := newCall(e.Address())
 	call.Header.Set("X-Time-Left", "60000")
 	call.Deadline = time.Now().Add(20 * time.Second)
 	_, _, failure := doCall(t, New(Options{}), call)
--- a/serving/upstream/helpers_test.go
+++ b/serving/upstream/helpers_test.go
@@ -1,89 +1,20 @@
 package upstream
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"io"
-	"net"
 	"net/http"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 )
 
-// testEndpoint is a server whose connections follow a script.
-type testEndpoint struct {
-	t           *testing.T
-	listener    net.Listener
-	connections atomic.Int64
-}
-
-// endpointConn is the endpoint's side of a connection.
-type endpointConn struct {
-	*net.TCPConn
-	number int // of the connection, from zero
-	reader *bufio.Reader
-}
-
-// newTestEndpoint starts an endpoint. A connection is closed when its script ends.
-func newTestEndpoint(t *testing.T, script func(*endpointConn)) *testEndpoint {
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	e := &testEndpoint{t: t, listener: listener}
-	t.Cleanup(func() { _ = listener.Close() })
-	go func() {
-		for {
-			raw, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			number := int(e.connections.Add(1)) - 1
-			c := &endpointConn{TCPConn: raw.(*net.TCPConn), number: number, reader: bufio.NewReader(raw)}
-			go func() {
-				defer func() { _ = raw.Close() }()
-				script(c)
-			}()
-		}
-	}()
-	return e
-}
-
-// readRequest reads a request with its body; nil at the end of the connection.
-func (p *endpointConn) readRequest() *http.Request {
-	r, err := http.ReadRequest(p.reader)
-	if err != nil {
-		return nil
-	}
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		return nil
-	}
-	r.Body = io.NopCloser(bytes.NewReader(body))
-	return r
-}
-
-// write writes a text. The client may have closed the connection.
-func (p *endpointConn) write(text string) { _, _ = io.WriteString(p.TCPConn, text) }
-
-// reset resets the connection.
-func (p *endpointConn) reset() {
-	_ = p.SetLinger(0)
-	_ = p.Close()
-}
-
-// readToEnd waits until the client has closed the connection.
-func (p *endpointConn) readToEnd() { _, _ = io.Copy(io.Discard, p.reader) }
-
-func (e *testEndpoint) address() string { return e.listener.Addr().String() }
-
-// call returns a call to the endpoint with attempt ID "a1" and a minute left.
-func (e *testEndpoint) call() *Call {
+// newCall returns a call to an endpoint with attempt ID "a1" and a minute left.
+func newCall(address string) *Call {
 	return &Call{
 		EndpointID:    "i-1",
-		Address:       e.address(),
+		Address:       address,
 		Zone:          "near",
 		Method:        http.MethodPost,
 		RequestTarget: "/p/%2e%2e/x?q=1&&b",
--- a/serving/upstream/response_test.go
+++ b/serving/upstream/response_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/attempt"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 // TestResponse_BrokenAfterEachByte breaks a response off after each of its bytes in turn: only the complete one
@@ -20,14 +21,14 @@
 	for name, text := range map[string]string{"length": okResponse, "chunked": chunked} {
 		for point := range len(text) {
 			for _, reset := range []bool{false, true} {
-				e := newTestEndpoint(t, func(p *endpointConn) {
-					p.readRequest()
-					p.write(text[:point])
+				e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+					p.ReadRequest()
+					p.WriteText(text[:point])
 					if reset {
-						p.reset()
+						p.Reset()
 					}
 				})
-				_, _, failure := doCall(t, New(testOptions), e.call())
+				_, _, failure := doCall(t, New(testOptions), newCall(e.Address()))
 				if assert.NotNil(t, failure, "%s, %d bytes", name, point) {
 					assert.Equal(t, attempt.Broken, failure.Outcome, "%s, %d bytes", name, point)
 				}
@@ -51,12 +52,12 @@
 		"interim only":      strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newTestEndpoint(t, func(p *endpointConn) {
-				p.readRequest()
-				p.write(sent)
+			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+				p.ReadRequest()
+				p.WriteText(sent)
 			})
 			pool := New(testOptions)
-			_, _, failure := doCall(t, pool, e.call())
+			_, _, failure := doCall(t, pool, newCall(e.Address()))
 			require.NotNil(t, failure)
 			assert.Equal(t, attempt.Broken, failure.Outcome)
 			assert.Zero(t, pool.Open())
@@ -65,12 +66,12 @@
 }
 
 func TestResponse_InterimIsSkipped(t *testing.T) {
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		for p.readRequest() != nil {
-			p.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + okResponse)
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		for p.ReadRequest() != nil {
+			p.WriteText("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + okResponse)
 		}
 	})
-	_, body, failure := doCall(t, New(testOptions), e.call())
+	_, body, failure := doCall(t, New(testOptions), newCall(e.Address()))
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 }
@@ -80,15 +81,15 @@
 func TestResponse_WithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		read := make(chan struct{})
-		e := newTestEndpoint(t, func(p *endpointConn) {
-			p.readRequest()
-			p.write("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nbody")
+		e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+			p.ReadRequest()
+			p.WriteText("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nbody")
 			if reset {
 				<-read // a reset may overtake what was not read
-				p.reset()
+				p.Reset()
 			}
 		})
-		response, failure := New(testOptions).Do(context.Background(), e.call())
+		response, failure := New(testOptions).Do(context.Background(), newCall(e.Address()))
 		require.Nil(t, failure)
 		first := make([]byte, 4)
 		_, err := io.ReadFull(response, first)
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/serving/attempt"
+	"rowanlink/test/fake/scriptedendpoint"
 )
 
 func TestDo_NobodyListens(t *testing.T) {
@@ -18,8 +19,7 @@
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	call := (&testEndpoint{listener: listener}).call()
-	call.Address = address
+	call := newCall(address)
 	pool := New(testOptions)
 	_, failure := pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
@@ -28,13 +28,13 @@
 }
 
 func TestDo_ConnectionLimits(t *testing.T) {
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		p.readRequest()
-		p.write(okResponse)
-		p.readToEnd()
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		p.ReadRequest()
+		p.WriteText(okResponse)
+		p.ReadToEnd()
 	})
 	pool := New(Options{MaxOpen: 2})
-	call := e.call()
+	call := newCall(e.Address())
 	call.MaxConnections = 1
 	held, failure := pool.Do(context.Background(), call)
 	require.Nil(t, failure)
@@ -43,11 +43,11 @@
 	assert.Equal(t, attempt.AtLimit, failure.Outcome)
 	assert.True(t, failure.Outcome.NeverRan(), "it may go again")
 
-	other := e.call()
+	other := newCall(e.Address())
 	other.EndpointID = "i-2"
 	_, _, failure = doCall(t, pool, other)
 	require.Nil(t, failure, "another endpoint has a limit of its own")
-	third := e.call()
+	third := newCall(e.Address())
 	third.EndpointID = "i-3"
 	_, _, failure = doCall(t, pool, third)
 	require.Nil(t, failure, "an idle connection gives way")
@@ -60,17 +60,17 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			closed := make(chan struct{})
-			e := newTestEndpoint(t, func(p *endpointConn) {
-				p.readRequest()
-				p.write(sent)
+			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+				p.ReadRequest()
+				p.WriteText(sent)
 				if sent == "" {
 					cancel()
 				}
-				p.readToEnd()
+				p.ReadToEnd()
 				close(closed)
 			})
 			pool := New(testOptions)
-			response, failure := pool.Do(ctx, e.call())
+			response, failure := pool.Do(ctx, newCall(e.Address()))
 			if sent != "" {
 				require.Nil(t, failure)
 				cancel()
@@ -85,8 +85,8 @@
 }
 
 func TestDo_Deadline(t *testing.T) {
-	e := newTestEndpoint(t, func(p *endpointConn) { p.readToEnd() })
-	call := e.call()
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() })
+	call := newCall(e.Address())
 	call.Deadline = time.Now().Add(20 * time.Millisecond)
 	_, failure := New(testOptions).Do(context.Background(), call)
 	require.NotNil(t, failure)
@@ -96,13 +96,13 @@
 
 func TestDo_ProgressTimeout(t *testing.T) {
 	release := make(chan struct{})
-	e := newTestEndpoint(t, func(p *endpointConn) {
-		p.readRequest()
+	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
+		p.ReadRequest()
 		<-release
-		p.write(okResponse)
-		p.readToEnd()
+		p.WriteText(okResponse)
+		p.ReadToEnd()
 	})
-	call := e.call()
+	call := newCall(e.Address())
 	call.ProgressTimeout = time.Millisecond
 	call.MayAbandon = func() bool {
 		close(release)
@@ -112,8 +112,8 @@
 	require.Nil(t, failure, "the caller wants to wait on")
 	assert.Equal(t, "body", body)
 
-	silent := newTestEndpoint(t, func(p *endpointConn) { p.readToEnd() })
-	call = silent.call()
+	silent := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() })
+	call = newCall(silent.Address())
 	call.ProgressTimeout = time.Millisecond
 	call.MayAbandon = func() bool { return true }
 	pool := New(testOptions)
