--- a/serving/register/attempt.go
+++ b/serving/register/attempt.go
@@ -16,7 +16,7 @@
 const (
 	attemptDecided       attemptOutcome = iota // the change succeeded or was rejected
 	attemptFailed                              // preempted or without a majority; the next attempt follows after a backoff
-	attemptFinishedOther                       // it finished another proposer's reconfiguration; the next attempt follows at once
+	attemptFinishedOther                       // it finished another reconfiguration; the next attempt follows at once
 )
 
 // attemptResult is the result of one attempt. If the outcome is attemptDecided, record is the committed record and err
--- a/serving/register/explore_invariants_test.go
+++ b/serving/register/explore_invariants_test.go
@@ -56,8 +56,8 @@
 	w.checkAcknowledged(&proposal.Record, false)
 }
 
-// sentUpdateOf returns the base and the configuration that an update sets, by applying it to the possible bases. It returns the zero
-// value for other updates.
+// sentUpdateOf returns the base and the configuration of an update, by applying it to the possible bases. It returns the
+// zero value for other kinds of updates.
 func sentUpdateOf(update Update) sentUpdate {
 	for _, base := range []uint64{0, 1, 2} {
 		record := state.Record{Configuration: state.Configuration{Version: base}}
--- a/serving/register/fuzz_test.go
+++ b/serving/register/fuzz_test.go
@@ -96,7 +96,11 @@
 		}
 		checkRoundTrip(t, &vote)
 		assert.NotEmpty(t, vote.Result.String())
-		before := learnedState{highestBallotNumber: 7, committedVoters: own.Proposal.Record.Voters, highestAccepted: AcceptedProposal{own.Accepted, own.Proposal}}
+		before := learnedState{
+			highestBallotNumber: 7,
+			committedVoters:     own.Proposal.Record.Voters,
+			highestAccepted:     AcceptedProposal{Ballot: own.Accepted, Proposal: own.Proposal},
+		}
 		after := before
 		after.observeVote(&vote)
 		assert.GreaterOrEqual(t, after.highestBallotNumber, before.highestBallotNumber)
--- a/serving/register/linearizability_test.go
+++ b/serving/register/linearizability_test.go
@@ -48,15 +48,19 @@
 	if !sent.isAmendment {
 		return ReplaceConfiguration(sent.basedOn, sent.configuration)
 	}
-	accepted := state.AppliedUpdate{Version: sent.configuration.Version, Digest: sent.configuration.Digest}
-	return AmendConfiguration(sent.basedOn, accepted, func(found state.Configuration) (state.Configuration, error) {
+	applied := state.AppliedUpdate{Version: sent.configuration.Version, Digest: sent.configuration.Digest}
+	return AmendConfiguration(sent.basedOn, applied, func(found state.Configuration) (state.Configuration, error) {
 		if found.Version != sent.basedOn {
 			h.mutex.Lock()
 			h.problems = append(h.problems, fmt.Sprintf("version %d amended, not %d", found.Version, sent.basedOn))
 			h.mutex.Unlock()
 		}
 		document := append(slices.Clone(found.Document), sent.configuration.Document...)
-		return state.Configuration{Version: sent.configuration.Version, Digest: state.DigestOf(document), Document: document}, nil
+		return state.Configuration{
+			Version:  sent.configuration.Version,
+			Digest:   state.DigestOf(document),
+			Document: document,
+		}, nil
 	})
 }
 
@@ -145,7 +149,13 @@
 	if out.inDoubt {
 		returned = endOfTime
 	}
-	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: returned})
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: client,
+		Input:    in,
+		Call:     call,
+		Output:   out,
+		Return:   returned,
+	})
 }
 
 // callerTimeout bounds the calls of the simulated callers.
@@ -287,7 +297,7 @@
 		c := sent.configuration
 		assert.True(t, final.WasApplied(c.Version, c.Digest), "acknowledged version %d is lost", c.Version)
 		if other, ok := bases[sent.basedOn]; ok {
-			assert.Equal(t, other, c.Digest, "two orders on version %d were acknowledged", sent.basedOn)
+			assert.Equal(t, other, c.Digest, "two updates on version %d were acknowledged", sent.basedOn)
 		}
 		bases[sent.basedOn] = c.Digest
 	}
@@ -299,7 +309,7 @@
 	}
 	for _, sent := range h.rejected {
 		c := sent.configuration
-		assert.False(t, final.WasApplied(c.Version, c.Digest), "refused version %d was in force", c.Version)
+		assert.False(t, final.WasApplied(c.Version, c.Digest), "rejected version %d was in force", c.Version)
 	}
 }
 
--- a/serving/register/random_test.go
+++ b/serving/register/random_test.go
@@ -12,15 +12,43 @@
 
 // action is one action of a random history.
 type action struct {
-	What    string
-	Machine int
-	Other   int
-	Wait    time.Duration
+	What    string        // one of actionKinds
+	Machine int           // index of the machine, modulo their number
+	Other   int           // index of a second machine, or another parameter
+	Wait    time.Duration // before the next action
 }
 
-var actionKinds = []string{"replace", "replace", "replace", "replace", "evacuate", "read", "race", "crash", "start",
-	"wipe", "blight", "cut", "mend", "refuse", "slow", "mistake", "repair", "lossy", "heal", "add", "share", "move",
-	"leave", "retire", "resend", "resend", "mute", "deafen"}
+// actionKinds has the kinds of actions; a kind is as likely as it is frequent here.
+var actionKinds = []string{
+	"replace",
+	"replace",
+	"replace",
+	"replace",
+	"evacuate",
+	"read",
+	"race",
+	"crash",
+	"start",
+	"wipe",
+	"wipe-in-power-failure",
+	"isolate",
+	"rejoin",
+	"fail-saves",
+	"slow-saves",
+	"report-down",
+	"repair",
+	"lossy",
+	"clear-faults",
+	"add-machine",
+	"share-records",
+	"move-partition",
+	"shut-down",
+	"replace-machine",
+	"resend",
+	"resend",
+	"drop-outgoing",
+	"drop-incoming",
+}
 
 var actionGenerator = rapid.Custom(func(t *rapid.T) action {
 	return action{
@@ -89,10 +117,10 @@
 		_, _ = s.read(m, client)
 	case "resend":
 		s.resend(m, next.Other, client)
-	case "leave":
+	case "shut-down":
 		m.shutDown()
 		time.AfterFunc(restartDelay, m.start)
-	case "retire":
+	case "replace-machine":
 		s.replaceMachine(m)
 	case "repair":
 		if process := m.running(); process != nil {
@@ -109,38 +137,38 @@
 		m.crash()
 	case "start":
 		m.start()
-	case "wipe", "blight":
-		s.failDisks(m, other, next.What == "blight")
-	case "cut":
+	case "wipe", "wipe-in-power-failure":
+		s.failDisks(m, other, next.What == "wipe-in-power-failure")
+	case "isolate":
 		s.isolate(m, true)
-	case "mute":
+	case "drop-outgoing":
 		s.partitionOneWay(m, true)
-	case "deafen":
+	case "drop-incoming":
 		s.partitionOneWay(m, false)
-	case "mend":
+	case "rejoin":
 		s.isolate(m, false)
-	case "refuse":
+	case "fail-saves":
 		m.setDiskFaults(true, 0)
-	case "slow":
+	case "slow-saves":
 		m.setDiskFaults(false, time.Duration(1+next.Other)*300*time.Millisecond)
-	case "mistake":
+	case "report-down":
 		s.setFalselyDown(m, next.Other%2 == 0)
 	case "lossy":
 		s.mutex.Lock()
 		s.lossy = !s.lossy
 		s.mutex.Unlock()
-	case "heal":
+	case "clear-faults":
 		s.clearFaults()
 		s.startAll()
-	case "add":
+	case "add-machine":
 		if len(s.all()) < 6 {
 			added := s.addNext()
 			added.startedBefore = true
 			added.start()
 		}
-	case "share":
+	case "share-records":
 		s.shareRecords()
-	case "move":
+	case "move-partition":
 		s.isolate(m, true)
 		s.isolate(other, false)
 	default:
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -228,7 +228,11 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		s := &scriptedRegister{replicas: map[string]*AcceptorState{}, proposers: map[string]*learnedState{}, changes: map[string]*change{}}
+		s := &scriptedRegister{
+			replicas:  map[string]*AcceptorState{},
+			proposers: map[string]*learnedState{},
+			changes:   map[string]*change{},
+		}
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string { return s.run(t, data) })
 	})
 }
--- a/serving/register/simulatedmachine_test.go
+++ b/serving/register/simulatedmachine_test.go
@@ -37,7 +37,11 @@
 
 // settings returns the settings of the machine's next start.
 func (m *machine) settings() *settings.Process {
-	process := &settings.Process{IP: m.address[:len(m.address)-len(":7660")], FirstPort: simulatedPort, FirstRun: !m.startedBefore}
+	process := &settings.Process{
+		IP:        m.address[:len(m.address)-len(":7660")],
+		FirstPort: simulatedPort,
+		FirstRun:  !m.startedBefore,
+	}
 	process.FaultTolerance.MachineLosses = m.simulation.tolerated
 	for number := range 3 {
 		process.Seeds = append(process.Seeds, fmt.Sprintf("10.0.0.%d:8146", number+1))
@@ -56,14 +60,19 @@
 	log := zerolog.Nop()
 	run := &processRun{machine: m, stop: stop}
 	lastNotified := uint64(0)
-	options := NodeOptions{Settings: m.settings(), Storage: &simulatedDisk{run: run, machine: m}, Log: &log,
-		Peers: m.simulation.runningPeers,
+	options := NodeOptions{
+		Settings: m.settings(),
+		Storage:  &simulatedDisk{run: run, machine: m},
+		Log:      &log,
+		Peers:    m.simulation.runningPeers,
 		Committed: func(record state.Record) {
 			m.simulation.history.recordCommitted(record, &lastNotified)
-		}}
+		},
+	}
 	run.node, run.server = newNode(ctx, options, &simulatedTransport{simulation: m.simulation, from: run})
 	run.node.SetFailureDetector(m.simulation)
-	m.process, m.startedBefore = run, true
+	m.process = run
+	m.startedBefore = true
 	run.node.start()
 	go run.runRepairs(ctx)
 }
--- a/serving/register/update_test.go
+++ b/serving/register/update_test.go
@@ -179,7 +179,10 @@
 
 func TestBallot_TotalOrder(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Ballot {
-		return Ballot{Number: rapid.Uint64Range(0, 3).Draw(t, "number"), Proposer: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "proposer")}
+		return Ballot{
+			Number:   rapid.Uint64Range(0, 3).Draw(t, "number"),
+			Proposer: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "proposer"),
+		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
