--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -55,24 +55,24 @@
 func (w *world) send(deliver func()) bool {
 	w.message++
 	number := w.message
-	came := false
+	arrived := false
 	switch w.faultAt(number) {
 	case delivered:
 		deliver()
-		came = true
+		arrived = true
 	case duplicated:
 		deliver()
 		deliver()
-		came = true
+		arrived = true
 	case delayed:
 		w.inDelay[number+delayedBy] = append(w.inDelay[number+delayedBy], deliver)
 	case lost:
 	}
-	for _, waiting := range w.inDelay[number] {
-		waiting()
+	for _, deliverDelayed := range w.inDelay[number] {
+		deliverDelayed()
 	}
 	delete(w.inDelay, number)
-	return came
+	return arrived
 }
 
 // flush delivers all delayed messages.
@@ -80,8 +80,8 @@
 	for len(w.inDelay) > 0 {
 		for number, list := range w.inDelay {
 			delete(w.inDelay, number)
-			for _, waiting := range list {
-				waiting()
+			for _, deliverDelayed := range list {
+				deliverDelayed()
 			}
 		}
 	}
@@ -243,13 +243,13 @@
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
 			id := rapid.SampledFrom([]string{"e", "f"}).Draw(t, "endpoint")
 			member := rapid.SampledFrom([]string{"core-1", "core-2"}).Draw(t, "member")
-			switch rapid.SampledFrom([]string{"heartbeat", "heartbeat", "draining", "sign-off", "sweep"}).Draw(t, "what") {
+			switch rapid.SampledFrom([]string{"heartbeat", "heartbeat", "draining", "deregister", "sweep"}).Draw(t, "what") {
 			case "heartbeat":
 				w.sendRandomHeartbeat(t, id, member, sequences, draining[id])
 			case "draining":
 				draining[id] = true // for good
 				w.sendRandomHeartbeat(t, id, member, sequences, true)
-			case "sign-off":
+			case "deregister":
 				handle := func(table *Table) (state.Endpoint, Change) { return table.Deregister(w.now, id) }
 				deregistered[id] = w.call(t, member, handle) || deregistered[id]
 			case "sweep":
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -17,6 +17,8 @@
 // path is one direction between two zones.
 type path struct{ from, to string }
 
+func (p path) reverse() path { return path{from: p.to, to: p.from} }
+
 // faultRun injects generated faults into a simulation and records where and when they happened.
 type faultRun struct {
 	*simulation
@@ -73,15 +75,15 @@
 		r.freeze(n, span)
 		r.nodeFaultAt[n] = r.now.Add(span)
 	case 4:
-		w := r.pickPath()
-		r.setBlocked(w, true)
+		p := r.pickPath()
+		r.setBlocked(p, true)
 		if rapid.Bool().Draw(r.rt, "both ways") {
-			r.setBlocked(path{w.to, w.from}, true)
+			r.setBlocked(p.reverse(), true)
 		}
 	case 5:
-		w := r.pickPath()
-		r.setBlocked(w, false)
-		r.setBlocked(path{w.to, w.from}, false)
+		p := r.pickPath()
+		r.setBlocked(p, false)
+		r.setBlocked(p.reverse(), false)
 	case 6:
 		r.putNewest()
 	case 7:
@@ -90,11 +92,13 @@
 	}
 }
 
-func (r *faultRun) setBlocked(w path, cut bool) {
-	r.blockedPaths[w] = cut
-	r.pathFaultAt[w] = r.now
+// setBlocked blocks or unblocks a path.
+func (r *faultRun) setBlocked(p path, blocked bool) {
+	r.blockedPaths[p] = blocked
+	r.pathFaultAt[p] = r.now
 }
 
+// restart starts a machine's process unless it runs.
 func (r *faultRun) restart(n *simNode) {
 	if !n.running {
 		r.start(n)
@@ -127,8 +131,9 @@
 			return false
 		}
 	}
-	for _, w := range []path{{x.member.Zone, y.member.Zone}, {y.member.Zone, x.member.Zone}} {
-		if r.blockedPaths[w] || r.now.Sub(r.pathFaultAt[w]) < settlePeriod {
+	there := path{x.member.Zone, y.member.Zone}
+	for _, p := range []path{there, there.reverse()} {
+		if r.blockedPaths[p] || r.now.Sub(r.pathFaultAt[p]) < settlePeriod {
 			return false
 		}
 	}
