--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -32,7 +32,10 @@
 }
 
 func newFakeMembers() *fakeMembers {
-	return &fakeMembers{self: newProxyMember("n1", 1, state.MemberStarting), subscribers: map[gossip.TableID]func(gossip.Entry){}}
+	return &fakeMembers{
+		self:        newProxyMember("n1", 1, state.MemberStarting),
+		subscribers: map[gossip.TableID]func(gossip.Entry){},
+	}
 }
 
 func (f *fakeMembers) Self() state.Member {
@@ -147,5 +150,11 @@
 
 // newWaitingRequest returns a request that waits for up to five seconds.
 func newWaitingRequest(since subscription.Cursor, reported state.MemberState) *subscription.Request {
-	return &subscription.Request{Since: since, WaitMillis: 5000, Incarnation: 1, State: reported, ClientAddress: "10.0.0.1:80"}
+	return &subscription.Request{
+		Since:         since,
+		WaitMillis:    5000,
+		Incarnation:   1,
+		State:         reported,
+		ClientAddress: "10.0.0.1:80",
+	}
 }
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -21,16 +21,19 @@
 // TestObservationForwarder_GroupsByReceiver: observations go to the receiver of the endpoint's heartbeats or, if that
 // isn't live, to all core members.
 func TestObservationForwarder_GroupsByReceiver(t *testing.T) {
-	o := &observationForwarder{
+	forwarder := &observationForwarder{
 		members: func() []state.Member {
-			return []state.Member{{Name: "a", Role: state.RoleAgent, Address: "a:1"},
-				{Name: "c1", Role: state.RoleCore, Address: "c1:1"}, {Name: "c2", Role: state.RoleCore, Address: "c2:1"}}
+			return []state.Member{
+				{Name: "a", Role: state.RoleAgent, Address: "a:1"},
+				{Name: "c1", Role: state.RoleCore, Address: "c1:1"},
+				{Name: "c2", Role: state.RoleCore, Address: "c2:1"},
+			}
 		},
 		receiversOf: func([]string) map[string]string { return map[string]string{"e1": "c1", "e2": "down"} },
 	}
 	one, two := state.Observation{EndpointID: "e1", Failures: 1}, state.Observation{EndpointID: "e2", Failures: 2}
 	assert.Equal(t, map[string][]state.Observation{"c1:1": {one, two}, "c2:1": {two}},
-		o.groupByAddress([]state.Observation{one, two}))
+		forwarder.groupByAddress([]state.Observation{one, two}))
 }
 
 func TestObservationForwarder_Forwards(t *testing.T) {
@@ -45,13 +48,17 @@
 	client := rpc.NewClient()
 	defer client.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	o := &observationForwarder{observer: "a", client: client, callSlots: make(chan struct{}, 1),
+	forwarder := &observationForwarder{
+		observer:    "a",
+		client:      client,
 		members:     func() []state.Member { return []state.Member{{Name: "c", Role: state.RoleCore, Address: address}} },
-		receiversOf: func([]string) map[string]string { return nil }}
-	seen := []state.Observation{{EndpointID: "e", Unacknowledged: true}}
-	o.forward(t.Context(), nil)
-	o.forward(t.Context(), seen)
-	assert.Equal(t, &exchange.ObserveRequest{Observer: "a", Observations: seen}, <-received)
+		receiversOf: func([]string) map[string]string { return nil },
+		callSlots:   make(chan struct{}, 1),
+	}
+	observations := []state.Observation{{EndpointID: "e", Unacknowledged: true}}
+	forwarder.forward(t.Context(), nil)
+	forwarder.forward(t.Context(), observations)
+	assert.Equal(t, &exchange.ObserveRequest{Observer: "a", Observations: observations}, <-received)
 }
 
 func TestPoll_ForwardsObservations(t *testing.T) {
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -38,9 +38,20 @@
 	serve(listener, &http.Server{Handler: mux})
 	client := rpc.NewClient()
 	log := zerolog.Nop()
-	seed, err := member.Start(t.Context(), member.Options{Settings: &process, Client: client, Mux: mux, Log: &log,
-		Self: state.Member{Name: "seed", Role: state.RoleCore, Zone: "z", Region: "r",
-			Address: process.InnerAddress(), State: state.MemberReady}})
+	seed, err := member.Start(t.Context(), member.Options{
+		Settings: &process,
+		Client:   client,
+		Mux:      mux,
+		Log:      &log,
+		Self: state.Member{
+			Name:    "seed",
+			Role:    state.RoleCore,
+			Zone:    "z",
+			Region:  "r",
+			Address: process.InnerAddress(),
+			State:   state.MemberReady,
+		},
+	})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		seed.Close()
@@ -52,6 +63,7 @@
 
 // publish has the seed gossip a value.
 func publish(t *testing.T, seed *member.Service, table gossip.TableID, key string, version uint64, value any) {
+	t.Helper()
 	encoded, err := cbor.Marshal(value)
 	require.NoError(t, err)
 	seed.Put(gossip.Entry{Table: table, Key: key, Version: gossip.NewVersion(version, 0), Value: encoded})
@@ -64,23 +76,30 @@
 }
 
 func startAgentProcess(t *testing.T, process *settings.Process, path string) agentProcess {
+	t.Helper()
 	ctx, terminate := context.WithCancel(t.Context())
 	log := zerolog.Nop()
-	l := agentProcess{terminate: terminate, ended: make(chan error, 1)}
-	go func() { l.ended <- Run(ctx, Options{Settings: process, SettingsPath: path, Log: &log}) }()
-	return l
+	started := agentProcess{terminate: terminate, ended: make(chan error, 1)}
+	go func() { started.ended <- Run(ctx, Options{Settings: process, SettingsPath: path, Log: &log}) }()
+	return started
 }
 
 // pollUntil polls as a proxy does until the condition on the proxy's copy holds.
-func pollUntil(t *testing.T, client *rpc.Client, address string, proxy *proxyReplica, wanted func() bool) {
-	request := &subscription.Request{Incarnation: 1, State: state.MemberReady, ClientAddress: "127.0.0.1:80", WaitMillis: 1000}
+func pollUntil(t *testing.T, client *rpc.Client, address string, proxy *proxyReplica, condition func() bool) {
+	t.Helper()
+	request := &subscription.Request{
+		Incarnation:   1,
+		State:         state.MemberReady,
+		ClientAddress: "127.0.0.1:80",
+		WaitMillis:    1000,
+	}
 	require.Eventually(t, func() bool {
 		request.Since = proxy.cursor
 		response, err := subscription.Watch.Call(t.Context(), client, address, request)
 		if err == nil {
 			proxy.apply(response)
 		}
-		return wanted()
+		return condition()
 	}, 20*time.Second, time.Millisecond)
 }
 
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -119,14 +119,24 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{register: &fakeRegister{}, replicator: &fakeReplicator{down: map[string]bool{}},
-		voters: &fakeVoters{"core-1", "core-2", "core-3"}}
+	t.Helper()
+	f := &fixture{
+		register:   &fakeRegister{},
+		replicator: &fakeReplicator{down: map[string]bool{}},
+		voters:     &fakeVoters{"core-1", "core-2", "core-3"},
+	}
 	f.table = endpoints.Start(endpoints.Options{Self: "core-1", HeartbeatInterval: time.Second}, time.Now)
 	t.Cleanup(f.table.Stop)
 	log := zerolog.Nop()
-	f.handler = New(Options{Register: f.register, Endpoints: f.table, Replicator: f.replicator,
-		Quorum:  &quorum.Checker{Voters: f.voters, Self: "core-1", IsLive: f.replicator.isLive},
-		Regions: map[string]string{"z1": "r1"}, ForwardTo: func(_, zone string) string { return zone + ":1" }, Log: &log})
+	f.handler = New(Options{
+		Register:   f.register,
+		Endpoints:  f.table,
+		Replicator: f.replicator,
+		Quorum:     &quorum.Checker{Voters: f.voters, Self: "core-1", IsLive: f.replicator.isLive},
+		Regions:    map[string]string{"z1": "r1"},
+		ForwardTo:  func(_, zone string) string { return zone + ":1" },
+		Log:        &log,
+	})
 	return f
 }
 
--- a/serving/operator/threecores_test.go
+++ b/serving/operator/threecores_test.go
@@ -67,10 +67,18 @@
 	}
 	var cores []*core
 	for machine, listener := range listeners {
-		process := &settings.Process{NodeName: fmt.Sprintf("core-%d", machine+1), Zone: fmt.Sprintf("z%d", machine+1),
-			Region: "r", IP: fmt.Sprintf("127.0.0.%d", machine+1), FirstPort: port, LastPort: port + 1, Seeds: seeds,
-			FirstRun: true, Regions: map[string]string{"z1": "r", "z2": "r", "z3": "r"}, HeartbeatInterval: time.Second}
-		cores = append(cores, startCore(t, process, listener))
+		cores = append(cores, startCore(t, &settings.Process{
+			NodeName:          fmt.Sprintf("core-%d", machine+1),
+			Zone:              fmt.Sprintf("z%d", machine+1),
+			Region:            "r",
+			Regions:           map[string]string{"z1": "r", "z2": "r", "z3": "r"},
+			IP:                fmt.Sprintf("127.0.0.%d", machine+1),
+			FirstPort:         port,
+			LastPort:          port + 1,
+			Seeds:             seeds,
+			FirstRun:          true,
+			HeartbeatInterval: time.Second,
+		}, listener))
 	}
 	return cores
 }
@@ -91,25 +99,51 @@
 }
 
 func startCore(t *testing.T, process *settings.Process, listener net.Listener) *core {
+	t.Helper()
 	log := zerolog.Nop()
 	ctx, stop := context.WithCancel(context.Background())
 	client := rpc.NewClient()
 	mux := http.NewServeMux()
 	inner := &httptest.Server{Listener: listener, Config: &http.Server{Handler: mux}}
 	inner.Start()
-	self := state.Member{Name: process.NodeName, Role: state.RoleCore, Zone: process.Zone, Region: process.Region,
-		Address: process.InnerAddress(), ControlAddress: process.IP + ":1", State: state.MemberReady}
+	self := state.Member{
+		Name:           process.NodeName,
+		Role:           state.RoleCore,
+		Zone:           process.Zone,
+		Region:         process.Region,
+		Address:        process.InnerAddress(),
+		ControlAddress: process.IP + ":1",
+		State:          state.MemberReady,
+	}
 	members, err := member.Start(ctx, member.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
 	require.NoError(t, err)
-	node, err := register.Start(ctx, register.NodeOptions{Settings: process, Storage: &memoryStorage{}, Client: client,
-		Mux: mux, Log: &log, Committed: func(state.Record) {}, Peers: func() []register.Peer { return nil }})
+	node, err := register.Start(ctx, register.NodeOptions{
+		Settings:  process,
+		Storage:   &memoryStorage{},
+		Client:    client,
+		Mux:       mux,
+		Log:       &log,
+		Committed: func(state.Record) {},
+		Peers:     func() []register.Peer { return nil },
+	})
 	require.NoError(t, err)
 	quorumChecker := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: members.IsLiveAt}
-	endpointExchange := exchange.Start(ctx, exchange.Options{Gossip: members, HeartbeatInterval: process.HeartbeatInterval,
-		HasQuorum: quorumChecker.HasQuorum, Log: &log})
+	endpointExchange := exchange.Start(ctx, exchange.Options{
+		Gossip:            members,
+		HeartbeatInterval: process.HeartbeatInterval,
+		HasQuorum:         quorumChecker.HasQuorum,
+		Log:               &log,
+	})
 	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: members.Members, Clock: time.Now}
-	handler := operator.New(operator.Options{Register: operator.NewRegister(node), Endpoints: endpointExchange.Table(),
-		Replicator: endpointExchange, Quorum: quorumChecker, Regions: process.Regions, ForwardTo: forwarder.ForwardTo, Log: &log})
+	handler := operator.New(operator.Options{
+		Register:   operator.NewRegister(node),
+		Endpoints:  endpointExchange.Table(),
+		Replicator: endpointExchange,
+		Quorum:     quorumChecker,
+		Regions:    process.Regions,
+		ForwardTo:  forwarder.ForwardTo,
+		Log:        &log,
+	})
 	c := &core{name: process.NodeName, handler: handler, exchange: endpointExchange, inner: inner}
 	c.stop = func() {
 		stop()
