--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -27,7 +27,10 @@
 		}
 		text.WriteString("}\n")
 		if m >= members/10 {
-			weights = append(weights, shardmap.MemberWeight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
+			weights = append(weights, shardmap.MemberWeight{
+				Member: cluster.MemberID(fmt.Sprint("m", m)),
+				Weight: 1,
+			})
 		}
 	}
 	for m := range members / 20 {
@@ -82,7 +85,10 @@
 	var weights []shardmap.MemberWeight
 	for m := range members {
 		fmt.Fprintf(&text, "member \"m%d\" { room = %d }\n", m, n/members)
-		weights = append(weights, shardmap.MemberWeight{Member: cluster.MemberID(fmt.Sprint("m", m)), Weight: 1})
+		weights = append(weights, shardmap.MemberWeight{
+			Member: cluster.MemberID(fmt.Sprint("m", m)),
+			Weight: 1,
+		})
 	}
 	text.WriteString("member \"spare\" {\n  room = 1\n  weight = 0\n}\n")
 	m := &shardmap.Map{Version: 1}
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -76,7 +76,12 @@
 	if err != nil {
 		panic(err) // nothing in a command can fail to encode
 	}
-	return cluster.Command{Component: cluster.RebalanceComponent, FencedBy: cluster.CoordinatorResource, Epoch: cluster.Epoch(e), Body: body}
+	return cluster.Command{
+		Component: cluster.RebalanceComponent,
+		FencedBy:  cluster.CoordinatorResource,
+		Epoch:     cluster.Epoch(e),
+		Body:      body,
+	}
 }
 
 // Adopt makes a plan the running one. current is the number of the plan that the coordinator knows as the running one:
--- a/cluster/rebalance/scheduler_test.go
+++ b/cluster/rebalance/scheduler_test.go
@@ -118,7 +118,11 @@
 	require.NoError(t, sim.adoptPlan(twoMembers+"member \"c\" {}\npin \"p\" {\n "+hashesIn(0,
 		2)+"\n to = \"b\"\n}\nleave \"a\" {}\n"))
 	delete(sim.leases, cluster.RangeOwnerResource(1))
-	sim.mustPropose(shardmap.Coordinator(1).FailOver([]shardmap.Takeover{{Range: 1, PreviousOwner: "a", NewOwner: "c"}}))
+	sim.mustPropose(shardmap.Coordinator(1).FailOver([]shardmap.Takeover{{
+		Range:         1,
+		PreviousOwner: "a",
+		NewOwner:      "c",
+	}}))
 	out := sim.schedule()
 	require.Len(t, out.Actions, 1)
 	assert.Equal(t, ActionReplan, out.Actions[0].Kind)
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -115,7 +115,14 @@
 			s.free[from]++
 		}
 	}
-	s.inFlight = append(s.inFlight, move{rangeIndex: i, from: from, to: to, kind: kind, id: v.ID, rules: rules})
+	s.inFlight = append(s.inFlight, move{
+		rangeIndex: i,
+		from:       from,
+		to:         to,
+		kind:       kind,
+		id:         v.ID,
+		rules:      rules,
+	})
 }
 
 // memberOrUnknown returns a member's index, or one that no member of the file has.
--- a/cluster/rebalance/simulation_test.go
+++ b/cluster/rebalance/simulation_test.go
@@ -45,8 +45,13 @@
 
 // newSimulation returns a simulation with one range for each owner, of equal widths and all served.
 func newSimulation(t testingT, owners ...cluster.MemberID) *simulation {
-	sim := &simulation{t: t, progress: &Progress{}, leases: map[cluster.Resource]lease{}, gone: map[cluster.MemberID]bool{},
-		isBaseStart: map[cluster.KeyHash]bool{}}
+	sim := &simulation{
+		t:           t,
+		progress:    &Progress{},
+		leases:      map[cluster.Resource]lease{},
+		gone:        map[cluster.MemberID]bool{},
+		isBaseStart: map[cluster.KeyHash]bool{},
+	}
 	sim.shards = shardmap.New(sim)
 	even, err := shardmap.EvenRanges(len(owners), []shardmap.MemberWeight{{Member: "x", Weight: 1}})
 	require.NoError(t, err)
@@ -107,8 +112,11 @@
 }
 
 func (sim *simulation) schedule() Decisions {
-	seen := Observations{SinceLastMove: sim.file.Limits.Cooldown, RangeValue: sim.rangeValue,
-		IsGone: func(m cluster.MemberID) bool { return sim.gone[m] }}
+	seen := Observations{
+		SinceLastMove: sim.file.Limits.Cooldown,
+		RangeValue:    sim.rangeValue,
+		IsGone:        func(m cluster.MemberID) bool { return sim.gone[m] },
+	}
 	return sim.progress.Schedule(sim.file, sim.shards, seen)
 }
 
--- a/test/checker/deliverycheck/checker_test.go
+++ b/test/checker/deliverycheck/checker_test.go
@@ -27,12 +27,22 @@
 		{"no answer", func(s scenario) { s.submit(0, "a", "status", 0) }, "[]"},
 		{"not yet due", func(s scenario) { s.submit(15000, "a", "status", 202) }, "[]"},
 		{"one subscriber of two", func(s scenario) {
-			s.RecordSubmission(deliverycheck.Submission{ID: "a", Member: "m1", Destinations: []api.DestinationID{3, 4}, Type: "status"})
+			s.RecordSubmission(deliverycheck.Submission{
+				ID:           "a",
+				Member:       "m1",
+				Destinations: []api.DestinationID{3, 4},
+				Type:         "status",
+			})
 			s.RecordResponse(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 		}, "[lost]"},
 		{"the other is told of", func(s scenario) {
-			s.RecordSubmission(deliverycheck.Submission{ID: "a", Member: "m1", Destinations: []api.DestinationID{3, 4}, Type: "status"})
+			s.RecordSubmission(deliverycheck.Submission{
+				ID:           "a",
+				Member:       "m1",
+				Destinations: []api.DestinationID{3, 4},
+				Type:         "status",
+			})
 			s.RecordResponse(1, "a", 202)
 			s.call(1, 2, "m1", "a")
 			s.RecordNotice(9, "m2", "a", "given_up", 4)
@@ -189,7 +199,12 @@
 		{"never handed in", func(s scenario) { s.call(1, 2, "m1", "x") }, "[astray]"},
 		{"a notice of nothing", func(s scenario) { s.RecordNotice(1, "m1", "x", "given_up") }, "[astray]"},
 		{"for another destination", func(s scenario) {
-			s.RecordSubmission(deliverycheck.Submission{ID: "a", Member: "m1", Destinations: []api.DestinationID{4}, Type: "status"})
+			s.RecordSubmission(deliverycheck.Submission{
+				ID:           "a",
+				Member:       "m1",
+				Destinations: []api.DestinationID{4},
+				Type:         "status",
+			})
 			s.call(1, 2, "m1", "a")
 		}, "[astray]"},
 	} {
@@ -212,8 +227,15 @@
 	s.call(1, 2, "m1", "a")
 	s.RecordRateExceeded()
 	assert.Equal(t, 1, s.Outstanding())
-	assert.Equal(t, deliverycheck.Counts{Submitted: 4, Accepted: 2, Rejected: 1, Unanswered: 1, Delivered: 1, Calls: 1,
+	assert.Equal(t, deliverycheck.Counts{
+		Submitted:    4,
+		Accepted:     2,
+		Rejected:     1,
+		Unanswered:   1,
+		Delivered:    1,
+		Calls:        1,
 		RateExceeded: 1,
-		Effects:      1},
+		Effects:      1,
+	},
 		s.Counts())
 }
--- a/test/checker/deliverycheck/scenario_test.go
+++ b/test/checker/deliverycheck/scenario_test.go
@@ -17,9 +17,17 @@
 			"charge": {Semantics: api.AtMostOnce},
 			"ride":   {Semantics: api.Idempotent, Ordered: true},
 		},
-		Settings: api.Settings{MaxRetryAfter: 3000 * millisecond, SlowStartCapacity: 0.2, SlowStartDuration: 4000 * millisecond, OverloadFactor: 2,
-			OverloadDuration: 1000 * millisecond},
-		Slack: 500 * millisecond, DrainGrace: 550 * millisecond, NotifiedWithin: 6000 * millisecond, WaitGrace: 100 * millisecond,
+		Settings: api.Settings{
+			MaxRetryAfter:     3000 * millisecond,
+			SlowStartCapacity: 0.2,
+			SlowStartDuration: 4000 * millisecond,
+			OverloadFactor:    2,
+			OverloadDuration:  1000 * millisecond,
+		},
+		Slack:          500 * millisecond,
+		DrainGrace:     550 * millisecond,
+		NotifiedWithin: 6000 * millisecond,
+		WaitGrace:      100 * millisecond,
 	}
 }
 
@@ -28,8 +36,14 @@
 
 // submit records a submission and its response. more is the key, and the ID that it is a retry of.
 func (s scenario) submit(at api.Micros, id, class string, code int, more ...string) {
-	h := deliverycheck.Submission{At: at * millisecond, ID: id, Member: "m1", Destinations: []api.DestinationID{3}, Type: class,
-		TTL: 9000 * millisecond}
+	h := deliverycheck.Submission{
+		At:           at * millisecond,
+		ID:           id,
+		Member:       "m1",
+		Destinations: []api.DestinationID{3},
+		Type:         class,
+		TTL:          9000 * millisecond,
+	}
 	if len(more) > 0 {
 		h.Key = more[0]
 	}
@@ -42,7 +56,13 @@
 
 // call records a call with a webhook. how tells what becomes of it; delivered if it is missing.
 func (s scenario) call(from, to api.Micros, member, id string, how ...string) {
-	c := s.RecordCall(deliverycheck.Call{At: from * millisecond, Member: member, Endpoint: "e", Destination: 3, IDs: []string{id}})
+	c := s.RecordCall(deliverycheck.Call{
+		At:          from * millisecond,
+		Member:      member,
+		Endpoint:    "e",
+		Destination: 3,
+		IDs:         []string{id},
+	})
 	switch fmt.Sprint(how) {
 	case "[]":
 		s.RecordEffect(to*millisecond, c, id)
@@ -73,9 +93,15 @@
 // submitAtTwoMembers submits two webhooks of a key at two members, and calls with the second first.
 func (s scenario) submitAtTwoMembers() {
 	s.submit(0, "a", "ride", 202, "k")
-	s.RecordSubmission(deliverycheck.Submission{At: 5 * millisecond, ID: "b", Member: "m2", Destinations: []api.DestinationID{3},
-		Type: "ride", Key: "k",
-		TTL: 9000 * millisecond})
+	s.RecordSubmission(deliverycheck.Submission{
+		At:           5 * millisecond,
+		ID:           "b",
+		Member:       "m2",
+		Destinations: []api.DestinationID{3},
+		Type:         "ride",
+		Key:          "k",
+		TTL:          9000 * millisecond,
+	})
 	s.RecordResponse(6*millisecond, "b", 202)
 	s.call(7, 8, "m2", "b")
 	s.call(9, 10, "m2", "a")
--- a/test/fake/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -134,13 +134,23 @@
 func TestLoad_RetriesAfterRejection(t *testing.T) {
 	p := newPlatform(t)
 	startMember(t, p, http.StatusServiceUnavailable)
-	p.StartLoad(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, Clients: 2, MaxWebhooks: 4,
+	p.StartLoad(context.Background(), platform.Load{
+		Members:     []string{"m1"},
+		PerSecond:   200,
+		Clients:     2,
+		MaxWebhooks: 4,
 		MaxAttempts: 3,
-		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} }})()
+		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} },
+	})()
 	assert.Equal(t, deliverycheck.Counts{Submitted: 12, Rejected: 12}, p.Checker.Counts())
 	require.NoError(t, p.SetClientAddr("m1", "127.0.0.1:1"))
-	p.StartLoad(context.Background(), platform.Load{Members: []string{"m1"}, PerSecond: 200, MaxWebhooks: 4, MaxAttempts: 3,
-		Next: func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} }})()
+	p.StartLoad(context.Background(), platform.Load{
+		Members:     []string{"m1"},
+		PerSecond:   200,
+		MaxWebhooks: 4,
+		MaxAttempts: 3,
+		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} },
+	})()
 	assert.Equal(t, 4, p.Checker.Counts().Unanswered, "a token is not handed in again unanswered")
 }
 
--- a/test/integration/cluster/cluster_test.go
+++ b/test/integration/cluster/cluster_test.go
@@ -59,18 +59,30 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
 	next := func(n int) platform.Webhook {
-		return platform.Webhook{Type: types[n%3], Destination: api.DestinationID(1 + n/3%4), TTL: 8 * time.Second,
-			Body: "a webhook's body"}
+		return platform.Webhook{
+			Type:        types[n%3],
+			Destination: api.DestinationID(1 + n/3%4),
+			TTL:         8 * time.Second,
+			Body:        "a webhook's body",
+		}
 	}
-	waits := []func(){c.Platform.StartLoad(ctx, platform.Load{Members: c.Names(), PerSecond: 90, Clients: 12,
-		Next: next})}
+	waits := []func(){c.Platform.StartLoad(ctx, platform.Load{
+		Members:   c.Names(),
+		PerSecond: 90,
+		Clients:   12,
+		Next:      next,
+	})}
 	for _, name := range c.Names() {
-		waits = append(waits, c.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 40, Clients: 2,
+		waits = append(waits, c.Platform.StartLoad(ctx, platform.Load{
+			Members:   []string{name},
+			PerSecond: 40,
+			Clients:   2,
 			Next: func(n int) platform.Webhook {
 				w := next(3 * n)
 				w.Type, w.Key = "ride", name
 				return w
-			}}))
+			},
+		}))
 	}
 	return func() {
 		cancel()
@@ -99,7 +111,7 @@
 // awaitOperation waits until the holder of the checked resource is in the midst of an operation, and returns the holder
 // and its epoch. If members are given, it has to be one of them.
 func awaitOperation(c *harness.Cluster) (holder *harness.Member, epoch uint64) {
-	c.Eventually("a deed is under way", func() bool {
+	c.Eventually("an operation is in flight", func() bool {
 		operation := lastOperation(c)
 		if operation.Epoch == 0 || operation.Until != api.Never {
 			return false
@@ -112,7 +124,7 @@
 
 // awaitNewHolder waits until an operation of a later epoch has ended.
 func awaitNewHolder(c *harness.Cluster, epoch uint64) {
-	c.Eventually("the errand is taken up anew", func() bool {
+	c.Eventually("another holder has done an operation", func() bool {
 		d := lastOperation(c)
 		return d.Epoch > epoch && d.Until != api.Never
 	})
@@ -121,7 +133,7 @@
 // awaitOperations waits until some more operations have ended, of any holder.
 func awaitOperations(c *harness.Cluster) {
 	n := len(c.LeaseChecker.Operations(checkedResource))
-	c.Eventually("deeds go on", func() bool { return len(c.LeaseChecker.Operations(checkedResource)) > n+3 })
+	c.Eventually("operations go on", func() bool { return len(c.LeaseChecker.Operations(checkedResource)) > n+3 })
 }
 
 // sleepTTLs sleeps for a number of lease TTLs.
--- a/test/integration/cluster/diskfull_test.go
+++ b/test/integration/cluster/diskfull_test.go
@@ -11,7 +11,13 @@
 
 // startLoaded starts a cluster under load in which all members want the checked resource, with drifting clocks.
 func startLoaded(t *testing.T) (c *harness.Cluster, stop func()) {
-	c = startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource}})
+	c = startCluster(t, harness.Options{
+		Members:          4,
+		RaftNodes:        3,
+		Ranges:           8,
+		ClockRates:       driftingClocks,
+		CheckedResources: []string{checkedResource},
+	})
 	slowDestinations(t, c)
 	awaitOperations(c)
 	return c, startLoad(c)
@@ -21,8 +27,8 @@
 // is space again all goes on without help.
 func TestDiskFull_RecoversByItself(t *testing.T) {
 	for name, who := range map[string]func(c *harness.Cluster) *harness.Member{
-		"of the leading keeper": (*harness.Cluster).AwaitLeader,
-		"of a home":             func(c *harness.Cluster) *harness.Member { m, _ := awaitOwner(c); return m },
+		"of the raft leader": (*harness.Cluster).AwaitLeader,
+		"of an owner":        func(c *harness.Cluster) *harness.Member { m, _ := awaitOwner(c); return m },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/test/integration/cluster/failover_bench_test.go
+++ b/test/integration/cluster/failover_bench_test.go
@@ -22,8 +22,13 @@
 		span, err = time.ParseDuration(told)
 		require.NoError(b, err)
 	}
-	c := harness.Start(b, harness.Options{Binary: binary, LeaseTTL: span, Members: 4, RaftNodes: 3,
-		CheckedResources: []string{checkedResource}})
+	c := harness.Start(b, harness.Options{
+		Binary:           binary,
+		LeaseTTL:         span,
+		Members:          4,
+		RaftNodes:        3,
+		CheckedResources: []string{checkedResource},
+	})
 	c.AwaitStable()
 	var led, all []float64
 	who := c.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+checkedResource+" ")
--- a/test/integration/cluster/forward_test.go
+++ b/test/integration/cluster/forward_test.go
@@ -18,12 +18,16 @@
 func runInDoubtScenario(t *testing.T, offer func(c *harness.Cluster, owner, entry *harness.Member) (id string),
 	meanwhile func(entry *harness.Member)) {
 	t.Parallel()
-	c := startCluster(t, harness.Options{RaftNodes: 1, Ranges: 1, MemberSettings: func(m string) string {
-		if m == "m1" { // keeps the log, and no range goes to it
-			return "  weight = 0\n"
-		}
-		return ""
-	}})
+	c := startCluster(t, harness.Options{
+		RaftNodes: 1,
+		Ranges:    1,
+		MemberSettings: func(m string) string {
+			if m == "m1" { // a raft node that owns no range
+				return "  weight = 0\n"
+			}
+			return ""
+		},
+	})
 	owner, entry := awaitOwner(c)
 	delivered := func(by *harness.Member, atLeast string) { // and the answer is heard
 		c.Eventually(by.Name+" has delivered", func() bool {
@@ -37,7 +41,7 @@
 	id := offer(c, owner, entry)
 	delivered(owner, "2")
 	owner.Pause()
-	c.Eventually("the entry is home", func() bool { return c.Owner(1) == entry })
+	c.Eventually("the forwarding member is the owner", func() bool { return c.Owner(1) == entry })
 	meanwhile(entry)
 	c.Platform.Submit(entry.Name, newWebhook("status"))
 	delivered(entry, "1")
--- a/test/integration/cluster/interruptedplan_test.go
+++ b/test/integration/cluster/interruptedplan_test.go
@@ -34,10 +34,19 @@
 	dests ...api.DestinationID) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types := []string{"status", "paid", "charge"}
-	wait := c.Platform.StartLoad(ctx, platform.Load{Members: []string{at.Name}, PerSecond: perSecond, Clients: 6,
+	wait := c.Platform.StartLoad(ctx, platform.Load{
+		Members:   []string{at.Name},
+		PerSecond: perSecond,
+		Clients:   6,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%3], Destination: dests[n/3%len(dests)], TTL: 20 * time.Second, Body: "x"}
-		}})
+			return platform.Webhook{
+				Type:        types[n%3],
+				Destination: dests[n/3%len(dests)],
+				TTL:         20 * time.Second,
+				Body:        "x",
+			}
+		},
+	})
 	return func() {
 		cancel()
 		wait()
@@ -69,8 +78,11 @@
 // startInterruptedPlan starts a cluster with a plan, and waits until one range has moved and the other can't.
 func startInterruptedPlan(t *testing.T, blocks string) *interruptedPlan {
 	c := startLongTTLCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
-	m := &interruptedPlan{cluster: c, blockedTarget: c.Members[3]} // no raft node, so that a partition doesn't affect the raft log
-	c.Eventually("two homes", func() bool {
+	m := &interruptedPlan{
+		cluster:       c,
+		blockedTarget: c.Members[3], // no raft node, so that a partition doesn't affect the raft log
+	}
+	c.Eventually("two owners", func() bool {
 		leader, shards := c.Leader(), c.ShardMap()
 		m.blocked, m.moved = 0, 0
 		for d := range api.DestinationID(4) {
@@ -100,7 +112,7 @@
 	c.Network.SetFaultBetween(m.source.Name, m.blockedTarget.Name, harness.Partition)
 	m.offsets = c.LogOffsets()
 	c.ReloadOperatorFiles(m.operatorBlocks(true, blocks))
-	c.Eventually("one has moved, the other can't", func() bool {
+	c.Eventually("one range has moved, the other can't", func() bool {
 		shards := c.ShardMap()
 		if shards == nil || c.Owner(m.moved) != m.target {
 			return false
@@ -115,7 +127,7 @@
 
 // awaitRollBack waits until the blocked move was rolled back, and checks that the range that had switched stays.
 func (m *interruptedPlan) awaitRollBack(t *testing.T) {
-	m.cluster.Eventually("the held move went back", func() bool {
+	m.cluster.Eventually("the blocked move was rolled back", func() bool {
 		shards := m.cluster.ShardMap()
 		if shards == nil {
 			return false
@@ -176,7 +188,7 @@
 	m.cluster.AwaitStable()
 	was, _ := before.RangeOf(cluster.DestinationKeyHash(m.moved))
 	is, _ := m.cluster.ShardMap().RangeOf(cluster.DestinationKeyHash(m.moved))
-	assert.Equal(t, was.Epoch, is.Epoch, "it was let go of meanwhile")
+	assert.Equal(t, was.Epoch, is.Epoch, "the lease was released meanwhile")
 	m.finish()
 }
 
@@ -184,12 +196,17 @@
 // making a new plan. The raft nodes own no ranges here, so that nothing else is lost.
 func TestPlan_CoordinatorKilled(t *testing.T) {
 	t.Parallel()
-	c := startLongTTLCluster(t, harness.Options{Members: 5, RaftNodes: 3, Ranges: 8, MemberSettings: func(m string) string {
-		if m == "m4" || m == "m5" {
-			return ""
-		}
-		return "  weight = 0\n"
-	}})
+	c := startLongTTLCluster(t, harness.Options{
+		Members:   5,
+		RaftNodes: 3,
+		Ranges:    8,
+		MemberSettings: func(m string) string {
+			if m == "m4" || m == "m5" {
+				return ""
+			}
+			return "  weight = 0\n"
+		},
+	})
 	stop, offsets, drained := startLoadAt(c, c.Members[4], lowRate, 1, 2, 3, 4), c.LogOffsets(), c.Members[3]
 	c.ReloadOperatorFiles("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
 	conductor := c.AwaitLog(offsets, "INFO move planned ")
@@ -202,7 +219,7 @@
 	c.AwaitStable(drained)
 	for _, m := range c.Members {
 		_, anew := m.Log.Find(next[m], "plan taken up")
-		assert.False(t, anew, "%s made the plan anew", m.Name)
+		assert.False(t, anew, "%s made the plan again", m.Name)
 	}
 	stop()
 	c.Check(deliverycheck.Order)
@@ -214,7 +231,7 @@
 	t.Parallel()
 	c := startLongTTLCluster(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
 	var owner, target *harness.Member
-	c.Eventually("homes", func() bool { owner = c.Owner(2); return owner != nil && c.Owner(4) == owner })
+	c.Eventually("an owner of both destinations", func() bool { owner = c.Owner(2); return owner != nil && c.Owner(4) == owner })
 	for _, m := range c.Members {
 		if m != owner {
 			target = m
--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -11,7 +11,12 @@
 
 // startLeaseChecked starts a cluster in which all members want the checked resource.
 func startLeaseChecked(t *testing.T, rates map[string]float64) *harness.Cluster {
-	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, ClockRates: rates, CheckedResources: []string{checkedResource}})
+	c := startCluster(t, harness.Options{
+		Members:          4,
+		RaftNodes:        3,
+		ClockRates:       rates,
+		CheckedResources: []string{checkedResource},
+	})
 	awaitOperations(c)
 	return c
 }
@@ -29,15 +34,15 @@
 		begin   func(m *harness.Member) (end func())
 	}{
 		{"killed", true, func(m *harness.Member) func() { m.Kill(); return m.Start }},
-		{"stopped for long", true, func(m *harness.Member) func() { m.Pause(); return m.Resume }},
-		{"cut off", true, func(m *harness.Member) func() { c.Network.Isolate(harness.Partition, m.Name); return c.Network.Heal }},
+		{"paused", true, func(m *harness.Member) func() { m.Pause(); return m.Resume }},
+		{"partitioned", true, func(m *harness.Member) func() { c.Network.Isolate(harness.Partition, m.Name); return c.Network.Heal }},
 		{"refused by all", true, func(m *harness.Member) func() {
 			c.Network.Isolate(harness.Refused, m.Name)
 			return c.Network.Heal
 		}},
-		{"unheard", true, func(m *harness.Member) func() { partitionOneWay(c, m, true); return c.Network.Heal }},
-		{"deaf", false, func(m *harness.Member) func() { partitionOneWay(c, m, false); return c.Network.Heal }},
-		{"told to end", true, func(m *harness.Member) func() { m.Terminate(); return m.Start }},
+		{"nothing of it arrives", true, func(m *harness.Member) func() { partitionOneWay(c, m, true); return c.Network.Heal }},
+		{"nothing arrives at it", false, func(m *harness.Member) func() { partitionOneWay(c, m, false); return c.Network.Heal }},
+		{"terminated", true, func(m *harness.Member) func() { m.Terminate(); return m.Start }},
 	} {
 		who, epoch := awaitOperation(c)
 		t.Logf("%s: %s with %d", test.name, who.Name, epoch)
@@ -174,7 +179,7 @@
 		}
 		n := len(c.LeaseChecker.Operations(checkedResource))
 		sleepTTLs(1.5)
-		assert.Len(t, c.LeaseChecker.Operations(checkedResource), n, "%s: deeds without a majority", how)
+		assert.Len(t, c.LeaseChecker.Operations(checkedResource), n, "%s: operations without a majority", how)
 		c.Network.Heal()
 		for _, m := range gone {
 			if !m.IsRunning() {
--- a/test/integration/cluster/linkfault_test.go
+++ b/test/integration/cluster/linkfault_test.go
@@ -18,8 +18,12 @@
 		for _, how := range []string{"stopped", "cut off"} {
 			t.Run(step+", "+how, func(t *testing.T) {
 				t.Parallel()
-				c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8,
-					ClockRates: map[string]float64{"m1": 1.024, "m2": 0.976}})
+				c := startCluster(t, harness.Options{
+					Members:    4,
+					RaftNodes:  3,
+					Ranges:     8,
+					ClockRates: map[string]float64{"m1": 1.024, "m2": 0.976},
+				})
 				slowDestinations(t, c)
 				stop := startLoad(c)
 				for _, role := range []string{"source", "target", "conductor"} {
@@ -64,7 +68,12 @@
 // Links that are only bad lead to no second holder, and to no second call with a webhook.
 func TestLease_DelayedThrottledAndResetLinks(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}, ClockRates: driftingClocks})
+	c := startCluster(t, harness.Options{
+		Members:          4,
+		RaftNodes:        3,
+		CheckedResources: []string{checkedResource},
+		ClockRates:       driftingClocks,
+	})
 	slowDestinations(t, c)
 	stop := startLoad(c)
 	for name, fault := range map[string]harness.Fault{"late": harness.Delayed(leaseTTL / 4), "slow": harness.Throttled(4000),
@@ -87,7 +96,11 @@
 // the test needs it for one.
 func TestRaft_NodeRestartsWithoutItsState(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, CheckedResources: []string{checkedResource}})
+	c := startCluster(t, harness.Options{
+		Members:          4,
+		RaftNodes:        3,
+		CheckedResources: []string{checkedResource},
+	})
 	stop := startLoad(c)
 	was, offsets := c.AwaitLeader(), c.LogOffsets()
 	was.Kill()
--- a/test/integration/cluster/load_bench_test.go
+++ b/test/integration/cluster/load_bench_test.go
@@ -29,10 +29,19 @@
 	const streams = 8 // a single one loses ticks where all cores are busy
 	var done []func()
 	for range streams {
-		done = append(done, c.Platform.StartLoad(ctx, platform.Load{Members: members, PerSecond: perSecond / streams,
-			Clients: 8, Next: func(int) platform.Webhook {
-				return platform.Webhook{Type: "status", Destination: benchmarkDestination, TTL: 8 * time.Second, Body: "a webhook's body"}
-			}}))
+		done = append(done, c.Platform.StartLoad(ctx, platform.Load{
+			Members:   members,
+			PerSecond: perSecond / streams,
+			Clients:   8,
+			Next: func(int) platform.Webhook {
+				return platform.Webhook{
+					Type:        "status",
+					Destination: benchmarkDestination,
+					TTL:         8 * time.Second,
+					Body:        "a webhook's body",
+				}
+			},
+		}))
 	}
 	for _, wait := range done {
 		wait()
@@ -105,11 +114,19 @@
 	c := harness.Start(b, harness.Options{Binary: binary, Ranges: 8, Weight: 2000})
 	c.AwaitStable()
 	ctx, cancel := context.WithCancel(context.Background())
-	done := c.Platform.StartLoad(ctx, platform.Load{Members: c.Names(), PerSecond: 400, Clients: 32,
+	done := c.Platform.StartLoad(ctx, platform.Load{
+		Members:   c.Names(),
+		PerSecond: 400,
+		Clients:   32,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: []string{"status", "paid", "charge"}[n%3], Destination: benchmarkDestination,
-				TTL: 8 * time.Second, Body: "a webhook's body"}
-		}})
+			return platform.Webhook{
+				Type:        []string{"status", "paid", "charge"}[n%3],
+				Destination: benchmarkDestination,
+				TTL:         8 * time.Second,
+				Body:        "a webhook's body",
+			}
+		},
+	})
 	var gaps [3][]api.Micros // nothing happens, a move, stop and restart
 	var bad [3][]deliverycheck.Window
 	look := func(kind int, what func()) {
@@ -159,7 +176,11 @@
 	require.NoError(b, err)
 	defer remove()
 	for b.Loop() {
-		for name, shape := range map[string]harness.Options{"link": {Binary: alone, Standalone: true, Members: 4},
+		for name, shape := range map[string]harness.Options{"link": {
+			Binary:     alone,
+			Standalone: true,
+			Members:    4,
+		},
 			"fleet": {Binary: binary, Members: 4}} {
 			shape.Weight = 2000
 			c := harness.Start(b, shape)
--- a/test/integration/cluster/owner_test.go
+++ b/test/integration/cluster/owner_test.go
@@ -14,7 +14,7 @@
 // awaitOwner returns the owner of some destination and another member. Neither is the raft leader, so that a fault
 // between them ends no session.
 func awaitOwner(c *harness.Cluster) (owner, entry *harness.Member) {
-	c.Eventually("a destination's home does not lead", func() bool {
+	c.Eventually("a destination's owner is not the leader", func() bool {
 		leader := c.Leader()
 		for d := range api.DestinationID(4) {
 			if m := c.Owner(d + 1); leader != nil && m != nil && m != leader {
@@ -54,7 +54,7 @@
 	owner, entry := awaitOwner(c)
 	fault(c, owner, entry)
 	sleepTTLs(0.5)
-	assert.True(t, anyMetricPositive(c, "member_forwarded_total"), "nothing was forwarded: the story tells nothing")
+	assert.True(t, anyMetricPositive(c, "member_forwarded_total"), "nothing was forwarded: the scenario tests nothing")
 	stop()
 	c.AwaitStable()
 	c.Check(but...)
--- a/test/integration/cluster/ownership_test.go
+++ b/test/integration/cluster/ownership_test.go
@@ -20,8 +20,14 @@
 // and one map could have.
 func TestOwnership_HistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8, ClockRates: driftingClocks, CheckedResources: []string{checkedResource},
-		Env: []string{harness.DebugLog}})
+	c := startCluster(t, harness.Options{
+		Members:          4,
+		RaftNodes:        3,
+		Ranges:           8,
+		ClockRates:       driftingClocks,
+		CheckedResources: []string{checkedResource},
+		Env:              []string{harness.DebugLog},
+	})
 	views := c.WatchOwnership()
 	faults := []func(m *harness.Member) func(){
 		func(m *harness.Member) func() { m.Kill(); sleepTTLs(1.5); return m.Start },
@@ -71,16 +77,19 @@
 
 // lastOwnerGrant returns the last grant of a range's ownership that was granted by more than one epoch, and the other
 // events.
-func lastOwnerGrant(t *testing.T, all map[cluster.Resource][]leasecheck.OwnershipEvent) (last leasecheck.OwnershipEvent, others []leasecheck.OwnershipEvent) {
-	for task, past := range all {
-		slices.SortStableFunc(past, func(a, b leasecheck.OwnershipEvent) int {
+func lastOwnerGrant(t *testing.T, events map[cluster.Resource][]leasecheck.OwnershipEvent) (
+	leasecheck.OwnershipEvent, []leasecheck.OwnershipEvent) {
+	t.Helper()
+	for resource, history := range events {
+		slices.SortStableFunc(history, func(a, b leasecheck.OwnershipEvent) int {
 			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(b.Epoch, a.Epoch))
 		})
-		if strings.HasPrefix(string(task), "home/") && past[1].Kind == leasecheck.Granted &&
-			past[1].Epoch < past[0].Epoch { // not the same one twice, from before and after a renewal that came late
-			return past[0], past[1:]
+		isOwnership := strings.HasPrefix(string(resource), "home/")
+		// The second grant must not be the same one, from before and after a renewal that came late.
+		if isOwnership && history[1].Kind == leasecheck.Granted && history[1].Epoch < history[0].Epoch {
+			return history[0], history[1:]
 		}
 	}
-	require.Fail(t, "no home moved")
-	return last, nil
+	require.Fail(t, "no range moved")
+	return leasecheck.OwnershipEvent{}, nil
 }
--- a/test/integration/cluster/placement_test.go
+++ b/test/integration/cluster/placement_test.go
@@ -25,10 +25,14 @@
 		}
 		was := c.Owner(joins)
 		ctx, cancel := context.WithCancel(context.Background())
-		wait := c.Platform.StartLoad(ctx, platform.Load{Members: []string{"m1", "m2", "m3"}, PerSecond: 60, Clients: 9,
+		wait := c.Platform.StartLoad(ctx, platform.Load{
+			Members:   []string{"m1", "m2", "m3"},
+			PerSecond: 60,
+			Clients:   9,
 			Next: func(int) platform.Webhook {
 				return platform.Webhook{Type: "charge", Destination: joins, TTL: 20 * time.Second, Body: "one"}
-			}})
+			},
+		})
 		sleepSiteTTLs(0.2)
 		offsets := c.LogOffsets()
 		c.Network.Isolate(harness.Partition, was.Name)
@@ -47,7 +51,7 @@
 		sleepSiteTTLs(0.3)
 		cancel()
 		wait()
-		assert.Empty(t, c.Platform.Checker.ConcurrentCalls(joins, until), "%s conducts, %s was home", conducts.Name, was.Name)
+		assert.Empty(t, c.Platform.Checker.ConcurrentCalls(joins, until), "%s coordinates, %s was the owner", conducts.Name, was.Name)
 	}, deliverycheck.Order, deliverycheck.Overlap) // a relay may be cut off from its sender, too
 }
 
--- a/test/integration/cluster/site_test.go
+++ b/test/integration/cluster/site_test.go
@@ -43,7 +43,12 @@
 // startSites starts a cluster of three raft nodes and two relays.
 func startSites(t *testing.T) *harness.Cluster {
 	all := slices.Concat(depot, harbor, direct)
-	c := startCluster(t, harness.Options{LeaseTTL: siteLeaseTTL, Members: 5, Ranges: 9, Destinations: all, ConfigBlocks: twoSites,
+	c := startCluster(t, harness.Options{
+		LeaseTTL:        siteLeaseTTL,
+		Members:         5,
+		Ranges:          9,
+		Destinations:    all,
+		ConfigBlocks:    twoSites,
 		WaitsBindAll:    true,
 		SubscriberLists: map[string][]api.DestinationID{"prices": all},
 		MemberSettings: func(m string) string {
@@ -51,7 +56,8 @@
 				return "  weight = 0\n"
 			}
 			return ""
-		}})
+		},
+	})
 	c.AwaitStable()
 	for _, d := range all {
 		require.NoError(t, c.Platform.Destination(d).SetBehaviour(platform.Slow(60*time.Millisecond)))
@@ -63,18 +69,46 @@
 func startAnnouncements(c *harness.Cluster, at ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	types, both := []string{"status", "paid", "charge", "ride"}, slices.Concat(depot, harbor)
-	waits := []func(){c.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 8, Clients: 4,
+	waits := []func(){c.Platform.StartLoad(ctx, platform.Load{
+		Members:   at,
+		PerSecond: 8,
+		Clients:   4,
 		Next: func(n int) platform.Webhook {
-			return platform.Webhook{Type: types[n%4], List: "prices", TTL: 20 * time.Second, Body: "prices of today"}
-		}}), c.Platform.StartLoad(ctx, platform.Load{Members: at, PerSecond: 100, Clients: 8,
+			return platform.Webhook{
+				Type: types[n%4],
+				List: "prices",
+				TTL:  20 * time.Second,
+				Body: "prices of today",
+			}
+		},
+	}), c.Platform.StartLoad(ctx, platform.Load{
+		Members:   at,
+		PerSecond: 100,
+		Clients:   8,
 		Next: func(n int) platform.Webhook { // most of which may take effect once only
-			return platform.Webhook{Type: types[min(n%5, 2)], Destination: both[n%12], TTL: 20 * time.Second, Body: "one"}
-		}})}
+			return platform.Webhook{
+				Type:        types[min(n%5, 2)],
+				Destination: both[n%12],
+				TTL:         20 * time.Second,
+				Body:        "one",
+			}
+		},
+	})}
 	for _, name := range at { // a key's order is the one in which one member takes them
-		waits = append(waits, c.Platform.StartLoad(ctx, platform.Load{Members: []string{name}, PerSecond: 15, Clients: 1,
+		waits = append(waits, c.Platform.StartLoad(ctx, platform.Load{
+			Members:   []string{name},
+			PerSecond: 15,
+			Clients:   1,
 			Next: func(n int) platform.Webhook {
-				return platform.Webhook{Type: "ride", Key: name, Destination: both[n%12], TTL: 20 * time.Second, Body: "one"}
-			}}))
+				return platform.Webhook{
+					Type:        "ride",
+					Key:         name,
+					Destination: both[n%12],
+					TTL:         20 * time.Second,
+					Body:        "one",
+				}
+			},
+		}))
 	}
 	return func() {
 		cancel()
@@ -97,7 +131,7 @@
 
 // awaitSender returns the sender of a site: the owner of its subscribers.
 func awaitSender(c *harness.Cluster, of api.DestinationID) (m *harness.Member) {
-	c.Eventually("a site has its sender", func() bool {
+	c.Eventually("a site has a sender", func() bool {
 		m = c.Owner(of)
 		return m != nil
 	})
--- a/test/integration/harness/await.go
+++ b/test/integration/harness/await.go
@@ -29,7 +29,7 @@
 // AwaitLeader waits until exactly one raft node reports that it leads, and returns it.
 func (c *Cluster) AwaitLeader() (leader *Member) {
 	c.t.Helper()
-	c.Eventually("one keeper leads", func() bool {
+	c.Eventually("one raft node leads", func() bool {
 		leader = c.Leader()
 		return leader != nil
 	})
@@ -78,7 +78,7 @@
 // AwaitLog waits until any member logs a line with all the parts, and returns it.
 func (c *Cluster) AwaitLog(offsets map[*Member]int, parts ...string) (found *Member) {
 	c.t.Helper()
-	c.Eventually("a member says "+strings.Join(parts, " "), func() bool {
+	c.Eventually("a member logs "+strings.Join(parts, " "), func() bool {
 		found = c.FindLog(offsets, parts...)
 		return found != nil
 	})
--- a/test/integration/harness/check.go
+++ b/test/integration/harness/check.go
@@ -21,7 +21,7 @@
 			c.logWebhookTraces()
 		}
 	}()
-	c.Eventually("each webhook has its end", func() bool { return c.Platform.Checker.Outstanding() == 0 })
+	c.Eventually("each webhook has its outcome", func() bool { return c.Platform.Checker.Outstanding() == 0 })
 }
 
 // Check fails the test for each violation, except of some rules, and for what the lease checker finds.
@@ -34,7 +34,7 @@
 		c.t.Errorf("%s\n%s", v, c.Platform.Checker.Describe(v.ID))
 	}
 	if more := len(violations) - maxReportedViolations; more > 0 {
-		c.t.Errorf("%d breaches more", more)
+		c.t.Errorf("%d more violations", more)
 	}
 	c.checkLeases()
 }
@@ -45,11 +45,11 @@
 		return
 	}
 	for _, v := range c.LeaseChecker.Violations() {
-		c.t.Errorf("guard: %s", v)
+		c.t.Errorf("lease checker: %s", v)
 	}
 	broken, err := c.LeaseChecker.CheckLinearizable(linearizableTimeout)
 	if len(broken) > 0 || err != nil {
-		c.t.Errorf("guard: porcupine: no lock with fencing has such a history: %v %v", broken, err)
+		c.t.Errorf("lease checker: porcupine: no lock with fencing has such a history: %v %v", broken, err)
 	}
 }
 
--- a/test/integration/harness/cluster.go
+++ b/test/integration/harness/cluster.go
@@ -219,7 +219,7 @@
 	}
 	const shownLines = 120
 	for _, m := range c.Members {
-		c.t.Logf("%s, the last it said:\n%s", m.Name, m.Log.Tail(shownLines))
+		c.t.Logf("%s, the end of its log:\n%s", m.Name, m.Log.Tail(shownLines))
 		c.saveLog(m)
 	}
 }
--- a/test/integration/harness/cluster_test.go
+++ b/test/integration/harness/cluster_test.go
@@ -164,7 +164,11 @@
 	require.NoError(t, c.Platform.Destination(1).SetBehaviour(platform.Hangs))
 	m.LimitFileSize(4096)
 	for range 4 {
-		c.Platform.Submit("m1", platform.Webhook{Type: "paid", Destination: 1, Body: strings.Repeat("x", 3000)})
+		c.Platform.Submit("m1", platform.Webhook{
+			Type:        "paid",
+			Destination: 1,
+			Body:        strings.Repeat("x", 3000),
+		})
 	}
 	assert.LessOrEqual(t, m.LargestFile(), int64(4096))
 	m.AwaitLog("file too large")
@@ -173,8 +177,13 @@
 }
 
 func TestCluster_ReloadOperatorFiles(t *testing.T) {
-	c := harness.Start(t, harness.Options{Binary: clusteredBinary, Members: 4, SpareMembers: 1, LeaseTTL: 2 * time.Second,
-		ConfigBlocks: "list \"prices\" { subscribers = [1, 2] }\n"})
+	c := harness.Start(t, harness.Options{
+		Binary:       clusteredBinary,
+		Members:      4,
+		SpareMembers: 1,
+		LeaseTTL:     2 * time.Second,
+		ConfigBlocks: "list \"prices\" { subscribers = [1, 2] }\n",
+	})
 	for _, m := range c.Members[:3] {
 		m.AwaitLog("INFO member", "members=3")
 	}
--- a/test/integration/harness/member.go
+++ b/test/integration/harness/member.go
@@ -100,7 +100,7 @@
 	m.cluster.t.Helper()
 	m.recordDown("stop", false)
 	require.NoError(m.cluster.t, m.process.Signal(syscall.SIGSTOP))
-	m.cluster.Eventually(m.Name+" stands still", func() bool { return procstate.AllThreadsStopped(m.PID()) })
+	m.cluster.Eventually(m.Name+" is paused", func() bool { return procstate.AllThreadsStopped(m.PID()) })
 	m.paused = true
 }
 
@@ -197,7 +197,7 @@
 func (m *Member) AwaitLogFrom(offset int, parts ...string) subprocess.Line {
 	m.cluster.t.Helper()
 	line, ok := m.Log.Await(offset, logTimeout, parts)
-	require.True(m.cluster.t, ok, "%s never said: %s", m.Name, strings.Join(parts, " "))
+	require.True(m.cluster.t, ok, "%s never logged: %s", m.Name, strings.Join(parts, " "))
 	return line
 }
 
--- a/test/integration/harness/ownership.go
+++ b/test/integration/harness/ownership.go
@@ -152,7 +152,7 @@
 	for _, resource := range slices.Sorted(maps.Keys(events)) {
 		isPossible, err := leasecheck.CheckOwnership(events[resource], linearizableTimeout)
 		if !isPossible || err != nil {
-			w.cluster.t.Errorf("porcupine: %s has a past that it can't have (%v):\n%s", resource, err,
+			w.cluster.t.Errorf("porcupine: %s has an impossible history (%v):\n%s", resource, err,
 				formatEvents(events[resource]))
 		}
 		for _, e := range events[resource] {
@@ -162,9 +162,9 @@
 		}
 	}
 	if published == 0 {
-		w.cluster.t.Errorf("no home was seated: the history tells nothing")
+		w.cluster.t.Errorf("no owner was published: the history is empty")
 	}
-	w.cluster.t.Logf("%d tasks, %d homes seated, %d readers", len(events), published, w.readers)
+	w.cluster.t.Logf("%d resources, %d owners published, %d readers", len(events), published, w.readers)
 }
 
 // formatEvents prints events in the order of their end. It sorts them in place.
--- a/test/integration/harness/shardmap.go
+++ b/test/integration/harness/shardmap.go
@@ -66,7 +66,7 @@
 // owns a range.
 func (c *Cluster) AwaitStable(except ...*Member) {
 	c.t.Helper()
-	c.Eventually("all ranges are homed", func() bool {
+	c.Eventually("all ranges have an owner and no move is open", func() bool {
 		m := c.ShardMap()
 		return m != nil && c.isServed(m, except) && !hasOpenMoves(m)
 	})
