--- a/cluster/rebalance/impactmeter.go
+++ b/cluster/rebalance/impactmeter.go
@@ -87,11 +87,11 @@
 }
 
 // CountOutcomes adds outcomes of a destination's webhooks.
-func (t *ImpactMeter) CountOutcomes(d api.DestinationID, o Outcomes) {
-	c := t.destinations[d]
+func (i *ImpactMeter) CountOutcomes(d api.DestinationID, o Outcomes) {
+	c := i.destinations[d]
 	if c == nil {
 		c = &destinationCount{hash: cluster.DestinationKeyHash(d)}
-		t.destinations[d] = c
+		i.destinations[d] = c
 	}
 	c.current = c.current.add(o)
 }
@@ -100,9 +100,9 @@
 type UnhealthyFunc func(r shardmap.Range) []api.DestinationID
 
 // UnobservedMoves returns the ranges of open moves that ObserveMap has not seen yet.
-func (t *ImpactMeter) UnobservedMoves(m *shardmap.Map) (ranges []shardmap.Range) {
+func (i *ImpactMeter) UnobservedMoves(m *shardmap.Map) (ranges []shardmap.Range) {
 	for _, r := range m.Ranges {
-		if r.Move.IsOpen() && t.moves[r.Move.ID] == nil {
+		if r.Move.IsOpen() && i.moves[r.Move.ID] == nil {
 			ranges = append(ranges, r)
 		}
 	}
@@ -110,61 +110,61 @@
 }
 
 // ObserveMap begins to monitor moves that have begun, and forgets those that ended and that nobody asks for.
-func (t *ImpactMeter) ObserveMap(m *shardmap.Map, unhealthy UnhealthyFunc, now api.Micros) {
-	t.advanceWindow(now)
-	t.updateHashes(m)
+func (i *ImpactMeter) ObserveMap(m *shardmap.Map, unhealthy UnhealthyFunc, now api.Micros) {
+	i.advanceWindow(now)
+	i.updateHashes(m)
 	for _, r := range m.Ranges {
 		if r.Move.IsOpen() {
-			t.monitor(MonitoredMove{Move: r.Move.ID, Range: r.ID, From: r.From, To: r.To}, r, unhealthy, now)
+			i.monitor(MonitoredMove{Move: r.Move.ID, Range: r.ID, From: r.From, To: r.To}, r, unhealthy, now)
 		}
 	}
-	maps.DeleteFunc(t.moves, func(_ shardmap.MoveID, move *moveRecord) bool {
-		return now-move.lastSeen > t.windowLength
+	maps.DeleteFunc(i.moves, func(_ shardmap.MoveID, move *moveRecord) bool {
+		return now-move.lastSeen > i.windowLength
 	})
 }
 
-func (t *ImpactMeter) advanceWindow(now api.Micros) {
-	if now < t.windowEnd {
+func (i *ImpactMeter) advanceWindow(now api.Micros) {
+	if now < i.windowEnd {
 		return
 	}
-	t.windowEnd = now + t.windowLength
-	for _, c := range t.destinations {
+	i.windowEnd = now + i.windowLength
+	for _, c := range i.destinations {
 		c.lastWindowStart, c.windowStart = c.windowStart, c.current
 	}
 }
 
 // updateHashes takes the hashes of destinations from the map, once it has any that are hashed as a group.
-func (t *ImpactMeter) updateHashes(m *shardmap.Map) {
-	t.hasGroups = t.hasGroups || len(m.Groups) > 0
-	if !t.hasGroups {
+func (i *ImpactMeter) updateHashes(m *shardmap.Map) {
+	i.hasGroups = i.hasGroups || len(m.Groups) > 0
+	if !i.hasGroups {
 		return
 	}
-	for d, c := range t.destinations {
+	for d, c := range i.destinations {
 		c.hash = m.KeyOf(d)
 	}
 }
 
-func (t *ImpactMeter) monitor(what MonitoredMove, r shardmap.Range, unhealthy UnhealthyFunc,
+func (i *ImpactMeter) monitor(what MonitoredMove, r shardmap.Range, unhealthy UnhealthyFunc,
 	now api.Micros) *moveRecord {
-	move := t.moves[what.Move]
+	move := i.moves[what.Move]
 	if move == nil {
 		move = &moveRecord{MonitoredMove: what}
-		t.moves[what.Move] = move
-		for _, c := range t.destinations {
+		i.moves[what.Move] = move
+		for _, c := range i.destinations {
 			if move.contains(c) {
 				move.baseline = move.baseline.add(c.current.since(c.lastWindowStart))
 			}
 		}
-		t.restart(move, r, unhealthy)
+		i.restart(move, r, unhealthy)
 	}
 	move.lastSeen = now
 	return move
 }
 
 // restart counts a move's impact from now on.
-func (t *ImpactMeter) restart(move *moveRecord, r shardmap.Range, unhealthy UnhealthyFunc) {
+func (i *ImpactMeter) restart(move *moveRecord, r shardmap.Range, unhealthy UnhealthyFunc) {
 	move.counts, move.unhealthy = map[api.DestinationID]Outcomes{}, unhealthy(r)
-	for d, c := range t.destinations {
+	for d, c := range i.destinations {
 		if move.contains(c) {
 			move.counts[d] = c.current
 		}
@@ -175,24 +175,24 @@
 
 // Report answers a coordinator that runs the plan of a number. The count restarts for another plan, which is not to
 // blame for what an earlier one did; the baseline stays.
-func (t *ImpactMeter) Report(number uint64, moves []MonitoredMove, m *shardmap.Map, unhealthy UnhealthyFunc,
+func (i *ImpactMeter) Report(number uint64, moves []MonitoredMove, m *shardmap.Map, unhealthy UnhealthyFunc,
 	now api.Micros) Report {
-	report := Report{Incarnation: t.incarnation}
+	report := Report{Incarnation: i.incarnation}
 	for _, what := range moves[:min(len(moves), maxMonitoredMoves)] { // a message may hold any number
 		r, _ := m.RangeByID(what.Range)
-		move := t.monitor(what, r, unhealthy, now)
+		move := i.monitor(what, r, unhealthy, now)
 		if move.number != number && move.number != 0 {
-			t.restart(move, r, unhealthy)
+			i.restart(move, r, unhealthy)
 		}
 		move.number = number
-		if impact := t.rangeImpact(move, unhealthy(r)); !impact.isEmpty() {
+		if impact := i.rangeImpact(move, unhealthy(r)); !impact.isEmpty() {
 			report.Ranges = append(report.Ranges, impact)
 		}
 	}
 	return report
 }
 
-func (t *ImpactMeter) rangeImpact(move *moveRecord, unhealthy []api.DestinationID) RangeImpact {
+func (i *ImpactMeter) rangeImpact(move *moveRecord, unhealthy []api.DestinationID) RangeImpact {
 	impact := RangeImpact{
 		Move:            move.Move,
 		Range:           move.Range,
@@ -200,7 +200,7 @@
 		Unhealthy:       unhealthy,
 		UnhealthyBefore: move.unhealthy,
 	}
-	for d, c := range t.destinations {
+	for d, c := range i.destinations {
 		if move.contains(c) {
 			impact.During = impact.During.add(c.current.since(move.counts[d]))
 		}
