--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -116,7 +116,7 @@
 	require.NoError(t, file.Close())
 
 	publish(t, seed, gossip.TableRecord, gossip.RecordKey, 5, state.Record{Revision: 5})
-	major, _ := endpoints.Version(newEndpoint("e", 1))
+	major := endpoints.VersionOf(newEndpoint("e", 1)).Major
 	publish(t, seed, gossip.TableEndpoints, "e", major, newEndpoint("e", 1))
 	client := rpc.NewClient()
 	defer client.Close()
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -125,11 +125,10 @@
 	if err != nil {
 		return gossip.Entry{}, err
 	}
-	major, minor := endpoints.Version(endpoint)
 	return gossip.Entry{
 		Table:   gossip.TableEndpoints,
 		Key:     endpoint.ID,
-		Version: gossip.NewVersion(major, minor),
+		Version: endpoints.VersionOf(endpoint),
 		Value:   value,
 	}, nil
 }
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -173,7 +173,7 @@
 	if !known {
 		return
 	}
-	if major, minor := Version(stored); major == e.broadcast.major && minor == e.broadcast.minor {
+	if VersionOf(stored) == e.broadcast.version {
 		e.broadcast.replicated = true
 	}
 }
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -7,6 +7,7 @@
 import (
 	"time"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/state"
 )
 
@@ -65,8 +66,7 @@
 // broadcastState is the last state of an endpoint that was exchanged with the other members.
 type broadcastState struct {
 	exists     bool
-	major      uint64
-	minor      uint64
+	version    gossip.Version
 	warmupEnds time.Time
 	removalDue time.Time
 	replicated bool // another member is known to have stored it
@@ -151,11 +151,9 @@
 
 // recordBroadcast records that the present state of an entry is exchanged with the other members.
 func (t *Table) recordBroadcast(e *entry) {
-	major, minor := Version(e.endpoint)
 	e.broadcast = broadcastState{
 		exists:     true,
-		major:      major,
-		minor:      minor,
+		version:    VersionOf(e.endpoint),
 		warmupEnds: e.warmupEnds,
 		removalDue: e.removalDue,
 	}
--- a/serving/endpoints/version.go
+++ b/serving/endpoints/version.go
@@ -6,6 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/state"
 )
 
@@ -13,25 +14,23 @@
 // never comes back.
 const deregisteredSequence = math.MaxUint64
 
-// Version returns the version of an endpoint's state in gossip: first by the endpoint's count of its calls, then
+// VersionOf returns the version of an endpoint's state in gossip: first by the endpoint's count of its calls, then
 // departed over draining over accepting, then failing over not failing, then unresponsive over responsive.
-func Version(e state.Endpoint) (major, minor uint64) {
+func VersionOf(e state.Endpoint) gossip.Version {
 	const unresponsiveBit, failingBit, stateShift = 1, 2, 2
-	minor = uint64(e.State) << stateShift
+	minor := uint64(e.State) << stateShift
 	if e.Unresponsive {
 		minor |= unresponsiveBit
 	}
 	if e.Failing {
 		minor |= failingBit
 	}
-	return e.Sequence, minor
+	return gossip.NewVersion(e.Sequence, minor)
 }
 
 // isNewer reports whether a is newer than b.
 func isNewer(a, b state.Endpoint) bool {
-	aMajor, aMinor := Version(a)
-	bMajor, bMinor := Version(b)
-	return aMajor > bMajor || aMajor == bMajor && aMinor > bMinor
+	return VersionOf(b).Less(VersionOf(a))
 }
 
 // Encode returns an endpoint as the value of a gossip entry.
