--- a/webhook/dispatcher/eventloop/announced_test.go
+++ b/webhook/dispatcher/eventloop/announced_test.go
@@ -58,7 +58,7 @@
 	s.whole(func() { ok = s.HandToRelay(map[inflight.RequestID]int{"w": 0}, 7) })
 	require.True(t, ok)
 	s.all.home = true
-	s.whole(s.Loop.regateNow)
+	s.whole(s.regateNow)
 	require.Len(t, s.owes(), 1, "it stays parked though it may be called from here")
 	assert.EqualValues(t, 7, s.owes()[0].MayHaveRunAt, "in the journal before it is sent")
 	for _, never := range []bool{true, false} {
@@ -68,7 +68,7 @@
 	s = stands(t, dir, 9*api.Second)
 	s.whole(func() { s.RestoreAtRelay([]inflight.RequestID{"w"}) })
 	s.all.home = true
-	s.whole(s.Loop.regateNow)
+	s.whole(s.regateNow)
 	require.Len(t, s.owes(), 1, "also in the next life")
 	s.whole(func() { ok = s.FinishByRelay([]inflight.Result{{RequestID: "w", Status: inflight.StatusDelivered}}) })
 	assert.True(t, ok)
@@ -101,7 +101,7 @@
 	s.whole(func() { s.HandToRelay(map[inflight.RequestID]int{"w": 0}, inflight.Now()) })
 	s.whole(func() { s.TakeBack(map[inflight.RequestID]TakenBack{"w": {NeverReceived: never}}) })
 	s.all.home = true
-	s.whole(s.Loop.regateNow)
+	s.whole(s.regateNow)
 	assert.EqualValues(t, map[bool]int{true: 0, false: 1}[never], s.inbox.GivenUp.Load())
 }
 
--- a/webhook/dispatcher/eventloop/broadcast.go
+++ b/webhook/dispatcher/eventloop/broadcast.go
@@ -7,78 +7,60 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// runInTurn has something done in the next turn and waits for it.
-func (d *Loop) runInTurn(do func()) {
-	done := make(chan struct{})
-	d.inbox.Post(func() {
-		defer close(done)
-		do()
-	})
-	d.wait(done)
+// SubmitBroadcast accepts all webhooks of a broadcast or none, in one write. It waits for a turn; it may be called from
+// any goroutine.
+func (l *Loop) SubmitBroadcast(all []*inflight.Webhook) (answer inflight.Answer) {
+	l.runInTurn(func() { answer = l.submitBroadcast(all) })
+	return answer
 }
 
-// SubmitBroadcast takes all webhooks of an announcement on or none, in one write.
-func (d *Loop) SubmitBroadcast(all []*inflight.Webhook) (what inflight.Answer) {
-	d.runInTurn(func() { what = d.submitBroadcast(all) })
-	return what
-}
-
-func (d *Loop) submitBroadcast(all []*inflight.Webhook) inflight.Answer {
-	if !d.lifecycle.AcceptsWebhooks() || len(all) == 0 || d.now-all[0].ReceivedAt > inflight.AnswerTimeout ||
-		len(d.webhooks)+len(all) > d.settings.BufferSize {
+func (l *Loop) submitBroadcast(all []*inflight.Webhook) inflight.Answer {
+	if !l.admitsBroadcast(all) {
 		return inflight.Rejected
 	}
 	for _, w := range all {
-		if _, held := d.idOf[w.RequestID]; held {
+		if _, pending := l.idOf[w.RequestID]; pending {
 			return inflight.Duplicate
 		}
 	}
-	n := 0
-	var err error
-	for ; n < len(all) && err == nil; n++ {
-		all[n].ID = d.nextID
-		d.nextID++
-		err = d.logAccepted(all[n])
-	}
-	if err == nil {
-		err = d.log.Commit()
-	}
-	if err != nil {
-		slog.Error("announcement not written", "webhooks", len(all), "err", err)
-		d.inbox.JournalErrors.Add(1)
-		for _, w := range all[:n] {
-			d.log.Undo(w.ID)
-		}
+	if err := l.logBroadcast(all); err != nil {
+		slog.Error("broadcast not written", "webhooks", len(all), "err", err)
+		l.inbox.JournalErrors.Add(1)
 		return inflight.Rejected
 	}
 	for _, w := range all {
-		d.webhooks[w.ID], d.idOf[w.RequestID] = w, w.ID
+		l.add(w)
 	}
 	for _, w := range all {
-		d.begin(w, 0, api.Never, 0)
+		l.begin(w, api.PriorAttempts{MayHaveRunAt: api.Never})
 	}
 	return inflight.Accepted
 }
 
-// NotifyInsteadOfPlatform has somebody told of the ends of webhooks of an earlier life, in place of the platform. It tells
-// what those have ended with by now, and of the others which are held.
-func (d *Loop) NotifyInsteadOfPlatform(ids []inflight.RequestID, ends func(api.WebhookID,
-	inflight.Result)) (over map[api.WebhookID]inflight.Result, held map[inflight.RequestID]bool) {
-	want := toSet(ids)
-	over, held = map[api.WebhookID]inflight.Result{}, map[inflight.RequestID]bool{}
-	d.runInTurn(func() {
-		for id, w := range selectPending(d, want) {
-			w.OnFinished, held[id] = ends, true
-		}
-		for id, e := range d.recoveredResults {
-			if want[id] {
-				over[e.id] = e.Result
-			} else { // its owner has heard it
-				d.log.CallbackDelivered(e.id)
-			}
+func (l *Loop) admitsBroadcast(all []*inflight.Webhook) bool {
+	if !l.lifecycle.AcceptsWebhooks() || len(all) == 0 {
+		return false
+	}
+	inTime := l.now-all[0].ReceivedAt <= inflight.AnswerTimeout
+	return inTime && len(l.webhooks)+len(all) <= l.settings.BufferSize
+}
+
+// logBroadcast writes all webhooks, or takes back what was recorded of them.
+func (l *Loop) logBroadcast(all []*inflight.Webhook) error {
+	recorded := 0
+	var err error
+	for ; recorded < len(all) && err == nil; recorded++ {
+		all[recorded].ID = l.nextID
+		l.nextID++
+		err = l.logAccepted(all[recorded])
+	}
+	if err == nil {
+		err = l.log.Commit()
+	}
+	if err != nil {
+		for _, w := range all[:recorded] {
+			l.log.Undo(w.ID)
 		}
-		d.recoveredResults = nil
-		d.reevaluate()
-	})
-	return over, held
+	}
+	return err
 }
--- a/webhook/dispatcher/eventloop/cluster.go
+++ b/webhook/dispatcher/eventloop/cluster.go
@@ -7,144 +7,134 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Cluster is what a fleet that acts as one says of this dispatcher; nil where there is none. It is asked in the
-// decider's own goroutine and must not wait.
+// Cluster tells a dispatcher that is a member of a cluster what it may do; it is nil elsewhere. It is called from the
+// loop's goroutine and must not block.
 type Cluster interface {
-	MayCall(dest api.DestinationID, ordered bool) bool // whether it may be called from here, now
-	RateShare(dest api.DestinationID) float64          // of its rate, from 0 to 1
-	IsInDoubt(of inflight.RequestID) bool              // of an earlier life: whether another may have it
+	// MayCall reports whether this member may call the destination now.
+	MayCall(destination api.DestinationID, ordered bool) bool
+	// RateShare is this member's share of the destination's rate, from 0 to 1.
+	RateShare(destination api.DestinationID) float64
+	// IsInDoubt reports whether another member may have a webhook of an earlier incarnation.
+	IsInDoubt(id inflight.RequestID) bool
 }
 
-// Parked is a webhook that is held here and not called for now.
-type Parked struct {
-	*inflight.Webhook
-	MayBeElsewhere bool // another member may have it
-	Attempts       int
-	MayHaveRunAt   api.Micros // the first attempt that may have run, or Never
-	Zone           api.ZoneID
+// JoinCluster has the loop ask a cluster from its first webhook on; before Begin only.
+func (l *Loop) JoinCluster(c Cluster) {
+	l.cluster = c
+	l.endpoints = map[api.EndpointID]api.EndpointEntry{}
+	l.parked = map[api.WebhookID]*inflight.Webhook{}
+	l.parkedByKey = map[orderingGroup][]api.WebhookID{}
 }
 
-// JoinCluster has the decider ask a fleet from its first webhook on; before Begin only.
-func (d *Loop) JoinCluster(f Cluster) {
-	d.cluster, d.endpoints = f, map[api.EndpointID]api.EndpointEntry{}
-	d.parked, d.parkedByKey = map[api.WebhookID]*inflight.Webhook{}, map[orderingGroup][]api.WebhookID{}
-}
-
-// mayCall tells whether a webhook may be called from here.
-func (d *Loop) mayCall(w *inflight.Webhook) bool {
-	if d.cluster == nil {
+// mayCall reports whether a webhook's destination may be called from here.
+func (l *Loop) mayCall(w *inflight.Webhook) bool {
+	if l.cluster == nil {
 		return true
 	}
-	ordered := d.isOrdered(w)
-	return !w.InDoubt && d.cluster.MayCall(w.Destination, ordered) && !(ordered && d.hasEarlierParked(w))
-}
-
-func (d *Loop) isOrdered(w *inflight.Webhook) bool {
-	return int(w.EventType) < len(d.settings.EventTypes) && d.settings.EventTypes[w.EventType].Ordered && w.OrderingKey != 0
+	ordered := l.isOrdered(w)
+	return !w.InDoubt && l.cluster.MayCall(w.Destination, ordered) && (!ordered || !l.hasEarlierParked(w))
 }
 
-// WaitsForEarlier is whether a webhook that is not taken yet has to wait here for an earlier one of its key, which is
-// parked: guards against one that overtakes it on the way to their home. It waits for the turn.
-func (d *Loop) WaitsForEarlier(w *inflight.Webhook) bool {
-	if w.OrderingKey == 0 {
-		return false
-	}
-	is, done := false, make(chan struct{})
-	d.inbox.Post(func() {
-		is = d.isOrdered(w) && d.hasEarlierParked(w)
-		close(done)
-	})
-	d.wait(done)
-	return is
+func (l *Loop) isOrdered(w *inflight.Webhook) bool {
+	types := l.settings.EventTypes
+	return int(w.EventType) < len(types) && types[w.EventType].Ordered && w.OrderingKey != 0
 }
 
-// begin hands a webhook to the module, or parks it: journalled and owed, but called by nobody here.
-func (d *Loop) begin(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
-	if d.mayCall(w) {
-		d.recoverWebhook(w, attempts, mayRun, zone)
+// begin passes a webhook to the policy, or parks it.
+func (l *Loop) begin(w *inflight.Webhook, prior api.PriorAttempts) {
+	if l.mayCall(w) {
+		l.recoverWebhook(w, prior)
 		return
 	}
-	d.park(w)
+	l.park(w)
 }
 
-// Reevaluate is for when what Fleet says may have changed: it takes effect from the next turn on.
-func (d *Loop) Reevaluate() { d.inbox.Post(d.reevaluate) }
+// Reevaluate is called when what the Cluster says may have changed: it takes effect from the next turn on. It may be
+// called from any goroutine.
+func (l *Loop) Reevaluate() { l.inbox.Post(l.reevaluate) }
 
-func (d *Loop) reevaluate() {
-	if d.cluster == nil {
+// reevaluate resumes parked webhooks that may be called now, and parks those that may not be called any more.
+func (l *Loop) reevaluate() {
+	if l.cluster == nil {
 		return
 	}
-	d.updateRates()
-	for _, id := range d.sortedIDs() {
-		w, e := d.webhooks[id], d.log.Pending(id)
-		switch parked := d.parked[id] != nil; {
-		case e == nil:
-		case parked:
-			d.resumeParked(id)
-		case !d.inFlight[id] && !d.mayCall(w):
-			d.policy.Withdraw(id)
-			d.park(w)
+	l.updateRates()
+	for _, id := range l.sortedIDs() {
+		if l.log.Pending(id) == nil {
+			continue
+		}
+		if l.parked[id] != nil {
+			l.resumeParked(id)
+			continue
+		}
+		w := l.webhooks[id]
+		if !l.inFlight[id] && !l.mayCall(w) {
+			l.policy.Withdraw(id)
+			l.park(w)
 		}
 	}
 }
 
-// sortedIDs is what is held in the order taken: order by key rests on it.
-func (d *Loop) sortedIDs() []api.WebhookID {
-	ids := make([]api.WebhookID, 0, len(d.webhooks))
-	for id := range d.webhooks {
+// sortedIDs returns all webhooks in the order of acceptance: the order by key depends on it.
+func (l *Loop) sortedIDs() []api.WebhookID {
+	ids := make([]api.WebhookID, 0, len(l.webhooks))
+	for id := range l.webhooks {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// updateRates tells the module of the rates that are this dispatcher's part by now.
-func (d *Loop) updateRates() {
-	var anew []api.EndpointEntry
-	for id, l := range d.endpoints {
-		if now := d.withRateShare(l); now.Rate != d.rates[id] {
-			anew = append(anew, now)
+// updateRates tells the policy of the rates that have changed with this member's shares.
+func (l *Loop) updateRates() {
+	var changed []api.EndpointEntry
+	for id, entry := range l.endpoints {
+		if shared := l.withRateShare(entry); shared.Rate != l.rates[id] {
+			changed = append(changed, shared)
 		}
 	}
-	if len(anew) > 0 {
-		slices.SortFunc(anew, func(a, b api.EndpointEntry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
-		d.recordRates(anew)
-		d.policy.UpdateEndpoints(anew, false)
+	if len(changed) == 0 {
+		return
 	}
+	slices.SortFunc(changed, func(a, b api.EndpointEntry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
+	l.recordRates(changed)
+	l.policy.UpdateEndpoints(changed, false)
 }
 
-// withRateShare is an entry with the rate of which an even part is this dispatcher's.
-func (d *Loop) withRateShare(l api.EndpointEntry) api.EndpointEntry {
-	l.Rate *= d.cluster.RateShare(l.Destination) * float64(max(d.settings.Dispatchers, 1))
-	return l
+// withRateShare returns an entry with the rate of which an even part is this member's share: the policy divides rates by
+// the number of dispatchers.
+func (l *Loop) withRateShare(entry api.EndpointEntry) api.EndpointEntry {
+	entry.Rate *= l.cluster.RateShare(entry.Destination) * float64(max(l.settings.Dispatchers, 1))
+	return entry
 }
 
-func (d *Loop) recordRates(entries []api.EndpointEntry) {
-	if d.rates == nil {
-		d.rates = map[api.EndpointID]float64{}
+func (l *Loop) recordRates(entries []api.EndpointEntry) {
+	if l.rates == nil {
+		l.rates = map[api.EndpointID]float64{}
 	}
-	for _, l := range entries {
-		d.rates[l.Endpoint] = l.Rate
+	for _, entry := range entries {
+		l.rates[entry.Endpoint] = entry.Rate
 	}
 }
 
-// takeEndpoints keeps a list's rates and makes them this dispatcher's.
-func (d *Loop) takeEndpoints(entries []api.EndpointEntry, whole bool) []api.EndpointEntry {
-	if d.cluster == nil {
+// takeEndpoints stores a list's rates, and returns the list with this member's.
+func (l *Loop) takeEndpoints(entries []api.EndpointEntry, complete bool) []api.EndpointEntry {
+	if l.cluster == nil {
 		return entries
 	}
-	if whole {
-		clear(d.endpoints)
-		d.rates = nil
+	if complete {
+		clear(l.endpoints)
+		l.rates = nil
 	}
 	all := make([]api.EndpointEntry, 0, len(entries))
-	for _, l := range entries {
-		if d.endpoints[l.Endpoint] = l; l.Status == api.EndpointRemoved {
-			delete(d.endpoints, l.Endpoint)
-			delete(d.rates, l.Endpoint)
+	for _, entry := range entries {
+		l.endpoints[entry.Endpoint] = entry
+		if entry.Status == api.EndpointRemoved {
+			delete(l.endpoints, entry.Endpoint)
+			delete(l.rates, entry.Endpoint)
 		}
-		all = append(all, d.withRateShare(l))
+		all = append(all, l.withRateShare(entry))
 	}
-	d.recordRates(all)
+	l.recordRates(all)
 	return all
 }
--- a/webhook/dispatcher/eventloop/ending.go
+++ b/webhook/dispatcher/eventloop/ending.go
@@ -2,36 +2,40 @@
 
 import "rowanlink/webhook/dispatcher/inflight"
 
-// Ending is how a webhook that was taken on ended.
+// Ending is how a webhook that was accepted ended.
 type Ending uint8
 
+// Endings.
 const (
-	OnTime       Ending = iota // delivered within its target latency
-	Late                       // delivered after it, or over by an endpoint's word
-	Rejected                   // by notice
-	DeadLettered               // by notice
+	OnTime       Ending = iota // delivered within its latency target
+	Late                       // delivered after it, or discarded by an endpoint
+	Rejected                   // by callback
+	DeadLettered               // by callback
 )
 
-// EndObserver is a Fleet that is told of each end, in the decider's own goroutine.
+// EndObserver is a Cluster that observes each end, in the loop's goroutine.
 type EndObserver interface {
-	WebhookEnded(w *inflight.Webhook, how Ending)
+	WebhookEnded(w *inflight.Webhook, ending Ending)
 }
 
-func (d *Loop) notifyEnded(w *inflight.Webhook, how Ending) {
-	if who, ok := d.cluster.(EndObserver); ok {
-		who.WebhookEnded(w, how)
+func (l *Loop) observeEnd(w *inflight.Webhook, ending Ending) {
+	if observer, ok := l.cluster.(EndObserver); ok {
+		observer.WebhookEnded(w, ending)
 	}
 }
 
-// endingOf is OnTime or Late: the target latency counts from when the webhook was first handed in, wherever
-// that was.
-func (d *Loop) endingOf(w *inflight.Webhook, over bool) Ending {
-	if int(w.EventType) < len(d.settings.EventTypes) {
-		if e := d.settings.EventTypes[w.EventType]; d.now > w.Deadline-e.TTL+e.LatencyTarget {
-			return Late
-		}
+// endingOf is OnTime or Late. The latency target counts from when the webhook was first submitted, at whatever member.
+func (l *Loop) endingOf(w *inflight.Webhook, discarded bool) Ending {
+	if discarded {
+		return Late
+	}
+	types := l.settings.EventTypes
+	if int(w.EventType) >= len(types) {
+		return OnTime
 	}
-	if over {
+	t := types[w.EventType]
+	submittedAt := w.Deadline - t.TTL
+	if l.now > submittedAt+t.LatencyTarget {
 		return Late
 	}
 	return OnTime
--- a/webhook/dispatcher/eventloop/event_types.go
+++ b/webhook/dispatcher/eventloop/event_types.go
@@ -8,48 +8,38 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// unknownEventType is an event type that no settings name: what is of it is not repeated.
+// unknownEventType is an event type that no settings name: webhooks of it are not repeated.
 const unknownEventType = math.MaxUint8
 
-// SetEventTypes tells the names of event types by their places; before Begin, or in a turn. Those beyond the last
-// keep theirs: webhooks of them may be held, or come from a client that was let in before.
-func (d *Loop) SetEventTypes(names []string) {
-	if len(names) > len(d.eventTypes) {
-		d.eventTypes = names
+// SetEventTypes sets the names of event types by index; before Begin, or in a turn. Names beyond the last one stay:
+// webhooks of them may be pending, or come from a client that was let in before.
+func (l *Loop) SetEventTypes(names []string) {
+	if len(names) > len(l.eventTypes) {
+		l.eventTypes = names
 	}
 }
 
-// logAccepted journals a webhook with its event type's name: guards against the place alone being read by the next
-// life, whose settings may have another one there, of which an attempt may be repeated.
-func (d *Loop) logAccepted(w *inflight.Webhook) error {
-	err := d.log.Accept(w.ID, w.Encode())
-	if err == nil && int(w.EventType) < len(d.eventTypes) {
-		d.log.SetEventType(w.ID, d.eventTypes[w.EventType])
+// eventTypeID returns the index that an event type of an earlier incarnation has now.
+func (l *Loop) eventTypeID(name string) api.EventTypeID {
+	if i := slices.Index(l.eventTypes, name); i >= 0 {
+		return api.EventTypeID(i)
 	}
-	return err
+	return unknownEventType
 }
 
-// recoverWebhook hands a webhook to the module. Guards against a second effect: one that was taken on without a token
-// is not repeated by settings that ask for one, since nobody would know the repeat.
-func (d *Loop) recoverWebhook(w *inflight.Webhook, attempts int, mayRun api.Micros, zone api.ZoneID) {
-	all := d.settings.EventTypes
+// recoverWebhook passes a webhook to the policy. One that was accepted without an idempotency key is not repeated by
+// settings that ask for one, since no destination would recognize the repeat.
+func (l *Loop) recoverWebhook(w *inflight.Webhook, prior api.PriorAttempts) {
+	all := l.settings.EventTypes
 	if w.Token == "" && int(w.EventType) < len(all) && all[w.EventType].Semantics == api.Deduplicated {
 		w.EventType = unknownEventType
 	}
-	d.policy.Recover(api.Webhook{
+	l.policy.Recover(api.Webhook{
 		ID:          w.ID,
 		EventType:   w.EventType,
 		Tenant:      w.Tenant,
 		OrderingKey: w.OrderingKey,
 		Deadline:    w.Deadline,
 		Destination: w.Destination,
-	}, api.PriorAttempts{Count: attempts, MayHaveRunAt: mayRun, Zone: zone})
-}
-
-// eventTypeID is where an event type of an earlier life stands by now.
-func (d *Loop) eventTypeID(name string) api.EventTypeID {
-	if at := slices.Index(d.eventTypes, name); at >= 0 {
-		return api.EventTypeID(at)
-	}
-	return unknownEventType
+	}, prior)
 }
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -9,61 +9,79 @@
 	"rowanlink/webhook/dispatcher/upstream"
 )
 
-// Now is the time of the turn.
-func (d *Loop) Now() api.Micros { return d.now }
+var _ api.Host = (*Loop)(nil)
 
-func (d *Loop) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
-	if w := d.webhooks[id]; w != nil {
-		w.Trace("attempt", ep, patience)
-		d.inFlight[id] = true
-		d.attempts = append(d.attempts, attempt{ep, upstream.Attempt{Webhook: w, Timeout: patience, Latest: latest}})
+// Now implements api.Host: the time of the turn.
+func (l *Loop) Now() api.Micros { return l.now }
+
+// StartAttempt implements api.Host: the call is made at the end of the turn.
+func (l *Loop) StartAttempt(id api.WebhookID, endpoint api.EndpointID, timeout, latest api.Micros) {
+	w := l.webhooks[id]
+	if w == nil {
+		return
 	}
+	w.Trace("attempt", endpoint, timeout)
+	l.inFlight[id] = true
+	l.attempts = append(l.attempts, attempt{
+		endpoint: endpoint,
+		Attempt:  upstream.Attempt{Webhook: w, Timeout: timeout, Latest: latest},
+	})
 }
 
-func (d *Loop) CancelAttempt(id api.WebhookID, _ int) { d.cancels = append(d.cancels, id) }
+// CancelAttempt implements api.Host.
+func (l *Loop) CancelAttempt(id api.WebhookID, _ int) { l.cancels = append(l.cancels, id) }
 
-// Reject hands a webhook back: by the answer where its client still waits for one, else by notice.
-func (d *Loop) Reject(id api.WebhookID, advised api.Micros) {
-	w := d.webhooks[id]
+// Reject implements api.Host: by the answer where the client still waits for one, else by callback.
+func (l *Loop) Reject(id api.WebhookID, retryAfter api.Micros) {
+	w := l.webhooks[id]
 	if w == nil {
 		return
 	}
-	if d.unanswered[id] != nil {
-		delete(d.unanswered, id)
-		d.log.Finish(id, nil)
-		d.remove(w)
-		d.afterCommit = append(d.afterCommit, func() { w.Answer(inflight.Rejected, advised) })
+	if l.unanswered[id] != nil {
+		delete(l.unanswered, id)
+		l.log.Finish(id, nil)
+		l.remove(w)
+		l.afterCommit = append(l.afterCommit, func() { w.Answer(inflight.Rejected, retryAfter) })
 		return
 	}
-	if d.notifyResult(w, inflight.StatusRejected, advised) {
+	if l.notifyResult(w, inflight.StatusRejected, retryAfter) {
 		return
 	}
-	d.inbox.HandedBack.Add(1)
-	d.notifyEnded(w, Rejected)
-	w.Trace("handed_back", 0, advised)
-	d.enqueueCallback(w, callback.Rejected(w.RequestID, advised))
+	l.inbox.HandedBack.Add(1)
+	l.observeEnd(w, Rejected)
+	w.Trace("rejected", 0, retryAfter)
+	l.enqueueCallback(w, callback.Rejected(w.RequestID, retryAfter))
 }
 
-func (d *Loop) DeadLetter(id api.WebhookID) {
-	if w := d.webhooks[id]; w != nil && !d.notifyResult(w, inflight.StatusDeadLettered, 0) {
-		d.inbox.GivenUp.Add(1)
-		d.notifyEnded(w, DeadLettered)
-		w.Trace("dead_lettered", 0, 0)
-		d.enqueueCallback(w, callback.DeadLettered(w.RequestID))
+// DeadLetter implements api.Host: by callback.
+func (l *Loop) DeadLetter(id api.WebhookID) {
+	w := l.webhooks[id]
+	if w == nil || l.notifyResult(w, inflight.StatusDeadLettered, 0) {
+		return
 	}
+	l.inbox.GivenUp.Add(1)
+	l.observeEnd(w, DeadLettered)
+	w.Trace("dead_lettered", 0, 0)
+	l.enqueueCallback(w, callback.DeadLettered(w.RequestID))
 }
 
-func (d *Loop) enqueueCallback(w *inflight.Webhook, notice []byte) {
-	notice = d.nameSubscriber(w, notice)
-	d.log.Finish(w.ID, notice)
-	d.remove(w)
-	d.afterCommit = append(d.afterCommit, func() { d.callbacks.Enqueue(w.ID, notice) })
+// enqueueCallback finishes a webhook and sends its callback once that is written.
+func (l *Loop) enqueueCallback(w *inflight.Webhook, line []byte) {
+	line = l.nameSubscriber(w, line)
+	l.log.Finish(w.ID, line)
+	l.remove(w)
+	l.afterCommit = append(l.afterCommit, func() { l.callbacks.Enqueue(w.ID, line) })
 }
 
-func (d *Loop) SetTimer(in api.Micros, timer api.TimerID) {
-	d.timers.Add(int64(d.now+in), func() { d.policy.TimerFired(timer) })
+// SetTimer implements api.Host.
+func (l *Loop) SetTimer(after api.Micros, timer api.TimerID) {
+	l.timers.Add(int64(l.now+after), func() { l.policy.TimerFired(timer) })
 }
 
-func (d *Loop) CloseIdleConnections(ep api.EndpointID) { d.idleToClose = append(d.idleToClose, ep) }
+// CloseIdleConnections implements api.Host: at the end of the turn.
+func (l *Loop) CloseIdleConnections(endpoint api.EndpointID) {
+	l.idleToClose = append(l.idleToClose, endpoint)
+}
 
-func (d *Loop) Log(text string) { slog.Info("module", "says", text) }
+// Log implements api.Host.
+func (l *Loop) Log(text string) { slog.Info("policy", "event", text) }
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs the decision module: one goroutine owns it and is its Host. A turn takes all that
-// waits, lets the module decide once, writes down what was decided, and only then acts on it.
+// Package eventloop runs the decision policy: one goroutine owns it and is its api.Host. A turn takes everything that
+// waits, lets the policy decide once, writes the decisions to the write-ahead log, and only then acts on them.
 package eventloop
 
 import (
@@ -14,10 +14,11 @@
 	"rowanlink/webhook/dispatcher/wal"
 )
 
-// sweepTicks is how many ticks lie between two looks at idle connections.
-const sweepTicks = 20
+// sweepTurns is how many turn intervals lie between two sweeps of idle connections.
+const sweepTurns = 20
 
-// Loop owns the module and what it holds.
+// Loop owns the policy and the webhooks. Methods that say so may be called from any goroutine: they post to the loop, and
+// some wait for the turn in which it is done. All others belong to the loop's goroutine, or to the time before Run.
 type Loop struct {
 	inbox      *inflight.Inbox
 	lifecycle  *lifecycle.Lifecycle
@@ -25,180 +26,214 @@
 	upstream   *upstream.Client
 	callbacks  *callback.Sender
 	settings   api.Settings
-	eventTypes []string // the names of event types
+	eventTypes []string // the names, by api.EventTypeID
 	policy     api.Policy
+	admission  []func(*inflight.Webhook) bool
 
-	now        api.Micros
-	lastTurnAt api.Micros // when the last turn was
+	now        api.Micros // the time of the turn
+	lastTurnAt api.Micros
 	nextID     api.WebhookID
 	webhooks   map[api.WebhookID]*inflight.Webhook
-	idOf       map[inflight.RequestID]api.WebhookID // of those held
-	timers     timerqueue.Queue[func()]
-	admission  []func(*inflight.Webhook) bool
+	idOf       map[inflight.RequestID]api.WebhookID
 	inFlight   map[api.WebhookID]bool // in a call
-	stopped    chan struct{}          // closed after the last turn
+	timers     timerqueue.Queue[func()]
+	stopped    chan struct{} // closed after the last turn
 
-	// Where a fleet acts as one; else nil.
+	// In a cluster, else nil.
 	cluster          Cluster
 	parked           map[api.WebhookID]*inflight.Webhook
-	parkedByKey      map[orderingGroup][]api.WebhookID      // what of each key is parked, in the order taken
-	endpoints        map[api.EndpointID]api.EndpointEntry   // as discovery has it
-	rates            map[api.EndpointID]float64             // as the module was told
-	recoveredResults map[inflight.RequestID]recoveredResult // of an earlier life, for others than the platform
+	parkedByKey      map[orderingGroup][]api.WebhookID // in the order of acceptance
+	endpoints        map[api.EndpointID]api.EndpointEntry
+	rates            map[api.EndpointID]float64             // as the policy was told
+	recoveredResults map[inflight.RequestID]recoveredResult // of an earlier incarnation, for other members
 
 	// Of this turn.
-	unanswered   map[api.WebhookID]*inflight.Webhook // not answered yet
+	unanswered   map[api.WebhookID]*inflight.Webhook // accepted, and the client has no answer yet
 	accepted     []api.WebhookID
 	attempts     []attempt
 	afterCommit  []func()
 	cancels      []api.WebhookID
 	idleToClose  []api.EndpointID
-	commitFailed bool // nothing of it could be written
+	commitFailed bool
 }
 
+// attempt is one that the policy started in this turn.
 type attempt struct {
 	endpoint api.EndpointID
 	upstream.Attempt
 }
 
-// New makes a decider; Begin gives it its parts, which call back to it.
-func New(x *inflight.Inbox, life *lifecycle.Lifecycle, j *wal.Log, f api.Settings) *Loop {
-	f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
-	d := &Loop{inbox: x, lifecycle: life, log: j, settings: f, now: inflight.Now(), nextID: 1,
-		webhooks: map[api.WebhookID]*inflight.Webhook{}, idOf: map[inflight.RequestID]api.WebhookID{},
-		unanswered: map[api.WebhookID]*inflight.Webhook{}, inFlight: map[api.WebhookID]bool{},
-		stopped: make(chan struct{})}
-	d.admission = []func(*inflight.Webhook) bool{d.admitInTime, d.admitWithinBuffer, d.admitOnce, d.acceptWebhook}
-	return d
-}
-
-// Begin starts the module and hands it the webhooks of an earlier life.
-func (d *Loop) Begin(calls *upstream.Client, finals *callback.Sender,
-	start func(api.Settings, api.Host) api.Policy) {
-	d.upstream, d.callbacks = calls, finals
-	d.policy = start(d.settings, d)
-	d.sweep()
-	for _, e := range d.log.Entries() {
-		d.nextID = max(d.nextID, e.ID+1)
-		if e.Finished && d.isRecoveredResult(e) {
+// New returns a Loop; Begin gives it the parts that call back to it.
+func New(inbox *inflight.Inbox, life *lifecycle.Lifecycle, log *wal.Log, settings api.Settings) *Loop {
+	l := &Loop{
+		inbox:      inbox,
+		lifecycle:  life,
+		log:        log,
+		settings:   withLimits(settings),
+		now:        inflight.Now(),
+		nextID:     1,
+		webhooks:   map[api.WebhookID]*inflight.Webhook{},
+		idOf:       map[inflight.RequestID]api.WebhookID{},
+		unanswered: map[api.WebhookID]*inflight.Webhook{},
+		inFlight:   map[api.WebhookID]bool{},
+		stopped:    make(chan struct{}),
+	}
+	l.admission = []func(*inflight.Webhook) bool{l.admitInTime, l.admitWithinBuffer, l.admitOnce, l.acceptWebhook}
+	return l
+}
+
+func withLimits(s api.Settings) api.Settings {
+	s.BufferSize = max(s.BufferSize, 1)
+	s.MinTurnInterval = max(s.MinTurnInterval, 1)
+	return s
+}
+
+// Begin starts the policy and recovers the webhooks of an earlier incarnation.
+func (l *Loop) Begin(client *upstream.Client, callbacks *callback.Sender,
+	newPolicy func(api.Settings, api.Host) api.Policy) {
+	l.upstream = client
+	l.callbacks = callbacks
+	l.policy = newPolicy(l.settings, l)
+	l.scheduleSweep()
+	for _, e := range l.log.Entries() {
+		l.nextID = max(l.nextID, e.ID+1)
+		if e.Finished && l.isRecoveredResult(e) {
 			continue
 		}
 		if e.Finished {
-			d.callbacks.Enqueue(e.ID, e.Callback)
-			continue
-		}
-		w, err := inflight.DecodeWebhook(e.ID, e.Payload)
-		if err != nil {
-			slog.Error("webhook of an earlier life not read", "id", e.ID, "err", err)
+			l.callbacks.Enqueue(e.ID, e.Callback)
 			continue
 		}
-		if e.EventType != "" { // an earlier release wrote none
-			w.EventType = d.eventTypeID(e.EventType)
-		}
-		d.webhooks[w.ID], d.idOf[w.RequestID] = w, w.ID
-		w.InDoubt = d.cluster != nil && d.cluster.IsInDoubt(w.RequestID)
-		d.inbox.Resumed.Add(1)
-		w.Trace("resumed", 0, api.Micros(e.Attempts))
-		d.inbox.Post(func() { d.begin(w, e.Attempts, e.MayHaveRunAt, e.Zone) })
+		l.recoverEntry(e)
 	}
 }
 
-// Empty tells whether nothing is held and no call is out.
-func (d *Loop) Empty() bool {
+// recoverEntry recovers a webhook from the write-ahead log; the policy gets it in the first turn.
+func (l *Loop) recoverEntry(e *wal.Entry) {
+	w, err := inflight.DecodeWebhook(e.ID, e.Payload)
+	if err != nil {
+		slog.Error("webhook not recovered", "id", e.ID, "err", err)
+		return
+	}
+	if e.EventType != "" { // earlier releases wrote none
+		w.EventType = l.eventTypeID(e.EventType)
+	}
+	l.add(w)
+	w.InDoubt = l.cluster != nil && l.cluster.IsInDoubt(w.RequestID)
+	l.inbox.Resumed.Add(1)
+	w.Trace("recovered", 0, api.Micros(e.Attempts))
+	l.inbox.Post(func() { l.begin(w, priorAttempts(e)) })
+}
+
+func priorAttempts(e *wal.Entry) api.PriorAttempts {
+	return api.PriorAttempts{Count: e.Attempts, MayHaveRunAt: e.MayHaveRunAt, Zone: e.Zone}
+}
+
+// Empty reports whether no webhook is pending and no call is in flight. It waits for a turn; it may be called from any
+// goroutine.
+func (l *Loop) Empty() bool {
 	empty := make(chan bool, 1)
-	d.inbox.Post(func() { empty <- len(d.webhooks) == 0 })
-	return <-empty && d.upstream.InFlight() == 0
-}
-
-// UpdateSettings has the module decide by other facts from the next turn on. What is beyond a lower limit drains.
-func (d *Loop) UpdateSettings(f api.Settings, types []string, idleLimit api.Micros) {
-	d.inbox.Post(func() {
-		f.BufferSize, f.MinTurnInterval = max(f.BufferSize, 1), max(f.MinTurnInterval, 1)
-		d.settings = f
-		d.SetEventTypes(types)
-		d.upstream.UpdateSettings(f.ConnectTimeout, idleLimit, f.DestinationKinds)
-		d.policy.UpdateSettings(f)
+	l.inbox.Post(func() { empty <- len(l.webhooks) == 0 })
+	return <-empty && l.upstream.InFlight() == 0
+}
+
+// UpdateSettings has the policy decide by other settings from the next turn on. What is beyond a lower limit drains. It
+// may be called from any goroutine.
+func (l *Loop) UpdateSettings(settings api.Settings, eventTypes []string, idleTimeout api.Micros) {
+	l.inbox.Post(func() {
+		l.settings = withLimits(settings)
+		l.SetEventTypes(eventTypes)
+		l.upstream.UpdateSettings(settings.ConnectTimeout, idleTimeout, settings.DestinationKinds)
+		l.policy.UpdateSettings(l.settings)
 	})
 }
 
-// UpdateEndpoints takes a list; addrs are its entries' addresses.
-func (d *Loop) UpdateEndpoints(entries []api.EndpointEntry, addrs []string, whole bool) {
-	d.inbox.Lists.Add(1)
-	for _, l := range entries {
-		d.inbox.AddDestination(l.Destination)
+// UpdateEndpoints takes a list with the addresses of its entries. It may be called from any goroutine.
+func (l *Loop) UpdateEndpoints(entries []api.EndpointEntry, addresses []string, complete bool) {
+	l.inbox.Lists.Add(1)
+	for _, entry := range entries {
+		l.inbox.AddDestination(entry.Destination)
 	}
-	d.inbox.Post(func() {
-		named := map[api.EndpointID]bool{}
-		for i, l := range entries {
-			kind := api.DestinationKind{}
-			if int(l.Kind) < len(d.settings.DestinationKinds) {
-				kind = d.settings.DestinationKinds[l.Kind]
-			}
-			d.upstream.UpdateEndpoint(l, addrs[i], kind)
-			named[l.Endpoint] = true
+	l.inbox.Post(func() {
+		listed := map[api.EndpointID]bool{}
+		for i, entry := range entries {
+			l.upstream.UpdateEndpoint(entry, addresses[i], l.kind(entry.Kind))
+			listed[entry.Endpoint] = true
 		}
-		if whole {
-			d.upstream.RemoveOthers(named)
+		if complete {
+			l.upstream.RemoveOthers(listed)
 		}
-		d.policy.UpdateEndpoints(d.takeEndpoints(entries, whole), whole)
+		l.policy.UpdateEndpoints(l.takeEndpoints(entries, complete), complete)
 	})
 }
 
-// CallFinished takes the result of a webhook's part in a call, from the call's own goroutine.
-func (d *Loop) CallFinished(w *inflight.Webhook, result api.AttemptResult) {
-	d.inbox.Post(func() { d.handleResult(w, result) })
+func (l *Loop) kind(id api.DestinationKindID) api.DestinationKind {
+	if int(id) < len(l.settings.DestinationKinds) {
+		return l.settings.DestinationKinds[id]
+	}
+	return api.DestinationKind{}
+}
+
+// CallFinished takes the result of a webhook's part in a call. It may be called from any goroutine.
+func (l *Loop) CallFinished(w *inflight.Webhook, result api.AttemptResult) {
+	l.inbox.Post(func() { l.handleResult(w, result) })
 }
 
 // handleResult records the result of an attempt and passes it to the policy.
-func (d *Loop) handleResult(w *inflight.Webhook, result api.AttemptResult) {
-	delete(d.inFlight, w.ID)
-	discarded := result.Final // by the endpoint: no answer is needed any more
+func (l *Loop) handleResult(w *inflight.Webhook, result api.AttemptResult) {
+	delete(l.inFlight, w.ID)
+	discarded := result.Final // by the endpoint: it needs no delivery any more
 	delivered := result.Outcome == api.Delivered
 	switch {
 	case delivered || discarded:
-		d.notifyEnded(w, d.endingOf(w, discarded))
-		if !d.notifyResult(w, inflight.StatusDelivered, 0) {
-			d.log.Finish(w.ID, nil)
-			d.remove(w)
+		l.observeEnd(w, l.endingOf(w, discarded))
+		if !l.notifyResult(w, inflight.StatusDelivered, 0) {
+			l.log.Finish(w.ID, nil)
+			l.remove(w)
 		}
 	case result.Outcome.NeverRan():
-		d.log.RecordNeverRan(w.ID)
+		l.log.RecordNeverRan(w.ID)
 	}
 	if discarded {
-		d.inbox.Over.Add(1)
+		l.inbox.Over.Add(1)
 	}
 	result.Final = delivered || discarded
-	d.policy.AttemptEnded(result)
-	if d.webhooks[w.ID] != nil && !d.mayCall(w) {
-		d.policy.Withdraw(w.ID)
-		d.park(w)
+	l.policy.AttemptEnded(result)
+	if l.webhooks[w.ID] != nil && !l.mayCall(w) {
+		l.policy.Withdraw(w.ID)
+		l.park(w)
 	}
 }
 
-// handleNotSent is the result of an attempt that was not made after all.
-func (d *Loop) handleNotSent(a attempt) {
-	d.handleResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: a.endpoint, Outcome: api.NotSent})
+// handleNotSent takes back an attempt that was not made after all.
+func (l *Loop) handleNotSent(a attempt) {
+	l.handleResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: a.endpoint, Outcome: api.NotSent})
 }
 
-// CallbacksDelivered takes which notices were heard.
-func (d *Loop) CallbacksDelivered(ids []api.WebhookID) {
-	d.inbox.Post(func() {
+// CallbacksDelivered records that callbacks were acknowledged. It may be called from any goroutine.
+func (l *Loop) CallbacksDelivered(ids []api.WebhookID) {
+	l.inbox.Post(func() {
 		for _, id := range ids {
-			d.log.CallbackDelivered(id)
+			l.log.CallbackDelivered(id)
 		}
 	})
 }
 
-func (d *Loop) remove(w *inflight.Webhook) {
-	delete(d.inFlight, w.ID)
-	delete(d.webhooks, w.ID)
-	delete(d.idOf, w.RequestID)
+func (l *Loop) add(w *inflight.Webhook) {
+	l.webhooks[w.ID] = w
+	l.idOf[w.RequestID] = w.ID
+}
+
+func (l *Loop) remove(w *inflight.Webhook) {
+	delete(l.inFlight, w.ID)
+	delete(l.webhooks, w.ID)
+	delete(l.idOf, w.RequestID)
 }
 
-// sweep has idle connections looked at now and then.
-func (d *Loop) sweep() {
-	d.timers.Add(int64(d.now+sweepTicks*d.settings.MinTurnInterval), func() {
-		d.upstream.Sweep()
-		d.sweep()
+// scheduleSweep has idle connections swept from time to time.
+func (l *Loop) scheduleSweep() {
+	l.timers.Add(int64(l.now+sweepTurns*l.settings.MinTurnInterval), func() {
+		l.upstream.Sweep()
+		l.scheduleSweep()
 	})
 }
--- a/webhook/dispatcher/eventloop/parked.go
+++ b/webhook/dispatcher/eventloop/parked.go
@@ -7,72 +7,137 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// orderingGroup is what order is kept by.
+// Parked is a webhook that is pending here, but whose destination this member may not call now.
+type Parked struct {
+	*inflight.Webhook
+	MayBeElsewhere bool // another member may have it
+	Attempts       int
+	MayHaveRunAt   api.Micros // start of the first attempt that may have run, or Never
+	Zone           api.ZoneID
+}
+
+// orderingGroup is the webhooks that are delivered one at a time.
 type orderingGroup struct {
-	dest api.DestinationID
-	key  api.OrderingKey
+	destination api.DestinationID
+	key         api.OrderingKey
 }
 
-func (d *Loop) park(w *inflight.Webhook) {
-	if d.parked[w.ID] = w; w.OrderingKey != 0 {
-		of := orderingGroup{w.Destination, w.OrderingKey}
-		at, _ := slices.BinarySearch(d.parkedByKey[of], w.ID)
-		d.parkedByKey[of] = slices.Insert(d.parkedByKey[of], at, w.ID)
+func groupOf(w *inflight.Webhook) orderingGroup { return orderingGroup{w.Destination, w.OrderingKey} }
+
+// park takes a webhook out of the policy's hands: it stays logged and pending, but nobody here calls its destination.
+func (l *Loop) park(w *inflight.Webhook) {
+	l.parked[w.ID] = w
+	if w.OrderingKey != 0 {
+		group := groupOf(w)
+		at, _ := slices.BinarySearch(l.parkedByKey[group], w.ID)
+		l.parkedByKey[group] = slices.Insert(l.parkedByKey[group], at, w.ID)
 	}
 	w.Trace("parked", 0, 0)
-	d.timers.Add(int64(w.Deadline-2*d.settings.MinTurnInterval), func() { d.expire(w.ID) })
+	l.timers.Add(int64(w.Deadline-2*l.settings.MinTurnInterval), func() { l.expireParked(w.ID) })
 }
 
-func (d *Loop) unpark(id api.WebhookID) {
-	w := d.parked[id]
-	if delete(d.parked, id); w == nil || w.OrderingKey == 0 {
+func (l *Loop) unpark(id api.WebhookID) {
+	w := l.parked[id]
+	delete(l.parked, id)
+	if w == nil || w.OrderingKey == 0 {
 		return
 	}
-	of := orderingGroup{w.Destination, w.OrderingKey}
-	d.parkedByKey[of] = slices.DeleteFunc(d.parkedByKey[of], func(other api.WebhookID) bool { return other == id })
-	if len(d.parkedByKey[of]) == 0 {
-		delete(d.parkedByKey, of)
+	group := groupOf(w)
+	l.parkedByKey[group] = slices.DeleteFunc(l.parkedByKey[group], func(other api.WebhookID) bool { return other == id })
+	if len(l.parkedByKey[group]) == 0 {
+		delete(l.parkedByKey, group)
 	}
 }
 
-// resumeParked hands to the module what may be called by now, and then what waited behind it.
-func (d *Loop) resumeParked(id api.WebhookID) bool {
-	w, e := d.parked[id], d.log.Pending(id)
-	if w == nil || e == nil || !d.mayCall(w) {
+// resumeParked passes a parked webhook to the policy if its destination may be called now, and then those that waited
+// behind it.
+func (l *Loop) resumeParked(id api.WebhookID) bool {
+	w, entry := l.parked[id], l.log.Pending(id)
+	if w == nil || entry == nil || !l.mayCall(w) {
 		return false
 	}
-	d.unpark(id)
+	l.unpark(id)
 	w.Trace("unparked", 0, 0)
-	d.recoverWebhook(w, e.Attempts, e.MayHaveRunAt, e.Zone)
-	for _, next := range slices.Clone(d.parkedByKey[orderingGroup{w.Destination, w.OrderingKey}]) {
-		if !d.resumeParked(next) {
+	l.recoverWebhook(w, priorAttempts(entry))
+	for _, next := range slices.Clone(l.parkedByKey[groupOf(w)]) {
+		if !l.resumeParked(next) {
 			break
 		}
 	}
 	return true
 }
 
-// hasEarlierParked is whether an earlier one of a webhook's key is parked here; 0 as id: it has yet to be taken.
-func (d *Loop) hasEarlierParked(w *inflight.Webhook) bool {
-	for _, id := range d.parkedByKey[orderingGroup{w.Destination, w.OrderingKey}] {
+// hasEarlierParked reports whether an earlier webhook of the same key is parked here. A webhook without an id has yet to
+// be accepted.
+func (l *Loop) hasEarlierParked(w *inflight.Webhook) bool {
+	for _, id := range l.parkedByKey[groupOf(w)] {
 		if w.ID != 0 && id >= w.ID {
 			return false
 		}
-		if d.isOrdered(d.parked[id]) {
+		if l.isOrdered(l.parked[id]) {
 			return true
 		}
 	}
 	return false
 }
 
-// expire guards against a webhook lost while it is parked: it ends in time, as the module ends those it has.
-func (d *Loop) expire(id api.WebhookID) {
-	e := d.log.Pending(id)
-	if w := d.parked[id]; w != nil && e != nil && !d.awaitsRelay(w) {
-		if d.unpark(id); e.MayHaveRunAt != api.Never || w.InDoubt {
-			d.DeadLetter(id)
-		} else {
-			d.Reject(id, 0)
+// expireParked ends a parked webhook in time, as the policy ends its own.
+func (l *Loop) expireParked(id api.WebhookID) {
+	w, entry := l.parked[id], l.log.Pending(id)
+	if w == nil || entry == nil || l.awaitsRelay(w) {
+		return
+	}
+	l.unpark(id)
+	if entry.MayHaveRunAt != api.Never || w.InDoubt {
+		l.DeadLetter(id)
+	} else {
+		l.Reject(id, 0)
+	}
+}
+
+// WaitsForEarlier reports whether a webhook that is not accepted yet has to wait here for an earlier one of its key,
+// which is parked: it must not overtake it on the way to the destination's owner. It waits for a turn; it may be called
+// from any goroutine.
+func (l *Loop) WaitsForEarlier(w *inflight.Webhook) (waits bool) {
+	if w.OrderingKey == 0 {
+		return false
+	}
+	l.runInTurn(func() { waits = l.isOrdered(w) && l.hasEarlierParked(w) })
+	return waits
+}
+
+// ParkedWebhooks returns the parked webhooks that match, in the order of acceptance, and how many matching ones can't be
+// handed off yet: those in a call, and those behind one of their key that is. All that may not be called any more are
+// parked first. It waits for a turn; it may be called from any goroutine.
+func (l *Loop) ParkedWebhooks(matches func(*inflight.Webhook) bool) (all []Parked, busy int) {
+	l.runInTurn(func() {
+		l.reevaluate()
+		blocked := map[orderingGroup]bool{}
+		for _, id := range l.sortedIDs() {
+			w, entry := l.webhooks[id], l.log.Pending(id)
+			if entry == nil || !matches(w) {
+				continue
+			}
+			ordered := l.isOrdered(w)
+			if l.parked[id] != nil && l.unanswered[id] == nil && (!ordered || !blocked[groupOf(w)]) {
+				all = append(all, parkedSnapshot(w, priorAttempts(entry)))
+				continue
+			}
+			busy++
+			blocked[groupOf(w)] = blocked[groupOf(w)] || ordered
 		}
+	})
+	return all, busy
+}
+
+// parkedSnapshot copies the webhook as it is in this turn: whether it is in doubt changes in others.
+func parkedSnapshot(w *inflight.Webhook, prior api.PriorAttempts) Parked {
+	snapshot := *w
+	return Parked{
+		Webhook:        &snapshot,
+		MayBeElsewhere: w.InDoubt,
+		Attempts:       prior.Count,
+		MayHaveRunAt:   prior.MayHaveRunAt,
+		Zone:           prior.Zone,
 	}
 }
--- a/webhook/dispatcher/eventloop/relay.go
+++ b/webhook/dispatcher/eventloop/relay.go
@@ -7,153 +7,171 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// selectPending lists what is held of those named.
-func selectPending[V any](d *Loop, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
+// selectPending returns the pending webhooks among those named.
+func selectPending[V any](l *Loop, named map[inflight.RequestID]V) map[inflight.RequestID]*inflight.Webhook {
 	all := map[inflight.RequestID]*inflight.Webhook{}
-	for of := range named {
-		if w := d.webhooks[d.idOf[of]]; w != nil {
-			all[of] = w
+	for id := range named {
+		if w := l.webhooks[l.idOf[id]]; w != nil {
+			all[id] = w
 		}
 	}
 	return all
 }
 
-// HandToRelay gives webhooks that are parked here away: until Frees or Over nobody here calls for them, and from
-// at on each may have run. Each comes with the attempts that it is given away with. False: nothing was done,
-// as one is parked here no more, was called for here meanwhile, or it can't be written.
-func (d *Loop) HandToRelay(all map[inflight.RequestID]int, at api.Micros) (ok bool) {
-	d.runInTurn(func() {
-		of := selectPending(d, all)
-		if len(of) < len(all) {
-			return
-		}
-		ran := map[inflight.RequestID]bool{}
-		for id, w := range of {
-			e := d.log.Pending(w.ID)
-			if e == nil || d.parked[w.ID] == nil || w.InDoubt || e.Attempts != all[id] {
-				return
-			}
-			ran[id] = e.MayHaveRunAt != api.Never
+func toSet(ids []inflight.RequestID) map[inflight.RequestID]bool {
+	all := map[inflight.RequestID]bool{}
+	for _, id := range ids {
+		all[id] = true
+	}
+	return all
+}
+
+// commit writes the log within a turn, and logs a failure.
+func (l *Loop) commit() error {
+	err := l.log.Commit()
+	if err != nil {
+		slog.Error("write-ahead log not written", "err", err)
+	}
+	return err
+}
+
+// HandToRelay hands parked webhooks to a relay: until TakeBack or FinishByRelay nobody here calls for them, and from `at`
+// on each may have run. Each comes with the number of attempts that it is handed over with. false: nothing was done,
+// because one is no longer parked here, was called for meanwhile, or the log can't be written. It waits for a turn; it
+// may be called from any goroutine.
+func (l *Loop) HandToRelay(attempts map[inflight.RequestID]int, at api.Micros) (ok bool) {
+	l.runInTurn(func() { ok = l.handToRelay(attempts, at) })
+	return ok
+}
+
+func (l *Loop) handToRelay(attempts map[inflight.RequestID]int, at api.Micros) bool {
+	webhooks := selectPending(l, attempts)
+	if len(webhooks) < len(attempts) {
+		return false
+	}
+	hadRun := map[inflight.RequestID]bool{}
+	for id, w := range webhooks {
+		entry := l.log.Pending(w.ID)
+		if entry == nil || l.parked[w.ID] == nil || w.InDoubt || entry.Attempts != attempts[id] {
+			return false
 		}
-		for id, w := range of {
-			w.InDoubt, w.AtRelay = true, true
-			e, since := d.log.Pending(w.ID), at
-			if ran[id] {
-				since = e.MayHaveRunAt
-			}
-			// It counts as an attempt: without one the module does not ask whether it may have run.
-			d.log.SetPriorAttempts(w.ID, e.Attempts+1, since, e.Zone)
+		hadRun[id] = entry.MayHaveRunAt != api.Never
+	}
+	for id, w := range webhooks {
+		w.InDoubt = true
+		w.AtRelay = true
+		entry, since := l.log.Pending(w.ID), at
+		if hadRun[id] {
+			since = entry.MayHaveRunAt
 		}
-		if err := d.log.Commit(); err != nil {
-			slog.Error("journal not written", "err", err)
-			for id, w := range of {
-				d.clearInDoubt(w, TakenBack{NeverReceived: true, MayHaveRun: ran[id]})
-			}
-			return
+		// It counts as an attempt: without one the policy doesn't ask whether it may have run.
+		l.log.SetPriorAttempts(w.ID, entry.Attempts+1, since, entry.Zone)
+	}
+	if l.commit() != nil {
+		for id, w := range webhooks {
+			l.clearInDoubt(w, TakenBack{NeverReceived: true, MayHaveRun: hadRun[id]})
 		}
-		ok = true
-	})
-	return ok
+		return false
+	}
+	return true
 }
 
-// TakenBack is what is known of a webhook that was given away and comes back.
+// TakenBack is what is known of a webhook that comes back from a relay.
 type TakenBack struct {
-	NeverReceived bool // it was never taken there, and never will be
-	MayHaveRun    bool // it may have run before it was given away
+	NeverReceived bool // the relay never accepted it, and never will
+	MayHaveRun    bool // before it was handed to the relay
 }
 
-func (d *Loop) clearInDoubt(w *inflight.Webhook, b TakenBack) {
-	w.InDoubt, w.AtRelay = false, false
-	e := d.log.Pending(w.ID)
-	if e == nil || !b.NeverReceived || e.MayHaveRunAt == api.Never {
+// clearInDoubt makes a webhook this member's again. Where the relay never received it, the attempt that HandToRelay
+// counted is taken back.
+func (l *Loop) clearInDoubt(w *inflight.Webhook, back TakenBack) {
+	w.InDoubt = false
+	w.AtRelay = false
+	entry := l.log.Pending(w.ID)
+	if entry == nil || !back.NeverReceived || entry.MayHaveRunAt == api.Never {
 		return
 	}
-	if b.MayHaveRun {
-		d.log.SetPriorAttempts(w.ID, e.Attempts-1, e.MayHaveRunAt, e.Zone)
+	if back.MayHaveRun {
+		l.log.SetPriorAttempts(w.ID, entry.Attempts-1, entry.MayHaveRunAt, entry.Zone)
 	} else {
-		d.log.SetPriorAttempts(w.ID, e.Attempts-1, api.Never, 0)
+		l.log.SetPriorAttempts(w.ID, entry.Attempts-1, api.Never, 0)
 	}
 }
 
-// TakeBack takes webhooks back that were given away.
-func (d *Loop) TakeBack(all map[inflight.RequestID]TakenBack) {
-	d.runInTurn(func() {
-		for id, w := range selectPending(d, all) {
-			if w.InDoubt && d.parked[w.ID] != nil {
-				d.clearInDoubt(w, all[id])
+// TakeBack takes webhooks back from a relay. It waits for a turn; it may be called from any goroutine.
+func (l *Loop) TakeBack(all map[inflight.RequestID]TakenBack) {
+	l.runInTurn(func() {
+		for id, w := range selectPending(l, all) {
+			if w.InDoubt && l.parked[w.ID] != nil {
+				l.clearInDoubt(w, all[id])
+			}
+		}
+		l.reevaluate()
+	})
+}
+
+// RestoreAtRelay marks webhooks of an earlier incarnation that were handed to a relay then, before anybody here calls for
+// them. It waits for a turn; it may be called from any goroutine.
+func (l *Loop) RestoreAtRelay(ids []inflight.RequestID) {
+	atRelay := toSet(ids)
+	l.runInTurn(func() {
+		for _, w := range selectPending(l, atRelay) {
+			w.InDoubt = true
+			w.AtRelay = true
+			if l.parked[w.ID] == nil {
+				l.policy.Withdraw(w.ID)
+				l.park(w)
 			}
 		}
-		d.reevaluate()
 	})
 }
 
-// awaitsRelay guards against two ends: what was given away has a while after its time for the word of whoever
-// has it, who ends it in time. It tells whether that is still to come.
-func (d *Loop) awaitsRelay(w *inflight.Webhook) bool {
+// awaitsRelay reports whether a webhook at a relay, which ends it in time, still has a while after its deadline for the
+// relay's result: ending it here at once could give it two results.
+func (l *Loop) awaitsRelay(w *inflight.Webhook) bool {
 	until := w.Deadline + inflight.AnswerTimeout
-	if !w.AtRelay || d.now >= until {
+	if !w.AtRelay || l.now >= until {
 		return false
 	}
-	d.timers.Add(int64(until), func() { d.expire(w.ID) })
+	l.timers.Add(int64(until), func() { l.expireParked(w.ID) })
 	return true
 }
 
-// RestoreAtRelay is for webhooks of an earlier life that were given away then, before anybody here calls for them.
-func (d *Loop) RestoreAtRelay(ids []inflight.RequestID) {
-	want := toSet(ids)
-	d.runInTurn(func() {
-		for _, w := range selectPending(d, want) {
-			w.InDoubt, w.AtRelay = true, true
-			if d.parked[w.ID] == nil {
-				d.policy.Withdraw(w.ID)
-				d.park(w)
-			}
-		}
-	})
-}
-
-// FinishByRelay ends webhooks by the word of whoever they were given to, and tells whether that is written. What is
-// not held any more is over. What is called for here, since that one was out of reach, ends so only by a
-// success.
-func (d *Loop) FinishByRelay(all []inflight.Result) (written bool) {
-	how := map[inflight.RequestID]inflight.Result{}
-	for _, e := range all {
-		how[e.RequestID] = e
+// FinishByRelay ends webhooks by a relay's results, and reports whether that is written. Webhooks that are no longer
+// pending have ended. One that is called for here, since the relay was unreachable, is ended only by a delivery. It waits
+// for a turn; it may be called from any goroutine.
+func (l *Loop) FinishByRelay(results []inflight.Result) (written bool) {
+	byID := map[inflight.RequestID]inflight.Result{}
+	for _, r := range results {
+		byID[r.RequestID] = r
 	}
-	d.runInTurn(func() {
-		for id, w := range selectPending(d, how) {
-			e := how[id]
-			if d.inFlight[w.ID] || !w.InDoubt && e.Status != inflight.StatusDelivered {
+	l.runInTurn(func() {
+		for id, w := range selectPending(l, byID) {
+			result := byID[id]
+			if l.inFlight[w.ID] || !w.InDoubt && result.Status != inflight.StatusDelivered {
 				continue
 			}
-			if d.parked[w.ID] == nil {
-				d.policy.Withdraw(w.ID)
-			}
-			d.unpark(w.ID)
-			w.Trace("over_elsewhere", 0, api.Micros(e.Status))
-			switch e.Status {
-			case inflight.StatusDelivered:
-				d.log.Finish(w.ID, nil)
-				d.remove(w)
-			case inflight.StatusRejected:
-				d.Reject(w.ID, e.RetryAfter)
-			default:
-				d.DeadLetter(w.ID)
-			}
-		}
-		err := d.log.Commit()
-		if written = err == nil; err != nil {
-			slog.Error("journal not written", "err", err)
+			l.finishByRelay(w, result)
 		}
-		d.reevaluate()
+		written = l.commit() == nil
+		l.reevaluate()
 	})
 	return written
 }
 
-func toSet(ids []inflight.RequestID) map[inflight.RequestID]bool {
-	all := map[inflight.RequestID]bool{}
-	for _, id := range ids {
-		all[id] = true
+func (l *Loop) finishByRelay(w *inflight.Webhook, result inflight.Result) {
+	if l.parked[w.ID] == nil {
+		l.policy.Withdraw(w.ID)
+	}
+	l.unpark(w.ID)
+	w.Trace("finished_elsewhere", 0, api.Micros(result.Status))
+	switch result.Status {
+	case inflight.StatusDelivered:
+		l.log.Finish(w.ID, nil)
+		l.remove(w)
+	case inflight.StatusRejected:
+		l.Reject(w.ID, result.RetryAfter)
+	default:
+		l.DeadLetter(w.ID)
 	}
-	return all
 }
--- a/webhook/dispatcher/eventloop/result.go
+++ b/webhook/dispatcher/eventloop/result.go
@@ -9,45 +9,74 @@
 	"rowanlink/webhook/dispatcher/wal"
 )
 
-// recoveredResult is what the journal of an earlier life says of a webhook whose end another member is owed.
+// recoveredResult is a result in the log of an earlier incarnation that another member has yet to acknowledge.
 type recoveredResult struct {
 	id api.WebhookID
 	inflight.Result
 }
 
-// notifyResult ends a webhook of which others than the platform are told, and whether it is one.
-func (d *Loop) notifyResult(w *inflight.Webhook, how inflight.Status, retryIn api.Micros) bool {
-	if w.OnFinished == nil || d.webhooks[w.ID] != w {
+// notifyResult ends a webhook whose result goes to another member in place of the platform, and reports whether it is one.
+func (l *Loop) notifyResult(w *inflight.Webhook, status inflight.Status, retryAfter api.Micros) bool {
+	if w.OnFinished == nil || l.webhooks[w.ID] != w {
 		return false
 	}
-	end := inflight.Result{RequestID: w.RequestID, Status: how, RetryAfter: retryIn}
-	if e := d.log.Pending(w.ID); e != nil {
-		end.Attempts, end.MayHaveRun = e.Attempts, e.MayHaveRunAt != api.Never
+	result := inflight.Result{RequestID: w.RequestID, Status: status, RetryAfter: retryAfter}
+	if entry := l.log.Pending(w.ID); entry != nil {
+		result.Attempts = entry.Attempts
+		result.MayHaveRun = entry.MayHaveRunAt != api.Never
 	}
-	d.log.Finish(w.ID, end.Encode())
-	d.remove(w)
-	d.afterCommit = append(d.afterCommit, func() { w.OnFinished(w.ID, end) })
+	l.log.Finish(w.ID, result.Encode())
+	l.remove(w)
+	l.afterCommit = append(l.afterCommit, func() { w.OnFinished(w.ID, result) })
 	return true
 }
 
-// isRecoveredResult guards against the platform being told of an end that is another member's to hear.
-func (d *Loop) isRecoveredResult(e *wal.Entry) bool {
-	end, is := inflight.DecodeResult(e.Callback)
-	if is {
-		if d.recoveredResults == nil {
-			d.recoveredResults = map[inflight.RequestID]recoveredResult{}
-		}
-		d.recoveredResults[end.RequestID] = recoveredResult{e.ID, end}
+// isRecoveredResult keeps a result that is for another member from being sent to the platform.
+func (l *Loop) isRecoveredResult(e *wal.Entry) bool {
+	result, ok := inflight.DecodeResult(e.Callback)
+	if !ok {
+		return false
 	}
-	return is
+	if l.recoveredResults == nil {
+		l.recoveredResults = map[inflight.RequestID]recoveredResult{}
+	}
+	l.recoveredResults[result.RequestID] = recoveredResult{e.ID, result}
+	return true
+}
+
+// NotifyInsteadOfPlatform has results of an earlier incarnation's webhooks go to onFinished in place of the platform. It
+// returns those that have ended by now with their results, and which of the others are pending. It waits for a turn; it
+// may be called from any goroutine.
+func (l *Loop) NotifyInsteadOfPlatform(ids []inflight.RequestID, onFinished func(api.WebhookID, inflight.Result)) (
+	finished map[api.WebhookID]inflight.Result, pending map[inflight.RequestID]bool) {
+	wanted := toSet(ids)
+	finished = map[api.WebhookID]inflight.Result{}
+	pending = map[inflight.RequestID]bool{}
+	l.runInTurn(func() {
+		for id, w := range selectPending(l, wanted) {
+			w.OnFinished = onFinished
+			pending[id] = true
+		}
+		for id, r := range l.recoveredResults {
+			if wanted[id] {
+				finished[r.id] = r.Result
+			} else { // the other member has acknowledged it
+				l.log.CallbackDelivered(r.id)
+			}
+		}
+		l.recoveredResults = nil
+		l.reevaluate()
+	})
+	return finished, pending
 }
 
-// nameSubscriber has a notice of an announcement name the announcement and the subscriber.
-func (d *Loop) nameSubscriber(w *inflight.Webhook, notice []byte) []byte {
-	of, to, is := w.RequestID.Subscriber()
-	if d.cluster == nil || !is {
-		return notice
+// nameSubscriber has the callback of a broadcast's delivery name the broadcast and the subscriber.
+func (l *Loop) nameSubscriber(w *inflight.Webhook, line []byte) []byte {
+	broadcast, subscriber, ok := w.RequestID.Subscriber()
+	if l.cluster == nil || !ok {
+		return line
 	}
-	with := strconv.Quote(string(of)) + `,"dest":` + strconv.FormatUint(uint64(to), 10)
-	return bytes.Replace(notice, []byte(strconv.Quote(string(w.RequestID))), []byte(with), 1)
+	quotedID := []byte(strconv.Quote(string(w.RequestID)))
+	replacement := strconv.Quote(string(broadcast)) + `,"dest":` + strconv.FormatUint(uint64(subscriber), 10)
+	return bytes.Replace(line, quotedID, []byte(replacement), 1)
 }
--- a/webhook/dispatcher/eventloop/state_transfer.go
+++ b/webhook/dispatcher/eventloop/state_transfer.go
@@ -2,43 +2,42 @@
 
 import "rowanlink/webhook/api"
 
-// ExportState lists what the module knows of destinations that match; it waits for the turn. idle: no call to
-// them is out, so that nothing can be added to it any more.
-func (d *Loop) ExportState(match func(api.DestinationID) bool) (all []api.DestinationState, idle bool) {
-	done := make(chan struct{})
-	d.inbox.Post(func() {
-		defer close(done)
+// ExportState returns what the policy knows of the destinations that match. idle: no call to them is in flight, so that
+// nothing can be added to it any more. It waits for a turn; it may be called from any goroutine.
+func (l *Loop) ExportState(matches func(api.DestinationID) bool) (all []api.DestinationState, idle bool) {
+	l.runInTurn(func() {
 		idle = true
-		dests := map[api.DestinationID]bool{}
-		for _, l := range d.endpoints {
-			dests[l.Destination] = match(l.Destination)
+		for id, w := range l.webhooks {
+			idle = idle && (!matches(w.Destination) || !l.inFlight[id])
 		}
-		for id, w := range d.webhooks {
-			idle = idle && !(match(w.Destination) && d.inFlight[id])
+		destinations := map[api.DestinationID]bool{}
+		for _, entry := range l.endpoints {
+			destinations[entry.Destination] = matches(entry.Destination)
 		}
-		for dest, is := range dests {
-			if l, known := d.stateTransferer().ExportState(dest); is && known {
-				all = append(all, l)
+		for destination, matched := range destinations {
+			if state, known := l.stateTransferer().ExportState(destination); matched && known {
+				all = append(all, state)
 			}
 		}
 	})
-	d.wait(done)
 	return all, idle
 }
 
-// ImportState has the module take over what another one knew, with times of this clock.
-func (d *Loop) ImportState(all []api.DestinationState) {
-	d.inbox.Post(func() {
-		for _, l := range all {
-			d.stateTransferer().ImportState(l)
+// ImportState has the policy take over what another member's policy knew; times are of this member's clock. It may be
+// called from any goroutine.
+func (l *Loop) ImportState(all []api.DestinationState) {
+	l.inbox.Post(func() {
+		for _, state := range all {
+			l.stateTransferer().ImportState(state)
 		}
 	})
 }
 
-func (d *Loop) stateTransferer() api.StateTransferer {
-	m := d.policy
-	if held, ok := m.(interface{ Unwrap() api.Policy }); ok {
-		m = held.Unwrap()
+// stateTransferer looks through wrappers of the policy.
+func (l *Loop) stateTransferer() api.StateTransferer {
+	policy := l.policy
+	if wrapper, ok := policy.(interface{ Unwrap() api.Policy }); ok {
+		policy = wrapper.Unwrap()
 	}
-	return m.(api.StateTransferer)
+	return policy.(api.StateTransferer)
 }
--- a/webhook/dispatcher/eventloop/transfer.go
+++ b/webhook/dispatcher/eventloop/transfer.go
@@ -3,122 +3,107 @@
 import (
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
-	"rowanlink/webhook/dispatcher/wal"
 )
 
-// RecoveredIDs lists the request ids of what an earlier life still owes; before Begin only.
-func (d *Loop) RecoveredIDs() (all []inflight.RequestID) {
-	for _, e := range d.log.Entries() {
-		if w, err := inflight.DecodeWebhook(e.ID, e.Payload); err == nil && !e.Finished {
+// RecoveredIDs returns the request ids of the webhooks that an earlier incarnation left pending; before Begin only.
+func (l *Loop) RecoveredIDs() (all []inflight.RequestID) {
+	for _, e := range l.log.Entries() {
+		w, err := inflight.DecodeWebhook(e.ID, e.Payload)
+		if err == nil && !e.Finished {
 			all = append(all, w.RequestID)
 		}
 	}
 	return all
 }
 
-// PendingIDs lists the request ids of all that is held; it waits for the turn.
-func (d *Loop) PendingIDs() (all []inflight.RequestID) {
-	done := make(chan struct{})
-	d.inbox.Post(func() {
-		defer close(done)
-		for _, w := range d.webhooks {
+// PendingIDs returns the request ids of all pending webhooks. It waits for a turn; it may be called from any goroutine.
+func (l *Loop) PendingIDs() (all []inflight.RequestID) {
+	l.runInTurn(func() {
+		for _, w := range l.webhooks {
 			all = append(all, w.RequestID)
 		}
 	})
-	d.wait(done)
 	return all
 }
 
-// MarkInDoubt marks what is still parked here, before it is offered to another member, and lists that: from then on
-// nobody here calls for it before that is settled. true: it was in no doubt before. It waits for the turn.
-func (d *Loop) MarkInDoubt(ids []api.WebhookID) map[api.WebhookID]bool {
-	fresh, done := map[api.WebhookID]bool{}, make(chan struct{})
-	d.inbox.Post(func() {
-		defer close(done)
+// MarkInDoubt marks the webhooks that are still parked here before they are offered to another member, and returns them:
+// nobody here calls for them before that is resolved. The value is true where the webhook was not in doubt before. It
+// waits for a turn; it may be called from any goroutine.
+func (l *Loop) MarkInDoubt(ids []api.WebhookID) map[api.WebhookID]bool {
+	marked := map[api.WebhookID]bool{}
+	l.runInTurn(func() {
 		for _, id := range ids {
-			if w := d.parked[id]; w != nil && d.unanswered[id] == nil {
-				fresh[id], w.InDoubt = !w.InDoubt, true
+			if w := l.parked[id]; w != nil && l.unanswered[id] == nil {
+				marked[id] = !w.InDoubt
+				w.InDoubt = true
 			}
 		}
 	})
-	d.wait(done)
-	return fresh
+	return marked
 }
 
-// FinishTransferred ends webhooks that another member has in its journal, and waits until that is written: nothing is
-// owed for them here any more.
-func (d *Loop) FinishTransferred(ids []api.WebhookID) {
-	done := make(chan struct{})
-	d.inbox.Post(func() {
+// FinishTransferred ends webhooks that another member has in its log, and waits until that is written: this member does
+// nothing more for them. It may be called from any goroutine.
+func (l *Loop) FinishTransferred(ids []api.WebhookID) {
+	l.runAndCommit(func() {
 		for _, id := range ids {
-			if w := d.parked[id]; w != nil {
-				d.unpark(id)
-				w.Trace("passed", 0, 0)
-				d.log.Finish(id, nil)
-				d.remove(w)
+			if w := l.parked[id]; w != nil {
+				l.unpark(id)
+				w.Trace("transferred", 0, 0)
+				l.log.Finish(id, nil)
+				l.remove(w)
 			}
 		}
-		d.afterCommit = append(d.afterCommit, func() { close(done) })
-	})
-	d.wait(done)
+	}, func() {})
 }
 
-// ResolveInDoubt ends the doubt whether another member has webhooks: they are this one's.
-func (d *Loop) ResolveInDoubt(all []inflight.RequestID) {
-	if len(all) == 0 {
+// ResolveInDoubt makes webhooks this member's: no other member has them. It may be called from any goroutine.
+func (l *Loop) ResolveInDoubt(ids []inflight.RequestID) {
+	if len(ids) == 0 {
 		return
 	}
-	d.inbox.Post(func() {
-		for _, of := range all {
-			if w := d.parked[d.idOf[of]]; w != nil && w.InDoubt {
+	l.inbox.Post(func() {
+		for _, id := range ids {
+			if w := l.parked[l.idOf[id]]; w != nil && w.InDoubt {
 				w.InDoubt = false
-				d.resumeParked(w.ID)
+				l.resumeParked(w.ID)
 			}
 		}
 	})
 }
 
-// DeadLetterInDoubt ends what is in doubt and will not be settled: it may have run.
-func (d *Loop) DeadLetterInDoubt(id api.WebhookID) {
-	d.inbox.Post(func() {
-		if w := d.parked[id]; w != nil && w.InDoubt {
-			d.unpark(id)
-			d.DeadLetter(id)
+// DeadLetterInDoubt ends a webhook that is in doubt and will not be resolved: it may have run. It may be called from any
+// goroutine.
+func (l *Loop) DeadLetterInDoubt(id api.WebhookID) {
+	l.inbox.Post(func() {
+		if w := l.parked[id]; w != nil && w.InDoubt {
+			l.unpark(id)
+			l.DeadLetter(id)
 		}
 	})
 }
 
-// MergePriorAttempts takes what webhooks in doubt bring along from the member that had them, beside what is known here,
-// and waits until that is written, if it could be: then they are to be Settled. What is held here no more has
-// ended.
-func (d *Loop) MergePriorAttempts(all map[inflight.RequestID]*inflight.PriorAttempts) (written bool) {
-	done := make(chan struct{})
-	d.inbox.Post(func() {
-		for of, p := range all {
-			id := d.idOf[of]
-			if e := d.log.Pending(id); e != nil && d.parked[id] != nil {
-				ran, zone := p.MayHaveRunAt, p.Zone
-				if ran == api.Never || e.MayHaveRunAt != api.Never && e.MayHaveRunAt < ran {
-					ran, zone = e.MayHaveRunAt, e.Zone
-				}
-				d.log.SetPriorAttempts(id, max(p.Attempts, e.Attempts), ran, zone)
-			}
+// MergePriorAttempts takes what another member did for webhooks in doubt, in addition to what is known here, and waits
+// until that is written, if it could be: then ResolveInDoubt may follow. Webhooks that are no longer pending have ended.
+// It may be called from any goroutine.
+func (l *Loop) MergePriorAttempts(all map[inflight.RequestID]*inflight.PriorAttempts) (written bool) {
+	l.runAndCommit(func() {
+		for requestID, prior := range all {
+			l.mergePriorAttempts(l.idOf[requestID], prior)
 		}
-		d.afterCommit = append(d.afterCommit, func() {
-			written = !d.commitFailed
-			close(done)
-		})
-	})
-	d.wait(done)
+	}, func() { written = !l.commitFailed })
 	return written
 }
 
-// logPriorAttempts journals what a webhook brings along from another member, beside what was taken.
-func logPriorAttempts(j *wal.Log, w *inflight.Webhook) (attempts int, mayRun api.Micros,
-	zone api.ZoneID) {
-	if p := w.Prior; p != nil {
-		j.SetPriorAttempts(w.ID, p.Attempts, p.MayHaveRunAt, p.Zone)
+func (l *Loop) mergePriorAttempts(id api.WebhookID, prior *inflight.PriorAttempts) {
+	entry := l.log.Pending(id)
+	if entry == nil || l.parked[id] == nil {
+		return
+	}
+	mayHaveRunAt, zone := prior.MayHaveRunAt, prior.Zone
+	earlierHere := entry.MayHaveRunAt != api.Never && entry.MayHaveRunAt < mayHaveRunAt
+	if mayHaveRunAt == api.Never || earlierHere {
+		mayHaveRunAt, zone = entry.MayHaveRunAt, entry.Zone
 	}
-	e := j.Pending(w.ID)
-	return e.Attempts, e.MayHaveRunAt, e.Zone
+	l.log.SetPriorAttempts(id, max(prior.Attempts, entry.Attempts), mayHaveRunAt, zone)
 }
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -11,181 +11,169 @@
 	"rowanlink/webhook/dispatcher/upstream"
 )
 
-// Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
-func (d *Loop) Run() {
+// maxTurnInterval is the longest time between two turns.
+const maxTurnInterval = api.Second
+
+// Run takes turns until the process has stopped: when something waits or is due, no faster than the minimum interval.
+func (l *Loop) Run() {
 	timer := time.NewTimer(0)
-	for d.lifecycle.Phase() < lifecycle.Stopped {
-		next := d.lastTurnAt + api.Second
-		if at, ok := d.timers.Next(); ok {
+	for l.lifecycle.Phase() < lifecycle.Stopped {
+		next := l.lastTurnAt + maxTurnInterval
+		if at, ok := l.timers.Next(); ok {
 			next = min(next, api.Micros(at))
 		}
 		timer.Reset(inflight.Duration(max(next-inflight.Now(), 0)))
 		select {
-		case <-d.inbox.Ready():
+		case <-l.inbox.Ready():
 		case <-timer.C:
 		}
-		if rest := d.lastTurnAt + d.settings.MinTurnInterval - inflight.Now(); rest > 0 {
+		if rest := l.lastTurnAt + l.settings.MinTurnInterval - inflight.Now(); rest > 0 {
 			time.Sleep(inflight.Duration(rest))
 		}
-		d.turn()
-	}
-	d.turn() // what came back last is written down
-	close(d.stopped)
-}
-
-// wait waits for what was told to be done in a turn, unless there are no more turns.
-func (d *Loop) wait(done <-chan struct{}) {
-	select {
-	case <-done:
-	case <-d.stopped:
+		l.turn()
 	}
+	l.turn() // the last results are written down
+	close(l.stopped)
 }
 
-func (d *Loop) turn() {
-	arrivals, news := d.inbox.TakeAll()
-	d.now = inflight.Now()
-	d.lastTurnAt = d.now
-	d.inbox.Turns.Add(1)
-	for _, call := range news {
+// turn handles everything that waits, has the policy decide, and acts on the decisions.
+func (l *Loop) turn() {
+	arrivals, posted := l.inbox.TakeAll()
+	l.now = inflight.Now()
+	l.lastTurnAt = l.now
+	l.inbox.Turns.Add(1)
+	for _, call := range posted {
 		call()
 	}
 	for _, w := range arrivals {
-		for i := 0; i < len(d.admission) && d.admission[i](w); i++ {
-		}
+		l.admit(w)
 	}
-	for call, ok := d.timers.PopDue(int64(d.now)); ok; call, ok = d.timers.PopDue(int64(d.now)) {
+	for {
+		call, ok := l.timers.PopDue(int64(l.now))
+		if !ok {
+			break
+		}
 		call()
 	}
-	if d.lifecycle.StartsCalls() {
-		d.policy.EndTurn()
+	if l.lifecycle.StartsCalls() {
+		l.policy.EndTurn()
 	}
-	d.actOnTurn()
+	l.actOnTurn()
 }
 
-// reject answers for what is not taken on. What another member may have is neither rejected nor taken.
-func (d *Loop) reject(w *inflight.Webhook) {
-	if w.MustKeep {
-		w.Answer(inflight.Undetermined, 0)
-	} else {
-		w.Answer(inflight.Rejected, 0)
-	}
+// runInTurn has something done in the next turn and waits for it, unless there are no more turns.
+func (l *Loop) runInTurn(do func()) {
+	done := make(chan struct{})
+	l.inbox.Post(func() {
+		defer close(done)
+		do()
+	})
+	l.wait(done)
 }
 
-// admitInTime ends what its client no longer waits for, and what comes when nothing is taken on any more. What
-// another member may have is kept all the same: nobody else would settle that.
-func (d *Loop) admitInTime(w *inflight.Webhook) bool {
-	if w.MustKeep {
-		return true
-	}
-	if !d.lifecycle.AcceptsWebhooks() || d.now-w.ReceivedAt > inflight.AnswerTimeout {
-		w.Answer(inflight.Rejected, 0)
-		return false
-	}
-	return true
+// runAndCommit has something done in the next turn and waits until the turn's decisions are written.
+func (l *Loop) runAndCommit(do, committed func()) {
+	done := make(chan struct{})
+	l.inbox.Post(func() {
+		do()
+		l.afterCommit = append(l.afterCommit, func() {
+			committed()
+			close(done)
+		})
+	})
+	l.wait(done)
 }
 
-// admitWithinBuffer ends what is beyond the buffer.
-func (d *Loop) admitWithinBuffer(w *inflight.Webhook) bool {
-	if len(d.webhooks) >= d.settings.BufferSize && !w.MustKeep { // of those there are no more than clients' connections
-		w.Answer(inflight.Rejected, 0)
-		return false
+func (l *Loop) wait(done <-chan struct{}) {
+	select {
+	case <-done:
+	case <-l.stopped:
 	}
-	return true
 }
 
-// admitOnce keeps a request id from being held twice.
-func (d *Loop) admitOnce(w *inflight.Webhook) bool {
-	if _, held := d.idOf[w.RequestID]; held {
-		w.Answer(inflight.Duplicate, 0)
-		return false
+// actOnTurn writes the decisions of the turn down, then answers clients, cancels and starts calls, and notifies.
+func (l *Loop) actOnTurn() {
+	l.dropForbiddenAttempts()
+	for _, a := range l.attempts {
+		l.log.RecordCall(a.Webhook.ID, l.now, l.upstream.Zone(a.endpoint))
+	}
+	err := l.log.Commit()
+	l.commitFailed = err != nil
+	if err != nil {
+		l.handleCommitFailure(err)
+	}
+	for _, id := range l.accepted {
+		if w := l.unanswered[id]; w != nil {
+			w.Answer(inflight.Accepted, 0)
+			delete(l.unanswered, id)
+		}
+	}
+	for _, id := range l.cancels {
+		l.upstream.Cancel(id)
 	}
-	return true
+	l.startCalls()
+	for _, notify := range l.afterCommit {
+		notify()
+	}
+	for _, endpoint := range l.idleToClose {
+		l.upstream.CloseIdle(endpoint)
+	}
+	l.resetTurn()
 }
 
-// acceptWebhook notes the webhook and hands it to the module.
-func (d *Loop) acceptWebhook(w *inflight.Webhook) bool {
-	w.ID = d.nextID
-	if err := d.logAccepted(w); err != nil {
-		d.inbox.JournalErrors.Add(1)
-		d.reject(w)
-		return false
-	}
-	d.nextID++
-	d.webhooks[w.ID], d.idOf[w.RequestID], d.unanswered[w.ID] = w, w.ID, w
-	d.accepted = append(d.accepted, w.ID)
-	attempts, mayRun, zone := logPriorAttempts(d.log, w)
-	d.begin(w, attempts, mayRun, zone)
-	return true
+func (l *Loop) resetTurn() {
+	l.accepted = l.accepted[:0]
+	l.attempts = l.attempts[:0]
+	l.afterCommit = l.afterCommit[:0]
+	l.cancels = l.cancels[:0]
+	l.idleToClose = l.idleToClose[:0]
 }
 
-// actOnTurn writes down what was decided, then answers, calls and tells.
-func (d *Loop) actOnTurn() {
-	d.attempts = slices.DeleteFunc(d.attempts, func(a attempt) bool {
-		if d.mayCall(a.Webhook) {
+// dropForbiddenAttempts takes back attempts whose lease has ended since the turn began.
+func (l *Loop) dropForbiddenAttempts() {
+	l.attempts = slices.DeleteFunc(l.attempts, func(a attempt) bool {
+		if l.mayCall(a.Webhook) {
 			return false
 		}
-		d.handleNotSent(a) // the grant is over since the turn began
+		l.handleNotSent(a)
 		return true
 	})
-	for _, a := range d.attempts {
-		d.log.RecordCall(a.Webhook.ID, d.now, d.upstream.Zone(a.endpoint))
-	}
-	err := d.log.Commit()
-	if d.commitFailed = err != nil; d.commitFailed {
-		d.handleCommitFailure(err)
-	}
-	for _, id := range d.accepted {
-		if w := d.unanswered[id]; w != nil {
-			w.Answer(inflight.Accepted, 0)
-			delete(d.unanswered, id)
-		}
-	}
-	for _, id := range d.cancels {
-		d.upstream.Cancel(id)
-	}
-	d.startCalls()
-	for _, end := range d.afterCommit {
-		end()
-	}
-	for _, ep := range d.idleToClose {
-		d.upstream.CloseIdle(ep)
-	}
-	d.accepted, d.attempts, d.afterCommit = d.accepted[:0], d.attempts[:0], d.afterCommit[:0]
-	d.cancels, d.idleToClose = d.cancels[:0], d.idleToClose[:0]
 }
 
-// handleCommitFailure guards against acting on what would not survive: a disk that is full or gone. What came in this
-// turn is rejected, and no call of this turn is made.
-func (d *Loop) handleCommitFailure(err error) {
-	slog.Error("journal not written", "err", err)
-	d.inbox.JournalErrors.Add(1)
-	for _, id := range d.accepted {
-		if w := d.unanswered[id]; w != nil {
-			d.log.Undo(id)
-			d.policy.Withdraw(id)
-			d.unpark(id)
-			d.remove(w)
-			d.reject(w)
-			delete(d.unanswered, id)
+// handleCommitFailure keeps the loop from acting on what would not survive the process, when the disk is full or gone:
+// the webhooks of this turn are rejected, and none of its calls is made.
+func (l *Loop) handleCommitFailure(err error) {
+	slog.Error("write-ahead log not written", "err", err)
+	l.inbox.JournalErrors.Add(1)
+	for _, id := range l.accepted {
+		w := l.unanswered[id]
+		if w == nil {
+			continue
 		}
+		l.log.Undo(id)
+		l.policy.Withdraw(id)
+		l.unpark(id)
+		l.remove(w)
+		l.reject(w)
+		delete(l.unanswered, id)
 	}
-	for _, a := range d.attempts {
-		d.handleNotSent(a)
+	for _, a := range l.attempts {
+		l.handleNotSent(a)
 	}
-	d.attempts = d.attempts[:0]
+	l.attempts = l.attempts[:0]
 }
 
 // startCalls makes the calls of this turn, those to one endpoint together, in the order decided.
-func (d *Loop) startCalls() {
-	var eps []api.EndpointID
-	tries := map[api.EndpointID][]upstream.Attempt{}
-	for _, a := range d.attempts {
-		if tries[a.endpoint] == nil {
-			eps = append(eps, a.endpoint)
+func (l *Loop) startCalls() {
+	var order []api.EndpointID
+	byEndpoint := map[api.EndpointID][]upstream.Attempt{}
+	for _, a := range l.attempts {
+		if byEndpoint[a.endpoint] == nil {
+			order = append(order, a.endpoint)
 		}
-		tries[a.endpoint] = append(tries[a.endpoint], a.Attempt)
+		byEndpoint[a.endpoint] = append(byEndpoint[a.endpoint], a.Attempt)
 	}
-	for _, ep := range eps {
-		d.upstream.Send(ep, tries[ep])
+	for _, endpoint := range order {
+		l.upstream.Send(endpoint, byEndpoint[endpoint])
 	}
 }
--- /dev/null
+++ b/webhook/dispatcher/inflight/clock.go
@@ -0,0 +1,17 @@
+package inflight
+
+import (
+	"time"
+
+	"rowanlink/webhook/api"
+)
+
+var started = time.Now()
+
+// Now is the one clock of the process: it starts from the wall clock and never runs back.
+func Now() api.Micros {
+	return api.Micros(started.UnixMicro() + time.Since(started).Microseconds())
+}
+
+// Duration converts a duration of the process's clock to the standard library's.
+func Duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/webhook/dispatcher/inflight/encoding.go
+++ b/webhook/dispatcher/inflight/encoding.go
@@ -2,55 +2,87 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"slices"
 
 	"rowanlink/webhook/api"
 )
 
-// formatWide opens the kept form whose destinations are 32 bits wide. The form before it had 16 and began with the
-// event type, of which none has this number: no settings name so many.
+var errMalformed = errors.New("a webhook's stored form is malformed")
+
+// formatWide opens the stored form whose destinations have 32 bits. The form before it had 16 and began with the event
+// type, of which none has this number: settings can't name so many.
 const formatWide = 0xff
 
-// Encode is the form in which a webhook outlasts the process.
+// Offsets and lengths in the stored form, after formatWide: event type, tenant, ordering key, destination, deadline.
+const (
+	tenantOffset      = 1
+	orderingKeyOffset = 5
+	destinationOffset = 13
+	deadlineOffset    = 17
+	webhookFixedLen   = 25
+	textLengthLen     = 2 // of request id and token
+)
+
+// Encode returns the form in which a webhook is stored.
 func (w *Webhook) Encode() []byte {
-	b := make([]byte, 0, 36+len(w.RequestID)+len(w.Token)+len(w.Body))
+	size := 1 + webhookFixedLen + 2*textLengthLen + len(w.RequestID) + len(w.Token) + len(w.Body)
+	b := make([]byte, 0, size)
 	b = append(b, formatWide, byte(w.EventType))
 	b = binary.LittleEndian.AppendUint32(b, uint32(w.Tenant))
 	b = binary.LittleEndian.AppendUint64(b, uint64(w.OrderingKey))
 	b = binary.LittleEndian.AppendUint32(b, uint32(w.Destination))
 	b = binary.LittleEndian.AppendUint64(b, uint64(w.Deadline))
-	for _, text := range []string{string(w.RequestID), string(w.Token)} {
-		b = binary.LittleEndian.AppendUint16(b, uint16(len(text)))
-		b = append(b, text...)
-	}
+	b = appendText(b, string(w.RequestID))
+	b = appendText(b, string(w.Token))
 	return append(b, w.Body...)
 }
 
-// DecodeWebhook reads that form again, and the one before it.
+func appendText(b []byte, text string) []byte {
+	b = binary.LittleEndian.AppendUint16(b, uint16(len(text)))
+	return append(b, text...)
+}
+
+// DecodeWebhook reads that form, and the one before it.
 func DecodeWebhook(id api.WebhookID, b []byte) (*Webhook, error) {
-	const fixed, destAt = 1 + 4 + 8 + 4 + 8, 13
 	if len(b) > 0 && b[0] == formatWide {
 		b = b[1:]
-	} else if len(b) >= destAt+2 {
-		b = slices.Insert(slices.Clone(b), destAt+2, 0, 0)
+	} else if narrowEnd := destinationOffset + 2; len(b) >= narrowEnd {
+		b = slices.Insert(slices.Clone(b), narrowEnd, 0, 0)
 	}
-	if len(b) < fixed {
+	if len(b) < webhookFixedLen {
 		return nil, errMalformed
 	}
-	w := &Webhook{ID: id, EventType: api.EventTypeID(b[0]),
-		Tenant:      api.TenantID(binary.LittleEndian.Uint32(b[1:])),
-		OrderingKey: api.OrderingKey(binary.LittleEndian.Uint64(b[5:])),
-		Destination: api.DestinationID(binary.LittleEndian.Uint32(b[destAt:])),
-		Deadline:    api.Micros(binary.LittleEndian.Uint64(b[destAt+4:]))}
-	b = b[fixed:]
-	texts := [2]string{}
-	for i := range texts {
-		if len(b) < 2 || len(b) < 2+int(binary.LittleEndian.Uint16(b)) {
-			return nil, errMalformed
-		}
-		n := 2 + int(binary.LittleEndian.Uint16(b))
-		texts[i], b = string(b[2:n]), b[n:]
+	w := &Webhook{
+		ID:          id,
+		EventType:   api.EventTypeID(b[0]),
+		Tenant:      api.TenantID(binary.LittleEndian.Uint32(b[tenantOffset:])),
+		OrderingKey: api.OrderingKey(binary.LittleEndian.Uint64(b[orderingKeyOffset:])),
+		Destination: api.DestinationID(binary.LittleEndian.Uint32(b[destinationOffset:])),
+		Deadline:    api.Micros(binary.LittleEndian.Uint64(b[deadlineOffset:])),
 	}
-	w.RequestID, w.Token, w.Body = RequestID(texts[0]), Token(texts[1]), b
+	requestID, rest, err := cutText(b[webhookFixedLen:])
+	if err != nil {
+		return nil, err
+	}
+	token, body, err := cutText(rest)
+	if err != nil {
+		return nil, err
+	}
+	w.RequestID = RequestID(requestID)
+	w.Token = Token(token)
+	w.Body = body
 	return w, nil
 }
+
+// cutText reads a text with its length before it.
+func cutText(b []byte) (text string, rest []byte, err error) {
+	if len(b) < textLengthLen {
+		return "", nil, errMalformed
+	}
+	end := textLengthLen + int(binary.LittleEndian.Uint16(b))
+	if len(b) < end {
+		return "", nil, errMalformed
+	}
+	return string(b[textLengthLen:end]), b[end:], nil
+}
--- /dev/null
+++ b/webhook/dispatcher/inflight/result.go
@@ -0,0 +1,59 @@
+package inflight
+
+import (
+	"encoding/binary"
+
+	"rowanlink/webhook/api"
+)
+
+// Status is how a webhook ended whose result another member is told.
+type Status uint8
+
+// Statuses. The numbers are stored and sent: they never change.
+const (
+	StatusDelivered Status = iota + 1
+	StatusRejected
+	StatusDeadLettered
+)
+
+// Result is what the other member is told.
+type Result struct {
+	RequestID  RequestID
+	Status     Status
+	RetryAfter api.Micros // rejected: submit it again after so long; 0: nothing is said
+	Attempts   int
+	MayHaveRun bool
+}
+
+const (
+	// resultTag begins a result's stored form: a callback for the platform begins otherwise.
+	resultTag = 'R'
+	// resultFixedLen is the length of the fields before the request id: tag, status, time, attempts, flag.
+	resultFixedLen = 1 + 1 + 8 + 2 + 1
+)
+
+// Encode returns the form in which a result is stored.
+func (r Result) Encode() []byte {
+	b := binary.LittleEndian.AppendUint64([]byte{resultTag, byte(r.Status)}, uint64(r.RetryAfter))
+	b = binary.LittleEndian.AppendUint16(b, uint16(r.Attempts))
+	mayHaveRun := byte(0)
+	if r.MayHaveRun {
+		mayHaveRun = 1
+	}
+	b = append(b, mayHaveRun)
+	return append(b, r.RequestID...)
+}
+
+// DecodeResult reads that form; false: it is a callback for the platform.
+func DecodeResult(b []byte) (Result, bool) {
+	if len(b) < resultFixedLen || b[0] != resultTag {
+		return Result{}, false
+	}
+	return Result{
+		Status:     Status(b[1]),
+		RetryAfter: api.Micros(binary.LittleEndian.Uint64(b[2:])),
+		Attempts:   int(binary.LittleEndian.Uint16(b[10:])),
+		MayHaveRun: b[12] != 0,
+		RequestID:  RequestID(b[resultFixedLen:]),
+	}, true
+}
--- /dev/null
+++ b/webhook/dispatcher/inflight/webhook.go
@@ -0,0 +1,87 @@
+package inflight
+
+import (
+	"context"
+	"log/slog"
+
+	"rowanlink/webhook/api"
+)
+
+// AnswerTimeout is the protocol's: a client that has waited longer for its answer has left and may submit the webhook
+// again.
+const AnswerTimeout = 2 * api.Second / 5
+
+// RequestID is a webhook's name on the wire.
+type RequestID string
+
+// Token is the idempotency key by which a destination recognizes a repeat; empty: none.
+type Token string
+
+// Webhook is one webhook as it came. What is passed on unchanged stays bytes.
+type Webhook struct {
+	ID        api.WebhookID
+	RequestID RequestID
+	Token     Token
+	Body      []byte
+
+	EventType   api.EventTypeID
+	Tenant      api.TenantID
+	OrderingKey api.OrderingKey
+	Destination api.DestinationID
+	Deadline    api.Micros
+
+	ReceivedAt api.Micros
+	answer     chan submissionAnswer
+
+	// In a cluster.
+
+	// Prior is what another member did for it; nil if nothing.
+	Prior *PriorAttempts
+	// InDoubt: another member may have it. Nobody here calls for it before that is resolved.
+	InDoubt bool
+	// MustKeep: no other member would resolve that, so it is accepted whatever the limits.
+	MustKeep bool
+	Broadcast
+}
+
+// PriorAttempts is what became of a webhook before it came here.
+type PriorAttempts struct {
+	Attempts     int
+	MayHaveRunAt api.Micros // start of the first attempt that may have run, or Never
+	Zone         api.ZoneID // of that attempt's endpoint
+}
+
+// Trace logs a step of a webhook's course at debug level, so that its id can be followed through all logs. endpoint: the
+// one concerned, or 0; elapsed: since the attempt was decided on, or since the webhook came.
+func (w *Webhook) Trace(step string, endpoint api.EndpointID, elapsed api.Micros) {
+	logger := slog.Default()
+	if !logger.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	logger.Debug("trace", "webhook", w.RequestID, "step", step, "dest", w.Destination, "ep", endpoint,
+		"took_us", elapsed)
+}
+
+// Answer is what a client is told of the webhook that it submitted.
+type Answer int
+
+// Answers.
+const (
+	Accepted     Answer = iota // from now on it gets exactly one final result
+	Rejected                   // submitting it again is harmless
+	Duplicate                  // its request id is pending already
+	Undetermined               // another member may have it, and it can't be kept here: any answer would be a guess
+)
+
+var answerNames = [...]string{"accepted", "rejected", "duplicate", "undetermined"}
+
+type submissionAnswer struct {
+	answer     Answer
+	retryAfter api.Micros
+}
+
+// Answer answers the client that submitted the webhook.
+func (w *Webhook) Answer(answer Answer, retryAfter api.Micros) {
+	w.Trace(answerNames[answer], 0, Now()-w.ReceivedAt)
+	w.answer <- submissionAnswer{answer, retryAfter}
+}
