--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -10,115 +10,119 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// parkedBySender lists what is parked here by site, in the order taken: all sites in one turn, since each turn looks at
-// all that is held.
-func (s *Sites) parkedBySender(of *routes) map[*siteSender][]eventloop.Parked {
-	for _, l := range of.senders {
-		l.beginListing()
+// parkedBySender lists the webhooks that are parked here for sites, in the order of acceptance: for all sites in one
+// iteration of the event loop, since each iteration scans all pending webhooks.
+func (s *Sites) parkedBySender(r *routes) map[*siteSender][]eventloop.Parked {
+	for _, sender := range r.senders {
+		sender.beginListing()
 	}
-	all, _ := s.loop.ParkedWebhooks(func(w *inflight.Webhook) bool {
-		l := s.senderOf(w, of)
-		return l != nil && l.site.Relay != s.self
+	parked, _ := s.loop.ParkedWebhooks(func(w *inflight.Webhook) bool {
+		sender := s.senderOf(w, r)
+		return sender != nil && sender.site.Relay != s.self
 	})
-	by := map[*siteSender][]eventloop.Parked{}
-	for _, w := range all {
-		if l := s.senderOf(w.Webhook, of); l != nil {
-			by[l] = append(by[l], w)
+	bySender := map[*siteSender][]eventloop.Parked{}
+	for _, w := range parked {
+		if sender := s.senderOf(w.Webhook, r); sender != nil {
+			bySender[sender] = append(bySender[sender], w)
 		}
 	}
-	return by
+	return bySender
 }
 
-// senderOf is the site that a webhook is given to, or was: one that has moved to another since ends by the
-// word of the relay that may have it.
-func (s *Sites) senderOf(w *inflight.Webhook, of *routes) *siteSender {
-	if m, sent := s.sentLog.get(w.RequestID); sent {
-		if i := slices.IndexFunc(of.senders, func(l *siteSender) bool { return m.isFor(l.site) }); i >= 0 {
-			return of.senders[i]
+// senderOf returns the sender that has a webhook or should have it, or nil. A webhook whose destination has moved to
+// another site gets its result from the relay that may have it.
+func (s *Sites) senderOf(w *inflight.Webhook, r *routes) *siteSender {
+	if record, sent := s.sentLog.get(w.RequestID); sent {
+		i := slices.IndexFunc(r.senders, func(sender *siteSender) bool { return record.isFor(sender.site) })
+		if i >= 0 {
+			return r.senders[i]
 		}
 	}
-	return of.senderOf[w.Destination]
+	return r.senderOf[w.Destination]
 }
 
-// newItem is a webhook as it goes over.
-func (l *siteSender) newItem(w eventloop.Parked) *stream.Item {
-	of, _, many := w.RequestID.Subscriber()
-	i := &stream.Item{ID: l.messageID(string(of)), RequestID: string(of), IsAnnouncement: many, EventType: w.EventType,
-		Tenant: w.Tenant, Token: string(w.Token), TTL: w.Deadline, Attempts: w.Attempts, FirstAttemptAt: w.MayHaveRunAt,
-		Zone: w.Zone, Body: w.Body, Destinations: []api.DestinationID{w.Destination}}
-	t := l.sites.eventType(w.EventType)
-	if t.Ordered {
-		i.Key = w.OrderingKey
+// newItem returns a webhook as the stream has it.
+func (s *siteSender) newItem(w eventloop.Parked) *stream.Item {
+	request, _, isAnnouncement := w.RequestID.Subscriber()
+	item := &stream.Item{
+		ID:             s.messageID(string(request)),
+		RequestID:      string(request),
+		IsAnnouncement: isAnnouncement,
+		EventType:      w.EventType,
+		Tenant:         w.Tenant,
+		Token:          string(w.Token),
+		TTL:            w.Deadline,
+		Attempts:       w.Attempts,
+		FirstAttemptAt: w.MayHaveRunAt,
+		Zone:           w.Zone,
+		Body:           w.Body,
+		Destinations:   []api.DestinationID{w.Destination},
 	}
-	if t.Semantics == api.Deduplicated {
-		i.TokenWindow = t.DedupWindow
+	eventType := s.sites.eventType(w.EventType)
+	if eventType.Ordered {
+		item.Key = w.OrderingKey
 	}
-	return i
+	if eventType.Semantics == api.Deduplicated {
+		item.TokenWindow = eventType.DedupWindow
+	}
+	return item
 }
 
-func (l *siteSender) track(i *stream.Item, w eventloop.Parked) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	d := l.deliveryOf(w.RequestID, w.Destination)
-	l.tracked[d], l.deliveries[w.RequestID] = &trackedWebhook{w.RequestID, i}, d
+// orderingScope is what webhooks are ordered within: a key of one destination.
+type orderingScope struct {
+	destination api.DestinationID
+	key         api.OrderingKey
 }
 
-// isTracked is whether the stream has it, or it has ended since it was listed as owed.
-func (l *siteSender) isTracked(id inflight.RequestID) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_, is := l.deliveries[id]
-	return is || l.finished[id]
+// announcementPart has what the webhooks of an announcement must have in common to share an item.
+type announcementPart struct {
+	id             stream.MessageID
+	ttl            api.Micros
+	attempts       int
+	firstAttemptAt api.Micros
+	zone           api.ZoneID
 }
 
-func (l *siteSender) beginListing() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.finished = map[inflight.RequestID]bool{}
+func partOf(i *stream.Item) announcementPart {
+	return announcementPart{i.ID, i.TTL, i.Attempts, i.FirstAttemptAt, i.Zone}
 }
 
-// feedStream hands the stream what is owed and not in it yet: subscribers of one announcement together.
-func (l *siteSender) feedStream(s *relay.Sender, all []eventloop.Parked) {
-	type turn struct {
-		to  api.DestinationID
-		key api.OrderingKey
-	}
-	type alike struct {
-		name     stream.MessageID
-		ttl      api.Micros
-		attempts int
-		mayRun   api.Micros
-		zone     api.ZoneID
-	}
-	stays, with := map[turn]bool{}, map[alike]*stream.Item{}
+// feedStream adds the parked webhooks that are not in the stream yet, with the subscribers of an announcement in one
+// item. It adds none if it finds one that was sent and that the stream does not know: the stream is restarted then.
+func (s *siteSender) feedStream(sender *relay.Sender, parked []eventloop.Parked) {
+	withheld := map[orderingScope]bool{}
+	itemOf := map[announcementPart]*stream.Item{}
 	var items []*stream.Item
-	for _, w := range all {
-		_, sent := l.sites.sentLog.get(w.RequestID)
-		i := l.newItem(w)
-		of := turn{w.Destination, i.Key}
-		switch {
-		case l.isTracked(w.RequestID):
+	for _, w := range parked {
+		_, wasSent := s.sites.sentLog.get(w.RequestID)
+		item := s.newItem(w)
+		scope := orderingScope{w.Destination, item.Key}
+		if s.isTracked(w.RequestID) {
 			continue
-		case !sent && !l.sites.isRangeOwner(w.Destination): // guards against a relay that calls it beside another home
-			stays[of] = stays[of] || i.Key != 0
-			continue
-		case w.InDoubt && !sent, stays[of]: // guards order by key: another member may have an earlier one
-			stays[of] = stays[of] || i.Key != 0
+		}
+		// Another member may own the range, and call the destination besides the relay.
+		isForeign := !wasSent && !s.sites.isRangeOwner(w.Destination)
+		// Another member may have an earlier webhook of the key.
+		isInDoubt := w.InDoubt && !wasSent
+		if isForeign || isInDoubt || withheld[scope] {
+			withheld[scope] = withheld[scope] || item.Key != 0
 			continue
-		case w.InDoubt: // sent in an earlier run, and the stream doesn't know: it asks
-			l.needsRestart.Store(true)
+		}
+		if w.InDoubt { // sent in an earlier generation
+			s.needsRestart.Store(true)
 			return
 		}
-		k := alike{i.ID, i.TTL, i.Attempts, i.FirstAttemptAt, i.Zone}
-		if first := with[k]; first != nil && first.Key == 0 {
-			first.Destinations = append(first.Destinations, w.Destination)
-			i = first
+		part := partOf(item)
+		if shared := itemOf[part]; shared != nil && shared.Key == 0 {
+			shared.Destinations = append(shared.Destinations, w.Destination)
+			item = shared
 		} else {
-			with[k], items = i, append(items, i)
+			itemOf[part] = item
+			items = append(items, item)
 		}
-		l.track(i, w)
+		s.track(item, w)
 	}
-	for _, i := range items {
-		s.Add(*i, l.sites.eventType(i.EventType).LatencyTarget)
+	for _, item := range items {
+		sender.Add(*item, s.sites.eventType(item.EventType).LatencyTarget)
 	}
 }
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -14,216 +14,269 @@
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
-	"rowanlink/webhook/dispatcher/wal"
 )
 
-// relayCapacityShare is the share of a dispatcher's buffer that its relay may fill: the rest is for clients' own.
+// relayCapacityShare is the share of a dispatcher's buffer that its relay may use: the rest is for its clients.
 const relayCapacityShare = 1.0 / 2
 
-// relayRecord is one entry of the relay's journal: a mark, or a delivery. A delivery's stands from the write
-// that brought it until its owner has heard its end, so around all that the decider's own journal has of
-// it: what is here and not there has yet to be handed in.
+// relayRecord is a record of the relay's journal: a checkpoint, or the state of a delivery. A delivery's record exists
+// from the write that brought it until its origin has its result, and so for longer than the record in the
+// dispatcher's own journal: what is only here has yet to be submitted.
 type relayRecord struct {
 	Checkpoint     *stream.Checkpoint `cbor:"1,keyasint,omitempty"`
 	Delivery       stream.Delivery    `cbor:"2,keyasint"`
 	RequestID      inflight.RequestID `cbor:"3,keyasint,omitempty"`
-	Webhook        []byte             `cbor:"4,keyasint,omitempty"` // as exchange.Webhook.Bytes
+	Webhook        []byte             `cbor:"4,keyasint,omitempty"` // as inflight.Webhook.Encode
 	Attempts       int                `cbor:"5,keyasint,omitempty"`
 	FirstAttemptAt api.Micros         `cbor:"6,keyasint,omitempty"`
 	Zone           api.ZoneID         `cbor:"7,keyasint,omitempty"`
 	Result         *stream.Result     `cbor:"8,keyasint,omitempty"`
 }
 
-// relayReceiver is a relay's journal and its dispatcher: it hands in what came and writes down how it ended.
+// relayReceiver is the relay of a site: it stores what comes, submits it to the local dispatcher, and stores the
+// results. It implements relay.ReceiverStore.
 type relayReceiver struct {
 	localDispatcher
 	receiver *relay.Receiver
 
 	mu                   sync.Mutex
-	journal              *wal.Log
-	lastRecord           api.WebhookID
-	checkpointRecord     api.WebhookID // the mark's record
+	journal              *recordJournal
+	checkpointRecord     api.WebhookID // 0: none
 	recordIDs            map[stream.Delivery]api.WebhookID
-	pending              map[inflight.RequestID]*relayRecord // of those that have no end yet
-	pendingByDestination map[api.DestinationID]int           // how many of them, by destination
-	unsubmitted          []*relayRecord                      // to be handed in
-	finished             []finishedWebhook
+	pending              map[inflight.RequestID]*relayRecord // without a result
+	pendingByDestination map[api.DestinationID]int
+	unsubmitted          []*relayRecord
+	finished             []finishedWebhook // not stored yet
 	wakeup               chan struct{}
 	closed               chan struct{}
 }
 
-// localDispatcher is the relay's own.
+// localDispatcher is the dispatcher of the relay's process.
 type localDispatcher struct {
 	loop        *eventloop.Loop
 	inbox       *inflight.Inbox
-	capacity    func() int  // deliveries that may be held at once
-	isAccepting func() bool // this member takes webhooks on
+	capacity    func() int  // deliveries that may be pending at once
+	isAccepting func() bool // whether this member accepts webhooks
 }
 
 var errNotAccepting = errors.New("this member takes nothing on any more")
 
 var _ relay.ReceiverStore = (*relayReceiver)(nil)
 
-// openRelayReceiver reads what an earlier life left and goes on by it.
-func openRelayReceiver(dir string, diskMB float64, of localDispatcher, said relay.Messenger, p relay.Timing) (*relayReceiver, error) {
-	kept, err := openJournal(dir, diskMB)
+// openRelayReceiver opens the relay's journal and continues with what an earlier process left.
+func openRelayReceiver(dir string, diskMB float64, dispatcher localDispatcher, messenger relay.Messenger,
+	timing relay.Timing) (*relayReceiver, error) {
+	journal, err := openJournal(dir, diskMB)
 	if err != nil {
 		return nil, err
 	}
-	k := &relayReceiver{localDispatcher: of, journal: kept, recordIDs: map[stream.Delivery]api.WebhookID{},
-		pending: map[inflight.RequestID]*relayRecord{}, pendingByDestination: map[api.DestinationID]int{},
-		wakeup: make(chan struct{}, 1), closed: make(chan struct{})}
-	var m stream.Checkpoint
-	last, all := map[stream.Delivery]*relayRecord{}, []stream.Delivery{}
-	for _, e := range kept.Entries() {
-		var r relayRecord
-		if err := transport.Decode(e.Payload, &r); err != nil {
-			return nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
+	r := &relayReceiver{
+		localDispatcher:      dispatcher,
+		journal:              journal,
+		recordIDs:            map[stream.Delivery]api.WebhookID{},
+		pending:              map[inflight.RequestID]*relayRecord{},
+		pendingByDestination: map[api.DestinationID]int{},
+		wakeup:               make(chan struct{}, 1),
+		closed:               make(chan struct{}),
+	}
+	checkpoint, records, err := r.readJournal()
+	if err != nil {
+		return nil, err
+	}
+	var pending []stream.Delivery
+	var pendingIDs []inflight.RequestID
+	var unacknowledged []stream.Result
+	for _, record := range records {
+		if record.Result != nil {
+			unacknowledged = append(unacknowledged, *record.Result)
+			continue
+		}
+		pending = append(pending, record.Delivery)
+		pendingIDs = append(pendingIDs, record.RequestID)
+		r.addPending(record)
+	}
+	if checkpoint.Incarnation == 0 {
+		checkpoint.Incarnation = newIncarnation()
+		if r.checkpointRecord, err = r.write([]*relayRecord{{Checkpoint: &checkpoint}}); err != nil {
+			return nil, err
+		}
+	}
+	state := stream.NewReceiver(checkpoint, pending, unacknowledged)
+	r.receiver = relay.NewReceiver(state, r, messenger, timing, inflight.Now)
+	r.reconcileDispatcher(pendingIDs)
+	if len(pending)+len(unacknowledged) > 0 {
+		slog.Info("relay goes on", "held", len(pending), "to_hand_in", len(r.unsubmitted),
+			"ends_owed", len(unacknowledged))
+	}
+	go r.run()
+	r.notify()
+	return r, nil
+}
+
+// readJournal returns the last checkpoint and the last record of each delivery, in the order of their first ones.
+func (r *relayReceiver) readJournal() (checkpoint stream.Checkpoint, records []*relayRecord, err error) {
+	last := map[stream.Delivery]*relayRecord{}
+	var deliveries []stream.Delivery
+	for _, e := range r.journal.Entries() {
+		var record relayRecord
+		if err := transport.Decode(e.Payload, &record); err != nil {
+			return stream.Checkpoint{}, nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
 		}
-		k.lastRecord = max(k.lastRecord, e.ID)
-		was, known := k.recordIDs[r.Delivery]
-		if r.Checkpoint != nil {
-			was, known = k.checkpointRecord, k.checkpointRecord != 0
-			m, k.checkpointRecord = *r.Checkpoint, e.ID
+		var replaced api.WebhookID
+		var isReplacing bool
+		if record.Checkpoint != nil {
+			replaced, isReplacing = r.checkpointRecord, r.checkpointRecord != 0
+			checkpoint = *record.Checkpoint
+			r.checkpointRecord = e.ID
 		} else {
-			if k.recordIDs[r.Delivery] = e.ID; !known {
-				all = append(all, r.Delivery)
+			replaced, isReplacing = r.recordIDs[record.Delivery]
+			r.recordIDs[record.Delivery] = e.ID
+			if !isReplacing {
+				deliveries = append(deliveries, record.Delivery)
 			}
-			last[r.Delivery] = &r
+			last[record.Delivery] = &record
 		}
-		if known { // guards against a second effect: a record stands until the next write after its successor's
-			kept.Finish(was, nil)
+		if isReplacing { // a record is removed only by the write after the one that replaced it
+			r.journal.Finish(replaced, nil)
 		}
 	}
-	var held []stream.Delivery
-	var owed []stream.Result
-	var ids []inflight.RequestID
-	for _, d := range all {
-		r := last[d]
-		if r.Result != nil {
-			owed = append(owed, *r.Result)
-			continue
-		}
-		held, ids = append(held, d), append(ids, r.RequestID)
-		k.pending[r.RequestID] = r
-		k.pendingByDestination[d.Destination]++
-	}
-	if m.Incarnation == 0 {
-		var draw [8]byte
-		crand.Read(draw[:])
-		m.Incarnation = max(1, binary.LittleEndian.Uint64(draw[:]))
-		if err := k.write([]*relayRecord{{Checkpoint: &m}}); err != nil {
-			return nil, err
-		}
-		k.checkpointRecord = k.lastRecord
+	for _, d := range deliveries {
+		records = append(records, last[d])
 	}
-	k.receiver = relay.NewReceiver(stream.NewReceiver(m, held, owed), k, said, p, inflight.Now)
-	ended, there := of.loop.NotifyInsteadOfPlatform(ids, k.recordFinished)
-	for id, e := range ended {
-		k.recordFinished(id, e)
-		there[e.RequestID] = true
+	return checkpoint, records, nil
+}
+
+func newIncarnation() uint64 {
+	var random [8]byte
+	_, _ = crand.Read(random[:]) // never fails
+	return max(1, binary.LittleEndian.Uint64(random[:]))
+}
+
+// reconcileDispatcher finds out which of the pending webhooks the dispatcher has finished or still has; the others have
+// to be submitted.
+func (r *relayReceiver) reconcileDispatcher(pending []inflight.RequestID) {
+	finished, known := r.loop.NotifyInsteadOfPlatform(pending, r.recordFinished)
+	for id, result := range finished {
+		r.recordFinished(id, result)
+		known[result.RequestID] = true
 	}
-	for _, id := range ids { // in the order taken
-		if !there[id] {
-			k.unsubmitted = append(k.unsubmitted, k.pending[id])
+	for _, id := range pending { // in the order of acceptance
+		if !known[id] {
+			r.unsubmitted = append(r.unsubmitted, r.pending[id])
 		}
 	}
-	if len(held)+len(owed) > 0 {
-		slog.Info("relay goes on", "held", len(held), "to_hand_in", len(k.unsubmitted), "ends_owed", len(owed))
+}
+
+func (r *relayReceiver) addPending(record *relayRecord) {
+	r.pending[record.RequestID] = record
+	r.pendingByDestination[record.Delivery.Destination]++
+}
+
+func (r *relayReceiver) removePending(record *relayRecord) {
+	delete(r.pending, record.RequestID)
+	destination := record.Delivery.Destination
+	r.pendingByDestination[destination]--
+	if r.pendingByDestination[destination] == 0 {
+		delete(r.pendingByDestination, destination)
 	}
-	go k.run()
-	k.notify()
-	return k, nil
 }
 
-func (k *relayReceiver) notify() {
+// notify wakes run up.
+func (r *relayReceiver) notify() {
 	select {
-	case k.wakeup <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// write keeps records in one write; after an error none is kept. The caller holds the lock, or nobody else
-// has the desk yet.
-func (k *relayReceiver) write(all []*relayRecord) (err error) {
-	began := k.lastRecord
-	for _, r := range all {
-		k.lastRecord++
-		if err = k.journal.Accept(k.lastRecord, transport.Encode(r)); err != nil {
-			break
-		}
-	}
-	if err == nil {
-		err = k.journal.Commit()
+// write stores records in one write and returns the id of the first. With an error none is stored. The caller holds
+// the lock, or nobody else has the relayReceiver yet.
+func (r *relayReceiver) write(records []*relayRecord) (first api.WebhookID, err error) {
+	encoded := make([][]byte, len(records))
+	for i, record := range records {
+		encoded[i] = transport.Encode(record)
 	}
-	if err != nil {
-		for id := began + 1; id <= k.lastRecord; id++ {
-			k.journal.Undo(id)
-		}
-	}
-	return err
+	return r.journal.append(encoded)
 }
 
-// Persist writes what a frame brought, with the mark.
-func (k *relayReceiver) Persist(m stream.Checkpoint, fresh []stream.Item) error {
-	if len(fresh) > 0 && !k.isAccepting() { // told to end: the sender keeps it
+// Persist stores what a frame brought, with the checkpoint.
+func (r *relayReceiver) Persist(c stream.Checkpoint, fresh []stream.Item) error {
+	if len(fresh) > 0 && !r.isAccepting() { // shutting down: the sender retains it
 		return errNotAccepting
 	}
-	all := []*relayRecord{{Checkpoint: &m}}
+	records := []*relayRecord{{Checkpoint: &c}}
 	for _, i := range fresh {
-		for _, to := range i.Destinations {
-			w := inflight.Webhook{RequestID: inflight.RequestID(i.RequestIDFor(to)), Token: inflight.Token(i.Token),
-				EventType: i.EventType, Tenant: i.Tenant, OrderingKey: i.Key, Destination: to, Deadline: i.TTL, Body: i.Body}
-			all = append(all, &relayRecord{Delivery: stream.Delivery{Message: i.ID, Destination: to}, RequestID: w.RequestID,
-				Webhook: w.Encode(), Attempts: i.Attempts, FirstAttemptAt: i.FirstAttemptAt, Zone: i.Zone})
+		for _, destination := range i.Destinations {
+			records = append(records, newRelayRecord(&i, destination))
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	began := k.lastRecord
-	if err := k.write(all); err != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	first, err := r.write(records)
+	if err != nil {
 		return err
 	}
-	k.journal.Finish(k.checkpointRecord, nil)
-	k.checkpointRecord = began + 1
-	for n, r := range all[1:] {
-		k.recordIDs[r.Delivery] = began + 2 + api.WebhookID(n)
-		k.pending[r.RequestID] = r
-		k.pendingByDestination[r.Delivery.Destination]++
-		k.unsubmitted = append(k.unsubmitted, r)
+	r.journal.Finish(r.checkpointRecord, nil)
+	r.checkpointRecord = first
+	for n, record := range records[1:] {
+		r.recordIDs[record.Delivery] = first + 1 + api.WebhookID(n)
+		r.addPending(record)
+		r.unsubmitted = append(r.unsubmitted, record)
 	}
-	k.notify()
+	r.notify()
 	return nil
 }
 
-// hasPending tells whether something for a destination has no end yet.
-func (k *relayReceiver) hasPending(d api.DestinationID) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.pendingByDestination[d] > 0
+func newRelayRecord(i *stream.Item, destination api.DestinationID) *relayRecord {
+	w := inflight.Webhook{
+		RequestID:   inflight.RequestID(i.RequestIDFor(destination)),
+		Token:       inflight.Token(i.Token),
+		EventType:   i.EventType,
+		Tenant:      i.Tenant,
+		OrderingKey: i.Key,
+		Destination: destination,
+		Deadline:    i.TTL,
+		Body:        i.Body,
+	}
+	return &relayRecord{
+		Delivery:       stream.Delivery{Message: i.ID, Destination: destination},
+		RequestID:      w.RequestID,
+		Webhook:        w.Encode(),
+		Attempts:       i.Attempts,
+		FirstAttemptAt: i.FirstAttemptAt,
+		Zone:           i.Zone,
+	}
+}
+
+// hasPending reports whether a delivery to the destination has no result yet.
+func (r *relayReceiver) hasPending(d api.DestinationID) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.pendingByDestination[d] > 0
 }
 
-// Capacity is what may be held at once.
-func (k *relayReceiver) Capacity() int { return k.capacity() }
+// Capacity returns how many deliveries may be pending at once.
+func (r *relayReceiver) Capacity() int { return r.capacity() }
 
-// ForgetResults forgets ends that their owners have. One that is kept all the same would be told again.
-func (k *relayReceiver) ForgetResults(heard []stream.Delivery) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, d := range heard {
-		if at, known := k.recordIDs[d]; known {
-			k.journal.Finish(at, nil)
-			delete(k.recordIDs, d)
+// ForgetResults removes results that their origins have. One that stays in the journal is reported again.
+func (r *relayReceiver) ForgetResults(acknowledged []stream.Delivery) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range acknowledged {
+		if id, known := r.recordIDs[d]; known {
+			r.journal.Finish(id, nil)
+			delete(r.recordIDs, d)
 		}
 	}
-	if err := k.journal.Commit(); err != nil {
+	if err := r.journal.Commit(); err != nil {
 		slog.Error("relay: ends heard are not written", "why", err)
 	}
 }
 
-func (k *relayReceiver) close() error {
-	close(k.closed)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.journal.Close()
+// close stops run. It does not close the Receiver, which reports results until the process ends.
+func (r *relayReceiver) close() error {
+	close(r.closed)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.journal.Close()
 }
--- a/cluster/site/relay_submission.go
+++ b/cluster/site/relay_submission.go
@@ -10,137 +10,164 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// finishedWebhook is an end as the decider told it.
+// finishedWebhook is a result of the local dispatcher.
 type finishedWebhook struct {
-	id api.WebhookID // in the decider's journal; 0: it was never there
+	id api.WebhookID // in the dispatcher's journal; 0: it was never there
 	inflight.Result
 }
 
-// recordFinished is called in the decider's turn, once its journal has the end.
-func (k *relayReceiver) recordFinished(id api.WebhookID, e inflight.Result) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.finished = append(k.finished, finishedWebhook{id, e})
-	k.notify()
+// recordFinished is called in an iteration of the event loop, once the dispatcher's journal has the result.
+func (r *relayReceiver) recordFinished(id api.WebhookID, result inflight.Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.finished = append(r.finished, finishedWebhook{id, result})
+	r.notify()
 }
 
-// run hands in and tells ends until close.
-func (k *relayReceiver) run() {
-	again := time.NewTicker(inflight.Duration(inflight.AnswerTimeout / 4)) // what could not be written or handed in
-	defer again.Stop()
+// run submits webhooks and stores results until close.
+func (r *relayReceiver) run() {
+	retry := time.NewTicker(inflight.Duration(inflight.AnswerTimeout / 4)) // for what could not be stored or submitted
+	defer retry.Stop()
 	for {
 		select {
-		case <-k.closed:
+		case <-r.closed:
 			return
-		case <-k.wakeup:
-		case <-again.C:
+		case <-r.wakeup:
+		case <-retry.C:
 		}
-		k.mu.Lock()
-		fresh, over := k.unsubmitted, k.finished
-		k.unsubmitted, k.finished = nil, nil
-		k.mu.Unlock()
-		k.storeResults(over)
-		k.submit(fresh)
+		r.mu.Lock()
+		unsubmitted, finished := r.unsubmitted, r.finished
+		r.unsubmitted, r.finished = nil, nil
+		r.mu.Unlock()
+		r.storeResults(finished)
+		r.submit(unsubmitted)
 	}
 }
 
-// submit gives to the decider what came.
-func (k *relayReceiver) submit(all []*relayRecord) {
-	var ws []*inflight.Webhook
-	var of []*relayRecord
-	for _, r := range all {
-		w, err := inflight.DecodeWebhook(0, r.Webhook)
+// submit submits webhooks to the local dispatcher.
+func (r *relayReceiver) submit(unsubmitted []*relayRecord) {
+	var webhooks []*inflight.Webhook
+	var records []*relayRecord
+	for _, record := range unsubmitted {
+		w, err := inflight.DecodeWebhook(0, record.Webhook)
 		if err != nil {
-			slog.Error("relay: webhook not read", "webhook", r.RequestID, "why", err)
-			k.recordFinished(0, inflight.Result{RequestID: r.RequestID, Status: inflight.StatusRejected})
+			slog.Error("relay: webhook not read", "webhook", record.RequestID, "why", err)
+			r.recordFinished(0, inflight.Result{RequestID: record.RequestID, Status: inflight.StatusRejected})
 			continue
 		}
-		w.ReceivedAt, w.OnFinished = inflight.Now(), k.recordFinished
-		if r.Attempts > 0 || r.FirstAttemptAt != api.Never {
-			w.Prior = &inflight.PriorAttempts{Attempts: r.Attempts, MayHaveRunAt: r.FirstAttemptAt, Zone: r.Zone}
+		w.ReceivedAt = inflight.Now()
+		w.OnFinished = r.recordFinished
+		if record.Attempts > 0 || record.FirstAttemptAt != api.Never {
+			w.Prior = &inflight.PriorAttempts{
+				Attempts:     record.Attempts,
+				MayHaveRunAt: record.FirstAttemptAt,
+				Zone:         record.Zone,
+			}
 		}
-		ws, of = append(ws, w), append(of, r)
+		webhooks = append(webhooks, w)
+		records = append(records, record)
 	}
-	k.inbox.SubmitAll(ws, func(i int, what inflight.Answer, retryIn api.Micros) {
-		switch {
-		case what == inflight.Rejected && !k.isAccepting(): // told to end: it is handed in by the next life
-		case what == inflight.Rejected:
-			k.recordFinished(0, inflight.Result{RequestID: of[i].RequestID, Status: inflight.StatusRejected, RetryAfter: retryIn})
-		case what == inflight.Duplicate: // this member has it by another way, which is settled first
-			k.mu.Lock()
-			k.unsubmitted = append(k.unsubmitted, of[i])
-			k.mu.Unlock()
-		}
+	r.inbox.SubmitAll(webhooks, func(i int, answer inflight.Answer, retryAfter api.Micros) {
+		r.handleAnswer(records[i], answer, retryAfter)
 	})
 }
 
-// storeResults writes ends and has their owners told.
-func (k *relayReceiver) storeResults(all []finishedWebhook) {
-	if len(all) == 0 {
+func (r *relayReceiver) handleAnswer(record *relayRecord, answer inflight.Answer, retryAfter api.Micros) {
+	switch answer {
+	case inflight.Rejected:
+		if !r.isAccepting() { // shutting down: the next process submits it
+			return
+		}
+		r.recordFinished(0, inflight.Result{
+			RequestID:  record.RequestID,
+			Status:     inflight.StatusRejected,
+			RetryAfter: retryAfter,
+		})
+	case inflight.Duplicate: // this member has it from another source, and finishes that first
+		r.mu.Lock()
+		r.unsubmitted = append(r.unsubmitted, record)
+		r.mu.Unlock()
+	}
+}
+
+// storeResults stores results and has them reported to their origins.
+func (r *relayReceiver) storeResults(finished []finishedWebhook) {
+	if len(finished) == 0 {
 		return
 	}
 	var records []*relayRecord
-	var heard []api.WebhookID
-	k.mu.Lock()
-	for _, e := range all {
-		if r := k.pending[e.RequestID]; r != nil {
-			records = append(records, &relayRecord{Delivery: r.Delivery, Result: &stream.Result{Delivery: r.Delivery,
-				Outcome: stream.Outcome(e.Status), RetryAfter: e.RetryAfter, Attempts: e.Attempts, MayHaveRun: e.MayHaveRun}})
+	var dispatcherIDs []api.WebhookID
+	r.mu.Lock()
+	for _, f := range finished {
+		if pending := r.pending[f.RequestID]; pending != nil {
+			records = append(records, newResultRecord(pending.Delivery, f.Result))
 		}
-		if e.id != 0 {
-			heard = append(heard, e.id)
+		if f.id != 0 {
+			dispatcherIDs = append(dispatcherIDs, f.id)
 		}
 	}
-	began := k.lastRecord
-	err := k.write(records)
+	first, err := r.write(records)
 	if err != nil {
 		slog.Error("relay: ends not written", "ends", len(records), "why", err)
-		k.finished = append(all, k.finished...)
-		k.mu.Unlock()
+		r.finished = append(finished, r.finished...)
+		r.mu.Unlock()
 		return
 	}
-	for n, r := range records {
-		if was, known := k.recordIDs[r.Delivery]; known {
-			k.journal.Finish(was, nil)
+	for n, record := range records {
+		if replaced, known := r.recordIDs[record.Delivery]; known {
+			r.journal.Finish(replaced, nil)
 		}
-		k.recordIDs[r.Delivery] = began + 1 + api.WebhookID(n)
+		r.recordIDs[record.Delivery] = first + api.WebhookID(n)
 	}
-	for _, e := range all {
-		if r := k.pending[e.RequestID]; r != nil {
-			delete(k.pending, e.RequestID)
-			if k.pendingByDestination[r.Delivery.Destination]--; k.pendingByDestination[r.Delivery.Destination] == 0 {
-				delete(k.pendingByDestination, r.Delivery.Destination)
-			}
+	for _, f := range finished {
+		if pending := r.pending[f.RequestID]; pending != nil {
+			r.removePending(pending)
 		}
 	}
-	k.mu.Unlock()
-	k.loop.CallbacksDelivered(heard)
-	for _, r := range records {
-		k.receiver.RecordResult(*r.Result)
+	r.mu.Unlock()
+	r.loop.CallbacksDelivered(dispatcherIDs)
+	for _, record := range records {
+		r.receiver.RecordResult(*record.Result)
+	}
+}
+
+func newResultRecord(d stream.Delivery, result inflight.Result) *relayRecord {
+	return &relayRecord{
+		Delivery: d,
+		Result: &stream.Result{
+			Delivery:   d,
+			Outcome:    stream.Outcome(result.Status),
+			RetryAfter: result.RetryAfter,
+			Attempts:   result.Attempts,
+			MayHaveRun: result.MayHaveRun,
+		},
 	}
 }
 
-// DestinationStates is what the relay's module knows of destinations, and of all others for which something is held: a
-// wait that one tells brings no end.
-func (k *relayReceiver) DestinationStates(of []api.DestinationID) []api.DestinationState {
-	want := map[api.DestinationID]bool{}
+// DestinationStates returns what the relay's policy knows of the given destinations, and of all others with pending
+// deliveries: a wait that a destination asked for brings no result that would report it.
+func (r *relayReceiver) DestinationStates(of []api.DestinationID) []api.DestinationState {
+	wanted := map[api.DestinationID]bool{}
 	for _, d := range of {
-		want[d] = true
+		wanted[d] = true
 	}
-	k.mu.Lock()
-	for d := range k.pendingByDestination {
-		want[d] = true
+	r.mu.Lock()
+	for d := range r.pendingByDestination {
+		wanted[d] = true
 	}
-	k.mu.Unlock()
-	all, _ := k.loop.ExportState(func(d api.DestinationID) bool { return want[d] })
-	return all
+	r.mu.Unlock()
+	states, _ := r.loop.ExportState(func(d api.DestinationID) bool { return wanted[d] })
+	return states
 }
 
-// ApplyDestinationStates takes over what the owner knows, but of destinations that are called for here now: what is known of
-// those here is newer, and the module was not made to be told of an outage that it has webhooks for.
-func (k *relayReceiver) ApplyDestinationStates(all []api.DestinationState) {
-	k.mu.Lock()
-	all = slices.DeleteFunc(all, func(l api.DestinationState) bool { return k.pendingByDestination[l.Destination] > 0 })
-	k.mu.Unlock()
-	k.loop.ImportState(all)
+// ApplyDestinationStates takes over what the origin knows, except of destinations with pending deliveries: what is
+// known of those here is newer, and the policy does not expect to learn of an outage of a destination that it has
+// webhooks for.
+func (r *relayReceiver) ApplyDestinationStates(states []api.DestinationState) {
+	r.mu.Lock()
+	states = slices.DeleteFunc(states, func(s api.DestinationState) bool {
+		return r.pendingByDestination[s.Destination] > 0
+	})
+	r.mu.Unlock()
+	r.loop.ImportState(states)
 }
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -15,230 +15,232 @@
 
 var _ relay.SenderStore = (*siteSender)(nil)
 
-// RecordSending notes what goes out. Where some of it has ended meanwhile, or is called for here, the stream is
-// made anew without it.
-func (l *siteSender) RecordSending(items []stream.Item, life uint64, at api.Micros) error {
-	given := map[inflight.RequestID]int{}
-	var all, before []sentRecord
-	var fresh []inflight.RequestID
+// RecordSending records what is sent. If some of it was finished meanwhile, or is called for here, it returns an error
+// and has the stream restarted without it.
+func (s *siteSender) RecordSending(items []stream.Item, receiverIncarnation uint64, at api.Micros) error {
+	attempts := map[inflight.RequestID]int{}
+	var records, previous []sentRecord
+	var unsent []inflight.RequestID
 	for _, i := range items {
-		for _, to := range i.Destinations {
-			id := inflight.RequestID(i.RequestIDFor(to))
-			given[id] = i.Attempts
-			if m, sent := l.sites.sentLog.get(id); sent {
-				before = append(before, m)
+		for _, destination := range i.Destinations {
+			id := inflight.RequestID(i.RequestIDFor(destination))
+			attempts[id] = i.Attempts
+			if r, sent := s.sites.sentLog.get(id); sent {
+				previous = append(previous, r)
 			} else {
-				fresh = append(fresh, id)
+				unsent = append(unsent, id)
 			}
-			all = append(all, sentRecord{Site: l.site.ID, Relay: l.site.Relay, RequestID: id, ReceiverIncarnation: life, SentAt: at, Epoch: l.epoch,
-				MayHaveRunBefore: i.FirstAttemptAt != api.Never})
+			records = append(records, sentRecord{
+				Site:                s.site.ID,
+				Relay:               s.site.Relay,
+				RequestID:           id,
+				ReceiverIncarnation: receiverIncarnation,
+				SentAt:              at,
+				Epoch:               s.epoch,
+				MayHaveRunBefore:    i.FirstAttemptAt != api.Never,
+			})
 		}
 	}
-	if err := l.sites.sentLog.add(all); err != nil { // first: a mark too many is settled by the relay's word
+	// The records come first: for a record too many the relay is asked.
+	if err := s.sites.sentLog.add(records); err != nil {
 		return err
 	}
-	if !l.sites.loop.HandToRelay(given, at) {
-		// Guards what was sent before and may be at the relay: without its mark nobody would ask for it, and it
-		// would hold up what comes behind it of its key until its time is up.
-		l.sites.sentLog.remove(fresh...)
-		if len(before) > 0 {
-			l.sites.sentLog.add(before) // else the later one stands: the relay is asked all the same
+	if !s.sites.loop.HandToRelay(attempts, at) {
+		// What was sent before may be at the relay, and must keep its record: otherwise nobody would ask for its
+		// result, and it would block later webhooks of its key until it expires.
+		s.sites.sentLog.remove(unsent...)
+		if len(previous) > 0 {
+			_ = s.sites.sentLog.add(previous) // else the later record stays: the relay is asked all the same
 		}
-		l.needsRestart.Store(true)
+		s.needsRestart.Store(true)
 		return errNotParked
 	}
-	l.sites.Sent.Add(int64(len(given)))
+	s.sites.Sent.Add(int64(len(attempts)))
 	return nil
 }
 
-// Unsent: they wait here again.
-func (l *siteSender) Requeue(again []stream.Delivery) {
-	if len(again) > 0 {
-		l.takeBack(again, true)
-		l.sites.Requeued.Add(int64(len(again)))
+// Requeue parks webhooks here again that the relay never received.
+func (s *siteSender) Requeue(deliveries []stream.Delivery) {
+	if len(deliveries) > 0 {
+		s.takeBack(deliveries, true)
+		s.sites.Requeued.Add(int64(len(deliveries)))
 	}
 }
 
-// takeBack takes deliveries back. never: the relay never had them.
-func (l *siteSender) takeBack(all []stream.Delivery, never bool) {
-	back := map[inflight.RequestID]eventloop.TakenBack{}
-	for _, d := range all {
-		if g := l.lookup(d); g != nil {
-			m, _ := l.sites.sentLog.get(g.id)
-			back[g.id] = eventloop.TakenBack{NeverReceived: never, MayHaveRun: m.MayHaveRunBefore}
+// takeBack takes webhooks back from the relay; neverReceived: the relay never had them.
+func (s *siteSender) takeBack(deliveries []stream.Delivery, neverReceived bool) {
+	taken := map[inflight.RequestID]eventloop.TakenBack{}
+	for _, d := range deliveries {
+		if w := s.lookup(d); w != nil {
+			r, _ := s.sites.sentLog.get(w.id)
+			taken[w.id] = eventloop.TakenBack{NeverReceived: neverReceived, MayHaveRun: r.MayHaveRunBefore}
 		}
 	}
-	l.sites.loop.TakeBack(back)
-	for id := range back {
-		l.sites.sentLog.remove(id)
+	s.sites.loop.TakeBack(taken)
+	for id := range taken {
+		s.sites.sentLog.remove(id)
 	}
 }
 
-func (l *siteSender) lookup(d stream.Delivery) *trackedWebhook {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.tracked[d]
+// Bypass leaves webhooks parked here: they are called for as soon as the site's subscribers are.
+func (s *siteSender) Bypass(deliveries []stream.Delivery) {
+	s.untrack(deliveries)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.bypassed = append(s.bypassed, deliveries...)
+	s.sites.Bypassed.Add(int64(len(deliveries)))
 }
 
-func (l *siteSender) untrack(all []stream.Delivery) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, d := range all {
-		if g := l.tracked[d]; g != nil {
-			delete(l.tracked, d)
-			delete(l.deliveries, g.id)
-		}
-	}
-}
-
-// Beside: they are parked here, and called for as soon as the site's subscribers are.
-func (l *siteSender) Bypass(never []stream.Delivery) {
-	l.untrack(never)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.bypassed = append(l.bypassed, never...)
-	l.sites.Bypassed.Add(int64(len(never)))
-}
-
-// Late: the decider ends them itself.
-func (l *siteSender) DropExpired(late []stream.Delivery) { l.untrack(late) }
+// DropExpired forgets webhooks that the event loop itself finishes.
+func (s *siteSender) DropExpired(expired []stream.Delivery) { s.untrack(expired) }
 
-// ResolveInDoubt settles what may be at a relay that is gone.
-func (l *siteSender) ResolveInDoubt(of []stream.InDoubt, lost bool) (forget []stream.Delivery) {
-	rule := func(s stream.InDoubt) stream.Resolution {
-		g := l.lookup(s.Delivery)
-		if g == nil {
-			return stream.ResolveDeadLetter
-		}
-		return stream.Resolve(g.item, s.SentAt, l.sites.eventType(g.item.EventType), lost, g.item.TTL, inflight.Now())
-	}
-	courses := make([]stream.Resolution, len(of))
-	if lost {
-		courses = stream.ResolveLost(of, rule)
-		l.needsRestart.Store(l.needsRestart.Load() || len(of) > 0) // guards order by key: all that waits is queued anew
-	} else {
-		for i, s := range of {
-			courses[i] = rule(s)
-			// Guards against a call here beside the relay's own, which may just have begun: it has a while.
-			if courses[i] == stream.ResolveRetry && inflight.Now() < s.SentAt+api.Micros(l.sites.timing.UnreachableTimeout.Microseconds()) {
-				courses[i] = stream.ResolveWait
-			}
-		}
-	}
-	var goes []stream.Delivery
-	var ends []inflight.Result
-	for i, s := range of {
-		switch g := l.lookup(s.Delivery); {
-		case courses[i] == stream.ResolveWait:
+// ResolveInDoubt decides about webhooks that an unreachable relay may have.
+func (s *siteSender) ResolveInDoubt(inDoubt []stream.InDoubt, lost bool) (forget []stream.Delivery) {
+	resolutions := s.resolve(inDoubt, lost)
+	var retried []stream.Delivery
+	var deadLettered []inflight.Result
+	for i, d := range inDoubt {
+		if resolutions[i] == stream.ResolveWait {
 			continue
-		case g == nil:
-		case courses[i] == stream.ResolveRetry:
-			goes = append(goes, s.Delivery)
+		}
+		forget = append(forget, d.Delivery)
+		w := s.lookup(d.Delivery)
+		switch {
+		case w == nil:
+		case resolutions[i] == stream.ResolveRetry:
+			retried = append(retried, d.Delivery)
 		default:
-			ends = append(ends, inflight.Result{RequestID: g.id, Status: inflight.StatusDeadLettered, MayHaveRun: true})
+			deadLettered = append(deadLettered, inflight.Result{
+				RequestID:  w.id,
+				Status:     inflight.StatusDeadLettered,
+				MayHaveRun: true,
+			})
 		}
-		forget = append(forget, s.Delivery)
 	}
-	if len(goes) > 0 {
-		l.takeBack(goes, false)
+	if len(retried) > 0 {
+		s.takeBack(retried, false)
 	}
-	if len(ends) > 0 && l.sites.loop.FinishByRelay(ends) {
-		l.removeSentRecords(ends)
+	if len(deadLettered) > 0 && s.sites.loop.FinishByRelay(deadLettered) {
+		s.removeSentRecords(deadLettered)
 	}
 	if len(forget) > 0 {
-		l.untrack(forget)
-		slog.Warn("relay gone: what it may have had", "site", l.site.ID, "goes", len(goes), "dead_lettered",
-			len(ends), "waits", len(of)-len(forget), "folder_lost", lost)
-		l.sites.InDoubt.Add(int64(len(forget)))
+		s.untrack(forget)
+		slog.Warn("relay gone: what it may have had", "site", s.site.ID, "goes", len(retried), "dead_lettered",
+			len(deadLettered), "waits", len(inDoubt)-len(forget), "folder_lost", lost)
+		s.sites.InDoubt.Add(int64(len(forget)))
 	}
 	return forget
 }
 
-// markFinished guards against one put into the stream again by a list from before it ended.
-func (l *siteSender) markFinished(all []inflight.Result) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, e := range all {
-		if l.finished != nil {
-			l.finished[e.RequestID] = true
+func (s *siteSender) resolve(inDoubt []stream.InDoubt, lost bool) []stream.Resolution {
+	if lost {
+		resolutions := stream.ResolveLost(inDoubt, func(d stream.InDoubt) stream.Resolution {
+			return s.resolveOne(d, true)
+		})
+		if len(inDoubt) > 0 {
+			s.needsRestart.Store(true) // all that waits is queued again, so that it stays in order by key
+		}
+		return resolutions
+	}
+	resolutions := make([]stream.Resolution, len(inDoubt))
+	gracePeriod := api.Micros(s.sites.timing.UnreachableTimeout.Microseconds())
+	for i, d := range inDoubt {
+		resolutions[i] = s.resolveOne(d, false)
+		// The relay's own call may just have begun.
+		if resolutions[i] == stream.ResolveRetry && inflight.Now() < d.SentAt+gracePeriod {
+			resolutions[i] = stream.ResolveWait
 		}
 	}
+	return resolutions
 }
 
-func (l *siteSender) removeSentRecords(ends []inflight.Result) {
-	for _, e := range ends {
-		l.sites.sentLog.remove(e.RequestID)
+func (s *siteSender) resolveOne(d stream.InDoubt, lost bool) stream.Resolution {
+	w := s.lookup(d.Delivery)
+	if w == nil {
+		return stream.ResolveDeadLetter
 	}
+	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), lost, w.item.TTL, inflight.Now())
 }
 
-// RecordResults takes the relay's word. One that the stream does not know of may be of an earlier life of this
-// process.
-func (l *siteSender) RecordResults(ends []stream.Result) (heard []stream.Delivery) {
-	var byName map[stream.Delivery]inflight.RequestID
-	var all []inflight.Result
-	for _, e := range ends {
-		heard = append(heard, e.Delivery)
+func (s *siteSender) removeSentRecords(results []inflight.Result) {
+	for _, result := range results {
+		s.sites.sentLog.remove(result.RequestID)
+	}
+}
+
+// RecordResults finishes webhooks with the relay's results. Deliveries that the stream does not know may have been sent
+// by an earlier process.
+func (s *siteSender) RecordResults(results []stream.Result) (recorded []stream.Delivery) {
+	var pending map[stream.Delivery]inflight.RequestID // nil: not searched yet
+	var finished []inflight.Result
+	for _, result := range results {
+		recorded = append(recorded, result.Delivery)
 		var id inflight.RequestID
-		if g := l.lookup(e.Delivery); g != nil {
-			id = g.id
+		if w := s.lookup(result.Delivery); w != nil {
+			id = w.id
 		} else {
-			if byName == nil {
-				byName = l.findPending(ends)
+			if pending == nil {
+				pending = s.findPending(results)
 			}
-			id = byName[e.Delivery]
+			id = pending[result.Delivery]
 		}
 		if id == "" {
-			continue // it has ended
-		}
-		end := inflight.Result{RequestID: id, Status: inflight.Status(e.Outcome), RetryAfter: e.RetryAfter}
-		if m, sent := l.sites.sentLog.get(id); sent && m.MayHaveRunBefore && end.Status == inflight.StatusRejected {
-			end.Status = inflight.StatusDeadLettered // it never ran there, but may have run before
+			continue // it is finished already
 		}
-		all = append(all, end)
+		finished = append(finished, s.newResult(id, result))
 	}
-	if len(all) > 0 && !l.sites.loop.FinishByRelay(all) {
+	if len(finished) > 0 && !s.sites.loop.FinishByRelay(finished) {
 		return nil
 	}
-	l.removeSentRecords(all)
-	l.markFinished(all)
-	l.untrack(heard)
-	l.sites.Results.Add(int64(len(all)))
-	return heard
+	s.removeSentRecords(finished)
+	s.markFinished(finished)
+	s.untrack(recorded)
+	s.sites.Results.Add(int64(len(finished)))
+	return recorded
+}
+
+func (s *siteSender) newResult(id inflight.RequestID, r stream.Result) inflight.Result {
+	result := inflight.Result{RequestID: id, Status: inflight.Status(r.Outcome), RetryAfter: r.RetryAfter}
+	record, sent := s.sites.sentLog.get(id)
+	if sent && record.MayHaveRunBefore && result.Status == inflight.StatusRejected {
+		result.Status = inflight.StatusDeadLettered // it never ran at the relay, but may have run before
+	}
+	return result
 }
 
-// findPending finds deliveries among all that is held here.
-func (l *siteSender) findPending(ends []stream.Result) map[stream.Delivery]inflight.RequestID {
-	want := map[stream.Delivery]bool{}
-	for _, e := range ends {
-		want[e.Delivery] = true
-	}
-	all := map[stream.Delivery]inflight.RequestID{}
-	for _, id := range l.sites.loop.PendingIDs() {
-		of, _, _ := id.Subscriber()
-		name := l.messageID(string(of))
-		for d := range want {
-			i := stream.Item{RequestID: string(of), IsAnnouncement: id != of}
-			if d.Message == name && inflight.RequestID(i.RequestIDFor(d.Destination)) == id {
-				all[d] = id
+// findPending finds the request ids of deliveries among all pending webhooks.
+func (s *siteSender) findPending(results []stream.Result) map[stream.Delivery]inflight.RequestID {
+	wanted := map[stream.Delivery]bool{}
+	for _, result := range results {
+		wanted[result.Delivery] = true
+	}
+	found := map[stream.Delivery]inflight.RequestID{}
+	for _, id := range s.sites.loop.PendingIDs() {
+		request, _, _ := id.Subscriber()
+		message := s.messageID(string(request))
+		item := stream.Item{RequestID: string(request), IsAnnouncement: id != request}
+		for d := range wanted {
+			if d.Message == message && inflight.RequestID(item.RequestIDFor(d.Destination)) == id {
+				found[d] = id
 			}
 		}
 	}
-	return all
+	return found
 }
 
-// DestinationStates is what this dispatcher learned of the site's subscribers as it called for them itself: a wait
-// that it was told holds at the relay, too.
-func (l *siteSender) DestinationStates() []api.DestinationState {
-	if !l.direct.Load() {
+// DestinationStates returns what this dispatcher learned of the site's subscribers while it called them itself: a wait
+// that a destination asked for holds at the relay, too.
+func (s *siteSender) DestinationStates() []api.DestinationState {
+	if !s.direct.Load() {
 		return nil
 	}
-	all, _ := l.sites.loop.ExportState(func(d api.DestinationID) bool { return l.sites.senderFor(d) == l })
-	return all
+	states, _ := s.sites.loop.ExportState(func(d api.DestinationID) bool { return s.sites.senderFor(d) == s })
+	return states
 }
 
-// ApplyDestinationStates is for the time when the relay is gone.
-func (l *siteSender) ApplyDestinationStates(all []api.DestinationState) {
-	if !l.direct.Load() { // else what is known here is newer
-		l.sites.loop.ImportState(all)
+// ApplyDestinationStates takes over what the relay knows, for when the relay becomes unreachable.
+func (s *siteSender) ApplyDestinationStates(states []api.DestinationState) {
+	if !s.direct.Load() { // else what is known here is newer
+		s.sites.loop.ImportState(states)
 	}
 }
--- a/cluster/site/sent_log.go
+++ b/cluster/site/sent_log.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"sync"
 
 	"rowanlink/cluster"
@@ -10,123 +9,112 @@
 	"rowanlink/cluster/transport"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
-	"rowanlink/webhook/dispatcher/wal"
 )
 
-// sentRecord says of one delivery that it may be at a relay. It is kept from before its first byte leaves until
-// its end is known, in a journal beside that of webhooks.
+// sentRecord says that a delivery may be at a relay. It is stored from before its first byte is sent until its result
+// is known, in a journal besides that of webhooks.
 type sentRecord struct {
 	Site                cluster.SiteID     `cbor:"1,keyasint"`
 	RequestID           inflight.RequestID `cbor:"2,keyasint"`
 	ReceiverIncarnation uint64             `cbor:"3,keyasint"` // of the relay's folder
-	SentAt              api.Micros         `cbor:"4,keyasint"` // when it was sent first
-	Epoch               cluster.Epoch      `cbor:"5,keyasint"` // by which it was
+	SentAt              api.Micros         `cbor:"4,keyasint"` // when it was first sent
+	Epoch               cluster.Epoch      `cbor:"5,keyasint"` // of the lease by which it was sent
 	Relay               cluster.MemberID   `cbor:"7,keyasint"`
-	MayHaveRunBefore    bool               `cbor:"6,keyasint"` // it may have run before, here or at another owner
+	MayHaveRunBefore    bool               `cbor:"6,keyasint"` // here or at another origin
 }
 
-func (m sentRecord) isFor(s config.Site) bool { return m.Site == s.ID && m.Relay == s.Relay }
+func (r sentRecord) isFor(s config.Site) bool { return r.Site == s.ID && r.Relay == s.Relay }
 
+// sentLog stores the sentRecords of all sites. It is safe for concurrent use.
 type sentLog struct {
-	mu         sync.Mutex
-	journal    *wal.Log
-	records    map[inflight.RequestID]sentRecord
-	recordIDs  map[inflight.RequestID]api.WebhookID // the record of each
-	lastRecord api.WebhookID
+	mu        sync.Mutex
+	journal   *recordJournal
+	records   map[inflight.RequestID]sentRecord
+	recordIDs map[inflight.RequestID]api.WebhookID // in the journal
 }
 
-// openSentLog reads what an earlier life noted.
+// openSentLog reads what an earlier process recorded.
 func openSentLog(dir string, diskMB float64) (*sentLog, error) {
-	kept, err := openJournal(dir, diskMB)
+	journal, err := openJournal(dir, diskMB)
 	if err != nil {
 		return nil, err
 	}
-	m := &sentLog{journal: kept, records: map[inflight.RequestID]sentRecord{}, recordIDs: map[inflight.RequestID]api.WebhookID{}}
-	for _, e := range kept.Entries() {
-		var one sentRecord
-		if err := transport.Decode(e.Payload, &one); err != nil {
+	l := &sentLog{
+		journal:   journal,
+		records:   map[inflight.RequestID]sentRecord{},
+		recordIDs: map[inflight.RequestID]api.WebhookID{},
+	}
+	for _, e := range journal.Entries() {
+		var r sentRecord
+		if err := transport.Decode(e.Payload, &r); err != nil {
 			return nil, fmt.Errorf("what was sent to relays: record %d: %w", e.ID, err)
 		}
-		if was, known := m.recordIDs[one.RequestID]; known { // its successor was written, and it was not ended yet
-			kept.Finish(was, nil)
+		if previous, known := l.recordIDs[r.RequestID]; known { // it was replaced, and not removed yet
+			journal.Finish(previous, nil)
 		}
-		m.records[one.RequestID], m.recordIDs[one.RequestID], m.lastRecord = one, e.ID, max(m.lastRecord, e.ID)
-	}
-	return m, nil
-}
-
-func openJournal(dir string, diskMB float64) (*wal.Log, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, err
+		l.records[r.RequestID] = r
+		l.recordIDs[r.RequestID] = e.ID
 	}
-	return wal.Open(dir, diskMB)
+	return l, nil
 }
 
-// add keeps marks in one write. After an error none of them is kept.
-func (m *sentLog) add(all []sentRecord) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	began, err := m.lastRecord, error(nil)
-	for _, one := range all {
-		m.lastRecord++
-		if err = m.journal.Accept(m.lastRecord, transport.Encode(one)); err != nil {
-			break
-		}
-	}
-	if err == nil {
-		err = m.journal.Commit()
+// add stores records in one write. With an error none of them is stored.
+func (l *sentLog) add(records []sentRecord) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	encoded := make([][]byte, len(records))
+	for i, r := range records {
+		encoded[i] = transport.Encode(r)
 	}
+	first, err := l.journal.append(encoded)
 	if err != nil {
-		for id := began + 1; id <= m.lastRecord; id++ {
-			m.journal.Undo(id)
-		}
 		return err
 	}
-	for i, one := range all {
-		if was, known := m.recordIDs[one.RequestID]; known {
-			m.journal.Finish(was, nil)
+	for i, r := range records {
+		if previous, known := l.recordIDs[r.RequestID]; known {
+			l.journal.Finish(previous, nil)
 		}
-		m.records[one.RequestID], m.recordIDs[one.RequestID] = one, began+1+api.WebhookID(i)
+		l.records[r.RequestID] = r
+		l.recordIDs[r.RequestID] = first + api.WebhookID(i)
 	}
 	return nil
 }
 
-// remove forgets marks. It need not be on the disk at once: one too many is settled by the relay's word
-// again.
-func (m *sentLog) remove(ids ...inflight.RequestID) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// remove forgets records. That need not reach the disk at once: for a record too many the relay is asked again.
+func (l *sentLog) remove(ids ...inflight.RequestID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, id := range ids {
-		if at, known := m.recordIDs[id]; known {
-			m.journal.Finish(at, nil)
-			delete(m.recordIDs, id)
-			delete(m.records, id)
+		if recordID, known := l.recordIDs[id]; known {
+			l.journal.Finish(recordID, nil)
+			delete(l.recordIDs, id)
+			delete(l.records, id)
 		}
 	}
 }
 
-func (m *sentLog) get(id inflight.RequestID) (sentRecord, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	one, known := m.records[id]
-	return one, known
+func (l *sentLog) get(id inflight.RequestID) (sentRecord, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r, known := l.records[id]
+	return r, known
 }
 
-// forSite lists what was sent to a site's relay.
-func (m *sentLog) forSite(s config.Site) (all []sentRecord) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, one := range m.records {
-		if one.isFor(s) {
-			all = append(all, one)
+// forSite returns the records of what was sent to a site's relay.
+func (l *sentLog) forSite(s config.Site) (records []sentRecord) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, r := range l.records {
+		if r.isFor(s) {
+			records = append(records, r)
 		}
 	}
-	return all
+	return records
 }
 
-func (m *sentLog) close() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.journal.Commit()
-	return m.journal.Close()
+func (l *sentLog) close() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_ = l.journal.Commit() // what it would lose is asked about again; see remove
+	return l.journal.Close()
 }
--- a/cluster/site/site_sender.go
+++ b/cluster/site/site_sender.go
@@ -11,179 +11,199 @@
 	"rowanlink/cluster"
 	"rowanlink/cluster/config"
 	"rowanlink/cluster/relay"
-	streampkg "rowanlink/cluster/stream"
+	"rowanlink/cluster/stream"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/eventloop"
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// siteSender is a site as one member sees it that may be its sender.
+// siteSender is a site at a member that may be its sender. It implements relay.SenderStore.
 type siteSender struct {
 	sites    *Sites
 	site     config.Site
 	resource cluster.Resource
-	direct   atomic.Bool // its subscribers may be called from here
+	direct   atomic.Bool // the site's subscribers may be called from here
 
-	// The file names it no more, or with another relay: what was sent ends by the word of the one that has it.
+	// closing: the operator file no longer has the site, or has another relay for it. What was sent gets its results
+	// from the relay that has it.
 	closing atomic.Bool
 
-	// Of the goroutine that looks, but for stream.
-	epoch        cluster.Epoch
+	epoch        cluster.Epoch // owned by Sites.run
 	sender       atomic.Pointer[relay.Sender]
-	needsRestart atomic.Bool // the stream is to be made anew from what the journals say
+	needsRestart atomic.Bool // the stream has to be restarted with what the journals have
 
 	mu         sync.Mutex
-	tracked    map[streampkg.Delivery]*trackedWebhook // in the stream: queued, or sent and not ended
-	deliveries map[inflight.RequestID]streampkg.Delivery
-	finished   map[inflight.RequestID]bool // ended since what is owed was last listed
-	bypassed   []streampkg.Delivery        // to be said to the stream: they go beside it
+	tracked    map[stream.Delivery]*trackedWebhook // in the stream: queued, or sent and without a result
+	deliveries map[inflight.RequestID]stream.Delivery
+	finished   map[inflight.RequestID]bool // since the parked webhooks were last listed
+	bypassed   []stream.Delivery           // the stream has yet to be told that they are complete
 }
 
-// trackedWebhook is a delivery as the stream has it.
+// trackedWebhook is a webhook that the stream has.
 type trackedWebhook struct {
 	id   inflight.RequestID
-	item *streampkg.Item
+	item *stream.Item
 }
 
-func newSiteSender(of *Sites, s config.Site) *siteSender {
-	return &siteSender{sites: of, site: s, resource: cluster.SiteSenderResource(s.ID)}
+func newSiteSender(sites *Sites, site config.Site) *siteSender {
+	return &siteSender{sites: sites, site: site, resource: cluster.SiteSenderResource(site.ID)}
 }
 
-// messageID is a webhook's or an announcement's name over the whole fleet: no request id is used twice.
-func (l *siteSender) messageID(request string) streampkg.MessageID {
-	return streampkg.MessageID{Origin: l.sites.self, Incarnation: xxhash.Sum64String(request),
-		Number: xxhash.Sum64String("name " + request)}
+// messageID returns the id of a webhook or an announcement in the whole cluster: request ids are never reused.
+func (s *siteSender) messageID(request string) stream.MessageID {
+	return stream.MessageID{
+		Origin:      s.sites.self,
+		Incarnation: xxhash.Sum64String(request),
+		Number:      xxhash.Sum64String("name " + request),
+	}
 }
 
-func (l *siteSender) deliveryOf(id inflight.RequestID, to api.DestinationID) streampkg.Delivery {
-	of, _, _ := id.Subscriber()
-	return streampkg.Delivery{Message: l.messageID(string(of)), Destination: to}
+func (s *siteSender) deliveryOf(id inflight.RequestID, destination api.DestinationID) stream.Delivery {
+	request, _, _ := id.Subscriber()
+	return stream.Delivery{Message: s.messageID(string(request)), Destination: destination}
 }
 
-// reconcile does what the grants, the map and the journals ask for now.
-func (l *siteSender) reconcile(owed []eventloop.Parked) {
-	epoch, held := l.reconcileLease()
-	sent := l.sites.sentLog.forSite(l.site)
-	now := l.sender.Load()
+// reconcile starts, stops or feeds the stream as the lease, the shard map and the journals require.
+func (s *siteSender) reconcile(parked []eventloop.Parked) {
+	epoch, held := s.reconcileLease()
+	sent := s.sites.sentLog.forSite(s.site)
+	sender := s.sender.Load()
 	switch {
-	case held && (now == nil || epoch != l.epoch || l.needsRestart.Load()):
-		l.startStream(epoch, sent, owed)
-	case !held && now == nil && len(sent) > 0:
-		for _, m := range sent {
-			epoch = max(epoch, m.Epoch)
-		}
-		l.startStream(epoch, sent, owed)
-	case !held && now != nil && len(sent) == 0:
-		l.stopStream()
+	case held && (sender == nil || epoch != s.epoch || s.needsRestart.Load()):
+		s.startStream(epoch, sent, parked)
+	case !held && sender == nil && len(sent) > 0: // to ask for the results
+		s.startStream(lastEpoch(epoch, sent), sent, parked)
+	case !held && sender != nil && len(sent) == 0:
+		s.stopStream()
 	}
-	if now = l.sender.Load(); now != nil {
-		for _, d := range l.takeBypassed() {
-			now.Complete(d)
+	sender = s.sender.Load()
+	if sender != nil {
+		for _, d := range s.takeBypassed() {
+			sender.Complete(d)
 		}
 	}
-	gone := now != nil && now.IsUnreachable()
-	l.setDirect(held && gone || !held && l.sites.isOwnerUnknown(l.site.ID))
-	if held && !gone {
-		l.feedStream(now, owed)
+	isUnreachable := sender != nil && sender.IsUnreachable()
+	s.setDirect(held && isUnreachable || !held && s.sites.isOwnerUnknown(s.site.ID))
+	if held && !isUnreachable {
+		s.feedStream(sender, parked)
 	}
 }
 
-// hasWork is whether what is owed matters: guards against a turn of the decider for nothing at members at
-// rest.
-func (l *siteSender) hasWork() bool {
-	return l.site.Relay != l.sites.self && (l.sender.Load() != nil || l.sites.isSiteOwner(l.site.ID) ||
-		len(l.sites.sentLog.forSite(l.site)) > 0)
+func lastEpoch(epoch cluster.Epoch, sent []sentRecord) cluster.Epoch {
+	for _, r := range sent {
+		epoch = max(epoch, r.Epoch)
+	}
+	return epoch
 }
 
-// reconcileLease asks for the sender's task, or gives it up, by whether this member is home of the site.
-func (l *siteSender) reconcileLease() (epoch cluster.Epoch, held bool) {
-	if l.closing.Load() { // another lane may have the task
+// hasWork reports whether the parked webhooks matter. Without it each member would list them, an iteration of its event
+// loop, although it sends to no site.
+func (s *siteSender) hasWork() bool {
+	if s.site.Relay == s.sites.self {
+		return false
+	}
+	return s.sender.Load() != nil || s.sites.isSiteOwner(s.site.ID) || len(s.sites.sentLog.forSite(s.site)) > 0
+}
+
+// reconcileLease acquires the lease on sending to the site, or releases it, as this member owns the site or not.
+func (s *siteSender) reconcileLease() (epoch cluster.Epoch, held bool) {
+	if s.closing.Load() { // another siteSender may hold the lease
 		return 0, false
 	}
-	if now := l.sender.Load(); now != nil && now.IsFenced() {
-		l.sites.session.Release(l.resource)
-		l.stopStream()
-		slog.Info("site asked for anew: its relay has seen a later epoch", "site", l.site.ID)
+	session := s.sites.session
+	if sender := s.sender.Load(); sender != nil && sender.IsFenced() {
+		session.Release(s.resource)
+		s.stopStream()
+		slog.Info("site asked for anew: its relay has seen a later epoch", "site", s.site.ID)
 	}
-	if l.sites.isSiteOwner(l.site.ID) {
-		l.sites.session.Acquire(l.resource)
-		return l.sites.session.Holds(l.resource)
+	if s.sites.isSiteOwner(s.site.ID) {
+		session.Acquire(s.resource)
+		return session.Holds(s.resource)
 	}
-	if _, held := l.sites.session.Holds(l.resource); held {
-		l.sites.session.Release(l.resource)
-		slog.Info("site let go", "site", l.site.ID)
+	if _, held := session.Holds(s.resource); held {
+		session.Release(s.resource)
+		slog.Info("site let go", "site", s.site.ID)
 	}
 	return 0, false
 }
 
-// setDirect says whether its subscribers are called from here.
-func (l *siteSender) setDirect(direct bool) {
-	if l.direct.Swap(direct) != direct {
-		slog.Info("site's subscribers are called directly", "site", l.site.ID, "directly", direct)
-		l.sites.loop.Reevaluate()
+// setDirect sets whether the site's subscribers are called from here.
+func (s *siteSender) setDirect(direct bool) {
+	if s.direct.Swap(direct) != direct {
+		slog.Info("site's subscribers are called directly", "site", s.site.ID, "directly", direct)
+		s.sites.loop.Reevaluate()
 	}
 }
 
-// takeBypassed takes what the stream is to forget: it goes beside it.
-func (l *siteSender) takeBypassed() []streampkg.Delivery {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	all := l.bypassed
-	l.bypassed = nil
-	return all
+func (s *siteSender) takeBypassed() []stream.Delivery {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	bypassed := s.bypassed
+	s.bypassed = nil
+	return bypassed
 }
 
-func (l *siteSender) stopStream() {
-	if s := l.sender.Load(); s != nil {
-		s.Close()
-		l.sender.Store(nil)
+func (s *siteSender) stopStream() {
+	if sender := s.sender.Load(); sender != nil {
+		sender.Close()
+		s.sender.Store(nil)
 	}
 }
 
-// startStream makes the stream by what the journals say: what was sent is asked about first.
-func (l *siteSender) startStream(epoch cluster.Epoch, sent []sentRecord, all []eventloop.Parked) {
-	l.stopStream()
-	l.needsRestart.Store(false)
-	l.epoch = epoch
-	s := streampkg.NewSender(epoch, l.sites.clockDrift)
-	s.SetGeneration(uint64(inflight.Now()))
-	l.mu.Lock()
-	l.tracked, l.deliveries = map[streampkg.Delivery]*trackedWebhook{}, map[inflight.RequestID]streampkg.Delivery{}
-	l.bypassed = nil
-	l.mu.Unlock()
-	of := map[inflight.RequestID]sentRecord{}
-	for _, m := range sent {
-		of[m.RequestID] = m
-	}
-	n, left := 0, map[api.DestinationID]bool{}
-	for _, w := range all {
-		m, was := of[w.RequestID]
-		if !was || !w.InDoubt {
+// startStream starts the stream with what the journals have: it first asks the relay about what was sent.
+func (s *siteSender) startStream(epoch cluster.Epoch, sent []sentRecord, parked []eventloop.Parked) {
+	s.stopStream()
+	s.needsRestart.Store(false)
+	s.epoch = epoch
+	state := stream.NewSender(epoch, s.sites.clockDrift)
+	state.SetGeneration(uint64(inflight.Now()))
+	s.mu.Lock()
+	s.tracked = map[stream.Delivery]*trackedWebhook{}
+	s.deliveries = map[inflight.RequestID]stream.Delivery{}
+	s.bypassed = nil
+	s.mu.Unlock()
+	restored, detached := s.restoreSent(state, sent, parked)
+	slog.Info("site's stream begins", "site", s.site.ID, "relay", s.site.Relay, "epoch", epoch, "sent", restored)
+	sender := relay.NewSender(s.site.Relay, state, s, s.sites.messenger, s.sites.timing, inflight.Now, func() bool {
+		current, held := s.sites.session.Holds(s.resource)
+		return held && current == epoch && !s.closing.Load() && s.sites.isSiteOwner(s.site.ID)
+	})
+	for d := range detached {
+		sender.DetachDestination(d)
+	}
+	s.sender.Store(sender)
+	go sender.Run() // until stopStream
+}
+
+// restoreSent restores the parked webhooks that were sent, and removes the records of those that were finished since.
+// It returns how many it restored, and the destinations that no longer belong to the site: if the relay never received
+// a webhook for one of those, it takes the path that the destination has now.
+func (s *siteSender) restoreSent(state *stream.Sender, sent []sentRecord,
+	parked []eventloop.Parked) (restored int, detached map[api.DestinationID]bool) {
+	records := map[inflight.RequestID]sentRecord{}
+	for _, r := range sent {
+		records[r.RequestID] = r
+	}
+	detached = map[api.DestinationID]bool{}
+	for _, w := range parked {
+		r, wasSent := records[w.RequestID]
+		if !wasSent || !w.InDoubt {
 			continue
 		}
-		i := l.newItem(w)
-		l.track(i, w)
-		s.RestoreSent(*i, m.ReceiverIncarnation, m.SentAt)
-		if l.sites.senderFor(w.Destination) != l { // if it never came there, it goes the way it goes now
-			left[w.Destination] = true
+		item := s.newItem(w)
+		s.track(item, w)
+		state.RestoreSent(*item, r.ReceiverIncarnation, r.SentAt)
+		if s.sites.senderFor(w.Destination) != s {
+			detached[w.Destination] = true
 		}
-		delete(of, w.RequestID)
-		n++
+		delete(records, w.RequestID)
+		restored++
 	}
-	held := l.sites.loop.PendingIDs()
-	for id := range of {
-		if !slices.Contains(held, id) { // ended meanwhile
-			l.sites.sentLog.remove(id)
+	pending := s.sites.loop.PendingIDs()
+	for id := range records {
+		if !slices.Contains(pending, id) {
+			s.sites.sentLog.remove(id)
 		}
 	}
-	slog.Info("site's stream begins", "site", l.site.ID, "relay", l.site.Relay, "epoch", epoch, "sent", n)
-	stream := relay.NewSender(l.site.Relay, s, l, l.sites.messenger, l.sites.timing, inflight.Now, func() bool {
-		now, held := l.sites.session.Holds(l.resource)
-		return held && now == epoch && !l.closing.Load() && l.sites.isSiteOwner(l.site.ID)
-	})
-	for to := range left {
-		stream.DetachDestination(to)
-	}
-	l.sender.Store(stream)
-	go stream.Run()
+	return restored, detached
 }
--- a/cluster/site/sites.go
+++ b/cluster/site/sites.go
@@ -1,5 +1,6 @@
-// Package site joins a dispatcher to site streams: at its sender, what is owed to a site's subscribers goes
-// into the stream; at its relay, what comes by it is delivered; at any member, announcements are taken on.
+// Package site connects a dispatcher to site streams: at a site's sender, webhooks for the site's subscribers are fed
+// into the stream; at its relay, what arrives is submitted to the local dispatcher; at any member, announcements are
+// accepted.
 package site
 
 import (
@@ -21,36 +22,43 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// sentLogMB of the disk are for what is noted of deliveries on their way.
+// The folders below Options.StateDir.
+const (
+	clusterDir = "fleet"
+	sentLogDir = "sent"
+	relayDir   = "relay"
+)
+
+// sentLogMB is the size of the sent log, in MB.
 const sentLogMB = 8
 
-// Session is what a member holds.
+// Session acquires and releases leases for this member.
 type Session interface {
 	Acquire(cluster.Resource)
 	Release(cluster.Resource)
 	Holds(cluster.Resource) (cluster.Epoch, bool)
 }
 
-// Options is what a Sites is made of.
+// Options has what a Sites needs of its member.
 type Options struct {
 	Self           cluster.MemberID
-	StateDir       string  // the folder that outlasts the process
-	DiskMB         float64 // for a relay's own journal
+	StateDir       string  // survives the process
+	DiskMB         float64 // for the relay's journal
 	Inbox          *inflight.Inbox
 	Loop           *eventloop.Loop
 	Messenger      relay.Messenger
-	IsAccepting    func() bool // webhooks, from whomever
-	NotifyHandoff  func()      // something is to be handed on; does not wait
+	IsAccepting    func() bool // whether this member accepts webhooks at all
+	NotifyHandoff  func()      // called when webhooks can be forwarded to other members; does not block
 	EventType      func(api.EventTypeID) api.EventType
-	IsRangeOwner   func(api.DestinationID) bool // this member, and no other, is home of a destination
-	IsSiteOwner    func(cluster.SiteID) bool    // this member is home of where a site's subscribers stand
-	IsOwnerUnknown func(cluster.SiteID) bool    // nobody may be: whoever holds a webhook calls
-	BufferCapacity func() int                   // webhooks held at once
+	IsRangeOwner   func(api.DestinationID) bool // whether this member, and no other, owns the destination's range
+	IsSiteOwner    func(cluster.SiteID) bool    // whether this member owns the range of the site's subscribers
+	IsOwnerUnknown func(cluster.SiteID) bool    // whether there may be no owner: whoever has a webhook makes the call
+	BufferCapacity func() int                   // webhooks that may be pending at once
 }
 
-// Sites are all sites as one member sees them.
+// Sites has all sites, as one member sees them. The counters are of deliveries, except Announcements.
 type Sites struct {
-	Sent, Requeued, Bypassed, InDoubt, Results, Announcements atomic.Int64 // deliveries, but for the last
+	Sent, Requeued, Bypassed, InDoubt, Results, Announcements atomic.Int64
 
 	self           cluster.MemberID
 	options        Options
@@ -64,71 +72,85 @@
 	isSiteOwner    func(cluster.SiteID) bool
 	isOwnerUnknown func(cluster.SiteID) bool
 	sentLog        *sentLog
-	relay          atomic.Pointer[relayReceiver]
+	relay          atomic.Pointer[relayReceiver] // nil: this member is no relay
 	routes         atomic.Pointer[routes]
 	submitNext     func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
 
-	mu     sync.Mutex // one renewal at a time
+	mu     sync.Mutex // held while the senders or the routes are changed
 	closed chan struct{}
 }
 
-// New makes them by the operator file; nothing runs yet.
-func New(p Options, f config.File) *Sites {
-	s := &Sites{self: p.Self, options: p, timing: relay.TimingFor(f.LeaseTTL), clockDrift: f.MaxClockDrift, loop: p.Loop, messenger: p.Messenger,
-		eventType: p.EventType, isRangeOwner: p.IsRangeOwner, isSiteOwner: p.IsSiteOwner, isOwnerUnknown: p.IsOwnerUnknown, closed: make(chan struct{})}
+// New returns the sites of an operator file; nothing runs yet.
+func New(o Options, f config.File) *Sites {
+	s := &Sites{
+		self:           o.Self,
+		options:        o,
+		timing:         relay.TimingFor(f.LeaseTTL),
+		clockDrift:     f.MaxClockDrift,
+		loop:           o.Loop,
+		messenger:      o.Messenger,
+		eventType:      o.EventType,
+		isRangeOwner:   o.IsRangeOwner,
+		isSiteOwner:    o.IsSiteOwner,
+		isOwnerUnknown: o.IsOwnerUnknown,
+		closed:         make(chan struct{}),
+	}
 	s.routes.Store(s.newRoutes(f, nil))
 	return s
 }
 
-// RegisterHandlers has messages heard; before the server serves only.
+// RegisterHandlers adds the handlers to a server that does not serve yet.
 func (s *Sites) RegisterHandlers(server *transport.Server) {
-	heard := func(by func(*relay.Receiver, *fasthttp.RequestCtx)) func(*fasthttp.RequestCtx) {
-		return func(ctx *fasthttp.RequestCtx) {
-			if k := s.relay.Load(); k != nil {
-				by(k.receiver, ctx)
-				return
-			}
-			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
+	server.Handle(relay.OpenPath, s.relayHandler((*relay.Receiver).HandleOpen))
+	server.Handle(relay.FramePath, s.relayHandler((*relay.Receiver).HandleFrame))
+	server.Handle(relay.ResultsPath, s.handleResults)
+}
+
+// relayHandler returns a handler that responds 503 while this member is no relay.
+func (s *Sites) relayHandler(handle func(*relay.Receiver, *fasthttp.RequestCtx)) fasthttp.RequestHandler {
+	return func(ctx *fasthttp.RequestCtx) {
+		if r := s.relay.Load(); r != nil {
+			handle(r.receiver, ctx)
+			return
 		}
+		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
-	server.Handle(relay.OpenPath, heard((*relay.Receiver).HandleOpen))
-	server.Handle(relay.FramePath, heard((*relay.Receiver).HandleFrame))
-	server.Handle(relay.ResultsPath, s.handleResults)
 }
 
-// handleResults hears a relay. Without a stream, what was sent by an earlier life of this process, or to a
-// relay that is no site's any more, ends all the same.
+// handleResults handles the results that a relay reports. Results of what was sent by an earlier process, or to a relay
+// that no longer is one, count without a stream, too.
 func (s *Sites) handleResults(ctx *fasthttp.RequestCtx) {
-	l := &siteSender{sites: s}
-	for _, one := range s.routes.Load().senders {
-		if one.site.Relay == transport.Sender(ctx) {
-			l = one
-			if stream := l.sender.Load(); stream != nil {
-				stream.HandleResults(ctx)
-				return
-			}
+	sender := &siteSender{sites: s}
+	for _, candidate := range s.routes.Load().senders {
+		if candidate.site.Relay != transport.Sender(ctx) {
+			continue
+		}
+		sender = candidate
+		if running := sender.sender.Load(); running != nil {
+			running.HandleResults(ctx)
+			return
 		}
 	}
-	var ends relay.ResultsMessage
-	if err := transport.Decode(ctx.PostBody(), &ends); err != nil {
+	var message relay.ResultsMessage
+	if err := transport.Decode(ctx.PostBody(), &message); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	ctx.SetBody(transport.Encode(l.RecordResults(ends.Results)))
+	ctx.SetBody(transport.Encode(sender.RecordResults(message.Results)))
 }
 
-// Install joins the exchange; before clients are let in.
+// Install inserts the sites into the inbox's chain of handlers, before clients are admitted.
 func (s *Sites) Install() {
 	s.submitNext = s.options.Inbox.Forward
 	s.options.Inbox.Forward = s.submit
 	s.options.Inbox.HasList = func(name string) bool { return s.routes.Load().lists[name] != nil }
 }
 
-// Start starts what goes on by itself. Guards against a second effect: what was given to a relay before is
-// known to be so before anything else is done with it.
+// Start reads the journals and starts the goroutines; end them by Close. Webhooks that were sent to a relay before are
+// known as such before anything else is done with them, so that none is delivered twice.
 func (s *Sites) Start(session Session) (err error) {
 	s.session = session
-	if s.sentLog, err = openSentLog(filepath.Join(s.options.StateDir, "fleet", "sent"), sentLogMB); err != nil {
+	if s.sentLog, err = openSentLog(s.stateDir(sentLogDir), sentLogMB); err != nil {
 		return err
 	}
 	var sent []inflight.RequestID
@@ -143,35 +165,45 @@
 	return nil
 }
 
-// startRelay begins as a relay, if this member is one and is none yet.
+func (s *Sites) stateDir(name string) string {
+	return filepath.Join(s.options.StateDir, clusterDir, name)
+}
+
+// startRelay starts the relay if the operator file has this member as one and it does not run yet.
 func (s *Sites) startRelay() error {
-	if now := s.routes.Load(); s.relay.Load() != nil ||
-		!slices.ContainsFunc(now.senders, func(l *siteSender) bool { return l.site.Relay == s.self }) {
+	isRelay := slices.ContainsFunc(s.routes.Load().senders, func(sender *siteSender) bool {
+		return sender.site.Relay == s.self
+	})
+	if s.relay.Load() != nil || !isRelay {
 		return nil
 	}
-	room := func() int { return int(relayCapacityShare * float64(s.options.BufferCapacity())) }
-	of := localDispatcher{s.loop, s.options.Inbox, room, s.options.IsAccepting}
-	k, err := openRelayReceiver(filepath.Join(s.options.StateDir, "fleet", "relay"), s.options.DiskMB, of, s.messenger, s.timing)
+	dispatcher := localDispatcher{
+		loop:        s.loop,
+		inbox:       s.options.Inbox,
+		capacity:    func() int { return int(relayCapacityShare * float64(s.options.BufferCapacity())) },
+		isAccepting: s.options.IsAccepting,
+	}
+	receiver, err := openRelayReceiver(s.stateDir(relayDir), s.options.DiskMB, dispatcher, s.messenger, s.timing)
 	if err != nil {
 		return err
 	}
-	s.relay.Store(k)
+	s.relay.Store(receiver)
 	s.loop.Reevaluate()
-	slog.Info("serves as relay", "member", s.self, "room", k.Capacity())
+	slog.Info("serves as relay", "member", s.self, "room", receiver.Capacity())
 	return nil
 }
 
-// ApplyConfig goes on by another operator file.
+// ApplyConfig continues with another operator file.
 func (s *Sites) ApplyConfig(f config.File) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.routes.Load()
-	now := s.newRoutes(f, was)
-	s.routes.Store(now)
-	for _, l := range was.senders {
-		if l.closing.Load() || !slices.Contains(now.senders, l) {
-			l.stopStream()
-			l.direct.Store(false)
+	previous := s.routes.Load()
+	next := s.newRoutes(f, previous)
+	s.routes.Store(next)
+	for _, sender := range previous.senders {
+		if sender.closing.Load() || !slices.Contains(next.senders, sender) {
+			sender.stopStream()
+			sender.direct.Store(false)
 		}
 	}
 	if err := s.startRelay(); err != nil {
@@ -180,41 +212,46 @@
 	s.loop.Reevaluate()
 }
 
+// run reconciles the senders at intervals until Close.
 func (s *Sites) run() {
-	tick := time.NewTicker(s.timing.PollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(s.timing.PollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.closed:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		s.mu.Lock()
-		now := s.routes.Load()
-		var owed map[*siteSender][]eventloop.Parked
-		if slices.ContainsFunc(now.senders, (*siteSender).hasWork) {
-			owed = s.parkedBySender(now)
-		}
-		for _, l := range now.senders {
-			if l.site.Relay != s.self {
-				l.reconcile(owed[l])
-			}
+		s.reconcileSenders()
+	}
+}
+
+func (s *Sites) reconcileSenders() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := s.routes.Load()
+	var parked map[*siteSender][]eventloop.Parked
+	if slices.ContainsFunc(r.senders, (*siteSender).hasWork) {
+		parked = s.parkedBySender(r)
+	}
+	for _, sender := range r.senders {
+		if sender.site.Relay != s.self {
+			sender.reconcile(parked[sender])
 		}
-		s.mu.Unlock()
 	}
 }
 
 func (s *Sites) senderFor(d api.DestinationID) *siteSender { return s.routes.Load().senderOf[d] }
 
-// Close leaves all as it is on disk.
+// Close stops run and closes the journals, with everything on disk as it is.
 func (s *Sites) Close() {
 	close(s.closed)
-	if k := s.relay.Load(); k != nil {
-		if err := k.close(); err != nil {
+	if r := s.relay.Load(); r != nil {
+		if err := r.close(); err != nil {
 			slog.Warn("relay's journal not closed", "why", err)
 		}
 	}
 	if s.sentLog != nil {
-		s.sentLog.close()
+		_ = s.sentLog.close() // for a record that is lost the relay is asked again
 	}
 }
