--- a/cmd/rowan-compare/compare_test.go
+++ b/cmd/rowan-compare/compare_test.go
@@ -89,7 +89,7 @@
 	require.Error(t, results[1].err)
 	var out strings.Builder
 	writeTables(&out, variants, results)
-	assert.Contains(t, out.String(), "not played: s.toml-quiet-1-nine")
+	assert.Contains(t, out.String(), "no result: s.toml-quiet-1-nine")
 }
 
 func TestParseVariants_Invalid(t *testing.T) {
--- a/cmd/rowan-compare/tables.go
+++ b/cmd/rowan-compare/tables.go
@@ -19,7 +19,7 @@
 func writeTables(out io.Writer, variants []*variant, results []benchResult) {
 	for _, result := range results {
 		if result.err != nil {
-			_, _ = fmt.Fprintf(out, "not played: %s: %v\n", result.name(), result.err)
+			_, _ = fmt.Fprintf(out, "no result: %s: %v\n", result.name(), result.err)
 		} else if trouble := result.report.failureText(); trouble != "" {
 			_, _ = fmt.Fprintf(out, "%s: %s\n", result.name(), trouble)
 		}
--- a/serving/placement/doc.go
+++ b/serving/placement/doc.go
@@ -1,5 +1,5 @@
 // Package placement selects the endpoint that serves each request. It performs no I/O and has no clock of its own:
-// the caller passes in the state of the cluster (Picker.Update), asks for an endpoint (Picker.Pick) and reports what
+// the caller passes in the state of the cluster (Picker.Update), requests an endpoint (Picker.Pick) and reports what
 // became of the request (Picker.ReportProgress, Picker.ReportOutcome), each time with the current monotonic time.
 //
 // An endpoint is eligible if the route, the endpoint's own state and the rate limit of endpoints that are warming up
--- a/serving/placement/eligibility_test.go
+++ b/serving/placement/eligibility_test.go
@@ -87,7 +87,7 @@
 	assert.NotEqual(t, Picked, decision.Kind)
 	w.update()
 	_, decision = w.Pick(w.now, w.request("review", 1))
-	assert.NotEqual(t, Picked, decision.Kind, "the same word again is no news")
+	assert.NotEqual(t, Picked, decision.Kind, "the same heartbeat again changes nothing")
 	w.snapshot.Endpoints[0].Sequence++
 	w.update()
 	_, decision = w.Pick(w.now, w.request("review", 1))
--- a/serving/placement/service.go
+++ b/serving/placement/service.go
@@ -28,7 +28,7 @@
 
 	pathCosts pathCosts
 
-	// waitingUntil tells, for each priority, how long a request of it waits for a slot.
+	// waitingUntil is, for each priority, how long a request of it waits for a slot.
 	waitingUntil [priorityLevels]time.Time
 }
 
--- a/serving/placement/unresponsive_test.go
+++ b/serving/placement/unresponsive_test.go
@@ -33,5 +33,5 @@
 	assert.False(t, chosen(silence+1100*time.Millisecond))
 	w.ReportProgress(w.now.Add(silence+1200*time.Millisecond), dark.Reservation)
 	known := w.endpoints[dark.Endpoint.ID]
-	assert.Zero(t, known.overdue(w.now.Add(silence+1210*time.Millisecond)), "it goes on")
+	assert.Zero(t, known.overdue(w.now.Add(silence+1210*time.Millisecond)), "the stream continues")
 }
--- a/serving/placement/warmup_test.go
+++ b/serving/placement/warmup_test.go
@@ -133,7 +133,7 @@
 
 	e.health.consecutiveFailures = ejectionThreshold
 	w.applyOutcome(w.now, &call{endpoint: e, sentAt: w.now}, attempt.Succeeded)
-	assert.True(t, cold(0), "it was away and may have come back cold")
+	assert.True(t, cold(0), "it was unreachable and may have restarted")
 }
 
 func TestIsWarmingUp_EvacuationEndedBeforeStart(t *testing.T) {
@@ -182,5 +182,5 @@
 		w.snapshot.Endpoints[index].Unresponsive = true
 	}
 	w.update()
-	assert.False(t, w.isWarmingUp(w.now, w.endpoints["e1-0"]), "where most are silent, their heartbeats are what is lost")
+	assert.False(t, w.isWarmingUp(w.now, w.endpoints["e1-0"]), "if most are unresponsive, their heartbeats were lost")
 }
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -175,7 +175,7 @@
 	assert.Equal(t, "body i-1", got.body)
 
 	stop()
-	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "the poll under way is broken off for it")
+	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "the poll in flight is interrupted")
 	assert.Equal(t, 503, fetch(t, process.Bind.Ready, "/readiness").status)
 	assert.NoError(t, <-ended)
 }
@@ -218,7 +218,7 @@
 	_, interrupted, err := w.poll(context.Background())
 	require.Error(t, err)
 	assert.False(t, interrupted)
-	assert.Equal(t, observed, w.pending, "what could not be told is kept")
+	assert.Equal(t, observed, w.pending, "unreported observations are retained")
 
 	agent := startAgent(t, address)
 	ctx, stop := context.WithCancel(context.Background())
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -156,7 +156,7 @@
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.EqualValues(t, 2, e.Connections())
-	assert.Equal(t, 1, pool.Open(), "the connection of the first time makes room")
+	assert.Equal(t, 1, pool.Open(), "the connection of the first attempt is replaced")
 }
 
 func TestPool_ConnectionClosedWhileIdle(t *testing.T) {
@@ -213,7 +213,7 @@
 			assert.NoError(t, failure.Cause)
 		}
 		if strings.Contains(sent, "a1") {
-			assert.EqualValues(t, 1, e.Connections(), "a refusal with an id leaves its connection usable")
+			assert.EqualValues(t, 1, e.Connections(), "after a rejection with an ID its connection is reusable")
 		} else {
 			assert.EqualValues(t, 2, e.Connections())
 		}
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -60,9 +60,9 @@
 		}
 		early, part, looksWhole := readScriptedResponse(t, sent[:cut])
 		if early == nil || !looksWhole || early.Length < 0 && len(early.httpResponse.TransferEncoding) == 0 {
-			return // a body that only the end of the connection ends can't be told from one that was cut
+			return // a body that ends with the connection can't be distinguished from a truncated one
 		}
-		require.NotNil(t, response, "whole when it is cut, no response when it is not")
+		require.NotNil(t, response, "complete when truncated, but no response when not")
 		assert.Equal(t, early.Status, response.Status)
 		assert.Equal(t, part, body)
 		assert.True(t, whole)
--- a/test/integration/serving/control_test.go
+++ b/test/integration/serving/control_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These stories are the users' worst days for the control side: a core that stands still and wakes, all power lost
+// These tests are the hardest cases of the control plane: a core that is suspended and resumes, all power lost
 // right after an acknowledgement, and a process that was away through a thousand changes.
 
 const (
@@ -80,7 +80,7 @@
 		for _, each := range lying {
 			given.Go(func() {
 				status, _ := still.call(each)
-				assert.Zero(t, status, "it stands still")
+				assert.Zero(t, status, "it is suspended")
 			})
 		}
 		given.Wait()
@@ -198,7 +198,7 @@
 	}
 	both.Wait()
 	for side := range 2 {
-		assert.False(c.t, acknowledged[side] > 0 && refused[side] > 0, "one order was acknowledged and refused")
+		assert.False(c.t, acknowledged[side] > 0 && refused[side] > 0, "one change was acknowledged and rejected")
 	}
 	assert.False(c.t, acknowledged[0] > 0 && acknowledged[1] > 0, "both were acknowledged")
 	require.True(c.t, acknowledged[0]+acknowledged[1] > 0, "none was")
--- a/test/integration/serving/ledger_test.go
+++ b/test/integration/serving/ledger_test.go
@@ -144,7 +144,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, n := range l.unknownRuns {
-		all = append(all, "no client asked: "+n.String())
+		all = append(all, "unknown attempt: "+n.String())
 	}
 	for attempt, each := range l.attempts {
 		for _, wrong := range each.violations() {
@@ -162,7 +162,7 @@
 		all = append(all, "ran twice")
 	}
 	if ran && t.result == rejected && !t.kind.idempotent {
-		all = append(all, "refused, but it ran")
+		all = append(all, "rejected, but it ran")
 	}
 	if ran && !t.proxyKilled && (t.result == broken || t.result == failed) {
 		all = append(all, "lost")
@@ -180,7 +180,7 @@
 func (l *requestLedger) check(t *testing.T) {
 	t.Helper()
 	assert.Empty(t, l.violations())
-	t.Logf("served %d, refused %d, not connected %d, closed before it ran %d", l.countResult(served), l.countResult(rejected),
+	t.Logf("served %d, rejected %d, not connected %d, closed before it ran %d", l.countResult(served), l.countResult(rejected),
 		l.countResult(notConnected), l.countResult(broken))
 }
 
@@ -199,7 +199,7 @@
 		{"", kindOrder, 0, rejected, 503},
 		{"", kindOrder, 0, broken, 0},
 		{"ran twice", kindChat, 2, served, 200},
-		{"refused, but it ran", kindOrder, 1, rejected, 503},
+		{"rejected, but it ran", kindOrder, 1, rejected, 503},
 		{"lost", kindStock, 1, broken, 0},
 		{"answered, but it did not run", kindStock, 0, served, 200},
 		{"denied", kindStock, 0, failed, 404},
@@ -228,15 +228,15 @@
 func TestRequestLedger_KilledProxy(t *testing.T) {
 	l := newLedger()
 	note := func(attempt string) { l.recordEvent(endpoint.RequestEvent{Attempt: attempt, Phase: endpoint.Started}) }
-	l.startAttempt("in hand", kindOrder, "p")
+	l.startAttempt("in flight", kindOrder, "p")
 	l.killProxy("p", func() { l.startAttempt("meanwhile", kindOrder, "p") })
 	l.startAttempt("after", kindOrder, "p")
 	l.startAttempt("elsewhere", kindOrder, "q")
-	for _, attempt := range []string{"in hand", "meanwhile", "after", "elsewhere"} {
+	for _, attempt := range []string{"in flight", "meanwhile", "after", "elsewhere"} {
 		note(attempt)
 		l.finishAttempt(attempt, broken, 0)
 	}
 	assert.Len(t, l.violations(), 2)
-	note("in hand")
+	note("in flight")
 	assert.Len(t, l.violations(), 3)
 }
--- a/test/integration/serving/losses_test.go
+++ b/test/integration/serving/losses_test.go
@@ -17,16 +17,16 @@
 // once.
 func TestCoreLosses(t *testing.T) {
 	c := startCluster(t)
-	for _, story := range []struct {
+	for _, scenario := range []struct {
 		name string
-		play func(*cluster, *testing.T)
+		run  func(*cluster, *testing.T)
 	}{
 		{"a core is killed and the configuration changes meanwhile", killCore},
-		{"a core's disk is lost and it joins again", wipeCore},
-		{"a core machine goes by plan and another takes its place", replaceCore},
-		{"all are killed and what was acknowledged is there", killAll},
+		{"a core's disk is lost and it rejoins", wipeCore},
+		{"a core machine is replaced", replaceCore},
+		{"all are killed and acknowledged changes survive", killAll},
 	} {
-		t.Run(story.name, func(t *testing.T) { story.play(c, t) })
+		t.Run(scenario.name, func(t *testing.T) { scenario.run(c, t) })
 		c.ledger.check(t)
 		if t.Failed() {
 			return
--- a/test/integration/serving/partition_test.go
+++ b/test/integration/serving/partition_test.go
@@ -143,7 +143,7 @@
 				Edition uint64 `json:"edition"`
 			}
 			if assert.NoError(t, json.Unmarshal([]byte(answer), &document)) {
-				assert.GreaterOrEqual(t, document.Edition, newest, "an older configuration was handed out")
+				assert.GreaterOrEqual(t, document.Edition, newest, "an older configuration was returned")
 			}
 		}
 	}()
--- a/test/integration/serving/planned_test.go
+++ b/test/integration/serving/planned_test.go
@@ -16,19 +16,19 @@
 // have no effect: the crash of an agent.
 func TestPlannedWork(t *testing.T) {
 	c := startCluster(t)
-	for _, story := range []struct {
+	for _, scenario := range []struct {
 		name string
-		play func(*cluster, *testing.T)
+		run  func(*cluster, *testing.T)
 	}{
-		{"calm traffic is served", serveTraffic},
-		{"settings are read again under load", reloadSettings},
-		{"a proxy is ended under load and starts again", restartProxy},
+		{"traffic is served", serveTraffic},
+		{"settings are reloaded under load", reloadSettings},
+		{"a proxy is restarted gracefully under load", restartProxy},
 		{"a route is added and dropped", changeRoutes},
-		{"an agent is killed and its proxy goes on", loseAgent},
-		{"an endpoint leaves", drainEndpoint},
-		{"a client that leaves ends the work", disconnectClient},
+		{"an agent is killed and its proxy continues", loseAgent},
+		{"an endpoint drains", drainEndpoint},
+		{"a disconnected client ends the work", disconnectClient},
 	} {
-		t.Run(story.name, func(t *testing.T) { story.play(c, t) })
+		t.Run(scenario.name, func(t *testing.T) { scenario.run(c, t) })
 		c.ledger.check(t)
 		if t.Failed() {
 			return
