--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -1,6 +1,7 @@
 package site
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -43,64 +44,67 @@
 func (openAdmission) IsInDoubt(inflight.RequestID) bool     { return false }
 func (o openAdmission) RateShare(api.DestinationID) float64 { return 1 }
 
-// BenchmarkAnnouncement is one for 10,000 subscribers at 40 sites, at the member that owns them all: from
-// when it is handed in until each has its end in the journal. calls and bytes go over its connections,
-// CPU is its own.
+// BenchmarkAnnouncement sends one announcement to 10,000 subscribers at 40 sites, at the member that owns them all,
+// from its submission until the journal has all results. Calls and bytes are of its connections, CPU is its own.
 func BenchmarkAnnouncement(b *testing.B) {
-	for _, way := range []string{"direct", "streams"} {
-		b.Run(way, func(b *testing.B) { benchmarkAnnouncement(b, way == "streams") })
+	for _, path := range []string{"direct", "streams"} {
+		b.Run(path, func(b *testing.B) { benchmarkAnnouncement(b, path == "streams") })
 	}
 }
 
-func benchmarkAnnouncement(b *testing.B, by bool) {
-	hear, err := net.Listen("tcp", "127.0.0.1:0")
+func benchmarkAnnouncement(b *testing.B, useStreams bool) {
+	b.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	far := exec.Command(os.Args[0])
-	far.Env = append(os.Environ(), farSideEnv+"="+hear.Addr().String())
+	far := exec.CommandContext(context.Background(), os.Args[0]) // ends when its input is closed
+	far.Env = append(os.Environ(), farSideEnv+"="+listener.Addr().String())
 	out, err := far.StdoutPipe()
 	require.NoError(b, err)
 	in, err := far.StdinPipe()
 	require.NoError(b, err)
 	require.NoError(b, far.Start())
-	b.Cleanup(func() { in.Close(); far.Wait() })
+	b.Cleanup(func() {
+		_ = in.Close()
+		_ = far.Wait()
+	})
 	line := make([]byte, 4096)
 	n, err := out.Read(line)
 	require.NoError(b, err)
 	addrs := strings.Fields(string(line[:n]))
 	f := config.File{LeaseTTL: 3 * api.Second, MaxClockDrift: 0.05}
-	says, all := map[cluster.MemberID]string{}, []api.DestinationID{}
+	addresses, all := map[cluster.MemberID]string{}, []api.DestinationID{}
 	for s := range benchSites {
 		site := config.Site{ID: cluster.SiteID(fmt.Sprint(s)), Relay: cluster.MemberID(fmt.Sprint("r", s))}
 		for n := range benchEach {
 			site.Subscribers = append(site.Subscribers, api.DestinationID(s*benchEach+n+1))
 		}
-		says[site.Relay], all = addrs[s+1], append(all, site.Subscribers...)
-		if by {
+		addresses[site.Relay], all = addrs[s+1], append(all, site.Subscribers...)
+		if useStreams {
 			f.Sites = append(f.Sites, site)
 		}
 	}
 	f.Lists = []config.List{{ID: "all", Subscribers: all}}
-	kept, err := wal.Open(b.TempDir(), 200)
+	journal, err := wal.Open(b.TempDir(), 200)
 	require.NoError(b, err)
-	x, life := inflight.New(), &lifecycle.Lifecycle{}
+	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
 	evt := api.EventType{LatencyTarget: 5 * api.Second, TTL: 600 * api.Second}
-	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
+	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
 		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, DestinationKinds: []api.DestinationKind{{BatchSize: 1}}})
-	said := transport.NewClient("m", says)
-	sites := New(Options{Self: "m", StateDir: b.TempDir(), Inbox: x, Loop: d, Messenger: said, NotifyHandoff: func() {},
+	messenger := transport.NewClient("m", addresses)
+	sites := New(Options{Self: "m", StateDir: b.TempDir(), Inbox: inbox, Loop: loop, Messenger: messenger, NotifyHandoff: func() {},
 		EventType:    func(api.EventTypeID) api.EventType { return evt },
 		IsRangeOwner: func(api.DestinationID) bool { return true }, IsSiteOwner: func(cluster.SiteID) bool { return true },
 		IsOwnerUnknown: func(cluster.SiteID) bool { return false }, BufferCapacity: func() int { return 2 * len(all) }}, f)
 	sites.Install()
-	d.JoinCluster(openAdmission{sites})
+	loop.JoinCluster(openAdmission{sites})
 	server := transport.NewServer(256, 5*time.Second)
 	sites.RegisterHandlers(server)
-	go server.Serve(hear)
-	calls := upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 400)
-	d.Begin(calls, callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
+	go func() { _ = server.Serve(listener) }()
+	calls := upstream.New(&inbox.Counters, loop.CallFinished, api.Second, api.Second, 400)
+	loop.Begin(calls, callback.New("127.0.0.1:1", &inbox.Counters, loop.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
-	go d.Run()
+	go loop.Run()
 	require.NoError(b, sites.Start(stubSession{}))
 	var list []api.EndpointEntry
 	var to []string
@@ -108,19 +112,22 @@
 		list = append(list, api.EndpointEntry{Endpoint: api.EndpointID(dest), Destination: dest, Rate: 50})
 		to = append(to, addrs[0])
 	}
-	d.UpdateEndpoints(list, to, true)
-	b.Cleanup(func() { life.Enter(lifecycle.Stopped); server.Close(time.Second) })
+	loop.UpdateEndpoints(list, to, true)
+	b.Cleanup(func() {
+		life.Enter(lifecycle.Stopped)
+		_ = server.Close(time.Second)
+	})
 	time.Sleep(time.Second) // streams are open
 	callsWere, bytesWere := readCounts(b, addrs[0])
 	was, n := cpuTime(), 0
 	for b.Loop() {
 		n++
-		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: compressibleBody(),
+		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: incompressibleBody(),
 			Deadline: inflight.Now() + evt.TTL, ReceivedAt: inflight.Now()}
 		w.List = "all"
-		what, _ := sites.submit(w, nil)
-		require.Equal(b, inflight.Accepted, what)
-		for !d.Empty() {
+		answer, _ := sites.submit(w, nil)
+		require.Equal(b, inflight.Accepted, answer)
+		for !loop.Empty() {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -128,11 +135,11 @@
 	callsAre, bytesAre := readCounts(b, addrs[0])
 	b.ReportMetric(float64(callsAre-callsWere)/float64(n), "calls/op")
 	b.ReportMetric(float64(bytesAre-bytesWere)/float64(n), "wire-bytes/op")
-	b.ReportMetric(float64(x.HandedBack.Load()+x.GivenUp.Load()), "undelivered")
+	b.ReportMetric(float64(inbox.HandedBack.Load()+inbox.GivenUp.Load()), "undelivered")
 }
 
-// compressibleBody is a kilobyte that can't be packed well.
-func compressibleBody() []byte {
+// incompressibleBody is a kilobyte that can't be compressed well.
+func incompressibleBody() []byte {
 	b := &strings.Builder{}
 	for n := range 40 {
 		fmt.Fprintf(b, `{"article":%d,"price":%d},`, n*7919, n*n*104729)
@@ -141,9 +148,12 @@
 }
 
 func readCounts(b *testing.B, addr string) (calls, bytes int64) {
-	resp, err := http.Get("http://" + addr + "/counts")
+	b.Helper()
+	request, err := http.NewRequestWithContext(b.Context(), http.MethodGet, "http://"+addr+"/counts", nil)
 	require.NoError(b, err)
-	defer resp.Body.Close()
+	resp, err := http.DefaultClient.Do(request)
+	require.NoError(b, err)
+	defer func() { _ = resp.Body.Close() }()
 	_, err = fmt.Fscan(resp.Body, &calls, &bytes)
 	require.NoError(b, err)
 	return calls, bytes
@@ -151,6 +161,6 @@
 
 func cpuTime() time.Duration {
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- a/cluster/site/bench_far_test.go
+++ b/cluster/site/farside_test.go
@@ -1,6 +1,7 @@
 package site
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -20,8 +21,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// farSideEnv has the test's program be the far side of a benchmark: destinations, and relays whose subscribers
-// end at once. What it costs there, and on a site's own network, is left out.
+// farSideEnv has the test program run as the far side of a benchmark: destinations, and relays whose deliveries
+// finish at once. The costs there, and in a site's own network, are left out. Its value is the origin's address.
 const farSideEnv = "ROWAN_BENCH_OTHER"
 
 func TestMain(m *testing.M) {
@@ -32,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// counts is what came over the far side's listeners.
+// counts counts the requests and bytes of the far side.
 type counts struct{ calls, bytes atomic.Int64 }
 
 type countingListener struct {
@@ -62,7 +63,7 @@
 	return n, err
 }
 
-// instantStore is a relay's shelf whose deliveries end when they come.
+// instantStore is a relay.ReceiverStore whose deliveries finish when they arrive.
 type instantStore struct{ receiver *relay.Receiver }
 
 func (a *instantStore) Persist(_ stream.Checkpoint, fresh []stream.Item) error {
@@ -82,48 +83,52 @@
 func (a *instantStore) ApplyDestinationStates([]api.DestinationState)                {}
 
 func listenCounting(c *counts) net.Listener {
-	on, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	return countingListener{on, c}
+	return countingListener{listener, c}
 }
 
 func runFarSide() {
 	c := &counts{}
-	dest := listenCounting(c)
+	destination := listenCounting(c)
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/counts" {
-			fmt.Fprint(ctx, c.calls.Load(), c.bytes.Load())
+			_, _ = fmt.Fprint(ctx, c.calls.Load(), c.bytes.Load())
 			return
 		}
 		c.calls.Add(1)
 	}}
-	go server.Serve(dest)
-	addrs := []string{dest.Addr().String()}
+	go func() { _ = server.Serve(destination) }() // until the process ends
+	addresses := []string{destination.Addr().String()}
 	for n := range benchSites {
-		said := transport.NewClient(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(farSideEnv)})
-		shelf := &instantStore{}
-		shelf.receiver = relay.NewReceiver(stream.NewReceiver(stream.Checkpoint{Incarnation: 9}, nil, nil), shelf, countingMessenger{said, c},
+		messenger := transport.NewClient(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(farSideEnv)})
+		store := &instantStore{}
+		store.receiver = relay.NewReceiver(stream.NewReceiver(stream.Checkpoint{Incarnation: 9}, nil, nil), store, countingMessenger{messenger, c},
 			relay.TimingFor(3*api.Second), inflight.Now)
-		on, s := listenCounting(c), transport.NewServer(8, 5*time.Second)
-		s.Handle(relay.OpenPath, shelf.receiver.HandleOpen)
-		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) { c.calls.Add(1); shelf.receiver.HandleFrame(ctx) })
-		go s.Serve(on)
-		addrs = append(addrs, on.Addr().String())
+		listener := listenCounting(c)
+		s := transport.NewServer(8, 5*time.Second)
+		s.Handle(relay.OpenPath, store.receiver.HandleOpen)
+		s.Handle(relay.FramePath, func(ctx *fasthttp.RequestCtx) {
+			c.calls.Add(1)
+			store.receiver.HandleFrame(ctx)
+		})
+		go func() { _ = s.Serve(listener) }() // until the process ends
+		addresses = append(addresses, listener.Addr().String())
 	}
-	fmt.Println(strings.Join(addrs, " "))
-	io.Copy(io.Discard, os.Stdin)
+	fmt.Println(strings.Join(addresses, " "))
+	_, _ = io.Copy(io.Discard, os.Stdin) // until the benchmark closes it
 }
 
-// countingMessenger counts what the relays say.
+// countingMessenger counts the relays' requests.
 type countingMessenger struct {
 	*transport.Client
 	counts *counts
 }
 
-func (f countingMessenger) Call(to cluster.MemberID, path string, body []byte, in time.Duration) (int, []byte, error) {
-	code, raw, err := f.Client.Call(to, path, body, in)
+func (f countingMessenger) Call(to cluster.MemberID, path string, body []byte, timeout time.Duration) (int, []byte, error) {
+	code, raw, err := f.Client.Call(to, path, body, timeout)
 	f.counts.calls.Add(1)
 	f.counts.bytes.Add(int64(len(body) + len(raw)))
 	return code, raw, err
--- a/cluster/site/relay_receiver_test.go
+++ b/cluster/site/relay_receiver_test.go
@@ -21,8 +21,8 @@
 	"rowanlink/webhook/policy"
 )
 
-// testRelay is a relay's member without the other members. Its destination has no endpoint, so that nothing
-// ends but by its time.
+// testRelay is the member of a relay without the other members. Its destination has no endpoint, so that webhooks
+// only expire.
 type testRelay struct {
 	*relayReceiver
 	dispatcherJournal *wal.Log
@@ -30,38 +30,39 @@
 }
 
 func startTestRelay(t *testing.T, dir string, ttl api.Micros) *testRelay {
-	kept, err := wal.Open(dir, 1)
+	t.Helper()
+	journal, err := wal.Open(dir, 1)
 	require.NoError(t, err)
-	x, life := inflight.New(), &lifecycle.Lifecycle{}
+	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
+	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
 		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
-	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
-		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
+	loop.Begin(upstream.New(&inbox.Counters, loop.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &inbox.Counters, loop.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
-	go d.Run()
-	k, err := openRelayReceiver(dir+"/relay", 1, localDispatcher{d, x, func() int { return 9 }, life.AcceptsWebhooks},
+	go loop.Run()
+	receiver, err := openRelayReceiver(dir+"/relay", 1, localDispatcher{loop, inbox, func() int { return 9 }, life.AcceptsWebhooks},
 		transport.NewClient("r", map[cluster.MemberID]string{}), relay.TimingFor(api.Second))
 	require.NoError(t, err)
-	return &testRelay{k, kept, life}
+	return &testRelay{receiver, journal, life}
 }
 
-// ends stops the member; its folder stays.
-func (b *testRelay) stop() {
-	b.lifecycle.Enter(lifecycle.Stopped)
-	b.relayReceiver.close()
-	time.Sleep(20 * time.Millisecond) // its last turn
-	b.dispatcherJournal.Close()
+// stop stops the member; its folder stays.
+func (r *testRelay) stop() {
+	r.lifecycle.Enter(lifecycle.Stopped)
+	_ = r.close()
+	time.Sleep(20 * time.Millisecond) // its last iteration
+	_ = r.dispatcherJournal.Close()
 }
 
-func (b *testRelay) storedResults() []stream.Result {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *testRelay) storedResults() []stream.Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var all []stream.Result
-	for _, e := range b.relayReceiver.journal.Entries() {
-		var r relayRecord
-		if transport.Decode(e.Payload, &r) == nil && r.Result != nil {
-			all = append(all, *r.Result)
+	for _, e := range r.journal.Entries() {
+		var record relayRecord
+		if transport.Decode(e.Payload, &record) == nil && record.Result != nil {
+			all = append(all, *record.Result)
 		}
 	}
 	return all
@@ -73,37 +74,37 @@
 		TTL: inflight.Now() + ttl, Body: []byte("b"), Destinations: []api.DestinationID{4, 5}}}
 }
 
-// Guards against a second effect: a record whose end is written outlasts that write, as it is taken out
-// with the next one only.
+// A webhook must not be delivered twice: the record of a pending delivery outlasts the write of its result, and is
+// removed only by the next write.
 func TestRelayReceiver_StoredResultIsNotSubmittedAgain(t *testing.T) {
 	dir, ttl := t.TempDir(), api.Second/4
-	b := startTestRelay(t, dir, ttl)
-	require.NoError(t, b.Persist(newFrame(ttl)))
-	require.Eventually(t, func() bool { return len(b.storedResults()) == 2 }, 10*time.Second, time.Millisecond)
-	for _, e := range b.storedResults() {
-		assert.Equal(t, stream.Rejected, e.Outcome, "it never ran, and its time is over")
+	r := startTestRelay(t, dir, ttl)
+	require.NoError(t, r.Persist(newFrame(ttl)))
+	require.Eventually(t, func() bool { return len(r.storedResults()) == 2 }, 10*time.Second, time.Millisecond)
+	for _, e := range r.storedResults() {
+		assert.Equal(t, stream.Rejected, e.Outcome, "it never ran, and has expired")
 	}
-	b.stop()
-	b = startTestRelay(t, dir, ttl)
-	defer b.stop()
-	assert.Empty(t, b.pending, "nothing is held")
-	assert.Len(t, b.storedResults(), 2)
+	r.stop()
+	r = startTestRelay(t, dir, ttl)
+	defer r.stop()
+	assert.Empty(t, r.pending, "nothing is pending")
+	assert.Len(t, r.storedResults(), 2)
 }
 
 func TestRelayReceiver_FrameSurvivesRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), 90*api.Second
-	b := startTestRelay(t, dir, ttl)
-	close(b.relayReceiver.closed) // nothing is handed in any more
+	r := startTestRelay(t, dir, ttl)
+	close(r.closed) // nothing is submitted any more
 	time.Sleep(20 * time.Millisecond)
-	require.NoError(t, b.Persist(newFrame(ttl)))
-	b.relayReceiver.closed = make(chan struct{})
-	b.stop()
-	b = startTestRelay(t, dir, ttl)
-	require.Eventually(t, func() bool { return len(b.loop.PendingIDs()) == 2 }, 10*time.Second, time.Millisecond)
-	b.stop()
-	b = startTestRelay(t, dir, ttl)
-	defer b.stop()
-	assert.Len(t, b.loop.PendingIDs(), 2)
-	assert.Len(t, b.pending, 2, "once each")
-	assert.True(t, b.hasPending(4))
+	require.NoError(t, r.Persist(newFrame(ttl)))
+	r.closed = make(chan struct{})
+	r.stop()
+	r = startTestRelay(t, dir, ttl)
+	require.Eventually(t, func() bool { return len(r.loop.PendingIDs()) == 2 }, 10*time.Second, time.Millisecond)
+	r.stop()
+	r = startTestRelay(t, dir, ttl)
+	defer r.stop()
+	assert.Len(t, r.loop.PendingIDs(), 2)
+	assert.Len(t, r.pending, 2, "once each")
+	assert.True(t, r.hasPending(4))
 }
--- a/cluster/site/site_sender_test.go
+++ b/cluster/site/site_sender_test.go
@@ -18,41 +18,41 @@
 	"rowanlink/webhook/policy"
 )
 
-// closedAdmission is a member that may call for nothing: all is parked.
+// closedAdmission is a member that may call no destination: all webhooks are parked.
 type closedAdmission struct{ openAdmission }
 
 func (closedAdmission) MayCall(api.DestinationID, bool) bool { return false }
 
-// Guards against a webhook that may be at its relay and that nobody asks for any more: it goes out once more
-// in a frame that is not sent, as the frame has what has gone already.
+// A webhook that may be at its relay keeps its record when it is in a further frame that is not sent, because another
+// webhook in the frame is no longer parked. Otherwise nobody would ask for its result.
 func TestSiteSender_KeepsSentRecordOfUnsentFrame(t *testing.T) {
-	kept, err := wal.Open(t.TempDir(), 1)
+	journal, err := wal.Open(t.TempDir(), 1)
 	require.NoError(t, err)
-	x, life := inflight.New(), &lifecycle.Lifecycle{}
+	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
-	d := eventloop.New(x, life, kept, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
+	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
 		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
-	d.JoinCluster(closedAdmission{})
-	d.Begin(upstream.New(&x.Counters, d.CallFinished, api.Second, api.Second, 4),
-		callback.New("127.0.0.1:1", &x.Counters, d.CallbacksDelivered),
+	loop.JoinCluster(closedAdmission{})
+	loop.Begin(upstream.New(&inbox.Counters, loop.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &inbox.Counters, loop.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
-	go d.Run()
+	go loop.Run()
 	t.Cleanup(func() { life.Enter(lifecycle.Stopped) })
-	marks, err := openSentLog(t.TempDir(), 1)
+	sentLog, err := openSentLog(t.TempDir(), 1)
 	require.NoError(t, err)
-	l := newSiteSender(&Sites{sentLog: marks, loop: d}, config.Site{ID: "harbor", Relay: "r"})
+	sender := newSiteSender(&Sites{sentLog: sentLog, loop: loop}, config.Site{ID: "harbor", Relay: "r"})
 	item := func(id string) stream.Item { return stream.Item{RequestID: id, Destinations: []api.DestinationID{7}} }
 	for _, id := range []inflight.RequestID{"a", "b"} {
 		now := inflight.Now()
-		what, _ := x.SubmitLocal(&inflight.Webhook{RequestID: id, Destination: 7, Deadline: now + 9*api.Second,
+		answer, _ := inbox.SubmitLocal(&inflight.Webhook{RequestID: id, Destination: 7, Deadline: now + 9*api.Second,
 			ReceivedAt: now})
-		require.Equal(t, inflight.Accepted, what)
+		require.Equal(t, inflight.Accepted, answer)
 	}
-	require.NoError(t, l.RecordSending([]stream.Item{item("a")}, 1, 100))
-	require.ErrorIs(t, l.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errNotParked)
-	m, marked := marks.get("a")
-	assert.True(t, marked)
-	assert.Equal(t, api.Micros(100), m.SentAt)
-	_, marked = marks.get("b")
-	assert.False(t, marked)
+	require.NoError(t, sender.RecordSending([]stream.Item{item("a")}, 1, 100))
+	require.ErrorIs(t, sender.RecordSending([]stream.Item{item("a"), item("b")}, 2, 200), errNotParked)
+	record, recorded := sentLog.get("a")
+	assert.True(t, recorded)
+	assert.Equal(t, api.Micros(100), record.SentAt)
+	_, recorded = sentLog.get("b")
+	assert.False(t, recorded)
 }
