--- a/cmd/rowanctl/config.go
+++ b/cmd/rowanctl/config.go
@@ -14,13 +14,13 @@
 
 // configCommand groups the commands on the configuration.
 type configCommand struct {
-	Get   configGetCommand   `cmd:"" help:"Print the configuration in force, as it was put."`
+	Get   configGetCommand   `cmd:"" help:"Print the configuration in force, byte for byte as it was sent."`
 	Put   configPutCommand   `cmd:"" help:"Replace the configuration."`
 	Amend configAmendCommand `cmd:"" help:"Add, replace or remove named routes and services."`
 	Check configCheckCommand `cmd:"" help:"Validate a document without calling the system."`
 }
 
-// configGetCommand prints the configuration in force, byte for byte as it was put.
+// configGetCommand prints the configuration in force, byte for byte as it was sent.
 type configGetCommand struct{}
 
 // Run implements the command.
@@ -40,7 +40,7 @@
 // configPutCommand replaces the configuration.
 type configPutCommand struct {
 	File string `arg:"" type:"existingfile" help:"Configuration document."`
-	Base uint64 `required:"" placeholder:"VERSION" help:"Version that the document builds on, as 'rowanctl config get' shows it; 0 if there is none yet."`
+	Base uint64 `required:"" placeholder:"VERSION" help:"Version that the document is based on, as 'rowanctl config get' shows it; 0 if there is none yet."`
 }
 
 // Run implements the command.
@@ -62,8 +62,8 @@
 // configAmendCommand changes named items of the configuration.
 type configAmendCommand struct {
 	File   string `arg:"" type:"existingfile" help:"Amendment: a JSON object with 'edition', 'upsert' and 'remove'."`
-	Base   uint64 `required:"" placeholder:"VERSION" help:"Version that the amendment builds on, as 'rowanctl config get' shows it; 0 if there is none yet."`
-	DryRun bool   `help:"Show what would change, and check the result, without changing anything."`
+	Base   uint64 `required:"" placeholder:"VERSION" help:"Version that the amendment is based on, as 'rowanctl config get' shows it; 0 if there is none yet."`
+	DryRun bool   `help:"Show what would change, and validate the result, without changing anything."`
 }
 
 // Run implements the command.
--- a/cmd/rowanctl/evacuate.go
+++ b/cmd/rowanctl/evacuate.go
@@ -4,8 +4,8 @@
 
 // evacuateCommand starts or ends the evacuation of a zone.
 type evacuateCommand struct {
-	Zone string `arg:"" help:"Zone whose endpoints are to get nothing more."`
-	End  bool   `help:"Take the evacuation back."`
+	Zone string `arg:"" help:"Zone to evacuate."`
+	End  bool   `help:"End the evacuation."`
 }
 
 // Run implements the command.
--- a/cmd/rowanctl/main.go
+++ b/cmd/rowanctl/main.go
@@ -20,15 +20,15 @@
 
 // commandLine holds the flags and commands.
 type commandLine struct {
-	Control  []string         `help:"Control addresses (host:port) of the system; more than one are tried in turn." env:"ROWANLINK_CONTROL" placeholder:"ADDRESS"`
-	Inner    []string         `help:"Addresses (host:port) at which a member takes other members' calls; needed where --settings is not given." env:"ROWANLINK_INNER" placeholder:"ADDRESS"`
-	Settings string           `help:"Settings file of a process: its seeds stand in for --control and --inner." env:"ROWANLINK_SETTINGS" type:"path"`
-	Timeout  time.Duration    `help:"How long to try." default:"10s"`
+	Control  []string         `help:"Control addresses (host:port) of core members, tried in turn." env:"ROWANLINK_CONTROL" placeholder:"ADDRESS"`
+	Inner    []string         `help:"Addresses (host:port) of members for calls between the system's processes; required without --settings." env:"ROWANLINK_INNER" placeholder:"ADDRESS"`
+	Settings string           `help:"Settings file of a process; its seeds are the defaults of --control and --inner." env:"ROWANLINK_SETTINGS" type:"path"`
+	Timeout  time.Duration    `help:"How long to retry." default:"10s"`
 	JSON     bool             `help:"Print JSON instead of tables."`
-	Version  kong.VersionFlag `help:"Print the version and end."`
+	Version  kong.VersionFlag `help:"Print the version and exit."`
 
 	Config        configCommand    `cmd:"" help:"Read, check or replace the configuration."`
-	Evacuate      evacuateCommand  `cmd:"" help:"Send nothing more to the endpoints of a zone, or take that back."`
+	Evacuate      evacuateCommand  `cmd:"" help:"Start or end the evacuation of a zone: its endpoints get no more requests."`
 	Members       membersCommand   `cmd:"" help:"List the members of the system."`
 	Endpoints     endpointsCommand `cmd:"" help:"List the endpoints."`
 	Replicas      replicasCommand  `cmd:"" help:"List the replicas of the configuration and evacuations."`
--- a/serving/process/process.go
+++ b/serving/process/process.go
@@ -31,8 +31,8 @@
 // Flags are the flags of every long-running program.
 type Flags struct {
 	Settings string           `help:"Path of the settings file." env:"ROWANLINK_SETTINGS" required:"" type:"path"`
-	LogLevel string           `help:"Least level of log lines: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
-	Version  kong.VersionFlag `help:"Print the version and end."`
+	LogLevel string           `help:"Minimum level of log lines: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
+	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
 // RunFunc runs a program until its context ends or it fails.
