--- a/cmd/rowan-compare/compare.go
+++ b/cmd/rowan-compare/compare.go
@@ -15,15 +15,15 @@
 
 // compareCommand is the command line.
 type compareCommand struct {
-	Version  kong.VersionFlag `help:"Print the version and end."`
+	Version  kong.VersionFlag `help:"Print the version and exit."`
 	Bench    string           `required:"" type:"existingfile" env:"ROWANTRIAL_BENCH" help:"The bench's program."`
 	Site     []string         `required:"" type:"existingfile" sep:"," help:"Site files."`
-	Day      []string         `required:"" sep:"," help:"Names of standard days, or files of days."`
-	Seed     []int            `required:"" sep:"," help:"Seeds; each day is played with each."`
-	Jobs     int              `default:"4" help:"Plays at once."`
+	Day      []string         `required:"" sep:"," help:"Names of standard days or files of days."`
+	Seed     []int            `required:"" sep:"," help:"Seeds; each day is run with each of them."`
+	Jobs     int              `default:"4" help:"Concurrent runs."`
 	Scratch  string           `required:"" type:"path" help:"Folder for the clones and reports."`
-	Why      string           `required:"" help:"What the trial is for; goes into the journal."`
-	WithCPU  bool             `help:"Have processor time counted; results then vary with the machine's load."`
+	Why      string           `required:"" help:"Purpose of the trial, for the journal."`
+	WithCPU  bool             `help:"Count processor time; results then vary with the load of the machine."`
 	Variants []string         `arg:"" name:"variant" help:"NAME=REVISION or NAME=REVISION+PATCHFILE."`
 }
 
--- a/cmd/rowan-endpointsim/main.go
+++ b/cmd/rowan-endpointsim/main.go
@@ -31,14 +31,14 @@
 // commandLine is the command line.
 type commandLine struct {
 	File    string           `arg:"" type:"existingfile" help:"TOML file of services and their endpoints."`
-	Quiet   bool             `help:"Don't show each request."`
-	Crash   bool             `help:"End without a word to the system, as by a crash."`
-	Version kong.VersionFlag `help:"Print the version and end."`
+	Quiet   bool             `help:"Don't print requests."`
+	Crash   bool             `help:"End like a crash, without a graceful shutdown."`
+	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
 func main() {
 	var line commandLine
-	parsed := kong.Parse(&line, kong.Name("rowan-endpointsim"), kong.Description("Play the endpoints of a serving system."),
+	parsed := kong.Parse(&line, kong.Name("rowan-endpointsim"), kong.Description("Simulate the endpoints of a serving system."),
 		kong.Vars{"version": process.Version()}, kong.ShortUsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/test/faultschedule/main.go
+++ b/test/faultschedule/main.go
@@ -17,15 +17,15 @@
 
 // commandLine is the command line.
 type commandLine struct {
-	Site    string  `help:"Site file whose deployment is taken." required:""`
+	Site    string  `help:"Site file with the deployment." required:""`
 	Out     string  `help:"File to write; the files beside the site file that it needs are copied next to it." required:""`
-	Seed    int64   `help:"The same seed draws the same days." default:"1"`
-	Days    int     `help:"How many days." default:"30"`
-	Least   int     `help:"Fewest faults in a day." default:"5"`
-	Most    int     `help:"Most faults in a day." default:"10"`
-	Calm    bool    `help:"Leave the core and the links in peace: rules with a time bound then hold throughout."`
-	Control bool    `help:"Draw the faults of the control side alone, each in all its variants."`
-	Long    float64 `help:"Seconds of traffic, in place of the file's own." default:"0"`
+	Seed    int64   `help:"Equal seeds give equal days." default:"1"`
+	Days    int     `help:"Number of days." default:"30"`
+	Least   int     `help:"Least number of faults in a day." default:"5"`
+	Most    int     `help:"Largest number of faults in a day." default:"10"`
+	Calm    bool    `help:"No faults that disturb the core or the network: rules with a time bound then always hold."`
+	Control bool    `help:"Faults of the control plane only, each in all its variants."`
+	Long    float64 `help:"Seconds of traffic; 0: as in the file." default:"0"`
 }
 
 func main() {
