--- /dev/null
+++ b/cluster/site/relay_receiver.go
@@ -0,0 +1,282 @@
+package site
+
+import (
+	crand "crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+
+	"rowanlink/cluster/relay"
+	"rowanlink/cluster/stream"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// relayCapacityShare is the share of a dispatcher's buffer that its relay may use: the rest is for its clients.
+const relayCapacityShare = 1.0 / 2
+
+// relayRecord is a record of the relay's journal: a checkpoint, or the state of a delivery. A delivery's record exists
+// from the write that brought it until its origin has its result, and so for longer than the record in the
+// dispatcher's own journal: what is only here has yet to be submitted.
+type relayRecord struct {
+	Checkpoint     *stream.Checkpoint `cbor:"1,keyasint,omitempty"`
+	Delivery       stream.Delivery    `cbor:"2,keyasint"`
+	RequestID      inflight.RequestID `cbor:"3,keyasint,omitempty"`
+	Webhook        []byte             `cbor:"4,keyasint,omitempty"` // as inflight.Webhook.Encode
+	Attempts       int                `cbor:"5,keyasint,omitempty"`
+	FirstAttemptAt api.Micros         `cbor:"6,keyasint,omitempty"`
+	Zone           api.ZoneID         `cbor:"7,keyasint,omitempty"`
+	Result         *stream.Result     `cbor:"8,keyasint,omitempty"`
+}
+
+// relayReceiver is the relay of a site: it stores what comes, submits it to the local dispatcher, and stores the
+// results. It implements relay.ReceiverStore.
+type relayReceiver struct {
+	localDispatcher
+	receiver *relay.Receiver
+
+	mu                   sync.Mutex
+	journal              *recordJournal
+	checkpointRecord     api.WebhookID // 0: none
+	recordIDs            map[stream.Delivery]api.WebhookID
+	pending              map[inflight.RequestID]*relayRecord // without a result
+	pendingByDestination map[api.DestinationID]int
+	unsubmitted          []*relayRecord
+	finished             []finishedWebhook // not stored yet
+	wakeup               chan struct{}
+	closed               chan struct{}
+}
+
+// localDispatcher is the dispatcher of the relay's process.
+type localDispatcher struct {
+	loop        *eventloop.Loop
+	inbox       *inflight.Inbox
+	capacity    func() int  // deliveries that may be pending at once
+	isAccepting func() bool // whether this member accepts webhooks
+}
+
+var errNotAccepting = errors.New("this member takes nothing on any more")
+
+var _ relay.ReceiverStore = (*relayReceiver)(nil)
+
+// openRelayReceiver opens the relay's journal and continues with what an earlier process left.
+func openRelayReceiver(dir string, diskMB float64, dispatcher localDispatcher, messenger relay.Messenger,
+	timing relay.Timing) (*relayReceiver, error) {
+	journal, err := openJournal(dir, diskMB)
+	if err != nil {
+		return nil, err
+	}
+	r := &relayReceiver{
+		localDispatcher:      dispatcher,
+		journal:              journal,
+		recordIDs:            map[stream.Delivery]api.WebhookID{},
+		pending:              map[inflight.RequestID]*relayRecord{},
+		pendingByDestination: map[api.DestinationID]int{},
+		wakeup:               make(chan struct{}, 1),
+		closed:               make(chan struct{}),
+	}
+	checkpoint, records, err := r.readJournal()
+	if err != nil {
+		return nil, err
+	}
+	var pending []stream.Delivery
+	var pendingIDs []inflight.RequestID
+	var unacknowledged []stream.Result
+	for _, record := range records {
+		if record.Result != nil {
+			unacknowledged = append(unacknowledged, *record.Result)
+			continue
+		}
+		pending = append(pending, record.Delivery)
+		pendingIDs = append(pendingIDs, record.RequestID)
+		r.addPending(record)
+	}
+	if checkpoint.Incarnation == 0 {
+		checkpoint.Incarnation = newIncarnation()
+		if r.checkpointRecord, err = r.write([]*relayRecord{{Checkpoint: &checkpoint}}); err != nil {
+			return nil, err
+		}
+	}
+	state := stream.NewReceiver(checkpoint, pending, unacknowledged)
+	r.receiver = relay.NewReceiver(state, r, messenger, timing, inflight.Now)
+	r.reconcileDispatcher(pendingIDs)
+	if len(pending)+len(unacknowledged) > 0 {
+		slog.Info("relay goes on", "held", len(pending), "to_hand_in", len(r.unsubmitted),
+			"ends_owed", len(unacknowledged))
+	}
+	go r.run()
+	r.notify()
+	return r, nil
+}
+
+// readJournal returns the last checkpoint and the last record of each delivery, in the order of their first ones.
+func (r *relayReceiver) readJournal() (checkpoint stream.Checkpoint, records []*relayRecord, err error) {
+	last := map[stream.Delivery]*relayRecord{}
+	var deliveries []stream.Delivery
+	for _, e := range r.journal.Entries() {
+		var record relayRecord
+		if err := transport.Decode(e.Payload, &record); err != nil {
+			return stream.Checkpoint{}, nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
+		}
+		var replaced api.WebhookID
+		var isReplacing bool
+		if record.Checkpoint != nil {
+			replaced, isReplacing = r.checkpointRecord, r.checkpointRecord != 0
+			checkpoint = *record.Checkpoint
+			r.checkpointRecord = e.ID
+		} else {
+			replaced, isReplacing = r.recordIDs[record.Delivery]
+			r.recordIDs[record.Delivery] = e.ID
+			if !isReplacing {
+				deliveries = append(deliveries, record.Delivery)
+			}
+			last[record.Delivery] = &record
+		}
+		if isReplacing { // a record is removed only by the write after the one that replaced it
+			r.journal.Finish(replaced, nil)
+		}
+	}
+	for _, d := range deliveries {
+		records = append(records, last[d])
+	}
+	return checkpoint, records, nil
+}
+
+func newIncarnation() uint64 {
+	var random [8]byte
+	_, _ = crand.Read(random[:]) // never fails
+	return max(1, binary.LittleEndian.Uint64(random[:]))
+}
+
+// reconcileDispatcher finds out which of the pending webhooks the dispatcher has finished or still has; the others have
+// to be submitted.
+func (r *relayReceiver) reconcileDispatcher(pending []inflight.RequestID) {
+	finished, known := r.loop.NotifyInsteadOfPlatform(pending, r.recordFinished)
+	for id, result := range finished {
+		r.recordFinished(id, result)
+		known[result.RequestID] = true
+	}
+	for _, id := range pending { // in the order of acceptance
+		if !known[id] {
+			r.unsubmitted = append(r.unsubmitted, r.pending[id])
+		}
+	}
+}
+
+func (r *relayReceiver) addPending(record *relayRecord) {
+	r.pending[record.RequestID] = record
+	r.pendingByDestination[record.Delivery.Destination]++
+}
+
+func (r *relayReceiver) removePending(record *relayRecord) {
+	delete(r.pending, record.RequestID)
+	destination := record.Delivery.Destination
+	r.pendingByDestination[destination]--
+	if r.pendingByDestination[destination] == 0 {
+		delete(r.pendingByDestination, destination)
+	}
+}
+
+// notify wakes run up.
+func (r *relayReceiver) notify() {
+	select {
+	case r.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// write stores records in one write and returns the id of the first. With an error none is stored. The caller holds
+// the lock, or nobody else has the relayReceiver yet.
+func (r *relayReceiver) write(records []*relayRecord) (first api.WebhookID, err error) {
+	encoded := make([][]byte, len(records))
+	for i, record := range records {
+		encoded[i] = transport.Encode(record)
+	}
+	return r.journal.append(encoded)
+}
+
+// Persist stores what a frame brought, with the checkpoint.
+func (r *relayReceiver) Persist(c stream.Checkpoint, fresh []stream.Item) error {
+	if len(fresh) > 0 && !r.isAccepting() { // shutting down: the sender retains it
+		return errNotAccepting
+	}
+	records := []*relayRecord{{Checkpoint: &c}}
+	for _, i := range fresh {
+		for _, destination := range i.Destinations {
+			records = append(records, newRelayRecord(&i, destination))
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	first, err := r.write(records)
+	if err != nil {
+		return err
+	}
+	r.journal.Finish(r.checkpointRecord, nil)
+	r.checkpointRecord = first
+	for n, record := range records[1:] {
+		r.recordIDs[record.Delivery] = first + 1 + api.WebhookID(n)
+		r.addPending(record)
+		r.unsubmitted = append(r.unsubmitted, record)
+	}
+	r.notify()
+	return nil
+}
+
+func newRelayRecord(i *stream.Item, destination api.DestinationID) *relayRecord {
+	w := inflight.Webhook{
+		RequestID:   inflight.RequestID(i.RequestIDFor(destination)),
+		Token:       inflight.Token(i.Token),
+		EventType:   i.EventType,
+		Tenant:      i.Tenant,
+		OrderingKey: i.Key,
+		Destination: destination,
+		Deadline:    i.TTL,
+		Body:        i.Body,
+	}
+	return &relayRecord{
+		Delivery:       stream.Delivery{Message: i.ID, Destination: destination},
+		RequestID:      w.RequestID,
+		Webhook:        w.Encode(),
+		Attempts:       i.Attempts,
+		FirstAttemptAt: i.FirstAttemptAt,
+		Zone:           i.Zone,
+	}
+}
+
+// hasPending reports whether a delivery to the destination has no result yet.
+func (r *relayReceiver) hasPending(d api.DestinationID) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.pendingByDestination[d] > 0
+}
+
+// Capacity returns how many deliveries may be pending at once.
+func (r *relayReceiver) Capacity() int { return r.capacity() }
+
+// ForgetResults removes results that their origins have. One that stays in the journal is reported again.
+func (r *relayReceiver) ForgetResults(acknowledged []stream.Delivery) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range acknowledged {
+		if id, known := r.recordIDs[d]; known {
+			r.journal.Finish(id, nil)
+			delete(r.recordIDs, d)
+		}
+	}
+	if err := r.journal.Commit(); err != nil {
+		slog.Error("relay: ends heard are not written", "why", err)
+	}
+}
+
+// close stops run. It does not close the Receiver, which reports results until the process ends.
+func (r *relayReceiver) close() error {
+	close(r.closed)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.journal.Close()
+}
--- /dev/null
+++ b/cluster/site/sender_store.go
@@ -0,0 +1,246 @@
+package site
+
+import (
+	"errors"
+	"log/slog"
+
+	"rowanlink/cluster/relay"
+	"rowanlink/cluster/stream"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+var errNotParked = errors.New("some of it is no longer here to be sent")
+
+var _ relay.SenderStore = (*siteSender)(nil)
+
+// RecordSending records what is sent. If some of it was finished meanwhile, or is called for here, it returns an error
+// and has the stream restarted without it.
+func (s *siteSender) RecordSending(items []stream.Item, receiverIncarnation uint64, at api.Micros) error {
+	attempts := map[inflight.RequestID]int{}
+	var records, previous []sentRecord
+	var unsent []inflight.RequestID
+	for _, i := range items {
+		for _, destination := range i.Destinations {
+			id := inflight.RequestID(i.RequestIDFor(destination))
+			attempts[id] = i.Attempts
+			if r, sent := s.sites.sentLog.get(id); sent {
+				previous = append(previous, r)
+			} else {
+				unsent = append(unsent, id)
+			}
+			records = append(records, sentRecord{
+				Site:                s.site.ID,
+				Relay:               s.site.Relay,
+				RequestID:           id,
+				ReceiverIncarnation: receiverIncarnation,
+				SentAt:              at,
+				Epoch:               s.epoch,
+				MayHaveRunBefore:    i.FirstAttemptAt != api.Never,
+			})
+		}
+	}
+	// The records come first: for a record too many the relay is asked.
+	if err := s.sites.sentLog.add(records); err != nil {
+		return err
+	}
+	if !s.sites.loop.HandToRelay(attempts, at) {
+		// What was sent before may be at the relay, and must keep its record: otherwise nobody would ask for its
+		// result, and it would block later webhooks of its key until it expires.
+		s.sites.sentLog.remove(unsent...)
+		if len(previous) > 0 {
+			_ = s.sites.sentLog.add(previous) // else the later record stays: the relay is asked all the same
+		}
+		s.needsRestart.Store(true)
+		return errNotParked
+	}
+	s.sites.Sent.Add(int64(len(attempts)))
+	return nil
+}
+
+// Requeue parks webhooks here again that the relay never received.
+func (s *siteSender) Requeue(deliveries []stream.Delivery) {
+	if len(deliveries) > 0 {
+		s.takeBack(deliveries, true)
+		s.sites.Requeued.Add(int64(len(deliveries)))
+	}
+}
+
+// takeBack takes webhooks back from the relay; neverReceived: the relay never had them.
+func (s *siteSender) takeBack(deliveries []stream.Delivery, neverReceived bool) {
+	taken := map[inflight.RequestID]eventloop.TakenBack{}
+	for _, d := range deliveries {
+		if w := s.lookup(d); w != nil {
+			r, _ := s.sites.sentLog.get(w.id)
+			taken[w.id] = eventloop.TakenBack{NeverReceived: neverReceived, MayHaveRun: r.MayHaveRunBefore}
+		}
+	}
+	s.sites.loop.TakeBack(taken)
+	for id := range taken {
+		s.sites.sentLog.remove(id)
+	}
+}
+
+// Bypass leaves webhooks parked here: they are called for as soon as the site's subscribers are.
+func (s *siteSender) Bypass(deliveries []stream.Delivery) {
+	s.untrack(deliveries)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.bypassed = append(s.bypassed, deliveries...)
+	s.sites.Bypassed.Add(int64(len(deliveries)))
+}
+
+// DropExpired forgets webhooks that the event loop itself finishes.
+func (s *siteSender) DropExpired(expired []stream.Delivery) { s.untrack(expired) }
+
+// ResolveInDoubt decides about webhooks that an unreachable relay may have.
+func (s *siteSender) ResolveInDoubt(inDoubt []stream.InDoubt, lost bool) (forget []stream.Delivery) {
+	resolutions := s.resolve(inDoubt, lost)
+	var retried []stream.Delivery
+	var deadLettered []inflight.Result
+	for i, d := range inDoubt {
+		if resolutions[i] == stream.ResolveWait {
+			continue
+		}
+		forget = append(forget, d.Delivery)
+		w := s.lookup(d.Delivery)
+		switch {
+		case w == nil:
+		case resolutions[i] == stream.ResolveRetry:
+			retried = append(retried, d.Delivery)
+		default:
+			deadLettered = append(deadLettered, inflight.Result{
+				RequestID:  w.id,
+				Status:     inflight.StatusDeadLettered,
+				MayHaveRun: true,
+			})
+		}
+	}
+	if len(retried) > 0 {
+		s.takeBack(retried, false)
+	}
+	if len(deadLettered) > 0 && s.sites.loop.FinishByRelay(deadLettered) {
+		s.removeSentRecords(deadLettered)
+	}
+	if len(forget) > 0 {
+		s.untrack(forget)
+		slog.Warn("relay gone: what it may have had", "site", s.site.ID, "goes", len(retried), "dead_lettered",
+			len(deadLettered), "waits", len(inDoubt)-len(forget), "folder_lost", lost)
+		s.sites.InDoubt.Add(int64(len(forget)))
+	}
+	return forget
+}
+
+func (s *siteSender) resolve(inDoubt []stream.InDoubt, lost bool) []stream.Resolution {
+	if lost {
+		resolutions := stream.ResolveLost(inDoubt, func(d stream.InDoubt) stream.Resolution {
+			return s.resolveOne(d, true)
+		})
+		if len(inDoubt) > 0 {
+			s.needsRestart.Store(true) // all that waits is queued again, so that it stays in order by key
+		}
+		return resolutions
+	}
+	resolutions := make([]stream.Resolution, len(inDoubt))
+	gracePeriod := api.Micros(s.sites.timing.UnreachableTimeout.Microseconds())
+	for i, d := range inDoubt {
+		resolutions[i] = s.resolveOne(d, false)
+		// The relay's own call may just have begun.
+		if resolutions[i] == stream.ResolveRetry && inflight.Now() < d.SentAt+gracePeriod {
+			resolutions[i] = stream.ResolveWait
+		}
+	}
+	return resolutions
+}
+
+func (s *siteSender) resolveOne(d stream.InDoubt, lost bool) stream.Resolution {
+	w := s.lookup(d.Delivery)
+	if w == nil {
+		return stream.ResolveDeadLetter
+	}
+	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), lost, w.item.TTL, inflight.Now())
+}
+
+func (s *siteSender) removeSentRecords(results []inflight.Result) {
+	for _, result := range results {
+		s.sites.sentLog.remove(result.RequestID)
+	}
+}
+
+// RecordResults finishes webhooks with the relay's results. Deliveries that the stream does not know may have been sent
+// by an earlier process.
+func (s *siteSender) RecordResults(results []stream.Result) (recorded []stream.Delivery) {
+	var pending map[stream.Delivery]inflight.RequestID // nil: not searched yet
+	var finished []inflight.Result
+	for _, result := range results {
+		recorded = append(recorded, result.Delivery)
+		var id inflight.RequestID
+		if w := s.lookup(result.Delivery); w != nil {
+			id = w.id
+		} else {
+			if pending == nil {
+				pending = s.findPending(results)
+			}
+			id = pending[result.Delivery]
+		}
+		if id == "" {
+			continue // it is finished already
+		}
+		finished = append(finished, s.newResult(id, result))
+	}
+	if len(finished) > 0 && !s.sites.loop.FinishByRelay(finished) {
+		return nil
+	}
+	s.removeSentRecords(finished)
+	s.markFinished(finished)
+	s.untrack(recorded)
+	s.sites.Results.Add(int64(len(finished)))
+	return recorded
+}
+
+func (s *siteSender) newResult(id inflight.RequestID, r stream.Result) inflight.Result {
+	result := inflight.Result{RequestID: id, Status: inflight.Status(r.Outcome), RetryAfter: r.RetryAfter}
+	record, sent := s.sites.sentLog.get(id)
+	if sent && record.MayHaveRunBefore && result.Status == inflight.StatusRejected {
+		result.Status = inflight.StatusDeadLettered // it never ran at the relay, but may have run before
+	}
+	return result
+}
+
+// findPending finds the request ids of deliveries among all pending webhooks.
+func (s *siteSender) findPending(results []stream.Result) map[stream.Delivery]inflight.RequestID {
+	wanted := map[stream.Delivery]bool{}
+	for _, result := range results {
+		wanted[result.Delivery] = true
+	}
+	found := map[stream.Delivery]inflight.RequestID{}
+	for _, id := range s.sites.loop.PendingIDs() {
+		request, _, _ := id.Subscriber()
+		message := s.messageID(string(request))
+		item := stream.Item{RequestID: string(request), IsAnnouncement: id != request}
+		for d := range wanted {
+			if d.Message == message && inflight.RequestID(item.RequestIDFor(d.Destination)) == id {
+				found[d] = id
+			}
+		}
+	}
+	return found
+}
+
+// DestinationStates returns what this dispatcher learned of the site's subscribers while it called them itself: a wait
+// that a destination asked for holds at the relay, too.
+func (s *siteSender) DestinationStates() []api.DestinationState {
+	if !s.direct.Load() {
+		return nil
+	}
+	states, _ := s.sites.loop.ExportState(func(d api.DestinationID) bool { return s.sites.senderFor(d) == s })
+	return states
+}
+
+// ApplyDestinationStates takes over what the relay knows, for when the relay becomes unreachable.
+func (s *siteSender) ApplyDestinationStates(states []api.DestinationState) {
+	if !s.direct.Load() { // else what is known here is newer
+		s.sites.loop.ImportState(states)
+	}
+}
--- /dev/null
+++ b/cluster/site/sites.go
@@ -0,0 +1,257 @@
+// Package site connects a dispatcher to site streams: at a site's sender, webhooks for the site's subscribers are fed
+// into the stream; at its relay, what arrives is submitted to the local dispatcher; at any member, announcements are
+// accepted.
+package site
+
+import (
+	"log/slog"
+	"path/filepath"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/config"
+	"rowanlink/cluster/relay"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// The folders below Options.StateDir.
+const (
+	clusterDir = "fleet"
+	sentLogDir = "sent"
+	relayDir   = "relay"
+)
+
+// sentLogMB is the size of the sent log, in MB.
+const sentLogMB = 8
+
+// Session acquires and releases leases for this member.
+type Session interface {
+	Acquire(cluster.Resource)
+	Release(cluster.Resource)
+	Holds(cluster.Resource) (cluster.Epoch, bool)
+}
+
+// Options has what a Sites needs of its member.
+type Options struct {
+	Self           cluster.MemberID
+	StateDir       string  // survives the process
+	DiskMB         float64 // for the relay's journal
+	Inbox          *inflight.Inbox
+	Loop           *eventloop.Loop
+	Messenger      relay.Messenger
+	IsAccepting    func() bool // whether this member accepts webhooks at all
+	NotifyHandoff  func()      // called when webhooks can be forwarded to other members; does not block
+	EventType      func(api.EventTypeID) api.EventType
+	IsRangeOwner   func(api.DestinationID) bool // whether this member, and no other, owns the destination's range
+	IsSiteOwner    func(cluster.SiteID) bool    // whether this member owns the range of the site's subscribers
+	IsOwnerUnknown func(cluster.SiteID) bool    // whether there may be no owner: whoever has a webhook makes the call
+	BufferCapacity func() int                   // webhooks that may be pending at once
+}
+
+// Sites has all sites, as one member sees them. The counters are of deliveries, except Announcements.
+type Sites struct {
+	Sent, Requeued, Bypassed, InDoubt, Results, Announcements atomic.Int64
+
+	self           cluster.MemberID
+	options        Options
+	timing         relay.Timing
+	clockDrift     float64
+	loop           *eventloop.Loop
+	messenger      relay.Messenger
+	session        Session
+	eventType      func(api.EventTypeID) api.EventType
+	isRangeOwner   func(api.DestinationID) bool
+	isSiteOwner    func(cluster.SiteID) bool
+	isOwnerUnknown func(cluster.SiteID) bool
+	sentLog        *sentLog
+	relay          atomic.Pointer[relayReceiver] // nil: this member is no relay
+	routes         atomic.Pointer[routes]
+	submitNext     func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
+
+	mu     sync.Mutex // held while the senders or the routes are changed
+	closed chan struct{}
+}
+
+// New returns the sites of an operator file; nothing runs yet.
+func New(o Options, f config.File) *Sites {
+	s := &Sites{
+		self:           o.Self,
+		options:        o,
+		timing:         relay.TimingFor(f.LeaseTTL),
+		clockDrift:     f.MaxClockDrift,
+		loop:           o.Loop,
+		messenger:      o.Messenger,
+		eventType:      o.EventType,
+		isRangeOwner:   o.IsRangeOwner,
+		isSiteOwner:    o.IsSiteOwner,
+		isOwnerUnknown: o.IsOwnerUnknown,
+		closed:         make(chan struct{}),
+	}
+	s.routes.Store(s.newRoutes(f, nil))
+	return s
+}
+
+// RegisterHandlers adds the handlers to a server that does not serve yet.
+func (s *Sites) RegisterHandlers(server *transport.Server) {
+	server.Handle(relay.OpenPath, s.relayHandler((*relay.Receiver).HandleOpen))
+	server.Handle(relay.FramePath, s.relayHandler((*relay.Receiver).HandleFrame))
+	server.Handle(relay.ResultsPath, s.handleResults)
+}
+
+// relayHandler returns a handler that responds 503 while this member is no relay.
+func (s *Sites) relayHandler(handle func(*relay.Receiver, *fasthttp.RequestCtx)) fasthttp.RequestHandler {
+	return func(ctx *fasthttp.RequestCtx) {
+		if r := s.relay.Load(); r != nil {
+			handle(r.receiver, ctx)
+			return
+		}
+		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
+	}
+}
+
+// handleResults handles the results that a relay reports. Results of what was sent by an earlier process, or to a relay
+// that no longer is one, count without a stream, too.
+func (s *Sites) handleResults(ctx *fasthttp.RequestCtx) {
+	sender := &siteSender{sites: s}
+	for _, candidate := range s.routes.Load().senders {
+		if candidate.site.Relay != transport.Sender(ctx) {
+			continue
+		}
+		sender = candidate
+		if running := sender.sender.Load(); running != nil {
+			running.HandleResults(ctx)
+			return
+		}
+	}
+	var message relay.ResultsMessage
+	if err := transport.Decode(ctx.PostBody(), &message); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	ctx.SetBody(transport.Encode(sender.RecordResults(message.Results)))
+}
+
+// Install inserts the sites into the inbox's chain of handlers, before clients are admitted.
+func (s *Sites) Install() {
+	s.submitNext = s.options.Inbox.Forward
+	s.options.Inbox.Forward = s.submit
+	s.options.Inbox.HasList = func(name string) bool { return s.routes.Load().lists[name] != nil }
+}
+
+// Start reads the journals and starts the goroutines; end them by Close. Webhooks that were sent to a relay before are
+// known as such before anything else is done with them, so that none is delivered twice.
+func (s *Sites) Start(session Session) (err error) {
+	s.session = session
+	if s.sentLog, err = openSentLog(s.stateDir(sentLogDir), sentLogMB); err != nil {
+		return err
+	}
+	var sent []inflight.RequestID
+	for id := range s.sentLog.records {
+		sent = append(sent, id)
+	}
+	s.loop.RestoreAtRelay(sent)
+	if err := s.startRelay(); err != nil {
+		return err
+	}
+	go s.run()
+	return nil
+}
+
+func (s *Sites) stateDir(name string) string {
+	return filepath.Join(s.options.StateDir, clusterDir, name)
+}
+
+// startRelay starts the relay if the operator file has this member as one and it does not run yet.
+func (s *Sites) startRelay() error {
+	isRelay := slices.ContainsFunc(s.routes.Load().senders, func(sender *siteSender) bool {
+		return sender.site.Relay == s.self
+	})
+	if s.relay.Load() != nil || !isRelay {
+		return nil
+	}
+	dispatcher := localDispatcher{
+		loop:        s.loop,
+		inbox:       s.options.Inbox,
+		capacity:    func() int { return int(relayCapacityShare * float64(s.options.BufferCapacity())) },
+		isAccepting: s.options.IsAccepting,
+	}
+	receiver, err := openRelayReceiver(s.stateDir(relayDir), s.options.DiskMB, dispatcher, s.messenger, s.timing)
+	if err != nil {
+		return err
+	}
+	s.relay.Store(receiver)
+	s.loop.Reevaluate()
+	slog.Info("serves as relay", "member", s.self, "room", receiver.Capacity())
+	return nil
+}
+
+// ApplyConfig continues with another operator file.
+func (s *Sites) ApplyConfig(f config.File) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.routes.Load()
+	next := s.newRoutes(f, previous)
+	s.routes.Store(next)
+	for _, sender := range previous.senders {
+		if sender.closing.Load() || !slices.Contains(next.senders, sender) {
+			sender.stopStream()
+			sender.direct.Store(false)
+		}
+	}
+	if err := s.startRelay(); err != nil {
+		slog.Error("does not serve as relay", "why", err)
+	}
+	s.loop.Reevaluate()
+}
+
+// run reconciles the senders at intervals until Close.
+func (s *Sites) run() {
+	ticker := time.NewTicker(s.timing.PollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.closed:
+			return
+		case <-ticker.C:
+		}
+		s.reconcileSenders()
+	}
+}
+
+func (s *Sites) reconcileSenders() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := s.routes.Load()
+	var parked map[*siteSender][]eventloop.Parked
+	if slices.ContainsFunc(r.senders, (*siteSender).hasWork) {
+		parked = s.parkedBySender(r)
+	}
+	for _, sender := range r.senders {
+		if sender.site.Relay != s.self {
+			sender.reconcile(parked[sender])
+		}
+	}
+}
+
+func (s *Sites) senderFor(d api.DestinationID) *siteSender { return s.routes.Load().senderOf[d] }
+
+// Close stops run and closes the journals, with everything on disk as it is.
+func (s *Sites) Close() {
+	close(s.closed)
+	if r := s.relay.Load(); r != nil {
+		if err := r.close(); err != nil {
+			slog.Warn("relay's journal not closed", "why", err)
+		}
+	}
+	if s.sentLog != nil {
+		_ = s.sentLog.close() // for a record that is lost the relay is asked again
+	}
+}
