--- a/cluster/member/coordinate.go
+++ b/cluster/member/coordinate.go
@@ -15,7 +15,7 @@
 func (m *Member) applyLeases(_ uint64, snapshot []byte) {
 	leases := lease.NewTable()
 	if err := leases.Restore(snapshot); err != nil {
-		slog.Error("leases not read", "why", err)
+		slog.Error("leases can't be decoded", "error", err)
 		return
 	}
 	m.mu.Lock()
@@ -28,7 +28,7 @@
 func (m *Member) applyProgress(_ uint64, snapshot []byte) {
 	progress := &rebalance.Progress{}
 	if err := progress.Restore(snapshot); err != nil {
-		slog.Error("plan's progress not read", "why", err)
+		slog.Error("plan's progress can't be decoded", "error", err)
 		return
 	}
 	m.mu.Lock()
--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -98,13 +98,13 @@
 	by := shardmap.Coordinator(c.epoch)
 	shardMap := c.Maps.Map()
 	if shardMap == nil || len(shardMap.Ranges) == 0 {
-		c.propose("first map", by.Initialize(candidates.Ranges, weightsOf(candidates.Members)))
+		c.propose("shard map initialized", by.Initialize(candidates.Ranges, weightsOf(candidates.Members)))
 		return false
 	}
 	alive := c.aliveMembers()
 	remaining := c.remainingMembers(candidates.Members, alive)
 	if takeovers := c.failover.PlanTakeovers(shardMap, c.leases, alive, remaining, now); len(takeovers) > 0 {
-		c.propose("homes given anew", by.FailOver(takeovers), "ranges", len(takeovers))
+		c.propose("ranges failed over", by.FailOver(takeovers), "ranges", len(takeovers))
 		return false
 	}
 	mayPlace := request.Fresh || len(shardMap.Groups) == 0
@@ -113,7 +113,7 @@
 		return false
 	}
 	if slices.ContainsFunc(shardMap.Misplaced, c.isGrantEnded) {
-		c.propose("grants over that destinations strayed from", by.SweepMisplaced())
+		c.propose("leases over misplaced destinations ended", by.SweepMisplaced())
 	}
 	c.advanceMoves(by, shardMap, now)
 	adopted = c.adopt(request, shardMap)
@@ -132,7 +132,7 @@
 	}
 	if epoch != c.epoch {
 		c.epoch, c.idleSince = epoch, now
-		slog.Info("conducts", "epoch", epoch)
+		slog.Info("rebalance coordinator started", "epoch", epoch)
 	}
 	return true
 }
@@ -170,9 +170,9 @@
 		fields := []any{"range", r.ID, "move", r.Move.ID, "to", r.Move.To}
 		switch r.Move.Step {
 		case shardmap.StepPlanned:
-			c.propose("move warms", by.AdvanceMove(r.Move.ID, shardmap.StepWarming), fields...)
+			c.propose("move warming", by.AdvanceMove(r.Move.ID, shardmap.StepWarming), fields...)
 		case shardmap.StepWarming:
-			c.propose("move passes", by.AdvanceMove(r.Move.ID, shardmap.StepHandoff), fields...)
+			c.propose("move handing off", by.AdvanceMove(r.Move.ID, shardmap.StepHandoff), fields...)
 		}
 	}
 	if open < c.openMoves {
@@ -190,7 +190,7 @@
 	if _, err := c.Session.Propose(command); err != nil {
 		c.leaderUnreached = session.IsLeaderUnreached(err)
 		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
-			slog.Warn(what+" not said", "why", err)
+			slog.Warn("proposal failed: "+what, "error", err)
 		}
 		return false
 	}
--- a/cluster/member/coordinator/plan.go
+++ b/cluster/member/coordinator/plan.go
@@ -51,7 +51,7 @@
 	}
 	requested, err := planfile.Parse(request.Text, planName)
 	if err != nil {
-		slog.Error("plan not taken up", "why", err)
+		slog.Error("plan rejected", "error", err)
 		return true
 	}
 	resumes := c.StoppedPlan() != 0 && c.StoppedPlan() == request.Resumes
@@ -70,16 +70,16 @@
 	var moving *rebalance.RangeMovingError
 	if errors.As(err, &moving) {
 		if moving.Move.Step < shardmap.StepSwitched {
-			c.propose("move goes back", shardmap.Coordinator(c.epoch).RevertMove(moving.Move.ID),
-				"move", moving.Move.ID, "why", err)
+			c.propose("move rolled back", shardmap.Coordinator(c.epoch).RevertMove(moving.Move.ID),
+				"move", moving.Move.ID, "error", err)
 		}
 		return false
 	}
 	if err != nil {
-		slog.Error("plan not taken up", "why", err)
+		slog.Error("plan rejected", "error", err)
 		return true
 	}
-	return c.propose("plan taken up", rebalance.Coordinator(c.epoch).Adopt(number, planName, text, plan),
+	return c.propose("plan adopted", rebalance.Coordinator(c.epoch).Adopt(number, planName, text, plan),
 		"steps", len(plan.Steps))
 }
 
@@ -91,7 +91,7 @@
 	}
 	file, err := c.progress.File()
 	if err != nil {
-		slog.Error("running plan not read", "why", err)
+		slog.Error("running plan can't be parsed", "error", err)
 		return
 	}
 	schedule := c.progress.Schedule(file, shardMap, rebalance.Observations{
@@ -111,18 +111,18 @@
 	case rebalance.ActionStart:
 		c.propose("move planned", by.PlanMove(a.Range, a.From, a.To), "range", a.Range, "from", a.From, "to", a.To)
 	case rebalance.ActionRollBack:
-		c.propose("move goes back", by.RevertMove(a.Move), "move", a.Move, "why", a.Reason)
+		c.propose("move rolled back", by.RevertMove(a.Move), "move", a.Move, "reason", a.Reason)
 	case rebalance.ActionRecordState:
-		c.propose("plan's step", plan.RecordState(number, a.Step, a.State, a.Move), "step", a.Step)
+		c.propose("plan step recorded", plan.RecordState(number, a.Step, a.State, a.Move), "step", a.Step)
 	case rebalance.ActionStop:
-		c.propose("plan stopped", plan.Stop(number, a.Reason), "why", a.Reason)
+		c.propose("plan stopped", plan.Stop(number, a.Reason), "reason", a.Reason)
 	case rebalance.ActionSplit:
 		c.propose("range split", by.Split(a.Range, a.SplitKey),
 			"range", a.Range, "at", fmt.Sprintf("%#x", uint64(a.SplitKey)))
 	case rebalance.ActionMerge:
 		c.propose("ranges merged", by.Merge(a.Range, a.OtherRange), "range", a.Range, "other", a.OtherRange)
 	case rebalance.ActionReplan:
-		slog.Info("plan made anew", "why", a.Reason)
+		slog.Info("plan recomputed", "reason", a.Reason)
 		c.makePlan(file, slices.Clone(c.progress.Text), number, shardMap)
 	}
 }
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -82,7 +82,7 @@
 	for _, entry := range s.journal.Entries() {
 		var record shardmap.CustodyRecord
 		if err := transport.Decode(entry.Payload, &record); err != nil {
-			return nil, fmt.Errorf("custody records: record %d: %w", entry.ID, err)
+			return nil, fmt.Errorf("record %d: %w", entry.ID, err)
 		}
 		if earlier, found := s.entryIDs[record.ID]; found {
 			// The process ended between the later entry and the end of the earlier one.
@@ -124,7 +124,7 @@
 		for _, saved := range before {
 			s.table.Rollback(saved.Name, saved.Record, saved.Known)
 		}
-		slog.Error("custody records not written", "webhooks", len(names), "why", err)
+		slog.Error("custody records not written", "webhooks", len(names), "error", err)
 	}
 	return err
 }
--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -16,7 +16,7 @@
 
 const fetchTimeout = 10 * api.Second
 
-var errNoShardMap = errors.New("its answer has none")
+var errNoShardMap = errors.New("the response has no shard map")
 
 // FetchState asks the raft node at an address, host:port, for the shard map and the running plan. Without an address
 // there are none.
@@ -30,7 +30,7 @@
 		err = restoreState(answer, shardMap, progress)
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s tells no map of ranges (status %d, %w): is it a keeper's address?", address,
+		return nil, nil, fmt.Errorf("%s returned no shard map (status %d, %w): is it the address of a raft node?", address,
 			status, err)
 	}
 	return shardMap, progress, nil
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -166,7 +166,7 @@
 // a restart either. Where its record can't be written, the restart finds that it may have run.
 func (f *Forwarder) keepInDoubt(w *inflight.Webhook, handoff shardmap.HandoffNumber,
 	offer shardmap.Offer) forwardResult {
-	slog.Warn("webhook in doubt: its home gave no answer", "webhook", w.RequestID, "home", offer.To)
+	slog.Warn("webhook in doubt: its owner did not answer", "webhook", w.RequestID, "owner", offer.To)
 	f.Metrics.InDoubt.Add(1)
 	id := custody.IDOf(w.RequestID)
 	recorded := false
--- a/cluster/member/forwarding/receiver.go
+++ b/cluster/member/forwarding/receiver.go
@@ -126,9 +126,9 @@
 		}
 	})
 	if err != nil {
-		ctx.Error("names not written", fasthttp.StatusServiceUnavailable)
+		ctx.Error("custody records not written", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	slog.Debug("custody of webhooks queried", "by", transport.Sender(ctx), "webhooks", len(queries))
+	slog.Debug("custody of webhooks queried", "member", transport.Sender(ctx), "webhooks", len(queries))
 	ctx.SetBody(transport.Encode(replies))
 }
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -44,7 +44,7 @@
 	}
 	replies, err := m.Peers.QueryCustody(at, queries, m.Ownership.LeaseTTL/queryTimeoutDivisor)
 	if len(replies) != len(queries) {
-		slog.Debug("webhooks in doubt not resolved", "at", at, "webhooks", len(queries), "why", err)
+		slog.Debug("webhooks in doubt not resolved", "member", at, "webhooks", len(queries), "error", err)
 		replies = make([]shardmap.CustodyReply, len(queries)) // CustodyUnknown
 	}
 	for i, d := range queried {
@@ -67,8 +67,8 @@
 		resolved = m.forkCopy(d, resolution)
 	}
 	if resolved {
-		slog.Info("doubt settled", "webhook", d.RequestID, "ours", resolution != shardmap.DropCopy, "at", d.offer.To,
-			"said", reply)
+		slog.Info("in-doubt webhook resolved", "webhook", d.RequestID, "ours", resolution != shardmap.DropCopy, "member", d.offer.To,
+			"reply", reply)
 		m.Wake()
 	}
 }
--- a/cluster/member/handoff/offer.go
+++ b/cluster/member/handoff/offer.go
@@ -50,10 +50,10 @@
 	m.Metrics.HandedOff.Add(int64(accepted))
 	m.applyReplies(offers)
 	if err != nil {
-		slog.Debug("owed not handed on", "to", to, "webhooks", len(offers), "why", err)
+		slog.Debug("pending webhooks not handed off", "to", to, "webhooks", len(offers), "error", err)
 		return
 	}
-	slog.Info("owed handed on", "to", to, "move", move, "webhooks", accepted, "of", len(offers))
+	slog.Info("pending webhooks handed off", "to", to, "move", move, "webhooks", accepted, "of", len(offers))
 	if accepted > 0 {
 		m.Wake()
 		m.Ownership.OnChange()
--- a/cluster/member/handoff/state.go
+++ b/cluster/member/handoff/state.go
@@ -41,10 +41,10 @@
 	transfer := peer.Transfer{MapVersion: shardMap.Version, SentAt: inflight.Now(), Move: r.Move.ID, Learned: learned}
 	_, err := m.Peers.Send(r.Move.To, peer.TransferPath, transfer, m.Ownership.LeaseTTL/offerTimeoutDivisor, true)
 	if err != nil {
-		slog.Debug("learned not handed on", "to", r.Move.To, "why", err)
+		slog.Debug("learned state not handed off", "to", r.Move.To, "error", err)
 		return false
 	}
-	slog.Info("learned handed on", "range", r.ID, "move", r.Move.ID, "to", r.Move.To, "destinations", len(learned))
+	slog.Info("learned state handed off", "range", r.ID, "move", r.Move.ID, "to", r.Move.To, "destinations", len(learned))
 	return true
 }
 
--- a/cluster/member/health/collector.go
+++ b/cluster/member/health/collector.go
@@ -74,7 +74,7 @@
 			defer func() { <-slots }()
 			report, err := c.poll(member, body)
 			if err != nil {
-				slog.Debug("health not reported", "member", member, "why", err)
+				slog.Debug("health poll failed", "member", member, "error", err)
 				return
 			}
 			c.add(q, member, report)
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -16,12 +16,12 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// leaveTimeoutTTLs is how many lease TTLs a planned end waits for its turn.
-const leaveTimeoutTTLs = 1
+// departureTimeoutTTLs is how many lease TTLs a graceful shutdown waits for a departure slot.
+const departureTimeoutTTLs = 1
 
 // Start opens the session and starts what the member does by itself. Clients are not let in yet.
 func (m *Member) Start() {
-	slog.Info("member", "fleet", m.file.Name, "name", m.self, "members", len(m.file.Members))
+	slog.Info("member started", "cluster", m.file.Name, "name", m.self, "members", len(m.file.Members))
 	m.session = session.New(session.Config{
 		Self:          m.self,
 		Incarnation:   lease.Incarnation(randomID()),
@@ -33,7 +33,7 @@
 	})
 	m.ownership.Start(m.session)
 	if err := m.sites.Start(m.session); err != nil { // without its records a webhook might be delivered twice
-		slog.Error("what goes to relays not read", "why", err)
+		slog.Error("records of deliveries to relays can't be read", "error", err)
 		os.Exit(1)
 	}
 	m.coordinator = coordinator.New(coordinator.Config{
@@ -92,7 +92,7 @@
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
 	if err != nil {
-		slog.Error("operator file not read again, the old one stays", "why", err)
+		slog.Error("operator file not reloaded, the current one stays in force", "error", err)
 		return
 	}
 	m.mu.Lock()
@@ -109,7 +109,7 @@
 	m.updatePeers(file)
 	m.memberCount.Store(int64(len(file.Members)))
 	m.sites.ApplyConfig(file)
-	slog.Info("operator file read again", "members", len(file.Members))
+	slog.Info("operator file reloaded", "members", len(file.Members))
 	m.wake()
 }
 
@@ -121,36 +121,36 @@
 	}
 }
 
-// Drain waits for one of the turns by which the operator file bounds how many members leave at once, for a lease TTL at
-// most: one that gets no turn leaves all the same, since its process was told to end.
+// Drain waits for one of the departure slots by which the operator file bounds how many members shut down at once. After
+// one lease TTL it returns without a slot: the process was told to end.
 func (m *Member) Drain() {
-	turns := m.file.MaxDeparting
-	for turn := range turns {
-		m.session.Acquire(cluster.DepartureSlotResource(turn))
+	slots := m.file.MaxDeparting
+	for slot := range slots {
+		m.session.Acquire(cluster.DepartureSlotResource(slot))
 	}
-	deadline := time.Now().Add(leaveTimeoutTTLs * inflight.Duration(m.file.LeaseTTL))
+	deadline := time.Now().Add(departureTimeoutTTLs * inflight.Duration(m.file.LeaseTTL))
 	for time.Now().Before(deadline) {
-		if m.takeLeaveTurn(turns) {
+		if m.claimDepartureSlot(slots) {
 			return
 		}
 		time.Sleep(inflight.Duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
 	}
-	slog.Warn("leaves without a turn: none was free for a term")
+	slog.Warn("departing without a slot: none was free for one lease TTL")
 }
 
-// takeLeaveTurn returns whether this member has a turn, and releases all others then.
-func (m *Member) takeLeaveTurn(turns int) bool {
-	for turn := range turns {
-		epoch, held := m.session.Holds(cluster.DepartureSlotResource(turn))
+// claimDepartureSlot reports whether this member holds a departure slot, and then releases all others.
+func (m *Member) claimDepartureSlot(slots int) bool {
+	for slot := range slots {
+		epoch, held := m.session.Holds(cluster.DepartureSlotResource(slot))
 		if !held {
 			continue
 		}
-		for other := range turns {
-			if other != turn {
+		for other := range slots {
+			if other != slot {
 				m.session.Release(cluster.DepartureSlotResource(other))
 			}
 		}
-		slog.Info("leaves in turn", "turn", turn, "epoch", epoch)
+		slog.Info("departure slot acquired", "slot", slot, "epoch", epoch)
 		return true
 	}
 	return false
@@ -165,7 +165,7 @@
 	m.session.Close()
 	if m.raft != nil {
 		if err := m.raft.Close(); err != nil {
-			slog.Warn("log not closed in time", "why", err)
+			slog.Warn("raft node not closed in time", "error", err)
 		}
 	}
 	_ = m.server.Close(inflight.Duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -126,7 +126,7 @@
 		OnChange:     m.wake,
 	})
 	if err := m.openCustody(); err != nil { // without the records a webhook might be delivered twice
-		return fmt.Errorf("names of webhooks: %w", err)
+		return fmt.Errorf("custody records: %w", err)
 	}
 	m.wireHandoff()
 	m.wireHealth()
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -77,7 +77,7 @@
 func (m *Manager) ApplySnapshot(snapshot []byte) {
 	next := shardmap.New(nil)
 	if err := next.Restore(snapshot); err != nil {
-		slog.Error("shard map not read, the old one stays", "why", err)
+		slog.Error("shard map can't be decoded, the current one stays in force", "error", err)
 		return
 	}
 	if current := m.shardMap.Load(); current != nil && current.Version > next.Version {
--- a/cluster/member/ownership/reconcile.go
+++ b/cluster/member/ownership/reconcile.go
@@ -25,7 +25,7 @@
 	}
 	for under, strays := range shardMap.MisplacedByGrant(m.LocalMember()) {
 		if m.local.CallsInFlightTo(strays) == 0 {
-			p.propose("destinations let go", shardmap.Range{ID: under.Range},
+			p.propose("misplaced destinations released", shardmap.Range{ID: under.Range},
 				shardmap.ConfirmPlacement(under.Range, under.Epoch, shardMap.Version))
 		}
 	}
@@ -47,9 +47,9 @@
 	case !held:
 		m.session.CancelAcquire(resource)
 	case r.Owner == m.Self && epoch > r.Epoch && r.Move.Step != shardmap.StepHandoff:
-		p.propose("home taken", r, shardmap.ConfirmOwner(r.ID, m.Self, epoch, shardMap.Version))
+		p.propose("range ownership confirmed", r, shardmap.ConfirmOwner(r.ID, m.Self, epoch, shardMap.Version))
 	case r.Move.Step == shardmap.StepHandoff && r.Move.To == m.Self:
-		p.propose("home switched", r, shardmap.SwitchOwner(r.Move.ID, r.ID, m.Self, epoch))
+		p.propose("range ownership switched", r, shardmap.SwitchOwner(r.Move.ID, r.ID, m.Self, epoch))
 	}
 	if r.Move.Step == shardmap.StepSwitched {
 		m.clearMove(p, r)
@@ -74,7 +74,7 @@
 	isSource := r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 	if r.ShouldRelease(m.Self, inFlight, pending) && (closed || !isSource) {
 		m.session.Release(resource)
-		slog.Info("home let go", "range", r.ID, "epoch", epoch)
+		slog.Info("range lease released", "range", r.ID, "epoch", epoch)
 	}
 }
 
@@ -93,7 +93,7 @@
 		}
 		if _, found := shardMap.RangeByID(id); !found {
 			m.session.Release(resource)
-			slog.Info("home merged", "task", resource)
+			slog.Info("merged range's lease released", "resource", resource)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrAlreadyHeld) {
 			level = slog.LevelDebug
 		}
-		slog.Log(context.Background(), level, what+" not said", "range", r.ID, "why", err)
+		slog.Log(context.Background(), level, "proposal failed: "+what, "range", r.ID, "error", err)
 		p.unreached = session.IsLeaderUnreached(err)
 		return
 	}
--- a/cluster/member/session/metrics.go
+++ b/cluster/member/session/metrics.go
@@ -27,7 +27,7 @@
 	}
 	if s.active.Swap(0) == 1 {
 		s.SessionsLost.Add(1)
-		slog.Warn("session over: no task is held until a keeper answers", "member", s.Self)
+		slog.Warn("session expired: no lease is held until a raft node answers", "member", s.Self)
 	}
 }
 
--- a/cluster/member/session/notify.go
+++ b/cluster/member/session/notify.go
@@ -17,7 +17,7 @@
 		if epoch, held := s.holder.Epoch(resource, now); held && epoch == before {
 			continue
 		}
-		slog.Info("task over", "member", s.Self, "task", resource, "epoch", before)
+		slog.Info("lease no longer held", "member", s.Self, "resource", resource, "epoch", before)
 		delete(s.notified, resource)
 		s.ResourcesLost.Add(1)
 		s.queueNotification(resource, 0)
@@ -27,7 +27,7 @@
 		if !held || s.notified[resource] != 0 {
 			continue
 		}
-		slog.Info("task held", "member", s.Self, "task", resource, "epoch", epoch, "session", s.holder.Session())
+		slog.Info("lease acquired", "member", s.Self, "resource", resource, "epoch", epoch, "session", s.holder.Session())
 		s.notified[resource] = epoch
 		s.ResourcesAcquired.Add(1)
 		s.queueNotification(resource, epoch)
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -65,7 +65,7 @@
 	defer s.mu.Unlock()
 	if err != nil {
 		s.RenewalsUnanswered.Add(1)
-		slog.Debug("session not renewed", "session", session, "why", err)
+		slog.Debug("session not renewed", "session", session, "error", err)
 		return false
 	}
 	s.applyRenewal(renewal, answer)
@@ -96,7 +96,7 @@
 	before, wasActive := s.holder.Session(), s.holder.IsValid(s.Clock())
 	if s.holder.ConfirmRenewal(renewal, answer.Session) && before != answer.Session {
 		s.SessionsOpened.Add(1)
-		slog.Info("session held", "member", s.Self, "session", answer.Session)
+		slog.Info("session established", "member", s.Self, "session", answer.Session)
 		s.reconciler.RetryAll()
 	}
 	if len(answer.Grants) > 0 {
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -71,7 +71,7 @@
 		err = transport.Decode(raw, &answer)
 	}
 	if err != nil || status != fasthttp.StatusOK {
-		slog.Debug("poll of the state failed", "raft_node", node, "status", status, "why", err)
+		slog.Debug("poll of the state failed", "raft_node", node, "status", status, "error", err)
 		return answer, false
 	}
 	return answer, true
@@ -113,7 +113,7 @@
 		var err error
 		snapshot, err = fsm.ApplyDelta(w.snapshot, state.Data)
 		if err != nil {
-			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", state.Component, "why", err)
+			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", state.Component, "error", err)
 			w.version = 0
 			return
 		}
--- a/cluster/raftnode/state_machine.go
+++ b/cluster/raftnode/state_machine.go
@@ -135,24 +135,24 @@
 		n.reportGrants(operation, result.Grants)
 	case lease.OpRelease:
 		n.reportEvent(&n.LeasesReleased, "lease released",
-			"task", operation.Resources[0], "epoch", operation.Epoch, "member", operation.member)
+			"resource", operation.Resources[0], "epoch", operation.Epoch, "member", operation.member)
 	}
 	return sessionLive
 }
 
 func (n *Node) reportSessionEnd(operation leaseOperation) {
 	n.reportEvent(&n.SessionsEnded, "session ended",
-		"member", operation.member, "session", operation.Session, "tasks", len(operation.resources))
+		"member", operation.member, "session", operation.Session, "leases", len(operation.resources))
 	for _, resource := range operation.resources {
 		n.reportEvent(&n.LeasesReleased, "lease ended",
-			"task", resource, "epoch", n.leases.LastEpoch(resource), "member", operation.member)
+			"resource", resource, "epoch", n.leases.LastEpoch(resource), "member", operation.member)
 	}
 }
 
 func (n *Node) reportGrants(operation leaseOperation, grants []lease.Grant) {
 	for _, grant := range grants {
 		if grant.Epoch > operation.epochs[grant.Resource] {
-			n.reportEvent(&n.LeasesGranted, "lease granted", "task", grant.Resource,
+			n.reportEvent(&n.LeasesGranted, "lease granted", "resource", grant.Resource,
 				"epoch", grant.Epoch, "member", operation.member, "session", operation.Session)
 		}
 	}
--- a/cluster/rebalance/impact.go
+++ b/cluster/rebalance/impact.go
@@ -146,7 +146,7 @@
 	}
 	if c.Unhealthy && len(impact.Unhealthy) > 0 {
 		first := impact.Unhealthy[0]
-		return fmt.Sprintf("destination %d went sick in range %d, which moves; line %d stops at that",
+		return fmt.Sprintf("destination %d became unhealthy in range %d, which moves; line %d stops at that",
 			first.Destination, first.Range, c.Line)
 	}
 	return ""
--- a/cluster/rebalance/scheduler_test.go
+++ b/cluster/rebalance/scheduler_test.go
@@ -65,7 +65,7 @@
 			"0.04 of webhooks rejected"},
 		"too few to tell":      {Impact{During: Outcomes{Total: 49, Rejected: 49}, Baseline: usual}, ""},
 		"late is not asked":    {Impact{During: Outcomes{Total: 100, Late: 100}}, ""},
-		"a destination is ill": {Impact{Unhealthy: []UnhealthyDestination{{7, 1}}}, "destination 7 went sick"},
+		"a destination is ill": {Impact{Unhealthy: []UnhealthyDestination{{7, 1}}}, "destination 7 became unhealthy"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, "a", "a", "a")
--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -26,9 +26,9 @@
 func newServeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "rowan-clustered",
-		Short: "A dispatcher as a member of a fleet",
-		Long: "Without a sub-command it is started as a dispatcher is (LB_CONFIG, LB_STATE) and with\n" +
-			"ROWAN_FLEET, the operator file. SIGHUP has it read both files again.",
+		Short: "Webhook dispatcher as a member of a cluster",
+		Long: "Without a sub-command it runs the dispatcher: LB_CONFIG and LB_STATE are as for rowanlink,\n" +
+			"ROWAN_FLEET names the operator file. SIGHUP reloads both files.",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -42,15 +42,16 @@
 	var from string
 	command := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Prints the steps that an operator file asks for, and why each waits",
-		Long: "Nothing is moved. The map of ranges is asked of a running member (--from host:port, its address\n" +
-			"says); without one the steps are from a first map of even parts over the file's members.",
+		Short: "Print the steps of an operator file's rebalancing plan, and what each waits for",
+		Long: "A dry run. The shard map is fetched from a running member with a raft node (--from host:port,\n" +
+			"its `says` in the operator file); without --from the plan begins at an initial map, which\n" +
+			"splits the keys among the file's members by weight.",
 		Args:          cobra.ExactArgs(1),
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE:          func(_ *cobra.Command, args []string) error { return printPlan(args[0], from) },
 	}
-	command.Flags().StringVar(&from, "from", "", "a keeper's address says, host:port")
+	command.Flags().StringVar(&from, "from", "", "address, host:port, of a member with a raft node")
 	return command
 }
 
--- a/test/integration/chaos/scenario.go
+++ b/test/integration/chaos/scenario.go
@@ -21,9 +21,9 @@
 // logged in time, or for "", the fault starts all the same.
 var logTriggers = []string{
 	"", "",
-	"raft leadership gained", "session held", "session over", "lease granted", "task over",
-	"move planned", "move warms", "move passes", "home let go", "home switched", "move cleared",
-	"homes given anew", "owed handed on", "webhook in doubt", "doubt settled", "stream",
+	"raft leadership gained", "session established", "session expired", "lease granted", "lease no longer held",
+	"move planned", "move warming", "move handing off", "range lease released", "range ownership switched", "move cleared",
+	"ranges failed over", "pending webhooks handed off", "webhook in doubt", "in-doubt webhook resolved", "stream",
 }
 
 // scenario is a cluster with the random choices for it.
--- a/test/integration/cluster/diskfull_test.go
+++ b/test/integration/cluster/diskfull_test.go
@@ -62,7 +62,7 @@
 		}
 		for _, m := range c.Members {
 			if m.IsRunning() {
-				m.AwaitLogFrom(offsets[m], "session over")
+				m.AwaitLogFrom(offsets[m], "session expired")
 			}
 		}
 		taken := c.Platform.Checker.Counts().Accepted
--- a/test/integration/cluster/failover_bench_test.go
+++ b/test/integration/cluster/failover_bench_test.go
@@ -31,14 +31,14 @@
 	})
 	c.AwaitStable()
 	var led, all []float64
-	who := c.AwaitLog(map[*harness.Member]int{}, "INFO task held", "task="+checkedResource+" ")
+	who := c.AwaitLog(map[*harness.Member]int{}, "INFO lease acquired", "resource="+checkedResource+" ")
 	for b.Loop() {
 		time.Sleep(time.Duration(float64(span) * float64(len(all)%10) / 30)) // anywhere between two renewals
 		offsets, leads := c.LogOffsets(), c.Leader() == who
 		since := time.Now()
 		who.Kill()
-		next := c.AwaitLog(offsets, "INFO task held", "task="+checkedResource+" ")
-		line, _ := next.Log.Find(offsets[next], "INFO task held", "task="+checkedResource+" ")
+		next := c.AwaitLog(offsets, "INFO lease acquired", "resource="+checkedResource+" ")
+		line, _ := next.Log.Find(offsets[next], "INFO lease acquired", "resource="+checkedResource+" ")
 		ttls := line.At.Sub(since).Seconds() / span.Seconds()
 		if leads {
 			led = append(led, ttls)
--- a/test/integration/cluster/forward_test.go
+++ b/test/integration/cluster/forward_test.go
@@ -51,7 +51,7 @@
 
 	c.Network.Heal()
 	owner.Resume()
-	entry.AwaitLog("doubt settled", "webhook="+id, "ours=false")
+	entry.AwaitLog("in-doubt webhook resolved", "webhook="+id, "ours=false")
 	c.AwaitOutcomes()
 	c.Check()
 }
--- a/test/integration/cluster/interruptedplan_test.go
+++ b/test/integration/cluster/interruptedplan_test.go
@@ -155,7 +155,7 @@
 		stop, why string
 		does      platform.Behaviour
 	}{
-		"sick": {"sick = true", "went sick in range", platform.Fails},
+		"sick": {"sick = true", "became unhealthy in range", platform.Fails},
 		"late": {"late = 0.3", "of webhooks late in the ranges that move", platform.Slow(3 * time.Second / 2)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,7 +218,7 @@
 	conductor.Start()
 	c.AwaitStable(drained)
 	for _, m := range c.Members {
-		_, anew := m.Log.Find(next[m], "plan taken up")
+		_, anew := m.Log.Find(next[m], "plan adopted")
 		assert.False(t, anew, "%s made the plan again", m.Name)
 	}
 	stop()
--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -174,7 +174,7 @@
 		}
 		for _, m := range c.Members {
 			if m.IsRunning() {
-				m.AwaitLogFrom(offsets[m], "session over")
+				m.AwaitLogFrom(offsets[m], "session expired")
 			}
 		}
 		n := len(c.LeaseChecker.Operations(checkedResource))
--- a/test/integration/cluster/linkfault_test.go
+++ b/test/integration/cluster/linkfault_test.go
@@ -13,7 +13,7 @@
 // After each step of a move, its source, its target and the coordinator may be paused for more than a lease TTL, or
 // partitioned: they go on afterwards with the state that they had, and what was in flight arrives late.
 func TestMove_PauseOrPartitionAfterEachStep(t *testing.T) {
-	steps := []string{"move planned", "move warms", "move passes", "home switched", "move cleared"}
+	steps := []string{"move planned", "move warming", "move handing off", "range ownership switched", "move cleared"}
 	for _, step := range steps {
 		for _, how := range []string{"stopped", "cut off"} {
 			t.Run(step+", "+how, func(t *testing.T) {
--- a/test/integration/cluster/move_test.go
+++ b/test/integration/cluster/move_test.go
@@ -19,7 +19,7 @@
 
 // After each step of a move, its source, its target and the coordinator may be killed.
 func TestMove_KillAfterEachStep(t *testing.T) {
-	for _, step := range []string{"move planned", "move warms", "move passes", "home switched", "move cleared"} {
+	for _, step := range []string{"move planned", "move warming", "move handing off", "range ownership switched", "move cleared"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
 			c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
--- a/test/integration/cluster/ownership_test.go
+++ b/test/integration/cluster/ownership_test.go
@@ -49,7 +49,7 @@
 			round++ // a plan that is the running one changes nothing
 			c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", drained.Name, 2+round))
 			c.Eventually("a move is under way", func() bool {
-				return c.FindLog(offsets, "INFO move passes ") != nil || c.FindLog(offsets, "INFO plan taken up ") != nil
+				return c.FindLog(offsets, "INFO move handing off ") != nil || c.FindLog(offsets, "INFO plan adopted ") != nil
 			})
 			fault(who(drained))()
 			c.AwaitStable(drained)
--- a/test/integration/cluster/placement_test.go
+++ b/test/integration/cluster/placement_test.go
@@ -41,7 +41,7 @@
 		c.AwaitLog(offsets, "INFO destinations placed")
 		sleepSiteTTLs(0.25)
 		c.Network.Heal()
-		was.AwaitLogFrom(offsets[was], "INFO destinations let go")
+		was.AwaitLogFrom(offsets[was], "INFO misplaced destinations released")
 		sleepSiteTTLs(0.1)
 		until := c.Platform.Now()
 		for _, m := range c.Members { // the other members read the file one by one
@@ -59,7 +59,7 @@
 func findCoordinator(c *harness.Cluster) (who *harness.Member) {
 	var at time.Time
 	for _, m := range c.RaftNodes() {
-		for _, line := range m.Log.FindAll(0, "INFO conducts ") {
+		for _, line := range m.Log.FindAll(0, "INFO rebalance coordinator started ") {
 			if line.At.After(at) {
 				who, at = m, line.At
 			}
--- a/test/integration/harness/cluster_test.go
+++ b/test/integration/harness/cluster_test.go
@@ -185,11 +185,11 @@
 		ConfigBlocks: "list \"prices\" { subscribers = [1, 2] }\n",
 	})
 	for _, m := range c.Members[:3] {
-		m.AwaitLog("INFO member", "members=3")
+		m.AwaitLog("INFO member started", "members=3")
 	}
 	c.ReloadOperatorFiles("", c.Names()...)
 	for _, m := range c.Members[:3] {
-		m.AwaitLog("operator file read again", "members=4")
+		m.AwaitLog("operator file reloaded", "members=4")
 	}
 	c.Members[3].Start()
 	runLoad(t, c.Platform, 30, c.Names()...)
--- a/test/integration/harness/ownershiplog.go
+++ b/test/integration/harness/ownershiplog.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"rowanlink/cluster"
+	"rowanlink/cluster/transport"
 	"rowanlink/test/checker/leasecheck"
 	"rowanlink/test/integration/subprocess"
 	"rowanlink/webhook/api"
@@ -19,11 +20,12 @@
 // The lines that members log about leases and ownership.
 var (
 	ownershipLine = regexp.MustCompile(`^(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6}) INFO ` +
-		`(task held|task over|home taken|home switched) `)
-	unconfirmedLine = regexp.MustCompile(` WARN home (taken|switched) not said range=(\d+) .*it may have arrived`)
-	resourceField   = regexp.MustCompile(` task=(\S+)`)
-	rangeField      = regexp.MustCompile(` range=(\d+)`)
-	epochField      = regexp.MustCompile(` epoch=(\d+)`)
+		`(lease acquired|lease no longer held|range ownership confirmed|range ownership switched) `)
+	unconfirmedLine = regexp.MustCompile(` WARN proposal failed: range ownership (confirmed|switched) range=(\d+) .*` +
+		regexp.QuoteMeta(transport.ErrOutcomeUnknown.Error()))
+	resourceField = regexp.MustCompile(` resource=(\S+)`)
+	rangeField    = regexp.MustCompile(` range=(\d+)`)
+	epochField    = regexp.MustCompile(` epoch=(\d+)`)
 )
 
 // logLease is a lease that a member's log tells of.
@@ -125,13 +127,13 @@
 	}
 	at := api.Micros(loggedAt.UnixMicro())
 	switch match[2] {
-	case "task held":
+	case "lease acquired":
 		resource := cluster.Resource(resourceField.FindStringSubmatch(line.Text)[1])
 		epoch, _ := strconv.ParseUint(epochField.FindStringSubmatch(line.Text)[1], 10, 64) // digits by the pattern
 		r.endLease(resource, at)
 		r.leases[resource] = &logLease{epoch: epoch, grantedAt: at}
 		r.add(resource, leasecheck.Granted, epoch, r.lastGrant[resource], at)
-	case "task over":
+	case "lease no longer held":
 		r.endLease(cluster.Resource(resourceField.FindStringSubmatch(line.Text)[1]), at)
 	default:
 		resource := ownerResource(rangeField.FindStringSubmatch(line.Text)[1])
