--- a/cluster/lease/simulation_member_test.go
+++ b/cluster/lease/simulation_member_test.go
@@ -125,7 +125,7 @@
 		return nil
 	}
 	for _, t := range p.Acquire {
-		if s, _, _, held := d.table.Holder(t); !held || s == p.Session {
+		if holder, held := d.table.Holder(t); !held || holder.Session == p.Session {
 			return nil
 		}
 		rejected = append(rejected, Grant{Resource: t})
@@ -139,7 +139,7 @@
 	poll = func() {
 		table, free := sm.catchUp(k), []cluster.Resource(nil)
 		for _, t := range resources {
-			if _, _, _, held := table.Holder(t); !held {
+			if _, held := table.Holder(t); !held {
 				free = append(free, t)
 			}
 		}
@@ -174,16 +174,16 @@
 	for _, t := range simulationResources {
 		requests := func(sm *simulatedMember) bool { return slices.Contains(sm.reconciler.Requested(), t) }
 		requested := slices.ContainsFunc(si.members, requests)
-		_, who, epoch, held := si.nodes[si.leader].table.Holder(t)
+		holder, held := si.nodes[si.leader].table.Holder(t)
 		switch all := si.holders(t); {
 		case si.violation != "":
 		case requested && len(all) == 0:
-			si.violation = string(t) + " is requested and not held; by the log it is held by " + string(who)
+			si.violation = string(t) + " is requested and not held; by the log it is held by " + string(holder.Member)
 		case !requested && held:
-			si.violation = string(t) + " is requested by nobody, and by the log held by " + string(who)
-		case requested && (!held || all[0].id != who || !requests(all[0])):
+			si.violation = string(t) + " is requested by nobody, and by the log held by " + string(holder.Member)
+		case requested && (!held || all[0].id != holder.Member || !requests(all[0])):
 			si.violation = string(t) + " is held by a member that does not request it, or that the log does not name"
-		case requested && epoch != all[0].holder.epochs[t]:
+		case requested && holder.Epoch != all[0].holder.epochs[t]:
 			si.violation = string(t) + " is held with another epoch than the log's"
 		}
 	}
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -136,14 +136,17 @@
 	return t.lastID
 }
 
-// Holder returns the session and member that hold the lease on a resource and the epoch of the grant; false if
-// it is not held.
-func (t *Table) Holder(r cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+// Holder returns the holder of the lease on a resource; false if it is not held.
+func (t *Table) Holder(r cluster.Resource) (cluster.LeaseHolder, bool) {
 	state := t.leases[r]
 	if state.session == 0 {
-		return 0, "", 0, false
+		return cluster.LeaseHolder{}, false
 	}
-	return state.session, t.sessions[state.session].member, state.epoch, true
+	return cluster.LeaseHolder{
+		Session: state.session,
+		Member:  t.sessions[state.session].member,
+		Epoch:   state.epoch,
+	}, true
 }
 
 // IsCurrent reports whether the lease on a resource is held by the grant with this epoch.
--- a/cluster/lease/table_test.go
+++ b/cluster/lease/table_test.go
@@ -63,13 +63,13 @@
 	a, err := DecodeResult(raw)
 	require.NoError(t, err)
 	for _, g := range a.Grants {
-		holder, _, epoch, held := b.Holder(g.Resource)
+		holder, held := b.Holder(g.Resource)
 		require.True(t, held)
 		if g.Err() != nil {
-			assert.NotEqual(t, a.Session, holder, "rejected although its own")
+			assert.NotEqual(t, a.Session, holder.Session, "rejected although its own")
 			continue
 		}
-		assert.Equal(t, []any{a.Session, epoch}, []any{holder, g.Epoch})
+		assert.Equal(t, []any{a.Session, holder.Epoch}, []any{holder.Session, g.Epoch})
 		assert.GreaterOrEqual(t, g.Epoch, highest[g.Resource])
 		highest[g.Resource] = g.Epoch
 	}
@@ -82,10 +82,10 @@
 		for _, resource := range b.ResourcesOf(s) {
 			assert.Zero(t, held[resource], "two sessions with one lease")
 			held[resource] = s
-			holder, member, epoch, ok := b.Holder(resource)
-			assert.Equal(t, []any{s, b.MemberOf(s), true}, []any{holder, member, ok})
-			assert.True(t, b.IsCurrent(resource, epoch))
-			assert.False(t, b.IsCurrent(resource, epoch-1))
+			holder, ok := b.Holder(resource)
+			assert.Equal(t, []any{s, b.MemberOf(s), true}, []any{holder.Session, holder.Member, ok})
+			assert.True(t, b.IsCurrent(resource, holder.Epoch))
+			assert.False(t, b.IsCurrent(resource, holder.Epoch-1))
 		}
 	}
 	for resource, g := range b.leases {
--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -155,8 +155,8 @@
 
 // isGrantEnded reports whether the grant is over by which a misplaced destination was served.
 func (c *Coordinator) isGrantEnded(m shardmap.MisplacedDestination) bool {
-	_, _, epoch, held := c.leases.Holder(cluster.RangeOwnerResource(m.Grant.Range))
-	return !held || epoch != m.Grant.Epoch
+	holder, held := c.leases.Holder(cluster.RangeOwnerResource(m.Grant.Range))
+	return !held || holder.Epoch != m.Grant.Epoch
 }
 
 // advanceMoves takes moves to the step from which on the target and the source do the rest.
--- a/cluster/raftnode/state_reads.go
+++ b/cluster/raftnode/state_reads.go
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, resource := range request.WantedResources {
-		if _, _, _, held := n.leases.Holder(resource); !held {
+		if _, held := n.leases.Holder(resource); !held {
 			response.FreeResources = append(response.FreeResources, resource)
 		}
 	}
@@ -135,8 +135,8 @@
 	}
 	rejection := lease.Result{Session: operation.Session}
 	for _, resource := range operation.Resources {
-		holder, _, _, held := n.leases.Holder(resource)
-		if !held || holder == operation.Session {
+		holder, held := n.leases.Holder(resource)
+		if !held || holder.Session == operation.Session {
 			return nil, false
 		}
 		rejection.Grants = append(rejection.Grants, lease.Grant{Resource: resource})
--- a/cluster/rebalance/simulation_test.go
+++ b/cluster/rebalance/simulation_test.go
@@ -38,9 +38,9 @@
 	epoch cluster.Epoch
 }
 
-func (sim *simulation) Holder(task cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (sim *simulation) Holder(task cluster.Resource) (cluster.LeaseHolder, bool) {
 	h, ok := sim.leases[task]
-	return 1, h.owner, h.epoch, ok
+	return cluster.LeaseHolder{Session: 1, Member: h.owner, Epoch: h.epoch}, ok
 }
 
 // newSimulation returns a simulation with one range for each owner, of equal widths and all served.
--- a/cluster/resource.go
+++ b/cluster/resource.go
@@ -9,6 +9,13 @@
 // resources of their own besides those defined here.
 type Resource string
 
+// LeaseHolder says who holds the lease on a resource, and by which grant.
+type LeaseHolder struct {
+	Session SessionID
+	Member  MemberID
+	Epoch   Epoch
+}
+
 // CoordinatorResource is held by the member that coordinates rebalancing.
 const CoordinatorResource Resource = "conduct"
 
--- a/cluster/shardmap/apply_moves.go
+++ b/cluster/shardmap/apply_moves.go
@@ -8,21 +8,21 @@
 
 // isHeld reports whether a grant, by which an older map lets a part of a range be served, is still held.
 func (m *Map) isHeld(grant PriorGrant) bool {
-	_, _, epoch, held := m.holders.Holder(cluster.RangeOwnerResource(grant.Range))
-	return held && epoch == grant.Epoch
+	holder, held := m.holders.Holder(cluster.RangeOwnerResource(grant.Range))
+	return held && holder.Epoch == grant.Epoch
 }
 
 // servedByNoneBut reports whether no member except one (nobody, if empty) can serve the range or a part of it, by
 // whatever version of the map.
 func (m *Map) servedByNoneBut(r *Range, member cluster.MemberID) bool {
-	_, holder, _, held := m.holders.Holder(cluster.RangeOwnerResource(r.ID))
-	return (!held || holder == member) && !slices.ContainsFunc(r.PriorGrants, m.isHeld)
+	holder, held := m.holders.Holder(cluster.RangeOwnerResource(r.ID))
+	return (!held || holder.Member == member) && !slices.ContainsFunc(r.PriorGrants, m.isHeld)
 }
 
 // holdsLease reports whether a member holds the lease on a range by the given epoch.
 func (m *Map) holdsLease(id cluster.RangeID, member cluster.MemberID, epoch cluster.Epoch) bool {
-	_, holder, current, held := m.holders.Holder(cluster.RangeOwnerResource(id))
-	return held && holder == member && current == epoch
+	holder, held := m.holders.Holder(cluster.RangeOwnerResource(id))
+	return held && holder.Member == member && holder.Epoch == epoch
 }
 
 func (m *Map) planMove(id MoveID, r *Range, c command) error {
--- a/cluster/shardmap/failover.go
+++ b/cluster/shardmap/failover.go
@@ -77,7 +77,7 @@
 func (p *FailoverPlanner) isDue(
 	r Range, holders LeaseHolders, alive map[cluster.MemberID]bool, now api.Micros,
 ) bool {
-	if _, _, _, held := holders.Holder(cluster.RangeOwnerResource(r.ID)); held || alive[r.Owner] {
+	if _, held := holders.Holder(cluster.RangeOwnerResource(r.ID)); held || alive[r.Owner] {
 		delete(p.ownerlessSince, r.ID)
 		return false
 	}
--- a/cluster/shardmap/failover_test.go
+++ b/cluster/shardmap/failover_test.go
@@ -28,7 +28,7 @@
 			ranges[i].Status = OwnerStatus(rapid.IntRange(0, 1).Draw(t, "status"))
 		}
 		isHeld := func(id cluster.RangeID) bool {
-			_, _, _, held := leases.Holder(cluster.RangeOwnerResource(id))
+			_, held := leases.Holder(cluster.RangeOwnerResource(id))
 			return held
 		}
 
@@ -89,8 +89,8 @@
 // noLeases implements LeaseHolders without any lease.
 type noLeases struct{}
 
-func (noLeases) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
-	return 0, "", 0, false
+func (noLeases) Holder(cluster.Resource) (cluster.LeaseHolder, bool) {
+	return cluster.LeaseHolder{}, false
 }
 
 // Ranges of a lost owner must not stay without one because the ranges that were split off seem to fill the others'
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -34,7 +34,7 @@
 // LeaseHolders reports who holds a lease according to the log. When the log reports a lease as ended, it has ended
 // at its holder too, by the holder's own clock: package lease ensures that before it ends a lease in the log.
 type LeaseHolders interface {
-	Holder(resource cluster.Resource) (session cluster.SessionID, member cluster.MemberID, epoch cluster.Epoch, held bool)
+	Holder(resource cluster.Resource) (holder cluster.LeaseHolder, held bool)
 }
 
 // New returns an empty map, as a raft node has it: holders is fed by the same log. A member's copy, which never
--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -69,9 +69,9 @@
 }
 
 // Holder implements LeaseHolders.
-func (l fakeLeases) Holder(t cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (l fakeLeases) Holder(t cluster.Resource) (cluster.LeaseHolder, bool) {
 	member, held := l.holders[t]
-	return 1, member, l.epochs[t], held
+	return cluster.LeaseHolder{Session: 1, Member: member, Epoch: l.epochs[t]}, held
 }
 
 func (l fakeLeases) localMember(member cluster.MemberID) LocalMember {
--- a/cluster/shardmap/model_test.go
+++ b/cluster/shardmap/model_test.go
@@ -224,11 +224,11 @@
 }
 
 // Holder implements LeaseHolders for the lease on the one range.
-func (md *model) Holder(cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (md *model) Holder(cluster.Resource) (cluster.LeaseHolder, bool) {
 	if !md.leaseHeld {
-		return 0, "", 0, false
+		return cluster.LeaseHolder{}, false
 	}
-	return 1, memberIDs[md.holder], cluster.Epoch(md.epoch), true
+	return cluster.LeaseHolder{Session: 1, Member: memberIDs[md.holder], Epoch: cluster.Epoch(md.epoch)}, true
 }
 
 // mapStore numbers all maps of one search by their encoding.
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -85,7 +85,7 @@
 func (l *Leader) WasRequestedAndIsFree(resource cluster.Resource) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _, _, held := l.leases.Holder(resource)
+	_, held := l.leases.Holder(resource)
 	return l.grantRequests > 0 && !held
 }
 
