--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,8 @@
 .PHONY: build test lint catalogue run toy system system-toy chaos-cluster chaos-serving random-register
 
-# As deploy/balancer.toml does: the operators' fleet asks for a program that is linked against the C library.
+# As deploy/balancer.toml does: the users' machines ask for a program that is linked against the C library.
 export CGO_ENABLED = 1
 LINKED = -ldflags=-linkmode=external
-# The serving system: its packages and programs.
-SERVING = ./serving/... ./cmd/rowan-proxy ./cmd/rowan-agent ./cmd/rowan-core ./cmd/rowanctl ./cmd/rowan-endpointsim \
-	./test/fake/endpoint ./test/integration/subprocess ./test/integration/serving ./internal/catalogue ./internal/ctxsleep
 
 build:
 	mkdir -p bin && go build $(LINKED) -o bin/ ./cmd/... ./examples/toyserver
@@ -16,7 +13,7 @@
 	go test -count=1 $$(go list ./... | grep -v /test/integration)
 	go test -count=1 -p 1 -timeout 30m ./test/integration/...
 
-# Faults drawn by seed at a fleet of real members: N seeds, from SEED on where it is given.
+# Random faults at a cluster of real members: N seeds, from SEED on where it is given.
 chaos-cluster:
 	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/chaos
 
@@ -24,21 +21,21 @@
 chaos-serving:
 	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestChaos ./test/integration/serving
 
-# Drawn histories of the register: N of three machines and N of five.
+# Random histories of the register: N of three machines and N of five.
 random-register:
 	go test -count=1 -timeout 0 -v -run 'TestRandomHistories$$' ./serving/register -rapid.checks=$(or $(N),1000) | grep -v '/history'
 
 lint:
 	test -z "$$(gofmt -l .)"
 	go vet ./...
-	go tool staticcheck $(SERVING)
+	go tool -modfile=tools/go.mod golangci-lint run ./...
 
-# Writes the lists of settings, log events and result codes in docs/ anew from the code. What was written by hand
-# beside each entry stays.
+# Generates the lists of settings, log events and result codes in docs/ from the code. What was written by hand beside
+# each entry stays.
 catalogue:
 	go run ./internal/catalogue
 
-# A dispatcher with the example configuration; `make toy` in another terminal plays what stands round it.
+# A dispatcher with the example configuration; `make toy` in another terminal plays the platform and two destinations.
 run: build
 	mkdir -p /tmp/rowanlink && LB_CONFIG=examples/config.json LB_STATE=/tmp/rowanlink exec bin/rowanlink
 
@@ -46,7 +43,7 @@
 	exec bin/toyserver
 
 # The whole serving system on this machine's loopback addresses; `make system-toy` in another terminal plays the
-# endpoints round it and puts the first configuration in force.
+# endpoints and activates the first configuration.
 system: build
 	exec examples/system/start
 
