--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -140,7 +140,12 @@
 		NodeName: "n", IP: host, Zone: "z", Region: "r", Regions: map[string]string{"z": "r"}, FirstPort: 17160,
 		Bind:   settings.Bind{Front: net.JoinHostPort(host, "17144"), Ready: net.JoinHostPort(host, "17140")},
 		Limits: settings.Limits{MemoryMB: 100, FileLimit: 1000, CPUCores: 1},
-		Bounds: settings.Bounds{Grace: 400 * time.Millisecond, RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second},
+		Bounds: settings.Bounds{
+			Grace:       400 * time.Millisecond,
+			RetryRatio:  1,
+			RetrySlack:  100,
+			RetryWindow: time.Second,
+		},
 	}
 	agent := startAgent(t, process.FeedAddress())
 	ctx, stop := context.WithCancel(context.Background())
@@ -170,7 +175,7 @@
 	assert.Equal(t, "body i-1", got.body)
 
 	stop()
-	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "the poll under way is broken off for it")
+	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "the poll in flight is interrupted")
 	assert.Equal(t, 503, fetch(t, process.Bind.Ready, "/readiness").status)
 	assert.NoError(t, <-ended)
 }
@@ -213,7 +218,7 @@
 	_, interrupted, err := w.poll(context.Background())
 	require.Error(t, err)
 	assert.False(t, interrupted)
-	assert.Equal(t, observed, w.pending, "what could not be told is kept")
+	assert.Equal(t, observed, w.pending, "unreported observations are retained")
 
 	agent := startAgent(t, address)
 	ctx, stop := context.WithCancel(context.Background())
