--- a/cmd/rowanctl/encoding_test.go
+++ b/cmd/rowanctl/encoding_test.go
@@ -1,22 +1,16 @@
 package main
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/internal/wireschema"
 	"rowanlink/serving/routing"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms compares the form of the JSON output with a golden file.
 func TestEncodedForms(t *testing.T) {
-	golden, err := os.ReadFile(filepath.Join("testdata", "encoded_forms.txt"))
-	require.NoError(t, err)
-	assert.Equal(t, string(golden), wireschema.Describe(wireschema.JSON,
+	encodedforms.AssertGolden(t, wireschema.JSON,
 		acknowledgement{},
 		documentSummary{},
 		[]routing.ItemChange{},
@@ -25,5 +19,5 @@
 		[]replicaRow{},
 		[]dutyRow{},
 		[]versionRow{},
-	))
+	)
 }
--- a/serving/settings/encoding_test.go
+++ b/serving/settings/encoding_test.go
@@ -1,19 +1,15 @@
 package settings
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms compares the form of the settings that rowanctl prints with a golden file.
 func TestEncodedForms(t *testing.T) {
-	golden, err := os.ReadFile(filepath.Join("testdata", "encoded_forms.txt"))
-	require.NoError(t, err)
-	assert.Equal(t, string(golden), wireschema.Describe(wireschema.JSON, Process{}))
+	encodedforms.AssertGolden(t, wireschema.JSON,
+		Process{},
+	)
 }
