--- a/cmd/rowanctl/config.go
+++ b/cmd/rowanctl/config.go
@@ -111,11 +111,14 @@
 		return err
 	}
 	changes := amendment.Changes(document)
-	texts := make([]string, 0, len(changes))
+	if changes == nil {
+		changes = []routing.ItemChange{} // an empty list in JSON, not null
+	}
+	lines := make([]string, 0, len(changes))
 	for _, change := range changes {
-		texts = append(texts, string(change.Kind)+" "+change.List+" "+change.Name)
+		lines = append(lines, fmt.Sprintf("%s %s %s", change.Kind, change.List, change.Name))
 	}
-	return s.print(changes, texts, nil)
+	return s.printLines(changes, lines...)
 }
 
 // configCheckCommand validates a configuration document without calling the system.
@@ -147,5 +150,5 @@
 	}
 	line := fmt.Sprintf("the document is in order: version %d, %d routes, %d services",
 		summary.Version, summary.Routes, summary.Services)
-	return s.print(summary, []string{line}, nil)
+	return s.printLines(summary, line)
 }
--- a/cmd/rowanctl/config_test.go
+++ b/cmd/rowanctl/config_test.go
@@ -117,6 +117,31 @@
 	assert.ErrorContains(t, (&configAmendCommand{File: writeAmendment(t, `{"edition":5,"upsert":{"routes":[]}}`)}).Run(t.Context(), s), "routes")
 }
 
+func TestConfig_AmendDryRunOutput(t *testing.T) {
+	const twoChanges = `{"edition":4,"upsert":{"carriers":[{"name":"s"},{"name":"t"}]}}`
+	const noChanges = `{"edition":4,"remove":{"routings":["absent"]}}`
+	tests := map[string]struct {
+		amendment string
+		json      bool
+		want      string
+	}{
+		"one change a line":  {amendment: twoChanges, want: "add carriers s\nadd carriers t\n"},
+		"no changes":         {amendment: noChanges, want: ""},
+		"no changes as JSON": {amendment: noChanges, json: true, want: "[]\n"},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			s, out := newSession(startCore(t, &fakeRegister{}))
+			require.NoError(t, (&configPutCommand{File: writeDocument(t)}).Run(t.Context(), s))
+			out.Reset()
+			s.json = test.json
+			amend := &configAmendCommand{File: writeAmendment(t, test.amendment), Base: 3, DryRun: true}
+			require.NoError(t, amend.Run(t.Context(), s))
+			assert.Equal(t, test.want, out.String())
+		})
+	}
+}
+
 func TestEvacuate_BeginAndEnd(t *testing.T) {
 	register := &fakeRegister{}
 	s, _ := newSession(startCore(t, register))
--- a/cmd/rowanctl/output.go
+++ b/cmd/rowanctl/output.go
@@ -21,28 +21,37 @@
 
 // printTable prints rows as a table with a header, or as a JSON list.
 func printTable[Row tableRow](s *session, header []string, rows []Row) error {
-	texts := make([][]string, 0, len(rows))
-	for _, row := range rows {
-		texts = append(texts, row.cells())
-	}
-	return s.print(rows, header, texts)
-}
-
-// print prints a value as JSON, or a table with the header and rows.
-func (s *session) print(value any, header []string, rows [][]string) error {
 	if s.json {
-		encoder := json.NewEncoder(s.out)
-		encoder.SetIndent("", "  ")
-		return encoder.Encode(value)
+		return s.printJSON(rows)
 	}
 	table := tabwriter.NewWriter(s.out, 0, 0, columnGap, ' ', 0)
 	writeCells(table, header)
 	for _, row := range rows {
-		writeCells(table, row)
+		writeCells(table, row.cells())
 	}
 	return table.Flush()
 }
 
+// printLines prints a value as JSON, or the lines as they are.
+func (s *session) printLines(value any, lines ...string) error {
+	if s.json {
+		return s.printJSON(value)
+	}
+	for _, line := range lines {
+		if _, err := fmt.Fprintln(s.out, line); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// printJSON prints a value as indented JSON.
+func (s *session) printJSON(value any) error {
+	encoder := json.NewEncoder(s.out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
+
 // writeCells writes a row into the table's buffer. Its errors are those that Flush returns.
 func writeCells(table *tabwriter.Writer, cells []string) {
 	_, _ = fmt.Fprintln(table, strings.Join(cells, "\t"))
@@ -57,7 +66,7 @@
 // printAcknowledgement prints that a change was acknowledged.
 func (s *session) printAcknowledgement(outcome string) error {
 	value := acknowledgement{Acknowledged: true, Outcome: outcome}
-	return s.print(value, []string{"acknowledged: " + outcome}, nil)
+	return s.printLines(value, "acknowledged: "+outcome)
 }
 
 // orNoValue returns the text, or noValue if it is empty.
--- a/cmd/rowanctl/settings.go
+++ b/cmd/rowanctl/settings.go
@@ -20,5 +20,5 @@
 	if err != nil {
 		return err
 	}
-	return s.print(processSettings, []string{"the file is in order"}, nil)
+	return s.printLines(processSettings, "the file is in order")
 }
