--- a/serving/httpserver/body.go
+++ b/serving/httpserver/body.go
@@ -23,8 +23,8 @@
 // errClientDisconnected: the client has closed its connection. There is nobody to respond to.
 var errClientDisconnected = errors.New("client has disconnected")
 
-// readBody reads the complete body of at most limit bytes and counts it in memory; the caller releases it. The error is
-// an errcode error or errClientDisconnected.
+// readBody reads the complete body of at most limit bytes and counts it in memory. The caller releases it, unless there
+// is an error. The error is an errcode error or errClientDisconnected.
 func readBody(r *http.Request, limit int, memory *bodyMemory) ([]byte, error) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -38,6 +38,17 @@
 	if !memory.reserve(r.ContentLength) {
 		return nil, errcode.TooManyLargeBodies.With("%d bytes", r.ContentLength)
 	}
+	body, err := readBodyWithin(r, limit)
+	if err != nil {
+		memory.release(r.ContentLength)
+		return nil, err
+	}
+	return body, nil
+}
+
+// readBodyWithin reads the complete body of at most limit bytes. The error is an errcode error or
+// errClientDisconnected.
+func readBodyWithin(r *http.Request, limit int) ([]byte, error) {
 	body, err := readBodyBytes(r, limit)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
