--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -4,79 +4,161 @@
 	"rowanlink/webhook/api"
 )
 
-// sent is one attempt that the module asked for.
-type sent struct {
+// The event types of testSettings.
+const (
+	idempotentEvent api.EventTypeID = iota
+	deduplicatedEvent
+	atMostOnceEvent
+	orderedEvent
+)
+
+// The destination kinds of testSettings.
+const (
+	plainKind api.DestinationKindID = iota
+	batchingKind
+	separateRoutesKind
+)
+
+const (
+	webhookTTL      = 20 * api.Second
+	turnInterval    = api.Micros(5000)
+	testOrderingKey = api.OrderingKey(5)
+)
+
+// startedAttempt is one attempt that the policy started.
+type startedAttempt struct {
 	id       api.WebhookID
-	ep       api.EndpointID
+	endpoint api.EndpointID
 	at       api.Micros
-	patience api.Micros
+	timeout  api.Micros
 	latest   api.Micros
 }
 
-// fakeHost writes down what the module does; the story moves its clock.
+// fakeHost records what the policy does; the scenario moves its clock.
 type fakeHost struct {
-	now      api.Micros
-	sent     []sent
-	rejected map[api.WebhookID]api.Micros
-	dead     []api.WebhookID
-	wakes    map[api.TimerID]api.Micros
-	logs     []string
-	answers  int
+	now          api.Micros
+	attempts     []startedAttempt
+	rejected     map[api.WebhookID]api.Micros // the advised wait
+	deadLettered []api.WebhookID
+	timers       map[api.TimerID]api.Micros // when each expires
+	logs         []string
+	answers      int // final answers
 
-	cancelled []api.WebhookID
-	closed    []api.EndpointID
+	cancelled  []api.WebhookID
+	closedIdle []api.EndpointID
 }
 
 func (h *fakeHost) Now() api.Micros { return h.now }
-func (h *fakeHost) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, latest api.Micros) {
-	h.sent = append(h.sent, sent{id, ep, h.now, patience, latest})
+
+func (h *fakeHost) StartAttempt(id api.WebhookID, endpoint api.EndpointID, timeout, latest api.Micros) {
+	h.attempts = append(h.attempts, startedAttempt{
+		id:       id,
+		endpoint: endpoint,
+		at:       h.now,
+		timeout:  timeout,
+		latest:   latest,
+	})
 }
-func (h *fakeHost) CancelAttempt(id api.WebhookID, attempt int) {
+
+func (h *fakeHost) CancelAttempt(id api.WebhookID, _ int) {
 	h.cancelled = append(h.cancelled, id)
 }
-func (h *fakeHost) Reject(id api.WebhookID, advised api.Micros) {
-	h.rejected[id] = advised
+
+func (h *fakeHost) Reject(id api.WebhookID, retryAfter api.Micros) {
+	h.rejected[id] = retryAfter
 	h.answers++
 }
+
 func (h *fakeHost) DeadLetter(id api.WebhookID) {
-	h.dead = append(h.dead, id)
+	h.deadLettered = append(h.deadLettered, id)
 	h.answers++
 }
-func (h *fakeHost) SetTimer(in api.Micros, timer api.TimerID) { h.wakes[timer] = h.now + in }
-func (h *fakeHost) CloseIdleConnections(ep api.EndpointID)    { h.closed = append(h.closed, ep) }
-func (h *fakeHost) Log(text string)                           { h.logs = append(h.logs, text) }
 
-// story is a dispatcher on a fake host, with event types 0 idempotent, 1 tokened, 2 at-most-once, 3 ordered.
-type story struct {
-	*Policy
-	h *fakeHost
+func (h *fakeHost) SetTimer(after api.Micros, timer api.TimerID) {
+	h.timers[timer] = h.now + after
+}
+
+func (h *fakeHost) CloseIdleConnections(endpoint api.EndpointID) {
+	h.closedIdle = append(h.closedIdle, endpoint)
 }
 
-const sec = api.Second
+func (h *fakeHost) Log(text string) {
+	h.logs = append(h.logs, text)
+}
+
+func (h *fakeHost) lastAttempt() startedAttempt {
+	return h.attempts[len(h.attempts)-1]
+}
 
-func plainFacts() api.Settings {
-	return api.Settings{Seed: 7, Dispatchers: 1, MaxInFlight: 8, BufferSize: 100, MaxAttempts: 6, MaxRetryAfter: 3 * sec,
-		DestinationKinds: []api.DestinationKind{{BatchSize: 1}, {BatchSize: 3}, {BatchSize: 1, SeparateRoutes: true}}, MinTurnInterval: 5000, RatesListed: true,
-		ConnectTimeout: sec, OrderingGap: 2 * sec,
-		SlowStartCapacity: 0.2, SlowStartDuration: 10 * sec, OverloadFactor: 2, OverloadDuration: 2 * sec,
+// testSettings are those of one dispatcher alone.
+func testSettings() api.Settings {
+	eventType := func(semantics api.Semantics) api.EventType {
+		return api.EventType{LatencyTarget: 2 * api.Second, TTL: webhookTTL, Value: 1, Semantics: semantics}
+	}
+	deduplicated := eventType(api.Deduplicated)
+	deduplicated.DedupWindow = 8 * api.Second
+	ordered := eventType(api.Idempotent)
+	ordered.Ordered = true
+	return api.Settings{
+		Seed:          7,
+		Dispatchers:   1,
+		MaxInFlight:   8,
+		BufferSize:    100,
+		MaxAttempts:   6,
+		MaxRetryAfter: 3 * api.Second,
+		DestinationKinds: []api.DestinationKind{
+			plainKind:          {BatchSize: 1},
+			batchingKind:       {BatchSize: 3},
+			separateRoutesKind: {BatchSize: 1, SeparateRoutes: true},
+		},
+		MinTurnInterval:   turnInterval,
+		RatesListed:       true,
+		ConnectTimeout:    api.Second,
+		OrderingGap:       2 * api.Second,
+		SlowStartCapacity: 0.2,
+		SlowStartDuration: 10 * api.Second,
+		OverloadFactor:    2,
+		OverloadDuration:  2 * api.Second,
 		EventTypes: []api.EventType{
-			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.Idempotent},
-			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.Deduplicated, DedupWindow: 8 * sec},
-			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.AtMostOnce},
-			{LatencyTarget: 2 * sec, TTL: 20 * sec, Value: 1, Semantics: api.Idempotent, Ordered: true},
-		}}
-}
-
-// begin starts a story: destination d has endpoints 10d and 10d+1 of the kind given.
-func begin(f api.Settings, kinds ...api.DestinationKindID) *story {
-	h := &fakeHost{now: 100 * sec, rejected: map[api.WebhookID]api.Micros{},
-		wakes: map[api.TimerID]api.Micros{}}
-	s := &story{New(f, h), h}
+			idempotentEvent:   eventType(api.Idempotent),
+			deduplicatedEvent: deduplicated,
+			atMostOnceEvent:   eventType(api.AtMostOnce),
+			orderedEvent:      ordered,
+		},
+	}
+}
+
+// settingsWithoutRates are testSettings for one of so many dispatchers, with lists that state no rates.
+func settingsWithoutRates(dispatchers int) api.Settings {
+	settings := testSettings()
+	settings.Dispatchers = dispatchers
+	settings.RatesListed = false
+	return settings
+}
+
+// scenario drives a policy that acts on a fake host.
+type scenario struct {
+	*Policy
+	fake *fakeHost
+}
+
+// startScenario starts a policy. Destination d is of the d-th kind and has the endpoints 10d and 10d+1.
+func startScenario(settings api.Settings, kinds ...api.DestinationKindID) *scenario {
+	host := &fakeHost{
+		now:      100 * api.Second,
+		rejected: map[api.WebhookID]api.Micros{},
+		timers:   map[api.TimerID]api.Micros{},
+	}
+	s := &scenario{Policy: New(settings, host), fake: host}
 	var list []api.EndpointEntry
-	for d, k := range kinds {
+	for d, kind := range kinds {
 		for i := range 2 {
-			list = append(list, api.EndpointEntry{Endpoint: api.EndpointID(10*d + i),
-				Destination: api.DestinationID(d), Kind: k, Rate: 1000})
+			list = append(list, api.EndpointEntry{
+				Endpoint:    api.EndpointID(10*d + i),
+				Destination: api.DestinationID(d),
+				Kind:        kind,
+				Rate:        1000,
+			})
 		}
 	}
 	s.UpdateEndpoints(list, true)
@@ -84,55 +166,80 @@
 	return s
 }
 
-func (s *story) take(id api.WebhookID, evt api.EventTypeID, dest api.DestinationID) {
-	s.Submit(api.Webhook{ID: id, EventType: evt, OrderingKey: 5, Deadline: s.h.now + 20*sec, Destination: dest})
+// startRateLimitedScenario starts a scenario of one of so many dispatchers, at destinations with endpoints 0 and 10 that
+// each take four calls a second.
+func startRateLimitedScenario(dispatchers int) *scenario {
+	settings := testSettings()
+	settings.Dispatchers = dispatchers
+	s := startScenario(settings, plainKind, plainKind)
+	for d := range api.DestinationID(2) {
+		entry := api.EndpointEntry{Endpoint: api.EndpointID(10 * d), Destination: d, Rate: 4}
+		s.UpdateEndpoints([]api.EndpointEntry{entry}, false)
+	}
+	return s
 }
 
-// came reports an outcome of the webhook's attempt that is out and closes the turn.
-func (s *story) came(id api.WebhookID, what api.Outcome, wait api.Micros) {
-	s.report(id, what, wait)
-	s.EndTurn()
+// submit submits a webhook within the present turn.
+func (s *scenario) submit(id api.WebhookID, eventType api.EventTypeID, destination api.DestinationID) {
+	s.Submit(api.Webhook{
+		ID:          id,
+		EventType:   eventType,
+		OrderingKey: testOrderingKey,
+		Deadline:    s.fake.now + webhookTTL,
+		Destination: destination,
+	})
 }
 
-func (s *story) report(id api.WebhookID, what api.Outcome, wait api.Micros) {
-	for i := len(s.h.sent) - 1; i >= 0; i-- {
-		if x := s.h.sent[i]; x.id == id {
-			s.AttemptEnded(api.AttemptResult{
-				Webhook:    id,
-				Endpoint:   x.ep,
-				Outcome:    what,
-				Latency:    s.h.now - x.at,
-				Final:      what == api.Delivered,
-				RetryAfter: wait,
-			})
-			return
+// endAttempt reports the outcome of the webhook's last attempt.
+func (s *scenario) endAttempt(id api.WebhookID, outcome api.Outcome, retryAfter api.Micros) {
+	for i := len(s.fake.attempts) - 1; i >= 0; i-- {
+		attempt := s.fake.attempts[i]
+		if attempt.id != id {
+			continue
 		}
+		s.AttemptEnded(api.AttemptResult{
+			Webhook:    id,
+			Endpoint:   attempt.endpoint,
+			Outcome:    outcome,
+			Latency:    s.fake.now - attempt.at,
+			Final:      outcome == api.Delivered,
+			RetryAfter: retryAfter,
+		})
+		return
 	}
 }
 
-// all reports the same outcome, if there is one to report, for each attempt that is out and closes the turn.
-func (s *story) all(of func(ep api.EndpointID) api.Outcome) (n int) {
-	for _, x := range s.h.sent {
-		if w := s.webhooks[x.id]; w != nil && w.call != nil {
-			s.report(x.id, of(w.call.endpoint.id), 0)
-			n++
+// endAttemptAndTurn reports the outcome of the webhook's last attempt and ends the turn.
+func (s *scenario) endAttemptAndTurn(id api.WebhookID, outcome api.Outcome, retryAfter api.Micros) {
+	s.endAttempt(id, outcome, retryAfter)
+	s.EndTurn()
+}
+
+// endAllAttempts reports an outcome for each attempt in flight, ends the turn and returns the number of attempts.
+func (s *scenario) endAllAttempts(outcomeAt func(api.EndpointID) api.Outcome) int {
+	ended := 0
+	for _, attempt := range s.fake.attempts {
+		if w := s.webhooks[attempt.id]; w != nil && w.call != nil {
+			s.endAttempt(attempt.id, outcomeAt(w.call.endpoint.id), 0)
+			ended++
 		}
 	}
 	s.EndTurn()
-	return n
+	return ended
 }
 
-func always(what api.Outcome) func(api.EndpointID) api.Outcome {
-	return func(api.EndpointID) api.Outcome { return what }
+// always has each attempt end with the same outcome.
+func always(outcome api.Outcome) func(api.EndpointID) api.Outcome {
+	return func(api.EndpointID) api.Outcome { return outcome }
 }
 
-// run moves the clock on in small turns, waking the module when its timers are due.
-func (s *story) run(span api.Micros) {
-	for until := s.h.now + span; s.h.now < until; {
-		s.h.now += 5000
+// advance moves the clock on turn by turn and fires the timers that expire.
+func (s *scenario) advance(span api.Micros) {
+	for until := s.fake.now + span; s.fake.now < until; {
+		s.fake.now += turnInterval
 		for _, timer := range []api.TimerID{timerPeriodic, timerQueue} {
-			if at, ok := s.h.wakes[timer]; ok && at <= s.h.now {
-				delete(s.h.wakes, timer)
+			if at, ok := s.fake.timers[timer]; ok && at <= s.fake.now {
+				delete(s.fake.timers, timer)
 				s.TimerFired(timer)
 			}
 		}
@@ -140,11 +247,13 @@
 	}
 }
 
-func (s *story) sentOf(id api.WebhookID) (n int) {
-	for _, x := range s.h.sent {
-		if x.id == id {
-			n++
+// attemptsOf returns how many attempts of a webhook were started.
+func (s *scenario) attemptsOf(id api.WebhookID) int {
+	attempts := 0
+	for _, attempt := range s.fake.attempts {
+		if attempt.id == id {
+			attempts++
 		}
 	}
-	return n
+	return attempts
 }
--- a/webhook/policy/outcome_test.go
+++ b/webhook/policy/outcome_test.go
@@ -8,14 +8,14 @@
 	"rowanlink/webhook/api"
 )
 
-func TestOneDeadEndpointLeavesTheOtherInUse(t *testing.T) {
-	s := begin(plainFacts(), 0)
+func TestOneFailedEndpointLeavesTheOtherInUse(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
 	delivered := 0
 	for id := range api.WebhookID(60) {
-		s.take(id, 0, 0)
-		s.run(sec / 10)
-		s.all(func(ep api.EndpointID) api.Outcome {
-			if ep == 0 {
+		s.submit(id, idempotentEvent, 0)
+		s.advance(api.Second / 10)
+		s.endAllAttempts(func(endpoint api.EndpointID) api.Outcome {
+			if endpoint == 0 {
 				return api.ConnectionReset
 			}
 			delivered++
@@ -26,18 +26,18 @@
 	assert.Greater(t, delivered, 50)
 }
 
-func TestConnectionCapIsNoOutage(t *testing.T) {
-	s := begin(plainFacts(), 0)
+func TestConnectionLimitIsNotTakenForAnOutage(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
 	for id := range api.WebhookID(80) {
-		s.take(id, 0, 0)
-		s.run(sec / 20)
-		if id%2 == 1 { // of two calls at an endpoint the second finds no connection
-			seen := map[api.EndpointID]bool{}
-			s.all(func(ep api.EndpointID) api.Outcome {
-				if seen[ep] {
+		s.submit(id, idempotentEvent, 0)
+		s.advance(api.Second / 20)
+		if id%2 == 1 { // of two calls to an endpoint the second gets no connection
+			connected := map[api.EndpointID]bool{}
+			s.endAllAttempts(func(endpoint api.EndpointID) api.Outcome {
+				if connected[endpoint] {
 					return api.ConnectFailed
 				}
-				seen[ep] = true
+				connected[endpoint] = true
 				return api.Delivered
 			})
 		}
@@ -49,125 +49,132 @@
 	assert.Equal(t, never, s.destinations[0].sharedRoute.slowStartSince)
 }
 
-// With a call every few seconds nothing was delivered of late: a connection too many passed for an outage.
-func TestAConnectionTurnedAwayIsNoOutageWhereCallsAreRare(t *testing.T) {
-	s := begin(plainFacts(), 0)
-	r := s.destinations[0].sharedRoute
+// Guards against a rejected connection taken for an outage where calls are so rare that nothing was delivered recently.
+func TestRejectedConnectionIsNotTakenForAnOutageWhenCallsAreRare(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
+	route := s.destinations[0].sharedRoute
 	for id := api.WebhookID(1); id < 40; id += 2 {
-		s.take(id, 0, 0)
+		s.submit(id, idempotentEvent, 0)
 		s.EndTurn()
-		r = s.destinations[0].sharedRoute
-		s.came(id, api.ConnectionLimited, 0)
-		assert.Equal(t, never, r.slowStartSince)
-		s.run(4 * sec) // it is tried again meanwhile
-		s.came(id, api.Delivered, 0)
-		s.run(4 * sec)
+		route = s.destinations[0].sharedRoute
+		s.endAttemptAndTurn(id, api.ConnectionLimited, 0)
+		assert.Equal(t, never, route.slowStartSince)
+		s.advance(4 * api.Second) // it is retried meanwhile
+		s.endAttemptAndTurn(id, api.Delivered, 0)
+		s.advance(4 * api.Second)
 	}
-	assert.False(t, r.unhealthy)
-	for id := range api.WebhookID(4 * unhealthyAfterRejections) { // nothing else for long: it may be shut
-		s.take(100+id, 0, 0)
+	assert.False(t, route.unhealthy)
+	for id := range api.WebhookID(4 * unhealthyAfterRejections) { // nothing else for long: it may be out of service
+		s.submit(100+id, idempotentEvent, 0)
 		s.EndTurn()
-		s.all(always(api.ConnectionLimited))
-		s.run(2 * sec)
+		s.endAllAttempts(always(api.ConnectionLimited))
+		s.advance(2 * api.Second)
 	}
-	assert.True(t, r.unhealthy)
+	assert.True(t, route.unhealthy)
 }
 
-func TestManyDispatchersHangUpAtACrowdedKind(t *testing.T) {
-	for _, fleet := range []int{2, 200} {
-		s := crowd(fleet)
-		s.take(1, 0, 0)
+func TestManyDispatchersCloseIdleConnectionsWhereConnectionsAreShort(t *testing.T) {
+	for _, dispatchers := range []int{2, 200} {
+		s := startRateLimitedScenario(dispatchers)
+		s.submit(1, idempotentEvent, 0)
 		s.EndTurn()
-		s.came(1, api.Delivered, 0)
-		s.run(sec)
-		assert.Empty(t, s.h.closed, "idle connections serve until one is missed")
-		s.take(2, 0, 1)
+		s.endAttemptAndTurn(1, api.Delivered, 0)
+		s.advance(api.Second)
+		assert.Empty(t, s.fake.closedIdle, "idle connections are kept until one is rejected")
+		s.submit(2, idempotentEvent, 1)
 		s.EndTurn()
-		s.came(2, api.ConnectFailed, 0) // at another destination of the kind
-		s.run(sec)
-		assert.Equal(t, fleet == 200, len(s.h.closed) > 0)
-		// From now on none rests, not even until the next look: of hundreds that would always be many.
-		s.h.closed = nil
-		s.take(3, 0, 0)
+		s.endAttemptAndTurn(2, api.ConnectFailed, 0) // at another destination of the kind
+		s.advance(api.Second)
+		assert.Equal(t, dispatchers == 200, len(s.fake.closedIdle) > 0)
+		// From now on none stays idle, not even until the next periodic work: with hundreds of dispatchers many would be.
+		s.fake.closedIdle = nil
+		s.submit(3, idempotentEvent, 0)
 		s.EndTurn()
-		assert.Empty(t, s.h.closed)
-		s.came(3, api.Delivered, 0)
-		assert.Equal(t, fleet == 200, len(s.h.closed) > 0)
+		assert.Empty(t, s.fake.closedIdle)
+		s.endAttemptAndTurn(3, api.Delivered, 0)
+		assert.Equal(t, dispatchers == 200, len(s.fake.closedIdle) > 0)
 	}
 }
 
-func TestASecondFailureOfFewCallsIsTakenForAnOutage(t *testing.T) {
-	for _, seldom := range []bool{true, false} {
-		s := crowd(200)
-		s.take(1, 0, 0)
+func TestSecondFailureIsTakenForAnOutageWhenCallsAreRare(t *testing.T) {
+	for _, rare := range []bool{true, false} {
+		s := startRateLimitedScenario(200)
+		s.submit(1, idempotentEvent, 0)
 		s.EndTurn()
-		s.came(1, api.Delivered, 0)
-		if seldom {
-			s.run(5 * sec)
+		s.endAttemptAndTurn(1, api.Delivered, 0)
+		if rare {
+			s.advance(5 * api.Second)
 		}
-		s.now = s.h.now
-		s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.ErrorResponse, Latency: sec / 10})
-		assert.EqualValues(t, never, s.destinations[0].sharedRoute.slowStartSince, "one may be a stray")
-		silent := crowd(200)
-		silent.take(1, 0, 0)
-		silent.run(5 * sec)
-		silent.now = silent.h.now
-		silent.recordOutcome(silent.endpoints[0], api.AttemptResult{Outcome: api.ConnectFailed, Latency: sec})
-		assert.NotEqualValues(t, never, silent.destinations[0].sharedRoute.slowStartSince, "who says nothing at all is out")
-		s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.ErrorResponse, Latency: sec / 10})
-		assert.Equal(t, seldom, s.destinations[0].sharedRoute.slowStartSince != never)
+		s.now = s.fake.now
+		s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.ErrorResponse, Latency: api.Second / 10})
+		assert.EqualValues(t, never, s.destinations[0].sharedRoute.slowStartSince, "one failure may be accidental")
+
+		unresponsive := startRateLimitedScenario(200)
+		unresponsive.submit(1, idempotentEvent, 0)
+		unresponsive.advance(5 * api.Second)
+		unresponsive.now = unresponsive.fake.now
+		unresponsive.recordOutcome(unresponsive.endpoints[0], api.AttemptResult{Outcome: api.ConnectFailed, Latency: api.Second})
+		assert.NotEqualValues(t, never, unresponsive.destinations[0].sharedRoute.slowStartSince,
+			"an endpoint that never answered is out of service")
+
+		s.recordOutcome(s.endpoints[0], api.AttemptResult{Outcome: api.ErrorResponse, Latency: api.Second / 10})
+		assert.Equal(t, rare, s.destinations[0].sharedRoute.slowStartSince != never)
 	}
 }
 
-// Guards against a stray broken connection taken for a cap on connections, or for a failing destination.
-func TestConnectionsThatBreakBesideDeliveriesChangeLittle(t *testing.T) {
-	s := begin(plainFacts(), 0)
+// Guards against an accidental connection failure taken for a connection limit or for a failing destination.
+func TestConnectionFailuresAmongDeliveriesChangeLittle(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
 	id := api.WebhookID(0)
-	call := func(what api.Outcome) {
+	call := func(outcome api.Outcome) {
 		id++
-		s.take(id, 0, 0)
+		s.submit(id, idempotentEvent, 0)
 		s.EndTurn()
-		s.run(sec / 10)
-		s.came(id, what, 0)
+		s.advance(api.Second / 10)
+		s.endAttemptAndTurn(id, outcome, 0)
 	}
 	for range 9 {
 		call(api.Delivered)
 	}
 	call(api.ConnectFailed)
-	e := s.webhooks[id].destination.endpoints[0]
-	assert.Less(t, e.connectionLimit, 2.0)
+	endpoint := s.webhooks[id].destination.endpoints[0]
+	assert.Less(t, endpoint.connectionLimit, 2.0)
 	for range 16 {
 		call(api.Delivered)
 	}
-	assert.GreaterOrEqual(t, e.connectionLimit, 3.0)
+	assert.GreaterOrEqual(t, endpoint.connectionLimit, 3.0)
 	for range 9 {
 		for range 3 {
 			call(api.ConnectionReset)
-			s.run(sec / 5)
+			s.advance(api.Second / 5)
 		}
 		call(api.Delivered)
 	}
-	assert.EqualValues(t, never, e.route.slowStartSince)
-	assert.Empty(t, s.h.logs, "none was taken for an outage")
+	assert.EqualValues(t, never, endpoint.route.slowStartSince)
+	assert.Empty(t, s.fake.logs, "none was taken for an outage")
 }
 
-// Guards against caps on connections taken for outages where the port can't tell them apart.
-func TestAQuickFailedConnectIsACapAndASilentOneAnOutage(t *testing.T) {
+// Guards against connection limits taken for outages where the host can't tell them apart.
+func TestFastConnectFailureIsAConnectionLimitAndASlowOneAnOutage(t *testing.T) {
 	for _, c := range []struct {
-		took   api.Micros
-		told   bool
-		crowds bool
-	}{{sec / 20, false, true}, {sec, false, false}, {sec / 20, true, false}} {
-		f := untold(200)
-		f.ConnectionLimitsReported = c.told
-		s := begin(f, 0)
-		s.now = s.h.now
+		latency        api.Micros
+		limitsReported bool
+		wantLimit      bool
+	}{
+		{latency: api.Second / 20, limitsReported: false, wantLimit: true},
+		{latency: api.Second, limitsReported: false, wantLimit: false},
+		{latency: api.Second / 20, limitsReported: true, wantLimit: false},
+	} {
+		settings := settingsWithoutRates(200)
+		settings.ConnectionLimitsReported = c.limitsReported
+		s := startScenario(settings, plainKind)
+		s.now = s.fake.now
 		s.ensureRoute(s.destinations[0])
-		e := s.destinations[0].endpoints[0]
+		endpoint := s.destinations[0].endpoints[0]
 		for range 3 {
-			s.recordOutcome(e, api.AttemptResult{Outcome: api.ConnectFailed, Latency: c.took})
+			s.recordOutcome(endpoint, api.AttemptResult{Outcome: api.ConnectFailed, Latency: c.latency})
 		}
-		assert.Equal(t, c.crowds, e.consecutiveFailures == 0)
-		assert.Equal(t, !c.crowds, s.destinations[0].sharedRoute.slowStartSince != never)
+		assert.Equal(t, c.wantLimit, endpoint.consecutiveFailures == 0)
+		assert.Equal(t, !c.wantLimit, s.destinations[0].sharedRoute.slowStartSince != never)
 	}
 }
--- a/webhook/policy/policy_test.go
+++ b/webhook/policy/policy_test.go
@@ -8,98 +8,114 @@
 	"rowanlink/webhook/api"
 )
 
-func TestSentAndBackWithinOneTurnIsNotSentTwice(t *testing.T) {
-	s := begin(plainFacts(), 0)
-	s.take(1, 0, 0)
+func TestWebhookSentAndReturnedWithinOneTurnIsNotSentTwice(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
+	s.submit(1, idempotentEvent, 0)
 	s.EndTurn()
-	s.report(1, api.ConnectFailed, 0)
-	s.run(3 * sec)
-	assert.Equal(t, 2, s.sentOf(1))
+	s.endAttempt(1, api.ConnectFailed, 0)
+	s.advance(3 * api.Second)
+	assert.Equal(t, 2, s.attemptsOf(1))
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	play := func() []sent {
-		s := begin(plainFacts(), 0, 1, 2)
+func TestSameInputsGiveSameActions(t *testing.T) {
+	run := func() []startedAttempt {
+		s := startScenario(testSettings(), plainKind, batchingKind, separateRoutesKind)
 		for id := range api.WebhookID(60) {
-			s.take(id, api.EventTypeID(id%4), api.DestinationID(id%3))
-			s.run(20000)
+			s.submit(id, api.EventTypeID(id%4), api.DestinationID(id%3))
+			s.advance(4 * turnInterval)
 			if id%2 == 0 {
-				s.came(id/2, api.Outcome(id%5), 0)
+				s.endAttemptAndTurn(id/2, api.Outcome(id%5), 0)
 			}
 		}
-		return s.h.sent
+		return s.fake.attempts
 	}
-	assert.Equal(t, play(), play())
+	assert.Equal(t, run(), run())
 }
 
-func TestSparseFactsLoseNothing(t *testing.T) {
+func TestMinimalSettingsLoseNoWebhook(t *testing.T) {
 	for _, slots := range []int{0, 1, 2} {
-		s := begin(api.Settings{MaxInFlight: slots}, 0, 0)
-		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: 50, Destination: 7, Kind: 9, Status: api.EndpointRemoved}}, false)
+		s := startScenario(api.Settings{MaxInFlight: slots}, plainKind, plainKind)
+		unknown := api.EndpointEntry{Endpoint: 50, Destination: 7, Kind: 9, Status: api.EndpointRemoved}
+		s.UpdateEndpoints([]api.EndpointEntry{unknown}, false)
 		for id := range api.WebhookID(10) {
-			s.Submit(api.Webhook{ID: id, EventType: api.EventTypeID(id), Tenant: 3, Deadline: s.h.now + 5*sec,
-				Destination: api.DestinationID(id)})
+			s.Submit(api.Webhook{
+				ID:          id,
+				EventType:   api.EventTypeID(id),
+				Tenant:      3,
+				Deadline:    s.fake.now + 5*api.Second,
+				Destination: api.DestinationID(id),
+			})
 		}
-		s.run(6 * sec)
+		s.advance(6 * api.Second)
 		for id := range api.WebhookID(10) {
-			if w := s.webhooks[id]; w != nil {
-				s.came(id, api.Rejected, 0)
+			if s.webhooks[id] != nil {
+				s.endAttemptAndTurn(id, api.Rejected, 0)
 			}
 		}
-		assert.Equal(t, 10, s.h.answers)
+		assert.Equal(t, 10, s.fake.answers)
 	}
 }
 
-// Guards against memory that grows with everyone who ever was: endpoints are replaced all day, keys are new.
-func TestThoseLongGoneAreForgotten(t *testing.T) {
-	s := begin(plainFacts(), 0)
+// Guards against unbounded memory: endpoints are replaced all day, and ordering keys are new ones.
+func TestRemovedEndpointsAndIdleOrderingKeysAreForgotten(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
 	for i := range api.WebhookID(20) {
-		s.Submit(api.Webhook{ID: i, EventType: 3, OrderingKey: api.OrderingKey(i + 1), Deadline: s.h.now + 20*sec})
-		s.run(sec / 2)
-		s.came(i, api.Delivered, 0)
-		ep := api.EndpointID(100 + i)
-		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: ep, Rate: 1000}, {Endpoint: ep - 1, Status: api.EndpointRemoved}}, false)
+		s.Submit(api.Webhook{
+			ID:          i,
+			EventType:   orderedEvent,
+			OrderingKey: api.OrderingKey(i + 1),
+			Deadline:    s.fake.now + webhookTTL,
+		})
+		s.advance(api.Second / 2)
+		s.endAttemptAndTurn(i, api.Delivered, 0)
+		added := api.EndpointID(100 + i)
+		s.UpdateEndpoints([]api.EndpointEntry{
+			{Endpoint: added, Rate: 1000},
+			{Endpoint: added - 1, Status: api.EndpointRemoved},
+		}, false)
 	}
-	assert.Greater(t, len(s.endpoints), 20, "what may come back is known")
-	s.run(101 * sec)
+	assert.Greater(t, len(s.endpoints), 20, "endpoints that may return are remembered")
+	s.advance(101 * api.Second)
 	assert.Len(t, s.endpoints, 3)
 	assert.Empty(t, s.sequences)
-	s.take(99, 0, 0)
+	s.submit(99, idempotentEvent, 0)
 	s.EndTurn()
-	assert.Equal(t, 1, s.sentOf(99))
+	assert.Equal(t, 1, s.attemptsOf(99))
 }
 
-func TestOnlyWhatIsInUseIsWalked(t *testing.T) {
-	s := begin(plainFacts(), 0, 0, 0)
-	s.take(1, 0, 2)
-	s.take(2, 0, 2) // the window is one: this one waits
+func TestOnlyDestinationsAndEndpointsInUseAreVisited(t *testing.T) {
+	s := startScenario(testSettings(), plainKind, plainKind, plainKind)
+	s.submit(1, idempotentEvent, 2)
+	s.submit(2, idempotentEvent, 2) // it waits: the window is one call
 	s.EndTurn()
 	assert.Equal(t, []*destination{s.destinations[2]}, s.backlogged)
-	s.came(1, api.Delivered, 0)
-	s.run(sec)
-	s.came(2, api.Delivered, 0)
+	s.endAttemptAndTurn(1, api.Delivered, 0)
+	s.advance(api.Second)
+	s.endAttemptAndTurn(2, api.Delivered, 0)
 	assert.Empty(t, s.backlogged)
 	assert.Len(t, s.connectedEndpoints, 1)
 }
 
-// Guards against a reload that loses, repeats or re-terms what was taken on before it.
-func TestNewFactsLeaveWhatIsHeldItsTermsAndDropNothing(t *testing.T) {
-	f, less := plainFacts(), plainFacts()
-	s := begin(f, 0, 0, 0, 0)
+// Guards against a reload that loses, duplicates or changes the terms of webhooks accepted before it.
+func TestNewSettingsKeepTheTermsOfPendingWebhooksAndDropNone(t *testing.T) {
+	settings, reduced := testSettings(), testSettings()
+	s := startScenario(settings, plainKind, plainKind, plainKind, plainKind)
 	for id := range api.WebhookID(60) {
-		s.take(id, 2, api.DestinationID(id%4))
+		s.submit(id, atMostOnceEvent, api.DestinationID(id%4))
 	}
 	s.EndTurn()
-	out := s.inFlight
-	less.MaxInFlight, less.BufferSize, less.Dispatchers = 2, 5, 2
-	less.EventTypes = append(less.EventTypes[:2], less.EventTypes[0])
-	s.UpdateSettings(less)
-	assert.InDelta(t, 500, s.destinations[0].sharedRoute.listedRate, 1, "a part of the new fleet's")
-	s.all(always(api.TimedOut))
-	assert.Len(t, s.h.dead, out, "taken as at-most-once, each ends so")
-	assert.Empty(t, s.h.rejected, "what is beyond the new buffer drains")
+	inFlight := s.inFlight
+	reduced.MaxInFlight = 2
+	reduced.BufferSize = 5
+	reduced.Dispatchers = 2
+	reduced.EventTypes = append(reduced.EventTypes[:atMostOnceEvent], reduced.EventTypes[idempotentEvent])
+	s.UpdateSettings(reduced)
+	assert.InDelta(t, 500, s.destinations[0].sharedRoute.listedRate, 1, "the share of one of two dispatchers")
+	s.endAllAttempts(always(api.TimedOut))
+	assert.Len(t, s.fake.deadLettered, inFlight, "accepted as at-most-once, each ends so")
+	assert.Empty(t, s.fake.rejected, "webhooks beyond the new buffer size drain")
 	assert.LessOrEqual(t, s.inFlight, 2)
-	s.UpdateSettings(f)
-	s.take(100, 2, 0)
-	assert.Equal(t, api.AtMostOnce, s.webhooks[100].eventType.Semantics, "the way back is the same step")
+	s.UpdateSettings(settings)
+	s.submit(100, atMostOnceEvent, 0)
+	assert.Equal(t, api.AtMostOnce, s.webhooks[100].eventType.Semantics, "the old settings are in force again")
 }
--- a/webhook/policy/rate_limit_test.go
+++ b/webhook/policy/rate_limit_test.go
@@ -8,106 +8,96 @@
 	"rowanlink/webhook/api"
 )
 
-func TestToldWaitHoldsEveryWebhookOfTheDestination(t *testing.T) {
-	s := begin(plainFacts(), 1)
+func TestRetryAfterDelaysAllWebhooksOfTheDestination(t *testing.T) {
+	s := startScenario(testSettings(), batchingKind)
 	for id := range api.WebhookID(3) {
-		s.take(id, 0, 0)
+		s.submit(id, idempotentEvent, 0)
 	}
-	s.EndTurn() // they share a call
-	s.report(0, api.Rejected, sec/2)
-	s.report(1, api.Rejected, 3*sec/2) // each may be told its own wait: the longest holds
-	s.came(2, api.Rejected, 0)
-	s.take(9, 0, 0)
-	s.run(3*sec/2 - 10000)
-	assert.Len(t, s.h.sent, 3)
-	s.run(sec)
-	assert.Greater(t, len(s.h.sent), 3)
+	s.EndTurn() // the webhooks share a call
+	s.endAttempt(0, api.Rejected, api.Second/2)
+	s.endAttempt(1, api.Rejected, 3*api.Second/2) // each may have its own delay: the longest counts
+	s.endAttemptAndTurn(2, api.Rejected, 0)
+	s.submit(9, idempotentEvent, 0)
+	s.advance(3*api.Second/2 - 2*turnInterval)
+	assert.Len(t, s.fake.attempts, 3)
+	s.advance(api.Second)
+	assert.Greater(t, len(s.fake.attempts), 3)
 }
 
-func TestReturningDestinationIsNotPushedOver(t *testing.T) {
-	f := plainFacts()
-	s := begin(f, 0)
-	r := s.ensureRoute(s.destinations[0]).sharedRoute
-	r.listedRate, r.rate = 10, 10
+func TestRecoveringDestinationIsNotOverloaded(t *testing.T) {
+	settings := testSettings()
+	s := startScenario(settings, plainKind)
+	route := s.ensureRoute(s.destinations[0]).sharedRoute
+	route.listedRate, route.rate = 10, 10
 	for id := range api.WebhookID(90) {
-		s.take(id, 0, 0)
+		s.submit(id, idempotentEvent, 0)
 	}
 	s.EndTurn()
-	back := s.h.now + 4*sec
-	reached := 0
-	for s.h.now < back+2*sec {
-		s.run(5000)
-		if s.h.now < back {
-			s.all(always(api.ConnectFailed))
+	recoversAt := s.fake.now + 4*api.Second
+	delivered := 0
+	for s.fake.now < recoversAt+2*api.Second {
+		s.advance(turnInterval)
+		if s.fake.now < recoversAt {
+			s.endAllAttempts(always(api.ConnectFailed))
 		} else {
-			reached += s.all(always(api.Delivered))
+			delivered += s.endAllAttempts(always(api.Delivered))
 		}
 	}
-	assert.Positive(t, reached)
-	assert.LessOrEqual(t, float64(reached), f.OverloadFactor*(f.SlowStartCapacity+0.1)*10*2)
+	assert.Positive(t, delivered)
+	assert.LessOrEqual(t, float64(delivered), settings.OverloadFactor*(settings.SlowStartCapacity+0.1)*10*2)
 }
 
-func TestPaceOutgrowsALowStatedRate(t *testing.T) {
-	pace := func(waiting api.WebhookID) float64 {
-		s := begin(plainFacts(), 0)
-		r := s.ensureRoute(s.destinations[0]).sharedRoute
-		r.listedRate, r.rate = 2, 2
-		for id := range waiting {
-			s.take(id, 0, 0)
+func TestRateGrowsBeyondALowListedRateWhileAQueueWaits(t *testing.T) {
+	rateWith := func(queued api.WebhookID) float64 {
+		s := startScenario(testSettings(), plainKind)
+		route := s.ensureRoute(s.destinations[0]).sharedRoute
+		route.listedRate, route.rate = 2, 2
+		for id := range queued {
+			s.submit(id, idempotentEvent, 0)
 		}
 		for range 50 {
-			s.run(sec / 10)
-			s.all(always(api.Delivered))
+			s.advance(api.Second / 10)
+			s.endAllAttempts(always(api.Delivered))
 		}
-		return r.rate
+		return route.rate
 	}
-	assert.Less(t, pace(3), 2.2)
-	assert.Greater(t, pace(60), 3.0)
+	assert.Less(t, rateWith(3), 2.2)
+	assert.Greater(t, rateWith(60), 3.0)
 }
 
-// crowd is a story of one of so many dispatchers, at destinations that each take four calls a second.
-func crowd(fleet int) *story {
-	f := plainFacts()
-	f.Dispatchers = fleet
-	s := begin(f, 0, 0)
-	for d := range api.DestinationID(2) {
-		s.UpdateEndpoints([]api.EndpointEntry{{Endpoint: api.EndpointID(10 * d), Destination: d, Rate: 4}}, false)
-	}
-	return s
-}
-
-func TestTinyPartOfARateDoesNotHoldTheSecondWebhook(t *testing.T) {
-	s := crowd(200)
+func TestTinyShareOfARateDoesNotDelayTheSecondWebhook(t *testing.T) {
+	s := startRateLimitedScenario(200)
 	for id := range api.WebhookID(2) {
-		s.take(id, 0, 0)
+		s.submit(id, idempotentEvent, 0)
 	}
 	for range 50 {
-		s.run(sec / 10)
-		s.all(always(api.Delivered))
+		s.advance(api.Second / 10)
+		s.endAllAttempts(always(api.Delivered))
 	}
-	assert.Len(t, s.h.sent, 2)
-	trickle := s.kinds[0].fallbackRate
+	assert.Len(t, s.fake.attempts, 2)
+	before := s.kinds[0].fallbackRate
 	for id := api.WebhookID(10); id < 13; id++ {
-		s.take(id, 0, 1)
-		s.run(sec / 10)
-		s.all(always(api.Rejected))
+		s.submit(id, idempotentEvent, 1)
+		s.advance(api.Second / 10)
+		s.endAllAttempts(always(api.Rejected))
 	}
-	assert.Less(t, s.kinds[0].fallbackRate, trickle, "refusals of what it let go lower it")
-	full := s.destinations[1]
-	assert.Less(t, fallbackRate(full, full.sharedRoute), s.kinds[0].fallbackRate, "and most at the destination that refused")
+	assert.Less(t, s.kinds[0].fallbackRate, before, "rejections of calls that it let out lower it")
+	rejecting := s.destinations[1]
+	assert.Less(t, fallbackRate(rejecting, rejecting.sharedRoute), s.kinds[0].fallbackRate,
+		"most at the destination that rejected")
 }
 
-func TestCanariesOfManyWaitForTheirPartAndPastAToldWait(t *testing.T) {
-	for _, fleet := range []int{1, 200} {
-		s := crowd(fleet)
-		s.take(1, 0, 0)
+func TestCanariesOfManyDispatchersAreSpreadBeyondRetryAfter(t *testing.T) {
+	for _, dispatchers := range []int{1, 200} {
+		s := startRateLimitedScenario(dispatchers)
+		s.submit(1, idempotentEvent, 0)
 		s.EndTurn()
-		s.came(1, api.Rejected, 4*sec) // told to wait for longer than a limit's span: shut
-		r := s.ensureRoute(s.destinations[0]).sharedRoute
-		assert.True(t, r.unhealthy)
-		assert.Greater(t, r.nextCanaryAt, r.retryAfterUntil, "all come back when it opens")
-		assert.Equal(t, fleet == 200, s.canaryInterval(r) > 5*sec)
-		s.run(4 * sec)
-		assert.Len(t, s.h.sent, 1)
+		s.endAttemptAndTurn(1, api.Rejected, 4*api.Second) // longer than a rate limit lasts: out of service
+		route := s.ensureRoute(s.destinations[0]).sharedRoute
+		assert.True(t, route.unhealthy)
+		assert.Greater(t, route.nextCanaryAt, route.retryAfterUntil, "else all dispatchers would call at once")
+		assert.Equal(t, dispatchers == 200, s.canaryInterval(route) > 5*api.Second)
+		s.advance(4 * api.Second)
+		assert.Len(t, s.fake.attempts, 1)
 	}
 }
--- a/webhook/policy/retry_test.go
+++ b/webhook/policy/retry_test.go
@@ -8,134 +8,184 @@
 	"rowanlink/webhook/api"
 )
 
-func TestScheduleHasTwoBandsAndNeverOverflows(t *testing.T) {
-	s := begin(plainFacts(), 0)
-	row := &s.eventTypes[0] // TTL 20 s: m is 5 s, early up to 2*log2(5) = 4.6
+func TestBackoffHasTwoBandsAndNeverOverflows(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
+	maxBackoff := s.eventTypes[idempotentEvent].maxBackoff // for a TTL of 20 s, m is 5 s; the early band ends at 2*log2(5) = 4.6
 	for range 200 {
-		for i, most := range []api.Micros{1, 2, 4, 5, 5} {
-			assert.LessOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), most*sec)
+		for retry, limit := range []api.Micros{1, 2, 4, 5, 5} {
+			assert.LessOrEqual(t, Backoff(maxBackoff, retry, s.random.Float64()), limit*api.Second)
 		}
-		for _, i := range []int{5, 6, 100, 1 << 40} {
-			assert.GreaterOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), 4*sec)
-			assert.LessOrEqual(t, Backoff(row.maxBackoff, i, s.random.Float64()), 5*sec)
+		for _, retry := range []int{5, 6, 100, 1 << 40} {
+			assert.GreaterOrEqual(t, Backoff(maxBackoff, retry, s.random.Float64()), 4*api.Second)
+			assert.LessOrEqual(t, Backoff(maxBackoff, retry, s.random.Float64()), 5*api.Second)
 		}
 	}
 }
 
-func TestWhoMayTryAgainAfterWhat(t *testing.T) {
+func TestRetryDependsOnSemanticsAndOutcome(t *testing.T) {
 	for _, c := range []struct {
-		evt   api.EventTypeID
-		what  api.Outcome
-		again bool
+		eventType api.EventTypeID
+		outcome   api.Outcome
+		wantRetry bool
 	}{
-		{0, api.ErrorResponse, true}, {0, api.TimedOut, true}, {1, api.ConnectionReset, true},
-		{2, api.Rejected, true}, {2, api.ConnectFailed, true}, {2, api.ConnectionLimited, true},
-		{2, api.TimedOut, false}, {2, api.ErrorResponse, false},
+		{idempotentEvent, api.ErrorResponse, true},
+		{idempotentEvent, api.TimedOut, true},
+		{deduplicatedEvent, api.ConnectionReset, true},
+		{atMostOnceEvent, api.Rejected, true},
+		{atMostOnceEvent, api.ConnectFailed, true},
+		{atMostOnceEvent, api.ConnectionLimited, true},
+		{atMostOnceEvent, api.TimedOut, false},
+		{atMostOnceEvent, api.ErrorResponse, false},
 	} {
-		s := begin(plainFacts(), 0)
-		s.take(1, c.evt, 0)
+		s := startScenario(testSettings(), plainKind)
+		s.submit(1, c.eventType, 0)
 		s.EndTurn()
-		s.came(1, c.what, 0)
-		s.run(4 * sec)
-		assert.Equal(t, c.again, s.sentOf(1) == 2, "event type %d after %d", c.evt, c.what)
-		assert.Equal(t, !c.again, len(s.h.dead) == 1)
+		s.endAttemptAndTurn(1, c.outcome, 0)
+		s.advance(4 * api.Second)
+		assert.Equal(t, c.wantRetry, s.attemptsOf(1) == 2, "event type %d after %d", c.eventType, c.outcome)
+		assert.Equal(t, !c.wantRetry, len(s.fake.deadLettered) == 1)
 	}
 }
 
-func TestTokenedIsNotSentOutsideItsWindow(t *testing.T) {
-	s := begin(plainFacts(), 0)
-	s.take(1, 1, 0)
+func TestDeduplicatedWebhookIsNotSentOutsideItsWindow(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
+	s.submit(1, deduplicatedEvent, 0)
 	s.EndTurn()
-	first := s.h.now
-	s.came(1, api.ErrorResponse, 0)
-	for s.h.answers == 0 && s.h.now < first+20*sec {
-		s.run(5000)
+	firstSentAt := s.fake.now
+	s.endAttemptAndTurn(1, api.ErrorResponse, 0)
+	for s.fake.answers == 0 && s.fake.now < firstSentAt+webhookTTL {
+		s.advance(turnInterval)
 		if s.webhooks[1] != nil && s.webhooks[1].call != nil {
-			s.came(1, api.ErrorResponse, 0)
+			s.endAttemptAndTurn(1, api.ErrorResponse, 0)
 		}
 	}
-	last := s.h.sent[len(s.h.sent)-1]
-	assert.Less(t, last.at, first+8*sec)
-	assert.Less(t, last.latest, first+8*sec, "however long connecting takes")
-	assert.Equal(t, []api.WebhookID{1}, s.h.dead)
+	last := s.fake.lastAttempt()
+	assert.Less(t, last.at, firstSentAt+8*api.Second)
+	assert.Less(t, last.latest, firstSentAt+8*api.Second, "also if connecting takes long")
+	assert.Equal(t, []api.WebhookID{1}, s.fake.deadLettered)
 }
 
 func TestEveryWebhookEndsOnceBeforeItsTTL(t *testing.T) {
-	s := begin(plainFacts()) // no destination is known
+	s := startScenario(testSettings()) // without destinations
 	for id := range api.WebhookID(20) {
-		s.take(id, api.EventTypeID(id%4), api.DestinationID(id%3))
+		s.submit(id, api.EventTypeID(id%4), api.DestinationID(id%3))
 	}
 	s.EndTurn()
-	s.run(20*sec - 5000)
-	assert.Len(t, s.h.rejected, 20)
-	assert.Equal(t, 20, s.h.answers)
+	s.advance(webhookTTL - turnInterval)
+	assert.Len(t, s.fake.rejected, 20)
+	assert.Equal(t, 20, s.fake.answers)
 	assert.Empty(t, s.webhooks)
 }
 
-func TestOrderedWebhooksOfAKeyGoInTurn(t *testing.T) {
-	s := begin(plainFacts(), 0)
-	s.take(1, 3, 0)
-	s.take(2, 3, 0)
+func TestOrderedWebhooksOfAKeyAreSentOneAtATime(t *testing.T) {
+	s := startScenario(testSettings(), plainKind)
+	s.submit(1, orderedEvent, 0)
+	s.submit(2, orderedEvent, 0)
 	s.EndTurn()
-	s.h.now += sec
-	s.came(1, api.TimedOut, 0)
-	s.Withdraw(1) // the earlier one is over, but its attempt may still run
-	s.run(2*sec - 10000)
-	assert.Equal(t, 0, s.sentOf(2))
-	s.run(sec)
-	assert.Equal(t, 1, s.sentOf(2))
+	s.fake.now += api.Second
+	s.endAttemptAndTurn(1, api.TimedOut, 0)
+	s.Withdraw(1) // the first one is finished, but its attempt may still run
+	s.advance(2*api.Second - 2*turnInterval)
+	assert.Equal(t, 0, s.attemptsOf(2))
+	s.advance(api.Second)
+	assert.Equal(t, 1, s.attemptsOf(2))
 }
 
-func TestResumedWebhookGoesOnWhereItStood(t *testing.T) {
-	const none = api.Never
+func TestRecoveredWebhookContinuesFromItsPriorAttempts(t *testing.T) {
 	for _, c := range []struct {
-		evt      api.EventTypeID
-		attempts int
-		mayRun   api.Micros // before now
-		sent     bool       // at the latest after the schedule's wait
-		dead     int
+		name             string
+		eventType        api.EventTypeID
+		attempts         int
+		mayHaveRun       bool
+		mayHaveRunAgo    api.Micros
+		wantSent         bool // at the latest after the backoff
+		wantDeadLettered int
 	}{
-		{evt: 2, attempts: 0, mayRun: none, sent: true},
-		{evt: 2, attempts: 1, mayRun: none, sent: true}, // proved not to have run
-		{evt: 2, attempts: 1, mayRun: sec, dead: 1},     // at-most-once: never again
-		{evt: 1, attempts: 1, mayRun: sec, sent: true},  // tokened: inside its window
-		{evt: 1, attempts: 1, mayRun: 9 * sec, dead: 1}, // and not outside
-		{evt: 0, attempts: 6, mayRun: 9 * sec, dead: 1}, // the attempts of both lives count
-		{evt: 0, attempts: 5, mayRun: 9 * sec, sent: true},
+		{
+			name:      "never attempted",
+			eventType: atMostOnceEvent,
+			wantSent:  true,
+		},
+		{
+			name:      "proved not to have run",
+			eventType: atMostOnceEvent,
+			attempts:  1,
+			wantSent:  true,
+		},
+		{
+			name:             "at most once, may have run",
+			eventType:        atMostOnceEvent,
+			attempts:         1,
+			mayHaveRun:       true,
+			mayHaveRunAgo:    api.Second,
+			wantDeadLettered: 1,
+		},
+		{
+			name:          "inside its deduplication window",
+			eventType:     deduplicatedEvent,
+			attempts:      1,
+			mayHaveRun:    true,
+			mayHaveRunAgo: api.Second,
+			wantSent:      true,
+		},
+		{
+			name:             "outside its deduplication window",
+			eventType:        deduplicatedEvent,
+			attempts:         1,
+			mayHaveRun:       true,
+			mayHaveRunAgo:    9 * api.Second,
+			wantDeadLettered: 1,
+		},
+		{
+			name:             "prior attempts reach the limit",
+			eventType:        idempotentEvent,
+			attempts:         6,
+			mayHaveRun:       true,
+			mayHaveRunAgo:    9 * api.Second,
+			wantDeadLettered: 1,
+		},
+		{
+			name:          "prior attempts are below the limit",
+			eventType:     idempotentEvent,
+			attempts:      5,
+			mayHaveRun:    true,
+			mayHaveRunAgo: 9 * api.Second,
+			wantSent:      true,
+		},
 	} {
-		s := begin(plainFacts(), 0)
-		if c.mayRun != none {
-			c.mayRun = s.h.now - c.mayRun
+		s := startScenario(testSettings(), plainKind)
+		prior := api.PriorAttempts{Count: c.attempts, MayHaveRunAt: api.Never}
+		if c.mayHaveRun {
+			prior.MayHaveRunAt = s.fake.now - c.mayHaveRunAgo
 		}
-		s.Recover(api.Webhook{ID: 1, EventType: c.evt, Deadline: s.h.now + 18*sec},
-			api.PriorAttempts{Count: c.attempts, MayHaveRunAt: c.mayRun})
+		s.Recover(api.Webhook{ID: 1, EventType: c.eventType, Deadline: s.fake.now + 18*api.Second}, prior)
 		s.EndTurn()
-		assert.Equal(t, c.attempts == 0, s.sentOf(1) == 1, "an attempt that was out is followed by a wait")
-		s.run(6 * sec)
-		assert.Equal(t, c.sent, s.sentOf(1) == 1, c)
-		assert.Len(t, s.h.dead, c.dead, c)
+		assert.Equal(t, c.attempts == 0, s.attemptsOf(1) == 1, "%s: a prior attempt is followed by a backoff", c.name)
+		s.advance(6 * api.Second)
+		assert.Equal(t, c.wantSent, s.attemptsOf(1) == 1, c.name)
+		assert.Len(t, s.fake.deadLettered, c.wantDeadLettered, c.name)
 	}
 }
 
-// Guards against dispatchers that stood still and send in one moment all that came due meanwhile.
-func TestRetriesThatCameDueInAStallAreSpreadAnew(t *testing.T) {
-	f := untold(1)
-	f.MaxInFlight = 80
+// Guards against a burst after a stall of the process: all retries that came due meanwhile would be sent at once.
+func TestRetriesThatCameDueDuringAStallAreSpread(t *testing.T) {
+	settings := settingsWithoutRates(1)
+	settings.MaxInFlight = 80
 	kinds := make([]api.DestinationKindID, 40)
-	s := begin(f, kinds...)
+	s := startScenario(settings, kinds...)
 	for i := range kinds {
-		s.take(api.WebhookID(i), 0, api.DestinationID(i))
+		s.submit(api.WebhookID(i), idempotentEvent, api.DestinationID(i))
 	}
 	s.EndTurn()
-	s.all(always(api.ErrorResponse))
-	sent := len(s.h.sent)
-	s.h.now += 2 * sec // all have come due
+	s.endAllAttempts(always(api.ErrorResponse))
+	before := len(s.fake.attempts)
+	s.fake.now += 2 * api.Second // all have come due
 	for i := range kinds {
-		s.take(api.WebhookID(100+i), 0, api.DestinationID(i))
+		s.submit(api.WebhookID(100+i), idempotentEvent, api.DestinationID(i))
 	}
 	s.TimerFired(timerPeriodic)
 	s.EndTurn()
-	assert.Less(t, len(s.h.sent)-sent, 20, "what came new where calls failed is spread, too")
-	s.run(2 * sec)
-	assert.GreaterOrEqual(t, len(s.h.sent)-sent, 35)
+	assert.Less(t, len(s.fake.attempts)-before, 20, "new webhooks for destinations that failed are spread, too")
+	s.advance(2 * api.Second)
+	assert.GreaterOrEqual(t, len(s.fake.attempts)-before, 35)
 }
--- a/webhook/policy/state_transfer_test.go
+++ b/webhook/policy/state_transfer_test.go
@@ -4,29 +4,38 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"rowanlink/webhook/api"
 )
 
-// Guards a told wait and an outage when a destination's home moves: the next one would call into them.
-func TestWhatIsLearnedHoldsForTheNextHome(t *testing.T) {
-	was, next := begin(plainFacts(), 0), begin(plainFacts(), 0)
-	was.take(1, 0, 0)
-	was.run(sec / 10)
-	was.destinations[0].sharedRoute.retryAfterUntil = was.h.now + 3*sec
-	was.destinations[0].sharedRoute.unhealthy, was.destinations[0].sharedRoute.slowStartSince = true, was.h.now
-	l, known := was.ExportState(0)
+// Guards against a new owner of a destination that calls into its outage or before its Retry-After.
+func TestExportedStateIsInForceAtTheNextOwner(t *testing.T) {
+	previous, next := startScenario(testSettings(), plainKind), startScenario(testSettings(), plainKind)
+	previous.submit(1, idempotentEvent, 0)
+	previous.advance(api.Second / 10)
+	exported := previous.destinations[0].sharedRoute
+	exported.retryAfterUntil = previous.fake.now + 3*api.Second
+	exported.unhealthy = true
+	exported.slowStartSince = previous.fake.now
+	state, known := previous.ExportState(0)
 	assert.True(t, known)
-	next.h.now = was.h.now
-	next.ImportState(l)
-	r := next.destinations[0].sharedRoute
-	assert.Equal(t, was.destinations[0].sharedRoute.retryAfterUntil, r.retryAfterUntil)
-	assert.True(t, r.unhealthy)
-	assert.Equal(t, was.h.now, r.slowStartSince)
-	next.take(2, 0, 0)
-	next.run(sec / 10)
-	assert.Empty(t, next.h.sent, "a told wait holds there too")
-	l.WaitUntil, l.Unhealthy, l.SlowStartSince = 0, false, never
-	next.ImportState(l)
-	assert.True(t, r.unhealthy && r.retryAfterUntil > 0 && r.slowStartSince != never, "an older word makes nobody less careful")
+	next.fake.now = previous.fake.now
+	next.ImportState(state)
+	imported := next.destinations[0].sharedRoute
+	assert.Equal(t, exported.retryAfterUntil, imported.retryAfterUntil)
+	assert.True(t, imported.unhealthy)
+	assert.Equal(t, previous.fake.now, imported.slowStartSince)
+	next.submit(2, idempotentEvent, 0)
+	next.advance(api.Second / 10)
+	assert.Empty(t, next.fake.attempts, "Retry-After is respected there, too")
+	state.WaitUntil = 0
+	state.Unhealthy = false
+	state.SlowStartSince = never
+	next.ImportState(state)
+	const older = "an older state has no effect"
+	assert.True(t, imported.unhealthy, older)
+	assert.Positive(t, imported.retryAfterUntil, older)
+	assert.NotEqual(t, never, imported.slowStartSince, older)
 	_, known = next.ExportState(99)
 	assert.False(t, known)
 }
