--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -51,10 +51,20 @@
 	return m, n, 2
 }
 
+// fencedCommand returns a command that is fenced by the coordinator's lease.
+func fencedCommand(e cluster.Epoch, body string) cluster.Command {
+	return cluster.Command{
+		Component: stubID,
+		FencedBy:  cluster.CoordinatorResource,
+		Epoch:     e,
+		Body:      []byte(body),
+	}
+}
+
 func TestMachine_FencesFormerHolder(t *testing.T) {
 	m, n, epoch := machineWithLease(t)
 	fenced := func(e cluster.Epoch, body string) []byte {
-		return EncodeCommand(cluster.Command{Component: stubID, FencedBy: cluster.CoordinatorResource, Epoch: e, Body: []byte(body)})
+		return EncodeCommand(fencedCommand(e, body))
 	}
 	raw, err := m.Apply(3, fenced(epoch, "a"))
 	require.NoError(t, err)
@@ -93,7 +103,7 @@
 	require.NoError(t, other.Restore(snapshot))
 	assert.Equal(t, "a", string(stub.last))
 	assert.Equal(t, uint64(2), other.ComponentVersion(cluster.LeaseComponent))
-	_, err = other.Apply(3, EncodeCommand(cluster.Command{Component: stubID, FencedBy: cluster.CoordinatorResource, Epoch: epoch}))
+	_, err = other.Apply(3, EncodeCommand(fencedCommand(epoch, "")))
 	assert.NoError(t, err)
 	leases, err := other.ComponentSnapshot(cluster.LeaseComponent)
 	require.NoError(t, err)
@@ -123,10 +133,14 @@
 	leases, err := lease.NewTable().Snapshot()
 	require.NoError(t, err)
 	for name, bad := range map[string]machineImage{
-		"a newer format":                    {Format: snapshotFormat + 1},
-		"an unknown component":              {Format: snapshotFormat, Components: []componentImage{{'?', 1, nil}}},
-		"a duplicate component":             {Format: snapshotFormat, Components: []componentImage{{stubID, 1, nil}, {stubID, 1, nil}}},
-		"a component that rejects its part": {Format: snapshotFormat, Components: []componentImage{{'L', 9, leases}, {stubID, 9, []byte("half")}}},
+		"a newer format":       {Format: snapshotFormat + 1},
+		"an unknown component": {Format: snapshotFormat, Components: []componentImage{{'?', 1, nil}}},
+		"a duplicate component": {Format: snapshotFormat, Components: []componentImage{
+			{stubID, 1, nil}, {stubID, 1, nil},
+		}},
+		"a component that rejects its part": {Format: snapshotFormat, Components: []componentImage{
+			{cluster.LeaseComponent, 9, leases}, {stubID, 9, []byte("half")},
+		}},
 	} {
 		raw, err := encMode.Marshal(bad)
 		require.NoError(t, err)
@@ -150,7 +164,7 @@
 func FuzzApply(f *testing.F) {
 	f.Add(EncodeCommand(lease.OpenSession("m2", 1)))
 	f.Add(EncodeCommand(lease.ReleaseLease(1, cluster.CoordinatorResource, 2)))
-	f.Add(EncodeCommand(cluster.Command{Component: stubID, FencedBy: cluster.CoordinatorResource, Epoch: 2, Body: []byte("a")}))
+	f.Add(EncodeCommand(fencedCommand(2, "a")))
 	f.Add([]byte{0xa1, 0x01, 0x18})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, _, _ := machineWithLease(t)
--- a/cluster/lease/model_hash_test.go
+++ b/cluster/lease/model_hash_test.go
@@ -21,7 +21,8 @@
 
 func (md *model) hash() uint64 {
 	se := stateEncoder{md, md.knownIDs(make([]uint64, 0, 48)), make([]byte, 0, 256)}
-	se.add(byte(md.leader), byte(md.budget.elections), byte(md.budget.duplicates), byte(md.budget.lateContacts), byte(md.budget.releases),
+	se.add(byte(md.leader))
+	se.add(byte(md.budget.elections), byte(md.budget.duplicates), byte(md.budget.lateContacts), byte(md.budget.releases),
 		byte(md.budget.sessionEnds), byte(md.budget.memberRestarts), byte(md.budget.actions), byte(md.budget.fenceRestarts))
 	g := md.table.leases[modelResource]
 	se.id(uint64(md.highestAdmitted), uint64(md.table.leaderEpoch), uint64(g.session), uint64(g.epoch),
@@ -157,7 +158,8 @@
 }
 
 func (se *stateEncoder) message(m message) {
-	se.add('M', byte(m.kind), byte(m.process), byte(m.node), se.incarnation(m.incarnation), byte(se.model.raftTerm-m.raftTerm))
+	se.add('M', byte(m.kind), byte(m.process), byte(m.node))
+	se.add(se.incarnation(m.incarnation), byte(se.model.raftTerm-m.raftTerm))
 	se.id(uint64(m.session), uint64(m.epoch), uint64(m.leaderEpoch))
 	if m.kind <= confirmation && m.process >= 0 { // a renewal counts by its age, and by whether it is void
 		t := se.model.processes[m.process].holder
--- a/cluster/lease/model_mutations_test.go
+++ b/cluster/lease/model_mutations_test.go
@@ -14,28 +14,63 @@
 // Mutations with untilTwoHolders continue until two members hold the lease at once; the others do so with
 // ROWAN_SEARCH_DEEPER.
 func TestModel_MutationsAreDetected(t *testing.T) {
-	const twoHolders, released, lateAction = "two members hold the lease", "a member holds a lease that the log has released",
-		"a late action was admitted after one of a later epoch"
+	const (
+		twoHolders = "two members hold the lease"
+		released   = "a member holds a lease that the log has released"
+		lateAction = "a late action was admitted after one of a later epoch"
+	)
 	for name, m := range map[string]struct {
-		wrong mutation
-		left  faultBudget
-		finds string
+		mutation mutation
+		budget   faultBudget
+		finds    string // the violation
 	}{
-		"TTL counted from the response":         {mutation{countFromResponse: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
-		"no whole TTL at a new leader":          {mutation{keepOldExpiry: true}, faultBudget{elections: 1}, released},
-		"fence lost at a restart":               {mutation{loseFence: true}, faultBudget{actions: 2, fenceRestarts: 1}, lateAction},
-		"renewal accepted after TakeExpired":    {mutation{renewExpired: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
-		"leader answers without quorum contact": {mutation{skipQuorumCheck: true}, faultBudget{elections: 1}, released},
-		"contact counted from when it is read":  {mutation{countContactFromArrival: true}, faultBudget{elections: 1, lateContacts: 1}, released},
-		"drift ignored":                         {mutation{ignoreDrift: true, untilTwoHolders: true}, faultBudget{}, twoHolders},
-		"expiry of an earlier leader epoch":     {mutation{ignoreLeaderEpoch: true}, faultBudget{elections: 1}, released},
+		"TTL counted from the response": {
+			mutation{countFromResponse: true, untilTwoHolders: true},
+			faultBudget{},
+			twoHolders,
+		},
+		"no whole TTL at a new leader": {
+			mutation{keepOldExpiry: true},
+			faultBudget{elections: 1},
+			released,
+		},
+		"fence lost at a restart": {
+			mutation{loseFence: true},
+			faultBudget{actions: 2, fenceRestarts: 1},
+			lateAction,
+		},
+		"renewal accepted after TakeExpired": {
+			mutation{renewExpired: true, untilTwoHolders: true},
+			faultBudget{},
+			twoHolders,
+		},
+		"leader answers without quorum contact": {
+			mutation{skipQuorumCheck: true},
+			faultBudget{elections: 1},
+			released,
+		},
+		"contact counted from when it is read": {
+			mutation{countContactFromArrival: true},
+			faultBudget{elections: 1, lateContacts: 1},
+			released,
+		},
+		"drift ignored": {
+			mutation{ignoreDrift: true, untilTwoHolders: true},
+			faultBudget{},
+			twoHolders,
+		},
+		"expiry of an earlier leader epoch": {
+			mutation{ignoreLeaderEpoch: true},
+			faultBudget{elections: 1},
+			released,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if extraDepth > 0 && m.finds == released {
-				m.wrong.untilTwoHolders, m.finds = true, twoHolders
+				m.mutation.untilTwoHolders, m.finds = true, twoHolders
 			}
-			start := worstClocks(m.wrong, m.left)
-			if m.wrong.countContactFromArrival { // shortcut: a peer's response is in flight, then another node is elected
+			start := worstClocks(m.mutation, m.budget)
+			if m.mutation.countContactFromArrival { // shortcut: a peer's response is in flight, then another node is elected
 				start.sendLateContact(0)
 				start.budget.lateContacts, start.budget.elections = 0, 0
 				start.elect(1)
@@ -43,7 +78,7 @@
 			f := search([]*model{start}, 16)
 			require.Equal(t, m.finds, f.violation)
 			t.Logf("after %d states, %d transitions:\n%s", f.states, f.depth+1, f.trace)
-			sound := search([]*model{worstClocks(mutation{}, m.left)}, min(f.depth+1, 7+extraDepth))
+			sound := search([]*model{worstClocks(mutation{}, m.budget)}, min(f.depth+1, 7+extraDepth))
 			assert.Empty(t, sound.violation, sound.trace)
 		})
 	}
@@ -55,7 +90,8 @@
 	rates := []api.Micros{slowStep, fastStep}
 	for range 10_000 * (1 + extraDepth) {
 		rate := func() api.Micros { return rates[chance.IntN(2)] }
-		md := steadyModel(mutation{}, faultBudget{true, 4, 6, 4, 3, 2, 3, 6, 2},
+		md := steadyModel(mutation{}, faultBudget{asyncRequests: true, elections: 4, duplicates: 6, lateContacts: 4,
+			releases: 3, sessionEnds: 2, memberRestarts: 3, actions: 6, fenceRestarts: 2},
 			[2]api.Micros{rate(), rate()}, [2]api.Micros{rate(), rate()})
 		for range 80 {
 			moves := md.transitions(nil)
--- a/cluster/lease/model_search_test.go
+++ b/cluster/lease/model_search_test.go
@@ -128,18 +128,24 @@
 // In every state within reach at most one member holds the lease, and none after the log has released it; epochs
 // rise; no action is admitted after one of a later epoch.
 func TestModel_NoTwoHoldersInReachableStates(t *testing.T) {
+	worst := func(budget faultBudget) []*model { return []*model{worstClocks(mutation{}, budget)} }
 	for _, s := range []struct {
 		name   string
 		starts []*model
 		depth  int
 	}{
-		{"leader changes, the old one notices late", []*model{worstClocks(mutation{}, faultBudget{elections: 1, lateContacts: 1})}, 9},
-		{"leader changes twice", []*model{worstClocks(mutation{}, faultBudget{elections: 2, lateContacts: 1})}, 7},
+		{"leader changes, the old one notices late", worst(faultBudget{elections: 1, lateContacts: 1}), 9},
+		{"leader changes twice", worst(faultBudget{elections: 2, lateContacts: 1}), 7},
 		{"any pair of clocks", allClockRates(faultBudget{elections: 1}), 6},
-		{"late and duplicated messages", []*model{worstClocks(mutation{}, faultBudget{asyncRequests: true, duplicates: 1, releases: 1, sessionEnds: 1})}, 9},
-		{"further incarnations", []*model{worstClocks(mutation{}, faultBudget{asyncRequests: true, duplicates: 1, memberRestarts: 1})}, 11},
-		{"late actions", []*model{worstClocks(mutation{}, faultBudget{actions: 2, fenceRestarts: 1, memberRestarts: 1})}, 11},
-		{"all at once", []*model{worstClocks(mutation{}, faultBudget{true, 1, 1, 1, 1, 1, 1, 1, 1})}, 6},
+		{"late and duplicated messages", worst(faultBudget{
+			asyncRequests: true, duplicates: 1, releases: 1, sessionEnds: 1,
+		}), 9},
+		{"further incarnations", worst(faultBudget{asyncRequests: true, duplicates: 1, memberRestarts: 1}), 11},
+		{"late actions", worst(faultBudget{actions: 2, fenceRestarts: 1, memberRestarts: 1}), 11},
+		{"all at once", worst(faultBudget{
+			asyncRequests: true, elections: 1, duplicates: 1, lateContacts: 1, releases: 1,
+			sessionEnds: 1, memberRestarts: 1, actions: 1, fenceRestarts: 1,
+		}), 6},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			f := search(s.starts, s.depth+extraDepth)
--- a/cluster/lease/model_test.go
+++ b/cluster/lease/model_test.go
@@ -70,9 +70,13 @@
 	at            api.Micros // of the raft node's clock
 }
 
+func (m message) isResponse() bool {
+	return m.kind == confirmation || m.kind == rejection || m.kind == grantResponse
+}
+
 type raftNode struct {
 	clockStep       api.Micros
-	believesLeading bool // that it leads
+	believesLeading bool
 	tracker         *ExpiryTracker
 	contact         *QuorumContact
 	owned           bool // by this model alone; else shared with the model that it was cloned from
@@ -90,7 +94,7 @@
 	budget          faultBudget
 	now             api.Micros // true steps
 	index           uint64
-	raftTerm        uint64 // raft's
+	raftTerm        uint64
 	leader          int
 	table           *Table
 	owned           bool // the table
@@ -98,8 +102,8 @@
 	processes       [2]process
 	messages        []message
 	fence           *Fence
-	storedFence     []byte        // on disk
-	highestAdmitted cluster.Epoch // the highest epoch ever admitted
+	storedFence     []byte // on disk
+	highestAdmitted cluster.Epoch
 	violation       string
 }
 
@@ -127,7 +131,8 @@
 func (md *model) nodeClock(k int) api.Micros    { return md.now * md.nodes[k].clockStep }
 func (md *model) processClock(p int) api.Micros { return md.now * md.processes[p].clockStep }
 
-// clone shares what was not changed; whoever changes something takes it by mutableTable, own or mutableNode.
+// clone shares the objects with the original; whoever changes one gets a copy of its own from mutableTable,
+// mutableHolder or mutableNode.
 func (md *model) clone() *model {
 	n := *md
 	n.messages = slices.Clone(md.messages)
--- a/cluster/lease/model_transitions_test.go
+++ b/cluster/lease/model_transitions_test.go
@@ -35,8 +35,10 @@
 		if m.kind != renewRequest || md.canAnswer(m) {
 			all = append(all, transition{"arrives", i, func(md *model, i int) { md.deliver(i, false) }})
 		}
-		if m.kind == confirmation || m.kind == rejection || m.kind == grantResponse { // losing a request is the same as not sending it
-			all = append(all, transition{"is lost", i, func(md *model, i int) { md.messages = slices.Delete(md.messages, i, i+1) }})
+		if m.isResponse() { // losing a request is the same as not sending it
+			all = append(all, transition{"is lost", i, func(md *model, i int) {
+				md.messages = slices.Delete(md.messages, i, i+1)
+			}})
 		}
 		if md.budget.duplicates > 0 && m.kind != renewRequest && m.kind < expireRequest {
 			all = append(all, transition{"arrives, and is duplicated", i, func(md *model, i int) {
@@ -183,7 +185,7 @@
 	md.processes[p].holder, md.processes[p].owned = md.newHolder(), true
 	md.processes[p].incarnation += 2
 	md.messages = slices.DeleteFunc(md.messages, func(m message) bool {
-		return m.process == p && (m.kind == confirmation || m.kind == rejection || m.kind == grantResponse || m.kind == renewRequest)
+		return m.process == p && (m.isResponse() || m.kind == renewRequest)
 	})
 	for i := range md.messages {
 		if md.messages[i].process == p {
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -12,8 +12,15 @@
 )
 
 func (s *testSite) add(id uint64, to ...api.DestinationID) {
-	i := stream.Item{ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: id}, RequestID: "a", IsAnnouncement: true, TTL: 1 << 60,
-		FirstAttemptAt: api.Never, Body: []byte("b"), Destinations: to}
+	i := stream.Item{
+		ID:             stream.MessageID{Origin: "m", Incarnation: 1, Number: id},
+		RequestID:      "a",
+		IsAnnouncement: true,
+		TTL:            1 << 60,
+		FirstAttemptAt: api.Never,
+		Body:           []byte("b"),
+		Destinations:   to,
+	}
 	s.mu.Lock()
 	for _, d := range to {
 		s.unfinished[stream.Delivery{Message: i.ID, Destination: d}] = stream.LocationRelay
--- a/cluster/relay/testsite_test.go
+++ b/cluster/relay/testsite_test.go
@@ -216,11 +216,12 @@
 
 func (s *testSite) startRelay() {
 	s.mu.Lock()
-	var held []stream.Delivery
+	var pending []stream.Delivery
 	for d := range s.pending {
-		held = append(held, d)
+		pending = append(pending, d)
 	}
-	s.receiver = NewReceiver(stream.NewReceiver(s.checkpoint, held, s.unacknowledged), relayStore{s}, s.toOrigin, TimingFor(leaseTTL), clock)
+	state := stream.NewReceiver(s.checkpoint, pending, s.unacknowledged)
+	s.receiver = NewReceiver(state, relayStore{s}, s.toOrigin, TimingFor(leaseTTL), clock)
 	s.mu.Unlock()
 	s.server = transport.NewServer(50, time.Second)
 	s.receiver.RegisterHandlers(s.server)
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -100,7 +100,7 @@
 		if s.isTracked(w.RequestID) {
 			continue
 		}
-		// Another member may own the range, and call the destination besides the relay.
+		// Another member may own the range, and call the destination while the relay does.
 		isForeign := !wasSent && !s.sites.isRangeOwner(w.Destination)
 		// Another member may have an earlier webhook of the key.
 		isInDoubt := w.InDoubt && !wasSent
--- a/cluster/site/relay_receiver_test.go
+++ b/cluster/site/relay_receiver_test.go
@@ -69,9 +69,22 @@
 }
 
 func newFrame(ttl api.Micros) (stream.Checkpoint, []stream.Item) {
-	return stream.Checkpoint{Incarnation: 3, Generation: stream.Generation{Epoch: 1, Number: 1}, LastSequence: 1, Received: 2}, []stream.Item{{
-		ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: 1}, RequestID: "a", IsAnnouncement: true, FirstAttemptAt: api.Never,
-		TTL: inflight.Now() + ttl, Body: []byte("b"), Destinations: []api.DestinationID{4, 5}}}
+	checkpoint := stream.Checkpoint{
+		Incarnation:  3,
+		Generation:   stream.Generation{Epoch: 1, Number: 1},
+		LastSequence: 1,
+		Received:     2,
+	}
+	item := stream.Item{
+		ID:             stream.MessageID{Origin: "m", Incarnation: 1, Number: 1},
+		RequestID:      "a",
+		IsAnnouncement: true,
+		FirstAttemptAt: api.Never,
+		TTL:            inflight.Now() + ttl,
+		Body:           []byte("b"),
+		Destinations:   []api.DestinationID{4, 5},
+	}
+	return checkpoint, []stream.Item{item}
 }
 
 // A webhook must not be delivered twice: the record of a pending delivery outlasts the write of its result, and is
--- a/cluster/site/sent_log.go
+++ b/cluster/site/sent_log.go
@@ -12,7 +12,7 @@
 )
 
 // sentRecord says that a delivery may be at a relay. It is stored from before its first byte is sent until its result
-// is known, in a journal besides that of webhooks.
+// is known, in a journal separate from that of webhooks.
 type sentRecord struct {
 	Site                cluster.SiteID     `cbor:"1,keyasint"`
 	RequestID           inflight.RequestID `cbor:"2,keyasint"`
--- a/cluster/stream/codec_test.go
+++ b/cluster/stream/codec_test.go
@@ -32,7 +32,8 @@
 // Any input is rejected or accepted as a whole, and has no further effect when it is received again.
 func FuzzFrame(f *testing.F) {
 	s := NewSender(1, 0)
-	s.HandleOpened(s.OpenRequest(), Ack{Incarnation: 9, Generation: Generation{Epoch: 1, Number: 1}, Credit: 9, DestinationLimit: 9}, false, 0)
+	ack := Ack{Incarnation: 9, Generation: Generation{Epoch: 1, Number: 1}, Credit: 9, DestinationLimit: 9}
+	s.HandleOpened(s.OpenRequest(), ack, false, 0)
 	s.Add(Item{ID: MessageID{Origin: "m"}, Destinations: []api.DestinationID{1, 300}, Body: []byte("b")}, 0, 0)
 	whole, _ := s.NextFrame(0)
 	f.Add(Encode(whole))
@@ -52,7 +53,11 @@
 		if Decode(raw, &got) != nil {
 			return
 		}
-		r := NewReceiver(Checkpoint{Incarnation: got.ReceiverIncarnation, Generation: got.Generation, LastSequence: got.Sequence - 1}, nil, nil)
+		r := NewReceiver(Checkpoint{
+			Incarnation:  got.ReceiverIncarnation,
+			Generation:   got.Generation,
+			LastSequence: got.Sequence - 1,
+		}, nil, nil)
 		before := r.Checkpoint()
 		fresh, err := r.Receive(got)
 		if err != nil {
--- a/cluster/stream/encoded_forms_test.go
+++ b/cluster/stream/encoded_forms_test.go
@@ -14,5 +14,7 @@
 func TestEncodedForms(t *testing.T) {
 	want, err := os.ReadFile("testdata/encoded_forms.golden")
 	require.NoError(t, err)
-	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Frame{}, OpenRequest{}, Ack{}, Result{}, Checkpoint{}, Generation{}, Delivery{}, MessageID{}))
+	forms := wireschema.Describe(wireschema.CBOR,
+		Frame{}, OpenRequest{}, Ack{}, Result{}, Checkpoint{}, Generation{}, Delivery{}, MessageID{})
+	assert.Equal(t, string(want), forms)
 }
--- a/cluster/stream/model_faults_test.go
+++ b/cluster/stream/model_faults_test.go
@@ -68,7 +68,8 @@
 			continue
 		}
 		earlier := func(p *ownedDelivery) bool {
-			return m.open[p.delivery()] == p && p.bypassing && p.number < o.number && p.Destinations[0] == o.Destinations[0] && p.Key == o.Key
+			isSameScope := p.Destinations[0] == o.Destinations[0] && p.Key == o.Key
+			return m.open[p.delivery()] == p && p.bypassing && p.number < o.number && isSameScope
 		}
 		switch {
 		case o.Key != 0 && slices.ContainsFunc(m.deliveries, earlier):
@@ -166,8 +167,15 @@
 }
 
 func checkModel(t *rapid.T) {
-	m := &model{T: t, open: map[Delivery]*ownedDelivery{}, outcomes: map[Delivery]Outcome{}, relayIncarnation: 1, checkpoint: Checkpoint{Incarnation: 1},
-		attempts: map[Delivery][]api.Micros{}, trace: map[orderingScope][]int{}}
+	m := &model{
+		T:                t,
+		open:             map[Delivery]*ownedDelivery{},
+		outcomes:         map[Delivery]Outcome{},
+		relayIncarnation: 1,
+		checkpoint:       Checkpoint{Incarnation: 1},
+		attempts:         map[Delivery][]api.Micros{},
+		trace:            map[orderingScope][]int{},
+	}
 	m.startRelay(false)
 	m.startSender()
 	folders := rapid.IntRange(0, 3).Draw(t, "folders lost at the most")
@@ -176,11 +184,23 @@
 			m.startRelay(true)
 		}
 	}
-	work := []func(){m.addItem, m.addItem, m.sendFrame, m.deliverBothWays, m.deliverBothWays, m.runRelay, m.runRelay, m.sendResults,
-		m.runBypassing, m.runRound, m.runRound, m.sendOpenRequest}
-	faults := []func(){func() { m.sender.Retransmit() }, m.handleUnreachable, m.startSender, func() { m.startRelay(false) },
+	work := []func(){
+		m.addItem, m.addItem, m.sendFrame, m.deliverBothWays, m.deliverBothWays, m.runRelay, m.runRelay,
+		m.sendResults, m.runBypassing, m.runRound, m.runRound, m.sendOpenRequest,
+	}
+	faults := []func(){
+		func() { m.sender.Retransmit() },
+		m.handleUnreachable,
+		m.startSender,
+		func() { m.startRelay(false) },
 		func() { m.failNextWrite = true },
-		lose, m.advanceTime, m.advanceTime, func() { m.loseMessage(&m.toRelay) }, func() { m.loseMessage(&m.toOwner) }, func() { m.now += dedupWindow }}
+		lose,
+		m.advanceTime,
+		m.advanceTime,
+		func() { m.loseMessage(&m.toRelay) },
+		func() { m.loseMessage(&m.toOwner) },
+		func() { m.now += dedupWindow },
+	}
 	often := rapid.SampledFrom([]int{2, 5, 15}).Draw(t, "a fault in so many steps")
 	for range rapid.IntRange(1, 200).Draw(t, "steps") {
 		of := work
@@ -214,7 +234,9 @@
 	m.failNextWrite = false
 	for n := 0; n < 400 && (len(m.open) > 0 || n < 4); n++ {
 		m.sender.Retransmit()
-		for _, step := range []func(){m.sendOpenRequest, m.sendFrame, m.sendFrame, m.sendFrame, m.sendResults, m.runBypassing, m.advanceTime} {
+		for _, step := range []func(){
+			m.sendOpenRequest, m.sendFrame, m.sendFrame, m.sendFrame, m.sendResults, m.runBypassing, m.advanceTime,
+		} {
 			step()
 			for _, from := range []*[]func(){&m.toRelay, &m.toOwner} {
 				for len(*from) > 0 {
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -201,14 +201,14 @@
 func (m *model) sendOpenRequest() {
 	request := m.sender.OpenRequest()
 	m.toRelay = append(m.toRelay, func() {
-		held, err := m.receiver.Open(request)
+		pending, err := m.receiver.Open(request)
 		m.checkpoint = m.receiver.Checkpoint()
 		a := m.receiver.Ack(relayCapacity, m.now+relayClockLead)
-		a.Pending = held
+		a.Pending = pending
 		m.toOwner = append(m.toOwner, func() {
 			m.handleAck(a)
-			again, lost := m.sender.HandleOpened(request, a, err != nil, m.now)
-			for _, d := range again {
+			requeued, lost := m.sender.HandleOpened(request, a, err != nil, m.now)
+			for _, d := range requeued {
 				m.open[d].relayIncarnation = 0
 			}
 			m.resolveInDoubt(lost, true)
@@ -218,9 +218,12 @@
 
 // sendResults reports results to the origin, which acknowledges those that its journal has.
 func (m *model) sendResults() {
-	results, a, r := m.receiver.UnacknowledgedResults("m1", rapid.IntRange(1, 4).Draw(m.T, "ends")), m.receiver.Ack(relayCapacity, m.now+relayClockLead), m.receiver
+	limit := rapid.IntRange(1, 4).Draw(m.T, "results")
+	reporter := m.receiver
+	results := reporter.UnacknowledgedResults("m1", limit)
+	ack := reporter.Ack(relayCapacity, m.now+relayClockLead)
 	m.toOwner = append(m.toOwner, func() {
-		m.handleAck(a)
+		m.handleAck(ack)
 		var acknowledged []Delivery
 		for _, e := range results {
 			at, o := Location(0), m.open[e.Delivery]
@@ -235,10 +238,13 @@
 			acknowledged = append(acknowledged, e.Delivery)
 		}
 		m.toRelay = append(m.toRelay, func() {
-			if m.receiver == r || m.receiver.checkpoint.Incarnation == r.checkpoint.Incarnation {
-				m.receiver.AcknowledgeResults(acknowledged)
-				m.unacknowledged = slices.DeleteFunc(m.unacknowledged, func(e Result) bool { return slices.Contains(acknowledged, e.Delivery) })
+			if m.receiver.checkpoint.Incarnation != reporter.checkpoint.Incarnation {
+				return
 			}
+			m.receiver.AcknowledgeResults(acknowledged)
+			m.unacknowledged = slices.DeleteFunc(m.unacknowledged, func(r Result) bool {
+				return slices.Contains(acknowledged, r.Delivery)
+			})
 		})
 	})
 }
--- a/cluster/stream/resolve_test.go
+++ b/cluster/stream/resolve_test.go
@@ -41,7 +41,13 @@
 }
 
 func TestResolveLost_OrderedRetriesOnlyIfLaterOnesDo(t *testing.T) {
-	lost := []InDoubt{{deliveryTo(1, 3), 0, 7}, {deliveryTo(2, 3), 0, 7}, {deliveryTo(3, 3), 0, 0}, {deliveryTo(4, 4), 0, 7}, {deliveryTo(5, 3), 0, 7}}
+	lost := []InDoubt{
+		{deliveryTo(1, 3), 0, 7},
+		{deliveryTo(2, 3), 0, 7},
+		{deliveryTo(3, 3), 0, 0},
+		{deliveryTo(4, 4), 0, 7},
+		{deliveryTo(5, 3), 0, 7},
+	}
 	got := ResolveLost(lost, func(u InDoubt) Resolution {
 		if u.Message.Number == 2 {
 			return ResolveDeadLetter
