--- a/sim/engine/calls.go
+++ b/sim/engine/calls.go
@@ -81,10 +81,10 @@
 	m.release(n)
 }
 
-func (m *Model) onCall(what eventpkg.What, k *call) {
+func (m *Model) onCall(what eventpkg.Kind, k *call) {
 	e := &m.endpoints[k.ep]
 	weight := 1 + m.dests[e.dest].kind.ItemCost*float64(len(k.items)-1)
-	m.Bus.Emit(eventpkg.Event{At: m.now, What: what, Dispatcher: k.d, Endpoint: idOf(k.ep), Destination: e.dest,
+	m.Bus.Emit(eventpkg.Event{At: m.now, Kind: what, Dispatcher: k.d, Endpoint: idOf(k.ep), Destination: e.dest,
 		Route: eventpkg.Route(e.route), Zone: e.zone, Weight: weight, Webhook: k.items[0].h.id})
 }
 
@@ -93,7 +93,7 @@
 	k := &m.calls[n]
 	d, s := &m.dispatchers[k.d], &m.servers[k.server]
 	k.sentAt = m.now
-	m.onCall(eventpkg.CallOut, k)
+	m.onCall(eventpkg.CallStarted, k)
 	m.after(k.patience, event{kind: evGiveUp, a: n, gen: k.gen})
 	if l := d.links[k.ep]; l != nil && l.epoch == s.epoch {
 		m.closeIdle(d, k.ep)
--- a/sim/engine/clients.go
+++ b/sim/engine/clients.go
@@ -126,8 +126,8 @@
 	if !o.offered {
 		o.offered = true
 		m.Bus.Emit(
-			eventpkg.Event{At: m.now, What: eventpkg.Offered, Origin: eventpkg.Origin(n), Type: o.evt, Destination: o.dest,
-				TTL: o.ttl},
+			eventpkg.Event{At: m.now, Kind: eventpkg.Offered, Request: eventpkg.RequestID(n), EventType: o.evt, Destination: o.dest,
+				Deadline: o.ttl},
 		)
 	}
 	if m.now >= o.ttl {
@@ -141,8 +141,8 @@
 	case d.frozenUntil > m.now+answerWithin:
 		m.after(answerWithin, event{kind: evHandIn, a: n})
 	case d.open >= m.plan.Dispatchers.Buffer:
-		m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.TurnedAway, Dispatcher: d.number, Origin: eventpkg.Origin(n),
-			Destination: o.dest, Type: o.evt})
+		m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.BufferFull, Dispatcher: d.number, Request: eventpkg.RequestID(n),
+			Destination: o.dest, EventType: o.evt})
 		m.comeAgain(n, 0)
 	default:
 		m.lastID++
@@ -178,7 +178,7 @@
 func (m *Model) giveUp(n int32) {
 	o := &m.origins[n]
 	m.Bus.Emit(
-		eventpkg.Event{At: m.now, What: eventpkg.GivenUp, Origin: eventpkg.Origin(n), Type: o.evt, Destination: o.dest},
+		eventpkg.Event{At: m.now, Kind: eventpkg.Abandoned, Request: eventpkg.RequestID(n), EventType: o.evt, Destination: o.dest},
 	)
 	m.close(n)
 }
--- a/sim/engine/connections.go
+++ b/sim/engine/connections.go
@@ -39,7 +39,7 @@
 		m.answer(n, api.ConnectionReset, 0)
 		return
 	}
-	m.onCall(eventpkg.Reached, k)
+	m.onCall(eventpkg.CallArrived, k)
 	m.weigh(e.route, 1+r.kind.ItemCost*float64(len(k.items)-1))
 	switch {
 	case s.down > 0: // that call pushed it over
@@ -70,7 +70,7 @@
 	if mayTell && m.chance.Float64() < r.kind.TellsWait {
 		wait = within(m.chance, r.kind.Wait).us()
 	}
-	m.onCall(eventpkg.Refused, &m.calls[n])
+	m.onCall(eventpkg.CallRefused, &m.calls[n])
 	m.answer(n, api.Rejected, wait)
 }
 
@@ -81,7 +81,7 @@
 	k := &m.calls[n]
 	d, s := &m.dispatchers[k.d], &m.servers[k.server]
 	if k.at != callMade {
-		m.onCall(eventpkg.CallBack, k)
+		m.onCall(eventpkg.CallFinished, k)
 	}
 	d.out--
 	if k.linked && k.epoch == s.epoch {
--- a/sim/engine/custody.go
+++ b/sim/engine/custody.go
@@ -87,7 +87,7 @@
 	}
 	if h.deeds.settles(&asked, &h.m.plan.Events[h.m.origins[w.origin].evt], ended, h.m.now) {
 		w.mayRun = asked.mayRun
-		h.m.Bus.Emit(h.m.about(eventpkg.Resumed, d, w, eventpkg.Event{Attempt: w.attempts}))
+		h.m.Bus.Emit(h.m.about(eventpkg.Recovered, d, w, eventpkg.Event{Attempt: w.attempts}))
 		h.own(d, w)
 		return
 	}
@@ -163,7 +163,7 @@
 	if d.held[w.id] != w || w.ended {
 		return
 	}
-	h.m.Bus.Emit(h.m.about(eventpkg.Passed, d, w, eventpkg.Event{Other: to}))
+	h.m.Bus.Emit(h.m.about(eventpkg.HandoffAcknowledged, d, w, eventpkg.Event{Peer: to}))
 	delete(d.held, w.id)
 	delete(d.member.parked, w.id)
 	if known := d.member.known[w.id]; known.here {
--- a/sim/engine/dispatcher.go
+++ b/sim/engine/dispatcher.go
@@ -81,7 +81,7 @@
 	d.zone = api.ZoneID(int(n) % len(m.plan.Net.Zones))
 	d.held, d.links, d.open, d.out = map[api.WebhookID]*held{}, map[int32]*links{}, 0, 0
 	d.made, d.killInTurn, d.muted = nil, nil, false
-	m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.Started, Dispatcher: n})
+	m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.Started, Dispatcher: n})
 	d.module = m.start(m.plan.Facts(int(n), d.seeds.Uint64()), d)
 	stale := m.plan.Dispatchers.StartStale.us() + d.startsStale
 	d.knows = 0
@@ -123,7 +123,7 @@
 	for _, h := range kept {
 		o := &m.origins[h.origin]
 		d.open++
-		m.Bus.Emit(m.about(eventpkg.Resumed, d, h, eventpkg.Event{Attempt: h.attempts}))
+		m.Bus.Emit(m.about(eventpkg.Recovered, d, h, eventpkg.Event{Attempt: h.attempts}))
 		if d.member != nil {
 			d.begins(h)
 			continue
@@ -213,7 +213,7 @@
 		h := d.held[n.id]
 		o := &m.origins[h.origin]
 		d.tookInTurn = append(d.tookInTurn, h)
-		m.Bus.Emit(m.about(eventpkg.Taken, d, h, eventpkg.Event{}))
+		m.Bus.Emit(m.about(eventpkg.Accepted, d, h, eventpkg.Event{}))
 		if d.member != nil {
 			d.takesOn(h, n.offer)
 			return
@@ -224,11 +224,11 @@
 		if h == nil {
 			return
 		}
-		e := eventpkg.Event{Attempt: n.attempt, Outcome: n.what, Endpoint: n.ep, Wait: n.wait}
+		e := eventpkg.Event{Attempt: n.attempt, Outcome: n.what, Endpoint: n.ep, RetryAfter: n.wait}
 		if i := indexOf(n.ep); i >= 0 {
 			e.Route, e.Zone = eventpkg.Route(m.endpoints[i].route), m.endpoints[i].zone
 		}
-		m.Bus.Emit(m.about(eventpkg.Heard, d, h, e))
+		m.Bus.Emit(m.about(eventpkg.AttemptEnded, d, h, e))
 		h.call = -1
 		if n.what == api.Delivered && !h.ended {
 			m.end(d, h, eventpkg.Delivered, 0)
--- a/sim/engine/emulator_test.go
+++ b/sim/engine/emulator_test.go
@@ -24,7 +24,7 @@
 		engine.Trouble{Kind: "slow", At: 7 * sec, For: 12 * sec, Destinations: []int{0}, Size: 3},
 		engine.Trouble{Kind: "down", At: 8 * sec, For: 10 * sec, Destinations: []int{1}},
 		engine.Trouble{Kind: "hang", At: 6 * sec, For: 20 * sec, Destinations: []int{1}})
-	w, events, _ := play(t, s, module, eventpkg.OutageStart, eventpkg.OutageOver)
+	w, events, _ := play(t, s, module, eventpkg.OutageStarted, eventpkg.OutageEnded)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
@@ -38,28 +38,28 @@
 	for _, journal := range []bool{true, false} {
 		s := plain(engine.Trouble{Kind: "kill", At: 5 * sec, For: sec, Dispatchers: []int{0}, Journal: journal,
 			InTurn: true})
-		w, events, sum := play(t, s, module, eventpkg.Taken, eventpkg.Killed, eventpkg.Resumed, eventpkg.Ended, eventpkg.Sent)
+		w, events, sum := play(t, s, module, eventpkg.Accepted, eventpkg.Killed, eventpkg.Recovered, eventpkg.Finished, eventpkg.AttemptStarted)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		assert.Zero(t, sum.Unended)
 		killed := api.Never
 		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
-			case e.What == eventpkg.Killed:
+			case e.Kind == eventpkg.Killed:
 				killed = e.At
 				for _, x := range events {
-					if x.What == eventpkg.Taken && x.At == killed && x.Dispatcher == 0 {
+					if x.Kind == eventpkg.Accepted && x.At == killed && x.Dispatcher == 0 {
 						taken[x.Webhook] = true
 					}
 				}
 				assert.NotEmpty(t, taken, "it dies in a turn that takes one on")
 				for _, x := range events {
-					left := x.What == eventpkg.Sent && x.Dispatcher == 0 && x.At == killed
+					left := x.Kind == eventpkg.AttemptStarted && x.Dispatcher == 0 && x.At == killed
 					assert.False(t, left, "nothing left in that turn")
 				}
-			case e.What == eventpkg.Resumed && taken[e.Webhook]:
+			case e.Kind == eventpkg.Recovered && taken[e.Webhook]:
 				resumed++
-			case e.What == eventpkg.Ended && e.End == eventpkg.Died && taken[e.Webhook]:
+			case e.Kind == eventpkg.Finished && e.Final == eventpkg.StateLost && taken[e.Webhook]:
 				died++
 			}
 		}
@@ -74,23 +74,23 @@
 func TestWhatADeadDispatcherHadOutReachesNobodyAndIsHandedOn(t *testing.T) {
 	s := plain(engine.Trouble{Kind: "hang", At: 4 * sec, For: 20 * sec, Busiest: 8},
 		engine.Trouble{Kind: "kill", At: 6 * sec, For: 30 * sec, Dispatchers: []int{0}})
-	w, events, _ := play(t, s, module, eventpkg.Taken, eventpkg.Killed, eventpkg.Heard, eventpkg.Ended, eventpkg.Sent)
+	w, events, _ := play(t, s, module, eventpkg.Accepted, eventpkg.Killed, eventpkg.AttemptEnded, eventpkg.Finished, eventpkg.AttemptStarted)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	dead := false
-	out, again, died := map[eventpkg.Origin]api.EventTypeID{}, map[eventpkg.Origin]bool{}, map[eventpkg.Origin]bool{}
+	out, again, died := map[eventpkg.RequestID]api.EventTypeID{}, map[eventpkg.RequestID]bool{}, map[eventpkg.RequestID]bool{}
 	for _, e := range events {
 		switch {
-		case e.What == eventpkg.Killed:
+		case e.Kind == eventpkg.Killed:
 			dead = true
-		case e.What == eventpkg.Sent && e.Dispatcher == 0:
-			out[e.Origin] = e.Type
-		case e.What == eventpkg.Heard && e.Dispatcher == 0:
+		case e.Kind == eventpkg.AttemptStarted && e.Dispatcher == 0:
+			out[e.Request] = e.EventType
+		case e.Kind == eventpkg.AttemptEnded && e.Dispatcher == 0:
 			assert.False(t, dead, "an outcome came to a dead dispatcher")
-			delete(out, e.Origin)
-		case e.What == eventpkg.Ended && e.End == eventpkg.Died:
-			died[e.Origin] = true
-		case e.What == eventpkg.Taken && dead && died[e.Origin]:
-			again[e.Origin] = true
+			delete(out, e.Request)
+		case e.Kind == eventpkg.Finished && e.Final == eventpkg.StateLost:
+			died[e.Request] = true
+		case e.Kind == eventpkg.Accepted && dead && died[e.Request]:
+			again[e.Request] = true
 		}
 	}
 	require.NotEmpty(t, out)
@@ -110,12 +110,12 @@
 	hammer := func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
-	_, events, sum := play(t, s, hammer, eventpkg.Fell, eventpkg.Reached)
+	_, events, sum := play(t, s, hammer, eventpkg.Collapsed, eventpkg.CallArrived)
 	require.Equal(t, 1, sum.Fell)
 	fell, before := false, 0
 	for _, e := range events {
 		switch {
-		case e.What == eventpkg.Fell:
+		case e.Kind == eventpkg.Collapsed:
 			fell = true
 			assert.EqualValues(t, 0, e.Destination)
 		case e.Destination == 0 && fell:
@@ -132,14 +132,14 @@
 func TestAnEndpointThatIsReplacedDrainsAndItsAddressMayServeOn(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
 		s := plain(engine.Trouble{Kind: "replace", At: 5 * sec, Busiest: 1, Drain: 4 * sec, Address: address})
-		w, events, _ := play(t, s, module, eventpkg.Sent, eventpkg.Told)
+		w, events, _ := play(t, s, module, eventpkg.AttemptStarted, eventpkg.EndpointUpdated)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		last := events[len(events)-1]
 		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
-			if e.What == eventpkg.Sent && e.Destination == 0 && e.At < api.Micros(5*sec) {
+			if e.Kind == eventpkg.AttemptStarted && e.Destination == 0 && e.At < api.Micros(5*sec) {
 				before[e.Endpoint] = true
-			} else if e.What == eventpkg.Sent && e.Destination == 0 && e.At > last.At-api.Micros(5*sec) {
+			} else if e.Kind == eventpkg.AttemptStarted && e.Destination == 0 && e.At > last.At-api.Micros(5*sec) {
 				after[e.Endpoint] = true
 			}
 		}
@@ -154,7 +154,7 @@
 	s := plain()
 	s.Kinds[0].Places, s.Dispatchers.Count, s.Clients.Rate = 1, 4, 60
 	s.Kinds[0].Endpoints = []int{1, 1}
-	_, events, _ := play(t, s, module, eventpkg.Heard)
+	_, events, _ := play(t, s, module, eventpkg.AttemptEnded)
 	failed := 0
 	for _, e := range events {
 		if e.Outcome == api.ConnectFailed {
@@ -168,12 +168,12 @@
 	s := plain(
 		engine.Trouble{Kind: "restart", At: 5 * sec, For: sec / 2, Drain: 2 * sec, Dispatchers: []int{0}},
 	)
-	w, events, sum := play(t, s, module, eventpkg.Taken, eventpkg.Started)
+	w, events, sum := play(t, s, module, eventpkg.Accepted, eventpkg.Started)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	assert.Zero(t, sum.Died+sum.Unended)
 	taken := map[bool]int{}
 	for _, e := range events {
-		if e.What == eventpkg.Taken && e.Dispatcher == 0 {
+		if e.Kind == eventpkg.Accepted && e.Dispatcher == 0 {
 			at := e.At.Seconds()
 			assert.False(t, at > 5.01 && at < 7.5, "taken on at %.2f, on its way out", at)
 			taken[at > 7.5]++
@@ -186,10 +186,10 @@
 func TestAFrontDealsUnevenlyAndAHotDestinationDrawsItsShare(t *testing.T) {
 	s := plain(engine.Trouble{Kind: "hot", For: 30 * sec, Destinations: []int{7}, Size: 0.5})
 	s.Dispatchers.FrontSkew, s.Events = 0.8, s.Events[:1]
-	_, events, sum := play(t, s, module, eventpkg.Taken, eventpkg.Offered)
+	_, events, sum := play(t, s, module, eventpkg.Accepted, eventpkg.Offered)
 	taken, hot := map[int32]int{}, 0
 	for _, e := range events {
-		if e.What == eventpkg.Taken {
+		if e.Kind == eventpkg.Accepted {
 			taken[e.Dispatcher]++
 		} else if e.Destination == 7 {
 			hot++
--- a/sim/engine/fleet_test.go
+++ b/sim/engine/fleet_test.go
@@ -70,7 +70,7 @@
 	for _, told := range []bool{false, true} {
 		s := fleet()
 		s.Kinds[0].Places, s.Kinds[0].PlacesTold, s.Kinds[0].Headroom = 8, told, 3
-		w, events, sum := play(t, s, module, eventpkg.Heard)
+		w, events, sum := play(t, s, module, eventpkg.AttemptEnded)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		outcomes := map[api.Outcome]int{}
 		for _, e := range events {
@@ -90,7 +90,7 @@
 func TestALoweredLimitHoldsForItsTimeAndItsDestinations(t *testing.T) {
 	s := fleet(engine.Trouble{Kind: "limit", At: 8 * sec, For: 6 * sec, Destinations: []int{0}, Size: 0.2},
 		engine.Trouble{Kind: "limit", At: 10 * sec, For: 2 * sec, Destinations: []int{0}, Size: 0.5})
-	_, events, _ := play(t, s, module, eventpkg.Refused)
+	_, events, _ := play(t, s, module, eventpkg.CallRefused)
 	refused := map[bool]int{}
 	for _, e := range events {
 		if e.Destination == 0 {
@@ -113,11 +113,11 @@
 			s.Clients.Rate, s.Events = day.rate, s.Events[:1]
 			k := &s.Kinds[0]
 			k.Endpoints, k.Headroom, k.PlacesTold, k.TellsWait = []int{1, 1}, 1.2, true, 0
-			w, events, _ := play(t, s, module, eventpkg.OutageOver, eventpkg.Reached)
+			w, events, _ := play(t, s, module, eventpkg.OutageEnded, eventpkg.CallArrived)
 			assert.Empty(t, w.Broken, texts(w.Breaches))
 			back, came := api.Never, 0.0
 			for _, e := range events {
-				if e.What == eventpkg.OutageOver {
+				if e.Kind == eventpkg.OutageEnded {
 					back = e.At
 				} else if back != api.Never && e.At < back+2*api.Second {
 					came++
--- a/sim/engine/forward.go
+++ b/sim/engine/forward.go
@@ -102,8 +102,8 @@
 	o.full = admission == shardmap.AdmissionAccepted && d.open >= h.m.plan.Dispatchers.Buffer
 	if admission != shardmap.AdmissionAccepted || o.full || h.m.now >= h.m.origins[o.h.origin].ttl {
 		if o.full && o.fresh {
-			h.m.Bus.Emit(eventpkg.Event{At: h.m.now, What: eventpkg.TurnedAway, Dispatcher: d.number,
-				Origin: eventpkg.Origin(o.h.origin), Destination: dest, Type: h.m.origins[o.h.origin].evt})
+			h.m.Bus.Emit(eventpkg.Event{At: h.m.now, Kind: eventpkg.BufferFull, Dispatcher: d.number,
+				Request: eventpkg.RequestID(o.h.origin), Destination: dest, EventType: h.m.origins[o.h.origin].evt})
 		}
 		h.comesToNothing(n, shardmap.CustodyNever)
 		return
@@ -131,7 +131,7 @@
 // has notes that what another sent is here already.
 func (h *homes) has(d *dispatcher, here *held, by uint32) {
 	d.member.known[here.id] = hand{took: by, here: true}
-	h.m.Bus.Emit(h.m.about(eventpkg.Handed, d, here, eventpkg.Event{}))
+	h.m.Bus.Emit(h.m.about(eventpkg.HandoffAccepted, d, here, eventpkg.Event{}))
 	d.put(news{kind: newsGate})
 }
 
@@ -166,7 +166,7 @@
 	if by != none {
 		o := &d.m.homes.offers[by]
 		d.member.known[w.id] = hand{took: o.hand, here: true}
-		d.m.Bus.Emit(d.m.about(eventpkg.Handed, d, w, eventpkg.Event{Attempt: w.attempts}))
+		d.m.Bus.Emit(d.m.about(eventpkg.HandoffAccepted, d, w, eventpkg.Event{Attempt: w.attempts}))
 		w.unsaid = true
 		d.member.says = append(d.member.says, by)
 	}
--- a/sim/engine/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -40,19 +40,19 @@
 
 // log writes down all events that it wants.
 type log struct {
-	wants []eventpkg.What
+	wants []eventpkg.Kind
 	all   []eventpkg.Event
 }
 
-func (l *log) Wants() []eventpkg.What { return l.wants }
-func (l *log) See(e *eventpkg.Event)  { l.all = append(l.all, *e) }
+func (l *log) Kinds() []eventpkg.Kind    { return l.wants }
+func (l *log) Observe(e *eventpkg.Event) { l.all = append(l.all, *e) }
 
 // play runs a scenario under the watch; events of the kinds given come back, too.
 func play(
 	t *testing.T,
 	s *engine.Scenario,
 	start engine.Starter,
-	what ...eventpkg.What,
+	what ...eventpkg.Kind,
 ) (*invariant.Watch, []eventpkg.Event,
 	invariant.Summary) {
 	require.NoError(t, s.Check())
@@ -61,7 +61,7 @@
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, l := invariant.NewWatch(terms), invariant.NewRecorder(terms), &log{wants: what}
 	w.Join(&m.Bus)
-	m.Bus.Join(r, l)
+	m.Bus.Subscribe(r, l)
 	w.Close(m.Run())
 	return w, l.all, r.Close()
 }
--- a/sim/engine/homes_test.go
+++ b/sim/engine/homes_test.go
@@ -54,9 +54,9 @@
 	all []eventpkg.Event
 }
 
-func (r homesRun) of(what eventpkg.What) (all []eventpkg.Event) {
+func (r homesRun) of(what eventpkg.Kind) (all []eventpkg.Event) {
 	for _, e := range r.all {
-		if e.What == what {
+		if e.Kind == what {
 			all = append(all, e)
 		}
 	}
@@ -70,9 +70,9 @@
 	terms := invariant.Terms{Settings: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
 	w, r, f := invariant.NewWatch(terms), invariant.NewRecorder(terms), invariant.NewFleet(terms)
-	l := &log{wants: []eventpkg.What{eventpkg.CallOut, eventpkg.Ended}}
+	l := &log{wants: []eventpkg.Kind{eventpkg.CallStarted, eventpkg.Finished}}
 	w.Join(&m.Bus)
-	m.Bus.Join(r, f, l)
+	m.Bus.Subscribe(r, f, l)
 	w.Close(m.Run())
 	return homesRun{w, r.Close(), f.Close(), l.all}
 }
@@ -111,7 +111,7 @@
 		}},
 		{"forwarders call too", homesDay(), func(r homesRun) error {
 			callers := map[api.DestinationID]int32{}
-			for _, e := range r.of(eventpkg.CallOut) {
+			for _, e := range r.of(eventpkg.CallStarted) {
 				if by, ok := callers[e.Destination]; ok && by != e.Dispatcher {
 					return fmt.Errorf("%d and %d call destination %d", by, e.Dispatcher, e.Destination)
 				}
@@ -129,8 +129,8 @@
 		{"a lost home stays home", killed, func(r homesRun) error {
 			lost, again := map[api.DestinationID]bool{}, map[api.DestinationID]bool{}
 			for _, e := range r.all {
-				lost[e.Destination] = lost[e.Destination] || e.What == eventpkg.CallOut && e.Dispatcher == 1
-				again[e.Destination] = again[e.Destination] || e.End == eventpkg.Delivered && e.What == eventpkg.Ended &&
+				lost[e.Destination] = lost[e.Destination] || e.Kind == eventpkg.CallStarted && e.Dispatcher == 1
+				again[e.Destination] = again[e.Destination] || e.Final == eventpkg.Delivered && e.Kind == eventpkg.Finished &&
 					e.At > api.Micros(kill.At+2*killed.Homes.Term)
 			}
 			for d, was := range lost {
--- a/sim/engine/host.go
+++ b/sim/engine/host.go
@@ -13,7 +13,7 @@
 	m, h, i := d.m, d.held[id], indexOf(ep)
 	if h == nil || h.call >= 0 {
 		// Nothing is held under this id, or it is out already: for an observer it is an attempt all the same.
-		m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.Sent, Dispatcher: d.number, Webhook: id, Endpoint: ep})
+		m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.AttemptStarted, Dispatcher: d.number, Webhook: id, Endpoint: ep})
 		return
 	}
 	h.attempts++
@@ -49,7 +49,7 @@
 	k.patience = min(k.patience, patience)
 	h.call = at
 	if !d.muted {
-		m.Bus.Emit(m.about(eventpkg.Sent, d, h, eventpkg.Event{Attempt: h.attempts - 1, Endpoint: ep,
+		m.Bus.Emit(m.about(eventpkg.AttemptStarted, d, h, eventpkg.Event{Attempt: h.attempts - 1, Endpoint: ep,
 			Route: eventpkg.Route(m.endpoints[i].route), Zone: m.endpoints[i].zone}))
 	}
 }
--- a/sim/engine/kill.go
+++ b/sim/engine/kill.go
@@ -19,9 +19,9 @@
 		return
 	}
 	back := m.now + t.For.us()
-	e := eventpkg.Event{At: m.now, What: eventpkg.Killed, Dispatcher: d.number, Span: back}
+	e := eventpkg.Event{At: m.now, Kind: eventpkg.Killed, Dispatcher: d.number, Until: back}
 	if !t.Journal && t.Kind != "restart" {
-		e.End = eventpkg.Died
+		e.Final = eventpkg.StateLost
 	}
 	m.Bus.Emit(e)
 	d.up, d.unseenUntil = false, m.now+m.plan.Clients.Notice.us()
@@ -61,13 +61,13 @@
 		switch {
 		case h.ended:
 		case h.unsaid && !t.Journal: // who sent it here still has it
-			m.Bus.Emit(m.about(eventpkg.Ended, d, h, eventpkg.Event{End: eventpkg.Died}))
+			m.Bus.Emit(m.about(eventpkg.Finished, d, h, eventpkg.Event{Final: eventpkg.StateLost}))
 			m.close(h.origin)
 		case t.Journal || t.Kind == "restart":
 			d.kept = append(d.kept, h)
 		default:
 			h.ended = true
-			m.Bus.Emit(m.about(eventpkg.Ended, d, h, eventpkg.Event{End: eventpkg.Died}))
+			m.Bus.Emit(m.about(eventpkg.Finished, d, h, eventpkg.Event{Final: eventpkg.StateLost}))
 			o := &m.origins[h.origin]
 			evt := &m.plan.Events[o.evt]
 			again := h.mayRun == never || evt.Repeat == "idempotent" ||
--- a/sim/engine/lists.go
+++ b/sim/engine/lists.go
@@ -33,11 +33,11 @@
 }
 
 func (d *dispatcher) listed(n news) {
-	if d.m.Bus.Listened(eventpkg.Told) {
+	if d.m.Bus.HasSubscribers(eventpkg.EndpointUpdated) {
 		for _, e := range n.list {
 			if e.Status != api.EndpointActive || !n.whole {
-				d.m.Bus.Emit(eventpkg.Event{At: d.m.now, What: eventpkg.Told, Dispatcher: d.number, Endpoint: e.Endpoint,
-					Destination: e.Destination, Standing: e.Status})
+				d.m.Bus.Emit(eventpkg.Event{At: d.m.now, Kind: eventpkg.EndpointUpdated, Dispatcher: d.number, Endpoint: e.Endpoint,
+					Destination: e.Destination, Status: e.Status})
 			}
 		}
 	}
@@ -45,10 +45,10 @@
 }
 
 // about is an event that concerns a webhook.
-func (m *Model) about(what eventpkg.What, d *dispatcher, h *held, e eventpkg.Event) eventpkg.Event {
+func (m *Model) about(what eventpkg.Kind, d *dispatcher, h *held, e eventpkg.Event) eventpkg.Event {
 	o := &m.origins[h.origin]
-	e.At, e.What, e.Dispatcher, e.Webhook, e.Origin = m.now, what, d.number, h.id, eventpkg.Origin(h.origin)
-	e.Type, e.Destination, e.Key, e.TTL = o.evt, o.dest, o.key, o.ttl
+	e.At, e.Kind, e.Dispatcher, e.Webhook, e.Request = m.now, what, d.number, h.id, eventpkg.RequestID(h.origin)
+	e.EventType, e.Destination, e.OrderingKey, e.Deadline = o.evt, o.dest, o.key, o.ttl
 	if e.Route == 0 {
 		e.Route = eventpkg.Route(m.dests[o.dest].route)
 	}
--- a/sim/engine/load.go
+++ b/sim/engine/load.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if r.load.add(m.now, rules.TipAfter.us(), weight) > budget+slack(budget) {
-		m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.Fell, Route: eventpkg.Route(ri), Destination: r.dest})
+		m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.Collapsed, Route: eventpkg.Route(ri), Destination: r.dest})
 		for _, e := range r.endpoints {
 			m.strike(e, func(s *server) { s.down++ })
 		}
--- a/sim/engine/sender.go
+++ b/sim/engine/sender.go
@@ -20,7 +20,7 @@
 	delete(d.member.out, n)
 	switch {
 	case o.reply == shardmap.CustodyTaken && o.fresh:
-		h.m.Bus.Emit(h.m.about(eventpkg.Passed, d, o.h, eventpkg.Event{Other: o.to}))
+		h.m.Bus.Emit(h.m.about(eventpkg.HandoffAcknowledged, d, o.h, eventpkg.Event{Peer: o.to}))
 	case !o.fresh && (!o.h.offered || o.h.offer != n): // settled by another message
 	case o.reply == shardmap.CustodyTaken:
 		h.drop(d, o.h, o.to)
--- a/sim/engine/trouble.go
+++ b/sim/engine/trouble.go
@@ -29,7 +29,7 @@
 		for _, i := range t.Dispatchers {
 			if d := &m.dispatchers[i]; begins && d.up {
 				d.frozenUntil = max(d.frozenUntil, m.now+t.For.us())
-				m.Bus.Emit(eventpkg.Event{At: m.now, What: eventpkg.Froze, Dispatcher: d.number, Span: t.For.us()})
+				m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.Paused, Dispatcher: d.number, Duration: t.For.us()})
 			}
 		}
 	case "list_late":
--- a/sim/engine/world.go
+++ b/sim/engine/world.go
@@ -120,13 +120,13 @@
 	r.out, r.load = out, loads{}
 	e := eventpkg.Event{
 		At:          m.now,
-		What:        eventpkg.OutageStart,
+		Kind:        eventpkg.OutageStarted,
 		Route:       eventpkg.Route(ri),
 		Destination: r.dest,
 		Weight:      r.perS,
 	}
 	if r.backAt = never; !out {
-		e.What, r.backAt = eventpkg.OutageOver, m.now
+		e.Kind, r.backAt = eventpkg.OutageEnded, m.now
 		r.tokens, r.tokensAt, r.used, r.begun = 0, m.now, 0, m.now
 	}
 	m.Bus.Emit(e)
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -107,8 +107,8 @@
 	m.Clocked = measured
 	watch, recorder := invariant.NewWatch(Terms(s)), invariant.NewRecorder(Terms(s))
 	watch.Join(&m.Bus)
-	m.Bus.Join(recorder)
-	m.Bus.Join(also...)
+	m.Bus.Subscribe(recorder)
+	m.Bus.Subscribe(also...)
 	began := time.Now()
 	ended := m.Run()
 	watch.Close(ended)
--- a/sim/invariant/claims.go
+++ b/sim/invariant/claims.go
@@ -45,12 +45,12 @@
 	return pauses{t, map[stay]pause{}, map[toRoute]*health{}}
 }
 
-var pausesWant = []event.What{event.Heard, event.Sent, event.Ended}
+var pausesWant = []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Finished}
 
 func (p *pauses) see(e *event.Event) (try int, long api.Micros, ok bool) {
 	k := stayOf(e)
-	switch e.What {
-	case event.Heard:
+	switch e.Kind {
+	case event.AttemptEnded:
 		h := p.of[toRouteOf(e)]
 		if h == nil {
 			h = &health{okAt: api.Never, illAt: api.Never}
@@ -63,19 +63,19 @@
 		case e.Outcome == api.NotSent:
 			return
 		}
-		if h.row++; h.row >= sickFrom || e.Wait > 0 {
+		if h.row++; h.row >= sickFrom || e.RetryAfter > 0 {
 			h.illAt = e.At
 		}
 		ill := h.illAt != api.Never && e.At-h.illAt < 2*p.t.SlowStartDuration
 		if !ill && h.okAt != api.Never && e.At-h.okAt < p.t.OverloadDuration {
 			p.heard[k] = pause{e.At, e.Attempt, h, h.row}
 		}
-	case event.Sent:
+	case event.AttemptStarted:
 		if was, there := p.heard[k]; there {
 			delete(p.heard, k)
 			return was.try, e.At - was.at, was.on.row <= was.row && was.on.illAt < was.at
 		}
-	case event.Ended:
+	case event.Finished:
 		delete(p.heard, k)
 	}
 	return 0, 0, false
@@ -87,8 +87,8 @@
 	by [judgedTo][]float64
 }
 
-func (o *backoff) Wants() []event.What { return pausesWant }
-func (o *backoff) See(e *event.Event) {
+func (o *backoff) Kinds() []event.Kind { return pausesWant }
+func (o *backoff) Observe(e *event.Event) {
 	if try, long, ok := o.see(e); ok && try < judgedTo {
 		o.by[try] = append(o.by[try], long.Seconds())
 	}
@@ -122,8 +122,8 @@
 	first []float64
 }
 
-func (o *jitter) Wants() []event.What { return pausesWant }
-func (o *jitter) See(e *event.Event) {
+func (o *jitter) Kinds() []event.Kind { return pausesWant }
+func (o *jitter) Observe(e *event.Event) {
 	if try, long, ok := o.see(e); ok && try == 0 {
 		o.first = append(o.first, long.Seconds())
 	}
@@ -146,8 +146,8 @@
 	worst int
 }
 
-func (o *destCap) Wants() []event.What { return []event.What{event.CallOut, event.CallBack} }
-func (o *destCap) See(e *event.Event)  { o.worst = max(o.worst, o.out.see(e)) }
+func (o *destCap) Kinds() []event.Kind    { return []event.Kind{event.CallStarted, event.CallFinished} }
+func (o *destCap) Observe(e *event.Event) { o.worst = max(o.worst, o.out.see(e)) }
 func (o *destCap) judge() Claim {
 	limit := most(most34, o.t.MaxInFlight)
 	return Claim{Name: "dest_cap", Seen: o.worst > 0, Kept: o.worst <= limit,
@@ -169,20 +169,20 @@
 	seen  bool
 }
 
-func (o *isolates) Wants() []event.What {
-	return []event.What{event.CallOut, event.CallBack, event.Heard, event.Killed}
+func (o *isolates) Kinds() []event.Kind {
+	return []event.Kind{event.CallStarted, event.CallFinished, event.AttemptEnded, event.Killed}
 }
 
-func (o *isolates) See(e *event.Event) {
+func (o *isolates) Observe(e *event.Event) {
 	k := toRouteOf(e)
-	switch e.What {
+	switch e.Kind {
 	case event.Killed:
 		for k := range o.fails {
 			if k.d == e.Dispatcher {
 				delete(o.fails, k)
 			}
 		}
-	case event.Heard:
+	case event.AttemptEnded:
 		switch e.Outcome {
 		case api.Delivered:
 			delete(o.fails, k)
@@ -192,7 +192,7 @@
 		}
 	default:
 		n := o.out.see(e)
-		if e.What == event.CallOut && o.fails[k] >= sickAfter {
+		if e.Kind == event.CallStarted && o.fails[k] >= sickAfter {
 			o.seen, o.worst = true, max(o.worst, n)
 		}
 	}
--- a/sim/invariant/failback.go
+++ b/sim/invariant/failback.go
@@ -31,17 +31,17 @@
 	knew   bool
 }
 
-func (o *failback) Wants() []event.What {
-	return []event.What{event.OutageStart, event.OutageOver, event.Heard, event.Reached}
+func (o *failback) Kinds() []event.Kind {
+	return []event.Kind{event.OutageStarted, event.OutageEnded, event.AttemptEnded, event.CallArrived}
 }
 
-func (o *failback) See(e *event.Event) {
+func (o *failback) Observe(e *event.Event) {
 	r := o.routes[e.Route]
-	switch e.What {
-	case event.OutageStart:
+	switch e.Kind {
+	case event.OutageStarted:
 		o.routes[e.Route] = &returning{out: true, perS: e.Weight, learned: map[int32]bool{}}
 		return
-	case event.OutageOver:
+	case event.OutageEnded:
 		if r != nil {
 			r.out, r.at = false, e.At
 		}
@@ -50,7 +50,7 @@
 	if r == nil {
 		return
 	}
-	if e.What == event.Heard {
+	if e.Kind == event.AttemptEnded {
 		if r.out && e.Outcome != api.Delivered && e.Outcome != api.NotSent {
 			r.learned[e.Dispatcher] = true
 		}
--- a/sim/invariant/fleet.go
+++ b/sim/invariant/fleet.go
@@ -16,7 +16,7 @@
 	routes map[event.Route]*outage
 	ends   map[api.DestinationID]*pulse
 	killed api.Micros
-	came   map[event.Origin]api.Micros
+	came   map[event.RequestID]api.Micros
 	hops   *hdr.Histogram
 	sum    Together
 	loads  float64
@@ -60,37 +60,37 @@
 // NewFleet starts with nothing seen.
 func NewFleet(t Terms) *Fleet {
 	return &Fleet{t: t, routes: map[event.Route]*outage{}, ends: map[api.DestinationID]*pulse{},
-		came: map[event.Origin]api.Micros{}, hops: newLatency(), killed: api.Never}
+		came: map[event.RequestID]api.Micros{}, hops: newLatency(), killed: api.Never}
 }
 
-func (f *Fleet) Wants() []event.What {
-	return []event.What{event.Offered, event.Handed, event.OutageStart, event.OutageOver, event.CallOut, event.Reached,
-		event.Ended, event.Killed}
+func (f *Fleet) Kinds() []event.Kind {
+	return []event.Kind{event.Offered, event.HandoffAccepted, event.OutageStarted, event.OutageEnded, event.CallStarted, event.CallArrived,
+		event.Finished, event.Killed}
 }
 
-func (f *Fleet) See(e *event.Event) {
-	switch e.What {
+func (f *Fleet) Observe(e *event.Event) {
+	switch e.Kind {
 	case event.Offered:
-		f.came[e.Origin] = e.At
-	case event.Handed:
-		if at, ok := f.came[e.Origin]; ok {
-			delete(f.came, e.Origin)
+		f.came[e.Request] = e.At
+	case event.HandoffAccepted:
+		if at, ok := f.came[e.Request]; ok {
+			delete(f.came, e.Request)
 			f.sum.Handed++
 			note(f.hops, e.At-at)
 		}
-	case event.OutageStart:
+	case event.OutageStarted:
 		f.close(f.routes[e.Route])
 		f.routes[e.Route] = &outage{out: true, perS: e.Weight, callers: map[int32]bool{}}
-	case event.OutageOver:
+	case event.OutageEnded:
 		if r := f.routes[e.Route]; r != nil {
 			r.out, r.backAt = false, e.At
 		}
-	case event.CallOut:
+	case event.CallStarted:
 		if r := f.routes[e.Route]; r != nil && r.out {
 			r.calls++
 			r.callers[e.Dispatcher] = true
 		}
-	case event.Reached:
+	case event.CallArrived:
 		if r := f.routes[e.Route]; r != nil && !r.out && e.At-r.backAt <= f.t.OverloadDuration {
 			r.sent += e.Weight
 		}
@@ -100,7 +100,7 @@
 }
 
 func (f *Fleet) beat(e *event.Event) {
-	if e.What == event.Killed {
+	if e.Kind == event.Killed {
 		f.killed = e.At
 		for _, p := range f.ends {
 			if !p.waits && float64(p.beats) >= busy*e.At.Seconds() {
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if e.End != event.Delivered {
+	if e.Final != event.Delivered {
 		return
 	}
 	p := f.ends[e.Destination]
--- a/sim/invariant/observe_test.go
+++ b/sim/invariant/observe_test.go
@@ -25,33 +25,33 @@
 	const told, long = 100 * api.Second, api.Second / 2
 	for early, broken := range map[api.Micros]int{0: 0, 1: 1} {
 		w, b := watch()
-		b.Emit(event.Event{At: told, What: event.Taken, Webhook: 1, TTL: told + api.Second})
-		b.Emit(event.Event{At: told, What: event.Heard, Webhook: 2, Outcome: api.Rejected, Wait: long})
+		b.Emit(event.Event{At: told, Kind: event.Accepted, Webhook: 1, Deadline: told + api.Second})
+		b.Emit(event.Event{At: told, Kind: event.AttemptEnded, Webhook: 2, Outcome: api.Rejected, RetryAfter: long})
 		b.Emit(
-			event.Event{At: told, What: event.Heard, Webhook: 3, Outcome: api.Rejected, Wait: 10},
+			event.Event{At: told, Kind: event.AttemptEnded, Webhook: 3, Outcome: api.Rejected, RetryAfter: 10},
 		) // the longest holds
-		b.Emit(event.Event{At: told + long - early, What: event.Sent, Webhook: 1, Endpoint: 1})
+		b.Emit(event.Event{At: told + long - early, Kind: event.AttemptStarted, Webhook: 1, Endpoint: 1})
 		assert.Equal(t, broken, w.Broken["wait"])
 	}
 }
 
 func TestABreachNamesTheWebhooksLastEvents(t *testing.T) {
 	w, b := watch()
-	one := event.Event{At: 1, Webhook: 7, Dispatcher: 3, Destination: 5, Type: 1, TTL: 20 * api.Second}
-	step := func(at api.Micros, what event.What, change func(*event.Event)) {
+	one := event.Event{At: 1, Webhook: 7, Dispatcher: 3, Destination: 5, EventType: 1, Deadline: 20 * api.Second}
+	step := func(at api.Micros, what event.Kind, change func(*event.Event)) {
 		e := one
-		e.At, e.What = at, what
+		e.At, e.Kind = at, what
 		if change != nil {
 			change(&e)
 		}
 		b.Emit(e)
 	}
-	step(1, event.Taken, nil)
-	step(2, event.Sent, nil)
-	step(3, event.Heard, func(e *event.Event) { e.Outcome = api.TimedOut })
-	step(4, event.Sent, func(e *event.Event) { e.Attempt, e.Zone = 1, 1 })
-	step(5, event.Ended, func(e *event.Event) { e.End = event.Rejected })
-	step(6, event.Ended, func(e *event.Event) { e.End = event.DeadLettered })
+	step(1, event.Accepted, nil)
+	step(2, event.AttemptStarted, nil)
+	step(3, event.AttemptEnded, func(e *event.Event) { e.Outcome = api.TimedOut })
+	step(4, event.AttemptStarted, func(e *event.Event) { e.Attempt, e.Zone = 1, 1 })
+	step(5, event.Finished, func(e *event.Event) { e.Final = event.Rejected })
+	step(6, event.Finished, func(e *event.Event) { e.Final = event.DeadLettered })
 	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, w.Broken)
 	zone := w.Breaches[0]
 	assert.Equal(t, "tokened by zone, sent to another zone", zone.Text)
@@ -59,31 +59,31 @@
 	assert.Equal(t, int32(3), zone.Dispatcher)
 	assert.Equal(t, api.DestinationID(5), zone.Destination)
 	assert.Len(t, zone.Last, 4)
-	assert.Contains(t, zone.String(), "0.000003s heard dispatcher 3 attempt 0: timed out")
+	assert.Contains(t, zone.String(), "0.000003s attempt ended dispatcher 3 attempt 0: timed out")
 }
 
 func TestOrderAsksForARestAfterWhatMayStillRun(t *testing.T) {
 	for after, broken := range map[api.Micros]int{api.Second - 1: 1, api.Second: 0} {
 		w, b := watch()
-		e := event.Event{At: 1, Type: 2, Key: 9, TTL: 20 * api.Second}
-		send := func(at api.Micros, id api.WebhookID, what event.What, out api.Outcome, end event.End) {
-			e.At, e.Webhook, e.What, e.Outcome, e.End = at, id, what, out, end
+		e := event.Event{At: 1, EventType: 2, OrderingKey: 9, Deadline: 20 * api.Second}
+		send := func(at api.Micros, id api.WebhookID, what event.Kind, out api.Outcome, end event.FinalStatus) {
+			e.At, e.Webhook, e.Kind, e.Outcome, e.Final = at, id, what, out, end
 			b.Emit(e)
 		}
-		send(1, 1, event.Taken, 0, 0)
-		send(1, 2, event.Taken, 0, 0)
-		send(2, 1, event.Sent, 0, 0)
-		send(3, 1, event.Heard, api.ConnectionReset, 0)
-		send(3, 1, event.Ended, 0, event.DeadLettered)
-		send(3+after, 2, event.Sent, 0, 0)
+		send(1, 1, event.Accepted, 0, 0)
+		send(1, 2, event.Accepted, 0, 0)
+		send(2, 1, event.AttemptStarted, 0, 0)
+		send(3, 1, event.AttemptEnded, api.ConnectionReset, 0)
+		send(3, 1, event.Finished, 0, event.DeadLettered)
+		send(3+after, 2, event.AttemptStarted, 0, 0)
 		assert.Equal(t, broken, w.Broken["order"])
 	}
 }
 
 func TestWhatIsStillOwedAtTheEndIsLost(t *testing.T) {
 	w, b := watch()
-	b.Emit(event.Event{At: 1, What: event.Taken, Webhook: 1, TTL: 50})
-	b.Emit(event.Event{At: 1, What: event.Taken, Webhook: 2, TTL: 5000})
+	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 1, Deadline: 50})
+	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 2, Deadline: 5000})
 	w.Close(1000)
 	assert.Equal(t, map[string]int{"lost": 1}, w.Broken)
 }
--- a/sim/invariant/order.go
+++ b/sim/invariant/order.go
@@ -32,12 +32,12 @@
 	sentAlready bool
 }
 
-func (o *order) Wants() []event.What {
-	return []event.What{event.Taken, event.Resumed, event.Sent, event.Heard, event.Ended, event.Killed}
+func (o *order) Kinds() []event.Kind {
+	return []event.Kind{event.Accepted, event.Recovered, event.AttemptStarted, event.AttemptEnded, event.Finished, event.Killed}
 }
 
-func (o *order) See(e *event.Event) {
-	if e.What == event.Killed {
+func (o *order) Observe(e *event.Event) {
+	if e.Kind == event.Killed {
 		for k := range o.lines {
 			if k.d == e.Dispatcher {
 				delete(o.lines, k)
@@ -50,10 +50,10 @@
 		}
 		return
 	}
-	if e.Key == 0 || !o.t.EventTypes[min(int(e.Type), len(o.t.EventTypes)-1)].Ordered {
+	if e.OrderingKey == 0 || !o.t.EventTypes[min(int(e.EventType), len(o.t.EventTypes)-1)].Ordered {
 		return
 	}
-	at := line{e.Dispatcher, e.Key}
+	at := line{e.Dispatcher, e.OrderingKey}
 	q := o.lines[at]
 	if q == nil {
 		q = &queue{restTo: api.Never}
@@ -61,27 +61,27 @@
 	}
 	w := o.of[stayOf(e)]
 	if w == nil {
-		if e.What != event.Taken && e.What != event.Resumed {
+		if e.Kind != event.Accepted && e.Kind != event.Recovered {
 			return
 		}
 		w = &ordered{id: e.Webhook, sentAlready: e.Attempt > 0}
 		o.of[stayOf(e)] = w
 		q.in = append(q.in, w)
 	}
-	switch e.What {
-	case event.Sent:
+	switch e.Kind {
+	case event.AttemptStarted:
 		if q.in[0] != w {
 			o.breach(e, "sent while webhook %d of its key, taken before it, is not over", q.in[0].id)
 		} else if !w.sentAlready && e.At < q.restTo {
 			o.breach(e, "sent %.3f s before its key had rested", (q.restTo - e.At).Seconds())
 		}
 		w.out, w.sentAlready = true, true
-	case event.Heard:
+	case event.AttemptEnded:
 		w.out = false
 		if e.Outcome.MayStillRun() {
 			q.restTo = max(q.restTo, e.At+o.t.OrderingGap)
 		}
-	case event.Ended:
+	case event.Finished:
 		w.over = true
 	}
 	if w.over && !w.out {
--- a/sim/invariant/recorder.go
+++ b/sim/invariant/recorder.go
@@ -46,9 +46,9 @@
 		cold: map[event.Route]*returning{}}
 }
 
-func (r *Recorder) Wants() []event.What {
-	return []event.What{event.Offered, event.TurnedAway, event.Sent, event.Ended, event.GivenUp, event.CallOut,
-		event.CallBack, event.Connected, event.Reached, event.Refused, event.OutageStart, event.OutageOver, event.Fell}
+func (r *Recorder) Kinds() []event.Kind {
+	return []event.Kind{event.Offered, event.BufferFull, event.AttemptStarted, event.Finished, event.Abandoned, event.CallStarted,
+		event.CallFinished, event.Connected, event.CallArrived, event.CallRefused, event.OutageStarted, event.OutageEnded, event.Collapsed}
 }
 
 func (r *Recorder) second(at api.Micros) *Second {
@@ -67,25 +67,25 @@
 	return d
 }
 
-func (r *Recorder) See(e *event.Event) {
-	switch e.What {
+func (r *Recorder) Observe(e *event.Event) {
+	switch e.Kind {
 	case event.Offered:
-		for len(r.origins) <= int(e.Origin) {
+		for len(r.origins) <= int(e.Request) {
 			r.origins = append(r.origins, fate{cameAt: api.Never})
 		}
-		r.origins[e.Origin] = fate{cameAt: e.At, dest: e.Destination, evt: e.Type}
-	case event.TurnedAway:
+		r.origins[e.Request] = fate{cameAt: e.At, dest: e.Destination, evt: e.EventType}
+	case event.BufferFull:
 		r.sum.TurnedAway++
-	case event.Sent:
+	case event.AttemptStarted:
 		r.sum.Attempts++
-	case event.GivenUp:
-		r.origins[e.Origin].settle(givenUp, e.At)
-	case event.Ended:
-		if how, ok := map[event.End]verdict{event.Delivered: delivered, event.DeadLettered: deadLettered,
-			event.Died: died}[e.End]; ok {
-			r.origins[e.Origin].settle(how, e.At)
+	case event.Abandoned:
+		r.origins[e.Request].settle(givenUp, e.At)
+	case event.Finished:
+		if how, ok := map[event.FinalStatus]verdict{event.Delivered: delivered, event.DeadLettered: deadLettered,
+			event.StateLost: died}[e.Final]; ok {
+			r.origins[e.Request].settle(how, e.At)
 		}
-	case event.CallOut:
+	case event.CallStarted:
 		r.outNow++
 		r.sum.Calls++
 		s, d := r.second(e.At), r.dest(e.Destination)
@@ -93,23 +93,23 @@
 		s.Out = max(s.Out, r.outNow)
 		d.Calls++
 		d.Out = max(d.Out, r.out.see(e))
-	case event.CallBack:
+	case event.CallFinished:
 		r.outNow--
 		r.out.see(e)
 	case event.Connected:
 		r.sum.Connects++
 		r.second(e.At).Connected++
-	case event.Refused:
+	case event.CallRefused:
 		r.sum.Refused++
 		r.second(e.At).Refused++
 		r.dest(e.Destination).Refused++
-	case event.Fell:
+	case event.Collapsed:
 		r.sum.Fell++
-	case event.OutageStart:
+	case event.OutageStarted:
 		delete(r.cold, e.Route)
-	case event.OutageOver:
+	case event.OutageEnded:
 		r.cold[e.Route] = &returning{at: e.At, perS: e.Weight}
-	case event.Reached:
+	case event.CallArrived:
 		r.onCold(e)
 	}
 }
--- a/sim/invariant/rules.go
+++ b/sim/invariant/rules.go
@@ -24,55 +24,55 @@
 	e  event.Event
 }
 
-func (o *lost) Wants() []event.What {
-	return []event.What{event.Taken, event.Resumed, event.Ended, event.Sent, event.Killed, event.Froze, event.Handed,
-		event.Passed}
+func (o *lost) Kinds() []event.Kind {
+	return []event.Kind{event.Accepted, event.Recovered, event.Finished, event.AttemptStarted, event.Killed, event.Paused, event.HandoffAccepted,
+		event.HandoffAcknowledged}
 }
 
-func (o *lost) See(e *event.Event) {
+func (o *lost) Observe(e *event.Event) {
 	k := stayOf(e)
-	switch e.What {
-	case event.Taken, event.Resumed:
-		o.open[k] = &due{max(e.TTL, e.At) + o.t.AnswerGrace, *e}
+	switch e.Kind {
+	case event.Accepted, event.Recovered:
+		o.open[k] = &due{max(e.Deadline, e.At) + o.t.AnswerGrace, *e}
 		delete(o.homes.passed, k)
-	case event.Handed:
+	case event.HandoffAccepted:
 		o.homes.begin()
-	case event.Passed: // there may have been a copy here, or none yet
+	case event.HandoffAcknowledged: // there may have been a copy here, or none yet
 		delete(o.open, k)
-		if !o.homes.has(o, k, e.Other) {
-			o.breach(e, "said to be dispatcher %d's, which does not have it", e.Other)
+		if !o.homes.has(o, k, e.Peer) {
+			o.breach(e, "said to be dispatcher %d's, which does not have it", e.Peer)
 		}
-	case event.Killed, event.Froze:
+	case event.Killed, event.Paused:
 		if o.at == nil {
 			o.at = map[int32]api.Micros{}
 		}
-		until := e.Span
-		if e.What == event.Froze {
-			until += e.At
+		until := e.Until
+		if e.Kind == event.Paused {
+			until = e.At + e.Duration
 		}
 		o.at[e.Dispatcher] = max(o.at[e.Dispatcher], until+o.t.AnswerGrace)
-		if e.End == event.Died { // it can't know what it had
+		if e.Final == event.StateLost { // it can't know what it had
 			maps.DeleteFunc(o.ended, func(k stay, _ bool) bool { return k.d == e.Dispatcher })
 		}
-	case event.Sent:
+	case event.AttemptStarted:
 		if o.ended[k] {
 			o.breach(e, "sent after its end")
 		} else if o.open[k] == nil {
 			o.breach(e, "sent by a dispatcher that did not take it on")
 		}
-	case event.Ended:
+	case event.Finished:
 		d := o.open[k]
 		if d == nil {
-			if e.End != event.Died { // one that died untaken is owed nothing
-				o.breach(e, "ended (%s) though it is not held", e.End)
+			if e.Final != event.StateLost { // one that died untaken is owed nothing
+				o.breach(e, "ended (%s) though it is not held", e.Final)
 			}
 			return
 		}
-		if e.End != event.Died && e.At > max(d.by, o.at[e.Dispatcher]) {
+		if e.Final != event.StateLost && e.At > max(d.by, o.at[e.Dispatcher]) {
 			o.breach(e, "ended %.3f s late", (e.At - d.by).Seconds())
 		}
 		o.homes.ended(k)
-		if delete(o.open, k); e.End == event.Died {
+		if delete(o.open, k); e.Final == event.StateLost {
 			return
 		}
 		o.ended[k] = true
@@ -114,28 +114,28 @@
 	ranIn  api.ZoneID
 }
 
-func (o *twice) Wants() []event.What {
-	return []event.What{event.Taken, event.Resumed, event.Sent, event.Heard, event.Ended, event.Handed}
+func (o *twice) Kinds() []event.Kind {
+	return []event.Kind{event.Accepted, event.Recovered, event.AttemptStarted, event.AttemptEnded, event.Finished, event.HandoffAccepted}
 }
 
-func (o *twice) See(e *event.Event) {
-	k, row := e.Webhook, o.t.EventTypes[min(int(e.Type), len(o.t.EventTypes)-1)]
+func (o *twice) Observe(e *event.Event) {
+	k, row := e.Webhook, o.t.EventTypes[min(int(e.EventType), len(o.t.EventTypes)-1)]
 	w := o.of[k]
 	if w == nil {
-		if e.What != event.Taken && e.What != event.Resumed {
+		if e.Kind != event.Accepted && e.Kind != event.Recovered {
 			return
 		}
 		w = &tries{mayRun: api.Never}
 		o.of[k] = w
 	}
-	switch e.What {
-	case event.Resumed, event.Handed: // what was out may have run
-		w.shared = w.shared || e.What == event.Handed
+	switch e.Kind {
+	case event.Recovered, event.HandoffAccepted: // what was out may have run
+		w.shared = w.shared || e.Kind == event.HandoffAccepted
 		if w.out && w.mayRun == api.Never {
 			w.mayRun, w.ranIn = w.sentAt, w.zone
 		}
 		w.out = false
-	case event.Sent:
+	case event.AttemptStarted:
 		ran := w.mayRun != api.Never
 		switch {
 		case w.out:
@@ -153,14 +153,14 @@
 			o.breach(e, "tokened by zone, sent to another zone")
 		}
 		w.out, w.sentAt, w.zone = true, e.At, e.Zone
-	case event.Heard:
+	case event.AttemptEnded:
 		w.out = false
 		if !e.Outcome.NeverRan() && w.mayRun == api.Never {
 			w.mayRun, w.ranIn = w.sentAt, w.zone
 		}
-	case event.Ended:
+	case event.Finished:
 		mayRun := w.out || w.mayRun != api.Never
-		if e.End == event.Rejected && mayRun && row.Semantics != api.Idempotent {
+		if e.Final == event.Rejected && mayRun && row.Semantics != api.Idempotent {
 			o.breach(e, "rejected as harmless though it may have run")
 		}
 		if !w.out && !w.shared {
@@ -183,17 +183,19 @@
 	ep api.EndpointID
 }
 
-func (o *drain) Wants() []event.What { return []event.What{event.Told, event.Sent} }
+func (o *drain) Kinds() []event.Kind {
+	return []event.Kind{event.EndpointUpdated, event.AttemptStarted}
+}
 
-func (o *drain) See(e *event.Event) {
+func (o *drain) Observe(e *event.Event) {
 	k := told{e.Dispatcher, e.Endpoint}
 	at, known := o.told[k]
 	switch {
-	case e.What == event.Told && e.Standing == api.EndpointActive:
+	case e.Kind == event.EndpointUpdated && e.Status == api.EndpointActive:
 		delete(o.told, k)
-	case e.What == event.Told && !known:
+	case e.Kind == event.EndpointUpdated && !known:
 		o.told[k] = e.At
-	case e.What == event.Sent && known && e.At > at+o.t.DrainGrace:
+	case e.Kind == event.AttemptStarted && known && e.At > at+o.t.DrainGrace:
 		o.breach(e, "sent to endpoint %d, %.3f s after it was told to drain", e.Endpoint, (e.At - at).Seconds())
 	}
 }
@@ -207,16 +209,18 @@
 	until map[toRoute]api.Micros
 }
 
-func (o *wait) Wants() []event.What { return []event.What{event.Heard, event.Sent, event.Killed} }
+func (o *wait) Kinds() []event.Kind {
+	return []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Killed}
+}
 
-func (o *wait) See(e *event.Event) {
+func (o *wait) Observe(e *event.Event) {
 	k := toRouteOf(e)
-	switch e.What {
-	case event.Heard:
-		if e.Wait > 0 {
-			o.until[k] = max(o.until[k], e.At+e.Wait)
+	switch e.Kind {
+	case event.AttemptEnded:
+		if e.RetryAfter > 0 {
+			o.until[k] = max(o.until[k], e.At+e.RetryAfter)
 		}
-	case event.Sent:
+	case event.AttemptStarted:
 		if until := o.until[k]; e.At < until {
 			o.breach(e, "sent %.6f s before the told wait was over", (until - e.At).Seconds())
 		}
--- a/sim/invariant/watch.go
+++ b/sim/invariant/watch.go
@@ -97,12 +97,12 @@
 
 // Join puts the observers on a bus.
 func (w *Watch) Join(b *event.Bus) {
-	b.Join(&w.history)
+	b.Subscribe(&w.history)
 	for _, r := range w.rules {
-		b.Join(r)
+		b.Subscribe(r)
 	}
 	for _, c := range w.claims {
-		b.Join(c)
+		b.Subscribe(c)
 	}
 }
 
@@ -160,18 +160,18 @@
 	ended  []api.WebhookID
 }
 
-func (h *history) Wants() []event.What {
-	return []event.What{event.Taken, event.Resumed, event.Sent, event.Heard, event.Ended}
+func (h *history) Kinds() []event.Kind {
+	return []event.Kind{event.Accepted, event.Recovered, event.AttemptStarted, event.AttemptEnded, event.Finished}
 }
 
-func (h *history) See(e *event.Event) {
+func (h *history) Observe(e *event.Event) {
 	of := h.events[e.Webhook]
 	if len(of) == keptEvents {
 		copy(of, of[1:])
 		of = of[:keptEvents-1]
 	}
 	h.events[e.Webhook] = append(of, *e)
-	if e.What != event.Ended {
+	if e.Kind != event.Finished {
 		return
 	}
 	if h.ended = append(h.ended, e.Webhook); len(h.ended) > keptEnded {
@@ -185,10 +185,10 @@
 
 func (o outs) see(e *event.Event) int {
 	k := toRouteOf(e)
-	switch e.What {
-	case event.CallOut:
+	switch e.Kind {
+	case event.CallStarted:
 		o[k]++
-	case event.CallBack:
+	case event.CallFinished:
 		if o[k]--; o[k] <= 0 {
 			delete(o, k)
 		}
