--- a/sim/engine/calls.go
+++ b/sim/engine/calls.go
@@ -4,236 +4,238 @@
 	"math"
 	"slices"
 
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
 type callState uint8
 
 const (
-	callFree callState = iota
-	callMade           // in a turn that is not over
+	callFree    callState = iota
+	callPending           // in a turn that is not over
 	callConnecting
-	callOut
+	callActive
 	callClosed // the dispatcher is done with it, the server is not
 )
 
 // call carries one webhook or several to an endpoint; it holds one slot until it is closed.
 type call struct {
-	gen       uint32
-	at        callState
-	d         int32
-	ep        int32
-	server    int32
-	items     []item
-	patience  api.Micros // of the least patient of them
-	sentAt    api.Micros
-	linked    bool   // its connection is up
-	epoch     uint32 // of the server, when it came up
-	atServer  bool   // served or waiting there
-	serving   bool
-	swallowed bool // by a process that answers nothing
-	answered  bool // an answer, or word of a broken connection, is on its way
-	verdict   api.Outcome
-	wait      api.Micros
-}
-
-type item struct {
-	h    *held
-	done bool
-}
-
-func (m *Model) newCall(d *dispatcher, ep int32) int32 {
+	generation      uint32
+	state           callState
+	dispatcher      int32
+	endpoint        int32
+	server          int32
+	attempts        []callAttempt
+	timeout         api.Micros // of the least patient of them
+	sentAt          api.Micros
+	connected       bool   // its connection is up
+	epoch           uint32 // of the server, when it came up
+	queuedOrServing bool   // served or waiting there
+	serving         bool
+	unanswerable    bool // by a process that answers nothing
+	responded       bool // an answer, or word of a broken connection, is on its way
+	outcome         api.Outcome
+	retryAfter      api.Micros
+}
+
+type callAttempt struct {
+	webhook *webhook
+	ended   bool
+}
+
+func (m *Simulation) newCall(d *dispatcher, ep int32) int32 {
 	var n int32
-	if last := len(m.free) - 1; last >= 0 {
-		n, m.free = m.free[last], m.free[:last]
+	if last := len(m.freeCalls) - 1; last >= 0 {
+		n, m.freeCalls = m.freeCalls[last], m.freeCalls[:last]
 	} else {
 		m.calls = append(m.calls, call{})
 		n = int32(len(m.calls) - 1)
 	}
 	k := &m.calls[n]
 	*k = call{
-		gen:      k.gen + 1,
-		at:       callMade,
-		d:        d.number,
-		ep:       ep,
-		server:   m.endpoints[ep].server,
-		items:    k.items[:0],
-		patience: math.MaxInt64,
+		generation: k.generation + 1,
+		state:      callPending,
+		dispatcher: d.number,
+		endpoint:   ep,
+		server:     m.endpoints[ep].server,
+		attempts:   k.attempts[:0],
+		timeout:    math.MaxInt64,
 	}
 	return n
 }
 
-// release gives a call's place back once neither side needs it.
-func (m *Model) release(n int32) {
-	if k := &m.calls[n]; k.at == callClosed && !k.atServer {
-		clear(k.items)
-		k.at = callFree
-		m.free = append(m.free, n)
+// releaseCall gives a call's place back once neither side needs it.
+func (m *Simulation) releaseCall(n int32) {
+	if k := &m.calls[n]; k.state == callClosed && !k.queuedOrServing {
+		clear(k.attempts)
+		k.state = callFree
+		m.freeCalls = append(m.freeCalls, n)
 	}
 }
 
-// drop takes back a call that never departed.
-func (m *Model) drop(n int32) {
+// discardCall takes back a call that never departed.
+func (m *Simulation) discardCall(n int32) {
 	k := &m.calls[n]
-	m.dispatchers[k.d].out--
-	k.at = callClosed
-	m.release(n)
+	m.dispatchers[k.dispatcher].activeCalls--
+	k.state = callClosed
+	m.releaseCall(n)
 }
 
-func (m *Model) onCall(what eventpkg.Kind, k *call) {
-	e := &m.endpoints[k.ep]
-	weight := 1 + m.dests[e.dest].kind.ItemCost*float64(len(k.items)-1)
-	m.Bus.Emit(eventpkg.Event{At: m.now, Kind: what, Dispatcher: k.d, Endpoint: idOf(k.ep), Destination: e.dest,
-		Route: eventpkg.Route(e.route), Zone: e.zone, Weight: weight, Webhook: k.items[0].h.id})
+func (m *Simulation) emitCall(what event.Kind, k *call) {
+	e := &m.endpoints[k.endpoint]
+	weight := 1 + m.destinations[e.destination].kind.BatchItemCost*float64(len(k.attempts)-1)
+	m.Bus.Emit(event.Event{At: m.now, Kind: what, Dispatcher: k.dispatcher, Endpoint: idOf(k.endpoint), Destination: e.destination,
+		Route: event.Route(e.route), Zone: e.zone, Weight: weight, Webhook: k.attempts[0].webhook.id})
 }
 
-// depart takes an idle connection, the last used first, or opens one.
-func (m *Model) depart(n int32) {
+// startCall takes an idle connection, the last used first, or opens one.
+func (m *Simulation) startCall(n int32) {
 	k := &m.calls[n]
-	d, s := &m.dispatchers[k.d], &m.servers[k.server]
+	d, s := &m.dispatchers[k.dispatcher], &m.servers[k.server]
 	k.sentAt = m.now
-	m.onCall(eventpkg.CallStarted, k)
-	m.after(k.patience, event{kind: evGiveUp, a: n, gen: k.gen})
-	if l := d.links[k.ep]; l != nil && l.epoch == s.epoch {
-		m.closeIdle(d, k.ep)
-		if last := len(l.idle) - 1; last >= 0 {
-			l.idle = l.idle[:last]
-			k.linked, k.epoch, k.at = true, s.epoch, callOut
-			m.after(m.way(d.zone, s.zone), event{kind: evReach, a: n, gen: k.gen})
+	m.emitCall(event.CallStarted, k)
+	m.schedule(k.timeout, scheduledEvent{kind: evCallTimeout, subject: n, generation: k.generation})
+	if l := d.connections[k.endpoint]; l != nil && l.epoch == s.epoch {
+		m.closeExpiredIdle(d, k.endpoint)
+		if last := len(l.since) - 1; last >= 0 {
+			l.since = l.since[:last]
+			k.connected, k.epoch, k.state = true, s.epoch, callActive
+			m.schedule(m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evCallArrival, subject: n, generation: k.generation})
 			return
 		}
 	}
-	k.at = callConnecting
-	m.after(m.way(d.zone, s.zone), event{kind: evConnect, a: n, gen: k.gen})
+	k.state = callConnecting
+	m.schedule(m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evConnect, subject: n, generation: k.generation})
 }
 
-func (m *Model) toCall(e event) {
-	k := &m.calls[e.a]
+func (m *Simulation) handleCallEvent(e scheduledEvent) {
+	k := &m.calls[e.subject]
 	switch e.kind {
 	case evConnect:
-		if k.at == callConnecting {
-			m.connect(e.a)
+		if k.state == callConnecting {
+			m.connect(e.subject)
 		}
-	case evReach:
-		if k.at == callOut {
-			m.reach(e.a)
+	case evCallArrival:
+		if k.state == callActive {
+			m.arriveAtEndpoint(e.subject)
 		}
-	case evServed:
-		m.leaveServer(e.a)
-	case evAnswer:
-		if k.at == callOut || k.at == callConnecting {
-			m.finish(e.a, k.verdict, k.wait)
+	case evCallServed:
+		m.endService(e.subject)
+	case evResponse:
+		if k.state == callActive || k.state == callConnecting {
+			m.finishCall(e.subject, k.outcome, k.retryAfter)
 		}
-	case evGiveUp:
-		switch k.at {
+	case evCallTimeout:
+		switch k.state {
 		case callConnecting: // not a byte has left
-			m.finish(e.a, api.ConnectFailed, 0)
-		case callOut:
-			m.finish(e.a, api.TimedOut, 0)
+			m.finishCall(e.subject, api.ConnectFailed, 0)
+		case callActive:
+			m.finishCall(e.subject, api.TimedOut, 0)
 		}
 	}
 }
 
-func (m *Model) atOnce(s *server, r *route) int { return max(int(float64(s.atOnce)*m.capacity(r)), 1) }
+func (m *Simulation) concurrencyOf(s *server, r *route) int {
+	return max(int(float64(s.concurrency)*m.warmupCapacity(r)), 1)
+}
 
-func (m *Model) serveCall(n int32) {
+func (m *Simulation) serveCall(n int32) {
 	k := &m.calls[n]
 	s := &m.servers[k.server]
-	s.busy++
-	k.atServer, k.serving = true, true
-	m.after(
-		m.served(s, m.dests[m.endpoints[k.ep].dest].kind, len(k.items)),
-		event{kind: evServed, a: n, gen: k.gen},
+	s.serving++
+	k.queuedOrServing, k.serving = true, true
+	m.schedule(
+		m.serviceTime(s, m.destinations[m.endpoints[k.endpoint].destination].kind, len(k.attempts)),
+		scheduledEvent{kind: evCallServed, subject: n, generation: k.generation},
 	)
 }
 
-// leaveServer ends a call's service and lets the next ones in.
-func (m *Model) leaveServer(n int32) {
+// endService ends a call's service and lets the next ones in.
+func (m *Simulation) endService(n int32) {
 	k := &m.calls[n]
 	if !k.serving {
 		return
 	}
 	s := &m.servers[k.server]
-	s.busy--
-	k.atServer, k.serving = false, false
+	s.serving--
+	k.queuedOrServing, k.serving = false, false
 	switch {
-	case k.at == callClosed:
-		m.release(n)
+	case k.state == callClosed:
+		m.releaseCall(n)
 	case s.hung > 0:
-		k.swallowed = true
-	case len(s.bad) > 0 && m.chance.Float64() < combined(s.bad): // it ran; its answer is lost
+		k.unanswerable = true
+	case len(s.lostResponseShares) > 0 && m.random.Float64() < combinedShare(s.lostResponseShares): // it ran; its answer is lost
 	default:
-		m.answer(n, api.Delivered, 0)
+		m.respond(n, api.Delivered, 0)
 	}
-	m.serve(m.calls[n].server)
+	m.drainServerQueue(m.calls[n].server)
 }
 
-// serve lets calls in from the line while there is room; those given up meanwhile are left out.
-func (m *Model) serve(si int32) {
+// drainServerQueue lets calls in from the line while there is room; those given up meanwhile are left out.
+func (m *Simulation) drainServerQueue(si int32) {
 	s := &m.servers[si]
-	for len(s.line) > 0 && s.hung == 0 && s.down == 0 {
-		n := s.line[0]
+	for len(s.queue) > 0 && s.hung == 0 && s.down == 0 {
+		n := s.queue[0]
 		k := &m.calls[n]
-		if k.at != callClosed && s.busy >= m.atOnce(s, &m.routes[m.endpoints[k.ep].route]) {
+		if k.state != callClosed && s.serving >= m.concurrencyOf(s, &m.routes[m.endpoints[k.endpoint].route]) {
 			return
 		}
-		s.line = slices.Delete(s.line, 0, 1)
-		if k.at == callClosed {
-			k.atServer = false
-			m.release(n)
+		s.queue = slices.Delete(s.queue, 0, 1)
+		if k.state == callClosed {
+			k.queuedOrServing = false
+			m.releaseCall(n)
 			continue
 		}
 		m.serveCall(n)
 	}
 }
 
-func (m *Model) answer(n int32, what api.Outcome, wait api.Micros) {
-	m.answerIn(n, what, wait, 0)
+func (m *Simulation) respond(n int32, what api.Outcome, wait api.Micros) {
+	m.respondAfter(n, what, wait, 0)
 }
 
-// answerIn sends word back, once for each call.
-func (m *Model) answerIn(n int32, what api.Outcome, wait, in api.Micros) {
+// respondAfter sends word back, once for each call.
+func (m *Simulation) respondAfter(n int32, what api.Outcome, wait, in api.Micros) {
 	k := &m.calls[n]
-	if k.answered {
+	if k.responded {
 		return
 	}
-	k.answered, k.verdict, k.wait = true, what, wait
-	m.after(in+m.way(m.servers[k.server].zone, m.dispatchers[k.d].zone), event{kind: evAnswer, a: n, gen: k.gen})
+	k.responded, k.outcome, k.retryAfter = true, what, wait
+	m.schedule(in+m.networkDelay(m.servers[k.server].zone, m.dispatchers[k.dispatcher].zone), scheduledEvent{kind: evResponse, subject: n, generation: k.generation})
 }
 
-// finish closes a call at its dispatcher's side and tells each webhook in it the outcome.
-func (m *Model) finish(n int32, what api.Outcome, wait api.Micros) {
+// finishCall closes a call at its dispatcher's side and tells each webhook in it the outcome.
+func (m *Simulation) finishCall(n int32, what api.Outcome, wait api.Micros) {
 	k := &m.calls[n]
-	d := &m.dispatchers[k.d]
-	for i := range k.items {
-		if it := &k.items[i]; !it.done {
-			it.done = true
-			d.put(news{kind: newsOutcome, id: it.h.id, ep: idOf(k.ep), what: what, attempt: it.h.attempts - 1,
-				took: m.now - k.sentAt, wait: wait})
+	d := &m.dispatchers[k.dispatcher]
+	for i := range k.attempts {
+		if it := &k.attempts[i]; !it.ended {
+			it.ended = true
+			d.enqueue(notification{kind: notifyOutcome, id: it.webhook.id, endpoint: idOf(k.endpoint), outcome: what, attempt: it.webhook.attempts - 1,
+				latency: m.now - k.sentAt, retryAfter: wait})
 		}
 	}
 	keep := what == api.Delivered || what == api.Rejected || what == api.ErrorResponse
-	m.hangUpOr(n, keep)
+	m.closeCallKeeping(n, keep)
 }
 
-// cancel calls one webhook of a call off; the connection goes with the last of them.
-func (m *Model) cancel(n int32, h *held) {
+// cancelAttempt calls one webhook of a call off; the connection goes with the last of them.
+func (m *Simulation) cancelAttempt(n int32, h *webhook) {
 	k := &m.calls[n]
-	d, left := &m.dispatchers[k.d], false
-	if k.at != callConnecting && k.at != callOut {
+	d, left := &m.dispatchers[k.dispatcher], false
+	if k.state != callConnecting && k.state != callActive {
 		return
 	}
-	for i := range k.items {
-		it := &k.items[i]
-		if it.h == h && !it.done {
-			it.done = true
-			d.put(news{kind: newsOutcome, id: h.id, ep: idOf(k.ep), what: api.Cancelled, attempt: h.attempts - 1,
-				took: m.now - k.sentAt})
+	for i := range k.attempts {
+		it := &k.attempts[i]
+		if it.webhook == h && !it.ended {
+			it.ended = true
+			d.enqueue(notification{kind: notifyOutcome, id: h.id, endpoint: idOf(k.endpoint), outcome: api.Cancelled, attempt: h.attempts - 1,
+				latency: m.now - k.sentAt})
 		}
-		left = left || !it.done
+		left = left || !it.ended
 	}
 	if !left {
-		m.hangUp(n)
+		m.closeCall(n)
 	}
 }
--- a/sim/engine/clients.go
+++ b/sim/engine/clients.go
@@ -5,92 +5,92 @@
 	"math/rand/v2"
 	"slices"
 
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
-// answerWithin is how long a client waits for word that its webhook is taken on.
-const answerWithin = 2 * api.Second / 5
-
-// origin is a webhook as its client knows it; each time it is handed in it gets a new id.
-type origin struct {
-	cameAt  api.Micros
-	ttl     api.Micros
-	key     api.OrderingKey
-	dest    api.DestinationID
-	tenant  api.TenantID
-	tries   int32 // rejections so far
-	live    int32 // copies held, or about to be handed in
-	evt     api.EventTypeID
-	offered bool
+// clientTimeout is how long a client waits for word that its webhook is taken on.
+const clientTimeout = 2 * api.Second / 5
+
+// clientRequest is a webhook as its client knows it; each time it is handed in it gets a new id.
+type clientRequest struct {
+	submittedAt api.Micros
+	deadline    api.Micros
+	orderingKey api.OrderingKey
+	destination api.DestinationID
+	tenant      api.TenantID
+	rejections  int32 // rejections so far
+	copies      int32 // copies held, or about to be handed in
+	eventType   api.EventTypeID
+	offered     bool
 }
 
 // webhook is what a policy is told of it, under the id that its dispatcher gave it.
-func (o *origin) webhook(id api.WebhookID) api.Webhook {
+func (o *clientRequest) webhook(id api.WebhookID) api.Webhook {
 	return api.Webhook{
 		ID:          id,
-		EventType:   o.evt,
+		EventType:   o.eventType,
 		Tenant:      o.tenant,
-		OrderingKey: o.key,
-		Deadline:    o.ttl,
-		Destination: o.dest,
+		OrderingKey: o.orderingKey,
+		Deadline:    o.deadline,
+		Destination: o.destination,
 	}
 }
 
-// gap draws the time to the next arrival.
-func (m *Model) gap() api.Micros {
-	c := &m.plan.Clients
+// nextInterarrival draws the time to the next arrival.
+func (m *Simulation) nextInterarrival() api.Micros {
+	c := &m.scenario.Clients
 	rate, t := c.Rate, m.now.Seconds()
-	switch c.Curve {
+	switch c.Shape {
 	case "wave":
-		rate *= 1 + c.Swing*math.Sin(2*math.Pi*t/api.Micros(c.Period).Seconds())
+		rate *= 1 + c.Amplitude*math.Sin(2*math.Pi*t/api.Micros(c.Period).Seconds())
 	case "ramp":
-		rate *= 1 - c.Swing + 2*c.Swing*t/m.plan.Length.us().Seconds()
+		rate *= 1 - c.Amplitude + 2*c.Amplitude*t/m.scenario.Duration.micros().Seconds()
 	case "bursty":
-		for m.now >= m.swayUntil {
-			m.sway = 1 + c.Swing*(2*m.arrivals.Float64()-1)
-			m.swayUntil += max(api.Micros(float64(c.Period)*m.arrivals.Float64()/5), 1)
+		for m.now >= m.rateFactorUntil {
+			m.rateFactor = 1 + c.Amplitude*(2*m.arrivalRandom.Float64()-1)
+			m.rateFactorUntil += max(api.Micros(float64(c.Period)*m.arrivalRandom.Float64()/5), 1)
 		}
-		rate *= m.sway
+		rate *= m.rateFactor
 	}
-	for _, by := range m.bursts {
+	for _, by := range m.burstFactors {
 		rate *= by
 	}
-	rate /= 1 + c.Clumps*float64(c.Clump-1)
-	return max(api.Micros(m.arrivals.ExpFloat64()/max(rate, 1e-9)*float64(api.Second)), 1)
+	rate /= 1 + c.BurstShare*float64(c.BurstSize-1)
+	return max(api.Micros(m.arrivalRandom.ExpFloat64()/max(rate, 1e-9)*float64(api.Second)), 1)
 }
 
-// arrive has one client come, or a clump, and draws when the next one does.
-func (m *Model) arrive() {
-	if m.now >= m.plan.Length.us() {
+// generateArrivals has one client come, or a clump, and draws when the next one does.
+func (m *Simulation) generateArrivals() {
+	if m.now >= m.scenario.Duration.micros() {
 		return
 	}
-	c, n := &m.plan.Clients, 1
-	if c.Clumps > 0 && m.arrivals.Float64() < c.Clumps {
-		n = c.Clump
+	c, n := &m.scenario.Clients, 1
+	if c.BurstShare > 0 && m.arrivalRandom.Float64() < c.BurstShare {
+		n = c.BurstSize
 	}
-	dest := m.drawDestination(m.arrivals)
+	dest := m.randomDestination(m.arrivalRandom)
 	for i := range n {
 		in := api.Micros(0)
 		if i > 0 {
-			in = api.Micros(m.arrivals.Float64() * float64(c.Within))
+			in = api.Micros(m.arrivalRandom.Float64() * float64(c.BurstDuration))
 		}
-		evt := draw(m.arrivals, m.events)
-		e := &m.plan.Events[evt]
-		o := origin{cameAt: m.now + in, ttl: m.now + in + e.TTL.us(), dest: dest, live: 1,
-			evt: api.EventTypeID(evt), tenant: api.TenantID(draw(m.arrivals, m.tenants))}
-		if e.Keys > 0 {
-			o.key = api.OrderingKey(1 + m.arrivals.IntN(e.Keys))
+		evt := pickByShare(m.arrivalRandom, m.eventTypeShares)
+		e := &m.scenario.EventTypes[evt]
+		o := clientRequest{submittedAt: m.now + in, deadline: m.now + in + e.TTL.micros(), destination: dest, copies: 1,
+			eventType: api.EventTypeID(evt), tenant: api.TenantID(pickByShare(m.arrivalRandom, m.tenantShares))}
+		if e.OrderingKeys > 0 {
+			o.orderingKey = api.OrderingKey(1 + m.arrivalRandom.IntN(e.OrderingKeys))
 		}
-		m.origins = append(m.origins, o)
-		m.open++
-		m.after(in, event{kind: evHandIn, a: int32(len(m.origins) - 1)})
+		m.requests = append(m.requests, o)
+		m.openRequests++
+		m.schedule(in, scheduledEvent{kind: evSubmit, subject: int32(len(m.requests) - 1)})
 	}
-	m.after(m.gap(), event{kind: evArrive})
+	m.schedule(m.nextInterarrival(), scheduledEvent{kind: evArrive})
 }
 
-// draw follows cumulative shares; of none it draws 0.
-func draw(chance *rand.Rand, shares []float64) int {
+// pickByShare follows cumulative shares; of none it draws 0.
+func pickByShare(chance *rand.Rand, shares []float64) int {
 	if len(shares) < 2 {
 		return 0
 	}
@@ -98,108 +98,108 @@
 	return min(slices.IndexFunc(shares, func(s float64) bool { return x < s }), len(shares)-1)
 }
 
-// deal picks a dispatcher as the front does: by weight, or by key, of those that it takes for well.
-func (m *Model) deal(o *origin) *dispatcher {
+// pickDispatcher picks a dispatcher as the front does: by weight, or by key, of those that it takes for well.
+func (m *Simulation) pickDispatcher(o *clientRequest) *dispatcher {
 	n := len(m.dispatchers)
-	well := func(d *dispatcher) bool { return d.up && !d.leaving || !d.up && m.now < d.unseenUntil }
-	if o.key != 0 {
+	well := func(d *dispatcher) bool { return d.up && !d.draining || !d.up && m.now < d.deathNoticedAt }
+	if o.orderingKey != 0 {
 		for i := range n {
-			if d := &m.dispatchers[(int(o.key)+i)%n]; well(d) {
+			if d := &m.dispatchers[(int(o.orderingKey)+i)%n]; well(d) {
 				return d
 			}
 		}
 		return nil
 	}
-	most := 1 + m.plan.Dispatchers.FrontSkew
+	most := 1 + m.scenario.Dispatchers.LoadSkew
 	for range 64 * n {
-		d := &m.dispatchers[m.habits.IntN(n)]
-		if m.habits.Float64()*most < d.weight && well(d) {
+		d := &m.dispatchers[m.clientRandom.IntN(n)]
+		if m.clientRandom.Float64()*most < d.weight && well(d) {
 			return d
 		}
 	}
 	return nil
 }
 
-// handIn brings a webhook to a dispatcher.
-func (m *Model) handIn(n int32) {
-	o := &m.origins[n]
+// submit brings a webhook to a dispatcher.
+func (m *Simulation) submit(n int32) {
+	o := &m.requests[n]
 	if !o.offered {
 		o.offered = true
 		m.Bus.Emit(
-			eventpkg.Event{At: m.now, Kind: eventpkg.Offered, Request: eventpkg.RequestID(n), EventType: o.evt, Destination: o.dest,
-				Deadline: o.ttl},
+			event.Event{At: m.now, Kind: event.Offered, Request: event.RequestID(n), EventType: o.eventType, Destination: o.destination,
+				Deadline: o.deadline},
 		)
 	}
-	if m.now >= o.ttl {
-		m.giveUp(n)
+	if m.now >= o.deadline {
+		m.abandonRequest(n)
 		return
 	}
-	d := m.deal(o)
+	d := m.pickDispatcher(o)
 	switch {
-	case d == nil || !d.up || d.leaving: // nobody listens there
-		m.after(max(within(m.habits, m.plan.Clients.Again).us(), 1000), event{kind: evHandIn, a: n})
-	case d.frozenUntil > m.now+answerWithin:
-		m.after(answerWithin, event{kind: evHandIn, a: n})
-	case d.open >= m.plan.Dispatchers.Buffer:
-		m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.BufferFull, Dispatcher: d.number, Request: eventpkg.RequestID(n),
-			Destination: o.dest, EventType: o.evt})
-		m.comeAgain(n, 0)
+	case d == nil || !d.up || d.draining: // nobody listens there
+		m.schedule(max(randomInRange(m.clientRandom, m.scenario.Clients.ResubmitDelay).micros(), 1000), scheduledEvent{kind: evSubmit, subject: n})
+	case d.pausedUntil > m.now+clientTimeout:
+		m.schedule(clientTimeout, scheduledEvent{kind: evSubmit, subject: n})
+	case d.openWebhooks >= m.scenario.Dispatchers.BufferSize:
+		m.Bus.Emit(event.Event{At: m.now, Kind: event.BufferFull, Dispatcher: d.number, Request: event.RequestID(n),
+			Destination: o.destination, EventType: o.eventType})
+		m.scheduleResubmission(n, 0)
 	default:
-		m.lastID++
-		h := &held{id: m.lastID, origin: n, mayRun: never, call: -1}
-		if m.homes == nil || !m.homes.away(d, h) {
-			d.take(h, none)
+		m.lastWebhookID++
+		h := &webhook{id: m.lastWebhookID, request: n, mayHaveRunAt: never, call: -1}
+		if m.cluster == nil || !m.cluster.forwardSubmission(d, h) {
+			d.enqueueAcceptance(h, noHandoff)
 		}
 	}
 }
 
-// take has a webhook go in with the next turn, sent here by an offer or by none.
-func (d *dispatcher) take(h *held, by int32) {
-	d.held[h.id] = h
-	d.open++
-	d.put(news{kind: newsTake, id: h.id, offer: by})
+// enqueueAcceptance has a webhook go in with the next turn, sent here by an offer or by none.
+func (d *dispatcher) enqueueAcceptance(h *webhook, by int32) {
+	d.webhooks[h.id] = h
+	d.openWebhooks++
+	d.enqueue(notification{kind: notifyAcceptance, id: h.id, handoff: by})
 }
 
-// comeAgain has the client of a rejected webhook hand it in again, if it ever does.
-func (m *Model) comeAgain(n int32, advised api.Micros) {
-	o, c := &m.origins[n], &m.plan.Clients
-	o.tries++
-	pause := float64(within(m.habits, c.Again).us()) * math.Exp2(float64(min(o.tries-1, 20)))
-	if m.habits.Float64() < c.Heed {
+// scheduleResubmission has the client of a rejected webhook hand it in again, if it ever does.
+func (m *Simulation) scheduleResubmission(n int32, advised api.Micros) {
+	o, c := &m.requests[n], &m.scenario.Clients
+	o.rejections++
+	pause := float64(randomInRange(m.clientRandom, c.ResubmitDelay).micros()) * math.Exp2(float64(min(o.rejections-1, 20)))
+	if m.clientRandom.Float64() < c.HonorRetryAfter {
 		pause = max(pause, float64(advised))
 	}
-	if int(o.tries) > c.Retries || pause >= float64(o.ttl-m.now) {
-		m.giveUp(n)
+	if int(o.rejections) > c.MaxResubmissions || pause >= float64(o.deadline-m.now) {
+		m.abandonRequest(n)
 		return
 	}
-	m.after(max(api.Micros(pause), 1), event{kind: evHandIn, a: n})
+	m.schedule(max(api.Micros(pause), 1), scheduledEvent{kind: evSubmit, subject: n})
 }
 
-func (m *Model) giveUp(n int32) {
-	o := &m.origins[n]
+func (m *Simulation) abandonRequest(n int32) {
+	o := &m.requests[n]
 	m.Bus.Emit(
-		eventpkg.Event{At: m.now, Kind: eventpkg.Abandoned, Request: eventpkg.RequestID(n), EventType: o.evt, Destination: o.dest},
+		event.Event{At: m.now, Kind: event.Abandoned, Request: event.RequestID(n), EventType: o.eventType, Destination: o.destination},
 	)
-	m.close(n)
+	m.closeCopy(n)
 }
 
-// close notes that a copy comes to nothing more.
-func (m *Model) close(n int32) {
-	o := &m.origins[n]
-	if o.live--; o.live == 0 {
-		m.open--
+// closeCopy notes that a copy comes to nothing more.
+func (m *Simulation) closeCopy(n int32) {
+	o := &m.requests[n]
+	if o.copies--; o.copies == 0 {
+		m.openRequests--
 	}
 }
 
-// unanswered takes back what was handed in to a dispatcher that died before it was taken on.
-func (m *Model) unanswered(id api.WebhookID, d *dispatcher) {
-	n := d.held[id].origin
-	delete(d.held, id)
-	m.after(answerWithin, event{kind: evHandIn, a: n})
+// returnUnaccepted takes back what was handed in to a dispatcher that died before it was taken on.
+func (m *Simulation) returnUnaccepted(id api.WebhookID, d *dispatcher) {
+	n := d.webhooks[id].request
+	delete(d.webhooks, id)
+	m.schedule(clientTimeout, scheduledEvent{kind: evSubmit, subject: n})
 }
 
-// unheard has a client come again that never heard that its webhook is taken on: from now on there are two.
-func (m *Model) unheard(n int32) {
-	m.origins[n].live++
-	m.after(answerWithin, event{kind: evHandIn, a: n})
+// resubmitUnacknowledged has a client come again that never heard that its webhook is taken on: from now on there are two.
+func (m *Simulation) resubmitUnacknowledged(n int32) {
+	m.requests[n].copies++
+	m.schedule(clientTimeout, scheduledEvent{kind: evSubmit, subject: n})
 }
--- a/sim/engine/dispatcher.go
+++ b/sim/engine/dispatcher.go
@@ -5,93 +5,93 @@
 	"slices"
 	"time"
 
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
 // dispatcher is one dispatcher round its module, and the module's Host.
 type dispatcher struct {
-	m      *Model
-	number int32
-	life   uint32 // counts its starts: what was meant for an earlier life reaches nobody
-	seeds  *rand.Rand
-	module api.Policy
-	weight float64 // of what the front deals out
-	zone   api.ZoneID
+	m           *Simulation
+	number      int32
+	incarnation uint32 // counts its starts: what was meant for an earlier life reaches nobody
+	seedSource  *rand.Rand
+	policy      api.Policy
+	weight      float64 // of what the front deals out
+	zone        api.ZoneID
 
-	up, leaving bool
-	unseenUntil api.Micros // the front takes it for well until then, though it is dead
-	frozenUntil api.Micros
-	turnedAt    api.Micros
-	turnDue     bool
-	inbox       []news
-	held        map[api.WebhookID]*held
-	open        int // of them, those that are owed their end
-	kept        []*held
-	out         int     // calls
-	made        []int32 // calls of this turn, not yet departed
-	links       map[int32]*links
-	knows       int // changes of the list heard of
-	listLate    api.Micros
-	startsStale api.Micros
-	killInTurn  *Trouble
-	tookInTurn  []*held
-	muted       bool
-	member      *fellow // of a fleet with homes, else nil
+	up, draining        bool
+	deathNoticedAt      api.Micros // the front takes it for well until then, though it is dead
+	pausedUntil         api.Micros
+	lastIterationAt     api.Micros
+	iterationScheduled  bool
+	inbox               []notification
+	webhooks            map[api.WebhookID]*webhook
+	openWebhooks        int // of them, those that are owed their end
+	recovered           []*webhook
+	activeCalls         int     // calls
+	pendingCalls        []int32 // calls of this turn, not yet departed
+	connections         map[int32]*idleConnections
+	knownChanges        int // changes of the list heard of
+	extraUpdateDelay    api.Micros
+	extraStartAge       api.Micros
+	killNextIteration   *Fault
+	acceptedInIteration []*webhook
+	dyingInIteration    bool
+	member              *memberState // of a fleet with homes, else nil
 }
 
-// held is a webhook at a dispatcher.
-type held struct {
-	id       api.WebhookID
-	origin   int32
-	attempts int
-	mayRun   api.Micros
-	zone     api.ZoneID
-	sentAt   api.Micros
-	sentZone api.ZoneID
-	call     int32 // out, or -1
-	ended    bool
-	custody
+// webhook is a webhook at a dispatcher.
+type webhook struct {
+	id               api.WebhookID
+	request          int32
+	attempts         int
+	mayHaveRunAt     api.Micros
+	zone             api.ZoneID
+	attemptStartedAt api.Micros
+	attemptZone      api.ZoneID
+	call             int32 // out, or -1
+	finished         bool
+	custodyState
 }
 
-func (h *held) priorAttempts() api.PriorAttempts {
-	return api.PriorAttempts{Count: h.attempts, MayHaveRunAt: h.mayRun, Zone: h.zone}
+func (h *webhook) priorAttempts() api.PriorAttempts {
+	return api.PriorAttempts{Count: h.attempts, MayHaveRunAt: h.mayHaveRunAt, Zone: h.zone}
 }
 
-// links are a dispatcher's idle connections to one endpoint, the longest idle first.
-type links struct {
-	idle  []api.Micros
-	epoch uint32
-	due   bool
+// idleConnections are a dispatcher's idle connections to one endpoint, the longest idle first.
+type idleConnections struct {
+	since          []api.Micros
+	epoch          uint32
+	timerScheduled bool
 }
 
 const (
-	newsTake uint8 = iota
-	newsOutcome
-	newsWake
-	newsList
-	newsGate
+	notifyAcceptance uint8 = iota
+	notifyOutcome
+	notifyTimer
+	notifyEndpoints
+	notifyOwnership
 )
 
-// begin starts a dispatcher, the first time or again with what its folder holds.
-func (m *Model) begin(n int32) {
+// startDispatcher starts a dispatcher, the first time or again with what its folder holds.
+func (m *Simulation) startDispatcher(n int32) {
 	d := &m.dispatchers[n]
-	d.life++
-	d.up, d.leaving, d.inbox, d.turnDue, d.turnedAt = true, false, nil, false, m.now-m.plan.Dispatchers.Tick.us()
-	d.zone = api.ZoneID(int(n) % len(m.plan.Net.Zones))
-	d.held, d.links, d.open, d.out = map[api.WebhookID]*held{}, map[int32]*links{}, 0, 0
-	d.made, d.killInTurn, d.muted = nil, nil, false
-	m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.Started, Dispatcher: n})
-	d.module = m.start(m.plan.Facts(int(n), d.seeds.Uint64()), d)
-	stale := m.plan.Dispatchers.StartStale.us() + d.startsStale
-	d.knows = 0
-	for d.knows < len(m.changes) && m.changes[d.knows].at <= m.now-stale {
-		d.knows++
+	d.incarnation++
+	d.up, d.draining, d.inbox, d.iterationScheduled, d.lastIterationAt = true, false, nil, false, m.now-m.scenario.Dispatchers.MinIterationInterval.micros()
+	d.zone = api.ZoneID(int(n) % len(m.scenario.Network.Zones))
+	d.webhooks, d.connections, d.openWebhooks, d.activeCalls = map[api.WebhookID]*webhook{}, map[int32]*idleConnections{}, 0, 0
+	d.pendingCalls, d.killNextIteration, d.dyingInIteration = nil, nil, false
+	m.Bus.Emit(event.Event{At: m.now, Kind: event.Started, Dispatcher: n})
+	d.policy = m.newPolicy(m.scenario.DispatcherSettings(int(n), d.seedSource.Uint64()), d)
+	stale := m.scenario.Dispatchers.StartupListAge.micros() + d.extraStartAge
+	d.knownChanges = 0
+	for d.knownChanges < len(m.endpointChanges) && m.endpointChanges[d.knownChanges].at <= m.now-stale {
+		d.knownChanges++
 	}
-	list := m.base
-	if d.knows > 0 {
-		list = slices.Clone(m.base)
-		for _, c := range m.changes[:d.knows] {
+	list := m.initialEndpoints
+	if d.knownChanges > 0 {
+		list = slices.Clone(m.initialEndpoints)
+		for _, c := range m.endpointChanges[:d.knownChanges] {
 			same := func(e api.EndpointEntry) bool { return e.Endpoint == c.entry.Endpoint }
 			if i := slices.IndexFunc(list, same); i >= 0 {
 				list[i] = c.entry
@@ -101,160 +101,160 @@
 		}
 		list = slices.DeleteFunc(list, func(e api.EndpointEntry) bool { return e.Status == api.EndpointRemoved })
 	}
-	if m.homes != nil {
-		m.homes.joins(d)
+	if m.cluster != nil {
+		m.cluster.joinCluster(d)
 	}
-	d.put(news{kind: newsList, list: list, whole: true})
-	if d.knows < len(m.changes) {
-		m.after(within(m.chance, m.plan.Dispatchers.ListDelay).us()+d.listLate,
-			event{kind: evList, a: n, b: int32(len(m.changes)), gen: d.life})
+	d.enqueue(notification{kind: notifyEndpoints, endpoints: list, complete: true})
+	if d.knownChanges < len(m.endpointChanges) {
+		m.schedule(randomInRange(m.random, m.scenario.Dispatchers.EndpointUpdateDelay).micros()+d.extraUpdateDelay,
+			scheduledEvent{kind: evEndpointUpdate, subject: n, detail: int32(len(m.endpointChanges)), generation: d.incarnation})
 	}
-	kept := d.kept
-	d.kept = nil
+	kept := d.recovered
+	d.recovered = nil
 	for _, h := range kept {
-		d.held[h.id] = h
+		d.webhooks[h.id] = h
 	}
-	if m.homes != nil {
-		d.unsure()
+	if m.cluster != nil {
+		d.assumeDeliveredElsewhere()
 	}
 	if len(kept) > 0 {
-		d.hearList() // before what is owed: its destinations must be known
+		d.deliverQueuedEndpoints() // before what is owed: its destinations must be known
 	}
 	for _, h := range kept {
-		o := &m.origins[h.origin]
-		d.open++
-		m.Bus.Emit(m.about(eventpkg.Recovered, d, h, eventpkg.Event{Attempt: h.attempts}))
+		o := &m.requests[h.request]
+		d.openWebhooks++
+		m.Bus.Emit(m.webhookEvent(event.Recovered, d, h, event.Event{Attempt: h.attempts}))
 		if d.member != nil {
-			d.begins(h)
+			d.submitOrPark(h)
 			continue
 		}
-		d.module.Recover(o.webhook(h.id), h.priorAttempts())
+		d.policy.Recover(o.webhook(h.id), h.priorAttempts())
 	}
-	d.wakeUp()
+	d.scheduleIteration()
 }
 
-// put adds news and sees to a turn.
-func (d *dispatcher) put(n news) {
+// enqueue adds news and sees to a turn.
+func (d *dispatcher) enqueue(n notification) {
 	d.inbox = append(d.inbox, n)
-	d.wakeUp()
+	d.scheduleIteration()
 }
 
-func (d *dispatcher) wakeUp() {
-	if d.turnDue || !d.up {
+func (d *dispatcher) scheduleIteration() {
+	if d.iterationScheduled || !d.up {
 		return
 	}
-	d.turnDue = true
-	at := max(d.m.now, d.turnedAt+d.m.plan.Dispatchers.Tick.us(), d.frozenUntil)
-	d.m.queue.Add(int64(at), event{kind: evTurn, a: d.number, gen: d.life})
+	d.iterationScheduled = true
+	at := max(d.m.now, d.lastIterationAt+d.m.scenario.Dispatchers.MinIterationInterval.micros(), d.pausedUntil)
+	d.m.queue.Add(int64(at), scheduledEvent{kind: evIteration, subject: d.number, generation: d.incarnation})
 }
 
-func (m *Model) toDispatcher(d *dispatcher, e event) {
+func (m *Simulation) handleDispatcherEvent(d *dispatcher, e scheduledEvent) {
 	switch e.kind {
-	case evTurn:
-		if d.turnDue = false; m.now < d.frozenUntil {
-			d.wakeUp()
+	case evIteration:
+		if d.iterationScheduled = false; m.now < d.pausedUntil {
+			d.scheduleIteration()
 			return
 		}
-		m.turn(d)
-	case evWake:
-		d.put(news{kind: newsWake, timer: api.TimerID(e.b)})
-	case evList:
-		if to := int(e.b); to > d.knows {
+		m.runIteration(d)
+	case evTimer:
+		d.enqueue(notification{kind: notifyTimer, timer: api.TimerID(e.detail)})
+	case evEndpointUpdate:
+		if to := int(e.detail); to > d.knownChanges {
 			var list []api.EndpointEntry
-			for _, c := range m.changes[d.knows:to] {
+			for _, c := range m.endpointChanges[d.knownChanges:to] {
 				list = append(list, c.entry)
 			}
-			d.knows = to
-			d.put(news{kind: newsList, list: list})
+			d.knownChanges = to
+			d.enqueue(notification{kind: notifyEndpoints, endpoints: list})
 		}
-	case evIdle:
-		m.closeIdle(d, e.b)
+	case evIdleTimeout:
+		m.closeExpiredIdle(d, e.detail)
 	}
 }
 
-// turn tells the module all that waits, closes the turn and lets its calls depart.
-func (m *Model) turn(d *dispatcher) {
-	d.turnedAt, d.tookInTurn = m.now, d.tookInTurn[:0]
+// runIteration tells the module all that waits, closes the turn and lets its calls depart.
+func (m *Simulation) runIteration(d *dispatcher) {
+	d.lastIterationAt, d.acceptedInIteration = m.now, d.acceptedInIteration[:0]
 	waiting := d.inbox
 	d.inbox = nil
-	if d.killInTurn != nil && slices.ContainsFunc(waiting, func(n news) bool { return n.kind == newsTake }) {
-		d.muted = true
+	if d.killNextIteration != nil && slices.ContainsFunc(waiting, func(n notification) bool { return n.kind == notifyAcceptance }) {
+		d.dyingInIteration = true
 	}
 	var began time.Time
-	if m.Clocked {
+	if m.MeasurePolicyTime {
 		began = time.Now()
 	}
-	d.regateIfDue()
+	d.reviewIfLeaseChanged()
 	for i := range waiting {
-		d.tell(&waiting[i])
+		d.deliver(&waiting[i])
 	}
-	d.module.EndTurn()
-	if m.Clocked {
-		m.Module += time.Since(began)
+	d.policy.EndTurn()
+	if m.MeasurePolicyTime {
+		m.PolicyTime += time.Since(began)
 	}
 	if d.inbox == nil {
 		d.inbox = waiting[:0]
 	}
-	if d.muted {
-		m.killMuted(d)
+	if d.dyingInIteration {
+		m.killInIteration(d)
 		return
 	}
-	for _, k := range d.made {
-		m.depart(k)
+	for _, k := range d.pendingCalls {
+		m.startCall(k)
 	}
-	d.made = d.made[:0]
-	d.answerOffers()
+	d.pendingCalls = d.pendingCalls[:0]
+	d.acknowledgeHandoffs()
 }
 
-func (d *dispatcher) tell(n *news) {
+func (d *dispatcher) deliver(n *notification) {
 	m := d.m
 	switch n.kind {
-	case newsTake:
-		h := d.held[n.id]
-		o := &m.origins[h.origin]
-		d.tookInTurn = append(d.tookInTurn, h)
-		m.Bus.Emit(m.about(eventpkg.Accepted, d, h, eventpkg.Event{}))
+	case notifyAcceptance:
+		h := d.webhooks[n.id]
+		o := &m.requests[h.request]
+		d.acceptedInIteration = append(d.acceptedInIteration, h)
+		m.Bus.Emit(m.webhookEvent(event.Accepted, d, h, event.Event{}))
 		if d.member != nil {
-			d.takesOn(h, n.offer)
+			d.acceptPersisted(h, n.handoff)
 			return
 		}
-		d.module.Submit(o.webhook(n.id))
-	case newsOutcome:
-		h := d.held[n.id]
+		d.policy.Submit(o.webhook(n.id))
+	case notifyOutcome:
+		h := d.webhooks[n.id]
 		if h == nil {
 			return
 		}
-		e := eventpkg.Event{Attempt: n.attempt, Outcome: n.what, Endpoint: n.ep, RetryAfter: n.wait}
-		if i := indexOf(n.ep); i >= 0 {
-			e.Route, e.Zone = eventpkg.Route(m.endpoints[i].route), m.endpoints[i].zone
+		e := event.Event{Attempt: n.attempt, Outcome: n.outcome, Endpoint: n.endpoint, RetryAfter: n.retryAfter}
+		if i := indexOf(n.endpoint); i >= 0 {
+			e.Route, e.Zone = event.Route(m.endpoints[i].route), m.endpoints[i].zone
 		}
-		m.Bus.Emit(m.about(eventpkg.AttemptEnded, d, h, e))
+		m.Bus.Emit(m.webhookEvent(event.AttemptEnded, d, h, e))
 		h.call = -1
-		if n.what == api.Delivered && !h.ended {
-			m.end(d, h, eventpkg.Delivered, 0)
+		if n.outcome == api.Delivered && !h.finished {
+			m.finishWebhook(d, h, event.Delivered, 0)
 		}
-		if !n.what.NeverRan() && h.mayRun == never {
-			h.mayRun, h.zone = h.sentAt, h.sentZone
+		if !n.outcome.NeverRan() && h.mayHaveRunAt == never {
+			h.mayHaveRunAt, h.zone = h.attemptStartedAt, h.attemptZone
 		}
-		ended := h.ended
-		d.module.AttemptEnded(api.AttemptResult{
+		ended := h.finished
+		d.policy.AttemptEnded(api.AttemptResult{
 			Webhook:    n.id,
-			Endpoint:   n.ep,
-			Outcome:    n.what,
-			Latency:    n.took,
+			Endpoint:   n.endpoint,
+			Outcome:    n.outcome,
+			Latency:    n.latency,
 			Final:      ended,
-			RetryAfter: n.wait,
+			RetryAfter: n.retryAfter,
 		})
 		if ended {
-			delete(d.held, n.id)
+			delete(d.webhooks, n.id)
 		} else if d.member != nil {
-			d.gate(h)
+			d.parkIfNotAllowed(h)
 		}
-	case newsWake:
-		d.module.TimerFired(n.timer)
-	case newsList:
-		d.listed(*n)
-	case newsGate:
-		d.regate()
+	case notifyTimer:
+		d.policy.TimerFired(n.timer)
+	case notifyEndpoints:
+		d.updateEndpoints(*n)
+	case notifyOwnership:
+		d.reviewWebhooks()
 	}
 }
--- a/sim/engine/emulator_test.go
+++ b/sim/engine/emulator_test.go
@@ -8,7 +8,7 @@
 
 	"rowanlink/sim/baseline"
 	"rowanlink/sim/engine"
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -20,11 +20,11 @@
 
 func TestTroublesOverlapAndEndInAnyOrder(t *testing.T) {
 	s := plain(
-		engine.Trouble{Kind: "shut", At: 5 * sec, For: 6 * sec, Destinations: []int{0}},
-		engine.Trouble{Kind: "slow", At: 7 * sec, For: 12 * sec, Destinations: []int{0}, Size: 3},
-		engine.Trouble{Kind: "down", At: 8 * sec, For: 10 * sec, Destinations: []int{1}},
-		engine.Trouble{Kind: "hang", At: 6 * sec, For: 20 * sec, Destinations: []int{1}})
-	w, events, _ := play(t, s, module, eventpkg.OutageStarted, eventpkg.OutageEnded)
+		engine.Fault{Kind: "shut", At: 5 * sec, Duration: 6 * sec, Destinations: []int{0}},
+		engine.Fault{Kind: "slow", At: 7 * sec, Duration: 12 * sec, Destinations: []int{0}, Magnitude: 3},
+		engine.Fault{Kind: "down", At: 8 * sec, Duration: 10 * sec, Destinations: []int{1}},
+		engine.Fault{Kind: "hang", At: 6 * sec, Duration: 20 * sec, Destinations: []int{1}})
+	w, events, _ := play(t, s, module, event.OutageStarted, event.OutageEnded)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
@@ -36,30 +36,30 @@
 
 func TestKilledInTheVeryTurnThatTakesAWebhookOn(t *testing.T) {
 	for _, journal := range []bool{true, false} {
-		s := plain(engine.Trouble{Kind: "kill", At: 5 * sec, For: sec, Dispatchers: []int{0}, Journal: journal,
-			InTurn: true})
-		w, events, sum := play(t, s, module, eventpkg.Accepted, eventpkg.Killed, eventpkg.Recovered, eventpkg.Finished, eventpkg.AttemptStarted)
+		s := plain(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: journal,
+			DuringIteration: true})
+		w, events, sum := play(t, s, module, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		assert.Zero(t, sum.Unended)
 		killed := api.Never
 		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
-			case e.Kind == eventpkg.Killed:
+			case e.Kind == event.Killed:
 				killed = e.At
 				for _, x := range events {
-					if x.Kind == eventpkg.Accepted && x.At == killed && x.Dispatcher == 0 {
+					if x.Kind == event.Accepted && x.At == killed && x.Dispatcher == 0 {
 						taken[x.Webhook] = true
 					}
 				}
 				assert.NotEmpty(t, taken, "it dies in a turn that takes one on")
 				for _, x := range events {
-					left := x.Kind == eventpkg.AttemptStarted && x.Dispatcher == 0 && x.At == killed
+					left := x.Kind == event.AttemptStarted && x.Dispatcher == 0 && x.At == killed
 					assert.False(t, left, "nothing left in that turn")
 				}
-			case e.Kind == eventpkg.Recovered && taken[e.Webhook]:
+			case e.Kind == event.Recovered && taken[e.Webhook]:
 				resumed++
-			case e.Kind == eventpkg.Finished && e.Final == eventpkg.StateLost && taken[e.Webhook]:
+			case e.Kind == event.Finished && e.Final == event.StateLost && taken[e.Webhook]:
 				died++
 			}
 		}
@@ -72,24 +72,24 @@
 }
 
 func TestWhatADeadDispatcherHadOutReachesNobodyAndIsHandedOn(t *testing.T) {
-	s := plain(engine.Trouble{Kind: "hang", At: 4 * sec, For: 20 * sec, Busiest: 8},
-		engine.Trouble{Kind: "kill", At: 6 * sec, For: 30 * sec, Dispatchers: []int{0}})
-	w, events, _ := play(t, s, module, eventpkg.Accepted, eventpkg.Killed, eventpkg.AttemptEnded, eventpkg.Finished, eventpkg.AttemptStarted)
+	s := plain(engine.Fault{Kind: "hang", At: 4 * sec, Duration: 20 * sec, Busiest: 8},
+		engine.Fault{Kind: "kill", At: 6 * sec, Duration: 30 * sec, Dispatchers: []int{0}})
+	w, events, _ := play(t, s, module, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	dead := false
-	out, again, died := map[eventpkg.RequestID]api.EventTypeID{}, map[eventpkg.RequestID]bool{}, map[eventpkg.RequestID]bool{}
+	out, again, died := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
 	for _, e := range events {
 		switch {
-		case e.Kind == eventpkg.Killed:
+		case e.Kind == event.Killed:
 			dead = true
-		case e.Kind == eventpkg.AttemptStarted && e.Dispatcher == 0:
+		case e.Kind == event.AttemptStarted && e.Dispatcher == 0:
 			out[e.Request] = e.EventType
-		case e.Kind == eventpkg.AttemptEnded && e.Dispatcher == 0:
+		case e.Kind == event.AttemptEnded && e.Dispatcher == 0:
 			assert.False(t, dead, "an outcome came to a dead dispatcher")
 			delete(out, e.Request)
-		case e.Kind == eventpkg.Finished && e.Final == eventpkg.StateLost:
+		case e.Kind == event.Finished && e.Final == event.StateLost:
 			died[e.Request] = true
-		case e.Kind == eventpkg.Accepted && dead && died[e.Request]:
+		case e.Kind == event.Accepted && dead && died[e.Request]:
 			again[e.Request] = true
 		}
 	}
@@ -98,24 +98,24 @@
 	for o, evt := range out {
 		if again[o] {
 			handedOn++
-			assert.NotEqual(t, "at-most-once", s.Events[evt].Repeat, "it may have run")
+			assert.NotEqual(t, "at-most-once", s.EventTypes[evt].Semantics, "it may have run")
 		}
 	}
 	assert.Positive(t, handedOn)
 }
 
 func TestAReturningDestinationThatIsPushedFalls(t *testing.T) {
-	s := plain(engine.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 1})
-	s.Clients.Rate, s.Dispatchers.Slots, s.Events = 400, 400, s.Events[:1]
+	s := plain(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 1})
+	s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls, s.EventTypes = 400, 400, s.EventTypes[:1]
 	hammer := func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
-	_, events, sum := play(t, s, hammer, eventpkg.Collapsed, eventpkg.CallArrived)
+	_, events, sum := play(t, s, hammer, event.Collapsed, event.CallArrived)
 	require.Equal(t, 1, sum.Fell)
 	fell, before := false, 0
 	for _, e := range events {
 		switch {
-		case e.Kind == eventpkg.Collapsed:
+		case e.Kind == event.Collapsed:
 			fell = true
 			assert.EqualValues(t, 0, e.Destination)
 		case e.Destination == 0 && fell:
@@ -131,15 +131,15 @@
 
 func TestAnEndpointThatIsReplacedDrainsAndItsAddressMayServeOn(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
-		s := plain(engine.Trouble{Kind: "replace", At: 5 * sec, Busiest: 1, Drain: 4 * sec, Address: address})
-		w, events, _ := play(t, s, module, eventpkg.AttemptStarted, eventpkg.EndpointUpdated)
+		s := plain(engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 1, DrainTime: 4 * sec, Address: address})
+		w, events, _ := play(t, s, module, event.AttemptStarted, event.EndpointUpdated)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		last := events[len(events)-1]
 		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
-			if e.Kind == eventpkg.AttemptStarted && e.Destination == 0 && e.At < api.Micros(5*sec) {
+			if e.Kind == event.AttemptStarted && e.Destination == 0 && e.At < api.Micros(5*sec) {
 				before[e.Endpoint] = true
-			} else if e.Kind == eventpkg.AttemptStarted && e.Destination == 0 && e.At > last.At-api.Micros(5*sec) {
+			} else if e.Kind == event.AttemptStarted && e.Destination == 0 && e.At > last.At-api.Micros(5*sec) {
 				after[e.Endpoint] = true
 			}
 		}
@@ -152,9 +152,9 @@
 
 func TestConnectionPlacesCountIdleOnes(t *testing.T) {
 	s := plain()
-	s.Kinds[0].Places, s.Dispatchers.Count, s.Clients.Rate = 1, 4, 60
-	s.Kinds[0].Endpoints = []int{1, 1}
-	_, events, _ := play(t, s, module, eventpkg.AttemptEnded)
+	s.DestinationKinds[0].MaxConnections, s.Dispatchers.Count, s.Clients.Rate = 1, 4, 60
+	s.DestinationKinds[0].Endpoints = []int{1, 1}
+	_, events, _ := play(t, s, module, event.AttemptEnded)
 	failed := 0
 	for _, e := range events {
 		if e.Outcome == api.ConnectFailed {
@@ -166,14 +166,14 @@
 
 func TestAPlannedRestartHandsOverAndServesOn(t *testing.T) {
 	s := plain(
-		engine.Trouble{Kind: "restart", At: 5 * sec, For: sec / 2, Drain: 2 * sec, Dispatchers: []int{0}},
+		engine.Fault{Kind: "restart", At: 5 * sec, Duration: sec / 2, DrainTime: 2 * sec, Dispatchers: []int{0}},
 	)
-	w, events, sum := play(t, s, module, eventpkg.Accepted, eventpkg.Started)
+	w, events, sum := play(t, s, module, event.Accepted, event.Started)
 	assert.Empty(t, w.Broken, texts(w.Breaches))
 	assert.Zero(t, sum.Died+sum.Unended)
 	taken := map[bool]int{}
 	for _, e := range events {
-		if e.Kind == eventpkg.Accepted && e.Dispatcher == 0 {
+		if e.Kind == event.Accepted && e.Dispatcher == 0 {
 			at := e.At.Seconds()
 			assert.False(t, at > 5.01 && at < 7.5, "taken on at %.2f, on its way out", at)
 			taken[at > 7.5]++
@@ -184,12 +184,12 @@
 }
 
 func TestAFrontDealsUnevenlyAndAHotDestinationDrawsItsShare(t *testing.T) {
-	s := plain(engine.Trouble{Kind: "hot", For: 30 * sec, Destinations: []int{7}, Size: 0.5})
-	s.Dispatchers.FrontSkew, s.Events = 0.8, s.Events[:1]
-	_, events, sum := play(t, s, module, eventpkg.Accepted, eventpkg.Offered)
+	s := plain(engine.Fault{Kind: "hot", Duration: 30 * sec, Destinations: []int{7}, Magnitude: 0.5})
+	s.Dispatchers.LoadSkew, s.EventTypes = 0.8, s.EventTypes[:1]
+	_, events, sum := play(t, s, module, event.Accepted, event.Offered)
 	taken, hot := map[int32]int{}, 0
 	for _, e := range events {
-		if e.Kind == eventpkg.Accepted {
+		if e.Kind == event.Accepted {
 			taken[e.Dispatcher]++
 		} else if e.Destination == 7 {
 			hot++
--- a/sim/engine/ends.go
+++ b/sim/engine/ends.go
@@ -1,26 +1,26 @@
 package engine
 
 import (
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
-// end closes a webhook's stay here; its client may come again after a rejection.
-func (m *Model) end(d *dispatcher, h *held, how eventpkg.FinalStatus, advised api.Micros) {
-	h.ended = true
-	d.open--
+// finishWebhook closes a webhook's stay here; its client may come again after a rejection.
+func (m *Simulation) finishWebhook(d *dispatcher, h *webhook, how event.FinalStatus, advised api.Micros) {
+	h.finished = true
+	d.openWebhooks--
 	if d.member != nil {
 		delete(d.member.parked, h.id)
 	}
-	o := &m.origins[h.origin]
-	m.Bus.Emit(m.about(eventpkg.Finished, d, h, eventpkg.Event{Final: how, Duration: m.now - o.cameAt}))
+	o := &m.requests[h.request]
+	m.Bus.Emit(m.webhookEvent(event.Finished, d, h, event.Event{Final: how, Duration: m.now - o.submittedAt}))
 	if h.call < 0 {
-		delete(d.held, h.id)
+		delete(d.webhooks, h.id)
 	}
 	switch how {
-	case eventpkg.Rejected:
-		m.comeAgain(h.origin, advised)
+	case event.Rejected:
+		m.scheduleResubmission(h.request, advised)
 	default:
-		m.close(h.origin)
+		m.closeCopy(h.request)
 	}
 }
--- a/sim/engine/fleet_test.go
+++ b/sim/engine/fleet_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/assert"
 
 	"rowanlink/sim/engine"
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
 // fleet is forty dispatchers in front of six destinations: none sees more than a call a second of most.
-func fleet(troubles ...engine.Trouble) *engine.Scenario {
+func fleet(troubles ...engine.Fault) *engine.Scenario {
 	s := plain(troubles...)
-	s.Dispatchers.Count, s.Dispatchers.Slots, s.Dispatchers.Buffer = 40, 6, 80
-	s.Clients.Rate, s.Destinations.Count, s.Destinations.Busy, s.Length = 200, 6, 6, 25*sec
-	s.Events = []engine.EventType{s.Events[1]}
-	s.Kinds[0].Headroom = 1.5
+	s.Dispatchers.Count, s.Dispatchers.MaxConcurrentCalls, s.Dispatchers.BufferSize = 40, 6, 80
+	s.Clients.Rate, s.Destinations.Count, s.Destinations.Active, s.Duration = 200, 6, 6, 25*sec
+	s.EventTypes = []engine.EventType{s.EventTypes[1]}
+	s.DestinationKinds[0].Headroom = 1.5
 	return s
 }
 
@@ -31,24 +31,26 @@
 // Each is harmless to one dispatcher. Rules are kept, each webhook has its end, nothing is pushed over,
 // and what is delivered is worth a stated part of all.
 func TestAFleetsHardDays(t *testing.T) {
-	lowered := engine.Trouble{Kind: "limit", At: 6 * sec, For: 9 * sec, Busiest: 3, Size: 1.0 / 3}
-	down := engine.Trouble{Kind: "down", At: 6 * sec, For: 5 * sec, Busiest: 2}
+	lowered := engine.Fault{Kind: "limit", At: 6 * sec, Duration: 9 * sec, Busiest: 3, Magnitude: 1.0 / 3}
+	down := engine.Fault{Kind: "down", At: 6 * sec, Duration: 5 * sec, Busiest: 2}
 	for name, day := range map[string]struct {
-		troubles []engine.Trouble
+		troubles []engine.Fault
 		change   func(s *engine.Scenario)
 		worth    float64
 	}{
-		"killed at once in a release, lists late": {[]engine.Trouble{
-			{Kind: "replace", At: 5 * sec, Busiest: 3, One: true, Drain: 2 * sec},
-			{Kind: "kill", At: 7 * sec, For: sec, Dispatchers: most(), Stale: 4 * sec},
-			{Kind: "list_late", At: 4 * sec, For: 11 * sec, Dispatchers: most(), Delay: 3 * sec}}, nil, 0.9},
-		"a limit lowered": {[]engine.Trouble{lowered}, nil, 0.85},
-		"a limit lowered, no waits told, refused calls use it up": {[]engine.Trouble{lowered},
-			func(s *engine.Scenario) { s.Kinds[0].TellsWait, s.Kinds[0].CountsRefused = 0, true }, 0.75},
-		"half of the traffic down and back cold": {[]engine.Trouble{down}, nil, 0.85},
-		"back while its limit is still lowered":  {[]engine.Trouble{down, lowered}, nil, 0.8},
+		"killed at once in a release, lists late": {[]engine.Fault{
+			{Kind: "replace", At: 5 * sec, Busiest: 3, SingleEndpoint: true, DrainTime: 2 * sec},
+			{Kind: "kill", At: 7 * sec, Duration: sec, Dispatchers: most(), StartupListAge: 4 * sec},
+			{Kind: "list_late", At: 4 * sec, Duration: 11 * sec, Dispatchers: most(), UpdateDelay: 3 * sec}}, nil, 0.9},
+		"a limit lowered": {[]engine.Fault{lowered}, nil, 0.85},
+		"a limit lowered, no waits told, refused calls use it up": {[]engine.Fault{lowered},
+			func(s *engine.Scenario) {
+				s.DestinationKinds[0].RetryAfterShare, s.DestinationKinds[0].CountsRejected = 0, true
+			}, 0.75},
+		"half of the traffic down and back cold": {[]engine.Fault{down}, nil, 0.85},
+		"back while its limit is still lowered":  {[]engine.Fault{down, lowered}, nil, 0.8},
 		"some with several times the mean beside idle ones": {nil,
-			func(s *engine.Scenario) { s.Dispatchers.FrontSkew = 0.6 }, 0.85},
+			func(s *engine.Scenario) { s.Dispatchers.LoadSkew = 0.6 }, 0.85},
 		"one call in ten seconds each": {nil, func(s *engine.Scenario) { s.Clients.Rate = 4 }, 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -69,8 +71,8 @@
 func TestAFleetSharesFewPlaces(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		s := fleet()
-		s.Kinds[0].Places, s.Kinds[0].PlacesTold, s.Kinds[0].Headroom = 8, told, 3
-		w, events, sum := play(t, s, module, eventpkg.AttemptEnded)
+		s.DestinationKinds[0].MaxConnections, s.DestinationKinds[0].ReportsConnectionLimit, s.DestinationKinds[0].Headroom = 8, told, 3
+		w, events, sum := play(t, s, module, event.AttemptEnded)
 		assert.Empty(t, w.Broken, texts(w.Breaches))
 		outcomes := map[api.Outcome]int{}
 		for _, e := range events {
@@ -88,9 +90,9 @@
 }
 
 func TestALoweredLimitHoldsForItsTimeAndItsDestinations(t *testing.T) {
-	s := fleet(engine.Trouble{Kind: "limit", At: 8 * sec, For: 6 * sec, Destinations: []int{0}, Size: 0.2},
-		engine.Trouble{Kind: "limit", At: 10 * sec, For: 2 * sec, Destinations: []int{0}, Size: 0.5})
-	_, events, _ := play(t, s, module, eventpkg.CallRefused)
+	s := fleet(engine.Fault{Kind: "limit", At: 8 * sec, Duration: 6 * sec, Destinations: []int{0}, Magnitude: 0.2},
+		engine.Fault{Kind: "limit", At: 10 * sec, Duration: 2 * sec, Destinations: []int{0}, Magnitude: 0.5})
+	_, events, _ := play(t, s, module, event.CallRefused)
 	refused := map[bool]int{}
 	for _, e := range events {
 		if e.Destination == 0 {
@@ -108,16 +110,16 @@
 		rate        float64
 	}{{3, 10}, {20, 25}} {
 		for _, seed := range []uint64{3, 4} {
-			s := plain(engine.Trouble{Kind: "down", At: 10 * sec, For: 11 * sec / 10, Busiest: 1})
-			s.Seed, s.Dispatchers.Count, s.Destinations.Count, s.Destinations.Busy = seed, day.dispatchers, 1, 1
-			s.Clients.Rate, s.Events = day.rate, s.Events[:1]
-			k := &s.Kinds[0]
-			k.Endpoints, k.Headroom, k.PlacesTold, k.TellsWait = []int{1, 1}, 1.2, true, 0
-			w, events, _ := play(t, s, module, eventpkg.OutageEnded, eventpkg.CallArrived)
+			s := plain(engine.Fault{Kind: "down", At: 10 * sec, Duration: 11 * sec / 10, Busiest: 1})
+			s.Seed, s.Dispatchers.Count, s.Destinations.Count, s.Destinations.Active = seed, day.dispatchers, 1, 1
+			s.Clients.Rate, s.EventTypes = day.rate, s.EventTypes[:1]
+			k := &s.DestinationKinds[0]
+			k.Endpoints, k.Headroom, k.ReportsConnectionLimit, k.RetryAfterShare = []int{1, 1}, 1.2, true, 0
+			w, events, _ := play(t, s, module, event.OutageEnded, event.CallArrived)
 			assert.Empty(t, w.Broken, texts(w.Breaches))
 			back, came := api.Never, 0.0
 			for _, e := range events {
-				if e.Kind == eventpkg.OutageEnded {
+				if e.Kind == event.OutageEnded {
 					back = e.At
 				} else if back != api.Never && e.At < back+2*api.Second {
 					came++
--- a/sim/engine/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -7,58 +7,58 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/sim/engine"
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/policy"
 )
 
-const sec = engine.Span(api.Second)
+const sec = engine.Duration(api.Second)
 
 func module(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) }
 
 // plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
 // sort.
-func plain(troubles ...engine.Trouble) *engine.Scenario {
-	s := &engine.Scenario{Name: "plain", Length: 30 * sec,
-		Dispatchers: engine.Dispatchers{Count: 2, Slots: 24, Buffer: 400, Cancel: true, MaxAdvice: 3 * sec,
-			RatesStated: true, ListDelay: []engine.Span{sec, sec}},
-		Clients:      engine.Clients{Rate: 100, Skew: 0.5, Retries: 2, Heed: 1},
+func plain(troubles ...engine.Fault) *engine.Scenario {
+	s := &engine.Scenario{Name: "plain", Duration: 30 * sec,
+		Dispatchers: engine.Dispatchers{Count: 2, MaxConcurrentCalls: 24, BufferSize: 400, CanCancel: true, MaxRetryAfter: 3 * sec,
+			RatesListed: true, EndpointUpdateDelay: []engine.Duration{sec, sec}},
+		Clients:      engine.Clients{Rate: 100, DestinationSkew: 0.5, MaxResubmissions: 2, HonorRetryAfter: 1},
 		Destinations: engine.Destinations{Count: 8},
-		Events: []engine.EventType{
-			{Name: "idempotent", Target: 3 * sec, TTL: 20 * sec},
-			{Name: "tokened", Target: 3 * sec, TTL: 20 * sec, Repeat: "tokened", Window: 8 * sec},
-			{Name: "once", Target: 3 * sec, TTL: 20 * sec, Repeat: "at-most-once"},
-			{Name: "ordered", Target: 3 * sec, TTL: 20 * sec, Ordered: true, Keys: 12},
+		EventTypes: []engine.EventType{
+			{Name: "idempotent", LatencyTarget: 3 * sec, TTL: 20 * sec},
+			{Name: "tokened", LatencyTarget: 3 * sec, TTL: 20 * sec, Semantics: "tokened", DedupWindow: 8 * sec},
+			{Name: "once", LatencyTarget: 3 * sec, TTL: 20 * sec, Semantics: "at-most-once"},
+			{Name: "ordered", LatencyTarget: 3 * sec, TTL: 20 * sec, Ordered: true, OrderingKeys: 12},
 		},
-		Kinds: []engine.Kind{{Name: "shop", Endpoints: []int{2}, Answer: sec / 5, Spread: 0.5, Limit: "rate",
-			Headroom: 2, Least: 4, TellsWait: 1, Wait: []engine.Span{sec / 2, sec}}},
-		Troubles: troubles}
-	s.Complete()
+		DestinationKinds: []engine.DestinationKind{{Name: "shop", Endpoints: []int{2}, ServiceTime: sec / 5, ServiceTimeCV: 0.5, Limit: "rate",
+			Headroom: 2, MinRate: 4, RetryAfterShare: 1, RetryAfter: []engine.Duration{sec / 2, sec}}},
+		Faults: troubles}
+	s.ApplyDefaults()
 	return s
 }
 
 // log writes down all events that it wants.
 type log struct {
-	wants []eventpkg.Kind
-	all   []eventpkg.Event
+	wants []event.Kind
+	all   []event.Event
 }
 
-func (l *log) Kinds() []eventpkg.Kind    { return l.wants }
-func (l *log) Observe(e *eventpkg.Event) { l.all = append(l.all, *e) }
+func (l *log) Kinds() []event.Kind    { return l.wants }
+func (l *log) Observe(e *event.Event) { l.all = append(l.all, *e) }
 
 // play runs a scenario under the watch; events of the kinds given come back, too.
 func play(
 	t *testing.T,
 	s *engine.Scenario,
-	start engine.Starter,
-	what ...eventpkg.Kind,
-) (*invariant.Watch, []eventpkg.Event,
+	start engine.PolicyFactory,
+	what ...event.Kind,
+) (*invariant.Watch, []event.Event,
 	invariant.Summary) {
-	require.NoError(t, s.Check())
+	require.NoError(t, s.Validate())
 	m := engine.New(s, start)
-	terms := invariant.Terms{Settings: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
-		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
+	terms := invariant.Terms{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
+		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20}
 	w, r, l := invariant.NewWatch(terms), invariant.NewRecorder(terms), &log{wants: what}
 	w.Join(&m.Bus)
 	m.Bus.Subscribe(r, l)
@@ -108,7 +108,7 @@
 }
 
 // tampered starts mutants.
-func tampered(facts func(*api.Settings), with func(*mutant)) engine.Starter {
+func tampered(facts func(*api.Settings), with func(*mutant)) engine.PolicyFactory {
 	return func(f api.Settings, h api.Host) api.Policy {
 		if facts != nil {
 			facts(&f)
--- a/sim/engine/homes.go
+++ b/sim/engine/homes.go
@@ -11,84 +11,84 @@
 )
 
 const (
-	none     = int32(-1) // no offer
-	looks    = 12        // in a term: at vacant ranges, at what is parked
-	hopShare = 3         // of a client's patience, which a webhook on its way to its home may take
+	noHandoff             = int32(-1) // no offer
+	reviewsPerTTL         = 12        // in a term: at vacant ranges, at what is parked
+	handoffTimeoutDivisor = 3         // of a client's patience, which a webhook on its way to its home may take
 )
 
-// homes is what a run has where each destination is called by its home only: one keeper that is always there,
+// clusterState is what a run has where each destination is called by its home only: one keeper that is always there,
 // with the real book of leases and map of ranges, and the messages between dispatchers.
-type homes struct {
-	m      *Model
-	deeds  deeds
-	chance *rand.Rand // of ways and losses between dispatchers
-	keys   []cluster.KeyHash
-
-	book      *lease.Table
-	terms     *lease.ExpiryTracker
-	chart     *shardmap.Map
-	vacancies *shardmap.FailoverPlanner
-	index     uint64
-	members   []shardmap.Candidate
-	numbers   map[cluster.MemberID]int32
-
-	charts []*shardmap.Map // as published; never changed
-	asks   []ask
-	offers []offer
-	hands  uint32
-
-	setup bool // the fleet is being set up: nobody is told yet
+type clusterState struct {
+	simulation *Simulation
+	behavior   clusterBehavior
+	random     *rand.Rand // of ways and losses between dispatchers
+	keyHashes  []cluster.KeyHash
+
+	leases       *lease.Table
+	expiry       *lease.ExpiryTracker
+	shardMap     *shardmap.Map
+	failover     *shardmap.FailoverPlanner
+	logIndex     uint64
+	candidates   []shardmap.Candidate
+	dispatcherOf map[cluster.MemberID]int32
+
+	publishedMaps []*shardmap.Map // as published; never changed
+	leaseMessages []leaseMessage
+	handoffs      []handoff
+	handoffCount  uint32
+
+	settingUp bool // the fleet is being set up: nobody is told yet
 }
 
-// deeds are what dispatchers make of leases and map. Tests spoil them one by one.
-type deeds struct {
-	part    func(shardmap.Decision, int) float64
-	calls   func(shardmap.Decision) bool
-	way     func(api.Micros) api.Micros
-	takes   func([]shardmap.Takeover) []shardmap.Takeover
-	settles func(h *held, e *EventType, ended bool, now api.Micros) bool
-	early   bool // a webhook is said to be taken before it is in the journal
+// clusterBehavior are what dispatchers make of leases and map. Tests spoil them one by one.
+type clusterBehavior struct {
+	rateShare         func(shardmap.Decision, int) float64
+	mayCall           func(shardmap.Decision) bool
+	messageDelay      func(api.Micros) api.Micros
+	takeovers         func([]shardmap.Takeover) []shardmap.Takeover
+	mayReclaim        func(h *webhook, e *EventType, ended bool, now api.Micros) bool
+	acknowledgesEarly bool // a webhook is said to be taken before it is in the journal
 }
 
-func newHomes(m *Model) *homes {
-	p := &m.plan.Homes
-	h := &homes{m: m, chance: stream(m.plan.Seed, 5), book: lease.NewTable(), terms: lease.NewExpiryTracker(p.Term.us()),
-		vacancies: shardmap.NewFailoverPlanner(p.Term.us()), numbers: map[cluster.MemberID]int32{}}
-	h.deeds = deeds{
-		part:    shardmap.Decision.RateShare,
-		calls:   func(v shardmap.Decision) bool { return v.AllowsCall(false) },
-		way:     func(w api.Micros) api.Micros { return api.Micros(float64(w) * p.Hop) },
-		takes:   func(t []shardmap.Takeover) []shardmap.Takeover { return t },
-		settles: mayGoOn,
-	}
-	h.chart = shardmap.New(h.book)
-	for i := range m.plan.Dispatchers.Count {
+func newClusterState(m *Simulation) *clusterState {
+	p := &m.scenario.Ownership
+	h := &clusterState{simulation: m, random: newRandom(m.scenario.Seed, 5), leases: lease.NewTable(), expiry: lease.NewExpiryTracker(p.LeaseTTL.micros()),
+		failover: shardmap.NewFailoverPlanner(p.LeaseTTL.micros()), dispatcherOf: map[cluster.MemberID]int32{}}
+	h.behavior = clusterBehavior{
+		rateShare:    shardmap.Decision.RateShare,
+		mayCall:      func(v shardmap.Decision) bool { return v.AllowsCall(false) },
+		messageDelay: func(w api.Micros) api.Micros { return api.Micros(float64(w) * p.HopFactor) },
+		takeovers:    func(t []shardmap.Takeover) []shardmap.Takeover { return t },
+		mayReclaim:   mayReclaim,
+	}
+	h.shardMap = shardmap.New(h.leases)
+	for i := range m.scenario.Dispatchers.Count {
 		name := cluster.MemberID(fmt.Sprintf("d%d", i))
-		h.members = append(h.members, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: name, Weight: 1}})
-		h.numbers[name] = int32(i)
+		h.candidates = append(h.candidates, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: name, Weight: 1}})
+		h.dispatcherOf[name] = int32(i)
 	}
-	for i := range m.dests {
-		h.keys = append(h.keys, cluster.DestinationKeyHash(api.DestinationID(i)))
+	for i := range m.destinations {
+		h.keyHashes = append(h.keyHashes, cluster.DestinationKeyHash(api.DestinationID(i)))
 	}
 	return h
 }
 
 // propose has the log take a command; what comes of it is nil where it was refused.
-func (h *homes) propose(c cluster.Command) []byte {
-	part := cluster.Component(h.book)
+func (h *clusterState) propose(c cluster.Command) []byte {
+	part := cluster.Component(h.leases)
 	if c.Component == cluster.ShardMapComponent {
-		part = h.chart
+		part = h.shardMap
 	}
-	h.index++
-	answer, err := part.Apply(h.index, c.Body)
+	h.logIndex++
+	answer, err := part.Apply(h.logIndex, c.Body)
 	if err != nil {
 		return nil
 	}
 	return answer
 }
 
-// lease proposes one of the book's commands; false: it was refused.
-func (h *homes) lease(c cluster.Command) (lease.Result, bool) {
+// proposeLease proposes one of the book's commands; false: it was refused.
+func (h *clusterState) proposeLease(c cluster.Command) (lease.Result, bool) {
 	raw := h.propose(c)
 	if raw == nil {
 		return lease.Result{}, false
@@ -97,35 +97,35 @@
 	return a, err == nil
 }
 
-// settled begins the run with a fleet in which each range has its home.
-func (h *homes) settled() {
-	reign, _ := h.lease(lease.BeginLeaderEpoch())
-	h.terms.StartLeading(h.m.now, reign.LeaderEpoch, nil)
+// start begins the run with a fleet in which each range has its home.
+func (h *clusterState) start() {
+	reign, _ := h.proposeLease(lease.BeginLeaderEpoch())
+	h.expiry.StartLeading(h.simulation.now, reign.LeaderEpoch, nil)
 	var weights []shardmap.MemberWeight
-	for _, m := range h.members {
+	for _, m := range h.candidates {
 		weights = append(weights, m.MemberWeight)
 	}
-	h.propose(shardmap.Coordinator(1).Initialize(h.m.plan.Homes.Ranges*len(h.members), weights))
-	h.publish()
-	h.setup = true
-	for i := range h.m.dispatchers {
-		d := &h.m.dispatchers[i]
-		h.starts(d)
-		d.member.chartIs(h.charts[0])
-		h.answer(d, h.ask(d))
-	}
-	h.setup = false
-	h.publish()
-	for i := range h.m.dispatchers {
-		h.m.dispatchers[i].member.chartIs(h.charts[len(h.charts)-1])
-		h.m.begin(int32(i))
-	}
-	h.m.after(h.m.plan.Homes.Term.us()/looks, event{kind: evKeep})
+	h.propose(shardmap.Coordinator(1).Initialize(h.simulation.scenario.Ownership.RangesPerMember*len(h.candidates), weights))
+	h.publishMap()
+	h.settingUp = true
+	for i := range h.simulation.dispatchers {
+		d := &h.simulation.dispatchers[i]
+		h.resetMember(d)
+		d.member.updateMap(h.publishedMaps[0])
+		h.exchangeAtStart(d, h.newLeaseMessage(d))
+	}
+	h.settingUp = false
+	h.publishMap()
+	for i := range h.simulation.dispatchers {
+		h.simulation.dispatchers[i].member.updateMap(h.publishedMaps[len(h.publishedMaps)-1])
+		h.simulation.startDispatcher(int32(i))
+	}
+	h.simulation.schedule(h.simulation.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
 }
 
-// publish tells each dispatcher of the map as it is now.
-func (h *homes) publish() {
-	snapshot, err := h.chart.Snapshot()
+// publishMap tells each dispatcher of the map as it is now.
+func (h *clusterState) publishMap() {
+	snapshot, err := h.shardMap.Snapshot()
 	next := shardmap.New(nil)
 	if err == nil {
 		err = next.Restore(snapshot)
@@ -133,72 +133,74 @@
 	if err != nil {
 		panic(err) // the map's own snapshot
 	}
-	h.charts = append(h.charts, next)
-	for i := range h.m.dispatchers {
-		if d := &h.m.dispatchers[i]; d.up {
-			h.m.after(h.way(h.at(), d.zone), event{kind: evChart, a: d.number, b: int32(len(h.charts) - 1)})
+	h.publishedMaps = append(h.publishedMaps, next)
+	for i := range h.simulation.dispatchers {
+		if d := &h.simulation.dispatchers[i]; d.up {
+			h.simulation.schedule(h.messageDelay(h.leaderZone(), d.zone), scheduledEvent{kind: evMapUpdate, subject: d.number, detail: int32(len(h.publishedMaps) - 1)})
 		}
 	}
 }
 
-// at is the keeper's zone.
-func (h *homes) at() api.ZoneID { return 0 }
+// leaderZone is the keeper's zone.
+func (h *clusterState) leaderZone() api.ZoneID { return 0 }
 
-func (h *homes) way(a, b api.ZoneID) api.Micros {
-	return h.deeds.way(h.m.span(a, b, h.chance))
+func (h *clusterState) messageDelay(a, b api.ZoneID) api.Micros {
+	return h.behavior.messageDelay(h.simulation.randomDelay(a, b, h.random))
 }
 
-func (h *homes) lost() bool { return h.chance.Float64() < h.m.plan.Homes.Lost }
+func (h *clusterState) isMessageLost() bool {
+	return h.random.Float64() < h.simulation.scenario.Ownership.LossRate
+}
 
-// keep ends sessions whose term is over and gives what they had to others.
-func (h *homes) keep() {
-	now := h.m.now
-	for _, o := range h.terms.TakeExpired(now) {
-		if _, ok := h.lease(lease.ExpireSession(o)); ok {
-			h.terms.Remove(o.Session)
+// expireSessions ends sessions whose term is over and gives what they had to others.
+func (h *clusterState) expireSessions() {
+	now := h.simulation.now
+	for _, o := range h.expiry.TakeExpired(now) {
+		if _, ok := h.proposeLease(lease.ExpireSession(o)); ok {
+			h.expiry.Remove(o.Session)
 		}
 	}
 	alive := map[cluster.MemberID]bool{}
-	for _, s := range h.book.Sessions() {
-		alive[h.book.MemberOf(s)] = true
+	for _, s := range h.leases.Sessions() {
+		alive[h.leases.MemberOf(s)] = true
 	}
-	takes := h.deeds.takes(h.vacancies.PlanTakeovers(h.chart, h.book, alive, h.members, now))
+	takes := h.behavior.takeovers(h.failover.PlanTakeovers(h.shardMap, h.leases, alive, h.candidates, now))
 	if len(takes) > 0 && h.propose(shardmap.Coordinator(1).FailOver(takes)) != nil {
-		h.publish()
+		h.publishMap()
 	}
-	h.m.after(h.m.plan.Homes.Term.us()/looks, event{kind: evKeep})
+	h.simulation.schedule(h.simulation.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
 }
 
-func (h *homes) handle(e event) {
+func (h *clusterState) handle(e scheduledEvent) {
 	switch e.kind {
-	case evOffer:
-		h.offered(e.a)
-	case evTold:
-		h.told(e.a)
-	case evOfferOver:
-		h.over(e.a)
-	case evQuestion:
-		h.question(e.a, shardmap.CustodyReply(e.b))
-	case evAsk:
-		h.asked(e.a, e.b == 1)
-	case evKeep:
-		h.keep()
-	case evLook, evExpire, evRenew, evChart:
-		d := &h.m.dispatchers[e.a]
+	case evHandoffArrival:
+		h.receiveHandoff(e.subject)
+	case evHandoffReply:
+		h.handleHandoffReply(e.subject)
+	case evHandoffTimeout:
+		h.handleHandoffTimeout(e.subject)
+	case evCustodyQuery:
+		h.handleCustodyQuery(e.subject, shardmap.CustodyReply(e.detail))
+	case evLeaseMessage:
+		h.handleLeaseMessage(e.subject, e.detail == 1)
+	case evExpiryScan:
+		h.expireSessions()
+	case evParkedReview, evParkedExpiry, evLeaseRenewal, evMapUpdate:
+		d := &h.simulation.dispatchers[e.subject]
 		switch {
-		case !d.up || e.kind != evChart && e.gen != d.life:
-		case d.frozenUntil > h.m.now:
-			h.m.queue.Add(int64(d.frozenUntil), e)
-		case e.kind == evLook:
-			h.look(d)
-		case e.kind == evExpire:
-			d.expire(api.WebhookID(uint32(e.b)))
-		case e.kind == evRenew && h.m.now < d.member.tenure.NextRenewalAt():
-			h.renewAgain(d)
-		case e.kind == evRenew:
-			h.renew(d)
+		case !d.up || e.kind != evMapUpdate && e.generation != d.incarnation:
+		case d.pausedUntil > h.simulation.now:
+			h.simulation.queue.Add(int64(d.pausedUntil), e)
+		case e.kind == evParkedReview:
+			h.reviewParked(d)
+		case e.kind == evParkedExpiry:
+			d.expireParked(api.WebhookID(uint32(e.detail)))
+		case e.kind == evLeaseRenewal && h.simulation.now < d.member.leases.NextRenewalAt():
+			h.scheduleRenewal(d)
+		case e.kind == evLeaseRenewal:
+			h.renewSession(d)
 		default:
-			h.hears(d, h.charts[e.b])
+			h.updateMap(d, h.publishedMaps[e.detail])
 		}
 	}
 }
--- a/sim/engine/homes_test.go
+++ b/sim/engine/homes_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 
 	"rowanlink/sim/engine"
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/sim/invariant"
 	"rowanlink/webhook/api"
 )
 
 // homesDay is six dispatchers of which each is home of some of twelve destinations.
-func homesDay(troubles ...engine.Trouble) *engine.Scenario {
+func homesDay(troubles ...engine.Fault) *engine.Scenario {
 	s := plain(troubles...)
-	s.Dispatchers.Count, s.Clients.Rate, s.Length = 6, 120, 16*sec
-	s.Destinations.Count, s.Destinations.Busy = 12, 12
-	s.Events = s.Events[:3]
-	s.Net.Same, s.Net.Cross = sec/100, sec/100
-	s.Homes = engine.Homes{Term: 3 * sec, Hop: 2, Lost: 0.001, Apart: 0.05}
-	s.Complete()
+	s.Dispatchers.Count, s.Clients.Rate, s.Duration = 6, 120, 16*sec
+	s.Destinations.Count, s.Destinations.Active = 12, 12
+	s.EventTypes = s.EventTypes[:3]
+	s.Network.SameZoneDelay, s.Network.CrossZoneDelay = sec/100, sec/100
+	s.Ownership = engine.Ownership{LeaseTTL: 3 * sec, HopFactor: 2, LossRate: 0.001, ClockDrift: 0.05}
+	s.ApplyDefaults()
 	return s
 }
 
@@ -30,20 +30,20 @@
 // between dispatchers are lost.
 func drawn(seed uint64) *engine.Scenario {
 	c := rand.New(rand.NewPCG(seed, 7))
-	var all []engine.Trouble
+	var all []engine.Fault
 	for range 1 + c.IntN(5) {
-		t := engine.Trouble{Kind: []string{"kill", "kill", "freeze", "restart", "hang", "down"}[c.IntN(6)],
-			At: engine.Span(c.IntN(int(14 * sec))), For: engine.Span(c.IntN(int(10 * sec))),
-			Journal: c.IntN(4) > 0}
+		t := engine.Fault{Kind: []string{"kill", "kill", "freeze", "restart", "hang", "down"}[c.IntN(6)],
+			At: engine.Duration(c.IntN(int(14 * sec))), Duration: engine.Duration(c.IntN(int(10 * sec))),
+			KeepsState: c.IntN(4) > 0}
 		if t.Kind == "hang" || t.Kind == "down" {
 			t.Busiest = 2
 		} else {
-			t.Dispatchers, t.InTurn = []int{c.IntN(6), c.IntN(6)}, t.Kind == "kill" && c.IntN(2) == 0
+			t.Dispatchers, t.DuringIteration = []int{c.IntN(6), c.IntN(6)}, t.Kind == "kill" && c.IntN(2) == 0
 		}
 		all = append(all, t)
 	}
 	s := homesDay(all...)
-	s.Seed, s.Homes.Lost = seed+1, []float64{0, 0.01, 0.3}[c.IntN(3)]
+	s.Seed, s.Ownership.LossRate = seed+1, []float64{0, 0.01, 0.3}[c.IntN(3)]
 	return s
 }
 
@@ -51,10 +51,10 @@
 	*invariant.Watch
 	invariant.Summary
 	invariant.Together
-	all []eventpkg.Event
+	all []event.Event
 }
 
-func (r homesRun) of(what eventpkg.Kind) (all []eventpkg.Event) {
+func (r homesRun) of(what event.Kind) (all []event.Event) {
 	for _, e := range r.all {
 		if e.Kind == what {
 			all = append(all, e)
@@ -63,21 +63,21 @@
 	return all
 }
 
-func playHomes(t *testing.T, s *engine.Scenario, spoil func(*engine.Model)) homesRun {
-	require.NoError(t, s.Check())
+func playHomes(t *testing.T, s *engine.Scenario, spoil func(*engine.Simulation)) homesRun {
+	require.NoError(t, s.Validate())
 	m := engine.New(s, module)
 	spoil(m)
-	terms := invariant.Terms{Settings: s.Facts(0, 0), DrainGrace: api.Micros(s.Rules.DrainGrace),
-		AnswerGrace: 3*api.Micros(s.Dispatchers.Tick) + api.Second/20}
+	terms := invariant.Terms{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
+		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20}
 	w, r, f := invariant.NewWatch(terms), invariant.NewRecorder(terms), invariant.NewFleet(terms)
-	l := &log{wants: []eventpkg.Kind{eventpkg.CallStarted, eventpkg.Finished}}
+	l := &log{wants: []event.Kind{event.CallStarted, event.Finished}}
 	w.Join(&m.Bus)
 	m.Bus.Subscribe(r, f, l)
 	w.Close(m.Run())
 	return homesRun{w, r.Close(), f.Close(), l.all}
 }
 
-func sound(*engine.Model) {}
+func sound(*engine.Simulation) {}
 
 func TestAFleetWithHomesKeepsTheRulesWhateverDiesOrIsLost(t *testing.T) {
 	// The first sixteen, and two on which one that goes on calling what is on its way would be found out.
@@ -91,14 +91,14 @@
 
 // Each fault in what dispatchers make of leases and map is seen by what it does; without it nothing is.
 func TestSpoiltFleetsAreFoundOut(t *testing.T) {
-	kill := engine.Trouble{Kind: "kill", At: 5 * sec, For: 40 * sec, Dispatchers: []int{1}, Journal: true}
+	kill := engine.Fault{Kind: "kill", At: 5 * sec, Duration: 40 * sec, Dispatchers: []int{1}, KeepsState: true}
 	killed := homesDay(kill)
-	lossy := homesDay(kill, engine.Trouble{Kind: "kill", At: 7 * sec, For: 40 * sec, Dispatchers: []int{2, 3},
-		Journal: true})
-	lossy.Homes.Lost, lossy.Clients.Rate = 0.4, 400
-	lossy.Events = lossy.Events[2:]
+	lossy := homesDay(kill, engine.Fault{Kind: "kill", At: 7 * sec, Duration: 40 * sec, Dispatchers: []int{2, 3},
+		KeepsState: true})
+	lossy.Ownership.LossRate, lossy.Clients.Rate = 0.4, 400
+	lossy.EventTypes = lossy.EventTypes[2:]
 	slow := homesDay() // turns are longer than hops
-	slow.Dispatchers.Tick, slow.Net.Same = sec/10, sec/1000
+	slow.Dispatchers.MinIterationInterval, slow.Network.SameZoneDelay = sec/10, sec/1000
 	many := homesDay()
 	many.Dispatchers.Count = 12
 	for _, c := range []struct {
@@ -111,7 +111,7 @@
 		}},
 		{"forwarders call too", homesDay(), func(r homesRun) error {
 			callers := map[api.DestinationID]int32{}
-			for _, e := range r.of(eventpkg.CallStarted) {
+			for _, e := range r.of(event.CallStarted) {
 				if by, ok := callers[e.Destination]; ok && by != e.Dispatcher {
 					return fmt.Errorf("%d and %d call destination %d", by, e.Dispatcher, e.Destination)
 				}
@@ -119,7 +119,7 @@
 			}
 			return unless(len(callers) == 12, "%d destinations called", len(callers))
 		}},
-		{"forwarders call too", homesDay(engine.Trouble{Kind: "down", At: 5 * sec, For: 5 * sec, Busiest: 2}),
+		{"forwarders call too", homesDay(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 2}),
 			func(r homesRun) error {
 				return unless(r.Returns == 2 && r.Callers == 1, "canaries of %.1f dispatchers", r.Callers)
 			}},
@@ -129,9 +129,9 @@
 		{"a lost home stays home", killed, func(r homesRun) error {
 			lost, again := map[api.DestinationID]bool{}, map[api.DestinationID]bool{}
 			for _, e := range r.all {
-				lost[e.Destination] = lost[e.Destination] || e.Kind == eventpkg.CallStarted && e.Dispatcher == 1
-				again[e.Destination] = again[e.Destination] || e.Final == eventpkg.Delivered && e.Kind == eventpkg.Finished &&
-					e.At > api.Micros(kill.At+2*killed.Homes.Term)
+				lost[e.Destination] = lost[e.Destination] || e.Kind == event.CallStarted && e.Dispatcher == 1
+				again[e.Destination] = again[e.Destination] || e.Final == event.Delivered && e.Kind == event.Finished &&
+					e.At > api.Micros(kill.At+2*killed.Ownership.LeaseTTL)
 			}
 			for d, was := range lost {
 				if was && !again[d] {
--- a/sim/engine/host.go
+++ b/sim/engine/host.go
@@ -1,7 +1,7 @@
 package engine
 
 import (
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
@@ -10,80 +10,80 @@
 
 // StartAttempt makes a delivery attempt, alone or in a call of this turn to the same endpoint that has room.
 func (d *dispatcher) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
-	m, h, i := d.m, d.held[id], indexOf(ep)
+	m, h, i := d.m, d.webhooks[id], indexOf(ep)
 	if h == nil || h.call >= 0 {
 		// Nothing is held under this id, or it is out already: for an observer it is an attempt all the same.
-		m.Bus.Emit(eventpkg.Event{At: m.now, Kind: eventpkg.AttemptStarted, Dispatcher: d.number, Webhook: id, Endpoint: ep})
+		m.Bus.Emit(event.Event{At: m.now, Kind: event.AttemptStarted, Dispatcher: d.number, Webhook: id, Endpoint: ep})
 		return
 	}
 	h.attempts++
-	o := &m.origins[h.origin]
-	known := i >= 0 && int(i) < len(m.endpoints) && m.endpoints[i].dest == o.dest
-	if h.ended || !known || !d.serves(h) || h.attempts > m.plan.Dispatchers.Attempts || m.now >= o.ttl {
-		d.put(news{kind: newsOutcome, id: id, ep: ep, what: api.NotSent, attempt: h.attempts - 1})
+	o := &m.requests[h.request]
+	known := i >= 0 && int(i) < len(m.endpoints) && m.endpoints[i].destination == o.destination
+	if h.finished || !known || !d.mayCall(h) || h.attempts > m.scenario.Dispatchers.MaxAttempts || m.now >= o.deadline {
+		d.enqueue(notification{kind: notifyOutcome, id: id, endpoint: ep, outcome: api.NotSent, attempt: h.attempts - 1})
 		return
 	}
-	h.sentAt, h.sentZone = m.now, m.endpoints[i].zone
-	if patience <= 0 || patience > o.ttl-m.now {
-		patience = o.ttl - m.now
+	h.attemptStartedAt, h.attemptZone = m.now, m.endpoints[i].zone
+	if patience <= 0 || patience > o.deadline-m.now {
+		patience = o.deadline - m.now
 	}
-	batch := m.dests[o.dest].kind.Batch
+	batch := m.destinations[o.destination].kind.BatchSize
 	at := int32(-1)
-	for _, k := range d.made {
-		if c := &m.calls[k]; c.ep == i && len(c.items) < batch {
+	for _, k := range d.pendingCalls {
+		if c := &m.calls[k]; c.endpoint == i && len(c.attempts) < batch {
 			at = k
 			break
 		}
 	}
 	if at < 0 {
-		if d.out >= m.plan.Dispatchers.Slots {
-			d.put(news{kind: newsOutcome, id: id, ep: ep, what: api.NotSent, attempt: h.attempts - 1})
+		if d.activeCalls >= m.scenario.Dispatchers.MaxConcurrentCalls {
+			d.enqueue(notification{kind: notifyOutcome, id: id, endpoint: ep, outcome: api.NotSent, attempt: h.attempts - 1})
 			return
 		}
-		d.out++
+		d.activeCalls++
 		at = m.newCall(d, i)
-		d.made = append(d.made, at)
+		d.pendingCalls = append(d.pendingCalls, at)
 	}
 	k := &m.calls[at]
-	k.items = append(k.items, item{h: h})
-	k.patience = min(k.patience, patience)
+	k.attempts = append(k.attempts, callAttempt{webhook: h})
+	k.timeout = min(k.timeout, patience)
 	h.call = at
-	if !d.muted {
-		m.Bus.Emit(m.about(eventpkg.AttemptStarted, d, h, eventpkg.Event{Attempt: h.attempts - 1, Endpoint: ep,
-			Route: eventpkg.Route(m.endpoints[i].route), Zone: m.endpoints[i].zone}))
+	if !d.dyingInIteration {
+		m.Bus.Emit(m.webhookEvent(event.AttemptStarted, d, h, event.Event{Attempt: h.attempts - 1, Endpoint: ep,
+			Route: event.Route(m.endpoints[i].route), Zone: m.endpoints[i].zone}))
 	}
 }
 
 // CancelAttempt calls off an attempt that is out.
 func (d *dispatcher) CancelAttempt(id api.WebhookID, _ int) {
-	if h := d.held[id]; h != nil && h.call >= 0 {
-		d.m.cancel(h.call, h)
+	if h := d.webhooks[id]; h != nil && h.call >= 0 {
+		d.m.cancelAttempt(h.call, h)
 	}
 }
 
 func (d *dispatcher) Reject(id api.WebhookID, advised api.Micros) {
-	if h := d.held[id]; h != nil && !h.ended {
-		d.m.end(d, h, eventpkg.Rejected, advised)
+	if h := d.webhooks[id]; h != nil && !h.finished {
+		d.m.finishWebhook(d, h, event.Rejected, advised)
 	}
 }
 
 func (d *dispatcher) DeadLetter(id api.WebhookID) {
-	if h := d.held[id]; h != nil && !h.ended {
-		d.m.end(d, h, eventpkg.DeadLettered, 0)
+	if h := d.webhooks[id]; h != nil && !h.finished {
+		d.m.finishWebhook(d, h, event.DeadLettered, 0)
 	}
 }
 
 func (d *dispatcher) SetTimer(in api.Micros, timer api.TimerID) {
-	d.m.after(in, event{kind: evWake, a: d.number, b: int32(timer), gen: d.life})
+	d.m.schedule(in, scheduledEvent{kind: evTimer, subject: d.number, detail: int32(timer), generation: d.incarnation})
 }
 
 func (d *dispatcher) CloseIdleConnections(ep api.EndpointID) {
-	if l := d.links[indexOf(ep)]; l != nil {
+	if l := d.connections[indexOf(ep)]; l != nil {
 		s := &d.m.servers[d.m.endpoints[indexOf(ep)].server]
 		if l.epoch == s.epoch {
-			s.conns -= len(l.idle)
+			s.connections -= len(l.since)
 		}
-		l.idle = l.idle[:0]
+		l.since = l.since[:0]
 	}
 }
 
--- a/sim/engine/kill.go
+++ b/sim/engine/kill.go
@@ -4,110 +4,110 @@
 	"maps"
 	"slices"
 
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
-// kill ends a dispatcher outright. With its journal, all that is not over is its own again at the next start;
+// killDispatcher ends a dispatcher outright. With its journal, all that is not over is its own again at the next start;
 // without, clients hand in again what may be repeated, once they notice.
-func (m *Model) kill(d *dispatcher, t *Trouble) {
+func (m *Simulation) killDispatcher(d *dispatcher, t *Fault) {
 	if !d.up {
 		return
 	}
-	if t.InTurn && !d.muted {
-		d.killInTurn = t
+	if t.DuringIteration && !d.dyingInIteration {
+		d.killNextIteration = t
 		return
 	}
-	back := m.now + t.For.us()
-	e := eventpkg.Event{At: m.now, Kind: eventpkg.Killed, Dispatcher: d.number, Until: back}
-	if !t.Journal && t.Kind != "restart" {
-		e.Final = eventpkg.StateLost
+	back := m.now + t.Duration.micros()
+	e := event.Event{At: m.now, Kind: event.Killed, Dispatcher: d.number, Until: back}
+	if !t.KeepsState && t.Kind != "restart" {
+		e.Final = event.StateLost
 	}
 	m.Bus.Emit(e)
-	d.up, d.unseenUntil = false, m.now+m.plan.Clients.Notice.us()
+	d.up, d.deathNoticedAt = false, m.now+m.scenario.Clients.FailureDetectionDelay.micros()
 	if t.Kind == "restart" {
-		d.unseenUntil = m.now
+		d.deathNoticedAt = m.now
 	}
 	// What waited for a turn was handed in, but never answered: its clients come again.
 	for _, n := range d.inbox {
-		if n.kind == newsTake && n.offer == none {
-			m.unanswered(n.id, d)
-		} else if n.kind == newsTake {
-			m.homes.unanswered(d, n)
+		if n.kind == notifyAcceptance && n.handoff == noHandoff {
+			m.returnUnaccepted(n.id, d)
+		} else if n.kind == notifyAcceptance {
+			m.cluster.dropUnaccepted(d, n)
 		}
 	}
-	if m.homes != nil {
-		m.homes.dies(d, t)
+	if m.cluster != nil {
+		m.cluster.handleDeath(d, t)
 	}
 	// Guards repeatability: what is held is walked in its order, never a map's.
-	ids := slices.Sorted(maps.Keys(d.held))
+	ids := slices.Sorted(maps.Keys(d.webhooks))
 	for _, id := range ids {
-		h := d.held[id]
-		if h.call >= 0 && h.mayRun == never {
-			h.mayRun, h.zone = h.sentAt, h.sentZone
+		h := d.webhooks[id]
+		if h.call >= 0 && h.mayHaveRunAt == never {
+			h.mayHaveRunAt, h.zone = h.attemptStartedAt, h.attemptZone
 		}
 	}
 	for i := range m.calls {
-		if k := &m.calls[i]; k.d == d.number && k.at != callFree && k.at != callClosed {
-			m.hangUp(int32(i))
+		if k := &m.calls[i]; k.dispatcher == d.number && k.state != callFree && k.state != callClosed {
+			m.closeCall(int32(i))
 		}
 	}
-	for _, e := range slices.Sorted(maps.Keys(d.links)) {
+	for _, e := range slices.Sorted(maps.Keys(d.connections)) {
 		d.CloseIdleConnections(idOf(e))
 	}
 	for _, id := range ids {
-		h := d.held[id]
+		h := d.webhooks[id]
 		h.call = -1
 		switch {
-		case h.ended:
-		case h.unsaid && !t.Journal: // who sent it here still has it
-			m.Bus.Emit(m.about(eventpkg.Finished, d, h, eventpkg.Event{Final: eventpkg.StateLost}))
-			m.close(h.origin)
-		case t.Journal || t.Kind == "restart":
-			d.kept = append(d.kept, h)
+		case h.finished:
+		case h.unacknowledged && !t.KeepsState: // who sent it here still has it
+			m.Bus.Emit(m.webhookEvent(event.Finished, d, h, event.Event{Final: event.StateLost}))
+			m.closeCopy(h.request)
+		case t.KeepsState || t.Kind == "restart":
+			d.recovered = append(d.recovered, h)
 		default:
-			h.ended = true
-			m.Bus.Emit(m.about(eventpkg.Finished, d, h, eventpkg.Event{Final: eventpkg.StateLost}))
-			o := &m.origins[h.origin]
-			evt := &m.plan.Events[o.evt]
-			again := h.mayRun == never || evt.Repeat == "idempotent" ||
-				evt.Repeat == "tokened" && !evt.ByZone && m.now+m.plan.Clients.Notice.us() < h.mayRun+evt.Window.us()
-			if !again || m.now+m.plan.Clients.Notice.us() >= o.ttl {
-				m.close(h.origin)
+			h.finished = true
+			m.Bus.Emit(m.webhookEvent(event.Finished, d, h, event.Event{Final: event.StateLost}))
+			o := &m.requests[h.request]
+			evt := &m.scenario.EventTypes[o.eventType]
+			again := h.mayHaveRunAt == never || evt.Semantics == "idempotent" ||
+				evt.Semantics == "tokened" && !evt.DedupByZone && m.now+m.scenario.Clients.FailureDetectionDelay.micros() < h.mayHaveRunAt+evt.DedupWindow.micros()
+			if !again || m.now+m.scenario.Clients.FailureDetectionDelay.micros() >= o.deadline {
+				m.closeCopy(h.request)
 				continue
 			}
-			m.after(m.plan.Clients.Notice.us(), event{kind: evHandIn, a: h.origin})
+			m.schedule(m.scenario.Clients.FailureDetectionDelay.micros(), scheduledEvent{kind: evSubmit, subject: h.request})
 		}
 	}
-	d.held, d.inbox, d.module = map[api.WebhookID]*held{}, nil, nil
-	m.after(t.For.us(), event{kind: evStart, a: d.number})
+	d.webhooks, d.inbox, d.policy = map[api.WebhookID]*webhook{}, nil, nil
+	m.schedule(t.Duration.micros(), scheduledEvent{kind: evStart, subject: d.number})
 }
 
-// killMuted ends a dispatcher in the turn that it is in: its journal is written, but nothing of that turn has
+// killInIteration ends a dispatcher in the turn that it is in: its journal is written, but nothing of that turn has
 // left, neither answers nor calls.
-func (m *Model) killMuted(d *dispatcher) {
-	t := d.killInTurn
-	for _, k := range d.made {
-		for _, i := range m.calls[k].items {
-			i.h.call = -1
-			if i.h.mayRun == never { // the journal can't tell that it never left
-				i.h.mayRun, i.h.zone = i.h.sentAt, i.h.sentZone
+func (m *Simulation) killInIteration(d *dispatcher) {
+	t := d.killNextIteration
+	for _, k := range d.pendingCalls {
+		for _, i := range m.calls[k].attempts {
+			i.webhook.call = -1
+			if i.webhook.mayHaveRunAt == never { // the journal can't tell that it never left
+				i.webhook.mayHaveRunAt, i.webhook.zone = i.webhook.attemptStartedAt, i.webhook.attemptZone
 			}
 		}
-		m.drop(k)
+		m.discardCall(k)
 	}
-	took := slices.Clone(d.tookInTurn)
-	d.made = d.made[:0]
-	if !t.Journal {
+	took := slices.Clone(d.acceptedInIteration)
+	d.pendingCalls = d.pendingCalls[:0]
+	if !t.KeepsState {
 		for _, h := range took { // died with its dispatcher before its client heard: not a dead one's to hand on
-			h.mayRun = never
+			h.mayHaveRunAt = never
 		}
 	}
-	m.kill(d, t)
-	if t.Journal {
+	m.killDispatcher(d, t)
+	if t.KeepsState {
 		for _, h := range took {
-			if !h.unsaid {
-				m.unheard(h.origin)
+			if !h.unacknowledged {
+				m.resubmitUnacknowledged(h.request)
 			}
 		}
 	}
--- a/sim/engine/lists.go
+++ b/sim/engine/lists.go
@@ -3,54 +3,54 @@
 import (
 	"slices"
 
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
-// news is what waits for the next turn.
-type news struct {
-	kind    uint8
-	id      api.WebhookID
-	ep      api.EndpointID
-	what    api.Outcome
-	attempt int
-	took    api.Micros
-	wait    api.Micros
-	timer   api.TimerID
-	list    []api.EndpointEntry
-	whole   bool
-	offer   int32 // by which a webhook was sent here, or none
+// notification is what waits for the next turn.
+type notification struct {
+	kind       uint8
+	id         api.WebhookID
+	endpoint   api.EndpointID
+	outcome    api.Outcome
+	attempt    int
+	latency    api.Micros
+	retryAfter api.Micros
+	timer      api.TimerID
+	endpoints  []api.EndpointEntry
+	complete   bool
+	handoff    int32 // by which a webhook was sent here, or none
 }
 
-// hearList tells the module of the list that waits.
-func (d *dispatcher) hearList() {
-	d.inbox = slices.DeleteFunc(d.inbox, func(n news) bool {
-		if n.kind == newsList {
-			d.listed(n)
+// deliverQueuedEndpoints tells the module of the list that waits.
+func (d *dispatcher) deliverQueuedEndpoints() {
+	d.inbox = slices.DeleteFunc(d.inbox, func(n notification) bool {
+		if n.kind == notifyEndpoints {
+			d.updateEndpoints(n)
 		}
-		return n.kind == newsList
+		return n.kind == notifyEndpoints
 	})
 }
 
-func (d *dispatcher) listed(n news) {
-	if d.m.Bus.HasSubscribers(eventpkg.EndpointUpdated) {
-		for _, e := range n.list {
-			if e.Status != api.EndpointActive || !n.whole {
-				d.m.Bus.Emit(eventpkg.Event{At: d.m.now, Kind: eventpkg.EndpointUpdated, Dispatcher: d.number, Endpoint: e.Endpoint,
+func (d *dispatcher) updateEndpoints(n notification) {
+	if d.m.Bus.HasSubscribers(event.EndpointUpdated) {
+		for _, e := range n.endpoints {
+			if e.Status != api.EndpointActive || !n.complete {
+				d.m.Bus.Emit(event.Event{At: d.m.now, Kind: event.EndpointUpdated, Dispatcher: d.number, Endpoint: e.Endpoint,
 					Destination: e.Destination, Status: e.Status})
 			}
 		}
 	}
-	d.module.UpdateEndpoints(d.parted(n.list), n.whole)
+	d.policy.UpdateEndpoints(d.scaleRates(n.endpoints), n.complete)
 }
 
-// about is an event that concerns a webhook.
-func (m *Model) about(what eventpkg.Kind, d *dispatcher, h *held, e eventpkg.Event) eventpkg.Event {
-	o := &m.origins[h.origin]
-	e.At, e.Kind, e.Dispatcher, e.Webhook, e.Request = m.now, what, d.number, h.id, eventpkg.RequestID(h.origin)
-	e.EventType, e.Destination, e.OrderingKey, e.Deadline = o.evt, o.dest, o.key, o.ttl
+// webhookEvent is an event that concerns a webhook.
+func (m *Simulation) webhookEvent(what event.Kind, d *dispatcher, h *webhook, e event.Event) event.Event {
+	o := &m.requests[h.request]
+	e.At, e.Kind, e.Dispatcher, e.Webhook, e.Request = m.now, what, d.number, h.id, event.RequestID(h.request)
+	e.EventType, e.Destination, e.OrderingKey, e.Deadline = o.eventType, o.destination, o.orderingKey, o.deadline
 	if e.Route == 0 {
-		e.Route = eventpkg.Route(m.dests[o.dest].route)
+		e.Route = event.Route(m.destinations[o.destination].route)
 	}
 	return e
 }
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -10,88 +10,88 @@
 	"rowanlink/webhook/api"
 )
 
-// fellow is a dispatcher's part in a fleet with homes.
-type fellow struct {
-	name    cluster.MemberID
-	tenure  *lease.Holder
-	life    lease.Incarnation
-	chart   *shardmap.Map // nil: not heard of yet
-	over    api.Micros
-	parts   []float64 // of each destination's rate, as the module was told
-	parked  map[api.WebhookID]*held
-	known   map[api.WebhookID]hand // by its folder: outlasts its process
-	out     map[int32]bool         // offers whose clients wait
-	says    []int32                // offers taken in this turn
-	folder  uint32                 // counts the folders that it lost
-	looks   bool
-	renewAt api.Micros
-
-	mine []shardmap.Range // of the map of version read
-	read cluster.Version
-}
-
-// chartIs takes a newer map; false: it was an older one.
-func (b *fellow) chartIs(c *shardmap.Map) bool {
-	if b.chart != nil && b.chart.Version >= c.Version {
+// memberState is a dispatcher's part in a fleet with homes.
+type memberState struct {
+	name             cluster.MemberID
+	leases           *lease.Holder
+	incarnation      lease.Incarnation
+	shardMap         *shardmap.Map // nil: not heard of yet
+	leaseLostAt      api.Micros
+	rateShares       []float64 // of each destination's rate, as the module was told
+	parked           map[api.WebhookID]*webhook
+	handoffRecords   map[api.WebhookID]handoffRecord // by its folder: outlasts its process
+	clientHandoffs   map[int32]bool                  // offers whose clients wait
+	acknowledgements []int32                         // offers taken in this turn
+	stateID          uint32                          // counts the folders that it lost
+	reviewScheduled  bool
+	renewAt          api.Micros
+
+	ownRanges        []shardmap.Range // of the map of version read
+	ownRangesVersion cluster.Version
+}
+
+// updateMap takes a newer map; false: it was an older one.
+func (b *memberState) updateMap(c *shardmap.Map) bool {
+	if b.shardMap != nil && b.shardMap.Version >= c.Version {
 		return false
 	}
-	b.chart = c
+	b.shardMap = c
 	return true
 }
 
-// starts gives a dispatcher's new process nothing but what its folder holds.
-func (h *homes) starts(d *dispatcher) {
+// resetMember gives a dispatcher's new process nothing but what its folder holds.
+func (h *clusterState) resetMember(d *dispatcher) {
 	was := d.member
-	p := &h.m.plan.Homes
-	d.member = &fellow{name: h.members[d.number].Member, life: 1, over: h.m.now,
-		tenure: lease.NewHolder(p.Term.us(), p.Apart),
-		parts:  make([]float64, len(h.m.dests)), parked: map[api.WebhookID]*held{},
-		known: map[api.WebhookID]hand{}, out: map[int32]bool{}}
+	p := &h.simulation.scenario.Ownership
+	d.member = &memberState{name: h.candidates[d.number].Member, incarnation: 1, leaseLostAt: h.simulation.now,
+		leases:     lease.NewHolder(p.LeaseTTL.micros(), p.ClockDrift),
+		rateShares: make([]float64, len(h.simulation.destinations)), parked: map[api.WebhookID]*webhook{},
+		handoffRecords: map[api.WebhookID]handoffRecord{}, clientHandoffs: map[int32]bool{}}
 	if was != nil {
-		d.member.life, d.member.known, d.member.folder = was.life+1, was.known, was.folder
+		d.member.incarnation, d.member.handoffRecords, d.member.stateID = was.incarnation+1, was.handoffRecords, was.stateID
 	}
 }
 
-// joins is a dispatcher's start: the first one finds the fleet settled.
-func (h *homes) joins(d *dispatcher) {
-	if d.life > 1 {
-		h.starts(d)
-		h.renew(d)
+// joinCluster is a dispatcher's start: the first one finds the fleet settled.
+func (h *clusterState) joinCluster(d *dispatcher) {
+	if d.incarnation > 1 {
+		h.resetMember(d)
+		h.renewSession(d)
 	} else {
-		h.m.after(d.member.tenure.NextRenewalAt()-h.m.now, event{kind: evRenew, a: d.number, gen: d.life})
+		h.simulation.schedule(d.member.leases.NextRenewalAt()-h.simulation.now, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
 	}
-	d.setParts()
+	d.updateRateShares()
 }
 
-func (d *dispatcher) tenant() shardmap.LocalMember {
+func (d *dispatcher) localMember() shardmap.LocalMember {
 	b, now := d.member, d.m.now
-	return shardmap.LocalMember{Member: b.name, Isolated: shardmap.IsolationSuspected(b.over, now, d.m.plan.Homes.Term.us()),
-		HeldEpoch: func(t cluster.Resource) (cluster.Epoch, bool) { return b.tenure.Epoch(t, now) }}
+	return shardmap.LocalMember{Member: b.name, Isolated: shardmap.IsolationSuspected(b.leaseLostAt, now, d.m.scenario.Ownership.LeaseTTL.micros()),
+		HeldEpoch: func(t cluster.Resource) (cluster.Epoch, bool) { return b.leases.Epoch(t, now) }}
 }
 
-// verdict is what this dispatcher does with webhooks of a destination, now.
-func (d *dispatcher) verdict(dest api.DestinationID) shardmap.Decision {
-	if d.member.chart == nil {
+// decide is what this dispatcher does with webhooks of a destination, now.
+func (d *dispatcher) decide(dest api.DestinationID) shardmap.Decision {
+	if d.member.shardMap == nil {
 		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return d.member.chart.DecideKey(d.tenant(), d.m.homes.keys[dest])
+	return d.member.shardMap.DecideKey(d.localMember(), d.m.cluster.keyHashes[dest])
 }
 
-// serves is whether a webhook may be called from here, now.
-func (d *dispatcher) serves(h *held) bool {
+// mayCall is whether a webhook may be called from here, now.
+func (d *dispatcher) mayCall(h *webhook) bool {
 	if d.member == nil {
 		return true
 	}
-	return h.doubt == none && !h.offered && d.m.homes.deeds.calls(d.verdict(d.m.origins[h.origin].dest))
+	return h.inDoubtHandoff == noHandoff && !h.handingOff && d.m.cluster.behavior.mayCall(d.decide(d.m.requests[h.request].destination))
 }
 
-// setParts notes what part of each rate is this dispatcher's, and tells of which that is new.
-func (d *dispatcher) setParts() (changed map[api.DestinationID]bool) {
+// updateRateShares notes what part of each rate is this dispatcher's, and tells of which that is new.
+func (d *dispatcher) updateRateShares() (changed map[api.DestinationID]bool) {
 	b := d.member
-	for i := range b.parts {
+	for i := range b.rateShares {
 		dest := api.DestinationID(i)
-		if part := d.m.homes.deeds.part(d.verdict(dest), len(d.m.dispatchers)); part != b.parts[i] {
-			if b.parts[i] = part; changed == nil {
+		if part := d.m.cluster.behavior.rateShare(d.decide(dest), len(d.m.dispatchers)); part != b.rateShares[i] {
+			if b.rateShares[i] = part; changed == nil {
 				changed = map[api.DestinationID]bool{}
 			}
 			changed[dest] = true
@@ -100,123 +100,123 @@
 	return changed
 }
 
-// parted is a list with the rates of which an even part is this dispatcher's.
-func (d *dispatcher) parted(list []api.EndpointEntry) []api.EndpointEntry {
+// scaleRates is a list with the rates of which an even part is this dispatcher's.
+func (d *dispatcher) scaleRates(list []api.EndpointEntry) []api.EndpointEntry {
 	if d.member == nil {
 		return list
 	}
 	list = slices.Clone(list)
 	for i := range list {
-		list[i].Rate *= d.member.parts[list[i].Destination] * float64(len(d.m.dispatchers))
+		list[i].Rate *= d.member.rateShares[list[i].Destination] * float64(len(d.m.dispatchers))
 	}
 	return list
 }
 
-// regateIfDue has a dispatcher look at its session before it acts.
-func (d *dispatcher) regateIfDue() {
-	if b := d.member; b != nil && b.tenure.IsValid(d.m.now) != (b.over == never) {
-		d.regate()
+// reviewIfLeaseChanged has a dispatcher look at its session before it acts.
+func (d *dispatcher) reviewIfLeaseChanged() {
+	if b := d.member; b != nil && b.leases.IsValid(d.m.now) != (b.leaseLostAt == never) {
+		d.reviewWebhooks()
 	}
 }
 
-// regate follows the map and the session: rates, what may be called from here, what may not.
-func (d *dispatcher) regate() {
+// reviewWebhooks follows the map and the session: rates, what may be called from here, what may not.
+func (d *dispatcher) reviewWebhooks() {
 	b, m := d.member, d.m
-	switch holds := b.tenure.IsValid(m.now); {
+	switch holds := b.leases.IsValid(m.now); {
 	case holds:
-		b.over = never
-	case b.over == never:
-		b.over = m.now
-		d.unsure()
+		b.leaseLostAt = never
+	case b.leaseLostAt == never:
+		b.leaseLostAt = m.now
+		d.assumeDeliveredElsewhere()
 	}
-	if changed := d.setParts(); changed != nil {
+	if changed := d.updateRateShares(); changed != nil {
 		var anew []api.EndpointEntry
 		for i := range m.endpoints {
-			if e := &m.endpoints[i]; changed[e.dest] && !e.gone && !e.drains {
-				anew = append(anew, m.entry(int32(i), api.EndpointActive))
+			if e := &m.endpoints[i]; changed[e.destination] && !e.removed && !e.draining {
+				anew = append(anew, m.endpointEntry(int32(i), api.EndpointActive))
 			}
 		}
-		d.module.UpdateEndpoints(d.parted(anew), false)
+		d.policy.UpdateEndpoints(d.scaleRates(anew), false)
 	}
-	for _, id := range slices.Sorted(maps.Keys(d.held)) {
-		if h := d.held[id]; b.parked[id] != nil && d.serves(h) {
+	for _, id := range slices.Sorted(maps.Keys(d.webhooks)) {
+		if h := d.webhooks[id]; b.parked[id] != nil && d.mayCall(h) {
 			delete(b.parked, id)
-			d.resume(h)
+			d.submitToPolicy(h)
 		} else {
-			d.gate(h)
+			d.parkIfNotAllowed(h)
 		}
 	}
 }
 
-// gate parks what the module has and may not call any more; what is out ends first.
-func (d *dispatcher) gate(h *held) {
-	if !h.ended && h.call < 0 && d.member.parked[h.id] == nil && !d.serves(h) {
-		d.module.Withdraw(h.id)
+// parkIfNotAllowed parks what the module has and may not call any more; what is out ends first.
+func (d *dispatcher) parkIfNotAllowed(h *webhook) {
+	if !h.finished && h.call < 0 && d.member.parked[h.id] == nil && !d.mayCall(h) {
+		d.policy.Withdraw(h.id)
 		d.park(h)
 	}
 }
 
-func (d *dispatcher) park(h *held) {
+func (d *dispatcher) park(h *webhook) {
 	d.member.parked[h.id] = h
-	in := max(d.m.origins[h.origin].ttl-2*d.m.plan.Dispatchers.Tick.us()-d.m.now, 0)
-	d.m.after(in, event{kind: evExpire, a: d.number, b: int32(h.id), gen: d.life})
-	d.m.homes.lookAt(d, d.m.plan.Homes.Term.us()/looks)
+	in := max(d.m.requests[h.request].deadline-2*d.m.scenario.Dispatchers.MinIterationInterval.micros()-d.m.now, 0)
+	d.m.schedule(in, scheduledEvent{kind: evParkedExpiry, subject: d.number, detail: int32(h.id), generation: d.incarnation})
+	d.m.cluster.scheduleParkedReview(d, d.m.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL)
 }
 
-// expire ends a parked webhook in time: nobody else does.
-func (d *dispatcher) expire(id api.WebhookID) {
+// expireParked ends a parked webhook in time: nobody else does.
+func (d *dispatcher) expireParked(id api.WebhookID) {
 	h := d.member.parked[id]
 	switch {
 	case h == nil:
-	case h.mayRun != never || h.doubt != none || h.offered:
+	case h.mayHaveRunAt != never || h.inDoubtHandoff != noHandoff || h.handingOff:
 		d.DeadLetter(id)
 	default:
 		d.Reject(id, 0)
 	}
 }
 
-// begins hands a webhook that is held here to the module, or parks it.
-func (d *dispatcher) begins(h *held) {
-	if d.serves(h) {
-		d.resume(h)
+// submitOrPark hands a webhook that is held here to the module, or parks it.
+func (d *dispatcher) submitOrPark(h *webhook) {
+	if d.mayCall(h) {
+		d.submitToPolicy(h)
 	} else {
 		d.park(h)
 	}
 }
 
-func (d *dispatcher) resume(h *held) {
-	o := &d.m.origins[h.origin]
-	if h.attempts == 0 && h.mayRun == never {
-		d.module.Submit(o.webhook(h.id))
+func (d *dispatcher) submitToPolicy(h *webhook) {
+	o := &d.m.requests[h.request]
+	if h.attempts == 0 && h.mayHaveRunAt == never {
+		d.policy.Submit(o.webhook(h.id))
 	} else {
-		d.module.Recover(o.webhook(h.id), h.priorAttempts())
+		d.policy.Recover(o.webhook(h.id), h.priorAttempts())
 	}
 }
 
-// dies is a process that ends: what its clients wait for they hand in again, elsewhere.
-func (h *homes) dies(d *dispatcher, t *Trouble) {
+// handleDeath is a process that ends: what its clients wait for they hand in again, elsewhere.
+func (h *clusterState) handleDeath(d *dispatcher, t *Fault) {
 	b := d.member
-	for _, n := range slices.Sorted(maps.Keys(b.out)) {
-		o := &h.offers[n]
-		o.orphan = true
-		h.second(o.h.origin)
-		h.m.after(answerWithin, event{kind: evHandIn, a: o.h.origin})
-		if o.gone && !o.taken {
-			h.m.close(o.h.origin)
+	for _, n := range slices.Sorted(maps.Keys(b.clientHandoffs)) {
+		o := &h.handoffs[n]
+		o.orphaned = true
+		h.countCopy(o.webhook.request)
+		h.simulation.schedule(clientTimeout, scheduledEvent{kind: evSubmit, subject: o.webhook.request})
+		if o.failed && !o.accepted {
+			h.simulation.closeCopy(o.webhook.request)
 		}
 	}
-	if !t.Journal && t.Kind != "restart" {
-		b.known = map[api.WebhookID]hand{}
-		b.folder++
+	if !t.KeepsState && t.Kind != "restart" {
+		b.handoffRecords = map[api.WebhookID]handoffRecord{}
+		b.stateID++
 	}
-	for _, w := range d.held {
-		if w.offered && w.doubt == none {
-			w.doubt = w.offer
+	for _, w := range d.webhooks {
+		if w.handingOff && w.inDoubtHandoff == noHandoff {
+			w.inDoubtHandoff = w.handoff
 		}
 	}
-	if s := b.tenure.EndSession(); t.Kind == "restart" && s != 0 { // it says so before it goes
-		if _, ok := h.lease(lease.EndSession(s)); ok {
-			h.terms.Remove(s)
+	if s := b.leases.EndSession(); t.Kind == "restart" && s != 0 { // it says so before it goes
+		if _, ok := h.proposeLease(lease.EndSession(s)); ok {
+			h.expiry.Remove(s)
 		}
 	}
 }
--- a/sim/engine/model.go
+++ b/sim/engine/model.go
@@ -5,118 +5,118 @@
 	"time"
 
 	"rowanlink/internal/timerqueue"
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
-// Starter makes a dispatcher's decision module.
-type Starter func(api.Settings, api.Host) api.Policy
-
-// Model is one run in progress.
-type Model struct {
-	Bus    eventpkg.Bus
-	Events int           // handled so far
-	Peak   int           // most events that waited at once
-	Module time.Duration // real time spent in the modules, where Clocked
-	// Clocked has each turn timed. It changes nothing in the run.
-	Clocked bool
-
-	plan  *Scenario
-	start Starter
-	now   api.Micros
-	queue timerqueue.Queue[event]
-
-	chance   *rand.Rand // ways, answer times, refusals: drawn in the order of events
-	arrivals *rand.Rand // who hands in what and when: the same for every module
-	habits   *rand.Rand // what clients do after a rejection
-
-	dests     []destination
-	routes    []route
-	endpoints []endpoint
-	servers   []server
-	weights   []float64
-	base      []api.EndpointEntry
-	changes   []change
-
-	dispatchers []dispatcher
-	calls       []call
-	free        []int32
-	origins     []origin
-	lastID      api.WebhookID
-	open        int // origins that may still come to something
-
-	events, tenants []float64 // cumulative shares
-	bursts          []float64
-	hot             []hot
-	sway            float64 // bursty: the factor that holds now
-	swayUntil       api.Micros
-
-	homes *homes // nil: each dispatcher has an even part of each rate
-
-	targeted map[int32][]int32 // by trouble
-	flapped  map[int32]bool    // by trouble: down now
+// PolicyFactory makes a dispatcher's decision module.
+type PolicyFactory func(api.Settings, api.Host) api.Policy
+
+// Simulation is one run in progress.
+type Simulation struct {
+	Bus             event.Bus
+	EventCount      int           // handled so far
+	PeakQueueLength int           // most events that waited at once
+	PolicyTime      time.Duration // real time spent in the modules, where Clocked
+	// MeasurePolicyTime has each turn timed. It changes nothing in the run.
+	MeasurePolicyTime bool
+
+	scenario  *Scenario
+	newPolicy PolicyFactory
+	now       api.Micros
+	queue     timerqueue.Queue[scheduledEvent]
+
+	random        *rand.Rand // ways, answer times, refusals: drawn in the order of events
+	arrivalRandom *rand.Rand // who hands in what and when: the same for every module
+	clientRandom  *rand.Rand // what clients do after a rejection
+
+	destinations       []destination
+	routes             []route
+	endpoints          []endpoint
+	servers            []server
+	destinationWeights []float64
+	initialEndpoints   []api.EndpointEntry
+	endpointChanges    []endpointChange
+
+	dispatchers   []dispatcher
+	calls         []call
+	freeCalls     []int32
+	requests      []clientRequest
+	lastWebhookID api.WebhookID
+	openRequests  int // origins that may still come to something
+
+	eventTypeShares, tenantShares []float64 // cumulative shares
+	burstFactors                  []float64
+	hotSpots                      []hotSpot
+	rateFactor                    float64 // bursty: the factor that holds now
+	rateFactorUntil               api.Micros
+
+	cluster *clusterState // nil: each dispatcher has an even part of each rate
+
+	faultTargets map[int32][]int32 // by trouble
+	flapDown     map[int32]bool    // by trouble: down now
 }
 
-type hot struct {
-	share   float64
-	to      []api.DestinationID
-	trouble int32
+type hotSpot struct {
+	share        float64
+	destinations []api.DestinationID
+	fault        int32
 }
 
-// event is something due; gen guards against what it was meant for having ended meanwhile.
-type event struct {
-	kind eventKind
-	gen  uint32
-	a, b int32
+// scheduledEvent is something due; gen guards against what it was meant for having ended meanwhile.
+type scheduledEvent struct {
+	kind            scheduledKind
+	generation      uint32
+	subject, detail int32
 }
 
-type eventKind uint8
+type scheduledKind uint8
 
 const (
-	evArrive    eventKind = iota
-	evHandIn              // a: origin, b: 1 the client gave the last answer up
-	evTurn                // a: dispatcher
-	evWake                // a: dispatcher, b: timer
-	evList                // a: dispatcher, b: changes known from now on
-	evConnect             // a: call
-	evReach               // a: call
-	evServed              // a: call
-	evAnswer              // a: call
-	evGiveUp              // a: call
-	evIdle                // a: dispatcher, b: endpoint
-	evBegin               // a: trouble
-	evOver                // a: trouble
-	evFlip                // a: trouble, b: 1 goes down
-	evGone                // a: endpoint, b: trouble
-	evKill                // a: dispatcher, b: trouble
-	evStart               // a: dispatcher
-	evOffer               // a: offer, at whom it was sent to
-	evTold                // a: offer, back at its sender
-	evOfferOver           // a: offer, its sender waits no more
-	evQuestion            // a: offer, b: 0 at whom it was sent to, else the reply, back at its sender
-	evLook                // a: dispatcher: what it has parked
-	evExpire              // a: dispatcher, b: webhook
-	evRenew               // a: dispatcher
-	evAsk                 // a: ask, b: 0 at the keeper, 1 back
-	evKeep                // the keeper looks at terms
-	evChart               // a: dispatcher, b: map
+	evArrive          scheduledKind = iota
+	evSubmit                        // a: origin, b: 1 the client gave the last answer up
+	evIteration                     // a: dispatcher
+	evTimer                         // a: dispatcher, b: timer
+	evEndpointUpdate                // a: dispatcher, b: changes known from now on
+	evConnect                       // a: call
+	evCallArrival                   // a: call
+	evCallServed                    // a: call
+	evResponse                      // a: call
+	evCallTimeout                   // a: call
+	evIdleTimeout                   // a: dispatcher, b: endpoint
+	evFaultStart                    // a: trouble
+	evFaultEnd                      // a: trouble
+	evFlap                          // a: trouble, b: 1 goes down
+	evEndpointRemoval               // a: endpoint, b: trouble
+	evKill                          // a: dispatcher, b: trouble
+	evStart                         // a: dispatcher
+	evHandoffArrival                // a: offer, at whom it was sent to
+	evHandoffReply                  // a: offer, back at its sender
+	evHandoffTimeout                // a: offer, its sender waits no more
+	evCustodyQuery                  // a: offer, b: 0 at whom it was sent to, else the reply, back at its sender
+	evParkedReview                  // a: dispatcher: what it has parked
+	evParkedExpiry                  // a: dispatcher, b: webhook
+	evLeaseRenewal                  // a: dispatcher
+	evLeaseMessage                  // a: ask, b: 0 at the keeper, 1 back
+	evExpiryScan                    // the keeper looks at terms
+	evMapUpdate                     // a: dispatcher, b: map
 )
 
 // New sets a run up. The scenario must be complete and checked; it is not changed.
-func New(plan *Scenario, start Starter) *Model {
-	m := &Model{plan: plan, start: start, chance: stream(plan.Seed, 2), arrivals: stream(plan.Seed, 3),
-		habits: stream(plan.Seed, 4), sway: 1}
-	m.build()
-	for _, e := range plan.Events {
-		m.events = append(m.events, e.Share)
+func New(plan *Scenario, start PolicyFactory) *Simulation {
+	m := &Simulation{scenario: plan, newPolicy: start, random: newRandom(plan.Seed, 2), arrivalRandom: newRandom(plan.Seed, 3),
+		clientRandom: newRandom(plan.Seed, 4), rateFactor: 1}
+	m.buildDestinations()
+	for _, e := range plan.EventTypes {
+		m.eventTypeShares = append(m.eventTypeShares, e.Share)
 	}
 	for _, t := range plan.Tenants {
-		m.tenants = append(m.tenants, t.Share)
+		m.tenantShares = append(m.tenantShares, t.Share)
 	}
-	cumulate(m.events)
-	cumulate(m.tenants)
-	if plan.Homes.Term > 0 {
-		m.homes = newHomes(m)
+	cumulate(m.eventTypeShares)
+	cumulate(m.tenantShares)
+	if plan.Ownership.LeaseTTL > 0 {
+		m.cluster = newClusterState(m)
 	}
 	return m
 }
@@ -127,79 +127,79 @@
 	}
 }
 
-// after puts an event in so much later.
-func (m *Model) after(span api.Micros, e event) { m.queue.Add(int64(m.now+span), e) }
+// schedule puts an event in so much later.
+func (m *Simulation) schedule(span api.Micros, e scheduledEvent) { m.queue.Add(int64(m.now+span), e) }
 
 // Run plays the scenario to its end and returns how long that was in simulated time.
-func (m *Model) Run() api.Micros {
-	m.dispatchers = make([]dispatcher, m.plan.Dispatchers.Count)
+func (m *Simulation) Run() api.Micros {
+	m.dispatchers = make([]dispatcher, m.scenario.Dispatchers.Count)
 	for i := range m.dispatchers {
 		m.dispatchers[i] = dispatcher{
-			m:      m,
-			number: int32(i),
-			seeds:  stream(m.plan.Seed, 1<<32+uint64(i)),
-			weight: 1,
+			m:          m,
+			number:     int32(i),
+			seedSource: newRandom(m.scenario.Seed, 1<<32+uint64(i)),
+			weight:     1,
 		}
 		if n := len(m.dispatchers); n > 1 {
-			m.dispatchers[i].weight = 1 + m.plan.Dispatchers.FrontSkew*(1-2*float64(i)/float64(n-1))
+			m.dispatchers[i].weight = 1 + m.scenario.Dispatchers.LoadSkew*(1-2*float64(i)/float64(n-1))
 		}
-		if m.homes == nil {
-			m.begin(int32(i))
+		if m.cluster == nil {
+			m.startDispatcher(int32(i))
 		}
 	}
-	if m.homes != nil {
-		m.homes.settled()
+	if m.cluster != nil {
+		m.cluster.start()
 	}
-	for i := range m.plan.Troubles {
-		m.queue.Add(int64(m.plan.Troubles[i].At), event{kind: evBegin, a: int32(i)})
+	for i := range m.scenario.Faults {
+		m.queue.Add(int64(m.scenario.Faults[i].At), scheduledEvent{kind: evFaultStart, subject: int32(i)})
 	}
-	m.after(m.gap(), event{kind: evArrive})
+	m.schedule(m.nextInterarrival(), scheduledEvent{kind: evArrive})
 	longest := api.Micros(0)
-	for i := range m.plan.Events {
-		longest = max(longest, m.plan.Events[i].TTL.us())
+	for i := range m.scenario.EventTypes {
+		longest = max(longest, m.scenario.EventTypes[i].TTL.micros())
 	}
-	length := m.plan.Length.us()
+	length := m.scenario.Duration.micros()
 	last := length + 2*longest + 10*api.Second
 	for {
 		at, ok := m.queue.Next()
-		if !ok || api.Micros(at) > last || api.Micros(at) > length && m.open == 0 {
+		if !ok || api.Micros(at) > last || api.Micros(at) > length && m.openRequests == 0 {
 			return m.now
 		}
 		e, _ := m.queue.PopDue(at)
 		m.now = api.Micros(at)
-		m.Events++
-		m.Peak = max(m.Peak, m.queue.Len())
+		m.EventCount++
+		m.PeakQueueLength = max(m.PeakQueueLength, m.queue.Len())
 		m.handle(e)
 	}
 }
 
-func (m *Model) handle(e event) {
+func (m *Simulation) handle(e scheduledEvent) {
 	switch e.kind {
 	case evArrive:
-		m.arrive()
-	case evHandIn:
-		m.handIn(e.a)
-	case evTurn, evWake, evList, evIdle:
-		if d := &m.dispatchers[e.a]; d.life == e.gen && d.up {
-			m.toDispatcher(d, e)
+		m.generateArrivals()
+	case evSubmit:
+		m.submit(e.subject)
+	case evIteration, evTimer, evEndpointUpdate, evIdleTimeout:
+		if d := &m.dispatchers[e.subject]; d.incarnation == e.generation && d.up {
+			m.handleDispatcherEvent(d, e)
 		}
-	case evConnect, evReach, evServed, evAnswer, evGiveUp:
-		if k := &m.calls[e.a]; k.gen == e.gen && k.at != callFree {
-			m.toCall(e)
+	case evConnect, evCallArrival, evCallServed, evResponse, evCallTimeout:
+		if k := &m.calls[e.subject]; k.generation == e.generation && k.state != callFree {
+			m.handleCallEvent(e)
 		}
-	case evBegin:
-		m.trouble(e.a, true)
-	case evOver:
-		m.trouble(e.a, false)
-	case evFlip:
-		m.flip(e.a, e.b == 1)
-	case evGone:
-		m.leave(e.a, e.b)
+	case evFaultStart:
+		m.applyFault(e.subject, true)
+	case evFaultEnd:
+		m.applyFault(e.subject, false)
+	case evFlap:
+		m.flapEndpoints(e.subject, e.detail == 1)
+	case evEndpointRemoval:
+		m.removeEndpoint(e.subject, e.detail)
 	case evKill:
-		m.kill(&m.dispatchers[e.a], &m.plan.Troubles[e.b])
+		m.killDispatcher(&m.dispatchers[e.subject], &m.scenario.Faults[e.detail])
 	case evStart:
-		m.begin(e.a)
+		m.startDispatcher(e.subject)
 	default:
-		m.homes.handle(e)
+		m.cluster.handle(e)
 	}
 }
--- a/sim/engine/observers_test.go
+++ b/sim/engine/observers_test.go
@@ -13,13 +13,13 @@
 )
 
 func TestEachRulesObserverCatchesAModuleThatBreaksIt(t *testing.T) {
-	busy := engine.Trouble{Kind: "lost", At: 3 * sec, For: 20 * sec, Busiest: 8, Size: 0.4}
-	full := engine.Trouble{Kind: "shut", At: 3 * sec, For: 20 * sec, Busiest: 4}
-	replace := engine.Trouble{Kind: "replace", At: 5 * sec, Busiest: 8, One: true}
-	hang := engine.Trouble{Kind: "hang", At: 5 * sec, For: 10 * sec, Busiest: 2}
+	busy := engine.Fault{Kind: "lost", At: 3 * sec, Duration: 20 * sec, Busiest: 8, Magnitude: 0.4}
+	full := engine.Fault{Kind: "shut", At: 3 * sec, Duration: 20 * sec, Busiest: 4}
+	replace := engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 8, SingleEndpoint: true}
+	hang := engine.Fault{Kind: "hang", At: 5 * sec, Duration: 10 * sec, Busiest: 2}
 	for rule, c := range map[string]struct {
-		trouble engine.Trouble
-		start   engine.Starter
+		trouble engine.Fault
+		start   engine.PolicyFactory
 	}{
 		"lost":  {busy, tampered(nil, func(m *mutant) { m.mute = true })},
 		"twice": {busy, tampered(nil, func(m *mutant) { m.outcome = neverRan })},
@@ -33,8 +33,8 @@
 		t.Run(rule, func(t *testing.T) {
 			s := plain(c.trouble)
 			if rule == "failback" {
-				s.Clients.Rate, s.Dispatchers.Slots = 400, 400
-				s.Events = s.Events[:1]
+				s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls = 400, 400
+				s.EventTypes = s.EventTypes[:1]
 			}
 			w, _, _ := play(t, s, c.start)
 			require.Positive(t, w.Broken[rule], "%v", w.Broken)
@@ -71,27 +71,27 @@
 }
 
 func TestEachClaimsObserverCatchesAPolicyWithoutIt(t *testing.T) {
-	chance := engine.Trouble{Kind: "errors", At: 0, For: 30 * sec, Busiest: 8, Size: 0.15}
-	hang := engine.Trouble{Kind: "hang", At: 5 * sec, For: 20 * sec, Busiest: 1}
-	fails := engine.Trouble{Kind: "errors", At: 3 * sec, For: 27 * sec, Busiest: 1, Size: 1}
-	slowly := engine.Trouble{Kind: "slow", At: 3 * sec, For: 27 * sec, Busiest: 1, Size: 12}
+	chance := engine.Fault{Kind: "errors", At: 0, Duration: 30 * sec, Busiest: 8, Magnitude: 0.15}
+	hang := engine.Fault{Kind: "hang", At: 5 * sec, Duration: 20 * sec, Busiest: 1}
+	fails := engine.Fault{Kind: "errors", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 1}
+	slowly := engine.Fault{Kind: "slow", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 12}
 	for claim, c := range map[string]struct {
-		troubles []engine.Trouble
+		troubles []engine.Fault
 		waits    baseline.Waits
 	}{
-		"backoff":  {[]engine.Trouble{chance}, baseline.None},
-		"jitter":   {[]engine.Trouble{chance}, baseline.Doubled},
-		"dest_cap": {[]engine.Trouble{hang}, baseline.Doubled},
-		"isolates": {[]engine.Trouble{fails, slowly}, baseline.Doubled},
+		"backoff":  {[]engine.Fault{chance}, baseline.None},
+		"jitter":   {[]engine.Fault{chance}, baseline.Doubled},
+		"dest_cap": {[]engine.Fault{hang}, baseline.Doubled},
+		"isolates": {[]engine.Fault{fails, slowly}, baseline.Doubled},
 	} {
 		t.Run(claim, func(t *testing.T) {
 			s := plain(c.troubles...)
-			s.Events = s.Events[:1]
-			s.Kinds[0].Headroom = 8
+			s.EventTypes = s.EventTypes[:1]
+			s.DestinationKinds[0].Headroom = 8
 			without := func(f api.Settings, h api.Host) api.Policy {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
-			for _, start := range []engine.Starter{without, module} {
+			for _, start := range []engine.PolicyFactory{without, module} {
 				w, _, _ := play(t, s, start)
 				for _, got := range w.Claims() {
 					if got.Name == claim {
@@ -104,7 +104,7 @@
 	}
 }
 
-func isModule(start engine.Starter) bool {
+func isModule(start engine.PolicyFactory) bool {
 	f := api.Settings{EventTypes: []api.EventType{{TTL: 1, LatencyTarget: 1}}}
 	_, ok := start(f, idle{}).(*policy.Policy)
 	return ok
--- a/sim/engine/queue_test.go
+++ b/sim/engine/queue_test.go
@@ -11,12 +11,12 @@
 
 func TestTenMillionEventsWaitAndComeInOrder(t *testing.T) {
 	const n = 10_000_000
-	var queue timerqueue.Queue[event]
+	var queue timerqueue.Queue[scheduledEvent]
 	chance := rand.New(rand.NewPCG(1, 1))
 	for i := range int32(n) {
-		queue.Add(chance.Int64N(n/4), event{a: i})
+		queue.Add(chance.Int64N(n/4), scheduledEvent{subject: i})
 	}
-	last, count := event{a: -1}, 0
+	last, count := scheduledEvent{subject: -1}, 0
 	lastAt := int64(-1)
 	for {
 		at, ok := queue.Next()
@@ -24,8 +24,8 @@
 			break
 		}
 		e, _ := queue.PopDue(at)
-		if at < lastAt || at == lastAt && e.a < last.a {
-			t.Fatalf("event %d of %d comes after %d of %d", e.a, at, last.a, lastAt)
+		if at < lastAt || at == lastAt && e.subject < last.subject {
+			t.Fatalf("event %d of %d comes after %d of %d", e.subject, at, last.subject, lastAt)
 		}
 		last, lastAt = e, at
 		count++
--- a/sim/engine/sender.go
+++ b/sim/engine/sender.go
@@ -2,71 +2,71 @@
 
 import (
 	"rowanlink/cluster/shardmap"
-	eventpkg "rowanlink/sim/event"
+	"rowanlink/sim/event"
 )
 
-// told is an answer at the sender.
-func (h *homes) told(n int32) {
-	o := &h.offers[n]
-	d := &h.m.dispatchers[o.from]
-	if o.over || !d.up || d.life != o.life {
+// handleHandoffReply is an answer at the sender.
+func (h *clusterState) handleHandoffReply(n int32) {
+	o := &h.handoffs[n]
+	d := &h.simulation.dispatchers[o.from]
+	if o.answered || !d.up || d.incarnation != o.senderIncarnation {
 		return
 	}
-	if d.frozenUntil > h.m.now {
-		h.m.queue.Add(int64(d.frozenUntil), event{kind: evTold, a: n})
+	if d.pausedUntil > h.simulation.now {
+		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffReply, subject: n})
 		return
 	}
-	o.over = true
-	delete(d.member.out, n)
+	o.answered = true
+	delete(d.member.clientHandoffs, n)
 	switch {
-	case o.reply == shardmap.CustodyTaken && o.fresh:
-		h.m.Bus.Emit(h.m.about(eventpkg.HandoffAcknowledged, d, o.h, eventpkg.Event{Peer: o.to}))
-	case !o.fresh && (!o.h.offered || o.h.offer != n): // settled by another message
+	case o.reply == shardmap.CustodyTaken && o.fromClient:
+		h.simulation.Bus.Emit(h.simulation.webhookEvent(event.HandoffAcknowledged, d, o.webhook, event.Event{Peer: o.to}))
+	case !o.fromClient && (!o.webhook.handingOff || o.webhook.handoff != n): // settled by another message
 	case o.reply == shardmap.CustodyTaken:
-		h.drop(d, o.h, o.to)
-	case shardmap.ShouldFollowRedirect(o.by, o.told, o.refused, o.hops) && o.told.Owner != d.member.name:
-		next := o.told
+		h.releaseWebhook(d, o.webhook, o.to)
+	case shardmap.ShouldFollowRedirect(o.decision, o.redirect, o.admission, o.hops) && o.redirect.Owner != d.member.name:
+		next := o.redirect
 		next.Action = shardmap.Forward
-		h.send(d, o.h, next, o.hops+1, o.fresh)
-	case !o.fresh:
-		o.h.offered = false
-		d.put(news{kind: newsGate})
-	case o.full: // its home's buffer is: its client is told so
-		h.m.comeAgain(o.h.origin, 0)
+		h.sendHandoff(d, o.webhook, next, o.hops+1, o.fromClient)
+	case !o.fromClient:
+		o.webhook.handingOff = false
+		d.enqueue(notification{kind: notifyOwnership})
+	case o.bufferFull: // its home's buffer is: its client is told so
+		h.simulation.scheduleResubmission(o.webhook.request, 0)
 	default:
-		h.keepsHere(n, none)
+		h.acceptLocally(n, noHandoff)
 	}
 }
 
-// over is a sender that waits no more: the home may have the webhook or not.
-func (h *homes) over(n int32) {
-	o := &h.offers[n]
-	d := &h.m.dispatchers[o.from]
-	if o.over || !d.up || d.life != o.life {
+// handleHandoffTimeout is a sender that waits no more: the home may have the webhook or not.
+func (h *clusterState) handleHandoffTimeout(n int32) {
+	o := &h.handoffs[n]
+	d := &h.simulation.dispatchers[o.from]
+	if o.answered || !d.up || d.incarnation != o.senderIncarnation {
 		return
 	}
-	if d.frozenUntil > h.m.now {
-		h.m.queue.Add(int64(d.frozenUntil), event{kind: evOfferOver, a: n})
+	if d.pausedUntil > h.simulation.now {
+		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffTimeout, subject: n})
 		return
 	}
-	o.over = true
-	delete(d.member.out, n)
-	if o.fresh {
-		h.keepsHere(n, n)
-	} else if d.held[o.h.id] == o.h && o.h.offered && o.h.offer == n {
-		o.h.doubt = n
+	o.answered = true
+	delete(d.member.clientHandoffs, n)
+	if o.fromClient {
+		h.acceptLocally(n, n)
+	} else if d.webhooks[o.webhook.id] == o.webhook && o.webhook.handingOff && o.webhook.handoff == n {
+		o.webhook.inDoubtHandoff = n
 	}
 }
 
-// keepsHere takes a client's webhook on where it came in.
-func (h *homes) keepsHere(n, doubt int32) {
-	o := &h.offers[n]
-	if h.m.dispatchers[o.from].held[o.h.id] != nil {
+// acceptLocally takes a client's webhook on where it came in.
+func (h *clusterState) acceptLocally(n, doubt int32) {
+	o := &h.handoffs[n]
+	if h.simulation.dispatchers[o.from].webhooks[o.webhook.id] != nil {
 		return // its home has passed it on meanwhile, to here
 	}
-	if o.kept = true; o.taken {
-		h.second(o.h.origin)
+	if o.keptLocally = true; o.accepted {
+		h.countCopy(o.webhook.request)
 	}
-	o.h.doubt, o.h.offered = doubt, false
-	h.m.dispatchers[o.from].take(o.h, none)
+	o.webhook.inDoubtHandoff, o.webhook.handingOff = doubt, false
+	h.simulation.dispatchers[o.from].enqueueAcceptance(o.webhook, noHandoff)
 }
--- a/sim/engine/session.go
+++ b/sim/engine/session.go
@@ -6,164 +6,164 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// ask is a message to the keeper and its answer.
-type ask struct {
-	from    int32
-	life    lease.Incarnation
-	asked   lease.Renewal
-	session cluster.SessionID // 0: to be opened
-	tasks   []cluster.Resource
-	seats   []shardmap.Range // of which it says that it is home
-	epochs  []cluster.Epoch
+// leaseMessage is a message to the keeper and its answer.
+type leaseMessage struct {
+	from            int32
+	incarnation     lease.Incarnation
+	renewal         lease.Renewal
+	session         cluster.SessionID // 0: to be opened
+	resources       []cluster.Resource
+	confirmedRanges []shardmap.Range // of which it says that it is home
+	epochs          []cluster.Epoch
 
-	refused bool
-	granted []lease.Grant
+	rejected bool
+	granted  []lease.Grant
 }
 
-// ask puts together what a dispatcher says to the keeper now.
-func (h *homes) ask(d *dispatcher) int32 {
-	a := h.wants(d)
-	a.asked = d.member.tenure.StartRenewal(h.m.now)
-	h.asks = append(h.asks, a)
-	return int32(len(h.asks) - 1)
+// newLeaseMessage puts together what a dispatcher says to the keeper now.
+func (h *clusterState) newLeaseMessage(d *dispatcher) int32 {
+	a := h.pendingLeaseMessage(d)
+	a.renewal = d.member.leases.StartRenewal(h.simulation.now)
+	h.leaseMessages = append(h.leaseMessages, a)
+	return int32(len(h.leaseMessages) - 1)
 }
 
-func (h *homes) wants(d *dispatcher) ask {
-	b, now := d.member, h.m.now
-	a := ask{from: d.number, life: b.life, session: b.tenure.Session()}
-	for _, r := range b.homes() {
-		switch epoch, held := b.tenure.Epoch(cluster.RangeOwnerResource(r.ID), now); {
+func (h *clusterState) pendingLeaseMessage(d *dispatcher) leaseMessage {
+	b, now := d.member, h.simulation.now
+	a := leaseMessage{from: d.number, incarnation: b.incarnation, session: b.leases.Session()}
+	for _, r := range b.rangesToOwn() {
+		switch epoch, held := b.leases.Epoch(cluster.RangeOwnerResource(r.ID), now); {
 		case !held:
-			a.tasks = append(a.tasks, cluster.RangeOwnerResource(r.ID))
+			a.resources = append(a.resources, cluster.RangeOwnerResource(r.ID))
 		case epoch > r.Epoch:
-			a.seats, a.epochs = append(a.seats, r), append(a.epochs, epoch)
+			a.confirmedRanges, a.epochs = append(a.confirmedRanges, r), append(a.epochs, epoch)
 		}
 	}
 	return a
 }
 
-// homes are the ranges that the map names a member home of.
-func (b *fellow) homes() (mine []shardmap.Range) {
-	if b.chart == nil {
+// rangesToOwn are the ranges that the map names a member home of.
+func (b *memberState) rangesToOwn() (mine []shardmap.Range) {
+	if b.shardMap == nil {
 		return nil
 	}
-	if b.read != b.chart.Version {
-		b.read, b.mine = b.chart.Version, nil
-		for _, r := range b.chart.Ranges {
+	if b.ownRangesVersion != b.shardMap.Version {
+		b.ownRangesVersion, b.ownRanges = b.shardMap.Version, nil
+		for _, r := range b.shardMap.Ranges {
 			if r.ShouldAcquire(b.name) {
-				b.mine = append(b.mine, r)
+				b.ownRanges = append(b.ownRanges, r)
 			}
 		}
 	}
-	return b.mine
+	return b.ownRanges
 }
 
-// hears has a dispatcher take a newer map, and act on it.
-func (h *homes) hears(d *dispatcher, c *shardmap.Map) {
-	if !d.member.chartIs(c) {
+// updateMap has a dispatcher take a newer map, and act on it.
+func (h *clusterState) updateMap(d *dispatcher, c *shardmap.Map) {
+	if !d.member.updateMap(c) {
 		return
 	}
-	d.put(news{kind: newsGate})
-	h.lookAt(d, 0)
-	if a := h.wants(d); len(a.tasks)+len(a.seats) > 0 {
-		h.renew(d)
+	d.enqueue(notification{kind: notifyOwnership})
+	h.scheduleParkedReview(d, 0)
+	if a := h.pendingLeaseMessage(d); len(a.resources)+len(a.confirmedRanges) > 0 {
+		h.renewSession(d)
 	}
 }
 
-// renew asks the keeper, and again when that is due.
-func (h *homes) renew(d *dispatcher) {
-	n := h.ask(d)
-	if !h.lost() {
-		h.m.after(h.way(d.zone, h.at()), event{kind: evAsk, a: n})
+// renewSession asks the keeper, and again when that is due.
+func (h *clusterState) renewSession(d *dispatcher) {
+	n := h.newLeaseMessage(d)
+	if !h.isMessageLost() {
+		h.simulation.schedule(h.messageDelay(d.zone, h.leaderZone()), scheduledEvent{kind: evLeaseMessage, subject: n})
 	}
-	h.renewAgain(d)
+	h.scheduleRenewal(d)
 }
 
-func (h *homes) renewAgain(d *dispatcher) {
+func (h *clusterState) scheduleRenewal(d *dispatcher) {
 	b := d.member
-	in := max(b.tenure.NextRenewalAt()-h.m.now, 1)
-	if b.renewAt <= h.m.now || h.m.now+in < b.renewAt {
-		b.renewAt = h.m.now + in
-		h.m.after(in, event{kind: evRenew, a: d.number, gen: d.life})
+	in := max(b.leases.NextRenewalAt()-h.simulation.now, 1)
+	if b.renewAt <= h.simulation.now || h.simulation.now+in < b.renewAt {
+		b.renewAt = h.simulation.now + in
+		h.simulation.schedule(in, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
 	}
 }
 
-// asked is an ask at the keeper, or its answer at the dispatcher.
-func (h *homes) asked(n int32, back bool) {
-	a := &h.asks[n]
-	d, granted := &h.m.dispatchers[a.from], len(a.granted) > 0
+// handleLeaseMessage is an ask at the keeper, or its answer at the dispatcher.
+func (h *clusterState) handleLeaseMessage(n int32, back bool) {
+	a := &h.leaseMessages[n]
+	d, granted := &h.simulation.dispatchers[a.from], len(a.granted) > 0
 	switch {
 	case !back:
-		h.serve(a)
-		if !h.lost() {
-			h.m.after(h.way(h.at(), d.zone), event{kind: evAsk, a: n, b: 1})
+		h.processLeaseMessage(a)
+		if !h.isMessageLost() {
+			h.simulation.schedule(h.messageDelay(h.leaderZone(), d.zone), scheduledEvent{kind: evLeaseMessage, subject: n, detail: 1})
 		}
-	case !d.up || a.life != d.member.life:
-	case d.frozenUntil > h.m.now:
-		h.m.queue.Add(int64(d.frozenUntil), event{kind: evAsk, a: n, b: 1})
+	case !d.up || a.incarnation != d.member.incarnation:
+	case d.pausedUntil > h.simulation.now:
+		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evLeaseMessage, subject: n, detail: 1})
 	default:
-		h.heard(d, a)
-		h.hears(d, h.charts[len(h.charts)-1])
+		h.applyLeaseReply(d, a)
+		h.updateMap(d, h.publishedMaps[len(h.publishedMaps)-1])
 		if granted { // it may say so at once
-			h.renew(d)
+			h.renewSession(d)
 		}
-		h.renewAgain(d)
+		h.scheduleRenewal(d)
 	}
 }
 
-// answer is an ask, its answer and the grants' seats at one moment: the fleet's start.
-func (h *homes) answer(d *dispatcher, n int32) {
+// exchangeAtStart is an ask, its answer and the grants' seats at one moment: the fleet's start.
+func (h *clusterState) exchangeAtStart(d *dispatcher, n int32) {
 	for range 2 {
-		a := &h.asks[n]
-		h.serve(a)
-		h.heard(d, a)
-		n = h.ask(d)
+		a := &h.leaseMessages[n]
+		h.processLeaseMessage(a)
+		h.applyLeaseReply(d, a)
+		n = h.newLeaseMessage(d)
 	}
-	h.serve(&h.asks[n])
-	h.heard(d, &h.asks[n])
+	h.processLeaseMessage(&h.leaseMessages[n])
+	h.applyLeaseReply(d, &h.leaseMessages[n])
 }
 
-// serve is the keeper's part. A session is opened or renewed, tasks are granted, seats noted.
-func (h *homes) serve(a *ask) {
-	name, now := h.members[a.from].Member, h.m.now
+// processLeaseMessage is the keeper's part. A session is opened or renewed, tasks are granted, seats noted.
+func (h *clusterState) processLeaseMessage(a *leaseMessage) {
+	name, now := h.candidates[a.from].Member, h.simulation.now
 	if a.session == 0 {
-		o, _ := h.lease(lease.OpenSession(name, a.life))
+		o, _ := h.proposeLease(lease.OpenSession(name, a.incarnation))
 		a.session = o.Session
-		a.refused = !h.terms.AddOrRenew(a.session, now)
+		a.rejected = !h.expiry.AddOrRenew(a.session, now)
 	} else {
-		a.refused = !h.terms.Renew(a.session, now)
+		a.rejected = !h.expiry.Renew(a.session, now)
 	}
-	if a.refused {
+	if a.rejected {
 		return
 	}
-	if len(a.tasks) > 0 {
-		g, _ := h.lease(lease.AcquireLeases(a.session, a.tasks...))
+	if len(a.resources) > 0 {
+		g, _ := h.proposeLease(lease.AcquireLeases(a.session, a.resources...))
 		a.granted = g.Grants
 	}
 	changed := false
-	for i, r := range a.seats {
-		changed = h.propose(shardmap.ConfirmOwner(r.ID, name, a.epochs[i], h.chart.Version)) != nil || changed
+	for i, r := range a.confirmedRanges {
+		changed = h.propose(shardmap.ConfirmOwner(r.ID, name, a.epochs[i], h.shardMap.Version)) != nil || changed
 	}
-	if changed && !h.setup {
-		h.publish()
+	if changed && !h.settingUp {
+		h.publishMap()
 	}
 }
 
-func (h *homes) heard(d *dispatcher, a *ask) {
+func (h *clusterState) applyLeaseReply(d *dispatcher, a *leaseMessage) {
 	b := d.member
-	if a.refused {
-		b.tenure.HandleRejection(a.session)
-	} else if b.tenure.ConfirmRenewal(a.asked, a.session) {
+	if a.rejected {
+		b.leases.HandleRejection(a.session)
+	} else if b.leases.ConfirmRenewal(a.renewal, a.session) {
 		for _, g := range a.granted {
-			b.tenure.AddGrant(a.session, g)
+			b.leases.AddGrant(a.session, g)
 		}
 	}
-	if b.tenure.IsValid(h.m.now) != (b.over == never) {
-		if b.over = h.m.now; b.tenure.IsValid(h.m.now) {
-			b.over = never
+	if b.leases.IsValid(h.simulation.now) != (b.leaseLostAt == never) {
+		if b.leaseLostAt = h.simulation.now; b.leases.IsValid(h.simulation.now) {
+			b.leaseLostAt = never
 		}
 		if d.up {
-			d.put(news{kind: newsGate})
+			d.enqueue(notification{kind: notifyOwnership})
 		}
 	}
 }
--- a/sim/experiment/file.go
+++ b/sim/experiment/file.go
@@ -59,8 +59,8 @@
 	if bare := bareTimes(tree, reflect.TypeFor[engine.Scenario](), ""); len(bare) > 0 {
 		return nil, placed(path, text, errors.Join(bare...))
 	}
-	s.Complete()
-	if err := s.Check(); err != nil {
+	s.ApplyDefaults()
+	if err := s.Validate(); err != nil {
 		return nil, placed(path, text, err)
 	}
 	return s, nil
@@ -113,8 +113,8 @@
 			faults = append(faults, bareTimes(v, t.Elem(), at)...)
 		}
 	default:
-		if _, text := tree.(string); t == reflect.TypeFor[engine.Span]() && !text {
-			faults = append(faults, engine.Fault{Key: key,
+		if _, text := tree.(string); t == reflect.TypeFor[engine.Duration]() && !text {
+			faults = append(faults, engine.InvalidValue{Key: key,
 				Text: fmt.Sprintf("%v has no unit: write a time like \"250ms\"", tree)})
 		}
 	}
@@ -130,7 +130,7 @@
 		return FileError{File: path, Text: err.Error()}
 	}
 	for _, e := range list.Unwrap() {
-		var f engine.Fault
+		var f engine.InvalidValue
 		if !errors.As(e, &f) {
 			all = append(all, FileError{File: path, Text: e.Error()})
 			continue
--- a/sim/experiment/homes.go
+++ b/sim/experiment/homes.go
@@ -18,8 +18,8 @@
 // lost.
 const EvenParts = "even parts"
 
-func homesBy(h engine.Homes) string {
-	return fmt.Sprintf("homes, hop %g, lost %g%%", h.Hop, 100*h.Lost)
+func homesBy(h engine.Ownership) string {
+	return fmt.Sprintf("homes, hop %g, lost %g%%", h.HopFactor, 100*h.LossRate)
 }
 
 // Shared is one way of sharing at one point of a sweep, over its seeds: means, but for Worst, Silence and
@@ -48,7 +48,7 @@
 		ways = 3
 	}
 	for _, p := range points {
-		if p.scenario.Homes.Term == 0 {
+		if p.scenario.Ownership.LeaseTTL == 0 {
 			return nil, fmt.Errorf("%s has no table homes: there is nothing to compare", s.Base)
 		}
 	}
@@ -56,7 +56,7 @@
 	Parallel(runtime.GOMAXPROCS(0), len(results), func(i int) {
 		defer step()
 		run := *points[i/ways].scenario
-		run.Homes = sharing(run.Homes, i%ways)
+		run.Ownership = sharing(run.Ownership, i%ways)
 		fleet := invariant.NewFleet(Terms(&run))
 		results[i] = PlayWith(&run, policies[Module], false, fleet)
 		seen[i] = fleet.Close()
@@ -67,7 +67,7 @@
 			sh := Shared{Scenario: points[from].scenario.Name, Seeds: len(s.Seeds), Way: EvenParts,
 				Dispatchers: points[from].scenario.Dispatchers.Count, Rules: map[string]int{}}
 			if w > 0 {
-				sh.Way = homesBy(sharing(points[from].scenario.Homes, w))
+				sh.Way = homesBy(sharing(points[from].scenario.Ownership, w))
 			}
 			var leads []float64
 			for k := range s.Seeds {
@@ -86,12 +86,12 @@
 }
 
 // sharing is a scenario's homes by each way: none, as they are, with free hops.
-func sharing(h engine.Homes, way int) engine.Homes {
+func sharing(h engine.Ownership, way int) engine.Ownership {
 	switch way {
 	case 0:
-		return engine.Homes{}
+		return engine.Ownership{}
 	case 2:
-		h.Hop, h.Lost = 0, 0
+		h.HopFactor, h.LossRate = 0, 0
 	}
 	return h
 }
--- a/sim/experiment/hunt.go
+++ b/sim/experiment/hunt.go
@@ -11,7 +11,7 @@
 
 // Hunt searches round a scenario for the run that breaks a rule, or else loses most, and makes it small.
 type Hunt struct {
-	Start engine.Starter
+	Start engine.PolicyFactory
 	Runs  int // at most, for the search; as many again for the shrinking
 	Seed  uint64
 	Step  func()
@@ -74,36 +74,36 @@
 func vary(base *engine.Scenario, chance *rand.Rand) *engine.Scenario {
 	s := *base
 	s.Seed = 1 + chance.Uint64N(1<<31)
-	s.Troubles = nil
+	s.Faults = nil
 	s.Dispatchers.Count = max(int(float64(base.Dispatchers.Count)*(0.5+chance.Float64())), 1)
 	each := base.Clients.Rate / float64(base.Dispatchers.Count) // an overload is no find
 	s.Clients.Rate = round(each * float64(s.Dispatchers.Count) * (0.5 + chance.Float64()/2))
-	kinds := engine.TroubleKinds()
+	kinds := engine.FaultKinds()
 	for range 1 + chance.IntN(3) {
-		s.Troubles = append(s.Troubles, draw(&s, kinds[chance.IntN(len(kinds))], chance))
+		s.Faults = append(s.Faults, draw(&s, kinds[chance.IntN(len(kinds))], chance))
 	}
 	return &s
 }
 
-func draw(s *engine.Scenario, kind string, chance *rand.Rand) engine.Trouble {
-	length := float64(s.Length)
-	t := engine.Trouble{Kind: kind, At: span(length * (0.1 + 0.5*chance.Float64())),
-		For: span(length * (0.05 + 0.3*chance.Float64()))}
-	n := engine.Needs(kind)
+func draw(s *engine.Scenario, kind string, chance *rand.Rand) engine.Fault {
+	length := float64(s.Duration)
+	t := engine.Fault{Kind: kind, At: span(length * (0.1 + 0.5*chance.Float64())),
+		Duration: span(length * (0.05 + 0.3*chance.Float64()))}
+	n := engine.NeedsOf(kind)
 	switch kind {
 	case "replace":
 		t.Address = []string{"new", "same"}[chance.IntN(2)]
 		fallthrough
 	case "restart":
-		t.Drain = span(length * (0.02 + 0.1*chance.Float64()))
+		t.DrainTime = span(length * (0.02 + 0.1*chance.Float64()))
 	case "flap":
-		t.Every = span(length * (0.02 + 0.1*chance.Float64()))
+		t.Period = span(length * (0.02 + 0.1*chance.Float64()))
 	}
 	if n.Endpoints {
-		if t.Busiest = 1 + chance.IntN(min(5, s.Destinations.Busy)); chance.IntN(2) == 0 {
-			t.Busiest, t.Destinations = 0, []int{chance.IntN(s.Destinations.Busy)}
+		if t.Busiest = 1 + chance.IntN(min(5, s.Destinations.Active)); chance.IntN(2) == 0 {
+			t.Busiest, t.Destinations = 0, []int{chance.IntN(s.Destinations.Active)}
 		}
-		t.One = chance.IntN(3) == 0
+		t.SingleEndpoint = chance.IntN(3) == 0
 	}
 	if n.Dispatchers {
 		for i := range s.Dispatchers.Count {
@@ -113,25 +113,25 @@
 		}
 		switch kind {
 		case "kill":
-			t.Journal, t.InTurn = chance.IntN(3) > 0, chance.IntN(2) == 0
+			t.KeepsState, t.DuringIteration = chance.IntN(3) > 0, chance.IntN(2) == 0
 			fallthrough
 		case "restart":
-			t.Stale = span(length * 0.1 * chance.Float64())
+			t.StartupListAge = span(length * 0.1 * chance.Float64())
 		case "list_late":
-			t.Delay = span(length * 0.2 * chance.Float64())
+			t.UpdateDelay = span(length * 0.2 * chance.Float64())
 		}
 	}
 	if n.Share {
-		t.Size = round(0.1 + 0.9*chance.Float64())
-	} else if n.Size {
-		t.Size = round(1.5 + 3*chance.Float64())
+		t.Magnitude = round(0.1 + 0.9*chance.Float64())
+	} else if n.Magnitude {
+		t.Magnitude = round(1.5 + 3*chance.Float64())
 	}
-	t.Silent = kind == "down" && chance.IntN(2) == 0
+	t.Unresponsive = kind == "down" && chance.IntN(2) == 0
 	return t
 }
 
 // span keeps drawn times short to read: whole tenths of a second.
-func span(us float64) engine.Span { return engine.Span(max(us/1e5, 1)) * 100_000 }
+func span(us float64) engine.Duration { return engine.Duration(max(us/1e5, 1)) * 100_000 }
 
 func round(x float64) float64 { return float64(int(x*100)) / 100 }
 
@@ -145,7 +145,7 @@
 			if left--; left < 0 {
 				return
 			}
-			if smaller.Complete(); smaller.Check() != nil {
+			if smaller.ApplyDefaults(); smaller.Validate() != nil {
 				continue
 			}
 			r := PlayWith(smaller, h.Start, false)
@@ -170,42 +170,42 @@
 func steps(s *engine.Scenario) (all []*engine.Scenario) {
 	with := func(change func(*engine.Scenario) bool) {
 		c := *s
-		c.Troubles = slices.Clone(s.Troubles)
-		for i := range c.Troubles {
-			c.Troubles[i].Dispatchers = slices.Clone(c.Troubles[i].Dispatchers)
+		c.Faults = slices.Clone(s.Faults)
+		for i := range c.Faults {
+			c.Faults[i].Dispatchers = slices.Clone(c.Faults[i].Dispatchers)
 		}
 		if change(&c) {
 			all = append(all, &c)
 		}
 	}
-	for i := range s.Troubles {
+	for i := range s.Faults {
 		with(func(c *engine.Scenario) bool {
-			c.Troubles = slices.Delete(c.Troubles, i, i+1)
+			c.Faults = slices.Delete(c.Faults, i, i+1)
 			return true
 		})
 		with(func(c *engine.Scenario) bool {
-			t := &c.Troubles[i]
-			t.For = t.For / 2 / 100_000 * 100_000
-			return t.For > 0
+			t := &c.Faults[i]
+			t.Duration = t.Duration / 2 / 100_000 * 100_000
+			return t.Duration > 0
 		})
 		with(func(c *engine.Scenario) bool {
-			t := &c.Troubles[i]
+			t := &c.Faults[i]
 			t.Busiest /= 2
 			return t.Busiest > 0
 		})
 		with(func(c *engine.Scenario) bool {
-			t := &c.Troubles[i]
+			t := &c.Faults[i]
 			t.Dispatchers = t.Dispatchers[:len(t.Dispatchers)/2]
 			return len(t.Dispatchers) > 0
 		})
 	}
 	with(func(c *engine.Scenario) bool {
-		last := engine.Span(0)
-		for _, t := range c.Troubles {
-			last = max(last, t.At+t.For)
+		last := engine.Duration(0)
+		for _, t := range c.Faults {
+			last = max(last, t.At+t.Duration)
 		}
-		c.Length = max(c.Length*3/4, last) / 100_000 * 100_000
-		return c.Length < s.Length
+		c.Duration = max(c.Duration*3/4, last) / 100_000 * 100_000
+		return c.Duration < s.Duration
 	})
 	with(func(c *engine.Scenario) bool {
 		c.Clients.Rate = round(c.Clients.Rate * 0.7)
@@ -214,8 +214,8 @@
 	with(func(c *engine.Scenario) bool {
 		c.Dispatchers.Count = c.Dispatchers.Count * 2 / 3
 		c.Clients.Rate = round(c.Clients.Rate * float64(c.Dispatchers.Count) / float64(s.Dispatchers.Count))
-		for i := range c.Troubles {
-			t := &c.Troubles[i]
+		for i := range c.Faults {
+			t := &c.Faults[i]
 			before := len(t.Dispatchers)
 			t.Dispatchers = slices.DeleteFunc(t.Dispatchers, func(d int) bool { return d >= c.Dispatchers.Count })
 			if before > 0 && len(t.Dispatchers) == 0 {
@@ -225,13 +225,13 @@
 		return c.Dispatchers.Count > 0
 	})
 	with(func(c *engine.Scenario) bool { // the idle ones; fewer busy ones are busier
-		c.Destinations.Count = max(c.Destinations.Count*2/3, c.Destinations.Busy)
+		c.Destinations.Count = max(c.Destinations.Count*2/3, c.Destinations.Active)
 		return c.Destinations.Count < s.Destinations.Count
 	})
 	with(func(c *engine.Scenario) bool {
-		c.Destinations.Busy = c.Destinations.Busy * 2 / 3
+		c.Destinations.Active = c.Destinations.Active * 2 / 3
 		c.Clients.Rate = round(c.Clients.Rate * 2 / 3)
-		return c.Destinations.Busy > 0 && c.Clients.Rate >= 1
+		return c.Destinations.Active > 0 && c.Clients.Rate >= 1
 	})
 	with(func(c *engine.Scenario) bool {
 		c.Tenants = nil
--- a/sim/experiment/lab_test.go
+++ b/sim/experiment/lab_test.go
@@ -80,8 +80,8 @@
 			return
 		}
 		if s.Dispatchers.Count*s.Destinations.Count > 100_000 { // by hand at full size: docs/experiments.md
-			s.Destinations.Count, s.Length = 2000, 20_000_000
-			s.Destinations.Busy = min(s.Destinations.Busy, 2000)
+			s.Destinations.Count, s.Duration = 2000, 20_000_000
+			s.Destinations.Active = min(s.Destinations.Active, 2000)
 			s.Dispatchers.Count = min(s.Dispatchers.Count, 50)
 		}
 		r, err := Play(s, Module, false)
@@ -167,8 +167,8 @@
 	assert.Equal(t, "drain", f.Rule)
 	assert.LessOrEqual(t, f.Played, 120)
 	assert.Positive(t, f.Shrunk)
-	require.Len(t, f.Scenario.Troubles, 1)
-	assert.Equal(t, "replace", f.Scenario.Troubles[0].Kind)
+	require.Len(t, f.Scenario.Faults, 1)
+	assert.Equal(t, "replace", f.Scenario.Faults[0].Kind)
 
 	// The file plays it again.
 	text, err := Text(f.Scenario)
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -24,7 +24,7 @@
 const Module = "module"
 
 // policies are what a scenario can be played with. All but the module are for comparison only.
-var policies = map[string]engine.Starter{
+var policies = map[string]engine.PolicyFactory{
 	Module: func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) },
 	"once": func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.None) },
 	"eager": func(f api.Settings, h api.Host) api.Policy {
@@ -73,16 +73,16 @@
 // Terms are what observers hold a scenario's run to.
 func Terms(s *engine.Scenario) invariant.Terms {
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
-	grace := 3*api.Micros(s.Dispatchers.Tick) + api.Second/20
+	grace := 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20
 	return invariant.Terms{
-		Settings:    s.Facts(0, 0),
-		DrainGrace:  api.Micros(s.Rules.DrainGrace),
+		Settings:    s.DispatcherSettings(0, 0),
+		DrainGrace:  api.Micros(s.Thresholds.DrainGrace),
 		AnswerGrace: grace,
 	}
 }
 
 // Starter is the policy of that name.
-func Starter(policy string) (engine.Starter, error) {
+func Starter(policy string) (engine.PolicyFactory, error) {
 	start, ok := policies[policy]
 	if !ok {
 		return nil, fmt.Errorf("no policy is called %q: there are %s", policy, strings.Join(Policies(), ", "))
@@ -102,9 +102,9 @@
 }
 
 // PlayWith runs a scenario with any module, under further observers where there are any.
-func PlayWith(s *engine.Scenario, start engine.Starter, measured bool, also ...event.Observer) *Result {
+func PlayWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, also ...event.Observer) *Result {
 	m := engine.New(s, start)
-	m.Clocked = measured
+	m.MeasurePolicyTime = measured
 	watch, recorder := invariant.NewWatch(Terms(s)), invariant.NewRecorder(Terms(s))
 	watch.Join(&m.Bus)
 	m.Bus.Subscribe(recorder)
@@ -112,14 +112,14 @@
 	began := time.Now()
 	ended := m.Run()
 	watch.Close(ended)
-	r := &Result{Scenario: s.Name, Seed: s.Seed, Ended: ended.Seconds(), Events: m.Events, Peak: m.Peak,
+	r := &Result{Scenario: s.Name, Seed: s.Seed, Ended: ended.Seconds(), Events: m.EventCount, Peak: m.PeakQueueLength,
 		Broken: watch.Broken, Claims: watch.Claims(), Summary: recorder.Close(), Breaches: watch.Breaches,
 		recorder: recorder}
 	if measured {
 		wall := time.Since(began).Seconds()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
-		r.Cost = &Cost{WallS: wall, ModuleS: m.Module.Seconds(), PerSecond: float64(m.Events) / wall,
+		r.Cost = &Cost{WallS: wall, ModuleS: m.PolicyTime.Seconds(), PerSecond: float64(m.EventCount) / wall,
 			Webhooks: float64(r.Offered) / wall, HeapMB: float64(mem.Sys-mem.HeapReleased) / 1e6}
 	}
 	return r
