--- a/cmd/rowan-sim/run.go
+++ b/cmd/rowan-sim/run.go
@@ -86,8 +86,8 @@
 	fmt.Fprintf(&b, "  offered        %d in %.1f simulated s\n", r.Offered, r.Ended)
 	fmt.Fprintf(&b, "  in time        %s\n  late           %s\n  rejected       %s\n  dead-lettered  %s\n",
 		share(r.InTime), share(r.Late), share(r.Rejected), share(r.DeadLettered))
-	if r.Died+r.Unended > 0 {
-		fmt.Fprintf(&b, "  died with its dispatcher %s, no end %s\n", share(r.Died), share(r.Unended))
+	if r.StateLost+r.Unfinished > 0 {
+		fmt.Fprintf(&b, "  died with its dispatcher %s, no end %s\n", share(r.StateLost), share(r.Unfinished))
 	}
 	fmt.Fprintf(
 		&b,
@@ -95,24 +95,24 @@
 		r.P50,
 		r.P90,
 		r.P99,
-		r.Longest,
+		r.Max,
 	)
 	fmt.Fprintf(
 		&b,
 		"  calls          %d with %d attempts, %d refused, %d connections\n",
 		r.Calls,
 		r.Attempts,
-		r.Refused,
+		r.CallsRefused,
 		r.Connects,
 	)
-	if r.TurnedAway+r.Fell > 0 {
-		fmt.Fprintf(&b, "  turned away at full buffers %d, destinations pushed over %d\n", r.TurnedAway, r.Fell)
+	if r.BufferFull+r.Collapsed > 0 {
+		fmt.Fprintf(&b, "  turned away at full buffers %d, destinations pushed over %d\n", r.BufferFull, r.Collapsed)
 	}
 	for _, c := range r.Claims {
 		verdict := "kept"
-		if !c.Seen {
+		if !c.Conclusive {
 			verdict = "too little seen"
-		} else if !c.Kept {
+		} else if !c.Holds {
 			verdict = "NOT kept"
 		}
 		fmt.Fprintf(&b, "  claim %-9s %s: %s\n", c.Name, verdict, c.Text)
--- a/sim/engine/emulator_test.go
+++ b/sim/engine/emulator_test.go
@@ -25,7 +25,7 @@
 		engine.Fault{Kind: "down", At: 8 * sec, Duration: 10 * sec, Destinations: []int{1}},
 		engine.Fault{Kind: "hang", At: 6 * sec, Duration: 20 * sec, Destinations: []int{1}})
 	w, events, _ := play(t, s, module, event.OutageStarted, event.OutageEnded)
-	assert.Empty(t, w.Broken, texts(w.Breaches))
+	assert.Empty(t, w.ViolationCount, texts(w.Violations))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
 		got[e.Destination] = append(got[e.Destination], e.At/api.Second)
@@ -39,8 +39,8 @@
 		s := plain(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: journal,
 			DuringIteration: true})
 		w, events, sum := play(t, s, module, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
-		assert.Empty(t, w.Broken, texts(w.Breaches))
-		assert.Zero(t, sum.Unended)
+		assert.Empty(t, w.ViolationCount, texts(w.Violations))
+		assert.Zero(t, sum.Unfinished)
 		killed := api.Never
 		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
@@ -75,7 +75,7 @@
 	s := plain(engine.Fault{Kind: "hang", At: 4 * sec, Duration: 20 * sec, Busiest: 8},
 		engine.Fault{Kind: "kill", At: 6 * sec, Duration: 30 * sec, Dispatchers: []int{0}})
 	w, events, _ := play(t, s, module, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
-	assert.Empty(t, w.Broken, texts(w.Breaches))
+	assert.Empty(t, w.ViolationCount, texts(w.Violations))
 	dead := false
 	out, again, died := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
 	for _, e := range events {
@@ -111,7 +111,7 @@
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
 	_, events, sum := play(t, s, hammer, event.Collapsed, event.CallArrived)
-	require.Equal(t, 1, sum.Fell)
+	require.Equal(t, 1, sum.Collapsed)
 	fell, before := false, 0
 	for _, e := range events {
 		switch {
@@ -126,14 +126,14 @@
 	}
 	assert.Positive(t, before)
 	_, _, sum = play(t, s, module)
-	assert.Zero(t, sum.Fell)
+	assert.Zero(t, sum.Collapsed)
 }
 
 func TestAnEndpointThatIsReplacedDrainsAndItsAddressMayServeOn(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
 		s := plain(engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 1, DrainTime: 4 * sec, Address: address})
 		w, events, _ := play(t, s, module, event.AttemptStarted, event.EndpointUpdated)
-		assert.Empty(t, w.Broken, texts(w.Breaches))
+		assert.Empty(t, w.ViolationCount, texts(w.Violations))
 		last := events[len(events)-1]
 		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
@@ -169,8 +169,8 @@
 		engine.Fault{Kind: "restart", At: 5 * sec, Duration: sec / 2, DrainTime: 2 * sec, Dispatchers: []int{0}},
 	)
 	w, events, sum := play(t, s, module, event.Accepted, event.Started)
-	assert.Empty(t, w.Broken, texts(w.Breaches))
-	assert.Zero(t, sum.Died+sum.Unended)
+	assert.Empty(t, w.ViolationCount, texts(w.Violations))
+	assert.Zero(t, sum.StateLost+sum.Unfinished)
 	taken := map[bool]int{}
 	for _, e := range events {
 		if e.Kind == event.Accepted && e.Dispatcher == 0 {
--- a/sim/engine/fleet_test.go
+++ b/sim/engine/fleet_test.go
@@ -59,9 +59,9 @@
 				day.change(s)
 			}
 			w, _, sum := play(t, s, module)
-			assert.Empty(t, w.Broken, texts(w.Breaches))
-			assert.Zero(t, sum.Unended)
-			assert.Zero(t, sum.Fell)
+			assert.Empty(t, w.ViolationCount, texts(w.Violations))
+			assert.Zero(t, sum.Unfinished)
+			assert.Zero(t, sum.Collapsed)
 			assert.Greater(t, sum.Value, day.worth)
 		})
 	}
@@ -73,7 +73,7 @@
 		s := fleet()
 		s.DestinationKinds[0].MaxConnections, s.DestinationKinds[0].ReportsConnectionLimit, s.DestinationKinds[0].Headroom = 8, told, 3
 		w, events, sum := play(t, s, module, event.AttemptEnded)
-		assert.Empty(t, w.Broken, texts(w.Breaches))
+		assert.Empty(t, w.ViolationCount, texts(w.Violations))
 		outcomes := map[api.Outcome]int{}
 		for _, e := range events {
 			outcomes[e.Outcome]++
@@ -116,7 +116,7 @@
 			k := &s.DestinationKinds[0]
 			k.Endpoints, k.Headroom, k.ReportsConnectionLimit, k.RetryAfterShare = []int{1, 1}, 1.2, true, 0
 			w, events, _ := play(t, s, module, event.OutageEnded, event.CallArrived)
-			assert.Empty(t, w.Broken, texts(w.Breaches))
+			assert.Empty(t, w.ViolationCount, texts(w.Violations))
 			back, came := api.Never, 0.0
 			for _, e := range events {
 				if e.Kind == event.OutageEnded {
--- a/sim/engine/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -53,17 +53,17 @@
 	s *engine.Scenario,
 	start engine.PolicyFactory,
 	what ...event.Kind,
-) (*invariant.Watch, []event.Event,
+) (*invariant.Checker, []event.Event,
 	invariant.Summary) {
 	require.NoError(t, s.Validate())
 	m := engine.New(s, start)
-	terms := invariant.Terms{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
+	terms := invariant.Thresholds{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20}
-	w, r, l := invariant.NewWatch(terms), invariant.NewRecorder(terms), &log{wants: what}
-	w.Join(&m.Bus)
+	w, r, l := invariant.NewChecker(terms), invariant.NewRecorder(terms), &log{wants: what}
+	w.Subscribe(&m.Bus)
 	m.Bus.Subscribe(r, l)
-	w.Close(m.Run())
-	return w, l.all, r.Close()
+	w.Finish(m.Run())
+	return w, l.all, r.Finish()
 }
 
 // mutant is the module with its ears or hands tampered with.
@@ -127,7 +127,7 @@
 	return list
 }
 
-func texts(b []invariant.Breach) (s string) {
+func texts(b []invariant.Violation) (s string) {
 	for _, x := range b[:min(len(b), 3)] {
 		s += fmt.Sprintln(x)
 	}
--- a/sim/engine/homes_test.go
+++ b/sim/engine/homes_test.go
@@ -48,9 +48,9 @@
 }
 
 type homesRun struct {
-	*invariant.Watch
+	*invariant.Checker
 	invariant.Summary
-	invariant.Together
+	invariant.ClusterSummary
 	all []event.Event
 }
 
@@ -67,14 +67,14 @@
 	require.NoError(t, s.Validate())
 	m := engine.New(s, module)
 	spoil(m)
-	terms := invariant.Terms{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
+	terms := invariant.Thresholds{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
 		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20}
-	w, r, f := invariant.NewWatch(terms), invariant.NewRecorder(terms), invariant.NewFleet(terms)
+	w, r, f := invariant.NewChecker(terms), invariant.NewRecorder(terms), invariant.NewClusterRecorder(terms)
 	l := &log{wants: []event.Kind{event.CallStarted, event.Finished}}
-	w.Join(&m.Bus)
+	w.Subscribe(&m.Bus)
 	m.Bus.Subscribe(r, f, l)
-	w.Close(m.Run())
-	return homesRun{w, r.Close(), f.Close(), l.all}
+	w.Finish(m.Run())
+	return homesRun{w, r.Finish(), f.Finish(), l.all}
 }
 
 func sound(*engine.Simulation) {}
@@ -83,8 +83,8 @@
 	// The first sixteen, and two on which one that goes on calling what is on its way would be found out.
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 76, 101} {
 		r := playHomes(t, drawn(seed), sound)
-		assert.Empty(t, r.Broken, "seed %d: %s", seed, texts(r.Breaches))
-		assert.Zero(t, r.Unended, "seed %d", seed)
+		assert.Empty(t, r.ViolationCount, "seed %d: %s", seed, texts(r.Violations))
+		assert.Zero(t, r.Unfinished, "seed %d", seed)
 		assert.Positive(t, r.Handed, "seed %d", seed)
 	}
 }
@@ -141,15 +141,15 @@
 			return unless(r.Silence > 2 && r.Silence < 5, "silent for %.1f s", r.Silence)
 		}},
 		{"told before it is in the journal", slow, func(r homesRun) error {
-			return unless(r.Broken["lost"] == 0, "lost")
+			return unless(r.ViolationCount["lost"] == 0, "lost")
 		}},
 		{"a silent home is taken for one that never had it", lossy, func(r homesRun) error {
-			return unless(r.Broken["twice"] == 0, "twice")
+			return unless(r.ViolationCount["twice"] == 0, "twice")
 		}},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			r := playHomes(t, c.day, sound)
-			assert.Empty(t, r.Broken, texts(r.Breaches))
+			assert.Empty(t, r.ViolationCount, texts(r.Violations))
 			assert.NoError(t, c.well(r))
 			assert.Error(t, c.well(playHomes(t, c.day, engine.Spoilt[c.fault])), "not found out")
 		})
--- a/sim/engine/observers_test.go
+++ b/sim/engine/observers_test.go
@@ -37,18 +37,18 @@
 				s.EventTypes = s.EventTypes[:1]
 			}
 			w, _, _ := play(t, s, c.start)
-			require.Positive(t, w.Broken[rule], "%v", w.Broken)
-			for _, b := range w.Breaches {
-				if b.Rule == rule {
+			require.Positive(t, w.ViolationCount[rule], "%v", w.ViolationCount)
+			for _, b := range w.Violations {
+				if b.Invariant == rule {
 					assert.Positive(t, b.At)
 					assert.Positive(t, b.Webhook)
-					assert.NotEmpty(t, b.Last)
+					assert.NotEmpty(t, b.History)
 					assert.NotEmpty(t, b.Text)
 					break
 				}
 			}
 			w, _, _ = play(t, s, module)
-			assert.Empty(t, w.Broken, texts(w.Breaches))
+			assert.Empty(t, w.ViolationCount, texts(w.Violations))
 		})
 	}
 }
@@ -95,8 +95,8 @@
 				w, _, _ := play(t, s, start)
 				for _, got := range w.Claims() {
 					if got.Name == claim {
-						assert.True(t, got.Seen, got.Text)
-						assert.Equal(t, got.Kept, isModule(start), got.Text)
+						assert.True(t, got.Conclusive, got.Text)
+						assert.Equal(t, got.Holds, isModule(start), got.Text)
 					}
 				}
 			}
--- a/sim/experiment/homes.go
+++ b/sim/experiment/homes.go
@@ -37,7 +37,7 @@
 	Broken         int     // runs in which a rule was
 	Rules          map[string]int
 	Unended        int
-	invariant.Together
+	invariant.ClusterSummary
 }
 
 // CompareHomes plays each point of a sweep with each way of sharing, side by side. free adds the one that
@@ -52,14 +52,14 @@
 			return nil, fmt.Errorf("%s has no table homes: there is nothing to compare", s.Base)
 		}
 	}
-	results, seen := make([]*Result, len(points)*ways), make([]invariant.Together, len(points)*ways)
+	results, seen := make([]*Result, len(points)*ways), make([]invariant.ClusterSummary, len(points)*ways)
 	Parallel(runtime.GOMAXPROCS(0), len(results), func(i int) {
 		defer step()
 		run := *points[i/ways].scenario
 		run.Ownership = sharing(run.Ownership, i%ways)
-		fleet := invariant.NewFleet(Terms(&run))
+		fleet := invariant.NewClusterRecorder(Terms(&run))
 		results[i] = PlayWith(&run, policies[Module], false, fleet)
-		seen[i] = fleet.Close()
+		seen[i] = fleet.Finish()
 	})
 	var all []Shared
 	for from := 0; from < len(points); from += len(s.Seeds) { // seeds run quickest
@@ -96,12 +96,12 @@
 	return h
 }
 
-func (s *Shared) add(r *Result, t invariant.Together) {
+func (s *Shared) add(r *Result, t invariant.ClusterSummary) {
 	s.Value += r.Value
-	s.Refused += float64(r.Refused) / float64(max(r.Calls, 1))
+	s.Refused += float64(r.CallsRefused) / float64(max(r.Calls, 1))
 	s.P50, s.P99 = s.P50+r.P50, s.P99+r.P99
-	s.Fell += float64(r.Fell)
-	s.Unended += r.Unended
+	s.Fell += float64(r.Collapsed)
+	s.Unended += r.Unfinished
 	if r.RulesBroken() {
 		s.Broken++
 	}
@@ -146,7 +146,7 @@
 		}
 		if s.Broken > 0 {
 			broken = strconv.Itoa(s.Broken)
-			for _, rule := range invariant.Rules {
+			for _, rule := range invariant.Names {
 				if s.Rules[rule] > 0 {
 					broken += " " + rule
 				}
--- a/sim/experiment/lab_test.go
+++ b/sim/experiment/lab_test.go
@@ -87,10 +87,10 @@
 		r, err := Play(s, Module, false)
 		assert.NoError(t, err)
 		assert.Empty(t, r.Breaches, s.Name)
-		assert.Zero(t, r.Unended, s.Name)
+		assert.Zero(t, r.Unfinished, s.Name)
 		assert.Positive(t, r.InTime, s.Name)
 		for _, c := range r.Claims {
-			assert.True(t, c.Kept, "%s: %s: %s", s.Name, c.Name, c.Text)
+			assert.True(t, c.Holds, "%s: %s: %s", s.Name, c.Name, c.Text)
 		}
 	})
 }
@@ -137,7 +137,7 @@
 		r, err := Play(parsed(t, small()), p, false)
 		require.NoError(t, err)
 		offered = append(offered, r.Offered)
-		assert.Zero(t, r.Unended, p)
+		assert.Zero(t, r.Unfinished, p)
 		assert.Empty(t, r.Broken["lost"]+r.Broken["twice"]+r.Broken["wait"]+r.Broken["drain"]+r.Broken["order"], p)
 	}
 	for _, n := range offered {
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -52,8 +52,8 @@
 	Broken   map[string]int    `json:"broken"`
 	Claims   []invariant.Claim `json:"claims"`
 	invariant.Summary
-	Breaches []invariant.Breach `json:"breaches,omitempty"`
-	Cost     *Cost              `json:"cost,omitempty"`
+	Breaches []invariant.Violation `json:"breaches,omitempty"`
+	Cost     *Cost                 `json:"cost,omitempty"`
 
 	recorder *invariant.Recorder
 }
@@ -71,10 +71,10 @@
 func (r *Result) RulesBroken() bool { return len(r.Broken) > 0 }
 
 // Terms are what observers hold a scenario's run to.
-func Terms(s *engine.Scenario) invariant.Terms {
+func Terms(s *engine.Scenario) invariant.Thresholds {
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
 	grace := 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20
-	return invariant.Terms{
+	return invariant.Thresholds{
 		Settings:    s.DispatcherSettings(0, 0),
 		DrainGrace:  api.Micros(s.Thresholds.DrainGrace),
 		AnswerGrace: grace,
@@ -105,15 +105,15 @@
 func PlayWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, also ...event.Observer) *Result {
 	m := engine.New(s, start)
 	m.MeasurePolicyTime = measured
-	watch, recorder := invariant.NewWatch(Terms(s)), invariant.NewRecorder(Terms(s))
-	watch.Join(&m.Bus)
+	watch, recorder := invariant.NewChecker(Terms(s)), invariant.NewRecorder(Terms(s))
+	watch.Subscribe(&m.Bus)
 	m.Bus.Subscribe(recorder)
 	m.Bus.Subscribe(also...)
 	began := time.Now()
 	ended := m.Run()
-	watch.Close(ended)
+	watch.Finish(ended)
 	r := &Result{Scenario: s.Name, Seed: s.Seed, Ended: ended.Seconds(), Events: m.EventCount, Peak: m.PeakQueueLength,
-		Broken: watch.Broken, Claims: watch.Claims(), Summary: recorder.Close(), Breaches: watch.Breaches,
+		Broken: watch.ViolationCount, Claims: watch.Claims(), Summary: recorder.Finish(), Breaches: watch.Violations,
 		recorder: recorder}
 	if measured {
 		wall := time.Since(began).Seconds()
@@ -178,7 +178,7 @@
 	for name, write := range map[string]func(*os.File) error{
 		"seconds.csv":      func(f *os.File) error { return r.recorder.WriteSeconds(f) },
 		"destinations.csv": func(f *os.File) error { return r.recorder.WriteDestinations(f) },
-		"cold.csv":         func(f *os.File) error { return r.recorder.WriteCold(f) },
+		"cold.csv":         func(f *os.File) error { return r.recorder.WriteWarmupLoads(f) },
 	} {
 		f, err := os.Create(filepath.Join(dir, name))
 		if err != nil {
--- a/sim/experiment/sweep.go
+++ b/sim/experiment/sweep.go
@@ -49,8 +49,8 @@
 		broken = strings.TrimPrefix(broken+"+"+rule, "-+")
 	}
 	row := append(slices.Clone(p.axes), p.policy, strconv.FormatUint(r.Seed, 10), f(r.Value), n(r.Offered),
-		n(r.InTime), n(r.Late), n(r.Rejected), n(r.DeadLettered), n(r.Died), n(r.Unended), n(r.TurnedAway),
-		n(r.Attempts), n(r.Calls), n(r.Refused), n(r.Connects), n(r.Fell), f(r.P50), f(r.P99), broken, n(r.Events))
+		n(r.InTime), n(r.Late), n(r.Rejected), n(r.DeadLettered), n(r.StateLost), n(r.Unfinished), n(r.BufferFull),
+		n(r.Attempts), n(r.Calls), n(r.CallsRefused), n(r.Connects), n(r.Collapsed), f(r.P50), f(r.P99), broken, n(r.Events))
 	if c := r.Cost; c != nil {
 		row = append(row, f(c.WallS), f(c.ModuleS), f(c.HeapMB))
 	}
--- a/sim/invariant/claims.go
+++ b/sim/invariant/claims.go
@@ -10,105 +10,105 @@
 )
 
 const (
-	enough    = 30  // pauses of a kind by which one can judge
-	judgedTo  = 4   // retries from there on are few and mostly waits that were told
-	sickFrom  = 3   // failures in a row after which more than the schedule may hold a webhook
-	flat      = .9  // a later pause over the one before it, at the least
-	sickAfter = 12  // failures in a row that make a destination sick for anybody who looks from outside
-	most34    = .75 // of the slots, to one destination
-	most12    = .5  // of the slots, to a sick one
-	varies    = .2  // standard deviation of a pause by chance, over its mean
+	minSamples           = 30  // pauses of a kind by which one can judge
+	judgedRetries        = 4   // retries from there on are few and mostly waits that were told
+	unhealthyAfter       = 3   // failures in a row after which more than the schedule may hold a webhook
+	minGrowth            = .9  // a later pause over the one before it, at the least
+	surelyUnhealthyAfter = 12  // failures in a row that make a destination sick for anybody who looks from outside
+	destinationShare     = .75 // of the slots, to one destination
+	unhealthyShare       = .5  // of the slots, to a sick one
+	minVariation         = .2  // standard deviation of a pause by chance, over its mean
 )
 
-// pauses gives what lies between an outcome and the next try of the same webhook, where nothing but the
+// retryDelays gives what lies between an outcome and the next try of the same webhook, where nothing but the
 // schedule explains it: no told wait, and a route that was well for the dispatcher before, and stayed so.
-type pauses struct {
-	t     Terms
-	heard map[stay]pause
-	of    map[toRoute]*health
+type retryDelays struct {
+	thresholds   Thresholds
+	lastOutcomes map[webhookKey]pendingRetry
+	health       map[routeKey]*routeHealth
 }
 
-type pause struct {
-	at  api.Micros
-	try int
-	on  *health
-	row int // failures in a row there when it began
+type pendingRetry struct {
+	at            api.Micros
+	attempt       int
+	health        *routeHealth
+	failuresInRow int // failures in a row there when it began
 }
 
-// health is a route as a dispatcher's outcomes show it.
-type health struct {
-	row         int
-	okAt, illAt api.Micros
+// routeHealth is a route as a dispatcher's outcomes show it.
+type routeHealth struct {
+	failuresInRow                  int
+	lastSuccessAt, lastUnhealthyAt api.Micros
 }
 
-func newPauses(t Terms) pauses {
-	return pauses{t, map[stay]pause{}, map[toRoute]*health{}}
+func newRetryDelays(t Thresholds) retryDelays {
+	return retryDelays{t, map[webhookKey]pendingRetry{}, map[routeKey]*routeHealth{}}
 }
 
-var pausesWant = []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Finished}
+var retryDelayKinds = []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Finished}
 
-func (p *pauses) see(e *event.Event) (try int, long api.Micros, ok bool) {
-	k := stayOf(e)
+func (p *retryDelays) observe(e *event.Event) (try int, long api.Micros, ok bool) {
+	k := webhookKeyOf(e)
 	switch e.Kind {
 	case event.AttemptEnded:
-		h := p.of[toRouteOf(e)]
+		h := p.health[routeKeyOf(e)]
 		if h == nil {
-			h = &health{okAt: api.Never, illAt: api.Never}
-			p.of[toRouteOf(e)] = h
+			h = &routeHealth{lastSuccessAt: api.Never, lastUnhealthyAt: api.Never}
+			p.health[routeKeyOf(e)] = h
 		}
 		switch {
 		case e.Outcome == api.Delivered:
-			h.row, h.okAt = 0, e.At
+			h.failuresInRow, h.lastSuccessAt = 0, e.At
 			return
 		case e.Outcome == api.NotSent:
 			return
 		}
-		if h.row++; h.row >= sickFrom || e.RetryAfter > 0 {
-			h.illAt = e.At
+		if h.failuresInRow++; h.failuresInRow >= unhealthyAfter || e.RetryAfter > 0 {
+			h.lastUnhealthyAt = e.At
 		}
-		ill := h.illAt != api.Never && e.At-h.illAt < 2*p.t.SlowStartDuration
-		if !ill && h.okAt != api.Never && e.At-h.okAt < p.t.OverloadDuration {
-			p.heard[k] = pause{e.At, e.Attempt, h, h.row}
+		ill := h.lastUnhealthyAt != api.Never && e.At-h.lastUnhealthyAt < 2*p.thresholds.SlowStartDuration
+		if !ill && h.lastSuccessAt != api.Never && e.At-h.lastSuccessAt < p.thresholds.OverloadDuration {
+			p.lastOutcomes[k] = pendingRetry{e.At, e.Attempt, h, h.failuresInRow}
 		}
 	case event.AttemptStarted:
-		if was, there := p.heard[k]; there {
-			delete(p.heard, k)
-			return was.try, e.At - was.at, was.on.row <= was.row && was.on.illAt < was.at
+		if was, there := p.lastOutcomes[k]; there {
+			delete(p.lastOutcomes, k)
+			return was.attempt, e.At - was.at, was.health.failuresInRow <= was.failuresInRow && was.health.lastUnhealthyAt < was.at
 		}
 	case event.Finished:
-		delete(p.heard, k)
+		delete(p.lastOutcomes, k)
 	}
 	return 0, 0, false
 }
 
 // backoff: the pause before the next try grows from try to try.
 type backoff struct {
-	pauses
-	by [judgedTo][]float64
+	retryDelays
+	delays [judgedRetries][]float64
 }
 
-func (o *backoff) Kinds() []event.Kind { return pausesWant }
+func (o *backoff) Kinds() []event.Kind { return retryDelayKinds }
 func (o *backoff) Observe(e *event.Event) {
-	if try, long, ok := o.see(e); ok && try < judgedTo {
-		o.by[try] = append(o.by[try], long.Seconds())
+	if try, long, ok := o.observe(e); ok && try < judgedRetries {
+		o.delays[try] = append(o.delays[try], long.Seconds())
 	}
 }
 
 func (o *backoff) judge() Claim {
-	c := Claim{Name: "backoff", Kept: true}
+	c := Claim{Name: "backoff", Holds: true}
 	last := 0.0
-	for i, pauses := range o.by {
-		if len(pauses) < enough {
+	for i, pauses := range o.delays {
+		if len(pauses) < minSamples {
 			break
 		}
 		mean := stat.Mean(pauses, nil)
 		c.Text += fmt.Sprintf(" %.3f", mean)
-		if i == 0 && mean <= o.t.MinTurnInterval.Seconds() { // no pause at all
-			c.Seen, c.Kept = true, false
+		if i == 0 && mean <= o.thresholds.MinTurnInterval.Seconds() { // no pause at all
+			c.Conclusive, c.Holds = true, false
 		}
 		if i > 0 { // in the late band pauses no longer grow
-			c.Seen = true
-			c.Kept = c.Kept && (i == 1 && mean > last || i > 1 && mean > flat*last)
+			c.Conclusive = true
+			c.Holds = c.Holds && (i == 1 && mean > last || i > 1 && mean > minGrowth*last)
 		}
 		last = mean
 	}
@@ -118,89 +118,91 @@
 
 // jitter: pauses vary by chance.
 type jitter struct {
-	pauses
-	first []float64
+	retryDelays
+	firstDelays []float64
 }
 
-func (o *jitter) Kinds() []event.Kind { return pausesWant }
+func (o *jitter) Kinds() []event.Kind { return retryDelayKinds }
 func (o *jitter) Observe(e *event.Event) {
-	if try, long, ok := o.see(e); ok && try == 0 {
-		o.first = append(o.first, long.Seconds())
+	if try, long, ok := o.observe(e); ok && try == 0 {
+		o.firstDelays = append(o.firstDelays, long.Seconds())
 	}
 }
 
 func (o *jitter) judge() Claim {
-	c := Claim{Name: "jitter", Seen: len(o.first) >= enough, Kept: true}
-	if c.Seen {
-		mean, dev := stat.MeanStdDev(o.first, nil)
-		c.Kept = dev > varies*mean && mean > o.t.MinTurnInterval.Seconds()
+	c := Claim{Name: "jitter", Conclusive: len(o.firstDelays) >= minSamples, Holds: true}
+	if c.Conclusive {
+		mean, dev := stat.MeanStdDev(o.firstDelays, nil)
+		c.Holds = dev > minVariation*mean && mean > o.thresholds.MinTurnInterval.Seconds()
 		c.Text = fmt.Sprintf("first retry waits %.3f s, standard deviation %.3f s", mean, dev)
 	}
 	return c
 }
 
-// destCap: calls in flight to one destination stay within three quarters of the slots.
-type destCap struct {
-	t     Terms
-	out   outs
-	worst int
+// destinationCap: calls in flight to one destination stay within three quarters of the slots.
+type destinationCap struct {
+	thresholds Thresholds
+	active     activeCalls
+	most       int
 }
 
-func (o *destCap) Kinds() []event.Kind    { return []event.Kind{event.CallStarted, event.CallFinished} }
-func (o *destCap) Observe(e *event.Event) { o.worst = max(o.worst, o.out.see(e)) }
-func (o *destCap) judge() Claim {
-	limit := most(most34, o.t.MaxInFlight)
-	return Claim{Name: "dest_cap", Seen: o.worst > 0, Kept: o.worst <= limit,
+func (o *destinationCap) Kinds() []event.Kind {
+	return []event.Kind{event.CallStarted, event.CallFinished}
+}
+func (o *destinationCap) Observe(e *event.Event) { o.most = max(o.most, o.active.observe(e)) }
+func (o *destinationCap) judge() Claim {
+	limit := shareOfSlots(destinationShare, o.thresholds.MaxInFlight)
+	return Claim{Name: "dest_cap", Conclusive: o.most > 0, Holds: o.most <= limit,
 		Text: fmt.Sprintf(
 			"at most %d calls out to one destination, %d of %d slots allowed",
-			o.worst,
+			o.most,
 			limit,
-			o.t.MaxInFlight,
+			o.thresholds.MaxInFlight,
 		)}
 }
 
 // isolates: a sick destination holds at most half of the slots. One is sick for a dispatcher once so many
 // of its outcomes there failed in a row that no chance explains it; what was out before that may run on.
-type isolates struct {
-	t     Terms
-	out   outs
-	fails map[toRoute]int
-	worst int
-	seen  bool
+type isolation struct {
+	thresholds    Thresholds
+	active        activeCalls
+	failuresInRow map[routeKey]int
+	most          int
+	conclusive    bool
 }
 
-func (o *isolates) Kinds() []event.Kind {
+func (o *isolation) Kinds() []event.Kind {
 	return []event.Kind{event.CallStarted, event.CallFinished, event.AttemptEnded, event.Killed}
 }
 
-func (o *isolates) Observe(e *event.Event) {
-	k := toRouteOf(e)
+func (o *isolation) Observe(e *event.Event) {
+	k := routeKeyOf(e)
 	switch e.Kind {
 	case event.Killed:
-		for k := range o.fails {
-			if k.d == e.Dispatcher {
-				delete(o.fails, k)
+		for k := range o.failuresInRow {
+			if k.dispatcher == e.Dispatcher {
+				delete(o.failuresInRow, k)
 			}
 		}
 	case event.AttemptEnded:
 		switch e.Outcome {
 		case api.Delivered:
-			delete(o.fails, k)
+			delete(o.failuresInRow, k)
 		case api.NotSent:
 		default:
-			o.fails[k]++
+			o.failuresInRow[k]++
 		}
 	default:
-		n := o.out.see(e)
-		if e.Kind == event.CallStarted && o.fails[k] >= sickAfter {
-			o.seen, o.worst = true, max(o.worst, n)
+		n := o.active.observe(e)
+		if e.Kind == event.CallStarted && o.failuresInRow[k] >= surelyUnhealthyAfter {
+			o.conclusive, o.most = true, max(o.most, n)
 		}
 	}
 }
 
-func (o *isolates) judge() Claim {
-	limit := most(most12, o.t.MaxInFlight)
-	return Claim{Name: "isolates", Seen: o.seen, Kept: o.worst <= limit,
-		Text: fmt.Sprintf("at most %d calls out to a sick destination, %d of %d slots allowed", o.worst, limit,
-			o.t.MaxInFlight)}
+func (o *isolation) judge() Claim {
+	limit := shareOfSlots(unhealthyShare, o.thresholds.MaxInFlight)
+	return Claim{Name: "isolates", Conclusive: o.conclusive, Holds: o.most <= limit,
+		Text: fmt.Sprintf("at most %d calls out to a sick destination, %d of %d slots allowed", o.most, limit,
+			o.thresholds.MaxInFlight)}
 }
--- a/sim/invariant/failback.go
+++ b/sim/invariant/failback.go
@@ -8,42 +8,42 @@
 )
 
 // failback: a route back from an outage is not pushed over by those who had seen it fail.
-type failback struct {
-	teller
-	t      Terms
-	routes map[event.Route]*returning
+type slowStart struct {
+	violationReporter
+	thresholds Thresholds
+	routes     map[event.Route]*recoveringRoute
 }
 
-// returning is a route that is out, or has been back for less than its time to warm.
-type returning struct {
-	out     bool
-	at      api.Micros
-	perS    float64
-	learned map[int32]bool
-	came    []arrival
-	sum     float64
-	broken  bool
+// recoveringRoute is a route that is out, or has been back for less than its time to warm.
+type recoveringRoute struct {
+	down        bool
+	recoveredAt api.Micros
+	rate        float64
+	sawFailure  map[int32]bool
+	arrivals    []arrival
+	weight      float64
+	violated    bool
 }
 
 type arrival struct {
-	at     api.Micros
-	weight float64
-	knew   bool
+	at         api.Micros
+	weight     float64
+	sawFailure bool
 }
 
-func (o *failback) Kinds() []event.Kind {
+func (o *slowStart) Kinds() []event.Kind {
 	return []event.Kind{event.OutageStarted, event.OutageEnded, event.AttemptEnded, event.CallArrived}
 }
 
-func (o *failback) Observe(e *event.Event) {
+func (o *slowStart) Observe(e *event.Event) {
 	r := o.routes[e.Route]
 	switch e.Kind {
 	case event.OutageStarted:
-		o.routes[e.Route] = &returning{out: true, perS: e.Weight, learned: map[int32]bool{}}
+		o.routes[e.Route] = &recoveringRoute{down: true, rate: e.Weight, sawFailure: map[int32]bool{}}
 		return
 	case event.OutageEnded:
 		if r != nil {
-			r.out, r.at = false, e.At
+			r.down, r.recoveredAt = false, e.At
 		}
 		return
 	}
@@ -51,41 +51,41 @@
 		return
 	}
 	if e.Kind == event.AttemptEnded {
-		if r.out && e.Outcome != api.Delivered && e.Outcome != api.NotSent {
-			r.learned[e.Dispatcher] = true
+		if r.down && e.Outcome != api.Delivered && e.Outcome != api.NotSent {
+			r.sawFailure[e.Dispatcher] = true
 		}
 		return
 	}
-	if r.out {
+	if r.down {
 		return
 	}
-	if e.At-r.at >= o.t.SlowStartDuration {
+	if e.At-r.recoveredAt >= o.thresholds.SlowStartDuration {
 		delete(o.routes, e.Route)
 		return
 	}
-	r.came = append(r.came, arrival{e.At, e.Weight, r.learned[e.Dispatcher]})
-	r.sum += e.Weight
-	for r.came[0].at <= e.At-o.t.OverloadDuration {
-		r.sum -= r.came[0].weight
-		r.came = r.came[1:]
+	r.arrivals = append(r.arrivals, arrival{e.At, e.Weight, r.sawFailure[e.Dispatcher]})
+	r.weight += e.Weight
+	for r.arrivals[0].at <= e.At-o.thresholds.OverloadDuration {
+		r.weight -= r.arrivals[0].weight
+		r.arrivals = r.arrivals[1:]
 	}
-	share := o.t.SlowStartCapacity + (1-o.t.SlowStartCapacity)*float64(e.At-r.at)/float64(o.t.SlowStartDuration)
-	budget := o.t.OverloadFactor * share * r.perS * o.t.OverloadDuration.Seconds()
-	if r.broken || r.sum <= budget+2+math.Sqrt(budget) {
+	share := o.thresholds.SlowStartCapacity + (1-o.thresholds.SlowStartCapacity)*float64(e.At-r.recoveredAt)/float64(o.thresholds.SlowStartDuration)
+	budget := o.thresholds.OverloadFactor * share * r.rate * o.thresholds.OverloadDuration.Seconds()
+	if r.violated || r.weight <= budget+2+math.Sqrt(budget) {
 		return
 	}
 	knew := 0.0
-	for _, a := range r.came {
-		if a.knew {
+	for _, a := range r.arrivals {
+		if a.sawFailure {
 			knew += a.weight
 		}
 	}
-	if knew >= r.sum*2/3 {
-		r.broken = true
-		o.breach(e, "%.1f calls reached it within %.1f s, %.1f of them from dispatchers that had seen it fail; "+
-			"its budget, cold as it was %.1f s after its return, was %.1f", r.sum, o.t.OverloadDuration.Seconds(), knew,
-			(e.At - r.at).Seconds(), budget)
+	if knew >= r.weight*2/3 {
+		r.violated = true
+		o.report(e, "%.1f calls reached it within %.1f s, %.1f of them from dispatchers that had seen it fail; "+
+			"its budget, cold as it was %.1f s after its return, was %.1f", r.weight, o.thresholds.OverloadDuration.Seconds(), knew,
+			(e.At - r.recoveredAt).Seconds(), budget)
 	}
 }
 
-func (o *failback) close(api.Micros) {}
+func (o *slowStart) finish(api.Micros) {}
--- a/sim/invariant/fleet.go
+++ b/sim/invariant/fleet.go
@@ -9,24 +9,24 @@
 	"rowanlink/webhook/api"
 )
 
-// Fleet measures how many dispatchers act as one: what destinations are sent while they are out and just
+// ClusterRecorder measures how many dispatchers act as one: what destinations are sent while they are out and just
 // after, how long it is silent where a dispatcher was lost, and what the way to a home takes.
-type Fleet struct {
-	t      Terms
-	routes map[event.Route]*outage
-	ends   map[api.DestinationID]*pulse
-	killed api.Micros
-	came   map[event.RequestID]api.Micros
-	hops   *hdr.Histogram
-	sum    Together
-	loads  float64
-	calls  float64
-	askers float64
+type ClusterRecorder struct {
+	thresholds  Thresholds
+	outages     map[event.Route]*outageRecord
+	deliveries  map[api.DestinationID]*deliveryRecord
+	killedAt    api.Micros
+	submittedAt map[event.RequestID]api.Micros
+	hopLatency  *hdr.Histogram
+	summary     ClusterSummary
+	loads       float64
+	calls       float64
+	callers     float64
 }
 
-// Together is what Fleet measured. Bear is what a destination takes in TipAfter after its return, times the
+// ClusterSummary is what Fleet measured. Bear is what a destination takes in TipAfter after its return, times the
 // multiple at which it falls.
-type Together struct {
+type ClusterSummary struct {
 	Returns  int     // destinations back from an outage
 	Load     float64 // sent in TipAfter after a return, over Bear: mean
 	Worst    float64 // and the most
@@ -38,73 +38,73 @@
 	Hop99    float64
 }
 
-type outage struct {
-	out     bool
-	backAt  api.Micros
-	perS    float64
-	sent    float64
-	calls   int
-	callers map[int32]bool
+type outageRecord struct {
+	down              bool
+	recoveredAt       api.Micros
+	rate              float64
+	weightAfterReturn float64
+	calls             int
+	callers           map[int32]bool
 }
 
-// pulse is what is delivered at a destination.
-type pulse struct {
-	beats  int  // before the kill
-	waits  bool // none since
-	killed api.Micros
+// deliveryRecord is what is delivered at a destination.
+type deliveryRecord struct {
+	beforeKill  int  // before the kill
+	silent      bool // none since
+	silentSince api.Micros
 }
 
-// busy is from how many deliveries a second on a destination's silence is told from its being idle.
-const busy = 2
+// minDeliveryRate is from how many deliveries a second on a destination's silence is told from its being idle.
+const minDeliveryRate = 2
 
-// NewFleet starts with nothing seen.
-func NewFleet(t Terms) *Fleet {
-	return &Fleet{t: t, routes: map[event.Route]*outage{}, ends: map[api.DestinationID]*pulse{},
-		came: map[event.RequestID]api.Micros{}, hops: newLatency(), killed: api.Never}
+// NewClusterRecorder starts with nothing seen.
+func NewClusterRecorder(t Thresholds) *ClusterRecorder {
+	return &ClusterRecorder{thresholds: t, outages: map[event.Route]*outageRecord{}, deliveries: map[api.DestinationID]*deliveryRecord{},
+		submittedAt: map[event.RequestID]api.Micros{}, hopLatency: newLatency(), killedAt: api.Never}
 }
 
-func (f *Fleet) Kinds() []event.Kind {
+func (f *ClusterRecorder) Kinds() []event.Kind {
 	return []event.Kind{event.Offered, event.HandoffAccepted, event.OutageStarted, event.OutageEnded, event.CallStarted, event.CallArrived,
 		event.Finished, event.Killed}
 }
 
-func (f *Fleet) Observe(e *event.Event) {
+func (f *ClusterRecorder) Observe(e *event.Event) {
 	switch e.Kind {
 	case event.Offered:
-		f.came[e.Request] = e.At
+		f.submittedAt[e.Request] = e.At
 	case event.HandoffAccepted:
-		if at, ok := f.came[e.Request]; ok {
-			delete(f.came, e.Request)
-			f.sum.Handed++
-			note(f.hops, e.At-at)
+		if at, ok := f.submittedAt[e.Request]; ok {
+			delete(f.submittedAt, e.Request)
+			f.summary.Handed++
+			recordLatency(f.hopLatency, e.At-at)
 		}
 	case event.OutageStarted:
-		f.close(f.routes[e.Route])
-		f.routes[e.Route] = &outage{out: true, perS: e.Weight, callers: map[int32]bool{}}
+		f.addOutage(f.outages[e.Route])
+		f.outages[e.Route] = &outageRecord{down: true, rate: e.Weight, callers: map[int32]bool{}}
 	case event.OutageEnded:
-		if r := f.routes[e.Route]; r != nil {
-			r.out, r.backAt = false, e.At
+		if r := f.outages[e.Route]; r != nil {
+			r.down, r.recoveredAt = false, e.At
 		}
 	case event.CallStarted:
-		if r := f.routes[e.Route]; r != nil && r.out {
+		if r := f.outages[e.Route]; r != nil && r.down {
 			r.calls++
 			r.callers[e.Dispatcher] = true
 		}
 	case event.CallArrived:
-		if r := f.routes[e.Route]; r != nil && !r.out && e.At-r.backAt <= f.t.OverloadDuration {
-			r.sent += e.Weight
+		if r := f.outages[e.Route]; r != nil && !r.down && e.At-r.recoveredAt <= f.thresholds.OverloadDuration {
+			r.weightAfterReturn += e.Weight
 		}
 	default:
-		f.beat(e)
+		f.observeDelivery(e)
 	}
 }
 
-func (f *Fleet) beat(e *event.Event) {
+func (f *ClusterRecorder) observeDelivery(e *event.Event) {
 	if e.Kind == event.Killed {
-		f.killed = e.At
-		for _, p := range f.ends {
-			if !p.waits && float64(p.beats) >= busy*e.At.Seconds() {
-				p.waits, p.killed = true, e.At
+		f.killedAt = e.At
+		for _, p := range f.deliveries {
+			if !p.silent && float64(p.beforeKill) >= minDeliveryRate*e.At.Seconds() {
+				p.silent, p.silentSince = true, e.At
 			}
 		}
 		return
@@ -112,43 +112,43 @@
 	if e.Final != event.Delivered {
 		return
 	}
-	p := f.ends[e.Destination]
+	p := f.deliveries[e.Destination]
 	if p == nil {
-		p = &pulse{}
-		f.ends[e.Destination] = p
+		p = &deliveryRecord{}
+		f.deliveries[e.Destination] = p
 	}
-	if f.killed == api.Never {
-		p.beats++
+	if f.killedAt == api.Never {
+		p.beforeKill++
 	}
-	if p.waits {
-		p.waits = false
-		f.sum.Silence = math.Max(f.sum.Silence, (e.At - p.killed).Seconds())
+	if p.silent {
+		p.silent = false
+		f.summary.Silence = math.Max(f.summary.Silence, (e.At - p.silentSince).Seconds())
 	}
 }
 
-// close adds an outage that is over, its return with it.
-func (f *Fleet) close(r *outage) {
-	if r == nil || r.out {
+// addOutage adds an outage that is over, its return with it.
+func (f *ClusterRecorder) addOutage(r *outageRecord) {
+	if r == nil || r.down {
 		return
 	}
 	// What it takes grows evenly from StartCapacity at its return.
-	mean := f.t.SlowStartCapacity + (1-f.t.SlowStartCapacity)*f.t.OverloadDuration.Seconds()/f.t.SlowStartDuration.Seconds()/2
-	load := r.sent / (f.t.OverloadFactor * mean * r.perS * f.t.OverloadDuration.Seconds())
-	f.sum.Returns++
+	mean := f.thresholds.SlowStartCapacity + (1-f.thresholds.SlowStartCapacity)*f.thresholds.OverloadDuration.Seconds()/f.thresholds.SlowStartDuration.Seconds()/2
+	load := r.weightAfterReturn / (f.thresholds.OverloadFactor * mean * r.rate * f.thresholds.OverloadDuration.Seconds())
+	f.summary.Returns++
 	f.loads += load
 	f.calls += float64(r.calls)
-	f.askers += float64(len(r.callers))
-	f.sum.Worst = math.Max(f.sum.Worst, load)
+	f.callers += float64(len(r.callers))
+	f.summary.Worst = math.Max(f.summary.Worst, load)
 }
 
-// Close sums up.
-func (f *Fleet) Close() Together {
-	for _, r := range f.routes {
-		f.close(r)
+// Finish sums up.
+func (f *ClusterRecorder) Finish() ClusterSummary {
+	for _, r := range f.outages {
+		f.addOutage(r)
 	}
-	if n := float64(f.sum.Returns); n > 0 {
-		f.sum.Load, f.sum.WhileOut, f.sum.Callers = f.loads/n, f.calls/n, f.askers/n
+	if n := float64(f.summary.Returns); n > 0 {
+		f.summary.Load, f.summary.WhileOut, f.summary.Callers = f.loads/n, f.calls/n, f.callers/n
 	}
-	f.sum.Hop50, f.sum.Hop99 = at(f.hops, 50).Seconds(), at(f.hops, 99).Seconds()
-	return f.sum
+	f.summary.Hop50, f.summary.Hop99 = latencyAt(f.hopLatency, 50).Seconds(), latencyAt(f.hopLatency, 99).Seconds()
+	return f.summary
 }
--- a/sim/invariant/observe_test.go
+++ b/sim/invariant/observe_test.go
@@ -9,15 +9,15 @@
 	"rowanlink/webhook/api"
 )
 
-func watch() (*Watch, *event.Bus) {
-	w, b := NewWatch(
-		Terms{Settings: api.Settings{MaxInFlight: 8, OrderingGap: api.Second, EventTypes: []api.EventType{
+func watch() (*Checker, *event.Bus) {
+	w, b := NewChecker(
+		Thresholds{Settings: api.Settings{MaxInFlight: 8, OrderingGap: api.Second, EventTypes: []api.EventType{
 			{
 				TTL: 20 * api.Second,
 			}, {TTL: 20 * api.Second, Semantics: api.Deduplicated, DedupWindow: 5 * api.Second,
 				DedupByZone: true}, {TTL: 20 * api.Second, Ordered: true}}}, AnswerGrace: 100},
 	), &event.Bus{}
-	w.Join(b)
+	w.Subscribe(b)
 	return w, b
 }
 
@@ -31,7 +31,7 @@
 			event.Event{At: told, Kind: event.AttemptEnded, Webhook: 3, Outcome: api.Rejected, RetryAfter: 10},
 		) // the longest holds
 		b.Emit(event.Event{At: told + long - early, Kind: event.AttemptStarted, Webhook: 1, Endpoint: 1})
-		assert.Equal(t, broken, w.Broken["wait"])
+		assert.Equal(t, broken, w.ViolationCount["wait"])
 	}
 }
 
@@ -52,13 +52,13 @@
 	step(4, event.AttemptStarted, func(e *event.Event) { e.Attempt, e.Zone = 1, 1 })
 	step(5, event.Finished, func(e *event.Event) { e.Final = event.Rejected })
 	step(6, event.Finished, func(e *event.Event) { e.Final = event.DeadLettered })
-	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, w.Broken)
-	zone := w.Breaches[0]
+	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, w.ViolationCount)
+	zone := w.Violations[0]
 	assert.Equal(t, "tokened by zone, sent to another zone", zone.Text)
 	assert.Equal(t, api.WebhookID(7), zone.Webhook)
 	assert.Equal(t, int32(3), zone.Dispatcher)
 	assert.Equal(t, api.DestinationID(5), zone.Destination)
-	assert.Len(t, zone.Last, 4)
+	assert.Len(t, zone.History, 4)
 	assert.Contains(t, zone.String(), "0.000003s attempt ended dispatcher 3 attempt 0: timed out")
 }
 
@@ -76,7 +76,7 @@
 		send(3, 1, event.AttemptEnded, api.ConnectionReset, 0)
 		send(3, 1, event.Finished, 0, event.DeadLettered)
 		send(3+after, 2, event.AttemptStarted, 0, 0)
-		assert.Equal(t, broken, w.Broken["order"])
+		assert.Equal(t, broken, w.ViolationCount["order"])
 	}
 }
 
@@ -84,6 +84,6 @@
 	w, b := watch()
 	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 1, Deadline: 50})
 	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 2, Deadline: 5000})
-	w.Close(1000)
-	assert.Equal(t, map[string]int{"lost": 1}, w.Broken)
+	w.Finish(1000)
+	assert.Equal(t, map[string]int{"lost": 1}, w.ViolationCount)
 }
--- a/sim/invariant/order.go
+++ b/sim/invariant/order.go
@@ -9,85 +9,85 @@
 
 // order: webhooks of ordered event types that share a key go one at a time, in the order taken, with a rest
 // after an attempt that may still run.
-type order struct {
-	teller
-	t     Terms
-	lines map[line]*queue
-	of    map[stay]*ordered
+type ordering struct {
+	violationReporter
+	thresholds Thresholds
+	queues     map[queueKey]*orderingQueue
+	webhooks   map[webhookKey]*orderedWebhook
 }
 
-type line struct {
-	d   int32
-	key api.OrderingKey
+type queueKey struct {
+	dispatcher  int32
+	orderingKey api.OrderingKey
 }
 
-type queue struct {
-	in     []*ordered
-	restTo api.Micros
+type orderingQueue struct {
+	webhooks    []*orderedWebhook
+	pausedUntil api.Micros
 }
 
-type ordered struct {
-	id          api.WebhookID
-	out, over   bool
-	sentAlready bool
+type orderedWebhook struct {
+	id                 api.WebhookID
+	inFlight, finished bool
+	attempted          bool
 }
 
-func (o *order) Kinds() []event.Kind {
+func (o *ordering) Kinds() []event.Kind {
 	return []event.Kind{event.Accepted, event.Recovered, event.AttemptStarted, event.AttemptEnded, event.Finished, event.Killed}
 }
 
-func (o *order) Observe(e *event.Event) {
+func (o *ordering) Observe(e *event.Event) {
 	if e.Kind == event.Killed {
-		for k := range o.lines {
-			if k.d == e.Dispatcher {
-				delete(o.lines, k)
+		for k := range o.queues {
+			if k.dispatcher == e.Dispatcher {
+				delete(o.queues, k)
 			}
 		}
-		for k := range o.of {
-			if k.d == e.Dispatcher {
-				delete(o.of, k)
+		for k := range o.webhooks {
+			if k.dispatcher == e.Dispatcher {
+				delete(o.webhooks, k)
 			}
 		}
 		return
 	}
-	if e.OrderingKey == 0 || !o.t.EventTypes[min(int(e.EventType), len(o.t.EventTypes)-1)].Ordered {
+	if e.OrderingKey == 0 || !o.thresholds.EventTypes[min(int(e.EventType), len(o.thresholds.EventTypes)-1)].Ordered {
 		return
 	}
-	at := line{e.Dispatcher, e.OrderingKey}
-	q := o.lines[at]
+	at := queueKey{e.Dispatcher, e.OrderingKey}
+	q := o.queues[at]
 	if q == nil {
-		q = &queue{restTo: api.Never}
-		o.lines[at] = q
+		q = &orderingQueue{pausedUntil: api.Never}
+		o.queues[at] = q
 	}
-	w := o.of[stayOf(e)]
+	w := o.webhooks[webhookKeyOf(e)]
 	if w == nil {
 		if e.Kind != event.Accepted && e.Kind != event.Recovered {
 			return
 		}
-		w = &ordered{id: e.Webhook, sentAlready: e.Attempt > 0}
-		o.of[stayOf(e)] = w
-		q.in = append(q.in, w)
+		w = &orderedWebhook{id: e.Webhook, attempted: e.Attempt > 0}
+		o.webhooks[webhookKeyOf(e)] = w
+		q.webhooks = append(q.webhooks, w)
 	}
 	switch e.Kind {
 	case event.AttemptStarted:
-		if q.in[0] != w {
-			o.breach(e, "sent while webhook %d of its key, taken before it, is not over", q.in[0].id)
-		} else if !w.sentAlready && e.At < q.restTo {
-			o.breach(e, "sent %.3f s before its key had rested", (q.restTo - e.At).Seconds())
+		if q.webhooks[0] != w {
+			o.report(e, "sent while webhook %d of its key, taken before it, is not over", q.webhooks[0].id)
+		} else if !w.attempted && e.At < q.pausedUntil {
+			o.report(e, "sent %.3f s before its key had rested", (q.pausedUntil - e.At).Seconds())
 		}
-		w.out, w.sentAlready = true, true
+		w.inFlight, w.attempted = true, true
 	case event.AttemptEnded:
-		w.out = false
+		w.inFlight = false
 		if e.Outcome.MayStillRun() {
-			q.restTo = max(q.restTo, e.At+o.t.OrderingGap)
+			q.pausedUntil = max(q.pausedUntil, e.At+o.thresholds.OrderingGap)
 		}
 	case event.Finished:
-		w.over = true
+		w.finished = true
 	}
-	if w.over && !w.out {
-		q.in = slices.DeleteFunc(q.in, func(x *ordered) bool { return x == w })
-		delete(o.of, stayOf(e))
+	if w.finished && !w.inFlight {
+		q.webhooks = slices.DeleteFunc(q.webhooks, func(x *orderedWebhook) bool { return x == w })
+		delete(o.webhooks, webhookKeyOf(e))
 	}
 }
 
-func (o *order) close(api.Micros) {}
+func (o *ordering) finish(api.Micros) {}
--- a/sim/invariant/passed.go
+++ b/sim/invariant/passed.go
@@ -1,30 +1,30 @@
 package invariant
 
-// fromHomes follows webhooks that dispatchers with homes pass to one another; it is nil while none does.
-type fromHomes struct {
-	passed map[stay]int32 // to whom
-	past   map[stay]bool  // ended there
+// handoffs follows webhooks that dispatchers with homes pass to one another; it is nil while none does.
+type handoffs struct {
+	receivers map[webhookKey]int32 // to whom
+	finished  map[webhookKey]bool  // ended there
 }
 
-func (h *fromHomes) begin() {
-	if h.passed == nil {
-		h.passed, h.past = map[stay]int32{}, map[stay]bool{}
+func (h *handoffs) initialize() {
+	if h.receivers == nil {
+		h.receivers, h.finished = map[webhookKey]int32{}, map[webhookKey]bool{}
 	}
 }
 
-func (h *fromHomes) ended(k stay) {
-	if h.past != nil {
-		h.past[k] = true
+func (h *handoffs) recordFinished(k webhookKey) {
+	if h.finished != nil {
+		h.finished[k] = true
 	}
 }
 
-// has tells whether a webhook is where it is said to have gone, or where that one passed it on to. Two that
+// recordHandoff tells whether a webhook is where it is said to have gone, or where that one passed it on to. Two that
 // name each other have both let it go.
-func (h *fromHomes) has(o *lost, from stay, to int32) bool {
-	h.begin()
-	h.passed[from] = to
-	for at, ok := to, true; ok && at != from.d; at, ok = h.passed[stay{at, from.id}] {
-		if k := (stay{at, from.id}); o.open[k] != nil || h.past[k] {
+func (h *handoffs) recordHandoff(o *delivery, from webhookKey, to int32) bool {
+	h.initialize()
+	h.receivers[from] = to
+	for at, ok := to, true; ok && at != from.dispatcher; at, ok = h.receivers[webhookKey{at, from.webhook}] {
+		if k := (webhookKey{at, from.webhook}); o.owned[k] != nil || h.finished[k] {
 			return true
 		}
 	}
--- a/sim/invariant/recorder.go
+++ b/sim/invariant/recorder.go
@@ -11,39 +11,39 @@
 
 // Recorder counts what happened, for a summary and tables by second, by destination and of cold returns.
 type Recorder struct {
-	t       Terms
-	origins []fate
-	seconds []Second
-	dests   map[api.DestinationID]*Destination
-	out     outs
-	outNow  int
-	sum     Summary
-	cold    map[event.Route]*returning
-	loads   []ColdLoad
+	thresholds   Thresholds
+	requests     []requestOutcome
+	seconds      []Second
+	destinations map[api.DestinationID]*Destination
+	active       activeCalls
+	activeCalls  int
+	summary      Summary
+	warming      map[event.Route]*recoveringRoute
+	warmupLoads  []WarmupLoad
 }
 
-// fate is what became of a webhook as its client knows it.
-type fate struct {
-	cameAt, endAt api.Micros
-	dest          api.DestinationID
-	evt           api.EventTypeID
-	how           verdict
+// requestOutcome is what became of a webhook as its client knows it.
+type requestOutcome struct {
+	submittedAt, finishedAt api.Micros
+	destination             api.DestinationID
+	eventType               api.EventTypeID
+	status                  requestStatus
 }
 
-type verdict uint8
+type requestStatus uint8
 
 const ( // a later one replaces an earlier one
-	unended verdict = iota
-	givenUp
-	died
+	unfinished requestStatus = iota
+	abandoned
+	stateLost
 	deadLettered
 	delivered
 )
 
 // NewRecorder starts with nothing counted.
-func NewRecorder(t Terms) *Recorder {
-	return &Recorder{t: t, dests: map[api.DestinationID]*Destination{}, out: outs{},
-		cold: map[event.Route]*returning{}}
+func NewRecorder(t Thresholds) *Recorder {
+	return &Recorder{thresholds: t, destinations: map[api.DestinationID]*Destination{}, active: activeCalls{},
+		warming: map[event.Route]*recoveringRoute{}}
 }
 
 func (r *Recorder) Kinds() []event.Kind {
@@ -51,18 +51,18 @@
 		event.CallFinished, event.Connected, event.CallArrived, event.CallRefused, event.OutageStarted, event.OutageEnded, event.Collapsed}
 }
 
-func (r *Recorder) second(at api.Micros) *Second {
+func (r *Recorder) secondAt(at api.Micros) *Second {
 	for n := int(at / api.Second); len(r.seconds) <= n; {
-		r.seconds = append(r.seconds, Second{Out: r.outNow})
+		r.seconds = append(r.seconds, Second{MaxActiveCalls: r.activeCalls})
 	}
 	return &r.seconds[at/api.Second]
 }
 
-func (r *Recorder) dest(id api.DestinationID) *Destination {
-	d := r.dests[id]
+func (r *Recorder) destination(id api.DestinationID) *Destination {
+	d := r.destinations[id]
 	if d == nil {
 		d = &Destination{ID: id}
-		r.dests[id] = d
+		r.destinations[id] = d
 	}
 	return d
 }
@@ -70,133 +70,133 @@
 func (r *Recorder) Observe(e *event.Event) {
 	switch e.Kind {
 	case event.Offered:
-		for len(r.origins) <= int(e.Request) {
-			r.origins = append(r.origins, fate{cameAt: api.Never})
+		for len(r.requests) <= int(e.Request) {
+			r.requests = append(r.requests, requestOutcome{submittedAt: api.Never})
 		}
-		r.origins[e.Request] = fate{cameAt: e.At, dest: e.Destination, evt: e.EventType}
+		r.requests[e.Request] = requestOutcome{submittedAt: e.At, destination: e.Destination, eventType: e.EventType}
 	case event.BufferFull:
-		r.sum.TurnedAway++
+		r.summary.BufferFull++
 	case event.AttemptStarted:
-		r.sum.Attempts++
+		r.summary.Attempts++
 	case event.Abandoned:
-		r.origins[e.Request].settle(givenUp, e.At)
+		r.requests[e.Request].update(abandoned, e.At)
 	case event.Finished:
-		if how, ok := map[event.FinalStatus]verdict{event.Delivered: delivered, event.DeadLettered: deadLettered,
-			event.StateLost: died}[e.Final]; ok {
-			r.origins[e.Request].settle(how, e.At)
+		if how, ok := map[event.FinalStatus]requestStatus{event.Delivered: delivered, event.DeadLettered: deadLettered,
+			event.StateLost: stateLost}[e.Final]; ok {
+			r.requests[e.Request].update(how, e.At)
 		}
 	case event.CallStarted:
-		r.outNow++
-		r.sum.Calls++
-		s, d := r.second(e.At), r.dest(e.Destination)
+		r.activeCalls++
+		r.summary.Calls++
+		s, d := r.secondAt(e.At), r.destination(e.Destination)
 		s.Calls++
-		s.Out = max(s.Out, r.outNow)
+		s.MaxActiveCalls = max(s.MaxActiveCalls, r.activeCalls)
 		d.Calls++
-		d.Out = max(d.Out, r.out.see(e))
+		d.MaxActiveCalls = max(d.MaxActiveCalls, r.active.observe(e))
 	case event.CallFinished:
-		r.outNow--
-		r.out.see(e)
+		r.activeCalls--
+		r.active.observe(e)
 	case event.Connected:
-		r.sum.Connects++
-		r.second(e.At).Connected++
+		r.summary.Connects++
+		r.secondAt(e.At).Connects++
 	case event.CallRefused:
-		r.sum.Refused++
-		r.second(e.At).Refused++
-		r.dest(e.Destination).Refused++
+		r.summary.CallsRefused++
+		r.secondAt(e.At).CallsRefused++
+		r.destination(e.Destination).CallsRefused++
 	case event.Collapsed:
-		r.sum.Fell++
+		r.summary.Collapsed++
 	case event.OutageStarted:
-		delete(r.cold, e.Route)
+		delete(r.warming, e.Route)
 	case event.OutageEnded:
-		r.cold[e.Route] = &returning{at: e.At, perS: e.Weight}
+		r.warming[e.Route] = &recoveringRoute{recoveredAt: e.At, rate: e.Weight}
 	case event.CallArrived:
-		r.onCold(e)
+		r.recordWarmupLoad(e)
 	}
 }
 
-func (r *Recorder) onCold(e *event.Event) {
-	c := r.cold[e.Route]
+func (r *Recorder) recordWarmupLoad(e *event.Event) {
+	c := r.warming[e.Route]
 	if c == nil {
 		return
 	}
-	if e.At-c.at >= r.t.SlowStartDuration {
-		delete(r.cold, e.Route)
+	if e.At-c.recoveredAt >= r.thresholds.SlowStartDuration {
+		delete(r.warming, e.Route)
 		return
 	}
 	n := int(e.At / api.Second)
-	at := slices.IndexFunc(r.loads, func(l ColdLoad) bool { return l.Second == n && l.Route == e.Route })
+	at := slices.IndexFunc(r.warmupLoads, func(l WarmupLoad) bool { return l.Second == n && l.Route == e.Route })
 	if at < 0 {
-		share := r.t.SlowStartCapacity + (1-r.t.SlowStartCapacity)*float64(e.At-c.at)/float64(r.t.SlowStartDuration)
-		r.loads = append(r.loads, ColdLoad{Second: n, Destination: e.Destination, Route: e.Route,
-			Limit: r.t.OverloadFactor * share * c.perS})
-		at = len(r.loads) - 1
+		share := r.thresholds.SlowStartCapacity + (1-r.thresholds.SlowStartCapacity)*float64(e.At-c.recoveredAt)/float64(r.thresholds.SlowStartDuration)
+		r.warmupLoads = append(r.warmupLoads, WarmupLoad{Second: n, Destination: e.Destination, Route: e.Route,
+			Limit: r.thresholds.OverloadFactor * share * c.rate})
+		at = len(r.warmupLoads) - 1
 	}
-	r.loads[at].Came += e.Weight
+	r.warmupLoads[at].Weight += e.Weight
 }
 
-func (f *fate) settle(how verdict, at api.Micros) {
-	if how > f.how {
-		f.how, f.endAt = how, at
+func (f *requestOutcome) update(how requestStatus, at api.Micros) {
+	if how > f.status {
+		f.status, f.finishedAt = how, at
 	}
 }
 
-// Close makes the summary and the tables of all that was seen.
-func (r *Recorder) Close() Summary {
+// Finish makes the summary and the tables of all that was seen.
+func (r *Recorder) Finish() Summary {
 	all := newLatency()
 	asked, earned := 0.0, 0.0
-	for i := range r.origins {
-		f := &r.origins[i]
-		if f.cameAt == api.Never {
+	for i := range r.requests {
+		f := &r.requests[i]
+		if f.submittedAt == api.Never {
 			continue
 		}
-		row, d := r.t.EventTypes[f.evt], r.dest(f.dest)
+		row, d := r.thresholds.EventTypes[f.eventType], r.destination(f.destination)
 		asked += row.Value
-		r.sum.Offered++
+		r.summary.Offered++
 		d.Offered++
-		r.second(f.cameAt).Offered++
-		if f.how == unended {
-			r.sum.Unended++
+		r.secondAt(f.submittedAt).Offered++
+		if f.status == unfinished {
+			r.summary.Unfinished++
 			continue
 		}
-		s := r.second(f.endAt)
-		switch f.how {
-		case givenUp:
-			count(&r.sum.Rejected, &d.Rejected, &s.Rejected)
-		case died:
-			count(&r.sum.Died, &d.Died, &s.Died)
+		s := r.secondAt(f.finishedAt)
+		switch f.status {
+		case abandoned:
+			incrementAll(&r.summary.Rejected, &d.Rejected, &s.Rejected)
+		case stateLost:
+			incrementAll(&r.summary.StateLost, &d.StateLost, &s.StateLost)
 		case deadLettered:
-			count(&r.sum.DeadLettered, &d.DeadLettered, &s.DeadLettered)
+			incrementAll(&r.summary.DeadLettered, &d.DeadLettered, &s.DeadLettered)
 		case delivered:
-			took := f.endAt - f.cameAt
+			took := f.finishedAt - f.submittedAt
 			if took <= row.LatencyTarget {
-				count(&r.sum.InTime, &d.InTime, &s.InTime)
+				incrementAll(&r.summary.InTime, &d.InTime, &s.InTime)
 				earned += row.Value
 			} else {
-				count(&r.sum.Late, &d.Late, &s.Late)
+				incrementAll(&r.summary.Late, &d.Late, &s.Late)
 				part := float64(took-row.LatencyTarget) / float64(max(row.TTL-row.LatencyTarget, 1))
 				earned += row.Value * (1 - (1-row.LateValue)*min(part, 1))
 			}
 			if s.latency == nil {
 				s.latency = newLatency()
 			}
-			note(all, took)
-			note(s.latency, took)
+			recordLatency(all, took)
+			recordLatency(s.latency, took)
 		}
 	}
 	for i := range r.seconds {
 		if s := &r.seconds[i]; s.latency != nil {
-			s.P50, s.P99 = at(s.latency, 50), at(s.latency, 99)
+			s.P50, s.P99 = latencyAt(s.latency, 50), latencyAt(s.latency, 99)
 		}
 	}
 	if asked > 0 {
-		r.sum.Value = earned / asked
+		r.summary.Value = earned / asked
 	}
-	r.sum.P50, r.sum.P90, r.sum.P99 = at(all, 50).Seconds(), at(all, 90).Seconds(), at(all, 99).Seconds()
-	r.sum.Longest = at(all, 100).Seconds()
-	return r.sum
+	r.summary.P50, r.summary.P90, r.summary.P99 = latencyAt(all, 50).Seconds(), latencyAt(all, 90).Seconds(), latencyAt(all, 99).Seconds()
+	r.summary.Max = latencyAt(all, 100).Seconds()
+	return r.summary
 }
 
-func count(all ...*int) {
+func incrementAll(all ...*int) {
 	for _, n := range all {
 		*n++
 	}
@@ -207,8 +207,8 @@
 
 func newLatency() *hdr.Histogram { return hdr.New(1, 24*3600*int64(api.Second)/latencyStep, 2) }
 
-func note(h *hdr.Histogram, t api.Micros) { _ = h.RecordValue(max(int64(t)/latencyStep, 1)) }
+func recordLatency(h *hdr.Histogram, t api.Micros) { _ = h.RecordValue(max(int64(t)/latencyStep, 1)) }
 
-func at(h *hdr.Histogram, percentile float64) api.Micros {
+func latencyAt(h *hdr.Histogram, percentile float64) api.Micros {
 	return api.Micros(h.ValueAtQuantile(percentile)) * latencyStep
 }
--- a/sim/invariant/rules.go
+++ b/sim/invariant/rules.go
@@ -9,212 +9,212 @@
 )
 
 // lost: every webhook that was taken on ends once, in time, and no attempt follows its end.
-type lost struct {
-	teller
-	t     Terms
-	open  map[stay]*due
-	ended map[stay]bool
-	at    map[int32]api.Micros // dispatchers down or standing still: until then nothing of theirs is late
-	order []stay
-	homes fromHomes
+type delivery struct {
+	violationReporter
+	thresholds       Thresholds
+	owned            map[webhookKey]*obligation
+	finished         map[webhookKey]bool
+	unavailableUntil map[int32]api.Micros // dispatchers down or standing still: until then nothing of theirs is late
+	finishedOrder    []webhookKey
+	handoffs         handoffs
 }
 
-type due struct {
-	by api.Micros
-	e  event.Event
+type obligation struct {
+	deadline api.Micros
+	accepted event.Event
 }
 
-func (o *lost) Kinds() []event.Kind {
+func (o *delivery) Kinds() []event.Kind {
 	return []event.Kind{event.Accepted, event.Recovered, event.Finished, event.AttemptStarted, event.Killed, event.Paused, event.HandoffAccepted,
 		event.HandoffAcknowledged}
 }
 
-func (o *lost) Observe(e *event.Event) {
-	k := stayOf(e)
+func (o *delivery) Observe(e *event.Event) {
+	k := webhookKeyOf(e)
 	switch e.Kind {
 	case event.Accepted, event.Recovered:
-		o.open[k] = &due{max(e.Deadline, e.At) + o.t.AnswerGrace, *e}
-		delete(o.homes.passed, k)
+		o.owned[k] = &obligation{max(e.Deadline, e.At) + o.thresholds.AnswerGrace, *e}
+		delete(o.handoffs.receivers, k)
 	case event.HandoffAccepted:
-		o.homes.begin()
+		o.handoffs.initialize()
 	case event.HandoffAcknowledged: // there may have been a copy here, or none yet
-		delete(o.open, k)
-		if !o.homes.has(o, k, e.Peer) {
-			o.breach(e, "said to be dispatcher %d's, which does not have it", e.Peer)
+		delete(o.owned, k)
+		if !o.handoffs.recordHandoff(o, k, e.Peer) {
+			o.report(e, "said to be dispatcher %d's, which does not have it", e.Peer)
 		}
 	case event.Killed, event.Paused:
-		if o.at == nil {
-			o.at = map[int32]api.Micros{}
+		if o.unavailableUntil == nil {
+			o.unavailableUntil = map[int32]api.Micros{}
 		}
 		until := e.Until
 		if e.Kind == event.Paused {
 			until = e.At + e.Duration
 		}
-		o.at[e.Dispatcher] = max(o.at[e.Dispatcher], until+o.t.AnswerGrace)
+		o.unavailableUntil[e.Dispatcher] = max(o.unavailableUntil[e.Dispatcher], until+o.thresholds.AnswerGrace)
 		if e.Final == event.StateLost { // it can't know what it had
-			maps.DeleteFunc(o.ended, func(k stay, _ bool) bool { return k.d == e.Dispatcher })
+			maps.DeleteFunc(o.finished, func(k webhookKey, _ bool) bool { return k.dispatcher == e.Dispatcher })
 		}
 	case event.AttemptStarted:
-		if o.ended[k] {
-			o.breach(e, "sent after its end")
-		} else if o.open[k] == nil {
-			o.breach(e, "sent by a dispatcher that did not take it on")
+		if o.finished[k] {
+			o.report(e, "sent after its end")
+		} else if o.owned[k] == nil {
+			o.report(e, "sent by a dispatcher that did not take it on")
 		}
 	case event.Finished:
-		d := o.open[k]
+		d := o.owned[k]
 		if d == nil {
 			if e.Final != event.StateLost { // one that died untaken is owed nothing
-				o.breach(e, "ended (%s) though it is not held", e.Final)
+				o.report(e, "ended (%s) though it is not held", e.Final)
 			}
 			return
 		}
-		if e.Final != event.StateLost && e.At > max(d.by, o.at[e.Dispatcher]) {
-			o.breach(e, "ended %.3f s late", (e.At - d.by).Seconds())
+		if e.Final != event.StateLost && e.At > max(d.deadline, o.unavailableUntil[e.Dispatcher]) {
+			o.report(e, "ended %.3f s late", (e.At - d.deadline).Seconds())
 		}
-		o.homes.ended(k)
-		if delete(o.open, k); e.Final == event.StateLost {
+		o.handoffs.recordFinished(k)
+		if delete(o.owned, k); e.Final == event.StateLost {
 			return
 		}
-		o.ended[k] = true
-		if o.order = append(o.order, k); len(o.order) > keptEnded {
-			delete(o.ended, o.order[0])
-			o.order = o.order[1:]
+		o.finished[k] = true
+		if o.finishedOrder = append(o.finishedOrder, k); len(o.finishedOrder) > maxFinished {
+			delete(o.finished, o.finishedOrder[0])
+			o.finishedOrder = o.finishedOrder[1:]
 		}
 	}
 }
 
-func (o *lost) close(at api.Micros) {
-	var never []*due
-	for _, d := range o.open {
-		if at > max(d.by, o.at[d.e.Dispatcher]) {
+func (o *delivery) finish(at api.Micros) {
+	var never []*obligation
+	for _, d := range o.owned {
+		if at > max(d.deadline, o.unavailableUntil[d.accepted.Dispatcher]) {
 			never = append(never, d)
 		}
 	}
-	slices.SortFunc(never, func(a, b *due) int { return int(a.e.Webhook) - int(b.e.Webhook) })
+	slices.SortFunc(never, func(a, b *obligation) int { return int(a.accepted.Webhook) - int(b.accepted.Webhook) })
 	for _, d := range never {
-		d.e.At = at
-		o.breach(&d.e, "never ended")
+		d.accepted.At = at
+		o.report(&d.accepted, "never ended")
 	}
 }
 
 // twice: what may have run is sent again, or said to be harmless to hand in again, only as its event type
 // allows, and never while it is out.
-type twice struct {
-	teller
-	t  Terms
-	of map[api.WebhookID]*tries // whoever has it
+type duplicates struct {
+	violationReporter
+	thresholds Thresholds
+	webhooks   map[api.WebhookID]*attemptHistory // whoever has it
 }
 
-type tries struct {
-	shared bool // two dispatchers may have it
-	out    bool
-	sentAt api.Micros
-	zone   api.ZoneID
-	mayRun api.Micros
-	ranIn  api.ZoneID
+type attemptHistory struct {
+	shared       bool // two dispatchers may have it
+	inFlight     bool
+	startedAt    api.Micros
+	zone         api.ZoneID
+	mayHaveRunAt api.Micros
+	mayHaveRunIn api.ZoneID
 }
 
-func (o *twice) Kinds() []event.Kind {
+func (o *duplicates) Kinds() []event.Kind {
 	return []event.Kind{event.Accepted, event.Recovered, event.AttemptStarted, event.AttemptEnded, event.Finished, event.HandoffAccepted}
 }
 
-func (o *twice) Observe(e *event.Event) {
-	k, row := e.Webhook, o.t.EventTypes[min(int(e.EventType), len(o.t.EventTypes)-1)]
-	w := o.of[k]
+func (o *duplicates) Observe(e *event.Event) {
+	k, row := e.Webhook, o.thresholds.EventTypes[min(int(e.EventType), len(o.thresholds.EventTypes)-1)]
+	w := o.webhooks[k]
 	if w == nil {
 		if e.Kind != event.Accepted && e.Kind != event.Recovered {
 			return
 		}
-		w = &tries{mayRun: api.Never}
-		o.of[k] = w
+		w = &attemptHistory{mayHaveRunAt: api.Never}
+		o.webhooks[k] = w
 	}
 	switch e.Kind {
 	case event.Recovered, event.HandoffAccepted: // what was out may have run
 		w.shared = w.shared || e.Kind == event.HandoffAccepted
-		if w.out && w.mayRun == api.Never {
-			w.mayRun, w.ranIn = w.sentAt, w.zone
+		if w.inFlight && w.mayHaveRunAt == api.Never {
+			w.mayHaveRunAt, w.mayHaveRunIn = w.startedAt, w.zone
 		}
-		w.out = false
+		w.inFlight = false
 	case event.AttemptStarted:
-		ran := w.mayRun != api.Never
+		ran := w.mayHaveRunAt != api.Never
 		switch {
-		case w.out:
-			o.breach(e, "sent while another attempt is out")
+		case w.inFlight:
+			o.report(e, "sent while another attempt is out")
 		case !ran:
 		case row.Semantics == api.AtMostOnce:
-			o.breach(e, "at-most-once, sent again though it may have run at %.6fs", w.mayRun.Seconds())
-		case row.Semantics == api.Deduplicated && e.At > w.mayRun+row.DedupWindow:
-			o.breach(
+			o.report(e, "at-most-once, sent again though it may have run at %.6fs", w.mayHaveRunAt.Seconds())
+		case row.Semantics == api.Deduplicated && e.At > w.mayHaveRunAt+row.DedupWindow:
+			o.report(
 				e,
 				"tokened, sent again outside its window, %.3f s after it may have run",
-				(e.At - w.mayRun).Seconds(),
+				(e.At - w.mayHaveRunAt).Seconds(),
 			)
-		case row.Semantics == api.Deduplicated && row.DedupByZone && e.Zone != w.ranIn:
-			o.breach(e, "tokened by zone, sent to another zone")
+		case row.Semantics == api.Deduplicated && row.DedupByZone && e.Zone != w.mayHaveRunIn:
+			o.report(e, "tokened by zone, sent to another zone")
 		}
-		w.out, w.sentAt, w.zone = true, e.At, e.Zone
+		w.inFlight, w.startedAt, w.zone = true, e.At, e.Zone
 	case event.AttemptEnded:
-		w.out = false
-		if !e.Outcome.NeverRan() && w.mayRun == api.Never {
-			w.mayRun, w.ranIn = w.sentAt, w.zone
+		w.inFlight = false
+		if !e.Outcome.NeverRan() && w.mayHaveRunAt == api.Never {
+			w.mayHaveRunAt, w.mayHaveRunIn = w.startedAt, w.zone
 		}
 	case event.Finished:
-		mayRun := w.out || w.mayRun != api.Never
+		mayRun := w.inFlight || w.mayHaveRunAt != api.Never
 		if e.Final == event.Rejected && mayRun && row.Semantics != api.Idempotent {
-			o.breach(e, "rejected as harmless though it may have run")
+			o.report(e, "rejected as harmless though it may have run")
 		}
-		if !w.out && !w.shared {
-			delete(o.of, k)
+		if !w.inFlight && !w.shared {
+			delete(o.webhooks, k)
 		}
 	}
 }
 
-func (o *twice) close(api.Micros) {}
+func (o *duplicates) finish(api.Micros) {}
 
 // drain: nothing new goes to an endpoint later than the grace after its dispatcher heard that it drains.
-type drain struct {
-	teller
-	t    Terms
-	told map[told]api.Micros
+type draining struct {
+	violationReporter
+	thresholds Thresholds
+	notifiedAt map[endpointKey]api.Micros
 }
 
-type told struct {
-	d  int32
-	ep api.EndpointID
+type endpointKey struct {
+	dispatcher int32
+	endpoint   api.EndpointID
 }
 
-func (o *drain) Kinds() []event.Kind {
+func (o *draining) Kinds() []event.Kind {
 	return []event.Kind{event.EndpointUpdated, event.AttemptStarted}
 }
 
-func (o *drain) Observe(e *event.Event) {
-	k := told{e.Dispatcher, e.Endpoint}
-	at, known := o.told[k]
+func (o *draining) Observe(e *event.Event) {
+	k := endpointKey{e.Dispatcher, e.Endpoint}
+	at, known := o.notifiedAt[k]
 	switch {
 	case e.Kind == event.EndpointUpdated && e.Status == api.EndpointActive:
-		delete(o.told, k)
+		delete(o.notifiedAt, k)
 	case e.Kind == event.EndpointUpdated && !known:
-		o.told[k] = e.At
-	case e.Kind == event.AttemptStarted && known && e.At > at+o.t.DrainGrace:
-		o.breach(e, "sent to endpoint %d, %.3f s after it was told to drain", e.Endpoint, (e.At - at).Seconds())
+		o.notifiedAt[k] = e.At
+	case e.Kind == event.AttemptStarted && known && e.At > at+o.thresholds.DrainGrace:
+		o.report(e, "sent to endpoint %d, %.3f s after it was told to drain", e.Endpoint, (e.At - at).Seconds())
 	}
 }
 
-func (o *drain) close(api.Micros) {}
+func (o *draining) finish(api.Micros) {}
 
 // wait: a dispatcher that was told to wait sends nothing there before the wait is over. It may send in the
 // very microsecond in which it ends.
-type wait struct {
-	teller
-	until map[toRoute]api.Micros
+type retryAfter struct {
+	violationReporter
+	until map[routeKey]api.Micros
 }
 
-func (o *wait) Kinds() []event.Kind {
+func (o *retryAfter) Kinds() []event.Kind {
 	return []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Killed}
 }
 
-func (o *wait) Observe(e *event.Event) {
-	k := toRouteOf(e)
+func (o *retryAfter) Observe(e *event.Event) {
+	k := routeKeyOf(e)
 	switch e.Kind {
 	case event.AttemptEnded:
 		if e.RetryAfter > 0 {
@@ -222,15 +222,15 @@
 		}
 	case event.AttemptStarted:
 		if until := o.until[k]; e.At < until {
-			o.breach(e, "sent %.6f s before the told wait was over", (until - e.At).Seconds())
+			o.report(e, "sent %.6f s before the told wait was over", (until - e.At).Seconds())
 		}
 	case event.Killed: // a restart ends the wait
 		for k := range o.until {
-			if k.d == e.Dispatcher {
+			if k.dispatcher == e.Dispatcher {
 				delete(o.until, k)
 			}
 		}
 	}
 }
 
-func (o *wait) close(api.Micros) {}
+func (o *retryAfter) finish(api.Micros) {}
--- a/sim/invariant/watch.go
+++ b/sim/invariant/watch.go
@@ -11,153 +11,153 @@
 	"rowanlink/webhook/api"
 )
 
-// Terms are the figures that the rules are told in.
-type Terms struct {
+// Thresholds are the figures that the rules are told in.
+type Thresholds struct {
 	api.Settings
 	DrainGrace  api.Micros
 	AnswerGrace api.Micros // past a webhook's TTL until its end is late
 }
 
-// Breach is a broken rule: where, when, and the last events of the webhook concerned.
-type Breach struct {
-	Rule        string            `json:"rule"`
+// Violation is a broken rule: where, when, and the last events of the webhook concerned.
+type Violation struct {
+	Invariant   string            `json:"rule"`
 	At          api.Micros        `json:"at_us"`
 	Dispatcher  int32             `json:"dispatcher"`
 	Webhook     api.WebhookID     `json:"webhook"`
 	Destination api.DestinationID `json:"destination"`
 	Text        string            `json:"text"`
-	Last        []string          `json:"last,omitempty"`
+	History     []string          `json:"last,omitempty"`
 }
 
-func (b Breach) String() string {
-	s := fmt.Sprintf("%s: %s (%.6fs, dispatcher %d, webhook %d, destination %d)", b.Rule, b.Text, b.At.Seconds(),
+func (b Violation) String() string {
+	s := fmt.Sprintf("%s: %s (%.6fs, dispatcher %d, webhook %d, destination %d)", b.Invariant, b.Text, b.At.Seconds(),
 		b.Dispatcher, b.Webhook, b.Destination)
-	for _, l := range b.Last {
+	for _, l := range b.History {
 		s += "\n    " + l
 	}
 	return s
 }
 
 const (
-	keptBreaches = 50
-	keptEvents   = 10    // of one webhook
-	keptEnded    = 20000 // webhooks whose events are kept after their end
+	maxViolations = 50
+	maxHistory    = 10    // of one webhook
+	maxFinished   = 20000 // webhooks whose events are kept after their end
 )
 
-// Watch is all observers of rules and claims of one run.
-type Watch struct {
-	Breaches []Breach // the first of them
-	Broken   map[string]int
-	history  history
-	rules    []rule
-	claims   []claim
+// Checker is all observers of rules and claims of one run.
+type Checker struct {
+	Violations     []Violation // the first of them
+	ViolationCount map[string]int
+	history        history
+	invariants     []invariantChecker
+	claimCheckers  []claimChecker
 }
 
-type rule interface {
+type invariantChecker interface {
 	event.Observer
-	close(at api.Micros)
+	finish(at api.Micros)
 }
 
 // Claim is one of the design's claims, as seen from outside.
 type Claim struct {
-	Name string `json:"name"`
-	Kept bool   `json:"kept"`
-	Seen bool   `json:"seen"` // there was enough to judge by
-	Text string `json:"text"`
+	Name       string `json:"name"`
+	Holds      bool   `json:"kept"`
+	Conclusive bool   `json:"seen"` // there was enough to judge by
+	Text       string `json:"text"`
 }
 
-type claim interface {
+type claimChecker interface {
 	event.Observer
 	judge() Claim
 }
 
-// Rules are the names of the six rules.
-var Rules = []string{"lost", "twice", "drain", "failback", "order", "wait"}
-
-// NewWatch makes observers that hold a run to the terms.
-func NewWatch(t Terms) *Watch {
-	w := &Watch{Broken: map[string]int{}, history: history{events: map[api.WebhookID][]event.Event{}}}
-	tell := func(rule string) teller { return teller{w, rule} }
-	w.rules = []rule{
-		&lost{teller: tell("lost"), t: t, open: map[stay]*due{}, ended: map[stay]bool{}},
-		&twice{teller: tell("twice"), t: t, of: map[api.WebhookID]*tries{}},
-		&drain{teller: tell("drain"), t: t, told: map[told]api.Micros{}},
-		&failback{teller: tell("failback"), t: t, routes: map[event.Route]*returning{}},
-		&order{teller: tell("order"), t: t, lines: map[line]*queue{}, of: map[stay]*ordered{}},
-		&wait{teller: tell("wait"), until: map[toRoute]api.Micros{}},
+// Names are the names of the six rules.
+var Names = []string{"lost", "twice", "drain", "failback", "order", "wait"}
+
+// NewChecker makes observers that hold a run to the terms.
+func NewChecker(t Thresholds) *Checker {
+	w := &Checker{ViolationCount: map[string]int{}, history: history{events: map[api.WebhookID][]event.Event{}}}
+	tell := func(rule string) violationReporter { return violationReporter{w, rule} }
+	w.invariants = []invariantChecker{
+		&delivery{violationReporter: tell("lost"), thresholds: t, owned: map[webhookKey]*obligation{}, finished: map[webhookKey]bool{}},
+		&duplicates{violationReporter: tell("twice"), thresholds: t, webhooks: map[api.WebhookID]*attemptHistory{}},
+		&draining{violationReporter: tell("drain"), thresholds: t, notifiedAt: map[endpointKey]api.Micros{}},
+		&slowStart{violationReporter: tell("failback"), thresholds: t, routes: map[event.Route]*recoveringRoute{}},
+		&ordering{violationReporter: tell("order"), thresholds: t, queues: map[queueKey]*orderingQueue{}, webhooks: map[webhookKey]*orderedWebhook{}},
+		&retryAfter{violationReporter: tell("wait"), until: map[routeKey]api.Micros{}},
 	}
-	w.claims = []claim{
-		&backoff{pauses: newPauses(t)},
-		&jitter{pauses: newPauses(t)},
-		&destCap{t: t, out: outs{}},
-		&isolates{t: t, out: outs{}, fails: map[toRoute]int{}},
+	w.claimCheckers = []claimChecker{
+		&backoff{retryDelays: newRetryDelays(t)},
+		&jitter{retryDelays: newRetryDelays(t)},
+		&destinationCap{thresholds: t, active: activeCalls{}},
+		&isolation{thresholds: t, active: activeCalls{}, failuresInRow: map[routeKey]int{}},
 	}
 	return w
 }
 
-// Join puts the observers on a bus.
-func (w *Watch) Join(b *event.Bus) {
+// Subscribe puts the observers on a bus.
+func (w *Checker) Subscribe(b *event.Bus) {
 	b.Subscribe(&w.history)
-	for _, r := range w.rules {
+	for _, r := range w.invariants {
 		b.Subscribe(r)
 	}
-	for _, c := range w.claims {
+	for _, c := range w.claimCheckers {
 		b.Subscribe(c)
 	}
 }
 
-// Close ends the watch: what is still owed then is lost.
-func (w *Watch) Close(at api.Micros) {
-	for _, r := range w.rules {
-		r.close(at)
+// Finish ends the watch: what is still owed then is lost.
+func (w *Checker) Finish(at api.Micros) {
+	for _, r := range w.invariants {
+		r.finish(at)
 	}
 }
 
 // Claims judges the design's claims by all that was seen.
-func (w *Watch) Claims() (all []Claim) {
-	for _, c := range w.claims {
+func (w *Checker) Claims() (all []Claim) {
+	for _, c := range w.claimCheckers {
 		all = append(all, c.judge())
 	}
 	return all
 }
 
-// stay is a webhook's stay at a dispatcher, which outlasts the dispatcher's process where its folder does.
-type stay struct {
-	d  int32
-	id api.WebhookID
+// webhookKey is a webhook's stay at a dispatcher, which outlasts the dispatcher's process where its folder does.
+type webhookKey struct {
+	dispatcher int32
+	webhook    api.WebhookID
 }
 
-type toRoute struct {
-	d int32
-	r event.Route
+type routeKey struct {
+	dispatcher int32
+	route      event.Route
 }
 
-func stayOf(e *event.Event) stay       { return stay{e.Dispatcher, e.Webhook} }
-func toRouteOf(e *event.Event) toRoute { return toRoute{e.Dispatcher, e.Route} }
+func webhookKeyOf(e *event.Event) webhookKey { return webhookKey{e.Dispatcher, e.Webhook} }
+func routeKeyOf(e *event.Event) routeKey     { return routeKey{e.Dispatcher, e.Route} }
 
-// teller writes breaches of one rule down.
-type teller struct {
-	w    *Watch
-	rule string
+// violationReporter writes breaches of one rule down.
+type violationReporter struct {
+	checker   *Checker
+	invariant string
 }
 
-func (t teller) breach(e *event.Event, text string, args ...any) {
-	t.w.Broken[t.rule]++
-	if len(t.w.Breaches) >= keptBreaches {
+func (t violationReporter) report(e *event.Event, text string, args ...any) {
+	t.checker.ViolationCount[t.invariant]++
+	if len(t.checker.Violations) >= maxViolations {
 		return
 	}
-	b := Breach{Rule: t.rule, At: e.At, Dispatcher: e.Dispatcher, Webhook: e.Webhook, Destination: e.Destination,
+	b := Violation{Invariant: t.invariant, At: e.At, Dispatcher: e.Dispatcher, Webhook: e.Webhook, Destination: e.Destination,
 		Text: fmt.Sprintf(text, args...)}
-	for _, h := range t.w.history.events[e.Webhook] {
-		b.Last = append(b.Last, h.String())
+	for _, h := range t.checker.history.events[e.Webhook] {
+		b.History = append(b.History, h.String())
 	}
-	t.w.Breaches = append(t.w.Breaches, b)
+	t.checker.Violations = append(t.checker.Violations, b)
 }
 
 // history keeps the last events of each webhook, and those of one that is over for a while.
 type history struct {
-	events map[api.WebhookID][]event.Event
-	ended  []api.WebhookID
+	events   map[api.WebhookID][]event.Event
+	finished []api.WebhookID
 }
 
 func (h *history) Kinds() []event.Kind {
@@ -166,25 +166,25 @@
 
 func (h *history) Observe(e *event.Event) {
 	of := h.events[e.Webhook]
-	if len(of) == keptEvents {
+	if len(of) == maxHistory {
 		copy(of, of[1:])
-		of = of[:keptEvents-1]
+		of = of[:maxHistory-1]
 	}
 	h.events[e.Webhook] = append(of, *e)
 	if e.Kind != event.Finished {
 		return
 	}
-	if h.ended = append(h.ended, e.Webhook); len(h.ended) > keptEnded {
-		delete(h.events, h.ended[0])
-		h.ended = h.ended[1:]
+	if h.finished = append(h.finished, e.Webhook); len(h.finished) > maxFinished {
+		delete(h.events, h.finished[0])
+		h.finished = h.finished[1:]
 	}
 }
 
-// outs counts the calls that each dispatcher has out to each route.
-type outs map[toRoute]int
+// activeCalls counts the calls that each dispatcher has out to each route.
+type activeCalls map[routeKey]int
 
-func (o outs) see(e *event.Event) int {
-	k := toRouteOf(e)
+func (o activeCalls) observe(e *event.Event) int {
+	k := routeKeyOf(e)
 	switch e.Kind {
 	case event.CallStarted:
 		o[k]++
@@ -196,4 +196,4 @@
 	return o[k]
 }
 
-func most(share float64, slots int) int { return max(int(math.Floor(share*float64(slots))), 1) }
+func shareOfSlots(share float64, slots int) int { return max(int(math.Floor(share*float64(slots))), 1) }
