--- a/cmd/rowan-sim/homes.go
+++ b/cmd/rowan-sim/ownership.go
@@ -21,7 +21,7 @@
 		Example: "  rowan-sim homes --free-hops examples/experiments/sweeps/homes-*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var all []experiment.Shared
+			var all []experiment.OwnershipResult
 			if out != "" {
 				if err := os.MkdirAll(out, 0o755); err != nil {
 					return err
@@ -40,18 +40,18 @@
 					runs = 3 * len(points)
 				}
 				b := bar(runs, file)
-				rows, err := s.CompareHomes(points, free, func() { _ = b.Add(1) })
+				rows, err := s.CompareOwnership(points, free, func() { _ = b.Add(1) })
 				if err != nil {
 					return err
 				}
 				if out != "" {
-					if err := experiment.SaveHomes(out, s, points, rows); err != nil {
+					if err := experiment.SaveOwnership(out, s, points, rows); err != nil {
 						return err
 					}
 				}
 				all = append(all, rows...)
 			}
-			_, err := fmt.Fprint(c.OutOrStdout(), experiment.HomesTable(all))
+			_, err := fmt.Fprint(c.OutOrStdout(), experiment.OwnershipTable(all))
 			return err
 		},
 	}
--- a/cmd/rowan-sim/run.go
+++ b/cmd/rowan-sim/run.go
@@ -28,7 +28,7 @@
 			if c.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			r, err := experiment.Play(s, policy, measured)
+			r, err := experiment.Run(s, policy, measured)
 			if err != nil {
 				return err
 			}
@@ -44,14 +44,14 @@
 			} else {
 				err = summary(c.OutOrStdout(), r)
 			}
-			if err == nil && r.RulesBroken() {
+			if err == nil && r.Violated() {
 				err = errBroken
 			}
 			return err
 		},
 	}
 	c.Flags().Uint64Var(&seed, "seed", 0, "seed in place of the scenario's")
-	c.Flags().StringVar(&policy, "policy", experiment.Module, "one of "+strings.Join(experiment.Policies(), ", "))
+	c.Flags().StringVar(&policy, "policy", experiment.DefaultPolicy, "one of "+strings.Join(experiment.Policies(), ", "))
 	c.Flags().StringVar(&out, "out", "", "folder for the tables")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the summary as JSON")
 	c.Flags().BoolVar(&measured, "cost", false, "measure what the run takes on this machine")
@@ -83,7 +83,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %s, seed %d: value %.4f\n", r.Scenario, r.Policy, r.Seed, r.Value)
-	fmt.Fprintf(&b, "  offered        %d in %.1f simulated s\n", r.Offered, r.Ended)
+	fmt.Fprintf(&b, "  offered        %d in %.1f simulated s\n", r.Offered, r.EndedAt)
 	fmt.Fprintf(&b, "  in time        %s\n  late           %s\n  rejected       %s\n  dead-lettered  %s\n",
 		share(r.InTime), share(r.Late), share(r.Rejected), share(r.DeadLettered))
 	if r.StateLost+r.Unfinished > 0 {
@@ -122,18 +122,18 @@
 			&b,
 			"  cost           %.2f s, %.0f%% of it the module's; %.0f events/s, %.0f webhooks/s; %.0f MB; "+
 				"%d events waited at most\n",
-			c.WallS,
-			100*c.ModuleS/c.WallS,
-			c.PerSecond,
-			c.Webhooks,
+			c.WallSeconds,
+			100*c.PolicySeconds/c.WallSeconds,
+			c.EventsPerSecond,
+			c.WebhooksPerSecond,
 			c.HeapMB,
-			r.Peak,
+			r.PeakQueueLength,
 		)
 	}
-	for _, rule := range sortedKeys(r.Broken) {
-		fmt.Fprintf(&b, "  RULE %s broken %d times\n", rule, r.Broken[rule])
+	for _, rule := range sortedKeys(r.Violations) {
+		fmt.Fprintf(&b, "  RULE %s broken %d times\n", rule, r.Violations[rule])
 	}
-	for _, breach := range r.Breaches[:min(len(r.Breaches), 5)] {
+	for _, breach := range r.FirstViolations[:min(len(r.FirstViolations), 5)] {
 		fmt.Fprintln(&b, "  "+breach.String())
 	}
 	_, err := io.WriteString(to, b.String())
--- a/cmd/rowan-sim/study.go
+++ b/cmd/rowan-sim/study.go
@@ -114,8 +114,8 @@
 					r.Diff,
 					r.Low,
 					r.High,
-					r.BrokenA,
-					r.BrokenB,
+					r.ViolatedA,
+					r.ViolatedB,
 				)
 			}
 			return nil
@@ -143,7 +143,7 @@
 			if err != nil {
 				return err
 			}
-			start, err := experiment.Starter(policy)
+			start, err := experiment.NewPolicyFactory(policy)
 			if err != nil {
 				return err
 			}
@@ -151,9 +151,9 @@
 				return errors.New("hunt needs one run or more")
 			}
 			b := bar(2*runs, "runs")
-			f := (&experiment.Hunt{Start: start, Runs: runs, Seed: seed, Step: func() { _ = b.Add(1) }}).Find(s)
+			f := (&experiment.Search{NewPolicy: start, Runs: runs, Seed: seed, OnRun: func() { _ = b.Add(1) }}).FindWorst(s)
 			_ = b.Finish()
-			text, err := experiment.Text(f.Scenario)
+			text, err := experiment.Marshal(f.Scenario)
 			if err != nil {
 				return err
 			}
@@ -165,11 +165,11 @@
 				"%s: loss %.3f, rule broken: %q, %d runs, %d steps smaller\n",
 				out,
 				f.Loss,
-				f.Rule,
-				f.Played,
-				f.Shrunk,
+				f.Invariant,
+				f.Runs,
+				f.ShrinkSteps,
 			)
-			if f.Rule != "" {
+			if f.Invariant != "" {
 				return errBroken
 			}
 			return nil
@@ -177,7 +177,7 @@
 	}
 	c.Flags().StringVar(&out, "out", "found.toml", "file for the scenario found")
 	c.Flags().
-		StringVar(&policy, "policy", experiment.Module, "whom to hunt: one of "+strings.Join(experiment.Policies(), ", "))
+		StringVar(&policy, "policy", experiment.DefaultPolicy, "whom to hunt: one of "+strings.Join(experiment.Policies(), ", "))
 	c.Flags().IntVar(&runs, "runs", 100, "runs to search with, and as many again to shrink")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the search")
 	return c
--- a/sim/engine/homes_test.go
+++ b/sim/engine/cluster_test.go
@@ -85,7 +85,7 @@
 		r := playHomes(t, drawn(seed), sound)
 		assert.Empty(t, r.ViolationCount, "seed %d: %s", seed, texts(r.Violations))
 		assert.Zero(t, r.Unfinished, "seed %d", seed)
-		assert.Positive(t, r.Handed, "seed %d", seed)
+		assert.Positive(t, r.Handoffs, "seed %d", seed)
 	}
 }
 
@@ -121,10 +121,10 @@
 		}},
 		{"forwarders call too", homesDay(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 2}),
 			func(r homesRun) error {
-				return unless(r.Returns == 2 && r.Callers == 1, "canaries of %.1f dispatchers", r.Callers)
+				return unless(r.Returns == 2 && r.CallersDuringOutage == 1, "canaries of %.1f dispatchers", r.CallersDuringOutage)
 			}},
 		{"a hop costs nothing", homesDay(), func(r homesRun) error {
-			return unless(r.Handed > 1000 && r.Hop50 >= 0.019 && r.Hop99 < 0.2, "hops of %.4f s", r.Hop50)
+			return unless(r.Handoffs > 1000 && r.HandoffP50 >= 0.019 && r.HandoffP99 < 0.2, "hops of %.4f s", r.HandoffP50)
 		}},
 		{"a lost home stays home", killed, func(r homesRun) error {
 			lost, again := map[api.DestinationID]bool{}, map[api.DestinationID]bool{}
@@ -138,7 +138,7 @@
 					return fmt.Errorf("nothing is delivered to destination %d", d)
 				}
 			}
-			return unless(r.Silence > 2 && r.Silence < 5, "silent for %.1f s", r.Silence)
+			return unless(r.LongestGap > 2 && r.LongestGap < 5, "silent for %.1f s", r.LongestGap)
 		}},
 		{"told before it is in the journal", slow, func(r homesRun) error {
 			return unless(r.ViolationCount["lost"] == 0, "lost")
--- a/sim/experiment/compare.go
+++ b/sim/experiment/compare.go
@@ -12,24 +12,24 @@
 
 // Comparison is two policies on the same runs. Diff is A's value less B's, seed by seed.
 type Comparison struct {
-	Scenario string    `json:"scenario"`
-	A        string    `json:"a"`
-	B        string    `json:"b"`
-	Seeds    []uint64  `json:"seeds"`
-	ValuesA  []float64 `json:"values_a"`
-	ValuesB  []float64 `json:"values_b"`
-	BrokenA  int       `json:"broken_a"` // runs in which a rule was
-	BrokenB  int       `json:"broken_b"`
-	MeanA    float64   `json:"mean_a"`
-	MeanB    float64   `json:"mean_b"`
-	Diff     float64   `json:"diff"`
-	Low      float64   `json:"low"` // of the 95% interval of Diff
-	High     float64   `json:"high"`
+	Scenario  string    `json:"scenario"`
+	A         string    `json:"a"`
+	B         string    `json:"b"`
+	Seeds     []uint64  `json:"seeds"`
+	ValuesA   []float64 `json:"values_a"`
+	ValuesB   []float64 `json:"values_b"`
+	ViolatedA int       `json:"broken_a"` // runs in which a rule was
+	ViolatedB int       `json:"broken_b"`
+	MeanA     float64   `json:"mean_a"`
+	MeanB     float64   `json:"mean_b"`
+	Diff      float64   `json:"diff"`
+	Low       float64   `json:"low"` // of the 95% interval of Diff
+	High      float64   `json:"high"`
 }
 
 const (
-	resamples = 10_000
-	outside   = 0.05
+	resamples    = 10_000
+	significance = 0.05
 )
 
 // Compare plays both policies with seeds 1 to n, side by side on all cores.
@@ -43,9 +43,9 @@
 			policy, to = b, c.ValuesB
 		}
 		run.Seed = uint64(i/2 + 1)
-		r, err := Play(&run, policy, false)
+		r, err := Run(&run, policy, false)
 		if failed[i] = err; err == nil {
-			to[i/2], broken[i] = r.Value, r.RulesBroken()
+			to[i/2], broken[i] = r.Value, r.Violated()
 		}
 	})
 	for i, err := range failed {
@@ -53,9 +53,9 @@
 			return nil, err
 		}
 		if broken[i] && i%2 == 0 {
-			c.BrokenA++
+			c.ViolatedA++
 		} else if broken[i] {
-			c.BrokenB++
+			c.ViolatedB++
 		}
 	}
 	diffs := make([]float64, n)
@@ -64,12 +64,12 @@
 		c.Seeds = append(c.Seeds, uint64(i+1))
 	}
 	c.MeanA, c.MeanB, c.Diff = stat.Mean(c.ValuesA, nil), stat.Mean(c.ValuesB, nil), stat.Mean(diffs, nil)
-	c.Low, c.High = interval(diffs)
+	c.Low, c.High = bootstrapInterval(diffs)
 	return c, nil
 }
 
-// interval is the bootstrap's for the mean: the same each time for the same numbers.
-func interval(of []float64) (low, high float64) {
+// bootstrapInterval is the bootstrap's for the mean: the same each time for the same numbers.
+func bootstrapInterval(of []float64) (low, high float64) {
 	chance := rand.New(rand.NewPCG(uint64(len(of)), resamples))
 	means, drawn := make([]float64, resamples), make([]float64, len(of))
 	for i := range means {
@@ -80,12 +80,12 @@
 	}
 	slices.Sort(means)
 	return stat.Quantile(
-			outside/2,
+			significance/2,
 			stat.Empirical,
 			means,
 			nil,
 		), stat.Quantile(
-			1-outside/2,
+			1-significance/2,
 			stat.Empirical,
 			means,
 			nil,
--- a/sim/experiment/lab_test.go
+++ b/sim/experiment/experiment_test.go
@@ -55,7 +55,7 @@
 	for _, file := range examples(t) {
 		s, err := Load(file)
 		require.NoError(t, err)
-		text, err := Text(s)
+		text, err := Marshal(s)
 		require.NoError(t, err)
 		assert.Equal(t, s, parsed(t, string(text)), file)
 	}
@@ -84,9 +84,9 @@
 			s.Destinations.Active = min(s.Destinations.Active, 2000)
 			s.Dispatchers.Count = min(s.Dispatchers.Count, 50)
 		}
-		r, err := Play(s, Module, false)
+		r, err := Run(s, DefaultPolicy, false)
 		assert.NoError(t, err)
-		assert.Empty(t, r.Breaches, s.Name)
+		assert.Empty(t, r.FirstViolations, s.Name)
 		assert.Zero(t, r.Unfinished, s.Name)
 		assert.Positive(t, r.InTime, s.Name)
 		for _, c := range r.Claims {
@@ -111,7 +111,7 @@
 [clients]
 clumps = 0.1`))
 	tables := func() string {
-		r, err := Play(s, Module, false)
+		r, err := Run(s, DefaultPolicy, false)
 		assert.NoError(t, err)
 		dir := t.TempDir()
 		assert.NoError(t, Save(dir, s, r))
@@ -134,16 +134,16 @@
 func TestPoliciesMeetTheSameWebhooks(t *testing.T) {
 	var offered []int
 	for _, p := range Policies() {
-		r, err := Play(parsed(t, small()), p, false)
+		r, err := Run(parsed(t, small()), p, false)
 		require.NoError(t, err)
 		offered = append(offered, r.Offered)
 		assert.Zero(t, r.Unfinished, p)
-		assert.Empty(t, r.Broken["lost"]+r.Broken["twice"]+r.Broken["wait"]+r.Broken["drain"]+r.Broken["order"], p)
+		assert.Empty(t, r.Violations["lost"]+r.Violations["twice"]+r.Violations["wait"]+r.Violations["drain"]+r.Violations["order"], p)
 	}
 	for _, n := range offered {
 		assert.Equal(t, offered[0], n)
 	}
-	_, err := Play(parsed(t, small()), "best", false)
+	_, err := Run(parsed(t, small()), "best", false)
 	assert.ErrorContains(t, err, `no policy is called "best"`)
 }
 
@@ -162,22 +162,22 @@
 func TestHuntFindsAPlantedFaultAndShrinksIt(t *testing.T) {
 	start := func(f api.Settings, h api.Host) api.Policy { return deaf{policy.New(f, h)} }
 	base := parsed(t, small(`length = "8s"`, `length = "20s"`))
-	h := &Hunt{Start: start, Runs: 60, Seed: 2, Step: func() {}}
-	f := h.Find(base)
-	assert.Equal(t, "drain", f.Rule)
-	assert.LessOrEqual(t, f.Played, 120)
-	assert.Positive(t, f.Shrunk)
+	h := &Search{NewPolicy: start, Runs: 60, Seed: 2, OnRun: func() {}}
+	f := h.FindWorst(base)
+	assert.Equal(t, "drain", f.Invariant)
+	assert.LessOrEqual(t, f.Runs, 120)
+	assert.Positive(t, f.ShrinkSteps)
 	require.Len(t, f.Scenario.Faults, 1)
 	assert.Equal(t, "replace", f.Scenario.Faults[0].Kind)
 
 	// The file plays it again.
-	text, err := Text(f.Scenario)
+	text, err := Marshal(f.Scenario)
 	require.NoError(t, err)
-	assert.Positive(t, PlayWith(parsed(t, string(text)), start, false).Broken["drain"])
+	assert.Positive(t, RunWith(parsed(t, string(text)), start, false).Violations["drain"])
 	assert.Equal(
 		t,
 		f,
-		(&Hunt{Start: start, Runs: 60, Seed: 2, Step: func() {}}).Find(base),
+		(&Search{NewPolicy: start, Runs: 60, Seed: 2, OnRun: func() {}}).FindWorst(base),
 		"the same find each time",
 	)
 }
@@ -188,7 +188,7 @@
 		t,
 		small("[clients]", "[[trouble]]\nkind = \"down\"\nat = \"2s\"\nfor = \"2s\"\nbusiest = 2\n\n[clients]"),
 	)
-	r, err := Play(s, Module, true)
+	r, err := Run(s, DefaultPolicy, true)
 	require.NoError(t, err)
 	require.NoError(t, Save(dir, s, r))
 	written, err := Plot(dir)
--- a/sim/experiment/pictures.go
+++ b/sim/experiment/figures.go
@@ -13,14 +13,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// picture is one chart of a page.
-type picture struct {
+// figure is one chart of a page.
+type figure struct {
 	Name, Title string
 	SVG         template.HTML
-	plot        *plot.Plot
+	chart       *plot.Plot
 }
 
-func runPictures(dir string) (all []picture, err error) {
+func runFigures(dir string) (all []figure, err error) {
 	t, err := readTable(filepath.Join(dir, "seconds.csv"))
 	if err != nil {
 		return nil, err
@@ -28,21 +28,21 @@
 	by := func(cols ...string) (lines []series) {
 		for _, c := range cols {
 			s := series{name: c}
-			for i := range t.rows {
-				s.at = append(s.at, plotter.XY{X: t.number("second", i), Y: t.number(c, i)})
+			for i := range t.rowCount {
+				s.points = append(s.points, plotter.XY{X: t.number("second", i), Y: t.number(c, i)})
 			}
 			lines = append(lines, s)
 		}
 		return lines
 	}
-	add := func(p picture, failed error) {
+	add := func(p figure, failed error) {
 		all = append(all, p)
 		err = errors.Join(err, failed)
 	}
-	add(chart("ends", "Webhooks by second", "s", "webhooks a second",
+	add(lineChart("ends", "Webhooks by second", "s", "webhooks a second",
 		by("offered", "in_time", "late", "rejected", "dead_lettered", "died")...))
-	add(chart("latency", "Latency of what was delivered in that second", "s", "s", by("p50_s", "p99_s")...))
-	add(chart("calls", "Calls by second", "s", "calls", by("calls", "refused", "connected", "out")...))
+	add(lineChart("latency", "Latency of what was delivered in that second", "s", "s", by("p50_s", "p99_s")...))
+	add(lineChart("calls", "Calls by second", "s", "calls", by("calls", "refused", "connected", "out")...))
 	d, failed := readTable(filepath.Join(dir, "destinations.csv"))
 	if failed != nil {
 		return nil, failed
@@ -52,20 +52,20 @@
 	if failed != nil {
 		return nil, failed
 	}
-	if cold.rows > 0 {
-		add(coldChart(cold))
+	if cold.rowCount > 0 {
+		add(warmupChart(cold))
 	}
 	return all, err
 }
 
 // destinationChart shows the busiest destinations side by side: calls out at most, and what was refused.
-func destinationChart(t *table) (picture, error) {
-	order := make([]int, t.rows)
+func destinationChart(t *table) (figure, error) {
+	order := make([]int, t.rowCount)
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return int(t.number("calls", b) - t.number("calls", a)) })
-	order = order[:min(len(order), busiestShown)]
+	order = order[:min(len(order), maxDestinations)]
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "destination, the busiest first", "calls"
 	p.Legend.Top = true
@@ -73,7 +73,7 @@
 	cols := []string{"calls", "refused", "out"}
 	values := make([]plotter.Values, len(cols))
 	for _, row := range order {
-		names = append(names, t.cols["destination"][row])
+		names = append(names, t.cells["destination"][row])
 		for c, col := range cols {
 			values[c] = append(values[c], t.number(col, row))
 		}
@@ -83,7 +83,7 @@
 		for c, col := range cols {
 			bars, err := plotter.NewBarChart(values[c], width)
 			if err != nil {
-				return picture{}, err
+				return figure{}, err
 			}
 			bars.Color, bars.Offset = plotutil.Color(c), width*vg.Length(c-1)
 			bars.LineStyle.Width = 0
@@ -93,32 +93,32 @@
 		}
 		p.NominalX(names...)
 	}
-	return picture{Name: "destinations", Title: "Calls out and refused, by destination", plot: p}, nil
+	return figure{Name: "destinations", Title: "Calls out and refused, by destination", chart: p}, nil
 }
 
-// coldChart shows the load on routes while they were cold, as a share of what they may be sent.
-func coldChart(t *table) (picture, error) {
+// warmupChart shows the load on routes while they were cold, as a share of what they may be sent.
+func warmupChart(t *table) (figure, error) {
 	byRoute := map[string]*series{}
 	var order []string
 	sum := map[string]float64{}
-	for i := range t.rows {
-		key := t.cols["route"][i]
+	for i := range t.rowCount {
+		key := t.cells["route"][i]
 		if byRoute[key] == nil {
-			byRoute[key] = &series{name: "destination " + t.cols["destination"][i]}
+			byRoute[key] = &series{name: "destination " + t.cells["destination"][i]}
 			order = append(order, key)
 		}
-		byRoute[key].at = append(byRoute[key].at, plotter.XY{X: t.number("second", i),
+		byRoute[key].points = append(byRoute[key].points, plotter.XY{X: t.number("second", i),
 			Y: t.number("came", i) / t.number("limit", i)})
 		sum[key] += t.number("came", i)
 	}
 	slices.SortStableFunc(order, func(a, b string) int { return int(sum[b] - sum[a]) })
 	var lines []series
-	for _, key := range order[:min(len(order), coldShown)] {
+	for _, key := range order[:min(len(order), maxRoutes)] {
 		lines = append(lines, *byRoute[key])
 	}
-	first, last := t.number("second", 0), t.number("second", t.rows-1)
+	first, last := t.number("second", 0), t.number("second", t.rowCount-1)
 	lines = append(lines, series{"its limit", plotter.XYs{{X: first, Y: 1}, {X: last, Y: 1}}})
-	return chart(
+	return lineChart(
 		"cold",
 		"Load on cold destinations, over the limit beyond which they fall",
 		"s",
@@ -126,20 +126,20 @@
 		lines...)
 }
 
-// sweepPictures show the value, the late end and the costs over the first axis, a line for each policy and
+// sweepFigures show the value, the late end and the costs over the first axis, a line for each policy and
 // for each point of the other axes; seeds are averaged.
-func sweepPictures(dir string) (all []picture, err error) {
+func sweepFigures(dir string) (all []figure, err error) {
 	t, err := readTable(filepath.Join(dir, "runs.csv"))
 	if err != nil {
 		return nil, err
 	}
-	axes := slices.Index(t.names, "policy")
+	axes := slices.Index(t.columns, "policy")
 	if axes < 1 {
 		return nil, errors.New("runs.csv has no axis to draw over")
 	}
 	cols := []string{"value", "p99_s"}
 	for _, c := range costColumns {
-		if slices.Contains(t.names, c) {
+		if slices.Contains(t.columns, c) {
 			cols = append(cols, c)
 		}
 	}
@@ -147,16 +147,16 @@
 		type mean struct{ sum, n float64 }
 		byLine := map[string]map[float64]*mean{}
 		var order []string
-		for i := range t.rows {
-			name := t.cols["policy"][i]
-			for _, other := range t.names[1:axes] {
-				name += ", " + t.cols[other][i]
+		for i := range t.rowCount {
+			name := t.cells["policy"][i]
+			for _, other := range t.columns[1:axes] {
+				name += ", " + t.cells[other][i]
 			}
 			if byLine[name] == nil {
 				byLine[name] = map[float64]*mean{}
 				order = append(order, name)
 			}
-			x := t.number(t.names[0], i)
+			x := t.number(t.columns[0], i)
 			if math.IsNaN(x) {
 				x = float64(len(byLine[name]))
 			}
@@ -170,9 +170,9 @@
 		for _, name := range order {
 			s := series{name: name}
 			for x, m := range byLine[name] {
-				s.at = append(s.at, plotter.XY{X: x, Y: m.sum / m.n})
+				s.points = append(s.points, plotter.XY{X: x, Y: m.sum / m.n})
 			}
-			slices.SortFunc(s.at, func(a, b plotter.XY) int {
+			slices.SortFunc(s.points, func(a, b plotter.XY) int {
 				if a.X < b.X {
 					return -1
 				}
@@ -180,7 +180,7 @@
 			})
 			lines = append(lines, s)
 		}
-		p, failed := chart(col, col+" over "+t.names[0], t.names[0], col, lines...)
+		p, failed := lineChart(col, col+" over "+t.columns[0], t.columns[0], col, lines...)
 		all, err = append(all, p), errors.Join(err, failed)
 	}
 	return all, err
--- a/sim/experiment/grid.go
+++ b/sim/experiment/grid.go
@@ -16,29 +16,29 @@
 
 // Sweep is a grid: each point of it is played with each policy and each seed.
 type Sweep struct {
-	Base     string   `toml:"base"` // the scenario, beside this file
-	Seeds    []uint64 `toml:"seeds"`
-	Policies []string `toml:"policies"`
-	Cost     bool     `toml:"cost"` // measure each run, one at a time
-	Vary     []Vary   `toml:"vary"`
+	Base        string   `toml:"base"` // the scenario, beside this file
+	Seeds       []uint64 `toml:"seeds"`
+	Policies    []string `toml:"policies"`
+	MeasureCost bool     `toml:"cost"` // measure each run, one at a time
+	Axes        []Axis   `toml:"vary"`
 }
 
-// Vary is one axis: a key of the scenario, or several that change together, with their values.
-type Vary struct {
+// Axis is one axis: a key of the scenario, or several that change together, with their values.
+type Axis struct {
 	Keys   []string `toml:"keys"`
 	Values [][]any  `toml:"values"` // one row a point, one value a key
 }
 
-// point is one run to be played.
-type point struct {
-	scenario *engine.Scenario
-	policy   string
-	axes     []string
-	key      string // of the scenario's whole text and the policy: a row of another text is never taken for it
+// gridPoint is one run to be played.
+type gridPoint struct {
+	scenario   *engine.Scenario
+	policy     string
+	axisValues []string
+	digest     string // of the scenario's whole text and the policy: a row of another text is never taken for it
 }
 
 // LoadSweep reads a sweep and every scenario that it asks for.
-func LoadSweep(path string) (*Sweep, []point, error) {
+func LoadSweep(path string) (*Sweep, []gridPoint, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -48,7 +48,7 @@
 		return nil, nil, err
 	}
 	var faults []error
-	where := lines(text)
+	where := keyLines(text)
 	fault := func(ok bool, key, text string, args ...any) {
 		if !ok {
 			faults = append(faults, FileError{path, where[key], key, fmt.Sprintf(text, args...)})
@@ -59,12 +59,12 @@
 		s.Seeds = []uint64{1}
 	}
 	if len(s.Policies) == 0 {
-		s.Policies = []string{Module}
+		s.Policies = []string{DefaultPolicy}
 	}
 	for _, p := range s.Policies {
-		fault(policies[p] != nil, "policies", "no policy is called %q", p)
+		fault(policyFactories[p] != nil, "policies", "no policy is called %q", p)
 	}
-	for i, v := range s.Vary {
+	for i, v := range s.Axes {
 		at := fmt.Sprintf("vary.%d", i)
 		fault(len(v.Keys) > 0 && len(v.Values) > 0, at, "keys and values must both be given")
 		for _, row := range v.Values {
@@ -85,7 +85,7 @@
 }
 
 // points lays the grid out, the last axis running quickest, then seeds, then policies.
-func (s *Sweep) points(base string) (all []point, err error) {
+func (s *Sweep) points(base string) (all []gridPoint, err error) {
 	text, err := os.ReadFile(base)
 	if err != nil {
 		return nil, err
@@ -93,17 +93,17 @@
 	if _, err := Parse(base, text); err != nil {
 		return nil, err
 	}
-	at := make([]int, len(s.Vary))
+	at := make([]int, len(s.Axes))
 	for {
 		var tree map[string]any
 		if err := toml.Unmarshal(text, &tree); err != nil {
 			return nil, err
 		}
 		var axes []string
-		for i, v := range s.Vary {
+		for i, v := range s.Axes {
 			for k, key := range v.Keys {
 				value := v.Values[at[i]][k]
-				if err := set(tree, strings.Split(key, "."), value); err != nil {
+				if err := setValue(tree, strings.Split(key, "."), value); err != nil {
 					return nil, fmt.Errorf("vary %s: %w", key, err)
 				}
 				axes = append(axes, fmt.Sprint(value))
@@ -120,17 +120,17 @@
 					return nil, err
 				}
 				sc.Seed = seed
-				whole, err := Text(sc)
+				whole, err := Marshal(sc)
 				if err != nil {
 					return nil, err
 				}
 				key := strconv.FormatUint(xxhash.Sum64(append(whole, policy...)), 16)
-				all = append(all, point{sc, policy, axes, key})
+				all = append(all, gridPoint{sc, policy, axes, key})
 			}
 		}
 		i := len(at) - 1
 		for ; i >= 0; i-- {
-			if at[i]++; at[i] < len(s.Vary[i].Values) {
+			if at[i]++; at[i] < len(s.Axes[i].Values) {
 				break
 			}
 			at[i] = 0
@@ -141,8 +141,8 @@
 	}
 }
 
-// set puts a value into a tree of TOML, at a path in which a number stands for the place in a list.
-func set(tree any, path []string, value any) error {
+// setValue puts a value into a tree of TOML, at a path in which a number stands for the place in a list.
+func setValue(tree any, path []string, value any) error {
 	switch t := tree.(type) {
 	case map[string]any:
 		if len(path) == 1 {
@@ -152,7 +152,7 @@
 		if t[path[0]] == nil {
 			t[path[0]] = map[string]any{}
 		}
-		return set(t[path[0]], path[1:], value)
+		return setValue(t[path[0]], path[1:], value)
 	case []any:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(t) {
@@ -162,7 +162,7 @@
 			t[i] = value
 			return nil
 		}
-		return set(t[i], path[1:], value)
+		return setValue(t[i], path[1:], value)
 	}
 	return fmt.Errorf("%q is in no table", path[0])
 }
--- a/sim/experiment/plot.go
+++ b/sim/experiment/plot.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	chartWide, chartHigh = 22 * vg.Centimeter, 9 * vg.Centimeter
-	busiestShown         = 12
-	coldShown            = 6
+	chartWidth, chartHeight = 22 * vg.Centimeter, 9 * vg.Centimeter
+	maxDestinations         = 12
+	maxRoutes               = 6
 )
 
 // table is a CSV read back, by column.
 type table struct {
-	names []string
-	cols  map[string][]string
-	rows  int
+	columns  []string
+	cells    map[string][]string
+	rowCount int
 }
 
 func readTable(path string) (*table, error) {
@@ -42,21 +42,21 @@
 	defer f.Close()
 	rows, err := csv.NewReader(f).ReadAll()
 	if err != nil || len(rows) == 0 {
-		return nil, fmt.Errorf("%s is no table: %w", path, errors.Join(err, errEmpty))
+		return nil, fmt.Errorf("%s is no table: %w", path, errors.Join(err, errNoHeader))
 	}
-	t := &table{names: rows[0], cols: map[string][]string{}, rows: len(rows) - 1}
+	t := &table{columns: rows[0], cells: map[string][]string{}, rowCount: len(rows) - 1}
 	for _, row := range rows[1:] {
 		for i, cell := range row {
-			t.cols[rows[0][i]] = append(t.cols[rows[0][i]], cell)
+			t.cells[rows[0][i]] = append(t.cells[rows[0][i]], cell)
 		}
 	}
 	return t, nil
 }
 
-var errEmpty = errors.New("it has no head")
+var errNoHeader = errors.New("it has no head")
 
 func (t *table) number(col string, row int) float64 {
-	x, err := strconv.ParseFloat(t.cols[col][row], 64)
+	x, err := strconv.ParseFloat(t.cells[col][row], 64)
 	if err != nil {
 		return math.NaN()
 	}
@@ -65,23 +65,23 @@
 
 // line is a named series of points.
 type series struct {
-	name string
-	at   plotter.XYs
+	name   string
+	points plotter.XYs
 }
 
 // Plot draws the charts of a folder that run or sweep wrote, as SVG and PNG beside the tables, and
 // page.html, which holds them all and needs nothing else. It returns what it wrote.
 func Plot(dir string) ([]string, error) {
-	var all []picture
+	var all []figure
 	title, about := filepath.Base(dir), ""
 	if _, err := os.Stat(filepath.Join(dir, "runs.csv")); err == nil {
-		pictures, err := sweepPictures(dir)
+		pictures, err := sweepFigures(dir)
 		if err != nil {
 			return nil, err
 		}
 		all = pictures
 	} else if errors.Is(err, fs.ErrNotExist) {
-		pictures, err := runPictures(dir)
+		pictures, err := runFigures(dir)
 		if err != nil {
 			return nil, fmt.Errorf("%s holds neither a run nor a sweep: %w", dir, err)
 		}
@@ -95,7 +95,7 @@
 	var written []string
 	for i := range all {
 		for _, format := range []string{"svg", "png"} {
-			w, err := all[i].plot.WriterTo(chartWide, chartHigh, format)
+			w, err := all[i].chart.WriterTo(chartWidth, chartHeight, format)
 			if err != nil {
 				return nil, err
 			}
@@ -148,18 +148,18 @@
 </html>
 `))
 
-func chart(name, title, x, y string, lines ...series) (picture, error) {
+func lineChart(name, title, x, y string, lines ...series) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for i, s := range lines {
-		if len(s.at) == 0 {
+		if len(s.points) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(s.at)
+		l, err := plotter.NewLine(s.points)
 		if err != nil {
-			return picture{}, fmt.Errorf("%s: %w", name, err)
+			return figure{}, fmt.Errorf("%s: %w", name, err)
 		}
 		l.Color, l.Dashes = plotutil.Color(i), plotutil.Dashes(i/7)
 		l.Width = vg.Points(1.2)
@@ -167,5 +167,5 @@
 		p.Legend.Add(s.name, l)
 	}
 	p.Y.Min = min(p.Y.Min, 0)
-	return picture{Name: name, Title: title, plot: p}, nil
+	return figure{Name: name, Title: title, chart: p}, nil
 }
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -20,13 +20,13 @@
 	"rowanlink/webhook/policy"
 )
 
-// Module is the name of the decision module among policies.
-const Module = "module"
+// DefaultPolicy is the name of the decision module among policies.
+const DefaultPolicy = "module"
 
-// policies are what a scenario can be played with. All but the module are for comparison only.
-var policies = map[string]engine.PolicyFactory{
-	Module: func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) },
-	"once": func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.None) },
+// policyFactories are what a scenario can be played with. All but the module are for comparison only.
+var policyFactories = map[string]engine.PolicyFactory{
+	DefaultPolicy: func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) },
+	"once":        func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.None) },
 	"eager": func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	},
@@ -37,41 +37,41 @@
 
 // Policies are their names, the module first.
 func Policies() []string {
-	names := slices.Sorted(maps.Keys(policies))
-	return slices.Insert(slices.DeleteFunc(names, func(n string) bool { return n == Module }), 0, Module)
+	names := slices.Sorted(maps.Keys(policyFactories))
+	return slices.Insert(slices.DeleteFunc(names, func(n string) bool { return n == DefaultPolicy }), 0, DefaultPolicy)
 }
 
 // Result is one run in figures. All but Cost is the same each time.
 type Result struct {
-	Scenario string            `json:"scenario"`
-	Policy   string            `json:"policy"`
-	Seed     uint64            `json:"seed"`
-	Ended    float64           `json:"ended_s"` // simulated
-	Events   int               `json:"events"`
-	Peak     int               `json:"peak_events"` // waiting at once
-	Broken   map[string]int    `json:"broken"`
-	Claims   []invariant.Claim `json:"claims"`
+	Scenario        string            `json:"scenario"`
+	Policy          string            `json:"policy"`
+	Seed            uint64            `json:"seed"`
+	EndedAt         float64           `json:"ended_s"` // simulated
+	Events          int               `json:"events"`
+	PeakQueueLength int               `json:"peak_events"` // waiting at once
+	Violations      map[string]int    `json:"broken"`
+	Claims          []invariant.Claim `json:"claims"`
 	invariant.Summary
-	Breaches []invariant.Violation `json:"breaches,omitempty"`
-	Cost     *Cost                 `json:"cost,omitempty"`
+	FirstViolations []invariant.Violation `json:"breaches,omitempty"`
+	Cost            *Cost                 `json:"cost,omitempty"`
 
 	recorder *invariant.Recorder
 }
 
 // Cost is what a run took on this machine; it is measured only where it is asked for.
 type Cost struct {
-	WallS     float64 `json:"wall_s"`
-	ModuleS   float64 `json:"module_s"`
-	PerSecond float64 `json:"events_per_s"`
-	Webhooks  float64 `json:"webhooks_per_s"`
-	HeapMB    float64 `json:"heap_mb"` // taken from the system
+	WallSeconds       float64 `json:"wall_s"`
+	PolicySeconds     float64 `json:"module_s"`
+	EventsPerSecond   float64 `json:"events_per_s"`
+	WebhooksPerSecond float64 `json:"webhooks_per_s"`
+	HeapMB            float64 `json:"heap_mb"` // taken from the system
 }
 
-// RulesBroken tells whether any rule was.
-func (r *Result) RulesBroken() bool { return len(r.Broken) > 0 }
+// Violated tells whether any rule was.
+func (r *Result) Violated() bool { return len(r.Violations) > 0 }
 
-// Terms are what observers hold a scenario's run to.
-func Terms(s *engine.Scenario) invariant.Thresholds {
+// ThresholdsOf are what observers hold a scenario's run to.
+func ThresholdsOf(s *engine.Scenario) invariant.Thresholds {
 	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
 	grace := 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20
 	return invariant.Thresholds{
@@ -81,46 +81,46 @@
 	}
 }
 
-// Starter is the policy of that name.
-func Starter(policy string) (engine.PolicyFactory, error) {
-	start, ok := policies[policy]
+// NewPolicyFactory is the policy of that name.
+func NewPolicyFactory(policy string) (engine.PolicyFactory, error) {
+	start, ok := policyFactories[policy]
 	if !ok {
 		return nil, fmt.Errorf("no policy is called %q: there are %s", policy, strings.Join(Policies(), ", "))
 	}
 	return start, nil
 }
 
-// Play runs a scenario with the named policy.
-func Play(s *engine.Scenario, policy string, measured bool) (*Result, error) {
-	start, err := Starter(policy)
+// Run runs a scenario with the named policy.
+func Run(s *engine.Scenario, policy string, measured bool) (*Result, error) {
+	start, err := NewPolicyFactory(policy)
 	if err != nil {
 		return nil, err
 	}
-	r := PlayWith(s, start, measured)
+	r := RunWith(s, start, measured)
 	r.Policy = policy
 	return r, nil
 }
 
-// PlayWith runs a scenario with any module, under further observers where there are any.
-func PlayWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, also ...event.Observer) *Result {
+// RunWith runs a scenario with any module, under further observers where there are any.
+func RunWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, also ...event.Observer) *Result {
 	m := engine.New(s, start)
 	m.MeasurePolicyTime = measured
-	watch, recorder := invariant.NewChecker(Terms(s)), invariant.NewRecorder(Terms(s))
+	watch, recorder := invariant.NewChecker(ThresholdsOf(s)), invariant.NewRecorder(ThresholdsOf(s))
 	watch.Subscribe(&m.Bus)
 	m.Bus.Subscribe(recorder)
 	m.Bus.Subscribe(also...)
 	began := time.Now()
 	ended := m.Run()
 	watch.Finish(ended)
-	r := &Result{Scenario: s.Name, Seed: s.Seed, Ended: ended.Seconds(), Events: m.EventCount, Peak: m.PeakQueueLength,
-		Broken: watch.ViolationCount, Claims: watch.Claims(), Summary: recorder.Finish(), Breaches: watch.Violations,
+	r := &Result{Scenario: s.Name, Seed: s.Seed, EndedAt: ended.Seconds(), Events: m.EventCount, PeakQueueLength: m.PeakQueueLength,
+		Violations: watch.ViolationCount, Claims: watch.Claims(), Summary: recorder.Finish(), FirstViolations: watch.Violations,
 		recorder: recorder}
 	if measured {
 		wall := time.Since(began).Seconds()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
-		r.Cost = &Cost{WallS: wall, ModuleS: m.PolicyTime.Seconds(), PerSecond: float64(m.EventCount) / wall,
-			Webhooks: float64(r.Offered) / wall, HeapMB: float64(mem.Sys-mem.HeapReleased) / 1e6}
+		r.Cost = &Cost{WallSeconds: wall, PolicySeconds: m.PolicyTime.Seconds(), EventsPerSecond: float64(m.EventCount) / wall,
+			WebhooksPerSecond: float64(r.Offered) / wall, HeapMB: float64(mem.Sys-mem.HeapReleased) / 1e6}
 	}
 	return r
 }
@@ -161,7 +161,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	text, err := Text(s)
+	text, err := Marshal(s)
 	if err != nil {
 		return err
 	}
--- a/sim/experiment/file.go
+++ b/sim/experiment/scenario_file.go
@@ -56,12 +56,12 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, FileError{File: path, Text: err.Error()}
 	}
-	if bare := bareTimes(tree, reflect.TypeFor[engine.Scenario](), ""); len(bare) > 0 {
-		return nil, placed(path, text, errors.Join(bare...))
+	if bare := numericDurations(tree, reflect.TypeFor[engine.Scenario](), ""); len(bare) > 0 {
+		return nil, locateErrors(path, text, errors.Join(bare...))
 	}
 	s.ApplyDefaults()
 	if err := s.Validate(); err != nil {
-		return nil, placed(path, text, err)
+		return nil, locateErrors(path, text, err)
 	}
 	return s, nil
 }
@@ -92,15 +92,15 @@
 	return FileError{File: path, Text: err.Error()}
 }
 
-// bareTimes finds numbers that stand for a time: the decoder would take them for microseconds.
-func bareTimes(tree any, t reflect.Type, key string) (faults []error) {
+// numericDurations finds numbers that stand for a time: the decoder would take them for microseconds.
+func numericDurations(tree any, t reflect.Type, key string) (faults []error) {
 	switch t.Kind() {
 	case reflect.Struct:
 		table, _ := tree.(map[string]any)
 		for i := range t.NumField() {
 			name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
 			if v, there := table[name]; there {
-				faults = append(faults, bareTimes(v, t.Field(i).Type, strings.TrimPrefix(key+"."+name, "."))...)
+				faults = append(faults, numericDurations(v, t.Field(i).Type, strings.TrimPrefix(key+"."+name, "."))...)
 			}
 		}
 	case reflect.Slice:
@@ -110,7 +110,7 @@
 			if t.Elem().Kind() == reflect.Struct {
 				at = fmt.Sprintf("%s.%d", key, i)
 			}
-			faults = append(faults, bareTimes(v, t.Elem(), at)...)
+			faults = append(faults, numericDurations(v, t.Elem(), at)...)
 		}
 	default:
 		if _, text := tree.(string); t == reflect.TypeFor[engine.Duration]() && !text {
@@ -121,9 +121,9 @@
 	return faults
 }
 
-// placed puts the lines of their keys to what a check found.
-func placed(path string, text []byte, err error) error {
-	where := lines(text)
+// locateErrors puts the lines of their keys to what a check found.
+func locateErrors(path string, text []byte, err error) error {
+	where := keyLines(text)
 	var all []error
 	list, ok := err.(interface{ Unwrap() []error })
 	if !ok {
@@ -144,8 +144,8 @@
 	return errors.Join(all...)
 }
 
-// lines finds the line of each key, tables of a list numbered from 0.
-func lines(text []byte) map[string]int {
+// keyLines finds the line of each key, tables of a list numbered from 0.
+func keyLines(text []byte) map[string]int {
 	where, count := map[string]int{}, map[string]int{}
 	table := ""
 	p := unstable.Parser{}
@@ -177,5 +177,5 @@
 	return where
 }
 
-// Text writes a scenario in the form that Parse reads.
-func Text(s *engine.Scenario) ([]byte, error) { return toml.Marshal(s) }
+// Marshal writes a scenario in the form that Parse reads.
+func Marshal(s *engine.Scenario) ([]byte, error) { return toml.Marshal(s) }
--- a/sim/experiment/hunt.go
+++ b/sim/experiment/search.go
@@ -9,95 +9,95 @@
 	"rowanlink/sim/engine"
 )
 
-// Hunt searches round a scenario for the run that breaks a rule, or else loses most, and makes it small.
-type Hunt struct {
-	Start engine.PolicyFactory
-	Runs  int // at most, for the search; as many again for the shrinking
-	Seed  uint64
-	Step  func()
+// Search searches round a scenario for the run that breaks a rule, or else loses most, and makes it small.
+type Search struct {
+	NewPolicy engine.PolicyFactory
+	Runs      int // at most, for the search; as many again for the shrinking
+	Seed      uint64
+	OnRun     func()
 }
 
-// Found is the worst run of a hunt, as a scenario that plays it again.
-type Found struct {
-	Scenario *engine.Scenario
-	Rule     string // that it breaks, or none
-	Loss     float64
-	Played   int // runs in all
-	Shrunk   int // steps of shrinking that held
+// WorstCase is the worst run of a hunt, as a scenario that plays it again.
+type WorstCase struct {
+	Scenario    *engine.Scenario
+	Invariant   string // that it breaks, or none
+	Loss        float64
+	Runs        int // runs in all
+	ShrinkSteps int // steps of shrinking that held
 }
 
-// kept is the part of a found loss that a smaller scenario must still show.
-const kept = 0.9
+// keptLoss is the part of a found loss that a smaller scenario must still show.
+const keptLoss = 0.9
 
-// Find hunts. The same scenario, seed and module give the same find.
-func (h *Hunt) Find(base *engine.Scenario) *Found {
+// FindWorst hunts. The same scenario, seed and module give the same find.
+func (h *Search) FindWorst(base *engine.Scenario) *WorstCase {
 	chance := rand.New(rand.NewPCG(h.Seed, 0))
 	tries := make([]*engine.Scenario, h.Runs)
 	for i := range tries {
-		tries[i] = vary(base, chance)
+		tries[i] = randomScenario(base, chance)
 	}
 	results := make([]*Result, len(tries))
 	Parallel(runtime.GOMAXPROCS(0), len(tries), func(i int) {
-		results[i] = PlayWith(tries[i], h.Start, false)
-		h.Step()
+		results[i] = RunWith(tries[i], h.NewPolicy, false)
+		h.OnRun()
 	})
 	worst := 0
 	for i, r := range results {
-		if worse(r, results[worst]) {
+		if isWorse(r, results[worst]) {
 			worst = i
 		}
 	}
-	f := &Found{Scenario: tries[worst], Loss: 1 - results[worst].Value, Played: h.Runs}
-	if rules := sortedRules(results[worst]); len(rules) > 0 {
-		f.Rule = rules[0]
+	f := &WorstCase{Scenario: tries[worst], Loss: 1 - results[worst].Value, Runs: h.Runs}
+	if rules := violatedInvariants(results[worst]); len(rules) > 0 {
+		f.Invariant = rules[0]
 	}
 	h.shrink(f)
 	f.Scenario.Name = base.Name + "-found"
 	f.Scenario.About = fmt.Sprintf(
 		"Found by hunt in %d runs: loss %.3f, rule broken: %q.",
-		f.Played,
+		f.Runs,
 		f.Loss,
-		f.Rule,
+		f.Invariant,
 	)
 	return f
 }
 
-// worse ranks broken rules before losses.
-func worse(a, b *Result) bool {
-	if a.RulesBroken() != b.RulesBroken() {
-		return a.RulesBroken()
+// isWorse ranks broken rules before losses.
+func isWorse(a, b *Result) bool {
+	if a.Violated() != b.Violated() {
+		return a.Violated()
 	}
 	return a.Value < b.Value
 }
 
-// vary draws one to three troubles, their sizes and timings, and a load.
-func vary(base *engine.Scenario, chance *rand.Rand) *engine.Scenario {
+// randomScenario draws one to three troubles, their sizes and timings, and a load.
+func randomScenario(base *engine.Scenario, chance *rand.Rand) *engine.Scenario {
 	s := *base
 	s.Seed = 1 + chance.Uint64N(1<<31)
 	s.Faults = nil
 	s.Dispatchers.Count = max(int(float64(base.Dispatchers.Count)*(0.5+chance.Float64())), 1)
 	each := base.Clients.Rate / float64(base.Dispatchers.Count) // an overload is no find
-	s.Clients.Rate = round(each * float64(s.Dispatchers.Count) * (0.5 + chance.Float64()/2))
+	s.Clients.Rate = roundToHundredth(each * float64(s.Dispatchers.Count) * (0.5 + chance.Float64()/2))
 	kinds := engine.FaultKinds()
 	for range 1 + chance.IntN(3) {
-		s.Faults = append(s.Faults, draw(&s, kinds[chance.IntN(len(kinds))], chance))
+		s.Faults = append(s.Faults, randomFault(&s, kinds[chance.IntN(len(kinds))], chance))
 	}
 	return &s
 }
 
-func draw(s *engine.Scenario, kind string, chance *rand.Rand) engine.Fault {
+func randomFault(s *engine.Scenario, kind string, chance *rand.Rand) engine.Fault {
 	length := float64(s.Duration)
-	t := engine.Fault{Kind: kind, At: span(length * (0.1 + 0.5*chance.Float64())),
-		Duration: span(length * (0.05 + 0.3*chance.Float64()))}
+	t := engine.Fault{Kind: kind, At: roundDuration(length * (0.1 + 0.5*chance.Float64())),
+		Duration: roundDuration(length * (0.05 + 0.3*chance.Float64()))}
 	n := engine.NeedsOf(kind)
 	switch kind {
 	case "replace":
 		t.Address = []string{"new", "same"}[chance.IntN(2)]
 		fallthrough
 	case "restart":
-		t.DrainTime = span(length * (0.02 + 0.1*chance.Float64()))
+		t.DrainTime = roundDuration(length * (0.02 + 0.1*chance.Float64()))
 	case "flap":
-		t.Period = span(length * (0.02 + 0.1*chance.Float64()))
+		t.Period = roundDuration(length * (0.02 + 0.1*chance.Float64()))
 	}
 	if n.Endpoints {
 		if t.Busiest = 1 + chance.IntN(min(5, s.Destinations.Active)); chance.IntN(2) == 0 {
@@ -116,46 +116,46 @@
 			t.KeepsState, t.DuringIteration = chance.IntN(3) > 0, chance.IntN(2) == 0
 			fallthrough
 		case "restart":
-			t.StartupListAge = span(length * 0.1 * chance.Float64())
+			t.StartupListAge = roundDuration(length * 0.1 * chance.Float64())
 		case "list_late":
-			t.UpdateDelay = span(length * 0.2 * chance.Float64())
+			t.UpdateDelay = roundDuration(length * 0.2 * chance.Float64())
 		}
 	}
 	if n.Share {
-		t.Magnitude = round(0.1 + 0.9*chance.Float64())
+		t.Magnitude = roundToHundredth(0.1 + 0.9*chance.Float64())
 	} else if n.Magnitude {
-		t.Magnitude = round(1.5 + 3*chance.Float64())
+		t.Magnitude = roundToHundredth(1.5 + 3*chance.Float64())
 	}
 	t.Unresponsive = kind == "down" && chance.IntN(2) == 0
 	return t
 }
 
-// span keeps drawn times short to read: whole tenths of a second.
-func span(us float64) engine.Duration { return engine.Duration(max(us/1e5, 1)) * 100_000 }
+// roundDuration keeps drawn times short to read: whole tenths of a second.
+func roundDuration(us float64) engine.Duration { return engine.Duration(max(us/1e5, 1)) * 100_000 }
 
-func round(x float64) float64 { return float64(int(x*100)) / 100 }
+func roundToHundredth(x float64) float64 { return float64(int(x*100)) / 100 }
 
 // shrink takes away whatever the find does not need: troubles, their length and breadth, time, load,
 // machines.
-func (h *Hunt) shrink(f *Found) {
+func (h *Search) shrink(f *WorstCase) {
 	left := h.Runs
 	for again := true; again; {
 		again = false
-		for _, smaller := range steps(f.Scenario) {
+		for _, smaller := range smallerScenarios(f.Scenario) {
 			if left--; left < 0 {
 				return
 			}
 			if smaller.ApplyDefaults(); smaller.Validate() != nil {
 				continue
 			}
-			r := PlayWith(smaller, h.Start, false)
-			f.Played++
-			h.Step()
-			holds := f.Rule == "" && !r.RulesBroken() && 1-r.Value >= kept*f.Loss ||
-				f.Rule != "" && r.Broken[f.Rule] > 0
+			r := RunWith(smaller, h.NewPolicy, false)
+			f.Runs++
+			h.OnRun()
+			holds := f.Invariant == "" && !r.Violated() && 1-r.Value >= keptLoss*f.Loss ||
+				f.Invariant != "" && r.Violations[f.Invariant] > 0
 			if holds {
-				f.Scenario, f.Shrunk, again = smaller, f.Shrunk+1, true
-				if f.Rule == "" {
+				f.Scenario, f.ShrinkSteps, again = smaller, f.ShrinkSteps+1, true
+				if f.Invariant == "" {
 					f.Loss = max(f.Loss, 1-r.Value)
 				} else {
 					f.Loss = 1 - r.Value
@@ -166,8 +166,8 @@
 	}
 }
 
-// steps are the ways in which a scenario may get smaller by one step.
-func steps(s *engine.Scenario) (all []*engine.Scenario) {
+// smallerScenarios are the ways in which a scenario may get smaller by one step.
+func smallerScenarios(s *engine.Scenario) (all []*engine.Scenario) {
 	with := func(change func(*engine.Scenario) bool) {
 		c := *s
 		c.Faults = slices.Clone(s.Faults)
@@ -208,12 +208,12 @@
 		return c.Duration < s.Duration
 	})
 	with(func(c *engine.Scenario) bool {
-		c.Clients.Rate = round(c.Clients.Rate * 0.7)
+		c.Clients.Rate = roundToHundredth(c.Clients.Rate * 0.7)
 		return c.Clients.Rate >= 1
 	})
 	with(func(c *engine.Scenario) bool {
 		c.Dispatchers.Count = c.Dispatchers.Count * 2 / 3
-		c.Clients.Rate = round(c.Clients.Rate * float64(c.Dispatchers.Count) / float64(s.Dispatchers.Count))
+		c.Clients.Rate = roundToHundredth(c.Clients.Rate * float64(c.Dispatchers.Count) / float64(s.Dispatchers.Count))
 		for i := range c.Faults {
 			t := &c.Faults[i]
 			before := len(t.Dispatchers)
@@ -230,7 +230,7 @@
 	})
 	with(func(c *engine.Scenario) bool {
 		c.Destinations.Active = c.Destinations.Active * 2 / 3
-		c.Clients.Rate = round(c.Clients.Rate * 2 / 3)
+		c.Clients.Rate = roundToHundredth(c.Clients.Rate * 2 / 3)
 		return c.Destinations.Active > 0 && c.Clients.Rate >= 1
 	})
 	with(func(c *engine.Scenario) bool {
--- a/sim/experiment/sweep.go
+++ b/sim/experiment/sweep.go
@@ -41,32 +41,32 @@
 
 var costColumns = []string{"wall_s", "module_s", "heap_mb"}
 
-func (p *point) row(r *Result) []string {
+func (p *gridPoint) row(r *Result) []string {
 	f := func(x float64) string { return strconv.FormatFloat(x, 'f', 6, 64) }
 	n := strconv.Itoa
 	broken := "-"
-	for _, rule := range sortedRules(r) {
+	for _, rule := range violatedInvariants(r) {
 		broken = strings.TrimPrefix(broken+"+"+rule, "-+")
 	}
-	row := append(slices.Clone(p.axes), p.policy, strconv.FormatUint(r.Seed, 10), f(r.Value), n(r.Offered),
+	row := append(slices.Clone(p.axisValues), p.policy, strconv.FormatUint(r.Seed, 10), f(r.Value), n(r.Offered),
 		n(r.InTime), n(r.Late), n(r.Rejected), n(r.DeadLettered), n(r.StateLost), n(r.Unfinished), n(r.BufferFull),
 		n(r.Attempts), n(r.Calls), n(r.CallsRefused), n(r.Connects), n(r.Collapsed), f(r.P50), f(r.P99), broken, n(r.Events))
 	if c := r.Cost; c != nil {
-		row = append(row, f(c.WallS), f(c.ModuleS), f(c.HeapMB))
+		row = append(row, f(c.WallSeconds), f(c.PolicySeconds), f(c.HeapMB))
 	}
 	return row
 }
 
-func sortedRules(r *Result) (all []string) {
-	for rule := range r.Broken {
+func violatedInvariants(r *Result) (all []string) {
+	for rule := range r.Violations {
 		all = append(all, rule)
 	}
 	slices.Sort(all)
 	return all
 }
 
-// done is one line of the file in which a sweep keeps what it has played.
-type done struct {
+// sweepRow is one line of the file in which a sweep keeps what it has played.
+type sweepRow struct {
 	Key string   `json:"key"`
 	Row []string `json:"row"`
 }
@@ -74,7 +74,7 @@
 // Run plays what the folder does not hold yet and writes runs.csv, in the grid's order. A sweep that was
 // killed goes on where it was: each run's row is one line of rows.jsonl, and a line that was cut off is
 // played again. step is called after each run; broken counts the runs in which a rule was.
-func (s *Sweep) Run(dir string, points []point, step func()) (broken int, err error) {
+func (s *Sweep) Run(dir string, points []gridPoint, step func()) (broken int, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return 0, err
 	}
@@ -85,27 +85,27 @@
 	defer kept.Close()
 	var todo []int
 	for i, p := range points {
-		if rows[p.key] == nil {
+		if rows[p.digest] == nil {
 			todo = append(todo, i)
 		} else {
 			step()
 		}
 	}
 	jobs := runtime.GOMAXPROCS(0)
-	if s.Cost {
+	if s.MeasureCost {
 		jobs = 1
 	}
 	var mu sync.Mutex
 	var failed error
 	Parallel(jobs, len(todo), func(n int) {
 		p := &points[todo[n]]
-		r, err := Play(p.scenario, p.policy, s.Cost)
+		r, err := Run(p.scenario, p.policy, s.MeasureCost)
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil {
-			rows[p.key] = p.row(r)
+			rows[p.digest] = p.row(r)
 			var line []byte
-			if line, err = json.Marshal(done{p.key, rows[p.key]}); err == nil {
+			if line, err = json.Marshal(sweepRow{p.digest, rows[p.digest]}); err == nil {
 				_, err = kept.Write(append(line, '\n'))
 			}
 		}
@@ -116,17 +116,17 @@
 		return 0, failed
 	}
 	var head []string
-	for _, v := range s.Vary {
+	for _, v := range s.Axes {
 		head = append(head, v.Keys...)
 	}
 	head = append(head, sweepColumns...)
-	if s.Cost {
+	if s.MeasureCost {
 		head = append(head, costColumns...)
 	}
 	table := [][]string{head}
 	for _, p := range points {
-		table = append(table, rows[p.key])
-		if rows[p.key][slices.Index(head, "broken")] != "-" {
+		table = append(table, rows[p.digest])
+		if rows[p.digest][slices.Index(head, "broken")] != "-" {
 			broken++
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 	for r := bufio.NewReader(bytes.NewReader(text)); ; {
 		line, err := r.ReadBytes('\n')
-		var d done
+		var d sweepRow
 		if err != nil || json.Unmarshal(line, &d) != nil || d.Key == "" {
 			break
 		}
--- a/sim/experiment/sweep_test.go
+++ b/sim/experiment/sweep_test.go
@@ -79,12 +79,12 @@
 		t,
 		small("[clients]", "[[trouble]]\nkind = \"errors\"\nfor = \"8s\"\nbusiest = 6\nsize = 0.3\n\n[clients]"),
 	)
-	c, err := Compare(s, Module, "once", 6, func() {})
+	c, err := Compare(s, DefaultPolicy, "once", 6, func() {})
 	require.NoError(t, err)
 	assert.Positive(t, c.Low)
 	assert.LessOrEqual(t, c.Low, c.Diff)
 	assert.GreaterOrEqual(t, c.High, c.Diff)
-	same, err := Compare(s, Module, Module, 4, func() {})
+	same, err := Compare(s, DefaultPolicy, DefaultPolicy, 4, func() {})
 	require.NoError(t, err)
 	assert.Zero(t, same.Low)
 	assert.Zero(t, same.High)
--- a/sim/invariant/fleet.go
+++ b/sim/invariant/cluster_recorder.go
@@ -27,15 +27,15 @@
 // ClusterSummary is what Fleet measured. Bear is what a destination takes in TipAfter after its return, times the
 // multiple at which it falls.
 type ClusterSummary struct {
-	Returns  int     // destinations back from an outage
-	Load     float64 // sent in TipAfter after a return, over Bear: mean
-	Worst    float64 // and the most
-	WhileOut float64 // calls to a destination that is out, for each outage
-	Callers  float64 // dispatchers that made them
-	Silence  float64 // s without a delivery at a busy destination after a dispatcher was killed, the longest
-	Handed   int     // webhooks taken on from another dispatcher
-	Hop50    float64 // s from first handed in to the home's journal
-	Hop99    float64
+	Returns             int     `json:"Returns"`  // destinations back from an outage
+	MeanLoad            float64 `json:"Load"`     // sent in TipAfter after a return, over Bear: mean
+	MaxLoad             float64 `json:"Worst"`    // and the most
+	CallsDuringOutage   float64 `json:"WhileOut"` // calls to a destination that is out, for each outage
+	CallersDuringOutage float64 `json:"Callers"`  // dispatchers that made them
+	LongestGap          float64 `json:"Silence"`  // s without a delivery at a busy destination after a dispatcher was killed, the longest
+	Handoffs            int     `json:"Handed"`   // webhooks taken on from another dispatcher
+	HandoffP50          float64 `json:"Hop50"`    // s from first handed in to the home's journal
+	HandoffP99          float64 `json:"Hop99"`
 }
 
 type outageRecord struct {
@@ -75,7 +75,7 @@
 	case event.HandoffAccepted:
 		if at, ok := f.submittedAt[e.Request]; ok {
 			delete(f.submittedAt, e.Request)
-			f.summary.Handed++
+			f.summary.Handoffs++
 			recordLatency(f.hopLatency, e.At-at)
 		}
 	case event.OutageStarted:
@@ -122,7 +122,7 @@
 	}
 	if p.silent {
 		p.silent = false
-		f.summary.Silence = math.Max(f.summary.Silence, (e.At - p.silentSince).Seconds())
+		f.summary.LongestGap = math.Max(f.summary.LongestGap, (e.At - p.silentSince).Seconds())
 	}
 }
 
@@ -138,7 +138,7 @@
 	f.loads += load
 	f.calls += float64(r.calls)
 	f.callers += float64(len(r.callers))
-	f.summary.Worst = math.Max(f.summary.Worst, load)
+	f.summary.MaxLoad = math.Max(f.summary.MaxLoad, load)
 }
 
 // Finish sums up.
@@ -147,8 +147,8 @@
 		f.addOutage(r)
 	}
 	if n := float64(f.summary.Returns); n > 0 {
-		f.summary.Load, f.summary.WhileOut, f.summary.Callers = f.loads/n, f.calls/n, f.callers/n
+		f.summary.MeanLoad, f.summary.CallsDuringOutage, f.summary.CallersDuringOutage = f.loads/n, f.calls/n, f.callers/n
 	}
-	f.summary.Hop50, f.summary.Hop99 = latencyAt(f.hopLatency, 50).Seconds(), latencyAt(f.hopLatency, 99).Seconds()
+	f.summary.HandoffP50, f.summary.HandoffP99 = latencyAt(f.hopLatency, 50).Seconds(), latencyAt(f.hopLatency, 99).Seconds()
 	return f.summary
 }
