--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -90,9 +90,7 @@
 		require.NoError(t, s.replace(s.machines[0], 1, 0, 3))
 		s.machines[0].crash()
 		lost := s.machines[0]
-		replacement := s.add(3)
-		replacement.startedBefore = true
-		replacement.start()
+		replacement := s.startNew()
 		time.Sleep(joinDeadline)
 		assert.True(t, replacement.running().node.IsVoter())
 		assert.Len(t, replacement.running().node.Voters().Replicas, 3)
@@ -108,9 +106,7 @@
 		former, _ := s.machines[0].running().node.acceptor.State()
 		s.isolate(s.machines[0], true)
 		s.setFalselyDown(s.machines[0], true)
-		added := s.add(3)
-		added.startedBefore = true
-		added.start()
+		added := s.startNew()
 		time.Sleep(joinDeadline)
 		require.True(t, added.running().node.IsVoter())
 		require.NoError(t, s.replace(added, 1, 0, 3))
--- a/serving/register/random_test.go
+++ b/serving/register/random_test.go
@@ -162,9 +162,7 @@
 		s.startAll()
 	case "add-machine":
 		if len(s.all()) < 6 {
-			added := s.addNext()
-			added.startedBefore = true
-			added.start()
+			s.startNew()
 		}
 	case "share-records":
 		s.shareRecords()
--- a/serving/register/simulatedmachine_test.go
+++ b/serving/register/simulatedmachine_test.go
@@ -135,9 +135,7 @@
 	if len(s.all()) < minVoters || m.running() == nil {
 		return
 	}
-	successor := s.addNext()
-	successor.startedBefore = true
-	successor.start()
+	s.startNew()
 	time.Sleep(time.Second)
 	if m.shutDown() {
 		s.removeMachine(m)
--- a/serving/register/simulation_test.go
+++ b/serving/register/simulation_test.go
@@ -71,6 +71,14 @@
 	return s.add(number)
 }
 
+// startNew adds a machine at an address that no other has had, and starts it as one that joins a running system.
+func (s *simulation) startNew() *machine {
+	m := s.addNext()
+	m.startedBefore = true
+	m.start()
+	return m
+}
+
 // all returns the machines at this moment.
 func (s *simulation) all() []*machine {
 	s.mutex.Lock()
--- a/serving/register/voters_test.go
+++ b/serving/register/voters_test.go
@@ -102,13 +102,11 @@
 
 // TestTransferVote_AllMachinesReplaced replaces one machine after the other, each beside a change.
 func TestTransferVote_AllMachinesReplaced(t *testing.T) {
-	for _, losses := range []int{3, 5} {
-		runSimulation(t, losses, func(t *testing.T, s *simulation) {
+	for _, machines := range []int{3, 5} {
+		runSimulation(t, machines, func(t *testing.T, s *simulation) {
 			version := uint64(0)
-			for number := range losses {
-				added := s.add(losses + number)
-				added.startedBefore = true
-				added.start()
+			for range machines {
+				added := s.startNew()
 				time.Sleep(time.Second)
 				leaving := s.machines[0]
 				changed := make(chan error, 1)
@@ -147,9 +145,7 @@
 	runSimulation(t, 3, func(t *testing.T, s *simulation) {
 		require.NoError(t, s.replace(s.machines[0], 1, 0, 1))
 		for range 2 {
-			added := s.addNext()
-			added.startedBefore = true
-			added.start()
+			s.startNew()
 		}
 		for version, losses := range []int{2, 1} {
 			s.tolerated = losses
@@ -195,9 +191,7 @@
 func TestNode_OneLearnerClaimsVote(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, s *simulation) {
 		for range 12 {
-			added := s.addNext()
-			added.startedBefore = true
-			added.start()
+			s.startNew()
 		}
 		s.awaitStable(joinDeadline)
 		before := s.changesBegun()
