--- a/cluster/rebalance/simulation_test.go
+++ b/cluster/rebalance/simulation_test.go
@@ -38,15 +38,20 @@
 	epoch cluster.Epoch
 }
 
-func (sim *simulation) Holder(task cluster.Resource) (cluster.SessionID, cluster.MemberID, cluster.Epoch, bool) {
+func (sim *simulation) Holder(task cluster.Resource) (cluster.LeaseHolder, bool) {
 	h, ok := sim.leases[task]
-	return 1, h.owner, h.epoch, ok
+	return cluster.LeaseHolder{Session: 1, Member: h.owner, Epoch: h.epoch}, ok
 }
 
 // newSimulation returns a simulation with one range for each owner, of equal widths and all served.
 func newSimulation(t testingT, owners ...cluster.MemberID) *simulation {
-	sim := &simulation{t: t, progress: &Progress{}, leases: map[cluster.Resource]lease{}, gone: map[cluster.MemberID]bool{},
-		isBaseStart: map[cluster.KeyHash]bool{}}
+	sim := &simulation{
+		t:           t,
+		progress:    &Progress{},
+		leases:      map[cluster.Resource]lease{},
+		gone:        map[cluster.MemberID]bool{},
+		isBaseStart: map[cluster.KeyHash]bool{},
+	}
 	sim.shards = shardmap.New(sim)
 	even, err := shardmap.EvenRanges(len(owners), []shardmap.MemberWeight{{Member: "x", Weight: 1}})
 	require.NoError(t, err)
@@ -107,8 +112,11 @@
 }
 
 func (sim *simulation) schedule() Decisions {
-	seen := Observations{SinceLastMove: sim.file.Limits.Cooldown, RangeValue: sim.rangeValue,
-		IsGone: func(m cluster.MemberID) bool { return sim.gone[m] }}
+	seen := Observations{
+		SinceLastMove: sim.file.Limits.Cooldown,
+		RangeValue:    sim.rangeValue,
+		IsGone:        func(m cluster.MemberID) bool { return sim.gone[m] },
+	}
 	return sim.progress.Schedule(sim.file, sim.shards, seen)
 }
 
--- /dev/null
+++ b/cluster/site/relay_receiver_test.go
@@ -0,0 +1,110 @@
+package site
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster"
+	"rowanlink/cluster/relay"
+	"rowanlink/cluster/stream"
+	"rowanlink/cluster/transport"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/callback"
+	"rowanlink/webhook/dispatcher/eventloop"
+	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/lifecycle"
+	"rowanlink/webhook/dispatcher/upstream"
+	"rowanlink/webhook/dispatcher/wal"
+	"rowanlink/webhook/policy"
+)
+
+// testRelay is the member of a relay without the other members. Its destination has no endpoint, so that webhooks
+// only expire.
+type testRelay struct {
+	*relayReceiver
+	dispatcherJournal *wal.Log
+	lifecycle         *lifecycle.Lifecycle
+}
+
+func startTestRelay(t *testing.T, dir string, ttl api.Micros) *testRelay {
+	t.Helper()
+	journal, err := wal.Open(dir, 1)
+	require.NoError(t, err)
+	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
+	life.Enter(lifecycle.Serving)
+	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
+		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
+	loop.Begin(upstream.New(&inbox.Counters, loop.CallFinished, api.Second, api.Second, 4),
+		callback.New("127.0.0.1:1", &inbox.Counters, loop.CallbacksDelivered),
+		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
+	go loop.Run()
+	receiver, err := openRelayReceiver(dir+"/relay", 1, localDispatcher{loop, inbox, func() int { return 9 }, life.AcceptsWebhooks},
+		transport.NewClient("r", map[cluster.MemberID]string{}), relay.TimingFor(api.Second))
+	require.NoError(t, err)
+	return &testRelay{receiver, journal, life}
+}
+
+// stop stops the member; its folder stays.
+func (r *testRelay) stop() {
+	r.lifecycle.Enter(lifecycle.Stopped)
+	_ = r.close()
+	time.Sleep(20 * time.Millisecond) // its last iteration
+	_ = r.dispatcherJournal.Close()
+}
+
+func (r *testRelay) storedResults() []stream.Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var all []stream.Result
+	for _, e := range r.journal.Entries() {
+		var record relayRecord
+		if transport.Decode(e.Payload, &record) == nil && record.Result != nil {
+			all = append(all, *record.Result)
+		}
+	}
+	return all
+}
+
+func newFrame(ttl api.Micros) (stream.Checkpoint, []stream.Item) {
+	return stream.Checkpoint{Incarnation: 3, Generation: stream.Generation{Epoch: 1, Number: 1}, LastSequence: 1, Received: 2}, []stream.Item{{
+		ID: stream.MessageID{Origin: "m", Incarnation: 1, Number: 1}, RequestID: "a", IsAnnouncement: true, FirstAttemptAt: api.Never,
+		TTL: inflight.Now() + ttl, Body: []byte("b"), Destinations: []api.DestinationID{4, 5}}}
+}
+
+// A webhook must not be delivered twice: the record of a pending delivery outlasts the write of its result, and is
+// removed only by the next write.
+func TestRelayReceiver_StoredResultIsNotSubmittedAgain(t *testing.T) {
+	dir, ttl := t.TempDir(), api.Second/4
+	r := startTestRelay(t, dir, ttl)
+	require.NoError(t, r.Persist(newFrame(ttl)))
+	require.Eventually(t, func() bool { return len(r.storedResults()) == 2 }, 10*time.Second, time.Millisecond)
+	for _, e := range r.storedResults() {
+		assert.Equal(t, stream.Rejected, e.Outcome, "it never ran, and has expired")
+	}
+	r.stop()
+	r = startTestRelay(t, dir, ttl)
+	defer r.stop()
+	assert.Empty(t, r.pending, "nothing is pending")
+	assert.Len(t, r.storedResults(), 2)
+}
+
+func TestRelayReceiver_FrameSurvivesRestart(t *testing.T) {
+	dir, ttl := t.TempDir(), 90*api.Second
+	r := startTestRelay(t, dir, ttl)
+	close(r.closed) // nothing is submitted any more
+	time.Sleep(20 * time.Millisecond)
+	require.NoError(t, r.Persist(newFrame(ttl)))
+	r.closed = make(chan struct{})
+	r.stop()
+	r = startTestRelay(t, dir, ttl)
+	require.Eventually(t, func() bool { return len(r.loop.PendingIDs()) == 2 }, 10*time.Second, time.Millisecond)
+	r.stop()
+	r = startTestRelay(t, dir, ttl)
+	defer r.stop()
+	assert.Len(t, r.loop.PendingIDs(), 2)
+	assert.Len(t, r.pending, 2, "once each")
+	assert.True(t, r.hasPending(4))
+}
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -7,13 +7,14 @@
 import (
 	"time"
 
+	"rowanlink/serving/gossip"
 	"rowanlink/serving/state"
 )
 
 // Time-outs of the table.
 const (
-	// unresponsiveIntervals is the number of heartbeat intervals which, with unresponsiveSlack added, may pass without a
-	// heartbeat before an endpoint is unresponsive.
+	// unresponsiveIntervals is the number of heartbeat intervals which, with unresponsiveSlack added, may pass without
+	// a heartbeat before an endpoint is unresponsive.
 	unresponsiveIntervals = 3
 	unresponsiveSlack     = 500 * time.Millisecond
 	// departedTimeout is how long an endpoint may send no heartbeat before it counts as departed.
@@ -48,8 +49,8 @@
 	lastSweep time.Time
 }
 
-// entry is an endpoint with its state in the table. The remaining times in endpoint are not updated; the deadlines beside
-// it replace them.
+// entry is an endpoint with its state in the table. The remaining times in endpoint are not updated; the deadlines
+// beside it replace them.
 type entry struct {
 	endpoint       state.Endpoint
 	warmupEnds     time.Time // zero: warmed up
@@ -65,8 +66,7 @@
 // broadcastState is the last state of an endpoint that was exchanged with the other members.
 type broadcastState struct {
 	exists     bool
-	major      uint64
-	minor      uint64
+	version    gossip.Version
 	warmupEnds time.Time
 	removalDue time.Time
 	replicated bool // another member is known to have stored it
@@ -151,11 +151,9 @@
 
 // recordBroadcast records that the present state of an entry is exchanged with the other members.
 func (t *Table) recordBroadcast(e *entry) {
-	major, minor := Version(e.endpoint)
 	e.broadcast = broadcastState{
 		exists:     true,
-		major:      major,
-		minor:      minor,
+		version:    VersionOf(e.endpoint),
 		warmupEnds: e.warmupEnds,
 		removalDue: e.removalDue,
 	}
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -10,13 +10,15 @@
 	"rowanlink/serving/membership"
 )
 
-// settlePeriod is how long a member and its paths must have been free of faults before a decision about it is checked. It
-// is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
+// settlePeriod is how long a member and its paths must have been free of faults before a decision about it is checked.
+// It is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
 const settlePeriod = 6 * time.Second
 
 // path is one direction between two zones.
 type path struct{ from, to string }
 
+func (p path) reverse() path { return path{from: p.to, to: p.from} }
+
 // faultRun injects generated faults into a simulation and records where and when they happened.
 type faultRun struct {
 	*simulation
@@ -73,15 +75,15 @@
 		r.freeze(n, span)
 		r.nodeFaultAt[n] = r.now.Add(span)
 	case 4:
-		w := r.pickPath()
-		r.setBlocked(w, true)
+		p := r.pickPath()
+		r.setBlocked(p, true)
 		if rapid.Bool().Draw(r.rt, "both ways") {
-			r.setBlocked(path{w.to, w.from}, true)
+			r.setBlocked(p.reverse(), true)
 		}
 	case 5:
-		w := r.pickPath()
-		r.setBlocked(w, false)
-		r.setBlocked(path{w.to, w.from}, false)
+		p := r.pickPath()
+		r.setBlocked(p, false)
+		r.setBlocked(p.reverse(), false)
 	case 6:
 		r.putNewest()
 	case 7:
@@ -90,11 +92,13 @@
 	}
 }
 
-func (r *faultRun) setBlocked(w path, cut bool) {
-	r.blockedPaths[w] = cut
-	r.pathFaultAt[w] = r.now
+// setBlocked blocks or unblocks a path.
+func (r *faultRun) setBlocked(p path, blocked bool) {
+	r.blockedPaths[p] = blocked
+	r.pathFaultAt[p] = r.now
 }
 
+// restart starts a machine's process unless it runs.
 func (r *faultRun) restart(n *simNode) {
 	if !n.running {
 		r.start(n)
@@ -127,8 +131,9 @@
 			return false
 		}
 	}
-	for _, w := range []path{{x.member.Zone, y.member.Zone}, {y.member.Zone, x.member.Zone}} {
-		if r.blockedPaths[w] || r.now.Sub(r.pathFaultAt[w]) < settlePeriod {
+	there := path{x.member.Zone, y.member.Zone}
+	for _, p := range []path{there, there.reverse()} {
+		if r.blockedPaths[p] || r.now.Sub(r.pathFaultAt[p]) < settlePeriod {
 			return false
 		}
 	}
@@ -144,8 +149,8 @@
 	return nil
 }
 
-// checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's watchers
-// receive its heartbeats and the observer receives the watchers' messages.
+// checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's
+// watchers receive its heartbeats and the observer receives the watchers' messages.
 func (r *faultRun) checkNoneWronglyDown() {
 	if r.lossRate > 0 || r.now.Sub(r.lossChangedAt) < settlePeriod {
 		return
@@ -164,7 +169,8 @@
 				}
 			}
 			if 2*receiving > len(watchers) {
-				r.rt.Fatalf("%s has %s marked as down though %d watchers receive its heartbeats", observer.member.Name, member.Name, receiving)
+				r.rt.Fatalf("%s has %s marked as down though %d watchers receive its heartbeats",
+					observer.member.Name, member.Name, receiving)
 			}
 		}
 	}
@@ -190,8 +196,8 @@
 	return true
 }
 
-// TestMembers_RecoverFromFaults injects generated faults. None lets a healthy member be marked as down, and once all are
-// over, all members converge.
+// TestMembers_RecoverFromFaults injects generated faults. None lets a healthy member be marked as down, and once all
+// are over, all members converge.
 func TestMembers_RecoverFromFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newFaultRun(rt, rapid.IntRange(2, 14).Draw(rt, "size"))
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -11,181 +11,169 @@
 	"rowanlink/webhook/dispatcher/upstream"
 )
 
-// Run takes turns until the program has ended: when something waits or is due, no faster than the tick.
-func (d *Loop) Run() {
+// maxTurnInterval is the longest time between two turns.
+const maxTurnInterval = api.Second
+
+// Run takes turns until the process has stopped: when something waits or is due, no faster than the minimum interval.
+func (l *Loop) Run() {
 	timer := time.NewTimer(0)
-	for d.life.Phase() < lifecycle.Stopped {
-		next := d.turned + api.Second
-		if at, ok := d.dues.Next(); ok {
+	for l.lifecycle.Phase() < lifecycle.Stopped {
+		next := l.lastTurnAt + maxTurnInterval
+		if at, ok := l.timers.Next(); ok {
 			next = min(next, api.Micros(at))
 		}
 		timer.Reset(inflight.Duration(max(next-inflight.Now(), 0)))
 		select {
-		case <-d.x.Ready():
+		case <-l.inbox.Ready():
 		case <-timer.C:
 		}
-		if rest := d.turned + d.facts.MinTurnInterval - inflight.Now(); rest > 0 {
+		if rest := l.lastTurnAt + l.settings.MinTurnInterval - inflight.Now(); rest > 0 {
 			time.Sleep(inflight.Duration(rest))
 		}
-		d.turn()
-	}
-	d.turn() // what came back last is written down
-	close(d.over)
-}
-
-// awaits waits for what was told to be done in a turn, unless there are no more turns.
-func (d *Loop) awaits(done <-chan struct{}) {
-	select {
-	case <-done:
-	case <-d.over:
+		l.turn()
 	}
+	l.turn() // the last results are written down
+	close(l.stopped)
 }
 
-func (d *Loop) turn() {
-	arrivals, news := d.x.TakeAll()
-	d.now = inflight.Now()
-	d.turned = d.now
-	d.x.Turns.Add(1)
-	for _, call := range news {
+// turn handles everything that waits, has the policy decide, and acts on the decisions.
+func (l *Loop) turn() {
+	arrivals, posted := l.inbox.TakeAll()
+	l.now = inflight.Now()
+	l.lastTurnAt = l.now
+	l.inbox.Turns.Add(1)
+	for _, call := range posted {
 		call()
 	}
 	for _, w := range arrivals {
-		for i := 0; i < len(d.stages) && d.stages[i](w); i++ {
-		}
+		l.admit(w)
 	}
-	for call, ok := d.dues.PopDue(int64(d.now)); ok; call, ok = d.dues.PopDue(int64(d.now)) {
+	for {
+		call, ok := l.timers.PopDue(int64(l.now))
+		if !ok {
+			break
+		}
 		call()
 	}
-	if d.life.StartsCalls() {
-		d.module.EndTurn()
+	if l.lifecycle.StartsCalls() {
+		l.policy.EndTurn()
 	}
-	d.act()
+	l.actOnTurn()
 }
 
-// refuse answers for what is not taken on. What another member may have is neither rejected nor taken.
-func (d *Loop) refuse(w *inflight.Webhook) {
-	if w.MustKeep {
-		w.Answer(inflight.Undetermined, 0)
-	} else {
-		w.Answer(inflight.Rejected, 0)
-	}
+// runInTurn has something done in the next turn and waits for it, unless there are no more turns.
+func (l *Loop) runInTurn(do func()) {
+	done := make(chan struct{})
+	l.inbox.Post(func() {
+		defer close(done)
+		do()
+	})
+	l.wait(done)
 }
 
-// inTime ends what its client no longer waits for, and what comes when nothing is taken on any more. What
-// another member may have is kept all the same: nobody else would settle that.
-func (d *Loop) inTime(w *inflight.Webhook) bool {
-	if w.MustKeep {
-		return true
-	}
-	if !d.life.AcceptsWebhooks() || d.now-w.ReceivedAt > inflight.AnswerTimeout {
-		w.Answer(inflight.Rejected, 0)
-		return false
-	}
-	return true
+// runAndCommit has something done in the next turn and waits until the turn's decisions are written.
+func (l *Loop) runAndCommit(do, committed func()) {
+	done := make(chan struct{})
+	l.inbox.Post(func() {
+		do()
+		l.afterCommit = append(l.afterCommit, func() {
+			committed()
+			close(done)
+		})
+	})
+	l.wait(done)
 }
 
-// room ends what is beyond the buffer.
-func (d *Loop) room(w *inflight.Webhook) bool {
-	if len(d.held) >= d.facts.BufferSize && !w.MustKeep { // of those there are no more than clients' connections
-		w.Answer(inflight.Rejected, 0)
-		return false
+func (l *Loop) wait(done <-chan struct{}) {
+	select {
+	case <-done:
+	case <-l.stopped:
 	}
-	return true
 }
 
-// once keeps a request id from being held twice.
-func (d *Loop) once(w *inflight.Webhook) bool {
-	if _, held := d.ids[w.RequestID]; held {
-		w.Answer(inflight.Duplicate, 0)
-		return false
+// actOnTurn writes the decisions of the turn down, then answers clients, cancels and starts calls, and notifies.
+func (l *Loop) actOnTurn() {
+	l.dropForbiddenAttempts()
+	for _, a := range l.attempts {
+		l.log.RecordCall(a.Webhook.ID, l.now, l.upstream.Zone(a.endpoint))
+	}
+	err := l.log.Commit()
+	l.commitFailed = err != nil
+	if err != nil {
+		l.handleCommitFailure(err)
+	}
+	for _, id := range l.accepted {
+		if w := l.unanswered[id]; w != nil {
+			w.Answer(inflight.Accepted, 0)
+			delete(l.unanswered, id)
+		}
+	}
+	for _, id := range l.cancels {
+		l.upstream.Cancel(id)
 	}
-	return true
+	l.startCalls()
+	for _, notify := range l.afterCommit {
+		notify()
+	}
+	for _, endpoint := range l.idleToClose {
+		l.upstream.CloseIdle(endpoint)
+	}
+	l.resetTurn()
 }
 
-// take notes the webhook and hands it to the module.
-func (d *Loop) take(w *inflight.Webhook) bool {
-	w.ID = d.nextID
-	if err := d.accept(w); err != nil {
-		d.x.JournalErrors.Add(1)
-		d.refuse(w)
-		return false
-	}
-	d.nextID++
-	d.held[w.ID], d.ids[w.RequestID], d.fresh[w.ID] = w, w.ID, w
-	d.order = append(d.order, w.ID)
-	attempts, mayRun, zone := past(d.journal, w)
-	d.begins(w, attempts, mayRun, zone)
-	return true
+func (l *Loop) resetTurn() {
+	l.accepted = l.accepted[:0]
+	l.attempts = l.attempts[:0]
+	l.afterCommit = l.afterCommit[:0]
+	l.cancels = l.cancels[:0]
+	l.idleToClose = l.idleToClose[:0]
 }
 
-// act writes down what was decided, then answers, calls and tells.
-func (d *Loop) act() {
-	d.attempts = slices.DeleteFunc(d.attempts, func(a attempt) bool {
-		if d.mayCall(a.Webhook) {
+// dropForbiddenAttempts takes back attempts whose lease has ended since the turn began.
+func (l *Loop) dropForbiddenAttempts() {
+	l.attempts = slices.DeleteFunc(l.attempts, func(a attempt) bool {
+		if l.mayCall(a.Webhook) {
 			return false
 		}
-		d.handleNotSent(a) // the grant is over since the turn began
+		l.handleNotSent(a)
 		return true
 	})
-	for _, a := range d.attempts {
-		d.journal.RecordCall(a.Webhook.ID, d.now, d.calls.Zone(a.ep))
-	}
-	err := d.journal.Commit()
-	if d.lost = err != nil; d.lost {
-		d.unwritten(err)
-	}
-	for _, id := range d.order {
-		if w := d.fresh[id]; w != nil {
-			w.Answer(inflight.Accepted, 0)
-			delete(d.fresh, id)
-		}
-	}
-	for _, id := range d.cancels {
-		d.calls.Cancel(id)
-	}
-	d.send()
-	for _, end := range d.ends {
-		end()
-	}
-	for _, ep := range d.hangUps {
-		d.calls.CloseIdle(ep)
-	}
-	d.order, d.attempts, d.ends = d.order[:0], d.attempts[:0], d.ends[:0]
-	d.cancels, d.hangUps = d.cancels[:0], d.hangUps[:0]
 }
 
-// unwritten guards against acting on what would not survive: a disk that is full or gone. What came in this
-// turn is rejected, and no call of this turn is made.
-func (d *Loop) unwritten(err error) {
-	slog.Error("journal not written", "err", err)
-	d.x.JournalErrors.Add(1)
-	for _, id := range d.order {
-		if w := d.fresh[id]; w != nil {
-			d.journal.Undo(id)
-			d.module.Withdraw(id)
-			d.unpark(id)
-			d.drop(w)
-			d.refuse(w)
-			delete(d.fresh, id)
+// handleCommitFailure keeps the loop from acting on what would not survive the process, when the disk is full or gone:
+// the webhooks of this turn are rejected, and none of its calls is made.
+func (l *Loop) handleCommitFailure(err error) {
+	slog.Error("write-ahead log not written", "err", err)
+	l.inbox.JournalErrors.Add(1)
+	for _, id := range l.accepted {
+		w := l.unanswered[id]
+		if w == nil {
+			continue
 		}
+		l.log.Undo(id)
+		l.policy.Withdraw(id)
+		l.unpark(id)
+		l.remove(w)
+		l.reject(w)
+		delete(l.unanswered, id)
 	}
-	for _, a := range d.attempts {
-		d.handleNotSent(a)
+	for _, a := range l.attempts {
+		l.handleNotSent(a)
 	}
-	d.attempts = d.attempts[:0]
+	l.attempts = l.attempts[:0]
 }
 
-// send makes the calls of this turn, those to one endpoint together, in the order decided.
-func (d *Loop) send() {
-	var eps []api.EndpointID
-	tries := map[api.EndpointID][]upstream.Attempt{}
-	for _, a := range d.attempts {
-		if tries[a.ep] == nil {
-			eps = append(eps, a.ep)
+// startCalls makes the calls of this turn, those to one endpoint together, in the order decided.
+func (l *Loop) startCalls() {
+	var order []api.EndpointID
+	byEndpoint := map[api.EndpointID][]upstream.Attempt{}
+	for _, a := range l.attempts {
+		if byEndpoint[a.endpoint] == nil {
+			order = append(order, a.endpoint)
 		}
-		tries[a.ep] = append(tries[a.ep], a.Attempt)
+		byEndpoint[a.endpoint] = append(byEndpoint[a.endpoint], a.Attempt)
 	}
-	for _, ep := range eps {
-		d.calls.Send(ep, tries[ep])
+	for _, endpoint := range order {
+		l.upstream.Send(endpoint, byEndpoint[endpoint])
 	}
 }
--- /dev/null
+++ b/webhook/dispatcher/inflight/broadcast.go
@@ -0,0 +1,62 @@
+package inflight
+
+import (
+	"strconv"
+	"strings"
+
+	"rowanlink/webhook/api"
+)
+
+const (
+	// subscriberSeparator stands between a broadcast's request id and a subscriber's number.
+	subscriberSeparator = ".dest="
+	listPrefix          = "list="
+)
+
+// Broadcast is what a webhook has besides where broadcast lists and site streams are on.
+type Broadcast struct {
+	List    string // not accepted yet: for the list's subscribers, in place of a destination
+	AtRelay bool   // handed to a relay, which ends it
+	// OnFinished takes its result in place of the platform and must not block; nil: the platform gets it.
+	OnFinished func(api.WebhookID, Result)
+}
+
+// BroadcastLists is what a cluster adds for broadcasts.
+type BroadcastLists struct {
+	HasList func(name string) bool // nil where there is no cluster
+}
+
+// ForSubscriber returns the request id of a broadcast's delivery to one subscriber.
+func ForSubscriber(broadcast RequestID, subscriber api.DestinationID) RequestID {
+	return broadcast + subscriberSeparator + RequestID(strconv.FormatUint(uint64(subscriber), 10))
+}
+
+// Subscriber takes such a request id apart; ok is false for any other one.
+func (id RequestID) Subscriber() (broadcast RequestID, subscriber api.DestinationID, ok bool) {
+	at := strings.LastIndex(string(id), subscriberSeparator)
+	if at < 0 {
+		return id, 0, false
+	}
+	n, err := strconv.ParseUint(string(id[at+len(subscriberSeparator):]), 10, 32)
+	return id[:at], api.DestinationID(n), err == nil
+}
+
+// IsReserved reports whether a client's request id would be taken for a subscriber's.
+func (x *Inbox) IsReserved(id string) bool {
+	_, _, isSubscriber := RequestID(id).Subscriber()
+	return x.HasList != nil && isSubscriber
+}
+
+// ListInRoute reads `list=prices` among whatever else is said of the route; ok: there is such a list.
+func (x *Inbox) ListInRoute(route string) (name string, ok bool) {
+	if x.HasList == nil {
+		return "", false
+	}
+	isSeparator := func(r rune) bool { return strings.ContainsRune(";,& ", r) }
+	for _, part := range strings.FieldsFunc(route, isSeparator) {
+		if name, isList := strings.CutPrefix(part, listPrefix); isList {
+			return name, x.HasList(name)
+		}
+	}
+	return "", false
+}
