--- a/cluster/lease/operation.go
+++ b/cluster/lease/operation.go
@@ -69,7 +69,7 @@
 }
 
 // ErrUnreadable means that an operation, result or snapshot can't be decoded or is invalid; nothing was changed.
-var ErrUnreadable = errors.New("it can't be understood")
+var ErrUnreadable = errors.New("unreadable or invalid")
 
 // The limits of one operation, so that no single entry can exhaust the raft nodes' memory.
 const (
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -59,7 +59,7 @@
 	isAccepting func() bool // whether this member accepts webhooks
 }
 
-var errNotAccepting = errors.New("this member takes nothing on any more")
+var errNotAccepting = errors.New("this member no longer accepts webhooks")
 
 var _ relay.ReceiverStore = (*relayReceiver)(nil)
 
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -11,7 +11,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-var errNotParked = errors.New("some of it is no longer here to be sent")
+var errNotParked = errors.New("a webhook of the frame is no longer parked here")
 
 var _ relay.SenderStore = (*siteSender)(nil)
 
--- a/cluster/stream/message.go
+++ b/cluster/stream/message.go
@@ -11,8 +11,8 @@
 // The errors with which a frame or a request to open is rejected, besides cluster.ErrFenced. Nothing of it was
 // accepted.
 var (
-	ErrNotOpen   = errors.New("streams: the relay knows no such run: it has to be opened anew")
-	ErrMalformed = errors.New("streams: not read")
+	ErrNotOpen   = errors.New("stream: the relay has no such generation: it has to be opened again")
+	ErrMalformed = errors.New("stream: malformed message")
 )
 
 // MessageID identifies a webhook or an announcement in the whole cluster.
