--- a/cluster/command.go
+++ b/cluster/command.go
@@ -2,22 +2,25 @@
 
 import "errors"
 
-// The components of the replicated state, as the entries of the log and snapshots name them.
+// ComponentID names a component of the replicated state in log entries, snapshots and messages between members.
+type ComponentID byte
+
+// The components.
 const (
-	LeaseComponent     byte = 'L'
-	ShardMapComponent  byte = 'R'
-	RebalanceComponent byte = 'P'
-	StreamComponent    byte = 'S'
+	LeaseComponent     ComponentID = 'L'
+	ShardMapComponent  ComponentID = 'R'
+	RebalanceComponent ComponentID = 'P'
+	StreamComponent    ComponentID = 'S'
 )
 
 // Command is one entry of the log, addressed to a component. If FencedBy is set, the command is applied only
 // while the lease on that resource is held and its last grant had this Epoch: a late proposal of an earlier
 // lease holder changes nothing.
 type Command struct {
-	Component byte     `cbor:"1,keyasint"`
-	FencedBy  Resource `cbor:"2,keyasint,omitempty"`
-	Epoch     Epoch    `cbor:"3,keyasint,omitempty"`
-	Body      []byte   `cbor:"4,keyasint"`
+	Component ComponentID `cbor:"1,keyasint"`
+	FencedBy  Resource    `cbor:"2,keyasint,omitempty"`
+	Epoch     Epoch       `cbor:"3,keyasint,omitempty"`
+	Body      []byte      `cbor:"4,keyasint"`
 }
 
 // The errors with which a command is rejected. Each means that nothing was changed.
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -16,9 +16,9 @@
 // Machine is the replicated state. It is not safe for concurrent use: the raft node locks it.
 type Machine struct {
 	leases     *lease.Table
-	components map[byte]cluster.Component
-	versions   map[byte]uint64 // see ComponentVersion
-	initial    map[byte][]byte // each component's first state, for a snapshot that lacks it
+	components map[cluster.ComponentID]cluster.Component
+	versions   map[cluster.ComponentID]uint64 // see ComponentVersion
+	initial    map[cluster.ComponentID][]byte // each component's first state, for a snapshot that lacks it
 }
 
 var (
@@ -32,12 +32,12 @@
 )
 
 // New joins the lease table, as cluster.LeaseComponent, with other components.
-func New(leases *lease.Table, others map[byte]cluster.Component) *Machine {
+func New(leases *lease.Table, others map[cluster.ComponentID]cluster.Component) *Machine {
 	m := &Machine{
 		leases:     leases,
-		components: map[byte]cluster.Component{},
-		versions:   map[byte]uint64{},
-		initial:    map[byte][]byte{},
+		components: map[cluster.ComponentID]cluster.Component{},
+		versions:   map[cluster.ComponentID]uint64{},
+		initial:    map[cluster.ComponentID][]byte{},
 	}
 	maps.Copy(m.components, others)
 	m.components[cluster.LeaseComponent] = leases
@@ -87,10 +87,10 @@
 }
 
 // ComponentVersion returns the index of the last entry that a component executed without error; 0: none.
-func (m *Machine) ComponentVersion(id byte) uint64 { return m.versions[id] }
+func (m *Machine) ComponentVersion(id cluster.ComponentID) uint64 { return m.versions[id] }
 
 // ComponentSnapshot returns the snapshot of one component; ErrUnreadable if it is unknown.
-func (m *Machine) ComponentSnapshot(id byte) ([]byte, error) {
+func (m *Machine) ComponentSnapshot(id cluster.ComponentID) ([]byte, error) {
 	component := m.components[id]
 	if component == nil {
 		return nil, fmt.Errorf("unknown component %q: %w", id, ErrUnreadable)
--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -37,7 +37,7 @@
 
 func newMachine() (*Machine, *stubComponent) {
 	n := &stubComponent{}
-	return New(lease.NewTable(), map[byte]cluster.Component{stubID: n}), n
+	return New(lease.NewTable(), map[cluster.ComponentID]cluster.Component{stubID: n}), n
 }
 
 // machineWithLease is a machine in which session 1 holds the coordinator's lease with the epoch returned.
--- a/cluster/fsm/snapshot.go
+++ b/cluster/fsm/snapshot.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"maps"
 	"slices"
+
+	"rowanlink/cluster"
 )
 
 // snapshotFormat is raised when an older program could no longer read a snapshot.
@@ -16,9 +18,9 @@
 }
 
 type componentImage struct {
-	Component byte   `cbor:"1,keyasint"`
-	Version   uint64 `cbor:"2,keyasint"`
-	Snapshot  []byte `cbor:"3,keyasint"`
+	Component cluster.ComponentID `cbor:"1,keyasint"`
+	Version   uint64              `cbor:"2,keyasint"`
+	Snapshot  []byte              `cbor:"3,keyasint"`
 }
 
 // Snapshot encodes the whole machine; the bytes are the same on each raft node.
@@ -47,7 +49,7 @@
 			image.Format, snapshotFormat, ErrUnreadable)
 	}
 	states := maps.Clone(m.initial)
-	versions := map[byte]uint64{}
+	versions := map[cluster.ComponentID]uint64{}
 	for _, c := range image.Components {
 		if _, duplicate := versions[c.Component]; duplicate || m.components[c.Component] == nil {
 			return fmt.Errorf("snapshot: unknown or duplicate component %q: %w", c.Component, ErrUnreadable)
@@ -62,8 +64,8 @@
 	return nil
 }
 
-func (m *Machine) restoreComponents(states map[byte][]byte) error {
-	previous := map[byte][]byte{} // of the components restored so far
+func (m *Machine) restoreComponents(states map[cluster.ComponentID][]byte) error {
+	previous := map[cluster.ComponentID][]byte{} // of the components restored so far
 	for _, id := range slices.Sorted(maps.Keys(states)) {
 		component := m.components[id]
 		before, err := component.Snapshot()
@@ -79,7 +81,7 @@
 	return nil
 }
 
-func (m *Machine) rollBack(previous map[byte][]byte) (err error) {
+func (m *Machine) rollBack(previous map[cluster.ComponentID][]byte) (err error) {
 	for id, before := range previous {
 		err = errors.Join(err, m.components[id].Restore(before))
 	}
--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -40,7 +40,7 @@
 	const node cluster.MemberID = "it"
 	client := transport.NewClient("", map[cluster.MemberID]string{node: address})
 	defer client.Close()
-	request := transport.StateRequest{Versions: map[byte]uint64{
+	request := transport.StateRequest{Versions: map[cluster.ComponentID]uint64{
 		cluster.ShardMapComponent:  0,
 		cluster.RebalanceComponent: 0,
 	}}
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -149,7 +149,7 @@
 		return err
 	}
 	leases := lease.NewTable()
-	components := map[byte]cluster.Component{
+	components := map[cluster.ComponentID]cluster.Component{
 		cluster.ShardMapComponent:  shardmap.New(leases),
 		cluster.RebalanceComponent: &rebalance.Progress{},
 	}
--- a/cluster/member/session/session.go
+++ b/cluster/member/session/session.go
@@ -39,7 +39,7 @@
 	holder     *lease.Holder
 	reconciler *lease.Reconciler
 	notified   map[cluster.Resource]cluster.Epoch // the state that OnChange was last called with
-	watchers   map[byte]*watcher                  // by component of the replicated state
+	watchers   map[cluster.ComponentID]*watcher   // by component of the replicated state
 
 	// hasFreed is set when a raft node reports that a resource became free: it tells all who wait for it in one
 	// moment, so the next request for a grant is spread.
@@ -64,7 +64,7 @@
 		holder:      holder,
 		reconciler:  lease.NewReconciler(holder, timing.AcquireRetryInterval(c.LeaseTTL)),
 		notified:    map[cluster.Resource]cluster.Epoch{},
-		watchers:    map[byte]*watcher{},
+		watchers:    map[cluster.ComponentID]*watcher{},
 		acquireWake: wakeup.New(),
 		pollWake:    wakeup.New(),
 		notifyWake:  wakeup.New(),
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -25,7 +25,7 @@
 // Watch has newer snapshots of a component of the replicated state delivered, always the newest; those between may be
 // left out. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a resource
 // that becomes free is still acquired meanwhile.
-func (s *Session) Watch(component byte, deliver func(version uint64, snapshot []byte)) {
+func (s *Session) Watch(component cluster.ComponentID, deliver func(version uint64, snapshot []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers[component] = &watcher{deliver: deliver}
@@ -81,7 +81,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	request := transport.StateRequest{
-		Versions:        map[byte]uint64{},
+		Versions:        map[cluster.ComponentID]uint64{},
 		WantedResources: s.reconciler.Blocked(),
 		AcceptDeltas:    true,
 	}
--- a/cluster/raftnode/node.go
+++ b/cluster/raftnode/node.go
@@ -69,7 +69,7 @@
 	waiters      int                // on stateChanged
 	members      []cluster.MemberID // configured nodes, sorted
 	joinRequests map[cluster.MemberID]transport.JoinRequest
-	history      map[byte]*fsm.SnapshotHistory // by component
+	history      map[cluster.ComponentID]*fsm.SnapshotHistory // by component
 }
 
 const (
@@ -120,7 +120,7 @@
 		closing:         make(chan struct{}),
 		stateChanged:    make(chan struct{}),
 		joinRequests:    map[cluster.MemberID]transport.JoinRequest{},
-		history:         map[byte]*fsm.SnapshotHistory{},
+		history:         map[cluster.ComponentID]*fsm.SnapshotHistory{},
 	}
 }
 
--- a/cluster/raftnode/state_reads.go
+++ b/cluster/raftnode/state_reads.go
@@ -78,7 +78,7 @@
 // readComponent returns a component's state if it is newer than the requester's version, as a delta if that is accepted
 // and known. The caller holds the lock.
 func (n *Node) readComponent(
-	component byte, requesterVersion uint64, acceptDeltas bool,
+	component cluster.ComponentID, requesterVersion uint64, acceptDeltas bool,
 ) (part transport.ComponentState, isNewer bool, err error) {
 	version, history := n.machine.ComponentVersion(component), n.history[component]
 	if history == nil {
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -43,9 +43,9 @@
 // StateRequest polls for the state of each component in Versions that is newer than that version, and for the wanted
 // resources that nobody holds. With AcceptDeltas a component's state may come as a delta from that version.
 type StateRequest struct {
-	Versions        map[byte]uint64    `cbor:"1,keyasint,omitempty"`
-	WantedResources []cluster.Resource `cbor:"2,keyasint,omitempty"`
-	AcceptDeltas    bool               `cbor:"3,keyasint,omitempty"`
+	Versions        map[cluster.ComponentID]uint64 `cbor:"1,keyasint,omitempty"`
+	WantedResources []cluster.Resource             `cbor:"2,keyasint,omitempty"`
+	AcceptDeltas    bool                           `cbor:"3,keyasint,omitempty"`
 }
 
 // StateResponse is the answer to a StateRequest. AppliedIndex is the index of the last entry that was applied when the
@@ -59,10 +59,10 @@
 // ComponentState is the state of a component at a version. Data is a complete snapshot if BaseVersion is 0, and else a
 // delta from that version, see fsm.ApplyDelta.
 type ComponentState struct {
-	Component   byte   `cbor:"1,keyasint"`
-	Version     uint64 `cbor:"2,keyasint"`
-	Data        []byte `cbor:"3,keyasint"`
-	BaseVersion uint64 `cbor:"4,keyasint,omitempty"`
+	Component   cluster.ComponentID `cbor:"1,keyasint"`
+	Version     uint64              `cbor:"2,keyasint"`
+	Data        []byte              `cbor:"3,keyasint"`
+	BaseVersion uint64              `cbor:"4,keyasint,omitempty"`
 }
 
 // NotLeaderResponse comes with status 421. Leader is empty if it is not known.
--- a/test/integration/harness/shardmap.go
+++ b/test/integration/harness/shardmap.go
@@ -41,7 +41,7 @@
 // requestShardMap requests the shard map of a raft node if it is newer than a version.
 func requestShardMap(client *transport.Client, node cluster.MemberID, version uint64,
 	timeout time.Duration) (response transport.StateResponse, ok bool) {
-	request := transport.StateRequest{Versions: map[byte]uint64{cluster.ShardMapComponent: version}}
+	request := transport.StateRequest{Versions: map[cluster.ComponentID]uint64{cluster.ShardMapComponent: version}}
 	status, body, err := client.Call(node, transport.StatePath, transport.Encode(request), timeout)
 	if err != nil || status != http.StatusOK {
 		return response, false
