--- a/cluster/raftnode/state_reads.go
+++ b/cluster/raftnode/state_reads.go
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, resource := range request.WantedResources {
-		if _, _, _, held := n.leases.Holder(resource); !held {
+		if _, held := n.leases.Holder(resource); !held {
 			response.FreeResources = append(response.FreeResources, resource)
 		}
 	}
@@ -78,7 +78,7 @@
 // readComponent returns a component's state if it is newer than the requester's version, as a delta if that is accepted
 // and known. The caller holds the lock.
 func (n *Node) readComponent(
-	component byte, requesterVersion uint64, acceptDeltas bool,
+	component cluster.ComponentID, requesterVersion uint64, acceptDeltas bool,
 ) (part transport.ComponentState, isNewer bool, err error) {
 	version, history := n.machine.ComponentVersion(component), n.history[component]
 	if history == nil {
@@ -135,8 +135,8 @@
 	}
 	rejection := lease.Result{Session: operation.Session}
 	for _, resource := range operation.Resources {
-		holder, _, _, held := n.leases.Holder(resource)
-		if !held || holder == operation.Session {
+		holder, held := n.leases.Holder(resource)
+		if !held || holder.Session == operation.Session {
 			return nil, false
 		}
 		rejection.Grants = append(rejection.Grants, lease.Grant{Resource: resource})
--- a/serving/httpserver/body.go
+++ b/serving/httpserver/body.go
@@ -20,11 +20,11 @@
 	assumedBodySize = 128 << 10
 )
 
-// errClientDisconnected: the client has closed its connection. There is nobody to respond to.
+// errClientDisconnected: the client has closed its connection, so no response can be sent.
 var errClientDisconnected = errors.New("client has disconnected")
 
-// readBody reads the complete body of at most limit bytes and counts it in memory; the caller releases it. The error is
-// an errcode error or errClientDisconnected.
+// readBody reads the complete body of at most limit bytes and counts it in memory. The caller releases it, unless there
+// is an error. The error is an errcode error or errClientDisconnected.
 func readBody(r *http.Request, limit int, memory *bodyMemory) ([]byte, error) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -38,6 +38,17 @@
 	if !memory.reserve(r.ContentLength) {
 		return nil, errcode.TooManyLargeBodies.With("%d bytes", r.ContentLength)
 	}
+	body, err := readBodyWithin(r, limit)
+	if err != nil {
+		memory.release(r.ContentLength)
+		return nil, err
+	}
+	return body, nil
+}
+
+// readBodyWithin reads the complete body of at most limit bytes. The error is an errcode error or
+// errClientDisconnected.
+func readBodyWithin(r *http.Request, limit int) ([]byte, error) {
 	body, err := readBodyBytes(r, limit)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -73,7 +84,7 @@
 	reserved atomic.Int64
 }
 
-// reserve counts a body. It returns false if there is no room.
+// reserve counts a body. It returns false if the limit would be exceeded.
 func (m *bodyMemory) reserve(length int64) bool {
 	size := reservationSize(length)
 	if size == 0 {
@@ -86,7 +97,7 @@
 	return true
 }
 
-// release uncounts a body that was reserved.
+// release returns the reservation of a body.
 func (m *bodyMemory) release(length int64) { m.reserved.Add(-reservationSize(length)) }
 
 // reservationSize returns what a body of the length counts as; a negative length is unknown.
