--- a/cluster/member/custody/encoded_forms_test.go
+++ b/cluster/member/custody/encoded_forms_test.go
@@ -1,18 +1,16 @@
 package custody
 
 import (
-	"os"
 	"testing"
 
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/cluster/shardmap"
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms guards the records under fleet/names against a renamed field.
 func TestEncodedForms(t *testing.T) {
-	want, err := os.ReadFile("testdata/encoded_forms.golden")
-	require.NoError(t, err)
-	require.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, shardmap.CustodyRecord{}))
+	encodedforms.AssertGolden(t, wireschema.CBOR,
+		shardmap.CustodyRecord{},
+	)
 }
--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -11,7 +11,6 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/webhook/api"
-	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const fetchTimeout = 10 * api.Second
@@ -44,7 +43,7 @@
 		cluster.ShardMapComponent:  0,
 		cluster.RebalanceComponent: 0,
 	}}
-	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), inflight.Duration(fetchTimeout))
+	status, raw, err := client.Call(node, transport.StatePath, transport.Encode(request), fetchTimeout.Duration())
 	if err != nil {
 		return answer, status, err
 	}
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -98,7 +98,7 @@
 		case inflight.Now() > deadline: // by the time named the move should have switched
 			return inflight.Rejected, inflight.AnswerTimeout
 		}
-		time.Sleep(inflight.Duration(retryInterval))
+		time.Sleep(retryInterval.Duration())
 	}
 }
 
--- a/cluster/member/health/encoded_forms_test.go
+++ b/cluster/member/health/encoded_forms_test.go
@@ -1,18 +1,17 @@
 package health
 
 import (
-	"os"
 	"testing"
 
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/cluster/rebalance"
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms guards the messages between members of different versions against a renamed field.
 func TestEncodedForms(t *testing.T) {
-	want, err := os.ReadFile("testdata/encoded_forms.golden")
-	require.NoError(t, err)
-	require.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Query{}, rebalance.Report{}))
+	encodedforms.AssertGolden(t, wireschema.CBOR,
+		Query{},
+		rebalance.Report{},
+	)
 }
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -13,7 +13,6 @@
 	"rowanlink/cluster/member/session"
 	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
-	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // departureTimeoutTTLs is how many lease TTLs a graceful shutdown waits for a departure slot.
@@ -63,7 +62,7 @@
 
 // runPeriodically calls do whenever it is woken, and periodically.
 func (m *Member) runPeriodically(wake wakeup.Signal, do func()) {
-	tick := time.NewTicker(inflight.Duration(m.file.LeaseTTL) / checksPerTTL)
+	tick := time.NewTicker(m.file.LeaseTTL.Duration() / checksPerTTL)
 	defer tick.Stop()
 	for {
 		select {
@@ -128,12 +127,12 @@
 	for slot := range slots {
 		m.session.Acquire(cluster.DepartureSlotResource(slot))
 	}
-	deadline := time.Now().Add(departureTimeoutTTLs * inflight.Duration(m.file.LeaseTTL))
+	deadline := time.Now().Add(departureTimeoutTTLs * m.file.LeaseTTL.Duration())
 	for time.Now().Before(deadline) {
 		if m.claimDepartureSlot(slots) {
 			return
 		}
-		time.Sleep(inflight.Duration(m.file.LeaseTTL) / (checksPerTTL * checksPerTTL))
+		time.Sleep(m.file.LeaseTTL.Duration() / (checksPerTTL * checksPerTTL))
 	}
 	slog.Warn("departing without a slot: none was free for one lease TTL")
 }
@@ -168,7 +167,7 @@
 			slog.Warn("raft node not closed in time", "error", err)
 		}
 	}
-	_ = m.server.Close(inflight.Duration(m.file.LeaseTTL) / checksPerTTL) // the process ends with what is open then
+	_ = m.server.Close(m.file.LeaseTTL.Duration() / checksPerTTL) // the process ends with what is open then
 	m.client.Close()
 	_ = m.custody.Close() // what was answered has been written
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -35,7 +35,6 @@
 	"rowanlink/internal/wakeup"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher"
-	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const (
@@ -231,7 +230,7 @@
 		Self:        m.self,
 		Reporter:    m.reporter,
 		Client:      m.client,
-		LeaseTTL:    inflight.Duration(m.file.LeaseTTL),
+		LeaseTTL:    m.file.LeaseTTL.Duration(),
 		Members:     m.members,
 		Query:       m.healthQuery,
 		OnCollected: m.wake,
--- a/cluster/member/peer/client.go
+++ b/cluster/member/peer/client.go
@@ -10,7 +10,6 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/cluster/transport"
 	"rowanlink/webhook/api"
-	"rowanlink/webhook/dispatcher/inflight"
 )
 
 // Client sends transfers and queries to other members. Its methods may be called concurrently.
@@ -60,7 +59,7 @@
 
 func (c *Client) exchange(to cluster.MemberID, path string, t Transfer, within api.Micros) (reply TransferReply,
 	err error) {
-	status, raw, err := c.transport.Call(to, path, transport.Encode(t), inflight.Duration(within))
+	status, raw, err := c.transport.Call(to, path, transport.Encode(t), within.Duration())
 	if err != nil {
 		return reply, err
 	}
@@ -74,7 +73,7 @@
 // QueryCustody asks a member for the custody of webhooks. Where it has answered there is one reply for each query.
 func (c *Client) QueryCustody(at cluster.MemberID, queries []CustodyQuery, within api.Micros) (
 	replies []shardmap.CustodyReply, err error) {
-	status, raw, err := c.transport.Call(at, QueryPath, transport.Encode(queries), inflight.Duration(within))
+	status, raw, err := c.transport.Call(at, QueryPath, transport.Encode(queries), within.Duration())
 	if err != nil {
 		return nil, err
 	}
--- a/cluster/member/session/acquire.go
+++ b/cluster/member/session/acquire.go
@@ -62,7 +62,7 @@
 
 // waitForWork waits until there may be something to propose, for the time named at most; false: the session is closed.
 func (s *Session) waitForWork(atMost api.Micros) bool {
-	timer := time.NewTimer(duration(atMost))
+	timer := time.NewTimer(atMost.Duration())
 	defer timer.Stop()
 	select {
 	case <-s.acquireWake:
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -84,7 +84,7 @@
 		Incarnation: s.Incarnation,
 		GrantDigest: digest,
 	}
-	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), duration(within))
+	raw, err := s.Leader.Request(transport.SessionPath, transport.Encode(request), within.Duration())
 	if err == nil {
 		err = transport.Decode(raw, &answer)
 	}
--- a/cluster/member/session/session.go
+++ b/cluster/member/session/session.go
@@ -137,7 +137,7 @@
 
 // Propose has a command put into the log, as LeaderClient.Propose does, within the time that members allow for that.
 func (s *Session) Propose(command cluster.Command) (answer []byte, err error) {
-	answer, _, err = s.Leader.Propose(command, duration(timing.LoggedRequestTimeout(s.LeaseTTL)))
+	answer, _, err = s.Leader.Propose(command, timing.LoggedRequestTimeout(s.LeaseTTL).Duration())
 	return answer, err
 }
 
@@ -163,7 +163,7 @@
 	s.mu.Unlock()
 	if session != 0 {
 		// Where this fails the session ends by its TTL.
-		_, _, _ = s.Leader.Propose(lease.EndSession(session), duration(timing.RequestTimeout(s.LeaseTTL)))
+		_, _, _ = s.Leader.Propose(lease.EndSession(session), timing.RequestTimeout(s.LeaseTTL).Duration())
 	}
 	s.done.Wait()
 	s.deliverMu.Lock()
@@ -184,7 +184,7 @@
 
 // sleep waits for a time and returns true, or returns false as soon as the session is closed.
 func (s *Session) sleep(t api.Micros) bool {
-	timer := time.NewTimer(duration(t))
+	timer := time.NewTimer(t.Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -193,5 +193,3 @@
 		return false
 	}
 }
-
-func duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/cluster/member/session/unfencedgap_test.go
+++ b/cluster/member/session/unfencedgap_test.go
@@ -92,7 +92,7 @@
 // SIGSTOP at random moments for longer than its lease TTL: how long the gap is that no fence closes, and how many of the
 // stops fall into it.
 func BenchmarkUnfencedGap(b *testing.B) {
-	for _, stop := range []time.Duration{0, time.Duration(leaseTTL) * time.Microsecond * 5 / 4} {
+	for _, stop := range []time.Duration{0, leaseTTL.Duration() * 5 / 4} {
 		b.Run("stop="+stop.String(), func(b *testing.B) { benchmarkUnfencedGap(b, stop) })
 	}
 }
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -65,7 +65,7 @@
 
 func (s *Session) pollState(node cluster.MemberID, request transport.StateRequest) (answer transport.StateResponse,
 	answered bool) {
-	within := duration(timing.LongPollTimeout(s.LeaseTTL) + timing.RequestTimeout(s.LeaseTTL))
+	within := (timing.LongPollTimeout(s.LeaseTTL) + timing.RequestTimeout(s.LeaseTTL)).Duration()
 	status, raw, err := s.Leader.client.Call(node, transport.StatePath, transport.Encode(request), within)
 	if err == nil && status == fasthttp.StatusOK {
 		err = transport.Decode(raw, &answer)
--- a/cluster/member/session/workload.go
+++ b/cluster/member/session/workload.go
@@ -61,7 +61,7 @@
 // reportToGuard sends a request to the guard and returns whether it was accepted. It writes the last byte only if the
 // resource is still held right before.
 func (s *Session) reportToGuard(guard, action string, query url.Values, stillHeld func() bool) bool {
-	dialer := net.Dialer{Timeout: duration(s.LeaseTTL)}
+	dialer := net.Dialer{Timeout: s.LeaseTTL.Duration()}
 	conn, err := dialer.DialContext(context.Background(), "tcp", guard)
 	if err != nil {
 		return false
@@ -69,7 +69,7 @@
 	defer func() { _ = conn.Close() }() // the answer was read or is not needed
 	request := fmt.Sprintf("POST /%s?%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		action, query.Encode(), guard)
-	if conn.SetDeadline(time.Now().Add(duration(s.LeaseTTL))) != nil {
+	if conn.SetDeadline(time.Now().Add(s.LeaseTTL.Duration())) != nil {
 		return false
 	}
 	last := len(request) - 1
--- a/cluster/raftnode/handlers.go
+++ b/cluster/raftnode/handlers.go
@@ -149,7 +149,7 @@
 		return applyResult{}, 0, false
 	}
 	n.Proposals.Add(1)
-	future := n.raft.ApplyLog(newLogEntry(command), toDuration(timing.ProposalTimeout(n.sessionTTL)))
+	future := n.raft.ApplyLog(newLogEntry(command), timing.ProposalTimeout(n.sessionTTL).Duration())
 	if err := future.Error(); err != nil {
 		n.respondToFailedProposal(ctx, err)
 		return applyResult{}, 0, false
--- a/cluster/raftnode/leadership.go
+++ b/cluster/raftnode/leadership.go
@@ -233,5 +233,5 @@
 	if at, isSet := n.deadlines.NextCheckAt(); isSet && n.leaderTerm != 0 {
 		wait = min(wait, max(at-n.clock(), 0))
 	}
-	return toDuration(wait) + timerSlack
+	return wait.Duration() + timerSlack
 }
--- a/cluster/raftnode/membership.go
+++ b/cluster/raftnode/membership.go
@@ -20,7 +20,7 @@
 // a time.
 func (n *Node) maintainMembership() {
 	defer n.background.Done()
-	ticker := time.NewTicker(toDuration(timing.ReconfigureInterval(n.sessionTTL)))
+	ticker := time.NewTicker(timing.ReconfigureInterval(n.sessionTTL).Duration())
 	defer ticker.Stop()
 	for {
 		servers := n.servers()
@@ -56,7 +56,7 @@
 
 // requestTimeout is that of a request to another node.
 func (n *Node) requestTimeout() time.Duration {
-	return toDuration(timing.RequestTimeout(n.sessionTTL))
+	return timing.RequestTimeout(n.sessionTTL).Duration()
 }
 
 // suffrage returns a server's suffrage, or notInConfiguration.
@@ -98,7 +98,7 @@
 // admitServer handles a join request with one change of the configuration, or none if the server must catch up first. It
 // returns false if the server has its vote.
 func (n *Node) admitServer(servers []raft.Server, request transport.JoinRequest) bool {
-	id, timeout := raft.ServerID(request.ServerID), toDuration(n.sessionTTL)
+	id, timeout := raft.ServerID(request.ServerID), n.sessionTTL.Duration()
 	switch current := suffrage(servers, id); {
 	case current == raft.Voter:
 		return false
@@ -137,7 +137,7 @@
 func (n *Node) removeDepartedServer(servers []raft.Server, members []cluster.MemberID) {
 	for _, s := range servers {
 		if !slices.Contains(members, memberOf(s.ID)) {
-			n.awaitMembershipChange("raft server removed", s.ID, n.raft.RemoveServer(s.ID, 0, toDuration(n.sessionTTL)))
+			n.awaitMembershipChange("raft server removed", s.ID, n.raft.RemoveServer(s.ID, 0, n.sessionTTL.Duration()))
 			return
 		}
 	}
--- a/cluster/raftnode/node.go
+++ b/cluster/raftnode/node.go
@@ -83,14 +83,14 @@
 // folder that can't be read, or that a newer version of the program has written.
 func Open(config Config, listener net.Listener) (*Node, error) {
 	n := newNode(config)
-	logger := newRaftLogger(toDuration(config.SessionTTL))
+	logger := newRaftLogger(config.SessionTTL.Duration())
 	var err error
 	n.storage, err = openStorage(filepath.Join(config.StateDir, stateFolder), config.Self, logger)
 	if err != nil {
 		_ = listener.Close()
 		return nil, fmt.Errorf("raft node %s: %w", config.Self, err)
 	}
-	rpcTimeout := toDuration(timing.RaftTimingFor(config.SessionTTL).RPCTimeout)
+	rpcTimeout := timing.RaftTimingFor(config.SessionTTL).RPCTimeout.Duration()
 	n.streams = newStreamLayer(listener, config.ClusterName, n.storage.id, rpcTimeout)
 	n.transport = newContactTransport(newNetworkTransport(n.streams, logger, rpcTimeout), config.Clock)
 	n.setMembers(config.Addresses)
@@ -141,7 +141,11 @@
 	if err != nil {
 		return err
 	}
-	stable := retryingStableStore{n.storage.log, toDuration(raftTiming.RPCTimeout), n.closing}
+	stable := retryingStableStore{
+		StableStore: n.storage.log,
+		interval:    raftTiming.RPCTimeout.Duration(),
+		closing:     n.closing,
+	}
 	config := n.raftConfig(raftTiming, logger)
 	n.raft, err = raft.NewRaft(config, stateMachine{n}, logs, stable, n.storage.snapshots, n.transport)
 	return err
@@ -153,18 +157,16 @@
 	config.Logger = logger
 	config.NotifyCh = n.leaderChanges
 	config.NoLegacyTelemetry = true
-	config.HeartbeatTimeout = toDuration(raftTiming.HeartbeatTimeout)
-	config.ElectionTimeout = toDuration(raftTiming.HeartbeatTimeout)
-	config.LeaderLeaseTimeout = toDuration(raftTiming.LeaderLeaseTimeout)
-	config.CommitTimeout = toDuration(raftTiming.CommitTimeout)
+	config.HeartbeatTimeout = raftTiming.HeartbeatTimeout.Duration()
+	config.ElectionTimeout = raftTiming.HeartbeatTimeout.Duration()
+	config.LeaderLeaseTimeout = raftTiming.LeaderLeaseTimeout.Duration()
+	config.CommitTimeout = raftTiming.CommitTimeout.Duration()
 	config.SnapshotThreshold = raftTiming.SnapshotThreshold
 	config.TrailingLogs = raftTiming.TrailingLogs
-	config.SnapshotInterval = toDuration(raftTiming.SnapshotInterval)
+	config.SnapshotInterval = raftTiming.SnapshotInterval.Duration()
 	return config
 }
 
-func toDuration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
-
 // SetAddresses replaces the raft addresses of all nodes, and with them the members of the group.
 func (n *Node) SetAddresses(addresses map[cluster.MemberID]string) {
 	n.setMembers(addresses)
@@ -181,7 +183,7 @@
 // Close transfers the leadership if the node has it, writes a snapshot, and stops the node. It takes no longer than a
 // session TTL.
 func (n *Node) Close() error {
-	third := toDuration(n.sessionTTL / 3)
+	third := (n.sessionTTL / 3).Duration()
 	if n.raft.State() == raft.Leader {
 		runWithin(third, func() { _ = n.raft.LeadershipTransfer().Error() }) // raft logs why not
 	}
--- a/cluster/raftnode/state_reads.go
+++ b/cluster/raftnode/state_reads.go
@@ -21,7 +21,7 @@
 	if !decodeRequest(ctx, &request) {
 		return
 	}
-	timeout := time.NewTimer(toDuration(timing.LongPollTimeout(n.sessionTTL)))
+	timeout := time.NewTimer(timing.LongPollTimeout(n.sessionTTL).Duration())
 	defer timeout.Stop()
 	for {
 		response, stateChanged, err := n.readNewerState(request)
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -1,7 +1,7 @@
 // Package rebalance moves key ranges between the members of the cluster as a plan file states (package planfile). It
 // holds the planner, which chooses each range's member and orders the moves there; the progress of the running plan,
 // which is replicated in the raft log; the scheduler, which says what the coordinator has to do next; and the impact
-// of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/fleet.md, "The plan language",
+// of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/cluster.md, "The plan language",
 // has the reasons.
 package rebalance
 
--- a/cluster/rebalance/planfile/file.go
+++ b/cluster/rebalance/planfile/file.go
@@ -1,6 +1,6 @@
 // Package planfile is the plan language: the blocks of the cluster's operator file (HCL) that state which members and
 // rules a placement of key ranges shall satisfy. It parses and validates a file without knowing the map of ranges;
-// package rebalance finds the steps. docs/fleet.md, "The plan language", has the reasons for the language.
+// package rebalance finds the steps. docs/cluster.md, "The plan language", has the reasons for the language.
 package planfile
 
 import (
--- a/cluster/site/relay_submission.go
+++ b/cluster/site/relay_submission.go
@@ -26,7 +26,7 @@
 
 // run submits webhooks and stores results until close.
 func (r *relayReceiver) run() {
-	retry := time.NewTicker(inflight.Duration(inflight.AnswerTimeout / 4)) // for what could not be stored or submitted
+	retry := time.NewTicker((inflight.AnswerTimeout / 4).Duration()) // for what could not be stored or submitted
 	defer retry.Stop()
 	for {
 		select {
--- a/test/checker/leasecheck/operations.go
+++ b/test/checker/leasecheck/operations.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"maps"
 	"slices"
-	"time"
 
 	"rowanlink/webhook/api"
 )
@@ -95,7 +94,7 @@
 		return fmt.Sprintf("%s: epoch %d of %s goes back behind %d of %s", o.Resource, o.Epoch, o.Member,
 			earlier.Epoch, earlier.Member)
 	case earlier.heldUntil() > o.From:
-		overlap := time.Duration(earlier.heldUntil()-o.From) * time.Microsecond
+		overlap := (earlier.heldUntil() - o.From).Duration()
 		return fmt.Sprintf("%s: %s with %d began %s before %s with %d ended", o.Resource, o.Member, o.Epoch,
 			overlap, earlier.Member, earlier.Epoch)
 	}
--- a/test/fake/platform/client.go
+++ b/test/fake/platform/client.go
@@ -44,7 +44,7 @@
 		w.token = defaultToken(id)
 	}
 	if w.TTL == 0 {
-		w.TTL = time.Duration(p.Checker.Requirements.EventTypes[w.Type].TTL) * time.Microsecond
+		w.TTL = p.Checker.Requirements.EventTypes[w.Type].TTL.Duration()
 	}
 	p.Checker.RecordSubmission(deliverycheck.Submission{
 		At:           p.Now(),
--- a/test/fake/platform/destination.go
+++ b/test/fake/platform/destination.go
@@ -150,7 +150,7 @@
 	d.platform.Checker.RecordRateExceeded()
 	rejected := Behaviour{Status: http.StatusTooManyRequests}
 	if b.TellsRetryAfter {
-		rejected.RetryAfter = time.Duration(api.Second-now%api.Second) * time.Microsecond
+		rejected.RetryAfter = (api.Second - now%api.Second).Duration()
 	}
 	return rejected
 }
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -154,7 +154,7 @@
 	}
 	answer := transport.StateResponse{Components: l.nextPlanState(request.Versions[cluster.RebalanceComponent])}
 	if len(answer.Components) == 0 {
-		time.Sleep(time.Duration(l.leaseTTL/3) * time.Microsecond)
+		time.Sleep((l.leaseTTL / 3).Duration())
 	}
 	ctx.SetBody(transport.Encode(answer))
 }
--- a/test/integration/cluster/move_test.go
+++ b/test/integration/cluster/move_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"regexp"
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/require"
 
@@ -50,7 +49,7 @@
 			c.Check(deliverycheck.Order) // an owner that is lost keeps its webhooks to itself for a while
 			for d := range api.DestinationID(4) {
 				t.Logf("destination %d: longest gap %s", d+1,
-					time.Duration(c.Platform.Checker.LongestGap(d+1))*time.Microsecond)
+					c.Platform.Checker.LongestGap(d+1).Duration())
 			}
 		})
 	}
--- a/webhook/api/time.go
+++ b/webhook/api/time.go
@@ -1,5 +1,7 @@
 package api
 
+import "time"
+
 // Micros is a time or a duration in whole microseconds. Times count from an arbitrary origin and never run back.
 type Micros int64
 
@@ -11,3 +13,6 @@
 
 // Seconds returns the duration in seconds.
 func (t Micros) Seconds() float64 { return float64(t) / float64(Second) }
+
+// Duration returns the duration as the standard library's type.
+func (t Micros) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
--- a/webhook/dispatcher/discovery/client.go
+++ b/webhook/dispatcher/discovery/client.go
@@ -11,7 +11,6 @@
 
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/config"
-	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/refresh"
 )
 
@@ -76,7 +75,7 @@
 		catalog:        o.Catalog,
 		scheduler:      o.Scheduler,
 		maxObject:      o.MaxObject,
-		retainNames:    inflight.Duration(o.RetainNames),
+		retainNames:    o.RetainNames.Duration(),
 		update:         o.Update,
 		malformed:      o.Malformed,
 		ready:          sync.OnceFunc(o.Ready),
@@ -101,7 +100,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.catalog = catalog
-	c.retainNames = inflight.Duration(retainNames)
+	c.retainNames = retainNames.Duration()
 }
 
 func (c *Client) currentCatalog() config.Catalog {
--- a/webhook/dispatcher/discovery/watch.go
+++ b/webhook/dispatcher/discovery/watch.go
@@ -13,7 +13,6 @@
 
 	"github.com/valyala/fasthttp"
 
-	"rowanlink/webhook/dispatcher/inflight"
 	"rowanlink/webhook/refresh"
 )
 
@@ -24,7 +23,7 @@
 // the address changes; the Scheduler decides when the next one begins.
 func (c *Client) Run() {
 	delay := c.scheduler.StartupDelay(c.currentCatalog().PushedLists)
-	time.AfterFunc(inflight.Duration(delay), c.ready)
+	time.AfterFunc(delay.Duration(), c.ready)
 	for reason := refresh.Started; ; {
 		address, changed := c.currentAddress()
 		request := c.scheduler.Next(reason, c.currentCatalog().PushedLists)
@@ -32,7 +31,7 @@
 		case <-changed: // it was the old address that failed
 			reason = refresh.AddressChanged
 			continue
-		case <-time.After(inflight.Duration(request.Delay)):
+		case <-time.After(request.Delay.Duration()):
 		}
 		ctx, cancel := contextUntil(changed)
 		err := c.watch(ctx, address, request)
@@ -72,8 +71,8 @@
 
 // watch requests the changes since the last list and reads them until the watch ends.
 func (c *Client) watch(ctx context.Context, address string, request refresh.Request) error {
-	responseUntil := time.Now().Add(inflight.Duration(request.ResponseTimeout))
-	dialer := net.Dialer{Timeout: inflight.Duration(request.ConnectTimeout)}
+	responseUntil := time.Now().Add(request.ResponseTimeout.Duration())
+	dialer := net.Dialer{Timeout: request.ConnectTimeout.Duration()}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
@@ -87,7 +86,7 @@
 	reader := &deadlineReader{
 		connection:    connection,
 		responseUntil: responseUntil,
-		idleTimeout:   inflight.Duration(request.IdleTimeout),
+		idleTimeout:   request.IdleTimeout.Duration(),
 	}
 	var response fasthttp.Response
 	response.StreamBody = true
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -22,13 +22,13 @@
 		if at, ok := l.timers.Next(); ok {
 			next = min(next, api.Micros(at))
 		}
-		timer.Reset(inflight.Duration(max(next-inflight.Now(), 0)))
+		timer.Reset(max(next-inflight.Now(), 0).Duration())
 		select {
 		case <-l.inbox.Ready():
 		case <-timer.C:
 		}
 		if rest := l.lastTurnAt + l.settings.MinTurnInterval - inflight.Now(); rest > 0 {
-			time.Sleep(inflight.Duration(rest))
+			time.Sleep(rest.Duration())
 		}
 		l.turn()
 	}
--- a/webhook/dispatcher/inflight/clock.go
+++ b/webhook/dispatcher/inflight/clock.go
@@ -12,6 +12,3 @@
 func Now() api.Micros {
 	return api.Micros(started.UnixMicro() + time.Since(started).Microseconds())
 }
-
-// Duration converts a duration of the process's clock to the standard library's.
-func Duration(t api.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/webhook/dispatcher/server/server_test.go
+++ b/webhook/dispatcher/server/server_test.go
@@ -46,7 +46,7 @@
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return socket.HasUnread(first.TCPConn) }, time.Second, time.Millisecond)
 		if second.finishRequest(); full {
-			time.Sleep(inflight.Duration(pendingGrace * 3 / 2)) // this process gets to read nothing
+			time.Sleep((pendingGrace * 3 / 2).Duration()) // this process gets to read nothing
 			dial()
 			enter()
 		}
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -153,7 +153,7 @@
 	now := inflight.Now()
 	remaining := k.timeout - (now - k.startedAt)
 	timeout := max(min(api.Micros(c.connectTimeout.Load()), remaining, k.latest-now), 1)
-	connection, err = dial(k.endpoint.addr, inflight.Duration(timeout))
+	connection, err = dial(k.endpoint.addr, timeout.Duration())
 	if err != nil {
 		c.mu.Lock()
 		c.open--
@@ -172,7 +172,7 @@
 		return callResult{outcome: api.ConnectFailed}, true
 	}
 	remaining := k.timeout - (inflight.Now() - k.startedAt) // connecting took its part
-	until := time.Now().Add(inflight.Duration(remaining))
+	until := time.Now().Add(remaining.Duration())
 	stillAllowed := func() bool { return c.mayCall(k) }
 	switch written := connection.write(encodeRequest(k, remaining), until, stillAllowed); {
 	case written:
--- a/webhook/dispatcher/upstream/connection.go
+++ b/webhook/dispatcher/upstream/connection.go
@@ -10,7 +10,6 @@
 
 	"rowanlink/internal/socket"
 	"rowanlink/webhook/api"
-	"rowanlink/webhook/dispatcher/inflight"
 )
 
 const readBufferSize = 4096 // bytes; also the longest head of an answer
@@ -66,7 +65,7 @@
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
-		if soon := time.Now().Add(inflight.Duration(restTimeout)); soon.Before(until) {
+		if soon := time.Now().Add(restTimeout.Duration()); soon.Before(until) {
 			if err := c.SetReadDeadline(soon); err != nil {
 				return nil, err
 			}
