--- a/serving/agent/listeners.go
+++ b/serving/agent/listeners.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"io"
-	stdlog "log"
 	"net"
-	"net/http"
 	"time"
 
 	"rowanlink/serving/errcode"
@@ -14,10 +11,6 @@
 )
 
 const (
-	// readHeaderTimeout bounds the time to read the header of a request.
-	readHeaderTimeout = 3 * time.Second
-	// innerIdleTimeout is longer than the idle timeout of members' clients, so that the clients close connections.
-	innerIdleTimeout = time.Minute
 	// lookupIdleTimeout is longer than clients cache an answer of the directory.
 	lookupIdleTimeout = 15 * time.Second
 	// maxLookupHeaderBytes bounds the header of a look-up.
@@ -60,11 +53,3 @@
 		}
 	}
 }
-
-// serve serves on the listener, in a goroutine, until the returned server is closed.
-func serve(listener net.Listener, server *http.Server) *http.Server {
-	server.ReadHeaderTimeout = readHeaderTimeout
-	server.ErrorLog = stdlog.New(io.Discard, "", 0) // faults of clients don't belong in the log
-	go func() { _ = server.Serve(listener) }()
-	return server
-}
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -18,6 +18,7 @@
 	"rowanlink/serving/endpoints"
 	"rowanlink/serving/gossip"
 	"rowanlink/serving/member"
+	"rowanlink/serving/process"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
 	"rowanlink/serving/state"
@@ -30,16 +31,16 @@
 // startSeed starts a member as the agent's seed.
 func startSeed(t *testing.T, agentSettings *settings.Process) *member.Service {
 	t.Helper()
-	process := *agentSettings
-	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InnerAddress())
+	seedSettings := *agentSettings
+	seedSettings.NodeName, seedSettings.IP, seedSettings.Seeds = "seed", seedIP, nil
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", seedSettings.InnerAddress())
 	require.NoError(t, err, "needs a second loopback address")
 	mux := http.NewServeMux()
-	serve(listener, &http.Server{Handler: mux})
+	process.Serve(listener, &http.Server{Handler: mux})
 	client := rpc.NewClient()
 	log := zerolog.Nop()
 	seed, err := member.Start(t.Context(), member.Options{
-		Settings: &process,
+		Settings: &seedSettings,
 		Client:   client,
 		Mux:      mux,
 		Log:      &log,
@@ -48,7 +49,7 @@
 			Role:    state.RoleCore,
 			Zone:    "z",
 			Region:  "r",
-			Address: process.InnerAddress(),
+			Address: seedSettings.InnerAddress(),
 			State:   state.MemberReady,
 		},
 	})
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -11,6 +11,7 @@
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/loadreport"
 	"rowanlink/serving/member"
+	"rowanlink/serving/process"
 	"rowanlink/serving/register"
 	"rowanlink/serving/rpc"
 	"rowanlink/serving/settings"
@@ -39,7 +40,7 @@
 	defer listeners.close()
 
 	innerMux := http.NewServeMux()
-	innerServer := serve(listeners.inner, &http.Server{Handler: innerMux, IdleTimeout: innerIdleTimeout})
+	innerServer := process.Serve(listeners.inner, process.NewInnerServer(innerMux))
 	defer func() { _ = innerServer.Close() }()
 	client := rpc.NewClient()
 	defer client.Close()
@@ -76,11 +77,11 @@
 // serveProxyAndClients serves the proxy's polls and, if there is a listener for it, the directory until the returned
 // function is called.
 func (a *agent) serveProxyAndClients(listeners listeners, forward func([]state.Observation)) (closeServers func()) {
-	feedServer := serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
+	feedServer := process.Serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
 	if listeners.directory == nil {
 		return func() { _ = feedServer.Close() }
 	}
-	directoryServer := serve(listeners.directory, &http.Server{
+	directoryServer := process.Serve(listeners.directory, &http.Server{
 		Handler:        a.lookupHandler(),
 		IdleTimeout:    lookupIdleTimeout,
 		MaxHeaderBytes: maxLookupHeaderBytes,
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -15,6 +15,7 @@
 	"rowanlink/serving/introspect"
 	"rowanlink/serving/member"
 	"rowanlink/serving/operator"
+	"rowanlink/serving/process"
 	"rowanlink/serving/quorum"
 	"rowanlink/serving/register"
 	"rowanlink/serving/rpc"
@@ -86,7 +87,7 @@
 	c.startEndpoints(lifetime)
 	introspector := &introspector{members: c.members, node: c.node, endpoints: c.endpoints.Table()}
 	introspect.Serve(c.inner, introspector.report)
-	c.control = serve(listeners.control, operator.NewServer(c.controlHandler()))
+	c.control = process.Serve(listeners.control, operator.NewServer(c.controlHandler()))
 	c.onClose(func() { _ = c.control.Close() }) // nothing is left to do with the connections
 	c.members.SetState(state.MemberReady)
 	go settings.Watch(lifetime, c.options.SettingsPath, settings.WatchInterval, func(process *settings.Process) {
@@ -107,7 +108,7 @@
 // serveInner serves the calls between the system's processes. Handlers are added while it runs.
 func (c *coreProcess) serveInner(listener net.Listener) {
 	c.inner = http.NewServeMux()
-	server := serve(listener, newInnerServer(c.inner))
+	server := process.Serve(listener, process.NewInnerServer(c.inner))
 	c.onClose(func() { _ = server.Close() }) // nothing is left to do with the connections
 }
 
