--- a/cmd/rowan-compare/compare.go
+++ b/cmd/rowan-compare/compare.go
@@ -65,35 +65,35 @@
 }
 
 // listRuns lists all runs. Those that are compared with each other are near each other in time.
-func (c *compareCommand) listRuns(variants []*variant) (plays []benchRun) {
+func (c *compareCommand) listRuns(variants []*variant) (runs []benchRun) {
 	for _, seed := range c.Seed {
 		for _, site := range c.Site {
 			for _, day := range c.Day {
 				for _, variant := range variants {
-					plays = append(plays, benchRun{site: site, day: day, seed: seed, variant: variant})
+					runs = append(runs, benchRun{site: site, day: day, seed: seed, variant: variant})
 				}
 			}
 		}
 	}
-	return plays
+	return runs
 }
 
 // runAll makes the runs with as many workers as there are jobs. Each worker has its own clone of each variant.
-func (c *compareCommand) runAll(ctx context.Context, top string, plays []benchRun) []benchResult {
-	results := make([]benchResult, len(plays))
+func (c *compareCommand) runAll(ctx context.Context, top string, runs []benchRun) []benchResult {
+	results := make([]benchResult, len(runs))
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for number := range c.Jobs {
 		workers.Go(func() {
 			worker := &worker{options: c, top: top, number: number, clones: map[string]string{}}
 			for index := range next {
-				report, err := worker.run(ctx, &plays[index])
-				results[index] = benchResult{benchRun: plays[index], report: report, err: err}
+				report, err := worker.run(ctx, &runs[index])
+				results[index] = benchResult{benchRun: runs[index], report: report, err: err}
 				printProgress(&results[index])
 			}
 		})
 	}
-	for index := range plays {
+	for index := range runs {
 		next <- index
 	}
 	close(next)
--- a/cmd/rowan-compare/report.go
+++ b/cmd/rowan-compare/report.go
@@ -8,16 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// weightedFigure is a named figure of a report: a part of the value with its weight, or a price with its quantity. In
-// the report it is a list of a name and two numbers.
+// weightedFigure is a named figure of a report: a part of the value with its weight, or a price with its quantity. The
+// report has it as a list of the name, the quantity and the value.
 type weightedFigure struct {
-	name          string
-	first, second float64
+	name     string
+	quantity float64 // or weight
+	value    float64
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (a *weightedFigure) UnmarshalJSON(text []byte) error {
-	return json.Unmarshal(text, &[]any{&a.name, &a.first, &a.second})
+	return json.Unmarshal(text, &[]any{&a.name, &a.quantity, &a.value})
 }
 
 // benchReport is the bench's report of a run.
@@ -33,7 +34,7 @@
 	Prices        []weightedFigure `json:"prices"` // quantity, price
 	Classes       []struct {
 		Name  string  `json:"name"`
-		Worth float64 `json:"worth"`
+		Value float64 `json:"worth"`
 	} `json:"classes"`
 }
 
@@ -59,13 +60,13 @@
 func (r *benchReport) figures() (figures []figure) {
 	figures = append(figures, figure{"worth less prices", r.Value})
 	for _, part := range r.WeightedParts {
-		figures = append(figures, figure{part.name, part.second})
+		figures = append(figures, figure{part.name, part.value})
 	}
 	for _, class := range r.Classes {
-		figures = append(figures, figure{class.Name, class.Worth})
+		figures = append(figures, figure{class.Name, class.Value})
 	}
 	for _, price := range r.Prices {
-		figures = append(figures, figure{"price: " + price.name, price.second})
+		figures = append(figures, figure{"price: " + price.name, price.value})
 	}
 	return append(figures, figure{"served", r.Served}, figure{"refused", r.Refused}, figure{"failed", r.Failed})
 }
--- a/cmd/rowan-compare/tables.go
+++ b/cmd/rowan-compare/tables.go
@@ -20,8 +20,8 @@
 	for _, result := range results {
 		if result.err != nil {
 			_, _ = fmt.Fprintf(out, "no result: %s: %v\n", result.name(), result.err)
-		} else if trouble := result.report.failureText(); trouble != "" {
-			_, _ = fmt.Fprintf(out, "%s: %s\n", result.name(), trouble)
+		} else if failure := result.report.failureText(); failure != "" {
+			_, _ = fmt.Fprintf(out, "%s: %s\n", result.name(), failure)
 		}
 	}
 	for _, other := range variants[min(1, len(variants)):] {
@@ -37,18 +37,21 @@
 	seed      int
 }
 
+// pairKey returns the key of a run.
+func (p *benchRun) pairKey() pairKey { return pairKey{site: p.site, day: p.day, seed: p.seed} }
+
 // writeDifferences writes the mean differences of all figures and their standard errors, by day and over all.
 func writeDifferences(out io.Writer, base, other *variant, results []benchResult) {
-	played := map[pairKey]*benchReport{}
+	baseReports := map[pairKey]*benchReport{}
 	for index := range results {
 		if r := &results[index]; r.variant == base {
-			played[pairKey{r.site, r.day, r.seed}] = r.report
+			baseReports[r.pairKey()] = r.report
 		}
 	}
 	table := newDifferenceTable()
 	for index := range results {
 		r := &results[index]
-		former := played[pairKey{r.site, r.day, r.seed}]
+		former := baseReports[r.pairKey()]
 		if r.variant == other && former != nil && r.report != nil {
 			table.add(filepath.Base(r.site)+" "+filepath.Base(r.day), former, r.report)
 			table.add("all", former, r.report)
--- a/cmd/rowan-endpointsim/file.go
+++ b/cmd/rowan-endpointsim/file.go
@@ -20,27 +20,27 @@
 
 // serviceEntry describes a service and its endpoints.
 type serviceEntry struct {
-	Name        string          `toml:"name"`
-	HealthPath  string          `toml:"health_path"`
-	Edition     string          `toml:"edition"`
-	Slots       int             `toml:"slots"`
-	Connections int             `toml:"connections"`
-	BeatMillis  int             `toml:"beat_ms"`
-	DrainMillis int             `toml:"drain_ms"`
-	WorkMillis  float64         `toml:"work_ms"`
-	ColdMillis  int             `toml:"cold_ms"`
-	ColdRate    float64         `toml:"cold_rate_s"`
-	Engine      *engineEntry    `toml:"engine"`
-	Endpoints   []endpointEntry `toml:"endpoint"`
+	Name             string          `toml:"name"`
+	HealthPath       string          `toml:"health_path"`
+	Edition          string          `toml:"edition"`
+	Slots            int             `toml:"slots"`
+	Connections      int             `toml:"connections"`
+	HeartbeatMillis  int             `toml:"beat_ms"`
+	DrainMillis      int             `toml:"drain_ms"`
+	ProcessingMillis float64         `toml:"work_ms"`
+	WarmupMillis     int             `toml:"cold_ms"`
+	WarmupRate       float64         `toml:"cold_rate_s"`
+	Engine           *engineEntry    `toml:"engine"`
+	Endpoints        []endpointEntry `toml:"endpoint"`
 }
 
 // engineEntry describes a language model's engine.
 type engineEntry struct {
-	Model       string  `toml:"model"`
-	StepMillis  float64 `toml:"step_ms"`
-	ReadRate    float64 `toml:"tokens_read_ms"`
-	CacheTokens int     `toml:"cache_tokens"`
-	Stride      int     `toml:"stride"`
+	Model            string  `toml:"model"`
+	DecodeStepMillis float64 `toml:"step_ms"`
+	PrefillRate      float64 `toml:"tokens_read_ms"`
+	CacheTokens      int     `toml:"cache_tokens"`
+	TokensPerEvent   int     `toml:"stride"`
 }
 
 // endpointEntry describes one endpoint of a service.
@@ -83,21 +83,21 @@
 		Edition:           s.Edition,
 		Slots:             s.Slots,
 		MaxConnections:    s.Connections,
-		HeartbeatInterval: milliseconds(float64(s.BeatMillis)),
+		HeartbeatInterval: milliseconds(float64(s.HeartbeatMillis)),
 		DrainTime:         milliseconds(float64(s.DrainMillis)),
-		ProcessingTime:    milliseconds(s.WorkMillis),
+		ProcessingTime:    milliseconds(s.ProcessingMillis),
 		Warmup: endpoint.Warmup{
-			Span:    milliseconds(float64(s.ColdMillis)),
-			MaxRate: s.ColdRate,
+			Span:    milliseconds(float64(s.WarmupMillis)),
+			MaxRate: s.WarmupRate,
 		},
 	}
 	if s.Engine != nil {
 		options.Engine = &endpoint.Engine{
 			Model:          s.Engine.Model,
-			DecodeStep:     milliseconds(s.Engine.StepMillis),
-			PrefillRate:    s.Engine.ReadRate,
+			DecodeStep:     milliseconds(s.Engine.DecodeStepMillis),
+			PrefillRate:    s.Engine.PrefillRate,
 			CacheTokens:    s.Engine.CacheTokens,
-			TokensPerEvent: s.Engine.Stride,
+			TokensPerEvent: s.Engine.TokensPerEvent,
 		}
 	}
 	return options
--- a/cmd/rowanctl/config_test.go
+++ b/cmd/rowanctl/config_test.go
@@ -212,7 +212,7 @@
 	assert.ErrorIs(t, (&configGetCommand{}).Run(ended, s), errNoControlAddress)
 }
 
-func TestConfig_CheckCallsNobody(t *testing.T) {
+func TestConfig_CheckMakesNoCalls(t *testing.T) {
 	s, out := newSession()
 	require.NoError(t, (&configCheckCommand{File: writeDocument(t)}).Run(s))
 	assert.Equal(t, "the document is in order: version 3, 0 routes, 0 services\n", out.String())
--- a/cmd/rowanctl/duties.go
+++ b/cmd/rowanctl/duties.go
@@ -10,14 +10,14 @@
 // dutiesCommand lists the singleton roles.
 type dutiesCommand struct{}
 
-// dutyRow describes a singleton role.
-type dutyRow struct {
+// singletonRow describes a singleton role.
+type singletonRow struct {
 	Role   string `json:"duty"`
 	Holder string `json:"holder,omitempty"`
 	Epoch  uint64 `json:"epoch"`
 }
 
-func (r dutyRow) cells() []string {
+func (r singletonRow) cells() []string {
 	return []string{r.Role, orNoValue(r.Holder), strconv.FormatUint(r.Epoch, 10)}
 }
 
@@ -27,9 +27,9 @@
 	if err != nil {
 		return err
 	}
-	rows := make([]dutyRow, 0, len(report.SingletonClaims))
+	rows := make([]singletonRow, 0, len(report.SingletonClaims))
 	for _, claim := range report.SingletonClaims {
-		rows = append(rows, dutyRow{Role: claim.Role, Holder: claim.Holder, Epoch: claim.Epoch})
+		rows = append(rows, singletonRow{Role: claim.Role, Holder: claim.Holder, Epoch: claim.Epoch})
 	}
 	return printTable(s, []string{"DUTY", "HOLDER", "EPOCH"}, rows)
 }
--- a/cmd/rowanctl/encoding_test.go
+++ b/cmd/rowanctl/encoding_test.go
@@ -17,7 +17,7 @@
 		[]memberRow{},
 		[]endpointRow{},
 		[]replicaRow{},
-		[]dutyRow{},
+		[]singletonRow{},
 		[]versionRow{},
 	)
 }
--- a/cmd/rowanctl/members.go
+++ b/cmd/rowanctl/members.go
@@ -13,7 +13,7 @@
 type memberRow struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
-	Part    string `json:"part,omitempty"` // in the register: voter or learner
+	Replica string `json:"part,omitempty"` // in the register: voter or learner
 	State   string `json:"state"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
@@ -22,7 +22,7 @@
 }
 
 func (r memberRow) cells() []string {
-	return []string{r.Name, r.Role, orNoValue(r.Part), r.State, r.Zone, r.Region, r.Address, orNoValue(r.Serves)}
+	return []string{r.Name, r.Role, orNoValue(r.Replica), r.State, r.Zone, r.Region, r.Address, orNoValue(r.Serves)}
 }
 
 // Run implements the command.
@@ -37,7 +37,7 @@
 		rows = append(rows, memberRow{
 			Name:    member.Name,
 			Role:    roleNames[member.Role],
-			Part:    registerPart(report, member),
+			Replica: replicaKind(report, member),
 			State:   memberStateName(reported),
 			Zone:    member.Zone,
 			Region:  member.Region,
--- a/cmd/rowanctl/members_test.go
+++ b/cmd/rowanctl/members_test.go
@@ -43,7 +43,7 @@
 	address := startServer(t, mux)
 	introspect.Serve(mux, func(request introspect.Request) introspect.Report { return newTestReport(address) })
 	s, out := newSession()
-	s.targets.inner = []string{"127.0.0.1:1", address}
+	s.targets.internal = []string{"127.0.0.1:1", address}
 	return s, out.String
 }
 
@@ -86,16 +86,16 @@
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
 	addresses, err := (&commandLine{Settings: path}).targets()
 	require.NoError(t, err)
-	assert.Equal(t, targets{control: []string{"10.0.0.2:80"}, inner: []string{"10.0.0.1:7000", "10.0.0.2:7000"}}, addresses)
+	assert.Equal(t, targets{control: []string{"10.0.0.2:80"}, internal: []string{"10.0.0.1:7000", "10.0.0.2:7000"}}, addresses)
 
 	addresses, err = (&commandLine{Settings: path, Control: []string{"c:1"}, Inner: []string{"i:1"}}).targets()
 	require.NoError(t, err)
-	assert.Equal(t, targets{control: []string{"c:1"}, inner: []string{"i:1"}}, addresses)
+	assert.Equal(t, targets{control: []string{"c:1"}, internal: []string{"i:1"}}, addresses)
 
 	_, err = (&commandLine{Settings: filepath.Join(t.TempDir(), "absent")}).targets()
 	assert.Error(t, err)
 	s, _ := newSession()
-	assert.ErrorIs(t, (&membersCommand{}).Run(t.Context(), s), errNoInnerAddress)
+	assert.ErrorIs(t, (&membersCommand{}).Run(t.Context(), s), errNoInternalAddress)
 }
 
 func TestSettings_CheckReportsErrors(t *testing.T) {
--- a/cmd/rowanctl/replicas.go
+++ b/cmd/rowanctl/replicas.go
@@ -10,8 +10,8 @@
 
 // The parts that replicas have in the register.
 const (
-	partVoter   = "voter"
-	partLearner = "learner"
+	replicaVoter   = "voter"
+	replicaLearner = "learner"
 )
 
 // replicasCommand lists the replicas of the register: the voters, and the core members that are learners.
@@ -20,7 +20,7 @@
 // replicaRow describes a replica.
 type replicaRow struct {
 	ID      string `json:"id,omitempty"` // of a voter
-	Part    string `json:"part"`         // voter or learner
+	Kind    string `json:"part"`         // voter or learner
 	Address string `json:"address"`      // for calls between the system's processes
 	Member  string `json:"member,omitempty"`
 	State   string `json:"state"` // of the member
@@ -29,7 +29,7 @@
 
 func (r replicaRow) cells() []string {
 	epoch := strconv.FormatUint(r.Epoch, 10)
-	return []string{orNoValue(r.ID), r.Part, r.Address, orNoValue(r.Member), r.State, epoch}
+	return []string{orNoValue(r.ID), r.Kind, r.Address, orNoValue(r.Member), r.State, epoch}
 }
 
 // Run implements the command.
@@ -47,7 +47,7 @@
 	for _, voter := range report.Voters.Replicas {
 		row := replicaRow{
 			ID:      voter.ID,
-			Part:    partVoter,
+			Kind:    replicaVoter,
 			Address: voter.Address,
 			State:   stateUnknown,
 			Epoch:   report.Voters.Epoch,
@@ -63,11 +63,11 @@
 
 func learnerRows(report *introspect.Report) (rows []replicaRow) {
 	for _, member := range report.Members {
-		if registerPart(report, member.Member) != partLearner {
+		if replicaKind(report, member.Member) != replicaLearner {
 			continue
 		}
 		rows = append(rows, replicaRow{
-			Part:    partLearner,
+			Kind:    replicaLearner,
 			Address: member.Member.Address,
 			Member:  member.Member.Name,
 			State:   memberStateName(member),
@@ -77,18 +77,18 @@
 	return rows
 }
 
-// registerPart returns the part that a member has in the register; empty for one without a replica, and while the voters
+// replicaKind returns the part that a member has in the register; empty for one without a replica, and while the voters
 // are unknown.
-func registerPart(report *introspect.Report, member state.Member) string {
+func replicaKind(report *introspect.Report, member state.Member) string {
 	if member.Role != state.RoleCore || len(report.Voters.Replicas) == 0 {
 		return ""
 	}
 	for _, voter := range report.Voters.Replicas {
 		if voter.Address == member.Address {
-			return partVoter
+			return replicaVoter
 		}
 	}
-	return partLearner
+	return replicaLearner
 }
 
 // memberAt returns the member with an address.
--- a/cmd/rowanctl/targets.go
+++ b/cmd/rowanctl/targets.go
@@ -9,19 +9,19 @@
 
 // Errors of commands without an address to call.
 var (
-	errNoControlAddress = errors.New("no control address: give --control or --settings")
-	errNoInnerAddress   = errors.New("no member address: give --inner or --settings")
+	errNoControlAddress  = errors.New("no control address: give --control or --settings")
+	errNoInternalAddress = errors.New("no member address: give --inner or --settings")
 )
 
 // targets are the addresses that a command may call, host:port.
 type targets struct {
-	control []string // of the operators' API
-	inner   []string // for calls between the system's processes
+	control  []string // of the operators' API
+	internal []string // for calls between the system's processes
 }
 
 // targets returns the addresses in the flags and, for a flag that isn't set, those in the settings file.
 func (l *commandLine) targets() (targets, error) {
-	addresses := targets{control: l.Control, inner: l.Inner}
+	addresses := targets{control: l.Control, internal: l.Inner}
 	if l.Settings == "" {
 		return addresses, nil
 	}
@@ -32,16 +32,16 @@
 	if len(addresses.control) == 0 {
 		addresses.control = processSettings.Seeds
 	}
-	if len(addresses.inner) > 0 {
+	if len(addresses.internal) > 0 {
 		return addresses, nil
 	}
-	addresses.inner = []string{processSettings.InnerAddress()}
+	addresses.internal = []string{processSettings.InternalAddress()}
 	for _, seed := range processSettings.Seeds {
-		address, err := processSettings.InnerAddressOf(seed)
+		address, err := processSettings.InternalAddressOf(seed)
 		if err != nil {
 			return addresses, errors.Wrap(err, "seed")
 		}
-		addresses.inner = append(addresses.inner, address)
+		addresses.internal = append(addresses.internal, address)
 	}
 	return addresses, nil
 }
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestAgent_AnnouncesAProxyWithoutPollsAsNotReady(t *testing.T) {
+func TestAgent_AnnouncesProxyWithoutPollsAsNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
 		ctx, stop := context.WithCancel(t.Context())
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestAgent_AnnouncesALeavingProxyAtOnce(t *testing.T) {
+func TestAgent_AnnouncesLeavingProxyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(8 * time.Second)
 		defer a.stateActor.Stop()
--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -53,7 +53,7 @@
 
 // An agent restarts, and the first member that it reaches is a partitioned core that transfers an outdated record. The
 // proxy gets no update until the newest record has arrived.
-func TestConfirmRecord_WithholdsARecordFromAPartitionedMember(t *testing.T) {
+func TestConfirmRecord_WithholdsRecordFromPartitionedMember(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		voters fakeVoters
--- a/serving/agent/encoding_test.go
+++ b/serving/agent/encoding_test.go
@@ -10,7 +10,7 @@
 // TestEncodedForms compares the form of the directory's responses with a golden file.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.JSON,
-		lookupAnswer{},
+		lookupResponse{},
 		lookupError{},
 	)
 }
--- a/serving/agent/listeners.go
+++ b/serving/agent/listeners.go
@@ -16,8 +16,8 @@
 const (
 	// readHeaderTimeout bounds the time to read the header of a request.
 	readHeaderTimeout = 3 * time.Second
-	// innerIdleTimeout is longer than the idle timeout of members' clients, so that the clients close connections.
-	innerIdleTimeout = time.Minute
+	// internalIdleTimeout is longer than the idle timeout of members' clients, so that the clients close connections.
+	internalIdleTimeout = time.Minute
 	// lookupIdleTimeout is longer than clients cache an answer of the directory.
 	lookupIdleTimeout = 15 * time.Second
 	// maxLookupHeaderBytes bounds the header of a look-up.
@@ -26,9 +26,9 @@
 
 // listeners are the sockets that an agent listens on.
 type listeners struct {
-	inner     net.Listener // calls of other members
-	feed      net.Listener // polls of the proxy, on loopback
-	directory net.Listener // look-ups of clients; nil if the settings have no address for it
+	internal     net.Listener // calls of other members
+	subscription net.Listener // polls of the proxy, on loopback
+	directory    net.Listener // look-ups of clients; nil if the settings have no address for it
 }
 
 // listenOnAll opens all listeners or none. Its errors are errcode.AgentAddressInUse.
@@ -37,8 +37,8 @@
 		listener *net.Listener
 		address  string
 	}{
-		{&all.inner, processSettings.InnerAddress()},
-		{&all.feed, processSettings.FeedAddress()},
+		{&all.internal, processSettings.InternalAddress()},
+		{&all.subscription, processSettings.SubscriptionAddress()},
 		{&all.directory, processSettings.Bind.Directory},
 	} {
 		if each.address == "" {
@@ -54,7 +54,7 @@
 
 // close closes all listeners.
 func (l listeners) close() {
-	for _, listener := range []net.Listener{l.inner, l.feed, l.directory} {
+	for _, listener := range []net.Listener{l.internal, l.subscription, l.directory} {
 		if listener != nil {
 			_ = listener.Close() // nothing is lost with a listener
 		}
--- a/serving/agent/lookuphandler.go
+++ b/serving/agent/lookuphandler.go
@@ -55,7 +55,7 @@
 	if h.maxTTL > 0 {
 		ttl = min(ttl, h.maxTTL)
 	}
-	writeJSON(w, http.StatusOK, lookupAnswer{Addresses: addresses, TTLSeconds: ttl.Seconds()})
+	writeJSON(w, http.StatusOK, lookupResponse{Addresses: addresses, TTLSeconds: ttl.Seconds()})
 }
 
 func (h *lookupHandler) chooseAddresses(client clientLocation) []string {
--- a/serving/agent/lookupwire.go
+++ b/serving/agent/lookupwire.go
@@ -8,8 +8,8 @@
 	contentType = "application/json"
 )
 
-// lookupAnswer is the body of a successful look-up.
-type lookupAnswer struct {
+// lookupResponse is the body of a successful look-up.
+type lookupResponse struct {
 	Addresses  []string `json:"addresses"` // host:port, in the order in which to try them
 	TTLSeconds float64  `json:"ttl_s"`
 }
--- a/serving/agent/proxymonitor_test.go
+++ b/serving/agent/proxymonitor_test.go
@@ -50,7 +50,7 @@
 	assert.Equal(t, "10.0.0.1:80", p.clientAddress)
 }
 
-func TestProxyMonitor_LeavingProxyIsGoneOnceItDisconnects(t *testing.T) {
+func TestProxyMonitor_LeavingProxyTerminatesOnceItDisconnects(t *testing.T) {
 	var p proxyMonitor
 	p.pollOpened(timeAfter(0), newPollRequest(1, state.MemberReady))
 	p.pollClosed(timeAfter(time.Second), 1, true) // cancelled by the proxy, to report at once that it leaves
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	process := *agentSettings
 	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InnerAddress())
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InternalAddress())
 	require.NoError(t, err, "needs a second loopback address")
 	mux := http.NewServeMux()
 	serve(listener, &http.Server{Handler: mux})
@@ -48,7 +48,7 @@
 			Role:    state.RoleCore,
 			Zone:    "z",
 			Region:  "r",
-			Address: process.InnerAddress(),
+			Address: process.InternalAddress(),
 			State:   state.MemberReady,
 		},
 	})
@@ -122,7 +122,7 @@
 	defer client.Close()
 	proxy := newProxyReplica()
 	first := startAgentProcess(t, process, path)
-	pollUntil(t, client, process.FeedAddress(), proxy, func() bool {
+	pollUntil(t, client, process.SubscriptionAddress(), proxy, func() bool {
 		return proxy.revision == 5 && proxy.endpoints["e"] == 1
 	})
 	first.terminate()
@@ -131,7 +131,7 @@
 	publish(t, seed, gossip.TableRecord, gossip.RecordKey, 6, state.Record{Revision: 6})
 	publish(t, seed, gossip.TableEndpoints, "e", 2, newEndpoint("e", 2))
 	second := startAgentProcess(t, process, path)
-	pollUntil(t, client, process.FeedAddress(), proxy, func() bool {
+	pollUntil(t, client, process.SubscriptionAddress(), proxy, func() bool {
 		assert.GreaterOrEqual(t, proxy.revision, uint64(5))
 		return proxy.revision == 6 && proxy.endpoints["e"] == 2
 	})
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -39,7 +39,7 @@
 	defer listeners.close()
 
 	innerMux := http.NewServeMux()
-	innerServer := serve(listeners.inner, &http.Server{Handler: innerMux, IdleTimeout: innerIdleTimeout})
+	innerServer := serve(listeners.internal, &http.Server{Handler: innerMux, IdleTimeout: internalIdleTimeout})
 	defer func() { _ = innerServer.Close() }()
 	client := rpc.NewClient()
 	defer client.Close()
@@ -76,7 +76,7 @@
 // serveProxyAndClients serves the proxy's polls and, if there is a listener for it, the directory until the returned
 // function is called.
 func (a *agent) serveProxyAndClients(listeners listeners, forward func([]state.Observation)) (closeServers func()) {
-	feedServer := serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
+	feedServer := serve(listeners.subscription, &http.Server{Handler: a.subscriptionHandler(forward)})
 	if listeners.directory == nil {
 		return func() { _ = feedServer.Close() }
 	}
@@ -125,7 +125,7 @@
 		Role:    state.RoleAgent,
 		Zone:    processSettings.Zone,
 		Region:  processSettings.Region,
-		Address: processSettings.InnerAddress(),
+		Address: processSettings.InternalAddress(),
 		State:   state.MemberStarting,
 	}
 }
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -72,7 +72,7 @@
 	var response *subscription.Response
 	require.Eventually(t, func() (up bool) {
 		var err error
-		response, err = subscription.Watch.Call(ctx, client, process.FeedAddress(), request)
+		response, err = subscription.Watch.Call(ctx, client, process.SubscriptionAddress(), request)
 		return err == nil
 	}, 10*time.Second, 10*time.Millisecond)
 	assert.Nil(t, response.Record)
@@ -83,11 +83,11 @@
 	answer, err := http.DefaultClient.Do(lookup)
 	require.NoError(t, err)
 	defer func() { _ = answer.Body.Close() }()
-	var decoded lookupAnswer
+	var decoded lookupResponse
 	require.NoError(t, json.NewDecoder(answer.Body).Decode(&decoded))
 	assert.Equal(t, []string{"127.0.0.1:80"}, decoded.Addresses)
 
-	report, err := introspect.Fetch(ctx, client, process.InnerAddress(), introspect.Request{IncludeTables: true})
+	report, err := introspect.Fetch(ctx, client, process.InternalAddress(), introspect.Request{IncludeTables: true})
 	require.NoError(t, err)
 	assert.Equal(t, "a", report.Self.Name)
 	assert.Equal(t, state.MemberReady, report.Self.State)
@@ -98,7 +98,7 @@
 
 func TestRun_FailsIfAnAddressIsInUse(t *testing.T) {
 	process, path := newLoopbackSettings(t)
-	occupying, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.FeedAddress())
+	occupying, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.SubscriptionAddress())
 	require.NoError(t, err)
 	defer func() { _ = occupying.Close() }()
 	cancelled, cancel := context.WithCancel(t.Context())
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -150,7 +150,7 @@
 // startEndpoints starts the table of endpoints and its copy on disk.
 func (c *coreProcess) startEndpoints(lifetime context.Context) {
 	process := c.options.Settings
-	c.quorum = &quorum.Checker{Voters: c.node, Self: process.InnerAddress(), IsLive: c.members.IsLiveAt}
+	c.quorum = &quorum.Checker{Voters: c.node, Self: process.InternalAddress(), IsLive: c.members.IsLiveAt}
 	c.endpoints = exchange.Start(lifetime, exchange.Options{
 		Gossip:            c.members,
 		HeartbeatInterval: process.HeartbeatInterval,
@@ -225,7 +225,7 @@
 		Role:           state.RoleCore,
 		Zone:           process.Zone,
 		Region:         process.Region,
-		Address:        process.InnerAddress(),
+		Address:        process.InternalAddress(),
 		ControlAddress: process.Bind.Control,
 		State:          state.MemberStarting,
 	}
--- a/serving/core/servers.go
+++ b/serving/core/servers.go
@@ -28,7 +28,7 @@
 
 // listenAll opens both listeners. Errors are errcode.CoreAddressInUse.
 func listenAll(ctx context.Context, process *settings.Process) (listeners, error) {
-	inner, err := listen(ctx, process.InnerAddress())
+	inner, err := listen(ctx, process.InternalAddress())
 	if err != nil {
 		return listeners{}, err
 	}
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -8,11 +8,10 @@
 
 // Sweep marks endpoints as unresponsive or departed by the time since their last heartbeats, and removes those that
 // departed long ago. It returns the endpoints that have to be gossiped. The caller sweeps about every half second:
-// after a pause of more than maxSweepPause, in which this process didn't run, all times count from the end of the
-// pause.
+// after an interval of more than maxSweepInterval, in which this process was suspended, all times count from now.
 func (t *Table) Sweep(now time.Time) []state.Endpoint {
-	pause := now.Sub(t.lastSweep)
-	wasPaused := pause > maxSweepPause && !t.lastSweep.IsZero()
+	interval := now.Sub(t.lastSweep)
+	wasPaused := interval > maxSweepInterval && !t.lastSweep.IsZero()
 	t.lastSweep = now
 	responsibleFor := make(map[string]bool) // by receiver: there are few
 	for _, e := range t.entries {
@@ -44,14 +43,14 @@
 	if !responsible {
 		return
 	}
-	silence := now.Sub(e.lastHeartbeat)
+	sinceHeartbeat := now.Sub(e.lastHeartbeat)
 	isRemoved := !e.removalDue.IsZero() && now.Sub(e.removalDue) > removalSlack
 	unresponsiveTimeout := unresponsiveIntervals*t.options.HeartbeatInterval + unresponsiveSlack
 	switch {
-	case silence > departedTimeout, isRemoved:
+	case sinceHeartbeat > departedTimeout, isRemoved:
 		t.markDeparted(now, e)
 		t.pending[e.endpoint.ID] = e
-	case silence > unresponsiveTimeout && !e.endpoint.Unresponsive:
+	case sinceHeartbeat > unresponsiveTimeout && !e.endpoint.Unresponsive:
 		t.markUnresponsive(e)
 	}
 }
--- a/serving/endpoints/table.go
+++ b/serving/endpoints/table.go
@@ -23,8 +23,9 @@
 	removalSlack = time.Second
 	// tombstoneRetention is how long a departed endpoint is retained, so that an old update doesn't bring it back.
 	tombstoneRetention = 60 * time.Second
-	// maxSweepPause is the longest pause between two sweeps after which missing heartbeats count against the endpoints.
-	maxSweepPause = 2 * time.Second
+	// maxSweepInterval is the longest interval between two sweeps after which missing heartbeats count against the
+	// endpoints.
+	maxSweepInterval = 2 * time.Second
 	// timeTolerance is the difference up to which a broadcast time counts as unchanged.
 	timeTolerance = 500 * time.Millisecond
 )
--- a/serving/httpserver/event_reader.go
+++ b/serving/httpserver/event_reader.go
@@ -44,7 +44,7 @@
 			return r.takeRemainder()
 		}
 		searched = max(r.bufferStart, r.bufferEnd-len("\r\n\r"))
-		searched -= r.makeRoom()
+		searched -= r.makeSpace()
 		if r.bufferEnd-r.bufferStart >= maxEventSize {
 			r.readErr = errEventTooLong
 			continue
@@ -60,13 +60,13 @@
 	if !errors.Is(r.readErr, io.EOF) {
 		return nil, r.readErr
 	}
-	left := r.buffer[r.bufferStart:r.bufferEnd]
+	remainder := r.buffer[r.bufferStart:r.bufferEnd]
 	r.bufferStart = r.bufferEnd
-	return left, io.EOF
+	return remainder, io.EOF
 }
 
-// makeRoom frees or allocates space for reading. It returns by how much the contents have moved.
-func (r *eventReader) makeRoom() (moved int) {
+// makeSpace frees or allocates space for reading. It returns by how much the contents have moved.
+func (r *eventReader) makeSpace() (moved int) {
 	if r.bufferEnd < len(r.buffer) && r.bufferStart < r.bufferEnd {
 		return 0
 	}
@@ -88,16 +88,16 @@
 // ends before from.
 func lastEventEnd(data []byte, from int) int {
 	from = max(from, 0)
-	for line := len(data); line > from; {
-		newline := bytes.LastIndexByte(data[from:line], '\n')
-		if newline < 0 {
+	for end := len(data); end > from; {
+		offset := bytes.LastIndexByte(data[from:end], '\n')
+		if offset < 0 {
 			return 0
 		}
-		at := from + newline
-		if endsBlankLine(data, at) {
-			return at + 1
+		newline := from + offset
+		if endsBlankLine(data, newline) {
+			return newline + 1
 		}
-		line = at
+		end = newline
 	}
 	return 0
 }
@@ -121,9 +121,9 @@
 
 // firstEventEnd returns the end of the first event, or of the data if none is complete.
 func firstEventEnd(data []byte) int {
-	for at, c := range data {
-		if c == '\n' && endsBlankLine(data, at) {
-			return at + 1
+	for offset, c := range data {
+		if c == '\n' && endsBlankLine(data, offset) {
+			return offset + 1
 		}
 	}
 	return len(data)
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -69,7 +69,7 @@
 		Measurement: 1}, load)
 }
 
-func TestPollOnce_OthersPollNobody(t *testing.T) {
+func TestPollOnce_MembersWithoutRoleDoNotPoll(t *testing.T) {
 	calls := 0
 	members := &fakeGossip{assignment: singleton.Assignment{Holder: "b", Epoch: 7}}
 	endpoint := startEndpoint(t, func(http.ResponseWriter, *http.Request) { calls++ })
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -52,8 +52,8 @@
 	assert.Equal(t, written, rewritten)
 }
 
-// answerDecoded decodes a message of the type and, where that works, lets the node answer it.
-func answerDecoded[Message any](t *testing.T, data []byte, answer func(*Message)) {
+// handleDecoded decodes a message of the type and, where that works, lets the node answer it.
+func handleDecoded[Message any](t *testing.T, data []byte, answer func(*Message)) {
 	var message Message
 	if cbor.Unmarshal(data, &message) != nil {
 		return
@@ -117,14 +117,14 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		n := newFuzzNode()
-		answerDecoded(t, data, func(m *heartbeatRequest) { n.answerHeartbeat(fuzzStart, m) })
-		answerDecoded(t, data, func(m *gossip.Message) { n.answerPush(fuzzStart, *m) })
-		answerDecoded(t, data, func(m *compareRequest) { n.answerCompare(fuzzStart, m) })
-		answerDecoded(t, data, func(m *transferRequest) { n.answerTransfer(fuzzStart, m) })
-		answerDecoded(t, data, func(m *heartbeatResponse) { n.processHeartbeatResponse(fuzzStart, "b", m) })
-		answerDecoded(t, data, func(m *compareResponse) { n.processCompareResponse(fuzzStart, "b", m) })
-		answerDecoded(t, data, func(m *transferResponse) { n.processTransferResponse(fuzzStart, "b", m) })
-		answerDecoded(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Missing) })
+		handleDecoded(t, data, func(m *heartbeatRequest) { n.handleHeartbeat(fuzzStart, m) })
+		handleDecoded(t, data, func(m *gossip.Message) { n.handlePush(fuzzStart, *m) })
+		handleDecoded(t, data, func(m *compareRequest) { n.handleCompare(fuzzStart, m) })
+		handleDecoded(t, data, func(m *transferRequest) { n.handleTransfer(fuzzStart, m) })
+		handleDecoded(t, data, func(m *heartbeatResponse) { n.processHeartbeatResponse(fuzzStart, "b", m) })
+		handleDecoded(t, data, func(m *compareResponse) { n.processCompareResponse(fuzzStart, "b", m) })
+		handleDecoded(t, data, func(m *transferResponse) { n.processTransferResponse(fuzzStart, "b", m) })
+		handleDecoded(t, data, func(m *pushResponse) { n.engine.CollectEntries(m.Missing) })
 		requireWorkingNode(t, n)
 	})
 }
@@ -146,7 +146,7 @@
 	f.Fuzz(func(t *testing.T, table uint8, key string, major, minor uint64, value []byte) {
 		n := newFuzzNode()
 		entry := gossip.Entry{Table: gossip.TableID(table), Key: key, Version: gossip.NewVersion(major, minor), Value: value}
-		n.answerPush(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
+		n.handlePush(fuzzStart, gossip.Message{From: "b", Entries: []gossip.Entry{entry}})
 		got, known := n.engine.Get(gossip.TableMembers, "self")
 		require.True(t, known)
 		requireStableEncoding(t, &got)
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -13,20 +13,20 @@
 // registerHandlers registers the handlers of other members' calls.
 func (s *Service) registerHandlers(mux *http.ServeMux) {
 	heartbeatMethod.Serve(mux, func(_ context.Context, request *heartbeatRequest) (*heartbeatResponse, error) {
-		return respond(s, func(now time.Time, n *node) heartbeatResponse { return n.answerHeartbeat(now, request) })
+		return respond(s, func(now time.Time, n *node) heartbeatResponse { return n.handleHeartbeat(now, request) })
 	})
 	pushMethod.Serve(mux, func(_ context.Context, message *gossip.Message) (*pushResponse, error) {
-		return respond(s, func(now time.Time, n *node) pushResponse { return n.answerPush(now, *message) })
+		return respond(s, func(now time.Time, n *node) pushResponse { return n.handlePush(now, *message) })
 	})
 	compareMethod.Serve(mux, func(_ context.Context, request *compareRequest) (*compareResponse, error) {
-		return respond(s, func(now time.Time, n *node) compareResponse { return n.answerCompare(now, request) })
+		return respond(s, func(now time.Time, n *node) compareResponse { return n.handleCompare(now, request) })
 	})
 	transferMethod.Serve(mux, func(_ context.Context, request *transferRequest) (*transferResponse, error) {
-		return respond(s, func(now time.Time, n *node) transferResponse { return n.answerTransfer(now, request) })
+		return respond(s, func(now time.Time, n *node) transferResponse { return n.handleTransfer(now, request) })
 	})
 }
 
-// respond executes a command on the node and returns its result; errcode.MeshClosed after Close.
+// respond executes a command on the node and returns its result; errcode.MembershipClosed after Close.
 func respond[Response any](s *Service, command func(now time.Time, n *node) Response) (*Response, error) {
 	response, ok := actor.Call(s.actor, func(n *node) Response {
 		response := command(time.Now(), n)
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -261,7 +261,7 @@
 	s.runUntil(time.Second, "a new incarnation is accepted", s.hasConverged)
 }
 
-func TestNode_EachMessageLostInTurn(t *testing.T) {
+func TestNode_AnyMessageLost(t *testing.T) {
 	base := newConvergedSimulation(t, 11, 6, threeZones)
 	first := base.messageNumber
 	base.putRecord(base.nodes[4], 1, 300)
--- a/serving/member/answers.go
+++ b/serving/member/requesthandling.go
@@ -7,8 +7,8 @@
 	"rowanlink/serving/membership"
 )
 
-// answerHeartbeat answers a member's heartbeat.
-func (n *node) answerHeartbeat(now time.Time, request *heartbeatRequest) (response heartbeatResponse) {
+// handleHeartbeat answers a member's heartbeat.
+func (n *node) handleHeartbeat(now time.Time, request *heartbeatRequest) (response heartbeatResponse) {
 	n.step(now, func() {
 		response.Ack = n.acknowledge(request.Heartbeat)
 		response.DifferingTables = n.engine.RecordSummary(now, request.Heartbeat.Name, request.Summary)
@@ -35,8 +35,8 @@
 	return ack
 }
 
-// answerPush answers a pushed message.
-func (n *node) answerPush(now time.Time, message gossip.Message) (response pushResponse) {
+// handlePush answers a pushed message.
+func (n *node) handlePush(now time.Time, message gossip.Message) (response pushResponse) {
 	n.step(now, func() {
 		n.recordContact(message.From)
 		n.engine.Receive(now, message)
@@ -45,8 +45,8 @@
 	return response
 }
 
-// answerCompare answers the first call of a repair.
-func (n *node) answerCompare(now time.Time, request *compareRequest) (response compareResponse) {
+// handleCompare answers the first call of a repair.
+func (n *node) handleCompare(now time.Time, request *compareRequest) (response compareResponse) {
 	n.step(now, func() {
 		n.recordContact(request.Heartbeat.Name)
 		response.Ack = n.acknowledge(request.Heartbeat)
@@ -55,8 +55,8 @@
 	return response
 }
 
-// answerTransfer answers the second call of a repair.
-func (n *node) answerTransfer(now time.Time, request *transferRequest) (response transferResponse) {
+// handleTransfer answers the second call of a repair.
+func (n *node) handleTransfer(now time.Time, request *transferRequest) (response transferResponse) {
 	n.processAck(now, request.Ack)
 	n.step(now, func() {
 		n.engine.Receive(now, gossip.Message{From: request.From, Entries: request.Entries})
--- a/serving/member/service.go
+++ b/serving/member/service.go
@@ -70,7 +70,7 @@
 // seedAddresses returns the addresses for internal calls of the seeds, which are given by their control addresses.
 func seedAddresses(own *settings.Process, controls []string, log *zerolog.Logger) (addresses []string) {
 	for _, control := range controls {
-		address, err := own.InnerAddressOf(control)
+		address, err := own.InternalAddressOf(control)
 		if err != nil {
 			event.SeedAddressInvalid.Log(log).Err(err).Str("seed", control).Send()
 			continue
--- a/serving/member/service_test.go
+++ b/serving/member/service_test.go
@@ -46,7 +46,7 @@
 	ip := fmt.Sprintf("127.0.3.%d", i)
 	seeds := []string{"127.0.3.1:" + strconv.Itoa(port+1), "127.0.3.2:" + strconv.Itoa(port+1)}
 	process := &settings.Process{IP: ip, FirstPort: port, Seeds: seeds}
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InnerAddress())
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InternalAddress())
 	require.NoError(t, err)
 	mux := http.NewServeMux()
 	server := &http.Server{Handler: mux}
@@ -54,7 +54,7 @@
 	log := zerolog.Nop()
 	client := rpc.NewClient()
 	self := state.Member{Name: fmt.Sprintf("member-%d", i), Role: role, Zone: fmt.Sprintf("z%d", i%2),
-		Region: "r", Address: process.InnerAddress(), State: state.MemberReady}
+		Region: "r", Address: process.InternalAddress(), State: state.MemberReady}
 	service, err := Start(context.Background(),
 		Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
 	require.NoError(t, err)
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -86,19 +86,19 @@
 }
 
 func serveHeartbeat(n *node, now time.Time, request heartbeatRequest) heartbeatResponse {
-	return n.answerHeartbeat(now, &request)
+	return n.handleHeartbeat(now, &request)
 }
 
 func servePush(n *node, now time.Time, message gossip.Message) pushResponse {
-	return n.answerPush(now, message)
+	return n.handlePush(now, message)
 }
 
 func serveCompare(n *node, now time.Time, request compareRequest) compareResponse {
-	return n.answerCompare(now, &request)
+	return n.handleCompare(now, &request)
 }
 
 func serveTransfer(n *node, now time.Time, request transferRequest) transferResponse {
-	return n.answerTransfer(now, &request)
+	return n.handleTransfer(now, &request)
 }
 
 func (s *simulation) sendHeartbeat(n *simNode, heartbeat heartbeatCall) {
--- a/serving/operator/threecores_test.go
+++ b/serving/operator/threecores_test.go
@@ -111,7 +111,7 @@
 		Role:           state.RoleCore,
 		Zone:           process.Zone,
 		Region:         process.Region,
-		Address:        process.InnerAddress(),
+		Address:        process.InternalAddress(),
 		ControlAddress: process.IP + ":1",
 		State:          state.MemberReady,
 	}
@@ -127,7 +127,7 @@
 		Peers:     func() []register.Peer { return nil },
 	})
 	require.NoError(t, err)
-	quorumChecker := &quorum.Checker{Voters: node, Self: process.InnerAddress(), IsLive: members.IsLiveAt}
+	quorumChecker := &quorum.Checker{Voters: node, Self: process.InternalAddress(), IsLive: members.IsLiveAt}
 	endpointExchange := exchange.Start(ctx, exchange.Options{
 		Gossip:            members,
 		HeartbeatInterval: process.HeartbeatInterval,
--- a/serving/placement/estimate.go
+++ b/serving/placement/estimate.go
@@ -58,7 +58,7 @@
 func (p *Picker) healthPenalty(s *candidateSearch, e *endpoint) (cost time.Duration) {
 	overdue := e.overdue(s.now)
 	if overdue > 0 {
-		e.zone.recordSilence(s.now, e)
+		e.zone.recordUnresponsive(s.now, e)
 	}
 	if e.isSuspect() || e.zone.isSuspect(s.now) {
 		cost += suspectCost
--- a/serving/placement/health.go
+++ b/serving/placement/health.go
@@ -96,14 +96,14 @@
 		e.warmup.undoSend(c)
 	case attempt.TimedOut:
 		p.pendingObservation(e).Failures++
-		e.zone.recordSilence(now, e)
+		e.zone.recordUnresponsive(now, e)
 		e.halveWindow(now, c)
 		e.health.recordFailure(now, c, e.service.maxBackoff(), p.random.Float64())
 		e.ejectIfUnresponsive(now, c)
 	case attempt.Failed, attempt.ConnectFailed, attempt.Broken:
 		p.pendingObservation(e).Failures++
 		if outcome != attempt.Failed {
-			e.zone.recordSilence(now, e)
+			e.zone.recordUnresponsive(now, e)
 		}
 		e.health.recordFailure(now, c, e.service.maxBackoff(), p.random.Float64())
 	case attempt.Canceled:
--- a/serving/placement/zone.go
+++ b/serving/placement/zone.go
@@ -22,8 +22,8 @@
 	roundTrip time.Duration // measured; zero: unknown
 }
 
-// recordSilence records that an endpoint of the zone did not respond.
-func (z *zone) recordSilence(now time.Time, e *endpoint) {
+// recordUnresponsive records that an endpoint of the zone did not respond.
+func (z *zone) recordUnresponsive(now time.Time, e *endpoint) {
 	if now.Sub(z.suspectedAt) > zoneSuspicionTTL {
 		z.suspects = z.suspects[:0]
 	}
--- a/serving/placement/zone_test.go
+++ b/serving/placement/zone_test.go
@@ -60,18 +60,18 @@
 	failing := []*endpoint{{info: state.Endpoint{ID: "a"}}, {info: state.Endpoint{ID: "b"}}, {info: state.Endpoint{ID: "c"}}}
 	for range 5 {
 		for _, e := range failing {
-			z.recordSilence(now, e)
-			z.recordSilence(now, e)
+			z.recordUnresponsive(now, e)
+			z.recordUnresponsive(now, e)
 			well.recordActivity(now)
 			assert.False(t, z.isSuspect(now))
 		}
 	}
 	for index, e := range failing {
 		assert.False(t, z.isSuspect(now), "after %d", index)
-		z.recordSilence(now, e)
+		z.recordUnresponsive(now, e)
 	}
 	assert.True(t, z.isSuspect(now.Add(zoneSuspicionTTL)))
 	assert.False(t, z.isSuspect(now.Add(zoneSuspicionTTL+1)))
-	z.recordSilence(now.Add(2*zoneSuspicionTTL), failing[0])
+	z.recordUnresponsive(now.Add(2*zoneSuspicionTTL), failing[0])
 	assert.False(t, z.isSuspect(now.Add(2*zoneSuspicionTTL)), "old observations don't count")
 }
--- a/serving/proxy/agent_poller.go
+++ b/serving/proxy/agent_poller.go
@@ -20,11 +20,11 @@
 	pollWait = 5 * time.Second
 	// pollSlack is how much longer a poll may take altogether.
 	pollSlack = time.Second
-	// minPollPause bounds the rate of polls while updates arrive in quick succession.
-	minPollPause = 20 * time.Millisecond
-	// applyTimeShare is the share of the time that applying updates may take; maxPollPause bounds the pause that
+	// minPollDelay bounds the rate of polls while updates arrive in quick succession.
+	minPollDelay = 20 * time.Millisecond
+	// applyTimeShare is the share of the time that applying updates may take; maxPollDelay bounds the pause that
 	// follows from it.
-	maxPollPause   = 250 * time.Millisecond
+	maxPollDelay   = 250 * time.Millisecond
 	applyTimeShare = 0.02
 	// The delay after a failed poll starts at minReconnectDelay and doubles with each further failure: agent and proxy
 	// are usually started together, and an agent that isn't there need not be polled often.
@@ -67,7 +67,7 @@
 			cursor, memberState := a.apply(response)
 			a.cursor = cursor
 			a.advanceState(memberState)
-			ctxsleep.Sleep(ctx, pollPause(time.Since(startedAt)))
+			ctxsleep.Sleep(ctx, pollDelay(time.Since(startedAt)))
 		case interrupted: // poll again at once
 		default:
 			a.logLost(ctx, err)
@@ -77,10 +77,10 @@
 	}
 }
 
-// pollPause returns the pause before the next poll, given how long it took to apply the last response: the cost of
+// pollDelay returns the delay before the next poll, by the time that applying the last response took: the cost of
 // many endpoints that change must not grow to all of the machine's capacity.
-func pollPause(took time.Duration) time.Duration {
-	return min(max(minPollPause, time.Duration(float64(took)/applyTimeShare)), maxPollPause)
+func pollDelay(applyTime time.Duration) time.Duration {
+	return min(max(minPollDelay, time.Duration(float64(applyTime)/applyTimeShare)), maxPollDelay)
 }
 
 // poll polls the agent once.
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -110,7 +110,7 @@
 	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(process, endpointShare)})
 	p.agent = &agentPoller{
 		client:           client,
-		address:          process.FeedAddress(),
+		address:          process.SubscriptionAddress(),
 		clientAddress:    process.Bind.Front,
 		log:              log,
 		apply:            p.applyResponse,
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -147,7 +147,7 @@
 			RetryWindow: time.Second,
 		},
 	}
-	agent := startAgent(t, process.FeedAddress())
+	agent := startAgent(t, process.SubscriptionAddress())
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	log := zerolog.Nop()
@@ -243,9 +243,9 @@
 	<-done
 }
 
-// TestPollPause: the longer an update takes to apply, the longer the pause, up to a limit.
-func TestPollPause(t *testing.T) {
-	assert.Equal(t, minPollPause, pollPause(0))
-	assert.Equal(t, 100*time.Millisecond, pollPause(2*time.Millisecond))
-	assert.Equal(t, maxPollPause, pollPause(time.Second))
+// TestPollDelay: the longer an update takes to apply, the longer the pause, up to a limit.
+func TestPollDelay(t *testing.T) {
+	assert.Equal(t, minPollDelay, pollDelay(0))
+	assert.Equal(t, 100*time.Millisecond, pollDelay(2*time.Millisecond))
+	assert.Equal(t, maxPollDelay, pollDelay(time.Second))
 }
--- a/serving/register/discover.go
+++ b/serving/register/discover.go
@@ -82,6 +82,6 @@
 		addresses = append(addresses, voter.Address)
 	}
 	slices.Sort(addresses)
-	own := n.settings.InnerAddress()
+	own := n.settings.InternalAddress()
 	return slices.DeleteFunc(slices.Compact(addresses), func(address string) bool { return address == own })
 }
--- a/serving/register/genesis.go
+++ b/serving/register/genesis.go
@@ -25,7 +25,7 @@
 func seedAddresses(process *settings.Process) []string {
 	var addresses []string
 	for _, seed := range process.Seeds {
-		if address, err := process.InnerAddressOf(seed); err == nil {
+		if address, err := process.InternalAddressOf(seed); err == nil {
 			addresses = append(addresses, address)
 		}
 	}
@@ -36,7 +36,7 @@
 // initialState returns the state of a replica with an empty store: a voter of the first set if this is a seed at the
 // first start of the system, else a replica with the given new ID that has to join.
 func initialState(process *settings.Process, newID string) AcceptorState {
-	own := process.InnerAddress()
+	own := process.InternalAddress()
 	if process.FirstRun && slices.Contains(seedAddresses(process), own) {
 		return AcceptorState{
 			ReplicaID: genesisPrefix + own,
--- a/serving/register/node.go
+++ b/serving/register/node.go
@@ -19,7 +19,7 @@
 	Settings *settings.Process
 	Storage  Storage
 	Client   *rpc.Client
-	Mux      *http.ServeMux // gets the handlers of calls from other nodes; has to be served at Settings.InnerAddress
+	Mux      *http.ServeMux // gets the handlers of calls from other nodes; has to be served at Settings.InternalAddress
 	Log      *zerolog.Logger
 	// Committed is called with each newer record that this process's own changes and reads have found to be committed,
 	// in order of revision. It isn't called with revision 0, the empty register. It must not call Change or Read.
@@ -68,7 +68,7 @@
 	if err := options.validate(); err != nil {
 		return nil, err
 	}
-	transport := &rpcTransport{client: options.Client, own: options.Settings.InnerAddress()}
+	transport := &rpcTransport{client: options.Client, own: options.Settings.InternalAddress()}
 	node, server := newNode(ctx, options, transport)
 	transport.local = server
 	registerHandlers(options.Mux, server)
--- a/serving/register/replicalifecycle.go
+++ b/serving/register/replicalifecycle.go
@@ -217,5 +217,5 @@
 			return state.Replica{}, err
 		}
 	}
-	return state.Replica{ID: own.ReplicaID, Address: n.settings.InnerAddress()}, nil
+	return state.Replica{ID: own.ReplicaID, Address: n.settings.InternalAddress()}, nil
 }
--- a/serving/register/voterrepair.go
+++ b/serving/register/voterrepair.go
@@ -28,7 +28,7 @@
 		return learnerProgress{}, false
 	}
 	return learnerProgress{
-		replica:  state.Replica{ID: own.ReplicaID, Address: n.settings.InnerAddress()},
+		replica:  state.Replica{ID: own.ReplicaID, Address: n.settings.InternalAddress()},
 		revision: own.durableRevision(),
 	}, true
 }
@@ -97,7 +97,7 @@
 // potentialLearners returns the replicas that may be learners, without calling them. The ID of another process's
 // replica isn't known; its address stands for it.
 func (n *Node) potentialLearners() (learners []state.Replica) {
-	excluded := map[string]bool{n.settings.InnerAddress(): true}
+	excluded := map[string]bool{n.settings.InternalAddress(): true}
 	for _, voter := range n.Voters().Replicas {
 		excluded[voter.Address] = true
 	}
@@ -138,7 +138,7 @@
 
 // queryLearner asks the node at an address for its learner. It returns the zero value if there is none.
 func (n *Node) queryLearner(ctx context.Context, address string) learnerProgress {
-	if address == n.settings.InnerAddress() {
+	if address == n.settings.InternalAddress() {
 		own, _ := n.caughtUpLearner()
 		return own
 	}
--- a/serving/retry/budget.go
+++ b/serving/retry/budget.go
@@ -34,13 +34,16 @@
 func (b *budget) advance(age time.Duration) {
 	newest := int64(age / b.bucketWidth)
 	if newest-b.newestBucket > bucketCount {
-		b.requests, b.retries, b.newestBucket = [bucketCount + 1]int{}, [bucketCount + 1]int{}, newest
+		b.requests = [bucketCount + 1]int{}
+		b.retries = [bucketCount + 1]int{}
+		b.newestBucket = newest
 		return
 	}
 	for b.newestBucket < newest {
 		b.newestBucket++
-		at := b.newestBucket % (bucketCount + 1)
-		b.requests[at], b.retries[at] = 0, 0
+		bucket := b.newestBucket % (bucketCount + 1)
+		b.requests[bucket] = 0
+		b.retries[bucket] = 0
 	}
 }
 
@@ -50,10 +53,10 @@
 // totals returns the retries in all buckets and the requests in all but the oldest two.
 func (b *budget) totals() (requests, retries int) {
 	for age := range int64(bucketCount + 1) {
-		at := ((b.newestBucket-age)%(bucketCount+1) + bucketCount + 1) % (bucketCount + 1)
-		retries += b.retries[at]
+		bucket := ((b.newestBucket-age)%(bucketCount+1) + bucketCount + 1) % (bucketCount + 1)
+		retries += b.retries[bucket]
 		if age < bucketCount-1 {
-			requests += b.requests[at]
+			requests += b.requests[bucket]
 		}
 	}
 	return requests, retries
--- a/serving/settings/fuzz_test.go
+++ b/serving/settings/fuzz_test.go
@@ -36,9 +36,9 @@
 			assert.GreaterOrEqual(t, number, 0)
 		}
 		for _, seed := range parsed.Seeds {
-			_, err := parsed.InnerAddressOf(seed)
+			_, err := parsed.InternalAddressOf(seed)
 			assert.NoError(t, err)
 		}
-		assert.NotEmpty(t, parsed.InnerAddress())
+		assert.NotEmpty(t, parsed.InternalAddress())
 	})
 }
--- a/serving/settings/load_test.go
+++ b/serving/settings/load_test.go
@@ -41,20 +41,20 @@
 	t.Setenv(EnvironmentVariable, path)
 	process, err := FromEnvironment()
 	require.NoError(t, err)
-	assert.Equal(t, "10.0.0.1:7000", process.InnerAddress())
-	assert.Equal(t, "127.0.0.1:7001", process.FeedAddress())
-	inner, err := process.InnerAddressOf("10.0.0.9:99")
+	assert.Equal(t, "10.0.0.1:7000", process.InternalAddress())
+	assert.Equal(t, "127.0.0.1:7001", process.SubscriptionAddress())
+	inner, err := process.InternalAddressOf("10.0.0.9:99")
 	require.NoError(t, err)
 	assert.Equal(t, "10.0.0.9:7000", inner)
 }
 
 const minimalSettings = "node_name=n\nip_addr=10.0.0.1\nzone=z\nregion=r\nport_range=7000,7001\n"
 
-// TestFeedAddress_MachinesOnOneHost: with the common loopback address their agents would clash.
-func TestFeedAddress_MachinesOnOneHost(t *testing.T) {
+// TestSubscriptionAddress_MachinesOnOneHost: with the common loopback address their agents would clash.
+func TestSubscriptionAddress_MachinesOnOneHost(t *testing.T) {
 	process, err := Parse([]byte("node_name=n\nip_addr=127.0.1.5\nzone=z\nregion=r\nport_range=7000,7001\n"))
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.1.5:7001", process.FeedAddress())
+	assert.Equal(t, "127.0.1.5:7001", process.SubscriptionAddress())
 }
 
 func TestParse_FractionalDurations(t *testing.T) {
--- a/serving/settings/process.go
+++ b/serving/settings/process.go
@@ -83,12 +83,12 @@
 	MaxTTL           time.Duration `json:"TTLMost"`
 }
 
-// InnerAddress returns the address at which the other processes of the system call this machine.
-func (p *Process) InnerAddress() string { return net.JoinHostPort(p.IP, strconv.Itoa(p.FirstPort)) }
+// InternalAddress returns the address at which the other processes of the system call this machine.
+func (p *Process) InternalAddress() string { return net.JoinHostPort(p.IP, strconv.Itoa(p.FirstPort)) }
 
-// FeedAddress returns the loopback address at which the proxy of this machine polls its agent. Simulated machines that
-// share one host have loopback addresses of their own and use these, as the common one would clash.
-func (p *Process) FeedAddress() string {
+// SubscriptionAddress returns the loopback address at which the proxy of this machine polls its agent. Simulated
+// machines that share one host have loopback addresses of their own and use these, as the common one would clash.
+func (p *Process) SubscriptionAddress() string {
 	host := loopback
 	if ip := net.ParseIP(p.IP); ip != nil && ip.IsLoopback() {
 		host = p.IP
@@ -96,8 +96,9 @@
 	return net.JoinHostPort(host, strconv.Itoa(p.FirstPort+1))
 }
 
-// InnerAddressOf returns the inner address of the machine with a control address. The ports are the same on all machines.
-func (p *Process) InnerAddressOf(control string) (string, error) {
+// InternalAddressOf returns the inner address of the machine with a control address. The ports are the same on all
+// machines.
+func (p *Process) InternalAddressOf(control string) (string, error) {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
 		return "", err
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -276,10 +276,10 @@
 // TestDo_SendsTimeLeft: the endpoint receives the time left now, not what the client stated, and never more than until
 // the deadline.
 func TestDo_SendsTimeLeft(t *testing.T) {
-	told := make(chan []string, 1)
+	received := make(chan []string, 1)
 	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
 		if request := p.ReadRequest(); request != nil {
-			told <- request.Header.Values("X-Time-Left")
+			received <- request.Header.Values("X-Time-Left")
 			p.WriteText(okResponse)
 		}
 	})
@@ -288,7 +288,7 @@
 	call.Deadline = time.Now().Add(20 * time.Second)
 	_, _, failure := doCall(t, New(Options{}), call)
 	require.Nil(t, failure)
-	values := <-told
+	values := <-received
 	require.Len(t, values, 1)
 	left, err := strconv.Atoi(values[0])
 	require.NoError(t, err)
--- a/serving/upstream/connection.go
+++ b/serving/upstream/connection.go
@@ -40,11 +40,11 @@
 // markSent records that a request is sent.
 func (c *connection) markSent() { c.sentAt.Store(int64(time.Since(steadyStart))) }
 
-// markAnswered records that a response has arrived.
-func (c *connection) markAnswered() { c.sentAt.Store(0) }
+// markResponded records that a response has arrived.
+func (c *connection) markResponded() { c.sentAt.Store(0) }
 
-// unansweredFor returns how long a request has been without a response; zero if there is no such request.
-func (c *connection) unansweredFor(now time.Time) time.Duration {
+// awaitingResponseFor returns how long a request has been without a response; zero if there is no such request.
+func (c *connection) awaitingResponseFor(now time.Time) time.Duration {
 	sent := c.sentAt.Load()
 	if sent == 0 {
 		return 0
--- a/serving/upstream/dialer.go
+++ b/serving/upstream/dialer.go
@@ -37,8 +37,13 @@
 		},
 	}
 	raw.SetMultipathTCP(false)
-	return dialer{timeout: timeout, raw: raw, mu: &sync.Mutex{},
-		meanRoundTrips: map[string]time.Duration{}, minRoundTrips: map[string]time.Duration{}}
+	return dialer{
+		timeout:        timeout,
+		raw:            raw,
+		mu:             &sync.Mutex{},
+		meanRoundTrips: map[string]time.Duration{},
+		minRoundTrips:  map[string]time.Duration{},
+	}
 }
 
 // dial connects within the time-out and twice the mean round trip to the zone.
@@ -61,27 +66,27 @@
 func (d dialer) meanRoundTrip(zone string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if trip, known := d.meanRoundTrips[zone]; known {
-		return trip
+	if mean, known := d.meanRoundTrips[zone]; known {
+		return mean
 	}
 	return d.timeout / 2
 }
 
 // recordRoundTrip adds a measurement to the mean and to the minimum, which rises slowly if the path gets longer.
-func (d dialer) recordRoundTrip(zone string, took time.Duration) {
+func (d dialer) recordRoundTrip(zone string, roundTrip time.Duration) {
 	const weight, upWeight = 4, 32
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if least, known := d.minRoundTrips[zone]; known && took > least {
-		d.minRoundTrips[zone] = least + (took-least)/upWeight
+	if minimum, known := d.minRoundTrips[zone]; known && roundTrip > minimum {
+		d.minRoundTrips[zone] = minimum + (roundTrip-minimum)/upWeight
 	} else {
-		d.minRoundTrips[zone] = took
+		d.minRoundTrips[zone] = roundTrip
 	}
-	took = min(took, d.timeout)
-	if trip, known := d.meanRoundTrips[zone]; known {
-		took = trip + (took-trip)/weight
+	roundTrip = min(roundTrip, d.timeout)
+	if mean, known := d.meanRoundTrips[zone]; known {
+		roundTrip = mean + (roundTrip-mean)/weight
 	}
-	d.meanRoundTrips[zone] = took
+	d.meanRoundTrips[zone] = roundTrip
 }
 
 // RoundTrips returns, by zone, the least time that connecting to its endpoints has taken lately.
--- a/serving/upstream/do.go
+++ b/serving/upstream/do.go
@@ -32,8 +32,14 @@
 			cancel()
 			return nil, failure
 		}
-		response := &Response{pool: p, call: call, connection: c, ctx: ctx, cancel: cancel}
-		response.watchdog = watchdog{mayAbandon: call.MayAbandon, abandon: c.closeOnce}
+		response := &Response{
+			pool:       p,
+			call:       call,
+			connection: c,
+			ctx:        ctx,
+			cancel:     cancel,
+			watchdog:   watchdog{mayAbandon: call.MayAbandon, abandon: c.closeOnce},
+		}
 		response.stopCancelHook = context.AfterFunc(ctx, c.closeOnce)
 		if sent, err := response.sendRequest(); !sent {
 			stale := reused && ctx.Err() == nil
@@ -55,11 +61,11 @@
 
 // acquireConnection takes an idle connection or opens a new one.
 func (p *Pool) acquireConnection(ctx context.Context, call *Call) (c *connection, reused bool, failure *Failure) {
-	c, hasRoom := p.acquire(call.EndpointID, call.MaxConnections, call.Resent, time.Now())
+	c, hasCapacity := p.acquire(call.EndpointID, call.MaxConnections, call.Resent, time.Now())
 	if c != nil {
 		return c, true, nil
 	}
-	if !hasRoom {
+	if !hasCapacity {
 		return nil, false, &Failure{Outcome: attempt.AtLimit}
 	}
 	c, err := p.dialer.dial(ctx, call.Address, call.Zone)
@@ -118,7 +124,8 @@
 	}
 	select {
 	case err := <-r.bodyWritten:
-		r.bodyWritten, r.requestWritten = nil, err == nil
+		r.bodyWritten = nil
+		r.requestWritten = err == nil
 	default:
 	}
 	return r.bodyWritten == nil && r.requestWritten
--- a/serving/upstream/pool.go
+++ b/serving/upstream/pool.go
@@ -17,8 +17,8 @@
 	defaultAckTimeout     = 1500 * time.Millisecond
 	// defaultIdleTimeout is how long an idle connection stays open whose endpoint doesn't announce its own timeout.
 	defaultIdleTimeout = 2 * time.Second
-	// idleTimeoutPercent of the idle time that an endpoint states is used; the rest is margin for a request on its
-	// way.
+	// idleTimeoutPercent of the idle time that an endpoint states is used; the rest is margin for a request in
+	// transit.
 	idleTimeoutPercent = 80
 )
 
@@ -70,18 +70,18 @@
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, at := range p.byEndpoint {
-		usable := at.idle[:0]
-		for _, c := range at.idle {
+	for id, connections := range p.byEndpoint {
+		usable := connections.idle[:0]
+		for _, c := range connections.idle {
 			if c.isUsable(now) {
 				usable = append(usable, c)
 			} else {
-				p.closeConnection(at, c)
+				p.closeConnection(connections, c)
 			}
 		}
-		clear(at.idle[len(usable):])
-		at.idle = usable
-		if at.open == 0 {
+		clear(connections.idle[len(usable):])
+		connections.idle = usable
+		if connections.open == 0 {
 			delete(p.byEndpoint, id)
 		}
 	}
@@ -92,11 +92,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, at := range p.byEndpoint {
-		for _, c := range at.idle {
-			p.closeConnection(at, c)
+	for _, connections := range p.byEndpoint {
+		for _, c := range connections.idle {
+			p.closeConnection(connections, c)
 		}
-		at.idle = nil
+		connections.idle = nil
 	}
 }
 
@@ -110,54 +110,54 @@
 // acquire returns an idle connection that can be used or, without one, a free slot for a new connection, which counts
 // as open from now on. If fresh is set, it returns no idle connection. It returns false if the limit of the endpoint or
 // the pool is reached.
-func (p *Pool) acquire(endpointID string, limit int, fresh bool, now time.Time) (c *connection, room bool) {
+func (p *Pool) acquire(endpointID string, limit int, fresh bool, now time.Time) (c *connection, hasCapacity bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.byEndpoint[endpointID]
-	if at == nil {
-		at = &endpointConnections{}
-		p.byEndpoint[endpointID] = at
+	connections := p.byEndpoint[endpointID]
+	if connections == nil {
+		connections = &endpointConnections{}
+		p.byEndpoint[endpointID] = connections
 	}
 	if !fresh {
-		if c := p.popIdle(at, now); c != nil {
-			at.busy = append(at.busy, c)
+		if c := p.popIdle(connections, now); c != nil {
+			connections.busy = append(connections.busy, c)
 			return c, true
 		}
 	}
-	if limit > 0 && at.open >= limit && !p.closeOldestIdle(at) {
+	if limit > 0 && connections.open >= limit && !p.closeOldestIdle(connections) {
 		return nil, false
 	}
 	if p.open >= p.options.MaxOpen && !p.closeOldestIdleOfAll() {
 		return nil, false
 	}
-	at.open++
+	connections.open++
 	p.open++
 	return nil, true
 }
 
 // popIdle returns the last used idle connection to an endpoint that can be used; nil if there is none. The caller
 // holds the lock.
-func (p *Pool) popIdle(at *endpointConnections, now time.Time) *connection {
-	for n := len(at.idle); n > 0; n = len(at.idle) {
-		c := at.idle[n-1]
-		at.idle[n-1] = nil
-		at.idle = at.idle[:n-1]
+func (p *Pool) popIdle(connections *endpointConnections, now time.Time) *connection {
+	for n := len(connections.idle); n > 0; n = len(connections.idle) {
+		c := connections.idle[n-1]
+		connections.idle[n-1] = nil
+		connections.idle = connections.idle[:n-1]
 		if c.isUsable(now) {
 			return c
 		}
-		p.closeConnection(at, c)
+		p.closeConnection(connections, c)
 	}
 	return nil
 }
 
 // closeOldestIdle closes the connection to an endpoint that has been idle longest. The caller holds the lock.
-func (p *Pool) closeOldestIdle(at *endpointConnections) bool {
-	if len(at.idle) == 0 {
+func (p *Pool) closeOldestIdle(connections *endpointConnections) bool {
+	if len(connections.idle) == 0 {
 		return false
 	}
-	first := at.idle[0]
-	at.idle = append(at.idle[:0], at.idle[1:]...)
-	p.closeConnection(at, first)
+	first := connections.idle[0]
+	connections.idle = append(connections.idle[:0], connections.idle[1:]...)
+	p.closeConnection(connections, first)
 	return true
 }
 
@@ -167,25 +167,25 @@
 	c.idleSince, c.idleUntil = now, now.Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.byEndpoint[endpointID]
-	if at == nil {
+	connections := p.byEndpoint[endpointID]
+	if connections == nil {
 		return
 	}
-	at.removeBusy(c)
+	connections.removeBusy(c)
 	if p.closed || idle <= 0 {
-		p.closeConnection(at, c)
+		p.closeConnection(connections, c)
 		return
 	}
-	at.idle = append(at.idle, c)
+	connections.idle = append(connections.idle, c)
 }
 
 // discard closes a connection in use and frees its slot. A nil connection stands for one that was not established.
 func (p *Pool) discard(endpointID string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at := p.byEndpoint[endpointID]; at != nil {
-		at.removeBusy(c)
-		p.closeConnection(at, c)
+	if connections := p.byEndpoint[endpointID]; connections != nil {
+		connections.removeBusy(c)
+		p.closeConnection(connections, c)
 	}
 }
 
@@ -193,8 +193,8 @@
 func (p *Pool) addBusy(endpointID string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at := p.byEndpoint[endpointID]; at != nil {
-		at.busy = append(at.busy, c)
+	if connections := p.byEndpoint[endpointID]; connections != nil {
+		connections.busy = append(connections.busy, c)
 	}
 }
 
@@ -208,23 +208,23 @@
 }
 
 // closeConnection closes a connection that is on no list any more. The caller holds the lock.
-func (p *Pool) closeConnection(at *endpointConnections, c *connection) {
+func (p *Pool) closeConnection(connections *endpointConnections, c *connection) {
 	if c != nil {
 		c.closeOnce()
 	}
-	at.open--
+	connections.open--
 	p.open--
 }
 
 // closeOldestIdleOfAll closes the connection that has been idle longest. The caller holds the lock.
 func (p *Pool) closeOldestIdleOfAll() bool {
 	var oldest *endpointConnections
-	for _, at := range p.byEndpoint {
-		if len(at.idle) == 0 {
+	for _, connections := range p.byEndpoint {
+		if len(connections.idle) == 0 {
 			continue
 		}
-		if oldest == nil || at.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
-			oldest = at
+		if oldest == nil || connections.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
+			oldest = connections
 		}
 	}
 	return oldest != nil && p.closeOldestIdle(oldest)
--- a/serving/upstream/receive.go
+++ b/serving/upstream/receive.go
@@ -51,7 +51,7 @@
 	r.connection.headBytesLeft = maxHeadSize
 	response, err := http.ReadResponse(r.connection.reader, &http.Request{Method: r.call.Method})
 	r.connection.headBytesLeft = -1
-	r.connection.markAnswered()
+	r.connection.markResponded()
 	return response, errors.Wrap(err, "read response headers")
 }
 
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -14,7 +14,7 @@
 	"rowanlink/test/fake/scriptedendpoint"
 )
 
-func TestDo_NobodyListens(t *testing.T) {
+func TestDo_ConnectionRefused(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
--- a/serving/upstream/unacknowledged.go
+++ b/serving/upstream/unacknowledged.go
@@ -15,8 +15,8 @@
 func (p *Pool) UnacknowledgedEndpoints(now time.Time) (ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, at := range p.byEndpoint {
-		for _, c := range at.busy {
+	for id, connections := range p.byEndpoint {
+		for _, c := range connections.busy {
 			if p.isUnacknowledged(now, c) {
 				ids = append(ids, id)
 				break
@@ -28,7 +28,7 @@
 
 // isUnacknowledged reports whether data sent on a connection has been unacknowledged for too long.
 func (p *Pool) isUnacknowledged(now time.Time, c *connection) bool {
-	if c.unansweredFor(now) < unacknowledgedAfter+2*p.dialer.meanRoundTrip(c.zone) {
+	if c.awaitingResponseFor(now) < unacknowledgedAfter+2*p.dialer.meanRoundTrip(c.zone) {
 		return false
 	}
 	return socket.HasUnacknowledged(c.Conn)
--- a/test/fake/endpoint/endpoint_test.go
+++ b/test/fake/endpoint/endpoint_test.go
@@ -35,12 +35,12 @@
 	core.respond = func(heartbeat) (int, string) { return http.StatusOK, "{}" }
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+heartbeatPath+"{id}", func(w http.ResponseWriter, r *http.Request) {
-		var beat heartbeat
-		_ = json.NewDecoder(r.Body).Decode(&beat)
+		var heartbeat heartbeat
+		_ = json.NewDecoder(r.Body).Decode(&heartbeat)
 		core.mutex.Lock()
-		status, body := core.respond(beat)
+		status, body := core.respond(heartbeat)
 		core.mutex.Unlock()
-		core.heartbeats <- beat
+		core.heartbeats <- heartbeat
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
 	})
@@ -116,12 +116,12 @@
 	first.respondWith(func(heartbeat) (int, string) { return http.StatusOK, `{"forward_to":"` + wanted.address() + `"}` })
 	startEndpoint(t, Options{Service: "s", Zone: "z", Control: []string{"127.0.0.1:1", first.address()},
 		HeartbeatInterval: time.Millisecond, Warmup: Warmup{Span: time.Hour}})
-	beat := receive(t, first.heartbeats)
-	assert.Equal(t, stateAccepting, beat.State)
-	assert.Positive(t, beat.ColdMillis)
-	assert.Equal(t, defaultSlots, beat.Slots)
+	message := receive(t, first.heartbeats)
+	assert.Equal(t, stateAccepting, message.State)
+	assert.Positive(t, message.ColdMillis)
+	assert.Equal(t, defaultSlots, message.Slots)
 	again := receive(t, wanted.heartbeats)
-	assert.Greater(t, again.Sequence, beat.Sequence)
+	assert.Greater(t, again.Sequence, message.Sequence)
 	wanted.respondWith(func(heartbeat) (int, string) { return http.StatusServiceUnavailable, "" })
 	assert.Greater(t, receive(t, first.heartbeats).Sequence, again.Sequence, "the wish ends with a failure")
 }
@@ -131,19 +131,19 @@
 	long := strings.Repeat("x", maxAcknowledgementSize+1)
 	core.respondWith(func(heartbeat) (int, string) { return http.StatusOK, long })
 	e := startEndpoint(t, Options{Service: "s", Control: []string{core.address()}})
-	left := make(chan error, 1)
-	go func() { left <- e.Shutdown(context.Background()) }()
+	result := make(chan error, 1)
+	go func() { result <- e.Shutdown(context.Background()) }()
 	for receive(t, core.heartbeats).State != stateClosing {
 	}
-	assert.Empty(t, left, "an answer that long acknowledges nothing")
+	assert.Empty(t, result, "an answer that long acknowledges nothing")
 	core.respondWith(func(heartbeat) (int, string) { return http.StatusOK, "{}" })
 	assert.Equal(t, e.ID, receive(t, core.deregistered))
-	assert.NoError(t, receive(t, left))
+	assert.NoError(t, receive(t, result))
 
-	unheard := startEndpoint(t, Options{Service: "s", Control: []string{"127.0.0.1:1"}})
+	unacknowledged := startEndpoint(t, Options{Service: "s", Control: []string{"127.0.0.1:1"}})
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.ErrorContains(t, unheard.Shutdown(ended), "not acknowledged")
+	assert.ErrorContains(t, unacknowledged.Shutdown(ended), "not acknowledged")
 }
 
 func TestRequest_Plain(t *testing.T) {
@@ -156,8 +156,8 @@
 }
 
 func TestRequest_NotDelivered(t *testing.T) {
-	notes := make(chan RequestEvent, 10)
-	e := startEndpoint(t, Options{Service: "s", Slots: 1, OnRequest: func(n RequestEvent) { notes <- n }})
+	events := make(chan RequestEvent, 10)
+	e := startEndpoint(t, Options{Service: "s", Slots: 1, OnRequest: func(n RequestEvent) { events <- n }})
 	for _, each := range []struct {
 		status  int
 		headers []string
@@ -174,42 +174,42 @@
 	assert.Equal(t, http.StatusServiceUnavailable, late.StatusCode, "the time was over in the queue")
 	e.slots.release(0)
 	for _, want := range []RequestPhase{Misdirected, Rejected} {
-		assert.Equal(t, want, receive(t, notes).Phase)
+		assert.Equal(t, want, receive(t, events).Phase)
 	}
 }
 
 func TestRequest_Stream(t *testing.T) {
-	notes := make(chan RequestEvent, 10)
+	events := make(chan RequestEvent, 10)
 	e := startEndpoint(t, Options{
 		Service:   "s",
 		Engine:    &Engine{TokensPerEvent: 4},
-		OnRequest: func(n RequestEvent) { notes <- n },
+		OnRequest: func(n RequestEvent) { events <- n },
 	})
 	headers := []string{headerAttempt, "t", headerTokens, "150,10", headerPrompt, "a:100,b:50"}
 	response := post(t, e, "/", headers...)
 	assert.Equal(t, typeStream, response.Header.Get(headerContentType))
 	assert.Equal(t, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\n", string(response.Body))
-	assert.Equal(t, 150, receive(t, notes).UncachedTokens)
-	assert.Equal(t, Completed, receive(t, notes).Phase)
+	assert.Equal(t, 150, receive(t, events).UncachedTokens)
+	assert.Equal(t, Completed, receive(t, events).Phase)
 
 	resumed := post(t, e, "/", append(headers, headerLastEvent, "2")...)
 	assert.Equal(t, "id: 3\ndata: piece 3\n\n", string(resumed.Body))
-	assert.Equal(t, 0, receive(t, notes).UncachedTokens, "all parts were cached")
+	assert.Equal(t, 0, receive(t, events).UncachedTokens, "all parts were cached")
 }
 
 func TestRequest_EndsWhenCallerDisconnects(t *testing.T) {
-	notes := make(chan RequestEvent, 10)
+	events := make(chan RequestEvent, 10)
 	e := startEndpoint(t, Options{Service: "s", Engine: &Engine{DecodeStep: time.Hour}, ProcessingTime: time.Hour,
-		OnRequest: func(n RequestEvent) { notes <- n }})
+		OnRequest: func(n RequestEvent) { events <- n }})
 	for _, tokens := range []string{"", "10,10"} {
 		connection, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", e.Address())
 		require.NoError(t, err)
 		_, err = io.WriteString(connection, "GET / HTTP/1.1\r\nHost: h\r\n"+headerAttempt+": t\r\n"+
 			headerTokens+": "+tokens+"\r\n\r\n")
 		require.NoError(t, err)
-		assert.Equal(t, Started, receive(t, notes).Phase)
+		assert.Equal(t, Started, receive(t, events).Phase)
 		require.NoError(t, connection.Close())
-		assert.Equal(t, Abandoned, receive(t, notes).Phase)
+		assert.Equal(t, Abandoned, receive(t, events).Phase)
 	}
 }
 
--- a/test/fake/endpoint/handler.go
+++ b/test/fake/endpoint/handler.go
@@ -36,12 +36,12 @@
 // serveLoadReport responds with the endpoint's load.
 func (e *Endpoint) serveLoadReport(w http.ResponseWriter, _ *http.Request) {
 	running, waiting := e.slots.counts()
-	answer := loadReport{Stage: stageBoth, Models: e.models(), Queued: waiting, Running: running}
+	report := loadReport{Stage: stageBoth, Models: e.models(), Queued: waiting, Running: running}
 	if e.kvCache != nil {
-		answer.CacheUsed, answer.CacheTotal = e.kvCache.reservedTokens(), e.kvCache.total
+		report.CacheUsed, report.CacheTotal = e.kvCache.reservedTokens(), e.kvCache.total
 	}
 	w.Header().Set(headerContentType, typeJSON)
-	_ = json.NewEncoder(w).Encode(answer) // it fails only if the caller has disconnected
+	_ = json.NewEncoder(w).Encode(report) // it fails only if the caller has disconnected
 }
 
 // serveHealth responds to a health check, which waits for a slot like a request.
--- a/test/fake/endpoint/heartbeat.go
+++ b/test/fake/endpoint/heartbeat.go
@@ -74,11 +74,11 @@
 			acknowledged = true
 			close(h.acknowledged)
 		}
-		pause := h.endpoint.options.HeartbeatInterval
+		interval := h.endpoint.options.HeartbeatInterval
 		if err != nil || draining && !acknowledged {
-			pause = min(pause, drainRetryInterval)
+			interval = min(interval, drainRetryInterval)
 		}
-		h.sleep(ctx, pause)
+		h.sleep(ctx, interval)
 	}
 }
 
@@ -98,14 +98,14 @@
 	h.mutex.Lock()
 	draining = h.draining
 	h.mutex.Unlock()
-	answer, err := h.callControl(ctx, heartbeatPath, func(sequence uint64) ([]byte, error) {
+	responseBody, err := h.callControl(ctx, heartbeatPath, func(sequence uint64) ([]byte, error) {
 		return json.Marshal(h.endpoint.currentHeartbeat(draining, sequence))
 	})
 	if err != nil {
 		return draining, err
 	}
 	var response heartbeatResponse
-	if json.Unmarshal(answer, &response) == nil {
+	if json.Unmarshal(responseBody, &response) == nil {
 		h.mutex.Lock()
 		h.preferredAddress = response.ForwardTo
 		h.mutex.Unlock()
@@ -118,18 +118,19 @@
 	_, _ = h.callControl(ctx, deregisterPath, func(uint64) ([]byte, error) { return nil, nil })
 }
 
-// callControl calls the preferred address, then each control address in turn, until one responds with 2xx.
+// callControl calls the preferred address, then each control address in turn, until one responds with 2xx. encode
+// returns the body of each call.
 func (h *heartbeatSender) callControl(
-	ctx context.Context, path string, body func(sequence uint64) ([]byte, error),
-) (answer []byte, err error) {
+	ctx context.Context, path string, encode func(sequence uint64) ([]byte, error),
+) (responseBody []byte, err error) {
 	err = errors.New("no control address")
 	for _, address := range h.controlTargets() {
-		sent, failed := body(h.nextSequence())
-		if failed != nil {
-			return nil, failed
+		body, encodeErr := encode(h.nextSequence())
+		if encodeErr != nil {
+			return nil, encodeErr
 		}
-		if answer, err = h.post(ctx, "http://"+address+path+h.endpoint.ID, sent); err == nil {
-			return answer, nil
+		if responseBody, err = h.post(ctx, "http://"+address+path+h.endpoint.ID, body); err == nil {
+			return responseBody, nil
 		}
 		h.recordFailure(address)
 	}
@@ -180,19 +181,19 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAcknowledgementSize+1))
+	acknowledgement, err := io.ReadAll(io.LimitReader(response.Body, maxAcknowledgementSize+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case response.StatusCode/100 != 2 || len(answer) > maxAcknowledgementSize:
+	case response.StatusCode/100 != 2 || len(acknowledgement) > maxAcknowledgementSize:
 		return nil, errors.Newf("%s: %s", url, response.Status)
 	}
-	return answer, nil
+	return acknowledgement, nil
 }
 
 // currentHeartbeat returns the endpoint's heartbeat.
 func (e *Endpoint) currentHeartbeat(draining bool, sequence uint64) heartbeat {
-	beat := heartbeat{
+	message := heartbeat{
 		Service:    e.options.Service,
 		Address:    e.address,
 		Zone:       e.options.Zone,
@@ -204,12 +205,12 @@
 		Models:     e.models(),
 	}
 	if draining {
-		beat.State = stateClosing
+		message.State = stateClosing
 	}
 	if e.options.Engine != nil {
-		beat.Stage = stageBoth
+		message.Stage = stageBoth
 	}
-	return beat
+	return message
 }
 
 // models returns the models that the endpoint serves.
--- a/test/fake/endpoint/slots.go
+++ b/test/fake/endpoint/slots.go
@@ -38,12 +38,12 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	at := slices.Index(s.waiting, w)
-	if at < 0 { // it was admitted at the same moment
+	index := slices.Index(s.waiting, w)
+	if index < 0 { // it was admitted at the same moment
 		s.releaseLocked(tokens)
 		return false
 	}
-	s.waiting = slices.Delete(s.waiting, at, at+1)
+	s.waiting = slices.Delete(s.waiting, index, index+1)
 	s.admitWaiting()
 	return false
 }
@@ -56,10 +56,10 @@
 		return nil
 	}
 	w := &waiter{priority: priority, tokens: tokens, admitted: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(s.waiting, priority+1, func(other *waiter, priority int) int {
+	index, _ := slices.BinarySearchFunc(s.waiting, priority+1, func(other *waiter, priority int) int {
 		return other.priority - priority
 	})
-	s.waiting = slices.Insert(s.waiting, at, w)
+	s.waiting = slices.Insert(s.waiting, index, w)
 	s.admitWaiting()
 	if len(s.waiting) > s.queueLimit && slices.Contains(s.waiting, w) {
 		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
--- a/test/integration/serving/ledger_test.go
+++ b/test/integration/serving/ledger_test.go
@@ -227,16 +227,16 @@
 // run twice.
 func TestRequestLedger_KilledProxy(t *testing.T) {
 	l := newLedger()
-	note := func(attempt string) { l.recordEvent(endpoint.RequestEvent{Attempt: attempt, Phase: endpoint.Started}) }
+	recordRun := func(attempt string) { l.recordEvent(endpoint.RequestEvent{Attempt: attempt, Phase: endpoint.Started}) }
 	l.startAttempt("in flight", kindOrder, "p")
 	l.killProxy("p", func() { l.startAttempt("meanwhile", kindOrder, "p") })
 	l.startAttempt("after", kindOrder, "p")
 	l.startAttempt("elsewhere", kindOrder, "q")
 	for _, attempt := range []string{"in flight", "meanwhile", "after", "elsewhere"} {
-		note(attempt)
+		recordRun(attempt)
 		l.finishAttempt(attempt, broken, 0)
 	}
 	assert.Len(t, l.violations(), 2)
-	note("in flight")
+	recordRun("in flight")
 	assert.Len(t, l.violations(), 3)
 }
--- a/test/integration/serving/losses_test.go
+++ b/test/integration/serving/losses_test.go
@@ -87,26 +87,26 @@
 // has started: that one transfers its vote, and at once another core loses its disk. Successors have other names,
 // addresses and disks.
 func replaceCore(c *cluster, t *testing.T) {
-	gone := c.cores[2]
-	gone.terminate()
+	stopped := c.cores[2]
+	stopped.terminate()
 	c.cores[2] = c.startCore(firstCoreNumber + machinesPerRole)
 	c.awaitVoter(c.cores[2])
 	c.awaitReplicas()
-	assert.Empty(t, c.replicaOf(c.cores[0], gone.address(portMembers)))
+	assert.Empty(t, c.replicaOf(c.cores[0], stopped.address(portMembers)))
 
-	gone = c.cores[2]
+	stopped = c.cores[2]
 	c.cores[2] = c.startCore(firstCoreNumber + machinesPerRole + 1)
 	c.eventually("the successor is a learner, and known", func() bool {
 		report, answered := c.report(c.cores[2])
-		return answered && report.Learner && c.knowsMember(gone, c.cores[2])
+		return answered && report.Learner && c.knowsMember(stopped, c.cores[2])
 	})
 	c.awaitReplicas()
-	gone.terminate()
-	_, handedOver := gone.log.Find(0, `"event":213`)
+	stopped.terminate()
+	_, handedOver := stopped.log.Find(0, `"event":213`)
 	assert.True(t, handedOver, "the vote was handed over before the end")
 	c.awaitVoter(c.cores[2])
 	c.awaitReplicas()
-	assert.Empty(t, c.replicaOf(c.cores[0], gone.address(portMembers)))
+	assert.Empty(t, c.replicaOf(c.cores[0], stopped.address(portMembers)))
 	wipeCore(c, t)
 }
 
--- a/test/integration/serving/planned_test.go
+++ b/test/integration/serving/planned_test.go
@@ -100,17 +100,17 @@
 	by := newHTTPClient()
 	defer by.CloseIdleConnections()
 	agent.kill()
-	mark := proxy.log.Offset()
-	_, told := proxy.log.Await(0, waitTimeout, []string{`"event":510`})
-	assert.True(t, told, "the proxy misses its agent")
+	offset := proxy.log.Offset()
+	_, found := proxy.log.Await(0, waitTimeout, []string{`"event":510`})
+	assert.True(t, found, "the proxy misses its agent")
 	for _, k := range append(requestKinds, requestKinds...) {
 		assert.Equal(t, served, c.sendAttempt(c.t.Context(), by, k, "/"+k.name+"/x", proxy.address(portClients)))
 	}
 	c.configure(c.version+1, "meanwhile")
 	agent.start()
-	_, told = proxy.log.Await(mark, waitTimeout, []string{`"event":511`})
-	assert.True(t, told, "the proxy finds its agent again")
-	c.eventually("the proxy learns what it missed", func() bool {
+	_, found = proxy.log.Await(offset, waitTimeout, []string{`"event":511`})
+	assert.True(t, found, "the proxy finds its agent again")
+	c.eventually("the proxy receives the missed configuration", func() bool {
 		_, status := c.sendRequest(c.t.Context(), by, kindStock, "/meanwhile/x", proxy.address(portClients), c.openAttempt(kindStock))
 		return status == 200
 	})
--- a/test/integration/serving/traffic_test.go
+++ b/test/integration/serving/traffic_test.go
@@ -64,7 +64,7 @@
 	tr.stop()
 	tr.clients.Wait()
 	tr.client.CloseIdleConnections()
-	assert.Zero(tr.c.t, tr.failed.Load(), "requests without an answer; tries cut: %d, failed: %d",
+	assert.Zero(tr.c.t, tr.failed.Load(), "requests without a response; attempts broken: %d, failed: %d",
 		tr.c.ledger.countResult(broken), tr.c.ledger.countResult(failed))
 }
 
