--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -126,7 +126,7 @@
 		OnChange:     m.wake,
 	})
 	if err := m.openCustody(); err != nil { // without the records a webhook might be delivered twice
-		return fmt.Errorf("names of webhooks: %w", err)
+		return fmt.Errorf("custody records: %w", err)
 	}
 	m.wireHandoff()
 	m.wireHealth()
@@ -149,7 +149,7 @@
 		return err
 	}
 	leases := lease.NewTable()
-	components := map[byte]cluster.Component{
+	components := map[cluster.ComponentID]cluster.Component{
 		cluster.ShardMapComponent:  shardmap.New(leases),
 		cluster.RebalanceComponent: &rebalance.Progress{},
 	}
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -25,7 +25,7 @@
 // Watch has newer snapshots of a component of the replicated state delivered, always the newest; those between may be
 // left out. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a resource
 // that becomes free is still acquired meanwhile.
-func (s *Session) Watch(component byte, deliver func(version uint64, snapshot []byte)) {
+func (s *Session) Watch(component cluster.ComponentID, deliver func(version uint64, snapshot []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers[component] = &watcher{deliver: deliver}
@@ -71,7 +71,7 @@
 		err = transport.Decode(raw, &answer)
 	}
 	if err != nil || status != fasthttp.StatusOK {
-		slog.Debug("poll of the state failed", "raft_node", node, "status", status, "why", err)
+		slog.Debug("poll of the state failed", "raft_node", node, "status", status, "error", err)
 		return answer, false
 	}
 	return answer, true
@@ -81,7 +81,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	request := transport.StateRequest{
-		Versions:        map[byte]uint64{},
+		Versions:        map[cluster.ComponentID]uint64{},
 		WantedResources: s.reconciler.Blocked(),
 		AcceptDeltas:    true,
 	}
@@ -113,7 +113,7 @@
 		var err error
 		snapshot, err = fsm.ApplyDelta(w.snapshot, state.Data)
 		if err != nil {
-			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", state.Component, "why", err)
+			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", state.Component, "error", err)
 			w.version = 0
 			return
 		}
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	seedSettings := *agentSettings
 	seedSettings.NodeName, seedSettings.IP, seedSettings.Seeds = "seed", seedIP, nil
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", seedSettings.InnerAddress())
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", seedSettings.InternalAddress())
 	require.NoError(t, err, "needs a second loopback address")
 	mux := http.NewServeMux()
 	process.Serve(listener, &http.Server{Handler: mux})
@@ -49,7 +49,7 @@
 			Role:    state.RoleCore,
 			Zone:    "z",
 			Region:  "r",
-			Address: seedSettings.InnerAddress(),
+			Address: seedSettings.InternalAddress(),
 			State:   state.MemberReady,
 		},
 	})
@@ -123,7 +123,7 @@
 	defer client.Close()
 	proxy := newProxyReplica()
 	first := startAgentProcess(t, process, path)
-	pollUntil(t, client, process.FeedAddress(), proxy, func() bool {
+	pollUntil(t, client, process.SubscriptionAddress(), proxy, func() bool {
 		return proxy.revision == 5 && proxy.endpoints["e"] == 1
 	})
 	first.terminate()
@@ -132,7 +132,7 @@
 	publish(t, seed, gossip.TableRecord, gossip.RecordKey, 6, state.Record{Revision: 6})
 	publish(t, seed, gossip.TableEndpoints, "e", 2, newEndpoint("e", 2))
 	second := startAgentProcess(t, process, path)
-	pollUntil(t, client, process.FeedAddress(), proxy, func() bool {
+	pollUntil(t, client, process.SubscriptionAddress(), proxy, func() bool {
 		assert.GreaterOrEqual(t, proxy.revision, uint64(5))
 		return proxy.revision == 6 && proxy.endpoints["e"] == 2
 	})
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -40,7 +40,7 @@
 	defer listeners.close()
 
 	innerMux := http.NewServeMux()
-	innerServer := process.Serve(listeners.inner, process.NewInnerServer(innerMux))
+	innerServer := process.Serve(listeners.internal, process.NewInternalServer(innerMux))
 	defer func() { _ = innerServer.Close() }()
 	client := rpc.NewClient()
 	defer client.Close()
@@ -77,7 +77,7 @@
 // serveProxyAndClients serves the proxy's polls and, if there is a listener for it, the directory until the returned
 // function is called.
 func (a *agent) serveProxyAndClients(listeners listeners, forward func([]state.Observation)) (closeServers func()) {
-	feedServer := process.Serve(listeners.feed, &http.Server{Handler: a.subscriptionHandler(forward)})
+	feedServer := process.Serve(listeners.subscription, &http.Server{Handler: a.subscriptionHandler(forward)})
 	if listeners.directory == nil {
 		return func() { _ = feedServer.Close() }
 	}
@@ -126,7 +126,7 @@
 		Role:    state.RoleAgent,
 		Zone:    processSettings.Zone,
 		Region:  processSettings.Region,
-		Address: processSettings.InnerAddress(),
+		Address: processSettings.InternalAddress(),
 		State:   state.MemberStarting,
 	}
 }
--- a/serving/process/serve.go
+++ b/serving/process/serve.go
@@ -11,15 +11,15 @@
 // ReadHeaderTimeout bounds the time that a caller takes to send the header of a request.
 const ReadHeaderTimeout = 3 * time.Second
 
-// innerIdleTimeout is longer than members keep idle connections, so that the callers close them.
-const innerIdleTimeout = time.Minute
+// internalIdleTimeout is longer than members keep idle connections, so that the callers close them.
+const internalIdleTimeout = time.Minute
 
-// NewInnerServer returns a server for the calls between the system's processes.
-func NewInnerServer(handler http.Handler) *http.Server {
+// NewInternalServer returns a server for the calls between the system's processes.
+func NewInternalServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: ReadHeaderTimeout,
-		IdleTimeout:       innerIdleTimeout,
+		IdleTimeout:       internalIdleTimeout,
 	}
 }
 
