--- a/sim/engine/calls.go
+++ b/sim/engine/calls.go
@@ -43,7 +43,7 @@
 	ended   bool
 }
 
-func (m *Simulation) newCall(d *dispatcher, ep int32) int32 {
+func (m *Simulation) newCall(d *dispatcher, endpointIndex int32) int32 {
 	var n int32
 	if last := len(m.freeCalls) - 1; last >= 0 {
 		n, m.freeCalls = m.freeCalls[last], m.freeCalls[:last]
@@ -51,14 +51,14 @@
 		m.calls = append(m.calls, call{})
 		n = int32(len(m.calls) - 1)
 	}
-	k := &m.calls[n]
-	*k = call{
-		generation: k.generation + 1,
+	c := &m.calls[n]
+	*c = call{
+		generation: c.generation + 1,
 		state:      callPending,
 		dispatcher: d.number,
-		endpoint:   ep,
-		server:     m.endpoints[ep].server,
-		attempts:   k.attempts[:0],
+		endpoint:   endpointIndex,
+		server:     m.endpoints[endpointIndex].server,
+		attempts:   c.attempts[:0],
 		timeout:    math.MaxInt64,
 	}
 	return n
@@ -66,67 +66,67 @@
 
 // releaseCall gives a call's place back once neither side needs it.
 func (m *Simulation) releaseCall(n int32) {
-	if k := &m.calls[n]; k.state == callClosed && !k.queuedOrServing {
-		clear(k.attempts)
-		k.state = callFree
+	if c := &m.calls[n]; c.state == callClosed && !c.queuedOrServing {
+		clear(c.attempts)
+		c.state = callFree
 		m.freeCalls = append(m.freeCalls, n)
 	}
 }
 
 // discardCall takes back a call that never departed.
 func (m *Simulation) discardCall(n int32) {
-	k := &m.calls[n]
-	m.dispatchers[k.dispatcher].activeCalls--
-	k.state = callClosed
+	c := &m.calls[n]
+	m.dispatchers[c.dispatcher].activeCalls--
+	c.state = callClosed
 	m.releaseCall(n)
 }
 
-func (m *Simulation) emitCall(what event.Kind, k *call) {
-	e := &m.endpoints[k.endpoint]
-	weight := 1 + m.destinations[e.destination].kind.BatchItemCost*float64(len(k.attempts)-1)
-	m.Bus.Emit(event.Event{At: m.now, Kind: what, Dispatcher: k.dispatcher, Endpoint: idOf(k.endpoint), Destination: e.destination,
-		Route: event.Route(e.route), Zone: e.zone, Weight: weight, Webhook: k.attempts[0].webhook.id})
+func (m *Simulation) emitCall(what event.Kind, c *call) {
+	e := &m.endpoints[c.endpoint]
+	weight := 1 + m.destinations[e.destination].kind.BatchItemCost*float64(len(c.attempts)-1)
+	m.Bus.Emit(event.Event{At: m.now, Kind: what, Dispatcher: c.dispatcher, Endpoint: idOf(c.endpoint), Destination: e.destination,
+		Route: event.Route(e.route), Zone: e.zone, Weight: weight, Webhook: c.attempts[0].webhook.id})
 }
 
 // startCall takes an idle connection, the last used first, or opens one.
 func (m *Simulation) startCall(n int32) {
-	k := &m.calls[n]
-	d, s := &m.dispatchers[k.dispatcher], &m.servers[k.server]
-	k.sentAt = m.now
-	m.emitCall(event.CallStarted, k)
-	m.schedule(k.timeout, scheduledEvent{kind: evCallTimeout, subject: n, generation: k.generation})
-	if l := d.connections[k.endpoint]; l != nil && l.epoch == s.epoch {
-		m.closeExpiredIdle(d, k.endpoint)
-		if last := len(l.since) - 1; last >= 0 {
-			l.since = l.since[:last]
-			k.connected, k.epoch, k.state = true, s.epoch, callActive
-			m.schedule(m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evCallArrival, subject: n, generation: k.generation})
+	c := &m.calls[n]
+	d, s := &m.dispatchers[c.dispatcher], &m.servers[c.server]
+	c.sentAt = m.now
+	m.emitCall(event.CallStarted, c)
+	m.schedule(c.timeout, scheduledEvent{kind: evCallTimeout, subject: n, generation: c.generation})
+	if idle := d.connections[c.endpoint]; idle != nil && idle.epoch == s.epoch {
+		m.closeExpiredIdle(d, c.endpoint)
+		if last := len(idle.since) - 1; last >= 0 {
+			idle.since = idle.since[:last]
+			c.connected, c.epoch, c.state = true, s.epoch, callActive
+			m.schedule(m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evCallArrival, subject: n, generation: c.generation})
 			return
 		}
 	}
-	k.state = callConnecting
-	m.schedule(m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evConnect, subject: n, generation: k.generation})
+	c.state = callConnecting
+	m.schedule(m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evConnect, subject: n, generation: c.generation})
 }
 
 func (m *Simulation) handleCallEvent(e scheduledEvent) {
-	k := &m.calls[e.subject]
+	c := &m.calls[e.subject]
 	switch e.kind {
 	case evConnect:
-		if k.state == callConnecting {
+		if c.state == callConnecting {
 			m.connect(e.subject)
 		}
 	case evCallArrival:
-		if k.state == callActive {
+		if c.state == callActive {
 			m.arriveAtEndpoint(e.subject)
 		}
 	case evCallServed:
 		m.endService(e.subject)
 	case evResponse:
-		if k.state == callActive || k.state == callConnecting {
-			m.finishCall(e.subject, k.outcome, k.retryAfter)
+		if c.state == callActive || c.state == callConnecting {
+			m.finishCall(e.subject, c.outcome, c.retryAfter)
 		}
 	case evCallTimeout:
-		switch k.state {
+		switch c.state {
 		case callConnecting: // not a byte has left
 			m.finishCall(e.subject, api.ConnectFailed, 0)
 		case callActive:
@@ -140,30 +140,30 @@
 }
 
 func (m *Simulation) serveCall(n int32) {
-	k := &m.calls[n]
-	s := &m.servers[k.server]
+	c := &m.calls[n]
+	s := &m.servers[c.server]
 	s.serving++
-	k.queuedOrServing, k.serving = true, true
+	c.queuedOrServing, c.serving = true, true
 	m.schedule(
-		m.serviceTime(s, m.destinations[m.endpoints[k.endpoint].destination].kind, len(k.attempts)),
-		scheduledEvent{kind: evCallServed, subject: n, generation: k.generation},
+		m.serviceTime(s, m.destinations[m.endpoints[c.endpoint].destination].kind, len(c.attempts)),
+		scheduledEvent{kind: evCallServed, subject: n, generation: c.generation},
 	)
 }
 
 // endService ends a call's service and lets the next ones in.
 func (m *Simulation) endService(n int32) {
-	k := &m.calls[n]
-	if !k.serving {
+	c := &m.calls[n]
+	if !c.serving {
 		return
 	}
-	s := &m.servers[k.server]
+	s := &m.servers[c.server]
 	s.serving--
-	k.queuedOrServing, k.serving = false, false
+	c.queuedOrServing, c.serving = false, false
 	switch {
-	case k.state == callClosed:
+	case c.state == callClosed:
 		m.releaseCall(n)
 	case s.hung > 0:
-		k.unanswerable = true
+		c.unanswerable = true
 	case len(s.lostResponseShares) > 0 && m.random.Float64() < combinedShare(s.lostResponseShares): // it ran; its answer is lost
 	default:
 		m.respond(n, api.Delivered, 0)
@@ -172,17 +172,17 @@
 }
 
 // drainServerQueue lets calls in from the line while there is room; those given up meanwhile are left out.
-func (m *Simulation) drainServerQueue(si int32) {
-	s := &m.servers[si]
+func (m *Simulation) drainServerQueue(serverIndex int32) {
+	s := &m.servers[serverIndex]
 	for len(s.queue) > 0 && s.hung == 0 && s.down == 0 {
 		n := s.queue[0]
-		k := &m.calls[n]
-		if k.state != callClosed && s.serving >= m.concurrencyOf(s, &m.routes[m.endpoints[k.endpoint].route]) {
+		c := &m.calls[n]
+		if c.state != callClosed && s.serving >= m.concurrencyOf(s, &m.routes[m.endpoints[c.endpoint].route]) {
 			return
 		}
 		s.queue = slices.Delete(s.queue, 0, 1)
-		if k.state == callClosed {
-			k.queuedOrServing = false
+		if c.state == callClosed {
+			c.queuedOrServing = false
 			m.releaseCall(n)
 			continue
 		}
@@ -190,48 +190,48 @@
 	}
 }
 
-func (m *Simulation) respond(n int32, what api.Outcome, wait api.Micros) {
-	m.respondAfter(n, what, wait, 0)
+func (m *Simulation) respond(n int32, outcome api.Outcome, retryAfter api.Micros) {
+	m.respondAfter(n, outcome, retryAfter, 0)
 }
 
 // respondAfter sends word back, once for each call.
-func (m *Simulation) respondAfter(n int32, what api.Outcome, wait, in api.Micros) {
-	k := &m.calls[n]
-	if k.responded {
+func (m *Simulation) respondAfter(n int32, outcome api.Outcome, retryAfter, in api.Micros) {
+	c := &m.calls[n]
+	if c.responded {
 		return
 	}
-	k.responded, k.outcome, k.retryAfter = true, what, wait
-	m.schedule(in+m.networkDelay(m.servers[k.server].zone, m.dispatchers[k.dispatcher].zone), scheduledEvent{kind: evResponse, subject: n, generation: k.generation})
+	c.responded, c.outcome, c.retryAfter = true, outcome, retryAfter
+	m.schedule(in+m.networkDelay(m.servers[c.server].zone, m.dispatchers[c.dispatcher].zone), scheduledEvent{kind: evResponse, subject: n, generation: c.generation})
 }
 
 // finishCall closes a call at its dispatcher's side and tells each webhook in it the outcome.
-func (m *Simulation) finishCall(n int32, what api.Outcome, wait api.Micros) {
-	k := &m.calls[n]
-	d := &m.dispatchers[k.dispatcher]
-	for i := range k.attempts {
-		if it := &k.attempts[i]; !it.ended {
+func (m *Simulation) finishCall(n int32, outcome api.Outcome, retryAfter api.Micros) {
+	c := &m.calls[n]
+	d := &m.dispatchers[c.dispatcher]
+	for i := range c.attempts {
+		if it := &c.attempts[i]; !it.ended {
 			it.ended = true
-			d.enqueue(notification{kind: notifyOutcome, id: it.webhook.id, endpoint: idOf(k.endpoint), outcome: what, attempt: it.webhook.attempts - 1,
-				latency: m.now - k.sentAt, retryAfter: wait})
+			d.enqueue(notification{kind: notifyOutcome, id: it.webhook.id, endpoint: idOf(c.endpoint), outcome: outcome, attempt: it.webhook.attempts - 1,
+				latency: m.now - c.sentAt, retryAfter: retryAfter})
 		}
 	}
-	keep := what == api.Delivered || what == api.Rejected || what == api.ErrorResponse
+	keep := outcome == api.Delivered || outcome == api.Rejected || outcome == api.ErrorResponse
 	m.closeCallKeeping(n, keep)
 }
 
 // cancelAttempt calls one webhook of a call off; the connection goes with the last of them.
-func (m *Simulation) cancelAttempt(n int32, h *webhook) {
-	k := &m.calls[n]
-	d, left := &m.dispatchers[k.dispatcher], false
-	if k.state != callConnecting && k.state != callActive {
+func (m *Simulation) cancelAttempt(n int32, w *webhook) {
+	c := &m.calls[n]
+	d, left := &m.dispatchers[c.dispatcher], false
+	if c.state != callConnecting && c.state != callActive {
 		return
 	}
-	for i := range k.attempts {
-		it := &k.attempts[i]
-		if it.webhook == h && !it.ended {
+	for i := range c.attempts {
+		it := &c.attempts[i]
+		if it.webhook == w && !it.ended {
 			it.ended = true
-			d.enqueue(notification{kind: notifyOutcome, id: h.id, endpoint: idOf(k.endpoint), outcome: api.Cancelled, attempt: h.attempts - 1,
-				latency: m.now - k.sentAt})
+			d.enqueue(notification{kind: notifyOutcome, id: w.id, endpoint: idOf(c.endpoint), outcome: api.Cancelled, attempt: w.attempts - 1,
+				latency: m.now - c.sentAt})
 		}
 		left = left || !it.ended
 	}
--- a/sim/engine/capacity.go
+++ b/sim/engine/capacity.go
@@ -44,8 +44,8 @@
 func toleratedExcess(budget float64) float64 { return 2 + math.Sqrt(budget) }
 
 // recordWarmupLoad counts a call that reached a cold route, and pushes it over where that was too much.
-func (m *Simulation) recordWarmupLoad(ri int32, weight float64) {
-	r, rules := &m.routes[ri], &m.scenario.Thresholds
+func (m *Simulation) recordWarmupLoad(routeIndex int32, weight float64) {
+	r, rules := &m.routes[routeIndex], &m.scenario.Thresholds
 	if r.out || r.warmingSince == never {
 		return
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	if r.warmupLoad.add(m.now, rules.OverloadDuration.micros(), weight) > budget+toleratedExcess(budget) {
-		m.Bus.Emit(event.Event{At: m.now, Kind: event.Collapsed, Route: event.Route(ri), Destination: r.destination})
+		m.Bus.Emit(event.Event{At: m.now, Kind: event.Collapsed, Route: event.Route(routeIndex), Destination: r.destination})
 		for _, e := range r.endpoints {
 			m.updateServer(e, func(s *server) { s.down++ })
 		}
@@ -63,27 +63,27 @@
 
 // admitsCall tells whether the route's limit has room for a call.
 func (m *Simulation) admitsCall(r *route) bool {
-	perS := r.rate * m.warmupCapacity(r)
+	rate := r.rate * m.warmupCapacity(r)
 	for _, left := range r.limitFactors {
-		perS *= left
+		rate *= left
 	}
 	switch r.kind.Limit {
 	case "rate":
-		r.tokens = min(r.tokens+perS*(m.now-r.tokensAt).Seconds(), max(perS/2, 1))
+		r.tokens = min(r.tokens+rate*(m.now-r.tokensAt).Seconds(), max(rate/2, 1))
 		r.tokensAt = m.now
 		if r.tokens >= 1 {
 			r.tokens--
 			return true
 		}
 		if r.kind.CountsRejected {
-			r.tokens = max(r.tokens-1, -perS)
+			r.tokens = max(r.tokens-1, -rate)
 		}
 		return false
 	case "window":
 		if m.now-r.windowStart >= r.kind.LimitWindow.micros() {
 			r.windowStart, r.windowCalls = m.now-(m.now-r.windowStart)%r.kind.LimitWindow.micros(), 0
 		}
-		if r.windowCalls+1 <= max(perS*r.kind.LimitWindow.micros().Seconds(), 1) {
+		if r.windowCalls+1 <= max(rate*r.kind.LimitWindow.micros().Seconds(), 1) {
 			r.windowCalls++
 			return true
 		}
@@ -96,10 +96,10 @@
 }
 
 // serviceTime is how long a call of so many webhooks keeps a server.
-func (m *Simulation) serviceTime(s *server, k *DestinationKind, webhooks int) api.Micros {
-	t := float64(k.ServiceTime) * (1 + k.BatchItemCost*float64(webhooks-1))
-	if k.ServiceTimeCV > 0 { // log-normal with the mean and the spread given
-		v := math.Log(1 + k.ServiceTimeCV*k.ServiceTimeCV)
+func (m *Simulation) serviceTime(s *server, kind *DestinationKind, webhooks int) api.Micros {
+	t := float64(kind.ServiceTime) * (1 + kind.BatchItemCost*float64(webhooks-1))
+	if kind.ServiceTimeCV > 0 { // log-normal with the mean and the spread given
+		v := math.Log(1 + kind.ServiceTimeCV*kind.ServiceTimeCV)
 		t *= math.Exp(math.Sqrt(v)*m.random.NormFloat64() - v/2)
 	}
 	for _, by := range s.slowFactors {
--- a/sim/engine/clients.go
+++ b/sim/engine/clients.go
@@ -26,37 +26,37 @@
 }
 
 // webhook is what a policy is told of it, under the id that its dispatcher gave it.
-func (o *clientRequest) webhook(id api.WebhookID) api.Webhook {
+func (request *clientRequest) webhook(id api.WebhookID) api.Webhook {
 	return api.Webhook{
 		ID:          id,
-		EventType:   o.eventType,
-		Tenant:      o.tenant,
-		OrderingKey: o.orderingKey,
-		Deadline:    o.deadline,
-		Destination: o.destination,
+		EventType:   request.eventType,
+		Tenant:      request.tenant,
+		OrderingKey: request.orderingKey,
+		Deadline:    request.deadline,
+		Destination: request.destination,
 	}
 }
 
 // nextInterarrival draws the time to the next arrival.
 func (m *Simulation) nextInterarrival() api.Micros {
-	c := &m.scenario.Clients
-	rate, t := c.Rate, m.now.Seconds()
-	switch c.Shape {
+	clients := &m.scenario.Clients
+	rate, t := clients.Rate, m.now.Seconds()
+	switch clients.Shape {
 	case "wave":
-		rate *= 1 + c.Amplitude*math.Sin(2*math.Pi*t/api.Micros(c.Period).Seconds())
+		rate *= 1 + clients.Amplitude*math.Sin(2*math.Pi*t/api.Micros(clients.Period).Seconds())
 	case "ramp":
-		rate *= 1 - c.Amplitude + 2*c.Amplitude*t/m.scenario.Duration.micros().Seconds()
+		rate *= 1 - clients.Amplitude + 2*clients.Amplitude*t/m.scenario.Duration.micros().Seconds()
 	case "bursty":
 		for m.now >= m.rateFactorUntil {
-			m.rateFactor = 1 + c.Amplitude*(2*m.arrivalRandom.Float64()-1)
-			m.rateFactorUntil += max(api.Micros(float64(c.Period)*m.arrivalRandom.Float64()/5), 1)
+			m.rateFactor = 1 + clients.Amplitude*(2*m.arrivalRandom.Float64()-1)
+			m.rateFactorUntil += max(api.Micros(float64(clients.Period)*m.arrivalRandom.Float64()/5), 1)
 		}
 		rate *= m.rateFactor
 	}
 	for _, by := range m.burstFactors {
 		rate *= by
 	}
-	rate /= 1 + c.BurstShare*float64(c.BurstSize-1)
+	rate /= 1 + clients.BurstShare*float64(clients.BurstSize-1)
 	return max(api.Micros(m.arrivalRandom.ExpFloat64()/max(rate, 1e-9)*float64(api.Second)), 1)
 }
 
@@ -65,15 +65,15 @@
 	if m.now >= m.scenario.Duration.micros() {
 		return
 	}
-	c, n := &m.scenario.Clients, 1
-	if c.BurstShare > 0 && m.arrivalRandom.Float64() < c.BurstShare {
-		n = c.BurstSize
+	clients, n := &m.scenario.Clients, 1
+	if clients.BurstShare > 0 && m.arrivalRandom.Float64() < clients.BurstShare {
+		n = clients.BurstSize
 	}
 	dest := m.randomDestination(m.arrivalRandom)
 	for i := range n {
 		in := api.Micros(0)
 		if i > 0 {
-			in = api.Micros(m.arrivalRandom.Float64() * float64(c.BurstDuration))
+			in = api.Micros(m.arrivalRandom.Float64() * float64(clients.BurstDuration))
 		}
 		evt := pickByShare(m.arrivalRandom, m.eventTypeShares)
 		e := &m.scenario.EventTypes[evt]
@@ -86,25 +86,25 @@
 		m.openRequests++
 		m.schedule(in, scheduledEvent{kind: evSubmit, subject: int32(len(m.requests) - 1)})
 	}
-	m.schedule(m.nextInterarrival(), scheduledEvent{kind: evArrive})
+	m.schedule(m.nextInterarrival(), scheduledEvent{kind: evArrival})
 }
 
 // pickByShare follows cumulative shares; of none it draws 0.
-func pickByShare(chance *rand.Rand, shares []float64) int {
+func pickByShare(random *rand.Rand, shares []float64) int {
 	if len(shares) < 2 {
 		return 0
 	}
-	x := chance.Float64() * shares[len(shares)-1]
+	x := random.Float64() * shares[len(shares)-1]
 	return min(slices.IndexFunc(shares, func(s float64) bool { return x < s }), len(shares)-1)
 }
 
 // pickDispatcher picks a dispatcher as the front does: by weight, or by key, of those that it takes for well.
-func (m *Simulation) pickDispatcher(o *clientRequest) *dispatcher {
+func (m *Simulation) pickDispatcher(request *clientRequest) *dispatcher {
 	n := len(m.dispatchers)
 	well := func(d *dispatcher) bool { return d.up && !d.draining || !d.up && m.now < d.deathNoticedAt }
-	if o.orderingKey != 0 {
+	if request.orderingKey != 0 {
 		for i := range n {
-			if d := &m.dispatchers[(int(o.orderingKey)+i)%n]; well(d) {
+			if d := &m.dispatchers[(int(request.orderingKey)+i)%n]; well(d) {
 				return d
 			}
 		}
@@ -122,19 +122,19 @@
 
 // submit brings a webhook to a dispatcher.
 func (m *Simulation) submit(n int32) {
-	o := &m.requests[n]
-	if !o.offered {
-		o.offered = true
+	request := &m.requests[n]
+	if !request.offered {
+		request.offered = true
 		m.Bus.Emit(
-			event.Event{At: m.now, Kind: event.Offered, Request: event.RequestID(n), EventType: o.eventType, Destination: o.destination,
-				Deadline: o.deadline},
+			event.Event{At: m.now, Kind: event.Offered, Request: event.RequestID(n), EventType: request.eventType, Destination: request.destination,
+				Deadline: request.deadline},
 		)
 	}
-	if m.now >= o.deadline {
+	if m.now >= request.deadline {
 		m.abandonRequest(n)
 		return
 	}
-	d := m.pickDispatcher(o)
+	d := m.pickDispatcher(request)
 	switch {
 	case d == nil || !d.up || d.draining: // nobody listens there
 		m.schedule(max(randomInRange(m.clientRandom, m.scenario.Clients.ResubmitDelay).micros(), 1000), scheduledEvent{kind: evSubmit, subject: n})
@@ -142,33 +142,33 @@
 		m.schedule(clientTimeout, scheduledEvent{kind: evSubmit, subject: n})
 	case d.openWebhooks >= m.scenario.Dispatchers.BufferSize:
 		m.Bus.Emit(event.Event{At: m.now, Kind: event.BufferFull, Dispatcher: d.number, Request: event.RequestID(n),
-			Destination: o.destination, EventType: o.eventType})
+			Destination: request.destination, EventType: request.eventType})
 		m.scheduleResubmission(n, 0)
 	default:
 		m.lastWebhookID++
-		h := &webhook{id: m.lastWebhookID, request: n, mayHaveRunAt: never, call: -1}
-		if m.cluster == nil || !m.cluster.forwardSubmission(d, h) {
-			d.enqueueAcceptance(h, noHandoff)
+		w := &webhook{id: m.lastWebhookID, request: n, mayHaveRunAt: never, call: -1}
+		if m.cluster == nil || !m.cluster.forwardSubmission(d, w) {
+			d.enqueueAcceptance(w, noHandoff)
 		}
 	}
 }
 
 // enqueueAcceptance has a webhook go in with the next turn, sent here by an offer or by none.
-func (d *dispatcher) enqueueAcceptance(h *webhook, by int32) {
-	d.webhooks[h.id] = h
+func (d *dispatcher) enqueueAcceptance(w *webhook, by int32) {
+	d.webhooks[w.id] = w
 	d.openWebhooks++
-	d.enqueue(notification{kind: notifyAcceptance, id: h.id, handoff: by})
+	d.enqueue(notification{kind: notifyAcceptance, id: w.id, handoff: by})
 }
 
 // scheduleResubmission has the client of a rejected webhook hand it in again, if it ever does.
-func (m *Simulation) scheduleResubmission(n int32, advised api.Micros) {
-	o, c := &m.requests[n], &m.scenario.Clients
-	o.rejections++
-	pause := float64(randomInRange(m.clientRandom, c.ResubmitDelay).micros()) * math.Exp2(float64(min(o.rejections-1, 20)))
-	if m.clientRandom.Float64() < c.HonorRetryAfter {
-		pause = max(pause, float64(advised))
+func (m *Simulation) scheduleResubmission(n int32, retryAfter api.Micros) {
+	request, clients := &m.requests[n], &m.scenario.Clients
+	request.rejections++
+	pause := float64(randomInRange(m.clientRandom, clients.ResubmitDelay).micros()) * math.Exp2(float64(min(request.rejections-1, 20)))
+	if m.clientRandom.Float64() < clients.HonorRetryAfter {
+		pause = max(pause, float64(retryAfter))
 	}
-	if int(o.rejections) > c.MaxResubmissions || pause >= float64(o.deadline-m.now) {
+	if int(request.rejections) > clients.MaxResubmissions || pause >= float64(request.deadline-m.now) {
 		m.abandonRequest(n)
 		return
 	}
@@ -176,17 +176,17 @@
 }
 
 func (m *Simulation) abandonRequest(n int32) {
-	o := &m.requests[n]
+	request := &m.requests[n]
 	m.Bus.Emit(
-		event.Event{At: m.now, Kind: event.Abandoned, Request: event.RequestID(n), EventType: o.eventType, Destination: o.destination},
+		event.Event{At: m.now, Kind: event.Abandoned, Request: event.RequestID(n), EventType: request.eventType, Destination: request.destination},
 	)
 	m.closeCopy(n)
 }
 
 // closeCopy notes that a copy comes to nothing more.
 func (m *Simulation) closeCopy(n int32) {
-	o := &m.requests[n]
-	if o.copies--; o.copies == 0 {
+	request := &m.requests[n]
+	if request.copies--; request.copies == 0 {
 		m.openRequests--
 	}
 }
--- a/sim/engine/cluster.go
+++ b/sim/engine/cluster.go
@@ -19,10 +19,10 @@
 // clusterState is what a run has where each destination is called by its home only: one keeper that is always there,
 // with the real book of leases and map of ranges, and the messages between dispatchers.
 type clusterState struct {
-	simulation *Simulation
-	behavior   clusterBehavior
-	random     *rand.Rand // of ways and losses between dispatchers
-	keyHashes  []cluster.KeyHash
+	sim       *Simulation
+	behavior  clusterBehavior
+	random    *rand.Rand // of ways and losses between dispatchers
+	keyHashes []cluster.KeyHash
 
 	leases       *lease.Table
 	expiry       *lease.ExpiryTracker
@@ -46,41 +46,41 @@
 	mayCall           func(shardmap.Decision) bool
 	messageDelay      func(api.Micros) api.Micros
 	takeovers         func([]shardmap.Takeover) []shardmap.Takeover
-	mayReclaim        func(h *webhook, e *EventType, ended bool, now api.Micros) bool
+	mayReclaim        func(w *webhook, e *EventType, ended bool, now api.Micros) bool
 	acknowledgesEarly bool // a webhook is said to be taken before it is in the journal
 }
 
 func newClusterState(m *Simulation) *clusterState {
 	p := &m.scenario.Ownership
-	h := &clusterState{simulation: m, random: newRandom(m.scenario.Seed, 5), leases: lease.NewTable(), expiry: lease.NewExpiryTracker(p.LeaseTTL.micros()),
+	c := &clusterState{sim: m, random: newRandom(m.scenario.Seed, clusterStream), leases: lease.NewTable(), expiry: lease.NewExpiryTracker(p.LeaseTTL.micros()),
 		failover: shardmap.NewFailoverPlanner(p.LeaseTTL.micros()), dispatcherOf: map[cluster.MemberID]int32{}}
-	h.behavior = clusterBehavior{
+	c.behavior = clusterBehavior{
 		rateShare:    shardmap.Decision.RateShare,
-		mayCall:      func(v shardmap.Decision) bool { return v.AllowsCall(false) },
+		mayCall:      func(decision shardmap.Decision) bool { return decision.AllowsCall(false) },
 		messageDelay: func(w api.Micros) api.Micros { return api.Micros(float64(w) * p.HopFactor) },
 		takeovers:    func(t []shardmap.Takeover) []shardmap.Takeover { return t },
 		mayReclaim:   mayReclaim,
 	}
-	h.shardMap = shardmap.New(h.leases)
+	c.shardMap = shardmap.New(c.leases)
 	for i := range m.scenario.Dispatchers.Count {
 		name := cluster.MemberID(fmt.Sprintf("d%d", i))
-		h.candidates = append(h.candidates, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: name, Weight: 1}})
-		h.dispatcherOf[name] = int32(i)
+		c.candidates = append(c.candidates, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: name, Weight: 1}})
+		c.dispatcherOf[name] = int32(i)
 	}
 	for i := range m.destinations {
-		h.keyHashes = append(h.keyHashes, cluster.DestinationKeyHash(api.DestinationID(i)))
+		c.keyHashes = append(c.keyHashes, cluster.DestinationKeyHash(api.DestinationID(i)))
 	}
-	return h
+	return c
 }
 
 // propose has the log take a command; what comes of it is nil where it was refused.
-func (h *clusterState) propose(c cluster.Command) []byte {
-	part := cluster.Component(h.leases)
-	if c.Component == cluster.ShardMapComponent {
-		part = h.shardMap
+func (c *clusterState) propose(command cluster.Command) []byte {
+	part := cluster.Component(c.leases)
+	if command.Component == cluster.ShardMapComponent {
+		part = c.shardMap
 	}
-	h.logIndex++
-	answer, err := part.Apply(h.logIndex, c.Body)
+	c.logIndex++
+	answer, err := part.Apply(c.logIndex, command.Body)
 	if err != nil {
 		return nil
 	}
@@ -88,8 +88,8 @@
 }
 
 // proposeLease proposes one of the book's commands; false: it was refused.
-func (h *clusterState) proposeLease(c cluster.Command) (lease.Result, bool) {
-	raw := h.propose(c)
+func (c *clusterState) proposeLease(command cluster.Command) (lease.Result, bool) {
+	raw := c.propose(command)
 	if raw == nil {
 		return lease.Result{}, false
 	}
@@ -98,34 +98,34 @@
 }
 
 // start begins the run with a fleet in which each range has its home.
-func (h *clusterState) start() {
-	reign, _ := h.proposeLease(lease.BeginLeaderEpoch())
-	h.expiry.StartLeading(h.simulation.now, reign.LeaderEpoch, nil)
+func (c *clusterState) start() {
+	result, _ := c.proposeLease(lease.BeginLeaderEpoch())
+	c.expiry.StartLeading(c.sim.now, result.LeaderEpoch, nil)
 	var weights []shardmap.MemberWeight
-	for _, m := range h.candidates {
+	for _, m := range c.candidates {
 		weights = append(weights, m.MemberWeight)
 	}
-	h.propose(shardmap.Coordinator(1).Initialize(h.simulation.scenario.Ownership.RangesPerMember*len(h.candidates), weights))
-	h.publishMap()
-	h.settingUp = true
-	for i := range h.simulation.dispatchers {
-		d := &h.simulation.dispatchers[i]
-		h.resetMember(d)
-		d.member.updateMap(h.publishedMaps[0])
-		h.exchangeAtStart(d, h.newLeaseMessage(d))
-	}
-	h.settingUp = false
-	h.publishMap()
-	for i := range h.simulation.dispatchers {
-		h.simulation.dispatchers[i].member.updateMap(h.publishedMaps[len(h.publishedMaps)-1])
-		h.simulation.startDispatcher(int32(i))
-	}
-	h.simulation.schedule(h.simulation.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
+	c.propose(shardmap.Coordinator(1).Initialize(c.sim.scenario.Ownership.RangesPerMember*len(c.candidates), weights))
+	c.publishMap()
+	c.settingUp = true
+	for i := range c.sim.dispatchers {
+		d := &c.sim.dispatchers[i]
+		c.resetMember(d)
+		d.member.updateMap(c.publishedMaps[0])
+		c.exchangeAtStart(d, c.newLeaseMessage(d))
+	}
+	c.settingUp = false
+	c.publishMap()
+	for i := range c.sim.dispatchers {
+		c.sim.dispatchers[i].member.updateMap(c.publishedMaps[len(c.publishedMaps)-1])
+		c.sim.startDispatcher(int32(i))
+	}
+	c.sim.schedule(c.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
 }
 
 // publishMap tells each dispatcher of the map as it is now.
-func (h *clusterState) publishMap() {
-	snapshot, err := h.shardMap.Snapshot()
+func (c *clusterState) publishMap() {
+	snapshot, err := c.shardMap.Snapshot()
 	next := shardmap.New(nil)
 	if err == nil {
 		err = next.Restore(snapshot)
@@ -133,74 +133,74 @@
 	if err != nil {
 		panic(err) // the map's own snapshot
 	}
-	h.publishedMaps = append(h.publishedMaps, next)
-	for i := range h.simulation.dispatchers {
-		if d := &h.simulation.dispatchers[i]; d.up {
-			h.simulation.schedule(h.messageDelay(h.leaderZone(), d.zone), scheduledEvent{kind: evMapUpdate, subject: d.number, detail: int32(len(h.publishedMaps) - 1)})
+	c.publishedMaps = append(c.publishedMaps, next)
+	for i := range c.sim.dispatchers {
+		if d := &c.sim.dispatchers[i]; d.up {
+			c.sim.schedule(c.messageDelay(c.leaderZone(), d.zone), scheduledEvent{kind: evMapUpdate, subject: d.number, detail: int32(len(c.publishedMaps) - 1)})
 		}
 	}
 }
 
 // leaderZone is the keeper's zone.
-func (h *clusterState) leaderZone() api.ZoneID { return 0 }
+func (c *clusterState) leaderZone() api.ZoneID { return 0 }
 
-func (h *clusterState) messageDelay(a, b api.ZoneID) api.Micros {
-	return h.behavior.messageDelay(h.simulation.randomDelay(a, b, h.random))
+func (c *clusterState) messageDelay(a, b api.ZoneID) api.Micros {
+	return c.behavior.messageDelay(c.sim.randomDelay(a, b, c.random))
 }
 
-func (h *clusterState) isMessageLost() bool {
-	return h.random.Float64() < h.simulation.scenario.Ownership.LossRate
+func (c *clusterState) isMessageLost() bool {
+	return c.random.Float64() < c.sim.scenario.Ownership.LossRate
 }
 
 // expireSessions ends sessions whose term is over and gives what they had to others.
-func (h *clusterState) expireSessions() {
-	now := h.simulation.now
-	for _, o := range h.expiry.TakeExpired(now) {
-		if _, ok := h.proposeLease(lease.ExpireSession(o)); ok {
-			h.expiry.Remove(o.Session)
+func (c *clusterState) expireSessions() {
+	now := c.sim.now
+	for _, o := range c.expiry.TakeExpired(now) {
+		if _, ok := c.proposeLease(lease.ExpireSession(o)); ok {
+			c.expiry.Remove(o.Session)
 		}
 	}
 	alive := map[cluster.MemberID]bool{}
-	for _, s := range h.leases.Sessions() {
-		alive[h.leases.MemberOf(s)] = true
+	for _, s := range c.leases.Sessions() {
+		alive[c.leases.MemberOf(s)] = true
 	}
-	takes := h.behavior.takeovers(h.failover.PlanTakeovers(h.shardMap, h.leases, alive, h.candidates, now))
-	if len(takes) > 0 && h.propose(shardmap.Coordinator(1).FailOver(takes)) != nil {
-		h.publishMap()
+	takeovers := c.behavior.takeovers(c.failover.PlanTakeovers(c.shardMap, c.leases, alive, c.candidates, now))
+	if len(takeovers) > 0 && c.propose(shardmap.Coordinator(1).FailOver(takeovers)) != nil {
+		c.publishMap()
 	}
-	h.simulation.schedule(h.simulation.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
+	c.sim.schedule(c.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
 }
 
-func (h *clusterState) handle(e scheduledEvent) {
+func (c *clusterState) process(e scheduledEvent) {
 	switch e.kind {
 	case evHandoffArrival:
-		h.receiveHandoff(e.subject)
+		c.receiveHandoff(e.subject)
 	case evHandoffReply:
-		h.handleHandoffReply(e.subject)
+		c.handleHandoffReply(e.subject)
 	case evHandoffTimeout:
-		h.handleHandoffTimeout(e.subject)
+		c.handleHandoffTimeout(e.subject)
 	case evCustodyQuery:
-		h.handleCustodyQuery(e.subject, shardmap.CustodyReply(e.detail))
+		c.handleCustodyQuery(e.subject, shardmap.CustodyReply(e.detail))
 	case evLeaseMessage:
-		h.handleLeaseMessage(e.subject, e.detail == 1)
+		c.handleLeaseMessage(e.subject, e.detail == leaseReply)
 	case evExpiryScan:
-		h.expireSessions()
+		c.expireSessions()
 	case evParkedReview, evParkedExpiry, evLeaseRenewal, evMapUpdate:
-		d := &h.simulation.dispatchers[e.subject]
+		d := &c.sim.dispatchers[e.subject]
 		switch {
 		case !d.up || e.kind != evMapUpdate && e.generation != d.incarnation:
-		case d.pausedUntil > h.simulation.now:
-			h.simulation.queue.Add(int64(d.pausedUntil), e)
+		case d.pausedUntil > c.sim.now:
+			c.sim.queue.Add(int64(d.pausedUntil), e)
 		case e.kind == evParkedReview:
-			h.reviewParked(d)
+			c.reviewParked(d)
 		case e.kind == evParkedExpiry:
 			d.expireParked(api.WebhookID(uint32(e.detail)))
-		case e.kind == evLeaseRenewal && h.simulation.now < d.member.leases.NextRenewalAt():
-			h.scheduleRenewal(d)
+		case e.kind == evLeaseRenewal && c.sim.now < d.member.leases.NextRenewalAt():
+			c.scheduleRenewal(d)
 		case e.kind == evLeaseRenewal:
-			h.renewSession(d)
+			c.renewSession(d)
 		default:
-			h.updateMap(d, h.publishedMaps[e.detail])
+			c.updateMap(d, c.publishedMaps[e.detail])
 		}
 	}
 }
--- a/sim/engine/connections.go
+++ b/sim/engine/connections.go
@@ -8,43 +8,43 @@
 )
 
 func (m *Simulation) connect(n int32) {
-	k := &m.calls[n]
-	s, d := &m.servers[k.server], &m.dispatchers[k.dispatcher]
-	places := m.destinations[m.endpoints[k.endpoint].destination].kind.MaxConnections
+	c := &m.calls[n]
+	s, d := &m.servers[c.server], &m.dispatchers[c.dispatcher]
+	places := m.destinations[m.endpoints[c.endpoint].destination].kind.MaxConnections
 	switch {
 	case s.down > 0 && s.unresponsive > 0:
-		m.respondAfter(n, api.ConnectFailed, 0, max(m.scenario.Dispatchers.ConnectTimeout.micros()-(m.now-k.sentAt), 0))
+		m.respondAfter(n, api.ConnectFailed, 0, max(m.scenario.Dispatchers.ConnectTimeout.micros()-(m.now-c.sentAt), 0))
 	case s.down > 0:
 		m.respond(n, api.ConnectFailed, 0)
 	case places > 0 && s.connections >= places:
-		what := api.ConnectFailed
-		if m.destinations[m.endpoints[k.endpoint].destination].kind.ReportsConnectionLimit {
-			what = api.ConnectionLimited
+		outcome := api.ConnectFailed
+		if m.destinations[m.endpoints[c.endpoint].destination].kind.ReportsConnectionLimit {
+			outcome = api.ConnectionLimited
 		}
-		m.respond(n, what, 0)
+		m.respond(n, outcome, 0)
 	default:
 		s.connections++
-		k.connected, k.epoch, k.state = true, s.epoch, callActive
-		m.emitCall(event.Connected, k)
-		m.schedule(2*m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evCallArrival, subject: n, generation: k.generation})
+		c.connected, c.epoch, c.state = true, s.epoch, callActive
+		m.emitCall(event.Connected, c)
+		m.schedule(2*m.networkDelay(d.zone, s.zone), scheduledEvent{kind: evCallArrival, subject: n, generation: c.generation})
 	}
 }
 
 // arriveAtEndpoint has a call's last byte come to the endpoint: from here on it weighs, whatever becomes of it.
 func (m *Simulation) arriveAtEndpoint(n int32) {
-	k := &m.calls[n]
-	e := &m.endpoints[k.endpoint]
-	s, r := &m.servers[k.server], &m.routes[e.route]
-	if s.epoch != k.epoch || s.down > 0 {
+	c := &m.calls[n]
+	e := &m.endpoints[c.endpoint]
+	s, r := &m.servers[c.server], &m.routes[e.route]
+	if s.epoch != c.epoch || s.down > 0 {
 		m.respond(n, api.ConnectionReset, 0)
 		return
 	}
-	m.emitCall(event.CallArrived, k)
-	m.recordWarmupLoad(e.route, 1+r.kind.BatchItemCost*float64(len(k.attempts)-1))
+	m.emitCall(event.CallArrived, c)
+	m.recordWarmupLoad(e.route, 1+r.kind.BatchItemCost*float64(len(c.attempts)-1))
 	switch {
 	case s.down > 0: // that call pushed it over
 	case s.hung > 0:
-		k.unanswerable = true
+		c.unanswerable = true
 	case s.closed > 0:
 		m.refuseCall(n, r, true)
 	case e.removed || e.draining:
@@ -58,7 +58,7 @@
 	case s.serving < m.concurrencyOf(s, r):
 		m.serveCall(n)
 	case len(s.queue) < s.queueCapacity:
-		k.queuedOrServing = true
+		c.queuedOrServing = true
 		s.queue = append(s.queue, n)
 	default:
 		m.refuseCall(n, r, true)
@@ -66,68 +66,68 @@
 }
 
 func (m *Simulation) refuseCall(n int32, r *route, mayTell bool) {
-	wait := api.Micros(0)
+	retryAfter := api.Micros(0)
 	if mayTell && m.random.Float64() < r.kind.RetryAfterShare {
-		wait = randomInRange(m.random, r.kind.RetryAfter).micros()
+		retryAfter = randomInRange(m.random, r.kind.RetryAfter).micros()
 	}
 	m.emitCall(event.CallRefused, &m.calls[n])
-	m.respond(n, api.Rejected, wait)
+	m.respond(n, api.Rejected, retryAfter)
 }
 
 func (m *Simulation) closeCall(n int32) { m.closeCallKeeping(n, false) }
 
 // closeCallKeeping gives the slot back and ends the call's connection, or keeps it as an idle one.
 func (m *Simulation) closeCallKeeping(n int32, keep bool) {
-	k := &m.calls[n]
-	d, s := &m.dispatchers[k.dispatcher], &m.servers[k.server]
-	if k.state != callPending {
-		m.emitCall(event.CallFinished, k)
+	c := &m.calls[n]
+	d, s := &m.dispatchers[c.dispatcher], &m.servers[c.server]
+	if c.state != callPending {
+		m.emitCall(event.CallFinished, c)
 	}
 	d.activeCalls--
-	if k.connected && k.epoch == s.epoch {
+	if c.connected && c.epoch == s.epoch {
 		if keep {
-			m.keepConnection(d, k)
+			m.keepConnection(d, c)
 		} else {
 			s.connections--
 		}
 	}
-	k.state = callClosed
+	c.state = callClosed
 	m.releaseCall(n)
 }
 
-func (m *Simulation) keepConnection(d *dispatcher, k *call) {
-	l := d.connections[k.endpoint]
-	if l == nil {
-		l = &idleConnections{}
-		d.connections[k.endpoint] = l
+func (m *Simulation) keepConnection(d *dispatcher, c *call) {
+	idle := d.connections[c.endpoint]
+	if idle == nil {
+		idle = &idleConnections{}
+		d.connections[c.endpoint] = idle
 	}
-	if l.epoch != k.epoch {
-		l.epoch, l.since = k.epoch, l.since[:0]
+	if idle.epoch != c.epoch {
+		idle.epoch, idle.since = c.epoch, idle.since[:0]
 	}
-	l.since = append(l.since, m.now)
-	if m.destinations[m.endpoints[k.endpoint].destination].kind.MaxConnections > 0 && !l.timerScheduled {
-		l.timerScheduled = true
-		m.schedule(m.scenario.Dispatchers.IdleTimeout.micros(), scheduledEvent{kind: evIdleTimeout, subject: d.number, detail: k.endpoint, generation: d.incarnation})
+	idle.since = append(idle.since, m.now)
+	if m.destinations[m.endpoints[c.endpoint].destination].kind.MaxConnections > 0 && !idle.timerScheduled {
+		idle.timerScheduled = true
+		m.schedule(m.scenario.Dispatchers.IdleTimeout.micros(), scheduledEvent{kind: evIdleTimeout, subject: d.number, detail: c.endpoint, generation: d.incarnation})
 	}
 }
 
 // closeExpiredIdle closes the connections that have been idle for too long. Where places are scarce it comes by
 // itself at the time; elsewhere before the next use.
-func (m *Simulation) closeExpiredIdle(d *dispatcher, ep int32) {
-	l, limit := d.connections[ep], m.scenario.Dispatchers.IdleTimeout.micros()
-	s := &m.servers[m.endpoints[ep].server]
-	if l == nil || l.epoch != s.epoch {
+func (m *Simulation) closeExpiredIdle(d *dispatcher, endpointIndex int32) {
+	idle, limit := d.connections[endpointIndex], m.scenario.Dispatchers.IdleTimeout.micros()
+	s := &m.servers[m.endpoints[endpointIndex].server]
+	if idle == nil || idle.epoch != s.epoch {
 		return
 	}
 	n := 0
-	for n < len(l.since) && l.since[n]+limit <= m.now {
+	for n < len(idle.since) && idle.since[n]+limit <= m.now {
 		n++
 	}
 	s.connections -= n
-	l.since = slices.Delete(l.since, 0, n)
-	if l.timerScheduled {
-		if l.timerScheduled = len(l.since) > 0; l.timerScheduled {
-			m.schedule(l.since[0]+limit-m.now, scheduledEvent{kind: evIdleTimeout, subject: d.number, detail: ep, generation: d.incarnation})
+	idle.since = slices.Delete(idle.since, 0, n)
+	if idle.timerScheduled {
+		if idle.timerScheduled = len(idle.since) > 0; idle.timerScheduled {
+			m.schedule(idle.since[0]+limit-m.now, scheduledEvent{kind: evIdleTimeout, subject: d.number, detail: endpointIndex, generation: d.incarnation})
 		}
 	}
 }
--- a/sim/engine/custody.go
+++ b/sim/engine/custody.go
@@ -38,7 +38,7 @@
 // may have gone on with it. Guards a token's window, which counts from the first call.
 func (d *dispatcher) assumeDeliveredElsewhere() {
 	for _, w := range d.webhooks {
-		e := &d.m.scenario.EventTypes[d.m.requests[w.request].eventType]
+		e := &d.sim.scenario.EventTypes[d.sim.requests[w.request].eventType]
 		if !w.finished && w.receivedAt != never && w.mayHaveRunAt == never && e.Semantics == "tokened" && !e.DedupByZone {
 			w.mayHaveRunAt = w.receivedAt
 		}
@@ -46,130 +46,130 @@
 }
 
 // scheduleParkedReview has a dispatcher look at what it has parked, once.
-func (h *clusterState) scheduleParkedReview(d *dispatcher, in api.Micros) {
+func (c *clusterState) scheduleParkedReview(d *dispatcher, in api.Micros) {
 	if !d.member.reviewScheduled {
 		d.member.reviewScheduled = true
-		h.simulation.schedule(in, scheduledEvent{kind: evParkedReview, subject: d.number, generation: d.incarnation})
+		c.sim.schedule(in, scheduledEvent{kind: evParkedReview, subject: d.number, generation: d.incarnation})
 	}
 }
 
 // reviewParked hands on what belongs elsewhere and asks for what is in doubt.
-func (h *clusterState) reviewParked(d *dispatcher) {
-	b := d.member
-	if b.reviewScheduled = false; b.shardMap == nil { // a new map has it look
+func (c *clusterState) reviewParked(d *dispatcher) {
+	ms := d.member
+	if ms.reviewScheduled = false; ms.shardMap == nil { // a new map has it look
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.parked)) {
-		w := b.parked[id]
-		v := d.decide(h.simulation.requests[w.request].destination)
+	for _, id := range slices.Sorted(maps.Keys(ms.parked)) {
+		w := ms.parked[id]
+		decision := d.decide(c.sim.requests[w.request].destination)
 		switch {
 		case w.inDoubtHandoff != noHandoff:
-			h.resolveInDoubt(d, w)
-		case h.behavior.mayCall(v):
+			c.resolveInDoubt(d, w)
+		case c.behavior.mayCall(decision):
 			d.enqueue(notification{kind: notifyOwnership})
-		case v.Action == shardmap.Forward && !w.handingOff:
-			h.sendHandoff(d, w, v, 0, false)
+		case decision.Action == shardmap.Forward && !w.handingOff:
+			c.sendHandoff(d, w, decision, 0, false)
 		}
 	}
-	if len(b.parked) > 0 {
-		h.scheduleParkedReview(d, h.simulation.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL)
+	if len(ms.parked) > 0 {
+		c.scheduleParkedReview(d, c.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL)
 	}
 }
 
 // resolveInDoubt asks who was sent a webhook whether it has it. One that stays silent may have called.
-func (h *clusterState) resolveInDoubt(d *dispatcher, w *webhook) {
-	o := &h.handoffs[w.inDoubtHandoff]
-	r, ok := d.member.shardMap.RangeOf(h.keyHashes[h.simulation.requests[w.request].destination])
-	ended := ok && (r.Owner != o.decision.Owner || r.Epoch > o.decision.Epoch) || w.peerLostState
+func (c *clusterState) resolveInDoubt(d *dispatcher, w *webhook) {
+	h := &c.handoffs[w.inDoubtHandoff]
+	r, ok := d.member.shardMap.RangeOf(c.keyHashes[c.sim.requests[w.request].destination])
+	ended := ok && (r.Owner != h.decision.Owner || r.Epoch > h.decision.Epoch) || w.peerLostState
 	asked := *w
 	if asked.mayHaveRunAt == never {
-		asked.mayHaveRunAt = o.sentAt
+		asked.mayHaveRunAt = h.sentAt
 	}
-	if h.behavior.mayReclaim(&asked, &h.simulation.scenario.EventTypes[h.simulation.requests[w.request].eventType], ended, h.simulation.now) {
+	if c.behavior.mayReclaim(&asked, &c.sim.scenario.EventTypes[c.sim.requests[w.request].eventType], ended, c.sim.now) {
 		w.mayHaveRunAt = asked.mayHaveRunAt
-		h.simulation.Bus.Emit(h.simulation.webhookEvent(event.Recovered, d, w, event.Event{Attempt: w.attempts}))
-		h.reclaimWebhook(d, w)
+		c.sim.Bus.Emit(c.sim.webhookEvent(event.Recovered, d, w, event.Event{Attempt: w.attempts}))
+		c.reclaimWebhook(d, w)
 		return
 	}
-	if !h.isMessageLost() {
-		h.simulation.schedule(h.messageDelay(d.zone, h.simulation.dispatchers[o.to].zone), scheduledEvent{kind: evCustodyQuery, subject: w.inDoubtHandoff})
+	if !c.isMessageLost() {
+		c.sim.schedule(c.messageDelay(d.zone, c.sim.dispatchers[h.to].zone), scheduledEvent{kind: evCustodyQuery, subject: w.inDoubtHandoff})
 	}
 }
 
 // handleCustodyQuery is whether an offer was taken, at whom it was sent to, or the answer at its sender. A no is kept:
 // what is still on its way comes in vain.
-func (h *clusterState) handleCustodyQuery(n int32, back shardmap.CustodyReply) {
-	o := &h.handoffs[n]
+func (c *clusterState) handleCustodyQuery(n int32, back shardmap.CustodyReply) {
+	h := &c.handoffs[n]
 	if back != shardmap.CustodyUnknown {
-		h.handleCustodyReply(n, back)
+		c.handleCustodyReply(n, back)
 		return
 	}
-	d := &h.simulation.dispatchers[o.to]
+	d := &c.sim.dispatchers[h.to]
 	switch {
 	case !d.up:
 		return
-	case d.pausedUntil > h.simulation.now:
-		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evCustodyQuery, subject: n})
+	case d.pausedUntil > c.sim.now:
+		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evCustodyQuery, subject: n})
 		return
 	}
-	known, here, reply := d.member.handoffRecords[o.webhook.id], d.webhooks[o.webhook.id], shardmap.CustodyNever
-	away := here != nil && (here.inDoubtHandoff != noHandoff || here.handingOff)
+	record, existing, reply := d.member.handoffRecords[h.webhook.id], d.webhooks[h.webhook.id], shardmap.CustodyNever
+	away := existing != nil && (existing.inDoubtHandoff != noHandoff || existing.handingOff)
 	switch {
-	case d.member.stateID != o.receiverStateID:
+	case d.member.stateID != h.receiverStateID:
 		reply = shardmap.CustodyStateLost
-	case away && h.handoffs[here.handoff].sequence > o.sequence:
+	case away && c.handoffs[existing.handoff].sequence > h.sequence:
 		return // it can't tell yet: were both to say so, each would let it go
-	case known.acceptedUpTo >= o.sequence || known.owned && !away:
+	case record.acceptedUpTo >= h.sequence || record.owned && !away:
 		reply = shardmap.CustodyTaken
-	case here != nil && !here.persisted:
+	case existing != nil && !existing.persisted:
 		return // taken in the turn to come
 	default:
-		known.deniedUpTo = max(known.deniedUpTo, o.sequence)
-		d.member.handoffRecords[o.webhook.id] = known
+		record.deniedUpTo = max(record.deniedUpTo, h.sequence)
+		d.member.handoffRecords[h.webhook.id] = record
 	}
-	if !h.isMessageLost() {
-		h.simulation.schedule(h.messageDelay(d.zone, h.simulation.dispatchers[o.from].zone), scheduledEvent{kind: evCustodyQuery, subject: n, detail: int32(reply)})
+	if !c.isMessageLost() {
+		c.sim.schedule(c.messageDelay(d.zone, c.sim.dispatchers[h.from].zone), scheduledEvent{kind: evCustodyQuery, subject: n, detail: int32(reply)})
 	}
 }
 
-func (h *clusterState) handleCustodyReply(n int32, reply shardmap.CustodyReply) {
-	o := &h.handoffs[n]
-	d := &h.simulation.dispatchers[o.from]
-	if !d.up || d.member.parked[o.webhook.id] != o.webhook || o.webhook.inDoubtHandoff != n {
+func (c *clusterState) handleCustodyReply(n int32, reply shardmap.CustodyReply) {
+	h := &c.handoffs[n]
+	d := &c.sim.dispatchers[h.from]
+	if !d.up || d.member.parked[h.webhook.id] != h.webhook || h.webhook.inDoubtHandoff != n {
 		return
 	}
 	if reply == shardmap.CustodyStateLost {
-		o.webhook.peerLostState = true
+		h.webhook.peerLostState = true
 		return
 	}
 	if reply == shardmap.CustodyTaken {
-		h.releaseWebhook(d, o.webhook, o.to)
+		c.releaseWebhook(d, h.webhook, h.to)
 	} else {
-		h.reclaimWebhook(d, o.webhook)
+		c.reclaimWebhook(d, h.webhook)
 	}
 }
 
 // reclaimWebhook ends a doubt: a webhook is this dispatcher's. Guards against a second copy from one that took it on,
 // was lost and came back.
-func (h *clusterState) reclaimWebhook(d *dispatcher, w *webhook) {
-	d.member.handoffRecords[w.id] = handoffRecord{acceptedUpTo: max(d.member.handoffRecords[w.id].acceptedUpTo, h.handoffs[w.handoff].sequence), owned: true}
+func (c *clusterState) reclaimWebhook(d *dispatcher, w *webhook) {
+	d.member.handoffRecords[w.id] = handoffRecord{acceptedUpTo: max(d.member.handoffRecords[w.id].acceptedUpTo, c.handoffs[w.handoff].sequence), owned: true}
 	w.inDoubtHandoff, w.handingOff, w.peerLostState = noHandoff, false, false
 	d.enqueue(notification{kind: notifyOwnership})
-	h.scheduleParkedReview(d, 0)
+	c.scheduleParkedReview(d, 0)
 }
 
 // releaseWebhook ends a copy that is another's.
-func (h *clusterState) releaseWebhook(d *dispatcher, w *webhook, to int32) {
+func (c *clusterState) releaseWebhook(d *dispatcher, w *webhook, to int32) {
 	if d.webhooks[w.id] != w || w.finished {
 		return
 	}
-	h.simulation.Bus.Emit(h.simulation.webhookEvent(event.HandoffAcknowledged, d, w, event.Event{Peer: to}))
+	c.sim.Bus.Emit(c.sim.webhookEvent(event.HandoffAcknowledged, d, w, event.Event{Peer: to}))
 	delete(d.webhooks, w.id)
 	delete(d.member.parked, w.id)
-	if known := d.member.handoffRecords[w.id]; known.owned {
-		known.owned = false
-		d.member.handoffRecords[w.id] = known
+	if record := d.member.handoffRecords[w.id]; record.owned {
+		record.owned = false
+		d.member.handoffRecords[w.id] = record
 	}
 	d.openWebhooks--
-	h.simulation.closeCopy(w.request)
+	c.sim.closeCopy(w.request)
 }
--- a/sim/engine/destinations.go
+++ b/sim/engine/destinations.go
@@ -9,57 +9,23 @@
 	"rowanlink/webhook/api"
 )
 
-// endpointChange is one line of news for the list.
+// endpointChange is a change of the endpoint list.
 type endpointChange struct {
 	at    api.Micros
 	entry api.EndpointEntry
 }
 
-// buildDestinations draws the destinations from the scenario's own stream: the same for every module.
+// buildDestinations makes the destinations, from a random stream of their own: they are the same for every policy.
 func (m *Simulation) buildDestinations() {
-	s, chance := m.scenario, newRandom(m.scenario.Seed, 1)
-	busy := s.Destinations.Active
-	m.destinationWeights = make([]float64, busy) // cumulative
-	sum := 0.0
-	for i := range m.destinationWeights {
-		sum += math.Pow(float64(i+1), -s.Clients.DestinationSkew)
-		m.destinationWeights[i] = sum
-	}
-	shares := 0.0
-	for i := range s.DestinationKinds {
-		shares += s.DestinationKinds[i].Share
+	random := newRandom(m.scenario.Seed, destinationStream)
+	m.buildDestinationWeights()
+	totalShare := 0.0
+	for i := range m.scenario.DestinationKinds {
+		totalShare += m.scenario.DestinationKinds[i].Share
 	}
-	m.destinations = make([]destination, s.Destinations.Count)
+	m.destinations = make([]destination, m.scenario.Destinations.Count)
 	for i := range m.destinations {
-		d := &m.destinations[i]
-		pick := chance.Float64() * shares
-		for d.kindIndex = 0; int(d.kindIndex) < len(s.DestinationKinds)-1 && pick >= s.DestinationKinds[d.kindIndex].Share; d.kindIndex++ {
-			pick -= s.DestinationKinds[d.kindIndex].Share
-		}
-		d.kind = &s.DestinationKinds[d.kindIndex]
-		if i < busy {
-			d.expectedRate = s.Clients.Rate * math.Pow(float64(i+1), -s.Clients.DestinationSkew) / sum
-		}
-		n := d.kind.Endpoints[0] + chance.IntN(d.kind.Endpoints[1]-d.kind.Endpoints[0]+1)
-		perS := max(d.expectedRate*d.kind.Headroom, d.kind.MinRate)
-		wrong := randomInRange(chance, s.Dispatchers.RateError)
-		routes := 1
-		if d.kind.SeparateRoutes {
-			routes = n
-		}
-		d.route = int32(len(m.routes))
-		for range routes {
-			each := perS / float64(routes)
-			m.routes = append(m.routes, route{destination: api.DestinationID(i), kind: d.kind, rate: each,
-				statedRate: each * wrong, warmingSince: never, tokens: 1})
-		}
-		for e := range n {
-			zone := api.ZoneID((i + e) % len(s.Network.Zones))
-			atOnce := math.Ceil(d.kind.SpareCapacity * perS / float64(n) * api.Micros(d.kind.ServiceTime).Seconds())
-			depth := math.Ceil(api.Micros(d.kind.QueueTime).Seconds() * perS / float64(n))
-			m.servers = append(m.servers, server{zone: zone, concurrency: int(atOnce), queueCapacity: int(depth)})
-			m.addEndpoint(api.DestinationID(i), d.route+int32(e%routes), zone, int32(len(m.servers)-1))
-		}
+		m.buildDestination(api.DestinationID(i), totalShare, random)
 	}
 	m.initialEndpoints = make([]api.EndpointEntry, len(m.endpoints))
 	for i := range m.endpoints {
@@ -67,47 +33,117 @@
 	}
 }
 
-func (m *Simulation) addEndpoint(dest api.DestinationID, r int32, zone api.ZoneID, server int32) int32 {
+// buildDestinationWeights distributes the traffic by Zipf's law.
+func (m *Simulation) buildDestinationWeights() {
+	m.destinationWeights = make([]float64, m.scenario.Destinations.Active)
+	sum := 0.0
+	for i := range m.destinationWeights {
+		sum += m.trafficWeight(i)
+		m.destinationWeights[i] = sum
+	}
+}
+
+func (m *Simulation) trafficWeight(i int) float64 {
+	return math.Pow(float64(i+1), -m.scenario.Clients.DestinationSkew)
+}
+
+func (m *Simulation) buildDestination(id api.DestinationID, totalShare float64, random *rand.Rand) {
+	s, d := m.scenario, &m.destinations[id]
+	d.kindIndex = randomKind(s.DestinationKinds, totalShare, random)
+	d.kind = &s.DestinationKinds[d.kindIndex]
+	if int(id) < len(m.destinationWeights) {
+		totalWeight := m.destinationWeights[len(m.destinationWeights)-1]
+		d.expectedRate = s.Clients.Rate * m.trafficWeight(int(id)) / totalWeight
+	}
+	count := d.kind.Endpoints[0] + random.IntN(d.kind.Endpoints[1]-d.kind.Endpoints[0]+1)
+	rate := max(d.expectedRate*d.kind.Headroom, d.kind.MinRate)
+	rateError := randomInRange(random, s.Dispatchers.RateError)
+	routes := 1
+	if d.kind.SeparateRoutes {
+		routes = count
+	}
+	d.route = int32(len(m.routes))
+	for range routes {
+		routeRate := rate / float64(routes)
+		m.routes = append(m.routes, route{
+			destination:  id,
+			kind:         d.kind,
+			rate:         routeRate,
+			statedRate:   routeRate * rateError,
+			warmingSince: never,
+			tokens:       1,
+		})
+	}
+	for i := range count {
+		zone := api.ZoneID((int(id) + i) % len(s.Network.Zones))
+		m.servers = append(m.servers, newServer(d.kind, rate, count, zone))
+		m.addEndpoint(id, d.route+int32(i%routes), zone, int32(len(m.servers)-1))
+	}
+}
+
+func randomKind(kinds []DestinationKind, totalShare float64, random *rand.Rand) api.DestinationKindID {
+	at := random.Float64() * totalShare
+	kind := 0
+	for kind < len(kinds)-1 && at >= kinds[kind].Share {
+		at -= kinds[kind].Share
+		kind++
+	}
+	return api.DestinationKindID(kind)
+}
+
+// newServer makes one of several servers that bear a destination's rate together.
+func newServer(kind *DestinationKind, rate float64, count int, zone api.ZoneID) server {
+	concurrency := math.Ceil(kind.SpareCapacity * rate / float64(count) * kind.ServiceTime.micros().Seconds())
+	queueCapacity := math.Ceil(kind.QueueTime.micros().Seconds() * rate / float64(count))
+	return server{zone: zone, concurrency: int(concurrency), queueCapacity: int(queueCapacity)}
+}
+
+func (m *Simulation) addEndpoint(destination api.DestinationID, route int32, zone api.ZoneID, server int32) int32 {
 	n := int32(len(m.endpoints))
-	m.endpoints = append(m.endpoints, endpoint{destination: dest, route: r, zone: zone, server: server})
-	m.destinations[dest].endpoints = append(m.destinations[dest].endpoints, n)
-	m.routes[r].endpoints = append(m.routes[r].endpoints, n)
+	m.endpoints = append(m.endpoints, endpoint{destination: destination, route: route, zone: zone, server: server})
+	m.destinations[destination].endpoints = append(m.destinations[destination].endpoints, n)
+	m.routes[route].endpoints = append(m.routes[route].endpoints, n)
 	return n
 }
 
-// idOf and indexOf go between an endpoint's place and its id, of which 0 is none.
-func idOf(endpoint int32) api.EndpointID   { return api.EndpointID(endpoint + 1) }
-func indexOf(id api.EndpointID) (at int32) { return int32(id) - 1 }
+// idOf returns the ID of the endpoint at an index. Endpoint IDs begin at 1.
+func idOf(endpoint int32) api.EndpointID { return api.EndpointID(endpoint + 1) }
+
+// indexOf is the inverse of idOf; the index of no endpoint is -1.
+func indexOf(id api.EndpointID) int32 { return int32(id) - 1 }
 
-// endpointEntry is what the list says of an endpoint.
-func (m *Simulation) endpointEntry(i int32, standing api.EndpointStatus) api.EndpointEntry {
+// endpointEntry returns an endpoint's entry in the endpoint list.
+func (m *Simulation) endpointEntry(i int32, status api.EndpointStatus) api.EndpointEntry {
 	e := &m.endpoints[i]
-	d := &m.destinations[e.destination]
-	l := api.EndpointEntry{Endpoint: idOf(i), Destination: e.destination, Kind: d.kindIndex, Zone: e.zone, Status: standing}
+	entry := api.EndpointEntry{
+		Endpoint:    idOf(i),
+		Destination: e.destination,
+		Kind:        m.destinations[e.destination].kindIndex,
+		Zone:        e.zone,
+		Status:      status,
+	}
 	if m.scenario.Dispatchers.RatesListed {
-		l.Rate = m.routes[e.route].statedRate
+		entry.Rate = m.routes[e.route].statedRate
 	}
-	return l
+	return entry
 }
 
-// publishEndpointChange notes a change of the list; each dispatcher hears of it after its own delay.
-func (m *Simulation) publishEndpointChange(i int32, standing api.EndpointStatus) {
-	m.endpointChanges = append(m.endpointChanges, endpointChange{m.now, m.endpointEntry(i, standing)})
+// publishEndpointChange records a change of the endpoint list and notifies each dispatcher after a delay of its own.
+func (m *Simulation) publishEndpointChange(i int32, status api.EndpointStatus) {
+	m.endpointChanges = append(m.endpointChanges, endpointChange{m.now, m.endpointEntry(i, status)})
 	for n := range m.dispatchers {
-		d := &m.dispatchers[n]
-		delay := randomInRange(m.random, m.scenario.Dispatchers.EndpointUpdateDelay).micros() + d.extraUpdateDelay
-		m.schedule(delay, scheduledEvent{kind: evEndpointUpdate, subject: int32(n), detail: int32(len(m.endpointChanges)), generation: d.incarnation})
+		m.dispatchers[n].scheduleEndpointUpdate()
 	}
 }
 
-// randomDestination follows the skew, or a hot destination's share where there is one.
-func (m *Simulation) randomDestination(chance *rand.Rand) api.DestinationID {
-	for _, h := range m.hotSpots {
-		if chance.Float64() < h.share {
-			return h.destinations[chance.IntN(len(h.destinations))]
+// randomDestination picks the destination of an arrival: one of a hot spot, or by the traffic's distribution.
+func (m *Simulation) randomDestination(random *rand.Rand) api.DestinationID {
+	for _, spot := range m.hotSpots {
+		if random.Float64() < spot.share {
+			return spot.destinations[random.IntN(len(spot.destinations))]
 		}
 	}
-	x := chance.Float64() * m.destinationWeights[len(m.destinationWeights)-1]
-	at, _ := slices.BinarySearchFunc(m.destinationWeights, x, func(w, x float64) int { return cmp.Compare(w, x) })
+	x := random.Float64() * m.destinationWeights[len(m.destinationWeights)-1]
+	at, _ := slices.BinarySearchFunc(m.destinationWeights, x, cmp.Compare[float64])
 	return api.DestinationID(min(at, len(m.destinationWeights)-1))
 }
--- a/sim/engine/dispatcher.go
+++ b/sim/engine/dispatcher.go
@@ -3,41 +3,47 @@
 import (
 	"math/rand/v2"
 	"slices"
-	"time"
 
 	"rowanlink/sim/event"
 	"rowanlink/webhook/api"
 )
 
-// dispatcher is one dispatcher round its module, and the module's Host.
+// dispatcher is a simulated dispatcher. It hosts a policy as its api.Host and runs it in an event loop.
 type dispatcher struct {
-	m           *Simulation
+	sim         *Simulation
 	number      int32
-	incarnation uint32 // counts its starts: what was meant for an earlier life reaches nobody
+	incarnation uint32 // counts the starts; events for an earlier incarnation are void
 	seedSource  *rand.Rand
 	policy      api.Policy
-	weight      float64 // of what the front deals out
+	weight      float64 // share of the load balancer's traffic, relative to the others
 	zone        api.ZoneID
 
-	up, draining        bool
-	deathNoticedAt      api.Micros // the front takes it for well until then, though it is dead
-	pausedUntil         api.Micros
-	lastIterationAt     api.Micros
-	iterationScheduled  bool
-	inbox               []notification
+	up             bool
+	draining       bool
+	deathNoticedAt api.Micros // until then the load balancer takes a dead dispatcher for healthy
+	pausedUntil    api.Micros
+
+	inbox              []notification // for the next iteration
+	lastIterationAt    api.Micros
+	iterationScheduled bool
+
 	webhooks            map[api.WebhookID]*webhook
-	openWebhooks        int // of them, those that are owed their end
-	recovered           []*webhook
-	activeCalls         int     // calls
-	pendingCalls        []int32 // calls of this turn, not yet departed
-	connections         map[int32]*idleConnections
-	knownChanges        int // changes of the list heard of
-	extraUpdateDelay    api.Micros
-	extraStartAge       api.Micros
-	killNextIteration   *Fault
+	openWebhooks        int        // of webhooks, those that aren't finished
+	recovered           []*webhook // for the next incarnation
 	acceptedInIteration []*webhook
-	dyingInIteration    bool
-	member              *memberState // of a fleet with homes, else nil
+
+	activeCalls  int
+	pendingCalls []int32 // calls of this iteration, which start at its end
+	connections  map[int32]*idleConnections
+
+	knownChanges     int // of the endpoint changes
+	extraUpdateDelay api.Micros
+	extraStartAge    api.Micros
+
+	killNextIteration *Fault // ends the dispatcher in the next iteration that accepts a webhook
+	dyingInIteration  bool   // nothing of this iteration gets out
+
+	member *memberState // nil: without ownership of ranges
 }
 
 // webhook is a webhook at a dispatcher.
@@ -45,216 +51,115 @@
 	id               api.WebhookID
 	request          int32
 	attempts         int
-	mayHaveRunAt     api.Micros
-	zone             api.ZoneID
+	mayHaveRunAt     api.Micros // or never
+	zone             api.ZoneID // of the attempt that may have run
 	attemptStartedAt api.Micros
 	attemptZone      api.ZoneID
-	call             int32 // out, or -1
+	call             int32 // the attempt in flight, or noCall
 	finished         bool
 	custodyState
 }
 
-func (h *webhook) priorAttempts() api.PriorAttempts {
-	return api.PriorAttempts{Count: h.attempts, MayHaveRunAt: h.mayHaveRunAt, Zone: h.zone}
+const noCall = int32(-1)
+
+func (w *webhook) priorAttempts() api.PriorAttempts {
+	return api.PriorAttempts{Count: w.attempts, MayHaveRunAt: w.mayHaveRunAt, Zone: w.zone}
+}
+
+// recordPossibleRun notes that the attempt in flight may have run, unless an earlier one may have.
+func (w *webhook) recordPossibleRun() {
+	if w.mayHaveRunAt == never {
+		w.mayHaveRunAt = w.attemptStartedAt
+		w.zone = w.attemptZone
+	}
 }
 
-// idleConnections are a dispatcher's idle connections to one endpoint, the longest idle first.
+// idleConnections are a dispatcher's idle connections to one endpoint, the one that is idle longest first.
 type idleConnections struct {
 	since          []api.Micros
-	epoch          uint32
+	epoch          uint32 // of the server; see server.epoch
 	timerScheduled bool
 }
 
-const (
-	notifyAcceptance uint8 = iota
-	notifyOutcome
-	notifyTimer
-	notifyEndpoints
-	notifyOwnership
-)
-
-// startDispatcher starts a dispatcher, the first time or again with what its folder holds.
+// startDispatcher starts a new incarnation of a dispatcher, with the webhooks that its state holds.
 func (m *Simulation) startDispatcher(n int32) {
 	d := &m.dispatchers[n]
-	d.incarnation++
-	d.up, d.draining, d.inbox, d.iterationScheduled, d.lastIterationAt = true, false, nil, false, m.now-m.scenario.Dispatchers.MinIterationInterval.micros()
-	d.zone = api.ZoneID(int(n) % len(m.scenario.Network.Zones))
-	d.webhooks, d.connections, d.openWebhooks, d.activeCalls = map[api.WebhookID]*webhook{}, map[int32]*idleConnections{}, 0, 0
-	d.pendingCalls, d.killNextIteration, d.dyingInIteration = nil, nil, false
+	d.reset()
 	m.Bus.Emit(event.Event{At: m.now, Kind: event.Started, Dispatcher: n})
 	d.policy = m.newPolicy(m.scenario.DispatcherSettings(int(n), d.seedSource.Uint64()), d)
-	stale := m.scenario.Dispatchers.StartupListAge.micros() + d.extraStartAge
-	d.knownChanges = 0
-	for d.knownChanges < len(m.endpointChanges) && m.endpointChanges[d.knownChanges].at <= m.now-stale {
-		d.knownChanges++
-	}
-	list := m.initialEndpoints
-	if d.knownChanges > 0 {
-		list = slices.Clone(m.initialEndpoints)
-		for _, c := range m.endpointChanges[:d.knownChanges] {
-			same := func(e api.EndpointEntry) bool { return e.Endpoint == c.entry.Endpoint }
-			if i := slices.IndexFunc(list, same); i >= 0 {
-				list[i] = c.entry
-			} else {
-				list = append(list, c.entry)
-			}
-		}
-		list = slices.DeleteFunc(list, func(e api.EndpointEntry) bool { return e.Status == api.EndpointRemoved })
-	}
+	endpoints := d.startupEndpoints()
 	if m.cluster != nil {
 		m.cluster.joinCluster(d)
 	}
-	d.enqueue(notification{kind: notifyEndpoints, endpoints: list, complete: true})
+	d.enqueue(notification{kind: notifyEndpoints, endpoints: endpoints, complete: true})
 	if d.knownChanges < len(m.endpointChanges) {
-		m.schedule(randomInRange(m.random, m.scenario.Dispatchers.EndpointUpdateDelay).micros()+d.extraUpdateDelay,
-			scheduledEvent{kind: evEndpointUpdate, subject: n, detail: int32(len(m.endpointChanges)), generation: d.incarnation})
-	}
-	kept := d.recovered
-	d.recovered = nil
-	for _, h := range kept {
-		d.webhooks[h.id] = h
-	}
-	if m.cluster != nil {
-		d.assumeDeliveredElsewhere()
-	}
-	if len(kept) > 0 {
-		d.deliverQueuedEndpoints() // before what is owed: its destinations must be known
-	}
-	for _, h := range kept {
-		o := &m.requests[h.request]
-		d.openWebhooks++
-		m.Bus.Emit(m.webhookEvent(event.Recovered, d, h, event.Event{Attempt: h.attempts}))
-		if d.member != nil {
-			d.submitOrPark(h)
-			continue
-		}
-		d.policy.Recover(o.webhook(h.id), h.priorAttempts())
+		d.scheduleEndpointUpdate()
 	}
+	d.recoverWebhooks()
 	d.scheduleIteration()
 }
 
-// enqueue adds news and sees to a turn.
-func (d *dispatcher) enqueue(n notification) {
-	d.inbox = append(d.inbox, n)
-	d.scheduleIteration()
+// reset gives a new incarnation its initial state.
+func (d *dispatcher) reset() {
+	d.incarnation++
+	d.up = true
+	d.draining = false
+	d.zone = api.ZoneID(int(d.number) % len(d.sim.scenario.Network.Zones))
+	d.inbox = nil
+	d.iterationScheduled = false
+	d.lastIterationAt = d.sim.now - d.sim.scenario.Dispatchers.MinIterationInterval.micros()
+	d.webhooks = map[api.WebhookID]*webhook{}
+	d.openWebhooks = 0
+	d.connections = map[int32]*idleConnections{}
+	d.activeCalls = 0
+	d.pendingCalls = nil
+	d.killNextIteration = nil
+	d.dyingInIteration = false
 }
 
-func (d *dispatcher) scheduleIteration() {
-	if d.iterationScheduled || !d.up {
-		return
+// startupEndpoints returns the endpoint list that a dispatcher starts with, which may be out of date.
+func (d *dispatcher) startupEndpoints() []api.EndpointEntry {
+	m := d.sim
+	age := m.scenario.Dispatchers.StartupListAge.micros() + d.extraStartAge
+	d.knownChanges = 0
+	for d.knownChanges < len(m.endpointChanges) && m.endpointChanges[d.knownChanges].at <= m.now-age {
+		d.knownChanges++
 	}
-	d.iterationScheduled = true
-	at := max(d.m.now, d.lastIterationAt+d.m.scenario.Dispatchers.MinIterationInterval.micros(), d.pausedUntil)
-	d.m.queue.Add(int64(at), scheduledEvent{kind: evIteration, subject: d.number, generation: d.incarnation})
-}
-
-func (m *Simulation) handleDispatcherEvent(d *dispatcher, e scheduledEvent) {
-	switch e.kind {
-	case evIteration:
-		if d.iterationScheduled = false; m.now < d.pausedUntil {
-			d.scheduleIteration()
-			return
-		}
-		m.runIteration(d)
-	case evTimer:
-		d.enqueue(notification{kind: notifyTimer, timer: api.TimerID(e.detail)})
-	case evEndpointUpdate:
-		if to := int(e.detail); to > d.knownChanges {
-			var list []api.EndpointEntry
-			for _, c := range m.endpointChanges[d.knownChanges:to] {
-				list = append(list, c.entry)
-			}
-			d.knownChanges = to
-			d.enqueue(notification{kind: notifyEndpoints, endpoints: list})
+	if d.knownChanges == 0 {
+		return m.initialEndpoints
+	}
+	endpoints := slices.Clone(m.initialEndpoints)
+	for _, change := range m.endpointChanges[:d.knownChanges] {
+		same := func(e api.EndpointEntry) bool { return e.Endpoint == change.entry.Endpoint }
+		if i := slices.IndexFunc(endpoints, same); i >= 0 {
+			endpoints[i] = change.entry
+		} else {
+			endpoints = append(endpoints, change.entry)
 		}
-	case evIdleTimeout:
-		m.closeExpiredIdle(d, e.detail)
 	}
+	return slices.DeleteFunc(endpoints, func(e api.EndpointEntry) bool { return e.Status == api.EndpointRemoved })
 }
 
-// runIteration tells the module all that waits, closes the turn and lets its calls depart.
-func (m *Simulation) runIteration(d *dispatcher) {
-	d.lastIterationAt, d.acceptedInIteration = m.now, d.acceptedInIteration[:0]
-	waiting := d.inbox
-	d.inbox = nil
-	if d.killNextIteration != nil && slices.ContainsFunc(waiting, func(n notification) bool { return n.kind == notifyAcceptance }) {
-		d.dyingInIteration = true
-	}
-	var began time.Time
-	if m.MeasurePolicyTime {
-		began = time.Now()
-	}
-	d.reviewIfLeaseChanged()
-	for i := range waiting {
-		d.deliver(&waiting[i])
-	}
-	d.policy.EndTurn()
-	if m.MeasurePolicyTime {
-		m.PolicyTime += time.Since(began)
-	}
-	if d.inbox == nil {
-		d.inbox = waiting[:0]
+// recoverWebhooks passes the webhooks of the earlier incarnation to the policy.
+func (d *dispatcher) recoverWebhooks() {
+	recovered := d.recovered
+	d.recovered = nil
+	for _, w := range recovered {
+		d.webhooks[w.id] = w
 	}
-	if d.dyingInIteration {
-		m.killInIteration(d)
-		return
+	if d.member != nil {
+		d.assumeDeliveredElsewhere()
 	}
-	for _, k := range d.pendingCalls {
-		m.startCall(k)
+	if len(recovered) > 0 {
+		d.deliverQueuedEndpoints() // the policy must know the destinations of webhooks that it recovers
 	}
-	d.pendingCalls = d.pendingCalls[:0]
-	d.acknowledgeHandoffs()
-}
-
-func (d *dispatcher) deliver(n *notification) {
-	m := d.m
-	switch n.kind {
-	case notifyAcceptance:
-		h := d.webhooks[n.id]
-		o := &m.requests[h.request]
-		d.acceptedInIteration = append(d.acceptedInIteration, h)
-		m.Bus.Emit(m.webhookEvent(event.Accepted, d, h, event.Event{}))
+	for _, w := range recovered {
+		d.openWebhooks++
+		d.sim.Bus.Emit(d.sim.webhookEvent(event.Recovered, d, w, event.Event{Attempt: w.attempts}))
 		if d.member != nil {
-			d.acceptPersisted(h, n.handoff)
-			return
-		}
-		d.policy.Submit(o.webhook(n.id))
-	case notifyOutcome:
-		h := d.webhooks[n.id]
-		if h == nil {
-			return
-		}
-		e := event.Event{Attempt: n.attempt, Outcome: n.outcome, Endpoint: n.endpoint, RetryAfter: n.retryAfter}
-		if i := indexOf(n.endpoint); i >= 0 {
-			e.Route, e.Zone = event.Route(m.endpoints[i].route), m.endpoints[i].zone
-		}
-		m.Bus.Emit(m.webhookEvent(event.AttemptEnded, d, h, e))
-		h.call = -1
-		if n.outcome == api.Delivered && !h.finished {
-			m.finishWebhook(d, h, event.Delivered, 0)
-		}
-		if !n.outcome.NeverRan() && h.mayHaveRunAt == never {
-			h.mayHaveRunAt, h.zone = h.attemptStartedAt, h.attemptZone
-		}
-		ended := h.finished
-		d.policy.AttemptEnded(api.AttemptResult{
-			Webhook:    n.id,
-			Endpoint:   n.endpoint,
-			Outcome:    n.outcome,
-			Latency:    n.latency,
-			Final:      ended,
-			RetryAfter: n.retryAfter,
-		})
-		if ended {
-			delete(d.webhooks, n.id)
-		} else if d.member != nil {
-			d.parkIfNotAllowed(h)
+			d.submitOrPark(w)
+			continue
 		}
-	case notifyTimer:
-		d.policy.TimerFired(n.timer)
-	case notifyEndpoints:
-		d.updateEndpoints(*n)
-	case notifyOwnership:
-		d.reviewWebhooks()
+		d.policy.Recover(d.sim.requests[w.request].webhook(w.id), w.priorAttempts())
 	}
 }
--- a/sim/engine/finish.go
+++ b/sim/engine/finish.go
@@ -6,21 +6,21 @@
 )
 
 // finishWebhook closes a webhook's stay here; its client may come again after a rejection.
-func (m *Simulation) finishWebhook(d *dispatcher, h *webhook, how event.FinalStatus, advised api.Micros) {
-	h.finished = true
+func (m *Simulation) finishWebhook(d *dispatcher, w *webhook, how event.FinalStatus, retryAfter api.Micros) {
+	w.finished = true
 	d.openWebhooks--
 	if d.member != nil {
-		delete(d.member.parked, h.id)
+		delete(d.member.parked, w.id)
 	}
-	o := &m.requests[h.request]
-	m.Bus.Emit(m.webhookEvent(event.Finished, d, h, event.Event{Final: how, Duration: m.now - o.submittedAt}))
-	if h.call < 0 {
-		delete(d.webhooks, h.id)
+	request := &m.requests[w.request]
+	m.Bus.Emit(m.webhookEvent(event.Finished, d, w, event.Event{Final: how, Duration: m.now - request.submittedAt}))
+	if w.call < 0 {
+		delete(d.webhooks, w.id)
 	}
 	switch how {
 	case event.Rejected:
-		m.scheduleResubmission(h.request, advised)
+		m.scheduleResubmission(w.request, retryAfter)
 	default:
-		m.closeCopy(h.request)
+		m.closeCopy(w.request)
 	}
 }
--- a/sim/engine/handoff_receiver.go
+++ b/sim/engine/handoff_receiver.go
@@ -32,131 +32,131 @@
 }
 
 // forwardSubmission sends a client's webhook to its home; false: it is to be taken on here.
-func (h *clusterState) forwardSubmission(d *dispatcher, w *webhook) bool {
+func (c *clusterState) forwardSubmission(d *dispatcher, w *webhook) bool {
 	w.custodyState = custodyState{inDoubtHandoff: noHandoff, receivedAt: never}
-	v := d.decide(h.simulation.requests[w.request].destination)
-	if v.Action != shardmap.Forward || h.behavior.mayCall(v) {
+	decision := d.decide(c.sim.requests[w.request].destination)
+	if decision.Action != shardmap.Forward || c.behavior.mayCall(decision) {
 		return false
 	}
-	if d.pausedUntil > h.simulation.now { // it is heard when the dispatcher goes on
-		h.simulation.schedule(d.pausedUntil-h.simulation.now, scheduledEvent{kind: evSubmit, subject: w.request})
+	if d.pausedUntil > c.sim.now { // it is heard when the dispatcher goes on
+		c.sim.schedule(d.pausedUntil-c.sim.now, scheduledEvent{kind: evSubmit, subject: w.request})
 		return true
 	}
-	h.sendHandoff(d, w, v, 0, true)
+	c.sendHandoff(d, w, decision, 0, true)
 	return true
 }
 
-func (h *clusterState) sendHandoff(d *dispatcher, w *webhook, v shardmap.Decision, hops int, fresh bool) {
-	h.handoffCount++
-	n := int32(len(h.handoffs))
-	to := &h.simulation.dispatchers[h.dispatcherOf[v.Owner]]
-	h.handoffs = append(h.handoffs, handoff{webhook: w, from: d.number, to: to.number, senderIncarnation: d.incarnation, sequence: h.handoffCount, decision: v,
-		sentAt: h.simulation.now, receiverStateID: to.member.stateID, hops: hops, fromClient: fresh})
-	if w.handingOff, w.handoff = true, n; fresh {
+func (c *clusterState) sendHandoff(d *dispatcher, w *webhook, decision shardmap.Decision, hops int, fromClient bool) {
+	c.handoffCount++
+	n := int32(len(c.handoffs))
+	to := &c.sim.dispatchers[c.dispatcherOf[decision.Owner]]
+	c.handoffs = append(c.handoffs, handoff{webhook: w, from: d.number, to: to.number, senderIncarnation: d.incarnation, sequence: c.handoffCount, decision: decision,
+		sentAt: c.sim.now, receiverStateID: to.member.stateID, hops: hops, fromClient: fromClient})
+	if w.handingOff, w.handoff = true, n; fromClient {
 		d.member.clientHandoffs[n] = true
 	}
-	if h.handoffs[n].failed = h.isMessageLost(); !h.handoffs[n].failed {
-		h.simulation.schedule(h.messageDelay(d.zone, to.zone), scheduledEvent{kind: evHandoffArrival, subject: n})
+	if c.handoffs[n].failed = c.isMessageLost(); !c.handoffs[n].failed {
+		c.sim.schedule(c.messageDelay(d.zone, to.zone), scheduledEvent{kind: evHandoffArrival, subject: n})
 	}
-	h.simulation.schedule(clientTimeout/handoffTimeoutDivisor, scheduledEvent{kind: evHandoffTimeout, subject: n})
+	c.sim.schedule(clientTimeout/handoffTimeoutDivisor, scheduledEvent{kind: evHandoffTimeout, subject: n})
 }
 
 // receiveHandoff is an offer at whom it was sent to.
-func (h *clusterState) receiveHandoff(n int32) {
-	o := &h.handoffs[n]
-	d := &h.simulation.dispatchers[o.to]
+func (c *clusterState) receiveHandoff(n int32) {
+	h := &c.handoffs[n]
+	d := &c.sim.dispatchers[h.to]
 	switch {
 	case !d.up: // its connection is refused: surely it is not there
-		h.rejectHandoff(n, shardmap.CustodyNever)
+		c.rejectHandoff(n, shardmap.CustodyNever)
 		return
-	case d.pausedUntil > h.simulation.now:
-		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffArrival, subject: n})
+	case d.pausedUntil > c.sim.now:
+		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffArrival, subject: n})
 		return
 	}
-	dest, id := h.simulation.requests[o.webhook.request].destination, o.webhook.id
-	known, here := d.member.handoffRecords[id], d.webhooks[id]
+	dest, id := c.sim.requests[h.webhook.request].destination, h.webhook.id
+	record, existing := d.member.handoffRecords[id], d.webhooks[id]
 	switch {
-	case here != nil && !here.persisted:
+	case existing != nil && !existing.persisted:
 		return // in its inbox from elsewhere: no answer yet
-	case here != nil && (here.inDoubtHandoff != noHandoff || here.handingOff): // it is this one's: whoever has it lets it go
-		here.inDoubtHandoff, here.handingOff, here.attempts = noHandoff, false, max(here.attempts, o.webhook.attempts)
-		if here.mayHaveRunAt == never {
-			here.mayHaveRunAt, here.zone = o.webhook.mayHaveRunAt, o.webhook.zone
+	case existing != nil && (existing.inDoubtHandoff != noHandoff || existing.handingOff): // it is this one's: whoever has it lets it go
+		existing.inDoubtHandoff, existing.handingOff, existing.attempts = noHandoff, false, max(existing.attempts, h.webhook.attempts)
+		if existing.mayHaveRunAt == never {
+			existing.mayHaveRunAt, existing.zone = h.webhook.mayHaveRunAt, h.webhook.zone
 		}
-		h.acceptDuplicate(d, here, o.sequence)
-		h.replyToHandoff(n, shardmap.CustodyTaken)
+		c.acceptDuplicate(d, existing, h.sequence)
+		c.replyToHandoff(n, shardmap.CustodyTaken)
 		return
-	case here != nil && !known.owned: // it came to both, and is this one's own
-		h.acceptDuplicate(d, here, o.sequence)
-		h.replyToHandoff(n, shardmap.CustodyTaken)
+	case existing != nil && !record.owned: // it came to both, and is this one's own
+		c.acceptDuplicate(d, existing, h.sequence)
+		c.replyToHandoff(n, shardmap.CustodyTaken)
 		return
-	case known.acceptedUpTo >= o.sequence || known.owned:
-		h.replyToHandoff(n, shardmap.CustodyTaken)
+	case record.acceptedUpTo >= h.sequence || record.owned:
+		c.replyToHandoff(n, shardmap.CustodyTaken)
 		return
-	case known.deniedUpTo >= o.sequence:
-		h.rejectHandoff(n, shardmap.CustodyNever)
+	case record.deniedUpTo >= h.sequence:
+		c.rejectHandoff(n, shardmap.CustodyNever)
 		return
 	}
-	admission, told := d.member.admitKey(d.localMember(), h.keyHashes[dest], o.decision.Version)
-	o.admission, o.redirect = admission, told
-	o.bufferFull = admission == shardmap.AdmissionAccepted && d.openWebhooks >= h.simulation.scenario.Dispatchers.BufferSize
-	if admission != shardmap.AdmissionAccepted || o.bufferFull || h.simulation.now >= h.simulation.requests[o.webhook.request].deadline {
-		if o.bufferFull && o.fromClient {
-			h.simulation.Bus.Emit(event.Event{At: h.simulation.now, Kind: event.BufferFull, Dispatcher: d.number,
-				Request: event.RequestID(o.webhook.request), Destination: dest, EventType: h.simulation.requests[o.webhook.request].eventType})
+	admission, told := d.member.admitKey(d.localMember(), c.keyHashes[dest], h.decision.Version)
+	h.admission, h.redirect = admission, told
+	h.bufferFull = admission == shardmap.AdmissionAccepted && d.openWebhooks >= c.sim.scenario.Dispatchers.BufferSize
+	if admission != shardmap.AdmissionAccepted || h.bufferFull || c.sim.now >= c.sim.requests[h.webhook.request].deadline {
+		if h.bufferFull && h.fromClient {
+			c.sim.Bus.Emit(event.Event{At: c.sim.now, Kind: event.BufferFull, Dispatcher: d.number,
+				Request: event.RequestID(h.webhook.request), Destination: dest, EventType: c.sim.requests[h.webhook.request].eventType})
 		}
-		h.rejectHandoff(n, shardmap.CustodyNever)
+		c.rejectHandoff(n, shardmap.CustodyNever)
 		return
 	}
-	o.admission = 0
-	if o.accepted = true; !o.fromClient || o.keptLocally {
-		h.countCopy(o.webhook.request)
+	h.admission = 0
+	if h.accepted = true; !h.fromClient || h.keptLocally {
+		c.countCopy(h.webhook.request)
 	}
-	d.enqueueAcceptance(&webhook{id: id, request: o.webhook.request, attempts: o.webhook.attempts, mayHaveRunAt: o.webhook.mayHaveRunAt, zone: o.webhook.zone,
-		call: -1, custodyState: custodyState{inDoubtHandoff: noHandoff, receivedAt: h.simulation.now}}, n)
-	if h.behavior.acknowledgesEarly {
-		h.replyToHandoff(n, shardmap.CustodyTaken)
+	d.enqueueAcceptance(&webhook{id: id, request: h.webhook.request, attempts: h.webhook.attempts, mayHaveRunAt: h.webhook.mayHaveRunAt, zone: h.webhook.zone,
+		call: -1, custodyState: custodyState{inDoubtHandoff: noHandoff, receivedAt: c.sim.now}}, n)
+	if c.behavior.acknowledgesEarly {
+		c.replyToHandoff(n, shardmap.CustodyTaken)
 	}
 }
 
 // countCopy counts one more copy of a webhook, of which the first may have ended.
-func (h *clusterState) countCopy(n int32) {
-	o := &h.simulation.requests[n]
-	if o.copies == 0 {
-		h.simulation.openRequests++
+func (c *clusterState) countCopy(n int32) {
+	request := &c.sim.requests[n]
+	if request.copies == 0 {
+		c.sim.openRequests++
 	}
-	o.copies++
+	request.copies++
 }
 
 // acceptDuplicate notes that what another sent is here already.
-func (h *clusterState) acceptDuplicate(d *dispatcher, here *webhook, by uint32) {
-	d.member.handoffRecords[here.id] = handoffRecord{acceptedUpTo: by, owned: true}
-	h.simulation.Bus.Emit(h.simulation.webhookEvent(event.HandoffAccepted, d, here, event.Event{}))
+func (c *clusterState) acceptDuplicate(d *dispatcher, existing *webhook, by uint32) {
+	d.member.handoffRecords[existing.id] = handoffRecord{acceptedUpTo: by, owned: true}
+	c.sim.Bus.Emit(c.sim.webhookEvent(event.HandoffAccepted, d, existing, event.Event{}))
 	d.enqueue(notification{kind: notifyOwnership})
 }
 
-func (b *memberState) admitKey(who shardmap.LocalMember, key cluster.KeyHash,
+func (ms *memberState) admitKey(who shardmap.LocalMember, key cluster.KeyHash,
 	by cluster.Version) (shardmap.Admission, shardmap.Decision) {
-	if b.shardMap == nil {
+	if ms.shardMap == nil {
 		return shardmap.AdmissionMapStale, shardmap.Decision{}
 	}
-	return b.shardMap.AdmitKey(who, key, by)
+	return ms.shardMap.AdmitKey(who, key, by)
 }
 
 // rejectHandoff notes that an offer is not taken by this try and never will be, and says so.
-func (h *clusterState) rejectHandoff(n int32, reply shardmap.CustodyReply) {
-	o := &h.handoffs[n]
-	if o.failed = true; o.orphaned {
-		h.simulation.closeCopy(o.webhook.request)
+func (c *clusterState) rejectHandoff(n int32, reply shardmap.CustodyReply) {
+	h := &c.handoffs[n]
+	if h.failed = true; h.orphaned {
+		c.sim.closeCopy(h.webhook.request)
 	}
-	h.replyToHandoff(n, reply)
+	c.replyToHandoff(n, reply)
 }
 
-func (h *clusterState) replyToHandoff(n int32, reply shardmap.CustodyReply) {
-	o := &h.handoffs[n]
-	o.reply = reply
-	if !h.isMessageLost() {
-		h.simulation.schedule(h.messageDelay(h.simulation.dispatchers[o.to].zone, h.simulation.dispatchers[o.from].zone), scheduledEvent{kind: evHandoffReply, subject: n})
+func (c *clusterState) replyToHandoff(n int32, reply shardmap.CustodyReply) {
+	h := &c.handoffs[n]
+	h.reply = reply
+	if !c.isMessageLost() {
+		c.sim.schedule(c.messageDelay(c.sim.dispatchers[h.to].zone, c.sim.dispatchers[h.from].zone), scheduledEvent{kind: evHandoffReply, subject: n})
 	}
 }
 
@@ -164,9 +164,9 @@
 func (d *dispatcher) acceptPersisted(w *webhook, by int32) {
 	w.persisted = true
 	if by != noHandoff {
-		o := &d.m.cluster.handoffs[by]
-		d.member.handoffRecords[w.id] = handoffRecord{acceptedUpTo: o.sequence, owned: true}
-		d.m.Bus.Emit(d.m.webhookEvent(event.HandoffAccepted, d, w, event.Event{Attempt: w.attempts}))
+		h := &d.sim.cluster.handoffs[by]
+		d.member.handoffRecords[w.id] = handoffRecord{acceptedUpTo: h.sequence, owned: true}
+		d.sim.Bus.Emit(d.sim.webhookEvent(event.HandoffAccepted, d, w, event.Event{Attempt: w.attempts}))
 		w.unacknowledged = true
 		d.member.acknowledgements = append(d.member.acknowledgements, by)
 	}
@@ -179,19 +179,19 @@
 		return
 	}
 	for _, n := range d.member.acknowledgements {
-		if w := d.webhooks[d.m.cluster.handoffs[n].webhook.id]; w != nil {
+		if w := d.webhooks[d.sim.cluster.handoffs[n].webhook.id]; w != nil {
 			w.unacknowledged = false
 		}
-		d.m.cluster.replyToHandoff(n, shardmap.CustodyTaken)
+		d.sim.cluster.replyToHandoff(n, shardmap.CustodyTaken)
 	}
 	d.member.acknowledgements = d.member.acknowledgements[:0]
 }
 
 // dropUnaccepted is an offer that was in the inbox of a dispatcher that dies: its sender still has it.
-func (h *clusterState) dropUnaccepted(d *dispatcher, n notification) {
-	o := &h.handoffs[n.handoff]
+func (c *clusterState) dropUnaccepted(d *dispatcher, n notification) {
+	h := &c.handoffs[n.handoff]
 	delete(d.webhooks, n.id)
-	if o.accepted, o.failed = false, true; o.keptLocally || !o.fromClient || o.orphaned {
-		h.simulation.closeCopy(o.webhook.request)
+	if h.accepted, h.failed = false, true; h.keptLocally || !h.fromClient || h.orphaned {
+		c.sim.closeCopy(h.webhook.request)
 	}
 }
--- a/sim/engine/handoff_sender.go
+++ b/sim/engine/handoff_sender.go
@@ -6,67 +6,67 @@
 )
 
 // handleHandoffReply is an answer at the sender.
-func (h *clusterState) handleHandoffReply(n int32) {
-	o := &h.handoffs[n]
-	d := &h.simulation.dispatchers[o.from]
-	if o.answered || !d.up || d.incarnation != o.senderIncarnation {
+func (c *clusterState) handleHandoffReply(n int32) {
+	h := &c.handoffs[n]
+	d := &c.sim.dispatchers[h.from]
+	if h.answered || !d.up || d.incarnation != h.senderIncarnation {
 		return
 	}
-	if d.pausedUntil > h.simulation.now {
-		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffReply, subject: n})
+	if d.pausedUntil > c.sim.now {
+		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffReply, subject: n})
 		return
 	}
-	o.answered = true
+	h.answered = true
 	delete(d.member.clientHandoffs, n)
 	switch {
-	case o.reply == shardmap.CustodyTaken && o.fromClient:
-		h.simulation.Bus.Emit(h.simulation.webhookEvent(event.HandoffAcknowledged, d, o.webhook, event.Event{Peer: o.to}))
-	case !o.fromClient && (!o.webhook.handingOff || o.webhook.handoff != n): // settled by another message
-	case o.reply == shardmap.CustodyTaken:
-		h.releaseWebhook(d, o.webhook, o.to)
-	case shardmap.ShouldFollowRedirect(o.decision, o.redirect, o.admission, o.hops) && o.redirect.Owner != d.member.name:
-		next := o.redirect
+	case h.reply == shardmap.CustodyTaken && h.fromClient:
+		c.sim.Bus.Emit(c.sim.webhookEvent(event.HandoffAcknowledged, d, h.webhook, event.Event{Peer: h.to}))
+	case !h.fromClient && (!h.webhook.handingOff || h.webhook.handoff != n): // settled by another message
+	case h.reply == shardmap.CustodyTaken:
+		c.releaseWebhook(d, h.webhook, h.to)
+	case shardmap.ShouldFollowRedirect(h.decision, h.redirect, h.admission, h.hops) && h.redirect.Owner != d.member.name:
+		next := h.redirect
 		next.Action = shardmap.Forward
-		h.sendHandoff(d, o.webhook, next, o.hops+1, o.fromClient)
-	case !o.fromClient:
-		o.webhook.handingOff = false
+		c.sendHandoff(d, h.webhook, next, h.hops+1, h.fromClient)
+	case !h.fromClient:
+		h.webhook.handingOff = false
 		d.enqueue(notification{kind: notifyOwnership})
-	case o.bufferFull: // its home's buffer is: its client is told so
-		h.simulation.scheduleResubmission(o.webhook.request, 0)
+	case h.bufferFull: // its home's buffer is: its client is told so
+		c.sim.scheduleResubmission(h.webhook.request, 0)
 	default:
-		h.acceptLocally(n, noHandoff)
+		c.acceptLocally(n, noHandoff)
 	}
 }
 
 // handleHandoffTimeout is a sender that waits no more: the home may have the webhook or not.
-func (h *clusterState) handleHandoffTimeout(n int32) {
-	o := &h.handoffs[n]
-	d := &h.simulation.dispatchers[o.from]
-	if o.answered || !d.up || d.incarnation != o.senderIncarnation {
+func (c *clusterState) handleHandoffTimeout(n int32) {
+	h := &c.handoffs[n]
+	d := &c.sim.dispatchers[h.from]
+	if h.answered || !d.up || d.incarnation != h.senderIncarnation {
 		return
 	}
-	if d.pausedUntil > h.simulation.now {
-		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffTimeout, subject: n})
+	if d.pausedUntil > c.sim.now {
+		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evHandoffTimeout, subject: n})
 		return
 	}
-	o.answered = true
+	h.answered = true
 	delete(d.member.clientHandoffs, n)
-	if o.fromClient {
-		h.acceptLocally(n, n)
-	} else if d.webhooks[o.webhook.id] == o.webhook && o.webhook.handingOff && o.webhook.handoff == n {
-		o.webhook.inDoubtHandoff = n
+	if h.fromClient {
+		c.acceptLocally(n, n)
+	} else if d.webhooks[h.webhook.id] == h.webhook && h.webhook.handingOff && h.webhook.handoff == n {
+		h.webhook.inDoubtHandoff = n
 	}
 }
 
 // acceptLocally takes a client's webhook on where it came in.
-func (h *clusterState) acceptLocally(n, doubt int32) {
-	o := &h.handoffs[n]
-	if h.simulation.dispatchers[o.from].webhooks[o.webhook.id] != nil {
+func (c *clusterState) acceptLocally(n, doubt int32) {
+	h := &c.handoffs[n]
+	if c.sim.dispatchers[h.from].webhooks[h.webhook.id] != nil {
 		return // its home has passed it on meanwhile, to here
 	}
-	if o.keptLocally = true; o.accepted {
-		h.countCopy(o.webhook.request)
+	if h.keptLocally = true; h.accepted {
+		c.countCopy(h.webhook.request)
 	}
-	o.webhook.inDoubtHandoff, o.webhook.handingOff = doubt, false
-	h.simulation.dispatchers[o.from].enqueueAcceptance(o.webhook, noHandoff)
+	h.webhook.inDoubtHandoff, h.webhook.handingOff = doubt, false
+	c.sim.dispatchers[h.from].enqueueAcceptance(h.webhook, noHandoff)
 }
--- a/sim/engine/lease_messages.go
+++ b/sim/engine/lease_messages.go
@@ -21,146 +21,146 @@
 }
 
 // newLeaseMessage puts together what a dispatcher says to the keeper now.
-func (h *clusterState) newLeaseMessage(d *dispatcher) int32 {
-	a := h.pendingLeaseMessage(d)
-	a.renewal = d.member.leases.StartRenewal(h.simulation.now)
-	h.leaseMessages = append(h.leaseMessages, a)
-	return int32(len(h.leaseMessages) - 1)
+func (c *clusterState) newLeaseMessage(d *dispatcher) int32 {
+	message := c.pendingLeaseMessage(d)
+	message.renewal = d.member.leases.StartRenewal(c.sim.now)
+	c.leaseMessages = append(c.leaseMessages, message)
+	return int32(len(c.leaseMessages) - 1)
 }
 
-func (h *clusterState) pendingLeaseMessage(d *dispatcher) leaseMessage {
-	b, now := d.member, h.simulation.now
-	a := leaseMessage{from: d.number, incarnation: b.incarnation, session: b.leases.Session()}
-	for _, r := range b.rangesToOwn() {
-		switch epoch, held := b.leases.Epoch(cluster.RangeOwnerResource(r.ID), now); {
+func (c *clusterState) pendingLeaseMessage(d *dispatcher) leaseMessage {
+	ms, now := d.member, c.sim.now
+	message := leaseMessage{from: d.number, incarnation: ms.incarnation, session: ms.leases.Session()}
+	for _, r := range ms.rangesToOwn() {
+		switch epoch, held := ms.leases.Epoch(cluster.RangeOwnerResource(r.ID), now); {
 		case !held:
-			a.resources = append(a.resources, cluster.RangeOwnerResource(r.ID))
+			message.resources = append(message.resources, cluster.RangeOwnerResource(r.ID))
 		case epoch > r.Epoch:
-			a.confirmedRanges, a.epochs = append(a.confirmedRanges, r), append(a.epochs, epoch)
+			message.confirmedRanges, message.epochs = append(message.confirmedRanges, r), append(message.epochs, epoch)
 		}
 	}
-	return a
+	return message
 }
 
 // rangesToOwn are the ranges that the map names a member home of.
-func (b *memberState) rangesToOwn() (mine []shardmap.Range) {
-	if b.shardMap == nil {
+func (ms *memberState) rangesToOwn() (mine []shardmap.Range) {
+	if ms.shardMap == nil {
 		return nil
 	}
-	if b.ownRangesVersion != b.shardMap.Version {
-		b.ownRangesVersion, b.ownRanges = b.shardMap.Version, nil
-		for _, r := range b.shardMap.Ranges {
-			if r.ShouldAcquire(b.name) {
-				b.ownRanges = append(b.ownRanges, r)
+	if ms.ownRangesVersion != ms.shardMap.Version {
+		ms.ownRangesVersion, ms.ownRanges = ms.shardMap.Version, nil
+		for _, r := range ms.shardMap.Ranges {
+			if r.ShouldAcquire(ms.name) {
+				ms.ownRanges = append(ms.ownRanges, r)
 			}
 		}
 	}
-	return b.ownRanges
+	return ms.ownRanges
 }
 
 // updateMap has a dispatcher take a newer map, and act on it.
-func (h *clusterState) updateMap(d *dispatcher, c *shardmap.Map) {
-	if !d.member.updateMap(c) {
+func (c *clusterState) updateMap(d *dispatcher, newer *shardmap.Map) {
+	if !d.member.updateMap(newer) {
 		return
 	}
 	d.enqueue(notification{kind: notifyOwnership})
-	h.scheduleParkedReview(d, 0)
-	if a := h.pendingLeaseMessage(d); len(a.resources)+len(a.confirmedRanges) > 0 {
-		h.renewSession(d)
+	c.scheduleParkedReview(d, 0)
+	if message := c.pendingLeaseMessage(d); len(message.resources)+len(message.confirmedRanges) > 0 {
+		c.renewSession(d)
 	}
 }
 
 // renewSession asks the keeper, and again when that is due.
-func (h *clusterState) renewSession(d *dispatcher) {
-	n := h.newLeaseMessage(d)
-	if !h.isMessageLost() {
-		h.simulation.schedule(h.messageDelay(d.zone, h.leaderZone()), scheduledEvent{kind: evLeaseMessage, subject: n})
+func (c *clusterState) renewSession(d *dispatcher) {
+	n := c.newLeaseMessage(d)
+	if !c.isMessageLost() {
+		c.sim.schedule(c.messageDelay(d.zone, c.leaderZone()), scheduledEvent{kind: evLeaseMessage, subject: n})
 	}
-	h.scheduleRenewal(d)
+	c.scheduleRenewal(d)
 }
 
-func (h *clusterState) scheduleRenewal(d *dispatcher) {
-	b := d.member
-	in := max(b.leases.NextRenewalAt()-h.simulation.now, 1)
-	if b.renewAt <= h.simulation.now || h.simulation.now+in < b.renewAt {
-		b.renewAt = h.simulation.now + in
-		h.simulation.schedule(in, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
+func (c *clusterState) scheduleRenewal(d *dispatcher) {
+	ms := d.member
+	in := max(ms.leases.NextRenewalAt()-c.sim.now, 1)
+	if ms.renewAt <= c.sim.now || c.sim.now+in < ms.renewAt {
+		ms.renewAt = c.sim.now + in
+		c.sim.schedule(in, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
 	}
 }
 
 // handleLeaseMessage is an ask at the keeper, or its answer at the dispatcher.
-func (h *clusterState) handleLeaseMessage(n int32, back bool) {
-	a := &h.leaseMessages[n]
-	d, granted := &h.simulation.dispatchers[a.from], len(a.granted) > 0
+func (c *clusterState) handleLeaseMessage(n int32, back bool) {
+	message := &c.leaseMessages[n]
+	d, granted := &c.sim.dispatchers[message.from], len(message.granted) > 0
 	switch {
 	case !back:
-		h.processLeaseMessage(a)
-		if !h.isMessageLost() {
-			h.simulation.schedule(h.messageDelay(h.leaderZone(), d.zone), scheduledEvent{kind: evLeaseMessage, subject: n, detail: 1})
+		c.processLeaseMessage(message)
+		if !c.isMessageLost() {
+			c.sim.schedule(c.messageDelay(c.leaderZone(), d.zone), scheduledEvent{kind: evLeaseMessage, subject: n, detail: leaseReply})
 		}
-	case !d.up || a.incarnation != d.member.incarnation:
-	case d.pausedUntil > h.simulation.now:
-		h.simulation.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evLeaseMessage, subject: n, detail: 1})
+	case !d.up || message.incarnation != d.member.incarnation:
+	case d.pausedUntil > c.sim.now:
+		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evLeaseMessage, subject: n, detail: leaseReply})
 	default:
-		h.applyLeaseReply(d, a)
-		h.updateMap(d, h.publishedMaps[len(h.publishedMaps)-1])
+		c.applyLeaseReply(d, message)
+		c.updateMap(d, c.publishedMaps[len(c.publishedMaps)-1])
 		if granted { // it may say so at once
-			h.renewSession(d)
+			c.renewSession(d)
 		}
-		h.scheduleRenewal(d)
+		c.scheduleRenewal(d)
 	}
 }
 
 // exchangeAtStart is an ask, its answer and the grants' seats at one moment: the fleet's start.
-func (h *clusterState) exchangeAtStart(d *dispatcher, n int32) {
+func (c *clusterState) exchangeAtStart(d *dispatcher, n int32) {
 	for range 2 {
-		a := &h.leaseMessages[n]
-		h.processLeaseMessage(a)
-		h.applyLeaseReply(d, a)
-		n = h.newLeaseMessage(d)
+		message := &c.leaseMessages[n]
+		c.processLeaseMessage(message)
+		c.applyLeaseReply(d, message)
+		n = c.newLeaseMessage(d)
 	}
-	h.processLeaseMessage(&h.leaseMessages[n])
-	h.applyLeaseReply(d, &h.leaseMessages[n])
+	c.processLeaseMessage(&c.leaseMessages[n])
+	c.applyLeaseReply(d, &c.leaseMessages[n])
 }
 
 // processLeaseMessage is the keeper's part. A session is opened or renewed, tasks are granted, seats noted.
-func (h *clusterState) processLeaseMessage(a *leaseMessage) {
-	name, now := h.candidates[a.from].Member, h.simulation.now
-	if a.session == 0 {
-		o, _ := h.proposeLease(lease.OpenSession(name, a.incarnation))
-		a.session = o.Session
-		a.rejected = !h.expiry.AddOrRenew(a.session, now)
+func (c *clusterState) processLeaseMessage(message *leaseMessage) {
+	name, now := c.candidates[message.from].Member, c.sim.now
+	if message.session == 0 {
+		o, _ := c.proposeLease(lease.OpenSession(name, message.incarnation))
+		message.session = o.Session
+		message.rejected = !c.expiry.AddOrRenew(message.session, now)
 	} else {
-		a.rejected = !h.expiry.Renew(a.session, now)
+		message.rejected = !c.expiry.Renew(message.session, now)
 	}
-	if a.rejected {
+	if message.rejected {
 		return
 	}
-	if len(a.resources) > 0 {
-		g, _ := h.proposeLease(lease.AcquireLeases(a.session, a.resources...))
-		a.granted = g.Grants
+	if len(message.resources) > 0 {
+		g, _ := c.proposeLease(lease.AcquireLeases(message.session, message.resources...))
+		message.granted = g.Grants
 	}
 	changed := false
-	for i, r := range a.confirmedRanges {
-		changed = h.propose(shardmap.ConfirmOwner(r.ID, name, a.epochs[i], h.shardMap.Version)) != nil || changed
+	for i, r := range message.confirmedRanges {
+		changed = c.propose(shardmap.ConfirmOwner(r.ID, name, message.epochs[i], c.shardMap.Version)) != nil || changed
 	}
-	if changed && !h.settingUp {
-		h.publishMap()
+	if changed && !c.settingUp {
+		c.publishMap()
 	}
 }
 
-func (h *clusterState) applyLeaseReply(d *dispatcher, a *leaseMessage) {
-	b := d.member
-	if a.rejected {
-		b.leases.HandleRejection(a.session)
-	} else if b.leases.ConfirmRenewal(a.renewal, a.session) {
-		for _, g := range a.granted {
-			b.leases.AddGrant(a.session, g)
+func (c *clusterState) applyLeaseReply(d *dispatcher, message *leaseMessage) {
+	ms := d.member
+	if message.rejected {
+		ms.leases.HandleRejection(message.session)
+	} else if ms.leases.ConfirmRenewal(message.renewal, message.session) {
+		for _, g := range message.granted {
+			ms.leases.AddGrant(message.session, g)
 		}
 	}
-	if b.leases.IsValid(h.simulation.now) != (b.leaseLostAt == never) {
-		if b.leaseLostAt = h.simulation.now; b.leases.IsValid(h.simulation.now) {
-			b.leaseLostAt = never
+	if ms.leases.IsValid(c.sim.now) != (ms.leaseLostAt == never) {
+		if ms.leaseLostAt = c.sim.now; ms.leases.IsValid(c.sim.now) {
+			ms.leaseLostAt = never
 		}
 		if d.up {
 			d.enqueue(notification{kind: notifyOwnership})
--- a/sim/engine/notification.go
+++ b/sim/engine/notification.go
@@ -7,9 +7,9 @@
 	"rowanlink/webhook/api"
 )
 
-// notification is what waits for the next turn.
+// notification is input for a dispatcher's policy that waits for the next iteration. Its kind tells which fields apply.
 type notification struct {
-	kind       uint8
+	kind       notificationKind
 	id         api.WebhookID
 	endpoint   api.EndpointID
 	outcome    api.Outcome
@@ -18,11 +18,21 @@
 	retryAfter api.Micros
 	timer      api.TimerID
 	endpoints  []api.EndpointEntry
-	complete   bool
-	handoff    int32 // by which a webhook was sent here, or none
+	complete   bool  // endpoints are the complete list
+	handoff    int32 // by which a webhook was received, or noHandoff
 }
 
-// deliverQueuedEndpoints tells the module of the list that waits.
+type notificationKind uint8
+
+const (
+	notifyAcceptance notificationKind = iota // a webhook was accepted
+	notifyOutcome                            // an attempt ended
+	notifyTimer                              // a timer of the policy fired
+	notifyEndpoints                          // endpoints changed
+	notifyOwnership                          // the shard map or the leases changed
+)
+
+// deliverQueuedEndpoints delivers the endpoint changes in the inbox ahead of the next iteration.
 func (d *dispatcher) deliverQueuedEndpoints() {
 	d.inbox = slices.DeleteFunc(d.inbox, func(n notification) bool {
 		if n.kind == notifyEndpoints {
@@ -33,24 +43,38 @@
 }
 
 func (d *dispatcher) updateEndpoints(n notification) {
-	if d.m.Bus.HasSubscribers(event.EndpointUpdated) {
+	if d.sim.Bus.HasSubscribers(event.EndpointUpdated) {
 		for _, e := range n.endpoints {
-			if e.Status != api.EndpointActive || !n.complete {
-				d.m.Bus.Emit(event.Event{At: d.m.now, Kind: event.EndpointUpdated, Dispatcher: d.number, Endpoint: e.Endpoint,
-					Destination: e.Destination, Status: e.Status})
+			if n.complete && e.Status == api.EndpointActive {
+				continue
 			}
+			d.sim.Bus.Emit(event.Event{
+				At:          d.sim.now,
+				Kind:        event.EndpointUpdated,
+				Dispatcher:  d.number,
+				Endpoint:    e.Endpoint,
+				Destination: e.Destination,
+				Status:      e.Status,
+			})
 		}
 	}
 	d.policy.UpdateEndpoints(d.scaleRates(n.endpoints), n.complete)
 }
 
-// webhookEvent is an event that concerns a webhook.
-func (m *Simulation) webhookEvent(what event.Kind, d *dispatcher, h *webhook, e event.Event) event.Event {
-	o := &m.requests[h.request]
-	e.At, e.Kind, e.Dispatcher, e.Webhook, e.Request = m.now, what, d.number, h.id, event.RequestID(h.request)
-	e.EventType, e.Destination, e.OrderingKey, e.Deadline = o.eventType, o.destination, o.orderingKey, o.deadline
+// webhookEvent fills in the fields of an event that identify a webhook.
+func (m *Simulation) webhookEvent(kind event.Kind, d *dispatcher, w *webhook, e event.Event) event.Event {
+	request := &m.requests[w.request]
+	e.At = m.now
+	e.Kind = kind
+	e.Dispatcher = d.number
+	e.Webhook = w.id
+	e.Request = event.RequestID(w.request)
+	e.EventType = request.eventType
+	e.Destination = request.destination
+	e.OrderingKey = request.orderingKey
+	e.Deadline = request.deadline
 	if e.Route == 0 {
-		e.Route = event.Route(m.destinations[o.destination].route)
+		e.Route = event.Route(m.destinations[request.destination].route)
 	}
 	return e
 }
--- a/sim/engine/scenario.go
+++ b/sim/engine/scenario.go
@@ -1,49 +1,50 @@
-// Package engine is a model of what rowanlink balances: destinations with limits, queues and outages, the
-// dispatchers that call them, and the clients that hand webhooks in. It plays one scenario in simulated whole
-// microseconds round unchanged decision modules, which it hosts through gateway.Module and gateway.Host.
+// Package engine is a discrete-event simulator of what the webhook dispatcher balances: destinations with limits, queues
+// and outages, the dispatchers that call them, and the clients that submit webhooks. It runs one Scenario in simulated
+// time, in whole microseconds, with the unchanged decision policies as api.Policy, and is their api.Host.
 //
-// One run is one goroutine and depends on nothing but the scenario, its seed and the module: the same events
-// in the same order, to the bit. docs/simulator.md says what the model leaves out.
+// A run is one goroutine and depends on nothing but the scenario, its seed and the policy: the same input gives the same
+// events in the same order. docs/simulator.md tells what the simulator leaves out.
 package engine
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"rowanlink/webhook/api"
 )
 
-// Duration is a time in a scenario, written like "250ms".
+// Duration is a time span of a scenario in microseconds, written like "250ms" in a file.
 type Duration api.Micros
 
-// UnmarshalText reads a Go duration; what is finer than a microsecond or negative is an error.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
+const maxDuration = 24 * time.Hour
+
+// UnmarshalText reads a Go duration. One that is negative, over 24 hours or not of whole microseconds is an error.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no time: write it like \"250ms\" or \"1.5s\"", text)
 	}
-	if d < 0 || d%time.Microsecond != 0 || d > 24*time.Hour {
+	if parsed < 0 || parsed%time.Microsecond != 0 || parsed > maxDuration {
 		return fmt.Errorf("%q is not a time of whole microseconds from 0 to 24h", text)
 	}
-	*s = Duration(d / time.Microsecond)
+	*d = Duration(parsed / time.Microsecond)
 	return nil
 }
 
-// MarshalText writes it in the form that is read.
-func (s Duration) MarshalText() ([]byte, error) {
-	return []byte((time.Duration(s) * time.Microsecond).String()), nil
+// MarshalText writes the form that UnmarshalText reads.
+func (d Duration) MarshalText() ([]byte, error) {
+	return []byte((time.Duration(d) * time.Microsecond).String()), nil
 }
 
-func (s Duration) micros() api.Micros { return api.Micros(s) }
+func (d Duration) micros() api.Micros { return api.Micros(d) }
 
-// Scenario is one situation: who is there, what they do, and what goes wrong when.
+// Scenario is the input of a run: the dispatchers, clients and destinations, and the faults. The toml tags are the keys
+// of a scenario file.
 type Scenario struct {
 	Name     string   `toml:"name"`
 	About    string   `toml:"about,omitempty"`
 	Seed     uint64   `toml:"seed"`
-	Duration Duration `toml:"length"` // arrivals come for so long; the run goes on until all have their end
+	Duration Duration `toml:"length"` // of the arrivals; the run goes on until all webhooks are finished
 
 	Dispatchers      Dispatchers       `toml:"dispatchers"`
 	Clients          Clients           `toml:"clients"`
@@ -57,78 +58,86 @@
 	Ownership        Ownership         `toml:"homes,omitempty"`
 }
 
-// Ownership has each destination called by one dispatcher only, its home. Left out, each dispatcher has an even
-// part of each rate.
+// Ownership makes the dispatchers a cluster in which only the owner of a destination's range calls it. Without it, each
+// dispatcher calls all destinations with an even share of their rates.
 type Ownership struct {
-	LeaseTTL        Duration `toml:"term"`   // of a session: what a lost home had goes to another after it; 0: no homes
-	RangesPerMember int      `toml:"ranges"` // of key hashes, for each dispatcher
-	HopFactor       float64  `toml:"hop"`    // a message between dispatchers takes so many ways as one to an endpoint
-	LossRate        float64  `toml:"lost"`   // share of these messages that are lost
-	ClockDrift      float64  `toml:"apart"`  // by how much clocks may run apart, as a share
+	LeaseTTL        Duration `toml:"term"`   // of a session; ranges of a lost owner fail over after it. 0: no ownership
+	RangesPerMember int      `toml:"ranges"` // of key hashes
+	HopFactor       float64  `toml:"hop"`    // delay of a message between dispatchers over that to an endpoint
+	LossRate        float64  `toml:"lost"`   // share of the messages between dispatchers that are lost
+	ClockDrift      float64  `toml:"apart"`  // greatest difference between the rates of two clocks, as a share
 }
 
-// Dispatchers are all alike.
+// Dispatchers describes the dispatchers, which are all alike.
 type Dispatchers struct {
 	Count                int        `toml:"count"`
-	MaxConcurrentCalls   int        `toml:"slots"`           // calls out at once, each
-	BufferSize           int        `toml:"buffer"`          // webhooks held at once, each
-	MaxAttempts          int        `toml:"attempts"`        // of one webhook, at most
-	CanCancel            bool       `toml:"cancel"`          // they may call off what is out
-	MinIterationInterval Duration   `toml:"tick"`            // least time between two turns
-	ConnectTimeout       Duration   `toml:"connect_timeout"` //
-	IdleTimeout          Duration   `toml:"idle_limit"`      // idle connections are closed after it
-	MaxRetryAfter        Duration   `toml:"max_advice"`      // longest time to come back that a client is told
-	RatesListed          bool       `toml:"rates_stated"`    // the list states the rate of each destination
-	RateError            []Ratio    `toml:"rate_error"`      // stated over true rate, drawn for each destination
-	EndpointUpdateDelay  []Duration `toml:"list_delay"`      // from a change to when a dispatcher hears of it
-	StartupListAge       Duration   `toml:"start_stale"`     // a list at start is so old
-	LoadSkew             float64    `toml:"front_skew"`      // 0: even; 0.9: the first gets 19 times what the last gets
+	MaxConcurrentCalls   int        `toml:"slots"`    // of each dispatcher
+	BufferSize           int        `toml:"buffer"`   // webhooks at once, of each dispatcher
+	MaxAttempts          int        `toml:"attempts"` // of one webhook
+	CanCancel            bool       `toml:"cancel"`   // attempts in flight can be cancelled
+	MinIterationInterval Duration   `toml:"tick"`     // between two iterations of a dispatcher's event loop
+	ConnectTimeout       Duration   `toml:"connect_timeout"`
+	IdleTimeout          Duration   `toml:"idle_limit"`   // of connections
+	MaxRetryAfter        Duration   `toml:"max_advice"`   // that a rejected client is given
+	RatesListed          bool       `toml:"rates_stated"` // the endpoint list states the rate of each destination
+	RateError            []Ratio    `toml:"rate_error"`   // [from, to]: stated over true rate, random for each destination
+	EndpointUpdateDelay  []Duration `toml:"list_delay"`   // [from, to]: from a change to its notification
+	StartupListAge       Duration   `toml:"start_stale"`  // of the endpoint list with which a dispatcher starts
+	LoadSkew             float64    `toml:"front_skew"`   // 0: even; 0.9: the first gets 19 times the load of the last
 }
 
-// Ratio is a plain number in a range.
+// Ratio is a number without a unit.
 type Ratio = float64
 
-// Clients hand webhooks in through a front that deals them out over dispatchers.
+// Clients submit webhooks through a load balancer that distributes them over the dispatchers.
 type Clients struct {
-	Rate                  float64    `toml:"rate"`  // webhooks a second, over all
-	Shape                 string     `toml:"curve"` // steady, wave, ramp or bursty
-	Amplitude             float64    `toml:"swing"` // of the rate, to both sides
-	Period                Duration   `toml:"period"`
-	DestinationSkew       float64    `toml:"skew"`    // the i-th busiest destination gets traffic in proportion to i^-skew
-	BurstShare            float64    `toml:"clumps"`  // share of webhooks that begin a clump for one destination
-	BurstSize             int        `toml:"clump"`   // webhooks in a clump
-	BurstDuration         Duration   `toml:"within"`  // a clump comes within this time
-	MaxResubmissions      int        `toml:"retries"` // how often a rejected webhook is handed in again
-	ResubmitDelay         []Duration `toml:"again"`   // first pause before that; each further one is twice as long
-	HonorRetryAfter       float64    `toml:"heed"`    // share of clients that wait as long as they are told to
-	FailureDetectionDelay Duration   `toml:"notice"`  // the front goes on dealing to a dead dispatcher for so long
+	Rate                  float64    `toml:"rate"`    // webhooks per second, in all
+	Shape                 string     `toml:"curve"`   // of the rate over time: steady, wave, ramp or bursty
+	Amplitude             float64    `toml:"swing"`   // of the rate, up and down, as a share
+	Period                Duration   `toml:"period"`  // of the wave
+	DestinationSkew       float64    `toml:"skew"`    // exponent of Zipf's law of traffic by destination
+	BurstShare            float64    `toml:"clumps"`  // share of arrivals that are a burst for one destination
+	BurstSize             int        `toml:"clump"`   // webhooks in a burst
+	BurstDuration         Duration   `toml:"within"`  // a burst arrives within this time
+	MaxResubmissions      int        `toml:"retries"` // of a rejected webhook
+	ResubmitDelay         []Duration `toml:"again"`   // [from, to] before the first; doubled for each further one
+	HonorRetryAfter       float64    `toml:"heed"`    // share of clients that wait as long as the rejection asks them to
+	FailureDetectionDelay Duration   `toml:"notice"`  // the load balancer sends to a dead dispatcher for so long
 }
 
-// Destinations are numbered by traffic, the busiest first.
+// The shapes of the arrival rate.
+const (
+	shapeSteady = "steady"
+	shapeWave   = "wave"
+	shapeRamp   = "ramp"
+	shapeBursty = "bursty"
+)
+
+// Destinations are numbered by traffic, that with the most first.
 type Destinations struct {
 	Count  int `toml:"count"`
-	Active int `toml:"busy"` // so many get traffic; 0: all
+	Active int `toml:"busy"` // so many have traffic; 0: all
 }
 
-// Network is one way, between a dispatcher and an endpoint.
+// Network gives the one-way delays between a dispatcher and an endpoint.
 type Network struct {
 	Zones          []string `toml:"zones"`
 	SameZoneDelay  Duration `toml:"same"`
 	CrossZoneDelay Duration `toml:"cross"`
-	Jitter         float64  `toml:"jitter"` // share of the way that varies by chance
+	Jitter         float64  `toml:"jitter"` // random part of a delay, up and down, as a share
 }
 
-// Thresholds are the figures that dispatchers are told and observers hold them to.
+// Thresholds are given to the dispatchers as settings, and the invariants are checked against them.
 type Thresholds struct {
-	SlowStartCapacity float64  `toml:"start_capacity"` // share that a destination back from an outage has at once
+	SlowStartCapacity float64  `toml:"start_capacity"` // share of its capacity that a destination has right after an outage
 	SlowStartDuration Duration `toml:"warm_after"`
-	OverloadFactor    float64  `toml:"fall_multiple"` // sent more than this times what it can take
-	OverloadDuration  Duration `toml:"tip_after"`     // for so long, it falls over
+	OverloadFactor    float64  `toml:"fall_multiple"` // load over capacity at which a destination that warms up collapses,
+	OverloadDuration  Duration `toml:"tip_after"`     // when it lasts so long
 	DrainGrace        Duration `toml:"drain_grace"`
 	OrderingGap       Duration `toml:"turn_gap"`
 }
 
-// EventType is a row of the table in which event types differ.
+// EventType describes a type of webhooks.
 type EventType struct {
 	Name          string   `toml:"name"`
 	Share         float64  `toml:"share"`
@@ -136,88 +145,53 @@
 	TTL           Duration `toml:"ttl"`
 	Value         float64  `toml:"value"`
 	LateValue     float64  `toml:"late_value"`
-	Semantics     string   `toml:"repeat"` // idempotent, tokened or at-most-once
+	Semantics     string   `toml:"repeat"` // idempotent, tokened (deduplicated by the endpoint) or at-most-once
 	DedupWindow   Duration `toml:"window,omitempty"`
 	DedupByZone   bool     `toml:"by_zone,omitempty"`
 	Ordered       bool     `toml:"ordered,omitempty"`
-	OrderingKeys  int      `toml:"keys,omitempty"` // distinct order keys
+	OrderingKeys  int      `toml:"keys,omitempty"` // distinct keys
 }
 
-// Tenant hands in a share of all webhooks and is allowed so many a second.
+// The delivery semantics of an event type.
+const (
+	semanticsIdempotent   = "idempotent"
+	semanticsDeduplicated = "tokened"
+	semanticsAtMostOnce   = "at-most-once"
+)
+
+// Tenant submits a share of all webhooks and has a rate of its own.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Rate  float64 `toml:"allowed"`
+	Rate  float64 `toml:"allowed"` // webhooks per second within its quota
 }
 
-// DestinationKind is a kind of destination.
+// DestinationKind describes a kind of destinations.
 type DestinationKind struct {
 	Name                   string     `toml:"name"`
 	Share                  float64    `toml:"share"`     // of the destinations
-	Endpoints              []int      `toml:"endpoints"` // from, to
-	ServiceTime            Duration   `toml:"answer"`    // mean time that a call is served for
-	ServiceTimeCV          float64    `toml:"spread"`    // its standard deviation over the mean
+	Endpoints              []int      `toml:"endpoints"` // [from, to] of each destination
+	ServiceTime            Duration   `toml:"answer"`    // mean
+	ServiceTimeCV          float64    `toml:"spread"`    // coefficient of variation
 	Limit                  string     `toml:"limit"`     // rate, window or none
 	LimitWindow            Duration   `toml:"window,omitempty"`
-	Headroom               float64    `toml:"headroom"`    // limit over the traffic that is meant for it
-	MinRate                float64    `toml:"least"`       // limit at the least, calls a second
-	SpareCapacity          float64    `toml:"spare"`       // what it could serve over its limit
-	QueueTime              Duration   `toml:"queue"`       // places to wait, as time of its limit
-	MaxConnections         int        `toml:"places"`      // connections that an endpoint takes, idle ones counted; 0: any
-	ReportsConnectionLimit bool       `toml:"places_told"` // one too many is answered so, not refused
-	CountsRejected         bool       `toml:"counts_refused"`
-	RetryAfterShare        float64    `toml:"tells_wait"` // share of refusals that tell a wait
-	RetryAfter             []Duration `toml:"wait"`
-	BatchSize              int        `toml:"batch"`
-	BatchItemCost          float64    `toml:"item_cost"` // each further webhook in a call, over the first one's time
-	SeparateRoutes         bool       `toml:"apart"`     // endpoints are routes apart
-}
-
-// Fault is one thing that goes wrong. Which of the fields count is told by its kind; see
-// docs/experiments.md.
-type Fault struct {
-	Kind     string   `toml:"kind"`
-	At       Duration `toml:"at"`
-	Duration Duration `toml:"for"`
-
-	// Whom it strikes among destinations: the given numbers, the busiest so many, or a share by chance, with
-	// one zone or one kind as a further bound. One: a single endpoint of each.
-	Destinations    []int   `toml:"destinations,omitempty"`
-	Busiest         int     `toml:"busiest,omitempty"`
-	Share           float64 `toml:"share,omitempty"`
-	Zone            string  `toml:"zone,omitempty"`
-	DestinationKind string  `toml:"of_kind,omitempty"`
-	SingleEndpoint  bool    `toml:"one,omitempty"`
-	// And among dispatchers.
-	Dispatchers []int `toml:"dispatchers,omitempty"`
-
-	Magnitude       float64  `toml:"size,omitempty"`    // slow, burst: factor; the others: share; limit: what is left
-	Period          Duration `toml:"every,omitempty"`   // flap: down for half of it, up for the other half
-	DrainTime       Duration `toml:"drain,omitempty"`   // replace: from draining to gone
-	UpdateDelay     Duration `toml:"delay,omitempty"`   // list_late: so much longer until they hear of a change
-	StartupListAge  Duration `toml:"stale,omitempty"`   // kill, restart: the list at the next start is so old
-	Address         string   `toml:"address,omitempty"` // replace: new or same
-	KeepsState      bool     `toml:"journal,omitempty"` // kill: its folder is there at the next start
-	DuringIteration bool     `toml:"in_turn,omitempty"` // kill: in the next turn that takes a webhook on
-	Unresponsive    bool     `toml:"silent,omitempty"`  // down: connects are not refused but never come up
-}
-
-// faultNeeds says what each kind of trouble needs.
-var faultNeeds = map[string]FaultNeeds{
-	"down": {Endpoints: true}, "hang": {Endpoints: true}, "shut": {Endpoints: true},
-	"slow": {Endpoints: true, Magnitude: true}, "errors": {Endpoints: true, Magnitude: true, Share: true},
-	"resets": {Endpoints: true, Magnitude: true, Share: true}, "lost": {Endpoints: true, Magnitude: true, Share: true},
-	"flap": {Endpoints: true}, "replace": {Endpoints: true},
-	"limit": {Endpoints: true, Magnitude: true, Share: true},
-	"kill":  {Dispatchers: true}, "restart": {Dispatchers: true}, "freeze": {Dispatchers: true},
-	"list_late": {Dispatchers: true}, "burst": {Magnitude: true}, "hot": {Endpoints: true, Magnitude: true, Share: true},
+	Headroom               float64    `toml:"headroom"`       // limit over the expected traffic
+	MinRate                float64    `toml:"least"`          // the limit is at least this, calls per second
+	SpareCapacity          float64    `toml:"spare"`          // what it could serve over its limit
+	QueueTime              Duration   `toml:"queue"`          // capacity of the queue, as time at the limit's rate
+	MaxConnections         int        `toml:"places"`         // of an endpoint, with idle ones; 0: unlimited
+	ReportsConnectionLimit bool       `toml:"places_told"`    // a connection too many is answered so, not refused
+	CountsRejected         bool       `toml:"counts_refused"` // rejected calls count for the limit
+	RetryAfterShare        float64    `toml:"tells_wait"`     // share of the rejections that carry a Retry-After time
+	RetryAfter             []Duration `toml:"wait"`           // [from, to]
+	BatchSize              int        `toml:"batch"`          // webhooks in a call, at most
+	BatchItemCost          float64    `toml:"item_cost"`      // service time of each further webhook over that of the first
+	SeparateRoutes         bool       `toml:"apart"`          // each endpoint has its own limit and outages
 }
 
-// FaultNeeds says which fields of a trouble its kind asks for.
-type FaultNeeds struct{ Endpoints, Dispatchers, Magnitude, Share bool }
-
-// NeedsOf of a kind of trouble.
-func NeedsOf(kind string) FaultNeeds { return faultNeeds[kind] }
-
-// FaultKinds are the names of all kinds of trouble, in order.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(faultNeeds)) }
+// The kinds of limits of a destination.
+const (
+	limitRate   = "rate"   // token bucket
+	limitWindow = "window" // calls in a fixed window
+	limitNone   = "none"
+)
--- a/sim/engine/servers.go
+++ b/sim/engine/servers.go
@@ -77,31 +77,31 @@
 
 // updateServer changes what holds at the server behind an endpoint, and sees whether its route goes out or is back.
 func (m *Simulation) updateServer(e int32, change func(*server)) {
-	si := m.endpoints[e].server
-	s := &m.servers[si]
+	serverIndex := m.endpoints[e].server
+	s := &m.servers[serverIndex]
 	was := s.down > 0
 	change(s)
 	if s.down > 0 && !was {
-		m.crashServer(si)
+		m.crashServer(serverIndex)
 	}
 	m.updateOutage(m.endpoints[e].route)
 	if s.hung == 0 && s.down == 0 {
-		m.drainServerQueue(si)
+		m.drainServerQueue(serverIndex)
 	}
 }
 
 // crashServer ends the process: its connections break, and what it served or kept waiting is answered by no one.
-func (m *Simulation) crashServer(si int32) {
-	s := &m.servers[si]
+func (m *Simulation) crashServer(serverIndex int32) {
+	s := &m.servers[serverIndex]
 	s.epoch++
 	s.connections, s.serving, s.queue = 0, 0, s.queue[:0]
 	for i := range m.calls {
-		k := &m.calls[i]
-		if k.server != si || k.state == callFree {
+		c := &m.calls[i]
+		if c.server != serverIndex || c.state == callFree {
 			continue
 		}
-		if k.queuedOrServing || k.unanswerable {
-			k.queuedOrServing, k.serving = false, false
+		if c.queuedOrServing || c.unanswerable {
+			c.queuedOrServing, c.serving = false, false
 			m.respond(int32(i), api.ConnectionReset, 0)
 		}
 		m.releaseCall(int32(i))
@@ -109,8 +109,8 @@
 }
 
 // updateOutage notes whether a route is out: none of its listed endpoints does its work.
-func (m *Simulation) updateOutage(ri int32) {
-	r := &m.routes[ri]
+func (m *Simulation) updateOutage(routeIndex int32) {
+	r := &m.routes[routeIndex]
 	out := !slices.ContainsFunc(r.endpoints, func(e int32) bool {
 		return !m.endpoints[e].removed && !m.servers[m.endpoints[e].server].unavailable()
 	})
@@ -121,7 +121,7 @@
 	e := event.Event{
 		At:          m.now,
 		Kind:        event.OutageStarted,
-		Route:       event.Route(ri),
+		Route:       event.Route(routeIndex),
 		Destination: r.destination,
 		Weight:      r.rate,
 	}
@@ -137,37 +137,37 @@
 	return max(m.randomDelay(a, b, m.random), 1)
 }
 
-func (m *Simulation) randomDelay(a, b api.ZoneID, chance *rand.Rand) api.Micros {
+func (m *Simulation) randomDelay(a, b api.ZoneID, random *rand.Rand) api.Micros {
 	n := &m.scenario.Network
 	t := float64(n.SameZoneDelay)
 	if a != b {
 		t = float64(n.CrossZoneDelay)
 	}
-	return api.Micros(t * (1 + n.Jitter*(2*chance.Float64()-1)))
+	return api.Micros(t * (1 + n.Jitter*(2*random.Float64()-1)))
 }
 
 // newRandom is one source of chance; streams of one seed know nothing of each other.
 func newRandom(seed, number uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, number)) }
 
-func randomInRange[T ~int64 | ~float64](chance *rand.Rand, of []T) T {
-	return of[0] + T(float64(of[1]-of[0])*chance.Float64())
+func randomInRange[T ~int64 | ~float64](random *rand.Rand, of []T) T {
+	return of[0] + T(float64(of[1]-of[0])*random.Float64())
 }
 
 // selectTargets lists the endpoints that a trouble strikes, in their order.
-func (m *Simulation) selectTargets(t *Fault) (all []int32) {
-	chance := newRandom(m.scenario.Seed, 1000+uint64(t.At))
+func (m *Simulation) selectTargets(fault *Fault) (all []int32) {
+	random := newRandom(m.scenario.Seed, faultStreams+uint64(fault.At))
 	for i := range m.destinations {
 		d := &m.destinations[i]
-		named := slices.Contains(t.Destinations, i) || i < t.Busiest || t.Share > 0 && chance.Float64() < t.Share
-		anyone := len(t.Destinations) == 0 && t.Busiest == 0 && t.Share == 0
-		if !named && !anyone || t.DestinationKind != "" && d.kind.Name != t.DestinationKind {
+		named := slices.Contains(fault.Destinations, i) || i < fault.Busiest || fault.Share > 0 && random.Float64() < fault.Share
+		anyone := len(fault.Destinations) == 0 && fault.Busiest == 0 && fault.Share == 0
+		if !named && !anyone || fault.DestinationKind != "" && d.kind.Name != fault.DestinationKind {
 			continue
 		}
 		for _, e := range d.endpoints {
-			if m.endpoints[e].removed || t.Zone != "" && t.Zone != m.scenario.Network.Zones[m.endpoints[e].zone] {
+			if m.endpoints[e].removed || fault.Zone != "" && fault.Zone != m.scenario.Network.Zones[m.endpoints[e].zone] {
 				continue
 			}
-			if all = append(all, e); t.SingleEndpoint {
+			if all = append(all, e); fault.SingleEndpoint {
 				break
 			}
 		}
--- a/sim/engine/simulation.go
+++ b/sim/engine/simulation.go
@@ -9,16 +9,16 @@
 	"rowanlink/webhook/api"
 )
 
-// PolicyFactory makes a dispatcher's decision module.
+// PolicyFactory makes the policy of a dispatcher that starts.
 type PolicyFactory func(api.Settings, api.Host) api.Policy
 
-// Simulation is one run in progress.
+// Simulation is one run of a scenario.
 type Simulation struct {
 	Bus             event.Bus
-	EventCount      int           // handled so far
-	PeakQueueLength int           // most events that waited at once
-	PolicyTime      time.Duration // real time spent in the modules, where Clocked
-	// MeasurePolicyTime has each turn timed. It changes nothing in the run.
+	EventCount      int           // processed so far
+	PeakQueueLength int           // most events in the queue at once
+	PolicyTime      time.Duration // real time spent in policies, if MeasurePolicyTime
+	// MeasurePolicyTime turns on the measurement of PolicyTime. It doesn't change the run.
 	MeasurePolicyTime bool
 
 	scenario  *Scenario
@@ -26,118 +26,121 @@
 	now       api.Micros
 	queue     timerqueue.Queue[scheduledEvent]
 
-	random        *rand.Rand // ways, answer times, refusals: drawn in the order of events
-	arrivalRandom *rand.Rand // who hands in what and when: the same for every module
-	clientRandom  *rand.Rand // what clients do after a rejection
+	random        *rand.Rand // network delays, service times, rejections: in the order of events
+	arrivalRandom *rand.Rand // arrivals: the same for every policy
+	clientRandom  *rand.Rand // resubmissions and the load balancer
 
 	destinations       []destination
 	routes             []route
 	endpoints          []endpoint
 	servers            []server
-	destinationWeights []float64
+	destinationWeights []float64 // cumulative, of the traffic
 	initialEndpoints   []api.EndpointEntry
 	endpointChanges    []endpointChange
 
 	dispatchers   []dispatcher
 	calls         []call
-	freeCalls     []int32
+	freeCalls     []int32 // of calls, to be used again
 	requests      []clientRequest
 	lastWebhookID api.WebhookID
-	openRequests  int // origins that may still come to something
+	openRequests  int // that may still be delivered or rejected
 
-	eventTypeShares, tenantShares []float64 // cumulative shares
-	burstFactors                  []float64
-	hotSpots                      []hotSpot
-	rateFactor                    float64 // bursty: the factor that holds now
-	rateFactorUntil               api.Micros
+	eventTypeShares []float64 // cumulative
+	tenantShares    []float64 // cumulative
+	burstFactors    []float64
+	hotSpots        []hotSpot
+	rateFactor      float64 // of the bursty shape, at present
+	rateFactorUntil api.Micros
 
-	cluster *clusterState // nil: each dispatcher has an even part of each rate
+	cluster *clusterState // nil: without ownership of ranges
 
-	faultTargets map[int32][]int32 // by trouble
-	flapDown     map[int32]bool    // by trouble: down now
+	faultTargets map[int32][]int32 // endpoints, by fault
+	flapDown     map[int32]bool    // by fault
 }
 
+// hotSpot sends a share of all arrivals to some destinations.
 type hotSpot struct {
 	share        float64
 	destinations []api.DestinationID
 	fault        int32
 }
 
-// scheduledEvent is something due; gen guards against what it was meant for having ended meanwhile.
-type scheduledEvent struct {
-	kind            scheduledKind
-	generation      uint32
-	subject, detail int32
-}
-
-type scheduledKind uint8
-
+// The random streams of a run, by the number that is mixed with the scenario's seed. Dispatchers and faults have further
+// ones; see Run and selectTargets.
 const (
-	evArrive          scheduledKind = iota
-	evSubmit                        // a: origin, b: 1 the client gave the last answer up
-	evIteration                     // a: dispatcher
-	evTimer                         // a: dispatcher, b: timer
-	evEndpointUpdate                // a: dispatcher, b: changes known from now on
-	evConnect                       // a: call
-	evCallArrival                   // a: call
-	evCallServed                    // a: call
-	evResponse                      // a: call
-	evCallTimeout                   // a: call
-	evIdleTimeout                   // a: dispatcher, b: endpoint
-	evFaultStart                    // a: trouble
-	evFaultEnd                      // a: trouble
-	evFlap                          // a: trouble, b: 1 goes down
-	evEndpointRemoval               // a: endpoint, b: trouble
-	evKill                          // a: dispatcher, b: trouble
-	evStart                         // a: dispatcher
-	evHandoffArrival                // a: offer, at whom it was sent to
-	evHandoffReply                  // a: offer, back at its sender
-	evHandoffTimeout                // a: offer, its sender waits no more
-	evCustodyQuery                  // a: offer, b: 0 at whom it was sent to, else the reply, back at its sender
-	evParkedReview                  // a: dispatcher: what it has parked
-	evParkedExpiry                  // a: dispatcher, b: webhook
-	evLeaseRenewal                  // a: dispatcher
-	evLeaseMessage                  // a: ask, b: 0 at the keeper, 1 back
-	evExpiryScan                    // the keeper looks at terms
-	evMapUpdate                     // a: dispatcher, b: map
+	destinationStream = 1 + iota
+	engineStream
+	arrivalStream
+	clientStream
+	clusterStream
+
+	faultStreams      = 1000
+	dispatcherStreams = 1 << 32
 )
 
-// New sets a run up. The scenario must be complete and checked; it is not changed.
-func New(plan *Scenario, start PolicyFactory) *Simulation {
-	m := &Simulation{scenario: plan, newPolicy: start, random: newRandom(plan.Seed, 2), arrivalRandom: newRandom(plan.Seed, 3),
-		clientRandom: newRandom(plan.Seed, 4), rateFactor: 1}
+// New prepares a run. ApplyDefaults and Validate must have been called on the scenario, which is not changed.
+func New(scenario *Scenario, newPolicy PolicyFactory) *Simulation {
+	m := &Simulation{
+		scenario:      scenario,
+		newPolicy:     newPolicy,
+		random:        newRandom(scenario.Seed, engineStream),
+		arrivalRandom: newRandom(scenario.Seed, arrivalStream),
+		clientRandom:  newRandom(scenario.Seed, clientStream),
+		rateFactor:    1,
+	}
 	m.buildDestinations()
-	for _, e := range plan.EventTypes {
+	for _, e := range scenario.EventTypes {
 		m.eventTypeShares = append(m.eventTypeShares, e.Share)
 	}
-	for _, t := range plan.Tenants {
+	for _, t := range scenario.Tenants {
 		m.tenantShares = append(m.tenantShares, t.Share)
 	}
 	cumulate(m.eventTypeShares)
 	cumulate(m.tenantShares)
-	if plan.Ownership.LeaseTTL > 0 {
+	if scenario.Ownership.LeaseTTL > 0 {
 		m.cluster = newClusterState(m)
 	}
 	return m
 }
 
-func cumulate(of []float64) {
-	for i := 1; i < len(of); i++ {
-		of[i] += of[i-1]
+func cumulate(values []float64) {
+	for i := 1; i < len(values); i++ {
+		values[i] += values[i-1]
 	}
 }
 
-// schedule puts an event in so much later.
-func (m *Simulation) schedule(span api.Micros, e scheduledEvent) { m.queue.Add(int64(m.now+span), e) }
+// schedule adds an event after a delay.
+func (m *Simulation) schedule(delay api.Micros, e scheduledEvent) { m.queue.Add(int64(m.now+delay), e) }
 
-// Run plays the scenario to its end and returns how long that was in simulated time.
+// Run processes all events and returns the simulated time at the end. It may be called once.
 func (m *Simulation) Run() api.Micros {
+	m.startDispatchers()
+	for i := range m.scenario.Faults {
+		m.queue.Add(int64(m.scenario.Faults[i].At), scheduledEvent{kind: evFaultStart, subject: int32(i)})
+	}
+	m.schedule(m.nextInterarrival(), scheduledEvent{kind: evArrival})
+	arrivalsEnd, latest := m.scenario.Duration.micros(), m.latestEnd()
+	for {
+		at, ok := m.queue.Next()
+		finished := api.Micros(at) > arrivalsEnd && m.openRequests == 0
+		if !ok || api.Micros(at) > latest || finished {
+			return m.now
+		}
+		e, _ := m.queue.PopDue(at)
+		m.now = api.Micros(at)
+		m.EventCount++
+		m.PeakQueueLength = max(m.PeakQueueLength, m.queue.Len())
+		m.process(e)
+	}
+}
+
+func (m *Simulation) startDispatchers() {
 	m.dispatchers = make([]dispatcher, m.scenario.Dispatchers.Count)
 	for i := range m.dispatchers {
 		m.dispatchers[i] = dispatcher{
-			m:          m,
+			sim:        m,
 			number:     int32(i),
-			seedSource: newRandom(m.scenario.Seed, 1<<32+uint64(i)),
+			seedSource: newRandom(m.scenario.Seed, dispatcherStreams+uint64(i)),
 			weight:     1,
 		}
 		if n := len(m.dispatchers); n > 1 {
@@ -150,32 +153,21 @@
 	if m.cluster != nil {
 		m.cluster.start()
 	}
-	for i := range m.scenario.Faults {
-		m.queue.Add(int64(m.scenario.Faults[i].At), scheduledEvent{kind: evFaultStart, subject: int32(i)})
-	}
-	m.schedule(m.nextInterarrival(), scheduledEvent{kind: evArrive})
+}
+
+// latestEnd bounds a run in which webhooks never finish: the longest TTL twice, since a client resubmits, and a margin.
+func (m *Simulation) latestEnd() api.Micros {
 	longest := api.Micros(0)
 	for i := range m.scenario.EventTypes {
 		longest = max(longest, m.scenario.EventTypes[i].TTL.micros())
 	}
-	length := m.scenario.Duration.micros()
-	last := length + 2*longest + 10*api.Second
-	for {
-		at, ok := m.queue.Next()
-		if !ok || api.Micros(at) > last || api.Micros(at) > length && m.openRequests == 0 {
-			return m.now
-		}
-		e, _ := m.queue.PopDue(at)
-		m.now = api.Micros(at)
-		m.EventCount++
-		m.PeakQueueLength = max(m.PeakQueueLength, m.queue.Len())
-		m.handle(e)
-	}
+	return m.scenario.Duration.micros() + 2*longest + 10*api.Second
 }
 
-func (m *Simulation) handle(e scheduledEvent) {
+// process handles an event unless its subject has ended since.
+func (m *Simulation) process(e scheduledEvent) {
 	switch e.kind {
-	case evArrive:
+	case evArrival:
 		m.generateArrivals()
 	case evSubmit:
 		m.submit(e.subject)
@@ -184,7 +176,7 @@
 			m.handleDispatcherEvent(d, e)
 		}
 	case evConnect, evCallArrival, evCallServed, evResponse, evCallTimeout:
-		if k := &m.calls[e.subject]; k.generation == e.generation && k.state != callFree {
+		if c := &m.calls[e.subject]; c.generation == e.generation && c.state != callFree {
 			m.handleCallEvent(e)
 		}
 	case evFaultStart:
@@ -192,7 +184,7 @@
 	case evFaultEnd:
 		m.applyFault(e.subject, false)
 	case evFlap:
-		m.flapEndpoints(e.subject, e.detail == 1)
+		m.flapEndpoints(e.subject, e.detail == flapGoesDown)
 	case evEndpointRemoval:
 		m.removeEndpoint(e.subject, e.detail)
 	case evKill:
@@ -200,6 +192,6 @@
 	case evStart:
 		m.startDispatcher(e.subject)
 	default:
-		m.cluster.handle(e)
+		m.cluster.process(e)
 	}
 }
