--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -29,7 +29,7 @@
 
 // Shares of the machine's limits.
 const (
-	reservedFiles = 200  // descriptors kept for other files
+	reservedFiles = 200  // descriptors reserved for other files
 	clientShare   = 0.6  // of the remaining descriptors, for clients' connections
 	endpointShare = 0.35 // of the remaining descriptors, for connections to endpoints
 	bodyShare     = 0.25 // of memory, for large bodies
@@ -110,7 +110,7 @@
 	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(process, endpointShare)})
 	p.agent = &agentPoller{
 		client:           client,
-		address:          process.FeedAddress(),
+		address:          process.SubscriptionAddress(),
 		clientAddress:    process.Bind.Front,
 		log:              log,
 		apply:            p.applyResponse,
--- a/serving/upstream/connection.go
+++ b/serving/upstream/connection.go
@@ -40,11 +40,11 @@
 // markSent records that a request is sent.
 func (c *connection) markSent() { c.sentAt.Store(int64(time.Since(steadyStart))) }
 
-// markAnswered records that a response has arrived.
-func (c *connection) markAnswered() { c.sentAt.Store(0) }
+// markResponded records that a response has arrived.
+func (c *connection) markResponded() { c.sentAt.Store(0) }
 
-// unansweredFor returns how long a request has been without a response; zero if there is no such request.
-func (c *connection) unansweredFor(now time.Time) time.Duration {
+// awaitingResponseFor returns how long a request has been without a response; zero if there is no such request.
+func (c *connection) awaitingResponseFor(now time.Time) time.Duration {
 	sent := c.sentAt.Load()
 	if sent == 0 {
 		return 0
@@ -70,7 +70,8 @@
 	return n, err
 }
 
-// isQuiet reports, without waiting, whether the endpoint has sent nothing unasked and has not closed the connection.
+// isQuiet reports, without waiting, whether the endpoint has sent nothing unsolicited and has not closed the
+// connection.
 func (c *connection) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/test/fake/endpoint/slots.go
+++ b/test/fake/endpoint/slots.go
@@ -7,7 +7,7 @@
 )
 
 // slots holds the running requests and the queue of the waiting ones, ordered by priority. Requests to a language
-// model also need room in the KV cache.
+// model also need space in the KV cache.
 type slots struct {
 	mutex      sync.Mutex
 	capacity   int
@@ -24,8 +24,8 @@
 	admitted chan struct{} // closed when it may run
 }
 
-// acquire waits for a slot and for room for some tokens. It returns false if the queue is full, the request is larger
-// than the KV cache, or the context ended first. What is acquired must be released.
+// acquire waits for a slot and for KV cache space for some tokens. It returns false if the queue is full, the request
+// is larger than the KV cache, or the context ended first. What is acquired must be released.
 func (s *slots) acquire(ctx context.Context, priority, tokens int) bool {
 	w := s.enqueue(priority, tokens)
 	if w == nil {
@@ -38,12 +38,12 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	at := slices.Index(s.waiting, w)
-	if at < 0 { // it was admitted at the same moment
+	index := slices.Index(s.waiting, w)
+	if index < 0 { // it was admitted at the same moment
 		s.releaseLocked(tokens)
 		return false
 	}
-	s.waiting = slices.Delete(s.waiting, at, at+1)
+	s.waiting = slices.Delete(s.waiting, index, index+1)
 	s.admitWaiting()
 	return false
 }
@@ -56,10 +56,10 @@
 		return nil
 	}
 	w := &waiter{priority: priority, tokens: tokens, admitted: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(s.waiting, priority+1, func(other *waiter, priority int) int {
+	index, _ := slices.BinarySearchFunc(s.waiting, priority+1, func(other *waiter, priority int) int {
 		return other.priority - priority
 	})
-	s.waiting = slices.Insert(s.waiting, at, w)
+	s.waiting = slices.Insert(s.waiting, index, w)
 	s.admitWaiting()
 	if len(s.waiting) > s.queueLimit && slices.Contains(s.waiting, w) {
 		s.waiting = slices.DeleteFunc(s.waiting, func(other *waiter) bool { return other == w })
@@ -68,7 +68,7 @@
 	return w
 }
 
-// release frees the slot and the room.
+// release frees the slot and the KV cache space.
 func (s *slots) release(tokens int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/test/integration/serving/traffic_test.go
+++ b/test/integration/serving/traffic_test.go
@@ -30,7 +30,7 @@
 	clients       = 6
 )
 
-// attemptCounter counts all attempts of this process; it gives their IDs.
+// attemptCounter counts all attempts of this process; their IDs derive from it.
 var attemptCounter atomic.Uint64
 
 // traffic is a set of clients that send one request after another.
@@ -64,7 +64,7 @@
 	tr.stop()
 	tr.clients.Wait()
 	tr.client.CloseIdleConnections()
-	assert.Zero(tr.c.t, tr.failed.Load(), "requests without an answer; tries cut: %d, failed: %d",
+	assert.Zero(tr.c.t, tr.failed.Load(), "requests without a response; attempts broken: %d, failed: %d",
 		tr.c.ledger.countResult(broken), tr.c.ledger.countResult(failed))
 }
 
