--- a/cmd/rowan-endpointsim/file.go
+++ b/cmd/rowan-endpointsim/file.go
@@ -68,7 +68,9 @@
 	for _, s := range f.Services {
 		for _, e := range s.Endpoints {
 			options := s.options()
-			options.Control, options.Zone, options.ListenAddress = f.Control, e.Zone, e.Listen
+			options.Control = f.Control
+			options.Zone = e.Zone
+			options.ListenAddress = e.Listen
 			all = append(all, options)
 		}
 	}
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -66,7 +66,12 @@
 func newAgent(processSettings *settings.Process, log *zerolog.Logger, members memberService, table endpointTable) *agent {
 	now := time.Now()
 	incarnation := rand.Uint64() | 1 // never zero: a zero cursor belongs to no agent
-	a := &agent{settings: processSettings, log: log, members: members, started: now}
+	a := &agent{
+		settings: processSettings,
+		log:      log,
+		members:  members,
+		started:  now,
+	}
 	a.stateActor = actor.Start(&agentState{
 		updates: newPublisher(incarnation, table),
 		started: now,
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -143,7 +143,7 @@
 	start := time.Now()
 	go func() {
 		response, err := a.server.watch(ctx, request)
-		outcome <- pollOutcome{response, err, time.Since(start)}
+		outcome <- pollOutcome{response: response, err: err, elapsed: time.Since(start)}
 	}()
 	return outcome
 }
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -31,7 +31,9 @@
 func startSeed(t *testing.T, agentSettings *settings.Process) *member.Service {
 	t.Helper()
 	process := *agentSettings
-	process.NodeName, process.IP, process.Seeds = "seed", seedIP, nil
+	process.NodeName = "seed"
+	process.IP = seedIP
+	process.Seeds = nil
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.InternalAddress())
 	require.NoError(t, err, "needs a second loopback address")
 	mux := http.NewServeMux()
--- a/serving/endpoints/changes.go
+++ b/serving/endpoints/changes.go
@@ -8,7 +8,7 @@
 	"rowanlink/serving/state"
 )
 
-// maxRemovals bounds the number of removed endpoints that are remembered for ChangesSince.
+// maxRemovals bounds the number of removed endpoints that are retained for ChangesSince.
 const maxRemovals = 256
 
 // removalLog lists the endpoints that were removed from the table, the newest last.
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -21,10 +21,10 @@
 	// load.
 	maxEjectedShare = 0.5
 	// baseEjectionTime is how long an endpoint is ejected. The time doubles, up to maxEjectionTime, each time that the
-	// endpoint is ejected again within ejectionMemory after the end of an ejection.
-	baseEjectionTime = 2 * time.Second
-	maxEjectionTime  = 16 * time.Second
-	ejectionMemory   = 10 * time.Second
+	// endpoint is ejected again within repeatedEjectionWindow after the end of an ejection.
+	baseEjectionTime       = 2 * time.Second
+	maxEjectionTime        = 16 * time.Second
+	repeatedEjectionWindow = 10 * time.Second
 	// resetAfterIntervals is the number of heartbeat intervals without a heartbeat after which an endpoint counts as
 	// restarted and loses its ejection.
 	resetAfterIntervals = 2
@@ -96,7 +96,7 @@
 
 // eject begins an ejection.
 func (o *outlierState) eject(now time.Time) {
-	isRepeated := o.ejectionTime > 0 && now.Sub(o.ejectedUntil) < ejectionMemory
+	isRepeated := o.ejectionTime > 0 && now.Sub(o.ejectedUntil) < repeatedEjectionWindow
 	if !isRepeated {
 		o.ejectionTime = baseEjectionTime / 2
 	}
@@ -131,7 +131,9 @@
 	if summary.reporters < minReporters {
 		return false
 	}
-	others, ejected, othersFailures := 0, 0, 0
+	others := 0
+	ejected := 0
+	othersFailures := 0
 	for _, e := range t.entries {
 		isPeer := e != suspect &&
 			e.endpoint.Service == suspect.endpoint.Service &&
--- a/serving/endpoints/outlier_test.go
+++ b/serving/endpoints/outlier_test.go
@@ -129,7 +129,7 @@
 		}
 		assert.Equal(t, want, o.now.Sub(ejected))
 	}
-	o.now = o.now.Add(ejectionMemory)
+	o.now = o.now.Add(repeatedEjectionWindow)
 	o.sendHeartbeats()
 	assert.True(t, o.observe("e0", 2, 3, false))
 	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil,
--- a/serving/gossip/batch.go
+++ b/serving/gossip/batch.go
@@ -20,7 +20,12 @@
 // newBatch selects the receivers of a batch.
 func (e *Engine) newBatch(now time.Time) *batch {
 	e.ranking.update(now, e.options, e.peers)
-	b := &batch{engine: e, now: now, messages: map[string]*Envelope{}, suspectZones: e.currentSuspectZones(now)}
+	b := &batch{
+		engine:       e,
+		now:          now,
+		messages:     map[string]*Envelope{},
+		suspectZones: e.currentSuspectZones(now),
+	}
 	b.regionTargets = b.selectRegionTargets()
 	for _, region := range e.ranking.regions {
 		candidates := b.topRanked(e.ranking.otherRegions[region], candidatesPerTarget)
--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -214,7 +214,9 @@
 
 	r = newTestProxy(t, respondWith(okHead+"Content-Length: 4\r\n\r\n"))
 	request := r.request("/fetch/x", "")
-	request.Method, request.Body, request.ContentLength = http.MethodHead, nil, 0
+	request.Method = http.MethodHead
+	request.Body = nil
+	request.ContentLength = 0
 	a = r.do(request)
 	assert.Equal(t, 200, a.status)
 	assert.Equal(t, "4", a.header.Get("Content-Length"))
--- a/serving/member/bench_test.go
+++ b/serving/member/bench_test.go
@@ -17,7 +17,10 @@
 			Key: fmt.Sprintf("endpoint-%d", i), Version: gossip.NewVersion(1, 0), Value: make([]byte, 200)})
 	}
 	s.run(10 * time.Second)
-	s.countBytes, s.bytes, s.remoteBytes, s.calls = true, 0, 0, 0
+	s.countBytes = true
+	s.bytes = 0
+	s.remoteBytes = 0
+	s.calls = 0
 	seconds := 0
 	for b.Loop() {
 		s.run(time.Second)
@@ -33,7 +36,10 @@
 func BenchmarkBusySecond(b *testing.B) {
 	const members, updates = 410, 20
 	s := newConvergedSimulation(b, 1, members, threeZones)
-	s.countBytes, s.bytes, s.remoteBytes, s.calls = true, 0, 0, 0
+	s.countBytes = true
+	s.bytes = 0
+	s.remoteBytes = 0
+	s.calls = 0
 	seconds := 0
 	for b.Loop() {
 		for i := range updates {
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -15,7 +15,7 @@
 	bulkThreshold   = 64 << 10        // bytes
 	maxRoutineCalls = 12              // concurrent heartbeats and repairs
 	maxPushCalls    = 24              // concurrent pushes
-	// pushRetryDelay is how long a push may have no answer before its entries are sent by another path as well.
+	// pushRetryDelay is how long a push may have no response before its entries are sent by another path as well.
 	pushRetryDelay = 200 * time.Millisecond
 )
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// markUnresponsive records that a peer didn't answer. A seed, of which only the address is known, has no name.
+// markUnresponsive records that a peer didn't respond. A seed, of which only the address is known, has no name.
 func (c *caller) markUnresponsive(ctx context.Context, name string) {
 	if ctx.Err() != nil || name == "" {
 		return
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -1,5 +1,5 @@
 // Package member runs the gossip, the membership and the singleton roles of one process, which makes it a member of the
-// system: it makes the calls that these state machines request, answers those of other members and runs the timer.
+// system: it makes the calls that these state machines request, serves those of other members and runs the timer.
 package member
 
 import (
--- a/serving/member/replication.go
+++ b/serving/member/replication.go
@@ -28,7 +28,12 @@
 	}
 	calling, cancel := context.WithCancel(ctx)
 	defer cancel()
-	pending := replication{service: s, entry: entry, targets: targets, results: make(chan error, len(targets))}
+	pending := replication{
+		service: s,
+		entry:   entry,
+		targets: targets,
+		results: make(chan error, len(targets)),
+	}
 	for range copies {
 		pending.sendToNext(calling)
 	}
--- a/serving/member/requesthandling.go
+++ b/serving/member/requesthandling.go
@@ -7,7 +7,7 @@
 	"rowanlink/serving/membership"
 )
 
-// handleHeartbeat answers a member's heartbeat.
+// handleHeartbeat handles a member's heartbeat.
 func (n *node) handleHeartbeat(now time.Time, request *heartbeatRequest) (response heartbeatResponse) {
 	n.step(now, func() {
 		response.Ack = n.acknowledge(request.Heartbeat)
@@ -17,13 +17,13 @@
 	return response
 }
 
-// recordContact records that a member has called or has answered a call.
+// recordContact records that a member has called or has responded to a call.
 func (n *node) recordContact(name string) {
 	n.engine.MarkResponsive(name)
 	n.members.RecordContact(n.now, name)
 }
 
-// acknowledge records a heartbeat and returns its answer. A member whose tombstone or entry has expired here is
+// acknowledge records a heartbeat and returns its response. A member whose tombstone or entry has expired here is
 // requested for a version that is newer than the expired one.
 func (n *node) acknowledge(heartbeat membership.Heartbeat) membership.HeartbeatAck {
 	ack := n.members.ReceiveHeartbeat(n.now, heartbeat)
@@ -35,7 +35,7 @@
 	return ack
 }
 
-// handlePush answers a pushed message.
+// handlePush handles a pushed message.
 func (n *node) handlePush(now time.Time, message gossip.Message) (response pushResponse) {
 	n.step(now, func() {
 		n.recordContact(message.From)
@@ -45,7 +45,7 @@
 	return response
 }
 
-// handleCompare answers the first call of a repair.
+// handleCompare handles the first call of a repair.
 func (n *node) handleCompare(now time.Time, request *compareRequest) (response compareResponse) {
 	n.step(now, func() {
 		n.recordContact(request.Heartbeat.Name)
@@ -55,7 +55,7 @@
 	return response
 }
 
-// handleTransfer answers the second call of a repair.
+// handleTransfer handles the second call of a repair.
 func (n *node) handleTransfer(now time.Time, request *transferRequest) (response transferResponse) {
 	n.processAck(now, request.Ack)
 	n.step(now, func() {
--- a/serving/member/responses.go
+++ b/serving/member/responses.go
@@ -7,7 +7,7 @@
 	"rowanlink/serving/membership"
 )
 
-// processAck applies the answer to a heartbeat, or to what stands for one. It returns the local member's entry where
+// processAck applies the response to a heartbeat, or to what stands for one. It returns the local member's entry where
 // the other member lacks it.
 func (n *node) processAck(now time.Time, ack membership.HeartbeatAck) (own *gossip.Entry) {
 	n.step(now, func() {
@@ -28,7 +28,7 @@
 	return &entry
 }
 
-// processHeartbeatResponse applies a watcher's answer to a heartbeat. It returns the local member's entry where the
+// processHeartbeatResponse applies a watcher's response to a heartbeat. It returns the local member's entry where the
 // watcher lacks it.
 func (n *node) processHeartbeatResponse(now time.Time, from string, response *heartbeatResponse) (own *gossip.Entry) {
 	n.step(now, func() { n.recordContact(from) })
@@ -36,7 +36,7 @@
 	return n.processAck(now, response.Ack)
 }
 
-// processHeartbeatFailure records that a heartbeat had no answer.
+// processHeartbeatFailure records that a heartbeat had no response.
 func (n *node) processHeartbeatFailure(now time.Time, to gossip.Peer) {
 	n.engine.MarkUnresponsive(now, to.Name)
 	if to.Region != n.members.Self().Region {
@@ -44,7 +44,7 @@
 	}
 }
 
-// processCompareResponse applies the answer to the first call of a repair and returns the second call, if one is
+// processCompareResponse applies the response to the first call of a repair and returns the second call, if one is
 // needed.
 func (n *node) processCompareResponse(now time.Time, from string,
 	response *compareResponse) (request transferRequest, needed bool) {
@@ -65,7 +65,7 @@
 	return request, transfers > 0 || request.Ack.RefuteAbove > 0
 }
 
-// processTransferResponse applies the answer to the second call of a repair.
+// processTransferResponse applies the response to the second call of a repair.
 func (n *node) processTransferResponse(now time.Time, from string, response *transferResponse) {
 	n.step(now, func() {
 		n.engine.Receive(now, gossip.Message{From: from, Entries: response.Entries})
--- a/serving/member/seeds.go
+++ b/serving/member/seeds.go
@@ -39,7 +39,9 @@
 			s.addresses = append(s.addresses, address)
 		}
 	}
-	s.due, s.since, s.attempts = now, now, 0
+	s.due = now
+	s.since = now
+	s.attempts = 0
 }
 
 // takeDue returns the address of the seed to call now; empty where none is due.
--- a/serving/member/service.go
+++ b/serving/member/service.go
@@ -42,7 +42,7 @@
 	cancel   context.CancelFunc
 }
 
-// Start joins the other members in the background, until ctx ends or Close is called. The incarnation is the wall
+// Start joins the membership in the background, until ctx ends or Close is called. The incarnation is the wall
 // clock; where the clock has jumped back since an earlier incarnation, the first member that is contacted knows that
 // one, and the local member raises its incarnation above it.
 func Start(ctx context.Context, options Options) (*Service, error) {
@@ -59,7 +59,12 @@
 	self := options.Self
 	self.Incarnation = uint64(time.Now().UnixNano())
 	random := rand.New(rand.NewPCG(self.Incarnation, rand.Uint64()))
-	node := newNode(time.Now(), nodeOptions{self: self, seeds: seeds, random: random, log: options.Log})
+	node := newNode(time.Now(), nodeOptions{
+		self:   self,
+		seeds:  seeds,
+		random: random,
+		log:    options.Log,
+	})
 	s.actor = actor.Start(node)
 	s.registerHandlers(options.Mux)
 	go s.notifier.run(running)
@@ -105,7 +110,7 @@
 	return result
 }
 
-// markUnresponsive records that a peer didn't answer a call.
+// markUnresponsive records that a peer didn't respond to a call.
 func (s *Service) markUnresponsive(name string) {
 	s.run(func(now time.Time, n *node) { n.engine.MarkUnresponsive(now, name) })
 }
@@ -217,8 +222,8 @@
 	})
 }
 
-// AcquireRole returns who holds a singleton role among the live members of a scope, and takes the role for the local
-// member if that is the first candidate. Call it before each run of the role's job, and run the job only while
+// AcquireRole returns the holder of a singleton role among the live members of a scope, and takes the role for the
+// local member if that is the first candidate. Call it before each run of the role's job, and run the job only while
 // Assignment.Local.
 func (s *Service) AcquireRole(role string, scope singleton.Scope) singleton.Assignment {
 	return query(s, func(now time.Time, n *node) singleton.Assignment { return n.acquireRole(now, role, scope) })
--- a/serving/member/size_bench_test.go
+++ b/serving/member/size_bench_test.go
@@ -23,7 +23,10 @@
 func benchmarkSize(b *testing.B, members, record int) {
 	s := newConvergedSimulation(b, 1, members, threeZones)
 	s.run(10 * time.Second)
-	s.countBytes, s.bytes, s.remoteBytes, s.calls = true, 0, 0, 0
+	s.countBytes = true
+	s.bytes = 0
+	s.remoteBytes = 0
+	s.calls = 0
 	seconds := 0
 	for b.Loop() {
 		seconds++
--- a/serving/membership/count.go
+++ b/serving/membership/count.go
@@ -18,7 +18,7 @@
 }
 
 // CountRecentlyLive returns the number of members with a role that were live at some moment of the window that ends
-// now. It remembers members for at least twice RetentionPeriod after they were live.
+// now. It retains members for at least twice RetentionPeriod after they were live.
 func (t *Table) CountRecentlyLive(now time.Time, role state.Role, window time.Duration) (count int) {
 	for _, tracked := range t.members {
 		wasLive := tracked.isLive() || now.Sub(tracked.lastLiveAt) < window
--- a/serving/membership/heartbeat.go
+++ b/serving/membership/heartbeat.go
@@ -10,7 +10,7 @@
 	Sequence    uint64 `cbor:"3,keyasint"`
 }
 
-// HeartbeatAck answers a heartbeat. The zero value means that the watcher agrees with the sender.
+// HeartbeatAck is the response to a heartbeat. The zero value means that the watcher agrees with the sender.
 type HeartbeatAck struct {
 	// Unknown is set if the watcher lacks this version of the member, which is to send its own entry.
 	Unknown bool `cbor:"1,keyasint,omitempty"`
@@ -30,14 +30,14 @@
 // restart begins the suspicion timeout anew.
 func (w *watchedMember) restart(now time.Time) { w.lastHeartbeat = now }
 
-// recordHeartbeat notes a heartbeat of a member that sends one in each interval.
+// recordHeartbeat records a heartbeat of a member that sends one in each interval.
 func (w *watchedMember) recordHeartbeat(now time.Time, interval time.Duration) {
 	late := min(now.Sub(w.lastHeartbeat)-interval, maxHeartbeatLateness)
 	w.lateness = decayLateness(w.lateness, late)
 	w.restart(now)
 }
 
-// ReceiveHeartbeat notes a heartbeat and returns its answer.
+// ReceiveHeartbeat records a heartbeat and returns its response.
 func (t *Table) ReceiveHeartbeat(now time.Time, heartbeat Heartbeat) HeartbeatAck {
 	tracked, ok := t.members[heartbeat.Name]
 	if !ok || tracked.member.Incarnation < heartbeat.Incarnation || isDeparted(tracked.member) {
--- a/serving/membership/partition.go
+++ b/serving/membership/partition.go
@@ -12,9 +12,9 @@
 
 // evaluateZones marks all members of zones as down that the local zone can't reach any more. In a partitioned zone,
 // members elsewhere have watchers whose suspicions don't arrive there, and which count as voters all the same; some
-// members are watched by such watchers alone. So evaluateZones looks for a set of other zones from which nobody outside
-// the set receives anything. The few members of a zone that are watched from outside may have died by themselves: the
-// zone is first suspect and its members are probed, see SuspectZoneMembers. Any answer clears it.
+// members are watched by such watchers alone. So evaluateZones looks for a set of other zones from which no member
+// outside the set receives anything. The few members of a zone that are watched from outside may have died by
+// themselves: the zone is first suspect and its members are probed, see SuspectZoneMembers. Any response clears it.
 func (t *Table) evaluateZones(now time.Time) {
 	unreachable := t.unreachableZones(now)
 	probed := true
@@ -41,9 +41,10 @@
 	clear(t.suspectZones)
 }
 
-// unreachableZones returns the greatest set of zones without recent contact from which nobody outside the set receives
-// anything: every member that is watched from outside is suspected by the majority of those watchers, and each zone
-// outside has such a watcher in each zone of the set. A zone outside without one might receive what the others don't.
+// unreachableZones returns the greatest set of zones without recent contact from which no member outside the set
+// receives anything: every member that is watched from outside is suspected by the majority of those watchers, and each
+// zone outside has such a watcher in each zone of the set. A zone outside without one might receive what the others
+// don't.
 func (t *Table) unreachableZones(now time.Time) map[string]bool {
 	if len(t.suspicions) == 0 {
 		return nil
@@ -88,7 +89,7 @@
 	return members
 }
 
-// RecordContact notes that a member has called or has answered a call.
+// RecordContact records that a member has called or has responded to a call.
 func (t *Table) RecordContact(now time.Time, name string) {
 	if tracked, ok := t.members[name]; ok {
 		t.lastContacts[tracked.member.Zone] = now
--- a/serving/operator/forwarder.go
+++ b/serving/operator/forwarder.go
@@ -90,7 +90,9 @@
 		}
 		near, weight := proximity(member, regions, zone), rendezvousWeight(member.Name, id)
 		if near > bestProximity || near == bestProximity && weight > bestWeight {
-			best, bestProximity, bestWeight = member, near, weight
+			best = member
+			bestProximity = near
+			bestWeight = weight
 		}
 	}
 	return best
--- a/serving/placement/endpoint.go
+++ b/serving/placement/endpoint.go
@@ -24,7 +24,7 @@
 	hash        uint64 // of the ID, for rendezvous hashing
 	inSnapshot  bool   // part of the last snapshot
 	excluded    bool   // evacuated, draining, terminated or replaced: nothing may be sent
-	replaced    bool   // another incarnation has answered at its address
+	replaced    bool   // another incarnation has responded at its address
 
 	inSubset bool // this proxy prefers it, see selectSubsets
 
--- a/serving/placement/health.go
+++ b/serving/placement/health.go
@@ -11,9 +11,9 @@
 // outcomes of calls, by the schedule of package backoff.
 const (
 	backoffUnit         = 50 * time.Millisecond
-	maxRejectionBackoff = 400 * time.Millisecond // cap after consecutive rejections
-	maxFailureBackoff   = 2 * time.Second        // cap after consecutive failures
-	maxMajorityBackoff  = 200 * time.Millisecond // cap after failures while most of the service's endpoints are ejected
+	maxRejectionBackoff = 400 * time.Millisecond // upper bound after consecutive rejections
+	maxFailureBackoff   = 2 * time.Second        // upper bound after consecutive failures
+	maxMajorityBackoff  = 200 * time.Millisecond // upper bound after failures while most of the service's endpoints are ejected
 	// hangFactor times the expected time to first byte, and at least minHangTime, without activity is a hang.
 	hangFactor  = 4
 	minHangTime = time.Second
@@ -44,7 +44,9 @@
 
 // recordSuccess ends backoff and ejection.
 func (h *health) recordSuccess() {
-	h.consecutiveFailures, h.rejections, h.backoffUntil = 0, 0, time.Time{}
+	h.consecutiveFailures = 0
+	h.rejections = 0
+	h.backoffUntil = time.Time{}
 	h.failureRate -= failureSmoothing * h.failureRate
 }
 
@@ -135,7 +137,7 @@
 	e.health.eject(now, e.service.maxBackoff())
 }
 
-// recordRecovery records that an ejected endpoint answers again: it may have restarted and lost its caches.
+// recordRecovery records that an ejected endpoint responds again: it may have restarted and lost its caches.
 func (p *Picker) recordRecovery(now time.Time, e *endpoint) {
 	if !e.health.isEjected() {
 		return
@@ -146,7 +148,7 @@
 	}
 }
 
-// maxBackoff returns the cap of the backoff after a failure.
+// maxBackoff returns the upper bound of the backoff after a failure.
 func (s *service) maxBackoff() time.Duration {
 	if s.majorityEjected {
 		return maxMajorityBackoff
--- a/serving/placement/path_costs.go
+++ b/serving/placement/path_costs.go
@@ -29,7 +29,9 @@
 	if _, known := c.young[hash]; !known {
 		full := c.youngTokens+tokens > c.tokenLimit || len(c.young) >= maxPathCostEntries
 		if c.young == nil || full {
-			c.young, c.old, c.youngTokens = map[uint64]time.Duration{}, c.young, 0
+			c.old = c.young
+			c.young = map[uint64]time.Duration{}
+			c.youngTokens = 0
 		}
 		c.youngTokens += tokens
 	}
--- a/serving/placement/prefix_cache.go
+++ b/serving/placement/prefix_cache.go
@@ -1,6 +1,6 @@
 package placement
 
-// maxPrefixEntries bounds the blocks that are remembered for one endpoint, and with them this process's memory.
+// maxPrefixEntries bounds the blocks that are recorded for one endpoint, and with them this process's memory.
 const maxPrefixEntries = 512
 
 // prefixEntry is a block that was sent to an endpoint, in a list ordered by last use.
@@ -60,7 +60,12 @@
 }
 
 // clear removes all blocks: the endpoint has restarted or was unreachable.
-func (p *prefixCache) clear() { p.entries, p.newest, p.oldest, p.tokens = nil, nil, nil, 0 }
+func (p *prefixCache) clear() {
+	p.entries = nil
+	p.newest = nil
+	p.oldest = nil
+	p.tokens = 0
+}
 
 func (p *prefixCache) evict(entry *prefixEntry) {
 	p.unlink(entry)
--- a/serving/placement/report.go
+++ b/serving/placement/report.go
@@ -57,7 +57,7 @@
 		c.endpoint.regionGroup.queueDelays[priority].add(now, queueDelay)
 	}
 	if s.hasEngine() {
-		s.learnFirstByte(c, measured)
+		s.recordFirstByte(c, measured)
 	}
 }
 
--- a/serving/placement/response_model.go
+++ b/serving/placement/response_model.go
@@ -43,8 +43,8 @@
 	return time.Duration(float64(tokens) / m.prefillRate * float64(time.Millisecond))
 }
 
-// learnFirstByte updates the model by a measured time to first byte. Calls that were queued show nothing.
-func (m *responseModel) learnFirstByte(c *call, measured time.Duration) {
+// recordFirstByte updates the model by a measured time to first byte. Calls that were queued show nothing.
+func (m *responseModel) recordFirstByte(c *call, measured time.Duration) {
 	if c.tokensAhead > 0 {
 		return
 	}
--- a/serving/placement/simulation_test.go
+++ b/serving/placement/simulation_test.go
@@ -169,7 +169,9 @@
 	case Reject:
 		s.refused++
 	case Picked:
-		r.reservation, r.endpoint, r.engine = choice.Reservation, choice.Endpoint, s.engines[choice.Endpoint.ID]
+		r.reservation = choice.Reservation
+		r.endpoint = choice.Endpoint
+		r.engine = s.engines[choice.Endpoint.ID]
 		r.chain = hashBlocks(blockChain{}, r.request.Blocks)
 		if r.engine.dark {
 			s.sendToDark(r)
--- a/serving/placement/snapshot.go
+++ b/serving/placement/snapshot.go
@@ -132,5 +132,7 @@
 	if e == nil || load == e.loadReport {
 		return
 	}
-	e.loadReport, e.loadReportedAt, e.tokensSinceReport = load, now, 0
+	e.loadReport = load
+	e.loadReportedAt = now
+	e.tokensSinceReport = 0
 }
--- a/test/integration/serving/endpoints_test.go
+++ b/test/integration/serving/endpoints_test.go
@@ -35,9 +35,13 @@
 
 // startEndpoint starts an endpoint whose requests the ledger records.
 func (c *cluster) startEndpoint(options endpoint.Options, number int, p location) *endpoint.Endpoint {
-	options.Zone, options.Edition, options.HealthPath = p.zone, "v1", healthPath
+	options.Zone = p.zone
+	options.Edition = "v1"
+	options.HealthPath = healthPath
 	options.ListenAddress, options.Control = c.address(number, portEndpoint), c.controlAddresses()
-	options.HeartbeatInterval, options.DrainTime, options.MaxConnections = 500*time.Millisecond, drainTime, maxConnections
+	options.HeartbeatInterval = 500 * time.Millisecond
+	options.DrainTime = drainTime
+	options.MaxConnections = maxConnections
 	options.OnRequest = c.ledger.recordEvent
 	e, err := endpoint.Start(c.t.Context(), options)
 	require.NoError(c.t, err)
