--- a/webhook/dispatcher/inflight/exchange_test.go
+++ b/webhook/dispatcher/inflight/encoding_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/webhook/api"
 )
 
-func TestAWebhookKeptInEitherFormComesBackWhole(t *testing.T) {
+func TestStoredWebhookIsDecodedFromEitherForm(t *testing.T) {
 	w := &Webhook{
 		ID:          9,
 		EventType:   2,
@@ -22,21 +22,21 @@
 		Token:       "tok",
 		Body:        []byte("body"),
 	}
-	again, err := DecodeWebhook(9, w.Encode())
+	decoded, err := DecodeWebhook(9, w.Encode())
 	require.NoError(t, err)
-	assert.Equal(t, w, again)
+	assert.Equal(t, w, decoded)
 
 	// As an earlier release wrote it, destination 1234 in two bytes.
-	old, err := hex.DecodeString("02" + "03000000" + "0400000000000000" + "d204" + "4d00000000000000" +
+	narrow, err := hex.DecodeString("02" + "03000000" + "0400000000000000" + "d204" + "4d00000000000000" +
 		"0100" + "72" + "0300" + "746f6b" + "626f6479")
 	require.NoError(t, err)
 	w.Destination = 1234
-	again, err = DecodeWebhook(9, old)
+	decoded, err = DecodeWebhook(9, narrow)
 	require.NoError(t, err)
-	assert.Equal(t, w, again)
+	assert.Equal(t, w, decoded)
 
 	for n := range w.Encode()[:30] {
 		_, err := DecodeWebhook(api.WebhookID(n), w.Encode()[:n])
-		assert.Error(t, err, "cut at %d", n)
+		assert.Error(t, err, "truncated at %d", n)
 	}
 }
--- a/webhook/dispatcher/upstream/connections_test.go
+++ b/webhook/dispatcher/upstream/connections_test.go
@@ -13,146 +13,136 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Guards against everyone who ever was piling up, and against a webhook sent to one that is forgotten.
+// Guards against memory that grows with all endpoints that ever were, and against a webhook sent to a forgotten one.
 func TestRemovedEndpointIsForgottenOnceNothingIsInFlight(t *testing.T) {
-	s, send, ends := at(script(t, answer("200 OK")))
-	send(api.Second)
-	<-ends
-	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointRemoved}, "", api.DestinationKind{})
-	assert.Zero(t, s.open, "its idle links are closed at once")
-	s.Sweep()
-	assert.Empty(t, s.endpoints)
-	send(api.Second)
-	assert.Equal(t, api.NotSent, (<-ends).what)
+	client := startClient(serveConnections(t, answerEach("200 OK")))
+	client.call(api.Second)
+	client.setStatus(api.EndpointRemoved)
+	assert.Zero(t, client.open, "its idle connections are closed at once")
+	client.Sweep()
+	assert.Empty(t, client.endpoints)
+	assert.Equal(t, api.NotSent, client.call(api.Second).outcome)
 }
 
-// Guards against a connection too many that is taken for the destination's limit: window and pace would fall.
-func TestRefusedConnectionIsDistinguishedFromTheDestinationsLimit(t *testing.T) {
-	shut := "503 Shut\r\nConnection: close"
-	for text, want := range map[string]end{shut: {api.ConnectionLimited, false, 0},
-		shut + "\r\nRetry-After: 1":          {api.Rejected, false, api.Second},
-		shut + "\r\nX-Egress-Full: 1":        {api.NotSent, false, 0},
-		"429 Slow\r\nConnection: close":      {api.Rejected, false, 0},
-		"503 Shut\r\nConnection: keep-alive": {api.Rejected, false, 0}} {
-		_, send, ends := at(script(t, answer(text)))
-		send(api.Second)
-		assert.Equal(t, want, <-ends, text)
+// Guards against a connection limit that is taken for the destination's rate limit: window and rate would fall.
+func TestConnectionLimitIsDistinguishedFromTheDestinationsRateLimit(t *testing.T) {
+	const refusal = "503 Shut\r\nConnection: close"
+	for head, want := range map[string]webhookResult{
+		refusal:                              {outcome: api.ConnectionLimited},
+		refusal + "\r\nRetry-After: 1":       {outcome: api.Rejected, retryAfter: api.Second},
+		refusal + "\r\nX-Egress-Full: 1":     {outcome: api.NotSent},
+		"429 Slow\r\nConnection: close":      {outcome: api.Rejected},
+		"503 Shut\r\nConnection: keep-alive": {outcome: api.Rejected},
+	} {
+		client := startClient(serveConnections(t, answerEach(head)))
+		assert.Equal(t, want, client.call(api.Second), head)
 	}
-	later := func(c net.Conn, in *bufio.Reader) {
-		for _, text := range []string{"200 OK", shut} {
-			_, _ = http.ReadRequest(in)
-			_, _ = c.Write([]byte("HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"))
+	refuseSecond := func(conn net.Conn, reader *bufio.Reader) {
+		for _, head := range []string{"200 OK", refusal} {
+			_, _ = http.ReadRequest(reader)
+			_, _ = conn.Write([]byte(emptyAnswer(head)))
 		}
 	}
-	_, send, ends := at(script(t, later))
-	send(api.Second)
-	<-ends
-	send(api.Second)
-	assert.Equal(t, api.Rejected, (<-ends).what, "a connection that served is not one too many")
+	client := startClient(serveConnections(t, refuseSecond))
+	client.call(api.Second)
+	assert.Equal(t, api.Rejected, client.call(api.Second).outcome, "a connection that has served a call is within the limit")
 }
 
 func TestCallThatEndsBeforeTheLastByteNeverRan(t *testing.T) {
-	_, send, ends := at("127.0.0.1:1") // nobody listens
-	send(api.Second)
-	assert.Equal(t, api.ConnectFailed, (<-ends).what)
-	_, send, ends = at(script(t, breaks))
-	send(api.Second)
-	assert.Equal(t, api.ConnectionReset, (<-ends).what)
-	_, send, ends = at(script(t, silent))
-	send(api.Second / 20)
-	assert.Equal(t, api.TimedOut, (<-ends).what)
+	client := startClient("127.0.0.1:1") // nobody listens
+	assert.Equal(t, api.ConnectFailed, client.call(api.Second).outcome)
+	client = startClient(serveConnections(t, closeAfterRequest))
+	assert.Equal(t, api.ConnectionReset, client.call(api.Second).outcome)
+	client = startClient(serveConnections(t, neverAnswer))
+	assert.Equal(t, api.TimedOut, client.call(api.Second/20).outcome)
 }
 
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
-	once := func(c net.Conn, in *bufio.Reader) {
-		_, _ = http.ReadRequest(in)
-		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+	closeAfterAnswer := func(conn net.Conn, reader *bufio.Reader) {
+		_, _ = http.ReadRequest(reader)
+		_, _ = conn.Write([]byte(emptyOK))
 		time.Sleep(20 * time.Millisecond)
-		_ = c.Close()
+		_ = conn.Close()
 	}
-	s, send, ends := at(script(t, once, answer("200 OK")))
+	client := startClient(serveConnections(t, closeAfterAnswer, answerEach("200 OK")))
 	for range 2 {
-		send(api.Second)
-		assert.Equal(t, api.Delivered, (<-ends).what)
+		assert.Equal(t, api.Delivered, client.call(api.Second).outcome)
 		time.Sleep(60 * time.Millisecond)
 	}
-	assert.EqualValues(t, 2, s.counters.Connections.Load())
+	assert.EqualValues(t, 2, client.counters.Connections.Load())
 }
 
-func TestIdleConnectionsAreReusedThenClosedInTime(t *testing.T) {
-	s, send, ends := at(script(t, answer("200 OK"), answer("200 OK")))
+func TestIdleConnectionsAreReusedAndClosedBeforeTheirLimit(t *testing.T) {
+	client := startClient(serveConnections(t, answerEach("200 OK"), answerEach("200 OK")))
 	for range 3 {
-		send(api.Second)
-		<-ends
+		client.call(api.Second)
 	}
-	time.Sleep(200 * time.Millisecond) // past the deadline of the last answer's rest
-	send(api.Second)
-	<-ends
-	assert.EqualValues(t, 1, s.counters.Connections.Load())
+	time.Sleep(200 * time.Millisecond) // beyond the deadline for the rest of the last answer
+	client.call(api.Second)
+	assert.EqualValues(t, 1, client.counters.Connections.Load())
 	time.Sleep(850 * time.Millisecond) // the other side would close after 1 s
-	s.Sweep()
-	assert.Zero(t, s.open)
-	send(api.Second)
-	assert.Equal(t, api.Delivered, (<-ends).what)
+	client.Sweep()
+	assert.Zero(t, client.open)
+	assert.Equal(t, api.Delivered, client.call(api.Second).outcome)
 	time.Sleep(5 * time.Millisecond)
-	s.CloseIdle(1)
-	assert.Zero(t, s.open)
+	client.CloseIdle(testEndpoint)
+	assert.Zero(t, client.open)
 }
 
-func TestWaitOrDrainWhileConnectingStopsTheCall(t *testing.T) {
-	s, send, ends := at(script(t, answer("429 Slow\r\nRetry-After: 0.3"), answer("200 OK"), answer("200 OK")))
-	send(api.Second)
-	assert.Equal(t, api.Rejected, (<-ends).what)
-	send(api.Second)
-	assert.Equal(t, api.NotSent, (<-ends).what, "told to wait")
+func TestRetryAfterOrDrainingStopsACallThatIsConnecting(t *testing.T) {
+	rejecting, ok := answerEach("429 Slow\r\nRetry-After: 0.3"), answerEach("200 OK")
+	client := startClient(serveConnections(t, rejecting, ok, ok))
+	assert.Equal(t, api.Rejected, client.call(api.Second).outcome)
+	assert.Equal(t, api.NotSent, client.call(api.Second).outcome, "Retry-After")
 	time.Sleep(300 * time.Millisecond)
-	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3, Status: api.EndpointDraining}, "", api.DestinationKind{})
-	send(api.Second)
-	assert.Equal(t, api.NotSent, (<-ends).what, "draining")
+	client.setStatus(api.EndpointDraining)
+	assert.Equal(t, api.NotSent, client.call(api.Second).outcome, "draining")
 }
 
-// Guards against a second effect: a tokened webhook whose connection comes up when its token is forgotten.
-func TestCallThatWouldBeginTooLateIsNotMade(t *testing.T) {
+// Guards against a duplicate: the connection may be established only after the destination has forgotten the token.
+func TestCallIsNotMadeAfterItsLatestStart(t *testing.T) {
 	calls := make(chan bool, 9)
-	counted := func(c net.Conn, in *bufio.Reader) {
+	countCalls := func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			if _, err := http.ReadRequest(in); err != nil {
+			if _, err := http.ReadRequest(reader); err != nil {
 				return
 			}
 			calls <- true
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = conn.Write([]byte(emptyOK))
 		}
 	}
-	s, send, ends := at(script(t, counted, counted))
-	late := func() api.Outcome {
-		s.Send(1, []Attempt{{&inflight.Webhook{ID: 7, RequestID: "b"}, api.Second, inflight.Now() - 1}})
-		return (<-ends).what
+	client := startClient(serveConnections(t, countCalls, countCalls))
+	callLate := func() api.Outcome {
+		attempt := newAttempt(7, "b", api.Second)
+		attempt.Latest = inflight.Now() - 1
+		client.Send(testEndpoint, []Attempt{attempt})
+		return (<-client.results).outcome
 	}
-	assert.True(t, late().NeverRan(), "on a new connection")
-	send(api.Second)
-	assert.Equal(t, api.Delivered, (<-ends).what)
-	assert.Equal(t, api.NotSent, late(), "on one that is idle")
-	send(api.Second)
-	<-ends
+	assert.True(t, callLate().NeverRan(), "on a new connection")
+	assert.Equal(t, api.Delivered, client.call(api.Second).outcome)
+	assert.Equal(t, api.NotSent, callLate(), "on an idle connection")
+	client.call(api.Second)
 	assert.Len(t, calls, 2)
 }
 
 func TestChangedAddressIsCalled(t *testing.T) {
-	s, send, ends := at(script(t, answer("200 OK")))
-	send(api.Second)
-	assert.Equal(t, api.Delivered, (<-ends).what)
-	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3}, script(t, answer("503 New")), api.DestinationKind{BatchSize: 1})
-	send(api.Second)
-	assert.Equal(t, api.Rejected, (<-ends).what)
+	client := startClient(serveConnections(t, answerEach("200 OK")))
+	assert.Equal(t, api.Delivered, client.call(api.Second).outcome)
+	client.setAddress(serveConnections(t, answerEach("503 New")))
+	assert.Equal(t, api.Rejected, client.call(api.Second).outcome)
 }
 
 func TestCancelEndsTheConnection(t *testing.T) {
 	ended := make(chan bool, 1)
-	s, send, ends := at(script(t, func(c net.Conn, in *bufio.Reader) { silent(c, in); ended <- true }))
-	send(api.Second)
+	waitForEnd := func(conn net.Conn, reader *bufio.Reader) {
+		neverAnswer(conn, reader)
+		ended <- true
+	}
+	client := startClient(serveConnections(t, waitForEnd))
+	client.send(api.Second)
 	time.Sleep(50 * time.Millisecond)
-	s.Cancel(1)
-	assert.Equal(t, api.Cancelled, (<-ends).what)
+	client.Cancel(1)
+	assert.Equal(t, api.Cancelled, (<-client.results).outcome)
 	assert.True(t, <-ended)
-	assert.Zero(t, s.InFlight())
+	assert.Zero(t, client.InFlight())
 }
--- a/webhook/dispatcher/upstream/helpers_test.go
+++ b/webhook/dispatcher/upstream/helpers_test.go
@@ -14,75 +14,135 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// end is the result of one webhook.
-type end struct {
-	what       api.Outcome
+// The endpoint that tests call, and its destination.
+const (
+	testEndpoint    = api.EndpointID(1)
+	testDestination = api.DestinationID(3)
+)
+
+const emptyOK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+
+// webhookResult is the result of one webhook.
+type webhookResult struct {
+	outcome    api.Outcome
 	final      bool
 	retryAfter api.Micros
 }
 
-// at starts a client with endpoint 1 at an address; send calls it with one webhook.
-func at(addr string) (s *Client, send func(timeout api.Micros), ends chan end) {
-	ends = make(chan end, 9)
-	s = New(&inflight.Counters{}, func(_ *inflight.Webhook, r api.AttemptResult) {
-		ends <- end{r.Outcome, r.Final, r.RetryAfter}
-	}, api.Second/5, api.Second, 4)
-	s.UpdateEndpoint(api.EndpointEntry{Endpoint: 1, Destination: 3}, addr, api.DestinationKind{BatchSize: 1})
-	id := api.WebhookID(0)
-	return s, func(timeout api.Micros) {
-		id++
-		s.Send(1, []Attempt{{&inflight.Webhook{ID: id, RequestID: "a"}, timeout, inflight.Now() + timeout}})
-	}, ends
+// testClient is a Client with testEndpoint.
+type testClient struct {
+	*Client
+	results chan webhookResult
+	lastID  api.WebhookID
+}
+
+// startClient starts a client with testEndpoint at an address.
+func startClient(address string) *testClient {
+	client := &testClient{results: make(chan webhookResult, 9)}
+	onResult := func(_ *inflight.Webhook, result api.AttemptResult) {
+		client.results <- webhookResult{
+			outcome:    result.Outcome,
+			final:      result.Final,
+			retryAfter: result.RetryAfter,
+		}
+	}
+	client.Client = New(&inflight.Counters{}, onResult, api.Second/5, api.Second, 4)
+	client.setAddress(address)
+	return client
+}
+
+// setAddress lists testEndpoint at an address.
+func (c *testClient) setAddress(address string) {
+	entry := api.EndpointEntry{Endpoint: testEndpoint, Destination: testDestination}
+	c.UpdateEndpoint(entry, address, api.DestinationKind{BatchSize: 1})
+}
+
+// setStatus updates testEndpoint, as lists do that say no more than its status.
+func (c *testClient) setStatus(status api.EndpointStatus) {
+	entry := api.EndpointEntry{Endpoint: testEndpoint, Destination: testDestination, Status: status}
+	c.UpdateEndpoint(entry, "", api.DestinationKind{})
+}
+
+// send calls testEndpoint with one webhook; its result comes to results.
+func (c *testClient) send(timeout api.Micros) {
+	c.lastID++
+	c.Send(testEndpoint, []Attempt{newAttempt(c.lastID, "a", timeout)})
+}
+
+// call calls testEndpoint with one webhook and waits for its result.
+func (c *testClient) call(timeout api.Micros) webhookResult {
+	c.send(timeout)
+	return <-c.results
 }
 
-// script accepts one connection after the other and runs the next handler on each.
-func script(t *testing.T, handlers ...func(net.Conn, *bufio.Reader)) string {
-	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+func newAttempt(id api.WebhookID, requestID inflight.RequestID, timeout api.Micros) Attempt {
+	return Attempt{
+		Webhook: &inflight.Webhook{ID: id, RequestID: requestID},
+		Timeout: timeout,
+		Latest:  inflight.Now() + timeout,
+	}
+}
+
+// connectionHandler serves one connection of an endpoint.
+type connectionHandler func(conn net.Conn, reader *bufio.Reader)
+
+// serveConnections accepts one connection after the other, runs the next handler on each, and returns the address.
+func serveConnections(t *testing.T, handlers ...connectionHandler) string {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { assert.NoError(t, l.Close()) })
+	t.Cleanup(func() { assert.NoError(t, listener.Close()) })
 	go func() {
 		for _, handle := range handlers {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go handle(c, bufio.NewReader(c))
+			go handle(conn, bufio.NewReader(conn))
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func answer(text string) func(net.Conn, *bufio.Reader) {
-	return func(c net.Conn, in *bufio.Reader) {
+// emptyAnswer returns an answer without a body; head is the status and further header lines.
+func emptyAnswer(head string) string {
+	return "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n"
+}
+
+// answerEach answers each request with an empty answer of the head given.
+func answerEach(head string) connectionHandler {
+	return func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			if _, err := http.ReadRequest(in); err != nil {
+			if _, err := http.ReadRequest(reader); err != nil {
 				return
 			}
-			_, _ = c.Write([]byte("HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = conn.Write([]byte(emptyAnswer(head)))
 		}
 	}
 }
 
-func silent(_ net.Conn, in *bufio.Reader) {
-	_, _ = http.ReadRequest(in)
-	_, _ = in.ReadByte()
-}
-
-func breaks(c net.Conn, in *bufio.Reader) {
-	_, _ = http.ReadRequest(in)
-	_ = c.Close()
-}
-
-// says answers each call with some bytes and leaves the connection open.
-func says(text string) func(net.Conn, *bufio.Reader) {
-	return func(c net.Conn, in *bufio.Reader) {
+// writeAfterEach writes raw bytes after each request and leaves the connection open.
+func writeAfterEach(raw string) connectionHandler {
+	return func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			r, err := http.ReadRequest(in)
+			request, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			_, _ = io.Copy(io.Discard, r.Body)
-			_, _ = c.Write([]byte(text))
+			_, _ = io.Copy(io.Discard, request.Body)
+			_, _ = conn.Write([]byte(raw))
 		}
 	}
 }
+
+// neverAnswer reads a request and waits until the connection ends.
+func neverAnswer(_ net.Conn, reader *bufio.Reader) {
+	_, _ = http.ReadRequest(reader)
+	_, _ = reader.ReadByte()
+}
+
+// closeAfterRequest reads a request and closes the connection.
+func closeAfterRequest(conn net.Conn, reader *bufio.Reader) {
+	_, _ = http.ReadRequest(reader)
+	_ = conn.Close()
+}
--- a/webhook/dispatcher/upstream/may_call_test.go
+++ b/webhook/dispatcher/upstream/may_call_test.go
@@ -11,21 +11,23 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against two callers: where the right to call ends before a call's first byte or between its first
-// and last, the destination never has it whole, and that is no failure of the destination.
+// Guards against two dispatchers that call at once: if the lease ends before a call's first byte, or between its first and
+// last byte, the destination never receives a complete request, and that is not counted as its failure.
 func TestCallWhoseLeaseEndsBeforeItsLastByteIsNotMade(t *testing.T) {
-	for _, looks := range []int{0, 1} {
-		whole := make(chan bool, 1)
-		s, send, ends := at(script(t, func(c net.Conn, in *bufio.Reader) {
-			_, err := http.ReadRequest(in)
-			whole <- err == nil
-			_ = c.Close()
+	for _, allowedChecks := range []int{0, 1} {
+		complete := make(chan bool, 1)
+		client := startClient(serveConnections(t, func(conn net.Conn, reader *bufio.Reader) {
+			_, err := http.ReadRequest(reader)
+			complete <- err == nil
+			_ = conn.Close()
 		}))
-		n := 0
-		s.MayCall = func(api.DestinationID) bool { n++; return n <= looks }
-		send(api.Second)
-		assert.Equal(t, api.NotSent, (<-ends).what, "after %d looks", looks)
-		s.Close()
-		assert.False(t, <-whole)
+		checks := 0
+		client.MayCall = func(api.DestinationID) bool {
+			checks++
+			return checks <= allowedChecks
+		}
+		assert.Equal(t, api.NotSent, client.call(api.Second).outcome, "after %d checks", allowedChecks)
+		client.Close()
+		assert.False(t, <-complete)
 	}
 }
--- a/webhook/refresh/startup_gate_test.go
+++ b/webhook/refresh/startup_gate_test.go
@@ -8,21 +8,23 @@
 	"rowanlink/webhook/api"
 )
 
-type turns struct {
+// countingPolicy counts the calls that it gets.
+type countingPolicy struct {
 	api.Policy
-	taken, over int
+	submitted, turns int
 }
 
-func (m *turns) Submit(api.Webhook) { m.taken++ }
-func (m *turns) EndTurn()           { m.over++ }
+func (p *countingPolicy) Submit(api.Webhook) { p.submitted++ }
+func (p *countingPolicy) EndTurn()           { p.turns++ }
 
-func TestUntilItIsOpenedWebhooksAreTakenOnAndNoTurnMakesCalls(t *testing.T) {
-	m := &turns{}
-	h := &StartupGate{Policy: m}
-	h.Submit(api.Webhook{ID: 1, Deadline: 9, Destination: 3})
-	h.EndTurn()
-	assert.Equal(t, []int{1, 0}, []int{m.taken, m.over})
-	h.Open()
-	h.EndTurn()
-	assert.Equal(t, 1, m.over)
+func TestClosedGateAcceptsWebhooksAndEndsNoTurn(t *testing.T) {
+	policy := &countingPolicy{}
+	gate := &StartupGate{Policy: policy}
+	gate.Submit(api.Webhook{ID: 1, Deadline: 9, Destination: 3})
+	gate.EndTurn()
+	assert.Equal(t, 1, policy.submitted)
+	assert.Zero(t, policy.turns)
+	gate.Open()
+	gate.EndTurn()
+	assert.Equal(t, 1, policy.turns)
 }
