--- a/cmd/rowan-simadapter/main.go
+++ b/cmd/rowan-simadapter/main.go
@@ -1,4 +1,5 @@
-// Command rowan-simadapter runs the decision module on the bench's wire, standard input to standard output.
+// Command rowan-simadapter runs the dispatcher's decision policy on the simulator's wire: batches of events on standard
+// input, actions on standard output. It exits with 1 if the input is malformed.
 package main
 
 import (
@@ -11,8 +12,8 @@
 )
 
 func main() {
-	start := func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) }
-	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
+	newPolicy := func(settings api.Settings, host api.Host) api.Policy { return policy.New(settings, host) }
+	if err := simadapter.Serve(os.Stdin, os.Stdout, newPolicy); err != nil {
 		fmt.Fprintln(os.Stderr, "rowan-simadapter:", err)
 		os.Exit(1)
 	}
--- a/webhook/simadapter/server_test.go
+++ b/webhook/simadapter/server_test.go
@@ -56,7 +56,9 @@
 		uint32(77), uint16(0), uint16(0), uint16(3), byte(0), float32(9), uint64(0))
 }
 
-func topologyRecord() []byte { return record(eventTopology, testInstance, uint64(1), uint16(2), byte(2)) }
+func topologyRecord() []byte {
+	return record(eventTopology, testInstance, uint64(1), uint16(2), byte(2))
+}
 
 func webhookRecord(id uint32) []byte {
 	return record(eventNew, testInstance, id, byte(0), uint32(0), uint64(0), uint64(9e9), uint64(0), float32(3), byte(0))
