--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -32,7 +32,9 @@
 func startSeed(t *testing.T, agentSettings *settings.Process) *member.Service {
 	t.Helper()
 	seedSettings := *agentSettings
-	seedSettings.NodeName, seedSettings.IP, seedSettings.Seeds = "seed", seedIP, nil
+	seedSettings.NodeName = "seed"
+	seedSettings.IP = seedIP
+	seedSettings.Seeds = nil
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", seedSettings.InternalAddress())
 	require.NoError(t, err, "needs a second loopback address")
 	mux := http.NewServeMux()
