--- a/cluster/rebalance/infeasible.go
+++ b/cluster/rebalance/infeasible.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// infeasibleError tells which ranges find no place: those on the source's side of a minimum cut of the network, with
+// infeasibleError tells which ranges can't be placed: those on the source's side of a minimum cut of the network, with
 // the members that they are bound to and the rules that bind them.
 func (a *assignment) infeasibleError() error {
 	reached := a.net.SourceSide()
@@ -26,7 +26,7 @@
 		case planfile.Drain:
 			reasons = append(reasons, fmt.Sprintf("%q leaves by line %d", r.Member, r.Line))
 		case planfile.Dedicated:
-			reasons = append(reasons, fmt.Sprintf("%q is alone by line %d", r.Member, r.Line))
+			reasons = append(reasons, fmt.Sprintf("%q is dedicated by line %d", r.Member, r.Line))
 		default:
 			continue
 		}
@@ -41,12 +41,12 @@
 		capacity += member.Capacity
 		line = cmp.Or(line, member.Line)
 		fullMembers = append(fullMembers,
-			fmt.Sprintf("%q (line %d) has room for %d", member.ID, member.Line, member.Capacity))
+			fmt.Sprintf("%q (line %d) has capacity %d", member.ID, member.Line, member.Capacity))
 	}
 	if len(fullMembers) == 0 {
 		fullMembers = []string{"no member may have them"}
 	}
-	text := fmt.Sprintf("%d ranges have to share %d places: %s", len(ranges), capacity, planfile.JoinSome(fullMembers))
+	text := fmt.Sprintf("%d ranges have to share a capacity of %d: %s", len(ranges), capacity, planfile.JoinSome(fullMembers))
 	if len(reasons) > 0 {
 		text += "; " + planfile.JoinSome(reasons)
 	}
@@ -94,7 +94,7 @@
 	}
 	for _, member := range p.members {
 		if member.Capacity > 0 {
-			texts = append(texts, fmt.Sprintf("room of %q in line %d", member.ID, member.Line))
+			texts = append(texts, fmt.Sprintf("capacity of %q in line %d", member.ID, member.Line))
 		}
 	}
 	return texts
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -89,7 +89,7 @@
 // ranges.
 func NewPlan(f *planfile.File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
-		return nil, fmt.Errorf("%s:1: there is no map of ranges yet", f.Name)
+		return nil, fmt.Errorf("%s:1: there is no shard map yet", f.Name)
 	}
 	splits, after, err := neededSplits(f, m)
 	if err != nil {
--- a/cluster/rebalance/plan_test.go
+++ b/cluster/rebalance/plan_test.go
@@ -47,14 +47,14 @@
 			"alone \"e\" { destinations = [3] }\n" +
 			"apart \"z\" { destinations = [5, 9] }", ""},
 		{"room after a leave", strings.Replace(full, "8", "7", 1) + "member \"c\" {}\nleave \"c\" {}",
-			`f.hcl:8: 16 ranges have to share 15 places: "a" (line 1) has room for 7, "b" (line 4) has room for 8; ` +
+			`f.hcl:8: 16 ranges have to share a capacity of 15: "a" (line 1) has capacity 7, "b" (line 4) has capacity 8; ` +
 				`"c" leaves by line 8`},
 		{"room for what is kept", full + "member \"c\" {\n zone = \"z\"\n room = 2\n}\nkeep \"k\" {\n" +
 			" hashes = [\"0x0\", \"0x3fffffffffffffff\"]\n zone = \"z\"\n}",
-			`f.hcl:11: 4 ranges have to share 2 places: "c" (line 7) has room for 2; keep "k" in line 11`},
+			`f.hcl:11: 4 ranges have to share a capacity of 2: "c" (line 7) has capacity 2; keep "k" in line 11`},
 		{"room for what is pinned", "member \"a\" { room = 1 }\nmember \"b\" {}\npin \"p\" {\n" +
 			" hashes = [\"0x0\", \"0x1fffffffffffffff\"]\n to = \"a\"\n}",
-			`f.hcl:3: pin "p": "a" has room for 1 (line 1), and more are pinned there`},
+			`f.hcl:3: pin "p": "a" has capacity 1 (line 1), and more are pinned there`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, err := planfile.Parse([]byte(c.text), "f.hcl")
@@ -89,7 +89,7 @@
 	}
 	_, err := made(members + swap)
 	assert.ErrorContains(t, err,
-		`f.hcl:1: "a" (line 1, room = 1), "b" (line 2, room = 1) are full and shall change`)
+		`f.hcl:1: "a" (line 1, room = 1), "b" (line 2, room = 1) are at capacity and shall exchange`)
 	p, err := made(members + "member \"c\" { weight = 0 }\n" + swap)
 	require.NoError(t, err)
 	require.Len(t, p.Steps, 3)
@@ -98,7 +98,7 @@
 	move := "pin \"p\" {\n " + hashesIn(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + hashesIn(1, 2) + "\n to = \"c\"\n}\n"
 	_, err = made(members + "member \"c\" {}\n" + move + "before \"p\" { after = [\"q\"] }\n")
 	assert.ErrorContains(t, err,
-		"f.hcl:12: there is no order of moves: range 2 waits by this line, and \"b\" has no room "+
+		"f.hcl:12: there is no order of moves: range 2 is blocked by this line, and \"b\" has no capacity "+
 			"(line 2, room = 1) for range 1 until it has left")
 }
 
@@ -126,7 +126,7 @@
 			require.NoError(t, err)
 			p, err := NewPlan(f, newSimulation(t, "a", "b", "c").shards, func(id cluster.RangeID) uint64 { return uint64(10 - id) })
 			if c.over == 0 {
-				assert.ErrorContains(t, err, "are full and shall change")
+				assert.ErrorContains(t, err, "are at capacity and shall exchange")
 				return
 			}
 			require.NoError(t, err)
--- a/cluster/rebalance/planfile/convert.go
+++ b/cluster/rebalance/planfile/convert.go
@@ -50,7 +50,7 @@
 	case block.Name == "":
 		return member, f.Errorf(line, `member ""; it needs a name`)
 	case earlier != nil:
-		return member, f.Errorf(line, "member %q stands in line %d already", block.Name, earlier.Line)
+		return member, f.Errorf(line, "member %q is already defined in line %d", block.Name, earlier.Line)
 	case !(member.Weight >= 0 && member.Weight <= maxWeight): // so that NaN is rejected
 		return member, f.Errorf(line, "weight of member %q is %g; it may be 0 to 1e6", block.Name, member.Weight)
 	case block.Room < 0:
@@ -156,7 +156,7 @@
 	for i, block := range source.Bounds {
 		line := block.At.Start.Line
 		if i > 0 {
-			return f.Errorf(line, "a second bounds block; the first stands in line %d", f.Limits.Line)
+			return f.Errorf(line, "a second bounds block; the first is in line %d", f.Limits.Line)
 		}
 		f.Limits.Line = line
 		counts := []struct {
@@ -197,7 +197,7 @@
 	for i, block := range source.Stop {
 		line := block.At.Start.Line
 		if i > 0 {
-			return f.Errorf(line, "a second stop_when block; the first stands in line %d", conditions.Line)
+			return f.Errorf(line, "a second stop_when block; the first is in line %d", conditions.Line)
 		}
 		conditions.Line = line
 		conditions.Unhealthy = block.Sick
--- a/cluster/rebalance/planfile/parse_test.go
+++ b/cluster/rebalance/planfile/parse_test.go
@@ -20,11 +20,11 @@
 		{"unknown block", members + "move \"a\" {}", "f.hcl:4: Unsupported block type"},
 		{"unknown word", members + "bounds { moves = 3 }", "f.hcl:4: Unsupported argument"},
 		{"deep", "x = " + strings.Repeat("[", 100), "f.hcl:1: brackets within brackets; they may be 64 deep"},
-		{"member twice", members + "member \"a\" {}", `f.hcl:4: member "a" stands in line 1 already`},
+		{"member twice", members + "member \"a\" {}", `f.hcl:4: member "a" is already defined in line 1`},
 		{"weight", "member \"a\" { weight = -1 }", `f.hcl:1: weight of member "a" is -1; it may be 0 to 1e6`},
 		{"room", "member \"a\" { room = -1 }", `f.hcl:1: room of member "a" is -1; it may be 1 or more`},
 		{"bounds twice", members + "bounds {}\nbounds {}",
-			"f.hcl:5: a second bounds block; the first stands in line 4"},
+			"f.hcl:5: a second bounds block; the first is in line 4"},
 		{"bound", members + "bounds { per_zone = 0 }", "f.hcl:4: per_zone is 0; it may be 1 or more"},
 		{"value", members + "bounds { value_under_way = 0 }",
 			"f.hcl:4: value_under_way is 0; it may be more than 0"},
@@ -38,7 +38,7 @@
 		{"no such member", members + "leave \"d\" {}",
 			`f.hcl:4: leave "d": no member is called "d"; it may be "a", "b", "c"`},
 		{"name twice", members + "leave \"a\" {}\nkeep \"a\" {\n destinations = [1]\n zone = \"y\"\n}",
-			`f.hcl:5: keep "a": the name is taken by leave in line 4`},
+			`f.hcl:5: keep "a": the name is used by leave in line 4`},
 		{"pin to one that leaves", members + "pin \"p\" {\n destinations = [1]\n to = \"a\"\n}\nleave \"a\" {}",
 			`f.hcl:4: pin "p" wants ranges on "a", which leaves by line 8`},
 		{"keep to no zone", members + "keep \"k\" {\n destinations = [1]\n zone = \"z\"\n}",
@@ -49,7 +49,7 @@
 			`f.hcl:5: no rule is called "p"; it may be`},
 		{"a circle", members + "leave \"a\" {}\nleave \"b\" {}\nbefore \"a\" { after = [\"b\"] }\n" +
 			"after \"a\" { before = [\"b\"] }",
-			`f.hcl:7: the order goes in a circle: "a" before "b" (line 6), "b" before "a" (line 7)`},
+			`f.hcl:7: the precedences form a cycle: "a" before "b" (line 6), "b" before "a" (line 7)`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(c.text), "f.hcl")
--- a/cluster/rebalance/planfile/precedence.go
+++ b/cluster/rebalance/planfile/precedence.go
@@ -107,5 +107,5 @@
 		first, then := s.file.Rules[p.First].Name, s.file.Rules[p.Then].Name
 		cycle = append(cycle, fmt.Sprintf("%q before %q (line %d)", first, then, p.Line))
 	}
-	return s.file.Errorf(last.Line, "the order goes in a circle: %s", JoinSome(cycle))
+	return s.file.Errorf(last.Line, "the precedences form a cycle: %s", JoinSome(cycle))
 }
--- a/cluster/rebalance/planfile/validate.go
+++ b/cluster/rebalance/planfile/validate.go
@@ -11,7 +11,7 @@
 	for i := range f.Rules {
 		r := &f.Rules[i]
 		if earlier := byName[r.Name]; earlier != nil {
-			return f.Errorf(r.Line, "%s %q: the name is taken by %s in line %d", r.Kind, r.Name, earlier.Kind,
+			return f.Errorf(r.Line, "%s %q: the name is used by %s in line %d", r.Kind, r.Name, earlier.Kind,
 				earlier.Line)
 		}
 		byName[r.Name] = r
--- a/cluster/rebalance/print.go
+++ b/cluster/rebalance/print.go
@@ -13,7 +13,7 @@
 
 const defaultRanges = 64 // of a first map, where the file doesn't state how many
 
-// PrintPlan prints what a file makes of a map: the steps, why each waits at first, and the keys moved beside the
+// PrintPlan prints what a file makes of a map: the steps, why each is blocked at first, and the keys moved beside the
 // minimum. Without a map it uses the first one that the file's members get. keys is as for NewPlan.
 func PrintPlan(text []byte, name string, m *shardmap.Map, keys func(cluster.RangeID) uint64, out io.Writer) error {
 	f, err := planfile.Parse(text, name)
@@ -25,7 +25,7 @@
 		if err != nil {
 			return fmt.Errorf("%s:1: %w", name, err)
 		}
-		_, _ = fmt.Fprintln(out, "there is no map yet: this is from the first one, by the members' weights")
+		_, _ = fmt.Fprintln(out, "there is no shard map yet: the plan begins at an initial one, by the members' weights")
 	}
 	plan, err := NewPlan(f, m, keys)
 	if err != nil {
@@ -79,38 +79,38 @@
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
 func (p *planPrinter) printSteps(blocked []BlockedStep) error {
-	waits := map[int]string{} // by step
+	blockedReasons := map[int]string{} // by step
 	for _, b := range blocked {
-		waits[b.Step] = "waits: " + b.Reason
+		blockedReasons[b.Step] = "blocked: " + b.Reason
 	}
 	table := newTable(p.out)
 	_, _ = fmt.Fprintln(table, "step\trange\tfrom\tto\tkeys\t")
 	for k, s := range p.plan.Steps {
 		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", k+1, formatRangeID(s.Range), s.From, s.To,
-			p.formatKeys(s.Keys), describeStep(s, waits[k]))
+			p.formatKeys(s.Keys), describeStep(s, blockedReasons[k]))
 	}
 	return table.Flush()
 }
 
-// describeStep tells what a step does, and what it waits for, if it waits.
-func describeStep(s Step, waits string) string {
+// describeStep tells what a step does, and why it can't start yet; blocked is "" if it can.
+func describeStep(s Step, blocked string) string {
 	switch s.Kind {
 	case StepSplit:
 		split := fmt.Sprintf("splits range %d off at %#x", s.OtherRange, uint64(s.SplitKey))
-		if waits == "" {
-			return "at once: " + split
+		if blocked == "" {
+			return "starts now: " + split
 		}
-		return split + "; " + waits
+		return split + "; " + blocked
 	case StepMerge:
-		return fmt.Sprintf("merges range %d into it; %s", s.OtherRange, cmp.Or(waits, "at once"))
+		return fmt.Sprintf("merges range %d into it; %s", s.OtherRange, cmp.Or(blocked, "starts now"))
 	case StepContinue:
-		return "is under way"
+		return "in progress"
 	case StepRollBack:
-		return "goes back"
+		return "rolls back"
 	case StepDetour:
-		return cmp.Or(waits, "starts at once") + "; a stop-over"
+		return cmp.Or(blocked, "starts now") + "; a detour that frees capacity"
 	}
-	return cmp.Or(waits, "starts at once")
+	return cmp.Or(blocked, "starts now")
 }
 
 // formatKeys prints a number of keys, or the share of the hashes where the counts aren't known.
@@ -135,9 +135,9 @@
 			moves++
 		}
 	}
-	minimum := "the least possible is"
+	minimum := "minimum:"
 	if !p.plan.Optimal {
-		minimum = "rules send away at the least"
+		minimum = "lower bound by the rules:"
 	}
 	_, _ = fmt.Fprintf(p.out, "%d moves, keys moved: %s; %s %s\n", moves, p.formatKeys(p.plan.MovedKeys), minimum,
 		p.formatKeys(p.plan.MinMovedKeys))
@@ -152,7 +152,7 @@
 		}
 	}
 	table := newTable(p.out)
-	_, _ = fmt.Fprintln(table, "member\tzone\tweight\troom\tranges\tthen\t")
+	_, _ = fmt.Fprintln(table, "member\tzone\tweight\tcapacity\tranges\tafter\t")
 	for _, member := range p.file.Members {
 		capacity := "-"
 		if member.Capacity > 0 {
@@ -169,10 +169,10 @@
 	if p == nil || p.Number == 0 {
 		return
 	}
-	_, _ = fmt.Fprintf(out, "running: plan %d, %d of %d steps through, %d under way\n", p.Number, p.DoneSteps(),
+	_, _ = fmt.Fprintf(out, "running: plan %d, %d of %d steps done, %d in progress\n", p.Number, p.DoneSteps(),
 		len(p.Steps), p.countSteps(Started))
 	if p.StopReason != "" {
-		_, _ = fmt.Fprintf(out, "stopped: %s; SIGHUP takes it up again\n", p.StopReason)
+		_, _ = fmt.Fprintf(out, "stopped: %s; SIGHUP resumes it\n", p.StopReason)
 	}
-	_, _ = fmt.Fprintln(out, "this file, from where the ranges are now:")
+	_, _ = fmt.Fprintln(out, "plan of this file, from the present owners:")
 }
--- a/cluster/rebalance/print_test.go
+++ b/cluster/rebalance/print_test.go
@@ -19,10 +19,10 @@
 	keys := func(id cluster.RangeID) uint64 { return uint64(10 * id) }
 	require.NoError(t, PrintPlan([]byte(text), "f.hcl", newSimulation(t, "a", "b").shards, keys, &out))
 	for _, line := range []string{
-		"1     1      a     c   10    starts at once; a stop-over",
-		"2     2      b     a   20    waits: a has no room until step 1 is through",
-		"3     1      c     b   10    waits: range 1 moves by step 1 first",
-		"3 moves, keys moved: 40; the least possible is 30",
+		"1     1      a     c   10    starts now; a detour that frees capacity",
+		"2     2      b     a   20    blocked: a has no capacity until step 1 is done",
+		"3     1      c     b   10    blocked: range 1 moves by step 1 first",
+		"3 moves, keys moved: 40; minimum: 30",
 	} {
 		assert.Contains(t, out.String(), line)
 	}
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	var out strings.Builder
 	require.NoError(t, PrintPlan(example, "fleet.hcl", nil, nil, &out))
-	assert.Contains(t, out.String(), `waits: pin "billing"`)
+	assert.Contains(t, out.String(), `blocked: pin "billing"`)
 }
 
 func TestPrintPlan_ShowsSplitsAndMerges(t *testing.T) {
@@ -43,9 +43,9 @@
 	var out strings.Builder
 	require.NoError(t, PrintPlan([]byte(text), "f.hcl", sim.shards, nil, &out))
 	for _, line := range []string{
-		"1     1      a     a   0%         at once: splits range 5 off at 0x277af360cedcb29f",
-		"2     1      a     a   0%         splits range 6 off at 0x277af360cedcb29e; waits: step 1 goes first",
-		"waits: range 6 is split off by step 2 first",
+		"1     1      a     a   0%         starts now: splits range 5 off at 0x277af360cedcb29f",
+		"2     1      a     a   0%         splits range 6 off at 0x277af360cedcb29e; blocked: step 1 has to be done first",
+		"blocked: range 6 is split off by step 2 first",
 		"1 moves, keys moved",
 	} {
 		assert.Contains(t, out.String(), line)
--- a/cluster/rebalance/problem.go
+++ b/cluster/rebalance/problem.go
@@ -242,7 +242,7 @@
 			pinned[m]++
 		}
 		if member.Capacity > 0 && pinned[m] > member.Capacity {
-			return p.file.Errorf(pin.Line, "%s %q: %q has room for %d (line %d), and more are pinned there, as %s",
+			return p.file.Errorf(pin.Line, "%s %q: %q has capacity %d (line %d), and more are pinned there, as %s",
 				pin.Kind, pin.Name, pin.Member, member.Capacity, member.Line, p.describeRange(i, pin))
 		}
 	}
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -129,7 +129,7 @@
 	case operationRecordState:
 		return nil, p.recordState(c)
 	}
-	return nil, fmt.Errorf("plan: no command has the number %d", c.Operation)
+	return nil, fmt.Errorf("plan: unknown operation %d", c.Operation)
 }
 
 func (p *Progress) recordState(c command) error {
@@ -149,7 +149,7 @@
 
 func (p *Progress) adopt(c command) error {
 	if c.Plan == nil {
-		return errors.New("plan: none is given")
+		return errors.New("plan: no plan in the command")
 	}
 	if c.Number != p.Number+1 {
 		return cluster.ErrStale
@@ -178,11 +178,11 @@
 // validate rejects a plan that no planner made: what reads it relies on each of these.
 func (p *Progress) validate() error {
 	if len(p.States) != len(p.Steps) || len(p.Text) > planfile.MaxBytes {
-		return fmt.Errorf("plan: %d steps, %d stands, %d bytes", len(p.Steps), len(p.States), len(p.Text))
+		return fmt.Errorf("plan: %d steps, %d states, %d bytes", len(p.Steps), len(p.States), len(p.Text))
 	}
 	for k, s := range p.Steps {
 		if !s.isValid(k) || p.States[k] > RolledBack {
-			return fmt.Errorf("plan: step %d can't be", k+1)
+			return fmt.Errorf("plan: step %d is invalid", k+1)
 		}
 	}
 	return nil
--- a/cluster/rebalance/reconcile.go
+++ b/cluster/rebalance/reconcile.go
@@ -57,7 +57,7 @@
 		if isRollBack {
 			s.rollBack(step, r, "the plan wants it elsewhere")
 		} else if s.isGone(v.To) && r.Move.Step < shardmap.StepSwitched {
-			s.rollBack(step, r, fmt.Sprintf("%q is not heard", v.To))
+			s.rollBack(step, r, fmt.Sprintf("%q has no session", v.To))
 		}
 		return ""
 	}
--- a/cluster/rebalance/scheduler_test.go
+++ b/cluster/rebalance/scheduler_test.go
@@ -104,7 +104,7 @@
 	for sim.applyActions() > 0 {
 	}
 	assert.Empty(t, sim.openMoves())
-	assert.Equal(t, []BlockedStep{{0, "b is not heard"}}, sim.schedule().Blocked)
+	assert.Equal(t, []BlockedStep{{0, "b has no session"}}, sim.schedule().Blocked)
 	sim.gone["b"] = false
 	for sim.applyActions() > 0 {
 	}
@@ -129,7 +129,7 @@
 	assert.Contains(t, out.Actions[0].Reason, `range 1 is on "c"`)
 	sim.applyActions()
 	assert.Equal(t, uint64(2), sim.progress.Number)
-	assert.Contains(t, sim.schedule().Blocked[0].Reason, "c has yet to say that it serves range 1")
+	assert.Contains(t, sim.schedule().Blocked[0].Reason, "c has not confirmed yet that it owns range 1")
 }
 
 func TestSchedule_MovesARangeWithTheFirstOfItsRules(t *testing.T) {
@@ -139,5 +139,5 @@
 	out := sim.schedule()
 	require.Len(t, out.Actions, 1)
 	assert.Equal(t, cluster.RangeID(1), out.Actions[0].Range)
-	assert.Equal(t, []BlockedStep{{1, `pin "p" (line 3) goes first and has 1 moves left`}}, out.Blocked)
+	assert.Equal(t, []BlockedStep{{1, `pin "p" (line 3) precedes it and has 1 moves left`}}, out.Blocked)
 }
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -224,7 +224,7 @@
 	if waiting == nil {
 		return nil
 	}
-	return s.file.Errorf(line, "these wait for one another: %s", planfile.JoinSome(waiting))
+	return s.file.Errorf(line, "deadlock, these moves wait for one another: %s", planfile.JoinSome(waiting))
 }
 
 // lockedError tells that full members can't exchange ranges.
@@ -245,8 +245,8 @@
 		ranges = append(ranges, s.describeRange(v.rangeIndex))
 	}
 	return s.file.Errorf(line,
-		"%s are full and shall change %s, and no other member may have one of these meanwhile: "+
-			"each is full, leaves, is alone, or out of the range's zone or rules",
+		"%s are at capacity and shall exchange %s, and no other member may have one of these meanwhile: "+
+			"each is at capacity, leaves, is dedicated, or excluded by the range's zone or rules",
 		planfile.JoinSome(members), planfile.JoinSome(ranges))
 }
 
--- a/cluster/rebalance/sequencer_test.go
+++ b/cluster/rebalance/sequencer_test.go
@@ -149,7 +149,7 @@
 			}
 		}
 		if room > 0 && pinned > room {
-			require.ErrorContains(t, err, "has room for")
+			require.ErrorContains(t, err, "has capacity")
 			return
 		}
 	}
--- a/cluster/rebalance/sequencesearch.go
+++ b/cluster/rebalance/sequencesearch.go
@@ -262,7 +262,7 @@
 				continue
 			}
 			return s.file.Errorf(s.blockingPrecedence(other, s.remaining).Line,
-				"there is no order of moves%s: %s waits by this line, and %q has no room (%s) for %s "+
+				"there is no order of moves%s: %s is blocked by this line, and %q has no capacity (%s) for %s "+
 					"until it has left",
 				searched, s.describeRange(w.rangeIndex), s.slotIDs[v.to], s.describeCapacity(v.to),
 				s.describeRange(v.rangeIndex))
--- a/cluster/rebalance/startmoves.go
+++ b/cluster/rebalance/startmoves.go
@@ -58,12 +58,12 @@
 func (s *scheduler) startReshape(step int) {
 	v := s.Steps[step]
 	if first := s.firstOpenDependency(v); first != noStep {
-		s.block(step, fmt.Sprintf("step %d goes first", first+1))
+		s.block(step, fmt.Sprintf("step %d has to be done first", first+1))
 		return
 	}
 	for _, r := range []*shardmap.Range{s.ranges[v.Range], s.ranges[v.OtherRange]} {
 		if r != nil && !r.IsStable() {
-			s.block(step, fmt.Sprintf("%s has yet to say that it serves range %d", r.Owner, r.ID))
+			s.block(step, fmt.Sprintf("%s has not confirmed yet that it owns range %d", r.Owner, r.ID))
 			return
 		}
 	}
@@ -147,24 +147,24 @@
 	for _, r := range v.AfterRules {
 		if r < len(s.remaining) && s.remaining[r] > 0 {
 			rule := s.file.Rules[r]
-			return fmt.Sprintf("%s %q (line %d) goes first and has %d moves left", rule.Kind, rule.Name, rule.Line,
+			return fmt.Sprintf("%s %q (line %d) precedes it and has %d moves left", rule.Kind, rule.Name, rule.Line,
 				s.remaining[r])
 		}
 	}
 	r, target := s.ranges[v.Range], s.members[v.To]
 	switch {
 	case s.isGone(v.To):
-		return fmt.Sprintf("%s is not heard", v.To)
+		return fmt.Sprintf("%s has no session", v.To)
 	case s.isGone(v.From):
-		return fmt.Sprintf("%s is not heard", v.From)
+		return fmt.Sprintf("%s has no session", v.From)
 	case r.Move.IsOpen():
 		return fmt.Sprintf("range %d moves already", v.Range)
 	case !r.IsStable():
-		return fmt.Sprintf("%s has yet to say that it serves range %d", r.Owner, v.Range)
+		return fmt.Sprintf("%s has not confirmed yet that it owns range %d", r.Owner, v.Range)
 	case target == nil:
 		return fmt.Sprintf("%s is not in the file", v.To)
 	case target.Capacity > 0 && s.isBase[v.Range] && s.owned[v.To] >= target.Capacity:
-		return fmt.Sprintf("%s has no room yet", v.To)
+		return fmt.Sprintf("%s has no capacity yet", v.To)
 	}
 	return ""
 }
@@ -180,7 +180,7 @@
 		case SameRange:
 			return fmt.Sprintf("range %d moves by step %d first", v.Range, d.Step+1)
 		default:
-			return fmt.Sprintf("%s has no room until step %d is through", v.To, d.Step+1)
+			return fmt.Sprintf("%s has no capacity until step %d is done", v.To, d.Step+1)
 		}
 	}
 	return ""
@@ -208,10 +208,10 @@
 	limits, value := s.file.Limits, s.value(v.Range)
 	switch {
 	case s.inFlight.moves >= limits.ConcurrentMoves:
-		return fmt.Sprintf("%d moves are under way, moves_at_once is %d%s", s.inFlight.moves, limits.ConcurrentMoves,
+		return fmt.Sprintf("%d moves are in progress, moves_at_once is %d%s", s.inFlight.moves, limits.ConcurrentMoves,
 			describeLine(limits.Line))
 	case limits.ValueInFlight > 0 && s.inFlight.value+value > limits.ValueInFlight:
-		return fmt.Sprintf("value %.4g under way and %.4g here, value_under_way is %g (line %d)", s.inFlight.value,
+		return fmt.Sprintf("value %.4g in progress and %.4g of this move, value_under_way is %g (line %d)", s.inFlight.value,
 			value, limits.ValueInFlight, limits.Line)
 	case s.observations.SinceLastMove < limits.Cooldown:
 		return fmt.Sprintf("the pause after the last move is not over (line %d)", limits.Line)
@@ -227,7 +227,7 @@
 
 func describeLine(line int) string {
 	if line == 0 {
-		return " where the file says nothing"
+		return " by default"
 	}
 	return fmt.Sprintf(" (line %d)", line)
 }
