--- a/cluster/raftnode/membership.go
+++ b/cluster/raftnode/membership.go
@@ -103,7 +103,9 @@
 	case current == raft.Voter:
 		return false
 	case current != raft.Nonvoter:
-		n.awaitMembershipChange("raft learner added", id, n.raft.AddNonvoter(id, raft.ServerAddress(id), 0, timeout))
+		if n.awaitMembershipChange("raft learner added", id, n.raft.AddNonvoter(id, raft.ServerAddress(id), 0, timeout)) {
+			n.ServersJoined.Add(1)
+		}
 		return true
 	case request.AppliedIndex == 0:
 		return true
@@ -112,8 +114,7 @@
 		return s.ID != id && memberOf(s.ID) == request.Member
 	})
 	if lost >= 0 {
-		lostID := servers[lost].ID
-		n.awaitMembershipChange("raft server of a lost folder removed", lostID, n.raft.RemoveServer(lostID, 0, timeout))
+		n.removeServer("raft server of a lost folder removed", servers[lost].ID)
 	} else {
 		n.awaitMembershipChange("raft voter added", id, n.raft.AddVoter(id, raft.ServerAddress(id), 0, timeout))
 	}
@@ -137,20 +138,28 @@
 func (n *Node) removeDepartedServer(servers []raft.Server, members []cluster.MemberID) {
 	for _, s := range servers {
 		if !slices.Contains(members, memberOf(s.ID)) {
-			n.awaitMembershipChange("raft server removed", s.ID, n.raft.RemoveServer(s.ID, 0, n.sessionTTL.Duration()))
+			n.removeServer("raft server removed", s.ID)
 			return
 		}
 	}
 }
 
-// awaitMembershipChange waits for a change of the configuration and logs it as event, or why it failed.
-func (n *Node) awaitMembershipChange(event string, id raft.ServerID, change raft.IndexFuture) {
+// removeServer removes a server from the configuration and logs that as event.
+func (n *Node) removeServer(event string, id raft.ServerID) {
+	if n.awaitMembershipChange(event, id, n.raft.RemoveServer(id, 0, n.sessionTTL.Duration())) {
+		n.ServersRemoved.Add(1)
+	}
+}
+
+// awaitMembershipChange waits for a change of the configuration, logs it as event, or why it failed, and reports whether
+// it succeeded.
+func (n *Node) awaitMembershipChange(event string, id raft.ServerID, change raft.IndexFuture) bool {
 	if err := change.Error(); err != nil {
 		slog.Warn("raft configuration change failed", "change", event, "server", id, "error", err)
-		return
+		return false
 	}
-	n.MembershipChanges.Add(1)
 	slog.Info(event, "server", id)
+	return true
 }
 
 // Membership returns the members that are in the raft configuration of this node, and whether each has a vote.
--- a/cluster/raftnode/metrics.go
+++ b/cluster/raftnode/metrics.go
@@ -25,10 +25,10 @@
 	ProposalsRejected       atomic.Int64
 	ProposalsOutcomeUnknown atomic.Int64
 
-	Redirects         atomic.Int64 // requests answered with who leads
-	MembershipChanges atomic.Int64 // servers added, given a vote or removed
-	ServersRemoved    atomic.Int64 // not counted: MembershipChanges has the removals
-	ComponentsServed  atomic.Int64
+	Redirects        atomic.Int64 // requests answered with who leads
+	ServersJoined    atomic.Int64 // added to the raft configuration, each as a learner first
+	ServersRemoved   atomic.Int64 // from the raft configuration
+	ComponentsServed atomic.Int64
 
 	isLeader   atomic.Int64 // 1 or 0
 	quorumLost atomic.Int64 // 1 or 0
@@ -57,7 +57,7 @@
 		{"proposals_unsure_total", n.ProposalsOutcomeUnknown.Load()},
 		{"keeper_asked_elsewhere_total", n.Redirects.Load()},
 		{"keeper_states_total", n.ComponentsServed.Load()},
-		{"keeper_joined_total", n.MembershipChanges.Load()},
+		{"keeper_joined_total", n.ServersJoined.Load()},
 		{"keeper_removed_total", n.ServersRemoved.Load()},
 		{"keeper_log_index", int64(n.raft.LastIndex())},
 		{"keeper_log_applied", int64(n.raft.AppliedIndex())},
