--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -63,6 +63,7 @@
 	}
 	latest, err := s.readEntries()
 	if err != nil {
+		_ = journal.Close() // the first error counts
 		return nil, err
 	}
 	records := make([]shardmap.CustodyRecord, 0, len(latest))
--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -1,7 +1,10 @@
 package custody
 
 import (
+	"os"
+	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -10,6 +13,7 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // openStore opens a store as a process does whose dispatcher has recovered some webhooks.
@@ -95,3 +99,30 @@
 	}
 	assert.Error(t, err, "it was never full")
 }
+
+// openFilesBelow returns the files of a folder that this process has open.
+func openFilesBelow(t *testing.T, dir string) (files []string) {
+	t.Helper()
+	descriptors, err := os.ReadDir("/proc/self/fd")
+	require.NoError(t, err)
+	for _, d := range descriptors {
+		target, err := os.Readlink(filepath.Join("/proc/self/fd", d.Name()))
+		if err == nil && strings.HasPrefix(target, dir) { // else it was closed since
+			files = append(files, target)
+		}
+	}
+	return files
+}
+
+func TestOpen_ClosesTheJournalIfARecordCannotBeRead(t *testing.T) {
+	dir := t.TempDir()
+	journal, err := wal.Open(dir, 1)
+	require.NoError(t, err)
+	require.NoError(t, journal.Accept(1, []byte("\xff")))
+	require.NoError(t, journal.Commit())
+	require.NotEmpty(t, openFilesBelow(t, dir))
+	require.NoError(t, journal.Close())
+	_, err = Open(dir, 1, api.Second, func(shardmap.WebhookID) bool { return false })
+	require.ErrorContains(t, err, "record 1")
+	assert.Empty(t, openFilesBelow(t, dir))
+}
