--- a/cluster/relay/receiver.go
+++ b/cluster/relay/receiver.go
@@ -141,7 +141,7 @@
 	err := r.store.Persist(r.state.Checkpoint(), fresh)
 	if err != nil {
 		r.state.Rollback()
-		slog.Error("relay: not kept", "why", err)
+		slog.Error("relay: frame not stored", "error", err)
 	}
 	return err
 }
--- a/cluster/relay/result_reporter.go
+++ b/cluster/relay/result_reporter.go
@@ -55,13 +55,13 @@
 		}
 		if acknowledged {
 			if backoff > r.timing.PollInterval {
-				slog.Info("relay: ends heard again", "owner", origin)
+				slog.Info("relay: results acknowledged again", "origin", origin)
 			}
 			backoff = r.timing.PollInterval
 			continue
 		}
 		if backoff == r.timing.PollInterval {
-			slog.Warn("relay: ends not heard, they are told until they are", "owner", origin)
+			slog.Warn("relay: results not acknowledged, retrying", "origin", origin)
 		}
 		select {
 		case <-time.After(backoff):
@@ -85,7 +85,8 @@
 	code, raw, err := r.messenger.Call(origin, ResultsPath, transport.Encode(message), r.timing.RequestTimeout)
 	var recorded []stream.Delivery
 	if err != nil || code != fasthttp.StatusOK || transport.Decode(raw, &recorded) != nil || len(recorded) == 0 {
-		slog.Debug("relay: ends not heard", "owner", origin, "count", len(message.Results), "status", code, "err", err)
+		slog.Debug("relay: results not acknowledged",
+			"origin", origin, "count", len(message.Results), "status", code, "error", err)
 		return true, false
 	}
 	r.mu.Lock()
--- a/cluster/relay/sender_loop.go
+++ b/cluster/relay/sender_loop.go
@@ -64,7 +64,7 @@
 
 func (s *Sender) sendFrame(f stream.Frame) time.Duration {
 	if err := s.record(f); err != nil { // it was not sent, and is retransmitted unchanged
-		slog.Error("stream: not noted", "relay", s.relay, "why", err)
+		slog.Error("stream: frame not recorded", "relay", s.relay, "error", err)
 		s.update(s.state.Retransmit)
 		return s.timing.PollInterval
 	}
@@ -133,7 +133,7 @@
 		s.checkReachable()
 		return s.timing.PollInterval
 	case code != fasthttp.StatusOK || transport.Decode(raw, &a) != nil:
-		slog.Warn("stream: to be opened anew", "relay", s.relay, "status", code)
+		slog.Warn("stream: has to be reopened", "relay", s.relay, "status", code)
 		s.markUnreachable()
 		return 0
 	}
@@ -194,7 +194,8 @@
 	})
 	s.opened = code == fasthttp.StatusOK
 	s.fenced.Store(!s.opened && s.holdsLease())
-	slog.Info("stream opened", "relay", s.relay, "run", a.Generation, "fenced", !s.opened, "held", len(a.Pending))
+	slog.Info("stream opened",
+		"relay", s.relay, "generation", a.Generation, "fenced", !s.opened, "pending", len(a.Pending))
 	if s.opened {
 		return 0
 	}
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -105,8 +105,8 @@
 	r.receiver = relay.NewReceiver(state, r, messenger, timing, inflight.Now)
 	r.reconcileDispatcher(pendingIDs)
 	if len(pending)+len(unacknowledged) > 0 {
-		slog.Info("relay goes on", "held", len(pending), "to_hand_in", len(r.unsubmitted),
-			"ends_owed", len(unacknowledged))
+		slog.Info("relay recovered its deliveries", "pending", len(pending), "unsubmitted", len(r.unsubmitted),
+			"unacknowledged_results", len(unacknowledged))
 	}
 	go r.run()
 	r.notify()
@@ -269,7 +269,7 @@
 		}
 	}
 	if err := r.journal.Commit(); err != nil {
-		slog.Error("relay: ends heard are not written", "why", err)
+		slog.Error("relay: removal of acknowledged results not stored", "error", err)
 	}
 }
 
--- a/cluster/site/relay_submission.go
+++ b/cluster/site/relay_submission.go
@@ -51,7 +51,7 @@
 	for _, record := range unsubmitted {
 		w, err := inflight.DecodeWebhook(0, record.Webhook)
 		if err != nil {
-			slog.Error("relay: webhook not read", "webhook", record.RequestID, "why", err)
+			slog.Error("relay: webhook can't be decoded", "webhook", record.RequestID, "error", err)
 			r.recordFinished(0, inflight.Result{RequestID: record.RequestID, Status: inflight.StatusRejected})
 			continue
 		}
@@ -108,7 +108,7 @@
 	}
 	first, err := r.write(records)
 	if err != nil {
-		slog.Error("relay: ends not written", "ends", len(records), "why", err)
+		slog.Error("relay: results not stored", "count", len(records), "error", err)
 		r.finished = append(finished, r.finished...)
 		r.mu.Unlock()
 		return
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -125,8 +125,8 @@
 	}
 	if len(forget) > 0 {
 		s.untrack(forget)
-		slog.Warn("relay gone: what it may have had", "site", s.site.ID, "goes", len(retried), "dead_lettered",
-			len(deadLettered), "waits", len(inDoubt)-len(forget), "folder_lost", lost)
+		slog.Warn("relay unreachable: in-doubt deliveries resolved", "site", s.site.ID, "retried", len(retried),
+			"dead_lettered", len(deadLettered), "waiting", len(inDoubt)-len(forget), "folder_lost", lost)
 		s.sites.InDoubt.Add(int64(len(forget)))
 	}
 	return forget
--- a/cluster/site/sent_log.go
+++ b/cluster/site/sent_log.go
@@ -47,7 +47,7 @@
 	for _, e := range journal.Entries() {
 		var r sentRecord
 		if err := transport.Decode(e.Payload, &r); err != nil {
-			return nil, fmt.Errorf("what was sent to relays: record %d: %w", e.ID, err)
+			return nil, fmt.Errorf("sent log: record %d: %w", e.ID, err)
 		}
 		if previous, known := l.recordIDs[r.RequestID]; known { // it was replaced, and not removed yet
 			journal.Finish(previous, nil)
--- a/cluster/site/site_sender.go
+++ b/cluster/site/site_sender.go
@@ -114,7 +114,7 @@
 	if sender := s.sender.Load(); sender != nil && sender.IsFenced() {
 		session.Release(s.resource)
 		s.stopStream()
-		slog.Info("site asked for anew: its relay has seen a later epoch", "site", s.site.ID)
+		slog.Info("site's lease requested again: its relay has seen a later epoch", "site", s.site.ID)
 	}
 	if s.sites.isSiteOwner(s.site.ID) {
 		session.Acquire(s.resource)
@@ -122,7 +122,7 @@
 	}
 	if _, held := session.Holds(s.resource); held {
 		session.Release(s.resource)
-		slog.Info("site let go", "site", s.site.ID)
+		slog.Info("site's lease released", "site", s.site.ID)
 	}
 	return 0, false
 }
@@ -163,7 +163,7 @@
 	s.bypassed = nil
 	s.mu.Unlock()
 	restored, detached := s.restoreSent(state, sent, parked)
-	slog.Info("site's stream begins", "site", s.site.ID, "relay", s.site.Relay, "epoch", epoch, "sent", restored)
+	slog.Info("site's stream started", "site", s.site.ID, "relay", s.site.Relay, "epoch", epoch, "sent", restored)
 	sender := relay.NewSender(s.site.Relay, state, s, s.sites.messenger, s.sites.timing, inflight.Now, func() bool {
 		current, held := s.sites.session.Holds(s.resource)
 		return held && current == epoch && !s.closing.Load() && s.sites.isSiteOwner(s.site.ID)
--- a/cluster/site/sites.go
+++ b/cluster/site/sites.go
@@ -189,7 +189,7 @@
 	}
 	s.relay.Store(receiver)
 	s.loop.Reevaluate()
-	slog.Info("serves as relay", "member", s.self, "room", receiver.Capacity())
+	slog.Info("serves as relay", "member", s.self, "capacity", receiver.Capacity())
 	return nil
 }
 
@@ -207,7 +207,7 @@
 		}
 	}
 	if err := s.startRelay(); err != nil {
-		slog.Error("does not serve as relay", "why", err)
+		slog.Error("does not serve as relay", "error", err)
 	}
 	s.loop.Reevaluate()
 }
@@ -248,7 +248,7 @@
 	close(s.closed)
 	if r := s.relay.Load(); r != nil {
 		if err := r.close(); err != nil {
-			slog.Warn("relay's journal not closed", "why", err)
+			slog.Warn("relay's journal not closed", "error", err)
 		}
 	}
 	if s.sentLog != nil {
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -84,7 +84,7 @@
 	r.rollback = nil
 	generation := request.Generation
 	if generation.Epoch == 0 || generation.Number == 0 {
-		return nil, fmt.Errorf("%w: run %v", ErrMalformed, generation)
+		return nil, fmt.Errorf("%w: generation %v", ErrMalformed, generation)
 	}
 	for _, d := range request.Sent {
 		if _, ok := r.deliveries[d]; ok {
