--- a/sim/engine/cluster.go
+++ b/sim/engine/cluster.go
@@ -11,60 +11,67 @@
 )
 
 const (
-	noHandoff             = int32(-1) // no offer
-	reviewsPerTTL         = 12        // in a term: at vacant ranges, at what is parked
-	handoffTimeoutDivisor = 3         // of a client's patience, which a webhook on its way to its home may take
+	reviewsPerTTL         = 12 // of vacant ranges and of parked webhooks, in a lease TTL
+	handoffTimeoutDivisor = 3  // of a client's time-out, for the handoff of its webhook
 )
 
-// clusterState is what a run has where each destination is called by its home only: one keeper that is always there,
-// with the real book of leases and map of ranges, and the messages between dispatchers.
+// clusterState simulates dispatchers that are a cluster in which only the owner of a range calls its destinations. It has
+// the real lease table and shard map, applied by one raft leader that never fails, and the messages between dispatchers.
 type clusterState struct {
 	sim       *Simulation
 	behavior  clusterBehavior
-	random    *rand.Rand // of ways and losses between dispatchers
-	keyHashes []cluster.KeyHash
+	random    *rand.Rand        // of message delays and losses
+	keyHashes []cluster.KeyHash // by destination
 
 	leases       *lease.Table
 	expiry       *lease.ExpiryTracker
 	shardMap     *shardmap.Map
 	failover     *shardmap.FailoverPlanner
 	logIndex     uint64
-	candidates   []shardmap.Candidate
+	candidates   []shardmap.Candidate // by dispatcher
 	dispatcherOf map[cluster.MemberID]int32
 
-	publishedMaps []*shardmap.Map // as published; never changed
+	publishedMaps []*shardmap.Map // never changed
 	leaseMessages []leaseMessage
 	handoffs      []handoff
 	handoffCount  uint32
 
-	settingUp bool // the fleet is being set up: nobody is told yet
+	settingUp bool // dispatchers aren't notified of maps yet
 }
 
-// clusterBehavior are what dispatchers make of leases and map. Tests spoil them one by one.
+// clusterBehavior is what dispatchers do with leases and the shard map. Tests replace its parts by faulty ones.
 type clusterBehavior struct {
 	rateShare         func(shardmap.Decision, int) float64
 	mayCall           func(shardmap.Decision) bool
 	messageDelay      func(api.Micros) api.Micros
 	takeovers         func([]shardmap.Takeover) []shardmap.Takeover
-	mayReclaim        func(w *webhook, e *EventType, ended bool, now api.Micros) bool
-	acknowledgesEarly bool // a webhook is said to be taken before it is in the journal
+	mayReclaim        func(w *webhook, e *EventType, ownershipEnded bool, now api.Micros) bool
+	acknowledgesEarly bool // before the webhook is persisted
 }
 
 func newClusterState(m *Simulation) *clusterState {
-	p := &m.scenario.Ownership
-	c := &clusterState{sim: m, random: newRandom(m.scenario.Seed, clusterStream), leases: lease.NewTable(), expiry: lease.NewExpiryTracker(p.LeaseTTL.micros()),
-		failover: shardmap.NewFailoverPlanner(p.LeaseTTL.micros()), dispatcherOf: map[cluster.MemberID]int32{}}
+	ttl := m.scenario.Ownership.LeaseTTL.micros()
+	hopFactor := m.scenario.Ownership.HopFactor
+	c := &clusterState{
+		sim:          m,
+		random:       newRandom(m.scenario.Seed, clusterStream),
+		leases:       lease.NewTable(),
+		expiry:       lease.NewExpiryTracker(ttl),
+		failover:     shardmap.NewFailoverPlanner(ttl),
+		dispatcherOf: map[cluster.MemberID]int32{},
+	}
+	c.shardMap = shardmap.New(c.leases)
 	c.behavior = clusterBehavior{
 		rateShare:    shardmap.Decision.RateShare,
 		mayCall:      func(decision shardmap.Decision) bool { return decision.AllowsCall(false) },
-		messageDelay: func(w api.Micros) api.Micros { return api.Micros(float64(w) * p.HopFactor) },
+		messageDelay: func(delay api.Micros) api.Micros { return api.Micros(float64(delay) * hopFactor) },
 		takeovers:    func(t []shardmap.Takeover) []shardmap.Takeover { return t },
 		mayReclaim:   mayReclaim,
 	}
-	c.shardMap = shardmap.New(c.leases)
 	for i := range m.scenario.Dispatchers.Count {
 		name := cluster.MemberID(fmt.Sprintf("d%d", i))
-		c.candidates = append(c.candidates, shardmap.Candidate{MemberWeight: shardmap.MemberWeight{Member: name, Weight: 1}})
+		weight := shardmap.MemberWeight{Member: name, Weight: 1}
+		c.candidates = append(c.candidates, shardmap.Candidate{MemberWeight: weight})
 		c.dispatcherOf[name] = int32(i)
 	}
 	for i := range m.destinations {
@@ -73,39 +80,40 @@
 	return c
 }
 
-// propose has the log take a command; what comes of it is nil where it was refused.
+// propose applies a command, as the raft log would, and returns its result, or nil if the command is rejected.
 func (c *clusterState) propose(command cluster.Command) []byte {
-	part := cluster.Component(c.leases)
+	component := cluster.Component(c.leases)
 	if command.Component == cluster.ShardMapComponent {
-		part = c.shardMap
+		component = c.shardMap
 	}
 	c.logIndex++
-	answer, err := part.Apply(c.logIndex, command.Body)
+	result, err := component.Apply(c.logIndex, command.Body)
 	if err != nil {
 		return nil
 	}
-	return answer
+	return result
 }
 
-// proposeLease proposes one of the book's commands; false: it was refused.
+// proposeLease proposes a command of the lease table. It returns false if the command is rejected.
 func (c *clusterState) proposeLease(command cluster.Command) (lease.Result, bool) {
-	raw := c.propose(command)
-	if raw == nil {
+	encoded := c.propose(command)
+	if encoded == nil {
 		return lease.Result{}, false
 	}
-	a, err := lease.DecodeResult(raw)
-	return a, err == nil
+	result, err := lease.DecodeResult(encoded)
+	return result, err == nil
 }
 
-// start begins the run with a fleet in which each range has its home.
+// start starts the dispatchers in a cluster in which each range has its owner.
 func (c *clusterState) start() {
 	result, _ := c.proposeLease(lease.BeginLeaderEpoch())
 	c.expiry.StartLeading(c.sim.now, result.LeaderEpoch, nil)
 	var weights []shardmap.MemberWeight
-	for _, m := range c.candidates {
-		weights = append(weights, m.MemberWeight)
+	for _, candidate := range c.candidates {
+		weights = append(weights, candidate.MemberWeight)
 	}
-	c.propose(shardmap.Coordinator(1).Initialize(c.sim.scenario.Ownership.RangesPerMember*len(c.candidates), weights))
+	ranges := c.sim.scenario.Ownership.RangesPerMember * len(c.candidates)
+	c.propose(shardmap.Coordinator(1).Initialize(ranges, weights))
 	c.publishMap()
 	c.settingUp = true
 	for i := range c.sim.dispatchers {
@@ -117,60 +125,88 @@
 	c.settingUp = false
 	c.publishMap()
 	for i := range c.sim.dispatchers {
-		c.sim.dispatchers[i].member.updateMap(c.publishedMaps[len(c.publishedMaps)-1])
+		c.sim.dispatchers[i].member.updateMap(c.latestMap())
 		c.sim.startDispatcher(int32(i))
 	}
-	c.sim.schedule(c.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
+	c.sim.schedule(c.reviewInterval(), scheduledEvent{kind: evExpiryScan})
+}
+
+func (c *clusterState) latestMap() *shardmap.Map { return c.publishedMaps[len(c.publishedMaps)-1] }
+
+// reviewInterval is the time between two reviews of vacant ranges, or of parked webhooks.
+func (c *clusterState) reviewInterval() api.Micros {
+	return c.sim.scenario.Ownership.LeaseTTL.micros() / reviewsPerTTL
 }
 
-// publishMap tells each dispatcher of the map as it is now.
+// publishMap sends a copy of the shard map to each dispatcher.
 func (c *clusterState) publishMap() {
+	published := shardmap.New(nil)
 	snapshot, err := c.shardMap.Snapshot()
-	next := shardmap.New(nil)
 	if err == nil {
-		err = next.Restore(snapshot)
+		err = published.Restore(snapshot)
 	}
 	if err != nil {
 		panic(err) // the map's own snapshot
 	}
-	c.publishedMaps = append(c.publishedMaps, next)
+	c.publishedMaps = append(c.publishedMaps, published)
 	for i := range c.sim.dispatchers {
-		if d := &c.sim.dispatchers[i]; d.up {
-			c.sim.schedule(c.messageDelay(c.leaderZone(), d.zone), scheduledEvent{kind: evMapUpdate, subject: d.number, detail: int32(len(c.publishedMaps) - 1)})
+		d := &c.sim.dispatchers[i]
+		if d.up {
+			update := scheduledEvent{kind: evMapUpdate, subject: d.number, detail: int32(len(c.publishedMaps) - 1)}
+			c.sim.schedule(c.messageDelay(c.leaderZone(), d.zone), update)
 		}
 	}
 }
 
-// leaderZone is the keeper's zone.
+// leaderZone is the zone of the raft leader.
 func (c *clusterState) leaderZone() api.ZoneID { return 0 }
 
-func (c *clusterState) messageDelay(a, b api.ZoneID) api.Micros {
-	return c.behavior.messageDelay(c.sim.randomDelay(a, b, c.random))
+func (c *clusterState) messageDelay(from, to api.ZoneID) api.Micros {
+	return c.behavior.messageDelay(c.sim.randomDelay(from, to, c.random))
 }
 
 func (c *clusterState) isMessageLost() bool {
 	return c.random.Float64() < c.sim.scenario.Ownership.LossRate
 }
 
-// expireSessions ends sessions whose term is over and gives what they had to others.
+// send schedules the arrival of a message unless it is lost, and reports whether it arrives.
+func (c *clusterState) send(from, to api.ZoneID, arrival scheduledEvent) bool {
+	if c.isMessageLost() {
+		return false
+	}
+	c.sim.schedule(c.messageDelay(from, to), arrival)
+	return true
+}
+
+// postponeIfPaused schedules an event for the end of a dispatcher's pause. It returns false if the dispatcher runs.
+func (c *clusterState) postponeIfPaused(d *dispatcher, e scheduledEvent) bool {
+	if d.pausedUntil <= c.sim.now {
+		return false
+	}
+	c.sim.queue.Add(int64(d.pausedUntil), e)
+	return true
+}
+
+// expireSessions ends the sessions that weren't renewed in time and fails their ranges over to other members.
 func (c *clusterState) expireSessions() {
-	now := c.sim.now
-	for _, o := range c.expiry.TakeExpired(now) {
-		if _, ok := c.proposeLease(lease.ExpireSession(o)); ok {
-			c.expiry.Remove(o.Session)
+	for _, expired := range c.expiry.TakeExpired(c.sim.now) {
+		if _, ok := c.proposeLease(lease.ExpireSession(expired)); ok {
+			c.expiry.Remove(expired.Session)
 		}
 	}
 	alive := map[cluster.MemberID]bool{}
-	for _, s := range c.leases.Sessions() {
-		alive[c.leases.MemberOf(s)] = true
+	for _, session := range c.leases.Sessions() {
+		alive[c.leases.MemberOf(session)] = true
 	}
-	takeovers := c.behavior.takeovers(c.failover.PlanTakeovers(c.shardMap, c.leases, alive, c.candidates, now))
+	planned := c.failover.PlanTakeovers(c.shardMap, c.leases, alive, c.candidates, c.sim.now)
+	takeovers := c.behavior.takeovers(planned)
 	if len(takeovers) > 0 && c.propose(shardmap.Coordinator(1).FailOver(takeovers)) != nil {
 		c.publishMap()
 	}
-	c.sim.schedule(c.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL, scheduledEvent{kind: evExpiryScan})
+	c.sim.schedule(c.reviewInterval(), scheduledEvent{kind: evExpiryScan})
 }
 
+// process handles an event of the cluster.
 func (c *clusterState) process(e scheduledEvent) {
 	switch e.kind {
 	case evHandoffArrival:
@@ -180,27 +216,37 @@
 	case evHandoffTimeout:
 		c.handleHandoffTimeout(e.subject)
 	case evCustodyQuery:
-		c.handleCustodyQuery(e.subject, shardmap.CustodyReply(e.detail))
+		c.handleCustodyMessage(e.subject, shardmap.CustodyReply(e.detail))
 	case evLeaseMessage:
-		c.handleLeaseMessage(e.subject, e.detail == leaseReply)
+		c.handleLeaseMessage(e)
 	case evExpiryScan:
 		c.expireSessions()
 	case evParkedReview, evParkedExpiry, evLeaseRenewal, evMapUpdate:
-		d := &c.sim.dispatchers[e.subject]
-		switch {
-		case !d.up || e.kind != evMapUpdate && e.generation != d.incarnation:
-		case d.pausedUntil > c.sim.now:
-			c.sim.queue.Add(int64(d.pausedUntil), e)
-		case e.kind == evParkedReview:
-			c.reviewParked(d)
-		case e.kind == evParkedExpiry:
-			d.expireParked(api.WebhookID(uint32(e.detail)))
-		case e.kind == evLeaseRenewal && c.sim.now < d.member.leases.NextRenewalAt():
+		c.processMemberEvent(&c.sim.dispatchers[e.subject], e)
+	}
+}
+
+// processMemberEvent handles an event of one dispatcher. A map update reaches any incarnation, the others only the one
+// that they were scheduled for.
+func (c *clusterState) processMemberEvent(d *dispatcher, e scheduledEvent) {
+	if !d.up || e.kind != evMapUpdate && e.generation != d.incarnation {
+		return
+	}
+	if c.postponeIfPaused(d, e) {
+		return
+	}
+	switch e.kind {
+	case evParkedReview:
+		c.reviewParked(d)
+	case evParkedExpiry:
+		d.expireParked(api.WebhookID(uint32(e.detail)))
+	case evLeaseRenewal:
+		if c.sim.now < d.member.leases.NextRenewalAt() {
 			c.scheduleRenewal(d)
-		case e.kind == evLeaseRenewal:
+		} else {
 			c.renewSession(d)
-		default:
-			c.updateMap(d, c.publishedMaps[e.detail])
 		}
+	case evMapUpdate:
+		c.updateMap(d, c.publishedMaps[e.detail])
 	}
 }
--- a/sim/engine/custody.go
+++ b/sim/engine/custody.go
@@ -9,54 +9,68 @@
 	"rowanlink/webhook/api"
 )
 
-// custodyState is whose a webhook is that another dispatcher may have.
+// custodyState tells whether a webhook belongs to this dispatcher or to one that it was handed off to.
 type custodyState struct {
-	inDoubtHandoff int32 // the offer that nobody answered, or none
-	handingOff     bool  // on its way, by offer
-	handoff        int32
-	persisted      bool       // here
-	receivedAt     api.Micros // from another dispatcher, else never
-	peerLostState  bool       // by whom it was sent to, with its folder
-	unacknowledged bool       // and who sent it has not been told
+	inDoubtHandoff int32 // the handoff with an unknown outcome, or noHandoff
+	handingOff     bool
+	handoff        int32 // the latest one, if handingOff or inDoubtHandoff
+	persisted      bool
+	receivedAt     api.Micros // by a handoff, or never
+	peerLostState  bool       // the dispatcher that it was handed off to has lost its state
+	unacknowledged bool       // the sender of the handoff has no reply yet
 }
 
-// handoffRecord is what a dispatcher's folder knows of a webhook by its name.
+// isHandedOff reports whether another dispatcher has the webhook or may have it.
+func (s *custodyState) isHandedOff() bool { return s.inDoubtHandoff != noHandoff || s.handingOff }
+
+// handoffRecord is what a dispatcher's persisted state tells of the handoffs of a webhook.
 type handoffRecord struct {
-	acceptedUpTo uint32 // by this try
-	deniedUpTo   uint32 // by no try up to this one
-	owned        bool   // it did not go on
+	acceptedUpTo uint32 // sequence number of a handoff
+	deniedUpTo   uint32 // handoffs up to this sequence number won't be accepted any more
+	owned        bool   // the webhook wasn't handed off since
+}
+
+// mayReclaim decides whether the sender of a handoff continues with a webhook that a silent receiver may have called, as
+// one that may have run. The receiver's ownership must have ended.
+func mayReclaim(w *webhook, e *EventType, ownershipEnded bool, now api.Micros) bool {
+	withinWindow := e.isDeduplicatedAnywhere() && now < w.mayHaveRunAt+e.DedupWindow.micros()
+	return ownershipEnded && (e.Semantics == semanticsIdempotent || withinWindow)
+}
+
+// isDeduplicatedAnywhere reports whether endpoints deduplicate across zones.
+func (e *EventType) isDeduplicatedAnywhere() bool {
+	return e.Semantics == semanticsDeduplicated && !e.DedupByZone
 }
 
-// mayReclaim is whether a webhook that a silent home may have called goes to the next one, as one that may have
-// run. It needs the log's word that the home's right to call is over.
-func mayReclaim(w *webhook, e *EventType, ended bool, now api.Micros) bool {
-	tokened := e.Semantics == "tokened" && !e.DedupByZone && now < w.mayHaveRunAt+e.DedupWindow.micros()
-	return ended && (e.Semantics == "idempotent" || tokened)
+func (d *dispatcher) eventTypeOf(w *webhook) *EventType {
+	return &d.sim.scenario.EventTypes[d.sim.requests[w.request].eventType]
 }
 
-// assumeDeliveredElsewhere is for a dispatcher whose session was over with what it had: whoever sent it here and heard nothing
-// may have gone on with it. Guards a token's window, which counts from the first call.
+// assumeDeliveredElsewhere is called when the session of a dispatcher has ended: the senders of webhooks that were never
+// acknowledged may have continued with them. The deduplication window counts from the first call.
 func (d *dispatcher) assumeDeliveredElsewhere() {
 	for _, w := range d.webhooks {
-		e := &d.sim.scenario.EventTypes[d.sim.requests[w.request].eventType]
-		if !w.finished && w.receivedAt != never && w.mayHaveRunAt == never && e.Semantics == "tokened" && !e.DedupByZone {
+		mayRunElsewhere := !w.finished && w.receivedAt != never && w.mayHaveRunAt == never
+		if mayRunElsewhere && d.eventTypeOf(w).isDeduplicatedAnywhere() {
 			w.mayHaveRunAt = w.receivedAt
 		}
 	}
 }
 
-// scheduleParkedReview has a dispatcher look at what it has parked, once.
-func (c *clusterState) scheduleParkedReview(d *dispatcher, in api.Micros) {
-	if !d.member.reviewScheduled {
-		d.member.reviewScheduled = true
-		c.sim.schedule(in, scheduledEvent{kind: evParkedReview, subject: d.number, generation: d.incarnation})
+// scheduleParkedReview schedules a review of a dispatcher's parked webhooks unless one is scheduled.
+func (c *clusterState) scheduleParkedReview(d *dispatcher, delay api.Micros) {
+	if d.member.reviewScheduled {
+		return
 	}
+	d.member.reviewScheduled = true
+	c.sim.schedule(delay, scheduledEvent{kind: evParkedReview, subject: d.number, generation: d.incarnation})
 }
 
-// reviewParked hands on what belongs elsewhere and asks for what is in doubt.
+// reviewParked hands off the parked webhooks that belong to other dispatchers and queries those in doubt.
 func (c *clusterState) reviewParked(d *dispatcher) {
 	ms := d.member
-	if ms.reviewScheduled = false; ms.shardMap == nil { // a new map has it look
+	ms.reviewScheduled = false
+	if ms.shardMap == nil { // the arrival of a map schedules a review
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(ms.parked)) {
@@ -72,64 +86,72 @@
 		}
 	}
 	if len(ms.parked) > 0 {
-		c.scheduleParkedReview(d, c.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL)
+		c.scheduleParkedReview(d, c.reviewInterval())
 	}
 }
 
-// resolveInDoubt asks who was sent a webhook whether it has it. One that stays silent may have called.
+// resolveInDoubt reclaims a webhook with a handoff in doubt, or asks the receiver whether it has it.
 func (c *clusterState) resolveInDoubt(d *dispatcher, w *webhook) {
 	h := &c.handoffs[w.inDoubtHandoff]
-	r, ok := d.member.shardMap.RangeOf(c.keyHashes[c.sim.requests[w.request].destination])
-	ended := ok && (r.Owner != h.decision.Owner || r.Epoch > h.decision.Epoch) || w.peerLostState
-	asked := *w
-	if asked.mayHaveRunAt == never {
-		asked.mayHaveRunAt = h.sentAt
+	assumed := *w
+	if assumed.mayHaveRunAt == never {
+		assumed.mayHaveRunAt = h.sentAt
 	}
-	if c.behavior.mayReclaim(&asked, &c.sim.scenario.EventTypes[c.sim.requests[w.request].eventType], ended, c.sim.now) {
-		w.mayHaveRunAt = asked.mayHaveRunAt
+	ownershipEnded := c.hasOwnershipEnded(d, h) || w.peerLostState
+	if c.behavior.mayReclaim(&assumed, d.eventTypeOf(w), ownershipEnded, c.sim.now) {
+		w.mayHaveRunAt = assumed.mayHaveRunAt
 		c.sim.Bus.Emit(c.sim.webhookEvent(event.Recovered, d, w, event.Event{Attempt: w.attempts}))
 		c.reclaimWebhook(d, w)
 		return
 	}
-	if !c.isMessageLost() {
-		c.sim.schedule(c.messageDelay(d.zone, c.sim.dispatchers[h.to].zone), scheduledEvent{kind: evCustodyQuery, subject: w.inDoubtHandoff})
-	}
+	query := scheduledEvent{kind: evCustodyQuery, subject: w.inDoubtHandoff}
+	c.send(d.zone, c.sim.dispatchers[h.to].zone, query)
 }
 
-// handleCustodyQuery is whether an offer was taken, at whom it was sent to, or the answer at its sender. A no is kept:
-// what is still on its way comes in vain.
-func (c *clusterState) handleCustodyQuery(n int32, back shardmap.CustodyReply) {
-	h := &c.handoffs[n]
-	if back != shardmap.CustodyUnknown {
-		c.handleCustodyReply(n, back)
+// hasOwnershipEnded reports whether the receiver's ownership under which a handoff was sent is over.
+func (c *clusterState) hasOwnershipEnded(d *dispatcher, h *handoff) bool {
+	destination := c.sim.requests[h.webhook.request].destination
+	current, ok := d.member.shardMap.RangeOf(c.keyHashes[destination])
+	return ok && (current.Owner != h.decision.Owner || current.Epoch > h.decision.Epoch)
+}
+
+// handleCustodyMessage handles a query at the receiver of a handoff, or the reply at its sender.
+func (c *clusterState) handleCustodyMessage(n int32, reply shardmap.CustodyReply) {
+	if reply != shardmap.CustodyUnknown {
+		c.handleCustodyReply(n, reply)
 		return
 	}
+	h := &c.handoffs[n]
 	d := &c.sim.dispatchers[h.to]
-	switch {
-	case !d.up:
+	if !d.up || c.postponeIfPaused(d, scheduledEvent{kind: evCustodyQuery, subject: n}) {
 		return
-	case d.pausedUntil > c.sim.now:
-		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evCustodyQuery, subject: n})
+	}
+	reply = c.answerCustodyQuery(d, h)
+	if reply == shardmap.CustodyUnknown {
 		return
 	}
-	record, existing, reply := d.member.handoffRecords[h.webhook.id], d.webhooks[h.webhook.id], shardmap.CustodyNever
-	away := existing != nil && (existing.inDoubtHandoff != noHandoff || existing.handingOff)
+	answer := scheduledEvent{kind: evCustodyQuery, subject: n, detail: int32(reply)}
+	c.send(d.zone, c.sim.dispatchers[h.from].zone, answer)
+}
+
+// answerCustodyQuery tells whether a dispatcher has a webhook that was handed off to it. A denial is recorded, so that a
+// handoff still on its way is rejected. CustodyUnknown means that it can't tell yet.
+func (c *clusterState) answerCustodyQuery(d *dispatcher, h *handoff) shardmap.CustodyReply {
+	record, existing := d.member.handoffRecords[h.webhook.id], d.webhooks[h.webhook.id]
+	handedOff := existing != nil && existing.isHandedOff()
 	switch {
 	case d.member.stateID != h.receiverStateID:
-		reply = shardmap.CustodyStateLost
-	case away && c.handoffs[existing.handoff].sequence > h.sequence:
-		return // it can't tell yet: were both to say so, each would let it go
-	case record.acceptedUpTo >= h.sequence || record.owned && !away:
-		reply = shardmap.CustodyTaken
+		return shardmap.CustodyStateLost
+	case handedOff && c.handoffs[existing.handoff].sequence > h.sequence:
+		return shardmap.CustodyUnknown // if both dispatchers claimed that the other has it, both would release it
+	case record.acceptedUpTo >= h.sequence || record.owned && !handedOff:
+		return shardmap.CustodyTaken
 	case existing != nil && !existing.persisted:
-		return // taken in the turn to come
-	default:
-		record.deniedUpTo = max(record.deniedUpTo, h.sequence)
-		d.member.handoffRecords[h.webhook.id] = record
-	}
-	if !c.isMessageLost() {
-		c.sim.schedule(c.messageDelay(d.zone, c.sim.dispatchers[h.from].zone), scheduledEvent{kind: evCustodyQuery, subject: n, detail: int32(reply)})
+		return shardmap.CustodyUnknown // accepted in the next iteration
 	}
+	record.deniedUpTo = max(record.deniedUpTo, h.sequence)
+	d.member.handoffRecords[h.webhook.id] = record
+	return shardmap.CustodyNever
 }
 
 func (c *clusterState) handleCustodyReply(n int32, reply shardmap.CustodyReply) {
@@ -138,27 +160,29 @@
 	if !d.up || d.member.parked[h.webhook.id] != h.webhook || h.webhook.inDoubtHandoff != n {
 		return
 	}
-	if reply == shardmap.CustodyStateLost {
+	switch reply {
+	case shardmap.CustodyStateLost:
 		h.webhook.peerLostState = true
-		return
-	}
-	if reply == shardmap.CustodyTaken {
+	case shardmap.CustodyTaken:
 		c.releaseWebhook(d, h.webhook, h.to)
-	} else {
+	default:
 		c.reclaimWebhook(d, h.webhook)
 	}
 }
 
-// reclaimWebhook ends a doubt: a webhook is this dispatcher's. Guards against a second copy from one that took it on,
-// was lost and came back.
+// reclaimWebhook makes a webhook this dispatcher's own again. The record rejects the copy of a receiver that had accepted
+// it, failed and came back.
 func (c *clusterState) reclaimWebhook(d *dispatcher, w *webhook) {
-	d.member.handoffRecords[w.id] = handoffRecord{acceptedUpTo: max(d.member.handoffRecords[w.id].acceptedUpTo, c.handoffs[w.handoff].sequence), owned: true}
-	w.inDoubtHandoff, w.handingOff, w.peerLostState = noHandoff, false, false
+	acceptedUpTo := max(d.member.handoffRecords[w.id].acceptedUpTo, c.handoffs[w.handoff].sequence)
+	d.member.handoffRecords[w.id] = handoffRecord{acceptedUpTo: acceptedUpTo, owned: true}
+	w.inDoubtHandoff = noHandoff
+	w.handingOff = false
+	w.peerLostState = false
 	d.enqueue(notification{kind: notifyOwnership})
 	c.scheduleParkedReview(d, 0)
 }
 
-// releaseWebhook ends a copy that is another's.
+// releaseWebhook removes a webhook that another dispatcher has acknowledged.
 func (c *clusterState) releaseWebhook(d *dispatcher, w *webhook, to int32) {
 	if d.webhooks[w.id] != w || w.finished {
 		return
--- a/sim/engine/host.go
+++ b/sim/engine/host.go
@@ -5,86 +5,160 @@
 	"rowanlink/webhook/api"
 )
 
-// Now is the model's clock.
+// Now returns the simulated time.
 func (d *dispatcher) Now() api.Micros { return d.sim.now }
 
-// StartAttempt makes a delivery attempt, alone or in a call of this turn to the same endpoint that has room.
-func (d *dispatcher) StartAttempt(id api.WebhookID, ep api.EndpointID, patience, _ api.Micros) {
-	m, w, i := d.sim, d.webhooks[id], indexOf(ep)
+// StartAttempt makes a delivery attempt. Attempts of one iteration to the same endpoint share a call up to the batch size.
+func (d *dispatcher) StartAttempt(id api.WebhookID, endpoint api.EndpointID, timeout, _ api.Micros) {
+	w := d.webhooks[id]
 	if w == nil || w.call >= 0 {
-		// Nothing is held under this id, or it is out already: for an observer it is an attempt all the same.
-		m.Bus.Emit(event.Event{At: m.now, Kind: event.AttemptStarted, Dispatcher: d.number, Webhook: id, Endpoint: ep})
+		// The policy's fault: no such webhook, or an attempt is in flight. The event lets a checker find it.
+		d.sim.Bus.Emit(event.Event{
+			At:         d.sim.now,
+			Kind:       event.AttemptStarted,
+			Dispatcher: d.number,
+			Webhook:    id,
+			Endpoint:   endpoint,
+		})
 		return
 	}
 	w.attempts++
-	request := &m.requests[w.request]
-	known := i >= 0 && int(i) < len(m.endpoints) && m.endpoints[i].destination == request.destination
-	if w.finished || !known || !d.mayCall(w) || w.attempts > m.scenario.Dispatchers.MaxAttempts || m.now >= request.deadline {
-		d.enqueue(notification{kind: notifyOutcome, id: id, endpoint: ep, outcome: api.NotSent, attempt: w.attempts - 1})
+	if !d.mayAttempt(w, endpoint) {
+		d.enqueueNotSent(w, endpoint)
 		return
 	}
-	w.attemptStartedAt, w.attemptZone = m.now, m.endpoints[i].zone
-	if patience <= 0 || patience > request.deadline-m.now {
-		patience = request.deadline - m.now
+	i := indexOf(endpoint)
+	w.attemptStartedAt = d.sim.now
+	w.attemptZone = d.sim.endpoints[i].zone
+	callIndex := d.callWithRoom(i)
+	if callIndex == noCall {
+		d.enqueueNotSent(w, endpoint)
+		return
 	}
-	batch := m.destinations[request.destination].kind.BatchSize
-	at := int32(-1)
-	for _, k := range d.pendingCalls {
-		if c := &m.calls[k]; c.endpoint == i && len(c.attempts) < batch {
-			at = k
-			break
-		}
+	d.addToCall(callIndex, w, timeout)
+	if d.dyingInIteration {
+		return
 	}
-	if at < 0 {
-		if d.activeCalls >= m.scenario.Dispatchers.MaxConcurrentCalls {
-			d.enqueue(notification{kind: notifyOutcome, id: id, endpoint: ep, outcome: api.NotSent, attempt: w.attempts - 1})
-			return
+	d.sim.Bus.Emit(d.sim.webhookEvent(event.AttemptStarted, d, w, event.Event{
+		Attempt:  w.attempts - 1,
+		Endpoint: endpoint,
+		Route:    event.Route(d.sim.endpoints[i].route),
+		Zone:     d.sim.endpoints[i].zone,
+	}))
+}
+
+// mayAttempt reports whether an attempt, which is counted already, is possible.
+func (d *dispatcher) mayAttempt(w *webhook, endpoint api.EndpointID) bool {
+	m, i := d.sim, indexOf(endpoint)
+	request := &m.requests[w.request]
+	known := i >= 0 && int(i) < len(m.endpoints) && m.endpoints[i].destination == request.destination
+	withinLimits := w.attempts <= m.scenario.Dispatchers.MaxAttempts && m.now < request.deadline
+	return !w.finished && known && d.mayCall(w) && withinLimits
+}
+
+func (d *dispatcher) enqueueNotSent(w *webhook, endpoint api.EndpointID) {
+	d.enqueue(notification{
+		kind:     notifyOutcome,
+		id:       w.id,
+		endpoint: endpoint,
+		outcome:  api.NotSent,
+		attempt:  w.attempts - 1,
+	})
+}
+
+// callWithRoom returns a call of this iteration to an endpoint, a new one if needed, or noCall if no concurrency slot is
+// free.
+func (d *dispatcher) callWithRoom(endpointIndex int32) int32 {
+	m := d.sim
+	batchSize := m.destinations[m.endpoints[endpointIndex].destination].kind.BatchSize
+	for _, i := range d.pendingCalls {
+		if c := &m.calls[i]; c.endpoint == endpointIndex && len(c.attempts) < batchSize {
+			return i
 		}
-		d.activeCalls++
-		at = m.newCall(d, i)
-		d.pendingCalls = append(d.pendingCalls, at)
 	}
-	c := &m.calls[at]
-	c.attempts = append(c.attempts, callAttempt{webhook: w})
-	c.timeout = min(c.timeout, patience)
-	w.call = at
-	if !d.dyingInIteration {
-		m.Bus.Emit(m.webhookEvent(event.AttemptStarted, d, w, event.Event{Attempt: w.attempts - 1, Endpoint: ep,
-			Route: event.Route(m.endpoints[i].route), Zone: m.endpoints[i].zone}))
+	if d.activeCalls >= m.scenario.Dispatchers.MaxConcurrentCalls {
+		return noCall
 	}
+	d.activeCalls++
+	i := m.newCall(d, endpointIndex)
+	d.pendingCalls = append(d.pendingCalls, i)
+	return i
 }
 
-// CancelAttempt calls off an attempt that is out.
+func (d *dispatcher) addToCall(callIndex int32, w *webhook, timeout api.Micros) {
+	remaining := d.sim.requests[w.request].deadline - d.sim.now
+	if timeout <= 0 || timeout > remaining {
+		timeout = remaining
+	}
+	c := &d.sim.calls[callIndex]
+	c.attempts = append(c.attempts, callAttempt{webhook: w})
+	c.timeout = min(c.timeout, timeout)
+	w.call = callIndex
+}
+
+// CancelAttempt cancels an attempt in flight.
 func (d *dispatcher) CancelAttempt(id api.WebhookID, _ int) {
 	if w := d.webhooks[id]; w != nil && w.call >= 0 {
 		d.sim.cancelAttempt(w.call, w)
 	}
 }
 
+// Reject finishes a webhook as rejected.
 func (d *dispatcher) Reject(id api.WebhookID, retryAfter api.Micros) {
 	if w := d.webhooks[id]; w != nil && !w.finished {
 		d.sim.finishWebhook(d, w, event.Rejected, retryAfter)
 	}
 }
 
+// DeadLetter finishes a webhook as dead-lettered.
 func (d *dispatcher) DeadLetter(id api.WebhookID) {
 	if w := d.webhooks[id]; w != nil && !w.finished {
 		d.sim.finishWebhook(d, w, event.DeadLettered, 0)
 	}
 }
 
-func (d *dispatcher) SetTimer(in api.Micros, timer api.TimerID) {
-	d.sim.schedule(in, scheduledEvent{kind: evTimer, subject: d.number, detail: int32(timer), generation: d.incarnation})
+// SetTimer schedules a timer of the policy.
+func (d *dispatcher) SetTimer(delay api.Micros, timer api.TimerID) {
+	d.sim.schedule(delay, scheduledEvent{
+		kind:       evTimer,
+		subject:    d.number,
+		detail:     int32(timer),
+		generation: d.incarnation,
+	})
 }
 
-func (d *dispatcher) CloseIdleConnections(ep api.EndpointID) {
-	if idle := d.connections[indexOf(ep)]; idle != nil {
-		s := &d.sim.servers[d.sim.endpoints[indexOf(ep)].server]
-		if idle.epoch == s.epoch {
-			s.connections -= len(idle.since)
-		}
-		idle.since = idle.since[:0]
+// CloseIdleConnections closes the dispatcher's idle connections to an endpoint.
+func (d *dispatcher) CloseIdleConnections(endpoint api.EndpointID) {
+	i := indexOf(endpoint)
+	idle := d.connections[i]
+	if idle == nil {
+		return
 	}
+	s := &d.sim.servers[d.sim.endpoints[i].server]
+	if idle.epoch == s.epoch {
+		s.connections -= len(idle.since)
+	}
+	idle.since = idle.since[:0]
 }
 
+// Log discards the policy's log lines.
 func (d *dispatcher) Log(string) {}
+
+// finishWebhook finishes a webhook at a dispatcher. After a rejection its client may submit the request again.
+func (m *Simulation) finishWebhook(d *dispatcher, w *webhook, status event.FinalStatus, retryAfter api.Micros) {
+	w.finished = true
+	d.openWebhooks--
+	if d.member != nil {
+		delete(d.member.parked, w.id)
+	}
+	duration := m.now - m.requests[w.request].submittedAt
+	m.Bus.Emit(m.webhookEvent(event.Finished, d, w, event.Event{Final: status, Duration: duration}))
+	if w.call == noCall {
+		delete(d.webhooks, w.id)
+	}
+	if status == event.Rejected {
+		m.scheduleResubmission(w.request, retryAfter)
+	} else {
+		m.closeCopy(w.request)
+	}
+}
--- a/sim/engine/lease_messages.go
+++ b/sim/engine/lease_message.go
@@ -6,21 +6,21 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// leaseMessage is a message to the keeper and its answer.
+// leaseMessage is a dispatcher's request to the raft leader, and the reply.
 type leaseMessage struct {
 	from            int32
 	incarnation     lease.Incarnation
 	renewal         lease.Renewal
-	session         cluster.SessionID // 0: to be opened
-	resources       []cluster.Resource
-	confirmedRanges []shardmap.Range // of which it says that it is home
-	epochs          []cluster.Epoch
+	session         cluster.SessionID  // 0: open one
+	resources       []cluster.Resource // to acquire
+	confirmedRanges []shardmap.Range   // whose leases were granted
+	epochs          []cluster.Epoch    // of these leases
 
 	rejected bool
 	granted  []lease.Grant
 }
 
-// newLeaseMessage puts together what a dispatcher says to the keeper now.
+// newLeaseMessage starts a renewal and returns the index of its message.
 func (c *clusterState) newLeaseMessage(d *dispatcher) int32 {
 	message := c.pendingLeaseMessage(d)
 	message.renewal = d.member.leases.StartRenewal(c.sim.now)
@@ -28,6 +28,7 @@
 	return int32(len(c.leaseMessages) - 1)
 }
 
+// pendingLeaseMessage lists the ranges whose leases a dispatcher has yet to acquire, or to confirm in the shard map.
 func (c *clusterState) pendingLeaseMessage(d *dispatcher) leaseMessage {
 	ms, now := d.member, c.sim.now
 	message := leaseMessage{from: d.number, incarnation: ms.incarnation, session: ms.leases.Session()}
@@ -36,19 +37,21 @@
 		case !held:
 			message.resources = append(message.resources, cluster.RangeOwnerResource(r.ID))
 		case epoch > r.Epoch:
-			message.confirmedRanges, message.epochs = append(message.confirmedRanges, r), append(message.epochs, epoch)
+			message.confirmedRanges = append(message.confirmedRanges, r)
+			message.epochs = append(message.epochs, epoch)
 		}
 	}
 	return message
 }
 
-// rangesToOwn are the ranges that the map names a member home of.
-func (ms *memberState) rangesToOwn() (mine []shardmap.Range) {
+// rangesToOwn returns the ranges of which the shard map makes a member the owner.
+func (ms *memberState) rangesToOwn() []shardmap.Range {
 	if ms.shardMap == nil {
 		return nil
 	}
 	if ms.ownRangesVersion != ms.shardMap.Version {
-		ms.ownRangesVersion, ms.ownRanges = ms.shardMap.Version, nil
+		ms.ownRangesVersion = ms.shardMap.Version
+		ms.ownRanges = nil
 		for _, r := range ms.shardMap.Ranges {
 			if r.ShouldAcquire(ms.name) {
 				ms.ownRanges = append(ms.ownRanges, r)
@@ -58,7 +61,7 @@
 	return ms.ownRanges
 }
 
-// updateMap has a dispatcher take a newer map, and act on it.
+// updateMap gives a dispatcher a shard map. It acts on a newer one.
 func (c *clusterState) updateMap(d *dispatcher, newer *shardmap.Map) {
 	if !d.member.updateMap(newer) {
 		return
@@ -70,48 +73,45 @@
 	}
 }
 
-// renewSession asks the keeper, and again when that is due.
+// renewSession sends a lease message and schedules the next renewal.
 func (c *clusterState) renewSession(d *dispatcher) {
 	n := c.newLeaseMessage(d)
-	if !c.isMessageLost() {
-		c.sim.schedule(c.messageDelay(d.zone, c.leaderZone()), scheduledEvent{kind: evLeaseMessage, subject: n})
-	}
+	c.send(d.zone, c.leaderZone(), scheduledEvent{kind: evLeaseMessage, subject: n, detail: leaseRequest})
 	c.scheduleRenewal(d)
 }
 
+// scheduleRenewal schedules the next renewal unless an earlier one is scheduled.
 func (c *clusterState) scheduleRenewal(d *dispatcher) {
 	ms := d.member
-	in := max(ms.leases.NextRenewalAt()-c.sim.now, 1)
-	if ms.renewAt <= c.sim.now || c.sim.now+in < ms.renewAt {
-		ms.renewAt = c.sim.now + in
-		c.sim.schedule(in, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
+	delay := max(ms.leases.NextRenewalAt()-c.sim.now, 1)
+	if ms.renewAt <= c.sim.now || c.sim.now+delay < ms.renewAt {
+		ms.renewAt = c.sim.now + delay
+		c.sim.schedule(delay, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
 	}
 }
 
-// handleLeaseMessage is an ask at the keeper, or its answer at the dispatcher.
-func (c *clusterState) handleLeaseMessage(n int32, back bool) {
-	message := &c.leaseMessages[n]
-	d, granted := &c.sim.dispatchers[message.from], len(message.granted) > 0
-	switch {
-	case !back:
+// handleLeaseMessage handles a request at the leader, or its reply at the dispatcher.
+func (c *clusterState) handleLeaseMessage(e scheduledEvent) {
+	message := &c.leaseMessages[e.subject]
+	d := &c.sim.dispatchers[message.from]
+	if e.detail == leaseRequest {
 		c.processLeaseMessage(message)
-		if !c.isMessageLost() {
-			c.sim.schedule(c.messageDelay(c.leaderZone(), d.zone), scheduledEvent{kind: evLeaseMessage, subject: n, detail: leaseReply})
-		}
-	case !d.up || message.incarnation != d.member.incarnation:
-	case d.pausedUntil > c.sim.now:
-		c.sim.queue.Add(int64(d.pausedUntil), scheduledEvent{kind: evLeaseMessage, subject: n, detail: leaseReply})
-	default:
-		c.applyLeaseReply(d, message)
-		c.updateMap(d, c.publishedMaps[len(c.publishedMaps)-1])
-		if granted { // it may say so at once
-			c.renewSession(d)
-		}
-		c.scheduleRenewal(d)
+		c.send(c.leaderZone(), d.zone, scheduledEvent{kind: evLeaseMessage, subject: e.subject, detail: leaseReply})
+		return
 	}
+	if !d.up || message.incarnation != d.member.incarnation || c.postponeIfPaused(d, e) {
+		return
+	}
+	granted := len(message.granted) > 0
+	c.applyLeaseReply(d, message)
+	c.updateMap(d, c.latestMap())
+	if granted { // confirm the ownership at once
+		c.renewSession(d)
+	}
+	c.scheduleRenewal(d)
 }
 
-// exchangeAtStart is an ask, its answer and the grants' seats at one moment: the fleet's start.
+// exchangeAtStart acquires and confirms the leases of a dispatcher without any delay, before the run starts.
 func (c *clusterState) exchangeAtStart(d *dispatcher, n int32) {
 	for range 2 {
 		message := &c.leaseMessages[n]
@@ -123,12 +123,12 @@
 	c.applyLeaseReply(d, &c.leaseMessages[n])
 }
 
-// processLeaseMessage is the keeper's part. A session is opened or renewed, tasks are granted, seats noted.
+// processLeaseMessage is what the leader does: it opens or renews the session, grants leases and confirms owners.
 func (c *clusterState) processLeaseMessage(message *leaseMessage) {
 	name, now := c.candidates[message.from].Member, c.sim.now
 	if message.session == 0 {
-		o, _ := c.proposeLease(lease.OpenSession(name, message.incarnation))
-		message.session = o.Session
+		opened, _ := c.proposeLease(lease.OpenSession(name, message.incarnation))
+		message.session = opened.Session
 		message.rejected = !c.expiry.AddOrRenew(message.session, now)
 	} else {
 		message.rejected = !c.expiry.Renew(message.session, now)
@@ -137,12 +137,15 @@
 		return
 	}
 	if len(message.resources) > 0 {
-		g, _ := c.proposeLease(lease.AcquireLeases(message.session, message.resources...))
-		message.granted = g.Grants
+		result, _ := c.proposeLease(lease.AcquireLeases(message.session, message.resources...))
+		message.granted = result.Grants
 	}
 	changed := false
 	for i, r := range message.confirmedRanges {
-		changed = c.propose(shardmap.ConfirmOwner(r.ID, name, message.epochs[i], c.shardMap.Version)) != nil || changed
+		confirmation := shardmap.ConfirmOwner(r.ID, name, message.epochs[i], c.shardMap.Version)
+		if c.propose(confirmation) != nil {
+			changed = true
+		}
 	}
 	if changed && !c.settingUp {
 		c.publishMap()
@@ -159,7 +162,8 @@
 		}
 	}
 	if ms.leases.IsValid(c.sim.now) != (ms.leaseLostAt == never) {
-		if ms.leaseLostAt = c.sim.now; ms.leases.IsValid(c.sim.now) {
+		ms.leaseLostAt = c.sim.now
+		if ms.leases.IsValid(c.sim.now) {
 			ms.leaseLostAt = never
 		}
 		if d.up {
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -10,27 +10,27 @@
 	"rowanlink/webhook/api"
 )
 
-// memberState is a dispatcher's part in a fleet with homes.
+// memberState is a dispatcher's state as a member of the cluster.
 type memberState struct {
 	name             cluster.MemberID
 	leases           *lease.Holder
 	incarnation      lease.Incarnation
-	shardMap         *shardmap.Map // nil: not heard of yet
-	leaseLostAt      api.Micros
-	rateShares       []float64 // of each destination's rate, as the module was told
+	shardMap         *shardmap.Map // nil: not received yet
+	leaseLostAt      api.Micros    // or never, while its session is valid
+	rateShares       []float64     // by destination, as the policy knows them
 	parked           map[api.WebhookID]*webhook
-	handoffRecords   map[api.WebhookID]handoffRecord // by its folder: outlasts its process
-	clientHandoffs   map[int32]bool                  // offers whose clients wait
-	acknowledgements []int32                         // offers taken in this turn
-	stateID          uint32                          // counts the folders that it lost
+	handoffRecords   map[api.WebhookID]handoffRecord // persisted
+	clientHandoffs   map[int32]bool                  // whose clients wait for the response
+	acknowledgements []int32                         // handoffs accepted in this iteration
+	stateID          uint32                          // counts the losses of its persisted state
 	reviewScheduled  bool
 	renewAt          api.Micros
 
-	ownRanges        []shardmap.Range // of the map of version read
+	ownRanges        []shardmap.Range // of the shard map of ownRangesVersion
 	ownRangesVersion cluster.Version
 }
 
-// updateMap takes a newer map; false: it was an older one.
+// updateMap stores a shard map and returns true if it is newer.
 func (ms *memberState) updateMap(newer *shardmap.Map) bool {
 	if ms.shardMap != nil && ms.shardMap.Version >= newer.Version {
 		return false
@@ -39,37 +39,51 @@
 	return true
 }
 
-// resetMember gives a dispatcher's new process nothing but what its folder holds.
+// resetMember makes the state of a new incarnation, which has only what was persisted.
 func (c *clusterState) resetMember(d *dispatcher) {
-	was := d.member
-	p := &c.sim.scenario.Ownership
-	d.member = &memberState{name: c.candidates[d.number].Member, incarnation: 1, leaseLostAt: c.sim.now,
-		leases:     lease.NewHolder(p.LeaseTTL.micros(), p.ClockDrift),
-		rateShares: make([]float64, len(c.sim.destinations)), parked: map[api.WebhookID]*webhook{},
-		handoffRecords: map[api.WebhookID]handoffRecord{}, clientHandoffs: map[int32]bool{}}
-	if was != nil {
-		d.member.incarnation, d.member.handoffRecords, d.member.stateID = was.incarnation+1, was.handoffRecords, was.stateID
+	previous := d.member
+	ownership := &c.sim.scenario.Ownership
+	d.member = &memberState{
+		name:           c.candidates[d.number].Member,
+		incarnation:    1,
+		leaseLostAt:    c.sim.now,
+		leases:         lease.NewHolder(ownership.LeaseTTL.micros(), ownership.ClockDrift),
+		rateShares:     make([]float64, len(c.sim.destinations)),
+		parked:         map[api.WebhookID]*webhook{},
+		handoffRecords: map[api.WebhookID]handoffRecord{},
+		clientHandoffs: map[int32]bool{},
+	}
+	if previous != nil {
+		d.member.incarnation = previous.incarnation + 1
+		d.member.handoffRecords = previous.handoffRecords
+		d.member.stateID = previous.stateID
 	}
 }
 
-// joinCluster is a dispatcher's start: the first one finds the fleet settled.
+// joinCluster is called at a dispatcher's start. The first incarnation has its leases already.
 func (c *clusterState) joinCluster(d *dispatcher) {
 	if d.incarnation > 1 {
 		c.resetMember(d)
 		c.renewSession(d)
 	} else {
-		c.sim.schedule(d.member.leases.NextRenewalAt()-c.sim.now, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
+		delay := d.member.leases.NextRenewalAt() - c.sim.now
+		c.sim.schedule(delay, scheduledEvent{kind: evLeaseRenewal, subject: d.number, generation: d.incarnation})
 	}
 	d.updateRateShares()
 }
 
+// localMember is the dispatcher as the shard map's decisions see it, now.
 func (d *dispatcher) localMember() shardmap.LocalMember {
 	ms, now := d.member, d.sim.now
-	return shardmap.LocalMember{Member: ms.name, Isolated: shardmap.IsolationSuspected(ms.leaseLostAt, now, d.sim.scenario.Ownership.LeaseTTL.micros()),
-		HeldEpoch: func(t cluster.Resource) (cluster.Epoch, bool) { return ms.leases.Epoch(t, now) }}
+	ttl := d.sim.scenario.Ownership.LeaseTTL.micros()
+	return shardmap.LocalMember{
+		Member:    ms.name,
+		Isolated:  shardmap.IsolationSuspected(ms.leaseLostAt, now, ttl),
+		HeldEpoch: func(r cluster.Resource) (cluster.Epoch, bool) { return ms.leases.Epoch(r, now) },
+	}
 }
 
-// decide is what this dispatcher does with webhooks of a destination, now.
+// decide returns what the dispatcher does with webhooks of a destination, now.
 func (d *dispatcher) decide(dest api.DestinationID) shardmap.Decision {
 	if d.member.shardMap == nil {
 		return shardmap.Decision{Action: shardmap.ParkUnmapped}
@@ -77,30 +91,38 @@
 	return d.member.shardMap.DecideKey(d.localMember(), d.sim.cluster.keyHashes[dest])
 }
 
-// mayCall is whether a webhook may be called from here, now.
+// mayCall reports whether the dispatcher may call with a webhook, now.
 func (d *dispatcher) mayCall(w *webhook) bool {
 	if d.member == nil {
 		return true
 	}
-	return w.inDoubtHandoff == noHandoff && !w.handingOff && d.sim.cluster.behavior.mayCall(d.decide(d.sim.requests[w.request].destination))
+	if w.isHandedOff() {
+		return false
+	}
+	return d.sim.cluster.behavior.mayCall(d.decide(d.sim.requests[w.request].destination))
 }
 
-// updateRateShares notes what part of each rate is this dispatcher's, and tells of which that is new.
-func (d *dispatcher) updateRateShares() (changed map[api.DestinationID]bool) {
+// updateRateShares updates the dispatcher's share of each destination's rate and returns the destinations where it
+// changed, or nil.
+func (d *dispatcher) updateRateShares() map[api.DestinationID]bool {
+	var changed map[api.DestinationID]bool
 	ms := d.member
 	for i := range ms.rateShares {
-		dest := api.DestinationID(i)
-		if part := d.sim.cluster.behavior.rateShare(d.decide(dest), len(d.sim.dispatchers)); part != ms.rateShares[i] {
-			if ms.rateShares[i] = part; changed == nil {
-				changed = map[api.DestinationID]bool{}
-			}
-			changed[dest] = true
+		destination := api.DestinationID(i)
+		share := d.sim.cluster.behavior.rateShare(d.decide(destination), len(d.sim.dispatchers))
+		if share == ms.rateShares[i] {
+			continue
 		}
+		ms.rateShares[i] = share
+		if changed == nil {
+			changed = map[api.DestinationID]bool{}
+		}
+		changed[destination] = true
 	}
 	return changed
 }
 
-// scaleRates is a list with the rates of which an even part is this dispatcher's.
+// scaleRates returns an endpoint list with rates of which an even share is the dispatcher's: policies expect that.
 func (d *dispatcher) scaleRates(endpoints []api.EndpointEntry) []api.EndpointEntry {
 	if d.member == nil {
 		return endpoints
@@ -112,34 +134,30 @@
 	return endpoints
 }
 
-// reviewIfLeaseChanged has a dispatcher look at its session before it acts.
+// reviewIfLeaseChanged reviews the webhooks if the session ended or became valid since the last review.
 func (d *dispatcher) reviewIfLeaseChanged() {
 	if ms := d.member; ms != nil && ms.leases.IsValid(d.sim.now) != (ms.leaseLostAt == never) {
 		d.reviewWebhooks()
 	}
 }
 
-// reviewWebhooks follows the map and the session: rates, what may be called from here, what may not.
+// reviewWebhooks applies the shard map and the session: it updates the rates, parks the webhooks that may not be called
+// and resumes those that may be.
 func (d *dispatcher) reviewWebhooks() {
-	ms, m := d.member, d.sim
-	switch holds := ms.leases.IsValid(m.now); {
-	case holds:
+	ms := d.member
+	switch {
+	case ms.leases.IsValid(d.sim.now):
 		ms.leaseLostAt = never
 	case ms.leaseLostAt == never:
-		ms.leaseLostAt = m.now
+		ms.leaseLostAt = d.sim.now
 		d.assumeDeliveredElsewhere()
 	}
 	if changed := d.updateRateShares(); changed != nil {
-		var changedEndpoints []api.EndpointEntry
-		for i := range m.endpoints {
-			if e := &m.endpoints[i]; changed[e.destination] && !e.removed && !e.draining {
-				changedEndpoints = append(changedEndpoints, m.endpointEntry(int32(i), api.EndpointActive))
-			}
-		}
-		d.policy.UpdateEndpoints(d.scaleRates(changedEndpoints), false)
+		d.policy.UpdateEndpoints(d.scaleRates(d.sim.activeEndpoints(changed)), false)
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.webhooks)) {
-		if w := d.webhooks[id]; ms.parked[id] != nil && d.mayCall(w) {
+		w := d.webhooks[id]
+		if ms.parked[id] != nil && d.mayCall(w) {
 			delete(ms.parked, id)
 			d.submitToPolicy(w)
 		} else {
@@ -148,7 +166,19 @@
 	}
 }
 
-// parkIfNotAllowed parks what the module has and may not call any more; what is out ends first.
+// activeEndpoints lists the active endpoints of some destinations.
+func (m *Simulation) activeEndpoints(destinations map[api.DestinationID]bool) []api.EndpointEntry {
+	var entries []api.EndpointEntry
+	for i := range m.endpoints {
+		e := &m.endpoints[i]
+		if destinations[e.destination] && !e.removed && !e.draining {
+			entries = append(entries, m.endpointEntry(int32(i), api.EndpointActive))
+		}
+	}
+	return entries
+}
+
+// parkIfNotAllowed withdraws a webhook from the policy that may not be called any more. An attempt in flight ends first.
 func (d *dispatcher) parkIfNotAllowed(w *webhook) {
 	if !w.finished && w.call < 0 && d.member.parked[w.id] == nil && !d.mayCall(w) {
 		d.policy.Withdraw(w.id)
@@ -156,26 +186,33 @@
 	}
 }
 
+// park keeps a webhook away from the policy until it may be called, is handed off or expires.
 func (d *dispatcher) park(w *webhook) {
 	d.member.parked[w.id] = w
-	in := max(d.sim.requests[w.request].deadline-2*d.sim.scenario.Dispatchers.MinIterationInterval.micros()-d.sim.now, 0)
-	d.sim.schedule(in, scheduledEvent{kind: evParkedExpiry, subject: d.number, detail: int32(w.id), generation: d.incarnation})
-	d.sim.cluster.scheduleParkedReview(d, d.sim.scenario.Ownership.LeaseTTL.micros()/reviewsPerTTL)
+	margin := 2 * d.sim.scenario.Dispatchers.MinIterationInterval.micros()
+	delay := max(d.sim.requests[w.request].deadline-margin-d.sim.now, 0)
+	d.sim.schedule(delay, scheduledEvent{
+		kind:       evParkedExpiry,
+		subject:    d.number,
+		detail:     int32(w.id),
+		generation: d.incarnation,
+	})
+	d.sim.cluster.scheduleParkedReview(d, d.sim.cluster.reviewInterval())
 }
 
-// expireParked ends a parked webhook in time: nobody else does.
+// expireParked finishes a parked webhook before its deadline, since the policy doesn't have it.
 func (d *dispatcher) expireParked(id api.WebhookID) {
 	w := d.member.parked[id]
 	switch {
 	case w == nil:
-	case w.mayHaveRunAt != never || w.inDoubtHandoff != noHandoff || w.handingOff:
+	case w.mayHaveRunAt != never || w.isHandedOff():
 		d.DeadLetter(id)
 	default:
 		d.Reject(id, 0)
 	}
 }
 
-// submitOrPark hands a webhook that is held here to the module, or parks it.
+// submitOrPark passes a webhook to the policy, or parks it.
 func (d *dispatcher) submitOrPark(w *webhook) {
 	if d.mayCall(w) {
 		d.submitToPolicy(w)
@@ -193,7 +230,7 @@
 	}
 }
 
-// handleDeath is a process that ends: what its clients wait for they hand in again, elsewhere.
+// handleDeath is called when a dispatcher's process ends. Clients that wait for a handoff submit their requests again.
 func (c *clusterState) handleDeath(d *dispatcher, fault *Fault) {
 	ms := d.member
 	for _, n := range slices.Sorted(maps.Keys(ms.clientHandoffs)) {
@@ -205,7 +242,7 @@
 			c.sim.closeCopy(h.webhook.request)
 		}
 	}
-	if !fault.KeepsState && fault.Kind != "restart" {
+	if fault.losesState() {
 		ms.handoffRecords = map[api.WebhookID]handoffRecord{}
 		ms.stateID++
 	}
@@ -214,9 +251,11 @@
 			w.inDoubtHandoff = w.handoff
 		}
 	}
-	if s := ms.leases.EndSession(); fault.Kind == "restart" && s != 0 { // it says so before it goes
-		if _, ok := c.proposeLease(lease.EndSession(s)); ok {
-			c.expiry.Remove(s)
-		}
+	session := ms.leases.EndSession()
+	if fault.Kind != FaultRestart || session == 0 { // only a graceful shutdown ends the session at the leader
+		return
+	}
+	if _, ok := c.proposeLease(lease.EndSession(session)); ok {
+		c.expiry.Remove(session)
 	}
 }
