--- a/webhook/api/attempt.go
+++ b/webhook/api/attempt.go
@@ -12,8 +12,8 @@
 	ConnectFailed             // no connection in time
 	ConnectionReset           // the connection broke while the attempt was in flight
 	Cancelled                 // cancelled by this dispatcher
-	NotSent                   // never left: no slot, too late, or too many attempts
-	ConnectionLimited         // the endpoint accepts no further connection, and said so
+	NotSent                   // not made: no slot, too late, or too many attempts
+	ConnectionLimited         // the endpoint answered that it accepts no further connection
 )
 
 // NeverRan reports whether the outcome proves that the attempt took no effect.
@@ -32,6 +32,6 @@
 	Latency  Micros // from the start of the attempt
 	// Final is set where the webhook has its final answer and needs no further attempt.
 	Final bool
-	// RetryAfter is how long the destination asked to be left alone; 0: it didn't ask.
+	// RetryAfter is the delay before the next call that the destination asked for; 0: none.
 	RetryAfter Micros
 }
--- a/webhook/api/endpoint.go
+++ b/webhook/api/endpoint.go
@@ -1,6 +1,6 @@
 package api
 
-// EndpointStatus is what the endpoint list says of an endpoint. It says nothing of health.
+// EndpointStatus is the state of an endpoint in the endpoint list. It is independent of the endpoint's health.
 type EndpointStatus uint8
 
 // Statuses in an endpoint list.
@@ -20,7 +20,7 @@
 	Rate        float64 // calls per second that the destination accepts from all dispatchers, where the list says so
 }
 
-// LoadReport is what an endpoint says of its own limit with an answer. It is some time old and not exact.
+// LoadReport is what an endpoint reports of its own limit with an answer. It is approximate and slightly out of date.
 type LoadReport struct {
 	Endpoint EndpointID
 	Headroom float64 // share of the limit that is left
@@ -33,7 +33,7 @@
 	Destination    DestinationID `cbor:"1,keyasint"`
 	ObservedAt     Micros        `cbor:"2,keyasint"`
 	Window         float64       `cbor:"3,keyasint"` // concurrent calls at most
-	WaitUntil      Micros        `cbor:"4,keyasint"` // end of the wait that the destination asked for
+	WaitUntil      Micros        `cbor:"4,keyasint"` // end of the delay that the destination asked for
 	Unhealthy      bool          `cbor:"5,keyasint"`
 	NextCanaryAt   Micros        `cbor:"6,keyasint"` // unhealthy: no call before then
 	SlowStartSince Micros        `cbor:"7,keyasint"` // first success after an outage, or Never
--- a/webhook/api/policy.go
+++ b/webhook/api/policy.go
@@ -17,11 +17,11 @@
 	AttemptEnded(result AttemptResult)
 	// ReportLoad takes a load report, before the result that it came with.
 	ReportLoad(report LoadReport)
-	// Withdraw says that nobody waits for a webhook any more. An attempt in flight runs on.
+	// Withdraw drops a webhook that nobody waits for any more. An attempt in flight continues.
 	Withdraw(id WebhookID)
-	// TimerFired says that a timer set through Host.SetTimer has expired.
+	// TimerFired handles a timer, set through Host.SetTimer, that has expired.
 	TimerFired(timer TimerID)
-	// UpdateSettings takes new settings while the dispatcher runs. Indexes keep what they stand for.
+	// UpdateSettings takes new settings while the dispatcher runs. Indexes keep their meaning.
 	UpdateSettings(settings Settings)
 	// EndTurn starts the attempts that may start now.
 	EndTurn()
--- a/webhook/api/settings.go
+++ b/webhook/api/settings.go
@@ -3,7 +3,7 @@
 // DestinationKind holds the settings of one kind of destination.
 type DestinationKind struct {
 	BatchSize int // webhooks that may share one call
-	// SeparateRoutes is set where each endpoint has its own limit, waits and outages.
+	// SeparateRoutes is set where each endpoint has its own rate limit, Retry-After delays and outages.
 	SeparateRoutes bool
 }
 
@@ -19,10 +19,10 @@
 	OverQuotaValue   float64   // value of a webhook beyond its tenant's quota, as a fraction
 
 	MaxInFlight   int // concurrent calls
-	BufferSize    int // webhooks held at once, in flight or not
+	BufferSize    int // pending webhooks at most, in flight or not
 	MaxAttempts   int // per webhook
 	CanCancel     bool
-	MaxRetryAfter Micros // the longest wait that clients heed after a rejection; 0: none is heeded
+	MaxRetryAfter Micros // the longest Retry-After that clients respect after a rejection; 0: they respect none
 	RatesListed   bool   // endpoint lists state the rate that a destination accepts
 
 	// ConnectionLimitsReported is set where a connection refused for a limit is reported as ConnectionLimited; without
@@ -34,8 +34,8 @@
 	// OrderingGap is how long an ordering key pauses after an attempt that may still run.
 	OrderingGap Micros
 
-	// A destination that is back from an outage takes SlowStartCapacity of its rate, rising to all of it after
-	// SlowStartDuration. Sent over OverloadFactor times what it can take for OverloadDuration, it fails again.
+	// A destination that recovers from an outage has SlowStartCapacity of its rate, rising to all of it after
+	// SlowStartDuration. At over OverloadFactor times its capacity for OverloadDuration it fails again.
 	SlowStartCapacity float64
 	SlowStartDuration Micros
 	OverloadFactor    float64
--- a/webhook/api/time.go
+++ b/webhook/api/time.go
@@ -3,10 +3,10 @@
 // Micros is a time or a duration in whole microseconds. Times count from an arbitrary origin and never run back.
 type Micros int64
 
-// Second is the unit of the retry schedule.
+// Second is one second.
 const Second Micros = 1_000_000
 
-// Never marks a time that has not come.
+// Never marks a time that has not been reached.
 const Never Micros = -1
 
 // Seconds returns the duration in seconds.
--- a/webhook/api/webhook.go
+++ b/webhook/api/webhook.go
@@ -22,7 +22,7 @@
 	TimerID uint32
 )
 
-// Webhook is what a Policy needs to know of a webhook.
+// Webhook is the part of a webhook that a Policy decides by.
 type Webhook struct {
 	ID          WebhookID
 	EventType   EventTypeID
@@ -40,7 +40,7 @@
 	Zone         ZoneID // of that attempt's endpoint
 }
 
-// Semantics says what a second effect of an event type would do.
+// Semantics says whether webhooks of an event type may take effect more than once.
 type Semantics uint8
 
 // Delivery semantics of event types.
--- a/webhook/config/pairs.go
+++ b/webhook/config/pairs.go
@@ -18,7 +18,7 @@
 	nanosecondsPerUnit = 1000 // settings are in nanoseconds, api.Micros in microseconds
 )
 
-// pairs are settings as path=value. Unknown keys are never looked at; err keeps the first unusable value.
+// pairs are settings as path=value. Unknown keys are ignored; err is that of the first invalid value.
 type pairs struct {
 	values map[string]string
 	err    error
@@ -83,7 +83,8 @@
 
 func (p *pairs) flag(key string) bool { return p.values[key] == "true" }
 
-// microsRoundedDown and microsRoundedUp convert nanoseconds, rounded the way that keeps the rule that the setting states.
+// microsRoundedDown and microsRoundedUp convert nanoseconds. The direction of rounding is chosen so that the setting's limit
+// is respected.
 func (p *pairs) microsRoundedDown(key string) api.Micros {
 	return api.Micros(math.Floor(p.number(key) / nanosecondsPerUnit))
 }
--- a/webhook/dispatcher/callback/sender.go
+++ b/webhook/dispatcher/callback/sender.go
@@ -1,4 +1,4 @@
-// Package callback tells the platform of webhooks that ended undelivered. Each callback is repeated until the platform
+// Package callback reports webhooks that ended undelivered to the platform. Each callback is repeated until the platform
 // has acknowledged it.
 package callback
 
--- a/webhook/dispatcher/discovery/client.go
+++ b/webhook/dispatcher/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list: it starts from the list that this dispatcher stored last and watches for
-// changes from there on.
+// Package discovery keeps the endpoint list up to date: it starts from the list that this dispatcher stored last and watches
+// the registry for changes.
 package discovery
 
 import (
@@ -15,7 +15,7 @@
 	"rowanlink/webhook/refresh"
 )
 
-// LinePeriod is the protocol's: a watch writes an empty line so often as long as nothing changes.
+// LinePeriod is the interval of a watch's heartbeats, given by the protocol: empty lines while nothing changes.
 const LinePeriod = 2 * time.Second
 
 // UpdateFunc takes a list, with the address of each of its entries. Endpoints that a complete list lacks are removed.
@@ -24,24 +24,24 @@
 // Scheduler decides when each request begins and what it may take; refresh.Scheduler is one.
 type Scheduler interface {
 	Next(reason refresh.Reason, pushed bool) refresh.Request
-	// RecordActivity notes a sign of life of a watch.
+	// RecordActivity records that a watch has received something.
 	RecordActivity()
-	// StartupDelay is for how long the first list is waited for.
+	// StartupDelay is how long to wait for the first list.
 	StartupDelay(pushed bool) api.Micros
 }
 
-// Options are what a Client is made of.
+// Options configure a Client.
 type Options struct {
 	Address   string // host:port of the registry
 	Catalog   config.Catalog
 	Scheduler Scheduler
 	MaxObject int // bytes of one list
-	// RetainNames is for how long the name of a removed endpoint keeps its number: for as long as a call to it may be in
-	// flight or waited for.
+	// RetainNames is how long the name of a removed endpoint keeps its number: as long as a call to it may be in flight or
+	// pending.
 	RetainNames api.Micros
 	Update      UpdateFunc
 	Malformed   func() // called for each list that can't be read
-	// Ready is called once: when the first request has its answer, has failed, or was waited for long enough.
+	// Ready is called once: when the first request has its answer or has failed, or after StartupDelay.
 	Ready func()
 }
 
@@ -63,7 +63,7 @@
 	addressChanged chan struct{} // closed when the address changes
 }
 
-// numbered is an endpoint's number, never used for another endpoint, and since when it is removed.
+// numbered is an endpoint's number, which is never used for another endpoint, and when the endpoint was removed.
 type numbered struct {
 	id        api.EndpointID
 	removedAt time.Time // zero: it is listed
@@ -96,7 +96,7 @@
 	}
 }
 
-// UpdateSettings has lists that come from now on read with another catalog; kinds and zones of earlier entries stay.
+// UpdateSettings has later lists read with another catalog; kinds and zones of earlier entries stay.
 func (c *Client) UpdateSettings(catalog config.Catalog, retainNames api.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +162,8 @@
 	return n
 }
 
-// forgetRemoved notes which endpoints are removed, and drops those removed long ago: with endpoints replaced all day long
-// they would pile up.
+// forgetRemoved records which endpoints are removed, and drops those removed long ago: since endpoints are replaced all day,
+// they would use up memory.
 func (c *Client) forgetRemoved(isListed map[string]bool, complete bool) {
 	now := time.Now()
 	retention := c.currentRetention()
@@ -179,13 +179,13 @@
 	}
 }
 
-// recordActivity notes a sign of life of the watch.
+// recordActivity records that the watch has received something.
 func (c *Client) recordActivity() {
 	c.scheduler.RecordActivity()
 	c.ready()
 }
 
-// reject counts and logs a list that can't be read; the last one stays in force.
+// reject counts and logs a malformed list; the last valid one stays in force.
 func (c *Client) reject(size int, reason error) {
 	c.malformed()
 	slog.Warn("list not read, the last one stays in force", "bytes", size, "reason", reason)
--- a/webhook/dispatcher/discovery/stream.go
+++ b/webhook/dispatcher/discovery/stream.go
@@ -10,12 +10,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// readObjects reads object after object, however they are laid out, until one can't be read or the stream ends. A change
-// may be missed with it: the next watch starts from the last one that was read.
+// readObjects reads object after object, in any layout, until one is malformed or the stream ends. The changes that it held
+// aren't lost: the next watch starts from the last generation that was read.
 func (c *Client) readObjects(ctx context.Context, body io.Reader) error {
 	for {
 		in := &objectReader{in: body, maxSize: c.maxObject, onBlank: c.recordActivity}
-		// One decoder for each object: it keeps the memory of the largest one that it has read.
+		// A new decoder for each object, since a decoder keeps a buffer of the largest one that it has read.
 		decoder := json.NewDecoder(in)
 		var list rawObject
 		err := decoder.Decode(&list)
@@ -38,7 +38,7 @@
 	}
 }
 
-// rawObject is a JSON value as it came, copied once.
+// rawObject is an unparsed JSON value, copied once.
 type rawObject struct{ gjson.Result }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// objectReader reads as far as one object needs, without the blanks before it: they come all day, and would pile up in
-// the decoder.
+// objectReader reads as far as one object needs, without the blanks before it: a watch sends them all day, and the decoder
+// would buffer them.
 type objectReader struct {
 	in            io.Reader
 	size, maxSize int
--- a/webhook/dispatcher/discovery/watch.go
+++ b/webhook/dispatcher/discovery/watch.go
@@ -20,8 +20,8 @@
 // errMalformed marks an object that can't be read.
 var errMalformed = errors.New("list not read")
 
-// Run watches until the process ends. A watch lasts until its connection ends, it is silent for longer than it may be, or
-// the address changes; the Scheduler decides when the next one begins.
+// Run watches until the process ends. A watch lasts until its connection ends, its idle time-out expires, or the address
+// changes; the Scheduler decides when the next one begins.
 func (c *Client) Run() {
 	delay := c.scheduler.StartupDelay(c.currentCatalog().PushedLists)
 	time.AfterFunc(inflight.Duration(delay), c.ready)
@@ -56,7 +56,7 @@
 	return ctx, cancel
 }
 
-// endReason tells why a watch ended.
+// endReason returns why a watch ended.
 func endReason(ctx context.Context, err error) refresh.Reason {
 	var timeout interface{ Timeout() bool }
 	switch {
@@ -113,11 +113,10 @@
 	return out.Flush()
 }
 
-// deadlineReader bounds the response header by one deadline, and afterwards each read by the time for which a watch may
-// be silent.
+// deadlineReader bounds the response header by one deadline, and afterwards each read by the idle time-out.
 type deadlineReader struct {
 	connection    net.Conn
-	responseUntil time.Time // zero once the header has come
+	responseUntil time.Time // zero once the header was received
 	idleTimeout   time.Duration
 }
 
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -79,7 +79,7 @@
 	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
 	Start()                  // everything runs, but clients are not let in yet
 	UpdateSettings(api.Settings)
-	Drain() // told to end, before the dispatcher drains; may take as long as it needs
+	Drain() // shutdown begins, before the dispatcher drains; may take as long as it needs
 	Stop()  // nothing runs any more
 	WriteMetrics(io.Writer)
 }
@@ -140,7 +140,7 @@
 	}
 	p.lifecycle.Enter(lifecycle.Starting)
 	var err error
-	// First: a second start beside a dispatcher that runs ends here, before it touches the folder.
+	// First: if another dispatcher runs already, this process ends here, before it touches the folder.
 	p.listener, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", c.document.Get("listen").String())
 	if err != nil {
 		return nil, err
@@ -217,8 +217,8 @@
 	go func() { p.served <- p.server.Serve(p.listener) }()
 }
 
-// updateSettings applies a reloaded configuration: to the loop first, so that it knows what webhooks and lists may name
-// next.
+// updateSettings applies a reloaded configuration: to the loop first, so that it knows all names that webhooks and lists may
+// use next.
 func (p *process) updateSettings(c configuration) {
 	p.loop.UpdateSettings(c.settings, c.catalog.EventTypes, c.idleTimeout)
 	p.server.UpdateSettings(c.settings, c.catalog)
--- a/webhook/dispatcher/eventloop/cluster.go
+++ b/webhook/dispatcher/eventloop/cluster.go
@@ -7,7 +7,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Cluster tells a dispatcher that is a member of a cluster what it may do; it is nil elsewhere. It is called from the
+// Cluster says what a dispatcher that is a member of a cluster may do; it is nil without a cluster. It is called from the
 // loop's goroutine and must not block.
 type Cluster interface {
 	// MayCall reports whether this member may call the destination now.
@@ -18,7 +18,7 @@
 	IsInDoubt(id inflight.RequestID) bool
 }
 
-// JoinCluster has the loop ask a cluster from its first webhook on; before Begin only.
+// JoinCluster makes the loop part of a cluster; before Begin only.
 func (l *Loop) JoinCluster(c Cluster) {
 	l.cluster = c
 	l.endpoints = map[api.EndpointID]api.EndpointEntry{}
@@ -49,7 +49,7 @@
 	l.park(w)
 }
 
-// Reevaluate is called when what the Cluster says may have changed: it takes effect from the next turn on. It may be
+// Reevaluate is called when the Cluster's answers may have changed: it takes effect from the next turn on. It may be
 // called from any goroutine.
 func (l *Loop) Reevaluate() { l.inbox.Post(l.reevaluate) }
 
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -47,7 +47,7 @@
 	rates            map[api.EndpointID]float64             // as the policy was told
 	recoveredResults map[inflight.RequestID]recoveredResult // of an earlier incarnation, for other members
 
-	// Of this turn.
+	// Of the present turn.
 	unanswered   map[api.WebhookID]*inflight.Webhook // accepted, and the client has no answer yet
 	accepted     []api.WebhookID
 	attempts     []attempt
--- a/webhook/dispatcher/eventloop/relay.go
+++ b/webhook/dispatcher/eventloop/relay.go
@@ -126,8 +126,8 @@
 	})
 }
 
-// awaitsRelay reports whether a webhook at a relay, which ends it in time, still has a while after its deadline for the
-// relay's result: ending it here at once could give it two results.
+// awaitsRelay reports whether a webhook at a relay, which ends it in time, still has some time after its deadline for the
+// relay's result: if it were ended here at once, it could get two results.
 func (l *Loop) awaitsRelay(w *inflight.Webhook) bool {
 	until := w.Deadline + inflight.AnswerTimeout
 	if !w.AtRelay || l.now >= until {
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -14,7 +14,7 @@
 // maxTurnInterval is the longest time between two turns.
 const maxTurnInterval = api.Second
 
-// Run takes turns until the process has stopped: when something waits or is due, no faster than the minimum interval.
+// Run takes turns until the process has stopped: when something is posted or due, at least the minimum interval apart.
 func (l *Loop) Run() {
 	timer := time.NewTimer(0)
 	for l.lifecycle.Phase() < lifecycle.Stopped {
@@ -140,8 +140,8 @@
 	})
 }
 
-// handleCommitFailure keeps the loop from acting on what would not survive the process, when the disk is full or gone:
-// the webhooks of this turn are rejected, and none of its calls is made.
+// handleCommitFailure keeps the loop from acting on decisions that would not survive the process, when the disk is full or
+// has failed: the webhooks of this turn are rejected, and none of its calls is made.
 func (l *Loop) handleCommitFailure(err error) {
 	slog.Error("write-ahead log not written", "err", err)
 	l.inbox.JournalErrors.Add(1)
--- a/webhook/dispatcher/inflight/broadcast.go
+++ b/webhook/dispatcher/inflight/broadcast.go
@@ -13,7 +13,7 @@
 	listPrefix          = "list="
 )
 
-// Broadcast is what a webhook has besides where broadcast lists and site streams are on.
+// Broadcast has the further fields of a webhook where broadcast lists and site streams are enabled.
 type Broadcast struct {
 	List    string // not accepted yet: for the list's subscribers, in place of a destination
 	AtRelay bool   // handed to a relay, which ends it
@@ -47,7 +47,7 @@
 	return x.HasList != nil && isSubscriber
 }
 
-// ListInRoute reads `list=prices` among whatever else is said of the route; ok: there is such a list.
+// ListInRoute finds `list=prices` among the parts of a route; ok: there is such a list.
 func (x *Inbox) ListInRoute(route string) (name string, ok bool) {
 	if x.HasList == nil {
 		return "", false
--- a/webhook/dispatcher/inflight/clock.go
+++ b/webhook/dispatcher/inflight/clock.go
@@ -8,7 +8,7 @@
 
 var started = time.Now()
 
-// Now is the one clock of the process: it starts from the wall clock and never runs back.
+// Now returns the time of the process's only clock: it starts from the wall clock and never runs back.
 func Now() api.Micros {
 	return api.Micros(started.UnixMicro() + time.Since(started).Microseconds())
 }
--- a/webhook/dispatcher/inflight/inbox.go
+++ b/webhook/dispatcher/inflight/inbox.go
@@ -1,5 +1,5 @@
-// Package inflight is where the clients' server and the event loop meet: webhooks as they came, with the few fields that
-// decisions need, and everything that waits for the event loop.
+// Package inflight connects the clients' server with the event loop: webhooks as they were received, with the few fields
+// that decisions need, and the queue of everything that waits for the event loop.
 package inflight
 
 import (
@@ -34,7 +34,7 @@
 	return &Inbox{ready: make(chan struct{}, 1), destinations: map[api.DestinationID]bool{}}
 }
 
-// AddDestination notes that a list has named a destination; it stays known when it has no endpoint any more.
+// AddDestination records that a list has named a destination; it stays known when it has no endpoint any more.
 func (x *Inbox) AddDestination(destination api.DestinationID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -48,8 +48,8 @@
 	return x.destinations[destination]
 }
 
-// Submit takes a client's webhook to where it is decided on, and waits for the answer. A rejected one may come with a
-// time after which to submit it again (0: none).
+// Submit submits a client's webhook, here or to another member, and waits for the answer. A rejection may have a time after
+// which to submit the webhook again (0: none).
 func (x *Inbox) Submit(w *Webhook) (answer Answer, retryAfter api.Micros) {
 	if x.Forward == nil {
 		return x.SubmitLocal(w)
--- a/webhook/dispatcher/inflight/result.go
+++ b/webhook/dispatcher/inflight/result.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Status is how a webhook ended whose result another member is told.
+// Status is how a webhook ended whose result goes to another member.
 type Status uint8
 
 // Statuses. The numbers are stored and sent: they never change.
@@ -16,11 +16,11 @@
 	StatusDeadLettered
 )
 
-// Result is what the other member is told.
+// Result is the result of a webhook for another member.
 type Result struct {
 	RequestID  RequestID
 	Status     Status
-	RetryAfter api.Micros // rejected: submit it again after so long; 0: nothing is said
+	RetryAfter api.Micros // rejected: the delay before it may be submitted again; 0: none given
 	Attempts   int
 	MayHaveRun bool
 }
--- a/webhook/dispatcher/inflight/webhook.go
+++ b/webhook/dispatcher/inflight/webhook.go
@@ -7,17 +7,17 @@
 	"rowanlink/webhook/api"
 )
 
-// AnswerTimeout is the protocol's: a client that has waited longer for its answer has left and may submit the webhook
-// again.
+// AnswerTimeout is how long a client waits for its answer, given by the protocol. After that it may have submitted the
+// webhook again.
 const AnswerTimeout = 2 * api.Second / 5
 
 // RequestID is a webhook's name on the wire.
 type RequestID string
 
-// Token is the idempotency key by which a destination recognizes a repeat; empty: none.
+// Token is the idempotency key by which a destination recognizes a duplicate; empty: none.
 type Token string
 
-// Webhook is one webhook as it came. What is passed on unchanged stays bytes.
+// Webhook is one webhook as it was received.
 type Webhook struct {
 	ID        api.WebhookID
 	RequestID RequestID
@@ -39,20 +39,20 @@
 	Prior *PriorAttempts
 	// InDoubt: another member may have it. Nobody here calls for it before that is resolved.
 	InDoubt bool
-	// MustKeep: no other member would resolve that, so it is accepted whatever the limits.
+	// MustKeep: no other member would resolve the doubt, so it is accepted regardless of limits.
 	MustKeep bool
 	Broadcast
 }
 
-// PriorAttempts is what became of a webhook before it came here.
+// PriorAttempts is what other members did for a webhook before it arrived here.
 type PriorAttempts struct {
 	Attempts     int
 	MayHaveRunAt api.Micros // start of the first attempt that may have run, or Never
 	Zone         api.ZoneID // of that attempt's endpoint
 }
 
-// Trace logs a step of a webhook's course at debug level, so that its id can be followed through all logs. endpoint: the
-// one concerned, or 0; elapsed: since the attempt was decided on, or since the webhook came.
+// Trace logs a step of a webhook at debug level, so that its id can be followed through all logs. endpoint is the one
+// concerned, or 0; elapsed is the time since the attempt was decided on, or since the webhook was received.
 func (w *Webhook) Trace(step string, endpoint api.EndpointID, elapsed api.Micros) {
 	logger := slog.Default()
 	if !logger.Enabled(context.Background(), slog.LevelDebug) {
@@ -62,7 +62,7 @@
 		"took_us", elapsed)
 }
 
-// Answer is what a client is told of the webhook that it submitted.
+// Answer is the answer to a client that submitted a webhook.
 type Answer int
 
 // Answers.
--- a/webhook/dispatcher/reload.go
+++ b/webhook/dispatcher/reload.go
@@ -14,7 +14,7 @@
 	"rowanlink/webhook/config"
 )
 
-// configuration is the dispatcher's configuration file, and what it says of the platform.
+// configuration is the dispatcher's configuration file, with the settings in it.
 type configuration struct {
 	document    gjson.Result
 	settings    api.Settings
@@ -25,7 +25,7 @@
 // immutableKeys can't change while the process runs.
 var immutableKeys = []string{"listen", "limits.sockets", "limits.disk_mb", "limits.memory_mb"}
 
-// retainNames is for how long the name of a removed endpoint may still be needed: two of the longest TTLs.
+// retainNames is how long the name of a removed endpoint may still be needed: two of the longest TTLs.
 func (c configuration) retainNames() (longest api.Micros) {
 	for _, t := range c.settings.EventTypes {
 		longest = max(longest, 2*t.TTL)
@@ -52,7 +52,7 @@
 	return parseConfiguration(document)
 }
 
-// parseConfiguration reads what the document says of the platform.
+// parseConfiguration reads the settings in the document.
 func parseConfiguration(document gjson.Result) (configuration, error) {
 	seed, err := strconv.ParseUint(document.Get("seed").String(), 16, 64)
 	if err != nil {
@@ -124,7 +124,7 @@
 }
 
 // withRetiredNames returns the configuration that later ones are checked against: an index whose name was removed must
-// not get another name, since webhooks are held by it.
+// not get another name, since pending webhooks refer to it.
 func (c configuration) withRetiredNames(before configuration) configuration {
 	c.catalog.EventTypes = withTail(c.catalog.EventTypes, before.catalog.EventTypes)
 	c.catalog.Tenants = withTail(c.catalog.Tenants, before.catalog.Tenants)
--- a/webhook/dispatcher/server/client_conn.go
+++ b/webhook/dispatcher/server/client_conn.go
@@ -15,8 +15,8 @@
 // headEnd ends the head of an HTTP request.
 const headEnd = "\r\n\r\n"
 
-// clientConn is one client's connection. It counts the bytes of each request: a stated length that is less than what has
-// come would cut the webhook, and its rest would be read as another request.
+// clientConn is one client's connection. It counts the bytes of each request: with a Content-Length that is less than what
+// has arrived, the rest of the webhook would be read as another request.
 type clientConn struct {
 	*net.TCPConn
 	listener *limitListener
@@ -28,7 +28,7 @@
 
 	received   int // bytes of this request
 	headLength int // of this request, once its head is complete
-	matched    int // bytes of headEnd that came last
+	matched    int // bytes of headEnd that were received last
 }
 
 // moveTo puts the connection into a list, nil for none; the caller holds the listener's lock.
@@ -82,14 +82,14 @@
 	if !c.listener.hasTooManyIdle() {
 		return
 	}
-	// Looking for the victim moves connections whose next request has come out of the idle ones.
+	// longestIdle also removes connections whose next request has arrived from the idle ones.
 	if victim := c.listener.longestIdle(); c.listener.hasTooManyIdle() {
 		victim.evict()
 	}
 }
 
 // beginRequest notes that an idle connection has a request, and reports whether it is still open. Until then nothing of
-// the request is read, so that none is read half and then dropped.
+// the request is read, so that none is dropped after a part of it was read.
 func (c *clientConn) beginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -120,10 +120,10 @@
 	return n, err
 }
 
-// waitForRequest waits for the first byte of a request, then gives the rest its time.
+// waitForRequest waits for the first byte of a request, and sets the deadline for the rest.
 func (c *clientConn) waitForRequest() error {
 	err := socket.WaitReadable(c.TCPConn)
-	// A deadline that ends at the moment in which a request has come must not lose it.
+	// A request that arrives at the moment of the deadline must not be lost.
 	cameInTime := errors.Is(err, os.ErrDeadlineExceeded) && socket.HasUnread(c.TCPConn)
 	if err != nil && !cameInTime {
 		return err
@@ -153,7 +153,7 @@
 	}
 }
 
-// hasExactly reports whether just one request with so many bytes of body has come.
+// hasExactly reports whether exactly one request with so many bytes of body has arrived.
 func (c *clientConn) hasExactly(body int) bool {
 	return c.headLength > 0 && c.received == c.headLength+body
 }
--- a/webhook/dispatcher/server/listener.go
+++ b/webhook/dispatcher/server/listener.go
@@ -10,25 +10,25 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// pendingGrace is how long a new connection is kept whatever comes: a well-behaved client's request comes with it.
+// pendingGrace is how long a new connection is kept in any case: a well-behaved client sends its request at once.
 const pendingGrace = inflight.AnswerTimeout / 2
 
 // idleClasses are the classes of idle connections, by how many webhooks they have carried: none, one, more.
 const idleClasses = 3
 
-// limitListener accepts a limited number of connections at once. When all are taken, a connection that waits for nothing
-// is closed: silent clients, half-sent requests and idle connections can't keep well-behaved clients out.
+// limitListener accepts a limited number of connections at once. At the limit, a connection that doesn't wait for an answer
+// is closed: silent clients, incomplete requests and idle connections can't keep well-behaved clients out.
 type limitListener struct {
 	net.Listener
 	maxOpen int
-	// maxIdle bounds idle connections: clients open no more than a part of the descriptors, and idle ones would fill it.
+	// maxIdle bounds idle connections, which would otherwise use up the part of the descriptors that is for clients.
 	maxIdle int
 
 	mu         sync.Mutex
 	freed      *sync.Cond
 	open       int
 	lastClosed api.Micros
-	pending    list.List              // connections whose request has not come completely, the longest waiting first
+	pending    list.List              // connections without a complete request, the longest waiting first
 	idle       [idleClasses]list.List // connections that were answered, the longest idle first
 }
 
@@ -62,8 +62,8 @@
 }
 
 // evictable returns the connection to close first: one that has been pending for long, then of the idle ones those that
-// carried no webhook, then one webhook, then more. Crowds that ask once and stay go before clients that use their
-// connections again and again.
+// carried no webhook, then one webhook, then more. Clients that send one request and stay connected are evicted before
+// clients that reuse their connections.
 func (l *limitListener) evictable() *clientConn {
 	pending := l.longestPending()
 	if pending != nil && inflight.Now()-pending.since > pendingGrace {
@@ -75,7 +75,7 @@
 	return pending
 }
 
-// longestPending returns the connection that is pending for longest, without those of which something is yet to be read.
+// longestPending returns the connection that is pending for longest, except for those with unread data.
 func (l *limitListener) longestPending() *clientConn {
 	for e := l.pending.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*clientConn); !socket.HasUnread(c.TCPConn) {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// longestIdle returns the idle connection to close first. One whose next request has come is idle no longer: it would be
-// lost with its connection before this process got to read it.
+// longestIdle returns the idle connection to close first. One whose next request has arrived is no longer idle: the request
+// would be lost with its connection before this process has read it.
 func (l *limitListener) longestIdle() *clientConn {
 	for i := range l.idle {
 		for e := l.idle[i].Front(); e != nil; e = l.idle[i].Front() {
@@ -109,7 +109,7 @@
 }
 
 // isDeserted reports whether no connection is open, nor has been for so long that a client whose connection was closed
-// during its request would have come again.
+// during its request would have connected again.
 func (l *limitListener) isDeserted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/webhook/dispatcher/server/request.go
+++ b/webhook/dispatcher/server/request.go
@@ -172,7 +172,7 @@
 	return 0, broadcastList, nil
 }
 
-// parseDestination reads `dest=7` among whatever else is said of the route.
+// parseDestination finds `dest=7` among the parts of a route.
 func parseDestination(text string) (api.DestinationID, bool) {
 	isSeparator := func(r rune) bool { return strings.ContainsRune(";,& ", r) }
 	for _, part := range strings.FieldsFunc(text, isSeparator) {
--- a/webhook/dispatcher/server/server.go
+++ b/webhook/dispatcher/server/server.go
@@ -53,7 +53,7 @@
 		Name:                         "rowanlink",
 		Logger:                       debugLogger{},
 		MaxRequestBodySize:           maxBody,
-		Concurrency:                  2 * maxOpen, // the listener holds the limit; those that it closed are still winding up
+		Concurrency:                  2 * maxOpen, // the listener enforces the limit; connections that it closed may still be served
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
 		WriteTimeout:                 readTimeout,
@@ -77,10 +77,10 @@
 	return s.http.Serve(s.listener)
 }
 
-// ClientsGone reports whether no client has a connection here any more, nor comes again for an answer that it missed.
+// ClientsGone reports whether no client is connected any more, nor will connect again for an answer that it missed.
 func (s *Server) ClientsGone() bool { return s.listener.isDeserted() }
 
-// Close stops listening and waits for what is being answered, until the time is up.
+// Close stops listening and waits for requests that are being answered, at most until the time-out.
 func (s *Server) Close(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -89,7 +89,7 @@
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	defer func() { // last, since an error resets the answer
-		if !s.lifecycle.Ready() { // clients that still have a connection here are to go elsewhere
+		if !s.lifecycle.Ready() { // clients that are still connected are to use another dispatcher
 			ctx.SetConnectionClose()
 		}
 	}()
@@ -121,18 +121,18 @@
 	if err != nil {
 		s.recordMalformed(err)
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		ctx.SetConnectionClose() // what else comes on this connection can't be trusted
+		ctx.SetConnectionClose() // what else arrives on this connection can't be trusted
 		return
 	}
 	// A webhook for a destination that doesn't exist would wait in the buffer for its TTL. One that no list has named yet
-	// may come: a retry is harmless.
+	// may be listed later: the client may retry.
 	if w.List == "" && !s.inbox.HasDestination(w.Destination) {
 		s.recordMalformed(errUnknownDestination)
 		ctx.Error(errUnknownDestination.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
-	// If this process stood still, the client may have submitted the webhook elsewhere meanwhile; and an event loop that
-	// has stopped answers nobody.
+	// If this process was suspended, the client may have submitted the webhook to another dispatcher meanwhile; and an event
+	// loop that has stopped doesn't answer.
 	if clientGone || !connection.beginWebhook() || !s.lifecycle.AcceptsWebhooks() {
 		s.inbox.Rejected.Add(1)
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -151,7 +151,7 @@
 	case inflight.Duplicate:
 		s.recordMalformed(errDuplicate)
 		ctx.Error(errDuplicate.Error(), fasthttp.StatusConflict)
-	case inflight.Undetermined: // the client comes again by its own rules, and is recognized by the request id
+	case inflight.Undetermined: // the client will retry, and is recognized by the request id
 		ctx.SetConnectionClose()
 		_ = ctx.Conn().Close() // no answer: any would be a guess
 	default:
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -30,11 +30,11 @@
 	outcome    api.Outcome
 	final      bool
 	retryAfter api.Micros
-	perWebhook map[inflight.RequestID]itemResult // of a bundle whose webhooks fared differently
+	perWebhook map[inflight.RequestID]itemResult // of a bundle whose webhooks have separate results
 	reusable   bool                              // the connection may be used again
 
-	// connectionRefused is set where the call was rejected without a wait, and the connection with it: on the first call
-	// of a connection that concerns the connection, one too many, and not the destination's limit.
+	// connectionRefused is set where the call was rejected without a Retry-After and the connection was closed. On the
+	// first call of a connection that means a connection limit, not the destination's rate limit.
 	connectionRefused bool
 }
 
@@ -43,7 +43,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.endpoints[id]
-	if e == nil { // gone and forgotten: without a result the webhook would wait for ever
+	if e == nil { // removed and forgotten: without a result the webhook would wait for ever
 		for _, a := range attempts {
 			c.onResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: id, Outcome: api.NotSent})
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-// finish ends the bookkeeping of a call.
+// finish updates the state of the client after a call.
 func (c *Client) finish(k *call, result *callResult, connection *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// connectAndCall calls on an idle connection, or else on a new one. An idle connection that says or ends something before
-// the last byte of the call is written is of no use, and the call has not been made: another connection is taken.
+// connectAndCall calls on an idle connection, or else on a new one. If data or an end arrives on an idle connection
+// before the last byte of the call is written, the call has not been made, and another connection is used.
 func (c *Client) connectAndCall(k *call) (callResult, *connection) {
 	for {
 		connection, isNew, err := c.connect(k)
@@ -171,7 +171,7 @@
 	if cancelled {
 		return callResult{outcome: api.ConnectFailed}, true
 	}
-	remaining := k.timeout - (inflight.Now() - k.startedAt) // connecting took its part
+	remaining := k.timeout - (inflight.Now() - k.startedAt) // less the time for connecting
 	until := time.Now().Add(inflight.Duration(remaining))
 	stillAllowed := func() bool { return c.mayCall(k) }
 	switch written := connection.write(encodeRequest(k, remaining), until, stillAllowed); {
@@ -185,8 +185,8 @@
 	return callResult{}, false
 }
 
-// begin gives the call its connection, and checks again what may have changed while it connected: drains, requested
-// waits, and the time for which the destination remembers a key, apply to the first byte.
+// begin gives the call its connection, and checks again what may have changed while it connected: draining,
+// Retry-After, and the time for which the destination remembers a key, apply to the first byte.
 func (c *Client) begin(connection *connection, k *call) (mayBegin, cancelled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/webhook/dispatcher/upstream/client.go
+++ b/webhook/dispatcher/upstream/client.go
@@ -1,5 +1,5 @@
-// Package upstream calls endpoints: each call exactly once, on connections of its own. It repeats nothing by itself and
-// decides nothing; the results go back webhook by webhook.
+// Package upstream calls endpoints, on connections of its own. It makes each call once, retries nothing and decides nothing;
+// results are reported webhook by webhook.
 package upstream
 
 import (
@@ -24,7 +24,7 @@
 // ResultFunc takes the result of a webhook's part in a call. It is called from the call's own goroutine.
 type ResultFunc func(w *inflight.Webhook, result api.AttemptResult)
 
-// Client holds the connections and the calls in flight. It is safe for concurrent use.
+// Client manages the connections and the calls in flight. It is safe for concurrent use.
 type Client struct {
 	counters       *inflight.Counters
 	onResult       ResultFunc
@@ -35,7 +35,7 @@
 
 	mu              sync.Mutex
 	endpoints       map[api.EndpointID]*endpoint
-	retryAfterUntil map[route]api.Micros // for calls that are still connecting when a destination asks for a wait
+	retryAfterUntil map[route]api.Micros // for calls that are still connecting when a Retry-After arrives
 	inFlight        map[api.WebhookID]*call
 	open            int // connections
 	closed          bool
@@ -45,7 +45,7 @@
 	MayCall func(api.DestinationID) bool
 }
 
-// route is what a requested wait applies to: a destination, or one endpoint where the kind has separate routes.
+// route is what a Retry-After applies to: a destination, or one endpoint where the kind has separate routes.
 type route struct {
 	dest     api.DestinationID
 	endpoint api.EndpointID
@@ -62,7 +62,7 @@
 	listed    bool
 	gone      bool
 	inFlight  int           // calls
-	idle      []*connection // the one used last is last
+	idle      []*connection // in the order of their last use
 }
 
 // New returns a pool of at most maxOpen connections. A connectTimeout of 0 leaves the connect to the attempt's time-out;
--- a/webhook/dispatcher/upstream/connection.go
+++ b/webhook/dispatcher/upstream/connection.go
@@ -42,7 +42,7 @@
 	return quiet
 }
 
-// write writes a call and reports whether it did; if not, the call never ran. Nothing that comes before the call's last
+// write writes a call and reports whether it did; if not, the call never ran. Nothing that arrives before the call's last
 // byte is written can be an answer to it, so the connection, and whether the call may still be made, are checked once
 // more before that byte.
 func (c *connection) write(request []byte, until time.Time, stillAllowed func() bool) bool {
@@ -60,7 +60,7 @@
 var interimHead = regexp.MustCompile(`^HTTP/1\.1 1(0[02-9]|[1-9]\d)[ \r]`)
 
 // readHead returns an answer's head without consuming it; interim answers before it are dropped. With an error it returns
-// what has come. The first byte may come until the deadline, the rest within restTimeout of it.
+// what was received. The first byte may arrive until the deadline, the rest within restTimeout after it.
 func (c *connection) readHead(until time.Time, restTimeout api.Micros) ([]byte, error) {
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
--- a/webhook/dispatcher/upstream/pool.go
+++ b/webhook/dispatcher/upstream/pool.go
@@ -34,7 +34,7 @@
 func (c *Client) release(e *endpoint, connection *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Without the deadline of its last call, at which a check of the idle connection would fail as if it had ended.
+	// The deadline of the last call is removed: after it a check of the idle connection would fail as if it had ended.
 	if err := connection.SetDeadline(time.Time{}); err != nil || c.closed {
 		c.discard(connection)
 		return
@@ -82,7 +82,7 @@
 }
 
 // Sweep closes connections that are idle for long, before the other side does so, and those that the other side has
-// ended. It forgets endpoints that are gone once no call to them is in flight.
+// ended. It forgets removed endpoints once no call to them is in flight.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/webhook/dispatcher/wal/log.go
+++ b/webhook/dispatcher/wal/log.go
@@ -71,7 +71,7 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.dir, name) }
 
-// replay applies a stored record. Kinds of a later release are passed over.
+// replay applies a stored record. Kinds of a later release are ignored.
 func (l *Log) replay(r storedRecord) {
 	e := l.entries[r.id]
 	switch {
@@ -215,8 +215,8 @@
 	n, err := l.file.Write(l.pending)
 	l.pending = l.pending[:0]
 	if err != nil {
-		// A webhook of which a full disk took half was rejected, and its client has it delivered elsewhere: without the
-		// truncation a kill before the next Commit would leave it here.
+		// A webhook that a full disk has stored in part was rejected, and its client submits it elsewhere: without the
+		// truncation a kill before the next Commit would leave a part of it in the file.
 		l.needsCompaction = true
 		return fmt.Errorf("write-ahead log: %w", errors.Join(err, l.file.Truncate(int64(l.size))))
 	}
--- a/webhook/dispatcher/wal/record.go
+++ b/webhook/dispatcher/wal/record.go
@@ -81,7 +81,7 @@
 	rest = append(rest, isFirst)
 	rest = append(rest, e.Payload...)
 	to = appendRecord(to, kindAccepted, e.ID, rest)
-	if e.EventType != "" { // a record of its own, which earlier releases pass over
+	if e.EventType != "" { // a record of its own, which earlier releases ignore
 		to = appendRecord(to, kindEventType, e.ID, []byte(e.EventType))
 	}
 	return to
@@ -129,7 +129,7 @@
 }
 
 // nextRecord reads the first record of a file's content; false: there is no further complete record. A process killed in
-// the middle of a write leaves a torn tail: nothing was done on its word.
+// the middle of a write leaves a torn tail, which was not acted on.
 func nextRecord(content []byte) (record storedRecord, remaining []byte, ok bool) {
 	if len(content) < recordHeaderLen {
 		return storedRecord{}, nil, false
--- a/webhook/policy/concurrency.go
+++ b/webhook/policy/concurrency.go
@@ -5,8 +5,8 @@
 	"rowanlink/webhook/api"
 )
 
-// checkConcurrency counts this dispatcher's calls, so that none comes back unsent. Joining a call of this turn needs no
-// slot.
+// checkConcurrency keeps this dispatcher within its own limit of calls, so that no attempt ends as NotSent. Joining a call
+// of this turn needs no slot.
 func (p *Policy) checkConcurrency(w *webhook) stageResult {
 	p.selected = nil
 	for _, e := range w.destination.endpoints {
@@ -38,7 +38,7 @@
 
 // isUnresponsive reports whether a route with calls in flight has given no outcome for longer than expected. It guards
 // the slots against a route that hangs before a time-out shows it, and against short stalls, in which calls only queue.
-// It needs two calls in flight. A route whose latency varies widely could be held back by it.
+// It needs two calls in flight. It could slow down a route whose latency varies widely.
 func (p *Policy) isUnresponsive(r *route) bool {
 	if r.inFlight < 2 || r.meanLatency <= 0 {
 		return false
@@ -46,8 +46,9 @@
 	return float64(p.now-r.lastOutcomeAt) > max(unresponsiveFactor/float64(r.inFlight), 1)*r.meanLatency
 }
 
-// cancelIfUnresponsive cancels an attempt whose route has been silent for long while every slot is taken: a hang of many
-// destinations at once would otherwise hold all slots until the time-outs. Never one of an at-most-once webhook.
+// cancelIfUnresponsive cancels an attempt whose route has been silent for long while every slot is taken: many
+// destinations that hang at once would otherwise occupy all slots until the time-outs. It never cancels an attempt of an
+// at-most-once webhook.
 func (p *Policy) cancelIfUnresponsive(w *webhook) {
 	r := w.call.endpoint.route
 	limit := max(api.Micros(tailLatencyFactor*r.meanLatency), w.eventType.LatencyTarget)
--- a/webhook/policy/constants.go
+++ b/webhook/policy/constants.go
@@ -16,14 +16,14 @@
 // Smoothing and unresponsive routes.
 const (
 	smoothing          = 1.0 / 8 // weight of a new value in the moving averages
-	unresponsiveFactor = 4.0     // so many times the mean latency is slow, or the expected gap between answers is silence
+	unresponsiveFactor = 4.0     // times the mean latency, or the expected gap between answers: slow, or unresponsive
 )
 
 // Adaptive rate.
 const (
 	rateDecrease      = 0.8     // factor after a rejection
 	rateIncrease      = 0.03    // calls per second added by a success
-	rateProbeIncrease = 0.12    // the same where webhooks pile up and nothing was rejected for long
+	rateProbeIncrease = 0.12    // the same where the queue is long and nothing was rejected recently
 	minRateShare      = 1.0 / 2 // of the listed rate
 	burstSeconds      = 0.5     // seconds of the rate that may be sent at once
 	headroomHalvings  = 3       // reported headroom halves so often more with each rejection in a row
@@ -42,7 +42,7 @@
 // Endpoint selection, quotas, buffer and connections.
 const (
 	remoteZonePenalty     = 1.2 // weight of another zone's latency in the ranking
-	quotaBurstSeconds     = 2.0 // seconds of a tenant's quota that may come at once
+	quotaBurstSeconds     = 2.0 // seconds of a tenant's quota that may be used at once
 	maxBufferFill         = 0.9 // share of the buffer at which shedding begins
 	connectionsPerCall    = 2.0 // connections that an endpoint accepts, over its concurrent calls at the listed rate, ...
 	minConnections        = 6.0 // ... and at least
--- a/webhook/policy/endpoint_list.go
+++ b/webhook/policy/endpoint_list.go
@@ -39,7 +39,7 @@
 		if e.listed {
 			p.addListed(d, e)
 		} else {
-			p.delistedEndpoints = append(p.delistedEndpoints, e) // never listed here: forgotten like one that was
+			p.delistedEndpoints = append(p.delistedEndpoints, e) // never listed here: it is forgotten like a removed one
 		}
 	}
 	p.updateListedRate(d, e.route, entry.Rate)
@@ -61,7 +61,7 @@
 
 func (p *Policy) addListed(d *destination, e *endpoint) {
 	if len(d.endpoints) == 0 && len(d.queue) > 0 {
-		p.startSlowStart(e.route) // what waited for it at all dispatchers would go at once
+		p.startSlowStart(e.route) // else all dispatchers would send their queues at once
 	}
 	d.endpoints = append(d.endpoints, e)
 }
@@ -93,7 +93,7 @@
 	})
 }
 
-// ReportLoad takes a destination's own limit: it stands in for a rate that no list states, or states roughly.
+// ReportLoad takes a destination's own limit: it replaces a rate that lists don't state, or state only roughly.
 func (p *Policy) ReportLoad(report api.LoadReport) {
 	e := p.endpoints[report.Endpoint]
 	share := report.Limit / float64(p.settings.Dispatchers)
@@ -111,8 +111,8 @@
 	r.listedRate += smoothing * (share - r.listedRate)
 }
 
-// newRoute assumes, where no rate is listed (0) and until one is reported, that each slot is used once per second; where
-// lists state no rates at all, over all destinations alike.
+// newRoute returns a route with a listed rate. Where none is listed (0) and until one is reported, it assumes that each slot
+// is used once per second; where lists state no rates at all, the slots are shared evenly by all destinations.
 func (p *Policy) newRoute(logName api.EndpointID, listedRate float64, since api.Micros) *route {
 	assumed := float64(p.settings.MaxInFlight)
 	if !p.settings.RatesListed {
@@ -130,7 +130,7 @@
 	}
 }
 
-// ensureRoute gives a destination its shared route when its first webhook comes. Most destinations never get one.
+// ensureRoute gives a destination its shared route with its first webhook. Most destinations never need one.
 func (p *Policy) ensureRoute(d *destination) *destination {
 	if d.sharedRoute == nil {
 		d.sharedRoute = p.newRoute(0, d.listedRate, d.firstSeenAt)
@@ -142,13 +142,13 @@
 	return d
 }
 
-// rankEndpoints renews the order in which a destination's endpoints are filled: quick and near ones first.
+// rankEndpoints sorts a destination's endpoints by preference: fast ones in this zone first.
 func (p *Policy) rankEndpoints(d *destination) {
 	if len(d.endpoints) < 2 {
 		return
 	}
 	cost := func(e *endpoint) float64 {
-		if e.zone != p.settings.Zone { // not first for being unmeasured: each call there holds its slot for longer
+		if e.zone != p.settings.Zone { // not preferred while unmeasured: each call to another zone occupies its slot for longer
 			return cmp.Or(e.meanLatency, p.meanLatency) * remoteZonePenalty
 		}
 		return e.meanLatency
--- a/webhook/policy/endpoint_selection.go
+++ b/webhook/policy/endpoint_selection.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// allowsZone prevents a second effect: where endpoints share deduplication by zone only, a webhook that may have run
+// allowsZone prevents duplicates: where endpoints share deduplication by zone only, a webhook that may have run
 // stays in the zone of that attempt.
 func (p *Policy) allowsZone(w *webhook, e *endpoint) bool {
 	zoneBound := w.mayHaveRunAt != never && w.eventType.Semantics == api.Deduplicated && w.eventType.DedupByZone
@@ -37,8 +37,8 @@
 	return math.Ceil(float64(p.settings.MaxInFlight) * healthyConcurrencyShare)
 }
 
-// isEjected reports whether an endpoint that fails among healthy ones gets no call now: it gets a single one from time
-// to time.
+// isEjected reports whether an endpoint that fails among healthy ones gets no call now. From time to time it gets a single
+// canary.
 func (p *Policy) isEjected(e *endpoint) bool {
 	failing := e.consecutiveFailures >= unhealthyAfterFailures && !e.route.unhealthy
 	return failing && (p.now < e.nextCanaryAt || e.inFlight > 0)
@@ -75,9 +75,9 @@
 	}
 }
 
-// attemptTimeout leaves a slow answer its time: a time-out leaves work that may still run and can cost the webhook. Where
-// answers get lost (lost responses, hangs of one endpoint of several) it shrinks towards the latency of those that come.
-// Each time-out in a row doubles it, so that a destination that has become slow is waited for.
+// attemptTimeout is long by default, since an attempt that timed out may still run, which can end the webhook. Where
+// answers get lost (lost responses, one of several endpoints that hangs) it shrinks towards the latency of those that
+// arrive. Each time-out in a row doubles it, so that a destination that has become slow still gets to answer.
 func (p *Policy) attemptTimeout(w *webhook, e *endpoint) api.Micros {
 	timeout := float64(w.eventType.maxTimeout)
 	if r := e.route; r.meanLatency > 0 && !r.unhealthy {
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -17,7 +17,7 @@
 	return latest
 }
 
-// giveUp ends a webhook at once: rejected, with a time to come back, where no attempt may have run, else dead-lettered.
+// giveUp ends a webhook at once: rejected, with a Retry-After, where no attempt may have run, else dead-lettered.
 func (p *Policy) giveUp(w *webhook) {
 	if w.mayHaveRunAt != never {
 		p.host.DeadLetter(w.id)
@@ -44,7 +44,7 @@
 	}
 }
 
-// Withdraw drops a webhook that nobody waits for any more; an attempt in flight runs on.
+// Withdraw drops a webhook that nobody waits for any more; an attempt in flight continues.
 func (p *Policy) Withdraw(id api.WebhookID) {
 	p.now = p.host.Now()
 	if w := p.webhooks[id]; w != nil {
--- a/webhook/policy/health.go
+++ b/webhook/policy/health.go
@@ -18,7 +18,7 @@
 	// Of many dispatchers hardly one sees two failures in a short outage: where limits are reported and no endpoint
 	// answers, one failed connect is enough.
 	unreachable := p.settings.ConnectionLimitsReported && connectFailed && !hasEndpoint(e, 1)
-	singleFailure := r.failureRate <= smoothing && !connectFailed // by something that answers
+	singleFailure := r.failureRate <= smoothing && !connectFailed // of an endpoint that answers
 	noRecentSuccess := p.now-r.lastSuccessAt > p.settings.OverloadDuration
 	if r.failureRate > unhealthyFailureRate || unreachable || !singleFailure && noRecentSuccess {
 		p.startSlowStart(r)
@@ -37,7 +37,7 @@
 // it.
 func (p *Policy) markUnhealthy(r *route) {
 	r.window = 1
-	// Canaries count from the end of a requested wait, which comes for all dispatchers at once.
+	// Canaries count from the end of a Retry-After delay, which is the same for all dispatchers.
 	r.nextCanaryAt = max(r.nextCanaryAt, max(p.now, r.retryAfterUntil)+p.canaryInterval(r))
 	if !r.unhealthy {
 		r.unhealthy = true
--- a/webhook/policy/load_shedding.go
+++ b/webhook/policy/load_shedding.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// shedLoad keeps the buffer from filling up: beyond its share the webhooks of the least value, of the destination with
-// the longest queue, are rejected, so that those of other destinations are still admitted.
+// shedLoad keeps the buffer from filling up: beyond a share of it, the webhooks of least value of the destination with the
+// longest queue are rejected, so that those of other destinations are still admitted.
 func (p *Policy) shedLoad() {
 	p.grandfathered = min(p.grandfathered, p.unanswered)
 	limit := max(int(maxBufferFill*float64(p.settings.BufferSize)), p.grandfathered, 1)
--- a/webhook/policy/outcome.go
+++ b/webhook/policy/outcome.go
@@ -17,7 +17,7 @@
 	}
 	k := w.call
 	w.call = nil
-	// Webhooks that shared a call may each be told another wait: the longest holds.
+	// Webhooks that shared a call may each get another Retry-After: the longest counts.
 	if r := k.endpoint.route; result.RetryAfter > 0 {
 		r.retryAfterUntil = max(r.retryAfterUntil, p.now+result.RetryAfter+1)
 	}
@@ -48,7 +48,7 @@
 	r.wakeUpAt = 0
 	outcome := p.classify(result)
 	refusedQuickly := outcome == api.ConnectFailed && p.failedQuickly(result)
-	// Only a connection limit is answered: an endpoint that doesn't answer says nothing of one.
+	// A quick refusal shows a connection limit; an endpoint that doesn't answer at all shows none.
 	if outcome == api.ConnectionLimited || refusedQuickly {
 		e.destination.kind.connectionLimitedUntil = p.now + connectionLimitMemory*p.settings.SlowStartDuration
 	}
@@ -127,15 +127,15 @@
 		r.rateDecreasedAt = p.now
 		r.rate = max(r.rate*rateDecrease, r.listedRate*minRateShare)
 	}
-	// A destination that is closed and one that is limited look alike, except for how long it lasts: a wait longer than a
-	// recovering destination would need to fail again, or nothing but rejections for a while, is taken for an outage.
+	// A destination that is closed and one that is limited look alike, except for how long it lasts: a delay longer than a
+	// recovering destination would need to fail again, or nothing but rejections for some time, is taken for an outage.
 	if retryAfter > p.settings.OverloadDuration || r.consecutiveRejections >= unhealthyAfterRejections {
 		p.markUnhealthy(r)
 	}
 }
 
 // recordConnectionLimit handles a connection that was refused for a limit. The destination runs, so there is no slow
-// start; only where nothing else comes for long may this be the way in which it is closed.
+// start. If there is no other outcome for long, the destination may be out of service and show it in this way.
 func (p *Policy) recordConnectionLimit(e *endpoint) {
 	r := e.route
 	e.connectionLimit = float64(max(e.inFlight-1, 1))
@@ -148,8 +148,8 @@
 
 func (p *Policy) recordFailure(e *endpoint, outcome api.Outcome) {
 	r := e.route
-	// A connection limit is no outage: calls succeed beside it. It rises with them, since it may mark the beginning of
-	// an outage. Where limits are reported this is none, and counts as the failure that it is.
+	// A connection limit is no outage, since other calls succeed. The learned limit rises with them: the refusal may have
+	// been the beginning of an outage. Where limits are reported this is not one, and counts as a failure.
 	if outcome == api.ConnectFailed && p.now-e.lastSuccessAt < 2*p.settings.ConnectTimeout {
 		e.connectionLimit = float64(max(e.inFlight-1, 1))
 		if !p.settings.ConnectionLimitsReported {
@@ -167,7 +167,7 @@
 		p.recordTimeout(e)
 	}
 	e.consecutiveFailures++
-	// What an ejected endpoint fails says nothing more of the route, nor does a connection that breaks by itself.
+	// Neither further failures of an ejected endpoint nor a single broken connection tell anything of the route.
 	representative := outcome != api.ConnectionReset || p.now-e.lastSuccessAt > p.settings.OverloadDuration
 	if e.consecutiveFailures <= unhealthyAfterFailures && representative {
 		r.failureRate += smoothing * (1 - r.failureRate)
@@ -182,12 +182,12 @@
 	r := e.route
 	r.window = backoff.Halve(r.window)
 	r.timeoutRate += smoothing * (1 - r.timeoutRate)
-	if e.consecutiveFailures == 0 { // the many time-outs of one hang say nothing of the other destinations
+	if e.consecutiveFailures == 0 { // the many time-outs of one destination that hangs tell nothing of the others
 		p.timeoutRate += smoothing / 4 * (1 - p.timeoutRate)
 	}
 }
 
-// smoothed adds a measured time to an exponential moving average; the first one stands for itself.
+// smoothed adds a measured latency to an exponential moving average, which starts with the first one.
 func smoothed(mean float64, latency api.Micros) float64 {
 	mean = cmp.Or(mean, float64(latency))
 	return mean + smoothing*(float64(latency)-mean)
--- a/webhook/policy/policy.go
+++ b/webhook/policy/policy.go
@@ -72,8 +72,7 @@
 	p.armTimer()
 }
 
-// expireTimers ends or looks after the webhooks whose timers are due. No webhook is lost: whatever it waits for, it ends
-// in time.
+// expireTimers handles the timers that are due. No webhook is lost: whatever it waits for, it ends before its deadline.
 func (p *Policy) expireTimers() {
 	for {
 		w, ok := p.timers.PopDue(int64(p.now))
@@ -90,14 +89,14 @@
 	}
 }
 
-// collectReady gathers the webhooks that the stages look at in this turn. Destinations without a queue cost nothing.
+// collectReady gathers the webhooks that the stages check in this turn. Destinations without a queue cost nothing.
 func (p *Policy) collectReady() {
 	p.ready = p.ready[:0]
-	// In the order of first sight: it breaks ties of the priority.
+	// In the order in which they were first seen, which breaks ties of the priority.
 	slices.SortFunc(p.backlogged, func(a, b *destination) int { return a.index - b.index })
 	for _, d := range p.backlogged {
 		d.removeDequeued()
-		// Until the wake-up that was requested only an outcome can change anything.
+		// Until the requested wake-up only an outcome can change anything.
 		closed := !d.kind.SeparateRoutes && p.now < d.sharedRoute.wakeUpAt
 		if !closed && slices.ContainsFunc(d.endpoints, p.admits) {
 			p.ready = append(p.ready, d.queue...)
--- a/webhook/policy/priority.go
+++ b/webhook/policy/priority.go
@@ -13,7 +13,7 @@
 	overQuotaClasses = 2
 )
 
-// priorityClass ranks by the value that can still be had. A deduplicated webhook that may have run counts as on time:
+// priorityClass ranks by the value that can still be achieved. A deduplicated webhook that may have run counts as on time:
 // past its deduplication window it would be a dead letter.
 func (p *Policy) priorityClass(w *webhook) int {
 	class := onTimeClass
--- a/webhook/policy/rate_limit.go
+++ b/webhook/policy/rate_limit.go
@@ -10,7 +10,7 @@
 // may.
 func (p *Policy) admits(e *endpoint) bool {
 	r := e.route
-	if p.now < r.retryAfterUntil { // a wait that the destination asked for holds every webhook
+	if p.now < r.retryAfterUntil { // a Retry-After applies to every webhook
 		return p.wakeUp(r, r.retryAfterUntil)
 	}
 	if r.unhealthy {
@@ -32,7 +32,7 @@
 	return p.now >= r.nextCanaryAt || p.wakeUp(r, r.nextCanaryAt)
 }
 
-// hasToken refills the route's token bucket and reports whether it holds a whole token.
+// hasToken refills the route's token bucket and reports whether it has a complete token.
 func (p *Policy) hasToken(d *destination, r *route) bool {
 	rate, depth := p.allowedRate(d, r)
 	r.tokens = min(r.tokens+rate*(p.now-r.tokensAt).Seconds(), depth)
@@ -50,8 +50,8 @@
 	return false
 }
 
-// allowedRate is how many calls per second a route is let, and how many may go at once. In slow start it is this
-// dispatcher's share, growing with time, of what doesn't overload the destination again; one call at least.
+// allowedRate returns how many calls per second a route may have, and how many may start at once. In slow start it is this
+// dispatcher's share, growing with time, of the rate that doesn't overload the destination again, and at least one call.
 func (p *Policy) allowedRate(d *destination, r *route) (rate, burst float64) {
 	rate = max(r.rate, fallbackRate(d, r))
 	if r.slowStartSince == never {
@@ -65,8 +65,8 @@
 	return min(rate, max(budget, least)), 1
 }
 
-// fallbackRate is the rate that a route is let where this dispatcher's share is too small to work with: learned over all
-// routes from the calls that it let out, or reported. Rejections in a row halve it, reported headroom far more: hundreds
+// fallbackRate is the rate that a route may have where this dispatcher's share is too small to be useful: learned over all
+// routes from the calls that it admitted, or reported. Rejections in a row halve it, reported headroom far more: hundreds
 // of dispatchers see the same headroom, and a hung destination rejects like a full one.
 func fallbackRate(d *destination, r *route) float64 {
 	headroom := math.Ldexp(r.reportedHeadroom, -headroomHalvings*r.consecutiveRejections)
--- a/webhook/policy/retry.go
+++ b/webhook/policy/retry.go
@@ -28,9 +28,9 @@
 	return api.Micros(backoff.Delay(m, i, x, float64(api.Second)))
 }
 
-// respreadAfterStall draws new times for retries that came due while the dispatcher stood still, and for new webhooks of
-// destinations that failed or rejected last. Many dispatchers that resume together would otherwise send in one moment
-// what random backoff had spread, and overload a destination that has just recovered.
+// respreadAfterStall sets new random times for retries that came due while the dispatcher was stalled, and for new webhooks
+// of destinations that failed or rejected recently. Many dispatchers that resume together would otherwise send at once what
+// random backoff had spread, and overload a destination that has just recovered.
 func (p *Policy) respreadAfterStall(stalled api.Micros) {
 	for _, d := range p.backlogged {
 		for _, w := range d.queue {
--- a/webhook/policy/settings.go
+++ b/webhook/policy/settings.go
@@ -13,8 +13,8 @@
 	defaultOverloadFactor    = 1
 )
 
-// UpdateSettings takes settings at the start and while the policy runs; what is missing is replaced by a harmless value.
-// Webhooks accepted before keep their terms, what was learned stays, and what is beyond a lower limit drains.
+// UpdateSettings takes settings at the start and while the policy runs; missing values are replaced by safe defaults.
+// Webhooks accepted before keep their terms, learned state is kept, and webhooks beyond a lower limit drain.
 func (p *Policy) UpdateSettings(settings api.Settings) {
 	p.now = p.host.Now()
 	settings = withDefaults(settings)
--- a/webhook/policy/state_transfer.go
+++ b/webhook/policy/state_transfer.go
@@ -2,7 +2,7 @@
 
 import "rowanlink/webhook/api"
 
-// ExportState returns what must hold for whoever calls the destination next; false: nothing is known, or its endpoints
+// ExportState returns what the next dispatcher that calls the destination needs to know; false: nothing is known, or its endpoints
 // have separate routes, whose identifiers mean nothing to another dispatcher.
 func (p *Policy) ExportState(id api.DestinationID) (api.DestinationState, bool) {
 	d := p.destinations[id]
@@ -24,7 +24,7 @@
 	}, true
 }
 
-// ImportState takes over another dispatcher's knowledge. What is known here is kept where it is the more careful.
+// ImportState takes over another dispatcher's knowledge. Of both, the more cautious value is kept.
 func (p *Policy) ImportState(state api.DestinationState) {
 	p.now = p.host.Now()
 	r := p.ensureRoute(p.destination(state.Destination)).sharedRoute
--- a/webhook/refresh/scheduler.go
+++ b/webhook/refresh/scheduler.go
@@ -76,7 +76,7 @@
 	return &Scheduler{period: cmp.Or(linePeriod, api.Second), random: mwcrand.New(seed)}
 }
 
-// RecordActivity notes a sign of life of a watch: the next delay is the schedule's first again.
+// RecordActivity records that a watch has received something: the next delay is the schedule's first again.
 func (s *Scheduler) RecordActivity() {
 	s.failures = 0
 	s.timeouts = 0
--- a/webhook/simadapter/server.go
+++ b/webhook/simadapter/server.go
@@ -1,6 +1,6 @@
 // Package simadapter puts the decision policy on the simulator's wire: it reads batches of events for many instances that
-// share nothing, turns each event into a call on its instance's policy, and answers with what the policies do. The wire's
-// names end here.
+// share nothing, turns each event into a call on its instance's policy, and answers with what the policies do. The names of
+// the wire format aren't used outside this package.
 //
 // All numbers are little-endian. A batch is a header of 16 bytes (length of the body, clock in nanoseconds, sequence
 // number) and records of a code, a length and fields; the reply is a header of 12 bytes (length, number of actions,
@@ -46,7 +46,7 @@
 	}
 }
 
-// readBody grows the buffer as bytes come, so that a false length costs no memory.
+// readBody grows the buffer as bytes arrive, so that a false length costs no memory.
 func readBody(r io.Reader, body []byte, length int) ([]byte, error) {
 	for len(body) < length {
 		have := len(body)
@@ -182,7 +182,7 @@
 	}
 }
 
-// remove forgets an instance, also what it would still have done in this batch.
+// remove forgets an instance, and the actions that it would still have taken in this batch.
 func (s *server) remove(id uint16) {
 	if in := s.instances[id]; in != nil {
 		in.dead = true
