--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 
 # Random faults at a cluster of real members: N seeds, from SEED on where it is given.
 chaos-cluster:
-	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestHunt ./test/integration/chaos
+	ROWAN_HUNT=$(or $(N),10) ROWAN_SEED=$(SEED) go test -count=1 -timeout 0 -v -run TestChaos ./test/integration/chaos
 
 # The same at a whole serving system of real processes.
 chaos-serving:
--- a/cluster/member/coordinator/coordinator_test.go
+++ b/cluster/member/coordinator/coordinator_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a plan that was stopped for its harm and starts again by itself, once another member coordinates that
 // had read the same file before.
-func TestAdopt_ResumesStoppedPlanOnlyByAFileReadSince(t *testing.T) {
+func TestAdopt_ResumesStoppedPlanOnlyAfterReload(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
 	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: planName, Text: text, StopReason: "late"}}
 	assert.Equal(t, uint64(3), c.StoppedPlan())
--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -37,7 +37,7 @@
 
 // Guards against a webhook that two members call for: that another member may have it outlasts the process, unless it
 // has ended here meanwhile; and so does what was answered of it.
-func TestStore_RecordsOutlastTheProcess(t *testing.T) {
+func TestStore_RecoversRecordsAfterRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
 	for _, requestID := range []inflight.RequestID{"pending", "ended"} {
@@ -59,7 +59,7 @@
 
 // Guards against a webhook that its sender waits for in vain, and against one that is answered to be here and is not:
 // the process ended between its record and its journal, before or after the webhook was in that.
-func TestStore_ProcessThatEndsWhileItAcceptsWebhooks(t *testing.T) {
+func TestStore_RecoversFromCrashDuringAcceptance(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
 	for _, requestID := range []inflight.RequestID{"stored", "lost"} {
@@ -84,7 +84,7 @@
 }
 
 // Guards against an answer that no record stands for: what can't be written has not happened.
-func TestStore_UpdateThatCannotBeWrittenChangesNothing(t *testing.T) {
+func TestStore_FailedUpdateIsRolledBack(t *testing.T) {
 	s, ttl := openStore(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
 	for n := range 1000 {
@@ -114,7 +114,7 @@
 	return files
 }
 
-func TestOpen_ClosesTheJournalIfARecordCannotBeRead(t *testing.T) {
+func TestOpen_ClosesJournalOnUnreadableRecord(t *testing.T) {
 	dir := t.TempDir()
 	journal, err := wal.Open(dir, 1)
 	require.NoError(t, err)
--- a/cluster/member/forwarding/receiver_test.go
+++ b/cluster/member/forwarding/receiver_test.go
@@ -25,7 +25,7 @@
 
 // Guards against a webhook that is accepted after its sender was told that it never was, and against an answer for a
 // folder that was lost.
-func TestReceiver_AnswersQueriesByTheIncarnationThatTheyName(t *testing.T) {
+func TestReceiver_QueryReplyDependsOnIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	id := custody.IDOf("never sent")
 	var queries []peer.CustodyQuery
@@ -46,7 +46,7 @@
 }
 
 // Guards against a sender that takes the answer of a folder that replaced a lost one for that one's.
-func TestReceiver_AcceptsNothingThatIsMeantForAnotherIncarnation(t *testing.T) {
+func TestReceiver_RejectsTransferForOtherIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	transfer := peer.Transfer{Incarnation: r.Custody.Incarnation + 1, Webhooks: make([]shardmap.TransferredWebhook, 2)}
 	var ctx fasthttp.RequestCtx
--- a/cluster/member/handoff/batch_test.go
+++ b/cluster/member/handoff/batch_test.go
@@ -70,7 +70,7 @@
 }
 
 // Guards the order by key: what is handed off before an earlier webhook that is in doubt may be delivered before it.
-func TestBatchByPeer_HandsNothingOffBehindAWebhookInDoubt(t *testing.T) {
+func TestBatchByPeer_KeepsOrderBehindInDoubtWebhook(t *testing.T) {
 	m := newTestManager(t)
 	parked := func(id inflight.RequestID, key api.OrderingKey, event api.EventTypeID, inDoubt bool) eventloop.Parked {
 		w := &inflight.Webhook{RequestID: id, Destination: 7, OrderingKey: key, EventType: event}
@@ -91,7 +91,7 @@
 
 // Guards against a second owner: a webhook in doubt whose range went to another member is not offered to that; the one
 // that may have it is asked.
-func TestBatchByPeer_AsksTheMemberThatMayHaveAWebhook(t *testing.T) {
+func TestBatchByPeer_QueriesTargetOfOutstandingOffer(t *testing.T) {
 	m := newTestManager(t)
 	id := custody.IDOf("offered")
 	err := m.Custody.Update([]shardmap.WebhookID{id}, func(table *shardmap.CustodyTable) {
--- a/cluster/member/member_test.go
+++ b/cluster/member/member_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a webhook that is delivered twice: a copy that was lost with a relay is sent once more by settings that
 // don't hold any more.
-func TestEventType_IsThatOfTheSettingsReadLast(t *testing.T) {
+func TestEventType_FollowsReloadedSettings(t *testing.T) {
 	m := New("")
 	m.settings.Store(&api.Settings{EventTypes: []api.EventType{{Semantics: api.Idempotent}}})
 	lost := func() stream.Resolution {
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -59,7 +59,7 @@
 }
 
 // Guards against a Reconcile that waits for a leader once for each of a member's ranges: meanwhile it releases none.
-func TestReconcile_EndsItsProposalsAtTheFirstThatNoLeaderAnswers(t *testing.T) {
+func TestReconcile_StopsProposingWithoutLeader(t *testing.T) {
 	m, s, leader := newIdleManager(t)
 	shardMap := shardmap.New(nil)
 	var err error
@@ -78,7 +78,7 @@
 
 // A member that had been the owner was granted the lease by an earlier request, while it released the range for another
 // member. Guards against a range without an owner for good: who is neither owner nor target has nothing to wait for.
-func TestReconcile_ReleasesRangeAcquiredByAnEarlierRequestWhileItsMovePasses(t *testing.T) {
+func TestReconcile_ReleasesLateGrantDuringHandoff(t *testing.T) {
 	m, s, _ := newIdleManager(t)
 	acquire(t, s, 1)
 	shardMap := shardmap.New(nil)
--- a/cluster/member/peer/client.go
+++ b/cluster/member/peer/client.go
@@ -48,7 +48,7 @@
 				retry = false
 				continue
 			}
-			return result, fmt.Errorf("%w: its folder is new", transport.ErrNotSent)
+			return result, fmt.Errorf("%w: the member has a new folder", transport.ErrNotSent)
 		case len(reply.Outcomes) != len(t.Webhooks):
 			return result, fmt.Errorf("%w: %d outcomes", transport.ErrOutcomeUnknown, len(reply.Outcomes))
 		}
--- a/cluster/member/peer/client_test.go
+++ b/cluster/member/peer/client_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against an answer that is taken for one of a folder that was lost: it can't tell what that had accepted.
-func TestClient_SendToANewFolderIsNotSentUnlessRetried(t *testing.T) {
+func TestClient_SendToNewIncarnation(t *testing.T) {
 	transfer := Transfer{Webhooks: make([]shardmap.TransferredWebhook, 2)}
 	client, named := startPeer(t, 7)
 	result, err := client.Send("b", TransferPath, transfer, timeout, false)
@@ -66,7 +66,7 @@
 	assert.Equal(t, []uint64{0, 8}, []uint64{<-named, <-named})
 }
 
-func TestClient_SendToAnUnknownMemberIsNotSent(t *testing.T) {
+func TestClient_SendToUnknownMember(t *testing.T) {
 	client, _ := startPeer(t, 7)
 	_, err := client.Send("c", TransferPath, Transfer{}, timeout, true)
 	require.ErrorIs(t, err, transport.ErrNotSent)
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -46,7 +46,7 @@
 
 // The grant's answer is lost, and the next answer is that of a leader that had been stopped and still has an older
 // state. Guards against a resource that is the member's by the log and that it never acts on.
-func TestSession_AcquiresResourceWhoseGrantWasLostAndThatAnOlderLeaderDenies(t *testing.T) {
+func TestSession_RecoversLostGrantDespiteStaleLeader(t *testing.T) {
 	_, s := startFakeLeader(t, func(no int, real transport.ProposeResponse) (int, []byte) {
 		if no == 1 {
 			return fasthttp.StatusGatewayTimeout, nil
@@ -60,7 +60,7 @@
 
 // Guards against a resource that nobody holds and nobody else is granted: the answer to its grant was lost, and it is
 // not wanted any more.
-func TestSession_FreesReleasedResourceWhoseGrantWasInDoubt(t *testing.T) {
+func TestSession_ReleasesInDoubtGrant(t *testing.T) {
 	requested := make(chan struct{}, 1000)
 	leader, s := startFakeLeader(t, func(int, transport.ProposeResponse) (int, []byte) {
 		requested <- struct{}{}
@@ -87,7 +87,7 @@
 }
 
 // Guards against a state put together from a delta to another version, or from one damaged on its way.
-func TestSession_RequestsSnapshotWhereADeltaDoesNotFit(t *testing.T) {
+func TestSession_RequestsSnapshotAfterMismatchedDelta(t *testing.T) {
 	leader, s := startFakeLeader(t, nil)
 	part := func(version, since uint64, snapshot string) transport.ComponentState {
 		return transport.ComponentState{Component: cluster.RebalanceComponent, Version: version, BaseVersion: since,
--- a/cluster/member/session/raftnodes_test.go
+++ b/cluster/member/session/raftnodes_test.go
@@ -14,7 +14,7 @@
 
 // A raft node that lost its folder joins as another server; what was granted stands, and the lost server's vote goes:
 // with it and another node gone, the rest would have no majority.
-func TestRaftNode_JoinsAnewAfterItLostItsFolder(t *testing.T) {
+func TestRaftNode_RejoinsAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
 	a := c.startSession("a", "home/1")
@@ -41,7 +41,7 @@
 
 // One of three is behind, the first has lost its folder, the second is down: what the first and the second had granted
 // must not be undone. It is there again once the second is.
-func TestRaftNode_DoesNotVoteTwiceAfterItLostItsFolder(t *testing.T) {
+func TestRaftNode_DoesNotVoteTwiceAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
 	awaitHeld(t, c.startSession("x", "home/0"), "home/0")
--- a/cluster/member/session/session_test.go
+++ b/cluster/member/session/session_test.go
@@ -94,7 +94,7 @@
 	require.Greater(t, awaitHeld(t, b, "home/1"), epoch)
 }
 
-func TestSession_PartitionedSessionHoldsNothingBeforeAnotherDoes(t *testing.T) {
+func TestSession_PartitionedHolderExpiresBeforeNextGrant(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
 	a, b := c.startSession("a", "home/1"), c.startSession("b")
@@ -109,7 +109,7 @@
 	require.Greater(t, awaitHeld(t, a, "home/1"), later)
 }
 
-func TestSession_WithoutAMajorityNothingIsHeldUntilItIsBack(t *testing.T) {
+func TestSession_NoLeaseWithoutQuorum(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
 	a := c.startSession("a", "home/1")
--- a/cluster/raftnode/leadership_test.go
+++ b/cluster/raftnode/leadership_test.go
@@ -10,7 +10,7 @@
 )
 
 // A session's end that was decided on in one leader epoch may reach the log in a later one.
-func TestNode_ExpiryOfAnEarlierLeaderEpochChangesNothing(t *testing.T) {
+func TestNode_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
 	n := startLeader(t, t.TempDir())
 	defer func() { _ = n.Close() }()
 	opened, err := lease.DecodeResult(n.apply(t, newLogEntry(lease.OpenSession("a", 7))).response)
@@ -23,7 +23,7 @@
 	n.requireSessionEnded(t)
 }
 
-func TestNode_SessionsWithoutRenewalEnd(t *testing.T) {
+func TestNode_ExpiresSessionsWithoutRenewal(t *testing.T) {
 	n := startLeader(t, t.TempDir())
 	defer func() { _ = n.Close() }()
 	n.apply(t, newLogEntry(lease.OpenSession("a", 7)))
--- a/cluster/raftnode/membership_test.go
+++ b/cluster/raftnode/membership_test.go
@@ -19,7 +19,7 @@
 	return text.String()
 }
 
-func TestNode_CountsServersThatJoinAndThatAreRemoved(t *testing.T) {
+func TestNode_CountsJoinsAndRemovals(t *testing.T) {
 	config, listener := singleNode(t, t.TempDir())
 	n, err := Open(config, listener)
 	require.NoError(t, err)
--- a/cluster/raftnode/state_machine_test.go
+++ b/cluster/raftnode/state_machine_test.go
@@ -10,7 +10,7 @@
 )
 
 // An entry of a newer version of the program is neither skipped nor covered by a snapshot.
-func TestStateMachine_EntryOfANewerVersionHaltsTheNode(t *testing.T) {
+func TestStateMachine_NewerEntryFormatHaltsNode(t *testing.T) {
 	stateDir := t.TempDir()
 	n := startLeader(t, stateDir)
 	n.apply(t, newLogEntry(lease.OpenSession("a", 7)))
--- a/cluster/raftnode/storage_test.go
+++ b/cluster/raftnode/storage_test.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/lease"
 )
 
-func TestOpen_UnreadableFolderIsAnErrorOfOneLine(t *testing.T) {
+func TestOpen_UnreadableFolderReturnsOneLineError(t *testing.T) {
 	overwrite := func(t *testing.T, path, text string) {
 		t.Helper()
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/cluster/rebalance/impactmeter_test.go
+++ b/cluster/rebalance/impactmeter_test.go
@@ -101,7 +101,7 @@
 
 // No member is asked before a move has started, once all steps are done, once the plan is stopped, or if the file has no
 // stop conditions.
-func TestMonitoredMoves_NoneWithoutNeed(t *testing.T) {
+func TestMonitoredMoves_EmptyUnlessPlanRuns(t *testing.T) {
 	sim, _, _ := newMonitoredSimulation(t)
 	assert.Len(t, sim.progress.MonitoredMoves(sim.file, sim.shards), 2)
 	silent := *sim.file
--- a/cluster/rebalance/print_test.go
+++ b/cluster/rebalance/print_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster"
 )
 
-func TestPrintPlan_ShowsWhatStepsWaitFor(t *testing.T) {
+func TestPrintPlan_ShowsBlockedSteps(t *testing.T) {
 	text := "member \"a\" { room = 1 }\nmember \"b\" { room = 1 }\nmember \"c\" { weight = 0 }\n" +
 		"pin \"p\" {\n " + hashesIn(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + hashesIn(1, 2) + "\n to = \"a\"\n}\n"
 	var out strings.Builder
--- a/cluster/rebalance/scheduler_test.go
+++ b/cluster/rebalance/scheduler_test.go
@@ -95,7 +95,7 @@
 }
 
 // Moves to a member without a session are rolled back, and start again once it has one.
-func TestSchedule_RollsBackMovesToAGoneMember(t *testing.T) {
+func TestSchedule_RollsBackMovesToLostMember(t *testing.T) {
 	sim := newSimulation(t, "a")
 	require.NoError(t, sim.adoptPlan(twoMembers+"leave \"a\" {}\n"))
 	for sim.applyActions() > 0 {
@@ -132,7 +132,7 @@
 	assert.Contains(t, sim.schedule().Blocked[0].Reason, "c has not confirmed yet that it owns range 1")
 }
 
-func TestSchedule_MovesARangeWithTheFirstOfItsRules(t *testing.T) {
+func TestSchedule_RangeFollowsPrecedingRule(t *testing.T) {
 	sim := newSimulation(t, "a", "a")
 	require.NoError(t, sim.adoptPlan(twoMembers+"pin \"p\" {\n "+hashesIn(0, 2)+"\n to = \"b\"\n}\nleave \"a\" {}\n"+
 		"before \"p\" { after = [\"a\"] }\nbounds { moves_at_once = 2 }\n"))
--- a/cluster/shardmap/clock_offset_test.go
+++ b/cluster/shardmap/clock_offset_test.go
@@ -11,7 +11,7 @@
 
 // The estimate is never further off than the lag of the fastest message, made less exact by the drift since, and never
 // more than the lag of the last.
-func TestClockOffset_IsAsExactAsTheFastestMessage(t *testing.T) {
+func TestClockOffset_TracksLeastLag(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxDrift = 0.01
 		var c ClockOffset
--- a/cluster/shardmap/custody_table_test.go
+++ b/cluster/shardmap/custody_table_test.go
@@ -122,7 +122,7 @@
 	return value, true
 }
 
-func TestCustodyTable_OfferInDoubtGoesToNobodyElse(t *testing.T) {
+func TestCustodyTable_InDoubtOfferIsNotOfferedElsewhere(t *testing.T) {
 	id, table := webhookID(0), NewCustodyTable(nil, nothingOutstanding)
 	number, ok := table.BeginOffer(id, ttl, Offer{To: "b", Incarnation: 1})
 	require.True(t, ok)
@@ -135,7 +135,7 @@
 	assert.Equal(t, number, again)
 }
 
-func TestCustodyTable_RejectsWhatIsNotAdmittedAndNumbersContinueAboveNever(t *testing.T) {
+func TestCustodyTable_RejectionAndHandoffNumbers(t *testing.T) {
 	id, table := webhookID(0), NewCustodyTable(nil, nothingOutstanding)
 	reply, outcome := table.HandleOffer(id, 1, ttl, 0, false)
 	assert.Equal(t, CustodyRejected, reply)
--- a/cluster/transport/client_test.go
+++ b/cluster/transport/client_test.go
@@ -71,7 +71,7 @@
 	_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 }
 
-func TestClient_CallReturnsTheResponseCompressedOrNot(t *testing.T) {
+func TestClient_CallDecompressesResponse(t *testing.T) {
 	address := startServer(t, func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(299)
 		ctx.SetBody(append(ctx.Request.Body(), Sender(ctx)...))
--- a/cluster/transport/server_test.go
+++ b/cluster/transport/server_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestServer_RejectsBodiesThatDecompressToTooMuch(t *testing.T) {
+func TestServer_RejectsOversizedDecompressedBodies(t *testing.T) {
 	address := startServer(t, func(*fasthttp.RequestCtx) { t.Error("handled") })
 	for body, status := range map[string]int{
 		string(s2.Encode(nil, make([]byte, MaxMessageSize+1))): fasthttp.StatusRequestEntityTooLarge,
--- a/test/checker/deliverycheck/check.go
+++ b/test/checker/deliverycheck/check.go
@@ -13,14 +13,14 @@
 
 // The rules, by what violates them.
 const (
-	Lost            Rule = "lost"          // accepted, and neither delivered nor reported to have ended
-	DuplicateEffect Rule = "second effect" // more effects than the event type allows, or one after it was reported to have none
-	Overlap         Rule = "overlap"       // called while another call with it is in flight
-	Order           Rule = "order"         // webhooks of one key out of order
-	RetryAfter      Rule = "wait"          // called before a Retry-After has passed
-	Draining        Rule = "drain"         // called after the notification that the endpoint drains
-	SlowStart       Rule = "cold budget"   // a recovered destination was overloaded
-	Misrouted       Rule = "astray"        // never submitted, or not for this destination
+	Lost            Rule = "lost"             // accepted, and neither delivered nor reported to have ended
+	DuplicateEffect Rule = "duplicate effect" // more effects than the event type allows, or one after it was reported to have none
+	Overlap         Rule = "overlap"          // called while another call with it is in flight
+	Order           Rule = "order"            // webhooks of one key out of order
+	RetryAfter      Rule = "retry-after"      // called before a Retry-After has passed
+	Draining        Rule = "draining"         // called after the notification that the endpoint drains
+	SlowStart       Rule = "slow start"       // a recovered destination was overloaded
+	Misrouted       Rule = "misrouted"        // never submitted, or not for this destination
 )
 
 // Violation is one violation of a rule.
@@ -108,7 +108,7 @@
 				ID:          w.ID,
 				Destination: d,
 				Member:      w.Member,
-				Reason:      "taken on, neither delivered nor told",
+				Reason:      "accepted, and neither delivered nor reported",
 			})
 		}
 	}
@@ -183,27 +183,27 @@
 	return violations
 }
 
-// reportedWithoutEffect tells how a webhook that took effect was reported to have none, if it was.
+// reportedWithoutEffect returns the reports that a webhook, which took effect, had none.
 func (w *webhook) reportedWithoutEffect(destination api.DestinationID) (reasons []string) {
 	if w.rejected() {
-		reasons = append(reasons, "took effect though it was refused")
+		reasons = append(reasons, "took effect though it was rejected")
 	}
-	isHandedBack := func(n notice) bool { return n.outcome == outcomeHandedBack && n.isOf(destination) }
-	if slices.ContainsFunc(w.notices, isHandedBack) {
-		reasons = append(reasons, "handed back as harmless, and it took effect")
+	isReturned := func(n notice) bool { return n.outcome == outcomeReturned && n.isOf(destination) }
+	if slices.ContainsFunc(w.notices, isReturned) {
+		reasons = append(reasons, "took effect though it was returned as without effect")
 	}
 	return reasons
 }
 
-// duplicateEffect tells why the event type doesn't allow an effect after an earlier one, or returns "".
+// duplicateEffect returns why the event type doesn't allow an effect after an earlier one, or "".
 func (c *Checker) duplicateEffect(w *webhook, earlier, e effect) string {
 	eventType := c.Requirements.EventTypes[w.Type]
 	seconds := (e.at - earlier.at).Seconds()
 	switch {
 	case eventType.Semantics == api.AtMostOnce:
-		return fmt.Sprintf("at-most-once, took effect %.3f s before by %s", seconds, earlier.call.Member)
+		return fmt.Sprintf("at-most-once, and took effect %.3f s before by %s", seconds, earlier.call.Member)
 	case e.at > earlier.at+eventType.DedupWindow:
-		return fmt.Sprintf("tokened, took effect %.3f s before by %s, outside its window", seconds, earlier.call.Member)
+		return fmt.Sprintf("deduplicated, and took effect %.3f s before by %s, outside the window", seconds, earlier.call.Member)
 	}
 	return ""
 }
--- a/test/checker/deliverycheck/checker.go
+++ b/test/checker/deliverycheck/checker.go
@@ -1,8 +1,8 @@
 // Package deliverycheck checks, for tests, what becomes of every webhook at every destination that it is for. It does no
-// I/O and has no clock: whoever observes something tells the time, in microseconds from any origin.
+// I/O and has no clock: whoever records an event passes its time, in microseconds from any origin.
 //
-// A webhook is known by the request ID that it was submitted with. One that was rejected, or handed back, and is
-// submitted again has a new ID and names the one before: what may take effect once only may do so once over both.
+// A webhook is identified by the request ID that it was submitted with. The retry of one that was rejected or returned
+// has a new ID and names the one before: an event type that allows one effect allows one over both.
 package deliverycheck
 
 import (
@@ -20,7 +20,7 @@
 	Slack          api.Micros // a webhook's outcome is overdue so long after its TTL
 	DrainGrace     api.Micros // calls to a draining endpoint are allowed for so long after the notification
 	NotifiedWithin api.Micros // a change counts as notified so long after, also if the notification never came
-	WaitGrace      api.Micros // calls that cross a Retry-After on their way are allowed
+	WaitGrace      api.Micros // calls that begin so soon after a Retry-After was sent are allowed
 	WaitsBindAll   bool       // a Retry-After binds all members, not only the one that received it
 	OrderAcross    bool       // the order of a key also holds between webhooks submitted at different members
 }
@@ -29,7 +29,7 @@
 type Submission struct {
 	At           api.Micros
 	ID           string
-	RetryOf      string // the ID under which it was rejected or handed back before; "": none
+	RetryOf      string // the ID under which it was rejected or returned before; "": none
 	Member       string
 	Destinations []api.DestinationID // several are the subscribers of an announcement
 	Type         string
@@ -82,7 +82,7 @@
 	statusTooManyRequests = 429
 	statusUnavailable     = 503
 
-	outcomeHandedBack = "handed_back"
+	outcomeReturned = "handed_back"
 )
 
 func (w *webhook) accepted() bool { return w.status == statusOK || w.status == statusAccepted }
@@ -91,19 +91,19 @@
 	return w.status == statusTooManyRequests || w.status == statusUnavailable
 }
 
-// mayBeRetried reports whether the member said that the webhook has had no effect and may be submitted again.
+// mayBeRetried reports whether the member reported that the webhook had no effect, so that it may be submitted again.
 func (w *webhook) mayBeRetried() bool {
 	return w.rejected() ||
-		slices.ContainsFunc(w.notices, func(n notice) bool { return n.outcome == outcomeHandedBack })
+		slices.ContainsFunc(w.notices, func(n notice) bool { return n.outcome == outcomeReturned })
 }
 
-// period is a time in which something held; until is api.Never while it lasts.
+// period is a time in which a state lasted; until is api.Never before its end.
 type period struct {
 	from, until  api.Micros
 	processEnded bool // of a member that is down: its process ended, rather than being paused
 }
 
-// outage is an outage of a destination, and the calls a second that it takes once it is back and warm.
+// outage is an outage of a destination, and the calls a second that it takes once it has recovered and warmed up.
 type outage struct {
 	period
 	rate float64
@@ -172,7 +172,7 @@
 	for _, id := range call.IDs {
 		switch w := c.webhooks[id]; {
 		case w == nil:
-			c.addViolation(call.violation(Misrouted, id, "was never handed in"))
+			c.addViolation(call.violation(Misrouted, id, "was never submitted"))
 		case !slices.Contains(w.Destinations, call.Destination):
 			c.addViolation(call.violation(Misrouted, id, "is not for this destination"))
 		}
@@ -217,7 +217,7 @@
 			At:     at,
 			ID:     id,
 			Member: member,
-			Reason: "a notice of a webhook that was never handed in",
+			Reason: "a notice of a webhook that was never submitted",
 		})
 		return
 	}
@@ -257,8 +257,8 @@
 	c.outages[destination] = append(c.outages[destination], outage{period: period{from: at, until: api.Never}})
 }
 
-// RecordRecovery records that a destination's outage ends. It starts cold, and takes so many calls a second once it is
-// warm.
+// RecordRecovery records that a destination's outage ends. It warms up, and takes rate calls a second once it
+// has.
 func (c *Checker) RecordRecovery(at api.Micros, destination api.DestinationID, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/checker/deliverycheck/limits.go
+++ b/test/checker/deliverycheck/limits.go
@@ -8,8 +8,8 @@
 	"rowanlink/webhook/api"
 )
 
-// checkRetryAfter allows no call to a destination by a member that is to wait. A process that ends forgets the waits
-// that it received.
+// checkRetryAfter allows no call to a destination by a member that received a Retry-After from it, until that has passed.
+// A process that ends forgets those that it received.
 func (c *Checker) checkRetryAfter() (violations []Violation) {
 	waits := map[api.DestinationID][]*Call{} // calls that were answered with a Retry-After
 	for _, call := range c.calls {
@@ -18,33 +18,33 @@
 		}
 	}
 	for _, call := range c.calls {
-		i := slices.IndexFunc(waits[call.Destination], func(told *Call) bool { return c.mustWait(told, call) })
+		i := slices.IndexFunc(waits[call.Destination], func(rejected *Call) bool { return c.mustWait(rejected, call) })
 		if i < 0 {
 			continue
 		}
-		told := waits[call.Destination][i]
+		rejected := waits[call.Destination][i]
 		violations = append(violations, call.violation(RetryAfter, call.IDs[0],
-			fmt.Sprintf("%s was told %.3f s before to wait for %.3f s", told.Member,
-				(call.At-told.endedAt).Seconds(), c.boundWait(told).Seconds())))
+			fmt.Sprintf("%s received, %.3f s before, a Retry-After of %.3f s", rejected.Member,
+				(call.At-rejected.endedAt).Seconds(), c.retryAfter(rejected).Seconds())))
 	}
 	return violations
 }
 
-// boundWait returns the Retry-After of a call, which the settings limit.
-func (c *Checker) boundWait(told *Call) api.Micros {
+// retryAfter returns the Retry-After of a rejected call, which the settings limit.
+func (c *Checker) retryAfter(rejected *Call) api.Micros {
 	if longest := c.Requirements.Settings.MaxRetryAfter; longest > 0 {
-		return min(told.retryAfter, longest)
+		return min(rejected.retryAfter, longest)
 	}
-	return told.retryAfter
+	return rejected.retryAfter
 }
 
 // mustWait reports whether a call is too early after a Retry-After.
-func (c *Checker) mustWait(told, call *Call) bool {
-	isBound := c.Requirements.WaitsBindAll || told.Member == call.Member
+func (c *Checker) mustWait(rejected, call *Call) bool {
+	isBound := c.Requirements.WaitsBindAll || rejected.Member == call.Member
 	return isBound &&
-		call.At > told.endedAt+c.Requirements.WaitGrace &&
-		call.At < told.endedAt+c.boundWait(told) &&
-		!c.processEnded(told.Member, told.endedAt, call.At)
+		call.At > rejected.endedAt+c.Requirements.WaitGrace &&
+		call.At < rejected.endedAt+c.retryAfter(rejected) &&
+		!c.processEnded(rejected.Member, rejected.endedAt, call.At)
 }
 
 // processEnded reports whether a member's process ended, or was not running, between two times.
@@ -69,7 +69,7 @@
 			}
 			if late := call.At - notifiedAt; late > c.Requirements.DrainGrace {
 				violations = append(violations, call.violation(Draining, call.IDs[0],
-					fmt.Sprintf("%s drains, as told %.3f s before", call.Endpoint, late.Seconds())))
+					fmt.Sprintf("%s is draining, which was notified %.3f s before", call.Endpoint, late.Seconds())))
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 		limit := settings.OverloadFactor * o.capacity(settings, from, from+settings.OverloadDuration)
 		if n := float64(i - first + 1); n > math.Ceil(limit) {
 			return call.violation(SlowStart, call.IDs[0],
-				fmt.Sprintf("%.0f calls, with %.1f it falls over, %.3f s after its return", n, limit,
+				fmt.Sprintf("%.0f calls, of %.1f that it can take, %.3f s after its recovery", n, limit,
 					(call.At-o.until).Seconds())), true
 		}
 	}
--- a/test/checker/deliverycheck/ordering.go
+++ b/test/checker/deliverycheck/ordering.go
@@ -13,7 +13,7 @@
 		for _, id := range call.IDs {
 			key := delivery{id, call.Destination}
 			if earlier := last[key]; earlier != nil && earlier.isInFlight(call.At) {
-				violations = append(violations, call.violation(Overlap, id, "a call by "+earlier.Member+" is out"))
+				violations = append(violations, call.violation(Overlap, id, "a call by "+earlier.Member+" is in flight"))
 			}
 			last[key] = call
 		}
@@ -71,15 +71,15 @@
 		(earlier.Member == later.Member || c.Requirements.OrderAcross)
 }
 
-// orderViolation tells how calls with a webhook are out of order with those of a later one, or returns "".
+// orderViolation returns how calls with a webhook are out of order with those of a later one, or "".
 func orderViolation(earlierCalls, laterCalls []*Call) string {
 	for _, later := range laterCalls {
 		for _, earlier := range earlierCalls {
 			switch {
 			case earlier.At > later.At:
-				return "its turn was before, and it is called after"
+				return "the earlier webhook is called after the later one"
 			case earlier.isInFlight(later.At):
-				return "a call with it is out"
+				return "a call with the earlier webhook is in flight"
 			}
 		}
 	}
--- a/test/checker/deliverycheck/scenario_test.go
+++ b/test/checker/deliverycheck/scenario_test.go
@@ -54,7 +54,7 @@
 	s.RecordResponse(at*millisecond+1, id, code)
 }
 
-// call records a call with a webhook. how tells what becomes of it; delivered if it is missing.
+// call records a call with a webhook. how is its outcome; delivered if it is missing.
 func (s scenario) call(from, to api.Micros, member, id string, how ...string) {
 	c := s.RecordCall(deliverycheck.Call{
 		At:          from * millisecond,
@@ -67,18 +67,18 @@
 	case "[]":
 		s.RecordEffect(to*millisecond, c, id)
 		s.RecordCallEnd(to*millisecond, c, 0, id)
-	case "[ran]":
+	case "[took effect]":
 		s.RecordEffect(to*millisecond, c, id)
 		s.RecordCallEnd(to*millisecond, c, 0)
-	case "[wait]":
+	case "[retry-after]":
 		s.RecordCallEnd(to*millisecond, c, 1000*millisecond)
-	case "[turned away]":
+	case "[rejected]":
 		s.RecordCallEnd(to*millisecond, c, 0)
-	case "[out]":
+	case "[in flight]":
 	}
 }
 
-// recover has calls come, by two members in turn, in the first second after an outage.
+// recover records calls by two members, alternating, in the first second after an outage.
 func (s scenario) recover(n int) {
 	s.RecordOutage(0, 3)
 	s.RecordRecovery(1000*millisecond, 3, 20)
--- a/test/checker/deliverycheck/window.go
+++ b/test/checker/deliverycheck/window.go
@@ -105,7 +105,7 @@
 		for _, earlier := range c.calls[:i] {
 			isOfOther := earlier.Destination == destination && earlier.Member != call.Member
 			if isOfOther && earlier.endedAt > call.At {
-				texts = append(texts, fmt.Sprintf("by %s at %d, one by %s from %d is out", call.Member, call.At,
+				texts = append(texts, fmt.Sprintf("by %s at %d, while one by %s from %d is in flight", call.Member, call.At,
 					earlier.Member, earlier.At))
 			}
 		}
--- a/test/checker/leasecheck/checker.go
+++ b/test/checker/leasecheck/checker.go
@@ -105,7 +105,7 @@
 	return mux
 }
 
-// SetFenceAll has all requests fenced, whatever they ask for, or no longer.
+// SetFenceAll sets whether all requests are fenced, also those without &fence=1.
 func (c *Checker) SetFenceAll(fence bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/test/checker/leasecheck/checker_test.go
+++ b/test/checker/leasecheck/checker_test.go
@@ -37,15 +37,15 @@
 	return codes
 }
 
-// Shows that the checker can fail, and that porcupine and Violations agree.
-func TestChecker_FindsOverlapsAndFallingEpochs(t *testing.T) {
+// Each violation is found by Violations and by porcupine alike.
+func TestChecker_FindsOverlapsAndDecreasingEpochs(t *testing.T) {
 	for _, c := range []struct{ steps, violation string }{
 		{"begin m1/3, end m1/3, begin m1/3, end m1/3, begin m2/5, end m2/5", ""},
 		{"begin m1/3, begin m2/5, end m2/5", ""}, // the first never took effect
 		{"begin m1/3, begin m2/5, end m1/3, end m2/5", "before m1 with 3 ended"},
 		{"begin m1/3, begin m2/5, end m2/5, end m1/3", "before m1 with 3 ended"},
-		{"begin m2/5, end m2/5, begin m1/3, end m1/3", "goes back"},
-		{"begin m2/5, end m2/5, begin m1/3", "goes back"},
+		{"begin m2/5, end m2/5, begin m1/3, end m1/3", "m1 after epoch 5 of m2"},
+		{"begin m2/5, end m2/5, begin m1/3", "m1 after epoch 5 of m2"},
 		{"begin m1/3, end m1/3, begin m2/3, end m2/3", "have epoch 3"},
 		{"begin m1/3, begin m2/5 fence, end m1/3 fence, end m2/5", ""}, // its end was rejected
 		{"begin m2/5, end m2/5, begin m1/3 fence", ""},
--- a/test/checker/leasecheck/operations.go
+++ b/test/checker/leasecheck/operations.go
@@ -41,7 +41,13 @@
 		key := holder{e.Member, e.Epoch}
 		if e.Phase == phaseBegin {
 			open[key] = len(operations)
-			operations = append(operations, Operation{resource, e.Epoch, e.Member, e.Return, api.Never})
+			operations = append(operations, Operation{
+				Resource: resource,
+				Epoch:    e.Epoch,
+				Member:   e.Member,
+				From:     e.Return,
+				Until:    api.Never,
+			})
 			continue
 		}
 		if i, begun := open[key]; begun {
@@ -50,7 +56,13 @@
 			continue
 		}
 		// Its begin was rejected or never arrived: the lease was used at the time of the end.
-		operations = append(operations, Operation{resource, e.Epoch, e.Member, e.Call, e.Call})
+		operations = append(operations, Operation{
+			Resource: resource,
+			Epoch:    e.Epoch,
+			Member:   e.Member,
+			From:     e.Call,
+			Until:    e.Call,
+		})
 	}
 	return operations
 }
@@ -66,8 +78,8 @@
 	return slices.Sorted(maps.Keys(resources))
 }
 
-// Violations describes each pair of operations of different holders that overlap, have the same epoch, or have a
-// falling epoch.
+// Violations describes each pair of operations of different holders that overlap, have the same epoch, or a
+// decreasing one.
 func (c *Checker) Violations() (violations []string) {
 	for _, resource := range c.Resources() {
 		operations := c.Operations(resource)
@@ -83,7 +95,7 @@
 	return slices.Compact(violations)
 }
 
-// violation describes what is wrong with an operation that began after an earlier one, or returns "".
+// violation describes how an operation that began after an earlier one violates the lease, or returns "".
 func violation(earlier, o Operation) string {
 	switch {
 	case earlier.Member == o.Member && earlier.Epoch == o.Epoch:
@@ -91,7 +103,7 @@
 	case earlier.Epoch == o.Epoch:
 		return fmt.Sprintf("%s: %s and %s have epoch %d", o.Resource, earlier.Member, o.Member, o.Epoch)
 	case earlier.Epoch > o.Epoch:
-		return fmt.Sprintf("%s: epoch %d of %s goes back behind %d of %s", o.Resource, o.Epoch, o.Member,
+		return fmt.Sprintf("%s: epoch %d of %s after epoch %d of %s", o.Resource, o.Epoch, o.Member,
 			earlier.Epoch, earlier.Member)
 	case earlier.heldUntil() > o.From:
 		overlap := (earlier.heldUntil() - o.From).Duration()
--- a/test/checker/leasecheck/ownership.go
+++ b/test/checker/leasecheck/ownership.go
@@ -21,7 +21,7 @@
 	From, Until api.Micros
 }
 
-// OwnershipEventKind says what happened. Resources other than the owner of a range have only Granted and Ended.
+// OwnershipEventKind is the kind of an OwnershipEvent. Resources other than the owner of a range have only Granted and Ended.
 type OwnershipEventKind uint8
 
 // The kinds of ownership events.
@@ -29,7 +29,7 @@
 	Granted   OwnershipEventKind = iota // the member holds the lease
 	Ended                               // the member no longer acts by that grant
 	Published                           // the shard map names the member, with the epoch of its grant
-	Observed                            // a reader of the shard map saw that, possibly late, but never older than what it saw before
+	Observed                            // a reader of the shard map saw that: possibly an old map, but none older than before
 )
 
 func (k OwnershipEventKind) String() string {
@@ -44,8 +44,8 @@
 	observed    []uint64  // the epoch that each reader saw last
 }
 
-// ownershipModel has one holder at a time, epochs that only rise, and a shard map that names the member that was
-// granted the lease last and never goes back.
+// ownershipModel has one holder at a time, epochs that only increase, and a shard map that names the member that was
+// granted the lease last and never an earlier one again.
 var ownershipModel = porcupine.Model{
 	Init: func() any { return ownershipState{} },
 	Step: func(state, input, _ any) (bool, any) {
--- a/test/checker/leasecheck/ownership_test.go
+++ b/test/checker/leasecheck/ownership_test.go
@@ -28,7 +28,7 @@
 		From: from, Until: until}
 }
 
-// Shows that the check can fail: each impossible history is wrong in one way.
+// Each impossible history violates one rule of the model.
 func TestCheckOwnership(t *testing.T) {
 	for name, c := range map[string]struct {
 		events   []leasecheck.OwnershipEvent
@@ -77,7 +77,7 @@
 			ended("a", 5, 10, 12),
 			granted("b", 2, 13, 31),
 		}, false},
-		"an epoch twice": {[]leasecheck.OwnershipEvent{
+		"the same epoch granted twice": {[]leasecheck.OwnershipEvent{
 			granted("a", 5, 0, 10),
 			ended("a", 5, 10, 12),
 			granted("b", 5, 13, 31),
@@ -97,7 +97,7 @@
 			published("a", 2, 10, 12),
 			observed(0, "a", 2, 0, 9),
 		}, false},
-		"a reader goes back": {[]leasecheck.OwnershipEvent{
+		"a reader observes an older owner": {[]leasecheck.OwnershipEvent{
 			granted("a", 2, 0, 10),
 			published("a", 2, 10, 12),
 			ended("a", 2, 10, 30),
--- a/test/fake/platform/destination.go
+++ b/test/fake/platform/destination.go
@@ -21,7 +21,7 @@
 	RefuseConnections bool
 	HangConnections   bool // new connections aren't established
 	PerSecond         int  // more calls in a second are rejected with 429; 0: unlimited
-	TellsRetryAfter   bool // the rejected ones are told to wait for the end of the second
+	SendsRetryAfter   bool // the rejected ones get a Retry-After until the end of the second
 }
 
 // The behaviours without a parameter.
@@ -117,13 +117,13 @@
 	d.queued = append(d.queued, behaviours...)
 }
 
-// BeginOutage sets a behaviour that the checker knows as an outage.
+// BeginOutage sets a behaviour that the checker records as an outage.
 func (d *Destination) BeginOutage(b Behaviour) error {
 	d.platform.Checker.RecordOutage(d.platform.Now(), d.ID)
 	return d.SetBehaviour(b)
 }
 
-// EndOutage ends an outage. The destination starts cold, and takes so many calls a second once it is warm.
+// EndOutage ends an outage. The destination warms up, and takes callsPerSecond once it has.
 func (d *Destination) EndOutage(callsPerSecond float64) error {
 	d.platform.Checker.RecordRecovery(d.platform.Now(), d.ID, callsPerSecond)
 	return d.SetBehaviour(Delivers)
@@ -149,7 +149,7 @@
 	}
 	d.platform.Checker.RecordRateExceeded()
 	rejected := Behaviour{Status: http.StatusTooManyRequests}
-	if b.TellsRetryAfter {
+	if b.SendsRetryAfter {
 		rejected.RetryAfter = (api.Second - now%api.Second).Duration()
 	}
 	return rejected
--- a/test/fake/platform/load.go
+++ b/test/fake/platform/load.go
@@ -20,7 +20,7 @@
 	Body        string
 
 	token   string // the idempotency key
-	retryOf string // the ID under which it was rejected or handed back
+	retryOf string // the ID under which it was rejected or returned
 }
 
 // Load is a stream of webhooks at a limited rate. Each client submits the next one when its last is answered, over a
@@ -107,7 +107,7 @@
 		switch {
 		case status == http.StatusOK || status == http.StatusAccepted:
 			c.platform.onNotice(id, func(reported notice) {
-				if reported.outcome == handedBack && w.Key == "" && attempt+1 < load.MaxAttempts {
+				if reported.outcome == returned && w.Key == "" && attempt+1 < load.MaxAttempts {
 					c.platform.resubmit(ctx, load, n+1, w.asRetryOf(id), load.MaxAttempts-attempt-1, reported.retryIn)
 				}
 			})
@@ -141,7 +141,7 @@
 // defaultToken returns the idempotency key of a webhook by the ID of its first submission.
 func defaultToken(id string) string { return "k" + id }
 
-// resubmit submits a webhook that was handed back again after a delay, unless the load has ended.
+// resubmit submits a webhook that was returned again after a delay, unless the load has ended.
 func (p *Platform) resubmit(ctx context.Context, load Load, n int, w Webhook, attempts int, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		if ctx.Err() != nil {
--- a/test/fake/platform/notice.go
+++ b/test/fake/platform/notice.go
@@ -14,8 +14,8 @@
 
 // The outcomes that notices may report.
 const (
-	givenUp    = "given_up"
-	handedBack = "handed_back"
+	deadLettered = "given_up"
+	returned     = "handed_back"
 )
 
 // notice is an outcome that a member reports to the platform.
@@ -58,7 +58,7 @@
 func parseNotice(line string) (n notice, err error) {
 	fields := gjson.Parse(line)
 	message, outcome := fields.Get("message").String(), fields.Get("outcome").String()
-	if !gjson.Valid(line) || message == "" || outcome != givenUp && outcome != handedBack {
+	if !gjson.Valid(line) || message == "" || outcome != deadLettered && outcome != returned {
 		return n, errors.New("no notice")
 	}
 	n = notice{
@@ -72,7 +72,7 @@
 	return n, nil
 }
 
-// handleNotice records a notice, and tells the client of a webhook if it is of all destinations.
+// handleNotice records a notice, and notifies the client of the webhook if it is of all destinations.
 func (p *Platform) handleNotice(member string, n notice) {
 	p.Checker.RecordNotice(p.Now(), member, n.webhookID, n.outcome, n.destinations...)
 	p.mu.Lock()
--- a/test/fake/platform/platform.go
+++ b/test/fake/platform/platform.go
@@ -99,7 +99,7 @@
 	return port, nil
 }
 
-// SetClientAddr tells the clients a member's address.
+// SetClientAddr sets the address at which clients reach a member.
 func (p *Platform) SetClientAddr(member, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return err
--- a/test/fake/platform/platform_test.go
+++ b/test/fake/platform/platform_test.go
@@ -103,7 +103,7 @@
 	}
 	require.NoError(t, d.SetBehaviour(platform.Refuses))
 	assert.Contains(t, call(t, addr, "/events", id, "x").text, "refused")
-	require.NoError(t, d.SetBehaviour(platform.Behaviour{PerSecond: 1, TellsRetryAfter: true}))
+	require.NoError(t, d.SetBehaviour(platform.Behaviour{PerSecond: 1, SendsRetryAfter: true}))
 	assert.Equal(t, 1, p.Checker.Outstanding())
 	assert.Equal(t, id+" delivered\r\n", call(t, addr, "/events/bundle", "", id+" k 2\r\nhi\r\n").text)
 	assert.Zero(t, p.Checker.Outstanding())
@@ -151,7 +151,7 @@
 		MaxAttempts: 3,
 		Next:        func(int) platform.Webhook { return platform.Webhook{Type: "paid", Destination: 3} },
 	})()
-	assert.Equal(t, 4, p.Checker.Counts().Unanswered, "a token is not handed in again unanswered")
+	assert.Equal(t, 4, p.Checker.Counts().Unanswered, "a deduplicated webhook without a response is not submitted again")
 }
 
 func TestMemberView_WatchAndMutedDiscovery(t *testing.T) {
@@ -180,7 +180,7 @@
 	p.Drain(e)
 	select {
 	case line := <-lines:
-		assert.Fail(t, "told while mute", line)
+		assert.Fail(t, "notified while muted", line)
 	case <-time.After(100 * time.Millisecond):
 	}
 	view.MuteDiscovery(false)
@@ -200,7 +200,7 @@
 	notify := func(text string) int { return call(t, view.AgentAddr, "/v2/finals", "", text).status }
 	assert.Equal(t, 400, notify(`{"message":"`+a+`","outcome":"given_up"}`+"\nodd"))
 	assert.Equal(t, 204, notify(`{"message":"`+a+`","outcome":"given_up","dest":4}`+"\n"))
-	assert.Equal(t, 1, p.Checker.Outstanding(), "the other subscriber's end is owed")
+	assert.Equal(t, 1, p.Checker.Outstanding(), "the other subscriber's outcome is outstanding")
 	assert.Equal(t, 204, notify(`{"message":"`+a+`.3","outcome":"given_up"}`+"\n"))
 	assert.Zero(t, p.Checker.Outstanding())
 }
--- a/test/integration/chaos/chaos_test.go
+++ b/test/integration/chaos/chaos_test.go
@@ -15,9 +15,9 @@
 	"rowanlink/webhook/api"
 )
 
-// TestHunt runs ROWAN_HUNT seeds, from ROWAN_SEED on or from one that differs each time. It is skipped without the
+// TestChaos runs ROWAN_HUNT seeds, from ROWAN_SEED on or from one that differs each time. It is skipped without the
 // first, since what a seed does depends on the machine.
-func TestHunt(t *testing.T) {
+func TestChaos(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("ROWAN_HUNT"))
 	if err != nil {
 		t.Skip("make hunt-fleet N=... plays it")
--- a/test/integration/cluster/forward_test.go
+++ b/test/integration/cluster/forward_test.go
@@ -62,7 +62,7 @@
 
 // A webhook that was parked because its owner could not be reached is in doubt from its first offer on: nobody else
 // delivers it.
-func TestForward_OfferedWebhookIsDeliveredByNobodyElse(t *testing.T) {
+func TestForward_InDoubtWebhookIsNotCalledElsewhere(t *testing.T) {
 	runInDoubtScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) string {
 		c.Network.SetFault(entry.Name, owner.Name, harness.Refused)
 		id, _ := c.Platform.Submit(entry.Name, newWebhook("charge"))
--- a/test/integration/cluster/linkfault_test.go
+++ b/test/integration/cluster/linkfault_test.go
@@ -94,7 +94,7 @@
 
 // A raft node that restarts without its state doesn't vote until it is a voter again, and then counts for the majority:
 // the test needs it for one.
-func TestRaft_NodeRestartsWithoutItsState(t *testing.T) {
+func TestRaft_NodeRestartsAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, harness.Options{
 		Members:          4,
--- a/test/integration/harness/cluster_test.go
+++ b/test/integration/harness/cluster_test.go
@@ -68,7 +68,7 @@
 	wait()
 }
 
-func TestCluster_LosesNothingOverKillAndPause(t *testing.T) {
+func TestCluster_DeliversAllAcrossKillAndPause(t *testing.T) {
 	c := startStandalone(t)
 	m1, m2 := c.Members[0], c.Members[1]
 	m1.AwaitLog("phase now=serving")
@@ -146,7 +146,7 @@
 }
 
 // The state is deleted without the checker knowing of it.
-func TestCluster_CheckFindsALoss(t *testing.T) {
+func TestCluster_CheckDetectsLostWebhook(t *testing.T) {
 	c := harness.Start(t, harness.Options{Binary: standaloneBinary, Standalone: true, Slack: 1})
 	require.NoError(t, c.Platform.Destination(2).SetBehaviour(platform.Unreachable))
 	_, code := c.Platform.Submit("m1", platform.Webhook{Type: "status", Destination: 2, TTL: time.Second})
