--- a/webhook/api/endpoint.go
+++ b/webhook/api/endpoint.go
@@ -17,7 +17,7 @@
 	Kind        DestinationKindID
 	Zone        ZoneID
 	Status      EndpointStatus
-	Rate        float64 // calls per second that the destination accepts from all dispatchers, where the list says so
+	Rate        float64 // calls per second that the destination accepts from all dispatchers, if the list states it
 }
 
 // LoadReport is what an endpoint reports of its own limit with an answer. It is approximate and slightly out of date.
--- a/webhook/api/policy.go
+++ b/webhook/api/policy.go
@@ -15,7 +15,7 @@
 	Recover(w Webhook, prior PriorAttempts)
 	// AttemptEnded takes the result of an attempt that the Policy started.
 	AttemptEnded(result AttemptResult)
-	// ReportLoad takes a load report, before the result that it came with.
+	// ReportLoad takes a load report, before the result of the attempt whose answer it was part of.
 	ReportLoad(report LoadReport)
 	// Withdraw drops a webhook that nobody waits for any more. An attempt in flight continues.
 	Withdraw(id WebhookID)
--- a/webhook/api/settings.go
+++ b/webhook/api/settings.go
@@ -26,7 +26,7 @@
 	RatesListed   bool   // endpoint lists state the rate that a destination accepts
 
 	// ConnectionLimitsReported is set where a connection refused for a limit is reported as ConnectionLimited; without
-	// it the refusal looks like ConnectFailed.
+	// it the refusal is reported as ConnectFailed.
 	ConnectionLimitsReported bool
 
 	ConnectTimeout  Micros
--- a/webhook/dispatcher/callback/sender.go
+++ b/webhook/dispatcher/callback/sender.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// newClient returns a client that may repeat a call by itself: callbacks are idempotent.
+// newClient returns a client that may retry a call by itself: callbacks are idempotent.
 func newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{Addr: address, MaxConns: 1, ReadTimeout: callTimeout, WriteTimeout: callTimeout}
 }
 
-// SetAddress sends from now on to the platform at another address.
+// SetAddress has later callbacks sent to the platform at another address.
 func (s *Sender) SetAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,10 +107,10 @@
 	status, err := post(client, batch)
 	malformed := err == nil && status == fasthttp.StatusBadRequest
 	switch {
-	case malformed && len(batch) == 1: // it will never be accepted: dropped for the sake of those behind it
+	case malformed && len(batch) == 1: // it will never be accepted: dropped, so that later ones are sent
 		slog.Error("callback rejected as malformed", "line", string(batch[0].line))
 	case err != nil || status != fasthttp.StatusNoContent:
-		if malformed { // one of the batch: from now on each goes alone
+		if malformed { // one of the batch: from now on each is sent alone
 			s.batchSize = 1
 		}
 		s.counters.Untold.Add(1)
--- a/webhook/dispatcher/discovery/client_test.go
+++ b/webhook/dispatcher/discovery/client_test.go
@@ -27,25 +27,25 @@
 // startRegistry starts a registry; answer is called with the number of the request, from 1 on.
 func startRegistry(t *testing.T, answer func(n int, w http.ResponseWriter, r *http.Request)) *fakeRegistry {
 	t.Helper()
-	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &fakeRegistry{addr: l.Addr().String()}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.mu.Lock()
-		d.requests = append(d.requests, r.URL.Query().Get("since"))
-		n := len(d.requests)
-		d.mu.Unlock()
+	registry := &fakeRegistry{addr: listener.Addr().String()}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		registry.mu.Lock()
+		registry.requests = append(registry.requests, r.URL.Query().Get("since"))
+		n := len(registry.requests)
+		registry.mu.Unlock()
 		answer(n, w, r)
 	})}
-	go func() { _ = s.Serve(l) }() // ends with Close
-	t.Cleanup(func() { assert.NoError(t, s.Close()) })
-	return d
+	go func() { _ = server.Serve(listener) }() // ends with Close
+	t.Cleanup(func() { assert.NoError(t, server.Close()) })
+	return registry
 }
 
-func (d *fakeRegistry) recorded() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]string(nil), d.requests...)
+func (r *fakeRegistry) recorded() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]string(nil), r.requests...)
 }
 
 // writeChunks writes parts of a watch, each in a chunk of its own.
@@ -56,7 +56,7 @@
 	}
 }
 
-// list is one with a single endpoint, so that a story sees by its rate which one was heard.
+// list returns a list with a single endpoint, whose rate identifies the list.
 func list(generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1",`+
 		`"cell":3,"lifecycle":"SERVING","weight":%d}]}`, generation, generation)
@@ -114,38 +114,44 @@
 		time.Millisecond, "lists %v", lists)
 }
 
-// counted waits next to nothing and counts what it was asked.
-type counted struct {
-	waits atomic.Int64
+// countingScheduler has short delays and counts the requests that it schedules.
+type countingScheduler struct {
+	scheduled atomic.Int64
 	*refresh.Scheduler
 }
 
-func (c *counted) Next(refresh.Reason, bool) refresh.Request {
-	c.waits.Add(1)
-	return refresh.Request{Delay: 1000, ConnectTimeout: api.Second, ResponseTimeout: api.Second, IdleTimeout: api.Second}
+func (s *countingScheduler) Next(refresh.Reason, bool) refresh.Request {
+	s.scheduled.Add(1)
+	return refresh.Request{
+		Delay:           1000,
+		ConnectTimeout:  api.Second,
+		ResponseTimeout: api.Second,
+		IdleTimeout:     api.Second,
+	}
 }
 
-// Without a decision before each, also the first one, a fleet that starts or is moved asks in one moment.
+// Guards against a request, the first one included, that isn't scheduled: all dispatchers that start, or whose address
+// changes, would send it at once.
 func TestEachRequestIsScheduled(t *testing.T) {
-	waits := &counted{Scheduler: refresh.New(1, api.Second)}
-	var asks, hasty atomic.Int64
-	d := startRegistry(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
-		if asks.Add(1) > waits.waits.Load() {
-			hasty.Add(1)
+	scheduler := &countingScheduler{Scheduler: refresh.New(1, api.Second)}
+	var requests, unscheduled atomic.Int64
+	registry := startRegistry(t, func(_ int, w http.ResponseWriter, _ *http.Request) {
+		if requests.Add(1) > scheduler.scheduled.Load() {
+			unscheduled.Add(1)
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	r := New(Options{
+	client := New(Options{
 		Address:     "127.0.0.1:1",
-		Scheduler:   waits,
+		Scheduler:   scheduler,
 		MaxObject:   1000,
 		RetainNames: api.Second,
 		Update:      func([]api.EndpointEntry, []string, bool) {},
 		Malformed:   func() {},
 		Ready:       func() {},
 	})
-	r.SetAddress(d.addr)
-	go r.Run()
-	require.Eventually(t, func() bool { return asks.Load() >= 5 }, 10*time.Second, time.Millisecond)
-	assert.Zero(t, hasty.Load())
+	client.SetAddress(registry.addr)
+	go client.Run()
+	require.Eventually(t, func() bool { return requests.Load() >= 5 }, 10*time.Second, time.Millisecond)
+	assert.Zero(t, unscheduled.Load())
 }
--- a/webhook/dispatcher/discovery/clock_test.go
+++ b/webhook/dispatcher/discovery/clock_test.go
@@ -14,29 +14,32 @@
 	"rowanlink/webhook/api"
 )
 
-const brief = api.Second / 5 // a watch's line period, where a story waits for a silence
+// shortPeriod is the line period of watches whose idle time-out a test waits for.
+const shortPeriod = api.Second / 5
 
-func silent(r *http.Request) { <-r.Context().Done() }
+// waitForClient returns when the client has closed the connection.
+func waitForClient(r *http.Request) { <-r.Context().Done() }
 
 func TestIdleWatchIsReopenedFromTheLastList(t *testing.T) {
 	d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		writeChunks(w, list(n))
-		silent(r)
+		waitForClient(r)
 	})
-	f := follow(d.addr, brief)
+	f := follow(d.addr, shortPeriod)
 	f.requireLists(t, 1, 2, 3)
 	assert.Equal(t, []string{"0", "1", "2"}, d.recorded()[:3])
 }
 
-// An object that stops half-way is a silence too, and told.
+// An incomplete object ends in a time-out, too, and counts as malformed.
 func TestListThatStopsHalfWayTimesOut(t *testing.T) {
 	d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
-		if writeChunks(w, list(n)[:20*n]); n > 1 {
+		writeChunks(w, list(n)[:20*n])
+		if n > 1 {
 			writeChunks(w, list(n)[20*n:])
 		}
-		silent(r)
+		waitForClient(r)
 	})
-	f := follow(d.addr, brief)
+	f := follow(d.addr, shortPeriod)
 	assert.Eventually(t, func() bool { return len(f.receivedLists()) > 0 }, 10*time.Second, time.Millisecond)
 	assert.Equal(t, "0", d.recorded()[1])
 	assert.EqualValues(t, 1, f.malformed.Load())
@@ -45,15 +48,15 @@
 func TestUnansweredRequestIsRepeated(t *testing.T) {
 	d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		if n < 4 {
-			silent(r) // not even a head
+			waitForClient(r) // without a response header
 		}
 		writeChunks(w, list(n))
-		silent(r)
+		waitForClient(r)
 	})
-	follow(d.addr, brief).requireLists(t, 4)
+	follow(d.addr, shortPeriod).requireLists(t, 4)
 }
 
-// hangingAddress returns an address whose connections never come up: its backlog is full.
+// hangingAddress returns an address to which no connection is established: its backlog is full.
 func hangingAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -68,14 +71,17 @@
 		if err != nil {
 			return addr
 		}
-		t.Cleanup(func() { _ = c.Close() }) // it may never have come up
+		t.Cleanup(func() { _ = c.Close() }) // it may never have been established
 	}
 	t.Skip("connections are never left hanging here")
 	return ""
 }
 
 func TestAddressChangeEndsAHangingConnectAndAWatch(t *testing.T) {
-	answer := func(n int, w http.ResponseWriter, r *http.Request) { writeChunks(w, list(7)); silent(r) }
+	answer := func(_ int, w http.ResponseWriter, r *http.Request) {
+		writeChunks(w, list(7))
+		waitForClient(r)
+	}
 	first, second := startRegistry(t, answer), startRegistry(t, answer)
 	f := follow(hangingAddress(t), 1000*api.Second)
 	time.Sleep(time.Second / 20)
@@ -87,24 +93,43 @@
 	assert.Equal(t, "7", second.recorded()[0])
 }
 
-// A new process sends by its kept list until this: not before the first list, and not never.
-func TestFirstListIsWaitedForButNotAnUnresponsiveAgent(t *testing.T) {
-	for what, c := range map[string]struct {
-		answer func(n int, w http.ResponseWriter, r *http.Request)
-		period api.Micros
-		heard  []int
+// A new process makes no calls before it is ready: it waits for the first list, but not for an unresponsive agent.
+func TestReadyAfterTheFirstListOrWithAnUnresponsiveAgent(t *testing.T) {
+	for name, c := range map[string]struct {
+		answer    func(n int, w http.ResponseWriter, r *http.Request)
+		period    api.Micros
+		wantLists []int // before Ready
 	}{
-		"answered": {func(n int, w http.ResponseWriter, r *http.Request) { writeChunks(w, list(1)); silent(r) },
-			1000 * api.Second, []int{1}},
-		"refused": {func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
-			1000 * api.Second, []int{}},
-		"silent": {func(_ int, _ http.ResponseWriter, r *http.Request) { silent(r) }, brief, []int{}},
-		"a head and nothing": {func(_ int, w http.ResponseWriter, r *http.Request) { writeChunks(w, ""); silent(r) },
-			10 * api.Second, []int{}},
+		"answered": {
+			answer: func(_ int, w http.ResponseWriter, r *http.Request) {
+				writeChunks(w, list(1))
+				waitForClient(r)
+			},
+			period:    1000 * api.Second,
+			wantLists: []int{1},
+		},
+		"refused": {
+			answer:    func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
+			period:    1000 * api.Second,
+			wantLists: []int{},
+		},
+		"unresponsive": {
+			answer:    func(_ int, _ http.ResponseWriter, r *http.Request) { waitForClient(r) },
+			period:    shortPeriod,
+			wantLists: []int{},
+		},
+		"a header and nothing else": {
+			answer: func(_ int, w http.ResponseWriter, r *http.Request) {
+				writeChunks(w, "")
+				waitForClient(r)
+			},
+			period:    10 * api.Second,
+			wantLists: []int{},
+		},
 	} {
 		f := follow(startRegistry(t, c.answer).addr, c.period)
-		require.Eventually(t, func() bool { return f.readyCalls() != nil }, 10*time.Second, time.Millisecond, what)
+		require.Eventually(t, func() bool { return f.readyCalls() != nil }, 10*time.Second, time.Millisecond, name)
 		time.Sleep(time.Second / 20)
-		assert.Equal(t, [][]int{c.heard}, f.readyCalls(), "%s: once, and the list goes first", what)
+		assert.Equal(t, [][]int{c.wantLists}, f.readyCalls(), "%s: once, and after the list", name)
 	}
 }
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -44,7 +44,7 @@
 	defaultDiskMB   = 3
 )
 
-// Shares of the limits: of the memory for the heap and for one endpoint list as it comes; of the file descriptors for
+// Shares of the limits: of the memory for the heap and for one unparsed endpoint list; of the file descriptors for
 // clients (of which well-behaved ones open a third at most, and leave half of that third idle) and for connections to
 // endpoints.
 const (
@@ -84,7 +84,7 @@
 	WriteMetrics(io.Writer)
 }
 
-// Run runs a dispatcher until it is told to end (SIGTERM, SIGINT). The extension may be nil.
+// Run runs a dispatcher until SIGTERM or SIGINT. The extension may be nil.
 func Run(extension Extension) error {
 	if os.Getenv(logVariable) == "debug" { // traces each webhook
 		slog.SetLogLoggerLevel(slog.LevelDebug)
@@ -230,7 +230,7 @@
 	}
 }
 
-// waitForEnd returns when the process is told to end; an error where the clients' server has ended by itself.
+// waitForEnd returns on SIGTERM or SIGINT, or with an error if the clients' server has ended by itself.
 func (p *process) waitForEnd() error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
--- a/webhook/dispatcher/eventloop/admission.go
+++ b/webhook/dispatcher/eventloop/admission.go
@@ -72,7 +72,7 @@
 }
 
 // logAccepted logs a webhook with its event type's name: by the index alone the next incarnation, whose settings may have
-// another event type there, could repeat an attempt that must not be repeated.
+// another event type there, could retry a webhook that must not be retried.
 func (l *Loop) logAccepted(w *inflight.Webhook) error {
 	err := l.log.Accept(w.ID, w.Encode())
 	if err == nil && int(w.EventType) < len(l.eventTypes) {
--- a/webhook/dispatcher/eventloop/cluster.go
+++ b/webhook/dispatcher/eventloop/cluster.go
@@ -85,7 +85,7 @@
 	return ids
 }
 
-// updateRates tells the policy of the rates that have changed with this member's shares.
+// updateRates passes the rates that have changed with this member's shares to the policy.
 func (l *Loop) updateRates() {
 	var changed []api.EndpointEntry
 	for id, entry := range l.endpoints {
--- a/webhook/dispatcher/eventloop/ending.go
+++ b/webhook/dispatcher/eventloop/ending.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// endingOf is OnTime or Late. The latency target counts from when the webhook was first submitted, at whatever member.
+// endingOf returns OnTime or Late. The latency target counts from when the webhook was first submitted, at any member.
 func (l *Loop) endingOf(w *inflight.Webhook, discarded bool) Ending {
 	if discarded {
 		return Late
--- a/webhook/dispatcher/eventloop/event_types.go
+++ b/webhook/dispatcher/eventloop/event_types.go
@@ -8,11 +8,11 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// unknownEventType is an event type that no settings name: webhooks of it are not repeated.
+// unknownEventType is an event type that no settings name: webhooks of it are not retried.
 const unknownEventType = math.MaxUint8
 
 // SetEventTypes sets the names of event types by index; before Begin, or in a turn. Names beyond the last one stay:
-// webhooks of them may be pending, or come from a client that was let in before.
+// webhooks of them may be pending, or be parsed by the settings before.
 func (l *Loop) SetEventTypes(names []string) {
 	if len(names) > len(l.eventTypes) {
 		l.eventTypes = names
@@ -27,8 +27,8 @@
 	return unknownEventType
 }
 
-// recoverWebhook passes a webhook to the policy. One that was accepted without an idempotency key is not repeated by
-// settings that ask for one, since no destination would recognize the repeat.
+// recoverWebhook passes a webhook to the policy. One that was accepted without an idempotency key is not retried under
+// settings that require one, since no destination would recognize the duplicate.
 func (l *Loop) recoverWebhook(w *inflight.Webhook, prior api.PriorAttempts) {
 	all := l.settings.EventTypes
 	if w.Token == "" && int(w.EventType) < len(all) && all[w.EventType].Semantics == api.Deduplicated {
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -44,7 +44,7 @@
 	parked           map[api.WebhookID]*inflight.Webhook
 	parkedByKey      map[orderingGroup][]api.WebhookID // in the order of acceptance
 	endpoints        map[api.EndpointID]api.EndpointEntry
-	rates            map[api.EndpointID]float64             // as the policy was told
+	rates            map[api.EndpointID]float64             // as last passed to the policy
 	recoveredResults map[inflight.RequestID]recoveredResult // of an earlier incarnation, for other members
 
 	// Of the present turn.
--- a/webhook/dispatcher/eventloop/relay.go
+++ b/webhook/dispatcher/eventloop/relay.go
@@ -76,7 +76,7 @@
 	return true
 }
 
-// TakenBack is what is known of a webhook that comes back from a relay.
+// TakenBack is what is known of a webhook that is taken back from a relay.
 type TakenBack struct {
 	NeverReceived bool // the relay never accepted it, and never will
 	MayHaveRun    bool // before it was handed to the relay
--- a/webhook/dispatcher/eventloop/state_transfer.go
+++ b/webhook/dispatcher/eventloop/state_transfer.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// stateTransferer looks through wrappers of the policy.
+// stateTransferer returns the policy without its wrapper.
 func (l *Loop) stateTransferer() api.StateTransferer {
 	policy := l.policy
 	if wrapper, ok := policy.(interface{ Unwrap() api.Policy }); ok {
--- a/webhook/dispatcher/inflight/broadcast.go
+++ b/webhook/dispatcher/inflight/broadcast.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// subscriberSeparator stands between a broadcast's request id and a subscriber's number.
+	// subscriberSeparator separates a broadcast's request id from a subscriber's number.
 	subscriberSeparator = ".dest="
 	listPrefix          = "list="
 )
--- a/webhook/dispatcher/lifecycle/lifecycle.go
+++ b/webhook/dispatcher/lifecycle/lifecycle.go
@@ -10,7 +10,7 @@
 // The platform's schedule of a planned restart, counted from SIGTERM.
 const (
 	newConnectionsFor = 400 * time.Millisecond  // clients may still open connections
-	killAfter         = 3700 * time.Millisecond // SIGKILL comes no earlier
+	killAfter         = 3700 * time.Millisecond // SIGKILL is sent no earlier
 )
 
 // The graceful shutdown, as parts of that schedule.
@@ -28,7 +28,7 @@
 const (
 	Starting  Phase = iota // reads the configuration and recovers the write-ahead log
 	Serving                // accepts webhooks and delivers them
-	Draining               // told to end: still accepts webhooks, asks clients to go elsewhere
+	Draining               // after SIGTERM: still accepts webhooks, has clients use another dispatcher
 	Rejecting              // accepts no webhooks, still delivers
 	Finishing              // starts no calls, waits for those in flight and for clients to leave
 	Stopped                // nothing runs; what is pending is in the write-ahead log
@@ -66,10 +66,10 @@
 	return p >= Serving && p < Finishing
 }
 
-// Shutdown goes from Serving to Finishing and returns when the process may stop. New webhooks are accepted until no more
-// connections come; calls are started for as long as their answers can still be in time, and those in flight are waited
-// for. What remains stays in the write-ahead log. Clients are answered with a rejection until they have left: an earlier
-// end would cut connections on which they send.
+// Shutdown goes from Serving to Finishing and returns when the process may stop. New webhooks are accepted until clients open no more
+// connections; calls are started for as long as their answers can still be in time, and those in flight are waited
+// for. What remains stays in the write-ahead log. Clients are answered with a rejection until they have left: closing their
+// connections earlier would lose requests.
 func (l *Lifecycle) Shutdown(isEmpty func() bool, callsInFlight func() int, clientsGone func() bool) {
 	begun := time.Now()
 	waitUntil := func(limit time.Duration, done func() bool) {
--- a/webhook/dispatcher/reload.go
+++ b/webhook/dispatcher/reload.go
@@ -43,7 +43,7 @@
 
 func (c configuration) discoveryAddress() string { return c.document.Get("discovery").String() }
 
-// loadConfiguration reads and checks the file. An error is one line that says what is wrong.
+// loadConfiguration reads and checks the file. The text of an error is one line.
 func loadConfiguration(path string) (configuration, error) {
 	document, err := readDocument(path)
 	if err != nil {
--- a/webhook/dispatcher/server/request.go
+++ b/webhook/dispatcher/server/request.go
@@ -16,7 +16,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Reasons for which a webhook can't be used, as its client is told them.
+// Reasons for which a webhook is invalid, as they are answered to its client.
 var (
 	errAmbiguousLength    = errors.New("more than one thing tells where the body ends")
 	errSurplus            = errors.New("more has come than the webhook's length")
@@ -54,7 +54,7 @@
 	eventTypes []api.EventType
 }
 
-// parseWebhook takes the few fields out that are decided on; body, id and key stay as they came.
+// parseWebhook reads the few fields that decisions need; body, id and key stay as they were received.
 func (s *Server) parseWebhook(ctx *fasthttp.RequestCtx, connection *clientConn) (*inflight.Webhook, error) {
 	now := inflight.Now() // the webhook's time counts from before
 	header := &ctx.Request.Header
@@ -98,7 +98,7 @@
 	return w, nil
 }
 
-// checkFraming refuses requests that two readers could read in two ways.
+// checkFraming refuses requests that two parsers could read differently.
 func checkFraming(ctx *fasthttp.RequestCtx, connection *clientConn) error {
 	header := &ctx.Request.Header
 	lengths := countHeader(header, "Content-Length")
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// countHeader counts how often a header occurs in a head as it came.
+// countHeader counts how often a header occurs in the unparsed head.
 func countHeader(header *fasthttp.RequestHeader, name string) (n int) {
 	for line := range bytes.Lines(header.RawHeaders()) {
 		key, _, _ := bytes.Cut(line, []byte(":"))
--- a/webhook/dispatcher/server/server.go
+++ b/webhook/dispatcher/server/server.go
@@ -41,7 +41,7 @@
 	lastLogged atomic.Int64 // second in which a malformed webhook was last logged
 }
 
-// New returns a server that holds at most maxOpen connections, maxIdle of them idle.
+// New returns a server with at most maxOpen connections, maxIdle of them idle.
 func New(inbox *inflight.Inbox, life *lifecycle.Lifecycle, settings api.Settings, catalog config.Catalog,
 	maxOpen, maxIdle int) *Server {
 	s := &Server{inbox: inbox, lifecycle: life, listener: newLimitListener(maxOpen, maxIdle)}
@@ -66,7 +66,7 @@
 	return s
 }
 
-// UpdateSettings has webhooks that come from now on parsed by other settings.
+// UpdateSettings has later webhooks parsed by other settings.
 func (s *Server) UpdateSettings(settings api.Settings, catalog config.Catalog) {
 	s.parsing.Store(&parseSettings{Catalog: catalog, eventTypes: settings.EventTypes})
 }
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// newCall counts a call; the caller holds the lock. The shortest time-out applies to all its webhooks: none may go on
+// newCall counts a call; the caller holds the lock. The shortest time-out applies to all its webhooks: none may continue
 // after its webhook was reported as timed out.
 func (c *Client) newCall(e *endpoint, attempts []Attempt) *call {
 	k := &call{endpoint: e, startedAt: inflight.Now(), timeout: math.MaxInt64, latest: math.MaxInt64}
--- a/webhook/dispatcher/upstream/client.go
+++ b/webhook/dispatcher/upstream/client.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// UpdateEndpoint takes over what the list says of an endpoint.
+// UpdateEndpoint takes over an entry of the endpoint list.
 func (c *Client) UpdateEndpoint(entry api.EndpointEntry, addr string, kind api.DestinationKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 		c.discardIdle(e)
 	}
 	if addr != "" && addr != e.addr {
-		c.discardIdle(e) // they lead to the old address
+		c.discardIdle(e) // connections to the old address
 		e.addr = addr
 	}
 }
@@ -180,7 +180,7 @@
 	}
 }
 
-// Close closes every idle connection, and those of calls in flight as they come back.
+// Close closes every idle connection, and those of calls in flight when their calls end.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/webhook/dispatcher/upstream/connection.go
+++ b/webhook/dispatcher/upstream/connection.go
@@ -31,7 +31,7 @@
 }
 
 // isQuiet reports, without waiting, whether the other side has neither sent nor ended anything that was not read. A call
-// written to a connection that is gone would end as a reset that may have run, and surplus bytes of one answer would be
+// written to a closed connection would end as a reset that may have run, and surplus bytes of one answer would be
 // read as the next one.
 func (c *connection) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
--- a/webhook/dispatcher/upstream/response.go
+++ b/webhook/dispatcher/upstream/response.go
@@ -28,7 +28,7 @@
 	final   bool
 }
 
-// bundleResults maps the protocol's words.
+// bundleResults maps the protocol's names of results.
 var bundleResults = map[string]itemResult{
 	"delivered": {api.Delivered, false},
 	"failed":    {api.ErrorResponse, false},
@@ -37,38 +37,38 @@
 	"spent":     {api.NotSent, false},
 }
 
-// readAnswer reads the answer to a call. Where something came, the call has reached the endpoint: what can't be read then
-// may have run, however it begins, and frees its slot soon, whatever length it claims.
+// readAnswer reads the answer to a call. Once any data has arrived the call has reached the endpoint: with a malformed answer
+// it may have run, however the answer begins, and its slot is freed early, whatever length the answer states.
 func (c *Client) readAnswer(connection *connection, k *call, until time.Time) callResult {
 	head, err := connection.readHead(until, api.Micros(c.restTimeout.Load()))
 	if len(head) == 0 {
-		if !time.Now().Before(until) { // by the clock: not each error tells a deadline from a broken connection
+		if !time.Now().Before(until) { // by the clock: not every error distinguishes a deadline from a broken connection
 			return callResult{outcome: api.TimedOut}
 		}
 		return callResult{outcome: api.ConnectionReset}
 	}
-	unreadable := callResult{outcome: api.ErrorResponse}
+	malformed := callResult{outcome: api.ErrorResponse}
 	isBundle := len(k.webhooks) > 1
-	if !isBundle && deliveredLine.Match(head) { // whatever becomes of the rest: a retry would be a second copy
-		unreadable.outcome = api.Delivered
+	if !isBundle && deliveredLine.Match(head) { // whatever the rest is: a retry would be a duplicate
+		malformed.outcome = api.Delivered
 	}
 	if err != nil || !hasOneLength(head) {
-		return unreadable
+		return malformed
 	}
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
 	if err := response.ReadLimitBody(connection.reader, maxAnswer); err != nil {
-		return unreadable
+		return malformed
 	}
 	result, ok := parseAnswer(response, k.webhooks)
 	if !ok {
-		return unreadable
+		return malformed
 	}
 	quiet, ended := socket.Inspect(connection.Conn)
 	surplus := connection.reader.Buffered() > 0 || !quiet && !ended
 	result.reusable = !response.ConnectionClose() && quiet && !surplus
 	if surplus && result.perWebhook == nil && result.outcome != api.Delivered {
-		result.outcome = api.ErrorResponse // its length may be wrong: nobody knows what it was
+		result.outcome = api.ErrorResponse // its length may be wrong: the outcome is unknown
 		result.final = false
 	}
 	return result
@@ -87,7 +87,8 @@
 	return n <= 1
 }
 
-// parseAnswer maps an answer to outcomes; ok: it can be read. What is not in the protocol's table may have run.
+// parseAnswer maps an answer to outcomes; ok: it is well-formed. With an answer that the protocol doesn't define the
+// webhooks may have run.
 func parseAnswer(response *fasthttp.Response, webhooks []*inflight.Webhook) (result callResult, ok bool) {
 	isBundle := len(webhooks) > 1
 	result = callResult{
@@ -116,7 +117,7 @@
 		result.outcome = api.NotSent
 		result.final = true
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		if isBundle { // it could not be read, or was too large: none has run
+		if isBundle { // the bundle could not be read, or was too large: none has run
 			result.outcome = api.NotSent
 		}
 	}
@@ -150,7 +151,7 @@
 	return results, len(results) == len(webhooks)
 }
 
-// parseRetryAfter reads a wait in whole or decimal seconds and rounds it up. What can't be read is no wait.
+// parseRetryAfter reads a delay in integer or decimal seconds and rounds it up. A malformed one is ignored.
 func parseRetryAfter(text string) api.Micros {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0) {
--- a/webhook/dispatcher/wal/log_test.go
+++ b/webhook/dispatcher/wal/log_test.go
@@ -31,16 +31,16 @@
 func TestAttemptsAndTheFirstThatMayHaveRunSurviveTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Accept(7, []byte("taken")))
+	require.NoError(t, l.Accept(7, []byte("accepted")))
 	l.SetEventType(7, "status")
 	l.RecordCall(7, 100, 0) // refused: it never ran
 	l.RecordNeverRan(7)
-	l.RecordCall(7, 200, 1) // errored: it may have
-	l.RecordCall(7, 300, 0) // refused again, which proves nothing of the one before
+	l.RecordCall(7, 200, 1) // failed: it may have run
+	l.RecordCall(7, 300, 0) // refused again, which proves nothing about the one before
 	l.RecordNeverRan(7)
 	require.NoError(t, l.Commit())
 	for range 2 { // read from the records, then from the compacted file
-		want := Entry{ID: 7, Payload: []byte("taken"), EventType: "status", Attempts: 3, MayHaveRunAt: 200, Zone: 1}
+		want := Entry{ID: 7, Payload: []byte("accepted"), EventType: "status", Attempts: 3, MayHaveRunAt: 200, Zone: 1}
 		assert.Equal(t, []*Entry{&want}, entries(t, dir))
 	}
 }
@@ -61,7 +61,7 @@
 func TestTornTailIsDroppedAndOverwritten(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Accept(1, []byte("whole")))
+	require.NoError(t, l.Accept(1, []byte("complete")))
 	require.NoError(t, l.Commit())
 	require.NoError(t, l.Accept(2, []byte("torn")))
 	require.NoError(t, l.Commit())
@@ -76,18 +76,18 @@
 func TestKillDuringCompactionKeepsTheOldFile(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Accept(1, []byte("held")))
+	require.NoError(t, l.Accept(1, []byte("pending")))
 	require.NoError(t, l.Commit())
-	require.NoError(t, os.WriteFile(l.path(compactedFile), []byte("half of it"), 0o600))
+	require.NoError(t, os.WriteFile(l.path(compactedFile), []byte("incomplete"), 0o600))
 	assert.Len(t, entries(t, dir), 1)
 }
 
 func TestFileIsCompactedBeforeItIsTooLargeAndKeepsLiveEntries(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Accept(1, []byte("held all along")))
-	require.NoError(t, l.Accept(2, []byte("ends with a notice")))
-	l.Finish(2, []byte("owed"))
+	require.NoError(t, l.Accept(1, []byte("pending")))
+	require.NoError(t, l.Accept(2, []byte("finished with a callback")))
+	l.Finish(2, []byte("callback"))
 	body := []byte(strings.Repeat("x", 2000))
 	for id := api.WebhookID(3); id < 300; id++ {
 		require.NoError(t, l.Accept(id, body))
@@ -96,44 +96,44 @@
 		require.NoError(t, l.Commit())
 		require.LessOrEqual(t, l.size+l.liveSize, 100_000)
 	}
-	left := entries(t, dir)
-	require.Len(t, left, 2)
-	assert.Equal(t, "held all along", string(left[0].Payload))
-	assert.Equal(t, "owed", string(left[1].Callback))
+	recovered := entries(t, dir)
+	require.Len(t, recovered, 2)
+	assert.Equal(t, "pending", string(recovered[0].Payload))
+	assert.Equal(t, "callback", string(recovered[1].Callback))
 }
 
 func TestFailedCommitIsWrittenNextTime(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Accept(1, []byte("held")))
+	require.NoError(t, l.Accept(1, []byte("pending")))
 	require.NoError(t, l.Commit())
-	require.NoError(t, l.file.Close()) // the disk refuses
-	require.NoError(t, l.Accept(2, []byte("refused")))
-	l.Finish(1, []byte("owed"))
+	require.NoError(t, l.file.Close()) // the next write fails
+	require.NoError(t, l.Accept(2, []byte("not written")))
+	l.Finish(1, []byte("callback"))
 	require.Error(t, l.Commit())
 	l.Undo(2)
 	require.NoError(t, l.Commit())
-	left := entries(t, dir)
-	require.Len(t, left, 1)
-	assert.Equal(t, "owed", string(left[0].Callback))
+	recovered := entries(t, dir)
+	require.Len(t, recovered, 1)
+	assert.Equal(t, "callback", string(recovered[0].Callback))
 }
 
-func TestHalfWrittenRecordIsNotRecoveredAfterAKill(t *testing.T) {
+func TestPartlyWrittenRecordIsNotRecoveredAfterAKill(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Accept(1, []byte("held")))
+	require.NoError(t, l.Accept(1, []byte("pending")))
 	require.NoError(t, l.Commit())
-	var was unix.Rlimit
-	require.NoError(t, unix.Getrlimit(unix.RLIMIT_FSIZE, &was))
-	defer func() { assert.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &was)) }()
-	// Room for the next record, and for a part of the one behind it.
-	require.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(l.size) + 60, Max: was.Max}))
-	require.NoError(t, l.Accept(2, []byte("refused")))
+	var limit unix.Rlimit
+	require.NoError(t, unix.Getrlimit(unix.RLIMIT_FSIZE, &limit))
+	defer func() { assert.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &limit)) }()
+	// Space for the next record, and for a part of the one after it.
+	require.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(l.size) + 60, Max: limit.Max}))
+	require.NoError(t, l.Accept(2, []byte("not written")))
 	require.NoError(t, l.Accept(3, make([]byte, 200)))
 	require.Error(t, l.Commit())
-	left := entries(t, dir)
-	require.Len(t, left, 1)
-	assert.Equal(t, "held", string(left[0].Payload))
+	recovered := entries(t, dir)
+	require.Len(t, recovered, 1)
+	assert.Equal(t, "pending", string(recovered[0].Payload))
 }
 
 // storedByEarlierRelease is a file as the releases up to 2026-12-02 wrote it.
--- a/webhook/policy/constants.go
+++ b/webhook/policy/constants.go
@@ -2,7 +2,7 @@
 
 import "rowanlink/internal/backoff"
 
-// Tuned values. docs/design.md says what each trades and how flat the result is around it.
+// Tuned values. docs/design.md has the trade-off of each, and how sensitive the results are to it.
 
 // Backoff and time-outs.
 const (
--- a/webhook/policy/health.go
+++ b/webhook/policy/health.go
@@ -25,15 +25,15 @@
 	}
 }
 
-// startSlowStart gives a route the rate of a recovering destination. The first call comes at random, not by the clock.
+// startSlowStart gives a route the rate of a recovering destination. The time of the first call is random.
 func (p *Policy) startSlowStart(r *route) {
 	r.slowStartSince = p.now
 	r.tokens = p.random.Float64()
 	r.tokensAt = p.now
 }
 
-// markUnhealthy closes a route to everything but canaries. It covers whatever makes calls fail in a row: destinations
-// that have crashed, are closed, hang or fail. It could do harm where failures cluster at random; a canary's success ends
+// markUnhealthy closes a route to everything but canaries. It covers all causes of failures in a row: destinations
+// that have crashed, are out of service, hang or fail. It could do harm where failures cluster at random; a canary's success ends
 // it.
 func (p *Policy) markUnhealthy(r *route) {
 	r.window = 1
@@ -53,7 +53,7 @@
 		r.slowStartSince = p.now
 		r.tokens = 0
 		r.failureRate = min(r.failureRate, unhealthyFailureRate/2)
-		r.rate = max(r.rate, r.listedRate) // rejections during the outage said nothing of its limit
+		r.rate = max(r.rate, r.listedRate) // rejections during the outage weren't caused by its limit
 		p.log("endpoint %d: destination in slow start", r.logName)
 	}
 	if r.slowStartSince != never && p.now-r.slowStartSince > p.settings.SlowStartDuration {
--- a/webhook/policy/outcome.go
+++ b/webhook/policy/outcome.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// classify takes a connect that failed at once for a connection limit where the two can't be told apart: an endpoint that
-// doesn't answer takes the whole time-out. One that has crashed refuses as quickly; it is found as one that limits
-// connections for long.
+// classify takes a quick connect failure for a connection limit where the host doesn't distinguish them: connecting to an
+// endpoint that doesn't answer takes the complete time-out. One that has crashed refuses as quickly; it is recognized by
+// how long it refuses connections.
 func (p *Policy) classify(result api.AttemptResult) api.Outcome {
 	ambiguous := result.Outcome == api.ConnectFailed && !p.settings.ConnectionLimitsReported
 	if ambiguous && p.failedQuickly(result) {
--- a/webhook/policy/policy.go
+++ b/webhook/policy/policy.go
@@ -6,8 +6,8 @@
 // api.Host. Instances share nothing.
 //
 // A webhook passes a chain of stages - ordering, backoff, concurrency, endpoint selection, send - each of which lets it
-// proceed or has it wait for a later turn. Results of attempts run back through them (outcome.go). Whatever a webhook
-// waits for, its deadline ends it (expiry.go). docs/design.md says what the design asks for and where this departs.
+// proceed or has it wait for a later turn. Results of attempts update the state that the stages decide by (outcome.go). Whatever a webhook
+// waits for, its deadline ends it (expiry.go). docs/design.md has the requirements and where the policy deviates from them.
 package policy
 
 import (
@@ -122,7 +122,7 @@
 	p.host.SetTimer(max(p.timerArmedAt-p.now, 1), timerQueue)
 }
 
-// TimerFired does the periodic work, or notes that the timer queue is due: EndTurn looks at it.
+// TimerFired does the periodic work, or records that the timer queue is due: EndTurn handles it.
 func (p *Policy) TimerFired(timer api.TimerID) {
 	p.now = p.host.Now()
 	if timer == timerQueue {
--- a/webhook/policy/submission.go
+++ b/webhook/policy/submission.go
@@ -12,7 +12,7 @@
 }
 
 // Recover accepts a webhook with the attempts that were made before. A call that was in flight has no outcome any more:
-// like a connection reset it is followed by the schedule's backoff, or the end.
+// like a connection reset it is followed by a backoff, or the webhook is given up.
 func (p *Policy) Recover(submitted api.Webhook, prior api.PriorAttempts) {
 	p.now = p.host.Now()
 	eventType := &p.eventTypes[min(int(submitted.EventType), len(p.eventTypes)-1)]
@@ -53,7 +53,8 @@
 	p.sequences[w.orderingKey] = s
 }
 
-// exceedsQuota meters a tenant's webhooks: those beyond its quota have little value, whatever is done with them.
+// exceedsQuota counts a webhook against its tenant's quota, and reports whether it is beyond it: such webhooks have little
+// value, whenever they are delivered.
 func (p *Policy) exceedsQuota(id api.TenantID) bool {
 	if int(id) >= len(p.quotas) {
 		return false
--- a/webhook/policy/types.go
+++ b/webhook/policy/types.go
@@ -21,7 +21,7 @@
 type stageResult bool
 
 const (
-	proceed stageResult = true  // the next stage looks at it
+	proceed stageResult = true  // the next stage checks it
 	wait    stageResult = false // it stays in its queue until a later turn
 )
 
@@ -40,7 +40,7 @@
 	turnNumber int
 	webhooks   map[api.WebhookID]*webhook
 	unanswered int // webhooks without a final answer
-	// grandfathered is how many webhooks were held when the settings changed: a smaller buffer doesn't shed these.
+	// grandfathered is how many webhooks were pending when the settings changed: a smaller buffer doesn't shed these.
 	grandfathered    int
 	inFlight         int // calls in flight
 	canariesInFlight int // of them, to unhealthy routes
@@ -135,7 +135,7 @@
 	rateDecreasedAt  api.Micros
 	usedFallbackRate bool    // the last call was let out by the fallback rate
 	reportedHeadroom float64 // of the limit that was left, by the last report
-	rateReported     bool    // listedRate comes from reports
+	rateReported     bool    // listedRate is from reports
 
 	wakeUpAt              api.Micros // a wake-up is requested for then
 	lastOutcomeAt         api.Micros // or the first send after it was idle
@@ -160,7 +160,7 @@
 type destination struct {
 	id          api.DestinationID
 	kind        *destinationKind
-	sharedRoute *route      // nil until its first webhook comes
+	sharedRoute *route      // nil until its first webhook
 	endpoints   []*endpoint // listed ones, ranked
 	queue       []*webhook  // waiting webhooks
 	hasDequeued bool        // some of the queue wait no longer
--- a/webhook/refresh/scheduler.go
+++ b/webhook/refresh/scheduler.go
@@ -1,5 +1,5 @@
 // Package refresh decides when a dispatcher requests the endpoint list from discovery, how long a request or a watch may
-// be silent, and how long a new process holds its calls back for its first list. It does no I/O and has no clock.
+// be silent, and how long a new process delays its calls for its first list. It does no I/O and has no clock.
 //
 // One dispatcher that polls four times a second is harmless. Where discovery serves fewer requests than all dispatchers
 // send, the requests themselves keep it from serving any: a refused one costs it, too. An agent on the dispatcher's own
@@ -19,7 +19,7 @@
 const (
 	idleTimeoutPeriods     = 1.2   // a watch that is silent for so long is broken: its line is late by a fifth
 	responseTimeoutPeriods = 1.1   // a busy discovery that queues a request for a whole period still serves it
-	connectTimeoutPeriods  = 0.5   // for the connection to come up
+	connectTimeoutPeriods  = 0.5   // for the connection to be established
 	maxJitterPeriods       = 0.125 // longest delay after a time-out, which itself spread the dispatchers
 
 	pushedTimeoutPeriods    = 0.125  // an agent answers at once: after so long it is unresponsive
@@ -50,28 +50,28 @@
 const (
 	Started        Reason = iota // the process has requested nothing yet
 	AddressChanged               // discovery is at another address
-	TimedOut                     // nothing came in time: a connection, a response, a watch's line
+	TimedOut                     // nothing arrived in time: a connection, a response, a watch's line
 	Closed                       // refused, reset or closed
 	Malformed                    // a list that can't be read
 )
 
-// Request says when a request begins and what it may take.
+// Request says when a request begins and which time-outs it has.
 type Request struct {
 	Delay           api.Micros // from now on
 	ConnectTimeout  api.Micros
 	ResponseTimeout api.Micros // for the response header, from the beginning of the request, connecting included
-	IdleTimeout     api.Micros // between two signs of life of the watch
+	IdleTimeout     api.Micros // between two reads of the watch that return data
 }
 
 // Scheduler schedules the requests of one dispatcher. It is not safe for concurrent use.
 type Scheduler struct {
 	period api.Micros
 	random *mwcrand.Source
-	// In a row: requests that were refused or closed, time-outs, watches that brought a list that can't be read.
+	// In a row: requests that were refused or closed, time-outs, watches that sent a malformed list.
 	failures, timeouts, malformed int
 }
 
-// New returns a Scheduler that draws by a dispatcher's seed; linePeriod is how often a watch writes a line.
+// New returns a Scheduler with a dispatcher's random seed; linePeriod is the time between two lines of a watch.
 func New(seed uint64, linePeriod api.Micros) *Scheduler {
 	return &Scheduler{period: cmp.Or(linePeriod, api.Second), random: mwcrand.New(seed)}
 }
--- a/webhook/simadapter/protocol.go
+++ b/webhook/simadapter/protocol.go
@@ -43,7 +43,7 @@
 	listFailed   = 3 // the request failed: there is no list
 )
 
-// Sizes, in bytes where nothing else is said.
+// Sizes, in bytes unless stated otherwise.
 const (
 	headerLen       = 16
 	replyHeaderLen  = 12
