--- a/serving/agent/proxymonitor_test.go
+++ b/serving/agent/proxymonitor_test.go
@@ -57,7 +57,7 @@
 	assert.True(t, p.isAlive(timeAfter(time.Second)))
 	p.pollOpened(timeAfter(time.Second), newPollRequest(1, state.MemberLeaving))
 	p.pollClosed(timeAfter(2*time.Second), 1, false)
-	assert.True(t, p.isAlive(timeAfter(2*time.Second)), "answered: the next poll will follow")
+	assert.True(t, p.isAlive(timeAfter(2*time.Second)), "the last poll got a response: the next one will follow")
 	p.pollOpened(timeAfter(2*time.Second), newPollRequest(1, state.MemberLeaving))
 	p.pollClosed(timeAfter(3*time.Second), 1, true)
 	assert.False(t, p.isAlive(timeAfter(3*time.Second)))
--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -63,7 +63,7 @@
 	return p.sendRate * math.Exp(-float64(now.Sub(p.lastSent))/float64(rateWindow))
 }
 
-// recordSent notes that all deliveries are being sent.
+// recordSent records that all deliveries are being sent.
 func (p *pending) recordSent(now time.Time) {
 	p.sendRate = p.rateAt(now) + 1
 	p.lastSent = now
@@ -71,7 +71,7 @@
 	p.deliveries = map[entryID]*delivery{}
 }
 
-// schedule returns the delivery of an entry, and makes it and its due time where there is none yet.
+// schedule returns the delivery of an entry, and creates it and its due time where there is none yet.
 func (p *pending) schedule(now time.Time, id entryID) *delivery {
 	planned, ok := p.deliveries[id]
 	if !ok {
--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -36,8 +36,8 @@
 	ranking      peerRanking
 	regionPeers  int                  // number of peers in the local region
 	changes      uint64               // number of entries stored, without ephemeral ones
-	avoidedUntil map[string]time.Time // by peer that did not answer
-	suspectZones map[string]time.Time // by zone of which no peer has answered since one didn't: when that was
+	avoidedUntil map[string]time.Time // by peer that did not respond
+	suspectZones map[string]time.Time // by zone of which no peer has responded since one timed out: when that was
 	pending      pending
 	requested    map[entryID]outstandingRequest
 	repairs      pendingRepair
--- a/serving/gossip/engine_test.go
+++ b/serving/gossip/engine_test.go
@@ -72,7 +72,7 @@
 	e.Receive(startTime, Message{From: "m3", Entries: []Entry{endpointEntry("k", 1)}})
 	for _, envelope := range e.TakeOutgoing(startTime.Add(coalesceDelay)) {
 		assert.Equal(t, "z", envelope.To.Region)
-		assert.NotEqual(t, "m3", envelope.To.Name, "not back to its sender")
+		assert.NotEqual(t, "m3", envelope.To.Name, "not returned to its sender")
 	}
 }
 
@@ -114,7 +114,7 @@
 	other := newTestEngine(9)
 	wanted := other.RequestMissing(startTime, offered.Offers)
 	assert.Equal(t, offered.Offers, wanted)
-	assert.Empty(t, other.RequestMissing(startTime, offered.Offers), "it is on its way already")
+	assert.Empty(t, other.RequestMissing(startTime, offered.Offers), "it is in flight already")
 	assert.Equal(t, wanted, other.RequestMissing(startTime.Add(requestTimeout), offered.Offers), "it was lost")
 	other.Receive(startTime, Message{From: "m1", Entries: e.CollectEntries(wanted)})
 	assert.Empty(t, other.RequestMissing(startTime.Add(time.Second), offered.Offers))
--- a/serving/gossip/expiry.go
+++ b/serving/gossip/expiry.go
@@ -6,9 +6,9 @@
 const (
 	// TombstoneRetention is how long a tombstone is stored and repaired.
 	TombstoneRetention = 60 * time.Second
-	// ephemeralLifetime is how long an entry of an ephemeral table is stored unless a newer one comes.
+	// ephemeralLifetime is how long an entry of an ephemeral table is stored unless a newer one arrives.
 	ephemeralLifetime = 10 * time.Second
-	// expiredRetention is how long expired entries are remembered, so that they are not stored again. maxExpiredEntries
+	// expiredRetention is how long expired entries are retained, so that they are not stored again. maxExpiredEntries
 	// bounds their number.
 	expiredRetention  = 20 * time.Minute
 	maxExpiredEntries = 4096
@@ -22,7 +22,7 @@
 	expiredAt time.Time
 }
 
-// expiredEntries remembers expired entries, so that a member that has missed a tombstone can't bring the key back.
+// expiredEntries retains expired entries, so that a member that has missed a tombstone can't bring the key back.
 type expiredEntries struct {
 	byID map[entryID]expiredEntry
 }
@@ -35,7 +35,7 @@
 	return ok && !expired.entry.Version.Less(version)
 }
 
-// add remembers an expired entry.
+// add adds an expired entry.
 func (x *expiredEntries) add(now time.Time, entry Entry) {
 	if len(x.byID) >= maxExpiredEntries {
 		x.removeOldest()
@@ -55,7 +55,7 @@
 	delete(x.byID, oldestID)
 }
 
-// sweep removes what has been remembered for expiredRetention.
+// sweep removes the entries that have been retained for expiredRetention.
 func (x *expiredEntries) sweep(now time.Time) {
 	for id, expired := range x.byID {
 		if now.Sub(expired.expiredAt) >= expiredRetention {
@@ -64,14 +64,14 @@
 	}
 }
 
-// Forget removes an entry and remembers it as expired, so that only a newer one is accepted from other members.
+// Forget removes an entry and retains it as expired, so that only a newer one is accepted from other members.
 func (e *Engine) Forget(now time.Time, table TableID, key string) {
 	if removed, ok := e.tables[table].remove(key); ok {
 		e.expired.add(now, removed.entry)
 	}
 }
 
-// ExpiredVersion returns the version with which a key left its table, as long as that is remembered.
+// ExpiredVersion returns the version with which a key left its table, as long as that is retained.
 func (e *Engine) ExpiredVersion(table TableID, key string) (Version, bool) {
 	expired, ok := e.expired.byID[entryID{table: table, key: key}]
 	return expired.entry.Version, ok
--- a/serving/gossip/repair_test.go
+++ b/serving/gossip/repair_test.go
@@ -16,7 +16,7 @@
 	e.RecordDifference(recorded, "m1", []TableID{TableEndpoints})
 	assert.Equal(t, recorded.Add(settleDelay), e.NextRepairTime())
 	_, due = e.TakeDueRepair(recorded)
-	assert.False(t, due, "it may be on its way")
+	assert.False(t, due, "it may be in transit")
 	found, due := e.TakeDueRepair(recorded.Add(settleDelay))
 	require.True(t, due)
 	assert.Equal(t, "m1", found.Peer.Name)
--- a/serving/httpserver/drain_test.go
+++ b/serving/httpserver/drain_test.go
@@ -37,7 +37,7 @@
 			fresh := r.dial()
 			fresh.send(rawGet("/once/x"))
 			answer := fresh.receive()
-			assert.Equal(t, 200, answer.StatusCode, "clients learn only by and by")
+			assert.Equal(t, 200, answer.StatusCode, "clients switch to other proxies only gradually")
 			assert.True(t, answer.Close)
 		case 2:
 			refused.send(rawGet("/once/x"))
@@ -53,7 +53,7 @@
 		return true
 	}
 	r.server.Drain(t.Context(), time.Minute)
-	require.GreaterOrEqual(t, len(pauses), 3, "an answer was under way")
+	require.GreaterOrEqual(t, len(pauses), 3, "a response was in flight")
 	assert.Equal(t, []time.Duration{plan.serve, plan.reject, drainPollInterval}, pauses[:3])
 }
 
--- a/serving/httpserver/helpers_test.go
+++ b/serving/httpserver/helpers_test.go
@@ -160,7 +160,7 @@
 	complete bool // the end of the body was received
 }
 
-// do sends a request and reads the response as far as it goes.
+// do sends a request and reads the response up to its end or failure.
 func (r *testProxy) do(request *http.Request) clientResponse {
 	response, err := r.client.Do(request)
 	if err != nil {
--- a/serving/httpserver/server_test.go
+++ b/serving/httpserver/server_test.go
@@ -216,7 +216,7 @@
 	first.receive()
 	second := r.dial()
 	second.send(rawGet("/once/x"))
-	assert.True(t, second.receive().Close, "so many that some are given back")
+	assert.True(t, second.receive().Close, "near the limit, connections are closed after their response")
 	_, err := second.reader.ReadByte()
 	assert.Equal(t, io.EOF, err)
 }
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -184,7 +184,7 @@
 	complete bool // it doesn't break off
 }
 
-// script returns the endpoint's script. It must not draw random values: it runs on another goroutine.
+// script returns the endpoint's script. It must not generate random values: it runs on another goroutine.
 func (f brokenStream) script(total int) func(*scriptedendpoint.Conn) {
 	return func(p *scriptedendpoint.Conn) {
 		request := p.ReadRequest()
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -52,7 +52,7 @@
 	assert.Equal(t, written, rewritten)
 }
 
-// handleDecoded decodes a message of the type and, where that works, lets the node answer it.
+// handleDecoded decodes a message of the type and, where that works, lets the node respond to it.
 func handleDecoded[Message any](t *testing.T, data []byte, answer func(*Message)) {
 	var message Message
 	if cbor.Unmarshal(data, &message) != nil {
@@ -90,7 +90,7 @@
 	n.acquireRole(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
 }
 
-// FuzzMessages checks that the node answers and still works, whatever a member sends.
+// FuzzMessages checks that the node responds and continues to work, whatever a member sends.
 func FuzzMessages(f *testing.F) {
 	entry, err := memberEntry(newFuzzMember("e", "z2"))
 	require.NoError(f, err)
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -36,7 +36,7 @@
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newSimulation(t, seed, size, threeZones)
 		s.startAll()
-		took := s.runUntil(time.Second, "the members meet", s.hasConverged)
+		took := s.runUntil(time.Second, "the members join", s.hasConverged)
 		t.Log("met after", took)
 	})
 }
@@ -82,7 +82,7 @@
 				took := s.runUntil(time.Second, "the record is relayed round the partition", s.hasRevisionEverywhere(revision))
 				t.Log(partition, "relayed after", took)
 				s.run(time.Second)
-				assert.True(t, s.hasConverged(), "nobody is down")
+				assert.True(t, s.hasConverged(), "no member is down")
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 				s.start(n)
 			}
 		}
-		took = s.runUntil(2*time.Second, "all are back", s.hasConverged)
+		took = s.runUntil(2*time.Second, "all have rejoined", s.hasConverged)
 		t.Log("back after", took)
 	})
 }
@@ -175,7 +175,7 @@
 			return true
 		})
 		s.blocked = func(_, _ *simNode) bool { return false }
-		s.runUntil(3*time.Second, "it comes back", s.hasConverged)
+		s.runUntil(3*time.Second, "it rejoins", s.hasConverged)
 	})
 }
 
@@ -186,11 +186,11 @@
 		s.freeze(frozen, 4*time.Second)
 		s.runUntil(3*time.Second, "it is down", func() bool { return !isSeenLive(s.nodes[0], frozen) })
 		s.run(frozen.frozenUntil.Sub(s.now))
-		took := s.runUntil(3*time.Second, "it is back", s.hasConverged)
+		took := s.runUntil(3*time.Second, "it has rejoined", s.hasConverged)
 		t.Log("back after", took)
 		for range 40 {
 			s.run(50 * time.Millisecond)
-			assert.True(t, s.hasConverged(), "it suspects nobody after its pause")
+			assert.True(t, s.hasConverged(), "it suspects no member after its suspension")
 		}
 	})
 }
@@ -203,7 +203,7 @@
 		}
 		s.run(500 * time.Millisecond)
 		s.startAll()
-		took := s.runUntil(time.Second, "all meet again", s.hasConverged)
+		took := s.runUntil(time.Second, "all rejoin", s.hasConverged)
 		t.Log("met after", took)
 	})
 }
--- a/serving/member/replication_test.go
+++ b/serving/member/replication_test.go
@@ -21,7 +21,7 @@
 	"rowanlink/serving/state"
 )
 
-// fault is how a fake member answers a push.
+// fault is how a fake member responds to a push.
 type fault int
 
 const (
@@ -30,7 +30,7 @@
 	hangs
 )
 
-// fakeMembers are members that answer pushes alone, and a service that knows them.
+// fakeMembers are members that respond to pushes alone, and a service that knows them.
 type fakeMembers struct{ service *Service }
 
 // newFakeMembers starts a service that knows one core member for each fault, in random order.
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -172,7 +172,7 @@
 	n.powered = false
 }
 
-// freeze pauses a machine; an earlier pause that lasts longer goes on.
+// freeze suspends a machine; an earlier suspension that lasts longer stays in effect.
 func (s *simulation) freeze(n *simNode, span time.Duration) {
 	if until := s.now.Add(span); until.After(n.frozenUntil) {
 		n.frozenUntil = until
@@ -282,7 +282,7 @@
 func newConvergedSimulation(t reporter, seed uint64, count int, locations []location) *simulation {
 	s := newSimulation(t, seed, count, locations)
 	s.startAll()
-	s.runUntil(5*time.Second, "the members meet", s.hasConverged)
+	s.runUntil(5*time.Second, "the members join", s.hasConverged)
 	s.run(3 * membership.SuspicionTimeout)
 	return s
 }
--- a/serving/membership/lateness_test.go
+++ b/serving/membership/lateness_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestSuspicionTimeout_ExtendsWithLocalLateness checks that a late watcher waits longer by a multiple of its lateness,
-// up to a bound, and soon as long as others once it is in time again.
+// up to a bound, and soon only as long as other watchers once it is in time again.
 func TestSuspicionTimeout_ExtendsWithLocalLateness(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/serving/membership/suspicion_test.go
+++ b/serving/membership/suspicion_test.go
@@ -197,7 +197,7 @@
 	assert.Equal(t, 10, table.CountRecentlyLive(now, state.RoleAgent, 90*time.Second), "still counted for longer windows")
 }
 
-// TestTick_NeverMarksSelfDown checks that a process that others suspect still counts itself as live.
+// TestTick_NeverMarksSelfDown checks that a process that its watchers suspect still counts itself as live.
 func TestTick_NeverMarksSelfDown(t *testing.T) {
 	table := tableOf(membersInZones(10, "a1", "a2", "b1")...)
 	for _, watcher := range table.Watchers("m0") {
--- a/serving/operator/amendment.go
+++ b/serving/operator/amendment.go
@@ -12,7 +12,7 @@
 // Amendment is an operator's request to change named items of the configuration.
 type Amendment struct {
 	baseVersion uint64
-	digest      state.Digest // of the base version and the body; identifies the request when it is sent again
+	digest      state.Digest // of the base version and the body; identifies the request when it is retried
 	amendment   *routing.Amendment
 }
 
--- a/serving/operator/endpoint.go
+++ b/serving/operator/endpoint.go
@@ -73,9 +73,9 @@
 	writeJSON(w, http.StatusOK, emptyBody)
 }
 
-// replicate sends a change to the other members. For an endpoint that takes no new requests it returns once a majority
-// of the voters has stored the change: each dispatcher that isn't partitioned receives it from one of them, and a
-// partitioned member acknowledges nothing. Errors are errcode.NotReplicated.
+// replicate sends a change to the other members. For an endpoint that accepts no new requests it returns once a
+// majority of the voters has stored the change: each dispatcher that isn't partitioned receives it from one of them,
+// and a partitioned member acknowledges nothing. Errors are errcode.NotReplicated.
 func (e *EndpointResource) replicate(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.EndpointAccepting {
 		return e.gossip(endpoint, change)
--- a/serving/operator/evacuation.go
+++ b/serving/operator/evacuation.go
@@ -24,7 +24,8 @@
 func (e *EvacuationResource) End(w http.ResponseWriter, r *http.Request) { e.set(w, r, false) }
 
 // set responds with 200 once the change is committed, 404 for a zone that isn't in the settings, 503 if the outcome is
-// in doubt. The work ends when the caller disconnects: completed later, the change might undo one that followed it.
+// in doubt. The change is abandoned when the caller disconnects: completed later, the change might undo one that
+// followed it.
 func (e *EvacuationResource) set(w http.ResponseWriter, r *http.Request, active bool) {
 	zone := r.PathValue("zone")
 	if _, isKnown := e.regions[zone]; !isKnown {
--- a/serving/operator/forwarder.go
+++ b/serving/operator/forwarder.go
@@ -33,7 +33,7 @@
 type redirect struct {
 	target   string // control address
 	at       time.Time
-	returned bool // the endpoint came back: it can't reach the target
+	returned bool // the endpoint has returned: it can't reach the target
 }
 
 // ForwardTo returns the control address for an endpoint's next heartbeats.
@@ -45,7 +45,7 @@
 	return chosen.ControlAddress
 }
 
-// hasReturned reports whether an endpoint has come back from a redirect to the target, and records the redirect if it
+// hasReturned reports whether an endpoint has returned from a redirect to the target, and records the redirect if it
 // is to be sent there now.
 func (f *Forwarder) hasReturned(id, target string) bool {
 	f.mutex.Lock()
--- a/serving/placement/estimate_test.go
+++ b/serving/placement/estimate_test.go
@@ -20,11 +20,11 @@
 	w.update()
 	second, decision := w.Pick(w.now, request)
 	require.Equal(t, Picked, decision.Kind)
-	assert.NotEqual(t, first.Endpoint.ID, second.Endpoint.ID, "its queue is longer than the prefix is worth")
+	assert.NotEqual(t, first.Endpoint.ID, second.Endpoint.ID, "its queueing delay exceeds the time saved by the cached prefix")
 	w.ReportOutcome(w.now, second.Reservation, attempt.Succeeded)
 	w.now = w.now.Add(loadReportTTL + time.Millisecond)
 	third, _ := w.Pick(w.now, request)
-	assert.Contains(t, []string{first.Endpoint.ID, second.Endpoint.ID}, third.Endpoint.ID, "the report is old")
+	assert.Contains(t, []string{first.Endpoint.ID, second.Endpoint.ID}, third.Endpoint.ID, "the report has expired")
 }
 
 func TestEstimate_GrowsWithPrefillBacklog(t *testing.T) {
--- a/serving/placement/path_costs_test.go
+++ b/serving/placement/path_costs_test.go
@@ -77,7 +77,7 @@
 				}
 			}
 			if unused <= 900 {
-				assert.Equal(r, spent, w.total(0), "kept while fewer tokens than a cache's were used since")
+				assert.Equal(r, spent, w.total(0), "retained while fewer tokens than fill a cache were used since")
 			}
 			assert.LessOrEqual(r, len(w.young)+len(w.old), 20)
 		}
--- a/serving/placement/prefix_affinity_test.go
+++ b/serving/placement/prefix_affinity_test.go
@@ -38,7 +38,7 @@
 	for _, calls := range count {
 		most = max(most, calls)
 	}
-	assert.LessOrEqual(t, most, 20, "one subject alone must not fill one endpoint while others rest")
+	assert.LessOrEqual(t, most, 20, "one prefix alone must not fill one endpoint while others are idle")
 }
 
 func TestPrefixCache_SessionReturnsToItsEndpoint(t *testing.T) {
--- a/serving/placement/short_prefill_test.go
+++ b/serving/placement/short_prefill_test.go
@@ -19,7 +19,7 @@
 		return choice.ShortPrefill
 	}
 	assert.False(t, quick("review", PrefixBlock{"long", 6500}), "all of it is to be read")
-	assert.True(t, quick("review", PrefixBlock{"b", 6000}, PrefixBlock{"other", 500}), "the owner is believed to keep the shared part")
+	assert.True(t, quick("review", PrefixBlock{"b", 6000}, PrefixBlock{"other", 500}), "the owner is expected to have the shared blocks cached")
 	assert.False(t, quick("review", PrefixBlock{"b", 6000}, PrefixBlock{"third", 4000}))
 	assert.False(t, quick("review"), "nothing is known of the prompt")
 }
--- a/serving/placement/simulated_engine_test.go
+++ b/serving/placement/simulated_engine_test.go
@@ -60,7 +60,7 @@
 		r.proxy.ReportProgress(s.time(), r.reservation)
 		wait := s.now - r.sentAt
 		s.firstByteTimes = append(s.firstByteTimes, wait)
-		s.answered++
+		s.served++
 		if wait > r.request.Route.LatencyTarget {
 			s.late++
 		}
--- a/serving/placement/simulated_faults_test.go
+++ b/serving/placement/simulated_faults_test.go
@@ -15,9 +15,9 @@
 	simulatedClientTimeout  = 4 * time.Second        // after which a client abandons a stream without events
 )
 
-// sendToDark simulates a request to an endpoint that has lost power: half of the calls hang on open connections, the
-// others can't connect.
-func (s *simulation) sendToDark(r *simulatedRequest) {
+// sendToFailedEndpoint simulates a request to an endpoint that has lost power: half of the calls hang on open
+// connections, the others can't connect.
+func (s *simulation) sendToFailedEndpoint(r *simulatedRequest) {
 	if s.random.Float64() < 0.5 {
 		s.schedule(simulatedConnectTimeout, func() { s.retry(r, attempt.ConnectFailed) })
 		return
@@ -39,11 +39,11 @@
 	s.pick(r)
 }
 
-// setDark takes a zone's endpoints down or brings them back.
-func (s *simulation) setDark(endpoints []state.Endpoint, zone string, dark bool) {
+// setDown takes a zone's endpoints down or brings them back.
+func (s *simulation) setDown(endpoints []state.Endpoint, zone string, down bool) {
 	for _, info := range endpoints {
 		if info.Zone == zone {
-			s.engines[info.ID].dark = dark
+			s.engines[info.ID].down = down
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	s := newMixedSimulation(t, 2.3)
 	s.run(40 * time.Second)
 	s.report(t)
-	assert.Zero(t, s.refused)
+	assert.Zero(t, s.rejected)
 	assert.Less(t, s.quantile(0.95), time.Second)
 }
 
@@ -60,19 +60,19 @@
 	s := newMixedSimulation(t, 1)
 	s.run(40 * time.Second)
 	s.report(t)
-	assert.Zero(t, s.refused)
-	assert.Less(t, float64(s.late), 0.005*float64(s.answered))
+	assert.Zero(t, s.rejected)
+	assert.Less(t, float64(s.late), 0.005*float64(s.served))
 }
 
 func TestSimulation_ZoneOutageCostsFewRequests(t *testing.T) {
 	s := newMixedSimulation(t, 1)
 	s.run(15 * time.Second)
-	s.setDark(s.endpoints, "e1", true)
+	s.setDown(s.endpoints, "e1", true)
 	s.run(20 * time.Second)
-	s.setDark(s.endpoints, "e1", false)
+	s.setDown(s.endpoints, "e1", false)
 	s.run(40 * time.Second)
 	s.report(t)
-	assert.Less(t, float64(s.lostRequests+s.refused), 0.02*float64(s.answered))
+	assert.Less(t, float64(s.lostRequests+s.rejected), 0.02*float64(s.served))
 }
 
 func TestSimulation_EvacuatedZonesLoadMoves(t *testing.T) {
@@ -83,6 +83,6 @@
 	s.updateRecord(&state.Record{Evacuations: []state.Evacuation{{Zone: "e1"}}})
 	s.run(40 * time.Second)
 	s.report(t)
-	assert.Zero(t, s.refused)
+	assert.Zero(t, s.rejected)
 	assert.Less(t, s.quantile(0.9), time.Second)
 }
--- a/serving/placement/simulation_test.go
+++ b/serving/placement/simulation_test.go
@@ -24,9 +24,9 @@
 	view      Snapshot
 	engines   map[string]*simulatedEngine
 
-	answered         int
+	served           int
 	late             int
-	refused          int
+	rejected         int
 	lostRequests     int
 	firstByteTimes   []time.Duration
 	recomputedTokens int // shared tokens prefilled although another endpoint of the region had prefilled them
@@ -40,7 +40,7 @@
 	prefilling      bool
 	running         int
 	cache           prefixCache
-	dark            bool
+	down            bool
 	slowdown        float64 // factor on all times; 1: none
 	prefilledTokens int
 }
@@ -167,14 +167,14 @@
 	case Wait:
 		s.schedule(decision.Delay, func() { s.pick(r) })
 	case Reject:
-		s.refused++
+		s.rejected++
 	case Picked:
 		r.reservation = choice.Reservation
 		r.endpoint = choice.Endpoint
 		r.engine = s.engines[choice.Endpoint.ID]
 		r.chain = hashBlocks(blockChain{}, r.request.Blocks)
-		if r.engine.dark {
-			s.sendToDark(r)
+		if r.engine.down {
+			s.sendToFailedEndpoint(r)
 			return
 		}
 		s.schedule(r.proxy.pathLatency(choice.Reservation.call.endpoint)/2, func() { r.engine.enqueue(s, r) })
@@ -199,8 +199,10 @@
 func (s *simulation) report(t testing.TB) {
 	least, most := math.MaxInt, 0
 	for _, e := range s.engines {
-		least, most = min(least, e.prefilledTokens), max(most, e.prefilledTokens)
+		least = min(least, e.prefilledTokens)
+		most = max(most, e.prefilledTokens)
 	}
-	t.Logf("%d answered, %d late, %d refused, %d lost, %d far; waits %v %v %v; %d tokens read again; reads %d to %d", s.answered, s.late,
-		s.refused, s.lostRequests, s.remote, s.quantile(0.5), s.quantile(0.95), s.quantile(0.99), s.recomputedTokens, least, most)
+	t.Logf("%d served, %d late, %d rejected, %d lost, %d remote", s.served, s.late, s.rejected, s.lostRequests, s.remote)
+	t.Logf("first bytes after %v %v %v", s.quantile(0.5), s.quantile(0.95), s.quantile(0.99))
+	t.Logf("%d tokens prefilled again; %d to %d by endpoint", s.recomputedTokens, least, most)
 }
--- a/serving/placement/unresponsive_test.go
+++ b/serving/placement/unresponsive_test.go
@@ -13,25 +13,25 @@
 func TestOverdue_StreamWithoutEvents(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 2)...)
 	request := w.request("review", 1)
-	dark, decision := w.Pick(w.now, request)
+	hanging, decision := w.Pick(w.now, request)
 	require.Equal(t, Picked, decision.Kind)
-	w.ReportProgress(w.now.Add(200*time.Millisecond), dark.Reservation)
+	w.ReportProgress(w.now.Add(200*time.Millisecond), hanging.Reservation)
 	chosen := func(after time.Duration) bool {
 		choice, decision := w.Pick(w.now.Add(after), request)
 		require.Equal(t, Picked, decision.Kind)
 		w.ReportOutcome(w.now.Add(after), choice.Reservation, 0)
-		return choice.Endpoint.ID == dark.Endpoint.ID
+		return choice.Endpoint.ID == hanging.Endpoint.ID
 	}
 	for step := range 20 { // events arrive
 		at := time.Duration(250+50*step) * time.Millisecond
-		w.ReportProgress(w.now.Add(at), dark.Reservation)
+		w.ReportProgress(w.now.Add(at), hanging.Reservation)
 		assert.True(t, chosen(at), "the owner of the prompt's blocks")
 	}
-	silence := 1200 * time.Millisecond
-	assert.True(t, chosen(silence+200*time.Millisecond), "others' prompts are read in between")
+	gap := 1200 * time.Millisecond
+	assert.True(t, chosen(gap+200*time.Millisecond), "other prompts are prefilled in between")
 	// the call above succeeded, so it was a sign of activity; there is none after it
-	assert.False(t, chosen(silence+1100*time.Millisecond))
-	w.ReportProgress(w.now.Add(silence+1200*time.Millisecond), dark.Reservation)
-	known := w.endpoints[dark.Endpoint.ID]
-	assert.Zero(t, known.overdue(w.now.Add(silence+1210*time.Millisecond)), "the stream continues")
+	assert.False(t, chosen(gap+1100*time.Millisecond))
+	w.ReportProgress(w.now.Add(gap+1200*time.Millisecond), hanging.Reservation)
+	known := w.endpoints[hanging.Endpoint.ID]
+	assert.Zero(t, known.overdue(w.now.Add(gap+1210*time.Millisecond)), "the stream continues")
 }
--- a/serving/placement/warmup_test.go
+++ b/serving/placement/warmup_test.go
@@ -19,21 +19,21 @@
 
 // warmingEndpoint returns the only endpoint of its service, which warms up for a minute.
 func warmingEndpoint() []state.Endpoint {
-	built := modelEndpoints("e1", 1)
-	built[0].WarmupLeftMillis = 60_000
-	return built
+	endpoints := modelEndpoints("e1", 1)
+	endpoints[0].WarmupLeftMillis = 60_000
+	return endpoints
 }
 
 // maxPerSecond returns the largest number of times within any second.
-func maxPerSecond(times []time.Time) (most int) {
+func maxPerSecond(times []time.Time) (maximum int) {
 	from := 0
 	for to := range times {
 		for times[to].Sub(times[from]) >= time.Second {
 			from++
 		}
-		most = max(most, to-from+1)
+		maximum = max(maximum, to-from+1)
 	}
-	return most
+	return maximum
 }
 
 func TestWarmup_AllProxiesTogetherKeepTheLimit(t *testing.T) {
@@ -57,9 +57,9 @@
 			})
 			return p
 		}
-		placers := make([]*Picker, count)
-		for index := range placers {
-			placers[index] = start(index)
+		pickers := make([]*Picker, count)
+		for index := range pickers {
+			pickers[index] = start(index)
 		}
 		var sent []time.Time
 		w := &pickerFixture{snapshot: Snapshot{Routing: table}}
@@ -67,14 +67,14 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(r, "ms")) * time.Millisecond)
 			index := rapid.IntRange(0, count-1).Draw(r, "proxy")
 			if rapid.IntRange(0, 40).Draw(r, "restart") == 0 {
-				placers[index] = start(index)
+				pickers[index] = start(index)
 			}
-			choice, decision := placers[index].Pick(now, w.request("urgent", 1))
+			choice, decision := pickers[index].Pick(now, w.request("urgent", 1))
 			if decision.Kind != Picked {
 				continue
 			}
 			sent = append(sent, now)
-			placers[index].ReportOutcome(now, choice.Reservation, attempt.Succeeded)
+			pickers[index].ReportOutcome(now, choice.Reservation, attempt.Succeeded)
 		}
 		assert.LessOrEqual(r, float64(maxPerSecond(sent)), warmupLimit)
 	})
@@ -106,34 +106,36 @@
 	_, decision = w.Pick(w.now.Add(warmupWindow), w.request("review", 1))
 	assert.Equal(t, Picked, decision.Kind)
 	_, decision = w.Pick(w.now.Add(warmupWindow), w.request("review", 1))
-	assert.NotEqual(t, Picked, decision.Kind, "one at a time until it must have met them")
+	assert.NotEqual(t, Picked, decision.Kind, "one at a time until it must have discovered the other proxies")
 }
 
 func TestIsWarmingUp(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	e := w.endpoints["e1-0"]
-	cold := func(after time.Duration) bool { return w.isWarmingUp(w.now.Add(after), e) }
-	assert.False(t, cold(0))
+	isWarmingUp := func(after time.Duration) bool { return w.isWarmingUp(w.now.Add(after), e) }
+	assert.False(t, isWarmingUp(0))
 
-	w.snapshot.Endpoints[0].Sequence, w.snapshot.Endpoints[0].WarmupLeftMillis = 2, 3000
+	w.snapshot.Endpoints[0].Sequence = 2
+	w.snapshot.Endpoints[0].WarmupLeftMillis = 3000
 	w.update()
-	assert.True(t, cold(3900*time.Millisecond))
-	assert.False(t, cold(4*time.Second))
-	w.snapshot.Endpoints[0].Sequence, w.snapshot.Endpoints[0].WarmupLeftMillis = 3, 0
+	assert.True(t, isWarmingUp(3900*time.Millisecond))
+	assert.False(t, isWarmingUp(4*time.Second))
+	w.snapshot.Endpoints[0].Sequence = 3
+	w.snapshot.Endpoints[0].WarmupLeftMillis = 0
 	w.update()
-	assert.False(t, cold(0), "its own word ends it")
+	assert.False(t, isWarmingUp(0), "its own report ends it")
 
 	w.snapshot.Record.Evacuations = []state.Evacuation{{Zone: "e1", Active: true}}
 	w.update()
 	w.snapshot.Record.Evacuations = []state.Evacuation{{Zone: "e1"}}
 	w.update()
-	assert.True(t, cold(4400*time.Millisecond), "after its zone's evacuation")
-	assert.False(t, cold(4500*time.Millisecond))
+	assert.True(t, isWarmingUp(4400*time.Millisecond), "after its zone's evacuation")
+	assert.False(t, isWarmingUp(4500*time.Millisecond))
 	w.now = w.now.Add(time.Minute)
 
 	e.health.consecutiveFailures = ejectionThreshold
 	w.applyOutcome(w.now, &call{endpoint: e, sentAt: w.now}, attempt.Succeeded)
-	assert.True(t, cold(0), "it was unreachable and may have restarted")
+	assert.True(t, isWarmingUp(0), "it was unreachable and may have restarted")
 }
 
 func TestIsWarmingUp_EvacuationEndedBeforeStart(t *testing.T) {
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -15,23 +15,23 @@
 func TestWindow_Invariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newFixture(t, "e1", modelEndpoints("e1", 2)...)
-		var out []Reservation
+		var reservations []Reservation
 		for range 300 {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(r, "ms")) * time.Millisecond)
-			if len(out) > 0 && rapid.Bool().Draw(r, "end") {
+			if len(reservations) > 0 && rapid.Bool().Draw(r, "end") {
 				outcome := attempt.Outcome(rapid.IntRange(0, 7).Draw(r, "outcome"))
 				if outcome != attempt.Misdirected {
-					w.ReportOutcome(w.now, out[0], outcome)
-					out = out[1:]
+					w.ReportOutcome(w.now, reservations[0], outcome)
+					reservations = reservations[1:]
 				}
 				continue
 			}
 			choice, decision := w.Pick(w.now, w.request("urgent", rapid.IntRange(0, 9).Draw(r, "subject")))
 			if decision.Kind == Picked {
-				out = append(out, choice.Reservation)
+				reservations = append(reservations, choice.Reservation)
 				e := choice.Reservation.call.endpoint
 				assert.LessOrEqual(r, e.inFlight, e.concurrencyLimit(w.now))
-				assert.False(r, w.now.Before(e.health.backoffUntil), "a reported wait holds every send")
+				assert.False(r, w.now.Before(e.health.backoffUntil), "a backoff delays every call")
 			}
 			for _, e := range w.endpoints {
 				assert.GreaterOrEqual(r, e.window, 1.0)
@@ -47,17 +47,17 @@
 	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	e := w.endpoints["e1-0"]
 	first := e.window
-	var out []Reservation
+	var reservations []Reservation
 	for range 10 {
 		choice, decision := w.Pick(w.now, w.request("review", 1))
 		require.Equal(t, Picked, decision.Kind)
-		out = append(out, choice.Reservation)
+		reservations = append(reservations, choice.Reservation)
 	}
 	w.now = w.now.Add(time.Second)
-	w.ReportOutcome(w.now, out[0], attempt.Succeeded)
-	w.ReportOutcome(w.now, out[0], attempt.Succeeded) // the second report is ignored
+	w.ReportOutcome(w.now, reservations[0], attempt.Succeeded)
+	w.ReportOutcome(w.now, reservations[0], attempt.Succeeded) // the second report is ignored
 	assert.Equal(t, first+1, e.window)
-	for _, reservation := range out[1:] {
+	for _, reservation := range reservations[1:] {
 		w.ReportOutcome(w.now, reservation, attempt.Rejected)
 	}
 	assert.Equal(t, (first+1)/2, e.window)
@@ -84,13 +84,13 @@
 func TestPick_LowerPriorityYields(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	w.endpoints["e1-0"].window = 1
-	out, decision := w.Pick(w.now, w.request("urgent", 1))
+	reservations, decision := w.Pick(w.now, w.request("urgent", 1))
 	require.Equal(t, Picked, decision.Kind)
 	_, decision = w.Pick(w.now, w.request("urgent", 1))
 	require.Equal(t, Wait, decision.Kind)
-	w.ReportOutcome(w.now, out.Reservation, attempt.Succeeded)
+	w.ReportOutcome(w.now, reservations.Reservation, attempt.Succeeded)
 	_, decision = w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Wait, decision.Kind, "a more urgent one waits")
+	assert.Equal(t, Wait, decision.Kind, "a request of higher priority waits")
 	_, decision = w.Pick(w.now, w.request("urgent", 1))
 	assert.Equal(t, Picked, decision.Kind)
 }
@@ -121,7 +121,7 @@
 	assert.Equal(t, Wait, decision.Kind, "one probe at a time")
 	w.ReportOutcome(w.now, probe.Reservation, attempt.Succeeded)
 	assert.False(t, e.health.isEjected())
-	assert.Empty(t, w.TakeObservations(), "a success is not reported: the mark that others see ends by time")
+	assert.Empty(t, w.TakeObservations(), "a success is not reported: the ejection expires by itself")
 }
 
 func TestEjection_MajorityHasShortBackoff(t *testing.T) {
@@ -148,6 +148,6 @@
 	w.ReportOutcome(w.now, choice.Reservation, attempt.AtLimit)
 	assert.Equal(t, window, e.window)
 	assert.Equal(t, health, e.health)
-	assert.Zero(t, e.inFlight, "the place is free again")
+	assert.Zero(t, e.inFlight, "the slot is free again")
 	assert.Empty(t, w.TakeObservations())
 }
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -55,18 +55,18 @@
 
 	table := k.table
 	require.NoError(t, k.apply(&subscription.Response{Record: record(t, 4, 2)}))
-	assert.Same(t, table, k.table, "nothing goes back")
+	assert.Same(t, table, k.table, "the table is never replaced by an older one")
 	assert.EqualValues(t, 5, k.record.Revision)
 	evacuated := record(t, 6, 3)
 	evacuated.Evacuations = []state.Evacuation{{Zone: "z", Active: true}}
 	require.NoError(t, k.apply(&subscription.Response{Record: evacuated}))
-	assert.Same(t, table, k.table, "the same configuration is not read again")
+	assert.Same(t, table, k.table, "the same configuration is not parsed again")
 	assert.True(t, k.snapshot(nil).Record.Evacuated("z"))
 
 	unreadable := &state.Record{Revision: 7, Configuration: configuration(t, 4, "{")}
 	assert.Error(t, k.apply(&subscription.Response{Record: unreadable, Removed: []string{"i-1"}}))
 	assert.Same(t, table, k.table)
-	assert.NotContains(t, k.endpoints, "i-1", "the rest of the answer counts")
+	assert.NotContains(t, k.endpoints, "i-1", "the rest of the response is applied")
 	require.NoError(t, k.apply(&subscription.Response{Record: record(t, 8, 5)}))
 	assert.EqualValues(t, 5, k.table.Version)
 	require.NoError(t, k.apply(&subscription.Response{Complete: true, Endpoints: []state.Endpoint{one}}))
@@ -238,12 +238,12 @@
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State)
 	agent.responses <- &subscription.Response{}
 	<-taken
-	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "it never goes back")
+	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "the state never reverts")
 	stop()
 	<-done
 }
 
-// TestPollDelay: the longer an update takes to apply, the longer the pause, up to a limit.
+// TestPollDelay: the longer an update takes to apply, the longer the delay, up to a limit.
 func TestPollDelay(t *testing.T) {
 	assert.Equal(t, minPollDelay, pollDelay(0))
 	assert.Equal(t, 100*time.Millisecond, pollDelay(2*time.Millisecond))
--- a/serving/settings/load_test.go
+++ b/serving/settings/load_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/errcode"
 )
 
-// TestParse prints the parsed settings, or all that is wrong with the file.
+// TestParse prints the parsed settings, or all errors in the file.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, d *datadriven.TestData) string {
 		process, err := Parse([]byte(d.Input))
--- a/serving/singleton/statespace_test.go
+++ b/serving/singleton/statespace_test.go
@@ -91,7 +91,7 @@
 }
 
 // TestStateSpace explores every order of acquisitions, late and lost claims and restarts: no epoch has two holders,
-// nobody holds the role under an epoch that its own table doesn't admit, and a table's epoch decreases only with a
+// no member holds the role under an epoch that its own table doesn't admit, and a table's epoch decreases only with a
 // restart.
 func TestStateSpace(t *testing.T) {
 	first := &world{}
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -308,5 +308,5 @@
 	for range 500 {
 		d.recordRoundTrip("z", 200*time.Millisecond)
 	}
-	assert.Greater(t, (&Pool{dialer: d}).RoundTrips()["z"], 190*time.Millisecond, "the way has become longer")
+	assert.Greater(t, (&Pool{dialer: d}).RoundTrips()["z"], 190*time.Millisecond, "the path has become longer")
 }
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -73,7 +73,7 @@
 	assert.GreaterOrEqual(t, response.Status, 200)
 	assert.LessOrEqual(t, response.Status, 599)
 	assert.GreaterOrEqual(t, int64(response.idleTimeout), int64(0))
-	assert.LessOrEqual(t, response.idleTimeout, 24*time.Hour, "longer than any process keeps a connection")
+	assert.LessOrEqual(t, response.idleTimeout, 24*time.Hour, "bounded whatever the endpoint announces")
 	if response.Outcome != attempt.Succeeded {
 		return
 	}
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -41,7 +41,7 @@
 	_, failure = pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
 	assert.Equal(t, attempt.AtLimit, failure.Outcome)
-	assert.True(t, failure.Outcome.NeverRan(), "it may go again")
+	assert.True(t, failure.Outcome.NeverRan(), "it may be retried")
 
 	other := newCall(e.Address())
 	other.EndpointID = "i-2"
@@ -50,7 +50,7 @@
 	third := newCall(e.Address())
 	third.EndpointID = "i-3"
 	_, _, failure = doCall(t, pool, third)
-	require.Nil(t, failure, "an idle connection gives way")
+	require.Nil(t, failure, "an idle connection is closed instead")
 	assert.Equal(t, 2, pool.Open())
 	held.Close()
 }
--- a/test/fake/endpoint/components_test.go
+++ b/test/fake/endpoint/components_test.go
@@ -92,7 +92,7 @@
 	assert.InDelta(t, warmupSlowdown, c.slowdown(start), 0)
 	fell := start.Add(100 * time.Millisecond)
 	assert.False(t, c.admitArrival(fell))
-	assert.Equal(t, 3*time.Second, c.remaining(fell), "cold anew")
+	assert.Equal(t, 3*time.Second, c.remaining(fell), "the warm-up restarts")
 	warm := fell.Add(3 * time.Second)
 	assert.True(t, c.admitArrival(warm))
 	assert.InDelta(t, 1, c.slowdown(warm), 0)
--- a/test/fake/endpoint/endpoint_test.go
+++ b/test/fake/endpoint/endpoint_test.go
@@ -123,7 +123,7 @@
 	again := receive(t, wanted.heartbeats)
 	assert.Greater(t, again.Sequence, message.Sequence)
 	wanted.respondWith(func(heartbeat) (int, string) { return http.StatusServiceUnavailable, "" })
-	assert.Greater(t, receive(t, first.heartbeats).Sequence, again.Sequence, "the wish ends with a failure")
+	assert.Greater(t, receive(t, first.heartbeats).Sequence, again.Sequence, "the preference ends with a failure")
 }
 
 func TestShutdown_NeedsAcknowledgement(t *testing.T) {
@@ -135,7 +135,7 @@
 	go func() { result <- e.Shutdown(context.Background()) }()
 	for receive(t, core.heartbeats).State != stateClosing {
 	}
-	assert.Empty(t, result, "an answer that long acknowledges nothing")
+	assert.Empty(t, result, "a response that long acknowledges nothing")
 	core.respondWith(func(heartbeat) (int, string) { return http.StatusOK, "{}" })
 	assert.Equal(t, e.ID, receive(t, core.deregistered))
 	assert.NoError(t, receive(t, result))
@@ -171,7 +171,7 @@
 	}
 	require.True(t, e.slots.acquire(t.Context(), 0, 0))
 	late := post(t, e, "/", headerAttempt, "t", headerTimeLeft, "1")
-	assert.Equal(t, http.StatusServiceUnavailable, late.StatusCode, "the time was over in the queue")
+	assert.Equal(t, http.StatusServiceUnavailable, late.StatusCode, "the deadline passed in the queue")
 	e.slots.release(0)
 	for _, want := range []RequestPhase{Misdirected, Rejected} {
 		assert.Equal(t, want, receive(t, events).Phase)
--- a/test/integration/serving/chaos_test.go
+++ b/test/integration/serving/chaos_test.go
@@ -165,7 +165,7 @@
 	return h.cores[0]
 }
 
-// awaitRecovered waits until a process does its work again.
+// awaitRecovered waits until a process works again.
 func (h *chaosRun) awaitRecovered(n *node) {
 	switch n.program {
 	case programProxy:
--- a/test/integration/serving/control_test.go
+++ b/test/integration/serving/control_test.go
@@ -18,13 +18,13 @@
 )
 
 // These tests are the hardest cases of the control plane: a core that is suspended and resumes, all power lost
-// right after an acknowledgement, and a process that was away through a thousand changes.
+// right after an acknowledgement, and a process that was down during a thousand changes.
 
 const (
 	// operatorTimeout is how long an operator waits for a response, according to the protocol.
 	operatorTimeout = time.Second
-	// standstillReads is how often a core is read that has just resumed.
-	standstillReads = 200
+	// readsAfterResume is the number of reads from a core that has just resumed.
+	readsAfterResume = 200
 )
 
 // operatorRequest is a request of an operator to one core.
@@ -62,37 +62,37 @@
 		body: configurationWith(version, extra...)}
 }
 
-// TestSuspendedCore: a core is suspended in the middle of its work, requests lie unread in its sockets, and the others
-// continue without it. When it resumes, it returns nothing outdated, and executes no request whose operator has given
-// up.
+// TestSuspendedCore: a core is suspended in the middle of its work, requests remain unread in its sockets, and the
+// others continue without it. When it resumes, it returns nothing outdated, and executes no request that has timed out
+// at its operator.
 func TestSuspendedCore(t *testing.T) {
 	c := startCluster(t)
-	still := c.cores[0]
+	suspended := c.cores[0]
 	for round := range 3 {
-		require.NoError(t, still.process.Signal(syscall.SIGSTOP))
+		require.NoError(t, suspended.process.Signal(syscall.SIGSTOP))
 		zone := locations[1].zone
-		lying := []operatorRequest{
+		unread := []operatorRequest{
 			{method: http.MethodPost, path: "/Clearance.Begin/" + zone},
 			replaceRequest(c.version, c.version+5, "given up"),
 			{method: http.MethodGet, path: "/Settings.Read"},
 		}
-		var given sync.WaitGroup
-		for _, each := range lying {
-			given.Go(func() {
-				status, _ := still.call(each)
+		var senders sync.WaitGroup
+		for _, each := range unread {
+			senders.Go(func() {
+				status, _ := suspended.call(each)
 				assert.Zero(t, status, "it is suspended")
 			})
 		}
-		given.Wait()
+		senders.Wait()
 		c.configure(c.version+2, fmt.Sprint("round", round))
 		c.evacuate(zone)
 		c.endEvacuation(zone)
-		c.eventually("the others see it down", func() bool { return !c.knowsMember(c.cores[1], still) })
-		require.NoError(t, still.process.Signal(syscall.SIGCONT))
-		c.assertReadsNewest(still)
-		c.awaitVersion(still)
+		c.eventually("the other members mark it as down", func() bool { return !c.knowsMember(c.cores[1], suspended) })
+		require.NoError(t, suspended.process.Signal(syscall.SIGCONT))
+		c.assertReadsNewest(suspended)
+		c.awaitVersion(suspended)
 		c.eventually("no evacuation is in force", func() bool {
-			report, answered := c.report(still)
+			report, answered := c.report(suspended)
 			return answered && len(report.Evacuated) == 0
 		})
 		for _, n := range c.cores {
@@ -103,23 +103,23 @@
 	}
 }
 
-// assertReadsNewest reads from a core many times: it returns the newest configuration or no response.
+// assertReadsNewest reads from a core many times: each response has the newest configuration.
 func (c *cluster) assertReadsNewest(n *node) {
 	c.t.Helper()
 	newest := fmt.Sprintf(`"edition":%d,`, c.version)
 	answered := 0
-	for range standstillReads {
+	for range readsAfterResume {
 		status, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 		if status == http.StatusOK {
 			answered++
 			assert.Contains(c.t, read, newest)
 		}
 	}
-	c.eventually(n.name+" answers a read", func() bool {
+	c.eventually(n.name+" responds to a read", func() bool {
 		status, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 		return status == http.StatusOK && strings.Contains(read, newest)
 	})
-	c.t.Logf("%d of %d reads answered right after it woke", answered, standstillReads)
+	c.t.Logf("%d of %d reads got a response right after it resumed", answered, readsAfterResume)
 }
 
 func (c *cluster) endEvacuation(zone string) {
@@ -151,8 +151,8 @@
 	c := startCluster(t)
 	for round := range 10 {
 		version := c.version + 1 + uint64(round%3)
-		mark := fmt.Sprint("amended", round)
-		c.raceChanges(version, replaceRequest(c.version, version, "whole"), amendRequest(c.version, version, mark))
+		name := fmt.Sprint("amended", round)
+		c.raceChanges(version, replaceRequest(c.version, version, "whole"), amendRequest(c.version, version, name))
 		var first string
 		for _, n := range c.cores {
 			_, read := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
@@ -162,7 +162,7 @@
 			assert.Equal(t, first, read, n.name)
 		}
 		assert.Contains(t, first, fmt.Sprintf(`"edition":%d,`, version))
-		t.Logf("round %d: the amendment won: %t", round, strings.Contains(first, mark))
+		t.Logf("round %d: the amendment won: %t", round, strings.Contains(first, name))
 	}
 	for _, n := range c.agents {
 		c.awaitVersion(n)
@@ -182,7 +182,7 @@
 	orders := []operatorRequest{one, other}
 	var both sync.WaitGroup
 	acknowledged := make([]int, 2)
-	refused := make([]int, 2)
+	rejected := make([]int, 2)
 	for side := range 2 {
 		both.Go(func() {
 			sent := orders[side]
@@ -191,14 +191,14 @@
 				case http.StatusOK:
 					acknowledged[side]++
 				case http.StatusPreconditionFailed:
-					refused[side]++
+					rejected[side]++
 				}
 			}
 		})
 	}
 	both.Wait()
 	for side := range 2 {
-		assert.False(c.t, acknowledged[side] > 0 && refused[side] > 0, "one change was acknowledged and rejected")
+		assert.False(c.t, acknowledged[side] > 0 && rejected[side] > 0, "one change was acknowledged and rejected")
 	}
 	assert.False(c.t, acknowledged[0] > 0 && acknowledged[1] > 0, "both were acknowledged")
 	require.True(c.t, acknowledged[0]+acknowledged[1] > 0, "none was")
@@ -209,14 +209,14 @@
 // turn, loses its disk.
 func TestPowerLossAfterAcknowledgement(t *testing.T) {
 	c := startCluster(t)
-	for number, loser := range append(c.cores, c.cores...) {
-		mark := fmt.Sprint("power", number)
-		lost := c.replicaOf(loser, loser.address(portMembers))
-		c.configure(c.version+1, mark)
+	for number, wiped := range append(c.cores, c.cores...) {
+		name := fmt.Sprint("power", number)
+		lost := c.replicaOf(wiped, wiped.address(portMembers))
+		c.configure(c.version+1, name)
 		for _, n := range c.nodes() {
 			n.kill()
 		}
-		loser.wipe()
+		wiped.wipe()
 		for _, n := range c.nodes() {
 			n.start()
 		}
@@ -224,10 +224,10 @@
 		read, err := operator.Configuration(ctx)
 		cancel()
 		require.NoError(t, err)
-		assert.Equal(t, string(configurationWith(c.version, mark)), string(read))
+		assert.Equal(t, string(configurationWith(c.version, name)), string(read))
 		c.eventually("all cores know that it votes under a new ID", func() bool {
 			for _, n := range c.cores {
-				if now := c.replicaOf(n, loser.address(portMembers)); now == "" || now == lost {
+				if now := c.replicaOf(n, wiped.address(portMembers)); now == "" || now == lost {
 					return false
 				}
 			}
@@ -238,15 +238,15 @@
 }
 
 const (
-	// changesWhileAway is more than the history in the record holds.
-	changesWhileAway = 1000
+	// missedChanges is more than the history in the record holds.
+	missedChanges = 1000
 	// largeRoutes is the number of routes of a document of some 60 KB.
 	largeRoutes = 450
 	// maxMemoryKB bounds the resident memory of a process: a machine has 184 MB and more.
 	maxMemoryKB = 150_000
 )
 
-// TestMissedThousandChanges: a core and an agent are away through more changes than the history holds, and return to
+// TestMissedThousandChanges: a core and an agent are down during more changes than the history holds, and restart with
 // the newest one. A change acknowledged first is not rejected. Memory and disk stay bounded.
 func TestMissedThousandChanges(t *testing.T) {
 	c := startCluster(t)
@@ -254,18 +254,18 @@
 	status, _ := c.cores[0].call(first)
 	require.Equal(t, http.StatusOK, status)
 	c.version++
-	away := []*node{c.cores[2], c.agents[2]}
-	for _, n := range away {
+	stopped := []*node{c.cores[2], c.agents[2]}
+	for _, n := range stopped {
 		n.kill()
 	}
 	routes := make([]string, largeRoutes)
 	for number := range routes {
 		routes[number] = fmt.Sprintf("route%d", number)
 	}
-	for range changesWhileAway {
+	for range missedChanges {
 		c.configure(c.version+1, routes...)
 	}
-	for _, n := range away {
+	for _, n := range stopped {
 		n.start()
 		c.awaitVersion(n)
 	}
--- a/test/integration/serving/ledger_test.go
+++ b/test/integration/serving/ledger_test.go
@@ -66,10 +66,10 @@
 }
 
 // finishAttempt records how an attempt ended.
-func (l *requestLedger) finishAttempt(attempt string, how attemptResult, status int) {
+func (l *requestLedger) finishAttempt(attempt string, result attemptResult, status int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.attempts[attempt].result, l.attempts[attempt].status = how, status
+	l.attempts[attempt].result, l.attempts[attempt].status = result, status
 }
 
 // recordEvent records an endpoint's event.
@@ -116,11 +116,11 @@
 }
 
 // countResult returns the number of attempts with a result.
-func (l *requestLedger) countResult(how attemptResult) (n int) {
+func (l *requestLedger) countResult(result attemptResult) (n int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, each := range l.attempts {
-		if each.result == how {
+		if each.result == result {
 			n++
 		}
 	}
--- a/test/integration/serving/planned_test.go
+++ b/test/integration/serving/planned_test.go
@@ -102,14 +102,14 @@
 	agent.kill()
 	offset := proxy.log.Offset()
 	_, found := proxy.log.Await(0, waitTimeout, []string{`"event":510`})
-	assert.True(t, found, "the proxy misses its agent")
+	assert.True(t, found, "the proxy detects the loss of its agent")
 	for _, k := range append(requestKinds, requestKinds...) {
 		assert.Equal(t, served, c.sendAttempt(c.t.Context(), by, k, "/"+k.name+"/x", proxy.address(portClients)))
 	}
 	c.configure(c.version+1, "meanwhile")
 	agent.start()
 	_, found = proxy.log.Await(offset, waitTimeout, []string{`"event":511`})
-	assert.True(t, found, "the proxy finds its agent again")
+	assert.True(t, found, "the proxy reconnects to its agent")
 	c.eventually("the proxy receives the missed configuration", func() bool {
 		_, status := c.sendRequest(c.t.Context(), by, kindStock, "/meanwhile/x", proxy.address(portClients), c.openAttempt(kindStock))
 		return status == 200
--- a/test/integration/serving/traffic_test.go
+++ b/test/integration/serving/traffic_test.go
@@ -96,22 +96,22 @@
 
 // serve sends a request, and retries it as the protocol allows, until it is served or times out.
 func (tr *traffic) serve(ctx context.Context, k requestKind, number int) bool {
-	over := time.Now().Add(clientTimeout)
-	for round := 0; time.Now().Before(over); round++ {
+	deadline := time.Now().Add(clientTimeout)
+	for round := 0; time.Now().Before(deadline); round++ {
 		agent := tr.c.agents[(number+round)%len(tr.c.agents)]
 		addresses := lookup(ctx, agent.address(portDirectory), locations[number%len(locations)])
 		if len(addresses) == 0 {
 			time.Sleep(requestInterval)
 			continue
 		}
-		how := tr.c.sendAttempt(ctx, tr.client, k, "/"+k.name+"/x", addresses[(number+round)%len(addresses)])
+		result := tr.c.sendAttempt(ctx, tr.client, k, "/"+k.name+"/x", addresses[(number+round)%len(addresses)])
 		switch {
-		case how == served:
+		case result == served:
 			return true
-		case how == rejected, how == notConnected, k.idempotent:
+		case result == rejected, result == notConnected, k.idempotent:
 			time.Sleep(requestInterval)
 		default: // it may not be retried; the ledger decides whether it was lost
-			return how == broken
+			return result == broken
 		}
 	}
 	return false
@@ -121,21 +121,21 @@
 func newAttemptID() string { return fmt.Sprintf("t%x", attemptCounter.Add(1)) }
 
 // sendAttempt makes one attempt at a proxy, records it and returns how it ended.
-func (c *cluster) sendAttempt(ctx context.Context, by *http.Client, k requestKind, path, proxy string) attemptResult {
+func (c *cluster) sendAttempt(ctx context.Context, client *http.Client, k requestKind, path, proxy string) attemptResult {
 	attempt := newAttemptID()
 	c.ledger.startAttempt(attempt, k, proxy)
-	how, status := c.sendRequest(ctx, by, k, path, proxy, attempt)
-	c.ledger.finishAttempt(attempt, how, status)
-	return how
+	result, status := c.sendRequest(ctx, client, k, path, proxy, attempt)
+	c.ledger.finishAttempt(attempt, result, status)
+	return result
 }
 
 // sendRequest sends a request and returns how it ended, and the status of the response; zero: there was none.
 func (c *cluster) sendRequest(
-	ctx context.Context, by *http.Client, k requestKind, path, proxy, attempt string,
+	ctx context.Context, client *http.Client, k requestKind, path, proxy, attempt string,
 ) (result attemptResult, status int) {
 	body := "body of " + attempt
 	request := newRequest(ctx, k, path, proxy, attempt, body)
-	response, err := by.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return resultOfError(err), 0
 	}
