--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -1,7 +1,7 @@
 // Package rebalance moves key ranges between the members of the cluster as a plan file states (package planfile). It
 // holds the planner, which chooses each range's member and orders the moves there; the progress of the running plan,
 // which is replicated in the raft log; the scheduler, which says what the coordinator has to do next; and the impact
-// of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/fleet.md, "The plan language",
+// of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/cluster.md, "The plan language",
 // has the reasons.
 package rebalance
 
@@ -89,7 +89,7 @@
 // ranges.
 func NewPlan(f *planfile.File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
-		return nil, fmt.Errorf("%s:1: there is no map of ranges yet", f.Name)
+		return nil, fmt.Errorf("%s:1: there is no shard map yet", f.Name)
 	}
 	splits, after, err := neededSplits(f, m)
 	if err != nil {
