--- a/webhook/dispatcher/eventloop/helpers_test.go
+++ b/webhook/dispatcher/eventloop/helpers_test.go
@@ -120,8 +120,8 @@
 	l.duringTurns(func() { l.runInTurn(l.reevaluate) })
 }
 
-// handOne hands a webhook with so many attempts to a relay, and reports whether it is handed over.
-func (l *testLoop) handOne(id inflight.RequestID, attempts int, at api.Micros) (ok bool) {
+// handOneToRelay hands a webhook with so many attempts to a relay, and reports whether it is handed over.
+func (l *testLoop) handOneToRelay(id inflight.RequestID, attempts int, at api.Micros) (ok bool) {
 	l.duringTurns(func() { ok = l.HandToRelay(map[inflight.RequestID]int{id: attempts}, at) })
 	return ok
 }
--- a/webhook/dispatcher/eventloop/relay_test.go
+++ b/webhook/dispatcher/eventloop/relay_test.go
@@ -16,8 +16,8 @@
 	dir := t.TempDir()
 	loop := startClusterLoop(t, dir, ttl)
 	require.Equal(t, inflight.Accepted, loop.submit(newWebhook("w", ttl)))
-	assert.False(t, loop.handOne("w", 1, 7), "by the sender's number of attempts it was called here meanwhile")
-	require.True(t, loop.handOne("w", 0, 7))
+	assert.False(t, loop.handOneToRelay("w", 1, 7), "by the sender's number of attempts it was called here meanwhile")
+	require.True(t, loop.handOneToRelay("w", 0, 7))
 	loop.allowCalls()
 	require.Len(t, loop.parkedWebhooks(), 1, "it stays parked although its destination may be called from here")
 	assert.EqualValues(t, 7, loop.parkedWebhooks()[0].MayHaveRunAt, "in the log before it is sent")
@@ -44,7 +44,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			loop := startClusterLoop(t, t.TempDir(), 9*api.Second)
 			require.Equal(t, inflight.Accepted, loop.submit(newWebhook("w", 9*api.Second)))
-			loop.handOne("w", 0, inflight.Now())
+			loop.handOneToRelay("w", 0, inflight.Now())
 			loop.duringTurns(func() {
 				loop.TakeBack(map[inflight.RequestID]TakenBack{"w": {NeverReceived: c.neverReceived}})
 			})
@@ -73,7 +73,7 @@
 	const ttl = api.Second / 5
 	loop := startClusterLoop(t, t.TempDir(), ttl)
 	require.Equal(t, inflight.Accepted, loop.submit(newWebhook("w", ttl)))
-	loop.handOne("w", 0, inflight.Now())
+	loop.handOneToRelay("w", 0, inflight.Now())
 	for until := inflight.Now() + api.Second/4; inflight.Now() < until; {
 		loop.turn()
 	}
@@ -83,7 +83,7 @@
 	assert.Empty(t, loop.parkedWebhooks())
 
 	require.Equal(t, inflight.Accepted, loop.submit(newWebhook("v", ttl)))
-	loop.handOne("v", 0, inflight.Now())
+	loop.handOneToRelay("v", 0, inflight.Now())
 	deadLettered := func() bool {
 		loop.turn()
 		return loop.inbox.GivenUp.Load() == 1
