--- a/cluster/fsm/snapshot.go
+++ b/cluster/fsm/snapshot.go
@@ -31,7 +31,11 @@
 		if err != nil {
 			return nil, fmt.Errorf("component %q: %w", id, err)
 		}
-		image.Components = append(image.Components, componentImage{id, m.versions[id], snapshot})
+		image.Components = append(image.Components, componentImage{
+			Component: id,
+			Version:   m.versions[id],
+			Snapshot:  snapshot,
+		})
 	}
 	return encMode.Marshal(image)
 }
--- a/cluster/lease/expiry_tracker.go
+++ b/cluster/lease/expiry_tracker.go
@@ -97,7 +97,7 @@
 		if now >= current.expiresAt {
 			current = sessionExpiry{expiresAt: now + max(t.ttl/4, 1), expired: true}
 			t.sessions[s] = current
-			expired = append(expired, ExpiredSession{s, t.leaderEpoch})
+			expired = append(expired, ExpiredSession{Session: s, LeaderEpoch: t.leaderEpoch})
 		}
 		t.timers.Add(int64(current.expiresAt), s)
 	}
--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -35,7 +35,7 @@
 }
 
 // Encode returns the form that DecodeFence reads.
-func (f *Fence) Encode() []byte { return encode(fenceImage{fenceFormat, f.highest}) }
+func (f *Fence) Encode() []byte { return encode(fenceImage{Format: fenceFormat, Highest: f.highest}) }
 
 // DecodeFence restores the fence of an earlier process. It returns ErrUnreadable if the data is damaged or of a
 // newer format; nothing may be admitted then, and the caller must not begin with an empty fence.
--- a/cluster/lease/holder.go
+++ b/cluster/lease/holder.go
@@ -9,7 +9,7 @@
 // with a new one. Its times are of the member's own clock. Its answers must not be cached: call IsValid or Epoch
 // before an action and again before the action's last byte.
 type Holder struct {
-	usableTTL      api.Micros // the part of a TTL that may be used, by this clock, even if it is slow and the leader's fast
+	usableTTL      api.Micros // the part of a TTL that is safe to use even if this clock is slow and the leader's fast
 	session        cluster.SessionID
 	deadline       api.Micros
 	newestSession  cluster.SessionID // the highest ever confirmed
@@ -45,7 +45,7 @@
 	h.renewalCount++
 	h.lastRenewalAt = now
 	h.renewalPending = true
-	return Renewal{h.renewalCount, now}
+	return Renewal{number: h.renewalCount, startedAt: now}
 }
 
 // ConfirmRenewal records that a raft node has opened or renewed this session. Responses may come late, twice or
--- a/cluster/lease/reconciler.go
+++ b/cluster/lease/reconciler.go
@@ -75,7 +75,7 @@
 func (c *Reconciler) Release(r cluster.Resource) {
 	delete(c.requested, r)
 	if epoch, held := c.holder.Relinquish(r); held {
-		c.releasing[r] = releasedGrant{c.holder.Session(), epoch}
+		c.releasing[r] = releasedGrant{session: c.holder.Session(), epoch: epoch}
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 	// Without this a late result would bring the grant back while its release is on the way.
 	c.holder.Relinquish(g.Resource)
-	c.releasing[g.Resource] = releasedGrant{s, g.Epoch}
+	c.releasing[g.Resource] = releasedGrant{session: s, epoch: g.Epoch}
 }
 
 // HandleReleaseResult processes the outcome of a proposed release. It returns false if it has to be proposed again.
@@ -192,7 +192,7 @@
 		return false
 	}
 	// It was applied, now or by an earlier attempt, or the session has ended and all its leases with it.
-	if c.releasing[p.Release] == (releasedGrant{p.Session, p.Epoch}) {
+	if c.releasing[p.Release] == (releasedGrant{session: p.Session, epoch: p.Epoch}) {
 		delete(c.releasing, p.Release)
 	}
 	return true
--- a/cluster/lease/snapshot.go
+++ b/cluster/lease/snapshot.go
@@ -36,11 +36,19 @@
 	image := tableImage{Format: tableFormat, LastID: t.lastID, LeaderEpoch: t.leaderEpoch}
 	for _, id := range t.Sessions() {
 		owner := t.sessions[id].sessionOwner
-		image.Sessions = append(image.Sessions, sessionImage{id, owner.member, owner.incarnation})
+		image.Sessions = append(image.Sessions, sessionImage{
+			Session:     id,
+			Member:      owner.member,
+			Incarnation: owner.incarnation,
+		})
 	}
 	for _, resource := range slices.Sorted(maps.Keys(t.leases)) {
 		state := t.leases[resource]
-		image.Leases = append(image.Leases, leaseImage{resource, state.epoch, state.session})
+		image.Leases = append(image.Leases, leaseImage{
+			Resource: resource,
+			Epoch:    state.epoch,
+			Session:  state.session,
+		})
 	}
 	return encMode.Marshal(image)
 }
@@ -78,7 +86,7 @@
 
 // restoreSession adds a session of a snapshot and reports whether it is valid and new.
 func (t *Table) restoreSession(s sessionImage) bool {
-	owner := sessionOwner{s.Member, s.Incarnation}
+	owner := sessionOwner{member: s.Member, incarnation: s.Incarnation}
 	if s.Session == 0 || uint64(s.Session) > t.lastID || s.Member == "" {
 		return false
 	}
@@ -100,7 +108,7 @@
 	if holder == nil && l.Session != 0 {
 		return false
 	}
-	t.leases[l.Resource] = leaseState{l.Session, l.Epoch}
+	t.leases[l.Resource] = leaseState{session: l.Session, epoch: l.Epoch}
 	if holder != nil {
 		holder.resources[l.Resource] = struct{}{}
 	}
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -63,7 +63,7 @@
 	result := Result{Session: op.Session}
 	switch op.Kind {
 	case OpOpenSession:
-		result.Session = t.openSession(index, sessionOwner{op.Member, op.Incarnation})
+		result.Session = t.openSession(index, sessionOwner{member: op.Member, incarnation: op.Incarnation})
 	case OpBeginLeaderEpoch:
 		t.leaderEpoch = LeaderEpoch(t.nextID(index))
 		result.LeaderEpoch = t.leaderEpoch
@@ -78,7 +78,7 @@
 		result.Grants = t.acquire(index, op.Session, op.Resources)
 	case OpRelease:
 		resource := op.Resources[0]
-		if t.leases[resource] != (leaseState{op.Session, op.Epoch}) {
+		if t.leases[resource] != (leaseState{session: op.Session, epoch: op.Epoch}) {
 			return nil, cluster.ErrFenced
 		}
 		t.release(resource)
@@ -119,14 +119,14 @@
 			if epoch == 0 {
 				epoch = cluster.Epoch(t.nextID(index))
 			}
-			state = leaseState{id, epoch}
+			state = leaseState{session: id, epoch: epoch}
 			t.leases[resource] = state
 			t.sessions[id].resources[resource] = struct{}{}
 		}
 		if state.session != id {
 			state.epoch = 0
 		}
-		grants = append(grants, Grant{resource, state.epoch})
+		grants = append(grants, Grant{Resource: resource, Epoch: state.epoch})
 	}
 	return grants
 }
@@ -183,7 +183,7 @@
 // GrantsOf returns the grants that a session holds, sorted by resource.
 func (t *Table) GrantsOf(id cluster.SessionID) (grants []Grant) {
 	for _, resource := range t.ResourcesOf(id) {
-		grants = append(grants, Grant{resource, t.leases[resource].epoch})
+		grants = append(grants, Grant{Resource: resource, Epoch: t.leases[resource].epoch})
 	}
 	return grants
 }
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -84,7 +84,13 @@
 }
 
 func partOf(i *stream.Item) announcementPart {
-	return announcementPart{i.ID, i.TTL, i.Attempts, i.FirstAttemptAt, i.Zone}
+	return announcementPart{
+		id:             i.ID,
+		ttl:            i.TTL,
+		attempts:       i.Attempts,
+		firstAttemptAt: i.FirstAttemptAt,
+		zone:           i.Zone,
+	}
 }
 
 // feedStream adds the parked webhooks that are not in the stream yet, with the subscribers of an announcement in one
@@ -96,7 +102,7 @@
 	for _, w := range parked {
 		_, wasSent := s.sites.sentLog.get(w.RequestID)
 		item := s.newItem(w)
-		scope := orderingScope{w.Destination, item.Key}
+		scope := orderingScope{destination: w.Destination, key: item.Key}
 		if s.isTracked(w.RequestID) {
 			continue
 		}
--- a/cluster/site/relay_submission.go
+++ b/cluster/site/relay_submission.go
@@ -20,7 +20,7 @@
 func (r *relayReceiver) recordFinished(id api.WebhookID, result inflight.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.finished = append(r.finished, finishedWebhook{id, result})
+	r.finished = append(r.finished, finishedWebhook{id: id, Result: result})
 	r.notify()
 }
 
--- a/cluster/site/tracking.go
+++ b/cluster/site/tracking.go
@@ -11,7 +11,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := s.deliveryOf(w.RequestID, w.Destination)
-	s.tracked[d] = &trackedWebhook{w.RequestID, item}
+	s.tracked[d] = &trackedWebhook{id: w.RequestID, item: item}
 	s.deliveries[w.RequestID] = d
 }
 
--- a/cluster/stream/resolve.go
+++ b/cluster/stream/resolve.go
@@ -7,9 +7,12 @@
 
 // The resolutions.
 const (
-	ResolveWait       Resolution = iota + 1 // for the relay's result
-	ResolveRetry                            // by the origin itself, with the same token, as one that may have run since it was sent
-	ResolveDeadLetter                       // it may have run, and nothing more can be done
+	// ResolveWait: the origin waits for the relay's result.
+	ResolveWait Resolution = iota + 1
+	// ResolveRetry: the origin retries it itself, with the same token, as one that may have run since it was sent.
+	ResolveRetry
+	// ResolveDeadLetter: it may have run, and nothing more can be done.
+	ResolveDeadLetter
 )
 
 // Resolve decides about a delivery that was sent at sentAt and has no result. isLost: the relay's folder no longer
@@ -42,7 +45,7 @@
 	resolutions := make([]Resolution, len(lost))
 	isLaterDeadLettered := map[orderingScope]bool{}
 	for i := len(lost) - 1; i >= 0; i-- {
-		scope := orderingScope{lost[i].Destination, lost[i].Key}
+		scope := orderingScope{destination: lost[i].Destination, key: lost[i].Key}
 		resolutions[i] = resolve(lost[i])
 		if scope.key != 0 && isLaterDeadLettered[scope] {
 			resolutions[i] = ResolveDeadLetter
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -133,7 +133,7 @@
 	if key == 0 {
 		return &pathCounts{}
 	}
-	scope := orderingScope{destination, key}
+	scope := orderingScope{destination: destination, key: key}
 	counts := s.pathsByKey[scope]
 	if counts == nil {
 		counts = &pathCounts{}
@@ -158,7 +158,7 @@
 
 func (s *Sender) newQueuedItem(i Item, dueAt api.Micros) *queuedItem {
 	s.lastOrder++
-	return &queuedItem{&i, s.lastOrder, dueAt}
+	return &queuedItem{item: &i, order: s.lastOrder, dueAt: dueAt}
 }
 
 // markReady has a queue take part in the next frame if it can.
@@ -187,7 +187,7 @@
 // relay. It has to bypass the relay as well: see TakeBypassing.
 func (s *Sender) isBehindBypassing(q *destinationQueue) bool {
 	key := q.items[0].item.Key
-	counts := s.pathsByKey[orderingScope{q.destination, key}]
+	counts := s.pathsByKey[orderingScope{destination: q.destination, key: key}]
 	return key != 0 && counts != nil && counts.bypassing > 0
 }
 
@@ -242,7 +242,7 @@
 	s.sentCount += uint64(b.deliveries)
 	f = b.build(s.generation, s.sequence, now)
 	f.ReceiverIncarnation = s.receiverIncarnation
-	s.unacked = append(s.unacked, unackedFrame{f, s.sentCount})
+	s.unacked = append(s.unacked, unackedFrame{Frame: f, count: s.sentCount})
 	s.nextRetransmit = len(s.unacked)
 	f.ClockOffset = s.clockOffset(now)
 	return f, true
@@ -263,7 +263,11 @@
 			q.items[0] = nil
 			q.items = q.items[1:]
 			b.add(item, q.destination)
-			s.recordSent(q, item, &sentDelivery{item, s.receiverIncarnation, now, false})
+			s.recordSent(q, item, &sentDelivery{
+				queuedItem:          item,
+				receiverIncarnation: s.receiverIncarnation,
+				sentAt:              now,
+			})
 			credit--
 			q.ready = len(q.items) > 0
 			if q.ready {
@@ -306,7 +310,7 @@
 		s.queueFor(d.Destination).inFlight--
 	}
 	if *counts == (pathCounts{}) {
-		delete(s.pathsByKey, orderingScope{d.Destination, key})
+		delete(s.pathsByKey, orderingScope{destination: d.Destination, key: key})
 	}
 }
 
--- a/cluster/stream/sender_bypass.go
+++ b/cluster/stream/sender_bypass.go
@@ -50,7 +50,7 @@
 				s.recordSent(q, item, &sentDelivery{queuedItem: item, bypassing: true})
 			}
 			d := Delivery{Message: item.item.ID, Destination: q.destination}
-			all = append(all, taken{d, item.order})
+			all = append(all, taken{Delivery: d, order: item.order})
 			return true
 		})
 		s.markReady(q)
@@ -65,7 +65,7 @@
 func (s *Sender) mayBypass(q *destinationQueue, item *queuedItem) bool {
 	counts := pathCounts{}
 	if key := item.item.Key; key != 0 {
-		if known := s.pathsByKey[orderingScope{q.destination, key}]; known != nil {
+		if known := s.pathsByKey[orderingScope{destination: q.destination, key: key}]; known != nil {
 			counts = *known
 		}
 	}
--- a/cluster/stream/sender_open.go
+++ b/cluster/stream/sender_open.go
@@ -13,7 +13,11 @@
 func (s *Sender) RestoreSent(i Item, receiverIncarnation uint64, sentAt api.Micros) {
 	item := s.newQueuedItem(i, 0)
 	for _, destination := range i.Destinations {
-		s.recordSent(s.queueFor(destination), item, &sentDelivery{item, receiverIncarnation, sentAt, false})
+		s.recordSent(s.queueFor(destination), item, &sentDelivery{
+			queuedItem:          item,
+			receiverIncarnation: receiverIncarnation,
+			sentAt:              sentAt,
+		})
 	}
 }
 
@@ -55,7 +59,9 @@
 // queued again at their place. lost were sent to a folder that no longer exists, so that their state can't be found
 // out: ResolveLost decides, and the sender forgets them. fenced: the relay has seen a later epoch; the result is the
 // same, and everything else goes to the lease's holder.
-func (s *Sender) HandleOpened(request OpenRequest, a Ack, fenced bool, now api.Micros) (requeued []Delivery, lost []InDoubt) {
+func (s *Sender) HandleOpened(
+	request OpenRequest, a Ack, fenced bool, now api.Micros,
+) (requeued []Delivery, lost []InDoubt) {
 	if s.opened || request.Generation != s.generation || !fenced && a.Generation != s.generation {
 		return nil, nil
 	}
@@ -92,7 +98,7 @@
 		}
 		q := s.queueFor(d.Destination)
 		if record.receiverIncarnation != a.Incarnation {
-			lost = append(lost, InDoubt{d, record.sentAt, record.item.Key})
+			lost = append(lost, InDoubt{Delivery: d, SentAt: record.sentAt, Key: record.item.Key})
 			s.forgetSent(d, record)
 			if record.item.Key != 0 { // later ones of its key have to follow it
 				s.recordSent(q, record.queuedItem, &sentDelivery{queuedItem: record.queuedItem, bypassing: true})
@@ -118,7 +124,7 @@
 	}
 	for _, d := range s.sentDeliveries() {
 		record := s.sent[d]
-		inDoubt = append(inDoubt, InDoubt{d, record.sentAt, record.item.Key})
+		inDoubt = append(inDoubt, InDoubt{Delivery: d, SentAt: record.sentAt, Key: record.item.Key})
 	}
 	return inDoubt
 }
--- a/test/checker/leasecheck/linearizability.go
+++ b/test/checker/leasecheck/linearizability.go
@@ -41,7 +41,7 @@
 		return in.holder.Epoch < state.highest.Epoch, state
 	}
 	if in.kind == inputEnd {
-		return state.current == in.holder, lockState{Operation{}, state.highest}
+		return state.current == in.holder, lockState{highest: state.highest}
 	}
 	isOutdated := in.holder.Epoch < state.highest.Epoch ||
 		in.holder.Epoch == state.highest.Epoch && in.holder != state.highest
@@ -50,9 +50,9 @@
 		return false, state
 	}
 	if in.kind == inputInstant {
-		return true, lockState{state.current, in.holder}
+		return true, lockState{current: state.current, highest: in.holder}
 	}
-	return true, lockState{in.holder, in.holder}
+	return true, lockState{current: in.holder, highest: in.holder}
 }
 
 // History returns the recorded history of a resource for porcupine.
@@ -69,13 +69,13 @@
 			clients[e.Member] = len(clients)
 		}
 		holder := Operation{Resource: resource, Epoch: e.Epoch, Member: e.Member}
-		input := lockInput{e.Phase, holder}
+		input := lockInput{kind: e.Phase, holder: holder}
 		if !e.Rejected {
 			if e.Phase == phaseBegin {
 				input.kind = inputInstant // until its end is found
 				open[holder] = len(history)
 			} else if i, begun := open[holder]; begun {
-				history[i].Input = lockInput{inputBegin, holder}
+				history[i].Input = lockInput{kind: inputBegin, holder: holder}
 				delete(open, holder)
 			}
 		}
--- a/test/checker/leasecheck/operations.go
+++ b/test/checker/leasecheck/operations.go
@@ -38,10 +38,10 @@
 		if e.Resource != resource || e.Rejected {
 			continue
 		}
-		key := holder{e.Member, e.Epoch}
+		key := holder{member: e.Member, epoch: e.Epoch}
 		if e.Phase == phaseBegin {
 			open[key] = len(operations)
-			operations = append(operations, Operation{resource, e.Epoch, e.Member, e.Return, api.Never})
+			operations = append(operations, newOperation(e, e.Return, api.Never))
 			continue
 		}
 		if i, begun := open[key]; begun {
@@ -50,11 +50,21 @@
 			continue
 		}
 		// Its begin was rejected or never arrived: the lease was used at the time of the end.
-		operations = append(operations, Operation{resource, e.Epoch, e.Member, e.Call, e.Call})
+		operations = append(operations, newOperation(e, e.Call, e.Call))
 	}
 	return operations
 }
 
+func newOperation(e Event, from, until api.Micros) Operation {
+	return Operation{
+		Resource: e.Resource,
+		Epoch:    e.Epoch,
+		Member:   e.Member,
+		From:     from,
+		Until:    until,
+	}
+}
+
 // Resources returns the resources of all recorded requests, sorted.
 func (c *Checker) Resources() []string {
 	c.mu.Lock()
