--- a/cluster/member/admission.go
+++ b/cluster/member/admission.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// admission is what the dispatcher's event loop asks before it calls a destination, and tells of each end.
+// admission implements the hooks of the dispatcher's event loop: which calls are allowed here, and the end of webhooks.
 type admission struct{ m *Member }
 
 var (
--- a/cluster/member/clock.go
+++ b/cluster/member/clock.go
@@ -16,7 +16,7 @@
 	if text := os.Getenv("ROWAN_CLOCK_RATE"); text != "" {
 		var err error
 		if rate, err = strconv.ParseFloat(text, 64); err != nil || !(rate > 0.5 && rate < 2) {
-			return nil, fmt.Errorf("ROWAN_CLOCK_RATE is %q: a number from 0.5 to 2", text)
+			return nil, fmt.Errorf("ROWAN_CLOCK_RATE is %q; it may be a number above 0.5 and below 2", text)
 		}
 	}
 	return func() api.Micros {
--- a/cluster/member/coordinate.go
+++ b/cluster/member/coordinate.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// applyLeases takes the leases as the log has them.
+// applyLeases restores the replicated leases from a snapshot.
 func (m *Member) applyLeases(_ uint64, snapshot []byte) {
 	leases := lease.NewTable()
 	if err := leases.Restore(snapshot); err != nil {
@@ -24,7 +24,7 @@
 	m.wake()
 }
 
-// applyProgress takes the running plan as the log has it.
+// applyProgress restores the running plan from a snapshot.
 func (m *Member) applyProgress(_ uint64, snapshot []byte) {
 	progress := &rebalance.Progress{}
 	if err := progress.Restore(snapshot); err != nil {
@@ -38,7 +38,7 @@
 	m.wake()
 }
 
-// coordinate runs the coordinator, which does something only while this member holds the lease for that.
+// coordinate runs the coordinator, which acts only while this member holds its lease.
 func (m *Member) coordinate() {
 	if m.raft == nil {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-// healthQuery returns what the members are to be asked for: nothing where this member doesn't coordinate.
+// healthQuery returns the query for all members. It is empty if this member doesn't coordinate.
 func (m *Member) healthQuery() health.Query {
 	shardMap := m.ownership.Map()
 	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || shardMap == nil {
--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -1,5 +1,5 @@
 // Package coordinator runs the rebalancing plan, at the member that holds the coordinator's lease: it initializes the
-// shard map, fails ranges over whose owner is gone, advances moves, adopts the operators' plan and follows it.
+// shard map, fails over ranges whose owner is lost, advances moves, and adopts and executes the operators' plan.
 package coordinator
 
 import (
@@ -31,19 +31,19 @@
 	LeaseTTL api.Micros
 }
 
-// Coordinator runs the plan while this member holds the lease for that. All that it goes by is in the log, but for how
-// long a range has been without its owner and since when no move has ended: the next coordinator begins to count anew,
-// which only makes it later. It is not safe for concurrent use.
+// Coordinator runs the plan while this member holds the coordinator's lease. Its decisions depend only on replicated
+// state, except for how long a range has had no owner and when the last move ended: the next coordinator counts these
+// from its own start, which only delays what it does. It is not safe for concurrent use.
 type Coordinator struct {
 	Config
 	failover *shardmap.FailoverPlanner
-	leases   *lease.Table        // as the log has them; nil: not known yet
-	progress *rebalance.Progress // of the running plan, as the log has it; nil: not known yet
+	leases   *lease.Table        // replicated; nil: not known yet
+	progress *rebalance.Progress // of the running plan, replicated; nil: not known yet
 
 	epoch           cluster.Epoch // of this member's lease; 0: it doesn't coordinate
 	openMoves       int           // at the last Run
 	idleSince       api.Micros    // since when no move has ended
-	leaderUnreached bool          // no leader answered in this Run: nothing more is proposed until the next
+	leaderUnreached bool          // no leader answered in this Run: it proposes nothing more
 }
 
 // New returns a Coordinator that knows neither leases nor progress.
@@ -51,29 +51,29 @@
 	return &Coordinator{Config: c, failover: shardmap.NewFailoverPlanner(c.LeaseTTL)}
 }
 
-// SetLeases takes the leases as the log has them.
+// SetLeases sets the replicated leases.
 func (c *Coordinator) SetLeases(leases *lease.Table) { c.leases = leases }
 
-// SetProgress takes the running plan as the log has it.
+// SetProgress sets the replicated progress of the running plan.
 func (c *Coordinator) SetProgress(p *rebalance.Progress) { c.progress = p }
 
-// PlanRequest is what the operator file asks for.
+// PlanRequest is the plan that the operator file states.
 type PlanRequest struct {
 	Text   []byte
 	Groups []shardmap.PlacementGroup // the sites' subscribers
-	Fresh  bool                      // the file was read anew: it goes before the plan that runs
-	// Resumes is the number of the plan that stood stopped when the file was read; 0: none did. That plan is resumed by
-	// the same file, too, but only by one that was read after the stop, whoever coordinates.
+	Fresh  bool                      // the file was reloaded: it replaces the running plan
+	// Resumes is the number of the plan that was stopped when the file was read; 0: none. A file resumes a stopped plan,
+	// even if it is unchanged, only if it was read after the stop, whichever member coordinates.
 	Resumes uint64
 }
 
-// Candidates are the members by the operator file, and into how many ranges the first map is split.
+// Candidates are the members of the operator file, and the number of ranges of the initial shard map.
 type Candidates struct {
 	Members []shardmap.Candidate
 	Ranges  int
 }
 
-// StoppedPlan returns the number of the plan that stands stopped; 0: none does.
+// StoppedPlan returns the number of the running plan if it is stopped, and else 0.
 func (c *Coordinator) StoppedPlan() uint64 {
 	if c.progress == nil || c.progress.StopReason == "" {
 		return 0
@@ -81,7 +81,7 @@
 	return c.progress.Number
 }
 
-// runningPlan returns the number of the plan that the log has; 0: none.
+// runningPlan returns the number of the replicated plan; 0: none.
 func (c *Coordinator) runningPlan() uint64 {
 	if c.progress == nil {
 		return 0
@@ -89,8 +89,8 @@
 	return c.progress.Number
 }
 
-// Run does what is due now, by the member's monotonic clock, and returns whether the request was adopted or needs no
-// adoption. Where the shard map has to change first, the next Run, by the next map, does the rest.
+// Run proposes what is due at a time of the member's monotonic clock, and returns whether the request was adopted or
+// needs no adoption. If the shard map has to change first, the Run after that change continues.
 func (c *Coordinator) Run(request PlanRequest, candidates Candidates, now api.Micros) (adopted bool) {
 	if !c.coordinates(now) {
 		return false
@@ -121,7 +121,8 @@
 	return adopted
 }
 
-// coordinates records by which grant this member coordinates; false: it doesn't, or doesn't know the leases yet.
+// coordinates records the epoch by which this member coordinates. It returns false if it doesn't, or doesn't know the
+// leases yet.
 func (c *Coordinator) coordinates(now api.Micros) bool {
 	epoch, held := c.Session.Holds(cluster.CoordinatorResource)
 	c.leaderUnreached = false
@@ -153,13 +154,13 @@
 	return alive
 }
 
-// isGrantEnded reports whether the grant is over by which a misplaced destination was served.
+// isGrantEnded reports whether the grant by which a misplaced destination was served has ended.
 func (c *Coordinator) isGrantEnded(m shardmap.MisplacedDestination) bool {
 	holder, held := c.leases.Holder(cluster.RangeOwnerResource(m.Grant.Range))
 	return !held || holder.Epoch != m.Grant.Epoch
 }
 
-// advanceMoves takes moves to the step from which on the target and the source do the rest.
+// advanceMoves advances moves to the hand-off, which their source and target complete.
 func (c *Coordinator) advanceMoves(by shardmap.Coordinator, shardMap *shardmap.Map, now api.Micros) {
 	open := 0
 	for _, r := range shardMap.Ranges {
@@ -181,19 +182,19 @@
 	c.openMoves = open
 }
 
-// propose proposes a command; false: it was refused or may not be in the log. A refusal means that the log went on, and
-// the next Run is by what it has then.
-func (c *Coordinator) propose(what string, command cluster.Command, fields ...any) bool {
+// propose proposes a command and logs what it did. It returns false if the command was rejected or may not be in the
+// log. A rejection means that the state has changed meanwhile, which the next Run sees.
+func (c *Coordinator) propose(event string, command cluster.Command, fields ...any) bool {
 	if c.leaderUnreached {
 		return false
 	}
 	if _, err := c.Session.Propose(command); err != nil {
 		c.leaderUnreached = session.IsLeaderUnreached(err)
 		if !errors.Is(err, cluster.ErrStale) && !errors.Is(err, cluster.ErrNotFound) {
-			slog.Warn("proposal failed: "+what, "error", err)
+			slog.Warn("proposal failed: "+event, "error", err)
 		}
 		return false
 	}
-	slog.Info(what, fields...)
+	slog.Info(event, fields...)
 	return true
 }
--- a/cluster/member/coordinator/coordinator_test.go
+++ b/cluster/member/coordinator/coordinator_test.go
@@ -8,8 +8,8 @@
 	"rowanlink/cluster/rebalance"
 )
 
-// Guards against a plan that was stopped for its harm and starts again by itself, once another member coordinates that
-// had read the same file before.
+// A plan that was stopped does not resume by itself when another member becomes the coordinator, whose unchanged file
+// was read before the stop.
 func TestAdopt_ResumesStoppedPlanOnlyAfterReload(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
 	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: planName, Text: text, StopReason: "late"}}
@@ -18,5 +18,5 @@
 		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true}, nil))
 		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 2}, nil))
 	})
-	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 3}, nil) }, "it is made anew")
+	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 3}, nil) }, "the steps are computed")
 }
--- a/cluster/member/coordinator/plan.go
+++ b/cluster/member/coordinator/plan.go
@@ -17,8 +17,8 @@
 // planName is how errors and the log name the plan's text.
 const planName = "plan"
 
-// remainingMembers returns the members that the running plan does not drain; all, where none of those is alive. Guards
-// against a range that is failed over to a member that leaves, behind steps that are done.
+// remainingMembers returns the members that the running plan does not drain, so that no range is failed over to a member
+// whose steps are done already. If none of them is alive it returns all members.
 func (c *Coordinator) remainingMembers(members []shardmap.Candidate,
 	alive map[cluster.MemberID]bool) (remaining []shardmap.Candidate) {
 	if c.runningPlan() == 0 {
@@ -43,7 +43,7 @@
 	return remaining
 }
 
-// adopt brings the requested plan into the log, where it is another than the one that runs; false: not yet.
+// adopt proposes the requested plan if it differs from the running one. It returns false if it has to be tried again.
 func (c *Coordinator) adopt(request PlanRequest, shardMap *shardmap.Map) bool {
 	number := c.runningPlan()
 	if number != 0 && !request.Fresh {
@@ -64,7 +64,8 @@
 	return c.makePlan(requested, request.Text, number, shardMap)
 }
 
-// makePlan computes the steps and proposes them; false: a range has to end its move first, or the proposal failed.
+// makePlan computes the steps and proposes them. It returns false if a range has to end its move first, or if the
+// proposal failed.
 func (c *Coordinator) makePlan(file *planfile.File, text []byte, number uint64, shardMap *shardmap.Map) bool {
 	plan, err := rebalance.NewPlan(file, shardMap, nil)
 	var moving *rebalance.RangeMovingError
@@ -83,7 +84,7 @@
 		"steps", len(plan.Steps))
 }
 
-// runPlan does what the running plan requires now.
+// runPlan proposes the due actions of the running plan.
 func (c *Coordinator) runPlan(by shardmap.Coordinator, shardMap *shardmap.Map, alive map[cluster.MemberID]bool,
 	now api.Micros) {
 	if c.runningPlan() == 0 {
--- a/cluster/member/custody/incarnation.go
+++ b/cluster/member/custody/incarnation.go
@@ -13,7 +13,7 @@
 	incarnationBytes = 8
 )
 
-// readIncarnation reads the number that tells a folder from the one that it replaced, or creates it.
+// readIncarnation reads the random number that identifies a folder, or creates it.
 func readIncarnation(path string) (uint64, error) {
 	raw, err := os.ReadFile(path)
 	if err == nil && len(raw) == incarnationBytes {
@@ -24,7 +24,7 @@
 	}
 	raw = make([]byte, incarnationBytes)
 	_, _ = rand.Read(raw) // never fails
-	raw[0] |= 1           // 0 stands for an incarnation that isn't known yet
+	raw[0] |= 1           // 0 means that the incarnation is not known
 	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		return 0, err
 	}
--- a/cluster/member/custody/metrics.go
+++ b/cluster/member/custody/metrics.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 )
 
-// Metrics count the webhooks that changed hands between members since the process started.
+// Metrics count the webhooks transferred between members since the process started.
 type Metrics struct {
 	Forwarded atomic.Int64 // from a client, accepted by the owner of the range
-	InDoubt   atomic.Int64 // from a client, kept here since the owner gave no answer
+	InDoubt   atomic.Int64 // from a client, kept here since the owner did not respond
 	HandedOff atomic.Int64 // pending here, accepted by another member
 	Received  atomic.Int64 // accepted here from another member
 }
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -1,6 +1,6 @@
-// Package custody stores which member has which webhook: for each webhook that was offered to or by another member, a
-// record in a journal of its own. What a member answers another rests on a record that was written before, so that
-// each webhook has one owner whatever messages or processes are lost. The rules are those of shardmap.CustodyTable.
+// Package custody stores which member has custody of which webhook: for each webhook that was offered to or by another
+// member, a record in a journal of its own. A record is written before a member answers by it, so that each webhook has
+// one custodian whatever messages or processes are lost. The rules are those of shardmap.CustodyTable.
 package custody
 
 import (
@@ -21,7 +21,7 @@
 
 // Store keeps the custody records of one member, in memory and in a journal. Its methods may be called concurrently.
 type Store struct {
-	// Incarnation is the folder's: one that was lost begins as another. It is never 0.
+	// Incarnation identifies the folder: one that replaces a lost folder has another. It is never 0.
 	Incarnation uint64
 
 	mu          sync.Mutex
@@ -33,7 +33,7 @@
 	lastExpiry  api.Micros
 }
 
-// IDOf returns the name by which all members know a webhook: a request id is never used twice.
+// IDOf returns the ID of a webhook in all members' custody records. Request IDs are never used twice.
 func IDOf(id inflight.RequestID) shardmap.WebhookID {
 	return shardmap.WebhookID{
 		Incarnation: xxhash.Sum64String(string(id)),
@@ -41,7 +41,7 @@
 	}
 }
 
-// Open reads the records that an earlier process left in a folder, which is made if need be. isPending reports which
+// Open reads the records that an earlier process left in a folder, which is created if it does not exist. isPending reports which
 // webhooks the dispatcher has recovered from its journal. Records outlast the TTL of what they name by retention.
 func Open(dir string, diskMB float64, retention api.Micros, isPending func(shardmap.WebhookID) bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -73,7 +73,7 @@
 		before = append(before, SavedRecord{Name: name, Record: record, Known: true})
 	}
 	s.table = shardmap.NewCustodyTable(records, isPending)
-	// What the table made of the records is written now: the next incarnation might make something else of them.
+	// The recovered records are written at once: a later process, with other webhooks pending, might recover others.
 	return s, s.writeChanges(before)
 }
 
@@ -96,7 +96,7 @@
 	return latest, nil
 }
 
-// SavedRecord is a name's record at some time, to which CustodyTable.Rollback can go back.
+// SavedRecord is a saved record, which CustodyTable.Rollback can restore.
 type SavedRecord struct {
 	Name   shardmap.WebhookID
 	Record shardmap.CustodyRecord
@@ -110,7 +110,7 @@
 }
 
 // Update calls change with the table locked, and writes the records of the names that it changed before it returns.
-// Where that fails the records are as before, and the error is returned. change may only touch records of these names.
+// If that fails it restores the records and returns the error. change may only touch records of these names.
 func (s *Store) Update(names []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,15 +130,15 @@
 	return err
 }
 
-// UpdateUnsynced calls change with the table locked. What it changes need not be written: after a restart another
-// member's answer brings the same.
+// UpdateUnsynced calls change with the table locked, without writing the records: after a restart, another member's
+// reply leads to the same change.
 func (s *Store) UpdateUnsynced(change func(*shardmap.CustodyTable)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.table)
 }
 
-// writeChanges writes the records that are not as they were. The caller holds the lock.
+// writeChanges writes the records that differ from the saved ones. The caller holds the lock.
 func (s *Store) writeChanges(before []SavedRecord) error {
 	written := map[shardmap.WebhookID]api.WebhookID{}
 	var removed []shardmap.WebhookID
@@ -191,7 +191,7 @@
 	return offered
 }
 
-// PendingOffer returns to whom a webhook was offered without an answer yet, and by which hand; false: to nobody.
+// PendingOffer returns the offer of a webhook whose outcome is not known, and its number; false: there is none.
 func (s *Store) PendingOffer(name shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,21 +206,21 @@
 	return record.Arriving
 }
 
-// NextHandoff returns the hand by which a webhook is offered next.
+// NextHandoff returns the number of the next offer of a webhook.
 func (s *Store) NextHandoff(name shardmap.WebhookID) shardmap.HandoffNumber {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.NextHandoff(name)
 }
 
-// PendingByMove counts the webhooks that were offered by a move without an answer yet.
+// PendingByMove counts the offers by a move whose outcome is not known.
 func (s *Store) PendingByMove(move shardmap.MoveID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.CountOffersOfMove(move)
 }
 
-// expireRecords removes, now and then, records that no message can refer to any more. The caller holds the lock.
+// expireRecords removes, once in each retention, records that no message can refer to any more. The caller holds the lock.
 func (s *Store) expireRecords() {
 	now := inflight.Now()
 	if now-s.lastExpiry < s.retention {
--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -35,8 +35,8 @@
 	require.NoError(t, err)
 }
 
-// Guards against a webhook that two members call for: that another member may have it outlasts the process, unless it
-// has ended here meanwhile; and so does what was answered of it.
+// The doubt about a webhook survives a restart, unless the webhook has ended here meanwhile, and so do replies to queries:
+// otherwise two members would call for it.
 func TestStore_RecoversRecordsAfterRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
@@ -52,13 +52,13 @@
 	assert.False(t, next.IsInDoubt("ended"))
 	update(t, next, "queried", func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
 		reply, _ := table.HandleOffer(id, 4, ttl, inflight.Now(), true)
-		assert.Equal(t, shardmap.CustodyNever, reply, "that it was never taken has to stay true")
+		assert.Equal(t, shardmap.CustodyNever, reply, "a reply CustodyNever is binding")
 	})
-	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a lost folder's successor is another")
+	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a new folder has another incarnation")
 }
 
-// Guards against a webhook that its sender waits for in vain, and against one that is answered to be here and is not:
-// the process ended between its record and its journal, before or after the webhook was in that.
+// A process that crashes while it accepts webhooks leaves records of both kinds: of webhooks that are in the webhook
+// journal, and of those that are not. Queries are answered by what the journal has.
 func TestStore_RecoversFromCrashDuringAcceptance(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
@@ -69,7 +69,7 @@
 		})
 		assert.True(t, s.IsArriving(IDOf(requestID)))
 	}
-	for range 2 { // the incarnation after the next finds the same
+	for range 2 { // recovery is idempotent
 		s = openStore(t, dir, 1, "stored")
 		for requestID, want := range map[inflight.RequestID]shardmap.CustodyReply{
 			"stored": shardmap.CustodyTaken,
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against an answer that no record stands for: what can't be written has not happened.
+// An update that can't be written changes nothing: a reply by it would have no record.
 func TestStore_FailedUpdateIsRolledBack(t *testing.T) {
 	s, ttl := openStore(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
@@ -97,7 +97,7 @@
 			break
 		}
 	}
-	assert.Error(t, err, "it was never full")
+	assert.Error(t, err, "the journal was never full")
 }
 
 // openFilesBelow returns the files of a folder that this process has open.
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarding takes webhooks to the owner of their range: a Forwarder offers those that clients send to this
-// member, a Receiver accepts those that other members send.
+// Package forwarding forwards webhooks to the owner of their range: a Forwarder offers those that clients submit to this
+// member, a Receiver accepts those that other members forward or hand off.
 package forwarding
 
 import (
@@ -18,8 +18,8 @@
 )
 
 const (
-	// hopDivisor is the part of the time that a client waits for its answer which one hop may take: the rest is for
-	// accepting the webhook here.
+	// hopDivisor is the fraction of the time-out of a client's response that one hop may take: the rest is for accepting
+	// the webhook here.
 	hopDivisor = 3
 	// retryInterval is the time between two attempts while a range is closed or its owner has an older map.
 	retryInterval = inflight.AnswerTimeout / hopDivisor / hopDivisor / hopDivisor
@@ -28,13 +28,14 @@
 // AcceptFunc accepts a webhook in this process. With inflight.Rejected it returns after how long the client may retry.
 type AcceptFunc = func() (inflight.Answer, api.Micros)
 
-// Handoffs is what this package needs of the hand-off of pending webhooks.
+// Handoffs is the part of handoff.Manager that this package needs.
 type Handoffs interface {
 	// IsOrdered reports whether a webhook has to be delivered in the order of its key.
 	IsOrdered(*inflight.Webhook) bool
-	// RecordArrival records by which move a webhook came here; 0: by none, or it was not accepted.
+	// RecordArrival records by which move a webhook arrived; 0: by none, or it was not accepted.
 	RecordArrival(inflight.RequestID, shardmap.MoveID)
-	// ApplyState takes over what another member has learned; offset is by how much this clock is ahead of that one's.
+	// ApplyState imports state that another member has learned. offset is by how much this clock is ahead of that
+	// member's.
 	ApplyState(learned []api.DestinationState, offset api.Micros)
 }
 
@@ -50,13 +51,13 @@
 	MaxClockDrift float64 // the most by which the rates of two clocks differ, as a fraction
 }
 
-// Forwarder takes clients' webhooks to the owners of their ranges. Its methods may be called concurrently.
+// Forwarder forwards clients' webhooks to the owners of their ranges. Its methods may be called concurrently.
 type Forwarder struct{ Config }
 
 // NewForwarder returns a Forwarder.
 func NewForwarder(c Config) *Forwarder { return &Forwarder{c} }
 
-// forwardOutcome is how far a client's webhook came on its way to the owner.
+// forwardOutcome is the outcome of offering a client's webhook to the owner.
 type forwardOutcome uint8
 
 const (
@@ -68,16 +69,16 @@
 	retryLater
 )
 
-// forwardResult is an outcome with the answer to the client, which counts where the owner has answered.
+// forwardResult is an outcome with the response to the client, which is set if the owner has responded.
 type forwardResult struct {
 	outcome    forwardOutcome
 	answer     inflight.Answer
 	retryAfter api.Micros
 }
 
-// Forward takes a client's webhook to the owner of its range and returns that member's answer. What the owner can't
-// accept is accepted here and parked until it can be handed off: the webhook belongs to the member whose journal has
-// it, and never to two.
+// Forward forwards a client's webhook to the owner of its range and returns that member's response. A webhook that the
+// owner can't accept is accepted here and parked until it can be handed off. It is in the custody of the one member that
+// has it in its journal.
 func (f *Forwarder) Forward(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
 	deadline := inflight.Now() + inflight.AnswerTimeout - inflight.AnswerTimeout/hopDivisor
 	for {
@@ -95,14 +96,15 @@
 			return result.answer, result.retryAfter
 		case result.outcome == keptHere, forwarded && !f.Handoffs.IsOrdered(w):
 			return accept()
-		case inflight.Now() > deadline: // by the time named the move should have switched
+		case inflight.Now() > deadline: // the move should have switched by then
 			return inflight.Rejected, inflight.AnswerTimeout
 		}
 		time.Sleep(retryInterval.Duration())
 	}
 }
 
-// localAcceptance is whether a webhook was accepted here, with the answer to its client, or what is to be done instead.
+// localAcceptance tells whether a webhook was accepted here, with the response to its client, and else the decision about
+// it.
 type localAcceptance struct {
 	accepted   bool
 	answer     inflight.Answer
@@ -110,8 +112,8 @@
 	decision   shardmap.Decision
 }
 
-// acceptHere accepts what belongs here, and what has to wait here for an earlier webhook of its key. While the range is
-// closed it accepts nothing: what comes after the last count before a switch would be out of order.
+// acceptHere accepts a webhook that this member owns, or that has to wait here for an earlier webhook of its key. While
+// the range is closed it accepts none: one that is accepted after the last count before a switch would be out of order.
 func (f *Forwarder) acceptHere(w *inflight.Webhook, accept AcceptFunc) localAcceptance {
 	end := f.Ownership.BeginAdmission()
 	defer end()
@@ -123,7 +125,7 @@
 	return localAcceptance{accepted: true, answer: answer, retryAfter: retryAfter, decision: decision}
 }
 
-// offerToOwner offers a client's webhook to the owner, and where that names another one by a newer map, to that.
+// offerToOwner offers a client's webhook to the owner, and if that redirects by a newer map, to the owner named there.
 func (f *Forwarder) offerToOwner(w *inflight.Webhook, decision shardmap.Decision) forwardResult {
 	id := custody.IDOf(w.RequestID)
 	handoff := f.Custody.NextHandoff(id)
@@ -152,7 +154,7 @@
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
-		case reply.Reply == shardmap.CustodyNever: // its TTL is over: it ends here
+		case reply.Reply == shardmap.CustodyNever: // its TTL has passed: it ends here
 			return forwardResult{outcome: keptHere}
 		case !shardmap.ShouldFollowRedirect(decision, reply.Decision, reply.Admission, hops):
 			return forwardResult{outcome: retryLater}
@@ -162,8 +164,8 @@
 	}
 }
 
-// keepInDoubt has a webhook kept here that its owner may have: nobody here calls for it before that is resolved, after
-// a restart either. Where its record can't be written, the restart finds that it may have run.
+// keepInDoubt keeps a webhook here that its owner may have. This member makes no call for it until the doubt is resolved,
+// also after a restart. If the custody record can't be written, the webhook is journalled as one that may have run.
 func (f *Forwarder) keepInDoubt(w *inflight.Webhook, handoff shardmap.HandoffNumber,
 	offer shardmap.Offer) forwardResult {
 	slog.Warn("webhook in doubt: its owner did not answer", "webhook", w.RequestID, "owner", offer.To)
@@ -178,7 +180,7 @@
 		w.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: offer.SentAt}
 		return forwardResult{outcome: keptHere}
 	}
-	if !recorded { // it has come back here by now, and is pending
+	if !recorded { // it was transferred back meanwhile, and is pending
 		return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 	}
 	return forwardResult{outcome: keptHere}
--- a/cluster/member/forwarding/intake.go
+++ b/cluster/member/forwarding/intake.go
@@ -8,20 +8,20 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// intake accepts the webhooks of one transfer, in their order and each once, also where a message comes twice.
+// intake accepts the webhooks of one transfer, in their order and each once, even if the message is duplicated.
 type intake struct {
 	*Receiver
 	transfer peer.Transfer
 	admit    admitFunc
 
-	ids      []shardmap.WebhookID  // of the webhooks, as all slices below one for each
+	ids      []shardmap.WebhookID  // of the webhooks; this and the slices below are parallel to transfer.Webhooks
 	webhooks []*inflight.Webhook   // nil: can't be accepted here
 	before   []custody.SavedRecord // their custody records before this transfer
 	outcomes []peer.Outcome
 
 	arrivals []arrival                                      // webhooks that are new here
-	returned map[inflight.RequestID]*inflight.PriorAttempts // those in doubt here that have come back, with what they bring
-	callable []inflight.RequestID                           // may be called from here on
+	returned map[inflight.RequestID]*inflight.PriorAttempts // in doubt here and transferred back, with their prior attempts
+	callable []inflight.RequestID                           // may be called once recordArrivals has run
 }
 
 // arrival is a webhook that is new here.
@@ -50,7 +50,7 @@
 	return in
 }
 
-// run accepts what is to be accepted and sets the outcomes.
+// run accepts the webhooks that are admitted and sets the outcomes.
 func (in *intake) run() {
 	err := in.Custody.Update(in.ids, func(t *shardmap.CustodyTable) {
 		now := inflight.Now()
@@ -61,7 +61,7 @@
 			in.decide(t, i, now)
 		}
 	})
-	if err != nil { // what was to be accepted is rejected; of the rest nothing is known
+	if err != nil { // admitted webhooks are rejected; the other outcomes are unknown
 		clear(in.outcomes)
 		for _, a := range in.arrivals {
 			in.reject(a, inflight.AnswerTimeout)
@@ -78,8 +78,8 @@
 	in.outcomes[a.position] = peer.Outcome{Reply: shardmap.CustodyRejected, RetryAfter: retryAfter}
 }
 
-// writeReturned has what webhooks bring along that come back written before their records say that they are here;
-// false: it can't be written. The custody table is locked.
+// writeReturned writes the prior attempts of webhooks that are transferred back, before their custody records are
+// written. It returns false if that fails. The custody table is locked.
 func (in *intake) writeReturned(t *shardmap.CustodyTable) (written bool) {
 	for i, transferred := range in.transfer.Webhooks {
 		w := in.webhooks[i]
@@ -103,7 +103,7 @@
 	}
 	switch outcome {
 	case shardmap.OfferTaken:
-		w.InDoubt = true // until its record says that it has arrived
+		w.InDoubt = true // until its custody record is written
 		in.arrivals = append(in.arrivals, arrival{webhook: w, position: i})
 	case shardmap.OfferReturnsCopy:
 		in.callable = append(in.callable, w.RequestID)
@@ -113,7 +113,7 @@
 	in.Handoffs.RecordArrival(w.RequestID, in.transfer.Move)
 }
 
-// submit has the arrivals accepted by the dispatcher. What that rejects is as if it had not been offered.
+// submit submits the arrivals to the dispatcher. One that the dispatcher rejects counts as not offered.
 func (in *intake) submit() {
 	webhooks := make([]*inflight.Webhook, 0, len(in.arrivals))
 	for _, a := range in.arrivals {
@@ -125,7 +125,7 @@
 		case inflight.Accepted:
 			in.Metrics.Received.Add(1)
 			in.Inbox.Accepted.Add(1)
-		case inflight.Duplicate: // it came here by another way, and is this member's already
+		case inflight.Duplicate: // it was submitted here as well, and is pending
 			in.outcomes[a.position].Duplicate = true
 		default:
 			in.reject(a, retryAfter)
@@ -133,14 +133,14 @@
 	})
 }
 
-// recordArrivals writes that the arrivals are here, before they may be called and before that is answered.
+// recordArrivals writes the custody records of the arrivals, before they may be called and before the reply is sent.
 func (in *intake) recordArrivals() {
 	ids := make([]shardmap.WebhookID, 0, len(in.arrivals))
 	for _, a := range in.arrivals {
 		ids = append(ids, in.ids[a.position])
 	}
 	if len(ids) > 0 && in.Custody.Update(ids, in.confirmArrivals) != nil {
-		clear(in.outcomes) // the hand-off's next run tries again
+		clear(in.outcomes) // the sender's next hand-off retries
 	} else {
 		for _, a := range in.arrivals {
 			if in.outcomes[a.position].Reply == shardmap.CustodyTaken {
--- a/cluster/member/forwarding/receiver.go
+++ b/cluster/member/forwarding/receiver.go
@@ -28,18 +28,18 @@
 	return &Receiver{Config: c, clockOffsets: map[cluster.MemberID]*shardmap.ClockOffset{}}
 }
 
-// admitFunc decides whether a webhook of a transfer is to be accepted here, with what the map says of it.
+// admitFunc decides whether a webhook of a transfer is accepted here, and returns the decision by the map.
 type admitFunc func(peer.Transfer, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)
 
-// HandleWebhook accepts a webhook that another member's client has sent, or names its owner.
+// HandleWebhook accepts a webhook that a client submitted to another member, or redirects to its owner.
 func (r *Receiver) HandleWebhook(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitByMap) }
 
-// HandleTransfer accepts webhooks that were pending at another member and are handed off, by a move or since this
+// HandleTransfer accepts webhooks that were pending at another member, which hands them off by a move or because this
 // member is their owner.
 func (r *Receiver) HandleTransfer(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitHandoff) }
 
-// admitByMap admits what this member owns by its map. It rejects what the source of a move gets once it has released
-// the range, or is about to: the next webhook of the key, sent to the target, would overtake it. Its sender keeps it.
+// admitByMap admits webhooks that this member owns by its map. As the source of a move that has released the range, or is
+// about to, it rejects them: the next webhook of the key, sent to the target, would overtake them. The sender keeps them.
 func (r *Receiver) admitByMap(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
 	shardMap := r.Ownership.Map()
 	if shardMap == nil {
@@ -53,7 +53,7 @@
 	return admission, decision
 }
 
-// admitHandoff admits what is handed off by a move to this member, and without a move what admitByMap does.
+// admitHandoff admits webhooks that are handed off to this member by a move, and otherwise what admitByMap admits.
 func (r *Receiver) admitHandoff(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission,
 	shardmap.Decision) {
 	shardMap := r.Ownership.Map()
@@ -71,7 +71,7 @@
 	}
 	reply := peer.TransferReply{Incarnation: r.Custody.Incarnation}
 	if transfer.Incarnation != reply.Incarnation {
-		// The answer must not be taken for one of the folder that the transfer was meant for, which was lost.
+		// The transfer was meant for a folder that was lost: this member can't reply for it.
 		ctx.SetBody(transport.Encode(reply))
 		return
 	}
@@ -88,7 +88,8 @@
 	ctx.SetBody(transport.Encode(reply))
 }
 
-// observeClock takes a time that another member has sent and returns by how much this member's clock is ahead.
+// observeClock updates the estimate of another member's clock by a time that it has sent, and returns by how much this
+// member's clock is ahead.
 func (r *Receiver) observeClock(sender cluster.MemberID, sentAt api.Micros) api.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,8 +99,8 @@
 	return r.clockOffsets[sender].Observe(sentAt, inflight.Now(), r.MaxClockDrift)
 }
 
-// HandleQuery answers a member with webhooks in doubt. That one was never accepted is recorded before it is answered:
-// what is still on its way is rejected from then on.
+// HandleQuery replies to a member with webhooks in doubt. CustodyNever is recorded before it is sent, so that an offer
+// that is still in flight is rejected when it arrives.
 func (r *Receiver) HandleQuery(ctx *fasthttp.RequestCtx) {
 	var queries []peer.CustodyQuery
 	if err := transport.Decode(ctx.Request.Body(), &queries); err != nil {
@@ -112,7 +113,7 @@
 	for i, q := range queries {
 		ids[i] = q.ID
 		switch {
-		case q.Incarnation == 0: // offered before any incarnation was known: no folder accepts that
+		case q.Incarnation == 0: // offered before an incarnation was known: no folder accepts such an offer
 			replies[i] = shardmap.CustodyNever
 		case q.Incarnation != r.Custody.Incarnation:
 			replies[i] = shardmap.CustodyStateLost
--- a/cluster/member/forwarding/receiver_test.go
+++ b/cluster/member/forwarding/receiver_test.go
@@ -23,8 +23,7 @@
 	return NewReceiver(Config{Custody: store})
 }
 
-// Guards against a webhook that is accepted after its sender was told that it never was, and against an answer for a
-// folder that was lost.
+// After CustodyNever the webhook is not accepted any more; about another incarnation the reply is CustodyStateLost.
 func TestReceiver_QueryReplyDependsOnIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	id := custody.IDOf("never sent")
@@ -45,7 +44,7 @@
 	})
 }
 
-// Guards against a sender that takes the answer of a folder that replaced a lost one for that one's.
+// A transfer for a lost folder is not accepted by the one that replaces it.
 func TestReceiver_RejectsTransferForOtherIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	transfer := peer.Transfer{Incarnation: r.Custody.Incarnation + 1, Webhooks: make([]shardmap.TransferredWebhook, 2)}
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -9,10 +9,9 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// batch is what one peer is sent: webhooks offered, by their moves and in the order accepted, and queries for
-// webhooks in doubt.
+// batch is sent to one peer: offers of webhooks, by move and in the order accepted, and queries for webhooks in doubt.
 type batch struct {
-	moves   []shardmap.MoveID // in the order of their first offers; 0: to the owner
+	moves   []shardmap.MoveID // in the order of their first offers; 0: offers to the owner
 	offers  map[shardmap.MoveID][]eventloop.Parked
 	queries []eventloop.Parked
 }
@@ -42,18 +41,18 @@
 	return b[to]
 }
 
-// orderingKey names webhooks that are delivered in order.
+// orderingKey identifies webhooks that are delivered in order.
 type orderingKey struct {
 	destination api.DestinationID
 	key         api.OrderingKey
 }
 
-// batchByPeer sorts the pending webhooks by what is to be done with them. Of one ordering key, nothing is handed off
-// behind a webhook that is in doubt or stays here.
+// batchByPeer groups the pending webhooks by peer. Of one ordering key, no webhook is handed off behind one that is in
+// doubt or stays here.
 func (m *Manager) batchByPeer(shardMap *shardmap.Map, pending []eventloop.Parked) batches {
 	all, blocked := batches{}, map[orderingKey]bool{}
 	for _, w := range pending {
-		key := orderingKey{w.Destination, w.OrderingKey}
+		key := orderingKey{destination: w.Destination, key: w.OrderingKey}
 		ordered := m.IsOrdered(w.Webhook)
 		if ordered && blocked[key] {
 			continue
@@ -72,12 +71,12 @@
 	return all
 }
 
-// batchInDoubt has a webhook in doubt offered once more where that goes to the same folder, else asked for.
+// batchInDoubt adds a webhook in doubt as a repeated offer if it goes to the same folder, and else as a query.
 func (m *Manager) batchInDoubt(all batches, w eventloop.Parked, r route, routed bool) {
 	offer, _, offered := m.Custody.PendingOffer(custody.IDOf(w.RequestID))
 	switch {
 	case !offered:
-		m.confirmArrival(w) // it may be resolved by now
+		m.confirmArrival(w) // it may be resolved meanwhile
 	case routed && r.to == offer.To && m.Peers.Incarnation(r.to) == offer.Incarnation:
 		all.of(r.to).addOffer(w, r.move)
 	default:
@@ -85,8 +84,8 @@
 	}
 }
 
-// confirmArrival lets a webhook go on from here that is in the journal and whose custody record could not be written
-// when it came.
+// confirmArrival resolves the doubt about a webhook that is in the webhook journal, and whose custody record could not be
+// written when it arrived.
 func (m *Manager) confirmArrival(w eventloop.Parked) {
 	id := custody.IDOf(w.RequestID)
 	if !m.Custody.IsArriving(id) {
@@ -98,13 +97,13 @@
 	}
 }
 
-// route is where a webhook goes.
+// route is where a webhook is handed off to.
 type route struct {
 	to   cluster.MemberID
 	move shardmap.MoveID // by which it is handed off; 0: to is the owner
 }
 
-// route returns where a webhook belongs; false: it stays here for now.
+// route returns where a webhook is handed off to; false: it stays here for now.
 func (m *Manager) route(shardMap *shardmap.Map, w eventloop.Parked) (route, bool) {
 	m.mu.Lock()
 	_, arrivedByMove := m.arrivals[w.RequestID]
--- a/cluster/member/handoff/batch_test.go
+++ b/cluster/member/handoff/batch_test.go
@@ -69,7 +69,7 @@
 	return ids
 }
 
-// Guards the order by key: what is handed off before an earlier webhook that is in doubt may be delivered before it.
+// A webhook that is handed off while an earlier one of its key is in doubt may be delivered before it.
 func TestBatchByPeer_KeepsOrderBehindInDoubtWebhook(t *testing.T) {
 	m := newTestManager(t)
 	parked := func(id inflight.RequestID, key api.OrderingKey, event api.EventTypeID, inDoubt bool) eventloop.Parked {
@@ -89,8 +89,8 @@
 	assert.Len(t, all, 1)
 }
 
-// Guards against a second owner: a webhook in doubt whose range went to another member is not offered to that; the one
-// that may have it is asked.
+// A webhook in doubt whose range moved to another member is not offered to that one, which would be a second custodian:
+// the member that may have it is queried.
 func TestBatchByPeer_QueriesTargetOfOutstandingOffer(t *testing.T) {
 	m := newTestManager(t)
 	id := custody.IDOf("offered")
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -12,10 +12,10 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// queryTimeoutDivisor is the part of a lease TTL that an answer to queries may take.
+// queryTimeoutDivisor is the fraction of a lease TTL that the reply to queries may take.
 const queryTimeoutDivisor = 4
 
-// inDoubt is a webhook that another member may have, as it is when that member is asked.
+// inDoubt is a webhook that another member may have, with the offer that left the doubt.
 type inDoubt struct {
 	eventloop.Parked
 	id      shardmap.WebhookID
@@ -23,8 +23,8 @@
 	offer   shardmap.Offer
 }
 
-// queryInDoubt asks a member for webhooks that it may have, where they can't be offered to it once more: it is not the
-// owner any more, or its folder is another one.
+// queryInDoubt queries a member for webhooks that it may have and that can't be offered to it again: it is not the owner
+// any more, or has another folder.
 func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Parked) {
 	now := inflight.Now()
 	var queried []inDoubt
@@ -52,7 +52,7 @@
 	}
 }
 
-// resolveInDoubt does what a reply says, or what the rules say where there is none.
+// resolveInDoubt resolves the doubt by a reply, or by the rules for a missing one (shardmap.Offer.Resolve).
 func (m *Manager) resolveInDoubt(d inDoubt, reply shardmap.CustodyReply) {
 	now := inflight.Now()
 	resolution := d.offer.Resolve(reply, m.isOwnerReplaced(d), m.EventType(d.EventType), d.MayHaveRunAt, d.Deadline, now)
@@ -67,14 +67,14 @@
 		resolved = m.forkCopy(d, resolution)
 	}
 	if resolved {
-		slog.Info("in-doubt webhook resolved", "webhook", d.RequestID, "ours", resolution != shardmap.DropCopy, "member", d.offer.To,
-			"reply", reply)
+		slog.Info("in-doubt webhook resolved", "webhook", d.RequestID, "ours", resolution != shardmap.DropCopy,
+			"member", d.offer.To, "reply", reply)
 		m.Wake()
 	}
 }
 
-// dropCopy ends a webhook that the other member has; false: something else has happened to it meanwhile. Its end is
-// written before its record.
+// dropCopy ends a webhook that the other member has. It returns false if the doubt was resolved otherwise meanwhile. The
+// end of the webhook is written before its custody record.
 func (m *Manager) dropCopy(d inDoubt) (dropped bool) {
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
@@ -85,7 +85,7 @@
 	return dropped
 }
 
-// keepCopy lets a webhook that the other member never took go on from here; false: not now.
+// keepCopy continues with a webhook that the other member never took. It returns false if that has to be tried again.
 func (m *Manager) keepCopy(d inDoubt) (kept bool) {
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
 		kept = t.HandleReply(d.id, d.handoff, shardmap.CustodyNever) == shardmap.KeepCopy
@@ -97,8 +97,8 @@
 	return true
 }
 
-// forkCopy lets a webhook that may have run elsewhere go on from here (ForkCopy), or has it dead-lettered; false: not
-// now. That it may have run is written first, so that a restart finds it.
+// forkCopy continues with a webhook that may have run elsewhere (ForkCopy), or dead-letters it. It returns false if that
+// has to be tried again. That the webhook may have run is written first, for a restart.
 func (m *Manager) forkCopy(d inDoubt, resolution shardmap.Resolution) (forked bool) {
 	mayHaveRun := &inflight.PriorAttempts{Attempts: d.Attempts + 1, MayHaveRunAt: d.offer.SentAt}
 	if !m.Loop.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
@@ -106,7 +106,7 @@
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
 		_, handoff, pending := t.OutstandingOffer(d.id)
-		forked = pending && handoff == d.handoff // else another answer came meanwhile
+		forked = pending && handoff == d.handoff // else another reply came meanwhile
 		if forked {
 			t.Fork(d.id)
 		}
@@ -122,8 +122,8 @@
 	return true
 }
 
-// isOwnerReplaced reports whether, by the map, the member that may have a webhook can't call for it any more: the range
-// was granted to another since.
+// isOwnerReplaced reports whether, by the map, the member that may have a webhook can't call for it any more, because the
+// range was granted to another member since.
 func (m *Manager) isOwnerReplaced(d inDoubt) bool {
 	shardMap := m.Ownership.Map()
 	if shardMap == nil {
--- a/cluster/member/handoff/localwork.go
+++ b/cluster/member/handoff/localwork.go
@@ -33,13 +33,13 @@
 	return len(pending)
 }
 
-// StateTransferred reports whether the target of the range's move has what was learned here: a wait that a destination
-// asked for, an outage or a slow start has to be known there before the target may call.
+// StateTransferred reports whether the target of the range's move has the learned state: it has to know of a Retry-After,
+// an outage or a slow start before it may call.
 func (m *Manager) StateTransferred(r shardmap.Range) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.stateSent[r.Move.ID]
 }
 
-// InDoubt counts the webhooks that were offered by a move without an answer yet.
+// InDoubt counts the offers by a move whose outcome is not known.
 func (m *Manager) InDoubt(move shardmap.MoveID) int { return m.Custody.PendingByMove(move) }
--- a/cluster/member/handoff/manager.go
+++ b/cluster/member/handoff/manager.go
@@ -1,5 +1,5 @@
-// Package handoff hands the webhooks that are pending here and belong to another member over to that member, with what
-// was learned of their destinations, and resolves the custody of those whose transfer was left without an answer.
+// Package handoff transfers webhooks that are pending here to the member that owns them, with the learned state of their
+// destinations, and resolves the custody of webhooks whose transfer had no response.
 package handoff
 
 import (
@@ -26,7 +26,7 @@
 	Peers     *peer.Client
 	Loop      *eventloop.Loop
 	EventType func(api.EventTypeID) api.EventType // by the settings read last
-	Wake      func()                              // has Run called soon; must not block
+	Wake      func()                              // schedules a Run; must not block
 }
 
 // Manager hands off webhooks of one member. Its methods may be called concurrently, but for Run.
@@ -35,7 +35,7 @@
 
 	mu         sync.Mutex
 	arrivals   map[inflight.RequestID]shardmap.MoveID // webhooks that came here by a move that has not ended
-	stateSent  map[shardmap.MoveID]bool               // its target has what was learned here
+	stateSent  map[shardmap.MoveID]bool               // its target has the learned state
 	inProgress map[cluster.MemberID]bool              // a batch for it is being sent
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// RecordArrival records by which move a webhook came here; 0: by none, or it was not accepted.
+// RecordArrival records by which move a webhook arrived; 0: by none, or it was not accepted.
 func (m *Manager) RecordArrival(id inflight.RequestID, move shardmap.MoveID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,8 +65,8 @@
 	return w.OrderingKey != 0 && m.EventType(w.EventType).Ordered
 }
 
-// Run begins to hand off what belongs elsewhere and to resolve what is in doubt. Each peer has a goroutine of its own,
-// one at a time: one that is partitioned delays nothing that goes to the others.
+// Run starts to hand off webhooks that other members own and to resolve those in doubt. Each peer has its own goroutine,
+// one at a time, so that a partitioned one does not delay the others.
 func (m *Manager) Run() {
 	shardMap := m.Ownership.Map()
 	if shardMap == nil {
@@ -108,7 +108,7 @@
 	delete(m.inProgress, to)
 }
 
-// forgetEndedMoves forgets by which moves webhooks came here, once it is decided to whom the range belongs.
+// forgetEndedMoves forgets by which move webhooks arrived, once the owner of the range is decided.
 func (m *Manager) forgetEndedMoves(shardMap *shardmap.Map) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/cluster/member/handoff/offer.go
+++ b/cluster/member/handoff/offer.go
@@ -14,10 +14,10 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// offerTimeoutDivisor is the part of a lease TTL that an answer to a transfer may take.
+// offerTimeoutDivisor is the fraction of a lease TTL that the reply to a transfer may take.
 const offerTimeoutDivisor = 2
 
-// offered is a webhook of a transfer that is being sent, with what became of it.
+// offered is a webhook of a transfer, with the reply to it.
 type offered struct {
 	eventloop.Parked
 	id      shardmap.WebhookID
@@ -26,7 +26,7 @@
 }
 
 // offerWebhooks offers webhooks to the owner of their range, or to the target of its move. They are parked in doubt
-// until there is an answer; one without an answer is offered again, and known there by its id.
+// until there is a reply; one without a reply is offered again, with the same ID and hand-off number.
 func (m *Manager) offerWebhooks(shardMap *shardmap.Map, to cluster.MemberID, move shardmap.MoveID,
 	webhooks []eventloop.Parked) {
 	transfer := peer.Transfer{MapVersion: shardMap.Version, SentAt: inflight.Now(), Move: move}
@@ -39,7 +39,7 @@
 	for i := range offers {
 		switch {
 		case errors.Is(err, transport.ErrNotSent):
-			offers[i].reply = shardmap.CustodyRejected // by nobody: this attempt had no effect
+			offers[i].reply = shardmap.CustodyRejected // this attempt had no effect
 		case err == nil:
 			offers[i].reply = result.Outcomes[i].Reply
 		}
@@ -60,8 +60,7 @@
 	}
 }
 
-// recordOffers adds those of the webhooks to a transfer that are still parked here, and writes to whom they are offered
-// before they are.
+// recordOffers adds the webhooks that are still parked here to a transfer, and writes their offers before it is sent.
 func (m *Manager) recordOffers(shardMap *shardmap.Map, to cluster.MemberID, transfer *peer.Transfer,
 	webhooks []eventloop.Parked) (offers []offered) {
 	localIDs := make([]api.WebhookID, len(webhooks))
@@ -80,9 +79,9 @@
 			switch {
 			case !parked || !found:
 				continue
-			case !pending && !wasNotInDoubt: // in doubt otherwise, or arriving
+			case !pending && !wasNotInDoubt: // in doubt for another reason, or arriving
 				continue
-			case !pending && w.MayBeElsewhere: // resolved meanwhile, and marked again above
+			case !pending && w.MayBeElsewhere: // resolved meanwhile, and marked again by MarkInDoubt
 				resolved = append(resolved, w.RequestID)
 				continue
 			case !pending:
@@ -103,7 +102,7 @@
 	return offers
 }
 
-// applyReplies does what the replies to offers say.
+// applyReplies ends, keeps or leaves in doubt each offered webhook, by its reply.
 func (m *Manager) applyReplies(offers []offered) {
 	var notTaken []shardmap.WebhookID
 	for _, o := range offers {
@@ -139,8 +138,8 @@
 	}
 }
 
-// dropTransferred ends the webhooks that another member has taken. It does so with the custody table locked: one may
-// have come back meanwhile, and none may be accepted anew before it has ended here.
+// dropTransferred ends the webhooks that another member has taken. The custody table is locked meanwhile: one may have
+// been transferred back, and none may be accepted again before it has ended here.
 func (m *Manager) dropTransferred(offers []offered) {
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		var ids []api.WebhookID
--- a/cluster/member/handoff/state.go
+++ b/cluster/member/handoff/state.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// transferState sends the target of each move what was learned here of the destinations, once no call of the range is
-// in flight any more.
+// transferState sends the learned state of the destinations to the target of each move, once no call of the range is in
+// flight.
 func (m *Manager) transferState(shardMap *shardmap.Map) {
 	open := map[shardmap.MoveID]bool{}
 	for _, r := range shardMap.Ranges {
@@ -54,8 +54,8 @@
 	m.stateSent[move] = true
 }
 
-// ApplyState has the dispatcher take over what another member has learned of destinations. offset is by how much this
-// member's clock is ahead of that one's.
+// ApplyState imports the state of destinations that another member has learned. offset is by how much this member's clock
+// is ahead of that one's.
 func (m *Manager) ApplyState(learned []api.DestinationState, offset api.Micros) {
 	if len(learned) == 0 {
 		return
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -18,7 +18,7 @@
 // departureTimeoutTTLs is how many lease TTLs a graceful shutdown waits for a departure slot.
 const departureTimeoutTTLs = 1
 
-// Start opens the session and starts what the member does by itself. Clients are not let in yet.
+// Start opens the session and starts the member's background loops. Clients are not admitted yet.
 func (m *Member) Start() {
 	slog.Info("member started", "cluster", m.file.Name, "name", m.self, "members", len(m.file.Members))
 	m.session = session.New(session.Config{
@@ -49,7 +49,7 @@
 	m.session.RunLeaseWorkload(os.Getenv)
 }
 
-// watchState follows the replicated state that this member goes by.
+// watchState subscribes to the components of the replicated state that this member uses.
 func (m *Member) watchState() {
 	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, snapshot []byte) { m.ownership.ApplySnapshot(snapshot) })
 	if m.raft == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// reconcile does what the shard map, the leases and the plan require now.
+// reconcile brings this member in line with the shard map, the leases and the plan.
 func (m *Member) reconcile() {
 	m.ownership.TrackSession()
 	m.ownership.Reconcile()
@@ -85,8 +85,7 @@
 	m.coordinate()
 }
 
-// UpdateSettings takes new settings of the dispatcher and reads the operator file again. One that can't be used changes
-// nothing.
+// UpdateSettings applies new settings of the dispatcher and reloads the operator file. An invalid one changes nothing.
 func (m *Member) UpdateSettings(settings api.Settings) {
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
@@ -96,7 +95,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// These are fixed while the process runs.
+	// These stay as read first: leases in force and the other members rely on them.
 	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name
 	m.file = file
 	m.planRequest = coordinator.PlanRequest{
@@ -155,8 +154,7 @@
 	return false
 }
 
-// Stop stops everything and gives all leases up, so that nobody waits for this member's lease TTL, and hands raft's
-// leadership on.
+// Stop stops the member. It releases all leases, so that nobody waits for their TTL, and transfers raft's leadership.
 func (m *Member) Stop() {
 	close(m.ended)
 	m.sites.Close()
@@ -169,5 +167,5 @@
 	}
 	_ = m.server.Close(m.file.LeaseTTL.Duration() / checksPerTTL) // the process ends with what is open then
 	m.client.Close()
-	_ = m.custody.Close() // what was answered has been written
+	_ = m.custody.Close() // all records that were answered by are written
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -73,8 +73,8 @@
 	planRequest coordinator.PlanRequest
 	coordinator *coordinator.Coordinator
 
-	ownershipWake wakeup.Signal // ranges, moves or the plan are to be looked at
-	handoffWake   wakeup.Signal // pending webhooks are to be looked at
+	ownershipWake wakeup.Signal // ranges, moves or the plan may have changed
+	handoffWake   wakeup.Signal // pending webhooks may have changed
 	ended         chan struct{}
 	done          sync.WaitGroup
 }
@@ -91,8 +91,8 @@
 	}
 }
 
-// Begin reads the operator file, opens the raft node's log where there is one, and joins the dispatcher's event loop.
-// Nothing runs yet.
+// Begin reads the operator file, opens the raft node's log if this member has one, and joins the dispatcher's event
+// loop. No background loop runs yet.
 func (m *Member) Begin(d *dispatcher.Dispatcher) error {
 	m.settings.Store(&d.Settings)
 	m.dispatcher, m.self = d, cluster.MemberID(d.Configuration.Get("name").String())
@@ -181,7 +181,7 @@
 	return err
 }
 
-// wireHandoff makes what takes webhooks to other members and accepts theirs.
+// wireHandoff creates what transfers webhooks to other members and accepts theirs.
 func (m *Member) wireHandoff() {
 	d := m.dispatcher
 	m.peers = peer.NewClient(m.client)
@@ -214,8 +214,8 @@
 	}
 }
 
-// wireHealth makes what counts how webhooks end and, at the coordinator, collects these counts. Clients' webhooks go
-// through it on their way to the forwarder.
+// wireHealth creates the counts of outcomes and, for the coordinator, their collection. Clients' webhooks pass through
+// the reporter to the forwarder.
 func (m *Member) wireHealth() {
 	d := m.dispatcher
 	m.reporter = health.NewReporter(health.ReporterConfig{
@@ -248,8 +248,8 @@
 	return binary.LittleEndian.Uint64(id[:])
 }
 
-// eventType returns an event type by the settings read last. One that they don't have any more is at-most-once, so
-// that nothing is repeated.
+// eventType returns an event type by the settings read last. One that was removed is at-most-once, so that
+// no call is retried.
 func (m *Member) eventType(id api.EventTypeID) api.EventType {
 	if all := m.settings.Load().EventTypes; int(id) < len(all) {
 		return all[id]
@@ -257,7 +257,7 @@
 	return api.EventType{Semantics: api.AtMostOnce}
 }
 
-// wake has everything reconciled soon.
+// wake schedules a reconciliation of ownership and hand-offs.
 func (m *Member) wake() {
 	m.ownershipWake.Send()
 	m.handoffWake.Send()
--- a/cluster/member/operatorfile.go
+++ b/cluster/member/operatorfile.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// readOperatorFile reads the operator file and checks that it names this member and that its plan can be read.
+// readOperatorFile reads the operator file and checks that it names this member and that its plan is valid.
 func (m *Member) readOperatorFile() (text []byte, file config.File, err error) {
 	if m.configPath == "" {
 		return nil, file, errors.New("ROWAN_FLEET names no operator file")
--- a/cluster/member/ownership/closure.go
+++ b/cluster/member/ownership/closure.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// closure says for which move a range is closed: nothing is admitted to it until the move has switched.
+// closure is for which move a range is closed: no webhook is admitted to it until the move has switched.
 type closure struct {
 	move  shardmap.MoveID
 	since api.Micros
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -1,6 +1,6 @@
-// Package ownership keeps a member in line with the shard map: it holds the member's cached copy of the map, acquires
-// the leases of the ranges that the map gives to it, confirms the grants by which it serves, and releases ranges that
-// move elsewhere once nothing of theirs is left here. By it a member decides what to do with a webhook (Decide).
+// Package ownership reconciles a member with the shard map: it caches the map, acquires the leases of the ranges that the
+// map assigns to the member, confirms the grants by which it serves, and releases ranges that move elsewhere once no call
+// or webhook of theirs is left here. Manager.Decide returns what the member does with a webhook.
 //
 // The rules are those of package shardmap; this package adds the session, the clock and the proposals.
 package ownership
@@ -16,16 +16,16 @@
 	"rowanlink/webhook/api"
 )
 
-// LocalWork is what the member's dispatcher has of a range or destination.
+// LocalWork counts what the member's dispatcher has in flight and pending.
 type LocalWork interface {
-	// CallsInFlight counts the calls to destinations of a range, strays from it included.
+	// CallsInFlight counts the calls to destinations of a range, misplaced ones included.
 	CallsInFlight(shardmap.Range) int
 	CallsInFlightTo([]api.DestinationID) int
-	// PendingWebhooks counts the webhooks of a range that were not handed off.
+	// PendingWebhooks counts the webhooks of a range that are still to be handed off.
 	PendingWebhooks(shardmap.Range) int
-	// StateTransferred reports whether the target of the range's move has what was learned here of its destinations.
+	// StateTransferred reports whether the target of the range's move has the learned state of its destinations.
 	StateTransferred(shardmap.Range) bool
-	// InDoubt counts the webhooks that the other side of a move may have.
+	// InDoubt counts the webhooks that the other member of a move may have.
 	InDoubt(shardmap.MoveID) int
 }
 
@@ -34,13 +34,13 @@
 	Self     cluster.MemberID
 	LeaseTTL api.Micros
 	Clock    func() api.Micros // monotonic
-	// HandoffBatch is how many webhooks one hand-off message carries: a range is closed for its switch once no more
-	// than that are left.
+	// HandoffBatch is the most webhooks of one hand-off message: a range is closed for its switch once no more are
+	// pending.
 	HandoffBatch int
-	OnChange     func() // has Reconcile called soon; must not block
+	OnChange     func() // schedules a Reconcile; must not block
 }
 
-// Manager keeps the member's ranges as the shard map has them. Its methods may be called concurrently.
+// Manager acquires, confirms and releases the member's ranges by the shard map. Its methods may be called concurrently.
 type Manager struct {
 	Config
 	session *session.Session
@@ -57,23 +57,23 @@
 	closures    sync.Map // cluster.RangeID to closure
 }
 
-// New returns a Manager without a map. Bind and Start come before anything else is called but Decide.
+// New returns a Manager without a map. Bind and Start have to be called before all other methods but Decide.
 func New(c Config) *Manager {
 	m := &Manager{Config: c}
 	m.inactiveSince.Store(int64(c.Clock()))
 	return m
 }
 
-// Bind sets the dispatcher's work.
+// Bind sets the source of the dispatcher's work.
 func (m *Manager) Bind(local LocalWork) { m.local = local }
 
 // Start sets the session by which ranges are owned.
 func (m *Manager) Start(s *session.Session) { m.session = s }
 
-// Map returns the newest shard map that this member has; nil: none yet.
+// Map returns the cached shard map; nil: none yet.
 func (m *Manager) Map() *shardmap.Map { return m.shardMap.Load() }
 
-// ApplySnapshot takes a newer shard map.
+// ApplySnapshot replaces the cached shard map unless it is newer than the snapshot.
 func (m *Manager) ApplySnapshot(snapshot []byte) {
 	next := shardmap.New(nil)
 	if err := next.Restore(snapshot); err != nil {
@@ -111,7 +111,7 @@
 	return held
 }
 
-// Decide returns what this member does now with webhooks for a destination.
+// Decide returns what this member does now with webhooks of a destination.
 func (m *Manager) Decide(destination api.DestinationID) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
@@ -120,7 +120,7 @@
 	return shardMap.DecideDestination(m.LocalMember(), destination)
 }
 
-// DecideForKey is Decide for whatever has this key in the shard map.
+// DecideForKey is Decide for a key hash.
 func (m *Manager) DecideForKey(key cluster.KeyHash) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
--- a/cluster/member/ownership/reconcile.go
+++ b/cluster/member/ownership/reconcile.go
@@ -10,8 +10,8 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Reconcile does what the shard map and the leases held require now. It is called whenever one of them has changed and
-// periodically, as a proposal may have been lost.
+// Reconcile acquires, confirms, releases and clears by the shard map and the leases held. It is called whenever one of
+// them has changed, and periodically, as a proposal may have been lost.
 func (m *Manager) Reconcile() {
 	m.reconcileMu.Lock()
 	defer m.reconcileMu.Unlock()
@@ -23,10 +23,10 @@
 	for _, r := range shardMap.Ranges {
 		m.reconcileRange(p, shardMap, r)
 	}
-	for under, strays := range shardMap.MisplacedByGrant(m.LocalMember()) {
-		if m.local.CallsInFlightTo(strays) == 0 {
-			p.propose("misplaced destinations released", shardmap.Range{ID: under.Range},
-				shardmap.ConfirmPlacement(under.Range, under.Epoch, shardMap.Version))
+	for grant, misplaced := range shardMap.MisplacedByGrant(m.LocalMember()) {
+		if m.local.CallsInFlightTo(misplaced) == 0 {
+			p.propose("misplaced destinations released", shardmap.Range{ID: grant.Range},
+				shardmap.ConfirmPlacement(grant.Range, grant.Epoch, shardMap.Version))
 		}
 	}
 	m.reopenRanges(shardMap)
@@ -40,7 +40,7 @@
 	resource := cluster.RangeOwnerResource(r.ID)
 	epoch, held := m.session.Holds(resource)
 	switch {
-	case held && m.mayLeave(r):
+	case held && m.mayRelease(r):
 		m.releaseRange(r, resource, epoch)
 	case !held && r.ShouldAcquire(m.Self):
 		m.session.Acquire(resource)
@@ -56,13 +56,13 @@
 	}
 }
 
-// mayLeave reports whether a range that is held here may be on its way elsewhere; only then its calls are counted.
-func (m *Manager) mayLeave(r shardmap.Range) bool {
+// mayRelease reports whether a range whose lease is held may have to be released; only then its calls are counted.
+func (m *Manager) mayRelease(r shardmap.Range) bool {
 	return !r.ShouldAcquire(m.Self) || r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 }
 
-// releaseRange gives up a range that goes elsewhere, as soon as it may. The range is closed first, so that what came
-// before the closure is counted by the next call.
+// releaseRange releases a range that moves elsewhere, as soon as it may. The range is closed first, so that the next call
+// counts all webhooks that were admitted.
 func (m *Manager) releaseRange(r shardmap.Range, resource cluster.Resource, epoch cluster.Epoch) {
 	inFlight, pending := m.local.CallsInFlight(r), m.local.PendingWebhooks(r)
 	mayClose := m.local.StateTransferred(r) && r.ShouldCloseIntake(m.Self, inFlight, pending, m.HandoffBatch)
@@ -78,9 +78,9 @@
 	}
 }
 
-// ReleaseMergedRanges releases ranges that were merged into others: by such a grant the range that they are a part of
-// could never move, since its map has somebody serve that part yet. Resources are only acquired by the map, so one
-// that it doesn't have is of an older map.
+// ReleaseMergedRanges releases the leases of ranges that were merged into others. While such a lease is held the merged
+// range can't move, since its holder may still serve that part by an older map. Ranges are acquired only by the map, so
+// one that the map doesn't have was merged.
 func (m *Manager) ReleaseMergedRanges() {
 	shardMap := m.Map()
 	if shardMap == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// clearMove reports, once this member has nothing in doubt by a move that has ended, that it has not.
+// clearMove proposes to clear this member's side of a move that has switched, once it has nothing in doubt by the move.
 func (m *Manager) clearMove(p *proposer, r shardmap.Range) {
 	move := r.Move
 	mustClear := move.From == m.Self && !move.SourceCleared || move.To == m.Self && !move.TargetCleared
@@ -107,15 +107,16 @@
 	}
 }
 
-// proposer proposes commands until the first that no leader answers. What would come after it is left to the next
-// Reconcile, which otherwise takes a part of a lease TTL for each of many ranges while leases end.
+// proposer proposes commands until the first one without a leader's response. The others are left to the next Reconcile:
+// otherwise one Reconcile would wait for a time-out for each of many ranges while leases expire.
 type proposer struct {
 	session   *session.Session
 	unreached bool
 }
 
-// propose proposes what one range needs. A refusal means that the map has changed meanwhile: the next one tells.
-func (p *proposer) propose(what string, r shardmap.Range, command cluster.Command) {
+// propose proposes a command for one range and logs it as event. A rejection means that the map has changed meanwhile:
+// the next Reconcile uses the newer one.
+func (p *proposer) propose(event string, r shardmap.Range, command cluster.Command) {
 	if p.unreached {
 		return
 	}
@@ -124,9 +125,9 @@
 		if errors.Is(err, cluster.ErrStale) || errors.Is(err, cluster.ErrAlreadyHeld) {
 			level = slog.LevelDebug
 		}
-		slog.Log(context.Background(), level, "proposal failed: "+what, "range", r.ID, "error", err)
+		slog.Log(context.Background(), level, "proposal failed: "+event, "range", r.ID, "error", err)
 		p.unreached = session.IsLeaderUnreached(err)
 		return
 	}
-	slog.Info(what, "range", r.ID, "move", r.Move.ID)
+	slog.Info(event, "range", r.ID, "move", r.Move.ID)
 }
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -58,7 +58,7 @@
 	}, longTimeout, time.Millisecond)
 }
 
-// Guards against a Reconcile that waits for a leader once for each of a member's ranges: meanwhile it releases none.
+// Without a leader, Reconcile waits for one time-out, not one for each range: meanwhile it would release none.
 func TestReconcile_StopsProposingWithoutLeader(t *testing.T) {
 	m, s, leader := newIdleManager(t)
 	shardMap := shardmap.New(nil)
@@ -76,8 +76,8 @@
 	require.False(t, m.HoldsRange(last.ID))
 }
 
-// A member that had been the owner was granted the lease by an earlier request, while it released the range for another
-// member. Guards against a range without an owner for good: who is neither owner nor target has nothing to wait for.
+// A member that had been the owner was granted the lease by an earlier request, after it had released the range for
+// another member. It releases the late grant at once: otherwise the move's target could never acquire the lease.
 func TestReconcile_ReleasesLateGrantDuringHandoff(t *testing.T) {
 	m, s, _ := newIdleManager(t)
 	acquire(t, s, 1)
--- a/cluster/member/peer/client.go
+++ b/cluster/member/peer/client.go
@@ -17,7 +17,7 @@
 	transport *transport.Client
 
 	mu           sync.Mutex
-	incarnations map[cluster.MemberID]uint64 // of the members' folders, by their last answers; 0: not known
+	incarnations map[cluster.MemberID]uint64 // of the members' folders, by their last replies; 0: not known
 }
 
 // NewClient returns a client over the member's connections.
@@ -25,15 +25,15 @@
 	return &Client{transport: t, incarnations: map[cluster.MemberID]uint64{}}
 }
 
-// SendResult is the answer to a transfer.
+// SendResult is the result of a transfer.
 type SendResult struct {
 	Outcomes    []Outcome // one for each webhook; nil where there is an error
 	Incarnation uint64    // of the folder that the transfer was last sent to
 }
 
-// Send sends a transfer to a member and returns its answer. Where the member's folder turns out to be another than
-// was known, nothing was accepted; retry sends the transfer once more, to that folder. An error
-// that wraps transport.ErrNotSent says that nothing was accepted; after any other error something may have been.
+// Send sends a transfer to a member and returns its reply. If the member's folder has another incarnation than was
+// known, nothing was accepted; with retry the transfer is sent once more, to that incarnation. An error that wraps
+// transport.ErrNotSent means that nothing was accepted; after any other error webhooks may have been.
 func (c *Client) Send(to cluster.MemberID, path string, t Transfer, within api.Micros, retry bool) (SendResult, error) {
 	for {
 		t.Incarnation = c.Incarnation(to)
@@ -70,7 +70,7 @@
 	return reply, err
 }
 
-// QueryCustody asks a member for the custody of webhooks. Where it has answered there is one reply for each query.
+// QueryCustody queries a member for the custody of webhooks. Without an error there is one reply for each query.
 func (c *Client) QueryCustody(at cluster.MemberID, queries []CustodyQuery, within api.Micros) (
 	replies []shardmap.CustodyReply, err error) {
 	status, raw, err := c.transport.Call(at, QueryPath, transport.Encode(queries), within.Duration())
@@ -84,7 +84,7 @@
 	return replies, err
 }
 
-// Incarnation returns the incarnation of a member's folder by its last answer; 0: not known.
+// Incarnation returns the incarnation of a member's folder by its last reply; 0: not known.
 func (c *Client) Incarnation(of cluster.MemberID) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cluster/member/peer/client_test.go
+++ b/cluster/member/peer/client_test.go
@@ -46,7 +46,7 @@
 	return NewClient(connections), named
 }
 
-// Guards against an answer that is taken for one of a folder that was lost: it can't tell what that had accepted.
+// A reply of a new folder is not taken for that of the one that it replaces: only the latter knew what it had accepted.
 func TestClient_SendToNewIncarnation(t *testing.T) {
 	transfer := Transfer{Webhooks: make([]shardmap.TransferredWebhook, 2)}
 	client, named := startPeer(t, 7)
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -1,5 +1,5 @@
-// Package peer is how members hand webhooks to each other: the messages and a client that tells apart the incarnations
-// of a member's folder, so that an answer for a folder that was lost is not taken for one of the folder in use.
+// Package peer has the messages by which members transfer webhooks to each other, and a client that distinguishes the
+// incarnations of a member's folder, so that a reply about a lost folder is not taken for one about its replacement.
 package peer
 
 import (
@@ -25,27 +25,28 @@
 	Webhooks    []shardmap.TransferredWebhook `cbor:"4,keyasint"`           // in the order accepted
 	Incarnation uint64                        `cbor:"6,keyasint"`           // of the folder that they are meant for
 
-	// Learned is what the sender has learned of the move's destinations, once it calls none of them any more.
+	// Learned is the state of the move's destinations that the sender has learned, once no call to them is in flight.
 	Learned []api.DestinationState `cbor:"5,keyasint,omitempty"`
 }
 
-// TransferReply is the answer to a Transfer. Where the incarnation is not the one named in that, nothing was accepted
-// and there are no outcomes.
+// TransferReply is the reply to a Transfer. If its incarnation differs from the Transfer's, nothing was accepted and
+// there are no outcomes.
 type TransferReply struct {
 	Incarnation uint64    `cbor:"1,keyasint"`
 	Outcomes    []Outcome `cbor:"2,keyasint,omitempty"` // one for each webhook
 }
 
-// Outcome is what became of one webhook of a Transfer.
+// Outcome is the outcome of one webhook of a Transfer.
 type Outcome struct {
 	Reply      shardmap.CustodyReply `cbor:"1,keyasint,omitempty"`
-	Admission  shardmap.Admission    `cbor:"2,keyasint,omitempty"` // CustodyRejected: why, by the map
-	Decision   shardmap.Decision     `cbor:"3,keyasint,omitempty"` // CustodyRejected: what the map there says
-	RetryAfter api.Micros            `cbor:"4,keyasint,omitempty"` // CustodyRejected for want of capacity
-	Duplicate  bool                  `cbor:"5,keyasint,omitempty"` // another webhook with its request id is pending there
+	Admission  shardmap.Admission    `cbor:"2,keyasint,omitempty"` // CustodyRejected: the reason, by the map
+	Decision   shardmap.Decision     `cbor:"3,keyasint,omitempty"` // CustodyRejected: the decision by the map there
+	RetryAfter api.Micros            `cbor:"4,keyasint,omitempty"` // CustodyRejected for lack of capacity
+	Duplicate  bool                  `cbor:"5,keyasint,omitempty"` // another webhook with its request ID is pending there
 }
 
-// CustodyQuery asks whether a webhook was ever accepted by a handoff number, of the folder that it was offered to.
+// CustodyQuery queries whether a webhook was accepted by a hand-off number; Incarnation is of the folder that it was
+// offered to.
 type CustodyQuery struct {
 	ID          shardmap.WebhookID     `cbor:"1,keyasint"`
 	Handoff     shardmap.HandoffNumber `cbor:"2,keyasint"`
@@ -53,7 +54,7 @@
 	Incarnation uint64                 `cbor:"4,keyasint"`
 }
 
-// EncodeWebhook returns a webhook as it is handed over with this id and handoff number.
+// EncodeWebhook returns the form in which a webhook is transferred, with this ID and hand-off number.
 func EncodeWebhook(w eventloop.Parked, id shardmap.WebhookID,
 	handoff shardmap.HandoffNumber) shardmap.TransferredWebhook {
 	return shardmap.TransferredWebhook{
--- a/cluster/member/session/acquire.go
+++ b/cluster/member/session/acquire.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// nextProposal returns what is to be proposed now and, where that is nothing, after how long there may be something
-// though no message comes.
+// nextProposal returns what to propose now. If that is nothing, idle is the time after which there may be something
+// without a wake-up.
 func (s *Session) nextProposal() (p lease.Proposal, idle api.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	return s.reconciler.NextProposal(now), idle
 }
 
-// waitForWork waits until there may be something to propose, for the time named at most; false: the session is closed.
+// waitForWork waits until there may be something to propose, for atMost. It returns false if the session is closed.
 func (s *Session) waitForWork(atMost api.Micros) bool {
 	timer := time.NewTimer(atMost.Duration())
 	defer timer.Stop()
@@ -83,8 +83,8 @@
 	return err
 }
 
-// proposeGrant requests the leases of resources. What another session holds is requested again once a raft node
-// reports that it is free, or after a while.
+// proposeGrant requests the leases of resources. One that another session holds is requested again once a raft node
+// reports that it is free, or after a retry interval.
 func (s *Session) proposeGrant(p lease.Proposal) error {
 	raw, err := s.Propose(p.Command())
 	if errors.Is(err, cluster.ErrNotFound) {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// markFreed takes a raft node's report that resources are free.
+// markFreed records a raft node's report that resources are free.
 func (s *Session) markFreed(resources []cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/session/leaderclient.go
+++ b/cluster/member/session/leaderclient.go
@@ -17,7 +17,7 @@
 // maxHops bounds the attempts for one node: the node itself and the leader that it names.
 const maxHops = 2
 
-// LeaderClient sends requests to the raft node that leads, which it finds by asking the nodes. Its methods may be
+// LeaderClient sends requests to the raft node that leads, which it finds by their redirects. Its methods may be
 // called concurrently.
 type LeaderClient struct {
 	client *transport.Client
@@ -50,12 +50,12 @@
 }
 
 var (
-	errNoLeader       = errors.New("no raft node that leads was found in time")
+	errNoLeader       = errors.New("no leading raft node was found in time")
 	errUnknownOutcome = errors.New("the raft node doesn't know the outcome")
 )
 
-// Request sends what only the leader answers to it and returns its answer. Errors wrap transport.ErrNotSent where the
-// request surely had no effect, and transport.ErrOutcomeUnknown where it may have had one; after the latter no other node is
+// Request sends a request to the leader and returns its response. Errors wrap transport.ErrNotSent if the request
+// certainly had no effect, and transport.ErrOutcomeUnknown if it may have had one; after the latter no other node is
 // tried.
 func (c *LeaderClient) Request(path string, body []byte, within time.Duration) ([]byte, error) {
 	deadline, cause := time.Now().Add(within), errNoLeader
@@ -87,7 +87,7 @@
 	return nil, fmt.Errorf("%w: %w", transport.ErrNotSent, cause)
 }
 
-// namedLeader returns the leader that a node names which does not lead itself; "": none.
+// namedLeader returns the leader that a node redirects to; "": none.
 func namedLeader(answer []byte, node cluster.MemberID) cluster.MemberID {
 	var elsewhere transport.NotLeaderResponse
 	if err := transport.Decode(answer, &elsewhere); err != nil || elsewhere.Leader == node {
@@ -96,8 +96,8 @@
 	return elsewhere.Leader
 }
 
-// Propose has a command put into the log and returns the answer of the component that applied it and the entry's index, or
-// the error by which that component refused it; other errors are those of Request.
+// Propose appends a command to the log and returns the result of the component that applied it and the entry's index, or
+// the error by which that component rejected it; other errors are those of Request.
 func (c *LeaderClient) Propose(command cluster.Command, within time.Duration) (answer []byte, index uint64, err error) {
 	raw, err := c.Request(transport.ProposePath, transport.Encode(command), within)
 	if err != nil {
@@ -115,8 +115,8 @@
 	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrOutcomeUnknown)
 }
 
-// attemptOrder returns the nodes in the order in which they are tried: the last known leader first, one that didn't
-// answer last, the others from a random one on.
+// attemptOrder returns the nodes in the order in which they are tried: the last known leader first, an unresponsive one
+// last, the others between them from a random one on.
 func (c *LeaderClient) attemptOrder() []cluster.MemberID {
 	nodes := c.rotatedNodes()
 	c.mu.Lock()
@@ -146,7 +146,7 @@
 	return nodes
 }
 
-// nextNode returns the node to poll: the last one while that answers with something new, else another one.
+// nextNode returns the node to poll: the last one as long as its responses have something new, else another one.
 func (c *LeaderClient) nextNode(last cluster.MemberID, failed bool) cluster.MemberID {
 	if last != "" && !failed {
 		return last
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -11,7 +11,7 @@
 	"rowanlink/webhook/api"
 )
 
-// renewLoop opens the session and renews it each time that is due.
+// renewLoop opens the session and renews it before each deadline.
 func (s *Session) renewLoop() {
 	failures := 0
 	for {
@@ -37,8 +37,8 @@
 	}
 }
 
-// renewalWait returns the time until the next renewal, or until the session ends by the clock if that is sooner:
-// otherwise nobody would be notified of that end. The caller holds the lock.
+// renewalWait returns the time until the next renewal, or until the session expires if that is sooner:
+// otherwise nobody would be notified of the expiry. The caller holds the lock.
 func (s *Session) renewalWait(now api.Micros) api.Micros {
 	wait := s.holder.NextRenewalAt() - now
 	if s.holder.IsValid(now) {
@@ -56,9 +56,9 @@
 		s.dropSession(session)
 	}
 	if err == nil && answer.TTL < s.LeaseTTL {
-		// By a longer TTL this member would act on leases that the raft nodes have granted to another.
-		slog.Error("the raft nodes count a shorter lease TTL: no session is opened", "ttl_us", s.LeaseTTL,
-			"theirs_us", answer.TTL)
+		// With a longer TTL this member would act on leases that the raft nodes have granted to another.
+		slog.Error("the raft nodes use a shorter lease TTL: no session is opened", "ttl_us", s.LeaseTTL,
+			"raft_node_ttl_us", answer.TTL)
 		return false
 	}
 	s.mu.Lock()
@@ -91,7 +91,7 @@
 	return answer, err
 }
 
-// applyRenewal takes the leader's positive answer. The caller holds the lock.
+// applyRenewal applies the leader's positive response. The caller holds the lock.
 func (s *Session) applyRenewal(renewal lease.Renewal, answer transport.SessionResponse) {
 	before, wasActive := s.holder.Session(), s.holder.IsValid(s.Clock())
 	if s.holder.ConfirmRenewal(renewal, answer.Session) && before != answer.Session {
@@ -108,7 +108,7 @@
 	}
 }
 
-// dropSession gives up a session that a raft node has refused, with all its leases.
+// dropSession gives up a session that a raft node has rejected, with all its leases.
 func (s *Session) dropSession(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/session/session.go
+++ b/cluster/member/session/session.go
@@ -30,7 +30,7 @@
 	OnChange func(resource cluster.Resource, epoch cluster.Epoch)
 }
 
-// Session keeps a member's session open and the leases that hang on it. All methods may be called concurrently.
+// Session keeps a member's session open and the leases that belong to it. All methods may be called concurrently.
 type Session struct {
 	Counters
 	Config
@@ -41,8 +41,8 @@
 	notified   map[cluster.Resource]cluster.Epoch // the state that OnChange was last called with
 	watchers   map[cluster.ComponentID]*watcher   // by component of the replicated state
 
-	// hasFreed is set when a raft node reports that a resource became free: it tells all who wait for it in one
-	// moment, so the next request for a grant is spread.
+	// hasFreed is set when a raft node reports that a resource became free. All waiting members get that report at
+	// once, so the next request for a grant is delayed by a random jitter.
 	hasFreed      bool
 	notifications []func() // calls of OnChange that are queued
 
@@ -79,7 +79,7 @@
 	return s
 }
 
-// Acquire has the lease of a resource requested until it is granted, and again whenever it was lost, until Release.
+// Acquire requests the lease of a resource until it is granted, and again whenever it was lost, until Release.
 func (s *Session) Acquire(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,15 +89,15 @@
 	}
 }
 
-// CancelAcquire ends the requests for a resource that was not granted; one that was stays until Release. It is cheap,
-// since it is called for each range whenever ownership is reconciled.
+// CancelAcquire stops requesting a resource that was not granted; a granted one is held until Release. It is cheap, as
+// it is called for each range at each reconciliation of ownership.
 func (s *Session) CancelAcquire(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reconciler.CancelRequest(resource)
 }
 
-// Release gives up a resource at once and has the release proposed to the raft nodes.
+// Release gives up a resource at once; its release is proposed to the raft nodes in the background.
 func (s *Session) Release(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return s.reconciler.Requested()
 }
 
-// Holds reads the clock and returns the epoch by which the resource may be acted on now; false: it may not.
+// Holds reads the clock and returns the epoch of the lease that is held on the resource now; false: none is.
 func (s *Session) Holds(resource cluster.Resource) (cluster.Epoch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 }
 
 // DoWhileHeld calls do if the resource is held, and returns whether it was. do has to call stillHeld right before it
-// writes the last byte of what it sends, and must not write that where it returns false: what happens between the two
-// can't be fenced at a third party.
+// writes the last byte of what it sends, and must not write that if it returns false: a third party can't fence what
+// arrives later.
 func (s *Session) DoWhileHeld(resource cluster.Resource, do func(epoch cluster.Epoch, stillHeld func() bool)) bool {
 	epoch, held := s.Holds(resource)
 	if !held {
@@ -135,20 +135,20 @@
 	return true
 }
 
-// Propose has a command put into the log, as LeaderClient.Propose does, within the time that members allow for that.
+// Propose proposes a command as LeaderClient.Propose does, within the time-out for requests that are logged.
 func (s *Session) Propose(command cluster.Command) (answer []byte, err error) {
 	answer, _, err = s.Leader.Propose(command, timing.LoggedRequestTimeout(s.LeaseTTL).Duration())
 	return answer, err
 }
 
-// IsActive reports whether the session is open now, by the member's own clock.
+// IsActive reports whether the session is valid now, by the member's own clock.
 func (s *Session) IsActive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holder.IsValid(s.Clock())
 }
 
-// Close releases everything and has the session ended in the log, so that nobody has to wait for its TTL.
+// Close releases all leases and ends the session in the log, so that nobody has to wait for its TTL.
 // No callback runs once Close has returned.
 func (s *Session) Close() {
 	s.mu.Lock()
@@ -162,7 +162,7 @@
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
-		// Where this fails the session ends by its TTL.
+		// If this fails the session ends by its TTL.
 		_, _, _ = s.Leader.Propose(lease.EndSession(session), timing.RequestTimeout(s.LeaseTTL).Duration())
 	}
 	s.done.Wait()
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -22,8 +22,7 @@
 	deliveredVersion uint64 // of the last snapshot that was
 }
 
-// Watch has newer snapshots of a component of the replicated state delivered, always the newest; those between may be
-// left out. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a resource
+// Watch delivers newer snapshots of a component of the replicated state, always the newest; those between may be skipped. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a resource
 // that becomes free is still acquired meanwhile.
 func (s *Session) Watch(component cluster.ComponentID, deliver func(version uint64, snapshot []byte)) {
 	s.mu.Lock()
@@ -98,7 +97,7 @@
 	}
 }
 
-// applyComponent takes a newer version of a component. Where a delta doesn't fit, the next poll requests the full
+// applyComponent takes a newer version of a component. If a delta doesn't apply, the next poll requests the full
 // snapshot.
 func (s *Session) applyComponent(state transport.ComponentState) {
 	s.mu.Lock()
@@ -113,7 +112,7 @@
 		var err error
 		snapshot, err = fsm.ApplyDelta(w.snapshot, state.Data)
 		if err != nil {
-			slog.Warn("delta of the state does not fit, the full snapshot is requested", "part", state.Component, "error", err)
+			slog.Warn("delta does not apply to the cached state, requesting a full snapshot", "component", state.Component, "error", err)
 			w.version = 0
 			return
 		}
@@ -137,7 +136,7 @@
 	}
 }
 
-// deliverNext delivers one pending snapshot; false: none is pending.
+// deliverNext delivers one pending snapshot. It returns false if none is pending.
 func (s *Session) deliverNext() bool {
 	deliver, version, snapshot := s.nextDelivery()
 	if deliver == nil {
--- a/cluster/member/session/workload.go
+++ b/cluster/member/session/workload.go
@@ -16,12 +16,12 @@
 )
 
 // RunLeaseWorkload has the session acquire resources and act on them, for tests only: env names, by ROWAN_GUARD, the
-// host:port of a guard that is told when each action began and ended, by ROWAN_GUARD_TASKS the resources, separated by
-// commas, and by ROWAN_GUARD_FENCE=1 that the guard rejects actions with an epoch that has passed. Without ROWAN_GUARD
-// nothing is done.
+// host:port of the lease checker (test/checker/leasecheck) to which the begin and the end of each action are reported,
+// by ROWAN_GUARD_TASKS the resources, separated by commas, and by ROWAN_GUARD_FENCE=1 that the checker rejects outdated
+// epochs. Without ROWAN_GUARD it does nothing.
 func (s *Session) RunLeaseWorkload(env func(string) string) {
-	guard := env("ROWAN_GUARD")
-	if guard == "" {
+	checker := env("ROWAN_GUARD")
+	if checker == "" {
 		return
 	}
 	for name := range strings.SplitSeq(env("ROWAN_GUARD_TASKS"), ",") {
@@ -29,14 +29,14 @@
 			continue
 		}
 		s.Acquire(cluster.Resource(name))
-		s.done.Go(func() { s.workloadLoop(guard, cluster.Resource(name), env("ROWAN_GUARD_FENCE") == "1") })
+		s.done.Go(func() { s.workloadLoop(checker, cluster.Resource(name), env("ROWAN_GUARD_FENCE") == "1") })
 	}
 }
 
 // An action lasts up to a tenth of the lease TTL, and so does the delay between two.
 const workloadDelayDivisor = 10
 
-func (s *Session) workloadLoop(guard string, resource cluster.Resource, fenced bool) {
+func (s *Session) workloadLoop(checker string, resource cluster.Resource, fenced bool) {
 	for s.sleep(s.workloadDelay()) {
 		s.DoWhileHeld(resource, func(epoch cluster.Epoch, stillHeld func() bool) {
 			query := url.Values{
@@ -47,8 +47,8 @@
 			if fenced {
 				query.Set("fence", "1")
 			}
-			if s.reportToGuard(guard, "begin", query, stillHeld) && s.sleep(s.workloadDelay()) {
-				s.reportToGuard(guard, "end", query, stillHeld)
+			if s.reportToChecker(checker, "begin", query, stillHeld) && s.sleep(s.workloadDelay()) {
+				s.reportToChecker(checker, "end", query, stillHeld)
 			}
 		})
 	}
@@ -58,17 +58,17 @@
 	return 1 + api.Micros(s.Leader.drawRandom()*float64(s.LeaseTTL/workloadDelayDivisor))
 }
 
-// reportToGuard sends a request to the guard and returns whether it was accepted. It writes the last byte only if the
+// reportToChecker sends a request to the lease checker and returns whether it was accepted. It writes the last byte only if the
 // resource is still held right before.
-func (s *Session) reportToGuard(guard, action string, query url.Values, stillHeld func() bool) bool {
+func (s *Session) reportToChecker(checker, action string, query url.Values, stillHeld func() bool) bool {
 	dialer := net.Dialer{Timeout: s.LeaseTTL.Duration()}
-	conn, err := dialer.DialContext(context.Background(), "tcp", guard)
+	conn, err := dialer.DialContext(context.Background(), "tcp", checker)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }() // the answer was read or is not needed
 	request := fmt.Sprintf("POST /%s?%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
-		action, query.Encode(), guard)
+		action, query.Encode(), checker)
 	if conn.SetDeadline(time.Now().Add(s.LeaseTTL.Duration())) != nil {
 		return false
 	}
--- a/cluster/member/sites.go
+++ b/cluster/member/sites.go
@@ -9,7 +9,7 @@
 	"rowanlink/webhook/api"
 )
 
-// newSites makes what joins this member's dispatcher to the streams of sites.
+// newSites connects this member's dispatcher to the streams of sites.
 func (m *Member) newSites() *site.Sites {
 	d := m.dispatcher
 	return site.New(site.Options{
@@ -39,15 +39,15 @@
 	return m.ownership.DecideForKey(cluster.SiteKeyHash(s)).Action == shardmap.Serve
 }
 
-// isSiteIsolated reports whether nobody may own that range, as no raft node is reached.
+// isSiteIsolated reports whether the owner of that range is unknown because this member is isolated.
 func (m *Member) isSiteIsolated(s cluster.SiteID) bool {
 	return m.ownership.DecideForKey(cluster.SiteKeyHash(s)).Action == shardmap.ServeIsolated
 }
 
-// defaultDiskMB is what the dispatcher's own journal has where the settings name nothing.
+// defaultDiskMB is the default of the dispatcher's own journal.
 const defaultDiskMB = 3
 
-// diskMB returns the disk space for a relay's journal: as much again as the dispatcher's own has.
+// diskMB returns the disk space for a relay's journal in MB: the same as for the dispatcher's own.
 func diskMB(settings gjson.Result) float64 {
 	if mb := settings.Get("limits.disk_mb").Float(); mb > 0 {
 		return mb
--- a/cluster/raftnode/raft_logger.go
+++ b/cluster/raftnode/raft_logger.go
@@ -89,7 +89,7 @@
 	if isSuppressed {
 		return
 	}
-	attrs := []any{"raft", message, "left_out", suppressed}
+	attrs := []any{"raft", message, "suppressed", suppressed}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		attrs = append(attrs, fmt.Sprint(pairs[i]), fmt.Sprint(pairs[i+1]))
 	}
--- a/cluster/raftnode/stream_layer.go
+++ b/cluster/raftnode/stream_layer.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	// greetingWord begins the greeting line; its number is the version of the protocol.
-	greetingWord = "rowanfleet-log/1"
-	// greetingFormat is the greeting: word, cluster, calling server, called server.
+	// greetingMagic begins the greeting line; its number is the version of the protocol.
+	greetingMagic = "rowanfleet-log/1"
+	// greetingFormat is the greeting: magic, cluster, calling server, called server.
 	greetingFormat = "%s %q %q %q\n"
 
 	maxGreetingSize     = 1024
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(timeout)) // on a closed connection the write fails
-	if _, err = fmt.Fprintf(conn, greetingFormat, greetingWord, s.clusterName, s.self, to); err != nil {
+	if _, err = fmt.Fprintf(conn, greetingFormat, greetingMagic, s.clusterName, s.self, to); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
@@ -122,12 +122,12 @@
 func (s *streamLayer) checkGreeting(conn net.Conn) {
 	_ = conn.SetReadDeadline(time.Now().Add(s.timeout)) // on a closed connection the read fails
 	reader := bufio.NewReaderSize(io.LimitReader(conn, maxGreetingSize), maxGreetingSize)
-	var word, clusterName, from, to string
+	var magic, clusterName, from, to string
 	line, err := reader.ReadString('\n')
 	if err == nil {
-		_, err = fmt.Sscanf(line, greetingFormat, &word, &clusterName, &from, &to)
+		_, err = fmt.Sscanf(line, greetingFormat, &magic, &clusterName, &from, &to)
 	}
-	if err != nil || word != greetingWord || clusterName != s.clusterName || to != string(s.self) {
+	if err != nil || magic != greetingMagic || clusterName != s.clusterName || to != string(s.self) {
 		s.rejectConn(conn, from, to, clusterName)
 		return
 	}
@@ -150,7 +150,7 @@
 	}
 	s.loggedMismatches[mismatch] = true
 	slog.Warn("raft connection rejected: it is meant for another server",
-		"by", from, "called", to, "fleet", clusterName, "self", s.self)
+		"from", from, "to", to, "cluster", clusterName, "self", s.self)
 }
 
 // prefixedConn is a connection of which the first bytes were read with the greeting.
