--- a/cluster/fsm/delta.go
+++ b/cluster/fsm/delta.go
@@ -23,7 +23,7 @@
 		zstd.WithEncoderLevel(zstd.SpeedDefault),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
-		return target // never smaller than the whole: that is sent
+		return target // as large as the full snapshot, which is sent instead
 	}
 	defer func() { _ = encoder.Close() }() // there is no stream to flush
 	return encoder.EncodeAll(target, make([]byte, 0, len(target)/16))
--- a/cluster/fsm/history.go
+++ b/cluster/fsm/history.go
@@ -1,7 +1,7 @@
 package fsm
 
 // SnapshotHistory retains recent snapshots of one component, so that a member that has an earlier one gets the
-// difference instead of the whole. It is not safe for concurrent use.
+// delta instead of the full one. It is not safe for concurrent use.
 type SnapshotHistory struct {
 	snapshots []retainedSnapshot // by rising version
 	bytes     int                // of all snapshots
@@ -52,7 +52,7 @@
 }
 
 // DeltaSince returns what a member with the snapshot of a version needs for the newest one: base is that version
-// and data the delta for ApplyDelta, or base is 0 and data the whole snapshot if the version is not retained or
+// and data the delta for ApplyDelta, or base is 0 and data the full snapshot if the version is not retained or
 // the delta would not be much smaller. There must be a snapshot.
 func (h *SnapshotHistory) DeltaSince(version uint64) (base uint64, data []byte) {
 	last := len(h.snapshots) - 1
--- a/cluster/fsm/history_test.go
+++ b/cluster/fsm/history_test.go
@@ -16,7 +16,9 @@
 // From any earlier snapshot DeltaSince leads to the newest one.
 func TestSnapshotHistory_LeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		history, earlier, raw := SnapshotHistory{}, map[uint64][]byte{}, rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "first")
+		history := SnapshotHistory{}
+		earlier := map[uint64][]byte{}
+		raw := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "first")
 		for v := range rapid.Uint64Range(1, 20).Draw(t, "versions") {
 			history.Add(2*v+1, raw)
 			earlier[2*v+1] = raw
@@ -60,7 +62,8 @@
 	assert.ErrorIs(t, err, ErrUnreadable)
 }
 
-// BenchmarkDelta is one step of one move among 4,096 ranges: the size and cost of the delta beside the whole snapshot.
+// BenchmarkDelta measures one step of one move among 4,096 ranges: the size and cost of the delta, and of the full
+// snapshot for comparison.
 func BenchmarkDelta(b *testing.B) {
 	m := shardmap.New(nil)
 	all := []shardmap.MemberWeight{}
@@ -69,7 +72,8 @@
 	}
 	m.Ranges, _ = shardmap.EvenRanges(4096, all)
 	for i := range m.Ranges {
-		m.Ranges[i].Epoch, m.Ranges[i].Status = 1000, shardmap.OwnerServing
+		m.Ranges[i].Epoch = 1000
+		m.Ranges[i].Status = shardmap.OwnerServing
 	}
 	m.Version = 70_000
 	before, _ := m.Snapshot()
@@ -82,14 +86,14 @@
 			delta = encodeDelta(before, after)
 		}
 		b.ReportMetric(float64(len(delta)), "B")
-		b.ReportMetric(float64(len(after)), "B-whole")
+		b.ReportMetric(float64(len(after)), "B-full")
 	})
 	b.Run("apply", func(b *testing.B) {
 		for b.Loop() {
 			_, _ = ApplyDelta(before, delta)
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("full", func(b *testing.B) {
 		for b.Loop() {
 			_, _ = m.Snapshot()
 		}
--- a/cluster/lease/commands.go
+++ b/cluster/lease/commands.go
@@ -30,7 +30,7 @@
 func BeginLeaderEpoch() cluster.Command { return command(Operation{Kind: OpBeginLeaderEpoch}) }
 
 // ExpireSession ends a session that ExpiryTracker.TakeExpired returned. It fails with cluster.ErrStale if
-// another leader epoch has begun since: its leader gives the session a whole TTL again.
+// another leader epoch has begun since: its leader gives the session a full TTL again.
 func ExpireSession(s ExpiredSession) cluster.Command {
 	return command(Operation{Kind: OpExpireSession, Session: s.Session, LeaderEpoch: s.LeaderEpoch})
 }
--- a/cluster/lease/expiry_tracker.go
+++ b/cluster/lease/expiry_tracker.go
@@ -7,7 +7,7 @@
 )
 
 // ExpiryTracker is the leading raft node's timers of sessions: it finds the sessions that have to be ended
-// through the log. It is neither stored nor replicated: the next leader gives each session a whole TTL again.
+// through the log. It is neither stored nor replicated: the next leader gives each session a full TTL again.
 // Its times are of the raft node's clock.
 //
 // What the raft node has to do:
@@ -33,7 +33,7 @@
 // NewExpiryTracker returns a tracker that does not lead: it knows no session and renews none.
 func NewExpiryTracker(ttl api.Micros) *ExpiryTracker { return &ExpiryTracker{ttl: ttl} }
 
-// StartLeading starts over with the sessions of the table: each has a whole TTL from now, whenever it was last
+// StartLeading starts over with the sessions of the table: each has a full TTL from now, whenever it was last
 // renewed.
 func (t *ExpiryTracker) StartLeading(now api.Micros, epoch LeaderEpoch, sessions []cluster.SessionID) {
 	t.StopLeading()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// Renew gives a session a whole TTL from now. It returns false if the session has ended or was returned by
+// Renew gives a session a full TTL from now. It returns false if the session has ended or was returned by
 // TakeExpired. A renewal that comes late but before TakeExpired is valid: a leader that was stopped itself need
 // not end a session that nobody else has ended.
 func (t *ExpiryTracker) Renew(s cluster.SessionID, now api.Micros) bool {
--- a/cluster/lease/expiry_tracker_test.go
+++ b/cluster/lease/expiry_tracker_test.go
@@ -18,7 +18,9 @@
 // A map of deadlines is the reference implementation.
 func TestExpiryTracker_AgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tracker, until, now := NewExpiryTracker(testTTL), deadlines{}, api.Micros(0)
+		tracker := NewExpiryTracker(testTTL)
+		until := deadlines{}
+		now := api.Micros(0)
 		ending := map[cluster.SessionID]bool{}
 		tracker.StartLeading(now, 1, nil)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -62,16 +64,20 @@
 
 type deadlines map[cluster.SessionID]api.Micros
 
-func checkExpired(t *rapid.T, expired []ExpiredSession, until deadlines, ending map[cluster.SessionID]bool, now api.Micros) {
+func checkExpired(
+	t *rapid.T, expired []ExpiredSession, until deadlines, ending map[cluster.SessionID]bool, now api.Micros,
+) {
+	t.Helper()
 	named := map[cluster.SessionID]bool{}
-	for _, o := range expired {
-		assert.False(t, named[o.Session])
-		named[o.Session] = true
+	for _, e := range expired {
+		assert.False(t, named[e.Session])
+		named[e.Session] = true
 	}
 	for s, at := range until {
 		assert.Equal(t, now >= at, named[s], "session %d", s)
 		if named[s] { // and again, unless its end is applied
-			ending[s], until[s] = true, now+testTTL/4
+			ending[s] = true
+			until[s] = now + testTTL/4
 		}
 	}
 }
@@ -82,7 +88,7 @@
 	assert.False(t, tracker.AddOrRenew(1, 0))
 	tracker.StartLeading(0, 5, []cluster.SessionID{1})
 	assert.True(t, tracker.Renew(1, 1))
-	assert.Empty(t, tracker.TakeExpired(testTTL), "a whole TTL from the renewal")
+	assert.Empty(t, tracker.TakeExpired(testTTL), "a full TTL from the renewal")
 	tracker.StopLeading()
 	assert.False(t, tracker.IsLeading())
 	assert.False(t, tracker.Renew(1, 2))
@@ -110,7 +116,7 @@
 		memberRate, leaderRate := rate.Draw(t, "member"), rate.Draw(t, "leader")
 		member, tracker := NewHolder(length, drift), NewExpiryTracker(length)
 		begin := rapid.Float64Range(0, 1e9).Draw(t, "begin") // true microseconds
-		at := func(rate, true float64) api.Micros { return api.Micros(rate * true) }
+		at := func(rate, trueTime float64) api.Micros { return api.Micros(rate * trueTime) }
 		renewal := member.StartRenewal(at(memberRate, begin))
 		tracker.StartLeading(0, 1, nil)
 		require.True(t, tracker.AddOrRenew(2, at(leaderRate, begin)))
@@ -125,16 +131,16 @@
 // A leader that was stopped may read a response that was given before another was elected: it proves nothing about
 // any time after the request was sent.
 func TestQuorumContact_CountsFromWhenSent(t *testing.T) {
-	a := NewQuorumContact(5)
-	a.RecordContact(3, "k2", 100)
-	assert.False(t, a.HasQuorumSince(100), "two of five")
-	a.RecordContact(3, "k3", 90)
-	assert.True(t, a.HasQuorumSince(90))
-	assert.False(t, a.HasQuorumSince(91))
-	a.RecordContact(3, "k3", 80) // late
-	assert.True(t, a.HasQuorumSince(90))
-	a.RecordContact(4, "k2", 200) // a new term: earlier contacts no longer count
-	a.RecordContact(3, "k3", 300)
-	assert.False(t, a.HasQuorumSince(0))
+	contact := NewQuorumContact(5)
+	contact.RecordContact(3, "k2", 100)
+	assert.False(t, contact.HasQuorumSince(100), "two of five")
+	contact.RecordContact(3, "k3", 90)
+	assert.True(t, contact.HasQuorumSince(90))
+	assert.False(t, contact.HasQuorumSince(91))
+	contact.RecordContact(3, "k3", 80) // late
+	assert.True(t, contact.HasQuorumSince(90))
+	contact.RecordContact(4, "k2", 200) // a new term: earlier contacts no longer count
+	contact.RecordContact(3, "k3", 300)
+	assert.False(t, contact.HasQuorumSince(0))
 	assert.True(t, NewQuorumContact(1).HasQuorumSince(5), "a single node is its own majority")
 }
--- a/cluster/lease/holder_test.go
+++ b/cluster/lease/holder_test.go
@@ -14,11 +14,12 @@
 
 // newTestHolder holds session 2 and, with epoch 3, one lease, by a renewal started at 0.
 func newTestHolder(t *testing.T) (*Holder, Renewal) {
+	t.Helper()
 	holder := NewHolder(testTTL, 0.05)
-	ask := holder.StartRenewal(0)
-	require.True(t, holder.ConfirmRenewal(ask, 2))
+	renewal := holder.StartRenewal(0)
+	require.True(t, holder.ConfirmRenewal(renewal, 2))
 	require.True(t, holder.AddGrant(2, Grant{coordinator, 3}))
-	return holder, ask
+	return holder, renewal
 }
 
 func mayAct(holder *Holder, now api.Micros) bool {
@@ -49,7 +50,7 @@
 	assert.Zero(t, holder.Session())
 }
 
-// A new leader gives the session a whole TTL again although one before it rejected it: a new renewal confirms it, but
+// A new leader gives the session a full TTL again although one before it rejected it: a new renewal confirms it, but
 // not the grants that the member relinquished.
 func TestHolder_SessionReturnsAfterRejectionWithoutRelinquishedGrants(t *testing.T) {
 	holder, _ := newTestHolder(t)
@@ -82,7 +83,8 @@
 	assert.Equal(t, until+1, holder.Deadline(), "from its own renewal, whatever the previous session had")
 	assert.False(t, mayAct(holder, 2))
 	assert.False(t, holder.ConfirmRenewal(holder.StartRenewal(2), 2), "late, for the previous session")
-	assert.False(t, holder.AddGrant(2, Grant{coordinator, 12}), "granted to the previous session after this one was opened")
+	assert.False(t, holder.AddGrant(2, Grant{coordinator, 12}),
+		"granted to the previous session after this one was opened")
 	holder.HandleRejection(2)
 	assert.Equal(t, cluster.SessionID(9), holder.Session())
 	assert.False(t, holder.AddGrant(9, Grant{Resource: coordinator}), "held by another session")
@@ -103,23 +105,24 @@
 
 func TestFence_SurvivesRestart(t *testing.T) {
 	fence := NewFence()
-	risen, err := fence.Admit(coordinator, 7)
+	raised, err := fence.Admit(coordinator, 7)
 	require.NoError(t, err)
-	assert.True(t, risen, "to be stored before acting")
+	assert.True(t, raised, "to be stored before acting")
 	fence, err = DecodeFence(fence.Encode())
 	require.NoError(t, err)
 	_, err = fence.Admit(coordinator, 6)
 	assert.ErrorIs(t, err, cluster.ErrFenced)
-	risen, err = fence.Admit(coordinator, 7)
+	raised, err = fence.Admit(coordinator, 7)
 	assert.NoError(t, err)
-	assert.False(t, risen)
+	assert.False(t, raised)
 	_, err = fence.Admit("other", 6)
 	assert.NoError(t, err)
 	_, err = fence.Admit("third", 0)
 	assert.ErrorIs(t, err, cluster.ErrFenced)
-	for _, bad := range [][]byte{nil, {0xa0}, encode(fenceImage{fenceFormat + 1, nil}),
-		encode(fenceImage{fenceFormat, map[cluster.Resource]cluster.Epoch{"": 1}})} {
-		_, err = DecodeFence(bad)
+	newerFormat := fenceImage{Format: fenceFormat + 1}
+	withoutName := fenceImage{Format: fenceFormat, Highest: map[cluster.Resource]cluster.Epoch{"": 1}}
+	for _, malformed := range [][]byte{nil, {0xa0}, encode(newerFormat), encode(withoutName)} {
+		_, err = DecodeFence(malformed)
 		assert.ErrorIs(t, err, ErrUnreadable)
 	}
 }
--- a/cluster/lease/model_delivery_test.go
+++ b/cluster/lease/model_delivery_test.go
@@ -9,9 +9,9 @@
 )
 
 // deliver lets a message arrive and does with the real objects what its recipient would.
-func (md *model) deliver(i int, again bool) {
+func (md *model) deliver(i int, duplicated bool) {
 	m := md.messages[i]
-	if !again {
+	if !duplicated {
 		md.messages = slices.Delete(md.messages, i, i+1)
 	}
 	switch m.kind {
@@ -29,14 +29,14 @@
 	case rejection:
 		md.mutableHolder(m.process).HandleRejection(m.session)
 	case acquireRequest:
-		a, err := md.apply(AcquireLeases(m.session, modelResource))
+		result, err := md.apply(AcquireLeases(m.session, modelResource))
 		if m.process < 0 {
 			return
 		}
 		if errors.Is(err, cluster.ErrNotFound) {
 			md.send(message{kind: rejection, process: m.process, session: m.session})
-		} else if a.Grants[0].Err() == nil {
-			md.send(message{kind: grantResponse, process: m.process, session: a.Session, epoch: a.Grants[0].Epoch})
+		} else if result.Grants[0].Err() == nil {
+			md.send(message{kind: grantResponse, process: m.process, session: result.Session, epoch: result.Grants[0].Epoch})
 		}
 	case grantResponse:
 		md.mutableHolder(m.process).AddGrant(m.session, Grant{modelResource, m.epoch})
@@ -56,7 +56,7 @@
 	}
 }
 
-func (md *model) apply(c cluster.Command) (a Result, err error) {
+func (md *model) apply(c cluster.Command) (result Result, err error) {
 	md.index++
 	before := md.table.LastEpoch(modelResource)
 	raw, err := md.mutableTable().Apply(md.index, c.Body)
@@ -66,23 +66,23 @@
 	if md.table.LastEpoch(modelResource) < before {
 		md.violation = "an epoch fell"
 	}
-	if a, err = DecodeResult(raw); err != nil {
+	if result, err = DecodeResult(raw); err != nil {
 		panic(err)
 	}
-	return a, nil
+	return result, nil
 }
 
 // elect makes a raft node the leader; the previous one may go on believing that it leads.
 func (md *model) elect(k int) {
 	md.raftTerm++
 	md.leader = k
-	a, _ := md.apply(BeginLeaderEpoch())
+	result, _ := md.apply(BeginLeaderEpoch())
 	n := md.mutableNode(k)
 	n.believesLeading = true
 	if md.mutation.keepOldExpiry {
-		n.tracker.leaderEpoch = a.LeaderEpoch
+		n.tracker.leaderEpoch = result.LeaderEpoch
 	} else {
-		n.tracker.StartLeading(md.nodeClock(k), a.LeaderEpoch, md.table.Sessions())
+		n.tracker.StartLeading(md.nodeClock(k), result.LeaderEpoch, md.table.Sessions())
 	}
 }
 
@@ -93,16 +93,19 @@
 // handleOpen needs no proof of leadership, as it goes through the log. A request of a process that has been
 // restarted since has process -1.
 func (md *model) handleOpen(m message) {
-	a, err := md.apply(OpenSession("m", m.incarnation))
+	result, err := md.apply(OpenSession("m", m.incarnation))
 	if err != nil {
 		panic(err)
 	}
-	goes := md.mutableNode(md.leader).tracker.AddOrRenew(a.Session, md.nodeClock(md.leader))
+	confirmed := md.mutableNode(md.leader).tracker.AddOrRenew(result.Session, md.nodeClock(md.leader))
 	if other := 1 - md.leader; md.mutation.keepOldExpiry {
-		md.mutableNode(other).tracker.AddOrRenew(a.Session, md.nodeClock(other))
+		md.mutableNode(other).tracker.AddOrRenew(result.Session, md.nodeClock(other))
 	}
-	m.kind, m.session, m.node, m.incarnation = rejection, a.Session, 0, 0
-	if goes {
+	m.kind = rejection
+	m.session = result.Session
+	m.node = 0
+	m.incarnation = 0
+	if confirmed {
 		m.kind = confirmation
 	}
 	if m.process >= 0 {
@@ -122,12 +125,16 @@
 	if !k.believesLeading {
 		return
 	}
-	goes := k.tracker.Renew(m.session, md.nodeClock(m.node))
-	if _, counted := k.tracker.sessions[m.session]; counted && md.mutation.renewExpired {
-		k.tracker.sessions[m.session], goes = sessionExpiry{expiresAt: md.nodeClock(m.node) + modelTTL}, true
+	confirmed := k.tracker.Renew(m.session, md.nodeClock(m.node))
+	if _, known := k.tracker.sessions[m.session]; known && md.mutation.renewExpired {
+		k.tracker.sessions[m.session] = sessionExpiry{expiresAt: md.nodeClock(m.node) + modelTTL}
+		confirmed = true
 	}
-	m.kind, m.at, m.node, m.incarnation = rejection, 0, 0, 0
-	if goes {
+	m.kind = rejection
+	m.at = 0
+	m.node = 0
+	m.incarnation = 0
+	if confirmed {
 		m.kind = confirmation
 	}
 	md.send(m)
@@ -147,11 +154,11 @@
 	if m.node != md.leader {
 		return
 	}
-	o := ExpiredSession{m.session, m.leaderEpoch}
+	expired := ExpiredSession{Session: m.session, LeaderEpoch: m.leaderEpoch}
 	if md.mutation.ignoreLeaderEpoch {
-		o.LeaderEpoch = md.table.LeaderEpoch()
+		expired.LeaderEpoch = md.table.LeaderEpoch()
 	}
-	md.endSession(ExpireSession(o), m.session)
+	md.endSession(ExpireSession(expired), m.session)
 }
 
 // checkInvariants returns the violated invariant or "": there are never two holders, nor, which precedes that, a
--- a/cluster/lease/model_hash_test.go
+++ b/cluster/lease/model_hash_test.go
@@ -20,7 +20,11 @@
 }
 
 func (md *model) hash() uint64 {
-	se := stateEncoder{md, md.knownIDs(make([]uint64, 0, 48)), make([]byte, 0, 256)}
+	se := stateEncoder{
+		model: md,
+		ids:   md.knownIDs(make([]uint64, 0, 48)),
+		out:   make([]byte, 0, 256),
+	}
 	se.add(byte(md.leader))
 	se.add(byte(md.budget.elections), byte(md.budget.duplicates), byte(md.budget.lateContacts), byte(md.budget.releases),
 		byte(md.budget.sessionEnds), byte(md.budget.memberRestarts), byte(md.budget.actions), byte(md.budget.fenceRestarts))
@@ -54,7 +58,8 @@
 	var each [8][]byte
 	parts, end := each[:0], len(se.out)
 	for _, at := range slices.Backward(begins) {
-		parts, end = append(parts, se.out[at:end]), at
+		parts = append(parts, se.out[at:end])
+		end = at
 	}
 	slices.SortFunc(parts, bytes.Compare)
 	h := xxhash.New()
--- a/cluster/lease/model_mutations_test.go
+++ b/cluster/lease/model_mutations_test.go
@@ -29,7 +29,7 @@
 			faultBudget{},
 			twoHolders,
 		},
-		"no whole TTL at a new leader": {
+		"no full TTL at a new leader": {
 			mutation{keepOldExpiry: true},
 			faultBudget{elections: 1},
 			released,
@@ -67,12 +67,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if extraDepth > 0 && m.finds == released {
-				m.mutation.untilTwoHolders, m.finds = true, twoHolders
+				m.mutation.untilTwoHolders = true
+				m.finds = twoHolders
 			}
 			start := worstClocks(m.mutation, m.budget)
 			if m.mutation.countContactFromArrival { // shortcut: a peer's response is in flight, then another node is elected
 				start.sendLateContact(0)
-				start.budget.lateContacts, start.budget.elections = 0, 0
+				start.budget.lateContacts = 0
+				start.budget.elections = 0
 				start.elect(1)
 			}
 			f := search([]*model{start}, 16)
@@ -86,7 +88,8 @@
 
 // Long random walks with every fault reach states beyond those of the search.
 func TestModel_NoTwoHoldersOnRandomWalks(t *testing.T) {
-	chance, taken, steps := rand.New(rand.NewPCG(35, 1)), 0, 0
+	chance := rand.New(rand.NewPCG(35, 1))
+	taken, steps := 0, 0
 	rates := []api.Micros{slowStep, fastStep}
 	for range 10_000 * (1 + extraDepth) {
 		rate := func() api.Micros { return rates[chance.IntN(2)] }
--- a/cluster/lease/model_search_test.go
+++ b/cluster/lease/model_search_test.go
@@ -30,17 +30,18 @@
 		path = append(path, n.transition)
 	}
 	slices.Reverse(path)
-	md, told := starts[path[0]].clone(), []string{fmt.Sprintf("start %d", path[0])}
+	md := starts[path[0]].clone()
+	lines := []string{fmt.Sprintf("start %d", path[0])}
 	for _, i := range path[1:] {
 		m := md.transitions(nil)[i]
 		line := fmt.Sprintf("at %d: %s: %d", md.now, m.name, m.subject)
 		if strings.HasPrefix(m.name, "arrives") || m.name == "is lost" {
 			line += fmt.Sprintf(" %+v", md.messages[m.subject])
 		}
-		told = append(told, line)
+		lines = append(lines, line)
 		m.apply(md, m.subject)
 	}
-	return strings.Join(append(told, md.checkInvariants()), "\n")
+	return strings.Join(append(lines, md.checkInvariants()), "\n")
 }
 
 type searchResult struct {
@@ -64,7 +65,7 @@
 	var level []reached
 	for i, md := range starts {
 		if isNew(md) {
-			level = append(level, reached{md, &searchNode{nil, i}})
+			level = append(level, reached{model: md, node: &searchNode{transition: i}})
 		}
 	}
 	var moves []transition
@@ -78,15 +79,16 @@
 				if m.apply(md, m.subject); !isNew(md) {
 					continue
 				}
-				n := &searchNode{at.node, j}
+				n := &searchNode{parent: at.node, transition: j}
 				if f.violation = md.checkInvariants(); f.violation != "" {
-					f.states, f.trace = len(seen), n.trace(starts)
+					f.states = len(seen)
+					f.trace = n.trace(starts)
 					return f
 				}
 				if _, ok := md.processes[1].holder.Epoch(modelResource, md.processClock(1)); ok {
 					f.handovers++
 				}
-				next = append(next, reached{md, n})
+				next = append(next, reached{model: md, node: n})
 			}
 		}
 		level = next
@@ -95,32 +97,34 @@
 	return f
 }
 
-// steadyModel is a cluster in which both members have a session and the first holds the lease.
-func steadyModel(md mutation, left faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
-	n := newModel(md, left, nodeSteps, memberSteps)
+// steadyModel returns a cluster in which both members have a session and the first holds the lease.
+func steadyModel(faulty mutation, budget faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
+	n := newModel(faulty, budget, nodeSteps, memberSteps)
 	n.budget.asyncRequests = false
-	for _, ask := range []struct {
-		what string
-		who  int
+	for _, request := range []struct {
+		name   string
+		member int
 	}{{"a member opens a session", 0}, {"a member opens a session", 1}, {"a member acquires the lease", 0}} {
 		all := n.transitions(nil)
-		i := slices.IndexFunc(all, func(m transition) bool { return m.name == ask.what && m.subject == ask.who })
-		all[i].apply(n, ask.who)
+		i := slices.IndexFunc(all, func(m transition) bool {
+			return m.name == request.name && m.subject == request.member
+		})
+		all[i].apply(n, request.member)
 	}
-	n.budget.asyncRequests = left.asyncRequests
+	n.budget.asyncRequests = budget.asyncRequests
 	return n
 }
 
-// worstClocks has slow clocks at the members and fast ones at the raft nodes.
-func worstClocks(md mutation, left faultBudget) *model {
-	return steadyModel(md, left, [2]api.Micros{fastStep, fastStep}, [2]api.Micros{slowStep, slowStep})
+// worstClocks returns a model with slow clocks at the members and fast ones at the raft nodes.
+func worstClocks(faulty mutation, budget faultBudget) *model {
+	return steadyModel(faulty, budget, [2]api.Micros{fastStep, fastStep}, [2]api.Micros{slowStep, slowStep})
 }
 
-func allClockRates(left faultBudget) (all []*model) {
+func allClockRates(budget faultBudget) (all []*model) {
 	rates := []api.Micros{slowStep, fastStep}
 	for i := range 16 {
 		nodeSteps := [2]api.Micros{rates[i&1], rates[i>>1&1]}
-		all = append(all, steadyModel(mutation{}, left, nodeSteps, [2]api.Micros{rates[i>>2&1], rates[i>>3]}))
+		all = append(all, steadyModel(mutation{}, budget, nodeSteps, [2]api.Micros{rates[i>>2&1], rates[i>>3]}))
 	}
 	return all
 }
--- a/cluster/lease/model_test.go
+++ b/cluster/lease/model_test.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"rowanlink/cluster"
-	"rowanlink/internal/timerqueue"
 	"rowanlink/webhook/api"
 )
 
@@ -107,15 +106,25 @@
 	violation       string
 }
 
-func newModel(md mutation, left faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
-	n := &model{mutation: md, budget: left, table: NewTable(), owned: true, fence: NewFence()}
+func newModel(faulty mutation, budget faultBudget, nodeSteps, memberSteps [2]api.Micros) *model {
+	n := &model{mutation: faulty, budget: budget, table: NewTable(), owned: true, fence: NewFence()}
 	n.storedFence = n.fence.Encode()
 	for i := range n.nodes {
-		n.nodes[i] = raftNode{nodeSteps[i], false, NewExpiryTracker(modelTTL), NewQuorumContact(3), true}
-		if md.keepOldExpiry {
+		n.nodes[i] = raftNode{
+			clockStep: nodeSteps[i],
+			tracker:   NewExpiryTracker(modelTTL),
+			contact:   NewQuorumContact(3),
+			owned:     true,
+		}
+		if faulty.keepOldExpiry {
 			n.nodes[i].tracker.StartLeading(0, 0, nil)
 		}
-		n.processes[i] = process{memberSteps[i], Incarnation(i), n.newHolder(), true}
+		n.processes[i] = process{
+			clockStep:   memberSteps[i],
+			incarnation: Incarnation(i),
+			holder:      n.newHolder(),
+			owned:       true,
+		}
 	}
 	n.elect(0)
 	return n
@@ -138,51 +147,65 @@
 	n.messages = slices.Clone(md.messages)
 	n.owned = false
 	for i := range n.nodes {
-		n.nodes[i].owned, n.processes[i].owned = false, false
+		n.nodes[i].owned = false
+		n.processes[i].owned = false
 	}
 	return &n
 }
 
 func (md *model) mutableTable() *Table {
-	if b := md.table; !md.owned {
-		n := *b
-		n.openSessions, n.leases, n.sessions = maps.Clone(b.openSessions), maps.Clone(b.leases), map[cluster.SessionID]*session{}
-		for id, s := range b.sessions {
-			n.sessions[id] = &session{s.sessionOwner, maps.Clone(s.resources)}
-		}
-		md.table, md.owned = &n, true
+	if md.owned {
+		return md.table
 	}
+	shared := md.table
+	copied := *shared
+	copied.openSessions = maps.Clone(shared.openSessions)
+	copied.leases = maps.Clone(shared.leases)
+	copied.sessions = map[cluster.SessionID]*session{}
+	for id, s := range shared.sessions {
+		copied.sessions[id] = &session{sessionOwner: s.sessionOwner, resources: maps.Clone(s.resources)}
+	}
+	md.table = &copied
+	md.owned = true
 	return md.table
 }
 
 // mutableNode rebuilds the tracker's timers: what TakeExpired returns depends on its sessions alone.
 func (md *model) mutableNode(i int) *raftNode {
-	k := &md.nodes[i]
-	if t := k.tracker; !k.owned {
-		k.tracker = &ExpiryTracker{t.ttl, t.leaderEpoch, maps.Clone(t.sessions), timerqueue.Queue[cluster.SessionID]{}}
-		for _, s := range sortedSessions(t.sessions) {
-			k.tracker.timers.Add(int64(t.sessions[s].expiresAt), s)
-		}
-		k.contact = &QuorumContact{k.contact.quorumPeers, k.contact.raftTerm, maps.Clone(k.contact.lastContact)}
-		k.owned = true
+	n := &md.nodes[i]
+	if n.owned {
+		return n
 	}
-	return k
+	tracker, contact := n.tracker, n.contact
+	n.tracker = &ExpiryTracker{
+		ttl:         tracker.ttl,
+		leaderEpoch: tracker.leaderEpoch,
+		sessions:    maps.Clone(tracker.sessions),
+	}
+	for _, s := range sortedSessions(tracker.sessions) {
+		n.tracker.timers.Add(int64(tracker.sessions[s].expiresAt), s)
+	}
+	n.contact = &QuorumContact{
+		quorumPeers: contact.quorumPeers,
+		raftTerm:    contact.raftTerm,
+		lastContact: maps.Clone(contact.lastContact),
+	}
+	n.owned = true
+	return n
 }
 
 func (md *model) mutableHolder(i int) *Holder {
 	p := &md.processes[i]
 	if !p.owned {
-		n := *p.holder
-		n.epochs, n.relinquished = maps.Clone(n.epochs), maps.Clone(n.relinquished)
-		p.holder, p.owned = &n, true
+		copied := *p.holder
+		copied.epochs = maps.Clone(copied.epochs)
+		copied.relinquished = maps.Clone(copied.relinquished)
+		p.holder = &copied
+		p.owned = true
 	}
 	return p.holder
 }
 
-func sortedSessions(runs map[cluster.SessionID]sessionExpiry) (all []cluster.SessionID) {
-	for s := range runs {
-		all = append(all, s)
-	}
-	slices.Sort(all)
-	return all
+func sortedSessions(sessions map[cluster.SessionID]sessionExpiry) []cluster.SessionID {
+	return slices.Sorted(maps.Keys(sessions))
 }
--- a/cluster/lease/model_transitions_test.go
+++ b/cluster/lease/model_transitions_test.go
@@ -88,8 +88,14 @@
 	}
 	if n.believesLeading && md.hasExpired(k) {
 		all = append(all, transition{"a node checks for expired sessions", k, func(md *model, k int) {
-			for _, o := range md.mutableNode(k).tracker.TakeExpired(md.nodeClock(k)) {
-				md.send(message{kind: expireRequest, process: -1, node: k, session: o.Session, leaderEpoch: o.LeaderEpoch})
+			for _, expired := range md.mutableNode(k).tracker.TakeExpired(md.nodeClock(k)) {
+				md.send(message{
+					kind:        expireRequest,
+					process:     -1,
+					node:        k,
+					session:     expired.Session,
+					leaderEpoch: expired.LeaderEpoch,
+				})
 			}
 		}})
 	}
@@ -103,10 +109,12 @@
 
 // hasExpired ignores expiries that are in flight: finding them again changes nothing.
 func (md *model) hasExpired(k int) bool {
-	for s, r := range md.nodes[k].tracker.sessions {
-		if md.nodeClock(k) >= r.expiresAt && !slices.ContainsFunc(md.messages, func(m message) bool {
-			return m.kind == expireRequest && m.node == k && m.session == s && m.leaderEpoch == md.nodes[k].tracker.leaderEpoch
-		}) {
+	tracker := md.nodes[k].tracker
+	for s, state := range tracker.sessions {
+		isInFlight := func(m message) bool {
+			return m.kind == expireRequest && m.node == k && m.session == s && m.leaderEpoch == tracker.leaderEpoch
+		}
+		if md.nodeClock(k) >= state.expiresAt && !slices.ContainsFunc(md.messages, isInFlight) {
 			return true
 		}
 	}
@@ -169,11 +177,17 @@
 
 // startRenewal sends a request to the leader's log or, for a renewal, at once to a raft node: a delay could only make
 // it harder to confirm.
-func (md *model) startRenewal(p int, what messageKind, k int) {
-	t := md.mutableHolder(p)
-	m := message{kind: what, process: p, node: k, session: t.Session()}
-	m.renewal, m.incarnation = t.StartRenewal(md.processClock(p)), md.processes[p].incarnation
-	if what == renewRequest {
+func (md *model) startRenewal(p int, kind messageKind, k int) {
+	holder := md.mutableHolder(p)
+	m := message{
+		kind:        kind,
+		process:     p,
+		node:        k,
+		session:     holder.Session(),
+		renewal:     holder.StartRenewal(md.processClock(p)),
+		incarnation: md.processes[p].incarnation,
+	}
+	if kind == renewRequest {
 		m.at = md.nodeClock(k)
 	}
 	md.send(m)
@@ -182,7 +196,8 @@
 // restartMember keeps requests in flight, but drops responses.
 func (md *model) restartMember(p int) {
 	md.budget.memberRestarts--
-	md.processes[p].holder, md.processes[p].owned = md.newHolder(), true
+	md.processes[p].holder = md.newHolder()
+	md.processes[p].owned = true
 	md.processes[p].incarnation += 2
 	md.messages = slices.DeleteFunc(md.messages, func(m message) bool {
 		return m.process == p && (m.isResponse() || m.kind == renewRequest)
@@ -211,8 +226,8 @@
 		panic(err)
 	}
 	md.fence = f
-	risen, err := f.Admit(modelResource, e)
-	if risen {
+	raised, err := f.Admit(modelResource, e)
+	if raised {
 		md.storedFence = f.Encode()
 	}
 	if err == nil && e < md.highestAdmitted {
--- a/cluster/lease/simulation_member_test.go
+++ b/cluster/lease/simulation_member_test.go
@@ -12,16 +12,20 @@
 	"rowanlink/webhook/api"
 )
 
-func (sm *simulatedMember) start(wants []cluster.Resource) {
+// start starts a new incarnation of the member, which requests leases on the resources.
+func (sm *simulatedMember) start(requested []cluster.Resource) {
 	sm.incarnation++
-	sm.holder, sm.proposalUntil, sm.pollUntil, sm.stoppedUntil = NewHolder(simulationTTL, 0), 0, 0, 0
-	again := timing.AcquireRetryInterval(simulationTTL)
+	sm.holder = NewHolder(simulationTTL, 0)
+	sm.proposalUntil = 0
+	sm.pollUntil = 0
+	sm.stoppedUntil = 0
+	retryInterval := timing.AcquireRetryInterval(simulationTTL)
 	if sm.mutation.neverRetry {
-		again = api.Second << 40
+		retryInterval = api.Second << 40
 	}
-	sm.reconciler = NewReconciler(sm.holder, again)
-	for _, t := range wants {
-		sm.reconciler.Request(t)
+	sm.reconciler = NewReconciler(sm.holder, retryInterval)
+	for _, resource := range requested {
+		sm.reconciler.Request(resource)
 	}
 }
 
@@ -65,16 +69,19 @@
 		switch {
 		case !sm.isLeading(k):
 		case s == 0:
-			a, err := sm.apply(OpenSession(sm.id, incarnation))
-			if err == nil && sm.tracker.AddOrRenew(a.Session, sm.now) {
-				sm.reply(incarnation, func() { sm.handleConfirmation(renewal, a.Session) })
+			result, err := sm.apply(OpenSession(sm.id, incarnation))
+			if err == nil && sm.tracker.AddOrRenew(result.Session, sm.now) {
+				sm.reply(incarnation, func() { sm.handleConfirmation(renewal, result.Session) })
 			}
 		case sm.tracker.Renew(s, sm.now):
 			var grants []Grant
 			if table := sm.nodes[k].table; table.Digest(s) != digest && !sm.mutation.omitGrants {
 				grants = table.GrantsOf(s)
 			}
-			sm.reply(incarnation, func() { sm.handleConfirmation(renewal, s); sm.reconciler.ReconcileGrants(s, grants) })
+			sm.reply(incarnation, func() {
+				sm.handleConfirmation(renewal, s)
+				sm.reconciler.ReconcileGrants(s, grants)
+			})
 		default:
 			sm.reply(incarnation, func() { sm.holder.HandleRejection(s) })
 		}
@@ -91,14 +98,14 @@
 func (sm *simulatedMember) propose(incarnation Incarnation, p Proposal, until api.Micros) {
 	k := sm.pickNode()
 	sm.send(func() {
-		var a Result
+		var result Result
 		var err error
 		rejected := sm.rejectWithoutEntry(k, p)
 		switch {
 		case len(rejected) > 0:
-			a.Grants = rejected
+			result.Grants = rejected
 		case sm.isLeading(k):
-			a, err = sm.apply(p.Command())
+			result, err = sm.apply(p.Command())
 		default:
 			return
 		}
@@ -112,7 +119,7 @@
 			case err != nil:
 				sm.holder.HandleRejection(p.Session)
 			default:
-				sm.reconciler.HandleResult(p.Session, a.Grants, sm.now)
+				sm.reconciler.HandleResult(p.Session, result.Grants, sm.now)
 			}
 		})
 	})
@@ -120,15 +127,15 @@
 
 // rejectWithoutEntry is the rejection that a raft node which leads, or believes so, gives without a log entry.
 func (sm *simulatedMember) rejectWithoutEntry(k int, p Proposal) (rejected []Grant) {
-	d := sm.nodes[k]
-	if p.Release != "" || !sm.isLeading(k) && d.stalledUntil <= sm.now || d.table.MemberOf(p.Session) == "" {
+	node := sm.nodes[k]
+	if p.Release != "" || !sm.isLeading(k) && node.stalledUntil <= sm.now || node.table.MemberOf(p.Session) == "" {
 		return nil
 	}
-	for _, t := range p.Acquire {
-		if holder, held := d.table.Holder(t); !held || holder.Session == p.Session {
+	for _, resource := range p.Acquire {
+		if holder, held := node.table.Holder(resource); !held || holder.Session == p.Session {
 			return nil
 		}
-		rejected = append(rejected, Grant{Resource: t})
+		rejected = append(rejected, Grant{Resource: resource})
 	}
 	return rejected
 }
@@ -137,10 +144,11 @@
 	k := sm.nextNode % len(sm.nodes)
 	var poll func()
 	poll = func() {
-		table, free := sm.catchUp(k), []cluster.Resource(nil)
-		for _, t := range resources {
-			if _, held := table.Holder(t); !held {
-				free = append(free, t)
+		table := sm.catchUp(k)
+		var free []cluster.Resource
+		for _, resource := range resources {
+			if _, held := table.Holder(resource); !held {
+				free = append(free, resource)
 			}
 		}
 		if len(free) == 0 && sm.now < until {
@@ -166,7 +174,8 @@
 	for i := range si.nodes {
 		si.nodes[i].stalledUntil = 0
 	}
-	si.faulty, si.electionUntil = false, 0
+	si.faulty = false
+	si.electionUntil = 0
 	for _, sm := range si.members {
 		sm.stoppedUntil = 0
 	}
@@ -199,10 +208,12 @@
 	for seed := range uint64(300 * (1 + extraDepth)) {
 		require.Empty(t, newSimulation(seed, simulationMutation{}).check(), "seed %d", seed)
 	}
-	for name, s := range map[string]simulationMutation{"grants of a session are not reported": {omitGrants: true},
-		"blocked requests are not retried": {neverRetry: true}} {
+	for name, mutation := range map[string]simulationMutation{
+		"grants of a session are not reported": {omitGrants: true},
+		"blocked requests are not retried":     {neverRetry: true},
+	} {
 		assert.True(t, slices.ContainsFunc(seeds(100), func(seed uint64) bool {
-			return newSimulation(seed, s).check() != ""
+			return newSimulation(seed, mutation).check() != ""
 		}), name)
 	}
 }
--- a/cluster/lease/simulation_test.go
+++ b/cluster/lease/simulation_test.go
@@ -57,14 +57,23 @@
 
 var simulationResources = []cluster.Resource{"conduct", "home/1", "home/2"}
 
-func newSimulation(seed uint64, s simulationMutation) *simulation {
-	si := &simulation{rng: rand.New(rand.NewPCG(seed, 35)), faulty: true, mutation: s, tracker: NewExpiryTracker(simulationTTL)}
+func newSimulation(seed uint64, mutation simulationMutation) *simulation {
+	si := &simulation{
+		rng:      rand.New(rand.NewPCG(seed, 35)),
+		faulty:   true,
+		mutation: mutation,
+		tracker:  NewExpiryTracker(simulationTTL),
+	}
 	for i := range si.nodes {
 		si.nodes[i] = &simulatedNode{table: NewTable()}
 	}
 	si.elect()
 	for i := range 3 {
-		sm := &simulatedMember{simulation: si, id: cluster.MemberID(fmt.Sprint("m", i)), noNotifications: s.neverRetry && i == 0}
+		sm := &simulatedMember{
+			simulation:      si,
+			id:              cluster.MemberID(fmt.Sprint("m", i)),
+			noNotifications: mutation.neverRetry && i == 0,
+		}
 		sm.start(nil)
 		si.members = append(si.members, sm)
 		si.after(0, sm.tick)
@@ -123,26 +132,27 @@
 }
 
 // apply commits a command at the leader.
-func (si *simulation) apply(c cluster.Command) (a Result, err error) {
+func (si *simulation) apply(c cluster.Command) (result Result, err error) {
 	si.entries = append(si.entries, c.Body)
 	raw, err := si.catchUp(si.leader).Apply(uint64(len(si.entries)), c.Body)
 	if si.nodes[si.leader].applied++; err == nil {
-		a, err = DecodeResult(raw)
+		result, err = DecodeResult(raw)
 	}
-	return a, err
+	return result, err
 }
 
 // catchUp applies the entries that a raft node can have, and returns its table.
 func (si *simulation) catchUp(k int) *Table {
-	d := si.nodes[k]
+	node := si.nodes[k]
 	most := len(si.entries)
 	if k == si.leader {
-		most, d.stalledUntil = most-1, 0 // the last one is being applied
+		most-- // the last one is being applied
+		node.stalledUntil = 0
 	}
-	for ; d.applied < most && d.stalledUntil <= si.now; d.applied++ {
-		_, _ = d.table.Apply(uint64(d.applied+1), si.entries[d.applied]) // a rejected entry counts as applied
+	for ; node.applied < most && node.stalledUntil <= si.now; node.applied++ {
+		_, _ = node.table.Apply(uint64(node.applied+1), si.entries[node.applied]) // a rejected entry counts as applied
 	}
-	return d.table
+	return node.table
 }
 
 // elect changes the leader; the former one does not notice for a while.
@@ -151,16 +161,16 @@
 	if si.leader = si.rng.IntN(len(si.nodes)); si.faulty {
 		si.electionUntil = si.now + si.randomDelay(simulationTTL/2)
 	}
-	a, _ := si.apply(BeginLeaderEpoch())
-	si.tracker.StartLeading(si.now, a.LeaderEpoch, si.nodes[si.leader].table.Sessions())
+	result, _ := si.apply(BeginLeaderEpoch())
+	si.tracker.StartLeading(si.now, result.LeaderEpoch, si.nodes[si.leader].table.Sessions())
 }
 
 // tick expires sessions and injects faults.
 func (si *simulation) tick() {
 	si.after(tickInterval, si.tick)
-	for _, o := range si.tracker.TakeExpired(si.now) {
-		if _, err := si.apply(ExpireSession(o)); err == nil {
-			si.tracker.Remove(o.Session)
+	for _, expired := range si.tracker.TakeExpired(si.now) {
+		if _, err := si.apply(ExpireSession(expired)); err == nil {
+			si.tracker.Remove(expired.Session)
 		}
 	}
 	if !si.faulty {
--- a/cluster/lease/table_test.go
+++ b/cluster/lease/table_test.go
@@ -21,7 +21,8 @@
 	case 2:
 		return EndSession(session)
 	case 3:
-		return ExpireSession(ExpiredSession{session, max(b.LeaderEpoch()-LeaderEpoch(rapid.IntRange(0, 1).Draw(t, "before")), 1)})
+		before := LeaderEpoch(rapid.IntRange(0, 1).Draw(t, "before"))
+		return ExpireSession(ExpiredSession{Session: session, LeaderEpoch: max(b.LeaderEpoch()-before, 1)})
 	case 4:
 		return BeginLeaderEpoch()
 	case 5, 6:
@@ -36,7 +37,10 @@
 // restored at any point continues exactly as the original.
 func TestTable_RandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, twin, highest, index := NewTable(), NewTable(), map[cluster.Resource]cluster.Epoch{}, uint64(0)
+		b := NewTable()
+		twin := NewTable()
+		highest := map[cluster.Resource]cluster.Epoch{}
+		index := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "operations") {
 			index += rapid.Uint64Range(1, 3).Draw(t, "index")
 			before, err := b.Snapshot()
@@ -60,22 +64,24 @@
 }
 
 func checkResult(t *rapid.T, b *Table, raw []byte, highest map[cluster.Resource]cluster.Epoch) {
-	a, err := DecodeResult(raw)
+	t.Helper()
+	result, err := DecodeResult(raw)
 	require.NoError(t, err)
-	for _, g := range a.Grants {
+	for _, g := range result.Grants {
 		holder, held := b.Holder(g.Resource)
 		require.True(t, held)
 		if g.Err() != nil {
-			assert.NotEqual(t, a.Session, holder.Session, "rejected although its own")
+			assert.NotEqual(t, result.Session, holder.Session, "rejected although its own")
 			continue
 		}
-		assert.Equal(t, []any{a.Session, holder.Epoch}, []any{holder.Session, g.Epoch})
+		assert.Equal(t, []any{result.Session, holder.Epoch}, []any{holder.Session, g.Epoch})
 		assert.GreaterOrEqual(t, g.Epoch, highest[g.Resource])
 		highest[g.Resource] = g.Epoch
 	}
 }
 
 func checkTable(t *rapid.T, b *Table) {
+	t.Helper()
 	held := map[cluster.Resource]cluster.SessionID{}
 	for _, s := range b.Sessions() {
 		assert.NotEmpty(t, b.MemberOf(s))
@@ -94,14 +100,15 @@
 }
 
 func mustApply(t *testing.T, b *Table, index uint64, c cluster.Command) Result {
+	t.Helper()
 	raw, err := b.Apply(index, c.Body)
 	require.NoError(t, err)
-	a, err := DecodeResult(raw)
+	result, err := DecodeResult(raw)
 	require.NoError(t, err)
-	return a
+	return result
 }
 
-// An earlier incarnation may be stopped, not gone: its session lasts until its TTL is over.
+// An earlier incarnation may be stopped, not gone: its session lasts until its TTL has run out.
 func TestTable_SecondIncarnationHasOwnSession(t *testing.T) {
 	b := NewTable()
 	first := mustApply(t, b, 1, OpenSession("m1", 1)).Session
@@ -124,16 +131,16 @@
 	assert.Greater(t, mustApply(t, b, 4, OpenSession("m2", 1)).Session, s)
 }
 
-// A later leader epoch has given the session a whole TTL again: an expiry found in an earlier one is void.
+// A later leader epoch has given the session a full TTL again: an expiry found in an earlier one is void.
 func TestTable_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
 	b := NewTable()
 	earlier := mustApply(t, b, 1, BeginLeaderEpoch()).LeaderEpoch
 	s := mustApply(t, b, 2, OpenSession("m1", 1)).Session
 	now := mustApply(t, b, 3, BeginLeaderEpoch()).LeaderEpoch
-	_, err := b.Apply(4, ExpireSession(ExpiredSession{s, earlier}).Body)
+	_, err := b.Apply(4, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: earlier}).Body)
 	assert.ErrorIs(t, err, cluster.ErrStale)
-	mustApply(t, b, 5, ExpireSession(ExpiredSession{s, now}))
-	_, err = b.Apply(6, ExpireSession(ExpiredSession{s, now}).Body)
+	mustApply(t, b, 5, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: now}))
+	_, err = b.Apply(6, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: now}).Body)
 	assert.ErrorIs(t, err, cluster.ErrNotFound)
 }
 
@@ -153,7 +160,7 @@
 	b := NewTable()
 	mustApply(t, b, 1, OpenSession("m1", 1))
 	before, _ := b.Snapshot()
-	one := sessionImage{1, "m1", 1}
+	one := sessionImage{Session: 1, Member: "m1", Incarnation: 1}
 	for name, image := range map[string]tableImage{
 		"a newer format":                   {Format: tableFormat + 1},
 		"above the last id":                {Format: tableFormat, Sessions: []sessionImage{one}},
@@ -172,8 +179,10 @@
 }
 
 func FuzzApply(f *testing.F) {
-	for _, c := range []cluster.Command{OpenSession("m1", 1), EndSession(2), AcquireLeases(2, "conduct", "home/1"),
-		ReleaseLease(2, "conduct", 3), BeginLeaderEpoch(), ExpireSession(ExpiredSession{2, 1})} {
+	for _, c := range []cluster.Command{
+		OpenSession("m1", 1), EndSession(2), AcquireLeases(2, "conduct", "home/1"),
+		ReleaseLease(2, "conduct", 3), BeginLeaderEpoch(), ExpireSession(ExpiredSession{Session: 2, LeaderEpoch: 1}),
+	} {
 		f.Add(c.Body)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -100,8 +100,8 @@
 	return table
 }
 
-// selectMissing returns the saved endpoints whose heartbeats this member received, that took requests, and that aren't in
-// the table. A draining endpoint has probably ended since.
+// selectMissing returns the saved endpoints whose heartbeats this member received, that took requests, and that aren't
+// in the table. A draining endpoint has probably ended since.
 func (r *endpointRestorer) selectMissing(saved []state.Endpoint) (missing []state.Endpoint) {
 	delta, _ := r.table.ChangesSince(0)
 	known := make(map[string]bool, len(delta.Changed))
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -38,8 +38,8 @@
 	Log          *zerolog.Logger
 }
 
-// Run runs a core process until the context ends. It then finishes the requests in flight, transfers the vote, leaves the
-// membership and returns. Errors are errcode.CoreAddressInUse or those of joining the membership.
+// Run runs a core process until the context ends. It then finishes the requests in flight, transfers the vote, leaves
+// the membership and returns. Errors are errcode.CoreAddressInUse or those of joining the membership.
 func Run(ctx context.Context, options Options) error {
 	lifetime, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/serving/quorum/checker.go
+++ b/serving/quorum/checker.go
@@ -4,8 +4,8 @@
 
 import "rowanlink/serving/state"
 
-// VoterSource returns the replicas that vote on the record, an empty set before they are known. register.Node implements
-// it.
+// VoterSource returns the replicas that vote on the record, an empty set before they are known. register.Node
+// implements it.
 type VoterSource interface {
 	Voters() state.ReplicaSet
 }
@@ -33,8 +33,8 @@
 	return addresses, needed, len(voters.Replicas) > 0
 }
 
-// HasQuorum reports whether enough voters are live for a majority. It returns true before the voters are known, as after
-// a start.
+// HasQuorum reports whether enough voters are live for a majority. It returns true before the voters are known, as
+// after a start.
 func (c *Checker) HasQuorum() bool {
 	others, needed, known := c.OtherVoters()
 	live := 0
--- a/serving/register/discover.go
+++ b/serving/register/discover.go
@@ -15,8 +15,8 @@
 	maxDiscoveryPeers = 8
 )
 
-// discover asks seeds, voters and some peers for the committed voters. It returns a predicate for the addresses that are
-// down in the view of this node or of everyone who answered.
+// discover asks seeds, voters and some peers for the committed voters. It returns a predicate for the addresses that
+// are down in the view of this node or of everyone who answered.
 func (n *Node) discover(ctx context.Context) (isDown func(address string) bool) {
 	addresses := n.discoveryTargets()
 	answers := make(chan *Description, len(addresses))
--- a/serving/register/explore_invariants_test.go
+++ b/serving/register/explore_invariants_test.go
@@ -28,8 +28,8 @@
 	w.checkAcknowledged(record, false)
 }
 
-// checkAcknowledged checks that a record includes all changes that were acknowledged at revisions up to its own. A record
-// that is read now must include all acknowledged changes.
+// checkAcknowledged checks that a record includes all changes that were acknowledged at revisions up to its own. A
+// record that is read now must include all acknowledged changes.
 func (w *exploredState) checkAcknowledged(record *state.Record, readNow bool) {
 	for index, acknowledged := range w.acknowledged {
 		must := readNow || record.Revision >= w.acknowledgedAt[index]
@@ -56,8 +56,8 @@
 	w.checkAcknowledged(&proposal.Record, false)
 }
 
-// sentUpdateOf returns the base and the configuration of an update, by applying it to the possible bases. It returns the
-// zero value for other kinds of updates.
+// sentUpdateOf returns the base and the configuration of an update, by applying it to the possible bases. It returns
+// the zero value for other kinds of updates.
 func sentUpdateOf(update Update) sentUpdate {
 	for _, base := range []uint64{0, 1, 2} {
 		record := state.Record{Configuration: state.Configuration{Version: base}}
--- a/serving/register/explore_progress_test.go
+++ b/serving/register/explore_progress_test.go
@@ -2,11 +2,11 @@
 
 import "rowanlink/serving/state"
 
-// This file checks liveness: from each explored state, with the replicas that are left, a fair schedule has to repair the
-// voters and commit a change.
+// This file checks liveness: from each explored state, with the replicas that are left, a fair schedule has to repair
+// the voters and commit a change.
 
-// maxFairAttempts bounds the attempts of a fair schedule. Each of them finishes an unfinished change, makes one change of
-// the voters, or commits.
+// maxFairAttempts bounds the attempts of a fair schedule. Each of them finishes an unfinished change, makes one change
+// of the voters, or commits.
 const maxFairAttempts = 8
 
 // fairProposer is the ID of the fair schedule's proposer. It makes its ballots win ties.
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -138,7 +138,8 @@
 			{},
 		},
 	}
-	// evacuationScenario is one operator who begins an evacuation, possibly gives up, and ends it through another machine.
+	// evacuationScenario is one operator who begins an evacuation, possibly gives up, and ends it through another
+	// machine.
 	evacuationScenario = scenario{
 		name:          "an evacuation's begin that may be given up, then its end",
 		attempts:      2,
--- a/serving/register/explore_state_test.go
+++ b/serving/register/explore_state_test.go
@@ -7,8 +7,8 @@
 	"rowanlink/serving/state"
 )
 
-// This file has the states that explore_test.go searches: some replicas, two proposers that each execute the changes of a
-// script, and every message ever sent. The decisions are those of the program (acceptorstate.go, preparetally.go,
+// This file has the states that explore_test.go searches: some replicas, two proposers that each execute the changes of
+// a script, and every message ever sent. The decisions are those of the program (acceptorstate.go, preparetally.go,
 // accepttally.go, change.go, learnedstate.go); only the order of the steps of an attempt is modelled here again.
 //
 // A request may be delivered at any time, any number of times, or never, and its vote reaches the proposer or is lost.
--- a/serving/register/linearizability_test.go
+++ b/serving/register/linearizability_test.go
@@ -87,8 +87,8 @@
 	h.versions[record.Revision] = record.Configuration.Version
 }
 
-// input is an operation of the model: a register of versions with compare-and-set that remembers the updates that it has
-// applied.
+// input is an operation of the model: a register of versions with compare-and-set that remembers the updates that it
+// has applied.
 type input struct {
 	read    bool
 	basedOn uint64
@@ -289,8 +289,8 @@
 	assert.NotEqual(t, porcupine.Illegal, checked, "history is not linearizable: %v", h.operations)
 }
 
-// checkUpdates checks that acknowledged updates are in the record, that rejected ones never were, and that at most one of
-// several updates on one base was acknowledged.
+// checkUpdates checks that acknowledged updates are in the record, that rejected ones never were, and that at most one
+// of several updates on one base was acknowledged.
 func (h *history) checkUpdates(t *testing.T, final *state.Record) {
 	bases := map[uint64]state.Digest{}
 	for _, sent := range h.acknowledged {
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -160,8 +160,8 @@
 	})
 }
 
-// TestChange_AbandonedChangeTakesNoEffectLater cancels a change at each point of time. If the result is that nothing was
-// changed, nothing may change later: the begin of an evacuation must not take effect after its end.
+// TestChange_AbandonedChangeTakesNoEffectLater cancels a change at each point of time. If the result is that nothing
+// was changed, nothing may change later: the begin of an evacuation must not take effect after its end.
 func TestChange_AbandonedChangeTakesNoEffectLater(t *testing.T) {
 	unclear, unavailable := 0, 0
 	for point := range 40 {
@@ -241,8 +241,8 @@
 	})
 }
 
-// TestNode_DamagedStateIsNoGenesisVoter checks that a damaged file at the first start doesn't bring the genesis voter back
-// without its votes.
+// TestNode_DamagedStateIsNoGenesisVoter checks that a damaged file at the first start doesn't bring the genesis voter
+// back without its votes.
 func TestNode_DamagedStateIsNoGenesisVoter(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, s *simulation) {
 		m := s.machines[1]
--- a/serving/register/random_test.go
+++ b/serving/register/random_test.go
@@ -215,7 +215,8 @@
 	})
 }
 
-// TestRandomHistories checks that no acknowledged change is lost, and that the register becomes stable after the faults.
+// TestRandomHistories checks that no acknowledged change is lost, and that the register becomes stable after the
+// faults.
 func TestRandomHistories(t *testing.T) {
 	for _, machines := range []int{3, 5} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
--- a/serving/register/replicalifecycle.go
+++ b/serving/register/replicalifecycle.go
@@ -68,7 +68,8 @@
 	return current
 }
 
-// awaitChange returns when a voter has lost its vote, when a learner may have something to do, or when the context ends.
+// awaitChange returns when a voter has lost its vote, when a learner may have something to do, or when the context
+// ends.
 func (n *Node) awaitChange(ctx context.Context, role replicaRole) {
 	if role == roleLearner {
 		n.awaitLearnerWork(ctx)
@@ -184,8 +185,8 @@
 }
 
 // claimVote makes the own replica a voter if it succeeds one that has lost its disk, or if a voter is down and this is
-// the learner that fits best: many learners that tried at once would preempt each other. Other changes of the voters are
-// left to RepairVoters.
+// the learner that fits best: many learners that tried at once would preempt each other. Other changes of the voters
+// are left to RepairVoters.
 func (n *Node) claimVote(ctx context.Context, own state.Replica, isDown func(address string) bool) error {
 	withAllLearners := n.voterPlacement(n.potentialLearners())
 	withAllLearners.isDown = isDown
@@ -200,9 +201,9 @@
 	return err
 }
 
-// joiningReplica returns this process's replica as it may join. A replica that was a voter of an earlier set first gets a
-// new ID and an empty state, as after the loss of its disk: requests that were meant for the removed voter must not reach
-// the one that joins.
+// joiningReplica returns this process's replica as it may join. A replica that was a voter of an earlier set first gets
+// a new ID and an empty state, as after the loss of its disk: requests that were meant for the removed voter must not
+// reach the one that joins.
 func (n *Node) joiningReplica() (state.Replica, error) {
 	own, _ := n.acceptor.State()
 	if own.removedFrom(n.Voters()) {
--- a/serving/register/simulateddisk_test.go
+++ b/serving/register/simulateddisk_test.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// simulatedDisk is a machine's disk as one run of its process uses it: saves fail once that run has ended. The machine's
-// own disk, which holds the data, has no run.
+// simulatedDisk is a machine's disk as one run of its process uses it: saves fail once that run has ended. The
+// machine's own disk, which holds the data, has no run.
 type simulatedDisk struct {
 	machine *machine
 	run     *processRun
--- a/serving/register/simulation_test.go
+++ b/serving/register/simulation_test.go
@@ -136,7 +136,8 @@
 	return min(machines, max(minVoters, 2*s.tolerated+1))
 }
 
-// IsDown makes the simulation the nodes' failure detector: it knows which processes run, except for falsely reported ones.
+// IsDown makes the simulation the nodes' failure detector: it knows which processes run, except for falsely reported
+// ones.
 func (s *simulation) IsDown(address string) bool {
 	s.mutex.Lock()
 	falselyDown := s.falselyDown[address]
--- a/serving/register/uncommitted_test.go
+++ b/serving/register/uncommitted_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestUncommitted_ChangeIsFinishedByOthers crashes the machine that makes a change at each point of time, from before
-// the first message to after the acknowledgement. The others must know the committed record once those of them that have
-// accepted the proposal have read.
+// the first message to after the acknowledgement. The others must know the committed record once those of them that
+// have accepted the proposal have read.
 func TestUncommitted_ChangeIsFinishedByOthers(t *testing.T) {
 	acknowledged, finished := 0, 0
 	for point := range 60 {
@@ -63,9 +63,9 @@
 	t.Log("acknowledged", acknowledged, "reads", finished)
 }
 
-// TestUncommitted_ReconfigurationIsFinishedByOthers cancels a change of the voters at each point of time. While the newest
-// proposal is joint, a majority of the outgoing voters is needed too, though they may leave: whoever has accepted it has
-// to make sure that it is succeeded by a proposal with the new voters alone.
+// TestUncommitted_ReconfigurationIsFinishedByOthers cancels a change of the voters at each point of time. While the
+// newest proposal is joint, a majority of the outgoing voters is needed too, though they may leave: whoever has
+// accepted it has to make sure that it is succeeded by a proposal with the new voters alone.
 func TestUncommitted_ReconfigurationIsFinishedByOthers(t *testing.T) {
 	joint := 0
 	for point := range 60 {
--- a/serving/register/update.go
+++ b/serving/register/update.go
@@ -25,9 +25,9 @@
 
 // ReplaceConfiguration returns an update that replaces the configuration of version basedOn (0: none yet).
 //
-// It is rejected with errcode.VersionConflict and errcode.VersionNotAbove. A configuration that is or was in force, byte
-// for byte, is no change. If the history is too short to tell, the update is rejected with errcode.RegisterInDoubt: what
-// was acknowledged once must never be reported as rejected.
+// It is rejected with errcode.VersionConflict and errcode.VersionNotAbove. A configuration that is or was in force,
+// byte for byte, is no change. If the history is too short to tell, the update is rejected with
+// errcode.RegisterInDoubt: what was acknowledged once must never be reported as rejected.
 func ReplaceConfiguration(basedOn uint64, configuration state.Configuration) Update {
 	applied := state.AppliedUpdate{Version: configuration.Version, Digest: configuration.Digest}
 	return func(record state.Record) (state.Record, error) {
@@ -43,8 +43,8 @@
 }
 
 // AmendConfiguration returns an update that replaces the configuration of version basedOn by the result of amend. A
-// repeated amendment is recognized by its own version and digest, not by those of the resulting document. It is rejected
-// like ReplaceConfiguration, and with the errors of amend, which may be called several times.
+// repeated amendment is recognized by its own version and digest, not by those of the resulting document. It is
+// rejected like ReplaceConfiguration, and with the errors of amend, which may be called several times.
 func AmendConfiguration(
 	basedOn uint64,
 	applied state.AppliedUpdate,
--- a/serving/register/update_test.go
+++ b/serving/register/update_test.go
@@ -107,8 +107,8 @@
 	assert.Equal(t, uint64(state.MaxHistory+20), record.History[state.MaxHistory-1].Version)
 }
 
-// TestReplaceConfiguration_InDoubtBeforeHistory checks that a repeated update from before the history is in doubt, never
-// rejected, and that one in the history is recognized.
+// TestReplaceConfiguration_InDoubtBeforeHistory checks that a repeated update from before the history is in doubt,
+// never rejected, and that one in the history is recognized.
 func TestReplaceConfiguration_InDoubtBeforeHistory(t *testing.T) {
 	record := state.Record{}
 	for version := range uint64(state.MaxHistory + 20) {
--- a/serving/register/voterplacement.go
+++ b/serving/register/voterplacement.go
@@ -92,7 +92,8 @@
 	})
 }
 
-// replaceAtSameAddress replaces a voter by the learner at its address: the voter has lost its disk and won't vote again.
+// replaceAtSameAddress replaces a voter by the learner at its address: the voter has lost its disk and won't vote
+// again.
 func (p *voterPlacement) replaceAtSameAddress(voters, learners []state.Replica) []state.Replica {
 	for _, learner := range learners {
 		hasSameAddress := func(voter state.Replica) bool { return voter.Address == learner.Address }
--- a/serving/register/voterplacement_test.go
+++ b/serving/register/voterplacement_test.go
@@ -88,8 +88,8 @@
 	assert.Equal(t, 5, desiredVoterCount(process))
 }
 
-// TestVoterPlacement_Property checks for random voters, learners and failures that the changes end, odd sets stay odd, a
-// change adds or removes two voters at most, and at the end no voter is down that could be replaced.
+// TestVoterPlacement_Property checks for random voters, learners and failures that the changes end, odd sets stay odd,
+// a change adds or removes two voters at most, and at the end no voter is down that could be replaced.
 func TestVoterPlacement_Property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		name := rapid.Custom(func(rt *rapid.T) string {
--- a/serving/register/voters_test.go
+++ b/serving/register/voters_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// TestNode_LearnerReplacesDownVoter checks that a learner replaces a voter that is down, and that an odd set stays as it
-// is without a learner.
+// TestNode_LearnerReplacesDownVoter checks that a learner replaces a voter that is down, and that an odd set stays as
+// it is without a learner.
 func TestNode_LearnerReplacesDownVoter(t *testing.T) {
 	runSimulation(t, 4, func(t *testing.T, s *simulation) {
 		s.machines[2].crash()
@@ -51,8 +51,8 @@
 	return down
 }
 
-// TestTransferVote_DiskLossRightAfter: a voter transfers its vote and leaves for good, and at once another voter loses its
-// disk. A set of four voters would have lost its majority.
+// TestTransferVote_DiskLossRightAfter: a voter transfers its vote and leaves for good, and at once another voter loses
+// its disk. A set of four voters would have lost its majority.
 func TestTransferVote_DiskLossRightAfter(t *testing.T) {
 	runSimulation(t, 4, func(t *testing.T, s *simulation) {
 		require.NoError(t, s.replace(s.machines[0], 1, 0, 3))
@@ -139,8 +139,8 @@
 	})
 }
 
-// TestRepairVoters_FollowsSettings raises and lowers the tolerated losses in the settings of one machine after the other:
-// the voters grow and shrink by two, and nothing is lost.
+// TestRepairVoters_FollowsSettings raises and lowers the tolerated losses in the settings of one machine after the
+// other: the voters grow and shrink by two, and nothing is lost.
 func TestRepairVoters_FollowsSettings(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, s *simulation) {
 		require.NoError(t, s.replace(s.machines[0], 1, 0, 1))
@@ -187,7 +187,8 @@
 	})
 }
 
-// TestNode_OneLearnerClaimsVote checks that one of many learners takes the place of a voter that is down, not all at once.
+// TestNode_OneLearnerClaimsVote checks that one of many learners takes the place of a voter that is down, not all at
+// once.
 func TestNode_OneLearnerClaimsVote(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, s *simulation) {
 		for range 12 {
--- a/serving/state/endpoint.go
+++ b/serving/state/endpoint.go
@@ -17,8 +17,8 @@
 	Adapters []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Endpoint is what one incarnation of an endpoint has reported about itself, as the system's processes exchange it. Each
-// incarnation has an ID of its own.
+// Endpoint is what one incarnation of an endpoint has reported about itself, as the system's processes exchange it.
+// Each incarnation has an ID of its own.
 type Endpoint struct {
 	ID              string        `cbor:"1,keyasint"`
 	Service         string        `cbor:"2,keyasint"`
--- a/serving/state/record.go
+++ b/serving/state/record.go
@@ -14,8 +14,8 @@
 // MaxHistory is the length of a record's History.
 const MaxHistory = 512
 
-// AppliedUpdate identifies an update that has set the configuration, by the version that it set and the digest of what the
-// operator sent. A repeated update is recognized by it and acknowledged again.
+// AppliedUpdate identifies an update that has set the configuration, by the version that it set and the digest of what
+// the operator sent. A repeated update is recognized by it and acknowledged again.
 type AppliedUpdate struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  Digest `cbor:"2,keyasint"`
--- a/serving/store/endpointstore.go
+++ b/serving/store/endpointstore.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// Load returns the saved endpoints. Unreadable rows are left out, and a corrupt file is removed. Errors are those of the
-// disk.
+// Load returns the saved endpoints. Unreadable rows are left out, and a corrupt file is removed. Errors are those of
+// the disk.
 func (s *EndpointStore) Load() ([]state.Endpoint, error) {
 	type result struct {
 		endpoints []state.Endpoint
--- a/serving/store/fuzz_test.go
+++ b/serving/store/fuzz_test.go
@@ -40,8 +40,9 @@
 	return saved
 }
 
-// FuzzStore_CorruptedFiles overwrites a part of the file or of its log, or truncates it. Load must not return a state that
-// was never saved, and must not take a directory that isn't empty for a new disk, which could be of a genesis voter.
+// FuzzStore_CorruptedFiles overwrites a part of the file or of its log, or truncates it. Load must not return a state
+// that was never saved, and must not take a directory that isn't empty for a new disk, which could be of a genesis
+// voter.
 func FuzzStore_CorruptedFiles(f *testing.F) {
 	file, log := writeFuzzFiles(f)
 	f.Add(true, uint32(24), []byte{0xff}, false)
--- a/serving/store/replicadatabase.go
+++ b/serving/store/replicadatabase.go
@@ -62,7 +62,8 @@
 	Learned state.Record `cbor:"4,keyasint,omitzero"`
 }
 
-// openReplicaDatabase opens or creates the file. An error for which isCorruption is true means that the file is unusable.
+// openReplicaDatabase opens or creates the file. An error for which isCorruption is true means that the file is
+// unusable.
 func openReplicaDatabase(path string) (*replicaDatabase, error) {
 	opened, err := openSQLite(path, replicaFileLayout)
 	if err != nil {
--- a/serving/store/store_test.go
+++ b/serving/store/store_test.go
@@ -31,7 +31,8 @@
 	return opened
 }
 
-// copyAndOpen copies the files as a kill or a power failure would leave them, without closing the store, and opens them.
+// copyAndOpen copies the files as a kill or a power failure would leave them, without closing the store, and opens
+// them.
 func copyAndOpen(t *testing.T, directory string) *Store {
 	t.Helper()
 	copied := t.TempDir()
@@ -94,8 +95,8 @@
 	assert.ErrorIs(t, err, os.ErrNotExist, "no shared memory")
 }
 
-// TestStore_TruncatedFileIsReadOrLost truncates the file at many positions: what is loaded is a state that was saved, or
-// the state is reported lost. Saving works afterwards.
+// TestStore_TruncatedFileIsReadOrLost truncates the file at many positions: what is loaded is a state that was saved,
+// or the state is reported lost. Saving works afterwards.
 func TestStore_TruncatedFileIsReadOrLost(t *testing.T) {
 	directory := t.TempDir()
 	s := openStore(t, directory)
