--- a/sim/engine/checkers_test.go
+++ b/sim/engine/checkers_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/webhook/policy"
 )
 
-func TestEachRulesObserverCatchesAModuleThatBreaksIt(t *testing.T) {
+func TestInvariants_DetectFaultyPolicies(t *testing.T) {
 	busy := engine.Fault{Kind: "lost", At: 3 * sec, Duration: 20 * sec, Busiest: 8, Magnitude: 0.4}
 	full := engine.Fault{Kind: "shut", At: 3 * sec, Duration: 20 * sec, Busiest: 4}
 	replace := engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 8, SingleEndpoint: true}
@@ -21,22 +21,22 @@
 		trouble engine.Fault
 		start   engine.PolicyFactory
 	}{
-		"lost":  {busy, tampered(nil, func(m *mutant) { m.mute = true })},
-		"twice": {busy, tampered(nil, func(m *mutant) { m.outcome = neverRan })},
-		"drain": {replace, tampered(nil, func(m *mutant) { m.endpoints = allListed })},
-		"order": {busy, tampered(nil, func(m *mutant) { m.take = func(api.OrderingKey) api.OrderingKey { return 0 } })},
-		"wait":  {full, tampered(nil, func(m *mutant) { m.outcome = noWait })},
+		"lost":  {busy, mutant(func(m *mutantPolicy) { m.dropsDeadLetters = true })},
+		"twice": {busy, mutant(func(m *mutantPolicy) { m.outcome = neverRan })},
+		"drain": {replace, mutant(func(m *mutantPolicy) { m.endpoints = allListed })},
+		"order": {busy, mutant(func(m *mutantPolicy) { m.orderingKey = func(api.OrderingKey) api.OrderingKey { return 0 } })},
+		"wait":  {full, mutant(func(m *mutantPolicy) { m.outcome = noWait })},
 		"failback": {hang, func(f api.Settings, h api.Host) api.Policy {
 			return baseline.New(f, h, f.MaxAttempts, baseline.None)
 		}},
 	} {
 		t.Run(rule, func(t *testing.T) {
-			s := plain(c.trouble)
+			s := newScenario(c.trouble)
 			if rule == "failback" {
 				s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls = 400, 400
 				s.EventTypes = s.EventTypes[:1]
 			}
-			w, _, _ := play(t, s, c.start)
+			w, _, _ := run(t, s, c.start)
 			require.Positive(t, w.ViolationCount[rule], "%v", w.ViolationCount)
 			for _, b := range w.Violations {
 				if b.Invariant == rule {
@@ -47,8 +47,8 @@
 					break
 				}
 			}
-			w, _, _ = play(t, s, module)
-			assert.Empty(t, w.ViolationCount, texts(w.Violations))
+			w, _, _ = run(t, s, newPolicy)
+			assert.Empty(t, w.ViolationCount, describe(w.Violations))
 		})
 	}
 }
@@ -70,7 +70,7 @@
 	return all
 }
 
-func TestEachClaimsObserverCatchesAPolicyWithoutIt(t *testing.T) {
+func TestClaims_FailForPoliciesWithoutThem(t *testing.T) {
 	chance := engine.Fault{Kind: "errors", At: 0, Duration: 30 * sec, Busiest: 8, Magnitude: 0.15}
 	hang := engine.Fault{Kind: "hang", At: 5 * sec, Duration: 20 * sec, Busiest: 1}
 	fails := engine.Fault{Kind: "errors", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 1}
@@ -85,14 +85,14 @@
 		"isolates": {[]engine.Fault{fails, slowly}, baseline.Doubled},
 	} {
 		t.Run(claim, func(t *testing.T) {
-			s := plain(c.troubles...)
+			s := newScenario(c.troubles...)
 			s.EventTypes = s.EventTypes[:1]
 			s.DestinationKinds[0].Headroom = 8
 			without := func(f api.Settings, h api.Host) api.Policy {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
-			for _, start := range []engine.PolicyFactory{without, module} {
-				w, _, _ := play(t, s, start)
+			for _, start := range []engine.PolicyFactory{without, newPolicy} {
+				w, _, _ := run(t, s, start)
 				for _, got := range w.Claims() {
 					if got.Name == claim {
 						assert.True(t, got.Conclusive, got.Text)
--- a/sim/engine/cluster_test.go
+++ b/sim/engine/cluster_test.go
@@ -14,9 +14,9 @@
 	"rowanlink/webhook/api"
 )
 
-// homesDay is six dispatchers of which each is home of some of twelve destinations.
-func homesDay(troubles ...engine.Fault) *engine.Scenario {
-	s := plain(troubles...)
+// clusterScenario has six dispatchers, each the owner of some of twelve destinations.
+func clusterScenario(troubles ...engine.Fault) *engine.Scenario {
+	s := newScenario(troubles...)
 	s.Dispatchers.Count, s.Clients.Rate, s.Duration = 6, 120, 16*sec
 	s.Destinations.Count, s.Destinations.Active = 12, 12
 	s.EventTypes = s.EventTypes[:3]
@@ -26,9 +26,9 @@
 	return s
 }
 
-// drawn is a day on which dispatchers die, stand still and restart while destinations go out and messages
-// between dispatchers are lost.
-func drawn(seed uint64) *engine.Scenario {
+// randomScenario has dispatchers that are killed, paused and restarted, destinations with outages, and lost messages
+// between dispatchers.
+func randomScenario(seed uint64) *engine.Scenario {
 	c := rand.New(rand.NewPCG(seed, 7))
 	var all []engine.Fault
 	for range 1 + c.IntN(5) {
@@ -42,19 +42,19 @@
 		}
 		all = append(all, t)
 	}
-	s := homesDay(all...)
+	s := clusterScenario(all...)
 	s.Seed, s.Ownership.LossRate = seed+1, []float64{0, 0.01, 0.3}[c.IntN(3)]
 	return s
 }
 
-type homesRun struct {
+type clusterRun struct {
 	*invariant.Checker
 	invariant.Summary
 	invariant.ClusterSummary
 	all []event.Event
 }
 
-func (r homesRun) of(what event.Kind) (all []event.Event) {
+func (r clusterRun) of(what event.Kind) (all []event.Event) {
 	for _, e := range r.all {
 		if e.Kind == what {
 			all = append(all, e)
@@ -63,53 +63,55 @@
 	return all
 }
 
-func playHomes(t *testing.T, s *engine.Scenario, spoil func(*engine.Simulation)) homesRun {
+func runCluster(t *testing.T, s *engine.Scenario, change func(*engine.Simulation)) clusterRun {
+	t.Helper()
 	require.NoError(t, s.Validate())
-	m := engine.New(s, module)
-	spoil(m)
-	terms := invariant.Thresholds{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
-		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20}
-	w, r, f := invariant.NewChecker(terms), invariant.NewRecorder(terms), invariant.NewClusterRecorder(terms)
-	l := &log{wants: []event.Kind{event.CallStarted, event.Finished}}
-	w.Subscribe(&m.Bus)
-	m.Bus.Subscribe(r, f, l)
-	w.Finish(m.Run())
-	return homesRun{w, r.Finish(), f.Finish(), l.all}
+	m := engine.New(s, newPolicy)
+	change(m)
+	thresholds := thresholdsOf(s)
+	checker := invariant.NewChecker(thresholds)
+	recorder := invariant.NewRecorder(thresholds)
+	clusterRecorder := invariant.NewClusterRecorder(thresholds)
+	log := &eventLog{kinds: []event.Kind{event.CallStarted, event.Finished}}
+	checker.Subscribe(&m.Bus)
+	m.Bus.Subscribe(recorder, clusterRecorder, log)
+	checker.Finish(m.Run())
+	return clusterRun{checker, recorder.Finish(), clusterRecorder.Finish(), log.events}
 }
 
-func sound(*engine.Simulation) {}
+func unchanged(*engine.Simulation) {}
 
-func TestAFleetWithHomesKeepsTheRulesWhateverDiesOrIsLost(t *testing.T) {
-	// The first sixteen, and two on which one that goes on calling what is on its way would be found out.
+func TestCluster_KeepsInvariantsUnderRandomFaults(t *testing.T) {
+	// The last two find a dispatcher that calls with webhooks while it hands them off.
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 76, 101} {
-		r := playHomes(t, drawn(seed), sound)
-		assert.Empty(t, r.ViolationCount, "seed %d: %s", seed, texts(r.Violations))
+		r := runCluster(t, randomScenario(seed), unchanged)
+		assert.Empty(t, r.ViolationCount, "seed %d: %s", seed, describe(r.Violations))
 		assert.Zero(t, r.Unfinished, "seed %d", seed)
 		assert.Positive(t, r.Handoffs, "seed %d", seed)
 	}
 }
 
-// Each fault in what dispatchers make of leases and map is seen by what it does; without it nothing is.
-func TestSpoiltFleetsAreFoundOut(t *testing.T) {
+// Each faulty behavior has an observable effect, which is absent without it.
+func TestCluster_FaultyBehaviorIsDetected(t *testing.T) {
 	kill := engine.Fault{Kind: "kill", At: 5 * sec, Duration: 40 * sec, Dispatchers: []int{1}, KeepsState: true}
-	killed := homesDay(kill)
-	lossy := homesDay(kill, engine.Fault{Kind: "kill", At: 7 * sec, Duration: 40 * sec, Dispatchers: []int{2, 3},
+	killed := clusterScenario(kill)
+	lossy := clusterScenario(kill, engine.Fault{Kind: "kill", At: 7 * sec, Duration: 40 * sec, Dispatchers: []int{2, 3},
 		KeepsState: true})
 	lossy.Ownership.LossRate, lossy.Clients.Rate = 0.4, 400
 	lossy.EventTypes = lossy.EventTypes[2:]
-	slow := homesDay() // turns are longer than hops
+	slow := clusterScenario() // turns are longer than hops
 	slow.Dispatchers.MinIterationInterval, slow.Network.SameZoneDelay = sec/10, sec/1000
-	many := homesDay()
+	many := clusterScenario()
 	many.Dispatchers.Count = 12
 	for _, c := range []struct {
 		fault string
 		day   *engine.Scenario
-		well  func(homesRun) error
+		well  func(clusterRun) error
 	}{
-		{"a home has an even part only", many, func(r homesRun) error {
+		{"an owner has an even share only", many, func(r clusterRun) error {
 			return unless(r.Value > 0.97, "value %.3f", r.Value)
 		}},
-		{"forwarders call too", homesDay(), func(r homesRun) error {
+		{"forwarders call", clusterScenario(), func(r clusterRun) error {
 			callers := map[api.DestinationID]int32{}
 			for _, e := range r.of(event.CallStarted) {
 				if by, ok := callers[e.Destination]; ok && by != e.Dispatcher {
@@ -119,14 +121,14 @@
 			}
 			return unless(len(callers) == 12, "%d destinations called", len(callers))
 		}},
-		{"forwarders call too", homesDay(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 2}),
-			func(r homesRun) error {
+		{"forwarders call", clusterScenario(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 2}),
+			func(r clusterRun) error {
 				return unless(r.Returns == 2 && r.CallersDuringOutage == 1, "canaries of %.1f dispatchers", r.CallersDuringOutage)
 			}},
-		{"a hop costs nothing", homesDay(), func(r homesRun) error {
+		{"messages take no time", clusterScenario(), func(r clusterRun) error {
 			return unless(r.Handoffs > 1000 && r.HandoffP50 >= 0.019 && r.HandoffP99 < 0.2, "hops of %.4f s", r.HandoffP50)
 		}},
-		{"a lost home stays home", killed, func(r homesRun) error {
+		{"a lost owner stays owner", killed, func(r clusterRun) error {
 			lost, again := map[api.DestinationID]bool{}, map[api.DestinationID]bool{}
 			for _, e := range r.all {
 				lost[e.Destination] = lost[e.Destination] || e.Kind == event.CallStarted && e.Dispatcher == 1
@@ -140,18 +142,18 @@
 			}
 			return unless(r.LongestGap > 2 && r.LongestGap < 5, "silent for %.1f s", r.LongestGap)
 		}},
-		{"told before it is in the journal", slow, func(r homesRun) error {
+		{"acknowledged before it is persisted", slow, func(r clusterRun) error {
 			return unless(r.ViolationCount["lost"] == 0, "lost")
 		}},
-		{"a silent home is taken for one that never had it", lossy, func(r homesRun) error {
+		{"a silent owner counts as one that never accepted", lossy, func(r clusterRun) error {
 			return unless(r.ViolationCount["twice"] == 0, "twice")
 		}},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
-			r := playHomes(t, c.day, sound)
-			assert.Empty(t, r.ViolationCount, texts(r.Violations))
+			r := runCluster(t, c.day, unchanged)
+			assert.Empty(t, r.ViolationCount, describe(r.Violations))
 			assert.NoError(t, c.well(r))
-			assert.Error(t, c.well(playHomes(t, c.day, engine.Spoilt[c.fault])), "not found out")
+			assert.Error(t, c.well(runCluster(t, c.day, engine.FaultyBehaviors[c.fault])), "not detected")
 		})
 	}
 }
--- a/sim/engine/helpers_test.go
+++ b/sim/engine/helpers_test.go
@@ -15,14 +15,22 @@
 
 const sec = engine.Duration(api.Second)
 
-func module(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) }
-
-// plain is one dispatcher in front of eight destinations of two endpoints each, with one event type of each
-// sort.
-func plain(troubles ...engine.Fault) *engine.Scenario {
-	s := &engine.Scenario{Name: "plain", Duration: 30 * sec,
-		Dispatchers: engine.Dispatchers{Count: 2, MaxConcurrentCalls: 24, BufferSize: 400, CanCancel: true, MaxRetryAfter: 3 * sec,
-			RatesListed: true, EndpointUpdateDelay: []engine.Duration{sec, sec}},
+func newPolicy(settings api.Settings, host api.Host) api.Policy { return policy.New(settings, host) }
+
+// newScenario has two dispatchers and eight destinations of two endpoints each, with one event type of each kind.
+func newScenario(faults ...engine.Fault) *engine.Scenario {
+	s := &engine.Scenario{
+		Name:     "plain",
+		Duration: 30 * sec,
+		Dispatchers: engine.Dispatchers{
+			Count:               2,
+			MaxConcurrentCalls:  24,
+			BufferSize:          400,
+			CanCancel:           true,
+			MaxRetryAfter:       3 * sec,
+			RatesListed:         true,
+			EndpointUpdateDelay: []engine.Duration{sec, sec},
+		},
 		Clients:      engine.Clients{Rate: 100, DestinationSkew: 0.5, MaxResubmissions: 2, HonorRetryAfter: 1},
 		Destinations: engine.Destinations{Count: 8},
 		EventTypes: []engine.EventType{
@@ -31,105 +39,110 @@
 			{Name: "once", LatencyTarget: 3 * sec, TTL: 20 * sec, Semantics: "at-most-once"},
 			{Name: "ordered", LatencyTarget: 3 * sec, TTL: 20 * sec, Ordered: true, OrderingKeys: 12},
 		},
-		DestinationKinds: []engine.DestinationKind{{Name: "shop", Endpoints: []int{2}, ServiceTime: sec / 5, ServiceTimeCV: 0.5, Limit: "rate",
-			Headroom: 2, MinRate: 4, RetryAfterShare: 1, RetryAfter: []engine.Duration{sec / 2, sec}}},
-		Faults: troubles}
+		DestinationKinds: []engine.DestinationKind{{
+			Name:            "shop",
+			Endpoints:       []int{2},
+			ServiceTime:     sec / 5,
+			ServiceTimeCV:   0.5,
+			Limit:           "rate",
+			Headroom:        2,
+			MinRate:         4,
+			RetryAfterShare: 1,
+			RetryAfter:      []engine.Duration{sec / 2, sec},
+		}},
+		Faults: faults,
+	}
 	s.ApplyDefaults()
 	return s
 }
 
-// log writes down all events that it wants.
-type log struct {
-	wants []event.Kind
-	all   []event.Event
+// eventLog keeps the events of some kinds.
+type eventLog struct {
+	kinds  []event.Kind
+	events []event.Event
+}
+
+func (l *eventLog) Kinds() []event.Kind    { return l.kinds }
+func (l *eventLog) Observe(e *event.Event) { l.events = append(l.events, *e) }
+
+func thresholdsOf(s *engine.Scenario) invariant.Thresholds {
+	return invariant.Thresholds{
+		Settings:    s.DispatcherSettings(0, 0),
+		DrainGrace:  api.Micros(s.Thresholds.DrainGrace),
+		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20,
+	}
 }
 
-func (l *log) Kinds() []event.Kind    { return l.wants }
-func (l *log) Observe(e *event.Event) { l.all = append(l.all, *e) }
-
-// play runs a scenario under the watch; events of the kinds given come back, too.
-func play(
-	t *testing.T,
-	s *engine.Scenario,
-	start engine.PolicyFactory,
-	what ...event.Kind,
-) (*invariant.Checker, []event.Event,
-	invariant.Summary) {
+// run runs a scenario, checks the invariants and returns the events of the given kinds.
+func run(t *testing.T, s *engine.Scenario, newPolicy engine.PolicyFactory, kinds ...event.Kind) (*invariant.Checker,
+	[]event.Event, invariant.Summary) {
+	t.Helper()
 	require.NoError(t, s.Validate())
-	m := engine.New(s, start)
-	terms := invariant.Thresholds{Settings: s.DispatcherSettings(0, 0), DrainGrace: api.Micros(s.Thresholds.DrainGrace),
-		AnswerGrace: 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20}
-	w, r, l := invariant.NewChecker(terms), invariant.NewRecorder(terms), &log{wants: what}
-	w.Subscribe(&m.Bus)
-	m.Bus.Subscribe(r, l)
-	w.Finish(m.Run())
-	return w, l.all, r.Finish()
+	m := engine.New(s, newPolicy)
+	checker, recorder := invariant.NewChecker(thresholdsOf(s)), invariant.NewRecorder(thresholdsOf(s))
+	log := &eventLog{kinds: kinds}
+	checker.Subscribe(&m.Bus)
+	m.Bus.Subscribe(recorder, log)
+	checker.Finish(m.Run())
+	return checker, log.events, recorder.Finish()
 }
 
-// mutant is the module with its ears or hands tampered with.
-type mutant struct {
+// mutantPolicy is the policy with changed input, or without its dead letters.
+type mutantPolicy struct {
 	api.Policy
-	host
-	take      func(key api.OrderingKey) api.OrderingKey
-	outcome   func(what api.Outcome, wait api.Micros) (api.Outcome, api.Micros)
-	endpoints func(list []api.EndpointEntry) []api.EndpointEntry
+	mutantHost
+	orderingKey func(key api.OrderingKey) api.OrderingKey
+	outcome     func(outcome api.Outcome, retryAfter api.Micros) (api.Outcome, api.Micros)
+	endpoints   func(entries []api.EndpointEntry) []api.EndpointEntry
 }
 
-type host struct {
+type mutantHost struct {
 	api.Host
-	mute bool
+	dropsDeadLetters bool
 }
 
-func (h *host) DeadLetter(id api.WebhookID) {
-	if !h.mute {
+func (h *mutantHost) DeadLetter(id api.WebhookID) {
+	if !h.dropsDeadLetters {
 		h.Host.DeadLetter(id)
 	}
 }
 
-func (m *mutant) Submit(w api.Webhook) {
-	if m.take != nil {
-		w.OrderingKey = m.take(w.OrderingKey)
+func (m *mutantPolicy) Submit(w api.Webhook) {
+	if m.orderingKey != nil {
+		w.OrderingKey = m.orderingKey(w.OrderingKey)
 	}
 	m.Policy.Submit(w)
 }
 
-func (m *mutant) AttemptEnded(result api.AttemptResult) {
+func (m *mutantPolicy) AttemptEnded(result api.AttemptResult) {
 	if m.outcome != nil {
 		result.Outcome, result.RetryAfter = m.outcome(result.Outcome, result.RetryAfter)
 	}
 	m.Policy.AttemptEnded(result)
 }
 
-func (m *mutant) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
+func (m *mutantPolicy) UpdateEndpoints(entries []api.EndpointEntry, complete bool) {
 	if m.endpoints != nil {
-		list = m.endpoints(list)
+		entries = m.endpoints(entries)
 	}
-	m.Policy.UpdateEndpoints(list, whole)
+	m.Policy.UpdateEndpoints(entries, complete)
 }
 
-// tampered starts mutants.
-func tampered(facts func(*api.Settings), with func(*mutant)) engine.PolicyFactory {
-	return func(f api.Settings, h api.Host) api.Policy {
-		if facts != nil {
-			facts(&f)
-		}
-		m := &mutant{host: host{Host: h}}
-		with(m)
-		m.Policy = policy.New(f, &m.host)
+// mutant makes mutants of the policy.
+func mutant(change func(*mutantPolicy)) engine.PolicyFactory {
+	return func(settings api.Settings, host api.Host) api.Policy {
+		m := &mutantPolicy{mutantHost: mutantHost{Host: host}}
+		change(m)
+		m.Policy = policy.New(settings, &m.mutantHost)
 		return m
 	}
 }
 
-func all(n int) (list []int) {
-	for i := range n {
-		list = append(list, i)
+// describe formats the first violations.
+func describe(violations []invariant.Violation) string {
+	var text string
+	for _, v := range violations[:min(len(violations), 3)] {
+		text += fmt.Sprintln(v)
 	}
-	return list
-}
-
-func texts(b []invariant.Violation) (s string) {
-	for _, x := range b[:min(len(b), 3)] {
-		s += fmt.Sprintln(x)
-	}
-	return s
+	return text
 }
--- a/sim/engine/fleet_test.go
+++ b/sim/engine/many_dispatchers_test.go
@@ -10,9 +10,9 @@
 	"rowanlink/webhook/api"
 )
 
-// fleet is forty dispatchers in front of six destinations: none sees more than a call a second of most.
-func fleet(troubles ...engine.Fault) *engine.Scenario {
-	s := plain(troubles...)
+// manyDispatchers has forty dispatchers and six destinations: few dispatchers make more than a call per second to one.
+func manyDispatchers(troubles ...engine.Fault) *engine.Scenario {
+	s := newScenario(troubles...)
 	s.Dispatchers.Count, s.Dispatchers.MaxConcurrentCalls, s.Dispatchers.BufferSize = 40, 6, 80
 	s.Clients.Rate, s.Destinations.Count, s.Destinations.Active, s.Duration = 200, 6, 6, 25*sec
 	s.EventTypes = []engine.EventType{s.EventTypes[1]}
@@ -20,7 +20,7 @@
 	return s
 }
 
-// most are dispatchers 0 to 27.
+// most returns dispatchers 0 to 27.
 func most() (all []int) {
 	for i := range 28 {
 		all = append(all, i)
@@ -28,9 +28,9 @@
 	return all
 }
 
-// Each is harmless to one dispatcher. Rules are kept, each webhook has its end, nothing is pushed over,
-// and what is delivered is worth a stated part of all.
-func TestAFleetsHardDays(t *testing.T) {
+// Each case is harmless to a single dispatcher. The invariants hold, each webhook is finished, no destination collapses,
+// and the value earned is at least the stated share.
+func TestManyDispatchers_KeepInvariantsUnderFaults(t *testing.T) {
 	lowered := engine.Fault{Kind: "limit", At: 6 * sec, Duration: 9 * sec, Busiest: 3, Magnitude: 1.0 / 3}
 	down := engine.Fault{Kind: "down", At: 6 * sec, Duration: 5 * sec, Busiest: 2}
 	for name, day := range map[string]struct {
@@ -54,12 +54,12 @@
 		"one call in ten seconds each": {nil, func(s *engine.Scenario) { s.Clients.Rate = 4 }, 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := fleet(day.troubles...)
+			s := manyDispatchers(day.troubles...)
 			if day.change != nil {
 				day.change(s)
 			}
-			w, _, sum := play(t, s, module)
-			assert.Empty(t, w.ViolationCount, texts(w.Violations))
+			w, _, sum := run(t, s, newPolicy)
+			assert.Empty(t, w.ViolationCount, describe(w.Violations))
 			assert.Zero(t, sum.Unfinished)
 			assert.Zero(t, sum.Collapsed)
 			assert.Greater(t, sum.Value, day.worth)
@@ -67,13 +67,13 @@
 	}
 }
 
-// A place that rests after a call keeps another dispatcher's call out, be that one told so or refused.
-func TestAFleetSharesFewPlaces(t *testing.T) {
+// An idle connection keeps the calls of other dispatchers out, whether the limit is reported or the connect refused.
+func TestManyDispatchers_ShareConnectionLimit(t *testing.T) {
 	for _, told := range []bool{false, true} {
-		s := fleet()
+		s := manyDispatchers()
 		s.DestinationKinds[0].MaxConnections, s.DestinationKinds[0].ReportsConnectionLimit, s.DestinationKinds[0].Headroom = 8, told, 3
-		w, events, sum := play(t, s, module, event.AttemptEnded)
-		assert.Empty(t, w.ViolationCount, texts(w.Violations))
+		w, events, sum := run(t, s, newPolicy, event.AttemptEnded)
+		assert.Empty(t, w.ViolationCount, describe(w.Violations))
 		outcomes := map[api.Outcome]int{}
 		for _, e := range events {
 			outcomes[e.Outcome]++
@@ -89,10 +89,10 @@
 	}
 }
 
-func TestALoweredLimitHoldsForItsTimeAndItsDestinations(t *testing.T) {
-	s := fleet(engine.Fault{Kind: "limit", At: 8 * sec, Duration: 6 * sec, Destinations: []int{0}, Magnitude: 0.2},
+func TestLimitFault_AppliesToItsTimeAndDestinations(t *testing.T) {
+	s := manyDispatchers(engine.Fault{Kind: "limit", At: 8 * sec, Duration: 6 * sec, Destinations: []int{0}, Magnitude: 0.2},
 		engine.Fault{Kind: "limit", At: 10 * sec, Duration: 2 * sec, Destinations: []int{0}, Magnitude: 0.5})
-	_, events, _ := play(t, s, module, event.CallRefused)
+	_, events, _ := run(t, s, newPolicy, event.CallRefused)
 	refused := map[bool]int{}
 	for _, e := range events {
 		if e.Destination == 0 {
@@ -102,21 +102,21 @@
 	assert.Greater(t, refused[true], 3*refused[false], "in its 6 s against the 19 s beside it")
 }
 
-// Where caps on connections are told, a refused connect beside a fresh delivery is no cap but an outage. Of
-// many dispatchers hardly one sees it fail three times.
-func TestOneEndpointAloneIsSentWhatItBearsAfterAShortOutage(t *testing.T) {
+// Where connection limits are reported, a refused connect right after a delivery is no limit but an outage. Of many
+// dispatchers hardly one sees it fail three times.
+func TestSingleEndpoint_IsNotOverloadedAfterAShortOutage(t *testing.T) {
 	for _, day := range []struct {
 		dispatchers int
 		rate        float64
 	}{{3, 10}, {20, 25}} {
 		for _, seed := range []uint64{3, 4} {
-			s := plain(engine.Fault{Kind: "down", At: 10 * sec, Duration: 11 * sec / 10, Busiest: 1})
+			s := newScenario(engine.Fault{Kind: "down", At: 10 * sec, Duration: 11 * sec / 10, Busiest: 1})
 			s.Seed, s.Dispatchers.Count, s.Destinations.Count, s.Destinations.Active = seed, day.dispatchers, 1, 1
 			s.Clients.Rate, s.EventTypes = day.rate, s.EventTypes[:1]
 			k := &s.DestinationKinds[0]
 			k.Endpoints, k.Headroom, k.ReportsConnectionLimit, k.RetryAfterShare = []int{1, 1}, 1.2, true, 0
-			w, events, _ := play(t, s, module, event.OutageEnded, event.CallArrived)
-			assert.Empty(t, w.ViolationCount, texts(w.Violations))
+			w, events, _ := run(t, s, newPolicy, event.OutageEnded, event.CallArrived)
+			assert.Empty(t, w.ViolationCount, describe(w.Violations))
 			back, came := api.Never, 0.0
 			for _, e := range events {
 				if e.Kind == event.OutageEnded {
@@ -126,7 +126,7 @@
 				}
 			}
 			assert.Positive(t, came)
-			// Twice what it takes, cold as it is, for 2 s.
+			// Twice its capacity in the slow start, for 2 s.
 			assert.Less(t, came, 2*(0.2+0.8*0.2)*2*k.Headroom*day.rate)
 		}
 	}
--- a/sim/engine/queue_test.go
+++ b/sim/engine/queue_test.go
@@ -9,7 +9,7 @@
 	"rowanlink/internal/timerqueue"
 )
 
-func TestTenMillionEventsWaitAndComeInOrder(t *testing.T) {
+func TestQueue_OrdersTenMillionEvents(t *testing.T) {
 	const n = 10_000_000
 	var queue timerqueue.Queue[scheduledEvent]
 	chance := rand.New(rand.NewPCG(1, 1))
--- a/sim/engine/simulation_test.go
+++ b/sim/engine/simulation_test.go
@@ -18,14 +18,14 @@
 func (idle) Now() api.Micros                  { return 0 }
 func (idle) SetTimer(api.Micros, api.TimerID) {}
 
-func TestTroublesOverlapAndEndInAnyOrder(t *testing.T) {
-	s := plain(
+func TestFaults_OverlapAndEndInAnyOrder(t *testing.T) {
+	s := newScenario(
 		engine.Fault{Kind: "shut", At: 5 * sec, Duration: 6 * sec, Destinations: []int{0}},
 		engine.Fault{Kind: "slow", At: 7 * sec, Duration: 12 * sec, Destinations: []int{0}, Magnitude: 3},
 		engine.Fault{Kind: "down", At: 8 * sec, Duration: 10 * sec, Destinations: []int{1}},
 		engine.Fault{Kind: "hang", At: 6 * sec, Duration: 20 * sec, Destinations: []int{1}})
-	w, events, _ := play(t, s, module, event.OutageStarted, event.OutageEnded)
-	assert.Empty(t, w.ViolationCount, texts(w.Violations))
+	w, events, _ := run(t, s, newPolicy, event.OutageStarted, event.OutageEnded)
+	assert.Empty(t, w.ViolationCount, describe(w.Violations))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
 		got[e.Destination] = append(got[e.Destination], e.At/api.Second)
@@ -34,14 +34,14 @@
 	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
 }
 
-func TestKilledInTheVeryTurnThatTakesAWebhookOn(t *testing.T) {
+func TestKillDispatcher_InIterationThatAcceptsAWebhook(t *testing.T) {
 	for _, journal := range []bool{true, false} {
-		s := plain(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: journal,
+		s := newScenario(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: journal,
 			DuringIteration: true})
-		w, events, sum := play(t, s, module, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
-		assert.Empty(t, w.ViolationCount, texts(w.Violations))
+		w, events, sum := run(t, s, newPolicy, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
+		assert.Empty(t, w.ViolationCount, describe(w.Violations))
 		assert.Zero(t, sum.Unfinished)
-		killed := api.Never
+		var killed api.Micros
 		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
@@ -71,11 +71,11 @@
 	}
 }
 
-func TestWhatADeadDispatcherHadOutReachesNobodyAndIsHandedOn(t *testing.T) {
-	s := plain(engine.Fault{Kind: "hang", At: 4 * sec, Duration: 20 * sec, Busiest: 8},
+func TestKillDispatcher_OutcomesAreDroppedAndLostWebhooksResubmitted(t *testing.T) {
+	s := newScenario(engine.Fault{Kind: "hang", At: 4 * sec, Duration: 20 * sec, Busiest: 8},
 		engine.Fault{Kind: "kill", At: 6 * sec, Duration: 30 * sec, Dispatchers: []int{0}})
-	w, events, _ := play(t, s, module, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
-	assert.Empty(t, w.ViolationCount, texts(w.Violations))
+	w, events, _ := run(t, s, newPolicy, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
+	assert.Empty(t, w.ViolationCount, describe(w.Violations))
 	dead := false
 	out, again, died := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
 	for _, e := range events {
@@ -104,13 +104,13 @@
 	assert.Positive(t, handedOn)
 }
 
-func TestAReturningDestinationThatIsPushedFalls(t *testing.T) {
-	s := plain(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 1})
+func TestSlowStart_OverloadedDestinationCollapses(t *testing.T) {
+	s := newScenario(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 1})
 	s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls, s.EventTypes = 400, 400, s.EventTypes[:1]
 	hammer := func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.None)
 	}
-	_, events, sum := play(t, s, hammer, event.Collapsed, event.CallArrived)
+	_, events, sum := run(t, s, hammer, event.Collapsed, event.CallArrived)
 	require.Equal(t, 1, sum.Collapsed)
 	fell, before := false, 0
 	for _, e := range events {
@@ -125,15 +125,15 @@
 		}
 	}
 	assert.Positive(t, before)
-	_, _, sum = play(t, s, module)
+	_, _, sum = run(t, s, newPolicy)
 	assert.Zero(t, sum.Collapsed)
 }
 
-func TestAnEndpointThatIsReplacedDrainsAndItsAddressMayServeOn(t *testing.T) {
+func TestReplaceEndpoint_DrainsAndMayKeepTheAddress(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
-		s := plain(engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 1, DrainTime: 4 * sec, Address: address})
-		w, events, _ := play(t, s, module, event.AttemptStarted, event.EndpointUpdated)
-		assert.Empty(t, w.ViolationCount, texts(w.Violations))
+		s := newScenario(engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 1, DrainTime: 4 * sec, Address: address})
+		w, events, _ := run(t, s, newPolicy, event.AttemptStarted, event.EndpointUpdated)
+		assert.Empty(t, w.ViolationCount, describe(w.Violations))
 		last := events[len(events)-1]
 		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
@@ -150,11 +150,11 @@
 	}
 }
 
-func TestConnectionPlacesCountIdleOnes(t *testing.T) {
-	s := plain()
+func TestConnect_LimitCountsIdleConnections(t *testing.T) {
+	s := newScenario()
 	s.DestinationKinds[0].MaxConnections, s.Dispatchers.Count, s.Clients.Rate = 1, 4, 60
 	s.DestinationKinds[0].Endpoints = []int{1, 1}
-	_, events, _ := play(t, s, module, event.AttemptEnded)
+	_, events, _ := run(t, s, newPolicy, event.AttemptEnded)
 	failed := 0
 	for _, e := range events {
 		if e.Outcome == api.ConnectFailed {
@@ -164,12 +164,12 @@
 	assert.Positive(t, failed, "four dispatchers share one place")
 }
 
-func TestAPlannedRestartHandsOverAndServesOn(t *testing.T) {
-	s := plain(
+func TestRestart_AcceptsNothingWhileDraining(t *testing.T) {
+	s := newScenario(
 		engine.Fault{Kind: "restart", At: 5 * sec, Duration: sec / 2, DrainTime: 2 * sec, Dispatchers: []int{0}},
 	)
-	w, events, sum := play(t, s, module, event.Accepted, event.Started)
-	assert.Empty(t, w.ViolationCount, texts(w.Violations))
+	w, events, sum := run(t, s, newPolicy, event.Accepted, event.Started)
+	assert.Empty(t, w.ViolationCount, describe(w.Violations))
 	assert.Zero(t, sum.StateLost+sum.Unfinished)
 	taken := map[bool]int{}
 	for _, e := range events {
@@ -183,10 +183,10 @@
 	assert.Positive(t, taken[true])
 }
 
-func TestAFrontDealsUnevenlyAndAHotDestinationDrawsItsShare(t *testing.T) {
-	s := plain(engine.Fault{Kind: "hot", Duration: 30 * sec, Destinations: []int{7}, Magnitude: 0.5})
+func TestLoadSkewAndHotSpot(t *testing.T) {
+	s := newScenario(engine.Fault{Kind: "hot", Duration: 30 * sec, Destinations: []int{7}, Magnitude: 0.5})
 	s.Dispatchers.LoadSkew, s.EventTypes = 0.8, s.EventTypes[:1]
-	_, events, sum := play(t, s, module, event.Accepted, event.Offered)
+	_, events, sum := run(t, s, newPolicy, event.Accepted, event.Offered)
 	taken, hot := map[int32]int{}, 0
 	for _, e := range events {
 		if e.Kind == event.Accepted {
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -75,22 +75,22 @@
 var Names = []string{"lost", "twice", "drain", "failback", "order", "wait"}
 
 // NewChecker makes observers that hold a run to the terms.
-func NewChecker(t Thresholds) *Checker {
+func NewChecker(thresholds Thresholds) *Checker {
 	w := &Checker{ViolationCount: map[string]int{}, history: history{events: map[api.WebhookID][]event.Event{}}}
 	tell := func(rule string) violationReporter { return violationReporter{w, rule} }
 	w.invariants = []invariantChecker{
-		&delivery{violationReporter: tell("lost"), thresholds: t, owned: map[webhookKey]*obligation{}, finished: map[webhookKey]bool{}},
-		&duplicates{violationReporter: tell("twice"), thresholds: t, webhooks: map[api.WebhookID]*attemptHistory{}},
-		&draining{violationReporter: tell("drain"), thresholds: t, notifiedAt: map[endpointKey]api.Micros{}},
-		&slowStart{violationReporter: tell("failback"), thresholds: t, routes: map[event.Route]*recoveringRoute{}},
-		&ordering{violationReporter: tell("order"), thresholds: t, queues: map[queueKey]*orderingQueue{}, webhooks: map[webhookKey]*orderedWebhook{}},
+		&delivery{violationReporter: tell("lost"), thresholds: thresholds, owned: map[webhookKey]*obligation{}, finished: map[webhookKey]bool{}},
+		&duplicates{violationReporter: tell("twice"), thresholds: thresholds, webhooks: map[api.WebhookID]*attemptHistory{}},
+		&draining{violationReporter: tell("drain"), thresholds: thresholds, notifiedAt: map[endpointKey]api.Micros{}},
+		&slowStart{violationReporter: tell("failback"), thresholds: thresholds, routes: map[event.Route]*recoveringRoute{}},
+		&ordering{violationReporter: tell("order"), thresholds: thresholds, queues: map[queueKey]*orderingQueue{}, webhooks: map[webhookKey]*orderedWebhook{}},
 		&retryAfter{violationReporter: tell("wait"), until: map[routeKey]api.Micros{}},
 	}
 	w.claimCheckers = []claimChecker{
-		&backoff{retryDelays: newRetryDelays(t)},
-		&jitter{retryDelays: newRetryDelays(t)},
-		&destinationCap{thresholds: t, active: activeCalls{}},
-		&isolation{thresholds: t, active: activeCalls{}, failuresInRow: map[routeKey]int{}},
+		&backoff{retryDelays: newRetryDelays(thresholds)},
+		&jitter{retryDelays: newRetryDelays(thresholds)},
+		&destinationCap{thresholds: thresholds, active: activeCalls{}},
+		&isolation{thresholds: thresholds, active: activeCalls{}, failuresInRow: map[routeKey]int{}},
 	}
 	return w
 }
--- a/sim/invariant/claims.go
+++ b/sim/invariant/claims.go
@@ -41,8 +41,8 @@
 	lastSuccessAt, lastUnhealthyAt api.Micros
 }
 
-func newRetryDelays(t Thresholds) retryDelays {
-	return retryDelays{t, map[webhookKey]pendingRetry{}, map[routeKey]*routeHealth{}}
+func newRetryDelays(thresholds Thresholds) retryDelays {
+	return retryDelays{thresholds, map[webhookKey]pendingRetry{}, map[routeKey]*routeHealth{}}
 }
 
 var retryDelayKinds = []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Finished}
--- a/sim/invariant/cluster_recorder.go
+++ b/sim/invariant/cluster_recorder.go
@@ -58,8 +58,8 @@
 const minDeliveryRate = 2
 
 // NewClusterRecorder starts with nothing seen.
-func NewClusterRecorder(t Thresholds) *ClusterRecorder {
-	return &ClusterRecorder{thresholds: t, outages: map[event.Route]*outageRecord{}, deliveries: map[api.DestinationID]*deliveryRecord{},
+func NewClusterRecorder(thresholds Thresholds) *ClusterRecorder {
+	return &ClusterRecorder{thresholds: thresholds, outages: map[event.Route]*outageRecord{}, deliveries: map[api.DestinationID]*deliveryRecord{},
 		submittedAt: map[event.RequestID]api.Micros{}, hopLatency: newLatency(), killedAt: api.Never}
 }
 
--- a/sim/invariant/recorder.go
+++ b/sim/invariant/recorder.go
@@ -41,8 +41,8 @@
 )
 
 // NewRecorder starts with nothing counted.
-func NewRecorder(t Thresholds) *Recorder {
-	return &Recorder{thresholds: t, destinations: map[api.DestinationID]*Destination{}, active: activeCalls{},
+func NewRecorder(thresholds Thresholds) *Recorder {
+	return &Recorder{thresholds: thresholds, destinations: map[api.DestinationID]*Destination{}, active: activeCalls{},
 		warming: map[event.Route]*recoveringRoute{}}
 }
 
