--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -1,6 +1,5 @@
-// Package invariant holds the observers of an emulated run: one for each rule, one for each claim that the
-// design makes of what can be seen from outside, and a recorder that makes tables. They read events and
-// nothing else; none knows the model or a module.
+// Package invariant holds the observers of a simulation run: a checker for each invariant of the dispatchers and for each
+// claim of their design, and recorders that make tables. They see nothing but events.
 package invariant
 
 import (
@@ -11,14 +10,24 @@
 	"rowanlink/webhook/api"
 )
 
-// Thresholds are the figures that the rules are told in.
+// Thresholds are what a run is checked against: the settings of its dispatchers and two times of grace.
 type Thresholds struct {
 	api.Settings
 	DrainGrace  api.Micros
-	AnswerGrace api.Micros // past a webhook's TTL until its end is late
+	AnswerGrace api.Micros // after a webhook's deadline, until which it must be finished
 }
 
-// Violation is a broken rule: where, when, and the last events of the webhook concerned.
+// eventType returns the type of an event's webhook. A type that isn't known counts as the last one.
+func (t *Thresholds) eventType(e *event.Event) api.EventType {
+	return t.EventTypes[min(int(e.EventType), len(t.EventTypes)-1)]
+}
+
+// slowStartCapacity returns the share of its warm capacity that a route has some time after an outage.
+func (t *Thresholds) slowStartCapacity(elapsed api.Micros) float64 {
+	return t.SlowStartCapacity + (1-t.SlowStartCapacity)*float64(elapsed)/float64(t.SlowStartDuration)
+}
+
+// Violation is a violation of an invariant, with the last events of the webhook.
 type Violation struct {
 	Invariant   string            `json:"rule"`
 	At          api.Micros        `json:"at_us"`
@@ -29,6 +38,7 @@
 	History     []string          `json:"last,omitempty"`
 }
 
+// String describes the violation, with a line for each event.
 func (b Violation) String() string {
 	s := fmt.Sprintf("%s: %s (%.6fs, dispatcher %d, webhook %d, destination %d)", b.Invariant, b.Text, b.At.Seconds(),
 		b.Dispatcher, b.Webhook, b.Destination)
@@ -44,37 +54,40 @@
 	maxFinished   = 20000 // webhooks whose events are kept after their end
 )
 
-// Checker is all observers of rules and claims of one run.
+// Checker checks all invariants and claims of one run.
 type Checker struct {
-	Violations     []Violation // the first of them
+	Violations     []Violation // the first ones
 	ViolationCount map[string]int
 	history        history
 	invariants     []invariantChecker
 	claimCheckers  []claimChecker
 }
 
+// invariantChecker checks one invariant.
 type invariantChecker interface {
 	event.Observer
+	// finish checks what must have happened by the end of the run.
 	finish(at api.Micros)
 }
 
-// Claim is one of the design's claims, as seen from outside.
+// Claim is the judgment on a claim of the design, by what can be seen from outside.
 type Claim struct {
 	Name       string `json:"name"`
 	Holds      bool   `json:"kept"`
-	Conclusive bool   `json:"seen"` // there was enough to judge by
+	Conclusive bool   `json:"seen"` // there were enough events to judge by
 	Text       string `json:"text"`
 }
 
+// claimChecker judges one claim.
 type claimChecker interface {
 	event.Observer
 	judge() Claim
 }
 
-// Names are the names of the six rules.
+// Names are the names of the invariants, as scenarios' results have them.
 var Names = []string{"lost", "twice", "drain", "failback", "order", "wait"}
 
-// NewChecker makes observers that hold a run to the terms.
+// NewChecker makes the checkers of a run.
 func NewChecker(thresholds Thresholds) *Checker {
 	w := &Checker{ViolationCount: map[string]int{}, history: history{events: map[api.WebhookID][]event.Event{}}}
 	tell := func(rule string) violationReporter { return violationReporter{w, rule} }
@@ -95,7 +108,7 @@
 	return w
 }
 
-// Subscribe puts the observers on a bus.
+// Subscribe subscribes all checkers to a bus.
 func (w *Checker) Subscribe(b *event.Bus) {
 	b.Subscribe(&w.history)
 	for _, r := range w.invariants {
@@ -106,27 +119,29 @@
 	}
 }
 
-// Finish ends the watch: what is still owed then is lost.
+// Finish is called at the end of the run. Webhooks that aren't finished by then are violations.
 func (w *Checker) Finish(at api.Micros) {
 	for _, r := range w.invariants {
 		r.finish(at)
 	}
 }
 
-// Claims judges the design's claims by all that was seen.
-func (w *Checker) Claims() (all []Claim) {
+// Claims judges the claims by all events so far.
+func (w *Checker) Claims() []Claim {
+	var all []Claim
 	for _, c := range w.claimCheckers {
 		all = append(all, c.judge())
 	}
 	return all
 }
 
-// webhookKey is a webhook's stay at a dispatcher, which outlasts the dispatcher's process where its folder does.
+// webhookKey identifies a webhook at a dispatcher, also across restarts with the same persisted state.
 type webhookKey struct {
 	dispatcher int32
 	webhook    api.WebhookID
 }
 
+// routeKey identifies a route as seen by a dispatcher.
 type routeKey struct {
 	dispatcher int32
 	route      event.Route
@@ -135,7 +150,7 @@
 func webhookKeyOf(e *event.Event) webhookKey { return webhookKey{e.Dispatcher, e.Webhook} }
 func routeKeyOf(e *event.Event) routeKey     { return routeKey{e.Dispatcher, e.Route} }
 
-// violationReporter writes breaches of one rule down.
+// violationReporter records violations of one invariant.
 type violationReporter struct {
 	checker   *Checker
 	invariant string
@@ -154,16 +169,18 @@
 	t.checker.Violations = append(t.checker.Violations, b)
 }
 
-// history keeps the last events of each webhook, and those of one that is over for a while.
+// history keeps the last events of each webhook, for the latest finished ones too.
 type history struct {
 	events   map[api.WebhookID][]event.Event
 	finished []api.WebhookID
 }
 
+// Kinds returns the kinds of events in a history.
 func (h *history) Kinds() []event.Kind {
 	return []event.Kind{event.Accepted, event.Recovered, event.AttemptStarted, event.AttemptEnded, event.Finished}
 }
 
+// Observe adds an event to the history of its webhook.
 func (h *history) Observe(e *event.Event) {
 	of := h.events[e.Webhook]
 	if len(of) == maxHistory {
@@ -180,9 +197,10 @@
 	}
 }
 
-// activeCalls counts the calls that each dispatcher has out to each route.
+// activeCalls counts the active calls of each dispatcher to each route.
 type activeCalls map[routeKey]int
 
+// observe counts a call that starts or finishes, and returns the number of active ones.
 func (o activeCalls) observe(e *event.Event) int {
 	k := routeKeyOf(e)
 	switch e.Kind {
@@ -196,4 +214,5 @@
 	return o[k]
 }
 
+// shareOfSlots returns a share of the concurrency slots, at least one.
 func shareOfSlots(share float64, slots int) int { return max(int(math.Floor(share*float64(slots))), 1) }
--- a/sim/invariant/checker_test.go
+++ b/sim/invariant/checker_test.go
@@ -9,7 +9,7 @@
 	"rowanlink/webhook/api"
 )
 
-func watch() (*Checker, *event.Bus) {
+func newChecker() (*Checker, *event.Bus) {
 	w, b := NewChecker(
 		Thresholds{Settings: api.Settings{MaxInFlight: 8, OrderingGap: api.Second, EventTypes: []api.EventType{
 			{
@@ -21,10 +21,10 @@
 	return w, b
 }
 
-func TestASendInTheMicrosecondInWhichAToldWaitEndsIsInTime(t *testing.T) {
+func TestRetryAfter_AttemptInItsLastMicrosecondIsAllowed(t *testing.T) {
 	const told, long = 100 * api.Second, api.Second / 2
 	for early, broken := range map[api.Micros]int{0: 0, 1: 1} {
-		w, b := watch()
+		w, b := newChecker()
 		b.Emit(event.Event{At: told, Kind: event.Accepted, Webhook: 1, Deadline: told + api.Second})
 		b.Emit(event.Event{At: told, Kind: event.AttemptEnded, Webhook: 2, Outcome: api.Rejected, RetryAfter: long})
 		b.Emit(
@@ -35,8 +35,8 @@
 	}
 }
 
-func TestABreachNamesTheWebhooksLastEvents(t *testing.T) {
-	w, b := watch()
+func TestChecker_ViolationHasTheHistoryOfItsWebhook(t *testing.T) {
+	w, b := newChecker()
 	one := event.Event{At: 1, Webhook: 7, Dispatcher: 3, Destination: 5, EventType: 1, Deadline: 20 * api.Second}
 	step := func(at api.Micros, what event.Kind, change func(*event.Event)) {
 		e := one
@@ -54,7 +54,7 @@
 	step(6, event.Finished, func(e *event.Event) { e.Final = event.DeadLettered })
 	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, w.ViolationCount)
 	zone := w.Violations[0]
-	assert.Equal(t, "tokened by zone, sent to another zone", zone.Text)
+	assert.Equal(t, "deduplicated by zone, attempted in another zone", zone.Text)
 	assert.Equal(t, api.WebhookID(7), zone.Webhook)
 	assert.Equal(t, int32(3), zone.Dispatcher)
 	assert.Equal(t, api.DestinationID(5), zone.Destination)
@@ -62,9 +62,9 @@
 	assert.Contains(t, zone.String(), "0.000003s attempt ended dispatcher 3 attempt 0: timed out")
 }
 
-func TestOrderAsksForARestAfterWhatMayStillRun(t *testing.T) {
+func TestOrdering_GapAfterAttemptThatMayStillRun(t *testing.T) {
 	for after, broken := range map[api.Micros]int{api.Second - 1: 1, api.Second: 0} {
-		w, b := watch()
+		w, b := newChecker()
 		e := event.Event{At: 1, EventType: 2, OrderingKey: 9, Deadline: 20 * api.Second}
 		send := func(at api.Micros, id api.WebhookID, what event.Kind, out api.Outcome, end event.FinalStatus) {
 			e.At, e.Webhook, e.Kind, e.Outcome, e.Final = at, id, what, out, end
@@ -80,8 +80,8 @@
 	}
 }
 
-func TestWhatIsStillOwedAtTheEndIsLost(t *testing.T) {
-	w, b := watch()
+func TestDelivery_UnfinishedWebhookIsLost(t *testing.T) {
+	w, b := newChecker()
 	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 1, Deadline: 50})
 	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 2, Deadline: 5000})
 	w.Finish(1000)
--- a/sim/invariant/claims.go
+++ b/sim/invariant/claims.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	minSamples           = 30  // pauses of a kind by which one can judge
-	judgedRetries        = 4   // retries from there on are few and mostly waits that were told
-	unhealthyAfter       = 3   // failures in a row after which more than the schedule may hold a webhook
-	minGrowth            = .9  // a later pause over the one before it, at the least
-	surelyUnhealthyAfter = 12  // failures in a row that make a destination sick for anybody who looks from outside
-	destinationShare     = .75 // of the slots, to one destination
-	unhealthyShare       = .5  // of the slots, to a sick one
-	minVariation         = .2  // standard deviation of a pause by chance, over its mean
+	minSamples           = 30  // delays of a kind that are enough to judge by
+	judgedRetries        = 4   // later retries are few, and mostly wait for a Retry-After time
+	unhealthyAfter       = 3   // failures in a row after which not only the backoff delays a webhook
+	minGrowth            = .9  // mean delay over that of the retry before
+	surelyUnhealthyAfter = 12  // failures in a row that no chance explains
+	destinationShare     = .75 // of the slots, for one destination
+	unhealthyShare       = .5  // of the slots, for an unhealthy destination
+	minVariation         = .2  // standard deviation of a delay over its mean
 )
 
-// retryDelays gives what lies between an outcome and the next try of the same webhook, where nothing but the
-// schedule explains it: no told wait, and a route that was well for the dispatcher before, and stayed so.
+// retryDelays measures the delay between the outcome of an attempt and the next attempt, where only the backoff explains
+// it: without a Retry-After time, on a route that was healthy for the dispatcher before and stayed so.
 type retryDelays struct {
 	thresholds   Thresholds
 	lastOutcomes map[webhookKey]pendingRetry
@@ -32,65 +32,90 @@
 	at            api.Micros
 	attempt       int
 	health        *routeHealth
-	failuresInRow int // failures in a row there when it began
+	failuresInRow int // of the route, then
 }
 
-// routeHealth is a route as a dispatcher's outcomes show it.
+// routeHealth is the health of a route by the outcomes of one dispatcher.
 type routeHealth struct {
-	failuresInRow                  int
-	lastSuccessAt, lastUnhealthyAt api.Micros
+	failuresInRow   int
+	lastSuccessAt   api.Micros
+	lastUnhealthyAt api.Micros
+}
+
+// retryDelay is a measured delay before the next attempt.
+type retryDelay struct {
+	attempt int // that failed
+	delay   api.Micros
 }
 
 func newRetryDelays(thresholds Thresholds) retryDelays {
-	return retryDelays{thresholds, map[webhookKey]pendingRetry{}, map[routeKey]*routeHealth{}}
+	return retryDelays{
+		thresholds:   thresholds,
+		lastOutcomes: map[webhookKey]pendingRetry{},
+		health:       map[routeKey]*routeHealth{},
+	}
 }
 
 var retryDelayKinds = []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Finished}
 
-func (p *retryDelays) observe(e *event.Event) (try int, long api.Micros, ok bool) {
-	k := webhookKeyOf(e)
+// observe returns the delay that ends with the event, if there is one that only the backoff explains.
+func (p *retryDelays) observe(e *event.Event) (measured retryDelay, ok bool) {
+	key := webhookKeyOf(e)
 	switch e.Kind {
 	case event.AttemptEnded:
-		h := p.health[routeKeyOf(e)]
-		if h == nil {
-			h = &routeHealth{lastSuccessAt: api.Never, lastUnhealthyAt: api.Never}
-			p.health[routeKeyOf(e)] = h
-		}
-		switch {
-		case e.Outcome == api.Delivered:
-			h.failuresInRow, h.lastSuccessAt = 0, e.At
-			return
-		case e.Outcome == api.NotSent:
-			return
-		}
-		if h.failuresInRow++; h.failuresInRow >= unhealthyAfter || e.RetryAfter > 0 {
-			h.lastUnhealthyAt = e.At
-		}
-		ill := h.lastUnhealthyAt != api.Never && e.At-h.lastUnhealthyAt < 2*p.thresholds.SlowStartDuration
-		if !ill && h.lastSuccessAt != api.Never && e.At-h.lastSuccessAt < p.thresholds.OverloadDuration {
-			p.lastOutcomes[k] = pendingRetry{e.At, e.Attempt, h, h.failuresInRow}
-		}
+		p.recordOutcome(e)
 	case event.AttemptStarted:
-		if was, there := p.lastOutcomes[k]; there {
-			delete(p.lastOutcomes, k)
-			return was.attempt, e.At - was.at, was.health.failuresInRow <= was.failuresInRow && was.health.lastUnhealthyAt < was.at
+		last, pending := p.lastOutcomes[key]
+		if !pending {
+			return retryDelay{}, false
 		}
+		delete(p.lastOutcomes, key)
+		stayedHealthy := last.health.failuresInRow <= last.failuresInRow && last.health.lastUnhealthyAt < last.at
+		return retryDelay{last.attempt, e.At - last.at}, stayedHealthy
 	case event.Finished:
-		delete(p.lastOutcomes, k)
+		delete(p.lastOutcomes, key)
+	}
+	return retryDelay{}, false
+}
+
+func (p *retryDelays) recordOutcome(e *event.Event) {
+	h := p.health[routeKeyOf(e)]
+	if h == nil {
+		h = &routeHealth{lastSuccessAt: api.Never, lastUnhealthyAt: api.Never}
+		p.health[routeKeyOf(e)] = h
+	}
+	switch e.Outcome {
+	case api.Delivered:
+		h.failuresInRow = 0
+		h.lastSuccessAt = e.At
+		return
+	case api.NotSent:
+		return
+	}
+	h.failuresInRow++
+	if h.failuresInRow >= unhealthyAfter || e.RetryAfter > 0 {
+		h.lastUnhealthyAt = e.At
+	}
+	unhealthy := h.lastUnhealthyAt != api.Never && e.At-h.lastUnhealthyAt < 2*p.thresholds.SlowStartDuration
+	succeeded := h.lastSuccessAt != api.Never && e.At-h.lastSuccessAt < p.thresholds.OverloadDuration
+	if succeeded && !unhealthy {
+		p.lastOutcomes[webhookKeyOf(e)] = pendingRetry{e.At, e.Attempt, h, h.failuresInRow}
 	}
-	return 0, 0, false
 }
 
-// backoff: the pause before the next try grows from try to try.
+// backoff judges the claim that the delay before a retry grows from retry to retry.
 type backoff struct {
 	retryDelays
 	delays [judgedRetries][]float64
 }
 
+// Kinds returns the kinds of events that the checker needs.
 func (o *backoff) Kinds() []event.Kind { return retryDelayKinds }
+
+// Observe measures one event.
 func (o *backoff) Observe(e *event.Event) {
-	if try, long, ok := o.observe(e); ok && try < judgedRetries {
-		o.delays[try] = append(o.delays[try], long.Seconds())
+	if measured, ok := o.observe(e); ok && measured.attempt < judgedRetries {
+		o.delays[measured.attempt] = append(o.delays[measured.attempt], measured.delay.Seconds())
 	}
 }
 
@@ -103,10 +128,10 @@
 		}
 		mean := stat.Mean(pauses, nil)
 		c.Text += fmt.Sprintf(" %.3f", mean)
-		if i == 0 && mean <= o.thresholds.MinTurnInterval.Seconds() { // no pause at all
+		if i == 0 && mean <= o.thresholds.MinTurnInterval.Seconds() { // no delay at all
 			c.Conclusive, c.Holds = true, false
 		}
-		if i > 0 { // in the late band pauses no longer grow
+		if i > 0 { // delays near the limit no longer grow
 			c.Conclusive = true
 			c.Holds = c.Holds && (i == 1 && mean > last || i > 1 && mean > minGrowth*last)
 		}
@@ -116,16 +141,19 @@
 	return c
 }
 
-// jitter: pauses vary by chance.
+// jitter judges the claim that delays vary at random.
 type jitter struct {
 	retryDelays
 	firstDelays []float64
 }
 
+// Kinds returns the kinds of events that the checker needs.
 func (o *jitter) Kinds() []event.Kind { return retryDelayKinds }
+
+// Observe measures one event.
 func (o *jitter) Observe(e *event.Event) {
-	if try, long, ok := o.observe(e); ok && try == 0 {
-		o.firstDelays = append(o.firstDelays, long.Seconds())
+	if measured, ok := o.observe(e); ok && measured.attempt == 0 {
+		o.firstDelays = append(o.firstDelays, measured.delay.Seconds())
 	}
 }
 
@@ -139,16 +167,19 @@
 	return c
 }
 
-// destinationCap: calls in flight to one destination stay within three quarters of the slots.
+// destinationCap judges the claim that the active calls to one destination are at most three quarters of the slots.
 type destinationCap struct {
 	thresholds Thresholds
 	active     activeCalls
 	most       int
 }
 
+// Kinds returns the kinds of events that the checker needs.
 func (o *destinationCap) Kinds() []event.Kind {
 	return []event.Kind{event.CallStarted, event.CallFinished}
 }
+
+// Observe measures one event.
 func (o *destinationCap) Observe(e *event.Event) { o.most = max(o.most, o.active.observe(e)) }
 func (o *destinationCap) judge() Claim {
 	limit := shareOfSlots(destinationShare, o.thresholds.MaxInFlight)
@@ -161,8 +192,8 @@
 		)}
 }
 
-// isolates: a sick destination holds at most half of the slots. One is sick for a dispatcher once so many
-// of its outcomes there failed in a row that no chance explains it; what was out before that may run on.
+// isolation judges the claim that an unhealthy destination has at most half of the slots. One is unhealthy for a
+// dispatcher once so many attempts in a row failed that no chance explains it; calls active before don't count.
 type isolation struct {
 	thresholds    Thresholds
 	active        activeCalls
@@ -171,10 +202,12 @@
 	conclusive    bool
 }
 
+// Kinds returns the kinds of events that the checker needs.
 func (o *isolation) Kinds() []event.Kind {
 	return []event.Kind{event.CallStarted, event.CallFinished, event.AttemptEnded, event.Killed}
 }
 
+// Observe measures one event.
 func (o *isolation) Observe(e *event.Event) {
 	k := routeKeyOf(e)
 	switch e.Kind {
--- a/sim/invariant/cluster_recorder.go
+++ b/sim/invariant/cluster_recorder.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// ClusterRecorder measures how many dispatchers act as one: what destinations are sent while they are out and just
-// after, how long it is silent where a dispatcher was lost, and what the way to a home takes.
+// ClusterRecorder measures how dispatchers act together: the load of destinations in an outage and after it, the time
+// without deliveries after a dispatcher was lost, and the latency of handoffs.
 type ClusterRecorder struct {
 	thresholds  Thresholds
 	outages     map[event.Route]*outageRecord
@@ -24,17 +24,17 @@
 	callers     float64
 }
 
-// ClusterSummary is what Fleet measured. Bear is what a destination takes in TipAfter after its return, times the
-// multiple at which it falls.
+// ClusterSummary is what a ClusterRecorder measured. Loads are relative to that at which a destination collapses in the
+// OverloadDuration after its outage.
 type ClusterSummary struct {
 	Returns             int     `json:"Returns"`  // destinations back from an outage
-	MeanLoad            float64 `json:"Load"`     // sent in TipAfter after a return, over Bear: mean
-	MaxLoad             float64 `json:"Worst"`    // and the most
-	CallsDuringOutage   float64 `json:"WhileOut"` // calls to a destination that is out, for each outage
-	CallersDuringOutage float64 `json:"Callers"`  // dispatchers that made them
-	LongestGap          float64 `json:"Silence"`  // s without a delivery at a busy destination after a dispatcher was killed, the longest
-	Handoffs            int     `json:"Handed"`   // webhooks taken on from another dispatcher
-	HandoffP50          float64 `json:"Hop50"`    // s from first handed in to the home's journal
+	MeanLoad            float64 `json:"Load"`     // mean load after an outage
+	MaxLoad             float64 `json:"Worst"`    // greatest load after an outage
+	CallsDuringOutage   float64 `json:"WhileOut"` // to the destination, mean over the outages
+	CallersDuringOutage float64 `json:"Callers"`  // dispatchers that made them, mean
+	LongestGap          float64 `json:"Silence"`  // s without a delivery at a destination with traffic after a dispatcher was killed
+	Handoffs            int     `json:"Handed"`   // webhooks accepted from another dispatcher
+	HandoffP50          float64 `json:"Hop50"`    // s from the first submission to the owner's persisted state
 	HandoffP99          float64 `json:"Hop99"`
 }
 
@@ -47,27 +47,43 @@
 	callers           map[int32]bool
 }
 
-// deliveryRecord is what is delivered at a destination.
+// deliveryRecord counts the deliveries at a destination.
 type deliveryRecord struct {
-	beforeKill  int  // before the kill
-	silent      bool // none since
+	beforeKill  int  // of a dispatcher
+	silent      bool // no delivery since
 	silentSince api.Micros
 }
 
-// minDeliveryRate is from how many deliveries a second on a destination's silence is told from its being idle.
+// minDeliveryRate is the deliveries per second from which on a gap isn't just a lack of traffic.
 const minDeliveryRate = 2
 
-// NewClusterRecorder starts with nothing seen.
+// NewClusterRecorder makes a recorder. It must be subscribed before the run starts.
 func NewClusterRecorder(thresholds Thresholds) *ClusterRecorder {
-	return &ClusterRecorder{thresholds: thresholds, outages: map[event.Route]*outageRecord{}, deliveries: map[api.DestinationID]*deliveryRecord{},
-		submittedAt: map[event.RequestID]api.Micros{}, hopLatency: newLatency(), killedAt: api.Never}
+	return &ClusterRecorder{
+		thresholds:  thresholds,
+		outages:     map[event.Route]*outageRecord{},
+		deliveries:  map[api.DestinationID]*deliveryRecord{},
+		submittedAt: map[event.RequestID]api.Micros{},
+		hopLatency:  newLatency(),
+		killedAt:    api.Never,
+	}
 }
 
+// Kinds returns the kinds of events that are measured.
 func (f *ClusterRecorder) Kinds() []event.Kind {
-	return []event.Kind{event.Offered, event.HandoffAccepted, event.OutageStarted, event.OutageEnded, event.CallStarted, event.CallArrived,
-		event.Finished, event.Killed}
+	return []event.Kind{
+		event.Offered,
+		event.HandoffAccepted,
+		event.OutageStarted,
+		event.OutageEnded,
+		event.CallStarted,
+		event.CallArrived,
+		event.Finished,
+		event.Killed,
+	}
 }
 
+// Observe measures one event.
 func (f *ClusterRecorder) Observe(e *event.Event) {
 	switch e.Kind {
 	case event.Offered:
@@ -83,7 +99,8 @@
 		f.outages[e.Route] = &outageRecord{down: true, rate: e.Weight, callers: map[int32]bool{}}
 	case event.OutageEnded:
 		if r := f.outages[e.Route]; r != nil {
-			r.down, r.recoveredAt = false, e.At
+			r.down = false
+			r.recoveredAt = e.At
 		}
 	case event.CallStarted:
 		if r := f.outages[e.Route]; r != nil && r.down {
@@ -94,21 +111,25 @@
 		if r := f.outages[e.Route]; r != nil && !r.down && e.At-r.recoveredAt <= f.thresholds.OverloadDuration {
 			r.weightAfterReturn += e.Weight
 		}
-	default:
-		f.observeDelivery(e)
+	case event.Killed:
+		f.observeKill(e)
+	case event.Finished:
+		f.observeFinished(e)
 	}
 }
 
-func (f *ClusterRecorder) observeDelivery(e *event.Event) {
-	if e.Kind == event.Killed {
-		f.killedAt = e.At
-		for _, p := range f.deliveries {
-			if !p.silent && float64(p.beforeKill) >= minDeliveryRate*e.At.Seconds() {
-				p.silent, p.silentSince = true, e.At
-			}
+// observeKill begins to measure the time without deliveries at destinations with enough of them.
+func (f *ClusterRecorder) observeKill(e *event.Event) {
+	f.killedAt = e.At
+	for _, p := range f.deliveries {
+		if !p.silent && float64(p.beforeKill) >= minDeliveryRate*e.At.Seconds() {
+			p.silent = true
+			p.silentSince = e.At
 		}
-		return
 	}
+}
+
+func (f *ClusterRecorder) observeFinished(e *event.Event) {
 	if e.Final != event.Delivered {
 		return
 	}
@@ -126,12 +147,12 @@
 	}
 }
 
-// addOutage adds an outage that is over, its return with it.
+// addOutage adds an outage that is over, and the load after it.
 func (f *ClusterRecorder) addOutage(r *outageRecord) {
 	if r == nil || r.down {
 		return
 	}
-	// What it takes grows evenly from StartCapacity at its return.
+	// The capacity grows linearly from SlowStartCapacity.
 	mean := f.thresholds.SlowStartCapacity + (1-f.thresholds.SlowStartCapacity)*f.thresholds.OverloadDuration.Seconds()/f.thresholds.SlowStartDuration.Seconds()/2
 	load := r.weightAfterReturn / (f.thresholds.OverloadFactor * mean * r.rate * f.thresholds.OverloadDuration.Seconds())
 	f.summary.Returns++
@@ -141,7 +162,7 @@
 	f.summary.MaxLoad = math.Max(f.summary.MaxLoad, load)
 }
 
-// Finish sums up.
+// Finish returns the summary at the end of the run.
 func (f *ClusterRecorder) Finish() ClusterSummary {
 	for _, r := range f.outages {
 		f.addOutage(r)
--- a/sim/invariant/handoffs.go
+++ b/sim/invariant/handoffs.go
@@ -1,9 +1,9 @@
 package invariant
 
-// handoffs follows webhooks that dispatchers with homes pass to one another; it is nil while none does.
+// handoffs tracks the webhooks that dispatchers hand off to one another. Its maps are nil in runs without handoffs.
 type handoffs struct {
-	receivers map[webhookKey]int32 // to whom
-	finished  map[webhookKey]bool  // ended there
+	receivers map[webhookKey]int32 // who acknowledged each
+	finished  map[webhookKey]bool  // there
 }
 
 func (h *handoffs) initialize() {
@@ -18,8 +18,8 @@
 	}
 }
 
-// recordHandoff tells whether a webhook is where it is said to have gone, or where that one passed it on to. Two that
-// name each other have both let it go.
+// recordHandoff records that a webhook was acknowledged, and reports whether the receiver has or had it, or handed it off
+// to one that does. A cycle of handoffs means that all have released it.
 func (h *handoffs) recordHandoff(o *delivery, from webhookKey, to int32) bool {
 	h.initialize()
 	h.receivers[from] = to
--- a/sim/invariant/tables.go
+++ b/sim/invariant/tables.go
@@ -13,23 +13,37 @@
 	"rowanlink/webhook/api"
 )
 
-// Second is what happened within one, by the moment of each thing; what became of webhooks by that of its
-// end.
+// Second counts what happened within one second of the run. Webhooks are counted in the second in which they finished.
 type Second struct {
-	Offered, InTime, Late, Rejected, DeadLettered, StateLost int
-	Calls, CallsRefused, Connects, MaxActiveCalls            int // Out: calls out, at most
-	P50, P99                                                 api.Micros
-	latency                                                  *hdr.Histogram
+	Offered        int
+	InTime         int
+	Late           int
+	Rejected       int
+	DeadLettered   int
+	StateLost      int
+	Calls          int
+	CallsRefused   int
+	Connects       int
+	MaxActiveCalls int
+	P50, P99       api.Micros
+	latency        *hdr.Histogram
 }
 
-// Destination is what happened at one.
+// Destination counts what happened at one destination.
 type Destination struct {
-	ID                                                       api.DestinationID
-	Offered, InTime, Late, Rejected, DeadLettered, StateLost int
-	Calls, CallsRefused, MaxActiveCalls                      int // Out: calls of one dispatcher out there, at most
+	ID             api.DestinationID
+	Offered        int
+	InTime         int
+	Late           int
+	Rejected       int
+	DeadLettered   int
+	StateLost      int
+	Calls          int
+	CallsRefused   int
+	MaxActiveCalls int // of one dispatcher
 }
 
-// WarmupLoad is what reached a route within a second while it was cold, against what it may be sent then.
+// WarmupLoad is the load of a route in one second of its slow start, and the limit beyond which it collapses.
 type WarmupLoad struct {
 	Second        int
 	Destination   api.DestinationID
@@ -37,7 +51,7 @@
 	Weight, Limit float64
 }
 
-// Summary is a run in figures. Shares are of what was offered.
+// Summary counts what happened in a run. Latencies are in seconds, from the first submission to the delivery.
 type Summary struct {
 	Offered      int     `json:"offered"`
 	InTime       int     `json:"in_time"`
@@ -46,23 +60,23 @@
 	DeadLettered int     `json:"dead_lettered"`
 	StateLost    int     `json:"died"`
 	Unfinished   int     `json:"unended"`
-	Value        float64 `json:"value"` // earned over the value asked for
+	Value        float64 `json:"value"` // earned over offered
 	BufferFull   int     `json:"turned_away"`
 	Attempts     int     `json:"attempts"`
 	Calls        int     `json:"calls"`
 	CallsRefused int     `json:"refused"`
 	Connects     int     `json:"connects"`
 	Collapsed    int     `json:"fell"`
-	P50          float64 `json:"p50_s"` // from first handed in to delivered
+	P50          float64 `json:"p50_s"`
 	P90          float64 `json:"p90_s"`
 	P99          float64 `json:"p99_s"`
 	Max          float64 `json:"longest_s"`
 }
 
-// Seconds is the table by second.
+// Seconds returns the table by second.
 func (r *Recorder) Seconds() []Second { return r.seconds }
 
-// Destinations is the table by destination, of those at which anything happened, by number.
+// Destinations returns the table by destination, sorted, of those at which anything happened.
 func (r *Recorder) Destinations() []*Destination {
 	var all []*Destination
 	for _, d := range r.destinations {
@@ -72,7 +86,7 @@
 	return all
 }
 
-// WarmupLoads is the table of what reached routes while they were cold.
+// WarmupLoads returns the table of the loads in slow starts.
 func (r *Recorder) WarmupLoads() []WarmupLoad { return r.warmupLoads }
 
 func ints(of ...int) (all []string) {
@@ -114,7 +128,7 @@
 	return w.WriteAll(rows)
 }
 
-// WriteWarmupLoads writes the table of cold returns as CSV.
+// WriteWarmupLoads writes the table of the loads in slow starts as CSV.
 func (r *Recorder) WriteWarmupLoads(to io.Writer) error {
 	w := csv.NewWriter(to)
 	rows := [][]string{{"second", "destination", "route", "came", "limit"}}
