--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -1,7 +1,10 @@
 package custody
 
 import (
+	"os"
+	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -10,6 +13,7 @@
 	"rowanlink/cluster/shardmap"
 	"rowanlink/webhook/api"
 	"rowanlink/webhook/dispatcher/inflight"
+	"rowanlink/webhook/dispatcher/wal"
 )
 
 // openStore opens a store as a process does whose dispatcher has recovered some webhooks.
@@ -33,7 +37,7 @@
 
 // Guards against a webhook that two members call for: that another member may have it outlasts the process, unless it
 // has ended here meanwhile; and so does what was answered of it.
-func TestStore_RecordsOutlastTheProcess(t *testing.T) {
+func TestStore_RecoversRecordsAfterRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
 	for _, requestID := range []inflight.RequestID{"pending", "ended"} {
@@ -55,7 +59,7 @@
 
 // Guards against a webhook that its sender waits for in vain, and against one that is answered to be here and is not:
 // the process ended between its record and its journal, before or after the webhook was in that.
-func TestStore_ProcessThatEndsWhileItAcceptsWebhooks(t *testing.T) {
+func TestStore_RecoversFromCrashDuringAcceptance(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
 	for _, requestID := range []inflight.RequestID{"stored", "lost"} {
@@ -80,7 +84,7 @@
 }
 
 // Guards against an answer that no record stands for: what can't be written has not happened.
-func TestStore_UpdateThatCannotBeWrittenChangesNothing(t *testing.T) {
+func TestStore_FailedUpdateIsRolledBack(t *testing.T) {
 	s, ttl := openStore(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
 	for n := range 1000 {
@@ -95,3 +99,30 @@
 	}
 	assert.Error(t, err, "it was never full")
 }
+
+// openFilesBelow returns the files of a folder that this process has open.
+func openFilesBelow(t *testing.T, dir string) (files []string) {
+	t.Helper()
+	descriptors, err := os.ReadDir("/proc/self/fd")
+	require.NoError(t, err)
+	for _, d := range descriptors {
+		target, err := os.Readlink(filepath.Join("/proc/self/fd", d.Name()))
+		if err == nil && strings.HasPrefix(target, dir) { // else it was closed since
+			files = append(files, target)
+		}
+	}
+	return files
+}
+
+func TestOpen_ClosesJournalOnUnreadableRecord(t *testing.T) {
+	dir := t.TempDir()
+	journal, err := wal.Open(dir, 1)
+	require.NoError(t, err)
+	require.NoError(t, journal.Accept(1, []byte("\xff")))
+	require.NoError(t, journal.Commit())
+	require.NotEmpty(t, openFilesBelow(t, dir))
+	require.NoError(t, journal.Close())
+	_, err = Open(dir, 1, api.Second, func(shardmap.WebhookID) bool { return false })
+	require.ErrorContains(t, err, "record 1")
+	assert.Empty(t, openFilesBelow(t, dir))
+}
