--- a/sim/engine/checkers_test.go
+++ b/sim/engine/checkers_test.go
@@ -27,7 +27,7 @@
 		"order": {busy, mutant(func(m *mutantPolicy) { m.orderingKey = func(api.OrderingKey) api.OrderingKey { return 0 } })},
 		"wait":  {full, mutant(func(m *mutantPolicy) { m.outcome = noWait })},
 		"failback": {hang, func(f api.Settings, h api.Host) api.Policy {
-			return baseline.New(f, h, f.MaxAttempts, baseline.None)
+			return baseline.New(f, h, f.MaxAttempts, baseline.NoBackoff)
 		}},
 	} {
 		t.Run(rule, func(t *testing.T) {
@@ -77,12 +77,12 @@
 	slowly := engine.Fault{Kind: "slow", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 12}
 	for claim, c := range map[string]struct {
 		troubles []engine.Fault
-		waits    baseline.Waits
+		waits    baseline.Backoff
 	}{
-		"backoff":  {[]engine.Fault{chance}, baseline.None},
-		"jitter":   {[]engine.Fault{chance}, baseline.Doubled},
-		"dest_cap": {[]engine.Fault{hang}, baseline.Doubled},
-		"isolates": {[]engine.Fault{fails, slowly}, baseline.Doubled},
+		"backoff":  {[]engine.Fault{chance}, baseline.NoBackoff},
+		"jitter":   {[]engine.Fault{chance}, baseline.ExponentialBackoff},
+		"dest_cap": {[]engine.Fault{hang}, baseline.ExponentialBackoff},
+		"isolates": {[]engine.Fault{fails, slowly}, baseline.ExponentialBackoff},
 	} {
 		t.Run(claim, func(t *testing.T) {
 			s := newScenario(c.troubles...)
--- a/sim/engine/simulation_test.go
+++ b/sim/engine/simulation_test.go
@@ -108,7 +108,7 @@
 	s := newScenario(engine.Fault{Kind: "down", At: 5 * sec, Duration: 5 * sec, Busiest: 1})
 	s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls, s.EventTypes = 400, 400, s.EventTypes[:1]
 	hammer := func(f api.Settings, h api.Host) api.Policy {
-		return baseline.New(f, h, f.MaxAttempts, baseline.None)
+		return baseline.New(f, h, f.MaxAttempts, baseline.NoBackoff)
 	}
 	_, events, sum := run(t, s, hammer, event.Collapsed, event.CallArrived)
 	require.Equal(t, 1, sum.Collapsed)
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -26,12 +26,12 @@
 // policyFactories are what a scenario can be played with. All but the module are for comparison only.
 var policyFactories = map[string]engine.PolicyFactory{
 	DefaultPolicy: func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) },
-	"once":        func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.None) },
+	"once":        func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.NoBackoff) },
 	"eager": func(f api.Settings, h api.Host) api.Policy {
-		return baseline.New(f, h, f.MaxAttempts, baseline.None)
+		return baseline.New(f, h, f.MaxAttempts, baseline.NoBackoff)
 	},
 	"exponential": func(f api.Settings, h api.Host) api.Policy {
-		return baseline.New(f, h, f.MaxAttempts, baseline.Doubled)
+		return baseline.New(f, h, f.MaxAttempts, baseline.ExponentialBackoff)
 	},
 }
 
