--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, "i-a", sent.Header.Get("X-Deliver-To"))
 	assert.Equal(t, "5c1e07a2:800,91bd3f06:410", sent.Header.Get("X-Prompt-Prefix"))
 	assert.Empty(t, sent.Header.Get("Te"))
-	assert.Empty(t, sent.Header.Get("Priority"), "only language models know it")
+	assert.Empty(t, sent.Header.Get("Priority"), "only language models support it")
 	body, err := io.ReadAll(sent.Body)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(body))
@@ -75,28 +75,28 @@
 	assert.Len(t, <-got, 70000)
 }
 
-// TestForward_AfterFailedAttempt: the first endpoint fails in each way in turn, the second one succeeds.
+// TestForward_AfterFailedAttempt: the first endpoint fails in a different way in each case, the second one succeeds.
 func TestForward_AfterFailedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		first      func(*scriptedendpoint.Conn)
-		repeatable int
+		idempotent int
 		once       int
 		outcome    attempt.Outcome
 	}{
 		{"full", respondWith(rejectedResponse), 200, 200, attempt.Rejected},
 		{"other incarnation", respondWith(misdirectedResponse), 200, 200, attempt.Misdirected},
 		{"own error", respondWith(serverErrorResponse), 200, 500, attempt.Failed},
-		{"silent close", respondAndClose(""), 200, 502, attempt.Broken},
+		{"close without a response", respondAndClose(""), 200, 502, attempt.Broken},
 		{"reset", func(p *scriptedendpoint.Conn) { p.ReadRequest(); p.Reset() }, 200, 502, attempt.Broken},
-		{"half head", respondAndClose(okHead[:20]), 200, 502, attempt.Broken},
-		{"half body", respondAndClose(okResponse[:len(okResponse)-1]), 200, 502, attempt.Broken},
+		{"truncated head", respondAndClose(okHead[:20]), 200, 502, attempt.Broken},
+		{"truncated body", respondAndClose(okResponse[:len(okResponse)-1]), 200, 502, attempt.Broken},
 		{"garbage", respondAndClose("garbage\r\n\r\n"), 200, 502, attempt.Broken},
 		{"encoded", respondAndClose(okHead + "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx"), 200, 502, attempt.Broken},
 		{"unmarked 503", respondWith(strings.Replace(serverErrorResponse, "500 Oops", "503 Oops", 1)), 200, 502, attempt.Failed},
 		{"unmarked 429", respondWith(strings.Replace(serverErrorResponse, "500 Oops", "429 Oops", 1)), 200, 502, attempt.Failed},
 	} {
-		for path, want := range map[string]int{"/fetch/x": c.repeatable, "/once/x": c.once} {
+		for path, want := range map[string]int{"/fetch/x": c.idempotent, "/once/x": c.once} {
 			t.Run(c.name+path, func(t *testing.T) {
 				r := newTestProxy(t, c.first, respondWith(okResponse))
 				a := r.do(r.request(path, "q"))
@@ -165,15 +165,15 @@
 	request = r.request("/once/x", "")
 	request.Header.Set("X-Time-Left", "0")
 	a := r.do(request)
-	assert.Equal(t, 503, a.status, "nothing was tried")
+	assert.Equal(t, 503, a.status, "no attempt was made")
 	assert.Len(t, r.picker.recordedOutcomes(), 2)
 }
 
 func TestForward_LongResponseIsNotBuffered(t *testing.T) {
 	long := strings.Repeat("0123456789", 30000)
 	for _, framing := range []string{"length", "chunked", "none"} {
-		for _, cut := range []bool{false, true} {
-			t.Run(framing+strconv.FormatBool(cut), func(t *testing.T) {
+		for _, truncated := range []bool{false, true} {
+			t.Run(framing+strconv.FormatBool(truncated), func(t *testing.T) {
 				r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
 					p.ReadRequest()
 					text := map[string]string{
@@ -181,24 +181,24 @@
 						"chunked": "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(long)), 16) + "\r\n" + long + "\r\n0\r\n\r\n",
 						"none":    "\r\n" + long,
 					}[framing]
-					if cut {
+					if truncated {
 						text = text[:len(text)-10]
 					}
 					p.WriteText(okHead + text)
-					if cut && framing == "none" { // a clean close would be the end of this body
+					if truncated && framing == "none" { // a clean close would be the end of this body
 						p.Reset()
 					}
 				}, respondWith(okResponse))
 				a := r.do(r.request("/fetch/x", ""))
-				if a.status == 0 && cut && framing == "none" {
+				if a.status == 0 && truncated && framing == "none" {
 					return // the reset came before the headers were relayed
 				}
-				if cut && framing == "none" && a.body == "body" {
+				if truncated && framing == "none" && a.body == "body" {
 					return // or so early that the request was retried
 				}
 				assert.Equal(t, 200, a.status)
-				assert.Equal(t, !cut, a.complete)
-				if !cut {
+				assert.Equal(t, !truncated, a.complete)
+				if !truncated {
 					assert.Equal(t, long, a.body)
 				}
 			})
@@ -223,26 +223,26 @@
 }
 
 func TestForward_ClientDisconnects(t *testing.T) {
-	for name, said := range map[string]string{"/once/x": "", "/chat/x": streamHead + chunk("id: 1\ndata: x\n\n")} {
+	for name, sent := range map[string]string{"/once/x": "", "/chat/x": streamHead + chunk("id: 1\ndata: x\n\n")} {
 		t.Run(name, func(t *testing.T) {
-			reached, gone := make(chan struct{}), make(chan struct{})
+			reached, disconnected := make(chan struct{}), make(chan struct{})
 			r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
 				p.ReadRequest()
-				p.WriteText(said)
+				p.WriteText(sent)
 				close(reached)
 				p.ReadToEnd()
-				close(gone)
+				close(disconnected)
 			})
 			done := make(chan struct{})
 			request := r.request(name, "q")
-			ctx, leave := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			go func() {
 				r.do(request.WithContext(ctx))
 				close(done)
 			}()
 			<-reached
-			leave()
-			<-gone
+			cancel()
+			<-disconnected
 			<-done
 		})
 	}
--- a/serving/httpserver/drain_test.go
+++ b/serving/httpserver/drain_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/test/fake/scriptedendpoint"
 )
 
-// TestDrain_Phases checks what holds in each phase while Drain sleeps.
+// TestDrain_Phases checks the behavior in each phase while Drain sleeps.
 func TestDrain_Phases(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
 	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
@@ -24,15 +24,15 @@
 			p.WriteText(okResponse)
 		}
 	})
-	long, refused := r.dial(), r.dial()
+	long, rejected := r.dial(), r.dial()
 	long.send(rawGet("/once/long"))
 	<-reached
 
 	plan := planDrain(time.Minute)
-	var pauses []time.Duration
+	var sleeps []time.Duration
 	observePhase := func(span time.Duration) {
-		pauses = append(pauses, span)
-		switch len(pauses) {
+		sleeps = append(sleeps, span)
+		switch len(sleeps) {
 		case 1:
 			fresh := r.dial()
 			fresh.send(rawGet("/once/x"))
@@ -40,8 +40,8 @@
 			assert.Equal(t, 200, answer.StatusCode, "clients switch to other proxies only gradually")
 			assert.True(t, answer.Close)
 		case 2:
-			refused.send(rawGet("/once/x"))
-			assert.Equal(t, 503, refused.receive().StatusCode)
+			rejected.send(rawGet("/once/x"))
+			assert.Equal(t, 503, rejected.receive().StatusCode)
 		case 3:
 			assert.False(t, r.server.isDrained())
 			close(release)
@@ -53,8 +53,8 @@
 		return true
 	}
 	r.server.Drain(t.Context(), time.Minute)
-	require.GreaterOrEqual(t, len(pauses), 3, "a response was in flight")
-	assert.Equal(t, []time.Duration{plan.serve, plan.reject, drainPollInterval}, pauses[:3])
+	require.GreaterOrEqual(t, len(sleeps), 3, "a response was in flight")
+	assert.Equal(t, []time.Duration{plan.serve, plan.reject, drainPollInterval}, sleeps[:3])
 }
 
 // TestDrain_WaitsForUnreadRequest: a request that has arrived on an idle connection is not counted by any handler.
@@ -63,15 +63,15 @@
 	client := dial(t, own.Addr().String())
 	l := newListener(own, 1, func() (time.Duration, time.Duration) { return 0, 0 }, func() {})
 	s := &Server{listener: l}
-	held, err := l.Accept()
+	accepted, err := l.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = held.Close() })
-	recordConnState(held, http.StateIdle)
+	t.Cleanup(func() { _ = accepted.Close() })
+	recordConnState(accepted, http.StateIdle)
 	assert.True(t, s.isDrained())
 
 	_, err = client.Write([]byte(rawGet("/once/x")))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return !s.isDrained() }, 10*time.Second, time.Millisecond)
-	recordConnState(held, http.StateActive)
+	recordConnState(accepted, http.StateActive)
 	assert.False(t, s.isDrained(), "its head is being read")
 }
--- a/serving/httpserver/event_reader_test.go
+++ b/serving/httpserver/event_reader_test.go
@@ -50,8 +50,8 @@
 				assert.Equal(draw, end, err)
 				break
 			}
-			if cut := firstEventEnd(events); cut == len(events) && !strings.HasSuffix(strings.ReplaceAll(string(events), "\r", ""), "\n\n") {
-				draw.Fatalf("cut inside an event: %q", events)
+			if end := firstEventEnd(events); end == len(events) && !strings.HasSuffix(strings.ReplaceAll(string(events), "\r", ""), "\n\n") {
+				draw.Fatalf("split inside an event: %q", events)
 			}
 		}
 		if errors.Is(end, io.EOF) {
--- a/serving/httpserver/fuzz_test.go
+++ b/serving/httpserver/fuzz_test.go
@@ -27,22 +27,22 @@
 		header.Set(headerTokens, tokens)
 		header.Set(headerPrompt, prompt)
 		arrived := time.Unix(1_000_000, 0)
-		for _, hold := range []time.Duration{0, time.Second, time.Hour} {
-			most := hold
-			if hold == 0 {
-				most = defaultTimeout
+		for _, timeout := range []time.Duration{0, time.Second, time.Hour} {
+			limit := timeout
+			if timeout == 0 {
+				limit = defaultTimeout
 			}
-			end := deadline(arrived, header, hold)
-			assert.False(t, end.Before(arrived), "ends before it came")
-			assert.False(t, end.After(arrived.Add(most)), "ends after the operator's bound")
+			end := deadline(arrived, header, timeout)
+			assert.False(t, end.Before(arrived), "the deadline is before the arrival")
+			assert.False(t, end.After(arrived.Add(limit)), "the deadline is after the route's timeout")
 		}
 		read := placementRequest(&routing.Route{}, header)
 		sum := 0
-		for _, part := range read.Blocks {
-			assert.NotEmpty(t, part.ID)
-			assert.GreaterOrEqual(t, part.Tokens, 0)
-			sum += part.Tokens
-			require.GreaterOrEqual(t, sum, 0, "the parts' sum overflows")
+		for _, block := range read.Blocks {
+			assert.NotEmpty(t, block.ID)
+			assert.GreaterOrEqual(t, block.Tokens, 0)
+			sum += block.Tokens
+			require.GreaterOrEqual(t, sum, 0, "the sum of the blocks overflows")
 		}
 		assert.LessOrEqual(t, len(read.Blocks), maxPromptBlocks)
 		assert.GreaterOrEqual(t, read.PromptTokens, 0)
@@ -80,7 +80,9 @@
 		content, ended := strings.CutSuffix(line, "\n")
 		switch blank := ended && (content == "" || content == "\r"); {
 		case blank && started:
-			events, event, started = append(events, event), "", false
+			events = append(events, event)
+			event = ""
+			started = false
 		case ended:
 			started = true
 		}
@@ -90,13 +92,13 @@
 
 // dropBlankLines removes surplus blank lines between events: which event they belong to depends on how the bytes
 // arrive, and they have no meaning.
-func dropBlankLines(events []string) (left []string) {
+func dropBlankLines(events []string) (remaining []string) {
 	for _, event := range events {
 		if event = strings.TrimLeft(event, "\r\n"); event != "" {
-			left = append(left, event)
+			remaining = append(remaining, event)
 		}
 	}
-	return left
+	return remaining
 }
 
 // FuzzEventReader: however the bytes arrive, none is lost, added or returned before its event is complete, and the
@@ -111,11 +113,11 @@
 		if clean {
 			end = io.EOF
 		}
-		var pieces []int
+		var chunkSizes []int
 		for _, size := range sizes {
-			pieces = append(pieces, 1+int(size))
+			chunkSizes = append(chunkSizes, 1+int(size))
 		}
-		reader := newEventReader(&chunkedReader{text: text, sizes: pieces, err: end})
+		reader := newEventReader(&chunkedReader{text: text, sizes: chunkSizes, err: end})
 		var got []string
 		rest := ""
 		for {
--- a/serving/httpserver/helpers_test.go
+++ b/serving/httpserver/helpers_test.go
@@ -48,10 +48,10 @@
 	defer p.mu.Unlock()
 	p.requests = append(p.requests, r)
 	if len(p.decisions) > 0 {
-		verdict := p.decisions[0]
+		decision := p.decisions[0]
 		p.decisions = p.decisions[1:]
-		if verdict.Kind != placement.Picked {
-			return placement.Choice{}, verdict
+		if decision.Kind != placement.Picked {
+			return placement.Choice{}, decision
 		}
 	}
 	for _, endpoint := range p.endpoints {
--- a/serving/httpserver/limit_test.go
+++ b/serving/httpserver/limit_test.go
@@ -26,11 +26,11 @@
 	require.NoError(t, err)
 	r.table = table
 
-	held := make(chan clientResponse)
-	go func() { held <- r.do(r.request("/once/held", "")) }()
+	pending := make(chan clientResponse)
+	go func() { pending <- r.do(r.request("/once/pending", "")) }()
 	<-reached
 	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
 	assert.Equal(t, []attempt.Outcome{attempt.AtLimit, attempt.Succeeded}, r.picker.recordedOutcomes())
 	close(release)
-	assert.Equal(t, 200, (<-held).status)
+	assert.Equal(t, 200, (<-pending).status)
 }
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -178,7 +178,7 @@
 // brokenStream is an endpoint's response to a stream request that breaks off at a random byte.
 type brokenStream struct {
 	breakAt  int // bytes of events that are sent
-	pieces   int // chunks that they are sent in
+	chunks   int // chunks that they are sent in
 	overlap  int // events before the requested position that are sent again
 	reset    bool
 	complete bool // it doesn't break off
@@ -194,10 +194,10 @@
 			text = text[:min(f.breakAt, len(text))]
 		}
 		p.WriteText(streamHead)
-		for size := max(len(text)/max(f.pieces, 1), 1); len(text) > 0; {
-			cut := min(size, len(text))
-			p.WriteText(chunk(text[:cut]))
-			text = text[cut:]
+		for size := max(len(text)/max(f.chunks, 1), 1); len(text) > 0; {
+			end := min(size, len(text))
+			p.WriteText(chunk(text[:end]))
+			text = text[end:]
 		}
 		if f.complete {
 			p.WriteText(lastChunk)
@@ -208,38 +208,38 @@
 }
 
 // TestStream_ResumeProperty: wherever streams break off, the client receives each event once, in order and complete,
-// and the response looks complete only if it is.
+// and the response ends cleanly only if it is complete.
 func TestStream_ResumeProperty(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(draw, "events")
 		var scripts []func(*scriptedendpoint.Conn)
 		clean := false
-		for range rapid.IntRange(1, 6).Draw(draw, "runs") {
+		for range rapid.IntRange(1, 6).Draw(draw, "attempts") {
 			run := brokenStream{
-				breakAt:  rapid.IntRange(0, 40*total).Draw(draw, "point"),
-				pieces:   rapid.IntRange(1, 20).Draw(draw, "pieces"),
-				overlap:  rapid.IntRange(0, 3).Draw(draw, "back"),
+				breakAt:  rapid.IntRange(0, 40*total).Draw(draw, "breakAt"),
+				chunks:   rapid.IntRange(1, 20).Draw(draw, "chunks"),
+				overlap:  rapid.IntRange(0, 3).Draw(draw, "overlap"),
 				reset:    rapid.Bool().Draw(draw, "reset"),
-				complete: rapid.IntRange(0, 3).Draw(draw, "clean") == 0,
+				complete: rapid.IntRange(0, 3).Draw(draw, "complete") == 0,
 			}
 			clean = clean || run.complete
 			scripts = append(scripts, run.script(total))
 		}
 		r := newTestProxy(t, scripts...)
 		a := r.do(r.request("/chat/x", ""))
-		whole := testEvents(1, total)
+		complete := testEvents(1, total)
 		if clean {
-			if a.status != http.StatusOK || a.body != whole || !a.complete {
+			if a.status != http.StatusOK || a.body != complete || !a.complete {
 				draw.Fatalf("want all of %d events, got %d %t %q", total, a.status, a.complete, a.body)
 			}
 			return
 		}
 		if a.status == http.StatusOK {
 			if a.complete {
-				draw.Fatalf("looks complete: %q", a.body)
+				draw.Fatalf("ends cleanly: %q", a.body)
 			}
-			if !strings.HasPrefix(whole, a.body) || a.body != "" && !strings.HasSuffix(a.body, "\n\n") {
-				draw.Fatalf("not a series of whole events: %q", a.body)
+			if !strings.HasPrefix(complete, a.body) || a.body != "" && !strings.HasSuffix(a.body, "\n\n") {
+				draw.Fatalf("not a series of complete events: %q", a.body)
 			}
 		}
 	})
--- a/serving/routing/table.go
+++ b/serving/routing/table.go
@@ -80,12 +80,12 @@
 func (t *Table) resolveSplit(route *routeDocument) error {
 	scale := weightScale(route.split)
 	route.Services = make([]WeightedService, 0, len(route.split))
-	for _, part := range route.split {
-		service := t.byName[part.service]
+	for _, share := range route.split {
+		service := t.byName[share.service]
 		if service == nil {
-			return errcode.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, part.service)
+			return errcode.ServiceUnknown.With("routing %q: split: carrier %q", route.Name, share.service)
 		}
-		weight := int(math.Round(min(part.weight, maxWeight) * scale))
+		weight := int(math.Round(min(share.weight, maxWeight) * scale))
 		if weight > 0 {
 			route.Services = append(route.Services, WeightedService{Service: service.Name, Weight: weight})
 		}
@@ -98,8 +98,8 @@
 
 // weightScale returns the factor that makes integers of the weights: 1 unless one of them has a fraction.
 func weightScale(split []weightedServiceDocument) float64 {
-	for _, part := range split {
-		if part.weight != math.Trunc(part.weight) {
+	for _, share := range split {
+		if share.weight != math.Trunc(share.weight) {
 			return fractionalWeightScale
 		}
 	}
--- a/serving/routing/types.go
+++ b/serving/routing/types.go
@@ -13,7 +13,7 @@
 	KindStream                 // the response is a stream of events; at most once unless Route.Resumable
 )
 
-// WeightedService is a service that gets a part of a route's requests in proportion to its weight.
+// WeightedService is a service that gets a share of a route's requests in proportion to its weight.
 type WeightedService struct {
 	Service string
 	Weight  int // above 0
@@ -25,7 +25,7 @@
 	Host          string
 	Prefix        string // begins and ends with a slash
 	Kind          Kind
-	Timeout       time.Duration // the longest that the operator wants a request held
+	Timeout       time.Duration // maximum duration of a request
 	LatencyTarget time.Duration // a response within it has its full value
 	Precedence    int           // rank; 0 is highest
 	Services      []WeightedService
--- a/serving/schema/checks.go
+++ b/serving/schema/checks.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Check validates a value before it is parsed as the field's type. It returns what is wrong, empty if nothing is.
+// Check validates a value before it is parsed as the field's type. It returns the problem, empty if there is none.
 // Values of other JSON types pass: the field's type rejects them.
 type Check func(value gjson.Result) (problem string)
 
--- a/serving/schema/schema.go
+++ b/serving/schema/schema.go
@@ -31,7 +31,7 @@
 }
 
 // Type is the type of a field's value. Its store function converts a value and stores it in the target, or returns an
-// error that says what is wrong with it.
+// error with the reason why it is invalid.
 type Type[Target any] struct {
 	store func(target *Target, value gjson.Result) error
 }
@@ -156,7 +156,7 @@
 	return raw
 }
 
-// fieldError says what is wrong with which field.
+// fieldError is an invalid field with the reason.
 type fieldError struct {
 	path    string // such as `routings[3] "name".timeout_ms`; empty: the value itself
 	problem string
--- a/serving/schema/types.go
+++ b/serving/schema/types.go
@@ -19,7 +19,7 @@
 	maxDuration = 1000 * time.Hour
 )
 
-// typeError says that a value isn't of the field's type.
+// typeError returns the error for a value that isn't of the field's type.
 func typeError(wanted string, value gjson.Result) error {
 	return &fieldError{problem: "must be " + wanted + ", found " + excerpt(value.Raw)}
 }
@@ -129,7 +129,7 @@
 	}}
 }
 
-// Object is the type of an object with a table of its own.
+// Object is the type of an object with its own table.
 func Object[Target, Inner any](table Table[Inner], field func(*Target) *Inner) Type[Target] {
 	requireSize(table)
 	return Type[Target]{store: func(target *Target, value gjson.Result) error {
@@ -137,7 +137,7 @@
 	}}
 }
 
-// OptionalObject is the type of an object with a table of its own; the pointer stays nil if the field is missing.
+// OptionalObject is the type of an object with its own table; the pointer stays nil if the field is missing.
 func OptionalObject[Target, Inner any](table Table[Inner], field func(*Target) **Inner) Type[Target] {
 	requireSize(table)
 	return Type[Target]{store: func(target *Target, value gjson.Result) error {
@@ -150,7 +150,7 @@
 	}}
 }
 
-// ObjectList is the type of a list of objects with a table of their own. Errors name an object by its index and, if it
+// ObjectList is the type of a list of objects with their own table. Errors name an object by its index and, if it
 // has one, by its field label.
 func ObjectList[Target, Inner any](table Table[Inner], label string, field func(*Target) *[]Inner) Type[Target] {
 	requireSize(table)
--- a/serving/settings/load.go
+++ b/serving/settings/load.go
@@ -23,7 +23,7 @@
 }
 
 // Load reads and validates a settings file. Errors are errcode.SettingsUnreadable, or errcode.SettingsInvalid with all
-// that is wrong with the file.
+// problems of the file.
 func Load(path string) (*Process, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return process, nil
 }
 
-// apply stores the setting's value and returns what is wrong with it.
+// apply stores the setting's value and returns its problems.
 func (s Setting) apply(process *Process, file *properties.Properties) (problems []string) {
 	if s.Pattern {
 		return s.applyPattern(process, file)
--- a/serving/settings/process.go
+++ b/serving/settings/process.go
@@ -87,7 +87,7 @@
 func (p *Process) InternalAddress() string { return net.JoinHostPort(p.IP, strconv.Itoa(p.FirstPort)) }
 
 // SubscriptionAddress returns the loopback address at which the proxy of this machine polls its agent. Simulated
-// machines that share one host have loopback addresses of their own and use these, as the common one would clash.
+// machines that share one host have their own loopback addresses and use these, as the common one would clash.
 func (p *Process) SubscriptionAddress() string {
 	host := loopback
 	if ip := net.ParseIP(p.IP); ip != nil && ip.IsLoopback() {
@@ -96,7 +96,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(p.FirstPort+1))
 }
 
-// InternalAddressOf returns the inner address of the machine with a control address. The ports are the same on all
+// InternalAddressOf returns the internal address of the machine with a control address. The ports are the same on all
 // machines.
 func (p *Process) InternalAddressOf(control string) (string, error) {
 	host, _, err := net.SplitHostPort(control)
--- a/serving/settings/setting.go
+++ b/serving/settings/setting.go
@@ -45,7 +45,12 @@
 		*field(p) = value
 		return nil
 	}
-	return Setting{Key: key, Type: typeText, Doc: doc, store: store}
+	return Setting{
+		Key:   key,
+		Type:  typeText,
+		Doc:   doc,
+		store: store,
+	}
 }
 
 func boolSetting(key, doc string, field func(*Process) *bool) Setting {
@@ -54,7 +59,13 @@
 		*field(p) = parsed
 		return err
 	}
-	return Setting{Key: key, Type: typeBool, Default: "false", Doc: doc, store: store}
+	return Setting{
+		Key:     key,
+		Type:    typeBool,
+		Default: "false",
+		Doc:     doc,
+		store:   store,
+	}
 }
 
 func integerSetting(key, defaultValue, doc string, field func(*Process) *int) Setting {
@@ -66,7 +77,13 @@
 		*field(p) = int(parsed)
 		return err
 	}
-	return Setting{Key: key, Type: typeInteger, Default: defaultValue, Doc: doc, store: store}
+	return Setting{
+		Key:     key,
+		Type:    typeInteger,
+		Default: defaultValue,
+		Doc:     doc,
+		store:   store,
+	}
 }
 
 func numberSetting(key, defaultValue, doc string, field func(*Process) *float64) Setting {
@@ -74,7 +91,13 @@
 		*field(p), err = parseNumber(value)
 		return err
 	}
-	return Setting{Key: key, Type: typeNumber, Default: defaultValue, Doc: doc, store: store}
+	return Setting{
+		Key:     key,
+		Type:    typeNumber,
+		Default: defaultValue,
+		Doc:     doc,
+		store:   store,
+	}
 }
 
 func millisecondsSetting(key, defaultValue, doc string, field func(*Process) *time.Duration) Setting {
@@ -95,7 +118,13 @@
 		*field(p) = time.Duration(parsed * float64(unit))
 		return err
 	}
-	return Setting{Key: key, Type: valueType, Default: defaultValue, Doc: doc, store: store}
+	return Setting{
+		Key:     key,
+		Type:    valueType,
+		Default: defaultValue,
+		Doc:     doc,
+		store:   store,
+	}
 }
 
 func addressSetting(key, doc string, field func(*Process) *string) Setting {
@@ -103,7 +132,12 @@
 		*field(p) = value
 		return checkAddress(value)
 	}
-	return Setting{Key: key, Type: typeAddress, Doc: doc, store: store}
+	return Setting{
+		Key:   key,
+		Type:  typeAddress,
+		Doc:   doc,
+		store: store,
+	}
 }
 
 // required returns the setting as a required one.
--- a/serving/settings/table.go
+++ b/serving/settings/table.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// innerPorts is the number of ports that the processes on one machine need for calls among themselves.
-const innerPorts = 2
+// internalPorts is the number of ports that the processes on one machine need for calls among themselves.
+const internalPorts = 2
 
 // Table returns all settings, in the order of the docs. Unknown keys of a file are ignored: operators may add keys at any
 // time.
@@ -27,7 +27,12 @@
 func identitySettings() []Setting {
 	return []Setting{
 		required(textSetting("node_name", "Name of the machine.", func(p *Process) *string { return &p.NodeName })),
-		required(Setting{Key: "ip_addr", Type: typeIP, Doc: "The machine's own address.", store: storeIP}),
+		required(Setting{
+			Key:   "ip_addr",
+			Type:  typeIP,
+			Doc:   "The machine's own address.",
+			store: storeIP,
+		}),
 		required(textSetting("zone", "Zone of the machine.", func(p *Process) *string { return &p.Zone })),
 		required(textSetting("region", "Region of the machine.", func(p *Process) *string { return &p.Region })),
 		{Key: "serves", Type: typeWords, Doc: "Interfaces that this process serves to outside callers.", store: storeServes},
@@ -46,8 +51,12 @@
 
 func clusterSettings() []Setting {
 	return []Setting{
-		required(Setting{Key: "port_range", Type: typePorts, store: storePorts,
-			Doc: "Ports for calls among the system's own processes, the same on all machines; at least two."}),
+		required(Setting{
+			Key:   "port_range",
+			Type:  typePorts,
+			Doc:   "Ports for calls among the system's own processes, the same on all machines; at least two.",
+			store: storePorts,
+		}),
 		{Key: "seed_nodes", Type: typeSeedList, Doc: "Control addresses of a few machines to join through.", store: storeSeeds},
 		boolSetting("first_run", "The very first start of the whole system, with empty disks.",
 			func(p *Process) *bool { return &p.FirstRun }),
@@ -119,8 +128,8 @@
 	if p.LastPort, err = parsePort(ports[1]); err != nil {
 		return err
 	}
-	if p.LastPort-p.FirstPort < innerPorts-1 {
-		return errors.Newf("at least %d ports are required", innerPorts)
+	if p.LastPort-p.FirstPort < internalPorts-1 {
+		return errors.Newf("at least %d ports are required", internalPorts)
 	}
 	return nil
 }
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -26,7 +26,7 @@
 func (s *scriptedConn) Close() error               { return nil }
 
 // readScriptedResponse reads a response to the attempt a1 as a call does. It reports whether the body was complete.
-func readScriptedResponse(t *testing.T, sent []byte) (response *Response, body []byte, whole bool) {
+func readScriptedResponse(t *testing.T, sent []byte) (response *Response, body []byte, complete bool) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	call := &Call{EndpointID: "e", Method: http.MethodPost, Header: http.Header{headerAttempt: {"a1"}}}
@@ -51,25 +51,25 @@
 	f.Add([]byte("HTTP/1.0 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nuntil the end"), uint16(60))
 	f.Add([]byte(head+"Content-Length: 4\r\nContent-Length: 5\r\n\r\nbodyb"), uint16(0))
 	f.Fuzz(func(t *testing.T, sent []byte, cut uint16) {
-		response, body, whole := readScriptedResponse(t, sent)
+		response, body, complete := readScriptedResponse(t, sent)
 		if response != nil {
-			checkResponse(t, response, body, whole)
+			checkResponse(t, response, body, complete)
 		}
 		if int(cut) >= len(sent) {
 			return
 		}
-		early, part, looksWhole := readScriptedResponse(t, sent[:cut])
-		if early == nil || !looksWhole || early.Length < 0 && len(early.httpResponse.TransferEncoding) == 0 {
+		early, partial, seemsComplete := readScriptedResponse(t, sent[:cut])
+		if early == nil || !seemsComplete || early.Length < 0 && len(early.httpResponse.TransferEncoding) == 0 {
 			return // a body that ends with the connection can't be distinguished from a truncated one
 		}
 		require.NotNil(t, response, "complete when truncated, but no response when not")
 		assert.Equal(t, early.Status, response.Status)
-		assert.Equal(t, part, body)
-		assert.True(t, whole)
+		assert.Equal(t, partial, body)
+		assert.True(t, complete)
 	})
 }
 
-func checkResponse(t *testing.T, response *Response, body []byte, whole bool) {
+func checkResponse(t *testing.T, response *Response, body []byte, complete bool) {
 	assert.GreaterOrEqual(t, response.Status, 200)
 	assert.LessOrEqual(t, response.Status, 599)
 	assert.GreaterOrEqual(t, int64(response.idleTimeout), int64(0))
@@ -83,7 +83,7 @@
 	if response.Status < 300 {
 		assert.NotEmpty(t, response.Header.Get(headerStamp))
 	}
-	if whole && response.Length >= 0 {
+	if complete && response.Length >= 0 {
 		assert.Len(t, body, int(response.Length))
 	}
 }
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -36,7 +36,7 @@
 	pool := New(Options{MaxOpen: 2})
 	call := newCall(e.Address())
 	call.MaxConnections = 1
-	held, failure := pool.Do(context.Background(), call)
+	pending, failure := pool.Do(context.Background(), call)
 	require.Nil(t, failure)
 	_, failure = pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
@@ -52,7 +52,7 @@
 	_, _, failure = doCall(t, pool, third)
 	require.Nil(t, failure, "an idle connection is closed instead")
 	assert.Equal(t, 2, pool.Open())
-	held.Close()
+	pending.Close()
 }
 
 func TestDo_ClientDisconnects(t *testing.T) {
