--- a/test/checker/leasecheck/operations.go
+++ b/test/checker/leasecheck/operations.go
@@ -76,8 +76,8 @@
 	return slices.Sorted(maps.Keys(resources))
 }
 
-// Violations describes each pair of operations of different holders that overlap, have the same epoch, or have a
-// falling epoch.
+// Violations describes each pair of operations of different holders that overlap, have the same epoch, or a
+// decreasing one.
 func (c *Checker) Violations() (violations []string) {
 	for _, resource := range c.Resources() {
 		operations := c.Operations(resource)
@@ -93,7 +93,7 @@
 	return slices.Compact(violations)
 }
 
-// violation describes what is wrong with an operation that began after an earlier one, or returns "".
+// violation describes how an operation that began after an earlier one violates the lease, or returns "".
 func violation(earlier, o Operation) string {
 	switch {
 	case earlier.Member == o.Member && earlier.Epoch == o.Epoch:
@@ -101,7 +101,7 @@
 	case earlier.Epoch == o.Epoch:
 		return fmt.Sprintf("%s: %s and %s have epoch %d", o.Resource, earlier.Member, o.Member, o.Epoch)
 	case earlier.Epoch > o.Epoch:
-		return fmt.Sprintf("%s: epoch %d of %s goes back behind %d of %s", o.Resource, o.Epoch, o.Member,
+		return fmt.Sprintf("%s: epoch %d of %s after epoch %d of %s", o.Resource, o.Epoch, o.Member,
 			earlier.Epoch, earlier.Member)
 	case earlier.heldUntil() > o.From:
 		overlap := (earlier.heldUntil() - o.From).Duration()
