--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -125,8 +125,8 @@
 	assert.Len(t, s.unfinished, 1, "it may have run")
 	s.blocked[1] = false
 	s.mu.Unlock()
-	s.toRelay.set(false, 1<<20)
-	s.toOrigin.set(false, 1<<20)
+	s.toRelay.set(false, neverFaulty)
+	s.toOrigin.set(false, neverFaulty)
 	extraResults, extraAttempts := s.waitForResults(3)
 	assert.Zero(t, extraResults)
 	assert.Zero(t, extraAttempts)
--- a/cluster/relay/testsite_test.go
+++ b/cluster/relay/testsite_test.go
@@ -23,6 +23,16 @@
 
 func clock() api.Micros { return api.Micros(time.Since(clockStart).Microseconds()) }
 
+// The faults of a message; numbers from there on are none.
+const (
+	loseRequest = iota
+	duplicateRequest
+	loseResponse
+)
+
+// neverFaulty, as faultEvery, makes a fault improbable.
+const neverFaulty = 1 << 20
+
 // faultyClient loses requests and responses, and duplicates some requests.
 type faultyClient struct {
 	*transport.Client
@@ -33,7 +43,9 @@
 	lostFrames  int // how many of the next frames are lost
 }
 
-func (f *faultyClient) Call(to cluster.MemberID, path string, body []byte, timeout time.Duration) (int, []byte, error) {
+func (f *faultyClient) Call(
+	to cluster.MemberID, path string, body []byte, timeout time.Duration,
+) (status int, response []byte, err error) {
 	f.mu.Lock()
 	fault, partitioned := f.random.IntN(3*f.faultEvery), f.partitioned
 	if path == FramePath && f.lostFrames > 0 {
@@ -47,17 +59,18 @@
 	if fault == duplicateRequest {
 		_, _, _ = f.Client.Call(to, path, body, timeout) // its response is lost
 	}
-	code, raw, err := f.Client.Call(to, path, body, timeout)
+	status, response, err = f.Client.Call(to, path, body, timeout)
 	if fault == loseResponse {
 		return 0, nil, transport.ErrOutcomeUnknown
 	}
-	return code, raw, err
+	return status, response, err
 }
 
 func (f *faultyClient) set(partitioned bool, faultEvery int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.partitioned, f.faultEvery = partitioned, faultEvery
+	f.partitioned = partitioned
+	f.faultEvery = faultEvery
 }
 
 // testSite is an origin with a sender and a relay with a receiver, each with a journal in memory.
@@ -83,20 +96,15 @@
 	addr          string
 }
 
-// originStore is the SenderStore of a testSite, relayStore its ReceiverStore.
-// The faults of a message.
-const (
-	loseRequest = iota
-	duplicateRequest
-	loseResponse
-)
-
 // serve serves in the background until the server is closed.
 func serve(server *transport.Server, listener net.Listener) {
 	go func() { _ = server.Serve(listener) }()
 }
 
+// originStore is the SenderStore of a testSite.
 type originStore struct{ *testSite }
+
+// relayStore is the ReceiverStore of a testSite.
 type relayStore struct{ *testSite }
 
 func (b originStore) RecordSending([]stream.Item, uint64, api.Micros) error { return nil }
@@ -119,15 +127,17 @@
 	defer b.mu.Unlock()
 	i := stream.Item{FirstAttemptAt: api.Never}
 	eventType := api.EventType{Semantics: api.AtMostOnce}
-	for _, u := range inDoubt {
-		if c := stream.Resolve(&i, u.SentAt, eventType, lost, 1<<60, clock()); c != stream.ResolveWait {
-			forget = append(forget, u.Delivery)
-			if c == stream.ResolveRetry {
-				b.attempts[u.Delivery]++
-			}
-			b.results[u.Delivery]++
-			delete(b.unfinished, u.Delivery)
+	for _, d := range inDoubt {
+		resolution := stream.Resolve(&i, d.SentAt, eventType, lost, 1<<60, clock())
+		if resolution == stream.ResolveWait {
+			continue
 		}
+		forget = append(forget, d.Delivery)
+		if resolution == stream.ResolveRetry {
+			b.attempts[d.Delivery]++
+		}
+		b.results[d.Delivery]++
+		delete(b.unfinished, d.Delivery)
 	}
 	return forget
 }
@@ -135,12 +145,12 @@
 func (b originStore) RecordResults(results []stream.Result) (recorded []stream.Delivery) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, e := range results {
-		if stream.ActionForResult(e, b.unfinished[e.Delivery], false) != stream.IgnoreResult {
-			b.results[e.Delivery]++
-			delete(b.unfinished, e.Delivery)
+	for _, result := range results {
+		if stream.ActionForResult(result, b.unfinished[result.Delivery], false) != stream.IgnoreResult {
+			b.results[result.Delivery]++
+			delete(b.unfinished, result.Delivery)
 		}
-		recorded = append(recorded, e.Delivery)
+		recorded = append(recorded, result.Delivery)
 	}
 	return recorded
 }
@@ -165,9 +175,9 @@
 		forgotten[d] = true
 	}
 	var remaining []stream.Result
-	for _, e := range s.unacknowledged {
-		if !forgotten[e.Delivery] {
-			remaining = append(remaining, e)
+	for _, result := range s.unacknowledged {
+		if !forgotten[result.Delivery] {
+			remaining = append(remaining, result)
 		}
 	}
 	s.unacknowledged = remaining
@@ -208,8 +218,8 @@
 		s.unacknowledged = append(s.unacknowledged, results...)
 		r := s.receiver
 		s.mu.Unlock()
-		for _, e := range results {
-			r.RecordResult(e)
+		for _, result := range results {
+			r.RecordResult(result)
 		}
 	}
 }
@@ -233,17 +243,30 @@
 
 func newTestSite(t *testing.T) *testSite {
 	t.Helper()
-	s := &testSite{t: t, pending: map[stream.Delivery]bool{}, unfinished: map[stream.Delivery]stream.Location{},
-		results: map[stream.Delivery]int{}, attempts: map[stream.Delivery]int{}, checkpoint: stream.Checkpoint{Incarnation: 9},
-		blocked: map[api.DestinationID]bool{}, addr: "127.0.0.1:0"}
+	s := &testSite{
+		t:          t,
+		pending:    map[stream.Delivery]bool{},
+		unfinished: map[stream.Delivery]stream.Location{},
+		results:    map[stream.Delivery]int{},
+		attempts:   map[stream.Delivery]int{},
+		checkpoint: stream.Checkpoint{Incarnation: 9},
+		blocked:    map[api.DestinationID]bool{},
+		addr:       "127.0.0.1:0",
+	}
 	origin := transport.NewServer(50, time.Second)
 	listener, err := (&net.ListenConfig{}).Listen(s.t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s.toOrigin = &faultyClient{Client: transport.NewClient("r", map[cluster.MemberID]string{"m": listener.Addr().String()}),
-		random: rand.New(rand.NewPCG(1, 2)), faultEvery: 1 << 20}
+	s.toOrigin = &faultyClient{
+		Client:     transport.NewClient("r", map[cluster.MemberID]string{"m": listener.Addr().String()}),
+		random:     rand.New(rand.NewPCG(1, 2)),
+		faultEvery: neverFaulty,
+	}
 	s.startRelay()
-	s.toRelay = &faultyClient{Client: transport.NewClient("m", map[cluster.MemberID]string{"r": s.addr}),
-		random: rand.New(rand.NewPCG(3, 4)), faultEvery: 1 << 20}
+	s.toRelay = &faultyClient{
+		Client:     transport.NewClient("m", map[cluster.MemberID]string{"r": s.addr}),
+		random:     rand.New(rand.NewPCG(3, 4)),
+		faultEvery: neverFaulty,
+	}
 	s.sender = NewSender("r", stream.NewSender(1, 0.05), originStore{s}, s.toRelay, TimingFor(leaseTTL), clock,
 		func() bool { return true })
 	origin.Handle(ResultsPath, s.sender.HandleResults)
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -27,7 +27,11 @@
 	"rowanlink/webhook/policy"
 )
 
-const benchSites, benchEach = 40, 250
+// The subscribers of the benchmark's announcement.
+const (
+	benchSites              = 40
+	benchSubscribersPerSite = 250
+)
 
 type stubSession struct{}
 
@@ -75,10 +79,11 @@
 	addresses, all := map[cluster.MemberID]string{}, []api.DestinationID{}
 	for s := range benchSites {
 		site := config.Site{ID: cluster.SiteID(fmt.Sprint(s)), Relay: cluster.MemberID(fmt.Sprint("r", s))}
-		for n := range benchEach {
-			site.Subscribers = append(site.Subscribers, api.DestinationID(s*benchEach+n+1))
+		for n := range benchSubscribersPerSite {
+			site.Subscribers = append(site.Subscribers, api.DestinationID(s*benchSubscribersPerSite+n+1))
 		}
-		addresses[site.Relay], all = addrs[s+1], append(all, site.Subscribers...)
+		addresses[site.Relay] = addrs[s+1]
+		all = append(all, site.Subscribers...)
 		if useStreams {
 			f.Sites = append(f.Sites, site)
 		}
@@ -88,14 +93,30 @@
 	require.NoError(b, err)
 	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
-	evt := api.EventType{LatencyTarget: 5 * api.Second, TTL: 600 * api.Second}
-	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 256, BufferSize: 2 * len(all), MaxAttempts: 3, MinTurnInterval: 1000,
-		ConnectTimeout: api.Second, EventTypes: []api.EventType{evt}, DestinationKinds: []api.DestinationKind{{BatchSize: 1}}})
+	eventType := api.EventType{LatencyTarget: 5 * api.Second, TTL: 600 * api.Second}
+	loop := eventloop.New(inbox, life, journal, api.Settings{
+		MaxInFlight:      256,
+		BufferSize:       2 * len(all),
+		MaxAttempts:      3,
+		MinTurnInterval:  1000,
+		ConnectTimeout:   api.Second,
+		EventTypes:       []api.EventType{eventType},
+		DestinationKinds: []api.DestinationKind{{BatchSize: 1}},
+	})
 	messenger := transport.NewClient("m", addresses)
-	sites := New(Options{Self: "m", StateDir: b.TempDir(), Inbox: inbox, Loop: loop, Messenger: messenger, NotifyHandoff: func() {},
-		EventType:    func(api.EventTypeID) api.EventType { return evt },
-		IsRangeOwner: func(api.DestinationID) bool { return true }, IsSiteOwner: func(cluster.SiteID) bool { return true },
-		IsOwnerUnknown: func(cluster.SiteID) bool { return false }, BufferCapacity: func() int { return 2 * len(all) }}, f)
+	sites := New(Options{
+		Self:           "m",
+		StateDir:       b.TempDir(),
+		Inbox:          inbox,
+		Loop:           loop,
+		Messenger:      messenger,
+		NotifyHandoff:  func() {},
+		EventType:      func(api.EventTypeID) api.EventType { return eventType },
+		IsRangeOwner:   func(api.DestinationID) bool { return true },
+		IsSiteOwner:    func(cluster.SiteID) bool { return true },
+		IsOwnerUnknown: func(cluster.SiteID) bool { return false },
+		BufferCapacity: func() int { return 2 * len(all) },
+	}, f)
 	sites.Install()
 	loop.JoinCluster(openAdmission{sites})
 	server := transport.NewServer(256, 5*time.Second)
@@ -118,12 +139,16 @@
 		_ = server.Close(time.Second)
 	})
 	time.Sleep(time.Second) // streams are open
-	callsWere, bytesWere := readCounts(b, addrs[0])
-	was, n := cpuTime(), 0
+	callsBefore, bytesBefore := readCounts(b, addrs[0])
+	cpuBefore, n := cpuTime(), 0
 	for b.Loop() {
 		n++
-		w := &inflight.Webhook{RequestID: inflight.RequestID(fmt.Sprint("a", n)), Body: incompressibleBody(),
-			Deadline: inflight.Now() + evt.TTL, ReceivedAt: inflight.Now()}
+		w := &inflight.Webhook{
+			RequestID:  inflight.RequestID(fmt.Sprint("a", n)),
+			Body:       incompressibleBody(),
+			Deadline:   inflight.Now() + eventType.TTL,
+			ReceivedAt: inflight.Now(),
+		}
 		w.List = "all"
 		answer, _ := sites.submit(w, nil)
 		require.Equal(b, inflight.Accepted, answer)
@@ -131,10 +156,10 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	b.ReportMetric(float64((cpuTime()-was).Milliseconds())/float64(n), "cpu-ms/op")
-	callsAre, bytesAre := readCounts(b, addrs[0])
-	b.ReportMetric(float64(callsAre-callsWere)/float64(n), "calls/op")
-	b.ReportMetric(float64(bytesAre-bytesWere)/float64(n), "wire-bytes/op")
+	b.ReportMetric(float64((cpuTime()-cpuBefore).Milliseconds())/float64(n), "cpu-ms/op")
+	callsAfter, bytesAfter := readCounts(b, addrs[0])
+	b.ReportMetric(float64(callsAfter-callsBefore)/float64(n), "calls/op")
+	b.ReportMetric(float64(bytesAfter-bytesBefore)/float64(n), "wire-bytes/op")
 	b.ReportMetric(float64(inbox.HandedBack.Load()+inbox.GivenUp.Load()), "undelivered")
 }
 
--- a/cluster/site/farside_test.go
+++ b/cluster/site/farside_test.go
@@ -48,7 +48,7 @@
 
 func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
-	return countingConn{conn, c.counts}, err
+	return countingConn{Conn: conn, counts: c.counts}, err
 }
 
 func (c countingConn) Read(p []byte) (int, error) {
@@ -70,13 +70,16 @@
 	go func() {
 		for _, i := range fresh {
 			for _, to := range i.Destinations {
-				a.receiver.RecordResult(stream.Result{Delivery: stream.Delivery{Message: i.ID, Destination: to}, Outcome: stream.Delivered})
+				a.receiver.RecordResult(stream.Result{
+					Delivery: stream.Delivery{Message: i.ID, Destination: to},
+					Outcome:  stream.Delivered,
+				})
 			}
 		}
 	}()
 	return nil
 }
-func (a *instantStore) Capacity() int                   { return 2 * benchEach }
+func (a *instantStore) Capacity() int                   { return 2 * benchSubscribersPerSite }
 func (a *instantStore) ForgetResults([]stream.Delivery) {}
 
 func (a *instantStore) DestinationStates([]api.DestinationID) []api.DestinationState { return nil }
@@ -87,7 +90,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return countingListener{listener, c}
+	return countingListener{Listener: listener, counts: c}
 }
 
 func runFarSide() {
@@ -103,10 +106,12 @@
 	go func() { _ = server.Serve(destination) }() // until the process ends
 	addresses := []string{destination.Addr().String()}
 	for n := range benchSites {
-		messenger := transport.NewClient(cluster.MemberID(fmt.Sprint("r", n)), map[cluster.MemberID]string{"m": os.Getenv(farSideEnv)})
+		self := cluster.MemberID(fmt.Sprint("r", n))
+		client := transport.NewClient(self, map[cluster.MemberID]string{"m": os.Getenv(farSideEnv)})
+		messenger := countingMessenger{Client: client, counts: c}
+		state := stream.NewReceiver(stream.Checkpoint{Incarnation: 9}, nil, nil)
 		store := &instantStore{}
-		store.receiver = relay.NewReceiver(stream.NewReceiver(stream.Checkpoint{Incarnation: 9}, nil, nil), store, countingMessenger{messenger, c},
-			relay.TimingFor(3*api.Second), inflight.Now)
+		store.receiver = relay.NewReceiver(state, store, messenger, relay.TimingFor(3*api.Second), inflight.Now)
 		listener := listenCounting(c)
 		s := transport.NewServer(8, 5*time.Second)
 		s.Handle(relay.OpenPath, store.receiver.HandleOpen)
@@ -127,9 +132,11 @@
 	counts *counts
 }
 
-func (f countingMessenger) Call(to cluster.MemberID, path string, body []byte, timeout time.Duration) (int, []byte, error) {
-	code, raw, err := f.Client.Call(to, path, body, timeout)
+func (f countingMessenger) Call(
+	to cluster.MemberID, path string, body []byte, timeout time.Duration,
+) (status int, response []byte, err error) {
+	status, response, err = f.Client.Call(to, path, body, timeout)
 	f.counts.calls.Add(1)
-	f.counts.bytes.Add(int64(len(body) + len(raw)))
-	return code, raw, err
+	f.counts.bytes.Add(int64(len(body) + len(response)))
+	return status, response, err
 }
--- a/cluster/site/relay_receiver_test.go
+++ b/cluster/site/relay_receiver_test.go
@@ -35,16 +35,27 @@
 	require.NoError(t, err)
 	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
-	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
-		EventTypes: []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}}})
+	loop := eventloop.New(inbox, life, journal, api.Settings{
+		MaxInFlight:     4,
+		BufferSize:      9,
+		MaxAttempts:     3,
+		MinTurnInterval: 1000,
+		EventTypes:      []api.EventType{{LatencyTarget: ttl / 9, TTL: ttl, Semantics: api.AtMostOnce}},
+	})
 	loop.Begin(upstream.New(&inbox.Counters, loop.CallFinished, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &inbox.Counters, loop.CallbacksDelivered),
 		func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) })
 	go loop.Run()
-	receiver, err := openRelayReceiver(dir+"/relay", 1, localDispatcher{loop, inbox, func() int { return 9 }, life.AcceptsWebhooks},
-		transport.NewClient("r", map[cluster.MemberID]string{}), relay.TimingFor(api.Second))
+	dispatcher := localDispatcher{
+		loop:        loop,
+		inbox:       inbox,
+		capacity:    func() int { return 9 },
+		isAccepting: life.AcceptsWebhooks,
+	}
+	messenger := transport.NewClient("r", map[cluster.MemberID]string{})
+	receiver, err := openRelayReceiver(dir+"/relay", 1, dispatcher, messenger, relay.TimingFor(api.Second))
 	require.NoError(t, err)
-	return &testRelay{receiver, journal, life}
+	return &testRelay{relayReceiver: receiver, dispatcherJournal: journal, lifecycle: life}
 }
 
 // stop stops the member; its folder stays.
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -15,8 +15,8 @@
 
 var _ relay.SenderStore = (*siteSender)(nil)
 
-// RecordSending records what is sent. If some of it was finished meanwhile, or is called for here, it returns an error
-// and has the stream restarted without it.
+// RecordSending records what is sent. If some of it was finished meanwhile, or is being attempted here, it returns an
+// error and has the stream restarted without it.
 func (s *siteSender) RecordSending(items []stream.Item, receiverIncarnation uint64, at api.Micros) error {
 	attempts := map[inflight.RequestID]int{}
 	var records, previous []sentRecord
@@ -41,7 +41,7 @@
 			})
 		}
 	}
-	// The records come first: for a record too many the relay is asked.
+	// The records come first: a superfluous record only costs a request to the relay.
 	if err := s.sites.sentLog.add(records); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Bypass leaves webhooks parked here: they are called for as soon as the site's subscribers are.
+// Bypass leaves webhooks parked here: they are attempted as soon as this member may call the site's subscribers.
 func (s *siteSender) Bypass(deliveries []stream.Delivery) {
 	s.untrack(deliveries)
 	s.mu.Lock()
@@ -138,7 +138,7 @@
 			return s.resolveOne(d, true)
 		})
 		if len(inDoubt) > 0 {
-			s.needsRestart.Store(true) // all that waits is queued again, so that it stays in order by key
+			s.needsRestart.Store(true) // all parked webhooks are queued again, so that they stay in order by key
 		}
 		return resolutions
 	}
--- a/cluster/site/sent_log.go
+++ b/cluster/site/sent_log.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// remove forgets records. That need not reach the disk at once: for a record too many the relay is asked again.
+// remove forgets records. That need not reach the disk at once: a superfluous record only costs a request to the relay.
 func (l *sentLog) remove(ids ...inflight.RequestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,6 +115,6 @@
 func (l *sentLog) close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.journal.Commit() // what it would lose is asked about again; see remove
+	_ = l.journal.Commit() // an error loses removals only; see remove
 	return l.journal.Close()
 }
--- a/cluster/site/site_sender.go
+++ b/cluster/site/site_sender.go
@@ -36,7 +36,7 @@
 	tracked    map[stream.Delivery]*trackedWebhook // in the stream: queued, or sent and without a result
 	deliveries map[inflight.RequestID]stream.Delivery
 	finished   map[inflight.RequestID]bool // since the parked webhooks were last listed
-	bypassed   []stream.Delivery           // the stream has yet to be told that they are complete
+	bypassed   []stream.Delivery           // yet to be reported to the stream as complete
 }
 
 // trackedWebhook is a webhook that the stream has.
--- a/cluster/site/site_sender_test.go
+++ b/cluster/site/site_sender_test.go
@@ -30,8 +30,13 @@
 	require.NoError(t, err)
 	inbox, life := inflight.New(), &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Serving)
-	loop := eventloop.New(inbox, life, journal, api.Settings{MaxInFlight: 4, BufferSize: 9, MaxAttempts: 3, MinTurnInterval: 1000,
-		EventTypes: []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}}})
+	loop := eventloop.New(inbox, life, journal, api.Settings{
+		MaxInFlight:     4,
+		BufferSize:      9,
+		MaxAttempts:     3,
+		MinTurnInterval: 1000,
+		EventTypes:      []api.EventType{{LatencyTarget: api.Second, TTL: 9 * api.Second}},
+	})
 	loop.JoinCluster(closedAdmission{})
 	loop.Begin(upstream.New(&inbox.Counters, loop.CallFinished, api.Second, api.Second, 4),
 		callback.New("127.0.0.1:1", &inbox.Counters, loop.CallbacksDelivered),
--- a/cluster/site/sites.go
+++ b/cluster/site/sites.go
@@ -52,7 +52,7 @@
 	EventType      func(api.EventTypeID) api.EventType
 	IsRangeOwner   func(api.DestinationID) bool // whether this member, and no other, owns the destination's range
 	IsSiteOwner    func(cluster.SiteID) bool    // whether this member owns the range of the site's subscribers
-	IsOwnerUnknown func(cluster.SiteID) bool    // whether there may be no owner: whoever has a webhook makes the call
+	IsOwnerUnknown func(cluster.SiteID) bool    // whether there may be no owner: then whoever has a webhook attempts it
 	BufferCapacity func() int                   // webhooks that may be pending at once
 }
 
@@ -252,6 +252,6 @@
 		}
 	}
 	if s.sentLog != nil {
-		_ = s.sentLog.close() // for a record that is lost the relay is asked again
+		_ = s.sentLog.close() // an error loses removals only; see sentLog.remove
 	}
 }
--- a/cluster/stream/bench_test.go
+++ b/cluster/stream/bench_test.go
@@ -11,30 +11,31 @@
 	"rowanlink/webhook/api"
 )
 
-// Members compress messages from this size on, and each has a head like this.
+// How cluster/transport sends messages.
 const (
-	compressFrom = 4 << 10
-	head         = "POST /fleet/stream HTTP/1.1\r\nHost: 127.0.0.1:7101\r\nSaid-By: m1\r\n" +
+	compressionThreshold = 4 << 10 // bytes; larger messages are compressed
+	// httpHeaders are the headers of a request and its response, of which the length counts.
+	httpHeaders = "POST /fleet/stream HTTP/1.1\r\nHost: 127.0.0.1:7101\r\nSaid-By: m1\r\n" +
 		"Content-Length: 1000\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
 )
 
-// traffic counts messages.
+// traffic counts requests and the bytes of all messages.
 type traffic struct{ calls, bytes int }
 
-// transfer encodes and decodes a message, without sockets.
-func transfer[T any](t *traffic, v T, call bool) (decoded T) {
+// transfer encodes and decodes a message, without sockets; isRequest: it counts as a call with HTTP headers.
+func transfer[T any](t *traffic, v T, isRequest bool) (decoded T) {
 	raw := Encode(v)
-	if len(raw) >= compressFrom {
+	if len(raw) >= compressionThreshold {
 		packed := s2.Encode(nil, raw)
 		t.bytes += len(packed)
 		raw, _ = s2.Decode(nil, packed)
 	} else {
 		t.bytes += len(raw)
 	}
-	if call {
+	if isRequest {
 		t.calls++
-		t.bytes += len(head)
+		t.bytes += len(httpHeaders)
 	}
 	if err := Decode(raw, &decoded); err != nil {
 		panic(err)
@@ -42,19 +43,28 @@
 	return decoded
 }
 
-const sites, each = 40, 250
+// The subscribers of the benchmark's announcement.
+const (
+	siteCount          = 40
+	subscribersPerSite = 250
+)
 
-// announcement has a kilobyte, half of it digests, which can't be compressed.
+// announcement returns an item with a body of a kilobyte, half of it digests, which can't be compressed.
 func announcement(site int) Item {
-	i := Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: 1}, RequestID: "announcement-1", IsAnnouncement: true,
-		FirstAttemptAt: api.Never, TTL: api.Second}
+	i := Item{
+		ID:             MessageID{Origin: "m1", Incarnation: 1, Number: 1},
+		RequestID:      "announcement-1",
+		IsAnnouncement: true,
+		FirstAttemptAt: api.Never,
+		TTL:            api.Second,
+	}
 	for n := range uint32(16) {
 		sum := sha256.Sum256(binary.LittleEndian.AppendUint32(nil, n))
 		i.Body = append(i.Body, sum[:]...)
 		i.Body = append(i.Body, fmt.Sprintf(`,"article":%d,"currency":"EUR"`, n)...)
 	}
-	for n := range each {
-		i.Destinations = append(i.Destinations, api.DestinationID(site*each+n+1))
+	for n := range subscribersPerSite {
+		i.Destinations = append(i.Destinations, api.DestinationID(site*subscribersPerSite+n+1))
 	}
 	return i
 }
@@ -66,16 +76,10 @@
 		t := traffic{}
 		for b.Loop() {
 			t = traffic{}
-			for site := range sites {
+			for site := range siteCount {
 				i := announcement(site)
 				for _, to := range i.Destinations {
-					one := Frame{Bodies: [][]byte{i.Body}, DestinationLists: [][]byte{encodeDestinations(nil, i.Destinations[:1])},
-						Items: []FrameItem{{ID: i.ID, RequestID: i.RequestIDFor(to), TTL: i.TTL, FirstAttemptAt: i.FirstAttemptAt}}}
-					got := transfer(&t, one, true)
-					if _, _, err := got.Unpack(); err != nil {
-						b.Fatal(err)
-					}
-					transfer(&t, Result{Delivery: Delivery{Message: i.ID, Destination: to}, Outcome: Delivered, Attempts: 1}, false)
+					sendDirectly(b, &t, i, to)
 				}
 			}
 		}
@@ -86,8 +90,8 @@
 		t := traffic{}
 		for b.Loop() {
 			t = traffic{}
-			for site := range sites {
-				stream(b, &t, announcement(site))
+			for site := range siteCount {
+				sendByStream(b, &t, announcement(site))
 			}
 		}
 		b.ReportMetric(float64(t.calls), "calls")
@@ -95,29 +99,55 @@
 	})
 }
 
-func stream(b *testing.B, t *traffic, i Item) {
+// sendDirectly sends an announcement to one subscriber, in a frame of its own, and its result back.
+func sendDirectly(b *testing.B, t *traffic, i Item, to api.DestinationID) {
+	b.Helper()
+	item := FrameItem{ID: i.ID, RequestID: i.RequestIDFor(to), TTL: i.TTL, FirstAttemptAt: i.FirstAttemptAt}
+	frame := Frame{
+		Bodies:           [][]byte{i.Body},
+		DestinationLists: [][]byte{encodeDestinations(nil, i.Destinations[:1])},
+		Items:            []FrameItem{item},
+	}
+	received := transfer(t, frame, true)
+	if _, _, err := received.Unpack(); err != nil {
+		b.Fatal(err)
+	}
+	transfer(t, newDelivered(i, to), false)
+}
+
+func newDelivered(i Item, to api.DestinationID) Result {
+	return Result{
+		Delivery: Delivery{Message: i.ID, Destination: to},
+		Outcome:  Delivered,
+		Attempts: 1,
+	}
+}
+
+// sendByStream sends an announcement to all subscribers of a site by a stream, and their results back.
+func sendByStream(b *testing.B, t *traffic, i Item) {
+	b.Helper()
 	s, r := NewSender(1, 0), NewReceiver(Checkpoint{Incarnation: 9}, nil, nil)
-	ask := transfer(t, s.OpenRequest(), true)
-	if _, err := r.Open(ask); err != nil {
+	request := transfer(t, s.OpenRequest(), true)
+	if _, err := r.Open(request); err != nil {
 		b.Fatal(err)
 	}
-	s.HandleOpened(ask, transfer(t, r.Ack(4*each, 0), false), false, 0)
+	s.HandleOpened(request, transfer(t, r.Ack(4*subscribersPerSite, 0), false), false, 0)
 	s.Add(i, api.Second, 0)
 	for f, ok := s.NextFrame(api.Second); ok; f, ok = s.NextFrame(api.Second) {
 		if _, err := r.Receive(transfer(t, f, true)); err != nil {
 			b.Fatal(err)
 		}
-		s.HandleAck(transfer(t, r.Ack(4*each, 0), false), 0)
+		s.HandleAck(transfer(t, r.Ack(4*subscribersPerSite, 0), false), 0)
 	}
 	for _, to := range i.Destinations {
-		r.RecordResult(Result{Delivery: Delivery{Message: i.ID, Destination: to}, Outcome: Delivered, Attempts: 1})
+		r.RecordResult(newDelivered(i, to))
 	}
 	for results := r.UnacknowledgedResults("m1", 256); len(results) > 0; results = r.UnacknowledgedResults("m1", 256) {
-		var decoded []Delivery
-		for _, e := range transfer(t, results, true) {
-			s.Complete(e.Delivery)
-			decoded = append(decoded, e.Delivery)
+		var recorded []Delivery
+		for _, result := range transfer(t, results, true) {
+			s.Complete(result.Delivery)
+			recorded = append(recorded, result.Delivery)
 		}
-		r.AcknowledgeResults(transfer(t, decoded, false))
+		r.AcknowledgeResults(transfer(t, recorded, false))
 	}
 }
--- a/cluster/stream/codec_test.go
+++ b/cluster/stream/codec_test.go
@@ -35,18 +35,18 @@
 	ack := Ack{Incarnation: 9, Generation: Generation{Epoch: 1, Number: 1}, Credit: 9, DestinationLimit: 9}
 	s.HandleOpened(s.OpenRequest(), ack, false, 0)
 	s.Add(Item{ID: MessageID{Origin: "m"}, Destinations: []api.DestinationID{1, 300}, Body: []byte("b")}, 0, 0)
-	whole, _ := s.NextFrame(0)
-	f.Add(Encode(whole))
+	valid, _ := s.NextFrame(0)
+	f.Add(Encode(valid))
 	for _, list := range []string{"", "\x80", "\x01\x00", "\xff\xff\xff\xff\x7f"} {
-		bad := whole
-		bad.DestinationLists = [][]byte{[]byte(list)}
-		f.Add(Encode(bad))
+		malformed := valid
+		malformed.DestinationLists = [][]byte{[]byte(list)}
+		f.Add(Encode(malformed))
 	}
 	for _, at := range []int{-1, 1} {
-		bad := whole
-		bad.Items = []FrameItem{whole.Items[0]}
-		bad.Items[0].Body = at
-		f.Add(Encode(bad))
+		malformed := valid
+		malformed.Items = []FrameItem{valid.Items[0]}
+		malformed.Items[0].Body = at
+		f.Add(Encode(malformed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var got Frame
--- a/cluster/stream/model_faults_test.go
+++ b/cluster/stream/model_faults_test.go
@@ -10,16 +10,16 @@
 
 // recordAttempt records an attempt that takes effect, at the relay or bypassing it.
 func (m *model) recordAttempt(d Delivery, i *Item) {
-	calls := append(m.attempts[d], m.now)
-	m.attempts[d] = calls
+	attempts := append(m.attempts[d], m.now)
+	m.attempts[d] = attempts
 	switch t := eventTypes[i.EventType]; {
-	case t.Semantics == api.AtMostOnce && len(calls) > 1:
+	case t.Semantics == api.AtMostOnce && len(attempts) > 1:
 		m.Fatalf("%v took effect twice", d)
-	case t.Semantics == api.Deduplicated && m.now >= calls[0]+t.DedupWindow:
+	case t.Semantics == api.Deduplicated && m.now >= attempts[0]+t.DedupWindow:
 		m.Fatalf("%v ran again after its token was forgotten", d)
 	}
 	if i.Key != 0 {
-		k := orderingScope{d.Destination, i.Key}
+		k := orderingScope{destination: d.Destination, key: i.Key}
 		m.trace[k] = append(m.trace[k], m.number(d))
 	}
 }
@@ -28,7 +28,7 @@
 	return slices.IndexFunc(m.deliveries, func(o *ownedDelivery) bool { return o.delivery() == d })
 }
 
-// runRelay makes an attempt for, or ends, a random delivery of the relay that is the first of its key.
+// runRelay attempts or ends a random delivery of the relay that is the first of its key.
 func (m *model) runRelay() {
 	if len(m.relayDeliveries) == 0 {
 		return
@@ -74,7 +74,7 @@
 		switch {
 		case o.Key != 0 && slices.ContainsFunc(m.deliveries, earlier):
 			continue
-		case m.now >= o.TTL || o.TokenWindow > 0 && o.FirstAttemptAt != api.Never && m.now >= o.FirstAttemptAt+o.TokenWindow:
+		case m.now >= o.TTL || o.isTokenForgotten(m.now):
 			o.deadLetteredInDoubt = true
 			m.recordOutcome(o.delivery(), DeadLettered)
 		default:
@@ -85,7 +85,13 @@
 	}
 }
 
-// advanceTime is some time; what is past its time results.
+// isTokenForgotten reports whether endpoints may have forgotten the token of an earlier attempt.
+func (o *ownedDelivery) isTokenForgotten(now api.Micros) bool {
+	wasAttempted := o.TokenWindow > 0 && o.FirstAttemptAt != api.Never
+	return wasAttempted && now >= o.FirstAttemptAt+o.TokenWindow
+}
+
+// advanceTime lets some time pass; queued deliveries that have expired are rejected.
 func (m *model) advanceTime() {
 	m.now += api.Micros(rapid.IntRange(1, 4000).Draw(m.T, "ms")) * 1000
 	for _, d := range m.sender.DropExpired(m.now) {
@@ -117,7 +123,9 @@
 func (m *model) startRelay(lost bool) {
 	if lost {
 		m.relayIncarnation++
-		m.checkpoint, m.relayDeliveries, m.unacknowledged = Checkpoint{Incarnation: m.relayIncarnation}, nil, nil
+		m.checkpoint = Checkpoint{Incarnation: m.relayIncarnation}
+		m.relayDeliveries = nil
+		m.unacknowledged = nil
 	}
 	var pending []Delivery
 	for _, h := range m.relayDeliveries {
@@ -141,14 +149,14 @@
 
 func (m *model) deliverBothWays() {
 	m.deliverOne(&m.toRelay)
-	m.deliverOne(&m.toOwner)
+	m.deliverOne(&m.toOrigin)
 }
 
 // runRound is a round without faults: deliveries are sent, run, reported and acknowledged, the last message first.
 func (m *model) runRound() {
 	for _, step := range []func(){m.sendFrame, m.runRelay, m.sendResults} {
 		step()
-		for _, from := range []*[]func(){&m.toRelay, &m.toOwner, &m.toRelay} {
+		for _, from := range []*[]func(){&m.toRelay, &m.toOrigin, &m.toRelay} {
 			if n := len(*from); n > 0 {
 				(*from)[n-1]()
 				if rapid.IntRange(0, 3).Draw(m.T, "once more") > 0 {
@@ -198,7 +206,7 @@
 		m.advanceTime,
 		m.advanceTime,
 		func() { m.loseMessage(&m.toRelay) },
-		func() { m.loseMessage(&m.toOwner) },
+		func() { m.loseMessage(&m.toOrigin) },
 		func() { m.now += dedupWindow },
 	}
 	often := rapid.SampledFrom([]int{2, 5, 15}).Draw(t, "a fault in so many steps")
@@ -238,7 +246,7 @@
 			m.sendOpenRequest, m.sendFrame, m.sendFrame, m.sendFrame, m.sendResults, m.runBypassing, m.advanceTime,
 		} {
 			step()
-			for _, from := range []*[]func(){&m.toRelay, &m.toOwner} {
+			for _, from := range []*[]func(){&m.toRelay, &m.toOrigin} {
 				for len(*from) > 0 {
 					deliver := (*from)[0]
 					*from = (*from)[1:]
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -14,13 +14,16 @@
 // messages, and what both have on disk. Faults are random; the invariants are checked at every step.
 const (
 	relayCapacity  = 6
-	relayClockLead = 7 * api.Second // outcome much the relay's clock is ahead
+	relayClockLead = 7 * api.Second // how much the relay's clock is ahead
 	ttl            = 40 * api.Second
 	dedupWindow    = 15 * api.Second
 )
 
-var eventTypes = []api.EventType{{TTL: ttl}, {TTL: ttl, Semantics: api.Deduplicated, DedupWindow: dedupWindow},
-	{TTL: ttl, Semantics: api.AtMostOnce}}
+var eventTypes = []api.EventType{
+	{TTL: ttl},
+	{TTL: ttl, Semantics: api.Deduplicated, DedupWindow: dedupWindow},
+	{TTL: ttl, Semantics: api.AtMostOnce},
+}
 
 // ownedDelivery is a delivery in its origin's journal.
 type ownedDelivery struct {
@@ -54,7 +57,7 @@
 	unacknowledged   []Result
 	failNextWrite    bool // the relay's next write fails
 
-	toRelay, toOwner []func()
+	toRelay, toOrigin []func()
 
 	attempts map[Delivery][]api.Micros
 	trace    map[orderingScope][]int // the numbers of the deliveries that ran, in order
@@ -75,9 +78,16 @@
 func (m *model) addItem() {
 	id := uint64(len(m.deliveries))
 	kind := rapid.IntRange(0, 2).Draw(m.T, "type")
-	i := Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: id}, EventType: api.EventTypeID(kind), TTL: m.now + ttl,
-		Key: api.OrderingKey(rapid.IntRange(0, 1).Draw(m.T, "key")), FirstAttemptAt: api.Never, Body: []byte("b"),
-		IsAnnouncement: true, TokenWindow: eventTypes[kind].DedupWindow}
+	i := Item{
+		ID:             MessageID{Origin: "m1", Incarnation: 1, Number: id},
+		IsAnnouncement: true,
+		EventType:      api.EventTypeID(kind),
+		Key:            api.OrderingKey(rapid.IntRange(0, 1).Draw(m.T, "key")),
+		TTL:            m.now + ttl,
+		FirstAttemptAt: api.Never,
+		Body:           []byte("b"),
+		TokenWindow:    eventTypes[kind].DedupWindow,
+	}
 	i.Destinations = [][]api.DestinationID{{1}, {2}, {1, 2}, {1, 2, 3}}[rapid.IntRange(0, 3).Draw(m.T, "to")]
 	for _, to := range i.Destinations {
 		o := &ownedDelivery{Item: single(i, to), number: len(m.deliveries)}
@@ -103,8 +113,8 @@
 }
 
 func (m *model) recordOutcome(d Delivery, outcome Outcome) {
-	if was, over := m.outcomes[d]; over {
-		m.Fatalf("%v ended as %d and again as %d", d, was, outcome)
+	if earlier, ended := m.outcomes[d]; ended {
+		m.Fatalf("%v ended as %d and again as %d", d, earlier, outcome)
 	}
 	m.outcomes[d] = outcome
 	delete(m.open, d)
@@ -125,7 +135,8 @@
 		}
 		switch resolutions[i] {
 		case ResolveRetry:
-			o.bypassing, o.FirstAttemptAt = true, u.SentAt
+			o.bypassing = true
+			o.FirstAttemptAt = u.SentAt
 			if o.Key == 0 || !lost { // the sender counts an ordered one as bypassing until it has its result
 				m.sender.Complete(u.Delivery)
 			}
@@ -158,7 +169,8 @@
 	for _, i := range items {
 		for _, to := range i.Destinations {
 			if o := m.open[Delivery{Message: i.ID, Destination: to}]; o != nil && o.relayIncarnation == 0 {
-				o.relayIncarnation, o.sentAt = m.sender.receiverIncarnation, m.now
+				o.relayIncarnation = m.sender.receiverIncarnation
+				o.sentAt = m.now
 			}
 		}
 	}
@@ -173,7 +185,7 @@
 	}
 	fresh, err := m.receiver.Receive(f)
 	if err != nil {
-		m.toOwner = append(m.toOwner, func() {
+		m.toOrigin = append(m.toOrigin, func() {
 			if f.Generation == m.sender.generation {
 				m.handleUnreachable()
 			}
@@ -188,14 +200,17 @@
 	m.checkpoint = m.receiver.Checkpoint()
 	for _, i := range fresh {
 		for _, to := range i.Destinations {
-			m.relayDeliveries = append(m.relayDeliveries, &relayDelivery{single(i, to), i.FirstAttemptAt != api.Never})
+			m.relayDeliveries = append(m.relayDeliveries, &relayDelivery{
+				Item:   single(i, to),
+				called: i.FirstAttemptAt != api.Never,
+			})
 		}
 	}
 	if len(m.relayDeliveries) > relayCapacity {
 		m.Fatalf("%d pending, capacity %d", len(m.relayDeliveries), relayCapacity)
 	}
 	a := m.receiver.Ack(relayCapacity, m.now+relayClockLead)
-	m.toOwner = append(m.toOwner, func() { m.handleAck(a) })
+	m.toOrigin = append(m.toOrigin, func() { m.handleAck(a) })
 }
 
 func (m *model) sendOpenRequest() {
@@ -205,7 +220,7 @@
 		m.checkpoint = m.receiver.Checkpoint()
 		a := m.receiver.Ack(relayCapacity, m.now+relayClockLead)
 		a.Pending = pending
-		m.toOwner = append(m.toOwner, func() {
+		m.toOrigin = append(m.toOrigin, func() {
 			m.handleAck(a)
 			requeued, lost := m.sender.HandleOpened(request, a, err != nil, m.now)
 			for _, d := range requeued {
@@ -222,7 +237,7 @@
 	reporter := m.receiver
 	results := reporter.UnacknowledgedResults("m1", limit)
 	ack := reporter.Ack(relayCapacity, m.now+relayClockLead)
-	m.toOwner = append(m.toOwner, func() {
+	m.toOrigin = append(m.toOrigin, func() {
 		m.handleAck(ack)
 		var acknowledged []Delivery
 		for _, e := range results {
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -18,7 +18,7 @@
 // If it were stored separately, a frame could be accepted again after its deliveries had their results and were
 // forgotten.
 type Checkpoint struct {
-	Incarnation  uint64     `cbor:"1,keyasint"` // random, drawn when the folder is created, never 0
+	Incarnation  uint64     `cbor:"1,keyasint"` // random, generated with the folder, never 0
 	Generation   Generation `cbor:"2,keyasint"`
 	LastSequence Sequence   `cbor:"3,keyasint"`
 	Received     uint64     `cbor:"4,keyasint"` // deliveries of the generation
--- a/cluster/stream/receiver_test.go
+++ b/cluster/stream/receiver_test.go
@@ -19,12 +19,12 @@
 	_, err := r.Receive(late)
 	assert.ErrorIs(t, err, cluster.ErrFenced)
 	old.MarkUnreachable()
-	held, err := r.Open(old.OpenRequest())
+	known, err := r.Open(old.OpenRequest())
 	assert.ErrorIs(t, err, cluster.ErrFenced)
-	assert.Empty(t, held)
-	again, _ := old.HandleOpened(old.OpenRequest(), r.Ack(100, 0), true, 0)
-	assert.Equal(t, []Delivery{deliveryTo(1, 3)}, again)
-	assert.Equal(t, again, old.TakeBypassing(), "it goes to the new lease holder")
+	assert.Empty(t, known)
+	requeued, _ := old.HandleOpened(old.OpenRequest(), r.Ack(100, 0), true, 0)
+	assert.Equal(t, []Delivery{deliveryTo(1, 3)}, requeued)
+	assert.Equal(t, requeued, old.TakeBypassing(), "it goes to the new lease holder")
 }
 
 func TestReceiver_IgnoresDeliveriesItHas(t *testing.T) {
@@ -53,9 +53,9 @@
 	assert.ErrorIs(t, err, ErrNotOpen)
 	assert.False(t, s.HandleAck(r.Ack(100, 0), 0))
 	assert.Len(t, s.MarkUnreachable(), 1)
-	again, lost := openStream(t, s, r, 100)
-	assert.Empty(t, again)
-	assert.Equal(t, []InDoubt{{deliveryTo(1, 3), latencyTarget, 0}}, lost)
+	requeued, lost := openStream(t, s, r, 100)
+	assert.Empty(t, requeued)
+	assert.Equal(t, []InDoubt{{Delivery: deliveryTo(1, 3), SentAt: latencyTarget}}, lost)
 }
 
 func TestReceiver_ResultsInOrderOfArrival(t *testing.T) {
--- a/cluster/stream/resolve_test.go
+++ b/cluster/stream/resolve_test.go
@@ -17,12 +17,12 @@
 	plain, ordered, ran := newItem(1, 0, 3), newItem(1, 7, 3), newItem(1, 0, 3)
 	ran.FirstAttemptAt = 0
 	for _, c := range []struct {
-		i    *Item
-		t    api.EventType
-		lost bool
-		now  api.Micros
-		want Resolution
-		why  string
+		item      *Item
+		eventType api.EventType
+		lost      bool
+		now       api.Micros
+		want      Resolution
+		reason    string
 	}{
 		{&plain, idempotent, false, 2 * at, ResolveRetry, "may run again"},
 		{&plain, idempotent, false, last, ResolveDeadLetter, "late"},
@@ -36,17 +36,17 @@
 		{&ran, tokened, false, 10 * at, ResolveWait, "the window begins with the first attempt"},
 		{&plain, zoned, false, 2 * at, ResolveWait, "it is unknown which zone remembers it"},
 	} {
-		assert.Equal(t, c.want, Resolve(c.i, at, c.t, c.lost, last, c.now), c.why)
+		assert.Equal(t, c.want, Resolve(c.item, at, c.eventType, c.lost, last, c.now), c.reason)
 	}
 }
 
 func TestResolveLost_OrderedRetriesOnlyIfLaterOnesDo(t *testing.T) {
 	lost := []InDoubt{
-		{deliveryTo(1, 3), 0, 7},
-		{deliveryTo(2, 3), 0, 7},
-		{deliveryTo(3, 3), 0, 0},
-		{deliveryTo(4, 4), 0, 7},
-		{deliveryTo(5, 3), 0, 7},
+		{Delivery: deliveryTo(1, 3), Key: 7},
+		{Delivery: deliveryTo(2, 3), Key: 7},
+		{Delivery: deliveryTo(3, 3)},
+		{Delivery: deliveryTo(4, 4), Key: 7},
+		{Delivery: deliveryTo(5, 3), Key: 7},
 	}
 	got := ResolveLost(lost, func(u InDoubt) Resolution {
 		if u.Message.Number == 2 {
@@ -62,5 +62,6 @@
 	assert.Equal(t, IgnoreResult, ActionForResult(Result{Outcome: Rejected}, LocationLocal, false))
 	assert.Equal(t, WithdrawDelivery, ActionForResult(Result{Outcome: Delivered}, LocationLocal, false))
 	assert.Equal(t, IgnoreResult, ActionForResult(Result{Outcome: Delivered}, 0, true))
-	assert.Equal(t, WithdrawDelivery, ActionForResult(Result{Outcome: DeadLettered}, LocationLocal, true), "later ones of its key may have run since")
+	assert.Equal(t, WithdrawDelivery, ActionForResult(Result{Outcome: DeadLettered}, LocationLocal, true),
+		"later ones of its key may have run since")
 }
--- a/cluster/stream/sender_test.go
+++ b/cluster/stream/sender_test.go
@@ -12,8 +12,16 @@
 const latencyTarget = api.Second
 
 func newItem(id uint64, key api.OrderingKey, to ...api.DestinationID) Item {
-	return Item{ID: MessageID{Origin: "m1", Incarnation: 1, Number: id}, RequestID: "r", Key: key, TTL: 100 * api.Second,
-		FirstAttemptAt: api.Never, Body: []byte("body"), Destinations: to, IsAnnouncement: len(to) > 1}
+	return Item{
+		ID:             MessageID{Origin: "m1", Incarnation: 1, Number: id},
+		RequestID:      "r",
+		IsAnnouncement: len(to) > 1,
+		Key:            key,
+		TTL:            100 * api.Second,
+		FirstAttemptAt: api.Never,
+		Body:           []byte("body"),
+		Destinations:   to,
+	}
 }
 
 func deliveryTo(id uint64, d api.DestinationID) Delivery {
@@ -21,7 +29,6 @@
 }
 
 // newOpenStream returns a sender of epoch 1 and a receiver with an open generation.
-
 func newOpenStream(t *testing.T, capacity int) (*Sender, *Receiver) {
 	t.Helper()
 	s, r := NewSender(1, 0), NewReceiver(Checkpoint{Incarnation: 9}, nil, nil)
@@ -29,7 +36,7 @@
 	return s, r
 }
 
-func openStream(t *testing.T, s *Sender, r *Receiver, capacity int) (again []Delivery, lost []InDoubt) {
+func openStream(t *testing.T, s *Sender, r *Receiver, capacity int) (requeued []Delivery, lost []InDoubt) {
 	t.Helper()
 	request := s.OpenRequest()
 	known, err := r.Open(request)
@@ -123,18 +130,18 @@
 	for id := range uint64(64) {
 		s.Add(newItem(id, 0, api.DestinationID(id)), latencyTarget, 0)
 	}
-	was := uint64(0)
+	completed := uint64(0)
 	for _, most := range []int{4, 8, 16, 32} {
 		f := nextFrame(t, s, latencyTarget)
 		_, err := r.Receive(f)
 		require.NoError(t, err)
-		now := was + uint64(len(f.Items))
-		for ; was < now; was++ {
-			s.Complete(deliveryTo(was, api.DestinationID(was)))
+		sent := completed + uint64(len(f.Items))
+		for ; completed < sent; completed++ {
+			s.Complete(deliveryTo(completed, api.DestinationID(completed)))
 		}
 		assert.LessOrEqual(t, len(f.Items), most)
 	}
-	assert.Greater(t, was, uint64(50), "but it grows")
+	assert.Greater(t, completed, uint64(50), "but it grows")
 }
 
 func TestSender_PollsFullRelayForCredit(t *testing.T) {
