--- a/cluster/raftnode/bootstrap.go
+++ b/cluster/raftnode/bootstrap.go
@@ -37,7 +37,7 @@
 	return true
 }
 
-// identifyAll asks all nodes for their identity. It returns the servers of a new group, or nil if a node did not answer
+// identifyAll requests the identity of all nodes. It returns the servers of a new group, or nil if a node did not answer
 // or is configured with other members, and whether a node has a log already.
 func (n *Node) identifyAll(members []cluster.MemberID) (servers []raft.Server, exists bool) {
 	servers = []raft.Server{voter(n.storage.id)}
@@ -89,7 +89,7 @@
 	ctx.SetBody(transport.Encode(n.identity()))
 }
 
-// requestJoin asks the configured nodes, one after another, to add this one to the group, until the leader accepts.
+// requestJoin requests of the configured nodes, one after another, to add this one to the group, until the leader accepts.
 func (n *Node) requestJoin() {
 	request := transport.Encode(transport.JoinRequest{
 		Member:       n.self,
--- a/cluster/raftnode/contact_transport.go
+++ b/cluster/raftnode/contact_transport.go
@@ -39,7 +39,7 @@
 // which would then write the leader's own last entries under that term, and take them for the new leader's.
 func (t *contactTransport) SetHeartbeatHandler(func(raft.RPC)) {}
 
-// AppendEntries sends a request and records when it was sent, if it is answered in its own raft term.
+// AppendEntries sends a request and records when it was sent, if the response is of the same raft term.
 func (t *contactTransport) AppendEntries(
 	id raft.ServerID, target raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse,
 ) error {
@@ -51,7 +51,7 @@
 	return err
 }
 
-// AppendEntriesPipeline returns a pipeline for requests that don't wait for one another's answers. It records no contact.
+// AppendEntriesPipeline returns a pipeline for requests that are sent before earlier ones are answered. It records no contact.
 func (t *contactTransport) AppendEntriesPipeline(
 	id raft.ServerID, target raft.ServerAddress,
 ) (raft.AppendPipeline, error) {
--- a/cluster/raftnode/encoded_forms_test.go
+++ b/cluster/raftnode/encoded_forms_test.go
@@ -7,7 +7,7 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms guards what stands beside a command in each entry of the raft log.
+// TestEncodedForms guards the header that is stored with the command in each entry of the raft log.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR,
 		entryHeader{},
--- a/cluster/raftnode/leadership.go
+++ b/cluster/raftnode/leadership.go
@@ -93,7 +93,7 @@
 		return
 	}
 	select {
-	case begun <- leadership{term, result.LeaderEpoch}:
+	case begun <- leadership{term: term, epoch: result.LeaderEpoch}:
 	case <-n.closing:
 	}
 }
--- a/cluster/raftnode/leadership_test.go
+++ b/cluster/raftnode/leadership_test.go
@@ -9,7 +9,7 @@
 	"rowanlink/cluster/lease"
 )
 
-// A session's end that was decided on in one leader epoch may reach the log in a later one.
+// An expiry that was decided in one leader epoch and reaches the log in a later one is rejected.
 func TestNode_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
 	n := startLeader(t, t.TempDir())
 	defer func() { _ = n.Close() }()
--- a/cluster/shardmap/custody_record.go
+++ b/cluster/shardmap/custody_record.go
@@ -17,7 +17,7 @@
 	ID           WebhookID     `cbor:"1,keyasint"`
 	Handoff      HandoffNumber `cbor:"2,keyasint,omitempty"` // the highest by which the webhook was taken or offered here
 	RejectedUpTo HandoffNumber `cbor:"3,keyasint,omitempty"` // no hand-off up to this number is taken any more
-	Present      bool          `cbor:"4,keyasint,omitempty"` // it was not handed on: in custody, in doubt, or ended here
+	Present      bool          `cbor:"4,keyasint,omitempty"` // it was not handed off: in custody, in doubt, or ended here
 	TTL          api.Micros    `cbor:"5,keyasint"`
 	Offer        Offer         `cbor:"6,keyasint"`           // without To: no other member can have it
 	Arriving     bool          `cbor:"7,keyasint,omitempty"` // the webhook is not in the webhook journal yet, or not surely
--- a/cluster/shardmap/custody_source.go
+++ b/cluster/shardmap/custody_source.go
@@ -4,7 +4,7 @@
 
 // BeginOffer records that a webhook that is here is about to be offered, and returns the number of the hand-off: the
 // same as before if it is offered again to the member that it may have reached. It returns false if another member may
-// have it, which must be asked first.
+// have it, which must be queried first.
 func (t *CustodyTable) BeginOffer(id WebhookID, ttl api.Micros, offer Offer) (HandoffNumber, bool) {
 	r := t.recordOf(id, ttl)
 	if r.hasOffer() {
--- a/cluster/shardmap/custody_table.go
+++ b/cluster/shardmap/custody_table.go
@@ -27,7 +27,7 @@
 	for _, r := range earlier {
 		if r.hasOffer() {
 			r.Offer.Uncertain = true
-			if !isOutstanding(r.ID) { // its end was journalled before this record: it was handed on, or ended
+			if !isOutstanding(r.ID) { // its end was journalled before this record: it was handed off, or ended
 				r.Offer, r.Present = Offer{}, false
 			}
 		}
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -8,7 +8,7 @@
 // The answers. The numbers are encoded.
 const (
 	CustodyUnknown   CustodyReply = iota // the member can't be reached, or can't tell yet
-	CustodyTaken                         // it has taken the webhook: in custody, ended or handed on
+	CustodyTaken                         // it has taken the webhook: in custody, ended or handed off
 	CustodyNever                         // it has not, and is bound never to take it by this hand-off
 	CustodyStateLost                     // its folder is not the one of that time: it can't tell
 	CustodyRejected                      // not by this attempt
@@ -19,7 +19,7 @@
 
 // The outcomes.
 const (
-	// OfferNotTaken: nothing, the reply says why.
+	// OfferNotTaken: nothing, for the reason in the reply.
 	OfferNotTaken OfferOutcome = iota
 	// OfferTaken: it journals the record and the webhook before it sends CustodyTaken, and calls ConfirmStored, or
 	// Rollback if that fails.
@@ -89,7 +89,7 @@
 		r.Handoff = handoff
 		return CustodyTaken, true
 	}
-	// Also in doubt: the member that asks may be the one to have it.
+	// Also in doubt: the querying member may be the custodian.
 	mustJournal = handoff > r.RejectedUpTo
 	r.RejectedUpTo = max(r.RejectedUpTo, handoff)
 	return CustodyNever, mustJournal
--- a/cluster/shardmap/failover.go
+++ b/cluster/shardmap/failover.go
@@ -73,7 +73,7 @@
 	return takeovers
 }
 
-// isDue notes whether a range has lost its owner and reports whether it is to be taken over.
+// isDue records since when a range has no owner and reports whether it is due for a takeover.
 func (p *FailoverPlanner) isDue(
 	r Range, holders LeaseHolders, alive map[cluster.MemberID]bool, now api.Micros,
 ) bool {
--- a/cluster/shardmap/model_test.go
+++ b/cluster/shardmap/model_test.go
@@ -213,7 +213,7 @@
 	leaseHeld              bool
 	processes              [maxMembers]processState
 	network                [maxMessages]message
-	promised, completed    [maxWebhooks]bool // promised: the client was told that the webhook was accepted
+	promised, completed    [maxWebhooks]bool // promised: the client received the acceptance
 	excused, forked        [maxWebhooks]bool // excused: a copy was lost with its folder
 	effects, firstEffectAt [maxWebhooks]int8
 	violation              string
--- a/cluster/shardmap/resolution.go
+++ b/cluster/shardmap/resolution.go
@@ -7,7 +7,7 @@
 
 // The resolutions.
 const (
-	StayInDoubt    Resolution = iota // it stays parked and journalled, and the other member is asked again
+	StayInDoubt    Resolution = iota // it stays parked and journalled, and the other member is queried again
 	DropCopy                         // the other member has it
 	KeepCopy                         // this member has it, as it was
 	ForkCopy                         // this member continues with it as one that may have run since it was sent
--- a/test/integration/chaos/chaos_test.go
+++ b/test/integration/chaos/chaos_test.go
@@ -20,7 +20,7 @@
 func TestChaos(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("ROWAN_HUNT"))
 	if err != nil {
-		t.Skip("make hunt-fleet N=... plays it")
+		t.Skip("make hunt-fleet N=... runs it")
 	}
 	first := uint64(time.Now().UnixMicro())
 	if text := os.Getenv("ROWAN_SEED"); text != "" {
@@ -38,7 +38,7 @@
 func runSeed(t *testing.T, binary string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	options := randomOptions(random, binary)
-	t.Logf("seed %d: %d members, term %s", seed, options.Members, options.LeaseTTL)
+	t.Logf("seed %d: %d members, lease TTL %s", seed, options.Members, options.LeaseTTL)
 	s := &scenario{
 		Cluster:        harness.Start(t, options),
 		Rand:           random,
--- a/test/integration/cluster/diskfull_test.go
+++ b/test/integration/cluster/diskfull_test.go
@@ -24,7 +24,7 @@
 }
 
 // A full disk affects its own member only: leases go to others, what can't be written is not accepted, and once there
-// is space again all goes on without help.
+// is space again it recovers without a restart.
 func TestDiskFull_RecoversByItself(t *testing.T) {
 	for name, who := range map[string]func(c *harness.Cluster) *harness.Member{
 		"of the raft leader": (*harness.Cluster).AwaitLeader,
@@ -34,12 +34,12 @@
 			t.Parallel()
 			c, stop := startLoaded(t)
 			m := who(c)
-			mark := m.Log.Offset()
+			offset := m.Log.Offset()
 			m.LimitFileSize(1)
 			if m == c.Leader() { // the raft log is not written while the cluster is idle
 				c.Member("m4").Restart()
 			}
-			m.AwaitLogFrom(mark, "file too large")
+			m.AwaitLogFrom(offset, "file too large")
 			sleepTTLs(2)
 			assert.True(t, m.IsRunning())
 			m.LimitFileSize(0)
@@ -51,7 +51,7 @@
 	}
 }
 
-// No webhook is lost, nor called twice, while the raft log stands still and after it resumes.
+// No webhook is lost, nor called twice, while no raft entry can be committed and after that.
 func TestRaft_MajorityKilledUnderLoad(t *testing.T) {
 	t.Parallel()
 	c, stop := startLoaded(t)
@@ -65,9 +65,9 @@
 				m.AwaitLogFrom(offsets[m], "session expired")
 			}
 		}
-		taken := c.Platform.Checker.Counts().Accepted
+		accepted := c.Platform.Checker.Counts().Accepted
 		sleepTTLs(1.5)
-		assert.Greater(t, c.Platform.Checker.Counts().Accepted, taken, "nothing is taken on without a majority")
+		assert.Greater(t, c.Platform.Checker.Counts().Accepted, accepted, "no webhook is accepted without a majority")
 		for _, m := range gone {
 			m.StartAsync()
 		}
--- a/test/integration/cluster/failover_bench_test.go
+++ b/test/integration/cluster/failover_bench_test.go
@@ -17,9 +17,9 @@
 // leader renews each session for a whole TTL.
 func BenchmarkFailover(b *testing.B) {
 	span := leaseTTL
-	if told := os.Getenv("ROWAN_TERM"); told != "" {
+	if text := os.Getenv("ROWAN_TERM"); text != "" {
 		var err error
-		span, err = time.ParseDuration(told)
+		span, err = time.ParseDuration(text)
 		require.NoError(b, err)
 	}
 	c := harness.Start(b, harness.Options{
--- a/test/integration/cluster/forward_test.go
+++ b/test/integration/cluster/forward_test.go
@@ -29,13 +29,13 @@
 		},
 	})
 	owner, entry := awaitOwner(c)
-	delivered := func(by *harness.Member, atLeast string) { // and the answer is heard
+	delivered := func(by *harness.Member, atLeast string) { // by its counter, so that it received the response
 		c.Eventually(by.Name+" has delivered", func() bool {
 			n, _ := by.Metric("attempts_delivered_total")
 			return n >= atLeast
 		})
 	}
-	c.Platform.Submit(entry.Name, newWebhook("status")) // the owner's folder is known from here on
+	c.Platform.Submit(entry.Name, newWebhook("status")) // the forwarding member knows the owner's incarnation from here on
 	delivered(owner, "1")
 
 	id := offer(c, owner, entry)
@@ -45,7 +45,7 @@
 	meanwhile(entry)
 	c.Platform.Submit(entry.Name, newWebhook("status"))
 	delivered(entry, "1")
-	sleepTTLs(0.5) // what is parked there has had its turn by now
+	sleepTTLs(0.5) // parked webhooks have been reevaluated by then
 	c.Check()
 	require.False(t, t.Failed())
 
@@ -60,8 +60,8 @@
 	return platform.Webhook{Type: kind, Destination: 1, TTL: 20 * time.Second, Body: "once"}
 }
 
-// A webhook that was parked because its owner could not be reached is in doubt from its first offer on: nobody else
-// delivers it.
+// A webhook that was parked because its owner could not be reached is in doubt from its first offer on: no other member
+// calls for it.
 func TestForward_InDoubtWebhookIsNotCalledElsewhere(t *testing.T) {
 	runInDoubtScenario(t, func(c *harness.Cluster, owner, entry *harness.Member) string {
 		c.Network.SetFault(entry.Name, owner.Name, harness.Refused)
--- a/test/integration/cluster/interruptedplan_test.go
+++ b/test/integration/cluster/interruptedplan_test.go
@@ -59,17 +59,17 @@
 type interruptedPlan struct {
 	cluster                       *harness.Cluster
 	moved, blocked                api.DestinationID
-	target, source, blockedTarget *harness.Member // of through; of held, now and by the plan
+	target, source, blockedTarget *harness.Member // of moved; of blocked, now and by the plan
 	offsets                       map[*harness.Member]int
 	stop                          func()
 }
 
 // operatorBlocks returns the blocks of the plan, with further blocks.
-func (m *interruptedPlan) operatorBlocks(held bool, blocks string) string {
+func (m *interruptedPlan) operatorBlocks(withBlocked bool, blocks string) string {
 	text := fmt.Sprintf("pin \"p\" {\n  destinations = [%d]\n  to = %q\n}\nbounds { moves_at_once = 2 }\n",
 		m.moved,
 		m.target.Name)
-	if held {
+	if withBlocked {
 		text += fmt.Sprintf("pin \"q\" {\n  destinations = [%d]\n  to = %q\n}\n", m.blocked, m.blockedTarget.Name)
 	}
 	return text + blocks
@@ -118,8 +118,8 @@
 			return false
 		}
 		r, _ := shards.RangeOf(cluster.DestinationKeyHash(m.blocked))
-		through, _ := shards.RangeOf(cluster.DestinationKeyHash(m.moved))
-		return r.Move.IsOpen() && !through.Move.IsOpen() && c.Member(string(r.Owner)) == m.source
+		moved, _ := shards.RangeOf(cluster.DestinationKeyHash(m.moved))
+		return r.Move.IsOpen() && !moved.Move.IsOpen() && c.Member(string(r.Owner)) == m.source
 	})
 	m.stop = startLoadAt(c, m.target, 60, m.moved)
 	return m
@@ -148,12 +148,12 @@
 }
 
 // A plan stops when a destination becomes unhealthy or late at its new owner: moves that haven't switched are rolled
-// back, the others stay, nothing starts, and the log tells why. Once the destination has recovered, a reload resumes
+// back, the others stay, nothing starts, and the log has the reason. Once the destination has recovered, a reload resumes
 // the plan.
 func TestPlan_StopsOnDegradation(t *testing.T) {
 	for name, test := range map[string]struct {
-		stop, why string
-		does      platform.Behaviour
+		stop, reason string
+		does         platform.Behaviour
 	}{
 		"sick": {"sick = true", "became unhealthy in range", platform.Fails},
 		"late": {"late = 0.3", "of webhooks late in the ranges that move", platform.Slow(3 * time.Second / 2)},
@@ -163,7 +163,7 @@
 			rules := "stop_when { " + test.stop + " }\n"
 			m := startInterruptedPlan(t, rules)
 			require.NoError(t, m.cluster.Platform.Destination(m.moved).BeginOutage(test.does))
-			who := m.cluster.AwaitLog(m.offsets, "plan stopped", test.why)
+			who := m.cluster.AwaitLog(m.offsets, "plan stopped", test.reason)
 			m.awaitRollBack(t)
 			m.cluster.Eventually("/metrics shows it", func() bool { v, _ := who.Metric("plan_stopped"); return v == "1" })
 			require.NoError(t, m.cluster.Platform.Destination(m.moved).SetBehaviour(platform.Delivers))
@@ -171,7 +171,7 @@
 			sleepTTLs(3) // it stays stopped, whatever recovers
 			assert.Equal(t, m.source, m.cluster.Owner(m.blocked))
 			m.cluster.ReloadOperatorFiles(m.operatorBlocks(true, rules))
-			m.cluster.Eventually("it goes on", func() bool { return m.cluster.Owner(m.blocked) == m.blockedTarget })
+			m.cluster.Eventually("the plan resumes", func() bool { return m.cluster.Owner(m.blocked) == m.blockedTarget })
 			m.finish()
 		})
 	}
@@ -209,24 +209,24 @@
 	})
 	stop, offsets, drained := startLoadAt(c, c.Members[4], lowRate, 1, 2, 3, 4), c.LogOffsets(), c.Members[3]
 	c.ReloadOperatorFiles("leave \"m4\" {}\nbounds { pause = \"1s\" }\nstop_when { rejected = 1 }\n")
-	conductor := c.AwaitLog(offsets, "INFO move planned ")
+	coordinator := c.AwaitLog(offsets, "INFO move planned ")
 	c.AwaitLog(offsets, "INFO move cleared ")
-	conductor.Kill()
+	coordinator.Kill()
 	next := c.LogOffsets()
 	another := c.AwaitLog(next, "INFO move planned ")
-	assert.NotEqual(t, conductor, another)
-	conductor.Start()
+	assert.NotEqual(t, coordinator, another)
+	coordinator.Start()
 	c.AwaitStable(drained)
 	for _, m := range c.Members {
-		_, anew := m.Log.Find(next[m], "plan adopted")
-		assert.False(t, anew, "%s made the plan again", m.Name)
+		_, isReplanned := m.Log.Find(next[m], "plan adopted")
+		assert.False(t, isReplanned, "%s adopted the plan again", m.Name)
 	}
 	stop()
 	c.Check(deliverycheck.Order)
 }
 
 // A pinned destination is split off under load and moves alone; once no rule needs that, the ranges are merged again.
-// Then the range can still move: nobody holds on to what was merged.
+// Then the range can still move: the lease of the merged range was released.
 func TestPlan_SplitsOffAndMergesADestination(t *testing.T) {
 	t.Parallel()
 	c := startLongTTLCluster(t, harness.Options{Members: 3, Ranges: 4}) // 2 and 4 lie in one range
@@ -240,12 +240,12 @@
 	stop := startLoadAt(c, target, lowRate, 2, 4)
 	before := len(c.ShardMap().Ranges)
 	c.ReloadOperatorFiles(fmt.Sprintf("pin \"p\" {\n  destinations = [2]\n  to = %q\n}\n", target.Name))
-	c.Eventually("it goes alone", func() bool { return c.Owner(2) == target })
+	c.Eventually("the destination moves alone", func() bool { return c.Owner(2) == target })
 	c.AwaitStable()
 	assert.Equal(t, owner, c.Owner(4))
 	assert.Len(t, c.ShardMap().Ranges, before+2)
 	c.ReloadOperatorFiles("")
-	c.Eventually("it is merged", func() bool { shards := c.ShardMap(); return shards != nil && len(shards.Ranges) == before })
+	c.Eventually("the ranges are merged", func() bool { shards := c.ShardMap(); return shards != nil && len(shards.Ranges) == before })
 	c.AwaitStable()
 	assert.Equal(t, owner, c.Owner(2))
 	c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", owner.Name))
--- a/test/integration/cluster/lease_test.go
+++ b/test/integration/cluster/lease_test.go
@@ -24,14 +24,14 @@
 // driftingClocks are rates as far apart as the operator file allows: a slow holder's clock beside a fast raft node's.
 var driftingClocks = map[string]float64{"m1": 1.05, "m2": 1.05, "m3": 0.95, "m4": 0.95}
 
-// There are never two holders at once, whatever happens to one of them.
+// There are never two holders at once, whatever fault one of them has.
 func TestLease_OneHolderAfterEachFault(t *testing.T) {
 	t.Parallel()
 	c := startLeaseChecked(t, driftingClocks)
 	for _, test := range []struct {
-		name    string
-		follows bool // another one takes it while the fault lasts
-		begin   func(m *harness.Member) (end func())
+		name      string
+		failsOver bool // another member acquires the lease while the fault lasts
+		begin     func(m *harness.Member) (end func())
 	}{
 		{"killed", true, func(m *harness.Member) func() { m.Kill(); return m.Start }},
 		{"paused", true, func(m *harness.Member) func() { m.Pause(); return m.Resume }},
@@ -47,7 +47,7 @@
 		who, epoch := awaitOperation(c)
 		t.Logf("%s: %s with %d", test.name, who.Name, epoch)
 		end := test.begin(who)
-		if test.follows {
+		if test.failsOver {
 			awaitNewHolder(c, epoch)
 		} else {
 			sleepTTLs(2.5)
@@ -61,11 +61,11 @@
 }
 
 // partitionOneWay loses all that a member sends, or all that is sent to it.
-func partitionOneWay(c *harness.Cluster, m *harness.Member, says bool) {
+func partitionOneWay(c *harness.Cluster, m *harness.Member, outgoing bool) {
 	for _, other := range c.Members {
 		switch {
 		case other == m:
-		case says:
+		case outgoing:
 			c.Network.SetFault(m.Name, other.Name, harness.OneWayPartition)
 		default:
 			c.Network.SetFault(other.Name, m.Name, harness.OneWayPartition)
@@ -84,7 +84,7 @@
 		who.Resume()
 		awaitOperations(c)
 		c.Check()
-		require.False(t, t.Failed(), "%g terms", ttls)
+		require.False(t, t.Failed(), "%g TTLs", ttls)
 	}
 }
 
--- a/test/integration/cluster/linkfault_test.go
+++ b/test/integration/cluster/linkfault_test.go
@@ -11,11 +11,11 @@
 )
 
 // After each step of a move, its source, its target and the coordinator may be paused for more than a lease TTL, or
-// partitioned: they go on afterwards with the state that they had, and what was in flight arrives late.
+// partitioned: afterwards they continue with their old state, and messages in flight arrive late.
 func TestMove_PauseOrPartitionAfterEachStep(t *testing.T) {
 	steps := []string{"move planned", "move warming", "move handing off", "range ownership switched", "move cleared"}
 	for _, step := range steps {
-		for _, how := range []string{"stopped", "cut off"} {
+		for _, how := range []string{"paused", "partitioned"} {
 			t.Run(step+", "+how, func(t *testing.T) {
 				t.Parallel()
 				c := startCluster(t, harness.Options{
@@ -26,12 +26,12 @@
 				})
 				slowDestinations(t, c)
 				stop := startLoad(c)
-				for _, role := range []string{"source", "target", "conductor"} {
+				for _, role := range []string{"source", "target", "coordinator"} {
 					drained, offsets := ownerOfMostRanges(c), c.LogOffsets()
 					c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", drained.Name))
 					who := awaitRole(c, role, step, drained, offsets)
 					t.Logf("%s leaves, %s, %s, is %s", drained.Name, role, who.Name, how)
-					if how == "stopped" {
+					if how == "paused" {
 						who.Pause()
 						sleepTTLs(1.6)
 						who.Resume()
@@ -49,23 +49,23 @@
 	}
 }
 
-// awaitRole waits for a step of a move and returns the member that has a role in it.
+// awaitRole waits until a step of a move is logged and returns the member with a role in the move.
 func awaitRole(c *harness.Cluster, role, step string, drained *harness.Member,
 	offsets map[*harness.Member]int) *harness.Member {
-	said := c.AwaitLog(offsets, "INFO "+step+" ")
+	logger := c.AwaitLog(offsets, "INFO "+step+" ")
 	switch role {
 	case "target":
-		if line, ok := said.Log.Find(offsets[said], "INFO "+step+" ", " to="); ok {
+		if line, ok := logger.Log.Find(offsets[logger], "INFO "+step+" ", " to="); ok {
 			return c.Member(targetField.FindStringSubmatch(line.Text)[1])
 		}
-		return said
-	case "conductor":
+		return logger
+	case "coordinator":
 		return c.AwaitLog(offsets, "INFO move planned ")
 	}
 	return drained
 }
 
-// Links that are only bad lead to no second holder, and to no second call with a webhook.
+// Links that are delayed, throttled or reset cause no second holder, and no second call with a webhook.
 func TestLease_DelayedThrottledAndResetLinks(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, harness.Options{
@@ -76,8 +76,11 @@
 	})
 	slowDestinations(t, c)
 	stop := startLoad(c)
-	for name, fault := range map[string]harness.Fault{"late": harness.Delayed(leaseTTL / 4), "slow": harness.Throttled(4000),
-		"half-way": harness.ResetAfterBytes(900)} {
+	for name, fault := range map[string]harness.Fault{
+		"delayed":   harness.Delayed(leaseTTL / 4),
+		"throttled": harness.Throttled(4000),
+		"reset":     harness.ResetAfterBytes(900),
+	} {
 		who, _ := awaitOperation(c)
 		for _, m := range []*harness.Member{who, c.AwaitLeader()} {
 			c.Network.Isolate(fault, m.Name)
--- a/test/integration/cluster/move_test.go
+++ b/test/integration/cluster/move_test.go
@@ -24,22 +24,12 @@
 			c := startCluster(t, harness.Options{Members: 4, RaftNodes: 3, Ranges: 8})
 			slowDestinations(t, c)
 			stop := startLoad(c)
-			for _, role := range []string{"source", "target", "conductor"} {
+			for _, role := range []string{"source", "target", "coordinator"} {
 				drained := ownerOfMostRanges(c)
 				offsets := c.LogOffsets()
 				t.Logf("%s leaves, %s killed", drained.Name, role)
 				c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\n", drained.Name))
-				said := c.AwaitLog(offsets, "INFO "+step+" ")
-				who := drained
-				switch role {
-				case "target":
-					who = said
-					if line, ok := said.Log.Find(offsets[said], "INFO "+step+" ", " to="); ok {
-						who = c.Member(targetField.FindStringSubmatch(line.Text)[1])
-					}
-				case "conductor":
-					who = c.AwaitLog(offsets, "INFO move planned ")
-				}
+				who := awaitRole(c, role, step, drained, offsets)
 				who.Kill()
 				c.AwaitServed()
 				who.Start()
--- a/test/integration/cluster/ownership_test.go
+++ b/test/integration/cluster/ownership_test.go
@@ -15,9 +15,8 @@
 	"rowanlink/test/integration/harness"
 )
 
-// No range has two owners, and the map neither goes back nor names a member that wasn't an owner: the logs of all
-// members and the maps of each raft node, over moves with a kill, a pause and a partition, are a history that one lock
-// and one map could have.
+// The logs of all members and the maps read from each raft node, over moves with a kill, a pause and a partition, are a
+// linearizable history of one lock and one register for each range.
 func TestOwnership_HistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, harness.Options{
@@ -46,9 +45,9 @@
 			func(*harness.Member) *harness.Member { return c.AwaitLeader() },
 		} {
 			drained, offsets := ownerOfMostRanges(c), c.LogOffsets()
-			round++ // a plan that is the running one changes nothing
+			round++ // so that each plan differs from the running one
 			c.ReloadOperatorFiles(fmt.Sprintf("leave %q {}\nbounds { moves_at_once = %d }\n", drained.Name, 2+round))
-			c.Eventually("a move is under way", func() bool {
+			c.Eventually("a move is in progress", func() bool {
 				return c.FindLog(offsets, "INFO move handing off ") != nil || c.FindLog(offsets, "INFO plan adopted ") != nil
 			})
 			fault(who(drained))()
@@ -60,18 +59,18 @@
 	views.Check()
 	require.False(t, t.Failed())
 
-	// The same past, made wrong in one place: the check would have seen it.
+	// The same history with one wrong event is rejected, so that the check can fail.
 	last, others := lastOwnerGrant(t, views.Events())
-	for name, spoil := range map[string]func(p *leasecheck.OwnershipEvent){
+	for name, corrupt := range map[string]func(p *leasecheck.OwnershipEvent){
 		"granted by an epoch that is gone by": func(p *leasecheck.OwnershipEvent) { p.Epoch = 1 },
 		"granted before all others":           func(p *leasecheck.OwnershipEvent) { p.Until = 1 },
 		"granted to another":                  func(p *leasecheck.OwnershipEvent) { p.Member += "'" },
 	} {
 		wrong := last
-		spoil(&wrong)
-		could, err := leasecheck.CheckOwnership(append([]leasecheck.OwnershipEvent{wrong}, others...), leaseTTL*60)
+		corrupt(&wrong)
+		possible, err := leasecheck.CheckOwnership(append([]leasecheck.OwnershipEvent{wrong}, others...), leaseTTL*60)
 		require.NoError(t, err)
-		assert.False(t, could, name)
+		assert.False(t, possible, name)
 	}
 }
 
--- a/test/integration/harness/await.go
+++ b/test/integration/harness/await.go
@@ -50,7 +50,7 @@
 	return leader
 }
 
-// reportsLeading asks a raft node whether it leads.
+// reportsLeading reports whether a raft node leads, by its metrics.
 func (m *Member) reportsLeading() bool {
 	value, ok := m.Metric("keeper_leading")
 	return ok && value == "1"
--- a/test/integration/harness/cluster_test.go
+++ b/test/integration/harness/cluster_test.go
@@ -172,7 +172,7 @@
 	}
 	assert.LessOrEqual(t, m.LargestFile(), int64(4096))
 	m.AwaitLog("file too large")
-	assert.Positive(t, c.Platform.Checker.Counts().Rejected, "nobody is told that it was taken on")
+	assert.Positive(t, c.Platform.Checker.Counts().Rejected, "no webhook was rejected")
 	c.Check()
 }
 
--- a/test/integration/harness/network.go
+++ b/test/integration/harness/network.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fault is what happens to the data on its way from one member to another. The zero value is no fault.
+// Fault is a fault of the link from one member to another. The zero value is no fault.
 type Fault struct {
 	HoldData          bool          // it is held back, and arrives once the fault is over
 	HangConnections   bool          // new connections aren't established
--- a/test/integration/harness/ownership.go
+++ b/test/integration/harness/ownership.go
@@ -121,7 +121,7 @@
 }
 
 // dropUnconfirmed drops the publications of an owner whose response was lost, except those that a map shows and that
-// no other event tells of.
+// no other event records.
 func dropUnconfirmed(events, observed []leasecheck.OwnershipEvent) (kept []leasecheck.OwnershipEvent) {
 	var unconfirmed []leasecheck.OwnershipEvent
 	for _, e := range events {
--- a/test/integration/harness/ownershiplog.go
+++ b/test/integration/harness/ownershiplog.go
@@ -28,7 +28,7 @@
 	epochField    = regexp.MustCompile(` epoch=(\d+)`)
 )
 
-// logLease is a lease that a member's log tells of.
+// logLease is a lease by a member's log.
 type logLease struct {
 	epoch     uint64
 	grantedAt api.Micros
@@ -46,7 +46,7 @@
 	processes int                             // that run, by the harness's own lines
 }
 
-// addLogEvents adds the events that one member's log tells of.
+// addLogEvents adds the events in one member's log.
 func addLogEvents(member string, lines []subprocess.Line, events map[cluster.Resource][]leasecheck.OwnershipEvent) {
 	r := &logReader{
 		member:    member,
--- a/test/integration/harness/usage.go
+++ b/test/integration/harness/usage.go
@@ -39,6 +39,6 @@
 			return kib << 10
 		}
 	}
-	m.cluster.t.Fatalf("%s tells no VmRSS", m.Name)
+	m.cluster.t.Fatalf("no VmRSS of %s", m.Name)
 	return 0
 }
