--- a/serving/core/endpoints_test.go
+++ b/serving/core/endpoints_test.go
@@ -139,30 +139,35 @@
 
 func TestEndpointRestorer_RestoresConfirmedOnly(t *testing.T) {
 	saved := savedEndpoints(
-		savedEndpoint("lives", "m", state.EndpointAccepting),
+		savedEndpoint("live", "m", state.EndpointAccepting),
 		savedEndpoint("dead", "m", state.EndpointAccepting),
-		savedEndpoint("closing", "m", state.EndpointDraining),
+		savedEndpoint("draining", "m", state.EndpointDraining),
 		savedEndpoint("others", "n", state.EndpointAccepting),
-		savedEndpoint("beat", "m", state.EndpointAccepting),
+		savedEndpoint("heartbeat", "m", state.EndpointAccepting),
 	)
 	table := newTable(t)
-	table.ReceiveHeartbeat("beat", endpoints.Heartbeat{Service: "plain", Address: "beat:80", Zone: "z", Sequence: 8})
+	table.ReceiveHeartbeat("heartbeat", endpoints.Heartbeat{
+		Service:  "plain",
+		Address:  "heartbeat:80",
+		Zone:     "z",
+		Sequence: 8,
+	})
 	f := newRestorerFixture(t, saved, table)
 	f.run(t.Context())
-	assert.ElementsMatch(t, []string{"lives/health", "dead/health"}, f.checked)
-	assert.Equal(t, []string{"lives"}, f.published)
+	assert.ElementsMatch(t, []string{"live/health", "dead/health"}, f.checked)
+	assert.Equal(t, []string{"live"}, f.published)
 	var known []string
 	for _, endpoint := range table.Live() {
 		known = append(known, endpoint.ID)
-		if endpoint.ID == "lives" {
+		if endpoint.ID == "live" {
 			assert.InDelta(t, 1500, endpoint.WarmupLeftMillis, 1000, "as the endpoint reports it")
 		}
 	}
-	assert.Equal(t, []string{"beat", "lives"}, known)
+	assert.Equal(t, []string{"heartbeat", "live"}, known)
 }
 
 func TestEndpointRestorer_FailingDisk(t *testing.T) {
-	saved := savedEndpoints(savedEndpoint("lives", "m", state.EndpointAccepting))
+	saved := savedEndpoints(savedEndpoint("live", "m", state.EndpointAccepting))
 	saved.failAt = 1
 	f := newRestorerFixture(t, saved, newTable(t))
 	f.run(t.Context())
@@ -171,7 +176,7 @@
 
 func TestEndpointRestorer_TimesOutWithoutRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		saved := savedEndpoints(savedEndpoint("lives", "m", state.EndpointAccepting))
+		saved := savedEndpoints(savedEndpoint("live", "m", state.EndpointAccepting))
 		table := endpoints.Start(endpoints.Options{Self: "m", HeartbeatInterval: time.Second}, time.Now)
 		defer table.Stop()
 		f := newRestorerFixture(t, saved, table)
@@ -190,7 +195,7 @@
 		saved := &fakeEndpointStore{failAt: point}
 		log := zerolog.Nop()
 		s := &endpointSaver{table: table, store: saved, log: &log}
-		beat := func(id string, sequence uint64, draining bool) {
+		sendHeartbeat := func(id string, sequence uint64, draining bool) {
 			table.ReceiveHeartbeat(id, endpoints.Heartbeat{
 				Service:  "plain",
 				Address:  id + ":80",
@@ -199,15 +204,15 @@
 				Draining: draining,
 			})
 		}
-		beat("a", 1, false)
+		sendHeartbeat("a", 1, false)
 		s.save()
-		beat("b", 1, false)
+		sendHeartbeat("b", 1, false)
 		s.save()
-		beat("a", 2, true)
+		sendHeartbeat("a", 2, true)
 		s.save()
 		table.Deregister("a")
 		s.save()
-		beat("c", 1, false)
+		sendHeartbeat("c", 1, false)
 		s.save()
 		s.save()
 		assert.Len(t, saved.saved, 2, "point %d", point)
@@ -245,7 +250,12 @@
 				w.WriteHeader(answer.status)
 			}))
 			defer server.Close()
-			endpoint := state.Endpoint{ID: "i-1", Address: server.Listener.Addr().String(), WarmupLeftMillis: 900, Unresponsive: true}
+			endpoint := state.Endpoint{
+				ID:               "i-1",
+				Address:          server.Listener.Addr().String(),
+				WarmupLeftMillis: 900,
+				Unresponsive:     true,
+			}
 			got, err := newHealthChecker().check(t.Context(), endpoint, "/health")
 			if !answer.confirmed {
 				assert.Error(t, err)
--- a/serving/quorum/checker_test.go
+++ b/serving/quorum/checker_test.go
@@ -28,13 +28,59 @@
 		known     bool
 		hasQuorum bool
 	}{
-		{"unknown", nil, nil, nil, 1, false, true},
-		{"the only voter", voters{"self"}, nil, nil, 0, true, true},
-		{"partitioned", voters{"self", "a", "b"}, nil, []string{"a", "b"}, 1, true, false},
-		{"with one other voter", voters{"self", "a", "b"}, []string{"b"}, []string{"a", "b"}, 1, true, true},
-		{"a minority of five", voters{"self", "a", "b", "c", "d"}, []string{"a"}, []string{"a", "b", "c", "d"}, 2, true, false},
-		{"a learner needs two of three", voters{"a", "b", "c"}, []string{"a"}, []string{"a", "b", "c"}, 2, true, false},
-		{"a learner with two of three", voters{"a", "b", "c"}, []string{"a", "c"}, []string{"a", "b", "c"}, 2, true, true},
+		{
+			name:      "unknown",
+			needed:    1,
+			hasQuorum: true,
+		},
+		{
+			name:      "the only voter",
+			voters:    voters{"self"},
+			needed:    0,
+			known:     true,
+			hasQuorum: true,
+		},
+		{
+			name:   "partitioned",
+			voters: voters{"self", "a", "b"},
+			others: []string{"a", "b"},
+			needed: 1,
+			known:  true,
+		},
+		{
+			name:      "with one other voter",
+			voters:    voters{"self", "a", "b"},
+			live:      []string{"b"},
+			others:    []string{"a", "b"},
+			needed:    1,
+			known:     true,
+			hasQuorum: true,
+		},
+		{
+			name:   "a minority of five",
+			voters: voters{"self", "a", "b", "c", "d"},
+			live:   []string{"a"},
+			others: []string{"a", "b", "c", "d"},
+			needed: 2,
+			known:  true,
+		},
+		{
+			name:   "a learner needs two of three",
+			voters: voters{"a", "b", "c"},
+			live:   []string{"a"},
+			others: []string{"a", "b", "c"},
+			needed: 2,
+			known:  true,
+		},
+		{
+			name:      "a learner with two of three",
+			voters:    voters{"a", "b", "c"},
+			live:      []string{"a", "c"},
+			others:    []string{"a", "b", "c"},
+			needed:    2,
+			known:     true,
+			hasQuorum: true,
+		},
 	} {
 		live := map[string]bool{}
 		for _, address := range test.live {
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -45,13 +45,13 @@
 	distinguished []string // replicas that the fields above name
 }
 
-// configured returns an update that sets the first configuration.
-func configured(version uint64) Update {
+// setFirstConfiguration returns an update that sets the first configuration.
+func setFirstConfiguration(version uint64) Update {
 	return ReplaceConfiguration(0, state.Configuration{Version: version})
 }
 
-// swap replaces a voter by r4.
-func swap(former string) Update { return ReplaceReplica(former, replicaNamed("r4")) }
+// replaceByR4 returns an update that replaces a voter by r4.
+func replaceByR4(former string) Update { return ReplaceReplica(former, replicaNamed("r4")) }
 
 // replicaNamed returns a replica with equal ID and address.
 func replicaNamed(id string) state.Replica { return state.Replica{ID: id, Address: id} }
@@ -62,86 +62,86 @@
 		attempts:      2,
 		distinguished: []string{"r4"},
 		scripts: [2][]Update{
-			{configured(1)},
-			{configured(2)},
+			{setFirstConfiguration(1)},
+			{setFirstConfiguration(2)},
 		},
 	}
 	replacementScenario = scenario{
-		name:          "a change beside a swap of replicas",
+		name:          "a change concurrent with the replacement of a voter",
 		attempts:      2,
 		distinguished: []string{"r3", "r4"},
 		scripts: [2][]Update{
-			{configured(1)},
-			{swap("r3"), confirmOnly},
+			{setFirstConfiguration(1)},
+			{replaceByR4("r3"), confirmOnly},
 		},
 	}
 	diskLossScenario = scenario{
-		name:          "a change beside the loss of a disk and the join of its successor",
+		name:          "a change concurrent with a disk loss and the join of the successor",
 		attempts:      2,
 		distinguished: []string{"r3", "r4"},
 		losesDisk:     "r3",
 		scripts: [2][]Update{
-			{configured(1)},
-			{swap("r3")},
+			{setFirstConfiguration(1)},
+			{replaceByR4("r3")},
 		},
 	}
 	resendScenario = scenario{
-		name:          "an order sent again elsewhere, and another on the same base",
+		name:          "a change resent through another proposer, and another one on the same base",
 		attempts:      2,
 		distinguished: []string{"r4"},
 		scripts: [2][]Update{
-			{configured(1)},
-			{configured(1), configured(2)},
+			{setFirstConfiguration(1)},
+			{setFirstConfiguration(1), setFirstConfiguration(2)},
 		},
 	}
 	successiveScenario = scenario{
-		name:          "two changes of the voters in a row beside a change",
+		name:          "two successive changes of the voters concurrent with a change",
 		attempts:      1,
 		distinguished: []string{"r1", "r2", "r4", "r5"},
 		scripts: [2][]Update{
-			{swap("r1"), ReplaceReplica("r2", replicaNamed("r5"))},
-			{configured(1)},
+			{replaceByR4("r1"), ReplaceReplica("r2", replicaNamed("r5"))},
+			{setFirstConfiguration(1)},
 		},
 	}
 	growthScenario = scenario{
-		name:          "two learners become voters beside a change",
+		name:          "two learners become voters concurrently with a change",
 		attempts:      1,
 		distinguished: []string{"r4", "r5"},
 		scripts: [2][]Update{
 			{addBoth},
-			{configured(1)},
+			{setFirstConfiguration(1)},
 		},
 	}
 	// transferScenario is a planned shutdown: r1 transfers its vote to r4 and leaves for good, at any moment. After the
 	// transfer, or instead of it, r2 loses its disk.
 	transferScenario = scenario{
-		name:          "an end by plan and a lost disk",
+		name:          "a planned shutdown and a disk loss",
 		attempts:      2,
 		distinguished: []string{"r1", "r2", "r4"},
 		departing:     "r1",
 		losesDisk:     "r2",
 		progress:      true,
 		scripts: [2][]Update{
-			{swap("r1"), confirmOnly},
-			{configured(1)},
+			{replaceByR4("r1"), confirmOnly},
+			{setFirstConfiguration(1)},
 		},
 	}
 	transferAloneScenario = scenario{
-		name:          "an end by plan and a lost disk, without another change",
+		name:          "a planned shutdown and a disk loss, without another change",
 		attempts:      2,
 		distinguished: []string{"r1", "r2", "r4"},
 		departing:     "r1",
 		losesDisk:     "r2",
 		progress:      true,
 		scripts: [2][]Update{
-			{swap("r1"), confirmOnly},
+			{replaceByR4("r1"), confirmOnly},
 			{},
 		},
 	}
 	// evacuationScenario is one operator who begins an evacuation, possibly gives up, and ends it through another
 	// machine.
 	evacuationScenario = scenario{
-		name:          "an evacuation's begin that may be given up, then its end",
+		name:          "the begin of an evacuation that may be abandoned, then its end",
 		attempts:      2,
 		distinguished: []string{"r4"},
 		sequential:    true,
@@ -152,7 +152,7 @@
 	}
 	// joinScenario is a mutant, a former rule: the successor of r1 is added to the set, which then has four voters.
 	joinScenario = scenario{
-		name:          "a join before an end by plan, and a lost disk",
+		name:          "a join before a planned shutdown, and a disk loss",
 		attempts:      2,
 		distinguished: []string{"r1", "r2", "r4"},
 		departing:     "r1",
--- a/serving/register/explore_test.go
+++ b/serving/register/explore_test.go
@@ -131,7 +131,8 @@
 	for queue := []*exploredNode{first}; len(queue) > 0; queue = queue[1:] {
 		node := queue[0]
 		queue[0] = nil
-		result.states, result.depth = len(known), node.depth
+		result.states = len(known)
+		result.depth = node.depth
 		if len(known) >= maxStates {
 			return result
 		}
@@ -147,7 +148,8 @@
 			}
 			reached := &exploredNode{state: next, parent: node, event: event, depth: node.depth + 1}
 			if next.problem != "" && result.problem == "" {
-				result.problem, result.events = next.problem, reached.events()
+				result.problem = next.problem
+				result.events = reached.events()
 			}
 			queue = append(queue, reached)
 		})
@@ -176,7 +178,8 @@
 		if s.attempts == 1 {
 			continue
 		}
-		s.name, s.attempts = s.name+", one attempt each", 1
+		s.name += ", one attempt each"
+		s.attempts = 1
 		all = append(all, s)
 	}
 	for _, s := range all {
@@ -210,12 +213,12 @@
 		scenario scenario
 		rules    exploredRules
 	}{
-		"a replica accepts below its promise":        {raceScenario, forgetful},
-		"a swap is accepted by the new set alone":    {replacementScenario, newSetAlone},
-		"a replica that lost its disk keeps its ID":  {diskLossScenario, sameID},
-		"a successor is added to an odd set":         {joinScenario, actualRules},
-		"a voter leaves while its change is joint":   {ignoresOutgoing, actualRules},
-		"an end that changes nothing writes nothing": {withoutFence, actualRules},
+		"a replica accepts below its promise":            {raceScenario, forgetful},
+		"a replacement is accepted by the new set alone": {replacementScenario, newSetAlone},
+		"a replica that lost its disk keeps its ID":      {diskLossScenario, sameID},
+		"a successor is added to an odd set":             {joinScenario, actualRules},
+		"a voter leaves while its change is joint":       {ignoresOutgoing, actualRules},
+		"an end that changes nothing writes nothing":     {withoutFence, actualRules},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/serving/register/faultinjector_test.go
+++ b/serving/register/faultinjector_test.go
@@ -56,7 +56,10 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.counts = [4]int{}
-	f.armed, f.target, f.targetCount, f.fault = true, point, count, fault
+	f.armed = true
+	f.target = point
+	f.targetCount = count
+	f.fault = fault
 }
 
 func (f *faultInjector) hasInjected() bool {
--- a/serving/register/fuzz_test.go
+++ b/serving/register/fuzz_test.go
@@ -1,6 +1,7 @@
 package register
 
 import (
+	"math"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -12,6 +13,7 @@
 
 // encodeMessage returns a message as it is sent.
 func encodeMessage(f *testing.F, message any) []byte {
+	f.Helper()
 	data, err := cbor.Marshal(message)
 	require.NoError(f, err)
 	return data
@@ -32,17 +34,23 @@
 // fuzzState returns a state whose promise is above what was accepted.
 func fuzzState() AcceptorState {
 	set := state.ReplicaSet{Epoch: 2, Replicas: []state.Replica{{ID: "r1", Address: "a:1"}, {ID: "r2"}, {ID: "r3"}}}
-	return AcceptorState{ReplicaID: "r1", Promised: Ballot{9, "p"}, Accepted: Ballot{7, "q"},
-		Proposal: Proposal{Record: state.Record{Revision: 5, Voters: set}}}
+	return AcceptorState{
+		ReplicaID: "r1",
+		Promised:  Ballot{Number: 9, Proposer: "p"},
+		Accepted:  Ballot{Number: 7, Proposer: "q"},
+		Proposal:  Proposal{Record: state.Record{Revision: 5, Voters: set}},
+	}
 }
 
 // FuzzRequests checks that no request makes a replica break a promise, and that each answer can be encoded.
 func FuzzRequests(f *testing.F) {
 	own := fuzzState()
-	f.Add(encodeMessage(f, PrepareRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, KnownBallot: own.Accepted, Epoch: 2}))
-	f.Add(encodeMessage(f, AcceptRequest{ReplicaID: "r1", Ballot: Ballot{10, "p"}, Proposal: own.Proposal, Epoch: 2}))
+	higher := Ballot{Number: 10, Proposer: "p"}
+	highest := Ballot{Number: math.MaxUint64, Proposer: "z"}
+	f.Add(encodeMessage(f, PrepareRequest{ReplicaID: "r1", Ballot: higher, KnownBallot: own.Accepted, Epoch: 2}))
+	f.Add(encodeMessage(f, AcceptRequest{ReplicaID: "r1", Ballot: higher, Proposal: own.Proposal, Epoch: 2}))
 	f.Add(encodeMessage(f, QueryRequest{ReplicaID: "r1", Epoch: 2}))
-	f.Add(encodeMessage(f, PrepareRequest{ReplicaID: "r2", Ballot: Ballot{^uint64(0), "z"}}))
+	f.Add(encodeMessage(f, PrepareRequest{ReplicaID: "r2", Ballot: highest}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		before := fuzzState()
 		var prepare PrepareRequest
@@ -70,6 +78,7 @@
 }
 
 func checkStep(t *testing.T, before AcceptorState, requestedID string, decided transition) {
+	t.Helper()
 	checkRoundTrip(t, &decided.vote)
 	assert.Equal(t, requestedID != before.ReplicaID, decided.vote.Result == WrongReplica)
 	if !decided.save {
@@ -86,10 +95,12 @@
 func FuzzVotes(f *testing.F) {
 	own := fuzzState()
 	proposal := own.Proposal
-	f.Add(encodeMessage(f, Vote{Result: Granted, Promised: own.Promised, Accepted: own.Accepted, Proposal: &proposal}), uint8(0))
+	withProposal := Vote{Result: Granted, Promised: own.Promised, Accepted: own.Accepted, Proposal: &proposal}
+	f.Add(encodeMessage(f, withProposal), uint8(0))
 	f.Add(encodeMessage(f, Vote{Result: Granted, CommittedVoters: &proposal.Record.Voters}), uint8(1))
-	f.Add(encodeMessage(f, Vote{Result: 200, Accepted: Ballot{1 << 63, "x"}}), uint8(2))
-	f.Fuzz(func(t *testing.T, data []byte, place uint8) {
+	ofNewerRelease := Vote{Result: 200, Accepted: Ballot{Number: 1 << 63, Proposer: "x"}}
+	f.Add(encodeMessage(f, ofNewerRelease), uint8(2))
+	f.Fuzz(func(t *testing.T, data []byte, voter uint8) {
 		var vote Vote
 		if cbor.Unmarshal(data, &vote) != nil {
 			return
@@ -109,7 +120,7 @@
 		assert.False(t, after.highestAccepted.Ballot.Before(before.highestAccepted.Ballot))
 		tally := newPrepareTally(before.committedVoters, before.highestAccepted)
 		for index, replica := range before.committedVoters.Replicas {
-			if index == int(place)%3 {
+			if index == int(voter)%3 {
 				tally.add(replica.ID, &vote)
 			} else {
 				tally.add(replica.ID, nil)
--- a/serving/register/linearizability_test.go
+++ b/serving/register/linearizability_test.go
@@ -115,20 +115,20 @@
 var model = porcupine.Model{
 	Init: func() any { return modelState{} },
 	Step: func(current, in, out any) (bool, any) {
-		now, asked, got := current.(modelState), in.(input), out.(output)
-		applied := strings.Contains(now.applied, asked.key())
-		fits := asked.basedOn == now.version && asked.version > now.version
-		next := modelState{version: asked.version, applied: now.applied + asked.key()}
+		now, operation, result := current.(modelState), in.(input), out.(output)
+		applied := strings.Contains(now.applied, operation.key())
+		fits := operation.basedOn == now.version && operation.version > now.version
+		next := modelState{version: operation.version, applied: now.applied + operation.key()}
 		switch {
-		case asked.read:
-			return got.version == now.version, now
-		case got.inDoubt && (applied || !fits):
+		case operation.read:
+			return result.version == now.version, now
+		case result.inDoubt && (applied || !fits):
 			return true, now
-		case got.inDoubt:
+		case result.inDoubt:
 			return true, next
-		case got.done && applied:
+		case result.done && applied:
 			return true, now
-		case got.done:
+		case result.done:
 			return fits, next
 		default:
 			return !applied && !fits, now
@@ -168,8 +168,15 @@
 		return errNoAnswer
 	}
 	document := fmt.Appendf(nil, "%d of client %d on %d", version, client, basedOn)
-	sent := sentUpdate{basedOn: basedOn, isAmendment: version%3 == 0, configuration: state.Configuration{Version: version,
-		Digest: state.DigestOf(document), Document: document}}
+	sent := sentUpdate{
+		basedOn:     basedOn,
+		isAmendment: version%3 == 0,
+		configuration: state.Configuration{
+			Version:  version,
+			Digest:   state.DigestOf(document),
+			Document: document,
+		},
+	}
 	s.history.mutex.Lock()
 	s.history.sent = append(s.history.sent, sent)
 	s.history.mutex.Unlock()
--- a/serving/register/membership_test.go
+++ b/serving/register/membership_test.go
@@ -163,7 +163,7 @@
 // TestChange_AbandonedChangeTakesNoEffectLater cancels a change at each point of time. If the result is that nothing
 // was changed, nothing may change later: the begin of an evacuation must not take effect after its end.
 func TestChange_AbandonedChangeTakesNoEffectLater(t *testing.T) {
-	unclear, unavailable := 0, 0
+	inDoubt, unavailable := 0, 0
 	for point := range 40 {
 		runSimulation(t, 3, func(t *testing.T, s *simulation) {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(point)*time.Millisecond)
@@ -178,12 +178,12 @@
 			case errcode.RegisterUnavailable.Is(err):
 				unavailable++
 			case errcode.RegisterInDoubt.Is(err):
-				unclear++
+				inDoubt++
 			}
 		})
 	}
 	assert.NotZero(t, unavailable)
-	assert.NotZero(t, unclear)
+	assert.NotZero(t, inDoubt)
 }
 
 // cancelledContext reports its end only by Err, as in a process that was suspended between two steps.
--- a/serving/register/networkfaults_test.go
+++ b/serving/register/networkfaults_test.go
@@ -15,7 +15,9 @@
 // clearFaults ends all faults of networks and disks. It starts no process.
 func (s *simulation) clearFaults() {
 	s.mutex.Lock()
-	s.partitioned, s.falselyDown, s.lossy = map[[2]string]bool{}, map[string]bool{}, false
+	s.partitioned = map[[2]string]bool{}
+	s.falselyDown = map[string]bool{}
+	s.lossy = false
 	s.mutex.Unlock()
 	for _, m := range s.all() {
 		m.setDiskFaults(false, 0)
@@ -26,5 +28,6 @@
 func (m *machine) setDiskFaults(failsSaves bool, delay time.Duration) {
 	m.disk.mutex.Lock()
 	defer m.disk.mutex.Unlock()
-	m.disk.failsSaves, m.disk.delay = failsSaves, delay
+	m.disk.failsSaves = failsSaves
+	m.disk.delay = delay
 }
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -122,8 +122,12 @@
 	}
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
-	reached := &partialTransport{script: s, prepare: argument(data, "prepare"), accept: argument(data, "accept"),
-		query: argument(data, "query")}
+	reached := &partialTransport{
+		script:  s,
+		prepare: argument(data, "prepare"),
+		accept:  argument(data, "accept"),
+		query:   argument(data, "query"),
+	}
 	p := newProposer(life, id, reached, &commitNotifier{}, func() {})
 	defer p.close()
 	p.learned.Send(func(l *learnedState) { *l = *s.proposers[id] })
@@ -174,7 +178,8 @@
 	}
 	switch words[0] {
 	case "configure": // on what, which version, which document
-		return ReplaceConfiguration(number(1), state.Configuration{Version: number(2), Digest: state.DigestOf([]byte(words[3]))})
+		digest := state.DigestOf([]byte(words[3]))
+		return ReplaceConfiguration(number(1), state.Configuration{Version: number(2), Digest: digest})
 	case "evacuate":
 		return SetEvacuation(words[1], true)
 	case "return":
@@ -220,8 +225,11 @@
 		if replica.Proposal.isJoint() {
 			pending = " pending"
 		}
-		fmt.Fprintf(&lines, "%s promised=%d%s accepted=%d%s %s%s\n", replica.ReplicaID, replica.Promised.Number,
-			replica.Promised.Proposer, replica.Accepted.Number, replica.Accepted.Proposer, printedRecord(&replica.Proposal.Record), pending)
+		fmt.Fprintf(&lines, "%s promised=%d%s accepted=%d%s %s%s\n",
+			replica.ReplicaID,
+			replica.Promised.Number, replica.Promised.Proposer,
+			replica.Accepted.Number, replica.Accepted.Proposer,
+			printedRecord(&replica.Proposal.Record), pending)
 	}
 	return lines.String()
 }
--- a/serving/register/simulateddisk_test.go
+++ b/serving/register/simulateddisk_test.go
@@ -51,7 +51,8 @@
 		own.mutex.Unlock()
 		return errDiskFailure
 	}
-	own.saved, own.found = next, true
+	own.saved = next
+	own.found = true
 	own.mutex.Unlock()
 	return d.machine.simulation.faults.injectAtSave(afterSave, d.run)
 }
--- a/serving/register/simulatedmachine_test.go
+++ b/serving/register/simulatedmachine_test.go
@@ -154,7 +154,8 @@
 func (m *machine) wipe() {
 	m.disk.mutex.Lock()
 	defer m.disk.mutex.Unlock()
-	m.disk.saved, m.disk.found = AcceptorState{}, false
+	m.disk.saved = AcceptorState{}
+	m.disk.found = false
 }
 
 func (m *machine) running() *processRun {
--- a/serving/register/simulation_test.go
+++ b/serving/register/simulation_test.go
@@ -53,8 +53,11 @@
 
 // add adds a machine that has never run, at the address with a number.
 func (s *simulation) add(number int) *machine {
-	m := &machine{simulation: s, address: fmt.Sprintf("10.0.0.%d:%d", number+1, simulatedPort),
-		zone: fmt.Sprintf("zone-%d", number)}
+	m := &machine{
+		simulation: s,
+		address:    fmt.Sprintf("10.0.0.%d:%d", number+1, simulatedPort),
+		zone:       fmt.Sprintf("zone-%d", number),
+	}
 	m.disk = &simulatedDisk{machine: m}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/serving/register/sockets_test.go
+++ b/serving/register/sockets_test.go
@@ -51,15 +51,25 @@
 	var nodes []*register.Node
 	for _, listener := range listeners {
 		ip := listener.Addr().(*net.TCPAddr).IP.String()
-		process := &settings.Process{IP: ip, FirstPort: port, FirstRun: true,
-			Seeds: []string{"127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80"}}
+		process := &settings.Process{
+			IP:        ip,
+			FirstPort: port,
+			FirstRun:  true,
+			Seeds:     []string{"127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80"},
+		}
 		storage := store.Open(t.TempDir(), &log)
 		t.Cleanup(storage.Close)
 		client := rpc.NewClient()
 		t.Cleanup(client.Close)
 		mux := http.NewServeMux()
-		node, err := register.Start(t.Context(), register.NodeOptions{Settings: process, Storage: storage, Client: client,
-			Mux: mux, Log: &log, Committed: func(record state.Record) { committed <- record }})
+		node, err := register.Start(t.Context(), register.NodeOptions{
+			Settings:  process,
+			Storage:   storage,
+			Client:    client,
+			Mux:       mux,
+			Log:       &log,
+			Committed: func(record state.Record) { committed <- record },
+		})
 		require.NoError(t, err)
 		t.Cleanup(node.Close)
 		server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}}
--- a/serving/register/uncommitted_test.go
+++ b/serving/register/uncommitted_test.go
@@ -37,9 +37,9 @@
 			defer s.stopAll()
 			s.startAll()
 			s.awaitStable(joinDeadline)
-			maker := s.machines[0]
-			time.AfterFunc(time.Duration(point)*2*time.Millisecond, maker.crash)
-			err := s.replace(maker, 1, 0, 3)
+			proposer := s.machines[0]
+			time.AfterFunc(time.Duration(point)*2*time.Millisecond, proposer.crash)
+			err := s.replace(proposer, 1, 0, 3)
 			time.Sleep(500 * time.Millisecond)
 			finished += s.finishAllUncommitted()
 			s.shareRecords()
@@ -93,8 +93,8 @@
 }
 
 // newestIsJoint reports whether the newest proposal is joint.
-func (s *simulation) newestIsJoint(t *testing.T, asking *Node) bool {
-	votes, err := asking.proposer.query(t.Context(), time.Second)
+func (s *simulation) newestIsJoint(t *testing.T, reader *Node) bool {
+	votes, err := reader.proposer.query(t.Context(), time.Second)
 	require.NoError(t, err)
 	return votes.highestAccepted.Proposal.isJoint()
 }
--- a/serving/register/update_test.go
+++ b/serving/register/update_test.go
@@ -84,11 +84,10 @@
 	assert.Equal(t, ErrNoChange, err, "a replacement by what is in force")
 	_, err = AmendConfiguration(9, other, amend)(third)
 	assert.True(t, errcode.VersionNotAbove.Is(err), "%v", err)
-	refusal := errcode.ServiceUnknown.With("x")
-	_, err = AmendConfiguration(9, state.AppliedUpdate{Version: 10}, func(state.Configuration) (state.Configuration, error) {
-		return state.Configuration{}, refusal
-	})(third)
-	assert.Equal(t, refusal, err)
+	rejection := errcode.ServiceUnknown.With("x")
+	reject := func(state.Configuration) (state.Configuration, error) { return state.Configuration{}, rejection }
+	_, err = AmendConfiguration(9, state.AppliedUpdate{Version: 10}, reject)(third)
+	assert.Equal(t, rejection, err)
 }
 
 func isNoChange(err error) bool { return errors.Is(err, ErrNoChange) }
--- a/serving/register/voterplacement_test.go
+++ b/serving/register/voterplacement_test.go
@@ -32,29 +32,42 @@
 func TestVoterPlacement_NextVoters(t *testing.T) {
 	for _, test := range []struct {
 		name, voters, learners, down, expired, expected string
-		wanted                                          int
+		desired                                         int
 	}{
 		{name: "all is as it should be", voters: "a b c", learners: "d", expected: ""},
 		{name: "a down voter is replaced", voters: "a b c", learners: "d", down: "b", expected: "a d c"},
-		{name: "by the learner whose zone has the fewest voters", voters: "a1 b1 c1", learners: "a2 d1 c2", down: "b1", expected: "a1 d1 c1"},
+		{
+			name:     "by the learner whose zone has the fewest voters",
+			voters:   "a1 b1 c1",
+			learners: "a2 d1 c2",
+			down:     "b1",
+			expected: "a1 d1 c1",
+		},
 		{name: "without a learner it stays", voters: "a b c", down: "b", expected: ""},
-		{name: "two more at once", voters: "a b c", learners: "d e", wanted: 5, expected: "a b c d e"},
-		{name: "never one more", voters: "a b c", learners: "d", wanted: 5, expected: ""},
-		{name: "a down voter first", voters: "a b c", learners: "d e", down: "c", wanted: 5, expected: "a b d"},
+		{name: "two more at once", voters: "a b c", learners: "d e", desired: 5, expected: "a b c d e"},
+		{name: "never one more", voters: "a b c", learners: "d", desired: 5, expected: ""},
+		{name: "a down voter first", voters: "a b c", learners: "d e", down: "c", desired: 5, expected: "a b d"},
 		{name: "an even set grows by one", voters: "a b", learners: "d e", expected: "a b d"},
 		{name: "an even set loses the down voter", voters: "a b c d", down: "b", expected: "a c d"},
 		{name: "an even set that is too large loses one", voters: "a b c d", expected: "a b c"},
 		{name: "two stay", voters: "a b", down: "b", expected: ""},
 		{name: "too many are removed by two, the down voter first", voters: "a b c d e", down: "b", expected: "a c d"},
 		{name: "too many, out of the fullest zone", voters: "a1 a2 a3 b c", expected: "a1 b c"},
-		{name: "two expired voters are removed", voters: "a b c d e", down: "b d", expired: "b d", wanted: 5, expected: "a c e"},
-		{name: "one expired voter stays", voters: "a b c d e", down: "b", expired: "b", wanted: 5, expected: ""},
-		{name: "two down voters stay", voters: "a b c d e", down: "b d", wanted: 5, expected: ""},
+		{
+			name:     "two expired voters are removed",
+			voters:   "a b c d e",
+			down:     "b d",
+			expired:  "b d",
+			desired:  5,
+			expected: "a c e",
+		},
+		{name: "one expired voter stays", voters: "a b c d e", down: "b", expired: "b", desired: 5, expected: ""},
+		{name: "two down voters stay", voters: "a b c d e", down: "b d", desired: 5, expected: ""},
 		{name: "a zone with the majority gives a vote away", voters: "a1 a2 c", learners: "b", expected: "b a2 c"},
 		{name: "not into another full zone", voters: "a1 a2 c", learners: "c2", expected: ""},
 	} {
 		placement := newTestPlacement(test.learners, test.down, test.expired)
-		placement.desiredVoters = max(3, test.wanted)
+		placement.desiredVoters = max(3, test.desired)
 		next, changed := placement.nextVoters(replicasAt(strings.Fields(test.voters)))
 		assert.Equal(t, test.expected, strings.Join(ids(state.ReplicaSet{Replicas: next}), " "), test.name)
 		assert.Equal(t, test.expected != "", changed, test.name)
--- a/serving/store/endpointstore_test.go
+++ b/serving/store/endpointstore_test.go
@@ -23,8 +23,14 @@
 }
 
 func newEndpoint(number int) state.Endpoint {
-	return state.Endpoint{ID: fmt.Sprintf("i-%d", number), Service: "s", Address: "10.0.0.1:80", Sequence: uint64(number),
-		WarmupLeftMillis: 100, Models: []state.Model{{Name: "m", Adapters: []string{"x"}}}}
+	return state.Endpoint{
+		ID:               fmt.Sprintf("i-%d", number),
+		Service:          "s",
+		Address:          "10.0.0.1:80",
+		Sequence:         uint64(number),
+		WarmupLeftMillis: 100,
+		Models:           []state.Model{{Name: "m", Adapters: []string{"x"}}},
+	}
 }
 
 func loadEndpoints(t *testing.T, store *EndpointStore) (ids []string) {
@@ -40,7 +46,10 @@
 func TestEndpointStore_SurvivesRestart(t *testing.T) {
 	directory := t.TempDir()
 	first := openEndpoints(t, directory)
-	require.NoError(t, first.Save(EndpointChanges{Snapshot: true, Changed: []state.Endpoint{newEndpoint(1), newEndpoint(2)}}))
+	require.NoError(t, first.Save(EndpointChanges{
+		Snapshot: true,
+		Changed:  []state.Endpoint{newEndpoint(1), newEndpoint(2)},
+	}))
 	require.NoError(t, first.Save(EndpointChanges{Changed: []state.Endpoint{newEndpoint(3)}, Removed: []string{"i-1"}}))
 	copied := t.TempDir() // as a power failure leaves the files
 	require.NoError(t, os.CopyFS(copied, os.DirFS(directory)))
@@ -77,7 +86,8 @@
 
 func TestEndpointStore_InvalidFileIsRemoved(t *testing.T) {
 	directory := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(directory, endpointFileName), bytes.Repeat([]byte("noise"), 4000), 0o600))
+	path := filepath.Join(directory, endpointFileName)
+	require.NoError(t, os.WriteFile(path, bytes.Repeat([]byte("noise"), 4000), 0o600))
 	store := openEndpoints(t, directory)
 	assert.Empty(t, loadEndpoints(t, store))
 	require.NoError(t, store.Save(EndpointChanges{Changed: []state.Endpoint{newEndpoint(1)}}))
--- a/serving/store/store_test.go
+++ b/serving/store/store_test.go
@@ -17,10 +17,19 @@
 
 func newState(revision uint64) register.AcceptorState {
 	ballot := register.Ballot{Number: revision + 10, Proposer: "p"}
-	record := state.Record{Revision: revision, Configuration: state.Configuration{Version: revision,
-		Document: bytes.Repeat([]byte{byte(revision)}, 20_000)}}
-	return register.AcceptorState{ReplicaID: "r", Promised: ballot, Accepted: ballot,
-		Proposal: register.Proposal{Record: record}}
+	record := state.Record{
+		Revision: revision,
+		Configuration: state.Configuration{
+			Version:  revision,
+			Document: bytes.Repeat([]byte{byte(revision)}, 20_000),
+		},
+	}
+	return register.AcceptorState{
+		ReplicaID: "r",
+		Promised:  ballot,
+		Accepted:  ballot,
+		Proposal:  register.Proposal{Record: record},
+	}
 }
 
 func openStore(t *testing.T, directory string) *Store {
