--- a/sim/experiment/search.go
+++ b/sim/experiment/search.go
@@ -4,41 +4,41 @@
 	"fmt"
 	"math/rand/v2"
 	"runtime"
-	"slices"
 
 	"rowanlink/sim/engine"
 )
 
-// Search searches round a scenario for the run that breaks a rule, or else loses most, and makes it small.
+// Search looks for the run that violates an invariant, or else loses the most value, among random variations of a
+// scenario, and shrinks the scenario found.
 type Search struct {
 	NewPolicy engine.PolicyFactory
-	Runs      int // at most, for the search; as many again for the shrinking
+	Runs      int // to search with; shrinking makes up to as many
 	Seed      uint64
-	OnRun     func()
+	OnRun     func() // called after each run, also concurrently
 }
 
-// WorstCase is the worst run of a hunt, as a scenario that plays it again.
+// WorstCase is the result of a search: a scenario that repeats the worst run.
 type WorstCase struct {
 	Scenario    *engine.Scenario
-	Invariant   string // that it breaks, or none
+	Invariant   string // that is violated, or empty
 	Loss        float64
-	Runs        int // runs in all
-	ShrinkSteps int // steps of shrinking that held
+	Runs        int
+	ShrinkSteps int
 }
 
-// keptLoss is the part of a found loss that a smaller scenario must still show.
+// keptLoss is the share of the loss found that a smaller scenario must still show.
 const keptLoss = 0.9
 
-// FindWorst hunts. The same scenario, seed and module give the same find.
+// FindWorst searches. The same scenario, seed and policy give the same result.
 func (h *Search) FindWorst(base *engine.Scenario) *WorstCase {
-	chance := rand.New(rand.NewPCG(h.Seed, 0))
-	tries := make([]*engine.Scenario, h.Runs)
-	for i := range tries {
-		tries[i] = randomScenario(base, chance)
+	random := rand.New(rand.NewPCG(h.Seed, 0))
+	scenarios := make([]*engine.Scenario, h.Runs)
+	for i := range scenarios {
+		scenarios[i] = randomScenario(base, random)
 	}
-	results := make([]*Result, len(tries))
-	Parallel(runtime.GOMAXPROCS(0), len(tries), func(i int) {
-		results[i] = RunWith(tries[i], h.NewPolicy, false)
+	results := make([]*Result, len(scenarios))
+	Parallel(runtime.GOMAXPROCS(0), len(scenarios), func(i int) {
+		results[i] = RunWith(scenarios[i], h.NewPolicy, false)
 		h.OnRun()
 	})
 	worst := 0
@@ -47,22 +47,18 @@
 			worst = i
 		}
 	}
-	f := &WorstCase{Scenario: tries[worst], Loss: 1 - results[worst].Value, Runs: h.Runs}
-	if rules := violatedInvariants(results[worst]); len(rules) > 0 {
-		f.Invariant = rules[0]
+	found := &WorstCase{Scenario: scenarios[worst], Loss: 1 - results[worst].Value, Runs: h.Runs}
+	if violated := violatedInvariants(results[worst]); len(violated) > 0 {
+		found.Invariant = violated[0]
 	}
-	h.shrink(f)
-	f.Scenario.Name = base.Name + "-found"
-	f.Scenario.About = fmt.Sprintf(
-		"Found by hunt in %d runs: loss %.3f, rule broken: %q.",
-		f.Runs,
-		f.Loss,
-		f.Invariant,
-	)
-	return f
+	h.shrink(found)
+	found.Scenario.Name = base.Name + "-found"
+	found.Scenario.About = fmt.Sprintf("Found by hunt in %d runs: loss %.3f, rule broken: %q.", found.Runs, found.Loss,
+		found.Invariant)
+	return found
 }
 
-// isWorse ranks broken rules before losses.
+// isWorse ranks violations before losses.
 func isWorse(a, b *Result) bool {
 	if a.Violated() != b.Violated() {
 		return a.Violated()
@@ -70,172 +66,50 @@
 	return a.Value < b.Value
 }
 
-// randomScenario draws one to three troubles, their sizes and timings, and a load.
-func randomScenario(base *engine.Scenario, chance *rand.Rand) *engine.Scenario {
-	s := *base
-	s.Seed = 1 + chance.Uint64N(1<<31)
-	s.Faults = nil
-	s.Dispatchers.Count = max(int(float64(base.Dispatchers.Count)*(0.5+chance.Float64())), 1)
-	each := base.Clients.Rate / float64(base.Dispatchers.Count) // an overload is no find
-	s.Clients.Rate = roundToHundredth(each * float64(s.Dispatchers.Count) * (0.5 + chance.Float64()/2))
-	kinds := engine.FaultKinds()
-	for range 1 + chance.IntN(3) {
-		s.Faults = append(s.Faults, randomFault(&s, kinds[chance.IntN(len(kinds))], chance))
+// shrink removes what the worst case doesn't need, step by step.
+func (h *Search) shrink(found *WorstCase) {
+	remaining := h.Runs
+	for h.shrinkOnce(found, &remaining) {
 	}
-	return &s
 }
 
-func randomFault(s *engine.Scenario, kind string, chance *rand.Rand) engine.Fault {
-	length := float64(s.Duration)
-	t := engine.Fault{Kind: kind, At: roundDuration(length * (0.1 + 0.5*chance.Float64())),
-		Duration: roundDuration(length * (0.05 + 0.3*chance.Float64()))}
-	n := engine.NeedsOf(kind)
-	switch kind {
-	case "replace":
-		t.Address = []string{"new", "same"}[chance.IntN(2)]
-		fallthrough
-	case "restart":
-		t.DrainTime = roundDuration(length * (0.02 + 0.1*chance.Float64()))
-	case "flap":
-		t.Period = roundDuration(length * (0.02 + 0.1*chance.Float64()))
-	}
-	if n.Endpoints {
-		if t.Busiest = 1 + chance.IntN(min(5, s.Destinations.Active)); chance.IntN(2) == 0 {
-			t.Busiest, t.Destinations = 0, []int{chance.IntN(s.Destinations.Active)}
+// shrinkOnce takes the first smaller scenario that is still a worst case. It returns false if there is none, or if no runs
+// remain.
+func (h *Search) shrinkOnce(found *WorstCase, remaining *int) bool {
+	for _, smaller := range smallerScenarios(found.Scenario) {
+		*remaining--
+		if *remaining < 0 {
+			return false
 		}
-		t.SingleEndpoint = chance.IntN(3) == 0
-	}
-	if n.Dispatchers {
-		for i := range s.Dispatchers.Count {
-			if chance.IntN(2) == 0 || i == 0 {
-				t.Dispatchers = append(t.Dispatchers, i)
-			}
+		smaller.ApplyDefaults()
+		if smaller.Validate() != nil {
+			continue
 		}
-		switch kind {
-		case "kill":
-			t.KeepsState, t.DuringIteration = chance.IntN(3) > 0, chance.IntN(2) == 0
-			fallthrough
-		case "restart":
-			t.StartupListAge = roundDuration(length * 0.1 * chance.Float64())
-		case "list_late":
-			t.UpdateDelay = roundDuration(length * 0.2 * chance.Float64())
+		r := RunWith(smaller, h.NewPolicy, false)
+		found.Runs++
+		h.OnRun()
+		if found.isShownBy(r) {
+			found.take(smaller, r)
+			return true
 		}
 	}
-	if n.Share {
-		t.Magnitude = roundToHundredth(0.1 + 0.9*chance.Float64())
-	} else if n.Magnitude {
-		t.Magnitude = roundToHundredth(1.5 + 3*chance.Float64())
-	}
-	t.Unresponsive = kind == "down" && chance.IntN(2) == 0
-	return t
+	return false
 }
 
-// roundDuration keeps drawn times short to read: whole tenths of a second.
-func roundDuration(us float64) engine.Duration { return engine.Duration(max(us/1e5, 1)) * 100_000 }
-
-func roundToHundredth(x float64) float64 { return float64(int(x*100)) / 100 }
-
-// shrink takes away whatever the find does not need: troubles, their length and breadth, time, load,
-// machines.
-func (h *Search) shrink(f *WorstCase) {
-	left := h.Runs
-	for again := true; again; {
-		again = false
-		for _, smaller := range smallerScenarios(f.Scenario) {
-			if left--; left < 0 {
-				return
-			}
-			if smaller.ApplyDefaults(); smaller.Validate() != nil {
-				continue
-			}
-			r := RunWith(smaller, h.NewPolicy, false)
-			f.Runs++
-			h.OnRun()
-			holds := f.Invariant == "" && !r.Violated() && 1-r.Value >= keptLoss*f.Loss ||
-				f.Invariant != "" && r.Violations[f.Invariant] > 0
-			if holds {
-				f.Scenario, f.ShrinkSteps, again = smaller, f.ShrinkSteps+1, true
-				if f.Invariant == "" {
-					f.Loss = max(f.Loss, 1-r.Value)
-				} else {
-					f.Loss = 1 - r.Value
-				}
-				break
-			}
-		}
+// isShownBy reports whether a run violates the same invariant, or loses about as much without any violation.
+func (f *WorstCase) isShownBy(r *Result) bool {
+	if f.Invariant != "" {
+		return r.Violations[f.Invariant] > 0
 	}
+	return !r.Violated() && 1-r.Value >= keptLoss*f.Loss
 }
 
-// smallerScenarios are the ways in which a scenario may get smaller by one step.
-func smallerScenarios(s *engine.Scenario) (all []*engine.Scenario) {
-	with := func(change func(*engine.Scenario) bool) {
-		c := *s
-		c.Faults = slices.Clone(s.Faults)
-		for i := range c.Faults {
-			c.Faults[i].Dispatchers = slices.Clone(c.Faults[i].Dispatchers)
-		}
-		if change(&c) {
-			all = append(all, &c)
-		}
+func (f *WorstCase) take(smaller *engine.Scenario, r *Result) {
+	f.Scenario = smaller
+	f.ShrinkSteps++
+	if f.Invariant == "" {
+		f.Loss = max(f.Loss, 1-r.Value)
+	} else {
+		f.Loss = 1 - r.Value
 	}
-	for i := range s.Faults {
-		with(func(c *engine.Scenario) bool {
-			c.Faults = slices.Delete(c.Faults, i, i+1)
-			return true
-		})
-		with(func(c *engine.Scenario) bool {
-			t := &c.Faults[i]
-			t.Duration = t.Duration / 2 / 100_000 * 100_000
-			return t.Duration > 0
-		})
-		with(func(c *engine.Scenario) bool {
-			t := &c.Faults[i]
-			t.Busiest /= 2
-			return t.Busiest > 0
-		})
-		with(func(c *engine.Scenario) bool {
-			t := &c.Faults[i]
-			t.Dispatchers = t.Dispatchers[:len(t.Dispatchers)/2]
-			return len(t.Dispatchers) > 0
-		})
-	}
-	with(func(c *engine.Scenario) bool {
-		last := engine.Duration(0)
-		for _, t := range c.Faults {
-			last = max(last, t.At+t.Duration)
-		}
-		c.Duration = max(c.Duration*3/4, last) / 100_000 * 100_000
-		return c.Duration < s.Duration
-	})
-	with(func(c *engine.Scenario) bool {
-		c.Clients.Rate = roundToHundredth(c.Clients.Rate * 0.7)
-		return c.Clients.Rate >= 1
-	})
-	with(func(c *engine.Scenario) bool {
-		c.Dispatchers.Count = c.Dispatchers.Count * 2 / 3
-		c.Clients.Rate = roundToHundredth(c.Clients.Rate * float64(c.Dispatchers.Count) / float64(s.Dispatchers.Count))
-		for i := range c.Faults {
-			t := &c.Faults[i]
-			before := len(t.Dispatchers)
-			t.Dispatchers = slices.DeleteFunc(t.Dispatchers, func(d int) bool { return d >= c.Dispatchers.Count })
-			if before > 0 && len(t.Dispatchers) == 0 {
-				return false
-			}
-		}
-		return c.Dispatchers.Count > 0
-	})
-	with(func(c *engine.Scenario) bool { // the idle ones; fewer busy ones are busier
-		c.Destinations.Count = max(c.Destinations.Count*2/3, c.Destinations.Active)
-		return c.Destinations.Count < s.Destinations.Count
-	})
-	with(func(c *engine.Scenario) bool {
-		c.Destinations.Active = c.Destinations.Active * 2 / 3
-		c.Clients.Rate = roundToHundredth(c.Clients.Rate * 2 / 3)
-		return c.Destinations.Active > 0 && c.Clients.Rate >= 1
-	})
-	with(func(c *engine.Scenario) bool {
-		c.Tenants = nil
-		return len(s.Tenants) > 0
-	})
-	return all
 }
--- a/sim/experiment/sweep.go
+++ b/sim/experiment/sweep.go
@@ -16,6 +16,12 @@
 	"sync"
 )
 
+const (
+	noViolation    = "-" // in the column of violated invariants
+	violatedColumn = "broken"
+)
+
+// sweepColumns are the columns of runs.csv behind those of the axes.
 var sweepColumns = []string{
 	"policy",
 	"seed",
@@ -35,60 +41,94 @@
 	"fell",
 	"p50_s",
 	"p99_s",
-	"broken",
+	violatedColumn,
 	"events",
 }
 
+// costColumns follow where the cost is measured.
 var costColumns = []string{"wall_s", "module_s", "heap_mb"}
 
 func (p *gridPoint) row(r *Result) []string {
-	f := func(x float64) string { return strconv.FormatFloat(x, 'f', 6, 64) }
-	n := strconv.Itoa
-	broken := "-"
-	for _, rule := range violatedInvariants(r) {
-		broken = strings.TrimPrefix(broken+"+"+rule, "-+")
-	}
-	row := append(slices.Clone(p.axisValues), p.policy, strconv.FormatUint(r.Seed, 10), f(r.Value), n(r.Offered),
-		n(r.InTime), n(r.Late), n(r.Rejected), n(r.DeadLettered), n(r.StateLost), n(r.Unfinished), n(r.BufferFull),
-		n(r.Attempts), n(r.Calls), n(r.CallsRefused), n(r.Connects), n(r.Collapsed), f(r.P50), f(r.P99), broken, n(r.Events))
+	violated := noViolation
+	if names := violatedInvariants(r); len(names) > 0 {
+		violated = strings.Join(names, "+")
+	}
+	row := slices.Clone(p.axisValues)
+	row = append(row, p.policy, strconv.FormatUint(r.Seed, 10), formatFloat(r.Value))
+	for _, count := range []int{r.Offered, r.InTime, r.Late, r.Rejected, r.DeadLettered, r.StateLost, r.Unfinished,
+		r.BufferFull, r.Attempts, r.Calls, r.CallsRefused, r.Connects, r.Collapsed} {
+		row = append(row, strconv.Itoa(count))
+	}
+	row = append(row, formatFloat(r.P50), formatFloat(r.P99), violated, strconv.Itoa(r.Events))
 	if c := r.Cost; c != nil {
-		row = append(row, f(c.WallSeconds), f(c.PolicySeconds), f(c.HeapMB))
+		row = append(row, formatFloat(c.WallSeconds), formatFloat(c.PolicySeconds), formatFloat(c.HeapMB))
 	}
 	return row
 }
 
-func violatedInvariants(r *Result) (all []string) {
-	for rule := range r.Violations {
-		all = append(all, rule)
-	}
-	slices.Sort(all)
-	return all
-}
+func formatFloat(x float64) string { return strconv.FormatFloat(x, 'f', 6, 64) }
 
-// sweepRow is one line of the file in which a sweep keeps what it has played.
-type sweepRow struct {
-	Key string   `json:"key"`
-	Row []string `json:"row"`
+// violatedInvariants returns the names of the violated invariants, sorted.
+func violatedInvariants(r *Result) []string {
+	var names []string
+	for name := range r.Violations {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
 }
 
-// Run plays what the folder does not hold yet and writes runs.csv, in the grid's order. A sweep that was
-// killed goes on where it was: each run's row is one line of rows.jsonl, and a line that was cut off is
-// played again. step is called after each run; broken counts the runs in which a rule was.
-func (s *Sweep) Run(dir string, points []gridPoint, step func()) (broken int, err error) {
+// Run makes all runs of the sweep that the folder doesn't have yet and writes runs.csv, in the grid's order. A sweep that
+// was killed continues: each finished run is a line of rows.jsonl, and an incomplete line is run again. onRun is called
+// after each run. It returns the number of runs with a violation.
+func (s *Sweep) Run(dir string, points []gridPoint, onRun func()) (violated int, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return 0, err
 	}
-	rows, kept, err := openRows(filepath.Join(dir, "rows.jsonl"))
+	log, err := openRowLog(filepath.Join(dir, "rows.jsonl"))
 	if err != nil {
 		return 0, err
 	}
-	defer kept.Close()
-	var todo []int
-	for i, p := range points {
-		if rows[p.digest] == nil {
-			todo = append(todo, i)
+	defer func() { _ = log.close() }() // each row was written before
+	if err := s.runMissing(log, points, onRun); err != nil {
+		return 0, err
+	}
+	header := s.header()
+	table := [][]string{header}
+	for _, p := range points {
+		row := log.rows[p.digest]
+		table = append(table, row)
+		if row[slices.Index(header, violatedColumn)] != noViolation {
+			violated++
+		}
+	}
+	if err := writeCSV(filepath.Join(dir, "runs.csv"), table); err != nil {
+		return violated, err
+	}
+	m := newManifest(points[0].scenario, s.Policies, s.Seeds)
+	return violated, writeJSON(filepath.Join(dir, "manifest.json"), m)
+}
+
+func (s *Sweep) header() []string {
+	var header []string
+	for _, axis := range s.Axes {
+		header = append(header, axis.Keys...)
+	}
+	header = append(header, sweepColumns...)
+	if s.MeasureCost {
+		header = append(header, costColumns...)
+	}
+	return header
+}
+
+// runMissing makes the runs that have no row yet, in parallel unless their cost is measured.
+func (s *Sweep) runMissing(log *rowLog, points []gridPoint, onRun func()) error {
+	var missing []*gridPoint
+	for i := range points {
+		if log.rows[points[i].digest] == nil {
+			missing = append(missing, &points[i])
 		} else {
-			step()
+			onRun()
 		}
 	}
 	jobs := runtime.GOMAXPROCS(0)
@@ -96,72 +136,78 @@
 		jobs = 1
 	}
 	var mu sync.Mutex
-	var failed error
-	Parallel(jobs, len(todo), func(n int) {
-		p := &points[todo[n]]
+	var errs error
+	Parallel(jobs, len(missing), func(n int) {
+		p := missing[n]
 		r, err := Run(p.scenario, p.policy, s.MeasureCost)
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil {
-			rows[p.digest] = p.row(r)
-			var line []byte
-			if line, err = json.Marshal(sweepRow{p.digest, rows[p.digest]}); err == nil {
-				_, err = kept.Write(append(line, '\n'))
-			}
+			err = log.add(p.digest, p.row(r))
 		}
-		failed = errors.Join(failed, err)
-		step()
+		errs = errors.Join(errs, err)
+		onRun()
 	})
-	if failed != nil {
-		return 0, failed
-	}
-	var head []string
-	for _, v := range s.Axes {
-		head = append(head, v.Keys...)
-	}
-	head = append(head, sweepColumns...)
-	if s.MeasureCost {
-		head = append(head, costColumns...)
-	}
-	table := [][]string{head}
-	for _, p := range points {
-		table = append(table, rows[p.digest])
-		if rows[p.digest][slices.Index(head, "broken")] != "-" {
-			broken++
-		}
+	return errs
+}
+
+// rowLog is the file of a sweep's finished runs.
+type rowLog struct {
+	rows map[string][]string // by digest
+	file *os.File
+}
+
+// sweepRow is a line of a rowLog.
+type sweepRow struct {
+	Key string   `json:"key"`
+	Row []string `json:"row"`
+}
+
+// openRowLog reads the rows of an earlier run and opens the file behind the last complete line.
+func openRowLog(path string) (*rowLog, error) {
+	rows, completeBytes, err := readRows(path)
+	if err != nil {
+		return nil, err
 	}
-	if err := writeCSV(filepath.Join(dir, "runs.csv"), table); err != nil {
-		return broken, err
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	if err != nil {
+		return nil, err
 	}
-	return broken, writeJSON(
-		filepath.Join(dir, "manifest.json"),
-		newManifest(points[0].scenario, s.Policies, s.Seeds),
-	)
+	return &rowLog{rows, f}, f.Truncate(int64(completeBytes))
 }
 
-// openRows reads the rows of an earlier run and opens the file behind the last whole line.
-func openRows(path string) (map[string][]string, *os.File, error) {
-	rows, whole := map[string][]string{}, 0
+// readRows returns the rows of a file, which may be missing, and the size of its complete lines.
+func readRows(path string) (rows map[string][]string, completeBytes int, err error) {
+	rows = map[string][]string{}
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, err
+		return nil, 0, err
 	}
 	for r := bufio.NewReader(bytes.NewReader(text)); ; {
 		line, err := r.ReadBytes('\n')
-		var d sweepRow
-		if err != nil || json.Unmarshal(line, &d) != nil || d.Key == "" {
-			break
+		var row sweepRow
+		if err != nil || json.Unmarshal(line, &row) != nil || row.Key == "" {
+			return rows, completeBytes, nil
 		}
-		rows[d.Key] = d.Row
-		whole += len(line)
+		rows[row.Key] = row.Row
+		completeBytes += len(line)
 	}
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+}
+
+// add writes a row. The caller serializes calls.
+func (l *rowLog) add(digest string, row []string) error {
+	l.rows[digest] = row
+	line, err := json.Marshal(sweepRow{digest, row})
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
-	return rows, f, f.Truncate(int64(whole))
+	_, err = l.file.Write(append(line, '\n'))
+	return err
 }
 
+func (l *rowLog) close() error { return l.file.Close() }
+
+// writeCSV replaces a file at once.
 func writeCSV(path string, rows [][]string) error {
 	var b bytes.Buffer
 	if err := csv.NewWriter(&b).WriteAll(rows); err != nil {
@@ -173,7 +219,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// Parallel calls do for 0 to n-1, so many at once.
+// Parallel calls a function with 0 to n-1, in a number of goroutines, and waits for all calls.
 func Parallel(jobs, n int, do func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
