--- a/sim/experiment/compare.go
+++ b/sim/experiment/compare.go
@@ -10,7 +10,7 @@
 	"rowanlink/sim/engine"
 )
 
-// Comparison is two policies on the same runs. Diff is A's value less B's, seed by seed.
+// Comparison compares two policies, paired by seed. Diff is the mean of A's value minus B's.
 type Comparison struct {
 	Scenario  string    `json:"scenario"`
 	A         string    `json:"a"`
@@ -18,7 +18,7 @@
 	Seeds     []uint64  `json:"seeds"`
 	ValuesA   []float64 `json:"values_a"`
 	ValuesB   []float64 `json:"values_b"`
-	ViolatedA int       `json:"broken_a"` // runs in which a rule was
+	ViolatedA int       `json:"broken_a"` // runs with a violation
 	ViolatedB int       `json:"broken_b"`
 	MeanA     float64   `json:"mean_a"`
 	MeanB     float64   `json:"mean_b"`
@@ -32,62 +32,61 @@
 	significance = 0.05
 )
 
-// Compare plays both policies with seeds 1 to n, side by side on all cores.
-func Compare(s *engine.Scenario, a, b string, n int, step func()) (*Comparison, error) {
-	c := &Comparison{Scenario: s.Name, A: a, B: b, ValuesA: make([]float64, n), ValuesB: make([]float64, n)}
-	broken, failed := make([]bool, 2*n), make([]error, 2*n)
+// Compare runs a scenario under both policies with seeds 1 to n, in parallel. onRun is called after each run.
+func Compare(s *engine.Scenario, a, b string, n int, onRun func()) (*Comparison, error) {
+	results, errs := make([]*Result, 2*n), make([]error, 2*n) // A and B of each seed
 	Parallel(runtime.GOMAXPROCS(0), 2*n, func(i int) {
-		defer step()
-		run, policy, to := *s, a, c.ValuesA
+		defer onRun()
+		run, policy := *s, a
 		if i%2 == 1 {
-			policy, to = b, c.ValuesB
+			policy = b
 		}
 		run.Seed = uint64(i/2 + 1)
-		r, err := Run(&run, policy, false)
-		if failed[i] = err; err == nil {
-			to[i/2], broken[i] = r.Value, r.Violated()
-		}
+		results[i], errs[i] = Run(&run, policy, false)
 	})
-	for i, err := range failed {
+	for _, err := range errs {
 		if err != nil {
 			return nil, err
 		}
-		if broken[i] && i%2 == 0 {
-			c.ViolatedA++
-		} else if broken[i] {
-			c.ViolatedB++
-		}
 	}
-	diffs := make([]float64, n)
-	for i := range diffs {
-		diffs[i] = c.ValuesA[i] - c.ValuesB[i]
-		c.Seeds = append(c.Seeds, uint64(i+1))
+	c := &Comparison{Scenario: s.Name, A: a, B: b}
+	differences := make([]float64, n)
+	for i := range differences {
+		c.add(uint64(i+1), results[2*i], results[2*i+1])
+		differences[i] = c.ValuesA[i] - c.ValuesB[i]
 	}
-	c.MeanA, c.MeanB, c.Diff = stat.Mean(c.ValuesA, nil), stat.Mean(c.ValuesB, nil), stat.Mean(diffs, nil)
-	c.Low, c.High = bootstrapInterval(diffs)
+	c.MeanA = stat.Mean(c.ValuesA, nil)
+	c.MeanB = stat.Mean(c.ValuesB, nil)
+	c.Diff = stat.Mean(differences, nil)
+	c.Low, c.High = bootstrapInterval(differences)
 	return c, nil
 }
 
-// bootstrapInterval is the bootstrap's for the mean: the same each time for the same numbers.
-func bootstrapInterval(of []float64) (low, high float64) {
-	chance := rand.New(rand.NewPCG(uint64(len(of)), resamples))
-	means, drawn := make([]float64, resamples), make([]float64, len(of))
+func (c *Comparison) add(seed uint64, a, b *Result) {
+	c.Seeds = append(c.Seeds, seed)
+	c.ValuesA = append(c.ValuesA, a.Value)
+	c.ValuesB = append(c.ValuesB, b.Value)
+	if a.Violated() {
+		c.ViolatedA++
+	}
+	if b.Violated() {
+		c.ViolatedB++
+	}
+}
+
+// bootstrapInterval returns the 95% interval of the mean by the percentile bootstrap (Efron 1979). It is the same each
+// time for the same numbers.
+func bootstrapInterval(values []float64) (low, high float64) {
+	random := rand.New(rand.NewPCG(uint64(len(values)), resamples))
+	means, sample := make([]float64, resamples), make([]float64, len(values))
 	for i := range means {
-		for k := range drawn {
-			drawn[k] = of[chance.IntN(len(of))]
+		for k := range sample {
+			sample[k] = values[random.IntN(len(values))]
 		}
-		means[i] = stat.Mean(drawn, nil)
+		means[i] = stat.Mean(sample, nil)
 	}
 	slices.Sort(means)
-	return stat.Quantile(
-			significance/2,
-			stat.Empirical,
-			means,
-			nil,
-		), stat.Quantile(
-			1-significance/2,
-			stat.Empirical,
-			means,
-			nil,
-		)
+	low = stat.Quantile(significance/2, stat.Empirical, means, nil)
+	high = stat.Quantile(1-significance/2, stat.Empirical, means, nil)
+	return low, high
 }
--- a/sim/experiment/encoded_forms_test.go
+++ b/sim/experiment/encoded_forms_test.go
@@ -1,19 +1,13 @@
 package experiment
 
 import (
-	"os"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
-// The JSON files that a run, a sweep and a comparison write keep their keys.
+// The JSON files of runs, sweeps and comparisons keep their keys.
 func TestEncodedForms(t *testing.T) {
-	const golden = "testdata/encoded_forms.golden"
-	want, err := os.ReadFile(golden)
-	require.NoError(t, err)
-	assert.Equal(t, string(want), wireschema.Describe(wireschema.JSON, Result{}, manifest{}, sweepRow{}, Comparison{}, OwnershipResult{}))
+	encodedforms.AssertGolden(t, wireschema.JSON, Result{}, manifest{}, sweepRow{}, Comparison{}, OwnershipResult{})
 }
--- a/sim/experiment/experiment_test.go
+++ b/sim/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"rowanlink/webhook/policy"
 )
 
-func TestAFileBrokenInAnyWayIsToldWithItsPlace(t *testing.T) {
+func TestParse_ErrorsHaveTheirPlace(t *testing.T) {
 	for _, c := range []struct{ change, to, want string }{
 		{"slots = 12", "slotz = 12", "small.toml:7: dispatchers.slotz: unknown key"},
 		{"slots = 12", "slots = 0", "small.toml:7: dispatchers.slots: must be 1 or more"},
@@ -51,7 +51,7 @@
 	assert.Len(t, strings.Split(err.Error(), "\n"), 2, "all that is wrong is told at once")
 }
 
-func TestAScenarioWrittenComesBackTheSame(t *testing.T) {
+func TestMarshal_RoundTrip(t *testing.T) {
 	for _, file := range examples(t) {
 		s, err := Load(file)
 		require.NoError(t, err)
@@ -62,6 +62,7 @@
 }
 
 func examples(t *testing.T) []string {
+	t.Helper()
 	var files []string
 	for _, pattern := range []string{"../../examples/experiments/*.toml", "../../examples/experiments/homes/*.toml"} {
 		some, err := filepath.Glob(pattern)
@@ -72,7 +73,7 @@
 	return files
 }
 
-func TestTheModuleKeepsRulesAndClaimsOnAllExamples(t *testing.T) {
+func TestExamples_DefaultPolicyKeepsInvariantsAndClaims(t *testing.T) {
 	files := examples(t)
 	Parallel(runtime.GOMAXPROCS(0), len(files), func(i int) {
 		s, err := Load(files[i])
@@ -95,7 +96,7 @@
 	})
 }
 
-func TestTheSameSeedGivesTheSameTablesAloneOrBesideOthersOnAnyNumberOfCores(t *testing.T) {
+func TestRun_RepeatsExactlyInParallelToo(t *testing.T) {
 	s := parsed(t, small("[clients]", `[[trouble]]
 kind = "kill"
 at = "3s"
@@ -131,7 +132,7 @@
 	assert.NotEqual(t, csv(alone), csv(tables()), "another seed is another run")
 }
 
-func TestPoliciesMeetTheSameWebhooks(t *testing.T) {
+func TestRun_PoliciesHaveTheSameArrivals(t *testing.T) {
 	var offered []int
 	for _, p := range Policies() {
 		r, err := Run(parsed(t, small()), p, false)
@@ -147,20 +148,20 @@
 	assert.ErrorContains(t, err, `no policy is called "best"`)
 }
 
-// deaf hears of no drain: a fault that shows only where endpoints are replaced.
-type deaf struct{ api.Policy }
+// drainMutant takes draining endpoints for active ones, which shows only where endpoints are replaced.
+type drainMutant struct{ api.Policy }
 
-func (d deaf) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
-	heard := make([]api.EndpointEntry, len(list))
+func (d drainMutant) UpdateEndpoints(list []api.EndpointEntry, whole bool) {
+	changed := make([]api.EndpointEntry, len(list))
 	for i, e := range list {
 		e.Status = api.EndpointActive
-		heard[i] = e
+		changed[i] = e
 	}
-	d.Policy.UpdateEndpoints(heard, whole)
+	d.Policy.UpdateEndpoints(changed, whole)
 }
 
-func TestHuntFindsAPlantedFaultAndShrinksIt(t *testing.T) {
-	start := func(f api.Settings, h api.Host) api.Policy { return deaf{policy.New(f, h)} }
+func TestSearch_FindsAndShrinksAMutant(t *testing.T) {
+	start := func(f api.Settings, h api.Host) api.Policy { return drainMutant{policy.New(f, h)} }
 	base := parsed(t, small(`length = "8s"`, `length = "20s"`))
 	h := &Search{NewPolicy: start, Runs: 60, Seed: 2, OnRun: func() {}}
 	f := h.FindWorst(base)
@@ -170,7 +171,7 @@
 	require.Len(t, f.Scenario.Faults, 1)
 	assert.Equal(t, "replace", f.Scenario.Faults[0].Kind)
 
-	// The file plays it again.
+	// The file repeats it.
 	text, err := Marshal(f.Scenario)
 	require.NoError(t, err)
 	assert.Positive(t, RunWith(parsed(t, string(text)), start, false).Violations["drain"])
@@ -182,7 +183,7 @@
 	)
 }
 
-func TestARunIsKeptAndDrawn(t *testing.T) {
+func TestSaveAndPlot(t *testing.T) {
 	dir := t.TempDir()
 	s := parsed(
 		t,
--- a/sim/experiment/figures.go
+++ b/sim/experiment/figures.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"cmp"
 	"errors"
 	"html/template"
 	"math"
@@ -20,6 +21,7 @@
 	chart       *plot.Plot
 }
 
+// runFigures draws the tables of a run.
 func runFigures(dir string) (all []figure, err error) {
 	t, err := readTable(filepath.Join(dir, "seconds.csv"))
 	if err != nil {
@@ -58,7 +60,7 @@
 	return all, err
 }
 
-// destinationChart shows the busiest destinations side by side: calls out at most, and what was refused.
+// destinationChart shows the calls, the refused ones and the most active ones of the busiest destinations.
 func destinationChart(t *table) (figure, error) {
 	order := make([]int, t.rowCount)
 	for i := range order {
@@ -96,7 +98,7 @@
 	return figure{Name: "destinations", Title: "Calls out and refused, by destination", chart: p}, nil
 }
 
-// warmupChart shows the load on routes while they were cold, as a share of what they may be sent.
+// warmupChart shows the load on routes in their slow start, over the limit beyond which they collapse.
 func warmupChart(t *table) (figure, error) {
 	byRoute := map[string]*series{}
 	var order []string
@@ -126,62 +128,68 @@
 		lines...)
 }
 
-// sweepFigures show the value, the late end and the costs over the first axis, a line for each policy and
-// for each point of the other axes; seeds are averaged.
-func sweepFigures(dir string) (all []figure, err error) {
+// sweepFigures draws the value, the tail latency and the costs over the first axis, with a line for each policy and each
+// point of the other axes. Seeds are averaged.
+func sweepFigures(dir string) ([]figure, error) {
 	t, err := readTable(filepath.Join(dir, "runs.csv"))
 	if err != nil {
 		return nil, err
 	}
-	axes := slices.Index(t.columns, "policy")
-	if axes < 1 {
+	axisCount := slices.Index(t.columns, "policy")
+	if axisCount < 1 {
 		return nil, errors.New("runs.csv has no axis to draw over")
 	}
-	cols := []string{"value", "p99_s"}
+	columns := []string{"value", "p99_s"}
 	for _, c := range costColumns {
 		if slices.Contains(t.columns, c) {
-			cols = append(cols, c)
+			columns = append(columns, c)
 		}
 	}
-	for _, col := range cols {
-		type mean struct{ sum, n float64 }
-		byLine := map[string]map[float64]*mean{}
-		var order []string
-		for i := range t.rowCount {
-			name := t.cells["policy"][i]
-			for _, other := range t.columns[1:axes] {
-				name += ", " + t.cells[other][i]
-			}
-			if byLine[name] == nil {
-				byLine[name] = map[float64]*mean{}
-				order = append(order, name)
-			}
-			x := t.number(t.columns[0], i)
-			if math.IsNaN(x) {
-				x = float64(len(byLine[name]))
-			}
-			if byLine[name][x] == nil {
-				byLine[name][x] = &mean{}
-			}
-			m := byLine[name][x]
-			m.sum, m.n = m.sum+t.number(col, i), m.n+1
+	var all []figure
+	var errs error
+	for _, column := range columns {
+		axis := t.columns[0]
+		f, err := lineChart(column, column+" over "+axis, axis, column, t.meanSeries(column, axisCount)...)
+		all = append(all, f)
+		errs = errors.Join(errs, err)
+	}
+	return all, errs
+}
+
+type runningMean struct{ sum, count float64 }
+
+// meanSeries returns the means of a column over the first axis, by policy and the other axes, in the order in which they
+// appear.
+func (t *table) meanSeries(column string, axisCount int) []series {
+	means := map[string]map[float64]*runningMean{}
+	var order []string
+	for i := range t.rowCount {
+		name := t.cells["policy"][i]
+		for _, axis := range t.columns[1:axisCount] {
+			name += ", " + t.cells[axis][i]
 		}
-		var lines []series
-		for _, name := range order {
-			s := series{name: name}
-			for x, m := range byLine[name] {
-				s.points = append(s.points, plotter.XY{X: x, Y: m.sum / m.n})
-			}
-			slices.SortFunc(s.points, func(a, b plotter.XY) int {
-				if a.X < b.X {
-					return -1
-				}
-				return 1
-			})
-			lines = append(lines, s)
+		if means[name] == nil {
+			means[name] = map[float64]*runningMean{}
+			order = append(order, name)
+		}
+		x := t.number(t.columns[0], i)
+		if math.IsNaN(x) { // not a number: by position
+			x = float64(len(means[name]))
+		}
+		if means[name][x] == nil {
+			means[name][x] = &runningMean{}
 		}
-		p, failed := lineChart(col, col+" over "+t.columns[0], t.columns[0], col, lines...)
-		all, err = append(all, p), errors.Join(err, failed)
+		means[name][x].sum += t.number(column, i)
+		means[name][x].count++
 	}
-	return all, err
+	var lines []series
+	for _, name := range order {
+		line := series{name: name}
+		for x, m := range means[name] {
+			line.points = append(line.points, plotter.XY{X: x, Y: m.sum / m.count})
+		}
+		slices.SortFunc(line.points, func(a, b plotter.XY) int { return cmp.Compare(a.X, b.X) })
+		lines = append(lines, line)
+	}
+	return lines
 }
--- a/sim/experiment/helpers_test.go
+++ b/sim/experiment/helpers_test.go
@@ -11,7 +11,7 @@
 	"rowanlink/sim/engine"
 )
 
-// small is a scenario that plays in some milliseconds, as text; change swaps parts of it.
+// small returns the text of a scenario that runs in some milliseconds, with parts replaced.
 func small(change ...string) string {
 	return strings.NewReplacer(change...).Replace(`name = "small"
 seed = 1
@@ -44,18 +44,21 @@
 }
 
 func write(t *testing.T, dir, name, text string) string {
+	t.Helper()
 	path := filepath.Join(dir, name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
 	return path
 }
 
 func parsed(t *testing.T, text string) *engine.Scenario {
+	t.Helper()
 	s, err := Parse("small.toml", []byte(text))
 	require.NoError(t, err)
 	return s
 }
 
 func read(t *testing.T, dir, name string) string {
+	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	require.NoError(t, err)
 	return string(text)
--- a/sim/experiment/ownership.go
+++ b/sim/experiment/ownership.go
@@ -13,17 +13,16 @@
 	"rowanlink/sim/invariant"
 )
 
-// EvenShares is the way of sharing in which each dispatcher has an even part of each rate. The others have
-// homes, and are named by what a hop to one costs: its time over that of a way to an endpoint, and what is
-// lost.
+// EvenShares is the mode without ownership, in which each dispatcher has an even share of each rate. The other modes are
+// named by the cost of a message between dispatchers: its delay, relative to that to an endpoint, and the loss.
 const EvenShares = "even parts"
 
 func ownershipMode(h engine.Ownership) string {
 	return fmt.Sprintf("homes, hop %g, lost %g%%", h.HopFactor, 100*h.LossRate)
 }
 
-// OwnershipResult is one way of sharing at one point of a sweep, over its seeds: means, but for Worst, Silence and
-// what is counted. Lead is its value over that of even parts, seed by seed, with the 95% interval.
+// OwnershipResult is the result of one mode at one point of a sweep, over its seeds: means, but for the maxima MaxLoad and
+// LongestGap, and counts. Difference is that of the value from even shares, paired by seed, with the 95% interval.
 type OwnershipResult struct {
 	Scenario     string         `json:"Scenario"`
 	Dispatchers  int            `json:"Dispatchers"`
@@ -43,54 +42,80 @@
 	invariant.ClusterSummary
 }
 
-// CompareOwnership plays each point of a sweep with each way of sharing, side by side. free adds the one that
-// shows what hops cost.
-func (s *Sweep) CompareOwnership(points []gridPoint, free bool, step func()) ([]OwnershipResult, error) {
-	ways := 2
+// CompareOwnership runs each point of a sweep in each mode, in parallel. free adds the mode with ownership and messages
+// without delay or loss. onRun is called after each run.
+func (s *Sweep) CompareOwnership(points []gridPoint, free bool, onRun func()) ([]OwnershipResult, error) {
+	modes := 2
 	if free {
-		ways = 3
+		modes = 3
 	}
 	for _, p := range points {
 		if p.scenario.Ownership.LeaseTTL == 0 {
 			return nil, fmt.Errorf("%s has no table homes: there is nothing to compare", s.Base)
 		}
 	}
-	results, seen := make([]*Result, len(points)*ways), make([]invariant.ClusterSummary, len(points)*ways)
-	Parallel(runtime.GOMAXPROCS(0), len(results), func(i int) {
-		defer step()
-		run := *points[i/ways].scenario
-		run.Ownership = ownershipFor(run.Ownership, i%ways)
-		fleet := invariant.NewClusterRecorder(ThresholdsOf(&run))
-		results[i] = RunWith(&run, policyFactories[DefaultPolicy], false, fleet)
-		seen[i] = fleet.Finish()
+	runs := make([]ownershipRun, len(points)*modes)
+	Parallel(runtime.GOMAXPROCS(0), len(runs), func(i int) {
+		defer onRun()
+		runs[i] = runOwnership(points[i/modes].scenario, i%modes)
 	})
 	var all []OwnershipResult
-	for from := 0; from < len(points); from += len(s.Seeds) { // seeds run quickest
-		for w := range ways {
-			sh := OwnershipResult{Scenario: points[from].scenario.Name, Seeds: len(s.Seeds), Mode: EvenShares,
-				Dispatchers: points[from].scenario.Dispatchers.Count, Invariants: map[string]int{}}
-			if w > 0 {
-				sh.Mode = ownershipMode(ownershipFor(points[from].scenario.Ownership, w))
+	for first := 0; first < len(points); first += len(s.Seeds) { // seeds vary fastest
+		for mode := range modes {
+			var ofMode, evenShares []ownershipRun
+			for seed := range s.Seeds {
+				at := (first + seed) * modes
+				ofMode = append(ofMode, runs[at+mode])
+				evenShares = append(evenShares, runs[at])
 			}
-			var leads []float64
-			for k := range s.Seeds {
-				i := (from+k)*ways + w
-				leads = append(leads, results[i].Value-results[i-w].Value)
-				sh.add(results[i], seen[i])
-			}
-			sh.divideBy(float64(len(s.Seeds)))
-			if sh.Difference = stat.Mean(leads, nil); w > 0 {
-				sh.Low, sh.High = bootstrapInterval(leads)
-			}
-			all = append(all, sh)
+			all = append(all, newOwnershipResult(points[first].scenario, mode, ofMode, evenShares))
 		}
 	}
 	return all, nil
 }
 
-// ownershipFor is a scenario's homes by each way: none, as they are, with free hops.
-func ownershipFor(h engine.Ownership, way int) engine.Ownership {
-	switch way {
+// ownershipRun is one run of a comparison.
+type ownershipRun struct {
+	result  *Result
+	cluster invariant.ClusterSummary
+}
+
+func runOwnership(s *engine.Scenario, mode int) ownershipRun {
+	run := *s
+	run.Ownership = ownershipFor(run.Ownership, mode)
+	recorder := invariant.NewClusterRecorder(ThresholdsOf(&run))
+	result := RunWith(&run, policyFactories[DefaultPolicy], false, recorder)
+	return ownershipRun{result, recorder.Finish()}
+}
+
+// newOwnershipResult sums up the runs of a mode, paired with those without ownership.
+func newOwnershipResult(s *engine.Scenario, mode int, runs, evenShares []ownershipRun) OwnershipResult {
+	summary := OwnershipResult{
+		Scenario:    s.Name,
+		Seeds:       len(runs),
+		Mode:        EvenShares,
+		Dispatchers: s.Dispatchers.Count,
+		Invariants:  map[string]int{},
+	}
+	if mode > 0 {
+		summary.Mode = ownershipMode(ownershipFor(s.Ownership, mode))
+	}
+	var differences []float64
+	for i, run := range runs {
+		differences = append(differences, run.result.Value-evenShares[i].result.Value)
+		summary.add(run.result, run.cluster)
+	}
+	summary.divideBy(float64(len(runs)))
+	summary.Difference = stat.Mean(differences, nil)
+	if mode > 0 {
+		summary.Low, summary.High = bootstrapInterval(differences)
+	}
+	return summary
+}
+
+// ownershipFor returns a scenario's ownership in a mode: none, its own, or with free messages.
+func ownershipFor(h engine.Ownership, mode int) engine.Ownership {
+	switch mode {
 	case 0:
 		return engine.Ownership{}
 	case 2:
@@ -125,44 +150,65 @@
 	}
 }
 
-// OwnershipTable is what CompareOwnership found, as the laboratory's page has it.
+// OwnershipTable returns the results of CompareOwnership as a table in Markdown.
 func OwnershipTable(all []OwnershipResult) string {
 	var b strings.Builder
 	b.WriteString("| day | dispatchers | | value | lead | calls refused | sent on return, mean and worst | " +
 		"calls while out, from | longest silence | p50 | p99 | hop p50, p99 | pushed over | " +
 		"runs with a rule broken |\n")
 	b.WriteString("|" + strings.Repeat(" --- |", 14) + "\n")
-	for _, s := range all {
-		lead, back, out, silent, hop, broken := "", "", "", "", "", "0"
-		if s.Mode != EvenShares {
-			lead = fmt.Sprintf("%+.3f (%.3f to %.3f)", s.Difference, s.Low, s.High)
-		}
-		if s.Returns > 0 {
-			back = fmt.Sprintf("%.2f, %.2f", s.MeanLoad, s.MaxLoad)
-			out = fmt.Sprintf("%.1f, %.1f", s.CallsDuringOutage, s.CallersDuringOutage)
-		}
-		if s.LongestGap > 0 {
-			silent = fmt.Sprintf("%.1f s", s.LongestGap)
-		}
-		if s.Handoffs > 0 {
-			hop = fmt.Sprintf("%.0f, %.0f ms", s.HandoffP50*1000, s.HandoffP99*1000)
-		}
-		if s.RunsViolated > 0 {
-			broken = strconv.Itoa(s.RunsViolated)
-			for _, rule := range invariant.Names {
-				if s.Invariants[rule] > 0 {
-					broken += " " + rule
-				}
-			}
-		}
-		fmt.Fprintf(&b, "| %s | %d | %s | %.4f | %s | %.1f%% | %s | %s | %s | %.2f s | %.1f s | %s | %.1f | %s |\n",
-			s.Scenario, s.Dispatchers, s.Mode, s.Value, lead, 100*s.CallsRefused, back, out, silent, s.P50, s.P99, hop,
-			s.Collapsed, broken)
+	for i := range all {
+		b.WriteString("| " + strings.Join(all[i].cells(), " | ") + " |\n")
 	}
 	return b.String()
 }
 
-// SaveOwnership writes the table and what it was made from.
+// cells returns the cells of a result's row. What doesn't apply is empty.
+func (s *OwnershipResult) cells() []string {
+	difference, load, callsDuringOutage, gap, handoffs := "", "", "", "", ""
+	if s.Mode != EvenShares {
+		difference = fmt.Sprintf("%+.3f (%.3f to %.3f)", s.Difference, s.Low, s.High)
+	}
+	if s.Returns > 0 {
+		load = fmt.Sprintf("%.2f, %.2f", s.MeanLoad, s.MaxLoad)
+		callsDuringOutage = fmt.Sprintf("%.1f, %.1f", s.CallsDuringOutage, s.CallersDuringOutage)
+	}
+	if s.LongestGap > 0 {
+		gap = fmt.Sprintf("%.1f s", s.LongestGap)
+	}
+	if s.Handoffs > 0 {
+		handoffs = fmt.Sprintf("%.0f, %.0f ms", s.HandoffP50*1000, s.HandoffP99*1000)
+	}
+	return []string{
+		s.Scenario,
+		strconv.Itoa(s.Dispatchers),
+		s.Mode,
+		fmt.Sprintf("%.4f", s.Value),
+		difference,
+		fmt.Sprintf("%.1f%%", 100*s.CallsRefused),
+		load,
+		callsDuringOutage,
+		gap,
+		fmt.Sprintf("%.2f s", s.P50),
+		fmt.Sprintf("%.1f s", s.P99),
+		handoffs,
+		fmt.Sprintf("%.1f", s.Collapsed),
+		s.violations(),
+	}
+}
+
+// violations is the number of runs with a violation and the invariants violated.
+func (s *OwnershipResult) violations() string {
+	text := strconv.Itoa(s.RunsViolated)
+	for _, name := range invariant.Names {
+		if s.Invariants[name] > 0 {
+			text += " " + name
+		}
+	}
+	return text
+}
+
+// SaveOwnership writes the results and a manifest.
 func SaveOwnership(dir string, s *Sweep, points []gridPoint, all []OwnershipResult) error {
 	if err := writeJSON(filepath.Join(dir, s.Base+".json"), all); err != nil {
 		return err
--- a/sim/experiment/ownership_test.go
+++ b/sim/experiment/ownership_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const homesSweep = `base = "small.toml"
+const ownershipSweep = `base = "small.toml"
 seeds = [1, 2, 3]
 
 [[vary]]
@@ -16,12 +16,12 @@
 values = [[2], [8]]
 `
 
-func TestHomesAreComparedWithEvenPartsAtEachPointOfASweep(t *testing.T) {
+func TestCompareOwnership(t *testing.T) {
 	dir := t.TempDir()
 	write(t, dir, "small.toml", small("[clients]", "[[trouble]]\nkind = \"down\"\nat = \"2s\"\nfor = \"2s\"\n"+
 		"busiest = 2\n\n[homes]\nterm = \"1s\"\nhop = 4.0\n\n[clients]\nskew = 0.8"))
 	compared := func() []OwnershipResult {
-		s, points, err := LoadSweep(write(t, dir, "sweep.toml", homesSweep))
+		s, points, err := LoadSweep(write(t, dir, "sweep.toml", ownershipSweep))
 		require.NoError(t, err)
 		runs := make(chan bool, 100)
 		all, err := s.CompareOwnership(points, true, func() { runs <- true })
@@ -46,7 +46,7 @@
 	assert.Contains(t, table, "| small | 8 | homes, hop 4, lost 0% | ")
 
 	write(t, dir, "small.toml", small())
-	s, points, err := LoadSweep(write(t, dir, "sweep.toml", homesSweep))
+	s, points, err := LoadSweep(write(t, dir, "sweep.toml", ownershipSweep))
 	require.NoError(t, err)
 	_, err = s.CompareOwnership(points, true, func() {})
 	assert.ErrorContains(t, err, "no table homes")
--- a/sim/experiment/plot.go
+++ b/sim/experiment/plot.go
@@ -27,7 +27,7 @@
 	maxRoutes               = 6
 )
 
-// table is a CSV read back, by column.
+// table is a CSV file, by column.
 type table struct {
 	columns  []string
 	cells    map[string][]string
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	rows, err := csv.NewReader(f).ReadAll()
 	if err != nil || len(rows) == 0 {
 		return nil, fmt.Errorf("%s is no table: %w", path, errors.Join(err, errNoHeader))
@@ -63,76 +63,111 @@
 	return x
 }
 
-// line is a named series of points.
+// series is a line of a chart.
 type series struct {
 	name   string
 	points plotter.XYs
 }
 
-// Plot draws the charts of a folder that run or sweep wrote, as SVG and PNG beside the tables, and
-// page.html, which holds them all and needs nothing else. It returns what it wrote.
+// Plot draws the charts of a folder that a run or a sweep wrote, as SVG and PNG files beside the tables, and page.html,
+// which has them all without references to other files. It returns the paths of the files written.
 func Plot(dir string) ([]string, error) {
-	var all []figure
-	title, about := filepath.Base(dir), ""
-	if _, err := os.Stat(filepath.Join(dir, "runs.csv")); err == nil {
-		pictures, err := sweepFigures(dir)
+	content, err := loadPage(dir)
+	if err != nil {
+		return nil, err
+	}
+	var written []string
+	for i := range content.Pictures {
+		paths, err := content.Pictures[i].write(dir)
 		if err != nil {
 			return nil, err
 		}
-		all = pictures
-	} else if errors.Is(err, fs.ErrNotExist) {
-		pictures, err := runFigures(dir)
+		written = append(written, paths...)
+	}
+	content.Figures, err = readSummary(dir)
+	if err != nil {
+		return nil, err
+	}
+	var b bytes.Buffer
+	if err := page.Execute(&b, content); err != nil {
+		return nil, err
+	}
+	path := filepath.Join(dir, "page.html")
+	return append(written, path), os.WriteFile(path, b.Bytes(), 0o644)
+}
+
+// pageContent is the data of the page template.
+type pageContent struct {
+	Title    string
+	About    string
+	Figures  map[string]any // of the summary
+	Pictures []figure
+}
+
+// loadPage reads the tables of a sweep or a run.
+func loadPage(dir string) (*pageContent, error) {
+	content := &pageContent{Title: filepath.Base(dir)}
+	_, err := os.Stat(filepath.Join(dir, "runs.csv"))
+	switch {
+	case err == nil:
+		content.Pictures, err = sweepFigures(dir)
+		return content, err
+	case !errors.Is(err, fs.ErrNotExist):
+		return content, nil
+	}
+	content.Pictures, err = runFigures(dir)
+	if err != nil {
+		return nil, fmt.Errorf("%s holds neither a run nor a sweep: %w", dir, err)
+	}
+	s, err := Load(filepath.Join(dir, "scenario.toml"))
+	if err != nil {
+		return nil, err
+	}
+	content.Title, content.About = s.Name, s.About
+	return content, nil
+}
+
+// write writes a figure in both formats, and keeps its SVG for the page.
+func (f *figure) write(dir string) ([]string, error) {
+	var written []string
+	for _, format := range []string{"svg", "png"} {
+		w, err := f.chart.WriterTo(chartWidth, chartHeight, format)
 		if err != nil {
-			return nil, fmt.Errorf("%s holds neither a run nor a sweep: %w", dir, err)
+			return nil, err
 		}
-		all = pictures
-		s, err := Load(filepath.Join(dir, "scenario.toml"))
-		if err != nil {
+		var b bytes.Buffer
+		if _, err := w.WriteTo(&b); err != nil {
 			return nil, err
 		}
-		title, about = s.Name, s.About
-	}
-	var written []string
-	for i := range all {
-		for _, format := range []string{"svg", "png"} {
-			w, err := all[i].chart.WriterTo(chartWidth, chartHeight, format)
-			if err != nil {
-				return nil, err
-			}
-			var b bytes.Buffer
-			if _, err := w.WriteTo(&b); err != nil {
-				return nil, err
-			}
-			path := filepath.Join(dir, all[i].Name+"."+format)
-			if err := os.WriteFile(path, b.Bytes(), 0o644); err != nil {
-				return nil, err
-			}
-			written = append(written, path)
-			if format == "svg" {
-				_, body, _ := bytes.Cut(b.Bytes(), []byte("<svg"))
-				all[i].SVG = template.HTML("<svg" + string(body)) // #nosec: our own drawing
-			}
+		path := filepath.Join(dir, f.Name+"."+format)
+		if err := os.WriteFile(path, b.Bytes(), 0o644); err != nil {
+			return nil, err
+		}
+		written = append(written, path)
+		if format == "svg" {
+			_, body, _ := bytes.Cut(b.Bytes(), []byte("<svg"))
+			f.SVG = template.HTML("<svg" + string(body)) // #nosec: our own drawing
 		}
 	}
-	summary, err := os.ReadFile(filepath.Join(dir, "summary.json"))
-	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, err
+	return written, nil
+}
+
+// readSummary returns the numbers of a run's summary, or nil where there is none.
+func readSummary(dir string) (map[string]any, error) {
+	text, err := os.ReadFile(filepath.Join(dir, "summary.json"))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
 	}
-	var figures map[string]any
-	if len(summary) > 0 {
-		if err := json.Unmarshal(summary, &figures); err != nil {
-			return nil, err
-		}
-		delete(figures, "claims")
-		delete(figures, "breaches")
+	if err != nil {
+		return nil, err
 	}
-	var b bytes.Buffer
-	if err := page.Execute(&b, map[string]any{"Title": title, "About": about, "Figures": figures,
-		"Pictures": all}); err != nil {
+	var summary map[string]any
+	if err := json.Unmarshal(text, &summary); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(dir, "page.html")
-	return append(written, path), os.WriteFile(path, b.Bytes(), 0o644)
+	delete(summary, "claims")
+	delete(summary, "breaches")
+	return summary, nil
 }
 
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
@@ -148,6 +183,7 @@
 </html>
 `))
 
+// lineChart draws a line for each series that has points.
 func lineChart(name, title, x, y string, lines ...series) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"maps"
 	"os"
 	"path/filepath"
@@ -20,10 +21,10 @@
 	"rowanlink/webhook/policy"
 )
 
-// DefaultPolicy is the name of the decision module among policies.
+// DefaultPolicy is the name of the decision policy, package policy.
 const DefaultPolicy = "module"
 
-// policyFactories are what a scenario can be played with. All but the module are for comparison only.
+// policyFactories are the policies by name. All but the default one are for comparison only.
 var policyFactories = map[string]engine.PolicyFactory{
 	DefaultPolicy: func(f api.Settings, h api.Host) api.Policy { return policy.New(f, h) },
 	"once":        func(f api.Settings, h api.Host) api.Policy { return baseline.New(f, h, 1, baseline.NoBackoff) },
@@ -35,20 +36,20 @@
 	},
 }
 
-// Policies are their names, the module first.
+// Policies returns the names of the policies, the default one first.
 func Policies() []string {
 	names := slices.Sorted(maps.Keys(policyFactories))
 	return slices.Insert(slices.DeleteFunc(names, func(n string) bool { return n == DefaultPolicy }), 0, DefaultPolicy)
 }
 
-// Result is one run in figures. All but Cost is the same each time.
+// Result is the result of a run. All but Cost is the same each time.
 type Result struct {
 	Scenario        string            `json:"scenario"`
 	Policy          string            `json:"policy"`
 	Seed            uint64            `json:"seed"`
-	EndedAt         float64           `json:"ended_s"` // simulated
+	EndedAt         float64           `json:"ended_s"` // in simulated time
 	Events          int               `json:"events"`
-	PeakQueueLength int               `json:"peak_events"` // waiting at once
+	PeakQueueLength int               `json:"peak_events"` // in the queue at once
 	Violations      map[string]int    `json:"broken"`
 	Claims          []invariant.Claim `json:"claims"`
 	invariant.Summary
@@ -58,21 +59,21 @@
 	recorder *invariant.Recorder
 }
 
-// Cost is what a run took on this machine; it is measured only where it is asked for.
+// Cost is what a run took on this machine, if it was measured.
 type Cost struct {
 	WallSeconds       float64 `json:"wall_s"`
 	PolicySeconds     float64 `json:"module_s"`
 	EventsPerSecond   float64 `json:"events_per_s"`
 	WebhooksPerSecond float64 `json:"webhooks_per_s"`
-	HeapMB            float64 `json:"heap_mb"` // taken from the system
+	HeapMB            float64 `json:"heap_mb"` // of memory obtained from the system
 }
 
-// Violated tells whether any rule was.
+// Violated reports whether any invariant was violated.
 func (r *Result) Violated() bool { return len(r.Violations) > 0 }
 
-// ThresholdsOf are what observers hold a scenario's run to.
+// ThresholdsOf returns what the runs of a scenario are checked against.
 func ThresholdsOf(s *engine.Scenario) invariant.Thresholds {
-	// A time-out at the TTL is told in the next turn, and the end that follows is in time.
+	// An attempt that times out at the deadline ends in the next iteration, and the webhook is finished in time.
 	grace := 3*api.Micros(s.Dispatchers.MinIterationInterval) + api.Second/20
 	return invariant.Thresholds{
 		Settings:    s.DispatcherSettings(0, 0),
@@ -81,7 +82,7 @@
 	}
 }
 
-// NewPolicyFactory is the policy of that name.
+// NewPolicyFactory returns the factory of the policy with a name.
 func NewPolicyFactory(policy string) (engine.PolicyFactory, error) {
 	start, ok := policyFactories[policy]
 	if !ok {
@@ -90,7 +91,7 @@
 	return start, nil
 }
 
-// Run runs a scenario with the named policy.
+// Run runs a scenario under the policy with a name.
 func Run(s *engine.Scenario, policy string, measured bool) (*Result, error) {
 	start, err := NewPolicyFactory(policy)
 	if err != nil {
@@ -101,31 +102,49 @@
 	return r, nil
 }
 
-// RunWith runs a scenario with any module, under further observers where there are any.
-func RunWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, also ...event.Observer) *Result {
+// RunWith runs a scenario under any policy, with further observers.
+func RunWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, observers ...event.Observer) *Result {
 	m := engine.New(s, start)
 	m.MeasurePolicyTime = measured
-	watch, recorder := invariant.NewChecker(ThresholdsOf(s)), invariant.NewRecorder(ThresholdsOf(s))
-	watch.Subscribe(&m.Bus)
+	checker, recorder := invariant.NewChecker(ThresholdsOf(s)), invariant.NewRecorder(ThresholdsOf(s))
+	checker.Subscribe(&m.Bus)
 	m.Bus.Subscribe(recorder)
-	m.Bus.Subscribe(also...)
-	began := time.Now()
+	m.Bus.Subscribe(observers...)
+	startedAt := time.Now()
 	ended := m.Run()
-	watch.Finish(ended)
-	r := &Result{Scenario: s.Name, Seed: s.Seed, EndedAt: ended.Seconds(), Events: m.EventCount, PeakQueueLength: m.PeakQueueLength,
-		Violations: watch.ViolationCount, Claims: watch.Claims(), Summary: recorder.Finish(), FirstViolations: watch.Violations,
-		recorder: recorder}
+	checker.Finish(ended)
+	r := &Result{
+		Scenario:        s.Name,
+		Seed:            s.Seed,
+		EndedAt:         ended.Seconds(),
+		Events:          m.EventCount,
+		PeakQueueLength: m.PeakQueueLength,
+		Violations:      checker.ViolationCount,
+		Claims:          checker.Claims(),
+		Summary:         recorder.Finish(),
+		FirstViolations: checker.Violations,
+		recorder:        recorder,
+	}
 	if measured {
-		wall := time.Since(began).Seconds()
-		var mem runtime.MemStats
-		runtime.ReadMemStats(&mem)
-		r.Cost = &Cost{WallSeconds: wall, PolicySeconds: m.PolicyTime.Seconds(), EventsPerSecond: float64(m.EventCount) / wall,
-			WebhooksPerSecond: float64(r.Offered) / wall, HeapMB: float64(mem.Sys-mem.HeapReleased) / 1e6}
+		r.Cost = newCost(m, r, time.Since(startedAt))
 	}
 	return r
 }
 
-// manifest says what a folder of results was made from.
+func newCost(m *engine.Simulation, r *Result, elapsed time.Duration) *Cost {
+	wall := elapsed.Seconds()
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	return &Cost{
+		WallSeconds:       wall,
+		PolicySeconds:     m.PolicyTime.Seconds(),
+		EventsPerSecond:   float64(m.EventCount) / wall,
+		WebhooksPerSecond: float64(r.Offered) / wall,
+		HeapMB:            float64(memory.Sys-memory.HeapReleased) / 1e6,
+	}
+}
+
+// manifest tells what results were made from.
 type manifest struct {
 	Scenario string            `json:"scenario"`
 	Policies []string          `json:"policies"`
@@ -156,7 +175,7 @@
 	return m
 }
 
-// Save writes a run's folder: the scenario, a manifest, the summary and the tables.
+// Save writes the folder of a run: the scenario, a manifest, the summary and the tables.
 func Save(dir string, s *engine.Scenario, r *Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -175,26 +194,31 @@
 	if err := writeJSON(filepath.Join(dir, "summary.json"), r); err != nil {
 		return err
 	}
-	for name, write := range map[string]func(*os.File) error{
-		"seconds.csv":      func(f *os.File) error { return r.recorder.WriteSeconds(f) },
-		"destinations.csv": func(f *os.File) error { return r.recorder.WriteDestinations(f) },
-		"cold.csv":         func(f *os.File) error { return r.recorder.WriteWarmupLoads(f) },
+	for name, write := range map[string]func(io.Writer) error{
+		"seconds.csv":      r.recorder.WriteSeconds,
+		"destinations.csv": r.recorder.WriteDestinations,
+		"cold.csv":         r.recorder.WriteWarmupLoads,
 	} {
-		f, err := os.Create(filepath.Join(dir, name))
-		if err != nil {
-			return err
-		}
-		err = write(f)
-		if closed := f.Close(); err == nil {
-			err = closed
-		}
-		if err != nil {
+		if err := writeFile(filepath.Join(dir, name), write); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return nil
 }
 
+// writeFile creates a file and returns the first error, that of closing it too.
+func writeFile(path string, write func(io.Writer) error) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	err = write(f)
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
+	return err
+}
+
 func writeJSON(path string, what any) error {
 	text, err := json.MarshalIndent(what, "", "  ")
 	if err != nil {
--- a/sim/experiment/scenario_file.go
+++ b/sim/experiment/scenario_file.go
@@ -1,5 +1,5 @@
-// Package experiment makes experiments with the emulator: scenarios from files, runs under a module or a baseline,
-// grids of runs, comparisons, searches for the worst, and the tables and charts of all of them.
+// Package experiment runs experiments with the simulator: scenarios from files, runs under the decision policy or a
+// baseline, sweeps of parameters, comparisons of policies, searches for the worst case, and their tables and charts.
 package experiment
 
 import (
@@ -17,8 +17,8 @@
 	"rowanlink/sim/engine"
 )
 
-// FileError is what is wrong with a file, with its place. Line is from 1, or 0 where the file as a whole is
-// meant; Key is the key's path, with the number of a table in its list.
+// FileError is an error at a place of a file. Line counts from 1 and is 0 for the file as a whole. Key is the path of the
+// key, with the index of a table in its list.
 type FileError struct {
 	File string
 	Line int
@@ -37,7 +37,7 @@
 	return at + ": " + e.Text
 }
 
-// Load reads a scenario. All that is wrong is named at once, as joined FileErrors.
+// Load reads a scenario file. The error joins a FileError for each value that is wrong.
 func Load(path string) (*engine.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return Parse(path, text)
 }
 
-// Parse is Load on text already read; path only names it in errors.
+// Parse parses the text of a scenario file. The path is used in errors only.
 func Parse(path string, text []byte) (*engine.Scenario, error) {
 	s := &engine.Scenario{}
 	if err := decode(path, text, s); err != nil {
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// decode reads TOML in which every key must be known.
+// decode decodes TOML. An unknown key is an error.
 func decode(path string, text []byte, to any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -92,7 +92,7 @@
 	return FileError{File: path, Text: err.Error()}
 }
 
-// numericDurations finds numbers that stand for a time: the decoder would take them for microseconds.
+// numericDurations finds durations that are numbers, which the decoder would take for microseconds.
 func numericDurations(tree any, t reflect.Type, key string) (faults []error) {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -106,7 +106,7 @@
 	case reflect.Slice:
 		list, _ := tree.([]any)
 		for i, v := range list {
-			at := key // the place in a list of plain values is its key's
+			at := key // a list of plain values is on one line
 			if t.Elem().Kind() == reflect.Struct {
 				at = fmt.Sprintf("%s.%d", key, i)
 			}
@@ -121,7 +121,7 @@
 	return faults
 }
 
-// locateErrors puts the lines of their keys to what a check found.
+// locateErrors makes FileErrors of the errors of Validate, with the lines of their keys.
 func locateErrors(path string, text []byte, err error) error {
 	where := keyLines(text)
 	var all []error
@@ -136,7 +136,7 @@
 			continue
 		}
 		key := f.Key
-		for key != "" && where[key] == 0 { // a key that was left out is placed at its table
+		for key != "" && where[key] == 0 { // a missing key is located at its table
 			key = key[:max(strings.LastIndexByte(key, '.'), 0)]
 		}
 		all = append(all, FileError{path, where[key], f.Key, f.Text})
@@ -144,7 +144,7 @@
 	return errors.Join(all...)
 }
 
-// keyLines finds the line of each key, tables of a list numbered from 0.
+// keyLines returns the line of each key. The tables of a list have indexes from 0.
 func keyLines(text []byte) map[string]int {
 	where, count := map[string]int{}, map[string]int{}
 	table := ""
@@ -177,5 +177,5 @@
 	return where
 }
 
-// Marshal writes a scenario in the form that Parse reads.
+// Marshal returns a scenario in the form that Parse reads.
 func Marshal(s *engine.Scenario) ([]byte, error) { return toml.Marshal(s) }
--- a/sim/experiment/sweep_test.go
+++ b/sim/experiment/sweep_test.go
@@ -21,7 +21,7 @@
 values = [["50ms"], ["200ms"]]
 `
 
-func TestAKilledSweepGoesOnWithoutARowLostOrDoubled(t *testing.T) {
+func TestSweep_ContinuesAfterAKill(t *testing.T) {
 	dir, out := t.TempDir(), t.TempDir()
 	write(t, dir, "base.toml", small())
 	path := write(t, dir, "grid.toml", grid)
@@ -37,7 +37,7 @@
 	whole, rows := read(t, out, "runs.csv"), read(t, out, "rows.jsonl")
 	assert.Equal(t, 17, strings.Count(whole, "\n"))
 
-	// Killed after any number of rows, in the middle of a line.
+	// Killed after any number of rows, in the middle of a line too.
 	for _, cut := range []int{0, 1, len(rows) / 3, len(rows) - 2} {
 		again := t.TempDir()
 		write(t, again, "rows.jsonl", rows[:cut])
@@ -56,7 +56,7 @@
 	assert.NotEqual(t, whole, read(t, out, "runs.csv"))
 }
 
-func TestABrokenSweepIsToldBeforeAnythingRuns(t *testing.T) {
+func TestLoadSweep_ErrorsHaveTheirPlace(t *testing.T) {
 	for _, c := range []struct{ change, to, want string }{
 		{`"once"`, `"best"`, `grid.toml:3: policies: no policy is called "best"`},
 		{"[1, 30]", "[1]", "grid.toml:7: vary.0.values: [1] has not one value for each of the 2 keys"},
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestComparisonTellsADifferenceFromNone(t *testing.T) {
+func TestCompare(t *testing.T) {
 	s := parsed(
 		t,
 		small("[clients]", "[[trouble]]\nkind = \"errors\"\nfor = \"8s\"\nbusiest = 6\nsize = 0.3\n\n[clients]"),
