--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -41,7 +41,7 @@
 	RoleClaims() []singleton.Claim
 	SetState(state.MemberState)
 	SetClientAddress(string)
-	Subscribe(table gossip.TableID, take func(gossip.Entry))
+	Subscribe(table gossip.TableID, subscriber func(gossip.Entry))
 	Leave(context.Context) error
 }
 
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -23,7 +23,7 @@
 type fakeMembers struct {
 	mutex       sync.Mutex
 	self        state.Member
-	others      []state.Member
+	peers       []state.Member
 	proxies     subscription.ProxyCounts
 	subscribers map[gossip.TableID]func(gossip.Entry)
 	states      []state.MemberState // announced by the agent, in order
@@ -47,7 +47,7 @@
 func (f *fakeMembers) Members() []state.Member {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return append([]state.Member{f.self}, f.others...)
+	return append([]state.Member{f.self}, f.peers...)
 }
 
 func (f *fakeMembers) DownMembers() []state.Member   { return nil }
@@ -78,8 +78,8 @@
 	return slices.Clone(f.states)
 }
 
-func (f *fakeMembers) Subscribe(table gossip.TableID, take func(gossip.Entry)) {
-	f.subscribers[table] = take
+func (f *fakeMembers) Subscribe(table gossip.TableID, subscriber func(gossip.Entry)) {
+	f.subscribers[table] = subscriber
 }
 
 func (f *fakeMembers) Leave(context.Context) error {
@@ -87,10 +87,10 @@
 	return f.leaveError
 }
 
-func (f *fakeMembers) setPeers(others ...state.Member) {
+func (f *fakeMembers) setPeers(peers ...state.Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.others = others
+	f.peers = peers
 }
 
 // deliver passes an entry to the agent's subscriber, as gossip does.
--- a/serving/agent/publisher_test.go
+++ b/serving/agent/publisher_test.go
@@ -144,9 +144,9 @@
 				p.mergeEndpoint(timeAfter(0), newEndpoint(id, sequence))
 				want[id] = max(want[id], sequence)
 			case 2:
-				drawn := rapid.Uint64Range(1, 9).Draw(t, "revision")
-				p.setRecord(&state.Record{Revision: drawn})
-				revision = max(revision, drawn)
+				published := rapid.Uint64Range(1, 9).Draw(t, "revision")
+				p.setRecord(&state.Record{Revision: published})
+				revision = max(revision, published)
 			case 3:
 				p.setSynced()
 			default:
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -10,9 +10,9 @@
 	"rowanlink/serving/membership"
 )
 
-// settlePeriod is how long a member and its paths must have been free of faults before a decision about it is checked.
-// It is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
-const settlePeriod = 6 * time.Second
+// stabilizationPeriod is how long a member and its paths must have been free of faults before a decision about it is
+// checked. It is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
+const stabilizationPeriod = 6 * time.Second
 
 // path is one direction between two zones.
 type path struct{ from, to string }
@@ -58,7 +58,7 @@
 
 // injectFault injects one generated fault.
 func (r *faultRun) injectFault() {
-	switch kind := rapid.IntRange(0, 7).Draw(r.rt, "trouble"); kind {
+	switch kind := rapid.IntRange(0, 7).Draw(r.rt, "fault"); kind {
 	case 0:
 		n := r.pickNode("kill")
 		r.kill(n)
@@ -77,7 +77,7 @@
 	case 4:
 		p := r.pickPath()
 		r.setBlocked(p, true)
-		if rapid.Bool().Draw(r.rt, "both ways") {
+		if rapid.Bool().Draw(r.rt, "both directions") {
 			r.setBlocked(p.reverse(), true)
 		}
 	case 5:
@@ -124,16 +124,16 @@
 	r.putNewest()
 }
 
-// isHealthyBetween reports whether two machines have been able to reach each other for settlePeriod.
+// isHealthyBetween reports whether two machines have been able to reach each other for stabilizationPeriod.
 func (r *faultRun) isHealthyBetween(x, y *simNode) bool {
 	for _, n := range []*simNode{x, y} {
-		if !n.running || r.now.Sub(r.nodeFaultAt[n]) < settlePeriod {
+		if !n.running || r.now.Sub(r.nodeFaultAt[n]) < stabilizationPeriod {
 			return false
 		}
 	}
 	there := path{x.member.Zone, y.member.Zone}
 	for _, p := range []path{there, there.reverse()} {
-		if r.blockedPaths[p] || r.now.Sub(r.pathFaultAt[p]) < settlePeriod {
+		if r.blockedPaths[p] || r.now.Sub(r.pathFaultAt[p]) < stabilizationPeriod {
 			return false
 		}
 	}
@@ -152,11 +152,11 @@
 // checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's
 // watchers receive its heartbeats and the observer receives the watchers' messages.
 func (r *faultRun) checkNoneWronglyDown() {
-	if r.lossRate > 0 || r.now.Sub(r.lossChangedAt) < settlePeriod {
+	if r.lossRate > 0 || r.now.Sub(r.lossChangedAt) < stabilizationPeriod {
 		return
 	}
 	for _, observer := range r.nodes {
-		if !observer.running || r.now.Sub(r.nodeFaultAt[observer]) < settlePeriod {
+		if !observer.running || r.now.Sub(r.nodeFaultAt[observer]) < stabilizationPeriod {
 			continue
 		}
 		for _, member := range observer.node.members.DownMembers() {
@@ -196,15 +196,15 @@
 	return true
 }
 
-// TestMembers_RecoverFromFaults injects generated faults. None lets a healthy member be marked as down, and once all
-// are over, all members converge.
+// TestMembers_RecoverFromFaults injects generated faults. None makes a healthy member marked as down, and once all
+// have ended, all members converge.
 func TestMembers_RecoverFromFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := newFaultRun(rt, rapid.IntRange(2, 14).Draw(rt, "size"))
-		for range rapid.IntRange(1, 12).Draw(rt, "troubles") {
+		for range rapid.IntRange(1, 12).Draw(rt, "faults") {
 			r.injectFault()
-			pause := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause ms")) * time.Millisecond
-			for end := r.now.Add(pause); r.now.Before(end); {
+			interval := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "interval ms")) * time.Millisecond
+			for end := r.now.Add(interval); r.now.Before(end); {
 				r.run(min(200*time.Millisecond, end.Sub(r.now)))
 				r.checkNoneWronglyDown()
 			}
@@ -215,10 +215,10 @@
 			frozen = max(frozen, n.frozenUntil.Sub(r.now))
 		}
 		r.run(frozen)
-		r.runUntil(5*time.Second, "all see all", r.hasConverged)
+		r.runUntil(5*time.Second, "all members are live for all", r.hasConverged)
 		r.runUntil(2*time.Second, "the newest record is everywhere", r.hasRevisionEverywhere(r.revision))
-		r.runUntil(3*time.Second, "all know the same", r.hasEqualTables)
+		r.runUntil(3*time.Second, "all tables are equal", r.hasEqualTables)
 		r.run(2 * membership.SuspicionTimeout)
-		require.True(rt, r.hasConverged(), "converged for good")
+		require.True(rt, r.hasConverged(), "still converged")
 	})
 }
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -41,11 +41,13 @@
 func simCall[Request, Response any](s *simulation, from *simNode, address string, timeout time.Duration,
 	request Request, serve func(*node, time.Time, Request) Response, answered func(Response), failed func()) {
 	index := slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.member.Address == address })
-	to, incarnation, done := s.nodes[index], from.incarnations, false
+	to := s.nodes[index]
+	incarnation := from.incarnations
+	done := false
 	s.calls++
 	finish := func(run func()) func() {
 		return func() {
-			s.whenAwake(from, incarnation, func() {
+			s.whenNotFrozen(from, incarnation, func() {
 				if !done {
 					done = true
 					run()
@@ -63,7 +65,7 @@
 			s.schedule(s.now.Add(delay), finish(failed))
 			return
 		}
-		s.whenAwake(to, to.incarnations, func() {
+		s.whenNotFrozen(to, to.incarnations, func() {
 			response := serve(to.node, s.now, request)
 			if s.transmit(to, from, response) {
 				s.schedule(s.now.Add(delay), finish(func() { answered(response) }))
@@ -123,7 +125,7 @@
 		}
 	}
 	incarnation := n.incarnations
-	s.schedule(s.now.Add(pushRetryDelay), func() { s.whenAwake(n, incarnation, retry) })
+	s.schedule(s.now.Add(pushRetryDelay), func() { s.whenNotFrozen(n, incarnation, retry) })
 	failed := func() {
 		n.node.engine.MarkUnresponsive(s.now, envelope.To.Name)
 		retry()
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -35,10 +35,12 @@
 	blocked  func(from, to *simNode) bool
 	lossRate float64 // share of the messages that are lost
 	// messageNumber counts requests and responses. lostMessage, when not zero, is the one that is lost.
-	messageNumber, lostMessage int
-	countBytes                 bool
-	bytes, remoteBytes         int
-	calls                      int
+	messageNumber int
+	lostMessage   int
+	countBytes    bool
+	bytes         int
+	remoteBytes   int // of these, between regions
+	calls         int
 }
 
 // simNode is one machine of the simulation.
@@ -90,14 +92,23 @@
 		blocked: func(_, _ *simNode) bool { return false },
 	}
 	for i := range count {
-		at := locations[i%len(locations)]
+		assigned := locations[i%len(locations)]
 		role := state.RoleAgent
 		if i < 3 {
 			role = state.RoleCore
 		}
 		name := fmt.Sprintf("n%03d", i)
-		s.nodes = append(s.nodes, &simNode{powered: true, member: state.Member{Name: name, Role: role,
-			Zone: at.zone, Region: at.region, Address: name + ":1", State: state.MemberReady}})
+		s.nodes = append(s.nodes, &simNode{
+			powered: true,
+			member: state.Member{
+				Name:    name,
+				Role:    role,
+				Zone:    assigned.zone,
+				Region:  assigned.region,
+				Address: name + ":1",
+				State:   state.MemberReady,
+			},
+		})
 	}
 	return s
 }
@@ -179,13 +190,13 @@
 	}
 }
 
-// whenAwake runs an event on a machine as soon as it isn't frozen, unless its process has been restarted or killed.
-func (s *simulation) whenAwake(n *simNode, incarnation int, run func()) {
+// whenNotFrozen runs an event on a machine as soon as it isn't frozen, unless its process has been restarted or killed.
+func (s *simulation) whenNotFrozen(n *simNode, incarnation int, run func()) {
 	if n.incarnations != incarnation {
 		return
 	}
 	if s.now.Before(n.frozenUntil) {
-		s.schedule(n.frozenUntil.Add(time.Millisecond), func() { s.whenAwake(n, incarnation, run) })
+		s.schedule(n.frozenUntil.Add(time.Millisecond), func() { s.whenNotFrozen(n, incarnation, run) })
 		return
 	}
 	run()
@@ -194,7 +205,7 @@
 // loop is a process's timer loop. Messages may make something due earlier, which the simulation notices in time because
 // it polls every 10 ms.
 func (s *simulation) loop(n *simNode, incarnation int) {
-	s.whenAwake(n, incarnation, func() {
+	s.whenNotFrozen(n, incarnation, func() {
 		calls := n.node.tick(s.now)
 		n.node.wakeAt = calls.next
 		s.startCalls(n, calls)
--- a/serving/operator/endpoint_test.go
+++ b/serving/operator/endpoint_test.go
@@ -13,9 +13,9 @@
 
 func TestHeartbeat_RegistersAndForwards(t *testing.T) {
 	f := newFixture(t)
-	answer := f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
-	assert.Equal(t, 200, answer.Code)
-	assert.JSONEq(t, `{"forward_to":"z1:1"}`, answer.Body.String())
+	response := f.call("POST", heartbeatPath, heartbeatBody("accepting", 4))
+	assert.Equal(t, 200, response.Code)
+	assert.JSONEq(t, `{"forward_to":"z1:1"}`, response.Body.String())
 	want := state.Endpoint{ID: "i-7f3a91c2", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "z1", SoftwareVersion: "v1",
 		Slots: 128, Sequence: 4, Receiver: "core-1", Models: []state.Model{{Name: "m", Version: 1}}}
 	assert.Equal(t, []state.Endpoint{want}, f.replicator.put)
@@ -45,7 +45,7 @@
 				assert.Equal(t, []string{"core-2", "core-3"}, f.replicator.addresses)
 				assert.Equal(t, 1, f.replicator.copies)
 				assert.Equal(t, 200, f.call("POST", call.path, call.body).Code)
-				assert.Len(t, f.replicator.replicated, 3, "the others have stored it already")
+				assert.Len(t, f.replicator.replicated, 3, "the other members have stored it already")
 			})
 		})
 	}
@@ -70,10 +70,12 @@
 	}
 }
 
-// A partitioned member has no majority: it acknowledges no deregistration, and all endpoints turn to other members.
+// A partitioned member has no majority: it acknowledges no deregistration, and all endpoints fail over to other
+// members.
 func TestPartitionedMember_AcknowledgesNothing(t *testing.T) {
 	f := newFixture(t)
-	f.replicator.down["core-2"], f.replicator.down["core-3"] = true, true
+	f.replicator.down["core-2"] = true
+	f.replicator.down["core-3"] = true
 	f.replicator.failures = 2
 	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
 	assert.Len(t, f.table.Live(), 1, "its state is stored nevertheless")
@@ -117,9 +119,9 @@
 		{"too large", `{"carrier":"` + strings.Repeat("s", maxHeartbeatBytes) + `"}`, 413},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			answer := newFixture(t).call("POST", heartbeatPath, test.body)
-			assert.Equal(t, test.status, answer.Code, answer.Body.String())
-			assert.Less(t, answer.Body.Len(), 4096)
+			response := newFixture(t).call("POST", heartbeatPath, test.body)
+			assert.Equal(t, test.status, response.Code, response.Body.String())
+			assert.Less(t, response.Body.Len(), 4096)
 		})
 	}
 }
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -70,9 +70,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			answer := f.call("POST", "/Settings.Replace", test.body, test.header)
-			assert.Equal(t, test.status, answer.Code)
-			assert.Contains(t, answer.Body.String(), fmt.Sprintf(`"code":%d`, test.code))
+			response := f.call("POST", "/Settings.Replace", test.body, test.header)
+			assert.Equal(t, test.status, response.Code)
+			assert.Contains(t, response.Body.String(), fmt.Sprintf(`"code":%d`, test.code))
 			assert.Zero(t, f.register.calls)
 		})
 	}
@@ -94,8 +94,8 @@
 	} {
 		f := newFixture(t)
 		f.register.changeError = test.err
-		answer := f.call("POST", "/Settings.Replace", validDocument, basedOnZero)
-		assert.Equal(t, test.status, answer.Code, "%v", test.err)
+		response := f.call("POST", "/Settings.Replace", validDocument, basedOnZero)
+		assert.Equal(t, test.status, response.Code, "%v", test.err)
 	}
 }
 
@@ -105,19 +105,19 @@
 		{"POST", "/Settings.Replace"}, {"POST", "/Settings.Amend"}, {"GET", "/Settings.Read"}, {"POST", "/Clearance.Begin/z1"},
 		{"POST", "/Clearance.Finish/z1"},
 	}
-	for point := range calls {
+	for hanging := range calls {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t)
-			f.register.hangAt = map[int]bool{point + 1: true}
+			f.register.hangAt = map[int]bool{hanging + 1: true}
 			for index, call := range calls {
 				start := time.Now()
-				answer := f.call(call.method, call.path, validDocument, basedOnZero)
-				if index == point {
-					assert.Equal(t, 503, answer.Code, call.path)
+				response := f.call(call.method, call.path, validDocument, basedOnZero)
+				if index == hanging {
+					assert.Equal(t, 503, response.Code, call.path)
 					assert.LessOrEqual(t, time.Since(start), 2500*time.Millisecond)
 					continue
 				}
-				assert.Equal(t, 200, answer.Code, call.path)
+				assert.Equal(t, 200, response.Code, call.path)
 			}
 		})
 	}
@@ -160,9 +160,9 @@
 	f := newFixture(t)
 	for _, call := range [][2]string{{"GET", "/"}, {"GET", "/Settings.Replace"}, {"POST", "/Settings.Read"},
 		{"POST", "/Endpoints.Beat/"}, {"POST", "/Clearance.Begin/"}} {
-		answer := f.call(call[0], call[1], "")
-		assert.Equal(t, 404, answer.Code, "%v", call)
-		assert.Contains(t, answer.Body.String(), `"code":418`)
+		response := f.call(call[0], call[1], "")
+		assert.Equal(t, 404, response.Code, "%v", call)
+		assert.Contains(t, response.Body.String(), `"code":418`)
 	}
 }
 
--- a/serving/operator/threecores_test.go
+++ b/serving/operator/threecores_test.go
@@ -53,7 +53,7 @@
 	name     string
 	handler  http.Handler
 	exchange *exchange.Exchange
-	inner    *httptest.Server
+	internal *httptest.Server
 	stop     context.CancelFunc
 }
 
@@ -104,18 +104,16 @@
 	ctx, stop := context.WithCancel(context.Background())
 	client := rpc.NewClient()
 	mux := http.NewServeMux()
-	inner := &httptest.Server{Listener: listener, Config: &http.Server{Handler: mux}}
-	inner.Start()
-	self := state.Member{
-		Name:           process.NodeName,
-		Role:           state.RoleCore,
-		Zone:           process.Zone,
-		Region:         process.Region,
-		Address:        process.InternalAddress(),
-		ControlAddress: process.IP + ":1",
-		State:          state.MemberReady,
-	}
-	members, err := member.Start(ctx, member.Options{Settings: process, Self: self, Client: client, Mux: mux, Log: &log})
+	internal := &httptest.Server{Listener: listener, Config: &http.Server{Handler: mux}}
+	internal.Start()
+	self := newCoreSelf(process)
+	members, err := member.Start(ctx, member.Options{
+		Settings: process,
+		Self:     self,
+		Client:   client,
+		Mux:      mux,
+		Log:      &log,
+	})
 	require.NoError(t, err)
 	node, err := register.Start(ctx, register.NodeOptions{
 		Settings:  process,
@@ -134,28 +132,54 @@
 		HasQuorum:         quorumChecker.HasQuorum,
 		Log:               &log,
 	})
-	forwarder := &operator.Forwarder{Self: self, Regions: process.Regions, Members: members.Members, Clock: time.Now}
 	handler := operator.New(operator.Options{
 		Register:   operator.NewRegister(node),
 		Endpoints:  endpointExchange.Table(),
 		Replicator: endpointExchange,
 		Quorum:     quorumChecker,
 		Regions:    process.Regions,
-		ForwardTo:  forwarder.ForwardTo,
+		ForwardTo:  newForwarder(self, process, members).ForwardTo,
 		Log:        &log,
 	})
-	c := &core{name: process.NodeName, handler: handler, exchange: endpointExchange, inner: inner}
+	c := &core{
+		name:     process.NodeName,
+		handler:  handler,
+		exchange: endpointExchange,
+		internal: internal,
+	}
 	c.stop = func() {
 		stop()
-		inner.CloseClientConnections()
-		inner.Close()
+		internal.CloseClientConnections()
+		internal.Close()
 		client.Close()
 	}
 	t.Cleanup(c.stop)
 	return c
 }
 
-func (c *core) call(method, path, body, baseVersion string) (status int, answer string) {
+// newCoreSelf returns the local member of a core process.
+func newCoreSelf(process *settings.Process) state.Member {
+	return state.Member{
+		Name:           process.NodeName,
+		Role:           state.RoleCore,
+		Zone:           process.Zone,
+		Region:         process.Region,
+		Address:        process.InternalAddress(),
+		ControlAddress: process.IP + ":1",
+		State:          state.MemberReady,
+	}
+}
+
+func newForwarder(self state.Member, process *settings.Process, members *member.Service) *operator.Forwarder {
+	return &operator.Forwarder{
+		Self:    self,
+		Regions: process.Regions,
+		Members: members.Members,
+		Clock:   time.Now,
+	}
+}
+
+func (c *core) call(method, path, body, baseVersion string) (status int, responseBody string) {
 	request := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body))
 	if baseVersion != "" {
 		request.Header.Set("X-Based-On", baseVersion)
@@ -175,8 +199,8 @@
 	}, 20*time.Second, 20*time.Millisecond, "%s at %s", path, c.name)
 }
 
-func document(version int, mark string) string {
-	return fmt.Sprintf(`{"edition":%d,"routings":[],"carriers":[],"mark":%q}`, version, mark)
+func document(version int, label string) string {
+	return fmt.Sprintf(`{"edition":%d,"routings":[],"carriers":[],"mark":%q}`, version, label)
 }
 
 // TestThreeCores_Changes makes an operator's changes with three core members, then with two, then with one.
@@ -293,8 +317,8 @@
 	cores := startCores(t)
 	body := `{"carrier":"s","address":"10.0.0.1:80","zone":"z2","state":%q,"call_seq":%d}`
 	require.Eventually(t, func() bool {
-		_, answer := cores[0].call("POST", "/Endpoints.Beat/e", fmt.Sprintf(body, "accepting", 1), "")
-		return strings.Contains(answer, "127.0.0.2:1") // the member in the endpoint's zone is known
+		_, response := cores[0].call("POST", "/Endpoints.Beat/e", fmt.Sprintf(body, "accepting", 1), "")
+		return strings.Contains(response, "127.0.0.2:1") // the member in the endpoint's zone is known
 	}, 20*time.Second, 20*time.Millisecond)
 	cores[0].postUntilOK(t, "/Endpoints.Beat/e", fmt.Sprintf(body, "closing", 2), "")
 	for _, c := range cores {
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -62,13 +62,13 @@
 //
 // If path names a settings file, the file is watched: changed limits apply from then on, without interrupting
 // anything.
-func Run(ctx context.Context, process *settings.Process, path string, log *zerolog.Logger) error {
-	if process.Bind.Front == "" {
+func Run(ctx context.Context, processSettings *settings.Process, path string, log *zerolog.Logger) error {
+	if processSettings.Bind.Front == "" {
 		return errors.New("the settings name no address for clients")
 	}
-	runtime.GOMAXPROCS(max(int(math.Ceil(process.Limits.CPUCores)), 1))
+	runtime.GOMAXPROCS(max(int(math.Ceil(processSettings.Limits.CPUCores)), 1))
 
-	p := newProxy(process, log)
+	p := newProxy(processSettings, log)
 	if err := p.listen(ctx); err != nil {
 		return err
 	}
@@ -91,27 +91,27 @@
 }
 
 // newProxy makes all parts that don't listen.
-func newProxy(process *settings.Process, log *zerolog.Logger) *proxy {
+func newProxy(processSettings *settings.Process, log *zerolog.Logger) *proxy {
 	now := time.Now()
-	bounds := process.Bounds
+	bounds := processSettings.Bounds
 	client := rpc.NewClient()
-	p := &proxy{settings: process, log: log, view: newSystemView()}
+	p := &proxy{settings: processSettings, log: log, view: newSystemView()}
 	p.picker = placement.New(placement.Options{
-		Name:      process.NodeName,
-		Zone:      process.Zone,
-		Region:    process.Region,
-		Regions:   process.Regions,
+		Name:      processSettings.NodeName,
+		Zone:      processSettings.Zone,
+		Region:    processSettings.Region,
+		Regions:   processSettings.Regions,
 		Bounds:    bounds,
 		Seed:      rand.Uint64(),
 		StartedAt: now,
 	})
 	p.retry = retry.New(now, retryLimits(bounds), rand.Uint64())
 	p.drainGrace.Store(int64(bounds.Grace))
-	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(process, endpointShare)})
+	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(processSettings, endpointShare)})
 	p.agent = &agentPoller{
 		client:           client,
-		address:          process.SubscriptionAddress(),
-		clientAddress:    process.Bind.Front,
+		address:          processSettings.SubscriptionAddress(),
+		clientAddress:    processSettings.Bind.Front,
 		log:              log,
 		apply:            p.applyResponse,
 		takeObservations: p.picker.TakeObservations,
@@ -120,10 +120,10 @@
 }
 
 // applySettings applies the settings that may change while the process runs. All others need a restart.
-func (p *proxy) applySettings(process *settings.Process) {
-	p.retry.SetLimits(retryLimits(process.Bounds))
-	p.picker.SetBounds(process.Bounds)
-	p.drainGrace.Store(int64(process.Bounds.Grace))
+func (p *proxy) applySettings(processSettings *settings.Process) {
+	p.retry.SetLimits(retryLimits(processSettings.Bounds))
+	p.picker.SetBounds(processSettings.Bounds)
+	p.drainGrace.Store(int64(processSettings.Bounds.Grace))
 }
 
 func retryLimits(bounds settings.Bounds) retry.Limits {
@@ -131,8 +131,8 @@
 }
 
 // fileShare returns a share of the file descriptors that the process may open.
-func fileShare(process *settings.Process, share float64) int {
-	return int(share * float64(max(process.Limits.FileLimit, minFileLimit)-reservedFiles))
+func fileShare(processSettings *settings.Process, share float64) int {
+	return int(share * float64(max(processSettings.Limits.FileLimit, minFileLimit)-reservedFiles))
 }
 
 // listen opens the listeners for clients and for readiness checks.
--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -39,7 +39,7 @@
 	methods *xsync.Map[string, any] // *connect.Client[Request, Response] by address and procedure
 }
 
-// NewClient returns a client with a connection pool of its own.
+// NewClient returns a client with its own connection pool.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	transport := &http.Transport{
@@ -89,10 +89,10 @@
 
 // Serve registers the handler of the call. Its errors reach the caller with the code "unavailable".
 func (m Method[Request, Response]) Serve(mux *http.ServeMux,
-	answer func(context.Context, *Request) (*Response, error)) {
+	handle func(context.Context, *Request) (*Response, error)) {
 	handler := connect.NewUnaryHandler(m.Procedure,
 		func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
-			response, err := answer(ctx, request.Msg)
+			response, err := handle(ctx, request.Msg)
 			if err != nil {
 				return nil, connect.NewError(connect.CodeUnavailable, err)
 			}
