--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -160,7 +160,7 @@
 	callsAfter, bytesAfter := readCounts(b, addrs[0])
 	b.ReportMetric(float64(callsAfter-callsBefore)/float64(n), "calls/op")
 	b.ReportMetric(float64(bytesAfter-bytesBefore)/float64(n), "wire-bytes/op")
-	b.ReportMetric(float64(inbox.HandedBack.Load()+inbox.GivenUp.Load()), "undelivered")
+	b.ReportMetric(float64(inbox.RejectedByCallback.Load()+inbox.DeadLettered.Load()), "undelivered")
 }
 
 // incompressibleBody is a kilobyte that can't be compressed well.
--- a/webhook/dispatcher/callback/sender.go
+++ b/webhook/dispatcher/callback/sender.go
@@ -113,12 +113,12 @@
 		if malformed { // one of the batch: from now on each is sent alone
 			s.batchSize = 1
 		}
-		s.counters.Untold.Add(1)
+		s.counters.CallbackBatchesFailed.Add(1)
 		slog.Warn("callbacks not acknowledged", "count", len(batch), "status", status, "err", err)
 		time.Sleep(retryDelay)
 		return true
 	}
-	s.counters.Told.Add(int64(len(batch)))
+	s.counters.CallbacksAcknowledged.Add(int64(len(batch)))
 	s.mu.Lock()
 	s.queue = s.queue[len(batch):]
 	s.mu.Unlock()
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -190,7 +190,7 @@
 		MaxObject:   maxList,
 		RetainNames: c.retainNames(),
 		Update:      p.loop.UpdateEndpoints,
-		Malformed:   func() { p.inbox.ListsBroken.Add(1) },
+		Malformed:   func() { p.inbox.ListsMalformed.Add(1) },
 		Ready:       func() { p.inbox.Post(gate.Open) },
 	})
 	if err := p.discovery.LoadStored(c.document.Get("known")); err != nil {
--- a/webhook/dispatcher/eventloop/admission.go
+++ b/webhook/dispatcher/eventloop/admission.go
@@ -59,7 +59,7 @@
 func (l *Loop) acceptWebhook(w *inflight.Webhook) bool {
 	w.ID = l.nextID
 	if err := l.logAccepted(w); err != nil {
-		l.inbox.JournalErrors.Add(1)
+		l.inbox.LogErrors.Add(1)
 		l.reject(w)
 		return false
 	}
--- a/webhook/dispatcher/eventloop/broadcast.go
+++ b/webhook/dispatcher/eventloop/broadcast.go
@@ -25,7 +25,7 @@
 	}
 	if err := l.logBroadcast(all); err != nil {
 		slog.Error("broadcast not written", "webhooks", len(all), "err", err)
-		l.inbox.JournalErrors.Add(1)
+		l.inbox.LogErrors.Add(1)
 		return inflight.Rejected
 	}
 	for _, w := range all {
--- a/webhook/dispatcher/eventloop/cluster_test.go
+++ b/webhook/dispatcher/eventloop/cluster_test.go
@@ -41,9 +41,9 @@
 	neverRan.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: api.Never}
 	mayHaveRun.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: inflight.Now() - api.Second}
 	assert.Equal(t, inflight.Accepted, loop.submit(mayHaveRun))
-	assert.EqualValues(t, 1, loop.inbox.GivenUp.Load(), "dead-lettered at once")
+	assert.EqualValues(t, 1, loop.inbox.DeadLettered.Load(), "dead-lettered at once")
 	assert.Equal(t, inflight.Accepted, loop.submit(neverRan))
-	assert.EqualValues(t, 1, loop.inbox.GivenUp.Load(), "it never ran, and is retried")
+	assert.EqualValues(t, 1, loop.inbox.DeadLettered.Load(), "it never ran, and is retried")
 }
 
 // Guards against two members that call for one webhook: in doubt it waits, also at the owner of its destination and after a
@@ -77,7 +77,7 @@
 			}
 			loop.ResolveInDoubt([]inflight.RequestID{"a1"})
 			loop.parkedWebhooks() // takes turns
-			assert.Equal(t, c.wantDeadLettered, loop.inbox.GivenUp.Load())
+			assert.Equal(t, c.wantDeadLettered, loop.inbox.DeadLettered.Load())
 		})
 	}
 }
@@ -96,7 +96,7 @@
 	assert.Len(t, loop.parkedWebhooks(), 1, "still parked")
 	loop.DeadLetterInDoubt(id)
 	assert.Empty(t, loop.parkedWebhooks())
-	assert.EqualValues(t, 1, loop.inbox.GivenUp.Load())
+	assert.EqualValues(t, 1, loop.inbox.DeadLettered.Load())
 }
 
 // Guards against a webhook that is lost while the owner of its destination is gone.
@@ -109,7 +109,7 @@
 	assert.Equal(t, inflight.Accepted, loop.submit(mayHaveRun))
 	ended := func() bool {
 		loop.turn()
-		return loop.inbox.HandedBack.Load() == 1 && loop.inbox.GivenUp.Load() == 1
+		return loop.inbox.RejectedByCallback.Load() == 1 && loop.inbox.DeadLettered.Load() == 1
 	}
 	assert.Eventually(t, ended, 5*time.Second, time.Millisecond)
 	assert.Empty(t, loop.parkedWebhooks())
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -47,7 +47,7 @@
 	if l.notifyResult(w, inflight.StatusRejected, retryAfter) {
 		return
 	}
-	l.inbox.HandedBack.Add(1)
+	l.inbox.RejectedByCallback.Add(1)
 	l.observeEnd(w, Rejected)
 	w.Trace("rejected", 0, retryAfter)
 	l.enqueueCallback(w, callback.Rejected(w.RequestID, retryAfter))
@@ -59,7 +59,7 @@
 	if w == nil || l.notifyResult(w, inflight.StatusDeadLettered, 0) {
 		return
 	}
-	l.inbox.GivenUp.Add(1)
+	l.inbox.DeadLettered.Add(1)
 	l.observeEnd(w, DeadLettered)
 	w.Trace("dead_lettered", 0, 0)
 	l.enqueueCallback(w, callback.DeadLettered(w.RequestID))
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -120,7 +120,7 @@
 	}
 	l.add(w)
 	w.InDoubt = l.cluster != nil && l.cluster.IsInDoubt(w.RequestID)
-	l.inbox.Resumed.Add(1)
+	l.inbox.Recovered.Add(1)
 	w.Trace("recovered", 0, api.Micros(e.Attempts))
 	l.inbox.Post(func() { l.begin(w, priorAttempts(e)) })
 }
@@ -195,7 +195,7 @@
 		l.log.RecordNeverRan(w.ID)
 	}
 	if discarded {
-		l.inbox.Over.Add(1)
+		l.inbox.Discarded.Add(1)
 	}
 	result.Final = delivered || discarded
 	l.policy.AttemptEnded(result)
--- a/webhook/dispatcher/eventloop/relay_test.go
+++ b/webhook/dispatcher/eventloop/relay_test.go
@@ -49,7 +49,7 @@
 				loop.TakeBack(map[inflight.RequestID]TakenBack{"w": {NeverReceived: c.neverReceived}})
 			})
 			loop.allowCalls()
-			assert.Equal(t, c.wantDeadLettered, loop.inbox.GivenUp.Load())
+			assert.Equal(t, c.wantDeadLettered, loop.inbox.DeadLettered.Load())
 		})
 	}
 }
@@ -79,14 +79,14 @@
 	}
 	require.Len(t, loop.parkedWebhooks(), 1, "it has expired, and the relay may have delivered it just before")
 	loop.finishDelivered("w")
-	assert.Zero(t, loop.inbox.GivenUp.Load())
+	assert.Zero(t, loop.inbox.DeadLettered.Load())
 	assert.Empty(t, loop.parkedWebhooks())
 
 	require.Equal(t, inflight.Accepted, loop.submit(newWebhook("v", ttl)))
 	loop.handOneToRelay("v", 0, inflight.Now())
 	deadLettered := func() bool {
 		loop.turn()
-		return loop.inbox.GivenUp.Load() == 1
+		return loop.inbox.DeadLettered.Load() == 1
 	}
 	assert.Eventually(t, deadLettered, 5*time.Second, time.Millisecond)
 }
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -144,7 +144,7 @@
 // has failed: the webhooks of this turn are rejected, and none of its calls is made.
 func (l *Loop) handleCommitFailure(err error) {
 	slog.Error("write-ahead log not written", "err", err)
-	l.inbox.JournalErrors.Add(1)
+	l.inbox.LogErrors.Add(1)
 	for _, id := range l.accepted {
 		w := l.unanswered[id]
 		if w == nil {
--- a/webhook/dispatcher/inflight/counters.go
+++ b/webhook/dispatcher/inflight/counters.go
@@ -11,12 +11,12 @@
 
 // Counters count what is received, sent and answered since the start. The metrics keep their first names.
 type Counters struct {
-	Accepted, Rejected, Malformed, Resumed   atomic.Int64    // webhooks, by the answer to their client; recovered ones
-	Calls, Bundled, Connections              atomic.Int64    // calls; webhooks that shared one; connections opened
-	Outcomes                                 [9]atomic.Int64 // attempts, by api.Outcome
-	GivenUp, HandedBack, Over                atomic.Int64    // dead-lettered; rejected by callback; discarded by an endpoint
-	Told, Untold                             atomic.Int64    // callbacks acknowledged; batches not acknowledged
-	Lists, ListsBroken, Turns, JournalErrors atomic.Int64
+	Accepted, Rejected, Malformed, Recovered     atomic.Int64    // webhooks, by the answer to their client; recovered ones
+	Calls, Bundled, Connections                  atomic.Int64    // calls; webhooks that shared one; connections opened
+	Outcomes                                     [9]atomic.Int64 // attempts, by api.Outcome
+	DeadLettered, RejectedByCallback, Discarded  atomic.Int64    // dead-lettered; rejected by callback; discarded by an endpoint
+	CallbacksAcknowledged, CallbackBatchesFailed atomic.Int64    // callbacks acknowledged; batches not acknowledged
+	Lists, ListsMalformed, Turns, LogErrors      atomic.Int64
 }
 
 // outcomeNames are the names of outcomes in metrics and logs, by api.Outcome.
@@ -36,19 +36,19 @@
 		{"webhooks_accepted", &c.Accepted},
 		{"webhooks_rejected", &c.Rejected},
 		{"webhooks_malformed", &c.Malformed},
-		{"webhooks_resumed", &c.Resumed},
+		{"webhooks_resumed", &c.Recovered},
 		{"calls", &c.Calls},
 		{"webhooks_bundled", &c.Bundled},
 		{"connections", &c.Connections},
-		{"webhooks_dead_lettered", &c.GivenUp},
-		{"webhooks_handed_back", &c.HandedBack},
-		{"webhooks_over", &c.Over},
-		{"notices_heard", &c.Told},
-		{"notices_unheard", &c.Untold},
+		{"webhooks_dead_lettered", &c.DeadLettered},
+		{"webhooks_handed_back", &c.RejectedByCallback},
+		{"webhooks_over", &c.Discarded},
+		{"notices_heard", &c.CallbacksAcknowledged},
+		{"notices_unheard", &c.CallbackBatchesFailed},
 		{"lists", &c.Lists},
-		{"lists_broken", &c.ListsBroken},
+		{"lists_broken", &c.ListsMalformed},
 		{"turns", &c.Turns},
-		{"journal_errors", &c.JournalErrors},
+		{"journal_errors", &c.LogErrors},
 	} {
 		f(counter.name, counter.value.Load())
 	}
