--- a/cluster/rebalance/impact.go
+++ b/cluster/rebalance/impact.go
@@ -136,8 +136,7 @@
 	}
 }
 
-// degradation tells which of the file's conditions an impact meets to stop the plan, and where most of the impact was.
-// It returns "" if it meets none.
+// degradation returns which stop condition of the file an impact meets, and the range with the most impact, or "".
 func degradation(c planfile.StopConditions, impact Impact) string {
 	for _, measure := range stopMeasures(c) {
 		if reason := measure.exceeded(impact, c.Line); reason != "" {
@@ -152,8 +151,8 @@
 	return ""
 }
 
-// exceeded tells how a share exceeds what the file allows above the baseline, or returns "". A share counts once there
-// are so many webhooks that a single one is within the limit: one rejected of three says nothing of 2 in a hundred.
+// exceeded returns by how much a share exceeds the baseline plus the limit, or "". A share counts once there are so many
+// webhooks that a single one is within the limit: one rejected of three is no evidence against a limit of 2 %.
 func (m stopMeasure) exceeded(impact Impact, line int) string {
 	total := impact.During.Total
 	isTooFew := total == 0 || m.limit > 0 && float64(total)*m.limit < 1
--- a/cluster/rebalance/impactmeter.go
+++ b/cluster/rebalance/impactmeter.go
@@ -11,8 +11,8 @@
 	"rowanlink/webhook/api"
 )
 
-// ImpactMeter is one member's count of how webhooks ended, by destination, and the moves that it saw begin. It has no
-// clock: its callers tell the time. It is not safe for concurrent use.
+// ImpactMeter is one member's count of how webhooks ended, by destination, and the moves whose begin it observed. It has no
+// clock: its callers pass the time. It is not safe for concurrent use.
 type ImpactMeter struct {
 	incarnation  uint64     // of the process
 	windowLength api.Micros // a baseline is of the last one to two windows
@@ -32,14 +32,14 @@
 // moveRecord is a move that was seen to begin.
 type moveRecord struct {
 	MonitoredMove
-	number    uint64                         // of the plan that asked; 0: none yet
+	number    uint64                         // of the plan by which it was last requested; 0: none yet
 	counts    map[api.DestinationID]Outcomes // when the move began
 	baseline  Outcomes
 	unhealthy []api.DestinationID // when the move began
-	lastSeen  api.Micros          // when it was open, or asked for
+	lastSeen  api.Micros          // when it was open, or last requested
 }
 
-// MonitoredMove is a move whose impact a coordinator asks for: that on its range, from when the move began.
+// MonitoredMove is a move whose impact on its range, since the move began, a coordinator requests.
 type MonitoredMove struct {
 	Move  shardmap.MoveID `cbor:"1,keyasint"`
 	Range cluster.RangeID `cbor:"2,keyasint"`
@@ -47,7 +47,7 @@
 	To    cluster.KeyHash `cbor:"4,keyasint"`
 }
 
-// RangeImpact is what one member measured in the range of a move, since the move began and before.
+// RangeImpact is what one member measured in the range of a move, since the move began and in the baseline before it.
 type RangeImpact struct {
 	Move            shardmap.MoveID     `cbor:"1,keyasint"`
 	Range           cluster.RangeID     `cbor:"2,keyasint"`
@@ -66,10 +66,10 @@
 const (
 	// baselineTTLs is the length of a window in lease TTLs: a baseline reaches back eight to sixteen of them. That is
 	// long compared to a move, so that a few webhooks a second are enough, and short compared to the changes of load in
-	// a day. A move that nobody asks for is forgotten after the same time.
+	// a day. A move that no coordinator requests is forgotten after the same time.
 	baselineTTLs = 8
 
-	// maxMonitoredMoves bounds the moves that a coordinator asks for: those that began last.
+	// maxMonitoredMoves bounds the moves that a coordinator requests: those that began last.
 	maxMonitoredMoves = 64
 )
 
@@ -109,7 +109,7 @@
 	return ranges
 }
 
-// ObserveMap begins to monitor moves that have begun, and forgets those that ended and that nobody asks for.
+// ObserveMap begins to monitor moves that have begun, and forgets those that ended and that no coordinator requests.
 func (i *ImpactMeter) ObserveMap(m *shardmap.Map, unhealthy UnhealthyFunc, now api.Micros) {
 	i.advanceWindow(now)
 	i.updateHashes(m)
--- a/cluster/rebalance/infeasible.go
+++ b/cluster/rebalance/infeasible.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// infeasibleError tells which ranges can't be placed: those on the source's side of a minimum cut of the network, with
+// infeasibleError names the ranges that can't be placed: those on the source's side of a minimum cut of the network, with
 // the members that they are bound to and the rules that bind them.
 func (a *assignment) infeasibleError() error {
 	reached := a.net.SourceSide()
@@ -71,7 +71,7 @@
 }
 
 // describeRules names the rules that select some ranges, but for one. If there are none besides that one, it names
-// all that could be in its way.
+// all that could conflict with it.
 func (p *problem) describeRules(ranges []int, except *planfile.Rule) []string {
 	var rules []int
 	for _, i := range ranges {
--- a/cluster/rebalance/mincostflow/network.go
+++ b/cluster/rebalance/mincostflow/network.go
@@ -38,7 +38,7 @@
 	unitCost func(unit int) int64 // of units from 0 on; nil: flatCost
 }
 
-// residualArc is 2*arc for the way along an arc, and 2*arc+1 for the way back.
+// residualArc is 2*arc for the forward direction of an arc, and 2*arc+1 for the reverse one.
 type residualArc int32
 
 func (r residualArc) arc() int         { return int(r / 2) }
@@ -202,7 +202,7 @@
 }
 
 // SourceSide returns, by node, whether the source still reaches it by residual arcs: after Solve, its side of a
-// minimum cut, which tells why no more units can go.
+// minimum cut, which limits the flow.
 func (n *Network) SourceSide() []bool {
 	reached := make([]bool, len(n.residual))
 	reached[Source] = true
--- a/cluster/rebalance/placement.go
+++ b/cluster/rebalance/placement.go
@@ -164,12 +164,12 @@
 func (p *problem) antiAffinityError(root candidate, gaveUp bool) error {
 	c := p.conflicts(root.target)[0]
 	rule := &p.file.Rules[c.rule]
-	text := "no way was found"
+	text := "no assignment was found"
 	if gaveUp {
-		text = fmt.Sprintf("no way was found in %d tries", maxAttempts)
+		text = fmt.Sprintf("no assignment was found in %d attempts", maxAttempts)
 	}
 	stronger, weaker := c.stronger.rangeIndex, c.weaker.rangeIndex
 	others := p.describeRules([]int{stronger, weaker}, rule)
-	return p.file.Errorf(rule.Line, "apart %q: %s to part %s and %s beside the other rules (%s)", rule.Name, text,
+	return p.file.Errorf(rule.Line, "apart %q: %s that separates %s and %s and satisfies the other rules (%s)", rule.Name, text,
 		p.describeRange(stronger, rule), p.describeRange(weaker, rule), planfile.JoinSome(others))
 }
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -1,6 +1,6 @@
 // Package rebalance moves key ranges between the members of the cluster as a plan file states (package planfile). It
 // holds the planner, which chooses each range's member and orders the moves there; the progress of the running plan,
-// which is replicated in the raft log; the scheduler, which says what the coordinator has to do next; and the impact
+// which is replicated in the raft log; the scheduler, which computes the next actions of the coordinator; and the impact
 // of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/cluster.md, "The plan language",
 // has the reasons.
 package rebalance
@@ -14,7 +14,7 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// StepKind tells what a step does. The values are stored in the raft log.
+// StepKind is the kind of a step. The values are stored in the raft log.
 type StepKind uint8
 
 // The kinds of steps.
@@ -52,13 +52,13 @@
 	OtherRange cluster.RangeID  `cbor:"11,keyasint,omitempty"`
 }
 
-// Dependency is an earlier step that has to be done, and why.
+// Dependency is an earlier step that has to be done, and the reason.
 type Dependency struct {
 	Step   int              `cbor:"1,keyasint"`
 	Reason DependencyReason `cbor:"2,keyasint"`
 }
 
-// DependencyReason tells why a step depends on another. The values are stored in the raft log.
+// DependencyReason is the reason for which a step depends on another. The values are stored in the raft log.
 type DependencyReason uint8
 
 // The reasons for dependencies.
@@ -80,7 +80,7 @@
 }
 
 // NewPlan chooses where each range shall be and orders the moves there. keys returns how many keys a range has; if it
-// is nil, ranges count by their part of the hashes. An error is one line, and names both lines where two contradict
+// is nil, ranges count by their part of the hashes. An error is one line, and names both lines if two contradict
 // each other; it is a *RangeMovingError if a range that moves has to be split first.
 //
 // The plan minimises first the members' distance from their quotas by weight, then the keys moved, then the moves. The
--- a/cluster/rebalance/problem.go
+++ b/cluster/rebalance/problem.go
@@ -150,7 +150,7 @@
 		other, isTaken := firstDestination[i]
 		if isTaken && rule.Kind == planfile.AntiAffinity && destinations[other] != d {
 			return nil, p.file.Errorf(rule.Line,
-				"apart %q: destinations %d and %d lie in one range (%d); split it first",
+				"apart %q: destinations %d and %d are in one range (%d); split it first",
 				rule.Name, destinations[other], d, p.ranges[i].ID)
 		}
 		firstDestination[i] = k
@@ -235,7 +235,7 @@
 		member := p.members[m]
 		if dedicated := p.dedicated[m]; dedicated != nil && pin.Kind != planfile.Dedicated {
 			return p.file.Errorf(pin.Line,
-				"pin %q puts %s on %q, which shall have nothing but what alone %q (line %d) says",
+				"pin %q puts %s on %q, which is dedicated by alone %q (line %d)",
 				pin.Name, p.describeRange(i, pin), pin.Member, dedicated.Name, dedicated.Line)
 		}
 		if p.isBase(i) {
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -25,7 +25,7 @@
 	}.DecMode()
 )
 
-// StepState is how far a step has come. The values are stored in the raft log.
+// StepState is the progress of a step. The values are stored in the raft log.
 type StepState uint8
 
 // The states of steps.
@@ -36,8 +36,8 @@
 	RolledBack           // its move was rolled back; it may start again
 )
 
-// Progress is the replicated state of the running plan, from which any coordinator goes on. It is a state machine of
-// the raft log (a cluster.Part). A later plan replaces it: its steps are made from the map, so that ranges that have
+// Progress is the replicated state of the running plan, from which any coordinator can resume. It is a state machine of
+// the raft log (a cluster.Component). A later plan replaces it: its steps are made from the map, so that ranges that have
 // switched stay where they are.
 type Progress struct {
 	Number     uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
@@ -49,7 +49,7 @@
 	StopReason string          `cbor:"7,keyasint"` // not empty: the plan was stopped, and nothing starts any more
 }
 
-// operation tells what a command does. The values are stored in the raft log.
+// operation is the kind of a command. The values are stored in the raft log.
 type operation uint8
 
 const (
@@ -68,7 +68,7 @@
 	Reason    string          `cbor:"7,keyasint,omitempty"`
 }
 
-// Coordinator makes the commands on the plan, under its epoch of the resource cluster.CoordinatorResource.
+// Coordinator returns the commands on the plan, under its epoch of the resource cluster.CoordinatorResource.
 type Coordinator cluster.Epoch
 
 func (e Coordinator) newCommand(c command) cluster.Command {
@@ -84,14 +84,14 @@
 	}
 }
 
-// Adopt makes a plan the running one. current is the number of the plan that the coordinator knows as the running one:
-// if another was adopted since, Apply returns cluster.ErrStale.
+// Adopt makes a plan the running one. current is the number of the running plan as the coordinator knows it: if another
+// was adopted since, Apply returns cluster.ErrStale.
 func (e Coordinator) Adopt(current uint64, name string, text []byte, p *Plan) cluster.Command {
 	next := &Progress{Number: current + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
 	return e.newCommand(command{Operation: operationAdopt, Number: current + 1, Plan: next})
 }
 
-// RecordState records how far a step has come, as Schedule asks for it.
+// RecordState records the state of a step, as returned by Schedule.
 func (e Coordinator) RecordState(number uint64, step int, state StepState, move shardmap.MoveID) cluster.Command {
 	return e.newCommand(command{
 		Operation: operationRecordState,
@@ -108,7 +108,7 @@
 }
 
 // Apply applies a command of the raft log. A command that it rejects has changed nothing: cluster.ErrStale if it is
-// about another plan than the running one, or a step has come further; cluster.ErrNotFound if there is no such step.
+// about another plan than the running one, or the step has advanced; cluster.ErrNotFound if there is no such step.
 func (p *Progress) Apply(_ uint64, body []byte) ([]byte, error) {
 	var c command
 	if err := decoding.Unmarshal(body, &c); err != nil {
@@ -175,7 +175,7 @@
 	return states
 }
 
-// validate rejects a plan that no planner made: what reads it relies on each of these.
+// validate rejects a plan that no planner made. Its readers rely on each of these conditions.
 func (p *Progress) validate() error {
 	if len(p.States) != len(p.Steps) || len(p.Text) > planfile.MaxBytes {
 		return fmt.Errorf("plan: %d steps, %d states, %d bytes", len(p.Steps), len(p.States), len(p.Text))
@@ -202,7 +202,7 @@
 // Snapshot returns the progress in its encoded form.
 func (p *Progress) Snapshot() ([]byte, error) { return encoding.Marshal(p) }
 
-// Restore replaces the progress by a snapshot. It rejects a broken one and then changes nothing.
+// Restore replaces the progress by a snapshot. It rejects an invalid one and then changes nothing.
 func (p *Progress) Restore(snapshot []byte) error {
 	var next Progress
 	if err := decoding.Unmarshal(snapshot, &next); err != nil {
--- a/cluster/rebalance/rangesplit.go
+++ b/cluster/rebalance/rangesplit.go
@@ -36,7 +36,7 @@
 	SplitKey        cluster.KeyHash
 }
 
-// RangeMovingError tells that no plan can be made until a move ends: its range has to be split first.
+// RangeMovingError means that no plan can be made until a move ends, whose range has to be split first.
 type RangeMovingError struct {
 	Range cluster.RangeID
 	Move  shardmap.Move
@@ -118,7 +118,7 @@
 	return parts, splits
 }
 
-// splitKeyCounts returns a function that tells the keys of ranges after splits: each part has a share of its range's
+// splitKeyCounts returns a function for the number of keys of ranges after splits: each part has a share of its range's
 // keys by its width.
 func splitKeyCounts(keys func(cluster.RangeID) uint64, before, after *shardmap.Map,
 	splits []rangeSplit) func(cluster.RangeID) uint64 {
--- a/cluster/rebalance/reconcile.go
+++ b/cluster/rebalance/reconcile.go
@@ -6,8 +6,8 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// reconcileSteps brings the states of all steps and the map together. It returns why the steps can't go on from where
-// the ranges are, or "".
+// reconcileSteps reconciles the states of all steps with the map. It returns why the steps can't continue from the
+// present owners of the ranges, or "".
 func (s *scheduler) reconcileSteps() (replanReason string) {
 	for step := range s.Steps {
 		reason := s.reconcile(step)
@@ -45,7 +45,7 @@
 	return s.reconcilePending(step, r)
 }
 
-// reconcileStarted handles a step whose move has begun: its end, and its rollback where it can't or shall not go on.
+// reconcileStarted handles a step whose move has begun: its end, and its rollback if it can't or shall not continue.
 func (s *scheduler) reconcileStarted(step int, r *shardmap.Range) (replanReason string) {
 	v := s.Steps[step]
 	isRollBack := v.Kind == StepRollBack
@@ -92,7 +92,7 @@
 	return fmt.Sprintf("step %d: range %d is on %q", step+1, r.ID, r.Owner)
 }
 
-// reconcileReshape brings a split or a merge and the map together.
+// reconcileReshape reconciles the state of a split or a merge with the map.
 func (s *scheduler) reconcileReshape(step int) (replanReason string) {
 	v := s.Steps[step]
 	r, other := s.ranges[v.Range], s.ranges[v.OtherRange]
--- a/cluster/rebalance/scheduler.go
+++ b/cluster/rebalance/scheduler.go
@@ -9,7 +9,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Observations is what a coordinator knows beside the raft log.
+// Observations is what a coordinator knows that is not in the raft log.
 type Observations struct {
 	IsGone        func(cluster.MemberID) bool   // the member has no session; nil: none is gone
 	RangeValue    func(cluster.RangeID) float64 // value of what is delivered in a range; nil: 0
@@ -17,7 +17,7 @@
 	SinceLastMove api.Micros // since a move ended, or since the coordinator became one
 }
 
-// ActionKind tells what a coordinator has to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions, and the command or function for each.
@@ -31,7 +31,8 @@
 	ActionMerge                             // shardmap.Coordinator.Merge(Range, OtherRange)
 )
 
-// Action is one thing to do. If the raft log rejects it, Schedule asks for it again as long as it is due.
+// Action is one action that the coordinator has to take. If the raft log rejects it, Schedule returns it again as long as
+// it is due.
 type Action struct {
 	Kind       ActionKind
 	Step       int // index; noStep: it is about no step
@@ -46,7 +47,7 @@
 
 const noStep = -1
 
-// BlockedStep tells why a step has not started.
+// BlockedStep is a step that has not started, and the reason.
 type BlockedStep struct {
 	Step   int
 	Reason string
@@ -80,7 +81,7 @@
 }
 
 // Schedule returns what has to be done now by the raft log, the map of ranges and what the coordinator observes. f is
-// the running plan's file, as File returns it. Schedule changes nothing, so that the next coordinator goes on from the
+// the running plan's file, as File returns it. Schedule changes nothing, so that the next coordinator resumes from the
 // same state.
 func (p *Progress) Schedule(f *planfile.File, m *shardmap.Map, o Observations) Decisions {
 	if p.Number == 0 {
@@ -141,7 +142,7 @@
 	s.decisions.Blocked = append(s.decisions.Blocked, BlockedStep{Step: step, Reason: reason})
 }
 
-// setState sets a step's state and has it recorded if it isn't yet.
+// setState sets a step's state and adds the action that records it, if it isn't recorded.
 func (s *scheduler) setState(step int, state StepState, move shardmap.MoveID) {
 	s.states[step] = state
 	if s.States[step] == state {
@@ -179,7 +180,7 @@
 	})
 }
 
-// rollBackUnwanted rolls back the moves of an earlier plan that no step of this one wants.
+// rollBackUnwanted rolls back the moves of an earlier plan that no step of this one continues.
 func (s *scheduler) rollBackUnwanted(m *shardmap.Map) {
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
--- a/cluster/rebalance/scheduler_test.go
+++ b/cluster/rebalance/scheduler_test.go
@@ -46,7 +46,7 @@
 	require.NoError(t, sim.adoptPlan(twoMembers+"leave \"a\" {}\nbounds { pause = \"2s\" }\n"))
 	out := sim.progress.Schedule(sim.file, sim.shards, Observations{SinceLastMove: 2*api.Second - 1})
 	assert.Empty(t, out.Actions)
-	assert.Equal(t, []BlockedStep{{0, "the pause after the last move is not over (line 4)"}}, out.Blocked)
+	assert.Equal(t, []BlockedStep{{0, "the pause after the last move has not passed (line 4)"}}, out.Blocked)
 	assert.Len(t, sim.progress.Schedule(sim.file, sim.shards, Observations{SinceLastMove: 2 * api.Second}).Actions, 1)
 }
 
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -227,7 +227,7 @@
 	return s.file.Errorf(line, "deadlock, these moves wait for one another: %s", planfile.JoinSome(waiting))
 }
 
-// lockedError tells that full members can't exchange ranges.
+// lockedError is the error for members at capacity that can't exchange ranges.
 func (s *sequencer) lockedError(moves []int) error {
 	var members, ranges []string
 	line := 0
--- a/cluster/rebalance/sequencer_test.go
+++ b/cluster/rebalance/sequencer_test.go
@@ -179,7 +179,7 @@
 		require.Equal(t, cluster.MemberID(fmt.Sprint("m", to)), sim.ownerOf(i))
 	}
 	require.True(t, sim.schedule().Finished)
-	require.Equal(t, uint64(1), sim.progress.Number, "it was planned anew on the way")
+	require.Equal(t, uint64(1), sim.progress.Number, "the plan was recomputed")
 	seen := map[int]int{}
 	for n, k := range sim.startedSteps {
 		seen[int(sim.progress.Steps[k].Range)-1] = n
--- a/cluster/rebalance/sequencesearch.go
+++ b/cluster/rebalance/sequencesearch.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// noOrderError tells why no order was found, by the state that came furthest.
+// noOrderError is the error if no order was found, by the state with the most moves done.
 func (s *sequenceSearch) noOrderError() error {
 	s.restoreFurthest()
 	searched := ""
--- a/cluster/rebalance/startmoves.go
+++ b/cluster/rebalance/startmoves.go
@@ -16,9 +16,8 @@
 	value     float64
 }
 
-// startSteps starts each step that may start, in their order. Which step frees the capacity that a step uses is fixed,
-// so one that may start uses nothing that an earlier one counts on; only limits on all moves are reserved for the
-// earlier one.
+// startSteps starts each step that may start, in order. Which step frees the capacity that a step uses is fixed, so a
+// step that may start never uses capacity of an earlier one. Only limits on all moves are reserved for an earlier step.
 func (s *scheduler) startSteps(m *shardmap.Map) {
 	s.countInFlight(m)
 	s.countRemaining()
@@ -139,7 +138,7 @@
 	return s.observations.RangeValue(id)
 }
 
-// unmetCondition tells what has to happen before a step, or returns "".
+// unmetCondition returns the condition of a step that is not met yet, or "".
 func (s *scheduler) unmetCondition(v Step) string {
 	if reason := s.unmetDependency(v); reason != "" {
 		return reason
@@ -186,7 +185,7 @@
 	return ""
 }
 
-// exceededLocalLimit tells which limit of a member or a zone a step would exceed, or returns "".
+// exceededLocalLimit returns the limit of a member or a zone that a step would exceed, or "".
 func (s *scheduler) exceededLocalLimit(v Step) string {
 	limits := s.file.Limits
 	for _, id := range [...]cluster.MemberID{v.From, v.To} {
@@ -203,7 +202,7 @@
 	return ""
 }
 
-// exceededGlobalLimit tells which limit on all moves a step would exceed, or returns "".
+// exceededGlobalLimit returns the limit on all moves that a step would exceed, or "".
 func (s *scheduler) exceededGlobalLimit(v Step) string {
 	limits, value := s.file.Limits, s.value(v.Range)
 	switch {
@@ -214,7 +213,7 @@
 		return fmt.Sprintf("value %.4g in progress and %.4g of this move, value_under_way is %g (line %d)", s.inFlight.value,
 			value, limits.ValueInFlight, limits.Line)
 	case s.observations.SinceLastMove < limits.Cooldown:
-		return fmt.Sprintf("the pause after the last move is not over (line %d)", limits.Line)
+		return fmt.Sprintf("the pause after the last move has not passed (line %d)", limits.Line)
 	}
 	return ""
 }
--- a/cluster/rebalance/steps.go
+++ b/cluster/rebalance/steps.go
@@ -8,7 +8,7 @@
 )
 
 // stepBuilder makes the sequence found into steps that each depend on the earlier ones which free the capacity that
-// they use, so that each may start as soon as those are done, whatever becomes of the others.
+// they use, so that each may start as soon as those are done, whatever the state of the others.
 type stepBuilder struct {
 	*sequencer
 	steps []Step
--- a/test/fake/portalloc/portalloc.go
+++ b/test/fake/portalloc/portalloc.go
@@ -137,7 +137,7 @@
 	p.hanging = nil
 }
 
-// Close gives the port up.
+// Close releases the port.
 func (p *Port) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -1,5 +1,5 @@
-// Package raftleader fakes the one raft node of a cluster, for tests of what members make of answers that are lost, late
-// or of an older state. It applies commands to a lease table of its own.
+// Package raftleader fakes the only raft node of a cluster, for tests of how members handle responses that are lost, late
+// or stale. It applies commands to a lease table of its own.
 package raftleader
 
 import (
@@ -19,8 +19,8 @@
 	"rowanlink/webhook/api"
 )
 
-// GrantReply is what the leader answers to a request for grants: no counts these requests from 1, real is what became
-// of this one.
+// GrantReply returns the leader's response to a request for grants: no counts these requests from 1, real is the response
+// of a leader without faults.
 type GrantReply func(no int, real transport.ProposeResponse) (status int, body []byte)
 
 // ReplyTruthfully is the GrantReply of a leader without faults.
@@ -60,14 +60,14 @@
 	return l
 }
 
-// QueuePlanStates has the next polls answered with these, one each; later ones bring nothing.
+// QueuePlanStates sets the states with which the next polls are answered, one each; later ones get none.
 func (l *Leader) QueuePlanStates(states ...transport.ComponentState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.planStates = append(l.planStates, states...)
 }
 
-// PolledVersions returns the versions of the plan that the polls answered with a state named.
+// PolledVersions returns the versions of the plan in the polls that were answered with a state.
 func (l *Leader) PolledVersions() []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test/integration/cluster/site_test.go
+++ b/test/integration/cluster/site_test.go
@@ -161,7 +161,7 @@
 	assert.Zero(t, runSiteScenario(t, func(c *harness.Cluster) {
 		waits := c.Platform.Destination(harbor[4])
 		waits.QueueBehaviours(platform.RateLimited(3 * time.Second))
-		sleepSiteTTLs(0.4) // what it told the relay binds the sender, too
+		sleepSiteTTLs(0.4) // a Retry-After that the relay received binds the sender, too
 		for _, fault := range []harness.Fault{harness.Partition, harness.OneWayPartition, harness.ResetAfterBytes(2000)} {
 			who := awaitSender(c, harbor[0])
 			c.Network.SetFault("m5", who.Name, fault)
--- a/test/integration/subprocess/process.go
+++ b/test/integration/subprocess/process.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	go func() {
-		_ = p.cmd.Wait() // ExitStatus tells how it ended
+		_ = p.cmd.Wait() // ExitStatus has the result
 		close(p.done)
 	}()
 	return p, nil
