--- a/cluster/config/members.go
+++ b/cluster/config/members.go
@@ -41,7 +41,8 @@
 	for _, b := range blocks.Members {
 		weight := valueOr(b.Weight, defaultWeight)
 		if b.ID == "" || !isBetween(weight, 0, maxWeight) || b.MaxRanges < 0 {
-			return errorAt(b.Position, "member %q: a name, weight from 0 to 1e6 and room from 0 (no bound) are taken", b.ID)
+			return errorAt(b.Position,
+				"member %q needs a name, a weight from 0 to 1e6, and a room of at least 0 (0: no limit)", b.ID)
 		}
 		if err := names.add("member "+b.ID, b.Position); err != nil {
 			return err
@@ -63,7 +64,7 @@
 	}
 	if raftNodes != 1 && raftNodes != 3 && raftNodes != 5 {
 		return errorAt(blocks.Clusters[0].Position,
-			"%d members have an address log: three or five keep the log (one: to try it)", raftNodes)
+			"%d members have an address log: three or five must have one (a single one: for trials)", raftNodes)
 	}
 	return nil
 }
--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -26,7 +26,7 @@
 	relays := map[string]hcl.Range{}
 	for _, b := range blocks.Sites {
 		if first, used := names[b.ID]; used || b.ID == "" {
-			return errorAt(b.Position, "site %q: a name of its own is needed (see line %d)", b.ID, first.Start.Line)
+			return errorAt(b.Position, "site %q: the name must be unique and not empty (see line %d)", b.ID, first.Start.Line)
 		}
 		names[b.ID] = b.Position
 		if _, known := f.Member(cluster.MemberID(b.Relay)); !known {
@@ -40,7 +40,7 @@
 		subscribers := parseSubscribers(b.Subscribers)
 		for _, d := range subscribers {
 			if first, used := siteOf[d]; used {
-				return errorAt(b.Position, "destination %d stands behind a relay in line %d already: it has one site",
+				return errorAt(b.Position, "destination %d is a subscriber of the site in line %d already: it belongs to one site",
 					d, first.Start.Line)
 			}
 			siteOf[d] = b.Position
@@ -58,7 +58,7 @@
 	names := map[string]hcl.Range{}
 	for _, b := range blocks.Lists {
 		if first, used := names[b.ID]; used || b.ID == "" {
-			return errorAt(b.Position, "list %q: a name of its own is needed (see line %d)", b.ID, first.Start.Line)
+			return errorAt(b.Position, "list %q: the name must be unique and not empty (see line %d)", b.ID, first.Start.Line)
 		}
 		names[b.ID] = b.Position
 		if len(b.Subscribers) == 0 {
--- a/serving/store/endpointstore.go
+++ b/serving/store/endpointstore.go
@@ -49,22 +49,19 @@
 
 // endpointFile is owned by the goroutine that uses the disk.
 type endpointFile struct {
-	directory string
-	log       *zerolog.Logger
-	sqlite    *sqliteFile // nil before the first use and after corruption
-	closed    bool        // for good
+	databaseFile[*sqliteFile]
 }
 
 // OpenEndpointStore returns a store in a directory. The disk is first used by Load or Save.
 func OpenEndpointStore(directory string, log *zerolog.Logger) *EndpointStore {
-	return &EndpointStore{file: actor.Start(&endpointFile{directory: directory, log: log})}
+	file := &endpointFile{newDatabaseFile[*sqliteFile](directory, log)}
+	return &EndpointStore{file: actor.Start(file)}
 }
 
 // Close closes the file, without waiting for the disk.
 func (s *EndpointStore) Close() {
 	s.file.Send(func(f *endpointFile) {
-		f.close()
-		f.closed = true
+		f.closeForGood()
 		s.file.Stop()
 	})
 }
@@ -109,7 +106,7 @@
 	if err := f.open(); err != nil {
 		return nil, err
 	}
-	rows, err := f.sqlite.connection.QueryContext(context.Background(), selectEndpoints)
+	rows, err := f.database.connection.QueryContext(context.Background(), selectEndpoints)
 	if err != nil {
 		return nil, errors.Wrap(err, "read endpoints from store")
 	}
@@ -136,7 +133,7 @@
 		}
 		return err
 	}
-	err := f.sqlite.runTransaction(func() error { return f.write(changes) })
+	err := f.database.runTransaction(func() error { return f.write(changes) })
 	if isCorruption(err) {
 		return errors.CombineErrors(err, f.remove(err))
 	}
@@ -145,7 +142,7 @@
 
 func (f *endpointFile) write(changes EndpointChanges) error {
 	if changes.Snapshot {
-		if err := f.sqlite.execute(deleteEndpoints); err != nil {
+		if err := f.database.execute(deleteEndpoints); err != nil {
 			return err
 		}
 	}
@@ -154,12 +151,12 @@
 		if err != nil {
 			return errors.Wrap(err, "encode endpoint")
 		}
-		if err := f.sqlite.execute(upsertEndpoint, endpoint.ID, body, int64(xxhash.Sum64(body))); err != nil {
+		if err := f.database.execute(upsertEndpoint, endpoint.ID, body, int64(xxhash.Sum64(body))); err != nil {
 			return err
 		}
 	}
 	for _, id := range changes.Removed {
-		if err := f.sqlite.execute(deleteEndpoint, id); err != nil {
+		if err := f.database.execute(deleteEndpoint, id); err != nil {
 			return err
 		}
 	}
@@ -168,27 +165,20 @@
 
 // open opens the file unless it is open.
 func (f *endpointFile) open() error {
-	switch {
-	case f.closed:
+	if f.closed {
 		return errClosed
-	case f.sqlite != nil:
+	}
+	if f.isOpen() {
 		return nil
 	}
 	opened, err := openSQLite(filepath.Join(f.directory, endpointFileName), endpointFileLayout)
 	if err != nil {
 		return err
 	}
-	f.sqlite = opened
+	f.database = opened
 	return syncDirectory(f.directory)
 }
 
-func (f *endpointFile) close() {
-	if f.sqlite != nil {
-		f.sqlite.close()
-		f.sqlite = nil
-	}
-}
-
 // remove deletes a corrupt file: it was only a copy.
 func (f *endpointFile) remove(cause error) error {
 	event.EndpointStoreRemoved.Log(f.log).Err(cause).Send()
--- a/serving/store/store.go
+++ b/serving/store/store.go
@@ -37,23 +37,20 @@
 
 // replicaFile is owned by the goroutine that uses the disk.
 type replicaFile struct {
-	directory string
-	log       *zerolog.Logger
-	database  *replicaDatabase // nil before the first use and after corruption
-	closed    bool             // for good
+	databaseFile[*replicaDatabase]
 }
 
 // Open returns a store in a directory. The disk is first used by Load or Save, so that a failing disk doesn't delay the
 // start of the process.
 func Open(directory string, log *zerolog.Logger) *Store {
-	return &Store{file: actor.Start(&replicaFile{directory: directory, log: log})}
+	file := &replicaFile{newDatabaseFile[*replicaDatabase](directory, log)}
+	return &Store{file: actor.Start(file)}
 }
 
 // Close closes the file, without waiting for the disk.
 func (s *Store) Close() {
 	s.file.Send(func(f *replicaFile) {
-		f.close()
-		f.closed = true
+		f.closeForGood()
 		s.file.Stop()
 	})
 }
@@ -115,10 +112,10 @@
 
 // open opens the file unless it is open.
 func (f *replicaFile) open() error {
-	switch {
-	case f.closed:
+	if f.closed {
 		return errClosed
-	case f.database != nil:
+	}
+	if f.isOpen() {
 		return nil
 	}
 	opened, err := openReplicaDatabase(filepath.Join(f.directory, replicaFileName))
@@ -133,13 +130,6 @@
 	return nil
 }
 
-func (f *replicaFile) close() {
-	if f.database != nil {
-		f.database.close()
-		f.database = nil
-	}
-}
-
 // quarantine renames the corrupt file and removes its log. The log is removed last: the file without it could be read
 // again with an old state, and the replica would have forgotten its votes. A log that is left over without its file
 // either restores the newest state or is found to be corrupt once more.
