--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -21,6 +21,8 @@
 	initial    map[cluster.ComponentID][]byte // each component's first state, for a snapshot that lacks it
 }
 
+// The encoding is deterministic, so that all raft nodes produce the same bytes, and decoding is strict, so that they
+// reject the same ones. The options are constant and valid.
 var (
 	encMode, _ = cbor.CoreDetEncOptions().EncMode()
 	decMode, _ = cbor.DecOptions{
--- a/cluster/lease/operation.go
+++ b/cluster/lease/operation.go
@@ -80,6 +80,8 @@
 // maxArrayElements bounds what is allocated for the arrays of a damaged or forged entry.
 const maxArrayElements = 1 << 20
 
+// The encoding is deterministic, so that all raft nodes produce the same bytes, and decoding is strict, so that they
+// reject the same ones. The options are constant and valid.
 var (
 	encMode, _ = cbor.CoreDetEncOptions().EncMode()
 	decMode, _ = cbor.DecOptions{
--- a/cluster/site/admission.go
+++ b/cluster/site/admission.go
@@ -9,10 +9,11 @@
 // MayCall reports whether a site's subscriber may be called from here as far as its stream is concerned; asRelay: as
 // its relay, whoever owns its range.
 func (s *Sites) MayCall(d api.DestinationID) (may, asRelay bool) {
-	r, receiver := s.routes.Load(), s.relay.Load()
-	sender := r.senderOf[d]
+	current := s.routes.Load()
+	receiver := s.relay.Load()
+	sender := current.senderOf[d]
 	switch {
-	case r.servedHere[d]:
+	case current.servedHere[d]:
 		return receiver != nil, true
 	case receiver != nil && receiver.hasPending(d): // it has left the site, and earlier deliveries end here
 		return true, true
@@ -24,10 +25,11 @@
 
 // RateShare returns the share of a destination's rate that this member has; ownerShare is the share by the shard map.
 func (s *Sites) RateShare(d api.DestinationID, ownerShare float64) float64 {
-	r, receiver := s.routes.Load(), s.relay.Load()
-	sender := r.senderOf[d]
+	current := s.routes.Load()
+	receiver := s.relay.Load()
+	sender := current.senderOf[d]
 	switch {
-	case receiver != nil && (r.servedHere[d] || receiver.hasPending(d)):
+	case receiver != nil && (current.servedHere[d] || receiver.hasPending(d)):
 		if receiver.receiver.MayBeBypassed() {
 			return partitionedShare
 		}
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -93,12 +93,29 @@
 	}
 }
 
-// feedStream adds the parked webhooks that are not in the stream yet, with the subscribers of an announcement in one
-// item. It adds none if it finds one that was sent and that the stream does not know: the stream is restarted then.
+// itemBatch collects the items to be added to the stream, with the subscribers of an announcement in one item.
+type itemBatch struct {
+	byPart map[announcementPart]*stream.Item
+	items  []*stream.Item // in the order of acceptance
+}
+
+// add adds an item for one subscriber, or adds the subscriber to an unordered item that has all else in common. It
+// returns the item that has the subscriber.
+func (b *itemBatch) add(item *stream.Item) *stream.Item {
+	part := partOf(item)
+	if shared := b.byPart[part]; shared != nil && shared.Key == 0 {
+		shared.Destinations = append(shared.Destinations, item.Destinations...)
+		return shared
+	}
+	b.byPart[part] = item
+	b.items = append(b.items, item)
+	return item
+}
+
+// feedStream adds the parked webhooks that are not in the stream yet. It adds none if it finds one that was sent and that the stream does not know: the stream is restarted then.
 func (s *siteSender) feedStream(sender *relay.Sender, parked []eventloop.Parked) {
 	withheld := map[orderingScope]bool{}
-	itemOf := map[announcementPart]*stream.Item{}
-	var items []*stream.Item
+	batch := itemBatch{byPart: map[announcementPart]*stream.Item{}}
 	for _, w := range parked {
 		_, wasSent := s.sites.sentLog.get(w.RequestID)
 		item := s.newItem(w)
@@ -107,10 +124,10 @@
 			continue
 		}
 		// Another member may own the range, and call the destination while the relay does.
-		isForeign := !wasSent && !s.sites.isRangeOwner(w.Destination)
+		isElsewhere := !wasSent && !s.sites.isRangeOwner(w.Destination)
 		// Another member may have an earlier webhook of the key.
 		isInDoubt := w.InDoubt && !wasSent
-		if isForeign || isInDoubt || withheld[scope] {
+		if isElsewhere || isInDoubt || withheld[scope] {
 			withheld[scope] = withheld[scope] || item.Key != 0
 			continue
 		}
@@ -118,17 +135,9 @@
 			s.needsRestart.Store(true)
 			return
 		}
-		part := partOf(item)
-		if shared := itemOf[part]; shared != nil && shared.Key == 0 {
-			shared.Destinations = append(shared.Destinations, w.Destination)
-			item = shared
-		} else {
-			itemOf[part] = item
-			items = append(items, item)
-		}
-		s.track(item, w)
+		s.track(batch.add(item), w)
 	}
-	for _, item := range items {
+	for _, item := range batch.items {
 		sender.Add(*item, s.sites.eventType(item.EventType).LatencyTarget)
 	}
 }
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -122,23 +122,22 @@
 		if err := transport.Decode(e.Payload, &record); err != nil {
 			return stream.Checkpoint{}, nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
 		}
-		var replaced api.WebhookID
-		var isReplacing bool
+		// A record is removed only by the write after the one that replaced it.
 		if record.Checkpoint != nil {
-			replaced, isReplacing = r.checkpointRecord, r.checkpointRecord != 0
+			if r.checkpointRecord != 0 {
+				r.journal.Finish(r.checkpointRecord, nil)
+			}
 			checkpoint = *record.Checkpoint
 			r.checkpointRecord = e.ID
-		} else {
-			replaced, isReplacing = r.recordIDs[record.Delivery]
-			r.recordIDs[record.Delivery] = e.ID
-			if !isReplacing {
-				deliveries = append(deliveries, record.Delivery)
-			}
-			last[record.Delivery] = &record
+			continue
 		}
-		if isReplacing { // a record is removed only by the write after the one that replaced it
+		if replaced, isReplacing := r.recordIDs[record.Delivery]; isReplacing {
 			r.journal.Finish(replaced, nil)
+		} else {
+			deliveries = append(deliveries, record.Delivery)
 		}
+		r.recordIDs[record.Delivery] = e.ID
+		last[record.Delivery] = &record
 	}
 	for _, d := range deliveries {
 		records = append(records, last[d])
--- a/cluster/stream/frame.go
+++ b/cluster/stream/frame.go
@@ -24,28 +24,28 @@
 			return nil, 0, err
 		}
 	}
-	for _, p := range f.Items {
-		if !f.isValid(p) {
-			return nil, 0, fmt.Errorf("%w: item of %q", ErrMalformed, p.ID.Origin)
+	for _, packed := range f.Items {
+		if !f.isValid(packed) {
+			return nil, 0, fmt.Errorf("%w: item of %q", ErrMalformed, packed.ID.Origin)
 		}
-		deliveries += len(lists[p.List])
+		deliveries += len(lists[packed.List])
 		if deliveries > maxDeliveries {
 			return nil, 0, fmt.Errorf("%w: over %d deliveries", ErrMalformed, maxDeliveries)
 		}
 		items = append(items, Item{
-			ID:             p.ID,
-			RequestID:      p.RequestID,
-			IsAnnouncement: p.IsAnnouncement,
-			EventType:      p.EventType,
-			Tenant:         p.Tenant,
-			Token:          p.Token,
-			Key:            p.Key,
-			TTL:            p.TTL,
-			Attempts:       p.Attempts,
-			FirstAttemptAt: p.FirstAttemptAt,
-			Zone:           p.Zone,
-			Body:           f.Bodies[p.Body],
-			Destinations:   lists[p.List],
+			ID:             packed.ID,
+			RequestID:      packed.RequestID,
+			IsAnnouncement: packed.IsAnnouncement,
+			EventType:      packed.EventType,
+			Tenant:         packed.Tenant,
+			Token:          packed.Token,
+			Key:            packed.Key,
+			TTL:            packed.TTL,
+			Attempts:       packed.Attempts,
+			FirstAttemptAt: packed.FirstAttemptAt,
+			Zone:           packed.Zone,
+			Body:           f.Bodies[packed.Body],
+			Destinations:   lists[packed.List],
 		})
 	}
 	return items, deliveries, nil
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -66,6 +66,11 @@
 	detached    bool // nothing more is sent to the relay
 }
 
+func (q *destinationQueue) removeFirst() {
+	q.items[0] = nil // releases the item's memory
+	q.items = q.items[1:]
+}
+
 type sentDelivery struct {
 	*queuedItem
 	receiverIncarnation uint64 // of the relay's folder that it was sent to
@@ -229,18 +234,18 @@
 		f.ClockOffset = s.clockOffset(now)
 		return f, true
 	}
-	b := s.gather(now)
+	builder := s.gather(now)
 	s.bytesAdded = 0
 	s.frameDueAt = api.Never
 	if len(s.readyQueues) > 0 {
 		s.frameDueAt = now
 	}
-	if b.deliveries == 0 {
+	if builder.deliveries == 0 {
 		return Frame{}, false
 	}
 	s.sequence++
-	s.sentCount += uint64(b.deliveries)
-	f = b.build(s.generation, s.sequence, now)
+	s.sentCount += uint64(builder.deliveries)
+	f = builder.build(s.generation, s.sequence, now)
 	f.ReceiverIncarnation = s.receiverIncarnation
 	s.unacked = append(s.unacked, unackedFrame{Frame: f, count: s.sentCount})
 	s.nextRetransmit = len(s.unacked)
@@ -250,33 +255,34 @@
 
 // gather moves deliveries from the ready queues, one of each in turn, into a frame.
 func (s *Sender) gather(now api.Micros) frameBuilder {
-	b := frameBuilder{index: map[*queuedItem]int{}}
+	builder := frameBuilder{index: map[*queuedItem]int{}}
 	credit := s.availableCredit()
 	for len(s.readyQueues) > 0 && credit > 0 {
 		q := s.readyQueues[0]
-		q.ready = s.canSend(q)
-		if q.ready {
-			item := q.items[0]
-			if !b.fits(item) {
-				return b
-			}
-			q.items[0] = nil
-			q.items = q.items[1:]
-			b.add(item, q.destination)
-			s.recordSent(q, item, &sentDelivery{
-				queuedItem:          item,
-				receiverIncarnation: s.receiverIncarnation,
-				sentAt:              now,
-			})
-			credit--
-			q.ready = len(q.items) > 0
-			if q.ready {
-				s.readyQueues = append(s.readyQueues, q)
-			}
+		if !s.canSend(q) {
+			q.ready = false
+			s.readyQueues = s.readyQueues[1:]
+			continue
 		}
+		item := q.items[0]
+		if !builder.fits(item) {
+			return builder
+		}
+		q.removeFirst()
 		s.readyQueues = s.readyQueues[1:]
+		builder.add(item, q.destination)
+		s.recordSent(q, item, &sentDelivery{
+			queuedItem:          item,
+			receiverIncarnation: s.receiverIncarnation,
+			sentAt:              now,
+		})
+		credit--
+		q.ready = len(q.items) > 0
+		if q.ready {
+			s.readyQueues = append(s.readyQueues, q)
+		}
 	}
-	return b
+	return builder
 }
 
 // recordSent records a delivery as sent or bypassing. It replaces an earlier record: a delivery may bypass the relay
