--- a/cluster/fsm/history.go
+++ b/cluster/fsm/history.go
@@ -26,7 +26,7 @@
 	return h.snapshots[len(h.snapshots)-1].version
 }
 
-// Add makes a snapshot the newest. A version below the newest means that the log was begun anew: the history is
+// Add makes a snapshot the newest. A version below the newest means that the log was recreated: the history is
 // dropped then.
 func (h *SnapshotHistory) Add(version uint64, data []byte) {
 	switch {
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -50,7 +50,7 @@
 	return m
 }
 
-// EncodeCommand returns a command as it stands in the log.
+// EncodeCommand returns a command as a log entry.
 func EncodeCommand(c cluster.Command) []byte {
 	b, err := encMode.Marshal(c)
 	if err != nil {
--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster/lease"
 )
 
-// stubComponent keeps the last command that it executed.
+// stubComponent records the last command that it executed.
 type stubComponent struct{ last []byte }
 
 func (c *stubComponent) Apply(_ uint64, body []byte) ([]byte, error) {
@@ -36,19 +36,19 @@
 const stubID = cluster.RebalanceComponent
 
 func newMachine() (*Machine, *stubComponent) {
-	n := &stubComponent{}
-	return New(lease.NewTable(), map[cluster.ComponentID]cluster.Component{stubID: n}), n
+	stub := &stubComponent{}
+	return New(lease.NewTable(), map[cluster.ComponentID]cluster.Component{stubID: stub}), stub
 }
 
 // machineWithLease is a machine in which session 1 holds the coordinator's lease with the epoch returned.
 func machineWithLease(t *testing.T) (*Machine, *stubComponent, cluster.Epoch) {
 	t.Helper()
-	m, n := newMachine()
+	m, stub := newMachine()
 	_, err := m.Apply(1, EncodeCommand(lease.OpenSession("m1", 1)))
 	require.NoError(t, err)
 	_, err = m.Apply(2, EncodeCommand(lease.AcquireLeases(1, cluster.CoordinatorResource)))
 	require.NoError(t, err)
-	return m, n, 2
+	return m, stub, 2
 }
 
 // fencedCommand returns a command that is fenced by the coordinator's lease.
@@ -62,7 +62,7 @@
 }
 
 func TestMachine_FencesFormerHolder(t *testing.T) {
-	m, n, epoch := machineWithLease(t)
+	m, stub, epoch := machineWithLease(t)
 	fenced := func(e cluster.Epoch, body string) []byte {
 		return EncodeCommand(fencedCommand(e, body))
 	}
@@ -77,7 +77,7 @@
 	}
 	_, err = m.Apply(6, EncodeCommand(cluster.Command{Component: stubID, Epoch: epoch, Body: []byte("c")}))
 	assert.ErrorIs(t, err, cluster.ErrFenced, "an epoch of no resource")
-	assert.Equal(t, "a", string(n.last))
+	assert.Equal(t, "a", string(stub.last))
 }
 
 func TestMachine_VersionIsOfTheLastAppliedEntry(t *testing.T) {
@@ -95,13 +95,13 @@
 }
 
 func TestMachine_RestoredMachineContinues(t *testing.T) {
-	m, n, epoch := machineWithLease(t)
-	n.last = []byte("a")
+	m, stub, epoch := machineWithLease(t)
+	stub.last = []byte("a")
 	snapshot, err := m.Snapshot()
 	require.NoError(t, err)
-	other, stub := newMachine()
+	other, otherStub := newMachine()
 	require.NoError(t, other.Restore(snapshot))
-	assert.Equal(t, "a", string(stub.last))
+	assert.Equal(t, "a", string(otherStub.last))
 	assert.Equal(t, uint64(2), other.ComponentVersion(cluster.LeaseComponent))
 	_, err = other.Apply(3, EncodeCommand(fencedCommand(epoch, "")))
 	assert.NoError(t, err)
@@ -114,32 +114,34 @@
 
 // Nothing of the previous state may survive: a component that the snapshot lacks gets its initial state.
 func TestMachine_ComponentMissingInSnapshotIsReset(t *testing.T) {
-	m, n, _ := machineWithLease(t)
-	n.last = []byte("a")
+	m, stub, _ := machineWithLease(t)
+	stub.last = []byte("a")
 	before, err := New(lease.NewTable(), nil).Snapshot()
 	require.NoError(t, err)
 	require.NoError(t, m.Restore(before))
-	assert.Empty(t, n.last)
+	assert.Empty(t, stub.last)
 	assert.Zero(t, m.ComponentVersion(cluster.LeaseComponent))
 	_, err = m.Apply(3, EncodeCommand(lease.AcquireLeases(1, cluster.CoordinatorResource)))
 	assert.ErrorIs(t, err, cluster.ErrNotFound)
 }
 
 func TestMachine_RejectedSnapshotChangesNothing(t *testing.T) {
-	m, n, _ := machineWithLease(t)
-	n.last = []byte("a")
+	m, stub, _ := machineWithLease(t)
+	stub.last = []byte("a")
 	before, err := m.Snapshot()
 	require.NoError(t, err)
 	leases, err := lease.NewTable().Snapshot()
 	require.NoError(t, err)
 	for name, bad := range map[string]machineImage{
 		"a newer format":       {Format: snapshotFormat + 1},
-		"an unknown component": {Format: snapshotFormat, Components: []componentImage{{'?', 1, nil}}},
+		"an unknown component": {Format: snapshotFormat, Components: []componentImage{{Component: '?', Version: 1}}},
 		"a duplicate component": {Format: snapshotFormat, Components: []componentImage{
-			{stubID, 1, nil}, {stubID, 1, nil},
+			{Component: stubID, Version: 1},
+			{Component: stubID, Version: 1},
 		}},
 		"a component that rejects its part": {Format: snapshotFormat, Components: []componentImage{
-			{cluster.LeaseComponent, 9, leases}, {stubID, 9, []byte("half")},
+			{Component: cluster.LeaseComponent, Version: 9, Snapshot: leases},
+			{Component: stubID, Version: 9, Snapshot: []byte("half")},
 		}},
 	} {
 		raw, err := encMode.Marshal(bad)
--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -6,8 +6,8 @@
 	"rowanlink/cluster"
 )
 
-// Fence rejects requests of earlier lease holders. Whatever lease holders act on keeps one, with the highest
-// epoch seen of each resource (Kleppmann, How to do distributed locking, 2016: fencing tokens).
+// Fence rejects requests of earlier lease holders. Each process that lease holders act on has one, with
+// the highest epoch seen of each resource (Kleppmann, How to do distributed locking, 2016: fencing tokens).
 type Fence struct {
 	highest map[cluster.Resource]cluster.Epoch
 }
--- a/cluster/lease/holder.go
+++ b/cluster/lease/holder.go
@@ -83,7 +83,7 @@
 }
 
 // EndSession stops the holder and returns the session that the member then has to end in the log. A process that
-// goes on needs a new incarnation for its next session: with the old one it could be given the same session,
+// continues needs a new incarnation for its next session: with the old one it could be given the same session,
 // and the end could be applied after that.
 func (h *Holder) EndSession() cluster.SessionID {
 	s := h.session
@@ -117,8 +117,8 @@
 
 // AddGrant records a grant from the result of a request of session s. It returns false if another session holds
 // the lease, or if the result is outdated: of an earlier session, or of a grant that was relinquished since. If
-// the latter comes time and again, its release was lost and has to be proposed again. Epoch tells when the
-// grant may be used.
+// the latter recurs, its release was lost and has to be proposed again. Epoch reports whether the grant may be
+// used.
 func (h *Holder) AddGrant(s cluster.SessionID, g Grant) bool {
 	lowest := max(h.relinquished[g.Resource]+1, h.epochs[g.Resource])
 	if s == 0 || s != h.session || g.Epoch < lowest {
--- a/cluster/lease/operation.go
+++ b/cluster/lease/operation.go
@@ -37,7 +37,7 @@
 // OperationKind says what an Operation does.
 type OperationKind uint8
 
-// The kinds of operations. Their numbers stand in the log.
+// The kinds of operations. Their numbers are stored in the log.
 const (
 	OpOpenSession OperationKind = iota + 1
 	OpEndSession
--- a/cluster/lease/reconciler.go
+++ b/cluster/lease/reconciler.go
@@ -181,7 +181,7 @@
 		c.requested[g.Resource] = request{}
 		return
 	}
-	// Without this a late result would bring the grant back while its release is on the way.
+	// Without this a late result would bring the grant back while its release is in flight.
 	c.holder.Relinquish(g.Resource)
 	c.releasing[g.Resource] = releasedGrant{session: s, epoch: g.Epoch}
 }
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -9,7 +9,7 @@
 
 // Table is the replicated component: the open sessions, the leases that they hold, and the last epoch of each
 // resource. It has no notion of time. Session ids and epochs are log indexes, but never fall: they go on rising
-// even if the log were to begin anew with lower indexes.
+// even if the log were recreated with lower indexes.
 //
 // A Table is not safe for concurrent use.
 type Table struct {
@@ -36,7 +36,7 @@
 
 type leaseState struct {
 	session cluster.SessionID // 0: not held
-	epoch   cluster.Epoch     // of the last grant, kept after its release
+	epoch   cluster.Epoch     // of the last grant, retained after its release
 }
 
 // NewTable returns a table without sessions.
--- a/cluster/lease/table_test.go
+++ b/cluster/lease/table_test.go
@@ -121,7 +121,7 @@
 	assert.Equal(t, []Grant{{"conduct", 7}}, mustApply(t, b, 7, AcquireLeases(second, "conduct")).Grants)
 }
 
-// A log that was lost and begun anew must not assign an epoch again.
+// A log that was lost and recreated must not assign an epoch again.
 func TestTable_EpochsRiseWhenIndexFalls(t *testing.T) {
 	b := NewTable()
 	s := mustApply(t, b, 900, OpenSession("m1", 1)).Session
--- a/cluster/relay/receiver.go
+++ b/cluster/relay/receiver.go
@@ -16,7 +16,7 @@
 
 // ReceiverStore is the journal and policy of the relay.
 type ReceiverStore interface {
-	// Persist stores the checkpoint and fresh items in one write; after that the policy may call for them. With an
+	// Persist stores the checkpoint and fresh items in one write; after that the policy may attempt them. With an
 	// error nothing is stored. It is called with the Receiver's lock held: it must not wait for a caller of
 	// RecordResult.
 	Persist(c stream.Checkpoint, fresh []stream.Item) error
@@ -26,7 +26,7 @@
 	ForgetResults([]stream.Delivery)
 	// DestinationStates returns what is known of destinations. No lock is held.
 	DestinationStates(of []api.DestinationID) []api.DestinationState
-	// ApplyDestinationStates takes over what the origin knows; times are of this clock. No lock is held.
+	// ApplyDestinationStates imports what the origin knows; times are of this clock. No lock is held.
 	ApplyDestinationStates([]api.DestinationState)
 }
 
@@ -131,8 +131,8 @@
 // MayBeBypassed reports whether the sender may consider this relay unreachable and call destinations itself: there
 // was no contact for most of the time after which it does, or it opened a generation and has sent nothing in it.
 func (r *Receiver) MayBeBypassed() bool {
-	silence := time.Duration(int64(r.now())-r.lastContact.Load()) * time.Microsecond
-	return !r.hasFrame.Load() || silence > r.timing.UnreachableTimeout*3/4
+	idle := time.Duration(int64(r.now())-r.lastContact.Load()) * time.Microsecond
+	return !r.hasFrame.Load() || idle > r.timing.UnreachableTimeout*3/4
 }
 
 // persist stores the checkpoint with fresh items. If the write fails, what was received is rolled back and must not
--- a/cluster/relay/result_reporter.go
+++ b/cluster/relay/result_reporter.go
@@ -82,11 +82,11 @@
 		return false, false
 	}
 	message.DestinationStates = r.store.DestinationStates(destinationsOf(message.Results))
-	code, raw, err := r.messenger.Call(origin, ResultsPath, transport.Encode(message), r.timing.RequestTimeout)
+	status, response, err := r.messenger.Call(origin, ResultsPath, transport.Encode(message), r.timing.RequestTimeout)
 	var recorded []stream.Delivery
-	if err != nil || code != fasthttp.StatusOK || transport.Decode(raw, &recorded) != nil || len(recorded) == 0 {
+	if err != nil || status != fasthttp.StatusOK || transport.Decode(response, &recorded) != nil || len(recorded) == 0 {
 		slog.Debug("relay: results not acknowledged",
-			"origin", origin, "count", len(message.Results), "status", code, "error", err)
+			"origin", origin, "count", len(message.Results), "status", status, "error", err)
 		return true, false
 	}
 	r.mu.Lock()
--- a/cluster/relay/sender.go
+++ b/cluster/relay/sender.go
@@ -34,7 +34,7 @@
 	DropExpired([]stream.Delivery)
 	// DestinationStates returns what this dispatcher knows of the site's destinations. No lock is held.
 	DestinationStates() []api.DestinationState
-	// ApplyDestinationStates takes over what the relay knows; times are of this clock. No lock is held.
+	// ApplyDestinationStates imports what the relay knows; times are of this clock. No lock is held.
 	ApplyDestinationStates([]api.DestinationState)
 }
 
@@ -99,7 +99,7 @@
 	s.update(func() { s.state.AttachDestination(d) })
 }
 
-// update changes the state, hands on what may bypass the relay after that, and wakes Run up.
+// update changes the state, passes on the deliveries that may bypass the relay after that, and wakes Run up.
 func (s *Sender) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/resource.go
+++ b/cluster/resource.go
@@ -19,7 +19,7 @@
 // CoordinatorResource is held by the member that coordinates rebalancing.
 const CoordinatorResource Resource = "conduct"
 
-// The prefixes of the resources of ranges, sites and planned restarts. They stand in the replicated log.
+// The prefixes of the resources of ranges, sites and planned restarts. They are stored in the replicated log.
 const (
 	rangeOwnerPrefix = "home/"
 	siteSenderPrefix = "site/"
--- a/cluster/site/relay_submission.go
+++ b/cluster/site/relay_submission.go
@@ -36,8 +36,10 @@
 		case <-retry.C:
 		}
 		r.mu.Lock()
-		unsubmitted, finished := r.unsubmitted, r.finished
-		r.unsubmitted, r.finished = nil, nil
+		unsubmitted := r.unsubmitted
+		finished := r.finished
+		r.unsubmitted = nil
+		r.finished = nil
 		r.mu.Unlock()
 		r.storeResults(finished)
 		r.submit(unsubmitted)
@@ -160,7 +162,7 @@
 	return states
 }
 
-// ApplyDestinationStates takes over what the origin knows, except of destinations with pending deliveries: what is
+// ApplyDestinationStates imports what the origin knows, except of destinations with pending deliveries: what is
 // known of those here is newer, and the policy does not expect to learn of an outage of a destination that it has
 // webhooks for.
 func (r *relayReceiver) ApplyDestinationStates(states []api.DestinationState) {
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -238,7 +238,7 @@
 	return states
 }
 
-// ApplyDestinationStates takes over what the relay knows, for when the relay becomes unreachable.
+// ApplyDestinationStates imports what the relay knows, for when the relay becomes unreachable.
 func (s *siteSender) ApplyDestinationStates(states []api.DestinationState) {
 	if !s.direct.Load() { // else what is known here is newer
 		s.sites.loop.ImportState(states)
--- a/cluster/stream/codec_test.go
+++ b/cluster/stream/codec_test.go
@@ -19,10 +19,10 @@
 		}
 		f := p.build(Generation{Epoch: 1, Number: 1}, 1, 0)
 		f.Items[0].ID.Origin = "m"
-		items, n, err := f.Unpack()
+		items, count, err := f.Unpack()
 		assert.NoError(t, err)
-		assert.Equal(t, len(numbers), n)
-		assert.Len(t, items[0].Destinations, n)
+		assert.Equal(t, len(numbers), count)
+		assert.Len(t, items[0].Destinations, count)
 		for _, d := range items[0].Destinations {
 			assert.Contains(t, numbers, uint32(d))
 		}
--- a/cluster/stream/message.go
+++ b/cluster/stream/message.go
@@ -49,8 +49,8 @@
 	Destinations   []api.DestinationID
 
 	// TokenWindow is how long endpoints remember the token; 0 for event types without tokens. The relay may
-	// call for so long after the item was sent and no longer, so that attempts that its origin then makes itself
-	// are within the window, too.
+	// attempt the item only for that long after it was sent, so that attempts that its origin makes itself after
+	// that are within the window, too.
 	TokenWindow api.Micros
 }
 
--- a/serving/core/failuredetector.go
+++ b/serving/core/failuredetector.go
@@ -16,7 +16,7 @@
 	LeftMembers() []state.Member
 }
 
-// failureDetector tells the register which replicas may be replaced, by what the membership protocol has found out.
+// failureDetector reports to the register which replicas may be replaced, according to the membership protocol.
 type failureDetector struct {
 	members memberLister
 	started time.Time // of this process
--- a/serving/register/explore_state_test.go
+++ b/serving/register/explore_state_test.go
@@ -13,7 +13,7 @@
 //
 // A request may be delivered at any time, any number of times, or never, and its vote reaches the proposer or is lost.
 // That covers duplicated, reordered and lost messages, a replica's crash before its save (never delivered) and after it
-// (vote lost), and a proposer's crash (it never goes on).
+// (vote lost), and a proposer's crash (it never continues).
 
 // exploredRound is one round of one attempt, with the messages that it has sent.
 type exploredRound struct {
@@ -216,7 +216,7 @@
 	}
 }
 
-// prepared goes on if the Prepare round has a quorum, in the order of Proposer.runAttempt.
+// prepared continues if the Prepare round has a quorum, in the order of Proposer.runAttempt.
 func (w *exploredState) prepared(s *scenario, index int) {
 	p := &w.proposers[index]
 	votes, round := w.tallyOf(p), w.rounds[p.round]
@@ -266,7 +266,7 @@
 	w.rounds = append(w.rounds, round)
 }
 
-// accepted goes on if the Accept round has a quorum.
+// accepted continues if the Accept round has a quorum.
 func (w *exploredState) accepted(s *scenario, rules *exploredRules, index int) {
 	p := &w.proposers[index]
 	round := w.rounds[p.round]
--- a/serving/register/replicalifecycle.go
+++ b/serving/register/replicalifecycle.go
@@ -38,10 +38,13 @@
 	if !n.loadReplica(ctx) {
 		return
 	}
-	failures, backoff, role := 0, minJoinBackoff, roleUnknown
+	failures := 0
+	backoff := minJoinBackoff
+	role := roleUnknown
 	for ctx.Err() == nil && !n.transferring.Load() {
 		if err := n.synchronize(ctx, failures > 0); err != nil {
-			if failures++; failures == failuresBeforeLog {
+			failures++
+			if failures == failuresBeforeLog {
 				event.ReplicaWithoutMajority.Log(n.log).Err(err).Send()
 			}
 			role = roleUnknown
@@ -49,7 +52,8 @@
 			backoff = min(backoff*3/2, maxJoinBackoff)
 			continue
 		}
-		failures, backoff = 0, minJoinBackoff
+		failures = 0
+		backoff = minJoinBackoff
 		role = n.logRoleChange(role)
 		n.awaitChange(ctx, role)
 	}
--- a/serving/register/update_test.go
+++ b/serving/register/update_test.go
@@ -155,7 +155,8 @@
 		{ID: "genesis-10.0.0.3:7660", Address: "10.0.0.3:7660"}}, first.Proposal.Record.Voters.Replicas)
 	process.FirstRun = false
 	assert.Equal(t, AcceptorState{ReplicaID: "new"}, initialState(process, "new"), "a later start: its disk was lost")
-	process.FirstRun, process.IP = true, "10.0.0.4"
+	process.FirstRun = true
+	process.IP = "10.0.0.4"
 	assert.Equal(t, AcceptorState{ReplicaID: "new"}, initialState(process, "new"), "not among the seeds")
 }
 
--- a/serving/register/voters_test.go
+++ b/serving/register/voters_test.go
@@ -100,7 +100,7 @@
 	})
 }
 
-// TestTransferVote_AllMachinesReplaced replaces one machine after the other, each beside a change.
+// TestTransferVote_AllMachinesReplaced replaces one machine after the other, each concurrently with a change.
 func TestTransferVote_AllMachinesReplaced(t *testing.T) {
 	for _, machines := range []int{3, 5} {
 		runSimulation(t, machines, func(t *testing.T, s *simulation) {
--- a/test/checker/leasecheck/linearizability.go
+++ b/test/checker/leasecheck/linearizability.go
@@ -14,7 +14,7 @@
 const (
 	inputBegin   = phaseBegin
 	inputEnd     = phaseEnd
-	inputInstant = "moment"
+	inputInstant = "instant"
 )
 
 // lockInput is an event as the model takes it; holder is an Operation without times.
--- a/test/checker/leasecheck/ownership.go
+++ b/test/checker/leasecheck/ownership.go
@@ -32,6 +32,7 @@
 	Observed                            // a reader of the shard map saw that: possibly an old map, but none older than before
 )
 
+// String returns the name of the kind.
 func (k OwnershipEventKind) String() string {
 	return [...]string{"granted", "ended", "published", "observed"}[k]
 }
