--- a/cluster/member/health/collector.go
+++ b/cluster/member/health/collector.go
@@ -25,13 +25,13 @@
 	Client   *transport.Client
 	LeaseTTL time.Duration
 	Members  func() []cluster.MemberID // all of them now
-	// Query returns what the members are to be asked for; without watches they are not asked, since this member doesn't
-	// coordinate or there can be no harm.
+	// Query returns the query for the members. Without watches they are not polled: this member doesn't coordinate, or
+	// there can be no harm.
 	Query       func() Query
 	OnCollected func() // called after each round
 }
 
-// Collector polls all members for their counts and adds them up, at the member that coordinates. Its methods may be
+// Collector polls all members for their counts and adds them up, at the coordinator. Its methods may be
 // called concurrently.
 type Collector struct {
 	CollectorConfig
@@ -43,8 +43,8 @@
 // NewCollector returns a Collector that has collected nothing.
 func NewCollector(c CollectorConfig) *Collector { return &Collector{CollectorConfig: c} }
 
-// Run polls the members until stop is closed. It is a goroutine beside the coordinator's, which must not wait for a
-// member that doesn't answer.
+// Run polls the members until stop is closed. It runs apart from the coordinator's goroutine, which must not wait for an
+// unresponsive member.
 func (c *Collector) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(c.LeaseTTL / pollsPerTTL)
 	defer tick.Stop()
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -20,7 +20,7 @@
 // Path is the HTTP path at which a member answers a Query with a rebalance.Report.
 const Path = "/fleet/harm"
 
-// Query asks a member for the counts in ranges that a plan has moved.
+// Query requests a member's counts in ranges that a plan has moved.
 type Query struct {
 	Plan    uint64                    `cbor:"1,keyasint"` // its number
 	Watches []rebalance.MonitoredMove `cbor:"2,keyasint"`
@@ -36,7 +36,7 @@
 	Loop  *eventloop.Loop
 	Clock func() api.Micros // monotonic
 	Meter *rebalance.ImpactMeter
-	Stop  <-chan struct{} // closed once the dispatcher's event loop answers no more
+	Stop  <-chan struct{} // closed once the dispatcher's event loop has ended
 }
 
 // Reporter counts how webhooks end at this member. Its methods may be called concurrently.
@@ -72,11 +72,11 @@
 // AcceptFunc accepts a webhook in this process.
 type AcceptFunc = func() (inflight.Answer, api.Micros)
 
-// ForwardFunc takes a client's webhook to its owner, or accepts it here, and returns the answer to the client.
+// ForwardFunc forwards a client's webhook to its owner, or accepts it here, and returns the response to the client.
 type ForwardFunc = func(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros)
 
-// CountRejections wraps a ForwardFunc. A rejection counts at the member that tells the client, whoever rejects the
-// webhook, so that it counts once.
+// CountRejections wraps a ForwardFunc. A rejection counts at the member that responds to the client, whichever member
+// rejected the webhook, so that it counts once.
 func (r *Reporter) CountRejections(forward ForwardFunc) ForwardFunc {
 	return func(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
 		answer, retryAfter := forward(w, accept)
@@ -87,7 +87,7 @@
 	}
 }
 
-// ObserveMoves begins to count for moves that have begun.
+// ObserveMoves starts to count for moves that have begun.
 func (r *Reporter) ObserveMoves() {
 	shardMap := r.Maps.Map()
 	if shardMap == nil {
@@ -102,9 +102,9 @@
 	r.Meter.ObserveMap(shardMap, unhealthy, r.Clock())
 }
 
-// findUnhealthy asks the policy which destinations of the ranges that this member owns are unhealthy; others have no
-// calls to know it by. It asks for all at once and before the lock is taken, for which the event loop waits whenever a
-// webhook ends.
+// findUnhealthy returns which destinations of the ranges that this member owns are unhealthy by its policy; of other
+// ranges it has no calls. It exports the state of all at once and without holding the lock, which the event loop takes
+// whenever a webhook ends.
 func (r *Reporter) findUnhealthy(ranges []shardmap.Range) rebalance.UnhealthyFunc {
 	isOwn := func(rng shardmap.Range) bool { return rng.Owner == r.Self }
 	isOwnIn := func(rng shardmap.Range, d api.DestinationID) bool {
@@ -126,7 +126,7 @@
 	}
 }
 
-// learned returns what the policy has learned of destinations; nothing once the event loop has ended.
+// learned returns the learned state of destinations; nil once the event loop has ended.
 func (r *Reporter) learned(match func(api.DestinationID) bool) []api.DestinationState {
 	found := make(chan []api.DestinationState, 1)
 	go func() {
@@ -159,7 +159,7 @@
 	return r.Meter.Report(q.Plan, q.Watches, shardMap, unhealthy, r.Clock())
 }
 
-// HandleQuery answers the coordinator.
+// HandleQuery responds to the coordinator with a rebalance.Report.
 func (r *Reporter) HandleQuery(ctx *fasthttp.RequestCtx) {
 	var q Query
 	if err := transport.Decode(ctx.Request.Body(), &q); err != nil {
--- a/cluster/member/health/reporter_test.go
+++ b/cluster/member/health/reporter_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Each end counts once and as what it was, a rejection where its client was told of it: guards against harm that is not
-// seen, and against a plan stopped for what an owner and an entry both count.
+// Each outcome counts once, and a rejection at the member that responds to the client: otherwise harm would be missed, or
+// counted by both the owner and the forwarding member.
 func TestReporter_CountsEachEndOnce(t *testing.T) {
 	ranges, err := shardmap.EvenRanges(1, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(t, err)
@@ -52,9 +52,13 @@
 	for _, c := range []struct {
 		owner, here inflight.Answer
 		answered    bool // by the owner
-	}{{inflight.Rejected, inflight.Accepted, true}, {inflight.Accepted, inflight.Rejected, false},
-		{inflight.Accepted, inflight.Rejected, true}, {inflight.Rejected, inflight.Accepted, false},
-		{inflight.Duplicate, inflight.Rejected, true}} {
+	}{
+		{owner: inflight.Rejected, here: inflight.Accepted, answered: true},
+		{owner: inflight.Accepted, here: inflight.Rejected, answered: false},
+		{owner: inflight.Accepted, here: inflight.Rejected, answered: true},
+		{owner: inflight.Rejected, here: inflight.Accepted, answered: false},
+		{owner: inflight.Duplicate, here: inflight.Rejected, answered: true},
+	} {
 		accept := func() (inflight.Answer, api.Micros) { return c.here, 4 }
 		answer, retryAfter := r.CountRejections(forwardTo(c.owner, c.answered))(w, accept)
 		wantAnswer, wantRetryAfter := c.owner, api.Micros(3)
@@ -64,15 +68,15 @@
 		assert.Equal(t, wantAnswer, answer)
 		assert.Equal(t, wantRetryAfter, retryAfter)
 	}
-	report := r.Report(Query{1, []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
+	report := r.Report(Query{Plan: 1, Watches: []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}})
 	assert.Equal(t, rebalance.Outcomes{Total: 9, Rejected: 3, DeadLettered: 3, Late: 2}, report.Ranges[0].During)
 }
 
-// Whatever a message says, it is rejected or answered: guards against a member ended by what another sends.
+// Arbitrary messages are rejected or answered, without a panic.
 func FuzzHandleQuery(f *testing.F) {
 	ranges, err := shardmap.EvenRanges(2, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
-	f.Add(transport.Encode(Query{1, []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
+	f.Add(transport.Encode(Query{Plan: 1, Watches: []rebalance.MonitoredMove{{Move: 5, Range: 1, From: 0, To: ^cluster.KeyHash(0)}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r := newTestReporter(ranges)
 		r.count(7, rebalance.Outcomes{Total: 1})
--- a/cmd/rowan-clustered/main.go
+++ b/cmd/rowan-clustered/main.go
@@ -1,4 +1,4 @@
-// Command rowan-clustered is one webhook dispatcher as a member of a cluster, and what operators ask of it.
+// Command rowan-clustered runs a webhook dispatcher as a member of a cluster, and prints rebalancing plans.
 package main
 
 import (
--- a/test/checker/deliverycheck/checker_test.go
+++ b/test/checker/deliverycheck/checker_test.go
@@ -27,23 +27,11 @@
 		{"no response", func(s scenario) { s.submit(0, "a", "status", 0) }, "[]"},
 		{"before its deadline", func(s scenario) { s.submit(15000, "a", "status", 202) }, "[]"},
 		{"delivered to one subscriber of two", func(s scenario) {
-			s.RecordSubmission(deliverycheck.Submission{
-				ID:           "a",
-				Member:       "m1",
-				Destinations: []api.DestinationID{3, 4},
-				Type:         "status",
-			})
-			s.RecordResponse(1, "a", 202)
+			s.submitAnnouncement()
 			s.call(1, 2, "m1", "a")
 		}, "[lost]"},
 		{"delivered to one subscriber, the other reported", func(s scenario) {
-			s.RecordSubmission(deliverycheck.Submission{
-				ID:           "a",
-				Member:       "m1",
-				Destinations: []api.DestinationID{3, 4},
-				Type:         "status",
-			})
-			s.RecordResponse(1, "a", 202)
+			s.submitAnnouncement()
 			s.call(1, 2, "m1", "a")
 			s.RecordNotice(9, "m2", "a", "given_up", 4)
 		}, "[]"},
--- a/test/checker/deliverycheck/scenario_test.go
+++ b/test/checker/deliverycheck/scenario_test.go
@@ -54,6 +54,17 @@
 	s.RecordResponse(at*millisecond+1, id, code)
 }
 
+// submitAnnouncement submits the announcement "a" to two subscribers.
+func (s scenario) submitAnnouncement() {
+	s.RecordSubmission(deliverycheck.Submission{
+		ID:           "a",
+		Member:       "m1",
+		Destinations: []api.DestinationID{3, 4},
+		Type:         "status",
+	})
+	s.RecordResponse(1, "a", 202)
+}
+
 // call records a call with a webhook. how is its outcome; delivered if it is missing.
 func (s scenario) call(from, to api.Micros, member, id string, how ...string) {
 	c := s.RecordCall(deliverycheck.Call{
--- a/test/fake/raftleader/raftleader.go
+++ b/test/fake/raftleader/raftleader.go
@@ -131,14 +131,14 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	var order lease.Operation
-	if err := transport.Decode(command.Body, &order); err != nil {
+	var operation lease.Operation
+	if err := transport.Decode(command.Body, &operation); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	real := l.apply(command)
 	status, body := fasthttp.StatusOK, transport.Encode(real)
-	if order.Kind == lease.OpAcquire {
+	if operation.Kind == lease.OpAcquire {
 		l.grantRequests++
 		status, body = l.grantReply(l.grantRequests, real)
 	}
--- a/test/integration/chaos/chaos_test.go
+++ b/test/integration/chaos/chaos_test.go
@@ -72,7 +72,7 @@
 		ClockRates:       map[string]float64{},
 		LeaseTTL:         time.Second + time.Duration(random.IntN(3))*time.Second,
 		Slack:            10 * api.Second,
-		CheckedResources: []string{"errand/1", "errand/2"},
+		CheckedResources: []string{"checked/1", "checked/2"},
 		Env:              []string{harness.DebugLog},
 	}
 	for i := range options.Members {
--- a/test/integration/cluster/cluster_test.go
+++ b/test/integration/cluster/cluster_test.go
@@ -21,7 +21,7 @@
 const leaseTTL = time.Second
 
 // checkedResource is a resource of tests only: its holder reports each operation to the lease checker.
-const checkedResource = "errand"
+const checkedResource = "checked"
 
 var binary string
 
