--- a/serving/endpoints/faults_test.go
+++ b/serving/endpoints/faults_test.go
@@ -25,24 +25,24 @@
 // delayedBy is the number of further messages after which a delayed one arrives.
 const delayedBy = 4
 
-// world is a system of two core members and an agent that exchange what their tables broadcast. Each message has a
+// testSystem is a system of two core members and an agent that exchange what their tables broadcast. Each message has a
 // number, and faultAt returns its fault.
-type world struct {
-	now     time.Time
-	tables  map[string]*Table
-	stored  map[string]map[string]state.Endpoint // newest stored version, by member and endpoint
-	message int
-	faultAt func(message int) fault
-	inDelay map[int][]func()
+type testSystem struct {
+	now             time.Time
+	tables          map[string]*Table
+	stored          map[string]map[string]state.Endpoint // newest stored version, by member and endpoint
+	message         int
+	faultAt         func(message int) fault
+	delayedMessages map[int][]func()
 }
 
-func newWorld(faultAt func(int) fault) *world {
-	w := &world{
-		now:     epoch,
-		tables:  map[string]*Table{},
-		stored:  map[string]map[string]state.Endpoint{},
-		faultAt: faultAt,
-		inDelay: map[int][]func(){},
+func newTestSystem(faultAt func(int) fault) *testSystem {
+	w := &testSystem{
+		now:             epoch,
+		tables:          map[string]*Table{},
+		stored:          map[string]map[string]state.Endpoint{},
+		faultAt:         faultAt,
+		delayedMessages: map[int][]func(){},
 	}
 	for _, name := range []string{"core-1", "core-2", "agent"} {
 		w.tables[name] = NewTable(Options{Self: name, HeartbeatInterval: testInterval})
@@ -52,7 +52,7 @@
 }
 
 // send delivers a message according to its fault, and reports whether it arrived at once.
-func (w *world) send(deliver func()) bool {
+func (w *testSystem) send(deliver func()) bool {
 	w.message++
 	number := w.message
 	arrived := false
@@ -65,21 +65,21 @@
 		deliver()
 		arrived = true
 	case delayed:
-		w.inDelay[number+delayedBy] = append(w.inDelay[number+delayedBy], deliver)
+		w.delayedMessages[number+delayedBy] = append(w.delayedMessages[number+delayedBy], deliver)
 	case lost:
 	}
-	for _, deliverDelayed := range w.inDelay[number] {
+	for _, deliverDelayed := range w.delayedMessages[number] {
 		deliverDelayed()
 	}
-	delete(w.inDelay, number)
+	delete(w.delayedMessages, number)
 	return arrived
 }
 
 // flush delivers all delayed messages.
-func (w *world) flush() {
-	for len(w.inDelay) > 0 {
-		for number, list := range w.inDelay {
-			delete(w.inDelay, number)
+func (w *testSystem) flush() {
+	for len(w.delayedMessages) > 0 {
+		for number, list := range w.delayedMessages {
+			delete(w.delayedMessages, number)
 			for _, deliverDelayed := range list {
 				deliverDelayed()
 			}
@@ -87,8 +87,8 @@
 	}
 }
 
-// broadcast stores an endpoint at a member and sends it to the others. It returns how many have it at once.
-func (w *world) broadcast(from string, endpoint state.Endpoint) (copies int) {
+// broadcast stores an endpoint at a member and sends it to its peers. It returns how many have it at once.
+func (w *testSystem) broadcast(from string, endpoint state.Endpoint) (copies int) {
 	w.put(from, endpoint)
 	for _, to := range []string{"core-1", "core-2", "agent"} {
 		if to != from && w.send(func() { w.put(to, endpoint) }) {
@@ -99,7 +99,7 @@
 }
 
 // put is a member's gossip, which applies only newer versions to the table.
-func (w *world) put(member string, endpoint state.Endpoint) {
+func (w *testSystem) put(member string, endpoint state.Endpoint) {
 	stored, known := w.stored[member][endpoint.ID]
 	if known && !isNewer(endpoint, stored) {
 		return
@@ -110,7 +110,7 @@
 
 // call is a call of an endpoint at a member; it reports whether it was acknowledged. That an endpoint drains or has
 // departed must not be acknowledged before another member has stored it.
-func (w *world) call(t require.TestingT, member string,
+func (w *testSystem) call(t require.TestingT, member string,
 	handle func(*Table) (state.Endpoint, Change)) (acknowledged bool) {
 	w.send(func() {
 		endpoint, change := handle(w.tables[member])
@@ -132,7 +132,7 @@
 }
 
 // isStoredElsewhere reports whether another member knows that the endpoint accepts no more requests.
-func (w *world) isStoredElsewhere(member string, endpoint state.Endpoint) bool {
+func (w *testSystem) isStoredElsewhere(member string, endpoint state.Endpoint) bool {
 	for other, stored := range w.stored {
 		if other != member && stored[endpoint.ID].State >= endpoint.State {
 			return true
@@ -141,8 +141,8 @@
 	return false
 }
 
-// repair gives all members the newest versions that any has, also those that result from sweeps.
-func (w *world) repair() {
+// repair copies the newest versions that any member has to all, also those that result from sweeps.
+func (w *testSystem) repair() {
 	for range 3 {
 		for name, table := range w.tables {
 			for _, endpoint := range table.Sweep(w.now) {
@@ -160,7 +160,7 @@
 }
 
 // requireAgreement checks that all tables have an endpoint in the same state.
-func (w *world) requireAgreement(t require.TestingT, id string) state.Endpoint {
+func (w *testSystem) requireAgreement(t require.TestingT, id string) state.Endpoint {
 	first, _ := w.tables["core-1"].Get(w.now, id)
 	for name, table := range w.tables {
 		other, known := table.Get(w.now, id)
@@ -173,7 +173,7 @@
 
 // runLifecycle runs an endpoint from its start to its deregistration. Each call is repeated at the members in turn
 // until one acknowledges it.
-func (w *world) runLifecycle(t require.TestingT) {
+func (w *testSystem) runLifecycle(t require.TestingT) {
 	sequence := uint64(0)
 	call := func(draining bool) {
 		for attempt := 0; ; attempt++ {
@@ -214,12 +214,12 @@
 
 // TestTable_LifecycleWithAFaultAtEachMessage runs a lifecycle once for each message and each fault.
 func TestTable_LifecycleWithAFaultAtEachMessage(t *testing.T) {
-	faultless := newWorld(func(int) fault { return delivered })
+	faultless := newTestSystem(func(int) fault { return delivered })
 	faultless.runLifecycle(t)
 	for _, kind := range []fault{lost, duplicated, delayed} {
 		for number := 1; number <= faultless.message; number++ {
 			t.Run(fmt.Sprintf("fault %d at message %d", kind, number), func(t *testing.T) {
-				newWorld(func(message int) fault {
+				newTestSystem(func(message int) fault {
 					if message == number {
 						return kind
 					}
@@ -230,20 +230,20 @@
 	}
 }
 
-// TestTable_AgreesAfterRepair lets endpoints call members at random with many faults. Once the members have exchanged
+// TestTable_AgreesAfterRepair makes endpoints call members at random with many faults. Once the members have exchanged
 // their versions, all tables agree, and no deregistered endpoint is back.
 func TestTable_AgreesAfterRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyFault := rapid.SampledFrom([]fault{delivered, delivered, lost, duplicated, delayed})
 		faults := rapid.SliceOfN(anyFault, 1, 60).Draw(t, "faults")
-		w := newWorld(func(message int) fault { return faults[message%len(faults)] })
+		w := newTestSystem(func(message int) fault { return faults[message%len(faults)] })
 		sequences := map[string]uint64{}
 		deregistered, draining := map[string]bool{}, map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
+			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "interval ms")) * time.Millisecond)
 			id := rapid.SampledFrom([]string{"e", "f"}).Draw(t, "endpoint")
 			member := rapid.SampledFrom([]string{"core-1", "core-2"}).Draw(t, "member")
-			switch rapid.SampledFrom([]string{"heartbeat", "heartbeat", "draining", "deregister", "sweep"}).Draw(t, "what") {
+			switch rapid.SampledFrom([]string{"heartbeat", "heartbeat", "draining", "deregister", "sweep"}).Draw(t, "action") {
 			case "heartbeat":
 				w.sendRandomHeartbeat(t, id, member, sequences, draining[id])
 			case "draining":
@@ -272,7 +272,7 @@
 	})
 }
 
-func (w *world) sendRandomHeartbeat(t require.TestingT, id, member string, sequences map[string]uint64, draining bool) {
+func (w *testSystem) sendRandomHeartbeat(t require.TestingT, id, member string, sequences map[string]uint64, draining bool) {
 	sequences[id]++
 	heartbeat := Heartbeat{Service: "s", Address: id + ":1", Sequence: sequences[id], Draining: draining}
 	w.call(t, member, func(table *Table) (state.Endpoint, Change) { return table.ReceiveHeartbeat(w.now, id, heartbeat) })
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -36,8 +36,8 @@
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newSimulation(t, seed, size, threeZones)
 		s.startAll()
-		took := s.runUntil(time.Second, "the members join", s.hasConverged)
-		t.Log("met after", took)
+		elapsed := s.runUntil(time.Second, "the members join", s.hasConverged)
+		t.Log("joined after", elapsed)
 	})
 }
 
@@ -47,8 +47,8 @@
 		s.lossRate = 0.05
 		for revision := uint64(1); revision <= 5; revision++ {
 			s.putRecord(s.nodes[s.random.IntN(size)], revision, 300)
-			took := s.runUntil(time.Second, "the record reaches all", s.hasRevisionEverywhere(revision))
-			t.Log("reached all after", took)
+			elapsed := s.runUntil(time.Second, "the record reaches all", s.hasRevisionEverywhere(revision))
+			t.Log("reached all after", elapsed)
 		}
 	})
 }
@@ -79,8 +79,8 @@
 			for revision := uint64(1); revision <= 6; revision++ {
 				origin := s.inZone(partition[0])[int(revision)%3]
 				s.putRecord(origin, revision, 300)
-				took := s.runUntil(time.Second, "the record is relayed round the partition", s.hasRevisionEverywhere(revision))
-				t.Log(partition, "relayed after", took)
+				elapsed := s.runUntil(time.Second, "the record is relayed round the partition", s.hasRevisionEverywhere(revision))
+				t.Log(partition, "relayed after", elapsed)
 				s.run(time.Second)
 				assert.True(t, s.hasConverged(), "no member is down")
 			}
@@ -92,25 +92,25 @@
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newConvergedSimulation(t, seed, size, threeZones)
 		s.powerOff(s.nodes[4])
-		took := s.runUntil(3*time.Second, "one member is down", s.hasConverged)
-		t.Log("one seen after", took)
+		elapsed := s.runUntil(3*time.Second, "one member is down", s.hasConverged)
+		t.Log("one member down after", elapsed)
 		for _, n := range s.inZone("b") {
 			s.powerOff(n)
 		}
-		took = s.runUntil(4*time.Second, "a zone is down", s.hasConverged)
-		t.Log("zone seen after", took)
+		elapsed = s.runUntil(4*time.Second, "a zone is down", s.hasConverged)
+		t.Log("zone down after", elapsed)
 		for _, n := range s.inZone("a") {
 			s.powerOff(n)
 		}
-		took = s.runUntil(5*time.Second, "the other region is down", s.hasConverged)
-		t.Log("region seen after", took)
+		elapsed = s.runUntil(5*time.Second, "the other region is down", s.hasConverged)
+		t.Log("region down after", elapsed)
 		for _, n := range s.nodes {
 			if !n.running {
 				s.start(n)
 			}
 		}
-		took = s.runUntil(2*time.Second, "all have rejoined", s.hasConverged)
-		t.Log("back after", took)
+		elapsed = s.runUntil(2*time.Second, "all have rejoined", s.hasConverged)
+		t.Log("rejoined after", elapsed)
 	})
 }
 
@@ -140,14 +140,14 @@
 			return !slices.ContainsFunc(s.inZone("b"), func(n *simNode) bool { return isSeenLive(outside, n) })
 		})
 		s.run(10 * time.Second)
-		assert.True(t, isSeenLive(inside, s.inZone("b")[1]), "inside the zone the members see each other")
+		assert.True(t, isSeenLive(inside, s.inZone("b")[1]), "inside the zone the members are live for each other")
 		s.putRecord(outside, 5, 300)
 		s.run(time.Second)
 		s.blocked = func(_, _ *simNode) bool { return false }
-		took := s.runUntil(2*time.Second, "the record crosses the healed partition", s.hasRevisionEverywhere(5))
-		t.Log("record crossed after", took)
-		took = s.runUntil(3*time.Second, "all see all", s.hasConverged)
-		t.Log("settled after further", took)
+		elapsed := s.runUntil(2*time.Second, "the record crosses the healed partition", s.hasRevisionEverywhere(5))
+		t.Log("record crossed after", elapsed)
+		elapsed = s.runUntil(3*time.Second, "all members are live for all", s.hasConverged)
+		t.Log("converged after further", elapsed)
 	})
 }
 
@@ -158,17 +158,17 @@
 	_, known := s.inZone("a")[0].node.members.Member(s.inZone("c")[0].member.Name)
 	assert.False(t, known, "a member that has long been down is removed")
 	s.blocked = func(_, _ *simNode) bool { return false }
-	s.runUntil(8*time.Second, "all see all", s.hasConverged)
+	s.runUntil(8*time.Second, "all members are live for all", s.hasConverged)
 }
 
 func TestNode_OneWayPartition(t *testing.T) {
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newConvergedSimulation(t, seed, size, threeZones)
-		mute := s.nodes[5]
-		s.blocked = func(from, _ *simNode) bool { return from == mute }
+		muted := s.nodes[5]
+		s.blocked = func(from, _ *simNode) bool { return from == muted }
 		s.runUntil(3*time.Second, "a member that can't send is down", func() bool {
 			for _, n := range s.nodes {
-				if n != mute && isSeenLive(n, mute) {
+				if n != muted && isSeenLive(n, muted) {
 					return false
 				}
 			}
@@ -186,8 +186,8 @@
 		s.freeze(frozen, 4*time.Second)
 		s.runUntil(3*time.Second, "it is down", func() bool { return !isSeenLive(s.nodes[0], frozen) })
 		s.run(frozen.frozenUntil.Sub(s.now))
-		took := s.runUntil(3*time.Second, "it has rejoined", s.hasConverged)
-		t.Log("back after", took)
+		elapsed := s.runUntil(3*time.Second, "it has rejoined", s.hasConverged)
+		t.Log("rejoined after", elapsed)
 		for range 40 {
 			s.run(50 * time.Millisecond)
 			assert.True(t, s.hasConverged(), "it suspects no member after its suspension")
@@ -203,8 +203,8 @@
 		}
 		s.run(500 * time.Millisecond)
 		s.startAll()
-		took := s.runUntil(time.Second, "all rejoin", s.hasConverged)
-		t.Log("met after", took)
+		elapsed := s.runUntil(time.Second, "all rejoin", s.hasConverged)
+		t.Log("joined after", elapsed)
 	})
 }
 
@@ -274,7 +274,7 @@
 		what := fmt.Sprintf("the record reaches all though message %d is lost", lost)
 		s.runUntil(time.Second, what, s.hasRevisionEverywhere(1))
 		s.run(3 * time.Second)
-		assert.True(t, s.hasConverged(), "a lost message marks nobody as down: %d", lost)
+		assert.True(t, s.hasConverged(), "no member is marked as down after message %d was lost", lost)
 	}
 }
 
@@ -282,7 +282,9 @@
 // find a difference at each heartbeat until it has retained the departed member as long as they have.
 func TestNode_LateMemberExpiresWithOthers(t *testing.T) {
 	s := newConvergedSimulation(t, 5, 10, threeZones)
-	dead, left, late := s.nodes[8], s.nodes[7], s.nodes[5]
+	dead := s.nodes[8]
+	left := s.nodes[7]
+	late := s.nodes[5]
 	s.kill(late)
 	s.powerOff(dead)
 	left.node.updateSelf(s.now, func(member *state.Member) { member.State = state.MemberLeft })
--- a/serving/membership/suspicion_test.go
+++ b/serving/membership/suspicion_test.go
@@ -70,7 +70,8 @@
 		{"nothing", func(*Table, state.Member, state.Member) {}, true},
 		{"withdrawn", func(table *Table, member, watcher state.Member) {
 			suspicion := suspicionBy(watcher, member)
-			suspicion.Revision, suspicion.Withdrawn = 2, true
+			suspicion.Revision = 2
+			suspicion.Withdrawn = true
 			table.MergeSuspicion(suspicion)
 		}, false},
 		{"a newer version of the member", func(table *Table, member, _ state.Member) {
@@ -87,7 +88,8 @@
 		}, false},
 		{"an older withdrawal of the watcher arrives late", func(table *Table, member, watcher state.Member) {
 			suspicion := suspicionBy(watcher, member)
-			suspicion.Revision, suspicion.Withdrawn = 0, true
+			suspicion.Revision = 0
+			suspicion.Withdrawn = true
 			table.MergeSuspicion(suspicion)
 		}, true},
 	} {
@@ -102,7 +104,7 @@
 	}
 }
 
-func TestRefute_BringsDownMemberBack(t *testing.T) {
+func TestRefute_RevivesDownMember(t *testing.T) {
 	table, member, watchers := newUnwatchedMember(t)
 	for _, watcher := range watchers {
 		table.MergeSuspicion(suspicionBy(watcher, member))
@@ -159,7 +161,7 @@
 	assert.False(t, table.IsDown("other"))
 }
 
-func TestTick_RestartsTimeoutsAfterAPause(t *testing.T) {
+func TestTick_RestartsTimeoutsAfterSuspension(t *testing.T) {
 	table := tableOf(memberIn("self", "a1", "a"), memberIn("other", "a1", "a"))
 	table.Tick(startTime)
 	suspicions, _ := table.Tick(startTime.Add(time.Minute))
@@ -183,16 +185,16 @@
 	}
 	now := startTime
 	table.Tick(now)
-	var forgotten []string
+	var removed []string
 	for now.Before(startTime.Add(RetentionPeriod + time.Second)) {
 		now = now.Add(HeartbeatInterval)
 		for _, other := range table.LiveMembers() {
 			table.ReceiveHeartbeat(now, Heartbeat{Name: other.Name, Incarnation: 1, Sequence: 1})
 		}
 		_, names := table.Tick(now)
-		forgotten = append(forgotten, names...)
+		removed = append(removed, names...)
 	}
-	assert.Equal(t, []string{member.Name}, forgotten)
+	assert.Equal(t, []string{member.Name}, removed)
 	assert.Equal(t, 9, table.CountRecentlyLive(now, state.RoleAgent, time.Minute))
 	assert.Equal(t, 10, table.CountRecentlyLive(now, state.RoleAgent, 90*time.Second), "still counted for longer windows")
 }
--- a/serving/operator/endpoint_test.go
+++ b/serving/operator/endpoint_test.go
@@ -85,7 +85,7 @@
 	assert.Equal(t, 200, f.call("POST", "/Endpoints.Beat/other", heartbeatBody("accepting", 3)).Code)
 }
 
-func TestClosing_FailsWhileTheVotersAreUnknown(t *testing.T) {
+func TestClosing_FailsWhileVotersAreUnknown(t *testing.T) {
 	f := newFixture(t)
 	*f.voters = nil
 	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code)
@@ -161,7 +161,7 @@
 	assert.Greater(t, counts["b"], 8)
 }
 
-func TestForwarder_KeepsReturnedEndpoints(t *testing.T) {
+func TestForwarder_RetainsReturnedEndpoints(t *testing.T) {
 	now := time.Unix(0, 0)
 	self := newCoreMember("a", "z1", "r1")
 	other := newCoreMember("b", "z2", "r1")
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestReplace_AcceptsAQuotedBaseVersion(t *testing.T) {
+func TestReplace_AcceptsQuotedBaseVersion(t *testing.T) {
 	assert.Equal(t, 200, newFixture(t).call("POST", "/Settings.Replace", validDocument, `X-Based-On: "0"`).Code)
 }
 
--- a/serving/placement/eligibility_test.go
+++ b/serving/placement/eligibility_test.go
@@ -38,7 +38,7 @@
 			assert.Equal(r, state.EndpointAccepting, choice.Endpoint.State)
 			assert.False(r, w.evacuated[choice.Endpoint.Zone], "evacuated")
 			if request.Route.Name == "home" {
-				assert.Equal(r, "east", regions[choice.Endpoint.Zone], "homes bind")
+				assert.Equal(r, "east", regions[choice.Endpoint.Zone], "home regions are binding")
 			}
 			w.ReportOutcome(w.now, choice.Reservation, attempt.Outcome(rapid.IntRange(0, 7).Draw(r, "outcome")))
 		}
@@ -59,16 +59,16 @@
 	require.Equal(t, Picked, decision.Kind)
 	assert.Equal(t, "w1", choice.Endpoint.Zone)
 	_, decision = w.Pick(w.now, w.shortRequest("home", 1))
-	assert.Equal(t, Reject, decision.Kind, "nothing is left at home")
+	assert.Equal(t, Reject, decision.Kind, "no endpoint is left in the home region")
 }
 
-func TestPick_SplitRouteKeepsWeightsAndRetriesKeepService(t *testing.T) {
+func TestPick_SplitRouteFollowsWeightsAndRetriesUseSameService(t *testing.T) {
 	w := newFixture(t, "e1", append(plainEndpoints("plain", "e1", "e2"), plainEndpoints("other", "e1", "e2")...)...)
-	drawn := map[string]int{}
+	pickedByService := map[string]int{}
 	for range 1000 {
 		request := w.request("split", 0)
 		first, _ := w.Pick(w.now, request)
-		drawn[first.Endpoint.Service]++
+		pickedByService[first.Endpoint.Service]++
 		request.TriedEndpoints = []string{first.Endpoint.ID}
 		second, _ := w.Pick(w.now, request)
 		assert.Equal(t, first.Endpoint.Service, second.Endpoint.Service)
@@ -76,7 +76,7 @@
 		w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
 		w.ReportOutcome(w.now, second.Reservation, attempt.Succeeded)
 	}
-	assert.InDelta(t, 100, drawn["other"], 40)
+	assert.InDelta(t, 100, pickedByService["other"], 40)
 }
 
 func TestPick_MisdirectedEndpointIsExcludedUntilItsNextHeartbeat(t *testing.T) {
@@ -104,8 +104,9 @@
 		assert.NotEqual(t, "e1-0", choice.Endpoint.ID)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
-	w.snapshot.Endpoints[1].State, w.snapshot.Endpoints[2].State = state.EndpointDraining, state.EndpointDraining
+	w.snapshot.Endpoints[1].State = state.EndpointDraining
+	w.snapshot.Endpoints[2].State = state.EndpointDraining
 	w.update()
 	_, decision := w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Picked, decision.Kind, "there is nothing else")
+	assert.Equal(t, Picked, decision.Kind, "no other endpoint is left")
 }
--- a/serving/placement/estimate_test.go
+++ b/serving/placement/estimate_test.go
@@ -30,20 +30,20 @@
 func TestEstimate_GrowsWithPrefillBacklog(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	var expected []time.Duration
-	var out []Reservation
+	var reservations []Reservation
 	for subject := range 5 {
 		choice, _ := w.Pick(w.now, w.request("review", subject))
 		expected = append(expected, choice.ExpectedFirstByte)
-		out = append(out, choice.Reservation)
+		reservations = append(reservations, choice.Reservation)
 	}
 	assert.IsIncreasing(t, expected)
 	urgent, _ := w.Pick(w.now, w.request("urgent", 6))
-	assert.Less(t, urgent.ExpectedFirstByte, expected[2], "the more urgent are read first")
-	for _, reservation := range out {
+	assert.Less(t, urgent.ExpectedFirstByte, expected[2], "higher priorities are prefilled first")
+	for _, reservation := range reservations {
 		w.ReportProgress(w.now, reservation)
 	}
-	rested, _ := w.Pick(w.now, w.request("review", 7))
-	assert.Less(t, rested.ExpectedFirstByte, expected[4])
+	idle, _ := w.Pick(w.now, w.request("review", 7))
+	assert.Less(t, idle.ExpectedFirstByte, expected[4])
 }
 
 func TestPick_RejectsWhenQueueDelayExceedsTimeLeft(t *testing.T) {
@@ -58,7 +58,7 @@
 	assert.Equal(t, Reject, decision.Kind)
 	assert.Positive(t, decision.Delay)
 	_, decision = w.Pick(w.now, w.request("review", 1))
-	assert.Equal(t, Picked, decision.Kind, "it has the time")
+	assert.Equal(t, Picked, decision.Kind, "enough time is left")
 }
 
 func TestOutcome_HangOnEveryCallEjectsEndpoint(t *testing.T) {
@@ -107,24 +107,24 @@
 		}
 	}
 	w.update()
-	met := map[string]int{}
+	callsByID := map[string]int{}
 	for range 10 {
 		choice, _ := w.Pick(w.now, w.request("review", 1))
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
-		met[choice.Endpoint.ID]++
+		callsByID[choice.Endpoint.ID]++
 		w.endpoints[first.Endpoint.ID].prefixCache.clear()
 	}
-	assert.Zero(t, met[first.Endpoint.ID])
-	assert.Len(t, met, 1, "one stands in")
+	assert.Zero(t, callsByID[first.Endpoint.ID])
+	assert.Len(t, callsByID, 1, "one endpoint replaces it")
 }
 
 func TestPick_PlainServiceLeastLoaded(t *testing.T) {
 	w := newFixture(t, "e1", plainEndpoints("plain", "e1", "e2", "w1")...)
-	count := map[string]int{}
+	callsByZone := map[string]int{}
 	for range 4 {
 		choice, decision := w.Pick(w.now, w.request("plain", 0))
 		require.Equal(t, Picked, decision.Kind)
-		count[choice.Endpoint.Zone]++
+		callsByZone[choice.Endpoint.Zone]++
 	}
-	assert.Equal(t, map[string]int{"e1": 2, "e2": 2}, count)
+	assert.Equal(t, map[string]int{"e1": 2, "e2": 2}, callsByZone)
 }
--- a/serving/placement/helpers_test.go
+++ b/serving/placement/helpers_test.go
@@ -86,7 +86,8 @@
 	return found
 }
 
-// request returns a request on the named route whose first two prompt blocks are shared with others of the subject.
+// request returns a request on the named route whose first two prompt blocks are shared with other requests of the
+// subject.
 func (w *pickerFixture) request(route string, subject int) Request {
 	blocks := []PrefixBlock{{"b" + fmt.Sprint(subject%4), 2500}, {"s" + fmt.Sprint(subject), 3800}, {"own", 2000}}
 	return Request{Route: w.route(route), Model: "m", PromptTokens: 8300, MaxOutputTokens: 50, Blocks: blocks,
@@ -102,19 +103,32 @@
 }
 
 // modelEndpoints returns endpoints of the language model's service in a zone.
-func modelEndpoints(zone string, count int) (built []state.Endpoint) {
+func modelEndpoints(zone string, count int) (endpoints []state.Endpoint) {
 	for index := range count {
-		built = append(built, state.Endpoint{ID: fmt.Sprintf("%s-%d", zone, index), Service: "model", Zone: zone,
-			Address: fmt.Sprintf("10.0.0.%d:80", index), Slots: 128, Sequence: 1, Models: []state.Model{{Name: "m"}}})
+		endpoints = append(endpoints, state.Endpoint{
+			ID:       fmt.Sprintf("%s-%d", zone, index),
+			Service:  "model",
+			Zone:     zone,
+			Address:  fmt.Sprintf("10.0.0.%d:80", index),
+			Slots:    128,
+			Sequence: 1,
+			Models:   []state.Model{{Name: "m"}},
+		})
 	}
-	return built
+	return endpoints
 }
 
 // plainEndpoints returns endpoints of a plain service, one in each of the zones.
-func plainEndpoints(service string, zones ...string) (built []state.Endpoint) {
+func plainEndpoints(service string, zones ...string) (endpoints []state.Endpoint) {
 	for index, zone := range zones {
-		built = append(built, state.Endpoint{ID: fmt.Sprintf("%s-%d", service, index), Service: service, Zone: zone,
-			Address: fmt.Sprintf("10.0.1.%d:80", index), Slots: 6, Sequence: 1})
+		endpoints = append(endpoints, state.Endpoint{
+			ID:       fmt.Sprintf("%s-%d", service, index),
+			Service:  service,
+			Zone:     zone,
+			Address:  fmt.Sprintf("10.0.1.%d:80", index),
+			Slots:    6,
+			Sequence: 1,
+		})
 	}
-	return built
+	return endpoints
 }
--- a/serving/placement/observations_test.go
+++ b/serving/placement/observations_test.go
@@ -17,8 +17,8 @@
 	} {
 		w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
 		w.applyOutcome(w.now, &call{endpoint: w.endpoints["e1-0"], sentAt: w.now}, outcome)
-		some, urgent := w.PendingObservations()
-		assert.Equal(t, reported, some, outcome)
+		pending, urgent := w.PendingObservations()
+		assert.Equal(t, reported, pending, outcome)
 		assert.False(t, urgent)
 		assert.Equal(t, reported, len(w.TakeObservations()) == 1, outcome)
 		assert.Empty(t, w.TakeObservations(), "each is reported once")
@@ -28,7 +28,7 @@
 func TestReportUnacknowledged_EjectsAndReportsUrgently(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
 	w.ReportUnacknowledged(w.now, []string{"e1-0", "unknown"})
-	assert.False(t, w.endpoints["e1-0"].health.isEjected(), "two of no calls in flight: the own link")
+	assert.False(t, w.endpoints["e1-0"].health.isEjected(), "more endpoints than are in use: the cause is the own link")
 	for _, e := range w.endpoints {
 		e.inFlight = 1
 	}
@@ -39,7 +39,7 @@
 	w.ReportUnacknowledged(w.now, []string{"e1-0"})
 	assert.Equal(t, []state.Observation{{EndpointID: "e1-0", Unacknowledged: true}}, w.TakeObservations())
 	w.ReportUnacknowledged(w.now, []string{"e1-0"})
-	assert.Empty(t, w.TakeObservations(), "known already")
+	assert.Empty(t, w.TakeObservations(), "reported already")
 }
 
 // TestPick_AvoidsEndpointsReportedAsFailing: other proxies have reported that calls to an endpoint fail.
--- a/serving/placement/path_costs_test.go
+++ b/serving/placement/path_costs_test.go
@@ -24,7 +24,7 @@
 		assert.Equal(t, "w1", choice.Endpoint.Zone)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		_, decision = w.Pick(w.now, w.request("home", subject))
-		assert.Equal(t, Reject, decision.Kind, "nothing is left at home")
+		assert.Equal(t, Reject, decision.Kind, "no endpoint is left in the home region")
 	}
 }
 
@@ -36,7 +36,8 @@
 		all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
 		one, other := newFixture(t, "e1", all...), newFixture(t, "e2", all...)
 		subjects := rapid.IntRange(1, 12).Draw(r, "subjects")
-		away, home := map[int]time.Duration{}, map[int]string{}
+		remoteLatency := map[int]time.Duration{}
+		ownerID := map[int]string{}
 		for range 400 {
 			subject := rapid.IntRange(0, subjects-1).Draw(r, "subject")
 			w := rapid.SampledFrom([]*pickerFixture{one, other}).Draw(r, "proxy")
@@ -45,22 +46,22 @@
 			require.Equal(r, Picked, decision.Kind)
 			w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 			if choice.Endpoint.Zone == "w1" {
-				away[subject] += crossRegionLatency
+				remoteLatency[subject] += crossRegionLatency
 				continue
 			}
-			if home[subject] == "" {
-				home[subject] = choice.Endpoint.ID
+			if ownerID[subject] == "" {
+				ownerID[subject] = choice.Endpoint.ID
 			}
-			assert.Equal(r, home[subject], choice.Endpoint.ID, "one endpoint of the region")
+			assert.Equal(r, ownerID[subject], choice.Endpoint.ID, "one endpoint of the region")
 		}
-		for subject, cost := range away {
-			reading := one.services["model"].prefillTime(2500 + 3800)
-			assert.LessOrEqual(r, cost, 2*(reading+crossRegionLatency), "subject %d, of both proxies together", subject)
+		for subject, cost := range remoteLatency {
+			prefillTime := one.services["model"].prefillTime(2500 + 3800)
+			assert.LessOrEqual(r, cost, 2*(prefillTime+crossRegionLatency), "subject %d, of both proxies together", subject)
 		}
 	})
 }
 
-func TestPathCosts_ForgetsUnusedPrefixes(t *testing.T) {
+func TestPathCosts_DropsUnusedPrefixes(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := pathCosts{tokenLimit: 1000}
 		unused, spent := 0, time.Duration(0) // unused: tokens of other prefixes since prefix 0 was used
@@ -73,7 +74,7 @@
 				w.add(0, 100, crossRegionLatency)
 				spent, unused = spent+crossRegionLatency, 0
 				if w.total(0) == crossRegionLatency {
-					spent = crossRegionLatency // it had been forgotten
+					spent = crossRegionLatency // it had been dropped
 				}
 			}
 			if unused <= 900 {
--- a/serving/placement/prefix_affinity_test.go
+++ b/serving/placement/prefix_affinity_test.go
@@ -14,31 +14,31 @@
 func TestPrefixOwner_SameForAllProxiesOfARegion(t *testing.T) {
 	endpoints := append(modelEndpoints("e1", 4), modelEndpoints("e2", 4)...)
 	one, other := newFixture(t, "e1", endpoints...), newFixture(t, "e2", endpoints...)
-	met := map[string]bool{}
+	owners := map[string]bool{}
 	for subject := range 40 {
 		first, _ := one.Pick(one.now, one.request("review", subject))
 		second, _ := other.Pick(other.now, other.request("review", subject))
 		assert.Equal(t, first.Endpoint.ID, second.Endpoint.ID, "subject %d", subject)
-		met[first.Endpoint.ID] = true
+		owners[first.Endpoint.ID] = true
 		one.ReportOutcome(one.now, first.Reservation, attempt.Succeeded)
 		other.ReportOutcome(other.now, second.Reservation, attempt.Succeeded)
 	}
-	assert.Greater(t, len(met), 5, "subjects are spread")
+	assert.Greater(t, len(owners), 5, "subjects are spread")
 }
 
 func TestPrefixOwner_OverloadIsSpread(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 6)...)
-	count := map[string]int{}
+	callsByID := map[string]int{}
 	for range 60 {
 		choice, decision := w.Pick(w.now, w.request("review", 1))
 		require.Equal(t, Picked, decision.Kind)
-		count[choice.Endpoint.ID]++
+		callsByID[choice.Endpoint.ID]++
 	}
-	most := 0
-	for _, calls := range count {
-		most = max(most, calls)
+	maximum := 0
+	for _, calls := range callsByID {
+		maximum = max(maximum, calls)
 	}
-	assert.LessOrEqual(t, most, 20, "one prefix alone must not fill one endpoint while others are idle")
+	assert.LessOrEqual(t, maximum, 20, "one prefix alone must not fill one endpoint while others are idle")
 }
 
 func TestPrefixCache_SessionReturnsToItsEndpoint(t *testing.T) {
--- a/serving/placement/prefix_region_test.go
+++ b/serving/placement/prefix_region_test.go
@@ -14,7 +14,7 @@
 func TestPrefixRegion_OneOwnerForLongPrefixes(t *testing.T) {
 	all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
 	east, west := newFixture(t, "e1", all...), newFixture(t, "w1", all...)
-	place := func(w *pickerFixture, request Request) string {
+	pickID := func(w *pickerFixture, request Request) string {
 		choice, decision := w.Pick(w.now, request)
 		require.Equal(t, Picked, decision.Kind)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
@@ -23,14 +23,14 @@
 	zones := map[string]int{}
 	for subject := range 40 {
 		request := east.request("review", subject)
-		met := place(east, request)
-		assert.Equal(t, met, place(west, request))
-		zones[met[:2]]++
-		assert.Equal(t, "e1", place(east, east.request("home", subject))[:2], "homes bind")
+		ownerID := pickID(east, request)
+		assert.Equal(t, ownerID, pickID(west, request))
+		zones[ownerID[:2]]++
+		assert.Equal(t, "e1", pickID(east, east.request("home", subject))[:2], "home regions are binding")
 
 		short := east.shortRequest("review", subject)
-		assert.Equal(t, "e1", place(east, short)[:2])
-		assert.Equal(t, "w1", place(west, short)[:2])
+		assert.Equal(t, "e1", pickID(east, short)[:2])
+		assert.Equal(t, "w1", pickID(west, short)[:2])
 	}
 	assert.Greater(t, zones["e1"], 5)
 	assert.Greater(t, zones["w1"], 5)
--- a/serving/placement/short_prefill_test.go
+++ b/serving/placement/short_prefill_test.go
@@ -11,17 +11,17 @@
 
 func TestShortPrefill_IsMarked(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
-	quick := func(route string, blocks ...PrefixBlock) bool {
+	isShort := func(route string, blocks ...PrefixBlock) bool {
 		request := Request{Route: w.route(route), Model: "m", Blocks: blocks, TimeLeft: w.route(route).LatencyTarget}
 		choice, decision := w.Pick(w.now, request)
 		require.Equal(t, Picked, decision.Kind)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 		return choice.ShortPrefill
 	}
-	assert.False(t, quick("review", PrefixBlock{"long", 6500}), "all of it is to be read")
-	assert.True(t, quick("review", PrefixBlock{"b", 6000}, PrefixBlock{"other", 500}), "the owner is expected to have the shared blocks cached")
-	assert.False(t, quick("review", PrefixBlock{"b", 6000}, PrefixBlock{"third", 4000}))
-	assert.False(t, quick("review"), "nothing is known of the prompt")
+	assert.False(t, isShort("review", PrefixBlock{"long", 6500}), "the complete prompt has to be prefilled")
+	assert.True(t, isShort("review", PrefixBlock{"b", 6000}, PrefixBlock{"other", 500}), "the owner is expected to have the shared blocks cached")
+	assert.False(t, isShort("review", PrefixBlock{"b", 6000}, PrefixBlock{"third", 4000}))
+	assert.False(t, isShort("review"), "nothing is known of the prompt")
 }
 
 func TestShortPrefill_QueuesAtHighestPriority(t *testing.T) {
--- a/serving/placement/simulation_test.go
+++ b/serving/placement/simulation_test.go
@@ -59,21 +59,21 @@
 
 // trafficClass is a class of requests; its rate is per second over all zones.
 type trafficClass struct {
-	route    string
-	rate     float64
-	subjects int
-	base     int // tokens of the first block, which is one of four
-	subject  int // tokens of the second block
-	own      float64
-	spread   float64
-	events   float64
+	route         string
+	rate          float64
+	subjects      int
+	baseTokens    int // tokens of the first block, which is one of four
+	subjectTokens int // tokens of the second block
+	ownTokens     float64
+	spread        float64
+	events        float64
 }
 
 // trafficClasses is the traffic of a deployment with long shared prompts.
 var trafficClasses = []trafficClass{
-	{route: "review", rate: 15.7, subjects: 133, base: 2520, subject: 3780, own: 2890, spread: 1, events: 13},
-	{route: "urgent", rate: 23.1, subjects: 87, base: 341, subject: 227, own: 1800, spread: 1.3, events: 6},
-	{route: "home", rate: 26.5, subjects: 150, base: 103, subject: 69, own: 543, spread: 0.9, events: 70},
+	{route: "review", rate: 15.7, subjects: 133, baseTokens: 2520, subjectTokens: 3780, ownTokens: 2890, spread: 1, events: 13},
+	{route: "urgent", rate: 23.1, subjects: 87, baseTokens: 341, subjectTokens: 227, ownTokens: 1800, spread: 1.3, events: 6},
+	{route: "home", rate: 26.5, subjects: 150, baseTokens: 103, subjectTokens: 69, ownTokens: 543, spread: 0.9, events: 70},
 }
 
 const (
@@ -148,11 +148,20 @@
 		proxies := s.zones[zone]
 		route, _ := table.Match("a.example", "/"+k.route+"/")
 		subject := int(s.random.Float64() * float64(k.subjects))
-		own := int(s.lognormal(k.own, k.spread)) + 1
+		own := int(s.lognormal(k.ownTokens, k.spread)) + 1
 		r := &simulatedRequest{kind: k, proxy: proxies[int(s.random.Float64()*float64(len(proxies)))], sentAt: s.now}
-		r.request = Request{Route: route, Model: "m", PromptTokens: k.base + k.subject + own,
-			MaxOutputTokens: int(4 * k.events), TimeLeft: route.Timeout, Blocks: []PrefixBlock{{fmt.Sprint(k.route, subject%4), k.base},
-				{fmt.Sprint(k.route, "s", subject), k.subject}, {fmt.Sprint("own", s.random.Float64()), own}}}
+		r.request = Request{
+			Route:           route,
+			Model:           "m",
+			PromptTokens:    k.baseTokens + k.subjectTokens + own,
+			MaxOutputTokens: int(4 * k.events),
+			TimeLeft:        route.Timeout,
+			Blocks: []PrefixBlock{
+				{fmt.Sprint(k.route, subject%4), k.baseTokens},
+				{fmt.Sprint(k.route, "s", subject), k.subjectTokens},
+				{fmt.Sprint("own", s.random.Float64()), own},
+			},
+		}
 		s.pick(r)
 		s.scheduleArrival(table, zone, k, rate)
 	})
--- a/serving/placement/subset_test.go
+++ b/serving/placement/subset_test.go
@@ -28,7 +28,7 @@
 	return w
 }
 
-// unsharedRequest returns a request whose prompt shares nothing with others.
+// unsharedRequest returns a request whose prompt shares no blocks with other requests.
 func (w *pickerFixture) unsharedRequest(number int) Request {
 	return Request{Route: w.route("review"), Model: "m", PromptTokens: 600, MaxOutputTokens: 300,
 		Blocks: []PrefixBlock{{fmt.Sprint("own", number), 600}}, TimeLeft: 6 * time.Second}
@@ -36,16 +36,16 @@
 
 // run sends requests one after another, with the given time to first byte, and counts them by endpoint.
 func (w *pickerFixture) run(t *testing.T, requests int, first func(id string) time.Duration) map[string]int {
-	met := map[string]int{}
+	callsByID := map[string]int{}
 	for number := range requests {
 		choice, decision := w.Pick(w.now, w.unsharedRequest(number))
 		require.Equal(t, Picked, decision.Kind)
-		met[choice.Endpoint.ID]++
+		callsByID[choice.Endpoint.ID]++
 		w.now = w.now.Add(first(choice.Endpoint.ID))
 		w.ReportProgress(w.now, choice.Reservation)
 		w.ReportOutcome(w.now, choice.Reservation, attempt.Succeeded)
 	}
-	return met
+	return callsByID
 }
 
 func usualFirstByte(string) time.Duration { return 80 * time.Millisecond }
@@ -53,23 +53,23 @@
 // TestSubset_IsSmallAndCoversAllEndpoints: each proxy has a small subset, and nearly every endpoint is in some subset.
 func TestSubset_IsSmallAndCoversAllEndpoints(t *testing.T) {
 	endpoints := modelEndpoints("e1", 30)
-	met := map[string]int{}
+	proxiesByID := map[string]int{}
 	for proxy := range 60 {
 		w := newNamedFixture(t, fmt.Sprint("proxy", proxy), endpoints...)
 		own := w.run(t, 40, usualFirstByte)
 		assert.LessOrEqual(t, len(own), subsetSize)
 		for id := range own {
-			met[id]++
+			proxiesByID[id]++
 		}
 	}
-	assert.Greater(t, len(met), 25)
-	for id, proxies := range met {
+	assert.Greater(t, len(proxiesByID), 25)
+	for id, proxies := range proxiesByID {
 		assert.Less(t, proxies, 60*subsetSize/30*4, id)
 	}
 }
 
-// TestSubset_IsLeftWhileSlow: a proxy uses other endpoints while its subset is slow, and returns to it.
-func TestSubset_IsLeftWhileSlow(t *testing.T) {
+// TestSubset_IsAvoidedWhileSlow: a proxy uses other endpoints while its subset is slow, and returns to it.
+func TestSubset_IsAvoidedWhileSlow(t *testing.T) {
 	w := newNamedFixture(t, "proxy", modelEndpoints("e1", 30)...)
 	own := w.run(t, 40, usualFirstByte)
 	busy := w.run(t, 100, func(id string) time.Duration {
--- a/serving/placement/warmup_test.go
+++ b/serving/placement/warmup_test.go
@@ -36,7 +36,7 @@
 	return maximum
 }
 
-func TestWarmup_AllProxiesTogetherKeepTheLimit(t *testing.T) {
+func TestWarmup_AllProxiesTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(r, "proxies")
 		reported := subscription.ProxyCounts{
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -40,37 +40,37 @@
 }
 
 func TestSystemView(t *testing.T) {
-	k := newSystemView()
+	view := newSystemView()
 	one := state.Endpoint{ID: "i-1", Service: "plain"}
 	two := state.Endpoint{ID: "i-2", Service: "plain", State: state.EndpointDraining}
-	require.NoError(t, k.apply(&subscription.Response{Endpoints: []state.Endpoint{two}, Complete: true}))
-	assert.False(t, k.canServe())
-	require.NoError(t, k.apply(&subscription.Response{Record: &state.Record{Revision: 1}}))
-	assert.Nil(t, k.table, "the record holds no configuration yet")
-	require.NoError(t, k.apply(&subscription.Response{Record: record(t, 5, 3)}))
-	assert.False(t, k.canServe(), "no endpoint takes requests")
-	require.NoError(t, k.apply(&subscription.Response{Endpoints: []state.Endpoint{one}}))
-	assert.True(t, k.canServe())
-	assert.Len(t, k.endpoints, 2)
-
-	table := k.table
-	require.NoError(t, k.apply(&subscription.Response{Record: record(t, 4, 2)}))
-	assert.Same(t, table, k.table, "the table is never replaced by an older one")
-	assert.EqualValues(t, 5, k.record.Revision)
+	require.NoError(t, view.apply(&subscription.Response{Endpoints: []state.Endpoint{two}, Complete: true}))
+	assert.False(t, view.canServe())
+	require.NoError(t, view.apply(&subscription.Response{Record: &state.Record{Revision: 1}}))
+	assert.Nil(t, view.table, "the record holds no configuration yet")
+	require.NoError(t, view.apply(&subscription.Response{Record: record(t, 5, 3)}))
+	assert.False(t, view.canServe(), "no endpoint accepts requests")
+	require.NoError(t, view.apply(&subscription.Response{Endpoints: []state.Endpoint{one}}))
+	assert.True(t, view.canServe())
+	assert.Len(t, view.endpoints, 2)
+
+	table := view.table
+	require.NoError(t, view.apply(&subscription.Response{Record: record(t, 4, 2)}))
+	assert.Same(t, table, view.table, "the table is never replaced by an older one")
+	assert.EqualValues(t, 5, view.record.Revision)
 	evacuated := record(t, 6, 3)
 	evacuated.Evacuations = []state.Evacuation{{Zone: "z", Active: true}}
-	require.NoError(t, k.apply(&subscription.Response{Record: evacuated}))
-	assert.Same(t, table, k.table, "the same configuration is not parsed again")
-	assert.True(t, k.snapshot(nil).Record.Evacuated("z"))
+	require.NoError(t, view.apply(&subscription.Response{Record: evacuated}))
+	assert.Same(t, table, view.table, "the same configuration is not parsed again")
+	assert.True(t, view.snapshot(nil).Record.Evacuated("z"))
 
 	unreadable := &state.Record{Revision: 7, Configuration: configuration(t, 4, "{")}
-	assert.Error(t, k.apply(&subscription.Response{Record: unreadable, Removed: []string{"i-1"}}))
-	assert.Same(t, table, k.table)
-	assert.NotContains(t, k.endpoints, "i-1", "the rest of the response is applied")
-	require.NoError(t, k.apply(&subscription.Response{Record: record(t, 8, 5)}))
-	assert.EqualValues(t, 5, k.table.Version)
-	require.NoError(t, k.apply(&subscription.Response{Complete: true, Endpoints: []state.Endpoint{one}}))
-	assert.Len(t, k.endpoints, 1)
+	assert.Error(t, view.apply(&subscription.Response{Record: unreadable, Removed: []string{"i-1"}}))
+	assert.Same(t, table, view.table)
+	assert.NotContains(t, view.endpoints, "i-1", "the rest of the response is applied")
+	require.NoError(t, view.apply(&subscription.Response{Record: record(t, 8, 5)}))
+	assert.EqualValues(t, 5, view.table.Version)
+	require.NoError(t, view.apply(&subscription.Response{Complete: true, Endpoints: []state.Endpoint{one}}))
+	assert.Len(t, view.endpoints, 1)
 }
 
 // fakeAgent responds to polls from a queue and records the requests.
--- a/serving/retry/policy_test.go
+++ b/serving/retry/policy_test.go
@@ -29,8 +29,8 @@
 }
 
 func TestDecide_ByRouteAndOutcome(t *testing.T) {
-	once := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 3}
-	again := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 3}
+	atMostOnce := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 3}
+	idempotent := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 3}
 	stream := &routing.Route{Kind: routing.KindStream, MaxAttempts: 3}
 	resumed := &routing.Route{Kind: routing.KindStream, Resumable: true, MaxAttempts: 3}
 	for _, c := range []struct {
@@ -38,27 +38,34 @@
 		route   *routing.Route
 		outcome attempt.Outcome
 		ran     bool
-		again   bool
+		retry   bool
 		end     End
 	}{
-		{"once-only after its own error", once, attempt.Failed, false, false, EndFailed},
-		{"once-only after a break", once, attempt.Broken, false, false, EndFailed},
-		{"once-only after silence", once, attempt.TimedOut, false, false, EndFailed},
-		{"once-only after a refusal", once, attempt.Rejected, false, true, EndNone},
-		{"once-only after 421", once, attempt.Misdirected, false, true, EndNone},
-		{"once-only, nothing sent", once, attempt.ConnectFailed, false, true, EndNone},
-		{"once-only that may have run before", once, attempt.Rejected, true, false, EndFailed},
-		{"repeatable after its own error", again, attempt.Failed, false, true, EndNone},
-		{"repeatable after silence", again, attempt.TimedOut, true, true, EndNone},
-		{"stream after a break", stream, attempt.Broken, false, false, EndFailed},
-		{"stream that may be resumed", resumed, attempt.Broken, false, true, EndNone},
-		{"after success", again, attempt.Succeeded, true, false, EndFailed},
-		{"after the client left", again, attempt.Canceled, true, false, EndFailed},
+		{"at most once, failed", atMostOnce, attempt.Failed, false, false, EndFailed},
+		{"at most once, broken", atMostOnce, attempt.Broken, false, false, EndFailed},
+		{"at most once, timed out", atMostOnce, attempt.TimedOut, false, false, EndFailed},
+		{"at most once, rejected", atMostOnce, attempt.Rejected, false, true, EndNone},
+		{"at most once, misdirected", atMostOnce, attempt.Misdirected, false, true, EndNone},
+		{"at most once, nothing sent", atMostOnce, attempt.ConnectFailed, false, true, EndNone},
+		{"at most once, may have run before", atMostOnce, attempt.Rejected, true, false, EndFailed},
+		{"idempotent, failed", idempotent, attempt.Failed, false, true, EndNone},
+		{"idempotent, timed out", idempotent, attempt.TimedOut, true, true, EndNone},
+		{"stream, broken", stream, attempt.Broken, false, false, EndFailed},
+		{"resumable stream, broken", resumed, attempt.Broken, false, true, EndNone},
+		{"after success", idempotent, attempt.Succeeded, true, false, EndFailed},
+		{"canceled by the client", idempotent, attempt.Canceled, true, false, EndFailed},
 	} {
 		now := start.Add(20 * time.Second)
-		got := newPolicyWithBudget(now).Decide(now, FailedAttempt{Route: c.route, Service: "s", Outcome: c.outcome, CountedAttempts: 1, SentAttempts: 1,
-			MayHaveRun: c.ran, TimeLeft: time.Second})
-		assert.Equal(t, c.again, got.Retry, c.name)
+		got := newPolicyWithBudget(now).Decide(now, FailedAttempt{
+			Route:           c.route,
+			Service:         "s",
+			Outcome:         c.outcome,
+			CountedAttempts: 1,
+			SentAttempts:    1,
+			MayHaveRun:      c.ran,
+			TimeLeft:        time.Second,
+		})
+		assert.Equal(t, c.retry, got.Retry, c.name)
 		assert.Equal(t, c.end, got.End, c.name)
 	}
 }
@@ -73,7 +80,7 @@
 	}
 	assert.True(t, retries(0, 0))
 	assert.True(t, retries(0, 1))
-	assert.False(t, retries(1, 2), "the tries are used")
+	assert.False(t, retries(1, 2), "the attempts are used up")
 	assert.True(t, retries(3, 1), "three failed connections")
 	assert.False(t, retries(4, 1), "a fourth one")
 }
@@ -130,9 +137,9 @@
 	}
 	route := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 10}
 	rate := rapid.Float64Range(0.5, 60).Draw(t, "requests a second")
-	swing := rapid.Float64Range(0, 0.9).Draw(t, "swing")
+	amplitude := rapid.Float64Range(0, 0.9).Draw(t, "amplitude")
 	for at := time.Duration(0); at < 60*time.Second; {
-		per := rate * (1 + swing*math.Sin(at.Seconds()/4))
+		per := rate * (1 + amplitude*math.Sin(at.Seconds()/4))
 		at += time.Duration(-math.Log(1-random.Float64()) / per * float64(time.Second))
 		index := int(random.Float64() * float64(proxies))
 		if random.Float64() < 0.02 {
@@ -166,7 +173,7 @@
 	return count
 }
 
-func TestBudget_AllProxiesTogetherKeepTheLimit(t *testing.T) {
+func TestBudget_AllProxiesTogetherStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 30).Draw(t, "proxies")
 		var s simulation
@@ -183,7 +190,7 @@
 	})
 }
 
-func TestBudget_ForgetsOldRetries(t *testing.T) {
+func TestBudget_DropsOldRetries(t *testing.T) {
 	p := New(start, limits, 1)
 	route := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 10}
 	failed := FailedAttempt{
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -74,14 +74,14 @@
 func TestPool_DoesNotReuseAfter(t *testing.T) {
 	surplus := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a0\r\nX-Postmark: s\r\nContent-Length: 3\r\n\r\nold"
 	for name, sent := range map[string]string{
-		"close":           strings.Replace(okResponse, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
-		"keep-alive 0":    strings.Replace(okResponse, "\r\n\r\n", "\r\nKeep-Alive: timeout=0\r\n\r\n", 1),
-		"http 1.0":        strings.Replace(okResponse, "HTTP/1.1", "HTTP/1.0", 1),
-		"surplus after":   okResponse + surplus,
-		"garbage after":   okResponse + "x",
-		"surplus before":  surplus + okResponse,
-		"two before":      surplus + surplus + okResponse,
-		"surplus refusal": "HTTP/1.1 503 No\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a0\r\nContent-Length: 0\r\n\r\n" + okResponse,
+		"close":             strings.Replace(okResponse, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1),
+		"keep-alive 0":      strings.Replace(okResponse, "\r\n\r\n", "\r\nKeep-Alive: timeout=0\r\n\r\n", 1),
+		"http 1.0":          strings.Replace(okResponse, "HTTP/1.1", "HTTP/1.0", 1),
+		"surplus after":     okResponse + surplus,
+		"garbage after":     okResponse + "x",
+		"surplus before":    surplus + okResponse,
+		"two before":        surplus + surplus + okResponse,
+		"surplus rejection": "HTTP/1.1 503 No\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a0\r\nContent-Length: 0\r\n\r\n" + okResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
@@ -133,13 +133,14 @@
 }
 
 // TestDo_ResentRequestUsesNewConnection: an endpoint that rejected a request may repeat the rejection late, while it
-// runs the resent request. Taken for the response to that one, the rejection would promise what isn't so.
+// runs the resent request. Taken for the response to that one, the rejection would wrongly promise that the request has
+// not run.
 func TestDo_ResentRequestUsesNewConnection(t *testing.T) {
-	const refusal = "HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n"
+	const rejection = "HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n"
 	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
 		for p.ReadRequest() != nil {
 			if p.Number == 0 {
-				p.WriteText(refusal)
+				p.WriteText(rejection)
 			} else {
 				p.WriteText(okResponse)
 			}
@@ -150,9 +151,10 @@
 	require.NotNil(t, failure)
 	require.Equal(t, attempt.Rejected, failure.Outcome)
 
-	again := newCall(e.Address())
-	again.Resent, again.MaxConnections = true, 1
-	_, body, failure := doCall(t, pool, again)
+	resent := newCall(e.Address())
+	resent.Resent = true
+	resent.MaxConnections = 1
+	_, body, failure := doCall(t, pool, resent)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.EqualValues(t, 2, e.Connections())
@@ -161,19 +163,19 @@
 
 func TestPool_ConnectionClosedWhileIdle(t *testing.T) {
 	for name, end := range map[string]func(*scriptedendpoint.Conn){
-		"closed":  func(p *scriptedendpoint.Conn) { _ = p.Close() },
-		"reset":   func(p *scriptedendpoint.Conn) { p.Reset() },
-		"unasked": func(p *scriptedendpoint.Conn) { p.WriteText("HTTP/1.1 200 OK\r\n\r\n") },
+		"closed":      func(p *scriptedendpoint.Conn) { _ = p.Close() },
+		"reset":       func(p *scriptedendpoint.Conn) { p.Reset() },
+		"unsolicited": func(p *scriptedendpoint.Conn) { p.WriteText("HTTP/1.1 200 OK\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			answered, ended := make(chan struct{}), make(chan struct{})
+			responded, ended := make(chan struct{}), make(chan struct{})
 			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
 				if p.ReadRequest() == nil {
 					return
 				}
 				p.WriteText(okResponse)
 				if p.Number == 0 {
-					<-answered
+					<-responded
 					end(p)
 					close(ended)
 				}
@@ -182,7 +184,7 @@
 			pool := New(testOptions)
 			_, _, failure := doCall(t, pool, newCall(e.Address()))
 			require.Nil(t, failure)
-			close(answered)
+			close(responded)
 			<-ended
 			_, body, failure := doCall(t, pool, newCall(e.Address()))
 			require.Nil(t, failure)
@@ -224,7 +226,7 @@
 // reused.
 func TestDo_ResponseBeforeBodyIsSent(t *testing.T) {
 	rest := make(chan int64, 1)
-	answered := make(chan struct{})
+	responded := make(chan struct{})
 	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
 		if p.Number > 0 {
 			p.ReadRequest()
@@ -236,7 +238,7 @@
 			return
 		}
 		p.WriteText(okResponse)
-		<-answered
+		<-responded
 		n, _ := io.Copy(io.Discard, p.Reader)
 		rest <- n
 	})
@@ -247,7 +249,7 @@
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.Zero(t, pool.Open())
-	close(answered)
+	close(responded)
 	assert.Less(t, <-rest, int64(len(call.Body)))
 	_, _, failure = doCall(t, pool, newCall(e.Address()))
 	require.Nil(t, failure)
@@ -296,15 +298,15 @@
 	assert.Positive(t, left)
 }
 
-// TestDialer_MinRoundTrip: a connection that took long to establish is a poor measure of the path's latency.
+// TestDialer_MinRoundTrip: a connection that roundTrip long to establish is a poor measure of the path's latency.
 func TestDialer_MinRoundTrip(t *testing.T) {
 	d := newDialer(defaultConnectTimeout, defaultAckTimeout)
-	for _, took := range []time.Duration{80, 75, 900, 70, 76} {
-		d.recordRoundTrip("z", took*time.Millisecond)
+	for _, roundTrip := range []time.Duration{80, 75, 900, 70, 76} {
+		d.recordRoundTrip("z", roundTrip*time.Millisecond)
 	}
-	least := (&Pool{dialer: d}).RoundTrips()["z"]
-	assert.GreaterOrEqual(t, least, 70*time.Millisecond)
-	assert.Less(t, least, 72*time.Millisecond)
+	minimum := (&Pool{dialer: d}).RoundTrips()["z"]
+	assert.GreaterOrEqual(t, minimum, 70*time.Millisecond)
+	assert.Less(t, minimum, 72*time.Millisecond)
 	for range 500 {
 		d.recordRoundTrip("z", 200*time.Millisecond)
 	}
--- a/serving/upstream/classify_test.go
+++ b/serving/upstream/classify_test.go
@@ -20,14 +20,14 @@
 		header  http.Header
 		id      string
 		outcome attempt.Outcome
-		reading responseKind
+		kind    responseKind
 	}{
 		{"success", 200, stamped, own, attempt.Succeeded, responseMatches},
 		{"success without stamp", 200, bare, own, attempt.Broken, responseInvalid},
 		{"success without id", 200, stamped, none, attempt.Broken, responseInvalid},
 		{"success of another request", 200, stamped, other, attempt.Broken, responseForeign},
 		{"encoded", 200, http.Header{"X-Postmark": {"s"}, "Content-Encoding": {"gzip"}}, own, attempt.Broken, responseInvalid},
-		{"plainly encoded", 200, http.Header{"X-Postmark": {"s"}, "Content-Encoding": {"identity"}}, own, attempt.Succeeded, responseMatches},
+		{"identity encoding", 200, http.Header{"X-Postmark": {"s"}, "Content-Encoding": {"identity"}}, own, attempt.Succeeded, responseMatches},
 		{"own error", 500, bare, own, attempt.Failed, responseMatches},
 		{"own time-out", 504, bare, own, attempt.Failed, responseMatches},
 		{"own error without id", 500, bare, none, attempt.Broken, responseInvalid},
@@ -52,9 +52,9 @@
 		if c.id != none {
 			header.Set("X-Attempt-Id", c.id)
 		}
-		outcome, what := classify(c.status, header, own)
-		assert.Equal(t, c.reading, what, c.name)
-		if what == responseMatches {
+		outcome, kind := classify(c.status, header, own)
+		assert.Equal(t, c.kind, kind, c.name)
+		if kind == responseMatches {
 			assert.Equal(t, c.outcome, outcome, c.name)
 		}
 	}
--- a/serving/upstream/response_test.go
+++ b/serving/upstream/response_test.go
@@ -14,23 +14,23 @@
 )
 
 // TestResponse_BrokenAfterEachByte breaks a response off after each of its bytes in turn: only the complete one
-// counts.
+// succeeds.
 func TestResponse_BrokenAfterEachByte(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"3\r\nabc\r\n1\r\nd\r\n0\r\n\r\n"
 	for name, text := range map[string]string{"length": okResponse, "chunked": chunked} {
-		for point := range len(text) {
+		for length := range len(text) {
 			for _, reset := range []bool{false, true} {
 				e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
 					p.ReadRequest()
-					p.WriteText(text[:point])
+					p.WriteText(text[:length])
 					if reset {
 						p.Reset()
 					}
 				})
 				_, _, failure := doCall(t, New(testOptions), newCall(e.Address()))
-				if assert.NotNil(t, failure, "%s, %d bytes", name, point) {
-					assert.Equal(t, attempt.Broken, failure.Outcome, "%s, %d bytes", name, point)
+				if assert.NotNil(t, failure, "%s, %d bytes", name, length) {
+					assert.Equal(t, attempt.Broken, failure.Outcome, "%s, %d bytes", name, length)
 				}
 			}
 		}
@@ -40,16 +40,16 @@
 func TestResponse_Invalid(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n"
 	for name, sent := range map[string]string{
-		"garbage":           "\x00\x01garbage\r\n\r\n",
-		"endless head":      head + strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 100),
-		"two lengths":       head + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbodyb",
-		"bad chunk":         head + "Transfer-Encoding: chunked\r\n\r\nzz\r\nbody\r\n0\r\n\r\n",
-		"no stamp":          "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nContent-Length: 4\r\n\r\nbody",
-		"other's only":      "HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Postmark: s\r\nContent-Length: 4\r\n\r\nbody",
-		"other's, to close": "HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Postmark: s\r\n\r\nbody",
-		"gzip":              head + "Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody",
-		"protocol change":   "HTTP/1.1 101 Switching\r\nX-Attempt-Id: a1\r\n\r\n",
-		"interim only":      strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20),
+		"garbage":            "\x00\x01garbage\r\n\r\n",
+		"endless head":       head + strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 100),
+		"two lengths":        head + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbodyb",
+		"bad chunk":          head + "Transfer-Encoding: chunked\r\n\r\nzz\r\nbody\r\n0\r\n\r\n",
+		"no stamp":           "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nContent-Length: 4\r\n\r\nbody",
+		"foreign only":       "HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Postmark: s\r\nContent-Length: 4\r\n\r\nbody",
+		"foreign, no length": "HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Postmark: s\r\n\r\nbody",
+		"gzip":               head + "Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody",
+		"protocol change":    "HTTP/1.1 101 Switching\r\nX-Attempt-Id: a1\r\n\r\n",
+		"interim only":       strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -46,7 +46,7 @@
 	other := newCall(e.Address())
 	other.EndpointID = "i-2"
 	_, _, failure = doCall(t, pool, other)
-	require.Nil(t, failure, "another endpoint has a limit of its own")
+	require.Nil(t, failure, "another endpoint has its own limit")
 	third := newCall(e.Address())
 	third.EndpointID = "i-3"
 	_, _, failure = doCall(t, pool, third)
@@ -109,11 +109,11 @@
 		return false
 	}
 	_, body, failure := doCall(t, New(testOptions), call)
-	require.Nil(t, failure, "the caller wants to wait on")
+	require.Nil(t, failure, "the caller continues to wait")
 	assert.Equal(t, "body", body)
 
-	silent := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() })
-	call = newCall(silent.Address())
+	unresponsive := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() })
+	call = newCall(unresponsive.Address())
 	call.ProgressTimeout = time.Millisecond
 	call.MayAbandon = func() bool { return true }
 	pool := New(testOptions)
--- a/test/integration/serving/endpoints_test.go
+++ b/test/integration/serving/endpoints_test.go
@@ -38,7 +38,8 @@
 	options.Zone = p.zone
 	options.Edition = "v1"
 	options.HealthPath = healthPath
-	options.ListenAddress, options.Control = c.address(number, portEndpoint), c.controlAddresses()
+	options.ListenAddress = c.address(number, portEndpoint)
+	options.Control = c.controlAddresses()
 	options.HeartbeatInterval = 500 * time.Millisecond
 	options.DrainTime = drainTime
 	options.MaxConnections = maxConnections
@@ -92,7 +93,8 @@
 	}}
 	for _, name := range extra {
 		more := route(kindStock)
-		more.Name, more.Prefix = name, "/"+name+"/"
+		more.Name = name
+		more.Prefix = "/" + name + "/"
 		configuration.Routes = append(configuration.Routes, more)
 	}
 	text, err := json.Marshal(configuration)
@@ -103,8 +105,18 @@
 }
 
 func route(k requestKind) routeDocument {
-	return routeDocument{Name: k.name, Host: host, Prefix: "/" + k.name + "/", Kind: k.routeKind, Service: k.service,
-		TimeoutMillis: int(clientTimeout.Milliseconds()), TargetMillis: 1000, Tries: 3, Sticky: k.stream, GapMillis: 1000}
+	return routeDocument{
+		Name:          k.name,
+		Host:          host,
+		Prefix:        "/" + k.name + "/",
+		Kind:          k.routeKind,
+		Service:       k.service,
+		TimeoutMillis: int(clientTimeout.Milliseconds()),
+		TargetMillis:  1000,
+		Tries:         3,
+		Sticky:        k.stream,
+		GapMillis:     1000,
+	}
 }
 
 // requestKind is a kind of request.
@@ -124,11 +136,11 @@
 	requestKinds = []requestKind{kindChat, kindStock, kindOrder}
 )
 
-// promptTokens and answerTokens are those of each stream; it has so many events.
+// Tokens of each stream's prompt and output, and the number of its events.
 const (
 	promptTokens = 100
-	answerTokens = 40
-	answerEvents = answerTokens / 4
+	outputTokens = 40
+	streamEvents = outputTokens / 4
 )
 
-var tokenCount = strconv.Itoa(promptTokens) + "," + strconv.Itoa(answerTokens)
+var tokenCount = strconv.Itoa(promptTokens) + "," + strconv.Itoa(outputTokens)
--- a/test/integration/serving/losses_test.go
+++ b/test/integration/serving/losses_test.go
@@ -70,8 +70,8 @@
 }
 
 // replicaOf returns the ID of the replica at an address, as a member knows it; empty: none.
-func (c *cluster) replicaOf(asked *node, address string) string {
-	report, answered := c.report(asked)
+func (c *cluster) replicaOf(observer *node, address string) string {
+	report, answered := c.report(observer)
 	if !answered {
 		return ""
 	}
@@ -119,8 +119,8 @@
 }
 
 // knowsMember reports whether a member knows another one as live.
-func (c *cluster) knowsMember(asked, other *node) bool {
-	report, answered := c.report(asked)
+func (c *cluster) knowsMember(observer, other *node) bool {
+	report, answered := c.report(observer)
 	return answered && slices.ContainsFunc(report.Members, func(m introspect.Member) bool {
 		return m.Member.Name == other.name && !m.Down
 	})
--- a/test/integration/serving/partition_test.go
+++ b/test/integration/serving/partition_test.go
@@ -17,9 +17,9 @@
 	"rowanlink/test/integration/subprocess"
 )
 
-// buildCuttable builds the programs so that their connections can be partitioned: their calls to each other go through
-// testdata/cut.go.txt. No file of the repository is changed.
-func buildCuttable(t *testing.T) (folder string) {
+// buildPartitionable builds the programs so that their connections can be partitioned: their calls to each other go
+// through testdata/cut.go.txt. No file of the repository is changed.
+func buildPartitionable(t *testing.T) (folder string) {
 	t.Helper()
 	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
@@ -74,37 +74,41 @@
 // and clients reach all. Two operators continue to send changes through all cores, and the partitioned core is read
 // continuously: it returns the newest configuration or no response.
 func TestPartitionedCore(t *testing.T) {
-	folder := buildCuttable(t)
-	for _, way := range []struct {
-		name           string
-		mute, deafened bool
-	}{{"both ways", true, true}, {"it reaches nobody", true, false}, {"nobody reaches it", false, true}} {
-		t.Run(way.name, func(t *testing.T) {
+	folder := buildPartitionable(t)
+	for _, direction := range []struct {
+		name                  string
+		cantSend, cantReceive bool
+	}{
+		{name: "both directions", cantSend: true, cantReceive: true},
+		{name: "outgoing", cantSend: true},
+		{name: "incoming", cantReceive: true},
+	} {
+		t.Run(direction.name, func(t *testing.T) {
 			t.Parallel()
 			c := startClusterWithPrograms(t, folder)
-			off := c.cores[0]
-			if way.mute {
-				off.setUnreachable(c.othersThan(off)...)
+			partitioned := c.cores[0]
+			if direction.cantSend {
+				partitioned.setUnreachable(c.othersThan(partitioned)...)
 			}
-			if way.deafened {
-				for _, other := range c.othersThan(off) {
-					other.setUnreachable(off)
+			if direction.cantReceive {
+				for _, other := range c.othersThan(partitioned) {
+					other.setUnreachable(partitioned)
 				}
 			}
 			var acknowledged atomic.Uint64
 			acknowledged.Store(c.version)
-			read := startReading(t, off, &acknowledged)
+			read := startReading(t, partitioned, &acknowledged)
 			for until := time.Now().Add(partitionSpan); time.Now().Before(until); {
 				c.raceReplacements(c.version + 2)
 				acknowledged.Store(c.version)
 			}
-			off.setUnreachable()
-			for _, other := range c.othersThan(off) {
+			partitioned.setUnreachable()
+			for _, other := range c.othersThan(partitioned) {
 				other.setUnreachable()
 			}
 			c.raceReplacements(c.version + 2)
 			acknowledged.Store(c.version)
-			c.assertReadsNewest(off)
+			c.assertReadsNewest(partitioned)
 			t.Logf("%d reads, %d answered, version %d", read.stop(), read.answered.Load(), c.version)
 			for _, n := range append(append([]*node(nil), c.cores...), c.agents...) {
 				c.awaitVersion(n)
@@ -134,7 +138,7 @@
 			}
 			r.reads++
 			newest := acknowledged.Load()
-			status, answer := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
+			status, body := n.call(operatorRequest{method: http.MethodGet, path: "/Settings.Read"})
 			if status != http.StatusOK {
 				continue
 			}
@@ -142,7 +146,7 @@
 			var document struct {
 				Edition uint64 `json:"edition"`
 			}
-			if assert.NoError(t, json.Unmarshal([]byte(answer), &document)) {
+			if assert.NoError(t, json.Unmarshal([]byte(body), &document)) {
 				assert.GreaterOrEqual(t, document.Edition, newest, "an older configuration was returned")
 			}
 		}
--- a/test/integration/serving/traffic_test.go
+++ b/test/integration/serving/traffic_test.go
@@ -203,7 +203,7 @@
 			next++
 		}
 	}
-	assert.Equal(t, answerEvents+1, next)
+	assert.Equal(t, streamEvents+1, next)
 }
 
 // lookup returns where a directory sends a client at a location; nil: it doesn't know.
