--- a/cmd/rowan-sim/main.go
+++ b/cmd/rowan-sim/main.go
@@ -1,4 +1,4 @@
-// Command rowan-sim makes experiments with the emulator.
+// Command rowan-sim runs experiments with the simulator of the webhook dispatcher.
 package main
 
 import (
@@ -9,27 +9,42 @@
 	"github.com/spf13/cobra"
 )
 
-// errBroken ends a command with status 3: it worked, and a rule was broken.
-var errBroken = errors.New("a rule was broken")
+// The exit statuses of failures.
+const (
+	exitFailed   = 1
+	exitViolated = 3
+)
+
+// errViolated ends a command that worked with exitViolated.
+var errViolated = errors.New("an invariant was violated")
 
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	root := &cobra.Command{
 		Use:   "rowan-sim",
-		Short: "Experiments with the emulator of rowanlink",
-		Long: "rowan-sim plays scenarios in simulated time round the decision module or a baseline, and keeps\n" +
-			"what came of them as tables and charts.\n\n" +
-			"Results go to standard output, all else to standard error. Exit status: 0 done, 1 could not be done,\n" +
-			"3 done, and a rule was broken.",
-		SilenceUsage: true, SilenceErrors: true,
+		Short: "Experiments with the simulator of rowanlink",
+		Long: "rowan-sim runs scenarios in simulated time with the decision policy or a baseline, and writes the\n" +
+			"results as tables and charts.\n\n" +
+			"Results go to standard output, all else to standard error. Exit status: 0 done, 1 failed,\n" +
+			"3 done, and an invariant was violated.",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
-	root.AddCommand(runCommand(), checkCommand(), sweepCommand(), compareCommand(), huntCommand(), plotCommand(),
-		homesCommand())
-	switch err := root.Execute(); {
-	case errors.Is(err, errBroken):
-		os.Exit(3)
+	root.AddCommand(
+		runCommand(),
+		checkCommand(),
+		sweepCommand(),
+		compareCommand(),
+		searchCommand(),
+		plotCommand(),
+		ownershipCommand(),
+	)
+	err := root.Execute()
+	switch {
+	case errors.Is(err, errViolated):
+		os.Exit(exitViolated)
 	case err != nil:
-		slog.Error("not done", "why", err)
-		os.Exit(1)
+		slog.Error("command failed", "error", err)
+		os.Exit(exitFailed)
 	}
 }
--- a/cmd/rowan-sim/ownership.go
+++ b/cmd/rowan-sim/ownership.go
@@ -10,52 +10,67 @@
 	"rowanlink/sim/experiment"
 )
 
-func homesCommand() *cobra.Command {
-	var out string
-	var free bool
+type ownershipOptions struct {
+	out  string
+	free bool
+}
+
+func ownershipCommand() *cobra.Command {
+	var options ownershipOptions
 	c := &cobra.Command{
 		Use:   "homes FILE...",
-		Short: "Compare homes with even parts over the points of sweeps",
-		Long: "Plays each point and seed of sweeps whose scenarios have a table homes with and without it, and\n" +
-			"prints a row for each way of sharing.",
+		Short: "Compare ownership of ranges with even shares over the points of sweeps",
+		Long: "Runs each point and seed of sweeps whose scenarios have a table homes with and without it, and\n" +
+			"prints a row for each mode.",
 		Example: "  rowan-sim homes --free-hops examples/experiments/sweeps/homes-*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var all []experiment.OwnershipResult
-			if out != "" {
-				if err := os.MkdirAll(out, 0o755); err != nil {
-					return err
-				}
+			results, err := options.compareAll(args)
+			if err != nil {
+				return err
 			}
-			for _, file := range args {
-				s, points, err := experiment.LoadSweep(file)
-				if err != nil {
-					return err
-				}
-				if len(s.Seeds) < 2 {
-					return errors.New(file + ": homes needs two seeds or more")
-				}
-				runs := 2 * len(points)
-				if free {
-					runs = 3 * len(points)
-				}
-				b := bar(runs, file)
-				rows, err := s.CompareOwnership(points, free, func() { _ = b.Add(1) })
-				if err != nil {
-					return err
-				}
-				if out != "" {
-					if err := experiment.SaveOwnership(out, s, points, rows); err != nil {
-						return err
-					}
-				}
-				all = append(all, rows...)
-			}
-			_, err := fmt.Fprint(c.OutOrStdout(), experiment.OwnershipTable(all))
+			_, err = fmt.Fprint(c.OutOrStdout(), experiment.OwnershipTable(results))
 			return err
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "folder for the figures as JSON")
-	c.Flags().BoolVar(&free, "free-hops", false, "play homes without the cost of hops as well")
+	c.Flags().StringVar(&options.out, "out", "", "folder for the figures as JSON")
+	c.Flags().BoolVar(&options.free, "free-hops", false, "also with ownership and messages without delay or loss")
 	return c
 }
+
+func (o *ownershipOptions) compareAll(files []string) ([]experiment.OwnershipResult, error) {
+	if o.out != "" {
+		if err := os.MkdirAll(o.out, 0o755); err != nil {
+			return nil, err
+		}
+	}
+	var all []experiment.OwnershipResult
+	for _, file := range files {
+		results, err := o.compare(file)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, results...)
+	}
+	return all, nil
+}
+
+func (o *ownershipOptions) compare(file string) ([]experiment.OwnershipResult, error) {
+	sweep, points, err := experiment.LoadSweep(file)
+	if err != nil {
+		return nil, err
+	}
+	if len(sweep.Seeds) < 2 {
+		return nil, errors.New(file + ": homes needs two seeds or more")
+	}
+	modes := 2
+	if o.free {
+		modes = 3
+	}
+	progress := newProgress(modes*len(points), file)
+	results, err := sweep.CompareOwnership(points, o.free, func() { _ = progress.Add(1) })
+	if err != nil || o.out == "" {
+		return results, err
+	}
+	return results, experiment.SaveOwnership(o.out, sweep, points, results)
+}
--- a/sim/experiment/sweep_test.go
+++ b/sim/experiment/sweep_test.go
@@ -33,7 +33,7 @@
 		require.NoError(t, err)
 		return played
 	}
-	run(out)
+	assert.Equal(t, 16, run(out), "the callback counts all runs")
 	whole, rows := read(t, out, "runs.csv"), read(t, out, "rows.jsonl")
 	assert.Equal(t, 17, strings.Count(whole, "\n"))
 
