--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -59,8 +59,8 @@
 	restored := r.restoreConfirmed(ctx, missing, routes)
 	if len(missing) > 0 {
 		event.EndpointsRestored.Log(r.log).
-			Int("kept", len(saved)).
-			Int("asked", len(missing)).
+			Int("saved", len(saved)).
+			Int("checked", len(missing)).
 			Int("restored", restored).
 			Send()
 	}
--- a/serving/core/reconciler.go
+++ b/serving/core/reconciler.go
@@ -60,7 +60,7 @@
 	record, err := r.node.Read(ctx)
 	event.ChangeRecovered.Log(r.log).
 		Uint64("accepted", revision).
-		Uint64("in_force", record.Revision).
+		Uint64("committed", record.Revision).
 		Err(err).
 		Send()
 }
--- a/serving/register/acceptor_test.go
+++ b/serving/register/acceptor_test.go
@@ -36,7 +36,8 @@
 	t.Cleanup(acceptor.Close)
 	ctx := t.Context()
 	require.NoError(t, acceptor.Install(ctx, AcceptorState{ReplicaID: "r"}, true))
-	first, second := Ballot{Number: 1, Proposer: "p"}, Ballot{Number: 2, Proposer: "p"}
+	first := Ballot{Number: 1, Proposer: "p"}
+	second := Ballot{Number: 2, Proposer: "p"}
 	prepare := func(ballot Ballot) (*Vote, error) {
 		return acceptor.Prepare(ctx, &PrepareRequest{ReplicaID: "r", Ballot: ballot})
 	}
--- a/serving/register/update_test.go
+++ b/serving/register/update_test.go
@@ -34,10 +34,10 @@
 	}{
 		{"the current one again", 3, configuration(7, "b"), isNoChange},
 		{"an earlier one again", 0, configuration(3, "a"), isNoChange},
-		{"another document under the current number", 3, configuration(7, "c"), errcode.VersionConflict.Is},
+		{"another document under the current version", 3, configuration(7, "c"), errcode.VersionConflict.Is},
 		{"on an older version", 3, configuration(9, "c"), errcode.VersionConflict.Is},
-		{"on a version to come", 8, configuration(9, "c"), errcode.VersionConflict.Is},
-		{"a number that is not above", 7, configuration(7, "c"), errcode.VersionNotAbove.Is},
+		{"on a future version", 8, configuration(9, "c"), errcode.VersionConflict.Is},
+		{"a version that is not above the current one", 7, configuration(7, "c"), errcode.VersionNotAbove.Is},
 	} {
 		_, err := ReplaceConfiguration(test.basedOn, test.sent)(second)
 		assert.True(t, test.expected(err), "%s: %v", test.name, err)
@@ -46,7 +46,7 @@
 
 // TestAmendConfiguration checks that an amendment is recognized by its own digest and is applied to the current record.
 func TestAmendConfiguration(t *testing.T) {
-	order := state.AppliedUpdate{Version: 5, Digest: state.DigestOf([]byte("order"))}
+	amendment := state.AppliedUpdate{Version: 5, Digest: state.DigestOf([]byte("order"))}
 	var found []state.Configuration
 	amend := func(current state.Configuration) (state.Configuration, error) {
 		found = append(found, current)
@@ -54,7 +54,7 @@
 	}
 	first, err := ReplaceConfiguration(0, configuration(3, "a"))(state.Record{})
 	require.NoError(t, err)
-	amended, err := AmendConfiguration(3, order, amend)(first)
+	amended, err := AmendConfiguration(3, amendment, amend)(first)
 	require.NoError(t, err)
 	assert.Equal(t, []state.Configuration{configuration(3, "a")}, found)
 	assert.Equal(t, configuration(5, "a, amended"), amended.Configuration)
@@ -66,16 +66,16 @@
 		name     string
 		record   state.Record
 		basedOn  uint64
-		order    state.AppliedUpdate
+		applied  state.AppliedUpdate
 		expected func(error) bool
 	}{
-		{"again at once", amended, 3, order, isNoChange},
-		{"again after another change", third, 3, order, isNoChange},
+		{"again at once", amended, 3, amendment, isNoChange},
+		{"again after another change", third, 3, amendment, isNoChange},
 		{"another amendment on the same base", amended, 3, other, errcode.VersionConflict.Is},
-		{"on a version to come", amended, 7, other, errcode.VersionConflict.Is},
-		{"a number that is not above", amended, 5, other, errcode.VersionNotAbove.Is},
+		{"on a future version", amended, 7, other, errcode.VersionConflict.Is},
+		{"a version that is not above the current one", amended, 5, other, errcode.VersionNotAbove.Is},
 	} {
-		_, err := AmendConfiguration(test.basedOn, test.order, amend)(test.record)
+		_, err := AmendConfiguration(test.basedOn, test.applied, amend)(test.record)
 		assert.True(t, test.expected(err), "%s: %v", test.name, err)
 	}
 	assert.Len(t, found, 1, "only an update with a valid base is computed")
@@ -146,13 +146,19 @@
 }
 
 func TestInitialState_GenesisOnlyOnSeedAtFirstStart(t *testing.T) {
-	process := &settings.Process{IP: "10.0.0.2", FirstPort: 7660, FirstRun: true,
-		Seeds: []string{"10.0.0.3:80", "10.0.0.1:80", "10.0.0.2:80", "no address"}}
+	process := &settings.Process{
+		IP:        "10.0.0.2",
+		FirstPort: 7660,
+		FirstRun:  true,
+		Seeds:     []string{"10.0.0.3:80", "10.0.0.1:80", "10.0.0.2:80", "no address"},
+	}
 	first := initialState(process, "new")
 	assert.Equal(t, "genesis-10.0.0.2:7660", first.ReplicaID)
-	assert.Equal(t, []state.Replica{{ID: "genesis-10.0.0.1:7660", Address: "10.0.0.1:7660"},
+	assert.Equal(t, []state.Replica{
+		{ID: "genesis-10.0.0.1:7660", Address: "10.0.0.1:7660"},
 		{ID: "genesis-10.0.0.2:7660", Address: "10.0.0.2:7660"},
-		{ID: "genesis-10.0.0.3:7660", Address: "10.0.0.3:7660"}}, first.Proposal.Record.Voters.Replicas)
+		{ID: "genesis-10.0.0.3:7660", Address: "10.0.0.3:7660"},
+	}, first.Proposal.Record.Voters.Replicas)
 	process.FirstRun = false
 	assert.Equal(t, AcceptorState{ReplicaID: "new"}, initialState(process, "new"), "a later start: its disk was lost")
 	process.FirstRun = true
