--- a/sim/experiment/figures.go
+++ b/sim/experiment/figures.go
@@ -22,80 +22,96 @@
 }
 
 // runFigures draws the tables of a run.
-func runFigures(dir string) (all []figure, err error) {
-	t, err := readTable(filepath.Join(dir, "seconds.csv"))
+func runFigures(dir string) ([]figure, error) {
+	seconds, err := readTable(filepath.Join(dir, "seconds.csv"))
 	if err != nil {
 		return nil, err
 	}
-	by := func(cols ...string) (lines []series) {
-		for _, c := range cols {
-			s := series{name: c}
-			for i := range t.rowCount {
-				s.points = append(s.points, plotter.XY{X: t.number("second", i), Y: t.number(c, i)})
-			}
-			lines = append(lines, s)
-		}
-		return lines
-	}
-	add := func(p figure, failed error) {
-		all = append(all, p)
-		err = errors.Join(err, failed)
-	}
-	add(lineChart("ends", "Webhooks by second", "s", "webhooks a second",
-		by("offered", "in_time", "late", "rejected", "dead_lettered", "died")...))
-	add(lineChart("latency", "Latency of what was delivered in that second", "s", "s", by("p50_s", "p99_s")...))
-	add(lineChart("calls", "Calls by second", "s", "calls", by("calls", "refused", "connected", "out")...))
-	d, failed := readTable(filepath.Join(dir, "destinations.csv"))
-	if failed != nil {
-		return nil, failed
+	destinations, err := readTable(filepath.Join(dir, "destinations.csv"))
+	if err != nil {
+		return nil, err
 	}
-	add(destinationChart(d))
-	cold, failed := readTable(filepath.Join(dir, "cold.csv"))
-	if failed != nil {
-		return nil, failed
+	warmup, err := readTable(filepath.Join(dir, "cold.csv"))
+	if err != nil {
+		return nil, err
 	}
-	if cold.rowCount > 0 {
-		add(warmupChart(cold))
+	outcomes, err1 := lineChart("ends", "Webhooks by second", "s", "webhooks a second",
+		seconds.seriesOf("offered", "in_time", "late", "rejected", "dead_lettered", "died")...)
+	latency, err2 := lineChart("latency", "Latency of what was delivered in that second", "s", "s",
+		seconds.seriesOf("p50_s", "p99_s")...)
+	calls, err3 := lineChart("calls", "Calls by second", "s", "calls",
+		seconds.seriesOf("calls", "refused", "connected", "out")...)
+	byDestination, err4 := destinationChart(destinations)
+	all := []figure{outcomes, latency, calls, byDestination}
+	err = errors.Join(err1, err2, err3, err4)
+	if warmup.rowCount > 0 {
+		f, warmupErr := warmupChart(warmup)
+		all = append(all, f)
+		err = errors.Join(err, warmupErr)
 	}
 	return all, err
 }
 
-// destinationChart shows the calls, the refused ones and the most active ones of the busiest destinations.
-func destinationChart(t *table) (figure, error) {
-	order := make([]int, t.rowCount)
-	for i := range order {
-		order[i] = i
+// seriesOf returns columns of a table by second.
+func (t *table) seriesOf(columns ...string) []series {
+	var all []series
+	for _, column := range columns {
+		s := series{name: column}
+		for i := range t.rowCount {
+			s.points = append(s.points, plotter.XY{X: t.number("second", i), Y: t.number(column, i)})
+		}
+		all = append(all, s)
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return int(t.number("calls", b) - t.number("calls", a)) })
-	order = order[:min(len(order), maxDestinations)]
+	return all
+}
+
+// destinationChart shows the calls of the destinations with the most of them.
+func destinationChart(t *table) (figure, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "destination, the busiest first", "calls"
+	p.X.Label.Text = "destination, the busiest first"
+	p.Y.Label.Text = "calls"
 	p.Legend.Top = true
-	var names []string
-	cols := []string{"calls", "refused", "out"}
-	values := make([]plotter.Values, len(cols))
-	for _, row := range order {
-		names = append(names, t.cells["destination"][row])
-		for c, col := range cols {
-			values[c] = append(values[c], t.number(col, row))
+	f := figure{Name: "destinations", Title: "Calls out and refused, by destination", chart: p}
+	busiest := t.busiestDestinations()
+	if len(busiest) == 0 {
+		return f, nil
+	}
+	width := vg.Points(10)
+	for i, column := range []struct{ name, label string }{
+		{"calls", "calls"},
+		{"refused", "refused"},
+		{"out", "out at once, from one dispatcher"},
+	} {
+		var values plotter.Values
+		for _, row := range busiest {
+			values = append(values, t.number(column.name, row))
 		}
-	}
-	if len(order) > 0 {
-		width := vg.Points(10)
-		for c, col := range cols {
-			bars, err := plotter.NewBarChart(values[c], width)
-			if err != nil {
-				return figure{}, err
-			}
-			bars.Color, bars.Offset = plotutil.Color(c), width*vg.Length(c-1)
-			bars.LineStyle.Width = 0
-			p.Add(bars)
-			p.Legend.Add(map[string]string{"out": "out at once, from one dispatcher"}[col]+
-				map[string]string{"calls": "calls", "refused": "refused"}[col], bars)
+		bars, err := plotter.NewBarChart(values, width)
+		if err != nil {
+			return figure{}, err
 		}
-		p.NominalX(names...)
+		bars.Color = plotutil.Color(i)
+		bars.Offset = width * vg.Length(i-1)
+		bars.LineStyle.Width = 0
+		p.Add(bars)
+		p.Legend.Add(column.label, bars)
 	}
-	return figure{Name: "destinations", Title: "Calls out and refused, by destination", chart: p}, nil
+	var names []string
+	for _, row := range busiest {
+		names = append(names, t.cells["destination"][row])
+	}
+	p.NominalX(names...)
+	return f, nil
+}
+
+// busiestDestinations returns the rows with the most calls.
+func (t *table) busiestDestinations() []int {
+	rows := make([]int, t.rowCount)
+	for i := range rows {
+		rows[i] = i
+	}
+	slices.SortStableFunc(rows, func(a, b int) int { return int(t.number("calls", b) - t.number("calls", a)) })
+	return rows[:min(len(rows), maxDestinations)]
 }
 
 // warmupChart shows the load on routes in their slow start, over the limit beyond which they collapse.
--- a/sim/experiment/ownership.go
+++ b/sim/experiment/ownership.go
@@ -124,23 +124,29 @@
 	return h
 }
 
+// add adds a run to the sums, of which divideBy makes means.
 func (s *OwnershipResult) add(r *Result, t invariant.ClusterSummary) {
 	s.Value += r.Value
 	s.CallsRefused += float64(r.CallsRefused) / float64(max(r.Calls, 1))
-	s.P50, s.P99 = s.P50+r.P50, s.P99+r.P99
+	s.P50 += r.P50
+	s.P99 += r.P99
 	s.Collapsed += float64(r.Collapsed)
 	s.Unfinished += r.Unfinished
 	if r.Violated() {
 		s.RunsViolated++
 	}
-	for rule := range r.Violations {
-		s.Invariants[rule]++
+	for name := range r.Violations {
+		s.Invariants[name]++
 	}
 	s.MeanLoad += t.MeanLoad
-	s.MaxLoad, s.LongestGap = max(s.MaxLoad, t.MaxLoad), max(s.LongestGap, t.LongestGap)
-	s.CallsDuringOutage, s.CallersDuringOutage = s.CallsDuringOutage+t.CallsDuringOutage, s.CallersDuringOutage+t.CallersDuringOutage
-	s.Returns, s.Handoffs = s.Returns+t.Returns, s.Handoffs+t.Handoffs
-	s.HandoffP50, s.HandoffP99 = s.HandoffP50+t.HandoffP50, s.HandoffP99+t.HandoffP99
+	s.MaxLoad = max(s.MaxLoad, t.MaxLoad)
+	s.LongestGap = max(s.LongestGap, t.LongestGap)
+	s.CallsDuringOutage += t.CallsDuringOutage
+	s.CallersDuringOutage += t.CallersDuringOutage
+	s.Returns += t.Returns
+	s.Handoffs += t.Handoffs
+	s.HandoffP50 += t.HandoffP50
+	s.HandoffP99 += t.HandoffP99
 }
 
 func (s *OwnershipResult) divideBy(n float64) {
--- a/sim/experiment/run.go
+++ b/sim/experiment/run.go
@@ -84,27 +84,27 @@
 
 // NewPolicyFactory returns the factory of the policy with a name.
 func NewPolicyFactory(policy string) (engine.PolicyFactory, error) {
-	start, ok := policyFactories[policy]
+	newPolicy, ok := policyFactories[policy]
 	if !ok {
 		return nil, fmt.Errorf("no policy is called %q: there are %s", policy, strings.Join(Policies(), ", "))
 	}
-	return start, nil
+	return newPolicy, nil
 }
 
 // Run runs a scenario under the policy with a name.
 func Run(s *engine.Scenario, policy string, measured bool) (*Result, error) {
-	start, err := NewPolicyFactory(policy)
+	newPolicy, err := NewPolicyFactory(policy)
 	if err != nil {
 		return nil, err
 	}
-	r := RunWith(s, start, measured)
+	r := RunWith(s, newPolicy, measured)
 	r.Policy = policy
 	return r, nil
 }
 
 // RunWith runs a scenario under any policy, with further observers.
-func RunWith(s *engine.Scenario, start engine.PolicyFactory, measured bool, observers ...event.Observer) *Result {
-	m := engine.New(s, start)
+func RunWith(s *engine.Scenario, newPolicy engine.PolicyFactory, measured bool, observers ...event.Observer) *Result {
+	m := engine.New(s, newPolicy)
 	m.MeasurePolicyTime = measured
 	checker, recorder := invariant.NewChecker(ThresholdsOf(s)), invariant.NewRecorder(ThresholdsOf(s))
 	checker.Subscribe(&m.Bus)
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -39,10 +39,10 @@
 }
 
 // String describes the violation, with a line for each event.
-func (b Violation) String() string {
-	s := fmt.Sprintf("%s: %s (%.6fs, dispatcher %d, webhook %d, destination %d)", b.Invariant, b.Text, b.At.Seconds(),
-		b.Dispatcher, b.Webhook, b.Destination)
-	for _, l := range b.History {
+func (v Violation) String() string {
+	s := fmt.Sprintf("%s: %s (%.6fs, dispatcher %d, webhook %d, destination %d)", v.Invariant, v.Text, v.At.Seconds(),
+		v.Dispatcher, v.Webhook, v.Destination)
+	for _, l := range v.History {
 		s += "\n    " + l
 	}
 	return s
@@ -84,53 +84,66 @@
 	judge() Claim
 }
 
-// Names are the names of the invariants, as scenarios' results have them.
-var Names = []string{"lost", "twice", "drain", "failback", "order", "wait"}
+// The names of the invariants in results.
+const (
+	deliveryName   = "lost"
+	duplicatesName = "twice"
+	drainingName   = "drain"
+	slowStartName  = "failback"
+	orderingName   = "order"
+	retryAfterName = "wait"
+)
 
-// NewChecker makes the checkers of a run.
+// Names are the names of the invariants in results.
+var Names = []string{deliveryName, duplicatesName, drainingName, slowStartName, orderingName, retryAfterName}
+
+// NewChecker makes a checker of one run. It must be subscribed before the run starts.
 func NewChecker(thresholds Thresholds) *Checker {
-	w := &Checker{ViolationCount: map[string]int{}, history: history{events: map[api.WebhookID][]event.Event{}}}
-	tell := func(rule string) violationReporter { return violationReporter{w, rule} }
-	w.invariants = []invariantChecker{
-		&delivery{violationReporter: tell("lost"), thresholds: thresholds, owned: map[webhookKey]*obligation{}, finished: map[webhookKey]bool{}},
-		&duplicates{violationReporter: tell("twice"), thresholds: thresholds, webhooks: map[api.WebhookID]*attemptHistory{}},
-		&draining{violationReporter: tell("drain"), thresholds: thresholds, notifiedAt: map[endpointKey]api.Micros{}},
-		&slowStart{violationReporter: tell("failback"), thresholds: thresholds, routes: map[event.Route]*recoveringRoute{}},
-		&ordering{violationReporter: tell("order"), thresholds: thresholds, queues: map[queueKey]*orderingQueue{}, webhooks: map[webhookKey]*orderedWebhook{}},
-		&retryAfter{violationReporter: tell("wait"), until: map[routeKey]api.Micros{}},
+	c := &Checker{
+		ViolationCount: map[string]int{},
+		history:        history{events: map[api.WebhookID][]event.Event{}},
+	}
+	reporter := func(invariant string) violationReporter { return violationReporter{c, invariant} }
+	c.invariants = []invariantChecker{
+		newDelivery(reporter(deliveryName), thresholds),
+		newDuplicates(reporter(duplicatesName), thresholds),
+		newDraining(reporter(drainingName), thresholds),
+		newSlowStart(reporter(slowStartName), thresholds),
+		newOrdering(reporter(orderingName), thresholds),
+		newRetryAfter(reporter(retryAfterName)),
 	}
-	w.claimCheckers = []claimChecker{
+	c.claimCheckers = []claimChecker{
 		&backoff{retryDelays: newRetryDelays(thresholds)},
 		&jitter{retryDelays: newRetryDelays(thresholds)},
 		&destinationCap{thresholds: thresholds, active: activeCalls{}},
 		&isolation{thresholds: thresholds, active: activeCalls{}, failuresInRow: map[routeKey]int{}},
 	}
-	return w
+	return c
 }
 
 // Subscribe subscribes all checkers to a bus.
-func (w *Checker) Subscribe(b *event.Bus) {
-	b.Subscribe(&w.history)
-	for _, r := range w.invariants {
-		b.Subscribe(r)
+func (c *Checker) Subscribe(b *event.Bus) {
+	b.Subscribe(&c.history)
+	for _, invariant := range c.invariants {
+		b.Subscribe(invariant)
 	}
-	for _, c := range w.claimCheckers {
-		b.Subscribe(c)
+	for _, claim := range c.claimCheckers {
+		b.Subscribe(claim)
 	}
 }
 
 // Finish is called at the end of the run. Webhooks that aren't finished by then are violations.
-func (w *Checker) Finish(at api.Micros) {
-	for _, r := range w.invariants {
-		r.finish(at)
+func (c *Checker) Finish(at api.Micros) {
+	for _, invariant := range c.invariants {
+		invariant.finish(at)
 	}
 }
 
 // Claims judges the claims by all events so far.
-func (w *Checker) Claims() []Claim {
+func (c *Checker) Claims() []Claim {
 	var all []Claim
-	for _, c := range w.claimCheckers {
-		all = append(all, c.judge())
+	for _, claim := range c.claimCheckers {
+		all = append(all, claim.judge())
 	}
 	return all
 }
@@ -161,12 +174,12 @@
 	if len(t.checker.Violations) >= maxViolations {
 		return
 	}
-	b := Violation{Invariant: t.invariant, At: e.At, Dispatcher: e.Dispatcher, Webhook: e.Webhook, Destination: e.Destination,
+	v := Violation{Invariant: t.invariant, At: e.At, Dispatcher: e.Dispatcher, Webhook: e.Webhook, Destination: e.Destination,
 		Text: fmt.Sprintf(text, args...)}
 	for _, h := range t.checker.history.events[e.Webhook] {
-		b.History = append(b.History, h.String())
+		v.History = append(v.History, h.String())
 	}
-	t.checker.Violations = append(t.checker.Violations, b)
+	t.checker.Violations = append(t.checker.Violations, v)
 }
 
 // history keeps the last events of each webhook, for the latest finished ones too.
--- a/sim/invariant/claims.go
+++ b/sim/invariant/claims.go
@@ -14,7 +14,7 @@
 	judgedRetries        = 4   // later retries are few, and mostly wait for a Retry-After time
 	unhealthyAfter       = 3   // failures in a row after which not only the backoff delays a webhook
 	minGrowth            = .9  // mean delay over that of the retry before
-	surelyUnhealthyAfter = 12  // failures in a row that no chance explains
+	surelyUnhealthyAfter = 12  // failures in a row that randomness doesn't explain
 	destinationShare     = .75 // of the slots, for one destination
 	unhealthyShare       = .5  // of the slots, for an unhealthy destination
 	minVariation         = .2  // standard deviation of a delay over its mean
@@ -193,7 +193,7 @@
 }
 
 // isolation judges the claim that an unhealthy destination has at most half of the slots. One is unhealthy for a
-// dispatcher once so many attempts in a row failed that no chance explains it; calls active before don't count.
+// dispatcher once more attempts in a row failed than randomness explains; calls active before don't count.
 type isolation struct {
 	thresholds    Thresholds
 	active        activeCalls
--- a/sim/invariant/delivery.go
+++ b/sim/invariant/delivery.go
@@ -25,6 +25,15 @@
 	accepted event.Event
 }
 
+func newDelivery(reporter violationReporter, thresholds Thresholds) *delivery {
+	return &delivery{
+		violationReporter: reporter,
+		thresholds:        thresholds,
+		owned:             map[webhookKey]*obligation{},
+		finished:          map[webhookKey]bool{},
+	}
+}
+
 // Kinds returns the kinds of events that the checker needs.
 func (o *delivery) Kinds() []event.Kind {
 	return []event.Kind{
--- a/sim/invariant/draining.go
+++ b/sim/invariant/draining.go
@@ -18,6 +18,14 @@
 	endpoint   api.EndpointID
 }
 
+func newDraining(reporter violationReporter, thresholds Thresholds) *draining {
+	return &draining{
+		violationReporter: reporter,
+		thresholds:        thresholds,
+		notifiedAt:        map[endpointKey]api.Micros{},
+	}
+}
+
 // Kinds returns the kinds of events that the checker needs.
 func (o *draining) Kinds() []event.Kind {
 	return []event.Kind{event.EndpointUpdated, event.AttemptStarted}
--- a/sim/invariant/duplicates.go
+++ b/sim/invariant/duplicates.go
@@ -29,6 +29,14 @@
 	}
 }
 
+func newDuplicates(reporter violationReporter, thresholds Thresholds) *duplicates {
+	return &duplicates{
+		violationReporter: reporter,
+		thresholds:        thresholds,
+		webhooks:          map[api.WebhookID]*attemptHistory{},
+	}
+}
+
 // Kinds returns the kinds of events that the checker needs.
 func (o *duplicates) Kinds() []event.Kind {
 	return []event.Kind{
--- a/sim/invariant/ordering.go
+++ b/sim/invariant/ordering.go
@@ -35,6 +35,15 @@
 	attempted bool
 }
 
+func newOrdering(reporter violationReporter, thresholds Thresholds) *ordering {
+	return &ordering{
+		violationReporter: reporter,
+		thresholds:        thresholds,
+		queues:            map[queueKey]*orderingQueue{},
+		webhooks:          map[webhookKey]*orderedWebhook{},
+	}
+}
+
 // Kinds returns the kinds of events that the checker needs.
 func (o *ordering) Kinds() []event.Kind {
 	return []event.Kind{
--- a/sim/invariant/retry_after.go
+++ b/sim/invariant/retry_after.go
@@ -12,6 +12,13 @@
 	until map[routeKey]api.Micros
 }
 
+func newRetryAfter(reporter violationReporter) *retryAfter {
+	return &retryAfter{
+		violationReporter: reporter,
+		until:             map[routeKey]api.Micros{},
+	}
+}
+
 // Kinds returns the kinds of events that the checker needs.
 func (o *retryAfter) Kinds() []event.Kind {
 	return []event.Kind{event.AttemptEnded, event.AttemptStarted, event.Killed}
--- a/sim/invariant/slow_start.go
+++ b/sim/invariant/slow_start.go
@@ -32,6 +32,14 @@
 	sawFailure bool
 }
 
+func newSlowStart(reporter violationReporter, thresholds Thresholds) *slowStart {
+	return &slowStart{
+		violationReporter: reporter,
+		thresholds:        thresholds,
+		routes:            map[event.Route]*recoveringRoute{},
+	}
+}
+
 // Kinds returns the kinds of events that the checker needs.
 func (o *slowStart) Kinds() []event.Kind {
 	return []event.Kind{event.OutageStarted, event.OutageEnded, event.AttemptEnded, event.CallArrived}
