--- a/cmd/rowan-compare/worker.go
+++ b/cmd/rowan-compare/worker.go
@@ -18,45 +18,50 @@
 }
 
 // clone returns the worker's clone of a variant, which it makes at the first use.
-func (w *worker) clone(ctx context.Context, of *variant) (string, error) {
-	if folder := w.clones[of.name]; folder != "" {
+func (w *worker) clone(ctx context.Context, cloned *variant) (string, error) {
+	if folder := w.clones[cloned.name]; folder != "" {
 		return folder, nil
 	}
-	folder := filepath.Join(w.options.Scratch, of.name+"-"+strconv.Itoa(w.number))
+	folder := filepath.Join(w.options.Scratch, cloned.name+"-"+strconv.Itoa(w.number))
 	if err := os.RemoveAll(folder); err != nil {
-		return "", errors.Wrap(err, "former clone")
+		return "", errors.Wrap(err, "remove the previous clone")
 	}
 	steps := [][]string{
 		{"git", "clone", "--quiet", "--shared", "--no-checkout", w.top, folder},
-		{"git", "-C", folder, "checkout", "--quiet", "--detach", of.revision},
+		{"git", "-C", folder, "checkout", "--quiet", "--detach", cloned.revision},
 	}
-	if of.patch != "" {
-		steps = append(steps, []string{"git", "-C", folder, "apply", of.patch})
+	if cloned.patch != "" {
+		steps = append(steps, []string{"git", "-C", folder, "apply", cloned.patch})
 	}
 	for _, step := range steps {
 		if _, err := runCommand(ctx, w.top, step[0], step[1:]...); err != nil {
 			return "", err
 		}
 	}
-	w.clones[of.name] = folder
+	w.clones[cloned.name] = folder
 	return folder, nil
 }
 
 // run runs the bench once and copies its journal entry into this repository's journal.
-func (w *worker) run(ctx context.Context, what *benchRun) (*benchReport, error) {
-	folder, err := w.clone(ctx, what.variant)
+func (w *worker) run(ctx context.Context, benched *benchRun) (*benchReport, error) {
+	folder, err := w.clone(ctx, benched.variant)
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(w.options.Scratch, what.name()+".json")
-	why := "trial, not scored: " + w.options.Why + " (" + what.variant.name + ")"
-	arguments := []string{"run", what.site, what.day, "--seed", strconv.Itoa(what.seed), "--report", file, "--why", why}
+	file := filepath.Join(w.options.Scratch, benched.name()+".json")
+	why := "trial, not scored: " + w.options.Why + " (" + benched.variant.name + ")"
+	arguments := []string{
+		"run", benched.site, benched.day,
+		"--seed", strconv.Itoa(benched.seed),
+		"--report", file,
+		"--why", why,
+	}
 	if !w.options.WithCPU {
 		arguments = append(arguments, "--no-cpu")
 	}
 	printed, err := runCommand(ctx, folder, w.options.Bench, arguments...)
-	if written := os.WriteFile(file+".txt", []byte(printed), 0o644); written != nil {
-		return nil, errors.Wrap(written, "keep what the bench printed")
+	if writeErr := os.WriteFile(file+".txt", []byte(printed), 0o644); writeErr != nil {
+		return nil, errors.Wrap(writeErr, "write the output of the bench")
 	}
 	if err != nil {
 		return nil, err
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -52,9 +52,16 @@
 // Start returns an exchange that runs until ctx ends.
 func Start(ctx context.Context, options Options) *Exchange {
 	members := options.Gossip
-	table := endpoints.Options{Self: members.Self().Name, HeartbeatInterval: options.HeartbeatInterval,
-		IsResponsibleFor: newResponsibility(members, options.HasQuorum)}
-	x := &Exchange{gossip: members, table: endpoints.Start(table, time.Now), log: options.Log}
+	tableOptions := endpoints.Options{
+		Self:              members.Self().Name,
+		HeartbeatInterval: options.HeartbeatInterval,
+		IsResponsibleFor:  newResponsibility(members, options.HasQuorum),
+	}
+	x := &Exchange{
+		gossip: members,
+		table:  endpoints.Start(tableOptions, time.Now),
+		log:    options.Log,
+	}
 	members.Subscribe(gossip.TableEndpoints, x.merge)
 	go x.run(ctx)
 	return x
@@ -84,7 +91,7 @@
 		case endpoint.State == state.EndpointDeparted:
 			event.EndpointLost.Log(x.log).Str("endpoint", endpoint.ID).Send()
 		case endpoint.Unresponsive:
-			event.EndpointSilent.Log(x.log).Str("endpoint", endpoint.ID).Send()
+			event.EndpointUnresponsive.Log(x.log).Str("endpoint", endpoint.ID).Send()
 		}
 	}
 }
@@ -137,13 +144,13 @@
 // endpoints: of its own, and as the holder of LivenessRole of those of a receiver that isn't live. A member that is
 // partitioned from the voters has its peers as down and holds the role itself, but the endpoints that it doesn't
 // receive from may be healthy.
-func newResponsibility(members Gossip, inTouch func() bool) func(receiver string) bool {
+func newResponsibility(members Gossip, hasQuorum func() bool) func(receiver string) bool {
 	self := members.Self().Name
 	return func(receiver string) bool {
 		if receiver == self {
 			return true
 		}
 		live := slices.ContainsFunc(members.Members(), func(member state.Member) bool { return member.Name == receiver })
-		return !live && inTouch() && members.AcquireRole(LivenessRole, singleton.Scope{Role: state.RoleCore}).Local
+		return !live && hasQuorum() && members.AcquireRole(LivenessRole, singleton.Scope{Role: state.RoleCore}).Local
 	}
 }
--- a/serving/proxy/agent_poller.go
+++ b/serving/proxy/agent_poller.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// pollWait is how long the agent may hold a poll while there are no updates.
+	// pollWait is how long the agent may delay the response to a poll while there are no updates.
 	pollWait = 5 * time.Second
 	// pollSlack is how much longer a poll may take altogether.
 	pollSlack = time.Second
 	// minPollDelay bounds the rate of polls while updates arrive in quick succession.
 	minPollDelay = 20 * time.Millisecond
-	// applyTimeShare is the share of the time that applying updates may take; maxPollDelay bounds the pause that
+	// applyTimeShare is the share of the time that applying updates may take; maxPollDelay bounds the delay that
 	// follows from it.
 	maxPollDelay   = 250 * time.Millisecond
 	applyTimeShare = 0.02
