--- a/cluster/rebalance/sequencer_test.go
+++ b/cluster/rebalance/sequencer_test.go
@@ -21,8 +21,8 @@
 	precedences   [][2]int
 }
 
-// drawPinnedCluster returns a random cluster, with precedences if they are wanted.
-func drawPinnedCluster(t *rapid.T, turns bool) pinnedCluster {
+// drawPinnedCluster returns a random cluster, with or without precedences.
+func drawPinnedCluster(t *rapid.T, withPrecedences bool) pinnedCluster {
 	p := pinnedCluster{}
 	members := rapid.IntRange(2, 4).Draw(t, "members")
 	n := rapid.IntRange(2, 6).Draw(t, "ranges")
@@ -31,41 +31,48 @@
 		p.target = append(p.target, rapid.IntRange(0, members-1).Draw(t, "to"))
 	}
 	for m := range members {
-		most := 0
+		pinned := 0
 		for _, to := range p.target {
 			if to == m {
-				most++
+				pinned++
 			}
 		}
-		room := most + rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, "more room")
-		if room == 0 || rapid.IntRange(0, 9).Draw(t, "bound") == 0 {
-			room = rapid.SampledFrom([]int{0, 1}).Draw(t, "room")
+		capacity := pinned + rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, "spare capacity")
+		if capacity == 0 || rapid.IntRange(0, 9).Draw(t, "bound") == 0 {
+			capacity = rapid.SampledFrom([]int{0, 1}).Draw(t, "capacity")
 		}
-		p.capacity = append(p.capacity, room)
+		p.capacity = append(p.capacity, capacity)
 	}
-	if turns {
-		for range rapid.IntRange(1, 4).Draw(t, "turns") {
-			a := rapid.IntRange(0, n-2).Draw(t, "first")
-			p.precedences = append(p.precedences, [2]int{a, rapid.IntRange(a+1, n-1).Draw(t, "then")})
+	if withPrecedences {
+		for range rapid.IntRange(1, 4).Draw(t, "precedences") {
+			first := rapid.IntRange(0, n-2).Draw(t, "first")
+			then := rapid.IntRange(first+1, n-1).Draw(t, "then")
+			p.precedences = append(p.precedences, [2]int{first, then})
 		}
-		for again := true; again; { // a before b and b before c is a before c, even if b doesn't move
-			again = false
-			for _, a := range p.precedences {
-				for _, b := range p.precedences {
-					if c := [2]int{a[0], b[1]}; a[1] == b[0] && !slices.Contains(p.precedences, c) {
-						p.precedences, again = append(p.precedences, c), true
-					}
+		p.closeTransitively()
+	}
+	return p
+}
+
+// closeTransitively adds the implied precedences: a before b and b before c is a before c, even if b doesn't move.
+func (p *pinnedCluster) closeTransitively() {
+	for hasChanged := true; hasChanged; {
+		hasChanged = false
+		for _, a := range p.precedences {
+			for _, b := range p.precedences {
+				implied := [2]int{a[0], b[1]}
+				if a[1] == b[0] && !slices.Contains(p.precedences, implied) {
+					p.precedences, hasChanged = append(p.precedences, implied), true
 				}
 			}
 		}
 	}
-	return p
 }
 
 func (p pinnedCluster) file() string {
 	var s strings.Builder
-	for m, room := range p.capacity {
-		fmt.Fprintf(&s, "member \"m%d\" {\n zone = \"z%d\"\n room = %d\n}\n", m, m%2, room)
+	for m, capacity := range p.capacity {
+		fmt.Fprintf(&s, "member \"m%d\" {\n zone = \"z%d\"\n room = %d\n}\n", m, m%2, capacity)
 	}
 	for i, to := range p.target {
 		fmt.Fprintf(&s, "pin \"r%d\" {\n %s\n to = \"m%d\"\n}\n", i, hashesIn(i, len(p.target)), to)
@@ -92,40 +99,44 @@
 		start[i], start[len(p.owner)+i] = byte('a'+m), '-'
 	}
 	open := []state{state(start)}
-	stops := map[state]int{open[0]: 0}
+	detours := map[state]int{open[0]: 0}
 	for len(open) > 0 { // fewest detours first (Dijkstra's algorithm)
 		best := 0
 		for k := range open {
-			if stops[open[k]] < stops[open[best]] {
+			if detours[open[k]] < detours[open[best]] {
 				best = k
 			}
 		}
 		s := open[best]
 		open = append(open[:best:best], open[best+1:]...)
-		through, has := true, make([]int, len(p.capacity))
+		isDone, owned := true, make([]int, len(p.capacity))
 		for i := range p.owner {
-			through = through && at(i, s) == p.target[i]
-			has[at(i, s)]++
+			isDone = isDone && at(i, s) == p.target[i]
+			owned[at(i, s)]++
 		}
-		if through {
-			return stops[s]
+		if isDone {
+			return detours[s]
 		}
 		for i := range p.owner {
-			waits := at(i, s) == p.target[i]
+			isBlocked := at(i, s) == p.target[i]
 			for _, b := range p.precedences {
-				waits = waits || b[1] == i && at(b[0], s) != p.target[b[0]]
+				isBlocked = isBlocked || b[1] == i && at(b[0], s) != p.target[b[0]]
 			}
-			for m, room := range p.capacity {
-				stop := m != p.target[i]
-				if waits || m == at(i, s) || room > 0 && has[m] >= room || stop && s[len(p.owner)+i] == '+' {
+			for m, capacity := range p.capacity {
+				isDetour := m != p.target[i]
+				isFull := capacity > 0 && owned[m] >= capacity
+				hadDetour := s[len(p.owner)+i] == '+'
+				if isBlocked || m == at(i, s) || isFull || isDetour && hadDetour {
 					continue
 				}
-				next, cost := []byte(s), stops[s]
-				if next[i] = byte('a' + m); stop {
-					next[len(p.owner)+i], cost = '+', cost+1
+				next, cost := []byte(s), detours[s]
+				next[i] = byte('a' + m)
+				if isDetour {
+					next[len(p.owner)+i] = '+'
+					cost++
 				}
-				if was, known := stops[state(next)]; !known || cost < was {
-					stops[state(next)] = cost
+				if earlier, known := detours[state(next)]; !known || cost < earlier {
+					detours[state(next)] = cost
 					open = append(open, state(next))
 				}
 			}
@@ -140,36 +151,36 @@
 	sim := newSimulation(t, p.owners()...)
 	f, err := planfile.Parse([]byte(p.file()), "f.hcl")
 	require.NoError(t, err)
-	made, err := NewPlan(f, sim.shards, nil)
-	for m, room := range p.capacity {
+	plan, err := NewPlan(f, sim.shards, nil)
+	for m, capacity := range p.capacity {
 		pinned := 0
 		for _, to := range p.target {
 			if to == m {
 				pinned++
 			}
 		}
-		if room > 0 && pinned > room {
+		if capacity > 0 && pinned > capacity {
 			require.ErrorContains(t, err, "has capacity")
 			return
 		}
 	}
-	least := p.minDetours()
-	if least < 0 {
+	minDetours := p.minDetours()
+	if minDetours < 0 {
 		require.Error(t, err)
 		require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
 		return
 	}
 	require.NoError(t, err)
-	stops := 0
-	for k, s := range made.Steps {
+	detours := 0
+	for k, s := range plan.Steps {
 		if s.Kind == StepDetour {
-			stops++
+			detours++
 		}
 		for _, n := range s.DependsOn {
 			require.Less(t, n.Step, k)
 		}
 	}
-	require.Equal(t, least, stops, "stop-overs")
+	require.Equal(t, minDetours, detours, "detours")
 	bounds := fmt.Sprintf("bounds {\n moves_at_once = %d\n per_member = %d\n per_zone = %d\n}\n",
 		rapid.IntRange(1, 4).Draw(t, "at once"), rapid.IntRange(1, 3).Draw(t, "per member"),
 		rapid.IntRange(1, 3).Draw(t, "per zone"))
--- a/cluster/shardmap/model_actions_test.go
+++ b/cluster/shardmap/model_actions_test.go
@@ -23,7 +23,12 @@
 func (md *model) transitions(all []transition) []transition {
 	add := func(enabled bool, name string, target int8, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
-			all = append(all, transition{name, target, 0, faultFree, apply})
+			all = append(all, transition{
+				name:      name,
+				target:    target,
+				faultFree: faultFree,
+				apply:     apply,
+			})
 		}
 	}
 	for i := range md.members {
@@ -62,7 +67,12 @@
 func (md *model) networkTransitions(all []transition) []transition {
 	add := func(enabled bool, name string, target int, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
-			all = append(all, transition{name, int8(target), 0, faultFree, apply})
+			all = append(all, transition{
+				name:      name,
+				target:    int8(target),
+				faultFree: faultFree,
+				apply:     apply,
+			})
 		}
 	}
 	for i, m := range md.network {
@@ -71,8 +81,8 @@
 			continue
 		}
 		add(true, "is delivered", i, true, func(md *model, i, _ int8) { md.receiveMessage(i, false, false) })
-		again := md.budget.duplicates > 0 && md.hasRoom() && (m.kind == queryMessage || m.isRetry)
-		add(again, "is delivered and duplicated", i, false,
+		mayDuplicate := md.budget.duplicates > 0 && md.hasRoom() && (m.kind == queryMessage || m.isRetry)
+		add(mayDuplicate, "is delivered and duplicated", i, false,
 			func(md *model, i, _ int8) {
 				md.budget.duplicates--
 				md.receiveMessage(i, true, false)
@@ -102,9 +112,9 @@
 	md.network[maxMessages-1] = message{}
 }
 
-func (md *model) receiveMessage(i int8, again, full bool) {
+func (md *model) receiveMessage(i int8, duplicated, full bool) {
 	m := md.network[i]
-	if !again {
+	if !duplicated {
 		md.dropMessage(i)
 	}
 	switch m.kind {
@@ -119,10 +129,10 @@
 
 func (md *model) receiveAnswer(m message) {
 	p := &md.processes[m.to]
-	asked := p.awaiting[m.webhook]
-	mine := asked.kind == m.answerTo && asked.to == m.from && asked.handoff == m.handoff
+	awaited := p.awaiting[m.webhook]
+	isAwaited := awaited.kind == m.answerTo && awaited.to == m.from && awaited.handoff == m.handoff
 	switch {
-	case p.fromClient[m.webhook] && !mine: // nobody waits for it
+	case p.fromClient[m.webhook] && !isAwaited:
 	case p.fromClient[m.webhook] && m.reply == CustodyUnknown:
 		md.timeOut(m.to, m.webhook)
 	case p.fromClient[m.webhook] && m.reply == CustodyTaken:
@@ -131,14 +141,14 @@
 		p.awaiting[m.webhook] = message{}
 		md.acceptFromClient(m.to, m.webhook)
 	default:
-		if mine {
+		if isAwaited {
 			p.awaiting[m.webhook] = message{}
 		}
 		md.resolveReply(m.to, m.webhook, m.handoff, m.reply, m.answerTo)
 	}
 }
 
-// acceptFromClient has the member that a client submitted a webhook to accept it itself.
+// acceptFromClient accepts a webhook at the member that a client submitted it to.
 func (md *model) acceptFromClient(i, n int8) {
 	p := &md.processes[i]
 	p.fromClient[n], p.outgoing = false, message{firstRunAt: -1}
@@ -149,7 +159,13 @@
 	p := &md.processes[i]
 	add := func(enabled bool, name string, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
-			all = append(all, transition{name, i, n, faultFree, apply})
+			all = append(all, transition{
+				name:      name,
+				target:    i,
+				webhook:   n,
+				faultFree: faultFree,
+				apply:     apply,
+			})
 		}
 	}
 	if p.isBusy() {
--- a/cluster/shardmap/model_member_test.go
+++ b/cluster/shardmap/model_member_test.go
@@ -82,10 +82,10 @@
 	if md.effects[n] == 1 {
 		md.firstEffectAt[n] = int8(md.now)
 	}
-	switch again := md.effects[n] > 1; {
-	case again && md.semantics == api.AtMostOnce:
+	switch isRepeated := md.effects[n] > 1; {
+	case isRepeated && md.semantics == api.AtMostOnce:
 		md.violation = "an at-most-once webhook was called twice"
-	case again && md.semantics == api.Deduplicated && api.Micros(md.now) >= api.Micros(md.firstEffectAt[n])+window:
+	case isRepeated && md.semantics == api.Deduplicated && api.Micros(md.now) >= api.Micros(md.firstEffectAt[n])+window:
 		md.violation = "a deduplicated webhook was called again after its window"
 	}
 	md.effects[n] = min(md.effects[n], 2)
--- a/cluster/shardmap/model_owner_test.go
+++ b/cluster/shardmap/model_owner_test.go
@@ -11,7 +11,12 @@
 func (md *model) ownerTransitions(all []transition) []transition {
 	add := func(enabled bool, name string, target int8, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
-			all = append(all, transition{name, target, 0, faultFree, apply})
+			all = append(all, transition{
+				name:      name,
+				target:    target,
+				faultFree: faultFree,
+				apply:     apply,
+			})
 		}
 	}
 	logged := md.loggedRange()
