--- a/cluster/lease/encoded_forms_test.go
+++ b/cluster/lease/encoded_forms_test.go
@@ -1,18 +1,13 @@
 package lease
 
 import (
-	"os"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
-
 	"rowanlink/internal/wireschema"
+	"rowanlink/test/encodedforms"
 )
 
 // TestEncodedForms guards the stored and transmitted forms against changes by a renamed Go field.
 func TestEncodedForms(t *testing.T) {
-	want, err := os.ReadFile("testdata/encoded_forms.golden")
-	require.NoError(t, err)
-	assert.Equal(t, string(want), wireschema.Describe(wireschema.CBOR, Operation{}, Result{}, tableImage{}, fenceImage{}))
+	encodedforms.AssertGolden(t, wireschema.CBOR, Operation{}, Result{}, tableImage{}, fenceImage{})
 }
--- a/cluster/lease/simulation_member_test.go
+++ b/cluster/lease/simulation_member_test.go
@@ -180,20 +180,20 @@
 		sm.stoppedUntil = 0
 	}
 	si.run(si.now + simulationTTL + acquiredWithin*simulationTTL) // the latest message, and then the bound
-	for _, t := range simulationResources {
-		requests := func(sm *simulatedMember) bool { return slices.Contains(sm.reconciler.Requested(), t) }
+	for _, resource := range simulationResources {
+		requests := func(sm *simulatedMember) bool { return slices.Contains(sm.reconciler.Requested(), resource) }
 		requested := slices.ContainsFunc(si.members, requests)
-		holder, held := si.nodes[si.leader].table.Holder(t)
-		switch all := si.holders(t); {
+		holder, held := si.nodes[si.leader].table.Holder(resource)
+		switch all := si.holders(resource); {
 		case si.violation != "":
 		case requested && len(all) == 0:
-			si.violation = string(t) + " is requested and not held; by the log it is held by " + string(holder.Member)
+			si.violation = string(resource) + " is requested and not held; by the log it is held by " + string(holder.Member)
 		case !requested && held:
-			si.violation = string(t) + " is requested by nobody, and by the log held by " + string(holder.Member)
+			si.violation = string(resource) + " is requested by nobody, and by the log held by " + string(holder.Member)
 		case requested && (!held || all[0].id != holder.Member || !requests(all[0])):
-			si.violation = string(t) + " is held by a member that does not request it, or that the log does not name"
-		case requested && holder.Epoch != all[0].holder.epochs[t]:
-			si.violation = string(t) + " is held with another epoch than the log's"
+			si.violation = string(resource) + " is held by a member that does not request it, or that the log does not name"
+		case requested && holder.Epoch != all[0].holder.epochs[resource]:
+			si.violation = string(resource) + " is held with another epoch than the log's"
 		}
 	}
 	return si.violation
--- a/cluster/lease/simulation_test.go
+++ b/cluster/lease/simulation_test.go
@@ -114,17 +114,17 @@
 		f, _ := si.queue.PopDue(at)
 		si.now = api.Micros(at)
 		f()
-		for _, t := range simulationResources {
-			if all := si.holders(t); len(all) > 1 {
-				si.violation = fmt.Sprintf("%d us: %s held by %s and %s", si.now, t, all[0].id, all[1].id)
+		for _, resource := range simulationResources {
+			if all := si.holders(resource); len(all) > 1 {
+				si.violation = fmt.Sprintf("%d us: %s held by %s and %s", si.now, resource, all[0].id, all[1].id)
 			}
 		}
 	}
 }
 
-func (si *simulation) holders(t cluster.Resource) (all []*simulatedMember) {
+func (si *simulation) holders(resource cluster.Resource) (all []*simulatedMember) {
 	for _, sm := range si.members {
-		if _, held := sm.holder.Epoch(t, si.now); held {
+		if _, held := sm.holder.Epoch(resource, si.now); held {
 			all = append(all, sm)
 		}
 	}
--- a/cluster/lease/table_test.go
+++ b/cluster/lease/table_test.go
@@ -11,8 +11,8 @@
 )
 
 // randomCommand generates commands, mostly about sessions and leases that exist.
-func randomCommand(t *rapid.T, b *Table) cluster.Command {
-	session := rapid.SampledFrom(append(b.Sessions(), 7777)).Draw(t, "session")
+func randomCommand(t *rapid.T, table *Table) cluster.Command {
+	session := rapid.SampledFrom(append(table.Sessions(), 7777)).Draw(t, "session")
 	resource := rapid.SampledFrom([]cluster.Resource{"conduct", "home/1", "home/2", "site/depot"})
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0, 1:
@@ -22,12 +22,12 @@
 		return EndSession(session)
 	case 3:
 		before := LeaderEpoch(rapid.IntRange(0, 1).Draw(t, "before"))
-		return ExpireSession(ExpiredSession{Session: session, LeaderEpoch: max(b.LeaderEpoch()-before, 1)})
+		return ExpireSession(ExpiredSession{Session: session, LeaderEpoch: max(table.LeaderEpoch()-before, 1)})
 	case 4:
 		return BeginLeaderEpoch()
 	case 5, 6:
 		one := resource.Draw(t, "resource")
-		return ReleaseLease(session, one, max(b.LastEpoch(one), 1))
+		return ReleaseLease(session, one, max(table.LastEpoch(one), 1))
 	default:
 		return AcquireLeases(session, rapid.SliceOfNDistinct(resource, 1, 4, rapid.ID).Draw(t, "resources")...)
 	}
@@ -37,17 +37,17 @@
 // restored at any point continues exactly as the original.
 func TestTable_RandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewTable()
+		table := NewTable()
 		twin := NewTable()
 		highest := map[cluster.Resource]cluster.Epoch{}
 		index := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "operations") {
 			index += rapid.Uint64Range(1, 3).Draw(t, "index")
-			before, err := b.Snapshot()
+			before, err := table.Snapshot()
 			require.NoError(t, err)
-			c := randomCommand(t, b)
-			raw, err := b.Apply(index, c.Body)
-			after, _ := b.Snapshot()
+			c := randomCommand(t, table)
+			raw, err := table.Apply(index, c.Body)
+			after, _ := table.Snapshot()
 			if err != nil {
 				assert.Equal(t, before, after)
 			}
@@ -56,19 +56,19 @@
 			twinAfter, _ := twin.Snapshot()
 			assert.Equal(t, []any{raw, err, after}, []any{twinRaw, twinErr, twinAfter})
 			if err == nil {
-				checkResult(t, b, raw, highest)
+				checkResult(t, table, raw, highest)
 			}
-			checkTable(t, b)
+			checkTable(t, table)
 		}
 	})
 }
 
-func checkResult(t *rapid.T, b *Table, raw []byte, highest map[cluster.Resource]cluster.Epoch) {
+func checkResult(t *rapid.T, table *Table, raw []byte, highest map[cluster.Resource]cluster.Epoch) {
 	t.Helper()
 	result, err := DecodeResult(raw)
 	require.NoError(t, err)
 	for _, g := range result.Grants {
-		holder, held := b.Holder(g.Resource)
+		holder, held := table.Holder(g.Resource)
 		require.True(t, held)
 		if g.Err() != nil {
 			assert.NotEqual(t, result.Session, holder.Session, "rejected although its own")
@@ -80,28 +80,28 @@
 	}
 }
 
-func checkTable(t *rapid.T, b *Table) {
+func checkTable(t *rapid.T, table *Table) {
 	t.Helper()
 	held := map[cluster.Resource]cluster.SessionID{}
-	for _, s := range b.Sessions() {
-		assert.NotEmpty(t, b.MemberOf(s))
-		for _, resource := range b.ResourcesOf(s) {
+	for _, s := range table.Sessions() {
+		assert.NotEmpty(t, table.MemberOf(s))
+		for _, resource := range table.ResourcesOf(s) {
 			assert.Zero(t, held[resource], "two sessions with one lease")
 			held[resource] = s
-			holder, ok := b.Holder(resource)
-			assert.Equal(t, []any{s, b.MemberOf(s), true}, []any{holder.Session, holder.Member, ok})
-			assert.True(t, b.IsCurrent(resource, holder.Epoch))
-			assert.False(t, b.IsCurrent(resource, holder.Epoch-1))
+			holder, ok := table.Holder(resource)
+			assert.Equal(t, []any{s, table.MemberOf(s), true}, []any{holder.Session, holder.Member, ok})
+			assert.True(t, table.IsCurrent(resource, holder.Epoch))
+			assert.False(t, table.IsCurrent(resource, holder.Epoch-1))
 		}
 	}
-	for resource, g := range b.leases {
+	for resource, g := range table.leases {
 		assert.Equal(t, held[resource], g.session, "free, or held by a session that has it")
 	}
 }
 
-func mustApply(t *testing.T, b *Table, index uint64, c cluster.Command) Result {
+func mustApply(t *testing.T, table *Table, index uint64, c cluster.Command) Result {
 	t.Helper()
-	raw, err := b.Apply(index, c.Body)
+	raw, err := table.Apply(index, c.Body)
 	require.NoError(t, err)
 	result, err := DecodeResult(raw)
 	require.NoError(t, err)
@@ -110,56 +110,56 @@
 
 // An earlier incarnation may be stopped, not gone: its session lasts until its TTL has run out.
 func TestTable_SecondIncarnationHasOwnSession(t *testing.T) {
-	b := NewTable()
-	first := mustApply(t, b, 1, OpenSession("m1", 1)).Session
-	assert.Equal(t, first, mustApply(t, b, 2, OpenSession("m1", 1)).Session, "a duplicated open")
-	mustApply(t, b, 3, AcquireLeases(first, "conduct"))
-	second := mustApply(t, b, 4, OpenSession("m1", 2)).Session
-	assert.Equal(t, []cluster.SessionID{first, second}, b.Sessions())
-	assert.ErrorIs(t, mustApply(t, b, 5, AcquireLeases(second, "conduct")).Grants[0].Err(), cluster.ErrAlreadyHeld)
-	mustApply(t, b, 6, EndSession(first))
-	assert.Equal(t, []Grant{{"conduct", 7}}, mustApply(t, b, 7, AcquireLeases(second, "conduct")).Grants)
+	table := NewTable()
+	first := mustApply(t, table, 1, OpenSession("m1", 1)).Session
+	assert.Equal(t, first, mustApply(t, table, 2, OpenSession("m1", 1)).Session, "a duplicated open")
+	mustApply(t, table, 3, AcquireLeases(first, "conduct"))
+	second := mustApply(t, table, 4, OpenSession("m1", 2)).Session
+	assert.Equal(t, []cluster.SessionID{first, second}, table.Sessions())
+	assert.ErrorIs(t, mustApply(t, table, 5, AcquireLeases(second, "conduct")).Grants[0].Err(), cluster.ErrAlreadyHeld)
+	mustApply(t, table, 6, EndSession(first))
+	assert.Equal(t, []Grant{{"conduct", 7}}, mustApply(t, table, 7, AcquireLeases(second, "conduct")).Grants)
 }
 
 // A log that was lost and recreated must not assign an epoch again.
 func TestTable_EpochsRiseWhenIndexFalls(t *testing.T) {
-	b := NewTable()
-	s := mustApply(t, b, 900, OpenSession("m1", 1)).Session
-	e := mustApply(t, b, 901, AcquireLeases(s, "conduct")).Grants[0].Epoch
-	mustApply(t, b, 2, ReleaseLease(s, "conduct", e))
-	assert.Greater(t, mustApply(t, b, 3, AcquireLeases(s, "conduct")).Grants[0].Epoch, e)
-	assert.Greater(t, mustApply(t, b, 4, OpenSession("m2", 1)).Session, s)
+	table := NewTable()
+	s := mustApply(t, table, 900, OpenSession("m1", 1)).Session
+	e := mustApply(t, table, 901, AcquireLeases(s, "conduct")).Grants[0].Epoch
+	mustApply(t, table, 2, ReleaseLease(s, "conduct", e))
+	assert.Greater(t, mustApply(t, table, 3, AcquireLeases(s, "conduct")).Grants[0].Epoch, e)
+	assert.Greater(t, mustApply(t, table, 4, OpenSession("m2", 1)).Session, s)
 }
 
 // A later leader epoch has given the session a full TTL again: an expiry found in an earlier one is void.
 func TestTable_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
-	b := NewTable()
-	earlier := mustApply(t, b, 1, BeginLeaderEpoch()).LeaderEpoch
-	s := mustApply(t, b, 2, OpenSession("m1", 1)).Session
-	now := mustApply(t, b, 3, BeginLeaderEpoch()).LeaderEpoch
-	_, err := b.Apply(4, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: earlier}).Body)
+	table := NewTable()
+	earlier := mustApply(t, table, 1, BeginLeaderEpoch()).LeaderEpoch
+	s := mustApply(t, table, 2, OpenSession("m1", 1)).Session
+	now := mustApply(t, table, 3, BeginLeaderEpoch()).LeaderEpoch
+	_, err := table.Apply(4, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: earlier}).Body)
 	assert.ErrorIs(t, err, cluster.ErrStale)
-	mustApply(t, b, 5, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: now}))
-	_, err = b.Apply(6, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: now}).Body)
+	mustApply(t, table, 5, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: now}))
+	_, err = table.Apply(6, ExpireSession(ExpiredSession{Session: s, LeaderEpoch: now}).Body)
 	assert.ErrorIs(t, err, cluster.ErrNotFound)
 }
 
 func TestTable_RejectsReleaseOfEarlierEpoch(t *testing.T) {
-	b := NewTable()
-	s := mustApply(t, b, 1, OpenSession("m1", 1)).Session
-	e := mustApply(t, b, 2, AcquireLeases(s, "conduct")).Grants[0].Epoch
-	mustApply(t, b, 3, ReleaseLease(s, "conduct", e))
-	assert.Equal(t, e, b.LastEpoch("conduct"))
-	mustApply(t, b, 4, AcquireLeases(s, "conduct"))
-	_, err := b.Apply(5, ReleaseLease(s, "conduct", e).Body) // a duplicate
+	table := NewTable()
+	s := mustApply(t, table, 1, OpenSession("m1", 1)).Session
+	e := mustApply(t, table, 2, AcquireLeases(s, "conduct")).Grants[0].Epoch
+	mustApply(t, table, 3, ReleaseLease(s, "conduct", e))
+	assert.Equal(t, e, table.LastEpoch("conduct"))
+	mustApply(t, table, 4, AcquireLeases(s, "conduct"))
+	_, err := table.Apply(5, ReleaseLease(s, "conduct", e).Body) // a duplicate
 	assert.ErrorIs(t, err, cluster.ErrFenced)
-	assert.Equal(t, []cluster.Resource{"conduct"}, b.ResourcesOf(s))
+	assert.Equal(t, []cluster.Resource{"conduct"}, table.ResourcesOf(s))
 }
 
 func TestTable_RejectsInconsistentSnapshot(t *testing.T) {
-	b := NewTable()
-	mustApply(t, b, 1, OpenSession("m1", 1))
-	before, _ := b.Snapshot()
+	table := NewTable()
+	mustApply(t, table, 1, OpenSession("m1", 1))
+	before, _ := table.Snapshot()
 	one := sessionImage{Session: 1, Member: "m1", Incarnation: 1}
 	for name, image := range map[string]tableImage{
 		"a newer format":                   {Format: tableFormat + 1},
@@ -171,10 +171,10 @@
 		"a duplicate lease":                {Format: tableFormat, LastID: 9, Leases: []leaseImage{{"a", 1, 0}, {"a", 2, 0}}},
 		"a leader epoch above the last id": {Format: tableFormat, LastID: 9, LeaderEpoch: 10},
 	} {
-		assert.ErrorIs(t, b.Restore(encode(image)), ErrUnreadable, name)
+		assert.ErrorIs(t, table.Restore(encode(image)), ErrUnreadable, name)
 	}
-	assert.ErrorIs(t, b.Restore([]byte("half")), ErrUnreadable)
-	after, _ := b.Snapshot()
+	assert.ErrorIs(t, table.Restore([]byte("half")), ErrUnreadable)
+	after, _ := table.Snapshot()
 	assert.Equal(t, before, after)
 }
 
@@ -186,13 +186,13 @@
 		f.Add(c.Body)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		b := NewTable()
-		mustApply(t, b, 1, BeginLeaderEpoch())
-		mustApply(t, b, 2, OpenSession("m0", 9))
-		mustApply(t, b, 3, AcquireLeases(2, "conduct"))
-		before, _ := b.Snapshot()
-		raw, err := b.Apply(4, body)
-		after, _ := b.Snapshot()
+		table := NewTable()
+		mustApply(t, table, 1, BeginLeaderEpoch())
+		mustApply(t, table, 2, OpenSession("m0", 9))
+		mustApply(t, table, 3, AcquireLeases(2, "conduct"))
+		before, _ := table.Snapshot()
+		raw, err := table.Apply(4, body)
+		after, _ := table.Snapshot()
 		if err != nil {
 			require.Equal(t, before, after)
 			return
@@ -200,8 +200,8 @@
 		_, err = DecodeResult(raw)
 		require.NoError(t, err)
 		require.NoError(t, NewTable().Restore(after))
-		_ = b.Restore(body) // rejected, or a table that can be encoded again
-		again, err := b.Snapshot()
+		_ = table.Restore(body) // rejected, or a table that can be encoded again
+		again, err := table.Snapshot()
 		require.NoError(t, err)
 		require.NoError(t, NewTable().Restore(again))
 	})
