--- a/cluster/member/session/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -58,8 +58,8 @@
 
 const benchLeaseTTL = 3 * api.Second
 
-// BenchmarkAtRest is what it costs that nothing happens, for a lease TTL each time: three raft nodes and so many
-// members that hold a lease each and watch the leases, all in this process.
+// BenchmarkAtRest measures an idle cluster for one lease TTL: three raft nodes and a number of members that hold a lease
+// each and watch the leases, all in this process.
 func BenchmarkAtRest(b *testing.B) {
 	for _, members := range []int{0, 300} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) { benchmarkAtRest(b, members) })
@@ -97,8 +97,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTakeover partitions the leading raft node, again and again, and measures how long it takes until another
-// leads.
+// BenchmarkTakeover partitions the leading raft node repeatedly, and measures the time until another one leads.
 func BenchmarkTakeover(b *testing.B) {
 	c := startClusterWith(b, benchLeaseTTL, false)
 	var all []float64
--- a/cluster/member/session/cluster_test.go
+++ b/cluster/member/session/cluster_test.go
@@ -230,8 +230,8 @@
 	return epoch
 }
 
-// requireExclusive looks until the test ends that never two sessions hold exclusiveResource at once, and that its epoch
-// never goes back.
+// requireExclusive checks until the test ends that no two sessions hold exclusiveResource at once, and that its epoch
+// never decreases.
 func requireExclusive(t testing.TB, sessions ...*session.Session) {
 	t.Helper()
 	end, violation := make(chan struct{}), make(chan string, 1)
@@ -242,7 +242,7 @@
 	})
 }
 
-// watchExclusive returns how exclusiveResource was held wrongly; "": it was not.
+// watchExclusive returns the first violation of exclusiveResource's exclusiveness, or "".
 func watchExclusive(end <-chan struct{}, sessions []*session.Session) (violation string) {
 	var last cluster.Epoch
 	for {
@@ -257,7 +257,7 @@
 				return "two held it at once"
 			}
 			if held && epoch < last {
-				return "an epoch went back"
+				return "an epoch decreased"
 			}
 			last = max(last, epoch)
 		}
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -44,8 +44,8 @@
 	return leader, sessions
 }
 
-// The grant's answer is lost, and the next answer is that of a leader that had been stopped and still has an older
-// state. Guards against a resource that is the member's by the log and that it never acts on.
+// The response to a grant is lost, and the next one comes from a leader that was paused and has an older state. The member
+// still acquires the resource: otherwise it would be granted by the log to a member that never acts on it.
 func TestSession_RecoversLostGrantDespiteStaleLeader(t *testing.T) {
 	_, s := startFakeLeader(t, func(no int, real transport.ProposeResponse) (int, []byte) {
 		if no == 1 {
@@ -58,8 +58,8 @@
 	awaitHeld(t, s, "home/1")
 }
 
-// Guards against a resource that nobody holds and nobody else is granted: the answer to its grant was lost, and it is
-// not wanted any more.
+// The response to a grant was lost and the resource is no longer wanted. It has to be released: otherwise it would stay
+// granted to a session that does not act on it.
 func TestSession_ReleasesInDoubtGrant(t *testing.T) {
 	requested := make(chan struct{}, 1000)
 	leader, s := startFakeLeader(t, func(int, transport.ProposeResponse) (int, []byte) {
@@ -72,29 +72,34 @@
 	require.Eventually(t, func() bool { return leader.WasRequestedAndIsFree("home/1") }, longTimeout, time.Millisecond)
 }
 
-// Guards against raft nodes that reject the connections of a large cluster: then sessions end, one by one.
+// Raft nodes accept the connections of a large cluster: if they rejected some, sessions would expire one by one.
 func TestMaxConnections_SufficesForThreeHundredMembers(t *testing.T) {
 	t.Parallel()
 	_, sessions := startFakeLeaderOf(t, 300, 10*api.Second, nil)
 	for _, s := range sessions {
 		s.Watch(cluster.RebalanceComponent, func(uint64, []byte) {})
 	}
-	time.Sleep(11 * time.Second) // each renews
+	time.Sleep(11 * time.Second) // longer than the TTL, so that each session renews
 	for _, s := range sessions {
 		require.Eventually(t, s.IsActive, longTimeout, time.Millisecond)
 		require.Zero(t, s.SessionsLost.Load())
 	}
 }
 
-// Guards against a state put together from a delta to another version, or from one damaged on its way.
+// A delta to another version, or a damaged one, is not applied: the next poll requests the full snapshot.
 func TestSession_RequestsSnapshotAfterMismatchedDelta(t *testing.T) {
 	leader, s := startFakeLeader(t, nil)
-	part := func(version, since uint64, snapshot string) transport.ComponentState {
-		return transport.ComponentState{Component: cluster.RebalanceComponent, Version: version, BaseVersion: since,
-			Data: []byte(snapshot)}
+	component := func(version, base uint64, data string) transport.ComponentState {
+		return transport.ComponentState{Component: cluster.RebalanceComponent, Version: version, BaseVersion: base,
+			Data: []byte(data)}
 	}
-	leader.QueuePlanStates(part(5, 0, "five"), part(6, 4, "of four"), part(6, 5, "broken"), part(3, 0, "three"),
-		part(7, 0, "seven"))
+	leader.QueuePlanStates(
+		component(5, 0, "five"),
+		component(6, 4, "of four"),
+		component(6, 5, "broken"),
+		component(3, 0, "three"),
+		component(7, 0, "seven"),
+	)
 	delivered := make(chan string, 9)
 	s.Watch(cluster.RebalanceComponent, func(_ uint64, snapshot []byte) { delivered <- string(snapshot) })
 	require.Equal(t, "five", <-delivered)
--- a/cluster/member/session/link_test.go
+++ b/cluster/member/session/link_test.go
@@ -63,7 +63,7 @@
 	delete(l.conns, far)
 }
 
-// add takes note of connections; false: the link is cut, and they are closed.
+// add registers connections. It returns false if the link is cut, and closes them.
 func (l *link) add(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cluster/member/session/raftnodes_test.go
+++ b/cluster/member/session/raftnodes_test.go
@@ -12,14 +12,14 @@
 	"rowanlink/cluster"
 )
 
-// A raft node that lost its folder joins as another server; what was granted stands, and the lost server's vote goes:
-// with it and another node gone, the rest would have no majority.
+// A raft node that lost its folder joins as another server. Grants stay valid, and the lost server's vote is removed:
+// otherwise the rest would have no majority once another node is down.
 func TestRaftNode_RejoinsAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
 	a := c.startSession("a", "home/1")
 	epoch := awaitHeld(t, a, "home/1")
-	lost := c.names[0] // the one that began the log
+	lost := c.names[0] // the one that bootstrapped the raft group
 	c.stopNode(lost)
 	require.NoError(t, os.RemoveAll(filepath.Join(c.folders[lost], "fleet")))
 	c.startNode(lost)
@@ -39,8 +39,8 @@
 	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 }
 
-// One of three is behind, the first has lost its folder, the second is down: what the first and the second had granted
-// must not be undone. It is there again once the second is.
+// One of three nodes is behind, the first has lost its folder, the second is down. What the first and the second had
+// committed must not be lost: no node leads until the second is back.
 func TestRaftNode_DoesNotVoteTwiceAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
--- a/cluster/member/session/unfencedgap_test.go
+++ b/cluster/member/session/unfencedgap_test.go
@@ -19,11 +19,12 @@
 	"rowanlink/test/fake/raftleader"
 )
 
-// gaps are what a lease holder measured between its last look at the clock and the return of the last byte's write.
+// gaps are the times that a lease holder measured between its last check of the lease and the return of the last byte's
+// write.
 type gaps struct {
 	Actions    int
 	WithStop   int // gaps in which the process was stopped
-	AfterLease int // of those, gaps by whose end the lease was over
+	AfterLease int // of those, gaps that ended after the lease had expired
 	Median     time.Duration
 	Worst      time.Duration
 	Sum        time.Duration // of all gaps
@@ -32,7 +33,7 @@
 
 const (
 	gapPartner = "ROWANLINK_GAP_PARTNER" // host:port
-	gapStop    = "ROWANLINK_GAP_STOP"    // as time.Duration has it
+	gapStop    = "ROWANLINK_GAP_STOP"    // in the format of time.ParseDuration
 )
 
 // TestUnfencedGapHolder is the process that BenchmarkUnfencedGap stops; by itself it does nothing.
@@ -88,9 +89,9 @@
 	}
 }
 
-// BenchmarkUnfencedGap has a process that holds a lease write to a partner, action after action, and stops it with
-// SIGSTOP at random moments for longer than its lease TTL: how long the gap is that no fence closes, and how many of the
-// stops fall into it.
+// BenchmarkUnfencedGap measures the gap that no fencing token covers. A process that holds a lease writes to a partner,
+// action after action, and is stopped with SIGSTOP at random times for longer than its lease TTL. Reported are the
+// lengths of the gap and how many of the stops fall into it.
 func BenchmarkUnfencedGap(b *testing.B) {
 	for _, stop := range []time.Duration{0, leaseTTL.Duration() * 5 / 4} {
 		b.Run("stop="+stop.String(), func(b *testing.B) { benchmarkUnfencedGap(b, stop) })
