--- a/cluster/rebalance/antiaffinity.go
+++ b/cluster/rebalance/antiaffinity.go
@@ -8,18 +8,18 @@
 )
 
 // checkAntiAffinity rejects a rule that can't hold: other rules bring two of its ranges together, or there are more
-// ranges than places.
+// ranges than domains.
 func (p *problem) checkAntiAffinity(rule int) error {
 	r := &p.file.Rules[rule]
-	placedAt := map[string]int{} // by place, the range that another rule puts there
+	rangeByDomain := map[string]int{} // by domain, the range that another rule puts there
 	for _, i := range p.selected[rule] {
-		by, place := p.forcedPlace(i, r)
+		by, domain := p.forcedDomain(i, r)
 		if by == nil {
 			continue
 		}
-		other, isTaken := placedAt[place]
+		other, isTaken := rangeByDomain[domain]
 		if !isTaken {
-			placedAt[place] = i
+			rangeByDomain[domain] = i
 			continue
 		}
 		otherBy := p.constraints[other].pin
@@ -27,15 +27,15 @@
 			otherBy = p.constraints[other].zone
 		}
 		return p.file.Errorf(r.Line, "apart %q: %s and %s shall both be %s, by %s %q (line %d) and %s %q (line %d)",
-			r.Name, p.describeRange(other, r, otherBy), p.describeRange(i, r, by), place,
+			r.Name, p.describeRange(other, r, otherBy), p.describeRange(i, r, by), domain,
 			otherBy.Kind, otherBy.Name, otherBy.Line, by.Kind, by.Name, by.Line)
 	}
-	return p.checkPlaceCount(rule)
+	return p.checkDomainCount(rule)
 }
 
-// forcedPlace returns the rule that puts a range in one place, as an anti-affinity rule counts places, and the place.
+// forcedDomain returns the rule that puts a range in one domain, of an anti-affinity rule, and the domain.
 // The rule is nil if none does.
-func (p *problem) forcedPlace(i int, antiAffinity *planfile.Rule) (by *planfile.Rule, place string) {
+func (p *problem) forcedDomain(i int, antiAffinity *planfile.Rule) (by *planfile.Rule, domain string) {
 	c := p.constraints[i]
 	switch {
 	case c.pin != nil && antiAffinity.ByZone:
@@ -48,10 +48,10 @@
 	return nil, ""
 }
 
-// checkPlaceCount rejects more ranges than members or zones that may take one of them.
-func (p *problem) checkPlaceCount(rule int) error {
+// checkDomainCount rejects more ranges than members or zones that may take one of them.
+func (p *problem) checkDomainCount(rule int) error {
 	r, f := &p.file.Rules[rule], p.file
-	places, unit := []string{}, "members"
+	domains, unit := []string{}, "members"
 	var excluded []string
 	for m, member := range p.members {
 		if !p.stays[m] {
@@ -62,18 +62,18 @@
 			excluded = append(excluded, fmt.Sprintf("%q is alone by line %d", member.ID, dedicated.Line))
 			continue
 		}
-		place := fmt.Sprintf("%q (line %d)", member.ID, member.Line)
+		domain := fmt.Sprintf("%q (line %d)", member.ID, member.Line)
 		if r.ByZone {
-			place = fmt.Sprintf("%q", member.Zone)
+			domain = fmt.Sprintf("%q", member.Zone)
 			unit = fmt.Sprintf("zones (members from line %d on)", f.Members[0].Line)
 		}
-		if !slices.Contains(places, place) {
-			places = append(places, place)
+		if !slices.Contains(domains, domain) {
+			domains = append(domains, domain)
 		}
 	}
-	if n := len(p.selected[rule]); n > len(places) {
-		return f.Errorf(r.Line, "apart %q: %d ranges for %d %s: %s", r.Name, n, len(places), unit,
-			planfile.JoinSome(append(places, excluded...)))
+	if n := len(p.selected[rule]); n > len(domains) {
+		return f.Errorf(r.Line, "apart %q: %d ranges for %d %s: %s", r.Name, n, len(domains), unit,
+			planfile.JoinSome(append(domains, excluded...)))
 	}
 	return nil
 }
--- a/cluster/rebalance/assignment.go
+++ b/cluster/rebalance/assignment.go
@@ -246,8 +246,8 @@
 	return costPerKey*p.weights[i] + costPerMove
 }
 
-// solve solves the network and returns each range's member and the cost of it all, or false if some range finds no
-// place.
+// solve solves the network and returns each range's member and the cost of it all, or false if some range
+// can't be assigned.
 func (a *assignment) solve() (target []int, cost int64, ok bool) {
 	placed := a.net.Solve()
 	target = slices.Clone(a.owner)
@@ -256,7 +256,7 @@
 			target[d.rangeIndex] = d.member
 		}
 	}
-	a.placeGroups(target)
+	a.assignGroups(target)
 	for i, follows := range a.followsBase {
 		if follows {
 			target[i] = target[a.base[i]]
@@ -266,9 +266,9 @@
 	return target, a.net.Cost(), placed == len(a.ranges)
 }
 
-// placeGroups gives the ranges that leave their owner by a class to its members. A member doesn't get back what it
+// assignGroups assigns the ranges that leave their owner by a class to its members. A member doesn't get back what it
 // owns if something else is left.
-func (a *assignment) placeGroups(target []int) {
+func (a *assignment) assignGroups(target []int) {
 	leaving := make([][]int, len(a.classes))
 	for _, g := range a.groups {
 		leaving[g.class] = append(leaving[g.class], g.ranges[:a.net.Flow(g.arcToClass)]...)
@@ -287,8 +287,8 @@
 	}
 }
 
-// antiAffinityPlace names the place of a member as an anti-affinity rule counts places.
-func (p *problem) antiAffinityPlace(rule *planfile.Rule, member int) string {
+// antiAffinityDomain names the domain of a member for an anti-affinity rule: the member itself, or its zone.
+func (p *problem) antiAffinityDomain(rule *planfile.Rule, member int) string {
 	if rule.ByZone {
 		return p.members[member].Zone
 	}
--- a/cluster/rebalance/eulertrail.go
+++ b/cluster/rebalance/eulertrail.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// A move from a to b uses a free place at b and frees one at a, so that the free place wanders from b to a. An order
-// of moves is thus a set of trails of free places along all moves backwards, each move once. Moves that are connected
-// by their slots have such trails if some slot has a free place: the slots that have one less in the end than before
-// begin one for each, or else it is one round trip from any free place (Euler's condition). Where all slots are full
+// A move from a to b fills a vacancy at b and creates one at a, so that the vacancy moves from b to a. An order
+// of moves is thus a set of trails of vacancies along all moves backwards, each move once. Moves that are connected
+// by their slots have such trails if some slot has a vacancy: the slots that have one less in the end than before
+// begin one for each, or else it is one round trip from any vacancy (Euler's condition). Where all slots are full
 // and stay so, the moves need a detour.
 
 // components divides moves into those that are connected by their slots (union-find).
@@ -41,7 +41,7 @@
 	return components
 }
 
-// isFull reports whether connected moves have no free place at their slots, now nor by themselves.
+// isFull reports whether connected moves have no vacancy at their slots, now nor by themselves.
 func (s *sequencer) isFull(component []int, free []int) bool {
 	return !slices.ContainsFunc(component, func(k int) bool {
 		return free[s.moves[k].from] > 0 || free[s.moves[k].to] > 0
@@ -63,7 +63,7 @@
 		}
 		s.sequence = append(s.sequence, s.trails(component, s.trailStarts(component))...)
 	}
-	for len(full) > 0 { // a range on its detour may leave a free place for the next component's
+	for len(full) > 0 { // a range on its detour may leave a vacancy for the next component's
 		remaining := slices.DeleteFunc(slices.Clone(full), s.orderByDetour)
 		if len(remaining) == len(full) {
 			return s.lockedError(full[0])
@@ -105,7 +105,7 @@
 func isMoveEdge(edge int) bool   { return edge >= 0 }
 func isToRootEdge(edge int) bool { return edge == toRootEdge }
 
-// trails returns all moves of a component in an order in which free places wander along them from the given slots.
+// trails returns all moves of a component in an order in which vacancies move along them from the given slots.
 func (s *sequencer) trails(component, starts []int) []int {
 	edges := s.trailEdges(component, starts)
 	// Hierholzer's algorithm finds the round trip from its end.
@@ -137,7 +137,7 @@
 	return trip
 }
 
-// trailEdges returns by node the edges that a free place there may go along.
+// trailEdges returns by node the edges that a vacancy there may go along.
 func (s *sequencer) trailEdges(component, starts []int) map[int][]int {
 	edges := map[int][]int{}
 	surplus := map[int]int{} // by slot, edges that enter it over those that leave it
@@ -159,7 +159,7 @@
 	return edges
 }
 
-// orderByDetour orders a full component by way of a free place elsewhere: the range of the fewest keys that may go to
+// orderByDetour orders a full component by way of a vacancy elsewhere: the range of the fewest keys that may go to
 // one goes there first, and on to its target last. It returns false if there is none.
 func (s *sequencer) orderByDetour(component []int) bool {
 	component = slices.Clone(component)
@@ -188,7 +188,7 @@
 	return false
 }
 
-// earliestDetour returns the member that has a free place for a detour of a move first, or none.
+// earliestDetour returns the member that has a vacancy for a detour of a move first, or none.
 func (s *sequencer) earliestDetour(v move, freeAfter []int) int {
 	best := none
 	for m := range s.members {
@@ -204,7 +204,7 @@
 
 const neverFree = -1
 
-// freeAfter returns by slot how many moves of the sequence have to be done until it has a free place, or neverFree.
+// freeAfter returns by slot how many moves of the sequence have to be done until it has a vacancy, or neverFree.
 func (s *sequencer) freeAfter() []int {
 	after, free := make([]int, len(s.slotIDs)), slices.Clone(s.free)
 	for slot := range after {
--- a/cluster/rebalance/placement.go
+++ b/cluster/rebalance/placement.go
@@ -20,7 +20,7 @@
 }
 
 // placementSearch is a branch-and-bound search: where a solution of the network brings together two ranges with
-// anti-affinity, one or the other is forbidden its place.
+// anti-affinity, the placement of one or the other is forbidden.
 type placementSearch struct {
 	*problem
 	quotas     []quota
@@ -99,7 +99,7 @@
 	return best
 }
 
-// conflict is two ranges that an anti-affinity rule doesn't allow in one place.
+// conflict is two ranges that an anti-affinity rule doesn't allow in one domain.
 type conflict struct {
 	rule             int
 	stronger, weaker placement // by preference
@@ -111,16 +111,16 @@
 		if rule.Kind != planfile.AntiAffinity {
 			continue
 		}
-		rangeIn := map[string]int{} // by place, the range that stays there
+		rangeIn := map[string]int{} // by domain, the range that stays there
 		for _, i := range p.selected[k] {
-			place := p.antiAffinityPlace(rule, target[i])
-			other, isTaken := rangeIn[place]
+			domain := p.antiAffinityDomain(rule, target[i])
+			other, isTaken := rangeIn[domain]
 			if !isTaken {
-				rangeIn[place] = i
+				rangeIn[domain] = i
 				continue
 			}
 			if p.preference(i, target[i]) > p.preference(other, target[other]) {
-				rangeIn[place] = i
+				rangeIn[domain] = i
 				other, i = i, other
 			}
 			found = append(found, conflict{
--- a/cluster/rebalance/rangesplit.go
+++ b/cluster/rebalance/rangesplit.go
@@ -10,7 +10,7 @@
 	"rowanlink/webhook/api"
 )
 
-// A destination that rules place by its number is split off the range that it is in: a range of its one hash, between
+// A destination that a rule names is split off the range that it is in: a range of its one hash, between
 // what is left below and above it. The map marks what is split off (shardmap.Range.SplitOff). Its base range, the part
 // that has the range's beginning, stands for the whole range in a member's quota and capacity; split-off parts count
 // nothing there, and go where the base range goes unless a rule is about them.
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -274,7 +274,7 @@
 			if other == v.rangeIndex {
 				continue
 			}
-			if s.isSamePlace(rule, s.owner[other], member) || s.isSamePlace(rule, s.target[other], member) {
+			if s.isSameDomain(rule, s.owner[other], member) || s.isSameDomain(rule, s.target[other], member) {
 				return false
 			}
 		}
@@ -282,7 +282,7 @@
 	return true
 }
 
-// isSamePlace reports whether two members are one place for an anti-affinity rule. The first may be none.
-func (s *sequencer) isSamePlace(rule *planfile.Rule, a, b int) bool {
+// isSameDomain reports whether two members are in one domain of an anti-affinity rule. The first may be none.
+func (s *sequencer) isSameDomain(rule *planfile.Rule, a, b int) bool {
 	return a >= 0 && (a == b || rule.ByZone && s.members[a].Zone == s.members[b].Zone)
 }
--- a/cluster/rebalance/sequencesearch.go
+++ b/cluster/rebalance/sequencesearch.go
@@ -16,13 +16,13 @@
 const maxSearchStates = 20_000
 
 // sequenceSearch looks for an order where rules make moves wait, or members exceed their capacity at first: depth
-// first, without branches that have no order even without rules, and without states that led nowhere before. The
+// first, without branches that have no order even without rules, and without states that were dead ends before. The
 // number of detours grows until an order is found.
 type sequenceSearch struct {
 	*sequencer
 	byUrgency []int // moves
 	isDone    []bool
-	detour    []int // by move, where its range is on a detour; none: nowhere
+	detour    []int // by move, the member where its range is on a detour; none: it is on none
 	remaining []int // moves by rule
 	free      []int // by slot
 
@@ -30,7 +30,7 @@
 	detoursLeft int
 	states      int // visited so far
 	deadEnds    map[uint64]bool
-	furthest    []transition // the longest path that led nowhere
+	furthest    []transition // the longest path that was a dead end
 }
 
 // transition is one step of the search: a move goes to its target, or to a member on a detour.
@@ -135,7 +135,7 @@
 	return false
 }
 
-// backtrack leaves a path that leads nowhere. The longest is retained for the error.
+// backtrack leaves a dead end. The longest path is retained for the error.
 func (s *sequenceSearch) backtrack() bool {
 	if len(s.path) > len(s.furthest) {
 		s.furthest = slices.Clone(s.path)
--- a/cluster/rebalance/steps.go
+++ b/cluster/rebalance/steps.go
@@ -18,29 +18,29 @@
 	lastStep  map[int]int // by range
 	ruleLevel []int       // by rule, the level from which all its steps are done
 
-	// By slot with limited capacity: free places, each with the steps that have to be done before it is free; how far
+	// By slot with limited capacity: vacancies, each with the steps that have to be done before it is free; how far
 	// the slot is above its capacity; and the steps that brought it nearer to its capacity.
-	freePlaces [][]freePlace
-	excess     []int
-	relieving  [][]int
+	vacancies [][]vacancy
+	excess    []int
+	relieving [][]int
 }
 
-// freePlace is the steps that have to be done before it is free.
-type freePlace []int
+// vacancy is unused capacity for one range: the steps that have to be done before it is free.
+type vacancy []int
 
 func (s *sequencer) steps() []Step {
 	b := &stepBuilder{
-		sequencer:  s,
-		lastStep:   map[int]int{},
-		ruleLevel:  make([]int, len(s.file.Rules)),
-		freePlaces: make([][]freePlace, len(s.slotIDs)),
-		excess:     make([]int, len(s.slotIDs)),
-		relieving:  make([][]int, len(s.slotIDs)),
+		sequencer: s,
+		lastStep:  map[int]int{},
+		ruleLevel: make([]int, len(s.file.Rules)),
+		vacancies: make([][]vacancy, len(s.slotIDs)),
+		excess:    make([]int, len(s.slotIDs)),
+		relieving: make([][]int, len(s.slotIDs)),
 	}
 	for slot := range s.slotIDs {
 		b.excess[slot] = max(0, -s.freeNow[slot])
 		if b.isLimited(slot) && s.freeNow[slot] > 0 {
-			b.freePlaces[slot] = make([]freePlace, s.freeNow[slot])
+			b.vacancies[slot] = make([]vacancy, s.freeNow[slot])
 		}
 	}
 	for _, v := range s.inFlight {
@@ -56,7 +56,7 @@
 	return slot < len(b.members) && b.members[slot].Capacity > 0
 }
 
-// release adds the place that a step frees. The first ones only bring the slot down to its capacity.
+// release adds the vacancy that a step creates. The first ones only bring the slot down to its capacity.
 func (b *stepBuilder) release(slot, step int) {
 	if !b.isLimited(slot) {
 		return
@@ -66,8 +66,8 @@
 		b.relieving[slot] = append(b.relieving[slot], step)
 		return
 	}
-	place := append(slices.Clone(b.relieving[slot]), step)
-	b.freePlaces[slot] = append(b.freePlaces[slot], place)
+	freedBy := append(slices.Clone(b.relieving[slot]), step)
+	b.vacancies[slot] = append(b.vacancies[slot], freedBy)
 }
 
 func (b *stepBuilder) add(v move) int {
@@ -99,10 +99,10 @@
 		s.DependsOn = append(s.DependsOn, Dependency{earlier, SameRange})
 	}
 	if b.isLimited(v.to) {
-		for _, earlier := range b.freePlaces[v.to][0] {
+		for _, earlier := range b.vacancies[v.to][0] {
 			s.DependsOn = append(s.DependsOn, Dependency{earlier, CapacityFreed})
 		}
-		b.freePlaces[v.to] = b.freePlaces[v.to][1:]
+		b.vacancies[v.to] = b.vacancies[v.to][1:]
 	}
 	b.addRules(step)
 	for _, d := range s.DependsOn {
