--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -64,6 +64,9 @@
 	got := make(chan string, 1)
 	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
 		request := p.ReadRequest()
+		if request == nil { // the proxy has abandoned the connection
+			return
+		}
 		body, _ := io.ReadAll(request.Body)
 		got <- string(body)
 		p.WriteText(okResponse)
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -45,6 +45,9 @@
 	next := make(chan string)
 	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
 		request := p.ReadRequest()
+		if request == nil { // the proxy has abandoned the connection
+			return
+		}
 		if request.Header.Get("Priority") != "2" {
 			return
 		}
@@ -84,6 +87,9 @@
 func TestStream_ClientsLastEventID(t *testing.T) {
 	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
 		request := p.ReadRequest()
+		if request == nil { // the proxy has abandoned the connection
+			return
+		}
 		last, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		p.WriteText(streamHead + chunk(testEvents(last+1, 6)) + lastChunk)
 	})
@@ -169,6 +175,9 @@
 func resumeStream(t *testing.T, last int) func(*scriptedendpoint.Conn) {
 	return func(p *scriptedendpoint.Conn) {
 		request := p.ReadRequest()
+		if request == nil { // the proxy has abandoned the connection
+			return
+		}
 		after, err := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		assert.NoError(t, err)
 		p.WriteText(strings.Replace(streamHead, "s1", "s2", 1) + chunk(testEvents(after+1, last)) + lastChunk)
@@ -188,6 +197,9 @@
 func (f brokenStream) script(total int) func(*scriptedendpoint.Conn) {
 	return func(p *scriptedendpoint.Conn) {
 		request := p.ReadRequest()
+		if request == nil { // the proxy has abandoned the connection
+			return
+		}
 		after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		text := testEvents(max(after+1-f.overlap, 1), total)
 		if !f.complete {
