--- a/sim/engine/checkers_test.go
+++ b/sim/engine/checkers_test.go
@@ -18,8 +18,8 @@
 	replace := engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 8, SingleEndpoint: true}
 	hang := engine.Fault{Kind: "hang", At: 5 * sec, Duration: 10 * sec, Busiest: 2}
 	for rule, c := range map[string]struct {
-		trouble engine.Fault
-		start   engine.PolicyFactory
+		fault engine.Fault
+		start engine.PolicyFactory
 	}{
 		"lost":  {busy, mutant(func(m *mutantPolicy) { m.dropsDeadLetters = true })},
 		"twice": {busy, mutant(func(m *mutantPolicy) { m.outcome = neverRan })},
@@ -31,7 +31,7 @@
 		}},
 	} {
 		t.Run(rule, func(t *testing.T) {
-			s := newScenario(c.trouble)
+			s := newScenario(c.fault)
 			if rule == "failback" {
 				s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls = 400, 400
 				s.EventTypes = s.EventTypes[:1]
@@ -76,8 +76,8 @@
 	fails := engine.Fault{Kind: "errors", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 1}
 	slowly := engine.Fault{Kind: "slow", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 12}
 	for claim, c := range map[string]struct {
-		troubles []engine.Fault
-		waits    baseline.Backoff
+		faults []engine.Fault
+		waits  baseline.Backoff
 	}{
 		"backoff":  {[]engine.Fault{chance}, baseline.NoBackoff},
 		"jitter":   {[]engine.Fault{chance}, baseline.ExponentialBackoff},
@@ -85,7 +85,7 @@
 		"isolates": {[]engine.Fault{fails, slowly}, baseline.ExponentialBackoff},
 	} {
 		t.Run(claim, func(t *testing.T) {
-			s := newScenario(c.troubles...)
+			s := newScenario(c.faults...)
 			s.EventTypes = s.EventTypes[:1]
 			s.DestinationKinds[0].Headroom = 8
 			without := func(f api.Settings, h api.Host) api.Policy {
--- a/sim/engine/cluster_test.go
+++ b/sim/engine/cluster_test.go
@@ -15,8 +15,8 @@
 )
 
 // clusterScenario has six dispatchers, each the owner of some of twelve destinations.
-func clusterScenario(troubles ...engine.Fault) *engine.Scenario {
-	s := newScenario(troubles...)
+func clusterScenario(faults ...engine.Fault) *engine.Scenario {
+	s := newScenario(faults...)
 	s.Dispatchers.Count, s.Clients.Rate, s.Duration = 6, 120, 16*sec
 	s.Destinations.Count, s.Destinations.Active = 12, 12
 	s.EventTypes = s.EventTypes[:3]
--- a/sim/engine/defaults.go
+++ b/sim/engine/defaults.go
@@ -1,6 +1,14 @@
 package engine
 
-// ApplyDefaults fills in the values that a scenario leaves out. Durations are microseconds.
+import "rowanlink/webhook/api"
+
+// The units of the default durations.
+const (
+	millisecond = Duration(api.Second / 1000)
+	second      = Duration(api.Second)
+)
+
+// ApplyDefaults fills in the values that a scenario leaves out.
 func (s *Scenario) ApplyDefaults() {
 	setDefault(&s.Seed, 1)
 	s.Dispatchers.applyDefaults()
@@ -25,24 +33,24 @@
 
 func (d *Dispatchers) applyDefaults() {
 	setDefault(&d.MaxAttempts, 6)
-	setDefault(&d.MinIterationInterval, 5000)
-	setDefault(&d.ConnectTimeout, 1_000_000)
-	setDefault(&d.IdleTimeout, 6_000_000)
+	setDefault(&d.MinIterationInterval, 5*millisecond)
+	setDefault(&d.ConnectTimeout, second)
+	setDefault(&d.IdleTimeout, 6*second)
 	d.RateError = asRange(d.RateError, 1)
-	d.EndpointUpdateDelay = asRange(d.EndpointUpdateDelay, 500_000)
+	d.EndpointUpdateDelay = asRange(d.EndpointUpdateDelay, second/2)
 }
 
 func (c *Clients) applyDefaults() {
 	setDefault(&c.Shape, shapeSteady)
-	setDefault(&c.Period, 20_000_000)
+	setDefault(&c.Period, 20*second)
 	setDefault(&c.BurstSize, 5)
-	setDefault(&c.BurstDuration, 200_000)
-	setDefault(&c.FailureDetectionDelay, 1_000_000)
-	c.ResubmitDelay = asRange(c.ResubmitDelay, 500_000)
+	setDefault(&c.BurstDuration, 200*millisecond)
+	setDefault(&c.FailureDetectionDelay, second)
+	c.ResubmitDelay = asRange(c.ResubmitDelay, second/2)
 }
 
 func (n *Network) applyDefaults() {
-	setDefault(&n.SameZoneDelay, 1000)
+	setDefault(&n.SameZoneDelay, millisecond)
 	setDefault(&n.CrossZoneDelay, n.SameZoneDelay)
 	if len(n.Zones) == 0 {
 		n.Zones = []string{"here"}
@@ -51,11 +59,11 @@
 
 func (t *Thresholds) applyDefaults() {
 	setDefault(&t.SlowStartCapacity, 0.2)
-	setDefault(&t.SlowStartDuration, 10_000_000)
+	setDefault(&t.SlowStartDuration, 10*second)
 	setDefault(&t.OverloadFactor, 2)
-	setDefault(&t.OverloadDuration, 2_000_000)
-	setDefault(&t.DrainGrace, 400_000)
-	setDefault(&t.OrderingGap, 1_000_000)
+	setDefault(&t.OverloadDuration, 2*second)
+	setDefault(&t.DrainGrace, 400*millisecond)
+	setDefault(&t.OrderingGap, second)
 }
 
 func (e *EventType) applyDefaults() {
@@ -70,19 +78,19 @@
 func (k *DestinationKind) applyDefaults() {
 	setDefault(&k.Share, 1)
 	setDefault(&k.Limit, limitNone)
-	setDefault(&k.LimitWindow, 1_000_000)
+	setDefault(&k.LimitWindow, second)
 	setDefault(&k.Headroom, 1.5)
 	setDefault(&k.MinRate, 2)
 	setDefault(&k.SpareCapacity, 1.3)
-	setDefault(&k.QueueTime, 500_000)
+	setDefault(&k.QueueTime, second/2)
 	setDefault(&k.BatchSize, 1)
 	k.Endpoints = asRange(k.Endpoints, 1)
-	k.RetryAfter = asRange(k.RetryAfter, 1_000_000)
+	k.RetryAfter = asRange(k.RetryAfter, second)
 }
 
 func (f *Fault) applyDefaults() {
 	if f.Kind == FaultReplace || f.Kind == FaultRestart {
-		setDefault(&f.DrainTime, 3_000_000)
+		setDefault(&f.DrainTime, 3*second)
 	}
 	if f.Kind == FaultReplace {
 		setDefault(&f.Address, addressNew)
--- a/sim/engine/many_dispatchers_test.go
+++ b/sim/engine/many_dispatchers_test.go
@@ -11,8 +11,8 @@
 )
 
 // manyDispatchers has forty dispatchers and six destinations: few dispatchers make more than a call per second to one.
-func manyDispatchers(troubles ...engine.Fault) *engine.Scenario {
-	s := newScenario(troubles...)
+func manyDispatchers(faults ...engine.Fault) *engine.Scenario {
+	s := newScenario(faults...)
 	s.Dispatchers.Count, s.Dispatchers.MaxConcurrentCalls, s.Dispatchers.BufferSize = 40, 6, 80
 	s.Clients.Rate, s.Destinations.Count, s.Destinations.Active, s.Duration = 200, 6, 6, 25*sec
 	s.EventTypes = []engine.EventType{s.EventTypes[1]}
@@ -34,27 +34,27 @@
 	lowered := engine.Fault{Kind: "limit", At: 6 * sec, Duration: 9 * sec, Busiest: 3, Magnitude: 1.0 / 3}
 	down := engine.Fault{Kind: "down", At: 6 * sec, Duration: 5 * sec, Busiest: 2}
 	for name, day := range map[string]struct {
-		troubles []engine.Fault
+		faults   []engine.Fault
 		change   func(s *engine.Scenario)
-		worth    float64
+		minValue float64
 	}{
-		"killed at once in a release, lists late": {[]engine.Fault{
+		"killed at once during a release, late updates": {[]engine.Fault{
 			{Kind: "replace", At: 5 * sec, Busiest: 3, SingleEndpoint: true, DrainTime: 2 * sec},
 			{Kind: "kill", At: 7 * sec, Duration: sec, Dispatchers: most(), StartupListAge: 4 * sec},
 			{Kind: "list_late", At: 4 * sec, Duration: 11 * sec, Dispatchers: most(), UpdateDelay: 3 * sec}}, nil, 0.9},
 		"a limit lowered": {[]engine.Fault{lowered}, nil, 0.85},
-		"a limit lowered, no waits told, refused calls use it up": {[]engine.Fault{lowered},
+		"a limit lowered, no Retry-After, rejected calls count": {[]engine.Fault{lowered},
 			func(s *engine.Scenario) {
 				s.DestinationKinds[0].RetryAfterShare, s.DestinationKinds[0].CountsRejected = 0, true
 			}, 0.75},
-		"half of the traffic down and back cold": {[]engine.Fault{down}, nil, 0.85},
-		"back while its limit is still lowered":  {[]engine.Fault{down, lowered}, nil, 0.8},
-		"some with several times the mean beside idle ones": {nil,
+		"half of the traffic down, with slow start": {[]engine.Fault{down}, nil, 0.85},
+		"back while its limit is lowered":           {[]engine.Fault{down, lowered}, nil, 0.8},
+		"uneven load": {nil,
 			func(s *engine.Scenario) { s.Dispatchers.LoadSkew = 0.6 }, 0.85},
-		"one call in ten seconds each": {nil, func(s *engine.Scenario) { s.Clients.Rate = 4 }, 0.9},
+		"one call in ten seconds by each": {nil, func(s *engine.Scenario) { s.Clients.Rate = 4 }, 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := manyDispatchers(day.troubles...)
+			s := manyDispatchers(day.faults...)
 			if day.change != nil {
 				day.change(s)
 			}
@@ -62,16 +62,19 @@
 			assert.Empty(t, w.ViolationCount, describe(w.Violations))
 			assert.Zero(t, sum.Unfinished)
 			assert.Zero(t, sum.Collapsed)
-			assert.Greater(t, sum.Value, day.worth)
+			assert.Greater(t, sum.Value, day.minValue)
 		})
 	}
 }
 
 // An idle connection keeps the calls of other dispatchers out, whether the limit is reported or the connect refused.
 func TestManyDispatchers_ShareConnectionLimit(t *testing.T) {
-	for _, told := range []bool{false, true} {
+	for _, reported := range []bool{false, true} {
 		s := manyDispatchers()
-		s.DestinationKinds[0].MaxConnections, s.DestinationKinds[0].ReportsConnectionLimit, s.DestinationKinds[0].Headroom = 8, told, 3
+		kind := &s.DestinationKinds[0]
+		kind.MaxConnections = 8
+		kind.ReportsConnectionLimit = reported
+		kind.Headroom = 3
 		w, events, sum := run(t, s, newPolicy, event.AttemptEnded)
 		assert.Empty(t, w.ViolationCount, describe(w.Violations))
 		outcomes := map[api.Outcome]int{}
@@ -79,10 +82,10 @@
 			outcomes[e.Outcome]++
 		}
 		failed := outcomes[api.ConnectFailed] + outcomes[api.ConnectionLimited]
-		assert.Equal(t, told, outcomes[api.ConnectionLimited] > 0)
-		assert.Less(t, failed, len(events)/3, "calls that found no place")
+		assert.Equal(t, reported, outcomes[api.ConnectionLimited] > 0)
+		assert.Less(t, failed, len(events)/3, "calls over the connection limit")
 		least := 0.93
-		if told { // and no place is taken for an outage
+		if reported { // a limit is not taken for an outage
 			least = 0.97
 		}
 		assert.Greater(t, sum.Value, least)
--- a/sim/engine/member.go
+++ b/sim/engine/member.go
@@ -84,11 +84,11 @@
 }
 
 // decide returns what the dispatcher does with webhooks of a destination, now.
-func (d *dispatcher) decide(dest api.DestinationID) shardmap.Decision {
+func (d *dispatcher) decide(destination api.DestinationID) shardmap.Decision {
 	if d.member.shardMap == nil {
 		return shardmap.Decision{Action: shardmap.ParkUnmapped}
 	}
-	return d.member.shardMap.DecideKey(d.localMember(), d.sim.cluster.keyHashes[dest])
+	return d.member.shardMap.DecideKey(d.localMember(), d.sim.cluster.keyHashes[destination])
 }
 
 // mayCall reports whether the dispatcher may call with a webhook, now.
--- a/sim/engine/simulation_test.go
+++ b/sim/engine/simulation_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/webhook/api"
 )
 
-// idle is a host on which nothing happens.
+// idle is a host that does nothing.
 type idle struct{ api.Host }
 
 func (idle) Now() api.Micros                  { return 0 }
@@ -31,42 +31,42 @@
 		got[e.Destination] = append(got[e.Destination], e.At/api.Second)
 	}
 	assert.Equal(t, []api.Micros{5, 11}, got[0], "slow is no outage")
-	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
+	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first fault to the end of the last")
 }
 
 func TestKillDispatcher_InIterationThatAcceptsAWebhook(t *testing.T) {
-	for _, journal := range []bool{true, false} {
-		s := newScenario(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: journal,
+	for _, keepsState := range []bool{true, false} {
+		s := newScenario(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: keepsState,
 			DuringIteration: true})
 		w, events, sum := run(t, s, newPolicy, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
 		assert.Empty(t, w.ViolationCount, describe(w.Violations))
 		assert.Zero(t, sum.Unfinished)
 		var killed api.Micros
-		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
+		accepted, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
 			case e.Kind == event.Killed:
 				killed = e.At
 				for _, x := range events {
 					if x.Kind == event.Accepted && x.At == killed && x.Dispatcher == 0 {
-						taken[x.Webhook] = true
+						accepted[x.Webhook] = true
 					}
 				}
-				assert.NotEmpty(t, taken, "it dies in a turn that takes one on")
+				assert.NotEmpty(t, accepted, "it dies in an iteration that accepts one")
 				for _, x := range events {
 					left := x.Kind == event.AttemptStarted && x.Dispatcher == 0 && x.At == killed
-					assert.False(t, left, "nothing left in that turn")
+					assert.False(t, left, "no call leaves in that iteration")
 				}
-			case e.Kind == event.Recovered && taken[e.Webhook]:
+			case e.Kind == event.Recovered && accepted[e.Webhook]:
 				resumed++
-			case e.Kind == event.Finished && e.Final == event.StateLost && taken[e.Webhook]:
+			case e.Kind == event.Finished && e.Final == event.StateLost && accepted[e.Webhook]:
 				died++
 			}
 		}
-		if journal {
-			assert.Equal(t, len(taken), resumed)
+		if keepsState {
+			assert.Equal(t, len(accepted), resumed)
 		} else {
-			assert.Equal(t, len(taken), died)
+			assert.Equal(t, len(accepted), died)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		case e.Kind == event.AttemptStarted && e.Dispatcher == 0:
 			out[e.Request] = e.EventType
 		case e.Kind == event.AttemptEnded && e.Dispatcher == 0:
-			assert.False(t, dead, "an outcome came to a dead dispatcher")
+			assert.False(t, dead, "an outcome reached a dead dispatcher")
 			delete(out, e.Request)
 		case e.Kind == event.Finished && e.Final == event.StateLost:
 			died[e.Request] = true
@@ -94,14 +94,14 @@
 		}
 	}
 	require.NotEmpty(t, out)
-	handedOn := 0
+	resubmitted := 0
 	for o, evt := range out {
 		if again[o] {
-			handedOn++
+			resubmitted++
 			assert.NotEqual(t, "at-most-once", s.EventTypes[evt].Semantics, "it may have run")
 		}
 	}
-	assert.Positive(t, handedOn)
+	assert.Positive(t, resubmitted)
 }
 
 func TestSlowStart_OverloadedDestinationCollapses(t *testing.T) {
@@ -161,7 +161,7 @@
 			failed++
 		}
 	}
-	assert.Positive(t, failed, "four dispatchers share one place")
+	assert.Positive(t, failed, "four dispatchers share one connection")
 }
 
 func TestRestart_AcceptsNothingWhileDraining(t *testing.T) {
@@ -171,31 +171,31 @@
 	w, events, sum := run(t, s, newPolicy, event.Accepted, event.Started)
 	assert.Empty(t, w.ViolationCount, describe(w.Violations))
 	assert.Zero(t, sum.StateLost+sum.Unfinished)
-	taken := map[bool]int{}
+	accepted := map[bool]int{}
 	for _, e := range events {
 		if e.Kind == event.Accepted && e.Dispatcher == 0 {
 			at := e.At.Seconds()
-			assert.False(t, at > 5.01 && at < 7.5, "taken on at %.2f, on its way out", at)
-			taken[at > 7.5]++
+			assert.False(t, at > 5.01 && at < 7.5, "accepted at %.2f while it drains", at)
+			accepted[at > 7.5]++
 		}
 	}
-	assert.Positive(t, taken[false])
-	assert.Positive(t, taken[true])
+	assert.Positive(t, accepted[false])
+	assert.Positive(t, accepted[true])
 }
 
 func TestLoadSkewAndHotSpot(t *testing.T) {
 	s := newScenario(engine.Fault{Kind: "hot", Duration: 30 * sec, Destinations: []int{7}, Magnitude: 0.5})
 	s.Dispatchers.LoadSkew, s.EventTypes = 0.8, s.EventTypes[:1]
 	_, events, sum := run(t, s, newPolicy, event.Accepted, event.Offered)
-	taken, hot := map[int32]int{}, 0
+	accepted, hot := map[int32]int{}, 0
 	for _, e := range events {
 		if e.Kind == event.Accepted {
-			taken[e.Dispatcher]++
+			accepted[e.Dispatcher]++
 		} else if e.Destination == 7 {
 			hot++
 		}
 	}
-	assert.Greater(t, taken[0], 5*taken[1], "the first gets nine times what the last gets")
-	assert.Positive(t, taken[1])
+	assert.Greater(t, accepted[0], 5*accepted[1], "the first gets nine times what the last gets")
+	assert.Positive(t, accepted[1])
 	assert.InDelta(t, 0.5+0.5*0.08, float64(hot)/float64(sum.Offered), 0.05)
 }
--- a/sim/engine/validate.go
+++ b/sim/engine/validate.go
@@ -10,6 +10,7 @@
 // InvalidValue is an error about one value of a scenario. Key is its path in the file, such as kind.1.batch.
 type InvalidValue struct{ Key, Text string }
 
+// Error returns the key and the text.
 func (v InvalidValue) Error() string { return v.Key + ": " + v.Text }
 
 // The limits of what a scenario may ask for.
--- a/sim/event/event.go
+++ b/sim/event/event.go
@@ -17,7 +17,7 @@
 	Offered             Kind = iota // a client submits a webhook for the first time; Request
 	Accepted                        // a dispatcher accepts a webhook
 	BufferFull                      // a dispatcher rejects a submission because its buffer is full
-	Recovered                       // a dispatcher owns a webhook of its earlier incarnation again; Attempt is the number of attempts made
+	Recovered                       // a dispatcher recovers a webhook of its earlier incarnation; Attempt is the number made
 	AttemptStarted                  // a delivery attempt starts; Attempt counts from 0
 	AttemptEnded                    // the policy is notified of an attempt's outcome; Outcome, RetryAfter
 	Finished                        // a dispatcher is done with a webhook; Final, Duration since the first submission
@@ -30,8 +30,8 @@
 	EndpointUpdated                 // a dispatcher is notified of an endpoint's Status
 	OutageEnded                     // a route is back after an outage; Weight is its capacity when warm, calls per second
 	OutageStarted                   // no endpoint of a route serves calls; Weight as above
-	Collapsed                       // a route that was warming up was overloaded and fails for the rest of the run
-	Killed                          // a dispatcher's process ends; Until is its next start; Final is StateLost if it loses its state
+	Collapsed                       // a route in its slow start was overloaded and fails from now on
+	Killed                          // a dispatcher's process ends; Until its next start; Final StateLost if it loses its state
 	Started                         // a dispatcher is ready, with nothing but its persisted state
 	Paused                          // a dispatcher's process stands still for Duration
 	HandoffAccepted                 // a dispatcher has persisted a webhook that a peer handed off to it
--- a/sim/experiment/scenario_file.go
+++ b/sim/experiment/scenario_file.go
@@ -26,6 +26,7 @@
 	Text string
 }
 
+// Error returns the place and the text.
 func (e FileError) Error() string {
 	at := e.File
 	if e.Line > 0 {
@@ -56,8 +57,8 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, FileError{File: path, Text: err.Error()}
 	}
-	if bare := numericDurations(tree, reflect.TypeFor[engine.Scenario](), ""); len(bare) > 0 {
-		return nil, locateErrors(path, text, errors.Join(bare...))
+	if errs := numericDurations(tree, reflect.TypeFor[engine.Scenario](), ""); len(errs) > 0 {
+		return nil, locateErrors(path, text, errors.Join(errs...))
 	}
 	s.ApplyDefaults()
 	if err := s.Validate(); err != nil {
--- a/sim/invariant/checker_test.go
+++ b/sim/invariant/checker_test.go
@@ -9,42 +9,48 @@
 	"rowanlink/webhook/api"
 )
 
-func newChecker() (*Checker, *event.Bus) {
-	w, b := NewChecker(
-		Thresholds{Settings: api.Settings{MaxInFlight: 8, OrderingGap: api.Second, EventTypes: []api.EventType{
-			{
-				TTL: 20 * api.Second,
-			}, {TTL: 20 * api.Second, Semantics: api.Deduplicated, DedupWindow: 5 * api.Second,
-				DedupByZone: true}, {TTL: 20 * api.Second, Ordered: true}}}, AnswerGrace: 100},
-	), &event.Bus{}
-	w.Subscribe(b)
-	return w, b
+// newTestChecker has an idempotent, a deduplicated and an ordered event type.
+func newTestChecker() (*Checker, *event.Bus) {
+	c := NewChecker(Thresholds{
+		Settings: api.Settings{
+			MaxInFlight: 8,
+			OrderingGap: api.Second,
+			EventTypes: []api.EventType{
+				{TTL: 20 * api.Second},
+				{TTL: 20 * api.Second, Semantics: api.Deduplicated, DedupWindow: 5 * api.Second, DedupByZone: true},
+				{TTL: 20 * api.Second, Ordered: true},
+			},
+		},
+		AnswerGrace: 100,
+	})
+	bus := &event.Bus{}
+	c.Subscribe(bus)
+	return c, bus
 }
 
 func TestRetryAfter_AttemptInItsLastMicrosecondIsAllowed(t *testing.T) {
-	const told, long = 100 * api.Second, api.Second / 2
-	for early, broken := range map[api.Micros]int{0: 0, 1: 1} {
-		w, b := newChecker()
-		b.Emit(event.Event{At: told, Kind: event.Accepted, Webhook: 1, Deadline: told + api.Second})
-		b.Emit(event.Event{At: told, Kind: event.AttemptEnded, Webhook: 2, Outcome: api.Rejected, RetryAfter: long})
-		b.Emit(
-			event.Event{At: told, Kind: event.AttemptEnded, Webhook: 3, Outcome: api.Rejected, RetryAfter: 10},
-		) // the longest holds
-		b.Emit(event.Event{At: told + long - early, Kind: event.AttemptStarted, Webhook: 1, Endpoint: 1})
-		assert.Equal(t, broken, w.ViolationCount["wait"])
+	const now, delay = 100 * api.Second, api.Second / 2
+	for early, violations := range map[api.Micros]int{0: 0, 1: 1} {
+		c, bus := newTestChecker()
+		bus.Emit(event.Event{At: now, Kind: event.Accepted, Webhook: 1, Deadline: now + api.Second})
+		bus.Emit(event.Event{At: now, Kind: event.AttemptEnded, Webhook: 2, Outcome: api.Rejected, RetryAfter: delay})
+		// The longest time counts.
+		bus.Emit(event.Event{At: now, Kind: event.AttemptEnded, Webhook: 3, Outcome: api.Rejected, RetryAfter: 10})
+		bus.Emit(event.Event{At: now + delay - early, Kind: event.AttemptStarted, Webhook: 1, Endpoint: 1})
+		assert.Equal(t, violations, c.ViolationCount["wait"])
 	}
 }
 
 func TestChecker_ViolationHasTheHistoryOfItsWebhook(t *testing.T) {
-	w, b := newChecker()
+	c, bus := newTestChecker()
 	one := event.Event{At: 1, Webhook: 7, Dispatcher: 3, Destination: 5, EventType: 1, Deadline: 20 * api.Second}
-	step := func(at api.Micros, what event.Kind, change func(*event.Event)) {
+	step := func(at api.Micros, kind event.Kind, change func(*event.Event)) {
 		e := one
-		e.At, e.Kind = at, what
+		e.At, e.Kind = at, kind
 		if change != nil {
 			change(&e)
 		}
-		b.Emit(e)
+		bus.Emit(e)
 	}
 	step(1, event.Accepted, nil)
 	step(2, event.AttemptStarted, nil)
@@ -52,8 +58,8 @@
 	step(4, event.AttemptStarted, func(e *event.Event) { e.Attempt, e.Zone = 1, 1 })
 	step(5, event.Finished, func(e *event.Event) { e.Final = event.Rejected })
 	step(6, event.Finished, func(e *event.Event) { e.Final = event.DeadLettered })
-	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, w.ViolationCount)
-	zone := w.Violations[0]
+	assert.Equal(t, map[string]int{"twice": 2, "lost": 1}, c.ViolationCount)
+	zone := c.Violations[0]
 	assert.Equal(t, "deduplicated by zone, attempted in another zone", zone.Text)
 	assert.Equal(t, api.WebhookID(7), zone.Webhook)
 	assert.Equal(t, int32(3), zone.Dispatcher)
@@ -63,12 +69,12 @@
 }
 
 func TestOrdering_GapAfterAttemptThatMayStillRun(t *testing.T) {
-	for after, broken := range map[api.Micros]int{api.Second - 1: 1, api.Second: 0} {
-		w, b := newChecker()
+	for after, violations := range map[api.Micros]int{api.Second - 1: 1, api.Second: 0} {
+		c, bus := newTestChecker()
 		e := event.Event{At: 1, EventType: 2, OrderingKey: 9, Deadline: 20 * api.Second}
-		send := func(at api.Micros, id api.WebhookID, what event.Kind, out api.Outcome, end event.FinalStatus) {
-			e.At, e.Webhook, e.Kind, e.Outcome, e.Final = at, id, what, out, end
-			b.Emit(e)
+		send := func(at api.Micros, id api.WebhookID, kind event.Kind, outcome api.Outcome, final event.FinalStatus) {
+			e.At, e.Webhook, e.Kind, e.Outcome, e.Final = at, id, kind, outcome, final
+			bus.Emit(e)
 		}
 		send(1, 1, event.Accepted, 0, 0)
 		send(1, 2, event.Accepted, 0, 0)
@@ -76,14 +82,14 @@
 		send(3, 1, event.AttemptEnded, api.ConnectionReset, 0)
 		send(3, 1, event.Finished, 0, event.DeadLettered)
 		send(3+after, 2, event.AttemptStarted, 0, 0)
-		assert.Equal(t, broken, w.ViolationCount["order"])
+		assert.Equal(t, violations, c.ViolationCount["order"])
 	}
 }
 
 func TestDelivery_UnfinishedWebhookIsLost(t *testing.T) {
-	w, b := newChecker()
-	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 1, Deadline: 50})
-	b.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 2, Deadline: 5000})
-	w.Finish(1000)
-	assert.Equal(t, map[string]int{"lost": 1}, w.ViolationCount)
+	c, bus := newTestChecker()
+	bus.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 1, Deadline: 50})
+	bus.Emit(event.Event{At: 1, Kind: event.Accepted, Webhook: 2, Deadline: 5000})
+	c.Finish(1000)
+	assert.Equal(t, map[string]int{"lost": 1}, c.ViolationCount)
 }
--- a/sim/invariant/cluster_recorder.go
+++ b/sim/invariant/cluster_recorder.go
@@ -153,8 +153,10 @@
 		return
 	}
 	// The capacity grows linearly from SlowStartCapacity.
-	mean := f.thresholds.SlowStartCapacity + (1-f.thresholds.SlowStartCapacity)*f.thresholds.OverloadDuration.Seconds()/f.thresholds.SlowStartDuration.Seconds()/2
-	load := r.weightAfterReturn / (f.thresholds.OverloadFactor * mean * r.rate * f.thresholds.OverloadDuration.Seconds())
+	initial := f.thresholds.SlowStartCapacity
+	window := f.thresholds.OverloadDuration.Seconds()
+	mean := initial + (1-initial)*window/f.thresholds.SlowStartDuration.Seconds()/2
+	load := r.weightAfterReturn / (f.thresholds.OverloadFactor * mean * r.rate * window)
 	f.summary.Returns++
 	f.loads += load
 	f.calls += float64(r.calls)
