--- a/cluster/lease/model_hash_test.go
+++ b/cluster/lease/model_hash_test.go
@@ -28,8 +28,8 @@
 	se.add(byte(md.leader))
 	se.add(byte(md.budget.elections), byte(md.budget.duplicates), byte(md.budget.lateContacts), byte(md.budget.releases),
 		byte(md.budget.sessionEnds), byte(md.budget.memberRestarts), byte(md.budget.actions), byte(md.budget.fenceRestarts))
-	g := md.table.leases[modelResource]
-	se.id(uint64(md.highestAdmitted), uint64(md.table.leaderEpoch), uint64(g.session), uint64(g.epoch),
+	lease := md.table.leases[modelResource]
+	se.id(uint64(md.highestAdmitted), uint64(md.table.leaderEpoch), uint64(lease.session), uint64(lease.epoch),
 		uint64(md.fence.highest[modelResource]))
 	for _, s := range md.table.Sessions() {
 		se.id(uint64(s))
@@ -72,9 +72,9 @@
 
 // knownIDs returns all ids and epochs that the model still refers to, sorted.
 func (md *model) knownIDs(all []uint64) []uint64 {
-	g := md.table.leases[modelResource]
-	all = append(all, 0, uint64(md.highestAdmitted), uint64(md.table.leaderEpoch), uint64(g.session), uint64(g.epoch),
-		uint64(md.fence.highest[modelResource]))
+	lease := md.table.leases[modelResource]
+	all = append(all, 0, uint64(md.highestAdmitted), uint64(md.table.leaderEpoch),
+		uint64(lease.session), uint64(lease.epoch), uint64(md.fence.highest[modelResource]))
 	for s := range md.table.sessions {
 		all = append(all, uint64(s))
 	}
@@ -85,9 +85,9 @@
 		for s := range md.nodes[i].tracker.sessions {
 			all = append(all, uint64(s))
 		}
-		t := md.processes[i].holder
-		all = append(all, uint64(t.session), uint64(t.newestSession), uint64(t.endedUpTo), uint64(t.epochs[modelResource]),
-			uint64(t.relinquished[modelResource]))
+		holder := md.processes[i].holder
+		all = append(all, uint64(holder.session), uint64(holder.newestSession), uint64(holder.endedUpTo),
+			uint64(holder.epochs[modelResource]), uint64(holder.relinquished[modelResource]))
 	}
 	for _, m := range md.messages {
 		all = append(all, uint64(m.session), uint64(m.epoch), uint64(m.leaderEpoch))
@@ -155,11 +155,11 @@
 
 func (se *stateEncoder) process(i int) {
 	p := &se.model.processes[i]
-	t := p.holder
+	holder := p.holder
 	se.add('P', byte(p.clockStep/1000))
-	se.id(uint64(t.session), uint64(t.newestSession), uint64(t.endedUpTo), uint64(t.epochs[modelResource]),
-		uint64(t.relinquished[modelResource]))
-	se.time(max(t.deadline-se.model.processClock(i), 0))
+	se.id(uint64(holder.session), uint64(holder.newestSession), uint64(holder.endedUpTo),
+		uint64(holder.epochs[modelResource]), uint64(holder.relinquished[modelResource]))
+	se.time(max(holder.deadline-se.model.processClock(i), 0))
 }
 
 func (se *stateEncoder) message(m message) {
@@ -167,9 +167,9 @@
 	se.add(se.incarnation(m.incarnation), byte(se.model.raftTerm-m.raftTerm))
 	se.id(uint64(m.session), uint64(m.epoch), uint64(m.leaderEpoch))
 	if m.kind <= confirmation && m.process >= 0 { // a renewal counts by its age, and by whether it is void
-		t := se.model.processes[m.process].holder
-		se.add(boolByte(m.renewal.number <= t.voidUpTo))
-		se.time(min(se.model.processClock(m.process)-m.renewal.startedAt, t.usableTTL))
+		holder := se.model.processes[m.process].holder
+		se.add(boolByte(m.renewal.number <= holder.voidUpTo))
+		se.time(min(se.model.processClock(m.process)-m.renewal.startedAt, holder.usableTTL))
 	}
 	if m.kind == renewRequest || m.kind == peerContact {
 		se.add(se.rank(m.node, m.at))
--- a/cluster/lease/model_transitions_test.go
+++ b/cluster/lease/model_transitions_test.go
@@ -19,13 +19,13 @@
 
 func (md *model) send(m message) { md.messages = append(md.messages, m) }
 
-func (md *model) countInFlight(proc int, kinds ...messageKind) (n int) {
+func (md *model) countInFlight(process int, kinds ...messageKind) (count int) {
 	for _, m := range md.messages {
-		if m.process == proc && slices.Contains(kinds, m.kind) {
-			n++
+		if m.process == process && slices.Contains(kinds, m.kind) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // transitions appends all that may happen in this state.
@@ -122,10 +122,10 @@
 }
 
 func (md *model) memberTransitions(p int, all []transition) []transition {
-	t := md.processes[p].holder
-	s := t.Session()
+	holder := md.processes[p].holder
+	session := holder.Session()
 	renewing := md.countInFlight(p, openRequest, renewRequest, confirmation) > 0
-	if s == 0 && !renewing {
+	if session == 0 && !renewing {
 		all = append(all, transition{"a member opens a session", p, func(md *model, p int) {
 			md.startRenewal(p, openRequest, md.leader)
 			if !md.budget.asyncRequests {
@@ -135,11 +135,13 @@
 		}})
 	}
 	for k := range md.nodes {
-		if s != 0 && !renewing && md.nodes[k].believesLeading {
-			all = append(all, transition{renewalNames[k], p, func(md *model, p int) { md.startRenewal(p, renewRequest, k) }})
+		if session != 0 && !renewing && md.nodes[k].believesLeading {
+			all = append(all, transition{renewalNames[k], p, func(md *model, p int) {
+				md.startRenewal(p, renewRequest, k)
+			}})
 		}
 	}
-	if s != 0 && t.epochs[modelResource] == 0 && md.countInFlight(p, acquireRequest, grantResponse) == 0 {
+	if session != 0 && holder.epochs[modelResource] == 0 && md.countInFlight(p, acquireRequest, grantResponse) == 0 {
 		all = append(all, transition{"a member acquires the lease", p, func(md *model, p int) {
 			before := len(md.messages)
 			md.send(message{kind: acquireRequest, process: p, session: md.processes[p].holder.Session()})
@@ -148,21 +150,22 @@
 			}
 		}})
 	}
-	if _, acts := t.Epoch(modelResource, md.processClock(p)); acts && md.budget.actions > 0 {
+	if _, acts := holder.Epoch(modelResource, md.processClock(p)); acts && md.budget.actions > 0 {
 		all = append(all, transition{"a member acts", p, func(md *model, p int) {
 			md.budget.actions--
-			e, _ := md.processes[p].holder.Epoch(modelResource, md.processClock(p))
-			md.send(message{kind: action, process: -1, epoch: e})
+			epoch, _ := md.processes[p].holder.Epoch(modelResource, md.processClock(p))
+			md.send(message{kind: action, process: -1, epoch: epoch})
 		}})
 	}
-	if t.epochs[modelResource] != 0 && md.budget.releases > 0 {
+	if holder.epochs[modelResource] != 0 && md.budget.releases > 0 {
 		all = append(all, transition{"a member releases the lease", p, func(md *model, p int) {
 			md.budget.releases--
-			e, _ := md.mutableHolder(p).Relinquish(modelResource)
-			md.send(message{kind: releaseRequest, process: p, session: md.processes[p].holder.Session(), epoch: e})
+			epoch, _ := md.mutableHolder(p).Relinquish(modelResource)
+			session := md.processes[p].holder.Session()
+			md.send(message{kind: releaseRequest, process: p, session: session, epoch: epoch})
 		}})
 	}
-	if s != 0 && md.budget.sessionEnds > 0 {
+	if session != 0 && md.budget.sessionEnds > 0 {
 		all = append(all, transition{"a member ends its session", p, func(md *model, p int) {
 			md.budget.sessionEnds--
 			md.send(message{kind: endRequest, process: p, session: md.mutableHolder(p).EndSession()})
@@ -220,20 +223,20 @@
 	}
 }
 
-func (md *model) handleAction(e cluster.Epoch) {
-	f, err := DecodeFence(md.fence.Encode())
+func (md *model) handleAction(epoch cluster.Epoch) {
+	fence, err := DecodeFence(md.fence.Encode())
 	if err != nil {
 		panic(err)
 	}
-	md.fence = f
-	raised, err := f.Admit(modelResource, e)
+	md.fence = fence
+	raised, err := fence.Admit(modelResource, epoch)
 	if raised {
-		md.storedFence = f.Encode()
+		md.storedFence = fence.Encode()
 	}
-	if err == nil && e < md.highestAdmitted {
+	if err == nil && epoch < md.highestAdmitted {
 		md.violation = "a late action was admitted after one of a later epoch"
 	}
 	if err == nil {
-		md.highestAdmitted = max(md.highestAdmitted, e)
+		md.highestAdmitted = max(md.highestAdmitted, epoch)
 	}
 }
