--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -112,7 +112,8 @@
 	return item
 }
 
-// feedStream adds the parked webhooks that are not in the stream yet. It adds none if it finds one that was sent and that the stream does not know: the stream is restarted then.
+// feedStream adds the parked webhooks that are not in the stream yet. It adds none if it finds one that was sent and
+// that the stream does not know: the stream is restarted then.
 func (s *siteSender) feedStream(sender *relay.Sender, parked []eventloop.Parked) {
 	withheld := map[orderingScope]bool{}
 	batch := itemBatch{byPart: map[announcementPart]*stream.Item{}}
--- a/test/checker/leasecheck/ownership.go
+++ b/test/checker/leasecheck/ownership.go
@@ -21,7 +21,8 @@
 	From, Until api.Micros
 }
 
-// OwnershipEventKind is the kind of an OwnershipEvent. Resources other than the owner of a range have only Granted and Ended.
+// OwnershipEventKind is the kind of an OwnershipEvent. Resources other than the owner of a range have only Granted and
+// Ended.
 type OwnershipEventKind uint8
 
 // The kinds of ownership events.
@@ -29,7 +30,7 @@
 	Granted   OwnershipEventKind = iota // the member holds the lease
 	Ended                               // the member no longer acts by that grant
 	Published                           // the shard map names the member, with the epoch of its grant
-	Observed                            // a reader of the shard map saw that: possibly an old map, but none older than before
+	Observed                            // a reader saw that in its map, which may be old but none older than before
 )
 
 // String returns the name of the kind.
