--- a/sim/engine/checkers_test.go
+++ b/sim/engine/checkers_test.go
@@ -36,9 +36,9 @@
 				s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls = 400, 400
 				s.EventTypes = s.EventTypes[:1]
 			}
-			w, _, _ := run(t, s, c.start)
-			require.Positive(t, w.ViolationCount[rule], "%v", w.ViolationCount)
-			for _, b := range w.Violations {
+			checker, _, _ := run(t, s, c.start)
+			require.Positive(t, checker.ViolationCount[rule], "%v", checker.ViolationCount)
+			for _, b := range checker.Violations {
 				if b.Invariant == rule {
 					assert.Positive(t, b.At)
 					assert.Positive(t, b.Webhook)
@@ -47,8 +47,8 @@
 					break
 				}
 			}
-			w, _, _ = run(t, s, newPolicy)
-			assert.Empty(t, w.ViolationCount, describe(w.Violations))
+			checker, _, _ = run(t, s, newPolicy)
+			assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 		})
 	}
 }
@@ -92,8 +92,8 @@
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
 			for _, start := range []engine.PolicyFactory{without, newPolicy} {
-				w, _, _ := run(t, s, start)
-				for _, got := range w.Claims() {
+				checker, _, _ := run(t, s, start)
+				for _, got := range checker.Claims() {
 					if got.Name == claim {
 						assert.True(t, got.Conclusive, got.Text)
 						assert.Equal(t, got.Holds, isModule(start), got.Text)
--- a/sim/engine/many_dispatchers_test.go
+++ b/sim/engine/many_dispatchers_test.go
@@ -58,11 +58,11 @@
 			if day.change != nil {
 				day.change(s)
 			}
-			w, _, sum := run(t, s, newPolicy)
-			assert.Empty(t, w.ViolationCount, describe(w.Violations))
-			assert.Zero(t, sum.Unfinished)
-			assert.Zero(t, sum.Collapsed)
-			assert.Greater(t, sum.Value, day.minValue)
+			checker, _, summary := run(t, s, newPolicy)
+			assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
+			assert.Zero(t, summary.Unfinished)
+			assert.Zero(t, summary.Collapsed)
+			assert.Greater(t, summary.Value, day.minValue)
 		})
 	}
 }
@@ -75,8 +75,8 @@
 		kind.MaxConnections = 8
 		kind.ReportsConnectionLimit = reported
 		kind.Headroom = 3
-		w, events, sum := run(t, s, newPolicy, event.AttemptEnded)
-		assert.Empty(t, w.ViolationCount, describe(w.Violations))
+		checker, events, summary := run(t, s, newPolicy, event.AttemptEnded)
+		assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 		outcomes := map[api.Outcome]int{}
 		for _, e := range events {
 			outcomes[e.Outcome]++
@@ -88,7 +88,7 @@
 		if reported { // a limit is not taken for an outage
 			least = 0.97
 		}
-		assert.Greater(t, sum.Value, least)
+		assert.Greater(t, summary.Value, least)
 	}
 }
 
@@ -118,8 +118,8 @@
 			s.Clients.Rate, s.EventTypes = day.rate, s.EventTypes[:1]
 			k := &s.DestinationKinds[0]
 			k.Endpoints, k.Headroom, k.ReportsConnectionLimit, k.RetryAfterShare = []int{1, 1}, 1.2, true, 0
-			w, events, _ := run(t, s, newPolicy, event.OutageEnded, event.CallArrived)
-			assert.Empty(t, w.ViolationCount, describe(w.Violations))
+			checker, events, _ := run(t, s, newPolicy, event.OutageEnded, event.CallArrived)
+			assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 			back, came := api.Never, 0.0
 			for _, e := range events {
 				if e.Kind == event.OutageEnded {
--- a/sim/engine/simulation_test.go
+++ b/sim/engine/simulation_test.go
@@ -24,8 +24,8 @@
 		engine.Fault{Kind: "slow", At: 7 * sec, Duration: 12 * sec, Destinations: []int{0}, Magnitude: 3},
 		engine.Fault{Kind: "down", At: 8 * sec, Duration: 10 * sec, Destinations: []int{1}},
 		engine.Fault{Kind: "hang", At: 6 * sec, Duration: 20 * sec, Destinations: []int{1}})
-	w, events, _ := run(t, s, newPolicy, event.OutageStarted, event.OutageEnded)
-	assert.Empty(t, w.ViolationCount, describe(w.Violations))
+	checker, events, _ := run(t, s, newPolicy, event.OutageStarted, event.OutageEnded)
+	assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
 		got[e.Destination] = append(got[e.Destination], e.At/api.Second)
@@ -38,9 +38,9 @@
 	for _, keepsState := range []bool{true, false} {
 		s := newScenario(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: keepsState,
 			DuringIteration: true})
-		w, events, sum := run(t, s, newPolicy, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
-		assert.Empty(t, w.ViolationCount, describe(w.Violations))
-		assert.Zero(t, sum.Unfinished)
+		checker, events, summary := run(t, s, newPolicy, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
+		assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
+		assert.Zero(t, summary.Unfinished)
 		var killed api.Micros
 		accepted, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
@@ -74,31 +74,31 @@
 func TestKillDispatcher_OutcomesAreDroppedAndLostWebhooksResubmitted(t *testing.T) {
 	s := newScenario(engine.Fault{Kind: "hang", At: 4 * sec, Duration: 20 * sec, Busiest: 8},
 		engine.Fault{Kind: "kill", At: 6 * sec, Duration: 30 * sec, Dispatchers: []int{0}})
-	w, events, _ := run(t, s, newPolicy, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
-	assert.Empty(t, w.ViolationCount, describe(w.Violations))
+	checker, events, _ := run(t, s, newPolicy, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
+	assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 	dead := false
-	out, again, died := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
+	inFlight, accepted, lost := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
 	for _, e := range events {
 		switch {
 		case e.Kind == event.Killed:
 			dead = true
 		case e.Kind == event.AttemptStarted && e.Dispatcher == 0:
-			out[e.Request] = e.EventType
+			inFlight[e.Request] = e.EventType
 		case e.Kind == event.AttemptEnded && e.Dispatcher == 0:
 			assert.False(t, dead, "an outcome reached a dead dispatcher")
-			delete(out, e.Request)
+			delete(inFlight, e.Request)
 		case e.Kind == event.Finished && e.Final == event.StateLost:
-			died[e.Request] = true
-		case e.Kind == event.Accepted && dead && died[e.Request]:
-			again[e.Request] = true
+			lost[e.Request] = true
+		case e.Kind == event.Accepted && dead && lost[e.Request]:
+			accepted[e.Request] = true
 		}
 	}
-	require.NotEmpty(t, out)
+	require.NotEmpty(t, inFlight)
 	resubmitted := 0
-	for o, evt := range out {
-		if again[o] {
+	for request, eventType := range inFlight {
+		if accepted[request] {
 			resubmitted++
-			assert.NotEqual(t, "at-most-once", s.EventTypes[evt].Semantics, "it may have run")
+			assert.NotEqual(t, "at-most-once", s.EventTypes[eventType].Semantics, "it may have run")
 		}
 	}
 	assert.Positive(t, resubmitted)
@@ -110,30 +110,30 @@
 	hammer := func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.NoBackoff)
 	}
-	_, events, sum := run(t, s, hammer, event.Collapsed, event.CallArrived)
-	require.Equal(t, 1, sum.Collapsed)
-	fell, before := false, 0
+	_, events, summary := run(t, s, hammer, event.Collapsed, event.CallArrived)
+	require.Equal(t, 1, summary.Collapsed)
+	collapsed, before := false, 0
 	for _, e := range events {
 		switch {
 		case e.Kind == event.Collapsed:
-			fell = true
+			collapsed = true
 			assert.EqualValues(t, 0, e.Destination)
-		case e.Destination == 0 && fell:
-			assert.Fail(t, "a call reached it after it fell", "%v", &e)
+		case e.Destination == 0 && collapsed:
+			assert.Fail(t, "a call reached it after it collapsed", "%v", &e)
 		case e.Destination == 0:
 			before++
 		}
 	}
 	assert.Positive(t, before)
-	_, _, sum = run(t, s, newPolicy)
-	assert.Zero(t, sum.Collapsed)
+	_, _, summary = run(t, s, newPolicy)
+	assert.Zero(t, summary.Collapsed)
 }
 
 func TestReplaceEndpoint_DrainsAndMayKeepTheAddress(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
 		s := newScenario(engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 1, DrainTime: 4 * sec, Address: address})
-		w, events, _ := run(t, s, newPolicy, event.AttemptStarted, event.EndpointUpdated)
-		assert.Empty(t, w.ViolationCount, describe(w.Violations))
+		checker, events, _ := run(t, s, newPolicy, event.AttemptStarted, event.EndpointUpdated)
+		assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 		last := events[len(events)-1]
 		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
@@ -168,9 +168,9 @@
 	s := newScenario(
 		engine.Fault{Kind: "restart", At: 5 * sec, Duration: sec / 2, DrainTime: 2 * sec, Dispatchers: []int{0}},
 	)
-	w, events, sum := run(t, s, newPolicy, event.Accepted, event.Started)
-	assert.Empty(t, w.ViolationCount, describe(w.Violations))
-	assert.Zero(t, sum.StateLost+sum.Unfinished)
+	checker, events, summary := run(t, s, newPolicy, event.Accepted, event.Started)
+	assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
+	assert.Zero(t, summary.StateLost+summary.Unfinished)
 	accepted := map[bool]int{}
 	for _, e := range events {
 		if e.Kind == event.Accepted && e.Dispatcher == 0 {
@@ -186,7 +186,7 @@
 func TestLoadSkewAndHotSpot(t *testing.T) {
 	s := newScenario(engine.Fault{Kind: "hot", Duration: 30 * sec, Destinations: []int{7}, Magnitude: 0.5})
 	s.Dispatchers.LoadSkew, s.EventTypes = 0.8, s.EventTypes[:1]
-	_, events, sum := run(t, s, newPolicy, event.Accepted, event.Offered)
+	_, events, summary := run(t, s, newPolicy, event.Accepted, event.Offered)
 	accepted, hot := map[int32]int{}, 0
 	for _, e := range events {
 		if e.Kind == event.Accepted {
@@ -197,5 +197,5 @@
 	}
 	assert.Greater(t, accepted[0], 5*accepted[1], "the first gets nine times what the last gets")
 	assert.Positive(t, accepted[1])
-	assert.InDelta(t, 0.5+0.5*0.08, float64(hot)/float64(sum.Offered), 0.05)
+	assert.InDelta(t, 0.5+0.5*0.08, float64(hot)/float64(summary.Offered), 0.05)
 }
--- a/sim/experiment/scenario_file.go
+++ b/sim/experiment/scenario_file.go
@@ -94,14 +94,14 @@
 }
 
 // numericDurations finds durations that are numbers, which the decoder would take for microseconds.
-func numericDurations(tree any, t reflect.Type, key string) (faults []error) {
+func numericDurations(tree any, t reflect.Type, key string) (errs []error) {
 	switch t.Kind() {
 	case reflect.Struct:
 		table, _ := tree.(map[string]any)
 		for i := range t.NumField() {
 			name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
 			if v, there := table[name]; there {
-				faults = append(faults, numericDurations(v, t.Field(i).Type, strings.TrimPrefix(key+"."+name, "."))...)
+				errs = append(errs, numericDurations(v, t.Field(i).Type, strings.TrimPrefix(key+"."+name, "."))...)
 			}
 		}
 	case reflect.Slice:
@@ -111,15 +111,15 @@
 			if t.Elem().Kind() == reflect.Struct {
 				at = fmt.Sprintf("%s.%d", key, i)
 			}
-			faults = append(faults, numericDurations(v, t.Elem(), at)...)
+			errs = append(errs, numericDurations(v, t.Elem(), at)...)
 		}
 	default:
 		if _, text := tree.(string); t == reflect.TypeFor[engine.Duration]() && !text {
-			faults = append(faults, engine.InvalidValue{Key: key,
+			errs = append(errs, engine.InvalidValue{Key: key,
 				Text: fmt.Sprintf("%v has no unit: write a time like \"250ms\"", tree)})
 		}
 	}
-	return faults
+	return errs
 }
 
 // locateErrors makes FileErrors of the errors of Validate, with the lines of their keys.
