--- a/sim/engine/checkers_test.go
+++ b/sim/engine/checkers_test.go
@@ -18,8 +18,8 @@
 	replace := engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 8, SingleEndpoint: true}
 	hang := engine.Fault{Kind: "hang", At: 5 * sec, Duration: 10 * sec, Busiest: 2}
 	for rule, c := range map[string]struct {
-		trouble engine.Fault
-		start   engine.PolicyFactory
+		fault engine.Fault
+		start engine.PolicyFactory
 	}{
 		"lost":  {busy, mutant(func(m *mutantPolicy) { m.dropsDeadLetters = true })},
 		"twice": {busy, mutant(func(m *mutantPolicy) { m.outcome = neverRan })},
@@ -31,14 +31,14 @@
 		}},
 	} {
 		t.Run(rule, func(t *testing.T) {
-			s := newScenario(c.trouble)
+			s := newScenario(c.fault)
 			if rule == "failback" {
 				s.Clients.Rate, s.Dispatchers.MaxConcurrentCalls = 400, 400
 				s.EventTypes = s.EventTypes[:1]
 			}
-			w, _, _ := run(t, s, c.start)
-			require.Positive(t, w.ViolationCount[rule], "%v", w.ViolationCount)
-			for _, b := range w.Violations {
+			checker, _, _ := run(t, s, c.start)
+			require.Positive(t, checker.ViolationCount[rule], "%v", checker.ViolationCount)
+			for _, b := range checker.Violations {
 				if b.Invariant == rule {
 					assert.Positive(t, b.At)
 					assert.Positive(t, b.Webhook)
@@ -47,8 +47,8 @@
 					break
 				}
 			}
-			w, _, _ = run(t, s, newPolicy)
-			assert.Empty(t, w.ViolationCount, describe(w.Violations))
+			checker, _, _ = run(t, s, newPolicy)
+			assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 		})
 	}
 }
@@ -76,8 +76,8 @@
 	fails := engine.Fault{Kind: "errors", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 1}
 	slowly := engine.Fault{Kind: "slow", At: 3 * sec, Duration: 27 * sec, Busiest: 1, Magnitude: 12}
 	for claim, c := range map[string]struct {
-		troubles []engine.Fault
-		waits    baseline.Backoff
+		faults []engine.Fault
+		waits  baseline.Backoff
 	}{
 		"backoff":  {[]engine.Fault{chance}, baseline.NoBackoff},
 		"jitter":   {[]engine.Fault{chance}, baseline.ExponentialBackoff},
@@ -85,15 +85,15 @@
 		"isolates": {[]engine.Fault{fails, slowly}, baseline.ExponentialBackoff},
 	} {
 		t.Run(claim, func(t *testing.T) {
-			s := newScenario(c.troubles...)
+			s := newScenario(c.faults...)
 			s.EventTypes = s.EventTypes[:1]
 			s.DestinationKinds[0].Headroom = 8
 			without := func(f api.Settings, h api.Host) api.Policy {
 				return baseline.New(f, h, f.MaxAttempts, c.waits)
 			}
 			for _, start := range []engine.PolicyFactory{without, newPolicy} {
-				w, _, _ := run(t, s, start)
-				for _, got := range w.Claims() {
+				checker, _, _ := run(t, s, start)
+				for _, got := range checker.Claims() {
 					if got.Name == claim {
 						assert.True(t, got.Conclusive, got.Text)
 						assert.Equal(t, got.Holds, isModule(start), got.Text)
--- a/sim/engine/simulation_test.go
+++ b/sim/engine/simulation_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/webhook/api"
 )
 
-// idle is a host on which nothing happens.
+// idle is a host that does nothing.
 type idle struct{ api.Host }
 
 func (idle) Now() api.Micros                  { return 0 }
@@ -24,49 +24,49 @@
 		engine.Fault{Kind: "slow", At: 7 * sec, Duration: 12 * sec, Destinations: []int{0}, Magnitude: 3},
 		engine.Fault{Kind: "down", At: 8 * sec, Duration: 10 * sec, Destinations: []int{1}},
 		engine.Fault{Kind: "hang", At: 6 * sec, Duration: 20 * sec, Destinations: []int{1}})
-	w, events, _ := run(t, s, newPolicy, event.OutageStarted, event.OutageEnded)
-	assert.Empty(t, w.ViolationCount, describe(w.Violations))
+	checker, events, _ := run(t, s, newPolicy, event.OutageStarted, event.OutageEnded)
+	assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 	got := map[api.DestinationID][]api.Micros{}
 	for _, e := range events {
 		got[e.Destination] = append(got[e.Destination], e.At/api.Second)
 	}
 	assert.Equal(t, []api.Micros{5, 11}, got[0], "slow is no outage")
-	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first trouble to the end of the last")
+	assert.Equal(t, []api.Micros{6, 26}, got[1], "one outage, from the first fault to the end of the last")
 }
 
 func TestKillDispatcher_InIterationThatAcceptsAWebhook(t *testing.T) {
-	for _, journal := range []bool{true, false} {
-		s := newScenario(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: journal,
+	for _, keepsState := range []bool{true, false} {
+		s := newScenario(engine.Fault{Kind: "kill", At: 5 * sec, Duration: sec, Dispatchers: []int{0}, KeepsState: keepsState,
 			DuringIteration: true})
-		w, events, sum := run(t, s, newPolicy, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
-		assert.Empty(t, w.ViolationCount, describe(w.Violations))
-		assert.Zero(t, sum.Unfinished)
+		checker, events, summary := run(t, s, newPolicy, event.Accepted, event.Killed, event.Recovered, event.Finished, event.AttemptStarted)
+		assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
+		assert.Zero(t, summary.Unfinished)
 		var killed api.Micros
-		taken, resumed, died := map[api.WebhookID]bool{}, 0, 0
+		accepted, resumed, died := map[api.WebhookID]bool{}, 0, 0
 		for _, e := range events {
 			switch {
 			case e.Kind == event.Killed:
 				killed = e.At
 				for _, x := range events {
 					if x.Kind == event.Accepted && x.At == killed && x.Dispatcher == 0 {
-						taken[x.Webhook] = true
+						accepted[x.Webhook] = true
 					}
 				}
-				assert.NotEmpty(t, taken, "it dies in a turn that takes one on")
+				assert.NotEmpty(t, accepted, "it dies in an iteration that accepts one")
 				for _, x := range events {
 					left := x.Kind == event.AttemptStarted && x.Dispatcher == 0 && x.At == killed
-					assert.False(t, left, "nothing left in that turn")
+					assert.False(t, left, "no call leaves in that iteration")
 				}
-			case e.Kind == event.Recovered && taken[e.Webhook]:
+			case e.Kind == event.Recovered && accepted[e.Webhook]:
 				resumed++
-			case e.Kind == event.Finished && e.Final == event.StateLost && taken[e.Webhook]:
+			case e.Kind == event.Finished && e.Final == event.StateLost && accepted[e.Webhook]:
 				died++
 			}
 		}
-		if journal {
-			assert.Equal(t, len(taken), resumed)
+		if keepsState {
+			assert.Equal(t, len(accepted), resumed)
 		} else {
-			assert.Equal(t, len(taken), died)
+			assert.Equal(t, len(accepted), died)
 		}
 	}
 }
@@ -74,34 +74,34 @@
 func TestKillDispatcher_OutcomesAreDroppedAndLostWebhooksResubmitted(t *testing.T) {
 	s := newScenario(engine.Fault{Kind: "hang", At: 4 * sec, Duration: 20 * sec, Busiest: 8},
 		engine.Fault{Kind: "kill", At: 6 * sec, Duration: 30 * sec, Dispatchers: []int{0}})
-	w, events, _ := run(t, s, newPolicy, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
-	assert.Empty(t, w.ViolationCount, describe(w.Violations))
+	checker, events, _ := run(t, s, newPolicy, event.Accepted, event.Killed, event.AttemptEnded, event.Finished, event.AttemptStarted)
+	assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 	dead := false
-	out, again, died := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
+	inFlight, accepted, lost := map[event.RequestID]api.EventTypeID{}, map[event.RequestID]bool{}, map[event.RequestID]bool{}
 	for _, e := range events {
 		switch {
 		case e.Kind == event.Killed:
 			dead = true
 		case e.Kind == event.AttemptStarted && e.Dispatcher == 0:
-			out[e.Request] = e.EventType
+			inFlight[e.Request] = e.EventType
 		case e.Kind == event.AttemptEnded && e.Dispatcher == 0:
-			assert.False(t, dead, "an outcome came to a dead dispatcher")
-			delete(out, e.Request)
+			assert.False(t, dead, "an outcome reached a dead dispatcher")
+			delete(inFlight, e.Request)
 		case e.Kind == event.Finished && e.Final == event.StateLost:
-			died[e.Request] = true
-		case e.Kind == event.Accepted && dead && died[e.Request]:
-			again[e.Request] = true
+			lost[e.Request] = true
+		case e.Kind == event.Accepted && dead && lost[e.Request]:
+			accepted[e.Request] = true
 		}
 	}
-	require.NotEmpty(t, out)
-	handedOn := 0
-	for o, evt := range out {
-		if again[o] {
-			handedOn++
-			assert.NotEqual(t, "at-most-once", s.EventTypes[evt].Semantics, "it may have run")
+	require.NotEmpty(t, inFlight)
+	resubmitted := 0
+	for request, eventType := range inFlight {
+		if accepted[request] {
+			resubmitted++
+			assert.NotEqual(t, "at-most-once", s.EventTypes[eventType].Semantics, "it may have run")
 		}
 	}
-	assert.Positive(t, handedOn)
+	assert.Positive(t, resubmitted)
 }
 
 func TestSlowStart_OverloadedDestinationCollapses(t *testing.T) {
@@ -110,30 +110,30 @@
 	hammer := func(f api.Settings, h api.Host) api.Policy {
 		return baseline.New(f, h, f.MaxAttempts, baseline.NoBackoff)
 	}
-	_, events, sum := run(t, s, hammer, event.Collapsed, event.CallArrived)
-	require.Equal(t, 1, sum.Collapsed)
-	fell, before := false, 0
+	_, events, summary := run(t, s, hammer, event.Collapsed, event.CallArrived)
+	require.Equal(t, 1, summary.Collapsed)
+	collapsed, before := false, 0
 	for _, e := range events {
 		switch {
 		case e.Kind == event.Collapsed:
-			fell = true
+			collapsed = true
 			assert.EqualValues(t, 0, e.Destination)
-		case e.Destination == 0 && fell:
-			assert.Fail(t, "a call reached it after it fell", "%v", &e)
+		case e.Destination == 0 && collapsed:
+			assert.Fail(t, "a call reached it after it collapsed", "%v", &e)
 		case e.Destination == 0:
 			before++
 		}
 	}
 	assert.Positive(t, before)
-	_, _, sum = run(t, s, newPolicy)
-	assert.Zero(t, sum.Collapsed)
+	_, _, summary = run(t, s, newPolicy)
+	assert.Zero(t, summary.Collapsed)
 }
 
 func TestReplaceEndpoint_DrainsAndMayKeepTheAddress(t *testing.T) {
 	for _, address := range []string{"new", "same"} {
 		s := newScenario(engine.Fault{Kind: "replace", At: 5 * sec, Busiest: 1, DrainTime: 4 * sec, Address: address})
-		w, events, _ := run(t, s, newPolicy, event.AttemptStarted, event.EndpointUpdated)
-		assert.Empty(t, w.ViolationCount, describe(w.Violations))
+		checker, events, _ := run(t, s, newPolicy, event.AttemptStarted, event.EndpointUpdated)
+		assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
 		last := events[len(events)-1]
 		before, after := map[api.EndpointID]bool{}, map[api.EndpointID]bool{}
 		for _, e := range events {
@@ -161,41 +161,41 @@
 			failed++
 		}
 	}
-	assert.Positive(t, failed, "four dispatchers share one place")
+	assert.Positive(t, failed, "four dispatchers share one connection")
 }
 
 func TestRestart_AcceptsNothingWhileDraining(t *testing.T) {
 	s := newScenario(
 		engine.Fault{Kind: "restart", At: 5 * sec, Duration: sec / 2, DrainTime: 2 * sec, Dispatchers: []int{0}},
 	)
-	w, events, sum := run(t, s, newPolicy, event.Accepted, event.Started)
-	assert.Empty(t, w.ViolationCount, describe(w.Violations))
-	assert.Zero(t, sum.StateLost+sum.Unfinished)
-	taken := map[bool]int{}
+	checker, events, summary := run(t, s, newPolicy, event.Accepted, event.Started)
+	assert.Empty(t, checker.ViolationCount, describe(checker.Violations))
+	assert.Zero(t, summary.StateLost+summary.Unfinished)
+	accepted := map[bool]int{}
 	for _, e := range events {
 		if e.Kind == event.Accepted && e.Dispatcher == 0 {
 			at := e.At.Seconds()
-			assert.False(t, at > 5.01 && at < 7.5, "taken on at %.2f, on its way out", at)
-			taken[at > 7.5]++
+			assert.False(t, at > 5.01 && at < 7.5, "accepted at %.2f while it drains", at)
+			accepted[at > 7.5]++
 		}
 	}
-	assert.Positive(t, taken[false])
-	assert.Positive(t, taken[true])
+	assert.Positive(t, accepted[false])
+	assert.Positive(t, accepted[true])
 }
 
 func TestLoadSkewAndHotSpot(t *testing.T) {
 	s := newScenario(engine.Fault{Kind: "hot", Duration: 30 * sec, Destinations: []int{7}, Magnitude: 0.5})
 	s.Dispatchers.LoadSkew, s.EventTypes = 0.8, s.EventTypes[:1]
-	_, events, sum := run(t, s, newPolicy, event.Accepted, event.Offered)
-	taken, hot := map[int32]int{}, 0
+	_, events, summary := run(t, s, newPolicy, event.Accepted, event.Offered)
+	accepted, hot := map[int32]int{}, 0
 	for _, e := range events {
 		if e.Kind == event.Accepted {
-			taken[e.Dispatcher]++
+			accepted[e.Dispatcher]++
 		} else if e.Destination == 7 {
 			hot++
 		}
 	}
-	assert.Greater(t, taken[0], 5*taken[1], "the first gets nine times what the last gets")
-	assert.Positive(t, taken[1])
-	assert.InDelta(t, 0.5+0.5*0.08, float64(hot)/float64(sum.Offered), 0.05)
+	assert.Greater(t, accepted[0], 5*accepted[1], "the first gets nine times what the last gets")
+	assert.Positive(t, accepted[1])
+	assert.InDelta(t, 0.5+0.5*0.08, float64(hot)/float64(summary.Offered), 0.05)
 }
