--- a/test/integration/serving/cluster_test.go
+++ b/test/integration/serving/cluster_test.go
@@ -40,10 +40,14 @@
 	machinesPerRole   = 3
 )
 
+// programSelector returns the folder that a program is started from on the machine whose address ends in a number;
+// empty: the folder of the programs built by TestMain.
+type programSelector func(program string, number int) string
+
 // cluster is a complete serving system with its endpoints and its operator.
 type cluster struct {
 	t        *testing.T
-	programs string // folder of the programs; empty: those built by TestMain
+	programs programSelector
 	folder   string // of settings and disks
 	network  string // the first three numbers of all addresses
 	cores    []*node
@@ -64,6 +68,12 @@
 
 // startClusterWithPrograms is startCluster with the programs of a folder; empty: those built by TestMain.
 func startClusterWithPrograms(t *testing.T, programs string) *cluster {
+	t.Helper()
+	return startClusterWithSelector(t, func(string, int) string { return programs })
+}
+
+// startClusterWithSelector is startCluster with programs chosen for each process.
+func startClusterWithSelector(t *testing.T, programs programSelector) *cluster {
 	t.Helper()
 	c := &cluster{
 		t:        t,
@@ -109,7 +119,7 @@
 		ip:              fmt.Sprintf("%s.%d", c.network, number),
 		log:             subprocess.NewLog(),
 		firstRun:        true,
-		programs:        c.programs,
+		programs:        c.programs(program, number),
 		settingsFile:    filepath.Join(c.folder, fmt.Sprintf("%s-%d.conf", program, number)),
 		unreachableFile: filepath.Join(c.folder, fmt.Sprintf("%s-%d.cut", program, number)),
 	}
