--- /dev/null
+++ b/cluster/member/custody/compatibility_test.go
@@ -0,0 +1,57 @@
+package custody
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"rowanlink/cluster/shardmap"
+	"rowanlink/webhook/api"
+	"rowanlink/webhook/dispatcher/inflight"
+)
+
+// TestCompatibility_CustodyFolder reads the custody records of release 63a0b91: an upgrade must not lose a doubt, or a
+// binding reply, else two members could deliver a webhook. As the dispatcher of the test has no webhook "ended", its
+// recovered record has no offer any more.
+func TestCompatibility_CustodyFolder(t *testing.T) {
+	const (
+		incarnation = uint64(17660094067705403347)
+		ttl         = 4_102_444_800 * api.Second // in the year 2100
+	)
+	dir := t.TempDir()
+	require.NoError(t, os.CopyFS(dir, os.DirFS("testdata/compatibility/names")))
+
+	s := openStore(t, dir, 1, "offered", "arriving")
+
+	assert.Equal(t, incarnation, s.Incarnation)
+	assert.Equal(t, 4, s.table.Len())
+	want := map[inflight.RequestID]shardmap.CustodyRecord{
+		"offered": {
+			Handoff: 1,
+			Present: true,
+			TTL:     ttl,
+			Offer: shardmap.Offer{
+				To:          "m2",
+				Incarnation: 3,
+				Move:        5,
+				Range:       6,
+				Epoch:       7,
+				SentAt:      1_700_000_000 * api.Second,
+				Uncertain:   true,
+			},
+		},
+		"ended":    {Handoff: 1, TTL: ttl},
+		"arriving": {Handoff: 2, Present: true, TTL: ttl},
+		"asked":    {RejectedUpTo: 4, TTL: ttl},
+	}
+	for requestID, record := range want {
+		record.ID = IDOf(requestID)
+		saved := s.SaveRecord(record.ID)
+		assert.True(t, saved.Known, requestID)
+		assert.Equal(t, record, saved.Record, requestID)
+	}
+	assert.True(t, s.IsInDoubt("offered"))
+	assert.False(t, s.IsInDoubt("ended"))
+}
