--- a/webhook/policy/connections.go
+++ b/webhook/policy/connections.go
@@ -2,10 +2,11 @@
 
 import "rowanlink/webhook/api"
 
-// closeIdleConnections closes idle connections that keep other dispatchers out, as soon as the last call of an endpoint has
-// ended, and reports whether it did. Endpoints of a kind that has recently refused a connection may accept only a few from
-// all dispatchers together, and hundreds that stay idle for half a second exhaust that limit. It does nothing where the
-// calls at the listed rate need a connection for each dispatcher.
+// closeIdleConnections closes an endpoint's idle connections if they may keep other dispatchers from connecting, and
+// reports whether it did. It is called as soon as the endpoint's last call has ended: where endpoints of the kind have
+// recently refused a connection, each may accept only a few from all dispatchers together, and hundreds of connections
+// that stay idle for half a second, until the periodic work, exhaust that limit. Connections are kept where the calls
+// at the listed rate need one for each dispatcher.
 func (p *Policy) closeIdleConnections(e *endpoint) bool {
 	dispatchers := float64(p.settings.Dispatchers)
 	concurrent := e.route.listedRate * e.route.meanLatency / float64(api.Second) * dispatchers
--- a/webhook/policy/constants.go
+++ b/webhook/policy/constants.go
@@ -2,56 +2,78 @@
 
 import "rowanlink/internal/backoff"
 
-// Tuned values. docs/design.md has the trade-off of each, and how sensitive the results are to it.
+// Tuned values. docs/design.md has the trade-off behind each of them, and how sensitive the results are to it.
 
-// Backoff and time-outs.
+// Backoff and time-outs. The first two are shares of the shorter of TTL and deduplication window.
 const (
-	maxBackoffShare     = 0.25    // m of the schedule, as a share of the shorter of TTL and deduplication window
-	attemptTimeoutShare = 0.7     // time-out of an attempt, as a share of the shorter of TTL and deduplication window
-	timeoutCutPerLoss   = 6.0     // how fast the time-out shrinks with the share of answers lost
-	tailLatencyFactor   = 6.0     // it shrinks to so many mean latencies, ...
-	minTailShare        = 1.0 / 3 // ... and to this share of them where many answers are lost
+	maxBackoffShare     = 0.25 // longest backoff delay
+	attemptTimeoutShare = 0.7  // longest time-out of an attempt
+
+	// The time-out of an attempt shrinks by timeoutCutPerLoss times the share of calls that timed out, but not below
+	// tailLatencyFactor mean latencies of the route. Of these at least minTailShare remain where many calls time out.
+	timeoutCutPerLoss = 6.0
+	tailLatencyFactor = 6.0
+	minTailShare      = 1.0 / 3
 )
 
 // Smoothing and unresponsive routes.
 const (
-	smoothing          = 1.0 / 8 // weight of a new value in the moving averages
-	unresponsiveFactor = 4.0     // times the mean latency, or the expected gap between answers: slow, or unresponsive
+	smoothing = 1.0 / 8 // weight of a new value in the moving averages
+
+	// unresponsiveFactor is how many times the mean latency over all routes a slow route has, and for how many times the
+	// expected gap between its answers an unresponsive route has given none.
+	unresponsiveFactor = 4.0
 )
 
 // Adaptive rate.
 const (
 	rateDecrease      = 0.8     // factor after a rejection
-	rateIncrease      = 0.03    // calls per second added by a success
-	rateProbeIncrease = 0.12    // the same where the queue is long and nothing was rejected recently
-	minRateShare      = 1.0 / 2 // of the listed rate
-	burstSeconds      = 0.5     // seconds of the rate that may be sent at once
-	headroomHalvings  = 3       // reported headroom halves so often more with each rejection in a row
+	rateIncrease      = 0.03    // calls per second by which a success raises the rate
+	rateProbeIncrease = 0.12    // the same where the queue is long and no call was rejected recently
+	minRateShare      = 1.0 / 2 // least rate after rejections, as a share of the listed rate
+	burstSeconds      = 0.5     // depth of the token bucket, in seconds of the rate
+	headroomHalvings  = 3       // additional halvings of the reported headroom with each consecutive rejection
 )
 
 // Health and slow start.
 const (
-	unhealthyAfterFailures   = 3    // in a row, of a route or endpoint
-	unhealthyAfterRejections = 6    // in a row
-	unhealthyFailureRate     = 0.5  // share of failed calls
-	minCanaryShare           = 0.1  // least interval of canaries, as a share of the slow start; the longest is all of it
-	slowStartSpansPerCall    = 2.0  // in slow start at least one call in so many durations of the slow start
-	slowStartBudgetShare     = 0.75 // share of a recovering route's capacity that is used
+	// After unhealthyAfterFailures consecutive failures an endpoint is ejected. A route is unhealthy when all of its
+	// endpoints have as many.
+	unhealthyAfterFailures   = 3
+	unhealthyAfterRejections = 6 // consecutive rejections after which a route is unhealthy
+
+	// unhealthyFailureRate is the share of failed calls above which a route enters slow start. Above half of it, the route
+	// gets the smaller share of the slots.
+	unhealthyFailureRate = 0.5
+
+	// The interval between canaries is between minCanaryIntervalShare of the slow start's duration and all of it.
+	minCanaryIntervalShare = 0.1
+
+	slowStartDurationsPerCall = 2.0  // least rate in slow start: one call in this many durations of the slow start
+	slowStartBudgetShare      = 0.75 // share that is used of the load at which a recovering destination would fail again
 )
 
 // Endpoint selection, quotas, buffer and connections.
 const (
-	remoteZonePenalty     = 1.2 // weight of another zone's latency in the ranking
-	quotaBurstSeconds     = 2.0 // seconds of a tenant's quota that may be used at once
-	maxBufferFill         = 0.9 // share of the buffer at which shedding begins
-	connectionsPerCall    = 2.0 // connections that an endpoint accepts, over its concurrent calls at the listed rate, ...
-	minConnections        = 6.0 // ... and at least
-	stallTicks            = 20  // turn intervals by which its own timer is late where the dispatcher has stalled
-	connectionLimitMemory = 10  // slow starts for which a refused connection counts for its kind of destination
+	remoteZonePenalty = 1.2 // factor on the latency of another zone's endpoints in the ranking
+	quotaBurstSeconds = 2.0 // depth of a tenant's token bucket, in seconds of the quota
+	maxBufferFill     = 0.9 // share of the buffer at which shedding begins
+
+	// An endpoint is assumed to accept connectionsPerCall connections for each of its concurrent calls at the listed rate,
+	// and at least minConnections.
+	connectionsPerCall = 2.0
+	minConnections     = 6.0
+
+	// stallTurnIntervals is by how many turn intervals the periodic timer is late where the dispatcher has stalled.
+	stallTurnIntervals = 20
+
+	// retentionSlowStarts is for how many durations of the slow start a refused connection counts for its kind of
+	// destination, and an endpoint that left the list is remembered.
+	retentionSlowStarts = 10
 )
 
 // Shares of MaxInFlight.
 const (
 	healthyConcurrencyShare   = backoff.FullShare
-	unhealthyConcurrencyShare = backoff.UnhealthyShare // also of all unhealthy routes together
+	unhealthyConcurrencyShare = backoff.UnhealthyShare // also for the canaries to all unhealthy routes together
 )
--- a/webhook/policy/endpoint_list.go
+++ b/webhook/policy/endpoint_list.go
@@ -8,7 +8,7 @@
 	"rowanlink/webhook/api"
 )
 
-// UpdateEndpoints takes an endpoint list: the complete list, or the entries that have changed.
+// UpdateEndpoints applies an endpoint list: the complete list, or only the entries that have changed.
 func (p *Policy) UpdateEndpoints(list []api.EndpointEntry, complete bool) {
 	p.now = p.host.Now()
 	if complete {
@@ -26,7 +26,7 @@
 }
 
 func (p *Policy) updateEndpoint(entry api.EndpointEntry) {
-	d := p.destination(entry.Destination)
+	d := p.ensureDestination(entry.Destination)
 	d.kind = p.kinds[min(int(entry.Kind), len(p.kinds)-1)]
 	e := p.endpoints[entry.Endpoint]
 	if e == nil {
@@ -39,7 +39,8 @@
 		if e.listed {
 			p.addListed(d, e)
 		} else {
-			p.delistedEndpoints = append(p.delistedEndpoints, e) // never listed here: it is forgotten like a removed one
+			// An endpoint that is new and not active is forgotten like a removed one.
+			p.delistedEndpoints = append(p.delistedEndpoints, e)
 		}
 	}
 	p.updateListedRate(d, e.route, entry.Rate)
@@ -61,12 +62,13 @@
 
 func (p *Policy) addListed(d *destination, e *endpoint) {
 	if len(d.endpoints) == 0 && len(d.queue) > 0 {
-		p.startSlowStart(e.route) // else all dispatchers would send their queues at once
+		p.startSlowStart(e.route) // all dispatchers may have queued webhooks, and would send them at once
 	}
 	d.endpoints = append(d.endpoints, e)
 }
 
-// updateListedRate takes over this dispatcher's share of the rate in the list, unless the destination reports its own.
+// updateListedRate sets the listed rate to this dispatcher's share of total, the rate in the endpoint list, unless the
+// destination reports its limit itself.
 func (p *Policy) updateListedRate(d *destination, r *route, total float64) {
 	share := total / float64(p.settings.Dispatchers)
 	if !p.settings.RatesListed || !isRate(share) || r != nil && r.rateReported {
@@ -80,9 +82,11 @@
 	}
 }
 
-// isRate is false for NaN, too.
+// isRate reports whether a rate is positive and finite, which NaN is not.
 func isRate(rate float64) bool { return rate > 0 && !math.IsInf(rate, 0) }
 
+// removeDelisted removes a destination's endpoints that are no longer listed as active. They are remembered for a
+// while, in case they return.
 func (p *Policy) removeDelisted(d *destination) {
 	d.endpoints = slices.DeleteFunc(d.endpoints, func(e *endpoint) bool {
 		if !e.listed {
@@ -93,7 +97,8 @@
 	})
 }
 
-// ReportLoad takes a destination's own limit: it replaces a rate that lists don't state, or state only roughly.
+// ReportLoad takes the limit that a destination reports. It replaces the rate from the endpoint list, which may be
+// missing or imprecise.
 func (p *Policy) ReportLoad(report api.LoadReport) {
 	e := p.endpoints[report.Endpoint]
 	share := report.Limit / float64(p.settings.Dispatchers)
@@ -111,8 +116,9 @@
 	r.listedRate += smoothing * (share - r.listedRate)
 }
 
-// newRoute returns a route with a listed rate. Where none is listed (0) and until one is reported, it assumes that each slot
-// is used once per second; where lists state no rates at all, the slots are shared evenly by all destinations.
+// newRoute returns a route with this listed rate, in calls per second; its token bucket fills from since on. If no rate
+// is listed (0), the route has an assumed rate until one is reported: one call per second for each slot or, where lists
+// state no rates at all, an equal share of that for each destination.
 func (p *Policy) newRoute(logName api.EndpointID, listedRate float64, since api.Micros) *route {
 	assumed := float64(p.settings.MaxInFlight)
 	if !p.settings.RatesListed {
@@ -130,7 +136,8 @@
 	}
 }
 
-// ensureRoute gives a destination its shared route with its first webhook. Most destinations never need one.
+// ensureRoute creates the destination's shared route if there is none, and returns the destination. Routes are created
+// on demand, since most destinations never get a webhook.
 func (p *Policy) ensureRoute(d *destination) *destination {
 	if d.sharedRoute == nil {
 		d.sharedRoute = p.newRoute(0, d.listedRate, d.firstSeenAt)
@@ -142,13 +149,15 @@
 	return d
 }
 
-// rankEndpoints sorts a destination's endpoints by preference: fast ones in this zone first.
+// rankEndpoints sorts a destination's endpoints by mean latency, with a penalty on those in other zones.
 func (p *Policy) rankEndpoints(d *destination) {
 	if len(d.endpoints) < 2 {
 		return
 	}
 	cost := func(e *endpoint) float64 {
-		if e.zone != p.settings.Zone { // not preferred while unmeasured: each call to another zone occupies its slot for longer
+		if e.zone != p.settings.Zone {
+			// An endpoint without a measured latency counts with the overall mean, so that it isn't preferred: a call
+			// to another zone occupies its slot for longer.
 			return cmp.Or(e.meanLatency, p.meanLatency) * remoteZonePenalty
 		}
 		return e.meanLatency
--- a/webhook/policy/endpoint_selection.go
+++ b/webhook/policy/endpoint_selection.go
@@ -6,14 +6,16 @@
 	"rowanlink/webhook/api"
 )
 
-// allowsZone prevents duplicates: where endpoints share deduplication by zone only, a webhook that may have run
-// stays in the zone of that attempt.
+// allowsZone reports whether the webhook may be sent to e's zone. Where only endpoints of one zone share their
+// deduplication state, a deduplicated webhook that may have run stays in the zone of that attempt: in another zone it
+// could run twice.
 func (p *Policy) allowsZone(w *webhook, e *endpoint) bool {
 	zoneBound := w.mayHaveRunAt != never && w.eventType.Semantics == api.Deduplicated && w.eventType.DedupByZone
 	return !zoneBound || w.mayHaveRunIn == e.zone
 }
 
-// selectEndpoint takes the first endpoint of the ranking that has capacity.
+// selectEndpoint selects the most preferred endpoint that has capacity, whose route admits a call and that isn't
+// ejected. If the webhook can join a call, checkConcurrency has already selected the endpoint of that call.
 func (p *Policy) selectEndpoint(w *webhook) stageResult {
 	if p.selected != nil {
 		return proceed
@@ -29,7 +31,8 @@
 	return wait
 }
 
-// limitPerEndpoint divides a shared route's concurrency limit among its endpoints.
+// limitPerEndpoint is the maximum of calls in flight to one endpoint: an equal part of the shared route's concurrency
+// limit or, for a single endpoint or one with its own route, the largest share of the slots that any route may use.
 func (p *Policy) limitPerEndpoint(d *destination) float64 {
 	if n := len(d.endpoints); n > 1 && !d.kind.SeparateRoutes {
 		return math.Ceil(float64(p.concurrencyLimit(d.sharedRoute)) / float64(n))
@@ -37,17 +40,18 @@
 	return math.Ceil(float64(p.settings.MaxInFlight) * healthyConcurrencyShare)
 }
 
-// isEjected reports whether an endpoint that fails among healthy ones gets no call now. From time to time it gets a single
-// canary.
+// isEjected reports whether an endpoint gets no call now because it fails while its route is healthy. An ejected
+// endpoint gets a single canary per canary interval.
 func (p *Policy) isEjected(e *endpoint) bool {
 	failing := e.consecutiveFailures >= unhealthyAfterFailures && !e.route.unhealthy
 	return failing && (p.now < e.nextCanaryAt || e.inFlight > 0)
 }
 
-// send starts the attempt at the selected endpoint, in a call that starts in this turn.
+// send starts the attempt at the selected endpoint: in that endpoint's open call if the call started in this turn and
+// has space, else in a new call.
 func (p *Policy) send(w *webhook) stageResult {
 	e := p.selected
-	if k := e.openCall; k == nil || k.turnNumber != p.turnNumber || k.pending >= w.destination.kind.BatchSize {
+	if c := e.openCall; c == nil || c.turnNumber != p.turnNumber || c.pending >= w.destination.kind.BatchSize {
 		p.openCall(w.destination, e)
 	}
 	w.call = e.openCall
@@ -60,7 +64,7 @@
 	return proceed
 }
 
-// openCall starts a call and takes a token for it.
+// openCall starts a call and takes a token for it. If the call is a canary, it sets the earliest time of the next one.
 func (p *Policy) openCall(d *destination, e *endpoint) {
 	r := e.route
 	if r.inFlight == 0 {
@@ -75,9 +79,10 @@
 	}
 }
 
-// attemptTimeout is long by default, since an attempt that timed out may still run, which can end the webhook. Where
-// answers get lost (lost responses, one of several endpoints that hangs) it shrinks towards the latency of those that
-// arrive. Each time-out in a row doubles it, so that a destination that has become slow still gets to answer.
+// attemptTimeout is the time-out of an attempt. It is long by default: an attempt that timed out may still run, after
+// which an at-most-once webhook can't be retried. Where answers are lost (lost responses, one of several endpoints that
+// hangs) the time-out shrinks towards the latency of the answers that arrive. Each consecutive failure of the endpoint
+// doubles that lower bound, so that a destination that has become slow can still answer.
 func (p *Policy) attemptTimeout(w *webhook, e *endpoint) api.Micros {
 	timeout := float64(w.eventType.maxTimeout)
 	if r := e.route; r.meanLatency > 0 && !r.unhealthy {
@@ -89,5 +94,5 @@
 	return max(min(api.Micros(timeout), w.deadline-p.now), 1)
 }
 
-// maxTimeoutDoublings bounds the growth of a time-out.
+// maxTimeoutDoublings limits how often consecutive failures double the lower bound of a time-out.
 const maxTimeoutDoublings = 9
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -6,8 +6,8 @@
 	"rowanlink/webhook/api"
 )
 
-// latestSend is the last moment for an attempt: two turn intervals before the deadline and, where a deduplicated webhook
-// may have run, within the time for which the destination remembers its key.
+// latestSend is the latest time at which an attempt may start: two turn intervals before the deadline and, for a
+// deduplicated webhook that may have run, as long before the destination forgets its idempotency key.
 func (p *Policy) latestSend(w *webhook) api.Micros {
 	margin := 2 * p.settings.MinTurnInterval
 	latest := w.deadline - margin
@@ -17,7 +17,8 @@
 	return latest
 }
 
-// giveUp ends a webhook at once: rejected, with a Retry-After, where no attempt may have run, else dead-lettered.
+// giveUp gives a webhook its final answer at once: a rejection with a Retry-After if no attempt may have run, else a
+// dead letter.
 func (p *Policy) giveUp(w *webhook) {
 	if w.mayHaveRunAt != never {
 		p.host.DeadLetter(w.id)
@@ -28,7 +29,7 @@
 	p.forget(w)
 }
 
-// forget drops a webhook that has ended; one with an attempt in flight is kept for the outcome.
+// forget marks a webhook as finished and drops it. With an attempt in flight, the webhook is kept until the outcome.
 func (p *Policy) forget(w *webhook) {
 	if !w.finished {
 		w.finished = true
--- a/webhook/policy/load_shedding.go
+++ b/webhook/policy/load_shedding.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// shedLoad keeps the buffer from filling up: beyond a share of it, the webhooks of least value of the destination with the
-// longest queue are rejected, so that those of other destinations are still admitted.
+// shedLoad keeps the buffer from filling up. While the buffer is filled beyond maxBufferFill, the least valuable
+// webhooks of the destination with the longest queue are rejected, so that webhooks for other destinations are still
+// accepted.
 func (p *Policy) shedLoad() {
-	p.grandfathered = min(p.grandfathered, p.unanswered)
-	limit := max(int(maxBufferFill*float64(p.settings.BufferSize)), p.grandfathered, 1)
+	p.exemptFromShedding = min(p.exemptFromShedding, p.unanswered)
+	limit := max(int(maxBufferFill*float64(p.settings.BufferSize)), p.exemptFromShedding, 1)
 	p.updateShedding(limit)
 	for p.unanswered > limit && len(p.backlogged) > 0 {
 		d := slices.MaxFunc(p.backlogged, func(a, b *destination) int { return len(a.queue) - len(b.queue) })
@@ -19,7 +20,8 @@
 	}
 }
 
-// updateShedding logs when shedding begins, and when it ends at half of the limit.
+// updateShedding logs that shedding begins when more webhooks are pending than the limit, and that it ends when at most
+// half as many are.
 func (p *Policy) updateShedding(limit int) {
 	begins := !p.shedding && p.unanswered > limit
 	ends := p.shedding && p.unanswered <= limit/2
@@ -29,7 +31,8 @@
 	}
 }
 
-// leastValuable returns the last webhook by priority that no attempt may have run, or nil.
+// leastValuable returns the queued webhook of lowest priority that can be rejected, or nil. A webhook can be rejected
+// while no attempt may have run.
 func (p *Policy) leastValuable(d *destination) *webhook {
 	var victim *webhook
 	for _, w := range d.queue {
--- a/webhook/policy/outcome.go
+++ b/webhook/policy/outcome.go
@@ -8,27 +8,28 @@
 	"rowanlink/webhook/api"
 )
 
-// AttemptEnded takes the result of an attempt and decides what becomes of its webhook.
+// AttemptEnded updates the learned state with the result of an attempt. It then retries the webhook, gives it up or, if
+// it has its final answer, forgets it.
 func (p *Policy) AttemptEnded(result api.AttemptResult) {
 	p.now = p.host.Now()
 	w := p.webhooks[result.Webhook]
 	if w == nil || w.call == nil {
 		return
 	}
-	k := w.call
+	c := w.call
 	w.call = nil
-	// Webhooks that shared a call may each get another Retry-After: the longest counts.
-	if r := k.endpoint.route; result.RetryAfter > 0 {
+	// Webhooks that share a call may get different Retry-After delays: the longest applies.
+	if r := c.endpoint.route; result.RetryAfter > 0 {
 		r.retryAfterUntil = max(r.retryAfterUntil, p.now+result.RetryAfter+1)
 	}
-	if !k.recorded {
-		k.recorded = true
-		p.recordOutcome(k.endpoint, result)
+	if !c.recorded {
+		c.recorded = true
+		p.recordOutcome(c.endpoint, result)
 	}
-	p.finishCall(k)
+	p.finishCall(c)
 	if !result.Outcome.NeverRan() && w.mayHaveRunAt == never {
 		w.mayHaveRunAt = w.sentAt
-		w.mayHaveRunIn = k.endpoint.zone
+		w.mayHaveRunIn = c.endpoint.zone
 	}
 	if s := p.sequences[w.orderingKey]; s != nil && w.eventType.Ordered && result.Outcome.MayStillRun() {
 		s.pausedUntil = max(s.pausedUntil, p.now+p.settings.OrderingGap)
@@ -41,16 +42,17 @@
 	p.scheduleRetry(w)
 }
 
-// recordOutcome updates what is known of the endpoint and its route, once for all the webhooks of a call.
+// recordOutcome updates the learned state of the endpoint and its route, once for all webhooks of a call.
 func (p *Policy) recordOutcome(e *endpoint, result api.AttemptResult) {
 	r := e.route
 	r.lastOutcomeAt = p.now
 	r.wakeUpAt = 0
 	outcome := p.classify(result)
 	refusedQuickly := outcome == api.ConnectFailed && p.failedQuickly(result)
-	// A quick refusal shows a connection limit; an endpoint that doesn't answer at all shows none.
+	// A connect that fails quickly was refused, which suggests a connection limit; an endpoint that doesn't answer at
+	// all suggests none.
 	if outcome == api.ConnectionLimited || refusedQuickly {
-		e.destination.kind.connectionLimitedUntil = p.now + connectionLimitMemory*p.settings.SlowStartDuration
+		e.destination.kind.connectionLimitedUntil = p.now + retentionSlowStarts*p.settings.SlowStartDuration
 	}
 	switch outcome {
 	case api.Delivered:
@@ -65,9 +67,9 @@
 	}
 }
 
-// classify takes a quick connect failure for a connection limit where the host doesn't distinguish them: connecting to an
-// endpoint that doesn't answer takes the complete time-out. One that has crashed refuses as quickly; it is recognized by
-// how long it refuses connections.
+// classify returns the outcome of an attempt. Where the host doesn't report connection limits as such, a connect that
+// fails quickly is taken for one: connecting to an endpoint that doesn't answer takes the complete time-out. An
+// endpoint that has crashed refuses as quickly; recordConnectionLimit recognizes it by how long it refuses connections.
 func (p *Policy) classify(result api.AttemptResult) api.Outcome {
 	ambiguous := result.Outcome == api.ConnectFailed && !p.settings.ConnectionLimitsReported
 	if ambiguous && p.failedQuickly(result) {
@@ -92,7 +94,7 @@
 	e.lastSuccessAt = p.now
 	r.lastSuccessAt = p.now
 	r.consecutiveRejections = 0
-	e.connectionLimit += smoothing // the refused connection may have been a single one
+	e.connectionLimit += smoothing // the refusal that lowered the limit may have been an isolated one
 	r.failureRate = (1 - smoothing) * r.failureRate
 	r.timeoutRate = (1 - smoothing) * r.timeoutRate
 	p.timeoutRate -= smoothing / 4 * p.timeoutRate
@@ -101,8 +103,9 @@
 	p.updateRecovery(r)
 }
 
-// rateStep is by how much a success raises the rate. The listed rate may be far too low: where the queue is longer than
-// the rate can carry within the latency target, and nothing was rejected for long, the step is larger.
+// rateStep is the amount by which a success raises the rate, in calls per second. The listed rate may be far too low:
+// where the queue is longer than the rate can send within the latency target, and no call was rejected for long, the
+// step is larger.
 func (p *Policy) rateStep(e *endpoint) float64 {
 	queue := e.destination.queue
 	if len(queue) == 0 || p.now-e.route.rateDecreasedAt <= p.settings.SlowStartDuration {
@@ -121,21 +124,24 @@
 	if r.usedFallbackRate && retryAfter < p.settings.OverloadDuration {
 		e.destination.kind.fallbackRate *= rateDecrease
 	}
-	// Rejections may count against the limit: no other webhook follows at once, and the rate falls.
+	// The destination may count rejected calls against its limit: no other webhook follows at once, and the rate is
+	// lowered.
 	r.tokens = min(r.tokens, 0.5-p.random.Float64())
 	if p.now-r.rateDecreasedAt > api.Second/2 {
 		r.rateDecreasedAt = p.now
 		r.rate = max(r.rate*rateDecrease, r.listedRate*minRateShare)
 	}
-	// A destination that is closed and one that is limited look alike, except for how long it lasts: a delay longer than a
-	// recovering destination would need to fail again, or nothing but rejections for some time, is taken for an outage.
+	// A destination that is out of service and one at its rate limit both reject calls; only the duration tells them
+	// apart. A Retry-After delay longer than OverloadDuration (the time in which overload makes a recovering
+	// destination fail again), or many rejections without a success, is taken for an outage.
 	if retryAfter > p.settings.OverloadDuration || r.consecutiveRejections >= unhealthyAfterRejections {
 		p.markUnhealthy(r)
 	}
 }
 
-// recordConnectionLimit handles a connection that was refused for a limit. The destination runs, so there is no slow
-// start. If there is no other outcome for long, the destination may be out of service and show it in this way.
+// recordConnectionLimit lowers the endpoint's connection limit after a connection was refused for a limit. The
+// destination runs, so the route doesn't enter slow start. If there is no success for long, the destination may be out
+// of service and refuse all connections: the route becomes unhealthy.
 func (p *Policy) recordConnectionLimit(e *endpoint) {
 	r := e.route
 	e.connectionLimit = float64(max(e.inFlight-1, 1))
@@ -148,8 +154,9 @@
 
 func (p *Policy) recordFailure(e *endpoint, outcome api.Outcome) {
 	r := e.route
-	// A connection limit is no outage, since other calls succeed. The learned limit rises with them: the refusal may have
-	// been the beginning of an outage. Where limits are reported this is not one, and counts as a failure.
+	// A failed connect shortly after a success suggests a connection limit, not an outage. It may be the beginning of
+	// an outage nevertheless, so successes raise the learned limit again. Where connection limits are reported as such,
+	// the failed connect counts as a failure, too.
 	if outcome == api.ConnectFailed && p.now-e.lastSuccessAt < 2*p.settings.ConnectTimeout {
 		e.connectionLimit = float64(max(e.inFlight-1, 1))
 		if !p.settings.ConnectionLimitsReported {
@@ -160,14 +167,15 @@
 	recentSuccess := p.now-e.lastSuccessAt < p.settings.OverloadDuration
 	e.lastFailureAt = p.now
 	if outcome == api.ConnectionReset && isolated && recentSuccess {
-		p.host.CloseIdleConnections(e.id) // other connections to it may have ended unnoticed, too
+		p.host.CloseIdleConnections(e.id) // other connections to it may be broken without notice, too
 		return
 	}
 	if outcome == api.TimedOut || outcome == api.Cancelled {
 		p.recordTimeout(e)
 	}
 	e.consecutiveFailures++
-	// Neither further failures of an ejected endpoint nor a single broken connection tell anything of the route.
+	// Neither further failures of an ejected endpoint nor a connection reset soon after a success say anything about
+	// the route.
 	representative := outcome != api.ConnectionReset || p.now-e.lastSuccessAt > p.settings.OverloadDuration
 	if e.consecutiveFailures <= unhealthyAfterFailures && representative {
 		r.failureRate += smoothing * (1 - r.failureRate)
@@ -182,19 +190,21 @@
 	r := e.route
 	r.window = backoff.Halve(r.window)
 	r.timeoutRate += smoothing * (1 - r.timeoutRate)
-	if e.consecutiveFailures == 0 { // the many time-outs of one destination that hangs tell nothing of the others
+	if e.consecutiveFailures == 0 { // further time-outs of an endpoint that hangs say nothing about other destinations
 		p.timeoutRate += smoothing / 4 * (1 - p.timeoutRate)
 	}
 }
 
-// smoothed adds a measured latency to an exponential moving average, which starts with the first one.
+// smoothed returns an exponential moving average of latencies, updated with a new latency. The first latency replaces a
+// mean of 0.
 func smoothed(mean float64, latency api.Micros) float64 {
 	mean = cmp.Or(mean, float64(latency))
 	return mean + smoothing*(float64(latency)-mean)
 }
 
-// hasEndpoint reports whether one of the listed endpoints of e's route has fewer consecutive failures than limit.
-func hasEndpoint(e *endpoint, limit int) bool {
+// hasEndpointWithFewerFailures reports whether one of the listed endpoints of e's route has fewer consecutive failures
+// than limit.
+func hasEndpointWithFewerFailures(e *endpoint, limit int) bool {
 	return slices.ContainsFunc(e.destination.endpoints, func(other *endpoint) bool {
 		return other.route == e.route && other.consecutiveFailures < limit
 	})
--- a/webhook/policy/policy.go
+++ b/webhook/policy/policy.go
@@ -1,13 +1,14 @@
-// Package policy is the decision policy of the webhook dispatcher: when each webhook is sent, to which endpoint, whether
-// it is retried and when it is given up. All decisions and tuned values are in the files that `policy` in
-// deploy/balancer.toml lists; types.go has the records that they work on.
+// Package policy is the decision policy of the webhook dispatcher: it decides when each webhook is sent, to which
+// endpoint, whether it is retried and when it is given up. The files with its decisions and tuned values are listed
+// under `policy` in deploy/balancer.toml; types.go declares the records that they work on.
 //
-// Callers make one Policy per dispatcher with New and drive it turn by turn through api.Policy. It acts through
-// api.Host. Instances share nothing.
+// Callers create one Policy per dispatcher with New and call it through api.Policy, in turns that EndTurn closes. The
+// Policy acts through api.Host. Instances share no state.
 //
-// A webhook passes a chain of stages - ordering, backoff, concurrency, endpoint selection, send - each of which lets it
-// proceed or has it wait for a later turn. Results of attempts update the state that the stages decide by (outcome.go). Whatever a webhook
-// waits for, its deadline ends it (expiry.go). docs/design.md has the requirements and where the policy deviates from them.
+// In each turn a waiting webhook passes a chain of stages: ordering, backoff, concurrency, endpoint selection, send. A
+// stage lets the webhook proceed or has it wait for a later turn. Results of attempts update the state that the stages
+// decide by (outcome.go). A webhook that still waits shortly before its deadline is given up (expiry.go).
+// docs/design.md has the requirements and where the policy deviates from them.
 package policy
 
 import (
@@ -22,7 +23,7 @@
 // periodicInterval is the time between two runs of the periodic work.
 const periodicInterval = api.Second / 2
 
-// New returns a Policy that knows nothing but its settings.
+// New returns a Policy with the given settings, no endpoints and no learned state.
 func New(settings api.Settings, host api.Host) *Policy {
 	p := &Policy{
 		host:         host,
@@ -47,7 +48,7 @@
 	return p
 }
 
-// EndTurn starts the attempts that may start now.
+// EndTurn starts the attempts that may start now, sheds load and sets the host's timer.
 func (p *Policy) EndTurn() {
 	p.now = p.host.Now()
 	p.turnNumber++
@@ -58,12 +59,14 @@
 		p.runStages(w)
 	}
 	for _, d := range p.backlogged {
-		d.removeDequeued() // now, so that a webhook sent and back before the next turn isn't in the queue twice
+		// A webhook that is sent now and fails before the next turn is queued again: without this removal it would be
+		// in the queue twice.
+		d.removeDequeued()
 	}
-	for _, e := range p.finishedEndpoints {
+	for _, e := range p.endpointsWithEndedCalls {
 		p.closeIdleConnections(e)
 	}
-	p.finishedEndpoints = p.finishedEndpoints[:0]
+	p.endpointsWithEndedCalls = p.endpointsWithEndedCalls[:0]
 	p.shedLoad()
 	p.backlogged = slices.DeleteFunc(p.backlogged, func(d *destination) bool {
 		d.backlogged = len(d.queue) > 0
@@ -72,7 +75,9 @@
 	p.armTimer()
 }
 
-// expireTimers handles the timers that are due. No webhook is lost: whatever it waits for, it ends before its deadline.
+// expireTimers handles the entries of the timer queue that are due: it cancels unresponsive attempts and gives up
+// webhooks that can no longer be sent. Each waiting webhook has an entry at its latestSend, so it gets its final answer
+// before its deadline whatever it waits for.
 func (p *Policy) expireTimers() {
 	for {
 		w, ok := p.timers.PopDue(int64(p.now))
@@ -80,7 +85,7 @@
 			return
 		}
 		switch {
-		case w == nil: // a route may admit calls again
+		case w == nil: // a wake-up for a route or an ordering key: collectReady checks the webhooks again
 		case w.call != nil:
 			p.cancelIfUnresponsive(w)
 		case !w.finished && p.now >= p.latestSend(w):
@@ -89,21 +94,24 @@
 	}
 }
 
-// collectReady gathers the webhooks that the stages check in this turn. Destinations without a queue cost nothing.
+// collectReady puts the webhooks that the stages check in this turn into p.ready. It visits only destinations with a
+// queue.
 func (p *Policy) collectReady() {
 	p.ready = p.ready[:0]
-	// In the order in which they were first seen, which breaks ties of the priority.
+	// Webhooks of equal priority go in the order in which their destinations were first seen.
 	slices.SortFunc(p.backlogged, func(a, b *destination) int { return a.index - b.index })
 	for _, d := range p.backlogged {
 		d.removeDequeued()
-		// Until the requested wake-up only an outcome can change anything.
-		closed := !d.kind.SeparateRoutes && p.now < d.sharedRoute.wakeUpAt
-		if !closed && slices.ContainsFunc(d.endpoints, p.admits) {
+		// Until its wake-up time, a shared route that admitted no call can admit one only after an outcome, which
+		// resets wakeUpAt.
+		awaitsWakeUp := !d.kind.SeparateRoutes && p.now < d.sharedRoute.wakeUpAt
+		if !awaitsWakeUp && slices.ContainsFunc(d.endpoints, p.admits) {
 			p.ready = append(p.ready, d.queue...)
 		}
 	}
 }
 
+// runStages passes a webhook through the stages until one has it wait.
 func (p *Policy) runStages(w *webhook) {
 	for _, stage := range p.stages {
 		if stage(w) == wait {
@@ -112,7 +120,7 @@
 	}
 }
 
-// armTimer has the host call when the next entry of the timer queue is due.
+// armTimer sets the host's timer for the earliest entry of the timer queue, unless it is set for then or earlier.
 func (p *Policy) armTimer() {
 	at, ok := p.timers.Next()
 	if !ok || api.Micros(at) >= p.timerArmedAt {
@@ -122,15 +130,16 @@
 	p.host.SetTimer(max(p.timerArmedAt-p.now, 1), timerQueue)
 }
 
-// TimerFired does the periodic work, or records that the timer queue is due: EndTurn handles it.
+// TimerFired does the periodic work, or records that the timer of the timer queue has expired: EndTurn handles the
+// entries that are due.
 func (p *Policy) TimerFired(timer api.TimerID) {
 	p.now = p.host.Now()
 	if timer == timerQueue {
 		p.timerArmedAt = math.MaxInt64
 		return
 	}
-	if stalled := p.now - p.nextPeriodicAt; stalled >= stallTicks*p.settings.MinTurnInterval {
-		p.respreadAfterStall(stalled)
+	if stalledFor := p.now - p.nextPeriodicAt; stalledFor >= stallTurnIntervals*p.settings.MinTurnInterval {
+		p.respreadAfterStall(stalledFor)
 	}
 	p.nextPeriodicAt = p.now + periodicInterval
 	p.host.SetTimer(periodicInterval, timerPeriodic)
@@ -144,13 +153,14 @@
 	p.forgetIdle()
 }
 
-// forgetIdle bounds the memory: it drops ordering keys without webhooks and endpoints that left the list long ago.
+// forgetIdle bounds the memory in use: it drops ordering keys that have no webhook and aren't paused, and endpoints
+// that were delisted long ago.
 func (p *Policy) forgetIdle() {
 	maps.DeleteFunc(p.sequences, func(_ api.OrderingKey, s *sequence) bool {
 		return len(s.queue) == 0 && p.now >= s.pausedUntil
 	})
 	p.delistedEndpoints = slices.DeleteFunc(p.delistedEndpoints, func(e *endpoint) bool {
-		expired := e.inFlight == 0 && p.now-e.delistedAt > connectionLimitMemory*p.settings.SlowStartDuration
+		expired := e.inFlight == 0 && p.now-e.delistedAt > retentionSlowStarts*p.settings.SlowStartDuration
 		if expired && !e.listed && p.endpoints[e.id] == e {
 			delete(p.endpoints, e.id)
 		}
--- a/webhook/policy/priority.go
+++ b/webhook/policy/priority.go
@@ -6,15 +6,16 @@
 	"rowanlink/webhook/api"
 )
 
-// Priority classes, most urgent first. A webhook over its tenant's quota is overQuotaClasses lower.
+// Priority classes, most urgent first. A webhook over its tenant's quota is ranked
+// overQuotaClasses classes lower.
 const (
 	onTimeClass      = 0 // it can still be delivered within its latency target
 	lateClass        = 1
 	overQuotaClasses = 2
 )
 
-// priorityClass ranks by the value that can still be achieved. A deduplicated webhook that may have run counts as on time:
-// past its deduplication window it would be a dead letter.
+// priorityClass ranks a webhook by the value that its delivery can still have. A deduplicated webhook that may have run
+// counts as on time, since it becomes a dead letter when its deduplication window ends.
 func (p *Policy) priorityClass(w *webhook) int {
 	class := onTimeClass
 	expiring := w.mayHaveRunAt != never && w.eventType.Semantics == api.Deduplicated
@@ -27,15 +28,16 @@
 	return class
 }
 
-// comparePriority orders webhooks for sending. Within a class those on time go by the nearest target; those late go
-// youngest first: all lose value alike, so what can't all be delivered on time is given up from the oldest on.
+// comparePriority orders webhooks for sending, most urgent first. Within a class, webhooks that are on time are ordered
+// by targetAt, earliest first. Late webhooks are ordered youngest first: all of them lose value alike, so if not all
+// can be delivered, the oldest are given up.
 func (p *Policy) comparePriority(a, b *webhook) int {
 	classA, classB := p.priorityClass(a), p.priorityClass(b)
 	if classA != classB {
 		return classA - classB
 	}
-	// While slots are scarce the quickest destinations go first, since they free their slots soonest: a few slow
-	// destinations would otherwise take all of them.
+	// While slots are scarce, webhooks for the fastest destinations go first, since their calls free their slots
+	// soonest: a few slow destinations would otherwise occupy all slots.
 	scarce := float64(p.inFlight) >= healthyConcurrencyShare*float64(p.settings.MaxInFlight)
 	if routeA, routeB := a.destination.sharedRoute, b.destination.sharedRoute; routeA != routeB && scarce {
 		return cmp.Compare(routeA.meanLatency, routeB.meanLatency)
@@ -46,8 +48,8 @@
 	return cmp.Compare(a.targetAt, b.targetAt)
 }
 
-// checkOrdering has an ordered webhook wait until each earlier one of its key has ended without an attempt in flight,
-// and the key has paused after an attempt that may still run.
+// checkOrdering has an ordered webhook wait until all earlier webhooks of its ordering key have ended and have no
+// attempt in flight. Its first attempt also waits for the pause that follows an attempt that may still run.
 func (p *Policy) checkOrdering(w *webhook) stageResult {
 	if !w.eventType.Ordered || w.orderingKey == 0 {
 		return proceed
--- a/webhook/policy/rate_limit.go
+++ b/webhook/policy/rate_limit.go
@@ -6,12 +6,12 @@
 	"rowanlink/webhook/api"
 )
 
-// admits reports whether an endpoint's route takes one more call now. Where it doesn't, a turn is requested for when it
-// may.
+// admits reports whether an endpoint's route allows one more call now. If not, and the time when it will is known, it
+// requests a wake-up for that time.
 func (p *Policy) admits(e *endpoint) bool {
 	r := e.route
-	if p.now < r.retryAfterUntil { // a Retry-After applies to every webhook
-		return p.wakeUp(r, r.retryAfterUntil)
+	if p.now < r.retryAfterUntil { // a Retry-After applies to all webhooks of the route
+		return p.requestWakeUp(r, r.retryAfterUntil)
 	}
 	if r.unhealthy {
 		return p.admitsCanary(r)
@@ -22,36 +22,39 @@
 	return p.hasToken(e.destination, r)
 }
 
-// admitsCanary lets one canary at a time to an unhealthy route; all unhealthy routes together have a bounded share of the
-// slots.
+// admitsCanary reports whether an unhealthy route allows a canary now. Each route has one canary in flight at most, and
+// all unhealthy routes together have a bounded share of the slots.
 func (p *Policy) admitsCanary(r *route) bool {
 	limit := max(int(unhealthyConcurrencyShare*float64(p.settings.MaxInFlight)), 1)
 	if r.inFlight > 0 || p.canariesInFlight >= limit {
 		return false
 	}
-	return p.now >= r.nextCanaryAt || p.wakeUp(r, r.nextCanaryAt)
+	return p.now >= r.nextCanaryAt || p.requestWakeUp(r, r.nextCanaryAt)
 }
 
-// hasToken refills the route's token bucket and reports whether it has a complete token.
+// hasToken refills the route's token bucket and reports whether it has a complete token. If not, it requests a
+// wake-up for when it will.
 func (p *Policy) hasToken(d *destination, r *route) bool {
 	rate, depth := p.allowedRate(d, r)
 	r.tokens = min(r.tokens+rate*(p.now-r.tokensAt).Seconds(), depth)
 	r.tokensAt = p.now
 	missing := math.Ceil((1 - r.tokens) / rate * float64(api.Second))
-	return missing <= 0 || p.wakeUp(r, p.now+api.Micros(missing))
+	return missing <= 0 || p.requestWakeUp(r, p.now+api.Micros(missing))
 }
 
-// wakeUp requests a turn at the time when a route that admits nothing may admit calls again. It returns false.
-func (p *Policy) wakeUp(r *route, at api.Micros) bool {
-	if r.wakeUpAt <= p.now || at < r.wakeUpAt { // one request at a time: each turn may arrive at another time
+// requestWakeUp requests a turn at the time when a route that admits no call now may admit calls again. It always
+// returns false, the answer of its callers.
+func (p *Policy) requestWakeUp(r *route, at api.Micros) bool {
+	if r.wakeUpAt <= p.now || at < r.wakeUpAt { // keep the earliest time only: each turn may compute a different one
 		r.wakeUpAt = at
 		p.timers.Add(int64(at), nil)
 	}
 	return false
 }
 
-// allowedRate returns how many calls per second a route may have, and how many may start at once. In slow start it is this
-// dispatcher's share, growing with time, of the rate that doesn't overload the destination again, and at least one call.
+// allowedRate returns the rate of a route, in calls per second, and the number of calls that may start at once. In slow
+// start the rate is this dispatcher's share of the load that doesn't overload the destination again. It grows with time
+// and has a minimum; calls start one at a time.
 func (p *Policy) allowedRate(d *destination, r *route) (rate, burst float64) {
 	rate = max(r.rate, fallbackRate(d, r))
 	if r.slowStartSince == never {
@@ -61,24 +64,25 @@
 	elapsed := min(float64(p.now-r.slowStartSince)/float64(s.SlowStartDuration), 1)
 	capacity := s.SlowStartCapacity + (1-s.SlowStartCapacity)*elapsed
 	budget := slowStartBudgetShare * s.OverloadFactor * capacity * r.listedRate
-	least := 1 / (slowStartSpansPerCall * s.SlowStartDuration.Seconds())
-	return min(rate, max(budget, least)), 1
+	minimum := 1 / (slowStartDurationsPerCall * s.SlowStartDuration.Seconds())
+	return min(rate, max(budget, minimum)), 1
 }
 
-// fallbackRate is the rate that a route may have where this dispatcher's share is too small to be useful: learned over all
-// routes from the calls that it admitted, or reported. Rejections in a row halve it, reported headroom far more: hundreds
-// of dispatchers see the same headroom, and a hung destination rejects like a full one.
+// fallbackRate is the rate that a route may have where this dispatcher's share of the listed rate is too small to be
+// useful: the rate learned from the calls that it admitted on all routes of the kind or, if larger, the headroom that
+// the destination reported. Each consecutive rejection halves the rate, and reduces reported headroom far more:
+// hundreds of dispatchers see the same headroom, and a destination that hangs rejects calls like one at its limit.
 func fallbackRate(d *destination, r *route) float64 {
 	headroom := math.Ldexp(r.reportedHeadroom, -headroomHalvings*r.consecutiveRejections)
 	return math.Ldexp(max(d.kind.fallbackRate, headroom), -r.consecutiveRejections)
 }
 
-// canaryInterval is random around the gap that this dispatcher's share of a recovering destination's budget gives,
-// within bounds. It protects a small destination from the canaries of hundreds of dispatchers, which alone would
-// overload it.
+// canaryInterval returns a random time to the next canary. Its mean is the interval at which this dispatcher's canaries
+// use its share of the rate that a recovering destination can take, within bounds. It protects a small destination from
+// the canaries of hundreds of dispatchers, which alone would overload it.
 func (p *Policy) canaryInterval(r *route) api.Micros {
 	s := &p.settings
 	interval := float64(api.Second) / (slowStartBudgetShare * s.OverloadFactor * s.SlowStartCapacity * r.listedRate)
-	interval = min(max(interval, minCanaryShare*float64(s.SlowStartDuration)), float64(s.SlowStartDuration))
+	interval = min(max(interval, minCanaryIntervalShare*float64(s.SlowStartDuration)), float64(s.SlowStartDuration))
 	return api.Micros(interval * (1 + p.random.Float64()) / 1.5)
 }
--- a/webhook/policy/settings.go
+++ b/webhook/policy/settings.go
@@ -7,20 +7,21 @@
 	"rowanlink/webhook/api"
 )
 
-// Defaults where the settings have no usable value.
+// Defaults for settings that are missing or not positive.
 const (
 	defaultSlowStartCapacity = 0.1
 	defaultOverloadFactor    = 1
 )
 
-// UpdateSettings takes settings at the start and while the policy runs; missing values are replaced by safe defaults.
-// Webhooks accepted before keep their terms, learned state is kept, and webhooks beyond a lower limit drain.
+// UpdateSettings applies settings, at the start and while the policy runs; missing values are replaced by safe
+// defaults. Webhooks accepted before keep the settings of their event type, learned state is kept, and webhooks beyond
+// a lowered limit aren't dropped.
 func (p *Policy) UpdateSettings(settings api.Settings) {
 	p.now = p.host.Now()
 	settings = withDefaults(settings)
 	p.rescaleRates(float64(p.settings.Dispatchers) / float64(settings.Dispatchers))
 	p.settings = settings
-	p.grandfathered = p.unanswered
+	p.exemptFromShedding = p.unanswered
 	p.updateEventTypes()
 	p.updateKinds()
 	p.updateQuotas()
@@ -41,7 +42,8 @@
 	return s
 }
 
-// rescaleRates follows a changed number of dispatchers: listed rates are shared evenly among all.
+// rescaleRates multiplies the rates of all routes and destinations by factor when the number of dispatchers changes:
+// each dispatcher has an equal share of a destination's rate.
 func (p *Policy) rescaleRates(factor float64) {
 	routes := map[*route]bool{}
 	for _, e := range p.endpoints {
@@ -78,7 +80,7 @@
 
 func (p *Policy) updateKinds() {
 	for i, k := range p.settings.DestinationKinds {
-		if i == len(p.kinds)-1 { // the last one serves unknown kinds
+		if i == len(p.kinds)-1 { // the last kind serves unknown kinds
 			p.kinds = slices.Insert(p.kinds, i, &destinationKind{})
 		}
 		p.kinds[i].DestinationKind = k
--- a/webhook/policy/state_transfer.go
+++ b/webhook/policy/state_transfer.go
@@ -2,8 +2,9 @@
 
 import "rowanlink/webhook/api"
 
-// ExportState returns what the next dispatcher that calls the destination needs to know; false: nothing is known, or its endpoints
-// have separate routes, whose identifiers mean nothing to another dispatcher.
+// ExportState returns the learned state that the next dispatcher to call the destination needs. It returns false if
+// there is none, or if the destination's endpoints have separate routes, whose identifiers mean nothing to another
+// dispatcher.
 func (p *Policy) ExportState(id api.DestinationID) (api.DestinationState, bool) {
 	d := p.destinations[id]
 	if d == nil || d.sharedRoute == nil || d.kind.SeparateRoutes {
@@ -24,10 +25,11 @@
 	}, true
 }
 
-// ImportState takes over another dispatcher's knowledge. Of both, the more cautious value is kept.
+// ImportState merges the state that another dispatcher has learned into this dispatcher's. Of delays and health the
+// more cautious value is kept; the window and the averages are taken over if this dispatcher has measured no latency.
 func (p *Policy) ImportState(state api.DestinationState) {
 	p.now = p.host.Now()
-	r := p.ensureRoute(p.destination(state.Destination)).sharedRoute
+	r := p.ensureRoute(p.ensureDestination(state.Destination)).sharedRoute
 	r.retryAfterUntil = max(r.retryAfterUntil, state.WaitUntil)
 	if state.Unhealthy && !r.unhealthy {
 		r.unhealthy = true
--- a/webhook/policy/submission.go
+++ b/webhook/policy/submission.go
@@ -11,15 +11,15 @@
 	p.Recover(w, api.PriorAttempts{MayHaveRunAt: never})
 }
 
-// Recover accepts a webhook with the attempts that were made before. A call that was in flight has no outcome any more:
-// like a connection reset it is followed by a backoff, or the webhook is given up.
+// Recover accepts a webhook that an earlier process or another dispatcher has attempted. The outcome of a call that was
+// in flight is lost: as after a connection reset, the webhook is retried after a backoff or given up.
 func (p *Policy) Recover(submitted api.Webhook, prior api.PriorAttempts) {
 	p.now = p.host.Now()
 	eventType := &p.eventTypes[min(int(submitted.EventType), len(p.eventTypes)-1)]
 	w := &webhook{
 		id:            submitted.ID,
 		eventType:     eventType,
-		destination:   p.ensureRoute(p.destination(submitted.Destination)),
+		destination:   p.ensureRoute(p.ensureDestination(submitted.Destination)),
 		orderingKey:   submitted.OrderingKey,
 		deadline:      submitted.Deadline,
 		targetAt:      submitted.Deadline - eventType.TTL + eventType.LatencyTarget,
@@ -43,7 +43,8 @@
 	p.enqueue(w)
 }
 
-// appendToSequence queues an ordered webhook behind the earlier ones of its key.
+// appendToSequence queues an ordered webhook behind the earlier ones of its ordering key. The key pauses if the
+// webhook may have run, since that attempt may still run.
 func (p *Policy) appendToSequence(w *webhook) {
 	s := cmp.Or(p.sequences[w.orderingKey], &sequence{pausedUntil: never})
 	s.queue = append(s.queue, w)
@@ -53,8 +54,8 @@
 	p.sequences[w.orderingKey] = s
 }
 
-// exceedsQuota counts a webhook against its tenant's quota, and reports whether it is beyond it: such webhooks have little
-// value, whenever they are delivered.
+// exceedsQuota counts a webhook against its tenant's quota and reports whether it exceeds the quota. Such webhooks have
+// little value, whenever they are delivered.
 func (p *Policy) exceedsQuota(id api.TenantID) bool {
 	if int(id) >= len(p.quotas) {
 		return false
--- a/webhook/policy/types.go
+++ b/webhook/policy/types.go
@@ -11,18 +11,18 @@
 
 const never = api.Never
 
-// Timers of an instance.
+// Timers that a Policy sets through its host.
 const (
-	timerPeriodic api.TimerID = 0 // periodic work
-	timerQueue    api.TimerID = 1 // the earliest entry of Policy.timers
+	timerPeriodic api.TimerID = 0 // fires every periodicInterval
+	timerQueue    api.TimerID = 1 // fires when the earliest entry of Policy.timers is due
 )
 
-// stageResult is what a stage does with a webhook.
+// stageResult says whether a stage lets a webhook proceed.
 type stageResult bool
 
 const (
-	proceed stageResult = true  // the next stage checks it
-	wait    stageResult = false // it stays in its queue until a later turn
+	proceed stageResult = true  // the next stage checks the webhook
+	wait    stageResult = false // the webhook stays in its queue until a later turn
 )
 
 // Policy decides for one dispatcher. It implements api.Policy and api.StateTransferer and is not safe for concurrent
@@ -31,44 +31,45 @@
 	settings   api.Settings
 	host       api.Host
 	random     *mwcrand.Source
-	eventTypes []eventTypePolicy // by api.EventTypeID; the last one serves unknown types
-	kinds      []*destinationKind
-	quotas     []tenantQuota // by api.TenantID
+	eventTypes []eventTypePolicy  // by api.EventTypeID; the last one serves unknown types
+	kinds      []*destinationKind // by api.DestinationKindID; the last one serves unknown kinds
+	quotas     []tenantQuota      // by api.TenantID
 	stages     []func(*webhook) stageResult
 
 	now        api.Micros
 	turnNumber int
 	webhooks   map[api.WebhookID]*webhook
 	unanswered int // webhooks without a final answer
-	// grandfathered is how many webhooks were pending when the settings changed: a smaller buffer doesn't shed these.
-	grandfathered    int
-	inFlight         int // calls in flight
-	canariesInFlight int // of them, to unhealthy routes
+	// exemptFromShedding counts the webhooks that were pending when the settings last changed: they aren't shed for a
+	// smaller buffer.
+	exemptFromShedding int
+	inFlight           int // calls in flight, canaries included
+	canariesInFlight   int // calls in flight to unhealthy routes
 
-	destinations       map[api.DestinationID]*destination
-	destinationList    []*destination // all of them, in the order in which they were first seen
-	backlogged         []*destination // those with a queue
-	endpoints          map[api.EndpointID]*endpoint
-	finishedEndpoints  []*endpoint // those whose call ended in this turn
-	connectedEndpoints []*endpoint // those that may have idle connections
-	delistedEndpoints  []*endpoint // those off the list and not yet forgotten
-	sequences          map[api.OrderingKey]*sequence
+	destinations            map[api.DestinationID]*destination
+	destinationList         []*destination // all destinations, in the order in which they were first seen
+	backlogged              []*destination // destinations with waiting webhooks
+	endpoints               map[api.EndpointID]*endpoint
+	endpointsWithEndedCalls []*endpoint // endpoints of the calls that ended in this turn
+	connectedEndpoints      []*endpoint // endpoints that may have idle connections
+	delistedEndpoints       []*endpoint // endpoints that left the list and aren't forgotten yet
+	sequences               map[api.OrderingKey]*sequence
 
-	timers         timerqueue.Queue[*webhook] // a nil entry is the time at which a route may admit calls again
+	timers         timerqueue.Queue[*webhook] // nil: a wake-up, since a route or an ordering key may admit calls again
 	timerArmedAt   api.Micros                 // when timerQueue fires
 	nextPeriodicAt api.Micros                 // when timerPeriodic fires
 
-	meanLatency float64 // µs, smoothed over all routes
-	timeoutRate float64 // share of recent calls that timed out, smoothed over all routes
-	shedding    bool
-	selected    *endpoint  // the choice of selectEndpoint for send
-	ready       []*webhook // scratch space of EndTurn
+	meanLatency float64    // µs, smoothed over all routes
+	timeoutRate float64    // share of recent calls that timed out, smoothed over all routes
+	shedding    bool       // load shedding was logged as begun, not as ended
+	selected    *endpoint  // the endpoint that send uses, chosen by checkConcurrency or selectEndpoint
+	ready       []*webhook // webhooks that the stages check in this turn; reused between turns
 }
 
 // eventTypePolicy is what the policy derives from the settings of an event type.
 type eventTypePolicy struct {
 	api.EventType
-	maxBackoff float64    // m of the backoff schedule, in seconds
+	maxBackoff float64    // longest delay of the backoff schedule, in seconds
 	maxTimeout api.Micros // longest time-out of an attempt
 }
 
@@ -79,26 +80,27 @@
 	destination   *destination
 	orderingKey   api.OrderingKey
 	deadline      api.Micros // last moment for the final answer
-	targetAt      api.Micros // delivered by then it has its full value
-	overQuota     bool       // beyond its tenant's quota
-	attempts      int
-	backoffs      int        // delays drawn so far
-	nextAttemptAt api.Micros // its own backoff ends then
-	mayHaveRunAt  api.Micros // start of the first attempt that may have run, or never
-	mayHaveRunIn  api.ZoneID // zone of that attempt's endpoint
-	sentAt        api.Micros
-	call          *call // in flight, or nil
-	queued        bool
-	finished      bool // it has its final answer
+	targetAt      api.Micros // end of the latency target: the webhook has its full value if it is delivered by then
+	overQuota     bool       // it exceeded its tenant's quota when it was submitted
+	attempts      int        // attempts started so far, those before a recovery included
+	backoffs      int        // backoff delays drawn so far
+	nextAttemptAt api.Micros // end of its backoff
+	mayHaveRunAt  api.Micros // start of the first attempt that may have taken effect, or never
+	mayHaveRunIn  api.ZoneID // zone of the endpoint of that attempt
+	sentAt        api.Micros // start of the last attempt
+	call          *call      // the call in flight that carries it, or nil
+	queued        bool       // it waits in its destination's queue
+	finished      bool       // it has its final answer
 }
 
-// call is one call in flight: it takes one slot until every webhook in it has its outcome.
+// call is one call in flight, which carries one or more webhooks. It occupies one slot until each of them has an
+// outcome.
 type call struct {
 	endpoint   *endpoint
-	pending    int // webhooks in it without an outcome
-	turnNumber int // the turn in which it started; later webhooks can't join it
-	recorded   bool
-	canary     bool // sent to an unhealthy route
+	pending    int  // webhooks in the call without an outcome
+	turnNumber int  // the turn in which the call started; webhooks of later turns can't join it
+	recorded   bool // an outcome has updated the state of the endpoint and route
+	canary     bool // the route was unhealthy when the call started
 }
 
 // endpoint is one address of a destination.
@@ -110,80 +112,83 @@
 	listed              bool
 	delistedAt          api.Micros
 	inFlight            int
-	connected           bool    // it may have idle connections
-	connectionLimit     float64 // calls in flight at most, learned from connections that were refused
+	connected           bool    // it may have idle connections: it is in Policy.connectedEndpoints
+	connectionLimit     float64 // maximum of calls in flight, learned from refused connections
 	meanLatency         float64 // µs, smoothed
 	lastSuccessAt       api.Micros
 	lastFailureAt       api.Micros
 	consecutiveFailures int
-	nextCanaryAt        api.Micros // unhealthy: no call before then
-	openCall            *call      // started in this turn, with space for further webhooks
+	nextCanaryAt        api.Micros // no call before then while the endpoint is ejected
+	openCall            *call      // the last call that started; webhooks of the same turn may join it
 }
 
-// route is what limits, waits and outages belong to: a destination, or one endpoint where the kind has separate routes.
+// route holds the limits, Retry-After delays and health of a destination or, where its kind has separate routes, of one
+// endpoint.
 type route struct {
-	logName         api.EndpointID // one endpoint of it
+	logName         api.EndpointID // an endpoint of the route, which identifies it in log lines
 	inFlight        int
-	window          float64 // calls in flight at most
+	window          float64 // congestion window: maximum of calls in flight
 	retryAfterUntil api.Micros
 
 	// Rates are in calls per second.
-	listedRate       float64 // this dispatcher's share of the rate that the list or reports give
-	rate             float64 // what is let out; adapts around listedRate
-	tokens           float64 // of the token bucket that enforces the rate
-	tokensAt         api.Micros
+	listedRate       float64    // this dispatcher's share of the rate in the endpoint list or load reports
+	rate             float64    // the enforced rate; adapts around listedRate
+	tokens           float64    // in the token bucket that enforces the rate; below 0 after rejections
+	tokensAt         api.Micros // last refill of the token bucket
 	rateDecreasedAt  api.Micros
-	usedFallbackRate bool    // the last call was let out by the fallback rate
-	reportedHeadroom float64 // of the limit that was left, by the last report
-	rateReported     bool    // listedRate is from reports
+	usedFallbackRate bool    // the last call was admitted at the fallback rate, which was above rate
+	reportedHeadroom float64 // unused part of the limit, by the last load report
+	rateReported     bool    // listedRate is from load reports
 
-	wakeUpAt              api.Micros // a wake-up is requested for then
-	lastOutcomeAt         api.Micros // or the first send after it was idle
+	wakeUpAt              api.Micros // time of the requested wake-up; 0 or past: none is requested
+	lastOutcomeAt         api.Micros // last outcome, or a later send while no call was in flight
 	lastSuccessAt         api.Micros
-	meanLatency           float64 // µs, smoothed; 0: none yet
+	meanLatency           float64 // µs, smoothed; 0 before the first success
 	failureRate           float64 // share of recent calls that failed, smoothed
 	timeoutRate           float64 // share of recent calls that timed out, smoothed
 	consecutiveRejections int
 	unhealthy             bool
-	nextCanaryAt          api.Micros // unhealthy: next canary
-	slowStartSince        api.Micros // first success after an outage, or never
+	nextCanaryAt          api.Micros // no canary before then while the route is unhealthy
+	slowStartSince        api.Micros // start of the slow start, or never
 }
 
-// destinationKind is the settings of one kind of destination and what is learned over all destinations of the kind.
+// destinationKind holds the settings of one kind of destination and the state learned over all destinations of the
+// kind.
 type destinationKind struct {
 	api.DestinationKind
-	fallbackRate           float64    // calls per second that a route with a tiny share is let
-	connectionLimitedUntil api.Micros // until then the kind counts as short of connections
+	fallbackRate           float64    // calls per second that a route with a tiny share of the rate may have
+	connectionLimitedUntil api.Micros // until then endpoints of the kind are assumed to limit connections
 }
 
-// destination is who webhooks are delivered to.
+// destination is a receiver of webhooks, with one or more endpoints.
 type destination struct {
 	id          api.DestinationID
 	kind        *destinationKind
 	sharedRoute *route      // nil until its first webhook
-	endpoints   []*endpoint // listed ones, ranked
+	endpoints   []*endpoint // listed endpoints, most preferred first
 	queue       []*webhook  // waiting webhooks
-	hasDequeued bool        // some of the queue wait no longer
-	backlogged  bool        // it is in Policy.backlogged
+	hasDequeued bool        // queue contains webhooks that were dequeued
+	backlogged  bool        // the destination is in Policy.backlogged
 	index       int         // in Policy.destinationList
 	firstSeenAt api.Micros
-	listedRate  float64 // as route.listedRate, until it has a route
+	listedRate  float64 // listed rate that a new shared route starts with; as route.listedRate
 }
 
-// sequence is the queue of ordered webhooks that share a key.
+// sequence is the queue of ordered webhooks that share an ordering key.
 type sequence struct {
 	queue       []*webhook
-	pausedUntil api.Micros
+	pausedUntil api.Micros // no first attempt before then, since an earlier attempt may still run
 }
 
-// tenantQuota is a token bucket that meters what a tenant submits.
+// tenantQuota is a token bucket for the webhooks that a tenant submits.
 type tenantQuota struct {
-	rate, tokens float64
+	rate, tokens float64 // this dispatcher's share of the quota in webhooks per second; tokens in the bucket
 	updatedAt    api.Micros
 }
 
-// destination returns a destination, and adds it if it is new, with the kind for destinations that no list names.
-func (p *Policy) destination(id api.DestinationID) *destination {
+// ensureDestination returns a destination. It adds a new one with the kind for unknown kinds, until an endpoint list
+// states its kind.
+func (p *Policy) ensureDestination(id api.DestinationID) *destination {
 	if p.destinations[id] == nil {
 		d := &destination{
 			id:          id,
@@ -197,7 +202,7 @@
 	return p.destinations[id]
 }
 
-// startCall counts a new call to an endpoint; webhooks of this turn may join it.
+// startCall counts a new call to an endpoint as in flight and makes it the endpoint's open call.
 func (p *Policy) startCall(e *endpoint) {
 	r := e.route
 	e.openCall = &call{endpoint: e, turnNumber: p.turnNumber, canary: r.unhealthy}
@@ -213,22 +218,22 @@
 	}
 }
 
-// finishCall counts a webhook's outcome against its call, which ends with the last one.
-func (p *Policy) finishCall(k *call) {
-	k.pending--
-	if k.pending > 0 {
+// finishCall records that a webhook of the call has an outcome. The call ends with the outcome of its last webhook.
+func (p *Policy) finishCall(c *call) {
+	c.pending--
+	if c.pending > 0 {
 		return
 	}
 	p.inFlight--
-	k.endpoint.route.inFlight--
-	k.endpoint.inFlight--
-	if k.canary {
+	c.endpoint.route.inFlight--
+	c.endpoint.inFlight--
+	if c.canary {
 		p.canariesInFlight--
 	}
-	p.finishedEndpoints = append(p.finishedEndpoints, k.endpoint)
+	p.endpointsWithEndedCalls = append(p.endpointsWithEndedCalls, c.endpoint)
 }
 
-// enqueue puts a webhook into its destination's queue.
+// enqueue appends a webhook to its destination's queue.
 func (p *Policy) enqueue(w *webhook) {
 	d := w.destination
 	w.queued = true
@@ -239,13 +244,13 @@
 	}
 }
 
-// dequeue marks the webhook for the next removeDequeued.
+// dequeue marks a webhook as no longer waiting; removeDequeued removes it from the queue.
 func (w *webhook) dequeue() {
 	w.queued = false
 	w.destination.hasDequeued = true
 }
 
-// removeDequeued drops webhooks from the queue that wait no longer.
+// removeDequeued removes the webhooks that were dequeued from the queue.
 func (d *destination) removeDequeued() {
 	if d.hasDequeued {
 		d.queue = slices.DeleteFunc(d.queue, func(w *webhook) bool { return !w.queued })
