--- a/webhook/policy/endpoint_list_test.go
+++ b/webhook/policy/endpoint_list_test.go
@@ -84,7 +84,7 @@
 	assert.Less(t, fallbackRate(s.destinations[0], route), before/8)
 }
 
-// Guards against a surge: all dispatchers have webhooks queued for a destination without endpoints when one is listed.
+// Guards against a surge when the first endpoint of a destination is listed: all dispatchers may have webhooks queued for it.
 func TestFirstEndpointOfADestinationHasASlowStart(t *testing.T) {
 	s := startScenario(settingsWithoutRates(200), plainKind)
 	removed := []api.EndpointEntry{
--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -31,14 +31,14 @@
 	endpoint api.EndpointID
 	at       api.Micros
 	timeout  api.Micros
-	latest   api.Micros
+	latest   api.Micros // latest start of the call
 }
 
 // fakeHost records what the policy does; the scenario moves its clock.
 type fakeHost struct {
 	now          api.Micros
 	attempts     []startedAttempt
-	rejected     map[api.WebhookID]api.Micros // the advised wait
+	rejected     map[api.WebhookID]api.Micros // the Retry-After of each
 	deadLettered []api.WebhookID
 	timers       map[api.TimerID]api.Micros // when each expires
 	logs         []string
@@ -90,7 +90,7 @@
 	return h.attempts[len(h.attempts)-1]
 }
 
-// testSettings are those of one dispatcher alone.
+// testSettings returns the settings of a single dispatcher.
 func testSettings() api.Settings {
 	eventType := func(semantics api.Semantics) api.EventType {
 		return api.EventType{LatencyTarget: 2 * api.Second, TTL: webhookTTL, Value: 1, Semantics: semantics}
@@ -128,7 +128,7 @@
 	}
 }
 
-// settingsWithoutRates are testSettings for one of so many dispatchers, with lists that state no rates.
+// settingsWithoutRates returns testSettings for one of a number of dispatchers, with endpoint lists that state no rates.
 func settingsWithoutRates(dispatchers int) api.Settings {
 	settings := testSettings()
 	settings.Dispatchers = dispatchers
@@ -166,8 +166,8 @@
 	return s
 }
 
-// startRateLimitedScenario starts a scenario of one of so many dispatchers, at destinations with endpoints 0 and 10 that
-// each take four calls a second.
+// startRateLimitedScenario starts a scenario of one of a number of dispatchers. The two destinations, of endpoints 0 and 10,
+// each accept four calls a second from all dispatchers together.
 func startRateLimitedScenario(dispatchers int) *scenario {
 	settings := testSettings()
 	settings.Dispatchers = dispatchers
@@ -179,7 +179,7 @@
 	return s
 }
 
-// submit submits a webhook within the present turn.
+// submit submits a webhook in the current turn.
 func (s *scenario) submit(id api.WebhookID, eventType api.EventTypeID, destination api.DestinationID) {
 	s.Submit(api.Webhook{
 		ID:          id,
@@ -228,12 +228,12 @@
 	return ended
 }
 
-// always has each attempt end with the same outcome.
+// always returns an outcome function for endAllAttempts that gives every attempt the same outcome.
 func always(outcome api.Outcome) func(api.EndpointID) api.Outcome {
 	return func(api.EndpointID) api.Outcome { return outcome }
 }
 
-// advance moves the clock on turn by turn and fires the timers that expire.
+// advance moves the clock forward in turns of turnInterval and fires the timers that expire.
 func (s *scenario) advance(span api.Micros) {
 	for until := s.fake.now + span; s.fake.now < until; {
 		s.fake.now += turnInterval
--- a/webhook/policy/outcome_test.go
+++ b/webhook/policy/outcome_test.go
@@ -64,7 +64,7 @@
 		s.advance(4 * api.Second)
 	}
 	assert.False(t, route.unhealthy)
-	for id := range api.WebhookID(4 * unhealthyAfterRejections) { // nothing else for long: it may be out of service
+	for id := range api.WebhookID(4 * unhealthyAfterRejections) { // no other outcome for long: it may be out of service
 		s.submit(100+id, idempotentEvent, 0)
 		s.EndTurn()
 		s.endAllAttempts(always(api.ConnectionLimited))
@@ -86,7 +86,8 @@
 		s.endAttemptAndTurn(2, api.ConnectFailed, 0) // at another destination of the kind
 		s.advance(api.Second)
 		assert.Equal(t, dispatchers == 200, len(s.fake.closedIdle) > 0)
-		// From now on none stays idle, not even until the next periodic work: with hundreds of dispatchers many would be.
+		// After a refusal, a connection is closed as soon as its call ends, not only by the next periodic work: until then
+		// hundreds of dispatchers would keep many connections idle.
 		s.fake.closedIdle = nil
 		s.submit(3, idempotentEvent, 0)
 		s.EndTurn()
--- a/webhook/policy/policy_test.go
+++ b/webhook/policy/policy_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Guards against unbounded memory: endpoints are replaced all day, and ordering keys are new ones.
+// Guards against unbounded memory: endpoints are replaced continually, and new ordering keys keep arriving.
 func TestRemovedEndpointsAndIdleOrderingKeysAreForgotten(t *testing.T) {
 	s := startScenario(testSettings(), plainKind)
 	for i := range api.WebhookID(20) {
@@ -86,7 +86,7 @@
 func TestOnlyDestinationsAndEndpointsInUseAreVisited(t *testing.T) {
 	s := startScenario(testSettings(), plainKind, plainKind, plainKind)
 	s.submit(1, idempotentEvent, 2)
-	s.submit(2, idempotentEvent, 2) // it waits: the window is one call
+	s.submit(2, idempotentEvent, 2) // waits, since the window is one call
 	s.EndTurn()
 	assert.Equal(t, []*destination{s.destinations[2]}, s.backlogged)
 	s.endAttemptAndTurn(1, api.Delivered, 0)
@@ -112,8 +112,8 @@
 	s.UpdateSettings(reduced)
 	assert.InDelta(t, 500, s.destinations[0].sharedRoute.listedRate, 1, "the share of one of two dispatchers")
 	s.endAllAttempts(always(api.TimedOut))
-	assert.Len(t, s.fake.deadLettered, inFlight, "accepted as at-most-once, each ends so")
-	assert.Empty(t, s.fake.rejected, "webhooks beyond the new buffer size drain")
+	assert.Len(t, s.fake.deadLettered, inFlight, "webhooks accepted as at-most-once keep these semantics")
+	assert.Empty(t, s.fake.rejected, "webhooks beyond the new buffer size aren't shed")
 	assert.LessOrEqual(t, s.inFlight, 2)
 	s.UpdateSettings(settings)
 	s.submit(100, atMostOnceEvent, 0)
--- a/webhook/policy/rate_limit_test.go
+++ b/webhook/policy/rate_limit_test.go
@@ -81,10 +81,10 @@
 		s.advance(api.Second / 10)
 		s.endAllAttempts(always(api.Rejected))
 	}
-	assert.Less(t, s.kinds[0].fallbackRate, before, "rejections of calls that it let out lower it")
+	assert.Less(t, s.kinds[0].fallbackRate, before, "rejections of calls that it admitted lower the fallback rate")
 	rejecting := s.destinations[1]
 	assert.Less(t, fallbackRate(rejecting, rejecting.sharedRoute), s.kinds[0].fallbackRate,
-		"most at the destination that rejected")
+		"the rate falls furthest at the destination that rejected")
 }
 
 func TestCanariesOfManyDispatchersAreSpreadBeyondRetryAfter(t *testing.T) {
@@ -92,7 +92,7 @@
 		s := startRateLimitedScenario(dispatchers)
 		s.submit(1, idempotentEvent, 0)
 		s.EndTurn()
-		s.endAttemptAndTurn(1, api.Rejected, 4*api.Second) // longer than a rate limit lasts: out of service
+		s.endAttemptAndTurn(1, api.Rejected, 4*api.Second) // longer than OverloadDuration: taken for an outage
 		route := s.ensureRoute(s.destinations[0]).sharedRoute
 		assert.True(t, route.unhealthy)
 		assert.Greater(t, route.nextCanaryAt, route.retryAfterUntil, "else all dispatchers would call at once")
--- a/webhook/policy/retry_test.go
+++ b/webhook/policy/retry_test.go
@@ -42,7 +42,7 @@
 		s.EndTurn()
 		s.endAttemptAndTurn(1, c.outcome, 0)
 		s.advance(4 * api.Second)
-		assert.Equal(t, c.wantRetry, s.attemptsOf(1) == 2, "event type %d after %d", c.eventType, c.outcome)
+		assert.Equal(t, c.wantRetry, s.attemptsOf(1) == 2, "event type %d after outcome %d", c.eventType, c.outcome)
 		assert.Equal(t, !c.wantRetry, len(s.fake.deadLettered) == 1)
 	}
 }
@@ -61,7 +61,7 @@
 	}
 	last := s.fake.lastAttempt()
 	assert.Less(t, last.at, firstSentAt+8*api.Second)
-	assert.Less(t, last.latest, firstSentAt+8*api.Second, "also if connecting takes long")
+	assert.Less(t, last.latest, firstSentAt+8*api.Second, "a slow connect must not start the call after the window, either")
 	assert.Equal(t, []api.WebhookID{1}, s.fake.deadLettered)
 }
 
--- a/webhook/policy/state_transfer_test.go
+++ b/webhook/policy/state_transfer_test.go
@@ -8,7 +8,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against a new owner of a destination that calls into its outage or before its Retry-After.
+// Guards against a new owner of a destination that calls it during its outage or before its Retry-After delay has passed.
 func TestExportedStateIsInForceAtTheNextOwner(t *testing.T) {
 	previous, next := startScenario(testSettings(), plainKind), startScenario(testSettings(), plainKind)
 	previous.submit(1, idempotentEvent, 0)
@@ -27,7 +27,7 @@
 	assert.Equal(t, previous.fake.now, imported.slowStartSince)
 	next.submit(2, idempotentEvent, 0)
 	next.advance(api.Second / 10)
-	assert.Empty(t, next.fake.attempts, "Retry-After is respected there, too")
+	assert.Empty(t, next.fake.attempts, "the next owner respects the Retry-After, too")
 	state.WaitUntil = 0
 	state.Unhealthy = false
 	state.SlowStartSince = never
