--- a/webhook/refresh/scheduler.go
+++ b/webhook/refresh/scheduler.go
@@ -1,9 +1,9 @@
-// Package refresh decides when a dispatcher requests the endpoint list from discovery, how long a request or a watch may
-// be silent, and how long a new process delays its calls for its first list. It does no I/O and has no clock.
+// Package refresh decides when a dispatcher requests the endpoint list from discovery, how long a request or a watch
+// may be silent, and how long a new process delays its calls for its first list. It does no I/O and has no clock.
 //
-// One dispatcher that polls four times a second is harmless. Where discovery serves fewer requests than all dispatchers
-// send, the requests themselves keep it from serving any: a refused one costs it, too. An agent on the dispatcher's own
-// machine, to which lists are pushed, serves that dispatcher alone.
+// The delays between requests protect discovery. One dispatcher that polls four times a second is harmless; but if all
+// dispatchers together send more requests than discovery can serve, rejecting them takes so much of its time that it
+// serves none. An agent on the dispatcher's own machine, to which lists are pushed, serves that dispatcher alone.
 package refresh
 
 import (
@@ -14,50 +14,57 @@
 	"rowanlink/webhook/policy"
 )
 
-// Time-outs and delays, in periods of a watch's lines. What a watch missed counts as notified three periods after it
-// fell silent, two after a change of address: the sums are in docs/design.md, "The list's clock", and in the tests.
+// Time-outs and delays, in periods; a watch sends one line per period. Changes of the list that a watch missed count as
+// notified three periods after the watch fell silent, or two periods after a change of discovery's address: until then
+// the dispatcher must have the list again. The sums of the values below along each path are in docs/design.md, "The
+// list's clock", and in the tests.
 const (
-	idleTimeoutPeriods     = 1.2   // a watch that is silent for so long is broken: its line is late by a fifth
-	responseTimeoutPeriods = 1.1   // a busy discovery that queues a request for a whole period still serves it
-	connectTimeoutPeriods  = 0.5   // for the connection to be established
-	maxJitterPeriods       = 0.125 // longest delay after a time-out, which itself spread the dispatchers
+	idleTimeoutPeriods     = 1.2   // a watch that is silent for this long is broken: its line is a fifth of a period late
+	responseTimeoutPeriods = 1.1   // leaves a busy discovery time to queue a request for a whole period
+	connectTimeoutPeriods  = 0.5   // time to establish the connection
+	maxJitterPeriods       = 0.125 // longest delay after a time-out, since time-outs have spread the dispatchers already
 
-	pushedTimeoutPeriods    = 0.125  // an agent answers at once: after so long it is unresponsive
-	pushedMaxBackoffPeriods = 0.0625 // for an agent that refuses or ends a watch: well within a drain's grace
+	pushedTimeoutPeriods = 0.125 // an agent answers at once: after this long it is unresponsive
+
+	// pushedMaxBackoffPeriods is the longest delay after an agent has refused a request or ended a watch: well within
+	// the grace period of a drain.
+	pushedMaxBackoffPeriods = 0.0625
 )
 
 // The backoff schedule.
 const (
-	backoffUnitPeriods = 0.5 // unit of the schedule
-	maxBackoffPeriods  = 2.0 // its longest delay
-	// maxUnresponsiveBackoffPeriods is the longest delay while discovery doesn't answer: with the request that hangs as it
-	// returns the sum stays within three periods.
+	backoffUnitPeriods = 0.5 // unit of the schedule in package backoff
+	maxBackoffPeriods  = 2.0 // longest delay of the schedule
+	// maxUnresponsiveBackoffPeriods is the longest delay while discovery doesn't answer. A request that is hanging when
+	// discovery returns takes its whole time-out; with this delay added, the list still arrives within three periods.
 	maxUnresponsiveBackoffPeriods = 1.5
 )
 
-// Requests in a row without an answer.
+// Numbers of consecutive requests without an answer.
 const (
-	jitteredTimeouts = 2 // from then on the schedule spreads them
-	// patientInterval is how often a request to an agent has all the time that a discovery has, for an agent that is slower
-	// than the protocol's.
-	patientInterval = 32
+	// The first jitteredTimeouts time-outs are each followed by a short random delay, later ones by a delay of the
+	// schedule.
+	jitteredTimeouts = 2
+	// One of longTimeoutInterval requests to an agent has the response time-out of a request to discovery, for an
+	// agent that answers more slowly than the protocol's agent does.
+	longTimeoutInterval = 32
 )
 
 // Reason says why another request is due.
 type Reason uint8
 
-// Reasons. The order matters: those before Closed are not the other side's refusal.
+// Reasons. The order matters: those before Closed aren't caused by a response of the other side.
 const (
 	Started        Reason = iota // the process has requested nothing yet
 	AddressChanged               // discovery is at another address
-	TimedOut                     // nothing arrived in time: a connection, a response, a watch's line
-	Closed                       // refused, reset or closed
-	Malformed                    // a list that can't be read
+	TimedOut                     // no connection, response or line of a watch in time
+	Closed                       // the request or watch was refused, reset or closed
+	Malformed                    // a list was received that can't be parsed
 )
 
 // Request says when a request begins and which time-outs it has.
 type Request struct {
-	Delay           api.Micros // from now on
+	Delay           api.Micros // from now until the request begins
 	ConnectTimeout  api.Micros
 	ResponseTimeout api.Micros // for the response header, from the beginning of the request, connecting included
 	IdleTimeout     api.Micros // between two reads of the watch that return data
@@ -67,7 +74,7 @@
 type Scheduler struct {
 	period api.Micros
 	random *mwcrand.Source
-	// In a row: requests that were refused or closed, time-outs, watches that sent a malformed list.
+	// Consecutive requests that were refused or closed, time-outs, and watches that sent a malformed list.
 	failures, timeouts, malformed int
 }
 
@@ -76,14 +83,15 @@
 	return &Scheduler{period: cmp.Or(linePeriod, api.Second), random: mwcrand.New(seed)}
 }
 
-// RecordActivity records that a watch has received something: the next delay is the schedule's first again.
+// RecordActivity records that a watch has received data, which restarts the schedule at its first delay.
 func (s *Scheduler) RecordActivity() {
 	s.failures = 0
 	s.timeouts = 0
 }
 
-// StartupDelay is how long the calls of a new process wait at most for the first list. Where lists are requested the
-// stored list is used at once: waiting would cost each webhook of a restart up to the schedule's first delay.
+// StartupDelay returns the longest time for which a new process holds back its calls to wait for the first list. Where
+// lists aren't pushed, the process uses the stored list at once: waiting would delay each webhook after a restart by up
+// to the schedule's first delay.
 func (s *Scheduler) StartupDelay(pushed bool) api.Micros {
 	if !pushed {
 		return 0
@@ -91,12 +99,13 @@
 	return s.periods(pushedTimeoutPeriods)
 }
 
-// Next returns the next request. Pushed lists are requested at once, since an agent serves one dispatcher. Otherwise the
-// design's schedule spreads dispatchers that start, are moved, are refused or lose their watches together; only after a
-// time-out the request comes sooner, since the clock of the list runs already. It could do harm where discovery is
-// healthy and ends one watch: its dispatcher is notified up to half a period late.
+// Next returns the next request and records the reason for it. Pushed lists are requested at once, since an agent
+// serves one dispatcher. Otherwise the design's schedule spreads dispatchers that start, get another address, are
+// refused or lose their watches at the same time. Only after a time-out the request comes sooner, since part of the
+// time within which the dispatcher must have the list has passed. The schedule does harm where a healthy discovery ends
+// a single watch: that dispatcher is notified up to half a period late.
 func (s *Scheduler) Next(reason Reason, pushed bool) Request {
-	s.count(reason)
+	s.updateCounters(reason)
 	request := Request{
 		Delay:           s.delay(reason, pushed),
 		ConnectTimeout:  s.periods(connectTimeoutPeriods),
@@ -107,13 +116,15 @@
 		return request
 	}
 	request.ConnectTimeout = s.periods(pushedTimeoutPeriods)
-	if s.timeouts%patientInterval != patientInterval-1 {
+	if s.timeouts%longTimeoutInterval != longTimeoutInterval-1 {
 		request.ResponseTimeout = s.periods(pushedTimeoutPeriods)
 	}
 	return request
 }
 
-func (s *Scheduler) count(reason Reason) {
+// updateCounters updates the numbers of consecutive time-outs and malformed lists, and resets the schedule at a new
+// start or address. The failures are counted by delay.
+func (s *Scheduler) updateCounters(reason Reason) {
 	switch reason {
 	case Started, AddressChanged:
 		s.failures = 0
@@ -130,9 +141,9 @@
 
 func (s *Scheduler) delay(reason Reason, pushed bool) api.Micros {
 	switch {
-	case s.malformed > 1: // the same list again, and a log line each: an agent is backed off from, too
+	case s.malformed > 1: // each request would return and log the same malformed list; an agent is backed off from, too
 		return s.backoff(maxBackoffPeriods, s.malformed-2)
-	case pushed && reason < Closed: // a time-out is delay enough, and a request is open when discovery returns
+	case pushed && reason < Closed: // time-outs limit the request rate, and a request is open when discovery returns
 		return 0
 	case pushed:
 		return s.backoff(pushedMaxBackoffPeriods, s.failures)
@@ -146,7 +157,7 @@
 	return delay
 }
 
-// backoff is delay i of the schedule with a maximum in periods.
+// backoff returns delay i of the schedule, counted from 0, with a longest delay in periods.
 func (s *Scheduler) backoff(maximum float64, i int) api.Micros {
 	seconds := policy.Backoff(maximum/backoffUnitPeriods, i, s.random.Float64()).Seconds()
 	return api.Micros(seconds * backoffUnitPeriods * float64(s.period))
--- a/webhook/refresh/scheduler_test.go
+++ b/webhook/refresh/scheduler_test.go
@@ -11,7 +11,8 @@
 
 const period = 2 * api.Second
 
-// One dispatcher may send four requests a second; if all do, rejecting them is all that discovery has time for.
+// Guards against dispatchers that keep discovery overloaded: one may send four requests a second, but if all do, discovery
+// spends its time rejecting requests.
 func TestAllDispatchersRecoverTheirListsFromAnOverloadedDiscovery(t *testing.T) {
 	const (
 		dispatchers   = 80
@@ -58,9 +59,9 @@
 	})
 }
 
-// The time limits within which a dispatcher must have the list, on each worst path with one fault on the way: what a watch
-// missed counts as notified three periods after it fell silent, two after a change of address. Discovery takes an eighth of
-// a period to reject a request, and a quarter to send the list.
+// Checks the time within which a dispatcher must have the list, on the worst path with one further fault. Changes that a
+// watch missed count as notified three periods after the watch fell silent, or two after a change of address. Discovery
+// takes an eighth of a period to reject a request, and a quarter to send the list.
 func TestEachPathToTheListIsWithinItsLimit(t *testing.T) {
 	const (
 		rejectTime = period / 8
@@ -70,16 +71,16 @@
 		reasons []Reason
 		limit   api.Micros
 	}{
-		"silent watch":                              {[]Reason{TimedOut}, 3 * period},
-		"silent watch, silent connect or head":      {[]Reason{TimedOut, TimedOut}, 3 * period},
-		"silent watch, refused":                     {[]Reason{TimedOut, Closed}, 3 * period},
-		"ended watch, silent connect or head":       {[]Reason{Closed, TimedOut}, 3 * period},
-		"ended watch, refused":                      {[]Reason{Closed, Closed}, 3 * period},
-		"first request, silent connect or head":     {[]Reason{Started, TimedOut}, 3 * period},
-		"first request, refused":                    {[]Reason{Started, Closed}, 3 * period},
-		"address change, silent connect or head":    {[]Reason{AddressChanged, TimedOut}, 2 * period},
-		"address change, refused":                   {[]Reason{AddressChanged, Closed}, 2 * period},
-		"address change amid refusals, silent head": {[]Reason{Closed, Closed, Closed, AddressChanged, TimedOut}, 2 * period},
+		"silent watch": {[]Reason{TimedOut}, 3 * period},
+		"silent watch, then no connection or header":    {[]Reason{TimedOut, TimedOut}, 3 * period},
+		"silent watch, then a refusal":                  {[]Reason{TimedOut, Closed}, 3 * period},
+		"ended watch, then no connection or header":     {[]Reason{Closed, TimedOut}, 3 * period},
+		"ended watch, then a refusal":                   {[]Reason{Closed, Closed}, 3 * period},
+		"first request, no connection or header":        {[]Reason{Started, TimedOut}, 3 * period},
+		"first request refused":                         {[]Reason{Started, Closed}, 3 * period},
+		"address change, then no connection or header":  {[]Reason{AddressChanged, TimedOut}, 2 * period},
+		"address change, then a refusal":                {[]Reason{AddressChanged, Closed}, 2 * period},
+		"address change after refusals, then no header": {[]Reason{Closed, Closed, Closed, AddressChanged, TimedOut}, 2 * period},
 	} {
 		for seed := range uint64(500) {
 			for _, pushed := range []bool{false, true} {
@@ -118,8 +119,8 @@
 	}
 }
 
-// What an agent has counts as notified: it is requested at once. During an outage a request is open, or soon will be, when
-// discovery returns, also if the agent answers none of the earlier requests.
+// A change of the list that the agent has counts as notified, so the list is requested at once. During an outage a request
+// is open, or soon will be, when discovery returns, even if the agent answers none of the earlier requests.
 func TestAgentIsRequestedAtOnceAndRepeatedlyDuringAnOutage(t *testing.T) {
 	const grace = period / 4
 	for seed := range uint64(100) {
@@ -129,19 +130,19 @@
 		assert.Zero(t, scheduler.Next(TimedOut, true).Delay)
 		scheduler.RecordActivity()
 		assert.Zero(t, scheduler.Next(AddressChanged, true).Delay)
-		patient := 0
-		for i := range 10 * patientInterval {
+		longTimeouts := 0
+		for i := range 10 * longTimeoutInterval {
 			request := scheduler.Next(TimedOut, true)
 			assert.Zero(t, request.Delay)
 			assert.GreaterOrEqual(t, max(request.ConnectTimeout, request.ResponseTimeout), period/16,
-				"the time-outs bound the rate of requests")
+				"only the time-outs limit the rate of requests")
 			if request.ResponseTimeout > grace {
-				patient++
-				assert.Greater(t, request.ResponseTimeout, period, "an agent that answers with its first line")
-				assert.GreaterOrEqual(t, i, patientInterval/2)
+				longTimeouts++
+				assert.Greater(t, request.ResponseTimeout, period, "long enough for an agent that answers only with its first line")
+				assert.GreaterOrEqual(t, i, longTimeoutInterval/2)
 			}
 		}
-		assert.Equal(t, 10, patient)
+		assert.Equal(t, 10, longTimeouts)
 		for range 100 {
 			delay := scheduler.Next(Closed, true).Delay
 			assert.True(t, delay >= period/32 && delay <= grace/2, "refusals must not cause a busy loop: %d", delay)
--- a/webhook/refresh/startup_gate.go
+++ b/webhook/refresh/startup_gate.go
@@ -2,8 +2,8 @@
 
 import "rowanlink/webhook/api"
 
-// StartupGate is a Policy that starts no calls until it is opened: the endpoint list that a new process stored may be
-// old. Webhooks are accepted and answered meanwhile.
+// StartupGate is a Policy that starts no calls until it is opened: the stored endpoint list that a new process reads
+// may be out of date. Webhooks are accepted and answered meanwhile.
 type StartupGate struct {
 	api.Policy
 	open bool
@@ -12,7 +12,7 @@
 // Open lets calls start from the next turn on.
 func (g *StartupGate) Open() { g.open = true }
 
-// EndTurn closes a turn; a Policy starts calls only here.
+// EndTurn ends a turn if the gate is open. A Policy starts calls only here.
 func (g *StartupGate) EndTurn() {
 	if g.open {
 		g.Policy.EndTurn()
