--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -13,12 +13,12 @@
 		m := rapid.Float64Range(0.1, 100).Draw(t, "m")
 		i := rapid.IntRange(0, 1<<40).Draw(t, "i")
 		x := rapid.Float64Range(0, 1-1e-9).Draw(t, "x")
-		wait := Delay(m, i, x, 1e6) / 1e6
-		assert.LessOrEqual(t, wait, m+1e-6)
+		delay := Delay(m, i, x, 1e6) / 1e6
+		assert.LessOrEqual(t, delay, m+1e-6)
 		if float64(i) <= 2*math.Log2(m) {
-			assert.InDelta(t, min(m, x*math.Pow(2, float64(i))), wait, 1e-6)
+			assert.InDelta(t, min(m, x*math.Pow(2, float64(i))), delay, 1e-6)
 		} else if m > 0.75 {
-			assert.GreaterOrEqual(t, wait, 0.8*m)
+			assert.GreaterOrEqual(t, delay, 0.8*m)
 		}
 	})
 }
