--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -11,10 +11,10 @@
 	minLateDelayShare = 0.8
 )
 
-// Delay returns the delay before retry i, counted from zero. The schedule is in units: m is the longest delay in units,
-// and unit is the length of one unit in the caller's measure of time, in which the delay is returned, rounded up to an
-// integer. x is a random number in [0, 1). While i <= 2*log2(m) the delay is min(m, x*2^i) units. After that it is 80
-// to 100 % of m units, and no power of two is computed, which could overflow.
+// Delay returns the delay before retry i, counted from zero. The schedule counts in units: m is the longest delay in
+// units, and unit is the length of one unit in the caller's measure of time. The result is in that measure, too,
+// rounded up to an integer. x is a random number in [0, 1). While i <= 2*log2(m) the delay is min(m, x*2^i) units.
+// After that it is 80 to 100 % of m units, and no power of two is computed, which could overflow.
 func Delay(m float64, i int, x, unit float64) float64 {
 	if i <= int(math.Floor(2*math.Log2(max(m, 0.5)))) {
 		return math.Ceil(min(m, x*math.Pow(2, float64(i))) * unit)
--- a/webhook/policy/concurrency.go
+++ b/webhook/policy/concurrency.go
@@ -27,8 +27,8 @@
 	return c.pending < w.destination.kind.BatchSize && p.allowsZone(w, e)
 }
 
-// concurrencyLimit is the maximum of calls in flight on a route: its window, up to a share of the slots that is smaller
-// for a route that fails or is slow.
+// concurrencyLimit returns the maximum of calls in flight on a route: its window, up to a share of the slots that is
+// smaller for a route that fails or is slow.
 func (p *Policy) concurrencyLimit(r *route) int {
 	share := healthyConcurrencyShare
 	if r.failureRate > unhealthyFailureRate/2 || r.meanLatency > unresponsiveFactor*p.meanLatency {
--- a/webhook/policy/constants.go
+++ b/webhook/policy/constants.go
@@ -9,8 +9,9 @@
 	maxBackoffShare     = 0.25 // longest backoff delay
 	attemptTimeoutShare = 0.7  // longest time-out of an attempt
 
-	// The time-out of an attempt shrinks by timeoutCutPerLoss times the share of calls that timed out, but not below
-	// tailLatencyFactor mean latencies of the route. Of these at least minTailShare remain where many calls time out.
+	// The time-out of an attempt shrinks by timeoutCutPerLoss times the share of calls that timed out. Its lower bound
+	// is tailLatencyFactor times the mean latency of the route and shrinks to minTailShare of that where many calls
+	// time out.
 	timeoutCutPerLoss = 6.0
 	tailLatencyFactor = 6.0
 	minTailShare      = 1.0 / 3
@@ -20,8 +21,9 @@
 const (
 	smoothing = 1.0 / 8 // weight of a new value in the moving averages
 
-	// unresponsiveFactor is how many times the mean latency over all routes a slow route has, and for how many times the
-	// expected gap between its answers an unresponsive route has given none.
+	// A route is slow if its mean latency is more than unresponsiveFactor times the mean over all routes. It is
+	// unresponsive if it has given no answer for more than unresponsiveFactor times the expected gap between its
+	// answers.
 	unresponsiveFactor = 4.0
 )
 
@@ -42,8 +44,8 @@
 	unhealthyAfterFailures   = 3
 	unhealthyAfterRejections = 6 // consecutive rejections after which a route is unhealthy
 
-	// unhealthyFailureRate is the share of failed calls above which a route enters slow start. Above half of it, the route
-	// gets the smaller share of the slots.
+	// unhealthyFailureRate is the share of failed calls above which a route enters slow start. Above half of it, the
+	// route gets the smaller share of the slots.
 	unhealthyFailureRate = 0.5
 
 	// The interval between canaries is between minCanaryIntervalShare of the slow start's duration and all of it.
@@ -59,16 +61,16 @@
 	quotaBurstSeconds = 2.0 // depth of a tenant's token bucket, in seconds of the quota
 	maxBufferFill     = 0.9 // share of the buffer at which shedding begins
 
-	// An endpoint is assumed to accept connectionsPerCall connections for each of its concurrent calls at the listed rate,
-	// and at least minConnections.
+	// An endpoint is assumed to accept connectionsPerCall connections for each of its concurrent calls at the listed
+	// rate, and at least minConnections.
 	connectionsPerCall = 2.0
 	minConnections     = 6.0
 
-	// stallTurnIntervals is by how many turn intervals the periodic timer is late where the dispatcher has stalled.
+	// The dispatcher has stalled if its periodic timer is at least stallTurnIntervals turn intervals late.
 	stallTurnIntervals = 20
 
-	// retentionSlowStarts is for how many durations of the slow start a refused connection counts for its kind of
-	// destination, and an endpoint that left the list is remembered.
+	// For retentionSlowStarts durations of the slow start, a refused connection counts for its kind of destination, and
+	// an endpoint that left the list is remembered.
 	retentionSlowStarts = 10
 )
 
--- a/webhook/policy/endpoint_list.go
+++ b/webhook/policy/endpoint_list.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// isRate reports whether a rate is positive and finite, which NaN is not.
+// isRate reports whether a rate is positive and finite. It is false for NaN.
 func isRate(rate float64) bool { return rate > 0 && !math.IsInf(rate, 0) }
 
 // removeDelisted removes a destination's endpoints that are no longer listed as active. They are remembered for a
@@ -116,7 +116,7 @@
 	r.listedRate += smoothing * (share - r.listedRate)
 }
 
-// newRoute returns a route with this listed rate, in calls per second; its token bucket fills from since on. If no rate
+// newRoute returns a route with a listed rate, in calls per second; its token bucket fills from since on. If no rate
 // is listed (0), the route has an assumed rate until one is reported: one call per second for each slot or, where lists
 // state no rates at all, an equal share of that for each destination.
 func (p *Policy) newRoute(logName api.EndpointID, listedRate float64, since api.Micros) *route {
--- a/webhook/policy/endpoint_selection.go
+++ b/webhook/policy/endpoint_selection.go
@@ -14,16 +14,17 @@
 	return !zoneBound || w.mayHaveRunIn == e.zone
 }
 
-// selectEndpoint selects the most preferred endpoint that has capacity, whose route admits a call and that isn't
-// ejected. If the webhook can join a call, checkConcurrency has already selected the endpoint of that call.
+// selectEndpoint selects the most preferred endpoint in an allowed zone that has capacity, whose route admits a call
+// and that isn't ejected. If the webhook can join a call, checkConcurrency has already selected the endpoint of that
+// call.
 func (p *Policy) selectEndpoint(w *webhook) stageResult {
 	if p.selected != nil {
 		return proceed
 	}
 	limit := p.limitPerEndpoint(w.destination)
 	for _, e := range w.destination.endpoints {
-		hasCapacity := float64(e.inFlight) < min(limit, math.Floor(e.connectionLimit)) && p.allowsZone(w, e)
-		if hasCapacity && p.admits(e) && !p.isEjected(e) {
+		eligible := float64(e.inFlight) < min(limit, math.Floor(e.connectionLimit)) && p.allowsZone(w, e)
+		if eligible && p.admits(e) && !p.isEjected(e) {
 			p.selected = e
 			return proceed
 		}
@@ -31,8 +32,9 @@
 	return wait
 }
 
-// limitPerEndpoint is the maximum of calls in flight to one endpoint: an equal part of the shared route's concurrency
-// limit or, for a single endpoint or one with its own route, the largest share of the slots that any route may use.
+// limitPerEndpoint returns the maximum of calls in flight to one endpoint: an equal part of the shared route's
+// concurrency limit or, for a single endpoint or one with its own route, the largest share of the slots that any route
+// may use.
 func (p *Policy) limitPerEndpoint(d *destination) float64 {
 	if n := len(d.endpoints); n > 1 && !d.kind.SeparateRoutes {
 		return math.Ceil(float64(p.concurrencyLimit(d.sharedRoute)) / float64(n))
@@ -79,10 +81,10 @@
 	}
 }
 
-// attemptTimeout is the time-out of an attempt. It is long by default: an attempt that timed out may still run, after
-// which an at-most-once webhook can't be retried. Where answers are lost (lost responses, one of several endpoints that
-// hangs) the time-out shrinks towards the latency of the answers that arrive. Each consecutive failure of the endpoint
-// doubles that lower bound, so that a destination that has become slow can still answer.
+// attemptTimeout returns the time-out of an attempt. It is long by default: an attempt that timed out may still run,
+// after which an at-most-once webhook can't be retried. Where answers are lost (lost responses, one of several
+// endpoints that hangs) the time-out shrinks towards the latency of the answers that arrive. Each consecutive failure
+// of the endpoint doubles that lower bound, so that a destination that has become slow can still answer.
 func (p *Policy) attemptTimeout(w *webhook, e *endpoint) api.Micros {
 	timeout := float64(w.eventType.maxTimeout)
 	if r := e.route; r.meanLatency > 0 && !r.unhealthy {
--- a/webhook/policy/expiry.go
+++ b/webhook/policy/expiry.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// latestSend is the latest time at which an attempt may start: two turn intervals before the deadline and, for a
+// latestSend returns the latest time at which an attempt may start: two turn intervals before the deadline and, for a
 // deduplicated webhook that may have run, as long before the destination forgets its idempotency key.
 func (p *Policy) latestSend(w *webhook) api.Micros {
 	margin := 2 * p.settings.MinTurnInterval
--- a/webhook/policy/outcome.go
+++ b/webhook/policy/outcome.go
@@ -103,9 +103,9 @@
 	p.updateRecovery(r)
 }
 
-// rateStep is the amount by which a success raises the rate, in calls per second. The listed rate may be far too low:
-// where the queue is longer than the rate can send within the latency target, and no call was rejected for long, the
-// step is larger.
+// rateStep returns the amount by which a success raises the rate, in calls per second. The listed rate may be far too
+// low: where the queue is longer than the rate can send within the latency target, and no call was rejected for long,
+// the step is larger.
 func (p *Policy) rateStep(e *endpoint) float64 {
 	queue := e.destination.queue
 	if len(queue) == 0 || p.now-e.route.rateDecreasedAt <= p.settings.SlowStartDuration {
@@ -167,7 +167,7 @@
 	recentSuccess := p.now-e.lastSuccessAt < p.settings.OverloadDuration
 	e.lastFailureAt = p.now
 	if outcome == api.ConnectionReset && isolated && recentSuccess {
-		p.host.CloseIdleConnections(e.id) // other connections to it may be broken without notice, too
+		p.host.CloseIdleConnections(e.id) // its idle connections may be broken, too
 		return
 	}
 	if outcome == api.TimedOut || outcome == api.Cancelled {
--- a/webhook/policy/priority.go
+++ b/webhook/policy/priority.go
@@ -6,11 +6,10 @@
 	"rowanlink/webhook/api"
 )
 
-// Priority classes, most urgent first. A webhook over its tenant's quota is ranked
-// overQuotaClasses classes lower.
+// Priority classes, most urgent first. A webhook over its tenant's quota is ranked overQuotaClasses classes lower.
 const (
 	onTimeClass      = 0 // it can still be delivered within its latency target
-	lateClass        = 1
+	lateClass        = 1 // it can't any more
 	overQuotaClasses = 2
 )
 
--- a/webhook/policy/rate_limit.go
+++ b/webhook/policy/rate_limit.go
@@ -43,7 +43,7 @@
 }
 
 // requestWakeUp requests a turn at the time when a route that admits no call now may admit calls again. It always
-// returns false, the answer of its callers.
+// returns false, which its callers return in turn.
 func (p *Policy) requestWakeUp(r *route, at api.Micros) bool {
 	if r.wakeUpAt <= p.now || at < r.wakeUpAt { // keep the earliest time only: each turn may compute a different one
 		r.wakeUpAt = at
@@ -68,9 +68,9 @@
 	return min(rate, max(budget, minimum)), 1
 }
 
-// fallbackRate is the rate that a route may have where this dispatcher's share of the listed rate is too small to be
-// useful: the rate learned from the calls that it admitted on all routes of the kind or, if larger, the headroom that
-// the destination reported. Each consecutive rejection halves the rate, and reduces reported headroom far more:
+// fallbackRate returns the rate that a route may have where this dispatcher's share of the listed rate is too small to
+// be useful: the rate learned from the calls that it admitted on all routes of the kind or, if larger, the headroom
+// that the destination reported. Each consecutive rejection halves the rate, and reduces reported headroom far more:
 // hundreds of dispatchers see the same headroom, and a destination that hangs rejects calls like one at its limit.
 func fallbackRate(d *destination, r *route) float64 {
 	headroom := math.Ldexp(r.reportedHeadroom, -headroomHalvings*r.consecutiveRejections)
--- a/webhook/policy/submission.go
+++ b/webhook/policy/submission.go
@@ -11,8 +11,8 @@
 	p.Recover(w, api.PriorAttempts{MayHaveRunAt: never})
 }
 
-// Recover accepts a webhook that an earlier process or another dispatcher has attempted. The outcome of a call that was
-// in flight is lost: as after a connection reset, the webhook is retried after a backoff or given up.
+// Recover accepts a webhook with the attempts that an earlier process or another dispatcher has made. The outcome of a
+// call that was in flight is lost: as after a connection reset, the webhook is retried after a backoff or given up.
 func (p *Policy) Recover(submitted api.Webhook, prior api.PriorAttempts) {
 	p.now = p.host.Now()
 	eventType := &p.eventTypes[min(int(submitted.EventType), len(p.eventTypes)-1)]
--- a/webhook/refresh/scheduler.go
+++ b/webhook/refresh/scheduler.go
@@ -45,15 +45,15 @@
 	// The first jitteredTimeouts time-outs are each followed by a short random delay, later ones by a delay of the
 	// schedule.
 	jitteredTimeouts = 2
-	// One of longTimeoutInterval requests to an agent has the response time-out of a request to discovery, for an
-	// agent that answers more slowly than the protocol's agent does.
+	// Of longTimeoutInterval requests to an agent, one has the response time-out of a request to discovery, for an
+	// agent that answers more slowly than the protocol expects.
 	longTimeoutInterval = 32
 )
 
 // Reason says why another request is due.
 type Reason uint8
 
-// Reasons. The order matters: those before Closed aren't caused by a response of the other side.
+// Reasons. Their order matters: a reason before Closed isn't a reaction of the other side, such as a refusal.
 const (
 	Started        Reason = iota // the process has requested nothing yet
 	AddressChanged               // discovery is at another address
@@ -74,11 +74,13 @@
 type Scheduler struct {
 	period api.Micros
 	random *mwcrand.Source
-	// Consecutive requests that were refused or closed, time-outs, and watches that sent a malformed list.
+	// Consecutive requests to discovery that the schedule has delayed, mostly after a refusal or a closed watch;
+	// time-outs; and watches that sent a malformed list.
 	failures, timeouts, malformed int
 }
 
-// New returns a Scheduler with a dispatcher's random seed; linePeriod is the time between two lines of a watch.
+// New returns a Scheduler with a dispatcher's random seed; linePeriod is the time between two lines of a watch,
+// one second if it is 0.
 func New(seed uint64, linePeriod api.Micros) *Scheduler {
 	return &Scheduler{period: cmp.Or(linePeriod, api.Second), random: mwcrand.New(seed)}
 }
@@ -100,10 +102,10 @@
 }
 
 // Next returns the next request and records the reason for it. Pushed lists are requested at once, since an agent
-// serves one dispatcher. Otherwise the design's schedule spreads dispatchers that start, get another address, are
-// refused or lose their watches at the same time. Only after a time-out the request comes sooner, since part of the
-// time within which the dispatcher must have the list has passed. The schedule does harm where a healthy discovery ends
-// a single watch: that dispatcher is notified up to half a period late.
+// serves one dispatcher. Requests to discovery follow the backoff schedule, which spreads dispatchers that start, get
+// another address, are refused or lose their watches at the same time. Only after a time-out the request comes sooner,
+// since part of the time within which the dispatcher must have the list has passed. The schedule does harm where a
+// healthy discovery ends a single watch: that dispatcher is notified up to half a period late.
 func (s *Scheduler) Next(reason Reason, pushed bool) Request {
 	s.updateCounters(reason)
 	request := Request{
@@ -123,7 +125,8 @@
 }
 
 // updateCounters updates the numbers of consecutive time-outs and malformed lists, and resets the schedule at a new
-// start or address. The failures are counted by delay.
+// start or address. delay
+// advances failures.
 func (s *Scheduler) updateCounters(reason Reason) {
 	switch reason {
 	case Started, AddressChanged:
@@ -139,6 +142,7 @@
 	}
 }
 
+// delay returns the time until the next request begins, and advances the schedule where it is used for discovery.
 func (s *Scheduler) delay(reason Reason, pushed bool) api.Micros {
 	switch {
 	case s.malformed > 1: // each request would return and log the same malformed list; an agent is backed off from, too
