--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// FullShare is the share of the slots that the window of a healthy endpoint may use.
-	FullShare = 0.75
+	// HealthyShare is the share of the slots that the window of a healthy endpoint may use.
+	HealthyShare = 0.75
 	// UnhealthyShare is the same for an endpoint that fails or is slow.
 	UnhealthyShare = 0.5
 	// minLateDelayShare is the shortest late delay, as a share of the cap.
@@ -28,8 +28,8 @@
 	return max(int(min(window, share*slots)), 1)
 }
 
-// Grow returns the window after a success: larger by step, up to FullShare of the slots.
-func Grow(window, step, slots float64) float64 { return min(window+step, FullShare*slots) }
+// Grow returns the window after a success: larger by step, up to HealthyShare of the slots.
+func Grow(window, step, slots float64) float64 { return min(window+step, HealthyShare*slots) }
 
 // Halve returns the window after a rejection or a time-out: half of it, but at least one.
 func Halve(window float64) float64 { return max(window/2, 1) }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -28,11 +28,11 @@
 	for range 200 {
 		window = Grow(window, 1, 128)
 	}
-	assert.Equal(t, 96, ConcurrencyLimit(window, FullShare, 128))
+	assert.Equal(t, 96, ConcurrencyLimit(window, HealthyShare, 128))
 	assert.Equal(t, 64, ConcurrencyLimit(window, UnhealthyShare, 128))
 	for range 200 {
 		window = Halve(window)
 	}
-	assert.Equal(t, 1, ConcurrencyLimit(window, FullShare, 128))
-	assert.Equal(t, 1, ConcurrencyLimit(Grow(1, 1, 1), FullShare, 1), "never below one")
+	assert.Equal(t, 1, ConcurrencyLimit(window, HealthyShare, 128))
+	assert.Equal(t, 1, ConcurrencyLimit(Grow(1, 1, 1), HealthyShare, 1), "never below one")
 }
--- a/serving/placement/endpoint.go
+++ b/serving/placement/endpoint.go
@@ -72,7 +72,7 @@
 
 // concurrencyLimit returns how many calls this proxy may have in flight at the endpoint.
 func (e *endpoint) concurrencyLimit(now time.Time) int {
-	share := backoff.FullShare
+	share := backoff.HealthyShare
 	slow := e.queueDelays[priorityLevels-1].meanAt(now) > slowQueueDelay
 	if e.health.failureRate > unhealthyFailureRate || slow {
 		share = backoff.UnhealthyShare
--- a/webhook/policy/constants.go
+++ b/webhook/policy/constants.go
@@ -76,6 +76,6 @@
 
 // Shares of MaxInFlight.
 const (
-	healthyConcurrencyShare   = backoff.FullShare
+	healthyConcurrencyShare   = backoff.HealthyShare
 	unhealthyConcurrencyShare = backoff.UnhealthyShare // also for the canaries to all unhealthy routes together
 )
