--- a/webhook/policy/endpoint_list_test.go
+++ b/webhook/policy/endpoint_list_test.go
@@ -67,7 +67,7 @@
 	s.submit(1, idempotentEvent, 0)
 	s.EndTurn()
 	route := s.destinations[0].sharedRoute
-	assert.LessOrEqual(t, route.listedRate, 2.0, "the slots serve all destinations")
+	assert.LessOrEqual(t, route.listedRate, 2.0, "all destinations share the slots")
 	s.ReportLoad(api.LoadReport{Endpoint: 0, Headroom: 0.5, Limit: 40})
 	s.endAttemptAndTurn(1, api.Delivered, 0)
 	assert.InDelta(t, 0.2, route.listedRate, 1e-9)
--- a/webhook/policy/helpers_test.go
+++ b/webhook/policy/helpers_test.go
@@ -142,7 +142,7 @@
 	fake *fakeHost
 }
 
-// startScenario starts a policy. Destination d is of the d-th kind and has the endpoints 10d and 10d+1.
+// startScenario starts a policy. Destination d is of kind kinds[d] and has the endpoints 10d and 10d+1.
 func startScenario(settings api.Settings, kinds ...api.DestinationKindID) *scenario {
 	host := &fakeHost{
 		now:      100 * api.Second,
@@ -190,7 +190,7 @@
 	})
 }
 
-// endAttempt reports the outcome of the webhook's last attempt.
+// endAttempt reports to the policy how the webhook's last attempt ended.
 func (s *scenario) endAttempt(id api.WebhookID, outcome api.Outcome, retryAfter api.Micros) {
 	for i := len(s.fake.attempts) - 1; i >= 0; i-- {
 		attempt := s.fake.attempts[i]
--- a/webhook/policy/outcome.go
+++ b/webhook/policy/outcome.go
@@ -8,8 +8,8 @@
 	"rowanlink/webhook/api"
 )
 
-// AttemptEnded updates the learned state with the result of an attempt. It then retries the webhook, gives it up or, if
-// it has its final answer, forgets it.
+// AttemptEnded updates the learned state with the result of an attempt. It then schedules a retry, gives the webhook up
+// or, if it has its final answer, forgets it.
 func (p *Policy) AttemptEnded(result api.AttemptResult) {
 	p.now = p.host.Now()
 	w := p.webhooks[result.Webhook]
--- a/webhook/policy/policy.go
+++ b/webhook/policy/policy.go
@@ -102,8 +102,7 @@
 	slices.SortFunc(p.backlogged, func(a, b *destination) int { return a.index - b.index })
 	for _, d := range p.backlogged {
 		d.removeDequeued()
-		// Until its wake-up time, a shared route that admitted no call can admit one only after an outcome, which
-		// resets wakeUpAt.
+		// A route with a requested wake-up admits no call before then, unless an outcome resets wakeUpAt.
 		awaitsWakeUp := !d.kind.SeparateRoutes && p.now < d.sharedRoute.wakeUpAt
 		if !awaitsWakeUp && slices.ContainsFunc(d.endpoints, p.admits) {
 			p.ready = append(p.ready, d.queue...)
--- a/webhook/refresh/scheduler_test.go
+++ b/webhook/refresh/scheduler_test.go
@@ -11,8 +11,8 @@
 
 const period = 2 * api.Second
 
-// Guards against dispatchers that keep discovery overloaded: one may send four requests a second, but if all do, discovery
-// spends its time rejecting requests.
+// Guards against dispatchers that keep discovery overloaded: one may send four requests a second, but if all do,
+// discovery spends its time rejecting requests.
 func TestAllDispatchersRecoverTheirListsFromAnOverloadedDiscovery(t *testing.T) {
 	const (
 		dispatchers   = 80
@@ -59,9 +59,10 @@
 	})
 }
 
-// Checks the time within which a dispatcher must have the list, on the worst path with one further fault. Changes that a
-// watch missed count as notified three periods after the watch fell silent, or two after a change of address. Discovery
-// takes an eighth of a period to reject a request, and a quarter to send the list.
+// Checks for each path to the list, with one fault on the way, that the worst case is within the time in which a
+// dispatcher must have the list. Changes that a watch missed count as notified three periods after the watch fell
+// silent, or two after a change of address. Discovery takes an eighth of a period to reject a request, and a quarter to
+// send the list.
 func TestEachPathToTheListIsWithinItsLimit(t *testing.T) {
 	const (
 		rejectTime = period / 8
@@ -119,8 +120,8 @@
 	}
 }
 
-// A change of the list that the agent has counts as notified, so the list is requested at once. During an outage a request
-// is open, or soon will be, when discovery returns, even if the agent answers none of the earlier requests.
+// A change of the list that the agent has counts as notified, so the list is requested at once. During an outage a
+// request is open, or soon will be, when discovery returns, even if the agent answers none of the earlier requests.
 func TestAgentIsRequestedAtOnceAndRepeatedlyDuringAnOutage(t *testing.T) {
 	const grace = period / 4
 	for seed := range uint64(100) {
