--- a/serving/rollout/answers.go
+++ b/serving/rollout/answers.go
@@ -4,13 +4,13 @@
 	"rowanlink/serving/state"
 )
 
-// routeEvidence is what the answers on one route have shown, or those on all routes together.
+// routeEvidence holds the counts of answers on one route, or on all routes together, and the tests on them.
 type routeEvidence struct {
 	target, baseline state.AnswerCounts
 	failures, slow   cusum
 }
 
-// add adds the counts that have come since the last report.
+// add adds the answers that were counted since the last report.
 func (r *routeEvidence) add(target, baseline state.AnswerCounts) {
 	r.target = r.target.Add(target)
 	r.baseline = r.baseline.Add(baseline)
@@ -18,30 +18,33 @@
 	r.slow.add(max(target.Timed-target.Slow, 0), max(target.Slow, 0), r.toleratedSlow(), slowDegradation)
 }
 
+// toleratedFailures returns the share of failed answers that the target may have.
 func (r *routeEvidence) toleratedFailures() float64 {
 	return toleratedShare(r.baseline.Failed, r.baseline.Answers, minFailureShare)
 }
 
+// toleratedSlow returns the share of slow answers that the target may have.
 func (r *routeEvidence) toleratedSlow() float64 {
 	return toleratedShare(r.baseline.Slow, r.baseline.Timed, minSlowShare)
 }
 
-// suspicion returns the reason for which the next step has to wait for more answers: the sum is high, and all answers
-// together are nearer to a degraded version than to the baseline. It returns RolloutNoReason if there is none.
-func (r *routeEvidence) suspicion(share float64) state.RolloutReason {
-	failed := float64(r.target.Failed) > float64(r.target.Answers)*(r.toleratedFailures()+failureDegradation/2)
-	late := float64(r.target.Slow) > float64(r.target.Timed)*(r.toleratedSlow()+slowDegradation/2)
+// holdReason returns why the next step has to wait for more answers, or RolloutNoReason if it needn't. It has to wait
+// while a test's sum is at least the given share of alarmThreshold and the share of bad answers among all of the target's
+// answers is nearer to that of a degraded version than to the tolerated one.
+func (r *routeEvidence) holdReason(share float64) state.RolloutReason {
+	fails := float64(r.target.Failed) > float64(r.target.Answers)*(r.toleratedFailures()+failureDegradation/2)
+	isSlow := float64(r.target.Slow) > float64(r.target.Timed)*(r.toleratedSlow()+slowDegradation/2)
 	switch {
-	case failed && r.failures.suspicious(share):
+	case fails && r.failures.reaches(share):
 		return state.RolloutFailures
-	case late && r.slow.suspicious(share):
+	case isSlow && r.slow.reaches(share):
 		return state.RolloutSlow
 	default:
 		return state.RolloutNoReason
 	}
 }
 
-// reason returns why the target counts as worse; RolloutNoReason if it doesn't.
+// reason returns which test has found that the target is worse than the baseline, or RolloutNoReason if none has.
 func (r *routeEvidence) reason() state.RolloutReason {
 	switch {
 	case r.failures.alarmed():
@@ -53,19 +56,21 @@
 	}
 }
 
-// probeEvidence is what the endpoints that are loaded on purpose have shown. A version may fail there only while as many
-// requests as it has to bear run at once, so a smaller share of failures counts.
+// probeEvidence holds the counts of the load probes' answers and the test on them. A version that fails under load may do
+// so only while an endpoint runs as many requests at once as it has to bear, so the test is designed for a smaller
+// additional share of failures than that of a route.
 type probeEvidence struct {
 	counts   state.AnswerCounts
 	failures cusum
 }
 
+// add adds the answers that were counted since the last report. tolerated is the share of them that may fail.
 func (p *probeEvidence) add(counts state.AnswerCounts, tolerated float64) {
 	p.counts = p.counts.Add(counts)
 	p.failures.add(max(counts.Answers-counts.Failed, 0), max(counts.Failed, 0), tolerated, probeDegradation)
 }
 
-// probeCounts sums up the counts of the endpoints that were loaded on purpose.
+// probeCounts returns the sum of the load probes' counts. Slow answers count as failed.
 func probeCounts(endpoints []state.EndpointCounts) (sum state.AnswerCounts) {
 	for _, counts := range endpoints {
 		if counts.LoadProbe {
--- a/serving/rollout/encoding_test.go
+++ b/serving/rollout/encoding_test.go
@@ -7,7 +7,8 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms compares the form of the agents' reports with a golden file.
+// TestEncodedForms compares the encoding of the package's messages with the golden file, so that a rename in Go can't
+// change what members of different versions send each other.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR,
 		ReportRequest{},
--- a/serving/rollout/evidence.go
+++ b/serving/rollout/evidence.go
@@ -7,12 +7,12 @@
 // allRoutes is the key of the evidence of all routes together.
 const allRoutes = ""
 
-// evidence sums up the reports of all proxies on one roll-out.
+// evidence holds the sums of all proxies' reports on one roll-out, and the tests on them.
 type evidence struct {
-	routes    map[string]*routeEvidence // by name; allRoutes for all together
+	routes    map[string]*routeEvidence // by route name; the key allRoutes has all routes together
 	probes    probeEvidence
-	endpoints map[endpointKey]*state.EndpointCounts // of the target
-	reports   map[string]state.RolloutReport        // the newest of each proxy, by observer
+	endpoints map[endpointKey]*state.EndpointCounts // endpoints of the target
+	reports   map[string]state.RolloutReport        // newest report of each proxy, by observer
 }
 
 func newEvidence() *evidence {
@@ -23,8 +23,9 @@
 	}
 }
 
-// add takes a proxy's report in place of its last one. Reports that are older than that change nothing. The counts of a
-// former process of the proxy remain.
+// add replaces a proxy's last report by a newer one: it adds what the proxy has counted between the two. A report that
+// isn't newer than the last one of the same incarnation changes nothing. After a restart of the proxy, whose counts then
+// begin at zero, the counts of its earlier incarnation are kept.
 func (e *evidence) add(observer string, report state.RolloutReport) {
 	last := e.reports[observer]
 	if last.Incarnation == report.Incarnation && report.Sequence <= last.Sequence {
@@ -44,7 +45,7 @@
 		newBaseline := counts.Baseline.Sub(before[counts.Route].Baseline)
 		target = target.Add(newTarget)
 		baseline = baseline.Add(newBaseline)
-		if counts.Route != allRoutes {
+		if counts.Route != allRoutes { // counts without a route's name have no evidence of their own
 			e.route(counts.Route).add(newTarget, newBaseline)
 		}
 	}
@@ -52,7 +53,7 @@
 	e.addEndpoints(last.Endpoints, report.Endpoints)
 }
 
-// endpointKey identifies counts of an endpoint.
+// endpointKey identifies the counts of an endpoint, which are separate for its time as a load probe.
 type endpointKey struct {
 	id        string
 	loadProbe bool
@@ -62,7 +63,7 @@
 	return endpointKey{id: counts.ID, loadProbe: counts.LoadProbe}
 }
 
-// addEndpoints adds what a proxy's counts of endpoints have grown by.
+// addEndpoints adds the differences between a proxy's newest counts of endpoints and the counts before.
 func (e *evidence) addEndpoints(before, after []state.EndpointCounts) {
 	for _, counts := range after {
 		known := e.endpoints[keyOf(counts)]
@@ -81,6 +82,7 @@
 	e.probes.add(probeCounts(after).Sub(probeCounts(before)), e.route(allRoutes).toleratedFailures())
 }
 
+// route returns the evidence of a route, and creates it if there is none.
 func (e *evidence) route(name string) *routeEvidence {
 	known := e.routes[name]
 	if known == nil {
@@ -90,15 +92,16 @@
 	return known
 }
 
-// verdict returns why the target counts as worse than the baseline, with the counts that show it, or the counts of all
-// routes if it doesn't. live is the number of the target's endpoints.
+// verdict returns why the target counts as worse than the baseline, with the counts that show it. If it doesn't count as
+// worse, the verdict has no reason and the counts of all routes. live is the number of the target's endpoints that accept
+// requests and respond.
 func (e *evidence) verdict(live int) state.RolloutVerdict {
 	all := e.route(allRoutes)
 	spread := e.spread()
-	if spread.isOfProbes(live, all.baseline) && e.probes.failures.alarmed() {
+	if spread.isVersionFaultUnderLoad(live, all.baseline) && e.probes.failures.alarmed() {
 		return state.RolloutVerdict{Reason: state.RolloutFailures, Target: e.probes.counts, Baseline: all.baseline}
 	}
-	if spread.isOfVersion(live) {
+	if spread.isVersionFault(live) {
 		if reason := all.reason(); reason != state.RolloutNoReason {
 			return state.RolloutVerdict{Reason: reason, Target: all.target, Baseline: all.baseline}
 		}
@@ -113,21 +116,21 @@
 	return state.RolloutVerdict{Target: all.target, Baseline: all.baseline}
 }
 
-// suspicion returns the reason for which a roll-out isn't advanced for now; RolloutNoReason if there is none. share is
-// that of the test's threshold which is needed for it.
-func (e *evidence) suspicion(share float64) state.RolloutReason {
-	if e.probes.failures.suspicious(share) {
+// holdReason returns why the roll-out must not be advanced or promoted for now, or RolloutNoReason if nothing speaks
+// against it. share is the share of alarmThreshold that a test's sum has to reach to hold the roll-out.
+func (e *evidence) holdReason(share float64) state.RolloutReason {
+	if e.probes.failures.reaches(share) {
 		return state.RolloutFailures
 	}
 	for _, found := range e.routes {
-		if reason := found.suspicion(share); reason != state.RolloutNoReason {
+		if reason := found.holdReason(share); reason != state.RolloutNoReason {
 			return reason
 		}
 	}
 	return state.RolloutNoReason
 }
 
-// baselineInFlight returns the number of calls at endpoints of the versions in force.
+// baselineInFlight returns the number of calls that all proxies have in flight at the baseline's endpoints.
 func (e *evidence) baselineInFlight() (calls int) {
 	for _, report := range e.reports {
 		calls += report.BaselineInFlight
--- a/serving/rollout/explore_test.go
+++ b/serving/rollout/explore_test.go
@@ -10,15 +10,15 @@
 	"rowanlink/serving/state"
 )
 
-// world is a state of the search: the committed record, and what two core members know of the roll-out. A member that is
-// cut off or was killed has an older state, or none.
-type world struct {
+// modelState is a state of the search: the committed record, and the roll-out as each of two core members knows it. A
+// member that is partitioned from the others knows an older state, one that was killed and restarted knows none.
+type modelState struct {
 	record state.Record
 	views  [2]state.Rollout
 }
 
-// key identifies a world, with revisions relative to the record's.
-func (w *world) key() string {
+// key returns a string that identifies the state. Its revisions are relative to the record's.
+func (w *modelState) key() string {
 	known, _ := w.record.Rollout("s")
 	behind := [2]int{}
 	for member, view := range w.views {
@@ -28,9 +28,9 @@
 		w.views[0].Step, w.views[1].Step, w.views[0].Target, w.views[1].Target)
 }
 
-// successors returns the worlds after each single event: orders of two operators, a decision of either member by what it
-// knows, a member that learns the record, and one that is killed.
-func (w *world) successors() (next []world) {
+// successors returns the states after each possible event: an order of either of two operators, a transition that a member
+// proposes based on what it knows, a member that learns the committed record, and a member that is killed.
+func (w *modelState) successors() (next []modelState) {
 	for _, target := range []string{"v2", "v3"} {
 		for _, recent := range []func(uint64) bool{always, never} {
 			next = append(next, w.change(Begin(orderOf(target), recent, knownService)))
@@ -49,8 +49,8 @@
 	return next
 }
 
-// change returns the world after an update of the record.
-func (w *world) change(update register.Update) world {
+// change returns the state after an update of the record.
+func (w *modelState) change(update register.Update) modelState {
 	next := *w
 	record, err := update(w.record)
 	if err == nil {
@@ -60,13 +60,13 @@
 	return next
 }
 
-// TestExplore_AllOrders searches all orders of these events, up to a depth, for a record that breaks an invariant.
+// TestExplore_AllOrders tries all sequences of these events up to maxDepth and checks the invariants after each event.
 func TestExplore_AllOrders(t *testing.T) {
 	const maxDepth = 12
-	frontier := []world{{record: state.Record{Revision: 1}}}
+	frontier := []modelState{{record: state.Record{Revision: 1}}}
 	seen := map[string]bool{}
 	for range maxDepth {
-		var following []world
+		var following []modelState
 		for _, before := range frontier {
 			for _, after := range before.successors() {
 				requireInvariants(t, &before, &after)
@@ -82,8 +82,8 @@
 	require.Greater(t, len(seen), 1000)
 }
 
-// requireInvariants checks one step of the search.
-func requireInvariants(t *testing.T, before, after *world) {
+// requireInvariants checks the states before and after one event.
+func requireInvariants(t *testing.T, before, after *modelState) {
 	t.Helper()
 	was, existed := before.record.Rollout("s")
 	is, exists := after.record.Rollout("s")
@@ -98,11 +98,11 @@
 	}
 	if is.OrderRevision != was.OrderRevision {
 		require.Equal(t, state.RolloutInProgress, is.State)
-		require.Equal(t, state.RolloutCanary, is.Step, "an order begins with the canaries")
-		require.True(t, !existed || was.State != state.RolloutInProgress || is.IsRetired(was.Target), "the former target gets nothing")
+		require.Equal(t, state.RolloutCanary, is.Step, "an order begins with the canary step")
+		require.True(t, !existed || was.State != state.RolloutInProgress || is.IsRetired(was.Target), "a new order retires the target of a roll-out in progress")
 		return
 	}
-	require.Equal(t, state.RolloutInProgress, was.State, "an end is final")
-	require.True(t, is.State != state.RolloutPromoted || was.Step == state.RolloutFull, "promoted after the full step only")
+	require.Equal(t, state.RolloutInProgress, was.State, "a roll-out that has ended doesn't change")
+	require.True(t, is.State != state.RolloutPromoted || was.Step == state.RolloutFull, "a roll-out is promoted only after the full step")
 	require.LessOrEqual(t, is.Step, was.Step+1, "no step is skipped")
 }
--- a/serving/rollout/judge.go
+++ b/serving/rollout/judge.go
@@ -6,69 +6,71 @@
 	"rowanlink/serving/state"
 )
 
-// Action is what a judge decides to do with a roll-out in progress.
+// Action is what to do with a roll-out in progress.
 type Action uint8
 
 // The actions.
 const (
-	Hold Action = iota // nothing yet
-	Advance
-	Promote
-	RollBack
+	Hold     Action = iota // no change for now
+	Advance                // to the next step
+	Promote                // ends the roll-out: the target replaces the baseline
+	RollBack               // ends the roll-out: the target gets no requests any more
 )
 
-// Decision is an action with what it rests on.
+// Decision is an action and the evidence for it.
 type Decision struct {
 	Action  Action
 	Verdict state.RolloutVerdict
-	Spread  Spread // of the target's endpoints
+	Spread  Spread // the target's endpoints with bad answers
 }
 
-// Capacity is the number of a service's endpoints that accept requests and respond.
+// Capacity has the numbers of a service's endpoints that accept requests and respond.
 type Capacity struct {
-	Target   int
-	WarmedUp int // of those of the target
-	Baseline int
+	Target   int // endpoints of the target
+	WarmedUp int // endpoints of the target that have warmed up
+	Baseline int // endpoints of the versions in force
 }
 
-// minCapacityShare is the share of the baseline's endpoints that the target must have warmed up to get all requests.
+// minCapacityShare is the least ratio of the target's warmed-up endpoints to the baseline's endpoints with which the
+// target may get all requests.
 const minCapacityShare = 0.5
 
-// suffices reports whether the target may get all requests.
+// suffices reports whether the target has enough warmed-up endpoints to get all requests.
 func (c Capacity) suffices() bool {
 	return c.WarmedUp > 0 && float64(c.WarmedUp) >= minCapacityShare*float64(c.Baseline)
 }
 
-// Judge decides on the roll-outs in progress. Each core member has one and lets it follow the committed record, also
-// while another member acts: a judge measures the time since it has first seen a roll-out. It isn't safe for concurrent
-// use.
+// Judge decides on the roll-outs in progress. Each core member has a judge and calls its Follow for each committed
+// record, also while another member decides: a judge measures a roll-out's time from the moment at which it first saw the
+// roll-out, so one that followed from the beginning can take over without losing time. It isn't safe for concurrent use.
 type Judge struct {
-	cases map[uint64]*judgedRollout // by OrderRevision
+	rollouts map[uint64]*judgedRollout // by OrderRevision
 }
 
-// judgedRollout is what a judge knows of one roll-out.
+// judgedRollout is a roll-out as a judge knows it.
 type judgedRollout struct {
 	rollout   state.Rollout
-	orderedAt time.Time // at the latest
-	changedAt time.Time // when the judge has seen the newest change
+	orderedAt time.Time // the latest time at which the order can have been given
+	changedAt time.Time // when the judge saw the newest change
 	evidence  *evidence
-	// answersBefore is the number of the target's answers that were known when the step began.
-	answersBefore int
+	// answersAtStepStart is the number of the target's answers that had been reported when the current step began.
+	answersAtStepStart int
 }
 
-// NewJudge returns a judge that knows of no roll-out.
-func NewJudge() *Judge { return &Judge{cases: map[uint64]*judgedRollout{}} }
+// NewJudge returns a judge that knows no roll-outs.
+func NewJudge() *Judge { return &Judge{rollouts: map[uint64]*judgedRollout{}} }
 
-// Follow takes the roll-outs of a newer record. Those that have ended are remembered until the service's next one.
+// Follow updates the judge with the roll-outs of a newer record. It forgets roll-outs that the record no longer has. One
+// that has ended stays in the record until the service's next one.
 func (j *Judge) Follow(now time.Time, rollouts []state.Rollout) {
 	current := map[uint64]bool{}
 	for _, rollout := range rollouts {
 		current[rollout.OrderRevision] = true
 		elapsed := time.Duration(rollout.ElapsedMillis) * time.Millisecond
-		known := j.cases[rollout.OrderRevision]
+		known := j.rollouts[rollout.OrderRevision]
 		switch {
 		case known == nil:
-			j.cases[rollout.OrderRevision] = &judgedRollout{
+			j.rollouts[rollout.OrderRevision] = &judgedRollout{
 				rollout:   rollout,
 				orderedAt: now.Add(-elapsed),
 				changedAt: now,
@@ -77,32 +79,33 @@
 		case rollout.Revision > known.rollout.Revision:
 			known.rollout = rollout
 			known.changedAt = now
-			known.answersBefore = known.evidence.route(allRoutes).target.Answers
+			known.answersAtStepStart = known.evidence.route(allRoutes).target.Answers
 			if earlier := now.Add(-elapsed); earlier.Before(known.orderedAt) {
 				known.orderedAt = earlier
 			}
 		}
 	}
-	for revision := range j.cases {
+	for revision := range j.rollouts {
 		if !current[revision] {
-			delete(j.cases, revision)
+			delete(j.rollouts, revision)
 		}
 	}
 }
 
-// Elapsed returns the time since the order of a roll-out, at least; zero for one that the judge doesn't know.
+// Elapsed returns the least time that can have passed since a roll-out was ordered. It returns zero for a roll-out that the
+// judge doesn't know.
 func (j *Judge) Elapsed(now time.Time, orderRevision uint64) time.Duration {
-	known := j.cases[orderRevision]
+	known := j.rollouts[orderRevision]
 	if known == nil {
 		return 0
 	}
 	return now.Sub(known.orderedAt)
 }
 
-// AddReport takes a proxy's report and reports whether the roll-out is known and in progress, so that the proxy may go on
-// with it.
+// AddReport adds a proxy's report to the evidence. It returns whether the roll-out is known and in progress, so that the
+// proxy may go on sending requests to the target.
 func (j *Judge) AddReport(observer string, report state.RolloutReport) (inProgress bool) {
-	known := j.cases[report.OrderRevision]
+	known := j.rollouts[report.OrderRevision]
 	if known == nil || known.rollout.State != state.RolloutInProgress {
 		return false
 	}
@@ -110,9 +113,9 @@
 	return true
 }
 
-// Decide decides on a roll-out, by its OrderRevision.
+// Decide returns what to do with the roll-out that has the given OrderRevision.
 func (j *Judge) Decide(now time.Time, orderRevision uint64, capacity Capacity) Decision {
-	known := j.cases[orderRevision]
+	known := j.rollouts[orderRevision]
 	if known == nil || known.rollout.State != state.RolloutInProgress {
 		return Decision{}
 	}
@@ -122,8 +125,8 @@
 	}
 	elapsed := now.Sub(known.orderedAt)
 	times := newSchedule(time.Duration(known.rollout.DurationMillis) * time.Millisecond)
-	suspicion := known.evidence.suspicion(times.suspicionShare(elapsed))
-	if capacity.suffices() && suspicion == state.RolloutNoReason {
+	holdReason := known.evidence.holdReason(times.holdShare(elapsed))
+	if capacity.suffices() && holdReason == state.RolloutNoReason {
 		if action := known.scheduledAction(elapsed, now.Sub(known.changedAt), times); action != Hold {
 			return Decision{Action: action, Verdict: verdict, Spread: known.evidence.spread()}
 		}
@@ -131,7 +134,7 @@
 	if elapsed < times.rollBackBy {
 		return Decision{}
 	}
-	verdict.Reason = undecidedReason(capacity, suspicion)
+	verdict.Reason = undecidedReason(capacity, holdReason)
 	if verdict.Reason == state.RolloutUnobservable && known.hasServedAll() {
 		verdict.Reason = state.RolloutNoReason
 		return Decision{Action: Promote, Verdict: verdict, Spread: known.evidence.spread()}
@@ -139,25 +142,26 @@
 	return Decision{Action: RollBack, Verdict: verdict, Spread: known.evidence.spread()}
 }
 
-// undecidedReason returns why a roll-out couldn't be promoted in time.
-func undecidedReason(capacity Capacity, suspicion state.RolloutReason) state.RolloutReason {
+// undecidedReason returns why a roll-out could be neither promoted nor rolled back by evidence in time.
+func undecidedReason(capacity Capacity, holdReason state.RolloutReason) state.RolloutReason {
 	switch {
 	case !capacity.suffices():
 		return state.RolloutNoEndpoints
-	case suspicion != state.RolloutNoReason:
-		return suspicion
+	case holdReason != state.RolloutNoReason:
+		return holdReason
 	default:
 		return state.RolloutUnobservable
 	}
 }
 
-// hasServedAll reports whether the target gets all requests, and has answered some if there were any.
+// hasServedAll reports whether the target gets all requests and has answered at least one, or there were none to answer.
 func (k *judgedRollout) hasServedAll() bool {
 	all := k.evidence.route(allRoutes)
 	return k.rollout.Step == state.RolloutFull && (all.target.Answers > 0 || all.baseline.Answers == 0)
 }
 
-// scheduledAction returns what the schedule demands of a roll-out that has shown nothing bad.
+// scheduledAction returns the action that is due by the schedule if nothing in the evidence holds the roll-out. elapsed is
+// the time since the order, inStep the time since the current step began.
 func (k *judgedRollout) scheduledAction(elapsed, inStep time.Duration, times schedule) Action {
 	answers := k.evidence.route(allRoutes).target.Answers
 	switch k.rollout.Step {
@@ -170,8 +174,8 @@
 			return Advance
 		}
 	case state.RolloutRamp:
-		isSeen := inStep >= min(minRampTime, times.rampTime) && answers-k.answersBefore >= rampAnswers
-		if isSeen || inStep >= times.rampTime {
+		hasEnoughAnswers := inStep >= min(minRampTime, times.rampTime) && answers-k.answersAtStepStart >= earlyEndAnswers
+		if hasEnoughAnswers || inStep >= times.rampTime {
 			return Advance
 		}
 	case state.RolloutFull:
--- a/serving/rollout/judge_test.go
+++ b/serving/rollout/judge_test.go
@@ -22,15 +22,16 @@
 	fromStep    state.RolloutStep
 }
 
-// simulation plays one roll-out at the judge: proxies that get requests on three routes by the shares of the steps.
+// simulation simulates one roll-out: proxies get requests on three routes, send the target its share of them, which
+// depends on the step, and report the answers to a judge, whose decisions are applied.
 type simulation struct {
 	random   *rand.Rand
 	version  version
 	baseline version
 	rate     float64       // requests a second
-	duration time.Duration // that the order allows
+	duration time.Duration // time that the order allows
 	exposed  int           // requests that the target got
-	decided  time.Duration
+	decided  time.Duration // time from the order to the end of the roll-out
 	reason   state.RolloutReason
 }
 
@@ -51,7 +52,7 @@
 		now := start.Add(elapsed)
 		judge.Follow(now, []state.Rollout{known})
 		for proxy := range reports {
-			s.play(&reports[proxy], elapsed, &known)
+			s.addTraffic(&reports[proxy], elapsed, &known)
 			judge.AddReport(fmt.Sprint("proxy-", proxy), reports[proxy])
 		}
 		decision := judge.Decide(now, 1, Capacity{Target: 30, WarmedUp: 30, Baseline: 30})
@@ -69,8 +70,8 @@
 	return known.State
 }
 
-// play adds the answers of one proxy in one tick.
-func (s *simulation) play(report *state.RolloutReport, elapsed time.Duration, known *state.Rollout) {
+// addTraffic adds the answers that one proxy gets in one tick to its report.
+func (s *simulation) addTraffic(report *state.RolloutReport, elapsed time.Duration, known *state.Rollout) {
 	share := map[state.RolloutStep]float64{state.RolloutCanary: 0.03, state.RolloutLoad: 0.06, state.RolloutRamp: 0.25, state.RolloutFull: 1}[known.Step]
 	if report.Routes == nil {
 		*report = state.RolloutReport{OrderRevision: 1, Incarnation: 1, Routes: []state.RouteCounts{{Route: "1"}, {Route: "2"}, {Route: "3"}}}
@@ -96,7 +97,7 @@
 	report.Sequence++
 }
 
-// answer counts one answer and reports whether it was bad.
+// answer simulates one answer of a version, counts it and reports whether it was bad.
 func (s *simulation) answer(counts *state.AnswerCounts, by version, elapsed time.Duration, route int, step state.RolloutStep) bool {
 	counts.Answers++
 	counts.Timed++
@@ -114,7 +115,7 @@
 	return false
 }
 
-// addEndpoint counts an answer of an endpoint.
+// addEndpoint counts one answer of an endpoint.
 func addEndpoint(list []state.EndpointCounts, id string, bad bool) []state.EndpointCounts {
 	index := slices.IndexFunc(list, func(known state.EndpointCounts) bool { return known.ID == id })
 	if index < 0 {
@@ -122,35 +123,36 @@
 		index = len(list) - 1
 	}
 	list[index].Answers++
-	list[index].Bad += count(bad)
+	list[index].Bad += boolToInt(bad)
 	return list
 }
 
-// TestJudge_Verdicts plays versions against each other and bounds the share of wrong verdicts and the requests that a bad
-// version gets. The bound of the rules is a tenth of the requests and 50 more; the aim is a third of that.
+// TestJudge_Verdicts simulates good and bad versions beside various baselines. No verdict may be wrong, and the requests
+// that a bad version gets are bounded. The requirement is at most a tenth of the requests and 50 more; the goal is a mean
+// of a third of that.
 func TestJudge_Verdicts(t *testing.T) {
 	const seeds = 300
 	const rate = 200
 	bound := 0.1*rate*simulatedDuration.Seconds() + 50
-	calm := version{failures: 0.002, slow: 0.02}
+	healthy := version{failures: 0.002, slow: 0.02}
 	for _, test := range []struct {
 		version  version
 		baseline version
 		good     bool
-		exposure float64 // largest mean share of the bound
+		exposure float64 // largest allowed mean of the requests that the version gets, as a share of the bound
 	}{
 		{version{name: "as good"}, version{}, true, 0},
-		{version{name: "single faults", failures: 0.003, slow: 0.03}, calm, true, 0},
+		{version{name: "single faults", failures: 0.003, slow: 0.03}, healthy, true, 0},
 		{version{name: "busy, like the baseline", failures: 0.02, slow: 0.12}, version{failures: 0.02, slow: 0.12}, true, 0},
 		{version{name: "beside failing endpoints", failures: 0.06}, version{failures: 0.06}, true, 0},
 		{version{name: "beside slow endpoints", slow: 0.15}, version{slow: 0.15}, true, 0},
-		{version{name: "a third fails", failures: 0.34}, calm, false, 1.0 / 3},
-		{version{name: "half fails", failures: 0.5}, calm, false, 1.0 / 3},
-		{version{name: "a third is slow", slow: 0.34}, calm, false, 1.0 / 3},
-		{version{name: "late", failures: 0.4, goodFor: 5 * time.Second}, calm, false, 1.0 / 3},
-		{version{name: "very late", failures: 0.4, goodFor: 8 * time.Second}, calm, false, 1},
-		{version{name: "on one route", failures: 0.34, onlyOnRoute: 2}, calm, false, 1.0 / 3},
-		{version{name: "from the ramp on", failures: 0.4, fromStep: state.RolloutRamp}, calm, false, 1},
+		{version{name: "a third fails", failures: 0.34}, healthy, false, 1.0 / 3},
+		{version{name: "half fails", failures: 0.5}, healthy, false, 1.0 / 3},
+		{version{name: "a third is slow", slow: 0.34}, healthy, false, 1.0 / 3},
+		{version{name: "late", failures: 0.4, goodFor: 5 * time.Second}, healthy, false, 1.0 / 3},
+		{version{name: "very late", failures: 0.4, goodFor: 8 * time.Second}, healthy, false, 1},
+		{version{name: "on one route", failures: 0.34, onlyOnRoute: 2}, healthy, false, 1.0 / 3},
+		{version{name: "from the ramp on", failures: 0.4, fromStep: state.RolloutRamp}, healthy, false, 1},
 		{version{name: "fails beside slow endpoints", failures: 0.34, slow: 0.1}, version{slow: 0.15}, false, 1.0 / 3},
 	} {
 		t.Run(test.version.name, func(t *testing.T) {
@@ -185,7 +187,8 @@
 	return built
 }
 
-// TestEvidence_CountsNothingTwice: reports are sums, come twice and in any order, and begin anew with the proxy's process.
+// TestEvidence_CountsNothingTwice guards against answers that are counted twice or lost. Reports are sums, may arrive
+// twice and out of order, and begin at zero when the proxy restarts.
 func TestEvidence_CountsNothingTwice(t *testing.T) {
 	e := newEvidence()
 	first := report(7, 1, state.AnswerCounts{Answers: 4}, state.AnswerCounts{Answers: 10})
@@ -213,7 +216,7 @@
 	assert.True(t, judge.AddReport("p", report(1, 1, failing, state.AnswerCounts{Answers: 100}, "e1", "e2")))
 	assert.False(t, judge.AddReport("p", state.RolloutReport{OrderRevision: 9}), "an unknown roll-out gets no lease")
 	many := Capacity{Target: 10, WarmedUp: 10, Baseline: 10}
-	assert.Equal(t, Hold, judge.Decide(now, 1, many).Action, "two endpoints may have a fault of their own")
+	assert.Equal(t, Hold, judge.Decide(now, 1, many).Action, "bad answers of two endpoints are no fault of the version")
 	assert.Equal(t, RollBack, judge.Decide(now, 1, Capacity{Target: 2, WarmedUp: 2, Baseline: 2}).Action)
 
 	judge = NewJudge()
@@ -225,7 +228,7 @@
 	assert.Equal(t, state.RolloutNoEndpoints, ended.Verdict.Reason)
 }
 
-// TestJudge_TakesOver: a judge that has seen a roll-out late counts from the time that the record has.
+// TestJudge_TakesOver: a judge that first sees a roll-out late begins with the elapsed time in the record.
 func TestJudge_TakesOver(t *testing.T) {
 	now := time.Unix(0, 0)
 	judge := NewJudge()
@@ -233,5 +236,5 @@
 	assert.Equal(t, 6*time.Second, judge.Elapsed(now.Add(2*time.Second), 3))
 	assert.Zero(t, judge.Elapsed(now, 4))
 	judge.Follow(now, nil)
-	assert.Zero(t, judge.Elapsed(now, 3), "it is forgotten with its record")
+	assert.Zero(t, judge.Elapsed(now, 3), "a roll-out that the record no longer has is forgotten")
 }
--- a/serving/rollout/schedule.go
+++ b/serving/rollout/schedule.go
@@ -2,62 +2,69 @@
 
 import "time"
 
-// Shares of the time that an order allows.
+// Shares of the duration that an order allows for its roll-out.
 const (
 	loadBeginShare = 0.28
 	rampBeginShare = 0.55
 	rampShare      = 0.16
 	fullShare      = 0.1
-	// promoteShare: the roll-out ends by then, so that a late start or a change of the core leaves time. An undecided
-	// one is rolled back by rollBackShare.
-	promoteShare  = 0.86
+	// promoteShare is when a roll-out is promoted even if the baseline still has calls in flight. The time after that is
+	// a reserve for a late start or a change of the deciding core member.
+	promoteShare = 0.86
+	// rollBackShare is when a roll-out that is still undecided is rolled back.
 	rollBackShare = 0.93
 )
 
-// Bounds of these times: where an order allows much time, late faults are looked for as long as possible.
+// Bounds of the times that the shares give. An order that allows much time begins its ramp late, so that faults that show
+// late are found before it.
 const (
-	minAfterRamp      = 7 * time.Second
-	afterRampShare    = 0.2
-	maxAfterPromotion = 3 * time.Second
-	maxAfterRollBack  = 1500 * time.Millisecond
-	shortRampTime     = 2500 * time.Millisecond
-	longRampShare     = 0.02
-	minRampTime       = 800 * time.Millisecond
-	maxFullTime       = 1500 * time.Millisecond // answers that are worse under load need some time to be seen
-	rampAnswers       = 60                      // the number of the target's answers after which the ramp may end early
+	// The time from the start of the ramp to the end of the duration is at most maxTimeFromRamp, or maxTimeFromRampShare
+	// of the duration if that is longer.
+	maxTimeFromRamp      = 7 * time.Second
+	maxTimeFromRampShare = 0.2
+	// The reserves are the times from promoteBy and rollBackBy to the end of the duration.
+	maxReserveAfterPromotion = 3 * time.Second
+	maxReserveAfterRollBack  = 1500 * time.Millisecond
+	// The ramp takes at most maxRampTime, or maxRampTimeShare of the duration if that is longer. It may end after
+	// minRampTime already, once the target has given earlyEndAnswers answers during it.
+	maxRampTime      = 2500 * time.Millisecond
+	maxRampTimeShare = 0.02
+	minRampTime      = 800 * time.Millisecond
+	maxFullTime      = 1500 * time.Millisecond // answers that are worse under load need some time to be seen
+	earlyEndAnswers  = 60
 )
 
-// schedule has the times of a roll-out's steps. Moments count from the order.
+// schedule has the times of a roll-out's steps. The fields that end in At or By are times since the order.
 type schedule struct {
-	loadAt     time.Duration
-	rampAt     time.Duration
+	loadAt     time.Duration // start of the load step
+	rampAt     time.Duration // start of the ramp
 	rampTime   time.Duration // length of the ramp, unless enough answers allow an earlier end
 	fullTime   time.Duration // least length of the full step
-	promoteBy  time.Duration
-	rollBackBy time.Duration
+	promoteBy  time.Duration // promotion no longer waits for the baseline's calls in flight
+	rollBackBy time.Duration // an undecided roll-out is rolled back
 }
 
-// newSchedule returns the schedule of an order that is to be done within a duration.
+// newSchedule returns the schedule of a roll-out that is to end within a duration.
 func newSchedule(duration time.Duration) schedule {
-	afterRamp := max(minAfterRamp, share(duration, afterRampShare))
+	timeFromRamp := max(maxTimeFromRamp, share(duration, maxTimeFromRampShare))
 	return schedule{
 		loadAt:     share(duration, loadBeginShare),
-		rampAt:     max(share(duration, rampBeginShare), duration-afterRamp),
-		rampTime:   min(share(duration, rampShare), max(shortRampTime, share(duration, longRampShare))),
+		rampAt:     max(share(duration, rampBeginShare), duration-timeFromRamp),
+		rampTime:   min(share(duration, rampShare), max(maxRampTime, share(duration, maxRampTimeShare))),
 		fullTime:   min(share(duration, fullShare), maxFullTime),
-		promoteBy:  max(share(duration, promoteShare), duration-maxAfterPromotion),
-		rollBackBy: max(share(duration, rollBackShare), duration-maxAfterRollBack),
+		promoteBy:  max(share(duration, promoteShare), duration-maxReserveAfterPromotion),
+		rollBackBy: max(share(duration, rollBackShare), duration-maxReserveAfterRollBack),
 	}
 }
 
-// suspicionShare returns the share of a test's threshold from which the next step has to wait.
-func (s *schedule) suspicionShare(elapsed time.Duration) float64 {
+// holdShare returns the share of alarmThreshold from which the next step has to wait.
+func (s *schedule) holdShare(elapsed time.Duration) float64 {
 	if elapsed < s.rampAt+s.rampTime/2 {
-		return suspicionShare
+		return holdShare
 	}
-	return lateSuspicionShare
+	return lateHoldShare
 }
 
-func share(duration time.Duration, part float64) time.Duration {
-	return time.Duration(float64(duration) * part)
+func share(duration time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(duration) * fraction)
 }
--- a/serving/rollout/schedule_test.go
+++ b/serving/rollout/schedule_test.go
@@ -10,8 +10,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestSchedule_LeavesTimeForEachStep: whatever time an order allows, the ramp and the full step are over before a good
-// version would be rolled back as undecided.
+// TestSchedule_LeavesTimeForEachStep guards against a good version that is rolled back as undecided because the ramp and
+// the full step don't fit into the duration that the order allows.
 func TestSchedule_LeavesTimeForEachStep(t *testing.T) {
 	for _, duration := range []time.Duration{time.Second, 8 * time.Second, 16 * time.Second, time.Minute, 2 * time.Minute, 15 * time.Minute, 24 * time.Hour} {
 		s := newSchedule(duration)
--- a/serving/rollout/spread.go
+++ b/serving/rollout/spread.go
@@ -5,35 +5,36 @@
 )
 
 const (
-	// requiredBadEndpoints is the number of the target's endpoints that must have given bad answers, and
-	// requiredBadShare their share of those with testedAnswers answers at least: the fault of a few endpoints is not one
-	// of the version. Of endpoints that are loaded on purpose requiredBadProbes suffice, or a single one where hardly
-	// any answer of the versions in force fails.
+	// A fault of a few endpoints isn't a fault of the version. So the version counts as faulty only if at least
+	// requiredBadEndpoints of the target's endpoints gave bad answers, and at least requiredBadShare of its tested
+	// endpoints did, which are those with at least minTestedAnswers answers.
 	requiredBadEndpoints = 3
 	requiredBadShare     = 0.4
-	requiredBadProbes    = 2
-	calmFailureShare     = 0.005 // of the baseline's answers, up to which a single such endpoint suffices
-	testedAnswers        = 4
+	// Of the load probes, requiredBadProbes with bad answers suffice. A single one suffices if at most
+	// healthyFailureShare of the baseline's answers fail.
+	requiredBadProbes   = 2
+	healthyFailureShare = 0.005
+	minTestedAnswers    = 4
 )
 
-// Spread counts the target's endpoints by what their answers were like.
+// Spread tells how far bad answers are spread over the target's endpoints.
 type Spread struct {
-	Bad       int // endpoints with bad answers, but those that were loaded on purpose
-	Tested    int // endpoints with testedAnswers answers at least, but those
-	TestedBad int // of these, endpoints with bad answers
-	BadProbes int // endpoints that were loaded on purpose, with bad answers
+	Bad       int // endpoints with bad answers, load probes excluded
+	Tested    int // endpoints with at least minTestedAnswers answers, load probes excluded
+	TestedBad int // those of Tested with bad answers
+	BadProbes int // load probes with bad answers
 }
 
-// spread counts the target's endpoints.
+// spread returns how far bad answers are spread over the target's endpoints.
 func (e *evidence) spread() (s Spread) {
 	for _, counts := range e.endpoints {
-		isBad := count(counts.Bad > 0)
+		isBad := boolToInt(counts.Bad > 0)
 		if counts.LoadProbe {
 			s.BadProbes += isBad
 			continue
 		}
 		s.Bad += isBad
-		if counts.Answers >= testedAnswers {
+		if counts.Answers >= minTestedAnswers {
 			s.Tested++
 			s.TestedBad += isBad
 		}
@@ -41,24 +42,24 @@
 	return s
 }
 
-// isOfVersion reports whether so many of the target's endpoints gave bad answers that the fault is one of the version.
-// live is the number of the target's endpoints.
-func (s *Spread) isOfVersion(live int) bool {
+// isVersionFault reports whether so many of the target's endpoints gave bad answers that the fault is one of the version.
+// live is the number of the target's endpoints that accept requests and respond.
+func (s *Spread) isVersionFault(live int) bool {
 	return s.Bad >= min(requiredBadEndpoints, max(live, 1)) && float64(s.TestedBad) >= requiredBadShare*float64(s.Tested)
 }
 
-// isOfProbes reports whether so many of the endpoints that were loaded on purpose gave bad answers that the fault is one
-// of the version. baseline are the counts of the versions in force.
-func (s *Spread) isOfProbes(live int, baseline state.AnswerCounts) bool {
+// isVersionFaultUnderLoad reports whether so many of the load probes gave bad answers that the fault is one of the
+// version. baseline has the counts of the versions in force.
+func (s *Spread) isVersionFaultUnderLoad(live int, baseline state.AnswerCounts) bool {
 	required := requiredBadProbes
-	if float64(baseline.Failed) <= calmFailureShare*float64(baseline.Answers) {
+	if float64(baseline.Failed) <= healthyFailureShare*float64(baseline.Answers) {
 		required = 1
 	}
 	return s.BadProbes >= min(required, max(live, 1))
 }
 
-// count returns 1 if the condition holds.
-func count(condition bool) int {
+// boolToInt returns 1 if the condition holds, 0 otherwise.
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
--- a/serving/rollout/transition.go
+++ b/serving/rollout/transition.go
@@ -11,14 +11,15 @@
 type Order struct {
 	Service  string
 	Target   string
-	Duration time.Duration // from the order in which it is to be done
+	Duration time.Duration // the time from the order in which the roll-out is to end
 }
 
-// Begin returns an update that begins the ordered roll-out. An order that is being carried out, or was, is no change.
+// Begin returns an update that begins the ordered roll-out. It returns register.ErrNoChange if the newest roll-out has the
+// same target and is in progress, was promoted, or was rolled back and isRecent.
 //
-// isRecent reports whether a roll-out that was rolled back had been ordered so short a time ago that the order may be the
-// same one, sent again. It gets the roll-out's OrderRevision. checkService returns why the configuration has no such
-// service; the update is rejected with that error.
+// isRecent gets the OrderRevision of a roll-out and reports whether it was ordered so short a time ago that the new order
+// may be the same one, sent again. checkService returns an error if the configuration doesn't have the service; the update
+// is rejected with it.
 func Begin(order Order, isRecent func(orderRevision uint64) bool, checkService func(state.Configuration) error) register.Update {
 	return func(record state.Record) (state.Record, error) {
 		known, found := record.Rollout(order.Service)
@@ -46,12 +47,13 @@
 	}
 }
 
-// mayBeginAgain reports whether an order for the target of an earlier roll-out is a new one.
+// mayBeginAgain reports whether an order with the same target as the newest roll-out is a new order, not a repeat of the
+// one that began it.
 func mayBeginAgain(known *state.Rollout, isRecent func(orderRevision uint64) bool) bool {
 	return known.State == state.RolloutRolledBack && !isRecent(known.OrderRevision)
 }
 
-// withoutVersion returns a copy of the list without a version.
+// withoutVersion returns a copy of the versions without one of them.
 func withoutVersion(versions []string, version string) (others []string) {
 	for _, known := range versions {
 		if known != version {
@@ -64,14 +66,15 @@
 // Transition is a proposed change of a roll-out in progress.
 type Transition struct {
 	Service  string
-	Revision uint64 // of the roll-out that the change is based on
-	Elapsed  time.Duration
+	Revision uint64        // revision of the roll-out that the change is based on
+	Elapsed  time.Duration // since the order
 	Decision Decision
 	// Replaced are the software versions that a promotion retires.
 	Replaced []string
 }
 
-// Apply is the register.Update of the transition. If the roll-out was changed since Revision, it is no change.
+// Apply is the register.Update of the transition. It returns register.ErrNoChange if the roll-out has changed since
+// Revision or the action isn't possible in its state and step.
 func (t Transition) Apply(record state.Record) (state.Record, error) {
 	next, found := record.Rollout(t.Service)
 	if !found || next.State != state.RolloutInProgress || next.Revision != t.Revision {
--- a/serving/rollout/transition_test.go
+++ b/serving/rollout/transition_test.go
@@ -21,7 +21,7 @@
 	return Order{Service: "s", Target: target, Duration: 12 * time.Second}
 }
 
-// apply applies an update to a record as the register does.
+// apply applies an update to a record in the way of the register.
 func apply(t require.TestingT, record state.Record, update register.Update) state.Record {
 	next, err := update(record)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return next
 }
 
-// decide applies a decision on the service's roll-out as it is.
+// decide applies an action to the service's roll-out, based on its newest revision.
 func decide(t require.TestingT, record state.Record, action Action, replaced ...string) state.Record {
 	known, _ := record.Rollout("s")
 	transition := Transition{Service: "s", Revision: known.Revision, Decision: Decision{Action: action}, Replaced: replaced}
@@ -64,12 +64,12 @@
 		{"sent again", apply(t, inProgress, Begin(orderOf("v2"), always, knownService)), "v2", state.RolloutInProgress, 0, nil},
 		{"sent again with another time", apply(t, inProgress, Begin(Order{Service: "s", Target: "v2", Duration: 1}, never, knownService)), "v2", state.RolloutInProgress, 0, nil},
 		{"another target", apply(t, inProgress, Begin(orderOf("v3"), always, knownService)), "v3", state.RolloutInProgress, 0, []string{"v2"}},
-		{"advanced to the end", full, "v2", state.RolloutInProgress, state.RolloutFull, nil},
-		{"advanced beyond", decide(t, full, Advance), "v2", state.RolloutInProgress, state.RolloutFull, nil},
+		{"advanced to the last step", full, "v2", state.RolloutInProgress, state.RolloutFull, nil},
+		{"advanced beyond the last step", decide(t, full, Advance), "v2", state.RolloutInProgress, state.RolloutFull, nil},
 		{"promoted too early", decide(t, inProgress, Promote), "v2", state.RolloutInProgress, 0, nil},
 		{"delivered", promoted, "v2", state.RolloutPromoted, state.RolloutFull, []string{"v1"}},
 		{"promoted, sent again", apply(t, promoted, Begin(orderOf("v2"), never, knownService)), "v2", state.RolloutPromoted, state.RolloutFull, []string{"v1"}},
-		{"promoted, then back", apply(t, promoted, Begin(orderOf("v1"), never, knownService)), "v1", state.RolloutInProgress, 0, nil},
+		{"promoted, then the former version ordered", apply(t, promoted, Begin(orderOf("v1"), never, knownService)), "v1", state.RolloutInProgress, 0, nil},
 		{"returned", rolledBack, "v2", state.RolloutRolledBack, 0, []string{"v2"}},
 		{"rolled back, sent again soon", apply(t, rolledBack, Begin(orderOf("v2"), always, knownService)), "v2", state.RolloutRolledBack, 0, []string{"v2"}},
 		{"rolled back, ordered again", apply(t, rolledBack, Begin(orderOf("v2"), never, knownService)), "v2", state.RolloutInProgress, 0, nil},
@@ -90,8 +90,9 @@
 	assert.ErrorIs(t, err, rejected)
 }
 
-// TestTransitions_ProposedBySeveral: whatever core members propose by records that are out of date, a roll-out that has
-// ended stays as it is, steps are not skipped, and the service's other orders are not lost.
+// TestTransitions_ProposedBySeveral generates orders and transitions that core members propose based on outdated records.
+// A transition based on an outdated revision must change nothing, a roll-out that has ended must stay as it is, and no
+// step may be skipped and no order lost.
 func TestTransitions_ProposedBySeveral(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		record := state.Record{Revision: 1}
@@ -115,14 +116,14 @@
 				continue
 			}
 			if !isOrder && basis.Revision != before.Revision {
-				require.Equal(rt, before, after, "a decision on an older state changes nothing")
+				require.Equal(rt, before, after, "a transition based on an older revision changes nothing")
 			}
 			require.GreaterOrEqual(rt, after.Revision, before.Revision)
 			if after.OrderRevision == before.OrderRevision {
 				require.LessOrEqual(rt, after.Step, before.Step+1)
-				require.True(rt, before.State == state.RolloutInProgress || after.State == before.State, "an end is final")
+				require.True(rt, before.State == state.RolloutInProgress || after.State == before.State, "a roll-out that has ended doesn't change")
 			}
-			require.NotEqual(rt, after.State != state.RolloutRolledBack, after.IsRetired(after.Target), "the target of a roll-out gets requests unless it was rolled back")
+			require.NotEqual(rt, after.State != state.RolloutRolledBack, after.IsRetired(after.Target), "the target is retired if and only if it was rolled back")
 			require.LessOrEqual(rt, len(after.Retired), state.MaxRetired)
 		}
 	})
--- a/test/integration/mutants/rollouts_table_test.go
+++ b/test/integration/mutants/rollouts_table_test.go
@@ -10,7 +10,7 @@
 		pkg:     "serving/rollout", tests: "TestTransitions",
 	},
 	{
-		name:    "the order of a roll-out that was rolled back that is sent again begins it anew",
+		name:    "an order that is sent again after its roll-out was rolled back begins it anew",
 		file:    "serving/rollout/transition.go",
 		old:     "known.State == state.RolloutRolledBack && !isRecent(known.OrderRevision)",
 		replace: "known.State == state.RolloutRolledBack",
@@ -31,7 +31,7 @@
 		pkg:     "serving/rollout", tests: "TestEvidence",
 	},
 	{
-		name:    "bad answers of one endpoint return a version",
+		name:    "bad answers of one endpoint roll a version back",
 		file:    "serving/rollout/spread.go",
 		old:     "s.Bad >= min(requiredBadEndpoints, max(live, 1)) && ",
 		replace: "",
