--- a/serving/retry/budget.go
+++ b/serving/retry/budget.go
@@ -3,23 +3,25 @@
 import "time"
 
 const (
-	// ratioShare and slackShare are the parts of the operator's limits that all proxies together use. The rest is for
-	// spans that lie across two of a proxy's windows.
+	// ratioShare and slackShare are the parts of the operator's limits that all proxies together use. The rest is a
+	// reserve, since the limits hold in every span of the window's length, also in one that overlaps two of a proxy's
+	// windows.
 	ratioShare = 0.8
 	slackShare = 0.8
-	// uncountedProxies is the number of proxies that may run beyond those that are known: replacements that are not
+	// uncountedProxies is the number of proxies that may run in addition to the known ones, as replacements that are not
 	// known yet.
 	uncountedProxies = 2
-	// bucketCount is the number of buckets that a window is divided into. Retries are counted over one bucket more than
-	// the operator's window and requests over one less, so that no bucket is counted on the wrong side.
+	// bucketCount is the number of buckets that a window is divided into. Buckets at the edges lie only partly in the
+	// window. So retries are counted over one bucket more than the operator's window and requests over one less, and the
+	// budget is never larger than the limits allow.
 	bucketCount = 20
 )
 
 // Limits are the operator's limits on retries, over all proxies together.
 type Limits struct {
-	Ratio  float64       // of the requests in the window
-	Slack  float64       // retries beyond that
-	Window time.Duration // the limits hold in every span of that length
+	Ratio  float64       // retries per request in the window
+	Slack  float64       // retries in the window in addition to those by Ratio
+	Window time.Duration // the limits hold in every span of this length
 }
 
 // budget counts a service's requests and retries in a sliding window.
@@ -50,7 +52,7 @@
 func (b *budget) countRequest() { b.requests[b.newestBucket%(bucketCount+1)]++ }
 func (b *budget) countRetry()   { b.retries[b.newestBucket%(bucketCount+1)]++ }
 
-// totals returns the retries in all buckets and the requests in all but the oldest two.
+// totals returns the requests in all buckets except the oldest two, and the retries in all buckets; see bucketCount.
 func (b *budget) totals() (requests, retries int) {
 	for age := range int64(bucketCount + 1) {
 		bucket := ((b.newestBucket-age)%(bucketCount+1) + bucketCount + 1) % (bucketCount + 1)
@@ -66,7 +68,7 @@
 // from zero during the process's first window, since an earlier incarnation of the process may have used it.
 func (b *budget) allowsRetry(limits Limits, age time.Duration, proxies int) bool {
 	requests, retries := b.totals()
-	grown := min(float64(age)/float64(limits.Window), 1)
-	slack := limits.Slack * slackShare * grown / float64(max(proxies, 1)+uncountedProxies)
+	slackFraction := min(float64(age)/float64(limits.Window), 1)
+	slack := limits.Slack * slackShare * slackFraction / float64(max(proxies, 1)+uncountedProxies)
 	return float64(retries+1) <= limits.Ratio*ratioShare*float64(requests)+slack
 }
--- a/serving/retry/policy.go
+++ b/serving/retry/policy.go
@@ -1,8 +1,8 @@
 // Package retry decides whether and when a request is retried after a failed attempt. It performs no I/O; the caller
-// passes the monotonic time. It is the only layer that retries: connections to endpoints don't.
+// passes the monotonic time. It is the only layer that retries: the connections to endpoints make no retries of their own.
 //
 // The backoff follows the schedule of package backoff. A retry budget bounds the retries of all proxies together
-// without coordination: each proxy has a share of the operator's limits, and the shares can't add up to more.
+// without coordination: each proxy has a share of the operator's limits, and the shares together don't exceed them.
 package retry
 
 import (
@@ -15,54 +15,55 @@
 	"rowanlink/serving/routing"
 )
 
-// Parameters of the backoff. Latency targets are some hundred milliseconds: with a unit of 20 ms the first backoff is
-// 10 ms on average, so that a request whose endpoint has failed still meets its target, and the sixth reaches the upper
-// bound. The bound of 400 ms limits the retries of each request to less than three a second if a service stays
-// unavailable.
+// Parameters of the backoff. Latency targets are a few hundred milliseconds. With a unit of 20 ms the first backoff is
+// 10 ms on average, so that a request whose endpoint has failed still meets its target, and the sixth backoff reaches the
+// upper bound. While a service stays unavailable, the bound of 400 ms limits each request to fewer than three retries a
+// second.
 const (
 	backoffUnit = 20 * time.Millisecond
 	maxBackoff  = 400 * time.Millisecond
-	// minBudgetWait is the least time until a request asks again for budget, which grows with each further request.
+	// minBudgetWait is the least time after which a request that found the budget exhausted asks again. Each further
+	// request to the service raises the budget.
 	minBudgetWait = 50 * time.Millisecond
-	// maxUndeliveredAttempts bounds the attempts of a request that reached no endpoint that could have run it.
+	// maxUndeliveredAttempts bounds the attempts of one request that reach no endpoint that could have run it.
 	maxUndeliveredAttempts = 4
 )
 
-// End is how a request ends that isn't retried.
+// End is the way in which a request ends if it isn't retried.
 type End uint8
 
 // The ends.
 const (
 	EndNone     End = iota // the request is retried
-	EndRejected            // no attempt may have run: the client may retry
+	EndRejected            // no attempt has run, so the client may retry safely
 	EndFailed              // an attempt may have run
 )
 
 // FailedAttempt describes a request after an attempt that has not succeeded.
 type FailedAttempt struct {
 	Route   *routing.Route
-	Service string          // of the attempt's endpoint
-	Number  int             // of the attempt, from zero
-	Outcome attempt.Outcome // of the attempt
+	Service string          // service of the attempt's endpoint
+	Number  int             // number of the attempt, from zero
+	Outcome attempt.Outcome // outcome of the attempt
 	// CountedAttempts is the number of attempts, including this one, that count toward the route's limit: all but those
 	// that failed to connect, were at this process's connection limit or were misdirected, since they reached no
 	// endpoint that could have run the request.
 	CountedAttempts int
 	// SentAttempts is the number of attempts, including this one, that reached some endpoint or may have: all but those
-	// that failed to connect or were at the connection limit. After none, the next attempt needs no budget.
+	// that failed to connect or were at the connection limit. If it is zero, the next attempt needs no budget.
 	SentAttempts int
-	// MayHaveRun: this or an earlier attempt may have run.
-	MayHaveRun bool
-	TimeLeft   time.Duration // until the request's deadline
+	MayHaveRun   bool          // this or an earlier attempt may have run
+	TimeLeft     time.Duration // time until the request's deadline
 }
 
-// Decision is what follows a failed attempt. Backoff is valid if Retry or BudgetExhausted is set, End if Retry isn't.
+// Decision is what to do after a failed attempt. Backoff is valid if Retry or BudgetExhausted is set, End if Retry isn't.
 type Decision struct {
 	Retry   bool
 	Backoff time.Duration
 	End     End
-	// BudgetExhausted: the request may be retried, only not now, since the retry budget is used up. A request that can't
-	// be ended without harm, such as a stream that the client has part of, calls Decide again after Backoff.
+	// BudgetExhausted means that the request could be retried if the retry budget weren't used up for now. For a stream of
+	// which the client already has a part, the caller doesn't have to end the request but may call Decide again after
+	// Backoff.
 	BudgetExhausted bool
 }
 
@@ -76,7 +77,7 @@
 	budgets   map[string]*budget // by service
 }
 
-// New returns a policy with an empty budget.
+// New returns a policy that has counted no requests and no retries.
 func New(now time.Time, limits Limits, seed uint64) *Policy {
 	return &Policy{
 		limits:    limits,
@@ -87,16 +88,16 @@
 	}
 }
 
-// SetProxies sets the largest number of proxies that may run. The number in use never decreases, since proxies that
-// were seen once may run again.
+// SetProxies sets the largest number of proxies that may run at once, among which the limits are divided. A smaller number
+// than an earlier one is ignored, since proxies that were seen once may run again.
 func (p *Policy) SetProxies(proxies int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.proxies = max(p.proxies, proxies)
 }
 
-// SetLimits replaces the operator's limits, which may change while the process runs. The window stays the same, since
-// what was counted in it can't be counted again.
+// SetLimits replaces the operator's limits, which may change while the process runs. It keeps the window, since requests
+// and retries that were already counted can't be assigned to buckets of another width.
 func (p *Policy) SetLimits(limits Limits) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -111,7 +112,8 @@
 	p.currentBudget(now, service).countRequest()
 }
 
-// Decide decides what follows an attempt that has not succeeded. A retry that it grants is counted at once.
+// Decide returns what to do after an attempt that has not succeeded. A retry that it grants is charged to the budget at
+// once.
 func (p *Policy) Decide(now time.Time, failed FailedAttempt) Decision {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -141,7 +143,7 @@
 	return time.Duration(backoff.Delay(units, retry, random, float64(backoffUnit)))
 }
 
-// isRetryable reports whether the kind of request, the outcome and the number of attempts allow a retry.
+// isRetryable reports whether the request's kind, the outcomes and the number of attempts allow a retry.
 func isRetryable(failed FailedAttempt) bool {
 	if failed.Outcome == attempt.Succeeded || failed.Outcome == attempt.Canceled {
 		return false
--- a/serving/retry/policy_test.go
+++ b/serving/retry/policy_test.go
@@ -19,7 +19,7 @@
 	start  = time.Unix(1000, 0)
 )
 
-// newPolicyWithBudget returns a policy whose service has had so many requests that the budget doesn't limit retries.
+// newPolicyWithBudget returns a policy that has counted so many requests that the budget doesn't limit retries.
 func newPolicyWithBudget(now time.Time) *Policy {
 	p := New(start, limits, 1)
 	for range 1000 {
@@ -81,12 +81,12 @@
 	assert.True(t, retries(0, 0))
 	assert.True(t, retries(0, 1))
 	assert.False(t, retries(1, 2), "the attempts are used up")
-	assert.True(t, retries(3, 1), "three failed connections")
-	assert.False(t, retries(4, 1), "a fourth one")
+	assert.True(t, retries(3, 1), "three attempts failed to connect")
+	assert.False(t, retries(4, 1), "four attempts failed to connect")
 }
 
-// TestDecide_BudgetExhausted: a request that could be retried is told when to ask again, and gets its retry once further
-// requests have raised the budget.
+// TestDecide_BudgetExhausted checks that a retryable request without budget learns when to ask again, and that its retry
+// is granted once further requests have raised the budget.
 func TestDecide_BudgetExhausted(t *testing.T) {
 	p := New(start, Limits{Ratio: 0.2, Window: 10 * time.Second}, 1)
 	now := start.Add(20 * time.Second)
@@ -109,7 +109,7 @@
 	assert.True(t, p.Decide(now, failed).Retry)
 
 	failed.CountedAttempts = 3
-	assert.False(t, p.Decide(now, failed).BudgetExhausted, "no budget helps a request without attempts left")
+	assert.False(t, p.Decide(now, failed).BudgetExhausted, "a request without attempts left isn't told to wait for budget")
 }
 
 func TestDecide_BackoffBeyondDeadline(t *testing.T) {
@@ -142,7 +142,7 @@
 }
 
 func TestDecide_UnsentAttemptsUseNoBudget(t *testing.T) {
-	p := New(start, limits, 1) // no budget at all
+	p := New(start, limits, 1) // has no budget: no requests yet, and the slack begins at zero
 	route := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 2}
 	failed := FailedAttempt{Route: route, Service: "s", Outcome: attempt.ConnectFailed, TimeLeft: time.Second}
 	assert.True(t, p.Decide(start, failed).Retry)
@@ -150,7 +150,8 @@
 	assert.False(t, p.Decide(start, failed).Retry)
 }
 
-// simulation runs several proxies that retry whenever they may.
+// simulation simulates several proxies that retry whenever their policies allow it. It records the times of their
+// requests and retries since the start.
 type simulation struct {
 	requests []time.Duration
 	retries  []time.Duration
@@ -166,11 +167,11 @@
 	rate := rapid.Float64Range(0.5, 60).Draw(t, "requests a second")
 	amplitude := rapid.Float64Range(0, 0.9).Draw(t, "amplitude")
 	for at := time.Duration(0); at < 60*time.Second; {
-		per := rate * (1 + amplitude*math.Sin(at.Seconds()/4))
-		at += time.Duration(-math.Log(1-random.Float64()) / per * float64(time.Second))
+		currentRate := rate * (1 + amplitude*math.Sin(at.Seconds()/4))
+		at += time.Duration(-math.Log(1-random.Float64()) / currentRate * float64(time.Second))
 		index := int(random.Float64() * float64(proxies))
 		if random.Float64() < 0.02 {
-			policies[index] = New(start.Add(at), limits, uint64(at)) // a new incarnation doesn't know the last one's retries
+			policies[index] = New(start.Add(at), limits, uint64(at)) // a restarted proxy doesn't know the retries of its earlier incarnation
 			policies[index].SetProxies(known)
 		}
 		s.requests = append(s.requests, at)
@@ -207,11 +208,11 @@
 		s.run(t, proxies, proxies, mwcrand.New(rapid.Uint64().Draw(t, "seed")))
 		for from := time.Duration(0); from < 50*time.Second; from += 250 * time.Millisecond {
 			most := 0
-			for _, back := range []time.Duration{0, limits.Window / 2, limits.Window} {
-				most = max(most, countWithin(s.requests, from-back, from-back+limits.Window))
+			for _, lag := range []time.Duration{0, limits.Window / 2, limits.Window} {
+				most = max(most, countWithin(s.requests, from-lag, from-lag+limits.Window))
 			}
-			repeats := countWithin(s.retries, from, from+limits.Window)
-			assert.LessOrEqual(t, float64(repeats), limits.Ratio*float64(most)+limits.Slack,
+			retries := countWithin(s.retries, from, from+limits.Window)
+			assert.LessOrEqual(t, float64(retries), limits.Ratio*float64(most)+limits.Slack,
 				strconv.Itoa(proxies)+" proxies, window from "+from.String())
 		}
 	})
