--- a/serving/singleton/singleton.go
+++ b/serving/singleton/singleton.go
@@ -1,8 +1,8 @@
-// Package singleton assigns singleton roles: jobs that one member at a time does, such as polling the loads of a zone.
-// The first live member by rendezvous hashing (Thaler and Ravishankar, 1998) claims the role under an epoch above all
-// known ones, and the claims are gossiped. Two members may believe for a moment that they hold a role; the epoch is a
-// fencing token, and those who take orders from the holder reject epochs below the highest one that they know. The
-// package does no I/O: times are arguments.
+// Package singleton assigns singleton roles: tasks that one member at a time performs, such as polling the loads of a
+// zone. The live member that ranks first by rendezvous hashing (Thaler and Ravishankar, 1998) claims the role under an
+// epoch above all known ones, and the claims are gossiped. For a moment two members may both believe that they hold a
+// role. The epoch is therefore a fencing token: members that execute the holder's orders reject epochs below the highest
+// one that they know. The package does no I/O: times are arguments.
 package singleton
 
 import (
@@ -13,12 +13,12 @@
 	"rowanlink/serving/state"
 )
 
-// takeoverDelay is how long a member must have been the first candidate before it takes a role from a live holder.
+// takeoverDelay is how long a member must have been the first candidate before it takes over a role from a live holder.
 const takeoverDelay = time.Second
 
-// Scope restricts the members that may hold a role. Empty fields don't restrict.
+// Scope restricts the members that may hold a role. An empty field matches every member.
 type Scope struct {
-	Role   state.Role
+	Role   state.Role // the member's role in the system, such as state.RoleCore
 	Zone   string
 	Region string
 }
@@ -30,9 +30,9 @@
 		(s.Region == "" || s.Region == member.Region)
 }
 
-// Claim is a member's statement that it holds a role from now on.
+// Claim is a member's statement that it holds a role. It is valid until a claim of the role with a higher epoch is known.
 type Claim struct {
-	Role   string `cbor:"1,keyasint"`
+	Role   string `cbor:"1,keyasint"` // name of the singleton role
 	Holder string `cbor:"2,keyasint"`
 	Epoch  uint64 `cbor:"3,keyasint"`
 }
@@ -41,21 +41,21 @@
 type Assignment struct {
 	Holder string // empty: none yet
 	Epoch  uint64
-	Local  bool // the local member holds the role and may act under Epoch
+	Local  bool // the local member holds the role and may issue orders under Epoch
 }
 
-// epochStep leaves the lower bits of an epoch to a hash of the holder's name, so that two members that claim a role at
-// once do so under different epochs.
+// epochStep is the difference between the epochs of successive claims of one member. The bits below it hold a hash of the
+// holder's name, so that two members that claim a role at once do so under different epochs.
 const epochStep = 1 << 32
 
-// Table holds the newest claim of each role. It is not safe for concurrent use.
+// Table holds the newest claim of each role that one member knows. It is not safe for concurrent use.
 type Table struct {
-	self        string
+	self        string // name of the local member
 	claimByRole map[string]Claim
-	firstSince  map[string]time.Time // by role: since when the local member is the first candidate
+	firstSince  map[string]time.Time // since when the local member is the first candidate, by role
 }
 
-// New returns an empty table of a member.
+// New returns an empty table for the member with the name self.
 func New(self string) *Table {
 	return &Table{
 		self:        self,
@@ -64,14 +64,14 @@
 	}
 }
 
-// Merge applies a claim that another member has gossiped.
+// Merge stores a claim that arrived by gossip if its epoch is higher than that of the known claim.
 func (t *Table) Merge(claim Claim) {
 	if known, ok := t.claimByRole[claim.Role]; !ok || known.Epoch < claim.Epoch {
 		t.claimByRole[claim.Role] = claim
 	}
 }
 
-// AdmitsEpoch reports whether an order issued under an epoch of a role may be executed.
+// AdmitsEpoch reports whether an order that the holder of a role issued under an epoch may be executed.
 func (t *Table) AdmitsEpoch(role string, epoch uint64) bool {
 	return epoch >= t.claimByRole[role].Epoch
 }
@@ -85,8 +85,8 @@
 	return claims
 }
 
-// Acquire returns the holder of a role among the live members. Where the local member takes the role, Acquire also
-// returns its claim, which the caller gossips.
+// Acquire returns the holder of a role among the live members, and takes the role for the local member if that is due. It
+// then also returns the new claim, which the caller gossips.
 func (t *Table) Acquire(now time.Time, role string, scope Scope, live []state.Member) (Assignment, *Claim) {
 	first, holderIsCandidate := t.firstCandidate(role, scope, live)
 	if first != t.self {
@@ -113,8 +113,8 @@
 	return t.assignment(role, true), &claim
 }
 
-// firstCandidate returns the live member with the highest rank for a role, and whether the present holder is still a
-// candidate. Members that are draining or have left are none.
+// firstCandidate returns the live member with the highest rank for a role, and whether the current holder is still a
+// candidate. Members that are leaving or have left are no candidates.
 func (t *Table) firstCandidate(role string, scope Scope, live []state.Member) (first string, holderIsCandidate bool) {
 	var highest uint64
 	holder := t.claimByRole[role].Holder
@@ -133,8 +133,8 @@
 	return first, holderIsCandidate
 }
 
-// assignment returns the assignment by the newest claim of a role; it has no holder where the claim's is no longer a
-// candidate.
+// assignment returns the assignment that follows from the newest claim of a role. It has no holder if the member that made
+// the claim is no longer a candidate.
 func (t *Table) assignment(role string, holderIsCandidate bool) Assignment {
 	claim := t.claimByRole[role]
 	if !holderIsCandidate {
@@ -147,7 +147,7 @@
 	}
 }
 
-// nextEpoch returns an epoch of the local member above every known one of the role.
+// nextEpoch returns an epoch for a claim by the local member that is above all known epochs of the role.
 func (t *Table) nextEpoch(role string) uint64 {
 	number := t.claimByRole[role].Epoch/epochStep + 1
 	return number*epochStep + xxhash.Sum64String(t.self)%epochStep
--- a/serving/singleton/singleton_test.go
+++ b/serving/singleton/singleton_test.go
@@ -26,7 +26,7 @@
 	return live
 }
 
-// firstOf returns the first candidate for the test role.
+// firstOf returns the first candidate for testRole among the live members.
 func firstOf(live []state.Member) string {
 	first, _ := New("nobody").firstCandidate(testRole, cores, live)
 	return first
@@ -91,7 +91,7 @@
 	_, claim := table.Acquire(startTime, testRole, cores, live)
 	table.Merge(Claim{Role: testRole, Holder: "c", Epoch: claim.Epoch + epochStep})
 	assignment, next := table.Acquire(startTime, testRole, cores, live)
-	require.NotNil(t, next, "it is first and the other is not live")
+	require.NotNil(t, next, "the local member is the first candidate and the holder isn't live")
 	assert.True(t, assignment.Local)
 	assert.Greater(t, next.Epoch, claim.Epoch+epochStep)
 }
@@ -108,8 +108,9 @@
 	assert.Empty(t, firstOf(leaving))
 }
 
-// TestAcquire_ConvergesToOneHolder generates changes of the live members. Once all know the same members and claims,
-// one member holds the role under an epoch that all admit, and no two members ever claimed under the same epoch.
+// TestAcquire_ConvergesToOneHolder lets members with random views of the live members acquire the role, and spreads some
+// of their claims. No two members may ever claim under the same epoch. Once all know the same members and claims, exactly
+// one member must hold the role, under an epoch that all admit.
 func TestAcquire_ConvergesToOneHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e"}
--- a/serving/singleton/statespace_test.go
+++ b/serving/singleton/statespace_test.go
@@ -13,16 +13,17 @@
 	"rowanlink/serving/state"
 )
 
-// exploredRole and exploredMembers describe the explored system; exploredClaims bounds the number of claims.
+// exploredRole and exploredMembers are the role and the number of members of the explored system. exploredClaims is the
+// largest number of claims in an explored state.
 const (
 	exploredRole    = "repair"
 	exploredMembers = 3
 	exploredClaims  = 3
 )
 
-// world is a state of the system: all members' tables and every claim that was made, which may reach any member at any
-// time or never.
-type world struct {
+// systemState is a state of the system: all members' tables and every claim that was made, which may reach any member at
+// any time or never.
+type systemState struct {
 	tables [exploredMembers]*Table
 	clock  [exploredMembers]int // of each member, in steps of takeoverDelay
 	claims []Claim
@@ -32,7 +33,7 @@
 	return state.Member{Name: fmt.Sprintf("m%d", index), Role: state.RoleCore, State: state.MemberReady}
 }
 
-func (w *world) clone() *world {
+func (w *systemState) clone() *systemState {
 	next := *w
 	next.claims = slices.Clone(w.claims)
 	for index, table := range w.tables {
@@ -45,8 +46,9 @@
 	return &next
 }
 
-// key identifies a state. Of the clocks it has only whether a member is the first candidate already.
-func (w *world) key() string {
+// key returns a string that identifies the state. Of the times it has only whether each member already counts as the first
+// candidate.
+func (w *systemState) key() string {
 	text := fmt.Sprint(w.claims)
 	for _, table := range w.tables {
 		_, first := table.firstSince[exploredRole]
@@ -55,9 +57,9 @@
 	return text
 }
 
-// successors calls visit for each next state: a member tries to acquire the role, with any view of the live members; a
-// claim reaches a member; a member restarts without its memory.
-func (w *world) successors(visit func(next *world, at int, assignment Assignment)) {
+// successors calls visit for each state that one event leads to: a member tries to acquire the role, with any view of the
+// live members; a claim reaches a member; or a member restarts and loses its table. index is the member's.
+func (w *systemState) successors(visit func(next *systemState, index int, assignment Assignment)) {
 	for index := range exploredMembers {
 		for view := range 1 << exploredMembers {
 			if view&(1<<index) == 0 {
@@ -90,19 +92,19 @@
 	}
 }
 
-// TestStateSpace explores every order of acquisitions, late and lost claims and restarts: no epoch has two holders,
-// no member holds the role under an epoch that its own table doesn't admit, and a table's epoch decreases only with a
-// restart.
+// TestStateSpace explores every sequence of acquisitions, late and lost claims, and restarts. It checks that no epoch has
+// two holders, that no member holds the role under an epoch that its own table doesn't admit, and that the epoch in a
+// table decreases only when the member restarts.
 func TestStateSpace(t *testing.T) {
-	first := &world{}
-	for index := range first.tables {
-		first.tables[index] = New(member(index).Name)
+	initial := &systemState{}
+	for index := range initial.tables {
+		initial.tables[index] = New(member(index).Name)
 	}
-	known := map[string]bool{first.key(): true}
-	made := 0
-	for queue := []*world{first}; len(queue) > 0; queue = queue[1:] {
-		at := queue[0]
-		at.successors(func(next *world, index int, assignment Assignment) {
+	known := map[string]bool{initial.key(): true}
+	maxClaims := 0
+	for queue := []*systemState{initial}; len(queue) > 0; queue = queue[1:] {
+		current := queue[0]
+		current.successors(func(next *systemState, index int, assignment Assignment) {
 			holders := map[uint64]string{}
 			for _, claim := range next.claims {
 				other, isClaimed := holders[claim.Epoch]
@@ -110,24 +112,24 @@
 				holders[claim.Epoch] = claim.Holder
 			}
 			if assignment.Local {
-				require.Equal(t, member(index).Name, holders[assignment.Epoch], "a role is held under another member's epoch")
+				require.Equal(t, member(index).Name, holders[assignment.Epoch], "a member holds the role under another member's epoch")
 				require.True(t, next.tables[index].AdmitsEpoch(exploredRole, assignment.Epoch))
 			}
-			before, after := at.tables[index].claimByRole[exploredRole].Epoch, next.tables[index].claimByRole[exploredRole].Epoch
-			require.True(t, after >= before || len(next.tables[index].claimByRole) == 0, "an epoch decreases")
+			before, after := current.tables[index].claimByRole[exploredRole].Epoch, next.tables[index].claimByRole[exploredRole].Epoch
+			require.True(t, after >= before || len(next.tables[index].claimByRole) == 0, "the epoch in a table decreased without a restart")
 			if key := next.key(); !known[key] && len(next.claims) <= exploredClaims {
 				known[key] = true
-				made = max(made, len(next.claims))
+				maxClaims = max(maxClaims, len(next.claims))
 				queue = append(queue, next)
 			}
 		})
 	}
-	t.Logf("%d states, explored exhaustively, with up to %d claims", len(known), made)
-	assert.Equal(t, exploredClaims, made)
+	t.Logf("%d states, explored exhaustively, with up to %d claims", len(known), maxClaims)
+	assert.Equal(t, exploredClaims, maxClaims)
 }
 
-// TestNextEpoch_DiffersBetweenMembers checks that of as many members as a system may have, no two claim a role under
-// one epoch at once.
+// TestNextEpoch_DiffersBetweenMembers checks that the first claims of 5000 members, as many as a system may have, have
+// different epochs.
 func TestNextEpoch_DiffersBetweenMembers(t *testing.T) {
 	holders := map[uint64]string{}
 	for number := range 5000 {
