--- a/serving/delivery/agentnotifier.go
+++ b/serving/delivery/agentnotifier.go
@@ -11,43 +11,47 @@
 )
 
 const (
-	// AgentTimeout bounds the wait for the agents. An endpoint waits a second for its acknowledgement.
+	// AgentTimeout bounds the wait for the agents. An endpoint waits one second for the acknowledgement of its request, so
+	// the wait has to be shorter.
 	AgentTimeout = 400 * time.Millisecond
-	// AgentSkipTime is how long an agent that hasn't confirmed in time isn't waited for, unless it confirms before: its
-	// machine may be suspended or unreachable, and the acknowledgements of others mustn't be late because of that.
+	// AgentSkipTime is how long an agent that didn't confirm an entry in time isn't waited for. It is waited for again
+	// earlier if it confirms an entry. Its machine may be suspended or unreachable, which must not delay the
+	// acknowledgements to others.
 	AgentSkipTime = 5 * time.Second
 	// agentInterval is the least time between two calls to an agent.
 	agentInterval = 50 * time.Millisecond
-	// JoinTime is how long after its start a core member may not know all agents, which call it one after the other.
+	// JoinTime is the time after its start during which a core member may not know all agents yet, since they call it one
+	// after the other.
 	JoinTime = 2 * time.Second
-	// joinPollInterval is the time between two looks for agents that have become known.
+	// joinPollInterval is how often a joining member checks whether more agents have become known.
 	joinPollInterval = 20 * time.Millisecond
 )
 
 // Members are the members that a notifier sends to; member.Service implements it.
 type Members interface {
-	Members() []state.Member     // those that are live
-	DownMembers() []state.Member // those that are down, as far as is known here
+	Members() []state.Member     // live members
+	DownMembers() []state.Member // members that the local one considers down
+	// PushApplied sends entries to the member at an address and returns once it has applied them.
 	PushApplied(ctx context.Context, address string, entries []gossip.Entry) error
 }
 
-// AgentNotifier sends entries to the agents of all machines and waits until their proxies have applied them. What they
-// have applied holds also while no core member runs that could tell them. It is safe for concurrent use.
+// AgentNotifier sends entries to the agents of all machines and waits until their proxies have applied them. Entries that
+// a proxy has applied stay in effect there even while no core member runs. It is safe for concurrent use.
 type AgentNotifier struct {
-	members Members
-	sender  *BatchSender
-	started time.Time
+	members   Members
+	sender    *BatchSender
+	startedAt time.Time
 
 	mutex   sync.Mutex
-	skipped map[string]time.Time // agents that aren't waited for, by address: until when
+	skipped map[string]time.Time // until when an agent isn't waited for, by address
 }
 
-// NewAgentNotifier returns a notifier of the agents among the members.
+// NewAgentNotifier returns a notifier for the agents among the members.
 func NewAgentNotifier(members Members) *AgentNotifier {
 	n := &AgentNotifier{
-		members: members,
-		started: time.Now(),
-		skipped: map[string]time.Time{},
+		members:   members,
+		startedAt: time.Now(),
+		skipped:   map[string]time.Time{},
 	}
 	n.sender = NewBatchSender(n.push, BatchOptions{
 		MaxCalls:    1,
@@ -57,7 +61,7 @@
 	return n
 }
 
-// push sends entries to an agent. One that confirms them is waited for again.
+// push sends entries to an agent. An agent that confirms them is waited for again.
 func (n *AgentNotifier) push(ctx context.Context, address string, entries []gossip.Entry) error {
 	err := n.members.PushApplied(ctx, address, entries)
 	if err == nil {
@@ -68,24 +72,25 @@
 	return err
 }
 
-// isJoining reports whether agents may not be known yet.
-func (n *AgentNotifier) isJoining() bool { return time.Since(n.started) < JoinTime }
+// isJoining reports whether this member has started so recently that it may not know all agents yet.
+func (n *AgentNotifier) isJoining() bool { return time.Since(n.startedAt) < JoinTime }
 
 // Notification is an entry on its way to the agents.
 type Notification struct {
 	notifier  *AgentNotifier
 	send      func(address string) (result <-chan error)
 	timeout   <-chan struct{}         // closed AgentTimeout after the start
-	awaited   map[string]<-chan error // by address
-	unawaited map[string]bool         // by address: agents that the entry was sent to all the same
+	awaited   map[string]<-chan error // results of the agents that are waited for, by address
+	unawaited map[string]bool         // addresses of the agents that got the entry but aren't waited for
 }
 
-// Start sends an entry to all agents. One without a value is only awaited: they get it by gossip. The end of ctx cancels
-// nothing, since agents that aren't given their time would count as unresponsive.
+// Start sends an entry to all agents. The value of an entry without one reaches the agents by gossip; the call then only
+// waits until they have applied it. The end of ctx doesn't cancel the calls, since an agent whose call is cut short would
+// count as one that didn't confirm in time.
 func (n *AgentNotifier) Start(ctx context.Context, entry gossip.Entry) *Notification {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), AgentTimeout)
 	context.AfterFunc(ctx, cancel)
-	started := &Notification{
+	notification := &Notification{
 		notifier:  n,
 		timeout:   ctx.Done(),
 		awaited:   map[string]<-chan error{},
@@ -96,11 +101,11 @@
 			return result
 		},
 	}
-	started.sendToNew()
-	return started
+	notification.sendToNew()
+	return notification
 }
 
-// sendToNew sends the entry to the agents that it hasn't been sent to.
+// sendToNew sends the entry to the agents that are known by now and to which it hasn't been sent yet.
 func (n *Notification) sendToNew() {
 	awaited, unawaited := n.notifier.addresses()
 	for _, address := range awaited {
@@ -121,8 +126,9 @@
 	return isAwaited || n.unawaited[address]
 }
 
-// addresses returns the agents that are waited for, and the others: those that haven't confirmed lately, and those that
-// are down. They may be just slow, and may have no other source once no core member runs.
+// addresses returns the addresses of the agents to wait for, and of the others: agents that failed to confirm in time
+// lately, and agents that are down. The others get entries too, since they may only be slow, and if all core members fail
+// there is no other source from which they could learn the entries.
 func (n *AgentNotifier) addresses() (awaited, unawaited []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -146,7 +152,8 @@
 	return awaited, unawaited
 }
 
-// skip records that an agent hasn't confirmed in time. While this member is joining, it may just not have had the time.
+// skip records that an agent hasn't confirmed in time, so that it isn't waited for during AgentSkipTime. It does nothing
+// while this member is joining: the agent may have become known too late to confirm in time.
 func (n *AgentNotifier) skip(address string) {
 	if n.isJoining() {
 		return
@@ -162,8 +169,8 @@
 // Unawaited returns the number of agents that the entry was sent to without waiting for them.
 func (n *Notification) Unawaited() int { return len(n.unawaited) }
 
-// Wait waits until the awaited agents have confirmed or AgentTimeout is over, and returns the number of those that have
-// not.
+// Wait waits until all awaited agents have confirmed the entry or AgentTimeout is over. It returns the number of awaited
+// agents that haven't confirmed.
 func (n *Notification) Wait() (unconfirmed int) {
 	n.awaitJoin()
 	for address, result := range n.awaited {
@@ -175,7 +182,8 @@
 	return unconfirmed
 }
 
-// awaitJoin sends the entry to the agents that become known while this member is joining, until AgentTimeout is over.
+// awaitJoin sends the entry to agents that become known while this member is joining. It returns when the member has joined
+// or AgentTimeout is over.
 func (n *Notification) awaitJoin() {
 	ticker := time.NewTicker(joinPollInterval)
 	defer ticker.Stop()
@@ -189,7 +197,7 @@
 	}
 }
 
-// isConfirmed waits for a result until the time-out, and reports whether it came and is a success.
+// isConfirmed waits for a result until the timeout, and reports whether it arrived and is a success.
 func isConfirmed(result <-chan error, timeout <-chan struct{}) bool {
 	select {
 	case err := <-result:
--- a/serving/delivery/agentnotifier_test.go
+++ b/serving/delivery/agentnotifier_test.go
@@ -14,7 +14,7 @@
 	"rowanlink/serving/state"
 )
 
-// fakeMembers plays the members of a system.
+// fakeMembers implements Members with agents only.
 type fakeMembers struct {
 	live, down func() []string // addresses of agents; nil: none
 	push       func(ctx context.Context, address string, entries []gossip.Entry) error
@@ -40,8 +40,9 @@
 
 func listOf(addresses ...string) func() []string { return func() []string { return addresses } }
 
-// TestWait_WhileJoining guards against an acknowledgement by a member that has just started and knows no agents yet: those
-// that become known in time get the entry too, and one that has no time left isn't skipped later.
+// TestWait_WhileJoining guards against a member that has just started, knows few agents or none, and acknowledges an entry
+// that the other agents never got. Agents that become known until the timeout must get the entry too, and an agent that
+// becomes known too late to confirm must still be waited for later.
 func TestWait_WhileJoining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
@@ -64,7 +65,7 @@
 		})
 		first := notifier.Start(t.Context(), gossip.Entry{Key: "e1"})
 		assert.Equal(t, 1, first.Awaited())
-		assert.Equal(t, 1, first.Wait(), "one had too little time")
+		assert.Equal(t, 1, first.Wait(), "one agent became known too late to confirm")
 		assert.Equal(t, 3, first.Awaited())
 		assert.Equal(t, AgentTimeout, time.Since(started))
 		assert.Len(t, sent, 3)
@@ -73,13 +74,13 @@
 		second := notifier.Start(t.Context(), gossip.Entry{Key: "e2"})
 		assert.Zero(t, second.Wait())
 		assert.Equal(t, 3, second.Awaited())
-		assert.Equal(t, 30*time.Millisecond, time.Since(begun), "nobody is awaited once all are known")
+		assert.Equal(t, 30*time.Millisecond, time.Since(begun), "the member doesn't wait for further agents once it has joined")
 		time.Sleep(time.Second) // the calls end
 	})
 }
 
-// TestStart_SendsToAgentsThatAreNotAwaited guards against agents that don't get a departure because they were slow once or
-// seem to be down: after the loss of all core members nobody else tells them.
+// TestStart_SendsToAgentsThatAreNotAwaited guards against agents that don't get an endpoint's departure because they were
+// slow once or seem to be down: if all core members fail afterwards, these agents have no other source of it.
 func TestStart_SendsToAgentsThatAreNotAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stall time.Duration
@@ -121,20 +122,20 @@
 		begun := time.Now()
 		second, unconfirmed := depart("e2")
 		assert.Zero(t, unconfirmed)
-		assert.Equal(t, []int{1, 2}, []int{second.Awaited(), second.Unawaited()}, "the slow one isn't awaited for a while")
+		assert.Equal(t, []int{1, 2}, []int{second.Awaited(), second.Unawaited()}, "the slow agent isn't awaited for a while")
 		assert.Equal(t, 10*time.Millisecond, time.Since(begun))
 
 		time.Sleep(agentInterval)
 		third, _ := depart("e3")
-		assert.Equal(t, []int{2, 1}, []int{third.Awaited(), third.Unawaited()}, "it has confirmed the second departure")
+		assert.Equal(t, []int{2, 1}, []int{third.Awaited(), third.Unawaited()}, "the slow agent has confirmed the second departure")
 		time.Sleep(time.Second) // the calls end
 		expected := []string{"e1", "e2", "e3"}
 		assert.Equal(t, map[string][]string{"steady": expected, "slow": expected, "away": expected}, got)
 	})
 }
 
-// TestStart_SuspendedAgentIsNotFlooded: entries that a suspended agent can't take are dropped after AgentTimeout, and it
-// gets one call at a time.
+// TestStart_SuspendedAgentIsNotFlooded checks that an agent that doesn't respond gets one call at a time, and that entries
+// that wait for it are dropped after AgentTimeout.
 func TestStart_SuspendedAgentIsNotFlooded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls, concurrent, most atomic.Int32
--- a/serving/delivery/batchsender.go
+++ b/serving/delivery/batchsender.go
@@ -1,5 +1,5 @@
-// Package delivery sends entries to other members and waits for their confirmations, beside the gossip: what was
-// acknowledged has to be at enough disks and at all proxies that can be reached.
+// Package delivery sends entries directly to other members, in addition to gossip, and waits for their confirmations:
+// before a change is acknowledged, enough members must have it on disk and all reachable proxies must have applied it.
 package delivery
 
 import (
@@ -10,14 +10,14 @@
 	"rowanlink/serving/gossip"
 )
 
-// maxBatchEntries bounds the entries of one call.
+// maxBatchEntries is the largest number of entries in one call.
 const maxBatchEntries = 256
 
-// PushFunc sends entries to the member at an address, host:port, and returns once that has confirmed them.
+// PushFunc sends entries to the member at an address, host:port, and returns once the member has confirmed them.
 type PushFunc func(ctx context.Context, address string, entries []gossip.Entry) error
 
-// BatchSender sends entries to members. Entries for the same member share calls, so that many at once cost few. It is
-// safe for concurrent use.
+// BatchSender sends entries to members. Entries for the same member share calls, so that a burst of entries needs few
+// calls. It is safe for concurrent use.
 type BatchSender struct {
 	push    PushFunc
 	options BatchOptions
@@ -28,24 +28,26 @@
 
 // BatchOptions bounds the calls of a BatchSender.
 type BatchOptions struct {
-	MaxCalls    int           // concurrent, to one member. Entries that come meanwhile share the next call
-	CallTimeout time.Duration // of one call
-	// MinInterval is the least time from the start of a call to that of the next one in its place. It bounds the calls of
-	// a burst; the first entry after a pause is sent at once.
+	// MaxCalls is the number of concurrent calls to one member. Entries that arrive while all are in flight share the
+	// next call.
+	MaxCalls    int
+	CallTimeout time.Duration // for one call
+	// MinInterval is the least time between the starts of two successive calls of a sending loop, of which each member
+	// has up to MaxCalls. It bounds the number of calls in a burst; the first entry after a pause is sent at once.
 	MinInterval time.Duration
 }
 
 // sendQueue has the entries that wait for a call to one member.
 type sendQueue struct {
 	waiting []queuedEntry
-	calls   int // in flight
+	calls   int // running sendWaiting loops, each with at most one call in flight
 }
 
-// queuedEntry is an entry with the receiver of its result.
+// queuedEntry is an entry to send and the channel for the result of its call.
 type queuedEntry struct {
 	entry  gossip.Entry
-	done   <-chan struct{} // closed when the caller no longer waits; the entry isn't sent any more then
-	result chan<- error    // has room
+	done   <-chan struct{} // closed when the caller no longer waits; then the entry isn't sent any more
+	result chan<- error    // has room, so that sending the result doesn't block
 }
 
 // isAbandoned reports whether the caller no longer waits.
@@ -58,13 +60,13 @@
 	}
 }
 
-// NewBatchSender returns a sender that has sent nothing yet.
+// NewBatchSender returns a sender that makes its calls with push.
 func NewBatchSender(push PushFunc, options BatchOptions) *BatchSender {
 	return &BatchSender{push: push, options: options, queues: map[string]*sendQueue{}}
 }
 
-// Send sends an entry to a member, and its result to a channel that must have room for it. There is no result if ctx
-// ends before the entry is sent.
+// Send queues an entry for a member and returns. The result of the call is sent to a channel, which must have room for it.
+// There is no result if ctx ends before the entry is sent.
 func (s *BatchSender) Send(ctx context.Context, address string, entry gossip.Entry, result chan<- error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,8 +83,8 @@
 	go s.sendWaiting(context.WithoutCancel(ctx), address, queue)
 }
 
-// sendWaiting makes calls until no entry waits. They go on after the callers have left: a member that is late gets the
-// entries all the same.
+// sendWaiting makes calls to a member until no entry waits. A call continues after the callers of its entries no longer
+// wait, so that a slow member gets the entries too.
 func (s *BatchSender) sendWaiting(ctx context.Context, address string, queue *sendQueue) {
 	for {
 		batch := s.takeBatch(address, queue)
@@ -98,7 +100,8 @@
 	}
 }
 
-// takeBatch returns the entries of the next call. Where there are none, it counts the caller's loop as ended.
+// takeBatch removes the entries of the next call from the queue and returns them. If there are none, the loop that called
+// it has to end, and takeBatch already counts it as ended.
 func (s *BatchSender) takeBatch(address string, queue *sendQueue) (batch []queuedEntry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// call sends a batch.
+// call sends a batch in one call and returns the call's result.
 func (s *BatchSender) call(ctx context.Context, address string, batch []queuedEntry) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
--- a/serving/delivery/batchsender_test.go
+++ b/serving/delivery/batchsender_test.go
@@ -12,8 +12,8 @@
 	"rowanlink/serving/gossip"
 )
 
-// TestSend_SharesCallsAndForgetsMembers: entries for one member share calls, a stalled member holds up no other, each
-// entry gets its result, and nothing is kept of members without calls.
+// TestSend_SharesCallsAndForgetsMembers checks that entries for one member share calls, that a stalled member doesn't
+// delay the others, that each entry that is sent gets its result, and that members without calls leave no queue behind.
 func TestSend_SharesCallsAndForgetsMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := BatchOptions{MaxCalls: 2, CallTimeout: time.Second}
