--- a/serving/routing/amendment.go
+++ b/serving/routing/amendment.go
@@ -9,12 +9,12 @@
 	"rowanlink/serving/schema"
 )
 
-// amendableLists are the lists of a configuration whose items have names.
+// amendableLists are the lists of a configuration document whose items an amendment can change, since they have names.
 var amendableLists = []string{"routings", "carriers"}
 
 // Amendment changes named items of a configuration document.
 type Amendment struct {
-	Version uint64 // of the amended configuration
+	Version uint64 // version of the configuration after the amendment
 
 	lists map[string]*listAmendment // by the list's name
 }
@@ -26,7 +26,7 @@
 	removals map[string]bool   // names to remove; those that the list lacks are ignored
 }
 
-// amendmentDocument is an amendment's document.
+// amendmentDocument is an amendment as the operator writes it.
 type amendmentDocument struct {
 	version uint64
 	upsert  gjson.Result
@@ -62,7 +62,7 @@
 	return amendment, nil
 }
 
-// collectFunc adds one item of a list in the amendment's document. Path names the list in errors.
+// collectFunc adds one item of a list in the amendment's document to the list's amendment. path names the list in errors.
 type collectFunc func(list *listAmendment, path string, item gjson.Result) error
 
 // collectLists calls collect for each item of each list in a field of the document.
@@ -80,6 +80,7 @@
 	return err
 }
 
+// collectItems calls collect for each item of one list. path names the list in errors.
 func (a *Amendment) collectItems(path, name string, items gjson.Result, collect collectFunc) (err error) {
 	if !slices.Contains(amendableLists, name) {
 		return errcode.AmendmentListUnknown.With("%s", path)
@@ -102,7 +103,7 @@
 	return err
 }
 
-// addItem adds an item that is to be added or to replace the one of its name.
+// addItem adds an item that the amendment adds to the list, or that replaces the list's item of the same name.
 func (l *listAmendment) addItem(path string, item gjson.Result) error {
 	name := itemName(item)
 	if name == "" {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// addRemoval adds the name of an item that is to be removed.
+// addRemoval adds the name of an item that the amendment removes.
 func (l *listAmendment) addRemoval(path string, name gjson.Result) error {
 	if name.Type != gjson.String || name.Str == "" {
 		return errcode.AmendmentItemUnnamed.With("%s", path)
@@ -128,7 +129,8 @@
 	return nil
 }
 
-// itemName returns the name of an item, empty if it has none. Of duplicate fields the last counts, as in Parse.
+// itemName returns the name of an item, or an empty string if it has none. If the item has several fields "name", the last
+// one counts, as in Parse.
 func itemName(item gjson.Result) (name string) {
 	if !item.IsObject() {
 		return ""
--- a/serving/routing/amendment_test.go
+++ b/serving/routing/amendment_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAmendment_Apply runs testdata/amendments: "base" sets the document, "amend" prints the amended document, or the
-// error.
+// TestAmendment_Apply runs the scripts in testdata/amendments. The command "base" sets the document, and "amend" prints
+// the amended document, or the error.
 func TestAmendment_Apply(t *testing.T) {
 	datadriven.Walk(t, "testdata/amendments", func(t *testing.T, path string) {
 		var base string
@@ -34,7 +34,7 @@
 	})
 }
 
-// namedItems decodes a list of a document, independently of the tested code.
+// namedItems returns the names and items of a list in a document. It doesn't use the tested code.
 func namedItems(t *testing.T, document []byte, list string) (names []string, items map[string]any) {
 	t.Helper()
 	var decoded map[string]any
@@ -49,7 +49,8 @@
 	return names, items
 }
 
-// FuzzAmendment: a valid amendment changes only the named items, and applying it is idempotent.
+// FuzzAmendment checks that a valid amendment changes only the items that it names, and that applying it twice has the
+// same result as applying it once.
 func FuzzAmendment(f *testing.F) {
 	base := []byte(`{"mark":[1],"edition":3,"routings":[{"name":"a","station":"x","lane_prefix":"/a/","carrier":"s"},` +
 		`{"name":"b","station":"x","lane_prefix":"/b/","carrier":"s"}],"carriers":[{"name":"s"},{"name":"t"}]}`)
--- a/serving/routing/applyamendment.go
+++ b/serving/routing/applyamendment.go
@@ -9,9 +9,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// Apply returns a valid document with the amendment applied; for an empty document, the amendment's items alone.
-// Replaced items keep their positions, new ones are appended, and everything else stays byte for byte. The caller
-// still has to validate the result with Parse.
+// Apply applies the amendment to a valid document and returns the result; for an empty document, it has the amendment's
+// items alone. Replaced items keep their positions, new items are appended, and everything else stays byte for byte. The
+// caller still has to validate the result with Parse.
 func (a *Amendment) Apply(document []byte) []byte {
 	fields := parseFields(document)
 	fields.set("edition", strconv.FormatUint(a.Version, 10))
@@ -32,7 +32,7 @@
 		replacement, hasReplacement := l.items[name]
 		switch {
 		case l.removals[name]:
-		case hasReplacement && replaced[name]: // a duplicate
+		case hasReplacement && replaced[name]: // a second item of the same name is dropped
 		case hasReplacement:
 			amended = append(amended, replacement)
 			replaced[name] = true
@@ -66,8 +66,8 @@
 	Name string     `json:"name"`
 }
 
-// Changes returns what the amendment changes in a document. Items that already are as the amendment has them, or
-// already are absent, are left out.
+// Changes returns the changes that the amendment makes to a document. It leaves out items that the document already has in
+// the same form, and removals of items that it doesn't have.
 func (a *Amendment) Changes(document []byte) (changes []ItemChange) {
 	fields := parseFields(document)
 	for _, name := range amendableLists {
@@ -79,7 +79,7 @@
 }
 
 func (l *listAmendment) changes(listName string, list gjson.Result) (changes []ItemChange) {
-	current := make(map[string]string) // JSON by name
+	current := make(map[string]string) // JSON of the items, by name
 	list.ForEach(func(_, item gjson.Result) bool {
 		current[itemName(item)] = item.Raw
 		return true
--- a/serving/routing/documentfields.go
+++ b/serving/routing/documentfields.go
@@ -6,7 +6,9 @@
 	"rowanlink/serving/schema"
 )
 
-// document is a configuration as the operator writes it.
+// document is a configuration as the operator writes it. Some names in documents, and so in the errors about them, differ
+// from those in the code: an edition is a version, a routing is a route, a carrier is a service, a station is a host, and
+// a line type is a kind.
 type document struct {
 	version  uint64
 	routes   []routeDocument
@@ -14,7 +16,7 @@
 	limits   Limits
 }
 
-// routeDocument is a route as the operator writes it: with one service, or split over several.
+// routeDocument is a route as the operator writes it: with one service, or with a split over several services.
 type routeDocument struct {
 	Route
 	service string
--- a/serving/routing/fuzz_test.go
+++ b/serving/routing/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzConfiguration: an accepted document is consistent, matches routes as the naive rule does, and parses alike after
-// another program has encoded it.
+// FuzzConfiguration checks that an accepted document is consistent, that Match finds the same routes as naiveMatch, and
+// that the document gives the same table after another program has decoded and encoded it.
 func FuzzConfiguration(f *testing.F) {
 	f.Add([]byte(newTestDocument([][2]string{{"x.example", "/"}, {"X.example", "/a/"}, {"y.example", "/a/b/"}})), "/a/b/c")
 	f.Add([]byte(`{"edition":7,"routings":[{"station":"x","lane_prefix":"//","line_type":"stream","timeout_ms":1e300,
@@ -45,8 +45,8 @@
 	})
 }
 
-// routesOfHost returns the routes of one host. The naive rule must not compare hosts itself: it folds the case of
-// letters other than ASCII.
+// routesOfHost returns the routes of one host, compared exactly. It keeps naiveMatch from comparing hosts itself, since
+// strings.EqualFold also folds the case of letters other than ASCII.
 func routesOfHost(routes []Route, host string) (ofHost []Route) {
 	for _, route := range routes {
 		if route.Host == host {
@@ -56,7 +56,7 @@
 	return ofHost
 }
 
-// checkTable checks the invariants that the rest of the system relies on.
+// checkTable checks the invariants of a table that the rest of the system relies on.
 func checkTable(t *testing.T, table *Table) {
 	t.Helper()
 	seen := map[[2]string]bool{}
@@ -87,8 +87,8 @@
 	assert.Positive(t, table.Limits.IdleTimeout)
 }
 
-// reencode returns the document as another program writes it: with its fields in another order and without spaces;
-// false for documents that JSON parsers read differently (duplicate keys, invalid UTF-8, lone surrogates).
+// reencode returns the document as another program may write it: with its fields in another order and without spaces. It
+// returns false for a document that JSON parsers may read differently (duplicate keys, invalid UTF-8, lone surrogates).
 func reencode(document []byte) (reencoded []byte, equivalent bool) {
 	if !utf8.Valid(document) || bytes.Contains(document, []byte(`\u`)) || hasDuplicateKeys(document) {
 		return nil, false
@@ -103,13 +103,13 @@
 	return reencoded, err == nil
 }
 
-// hasDuplicateKeys reports whether an object of the document has a key twice.
+// hasDuplicateKeys reports whether any object in the document has a key more than once.
 func hasDuplicateKeys(document []byte) bool {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
 	type level struct {
-		names   map[string]bool // nil: a list
-		isValue bool
+		names   map[string]bool // keys so far; nil for a list
+		isValue bool            // the next token is the value of a key
 	}
 	var open []level
 	for {
--- a/serving/routing/match.go
+++ b/serving/routing/match.go
@@ -22,8 +22,9 @@
 	return nil
 }
 
-// Match returns the route of a request: of the routes of the host, the one with the longest prefix of the path. The
-// host may have a port and is compared without regard to case. The path is the request's as sent, without query.
+// Match returns the route of a request: of the routes of the host, the one whose prefix is the longest that the path
+// begins with. The host may have a port and is compared without regard to case. The path is the request's path as sent,
+// without the query.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	routes, found := t.byHost[host]
 	if !found {
@@ -35,7 +36,8 @@
 	return routes.longestMatch(path)
 }
 
-// longestMatch looks up each leading part of the path that ends with a slash, as prefixes do, the shortest first.
+// longestMatch returns the route with the longest matching prefix. Since all prefixes end with a slash, it looks up only
+// those leading parts of the path that do, the shortest first.
 func (h *hostRoutes) longestMatch(path string) (longest *Route, found bool) {
 	end := 0
 	for range h.maxDepth {
--- a/serving/routing/match_test.go
+++ b/serving/routing/match_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// naiveMatch is the specification of Match: of the routes of the host, the longest prefix of the path.
+// naiveMatch specifies Match by a simple implementation: it returns the longest prefix of the path among the prefixes of
+// the host's routes, or an empty string if there is none.
 func naiveMatch(routes []Route, host, path string) string {
 	best := ""
 	for _, route := range routes {
--- a/serving/routing/orderedfields.go
+++ b/serving/routing/orderedfields.go
@@ -7,7 +7,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// orderedFields are the fields of a JSON object in their order. Of duplicate names the last value counts.
+// orderedFields has the fields of a JSON object in the object's order. If a name occurs more than once, the last value
+// counts.
 type orderedFields struct {
 	names  []string
 	values map[string]string // JSON by name
--- a/serving/routing/table.go
+++ b/serving/routing/table.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// fractionalWeightScale is the factor that makes integers of weights with fractions.
+	// fractionalWeightScale is the factor by which weights are multiplied before they are rounded to integers if one of
+	// them has a fraction.
 	fractionalWeightScale = 1_000_000
-	// maxWeight is the value to which larger weights are reduced.
+	// maxWeight is the largest weight before scaling. Larger weights are reduced to it.
 	maxWeight = 1_000_000_000
 )
 
@@ -20,8 +21,8 @@
 
 	routes   []Route
 	services []Service
-	byName   map[string]*Service
-	byHost   map[string]*hostRoutes
+	byName   map[string]*Service    // services
+	byHost   map[string]*hostRoutes // by normalized host
 }
 
 // Parse parses and validates a configuration document. Errors are those of package errcode with numbers 400 to 405;
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// resolveServices validates the services that a route names and sets their weights. A split takes precedence over a
-// single service. Services with weight 0 are left out.
+// resolveServices validates the services that a route names and sets Route.Services with their weights. If a route has a
+// single service and a split, both are validated and the split counts. Services with weight 0 are left out.
 func (t *Table) resolveServices(route *routeDocument) error {
 	if route.service != "" || len(route.split) == 0 {
 		service := t.byName[route.service]
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// weightScale returns the factor that makes integers of the weights: 1 unless one of them has a fraction.
+// weightScale returns the factor by which the weights of a split are multiplied before they are rounded to integers: 1,
+// or fractionalWeightScale if one of them has a fraction.
 func weightScale(split []weightedServiceDocument) float64 {
 	for _, share := range split {
 		if share.weight != math.Trunc(share.weight) {
--- a/serving/routing/table_test.go
+++ b/serving/routing/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestParse runs testdata/documents: "parse" prints the parsed document, or the error.
+// TestParse runs the scripts in testdata/documents. The command "parse" prints the parsed document, or the error.
 func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata/documents", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -43,7 +43,7 @@
 	return text.String()
 }
 
-// TestParse_RejectsTruncatedDocuments truncates a document at each byte.
+// TestParse_RejectsTruncatedDocuments truncates a document after each of its bytes.
 func TestParse_RejectsTruncatedDocuments(t *testing.T) {
 	document := newLargeDocument(3)
 	_, err := Parse(document)
@@ -74,7 +74,7 @@
 	assert.False(t, found)
 }
 
-// newLargeDocument returns a document with the given number of routes of one host.
+// newLargeDocument returns a document with the given number of routes, all of one host.
 func newLargeDocument(count int) []byte {
 	var text strings.Builder
 	text.WriteString(`{"edition":7,"routings":[`)
--- a/serving/routing/types.go
+++ b/serving/routing/types.go
@@ -3,12 +3,12 @@
 
 import "time"
 
-// Kind is the kind of a route's requests: whether they are idempotent and how they are responded to.
+// Kind is the kind of a route's requests: whether they are idempotent, and whether the response is a stream.
 type Kind uint8
 
 // The kinds of route.
 const (
-	KindAtMostOnce Kind = iota // a request is executed at most once for each attempt of a client
+	KindAtMostOnce Kind = iota // a request is executed at most once each time that a client sends it
 	KindIdempotent             // a request may be executed more than once
 	KindStream                 // the response is a stream of events; at most once unless Route.Resumable
 )
@@ -26,14 +26,14 @@
 	Prefix        string // begins and ends with a slash
 	Kind          Kind
 	Timeout       time.Duration // maximum duration of a request
-	LatencyTarget time.Duration // a response within it has its full value
-	Precedence    int           // rank; 0 is highest
+	LatencyTarget time.Duration // a response within this time has its full value
+	Precedence    int           // priority of the route's requests; 0 is highest
 	Services      []WeightedService
-	MaxAttempts   int           // endpoints to which one attempt of a client may be sent
-	Sticky        bool          // its requests share prefixes of prompts
+	MaxAttempts   int           // number of endpoints that a request may reach each time that a client sends it
+	Sticky        bool          // the route's requests share prefixes of prompts
 	Resumable     bool          // a stream may be resumed at another endpoint
-	GapTarget     time.Duration // the longest gap between events with which a response is in time
-	HomeRegions   []string      // if not empty, only these regions may serve
+	GapTarget     time.Duration // a stream is in time if no gap between its events is longer
+	HomeRegions   []string      // if not empty, only endpoints in these regions may serve the route
 }
 
 // Idempotent reports whether a request on the route may be executed more than once.
@@ -46,7 +46,7 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int           // connections that one endpoint accepts from all proxies together
-	WarmUpDuration time.Duration // how long an endpoint that starts during traffic is warming up
+	WarmUpDuration time.Duration // how long an endpoint warms up that starts while there is traffic
 	WarmUpRate     float64       // requests per second that an endpoint takes while warming up; 0: no limit
 	Engine         *Engine       // nil if the service isn't a language model
 }
@@ -54,7 +54,7 @@
 // Engine describes the batching of a language model's endpoints.
 type Engine struct {
 	Slots          int // requests in a batch
-	CacheTokens    int // KV cache that running requests and cached prefixes share, in tokens
+	CacheTokens    int // size in tokens of the KV cache, which running requests and cached prefixes share
 	TokensPerEvent int // tokens in one event of a stream
 }
 
