--- a/serving/delivery/agentnotifier.go
+++ b/serving/delivery/agentnotifier.go
@@ -84,8 +84,8 @@
 	unawaited map[string]bool         // addresses of the agents that got the entry but aren't waited for
 }
 
-// Start sends an entry to all agents. The value of an entry without one reaches the agents by gossip; the call then only
-// waits until they have applied it. The end of ctx doesn't cancel the calls, since an agent whose call is cut short would
+// Start sends an entry to all agents. If the entry has no value, the agents get the value by gossip, and the calls only
+// wait until they have applied it. The end of ctx doesn't cancel the calls, since an agent whose call is cut short would
 // count as one that didn't confirm in time.
 func (n *AgentNotifier) Start(ctx context.Context, entry gossip.Entry) *Notification {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), AgentTimeout)
--- a/serving/delivery/batchsender.go
+++ b/serving/delivery/batchsender.go
@@ -32,7 +32,7 @@
 	// next call.
 	MaxCalls    int
 	CallTimeout time.Duration // for one call
-	// MinInterval is the least time between the starts of two successive calls of a sending loop, of which each member
+	// MinInterval is the least time between the starts of two successive calls of a sendWaiting loop, of which each member
 	// has up to MaxCalls. It bounds the number of calls in a burst; the first entry after a pause is sent at once.
 	MinInterval time.Duration
 }
@@ -40,7 +40,7 @@
 // sendQueue has the entries that wait for a call to one member.
 type sendQueue struct {
 	waiting []queuedEntry
-	calls   int // running sendWaiting loops, each with at most one call in flight
+	senders int // running sendWaiting loops, each with at most one call in flight
 }
 
 // queuedEntry is an entry to send and the channel for the result of its call.
@@ -76,10 +76,10 @@
 		s.queues[address] = queue
 	}
 	queue.waiting = append(queue.waiting, queuedEntry{entry: entry, done: ctx.Done(), result: result})
-	if queue.calls == s.options.MaxCalls {
+	if queue.senders == s.options.MaxCalls {
 		return
 	}
-	queue.calls++
+	queue.senders++
 	go s.sendWaiting(context.WithoutCancel(ctx), address, queue)
 }
 
@@ -119,8 +119,8 @@
 	if len(batch) > 0 {
 		return batch
 	}
-	queue.calls--
-	if queue.calls == 0 {
+	queue.senders--
+	if queue.senders == 0 {
 		delete(s.queues, address)
 	}
 	return nil
--- a/serving/rollout/answers.go
+++ b/serving/rollout/answers.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// reason returns which test has found that the target is worse than the baseline, or RolloutNoReason if none has.
-func (r *routeEvidence) reason() state.RolloutReason {
+// alarmReason returns which test has found that the target is worse than the baseline, or RolloutNoReason if none has.
+func (r *routeEvidence) alarmReason() state.RolloutReason {
 	switch {
 	case r.failures.alarmed():
 		return state.RolloutFailures
--- a/serving/rollout/doc.go
+++ b/serving/rollout/doc.go
@@ -8,8 +8,8 @@
 // schedule advances the roll-out through the load, ramp and full steps, and it is promoted once the baseline has no calls
 // in flight any more or the time for that is over.
 //
-// The endpoints that the load step gives as many concurrent requests as they have to bear when they are busy are the load
-// probes. Their answers are counted apart from the others.
+// Load probes are the endpoints of the target that the load step sends as many concurrent requests as an endpoint has to
+// handle when the service is busy. Answers to these requests are counted apart from the others.
 //
 //	from                   event                             to
 //	none, promoted,        Begin                             in progress, canary
--- a/serving/rollout/evidence.go
+++ b/serving/rollout/evidence.go
@@ -53,7 +53,8 @@
 	e.addEndpoints(last.Endpoints, report.Endpoints)
 }
 
-// endpointKey identifies the counts of an endpoint, which are separate for its time as a load probe.
+// endpointKey identifies the counts of an endpoint. An endpoint that was a load probe has separate counts for the calls
+// that probed it and for the others.
 type endpointKey struct {
 	id        string
 	loadProbe bool
@@ -102,11 +103,11 @@
 		return state.RolloutVerdict{Reason: state.RolloutFailures, Target: e.probes.counts, Baseline: all.baseline}
 	}
 	if spread.isVersionFault(live) {
-		if reason := all.reason(); reason != state.RolloutNoReason {
+		if reason := all.alarmReason(); reason != state.RolloutNoReason {
 			return state.RolloutVerdict{Reason: reason, Target: all.target, Baseline: all.baseline}
 		}
 		for name, found := range e.routes {
-			if reason := found.reason(); reason != state.RolloutNoReason {
+			if reason := found.alarmReason(); reason != state.RolloutNoReason {
 				return state.RolloutVerdict{
 					Reason: reason, Route: name, Target: found.target, Baseline: found.baseline,
 				}
--- a/serving/rollout/judge.go
+++ b/serving/rollout/judge.go
@@ -21,7 +21,7 @@
 type Decision struct {
 	Action  Action
 	Verdict state.RolloutVerdict
-	Spread  Spread // the target's endpoints with bad answers
+	Spread  Spread // how far bad answers are spread over the target's endpoints
 }
 
 // Capacity has the numbers of a service's endpoints that accept requests and respond.
@@ -40,9 +40,10 @@
 	return c.WarmedUp > 0 && float64(c.WarmedUp) >= minCapacityShare*float64(c.Baseline)
 }
 
-// Judge decides on the roll-outs in progress. Each core member has a judge and calls its Follow for each committed
-// record, also while another member decides: a judge measures a roll-out's time from the moment at which it first saw the
-// roll-out, so one that followed from the beginning can take over without losing time. It isn't safe for concurrent use.
+// Judge decides on the roll-outs in progress. Each core member has a judge and passes it the committed records with
+// Follow, also while another member decides: a judge measures a roll-out's time from the moment at which it first saw the
+// roll-out, so a judge that followed from the beginning knows the time when its member takes over. It isn't safe for
+// concurrent use.
 type Judge struct {
 	rollouts map[uint64]*judgedRollout // by OrderRevision
 }
@@ -113,7 +114,9 @@
 	return true
 }
 
-// Decide returns what to do with the roll-out that has the given OrderRevision.
+// Decide returns what to do with the roll-out that has the given OrderRevision. It rolls the target back if the evidence
+// shows that its answers are worse. Otherwise the scheduled action is due, unless the target has too few endpoints or the
+// evidence holds the roll-out. A roll-out that is still undecided near the end of its duration is rolled back.
 func (j *Judge) Decide(now time.Time, orderRevision uint64, capacity Capacity) Decision {
 	known := j.rollouts[orderRevision]
 	if known == nil || known.rollout.State != state.RolloutInProgress {
@@ -136,6 +139,7 @@
 	}
 	verdict.Reason = undecidedReason(capacity, holdReason)
 	if verdict.Reason == state.RolloutUnobservable && known.hasServedAll() {
+		// The target was held for so long that the full step is shorter than planned, but nothing speaks against it.
 		verdict.Reason = state.RolloutNoReason
 		return Decision{Action: Promote, Verdict: verdict, Spread: known.evidence.spread()}
 	}
@@ -174,8 +178,8 @@
 			return Advance
 		}
 	case state.RolloutRamp:
-		hasEnoughAnswers := inStep >= min(minRampTime, times.rampTime) && answers-k.answersAtStepStart >= earlyEndAnswers
-		if hasEnoughAnswers || inStep >= times.rampTime {
+		mayEndEarly := inStep >= min(minRampTime, times.rampTime) && answers-k.answersAtStepStart >= earlyEndAnswers
+		if mayEndEarly || inStep >= times.rampTime {
 			return Advance
 		}
 	case state.RolloutFull:
--- a/serving/rollout/schedule.go
+++ b/serving/rollout/schedule.go
@@ -8,15 +8,15 @@
 	rampBeginShare = 0.55
 	rampShare      = 0.16
 	fullShare      = 0.1
-	// promoteShare is when a roll-out is promoted even if the baseline still has calls in flight. The time after that is
-	// a reserve for a late start or a change of the deciding core member.
+	// promoteShare is the time from which a roll-out is promoted even if the baseline still has calls in flight. The rest
+	// is a reserve for a late start or a change of the deciding core member.
 	promoteShare = 0.86
-	// rollBackShare is when a roll-out that is still undecided is rolled back.
+	// rollBackShare is the time from which a roll-out that is still undecided is rolled back.
 	rollBackShare = 0.93
 )
 
-// Bounds of the times that the shares give. An order that allows much time begins its ramp late, so that faults that show
-// late are found before it.
+// Bounds of the times that the shares give. If an order allows much time, the ramp begins as late as possible, so that
+// faults that show late are found while the target gets few requests.
 const (
 	// The time from the start of the ramp to the end of the duration is at most maxTimeFromRamp, or maxTimeFromRampShare
 	// of the duration if that is longer.
--- a/serving/rollout/transition.go
+++ b/serving/rollout/transition.go
@@ -14,12 +14,12 @@
 	Duration time.Duration // the time from the order in which the roll-out is to end
 }
 
-// Begin returns an update that begins the ordered roll-out. It returns register.ErrNoChange if the newest roll-out has the
-// same target and is in progress, was promoted, or was rolled back and isRecent.
+// Begin returns an update that begins the ordered roll-out. The update returns register.ErrNoChange if the service's newest
+// roll-out has the same target and is in progress, was promoted, or was rolled back and is recent.
 //
 // isRecent gets the OrderRevision of a roll-out and reports whether it was ordered so short a time ago that the new order
 // may be the same one, sent again. checkService returns an error if the configuration doesn't have the service; the update
-// is rejected with it.
+// then returns this error.
 func Begin(order Order, isRecent func(orderRevision uint64) bool, checkService func(state.Configuration) error) register.Update {
 	return func(record state.Record) (state.Record, error) {
 		known, found := record.Rollout(order.Service)
