--- a/serving/core/rollouts.go
+++ b/serving/core/rollouts.go
@@ -176,10 +176,10 @@
 	logVerdict(event.RolloutVerdict.Log(r.log), &known, decision.Verdict).
 		Int("action", int(decision.Action)).
 		Dur("elapsed_ms", elapsed).
-		Int("bad_endpoints", decision.Spread.Bad).
-		Int("tested_endpoints", decision.Spread.Tested).
-		Int("tested_bad", decision.Spread.TestedBad).
-		Int("bad_probes", decision.Spread.BadProbes).
+		Int("bad_endpoints", decision.FaultSpread.Bad).
+		Int("tested_endpoints", decision.FaultSpread.Tested).
+		Int("tested_bad", decision.FaultSpread.TestedBad).
+		Int("bad_probes", decision.FaultSpread.BadProbes).
 		Int("targets", capacity.Target).
 		Int("baseline", capacity.Baseline).
 		Send()
@@ -255,7 +255,7 @@
 		}
 		capacity.Target++
 		if endpoint.WarmupLeftMillis == 0 {
-			capacity.WarmedUp++
+			capacity.TargetWarmedUp++
 		}
 	}
 	return capacity, versions
--- a/serving/core/rollouts_test.go
+++ b/serving/core/rollouts_test.go
@@ -118,6 +118,6 @@
 		state.Endpoint{Service: "s", SoftwareVersion: "v2", Unresponsive: true},
 		state.Endpoint{Service: "s", SoftwareVersion: "v0", State: state.EndpointDraining})
 	capacity, versions := capacityOf(all, &known)
-	assert.Equal(t, rollout.Capacity{Target: 5, WarmedUp: 4, Baseline: 3}, capacity)
+	assert.Equal(t, rollout.Capacity{Target: 5, TargetWarmedUp: 4, Baseline: 3}, capacity)
 	assert.Equal(t, []string{"v1", "v0"}, versions)
 }
--- a/serving/rollout/judge.go
+++ b/serving/rollout/judge.go
@@ -19,16 +19,16 @@
 
 // Decision is an action and the evidence for it.
 type Decision struct {
-	Action  Action
-	Verdict state.RolloutVerdict
-	Spread  Spread // how far bad answers are spread over the target's endpoints
+	Action      Action
+	Verdict     state.RolloutVerdict
+	FaultSpread FaultSpread // how far bad answers are spread over the target's endpoints
 }
 
 // Capacity has the numbers of a service's endpoints that accept requests and respond.
 type Capacity struct {
-	Target   int // endpoints of the target
-	WarmedUp int // endpoints of the target that have warmed up
-	Baseline int // endpoints of the versions in force
+	Target         int // endpoints of the target
+	TargetWarmedUp int // endpoints of the target that have warmed up
+	Baseline       int // endpoints of the versions in force
 }
 
 // minCapacityShare is the least ratio of the target's warmed-up endpoints to the baseline's endpoints with which the
@@ -37,7 +37,7 @@
 
 // suffices reports whether the target has enough warmed-up endpoints to get all requests.
 func (c Capacity) suffices() bool {
-	return c.WarmedUp > 0 && float64(c.WarmedUp) >= minCapacityShare*float64(c.Baseline)
+	return c.TargetWarmedUp > 0 && float64(c.TargetWarmedUp) >= minCapacityShare*float64(c.Baseline)
 }
 
 // Judge decides on the roll-outs in progress. Each core member has a judge and passes it the committed records with
@@ -124,14 +124,14 @@
 	}
 	verdict := known.evidence.verdict(capacity.Target)
 	if verdict.Reason != state.RolloutNoReason {
-		return Decision{Action: RollBack, Verdict: verdict, Spread: known.evidence.spread()}
+		return Decision{Action: RollBack, Verdict: verdict, FaultSpread: known.evidence.spread()}
 	}
 	elapsed := now.Sub(known.orderedAt)
 	times := newSchedule(time.Duration(known.rollout.DurationMillis) * time.Millisecond)
 	holdReason := known.evidence.holdReason(times.holdShare(elapsed))
 	if capacity.suffices() && holdReason == state.RolloutNoReason {
 		if action := known.scheduledAction(elapsed, now.Sub(known.changedAt), times); action != Hold {
-			return Decision{Action: action, Verdict: verdict, Spread: known.evidence.spread()}
+			return Decision{Action: action, Verdict: verdict, FaultSpread: known.evidence.spread()}
 		}
 	}
 	if elapsed < times.rollBackBy {
@@ -141,9 +141,9 @@
 	if verdict.Reason == state.RolloutUnobservable && known.hasServedAll() {
 		// The target was held for so long that the full step is shorter than planned, but nothing speaks against it.
 		verdict.Reason = state.RolloutNoReason
-		return Decision{Action: Promote, Verdict: verdict, Spread: known.evidence.spread()}
+		return Decision{Action: Promote, Verdict: verdict, FaultSpread: known.evidence.spread()}
 	}
-	return Decision{Action: RollBack, Verdict: verdict, Spread: known.evidence.spread()}
+	return Decision{Action: RollBack, Verdict: verdict, FaultSpread: known.evidence.spread()}
 }
 
 // undecidedReason returns why a roll-out could be neither promoted nor rolled back by evidence in time.
--- a/serving/rollout/judge_test.go
+++ b/serving/rollout/judge_test.go
@@ -55,7 +55,7 @@
 			s.addTraffic(&reports[proxy], elapsed, &known)
 			judge.AddReport(fmt.Sprint("proxy-", proxy), reports[proxy])
 		}
-		decision := judge.Decide(now, 1, Capacity{Target: 30, WarmedUp: 30, Baseline: 30})
+		decision := judge.Decide(now, 1, Capacity{Target: 30, TargetWarmedUp: 30, Baseline: 30})
 		record := state.Record{Revision: known.Revision, Rollouts: []state.Rollout{known}}
 		next, err := Transition{Service: "s", Revision: known.Revision, Elapsed: elapsed, Decision: decision}.Apply(record)
 		if err != nil {
@@ -215,13 +215,13 @@
 	failing := state.AnswerCounts{Answers: 20, Failed: 15}
 	assert.True(t, judge.AddReport("p", report(1, 1, failing, state.AnswerCounts{Answers: 100}, "e1", "e2")))
 	assert.False(t, judge.AddReport("p", state.RolloutReport{OrderRevision: 9}), "an unknown roll-out gets no lease")
-	many := Capacity{Target: 10, WarmedUp: 10, Baseline: 10}
+	many := Capacity{Target: 10, TargetWarmedUp: 10, Baseline: 10}
 	assert.Equal(t, Hold, judge.Decide(now, 1, many).Action, "bad answers of two endpoints are no fault of the version")
-	assert.Equal(t, RollBack, judge.Decide(now, 1, Capacity{Target: 2, WarmedUp: 2, Baseline: 2}).Action)
+	assert.Equal(t, RollBack, judge.Decide(now, 1, Capacity{Target: 2, TargetWarmedUp: 2, Baseline: 2}).Action)
 
 	judge = NewJudge()
 	judge.Follow(now, []state.Rollout{known})
-	few := Capacity{Target: 4, WarmedUp: 4, Baseline: 10}
+	few := Capacity{Target: 4, TargetWarmedUp: 4, Baseline: 10}
 	assert.Equal(t, Hold, judge.Decide(now.Add(8*time.Second), 1, few).Action)
 	ended := judge.Decide(now.Add(9500*time.Millisecond), 1, few)
 	assert.Equal(t, RollBack, ended.Action)
--- a/serving/rollout/spread.go
+++ b/serving/rollout/spread.go
@@ -17,8 +17,8 @@
 	minTestedAnswers    = 4
 )
 
-// Spread tells how far bad answers are spread over the target's endpoints.
-type Spread struct {
+// FaultSpread tells how far bad answers are spread over the target's endpoints.
+type FaultSpread struct {
 	Bad       int // endpoints with bad answers, load probes excluded
 	Tested    int // endpoints with at least minTestedAnswers answers, load probes excluded
 	TestedBad int // those of Tested with bad answers
@@ -26,7 +26,7 @@
 }
 
 // spread returns how far bad answers are spread over the target's endpoints.
-func (e *evidence) spread() (s Spread) {
+func (e *evidence) spread() (s FaultSpread) {
 	for _, counts := range e.endpoints {
 		isBad := boolToInt(counts.Bad > 0)
 		if counts.LoadProbe {
@@ -44,13 +44,13 @@
 
 // isVersionFault reports whether so many of the target's endpoints gave bad answers that the fault is one of the version.
 // live is the number of the target's endpoints that accept requests and respond.
-func (s *Spread) isVersionFault(live int) bool {
+func (s *FaultSpread) isVersionFault(live int) bool {
 	return s.Bad >= min(requiredBadEndpoints, max(live, 1)) && float64(s.TestedBad) >= requiredBadShare*float64(s.Tested)
 }
 
 // isVersionFaultUnderLoad reports whether so many of the load probes gave bad answers that the fault is one of the
 // version. baseline has the counts of the versions in force.
-func (s *Spread) isVersionFaultUnderLoad(live int, baseline state.AnswerCounts) bool {
+func (s *FaultSpread) isVersionFaultUnderLoad(live int, baseline state.AnswerCounts) bool {
 	required := requiredBadProbes
 	if float64(baseline.Failed) <= healthyFailureShare*float64(baseline.Answers) {
 		required = 1
