--- a/serving/delivery/agentnotifier.go
+++ b/serving/delivery/agentnotifier.go
@@ -20,7 +20,7 @@
 	AgentSkipTime = 5 * time.Second
 	// agentInterval is the least time between two calls to an agent.
 	agentInterval = 50 * time.Millisecond
-	// JoinTime is the time after its start during which a core member may not know all agents yet, since they call it one
+	// JoinTime is the time after a core member's start during which it may not know all agents yet, since they call it one
 	// after the other.
 	JoinTime = 2 * time.Second
 	// joinPollInterval is how often a joining member checks whether more agents have become known.
--- a/serving/retry/policy_test.go
+++ b/serving/retry/policy_test.go
@@ -32,7 +32,7 @@
 	atMostOnce := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 3}
 	idempotent := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 3}
 	stream := &routing.Route{Kind: routing.KindStream, MaxAttempts: 3}
-	resumed := &routing.Route{Kind: routing.KindStream, Resumable: true, MaxAttempts: 3}
+	resumable := &routing.Route{Kind: routing.KindStream, Resumable: true, MaxAttempts: 3}
 	for _, c := range []struct {
 		name    string
 		route   *routing.Route
@@ -51,7 +51,7 @@
 		{name: "idempotent, failed", route: idempotent, outcome: attempt.Failed, retry: true},
 		{name: "idempotent, timed out", route: idempotent, outcome: attempt.TimedOut, ran: true, retry: true},
 		{name: "stream, broken", route: stream, outcome: attempt.Broken, end: EndFailed},
-		{name: "resumable stream, broken", route: resumed, outcome: attempt.Broken, retry: true},
+		{name: "resumable stream, broken", route: resumable, outcome: attempt.Broken, retry: true},
 		{name: "after success", route: idempotent, outcome: attempt.Succeeded, ran: true, end: EndFailed},
 		{name: "canceled by the client", route: idempotent, outcome: attempt.Canceled, ran: true, end: EndFailed},
 	} {
@@ -157,6 +157,8 @@
 	retries  []time.Duration
 }
 
+// run simulates 60 s of traffic at a varying rate. Some proxies restart. known is the number of proxies that each proxy
+// knows of.
 func (s *simulation) run(t *rapid.T, proxies, known int, random *mwcrand.Source) {
 	policies := make([]*Policy, proxies)
 	for index := range policies {
@@ -207,12 +209,14 @@
 		var s simulation
 		s.run(t, proxies, proxies, mwcrand.New(rapid.Uint64().Draw(t, "seed")))
 		for from := time.Duration(0); from < 50*time.Second; from += 250 * time.Millisecond {
-			most := 0
+			// The limit follows from the largest number of requests in one of three windows: the window of the retries, and
+			// the windows that began half a window and a whole window earlier.
+			maxRequests := 0
 			for _, lag := range []time.Duration{0, limits.Window / 2, limits.Window} {
-				most = max(most, countWithin(s.requests, from-lag, from-lag+limits.Window))
+				maxRequests = max(maxRequests, countWithin(s.requests, from-lag, from-lag+limits.Window))
 			}
 			retries := countWithin(s.retries, from, from+limits.Window)
-			assert.LessOrEqual(t, float64(retries), limits.Ratio*float64(most)+limits.Slack,
+			assert.LessOrEqual(t, float64(retries), limits.Ratio*float64(maxRequests)+limits.Slack,
 				strconv.Itoa(proxies)+" proxies, window from "+from.String())
 		}
 	})
--- a/serving/rollout/explore_test.go
+++ b/serving/rollout/explore_test.go
@@ -18,31 +18,31 @@
 }
 
 // key returns a string that identifies the state. Its revisions are relative to the record's.
-func (w *modelState) key() string {
-	known, _ := w.record.Rollout("s")
+func (s *modelState) key() string {
+	known, _ := s.record.Rollout("s")
 	behind := [2]int{}
-	for member, view := range w.views {
+	for member, view := range s.views {
 		behind[member] = int(min(known.Revision-min(view.Revision, known.Revision), 3))
 	}
-	return fmt.Sprint(known.Target, known.State, known.Step, known.Retired, behind, w.views[0].State, w.views[1].State,
-		w.views[0].Step, w.views[1].Step, w.views[0].Target, w.views[1].Target)
+	return fmt.Sprint(known.Target, known.State, known.Step, known.Retired, behind, s.views[0].State, s.views[1].State,
+		s.views[0].Step, s.views[1].Step, s.views[0].Target, s.views[1].Target)
 }
 
 // successors returns the states after each possible event: an order of either of two operators, a transition that a member
 // proposes based on what it knows, a member that learns the committed record, and a member that is killed.
-func (w *modelState) successors() (next []modelState) {
+func (s *modelState) successors() (next []modelState) {
 	for _, target := range []string{"v2", "v3"} {
 		for _, recent := range []func(uint64) bool{always, never} {
-			next = append(next, w.change(Begin(orderOf(target), recent, knownService)))
+			next = append(next, s.change(Begin(orderOf(target), recent, knownService)))
 		}
 	}
-	for member, view := range w.views {
+	for member, view := range s.views {
 		for _, action := range []Action{Advance, Promote, RollBack} {
 			transition := Transition{Service: "s", Revision: view.Revision, Decision: Decision{Action: action}, Replaced: []string{"v1"}}
-			next = append(next, w.change(transition.Apply))
+			next = append(next, s.change(transition.Apply))
 		}
-		learned, killed := *w, *w
-		learned.views[member], _ = w.record.Rollout("s")
+		learned, killed := *s, *s
+		learned.views[member], _ = s.record.Rollout("s")
 		killed.views[member] = state.Rollout{}
 		next = append(next, learned, killed)
 	}
@@ -50,11 +50,11 @@
 }
 
 // change returns the state after an update of the record.
-func (w *modelState) change(update register.Update) modelState {
-	next := *w
-	record, err := update(w.record)
+func (s *modelState) change(update register.Update) modelState {
+	next := *s
+	record, err := update(s.record)
 	if err == nil {
-		record.Revision = w.record.Revision + 1
+		record.Revision = s.record.Revision + 1
 		next.record = record
 	}
 	return next
@@ -91,7 +91,7 @@
 	if !exists {
 		return
 	}
-	require.Equal(t, is.State == state.RolloutRolledBack, is.IsRetired(is.Target), "the target is retired once it is rolled back")
+	require.Equal(t, is.State == state.RolloutRolledBack, is.IsRetired(is.Target), "the target is retired if and only if it was rolled back")
 	if is.Revision == was.Revision {
 		require.Equal(t, was, is)
 		return
--- a/serving/rollout/transition_test.go
+++ b/serving/rollout/transition_test.go
@@ -91,8 +91,8 @@
 }
 
 // TestTransitions_ProposedBySeveral generates orders and transitions that core members propose based on outdated records.
-// A transition based on an outdated revision must change nothing, a roll-out that has ended must stay as it is, and no
-// step may be skipped and no order lost.
+// A transition based on an outdated revision must change nothing, a roll-out that has ended must stay as it is, no step
+// may be skipped, and no order may be lost.
 func TestTransitions_ProposedBySeveral(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		record := state.Record{Revision: 1}
--- a/serving/singleton/singleton.go
+++ b/serving/singleton/singleton.go
@@ -30,7 +30,7 @@
 		(s.Region == "" || s.Region == member.Region)
 }
 
-// Claim is a member's statement that it holds a role. It is valid until a claim of the role with a higher epoch is known.
+// Claim is a member's statement that it holds a role. A claim of the same role with a higher epoch supersedes it.
 type Claim struct {
 	Role   string `cbor:"1,keyasint"` // name of the singleton role
 	Holder string `cbor:"2,keyasint"`
@@ -44,8 +44,8 @@
 	Local  bool // the local member holds the role and may issue orders under Epoch
 }
 
-// epochStep is the difference between the epochs of successive claims of one member. The bits below it hold a hash of the
-// holder's name, so that two members that claim a role at once do so under different epochs.
+// epochStep divides an epoch into a number, which increases with each claim, and a hash of the holder's name in the lower
+// bits. Because of the hash, two members that claim a role at the same time do so under different epochs.
 const epochStep = 1 << 32
 
 // Table holds the newest claim of each role that one member knows. It is not safe for concurrent use.
--- a/serving/singleton/statespace_test.go
+++ b/serving/singleton/statespace_test.go
@@ -33,10 +33,10 @@
 	return state.Member{Name: fmt.Sprintf("m%d", index), Role: state.RoleCore, State: state.MemberReady}
 }
 
-func (w *systemState) clone() *systemState {
-	next := *w
-	next.claims = slices.Clone(w.claims)
-	for index, table := range w.tables {
+func (s *systemState) clone() *systemState {
+	next := *s
+	next.claims = slices.Clone(s.claims)
+	for index, table := range s.tables {
 		next.tables[index] = &Table{
 			self:        table.self,
 			claimByRole: maps.Clone(table.claimByRole),
@@ -48,9 +48,9 @@
 
 // key returns a string that identifies the state. Of the times it has only whether each member already counts as the first
 // candidate.
-func (w *systemState) key() string {
-	text := fmt.Sprint(w.claims)
-	for _, table := range w.tables {
+func (s *systemState) key() string {
+	text := fmt.Sprint(s.claims)
+	for _, table := range s.tables {
 		_, first := table.firstSince[exploredRole]
 		text += fmt.Sprint(table.claimByRole[exploredRole], first)
 	}
@@ -59,7 +59,7 @@
 
 // successors calls visit for each state that one event leads to: a member tries to acquire the role, with any view of the
 // live members; a claim reaches a member; or a member restarts and loses its table. index is the member's.
-func (w *systemState) successors(visit func(next *systemState, index int, assignment Assignment)) {
+func (s *systemState) successors(visit func(next *systemState, index int, assignment Assignment)) {
 	for index := range exploredMembers {
 		for view := range 1 << exploredMembers {
 			if view&(1<<index) == 0 {
@@ -71,7 +71,7 @@
 					live = append(live, member(other))
 				}
 			}
-			next := w.clone()
+			next := s.clone()
 			next.clock[index]++
 			now := time.Unix(1_000_000, 0).Add(time.Duration(next.clock[index]) * takeoverDelay)
 			assignment, claim := next.tables[index].Acquire(now, exploredRole, Scope{Role: state.RoleCore}, live)
@@ -81,12 +81,12 @@
 			}
 			visit(next, index, assignment)
 		}
-		for _, claim := range w.claims {
-			next := w.clone()
+		for _, claim := range s.claims {
+			next := s.clone()
 			next.tables[index].Merge(claim)
 			visit(next, index, Assignment{})
 		}
-		next := w.clone()
+		next := s.clone()
 		next.tables[index] = New(member(index).Name)
 		visit(next, index, Assignment{})
 	}
