--- a/serving/retry/policy_test.go
+++ b/serving/retry/policy_test.go
@@ -19,7 +19,7 @@
 	start  = time.Unix(1000, 0)
 )
 
-// newPolicyWithBudget returns a policy whose service has had so many requests that the budget doesn't limit retries.
+// newPolicyWithBudget returns a policy that has counted so many requests that the budget doesn't limit retries.
 func newPolicyWithBudget(now time.Time) *Policy {
 	p := New(start, limits, 1)
 	for range 1000 {
@@ -32,7 +32,7 @@
 	atMostOnce := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 3}
 	idempotent := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 3}
 	stream := &routing.Route{Kind: routing.KindStream, MaxAttempts: 3}
-	resumed := &routing.Route{Kind: routing.KindStream, Resumable: true, MaxAttempts: 3}
+	resumable := &routing.Route{Kind: routing.KindStream, Resumable: true, MaxAttempts: 3}
 	for _, c := range []struct {
 		name    string
 		route   *routing.Route
@@ -51,7 +51,7 @@
 		{name: "idempotent, failed", route: idempotent, outcome: attempt.Failed, retry: true},
 		{name: "idempotent, timed out", route: idempotent, outcome: attempt.TimedOut, ran: true, retry: true},
 		{name: "stream, broken", route: stream, outcome: attempt.Broken, end: EndFailed},
-		{name: "resumable stream, broken", route: resumed, outcome: attempt.Broken, retry: true},
+		{name: "resumable stream, broken", route: resumable, outcome: attempt.Broken, retry: true},
 		{name: "after success", route: idempotent, outcome: attempt.Succeeded, ran: true, end: EndFailed},
 		{name: "canceled by the client", route: idempotent, outcome: attempt.Canceled, ran: true, end: EndFailed},
 	} {
@@ -81,12 +81,12 @@
 	assert.True(t, retries(0, 0))
 	assert.True(t, retries(0, 1))
 	assert.False(t, retries(1, 2), "the attempts are used up")
-	assert.True(t, retries(3, 1), "three failed connections")
-	assert.False(t, retries(4, 1), "a fourth one")
+	assert.True(t, retries(3, 1), "three attempts failed to connect")
+	assert.False(t, retries(4, 1), "four attempts failed to connect")
 }
 
-// TestDecide_BudgetExhausted: a request that could be retried is told when to ask again, and gets its retry once further
-// requests have raised the budget.
+// TestDecide_BudgetExhausted checks that a retryable request without budget learns when to ask again, and that its retry
+// is granted once further requests have raised the budget.
 func TestDecide_BudgetExhausted(t *testing.T) {
 	p := New(start, Limits{Ratio: 0.2, Window: 10 * time.Second}, 1)
 	now := start.Add(20 * time.Second)
@@ -109,7 +109,7 @@
 	assert.True(t, p.Decide(now, failed).Retry)
 
 	failed.CountedAttempts = 3
-	assert.False(t, p.Decide(now, failed).BudgetExhausted, "no budget helps a request without attempts left")
+	assert.False(t, p.Decide(now, failed).BudgetExhausted, "a request without attempts left isn't told to wait for budget")
 }
 
 func TestDecide_BackoffBeyondDeadline(t *testing.T) {
@@ -142,7 +142,7 @@
 }
 
 func TestDecide_UnsentAttemptsUseNoBudget(t *testing.T) {
-	p := New(start, limits, 1) // no budget at all
+	p := New(start, limits, 1) // has no budget: no requests yet, and the slack begins at zero
 	route := &routing.Route{Kind: routing.KindAtMostOnce, MaxAttempts: 2}
 	failed := FailedAttempt{Route: route, Service: "s", Outcome: attempt.ConnectFailed, TimeLeft: time.Second}
 	assert.True(t, p.Decide(start, failed).Retry)
@@ -150,12 +150,15 @@
 	assert.False(t, p.Decide(start, failed).Retry)
 }
 
-// simulation runs several proxies that retry whenever they may.
+// simulation simulates several proxies that retry whenever their policies allow it. It records the times of their
+// requests and retries since the start.
 type simulation struct {
 	requests []time.Duration
 	retries  []time.Duration
 }
 
+// run simulates 60 s of traffic at a varying rate. Some proxies restart. known is the number of proxies that each proxy
+// knows of.
 func (s *simulation) run(t *rapid.T, proxies, known int, random *mwcrand.Source) {
 	policies := make([]*Policy, proxies)
 	for index := range policies {
@@ -166,11 +169,11 @@
 	rate := rapid.Float64Range(0.5, 60).Draw(t, "requests a second")
 	amplitude := rapid.Float64Range(0, 0.9).Draw(t, "amplitude")
 	for at := time.Duration(0); at < 60*time.Second; {
-		per := rate * (1 + amplitude*math.Sin(at.Seconds()/4))
-		at += time.Duration(-math.Log(1-random.Float64()) / per * float64(time.Second))
+		currentRate := rate * (1 + amplitude*math.Sin(at.Seconds()/4))
+		at += time.Duration(-math.Log(1-random.Float64()) / currentRate * float64(time.Second))
 		index := int(random.Float64() * float64(proxies))
 		if random.Float64() < 0.02 {
-			policies[index] = New(start.Add(at), limits, uint64(at)) // a new incarnation doesn't know the last one's retries
+			policies[index] = New(start.Add(at), limits, uint64(at)) // a restarted proxy doesn't know the retries of its earlier incarnation
 			policies[index].SetProxies(known)
 		}
 		s.requests = append(s.requests, at)
@@ -206,12 +209,14 @@
 		var s simulation
 		s.run(t, proxies, proxies, mwcrand.New(rapid.Uint64().Draw(t, "seed")))
 		for from := time.Duration(0); from < 50*time.Second; from += 250 * time.Millisecond {
-			most := 0
-			for _, back := range []time.Duration{0, limits.Window / 2, limits.Window} {
-				most = max(most, countWithin(s.requests, from-back, from-back+limits.Window))
+			// The limit follows from the largest number of requests in one of three windows: the window of the retries, and
+			// the windows that began half a window and a whole window earlier.
+			maxRequests := 0
+			for _, lag := range []time.Duration{0, limits.Window / 2, limits.Window} {
+				maxRequests = max(maxRequests, countWithin(s.requests, from-lag, from-lag+limits.Window))
 			}
-			repeats := countWithin(s.retries, from, from+limits.Window)
-			assert.LessOrEqual(t, float64(repeats), limits.Ratio*float64(most)+limits.Slack,
+			retries := countWithin(s.retries, from, from+limits.Window)
+			assert.LessOrEqual(t, float64(retries), limits.Ratio*float64(maxRequests)+limits.Slack,
 				strconv.Itoa(proxies)+" proxies, window from "+from.String())
 		}
 	})
--- a/serving/rollout/explore_test.go
+++ b/serving/rollout/explore_test.go
@@ -10,63 +10,63 @@
 	"rowanlink/serving/state"
 )
 
-// world is a state of the search: the committed record, and what two core members know of the roll-out. A member that is
-// cut off or was killed has an older state, or none.
-type world struct {
+// modelState is a state of the search: the committed record, and the roll-out as each of two core members knows it. A
+// member that is partitioned from the others knows an older state, one that was killed and restarted knows none.
+type modelState struct {
 	record state.Record
 	views  [2]state.Rollout
 }
 
-// key identifies a world, with revisions relative to the record's.
-func (w *world) key() string {
-	known, _ := w.record.Rollout("s")
+// key returns a string that identifies the state. Its revisions are relative to the record's.
+func (s *modelState) key() string {
+	known, _ := s.record.Rollout("s")
 	behind := [2]int{}
-	for member, view := range w.views {
+	for member, view := range s.views {
 		behind[member] = int(min(known.Revision-min(view.Revision, known.Revision), 3))
 	}
-	return fmt.Sprint(known.Target, known.State, known.Step, known.Retired, behind, w.views[0].State, w.views[1].State,
-		w.views[0].Step, w.views[1].Step, w.views[0].Target, w.views[1].Target)
+	return fmt.Sprint(known.Target, known.State, known.Step, known.Retired, behind, s.views[0].State, s.views[1].State,
+		s.views[0].Step, s.views[1].Step, s.views[0].Target, s.views[1].Target)
 }
 
-// successors returns the worlds after each single event: orders of two operators, a decision of either member by what it
-// knows, a member that learns the record, and one that is killed.
-func (w *world) successors() (next []world) {
+// successors returns the states after each possible event: an order of either of two operators, a transition that a member
+// proposes based on what it knows, a member that learns the committed record, and a member that is killed.
+func (s *modelState) successors() (next []modelState) {
 	for _, target := range []string{"v2", "v3"} {
 		for _, recent := range []func(uint64) bool{always, never} {
-			next = append(next, w.change(Begin(orderOf(target), recent, knownService)))
+			next = append(next, s.change(Begin(orderOf(target), recent, knownService)))
 		}
 	}
-	for member, view := range w.views {
+	for member, view := range s.views {
 		for _, action := range []Action{Advance, Promote, RollBack} {
 			transition := Transition{Service: "s", Revision: view.Revision, Decision: Decision{Action: action}, Replaced: []string{"v1"}}
-			next = append(next, w.change(transition.Apply))
+			next = append(next, s.change(transition.Apply))
 		}
-		learned, killed := *w, *w
-		learned.views[member], _ = w.record.Rollout("s")
+		learned, killed := *s, *s
+		learned.views[member], _ = s.record.Rollout("s")
 		killed.views[member] = state.Rollout{}
 		next = append(next, learned, killed)
 	}
 	return next
 }
 
-// change returns the world after an update of the record.
-func (w *world) change(update register.Update) world {
-	next := *w
-	record, err := update(w.record)
+// change returns the state after an update of the record.
+func (s *modelState) change(update register.Update) modelState {
+	next := *s
+	record, err := update(s.record)
 	if err == nil {
-		record.Revision = w.record.Revision + 1
+		record.Revision = s.record.Revision + 1
 		next.record = record
 	}
 	return next
 }
 
-// TestExplore_AllOrders searches all orders of these events, up to a depth, for a record that breaks an invariant.
+// TestExplore_AllOrders tries all sequences of these events up to maxDepth and checks the invariants after each event.
 func TestExplore_AllOrders(t *testing.T) {
 	const maxDepth = 12
-	frontier := []world{{record: state.Record{Revision: 1}}}
+	frontier := []modelState{{record: state.Record{Revision: 1}}}
 	seen := map[string]bool{}
 	for range maxDepth {
-		var following []world
+		var following []modelState
 		for _, before := range frontier {
 			for _, after := range before.successors() {
 				requireInvariants(t, &before, &after)
@@ -82,8 +82,8 @@
 	require.Greater(t, len(seen), 1000)
 }
 
-// requireInvariants checks one step of the search.
-func requireInvariants(t *testing.T, before, after *world) {
+// requireInvariants checks the states before and after one event.
+func requireInvariants(t *testing.T, before, after *modelState) {
 	t.Helper()
 	was, existed := before.record.Rollout("s")
 	is, exists := after.record.Rollout("s")
@@ -91,18 +91,18 @@
 	if !exists {
 		return
 	}
-	require.Equal(t, is.State == state.RolloutRolledBack, is.IsRetired(is.Target), "the target is retired once it is rolled back")
+	require.Equal(t, is.State == state.RolloutRolledBack, is.IsRetired(is.Target), "the target is retired if and only if it was rolled back")
 	if is.Revision == was.Revision {
 		require.Equal(t, was, is)
 		return
 	}
 	if is.OrderRevision != was.OrderRevision {
 		require.Equal(t, state.RolloutInProgress, is.State)
-		require.Equal(t, state.RolloutCanary, is.Step, "an order begins with the canaries")
-		require.True(t, !existed || was.State != state.RolloutInProgress || is.IsRetired(was.Target), "the former target gets nothing")
+		require.Equal(t, state.RolloutCanary, is.Step, "an order begins with the canary step")
+		require.True(t, !existed || was.State != state.RolloutInProgress || is.IsRetired(was.Target), "a new order retires the target of a roll-out in progress")
 		return
 	}
-	require.Equal(t, state.RolloutInProgress, was.State, "an end is final")
-	require.True(t, is.State != state.RolloutPromoted || was.Step == state.RolloutFull, "promoted after the full step only")
+	require.Equal(t, state.RolloutInProgress, was.State, "a roll-out that has ended doesn't change")
+	require.True(t, is.State != state.RolloutPromoted || was.Step == state.RolloutFull, "a roll-out is promoted only after the full step")
 	require.LessOrEqual(t, is.Step, was.Step+1, "no step is skipped")
 }
