--- a/serving/placement/candidates.go
+++ b/serving/placement/candidates.go
@@ -26,7 +26,7 @@
 	hasUntried       bool // some endpoint has not been tried for the request
 	// pinnedVersion is the only software version that may resume the request's stream; empty: any.
 	pinnedVersion string
-	loadProbe     *endpoint // the one endpoint that may be chosen, to load it; nil: any other
+	loadProbe     *endpoint // the only endpoint that may be chosen, to put load on it; nil: any that isn't a load probe
 
 	prefixRegion *region // the only region whose owner caches the shared blocks; nil: each region has an owner
 	cacheLocally bool    // the own region's owner caches the blocks too, see findPrefixRegion
--- a/serving/placement/pick.go
+++ b/serving/placement/pick.go
@@ -20,7 +20,7 @@
 		return Choice{}, p.reject(noEndpointRetryAfter)
 	}
 	if draw, drawn := p.drawTarget(now, service, &request); drawn {
-		if choice, picked := p.pickOfTarget(now, draw, &request); picked {
+		if choice, picked := p.pickFromTarget(now, draw, &request); picked {
 			return choice, Decision{Kind: Picked}
 		}
 	}
--- a/serving/placement/rollout_canaries.go
+++ b/serving/placement/rollout_canaries.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// canaryShareOfBound is the share of the exposure that the bounds allow, in the canary step.
+	// canaryShareOfBound is the target's share of the requests in the canary and load steps, as a multiple of the bound
+	// ExposureShare.
 	canaryShareOfBound = 0.3
-	// rampShareOfBound is the same in the ramp step, which is short.
+	// rampShareOfBound is the same for the ramp step. It may exceed the bound because the step is short. The resulting
+	// share is at most maxRampShare.
 	rampShareOfBound = 2.5
 	maxRampShare     = 0.25
-	// minCanaries is the least number of the target's endpoints in a region that get requests: the fault of one of
-	// them must not look like one of the version.
+	// minCanaries is the least number of the target's endpoints in a region that get requests in the canary and load
+	// steps. With fewer, a fault of one endpoint could be taken for a fault of the version.
 	minCanaries = 3
 )
 
-// selectCanaries excludes those endpoints of the targets that get nothing in the present step. All proxies choose the
-// same ones, so that these are about as busy as the endpoints in force are.
+// selectCanaries excludes those endpoints of the targets that get no requests in the present step. All proxies exclude the
+// same ones, so that the remaining ones are about as busy as the endpoints of the versions in force.
 func (p *Picker) selectCanaries() {
 	for _, r := range p.rollouts.inProgress {
 		r.loadProbes = r.loadProbes[:0]
@@ -30,7 +32,7 @@
 		r.selectLoadProbes(regions)
 		least := minCanaries
 		if r.info.Step == state.RolloutRamp {
-			least = 1 // they are to be as busy as the endpoints in force
+			least = 1 // more endpoints would be less busy than those of the versions in force
 		}
 		for _, candidates := range regions {
 			count := max(least, int(share*float64(len(candidates))))
@@ -42,7 +44,8 @@
 	}
 }
 
-// rankedByRegion returns the target's endpoints that may get requests, by region, each region's in the roll-out's order.
+// rankedByRegion returns the target's endpoints that may get requests, by region, in the order of compareRanks. It also
+// resets the state of load probes.
 func (r *rolloutInProgress) rankedByRegion() map[string][]*endpoint {
 	regions := map[string][]*endpoint{}
 	for _, e := range r.target.endpoints {
@@ -60,7 +63,8 @@
 	return regions
 }
 
-// compareRanks orders the endpoints of a target by a hash that differs between roll-outs.
+// compareRanks orders the endpoints of a target by a hash that also depends on the roll-out, so that each roll-out has
+// other canaries.
 func compareRanks(info *state.Rollout, one, other *endpoint) int {
 	rankOne := mixHashes(info.OrderRevision, one.hash)
 	rankOther := mixHashes(info.OrderRevision, other.hash)
--- a/serving/placement/rollout_draw.go
+++ b/serving/placement/rollout_draw.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// targetDraw is the result of the draw for a request: the service of a target, and the one endpoint of it that is to be
-// loaded; nil: any of the canaries.
+// targetDraw says to which endpoints of a roll-out's target a request is sent.
 type targetDraw struct {
 	target    *service
-	loadProbe *endpoint
+	loadProbe *endpoint // the only endpoint that may be chosen, to put load on it; nil: any canary
 }
 
-// drawTarget returns the target of a roll-out in progress if the request is to go there. Retries go to the versions in
-// force.
+// drawTarget decides whether a request is sent to the target of a roll-out in progress. Resumed streams stay at the version
+// that they began at. If the versions in force have no accepting endpoint left, all other requests go to the target.
+// Otherwise retries, and all requests while this proxy has no valid lease, go to the versions in force. Of the rest, the
+// step's share is drawn for the target, and in the load step short prompts may go to load probes.
 func (p *Picker) drawTarget(now time.Time, service *service, request *Request) (draw targetDraw, drawn bool) {
 	r := p.rollouts.inProgress[service.name]
 	if r == nil || len(r.target.endpoints) == 0 {
@@ -31,17 +32,17 @@
 	if share := p.shareOf(r); share >= 1 || !request.Waited && r.draws.next() < share {
 		return draw, !r.breaker.isOpen(now)
 	}
-	draw.loadProbe = p.drawLoadProbe(now, r, request)
+	draw.loadProbe = p.loadProbeFor(now, r, request)
 	return draw, draw.loadProbe != nil
 }
 
-// hasAccepting reports whether some endpoint may get requests.
+// hasAccepting reports whether any endpoint of the service may get requests.
 func (s *service) hasAccepting() bool {
 	return slices.ContainsFunc(s.endpoints, func(e *endpoint) bool { return !e.excluded })
 }
 
-// pickOfTarget selects an endpoint of a roll-out's target for a request. It returns false if none is eligible now.
-func (p *Picker) pickOfTarget(now time.Time, draw targetDraw, request *Request) (Choice, bool) {
+// pickFromTarget selects an endpoint of a roll-out's target for a request. It returns false if none is eligible now.
+func (p *Picker) pickFromTarget(now time.Time, draw targetDraw, request *Request) (Choice, bool) {
 	s := p.newSearch(now, draw.target, request)
 	s.loadProbe = draw.loadProbe
 	if draw.loadProbe != nil {
@@ -54,7 +55,8 @@
 	return p.reserveBest(&s)
 }
 
-// reserveBest reserves the endpoint that a search has found. It returns false if there is none that is fast enough.
+// reserveBest reserves the best endpoint that the search has found. It returns false if there is none, or if its queueing
+// delay exceeds the request's time left.
 func (p *Picker) reserveBest(s *candidateSearch) (Choice, bool) {
 	if s.best.endpoint == nil || s.best.queueDelay > s.request.TimeLeft {
 		return Choice{}, false
--- a/serving/placement/rollout_observations.go
+++ b/serving/placement/rollout_observations.go
@@ -9,27 +9,30 @@
 )
 
 const (
-	// An answer is slow if its first byte takes slowFactor times the time that the versions in force would need, and
-	// slowSlack more, or engineSlowSlack where it may have been behind prompts of other proxies.
+	// An answer is slow if its first byte takes longer than slowFactor times the time expected of the versions in force,
+	// plus slowSlack. For a service with an engine engineSlowSlack is added instead, since the request may have queued
+	// behind prompts of other proxies.
 	slowFactor      = 4
 	slowSlack       = 100 * time.Millisecond
 	engineSlowSlack = 300 * time.Millisecond
 )
 
-// rolloutObservations are this proxy's counts of a service's answers since it knows of a roll-out.
+// rolloutObservations holds this proxy's counts of a service's answers since it first knew of a roll-out. An answer is a
+// response that has begun, or an attempt that failed, broke or timed out before its response began. An answer is bad if it
+// failed or is slow.
 type rolloutObservations struct {
-	sequence  uint64
-	routes    map[string]*state.RouteCounts // by name; "" for those beyond the limit
-	endpoints []state.EndpointCounts
-	hasNewBad bool // bad answers of the target that weren't reported yet
-	openings  []BreakerOpening
+	sequence  uint64                        // of the last report
+	routes    map[string]*state.RouteCounts // by name; "" for all routes beyond state.MaxReportedRoutes
+	endpoints []state.EndpointCounts        // of the target
+	hasNewBad bool                          // the target has given bad answers since the last report
+	openings  []BreakerOpening              // not yet taken
 }
 
 func newRolloutObservations() rolloutObservations {
 	return rolloutObservations{routes: map[string]*state.RouteCounts{}}
 }
 
-// countsOf returns the counts of a call's route and side.
+// countsOf returns the counts of a call's route, for the target or for the versions in force (the baseline).
 func (o *rolloutObservations) countsOf(c *call, isTarget bool) *state.AnswerCounts {
 	route := c.route
 	counts := o.routes[route]
@@ -47,9 +50,9 @@
 	return &counts.Baseline
 }
 
-// endpointOf returns the counts of the endpoint of the target that a call went to, apart for calls that load it on purpose;
-// nil for those beyond the limit.
-func (o *rolloutObservations) endpointOf(c *call) *state.EndpointCounts {
+// endpointCountsOf returns the counts of the target's endpoint that a call went to. Calls to load probes are counted
+// separately. The result is nil for endpoints beyond state.MaxReportedEndpoints.
+func (o *rolloutObservations) endpointCountsOf(c *call) *state.EndpointCounts {
 	id := c.endpoint.info.ID
 	for index := range o.endpoints {
 		if o.endpoints[index].ID == id && o.endpoints[index].LoadProbe == c.isLoadProbe {
@@ -63,24 +66,24 @@
 	return &o.endpoints[len(o.endpoints)-1]
 }
 
-// addAnswer notes that an endpoint of the target answered.
+// addAnswer counts an answer of an endpoint of the target.
 func (o *rolloutObservations) addAnswer(c *call) {
-	if counts := o.endpointOf(c); counts != nil {
+	if counts := o.endpointCountsOf(c); counts != nil {
 		counts.Answers++
 	}
 }
 
-// addBad notes that an endpoint of the target gave a bad answer.
+// addBad counts a bad answer of an endpoint of the target.
 func (o *rolloutObservations) addBad(c *call) {
 	o.hasNewBad = true
-	if counts := o.endpointOf(c); counts != nil {
+	if counts := o.endpointCountsOf(c); counts != nil {
 		counts.Bad++
 	}
 }
 
-// of returns the roll-out in progress that a call's answer is counted for, nil if there is none, and whether the answer
-// is one of the target. Before the target has endpoints there is nothing to compare.
-func (r *rollouts) of(c *call) (found *rolloutInProgress, isTarget bool) {
+// forCall returns the roll-out in progress for which a call's answer is counted, and whether the call went to the target.
+// It returns nil if there is none, or if the target has no endpoints yet and there is nothing to compare.
+func (r *rollouts) forCall(c *call) (found *rolloutInProgress, isTarget bool) {
 	found = r.inProgress[c.endpoint.service.name]
 	if found == nil || len(found.target.endpoints) == 0 {
 		return nil, false
@@ -88,16 +91,16 @@
 	return found, c.endpoint.service == found.target
 }
 
-// recordFirstByte counts an answer that has begun.
+// recordFirstByte counts an answer when its first byte arrives, and whether that is slow.
 func (r *rollouts) recordFirstByte(now time.Time, p *Picker, c *call) {
-	found, isTarget := r.of(c)
+	found, isTarget := r.forCall(c)
 	if found == nil {
 		return
 	}
 	counts := found.observed.countsOf(c, isTarget)
 	found.addAnswer(c, counts, isTarget)
 	if c.isLoadProbe || p.isWarmingUp(now, c.endpoint) || !found.comparesTimes() {
-		return // the endpoint is slow by itself
+		return // the answer may be slow for reasons other than the version
 	}
 	counts.Timed++
 	if now.Sub(c.sentAt) > p.ensureService(c.endpoint.service.name).slowFirstByte(c) {
@@ -105,13 +108,13 @@
 	}
 }
 
-// comparesTimes reports whether the times of answers can be compared in the present step. When all requests have gone
-// over to engines with empty caches, they are slow for that reason.
+// comparesTimes reports whether the times of answers are compared in the present step. They aren't in the full step of a
+// service with an engine: there all requests have moved to endpoints with empty caches, which makes answers slow.
 func (r *rolloutInProgress) comparesTimes() bool {
 	return r.info.Step != state.RolloutFull || !r.target.hasEngine()
 }
 
-// addAnswer counts an answer.
+// addAnswer counts an answer, in the counts of its route and, if it came from the target, of its endpoint.
 func (r *rolloutInProgress) addAnswer(c *call, counts *state.AnswerCounts, isTarget bool) {
 	counts.Answers++
 	if isTarget {
@@ -119,7 +122,7 @@
 	}
 }
 
-// recordSlow counts a slow answer.
+// recordSlow counts a slow answer, in the counts of its route and, if it came from the target, of its endpoint.
 func (r *rolloutInProgress) recordSlow(c *call, counts *state.AnswerCounts, isTarget bool) {
 	counts.Slow++
 	if isTarget {
@@ -127,9 +130,9 @@
 	}
 }
 
-// recordOutcome counts how an answer has ended.
+// recordOutcome counts an answer whose call has ended badly, and updates the breaker. Rejected calls aren't answers.
 func (r *rollouts) recordOutcome(now time.Time, c *call, outcome attempt.Outcome) {
-	found, isTarget := r.of(c)
+	found, isTarget := r.forCall(c)
 	if found == nil {
 		return
 	}
@@ -140,7 +143,7 @@
 		}
 	case attempt.Failed, attempt.Broken:
 		if c.isLoadProbe && outcome == attempt.Broken {
-			return // when an endpoint ends, all that loaded it breaks off at once
+			return // when an endpoint terminates, all the calls that put load on it break at once
 		}
 		counts := found.observed.countsOf(c, isTarget)
 		if !c.gotFirstByte {
@@ -160,11 +163,11 @@
 	}
 }
 
-// recordTargetFailure notes a failed answer of the target.
+// recordTargetFailure counts a failed answer of the target and updates the breaker.
 func (r *rolloutInProgress) recordTargetFailure(now time.Time, c *call) {
 	r.observed.addBad(c)
 	if c.isLoadProbe {
-		return // the endpoint's failure rate keeps this proxy from loading it further
+		return // loadProbeFor selects no endpoint with failures, so the breaker isn't needed
 	}
 	threshold := 1
 	if r.info.Step == state.RolloutFull {
@@ -180,7 +183,7 @@
 	}
 }
 
-// BreakerOpening says that this proxy's breaker has opened.
+// BreakerOpening describes one opening of this proxy's circuit breaker for the target of a roll-out.
 type BreakerOpening struct {
 	Service string
 	Target  string
@@ -188,7 +191,7 @@
 	OpenFor time.Duration
 }
 
-// TakeBreakerOpenings returns the openings of breakers since the last call.
+// TakeBreakerOpenings returns the breaker openings since the last call.
 func (p *Picker) TakeBreakerOpenings() (openings []BreakerOpening) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -199,7 +202,7 @@
 	return openings
 }
 
-// slowFirstByte returns the time to the first byte beyond which a call's answer is slow.
+// slowFirstByte returns the time to first byte above which a call's answer is slow.
 func (s *service) slowFirstByte(c *call) time.Duration {
 	if s.hasEngine() {
 		return slowFactor*s.expectedFirstByte(c) + engineSlowSlack
@@ -207,8 +210,8 @@
 	return slowFactor*s.expectedFirstByte(c) + slowSlack
 }
 
-// expectedFirstByte returns the time to the first byte of a call's answer by what is known of the service, without
-// other requests in the endpoint's queue but those of this proxy.
+// expectedFirstByte returns the time to first byte of a call according to the service's response model. Of the requests in
+// the endpoint's queue it includes only those of this proxy.
 func (s *service) expectedFirstByte(c *call) time.Duration {
 	if s.hasEngine() {
 		return c.pathLatency + s.baseLatency + s.prefillTime(c.uncachedTokens+c.tokensAhead)
@@ -216,7 +219,7 @@
 	return c.pathLatency + time.Duration(s.callMillis*float64(time.Millisecond))
 }
 
-// hasNewBadAnswers reports whether answers of a target were bad that no report has counted yet.
+// hasNewBadAnswers reports whether any target has given bad answers since the last report.
 func (r *rollouts) hasNewBadAnswers() bool {
 	for _, found := range r.inProgress {
 		if found.observed.hasNewBad {
@@ -242,8 +245,8 @@
 		for _, counts := range r.observed.routes {
 			report.Routes = append(report.Routes, *counts)
 		}
-		if inForce := p.services[name]; inForce != nil {
-			for _, e := range inForce.endpoints {
+		if baseline := p.services[name]; baseline != nil {
+			for _, e := range baseline.endpoints {
 				report.BaselineInFlight += e.inFlight
 			}
 		}
--- a/serving/placement/rollouts.go
+++ b/serving/placement/rollouts.go
@@ -7,29 +7,31 @@
 	"rowanlink/serving/state"
 )
 
-// While a roll-out is in progress, the endpoints of its target version are a service of their own to the picker, so that
-// neither the owners of prefixes nor the subsets of the versions in force change. A request goes there by a draw with the
-// share of the roll-out's step, if the proxy has a lease for the roll-out and its breaker is closed; if it finds no endpoint
-// there, it goes to the versions in force.
+// A roll-out replaces the versions in force of a service's software, which serve its requests, by a target version. An
+// operator orders it; it proceeds in steps (state.RolloutStep), which determine the target's share of the requests. While
+// it is in progress, the picker treats the target's endpoints as a separate service, so that the prefix owners and subsets
+// of the versions in force don't change. A request is sent to the target by a draw with the step's share, if this proxy
+// has a valid lease for the roll-out and its circuit breaker is closed. A request for which the target has no eligible
+// endpoint goes to the versions in force.
 
-// rollouts is what a picker knows of roll-outs.
+// rollouts is a picker's state of all roll-outs.
 type rollouts struct {
 	incarnation uint64
 	random      *mwcrand.Source
-	known       map[string]state.Rollout      // the newest of each service, by name
-	inProgress  map[string]*rolloutInProgress // by name of the service
-	versions    map[string]versionTimes       // by name of the service
+	known       map[string]state.Rollout      // the newest roll-out of each service, by the service's name
+	inProgress  map[string]*rolloutInProgress // by the service's name
+	versions    map[string]versionTimes       // by the service's name
 }
 
 // rolloutInProgress is a roll-out that is under way.
 type rolloutInProgress struct {
 	info       state.Rollout
-	target     *service // the endpoints of the target
+	target     *service // with the target's endpoints only
 	leaseUntil time.Time
 	breaker    rolloutBreaker
 	draws      splitSequence
 	observed   rolloutObservations
-	loadProbes []*endpoint // in the load step, those to be loaded, in their order
+	loadProbes []*endpoint // in the load step, the endpoints to put load on, one after the other
 }
 
 func newRollouts(seed uint64) rollouts {
@@ -85,13 +87,14 @@
 	r.info = info
 }
 
-// newTarget returns the service of a roll-out's target. It begins with what is known of the versions in force.
+// newTarget returns the service of a roll-out's target. Its response model starts as a copy of that of the versions in
+// force.
 func (p *Picker) newTarget(info *state.Rollout) *service {
 	target := newService(info.Service)
 	target.config = serviceConfig(p.routing, info.Service)
 	target.updateConnectionLimit(p.proxyCount)
-	if inForce := p.services[info.Service]; inForce != nil {
-		target.responseModel = inForce.responseModel
+	if baseline := p.services[info.Service]; baseline != nil {
+		target.responseModel = baseline.responseModel
 	}
 	p.services[targetKey(info)] = target
 	return target
@@ -100,9 +103,9 @@
 // targetKey is the key of a target among the picker's services. Names of services have no zero byte.
 func targetKey(info *state.Rollout) string { return info.Service + "\x00" + info.Target }
 
-// groupOf returns the service that an endpoint belongs to: that of the target of a roll-out in progress, or the one of
-// its name.
-func (p *Picker) groupOf(info *state.Endpoint) *service {
+// serviceOf returns the service that an endpoint belongs to: the target of a roll-out in progress if the endpoint has its
+// version, otherwise the service with the name that the endpoint reports.
+func (p *Picker) serviceOf(info *state.Endpoint) *service {
 	r := p.rollouts.inProgress[info.Service]
 	if r != nil && info.SoftwareVersion == r.info.Target {
 		return r.target
@@ -110,7 +113,7 @@
 	return p.ensureService(info.Service)
 }
 
-// moveTo makes the endpoint one of another service.
+// moveTo moves the endpoint to a service, which may be its present one.
 func (e *endpoint) moveTo(to *service) {
 	if e.service == to {
 		return
--- a/serving/placement/rollouts_test.go
+++ b/serving/placement/rollouts_test.go
@@ -115,7 +115,7 @@
 	for _, probe := range f.rollouts.inProgress["model"].loadProbes {
 		probes = append(probes, state.Load{EndpointID: probe.info.ID, Running: 80, Measurement: 1})
 	}
-	require.Len(t, probes, loadProbes)
+	require.Len(t, probes, loadProbeCount)
 	f.snapshot.Loads = probes
 	f.update()
 	requests, _ = f.send(50, attempt.Succeeded)
--- a/serving/placement/snapshot.go
+++ b/serving/placement/snapshot.go
@@ -86,7 +86,7 @@
 	for _, s := range p.services {
 		s.endpoints = s.endpoints[:0]
 	}
-	p.noteVersions(now, all)
+	p.recordVersions(now, all)
 	for index := range all {
 		e := p.updateEndpoint(now, &all[index])
 		e.service.endpoints = append(e.service.endpoints, e)
@@ -111,7 +111,7 @@
 	if isNew {
 		e = p.addEndpoint(info)
 	}
-	e.moveTo(p.groupOf(info))
+	e.moveTo(p.serviceOf(info))
 	before := e.ownership()
 	if isNew || info.Sequence > e.info.Sequence {
 		e.replaced = false
@@ -137,7 +137,7 @@
 	if former := p.endpoints[info.ID]; former != nil {
 		former.service.ownersChanged = true
 	}
-	e := newEndpoint(p.groupOf(info), *info)
+	e := newEndpoint(p.serviceOf(info), *info)
 	e.warmup.evacuationEndedAt = p.evacuationEndedAt[info.Zone]
 	p.endpoints[info.ID] = e
 	return e
--- a/test/integration/mutants/rollouts_table_test.go
+++ b/test/integration/mutants/rollouts_table_test.go
@@ -61,7 +61,7 @@
 	{
 		name:    "a new version gets requests before any order",
 		file:    "serving/placement/rollout_versions.go",
-		old:     "return p.isHeld(now, info) && !p.rollouts.versions[info.Service].unestablished",
+		old:     "return p.isHeld(now, info) && !p.rollouts.versions[info.Service].allHeld",
 		replace: "return false",
 		pkg:     "serving/placement", tests: "TestRollout",
 	},
