--- a/serving/placement/helpers_test.go
+++ b/serving/placement/helpers_test.go
@@ -86,15 +86,15 @@
 	return found
 }
 
-// request returns a request on the named route whose first two prompt blocks are shared with other requests of the
-// subject.
+// request returns a request on the named route. The requests of a subject share their first two prompt blocks; the first
+// block is also shared by every fourth subject.
 func (w *pickerFixture) request(route string, subject int) Request {
 	blocks := []PrefixBlock{{"b" + fmt.Sprint(subject%4), 2500}, {"s" + fmt.Sprint(subject), 3800}, {"own", 2000}}
 	return Request{Route: w.route(route), Model: "m", PromptTokens: 8300, MaxOutputTokens: 50, Blocks: blocks,
 		TimeLeft: 6 * time.Second}
 }
 
-// shortRequest is like request, but the shared block is prefilled faster than another region is reached.
+// shortRequest is like request, but prefilling the shared block takes less time than reaching another region.
 func (w *pickerFixture) shortRequest(route string, subject int) Request {
 	request := w.request(route, subject)
 	request.Blocks = []PrefixBlock{{"s" + fmt.Sprint(subject), 600}, {"own", 2000}}
--- a/serving/placement/observations_test.go
+++ b/serving/placement/observations_test.go
@@ -28,7 +28,7 @@
 func TestReportUnacknowledged_EjectsAndReportsUrgently(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 4)...)
 	w.ReportUnacknowledged(w.now, []string{"e1-0", "unknown"})
-	assert.False(t, w.endpoints["e1-0"].health.isEjected(), "more endpoints than are in use: the cause is the own link")
+	assert.False(t, w.endpoints["e1-0"].health.isEjected(), "more than half of the endpoints in use: the cause is this machine's own link")
 	for _, e := range w.endpoints {
 		e.inFlight = 1
 	}
@@ -56,5 +56,5 @@
 		w.snapshot.Endpoints[index].Failing = true
 	}
 	w.update()
-	assert.False(t, w.endpoints["e1-0"].isSuspect(), "where all fail the cause is elsewhere")
+	assert.False(t, w.endpoints["e1-0"].isSuspect(), "if most are reported as failing, the reports are ignored")
 }
--- a/serving/placement/owner_cache_test.go
+++ b/serving/placement/owner_cache_test.go
@@ -12,8 +12,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestRankOwners_CacheMatchesRanking changes endpoints, loses them and lets them return and warm up, at random, and
-// checks after each step that the remembered owners are those that a new ranking finds.
+// TestRankOwners_CacheMatchesRanking changes, removes and restores endpoints and lets them warm up, at random, and checks
+// after each step that the cached owners are those of a new ranking.
 func TestRankOwners_CacheMatchesRanking(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		endpoints := append(modelEndpoints("e1", 4), modelEndpoints("w1", 3)...)
@@ -58,18 +58,18 @@
 	return copied
 }
 
-// assertOwnersCurrent compares the owners with those found without the cache, in all regions.
+// assertOwnersCurrent checks in all regions that the cached owners are those that are found without the cache.
 func (w *pickerFixture) assertOwnersCurrent(t *rapid.T, request Request) {
 	s := candidateSearch{now: w.now, request: &request, service: w.ensureService("model")}
 	w.prepareSearch(&s)
 	for _, r := range s.service.regions {
 		for _, filter := range []warmupFilter{excludeWarmingUp, includeWarmingUp} {
-			remembered := s.rankOwners(w.chain.sharedPrefixHash(), r, filter)
-			kept := r.owners
+			cached := s.rankOwners(w.chain.sharedPrefixHash(), r, filter)
+			savedCache := r.owners
 			r.owners = ownerCache{}
-			found := s.rankOwners(w.chain.sharedPrefixHash(), r, filter)
-			r.owners = kept
-			assert.Equal(t, endpointIDs(found), endpointIDs(remembered), r.name)
+			ranked := s.rankOwners(w.chain.sharedPrefixHash(), r, filter)
+			r.owners = savedCache
+			assert.Equal(t, endpointIDs(ranked), endpointIDs(cached), r.name)
 		}
 	}
 }
--- a/serving/placement/path_costs_test.go
+++ b/serving/placement/path_costs_test.go
@@ -12,8 +12,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestPrefixRegion_EvacuatedRegionOwnsNoPrefix: requests with long shared prefixes leave an evacuated region too, and
-// those that are bound to it are rejected.
+// TestPrefixRegion_EvacuatedRegionOwnsNoPrefix: requests with long shared prefixes don't go to an evacuated region either,
+// and requests whose home region it is are rejected.
 func TestPrefixRegion_EvacuatedRegionOwnsNoPrefix(t *testing.T) {
 	w := newFixture(t, "e1", append(modelEndpoints("e2", 2), modelEndpoints("w1", 4)...)...)
 	w.snapshot.Record.Evacuations = []state.Evacuation{{Zone: "e2", Active: true}}
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestPathCosts_SteadyTrafficReturnsToOwnRegion: the latency paid for another region exceeds the time to prefill the
-// shared blocks in the own region by one round trip at most. All later requests go to the one owner on which the
-// region's proxies agree.
+// TestPathCosts_SteadyTrafficReturnsToOwnRegion: the latency that a proxy's requests pay to reach another region exceeds
+// the time to prefill the shared blocks in the own region by one round trip at most. All later requests go to the own
+// region's owner, on which its proxies agree.
 func TestPathCosts_SteadyTrafficReturnsToOwnRegion(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
@@ -63,30 +63,30 @@
 
 func TestPathCosts_DropsUnusedPrefixes(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := pathCosts{tokenLimit: 1000}
-		unused, spent := 0, time.Duration(0) // unused: tokens of other prefixes since prefix 0 was used
+		costs := pathCosts{tokenLimit: 1000}
+		otherTokens, spent := 0, time.Duration(0) // otherTokens: tokens of other prefixes used since prefix 0 was
 		for range 300 {
 			hash := uint64(rapid.IntRange(0, 60).Draw(r, "hash"))
 			if hash != 0 {
-				w.add(hash, 100, crossRegionLatency)
-				unused += 100
+				costs.add(hash, 100, crossRegionLatency)
+				otherTokens += 100
 			} else {
-				w.add(0, 100, crossRegionLatency)
-				spent, unused = spent+crossRegionLatency, 0
-				if w.total(0) == crossRegionLatency {
+				costs.add(0, 100, crossRegionLatency)
+				spent, otherTokens = spent+crossRegionLatency, 0
+				if costs.total(0) == crossRegionLatency {
 					spent = crossRegionLatency // it had been dropped
 				}
 			}
-			if unused <= 900 {
-				assert.Equal(r, spent, w.total(0), "retained while fewer tokens than fill a cache were used since")
+			if otherTokens <= 900 {
+				assert.Equal(r, spent, costs.total(0), "retained while the other prefixes used since don't fill the cache")
 			}
-			assert.LessOrEqual(r, len(w.young)+len(w.old), 20)
+			assert.LessOrEqual(r, len(costs.young)+len(costs.old), 20)
 		}
 		for hash := range uint64(2 * maxPathCostEntries) {
-			w.tokenLimit = 1 << 40
-			w.add(100+hash, 100, crossRegionLatency)
-			assert.LessOrEqual(r, len(w.young), maxPathCostEntries)
+			costs.tokenLimit = 1 << 40
+			costs.add(100+hash, 100, crossRegionLatency)
+			assert.LessOrEqual(r, len(costs.young), maxPathCostEntries)
 		}
-		assert.Zero(r, w.total(0))
+		assert.Zero(r, costs.total(0))
 	})
 }
--- a/serving/placement/prefix_affinity_test.go
+++ b/serving/placement/prefix_affinity_test.go
@@ -44,7 +44,8 @@
 func TestPrefixCache_SessionReturnsToItsEndpoint(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 6)...)
 	for session := range 20 {
-		blocks := []PrefixBlock{{fmt.Sprint("session", session), 6000}} // nothing is shared: only this proxy knows where the block is cached
+		// the block isn't shared, so only this proxy knows where it is cached
+		blocks := []PrefixBlock{{fmt.Sprint("session", session), 6000}}
 		request := Request{Route: w.route("review"), Model: "m", PromptTokens: 6000, Blocks: blocks, TimeLeft: 1e9}
 		first, _ := w.Pick(w.now, request)
 		w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
--- a/serving/placement/prefix_region_test.go
+++ b/serving/placement/prefix_region_test.go
@@ -9,8 +9,8 @@
 	"rowanlink/serving/attempt"
 )
 
-// TestPrefixRegion_OneOwnerForLongPrefixes: shared blocks that take longer to prefill than another region to reach are
-// prefilled at one endpoint of the system, short ones at one of each region.
+// TestPrefixRegion_OneOwnerForLongPrefixes: shared blocks whose prefill takes longer than reaching another region are
+// prefilled at one endpoint of the whole system, short ones at one endpoint of each region.
 func TestPrefixRegion_OneOwnerForLongPrefixes(t *testing.T) {
 	all := append(modelEndpoints("e1", 4), modelEndpoints("w1", 4)...)
 	east, west := newFixture(t, "e1", all...), newFixture(t, "w1", all...)
--- a/serving/placement/rollouts_test.go
+++ b/serving/placement/rollouts_test.go
@@ -45,8 +45,8 @@
 }
 
 // setRollout sets the state of the roll-out and renews the lease for a minute.
-func (f *rolloutFixture) setRollout(reached state.RolloutState, step state.RolloutStep, retired ...string) {
-	f.rollout.State, f.rollout.Step, f.rollout.Retired = reached, step, retired
+func (f *rolloutFixture) setRollout(newState state.RolloutState, step state.RolloutStep, retired ...string) {
+	f.rollout.State, f.rollout.Step, f.rollout.Retired = newState, step, retired
 	f.rollout.Revision++
 	f.snapshot.Record = &state.Record{Revision: f.rollout.Revision, Rollouts: []state.Rollout{f.rollout}}
 	f.snapshot.RolloutLeases = []state.RolloutLease{{OrderRevision: 2, Millis: 60_000}}
@@ -54,7 +54,7 @@
 }
 
 // send sends requests with short prompts one after the other, and returns how many went to each version and to how many
-// endpoints of it. outcome is what becomes of those at v2.
+// endpoints of it. outcome is reported for the calls to v2.
 func (f *rolloutFixture) send(count int, outcome attempt.Outcome) (requests, endpoints map[string]int) {
 	requests, endpoints = map[string]int{}, map[string]int{}
 	seen := map[string]bool{}
@@ -84,9 +84,9 @@
 
 func TestRollout_SharesOfTheSteps(t *testing.T) {
 	for _, test := range []struct {
-		step              state.RolloutStep
-		least, most       int // requests of 1,000 to the target
-		fewest, mostSpots int // endpoints of it
+		step                       state.RolloutStep
+		minRequests, maxRequests   int // to the target, of 1,000
+		minEndpoints, maxEndpoints int // of the target that get requests
 	}{
 		{state.RolloutCanary, 25, 35, 1, minCanaries},
 		{state.RolloutRamp, 240, 260, 1, 7},
@@ -95,10 +95,10 @@
 		f := newRolloutFixture(t)
 		f.setRollout(state.RolloutInProgress, test.step)
 		requests, endpoints := f.send(1000, attempt.Succeeded)
-		assert.GreaterOrEqual(t, requests["v2"], test.least, "step %d", test.step)
-		assert.LessOrEqual(t, requests["v2"], test.most, "step %d", test.step)
-		assert.GreaterOrEqual(t, endpoints["v2"], test.fewest, "step %d", test.step)
-		assert.LessOrEqual(t, endpoints["v2"], test.mostSpots, "step %d", test.step)
+		assert.GreaterOrEqual(t, requests["v2"], test.minRequests, "step %d", test.step)
+		assert.LessOrEqual(t, requests["v2"], test.maxRequests, "step %d", test.step)
+		assert.GreaterOrEqual(t, endpoints["v2"], test.minEndpoints, "step %d", test.step)
+		assert.LessOrEqual(t, endpoints["v2"], test.maxEndpoints, "step %d", test.step)
 	}
 }
 
@@ -119,10 +119,10 @@
 	f.snapshot.Loads = probes
 	f.update()
 	requests, _ = f.send(50, attempt.Succeeded)
-	assert.Less(t, requests["v2"], 10, "they are loaded as far as they should be")
+	assert.Less(t, requests["v2"], 10, "their load reports show the intended load")
 	reports := f.RolloutReports()
 	require.Len(t, reports, 1)
-	assert.Less(t, reports[0].Routes[0].Target.Timed, 100, "loaded endpoints are slow for that reason")
+	assert.Less(t, reports[0].Routes[0].Target.Timed, 100, "the times of calls to load probes aren't compared")
 }
 
 func TestRollout_NothingWithoutALease(t *testing.T) {
@@ -130,7 +130,7 @@
 	f.setRollout(state.RolloutInProgress, state.RolloutFull)
 	f.now = f.now.Add(59 * time.Second)
 	requests, _ := f.send(100, attempt.Succeeded)
-	assert.Equal(t, 51, requests["v1"], "the lease ends with the fiftieth: out of touch, the target gets nothing more")
+	assert.Equal(t, 51, requests["v1"], "the lease has expired at the fiftieth request: without one, nothing is sent to the target")
 }
 
 func TestRollout_BreakerNeedsNoCore(t *testing.T) {
@@ -170,7 +170,7 @@
 	assert.Equal(t, "v1", choice.Endpoint.SoftwareVersion, "a retry goes to the versions in force")
 	request.Resumed, request.Version = true, "v2"
 	choice, _ = f.Pick(f.now, request)
-	assert.Equal(t, "v2", choice.Endpoint.SoftwareVersion, "a stream stays at its version")
+	assert.Equal(t, "v2", choice.Endpoint.SoftwareVersion, "a stream is resumed on its version")
 	request.Version = "v1"
 	choice, _ = f.Pick(f.now, request)
 	assert.Equal(t, "v1", choice.Endpoint.SoftwareVersion)
@@ -193,7 +193,7 @@
 	}
 	w.update()
 	requests, _ = f.send(10, attempt.Succeeded)
-	assert.Equal(t, 10, requests["v2"], "no other is left")
+	assert.Equal(t, 10, requests["v2"], "no endpoint of another version is left")
 
 	f = &rolloutFixture{t: t, pickerFixture: newFixture(t, "e1", versionedEndpoints("v1", 3)...)}
 	f.snapshot.Endpoints = append(f.snapshot.Endpoints, versionedEndpoints("v2", 30)...)
@@ -201,7 +201,7 @@
 	f.now = f.now.Add(newVersionHold)
 	f.update()
 	requests, _ = f.send(100, attempt.Succeeded)
-	assert.Positive(t, requests["v2"], "a release without an order goes on")
+	assert.Positive(t, requests["v2"], "a version without an order gets requests after the hold")
 }
 
 func TestRollout_NoVersionInForceIsLeft(t *testing.T) {
@@ -211,5 +211,5 @@
 	f.now = f.now.Add(2 * time.Minute)
 	f.update()
 	requests, _ := f.send(20, attempt.Succeeded)
-	assert.Equal(t, 20, requests["v2"], "serving goes on")
+	assert.Equal(t, 20, requests["v2"], "the target serves all requests, even without a lease")
 }
--- a/serving/placement/short_prefill_test.go
+++ b/serving/placement/short_prefill_test.go
@@ -21,7 +21,7 @@
 	assert.False(t, isShort("review", PrefixBlock{"long", 6500}), "the complete prompt has to be prefilled")
 	assert.True(t, isShort("review", PrefixBlock{"b", 6000}, PrefixBlock{"other", 500}), "the owner is expected to have the shared blocks cached")
 	assert.False(t, isShort("review", PrefixBlock{"b", 6000}, PrefixBlock{"third", 4000}))
-	assert.False(t, isShort("review"), "nothing is known of the prompt")
+	assert.False(t, isShort("review"), "the prompt's length is unknown")
 }
 
 func TestShortPrefill_QueuesAtHighestPriority(t *testing.T) {
--- a/serving/placement/simulated_engine_test.go
+++ b/serving/placement/simulated_engine_test.go
@@ -55,8 +55,8 @@
 
 // sendFirstEvent delivers the first event of the response and schedules the rest.
 func (s *simulation) sendFirstEvent(r *simulatedRequest) {
-	way := r.proxy.pathLatency(r.reservation.call.endpoint) / 2
-	s.schedule(way, func() {
+	oneWay := r.proxy.pathLatency(r.reservation.call.endpoint) / 2
+	s.schedule(oneWay, func() {
 		r.proxy.ReportProgress(s.time(), r.reservation)
 		wait := s.now - r.sentAt
 		s.firstByteTimes = append(s.firstByteTimes, wait)
@@ -68,9 +68,9 @@
 			s.remote++
 		}
 	})
-	events := s.lognormal(r.kind.events, 1)
+	events := s.lognormal(r.class.events, 1)
 	rest := time.Duration(4 * events * r.engine.decodeMillis() * r.engine.slowdown * float64(time.Millisecond))
-	s.schedule(rest+way, func() {
+	s.schedule(rest+oneWay, func() {
 		r.engine.running--
 		r.proxy.ReportOutcome(s.time(), r.reservation, attempt.Succeeded)
 	})
--- a/serving/placement/simulated_faults_test.go
+++ b/serving/placement/simulated_faults_test.go
@@ -12,7 +12,7 @@
 
 const (
 	simulatedConnectTimeout = 250 * time.Millisecond // of a connection to an endpoint that is down
-	simulatedClientTimeout  = 4 * time.Second        // after which a client abandons a stream without events
+	simulatedClientTimeout  = 4 * time.Second        // until a client cancels a stream that has no events
 )
 
 // sendToFailedEndpoint simulates a request to an endpoint that has lost power: half of the calls hang on open
--- a/serving/placement/simulation_test.go
+++ b/serving/placement/simulation_test.go
@@ -25,13 +25,13 @@
 	engines   map[string]*simulatedEngine
 
 	served           int
-	late             int
+	late             int // responses whose first byte missed the latency target
 	rejected         int
 	lostRequests     int
 	firstByteTimes   []time.Duration
-	recomputedTokens int // shared tokens prefilled although another endpoint of the region had prefilled them
-	remote           int
-	prefilled        map[string]bool
+	recomputedTokens int             // shared tokens prefilled although another endpoint of the region had prefilled them
+	remote           int             // requests served outside the proxy's region
+	prefilled        map[string]bool // shared blocks that an endpoint of a region has prefilled, by region and ID
 }
 
 // simulatedEngine is a simulated endpoint, which prefills one prompt after another.
@@ -47,7 +47,7 @@
 
 // simulatedRequest is one request of the simulation.
 type simulatedRequest struct {
-	kind        trafficClass
+	class       trafficClass
 	proxy       *Picker
 	request     Request
 	sentAt      time.Duration // first call of Pick
@@ -62,11 +62,11 @@
 	route         string
 	rate          float64
 	subjects      int
-	baseTokens    int // tokens of the first block, which is one of four
-	subjectTokens int // tokens of the second block
-	ownTokens     float64
-	spread        float64
-	events        float64
+	baseTokens    int     // tokens of the first block, which is one of four
+	subjectTokens int     // tokens of the second block
+	ownTokens     float64 // mean tokens of the last block, which is not shared
+	spread        float64 // coefficient of variation of these
+	events        float64 // mean number of events of a response
 }
 
 // trafficClasses is the traffic of a deployment with long shared prompts.
@@ -143,27 +143,27 @@
 }
 
 // scheduleArrival schedules the arrivals of a traffic class in a zone (a Poisson process).
-func (s *simulation) scheduleArrival(table *routing.Table, zone string, k trafficClass, rate float64) {
+func (s *simulation) scheduleArrival(table *routing.Table, zone string, class trafficClass, rate float64) {
 	s.schedule(time.Duration(-math.Log(1-s.random.Float64())/rate*float64(time.Second)), func() {
 		proxies := s.zones[zone]
-		route, _ := table.Match("a.example", "/"+k.route+"/")
-		subject := int(s.random.Float64() * float64(k.subjects))
-		own := int(s.lognormal(k.ownTokens, k.spread)) + 1
-		r := &simulatedRequest{kind: k, proxy: proxies[int(s.random.Float64()*float64(len(proxies)))], sentAt: s.now}
+		route, _ := table.Match("a.example", "/"+class.route+"/")
+		subject := int(s.random.Float64() * float64(class.subjects))
+		own := int(s.lognormal(class.ownTokens, class.spread)) + 1
+		r := &simulatedRequest{class: class, proxy: proxies[int(s.random.Float64()*float64(len(proxies)))], sentAt: s.now}
 		r.request = Request{
 			Route:           route,
 			Model:           "m",
-			PromptTokens:    k.baseTokens + k.subjectTokens + own,
-			MaxOutputTokens: int(4 * k.events),
+			PromptTokens:    class.baseTokens + class.subjectTokens + own,
+			MaxOutputTokens: int(4 * class.events),
 			TimeLeft:        route.Timeout,
 			Blocks: []PrefixBlock{
-				{fmt.Sprint(k.route, subject%4), k.baseTokens},
-				{fmt.Sprint(k.route, "s", subject), k.subjectTokens},
+				{fmt.Sprint(class.route, subject%4), class.baseTokens},
+				{fmt.Sprint(class.route, "s", subject), class.subjectTokens},
 				{fmt.Sprint("own", s.random.Float64()), own},
 			},
 		}
 		s.pick(r)
-		s.scheduleArrival(table, zone, k, rate)
+		s.scheduleArrival(table, zone, class, rate)
 	})
 }
 
@@ -190,17 +190,17 @@
 	}
 }
 
-// newMixedSimulation schedules all traffic classes at a multiple of their usual rate.
-func newMixedSimulation(t testing.TB, times float64) *simulation {
+// newMixedSimulation returns a simulation with all traffic classes, at a multiple of their usual rates.
+func newMixedSimulation(t testing.TB, rateFactor float64) *simulation {
 	const seed = 5
 	endpoints := append(modelEndpoints("e1", 5), modelEndpoints("e2", 5)...)
 	endpoints = append(endpoints, modelEndpoints("w1", 8)...)
 	s := newSimulation(t, seed, endpoints, map[string]int{"e1": 3, "e2": 2, "w1": 2})
 	table := testRouting(t)
-	for _, k := range trafficClasses {
-		s.scheduleArrival(table, "e1", k, k.rate*times/4)
-		s.scheduleArrival(table, "e2", k, k.rate*times/4)
-		s.scheduleArrival(table, "w1", k, k.rate*times/2)
+	for _, class := range trafficClasses {
+		s.scheduleArrival(table, "e1", class, class.rate*rateFactor/4)
+		s.scheduleArrival(table, "e2", class, class.rate*rateFactor/4)
+		s.scheduleArrival(table, "w1", class, class.rate*rateFactor/2)
 	}
 	return s
 }
--- a/serving/placement/subset_test.go
+++ b/serving/placement/subset_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/serving/state"
 )
 
-// newNamedFixture returns a picker of the proxy with the name, in zone e1.
+// newNamedFixture returns a picker of a proxy in zone e1 with the given name, which determines its subset.
 func newNamedFixture(t *testing.T, name string, endpoints ...state.Endpoint) *pickerFixture {
 	w := newFixture(t, "e1", endpoints...)
 	w.Picker = New(Options{
--- a/serving/placement/unresponsive_test.go
+++ b/serving/placement/unresponsive_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOverdue_StreamWithoutEvents: an endpoint that fails in the middle of its streams is avoided before any new
-// request has waited there in vain, and used again when the streams continue.
+// TestOverdue_StreamWithoutEvents: an endpoint whose streams stop in the middle is avoided before a new request has timed
+// out there, and used again when the streams continue.
 func TestOverdue_StreamWithoutEvents(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 2)...)
 	request := w.request("review", 1)
@@ -29,7 +29,7 @@
 	}
 	gap := 1200 * time.Millisecond
 	assert.True(t, chosen(gap+200*time.Millisecond), "other prompts are prefilled in between")
-	// the call above succeeded, so it was a sign of activity; there is none after it
+	// the last activity is the success of the call above
 	assert.False(t, chosen(gap+1100*time.Millisecond))
 	w.ReportProgress(w.now.Add(gap+1200*time.Millisecond), hanging.Reservation)
 	known := w.endpoints[hanging.Endpoint.ID]
--- a/serving/placement/warmup_test.go
+++ b/serving/placement/warmup_test.go
@@ -106,7 +106,7 @@
 	_, decision = w.Pick(w.now.Add(warmupWindow), w.request("review", 1))
 	assert.Equal(t, Picked, decision.Kind)
 	_, decision = w.Pick(w.now.Add(warmupWindow), w.request("review", 1))
-	assert.NotEqual(t, Picked, decision.Kind, "one at a time until it must have discovered the other proxies")
+	assert.NotEqual(t, Picked, decision.Kind, "one call a window until discoverySpan is over")
 }
 
 func TestIsWarmingUp(t *testing.T) {
@@ -156,7 +156,7 @@
 	assert.Empty(t, e.warmup.sends)
 }
 
-// TestWarmup_UnknownProxyCountSendsNothing: without the number of proxies there is no quota.
+// TestWarmup_UnknownProxyCountSendsNothing: while the number of proxies is unknown, the quota is zero.
 func TestWarmup_UnknownProxyCountSendsNothing(t *testing.T) {
 	w := newFixture(t, "e1")
 	fresh := New(w.options)
@@ -173,7 +173,8 @@
 	assert.Equal(t, Picked, decision.Kind)
 }
 
-// TestIsWarmingUp_UnresponsiveEndpoint: it may have restarted, which only its first heartbeat will show.
+// TestIsWarmingUp_UnresponsiveEndpoint: an unresponsive endpoint may have restarted, which isn't known before its next
+// heartbeat.
 func TestIsWarmingUp_UnresponsiveEndpoint(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 3)...)
 	w.snapshot.Endpoints[0].Unresponsive = true
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -84,11 +84,11 @@
 func TestPick_LowerPriorityYields(t *testing.T) {
 	w := newFixture(t, "e1", modelEndpoints("e1", 1)...)
 	w.endpoints["e1-0"].window = 1
-	reservations, decision := w.Pick(w.now, w.request("urgent", 1))
+	first, decision := w.Pick(w.now, w.request("urgent", 1))
 	require.Equal(t, Picked, decision.Kind)
 	_, decision = w.Pick(w.now, w.request("urgent", 1))
 	require.Equal(t, Wait, decision.Kind)
-	w.ReportOutcome(w.now, reservations.Reservation, attempt.Succeeded)
+	w.ReportOutcome(w.now, first.Reservation, attempt.Succeeded)
 	_, decision = w.Pick(w.now, w.request("review", 1))
 	assert.Equal(t, Wait, decision.Kind, "a request of higher priority waits")
 	_, decision = w.Pick(w.now, w.request("urgent", 1))
