--- a/serving/attempt/attempt.go
+++ b/serving/attempt/attempt.go
@@ -24,29 +24,29 @@
 	TimedOut
 	// Canceled: the client disconnected.
 	Canceled
-	// AtLimit: this process has reached its own limit on connections. Nothing was sent, and the outcome says nothing
-	// about the endpoint's health.
-	AtLimit
+	// AtConnectionLimit: this process has reached its own limit on connections. Nothing was sent, and the outcome says
+	// nothing about the endpoint's health.
+	AtConnectionLimit
 	// OutcomeCount is the number of outcomes.
 	OutcomeCount
 )
 
 // outcomeNames are the names in logs, by Outcome.
 var outcomeNames = [...]string{
-	Succeeded:     "succeeded",
-	Failed:        "failed",
-	Rejected:      "refused",
-	Misdirected:   "misdirected",
-	ConnectFailed: "connect_failed",
-	Broken:        "broken",
-	TimedOut:      "timed_out",
-	Canceled:      "canceled",
-	AtLimit:       "at_limit",
+	Succeeded:         "succeeded",
+	Failed:            "failed",
+	Rejected:          "refused",
+	Misdirected:       "misdirected",
+	ConnectFailed:     "connect_failed",
+	Broken:            "broken",
+	TimedOut:          "timed_out",
+	Canceled:          "canceled",
+	AtConnectionLimit: "at_limit",
 }
 
 // NeverRan reports whether the outcome proves that the endpoint has not run the request and never will.
 func (o Outcome) NeverRan() bool {
-	return o == Rejected || o == Misdirected || o == ConnectFailed || o == AtLimit
+	return o == Rejected || o == Misdirected || o == ConnectFailed || o == AtConnectionLimit
 }
 
 // String returns the outcome's name in logs.
--- a/serving/httpserver/forward.go
+++ b/serving/httpserver/forward.go
@@ -127,7 +127,7 @@
 	f.attempts++
 	f.lastOutcome = outcome
 	f.mayHaveRun = f.mayHaveRun || !outcome.NeverRan()
-	if outcome == attempt.ConnectFailed || outcome == attempt.AtLimit {
+	if outcome == attempt.ConnectFailed || outcome == attempt.AtConnectionLimit {
 		return
 	}
 	f.sentAttempts++
--- a/serving/httpserver/limit_test.go
+++ b/serving/httpserver/limit_test.go
@@ -30,7 +30,7 @@
 	go func() { pending <- r.do(r.request("/once/pending", "")) }()
 	<-reached
 	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
-	assert.Equal(t, []attempt.Outcome{attempt.AtLimit, attempt.Succeeded}, r.picker.recordedOutcomes())
+	assert.Equal(t, []attempt.Outcome{attempt.AtConnectionLimit, attempt.Succeeded}, r.picker.recordedOutcomes())
 	close(release)
 	assert.Equal(t, 200, (<-pending).status)
 }
--- a/serving/placement/window_test.go
+++ b/serving/placement/window_test.go
@@ -145,7 +145,7 @@
 	window, health := e.window, e.health
 	choice, decision := w.Pick(w.now, w.request("review", 1))
 	require.Equal(t, Picked, decision.Kind)
-	w.ReportOutcome(w.now, choice.Reservation, attempt.AtLimit)
+	w.ReportOutcome(w.now, choice.Reservation, attempt.AtConnectionLimit)
 	assert.Equal(t, window, e.window)
 	assert.Equal(t, health, e.health)
 	assert.Zero(t, e.inFlight, "the slot is free again")
--- a/serving/upstream/do.go
+++ b/serving/upstream/do.go
@@ -66,7 +66,7 @@
 		return c, true, nil
 	}
 	if !hasCapacity {
-		return nil, false, &Failure{Outcome: attempt.AtLimit}
+		return nil, false, &Failure{Outcome: attempt.AtConnectionLimit}
 	}
 	c, err := p.dialer.dial(ctx, call.Address, call.Zone)
 	if err == nil && !c.isQuiet() {
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -40,7 +40,7 @@
 	require.Nil(t, failure)
 	_, failure = pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
-	assert.Equal(t, attempt.AtLimit, failure.Outcome)
+	assert.Equal(t, attempt.AtConnectionLimit, failure.Outcome)
 	assert.True(t, failure.Outcome.NeverRan(), "it may be retried")
 
 	other := newCall(e.Address())
