--- a/serving/placement/rollout_draw.go
+++ b/serving/placement/rollout_draw.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// targetDraw says to which endpoints of a roll-out's target a request is sent.
+// targetDraw determines to which endpoints of a roll-out's target a request is sent.
 type targetDraw struct {
 	target    *service
 	loadProbe *endpoint // the only endpoint that may be chosen, to put load on it; nil: any canary
--- a/serving/placement/rollouts.go
+++ b/serving/placement/rollouts.go
@@ -23,7 +23,7 @@
 	versions    map[string]versionTimes       // by the service's name
 }
 
-// rolloutInProgress is a roll-out that is under way.
+// rolloutInProgress is a picker's state of a roll-out in progress.
 type rolloutInProgress struct {
 	info       state.Rollout
 	target     *service // with the target's endpoints only
