--- a/serving/placement/service.go
+++ b/serving/placement/service.go
@@ -36,11 +36,11 @@
 	waitingUntil [priorityLevels]time.Time
 }
 
-// region is a service's endpoints in one region.
+// region holds a service's endpoints in one region.
 type region struct {
 	name        string
 	endpoints   []*endpoint
-	subset      []*endpoint // those that this proxy prefers
+	subset      []*endpoint // this proxy's subset, see selectSubsets
 	owners      ownerCache
 	queueDelays [priorityLevels]decayingMean // over all the endpoints, by priority
 }
