--- a/serving/placement/candidates.go
+++ b/serving/placement/candidates.go
@@ -7,8 +7,8 @@
 	// owner, this proxy's subset and a random sample of sampleSize endpoints are.
 	maxFullScan = 24
 	sampleSize  = 6
-	// localSearchShare is the share of the latency target up to which the cost of the own region's best endpoint is
-	// accepted without comparing other regions.
+	// localSearchShare is a share of the latency target. Other regions aren't compared if both the queueing delay and the
+	// costs added for the own region's best endpoint are below it.
 	localSearchShare = 0.25
 )
 
@@ -26,18 +26,18 @@
 	hasUntried       bool // some endpoint has not been tried for the request
 	// pinnedVersion is the only software version that may resume the request's stream; empty: any.
 	pinnedVersion string
-	loadProbe     *endpoint // the one endpoint that may be chosen, to load it; nil: any other
+	loadProbe     *endpoint // the only endpoint that may be chosen, to put load on it; nil: any that isn't a load probe
 
-	prefixRegion *region // the one region whose owner caches the shared blocks; nil: each region has an owner
-	cacheLocally bool    // enough latency was paid for a remote owner: the own region's owner caches the blocks too
+	prefixRegion *region // the only region whose owner caches the shared blocks; nil: each region has an owner
+	cacheLocally bool    // the own region's owner caches the blocks too, see findPrefixRegion
 
 	best          estimate
-	retryIn       time.Duration // the shortest time until an endpoint that is not eligible now may be
+	retryIn       time.Duration // the shortest time after which an ineligible endpoint may become eligible
 	sawFullWindow bool          // some endpoint was passed over because its concurrency window is full
 }
 
-// searchRegions compares the endpoints of the own region first, and those of other regions if it has none or only
-// slow ones.
+// searchRegions compares the endpoints of the own region first, and then those of other regions unless
+// ownRegionSuffices.
 func (p *Picker) searchRegions(s *candidateSearch) {
 	p.findPrefixRegion(s)
 	for _, r := range s.service.regions {
