--- a/serving/membership/confirmation.go
+++ b/serving/membership/confirmation.go
@@ -6,33 +6,40 @@
 	"time"
 )
 
-// Times of the confirmation of members. Together they bound how long a dead member is taken for live, whatever else dies
-// before it, with it or after it: evidenceLimit, one confirmationInterval, and the probes. Where all die at one moment,
-// their live watchers' suspicions end the evidence after RemoteSuspicionTimeout already.
+// Times used to confirm that members are alive. A dead member is considered live for at most maxEvidenceAge, plus one
+// confirmationInterval, plus the time for the probes, whichever other members die before, with or after it. If all of
+// them die at the same moment, the suspicions of their live watchers end the evidence earlier: after
+// RemoteSuspicionTimeout.
 const (
-	// contactPeriod is how long a call or a response of a member is evidence of its life: two remote heartbeats.
+	// contactPeriod is how long a call or response from a member counts as evidence that it is alive: twice the
+	// heartbeat interval between regions.
 	contactPeriod = 2 * RemoteIntervalFactor * HeartbeatInterval
-	// evidenceLimit is the greatest age of evidence while many members fail.
-	evidenceLimit = 4400 * time.Millisecond
-	// suspicionTransit is allowed for a suspicion to be issued after its timeout and to arrive by gossip.
-	suspicionTransit = 400 * time.Millisecond
-	// manyFailures is the number of members that have failed within failurePeriod from which evidenceLimit applies. It
-	// takes the loss of all its watchers to hide a member.
-	manyFailures  = WatcherCount
-	failurePeriod = 6 * time.Second
-	// confirmationInterval is the time between two evaluations.
+	// maxEvidenceAge is the maximum age of evidence while many members are failing, see massFailureThreshold.
+	maxEvidenceAge = 4400 * time.Millisecond
+	// suspicionDeliveryTime is the time allowed, after a suspicion timeout has ended, for the suspicion to be issued
+	// and to arrive by gossip.
+	suspicionDeliveryTime = 400 * time.Millisecond
+	// massFailureThreshold is the number of members, suspected now or marked as down within massFailureWindow, from
+	// which maxEvidenceAge applies. It equals WatcherCount because a dead member stays unsuspected only if all its
+	// watchers have failed.
+	massFailureThreshold = WatcherCount
+	massFailureWindow    = 6 * time.Second
+	// confirmationInterval is the minimum time between two runs of evaluateConfirmations.
 	confirmationInterval = 200 * time.Millisecond
 )
 
-// evaluateConfirmations looks for dead members about which no suspicion arrives: their watchers died with them, and the
-// watchers of these as well. It has the members probed of whose life there is no evidence, and marks those as down that
-// respond to nobody.
+// evaluateConfirmations detects dead members about which no suspicion arrives because their watchers died with them,
+// and the watchers of those watchers as well. Live members without evidence that they are alive become unconfirmed and
+// are probed; those that respond to no probe are marked as down.
 //
-// There is evidence of a member's life by direct contact, and by the silence of a live watcher, which would have issued
-// a suspicion. What a watcher says by its silence at one moment holds for a moment one suspicion timeout earlier; so
-// evidence gets older from watcher to watcher, and that of a dead member is never newer than its death. While many
-// members fail, evidence must be newer than evidenceLimit. Otherwise it suffices that a member is reachable: a chain of
-// watchers, each of which watches the next, leads to it from a member with which there is contact.
+// Evidence that a member is alive comes from direct contact, or from a live watcher that doesn't suspect it. Since a
+// watcher suspects a dead member only after the suspicion timeout and the delivery of its suspicion (maxReportDelay),
+// the absence of a suspicion now shows only that the member was alive maxReportDelay ago. Evidence therefore gets older
+// with each watcher along a chain, and evidence about a dead member is never newer than its death.
+//
+// While many members are failing (inMassFailure), evidence must be newer than maxEvidenceAge. Otherwise it is enough
+// that a member is reachable: a chain of watchers, each watching the next, leads to it from a member with direct
+// evidence.
 func (t *Table) evaluateConfirmations(now time.Time) {
 	if now.Sub(t.confirmedAt) < confirmationInterval || now.Sub(t.resumedAt) < SuspicionTimeout {
 		return
@@ -40,7 +47,7 @@
 	t.confirmedAt = now
 	suspecting := t.suspectingWatchers()
 	t.collectEvidence(now, suspecting)
-	t.limitsEvidence = len(suspecting)+t.countDownSince(now.Add(-failurePeriod)) >= manyFailures
+	t.inMassFailure = len(suspecting)+t.countDownSince(now.Add(-massFailureWindow)) >= massFailureThreshold
 	t.updateUnconfirmed(now)
 	for _, name := range slices.Sorted(maps.Keys(t.unconfirmed)) {
 		if t.isUnresponsive(now, name) {
@@ -50,14 +57,15 @@
 	}
 }
 
-// collectEvidence sets each member's evidence and whether it is reachable.
+// collectEvidence sets evidenceAt and reachable of each live member. It starts at the members with direct evidence and
+// follows the links from watchers to the members that they watch and don't suspect.
 func (t *Table) collectEvidence(now time.Time, suspecting map[string][]string) {
 	t.updateWatchLinks()
 	var pending []*trackedMember
 	for _, member := range t.LiveMembers() {
 		tracked := t.members[member.Name]
 		tracked.setEvidence(t.directEvidence(now, tracked))
-		tracked.reachable = !tracked.evidence.IsZero()
+		tracked.reachable = !tracked.evidenceAt.IsZero()
 		if tracked.reachable {
 			pending = append(pending, tracked)
 		}
@@ -67,45 +75,48 @@
 		pending = pending[1:]
 		for _, link := range watcher.watching {
 			isSuspected := slices.Contains(suspecting[link.member.member.Name], watcher.member.Name)
-			if link.member.isLive() && !isSuspected && link.passEvidence(now) {
+			if link.member.isLive() && !isSuspected && link.propagateEvidence(now) {
 				pending = append(pending, link.member)
 			}
 		}
 	}
 }
 
-// passEvidence updates the evidence of a link's member from that of its watcher, and reports whether that has changed
-// anything. A watcher knows nothing of the time before it began to watch. It says nothing either if it took the member
-// for down by then, which can't be if the member was alive later.
-func (l *watchLink) passEvidence(now time.Time) (changed bool) {
+// propagateEvidence updates reachable and evidenceAt of the link's member from its watcher, and reports whether either
+// changed. The member becomes reachable once the watcher has been assigned for maxReportDelay. As evidence, the
+// watcher's silence counts only for the time since it began to watch, and only if there is evidence that the member was
+// alive after that. Without such evidence, the watcher may have considered the member down when it began to watch, and
+// then never issues a suspicion.
+func (l *watchLink) propagateEvidence(now time.Time) (changed bool) {
 	since := l.since
 	if l.watcher.liveSince.After(since) {
 		since = l.watcher.liveSince
 	}
-	if now.Sub(since) >= l.reportDelay() && !l.member.reachable {
+	if now.Sub(since) >= l.maxReportDelay() && !l.member.reachable {
 		l.member.reachable = true
 		changed = true
 	}
-	evidence := l.watcher.evidence.Add(-l.reportDelay())
-	isWatching := !evidence.Before(since) && !l.member.aliveAt.Before(since)
-	if isWatching && evidence.After(l.member.evidence) {
+	evidence := l.watcher.evidenceAt.Add(-l.maxReportDelay())
+	isWatching := !evidence.Before(since) && !l.member.newestEvidenceAt.Before(since)
+	if isWatching && evidence.After(l.member.evidenceAt) {
 		l.member.setEvidence(evidence)
 		changed = true
 	}
 	return changed
 }
 
-// setEvidence sets the evidence of a member.
+// setEvidence sets the member's evidenceAt and updates newestEvidenceAt.
 func (m *trackedMember) setEvidence(evidence time.Time) {
-	m.evidence = evidence
-	if evidence.After(m.aliveAt) {
-		m.aliveAt = evidence
+	m.evidenceAt = evidence
+	if evidence.After(m.newestEvidenceAt) {
+		m.newestEvidenceAt = evidence
 	}
 }
 
-// directEvidence returns when the local member last heard of a live member without a watcher between: by a call, by a
-// response, by a new version of it, or by a member that probed it. A failed call since the contact, or a suspicion of
-// the local member, annuls the former.
+// directEvidence returns the time of the newest evidence about a live member that doesn't depend on its watchers: a
+// call or response from it, a new version of it, or a relay's report that it responded to a probe. The result is zero
+// if there is no recent evidence. Calls, responses and versions don't count if a call to the member has failed since,
+// or while the local member suspects it.
 func (t *Table) directEvidence(now time.Time, tracked *trackedMember) (evidence time.Time) {
 	name := tracked.member.Name
 	if name == t.self {
@@ -124,20 +135,20 @@
 		record(tracked.lastContact, contactPeriod)
 	}
 	if tracked.versionAt.After(tracked.noResponseAt) {
-		record(tracked.versionAt, evidenceLimit)
+		record(tracked.versionAt, maxEvidenceAge)
 	}
 	return evidence
 }
 
-// isConfirmed reports whether there is evidence that a live member still is alive.
+// isConfirmed reports whether there is sufficient evidence that a live member is still alive.
 func (t *Table) isConfirmed(now time.Time, tracked *trackedMember) bool {
-	if !t.limitsEvidence {
+	if !t.inMassFailure {
 		return tracked.reachable
 	}
-	return now.Sub(tracked.evidence) < evidenceLimit+t.timeoutExtension()
+	return now.Sub(tracked.evidenceAt) < maxEvidenceAge+t.timeoutExtension()
 }
 
-// countDownSince counts the members that went down after a time.
+// countDownSince returns the number of members that went down after a time.
 func (t *Table) countDownSince(since time.Time) (count int) {
 	for _, tracked := range t.members {
 		if tracked.downSince.After(since) {
@@ -147,7 +158,7 @@
 	return count
 }
 
-// updateUnconfirmed lists the live members without evidence.
+// updateUnconfirmed adds the live members that aren't confirmed to the unconfirmed ones and removes all others.
 func (t *Table) updateUnconfirmed(now time.Time) {
 	for name, tracked := range t.members {
 		if !tracked.isLive() || t.isConfirmed(now, tracked) {
--- a/serving/membership/confirmation_test.go
+++ b/serving/membership/confirmation_test.go
@@ -10,9 +10,11 @@
 	"rowanlink/serving/state"
 )
 
-// runProbed ticks a table for a time. The live members are in contact all the while, if inContact is set, or respond to
-// probes only; the others are silent.
-func runProbed(table *Table, from time.Time, span time.Duration, inContact bool, isAlive func(string) bool) time.Time {
+// tickWithProbes ticks a table for a span of time and answers its probes for the members that isAlive reports. With
+// inContact, these members also call the local member before each tick. It returns the time at the end.
+func tickWithProbes(
+	table *Table, from time.Time, span time.Duration, inContact bool, isAlive func(string) bool,
+) time.Time {
 	now := from
 	for ; now.Before(from.Add(span)); now = now.Add(confirmationInterval) {
 		for _, member := range table.LiveMembers() {
@@ -35,8 +37,9 @@
 	return now
 }
 
-// suspectLost applies the suspicions of the survivors about all other members: only those of their watchers count.
-func suspectLost(table *Table, survives func(string) bool) {
+// mergeSuspicionsOfSurvivors applies a suspicion by every survivor about every other member. Those by survivors that
+// aren't watchers of the member have no vote.
+func mergeSuspicionsOfSurvivors(table *Table, survives func(string) bool) {
 	for _, member := range table.LiveMembers() {
 		for _, watcher := range table.LiveMembers() {
 			if survives(watcher.Name) && !survives(member.Name) {
@@ -46,27 +49,27 @@
 	}
 }
 
-// TestConfirmation_MembersLostWithAllTheirWatchers guards against members that nobody ever suspects: the local member and
-// one more survive, in a system in which the dead watch each other.
+// TestConfirmation_MembersLostWithAllTheirWatchers guards against dead members that stay live because nobody suspects
+// them: only the local member and one other survive, and most of the dead members watched each other.
 func TestConfirmation_MembersLostWithAllTheirWatchers(t *testing.T) {
 	table := tableOf(membersInZones(24, "a1", "a2", "b1")...)
-	now := runProbed(table, startTime, 20*time.Second, true, func(string) bool { return true })
+	now := tickWithProbes(table, startTime, 20*time.Second, true, func(string) bool { return true })
 	require.Len(t, table.LiveMembers(), 24)
 	survives := func(name string) bool { return name == "m1" }
-	now = runProbed(table, now, SuspicionTimeout, true, survives)
-	suspectLost(table, survives)
-	runProbed(table, now, 7*time.Second-SuspicionTimeout, true, survives)
+	now = tickWithProbes(table, now, SuspicionTimeout, true, survives)
+	mergeSuspicionsOfSurvivors(table, survives)
+	tickWithProbes(table, now, 7*time.Second-SuspicionTimeout, true, survives)
 	assert.Equal(t, []string{"m0", "m1"}, namesOf(table.LiveMembers()))
 }
 
-// TestConfirmation_MembersThatRespondStayLive guards against members that are marked as down because no news of them
-// comes: their watchers are dead or unknown.
+// TestConfirmation_MembersThatRespondStayLive guards against live members that are marked as down because there is no
+// evidence that they are alive: their watchers are dead or not known. They respond to probes only.
 func TestConfirmation_MembersThatRespondStayLive(t *testing.T) {
 	table := tableOf(membersInZones(24, "a1", "a2", "b1")...)
-	now := runProbed(table, startTime, 20*time.Second, true, func(string) bool { return true })
+	now := tickWithProbes(table, startTime, 20*time.Second, true, func(string) bool { return true })
 	survives := func(name string) bool { return name == "m1" || name == "m5" || name == "m9" }
-	suspectLost(table, survives)
-	runProbed(table, now, 30*time.Second, false, survives)
+	mergeSuspicionsOfSurvivors(table, survives)
+	tickWithProbes(table, now, 30*time.Second, false, survives)
 	assert.Equal(t, []string{"m0", "m1", "m5", "m9"}, namesOf(table.LiveMembers()))
 }
 
@@ -74,7 +77,7 @@
 // local member's own path to them is lost.
 func TestConfirmation_RelaysDecideAboutReachableMembers(t *testing.T) {
 	for _, responds := range []bool{false, true} {
-		table, member, _ := newUnwatchedMember(t)
+		table, member, _ := newTableWithUnwatchedMember(t)
 		now := startTime.Add(time.Second)
 		for _, other := range table.LiveMembers() {
 			if other.Name != member.Name {
@@ -83,14 +86,14 @@
 		}
 		table.unconfirmed[member.Name] = &unconfirmedMember{since: now}
 		table.members[member.Name].reachable = true
-		assert.Empty(t, table.UnconfirmedToProbe(now, inOrder)[0].Relays, "at first a call of its own")
+		assert.Empty(t, table.UnconfirmedToProbe(now, inOrder)[0].Relays, "the first probe is the local member's alone")
 		table.RecordProbeFailure(now, member.Name)
 		relays := table.UnconfirmedToProbe(now, inOrder)[0].Relays
 		assert.Len(t, relays, maxRelays)
 		table.RecordProbeFailure(now, member.Name)
 		later := now.Add(minReachableUnconfirmedPeriod)
 		for range relays {
-			assert.False(t, table.isUnresponsive(later, member.Name), "a relay may still have contact")
+			assert.False(t, table.isUnresponsive(later, member.Name), "a relay hasn't answered yet")
 			table.RecordRelayedProbe(now, member.Name, responds)
 		}
 		assert.Equal(t, responds, !table.directEvidence(later, table.members[member.Name]).IsZero())
@@ -99,21 +102,22 @@
 	}
 }
 
-// TestConfirmation_SilenceOfLaterWatchers guards against evidence from a watcher that began to watch after the member's
-// death: it may have taken it for down before, and so never suspects it.
+// TestConfirmation_SilenceOfLaterWatchers guards against evidence from a watcher that was assigned after the member's
+// death. Such a watcher may already have considered the member down, and then never suspects it.
 func TestConfirmation_SilenceOfLaterWatchers(t *testing.T) {
 	died := startTime.Add(time.Minute)
 	for _, aliveAfter := range []time.Duration{-time.Millisecond, time.Millisecond} {
-		watcher := &trackedMember{member: memberIn("watcher", "a1", "a"), evidence: died.Add(10 * time.Second)}
-		link := watchLink{watcher: watcher, member: &trackedMember{aliveAt: died.Add(aliveAfter)}, since: died}
+		watcher := &trackedMember{member: memberIn("watcher", "a1", "a"), evidenceAt: died.Add(10 * time.Second)}
+		link := watchLink{watcher: watcher, member: &trackedMember{newestEvidenceAt: died.Add(aliveAfter)}, since: died}
 		link.member.member = memberIn("member", "a1", "a")
-		link.passEvidence(died.Add(10 * time.Second))
-		assert.Equal(t, aliveAfter > 0, !link.member.evidence.IsZero())
+		link.propagateEvidence(died.Add(10 * time.Second))
+		assert.Equal(t, aliveAfter > 0, !link.member.evidenceAt.IsZero())
 	}
 }
 
-// TestTick_WatcherSuspectsMembersMarkedDown guards against watchers whose silence tells members that have missed the
-// suspicions of others that a dead member is alive.
+// TestTick_WatcherSuspectsMembersMarkedDown guards against a watcher that issues no suspicion about a member because it
+// has already marked it as down. Members that missed the other watchers' suspicions would take its silence as evidence
+// that the member is alive.
 func TestTick_WatcherSuspectsMembersMarkedDown(t *testing.T) {
 	table := tableOf(membersInZones(10, "a1", "a2", "b1")...)
 	table.Tick(startTime)
@@ -125,8 +129,8 @@
 	assert.NotEmpty(t, suspicions)
 }
 
-// TestOverdueMembers_AreCalledBeforeTheyAreSuspected guards against suspicions about members that send their heartbeats
-// to others because they know an older ring.
+// TestOverdueMembers_AreCalledBeforeTheyAreSuspected guards against suspicions about live members that still send their
+// heartbeats to their previous watchers because they know an older version of the ring.
 func TestOverdueMembers_AreCalledBeforeTheyAreSuspected(t *testing.T) {
 	table := tableOf(memberIn("self", "a1", "a"), memberIn("other", "a1", "a"))
 	table.Tick(startTime)
--- a/serving/membership/departed_test.go
+++ b/serving/membership/departed_test.go
@@ -9,7 +9,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestLeftMembers_RetainsDepartedMembers checks that they stay listed for RetentionPeriod or until they come restarted.
+// TestLeftMembers_RetainsDepartedMembers checks that members that have left stay listed for RetentionPeriod, or until
+// they are back as a new incarnation.
 func TestLeftMembers_RetainsDepartedMembers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New(now, Options{Self: state.Member{Name: "self", Incarnation: 1, State: state.MemberReady}})
--- a/serving/membership/doubt.go
+++ b/serving/membership/doubt.go
@@ -8,22 +8,23 @@
 	"rowanlink/serving/state"
 )
 
-// probeTimeout is how long a probe of one doubtful member waits for an answer.
+// probeTimeout is how long a doubtful member has to respond to a probe.
 const probeTimeout = 500 * time.Millisecond
 
-// doubt is what is known of a doubtful member: one that a single watcher of several suspects while the others are down,
-// or that the majority of its watchers suspects only if other suspected members have no vote.
-type doubt struct {
-	since    time.Time
-	probedAt time.Time // zero: not yet
+// doubtfulMember is the state of a doubtful member: a suspected one that must be probed before it is marked as down. A
+// member is doubtful if just one of its watchers suspects it while the others are down, or if there is a majority of
+// its watchers against it only as long as other suspected members have no vote.
+type doubtfulMember struct {
+	since    time.Time // when it became doubtful
+	probedAt time.Time // zero: not probed yet
 }
 
-// updateDoubtful begins a doubt about each member of a set and ends those about others.
+// updateDoubtful makes the members of a set the doubtful ones. Those that already were keep their state.
 func (t *Table) updateDoubtful(now time.Time, suspected map[string]bool) {
-	maps.DeleteFunc(t.doubtful, func(name string, _ *doubt) bool { return !suspected[name] })
+	maps.DeleteFunc(t.doubtful, func(name string, _ *doubtfulMember) bool { return !suspected[name] })
 	for name := range suspected {
 		if t.doubtful[name] == nil {
-			t.doubtful[name] = &doubt{since: now}
+			t.doubtful[name] = &doubtfulMember{since: now}
 		}
 	}
 	if len(t.doubtful) > 0 {
@@ -31,33 +32,36 @@
 	}
 }
 
-// settleDoubts marks the doubtful members as down that were probed without an answer. A member that has called or
-// answered recently isn't dead, whoever suspects it, and so keeps its vote about others. The caller of Tick makes the
-// probes, see MembersToProbe.
-func (t *Table) settleDoubts(now time.Time, suspecting map[string][]string, certain map[string]bool) {
+// markSilentDoubtfulDown marks the doubtful members as down that were probed without a response. A member that has
+// called or responded recently isn't dead, even if others suspect it, and therefore keeps its vote about others; this
+// doesn't apply to the members in certain, which are marked as down anyway. The caller of Tick makes the probes, see
+// MembersToProbe.
+func (t *Table) markSilentDoubtfulDown(now time.Time, suspecting map[string][]string, certain map[string]bool) {
 	if len(t.doubtful) == 0 {
 		return
 	}
-	unheard := maps.Clone(suspecting)
-	maps.DeleteFunc(unheard, func(name string, _ []string) bool {
+	withoutContact := maps.Clone(suspecting)
+	maps.DeleteFunc(withoutContact, func(name string, _ []string) bool {
 		return !certain[name] && now.Sub(t.members[name].lastContact) < RemoteSuspicionTimeout
 	})
-	for _, name := range slices.Sorted(maps.Keys(t.greatestSuspectedSet(unheard))) {
-		if t.doubtful[name] != nil && t.isDoubtSettled(now, name) {
+	for _, name := range slices.Sorted(maps.Keys(t.largestSuspectedSet(withoutContact))) {
+		if t.doubtful[name] != nil && t.isProbedWithoutResponse(now, name) {
 			delete(t.doubtful, name)
 			t.markDownFor(now, t.members[name], SuspectedAndSilent)
 		}
 	}
 }
 
-// isDoubtSettled reports whether a doubtful member may be marked as down: it has been probed itself, or no member of
-// its zone has responded while a sample of them was probed, which is quicker where a whole region is lost.
-func (t *Table) isDoubtSettled(now time.Time, name string) bool {
-	doubt := t.doubtful[name]
-	if now.Sub(doubt.since) < zoneProbePeriod {
+// isProbedWithoutResponse reports whether a doubtful member without recent contact may be marked as down: it was probed
+// at least probeTimeout ago, or no member of its zone has called or responded for zoneProbePeriod while a sample of
+// them was probed. The latter is faster when a whole region is lost. In either case zoneProbePeriod must have passed
+// since the member became doubtful.
+func (t *Table) isProbedWithoutResponse(now time.Time, name string) bool {
+	doubtful := t.doubtful[name]
+	if now.Sub(doubtful.since) < zoneProbePeriod {
 		return false
 	}
-	probed := !doubt.probedAt.IsZero() && now.Sub(doubt.probedAt) >= probeTimeout
+	probed := !doubtful.probedAt.IsZero() && now.Sub(doubtful.probedAt) >= probeTimeout
 	zoneIsSilent := now.Sub(t.lastContacts[t.members[name].member.Zone]) >= zoneProbePeriod
 	return probed || zoneIsSilent
 }
@@ -65,9 +69,9 @@
 // HasMembersToProbe reports whether MembersToProbe may return members.
 func (t *Table) HasMembersToProbe() bool { return len(t.suspectZones) > 0 || len(t.doubtful) > 0 }
 
-// MembersToProbe returns the members to be probed now, in a random order: some of the doubtful members of each zone that
-// were not probed yet, and of each other suspect zone one member. The caller calls them, reports their answers by
-// RecordContact and has them refute the suspicions, see RefutationNotice.
+// MembersToProbe returns the members to be probed now, in random order: up to doubtfulProbesPerZone of each zone's
+// doubtful members that were not probed yet, and one member of each other suspect zone. The caller calls them, reports
+// each response with RecordContact, and sends each member that responds its RefutationNotice.
 func (t *Table) MembersToProbe(now time.Time, shuffle func([]state.Member)) (members []state.Member) {
 	var doubtful []state.Member
 	for _, name := range slices.Sorted(maps.Keys(t.doubtful)) {
@@ -91,10 +95,10 @@
 	return append(members, firstOfEachZone(suspects, 1)...)
 }
 
-// doubtfulProbesPerZone is the number of doubtful members of one zone that are probed at once.
+// doubtfulProbesPerZone is the maximum number of doubtful members of a zone that are probed at once.
 const doubtfulProbesPerZone = 4
 
-// firstOfEachZone returns the first members of each zone, in their order.
+// firstOfEachZone returns the first members of each zone, at most limit per zone, in their original order.
 func firstOfEachZone(members []state.Member, limit int) (selected []state.Member) {
 	taken := map[string]int{}
 	for _, member := range members {
--- a/serving/membership/doubt_test.go
+++ b/serving/membership/doubt_test.go
@@ -11,11 +11,11 @@
 	"rowanlink/serving/state"
 )
 
-// inOrder is a shuffle that changes nothing.
+// inOrder is a shuffle function that keeps the order.
 func inOrder([]state.Member) {}
 
-// newTableWithDoubtfulPair returns the table of m0 and two members that watch each other, of which each is suspected by
-// all its other watchers.
+// newTableWithDoubtfulPair returns the table of m0 and two members that watch each other. Each of the two is suspected
+// by one of its other watchers; markOthersDown marks the rest of them as down.
 func newTableWithDoubtfulPair(t *testing.T) (table *Table, one, other state.Member) {
 	t.Helper()
 	table = tableOf(membersInZones(12, "a1", "a2", "b1")...)
@@ -32,7 +32,7 @@
 				for _, watcher := range table.Watchers(member.Name) {
 					if !slices.Contains(pair, watcher.Name) {
 						table.MergeSuspicion(suspicionBy(watcher, member))
-						break // one of two, beside the live one: no majority of the live watchers
+						break // one vote of three live watchers: no majority
 					}
 				}
 			}
@@ -43,7 +43,7 @@
 	return nil, state.Member{}, state.Member{}
 }
 
-// markOthersDown marks all watchers of a pair outside of it as down that have no suspicion.
+// markOthersDown marks the watchers of a pair as down that are outside the pair and don't suspect their member.
 func markOthersDown(table *Table, pair ...state.Member) {
 	for _, member := range pair {
 		suspecting := table.suspectingWatchers()[member.Name]
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestDoubt_OfMembersThatWatchEachOther probes two members that only count as dead if neither has a vote about the
-// other.
+// TestDoubt_OfMembersThatWatchEachOther guards against two members that watch each other being marked as down without a
+// probe, although there is a majority against each only as long as the other one has no vote.
 func TestDoubt_OfMembersThatWatchEachOther(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -66,7 +66,7 @@
 	}{
 		{name: "neither responds", responds: []bool{false, false}, oneDown: true},
 		{name: "both respond", responds: []bool{true, true}},
-		{name: "the other responds and so has a vote", responds: []bool{false, true}},
+		{name: "the other responds and therefore has a vote", responds: []bool{false, true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table, one, other := newTableWithDoubtfulPair(t)
@@ -91,10 +91,11 @@
 	}
 }
 
-// TestDoubt_OfSingleWatcherWhileOthersAreDown: the only live watcher of a member may have lost just its own path to it.
+// TestDoubt_OfSingleWatcherWhileOthersAreDown guards against a member being marked as down by its only live watcher
+// without a probe: the watcher may have lost only its own path to it.
 func TestDoubt_OfSingleWatcherWhileOthersAreDown(t *testing.T) {
 	for _, responds := range []bool{false, true} {
-		table, member, watchers := newUnwatchedMember(t)
+		table, member, watchers := newTableWithUnwatchedMember(t)
 		for _, watcher := range watchers[1:] {
 			table.markDown(startTime, table.members[watcher.Name])
 		}
@@ -110,7 +111,7 @@
 	}
 }
 
-// TestDoubt_EndsWithTheSuspicion refutes the suspicion about a doubtful member.
+// TestDoubt_EndsWithTheSuspicion checks that a member that refutes its suspicion is no longer doubtful.
 func TestDoubt_EndsWithTheSuspicion(t *testing.T) {
 	table, one, other := newTableWithDoubtfulPair(t)
 	markOthersDown(table, one, other)
@@ -127,7 +128,8 @@
 	assert.False(t, table.IsDown(other.Name))
 }
 
-// TestMembersToProbe_EachDoubtfulMemberFewAtATime makes a whole region doubtful.
+// TestMembersToProbe_EachDoubtfulMemberFewAtATime checks that all members of a doubtful region are probed, at most
+// doubtfulProbesPerZone of a zone at once.
 func TestMembersToProbe_EachDoubtfulMemberFewAtATime(t *testing.T) {
 	members := membersInZones(30, "a1", "a2", "b1")
 	table := tableOf(members[2:]...) // m2 is in b1
@@ -155,7 +157,7 @@
 	}
 	assert.Len(t, probed, 20, "each doubtful member")
 	afterwards := table.MembersToProbe(startTime, inOrder)
-	assert.Len(t, afterwards, 2, "one of each zone that may be unreachable")
+	assert.Len(t, afterwards, 2, "one of each suspect zone")
 }
 
 func namesOf(members []state.Member) (names []string) {
--- a/serving/membership/evaluation.go
+++ b/serving/membership/evaluation.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// leastCertainVotes is the number of watchers that have to suspect a member for it to be marked as down unprobed, unless
-// it has only one.
-const leastCertainVotes = 2
+// minVotesWithoutProbe is the minimum number of watchers that must suspect a member for it to be marked as down without
+// a probe. For a member with only one watcher, one is enough.
+const minVotesWithoutProbe = 2
 
-// isValid reports whether a suspicion refers to the newest version of a live member and was issued by the newest
+// isValid reports whether a suspicion is about the current version of a live member and was issued by the current
 // incarnation of its watcher.
 func (t *Table) isValid(suspicion Suspicion) bool {
 	member, memberKnown := t.members[suspicion.Member]
@@ -22,29 +22,32 @@
 }
 
 // evaluateSuspicions marks the members as down that the majority of their watchers suspect. Watchers that are down have
-// no vote, and neither have those that this same evaluation may find to be down: where a whole region dies, the few
-// watchers outside of it decide. A member that most of its live watchers suspect, and two at least, is marked at once.
-// Any other is doubtful and is probed first, see settleDoubts: a single watcher may have lost just its own path to the
-// member, and of two live members that watch each other, each would count the other as dead.
+// no vote. Neither do watchers that this same evaluation may find to be down, so that the few watchers outside decide
+// when a whole region dies.
+//
+// A member that the majority of its live watchers suspect, at least minVotesWithoutProbe of them, is marked as down at
+// once. Any other member of largestSuspectedSet is doubtful and is probed first, see markSilentDoubtfulDown. There are
+// two reasons: a single watcher may have lost only its own path to the member, and two live members that watch each
+// other may both be in the set, where neither has a vote in favor of the other.
 func (t *Table) evaluateSuspicions(now time.Time) {
 	suspecting := t.suspectingWatchers()
 	if len(suspecting) == 0 {
 		clear(t.doubtful)
 		return
 	}
-	suspected := t.greatestSuspectedSet(suspecting)
+	suspected := t.largestSuspectedSet(suspecting)
 	certain := t.suspectedByMostLiveWatchers(suspecting, suspected)
 	maps.DeleteFunc(suspected, func(name string, _ bool) bool { return certain[name] })
 	t.updateDoubtful(now, suspected)
-	t.settleDoubts(now, suspecting, certain)
+	t.markSilentDoubtfulDown(now, suspecting, certain)
 	for _, name := range slices.Sorted(maps.Keys(certain)) {
 		t.markDown(now, t.members[name])
 	}
 }
 
-// greatestSuspectedSet returns the greatest set of suspected members in which each is suspected by the majority of its
+// largestSuspectedSet returns the largest set of suspected members in which each is suspected by the majority of its
 // live watchers outside the set.
-func (t *Table) greatestSuspectedSet(suspecting map[string][]string) map[string]bool {
+func (t *Table) largestSuspectedSet(suspecting map[string][]string) map[string]bool {
 	set := map[string]bool{}
 	for name := range suspecting {
 		set[name] = true
@@ -63,15 +66,15 @@
 	return set
 }
 
-// suspectedByMostLiveWatchers returns the members of a set that the majority of their live watchers suspects, and two
-// at least. Those that it has found lose their own vote in a further round.
+// suspectedByMostLiveWatchers returns the members of a set that the majority of their live watchers suspect, at least
+// minVotesWithoutProbe of them. Members found in one round have no vote in the next; the rounds end when none is found.
 func (t *Table) suspectedByMostLiveWatchers(suspecting map[string][]string, set map[string]bool) map[string]bool {
 	found := map[string]bool{}
 	for {
 		var more []string
 		for name := range set {
 			votes, voters := t.countVotes(name, suspecting[name], found)
-			needed := min(leastCertainVotes, len(t.watchersOf(name)))
+			needed := min(minVotesWithoutProbe, len(t.watchersOf(name)))
 			if !found[name] && votes >= needed && 2*votes > voters {
 				more = append(more, name)
 			}
@@ -85,7 +88,8 @@
 	}
 }
 
-// suspectingWatchers returns the watchers with a valid suspicion, by the name of the member that they suspect.
+// suspectingWatchers returns the names of the watchers with a valid suspicion, by the name of the suspected member. The
+// local member is never among the suspected ones.
 func (t *Table) suspectingWatchers() map[string][]string {
 	suspecting := map[string][]string{}
 	for id, suspicion := range t.suspicions {
@@ -96,7 +100,8 @@
 	return suspecting
 }
 
-// countVotes counts a member's live watchers that are not excluded, and of them those that suspect it.
+// countVotes returns the number of a member's live watchers that are not excluded (voters), and how many of them
+// suspect the member (votes).
 func (t *Table) countVotes(name string, suspecting []string, excluded map[string]bool) (votes, voters int) {
 	for _, link := range t.watchersOf(name) {
 		watcher := link.watcher
--- a/serving/membership/lateness_test.go
+++ b/serving/membership/lateness_test.go
@@ -9,13 +9,13 @@
 	"rowanlink/serving/state"
 )
 
-// TestSuspicionTimeout_ExtendsWithLocalLateness checks that a late watcher waits longer by a multiple of its lateness,
-// up to a bound, and soon only as long as other watchers once it is in time again.
+// TestSuspicionTimeout_ExtendsWithLocalLateness checks that a watcher that runs late extends its suspicion timeout by a
+// multiple of its lateness, up to a bound, and that the extension ends soon after it runs on time again.
 func TestSuspicionTimeout_ExtendsWithLocalLateness(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		late  time.Duration
-		ticks int // in time, after the delay
+		ticks int // on time, after the delay
 		added time.Duration
 	}{
 		{"in time", 0, 0, 0},
@@ -45,13 +45,13 @@
 	}
 }
 
-// TestSuspicionTimeout_ExtendsWithHeartbeatLateness checks that a member that is short of processor time isn't
+// TestSuspicionTimeout_ExtendsWithHeartbeatLateness guards against a member that is short of processor time being
 // suspected at each late heartbeat.
 func TestSuspicionTimeout_ExtendsWithHeartbeatLateness(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		late   time.Duration // of one heartbeat
-		inTime int           // heartbeats in time since then
+		inTime int           // heartbeats on time since then
 		added  time.Duration
 	}{
 		{"in time", 0, 0, 0},
--- a/serving/membership/partition.go
+++ b/serving/membership/partition.go
@@ -7,15 +7,19 @@
 	"rowanlink/serving/state"
 )
 
-// zoneProbePeriod is how long a zone is probed before it counts as unreachable.
+// zoneProbePeriod is how long a zone is probed without a response before it counts as unreachable.
 const zoneProbePeriod = 900 * time.Millisecond
 
-// evaluateZones marks all suspected members of zones as down that the local zone can't reach any more. In a partitioned zone,
-// members elsewhere have watchers whose suspicions don't arrive there, and which count as voters all the same; some
-// members are watched by such watchers alone. So evaluateZones looks for a set of other zones from which no member
-// outside the set receives anything. The few members of a zone that are watched from outside may have died by
-// themselves: the zone is first suspect and its members are probed, see MembersToProbe. Any response clears it. A member that nobody suspects may be alive after the
-// loss of its watchers, and is left to evaluateConfirmations.
+// evaluateZones marks the suspected members of zones that are no longer reachable from the local zone as down.
+//
+// The majority rule of evaluateSuspicions isn't sufficient in a partitioned zone. Members in the other zones have
+// watchers whose suspicions don't arrive in the local zone but which still count as voters, and some members have only
+// such watchers. Therefore evaluateZones looks for a set of other zones from which no member outside the set receives
+// anything.
+//
+// Such a zone is at first only suspect, because perhaps just the few members that are watched from outside have died.
+// Its members are probed for zoneProbePeriod, see MembersToProbe, and any response clears the zone. A member that
+// nobody suspects may be alive and have lost its watchers; it is left to evaluateConfirmations.
 func (t *Table) evaluateZones(now time.Time) {
 	unreachable := t.unreachableZones(now)
 	probed := true
@@ -43,10 +47,10 @@
 	clear(t.suspectZones)
 }
 
-// unreachableZones returns the greatest set of zones without recent contact from which no member outside the set
-// receives anything: every member that is watched from outside is suspected by the majority of those watchers, and each
-// zone outside has such a watcher in each zone of the set. A zone outside without one might receive what the others
-// don't.
+// unreachableZones returns the largest set of zones without recent contact from which no member outside the set
+// receives anything. That is so if every member of the set that has watchers outside is suspected by the majority of
+// them, and if every zone outside the set has a member that watches and suspects a member of each zone in the set; a
+// zone outside without one might still receive heartbeats that the others don't. See isZoneUnreachable.
 func (t *Table) unreachableZones(now time.Time) map[string]bool {
 	if len(t.suspicions) == 0 {
 		return nil
@@ -87,19 +91,20 @@
 	return members
 }
 
-// RecordContact records that a member has called or has responded to a call.
+// RecordContact records that a member has called or has responded to a call. Like a heartbeat, this restarts the
+// suspicion timeout.
 func (t *Table) RecordContact(now time.Time, name string) {
 	if tracked, ok := t.members[name]; ok {
 		tracked.lastContact = now
 		delete(t.unconfirmed, name)
 		if watched := t.watched[name]; watched != nil {
-			watched.restart(now)
+			watched.restartTimeout(now)
 		}
 		t.lastContacts[tracked.member.Zone] = now
 	}
 }
 
-// otherZones returns the zones with live members, without the local zone.
+// otherZones returns the zones with live members, except the local zone.
 func (t *Table) otherZones() map[string]bool {
 	zones := map[string]bool{}
 	for _, member := range t.LiveMembers() {
@@ -109,10 +114,11 @@
 	return zones
 }
 
-// isZoneUnreachable reports whether each zone outside of the unreachable ones has a suspecting watcher in this one, and
-// each member with live watchers outside is suspected by the majority of them.
+// isZoneUnreachable reports whether nothing from a zone is received outside the given unreachable zones: each member of
+// the zone that has live watchers outside is suspected by the majority of them, and each zone outside has a member that
+// suspects a member of this zone that it watches.
 func (t *Table) isZoneUnreachable(zone string, unreachable map[string]bool, suspecting map[string][]string) bool {
-	suspectingZones := map[string]bool{} // zones outside with a watcher in this zone that suspects its member
+	suspectingZones := map[string]bool{} // zones outside that contain a watcher suspecting a member of this zone
 	for _, member := range t.LiveMembers() {
 		if member.Zone != zone {
 			continue
--- a/serving/membership/probe.go
+++ b/serving/membership/probe.go
@@ -9,39 +9,43 @@
 )
 
 const (
-	// minUnconfirmedPeriod is how long a member must have been unconfirmed before it is marked as down. A reachable one
-	// has as long to respond as a watcher would give it.
+	// minUnconfirmedPeriod is how long a member must have been unconfirmed before it is marked as down.
+	// minReachableUnconfirmedPeriod applies instead if relays have to probe it too (see needsRelays): such a member
+	// gets as long to respond as its watcher would wait for a heartbeat.
 	minUnconfirmedPeriod          = zoneProbePeriod
 	minReachableUnconfirmedPeriod = SuspicionTimeout
-	// minFailedProbes is the number of probes without a response that it takes.
+	// minFailedProbes is the minimum number of probes without a response before a member is marked as down.
 	minFailedProbes = 2
-	// relaysPerZone and maxRelays are the numbers of members that are asked to probe a member too.
+	// relaysPerZone and maxRelays are the maximum numbers of relays per zone and in total that are asked to probe a
+	// member.
 	relaysPerZone = 2
 	maxRelays     = 6
-	// firstProbesPerZone is the number of unconfirmed members of a zone that are probed at once, beside as many again
-	// as have failed to respond. So it doubles while most of them are dead, and is enough where most are live, since
-	// each response confirms further members.
+	// firstProbesPerZone is the number of unconfirmed members of a zone that get their first probe at once. It is
+	// increased by the number of those that have already failed to respond. The number of probes therefore doubles from
+	// round to round while most of the members are dead, and stays small if most are live, since each response also
+	// confirms other members.
 	firstProbesPerZone = 4
 )
 
-// unconfirmedMember is the state of the probes of a live member without evidence of its life.
+// unconfirmedMember is the state of the probes of a live member without sufficient evidence that it is alive.
 type unconfirmedMember struct {
-	since    time.Time
-	probes   int // that were begun
-	failed   int // without a response
-	inFlight bool
-	relayed  bool // other members have been asked to probe it
-	relays   int  // of these, those that haven't answered yet
+	since         time.Time // when it became unconfirmed
+	probes        int       // probes begun
+	failed        int       // probes without a response
+	inFlight      bool      // a probe is under way
+	relaysAsked   bool      // other members have been asked to probe it
+	pendingRelays int       // the number of those that have not answered yet
 }
 
-// Probe is a call to an unconfirmed member. The relays, members in several zones, are asked to make the same call: the
-// local member may have lost just its own path to the member, as with the indirect probes of SWIM.
+// Probe is a call to an unconfirmed member. The relays, which are members in several zones, are asked to make the same
+// call, like the indirect probes of SWIM, because the local member may have lost only its own path to the member.
 type Probe struct {
 	Member state.Member
 	Relays []state.Member
 }
 
-// isUnresponsive reports whether an unconfirmed member has responded to none of the probes that it takes.
+// isUnresponsive reports whether an unconfirmed member has failed to respond to enough probes, and for long enough, to
+// be marked as down.
 func (t *Table) isUnresponsive(now time.Time, name string) bool {
 	probed := t.unconfirmed[name]
 	if probed.failed < minFailedProbes {
@@ -50,11 +54,12 @@
 	if !t.needsRelays(name) {
 		return now.Sub(probed.since) >= minUnconfirmedPeriod
 	}
-	return probed.relayed && probed.relays == 0 && now.Sub(probed.since) >= minReachableUnconfirmedPeriod
+	return probed.relaysAsked && probed.pendingRelays == 0 && now.Sub(probed.since) >= minReachableUnconfirmedPeriod
 }
 
-// needsRelays reports whether other members have to probe an unconfirmed member too before it is marked as down: it may
-// be alive, or nobody in its zone has been in contact since, so that the path there may be lost.
+// needsRelays reports whether relays must also probe an unconfirmed member before it is marked as down. That is so if
+// it is reachable and therefore may be alive, or if no member of its zone has been in contact since it became
+// unconfirmed, so that the local member's path to that zone may be lost.
 func (t *Table) needsRelays(name string) bool {
 	tracked := t.members[name]
 	return tracked.reachable || t.lastContacts[tracked.member.Zone].Before(t.unconfirmed[name].since)
@@ -63,8 +68,9 @@
 // HasUnconfirmed reports whether UnconfirmedToProbe may return probes.
 func (t *Table) HasUnconfirmed() bool { return len(t.unconfirmed) > 0 }
 
-// UnconfirmedToProbe returns the probes that are due, in a random order. The caller makes the calls. It reports for the
-// member RecordContact, RecordProbeFailure or, where it makes no call, CancelProbe; and for each relay RecordRelayedProbe.
+// UnconfirmedToProbe returns the probes that are due, in random order. The caller makes the calls and reports their
+// results: for the probed member with RecordContact, RecordProbeFailure or, if it makes no call, CancelProbe; and for
+// each relay with RecordRelayedProbe.
 func (t *Table) UnconfirmedToProbe(now time.Time, shuffle func([]state.Member)) (probes []Probe) {
 	members := t.membersToConfirm(shuffle)
 	if len(members) == 0 {
@@ -74,12 +80,12 @@
 	for _, member := range members {
 		probed := t.unconfirmed[member.Name]
 		probe := Probe{Member: member}
-		if probed.failed > 0 && !probed.relayed && t.needsRelays(member.Name) {
+		if probed.failed > 0 && !probed.relaysAsked && t.needsRelays(member.Name) {
 			shuffle(contacts)
 			relays := firstOfEachZone(contacts, relaysPerZone)
 			probe.Relays = relays[:min(len(relays), maxRelays)]
-			probed.relayed = true
-			probed.relays = len(probe.Relays)
+			probed.relaysAsked = true
+			probed.pendingRelays = len(probe.Relays)
 		}
 		probed.probes++
 		probed.inFlight = true
@@ -88,8 +94,8 @@
 	return probes
 }
 
-// membersToConfirm returns the unconfirmed members to be probed now: those that have failed to respond once, and some of
-// each zone for the first time.
+// membersToConfirm returns the unconfirmed members to be probed now: those that have failed to respond but need further
+// probes, and some of each zone for the first time (see firstProbesPerZone).
 func (t *Table) membersToConfirm(shuffle func([]state.Member)) (members []state.Member) {
 	var first []state.Member
 	limits := map[string]int{}
@@ -102,7 +108,7 @@
 		case probed.inFlight:
 		case probed.probes == 0:
 			first = append(first, member)
-		case probed.failed < minFailedProbes || t.needsRelays(name) && !probed.relayed:
+		case probed.failed < minFailedProbes || t.needsRelays(name) && !probed.relaysAsked:
 			members = append(members, member)
 		}
 	}
@@ -116,7 +122,8 @@
 	return members
 }
 
-// recentContacts returns the other members that have called or responded lately, by name.
+// recentContacts returns the other live members that have called or responded within contactPeriod and since the last
+// failed call to them, sorted by name.
 func (t *Table) recentContacts(now time.Time) []state.Member {
 	return t.membersWhere(func(tracked *trackedMember) bool {
 		isRecent := now.Sub(tracked.lastContact) < contactPeriod && tracked.lastContact.After(tracked.noResponseAt)
@@ -124,7 +131,7 @@
 	})
 }
 
-// RecordProbeFailure records that a member didn't respond to a probe of UnconfirmedToProbe.
+// RecordProbeFailure records that a member didn't respond to a probe that UnconfirmedToProbe returned.
 func (t *Table) RecordProbeFailure(now time.Time, name string) {
 	t.RecordNoResponse(now, name)
 	if probed, ok := t.unconfirmed[name]; ok && probed.inFlight {
@@ -133,7 +140,7 @@
 	}
 }
 
-// CancelProbe records that a member was not called for a probe of UnconfirmedToProbe.
+// CancelProbe records that the call for a probe that UnconfirmedToProbe returned was not made.
 func (t *Table) CancelProbe(name string) {
 	if probed, ok := t.unconfirmed[name]; ok && probed.inFlight {
 		probed.inFlight = false
@@ -141,12 +148,13 @@
 	}
 }
 
-// RecordRelayedProbe records the answer of a relay of a probe, or that it gave none.
+// RecordRelayedProbe records the result of one relay's probe of a member: whether the relay reported that the member
+// responded. A relay that doesn't answer counts as one without a response.
 func (t *Table) RecordRelayedProbe(now time.Time, name string, responded bool) {
 	if tracked, ok := t.members[name]; ok && responded {
 		tracked.probedByOther = now
 	}
-	if probed, ok := t.unconfirmed[name]; ok && probed.relays > 0 {
-		probed.relays--
+	if probed, ok := t.unconfirmed[name]; ok && probed.pendingRelays > 0 {
+		probed.pendingRelays--
 	}
 }
--- a/serving/membership/reason.go
+++ b/serving/membership/reason.go
@@ -5,17 +5,19 @@
 
 // The reasons for which a member is marked as down.
 const (
-	// SuspectedByWatchers: most of its live watchers suspect it, two at least.
+	// SuspectedByWatchers: the majority of its live watchers suspect it, at least two (or its only watcher).
 	SuspectedByWatchers DownReason = iota
-	// SuspectedAndSilent: it was doubtful and responded to no probe, see evaluateSuspicions.
+	// SuspectedAndSilent: it was suspected without a certain majority, and neither it nor its zone responded to probes,
+	// see evaluateSuspicions.
 	SuspectedAndSilent
-	// ZoneUnreachable: nobody of its zone responded, see evaluateZones.
+	// ZoneUnreachable: it is suspected, and no member of its zone responded, see evaluateZones.
 	ZoneUnreachable
-	// UnwatchedAndSilent: nobody alive watches it, and it responded to no probe, see evaluateConfirmations.
+	// UnwatchedAndSilent: there was no sufficient evidence that it is alive, because its watchers are dead too, and it
+	// responded to no probe, see evaluateConfirmations.
 	UnwatchedAndSilent
 )
 
-// String returns the reason as it is logged.
+// String returns the reason in the form used in logs.
 func (r DownReason) String() string {
 	switch r {
 	case SuspectedByWatchers:
--- a/serving/membership/ring.go
+++ b/serving/membership/ring.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// WatcherCount is the number of watchers of a member where there are enough other members.
+	// WatcherCount is the number of watchers of a member, if there are enough other members.
 	WatcherCount = 3
-	// maxRingDistance is the number of successors on the ring from which watchers are selected, and so bounds how many
-	// members one member can be watcher of.
+	// maxRingDistance is the number of successors on the ring from which watchers are selected. It is also the maximum
+	// number of members that one member watches.
 	maxRingDistance = 16
-	// smallZoneSize is the greatest number of live members of a zone in which remoteRank goes round exactly.
+	// smallZoneSize is the number of live members up to which a zone's members are assigned to the zones of other
+	// regions round-robin, see updateZones.
 	smallZoneSize = 8
 )
 
-// ringPositionOf returns the position on the hash ring of a member.
+// ringPositionOf returns a member's position on the hash ring.
 func ringPositionOf(name string) uint64 { return xxhash.Sum64String(name) }
 
 // membersOnRing returns the members on the ring, ordered by position and name.
@@ -42,8 +43,10 @@
 	return t.ringMembers
 }
 
-// updateZones lists the zones of the members on the ring and sets each member's remoteRank: in a small zone its
-// index in the order of the ring, in a large one its position, so that few ranks change when a member comes or goes.
+// updateZones lists the zones of the members on the ring and sets each member's remoteRank. In a zone with at most
+// smallZoneSize live members, it is the member's index in ring order, which spreads the members evenly over the zones
+// of other regions. In a larger zone, it is the member's ring position, so that it doesn't change when others come or
+// go.
 func (t *Table) updateZones() {
 	t.zones = t.zones[:0]
 	live := map[string][]*trackedMember{}
@@ -60,9 +63,9 @@
 	}
 	slices.SortFunc(t.zones, func(a, b zoneLocation) int { return cmp.Compare(a.zone, b.zone) })
 	for _, inZone := range live {
-		for number, tracked := range inZone {
+		for index, tracked := range inZone {
 			if len(inZone) <= smallZoneSize {
-				tracked.remoteRank = uint64(number)
+				tracked.remoteRank = uint64(index)
 			}
 		}
 	}
@@ -71,8 +74,9 @@
 // zoneLocation is a zone with its region.
 type zoneLocation struct{ zone, region string }
 
-// remoteZone returns the zone of another region in which a member prefers a watcher; empty where there is none. The
-// members of a zone have different ones, so that each zone that isn't partitioned receives heartbeats of some of them.
+// remoteZone returns the zone of another region from which a member's remote watcher is preferably selected; it is
+// empty if there is no other region. Members of one zone get different remote zones, so that every remote zone that
+// isn't partitioned receives heartbeats from some of them.
 func (t *Table) remoteZone(watched *trackedMember) string {
 	var otherRegions []string
 	for _, location := range t.zones {
@@ -86,7 +90,7 @@
 	return otherRegions[watched.remoteRank%uint64(len(otherRegions))]
 }
 
-// removeDownFromRing removes the members from the ring that have been down for ringRetention.
+// removeDownFromRing removes members from the ring that have been down for at least ringRetention.
 func (t *Table) removeDownFromRing(now time.Time) {
 	for _, tracked := range t.members {
 		if tracked.onRing && !tracked.isLive() && now.Sub(tracked.downSince) >= ringRetention {
@@ -96,7 +100,8 @@
 	}
 }
 
-// invalidateRing discards what was derived from the ring after a member was added, removed or has changed its state.
+// invalidateRing marks everything derived from the ring as stale, after a member was added or removed or has changed
+// its state.
 func (t *Table) invalidateRing() {
 	t.ringMembers = nil
 	t.watchedStale = true
@@ -105,10 +110,10 @@
 }
 
 // Watchers returns the watchers of a member, selected from its successors on the ring: one in another zone of its
-// region, one in a third zone of the region or in its own zone, and one in another region; where the region has no
-// other zone, two in its own. So a partition between two zones doesn't hide a member from the majority of its watchers,
-// and after the loss of a zone there are watchers left that have a vote, see evaluateSuspicions. All members that know
-// the same members agree on the watchers.
+// region, one in a third zone of the region or else in its own zone, and one in another region. If its region has no
+// other zone, two are in its own zone. A partition between two zones therefore doesn't separate a member from the
+// majority of its watchers, and after the loss of a zone there still are watchers with a vote, see evaluateSuspicions.
+// All members that know the same members select the same watchers.
 func (t *Table) Watchers(name string) []state.Member {
 	watched, ok := t.members[name]
 	if !ok {
@@ -138,7 +143,7 @@
 	return selection.selected
 }
 
-// successors returns the maxRingDistance members after a member's position on the ring, the nearest first.
+// successors returns the members that follow a member on the ring, at most maxRingDistance, nearest first.
 func (t *Table) successors(watched *trackedMember) []*state.Member {
 	ring := t.membersOnRing()
 	start := sort.Search(len(ring), func(i int) bool { return ring[i].ringPosition > watched.ringPosition })
@@ -155,11 +160,11 @@
 // watcherSelection collects the watchers of one member.
 type watcherSelection struct {
 	candidates []*state.Member
-	zones      map[string]bool // of the member and of the watchers selected
+	zones      map[string]bool // zones of the member and of the watchers selected so far
 	selected   []state.Member
 }
 
-// addNearest selects the nearest candidate that fits and reports whether there was one.
+// addNearest selects the nearest remaining candidate that fits and reports whether there was one.
 func (c *watcherSelection) addNearest(fits func(*state.Member) bool) bool {
 	for i, member := range c.candidates {
 		if member != nil && fits(member) {
--- a/serving/membership/ring_test.go
+++ b/serving/membership/ring_test.go
@@ -19,7 +19,7 @@
 	return state.Member{Name: name, Incarnation: 1, Sequence: 1, Role: state.RoleAgent, Zone: zone, Region: region}
 }
 
-// tableOf returns the table of the first of the members, which knows all of them.
+// tableOf returns a table that contains all the members. The first one is the local member.
 func tableOf(members ...state.Member) *Table {
 	t := New(startTime, Options{Self: members[0]})
 	for _, member := range members[1:] {
@@ -72,8 +72,9 @@
 	}
 }
 
-// TestWatchers_AreTheSameInAllTables generates members and the order in which they became known. All tables select the
-// same watchers, as many as there are others at most, and no member has to watch many.
+// TestWatchers_AreTheSameInAllTables generates members and the order in which they became known. It checks that all
+// tables select the same watchers, that a member has WatcherCount of them or as many as there are other members, and
+// that no member watches more than maxRingDistance others.
 func TestWatchers_AreTheSameInAllTables(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zones := []string{"a1", "a2", "b1", "b2", "c1"}
@@ -107,7 +108,7 @@
 			table.markDown(startTime, table.members[watcher.Name])
 		}
 	}
-	assert.Equal(t, before, table.Watchers("m7"), "until all that died have been detected")
+	assert.Equal(t, before, table.Watchers("m7"), "the watchers stay the same for ringRetention")
 	table.Tick(startTime.Add(ringRetention))
 	for _, watcher := range table.Watchers("m7") {
 		assert.False(t, table.IsDown(watcher.Name))
--- a/serving/membership/suspicion.go
+++ b/serving/membership/suspicion.go
@@ -14,11 +14,11 @@
 	Sequence           uint64 `cbor:"3,keyasint"` // of the member
 	Watcher            string `cbor:"4,keyasint"`
 	WatcherIncarnation uint64 `cbor:"5,keyasint"`
-	Revision           uint64 `cbor:"6,keyasint"` // rises with each suspicion or withdrawal that the watcher issues
+	Revision           uint64 `cbor:"6,keyasint"` // increases with each suspicion or withdrawal that the watcher issues
 	Withdrawn          bool   `cbor:"7,keyasint,omitempty"`
 }
 
-// keySeparator stands between the two names in a suspicion's key.
+// keySeparator separates the names of the member and the watcher in a suspicion's key.
 const keySeparator = "\x00"
 
 // Key returns the suspicion's key in the gossip table.
@@ -29,8 +29,9 @@
 
 func (s Suspicion) id() suspicionID { return suspicionID{member: s.Member, watcher: s.Watcher} }
 
-// Refute raises the local member's sequence above one under which others took it for down, and returns the new version
-// for gossip. It returns false where the sequence is higher already or was raised less than refuteInterval ago.
+// Refute raises the local member's sequence above the given one, under which other members suspect it or have marked it
+// as down, and returns the new version for gossip. It returns false if the member has left, if its sequence is already
+// higher, or if it refuted less than refuteInterval ago.
 func (t *Table) Refute(now time.Time, above uint64) (state.Member, bool) {
 	if isDeparted(t.Self()) || t.Self().Sequence > above || now.Sub(t.refutedAt) < refuteInterval {
 		return state.Member{}, false
@@ -42,8 +43,9 @@
 	return refuted, true
 }
 
-// MergeSuspicion applies a watcher's suspicion or withdrawal. One about the local member is stored like any other: the
-// members that receive its heartbeats make it refute, see HeartbeatAck.RefuteAbove. Tick evaluates what has changed.
+// MergeSuspicion applies a watcher's suspicion or withdrawal; the next Tick evaluates it. A suspicion about the local
+// member is only stored, not refuted here: the members that receive its heartbeats ask it to refute, see
+// HeartbeatAck.RefuteAbove.
 func (t *Table) MergeSuspicion(suspicion Suspicion) {
 	id := suspicion.id()
 	if stored, ok := t.suspicions[id]; ok && !isNewerSuspicion(suspicion, stored) {
@@ -57,7 +59,8 @@
 	t.suspicions[id] = suspicion
 }
 
-// isNewerSuspicion orders the statements of one watcher about one member.
+// isNewerSuspicion reports whether one statement of a watcher about a member is newer than the other: by the watcher's
+// incarnation, then by revision.
 func isNewerSuspicion(one, other Suspicion) bool {
 	if one.WatcherIncarnation != other.WatcherIncarnation {
 		return one.WatcherIncarnation > other.WatcherIncarnation
@@ -70,15 +73,15 @@
 	delete(t.suspicions, suspicion.id())
 }
 
-// IsFromEarlierIncarnation reports whether a suspicion was issued by an earlier incarnation of the local member and so
-// has to be withdrawn.
+// IsFromEarlierIncarnation reports whether a suspicion was issued by an earlier incarnation of the local member and
+// therefore must be withdrawn.
 func (t *Table) IsFromEarlierIncarnation(suspicion Suspicion) bool {
 	return suspicion.Watcher == t.self &&
 		!suspicion.Withdrawn &&
 		suspicion.WatcherIncarnation < t.Self().Incarnation
 }
 
-// WithdrawSuspicion withdraws a suspicion in the local member's name and returns the withdrawal for gossip.
+// WithdrawSuspicion withdraws a suspicion that the local member has issued and returns the withdrawal for gossip.
 func (t *Table) WithdrawSuspicion(suspicion Suspicion) Suspicion {
 	t.revision++
 	suspicion.WatcherIncarnation = t.Self().Incarnation
--- a/serving/membership/suspicion_test.go
+++ b/serving/membership/suspicion_test.go
@@ -16,9 +16,9 @@
 		Watcher: watcher.Name, WatcherIncarnation: watcher.Incarnation, Revision: 1}
 }
 
-// newUnwatchedMember returns the table of m0 in a system of ten members in three zones, a member that m0 doesn't watch,
-// and that member's watchers.
-func newUnwatchedMember(t *testing.T) (table *Table, member state.Member, watchers []state.Member) {
+// newTableWithUnwatchedMember returns the table of m0 in a system of ten members in three zones, a member that m0
+// doesn't watch, and that member's watchers.
+func newTableWithUnwatchedMember(t *testing.T) (table *Table, member state.Member, watchers []state.Member) {
 	t.Helper()
 	table = tableOf(membersInZones(10, "a1", "a2", "b1")...)
 	for _, member := range table.LiveMembers() {
@@ -42,13 +42,13 @@
 }
 
 func TestTick_MajorityOfWatchersMarksDown(t *testing.T) {
-	table, member, watchers := newUnwatchedMember(t)
+	table, member, watchers := newTableWithUnwatchedMember(t)
 	var changes []Change
 	table.OnChange(func(change Change) { changes = append(changes, change) })
 	now := startTime.Add(100 * time.Millisecond)
 	table.MergeSuspicion(suspicionBy(watchers[0], member))
 	table.Tick(now)
-	assert.False(t, table.IsDown(member.Name), "one of three")
+	assert.False(t, table.IsDown(member.Name), "only one of three watchers suspects it")
 	table.MergeSuspicion(suspicionBy(watchers[1], member))
 	table.Tick(now)
 	assert.True(t, table.IsDown(member.Name))
@@ -59,8 +59,8 @@
 	assert.Equal(t, 10, table.CountRecentlyLive(now, state.RoleAgent, time.Minute))
 }
 
-// TestMergeSuspicion_Invalidation makes each event that may invalidate a suspicion happen before the second watcher
-// suspects the member too.
+// TestMergeSuspicion_Invalidation checks which events invalidate a first watcher's suspicion: if it still counts when
+// the second watcher suspects the member too, the member goes down.
 func TestMergeSuspicion_Invalidation(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -86,7 +86,7 @@
 			watcher.Incarnation++
 			table.MergeMember(startTime, watcher)
 		}, false},
-		{"an older withdrawal of the watcher arrives late", func(table *Table, member, watcher state.Member) {
+		{"an older withdrawal by the watcher arrives late", func(table *Table, member, watcher state.Member) {
 			suspicion := suspicionBy(watcher, member)
 			suspicion.Revision = 0
 			suspicion.Withdrawn = true
@@ -94,7 +94,7 @@
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			table, member, watchers := newUnwatchedMember(t)
+			table, member, watchers := newTableWithUnwatchedMember(t)
 			table.MergeSuspicion(suspicionBy(watchers[0], member))
 			test.invalidate(table, member, watchers[0])
 			table.MergeSuspicion(suspicionBy(watchers[1], member))
@@ -105,7 +105,7 @@
 }
 
 func TestRefute_RevivesDownMember(t *testing.T) {
-	table, member, watchers := newUnwatchedMember(t)
+	table, member, watchers := newTableWithUnwatchedMember(t)
 	for _, watcher := range watchers {
 		table.MergeSuspicion(suspicionBy(watcher, member))
 	}
@@ -118,7 +118,7 @@
 	})
 	assert.Equal(t, HeartbeatAck{RefuteAbove: member.Sequence}, ack)
 	assert.Equal(t, ack, table.RefutationNotice(member.Name))
-	assert.True(t, table.IsDown(member.Name), "its entry still has to be gossiped")
+	assert.True(t, table.IsDown(member.Name), "its newer version has not arrived yet")
 
 	own := tableOf(member)
 	refuted, raised := own.Refute(startTime.Add(time.Second), ack.RefuteAbove)
@@ -130,7 +130,7 @@
 	assert.Equal(t, HeartbeatAck{}, table.RefutationNotice(member.Name))
 }
 
-// TestMergeMember_OnlyNewerVersions applies versions that arrive late, after a newer one.
+// TestMergeMember_OnlyNewerVersions checks that a version is applied only if it is newer than the known one.
 func TestMergeMember_OnlyNewerVersions(t *testing.T) {
 	known := memberIn("other", "a1", "a")
 	known.Incarnation, known.Sequence = 5, 5
@@ -175,7 +175,7 @@
 	suspicions, _ = table.Tick(last.Add(SuspicionTimeout))
 	require.Len(t, suspicions, 1)
 	assert.False(t, suspicions[0].Withdrawn)
-	assert.True(t, table.IsDown("other"), "its only watcher")
+	assert.True(t, table.IsDown("other"), "its only watcher suspects it")
 
 	watched.Sequence++
 	table.MergeMember(last.Add(2*time.Second), watched)
@@ -203,7 +203,7 @@
 }
 
 func TestTick_RemovesMembersAfterRetention(t *testing.T) {
-	table, member, watchers := newUnwatchedMember(t)
+	table, member, watchers := newTableWithUnwatchedMember(t)
 	for _, watcher := range watchers {
 		table.MergeSuspicion(suspicionBy(watcher, member))
 	}
@@ -223,7 +223,8 @@
 	assert.Equal(t, 10, table.CountRecentlyLive(now, state.RoleAgent, 90*time.Second), "still counted for longer windows")
 }
 
-// TestTick_NeverMarksSelfDown checks that a process that its watchers suspect still counts itself as live.
+// TestTick_NeverMarksSelfDown checks that the local member stays live in its own table when all its watchers suspect
+// it.
 func TestTick_NeverMarksSelfDown(t *testing.T) {
 	table := tableOf(membersInZones(10, "a1", "a2", "b1")...)
 	for _, watcher := range table.Watchers("m0") {
@@ -234,8 +235,9 @@
 	assert.Len(t, table.LiveMembers(), 10)
 }
 
-// TestTick_MarksDeadRegionDownTogether checks the case in which of each member's watchers only the one in the other
-// region is left. Nobody of the region responds while it is probed, and then all its members are down at one tick.
+// TestTick_MarksDeadRegionDownTogether checks the loss of a whole region, after which each of its members has only its
+// watcher in the other region left. The members are probed, and since none responds, one tick marks all of them as
+// down.
 func TestTick_MarksDeadRegionDownTogether(t *testing.T) {
 	members := membersInZones(30, "a1", "a2", "b1")
 	table := tableOf(members[2:]...) // m2 is in b1
@@ -255,13 +257,13 @@
 		table.Tick(startTime)
 		live := table.CountLive(state.RoleAgent, "a")
 		if i < len(suspicions)-1 {
-			require.Greater(t, live, 0, "as long as one may be live, its watchers may be too")
+			require.Greater(t, live, 0, "members that aren't suspected yet have a vote")
 		}
 	}
 	require.True(t, table.HasMembersToProbe())
 	almost := startTime.Add(zoneProbePeriod - time.Millisecond)
 	table.Tick(almost)
-	assert.Equal(t, 20, table.CountLive(state.RoleAgent, "a"), "probed first")
+	assert.Equal(t, 20, table.CountLive(state.RoleAgent, "a"), "the members are probed first")
 	table.Tick(startTime.Add(zoneProbePeriod))
 	assert.Zero(t, table.CountLive(state.RoleAgent, "a"))
 	assert.Equal(t, 10, table.CountLive(state.RoleAgent, "b"))
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -1,7 +1,8 @@
-// Package membership is the system's failure detector: it knows which members are alive, down or have left. Every
-// member sends heartbeats to a few watchers, which its position on a hash ring determines; a member that the majority
-// of its watchers suspects is down. Versions of members and suspicions are gossiped; a suspicion is refuted by a higher
-// sequence, as in SWIM (Das, Gupta and Motivala, 2002, section 4.2). The package does no I/O: times are arguments.
+// Package membership is the system's failure detector. It tracks which members are live, down (SWIM's "dead") or have
+// left. Every member sends heartbeats to a few watchers, which are selected by its position on a hash ring. A member is
+// marked as down when the majority of its watchers suspect it. Versions of members and suspicions are gossiped. A
+// member refutes a suspicion by raising its sequence, as in SWIM (Das, Gupta and Motivala, 2002, section 4.2). The
+// package does no I/O and reads no clock: the current time is an argument.
 package membership
 
 import (
@@ -24,45 +25,45 @@
 	RemoteSuspicionTimeout = 2200 * time.Millisecond
 	// RetentionPeriod is how long a member is retained after it went down or left.
 	RetentionPeriod = 60 * time.Second
-	// ringRetention is how long a member that went down stays on the ring. When many go down at once, the watchers of
-	// the others so stay the same until all of them have been detected.
+	// ringRetention is how long a member that went down stays on the ring. When many members die at once, this keeps
+	// the watchers of the remaining members unchanged until all the dead ones have been detected.
 	ringRetention = 5 * time.Second
-	// localLatenessFactor is the multiple of its own lateness by which a watcher extends its suspicion timeouts, up to
-	// maxTimeoutExtension. Lateness up to latenessThreshold is normal and ignored; a recorded lateness falls by one
-	// part in latenessDecay with each further sample.
+	// A watcher extends its suspicion timeouts by its own lateness (see RecordDelay) times localLatenessFactor, at most
+	// by maxTimeoutExtension. A lateness up to latenessThreshold is normal and ignored. Each further sample reduces the
+	// recorded lateness by 1/latenessDecay.
 	localLatenessFactor = 6
 	maxTimeoutExtension = 3 * time.Second
 	latenessThreshold   = 50 * time.Millisecond
 	latenessDecay       = 8
-	// heartbeatLatenessFactor is the multiple of the lateness of a member's heartbeats, of maxHeartbeatLateness at
-	// most, by which its suspicion timeout is extended.
+	// A member's suspicion timeout is also extended by the lateness of its heartbeats, which is capped at
+	// maxHeartbeatLateness, times heartbeatLatenessFactor.
 	heartbeatLatenessFactor = 2
 	maxHeartbeatLateness    = SuspicionTimeout
-	// maxTickPause is the longest normal pause between two ticks. After a longer one, in which this process didn't run,
-	// all suspicion timeouts begin anew.
+	// maxTickPause is the longest normal pause between two ticks. After a longer one, this process is assumed to have
+	// been suspended, and all suspicion timeouts start again.
 	maxTickPause = HeartbeatInterval + 300*time.Millisecond
-	// refuteInterval is the least time between two refutations.
+	// refuteInterval is the minimum time between two refutations by the local member.
 	refuteInterval = 200 * time.Millisecond
 )
 
-// trackedMember is a member with its state in the table.
+// trackedMember is a member with what the table records about it.
 type trackedMember struct {
-	member        state.Member
-	ringPosition  uint64
-	onRing        bool
-	remoteRank    uint64 // selects the zone of another region in which it is watched, see remoteZone
-	downSince     time.Time
-	lastLiveAt    time.Time // valid once the member is no longer live
-	lastContact   time.Time // when its last call or answer came; zero: never
-	noResponseAt  time.Time // when a call to it last had no response; zero: never
-	versionAt     time.Time // when its newest version came
-	liveSince     time.Time // of its incarnation, in this table
-	probedByOther time.Time // when it last responded to another member's probe
-	evidence      time.Time // when it was alive at the latest, as far as known, see collectEvidence
-	aliveAt       time.Time // the latest evidence that there has been
-	reachable     bool      // by a chain of watchers
-	watchers      []*watchLink
-	watching      []*watchLink // of which it is the watcher
+	member           state.Member
+	ringPosition     uint64
+	onRing           bool
+	remoteRank       uint64 // selects the other region's zone that provides a watcher, see remoteZone
+	downSince        time.Time
+	lastLiveAt       time.Time // set when the member goes down or leaves
+	lastContact      time.Time // when it last called or responded; zero: never
+	noResponseAt     time.Time // when a call to it last got no response; zero: never
+	versionAt        time.Time // when its newest version arrived
+	liveSince        time.Time // since when its current incarnation is live in this table
+	probedByOther    time.Time // when a relay last reported that it responded to a probe
+	evidenceAt       time.Time // when it was last known to be alive, see collectEvidence; zero: no evidence
+	newestEvidenceAt time.Time // the newest evidenceAt of all evaluations
+	reachable        bool      // by direct evidence or a chain of watchers, see evaluateConfirmations
+	watchers         []*watchLink
+	watching         []*watchLink // to the members that it watches
 }
 
 // isLive reports whether the member is neither down nor departed.
@@ -73,40 +74,42 @@
 	Self state.Member // the local member, with its Incarnation and Sequence
 }
 
-// Table holds all members, the local one among them, and the suspicions about them. It is not safe for concurrent use.
+// Table holds all known members, including the local one, and the suspicions about them. It is not safe for concurrent
+// use.
 type Table struct {
 	self            string
 	members         map[string]*trackedMember
-	forgotten       map[string]forgottenMember
+	removedMembers  map[string]removedMember
 	suspicions      map[suspicionID]Suspicion
 	watched         map[string]*watchedMember
-	ringMembers     []*trackedMember     // by position; nil: to be rebuilt
-	liveMembers     []state.Member       // by name; nil: to be rebuilt
-	zones           []zoneLocation       // that have members on the ring, by name
-	watchedStale    bool                 // the ring has changed since updateWatched
-	needsEvaluation bool                 // suspicions, members or watchers have changed since the last evaluation
-	linksStale      bool                 // the ring has changed since updateWatchLinks
-	lastContacts    map[string]time.Time // by zone: when the last call or answer came from it
-	suspectZones    map[string]time.Time // by zone: since when it seems to be unreachable
-	doubtful        map[string]*doubt    // by name: members to be probed before they are marked as down
+	ringMembers     []*trackedMember           // by position; nil: must be rebuilt
+	liveMembers     []state.Member             // by name; nil: must be rebuilt
+	zones           []zoneLocation             // zones with members on the ring, by name
+	watchedStale    bool                       // the ring has changed since the last updateWatched
+	needsEvaluation bool                       // suspicions, members or watchers have changed since the last evaluation
+	linksStale      bool                       // the ring has changed since the last updateWatchLinks
+	lastContacts    map[string]time.Time       // by zone: when one of its members last called or responded
+	suspectZones    map[string]time.Time       // by zone: since when it appears unreachable
+	doubtful        map[string]*doubtfulMember // by name: suspected members to be probed before they are marked as down
 	unconfirmed     map[string]*unconfirmedMember
-	confirmedAt     time.Time // of the last evaluateConfirmations
-	limitsEvidence  bool      // many members fail, see isConfirmed
-	resumedAt       time.Time // after the last long pause between two ticks
-	revision        uint64    // of the last suspicion or withdrawal that was issued here
+	confirmedAt     time.Time // when evaluateConfirmations last ran
+	inMassFailure   bool      // many members are failing at once, see isConfirmed
+	resumedAt       time.Time // when the last pause longer than maxTickPause ended
+	revision        uint64    // of the last suspicion or withdrawal that the local member issued
 	lastTick        time.Time
-	lateness        time.Duration // of this process with what it planned, see RecordDelay
+	lateness        time.Duration // by how much this process runs behind its schedule, see RecordDelay
 	refutedAt       time.Time
 	listeners       []func(Change)
 }
 
-// forgottenMember is what remains of a removed member for CountRecentlyLive.
-type forgottenMember struct {
+// removedMember is the part of a removed member that CountRecentlyLive still needs.
+type removedMember struct {
 	role       state.Role
 	lastLiveAt time.Time
 }
 
-// Change is a change of a member: a new version of it, after which it is live or has left, or its going down.
+// Change describes a change of a member: a new version, after which the member is live or has left, or its being marked
+// as down.
 type Change struct {
 	Member state.Member
 	Live   bool
@@ -114,25 +117,25 @@
 	Reason DownReason // if Down
 }
 
-// New returns a table with the local member alone.
+// New returns a table that contains only the local member.
 func New(now time.Time, options Options) *Table {
 	t := &Table{
-		self:         options.Self.Name,
-		members:      map[string]*trackedMember{},
-		forgotten:    map[string]forgottenMember{},
-		suspicions:   map[suspicionID]Suspicion{},
-		watched:      map[string]*watchedMember{},
-		lastContacts: map[string]time.Time{},
-		suspectZones: map[string]time.Time{},
-		doubtful:     map[string]*doubt{},
-		unconfirmed:  map[string]*unconfirmedMember{},
-		lastTick:     now,
+		self:           options.Self.Name,
+		members:        map[string]*trackedMember{},
+		removedMembers: map[string]removedMember{},
+		suspicions:     map[suspicionID]Suspicion{},
+		watched:        map[string]*watchedMember{},
+		lastContacts:   map[string]time.Time{},
+		suspectZones:   map[string]time.Time{},
+		doubtful:       map[string]*doubtfulMember{},
+		unconfirmed:    map[string]*unconfirmedMember{},
+		lastTick:       now,
 	}
 	t.MergeMember(now, options.Self)
 	return t
 }
 
-// OnChange registers a function that is called, synchronously, at every change of a member.
+// OnChange registers a function that is called synchronously at every change of a member.
 func (t *Table) OnChange(listener func(Change)) { t.listeners = append(t.listeners, listener) }
 
 // Self returns the local member.
@@ -146,11 +149,11 @@
 	return one.Sequence > other.Sequence
 }
 
-// isDeparted reports whether a member has left by a graceful shutdown, which is final for its incarnation.
+// isDeparted reports whether a member has left by a graceful shutdown. An incarnation that has left never returns.
 func isDeparted(member state.Member) bool { return member.State == state.MemberLeft }
 
 // MergeMember applies a version of a member that came from the member itself, directly or by gossip. A newer version
-// refutes every suspicion about an older one. It returns false where the version isn't newer.
+// refutes every suspicion about an older one. It returns false if the version doesn't supersede the known one.
 func (t *Table) MergeMember(now time.Time, member state.Member) bool {
 	tracked, ok := t.members[member.Name]
 	if ok && !supersedes(member, tracked.member) {
@@ -159,7 +162,7 @@
 	if !ok {
 		tracked = &trackedMember{ringPosition: ringPositionOf(member.Name)}
 		t.members[member.Name] = tracked
-		delete(t.forgotten, member.Name)
+		delete(t.removedMembers, member.Name)
 	}
 	wasLive := ok && tracked.isLive()
 	if !wasLive || tracked.member.Incarnation != member.Incarnation {
@@ -178,13 +181,14 @@
 		tracked.lastLiveAt = now
 	}
 	if watched, watching := t.watched[member.Name]; watching {
-		watched.restart(now)
+		watched.restartTimeout(now)
 	}
 	t.notify(Change{Member: member, Live: tracked.isLive()})
 	return true
 }
 
-// supersedes reports whether a version of a member replaces the known one.
+// supersedes reports whether a version of a member replaces the known one: it must be newer, and of a later incarnation
+// if the known one has left.
 func supersedes(version, known state.Member) bool {
 	if isDeparted(known) && version.Incarnation == known.Incarnation {
 		return false
@@ -192,8 +196,8 @@
 	return IsNewer(version, known)
 }
 
-// UpdateSelf changes the local member, raises its sequence and returns the new version for gossip. After the member has
-// left it changes nothing.
+// UpdateSelf changes the local member, raises its sequence and returns the new version for gossip. If the member has
+// left, UpdateSelf changes nothing and returns the current version.
 func (t *Table) UpdateSelf(now time.Time, change func(*state.Member)) state.Member {
 	member := t.Self()
 	if isDeparted(member) {
@@ -205,7 +209,7 @@
 	return member
 }
 
-// LiveMembers returns the live members, the local one among them, by name. The caller must not modify the slice.
+// LiveMembers returns the live members, including the local one, sorted by name. The caller must not modify the slice.
 func (t *Table) LiveMembers() []state.Member {
 	if t.liveMembers != nil {
 		return t.liveMembers
@@ -220,19 +224,19 @@
 	return t.liveMembers
 }
 
-// DownMembers returns the members that are down and not removed yet, by name.
+// DownMembers returns the members that are down and not yet removed, sorted by name.
 func (t *Table) DownMembers() []state.Member {
 	return t.membersWhere(func(tracked *trackedMember) bool {
 		return !tracked.downSince.IsZero() && !isDeparted(tracked.member)
 	})
 }
 
-// LeftMembers returns the members that have left by a graceful shutdown and are not removed yet, by name.
+// LeftMembers returns the members that have left by a graceful shutdown and are not yet removed, sorted by name.
 func (t *Table) LeftMembers() []state.Member {
 	return t.membersWhere(func(tracked *trackedMember) bool { return isDeparted(tracked.member) })
 }
 
-// membersWhere returns the members that match, by name.
+// membersWhere returns the members that match, sorted by name.
 func (t *Table) membersWhere(matches func(*trackedMember) bool) []state.Member {
 	var all []state.Member
 	for _, tracked := range t.members {
@@ -259,7 +263,8 @@
 	return ok && !since.IsZero()
 }
 
-// DownSince returns when a member went down, zero where it hasn't; false where the member isn't known.
+// DownSince returns when a member went down, or the zero time if it isn't down. It returns false if the member isn't
+// known.
 func (t *Table) DownSince(name string) (time.Time, bool) {
 	tracked, ok := t.members[name]
 	if !ok {
@@ -268,22 +273,22 @@
 	return tracked.downSince, true
 }
 
-// markDown marks a member as down that most of its watchers suspect.
+// markDown marks a member as down because the majority of its watchers suspect it.
 func (t *Table) markDown(now time.Time, tracked *trackedMember) {
 	t.markDownFor(now, tracked, SuspectedByWatchers)
 }
 
-// markDownFor marks a member as down.
+// markDownFor marks a member as down for a reason.
 func (t *Table) markDownFor(now time.Time, tracked *trackedMember, reason DownReason) {
 	tracked.downSince = now
 	tracked.lastLiveAt = now
 	t.liveMembers = nil
-	t.invalidateRing() // it stays on the ring, but the remoteRank of others may change
+	t.invalidateRing() // it stays on the ring for ringRetention, but other members' remoteRank may change
 	t.notify(Change{Member: tracked.member, Down: true, Reason: reason})
 }
 
-// RemoveTerminated removes a member that is down or has left before its RetentionPeriod is over. It returns false where
-// the member isn't known, is live, or is the local one.
+// RemoveTerminated removes a member that is down or has left, without waiting for the end of its RetentionPeriod. It
+// returns false if the member isn't known, is live, or is the local one.
 func (t *Table) RemoveTerminated(name string) bool {
 	tracked, ok := t.members[name]
 	if !ok || tracked.isLive() || name == t.self {
@@ -293,17 +298,17 @@
 	return true
 }
 
-// remove removes a member.
+// remove removes a member and keeps its removedMember.
 func (t *Table) remove(name string, tracked *trackedMember) {
 	delete(t.members, name)
 	delete(t.doubtful, name)
 	delete(t.unconfirmed, name)
 	t.invalidateRing()
-	t.forgotten[name] = forgottenMember{role: tracked.member.Role, lastLiveAt: tracked.lastLiveAt}
+	t.removedMembers[name] = removedMember{role: tracked.member.Role, lastLiveAt: tracked.lastLiveAt}
 }
 
-// removeExpired removes the members that have been down or departed for RetentionPeriod and returns their names,
-// sorted.
+// removeExpired removes the members that have been down or have left for at least RetentionPeriod and returns their
+// names, sorted.
 func (t *Table) removeExpired(now time.Time) (names []string) {
 	for name, tracked := range t.members {
 		if name == t.self || tracked.isLive() || now.Sub(tracked.lastLiveAt) < RetentionPeriod {
@@ -312,9 +317,9 @@
 		t.remove(name, tracked)
 		names = append(names, name)
 	}
-	for name, forgotten := range t.forgotten {
-		if now.Sub(forgotten.lastLiveAt) >= 2*RetentionPeriod {
-			delete(t.forgotten, name)
+	for name, removed := range t.removedMembers {
+		if now.Sub(removed.lastLiveAt) >= 2*RetentionPeriod {
+			delete(t.removedMembers, name)
 		}
 	}
 	slices.Sort(names)
--- a/serving/membership/tick.go
+++ b/serving/membership/tick.go
@@ -8,14 +8,15 @@
 	"rowanlink/serving/state"
 )
 
-// Tick does what is due. It returns the local member's new suspicions and withdrawals, which the caller gossips, and
-// the names of the members that were removed. The caller ticks at least once in each HeartbeatInterval.
+// Tick checks all timeouts and evaluates suspicions, zones and confirmations. It returns the local member's new
+// suspicions and withdrawals, which the caller gossips, and the names of the members that were removed. The caller must
+// call it at least once in each HeartbeatInterval.
 func (t *Table) Tick(now time.Time) (suspicions []Suspicion, removed []string) {
 	if now.Sub(t.lastTick) > maxTickPause {
 		t.resumedAt = now
 		clear(t.unconfirmed)
 		for _, watched := range t.watched {
-			watched.restart(now)
+			watched.restartTimeout(now)
 		}
 	}
 	t.lastTick = now
@@ -37,8 +38,8 @@
 	return suspicions, removed
 }
 
-// NextTimeout returns when the first suspicion timeout of a watched member ends if no heartbeat comes; zero where no
-// member is watched.
+// NextTimeout returns when the first suspicion timeout of a watched member ends unless a heartbeat arrives, or the zero
+// time if no timeout is running.
 func (t *Table) NextTimeout() (next time.Time) {
 	for name, watched := range t.watched {
 		tracked, ok := t.members[name]
@@ -53,7 +54,7 @@
 	return next
 }
 
-// checkWatched returns the suspicion or withdrawal that is due about a watched member, if one is.
+// checkWatched issues and returns the suspicion about a watched member, or its withdrawal, if one is due.
 func (t *Table) checkWatched(now time.Time, name string, watched *watchedMember) []Suspicion {
 	tracked, ok := t.members[name]
 	if !ok {
@@ -69,8 +70,9 @@
 	if isDeparted(tracked.member) {
 		return nil
 	}
-	// A member that was marked as down meanwhile is suspected at once: to those that still take it for live, its
-	// watcher's silence would be evidence, and the watcher may change with the ring.
+	// A member that has been marked as down in the meantime is suspected at once. Otherwise, members that still
+	// consider it live would take this watcher's silence as evidence that it is alive, and a change of the ring might
+	// assign other watchers to it before this one's timeout ends.
 	isOverdue := now.Sub(watched.lastHeartbeat) >= t.suspicionTimeout(tracked.member, watched)
 	if tracked.isLive() && !isOverdue {
 		return nil
@@ -79,14 +81,14 @@
 	return []Suspicion{t.issueSuspicion(watched, tracked.member, false)}
 }
 
-// isObsolete reports whether a suspicion refers to an old version of its member, or to a member that has departed.
+// isObsolete reports whether a suspicion refers to an old version of its member, or to a member that has left.
 func isObsolete(suspicion Suspicion, member state.Member) bool {
 	return suspicion.Incarnation != member.Incarnation ||
 		suspicion.Sequence < member.Sequence ||
 		isDeparted(member)
 }
 
-// issueSuspicion makes and merges the local member's next suspicion or withdrawal about a watched member.
+// issueSuspicion creates and merges the local member's next suspicion or withdrawal about a watched member.
 func (t *Table) issueSuspicion(watched *watchedMember, member state.Member, withdrawn bool) Suspicion {
 	t.revision++
 	watched.lastIssued = Suspicion{
@@ -102,9 +104,9 @@
 	return watched.lastIssued
 }
 
-// suspicionTimeout is how long the local member waits for a member's heartbeat before it suspects it. As in Lifeguard
-// (Dadgar, Phillips and Currey, 2018), it is longer while the local process itself is slow, and besides while the
-// member's heartbeats come late.
+// suspicionTimeout returns how long the local member waits for a member's heartbeat before it suspects the member. As
+// in Lifeguard (Dadgar, Phillips and Currey, 2018), the timeout is extended while the local process itself is slow, and
+// in addition while the member's heartbeats come late.
 func (t *Table) suspicionTimeout(member state.Member, watched *watchedMember) time.Duration {
 	timeout := SuspicionTimeout
 	if member.Region != t.Self().Region {
@@ -114,12 +116,12 @@
 	return timeout + min(extension, maxTimeoutExtension)
 }
 
-// timeoutExtension is by how much timeouts are longer because the local process is slow.
+// timeoutExtension returns by how much timeouts are extended because the local process is slow.
 func (t *Table) timeoutExtension() time.Duration {
 	return min(localLatenessFactor*t.lateness, maxTimeoutExtension)
 }
 
-// heartbeatInterval is the time between two heartbeats of a member to the local member.
+// heartbeatInterval returns the time between two heartbeats from a member to the local member.
 func (t *Table) heartbeatInterval(member state.Member) time.Duration {
 	if member.Region != t.Self().Region {
 		return RemoteIntervalFactor * HeartbeatInterval
@@ -127,13 +129,15 @@
 	return HeartbeatInterval
 }
 
-// RecordDelay notes by how much the local process was late with something that it had planned. It then receives
-// heartbeats late too, and to suspect the senders would load a system that is short of processor time already.
+// RecordDelay records by how much the local process was late for a scheduled action. A process that runs late also
+// receives heartbeats late, and suspecting their senders would add load to a system that is already short of processor
+// time.
 func (t *Table) RecordDelay(delay time.Duration) {
 	t.lateness = decayLateness(t.lateness, min(delay, maxTimeoutExtension/localLatenessFactor))
 }
 
-// decayLateness returns a lateness after one more sample: the greatest sample, which decays with each further one.
+// decayLateness returns a recorded lateness after one more sample. It is the largest sample so far, reduced by
+// 1/latenessDecay with each later one.
 func decayLateness(lateness, sample time.Duration) time.Duration {
 	lateness -= lateness / latenessDecay
 	if sample <= latenessThreshold {
@@ -142,8 +146,8 @@
 	return max(lateness, sample)
 }
 
-// updateWatched begins to watch the members that the ring has assigned to the local member and stops watching others.
-// It goes on watching members that the local member suspects until they refute that or are removed.
+// updateWatched begins to watch the members that the ring assigns to the local member and stops watching others. It
+// continues to watch a member that the local member suspects until the member refutes the suspicion or is removed.
 func (t *Table) updateWatched(now time.Time) {
 	t.updateWatchLinks()
 	assigned := map[string]bool{}
--- a/serving/membership/watchlink.go
+++ b/serving/membership/watchlink.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// watchLink is the assignment of a watcher to a member.
+// watchLink is the assignment of a watcher to a member, in effect since a time.
 type watchLink struct {
 	watcher *trackedMember
 	member  *trackedMember
 	since   time.Time
 }
 
-// reportDelay is the time within which a suspicion about the member arrives from its watcher after the member's death.
-func (l *watchLink) reportDelay() time.Duration {
+// maxReportDelay returns the time within which, after the member's death, a suspicion by the watcher arrives here.
+func (l *watchLink) maxReportDelay() time.Duration {
 	if l.watcher.member.Region != l.member.member.Region {
-		return RemoteSuspicionTimeout + suspicionTransit
+		return RemoteSuspicionTimeout + suspicionDeliveryTime
 	}
-	return SuspicionTimeout + suspicionTransit
+	return SuspicionTimeout + suspicionDeliveryTime
 }
 
-// updateWatchLinks assigns the watchers of all members, if the ring has changed since it last did. An assignment that
-// stays keeps its time.
+// updateWatchLinks assigns watchers to all members if the ring has changed since the last assignment. A link that
+// already existed keeps its since.
 func (t *Table) updateWatchLinks() {
 	if !t.linksStale {
 		return
@@ -38,7 +38,7 @@
 		for _, watcher := range t.Watchers(name) {
 			link := &watchLink{watcher: t.members[watcher.Name], member: tracked, since: t.lastTick}
 			if previous == nil {
-				link.since = tracked.liveSince // nobody can have taken it for down before
+				link.since = tracked.liveSince // a new member: no watcher can have considered it down before
 			}
 			for _, earlier := range previous {
 				if earlier.watcher == link.watcher {
@@ -51,7 +51,7 @@
 	}
 }
 
-// watchersOf returns a member's watchers, which change only with the ring.
+// watchersOf returns the links to a member's watchers, which are updated if the ring has changed.
 func (t *Table) watchersOf(name string) []*watchLink {
 	t.updateWatchLinks()
 	return t.members[name].watchers
--- a/test/integration/mutants/table_test.go
+++ b/test/integration/mutants/table_test.go
@@ -151,8 +151,8 @@
 	{
 		name:    "a single watcher of several marks a member as down",
 		file:    "serving/membership/evaluation.go",
-		old:     "const leastCertainVotes = 2",
-		replace: "const leastCertainVotes = 1",
+		old:     "const minVotesWithoutProbe = 2",
+		replace: "const minVotesWithoutProbe = 1",
 		pkg:     "serving/membership", tests: "TestDoubt",
 	},
 	{
@@ -179,7 +179,7 @@
 	{
 		name:    "a watcher that began to watch after the member's death vouches for it",
 		file:    "serving/membership/confirmation.go",
-		old:     " && !l.member.aliveAt.Before(since)",
+		old:     " && !l.member.newestEvidenceAt.Before(since)",
 		replace: "",
 		pkg:     "serving/membership", tests: "TestConfirmation",
 	},
@@ -200,7 +200,7 @@
 	{
 		name:    "a response doesn't stand for an overdue heartbeat",
 		file:    "serving/membership/partition.go",
-		old:     "\t\t\twatched.restart(now)\n",
+		old:     "\t\t\twatched.restartTimeout(now)\n",
 		replace: "\t\t\t_ = watched\n",
 		pkg:     "serving/membership", tests: "TestOverdueMembers",
 	},
