--- a/serving/gossip/batch.go
+++ b/serving/gossip/batch.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// batch assembles the messages that are sent at one moment, one for each receiver and relay.
+// batch assembles the messages that are sent at the same time. Entries for the same receiver and with the same Relay
+// share one message.
 type batch struct {
 	engine        *Engine
 	now           time.Time
-	regionTargets []Peer   // the members of the local region that get its entries
-	remoteTargets []Peer   // one member of each other region
-	suspectZones  []string // zones that may be unreachable from the local one
-	offerAll      bool     // entries are offered rather than pushed
-	messages      map[string]*Envelope
-	order         []string
+	regionTargets []Peer               // the members of the local region that receive its entries
+	remoteTargets []Peer               // one member of each other region
+	suspectZones  []string             // zones that may be unreachable from the local zone
+	offerAll      bool                 // all entries are offered instead of being pushed
+	messages      map[string]*Envelope // by receiver and Relay, see send
+	order         []string             // the keys of messages in the order of their creation
 }
 
-// newBatch selects the receivers of a batch.
+// newBatch returns an empty batch and selects its receivers.
 func (e *Engine) newBatch(now time.Time) *batch {
 	e.ranking.update(now, e.options, e.peers)
 	b := &batch{
@@ -34,7 +35,7 @@
 	return b
 }
 
-// topRanked returns the first peers in the ranking that are not avoided, limit at most.
+// topRanked returns the first of the ranked peers that are not avoided, at most limit.
 func (b *batch) topRanked(ranked []Peer, limit int) (found []Peer) {
 	for _, peer := range ranked {
 		if len(found) == limit {
@@ -47,7 +48,7 @@
 	return found
 }
 
-// firstMatching returns the first peer in the ranking that is not avoided and matches.
+// firstMatching returns the first peer in the ranking that matches and is not avoided.
 func (b *batch) firstMatching(matches func(Peer) bool) (Peer, bool) {
 	for _, peer := range b.engine.ranking.ranked {
 		if matches(peer) && !b.engine.IsAvoided(b.now, peer.Name) {
@@ -57,8 +58,8 @@
 	return Peer{}, false
 }
 
-// selectRegionTargets selects a few of the region's peers: most of the local zone, since traffic between zones costs,
-// and none of a suspect zone.
+// selectRegionTargets selects a few of the region's peers: most from the local zone, because traffic between zones
+// incurs costs, and none from a suspect zone.
 func (b *batch) selectRegionTargets() []Peer {
 	const fanout = zoneFanout + regionFanout
 	otherZones := b.engine.ranking.otherZones
@@ -74,14 +75,14 @@
 	return slices.Concat(b.sample(sameZone, sameZoneCount), b.sample(otherZones, otherZonesCount))
 }
 
-// sample selects count of the first count*candidatesPerTarget ranked peers at random.
+// sample selects count peers at random from the first count*candidatesPerTarget ranked ones.
 func (b *batch) sample(ranked []Peer, count int) []Peer {
 	shuffled := slices.Clone(ranked[:min(len(ranked), count*candidatesPerTarget)])
 	b.engine.options.Random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 	return shuffled[:min(len(shuffled), count)]
 }
 
-// add adds an entry to the messages to its receivers.
+// add adds an entry to the messages to all receivers of its delivery.
 func (b *batch) add(entry Entry, planned *delivery) {
 	if planned.toRegion {
 		for _, peer := range b.regionTargets {
@@ -101,7 +102,8 @@
 	}
 }
 
-// sendToZone sends an entry to a member of the zone and, unless its retries are used up, by relay through a third zone.
+// sendToZone adds an entry to the message to a member of a zone and, unless the delivery's retries are used up, also to
+// one that a third zone relays.
 func (b *batch) sendToZone(zone string, entry Entry, planned *delivery) {
 	inZone := func(peer Peer) bool { return peer.Zone == zone }
 	if peer, found := b.firstMatching(inZone); found {
@@ -112,7 +114,7 @@
 	}
 }
 
-// relay sends an entry to a member of a third zone, which forwards it to the zone.
+// relay adds an entry to the message to a member of a third zone, which forwards it to the given zone.
 func (b *batch) relay(zone string, entry Entry, planned *delivery) {
 	isThird := func(peer Peer) bool { return peer.Zone != zone && peer.Zone != b.engine.options.Zone }
 	if peer, found := b.firstMatching(isThird); found {
@@ -120,7 +122,8 @@
 	}
 }
 
-// send adds an entry or its offer to the message to a peer, unless the entry came from that peer.
+// send adds an entry, or an offer of it, to the message to a peer. An entry isn't returned to the peer that it came
+// from, unless that peer is asked to relay it.
 func (b *batch) send(peer Peer, entry Entry, planned *delivery, relay []string) {
 	if peer.Name == planned.from && len(relay) == 0 {
 		return
--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -7,90 +7,91 @@
 	"time"
 )
 
-// Times and numbers of the pushes.
+// Times and limits of pushing entries.
 const (
-	// coalesceDelay is the time from the first change to the message that carries it, up to maxCoalesceDelay while
-	// messages are sent often.
+	// coalesceDelay is the time from the first change until the messages that carry it are sent. While messages are
+	// sent often, the time between two sendings grows up to maxCoalesceDelay, see minInterval.
 	coalesceDelay    = 20 * time.Millisecond
 	maxCoalesceDelay = 100 * time.Millisecond
-	// rateWindow is the time constant of the average rate of sending.
+	// rateWindow is the time constant of the average send rate.
 	rateWindow = time.Second
-	// zoneFanout and regionFanout are the numbers of members of the same zone and of the region's other zones to which
-	// a member pushes an entry.
+	// zoneFanout and regionFanout are the numbers of members to which a member pushes an entry, in its own zone and in
+	// the region's other zones.
 	zoneFanout   = 2
 	regionFanout = 1
-	// maxPushedValue is the size, in bytes, up to which a value is pushed. A longer one is offered and sent on request.
+	// maxPushedValue is the maximum size of a pushed value, in bytes. A longer one is offered and sent on request.
 	maxPushedValue = 2048
-	// maxPushedEntries is the number of entries up to which a message carries them. Where there are more at once, all
-	// are offered.
+	// maxPushedEntries is the maximum number of entries that are pushed at once. If there are more, all are offered.
 	maxPushedEntries = 32
-	// maxDeliveryRetries bounds the retries of one delivery.
+	// maxDeliveryRetries is the maximum number of retries of one delivery.
 	maxDeliveryRetries = 2
 )
 
-// origin is where an entry came from, which determines where it is delivered to.
+// origin describes where an entry came from, which determines where it is sent.
 type origin struct {
-	local bool     // from this process: it is pushed to other regions too
-	fresh bool     // newer than what was stored: it is pushed within the region
-	from  string   // the sender
-	relay []string // zones to which the sender requests to forward it
+	local bool     // from this process, so it is also pushed to other regions
+	fresh bool     // newer than the stored entry, so it is pushed within the region
+	from  string   // name of the sender
+	relay []string // zones to which the sender asks to forward it
 }
 
-// delivery is where an entry still has to be sent.
+// delivery describes where a queued entry has to be sent.
 type delivery struct {
-	from           string // the sender, which doesn't get it back
-	toRegion       bool   // to a few members of the local region
-	toOtherRegions bool   // to one member of each other region
-	toZones        []string
+	from           string   // name of the member that sent it, to which it isn't returned
+	toRegion       bool     // to a few members of the local region
+	toOtherRegions bool     // to one member of each other region
+	toZones        []string // to a member of each of these zones, directly and by relay
 	retries        int
 }
 
-// pending holds the entries that wait to be sent.
-type pending struct {
+// sendQueue holds the deliveries that wait to be sent.
+type sendQueue struct {
 	deliveries map[entryID]*delivery
 	due        time.Time // zero: nothing is pending
 	lastSent   time.Time
-	sendRate   float64 // sendings in about the last rateWindow, as of lastSent
+	sendRate   float64 // see rateAt, as of lastSent
 }
 
-// minInterval is the least time between two sendings. It grows with the recent rate, so that a burst of changes is sent
-// in few messages with only the newest entry of each key.
-func (p *pending) minInterval(now time.Time) time.Duration {
-	return min(maxCoalesceDelay, time.Duration(p.rateAt(now)*float64(coalesceDelay)))
+// minInterval returns the minimum time between two sendings. It grows with the recent send rate, so that a burst of
+// changes is sent in few messages that contain only the newest entry of each key.
+func (q *sendQueue) minInterval(now time.Time) time.Duration {
+	return min(maxCoalesceDelay, time.Duration(q.rateAt(now)*float64(coalesceDelay)))
 }
 
-// rateAt returns the number of sendings in about the last rateWindow, an exponentially decaying average.
-func (p *pending) rateAt(now time.Time) float64 {
-	return p.sendRate * math.Exp(-float64(now.Sub(p.lastSent))/float64(rateWindow))
+// rateAt returns the approximate number of sendings in the last rateWindow, as an exponentially decaying average.
+func (q *sendQueue) rateAt(now time.Time) float64 {
+	return q.sendRate * math.Exp(-float64(now.Sub(q.lastSent))/float64(rateWindow))
 }
 
-// recordSent records that all deliveries are being sent.
-func (p *pending) recordSent(now time.Time) {
-	p.sendRate = p.rateAt(now) + 1
-	p.lastSent = now
-	p.due = time.Time{}
-	p.deliveries = map[entryID]*delivery{}
+// recordSent records that all deliveries are being sent, and empties the queue.
+func (q *sendQueue) recordSent(now time.Time) {
+	q.sendRate = q.rateAt(now) + 1
+	q.lastSent = now
+	q.due = time.Time{}
+	q.deliveries = map[entryID]*delivery{}
 }
 
-// schedule returns the delivery of an entry, and creates it and its due time where there is none yet.
-func (p *pending) schedule(now time.Time, id entryID) *delivery {
-	planned, ok := p.deliveries[id]
+// schedule returns the queued delivery of an entry. It creates the delivery if there is none yet, and sets the queue's
+// due time if the queue was empty.
+func (q *sendQueue) schedule(now time.Time, id entryID) *delivery {
+	planned, ok := q.deliveries[id]
 	if !ok {
 		planned = &delivery{}
-		p.deliveries[id] = planned
+		q.deliveries[id] = planned
 	}
-	if p.due.IsZero() {
-		p.due = now.Add(coalesceDelay)
-		if earliest := p.lastSent.Add(p.minInterval(now)); earliest.After(p.due) {
-			p.due = earliest
+	if q.due.IsZero() {
+		q.due = now.Add(coalesceDelay)
+		if earliest := q.lastSent.Add(q.minInterval(now)); earliest.After(q.due) {
+			q.due = earliest
 		}
 	}
 	return planned
 }
 
-// enqueue schedules the delivery of an entry. It replaces an older pending entry of the key.
+// enqueue schedules the delivery of an entry. If a delivery of the same key is already queued, the two are merged, and
+// the newest entry is sent.
 func (e *Engine) enqueue(now time.Time, entry Entry, from origin) {
-	planned := e.pending.schedule(now, entry.Header().id())
+	planned := e.queue.schedule(now, entry.Header().id())
 	planned.from = from.from
 	if len(from.relay) > 0 {
 		planned.toZones = appendMissing(planned.toZones, from.relay)
@@ -100,18 +101,18 @@
 	planned.toOtherRegions = planned.toOtherRegions || from.local && !entry.Table.isEphemeral()
 }
 
-// NextSendTime returns when TakeOutgoing has something to send; zero where nothing is pending.
-func (e *Engine) NextSendTime() time.Time { return e.pending.due }
+// NextSendTime returns when TakeOutgoing will have something to send, or the zero time if nothing is queued.
+func (e *Engine) NextSendTime() time.Time { return e.queue.due }
 
-// TakeOutgoing returns the messages that are due and removes expired entries. The caller sends the messages and reports
-// each that was not acknowledged by Retry.
+// TakeOutgoing returns the messages that are due, and removes expired entries from the tables. The caller sends the
+// messages and calls Retry for each one that was not acknowledged.
 func (e *Engine) TakeOutgoing(now time.Time) []Envelope {
 	e.sweep(now)
-	if e.pending.due.IsZero() || now.Before(e.pending.due) {
+	if e.queue.due.IsZero() || now.Before(e.queue.due) {
 		return nil
 	}
-	deliveries := e.pending.deliveries
-	e.pending.recordSent(now)
+	deliveries := e.queue.deliveries
+	e.queue.recordSent(now)
 	batch := e.newBatch(now)
 	batch.offerAll = len(deliveries) > maxPushedEntries
 	for _, id := range slices.SortedFunc(maps.Keys(deliveries), entryID.compare) {
@@ -122,8 +123,9 @@
 	return batch.envelopes()
 }
 
-// Retry schedules another delivery of the entries of a message that was not sent or not acknowledged: to another member
-// of the receiver's zone and by relay through a third zone. The receiver is reported by MarkUnresponsive.
+// Retry schedules another delivery of the entries of a message that was not sent or not acknowledged: to a member of
+// the receiver's zone, and by relay through a third zone. The caller also passes the receiver to MarkUnresponsive, so
+// that another member of the zone is selected.
 func (e *Engine) Retry(now time.Time, envelope Envelope) {
 	if envelope.retries >= maxDeliveryRetries {
 		return
@@ -136,7 +138,7 @@
 		if header.Table.isEphemeral() {
 			continue
 		}
-		planned := e.pending.schedule(now, header.id())
+		planned := e.queue.schedule(now, header.id())
 		planned.toZones = appendMissing(planned.toZones, []string{envelope.To.Zone})
 		planned.retries = max(planned.retries, envelope.retries+1)
 	}
--- a/serving/gossip/digest.go
+++ b/serving/gossip/digest.go
@@ -11,7 +11,7 @@
 // repairedTables lists the tables that anti-entropy compares, in the order of their checksums in a Summary.
 var repairedTables = [...]TableID{TableRecord, TableMembers, TableEndpoints, TableSuspicions, TableRoleClaims}
 
-// Summary holds one checksum for each repaired table. Equal tables have equal checksums.
+// Summary holds one checksum for each of repairedTables. Equal tables have equal checksums.
 type Summary []uint32
 
 // Summary returns the checksums of the local tables.
@@ -24,7 +24,7 @@
 	return summary
 }
 
-// DifferingTables returns the tables whose checksums differ from those of another member.
+// DifferingTables returns the tables whose checksums differ from those in another member's summary.
 func (e *Engine) DifferingTables(theirs Summary) (tables []TableID) {
 	ours := e.Summary()
 	for i, table := range repairedTables {
@@ -42,7 +42,7 @@
 	Sums  []uint32
 }
 
-// Digest returns the bucket checksums of the tables; of all repaired tables where none is named.
+// Digest returns the bucket checksums of the given tables, or of all repaired tables if none is given.
 func (e *Engine) Digest(tables []TableID) (digest []TableDigest) {
 	if len(tables) == 0 {
 		tables = repairedTables[:]
@@ -63,7 +63,7 @@
 	Headers []Header `cbor:"Headings"`
 }
 
-// ListDifferingBuckets returns the local contents of the buckets that differ from another member's digests.
+// ListDifferingBuckets returns the local contents of the buckets whose checksums differ from another member's digests.
 func (e *Engine) ListDifferingBuckets(theirs []TableDigest) (listings []BucketContents) {
 	for _, digest := range theirs {
 		if !digest.Table.IsValid() || digest.Table.isEphemeral() || len(digest.Sums) != BucketCount {
@@ -92,9 +92,9 @@
 
 // Comparison is the result of comparing buckets with another member.
 type Comparison struct {
-	Send    []Entry  // missing or older at the other member
-	Missing []Header // missing or older here
-	Expired []Header // expired here, but not at the other member
+	Send    []Entry  // entries that are missing or older at the other member
+	Missing []Header // entries that are missing or older here
+	Expired []Header // entries that have expired here but not at the other member
 }
 
 // CompareBuckets compares another member's differing buckets with the local ones.
@@ -121,8 +121,9 @@
 	return comparison
 }
 
-// entriesNewerThan returns the entries of a bucket that a member lacks or has older versions of, given the versions
-// that it has. Among them are expired tombstones of which the member has an older version.
+// entriesNewerThan returns the entries of a bucket that another member lacks or has in older versions, given the
+// versions that it has. This includes tombstones that have expired here, for keys of which the other member still has
+// an older version.
 func (e *Engine) entriesNewerThan(table TableID, bucket int, known map[string]Version) (entries []Entry) {
 	for key, stored := range e.tables[table].entries {
 		if bucketOfKey(key) != bucket {
--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Peer is another live member, to which messages can be sent.
+// Peer is another live member to which messages can be sent.
 type Peer struct {
 	Name    string
 	Address string // host:port for internal calls
@@ -20,28 +20,29 @@
 	Zone   string
 	Region string
 	// IsTombstone reports whether an entry marks its key as deleted. Such an entry expires after
-	// TombstoneRetention. Nil: there are no tombstones.
+	// TombstoneRetention. If it is nil, there are no tombstones.
 	IsTombstone func(Entry) bool
 	Random      *rand.Rand
 }
 
-// Engine holds the newest entry of every key and decides what is sent to whom. It is not safe for concurrent use.
+// Engine holds the newest entry of every key and decides which entries are sent to which peers. It is not safe for
+// concurrent use.
 type Engine struct {
-	options      Options
-	tables       [tableCount]entryTable
-	expired      expiredEntries
-	subscribers  [tableCount][]func(Entry)
-	peers        []Peer
-	byName       map[string]Peer
-	ranking      peerRanking
-	regionPeers  int                  // number of peers in the local region
-	changes      uint64               // number of entries stored, without ephemeral ones
-	avoidedUntil map[string]time.Time // by peer that did not respond
-	suspectZones map[string]time.Time // by zone of which no peer has responded since one timed out: when that was
-	pending      pending
-	requested    map[entryID]outstandingRequest
-	repairs      pendingRepair
-	sweepAt      time.Time
+	options         Options
+	tables          [tableCount]entryTable
+	expired         expiredEntries
+	subscribers     [tableCount][]func(Entry)
+	peers           []Peer
+	peersByName     map[string]Peer
+	ranking         peerRanking
+	regionPeerCount int                  // number of peers in the local region
+	changeCount     uint64               // number of entries stored, except ephemeral ones
+	avoidedUntil    map[string]time.Time // by name of a peer that didn't respond
+	suspectZones    map[string]time.Time // by zone: when a peer of it last failed to respond; see reachability.go
+	queue           sendQueue
+	requested       map[entryID]outstandingRequest
+	nextRepair      pendingRepair
+	sweepAt         time.Time
 }
 
 // New returns an empty engine.
@@ -54,7 +55,7 @@
 		expired:      newExpiredEntries(),
 		avoidedUntil: map[string]time.Time{},
 		suspectZones: map[string]time.Time{},
-		pending:      pending{deliveries: map[entryID]*delivery{}},
+		queue:        sendQueue{deliveries: map[entryID]*delivery{}},
 		requested:    map[entryID]outstandingRequest{},
 	}
 	for i := range e.tables {
@@ -63,32 +64,32 @@
 	return e
 }
 
-// SetPeers replaces the members to which messages are sent: all live ones but the local one.
+// SetPeers replaces the peers: all live members except the local one.
 func (e *Engine) SetPeers(peers []Peer) {
 	e.peers = slices.Clone(peers)
 	e.ranking.stale = true
-	e.byName = make(map[string]Peer, len(peers))
-	e.regionPeers = 0
+	e.peersByName = make(map[string]Peer, len(peers))
+	e.regionPeerCount = 0
 	for _, peer := range peers {
-		e.byName[peer.Name] = peer
+		e.peersByName[peer.Name] = peer
 		if peer.Region == e.options.Region {
-			e.regionPeers++
+			e.regionPeerCount++
 		}
 	}
 	for name := range e.avoidedUntil {
-		if _, known := e.byName[name]; !known {
+		if _, known := e.peersByName[name]; !known {
 			delete(e.avoidedUntil, name)
 		}
 	}
 }
 
-// Subscribe registers a function that is called, synchronously, for every entry that the table stores from now on.
+// Subscribe registers a function that is called synchronously for every entry that the table stores from now on.
 func (e *Engine) Subscribe(table TableID, call func(Entry)) {
 	e.subscribers[table] = append(e.subscribers[table], call)
 }
 
-// PutLocal stores an entry of the local process and schedules its delivery to the other members. It returns false where
-// the stored entry is as new already.
+// PutLocal stores an entry of the local process and schedules its delivery to other members. It returns false if the
+// stored or expired entry of the key is at least as new.
 func (e *Engine) PutLocal(now time.Time, entry Entry) bool {
 	if !e.store(now, entry) {
 		return false
@@ -97,8 +98,8 @@
 	return true
 }
 
-// Receive stores the entries of another member's message, schedules their further delivery and returns those that were
-// new.
+// Receive stores the entries of another member's message, schedules those to be forwarded, and returns the entries that
+// were new here.
 func (e *Engine) Receive(now time.Time, message Message) (fresh []Entry) {
 	for _, entry := range message.Entries {
 		if !entry.Table.IsValid() {
@@ -125,7 +126,7 @@
 	return stored.entry, true
 }
 
-// All calls the function for every entry of a table, in no order, until it returns false.
+// All calls the function for every entry of a table, in no particular order, until the function returns false.
 func (e *Engine) All(table TableID, call func(Entry) bool) {
 	for _, stored := range e.tables[table].entries {
 		if !call(stored.entry) {
@@ -137,7 +138,7 @@
 // Len returns the number of entries of a table.
 func (e *Engine) Len(table TableID) int { return len(e.tables[table].entries) }
 
-// store stores an entry that is newer than the known one and notifies the subscribers.
+// store stores an entry and notifies the subscribers, if it is newer than the stored or expired one of its key.
 func (e *Engine) store(now time.Time, entry Entry) bool {
 	id := entry.Header().id()
 	if e.expired.hasExpired(id, entry.Version) {
@@ -147,7 +148,7 @@
 		return false
 	}
 	if !entry.Table.isEphemeral() {
-		e.changes++
+		e.changeCount++
 	}
 	for _, call := range e.subscribers[entry.Table] {
 		call(entry)
--- a/serving/gossip/engine_test.go
+++ b/serving/gossip/engine_test.go
@@ -16,8 +16,8 @@
 // tombstoneValue is the value of tombstones.
 var tombstoneValue = []byte("deleted")
 
-// newTestEngine returns an engine of member 0 in zone z0 with peers spread over the zones z0 and z1 of its region and
-// y0 of another.
+// newTestEngine returns the engine of member m0 in zone z0. Its peers are spread over the zones z0 and z1 of the local
+// region and the zone y0 of another region.
 func newTestEngine(peers int) *Engine {
 	e := New(Options{Name: "m0", Zone: "z0", Region: "z", Random: rand.New(rand.NewPCG(1, 1)),
 		IsTombstone: func(entry Entry) bool { return string(entry.Value) == string(tombstoneValue) }})
@@ -54,12 +54,12 @@
 	for version := uint64(1); version <= 50; version++ {
 		e.PutLocal(startTime, endpointEntry("k", version))
 	}
-	assert.Empty(t, e.TakeOutgoing(startTime), "not yet")
+	assert.Empty(t, e.TakeOutgoing(startTime), "not before coalesceDelay")
 	sent := e.TakeOutgoing(startTime.Add(coalesceDelay))
 	require.NotEmpty(t, sent)
 	byZone := map[string]int{}
 	for _, envelope := range sent {
-		require.Len(t, envelope.Message.Entries, 1, "only the newest of a key")
+		require.Len(t, envelope.Message.Entries, 1, "only the newest entry of a key")
 		assert.Equal(t, uint64(50), envelope.Message.Entries[0].Version.Major)
 		byZone[envelope.To.Zone]++
 	}
@@ -115,7 +115,7 @@
 	wanted := other.RequestMissing(startTime, offered.Offers)
 	assert.Equal(t, offered.Offers, wanted)
 	assert.Empty(t, other.RequestMissing(startTime, offered.Offers), "it is in flight already")
-	assert.Equal(t, wanted, other.RequestMissing(startTime.Add(requestTimeout), offered.Offers), "it was lost")
+	assert.Equal(t, wanted, other.RequestMissing(startTime.Add(requestTimeout), offered.Offers), "the request timed out")
 	other.Receive(startTime, Message{From: "m1", Entries: e.CollectEntries(wanted)})
 	assert.Empty(t, other.RequestMissing(startTime.Add(time.Second), offered.Offers))
 
@@ -158,10 +158,11 @@
 	}
 	assert.Len(t, e.expired.byID, maxExpiredEntries)
 	_, ok := e.ExpiredVersion(TableEndpoints, "0")
-	assert.False(t, ok, "the oldest went first")
+	assert.False(t, ok, "the oldest entry was removed first")
 }
 
-// TestRetry_UsesAnotherPath makes each of the receivers in turn unresponsive.
+// TestRetry_UsesAnotherPath makes each receiver of a push unresponsive in turn. The retry must reach another member of
+// its zone, both directly and by relay through a third zone, and retries must end.
 func TestRetry_UsesAnotherPath(t *testing.T) {
 	first := newTestEngine(12)
 	first.PutLocal(startTime, endpointEntry("k", 1))
@@ -213,8 +214,8 @@
 	assert.Empty(t, sent[0].Message.Relay)
 }
 
-// TestRepair_MakesTablesEqual generates two engines with any contents. One repair between them makes them equal, and
-// equal ones have no differences.
+// TestRepair_MakesTablesEqual generates two engines with arbitrary contents. It checks that one repair makes them
+// equal, and that no difference is found between them afterwards.
 func TestRepair_MakesTablesEqual(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		engines := []*Engine{newTestEngine(3), newTestEngine(3)}
@@ -249,7 +250,7 @@
 	})
 }
 
-// TestReceive_IgnoresInvalidNumbers checks that tables and buckets that don't exist are ignored.
+// TestReceive_IgnoresInvalidNumbers checks that invalid table and bucket numbers from other members are ignored.
 func TestReceive_IgnoresInvalidNumbers(t *testing.T) {
 	e := newTestEngine(3)
 	bad := Entry{Table: 99, Key: "k", Version: NewVersion(1, 0)}
@@ -262,8 +263,8 @@
 	e.ExpireTombstone(startTime, bad.Header())
 }
 
-// TestReceive_FinalEntriesAreNotPushedOn: what its sender sends to all members itself is stored and repaired like the
-// rest, but not pushed a second time; a requested relay is carried out all the same.
+// TestReceive_FinalEntriesAreNotPushedOn checks that entries of a Final message are stored and included in the digests
+// like others but not pushed further, and that a requested relay is still carried out.
 func TestReceive_FinalEntriesAreNotPushedOn(t *testing.T) {
 	e := newTestEngine(6)
 	entry := endpointEntry("k", 1)
--- a/serving/gossip/expiry.go
+++ b/serving/gossip/expiry.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Times after which entries leave their tables.
+// Times after which entries are removed, and limits of expired entries.
 const (
 	// TombstoneRetention is how long a tombstone is stored and repaired.
 	TombstoneRetention = 60 * time.Second
 	// ephemeralLifetime is how long an entry of an ephemeral table is stored unless a newer one arrives.
 	ephemeralLifetime = 10 * time.Second
 	// expiredRetention is how long expired entries are retained, so that they are not stored again. maxExpiredEntries
-	// bounds their number.
+	// is their maximum number.
 	expiredRetention  = 20 * time.Minute
 	maxExpiredEntries = 4096
-	// sweepInterval is the time between two searches for expired entries.
+	// sweepInterval is the minimum time between two sweeps, which remove expired entries.
 	sweepInterval = 5 * time.Second
 )
 
-// expiredEntry is an entry that has left its table.
+// expiredEntry is an entry that was removed from its table.
 type expiredEntry struct {
 	entry     Entry
 	expiredAt time.Time
 }
 
-// expiredEntries retains expired entries, so that a member that has missed a tombstone can't bring the key back.
+// expiredEntries retains expired entries, so that a member that has missed a tombstone can't bring a deleted key back.
 type expiredEntries struct {
 	byID map[entryID]expiredEntry
 }
@@ -35,7 +35,7 @@
 	return ok && !expired.entry.Version.Less(version)
 }
 
-// add adds an expired entry.
+// add adds an expired entry, and removes the oldest one if there are maxExpiredEntries already.
 func (x *expiredEntries) add(now time.Time, entry Entry) {
 	if len(x.byID) >= maxExpiredEntries {
 		x.removeOldest()
@@ -64,26 +64,26 @@
 	}
 }
 
-// Forget removes an entry and retains it as expired, so that only a newer one is accepted from other members.
+// Forget removes a key's entry and retains it as expired, so that only a newer entry of the key is stored.
 func (e *Engine) Forget(now time.Time, table TableID, key string) {
 	if removed, ok := e.tables[table].remove(key); ok {
 		e.expired.add(now, removed.entry)
 	}
 }
 
-// ExpiredVersion returns the version with which a key left its table, as long as that is retained.
+// ExpiredVersion returns the version of a key's retained expired entry, if there is one.
 func (e *Engine) ExpiredVersion(table TableID, key string) (Version, bool) {
 	expired, ok := e.ExpiredEntry(table, key)
 	return expired.Version, ok
 }
 
-// ExpiredEntry returns the entry with which a key left its table, as long as that is retained.
+// ExpiredEntry returns the retained expired entry of a key, if there is one.
 func (e *Engine) ExpiredEntry(table TableID, key string) (Entry, bool) {
 	expired, ok := e.expired.byID[entryID{table: table, key: key}]
 	return expired.entry, ok
 }
 
-// ExpiredHeaders returns the headers of those entries that have expired here.
+// ExpiredHeaders returns the headers of those of the given entries that have expired here.
 func (e *Engine) ExpiredHeaders(entries []Entry) (expired []Header) {
 	for _, entry := range entries {
 		header := entry.Header()
@@ -94,7 +94,8 @@
 	return expired
 }
 
-// ExpireTombstone removes a tombstone that has expired at another member, so that both have the same digests again.
+// ExpireTombstone expires a tombstone that has expired at another member, so that both members have equal digests
+// again.
 func (e *Engine) ExpireTombstone(now time.Time, header Header) {
 	if !header.Table.IsValid() {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// sweep removes expired tombstones, ephemeral entries and outstanding requests.
+// sweep removes tombstones, ephemeral entries, retained expired entries and outstanding requests whose time is over.
 func (e *Engine) sweep(now time.Time) {
 	if now.Before(e.sweepAt) {
 		return
--- a/serving/gossip/message.go
+++ b/serving/gossip/message.go
@@ -5,20 +5,21 @@
 	From    string   `cbor:"1,keyasint"`
 	Entries []Entry  `cbor:"2,keyasint,omitempty"`
 	Offers  []Header `cbor:"3,keyasint,omitempty"` // entries without their values, which the receiver may request
-	// Relay lists zones that the receiver is to forward the entries to, since the sender may not be able to reach them.
+	// Relay lists zones to which the receiver forwards the entries, because the sender may be unable to reach them.
 	Relay []string `cbor:"4,keyasint,omitempty"`
-	// Durable requests that the receiver responds only once the entries would survive a loss of its power. Members of
-	// a version without this field respond once they have stored them in memory.
+	// Durable requests that the receiver responds only when the entries would survive a power loss at the receiver.
+	// Members of a version without this field respond when they have stored the entries in memory.
 	Durable bool `cbor:"5,keyasint,omitempty"`
-	// Await names entries. The receiver responds only once its process has applied these versions or newer ones: an
-	// agent, once its proxy has. Members of a version without this field respond once they have stored Entries.
+	// Await lists entries that the receiver's process must have applied, in these versions or newer ones, before it
+	// responds. On an agent, its proxy must have applied them. Members of a version without this field respond when
+	// they have stored Entries.
 	Await []Header `cbor:"6,keyasint,omitempty"`
-	// Final tells that the sender sends the entries to all members that need them at once: the receiver doesn't push them
-	// on. Members of a version without this field do.
+	// Final means that the sender itself sends the entries to all members that need them, so the receiver doesn't push
+	// them further. Members of a version without this field do.
 	Final bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Envelope is a message with its receiver.
+// Envelope is a message with its receiver and the number of retries that led to it.
 type Envelope struct {
 	To      Peer
 	Message Message
--- a/serving/gossip/ranking.go
+++ b/serving/gossip/ranking.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// candidatesPerTarget is the number of ranked peers from which one receiver is selected. They stay the same for a
-	// while, so that a member of a large system has few connections.
+	// candidatesPerTarget is the number of ranked peers from which one receiver is selected. The candidates change only
+	// slowly, so that a member of a large system has few connections.
 	candidatesPerTarget = 3
-	// rankPeriod is how long a peer retains its rank.
+	// rankPeriod is how long a peer keeps its rank.
 	rankPeriod = 120 * time.Second
-	// rankInterval is the least time between two updates of the ranking, unless the peers have changed.
+	// rankInterval is the minimum time between two updates of the ranking, unless the peers have changed.
 	rankInterval = 10 * time.Second
 )
 
-// peerRanking orders the peers pseudorandomly, for each member in another order, which changes slowly.
+// peerRanking orders the peers pseudorandomly. The order is different on each member and changes slowly.
 type peerRanking struct {
 	startedAt time.Time
 	updatedAt time.Time
-	stale     bool
+	stale     bool // the peers have changed since the last update
 
 	ranked       []Peer            // all peers by rank
 	sameZone     []Peer            // those of the local zone
@@ -33,7 +33,7 @@
 	otherRegions map[string][]Peer // their peers by region
 }
 
-// update ranks the peers again where they or their ranks may have changed.
+// update ranks the peers again if the peers have changed or the last update was at least rankInterval ago.
 func (r *peerRanking) update(now time.Time, options Options, peers []Peer) {
 	if !r.stale && now.Sub(r.updatedAt) < rankInterval {
 		return
@@ -52,7 +52,7 @@
 	r.groupByLocation(options)
 }
 
-// groupByLocation divides the ranked peers by zone and region.
+// groupByLocation groups the ranked peers by zone and region.
 func (r *peerRanking) groupByLocation(options Options) {
 	r.sameZone = nil
 	r.otherZones = nil
@@ -70,7 +70,7 @@
 	r.regions = slices.Sorted(maps.Keys(r.otherRegions))
 }
 
-// rank returns the rank of a peer, which changes every rankPeriod. The peers change theirs at different times.
+// rank returns the rank of a peer. It changes every rankPeriod, at a different time for each peer.
 func (r *peerRanking) rank(now time.Time, self, peer string) uint64 {
 	offset := time.Duration(xxhash.Sum64String(peer) % uint64(rankPeriod))
 	period := strconv.FormatInt(int64((now.Sub(r.startedAt)+offset)/rankPeriod), 10)
--- a/serving/gossip/reachability.go
+++ b/serving/gossip/reachability.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// avoidPeriod is how long a peer that didn't answer is avoided.
+	// avoidPeriod is how long a peer that didn't respond is avoided.
 	avoidPeriod = 2 * time.Second
-	// suspectZonePeriod is how long after such a failure the peer's zone may be unreachable, until a peer of it
-	// answers.
+	// suspectZonePeriod is how long the zone of a peer that didn't respond is suspect, that is, possibly unreachable.
+	// It ends early when a peer of the zone responds.
 	suspectZonePeriod = 3 * time.Second
 )
 
-// MarkUnresponsive records that a peer didn't answer: it is avoided for avoidPeriod, and its zone is suspect.
+// MarkUnresponsive records that a peer didn't respond: it is avoided for avoidPeriod, and its zone becomes suspect.
 func (e *Engine) MarkUnresponsive(now time.Time, name string) {
 	e.avoidedUntil[name] = now.Add(avoidPeriod)
 	if zone, ok := e.zoneOf(name); ok {
@@ -21,7 +21,8 @@
 	}
 }
 
-// MarkResponsive records that a peer has answered a call: it is no longer avoided, and its zone is reachable.
+// MarkResponsive records that a peer has responded to a call: it is no longer avoided, and its zone is no longer
+// suspect.
 func (e *Engine) MarkResponsive(name string) {
 	delete(e.avoidedUntil, name)
 	if zone, ok := e.zoneOf(name); ok {
@@ -29,16 +30,16 @@
 	}
 }
 
-// IsAvoided reports whether a peer is avoided because it didn't answer lately.
+// IsAvoided reports whether a peer is avoided because it recently didn't respond.
 func (e *Engine) IsAvoided(now time.Time, name string) bool { return now.Before(e.avoidedUntil[name]) }
 
 // zoneOf returns the zone of a peer.
 func (e *Engine) zoneOf(name string) (zone string, known bool) {
-	peer, known := e.byName[name]
+	peer, known := e.peersByName[name]
 	return peer.Zone, known
 }
 
-// currentSuspectZones returns the other zones that may be unreachable, sorted.
+// currentSuspectZones returns the suspect zones except the local one, sorted.
 func (e *Engine) currentSuspectZones(now time.Time) (zones []string) {
 	for zone, since := range e.suspectZones {
 		if now.Sub(since) < suspectZonePeriod && zone != e.options.Zone {
--- a/serving/gossip/repair_test.go
+++ b/serving/gossip/repair_test.go
@@ -16,7 +16,7 @@
 	e.RecordDifference(recorded, "m1", []TableID{TableEndpoints})
 	assert.Equal(t, recorded.Add(settleDelay), e.NextRepairTime())
 	_, due = e.TakeDueRepair(recorded)
-	assert.False(t, due, "it may be in transit")
+	assert.False(t, due, "the entry may still be in transit")
 	found, due := e.TakeDueRepair(recorded.Add(settleDelay))
 	require.True(t, due)
 	assert.Equal(t, "m1", found.Peer.Name)
@@ -61,7 +61,8 @@
 	assert.Equal(t, int(time.Minute/idleRepairInterval), repairs)
 }
 
-// TestPeerRanking_ChangesSlowly counts the receivers of pushes within half a minute in a large system.
+// TestPeerRanking_ChangesSlowly checks that a member of a large system pushes to few different receivers within half a
+// minute.
 func TestPeerRanking_ChangesSlowly(t *testing.T) {
 	e := newTestEngine(400)
 	receivers := map[string]bool{}
--- a/serving/gossip/request.go
+++ b/serving/gossip/request.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// requestTimeout is how long a requested entry counts as in flight.
+// requestTimeout is how long a requested entry counts as in flight. After that it may be requested again.
 const requestTimeout = 500 * time.Millisecond
 
-// outstandingRequest is an offered entry that was requested and hasn't arrived.
+// outstandingRequest is the request of an offered entry that hasn't arrived yet.
 type outstandingRequest struct {
 	version  Version
 	deadline time.Time
 }
 
-// RequestMissing returns those of the offered entries that are to be requested, because they are missing here and not
-// in flight already, and records the requests.
+// RequestMissing returns the offered entries that the caller should request, because they are missing here and not yet
+// in flight. It records them as requested.
 func (e *Engine) RequestMissing(now time.Time, offers []Header) (missing []Header) {
 	for _, offer := range offers {
 		if !offer.Table.IsValid() || !e.isMissing(offer) {
@@ -31,7 +31,7 @@
 	return missing
 }
 
-// CollectEntries returns the newest versions of the named entries, as far as they are known.
+// CollectEntries returns the stored versions of the given entries, and omits entries that aren't stored.
 func (e *Engine) CollectEntries(headers []Header) (entries []Entry) {
 	for _, header := range headers {
 		if !header.Table.IsValid() {
@@ -44,7 +44,7 @@
 	return entries
 }
 
-// isMissing reports whether an entry is newer than what is stored here and hasn't expired.
+// isMissing reports whether an entry is newer than the stored one, or not stored, and hasn't expired here.
 func (e *Engine) isMissing(header Header) bool {
 	if e.expired.hasExpired(header.id(), header.Version) {
 		return false
--- a/serving/gossip/table.go
+++ b/serving/gossip/table.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// storedEntry is an entry in its table.
+// storedEntry is an entry in its table, with the time at which it was stored.
 type storedEntry struct {
 	entry       Entry
 	storedAt    time.Time
 	isTombstone bool
 }
 
-// entryTable holds the newest entry of each key and, for digests, the sums of the entries' hashes.
+// entryTable holds the newest entry of each key. For digests, it also holds the sum of all entries' hashes and the sums
+// by bucket.
 type entryTable struct {
 	entries map[string]*storedEntry
 	sum     uint64
 	buckets [BucketCount]uint32
 }
 
-// put stores an entry and returns true if it is newer than the stored one of its key.
+// put stores an entry if it is newer than the stored one of its key, and reports whether it did.
 func (t *entryTable) put(now time.Time, entry Entry, isTombstone bool) bool {
 	stored, ok := t.entries[entry.Key]
 	if ok && !stored.entry.Version.Less(entry.Version) {
@@ -34,7 +35,7 @@
 	return true
 }
 
-// remove removes the entry of a key.
+// remove removes and returns the entry of a key.
 func (t *entryTable) remove(key string) (*storedEntry, bool) {
 	stored, ok := t.entries[key]
 	if !ok {
