--- a/serving/state/configuration.go
+++ b/serving/state/configuration.go
@@ -13,7 +13,7 @@
 // Digest identifies a document by its bytes: the first half of its SHA-256 hash.
 type Digest [16]byte
 
-// DigestOf returns the digest of a document as the operator sent it.
+// DigestOf returns the digest of an uncompressed document, as the operator sent it.
 func DigestOf(document []byte) (digest Digest) {
 	sum := sha256.Sum256(document)
 	copy(digest[:], sum[:])
@@ -23,14 +23,14 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Configuration is an operator's configuration document. The zero value means that there is none yet.
+// Configuration is the operator's configuration document. The zero value means that there is none yet.
 type Configuration struct {
-	Version  uint64 `cbor:"1,keyasint,omitempty"` // assigned by the operator; increases, possibly with gaps
+	Version  uint64 `cbor:"1,keyasint,omitempty"` // assigned by the operator; increases, may have gaps
 	Digest   Digest `cbor:"2,keyasint"`           // of the document before compression
 	Document []byte `cbor:"3,keyasint,omitempty"` // the JSON document as it was sent, compressed with deflate
 }
 
-// NewConfiguration compresses a document.
+// NewConfiguration returns a configuration with a document, which it compresses.
 func NewConfiguration(version uint64, document []byte) (Configuration, error) {
 	compressed, err := compress(document)
 	if err != nil {
--- a/serving/state/history.go
+++ b/serving/state/history.go
@@ -6,27 +6,28 @@
 	"slices"
 )
 
-// Lengths of a record's history of updates. Both together cover more than a day of 710 changes.
+// Limits of a record's history of updates. Together they cover more than a day with 710 changes.
 const (
-	// MaxHistory is the length of a record's History.
+	// MaxHistory is the maximum number of updates in a record's History.
 	MaxHistory = 64
-	// MaxOlderHistory is the number of updates in a record's OlderHistory, of some ten bytes each.
+	// MaxOlderHistory is the maximum number of updates in a record's OlderHistory, of about ten bytes each.
 	MaxOlderHistory = 1024
 )
 
-// AppliedUpdate identifies an update that has set the configuration, by the version that it set and the digest of what
-// the operator sent. A repeated update is recognized by it and acknowledged again.
+// AppliedUpdate identifies an update that has set the configuration, by the version that it set and the digest of the
+// document that the operator sent. If the operator sends the same update again, it is recognized and acknowledged
+// again.
 type AppliedUpdate struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  Digest `cbor:"2,keyasint"`
 }
 
-// shortDigestLength is the length of the beginning of a digest that a PackedHistory retains. A mistake needs a changed
-// document with the same version number whose digest begins alike: one in 2^64.
+// shortDigestLength is the number of bytes of a digest that a PackedHistory retains. Another document with the same
+// version is mistaken for the applied one only if its digest begins with the same bytes: a chance of one in 2^64.
 const shortDigestLength = 8
 
-// PackedHistory is a sequence of updates with rising versions: of each the difference to the version before it, as a
-// varint, and the beginning of its digest.
+// PackedHistory is the compact form of a sequence of updates with increasing versions. Each update consists of the
+// difference from the previous version, as a varint, and the first shortDigestLength bytes of its digest.
 type PackedHistory []byte
 
 // packedUpdate is one update of a PackedHistory.
@@ -35,12 +36,12 @@
 	digest  []byte // shortDigestLength bytes
 }
 
-// matches reports whether this is the update with a version and digest.
+// matches reports whether the update has the given version and digest.
 func (p packedUpdate) matches(version uint64, digest Digest) bool {
 	return p.version == version && bytes.Equal(p.digest, digest[:shortDigestLength])
 }
 
-// updates returns the updates, the oldest first. What follows a damaged update is left out.
+// updates returns the updates, oldest first. If an update is damaged, it and all later ones are omitted.
 func (p PackedHistory) updates() (all []packedUpdate) {
 	version := uint64(0)
 	for len(p) > 0 {
@@ -55,7 +56,7 @@
 	return all
 }
 
-// packHistory returns updates with rising versions as a PackedHistory.
+// packHistory returns updates with increasing versions as a PackedHistory.
 func packHistory(updates []packedUpdate) PackedHistory {
 	packed := PackedHistory{}
 	version := uint64(0)
@@ -67,7 +68,8 @@
 	return packed
 }
 
-// AddToHistory records an update that was applied. It doesn't modify the slices that the record had.
+// AddToHistory adds an applied update to History, moves the oldest ones to OlderHistory if History is full, and drops
+// the oldest of those. It replaces the slices of the record and doesn't modify the previous ones.
 func (r *Record) AddToHistory(applied AppliedUpdate) {
 	r.History = append(slices.Clone(r.History), applied)
 	excess := len(r.History) - MaxHistory
@@ -75,7 +77,7 @@
 		return
 	}
 	if len(r.OlderHistory) == 0 {
-		// A process of an earlier release, which has no OlderHistory, may have removed updates.
+		// A process of an earlier release may have removed updates from History; it doesn't know OlderHistory.
 		r.ForgottenVersion = r.TruncatedVersion
 	}
 	older := r.OlderHistory.updates()
@@ -91,7 +93,8 @@
 	r.History = r.History[excess:]
 }
 
-// WasApplied reports whether an update was applied, as far as the history goes back.
+// WasApplied reports whether an update is known to have been applied. It is false for updates that were dropped from
+// the history, see MayBeForgotten.
 func (r *Record) WasApplied(version uint64, digest Digest) bool {
 	if slices.Contains(r.History, AppliedUpdate{Version: version, Digest: digest}) {
 		return true
@@ -104,8 +107,8 @@
 	})
 }
 
-// MayBeForgotten reports whether an update with a version may have been applied so long ago that the history doesn't
-// reach back to it.
+// MayBeForgotten reports whether an update with the given version may have been applied and dropped from the history
+// since.
 func (r *Record) MayBeForgotten(version uint64) bool {
 	if len(r.OlderHistory) == 0 {
 		return version <= r.TruncatedVersion
--- a/serving/state/history_test.go
+++ b/serving/state/history_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// updateOf returns the update that set a version.
+// updateOf returns the update that sets a version.
 func updateOf(version uint64) AppliedUpdate {
 	return AppliedUpdate{Version: version, Digest: DigestOf([]byte(fmt.Sprint("document ", version)))}
 }
 
-// TestAddToHistory_RemembersOrSaysThatItMayNot applies updates with uneven steps of the version, and now and then lets
-// a process of an earlier release write the record. No update that was applied is ever denied, and none that wasn't is
-// confirmed.
+// TestAddToHistory_RemembersOrSaysThatItMayNot applies updates whose versions increase by irregular steps, while a
+// process of an earlier release occasionally writes the record. For every applied update, WasApplied or MayBeForgotten
+// must be true; for updates that were not applied, WasApplied must be false.
 func TestAddToHistory_RemembersOrSaysThatItMayNot(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var record Record
@@ -33,7 +33,7 @@
 			history, older := slices.Clone(record.History), slices.Clone(record.OlderHistory)
 			next := record
 			next.AddToHistory(updateOf(version))
-			require.Equal(rt, history, record.History, "the record before is as it was")
+			require.Equal(rt, history, record.History, "the previous record is not modified")
 			require.Equal(rt, older, record.OlderHistory)
 			record = next
 			applied = append(applied, updateOf(version))
@@ -79,7 +79,7 @@
 	for version := uint64(8); version <= 8+earlierLength; version++ {
 		assert.True(t, record.WasApplied(version, updateOf(version).Digest), "version %d", version)
 	}
-	assert.True(t, record.MayBeForgotten(7), "forgotten by the earlier release")
+	assert.True(t, record.MayBeForgotten(7), "removed by the earlier release")
 	assert.False(t, record.MayBeForgotten(8))
 }
 
--- a/serving/state/member.go
+++ b/serving/state/member.go
@@ -1,22 +1,22 @@
 package state
 
-// Role is the role of a member process.
+// Role is the function of a member process in the control plane.
 type Role uint8
 
 // The roles.
 const (
-	RoleAgent Role = iota + 1 // runs beside a proxy and represents it
-	RoleCore                  // has a replica of the record and serves the operators' API
+	RoleAgent Role = iota + 1 // runs beside a proxy and represents it in the control plane
+	RoleCore                  // holds a replica of the record and serves the operators' API
 )
 
-// MemberState is the state that a member reports of itself.
+// MemberState is the state that a member reports about itself.
 type MemberState uint8
 
 // The states of a member.
 const (
 	MemberStarting MemberState = iota // not ready to serve yet
 	MemberReady                       // serves
-	MemberLeaving                     // is shutting down and finishes its work
+	MemberLeaving                     // is shutting down and finishing its work
 	MemberLeft                        // has shut down
 )
 
--- a/serving/state/observation.go
+++ b/serving/state/observation.go
@@ -6,6 +6,7 @@
 	// Failures counts the failed calls: no connection, an interrupted response, an error of the endpoint, or a
 	// time-out. Requests that the endpoint rejected or the client cancelled are not included.
 	Failures int `cbor:"2,keyasint,omitempty"`
-	// Unacknowledged means that not even the endpoint's machine acknowledges the packets that are sent.
+	// Unacknowledged means that the packets sent to the endpoint are not even acknowledged by the network stack of its
+	// machine.
 	Unacknowledged bool `cbor:"3,keyasint,omitempty"`
 }
--- a/serving/state/rollout.go
+++ b/serving/state/rollout.go
@@ -2,38 +2,39 @@
 
 import "slices"
 
-// RolloutState is where a roll-out stands.
+// RolloutState is the state of a roll-out.
 type RolloutState uint8
 
 // The states of a roll-out. The last two are final.
 const (
 	RolloutInProgress RolloutState = iota + 1 // the target gets a share of the requests
 	RolloutPromoted                           // the target gets all requests
-	RolloutRolledBack                         // the target gets nothing any more
+	RolloutRolledBack                         // the target gets no more requests
 )
 
-// RolloutStep is the step of a roll-out in progress: how much of the service's traffic its target may get.
+// RolloutStep is the step of a roll-out in progress. It determines how much of the service's traffic the target may
+// get.
 type RolloutStep uint8
 
-// The steps, in their order.
+// The steps of a roll-out, in their order.
 const (
 	RolloutCanary RolloutStep = iota // a few endpoints of the target get a small share
-	RolloutLoad                      // and two more get as many requests at once as they have to bear when they are busy
-	RolloutRamp                      // part of the target's endpoints gets its part of the traffic
+	RolloutLoad                      // and two more get as many concurrent requests as they must handle at high load
+	RolloutRamp                      // part of the target's endpoints gets a proportionate part of the traffic
 	RolloutFull                      // all new requests go to the target
 )
 
 // RolloutReason says why a roll-out was rolled back.
 type RolloutReason uint8
 
-// The reasons.
+// The reasons for which a roll-out is rolled back.
 const (
 	RolloutNoReason     RolloutReason = iota
-	RolloutFailures                   // answers of the target fail more often than those of the versions in force
-	RolloutSlow                       // answers of the target are late more often than those of the versions in force
-	RolloutNoEndpoints                // too few endpoints of the target came up in time
+	RolloutFailures                   // the target's answers fail more often than those of the versions in force
+	RolloutSlow                       // the target's answers are slow more often than those of the versions in force
+	RolloutNoEndpoints                // too few endpoints of the target became available in time
 	_                                 // not in use
-	RolloutUnobservable               // the proxies didn't report enough of it in time
+	RolloutUnobservable               // the proxies didn't report enough observations of it in time
 )
 
 // Rollout is the newest order to move a service's traffic to another software version, its target.
@@ -42,35 +43,36 @@
 	Target  string       `cbor:"2,keyasint"`
 	State   RolloutState `cbor:"3,keyasint"`
 	Step    RolloutStep  `cbor:"4,keyasint,omitempty"`
-	// DurationMillis is the time from the order in which the roll-out is to end.
+	// DurationMillis is the time after the order within which the roll-out is to end.
 	DurationMillis int64 `cbor:"5,keyasint"`
 	// OrderRevision is the revision of the record in which the roll-out was ordered. It identifies the roll-out.
 	OrderRevision uint64 `cbor:"6,keyasint"`
 	// Revision is the revision of the record in which the roll-out was last changed.
 	Revision uint64 `cbor:"7,keyasint"`
-	// ElapsedMillis is the time from the order to that change, at least.
+	// ElapsedMillis is a lower bound of the time between the order and the change at Revision.
 	ElapsedMillis int64          `cbor:"8,keyasint,omitempty"`
 	Verdict       RolloutVerdict `cbor:"9,keyasint"`
-	// Retired are the software versions that this and earlier roll-outs have replaced or rolled back, the newest last, at
-	// most MaxRetired. They get nothing.
+	// Retired lists the software versions that this and earlier roll-outs have replaced or rolled back, newest last, at
+	// most MaxRetired. They get no requests.
 	Retired []string `cbor:"10,keyasint,omitempty"`
 }
 
-// RolloutVerdict is why a roll-out ended, and the counts of answers that it rests on.
+// RolloutVerdict states why a roll-out ended, and the counts of answers on which that decision is based.
 type RolloutVerdict struct {
 	Reason   RolloutReason `cbor:"1,keyasint,omitempty"`
-	Route    string        `cbor:"2,keyasint,omitempty"` // name of the route that showed it; empty: all routes together
-	Target   AnswerCounts  `cbor:"3,keyasint"`           // of that route
-	Baseline AnswerCounts  `cbor:"4,keyasint"`           // of that route, by the versions in force in the same time
+	Route    string        `cbor:"2,keyasint,omitempty"` // route whose counts gave the reason; empty: all routes together
+	Target   AnswerCounts  `cbor:"3,keyasint"`           // answers of the target on that route
+	Baseline AnswerCounts  `cbor:"4,keyasint"`           // the same of the versions in force, in the same time
 }
 
-// MaxRetired is the number of retired software versions of a service that are remembered.
+// MaxRetired is the maximum number of retired software versions that are kept for a service.
 const MaxRetired = 16
 
 // IsRetired reports whether a software version was replaced or rolled back.
 func (r *Rollout) IsRetired(version string) bool { return slices.Contains(r.Retired, version) }
 
-// Retire adds a software version to the retired ones. It doesn't modify the slice that the roll-out had.
+// Retire adds a software version to Retired as the newest one. It replaces the slice and doesn't modify the previous
+// one.
 func (r *Rollout) Retire(version string) {
 	retired := slices.DeleteFunc(slices.Clone(r.Retired), func(known string) bool { return known == version })
 	retired = append(retired, version)
@@ -87,7 +89,8 @@
 	return Rollout{}, false
 }
 
-// SetRollout replaces the roll-out of the same service. It doesn't modify the slice that the record had.
+// SetRollout adds a roll-out, or replaces the one of the same service. It replaces the slice and doesn't modify the
+// previous one.
 func (r *Record) SetRollout(rollout Rollout) {
 	rollouts := slices.Clone(r.Rollouts)
 	position := slices.IndexFunc(rollouts, func(known Rollout) bool { return known.Service == rollout.Service })
@@ -99,12 +102,12 @@
 	r.Rollouts = rollouts
 }
 
-// AnswerCounts counts answers of endpoints.
+// AnswerCounts holds counts of the answers of endpoints.
 type AnswerCounts struct {
-	Answers int `cbor:"1,keyasint,omitempty"` // that have begun, or failed before
-	Failed  int `cbor:"2,keyasint,omitempty"` // of these, the endpoint's own errors and those that broke off
-	Timed   int `cbor:"3,keyasint,omitempty"` // of these, those whose time is compared with the expected one
-	Slow    int `cbor:"4,keyasint,omitempty"` // of the timed ones, those that took several times as long
+	Answers int `cbor:"1,keyasint,omitempty"` // answers that have begun, or failed before they began
+	Failed  int `cbor:"2,keyasint,omitempty"` // of these, errors of the endpoint and answers that were interrupted
+	Timed   int `cbor:"3,keyasint,omitempty"` // of the answers, those whose time is compared with the expected time
+	Slow    int `cbor:"4,keyasint,omitempty"` // of the timed ones, those that took several times the expected time
 }
 
 // Add returns the sums of both counts.
@@ -127,16 +130,16 @@
 	}
 }
 
-// RolloutReport is what one proxy has observed of a roll-out. All counts are sums since the proxy first knew of it, so
-// that a report replaces the proxy's earlier ones.
+// RolloutReport is what one proxy has observed of a roll-out. All counts are totals since the proxy learned of the
+// roll-out, so that each report replaces the proxy's earlier ones.
 type RolloutReport struct {
 	OrderRevision uint64        `cbor:"1,keyasint"`           // identifies the roll-out
-	Incarnation   uint64        `cbor:"2,keyasint"`           // of the proxy's process, whose counts begin at zero
+	Incarnation   uint64        `cbor:"2,keyasint"`           // of the proxy's process; the counts of each start at zero
 	Sequence      uint64        `cbor:"3,keyasint"`           // increases with each report of an incarnation
 	Routes        []RouteCounts `cbor:"4,keyasint,omitempty"` // at most MaxReportedRoutes
-	// Endpoints are the counts of the target's endpoints, of the first ones that answered, at most MaxReportedEndpoints.
+	// Endpoints holds the counts of the target's endpoints that answered first, at most MaxReportedEndpoints.
 	Endpoints []EndpointCounts `cbor:"5,keyasint,omitempty"`
-	// BaselineInFlight is the number of this proxy's calls at endpoints of the versions in force.
+	// BaselineInFlight is the number of this proxy's calls in flight to endpoints of the versions in force.
 	BaselineInFlight int `cbor:"6,keyasint,omitempty"`
 }
 
@@ -152,20 +155,20 @@
 	ID      string `cbor:"1,keyasint"`
 	Answers int    `cbor:"2,keyasint,omitempty"`
 	Bad     int    `cbor:"3,keyasint,omitempty"` // failed or slow
-	// LoadProbe means that the counts are those of calls that loaded the endpoint on purpose. Others have an entry of
-	// their own.
+	// LoadProbe means that the counts are those of calls that were sent to load the endpoint, see RolloutLoad. The
+	// endpoint's other calls are counted in a separate entry.
 	LoadProbe bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Bounds of a report.
+// Limits of a report.
 const (
 	MaxReportedRoutes    = 48
 	MaxReportedEndpoints = 24
 )
 
-// RolloutLease permits a proxy to send requests to the target of a roll-out in progress for some time. Without one it
-// sends none.
+// RolloutLease permits a proxy to send requests to the target of a roll-out in progress for a limited time. Without a
+// valid lease, the proxy sends it none.
 type RolloutLease struct {
 	OrderRevision uint64 `cbor:"1,keyasint"` // identifies the roll-out
-	Millis        int64  `cbor:"2,keyasint"` // from the receipt
+	Millis        int64  `cbor:"2,keyasint"` // validity in milliseconds from the receipt
 }
