--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -47,7 +47,7 @@
 // sendQueue holds the deliveries that wait to be sent.
 type sendQueue struct {
 	deliveries map[entryID]*delivery
-	due        time.Time // zero: nothing is pending
+	due        time.Time // when the deliveries are to be sent; zero: the queue is empty
 	lastSent   time.Time
 	sendRate   float64 // see rateAt, as of lastSent
 }
--- a/serving/membership/confirmation.go
+++ b/serving/membership/confirmation.go
@@ -41,10 +41,10 @@
 // that a member is reachable: a chain of watchers, each watching the next, leads to it from a member with direct
 // evidence.
 func (t *Table) evaluateConfirmations(now time.Time) {
-	if now.Sub(t.confirmedAt) < confirmationInterval || now.Sub(t.resumedAt) < SuspicionTimeout {
+	if now.Sub(t.lastConfirmation) < confirmationInterval || now.Sub(t.resumedAt) < SuspicionTimeout {
 		return
 	}
-	t.confirmedAt = now
+	t.lastConfirmation = now
 	suspecting := t.suspectingWatchers()
 	t.collectEvidence(now, suspecting)
 	t.inMassFailure = len(suspecting)+t.countDownSince(now.Add(-massFailureWindow)) >= massFailureThreshold
@@ -127,7 +127,7 @@
 			evidence = at
 		}
 	}
-	record(tracked.probedByOther, contactPeriod)
+	record(tracked.respondedToRelayAt, contactPeriod)
 	if watched := t.watched[name]; watched != nil && watched.suspected {
 		return evidence
 	}
--- a/serving/membership/confirmation_test.go
+++ b/serving/membership/confirmation_test.go
@@ -12,9 +12,8 @@
 
 // tickWithProbes ticks a table for a span of time and answers its probes for the members that isAlive reports. With
 // inContact, these members also call the local member before each tick. It returns the time at the end.
-func tickWithProbes(
-	table *Table, from time.Time, span time.Duration, inContact bool, isAlive func(string) bool,
-) time.Time {
+func tickWithProbes(table *Table, from time.Time, span time.Duration, inContact bool,
+	isAlive func(string) bool) time.Time {
 	now := from
 	for ; now.Before(from.Add(span)); now = now.Add(confirmationInterval) {
 		for _, member := range table.LiveMembers() {
--- a/serving/membership/heartbeat.go
+++ b/serving/membership/heartbeat.go
@@ -57,7 +57,7 @@
 // ReceiveHeartbeat records a heartbeat and returns the response to it.
 func (t *Table) ReceiveHeartbeat(now time.Time, heartbeat Heartbeat) HeartbeatAck {
 	tracked, ok := t.members[heartbeat.Name]
-	if !ok || tracked.member.Incarnation < heartbeat.Incarnation || isDeparted(tracked.member) {
+	if !ok || tracked.member.Incarnation < heartbeat.Incarnation || hasLeft(tracked.member) {
 		return HeartbeatAck{Unknown: true}
 	}
 	if tracked.member.Incarnation > heartbeat.Incarnation {
--- a/serving/membership/probe.go
+++ b/serving/membership/probe.go
@@ -152,7 +152,7 @@
 // responded. A relay that doesn't answer counts as one without a response.
 func (t *Table) RecordRelayedProbe(now time.Time, name string, responded bool) {
 	if tracked, ok := t.members[name]; ok && responded {
-		tracked.probedByOther = now
+		tracked.respondedToRelayAt = now
 	}
 	if probed, ok := t.unconfirmed[name]; ok && probed.pendingRelays > 0 {
 		probed.pendingRelays--
--- a/serving/membership/suspicion.go
+++ b/serving/membership/suspicion.go
@@ -33,7 +33,7 @@
 // as down, and returns the new version for gossip. It returns false if the member has left, if its sequence is already
 // higher, or if it refuted less than refuteInterval ago.
 func (t *Table) Refute(now time.Time, above uint64) (state.Member, bool) {
-	if isDeparted(t.Self()) || t.Self().Sequence > above || now.Sub(t.refutedAt) < refuteInterval {
+	if hasLeft(t.Self()) || t.Self().Sequence > above || now.Sub(t.refutedAt) < refuteInterval {
 		return state.Member{}, false
 	}
 	t.refutedAt = now
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -48,26 +48,26 @@
 
 // trackedMember is a member with what the table records about it.
 type trackedMember struct {
-	member           state.Member
-	ringPosition     uint64
-	onRing           bool
-	remoteRank       uint64 // selects the other region's zone that provides a watcher, see remoteZone
-	downSince        time.Time
-	lastLiveAt       time.Time // set when the member goes down or leaves
-	lastContact      time.Time // when it last called or responded; zero: never
-	noResponseAt     time.Time // when a call to it last got no response; zero: never
-	versionAt        time.Time // when its newest version arrived
-	liveSince        time.Time // since when its current incarnation is live in this table
-	probedByOther    time.Time // when a relay last reported that it responded to a probe
-	evidenceAt       time.Time // when it was last known to be alive, see collectEvidence; zero: no evidence
-	newestEvidenceAt time.Time // the newest evidenceAt of all evaluations
-	reachable        bool      // by direct evidence or a chain of watchers, see evaluateConfirmations
-	watchers         []*watchLink
-	watching         []*watchLink // to the members that it watches
+	member             state.Member
+	ringPosition       uint64
+	onRing             bool
+	remoteRank         uint64 // selects the other region's zone that provides a watcher, see remoteZone
+	downSince          time.Time
+	lastLiveAt         time.Time    // set when the member goes down or leaves
+	lastContact        time.Time    // when it last called or responded; zero: never
+	noResponseAt       time.Time    // when a call to it last got no response; zero: never
+	versionAt          time.Time    // when its newest version arrived
+	liveSince          time.Time    // since when its current incarnation is live in this table
+	respondedToRelayAt time.Time    // when a relay last reported a response from it; zero: never
+	evidenceAt         time.Time    // when it was last known to be alive, see collectEvidence; zero: no evidence
+	newestEvidenceAt   time.Time    // the newest evidenceAt of all evaluations
+	reachable          bool         // by direct evidence or a chain of watchers, see evaluateConfirmations
+	watchers           []*watchLink // to its watchers
+	watching           []*watchLink // to the members that it watches
 }
 
-// isLive reports whether the member is neither down nor departed.
-func (m *trackedMember) isLive() bool { return m.downSince.IsZero() && !isDeparted(m.member) }
+// isLive reports whether the member is not down and has not left.
+func (m *trackedMember) isLive() bool { return m.downSince.IsZero() && !hasLeft(m.member) }
 
 // Options configures a Table.
 type Options struct {
@@ -77,29 +77,29 @@
 // Table holds all known members, including the local one, and the suspicions about them. It is not safe for concurrent
 // use.
 type Table struct {
-	self            string
-	members         map[string]*trackedMember
-	removedMembers  map[string]removedMember
-	suspicions      map[suspicionID]Suspicion
-	watched         map[string]*watchedMember
-	ringMembers     []*trackedMember           // by position; nil: must be rebuilt
-	liveMembers     []state.Member             // by name; nil: must be rebuilt
-	zones           []zoneLocation             // zones with members on the ring, by name
-	watchedStale    bool                       // the ring has changed since the last updateWatched
-	needsEvaluation bool                       // suspicions, members or watchers have changed since the last evaluation
-	linksStale      bool                       // the ring has changed since the last updateWatchLinks
-	lastContacts    map[string]time.Time       // by zone: when one of its members last called or responded
-	suspectZones    map[string]time.Time       // by zone: since when it appears unreachable
-	doubtful        map[string]*doubtfulMember // by name: suspected members to be probed before they are marked as down
-	unconfirmed     map[string]*unconfirmedMember
-	confirmedAt     time.Time // when evaluateConfirmations last ran
-	inMassFailure   bool      // many members are failing at once, see isConfirmed
-	resumedAt       time.Time // when the last pause longer than maxTickPause ended
-	revision        uint64    // of the last suspicion or withdrawal that the local member issued
-	lastTick        time.Time
-	lateness        time.Duration // by how much this process runs behind its schedule, see RecordDelay
-	refutedAt       time.Time
-	listeners       []func(Change)
+	self             string
+	members          map[string]*trackedMember
+	removedMembers   map[string]removedMember
+	suspicions       map[suspicionID]Suspicion
+	watched          map[string]*watchedMember
+	ringMembers      []*trackedMember           // by position; nil: must be rebuilt
+	liveMembers      []state.Member             // by name; nil: must be rebuilt
+	zones            []zoneLocation             // zones with members on the ring, by name
+	watchedStale     bool                       // the ring has changed since the last updateWatched
+	needsEvaluation  bool                       // suspicions, members or watchers have changed since the last evaluation
+	linksStale       bool                       // the ring has changed since the last updateWatchLinks
+	lastContacts     map[string]time.Time       // by zone: when one of its members last called or responded
+	suspectZones     map[string]time.Time       // by zone: since when it appears unreachable
+	doubtful         map[string]*doubtfulMember // by name: suspected members to be probed before they are marked as down
+	unconfirmed      map[string]*unconfirmedMember
+	lastConfirmation time.Time // when evaluateConfirmations last ran
+	inMassFailure    bool      // many members are failing at once, see isConfirmed
+	resumedAt        time.Time // when the last pause longer than maxTickPause ended
+	revision         uint64    // of the last suspicion or withdrawal that the local member issued
+	lastTick         time.Time
+	lateness         time.Duration // by how much this process runs behind its schedule, see RecordDelay
+	refutedAt        time.Time
+	listeners        []func(Change)
 }
 
 // removedMember is the part of a removed member that CountRecentlyLive still needs.
@@ -149,8 +149,8 @@
 	return one.Sequence > other.Sequence
 }
 
-// isDeparted reports whether a member has left by a graceful shutdown. An incarnation that has left never returns.
-func isDeparted(member state.Member) bool { return member.State == state.MemberLeft }
+// hasLeft reports whether a member has left by a graceful shutdown. An incarnation that has left never returns.
+func hasLeft(member state.Member) bool { return member.State == state.MemberLeft }
 
 // MergeMember applies a version of a member that came from the member itself, directly or by gossip. A newer version
 // refutes every suspicion about an older one. It returns false if the version doesn't supersede the known one.
@@ -190,7 +190,7 @@
 // supersedes reports whether a version of a member replaces the known one: it must be newer, and of a later incarnation
 // if the known one has left.
 func supersedes(version, known state.Member) bool {
-	if isDeparted(known) && version.Incarnation == known.Incarnation {
+	if hasLeft(known) && version.Incarnation == known.Incarnation {
 		return false
 	}
 	return IsNewer(version, known)
@@ -200,7 +200,7 @@
 // left, UpdateSelf changes nothing and returns the current version.
 func (t *Table) UpdateSelf(now time.Time, change func(*state.Member)) state.Member {
 	member := t.Self()
-	if isDeparted(member) {
+	if hasLeft(member) {
 		return member
 	}
 	change(&member)
@@ -227,13 +227,13 @@
 // DownMembers returns the members that are down and not yet removed, sorted by name.
 func (t *Table) DownMembers() []state.Member {
 	return t.membersWhere(func(tracked *trackedMember) bool {
-		return !tracked.downSince.IsZero() && !isDeparted(tracked.member)
+		return !tracked.downSince.IsZero() && !hasLeft(tracked.member)
 	})
 }
 
 // LeftMembers returns the members that have left by a graceful shutdown and are not yet removed, sorted by name.
 func (t *Table) LeftMembers() []state.Member {
-	return t.membersWhere(func(tracked *trackedMember) bool { return isDeparted(tracked.member) })
+	return t.membersWhere(func(tracked *trackedMember) bool { return hasLeft(tracked.member) })
 }
 
 // membersWhere returns the members that match, sorted by name.
@@ -308,7 +308,7 @@
 }
 
 // removeExpired removes the members that have been down or have left for at least RetentionPeriod and returns their
-// names, sorted.
+// names, sorted. It also deletes the removedMembers that CountRecentlyLive no longer needs.
 func (t *Table) removeExpired(now time.Time) (names []string) {
 	for name, tracked := range t.members {
 		if name == t.self || tracked.isLive() || now.Sub(tracked.lastLiveAt) < RetentionPeriod {
--- a/serving/membership/tick.go
+++ b/serving/membership/tick.go
@@ -43,7 +43,7 @@
 func (t *Table) NextTimeout() (next time.Time) {
 	for name, watched := range t.watched {
 		tracked, ok := t.members[name]
-		if !ok || watched.suspected || isDeparted(tracked.member) {
+		if !ok || watched.suspected || hasLeft(tracked.member) {
 			continue
 		}
 		timeout := watched.lastHeartbeat.Add(t.suspicionTimeout(tracked.member, watched))
@@ -67,7 +67,7 @@
 		watched.suspected = false
 		return []Suspicion{t.issueSuspicion(watched, tracked.member, true)}
 	}
-	if isDeparted(tracked.member) {
+	if hasLeft(tracked.member) {
 		return nil
 	}
 	// A member that has been marked as down in the meantime is suspected at once. Otherwise, members that still
@@ -85,7 +85,7 @@
 func isObsolete(suspicion Suspicion, member state.Member) bool {
 	return suspicion.Incarnation != member.Incarnation ||
 		suspicion.Sequence < member.Sequence ||
-		isDeparted(member)
+		hasLeft(member)
 }
 
 // issueSuspicion creates and merges the local member's next suspicion or withdrawal about a watched member.
--- a/serving/membership/watchlink.go
+++ b/serving/membership/watchlink.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// watchLink is the assignment of a watcher to a member, in effect since a time.
+// watchLink is the assignment of a watcher to a member.
 type watchLink struct {
 	watcher *trackedMember
 	member  *trackedMember
-	since   time.Time
+	since   time.Time // when the assignment took effect
 }
 
 // maxReportDelay returns the time within which, after the member's death, a suspicion by the watcher arrives here.
