--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -110,7 +110,7 @@
 		if isFresh {
 			fresh = append(fresh, entry)
 		}
-		if isFresh && !message.Final || len(message.Relay) > 0 {
+		if isFresh && !message.NoForward || len(message.Relay) > 0 {
 			e.enqueue(now, entry, origin{fresh: isFresh, from: message.From, relay: message.Relay})
 		}
 	}
--- a/serving/gossip/engine_test.go
+++ b/serving/gossip/engine_test.go
@@ -154,7 +154,7 @@
 	for i := range maxExpiredEntries + 10 {
 		now := startTime.Add(time.Duration(i) * time.Millisecond)
 		e.PutLocal(now, endpointEntry(fmt.Sprint(i), 1))
-		e.Forget(now, TableEndpoints, fmt.Sprint(i))
+		e.Expire(now, TableEndpoints, fmt.Sprint(i))
 	}
 	assert.Len(t, e.expired.byID, maxExpiredEntries)
 	_, ok := e.ExpiredVersion(TableEndpoints, "0")
@@ -263,15 +263,15 @@
 	e.ExpireTombstone(startTime, bad.Header())
 }
 
-// TestReceive_FinalEntriesAreNotPushedOn checks that entries of a Final message are stored and included in the digests
-// like others but not pushed further, and that a requested relay is still carried out.
-func TestReceive_FinalEntriesAreNotPushedOn(t *testing.T) {
+// TestReceive_NoForwardEntriesAreNotPushedOn checks that the entries of a NoForward message are stored and included in
+// the digests like others but not pushed further, and that a requested relay is still carried out.
+func TestReceive_NoForwardEntriesAreNotPushedOn(t *testing.T) {
 	e := newTestEngine(6)
 	entry := endpointEntry("k", 1)
 	before := e.Summary()
-	assert.Len(t, e.Receive(startTime, Message{From: "m3", Entries: []Entry{entry}, Final: true}), 1)
+	assert.Len(t, e.Receive(startTime, Message{From: "m3", Entries: []Entry{entry}, NoForward: true}), 1)
 	assert.NotEqual(t, before, e.Summary())
 	assert.True(t, e.NextSendTime().IsZero())
-	e.Receive(startTime, Message{From: "m3", Entries: []Entry{entry}, Final: true, Relay: []string{"y0"}})
+	e.Receive(startTime, Message{From: "m3", Entries: []Entry{entry}, NoForward: true, Relay: []string{"y0"}})
 	assert.False(t, e.NextSendTime().IsZero())
 }
--- a/serving/gossip/expiry.go
+++ b/serving/gossip/expiry.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Forget removes a key's entry and retains it as expired, so that only a newer entry of the key is stored.
-func (e *Engine) Forget(now time.Time, table TableID, key string) {
+// Expire removes a key's entry and retains it as expired, so that only a newer entry of the key is stored.
+func (e *Engine) Expire(now time.Time, table TableID, key string) {
 	if removed, ok := e.tables[table].remove(key); ok {
 		e.expired.add(now, removed.entry)
 	}
@@ -102,7 +102,7 @@
 	}
 	stored, ok := e.tables[header.Table].entries[header.Key]
 	if ok && stored.isTombstone && !header.Version.Less(stored.entry.Version) {
-		e.Forget(now, header.Table, header.Key)
+		e.Expire(now, header.Table, header.Key)
 	}
 }
 
@@ -131,7 +131,7 @@
 			table.remove(key)
 		}
 		if stored.isTombstone && age >= TombstoneRetention {
-			e.Forget(now, id, key)
+			e.Expire(now, id, key)
 		}
 	}
 }
--- a/serving/gossip/message.go
+++ b/serving/gossip/message.go
@@ -14,9 +14,9 @@
 	// responds. On an agent, its proxy must have applied them. Members of a version without this field respond when
 	// they have stored Entries.
 	Await []Header `cbor:"6,keyasint,omitempty"`
-	// Final means that the sender itself sends the entries to all members that need them, so the receiver doesn't push
-	// them further. Members of a version without this field do.
-	Final bool `cbor:"7,keyasint,omitempty"`
+	// NoForward means that the sender itself sends the entries to all members that need them, so that the receiver
+	// forwards them only as Relay requests. Members of a version without this field forward them as usual.
+	NoForward bool `cbor:"7,keyasint,omitempty"`
 }
 
 // Envelope is a message with its receiver and the number of retries that led to it.
--- a/serving/member/applied.go
+++ b/serving/member/applied.go
@@ -25,7 +25,7 @@
 // PushApplied sends entries to the member at an address, host:port, and returns once its process has applied them. An
 // entry without a value isn't sent: the member gets it by gossip. The context bounds the call.
 func (s *Service) PushApplied(ctx context.Context, address string, entries []gossip.Entry) error {
-	message := gossip.Message{From: s.options.Self.Name, Final: true}
+	message := gossip.Message{From: s.options.Self.Name, NoForward: true}
 	for _, entry := range entries {
 		message.Await = append(message.Await, entry.Header())
 		if entry.Value != nil {
--- a/serving/member/requesthandling.go
+++ b/serving/member/requesthandling.go
@@ -91,7 +91,7 @@
 		return
 	}
 	if suspicion, err := decode[membership.Suspicion](entry); err == nil {
-		n.members.ForgetSuspicion(suspicion)
+		n.members.RemoveSuspicion(suspicion)
 	}
-	n.engine.Forget(n.now, header.Table, header.Key)
+	n.engine.Expire(n.now, header.Table, header.Key)
 }
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -155,11 +155,11 @@
 
 // forgetMember removes the entry of a member that was removed, and all suspicions about or of it.
 func (n *node) forgetMember(name string) {
-	n.engine.Forget(n.now, gossip.TableMembers, name)
+	n.engine.Expire(n.now, gossip.TableMembers, name)
 	for _, suspicion := range n.members.Suspicions() {
 		if suspicion.Member == name || suspicion.Watcher == name {
-			n.members.ForgetSuspicion(suspicion)
-			n.engine.Forget(n.now, gossip.TableSuspicions, suspicion.Key())
+			n.members.RemoveSuspicion(suspicion)
+			n.engine.Expire(n.now, gossip.TableSuspicions, suspicion.Key())
 		}
 	}
 }
--- a/serving/membership/suspicion.go
+++ b/serving/membership/suspicion.go
@@ -68,8 +68,8 @@
 	return one.Revision > other.Revision
 }
 
-// ForgetSuspicion removes a suspicion whose member or watcher has been removed.
-func (t *Table) ForgetSuspicion(suspicion Suspicion) {
+// RemoveSuspicion removes a suspicion whose member or watcher has been removed.
+func (t *Table) RemoveSuspicion(suspicion Suspicion) {
 	delete(t.suspicions, suspicion.id())
 }
 
