--- a/serving/gossip/batch.go
+++ b/serving/gossip/batch.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// sendToZone adds an entry to the message to a member of a zone and, unless the delivery's retries are used up, also to
-// one that a third zone relays.
+// sendToZone sends an entry directly to a member of a zone and, unless the delivery's retries are used up, also by
+// relay through a third zone.
 func (b *batch) sendToZone(zone string, entry Entry, planned *delivery) {
 	inZone := func(peer Peer) bool { return peer.Zone == zone }
 	if peer, found := b.firstMatching(inZone); found {
--- a/serving/membership/ring_test.go
+++ b/serving/membership/ring_test.go
@@ -40,8 +40,9 @@
 func TestWatchers_AreInSeveralZones(t *testing.T) {
 	for _, test := range []struct {
 		zones []string
-		// maxPerZone is how many watchers of a member may share one zone: two of its own zone where the region has no
-		// third one, or no other.
+		// maxPerZone is the maximum number of watchers of a member in the same zone. It is more than one if the
+		// member's region has fewer than three zones: two watchers may then be in the member's own zone, and in a
+		// system with a single zone, all of them are.
 		maxPerZone int
 	}{
 		{[]string{"a1", "a2", "a3"}, 1},
--- a/serving/state/rollout.go
+++ b/serving/state/rollout.go
@@ -19,7 +19,7 @@
 // The steps of a roll-out, in their order.
 const (
 	RolloutCanary RolloutStep = iota // a few endpoints of the target get a small share
-	RolloutLoad                      // and two more get as many concurrent requests as they must handle at high load
+	RolloutLoad                      // and two more get the number of concurrent requests that they must bear at high load
 	RolloutRamp                      // part of the target's endpoints gets a proportionate part of the traffic
 	RolloutFull                      // all new requests go to the target
 )
