--- a/serving/core/departures.go
+++ b/serving/core/departures.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// departureRetention is how long a departed endpoint stays on disk: as long as members that run retain it, so that
-	// a member that was cut off can't bring it back after a restart of the others either.
+	// departureRetention is how long a departed endpoint stays on disk: as long as gossip retains it in running members.
+	// It prevents that, after the other members have restarted, a member that was partitioned brings the endpoint back.
 	departureRetention = 20 * time.Minute
-	// minDepartureRetention is how long it stays there however many there are.
+	// minDepartureRetention is how long a departed endpoint stays on disk even if there are more than
+	// maxRetainedDepartures.
 	minDepartureRetention = time.Minute
 	// maxRetainedDepartures is the number of departures beyond which the oldest are dropped after
 	// minDepartureRetention.
 	maxRetainedDepartures = 8192
 )
 
-// departures holds the endpoints that accept no new requests, as they are on disk or have to be. A table of endpoints
-// may lag behind it, and drops departed endpoints earlier. It is not safe for concurrent use.
+// departures holds the endpoints that accept no new requests, in the state that is on disk or is to be saved. The table
+// of endpoints may have an older state, and drops departed endpoints earlier. departures is not safe for concurrent use.
 type departures struct{ byID map[string]departure }
 
 // departure is an endpoint that is draining or has departed.
 type departure struct {
 	endpoint   state.Endpoint
-	departedAt time.Time // by the clock of this process; zero while it is draining
-	saved      bool      // it is on disk
+	departedAt time.Time // by the clock of this process; zero while the endpoint is draining
+	saved      bool      // this version is on disk
 }
 
 func newDepartures() departures { return departures{byID: map[string]departure{}} }
 
-// isNewer reports whether an endpoint is newer than the departure with its ID, or there is none.
+// isNewer reports whether an endpoint's version is newer than the departure with the same ID; true if there is none.
 func (d *departures) isNewer(endpoint state.Endpoint) bool {
 	known, exists := d.byID[endpoint.ID]
 	return !exists || endpoints.VersionOf(known.endpoint).Less(endpoints.VersionOf(endpoint))
 }
 
-// record records the state of an endpoint and returns the newest known one.
+// record records the state of an endpoint unless a newer one is known, and returns the newest known state.
 func (d *departures) record(now time.Time, endpoint state.Endpoint) state.Endpoint {
 	if !d.isNewer(endpoint) {
 		return d.byID[endpoint.ID].endpoint
@@ -54,7 +55,8 @@
 	return endpoint
 }
 
-// setSaved records whether the endpoints of a list, as far as they are the newest states, are on disk.
+// setSaved records whether the listed versions of endpoints are on disk. Versions that aren't the newest known ones are
+// ignored.
 func (d *departures) setSaved(list []state.Endpoint, saved bool) {
 	for _, endpoint := range list {
 		known, exists := d.byID[endpoint.ID]
@@ -65,12 +67,12 @@
 	}
 }
 
-// isSaved reports whether the state of an endpoint, or a newer one, is on disk.
+// isSaved reports whether this version of an endpoint, or a newer one, is on disk.
 func (d *departures) isSaved(endpoint state.Endpoint) bool {
 	return !d.isNewer(endpoint) && d.byID[endpoint.ID].saved
 }
 
-// contains reports whether the endpoint with an ID is known to accept no new requests.
+// contains reports whether the endpoint with the ID is known to accept no new requests.
 func (d *departures) contains(id string) bool {
 	_, exists := d.byID[id]
 	return exists
@@ -85,7 +87,7 @@
 	return list
 }
 
-// removeExpired removes the departed endpoints that need no longer be on disk, and returns their IDs.
+// removeExpired removes the departed endpoints that need not stay on disk any longer, and returns their IDs.
 func (d *departures) removeExpired(now time.Time) (removed []string) {
 	surplus := len(d.byID) - maxRetainedDepartures
 	for id, known := range d.byID {
--- a/serving/core/endpointconfirmer.go
+++ b/serving/core/endpointconfirmer.go
@@ -8,19 +8,20 @@
 	"rowanlink/serving/state"
 )
 
-// endpointConfirmer asks processes by a health check whether they accept requests as an endpoint: by the protocol one
-// that is leaving doesn't answer 200. It is safe for concurrent use.
+// endpointConfirmer finds out by a health check whether the process at an endpoint's address accepts requests under the
+// endpoint's ID. A process that is shutting down answers health checks with another status than 200. It is safe for
+// concurrent use.
 type endpointConfirmer struct {
-	latest func() (state.Record, bool) // the newest committed record
+	latest func() (state.Record, bool) // the newest committed record that this process knows
 	check  func(ctx context.Context, endpoint state.Endpoint, path string) (state.Endpoint, error)
 
 	mutex    sync.Mutex
-	revision uint64         // of the record that routes is from
-	routes   *routing.Table // nil: none that is valid
+	revision uint64         // of the record that routes was parsed from
+	routes   *routing.Table // nil if the record has no valid configuration
 }
 
-// confirm returns the endpoint with the time that it still warms up. It fails with errUnconfirmed or the error of the
-// call, and where the path of its health checks isn't known.
+// confirm returns the endpoint with the time that it still warms up. Errors are those of the HTTP call, and errUnconfirmed
+// if the process doesn't accept requests under the ID or no path for the service's health checks is known.
 func (c *endpointConfirmer) confirm(ctx context.Context, endpoint state.Endpoint) (state.Endpoint, error) {
 	routes := c.currentRoutes()
 	if routes == nil {
@@ -33,7 +34,7 @@
 	return c.check(ctx, endpoint, service.HealthPath)
 }
 
-// currentRoutes returns the routing of the newest committed record, which it parses once.
+// currentRoutes returns the routing table of the newest committed record, which it parses once for each revision.
 func (c *endpointConfirmer) currentRoutes() *routing.Table {
 	record, known := c.latest()
 	if !known {
--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// recordTimeout bounds the wait for the record, which has the paths of the health checks. By then all endpoints
-	// that are running have sent heartbeats.
+	// recordTimeout bounds the wait for a committed record, whose configuration has the paths of the health checks. After
+	// that time nothing needs to be checked: all endpoints that are running have sent heartbeats.
 	recordTimeout      = 2 * time.Second
 	recordPollInterval = 20 * time.Millisecond
 	// loadRetryInterval is the time between two attempts to read the saved endpoints.
@@ -24,18 +24,20 @@
 	maxConcurrentHealthChecks = 16
 )
 
-// endpointTable is the table that endpoints are restored to; endpoints.SharedTable implements it.
+// endpointTable is the table into which endpoints are restored; endpoints.SharedTable implements it.
 type endpointTable interface {
 	ChangesSince(since uint64) (endpoints.Delta, bool)
 	Restore(saved state.Endpoint) bool
 }
 
-// endpointRestorer restores saved endpoints after a start. Those that accept no new requests are published at once: that
-// was acknowledged, and other members may still have an older state. The copy on disk of all others may be out of date,
-// so each is first checked: whether it is running under the same ID, and how long it still warms up. Endpoints that have
-// sent a heartbeat or that other members know are left out.
+// endpointRestorer restores the saved endpoints after a start of the process.
+//
+// Endpoints that accept no new requests are published at once: that state was acknowledged to them, and other members may
+// still have an older one. For endpoints that accepted requests the copy on disk may be out of date. Those whose
+// heartbeats this member received, and that aren't back in the table by a heartbeat or by gossip, are restored if a health
+// check confirms that they run under the same ID; the response also says how long they still warm up.
 type endpointRestorer struct {
-	self      string // name of the member
+	self      string // name of this member
 	store     endpointStore
 	confirmer *endpointConfirmer
 	table     endpointTable
@@ -43,7 +45,8 @@
 	log       *zerolog.Logger
 }
 
-// run restores the endpoints once, and returns those that were saved.
+// run restores the endpoints once, and returns all saved ones: nil if none are saved, or ctx ends before the disk can be
+// read.
 func (r *endpointRestorer) run(ctx context.Context) (saved []state.Endpoint) {
 	saved, loaded := r.load(ctx)
 	if !loaded || len(saved) == 0 {
@@ -69,7 +72,7 @@
 	return saved
 }
 
-// load reads the saved endpoints. While the disk fails it tries again; it returns false if ctx ends before.
+// load reads the saved endpoints and repeats that while the disk fails. It returns false if ctx ends first.
 func (r *endpointRestorer) load(ctx context.Context) ([]state.Endpoint, bool) {
 	ticker := time.NewTicker(loadRetryInterval)
 	defer ticker.Stop()
@@ -100,8 +103,8 @@
 	return published
 }
 
-// awaitRecord waits until a record is known, which has the paths of the health checks; false if none is within
-// recordTimeout.
+// awaitRecord waits until this process knows a committed record, which has the paths of the health checks. It returns
+// false after recordTimeout.
 func (r *endpointRestorer) awaitRecord(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -119,8 +122,8 @@
 	}
 }
 
-// selectMissing returns the saved endpoints whose heartbeats this member received, that took requests, and that aren't
-// in the table.
+// selectMissing returns the saved endpoints that accepted requests, whose heartbeats this member received, and that
+// aren't in the table.
 func (r *endpointRestorer) selectMissing(saved []state.Endpoint) (missing []state.Endpoint) {
 	delta, _ := r.table.ChangesSince(0)
 	known := make(map[string]bool, len(delta.Changed))
@@ -137,7 +140,7 @@
 	return missing
 }
 
-// restoreConfirmed checks the endpoints and restores those that are confirmed. It returns their number.
+// restoreConfirmed restores the endpoints that a health check confirms, and returns their number.
 func (r *endpointRestorer) restoreConfirmed(ctx context.Context, missing []state.Endpoint) int {
 	var checks sync.WaitGroup
 	var restored atomic.Int64
@@ -155,7 +158,7 @@
 	return int(restored.Load())
 }
 
-// restore checks one endpoint, restores it and publishes it. It reports whether the endpoint was restored.
+// restore restores and publishes one endpoint if a health check confirms it, and reports whether it did.
 func (r *endpointRestorer) restore(ctx context.Context, saved state.Endpoint) bool {
 	confirmed, err := r.confirmer.confirm(ctx, saved)
 	if err != nil || !r.table.Restore(confirmed) {
--- a/serving/core/endpoints.go
+++ b/serving/core/endpoints.go
@@ -8,7 +8,7 @@
 	"rowanlink/serving/store"
 )
 
-// startEndpoints starts the table of endpoints and its copy on disk.
+// startEndpoints starts the table of endpoints, restores the saved endpoints, and keeps the copy on disk up to date.
 func (c *coreProcess) startEndpoints(lifetime context.Context) {
 	process := c.options.Settings
 	c.quorum = &quorum.Checker{Voters: c.node, Self: process.InternalAddress(), IsLive: c.members.IsLiveAt}
@@ -24,7 +24,7 @@
 		Confirm:           confirmer.confirm,
 		Log:               c.options.Log,
 	})
-	c.endpoints.Serve(c.inner)
+	c.endpoints.Serve(c.internal)
 	c.members.SetPersister(c.endpoints.PersistEntries)
 	go saver.run(lifetime)
 	restorer := &endpointRestorer{
@@ -35,6 +35,6 @@
 		publish:   c.endpoints.Put,
 		log:       c.options.Log,
 	}
-	// Until the saved endpoints are restored only departures are saved.
+	// The table is saved only after the restore: a snapshot before would remove endpoints that aren't restored yet.
 	go func() { saver.startPeriodicSaves(restorer.table, restorer.run(lifetime)) }()
 }
--- a/serving/core/endpointsaver.go
+++ b/serving/core/endpointsaver.go
@@ -13,8 +13,8 @@
 	"rowanlink/serving/store"
 )
 
-// saveInterval is the time between two saves of the table. Changes since the last one are lost in a power failure,
-// but for those of endpoints that were persisted.
+// saveInterval is the time between two periodic saves of the table. A power failure loses the changes since the last
+// one, except those that persist has saved.
 const saveInterval = time.Second
 
 // endpointStore is a copy of the endpoints on disk; store.EndpointStore implements it.
@@ -28,26 +28,26 @@
 	ChangesSince(since uint64) (endpoints.Delta, bool)
 }
 
-// endpointSaver keeps the copy of the endpoints on disk up to date. Endpoints that accept no new requests are saved
-// when persist is called, before that is acknowledged; all other changes are saved periodically. persist and
-// startPeriodicSaves may be called concurrently with run, which owns the other fields.
+// endpointSaver keeps the copy of the endpoints on disk up to date. It saves all changes of the table periodically. That
+// an endpoint accepts no new requests may be acknowledged only when it is on disk, so persist saves that at once. persist
+// and startPeriodicSaves may be called concurrently with run; table, position, failing and departures belong to run.
 type endpointSaver struct {
 	table    endpointSource // nil before startPeriodicSaves
 	store    endpointStore
 	log      *zerolog.Logger
-	position uint64 // of the table at the last save; zero: the next save is a snapshot
+	position uint64 // of the table's newest saved change; zero: the next save is a snapshot
 	failing  bool   // the last save failed
-	// departures outlive the table's, and a snapshot of the table contains them.
+	// departures keeps departed endpoints for longer than the table does. They are added to each snapshot of the table.
 	departures departures
 	waiting    waitingSaves
-	wake       chan struct{} // a save waits
-	restored   chan restoredEndpoints
+	wake       chan struct{} // receives a value when a call of persist waits
+	starts     chan periodicSavesStart
 }
 
-// restoredEndpoints is what the periodic saves begin with.
-type restoredEndpoints struct {
+// periodicSavesStart has the arguments of startPeriodicSaves, for run.
+type periodicSavesStart struct {
 	table endpointSource
-	saved []state.Endpoint // by earlier processes
+	saved []state.Endpoint
 }
 
 func newEndpointSaver(store endpointStore, log *zerolog.Logger) *endpointSaver {
@@ -56,7 +56,7 @@
 		log:        log,
 		departures: newDepartures(),
 		wake:       make(chan struct{}, 1),
-		restored:   make(chan restoredEndpoints, 1),
+		starts:     make(chan periodicSavesStart, 1),
 	}
 }
 
@@ -79,11 +79,11 @@
 	}
 }
 
-// startPeriodicSaves begins the periodic saves of a table. The departures among the endpoints that earlier processes
-// have saved stay on disk. Before this call only persist writes: a snapshot of the table would remove endpoints that
-// aren't restored yet. It is called once.
+// startPeriodicSaves begins the periodic saves of a table. It is called once, after the restore: a snapshot of the table
+// would remove endpoints that aren't restored yet from the disk. Until then only persist writes. saved lists the endpoints
+// that earlier processes have saved; those that are draining or departed stay on disk.
 func (s *endpointSaver) startPeriodicSaves(table endpointSource, saved []state.Endpoint) {
-	s.restored <- restoredEndpoints{table: table, saved: saved}
+	s.starts <- periodicSavesStart{table: table, saved: saved}
 }
 
 // run saves until the context ends.
@@ -95,9 +95,9 @@
 			return
 		case <-s.wake:
 			s.saveWaiting()
-		case restored := <-s.restored:
-			s.table = restored.table
-			s.recordSaved(restored.saved)
+		case start := <-s.starts:
+			s.table = start.table
+			s.recordSavedDepartures(start.saved)
 			ticker := time.NewTicker(saveInterval)
 			defer ticker.Stop()
 			periodic = ticker.C
@@ -107,8 +107,8 @@
 	}
 }
 
-// recordSaved records the departures among endpoints that an earlier process has saved.
-func (s *endpointSaver) recordSaved(saved []state.Endpoint) {
+// recordSavedDepartures records the draining and departed ones among the endpoints that earlier processes have saved.
+func (s *endpointSaver) recordSavedDepartures(saved []state.Endpoint) {
 	for _, endpoint := range saved {
 		if endpoint.State != state.EndpointAccepting {
 			s.departures.record(time.Now(), endpoint)
@@ -117,8 +117,9 @@
 	s.departures.setSaved(saved, true)
 }
 
-// saveWaiting saves all endpoints that wait in one transaction, and answers the calls. What is on disk already isn't
-// written again: on a slow disk an endpoint that repeats its call is answered at once.
+// saveWaiting saves the endpoints of all waiting calls of persist in one transaction, and returns its result to the
+// calls. States that are on disk already aren't written again, so that an endpoint that repeats its call doesn't wait for
+// a slow disk.
 func (s *endpointSaver) saveWaiting() {
 	list, results := s.waiting.take()
 	changes := store.EndpointChanges{}
@@ -139,7 +140,7 @@
 	}
 }
 
-// save saves the changes since the last save.
+// save saves the table's changes since the last periodic save, and removes expired departures from the disk.
 func (s *endpointSaver) save() {
 	delta, ok := s.table.ChangesSince(s.position)
 	expired := s.departures.removeExpired(time.Now())
@@ -163,7 +164,8 @@
 	}
 }
 
-// write writes changes. After an error it is unknown what is on disk, and the next save of the table is a snapshot.
+// write writes changes in one transaction. After an error it is unknown what is on disk, so the next periodic save writes
+// a snapshot.
 func (s *endpointSaver) write(changes store.EndpointChanges) error {
 	err := s.store.Save(changes)
 	if err != nil {
--- a/serving/core/listeners.go
+++ b/serving/core/listeners.go
@@ -11,22 +11,22 @@
 
 // listeners are the two listeners of a core process.
 type listeners struct {
-	inner   net.Listener // calls between the system's processes
-	control net.Listener // calls of operators and endpoints
+	internal net.Listener // for calls between the system's processes
+	control  net.Listener // for calls by operators and endpoints
 }
 
 // listenAll opens both listeners. Errors are errcode.CoreAddressInUse.
 func listenAll(ctx context.Context, process *settings.Process) (listeners, error) {
-	inner, err := listen(ctx, process.InternalAddress())
+	internal, err := listen(ctx, process.InternalAddress())
 	if err != nil {
 		return listeners{}, err
 	}
 	control, err := listen(ctx, process.Bind.Control)
 	if err != nil {
-		_ = inner.Close()
+		_ = internal.Close()
 		return listeners{}, err
 	}
-	return listeners{inner: inner, control: control}, nil
+	return listeners{internal: internal, control: control}, nil
 }
 
 func listen(ctx context.Context, address string) (net.Listener, error) {
--- a/serving/core/rollouts.go
+++ b/serving/core/rollouts.go
@@ -72,8 +72,8 @@
 		judge:       rollout.NewJudge(),
 		rollingBack: map[uint64]bool{},
 	}
-	c.rollouts.serve(c.inner)
-	serveSupport(c.inner)
+	c.rollouts.serve(c.internal)
+	serveSupport(c.internal)
 	go c.rollouts.run(lifetime)
 }
 
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -1,5 +1,5 @@
-// Package core is the program of a machine with a disk: a replica of the register, the operators' API, the receiver of
-// the endpoints' heartbeats, and the repair of the register's voters.
+// Package core runs the core process of a machine with a disk. The process holds a replica of the register, serves the
+// operators' API, receives the heartbeats of endpoints, carries out roll-outs, and repairs the register's voters.
 package core
 
 import (
@@ -26,7 +26,7 @@
 	"rowanlink/serving/store"
 )
 
-// Bounds of the shutdown. The requests in flight and the vote transfer are awaited concurrently.
+// Time limits of the shutdown. The requests in flight and the vote transfer are awaited concurrently.
 const (
 	requestTimeout      = 1500 * time.Millisecond
 	voteTransferTimeout = 2500 * time.Millisecond
@@ -41,7 +41,8 @@
 }
 
 // Run runs a core process until the context ends. It then finishes the requests in flight, transfers the vote, leaves
-// the membership and returns. Errors are errcode.CoreAddressInUse or those of joining the membership.
+// the membership and returns. Errors are errcode.CoreAddressInUse, or those of joining the membership or starting the
+// replica.
 func Run(ctx context.Context, options Options) error {
 	lifetime, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -62,10 +63,10 @@
 	return nil
 }
 
-// coreProcess has the running parts of a core process.
+// coreProcess holds the running components of a core process.
 type coreProcess struct {
 	options   Options
-	inner     *http.ServeMux // for calls between the system's processes
+	internal  *http.ServeMux // for calls between the system's processes
 	client    *rpc.Client
 	members   *member.Service
 	node      *register.Node
@@ -75,12 +76,12 @@
 	// introspector answers operators at the internal and at the control address.
 	introspector *introspector
 	control      *http.Server
-	closers      []func() // of the parts, in the order of their start
+	closers      []func() // close functions of the components, in the order of their start
 }
 
-// start starts all parts. They run until close, or until the lifetime ends.
+// start starts all components. They run until close, or until the lifetime ends.
 func (c *coreProcess) start(lifetime context.Context, listeners listeners) error {
-	c.serveInner(listeners.inner)
+	c.serveInternal(listeners.internal)
 	c.client = rpc.NewClient()
 	c.onClose(c.client.Close)
 	if err := c.startMember(lifetime); err != nil {
@@ -97,10 +98,10 @@
 	}
 	c.startRollouts(lifetime, applied)
 	c.introspector = &introspector{members: c.members, node: c.node, endpoints: c.endpoints.Table()}
-	introspect.Serve(c.inner, c.introspector.report)
-	c.inner.Handle(metrics.Path, metrics.Handler(introspect.MetricsWriter(c.introspector.report)))
+	introspect.Serve(c.internal, c.introspector.report)
+	c.internal.Handle(metrics.Path, metrics.Handler(introspect.MetricsWriter(c.introspector.report)))
 	c.control = process.Serve(listeners.control, operator.NewServer(c.controlHandler(applied)))
-	c.onClose(func() { _ = c.control.Close() }) // nothing is left to do with the connections
+	c.onClose(func() { _ = c.control.Close() }) // an error would only concern connections that end anyway
 	c.members.SetState(state.MemberReady)
 	go settings.Watch(lifetime, c.options.SettingsPath, settings.WatchInterval, func(process *settings.Process) {
 		c.members.SetSeeds(process.Seeds)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// onClose adds a closer. Closers run in reverse order.
+// onClose adds a function that close calls. The functions are called in reverse order.
 func (c *coreProcess) onClose(closer func()) { c.closers = append(c.closers, closer) }
 
 func (c *coreProcess) close() {
@@ -117,11 +118,11 @@
 	}
 }
 
-// serveInner serves the calls between the system's processes. Handlers are added while it runs.
-func (c *coreProcess) serveInner(listener net.Listener) {
-	c.inner = http.NewServeMux()
-	server := process.Serve(listener, process.NewInternalServer(c.inner))
-	c.onClose(func() { _ = server.Close() }) // nothing is left to do with the connections
+// serveInternal serves the calls between the system's processes. Handlers are added while it runs.
+func (c *coreProcess) serveInternal(listener net.Listener) {
+	c.internal = http.NewServeMux()
+	server := process.Serve(listener, process.NewInternalServer(c.internal))
+	c.onClose(func() { _ = server.Close() }) // an error would only concern connections that end anyway
 }
 
 // startMember joins the membership.
@@ -130,13 +131,14 @@
 		Settings: c.options.Settings,
 		Self:     initialSelf(c.options.Settings),
 		Client:   c.client,
-		Mux:      c.inner,
+		Mux:      c.internal,
 		Log:      c.options.Log,
 	})
 	return err
 }
 
-// startRegister starts the replica and connects it to the gossip of records and to the membership.
+// startRegister starts the replica, gossips its committed records, and lets the membership tell it which replicas are
+// down.
 func (c *coreProcess) startRegister(lifetime context.Context) error {
 	storage := store.Open(c.options.Settings.StoreDir, c.options.Log)
 	c.onClose(storage.Close)
@@ -145,7 +147,7 @@
 		Settings:  c.options.Settings,
 		Storage:   storage,
 		Client:    c.client,
-		Mux:       c.inner,
+		Mux:       c.internal,
 		Log:       c.options.Log,
 		Committed: replicator.publish,
 		Peers:     func() []register.Peer { return corePeers(c.members.Members()) },
@@ -170,7 +172,7 @@
 		Clock:   time.Now,
 	}
 	mux := http.NewServeMux()
-	introspect.Serve(mux, c.introspector.report) // an operator needs no other address than this one
+	introspect.Serve(mux, c.introspector.report) // so that operators need no address but the control address
 	mux.Handle("/", operator.New(operator.Options{
 		Register:   operator.NewRegister(applied),
 		Endpoints:  c.endpoints.Table(),
@@ -198,14 +200,14 @@
 	}()
 	requestContext, cancelRequests := context.WithTimeout(ctx, requestTimeout)
 	defer cancelRequests()
-	_ = c.control.Shutdown(requestContext) // unfinished requests get no answer, and are retried at another core
+	_ = c.control.Shutdown(requestContext) // callers of unfinished requests get no answer and retry at another core member
 	<-transferred
 	leaveContext, cancelLeave := context.WithTimeout(ctx, leaveTimeout)
 	defer cancelLeave()
-	_ = c.members.Leave(leaveContext) // on an error the others detect the end by the missing heartbeats
+	_ = c.members.Leave(leaveContext) // if it fails, the others detect by missing heartbeats that this member is down
 }
 
-// initialSelf returns how the process describes itself to the other members at its start.
+// initialSelf returns the description of this member with which it joins the membership.
 func initialSelf(process *settings.Process) state.Member {
 	return state.Member{
 		Name:           process.NodeName,
@@ -218,7 +220,7 @@
 	}
 }
 
-// corePeers returns the members that may have replicas.
+// corePeers returns the core members: only they may hold replicas of the register.
 func corePeers(members []state.Member) (peers []register.Peer) {
 	for _, member := range members {
 		if member.Role == state.RoleCore {
--- a/serving/core/waitingsaves.go
+++ b/serving/core/waitingsaves.go
@@ -6,17 +6,18 @@
 	"rowanlink/serving/state"
 )
 
-// maxWaitingSaves bounds the calls that wait for a disk that doesn't respond.
+// maxWaitingSaves bounds the number of waiting calls, in case the disk doesn't respond.
 const maxWaitingSaves = 8192
 
-// waitingSaves are the endpoints to be saved by the next transaction. It is safe for concurrent use.
+// waitingSaves collects the endpoints for the next transaction from the calls that wait for it. It is safe for concurrent
+// use.
 type waitingSaves struct {
 	mutex   sync.Mutex
 	list    []state.Endpoint
-	results []chan<- error // of the calls that wait for them
+	results []chan<- error // one for each waiting call
 }
 
-// add adds endpoints; false where too many calls wait already.
+// add adds the endpoints of one call, which waits for the result. It returns false if maxWaitingSaves calls wait already.
 func (w *waitingSaves) add(list []state.Endpoint, result chan<- error) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -28,7 +29,7 @@
 	return true
 }
 
-// take removes and returns all.
+// take removes and returns the endpoints and the result channels of all waiting calls.
 func (w *waitingSaves) take() (list []state.Endpoint, results []chan<- error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
