--- a/serving/core/appliedregister.go
+++ b/serving/core/appliedregister.go
@@ -14,20 +14,21 @@
 	"rowanlink/serving/state"
 )
 
-// maxAwaitedCommit is the time beyond which the proxies of a committed change aren't waited for: an operator waits a
-// second altogether.
-const maxAwaitedCommit = 300 * time.Millisecond
+// slowCommitThreshold is the duration of a commit above which Change doesn't wait for the proxies: an operator waits
+// one second altogether.
+const slowCommitThreshold = 300 * time.Millisecond
 
-// appliedRegister is a register whose changes return once the proxies have applied them, so that an acknowledged change
-// holds however long no core member runs. One that is suspended or unreachable gets the record by gossip.
+// appliedRegister is a register whose Change returns once the proxies have applied the change. So an acknowledged
+// change stays in effect even if no core member runs afterwards that could send it to the proxies. Change doesn't wait
+// long for a proxy that is suspended or unreachable; it gets the record by gossip.
 type appliedRegister struct {
 	operator.ReplicatedRegister
 	agents *delivery.AgentNotifier
 	log    *zerolog.Logger
 }
 
-// Change commits an update. Errors are those of the register: what is committed but not applied everywhere in time is a
-// success.
+// Change commits an update and waits for the proxies. Errors are those of the register: a change that is committed
+// succeeds even if some proxies haven't applied it in time.
 func (r *appliedRegister) Change(ctx context.Context, update register.Update) (state.Record, error) {
 	begun := time.Now()
 	record, err := r.ReplicatedRegister.Change(ctx, update)
@@ -35,7 +36,7 @@
 		return record, err
 	}
 	committed := time.Since(begun)
-	if committed > maxAwaitedCommit {
+	if committed > slowCommitThreshold {
 		return record, nil
 	}
 	notified := r.agents.Start(ctx, recordHeader(record))
--- a/serving/core/appliedregister_test.go
+++ b/serving/core/appliedregister_test.go
@@ -42,8 +42,8 @@
 	return f(ctx, address, entries)
 }
 
-// TestAppliedRegister_WaitsForProxies guards against acknowledged changes that only core members know of. The wait leaves
-// the operator's second alone.
+// TestAppliedRegister_WaitsForProxies guards against acknowledged changes that only core members know of. The wait
+// leaves the operator's second alone.
 func TestAppliedRegister_WaitsForProxies(t *testing.T) {
 	const applyTime = 50 * time.Millisecond
 	for _, test := range []struct {
--- a/serving/core/departures.go
+++ b/serving/core/departures.go
@@ -20,7 +20,8 @@
 )
 
 // departures holds the endpoints that accept no new requests, in the state that is on disk or is to be saved. The table
-// of endpoints may have an older state, and drops departed endpoints earlier. departures is not safe for concurrent use.
+// of endpoints may have an older state, and drops departed endpoints earlier. departures is not safe for concurrent
+// use.
 type departures struct{ byID map[string]departure }
 
 // departure is an endpoint that is draining or has departed.
--- a/serving/core/endpointconfirmer.go
+++ b/serving/core/endpointconfirmer.go
@@ -20,8 +20,9 @@
 	routes   *routing.Table // nil if the record has no valid configuration
 }
 
-// confirm returns the endpoint with the time that it still warms up. Errors are those of the HTTP call, and errUnconfirmed
-// if the process doesn't accept requests under the ID or no path for the service's health checks is known.
+// confirm returns the endpoint with the time that it still warms up. Errors are those of the HTTP call, and
+// errUnconfirmed if the process doesn't accept requests under the ID or no path for the service's health checks is
+// known.
 func (c *endpointConfirmer) confirm(ctx context.Context, endpoint state.Endpoint) (state.Endpoint, error) {
 	routes := c.currentRoutes()
 	if routes == nil {
--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -32,10 +32,10 @@
 
 // endpointRestorer restores the saved endpoints after a start of the process.
 //
-// Endpoints that accept no new requests are published at once: that state was acknowledged to them, and other members may
-// still have an older one. For endpoints that accepted requests the copy on disk may be out of date. Those whose
-// heartbeats this member received, and that aren't back in the table by a heartbeat or by gossip, are restored if a health
-// check confirms that they run under the same ID; the response also says how long they still warm up.
+// Endpoints that accept no new requests are published at once: that state was acknowledged to them, and other members
+// may still have an older one. For endpoints that accepted requests the copy on disk may be out of date. Those whose
+// heartbeats this member received, and that aren't back in the table by a heartbeat or by gossip, are restored if a
+// health check confirms that they run under the same ID; the response also says how long they still warm up.
 type endpointRestorer struct {
 	self      string // name of this member
 	store     endpointStore
@@ -45,8 +45,8 @@
 	log       *zerolog.Logger
 }
 
-// run restores the endpoints once, and returns all saved ones: nil if none are saved, or ctx ends before the disk can be
-// read.
+// run restores the endpoints once, and returns all saved ones: nil if none are saved, or ctx ends before the disk can
+// be read.
 func (r *endpointRestorer) run(ctx context.Context) (saved []state.Endpoint) {
 	saved, loaded := r.load(ctx)
 	if !loaded || len(saved) == 0 {
--- a/serving/core/endpointsaver.go
+++ b/serving/core/endpointsaver.go
@@ -28,9 +28,9 @@
 	ChangesSince(since uint64) (endpoints.Delta, bool)
 }
 
-// endpointSaver keeps the copy of the endpoints on disk up to date. It saves all changes of the table periodically. That
-// an endpoint accepts no new requests may be acknowledged only when it is on disk, so persist saves that at once. persist
-// and startPeriodicSaves may be called concurrently with run; table, position, failing and departures belong to run.
+// endpointSaver keeps the copy of the endpoints on disk up to date. It saves all changes of the table periodically. The
+// states draining and departed may be acknowledged only once they are on disk, so persist saves them at once. persist
+// and startPeriodicSaves may be called concurrently with run; only run uses table, position, failing and departures.
 type endpointSaver struct {
 	table    endpointSource // nil before startPeriodicSaves
 	store    endpointStore
@@ -79,9 +79,9 @@
 	}
 }
 
-// startPeriodicSaves begins the periodic saves of a table. It is called once, after the restore: a snapshot of the table
-// would remove endpoints that aren't restored yet from the disk. Until then only persist writes. saved lists the endpoints
-// that earlier processes have saved; those that are draining or departed stay on disk.
+// startPeriodicSaves begins the periodic saves of a table. It is called once, after the restore: a snapshot of the
+// table would remove endpoints that aren't restored yet from the disk. Until then only persist writes. saved lists the
+// endpoints that earlier processes have saved; those that are draining or departed stay on disk.
 func (s *endpointSaver) startPeriodicSaves(table endpointSource, saved []state.Endpoint) {
 	s.starts <- periodicSavesStart{table: table, saved: saved}
 }
@@ -118,8 +118,8 @@
 }
 
 // saveWaiting saves the endpoints of all waiting calls of persist in one transaction, and returns its result to the
-// calls. States that are on disk already aren't written again, so that an endpoint that repeats its call doesn't wait for
-// a slow disk.
+// calls. States that are on disk already aren't written again, so that an endpoint that repeats its call doesn't wait
+// for a slow disk.
 func (s *endpointSaver) saveWaiting() {
 	list, results := s.waiting.take()
 	changes := store.EndpointChanges{}
@@ -164,8 +164,8 @@
 	}
 }
 
-// write writes changes in one transaction. After an error it is unknown what is on disk, so the next periodic save writes
-// a snapshot.
+// write writes changes in one transaction. After an error it is unknown what is on disk, so the next periodic save
+// writes a snapshot.
 func (s *endpointSaver) write(changes store.EndpointChanges) error {
 	err := s.store.Save(changes)
 	if err != nil {
--- a/serving/core/failuredetector.go
+++ b/serving/core/failuredetector.go
@@ -16,7 +16,7 @@
 	LeftMembers() []state.Member
 }
 
-// failureDetector reports to the register which replicas may be replaced, according to the membership protocol.
+// failureDetector tells the register by the state of the membership which replicas may be replaced.
 type failureDetector struct {
 	members memberLister
 	started time.Time // of this process
@@ -25,8 +25,9 @@
 
 var _ register.FailureDetector = (*failureDetector)(nil)
 
-// IsDown reports whether the member at an address is down, has left, or is unknown. An unknown address counts only once
-// this process has run for longer than members are remembered: before that it may merely not have heard of the member.
+// IsDown reports whether the member at an address is down, has left, or is unknown. An unknown member counts as down
+// only once this process has run for longer than membership.RetentionPeriod: before that it may just not have heard of
+// the member yet.
 func (d *failureDetector) IsDown(address string) bool {
 	if hasMemberAt(d.members.Members(), address) {
 		return false
@@ -36,7 +37,7 @@
 		d.now().Sub(d.started) > membership.RetentionPeriod
 }
 
-// IsExpired reports whether the member at an address has been gone for so long that no member remembers it.
+// IsExpired reports whether the member at an address has been gone for so long that no member remembers it any more.
 func (d *failureDetector) IsExpired(address string) bool {
 	return d.IsDown(address) &&
 		!hasMemberAt(d.members.DownMembers(), address) &&
--- a/serving/core/healthchecker.go
+++ b/serving/core/healthchecker.go
@@ -20,17 +20,18 @@
 )
 
 const (
-	// healthCheckTimeout bounds a health check. Endpoints of the own region answer within milliseconds unless all their
-	// slots are in use; one that is too late is found again by its next heartbeat.
+	// healthCheckTimeout bounds a health check. Endpoints of this member's region answer within milliseconds unless all
+	// their slots are in use. One that answers too late gets back into the table by its next heartbeat.
 	healthCheckTimeout = 400 * time.Millisecond
 	// maxHealthCheckBody is how many bytes of a response's body are read.
 	maxHealthCheckBody = 4 << 10
 )
 
-// errUnconfirmed is returned for an endpoint that isn't the saved one or doesn't take requests.
-var errUnconfirmed = errors.New("endpoint isn't confirmed")
+// errUnconfirmed is returned for a process that runs under another endpoint ID or doesn't accept requests, and where no
+// path for health checks is known.
+var errUnconfirmed = errors.New("endpoint not confirmed: other ID, status other than 200, or no known health path")
 
-// healthChecker checks by health checks whether saved endpoints are still running.
+// healthChecker asks endpoints by an HTTP health check whether they are running.
 type healthChecker struct{ client *http.Client }
 
 func newHealthChecker() *healthChecker {
@@ -45,7 +46,8 @@
 	}}
 }
 
-// check returns the saved endpoint with its present time to warm up, as the endpoint itself reports it.
+// check returns the endpoint with the time that it still warms up according to its response. Errors are those of the
+// HTTP call, and errUnconfirmed if the response has another status than 200 or another endpoint ID.
 func (c *healthChecker) check(ctx context.Context, saved state.Endpoint, path string) (state.Endpoint, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+saved.Address+path, nil)
 	if err != nil {
@@ -55,7 +57,7 @@
 	if err != nil {
 		return saved, errors.Wrap(err, "health check")
 	}
-	defer func() { _ = response.Body.Close() }()                   // it was read as far as needed
+	defer func() { _ = response.Body.Close() }()                   // the rest of the body isn't needed
 	_, _ = io.CopyN(io.Discard, response.Body, maxHealthCheckBody) // only the headers are needed
 	if response.StatusCode != http.StatusOK || response.Header.Get(endpointIDHeader) != saved.ID {
 		return saved, errUnconfirmed
--- a/serving/core/introspector.go
+++ b/serving/core/introspector.go
@@ -7,7 +7,7 @@
 	"rowanlink/serving/register"
 )
 
-// introspector reports what the process knows, for operators.
+// introspector reports this process's view of the members, the record and the endpoints to operators.
 type introspector struct {
 	members   *member.Service
 	node      *register.Node
--- a/serving/core/reconciler.go
+++ b/serving/core/reconciler.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// repairRole is the singleton role of the process that repairs the voters.
+	// repairRole is the singleton role of the process that repairs the set of voters.
 	repairRole = "repair-replicas"
 	// reconcileInterval is the time between two iterations of the reconciler.
 	reconcileInterval = 500 * time.Millisecond
-	// repairTimeout bounds one repair of the voters.
+	// repairTimeout bounds one change of the voters.
 	repairTimeout = 2 * time.Second
 )
 
-// reconciler is the control loop of the register: it repairs the voters while its process has the singleton role for
-// that, and finishes changes that other proposers have left unfinished.
+// reconciler is the control loop of the register: it repairs the set of voters while this process has the singleton
+// role for that, and finishes changes that other proposers have left unfinished.
 type reconciler struct {
 	members    *member.Service
 	node       *register.Node
 	log        *zerolog.Logger
 	recovery   recoverySchedule
-	quorumLost bool // in the last iteration
+	quorumLost bool // as of the last iteration
 }
 
 // run reconciles until the context ends.
@@ -42,8 +42,9 @@
 	})
 }
 
-// finishUncommitted reads the record if the own replica has accepted a proposal whose end nobody has published. The
-// register publishes the committed record by its callback; a failed read is repeated by a later iteration.
+// finishUncommitted finishes a change whose proposer has stopped: the local replica has accepted its proposal, and
+// nobody has published the outcome. A read of the register decides which record is committed, and the register's
+// callback publishes it. After a failed read, a later iteration tries again.
 func (r *reconciler) finishUncommitted(ctx context.Context) {
 	revision, uncommitted := r.node.UncommittedRevision()
 	if !r.recovery.isDue(time.Now(), revision, uncommitted) {
@@ -59,7 +60,7 @@
 		Send()
 }
 
-// logQuorum logs when too few voters for a majority are live, and when enough are live again.
+// logQuorum logs when there is no longer a majority of live voters, and when there is one again.
 func (r *reconciler) logQuorum() {
 	down := r.node.QuorumLoss()
 	quorumLost := down != nil
@@ -74,7 +75,8 @@
 	kind.Log(r.log).Strs("absent", down).Send()
 }
 
-// repairVoters makes the next change of the voters if this process has the singleton role for it.
+// repairVoters makes the next change of the set of voters that is needed, if this process has the singleton role for
+// it.
 func (r *reconciler) repairVoters(ctx context.Context) {
 	if !r.members.AcquireRole(repairRole, singleton.Scope{Role: state.RoleCore}).Local {
 		return
--- a/serving/core/recordreplicator.go
+++ b/serving/core/recordreplicator.go
@@ -16,13 +16,14 @@
 	Subscribe(table gossip.TableID, call func(gossip.Entry))
 }
 
-// recordReplicator passes committed records from the register to the other members, and theirs to the register.
+// recordReplicator gossips the records that the register finds to be committed, and passes the gossiped records of
+// other members to the register.
 type recordReplicator struct {
 	gossip recordGossip
 	log    *zerolog.Logger
 }
 
-// publish sends a record that was found to be committed here to the other members.
+// publish gossips a committed record.
 func (r *recordReplicator) publish(record state.Record) {
 	value, err := cbor.Marshal(record)
 	if err != nil {
@@ -34,7 +35,7 @@
 	r.gossip.Put(entry)
 }
 
-// subscribe passes the records of other members to the node.
+// subscribe passes the gossiped records of other members to the node.
 func (r *recordReplicator) subscribe(node *register.Node) {
 	r.gossip.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
 		var record state.Record
--- a/serving/core/releases.go
+++ b/serving/core/releases.go
@@ -10,19 +10,20 @@
 	"rowanlink/serving/rpc"
 )
 
-// releaseCheckTimeout bounds the check of the other members' releases. An operator waits a second.
+// releaseCheckTimeout bounds the check of the other members' releases. The operator who orders a roll-out waits one
+// second for the answer.
 const releaseCheckTimeout = 250 * time.Millisecond
 
-// serveSupport serves rollout.SupportMethod.
+// serveSupport serves rollout.SupportMethod: this release supports roll-outs.
 func serveSupport(mux *http.ServeMux) {
 	rollout.SupportMethod.Serve(mux, func(context.Context, *rollout.SupportRequest) (*rollout.SupportResponse, error) {
 		return &rollout.SupportResponse{Supported: true}, nil
 	})
 }
 
-// checkReleases returns errcode.RolloutReleases if another member runs a program of a release that doesn't know
-// roll-outs: a core member would write the record without them, and a proxy would send to the new version's endpoints as
-// to any other. Members that don't answer in time don't count.
+// checkReleases returns errcode.RolloutReleases if another member's machine runs a program of a release that doesn't
+// support roll-outs. A core member of such a release would write the record without its roll-outs, and a proxy would
+// send requests to the new version's endpoints as to any other. Members that don't answer in time are ignored.
 func (c *coreProcess) checkReleases(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseCheckTimeout)
 	defer cancel()
@@ -45,7 +46,8 @@
 	return found
 }
 
-// checkRelease returns errcode.RolloutReleases if a member answers that not all programs of its machine know roll-outs.
+// checkRelease returns errcode.RolloutReleases if a member answers that a program of its machine doesn't support
+// roll-outs, or is itself of a release that doesn't serve the call.
 func (c *coreProcess) checkRelease(ctx context.Context, name, address string) error {
 	response, err := rollout.SupportMethod.Call(ctx, c.client, address, &rollout.SupportRequest{})
 	if rpc.IsUnimplemented(err) || err == nil && !response.Supported {
--- a/serving/core/rollouts.go
+++ b/serving/core/rollouts.go
@@ -18,20 +18,23 @@
 )
 
 const (
-	// rolloutInterval is the time between two looks at the roll-outs in progress. Reports of bad answers cause one too.
+	// rolloutInterval is the time between two periodic decisions on the roll-outs in progress. A report of bad answers
+	// triggers a decision at once.
 	rolloutInterval = 250 * time.Millisecond
-	// rolloutProposalTimeout bounds the proposal of a decision.
+	// rolloutProposalTimeout bounds the proposal of a transition to the register.
 	rolloutProposalTimeout = 2 * time.Second
-	// leaseShareOfRollback is the duration of a lease, as a share of the time within which requests to a bad version
-	// must cease. Agents renew it each second.
+	// leaseShareOfRollback is the duration of a lease as a share of rolloutBounds.rollback. Agents renew leases each
+	// second.
 	leaseShareOfRollback = 0.5
-	// recentOrderFactor times the time for an acknowledgement is how long an order may be sent again.
+	// recentOrderFactor times rolloutBounds.acknowledgement is how long after an order the same order counts as a retry
+	// of it.
 	recentOrderFactor = 3
 )
 
-// rolloutController carries out the roll-outs in the committed record: the core member with the singleton role collects
-// the proxies' reports, renews their leases, and proposes the transitions that the judge decides on. The other members
-// follow, so that each can take over.
+// rolloutController carries out the roll-outs in the committed record. The core member with the singleton role
+// rollout.JudgeRole collects the proxies' reports, renews their leases, and proposes the transitions that its judge
+// decides on to the register. The judges of the other core members follow the committed record, so that each of them
+// can take over.
 type rolloutController struct {
 	latest    func() (state.Record, bool)
 	change    func(ctx context.Context, update register.Update) (state.Record, error)
@@ -40,20 +43,22 @@
 	live      func() []state.Endpoint
 	bounds    rolloutBounds
 	log       *zerolog.Logger
-	wake      chan struct{} // receives a value when bad answers were reported
+	wake      chan struct{} // receives a value when bad answers are reported
 
-	mutex       sync.Mutex
-	judge       *rollout.Judge
-	rollingBack map[uint64]bool // by OrderRevision: a return was decided, so no lease is granted any more
+	mutex sync.Mutex
+	judge *rollout.Judge
+	// rollingBack has the OrderRevision of each roll-out whose rollback was decided. These get no more leases, also while
+	// the decision isn't committed.
+	rollingBack map[uint64]bool
 }
 
-// rolloutBounds are the operator's bounds that the controller needs.
+// rolloutBounds has the service levels from the settings that the controller uses.
 type rolloutBounds struct {
-	acknowledgement time.Duration
-	rollback        time.Duration
+	acknowledgement time.Duration // within which an operator's order is acknowledged
+	rollback        time.Duration // within which requests to a bad version must cease
 }
 
-// startRollouts starts the controller. It proposes changes through the given register.
+// startRollouts starts the controller, which proposes its changes to the given register.
 func (c *coreProcess) startRollouts(lifetime context.Context, replicated operator.ReplicatedRegister) {
 	c.rollouts = &rolloutController{
 		latest: c.node.Latest,
@@ -84,7 +89,9 @@
 	})
 }
 
-// report takes an agent's reports and returns the leases of its proxy.
+// report passes an agent's reports to the judge and returns leases for its proxy. It grants leases only while this
+// member has the singleton role and contact with a majority of the voters: without a majority it couldn't stop a
+// roll-out.
 func (r *rolloutController) report(now time.Time, request *rollout.ReportRequest) *rollout.ReportResponse {
 	response := &rollout.ReportResponse{}
 	mayGrant := r.hasQuorum() && r.hasRole()
@@ -106,7 +113,7 @@
 	return response
 }
 
-// signal wakes the controller's loop.
+// signal wakes run. It doesn't block.
 func (r *rolloutController) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -114,8 +121,8 @@
 	}
 }
 
-// follow lets the judge follow the newest committed record that this member knows, and returns its roll-outs. The caller
-// holds the mutex.
+// follow passes the roll-outs of the newest committed record that this member knows to the judge, and returns them. The
+// caller holds the mutex.
 func (r *rolloutController) follow(now time.Time) []state.Rollout {
 	record, known := r.latest()
 	if !known {
@@ -125,7 +132,7 @@
 	return record.Rollouts
 }
 
-// isRecent reports whether a roll-out may have been ordered so short a time ago that its order is still sent again.
+// isRecent reports whether a roll-out was ordered so recently that an equal order may be a retry of the same one.
 func (r *rolloutController) isRecent(orderRevision uint64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -156,7 +163,8 @@
 	}
 }
 
-// carryOut proposes the transition of a roll-out in progress that is due, if this member decides on it.
+// carryOut decides on a roll-out in progress and proposes the transition that is due, if any. It does nothing unless
+// this member has the singleton role and contact with a majority of the voters.
 func (r *rolloutController) carryOut(ctx context.Context, known state.Rollout) {
 	if !r.hasRole() || !r.hasQuorum() {
 		return
@@ -192,7 +200,7 @@
 	})
 }
 
-// propose proposes a transition. One that isn't committed is decided on again by a later iteration.
+// propose proposes a transition to the register. If it isn't committed, a later iteration of run decides again.
 func (r *rolloutController) propose(ctx context.Context, known state.Rollout, transition rollout.Transition) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutProposalTimeout)
 	defer cancel()
@@ -215,7 +223,7 @@
 	logVerdict(kind.Log(r.log), &next, next.Verdict).Int("step", int(next.Step)).Send()
 }
 
-// logVerdict adds a verdict to a log entry.
+// logVerdict adds a roll-out and its verdict to a log entry.
 func logVerdict(entry *zerolog.Event, known *state.Rollout, verdict state.RolloutVerdict) *zerolog.Event {
 	return entry.
 		Str("service", known.Service).
@@ -233,8 +241,8 @@
 		Int("baseline_slow", verdict.Baseline.Slow)
 }
 
-// capacityOf counts a service's endpoints that accept requests and respond, and returns the software versions beside the
-// target.
+// capacityOf counts the endpoints of a roll-out's service that accept requests and respond, without those of retired
+// versions. It also returns the software versions of all the service's endpoints except the target.
 func capacityOf(all []state.Endpoint, known *state.Rollout) (capacity rollout.Capacity, versions []string) {
 	seen := map[string]bool{}
 	for _, endpoint := range all {
--- a/serving/core/waitingsaves.go
+++ b/serving/core/waitingsaves.go
@@ -9,15 +9,16 @@
 // maxWaitingSaves bounds the number of waiting calls, in case the disk doesn't respond.
 const maxWaitingSaves = 8192
 
-// waitingSaves collects the endpoints for the next transaction from the calls that wait for it. It is safe for concurrent
-// use.
+// waitingSaves collects the endpoints for the next transaction from the calls that wait for it. It is safe for
+// concurrent use.
 type waitingSaves struct {
 	mutex   sync.Mutex
 	list    []state.Endpoint
 	results []chan<- error // one for each waiting call
 }
 
-// add adds the endpoints of one call, which waits for the result. It returns false if maxWaitingSaves calls wait already.
+// add adds the endpoints of one call, which waits for the result. It returns false if maxWaitingSaves calls wait
+// already.
 func (w *waitingSaves) add(list []state.Endpoint, result chan<- error) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/serving/endpoints/changes.go
+++ b/serving/endpoints/changes.go
@@ -34,8 +34,8 @@
 // Position returns the position of the newest change.
 func (t *Table) Position() uint64 { return t.position }
 
-// ChangePosition returns the position of the newest change of an endpoint, and whether its version is as new as the given
-// one. An endpoint that isn't in the table, as it departed long ago, has changed at position 0.
+// ChangePosition returns the position of the newest change of an endpoint, and whether its version is as new as the
+// given one. An endpoint that isn't in the table, as it departed long ago, has changed at position 0.
 func (t *Table) ChangePosition(id string, version gossip.Version) (position uint64, current bool) {
 	e, known := t.entries[id]
 	if !known {
--- a/serving/endpoints/exchange/proxies_test.go
+++ b/serving/endpoints/exchange/proxies_test.go
@@ -52,8 +52,8 @@
 	return time.Since(begun)
 }
 
-// TestPutReplicated_WaitsForProxies guards against an acknowledgement of what only core members know: while none of them
-// runs, proxies would go on sending to the endpoint.
+// TestPutReplicated_WaitsForProxies guards against an acknowledgement of what only core members know: while none of
+// them runs, proxies would go on sending to the endpoint.
 func TestPutReplicated_WaitsForProxies(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -17,10 +17,10 @@
 var replicaCalls = delivery.BatchOptions{MaxCalls: 2, CallTimeout: time.Second}
 
 // PutReplicated gossips an endpoint and returns once it is on the disks of a majority of the voters, so that neither
-// the end of all processes nor a loss of power undoes it, and the proxies have applied it, so that it holds however long
-// no core member runs. The wait for the proxies is bounded by delivery.AgentTimeout: one that is suspended or unreachable
-// gets the endpoint by gossip. It fails with errcode.NotAcknowledged where the disks can't be reached or don't confirm before
-// ctx ends. The endpoint is sent to all targets and gossiped in any case.
+// the end of all processes nor a loss of power undoes it, and the proxies have applied it, so that it holds however
+// long no core member runs. The wait for the proxies is bounded by delivery.AgentTimeout: one that is suspended or
+// unreachable gets the endpoint by gossip. It fails with errcode.NotAcknowledged where the disks can't be reached or
+// don't confirm before ctx ends. The endpoint is sent to all targets and gossiped in any case.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, targets quorum.Targets) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
--- a/serving/endpoints/exchange/replication_test.go
+++ b/serving/endpoints/exchange/replication_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// newReplicatedExchange returns an exchange whose own disk and whose replicas' disks respond as given, once its member has
-// joined the others.
+// newReplicatedExchange returns an exchange whose own disk and whose replicas' disks respond as given, once its member
+// has joined the others.
 func newReplicatedExchange(local diskState, others map[string]diskState) *Exchange {
 	log := zerolog.Nop()
 	f := &fakeGossip{subscriber: func(gossip.Entry) {}}
--- a/serving/endpoints/exchange/successors.go
+++ b/serving/endpoints/exchange/successors.go
@@ -16,8 +16,8 @@
 	maxWaitingSuccessors = 1024
 )
 
-// Confirm asks the process at an endpoint's address whether it accepts requests under the endpoint's ID, and returns the
-// endpoint with the time that it still warms up.
+// Confirm asks the process at an endpoint's address whether it accepts requests under the endpoint's ID, and returns
+// the endpoint with the time that it still warms up.
 type Confirm func(ctx context.Context, endpoint state.Endpoint) (state.Endpoint, error)
 
 // CheckSuccessor checks whether a heartbeat comes from a new process under the ID of an endpoint that has departed, and
--- a/serving/endpoints/exchange/successors_test.go
+++ b/serving/endpoints/exchange/successors_test.go
@@ -13,7 +13,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestCheckSuccessor_RegistersWhatTheEndpointConfirms guards against late heartbeats that bring a departed endpoint back.
+// TestCheckSuccessor_RegistersWhatTheEndpointConfirms guards against late heartbeats that bring a departed endpoint
+// back.
 func TestCheckSuccessor_RegistersWhatTheEndpointConfirms(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -198,8 +198,8 @@
 	t.pending[e.endpoint.ID] = e
 }
 
-// MarkReplicated records that a majority of the voters has a version of an endpoint on disk. Only the last broadcast one
-// counts.
+// MarkReplicated records that a majority of the voters has a version of an endpoint on disk. Only the last broadcast
+// one counts.
 func (t *Table) MarkReplicated(stored state.Endpoint) {
 	e, known := t.entries[stored.ID]
 	if !known {
--- a/serving/endpoints/registration.go
+++ b/serving/endpoints/registration.go
@@ -11,17 +11,17 @@
 const maxRemovedEndpoints = 8192
 
 // mayBeSuccessor reports whether a heartbeat that is no newer than what is known may come from a new process that has
-// registered under the ID of an endpoint that has departed, is draining, or sends no newer ones any more. It may as well be
-// a late one of the former process, however long ago that has departed: only the endpoint itself can tell.
+// registered under the ID of an endpoint that has departed, is draining, or sends no newer ones any more. It may as
+// well be a late one of the former process, however long ago that has departed: only the endpoint itself can tell.
 func mayBeSuccessor(former state.Endpoint, heartbeat Heartbeat) bool {
 	isServing := former.State == state.EndpointAccepting && !former.Unresponsive
 	return !isServing && !heartbeat.Draining
 }
 
-// closesSuccessor reports whether a heartbeat that is no newer than what is known says that an endpoint is closing which
-// counts as accepting. A process that has said that never accepts again, so that the known count is another process's under
-// the same ID and address, and the ID has had several. If the heartbeat is a late one of a former process instead, the
-// next one of the present process corrects that.
+// closesSuccessor reports whether a heartbeat that is no newer than what is known says that an endpoint is closing
+// which counts as accepting. A process that has said that never accepts again, so that the known count is another
+// process's under the same ID and address, and the ID has had several. If the heartbeat is a late one of a former
+// process instead, the next one of the present process corrects that.
 func closesSuccessor(known state.Endpoint, heartbeat Heartbeat) bool {
 	return heartbeat.Draining &&
 		heartbeat.Sequence <= known.Sequence &&
@@ -30,10 +30,10 @@
 		known.Registration > 0
 }
 
-// ResolveSuccessor ends the check that ReceiveHeartbeat has requested by Change.CheckSuccessor. Where the process at the
-// heartbeat's address has confirmed that it accepts requests under the endpoint's ID, it is registered, with the time
-// that it still warms up. It returns false if it wasn't confirmed, or if the endpoint has changed since the request:
-// the successor itself may have departed.
+// ResolveSuccessor ends the check that ReceiveHeartbeat has requested by Change.CheckSuccessor. Where the process at
+// the heartbeat's address has confirmed that it accepts requests under the endpoint's ID, it is registered, with the
+// time that it still warms up. It returns false if it wasn't confirmed, or if the endpoint has changed since the
+// request: the successor itself may have departed.
 func (t *Table) ResolveSuccessor(now time.Time, id string, confirmed bool, warmupLeft time.Duration) (state.Endpoint, bool) {
 	e, known := t.entries[id]
 	if !known || e.successor == nil {
