--- a/serving/endpoints/changes.go
+++ b/serving/endpoints/changes.go
@@ -9,13 +9,13 @@
 	"rowanlink/serving/state"
 )
 
-// maxRemovals bounds the number of removed endpoints that are retained for ChangesSince.
+// maxRemovals bounds the number of removals that are retained for ChangesSince.
 const maxRemovals = 256
 
-// removalLog lists the endpoints that were removed from the table, the newest last.
+// removalLog lists the most recent removals of endpoints from the table, the newest last.
 type removalLog struct {
 	entries       []removal
-	completeAfter uint64 // all removals after this position are listed
+	completeAfter uint64 // position of the table after which all removals are listed
 }
 
 type removal struct {
@@ -31,7 +31,7 @@
 	l.entries = append(l.entries, removal{position: position, id: id})
 }
 
-// Position returns the position of the newest change.
+// Position returns the table's position, which counts its changes.
 func (t *Table) Position() uint64 { return t.position }
 
 // ChangePosition returns the position of the newest change of an endpoint, and whether its version is as new as the
@@ -44,16 +44,16 @@
 	return e.changePosition, !VersionOf(e.endpoint).Less(version)
 }
 
-// Delta is what has changed in a table since a position.
+// Delta lists the changes of a table since a position.
 type Delta struct {
-	Changed  []state.Endpoint // as they are now, ordered by ID
-	Removed  []string         // by ID
-	Position uint64           // of the newest change
+	Changed  []state.Endpoint // in their present states, ordered by ID
+	Removed  []string         // IDs
+	Position uint64           // of the table now
 	Complete bool             // Changed is the whole table; endpoints that aren't listed have been removed
 }
 
-// ChangesSince returns what has changed since a position. The delta is complete for position 0 and for a position of
-// which the removals are no longer known.
+// ChangesSince returns the changes since a position. The delta is the complete table for position 0, for a position
+// that this table hasn't reached, and for one after which not all removals are known any more.
 func (t *Table) ChangesSince(now time.Time, since uint64) Delta {
 	if since == 0 || since > t.position || since < t.removals.completeAfter {
 		return Delta{
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -1,5 +1,7 @@
-// Package exchange connects a core member's table of endpoints with the other members: it merges what they gossip,
-// gossips what the table detects, and decides on the liveness of endpoints, also for members that are down.
+// Package exchange connects a core member's table of endpoints with the other members. It merges the endpoints that
+// they gossip, gossips the endpoints that the table detects to be unresponsive, failing or departed, and replicates
+// endpoints that are closing to the disks of the voters. It also decides which member detects the liveness of an
+// endpoint: its receiver, or the holder of LivenessRole while the receiver is down.
 package exchange
 
 import (
@@ -20,8 +22,8 @@
 // sweepInterval is the time between two sweeps of the table.
 const sweepInterval = 500 * time.Millisecond
 
-// LivenessRole is the singleton role of deciding on the liveness of endpoints whose receiver is not live. Its holder is
-// shown to operators under this name.
+// LivenessRole is the singleton role of the member that decides on the liveness of endpoints whose receiver is not
+// live. Operators see this name.
 const LivenessRole = "judge-endpoints"
 
 // Gossip is the part of member.Service that an exchange uses.
@@ -34,7 +36,8 @@
 	AcquireRole(name string, scope singleton.Scope) singleton.Assignment
 }
 
-// Exchange is a table of endpoints that is connected with the other members. It is safe for concurrent use.
+// Exchange holds a table of endpoints and keeps it consistent with the other members' tables. It is safe for concurrent
+// use.
 type Exchange struct {
 	gossip   Gossip
 	table    *endpoints.SharedTable
@@ -42,7 +45,7 @@
 	replicas *delivery.BatchSender
 	agents   *delivery.AgentNotifier
 	confirm  Confirm
-	// successors are the processes to be checked by checkSuccessors.
+	// successors is the queue of processes that checkSuccessors checks.
 	successors chan state.Endpoint
 	log        *zerolog.Logger
 }
@@ -55,7 +58,7 @@
 	HasQuorum func() bool
 	// Persist saves endpoints on the local disk and returns once they would survive a loss of power.
 	Persist func(ctx context.Context, list []state.Endpoint) error
-	// Confirm checks a process that has sent a heartbeat under the ID of an endpoint that has departed.
+	// Confirm checks a process whose heartbeat has the ID of an earlier one; see CheckSuccessor.
 	Confirm Confirm
 	Log     *zerolog.Logger
 }
@@ -87,7 +90,7 @@
 	return x
 }
 
-// Table returns the table. It stops with the context of Start.
+// Table returns the table. It stops when the context of Start ends.
 func (x *Exchange) Table() *endpoints.SharedTable { return x.table }
 
 func (x *Exchange) run(ctx context.Context) {
@@ -126,7 +129,7 @@
 	x.table.Merge(endpoint, nil)
 }
 
-// Put gossips an endpoint and doesn't wait.
+// Put gossips an endpoint. It doesn't wait until other members have it.
 func (x *Exchange) Put(endpoint state.Endpoint) {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
@@ -151,9 +154,9 @@
 }
 
 // newResponsibility returns a function that reports whether this member decides on the liveness of a receiver's
-// endpoints: of its own, and as the holder of LivenessRole of those of a receiver that isn't live. A member that is
-// partitioned from the voters has its peers as down and holds the role itself, but the endpoints that it doesn't
-// receive from may be healthy.
+// endpoints. It decides on its own endpoints, and, as the holder of LivenessRole, on those of a receiver that isn't
+// live. The latter needs contact with a majority of the voters: a partitioned member sees all others as down and so
+// takes the role, but the endpoints that send heartbeats to those others may be healthy.
 func newResponsibility(members Gossip, hasQuorum func() bool) func(receiver string) bool {
 	self := members.Self().Name
 	return func(receiver string) bool {
--- a/serving/endpoints/exchange/observations.go
+++ b/serving/endpoints/exchange/observations.go
@@ -21,7 +21,7 @@
 // ObserveResponse acknowledges the observations.
 type ObserveResponse struct{}
 
-// Serve registers the handler of ObserveMethod.
+// Serve adds the handler of ObserveMethod. It gossips the endpoints that observations eject.
 func (x *Exchange) Serve(mux *http.ServeMux) {
 	ObserveMethod.Serve(mux, func(_ context.Context, request *ObserveRequest) (*ObserveResponse, error) {
 		for _, observation := range request.Observations {
--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -13,14 +13,17 @@
 	"rowanlink/serving/state"
 )
 
-// replicaCalls bounds the calls to a replica. The second one may begin while the disk is busy with the first.
+// replicaCalls bounds the calls to each replica. A second call may begin while the replica's disk is busy with the
+// first.
 var replicaCalls = delivery.BatchOptions{MaxCalls: 2, CallTimeout: time.Second}
 
-// PutReplicated gossips an endpoint and returns once it is on the disks of a majority of the voters, so that neither
-// the end of all processes nor a loss of power undoes it, and the proxies have applied it, so that it holds however
-// long no core member runs. The wait for the proxies is bounded by delivery.AgentTimeout: one that is suspended or
-// unreachable gets the endpoint by gossip. It fails with errcode.NotAcknowledged where the disks can't be reached or
-// don't confirm before ctx ends. The endpoint is sent to all targets and gossiped in any case.
+// PutReplicated gossips an endpoint and returns once a majority of the voters has it on disk and the proxies have
+// applied it. On the disks the state survives the end of all processes and a loss of power; at the proxies it stays in
+// effect even if no core member runs.
+//
+// The wait for the proxies is bounded by delivery.AgentTimeout: a proxy that is suspended or unreachable gets the
+// endpoint by gossip. PutReplicated fails with errcode.NotAcknowledged if too few disks confirm before ctx ends or can
+// be reached. The endpoint is sent to all targets and gossiped in any case.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, targets quorum.Targets) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
@@ -45,7 +48,8 @@
 	return nil
 }
 
-// storeReplicated sends an endpoint to all targets and returns once a quorum of them has it on disk.
+// storeReplicated sends an endpoint to all targets and returns once a quorum of them has it on disk. Errors are
+// errcode.NotAcknowledged.
 func (x *Exchange) storeReplicated(
 	ctx context.Context, endpoint state.Endpoint, entry gossip.Entry, targets quorum.Targets,
 ) error {
@@ -61,12 +65,13 @@
 	return awaitQuorum(ctx, results, copies, targets.Quorum)
 }
 
-// awaitQuorum waits for the results of storing copies until as many as quorum have succeeded.
+// awaitQuorum waits until quorum of the copies are stored, given the result of storing each copy. It fails as soon as
+// too few copies are left to reach the quorum, or when ctx ends.
 func awaitQuorum(ctx context.Context, results <-chan error, copies, quorum int) error {
 	stored, failed := 0, 0
 	for stored < quorum {
 		if copies-failed < quorum {
-			return errcode.NotAcknowledged.With("%d of %d, %d failed", stored, quorum, failed)
+			return errcode.NotAcknowledged.With("%d of %d disks confirmed, %d failed", stored, quorum, failed)
 		}
 		select {
 		case err := <-results:
@@ -76,18 +81,19 @@
 				failed++
 			}
 		case <-ctx.Done():
-			return errcode.NotAcknowledged.With("%d of %d", stored, quorum)
+			return errcode.NotAcknowledged.With("%d of %d disks confirmed in time", stored, quorum)
 		}
 	}
 	return nil
 }
 
-// PersistEntries saves the endpoints among gossip entries on the local disk. It is the member's Persister.
+// PersistEntries saves gossiped endpoints on the local disk; it is the process's member.Persister. If any entry is of
+// another gossip table or can't be decoded, it saves nothing and returns an error.
 func (x *Exchange) PersistEntries(ctx context.Context, entries []gossip.Entry) error {
 	list := make([]state.Endpoint, 0, len(entries))
 	for _, entry := range entries {
 		if entry.Table != gossip.TableEndpoints {
-			return errcode.NotPersisted.With("entries of table %d aren't saved", entry.Table)
+			return errcode.NotPersisted.With("gossip table %d can't be saved, only endpoints", entry.Table)
 		}
 		endpoint, err := endpoints.Decode(entry.Value)
 		if err != nil {
--- a/serving/endpoints/exchange/successors.go
+++ b/serving/endpoints/exchange/successors.go
@@ -12,7 +12,8 @@
 const (
 	// maxSuccessorChecks is the number of concurrent checks of successors.
 	maxSuccessorChecks = 8
-	// maxWaitingSuccessors bounds the checks that wait. One that finds no room is repeated after the next heartbeat.
+	// maxWaitingSuccessors bounds the queue of checks. If it is full, a check is dropped, and the process's next heartbeat
+	// requests it again.
 	maxWaitingSuccessors = 1024
 )
 
@@ -20,8 +21,8 @@
 // the endpoint with the time that it still warms up.
 type Confirm func(ctx context.Context, endpoint state.Endpoint) (state.Endpoint, error)
 
-// CheckSuccessor checks whether a heartbeat comes from a new process under the ID of an endpoint that has departed, and
-// registers that. It is called where endpoints.Change requests it, and doesn't wait.
+// CheckSuccessor checks whether a heartbeat comes from a new process under the ID of an earlier one, and registers that
+// process if so. It is called if endpoints.Change.CheckSuccessor is set, and doesn't wait for the result.
 func (x *Exchange) CheckSuccessor(id string, heartbeat endpoints.Heartbeat) {
 	successor := state.Endpoint{ID: id, Service: heartbeat.Service, Address: heartbeat.Address}
 	select {
@@ -31,7 +32,7 @@
 	}
 }
 
-// checkSuccessors makes the checks until the context ends.
+// checkSuccessors makes the queued checks, one after the other, until the context ends.
 func (x *Exchange) checkSuccessors(ctx context.Context) {
 	for {
 		select {
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -15,25 +15,26 @@
 	SoftwareVersion string
 	Slots           int
 	Draining        bool
-	Sequence        uint64        // the endpoint's count of its calls
-	WarmupLeft      time.Duration // until it is warmed up
+	Sequence        uint64        // counts the calls of the endpoint's process
+	WarmupLeft      time.Duration // until the endpoint is warmed up
 	RemovalIn       time.Duration // until its announced removal; 0: none announced
 	Models          []state.Model
 }
 
-// Change is the effect of a call of an endpoint.
+// Change is the effect of a heartbeat or a deregistration on the table.
 type Change struct {
-	New       bool // the endpoint wasn't known
+	New       bool // the endpoint wasn't in the table
 	Stale     bool // a newer call was processed already: nothing has changed
-	Broadcast bool // the change has to be gossiped
-	// Replicated: a majority of the voters is known to have this version of the endpoint on disk.
+	Broadcast bool // the caller has to gossip the endpoint
+	// Replicated means that a majority of the voters is known to have this version of the endpoint on disk.
 	Replicated bool
-	// CheckSuccessor: the heartbeat may come from a new process under the ID of an endpoint that has departed. The caller
-	// checks that at the heartbeat's address and then calls ResolveSuccessor, until which no further check is requested.
+	// CheckSuccessor means that the heartbeat may come from a new process under the same ID; see mayBeSuccessor. The
+	// caller asks the process at the heartbeat's address, and passes the result to ResolveSuccessor. Until then no further
+	// check of the endpoint is requested.
 	CheckSuccessor bool
 }
 
-// ReceiveHeartbeat processes a heartbeat and returns the endpoint's new state.
+// ReceiveHeartbeat processes a heartbeat and returns the endpoint's state afterwards.
 func (t *Table) ReceiveHeartbeat(now time.Time, id string, heartbeat Heartbeat) (state.Endpoint, Change) {
 	e, known := t.entries[id]
 	if !known {
@@ -42,7 +43,7 @@
 	before := e.endpoint
 	switch {
 	case !known:
-	case closesSuccessor(before, heartbeat):
+	case isSuccessorClosing(before, heartbeat):
 		e.endpoint.Registration++
 	case heartbeat.Sequence <= before.Sequence, isOfEarlierRegistration(before, heartbeat):
 		return e.snapshotAt(now), e.receiveStaleHeartbeat(heartbeat)
@@ -52,12 +53,14 @@
 	return e.snapshotAt(now), change
 }
 
-// receiveStaleHeartbeat processes a heartbeat that is no newer than what is known.
+// receiveStaleHeartbeat processes a stale heartbeat: one whose sequence isn't higher than the known one, or that comes
+// from an earlier registration. It is a delayed or duplicated call, or comes from a new process that counts its calls
+// anew.
 func (e *entry) receiveStaleHeartbeat(heartbeat Heartbeat) Change {
 	change := Change{Stale: true, Replicated: e.broadcast.replicated}
 	switch {
 	case !mayBeSuccessor(e.endpoint, heartbeat):
-		e.successor = nil // if there is one, it is closing
+		e.successor = nil // the process being checked, if any, is closing
 	case e.successor == nil:
 		e.successor = &heartbeat
 		change.CheckSuccessor = true
@@ -108,7 +111,8 @@
 	e.successor = nil
 }
 
-// needsBroadcast reports whether the other members need the entry's state, given the endpoint before the change.
+// needsBroadcast reports whether the entry's state has to be broadcast to the other members, given the endpoint before
+// the change.
 func (e *entry) needsBroadcast(before state.Endpoint) bool {
 	if !e.broadcast.exists || !isEquivalent(before, e.endpoint) {
 		return true
@@ -120,8 +124,8 @@
 	return warmupExtended || warmedUp || removalAdvanced
 }
 
-// isEquivalent reports whether two states of an endpoint make no difference to proxies and to members responsible for
-// it.
+// isEquivalent reports whether two states of an endpoint differ in nothing that proxies or the member responsible for
+// the endpoint use.
 func isEquivalent(a, b state.Endpoint) bool {
 	return a.Service == b.Service &&
 		a.Address == b.Address &&
@@ -140,8 +144,8 @@
 	return a.Name == b.Name && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// Deregister processes the deregistration of an endpoint. The endpoint may still finish its requests; its process never
-// comes back. For a new process under the same ID see mayBeSuccessor.
+// Deregister processes the deregistration of an endpoint, which counts as departed from then on. Its process may still
+// finish its requests, and never registers again. For a new process under the same ID see mayBeSuccessor.
 func (t *Table) Deregister(now time.Time, id string) (state.Endpoint, Change) {
 	e, known := t.entries[id]
 	if known && e.endpoint.Sequence == deregisteredSequence {
@@ -160,7 +164,7 @@
 	return e.snapshotAt(now), Change{New: !known, Broadcast: true}
 }
 
-// addEntry adds the entry of an unknown endpoint.
+// addEntry adds an entry for an endpoint that isn't in the table.
 func (t *Table) addEntry(id string) *entry {
 	e := &entry{endpoint: state.Endpoint{ID: id, Registration: t.removed.byID[id].registration}}
 	t.entries[id] = e
@@ -178,8 +182,8 @@
 	t.recordChange(e)
 }
 
-// markOthersUnresponsive marks the other endpoints at the address of one as unresponsive. They may have crashed, or may
-// have moved to another address.
+// markOthersUnresponsive marks the other endpoints at the address of the current one as unresponsive. They may have
+// crashed, or may have moved to another address.
 func (t *Table) markOthersUnresponsive(current *entry) {
 	for _, other := range t.entries {
 		if other == current || other.endpoint.Address != current.endpoint.Address {
@@ -198,8 +202,8 @@
 	t.pending[e.endpoint.ID] = e
 }
 
-// MarkReplicated records that a majority of the voters has a version of an endpoint on disk. Only the last broadcast
-// one counts.
+// MarkReplicated records that a majority of the voters has a version of an endpoint on disk. Any version but the last
+// broadcast one is ignored.
 func (t *Table) MarkReplicated(stored state.Endpoint) {
 	e, known := t.entries[stored.ID]
 	if !known {
--- a/serving/endpoints/merge.go
+++ b/serving/endpoints/merge.go
@@ -6,8 +6,9 @@
 	"rowanlink/serving/state"
 )
 
-// Merge applies an endpoint that another member has gossiped, and reports whether it was newer than the known state.
-// Where this member has a newer state, because it receives the endpoint's heartbeats, the next sweep broadcasts that.
+// Merge applies the state of an endpoint that another member has gossiped, and reports whether it was newer than the
+// known state. If it is older, and this member receives the endpoint's heartbeats, the next sweep broadcasts the known
+// state.
 func (t *Table) Merge(now time.Time, update state.Endpoint) bool {
 	if update.ID == "" {
 		return false
@@ -29,10 +30,10 @@
 	return true
 }
 
-// adoptUpdate replaces the state of an entry by another member's. That the two members have it doesn't mean that it is
-// replicated: there may be more voters, and neither may have it on disk.
+// adoptUpdate replaces the state of an entry by another member's. The state doesn't count as replicated: a majority of
+// the voters may be more than these two members, and neither may have it on disk.
 func (t *Table) adoptUpdate(now time.Time, e *entry, update state.Endpoint) {
-	if update.Service == "" { // deregistered at a member that didn't know the endpoint
+	if update.Service == "" { // it was deregistered at a member that didn't know the endpoint
 		update.Service = e.endpoint.Service
 		update.Address = e.endpoint.Address
 		update.Zone = e.endpoint.Zone
@@ -53,8 +54,9 @@
 	t.recordBroadcast(e)
 }
 
-// correctStaleUpdate has the next sweep broadcast an entry of which another member has an older, different state. An
-// update of the same version changes nothing: it may be this member's own broadcast that was relayed back.
+// correctStaleUpdate makes the next sweep broadcast an entry if this member receives the endpoint's heartbeats and the
+// update is older and different. An update of the same version is ignored: it may be this member's own broadcast,
+// relayed back.
 func (t *Table) correctStaleUpdate(e *entry, update state.Endpoint) {
 	isReceiver := e.endpoint.Receiver == t.options.Self
 	if isReceiver && isNewer(e.endpoint, update) && !isEquivalent(e.endpoint, update) {
@@ -62,8 +64,8 @@
 	}
 }
 
-// markPredecessorsUnresponsive marks the other endpoints at the address of one as unresponsive, as far as this member
-// is responsible for them. The members that are responsible for the rest do the same.
+// markPredecessorsUnresponsive marks the other endpoints at the address of the current one as unresponsive if this
+// member is responsible for them. The members that are responsible for the rest do the same.
 func (t *Table) markPredecessorsUnresponsive(current *entry) {
 	for _, other := range t.entries {
 		endpoint := &other.endpoint
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -6,19 +6,20 @@
 	"rowanlink/serving/state"
 )
 
-// Outlier detection: ejection of endpoints that send heartbeats but fail calls, as in Envoy's outlier detection, from
-// the observations of all proxies. One proxy of many sends an endpoint too few calls to decide by itself.
+// Outlier detection ejects endpoints that send heartbeats but fail calls, as Envoy's outlier detection does. It uses
+// the observations of all proxies, because one proxy of many sends an endpoint too few calls to decide by itself. An
+// ejected endpoint has state.Endpoint.Failing set.
 const (
 	// reportLifetime is how long an observation counts.
 	reportLifetime = 3 * time.Second
-	// minReporters is the number of proxies that must agree: the fault that a single one sees may be its own.
+	// minReporters is the number of proxies that must agree: if only one sees failures, the fault may be its own.
 	minReporters = 2
-	// minFailures is the least number of failed calls, and outlierFactor the least ratio of them to the average of the
-	// service's other endpoints. Where all fail, the cause is elsewhere, such as overload.
+	// minFailures is the least number of an outlier's failed calls. outlierFactor is the least ratio of that number to the
+	// average of the service's other endpoints: if all of them fail, the cause is elsewhere, such as overload.
 	minFailures   = 3
 	outlierFactor = 4
-	// maxEjectedShare is the share of a service's endpoints that may be ejected at once; the others have to take their
-	// load.
+	// maxEjectedShare is the share of a service's endpoints that may be ejected at once, since the others have to take
+	// over their load.
 	maxEjectedShare = 0.5
 	// baseEjectionTime is how long an endpoint is ejected. The time doubles, up to maxEjectionTime, each time that the
 	// endpoint is ejected again within repeatedEjectionWindow after the end of an ejection.
@@ -26,13 +27,13 @@
 	maxEjectionTime        = 16 * time.Second
 	repeatedEjectionWindow = 10 * time.Second
 	// resetAfterIntervals is the number of heartbeat intervals without a heartbeat after which an endpoint counts as
-	// restarted and loses its ejection.
+	// restarted, which ends its ejection.
 	resetAfterIntervals = 2
 )
 
-// outlierState is the outlier detection's state of one endpoint. The zero value is that of one without failures.
+// outlierState is the outlier detection's state of one endpoint. The zero value is for an endpoint without failures.
 type outlierState struct {
-	reports      map[string]proxyReport // by observer
+	reports      map[string]proxyReport // by observer: the member on the proxy's machine
 	ejectedUntil time.Time
 	ejectionTime time.Duration // of the last ejection
 }
@@ -41,14 +42,14 @@
 type proxyReport struct {
 	at             time.Time // of the last observation
 	failures       int
-	unacknowledged bool
+	unacknowledged bool // as in state.Observation
 }
 
 // reportSummary sums up the recent reports of all proxies about one endpoint.
 type reportSummary struct {
 	reporters      int
 	failures       int
-	unacknowledged int // number of proxies
+	unacknowledged int // number of reporters that saw unacknowledged packets
 }
 
 // resetAfterAbsence ends the ejection of an endpoint whose heartbeats have been absent for so long that it has
@@ -78,7 +79,7 @@
 	o.reports[observer] = report
 }
 
-// summarize sums up the recent reports and removes older ones.
+// summarize sums up the reports of the last reportLifetime and removes older ones.
 func (o *outlierState) summarize(now time.Time) (summary reportSummary) {
 	for observer, report := range o.reports {
 		if now.Sub(report.at) > reportLifetime {
@@ -105,8 +106,9 @@
 	o.reports = nil
 }
 
-// RecordObservation records what a proxy has observed of an endpoint for which this member is responsible. If that
-// ejects the endpoint, it returns its new state, to be gossiped, and true.
+// RecordObservation records a proxy's observation of an endpoint. If this member is responsible for the endpoint and
+// the observation makes it an outlier, the endpoint is ejected: RecordObservation returns its new state, which the
+// caller has to gossip, and true.
 func (t *Table) RecordObservation(now time.Time, observer string,
 	observation state.Observation) (state.Endpoint, bool) {
 	e, known := t.entries[observation.EndpointID]
@@ -124,8 +126,8 @@
 	return e.snapshotAt(now), true
 }
 
-// isOutlier reports whether an endpoint fails so much more often than the others of its service that it is to be
-// ejected.
+// isOutlier reports whether an endpoint is to be ejected: enough proxies report that it fails more often than the
+// others of its service, or doesn't acknowledge packets, and enough of the others aren't ejected.
 func (t *Table) isOutlier(now time.Time, suspect *entry) bool {
 	summary := suspect.outlier.summarize(now)
 	if summary.reporters < minReporters {
--- a/serving/endpoints/registration.go
+++ b/serving/endpoints/registration.go
@@ -7,22 +7,24 @@
 	"rowanlink/serving/state"
 )
 
-// maxRemovedEndpoints bounds the departed endpoints that are remembered after their removal from the table.
+// maxRemovedEndpoints bounds the number of departed endpoints that removedEndpoints holds.
 const maxRemovedEndpoints = 8192
 
-// mayBeSuccessor reports whether a heartbeat that is no newer than what is known may come from a new process that has
-// registered under the ID of an endpoint that has departed, is draining, or sends no newer ones any more. It may as
-// well be a late one of the former process, however long ago that has departed: only the endpoint itself can tell.
+// mayBeSuccessor reports whether a stale heartbeat (see receiveStaleHeartbeat) may come from a new process that has
+// registered under the ID of an earlier one and counts its calls anew. That is possible if the known process has
+// departed, is draining or is unresponsive. The heartbeat may as well be a delayed one of the known process, however
+// long ago that departed: only the process at the heartbeat's address can tell, so it has to be asked.
 func mayBeSuccessor(former state.Endpoint, heartbeat Heartbeat) bool {
 	isServing := former.State == state.EndpointAccepting && !former.Unresponsive
 	return !isServing && !heartbeat.Draining
 }
 
-// closesSuccessor reports whether a heartbeat that is no newer than what is known says that an endpoint is closing
-// which counts as accepting. A process that has said that never accepts again, so that the known count is another
-// process's under the same ID and address, and the ID has had several. If the heartbeat is a late one of a former
-// process instead, the next one of the present process corrects that.
-func closesSuccessor(known state.Endpoint, heartbeat Heartbeat) bool {
+// isSuccessorClosing reports whether a stale heartbeat announces the closing of an endpoint that the table has as
+// accepting requests, with an equal or higher sequence. A process that has announced its closing never accepts requests
+// again. So if the ID has had several processes, which Registration shows, the known sequence is that of another
+// process at the same address, and the heartbeat counts as that of the present one. Should it be a delayed heartbeat of
+// a former process instead, the present process's next heartbeat corrects the state.
+func isSuccessorClosing(known state.Endpoint, heartbeat Heartbeat) bool {
 	return heartbeat.Draining &&
 		heartbeat.Sequence <= known.Sequence &&
 		known.State == state.EndpointAccepting &&
@@ -30,10 +32,11 @@
 		known.Registration > 0
 }
 
-// ResolveSuccessor ends the check that ReceiveHeartbeat has requested by Change.CheckSuccessor. Where the process at
-// the heartbeat's address has confirmed that it accepts requests under the endpoint's ID, it is registered, with the
-// time that it still warms up. It returns false if it wasn't confirmed, or if the endpoint has changed since the
-// request: the successor itself may have departed.
+// ResolveSuccessor takes the result of the check that ReceiveHeartbeat has requested by Change.CheckSuccessor.
+// confirmed means that the process at the heartbeat's address accepts requests under the endpoint's ID; it is then
+// registered with the time that it still warms up. ResolveSuccessor returns false if the process isn't registered: it
+// wasn't confirmed, or the endpoint has changed since the request, which may mean that the new process itself has
+// departed.
 func (t *Table) ResolveSuccessor(now time.Time, id string, confirmed bool, warmupLeft time.Duration) (state.Endpoint, bool) {
 	e, known := t.entries[id]
 	if !known || e.successor == nil {
@@ -51,21 +54,22 @@
 	return e.snapshotAt(now), true
 }
 
-// isOfEarlierRegistration reports whether a heartbeat comes from a process that another one has replaced under its ID.
+// isOfEarlierRegistration reports whether a heartbeat comes from a process that another one, at another address, has
+// replaced under the same ID.
 func isOfEarlierRegistration(current state.Endpoint, heartbeat Heartbeat) bool {
 	return current.Registration > 0 &&
 		current.State != state.EndpointDeparted &&
 		current.Address != heartbeat.Address
 }
 
-// removedEndpoints remembers departed endpoints that have left the table. Other members retain their versions, so that
-// a new process under the same ID is known to them only with a newer one.
+// removedEndpoints holds the last versions of departed endpoints that were removed from the table. The other members'
+// gossip still retains these versions and drops older ones, so a new process under the same ID needs a newer version.
 type removedEndpoints struct{ byID map[string]removedEndpoint }
 
 type removedEndpoint struct {
 	version      gossip.Version
 	registration uint64
-	position     uint64 // of its removal
+	position     uint64 // of the table at the removal
 }
 
 func newRemovedEndpoints() removedEndpoints {
@@ -95,7 +99,8 @@
 	delete(r.byID, oldestID)
 }
 
-// raiseRegistration raises the registration of an endpoint that has come back, unless its version is newer anyway.
+// raiseRegistration raises the registration of an endpoint that has come back after its removal, so that its version is
+// newer than the removed one. It does nothing if the version is newer anyway.
 func (r *removedEndpoints) raiseRegistration(endpoint *state.Endpoint) {
 	removed, exists := r.byID[endpoint.ID]
 	if exists && !removed.version.Less(VersionOf(*endpoint)) {
--- a/serving/endpoints/shared.go
+++ b/serving/endpoints/shared.go
@@ -7,8 +7,8 @@
 	"rowanlink/serving/state"
 )
 
-// SharedTable is a table that is safe for concurrent use: it runs in its own goroutine and reads the clock. After
-// Stop all calls return zero values and false.
+// SharedTable makes a Table safe for concurrent use: a goroutine of its own runs all calls one after the other and
+// reads the clock. After Stop all calls return zero values and false.
 type SharedTable struct {
 	table *actor.Actor[Table]
 	clock func() time.Time
@@ -22,10 +22,10 @@
 	}
 }
 
-// Stop ends the goroutine.
+// Stop ends the table's goroutine.
 func (s *SharedTable) Stop() { s.table.Stop() }
 
-// callResult is the result of a call of an endpoint.
+// callResult is the result of ReceiveHeartbeat and Deregister.
 type callResult struct {
 	endpoint state.Endpoint
 	change   Change
@@ -49,7 +49,7 @@
 	return result.endpoint, result.change, ok
 }
 
-// successorResult is the result of a check of a successor.
+// successorResult is the result of ResolveSuccessor.
 type successorResult struct {
 	endpoint   state.Endpoint
 	registered bool
@@ -64,7 +64,7 @@
 	return result.endpoint, result.registered
 }
 
-// observationResult is the result of an observation.
+// observationResult is the result of RecordObservation.
 type observationResult struct {
 	endpoint state.Endpoint
 	ejected  bool
@@ -80,13 +80,13 @@
 	return result.endpoint, result.ejected, ok
 }
 
-// MarkReplicated is Table.MarkReplicated. It doesn't wait.
+// MarkReplicated is Table.MarkReplicated. It doesn't wait until the call has run.
 func (s *SharedTable) MarkReplicated(stored state.Endpoint) {
 	s.table.Send(func(t *Table) { t.MarkReplicated(stored) })
 }
 
-// Merge is Table.Merge. It doesn't wait; onNewer, unless nil, is called by the table's goroutine if the update was
-// newer.
+// Merge is Table.Merge. It doesn't wait until the call has run. If the update was newer than the known state and
+// onNewer isn't nil, the table's goroutine calls onNewer.
 func (s *SharedTable) Merge(update state.Endpoint, onNewer func()) {
 	s.table.Send(func(t *Table) {
 		if t.Merge(s.clock(), update) && onNewer != nil {
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -7,13 +7,14 @@
 )
 
 // Sweep marks endpoints as unresponsive or departed by the time since their last heartbeats, and removes those that
-// departed long ago. It returns the endpoints that have to be gossiped. The caller sweeps about every half second:
-// after an interval of more than maxSweepInterval, in which this process was suspended, all times count from now.
+// departed long ago. It returns the endpoints that the caller has to gossip, ordered by ID. The caller sweeps about
+// every half second. After an interval of more than maxSweepInterval this process has been suspended and couldn't
+// receive heartbeats, so the times since the last heartbeats count from now.
 func (t *Table) Sweep(now time.Time) []state.Endpoint {
 	interval := now.Sub(t.lastSweep)
 	wasPaused := interval > maxSweepInterval && !t.lastSweep.IsZero()
 	t.lastSweep = now
-	responsibleFor := make(map[string]bool) // by receiver: there are few
+	responsibleFor := make(map[string]bool) // by receiver, of which there are few
 	for _, e := range t.entries {
 		if wasPaused {
 			e.lastHeartbeat = now
@@ -28,7 +29,8 @@
 	return t.takePending(now)
 }
 
-// checkLiveness checks one endpoint. Only the responsible member marks it as unresponsive or departed.
+// checkLiveness marks one endpoint as unresponsive or departed, if this member is responsible for it and the time for
+// that has come. It removes the endpoint if it departed long ago.
 func (t *Table) checkLiveness(now time.Time, e *entry, responsible bool) {
 	if e.endpoint.State == state.EndpointDeparted {
 		if now.Sub(e.departedAt) > tombstoneRetention {
@@ -37,7 +39,7 @@
 		return
 	}
 	if responsible && !e.responsible {
-		e.lastHeartbeat = now // from now on
+		e.lastHeartbeat = now // the time-outs begin when this member becomes responsible
 	}
 	e.responsible = responsible
 	if !responsible {
@@ -55,7 +57,7 @@
 	}
 }
 
-// takePending returns the pending broadcasts, ordered by ID.
+// takePending returns the endpoints with a pending broadcast, ordered by ID, and records that they are broadcast.
 func (t *Table) takePending(now time.Time) []state.Endpoint {
 	if len(t.pending) == 0 {
 		return nil
@@ -69,7 +71,7 @@
 	return list
 }
 
-// remove removes an endpoint from the table.
+// remove removes an endpoint from the table and remembers its last version.
 func (t *Table) remove(e *entry) {
 	t.position++
 	t.removals.add(t.position, e.endpoint.ID)
--- a/serving/endpoints/version.go
+++ b/serving/endpoints/version.go
@@ -10,24 +10,25 @@
 	"rowanlink/serving/state"
 )
 
-// deregisteredSequence is the sequence of an endpoint that has deregistered. No delayed call of its process is newer,
-// since that never comes back.
+// deregisteredSequence is the sequence of an endpoint that has deregistered. It is the highest one, so that no delayed
+// call of the endpoint's process is newer. The process never registers again.
 const deregisteredSequence = math.MaxUint64
 
-// The bits of a version's minor part: the state in all versions, and the sequence and registration in those of later
-// registrations, which are newer than any version of the first one.
+// The bits of a version's minor part. In versions of the first registration the major part is the sequence, and the
+// minor part has only the state. Versions of later registrations are newer than all of these: their major part is the
+// highest one, and their minor part also has the registration and the sequence.
 const (
 	unresponsiveBit   = 1
 	failingBit        = 2
 	stateShift        = 2
 	sequenceShift     = 4
 	sequenceBits      = 44
-	maxSequence       = 1<<sequenceBits - 1 // of a later registration; higher ones count as equal
+	maxSequence       = 1<<sequenceBits - 1 // of a later registration; higher ones are encoded as this one
 	registrationShift = sequenceShift + sequenceBits
 )
 
-// VersionOf returns the version of an endpoint's state in gossip: first by the registration, then by the endpoint's
-// count of its calls, then departed over draining over accepting, then failing over not failing, then unresponsive over
+// VersionOf returns the version of an endpoint's state in gossip. Versions are ordered by the registration, then by the
+// sequence, then departed over draining over accepting, then failing over not failing, then unresponsive over
 // responsive.
 func VersionOf(e state.Endpoint) gossip.Version {
 	minor := uint64(e.State) << stateShift
@@ -63,8 +64,8 @@
 	return e, errors.Wrap(err, "decode endpoint")
 }
 
-// IsTombstone reports whether the value of a gossip entry is of an endpoint that has departed; false for a value that
-// can't be decoded.
+// IsTombstone reports whether the value of a gossip entry is an endpoint that has departed. It returns false for a
+// value that can't be decoded.
 func IsTombstone(value []byte) bool {
 	e, err := Decode(value)
 	return err == nil && e.State == state.EndpointDeparted
