--- a/serving/core/appliedregister_test.go
+++ b/serving/core/appliedregister_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/state"
 )
 
-// slowRegister needs a time for each change.
+// slowRegister is a register that takes the time commit for each change and returns err.
 type slowRegister struct {
 	commit time.Duration
 	err    error
@@ -29,7 +29,7 @@
 
 func (r slowRegister) Read(context.Context) (state.Record, error) { return state.Record{}, r.err }
 
-// fakeAgents plays the members: two agents, with the function that delivers entries to them.
+// fakeAgents implements delivery.Members with two agents. The function delivers entries to an agent.
 type fakeAgents func(ctx context.Context, address string, entries []gossip.Entry) error
 
 func (fakeAgents) Members() []state.Member {
@@ -42,8 +42,8 @@
 	return f(ctx, address, entries)
 }
 
-// TestAppliedRegister_WaitsForProxies guards against acknowledged changes that only core members know of. The wait
-// leaves the operator's second alone.
+// TestAppliedRegister_WaitsForProxies guards against an acknowledgement of a change that only core members have: if
+// they stop then, the proxies don't get it. The wait for the proxies mustn't exceed the second that an operator waits.
 func TestAppliedRegister_WaitsForProxies(t *testing.T) {
 	const applyTime = 50 * time.Millisecond
 	for _, test := range []struct {
@@ -78,7 +78,7 @@
 					_, err := r.Change(t.Context(), nil)
 					assert.Equal(t, test.register.err, err)
 					assert.Equal(t, expected, time.Since(begun))
-					time.Sleep(time.Second) // the calls end
+					time.Sleep(time.Second) // the calls to the agents end meanwhile
 				}
 			})
 		})
--- a/serving/core/departures_test.go
+++ b/serving/core/departures_test.go
@@ -18,7 +18,7 @@
 	"rowanlink/serving/store"
 )
 
-// slowStore is a store whose disk needs a time for each transaction.
+// slowStore is a store whose disk needs syncTime for each transaction.
 type slowStore struct {
 	fakeEndpointStore
 	syncTime time.Duration
@@ -29,7 +29,8 @@
 	return s.fakeEndpointStore.Save(changes)
 }
 
-// runSaver runs a saver of a table until the test ends. It must be called within a bubble of synctest.
+// runSaver runs a saver of a table until the test ends. earlier lists the endpoints that earlier processes have saved.
+// It must be called within a synctest bubble.
 func runSaver(t *testing.T, saved endpointStore, table endpointSource, earlier []state.Endpoint) *endpointSaver {
 	t.Helper()
 	log := zerolog.Nop()
@@ -39,8 +40,8 @@
 	return s
 }
 
-// TestEndpointSaver_DepartureOutlivesOlderStates guards against a departure that an older state of the table, a
-// snapshot or the end of the table's tombstone removes from the disk.
+// TestEndpointSaver_DepartureOutlivesOlderStates guards against the loss of a departure from the disk: by an older
+// state in the table, by a snapshot of the table, or when the table removes the departed endpoint.
 func TestEndpointSaver_DepartureOutlivesOlderStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := endpoints.Start(endpoints.Options{Self: "m", HeartbeatInterval: time.Second}, time.Now)
@@ -52,20 +53,21 @@
 		assert.Equal(t, state.EndpointDraining, saved.saved["e"].State, "it is on disk before it is acknowledged")
 		calls := saved.calls
 		require.NoError(t, s.persist(t.Context(), []state.Endpoint{savedEndpoint("e", "m", state.EndpointDraining)}))
-		assert.Equal(t, calls, saved.calls, "it is on disk already")
+		assert.Equal(t, calls, saved.calls, "it is on disk already and not written again")
 		time.Sleep(2 * saveInterval)
-		assert.Equal(t, state.EndpointDraining, saved.saved["e"].State, "the table has an older state")
-		assert.Contains(t, saved.saved, "earlier", "a snapshot of the table lacks it")
+		assert.Equal(t, state.EndpointDraining, saved.saved["e"].State, "the table's older state doesn't replace it")
+		assert.Contains(t, saved.saved, "earlier", "it stays, though the table's snapshot lacks it")
 
 		table.Deregister("e")
 		time.Sleep(2 * time.Minute)
-		assert.Equal(t, state.EndpointDeparted, saved.saved["e"].State, "the table has dropped it")
+		assert.Equal(t, state.EndpointDeparted, saved.saved["e"].State, "it stays, though the table has removed it")
 		time.Sleep(departureRetention)
 		assert.Empty(t, saved.saved)
 	})
 }
 
-// TestEndpointSaver_PersistFailsWithTheDisk guards against an acknowledgement by a disk that fails or is stalled.
+// TestEndpointSaver_PersistFailsWithTheDisk guards against an acknowledgement of a departure that the disk, full or
+// stalled, hasn't stored.
 func TestEndpointSaver_PersistFailsWithTheDisk(t *testing.T) {
 	departed := []state.Endpoint{savedEndpoint("e", "m", state.EndpointDeparted)}
 	for _, test := range []struct {
@@ -91,8 +93,8 @@
 	}
 }
 
-// TestEndpointSaver_ConcurrentDeparturesShareTransactions: 1,000 departures within a second on a disk that needs 20 ms
-// for a transaction are acknowledged within a tenth of a second each.
+// TestEndpointSaver_ConcurrentDeparturesShareTransactions checks that 1,000 departures within a second, on a disk that
+// needs 20 ms for a transaction, are acknowledged within a tenth of a second each.
 func TestEndpointSaver_ConcurrentDeparturesShareTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := zerolog.Nop()
@@ -114,7 +116,7 @@
 	})
 }
 
-// TestDepartures_Bounded: the oldest departures are dropped early where there are very many.
+// TestDepartures_Bounded checks that departures beyond maxRetainedDepartures are dropped after minDepartureRetention.
 func TestDepartures_Bounded(t *testing.T) {
 	d := newDepartures()
 	start := time.Unix(0, 0)
--- a/serving/core/endpointconfirmer_test.go
+++ b/serving/core/endpointconfirmer_test.go
@@ -12,15 +12,15 @@
 	"rowanlink/serving/state"
 )
 
-// TestEndpointConfirmer_AsksTheEndpoint: only a process that answers 200 under the endpoint's ID is confirmed, and none
-// before the path of its health checks is known.
+// TestEndpointConfirmer_AsksTheEndpoint checks that a process is confirmed only if it answers 200 under the endpoint's
+// ID, and only once the path of its health checks is known.
 func TestEndpointConfirmer_AsksTheEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		status    int
 		id        string
 		service   string
-		known     bool // the record
+		known     bool // a record is known
 		confirmed bool
 	}{
 		{"serving", 200, "e", "plain", true, true},
--- a/serving/core/endpoints_test.go
+++ b/serving/core/endpoints_test.go
@@ -21,7 +21,7 @@
 
 var errDiskFailure = errors.New("simulated disk failure")
 
-// fakeEndpointStore keeps endpoints in memory. One of its calls fails.
+// fakeEndpointStore is an endpointStore in memory, of which one call may fail.
 type fakeEndpointStore struct {
 	saved  map[string]state.Endpoint
 	calls  int
@@ -84,7 +84,7 @@
 	}
 }
 
-// savedEndpoints returns a store with the endpoints.
+// savedEndpoints returns a store that has the endpoints.
 func savedEndpoints(list ...state.Endpoint) *fakeEndpointStore {
 	saved := &fakeEndpointStore{saved: map[string]state.Endpoint{}}
 	for _, endpoint := range list {
@@ -93,7 +93,7 @@
 	return saved
 }
 
-// restorerFixture is a restorer of the member m, and what it has checked and published.
+// restorerFixture is a restorer of the member m that records which endpoints it checks and publishes.
 type restorerFixture struct {
 	*endpointRestorer
 	mutex     sync.Mutex // endpoints are checked concurrently
@@ -168,7 +168,8 @@
 	assert.Equal(t, []string{"heartbeat", "live"}, known)
 }
 
-// TestEndpointRestorer_FailingDisk: a disk that fails at the start is read again, else departures would be lost.
+// TestEndpointRestorer_FailingDisk checks that a disk that fails at the start is read again: otherwise acknowledged
+// departures would be lost.
 func TestEndpointRestorer_FailingDisk(t *testing.T) {
 	saved := savedEndpoints(
 		savedEndpoint("live", "m", state.EndpointAccepting),
@@ -195,7 +196,8 @@
 	})
 }
 
-// TestEndpointSaver_RecoversFromFailures lets each of the saves fail: the next one saves everything.
+// TestEndpointSaver_RecoversFromFailures checks, for each of the first four saves, that the next save writes everything
+// if that one fails.
 func TestEndpointSaver_RecoversFromFailures(t *testing.T) {
 	for point := 1; point <= 4; point++ {
 		table := newTable(t)
@@ -233,7 +235,7 @@
 	}
 }
 
-// TestHealthChecker checks the responses that an endpoint's address may give.
+// TestHealthChecker checks which responses confirm an endpoint, and the time to warm up that is read from them.
 func TestHealthChecker(t *testing.T) {
 	for name, answer := range map[string]struct {
 		status     int
--- a/serving/core/failuredetector_test.go
+++ b/serving/core/failuredetector_test.go
@@ -32,7 +32,7 @@
 		assert.Equal(t, want, d.IsDown(address), address)
 	}
 	d.now = func() time.Time { return started.Add(membership.RetentionPeriod + 1) }
-	assert.True(t, d.IsDown("unknown"), "unknown for longer than members are remembered")
+	assert.True(t, d.IsDown("unknown"), "the process has run for longer than RetentionPeriod")
 	assert.True(t, d.IsExpired("unknown"))
 	for _, address := range []string{"live", "down", "left", "again"} {
 		assert.False(t, d.IsExpired(address), address)
--- a/serving/core/recoveryschedule_test.go
+++ b/serving/core/recoveryschedule_test.go
@@ -14,7 +14,7 @@
 	assert.False(t, s.isDue(at(0), 4, false))
 	assert.False(t, s.isDue(at(0), 5, true), "a change in progress")
 	assert.False(t, s.isDue(at(recoveryDelay-1), 5, true))
-	assert.False(t, s.isDue(at(recoveryDelay), 5, false), "its result was published")
+	assert.False(t, s.isDue(at(recoveryDelay), 5, false), "the change's result was published")
 	assert.False(t, s.isDue(at(time.Second), 6, true))
 	assert.True(t, s.isDue(at(time.Second+recoveryDelay), 6, true))
 	assert.False(t, s.isDue(at(time.Second+recoveryDelay+recoveryInterval-1), 6, true), "the disk or the majority is slow")
--- a/serving/core/rollouts_test.go
+++ b/serving/core/rollouts_test.go
@@ -20,19 +20,19 @@
 	*rolloutController
 	record    state.Record
 	failing   bool // changes aren't committed
-	role      bool
-	connected bool
+	holdsRole bool
+	connected bool // to a majority of the voters
 }
 
 func newControllerFixture() *controllerFixture {
 	log := zerolog.Nop()
-	f := &controllerFixture{role: true, connected: true, record: state.Record{Revision: 4, Rollouts: []state.Rollout{{
+	f := &controllerFixture{holdsRole: true, connected: true, record: state.Record{Revision: 4, Rollouts: []state.Rollout{{
 		Service: "s", Target: "v2", State: state.RolloutInProgress, DurationMillis: 16_000, OrderRevision: 4, Revision: 4,
 	}}}}
 	f.rolloutController = &rolloutController{
 		latest:    func() (state.Record, bool) { return f.record, true },
 		change:    f.changeRecord,
-		hasRole:   func() bool { return f.role },
+		hasRole:   func() bool { return f.holdsRole },
 		hasQuorum: func() bool { return f.connected },
 		live: func() (all []state.Endpoint) {
 			for _, version := range []string{"v1", "v1", "v1", "v2", "v2", "v2", "v2"} {
@@ -62,7 +62,7 @@
 	return next, err
 }
 
-// send sends an agent's report and returns the leases.
+// send sends an agent's report with the given number of failed answers of the target, and returns the leases.
 func (f *controllerFixture) send(sequence uint64, failed int) []state.RolloutLease {
 	request := &rollout.ReportRequest{Observer: "agent-1", Reports: []state.RolloutReport{{
 		OrderRevision: 4, Incarnation: 1, Sequence: sequence,
@@ -83,17 +83,17 @@
 func TestRolloutController_GrantsLeasesOnlyWhereItDecides(t *testing.T) {
 	f := newControllerFixture()
 	assert.Equal(t, []state.RolloutLease{{OrderRevision: 4, Millis: 2500}}, f.send(1, 0))
-	f.role = false
+	f.holdsRole = false
 	assert.Empty(t, f.send(2, 0), "another member decides")
-	f.role, f.connected = true, false
+	f.holdsRole, f.connected = true, false
 	assert.Empty(t, f.send(3, 0), "without a majority nothing could be stopped")
 	assert.Empty(t, f.wake)
 }
 
-func TestRolloutController_ReturnsABadVersion(t *testing.T) {
+func TestRolloutController_RollsBackABadVersion(t *testing.T) {
 	f := newControllerFixture()
 	f.send(1, 12)
-	require.Len(t, f.wake, 1, "bad answers are looked at at once")
+	require.Len(t, f.wake, 1, "bad answers trigger a decision at once")
 	known, _ := f.record.Rollout("s")
 	f.connected = false
 	f.carryOut(t.Context(), known)
@@ -108,10 +108,10 @@
 	known, _ = f.record.Rollout("s")
 	assert.Equal(t, state.RolloutFailures, known.Verdict.Reason)
 	assert.Empty(t, f.send(3, 12))
-	assert.True(t, f.isRecent(4), "the order may come again")
+	assert.True(t, f.isRecent(4), "an equal order is a retry")
 }
 
-func TestCapacityOf_CountsAndNamesWhatADeliveryReplaces(t *testing.T) {
+func TestCapacityOf_CountsEndpointsAndListsReplacedVersions(t *testing.T) {
 	f := newControllerFixture()
 	known, _ := f.record.Rollout("s")
 	all := append(f.live(), state.Endpoint{Service: "s", SoftwareVersion: "v2", WarmupLeftMillis: 10},
