--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -19,14 +19,15 @@
 	"rowanlink/serving/state"
 )
 
-// The types implement the interfaces.
+// The types implement the interfaces through which other packages use them.
 var (
 	_ Gossip              = (*member.Service)(nil)
 	_ operator.Replicator = (*Exchange)(nil)
 	_ operator.Endpoints  = (*endpoints.SharedTable)(nil)
 )
 
-// fakeGossip passes each entry to the subscriber, as member.Service does.
+// fakeGossip implements Gossip: it records each entry that is put and passes it to the subscriber, as member.Service
+// does.
 type fakeGossip struct {
 	partitioned bool
 	live        []state.Member
@@ -106,7 +107,9 @@
 	})
 }
 
-// TestSweep_OfReceiverThatIsNotLive checks that only the holder of the role with a quorum decides on its endpoints.
+// TestSweep_OfReceiverThatIsNotLive checks that the endpoints of a receiver are marked as unresponsive by another
+// member only if the receiver isn't live, and that member holds LivenessRole and has contact with a majority of the
+// voters.
 func TestSweep_OfReceiverThatIsNotLive(t *testing.T) {
 	for _, test := range []struct {
 		name            string
--- a/serving/endpoints/exchange/proxies_test.go
+++ b/serving/endpoints/exchange/proxies_test.go
@@ -17,12 +17,13 @@
 	"rowanlink/serving/state"
 )
 
-// applyTime is what an agent that works needs until its proxy has applied an entry.
+// applyTime is the time that a working agent needs until its proxy has applied an entry.
 const applyTime = 30 * time.Millisecond
 
-// newNotifyingExchange returns an exchange whose disks work and whose agents, by address, respond as given.
-func newNotifyingExchange(agents map[string]diskState) *Exchange {
-	x := newReplicatedExchange(works, map[string]diskState{"a": works, "b": works})
+// newNotifyingExchange returns an exchange whose disks work. agents has the behavior of each agent, by address: failing
+// agents refuse connections, and stalled ones don't respond.
+func newNotifyingExchange(agents map[string]condition) *Exchange {
+	x := newReplicatedExchange(working, map[string]condition{"a": working, "b": working})
 	f := x.gossip.(*fakeGossip)
 	for address := range agents {
 		f.live = append(f.live, state.Member{Name: address, Address: address, Role: state.RoleAgent})
@@ -52,18 +53,18 @@
 	return time.Since(begun)
 }
 
-// TestPutReplicated_WaitsForProxies guards against an acknowledgement of what only core members know: while none of
-// them runs, proxies would go on sending to the endpoint.
+// TestPutReplicated_WaitsForProxies guards against an acknowledgement of a departure that only core members have: if
+// they stop then, the proxies go on sending to the endpoint.
 func TestPutReplicated_WaitsForProxies(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		agents       map[string]diskState
+		agents       map[string]condition
 		first, later time.Duration
 	}{
-		{"all apply it", map[string]diskState{"p": works, "q": works}, applyTime, applyTime},
-		{"one is down", map[string]diskState{"p": works, "q": failing}, applyTime, applyTime},
-		{"one is suspended", map[string]diskState{"p": works, "q": stalled}, delivery.AgentTimeout, applyTime},
-		{"all are suspended", map[string]diskState{"p": stalled, "q": stalled}, delivery.AgentTimeout, diskTime},
+		{"all apply it", map[string]condition{"p": working, "q": working}, applyTime, applyTime},
+		{"one is down", map[string]condition{"p": working, "q": failing}, applyTime, applyTime},
+		{"one is suspended", map[string]condition{"p": working, "q": stalled}, delivery.AgentTimeout, applyTime},
+		{"all are suspended", map[string]condition{"p": stalled, "q": stalled}, delivery.AgentTimeout, diskTime},
 		{"there are none", nil, diskTime, diskTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -74,19 +75,19 @@
 				assert.Equal(t, test.later, depart(t, x, "e2"), "an agent that hasn't confirmed isn't waited for")
 				time.Sleep(delivery.AgentSkipTime)
 				assert.Equal(t, test.first, depart(t, x, "e3"), "it is waited for again")
-				time.Sleep(time.Second) // the calls end
+				time.Sleep(time.Second) // the calls to the agents end meanwhile
 			})
 		})
 	}
 }
 
-// TestPutReplicated_ManyProxies: 1,000 endpoints that leave within a second are acknowledged in time beside 300 agents,
-// which get at most one call at a time each.
+// TestPutReplicated_ManyProxies checks that 1,000 departures within a second are acknowledged in time with 300 agents,
+// each of which gets at most one call at a time and about 20 calls a second.
 func TestPutReplicated_ManyProxies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		agents := map[string]diskState{}
+		agents := map[string]condition{}
 		for i := range 300 {
-			agents[fmt.Sprint("agent-", i)] = works
+			agents[fmt.Sprint("agent-", i)] = working
 		}
 		x := newNotifyingExchange(agents)
 		calls := make(chan string, 100_000)
--- a/serving/endpoints/exchange/replication_test.go
+++ b/serving/endpoints/exchange/replication_test.go
@@ -21,21 +21,21 @@
 	"rowanlink/serving/state"
 )
 
-// diskState is how a replica's disk responds.
-type diskState int
+// condition is how a simulated disk or agent responds.
+type condition int
 
 const (
-	works diskState = iota
+	working condition = iota
 	failing
 	stalled
 )
 
-// diskTime is what a disk that works needs for a transaction.
+// diskTime is the time that a working disk needs for a transaction.
 const diskTime = 10 * time.Millisecond
 
-// store plays a disk.
-func (d diskState) store(ctx context.Context) error {
-	switch d {
+// store simulates a transaction of the disk.
+func (c condition) store(ctx context.Context) error {
+	switch c {
 	case failing:
 		return errors.New("disk is full")
 	case stalled:
@@ -47,9 +47,9 @@
 	}
 }
 
-// newReplicatedExchange returns an exchange whose own disk and whose replicas' disks respond as given, once its member
-// has joined the others.
-func newReplicatedExchange(local diskState, others map[string]diskState) *Exchange {
+// newReplicatedExchange returns an exchange whose local disk and whose replicas' disks, by address, behave as given. It
+// returns after delivery.JoinTime, from which on the exchange counts as knowing all agents.
+func newReplicatedExchange(local condition, others map[string]condition) *Exchange {
 	log := zerolog.Nop()
 	f := &fakeGossip{subscriber: func(gossip.Entry) {}}
 	f.pushDurable = func(ctx context.Context, address string, _ []gossip.Entry) error {
@@ -65,46 +65,47 @@
 	}
 }
 
-// TestPutReplicated_NeedsAMajorityOfDisks guards against an acknowledgement of what fewer disks have.
+// TestPutReplicated_NeedsAMajorityOfDisks guards against an acknowledgement of a departure that fewer disks than a
+// majority of the voters' have stored.
 func TestPutReplicated_NeedsAMajorityOfDisks(t *testing.T) {
 	others := []string{"a", "b"}
 	for _, test := range []struct {
 		name        string
 		targets     quorum.Targets
-		local, a, b diskState
+		local, a, b condition
 		stored      bool
 	}{
-		{"all work", quorum.Targets{Others: others, Local: true, Quorum: 2}, works, works, works, true},
-		{"one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, works, stalled, works, true},
-		{"the own one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, stalled, works, works, true},
-		{"two are full", quorum.Targets{Others: others, Local: true, Quorum: 2}, works, failing, failing, false},
-		{"two don't respond", quorum.Targets{Others: others, Local: true, Quorum: 2}, failing, stalled, works, false},
-		{"a learner's own copy doesn't count", quorum.Targets{Others: others, Quorum: 2}, works, works, failing, false},
-		{"the only voter", quorum.Targets{Local: true, Quorum: 1}, works, failing, failing, true},
+		{"all work", quorum.Targets{Others: others, Local: true, Quorum: 2}, working, working, working, true},
+		{"one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, working, stalled, working, true},
+		{"the own one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, stalled, working, working, true},
+		{"two are full", quorum.Targets{Others: others, Local: true, Quorum: 2}, working, failing, failing, false},
+		{"two don't respond", quorum.Targets{Others: others, Local: true, Quorum: 2}, failing, stalled, working, false},
+		{"a learner's own copy doesn't count", quorum.Targets{Others: others, Quorum: 2}, working, working, failing, false},
+		{"the only voter", quorum.Targets{Local: true, Quorum: 1}, working, failing, failing, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				x := newReplicatedExchange(test.local, map[string]diskState{"a": test.a, "b": test.b})
+				x := newReplicatedExchange(test.local, map[string]condition{"a": test.a, "b": test.b})
 				ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 				defer cancel()
 				begun := time.Now()
 				err := x.PutReplicated(ctx, state.Endpoint{ID: "e", State: state.EndpointDeparted}, test.targets)
 				if test.stored {
 					require.NoError(t, err)
-					assert.Equal(t, diskTime, time.Since(begun), "no sooner than a disk can have it")
+					assert.Equal(t, diskTime, time.Since(begun), "the time of one transaction")
 				} else {
 					assert.True(t, errcode.NotAcknowledged.Is(err), "%v", err)
 				}
-				time.Sleep(replicaCalls.CallTimeout) // the calls to a stalled disk end
+				time.Sleep(replicaCalls.CallTimeout) // the calls to a stalled disk end meanwhile
 			})
 		})
 	}
 }
 
-// TestPutReplicated_ToTargetsOnly: an entry goes to each of the targets once, and to no other member.
+// TestPutReplicated_ToTargetsOnly checks that an entry is sent to each of the targets once, and to no other member.
 func TestPutReplicated_ToTargetsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := newReplicatedExchange(works, nil)
+		x := newReplicatedExchange(working, nil)
 		var mutex sync.Mutex
 		calls := map[string]int{}
 		x.gossip.(*fakeGossip).pushDurable = func(_ context.Context, address string, _ []gossip.Entry) error {
@@ -122,12 +123,12 @@
 	})
 }
 
-// TestPutReplicated_ManyAtOnce: 1,000 endpoints that leave within a second are acknowledged within a tenth of a second,
-// also beside a stalled disk, in far fewer calls.
+// TestPutReplicated_ManyAtOnce checks that 1,000 departures within a second are acknowledged within a tenth of a second
+// each, although one of three disks is stalled, and with far fewer calls than departures.
 func TestPutReplicated_ManyAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int64
-		x := newReplicatedExchange(works, map[string]diskState{"a": works, "b": stalled})
+		x := newReplicatedExchange(working, map[string]condition{"a": working, "b": stalled})
 		f := x.gossip.(*fakeGossip)
 		push := f.pushDurable
 		f.pushDurable = func(ctx context.Context, address string, entries []gossip.Entry) error {
@@ -147,6 +148,6 @@
 		}
 		leaving.Wait()
 		assert.Less(t, calls.Load(), int64(300))
-		time.Sleep(2 * replicaCalls.CallTimeout) // the calls to the stalled disk end
+		time.Sleep(2 * replicaCalls.CallTimeout) // the calls to the stalled disk end meanwhile
 	})
 }
--- a/serving/endpoints/exchange/successors_test.go
+++ b/serving/endpoints/exchange/successors_test.go
@@ -13,8 +13,8 @@
 	"rowanlink/serving/state"
 )
 
-// TestCheckSuccessor_RegistersWhatTheEndpointConfirms guards against late heartbeats that bring a departed endpoint
-// back.
+// TestCheckSuccessor_RegistersWhatTheEndpointConfirms guards against a departed endpoint that is registered again by a
+// delayed heartbeat, though no process accepts requests under its ID.
 func TestCheckSuccessor_RegistersWhatTheEndpointConfirms(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/serving/endpoints/fuzz_test.go
+++ b/serving/endpoints/fuzz_test.go
@@ -10,8 +10,8 @@
 	"rowanlink/serving/state"
 )
 
-// FuzzEntry checks that the table stays consistent whatever another member gossips about an endpoint: none that has
-// departed is live, remaining times aren't negative, and a decoded endpoint stays the same when it is encoded decoded.
+// FuzzEntry checks that the table stays consistent whatever another member gossips about an endpoint: no departed
+// endpoint is listed as live, remaining times aren't negative, and encoding and decoding an endpoint doesn't change it.
 func FuzzEntry(f *testing.F) {
 	for _, update := range []state.Endpoint{
 		{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 3, WarmupLeftMillis: 500,
@@ -37,7 +37,7 @@
 		s := newScript()
 		s.table.ReceiveHeartbeat(s.now, "own", Heartbeat{Service: "s", Address: "x:1", Sequence: 1, Slots: 1})
 		s.table.Merge(s.now, update)
-		assert.False(t, s.table.Merge(s.now, update), "applied twice")
+		assert.False(t, s.table.Merge(s.now, update), "the same version again isn't newer")
 		for range 4 {
 			s.now = s.now.Add(time.Second)
 			s.table.Sweep(s.now)
--- a/serving/endpoints/outlier_test.go
+++ b/serving/endpoints/outlier_test.go
@@ -38,7 +38,8 @@
 	return first, broadcast
 }
 
-// observe records an observation of an endpoint by each of so many proxies.
+// observe records an equal observation of an endpoint by each of several proxies, and reports whether one of them
+// ejects the endpoint.
 func (o *outlierFixture) observe(id string, observers, failures int, unacknowledged bool) (ejected bool) {
 	for index := range observers {
 		_, isEjected := o.RecordObservation(o.now, fmt.Sprintf("proxy-%d", index),
@@ -80,7 +81,8 @@
 	assert.False(t, isEjected)
 }
 
-// TestRecordObservation_EjectsNoneWhereAllFail covers overload, which makes calls fail everywhere.
+// TestRecordObservation_EjectsNoneWhereAllFail guards against ejections during an overload, which makes calls to all
+// endpoints fail.
 func TestRecordObservation_EjectsNoneWhereAllFail(t *testing.T) {
 	o := newOutlierFixture()
 	for round := range 4 {
@@ -91,7 +93,8 @@
 	}
 }
 
-// TestRecordObservation_EjectsHalfAtMost covers the load of the endpoints that are left.
+// TestRecordObservation_EjectsHalfAtMost guards against so many ejections that the other endpoints can't take over the
+// load.
 func TestRecordObservation_EjectsHalfAtMost(t *testing.T) {
 	o := newOutlierFixture()
 	ejected := 0
@@ -115,7 +118,8 @@
 	assert.True(t, broadcast, "the end of the ejection is broadcast")
 }
 
-// TestEjection_RepeatedLastsLonger checks that the time doubles with each repeated ejection, up to a bound.
+// TestEjection_RepeatedLastsLonger checks that the ejection time doubles with each repeated ejection, up to a bound,
+// and begins anew after repeatedEjectionWindow.
 func TestEjection_RepeatedLastsLonger(t *testing.T) {
 	o := newOutlierFixture()
 	wantTimes := []time.Duration{
@@ -133,14 +137,14 @@
 	o.sendHeartbeats()
 	assert.True(t, o.observe("e0", 2, 3, false))
 	assert.Equal(t, o.now.Add(baseEjectionTime), o.entries["e0"].outlier.ejectedUntil,
-		"an ejection of long ago doesn't count")
+		"an ejection that ended long ago doesn't count as repeated")
 }
 
-// TestEjection_EndsWithRestart checks that an endpoint that has restarted isn't ejected for its earlier process's
-// faults.
+// TestEjection_EndsWithRestart checks that an endpoint that has restarted isn't ejected for the failures of its earlier
+// process.
 func TestEjection_EndsWithRestart(t *testing.T) {
 	o := newOutlierFixture()
-	for range 4 { // so that the ejection is long
+	for range 4 { // repeated, so that the last ejection is long
 		assert.True(t, o.observe("e0", 2, 3, false))
 		o.entries["e0"].endpoint.Failing = false
 	}
@@ -149,6 +153,8 @@
 	assert.False(t, first.Failing)
 }
 
+// TestRecordObservation_OfEndpointsOfOthers checks that a member ejects no endpoint for which it isn't responsible, and
+// none that is departed or unknown.
 func TestRecordObservation_OfEndpointsOfOthers(t *testing.T) {
 	o := newOutlierFixture()
 	o.Merge(o.now, state.Endpoint{ID: "far", Service: "s", Address: "far:80", Receiver: "other", Sequence: 1})
--- a/serving/endpoints/table_test.go
+++ b/serving/endpoints/table_test.go
@@ -13,7 +13,7 @@
 	"rowanlink/serving/state"
 )
 
-// epoch is when the tests' clock begins.
+// epoch is the initial time of the tests' clock.
 var epoch = time.Unix(1000, 0)
 
 const testInterval = 1200 * time.Millisecond
@@ -23,7 +23,7 @@
 	now         time.Time
 	table       *Table
 	responsible map[string]bool // by receiver
-	since       uint64
+	since       uint64          // position of the last command "changes"
 }
 
 func newScript() *script {
