--- a/serving/core/departures.go
+++ b/serving/core/departures.go
@@ -79,7 +79,7 @@
 	return exists
 }
 
-// all returns all endpoints, in no order.
+// all returns all endpoints, in no particular order.
 func (d *departures) all() []state.Endpoint {
 	list := make([]state.Endpoint, 0, len(d.byID))
 	for _, known := range d.byID {
--- a/serving/core/endpointconfirmer.go
+++ b/serving/core/endpointconfirmer.go
@@ -9,8 +9,8 @@
 )
 
 // endpointConfirmer finds out by a health check whether the process at an endpoint's address accepts requests under the
-// endpoint's ID. A process that is shutting down answers health checks with another status than 200. It is safe for
-// concurrent use.
+// endpoint's ID. A process that is shutting down answers health checks with a status other than 200. endpointConfirmer
+// is safe for concurrent use.
 type endpointConfirmer struct {
 	latest func() (state.Record, bool) // the newest committed record that this process knows
 	check  func(ctx context.Context, endpoint state.Endpoint, path string) (state.Endpoint, error)
@@ -35,7 +35,8 @@
 	return c.check(ctx, endpoint, service.HealthPath)
 }
 
-// currentRoutes returns the routing table of the newest committed record, which it parses once for each revision.
+// currentRoutes returns the routing table of the newest committed record; nil if there is no valid one. It parses a
+// valid one only once for each revision of the record.
 func (c *endpointConfirmer) currentRoutes() *routing.Table {
 	record, known := c.latest()
 	if !known {
--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -41,7 +41,7 @@
 	store     endpointStore
 	confirmer *endpointConfirmer
 	table     endpointTable
-	publish   func(state.Endpoint) // to the other members
+	publish   func(state.Endpoint) // gossips an endpoint to the other members
 	log       *zerolog.Logger
 }
 
--- a/serving/core/healthchecker.go
+++ b/serving/core/healthchecker.go
@@ -47,7 +47,7 @@
 }
 
 // check returns the endpoint with the time that it still warms up according to its response. Errors are those of the
-// HTTP call, and errUnconfirmed if the response has another status than 200 or another endpoint ID.
+// HTTP call, and errUnconfirmed if the response has a status other than 200 or another endpoint ID.
 func (c *healthChecker) check(ctx context.Context, saved state.Endpoint, path string) (state.Endpoint, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+saved.Address+path, nil)
 	if err != nil {
--- a/serving/core/releases.go
+++ b/serving/core/releases.go
@@ -37,13 +37,13 @@
 		calls++
 		go func() { results <- c.checkRelease(ctx, member.Name, member.Address) }()
 	}
-	var found error
+	var unsupported error
 	for range calls {
 		if err := <-results; err != nil {
-			found = err
+			unsupported = err
 		}
 	}
-	return found
+	return unsupported
 }
 
 // checkRelease returns errcode.RolloutReleases if a member answers that a program of its machine doesn't support
--- a/serving/core/rollouts.go
+++ b/serving/core/rollouts.go
@@ -155,9 +155,9 @@
 		r.mutex.Lock()
 		rollouts := r.follow(time.Now())
 		r.mutex.Unlock()
-		for _, known := range rollouts {
-			if known.State == state.RolloutInProgress {
-				r.carryOut(ctx, known)
+		for _, current := range rollouts {
+			if current.State == state.RolloutInProgress {
+				r.carryOut(ctx, current)
 			}
 		}
 	}
@@ -165,23 +165,23 @@
 
 // carryOut decides on a roll-out in progress and proposes the transition that is due, if any. It does nothing unless
 // this member has the singleton role and contact with a majority of the voters.
-func (r *rolloutController) carryOut(ctx context.Context, known state.Rollout) {
+func (r *rolloutController) carryOut(ctx context.Context, current state.Rollout) {
 	if !r.hasRole() || !r.hasQuorum() {
 		return
 	}
-	capacity, versions := capacityOf(r.live(), &known)
+	capacity, versions := capacityOf(r.live(), &current)
 	now := time.Now()
 	r.mutex.Lock()
-	decision := r.judge.Decide(now, known.OrderRevision, capacity)
-	elapsed := r.judge.Elapsed(now, known.OrderRevision)
+	decision := r.judge.Decide(now, current.OrderRevision, capacity)
+	elapsed := r.judge.Elapsed(now, current.OrderRevision)
 	if decision.Action == rollout.RollBack {
-		r.rollingBack[known.OrderRevision] = true
+		r.rollingBack[current.OrderRevision] = true
 	}
 	r.mutex.Unlock()
 	if decision.Action == rollout.Hold {
 		return
 	}
-	logVerdict(event.RolloutVerdict.Log(r.log), &known, decision.Verdict).
+	logVerdict(event.RolloutVerdict.Log(r.log), &current, decision.Verdict).
 		Int("action", int(decision.Action)).
 		Dur("elapsed_ms", elapsed).
 		Int("bad_endpoints", decision.Spread.Bad).
@@ -191,9 +191,9 @@
 		Int("targets", capacity.Target).
 		Int("baseline", capacity.Baseline).
 		Send()
-	r.propose(ctx, known, rollout.Transition{
-		Service:  known.Service,
-		Revision: known.Revision,
+	r.propose(ctx, current, rollout.Transition{
+		Service:  current.Service,
+		Revision: current.Revision,
 		Elapsed:  elapsed,
 		Decision: decision,
 		Replaced: versions,
@@ -201,16 +201,16 @@
 }
 
 // propose proposes a transition to the register. If it isn't committed, a later iteration of run decides again.
-func (r *rolloutController) propose(ctx context.Context, known state.Rollout, transition rollout.Transition) {
+func (r *rolloutController) propose(ctx context.Context, current state.Rollout, transition rollout.Transition) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutProposalTimeout)
 	defer cancel()
 	record, err := r.change(ctx, transition.Apply)
 	if err != nil {
-		event.RolloutUndecided.Log(r.log).Str("service", known.Service).Err(err).Send()
+		event.RolloutUndecided.Log(r.log).Str("service", current.Service).Err(err).Send()
 		return
 	}
-	next, found := record.Rollout(known.Service)
-	if !found || next.OrderRevision != known.OrderRevision || next.Revision == known.Revision {
+	next, found := record.Rollout(current.Service)
+	if !found || next.OrderRevision != current.OrderRevision || next.Revision == current.Revision {
 		return
 	}
 	kind := event.RolloutAdvanced
@@ -224,11 +224,11 @@
 }
 
 // logVerdict adds a roll-out and its verdict to a log entry.
-func logVerdict(entry *zerolog.Event, known *state.Rollout, verdict state.RolloutVerdict) *zerolog.Event {
+func logVerdict(entry *zerolog.Event, current *state.Rollout, verdict state.RolloutVerdict) *zerolog.Event {
 	return entry.
-		Str("service", known.Service).
-		Str("target", known.Target).
-		Uint64("order", known.OrderRevision).
+		Str("service", current.Service).
+		Str("target", current.Target).
+		Uint64("order", current.OrderRevision).
 		Int("reason", int(verdict.Reason)).
 		Str("route", verdict.Route).
 		Int("answers", verdict.Target.Answers).
@@ -243,18 +243,18 @@
 
 // capacityOf counts the endpoints of a roll-out's service that accept requests and respond, without those of retired
 // versions. It also returns the software versions of all the service's endpoints except the target.
-func capacityOf(all []state.Endpoint, known *state.Rollout) (capacity rollout.Capacity, versions []string) {
+func capacityOf(all []state.Endpoint, current *state.Rollout) (capacity rollout.Capacity, versions []string) {
 	seen := map[string]bool{}
 	for _, endpoint := range all {
-		if endpoint.Service != known.Service {
+		if endpoint.Service != current.Service {
 			continue
 		}
-		isTarget := endpoint.SoftwareVersion == known.Target
+		isTarget := endpoint.SoftwareVersion == current.Target
 		if !isTarget && !seen[endpoint.SoftwareVersion] {
 			seen[endpoint.SoftwareVersion] = true
 			versions = append(versions, endpoint.SoftwareVersion)
 		}
-		if endpoint.State != state.EndpointAccepting || endpoint.Unresponsive || known.IsRetired(endpoint.SoftwareVersion) {
+		if endpoint.State != state.EndpointAccepting || endpoint.Unresponsive || current.IsRetired(endpoint.SoftwareVersion) {
 			continue
 		}
 		if !isTarget {
--- a/serving/core/run.go
+++ b/serving/core/run.go
@@ -137,8 +137,8 @@
 	return err
 }
 
-// startRegister starts the replica, gossips its committed records, and lets the membership tell it which replicas are
-// down.
+// startRegister starts the replica, exchanges committed records with the other members by gossip, and lets the
+// membership tell the replica which others are down.
 func (c *coreProcess) startRegister(lifetime context.Context) error {
 	storage := store.Open(c.options.Settings.StoreDir, c.options.Log)
 	c.onClose(storage.Close)
--- a/serving/endpoints/changes.go
+++ b/serving/endpoints/changes.go
@@ -23,6 +23,7 @@
 	id       string
 }
 
+// add adds a removal. It drops the oldest one if there are maxRemovals already.
 func (l *removalLog) add(position uint64, id string) {
 	if len(l.entries) == maxRemovals {
 		l.completeAfter = l.entries[0].position
@@ -34,8 +35,8 @@
 // Position returns the table's position, which counts its changes.
 func (t *Table) Position() uint64 { return t.position }
 
-// ChangePosition returns the position of the newest change of an endpoint, and whether its version is as new as the
-// given one. An endpoint that isn't in the table, as it departed long ago, has changed at position 0.
+// ChangePosition returns the position of the newest change of an endpoint, and whether its version is the given one or
+// newer. For an endpoint that was removed after its departure, the position is 0 and the version is its last one.
 func (t *Table) ChangePosition(id string, version gossip.Version) (position uint64, current bool) {
 	e, known := t.entries[id]
 	if !known {
--- a/serving/endpoints/exchange/exchange.go
+++ b/serving/endpoints/exchange/exchange.go
@@ -1,7 +1,7 @@
 // Package exchange connects a core member's table of endpoints with the other members. It merges the endpoints that
 // they gossip, gossips the endpoints that the table detects to be unresponsive, failing or departed, and replicates
-// endpoints that are closing to the disks of the voters. It also decides which member detects the liveness of an
-// endpoint: its receiver, or the holder of LivenessRole while the receiver is down.
+// draining and departed endpoints to the disks of the voters. It also determines which member decides on the liveness
+// of an endpoint: its receiver, or the holder of LivenessRole while the receiver isn't live.
 package exchange
 
 import (
@@ -93,6 +93,7 @@
 // Table returns the table. It stops when the context of Start ends.
 func (x *Exchange) Table() *endpoints.SharedTable { return x.table }
 
+// run sweeps the table until the context ends, and then stops the table.
 func (x *Exchange) run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -107,6 +108,7 @@
 	}
 }
 
+// sweep sweeps the table once, and gossips and logs the endpoints that the sweep returns.
 func (x *Exchange) sweep() {
 	for _, endpoint := range x.table.Sweep() {
 		x.Put(endpoint)
--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -22,8 +22,8 @@
 // effect even if no core member runs.
 //
 // The wait for the proxies is bounded by delivery.AgentTimeout: a proxy that is suspended or unreachable gets the
-// endpoint by gossip. PutReplicated fails with errcode.NotAcknowledged if too few disks confirm before ctx ends or can
-// be reached. The endpoint is sent to all targets and gossiped in any case.
+// endpoint by gossip. PutReplicated fails with errcode.NotAcknowledged if too few disks can be reached, or too few
+// confirm before ctx ends. The endpoint is sent to all targets and gossiped in any case.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, targets quorum.Targets) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
--- a/serving/endpoints/exchange/successors.go
+++ b/serving/endpoints/exchange/successors.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// checkSuccessor asks one process, passes the result to the table, and gossips the endpoint if it was registered.
 func (x *Exchange) checkSuccessor(ctx context.Context, successor state.Endpoint) {
 	confirmed, err := x.confirm(ctx, successor)
 	warmupLeft := time.Duration(confirmed.WarmupLeftMillis) * time.Millisecond
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -68,7 +68,8 @@
 	return change
 }
 
-// acceptHeartbeat applies a heartbeat to an entry, given the endpoint before the change.
+// acceptHeartbeat applies a heartbeat that isn't stale to an entry, given the endpoint before the change. A draining
+// endpoint is broadcast with each heartbeat until it is replicated.
 func (t *Table) acceptHeartbeat(now time.Time, e *entry, before state.Endpoint, heartbeat Heartbeat) (change Change) {
 	t.applyHeartbeat(now, e, heartbeat)
 	t.removed.raiseRegistration(&e.endpoint)
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -95,11 +95,11 @@
 	return summary
 }
 
-// eject begins an ejection.
+// eject begins an ejection and clears the reports that led to it.
 func (o *outlierState) eject(now time.Time) {
 	isRepeated := o.ejectionTime > 0 && now.Sub(o.ejectedUntil) < repeatedEjectionWindow
 	if !isRepeated {
-		o.ejectionTime = baseEjectionTime / 2
+		o.ejectionTime = baseEjectionTime / 2 // doubled below
 	}
 	o.ejectionTime = min(2*o.ejectionTime, maxEjectionTime)
 	o.ejectedUntil = now.Add(o.ejectionTime)
--- a/serving/endpoints/registration.go
+++ b/serving/endpoints/registration.go
@@ -10,20 +10,24 @@
 // maxRemovedEndpoints bounds the number of departed endpoints that removedEndpoints holds.
 const maxRemovedEndpoints = 8192
 
-// mayBeSuccessor reports whether a stale heartbeat (see receiveStaleHeartbeat) may come from a new process that has
-// registered under the ID of an earlier one and counts its calls anew. That is possible if the known process has
-// departed, is draining or is unresponsive. The heartbeat may as well be a delayed one of the known process, however
-// long ago that departed: only the process at the heartbeat's address can tell, so it has to be asked.
+// mayBeSuccessor reports whether a stale heartbeat (see receiveStaleHeartbeat) may come from a new process, a
+// successor, that has registered under the ID of an earlier one and counts its calls anew. That is possible if the
+// known process has departed, is draining or is unresponsive. The heartbeat may as well be a delayed one of the known
+// process, however long ago that departed: only the process at the heartbeat's address can tell, so it has to be asked.
+//
+// If a successor at the same address confirms the check of such a delayed heartbeat, the table has the former process's
+// sequence for it. Its own heartbeats with lower sequences are then stale, until it is marked as unresponsive and is
+// checked again.
 func mayBeSuccessor(former state.Endpoint, heartbeat Heartbeat) bool {
 	isServing := former.State == state.EndpointAccepting && !former.Unresponsive
 	return !isServing && !heartbeat.Draining
 }
 
-// isSuccessorClosing reports whether a stale heartbeat announces the closing of an endpoint that the table has as
-// accepting requests, with an equal or higher sequence. A process that has announced its closing never accepts requests
-// again. So if the ID has had several processes, which Registration shows, the known sequence is that of another
-// process at the same address, and the heartbeat counts as that of the present one. Should it be a delayed heartbeat of
-// a former process instead, the present process's next heartbeat corrects the state.
+// isSuccessorClosing reports whether a stale heartbeat with Draining set counts nevertheless, because the table has a
+// former process's sequence for the present one (see mayBeSuccessor). It does if the ID has had several processes and
+// the table has the endpoint as accepting requests at the same address: a process that is draining never accepts
+// requests again, so the known sequence can't be from the process that sent the heartbeat. If the heartbeat is a
+// delayed one of a former process instead, the next heartbeat of the present process corrects the state.
 func isSuccessorClosing(known state.Endpoint, heartbeat Heartbeat) bool {
 	return heartbeat.Draining &&
 		heartbeat.Sequence <= known.Sequence &&
@@ -76,6 +80,7 @@
 	return removedEndpoints{byID: map[string]removedEndpoint{}}
 }
 
+// add records a removed endpoint. It drops the oldest record if there are maxRemovedEndpoints already.
 func (r *removedEndpoints) add(position uint64, removed state.Endpoint) {
 	if len(r.byID) >= maxRemovedEndpoints {
 		r.dropOldest()
--- a/serving/endpoints/sweep.go
+++ b/serving/endpoints/sweep.go
@@ -12,11 +12,11 @@
 // receive heartbeats, so the times since the last heartbeats count from now.
 func (t *Table) Sweep(now time.Time) []state.Endpoint {
 	interval := now.Sub(t.lastSweep)
-	wasPaused := interval > maxSweepInterval && !t.lastSweep.IsZero()
+	wasSuspended := interval > maxSweepInterval && !t.lastSweep.IsZero()
 	t.lastSweep = now
 	responsibleFor := make(map[string]bool) // by receiver, of which there are few
 	for _, e := range t.entries {
-		if wasPaused {
+		if wasSuspended {
 			e.lastHeartbeat = now
 		}
 		responsible, known := responsibleFor[e.endpoint.Receiver]
@@ -46,10 +46,10 @@
 		return
 	}
 	sinceHeartbeat := now.Sub(e.lastHeartbeat)
-	isRemoved := !e.removalDue.IsZero() && now.Sub(e.removalDue) > removalSlack
+	isRemovalOverdue := !e.removalDue.IsZero() && now.Sub(e.removalDue) > removalSlack
 	unresponsiveTimeout := unresponsiveIntervals*t.options.HeartbeatInterval + unresponsiveSlack
 	switch {
-	case sinceHeartbeat > departedTimeout, isRemoved:
+	case sinceHeartbeat > departedTimeout, isRemovalOverdue:
 		t.markDeparted(now, e)
 		t.pending[e.endpoint.ID] = e
 	case sinceHeartbeat > unresponsiveTimeout && !e.endpoint.Unresponsive:
