--- a/serving/endpoints/exchange/exchange_test.go
+++ b/serving/endpoints/exchange/exchange_test.go
@@ -119,9 +119,9 @@
 		gossipedEntries int
 	}{
 		{"receiver is live", true, true, false, 0},
-		{"role of another member", false, false, false, 0},
-		{"own role", false, true, false, 1},
-		{"own role, partitioned", false, true, true, 0},
+		{"another member holds the role", false, false, false, 0},
+		{"this member holds the role", false, true, false, 1},
+		{"this member holds the role, partitioned", false, true, true, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/serving/endpoints/exchange/replication_test.go
+++ b/serving/endpoints/exchange/replication_test.go
@@ -77,10 +77,10 @@
 	}{
 		{"all work", quorum.Targets{Others: others, Local: true, Quorum: 2}, working, working, working, true},
 		{"one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, working, stalled, working, true},
-		{"the own one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, stalled, working, working, true},
+		{"the local one is stalled", quorum.Targets{Others: others, Local: true, Quorum: 2}, stalled, working, working, true},
 		{"two are full", quorum.Targets{Others: others, Local: true, Quorum: 2}, working, failing, failing, false},
-		{"two don't respond", quorum.Targets{Others: others, Local: true, Quorum: 2}, failing, stalled, working, false},
-		{"a learner's own copy doesn't count", quorum.Targets{Others: others, Quorum: 2}, working, working, failing, false},
+		{"two don't store it", quorum.Targets{Others: others, Local: true, Quorum: 2}, failing, stalled, working, false},
+		{"a learner's local copy doesn't count", quorum.Targets{Others: others, Quorum: 2}, working, working, failing, false},
 		{"the only voter", quorum.Targets{Local: true, Quorum: 1}, working, failing, failing, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
