--- a/serving/register/acceptor.go
+++ b/serving/register/acceptor.go
@@ -12,14 +12,14 @@
 	"rowanlink/serving/state"
 )
 
-// maxQueuedRequests bounds the requests that wait for the disk. Proposers time out and retry, so the senders of further
-// requests would no longer be waiting when their turn came.
+// maxQueuedRequests bounds the requests that wait for the disk. Proposers time out and retry, so the sender of a
+// request further back in the queue would have given up before the request was processed.
 const maxQueuedRequests = 64
 
-// Errors of an acceptor that can't vote now. To a proposer they are the same as no answer.
+// Errors of an acceptor that can't vote at present. A proposer treats them like a missing answer.
 var (
-	errNotLoaded = errors.New("replica has not read its store yet")
-	errQueueFull = errors.New("too many requests wait for the replica's disk")
+	errNotLoaded = errors.New("the replica's state is not loaded yet")
+	errQueueFull = errors.New("too many requests are queued for the replica's disk")
 )
 
 // Acceptor is the voting part of a replica (CASPaxos §2.2). It makes each state transition durable before it answers.
@@ -43,8 +43,8 @@
 	return &Acceptor{storageActor: actor.Start(&durableStorage{storage: storage, log: log})}
 }
 
-// Install sets the acceptor's state: either one that was loaded, or a new one, which is saved first. It is also used to
-// restart a removed replica under a new ID. It waits for the disk.
+// Install sets the acceptor's state and waits for the storage goroutine. A state that was just loaded is installed
+// without save; a new one is saved first. Install is also used to restart a removed replica under a new ID.
 func (a *Acceptor) Install(ctx context.Context, state AcceptorState, save bool) error {
 	_, err := a.enqueue(ctx, func(AcceptorState) transition {
 		return transition{next: state, save: save}
@@ -77,7 +77,8 @@
 	return a.vote(ctx, func(state AcceptorState) transition { return state.accept(request) })
 }
 
-// Learn stores a committed record. Learners use it to keep a durable copy without voting.
+// Learn stores a committed record if it is newer than any on disk. Learners use it to keep a durable copy without
+// voting.
 func (a *Acceptor) Learn(ctx context.Context, record *state.Record) error {
 	if a.durable.Load() == nil {
 		return errNotLoaded
@@ -96,6 +97,7 @@
 	return &vote, nil
 }
 
+// vote applies the transition of a Prepare or Accept request and returns the vote.
 func (a *Acceptor) vote(ctx context.Context, step func(AcceptorState) transition) (*Vote, error) {
 	if a.durable.Load() == nil {
 		return nil, errNotLoaded
--- a/serving/register/acceptorstate.go
+++ b/serving/register/acceptorstate.go
@@ -6,7 +6,7 @@
 	"rowanlink/serving/state"
 )
 
-// ErrStateLost is returned by Storage.Load when a state was saved and can't be read any more. The replica then has to
+// ErrStateLost is returned by Storage.Load if a state was saved and can't be read any more. The replica then has to
 // rejoin under a new ID, as after the loss of its disk.
 var ErrStateLost = errors.New("saved state is damaged")
 
@@ -17,10 +17,10 @@
 type AcceptorState struct {
 	ReplicaID string
 	Promised  Ballot
-	Accepted  Ballot // zero: nothing accepted yet; Proposal then holds the first voters, or nothing
+	Accepted  Ballot // zero: nothing accepted yet; Proposal then has the genesis voters, or is empty
 	Proposal  Proposal
-	// Learned is the newest committed record that the replica has stored as a learner. It has no part in votes: a
-	// voter answers only for what it has accepted itself.
+	// Learned is the newest committed record that the replica has stored as a learner. Votes never include it: a voter
+	// reports only what it has accepted itself.
 	Learned state.Record
 }
 
@@ -34,20 +34,21 @@
 	// Load returns the state that was saved last, and false if there is none, as on a new or replaced disk. It may
 	// block on the disk for a long time. ErrStateLost is final; after other errors a later call may succeed.
 	Load() (saved AcceptorState, found bool, err error)
-	// Save returns once the state would survive a power failure. After an error it may or may not have been saved.
+	// Save returns once the state would survive a power failure. After an error the state may or may not have been
+	// saved.
 	Save(next AcceptorState) error
 }
 
 // transition is the result of applying one request to a replica's state. If save is set, next has to be durable before
-// vote is sent; otherwise the state is unchanged.
+// the vote is sent; otherwise the state is unchanged.
 type transition struct {
 	next AcceptorState
 	vote Vote
 	save bool
 }
 
-// vote returns a vote with what the replica has promised and accepted. The proposal is left out if the proposer has
-// it already.
+// vote returns a vote with the ballots that the replica has promised and accepted. A granted vote includes the accepted
+// proposal, unless the accepted ballot equals known: the proposer then has the proposal already.
 func (s *AcceptorState) vote(result VoteResult, known Ballot) Vote {
 	vote := Vote{
 		Result:   result,
@@ -61,7 +62,7 @@
 	return vote
 }
 
-// prepare promises to accept nothing below the request's ballot. A repeated request gets the same answer.
+// prepare promises to accept no ballot below the request's. A repeated request gets the same answer.
 func (s AcceptorState) prepare(request *PrepareRequest) transition {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
@@ -75,7 +76,8 @@
 	return transition{next: s, vote: s.vote(Granted, request.KnownBallot), save: true}
 }
 
-// accept accepts the request's proposal unless a higher ballot was promised. A repeated request gets the same answer.
+// accept accepts the request's proposal unless the replica has promised a higher ballot. A repeated request gets the
+// same answer.
 func (s AcceptorState) accept(request *AcceptRequest) transition {
 	switch {
 	case request.ReplicaID != s.ReplicaID:
@@ -123,8 +125,9 @@
 	return vote
 }
 
-// removedFrom reports whether the replica was a voter and, by the committed set, is one no longer. A replica that has
-// accepted its own joining, without knowing whether that is committed, wasn't removed.
+// removedFrom reports whether the replica was a voter and isn't in the committed set any more. A replica that has
+// accepted a set of voters with itself in it doesn't count as removed until a later set is committed: the accepted set
+// may itself be committed already.
 func (s *AcceptorState) removedFrom(committed state.ReplicaSet) bool {
 	accepted := s.Proposal.Record.Voters
 	if len(accepted.Replicas) == 0 || committed.Contains(s.ReplicaID) {
@@ -133,5 +136,5 @@
 	if accepted.Contains(s.ReplicaID) {
 		return accepted.Epoch < committed.Epoch
 	}
-	return accepted.Epoch <= committed.Epoch // it has accepted its own removal, or something later
+	return accepted.Epoch <= committed.Epoch // it has accepted its own removal or a later proposal
 }
--- a/serving/register/attempt.go
+++ b/serving/register/attempt.go
@@ -14,9 +14,12 @@
 type attemptOutcome uint8
 
 const (
-	attemptDecided       attemptOutcome = iota // the change succeeded or was rejected
-	attemptFailed                              // preempted or without a majority; the next attempt follows after a backoff
-	attemptFinishedOther                       // it finished another reconfiguration; the next attempt follows at once
+	// The change succeeded or was rejected.
+	attemptDecided attemptOutcome = iota
+	// The attempt was preempted or got no majority. The next one follows after a backoff.
+	attemptFailed
+	// The attempt committed another proposer's unfinished reconfiguration. The next one follows at once.
+	attemptFinishedReconfiguration
 )
 
 // attemptResult is the result of one attempt. If the outcome is attemptDecided, record is the committed record and err
@@ -40,10 +43,10 @@
 	if err != nil {
 		return failedAttempt(err)
 	}
-	// The caller may have gone, or this process may have been suspended, during the round. A change must not begin to
-	// take effect after its caller has given up.
+	// The context may have ended during the round, also while this process was suspended. No Accept round may begin
+	// after that: the caller has given up, and the change must not begin to take effect.
 	if ctx.Err() != nil {
-		return failedAttempt(errCallerGone)
+		return failedAttempt(errCallerCancelled)
 	}
 	committedVoters, committed := learned.committedVoters, tally.isCommitted()
 	if committed {
@@ -52,12 +55,12 @@
 	}
 	newest := tally.highestAccepted.Proposal.leaveJoint(committedVoters)
 	if newest.isJoint() {
-		return p.finishOther(ctx, ballot, newest)
+		return p.commitUnfinishedReconfiguration(ctx, ballot, newest)
 	}
 	resolved := change.resolve(&newest)
 	if !resolved.write {
-		isWritten := committed && !tally.highestAccepted.Proposal.isJoint() && !resolved.fence
-		return p.confirm(ctx, ballot, newest, isWritten, resolved.rejection)
+		skipAccept := committed && !tally.highestAccepted.Proposal.isJoint() && !resolved.fence
+		return p.confirm(ctx, ballot, newest, skipAccept, resolved.rejection)
 	}
 	change.recordProposal(&resolved.proposal)
 	if err := p.accept(ctx, ballot, resolved.proposal); err != nil {
@@ -70,20 +73,22 @@
 	}
 }
 
-// finishOther commits a reconfiguration that another proposer has begun: changes of the voters must not overlap.
-func (p *Proposer) finishOther(ctx context.Context, ballot Ballot, joint Proposal) attemptResult {
+// commitUnfinishedReconfiguration commits a change of the voters that another proposer has begun: changes of the voters
+// must not overlap.
+func (p *Proposer) commitUnfinishedReconfiguration(ctx context.Context, ballot Ballot, joint Proposal) attemptResult {
 	if err := p.accept(ctx, ballot, joint); err != nil {
 		return failedAttempt(err)
 	}
-	return attemptResult{outcome: attemptFinishedOther}
+	return attemptResult{outcome: attemptFinishedReconfiguration}
 }
 
-// confirm ends a change that has nothing to write. The proposal that it was resolved on is written first unless it is
-// known to be committed without outgoing voters and no fence is needed.
+// confirm ends a change that has nothing to write; rejection is the update's error, if any. Unless skipAccept is set,
+// the newest proposal is first accepted under the present ballot. That round can be skipped if the proposal is known to
+// be committed without outgoing voters and no fence is needed (see ErrFence).
 func (p *Proposer) confirm(
-	ctx context.Context, ballot Ballot, newest Proposal, isWritten bool, rejection error,
+	ctx context.Context, ballot Ballot, newest Proposal, skipAccept bool, rejection error,
 ) attemptResult {
-	if !isWritten {
+	if !skipAccept {
 		if err := p.accept(ctx, ballot, newest); err != nil {
 			return failedAttempt(err)
 		}
@@ -91,7 +96,8 @@
 	return attemptResult{outcome: attemptDecided, record: newest.Record, err: rejection}
 }
 
-// nextBallot returns a copy of the learned state and a ballot above all in it, and false if no voters are known.
+// nextBallot returns a copy of the learned state and a ballot above all ballots in it, and false if no voters are
+// known.
 func (p *Proposer) nextBallot() (learned learnedState, ballot Ballot, ok bool) {
 	learned, ok = actor.Call(p.learned, func(l *learnedState) learnedState {
 		ballot = l.nextBallot(p.id)
@@ -114,10 +120,11 @@
 		})
 	})
 	err := round.run(ctx)
-	// Voters beyond the first set were elected by an accepted proposal. A majority of them that has accepted nothing
-	// has lost it, and must not be taken for a new register.
+	// Voters of an epoch above 0 were installed by an accepted proposal. If a majority of them reports no accepted
+	// proposal, they have lost their state, and the register must not be taken for an empty one.
 	if err == nil && tally.highestAccepted.Ballot.IsZero() && learned.committedVoters.Epoch > 0 {
-		empty := errors.Newf("replicas of epoch %d have accepted nothing", learned.committedVoters.Epoch)
+		empty := errors.Newf("a majority of the voters of epoch %d reports no accepted proposal",
+			learned.committedVoters.Epoch)
 		err = errors.Mark(empty, errNoQuorum)
 	}
 	return tally, err
--- a/serving/register/change.go
+++ b/serving/register/change.go
@@ -13,26 +13,28 @@
 	id     ChangeID
 	update Update
 
-	attempts        int    // that were begun before the present one
+	attempts        int    // number of attempts before the present one
 	proposed        bool   // an Accept round was begun for some proposal of the change
-	highestRevision uint64 // of those proposals
+	highestRevision uint64 // highest revision of the proposals for which an Accept round was begun
 }
 
-// decision is what a change makes of the newest proposal.
+// decision is the result of applying a change's update to the newest proposal.
 type decision struct {
-	proposal  Proposal // to be proposed if write is set
+	proposal  Proposal // the proposal of the next Accept round if write is set
 	write     bool
-	fence     bool // nothing to change, but the newest proposal has to be written under the present ballot
-	rejection error
+	fence     bool  // nothing to change, but the newest proposal has to be accepted again under the present ballot
+	rejection error // the update's error
 }
 
-// resolve applies the change's update to the newest proposal.
+// resolve applies the change's update to the newest proposal. It returns the zero decision if the change has taken
+// effect already or isn't needed.
 func (c *change) resolve(newest *Proposal) decision {
 	if newest.containsChange(c.id) {
 		return decision{}
 	}
+	// The remembered changes may no longer reach back to the earlier attempts, so whether one has succeeded is unknown.
 	if c.proposed && newest.Record.Revision >= c.highestRevision+maxRememberedChanges {
-		return decision{rejection: errcode.RegisterInDoubt.With("too many changes since the first attempt")}
+		return decision{rejection: errcode.RegisterInDoubt.With("too many later changes to know whether it took effect")}
 	}
 	record, err := c.update(newest.Record)
 	switch {
@@ -47,8 +49,8 @@
 	return decision{proposal: newest.successor(record, c.id, changesVoters), write: true}
 }
 
-// recordProposal notes that an Accept round is about to begin for a proposal of the change: from now on the change may
-// take effect, whatever becomes of the attempt.
+// recordProposal records that an Accept round is about to begin for a proposal of the change. From then on the change
+// may take effect even if the attempt fails.
 func (c *change) recordProposal(next *Proposal) {
 	c.proposed = true
 	c.highestRevision = max(c.highestRevision, next.Record.Revision)
--- a/serving/register/commitnotifier.go
+++ b/serving/register/commitnotifier.go
@@ -7,8 +7,8 @@
 	"rowanlink/serving/state"
 )
 
-// commitNotifier keeps the newest committed record, and calls onCommitted with each newer one that this process has
-// found to be committed. It is safe for concurrent use.
+// commitNotifier keeps the newest committed record, and calls onCommitted with each newer record that this process
+// itself has found to be committed. It is safe for concurrent use.
 type commitNotifier struct {
 	onCommitted func(state.Record) // may be nil
 	latest      atomic.Pointer[state.Record]
@@ -17,9 +17,10 @@
 	notifiedRevision uint64     // the highest revision that onCommitted was called with
 }
 
-// notify takes a committed record, and calls onCommitted if it is newer than all before.
+// notify stores a committed record if it is the newest one, and calls onCommitted unless that was already called with
+// the same or a higher revision.
 func (n *commitNotifier) notify(record state.Record) {
-	n.advance(record)
+	n.storeIfNewer(record)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if record.Revision <= n.notifiedRevision {
@@ -31,9 +32,9 @@
 	}
 }
 
-// advance takes a committed record that another process has published, without calling onCommitted. It reports whether
-// the record is newer than the latest one.
-func (n *commitNotifier) advance(record state.Record) bool {
+// storeIfNewer stores a committed record if it is newer than the latest one, and reports whether it is. It doesn't call
+// onCommitted, which isn't meant for records that another process has published.
+func (n *commitNotifier) storeIfNewer(record state.Record) bool {
 	for {
 		latest := n.latest.Load()
 		if latest != nil && latest.Revision >= record.Revision {
--- a/serving/register/discover.go
+++ b/serving/register/discover.go
@@ -10,13 +10,13 @@
 const (
 	// discoveryGracePeriod is how long further answers are awaited after the first one that names voters.
 	discoveryGracePeriod = 50 * time.Millisecond
-	// maxDiscoveryPeers bounds the peers, beyond seeds and voters, that one discovery asks: without a majority, all
-	// nodes repeat it again and again.
+	// maxDiscoveryPeers bounds the peers, beyond seeds and voters, that one discovery asks: while there is no majority,
+	// all nodes repeat the discovery.
 	maxDiscoveryPeers = 8
 )
 
 // discover asks seeds, voters and some peers for the committed voters. It returns a predicate for the addresses that
-// are down in the view of this node or of everyone who answered.
+// are down according to this node, or according to every node whose answer named voters.
 func (n *Node) discover(ctx context.Context) (isDown func(address string) bool) {
 	addresses := n.discoveryTargets()
 	answers := make(chan *Description, len(addresses))
@@ -29,7 +29,8 @@
 	}
 }
 
-// collectDescriptions counts the answers that name voters, and for each address how many of them report it down.
+// collectDescriptions counts the answers that name voters, and for each address how many of these answers report it
+// down.
 func collectDescriptions(
 	ctx context.Context, answers <-chan *Description, expected int,
 ) (answered int, downReports map[string]int) {
@@ -57,8 +58,8 @@
 	return answered, downReports
 }
 
-// describe asks one process for its description, and learns the voters that it names. It returns nil if there is no
-// answer. The context should be the node's lifetime: a late answer is still of use.
+// describe asks one process for its description, and passes the voters in it to the proposer. It returns nil if there
+// is no answer. The context should be the node's lifetime, so that late answers are used too.
 func (n *Node) describe(ctx context.Context, address string) *Description {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/serving/register/doc.go
+++ b/serving/register/doc.go
@@ -17,7 +17,8 @@
 // # Structure
 //
 // Acceptor votes and stores what it has voted for; there is one in each process with a disk. Proposer makes changes and
-// reads. Node combines both and keeps the replica a voter or a learner. The decisions are free of I/O: acceptorstate.go
-// (transitions of an acceptor), preparetally.go and accepttally.go (counting votes), learnedstate.go, update.go,
-// genesis.go and voterplacement.go (which replicas vote).
+// reads. Node combines both and keeps its replica up to date, as a voter or as a learner, which stores the committed
+// record without voting. The decisions are free of I/O: acceptorstate.go (transitions of an acceptor), preparetally.go
+// and accepttally.go (counting votes), learnedstate.go, update.go, genesis.go and voterplacement.go (which replicas
+// vote).
 package register
--- a/serving/register/explore_invariants_test.go
+++ b/serving/register/explore_invariants_test.go
@@ -20,7 +20,7 @@
 // revision, and it must include the changes acknowledged before.
 func (w *exploredState) observeCommitted(proposal *Proposal) {
 	record := &proposal.Record
-	fact := committedFact{revision: record.Revision, version: record.Configuration.Version, epoch: record.Voters.Epoch}
+	fact := committedRecord{revision: record.Revision, version: record.Configuration.Version, epoch: record.Voters.Epoch}
 	if known, ok := w.committed[fact.revision]; ok && known != fact {
 		w.fail("two records of revision %d: %v and %v", fact.revision, known, fact)
 	}
--- a/serving/register/explore_progress_test.go
+++ b/serving/register/explore_progress_test.go
@@ -120,7 +120,7 @@
 }
 
 func (f *fairSchedule) accept(ballot Ballot, proposal *Proposal) bool {
-	votes := newAcceptTally(f.rules.agreementOf(proposal))
+	votes := newAcceptTally(f.rules.acceptConfig(proposal))
 	for _, voter := range votes.config().replicas() {
 		replica, present := f.replicas[voter.ID]
 		if !present {
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -11,13 +11,13 @@
 // exploredRules are the parts of the protocol that mutants replace.
 type exploredRules struct {
 	accept       func(AcceptorState, *AcceptRequest) transition
-	agreementOf  func(*Proposal) jointConfig
+	acceptConfig func(*Proposal) jointConfig
 	wipedKeepsID bool // a replica that has lost its disk restarts as one of the first voters
 }
 
 var actualRules = exploredRules{
 	accept: AcceptorState.accept,
-	agreementOf: func(p *Proposal) jointConfig {
+	acceptConfig: func(p *Proposal) jointConfig {
 		if p.isJoint() {
 			return jointConfig{p.Record.Voters, p.OutgoingVoters}
 		}
--- a/serving/register/explore_state_test.go
+++ b/serving/register/explore_state_test.go
@@ -40,7 +40,7 @@
 }
 
 // committedFact identifies a record that some proposer has found to be committed.
-type committedFact struct {
+type committedRecord struct {
 	revision, version, epoch uint64
 }
 
@@ -55,12 +55,12 @@
 	// replaced voter isn't needed any more, so that another loss has to be tolerated.
 	voterReplaced bool
 
-	committed       map[uint64]committedFact // by revision
-	evacuationEnded bool                     // the last proposer's end of the evacuation was acknowledged
-	acknowledged    []sentUpdate             // changes of the configuration
-	acknowledgedAt  []uint64                 // the revisions of acknowledged
-	changed         bool                     // a replica has changed since the state was cloned
-	problem         string                   // the first violation; empty: none
+	committed       map[uint64]committedRecord // by revision
+	evacuationEnded bool                       // the last proposer's end of the evacuation was acknowledged
+	acknowledged    []sentUpdate               // changes of the configuration
+	acknowledgedAt  []uint64                   // the revisions of acknowledged
+	changed         bool                       // a replica has changed since the state was cloned
+	problem         string                     // the first violation; empty: none
 }
 
 func exploredGenesis() state.ReplicaSet {
@@ -74,7 +74,7 @@
 }
 
 func newExploredState(s *scenario) *exploredState {
-	w := &exploredState{replicas: map[string]AcceptorState{}, committed: map[uint64]committedFact{}}
+	w := &exploredState{replicas: map[string]AcceptorState{}, committed: map[uint64]committedRecord{}}
 	for _, replica := range exploredGenesis().Replicas {
 		w.replicas[replica.ID] = genesisState(replica.ID)
 	}
@@ -158,7 +158,7 @@
 func (w *exploredState) recipientsOf(rules *exploredRules, number int) []state.Replica {
 	round := &w.rounds[number]
 	if round.accepting {
-		return rules.agreementOf(&round.proposal).replicas()
+		return rules.acceptConfig(&round.proposal).replicas()
 	}
 	if p := &w.proposers[round.proposer]; p.round == number {
 		return w.tallyOf(p).config().replicas()
@@ -236,7 +236,7 @@
 	}
 	newest := votes.highestAccepted.Proposal.leaveJoint(committedVoters)
 	if newest.isJoint() {
-		w.propose(index, round.ballot, newest, attemptFinishedOther)
+		w.propose(index, round.ballot, newest, attemptFinishedReconfiguration)
 		return
 	}
 	resolved := p.change.resolve(&newest)
@@ -273,7 +273,7 @@
 func (w *exploredState) accepted(s *scenario, rules *exploredRules, index int) {
 	p := &w.proposers[index]
 	round := w.rounds[p.round]
-	votes := newAcceptTally(rules.agreementOf(&round.proposal))
+	votes := newAcceptTally(rules.acceptConfig(&round.proposal))
 	for id := range p.granted {
 		vote := p.granted[id]
 		votes.add(id, &vote)
@@ -282,7 +282,7 @@
 		return
 	}
 	w.commit(s, p, AcceptedProposal{Ballot: round.ballot, Proposal: round.proposal})
-	if p.outcomeOnAccept == attemptFinishedOther {
+	if p.outcomeOnAccept == attemptFinishedReconfiguration {
 		w.abandonAttempt(s, index) // another attempt follows
 		return
 	}
--- a/serving/register/explore_test.go
+++ b/serving/register/explore_test.go
@@ -194,8 +194,8 @@
 
 // TestExplore_FindsMutants checks that the search finds the violations of faulty protocols.
 func TestExplore_FindsMutants(t *testing.T) {
-	forgetful := actualRules
-	forgetful.accept = func(s AcceptorState, request *AcceptRequest) transition {
+	ignoresPromise := actualRules
+	ignoresPromise.accept = func(s AcceptorState, request *AcceptRequest) transition {
 		if s.ReplicaID == request.ReplicaID {
 			s.Promised = Ballot{}
 		}
@@ -206,14 +206,14 @@
 	withoutFence := evacuationScenario
 	withoutFence.withoutFence = true
 	newSetAlone := actualRules
-	newSetAlone.agreementOf = func(p *Proposal) jointConfig { return jointConfig{p.Record.Voters} }
+	newSetAlone.acceptConfig = func(p *Proposal) jointConfig { return jointConfig{p.Record.Voters} }
 	sameID := actualRules
 	sameID.wipedKeepsID = true
 	for name, mutant := range map[string]struct {
 		scenario scenario
 		rules    exploredRules
 	}{
-		"a replica accepts below its promise":            {raceScenario, forgetful},
+		"a replica accepts below its promise":            {raceScenario, ignoresPromise},
 		"a replacement is accepted by the new set alone": {replacementScenario, newSetAlone},
 		"a replica that lost its disk keeps its ID":      {diskLossScenario, sameID},
 		"a successor is added to an odd set":             {joinScenario, actualRules},
--- a/serving/register/faultinjector_test.go
+++ b/serving/register/faultinjector_test.go
@@ -93,7 +93,7 @@
 	m := run.machine
 	switch f.next(at) {
 	case processCrash:
-		m.crashAndReturn(restartDelay)
+		m.crashAndRestart(restartDelay)
 	case powerFailure:
 		m.simulation.powerCycle(nil)
 	case diskLoss:
--- a/serving/register/genesis.go
+++ b/serving/register/genesis.go
@@ -7,11 +7,11 @@
 	"rowanlink/serving/state"
 )
 
-// genesisPrefix begins the IDs of the first voters.
+// genesisPrefix is the prefix of the IDs of the genesis voters.
 const genesisPrefix = "genesis-"
 
-// genesisVoters returns the first set of voters, one for each seed. All processes compute the same set at the first
-// start of the system.
+// genesisVoters returns the initial set of voters (epoch 0), one for each seed. All processes compute the same set at
+// the first start of the system.
 func genesisVoters(process *settings.Process) state.ReplicaSet {
 	var set state.ReplicaSet
 	for _, address := range seedAddresses(process) {
@@ -20,8 +20,8 @@
 	return set
 }
 
-// seedAddresses returns the addresses at which the seeds take calls between the system's processes, sorted and without
-// duplicates. Invalid seeds are left out.
+// seedAddresses returns the addresses at which the seeds serve the calls between the system's processes, sorted and
+// without duplicates. Invalid seeds are left out.
 func seedAddresses(process *settings.Process) []string {
 	var addresses []string
 	for _, seed := range process.Seeds {
@@ -33,7 +33,7 @@
 	return slices.Compact(addresses)
 }
 
-// initialState returns the state of a replica with an empty store: a voter of the first set if this is a seed at the
+// initialState returns the state of a replica with an empty store: a genesis voter if this process is a seed at the
 // first start of the system, else a replica with the given new ID that has to join.
 func initialState(process *settings.Process, newID string) AcceptorState {
 	own := process.InternalAddress()
--- a/serving/register/jointconfig.go
+++ b/serving/register/jointconfig.go
@@ -9,8 +9,8 @@
 // process that knows the given set to be committed.
 //
 // A proposal whose own set is committed needs a majority of that set alone. A joint proposal needs both majorities as
-// long as the process doesn't know whether it is committed: with a majority of the incoming set alone, processes that
-// still use the outgoing set could commit something else there (Ongaro, §4.3).
+// long as the process doesn't know whether it is committed: if a majority of the incoming set were enough, processes
+// that still use the outgoing set could commit a different record with a majority of it (Ongaro, §4.3).
 func jointConfigFor(proposal *Proposal, committed state.ReplicaSet) jointConfig {
 	switch {
 	case proposal.Record.Voters.Epoch <= committed.Epoch:
--- a/serving/register/linearizability_test.go
+++ b/serving/register/linearizability_test.go
@@ -137,7 +137,7 @@
 }
 
 // endOfTime is the return time of an operation that may take effect at any time.
-const endOfTime = 1 << 50
+const neverReturned = 1 << 50
 
 // tick returns the next logical time, so that no two events share one.
 func (h *history) tick() int64 { return h.clock.Add(1) }
@@ -147,7 +147,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if out.inDoubt {
-		returned = endOfTime
+		returned = neverReturned
 	}
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client,
--- a/serving/register/majorityrevision.go
+++ b/serving/register/majorityrevision.go
@@ -19,8 +19,8 @@
 
 // MajorityRevision returns the newest revision that a majority of the voters has accepted, and false if no majority
 // answers before the context ends. Each change that was acknowledged before the call has at most that revision: a
-// majority has accepted the change, and any two majorities of a set have a voter in common. The set may be out of date:
-// voters that know a newer one name it, and a majority of that is queried too.
+// majority has accepted the change, and any two majorities of a set have a voter in common. The given set may be out of
+// date: voters that know a newer set return it, and then a majority of that set has to answer too.
 func MajorityRevision(ctx context.Context, query QueryFunc, set state.ReplicaSet) (revision uint64, known bool) {
 	revisions := newRevisionQuery(set)
 	answers := make(chan revisionAnswer)
@@ -48,13 +48,13 @@
 	}
 }
 
-// revisionAnswer is one replica's answer; a nil vote stands for none.
+// revisionAnswer is one replica's answer; the vote is nil if there was no answer.
 type revisionAnswer struct {
 	id   string
 	vote *Vote
 }
 
-// queryRevision queries one replica and passes on its answer, unless the context ends first.
+// queryRevision queries one replica and sends its answer to the channel, unless the context ends first.
 func queryRevision(
 	ctx context.Context, query QueryFunc, replica state.Replica, request *QueryRequest, answers chan<- revisionAnswer,
 ) {
@@ -72,11 +72,11 @@
 
 // revisionQuery counts the answers to queries with RevisionOnly. It does no I/O.
 type revisionQuery struct {
-	sets           map[uint64]state.ReplicaSet // by epoch: those of which a majority has to answer
+	sets           map[uint64]state.ReplicaSet // by epoch: the sets of which a majority has to answer
 	committedEpoch uint64                      // the highest epoch of a set known to be committed
 	queried        map[string]bool             // by replica ID
 	answered       map[string]bool             // by replica ID
-	revision       uint64                      // the highest among the answers
+	revision       uint64                      // the highest revision among the answers
 }
 
 func newRevisionQuery(set state.ReplicaSet) *revisionQuery {
@@ -101,8 +101,8 @@
 	return replicas
 }
 
-// add counts an answer. A committed set replaces all older ones. A set that is only proposed may be committed or not,
-// and so is needed in addition.
+// add counts an answer. A committed set replaces all older ones. A set that is only proposed may or may not be
+// committed, so a majority of it has to answer in addition.
 func (q *revisionQuery) add(answer revisionAnswer) {
 	vote := answer.vote
 	if vote == nil {
@@ -121,7 +121,7 @@
 	q.revision = max(q.revision, vote.Revision)
 }
 
-// observeCommitted takes a committed set and drops those of lower epochs.
+// observeCommitted adds a newer committed set and drops the sets of lower epochs.
 func (q *revisionQuery) observeCommitted(set state.ReplicaSet) {
 	if set.Epoch <= q.committedEpoch {
 		return
--- a/serving/register/node.go
+++ b/serving/register/node.go
@@ -19,7 +19,7 @@
 	Settings *settings.Process
 	Storage  Storage
 	Client   *rpc.Client
-	Mux      *http.ServeMux // gets the handlers of calls from other nodes; has to be served at Settings.InternalAddress
+	Mux      *http.ServeMux // Start adds the handlers of other nodes' calls; has to be served at Settings.InternalAddress
 	Log      *zerolog.Logger
 	// Committed is called with each newer record that this process's own changes and reads have found to be committed,
 	// in order of revision. It isn't called with revision 0, the empty register. It must not call Change or Read.
@@ -34,13 +34,14 @@
 	Zone    string
 }
 
-// FailureDetector says at which addresses no process lives. It may be mistaken: that can cost a live replica its vote
-// for a while, but never loses the record. Its methods are called concurrently.
+// FailureDetector reports at which addresses no process is running. It may be wrong: a live replica can then lose its
+// vote for a while, but the record is never lost. Its methods are called concurrently.
 type FailureDetector interface {
-	// IsDown reports that no process lives at the address. A learner may take over the vote of the replica there.
+	// IsDown reports whether no process is running at the address. If so, a learner may take over the vote of the
+	// replica there.
 	IsDown(address string) bool
-	// IsExpired reports that the address has been down for so long that no member remembers it. Two such voters may be
-	// removed without replacement.
+	// IsExpired reports whether the address has been down for so long that the members have forgotten it. Two such
+	// voters may be removed without replacement.
 	IsExpired(address string) bool
 }
 
@@ -56,13 +57,13 @@
 	proposer        *Proposer
 	notifier        *commitNotifier
 	failureDetector atomic.Pointer[FailureDetector]
-	caughtUp        atomic.Bool   // the replica, a learner, has read the record from a majority since the start
-	transferring    atomic.Bool   // the replica gives up its vote and takes none any more
-	votersChanged   chan struct{} // signals newer committed voters, or a newer record that was learned
+	caughtUp        atomic.Bool   // the replica is a learner that has read the record from a majority since its start
+	transferring    atomic.Bool   // the replica is giving up its vote, and claims none again
+	recordChanged   chan struct{} // signals newer committed voters, or a newer record that was learned
 	stop            context.CancelFunc
 }
 
-// Start starts a node. The replica's state is loaded in the background; a replica that is no voter becomes a learner.
+// Start starts a node. The replica's state is loaded in the background; a replica that isn't a voter becomes a learner.
 // The node runs until the context ends or Close is called.
 func Start(ctx context.Context, options NodeOptions) (*Node, error) {
 	if err := options.validate(); err != nil {
@@ -79,7 +80,7 @@
 func (o *NodeOptions) validate() error {
 	switch {
 	case o.Settings == nil, o.Storage == nil, o.Client == nil, o.Mux == nil, o.Log == nil:
-		return errors.New("register: settings, storage, client, mux and log are needed")
+		return errors.New("register: settings, storage, client, mux and log are required")
 	}
 	return nil
 }
@@ -95,7 +96,7 @@
 		transport:     transport,
 		acceptor:      NewAcceptor(options.Storage, options.Log),
 		notifier:      &commitNotifier{onCommitted: options.Committed},
-		votersChanged: make(chan struct{}, 1),
+		recordChanged: make(chan struct{}, 1),
 		stop:          stop,
 	}
 	n.proposer = newProposer(lifetime, rand.Text(), transport, n.notifier, n.signalChange)
@@ -112,7 +113,7 @@
 	go n.runReplica(lifetime)
 }
 
-// Close stops the node. Calls in flight fail; their changes may have taken effect.
+// Close stops the node. Calls in flight fail, but their changes may have taken effect.
 func (n *Node) Close() { n.stop() }
 
 // Change applies an update to the record: see Proposer.Change.
@@ -123,16 +124,17 @@
 // Read returns the committed record: see Proposer.Read.
 func (n *Node) Read(ctx context.Context) (state.Record, error) { return n.proposer.Read(ctx) }
 
-// Learn takes a committed record that another process has published. NodeOptions.Committed isn't called with it.
+// Learn stores, in memory, a committed record that another process has published, if it is newer than the latest known
+// one. NodeOptions.Committed isn't called with it.
 func (n *Node) Learn(record state.Record) {
-	if n.notifier.advance(record) {
+	if n.notifier.storeIfNewer(record) {
 		n.proposer.observeVoters(record.Voters)
 		n.signalChange()
 	}
 }
 
-// Latest returns the newest record that this process knows to be committed, without calling others, and false before
-// there is one. A record of revision 0 says that a majority has nothing stored yet.
+// Latest returns the newest record that this process knows to be committed, without calling other processes, and false
+// if it knows none. A record of revision 0 means that a majority has confirmed that the register is empty.
 func (n *Node) Latest() (state.Record, bool) {
 	latest := n.notifier.latest.Load()
 	if latest == nil {
@@ -142,9 +144,9 @@
 }
 
 // UncommittedRevision returns the revision that this process's replica has accepted, and whether the process doesn't
-// know it to be committed. That is so for a moment during each change. If it lasts, the proposer of the change has
-// stopped before publishing the result; Read then finds out which record is committed and finishes what was left. A
-// joint proposal counts as uncommitted until it is succeeded by one without outgoing voters.
+// know that revision to be committed. During each change that is normal for a moment. If it lasts, the proposer of the
+// change has stopped before publishing the result; Read then determines which record is committed and completes what
+// was left unfinished. A joint proposal counts as uncommitted until a proposal without outgoing voters succeeds it.
 func (n *Node) UncommittedRevision() (revision uint64, uncommitted bool) {
 	own, loaded := n.acceptor.State()
 	if !loaded {
@@ -164,7 +166,7 @@
 	return ok && n.Voters().Contains(own.ReplicaID)
 }
 
-// SetFailureDetector sets the failure detector. Before that, all addresses are taken to be live.
+// SetFailureDetector sets the failure detector. Until then, all addresses count as live.
 func (n *Node) SetFailureDetector(detector FailureDetector) {
 	n.failureDetector.Store(&detector)
 }
@@ -187,10 +189,10 @@
 	return n.listPeers()
 }
 
-// signalChange wakes the background work.
+// signalChange wakes the background work (see runReplica).
 func (n *Node) signalChange() {
 	select {
-	case n.votersChanged <- struct{}{}:
+	case n.recordChanged <- struct{}{}:
 	default:
 	}
 }
--- a/serving/register/preparetally.go
+++ b/serving/register/preparetally.go
@@ -5,9 +5,9 @@
 // prepareTally counts the votes of a Prepare or Query round.
 type prepareTally struct {
 	committedVoters state.ReplicaSet  // as the proposer knew them when the round began
-	knownAccepted   AcceptedProposal  // named by the requests; votes leave it out
+	knownAccepted   AcceptedProposal  // whose ballot the requests name; votes leave this proposal out
 	granted         map[string]Ballot // by replica ID: the ballot that it has accepted
-	failed          map[string]bool   // by replica ID: rejected, answered for another replica, or didn't answer
+	failed          map[string]bool   // by replica ID: rejected, wrong replica at the address, or no answer
 	highestAccepted AcceptedProposal  // among the granted votes
 }
 
@@ -39,7 +39,7 @@
 		accepted.Proposal = *vote.Proposal
 	case vote.Accepted == t.knownAccepted.Ballot:
 		accepted.Proposal = t.knownAccepted.Proposal
-	case !vote.Accepted.IsZero():
+	case !vote.Accepted.IsZero(): // the vote lacks a proposal that the proposer doesn't have
 		t.failed[id] = true
 		return
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-// hasQuorum reports whether a majority of each set has granted.
+// hasQuorum reports whether a majority of each set has granted the request.
 func (t *prepareTally) hasQuorum() bool {
 	return t.config().hasQuorum(func(id string) bool {
 		_, ok := t.granted[id]
--- a/serving/register/proposal.go
+++ b/serving/register/proposal.go
@@ -2,8 +2,8 @@
 
 import "rowanlink/serving/state"
 
-// maxRememberedChanges is the number of latest changes that a proposal names. A proposer whose Accept round failed
-// looks for its change among them, to find out whether another proposer has committed it.
+// maxRememberedChanges is the number of changes that a proposal lists, the latest ones. A proposer whose Accept round
+// failed looks for its change among them, to find out whether another proposer has committed it.
 const maxRememberedChanges = 32
 
 // ChangeID identifies one call of Proposer.Change.
@@ -28,7 +28,7 @@
 	Proposal Proposal
 }
 
-// CommittedVoters returns a set of voters that is certainly committed, as far as the proposal itself shows.
+// CommittedVoters returns the newest set of voters that the proposal proves to be committed.
 func (p *Proposal) CommittedVoters() state.ReplicaSet {
 	if p.isJoint() {
 		return p.OutgoingVoters
@@ -39,7 +39,7 @@
 // isJoint reports whether the proposal changes the voters and isn't known to be committed.
 func (p *Proposal) isJoint() bool { return len(p.OutgoingVoters.Replicas) > 0 }
 
-// containsChange reports whether the proposal includes the effect of one of the latest changes.
+// containsChange reports whether a change is among the latest ones that the proposal includes.
 func (p *Proposal) containsChange(id ChangeID) bool {
 	for _, change := range p.Changes {
 		if change == id {
@@ -68,7 +68,7 @@
 	return next
 }
 
-// leaveJoint returns the proposal without its outgoing voters if its own voters are known to be committed.
+// leaveJoint returns the proposal, without its outgoing voters if its own voters are known to be committed.
 func (p *Proposal) leaveJoint(committed state.ReplicaSet) Proposal {
 	next := *p
 	if p.Record.Voters.Epoch <= committed.Epoch {
--- a/serving/register/proposer.go
+++ b/serving/register/proposer.go
@@ -15,7 +15,7 @@
 const (
 	minBackoff        = 10 * time.Millisecond
 	initialMaxBackoff = 20 * time.Millisecond
-	maxBackoff        = 100 * time.Millisecond // highest bound; the duration of the failed attempt comes on top
+	maxBackoff        = 100 * time.Millisecond // upper limit of the bound; up to the failed attempt's duration is added
 	maxBackoffShift   = 8                      // keeps the doubled bound from overflowing
 )
 
@@ -23,11 +23,11 @@
 type Proposer struct {
 	id            string
 	transport     Transport
-	lifetime      context.Context // ends all calls
+	lifetime      context.Context // its end cancels all calls
 	learned       *actor.Actor[learnedState]
 	notifier      *commitNotifier
 	changeSlot    chan struct{} // holds a token while a change runs
-	sequence      uint64        // of the newest change; guarded by changeSlot
+	sequence      uint64        // number of the newest change; guarded by changeSlot
 	votersChanged func()        // called when newer committed voters have become known
 }
 
@@ -50,10 +50,10 @@
 // Change applies an update to the newest record and returns the committed record once a majority has it on disk.
 // Changes of one proposer run one after the other.
 //
-// It returns the update's own error once the record that the update rejected is committed: the change then never takes
-// effect. errcode.RegisterUnavailable and errcode.RegisterNotReady mean that nothing was changed,
-// errcode.RegisterInDoubt that the change may take effect. No attempt is begun after the context has ended, so a caller
-// that has given up may repeat the change through another process.
+// If the update rejects the change, its error is returned once the record that it was applied to is committed: the
+// change then never takes effect. errcode.RegisterUnavailable and errcode.RegisterNotReady mean that nothing was
+// changed, errcode.RegisterInDoubt that the change may take effect. No attempt is begun after the context has ended, so
+// a caller that has given up may repeat the change through another process.
 func (p *Proposer) Change(ctx context.Context, update Update) (state.Record, error) {
 	select {
 	case p.changeSlot <- struct{}{}:
@@ -81,14 +81,14 @@
 		case attemptFailed:
 			last = result.err
 			ctxsleep.Sleep(ctx, retryBackoff(change.attempts, time.Since(begun)))
-		case attemptFinishedOther:
+		case attemptFinishedReconfiguration:
 		}
 	}
 	return failedAttempt(change.abandonmentError(last))
 }
 
-// finishReconfiguration writes the record once more after a change of the voters, without the outgoing voters, so that
-// their majority is no longer needed. Errors are ignored: the next change or read does it otherwise.
+// finishReconfiguration has the record accepted once more after a change of the voters, without the outgoing voters, so
+// that their majority is no longer needed. Errors are ignored: the next change or read then does the same.
 func (p *Proposer) finishReconfiguration(ctx context.Context) {
 	_ = p.runToDecision(ctx, p.newChange(confirmOnly))
 }
@@ -102,8 +102,9 @@
 	}
 }
 
-// handleCommitted takes a proposal that is known to be committed. A joint one isn't published yet: whoever learns of
-// the new voters may stop the outgoing ones, whose majority is still needed.
+// handleCommitted records a proposal that is known to be committed, and publishes its record. A joint proposal isn't
+// published yet: a process that learns of the new voters may shut down the outgoing ones, whose majority is still
+// needed.
 func (p *Proposer) handleCommitted(committed AcceptedProposal) {
 	p.updateLearned(func(l *learnedState) bool { return l.observeCommitted(committed) })
 	if !committed.Proposal.isJoint() {
@@ -111,22 +112,22 @@
 	}
 }
 
-// observeVote learns from a replica's vote.
+// observeVote updates the learned state from a replica's vote.
 func (p *Proposer) observeVote(vote *Vote) {
 	p.updateLearned(func(l *learnedState) bool { return l.observeVote(vote) })
 }
 
-// observeVoters learns of a committed set of voters.
+// observeVoters updates the learned state with a committed set of voters.
 func (p *Proposer) observeVoters(set state.ReplicaSet) {
 	p.updateLearned(func(l *learnedState) bool { return l.observeVoters(set) })
 }
 
-// observeOwnState learns from the state of this process's own replica.
+// observeOwnState updates the learned state from this process's own replica.
 func (p *Proposer) observeOwnState(state *AcceptorState) {
 	p.observeVote(&Vote{Promised: state.Promised, Accepted: state.Accepted, Proposal: &state.Proposal})
 }
 
-// updateLearned applies an observation, and calls votersChanged if that showed newer committed voters.
+// updateLearned applies an observation, and calls votersChanged if newer committed voters have become known by it.
 func (p *Proposer) updateLearned(observe func(*learnedState) (changed bool)) {
 	changed, _ := actor.Call(p.learned, observe)
 	if changed {
@@ -148,8 +149,9 @@
 
 func (p *Proposer) close() { p.learned.Stop() }
 
-// retryBackoff returns a random backoff before the next attempt, counted from 0. Its bound grows with each attempt and
-// with the duration of the last one, so that two proposers far from a majority don't preempt each other forever.
+// retryBackoff returns a random backoff after a failed attempt, numbered from 0. Its bound grows with each attempt and
+// with the duration of the last one, so that two proposers with slow links to a majority don't preempt each other
+// forever.
 func retryBackoff(attempt int, duration time.Duration) time.Duration {
 	bound := min(initialMaxBackoff<<min(attempt, maxBackoffShift), maxBackoff)
 	backoff := minBackoff + rand.N(bound-minBackoff)
--- a/serving/register/read.go
+++ b/serving/register/read.go
@@ -9,11 +9,11 @@
 	"rowanlink/serving/state"
 )
 
-// quorumGracePeriod is how long a read waits for further votes when those of a majority don't agree.
+// quorumGracePeriod is how long a read waits for further votes if the majority's votes don't name the same ballot.
 const quorumGracePeriod = 100 * time.Millisecond
 
-// Read returns the committed record, at least as new as any that was acknowledged before the call. Usually it takes one
-// Query round and writes nothing; a change that was left unfinished is finished first. Errors:
+// Read returns the committed record, which is at least as new as any that was acknowledged before the call. Usually a
+// read takes one Query round and writes nothing; a change that was left unfinished is completed first. Errors:
 // errcode.RegisterUnavailable and errcode.RegisterNotReady.
 func (p *Proposer) Read(ctx context.Context) (state.Record, error) {
 	last := errNoQuorum
@@ -36,8 +36,8 @@
 	return state.Record{}, errcode.RegisterUnavailable.With("%v", last)
 }
 
-// query asks the replicas what they have accepted, until a majority has answered, and for quorumGracePeriod longer if
-// that majority doesn't agree.
+// query asks the replicas what they have accepted, until a majority has answered, and for up to quorumGracePeriod
+// longer if the answers so far don't show the highest proposal to be committed.
 func (p *Proposer) query(ctx context.Context, timeout time.Duration) (*prepareTally, error) {
 	learned, ok := p.learnedCopy()
 	if !ok {
--- a/serving/register/replicalifecycle.go
+++ b/serving/register/replicalifecycle.go
@@ -16,11 +16,11 @@
 
 const (
 	joinAttemptTimeout  = time.Second            // bounds one attempt to read the record or to join
-	minJoinBackoff      = 50 * time.Millisecond  // before the second attempt; it grows by half with each
-	maxJoinBackoff      = time.Second            // bound of that growth
+	minJoinBackoff      = 50 * time.Millisecond  // after the first failure; grows by half with each further one
+	maxJoinBackoff      = time.Second            // upper limit of the backoff
 	loadRetryInterval   = 200 * time.Millisecond // between attempts to read the store
-	failuresBeforeLog   = 8                      // consecutive failed attempts after which one is logged
-	learnerPollInterval = 500 * time.Millisecond // between a learner's checks for a vote that it could take
+	failuresBeforeLog   = 8                      // consecutive failed attempts until one is logged
+	learnerPollInterval = 500 * time.Millisecond // between a learner's checks for a vote that it could claim
 )
 
 // replicaRole is the role of a replica in the register.
@@ -32,8 +32,8 @@
 	roleVoter
 )
 
-// runReplica is the background work of a node. It loads the replica's state and then brings the replica up to date, as
-// a voter or a learner: after the start, and whenever newer committed voters have become known.
+// runReplica is the background work of a node. It loads the replica's state, then brings the replica up to date as a
+// voter or a learner: once after the start, and again whenever newer committed voters have become known.
 func (n *Node) runReplica(ctx context.Context) {
 	if !n.loadReplica(ctx) {
 		return
@@ -81,26 +81,27 @@
 	}
 	for n.IsVoter() {
 		select {
-		case <-n.votersChanged:
+		case <-n.recordChanged:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// awaitLearnerWork returns on a newer record or newer voters, and after learnerPollInterval at the latest.
+// awaitLearnerWork returns when a newer record or newer voters have become known, and after learnerPollInterval at the
+// latest.
 func (n *Node) awaitLearnerWork(ctx context.Context) {
 	timer := time.NewTimer(learnerPollInterval)
 	defer timer.Stop()
 	select {
-	case <-n.votersChanged:
+	case <-n.recordChanged:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// loadReplica reads the store, retrying until it succeeds, and initializes the replica if there is none. It returns
-// false if the context ends first.
+// loadReplica reads the store, retrying until it succeeds, and initializes the replica if the store has none. It
+// returns false if the context ends first.
 func (n *Node) loadReplica(ctx context.Context) bool {
 	logged := false
 	for ctx.Err() == nil {
@@ -121,8 +122,8 @@
 	return false
 }
 
-// loadState returns the saved state, or an initial one and false. A state that was lost is never replaced by a voter of
-// the first set: the lost replica may have voted under that ID.
+// loadState returns the saved state, or an initial one and false. A replica whose saved state is lost gets a new ID,
+// even if it was a genesis voter: it may have voted under its former ID.
 func (n *Node) loadState() (own AcceptorState, found bool, err error) {
 	saved, found, err := n.storage.Load()
 	switch {
@@ -136,7 +137,7 @@
 	return saved, true, nil
 }
 
-// replicaStarted learns from the installed state and logs it.
+// replicaStarted passes the installed state to the proposer and logs the start.
 func (n *Node) replicaStarted(own *AcceptorState, found bool) {
 	n.proposer.observeOwnState(own)
 	kind := event.ReplicaCreated
@@ -146,8 +147,8 @@
 	kind.Log(n.log).Str("replica", own.ReplicaID).Uint64("revision", own.Proposal.Record.Revision).Send()
 }
 
-// synchronize makes one attempt to read the committed record and, for a learner, to store it and to take a vote that is
-// free. The voters are discovered again if the last attempt failed.
+// synchronize makes one attempt to read the committed record and, for a learner, to store it and to claim the vote of a
+// voter that can't vote. The voters are discovered again if the last attempt failed.
 func (n *Node) synchronize(ctx context.Context, lastFailed bool) error {
 	ctx, cancel := context.WithTimeout(ctx, joinAttemptTimeout)
 	defer cancel()
@@ -160,7 +161,7 @@
 		return err
 	}
 	if len(n.Voters().Replicas) == 0 {
-		return errcode.RegisterNotReady.With("no other process knows the replicas")
+		return errcode.RegisterNotReady.With("no other process that answered knows the voters")
 	}
 	own, err := n.joiningReplica()
 	if err != nil {
@@ -172,8 +173,8 @@
 	return n.claimVote(ctx, own, isDown)
 }
 
-// catchUp stores the newest committed record. After each start a learner first reads it from a majority, whatever it
-// has on disk; later records reach it through Learn.
+// catchUp stores the newest committed record. After each start a learner first reads the record from a majority, even
+// if it has one on disk; later records reach it through Learn.
 func (n *Node) catchUp(ctx context.Context) error {
 	if !n.caughtUp.Load() {
 		if _, err := n.Read(ctx); err != nil {
@@ -188,9 +189,9 @@
 	return nil
 }
 
-// claimVote makes the own replica a voter if it succeeds one that has lost its disk, or if a voter is down and this is
-// the learner that fits best: many learners that tried at once would preempt each other. Other changes of the voters
-// are left to RepairVoters.
+// claimVote makes the own replica a voter in two cases: a voter at its address has lost its disk, or a voter is down
+// and the own replica is the best of the learners that could replace it. Only the best one tries, because concurrent
+// attempts of many learners would preempt each other. Other changes of the voters are left to RepairVoters.
 func (n *Node) claimVote(ctx context.Context, own state.Replica, isDown func(address string) bool) error {
 	withAllLearners := n.voterPlacement(n.potentialLearners())
 	withAllLearners.isDown = isDown
@@ -205,7 +206,7 @@
 	return err
 }
 
-// joiningReplica returns this process's replica as it may join. A replica that was a voter of an earlier set first gets
+// joiningReplica returns this process's replica, ready to join. A replica that was a voter of an earlier set first gets
 // a new ID and an empty state, as after the loss of its disk: requests that were meant for the removed voter must not
 // reach the one that joins.
 func (n *Node) joiningReplica() (state.Replica, error) {
@@ -216,8 +217,8 @@
 		if latest, known := n.Latest(); known {
 			own.Learned = latest
 		}
-		// The disk may take longer than this attempt. Install therefore isn't bounded by it: the next attempt must not
-		// generate another ID meanwhile.
+		// Saving may take longer than this attempt. Install therefore isn't bounded by the attempt's context: the next
+		// attempt must not generate another ID in the meantime.
 		if err := n.acceptor.Install(n.proposer.lifetime, own, true); err != nil {
 			return state.Replica{}, err
 		}
--- a/serving/register/round.go
+++ b/serving/register/round.go
@@ -11,9 +11,9 @@
 
 // Reasons for which a round fails. The change or read that it belongs to may make another attempt.
 var (
-	errPreempted  = errors.New("a higher ballot was promised")
-	errNoQuorum   = errors.New("no majority answered")
-	errCallerGone = errors.New("the caller has given up")
+	errPreempted       = errors.New("a higher ballot was promised")
+	errNoQuorum        = errors.New("no majority answered")
+	errCallerCancelled = errors.New("the caller's context has ended")
 )
 
 // tally counts the votes of a round: a prepareTally or an acceptTally.
@@ -27,15 +27,15 @@
 // requestFunc sends a round's request to one replica.
 type requestFunc func(ctx context.Context, replica state.Replica) (*Vote, error)
 
-// roundReply is the result of one call; a nil vote stands for no answer.
+// roundReply is the result of one call; the vote is nil if there was no answer.
 type roundReply struct {
 	id   string
 	vote *Vote
 }
 
-// round sends a request to all replicas of a configuration in parallel, also to those that only the votes bring into
-// it, until the tally has a quorum or can't reach one. Calls in flight are not cancelled when it ends, and the proposer
-// still learns from their votes.
+// round sends a request to all replicas of a configuration in parallel, until the tally has a quorum or can't reach
+// one. Votes may add replicas to the configuration; these get the request too. Calls in flight are not cancelled when
+// the round ends, and the proposer still learns from their votes.
 type round struct {
 	proposer   *Proposer
 	tally      tally
@@ -66,8 +66,8 @@
 	return r.collect(ctx, r.tally.hasQuorum, nil)
 }
 
-// runUntil returns nil once the tally has a quorum. If agreed isn't true by then, it waits for that, but for at most
-// the grace period.
+// runUntil returns nil once the tally has a quorum. If agreed isn't true by then, it first waits until it is, but for
+// the grace period at most.
 func (r *round) runUntil(ctx context.Context, agreed func() bool, gracePeriod time.Duration) error {
 	defer close(r.done)
 	if err := r.collect(ctx, r.tally.hasQuorum, nil); err != nil || agreed() {
@@ -100,6 +100,7 @@
 	}
 }
 
+// record adds a reply to the tally.
 func (r *round) record(reply roundReply) {
 	r.replyCount++
 	r.tally.add(reply.id, reply.vote)
@@ -108,6 +109,7 @@
 	}
 }
 
+// failure returns why the round has failed.
 func (r *round) failure() error {
 	if r.preempted {
 		return errPreempted
@@ -125,8 +127,8 @@
 	}
 }
 
-// call makes one call. It is bounded by the round's own timeout rather than by the caller's context: a record should
-// also reach the replicas that the majority didn't wait for.
+// call makes one call. It is bounded by the round's own timeout rather than by the caller's context: the record should
+// also reach the replicas that answer after the majority.
 func (r *round) call(replica state.Replica) {
 	ctx, cancel := context.WithTimeout(r.proposer.lifetime, r.timeout)
 	defer cancel()
--- a/serving/register/script_test.go
+++ b/serving/register/script_test.go
@@ -140,7 +140,7 @@
 	}
 	result := p.runAttempt(life, s.change(t, id, data))
 	synctest.Wait()
-	if result.outcome == attemptFinishedOther {
+	if result.outcome == attemptFinishedReconfiguration {
 		return "advanced\n"
 	}
 	outcome := [...]string{"decided", "failed"}[result.outcome]
--- a/serving/register/server.go
+++ b/serving/register/server.go
@@ -40,7 +40,7 @@
 	return description, nil
 }
 
-// withCommittedVoters adds the newest committed voters to a vote if the caller's epoch is older.
+// withCommittedVoters adds the newest committed voters to a vote if their epoch is above the caller's.
 func (s *server) withCommittedVoters(vote *Vote, epoch uint64) *Vote {
 	if voters := s.node.Voters(); vote != nil && voters.Epoch > epoch {
 		vote.CommittedVoters = &voters
--- a/serving/register/simulatedmachine_test.go
+++ b/serving/register/simulatedmachine_test.go
@@ -145,7 +145,7 @@
 }
 
 // crashAndReturn ends the process and starts it again after a while.
-func (m *machine) crashAndReturn(after time.Duration) {
+func (m *machine) crashAndRestart(after time.Duration) {
 	m.crash()
 	time.AfterFunc(after, m.start)
 }
--- a/serving/register/transport.go
+++ b/serving/register/transport.go
@@ -12,11 +12,12 @@
 const (
 	callTimeout = 700 * time.Millisecond
 	// initialCallTimeout bounds the calls of the first attempt of a Prepare or Query round, which are safe to repeat: a
-	// call that was sent just before its replica restarted hangs, and the next one doesn't. It grows with each attempt.
+	// call that was sent just before its replica restarted hangs, whereas a repeated call is answered. The time-out
+	// grows with each attempt.
 	initialCallTimeout = 250 * time.Millisecond
 )
 
-// attemptTimeout returns the time-out of the calls of an attempt, counted from 0.
+// attemptTimeout returns the time-out of the calls of an attempt, which is numbered from 0.
 func attemptTimeout(attempt int) time.Duration {
 	return min(initialCallTimeout*time.Duration(attempt+1), callTimeout)
 }
@@ -37,10 +38,10 @@
 	Describe(ctx context.Context, request *DescribeRequest) (*Description, error)
 }
 
-// rpcTransport carries calls over rpc, and those to the process's own replica by a function call.
+// rpcTransport carries calls over rpc; calls to the process's own replica are function calls.
 type rpcTransport struct {
 	client *rpc.Client
-	own    string // address
+	own    string // the address of this process
 	local  Server
 }
 
@@ -82,6 +83,7 @@
 	describeMethod.Serve(mux, withTimeout(server.Describe))
 }
 
+// withTimeout returns a handler whose context ends after callTimeout.
 func withTimeout[Request, Response any](
 	handle func(context.Context, *Request) (*Response, error),
 ) func(context.Context, *Request) (*Response, error) {
--- a/serving/register/update.go
+++ b/serving/register/update.go
@@ -11,29 +11,31 @@
 
 // Update computes the record that follows the given one (the change function of CASPaxos §2.2). It returns ErrNoChange
 // if the record already is as wanted, or another error to reject the change. It may be called several times, and must
-// not modify the slices of the record. The register sets Revision and Voters.Epoch.
+// not modify the slices of the given record. The register sets Revision and Voters.Epoch.
 type Update func(state.Record) (state.Record, error)
 
-// ErrNoChange is returned by an Update if nothing has to be changed. Change then succeeds.
+// ErrNoChange is returned by an Update if the record already is as wanted. Change then succeeds.
 var ErrNoChange = errors.New("no change")
 
-// ErrFence is returned by an Update if nothing has to be changed and no earlier proposal may change that later. Change
-// then writes the record once more under its own ballot, which excludes what only a minority has accepted, and
-// succeeds. Updates that name no version need it: the begin of an evacuation that was abandoned must not take effect
-// after its end.
-var ErrFence = errors.New("no change, and none of earlier proposals")
+// ErrFence is returned by an Update if the record already is as wanted and no unfinished earlier proposal may change it
+// later. Change then has the record accepted again under its own ballot, so that proposals that only a minority has
+// accepted can't be committed any more, and succeeds. Updates without a base version need it: otherwise an abandoned
+// begin of an evacuation could take effect after the end of that evacuation.
+var ErrFence = errors.New("no change, and earlier proposals must not take effect")
 
 // ReplaceConfiguration returns an update that replaces the configuration of version basedOn (0: none yet).
 //
-// It is rejected with errcode.VersionConflict and errcode.VersionNotAbove. A configuration that is or was in force,
-// byte for byte, is no change. If the history is too short to tell, the update is rejected with
-// errcode.UpdateForgotten: what was acknowledged once must never be reported as rejected.
+// The update is rejected with errcode.VersionConflict if another version than basedOn is current, and with
+// errcode.VersionNotAbove if the new version isn't above the current one. A configuration that is or was in force, byte
+// for byte, is no change. If the record's history is too short to tell, the error is errcode.UpdateForgotten, which
+// leaves open whether the update was applied: an update that was acknowledged must never be reported as rejected.
 func ReplaceConfiguration(basedOn uint64, configuration state.Configuration) Update {
 	applied := state.AppliedUpdate{Version: configuration.Version, Digest: configuration.Digest}
 	return func(record state.Record) (state.Record, error) {
 		current := &record.Configuration
 		if current.Version == configuration.Version && current.Digest == configuration.Digest {
-			return record, ErrNoChange // possibly the result of an amendment, which the history names by its own digest
+			// An amendment may have produced this configuration; the history then has the amendment's digest instead.
+			return record, ErrNoChange
 		}
 		if err := checkBase(&record, basedOn, applied); err != nil {
 			return record, err
@@ -43,8 +45,9 @@
 }
 
 // AmendConfiguration returns an update that replaces the configuration of version basedOn by the result of amend. A
-// repeated amendment is recognized by its own version and digest, not by those of the resulting document. It is
-// rejected like ReplaceConfiguration, and with the errors of amend, which may be called several times.
+// repeated amendment is recognized by the version and digest in applied, not by those of the resulting document. The
+// update is rejected like that of ReplaceConfiguration, and with the errors of amend, which may be called several
+// times.
 func AmendConfiguration(
 	basedOn uint64,
 	applied state.AppliedUpdate,
@@ -62,7 +65,8 @@
 	}
 }
 
-// checkBase returns why an update based on a version can't be applied to the record: ErrNoChange if it already was.
+// checkBase returns nil if an update based on a version can be applied to the record, ErrNoChange if it was applied
+// before, and otherwise why it is rejected.
 func checkBase(record *state.Record, basedOn uint64, applied state.AppliedUpdate) error {
 	current := record.Configuration.Version
 	switch {
@@ -79,7 +83,8 @@
 	return nil
 }
 
-// withConfiguration returns the record with a new configuration, and with the update that led to it in its history.
+// withConfiguration returns the record with a new configuration, and with the update that produced it added to the
+// history.
 func withConfiguration(
 	record state.Record, configuration state.Configuration, applied state.AppliedUpdate,
 ) state.Record {
@@ -88,8 +93,8 @@
 	return record
 }
 
-// SetEvacuation returns an update that begins or ends the evacuation of a zone. It is fenced (see ErrFence) if the
-// record is as wanted.
+// SetEvacuation returns an update that begins or ends the evacuation of a zone. It returns ErrFence if the zone already
+// is in that state.
 func SetEvacuation(zone string, active bool) Update {
 	return func(record state.Record) (state.Record, error) {
 		if record.Evacuated(zone) == active {
@@ -108,5 +113,5 @@
 	}
 }
 
-// confirmOnly is the update that changes nothing, and so only makes sure that the newest record is committed.
+// confirmOnly is an update that changes nothing: a change with it only ensures that the newest record is committed.
 func confirmOnly(record state.Record) (state.Record, error) { return record, ErrNoChange }
--- a/serving/register/voterplacement.go
+++ b/serving/register/voterplacement.go
@@ -8,7 +8,7 @@
 	"rowanlink/serving/state"
 )
 
-// minVoters is the smallest number of voters that is aimed at: fewer could not tolerate a loss.
+// minVoters is the smallest desired number of voters: fewer voters tolerate no loss.
 const minVoters = 3
 
 // desiredVoterCount returns how many voters the register should have: the smallest odd number, at least minVoters, that
@@ -21,12 +21,12 @@
 // voterPlacement decides which replicas vote. It does no I/O.
 //
 // Invariant: a set of odd size stays odd. Voters are replaced one for one, and added or removed in pairs: an even set
-// needs one vote more for a majority than the odd set below it and tolerates no more losses.
+// needs one more vote for a majority than the odd set below it, but tolerates no more losses.
 type voterPlacement struct {
 	desiredVoters int // odd
-	// isDown reports that no process lives at an address, so that its voter may be replaced.
+	// isDown reports whether no process is running at an address, so that its voter may be replaced.
 	isDown func(address string) bool
-	// isExpired reports that an address has been down for so long that no member remembers it.
+	// isExpired reports whether an address has been down for so long that the members have forgotten it.
 	isExpired func(address string) bool
 	// zoneOf returns the zone of an address; empty: unknown.
 	zoneOf func(address string) string
@@ -35,7 +35,7 @@
 }
 
 // placementStep returns the voters after one kind of change, given the learners that aren't voters yet. It returns nil
-// if the change isn't needed or not possible.
+// if that change isn't needed or not possible.
 type placementStep func(voters, learners []state.Replica) []state.Replica
 
 // placementUpdate returns the update that replaces the voters by those that next returns, if it reports a change.
@@ -58,7 +58,7 @@
 }
 
 // replaceUnavailable returns the voters after a learner has taken the place of a voter that can't vote, and false if
-// there is none.
+// there is no such voter or learner.
 func (p *voterPlacement) replaceUnavailable(voters []state.Replica) ([]state.Replica, bool) {
 	return p.firstApplicable(voters, p.replaceAtSameAddress, p.replaceDown)
 }
@@ -75,7 +75,7 @@
 }
 
 // transferVote returns the voters after a learner has taken the place of the voter with the given ID. It returns false
-// if that is no voter or there is no learner.
+// if there is no such voter or no learner.
 func (p *voterPlacement) transferVote(voters []state.Replica, id string) ([]state.Replica, bool) {
 	position := slices.IndexFunc(voters, func(voter state.Replica) bool { return voter.ID == id })
 	learners := p.availableLearners(voters)
@@ -92,8 +92,8 @@
 	})
 }
 
-// replaceAtSameAddress replaces a voter by the learner at its address: the voter has lost its disk and won't vote
-// again.
+// replaceAtSameAddress replaces a voter by the learner at its address: a learner there means that the voter has lost
+// its disk and won't vote again.
 func (p *voterPlacement) replaceAtSameAddress(voters, learners []state.Replica) []state.Replica {
 	for _, learner := range learners {
 		hasSameAddress := func(voter state.Replica) bool { return voter.Address == learner.Address }
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// grow adds two voters.
+// grow adds two voters if there are too few.
 func (p *voterPlacement) grow(voters, learners []state.Replica) []state.Replica {
 	if len(voters) >= p.desiredVoters || len(learners) < 2 {
 		return nil
@@ -155,7 +155,7 @@
 	}
 	expired := func(voter state.Replica) bool { return p.isExpired(voter.Address) }
 	remaining := slices.DeleteFunc(slices.Clone(voters), expired)
-	if lost := len(voters) - len(remaining); lost < 2 || len(voters) <= minVoters {
+	if expiredCount := len(voters) - len(remaining); expiredCount < 2 || len(voters) <= minVoters {
 		return nil
 	}
 	next := slices.Clone(voters)
@@ -166,7 +166,8 @@
 	return next
 }
 
-// spreadZones moves a vote out of a zone whose loss alone would cost the majority, into a zone that has fewer voters.
+// spreadZones replaces a voter in a zone whose loss alone would cost the majority by a learner in a zone with fewer
+// voters.
 func (p *voterPlacement) spreadZones(voters, learners []state.Replica) []state.Replica {
 	tolerated := len(voters) - (len(voters)/2 + 1) // losses that leave a majority
 	position := slices.IndexFunc(voters, func(voter state.Replica) bool {
@@ -195,7 +196,7 @@
 }
 
 // bestLearner returns the learner in the zone with the fewest voters, and among equals the one with the lowest address,
-// so that nodes that decide concurrently agree.
+// so that nodes that decide concurrently choose the same learner.
 func (p *voterPlacement) bestLearner(voters, learners []state.Replica) state.Replica {
 	return slices.MinFunc(learners, p.byZoneCount(voters))
 }
@@ -211,12 +212,12 @@
 
 // byZoneCount returns an order of replicas by the number of voters in their zone, then by address.
 func (p *voterPlacement) byZoneCount(voters []state.Replica) func(a, b state.Replica) int {
-	votersBeside := func(replica state.Replica) int {
+	votersInSameZone := func(replica state.Replica) int {
 		return p.countInZone(voters, p.zoneOf(replica.Address))
 	}
 	return func(a, b state.Replica) int {
 		return cmp.Or(
-			cmp.Compare(votersBeside(a), votersBeside(b)),
+			cmp.Compare(votersInSameZone(a), votersInSameZone(b)),
 			cmp.Compare(a.Address, b.Address),
 		)
 	}
--- a/serving/register/voterrepair.go
+++ b/serving/register/voterrepair.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxLearnerLag is how many revisions a learner may be behind and still become a voter. Records reach learners
-	// within a fraction of a second, and a burst of changes must not disqualify all of them.
+	// within a fraction of a second; without this tolerance a burst of changes would disqualify all learners.
 	maxLearnerLag = 8
 	// maxLearnerQueries bounds the learners that are queried before one change of the voters.
 	maxLearnerQueries = 16
@@ -39,7 +39,8 @@
 	return ok
 }
 
-// voterPlacement returns the inputs of a change of the voters, as this node knows them.
+// voterPlacement returns the placement for a change of the voters, from this node's settings, failure detector and
+// peers and from the given learners.
 func (n *Node) voterPlacement(learners []state.Replica) *voterPlacement {
 	zones := map[string]string{}
 	for _, peer := range n.peers() {
@@ -80,7 +81,7 @@
 }
 
 // QuorumLoss returns the addresses of the voters that are down if too few are left for a majority, else nil. Without a
-// majority the record can be neither changed nor read until some of them are back with their disks.
+// majority the record can be neither changed nor read until enough of them are back with their disks.
 func (n *Node) QuorumLoss() (down []string) {
 	voters := n.Voters()
 	for _, voter := range voters.Replicas {
@@ -95,7 +96,7 @@
 }
 
 // potentialLearners returns the replicas that may be learners, without calling them. The ID of another process's
-// replica isn't known; its address stands for it.
+// replica isn't known, so the address is used as its ID.
 func (n *Node) potentialLearners() (learners []state.Replica) {
 	excluded := map[string]bool{n.settings.InternalAddress(): true}
 	for _, voter := range n.Voters().Replicas {
@@ -112,9 +113,9 @@
 	return learners
 }
 
-// queryLearners returns the learners that have the present record on disk. Those at the address of a voter aren't
-// queried: they claim that voter's place themselves. The calls aren't cancelled with the context: late answers still
-// name newer voters.
+// queryLearners returns the learners whose record on disk is at most maxLearnerLag revisions behind the latest known
+// one. Learners at the address of a voter aren't queried: they claim that voter's place themselves. The calls aren't
+// cancelled with the context, because late answers may still name newer voters.
 func (n *Node) queryLearners(ctx context.Context) (learners []state.Replica) {
 	latest, _ := n.Latest()
 	queried := n.potentialLearners()
@@ -136,7 +137,8 @@
 	return learners
 }
 
-// queryLearner asks the node at an address for its learner. It returns the zero value if there is none.
+// queryLearner asks the node at an address for its learner. It returns the zero value if the node has none or doesn't
+// answer.
 func (n *Node) queryLearner(ctx context.Context, address string) learnerProgress {
 	if address == n.settings.InternalAddress() {
 		own, _ := n.caughtUpLearner()
--- a/serving/register/votetransfer.go
+++ b/serving/register/votetransfer.go
@@ -12,14 +12,14 @@
 const (
 	// transferRetryInterval is the time between two attempts to transfer the own vote.
 	transferRetryInterval = 100 * time.Millisecond
-	// voteCheckTimeout bounds the read by which a stopping learner checks that it has no vote.
+	// voteCheckTimeout bounds the read with which a learner that is shutting down checks that it has no vote.
 	voteCheckTimeout = 500 * time.Millisecond
 )
 
 // TransferVote transfers the own replica's vote to a learner, before the process is shut down. It returns true if the
 // replica certainly has no vote, so that its machine may be removed for good. It returns at once if the replica has no
-// vote or no learner could take it, otherwise when the transfer is complete or the context ends. The replica stays
-// without a vote afterwards, but still answers for what it has accepted.
+// vote or no learner could take it, otherwise when the transfer is complete or the context ends. Afterwards the replica
+// claims no vote again, but still answers requests with what it has accepted.
 func (n *Node) TransferVote(ctx context.Context) bool {
 	n.transferring.Store(true)
 	own, loaded := n.acceptor.State()
@@ -40,7 +40,8 @@
 	return false
 }
 
-// confirmNotVoter reads from a majority whether the own replica has no vote: it may have just become a voter.
+// confirmNotVoter reads the record from a majority and reports whether the own replica has no vote. The locally known
+// voters may be out of date: the replica may have just become a voter.
 func (n *Node) confirmNotVoter(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, voteCheckTimeout)
 	defer cancel()
