--- a/serving/register/acceptorstate.go
+++ b/serving/register/acceptorstate.go
@@ -48,14 +48,14 @@
 }
 
 // vote returns a vote with the ballots that the replica has promised and accepted. A granted vote includes the accepted
-// proposal, unless the accepted ballot equals known: the proposer then has the proposal already.
-func (s *AcceptorState) vote(result VoteResult, known Ballot) Vote {
+// proposal, unless the accepted ballot equals knownBallot: the proposer then has the proposal already.
+func (s *AcceptorState) vote(result VoteResult, knownBallot Ballot) Vote {
 	vote := Vote{
 		Result:   result,
 		Promised: s.Promised,
 		Accepted: s.Accepted,
 	}
-	if result == Granted && s.Accepted != known && !s.Accepted.IsZero() {
+	if result == Granted && s.Accepted != knownBallot && !s.Accepted.IsZero() {
 		proposal := s.Proposal
 		vote.Proposal = &proposal
 	}
--- a/serving/register/attempt.go
+++ b/serving/register/attempt.go
@@ -14,11 +14,12 @@
 type attemptOutcome uint8
 
 const (
-	// The change succeeded or was rejected.
+	// attemptDecided: the change succeeded or was rejected.
 	attemptDecided attemptOutcome = iota
-	// The attempt was preempted or got no majority. The next one follows after a backoff.
+	// attemptFailed: the attempt was preempted or got no majority. The next one follows after a backoff.
 	attemptFailed
-	// The attempt committed another proposer's unfinished reconfiguration. The next one follows at once.
+	// attemptFinishedReconfiguration: the attempt committed another proposer's unfinished reconfiguration. The next one
+	// follows at once.
 	attemptFinishedReconfiguration
 )
 
@@ -43,8 +44,8 @@
 	if err != nil {
 		return failedAttempt(err)
 	}
-	// The context may have ended during the round, also while this process was suspended. No Accept round may begin
-	// after that: the caller has given up, and the change must not begin to take effect.
+	// The context may have ended during the round, for example because this process was suspended. No Accept round may
+	// begin after that: the caller has given up, and the change must not begin to take effect.
 	if ctx.Err() != nil {
 		return failedAttempt(errCallerCancelled)
 	}
--- a/serving/register/doc.go
+++ b/serving/register/doc.go
@@ -8,11 +8,12 @@
 //
 // # Reconfiguration
 //
-// The set of voters is part of the record. A proposal that changes it from S to T is joint: it names S as the outgoing
-// voters and has to be accepted by a majority of S and by a majority of T, as in joint consensus (D. Ongaro,
-// "Consensus: Bridging Theory and Practice", 2014, §4.3). Until the proposal is known to be committed, every process
-// that encounters it needs both majorities, afterwards that of T alone. So each proposal names a set that is certainly
-// committed: the outgoing voters if it is joint, else its own. See jointconfig.go.
+// The set of voters is part of the record. Its epoch increases by one with each change of the set; the genesis voters,
+// one for each seed in the settings, have epoch 0. A proposal that changes the set from S to T is joint: it names S as
+// the outgoing voters and has to be accepted by a majority of S and by a majority of T, as in joint consensus (D.
+// Ongaro, "Consensus: Bridging Theory and Practice", 2014, §4.3). Until the proposal is known to be committed, every
+// process that encounters it needs both majorities, afterwards that of T alone. So each proposal names a set that is
+// certainly committed: the outgoing voters if it is joint, else its own. See jointconfig.go.
 //
 // # Structure
 //
--- a/serving/register/explore_scenarios_test.go
+++ b/serving/register/explore_scenarios_test.go
@@ -12,7 +12,7 @@
 type exploredRules struct {
 	accept       func(AcceptorState, *AcceptRequest) transition
 	acceptConfig func(*Proposal) jointConfig // the configuration that has to accept a proposal
-	wipedKeepsID bool                        // a replica that has lost its disk restarts as one of the first voters
+	wipedKeepsID bool                        // a replica that has lost its disk restarts as a genesis voter
 }
 
 var actualRules = exploredRules{
@@ -151,8 +151,8 @@
 			{SetEvacuation(exploredZone, false)},
 		},
 	}
-	// joinScenario is a mutant, as in an earlier version of the protocol: r4 is added to the set instead of
-	// replacing r1, so that the set has four voters.
+	// joinScenario is a mutant, as in an earlier version of the protocol: r4 is added to the set instead of replacing
+	// r1, so that the set has four voters.
 	joinScenario = scenario{
 		name:          "a join before a planned shutdown, and a disk loss",
 		attempts:      2,
--- a/serving/register/explore_state_test.go
+++ b/serving/register/explore_state_test.go
@@ -40,7 +40,7 @@
 	finished        bool // it has executed its script or given up
 }
 
-// committedFact identifies a record that some proposer has found to be committed.
+// committedRecord identifies a record that some proposer has found to be committed.
 type committedRecord struct {
 	revision, version, epoch uint64
 }
@@ -68,7 +68,7 @@
 	return state.ReplicaSet{Replicas: []state.Replica{replicaNamed("r1"), replicaNamed("r2"), replicaNamed("r3")}}
 }
 
-// genesisState returns the initial state of one of the first voters.
+// genesisState returns the initial state of a genesis voter.
 func genesisState(id string) AcceptorState {
 	record := state.Record{Voters: exploredGenesis()}
 	return AcceptorState{ReplicaID: id, Proposal: Proposal{Record: record}}
--- a/serving/register/learnedstate.go
+++ b/serving/register/learnedstate.go
@@ -7,7 +7,7 @@
 type learnedState struct {
 	highestBallotNumber uint64           // the highest number seen or used
 	committedVoters     state.ReplicaSet // the newest set known to be committed; empty: none
-	highestAccepted     AcceptedProposal // the highest proposal that some replica has accepted
+	highestAccepted     AcceptedProposal // the accepted proposal with the highest ballot seen
 }
 
 // nextBallot returns a ballot above all ballots seen so far, and a different one at each call.
--- a/serving/register/node.go
+++ b/serving/register/node.go
@@ -40,8 +40,8 @@
 	// IsDown reports whether no process is running at the address. If so, a learner may take over the vote of the
 	// replica there.
 	IsDown(address string) bool
-	// IsExpired reports whether the address has been down for so long that the members have forgotten it. Two such
-	// voters may be removed without replacement.
+	// IsExpired reports whether the address has been down for so long that no member lists it any more. Two such voters
+	// may be removed without replacement.
 	IsExpired(address string) bool
 }
 
--- a/serving/register/preparetally.go
+++ b/serving/register/preparetally.go
@@ -8,7 +8,7 @@
 	knownAccepted   AcceptedProposal  // whose ballot the requests name; votes leave this proposal out
 	granted         map[string]Ballot // by replica ID: the ballot that it has accepted
 	failed          map[string]bool   // by replica ID: rejected, wrong replica at the address, or no answer
-	highestAccepted AcceptedProposal  // among the granted votes
+	highestAccepted AcceptedProposal  // the one with the highest ballot in the granted votes
 }
 
 func newPrepareTally(committed state.ReplicaSet, known AcceptedProposal) *prepareTally {
--- a/serving/register/proposal.go
+++ b/serving/register/proposal.go
@@ -15,8 +15,8 @@
 // Proposal is the value that acceptors accept under a ballot.
 type Proposal struct {
 	Record state.Record `cbor:"1,keyasint"`
-	// OutgoingVoters is the set of voters before Record.Voters while the change of the set isn't known to be
-	// committed. It is empty otherwise.
+	// OutgoingVoters is the set that Record.Voters replaces, as long as that change isn't known to be committed;
+	// otherwise it is empty.
 	OutgoingVoters state.ReplicaSet `cbor:"2,keyasint,omitzero"`
 	Changes        []ChangeID       `cbor:"3,keyasint,omitempty"` // one for each of the latest revisions, the newest last
 }
@@ -68,7 +68,8 @@
 	return next
 }
 
-// leaveJoint returns the proposal, without its outgoing voters if its own voters are known to be committed.
+// leaveJoint returns a copy of the proposal. If the proposal's own voters are known to be committed, the copy has no
+// outgoing voters, so it isn't joint any more.
 func (p *Proposal) leaveJoint(committed state.ReplicaSet) Proposal {
 	next := *p
 	if p.Record.Voters.Epoch <= committed.Epoch {
--- a/serving/register/round.go
+++ b/serving/register/round.go
@@ -9,7 +9,7 @@
 	"rowanlink/serving/state"
 )
 
-// Reasons for which a round fails. The change or read that it belongs to may make another attempt.
+// Reasons why a round or an attempt fails. The change or read that it belongs to may make another attempt.
 var (
 	errPreempted       = errors.New("a higher ballot was promised")
 	errNoQuorum        = errors.New("no majority answered")
--- a/serving/register/voterplacement.go
+++ b/serving/register/voterplacement.go
@@ -26,7 +26,7 @@
 	desiredVoters int // odd
 	// isDown reports whether no process is running at an address, so that its voter may be replaced.
 	isDown func(address string) bool
-	// isExpired reports whether an address has been down for so long that the members have forgotten it.
+	// isExpired reports whether an address has been down for so long that no member lists it any more.
 	isExpired func(address string) bool
 	// zoneOf returns the zone of an address; empty: unknown.
 	zoneOf func(address string) string
