--- a/serving/register/linearizability_test.go
+++ b/serving/register/linearizability_test.go
@@ -298,8 +298,9 @@
 	assert.NotEqual(t, porcupine.Illegal, checked, "history is not linearizable: %v", h.operations)
 }
 
-// checkUpdates checks that acknowledged updates are in the record, that an update was never in force if it was rejected
-// or its error said that nothing was changed, and that at most one of several updates on one base was acknowledged.
+// checkUpdates checks that acknowledged updates are in the record, that rejected ones never were in force, that ones
+// whose error said that nothing was changed never were in force unless they were resent, and that at most one of
+// several updates on one base was acknowledged.
 func (h *history) checkUpdates(t *testing.T, final *state.Record) {
 	bases := map[uint64]state.Digest{}
 	for _, sent := range h.acknowledged {
--- a/serving/register/update.go
+++ b/serving/register/update.go
@@ -46,7 +46,7 @@
 
 // AmendConfiguration returns an update that replaces the configuration of version basedOn by the result of amend. A
 // repeated amendment is recognized by the version and digest in applied, not by those of the resulting document. The
-// update is rejected like that of ReplaceConfiguration, and with the errors of amend, which may be called several
+// update returns the same errors as that of ReplaceConfiguration, and those of amend, which may be called several
 // times.
 func AmendConfiguration(
 	basedOn uint64,
